--- /dev/null
+++ b/crates/dunepond-decide/tests/golden_orders.rs
@@ -0,0 +1,971 @@
+//! Golden record of the decisions. A seeded driver plays some ten thousand events of several deployments against one
+//! broker and folds each call to its host, with all arguments, into a digest: one decision, random draw or float sum that
+//! changes is seen. Log lines are left out, since their words may change.
+//!
+//! The driver has a random source of its own and uses no float function that differs between machines. A digest that
+//! differs means that behaviour has changed. It may be pinned anew only by a commit that means to change it.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use dunepond_decide::{
+    Broker, ColdRule, Deployment, End, Ended, FurtherBudget, Host, Limits, Listed, NodeId, Part, Repeat,
+    Rules, Scan, ScanId, Shutdown, ShutdownStage, Standing, TableType,
+};
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use rstest::rstest;
+
+const TICK: f64 = 0.005;
+const START: f64 = 1000.0;
+const CELLS: usize = 9;
+const ZONES: usize = 3;
+/// Events between two looks at the broker's plain values, and between two at all that it has learned and spent.
+const LOOK_EVERY_EVENTS: usize = 40;
+const DEEP_LOOK_EVERY_EVENTS: usize = 600;
+const CHECKPOINTS: usize = 4;
+
+const QUICK: usize = 0;
+const FULL: usize = 1;
+const FIX: usize = 2;
+const KEYED: usize = 3;
+const TWO_STEP: usize = 4;
+const PARTIAL: usize = 5;
+
+/// FNV-1a over little-endian words.
+struct Digest(u64);
+
+impl Digest {
+    fn word(&mut self, word: u64) {
+        for byte in word.to_le_bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+
+    fn index(&mut self, index: usize) {
+        self.word(index as u64);
+    }
+
+    fn number(&mut self, number: f64) {
+        self.word(number.to_bits());
+    }
+
+    fn flag(&mut self, flag: bool) {
+        self.word(u64::from(flag));
+    }
+}
+
+/// A kind of call to the host; its number goes into the digest.
+#[derive(Clone, Copy)]
+enum Call {
+    Dispatch,
+    CloseIdle,
+    Cancel,
+    Probe,
+    AnswerWhole,
+    AnswerPart,
+    Throttle,
+    Abandon,
+    Forget,
+    WakeAt,
+    AskList,
+}
+
+const CALL_KINDS: usize = 11;
+
+#[derive(Clone, Copy, PartialEq)]
+enum Mode {
+    Sound,
+    Slow,
+    Silent,
+    Failing,
+    FailingQuick,
+    Full,
+    Swallowing,
+    Down,
+    /// Connections that lie idle break unseen.
+    Reaped,
+}
+
+#[derive(Clone, Copy, PartialEq)]
+enum Presence {
+    Active,
+    Draining,
+    Gone,
+    Forgotten,
+}
+
+struct NodeState {
+    mode: Mode,
+    presence: Presence,
+    cell: usize,
+    zone: usize,
+    started: f64,
+    /// When each of its two workers is through with what it has.
+    busy: [f64; 2],
+    used: f64,
+    out: BTreeSet<(ScanId, usize, usize)>,
+}
+
+struct Sent {
+    node: NodeId,
+    at: f64,
+    ended: bool,
+}
+
+struct Tracked {
+    table_type: usize,
+    expires_at: f64,
+    long: bool,
+    answers: usize,
+    over: bool,
+    parts: Vec<Vec<Sent>>,
+}
+
+#[derive(Clone)]
+enum Event {
+    Arrival,
+    Ended { scan: ScanId, part: usize, shot: usize, end: End },
+    Framed { scan: ScanId, part: usize, shot: usize },
+    TextGone(ScanId),
+    Search(ScanId),
+    Restore(ScanId, Vec<usize>),
+    SecondStep(ScanId),
+    ClientLeft(ScanId),
+    Probed(NodeId, Option<f64>),
+    Wake,
+    ListAnswered,
+    ListRefused,
+    Fault,
+    Churn,
+    Stall,
+    ChangeRules,
+    ChangeLimits,
+    Restart,
+    Shutdown,
+}
+
+/// The host: records what it is told and plays the nodes.
+struct Recorder {
+    now: f64,
+    digest: Digest,
+    /// By kind of call.
+    calls: [usize; CALL_KINDS],
+    rng: Pcg64Mcg,
+    /// By time (the bits of a positive float sort as it does) and sequence.
+    queue: BTreeMap<(u64, u64), Event>,
+    sequence: u64,
+    nodes: Vec<NodeState>,
+    scans: BTreeMap<ScanId, Tracked>,
+    live: BTreeSet<ScanId>,
+    service: f64,
+    two_step: bool,
+}
+
+impl Recorder {
+    fn schedule(&mut self, at: f64, event: Event) {
+        self.sequence += 1;
+        self.queue.insert((at.max(self.now).to_bits(), self.sequence), event);
+    }
+
+    fn record(&mut self, call: Call, arguments: &[u64]) {
+        self.calls[call as usize] += 1;
+        self.digest.word(call as u64);
+        arguments.iter().for_each(|word| self.digest.word(*word));
+    }
+
+    /// How a dispatch that reaches a node now will end, and when.
+    fn outcome(&mut self, id: NodeId, table_type: usize) -> (End, f64) {
+        let chance: f64 = self.rng.random();
+        let work = self.service * self.rng.random_range(0.3..1.7);
+        let node = &mut self.nodes[id];
+        let idle = self.now - node.used;
+        node.used = self.now;
+        let soon = self.now + 0.2 * TICK;
+        match node.mode {
+            _ if chance < 0.004 => return (End::NotSent, soon),
+            _ if chance < 0.01 => return (End::Error, self.now + work),
+            Mode::Down => return (End::NoConnection, soon),
+            Mode::Silent => return (End::Completed, f64::MAX),
+            Mode::Swallowing if chance < 0.4 => return (End::Completed, f64::MAX),
+            Mode::Failing if chance < 0.8 => return (End::Error, soon),
+            Mode::FailingQuick if table_type == QUICK => return (End::Error, soon),
+            Mode::Full if chance < 0.6 => return (End::Full, soon),
+            Mode::Reaped if idle > 0.6 => return (End::Dropped, soon),
+            _ => {}
+        }
+        let warmth = (0.2 + 0.8 * (self.now - node.started) / 15.0).min(1.0);
+        let factor = if node.mode == Mode::Slow { 8.0 } else { 1.0 };
+        let worker = usize::from(node.busy[1] < node.busy[0]);
+        node.busy[worker] = node.busy[worker].max(self.now) + work * factor / warmth;
+        (End::Completed, node.busy[worker])
+    }
+
+    fn crash(&mut self, id: NodeId) {
+        let out = self.nodes[id].out.clone();
+        for (scan, part, shot) in out {
+            self.schedule(self.now, Event::Ended { scan, part, shot, end: End::Dropped });
+        }
+        self.nodes[id].busy = [self.now; 2];
+    }
+
+    fn row(&self, id: NodeId) -> Option<Listed> {
+        let node = &self.nodes[id];
+        let standing = match node.presence {
+            Presence::Active => Standing::Active,
+            Presence::Draining => Standing::Draining,
+            Presence::Gone => Standing::Gone,
+            Presence::Forgotten => return None,
+        };
+        Some(Listed { node: id, cell: node.cell, zone: node.zone, standing, started: node.started })
+    }
+
+    /// All that the list has of the fleet.
+    fn rows(&self) -> Vec<Listed> {
+        let present = (0..self.nodes.len()).filter(|id| self.nodes[*id].presence != Presence::Gone);
+        present.filter_map(|id| self.row(id)).collect()
+    }
+}
+
+impl Host for Recorder {
+    fn now(&self) -> f64 {
+        self.now
+    }
+
+    fn dispatch(&mut self, scan: ScanId, part: usize, node: NodeId) {
+        self.record(Call::Dispatch, &[scan, part as u64, node as u64]);
+        let (table_type, expires_at, long) = {
+            let tracked = &self.scans[&scan];
+            (tracked.table_type, tracked.expires_at, tracked.long)
+        };
+        let (end, at) = self.outcome(node, table_type);
+        let frame = if long { self.rng.random_range(0.0..0.3) } else { 0.0 };
+        let (end, at) = if at + frame < expires_at { (end, at + frame) } else { (End::TimedOut, expires_at) };
+        let tracked = self.scans.get_mut(&scan).expect("it is a scan of ours");
+        let shot = tracked.parts[part].len();
+        tracked.parts[part].push(Sent { node, at: self.now, ended: false });
+        self.nodes[node].out.insert((scan, part, shot));
+        if long {
+            self.schedule(self.now + 0.9 * frame, Event::Framed { scan, part, shot });
+        }
+        self.schedule(at, Event::Ended { scan, part, shot, end });
+    }
+
+    fn close_idle(&mut self, node: NodeId) {
+        self.record(Call::CloseIdle, &[node as u64]);
+        self.nodes[node].used = self.now;
+    }
+
+    fn cancel(&mut self, scan: ScanId, part: usize, shot: usize) {
+        self.record(Call::Cancel, &[scan, part as u64, shot as u64]);
+        let at = self.now + self.rng.random_range(0.0..2.0) * TICK;
+        self.schedule(at, Event::Ended { scan, part, shot, end: End::Cancelled });
+    }
+
+    fn probe(&mut self, node: NodeId) {
+        self.record(Call::Probe, &[node as u64]);
+        let (wait, mode) = (self.nodes[node].busy[0].min(self.nodes[node].busy[1]), self.nodes[node].mode);
+        let took = TICK * self.rng.random_range(0.5..3.0) + (wait - self.now).max(0.0);
+        let answered = !matches!(mode, Mode::Silent | Mode::Down);
+        let at = self.now + if answered { took } else { 1.0 };
+        self.schedule(at, Event::Probed(node, answered.then_some(took)));
+    }
+
+    fn answer(&mut self, scan: ScanId, whole: bool) {
+        self.record(if whole { Call::AnswerWhole } else { Call::AnswerPart }, &[scan]);
+        let tracked = self.scans.get_mut(&scan).expect("it is a scan of ours");
+        tracked.answers += 1;
+        if whole && tracked.answers == 1 && tracked.table_type == TWO_STEP && self.two_step {
+            let at = self.now + self.rng.random_range(0.0..0.05);
+            self.schedule(at, Event::SecondStep(scan));
+        }
+    }
+
+    fn throttle(&mut self, scan: ScanId, wait: f64) {
+        self.record(Call::Throttle, &[scan, wait.to_bits()]);
+    }
+
+    fn abandon(&mut self, scan: ScanId) {
+        self.record(Call::Abandon, &[scan]);
+    }
+
+    fn forget(&mut self, scan: ScanId) {
+        self.record(Call::Forget, &[scan]);
+        self.scans.get_mut(&scan).expect("it is a scan of ours").over = true;
+        self.live.remove(&scan);
+    }
+
+    fn wake_at(&mut self, at: f64) {
+        self.record(Call::WakeAt, &[at.to_bits()]);
+        let late = TICK * self.rng.random_range(0.0..1.0);
+        self.schedule(at.max(self.now) + late, Event::Wake);
+    }
+
+    fn ask_list(&mut self) {
+        self.record(Call::AskList, &[]);
+        let (chance, wait): (f64, f64) = (self.rng.random(), self.rng.random_range(0.0..0.2));
+        match chance {
+            c if c < 0.55 => self.schedule(self.now + wait, Event::ListAnswered),
+            c if c < 0.85 => self.schedule(self.now + wait, Event::ListRefused),
+            _ => {}
+        }
+    }
+
+    fn log(&mut self, _: &str) {}
+}
+
+/// One deployment and what happens there. Each `*_every` is in seconds; 0: never.
+#[derive(Clone)]
+struct Scenario {
+    seed: u64,
+    site: Deployment,
+    nodes: usize,
+    seconds: f64,
+    /// Mean seconds between two scans; every third ten seconds bring `rush` times as many.
+    gap: f64,
+    rush: f64,
+    /// Mean seconds that one of a node's two workers takes for a part.
+    service: f64,
+    table_types: &'static [usize],
+    most_parts: usize,
+    bodies: bool,
+    prefilter: bool,
+    owners: bool,
+    faults_every: f64,
+    churn_every: f64,
+    stalls_every: f64,
+    rules_every: f64,
+    limits_every: f64,
+    restart_every: f64,
+    shutdown_after: f64,
+}
+
+fn table_types() -> Vec<TableType> {
+    let full = TableType {
+        target: 0.8,
+        timeout: 2.5,
+        benefit: 1.0,
+        late: 0.3,
+        repeat: Repeat::Replayable,
+        whole_at: 1.0,
+        least: 1.0,
+        second_step: false,
+    };
+    vec![
+        TableType {
+            target: 0.4,
+            timeout: 1.5,
+            benefit: 2.0,
+            late: 0.0,
+            whole_at: 0.6,
+            least: 0.6,
+            ..full.clone()
+        },
+        full.clone(),
+        TableType { repeat: Repeat::NonReplayable, ..full.clone() },
+        TableType { repeat: Repeat::Keyed(0.7), ..full.clone() },
+        TableType { second_step: true, whole_at: 0.5, least: 0.5, ..full.clone() },
+        TableType { least: 0.5, ..full },
+    ]
+}
+
+fn site(seed: u64) -> Deployment {
+    Deployment {
+        seed,
+        brokers: 3.0,
+        zone: 1,
+        table_types: table_types(),
+        quotas: Vec::new(),
+        benefit_by_work: false,
+        cells: CELLS,
+        holders: 3,
+        crossing: Some(0.02),
+        dispatch_cap: 4,
+        second_copies: true,
+        may_cancel: true,
+        may_probe: false,
+        longest_wait: 2.0,
+        budget: None,
+        cold: ColdRule { from: 0.2, warm_after: 15.0, multiple: 2.5, span: 1.0 },
+        ask_within: None,
+        tick: TICK,
+    }
+}
+
+/// Ordinary traffic of all kinds on eighteen nodes, with a node's fault now and then.
+fn ordinary(seed: u64) -> Scenario {
+    Scenario {
+        seed,
+        site: site(seed),
+        nodes: 18,
+        seconds: 60.0,
+        gap: 0.025,
+        rush: 2.0,
+        service: 0.05,
+        table_types: &[QUICK, FULL, FULL, FIX, KEYED, TWO_STEP, PARTIAL],
+        most_parts: 6,
+        bodies: false,
+        prefilter: false,
+        owners: false,
+        faults_every: 1.5,
+        churn_every: 0.0,
+        stalls_every: 0.0,
+        rules_every: 0.0,
+        limits_every: 0.0,
+        restart_every: 0.0,
+        shutdown_after: 0.0,
+    }
+}
+
+/// No copies, no cancels, no crossing price; a tight budget and quotas, far more work than the nodes can do.
+fn overloaded() -> Scenario {
+    let budget = Some(FurtherBudget { window: 10.0, free: 3.0, share: 0.05 });
+    let tight = Deployment {
+        quotas: vec![30.0, 8.0, 2.0],
+        benefit_by_work: true,
+        crossing: None,
+        second_copies: false,
+        may_cancel: false,
+        longest_wait: 0.0,
+        budget,
+        ..site(2)
+    };
+    Scenario { site: tight, seconds: 32.0, gap: 0.012, rush: 4.0, service: 0.08, ..ordinary(2) }
+}
+
+/// Sixty nodes, each met seldom, some of them slow: holders are in doubt and probed.
+fn probing() -> Scenario {
+    let probes = Deployment { may_probe: true, cells: 30, ..site(3) };
+    Scenario {
+        site: probes,
+        nodes: 60,
+        seconds: 150.0,
+        gap: 0.12,
+        rush: 1.0,
+        service: 0.03,
+        most_parts: 3,
+        faults_every: 0.8,
+        ..ordinary(3)
+    }
+}
+
+/// A list that is polled and refuses; nodes drain, go, are forgotten and start cold.
+fn churning() -> Scenario {
+    let polled = Deployment { ask_within: Some(2.0), ..site(4) };
+    Scenario { site: polled, churn_every: 0.5, stalls_every: 7.0, ..ordinary(4) }
+}
+
+/// Bodies that pass once or whose frames take long, owners, the prefilter's waits, audits.
+fn bodies() -> Scenario {
+    Scenario { bodies: true, prefilter: true, owners: true, churn_every: 4.0, ..ordinary(5) }
+}
+
+/// Rules and our parts of fleet-wide bounds change while scans are held; budgets and cold nodes.
+fn changing_rules() -> Scenario {
+    let budget = Some(FurtherBudget { window: 8.0, free: 10.0, share: 0.2 });
+    let stated = Deployment { quotas: vec![20.0, 10.0, 5.0], budget, ..site(6) };
+    Scenario { site: stated, churn_every: 2.0, rules_every: 1.1, limits_every: 1.7, rush: 3.0, ..ordinary(6) }
+}
+
+/// Processes follow one another, with what was learned and spent, or without.
+fn restarting() -> Scenario {
+    let budget = Some(FurtherBudget { window: 6.0, free: 6.0, share: 0.1 });
+    let stated = Deployment { budget, ..site(7) };
+    Scenario { site: stated, restart_every: 5.0, churn_every: 3.0, ..ordinary(7) }
+}
+
+/// The signal to end comes, and clients go on coming.
+fn shutting_down() -> Scenario {
+    Scenario { bodies: true, seconds: 24.0, shutdown_after: 20.0, stalls_every: 9.0, ..ordinary(8) }
+}
+
+struct Driver {
+    scenario: Scenario,
+    broker: Broker,
+    host: Recorder,
+    rng: Pcg64Mcg,
+    scans: ScanId,
+    shutdown: Option<Shutdown>,
+    checkpoints: Vec<u64>,
+}
+
+impl Driver {
+    fn new(scenario: Scenario) -> Self {
+        let nodes = (0..scenario.nodes).map(|id| NodeState {
+            mode: Mode::Sound,
+            presence: Presence::Active,
+            cell: id % scenario.site.cells,
+            zone: id % ZONES,
+            started: if id % 7 == 6 { START - 4.0 } else { 0.0 },
+            busy: [START; 2],
+            used: START,
+            out: BTreeSet::new(),
+        });
+        let host = Recorder {
+            now: START,
+            digest: Digest(0xcbf2_9ce4_8422_2325),
+            calls: [0; CALL_KINDS],
+            rng: Pcg64Mcg::seed_from_u64(scenario.seed + 100),
+            queue: BTreeMap::new(),
+            sequence: 0,
+            nodes: nodes.collect(),
+            scans: BTreeMap::new(),
+            live: BTreeSet::new(),
+            service: scenario.service,
+            two_step: true,
+        };
+        let broker = Broker::new(scenario.site.clone());
+        let rng = Pcg64Mcg::seed_from_u64(scenario.seed + 200);
+        Self { scenario, broker, host, rng, scans: 0, shutdown: None, checkpoints: Vec::new() }
+    }
+
+    fn play(mut self) -> (Vec<u64>, [usize; CALL_KINDS]) {
+        let rows = self.host.rows();
+        self.broker.listed(&mut self.host, true, &rows);
+        self.host.schedule(START + 0.01, Event::Arrival);
+        let s = &self.scenario;
+        let recurring = [
+            (s.faults_every, Event::Fault),
+            (s.churn_every, Event::Churn),
+            (s.stalls_every, Event::Stall),
+            (s.rules_every, Event::ChangeRules),
+            (s.limits_every, Event::ChangeLimits),
+            (s.restart_every, Event::Restart),
+            (s.shutdown_after, Event::Shutdown),
+        ];
+        for (every, event) in recurring {
+            if every > 0.0 {
+                self.host.schedule(START + every, event);
+            }
+        }
+        let (end, part) = (START + s.seconds, s.seconds / CHECKPOINTS as f64);
+        let mut events = 0;
+        while let Some(((at, _), event)) = self.host.queue.pop_first() {
+            let at = f64::from_bits(at);
+            if at > end {
+                break;
+            }
+            self.host.now = self.host.now.max(at);
+            if self.host.now > START + part * (self.checkpoints.len() + 1) as f64 {
+                self.checkpoints.push(self.host.digest.0);
+            }
+            self.happen(event);
+            events += 1;
+            if events % LOOK_EVERY_EVENTS == 0 {
+                self.look();
+            }
+            if events % DEEP_LOOK_EVERY_EVENTS == 0 {
+                self.look_deeply();
+            }
+        }
+        self.look();
+        self.look_deeply();
+        self.host.digest.index(events);
+        self.checkpoints.push(self.host.digest.0);
+        (self.checkpoints, self.host.calls)
+    }
+
+    fn again(&mut self, every: f64, event: Event) {
+        let at = self.host.now + every * self.rng.random_range(0.5..1.5);
+        self.host.schedule(at, event);
+    }
+
+    fn happen(&mut self, event: Event) {
+        match event {
+            Event::Arrival => self.arrival(),
+            Event::Ended { scan, part, shot, end } => self.ended(scan, part, shot, end),
+            Event::Framed { scan, part, shot } => {
+                let node = self.host.scans[&scan].parts[part][shot].node;
+                self.broker.framed(&mut self.host, node, (scan, part, shot));
+            }
+            Event::TextGone(scan) => self.broker.text_gone(&mut self.host, scan),
+            Event::Search(scan) => self.search(scan),
+            Event::Restore(scan, parts) => self.broker.restore(&mut self.host, scan, &parts),
+            Event::SecondStep(scan) => self.second_step(scan),
+            Event::ClientLeft(scan) => {
+                if !self.host.scans[&scan].over {
+                    self.broker.client_left(&mut self.host, scan);
+                }
+            }
+            Event::Probed(node, answered) => self.broker.probed(&mut self.host, node, answered),
+            Event::Wake => self.broker.wake(&mut self.host),
+            Event::ListAnswered => {
+                let rows = self.host.rows();
+                self.broker.listed(&mut self.host, true, &rows);
+            }
+            Event::ListRefused => self.broker.list_refused(&mut self.host),
+            Event::Fault => self.fault(),
+            Event::Churn => self.churn(),
+            Event::Stall => {
+                self.host.now += self.rng.random_range(0.03..0.4);
+                self.again(self.scenario.stalls_every, Event::Stall);
+            }
+            Event::ChangeRules => self.change_rules(),
+            Event::ChangeLimits => self.change_limits(),
+            Event::Restart => self.restart(),
+            Event::Shutdown => {
+                let shutdown = Shutdown::new(self.host.now, 2.5);
+                self.shutdown = Some(shutdown);
+                self.broker.told_to_end(shutdown);
+            }
+        }
+    }
+
+    fn arrival(&mut self) {
+        let rushes = (self.host.now - START) as u64 / 10 % 3 == 2;
+        let gap = self.scenario.gap / if rushes { self.scenario.rush } else { 1.0 };
+        self.again(gap, Event::Arrival);
+        self.scans += 1;
+        let id = self.scans;
+        let kinds = self.scenario.table_types;
+        let table_type = kinds[self.rng.random_range(0..kinds.len())];
+        let timeout = self.scenario.site.table_types[table_type].timeout;
+        let hasty = self.rng.random_bool(0.15);
+        let expires_in = timeout * if hasty { self.rng.random_range(0.02..0.6) } else { 1.0 };
+        let kept = !self.scenario.bodies || self.rng.random_bool(0.6);
+        let long = self.scenario.bodies && self.rng.random_bool(0.3);
+        let waits = self.scenario.prefilter && kept && self.rng.random_bool(0.3);
+        let audit = self.scenario.prefilter && kept && !waits && self.rng.random_bool(0.05);
+        let parts = self.parts(table_type);
+        let scan = Scan {
+            id,
+            table_type,
+            customer: self.rng.random_range(0..4),
+            expires_in,
+            resent: self.rng.random_bool(0.1),
+            kept,
+            long,
+            waits,
+            audit,
+            parts,
+        };
+        let expires_at = self.host.now + expires_in;
+        let tracked = Tracked {
+            table_type,
+            expires_at,
+            long,
+            answers: 0,
+            over: false,
+            parts: scan.parts.iter().map(|_| Vec::new()).collect(),
+        };
+        self.host.scans.insert(id, tracked);
+        self.host.live.insert(id);
+        self.host.schedule(expires_at + TICK, Event::ClientLeft(id));
+        if self.rng.random_bool(0.02) {
+            let at = self.host.now + self.rng.random_range(0.0..0.3);
+            self.host.schedule(at, Event::ClientLeft(id));
+        }
+        if self.scenario.bodies && self.rng.random_bool(0.1) {
+            let at = self.host.now + self.rng.random_range(0.0..0.5);
+            self.host.schedule(at, Event::TextGone(id));
+        }
+        if waits {
+            let at = self.host.now + self.rng.random_range(0.005..0.3);
+            self.host.schedule(at, Event::Search(id));
+        }
+        self.broker.scan(&mut self.host, scan);
+    }
+
+    fn parts(&mut self, table_type: usize) -> Vec<Part> {
+        let count = self.rng.random_range(1..=self.scenario.most_parts);
+        let owned = self.scenario.owners && table_type == FIX;
+        let cells = self.scenario.site.cells;
+        let part = |rng: &mut Pcg64Mcg| Part {
+            seg: rng.random_range(0..3 * cells),
+            weight: rng.random_range(0.1..1.0) / count as f64,
+            only: owned.then(|| rng.random_range(0..self.scenario.nodes)),
+        };
+        (0..count).map(|_| part(&mut self.rng)).collect()
+    }
+
+    fn second_step(&mut self, scan: ScanId) {
+        if self.host.scans[&scan].over {
+            return;
+        }
+        let parts = self.parts(FULL);
+        let tracked = self.host.scans.get_mut(&scan).expect("it is a scan of ours");
+        tracked.parts.extend(parts.iter().map(|_| Vec::new()));
+        self.broker.second_step(&mut self.host, scan, parts);
+    }
+
+    fn ended(&mut self, scan: ScanId, part: usize, shot: usize, end: End) {
+        let tracked = self.host.scans.get_mut(&scan).expect("it is a scan of ours");
+        let sent = &mut tracked.parts[part][shot];
+        if std::mem::replace(&mut sent.ended, true) {
+            return;
+        }
+        let (node, took) = (sent.node, self.host.now - sent.at);
+        self.host.nodes[node].out.remove(&(scan, part, shot));
+        self.host.nodes[node].used = self.host.now;
+        self.broker.ended(&mut self.host, Ended { scan, part, shot, node, end, took });
+    }
+
+    fn search(&mut self, scan: ScanId) {
+        if self.host.scans[&scan].over {
+            return;
+        }
+        let count = self.host.scans[&scan].parts.len();
+        let left_out: Vec<usize> = (0..count).filter(|_| self.rng.random_bool(0.3)).collect();
+        self.broker.search(&mut self.host, scan, &left_out);
+        if !left_out.is_empty() && self.rng.random_bool(0.3) {
+            let at = self.host.now + self.rng.random_range(0.0..0.1);
+            self.host.schedule(at, Event::Restore(scan, left_out));
+        }
+    }
+
+    fn fault(&mut self) {
+        let modes = [
+            Mode::Slow,
+            Mode::Silent,
+            Mode::Failing,
+            Mode::FailingQuick,
+            Mode::Full,
+            Mode::Swallowing,
+            Mode::Down,
+            Mode::Reaped,
+        ];
+        let id = self.rng.random_range(0..self.scenario.nodes);
+        let sick = self.host.nodes.iter().filter(|n| n.mode != Mode::Sound).count();
+        // At most a third is sick at a time: the oldest faults end as new ones begin.
+        if self.host.nodes[id].mode != Mode::Sound || 3 * sick > self.scenario.nodes {
+            let first = self.host.nodes.iter().position(|n| n.mode != Mode::Sound).unwrap_or(id);
+            let mended = if self.host.nodes[id].mode == Mode::Sound { first } else { id };
+            self.host.nodes[mended].mode = Mode::Sound;
+        } else {
+            let mode = modes[self.rng.random_range(0..modes.len())];
+            self.host.nodes[id].mode = mode;
+            if mode == Mode::Down {
+                self.host.crash(id);
+            }
+        }
+        self.again(self.scenario.faults_every, Event::Fault);
+    }
+
+    fn churn(&mut self) {
+        let id = self.rng.random_range(0..self.scenario.nodes);
+        let now = self.host.now;
+        let active = self.host.nodes.iter().filter(|n| n.presence == Presence::Active).count();
+        let presence = match self.host.nodes[id].presence {
+            Presence::Active if 3 * active < 2 * self.scenario.nodes || self.rng.random_bool(0.4) => {
+                self.host.crash(id);
+                self.host.nodes[id].started = now;
+                Presence::Active
+            }
+            Presence::Active => Presence::Draining,
+            Presence::Draining => {
+                self.host.crash(id);
+                Presence::Gone
+            }
+            Presence::Gone if self.host.nodes[id].out.is_empty() && self.broker.outstanding(id) == 0 => {
+                self.broker.forget(id);
+                self.host.nodes[id].cell = self.rng.random_range(0..self.scenario.site.cells);
+                Presence::Forgotten
+            }
+            Presence::Gone => Presence::Gone,
+            Presence::Forgotten => {
+                self.host.nodes[id].started = now;
+                Presence::Active
+            }
+        };
+        self.host.nodes[id].presence = presence;
+        if self.scenario.site.ask_within.is_none() || self.rng.random_bool(0.1) {
+            let complete = self.rng.random_bool(0.3);
+            let rows = if complete { self.host.rows() } else { self.host.row(id).into_iter().collect() };
+            self.broker.listed(&mut self.host, complete, &rows);
+        }
+        self.again(self.scenario.churn_every, Event::Churn);
+    }
+
+    fn change_rules(&mut self) {
+        let mut rules = Rules::of(&self.scenario.site);
+        if self.rng.random_bool(0.5) {
+            rules.least[PARTIAL] = self.rng.random_range(0.2..1.0);
+            rules.whole_at[QUICK] = self.rng.random_range(0.3..1.0);
+        }
+        if self.rng.random_bool(0.1) {
+            rules.whole_at.pop();
+        }
+        rules.budget = match self.rng.random_range(0..4) {
+            0 => None,
+            1 => rules.budget,
+            _ => Some(FurtherBudget {
+                window: self.rng.random_range(4.0..9.0),
+                free: self.rng.random_range(0..20) as f64,
+                share: self.rng.random_range(0.0..0.5),
+            }),
+        };
+        rules.dispatch_cap = self.rng.random_range(1..6);
+        rules.second_copies = self.rng.random_bool(0.7);
+        rules.cold_multiple = self.rng.random_range(0.5..4.0);
+        rules.longest_wait = self.rng.random_range(0.0..3.0);
+        self.broker.govern(&rules);
+        self.again(self.scenario.rules_every, Event::ChangeRules);
+    }
+
+    fn change_limits(&mut self) {
+        let mut part = |most: f64| {
+            let stated = self.rng.random_bool(0.6);
+            stated.then(|| self.rng.random_range(0.0..most))
+        };
+        let limits = Limits { cold: part(20.0), further: part(1.0), quotas: vec![part(1.0), part(1.0)] };
+        self.broker.limited(limits);
+        self.again(self.scenario.limits_every, Event::ChangeLimits);
+    }
+
+    /// Another process in this one's place: after an orderly end with all that was learned and spent, or after a crash.
+    fn restart(&mut self) {
+        let beliefs = self.broker.beliefs(&self.host);
+        let ledger = self.broker.ledger(&self.host);
+        self.broker = Broker::new(self.scenario.site.clone());
+        for scan in std::mem::take(&mut self.host.live) {
+            self.host.scans.get_mut(&scan).expect("it is a scan of ours").over = true;
+        }
+        let rows: Vec<_> = (0..self.scenario.nodes).filter_map(|id| self.host.row(id)).collect();
+        self.host.now += 0.2;
+        self.broker.listed(&mut self.host, true, &rows);
+        if self.rng.random_bool(0.7) {
+            self.broker.believe(&mut self.host, &beliefs);
+        }
+        let orderly = self.rng.random_bool(0.6);
+        self.broker.owe(&mut self.host, orderly.then_some(&ledger));
+        self.again(self.scenario.restart_every, Event::Restart);
+    }
+
+    /// What the broker tells when asked, as it is on the way.
+    fn look(&mut self) {
+        let demand = self.broker.demand(10.0);
+        let digest = &mut self.host.digest;
+        digest.number(demand.cold);
+        digest.number(demand.further);
+        digest.number(demand.refused);
+        digest.flag(self.broker.pressed());
+        for id in 0..=self.host.nodes.iter().rposition(|n| n.presence == Presence::Active).unwrap_or(0) {
+            digest.index(self.broker.outstanding(id));
+        }
+        let seg = (self.scans as usize) % self.scenario.site.cells;
+        self.broker.to_ask(seg).for_each(|id| digest.index(id));
+        for scan in &self.host.live {
+            digest.flag(self.broker.needs_text(*scan));
+        }
+        if let Some(shutdown) = &self.shutdown {
+            let now = self.host.now;
+            digest.index(match shutdown.stage(now) {
+                ShutdownStage::Serving => 0,
+                ShutdownStage::ClosingAfterAnswers => 1,
+                ShutdownStage::Refusing => 2,
+                ShutdownStage::ClosingUnasked => 3,
+                ShutdownStage::LastAnswers => 4,
+            });
+            digest.number(shutdown.next_stage_at(now).unwrap_or(0.0));
+            digest.flag(shutdown.is_refusing(now));
+        }
+    }
+
+    /// What it has learned and spent.
+    fn look_deeply(&mut self) {
+        let beliefs = self.broker.beliefs(&self.host);
+        let ledger = self.broker.ledger(&self.host);
+        let digest = &mut self.host.digest;
+        for node in &beliefs.nodes {
+            digest.index(node.node);
+            digest.flag(node.aside);
+            for sample in &node.samples {
+                digest.index(sample.table_type);
+                [sample.sent_ago, sample.took, sample.ago].into_iter().for_each(|n| digest.number(n));
+                digest.flag(sample.served);
+                digest.flag(sample.fault);
+            }
+        }
+        for (took, ago, part) in &beliefs.fleet {
+            [*took, *ago, *part].into_iter().for_each(|n| digest.number(n));
+        }
+        for (ago, idle, broke) in &beliefs.reaped {
+            digest.number(*ago);
+            digest.number(*idle);
+            digest.flag(*broke);
+        }
+        digest.number(beliefs.ease.unwrap_or(-1.0));
+        ledger.further.iter().for_each(|ago| digest.number(*ago));
+        for (ago, count) in &ledger.taken {
+            digest.number(*ago);
+            digest.number(*count);
+        }
+        for (node, times) in &ledger.cold {
+            digest.index(*node);
+            times.iter().for_each(|ago| digest.number(*ago));
+        }
+    }
+}
+
+/// What a scenario came to on the code that was there first.
+struct Golden {
+    scenario: fn() -> Scenario,
+    /// The digest after each quarter of the scenario's time.
+    digests: [u64; CHECKPOINTS],
+    calls: [usize; CALL_KINDS],
+}
+
+const ORDINARY: Golden = Golden {
+    scenario: || ordinary(1),
+    digests: [0x2ca49a811c0417a3, 0x6df3ea5fe7429cb5, 0x204d018685bfd3a7, 0x647e14bf4a2dfcbe],
+    calls: [13699, 42, 913, 0, 3573, 1, 28, 23, 3192, 2177, 0],
+};
+const OVERLOADED: Golden = Golden {
+    scenario: overloaded,
+    digests: [0x8f2e344f3da2fa4a, 0x6d903e7ca01631b8, 0xd71a03aebd01c8ab, 0x053e5f456047b382],
+    calls: [10250, 15, 0, 0, 2722, 7, 2730, 11, 5163, 1138, 0],
+};
+const PROBING: Golden = Golden {
+    scenario: probing,
+    digests: [0x9d999755c1463912, 0x8d8460701949d49a, 0xe81c5a4e1e1c8e1a, 0x6b22408bc690dd9d],
+    calls: [3283, 95, 293, 274, 1379, 0, 9, 24, 1245, 2770, 0],
+};
+const CHURNING: Golden = Golden {
+    scenario: churning,
+    digests: [0xa1fa1b17037415d4, 0xfc737734ca0490a3, 0xcb01a1795d7bd9cc, 0xaa17857331faa40d],
+    calls: [10693, 65, 1303, 0, 2374, 30, 885, 95, 3094, 2128, 31],
+};
+const BODIES: Golden = Golden {
+    scenario: bodies,
+    digests: [0xc0aa7e1f1f3f36b3, 0xa0868e58a7fe7240, 0xb0801cd73300e041, 0x4c9f74b46548ad9b],
+    calls: [10389, 46, 1144, 0, 2670, 26, 855, 32, 3168, 2184, 0],
+};
+const CHANGING_RULES: Golden = Golden {
+    scenario: changing_rules,
+    digests: [0x615beee1f80fee6c, 0x486dad4626f243af, 0x0802d590ff70fc14, 0xbc39068faa3823e0],
+    calls: [12014, 15, 869, 0, 2939, 42, 1343, 55, 3971, 2179, 0],
+};
+const RESTARTING: Golden = Golden {
+    scenario: restarting,
+    digests: [0xaeecf2b337867761, 0x1e0a43d6df0407be, 0x276dffaaae72a5d4, 0x4718179b55dde375],
+    calls: [11995, 22, 621, 0, 3104, 9, 175, 26, 2929, 3019, 0],
+};
+const SHUTTING_DOWN: Golden = Golden {
+    scenario: shutting_down,
+    digests: [0x7e5407e63ad86200, 0x2ad97c2afaa397ae, 0x126926cfa5755919, 0x58c13cf3ac1a0003],
+    calls: [3640, 16, 363, 0, 920, 9, 253, 18, 1076, 846, 0],
+};
+const ALL: [&Golden; 8] =
+    [&ORDINARY, &OVERLOADED, &PROBING, &CHURNING, &BODIES, &CHANGING_RULES, &RESTARTING, &SHUTTING_DOWN];
+
+#[rstest]
+#[case::ordinary(&ORDINARY)]
+#[case::overloaded(&OVERLOADED)]
+#[case::probing(&PROBING)]
+#[case::churning(&CHURNING)]
+#[case::bodies(&BODIES)]
+#[case::changing_rules(&CHANGING_RULES)]
+#[case::restarting(&RESTARTING)]
+#[case::shutting_down(&SHUTTING_DOWN)]
+fn orders_are_what_they_were(#[case] golden: &Golden) {
+    let (digests, calls) = Driver::new((golden.scenario)()).play();
+    assert_eq!((digests.as_slice(), calls), (golden.digests.as_slice(), golden.calls), "{digests:#018x?}");
+}
+
+/// A driver that reached no copies or no probes would prove nothing of them.
+#[test]
+fn the_scenarios_reach_every_order() {
+    for kind in 0..CALL_KINDS {
+        let count: usize = ALL.iter().map(|golden| golden.calls[kind]).sum();
+        assert!(count >= 25, "kind {kind}: {count}");
+    }
+}
