--- a/crates/dunepond-decide/tests/golden_orders.rs
+++ b/crates/dunepond-decide/tests/golden_orders.rs
@@ -264,7 +264,7 @@
     fn probe(&mut self, node: NodeId) {
         self.record(Call::Probe, &[node as u64]);
         let (wait, mode) = (self.nodes[node].busy[0].min(self.nodes[node].busy[1]), self.nodes[node].mode);
-        let took = TICK * self.rng.random_range(0.5..3.0) + (wait - self.now).max(0.0);
+        let took = TICK * self.rng.random_range(0.5..5.0) + (wait - self.now).max(0.0);
         let answered = !matches!(mode, Mode::Silent | Mode::Down);
         let at = self.now + if answered { took } else { 1.0 };
         self.schedule(at, Event::Probed(node, answered.then_some(took)));
@@ -448,6 +448,20 @@
     }
 }
 
+/// Scans of many parts, each with two holders that break often: most are sent by probes and some are turned away by them.
+fn doubting() -> Scenario {
+    let probes = Deployment { may_probe: true, cells: 60, holders: 2, ..site(9) };
+    Scenario {
+        site: probes,
+        most_parts: 4,
+        gap: 0.15,
+        service: 0.05,
+        seconds: 200.0,
+        faults_every: 0.25,
+        ..probing()
+    }
+}
+
 /// A list that is polled and refuses; nodes drain, go, are forgotten and start cold.
 fn churning() -> Scenario {
     let polled = Deployment { ask_within: Some(2.0), ..site(4) };
@@ -916,8 +930,13 @@
 };
 const PROBING: Golden = Golden {
     scenario: probing,
-    digests: [0x9d999755c1463912, 0x8d8460701949d49a, 0xe81c5a4e1e1c8e1a, 0x6b22408bc690dd9d],
-    calls: [3283, 95, 293, 274, 1379, 0, 9, 24, 1245, 2770, 0],
+    digests: [0x5d5bf2cba85bd923, 0x68c69f976b3027a0, 0xe842f15613857460, 0x114bdbb27999df05],
+    calls: [3234, 286, 225, 8121, 1386, 0, 8, 28, 1260, 2920, 0],
+};
+const DOUBTING: Golden = Golden {
+    scenario: doubting,
+    digests: [0x74efd69fd5ce8dfd, 0xfbf5f657e8ac01bc, 0x25d7f9e36f96db01, 0xbd24648e2a5af50f],
+    calls: [3678, 272, 253, 3536, 1093, 6, 234, 148, 1325, 6380, 0],
 };
 const CHURNING: Golden = Golden {
     scenario: churning,
@@ -944,13 +963,23 @@
     digests: [0x7e5407e63ad86200, 0x2ad97c2afaa397ae, 0x126926cfa5755919, 0x58c13cf3ac1a0003],
     calls: [3640, 16, 363, 0, 920, 9, 253, 18, 1076, 846, 0],
 };
-const ALL: [&Golden; 8] =
-    [&ORDINARY, &OVERLOADED, &PROBING, &CHURNING, &BODIES, &CHANGING_RULES, &RESTARTING, &SHUTTING_DOWN];
+const ALL: [&Golden; 9] = [
+    &ORDINARY,
+    &OVERLOADED,
+    &PROBING,
+    &DOUBTING,
+    &CHURNING,
+    &BODIES,
+    &CHANGING_RULES,
+    &RESTARTING,
+    &SHUTTING_DOWN,
+];
 
 #[rstest]
 #[case::ordinary(&ORDINARY)]
 #[case::overloaded(&OVERLOADED)]
 #[case::probing(&PROBING)]
+#[case::doubting(&DOUBTING)]
 #[case::churning(&CHURNING)]
 #[case::bodies(&BODIES)]
 #[case::changing_rules(&CHANGING_RULES)]
