--- /dev/null
+++ b/crates/dunepond-agree/tests/golden/runs.rs
@@ -0,0 +1,480 @@
+//! What voters write and send: one alone that enters each kind of entry, and a few that come, go and are brought back.
+//! The same seeds give the same bytes, so whole runs are compared.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use dunepond_agree::*;
+use dunepond_debts::{Agreed as Debt, Begun, Release};
+use dunepond_limits::{Agreed as Limit, Part};
+use dunepond_move::{
+    Act, Agreed as Move, By, Kind, Operation, Pace, Pause, Plan, Step as PlanStep, Wave, order,
+};
+use dunepond_sim::fleet::{map, settlement, terms, version};
+use protobuf::Message as _;
+use raft::eraftpb::{Entry as LogEntry, Message, Snapshot};
+use serde::{Deserialize, Serialize};
+
+use super::documents::{allot, bounds, full_version, named, text};
+use super::{MARK, again, document, framed, golden, unframed};
+
+const TURN: f64 = 0.025;
+
+/// What stands in an entry of the log.
+#[derive(Serialize, Deserialize)]
+enum Item {
+    Entry(Entry),
+    Terms(Terms),
+    Stage { number: u64 },
+    Returned { number: u64 },
+    Seat { voter: String, seat: Seat },
+    Voted(Voted),
+    Calm { epoch: u64 },
+}
+
+#[derive(Serialize, Deserialize)]
+struct Voted {
+    number: u64,
+    joins: Option<(String, Seat)>,
+    leaves: Option<(String, Option<u64>)>,
+}
+
+/// A record of the journal: the order of the parts is its form.
+#[derive(Serialize, Deserialize)]
+struct Record {
+    folder: Option<(String, u64, u64, u64)>,
+    hard: Option<Vec<u8>>,
+    entries: Vec<(u64, u64, Vec<u8>)>,
+    snapshot: Option<Vec<u8>>,
+    replaces: bool,
+}
+
+/// Reads each record and all documents in it, writes them again, and says which kinds of items there were.
+fn check_records(name: &str, stored: &[u8]) -> BTreeMap<String, usize> {
+    let (records, mut kinds) = (unframed(stored), BTreeMap::new());
+    for bytes in &records {
+        let save: Save = postcard::from_bytes(bytes).unwrap();
+        assert!(save.bytes() == *bytes, "{name}: a record");
+        let record: Record = postcard::from_bytes(bytes).unwrap();
+        assert!(postcard::to_stdvec(&record).unwrap() == *bytes, "{name}: a record's parts");
+        for (_, _, entry) in &record.entries {
+            let entry = LogEntry::parse_from_bytes(entry).unwrap();
+            for item in [&entry.data, &entry.context].into_iter().filter(|item| item.starts_with(&MARK)) {
+                assert!(again::<Item>(item) == item[..], "{name}: an item");
+                *kinds.entry(kind(item)).or_default() += 1;
+            }
+        }
+        if let Some(snapshot) = &record.snapshot {
+            let snapshot = Snapshot::parse_from_bytes(snapshot).unwrap();
+            assert!(again::<State>(snapshot.get_data()) == snapshot.get_data(), "{name}: a snapshot");
+        }
+    }
+    let mut saved = Saved::new();
+    records.iter().for_each(|record| saved.take(record).unwrap());
+    kinds
+}
+
+/// The names of an item's variants, outermost first.
+fn kind(item: &[u8]) -> String {
+    let value: ciborium::Value = ciborium::from_reader(&item[MARK.len()..]).unwrap();
+    let (mut names, mut value) = (Vec::new(), &value);
+    while let ciborium::Value::Map(parts) = value
+        && let [(ciborium::Value::Text(name), inner)] = &parts[..]
+        && name.starts_with(char::is_uppercase)
+    {
+        names.push(name.clone());
+        value = inner;
+    }
+    names.join(" ")
+}
+
+struct Alone {
+    voter: Voter,
+    now: f64,
+    records: Vec<Vec<u8>>,
+    outcomes: Vec<String>,
+}
+
+impl Alone {
+    fn take(&mut self, orders: Orders) {
+        if !orders.save.is_empty() {
+            self.records.push(orders.save.bytes());
+        }
+        self.outcomes.extend(orders.outcomes.iter().map(|outcome| match &outcome.what {
+            Ok(_) => text("applied"),
+            Err(why) => format!("{}: {why}", outcome.index),
+        }));
+    }
+
+    fn run(&mut self, seconds: f64) {
+        for _ in 0..(seconds / TURN) as usize {
+            self.now += TURN;
+            let orders = self.voter.tick(self.now);
+            self.take(orders);
+        }
+    }
+
+    /// Enters it; it has to apply.
+    fn enter(&mut self, entry: Entry) {
+        let shown = format!("{entry:?}");
+        let orders = self.voter.propose(self.now, entry).unwrap_or_else(|why| panic!("{shown}: {why}"));
+        self.take(orders);
+        self.run(0.2);
+    }
+
+    fn propose(&mut self, version: Version, seconds: f64) {
+        self.enter(Entry::Propose(Box::new(version)));
+        self.run(seconds);
+    }
+}
+
+fn states(alone: &Alone, name: &str) {
+    let stored = golden(name, &document(alone.voter.state()));
+    assert!(again::<State>(&stored) == stored, "{name}");
+}
+
+fn enter_versions(alone: &mut Alone) {
+    alone.propose(version(1, Some(map(1, false))), 3.0);
+    let two = Version { stage: Some(0.5), ..version(2, Some(map(2, true))) };
+    alone.propose(two, 0.0);
+    states(alone, "state-open");
+    let fill = |number| Entry::Filled { number, segment: 0, holder: format!("cold{number}") };
+    alone.enter(fill(2));
+    alone.run(3.0);
+    states(alone, "state-staged");
+    alone.enter(Entry::Confirm { number: 2 });
+    let more = vec![full_version(3).more[0].clone()];
+    alone.propose(Version { stage: Some(0.5), more, ..version(3, Some(map(3, false))) }, 3.0);
+    alone.enter(Entry::Withdraw { number: 3, why: text("a test") });
+    states(alone, "state-returning");
+    alone.run(3.0);
+    alone.propose(version(4, Some(map(4, true))), 0.0);
+    alone.enter(Entry::Withdraw { number: 4, why: text("a test") });
+}
+
+fn enter_debts(alone: &mut Alone) {
+    let (debtor, creditor) = (text("north"), text("south"));
+    let release = Release { number: 1, debtor, creditor, by: text("b1"), bytes: 40 };
+    let begun = Begun {
+        id: text("2/5/s0a"),
+        segment: 5,
+        holder: text("s0a"),
+        source: text("s0b"),
+        from: text("south"),
+        to: text("north"),
+        bytes: 4096,
+        rate: 65_536,
+        settles: Some(settlement("5")),
+        at: 1_700_000_000,
+    };
+    for entry in [allot(), Debt::Release(release), Debt::Settle(settlement("6")), Debt::Begin(begun)] {
+        alone.enter(Entry::Debt(entry));
+    }
+}
+
+fn enter_limits(alone: &mut Alone) {
+    let part = |units| Part { broker: text("b1"), bound: text("cold"), units };
+    for entry in [
+        Limit::Bounds(bounds()),
+        Limit::Seat { broker: text("b1") },
+        Limit::Seat { broker: text("b2") },
+        Limit::Parts { parts: vec![part(9000), Part { broker: text("b2"), ..part(70) }] },
+        Limit::Parts { parts: vec![part(100)] },
+    ] {
+        alone.enter(Entry::Limit(entry));
+    }
+    states(alone, "state-limits");
+    // The leader says that the larger part is over, and may be the only one to say so.
+    alone.run(4.0);
+    alone.enter(Entry::Limit(Limit::Seat { broker: text("b3") }));
+    alone.enter(Entry::Limit(Limit::Free { broker: text("b3") }));
+}
+
+fn plan(id: &str) -> Plan {
+    Plan {
+        id: text(id),
+        who: text("ann"),
+        why: text("a test"),
+        word: Default::default(),
+        ordered: false,
+        operations: vec![
+            Operation::Split { segment: 0, at: vec![1 << 40], into: vec![100, 101] },
+            Operation::Move { segment: 1, from: text("s1a"), to: text("s2a") },
+            Operation::Own { segment: 3, to: text("s3a") },
+        ],
+        nodes: BTreeMap::new(),
+        cells: BTreeMap::new(),
+        partners: BTreeMap::new(),
+        sizes: Default::default(),
+    }
+}
+
+/// Makes the plan's owners those of the map in force.
+fn fitting(alone: &Alone, id: &str) -> (Plan, Vec<PlanStep>) {
+    let proof = alone.voter.state().proof().unwrap().clone();
+    let mut plan = plan(id);
+    let owner = |segment: u64| proof.segment(segment).unwrap().owner.clone();
+    let other = if owner(3) == "s3a" { "s3b" } else { "s3a" };
+    plan.operations[1] = Operation::Move { segment: 1, from: owner(1), to: text("s2a") };
+    plan.operations[2] = Operation::Own { segment: 3, to: text(other) };
+    let steps = order(&plan, &proof, Pace { at_once: 2, most_changed: 1.0 }, |_| false).unwrap();
+    (plan, steps)
+}
+
+fn enter_moves(alone: &mut Alone) {
+    let (taken, steps) = fitting(alone, "p1");
+    let plan = || text("p1");
+    let waves: Vec<&Wave> = steps.iter().flat_map(|step| step.back.iter().chain([&step.wave])).collect();
+    assert!(waves.iter().any(|wave| wave.kind == Kind::Fence));
+    assert!(waves.iter().flat_map(|wave| &wave.acts).any(|(_, act)| matches!(act, Act::Switch { .. })));
+    alone.enter(Entry::Move(Move::Taken { plan: Box::new(taken), steps, at_once: 2 }));
+    for why in [Pause::Pressed { hundredths: 40 }, Pause::Word { who: text("ann") }] {
+        alone.enter(Entry::Move(Move::Paused { plan: plan(), why }));
+    }
+    alone.enter(Entry::Move(Move::Resumed { plan: plan(), by: By::Operator(text("ann")) }));
+    let pressed = Pause::Pressed { hundredths: 40 };
+    alone.enter(Entry::Move(Move::Paused { plan: plan(), why: pressed }));
+    alone.enter(Entry::Move(Move::Resumed { plan: plan(), by: By::Pressure(5) }));
+    let failed = Pause::Failed { why: text("a test") };
+    alone.enter(Entry::Move(Move::Paused { plan: plan(), why: failed }));
+    alone.enter(Entry::Move(Move::Resumed { plan: plan(), by: By::Operator(text("ann")) }));
+    let state = alone.voter.state();
+    let running = state.moves().running.as_ref().unwrap();
+    let moving = running.wave().unwrap().moving(state.proof().unwrap(), running.done).unwrap();
+    let (number, digest) = (state.highest + 1, text(moving.to().digest()));
+    alone.enter(Entry::Move(Move::Begun { plan: plan(), turn: 0, number, digest }));
+    states(alone, "state-plan");
+    let (who, why) = (text("ann"), text("a test"));
+    alone.enter(Entry::Move(Move::Withdrawn { plan: plan(), who, why }));
+}
+
+fn enter_votes(alone: &mut Alone) {
+    let vote = |number, voters| {
+        let (who, why) = (text("ann"), text("a test"));
+        Entry::Vote(Box::new(Voting { number, voters, who, why, at: 1_700_000_000.0 }))
+    };
+    alone.enter(vote(1, vec![named("n1", None), named("n2", Some("10.0.0.2:7000"))]));
+    states(alone, "state-voting");
+    alone.enter(vote(2, vec![named("n1", Some("10.0.0.1:7000"))]));
+}
+
+#[test]
+fn a_voter_alone_writes_each_kind_of_entry() {
+    let open = |terms: Terms, saved: Saved, now, seed| Voter::open(terms, saved, now, seed).unwrap();
+    let voter = open(terms("n1", 1), Saved::new(), 0.0, 31);
+    let mut alone = Alone { voter, now: 0.0, records: Vec::new(), outcomes: Vec::new() };
+    alone.run(3.0);
+    enter_versions(&mut alone);
+    enter_debts(&mut alone);
+    enter_limits(&mut alone);
+    enter_votes(&mut alone);
+    enter_moves(&mut alone);
+    // Another start, with other terms.
+    let mut saved = Saved::new();
+    alone.records.iter().for_each(|record| saved.take(record).unwrap());
+    alone.voter = open(Terms { lease: 0.8, ..terms("n1", 1) }, saved, alone.now, 32);
+    alone.run(3.0);
+    states(&alone, "state-after");
+    let stored = golden("alone.journal", &framed(&alone.records));
+    assert_eq!(alone.outcomes.iter().filter(|outcome| *outcome != "applied").collect::<Vec<_>>(), [""; 0]);
+    let kinds = check_records("alone.journal", &stored);
+    for kind in [
+        "Entry Propose",
+        "Entry Filled",
+        "Entry Confirm",
+        "Entry Withdraw",
+        "Entry Debt Allot",
+        "Entry Debt Release",
+        "Entry Debt Settle",
+        "Entry Debt Begin",
+        "Entry Limit Bounds",
+        "Entry Limit Seat",
+        "Entry Limit Free",
+        "Entry Limit Parts",
+        "Entry Limit Settled",
+        "Entry Move Taken",
+        "Entry Move Begun",
+        "Entry Move Paused",
+        "Entry Move Resumed",
+        "Entry Move Withdrawn",
+        "Entry Vote",
+        "Stage",
+        "Returned",
+        "Terms",
+        "Seat",
+    ] {
+        assert!(kinds.contains_key(kind), "no {kind} in {kinds:?}");
+    }
+    let whole = alone.voter.whole().bytes();
+    check_records("whole", &framed(&[golden("alone.whole", &whole)]));
+    // A later start of this program goes on from the file.
+    let mut saved = Saved::new();
+    unframed(&stored).iter().for_each(|record| saved.take(record).unwrap());
+    let voter = open(terms("n1", 1), saved, 0.0, 33);
+    assert!(voter.seated());
+}
+
+/// Voters on a network that loses nothing; each message comes a turn later.
+struct Few {
+    voters: BTreeMap<String, Voter>,
+    records: BTreeMap<String, Vec<Vec<u8>>>,
+    now: f64,
+    flying: VecDeque<(String, String, Vec<u8>)>,
+    /// All messages in their order, and two of each kind.
+    all: blake3::Hasher,
+    kinds: BTreeMap<String, Vec<Vec<u8>>>,
+    told: Vec<Told>,
+}
+
+/// What a message between voters is: the variant, and the library's own kind.
+fn message_kind(bytes: &[u8]) -> String {
+    let value: ciborium::Value = ciborium::from_reader(&bytes[1 + MARK.len()..]).unwrap();
+    let parts = value.into_map().unwrap();
+    let body = parts.into_iter().find(|(key, _)| key.as_text() == Some("body")).unwrap().1;
+    let (name, inner) = body.into_map().unwrap().remove(0);
+    let name = name.into_text().unwrap();
+    match inner.as_bytes() {
+        Some(bytes) => {
+            let message = Message::parse_from_bytes(bytes).unwrap();
+            format!("{name} {:?}", message.get_msg_type())
+        }
+        None => name,
+    }
+}
+
+impl Few {
+    fn start(&mut self, terms: Terms, seed: u64) {
+        let mut saved = Saved::new();
+        let records = self.records.entry(terms.name.clone()).or_default();
+        records.iter().for_each(|record| saved.take(record).unwrap());
+        let voter = Voter::open(terms.clone(), saved, self.now, seed).unwrap();
+        self.voters.insert(terms.name, voter);
+    }
+
+    fn take(&mut self, name: &str, orders: Orders) {
+        if !orders.save.is_empty() {
+            self.records.entry(text(name)).or_default().push(orders.save.bytes());
+        }
+        self.told.extend(orders.told.into_iter().map(|(_, told)| told));
+        for (to, bytes) in orders.send {
+            self.all.update(&bytes);
+            let kind = self.kinds.entry(message_kind(&bytes)).or_default();
+            if kind.len() < 2 {
+                kind.push(bytes.clone());
+            }
+            self.flying.push_back((text(name), to, bytes));
+        }
+    }
+
+    fn run(&mut self, seconds: f64) {
+        for _ in 0..(seconds / TURN) as usize {
+            self.now += TURN;
+            let now = self.now;
+            for (from, to, bytes) in std::mem::take(&mut self.flying) {
+                let Some(voter) = self.voters.get_mut(&to) else { continue };
+                // What a voter does not believe changes nothing here.
+                if let Ok(orders) = voter.received(now, &from, &bytes) {
+                    self.take(&to, orders);
+                }
+            }
+            for name in self.voters.keys().cloned().collect::<Vec<_>>() {
+                let orders = self.voters.get_mut(&name).unwrap().tick(now);
+                self.take(&name, orders);
+            }
+        }
+    }
+
+    fn leader(&self) -> String {
+        self.voters.iter().find(|(_, voter)| voter.leads()).map(|(name, _)| name.clone()).expect("one leads")
+    }
+
+    fn propose(&mut self, entry: Entry) {
+        let (leader, now) = (self.leader(), self.now);
+        let orders = self.voters.get_mut(&leader).unwrap().propose(now, entry).unwrap();
+        self.take(&leader, orders);
+    }
+
+    /// A broker asks each voter for a lease.
+    fn ask(&mut self) {
+        let mut member = Member::new(terms("b1", 3), None, self.now, 9);
+        let (_, ask) = member.tick(self.now).unwrap();
+        for name in self.voters.keys().cloned().collect::<Vec<_>>() {
+            let orders = self.voters.get_mut(&name).unwrap().asked(self.now, "b1", ask.clone());
+            self.take(&name, orders);
+        }
+        self.run(0.5);
+    }
+}
+
+#[test]
+fn a_few_voters_send_and_write_what_they_always_did() {
+    let mut few = Few {
+        voters: BTreeMap::new(),
+        records: BTreeMap::new(),
+        now: 0.0,
+        flying: VecDeque::new(),
+        all: blake3::Hasher::new(),
+        kinds: BTreeMap::new(),
+        told: Vec::new(),
+    };
+    (1..=3).for_each(|n| few.start(terms(&format!("n{n}"), 3), n));
+    few.run(3.0);
+    few.propose(Entry::Propose(Box::new(version(1, Some(map(1, false))))));
+    few.run(3.0);
+    few.ask();
+    // One starts again, one comes back with an empty folder, one takes the place of another.
+    let other = |few: &Few| few.voters.keys().find(|name| **name != few.leader()).cloned().unwrap();
+    let again = other(&few);
+    few.voters.remove(&again);
+    few.run(1.0);
+    few.start(terms(&again, 3), 11);
+    few.run(3.0);
+    let lost = other(&few);
+    few.voters.remove(&lost);
+    few.records.remove(&lost);
+    few.run(1.0);
+    few.start(terms(&lost, 3), 12);
+    few.run(3.0);
+    few.start(Terms { voters: ["n1", "n2", "n3", "n4"].map(text).into(), ..terms("n4", 3) }, 13);
+    let goes = other(&few);
+    let stays = |n: &String| *n != goes;
+    let voters = ["n1", "n2", "n3", "n4"].map(text).into_iter().filter(stays);
+    let voters: Vec<Named> = voters.map(|name| named(&name, None)).collect();
+    let (who, why) = (text("ann"), text("a test"));
+    few.propose(Entry::Vote(Box::new(Voting { number: 1, voters, who, why, at: 0.0 })));
+    few.run(4.0);
+    few.ask();
+    // All but one are lost for good, and the fleet is brought back from that one's folder.
+    let stays = few.leader();
+    let state = few.voters[&stays].state();
+    let names = state.voters.list.iter().map(|voter| voter.name.clone());
+    let lost: Vec<String> = names.filter(|name| *name != stays).collect();
+    let highest = state.highest;
+    few.voters.clear();
+    few.flying.clear();
+    let mut saved = Saved::new();
+    few.records[&stays].iter().for_each(|record| saved.take(record).unwrap());
+    let own = Terms { voters: ["n1", "n2", "n3", "n4"].map(text).into(), ..terms(&stays, 3) };
+    let (folder, last) = Voter::open(own.clone(), saved.clone(), few.now, 21).unwrap().held();
+    let word = Recovery { folder, last, lost, highest, word: text(WORD) };
+    let voter = Voter::recover(own, saved, &word, few.now, 22).unwrap();
+    few.records.get_mut(&stays).unwrap().push(voter.whole().bytes());
+    few.voters.insert(stays.clone(), voter);
+    few.run(6.0);
+    assert_eq!((few.voters[&stays].state().epoch, few.voters[&stays].state().quiet), (2, false));
+
+    golden("few.all", few.all.finalize().to_hex().as_bytes());
+    let mut seen = Vec::new();
+    for (kind, messages) in &few.kinds {
+        golden(&format!("message-{}", kind.replace(' ', "-")), &framed(messages));
+        seen.push(kind.as_str());
+    }
+    let wanted = ["Ask", "Heard", "Hello", "Raft MsgAppend", "Raft MsgHeartbeat", "Raft MsgSnapshot", "Told"];
+    assert!(wanted.iter().all(|kind| seen.contains(kind)), "{seen:?}");
+    assert!(few.told.iter().any(|told| matches!(told.answer, Answer::Granted(_))));
+    let mut kinds = BTreeMap::new();
+    for (name, records) in &few.records {
+        let name = format!("few-{name}.journal");
+        kinds.extend(check_records(&name, &golden(&name, &framed(records))));
+    }
+    assert!(["Seat", "Voted", "Calm"].iter().all(|kind| kinds.contains_key(*kind)), "{kinds:?}");
+}
