--- a/crates/dunepond-agree/src/lib.rs
+++ b/crates/dunepond-agree/src/lib.rs
@@ -36,21 +36,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
     /// Least shares for any and for a whole answer: the greater is the stricter.
+    #[serde(rename = "least")]
     pub least: Vec<f64>,
+    #[serde(rename = "whole_at")]
     pub whole_at: Vec<f64>,
     /// Further dispatches: share and free ones in a window; the smaller is the stricter.
+    #[serde(rename = "budget_share")]
     pub budget_share: f64,
+    #[serde(rename = "budget_free")]
     pub budget_free: f64,
     /// Seconds after which nothing new may go to a draining or gone node; the smaller.
+    #[serde(rename = "drain_grace")]
     pub drain_grace: f64,
+    #[serde(rename = "cold_multiple")]
     pub cold_multiple: f64,
     /// Dispatches of a part at most; the smaller.
+    #[serde(rename = "dispatch_cap")]
     pub dispatch_cap: usize,
     /// Only if both.
+    #[serde(rename = "second_copies")]
     pub second_copies: bool,
     /// Keyed parts may be repeated inside their window; only if both.
+    #[serde(rename = "repeats")]
     pub repeats: bool,
     /// Seconds that a throttling reply may name at most.
+    #[serde(rename = "longest_wait")]
     pub longest_wait: f64,
 }
 
@@ -58,6 +68,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Standings {
     pub draining: Vec<String>,
+    #[serde(rename = "gone")]
     pub gone: Vec<String>,
 }
 
@@ -69,16 +80,22 @@
     pub number: u64,
     /// The version in force that it was made from (0: none); left out, whatever is in force.
     #[serde(default)]
+    #[serde(rename = "follows")]
     pub follows: Option<u64>,
     /// Share of the brokers that act on it first, the others stay joint until it is confirmed or withdrawn.
     #[serde(default)]
+    #[serde(rename = "stage")]
     pub stage: Option<f64>,
     pub rules: Rules,
+    #[serde(rename = "standings")]
     pub standings: Standings,
     pub map: Option<Map>,
     /// Who proposed it and why; when, in Unix seconds, for people only.
+    #[serde(rename = "who")]
     pub who: String,
+    #[serde(rename = "why")]
     pub why: String,
+    #[serde(rename = "at")]
     pub at: f64,
     /// What this program does not know, or knows and format 1 did not.
     #[serde(skip)]
@@ -93,18 +110,24 @@
     /// Opens the joint step from the version in force to this one.
     Propose(Box<Version>),
     /// A holder that the proposed map needs is filled.
+    #[serde(rename = "Filled")]
     Filled { number: u64, segment: u64, holder: String },
     /// The proposed version alone is in force.
+    #[serde(rename = "Confirm")]
     Confirm { number: u64 },
     /// The proposed version is given up; the one before is in force alone.
     Withdraw { number: u64, why: String },
     /// Of debts between partners: shares, settlements, fills that begin.
+    #[serde(rename = "Debt")]
     Debt(Agreed),
     /// Parts of bounds that hold for the whole fleet.
+    #[serde(rename = "Limit")]
     Limit(dunepond_limits::Agreed),
     /// Of a plan of moves; its steps are versions.
+    #[serde(rename = "Move")]
     Move(dunepond_move::Agreed),
     /// Who votes from now on.
+    #[serde(rename = "Vote")]
     Vote(Box<Voting>),
 }
 
--- a/crates/dunepond-agree/src/messages.rs
+++ b/crates/dunepond-agree/src/messages.rs
@@ -14,20 +14,27 @@
     pub id: u64,
     pub broker: String,
     /// Asker's clock; echoed, and not trusted when it comes back.
+    #[serde(rename = "sent")]
     pub sent: f64,
     /// Number and digest of the versions whose documents it has.
+    #[serde(rename = "knows")]
     pub knows: Vec<(u64, String)>,
     /// It acts on the joint step towards this version.
+    #[serde(rename = "joint")]
     pub joint: Option<u64>,
     /// One number a run of the process.
     pub incarnation: u64,
     /// How many entries about debts it has.
+    #[serde(rename = "debts")]
     pub debts: u64,
     /// What it needs of bounds that the fleet shares, and which parts it acts on; nothing where its file shares none.
+    #[serde(rename = "limits")]
     pub limits: Option<dunepond_limits::Report>,
     /// A voter that was asked passes it on to the leader once.
+    #[serde(rename = "passed")]
     pub passed: bool,
     /// Its nodes are pressed: plans of moves pause where many say so.
+    #[serde(rename = "pressed")]
     pub pressed: bool,
 }
 
@@ -37,6 +44,7 @@
     pub id: u64,
     pub incarnation: u64,
     /// Echoed.
+    #[serde(rename = "sent")]
     pub sent: f64,
     pub answer: Answer,
 }
@@ -46,6 +54,7 @@
     /// A lease on what was agreed after the question came.
     Granted(Box<Now>),
     /// The one asked votes no more, by what is agreed on; whom else to ask, as far as it has heard.
+    #[serde(rename = "NoVoter")]
     NoVoter(Vec<Named>),
     /// The one asked knows no leader, or lost its place while the question waited.
     NoLeader,
@@ -55,36 +64,49 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Now {
     /// Seconds from the sending of the question, on the asker's clock.
+    #[serde(rename = "lease")]
     pub lease: f64,
     /// Parts of the answer, later than format 1, without which it must not be acted on.
     #[serde(default)]
+    #[serde(rename = "must")]
     pub must: Vec<String>,
     #[serde(default)]
+    #[serde(rename = "fleet")]
     pub fleet: u64,
     #[serde(default)]
     pub epoch: u64,
     /// Place in the agreed log.
     pub index: u64,
     /// Number and digest.
+    #[serde(rename = "in_force")]
     pub in_force: Option<(u64, String)>,
+    #[serde(rename = "open")]
     pub open: Option<Open>,
+    #[serde(rename = "highest")]
     pub highest: u64,
     /// By the agreed terms, maps may come.
+    #[serde(rename = "maps")]
     pub maps: bool,
     /// Who votes, by which word of the operator's.
     pub voters: Vec<Named>,
+    #[serde(rename = "voting")]
     pub voting: u64,
     /// Of those above, what the asker said that it lacks.
     pub documents: Vec<Arc<Version>>,
     /// Fills that count for the map in force: segment, node.
+    #[serde(rename = "done")]
     pub done: Vec<(u64, String)>,
     /// Of debts what the asker lacks, some at a time.
+    #[serde(rename = "debts")]
     pub debts: DebtsTold,
     /// Its part of bounds that the fleet shares.
+    #[serde(rename = "limits")]
     pub limits: Option<dunepond_limits::Told>,
     /// Whose answer: name, run, and its clock as the question came.
     pub leader: String,
+    #[serde(rename = "run")]
     pub run: u64,
+    #[serde(rename = "heard")]
     pub heard: f64,
 }
 
@@ -104,6 +126,7 @@
     /// This share of the brokers acts on the new version alone, the others are joint.
     Staged(f64),
     /// Taken back: all are joint again, and wait until nobody acts on the new one alone.
+    #[serde(rename = "Returning")]
     Returning,
 }
 
--- a/crates/dunepond-agree/src/state/mod.rs
+++ b/crates/dunepond-agree/src/state/mod.rs
@@ -53,8 +53,11 @@
 /// A voter's folder as its peers saw it last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seat {
+    #[serde(rename = "folder")]
     pub folder: u64,
+    #[serde(rename = "starts")]
     pub starts: u64,
+    #[serde(rename = "run")]
     pub run: u64,
 }
 
@@ -93,30 +96,40 @@
 pub struct State {
     /// Drawn as the fleet was founded (0: before fleets had one), and how often it was brought back without a majority.
     #[serde(default)]
+    #[serde(rename = "fleet")]
     pub fleet: u64,
     #[serde(default)]
     pub epoch: u64,
     /// Leases of before it was brought back may run.
     #[serde(default)]
+    #[serde(rename = "quiet")]
     pub quiet: bool,
     /// Place in the log up to which all is applied.
     pub index: u64,
     /// By which all voters judge, whatever their files say.
+    #[serde(rename = "terms")]
     pub terms: Terms,
     /// Seconds; of all leases that were ever allowed. The wait counts by it.
+    #[serde(rename = "longest_lease")]
     pub longest_lease: f64,
     /// With its digest.
+    #[serde(rename = "in_force")]
     pub in_force: Option<(Arc<Version>, String)>,
     /// Fills (segment, node) that count for the map in force.
+    #[serde(rename = "done")]
     pub done: BTreeSet<(u64, String)>,
     pub open: Option<Opened>,
     /// Highest number that was ever proposed.
+    #[serde(rename = "highest")]
     pub highest: u64,
     pub history: VecDeque<Past>,
+    #[serde(rename = "debts")]
     pub debts: Debts,
     pub voters: Voters,
+    #[serde(rename = "seats")]
     pub seats: BTreeMap<String, Seat>,
     /// Each broker's part of what holds for the whole fleet.
+    #[serde(rename = "limits")]
     pub limits: dunepond_limits::Ledger,
     moves: dunepond_move::Book,
     /// Names of parts that a voter has to know, or take no part; none as yet.
--- a/crates/dunepond-agree/src/state/versions.rs
+++ b/crates/dunepond-agree/src/state/versions.rs
@@ -19,15 +19,19 @@
     pub digest: String,
     pub step: Step,
     /// Fills without which it cannot come into force: segment and holder; and those that are done.
+    #[serde(rename = "needs")]
     pub needs: BTreeSet<(u64, String)>,
+    #[serde(rename = "filled")]
     pub filled: BTreeSet<(u64, String)>,
     /// Why it is taken back.
+    #[serde(rename = "why")]
     pub why: Option<String>,
 }
 
 /// How a change ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Ended {
+    #[serde(rename = "InForce")]
     InForce,
     Withdrawn(String),
 }
@@ -36,10 +40,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Past {
     pub number: u64,
+    #[serde(rename = "who")]
     pub who: String,
+    #[serde(rename = "why")]
     pub why: String,
     /// Unix seconds, as the proposer said.
+    #[serde(rename = "at")]
     pub at: f64,
+    #[serde(rename = "ended")]
     pub ended: Ended,
 }
 
--- a/crates/dunepond-agree/src/state/voters.rs
+++ b/crates/dunepond-agree/src/state/voters.rs
@@ -11,6 +11,7 @@
     pub name: String,
     /// Where the others reach it, as the operator's word says; `None`: as the files do.
     #[serde(default)]
+    #[serde(rename = "at")]
     pub at: Option<String>,
 }
 
@@ -21,8 +22,11 @@
     pub number: u64,
     pub voters: Vec<Named>,
     /// For people; Unix seconds.
+    #[serde(rename = "who")]
     pub who: String,
+    #[serde(rename = "why")]
     pub why: String,
+    #[serde(rename = "at")]
     pub at: f64,
 }
 
@@ -31,7 +35,9 @@
 pub struct Voters {
     /// Of the last word that was agreed on; 0: as founded.
     pub number: u64,
+    #[serde(rename = "list")]
     pub list: Vec<Named>,
+    #[serde(rename = "next")]
     pub next: Option<Voting>,
     /// Who left last, with its folder: it may be needed until the library's change is over.
     pub(crate) left: Option<(String, u64)>,
--- a/crates/dunepond-agree/src/terms.rs
+++ b/crates/dunepond-agree/src/terms.rs
@@ -18,20 +18,28 @@
     /// Names of the brokers that vote, the same list in each file; the first founds the fleet.
     pub voters: Vec<String>,
     /// Seconds that an answer allows to act, counted from the question.
+    #[serde(rename = "lease")]
     pub lease: f64,
     /// How far any broker's steady clock may run off, as a share: 0.01 is 1%.
+    #[serde(rename = "drift")]
     pub drift: f64,
     /// T, seconds: once a change is agreed on, nobody acts on the version before alone any more after this long.
+    #[serde(rename = "bound")]
     pub bound: f64,
     /// Seconds that the longest query may take.
+    #[serde(rename = "longest_timeout")]
     pub longest_timeout: f64,
     /// Seconds after which a change whose fills are not done is withdrawn.
+    #[serde(rename = "fills_deadline")]
     pub fills_deadline: f64,
     /// Share of the segments that one change may touch.
+    #[serde(rename = "most_changed")]
     pub most_changed: f64,
     /// Versions may bring a map. Then non-replayable parts are refused while cut off, even if no map is known yet:
     /// the first one may have come meanwhile.
+    #[serde(rename = "maps")]
     pub maps: bool,
+    #[serde(rename = "map")]
     pub map: dunepond_map::Terms,
 }
 
--- a/crates/dunepond-agree/src/voter/back.rs
+++ b/crates/dunepond-agree/src/voter/back.rs
@@ -21,12 +21,17 @@
 #[serde(deny_unknown_fields)]
 pub struct Recovery {
     /// As the log of the voter's start says.
+    #[serde(rename = "folder")]
     pub folder: u64,
+    #[serde(rename = "last")]
     pub last: u64,
     /// The voters that are given up.
+    #[serde(rename = "lost")]
     pub lost: Vec<String>,
     /// The highest number of a version that any broker's log names.
+    #[serde(rename = "highest")]
     pub highest: u64,
+    #[serde(rename = "word")]
     pub word: String,
 }
 
--- a/crates/dunepond-limits/src/ledger.rs
+++ b/crates/dunepond-limits/src/ledger.rs
@@ -11,16 +11,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Held {
     /// What it is told.
+    #[serde(rename = "now")]
     pub now: u32,
     /// What it may still act on: at least `now`.
+    #[serde(rename = "counted")]
     pub counted: u32,
 }
 
 /// A broker that may have a part.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Seat {
+    #[serde(rename = "held")]
     pub held: BTreeMap<String, Held>,
     /// Generation of the last entry by which one of its parts went down.
+    #[serde(rename = "shrunk")]
     pub shrunk: u64,
 }
 
@@ -46,9 +50,11 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ledger {
+    #[serde(rename = "bounds")]
     pub bounds: Option<Bounds>,
     /// One more with each entry that changed something.
     pub generation: u64,
+    #[serde(rename = "seats")]
     pub seats: BTreeMap<String, Seat>,
 }
 
--- a/crates/dunepond-limits/src/lib.rs
+++ b/crates/dunepond-limits/src/lib.rs
@@ -39,10 +39,13 @@
     /// Names, each once.
     pub names: Vec<String>,
     /// Brokers that may exist at once.
+    #[serde(rename = "brokers")]
     pub brokers: u32,
     /// Units that each of them has without any lease.
+    #[serde(rename = "floor")]
     pub floor: u32,
     /// Milliseconds: the longest span over which one of these bounds is counted.
+    #[serde(rename = "window")]
     pub window: u64,
 }
 
@@ -88,20 +91,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Agreed {
     /// What is shared from now on; only while nothing is leased, nor counted as if it were.
+    #[serde(rename = "Bounds")]
     Bounds(Bounds),
     /// A broker is one of those that may have a part.
+    #[serde(rename = "Seat")]
     Seat { broker: String },
     /// It is so no more; only while nothing is leased to it.
+    #[serde(rename = "Free")]
     Free { broker: String },
     /// Units beyond the floor that brokers have from now on; what is not named stays.
+    #[serde(rename = "Parts")]
     Parts { parts: Vec<Part> },
     /// The leader's word, by its clock: the broker has stopped acting on what it had before this generation.
+    #[serde(rename = "Settled")]
     Settled { broker: String, generation: u64 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Part {
     pub broker: String,
+    #[serde(rename = "bound")]
     pub bound: String,
     pub units: u32,
 }
@@ -112,12 +121,16 @@
     /// Of the ledger; it only grows.
     pub generation: u64,
     /// The agreed floor, units.
+    #[serde(rename = "floor")]
     pub floor: u32,
     /// It is one of the brokers that may have a part, or one more may still come; if not, it has nothing, floor included.
+    #[serde(rename = "counted")]
     pub counted: bool,
     /// Generation of the last entry by which a part of its own went down.
+    #[serde(rename = "shrunk")]
     pub shrunk: u64,
     /// Units beyond the floor.
+    #[serde(rename = "parts")]
     pub parts: BTreeMap<String, u32>,
 }
 
@@ -125,9 +138,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
     /// [`Told::shrunk`] of what it acts on; 0 if it has heard of nothing in this run.
+    #[serde(rename = "shrunk")]
     pub shrunk: u64,
     /// What its own file shares.
+    #[serde(rename = "bounds")]
     pub bounds: Bounds,
     /// Units of each bound that it would use, floor included.
+    #[serde(rename = "needs")]
     pub needs: BTreeMap<String, u32>,
 }
