--- /dev/null
+++ b/crates/dunepond-fleet/src/golden.rs
@@ -0,0 +1,321 @@
+//! Stored forms of the folder, of the operator's files and of the messages that are private to this crate: what earlier
+//! builds wrote is read as it was meant, and the same values give the same bytes.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::os::unix::fs::MetadataExt;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::time::UNIX_EPOCH;
+
+use dunepond_agree::{Kept, More, Named, Recovery, Rules, Saved, Standings, Version, Voter, Voting, WORD};
+use dunepond_debts::{Agreed, Allot, Begun, Counts, Fill, Ledger, Settlement, Shares, Sides, Tally};
+use dunepond_map::{Holder, Map, Range, Segment, Terms as MapTerms};
+use dunepond_sim::fleet::terms;
+use dunepond_store::{Folder as Directory, Journal, Snapshots};
+
+use crate::back;
+use crate::folder::{Folder, Held};
+use crate::host::{Pledged, Promises};
+use crate::version::{self, Word};
+
+/// Unix milliseconds at which the stored folder was opened.
+const OPENED: u64 = 1_790_000_000_000;
+const SNAPSHOTS: [&str; 4] = ["counts", "kept", "promises", "starts"];
+const JOURNAL: &str = "voter.journal";
+
+pub(crate) fn golden_path(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden").join(name)
+}
+
+pub(crate) fn golden(name: &str) -> Vec<u8> {
+    let path = golden_path(name);
+    std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+/// `written` is what stands in the golden file `name`.
+pub(crate) fn assert_same(name: &str, written: &[u8]) {
+    assert_eq!(written, golden(name), "{name}");
+}
+
+fn snapshot(name: &str, number: u64) -> String {
+    format!("{name}-{number:020}.snapshot")
+}
+
+fn text(text: &str) -> String {
+    text.to_string()
+}
+
+fn settlement(id: &str, by: &str, bytes: u64) -> Settlement {
+    Settlement {
+        id: format!("{id}@{by}"),
+        debtor: text("north"),
+        creditor: text("south"),
+        bytes,
+        segment: 1,
+        holder: text("s-3"),
+        source: text("s-1"),
+    }
+}
+
+fn fill(id: &str, settles: Option<Settlement>) -> Fill {
+    Fill {
+        id: text(id),
+        segment: 1,
+        holder: text("s-3"),
+        source: text("s-1"),
+        from: text("north"),
+        to: text("south"),
+        bytes: 1 << 20,
+        rate: 65_536.0,
+        settles,
+    }
+}
+
+fn tally() -> Tally {
+    let mut tally = Tally::open(None, "n1", 5).unwrap();
+    tally.saw("north", "south", 700);
+    tally.saw("south", "north", 300);
+    // What was counted before the last start is one sum.
+    let mut tally = Tally::open(Some(tally), "n1", 6).unwrap();
+    tally.saw("north", "south", 50);
+    let mut others = Counts::new();
+    others.saw("n2", 1_790_000_000_000, "south", "north", 1 << 40);
+    tally.heard("n2", &others, &Sides::default()).unwrap();
+    tally
+}
+
+fn ledger() -> Ledger {
+    let mut ledger = Ledger::default();
+    let parts = vec![(text("n1"), 5000), (text("fleet"), 5000)];
+    let allot = Allot { number: 0, debtor: text("north"), creditor: text("south"), debt: 10_000, parts };
+    let begun = Begun::of(&fill("7/1/s-3", Some(settlement("7/1/s-3", "fleet", 900))), 1_790_000_000);
+    let settled = settlement("6/1/s-3", "fleet", 1000);
+    for entry in [Agreed::Allot(allot), Agreed::Settle(settled), Agreed::Begin(begun)] {
+        ledger.apply(&entry).unwrap();
+    }
+    ledger
+}
+
+fn promises() -> Promises {
+    let ledger = ledger();
+    let mut shares = Shares::new("n1").unwrap();
+    let promised = settlement("7/1/s-3+1790", "n1", 400);
+    shares.promise(&ledger, promised.clone()).unwrap();
+    let pledged = |fill, done| Pledged { fill, done };
+    let fills = BTreeMap::from([
+        (text("7/1/s-3+1790"), pledged(fill("7/1/s-3+1790", Some(promised)), false)),
+        (text("7/2/s-3+1790"), pledged(fill("7/2/s-3+1790", None), true)),
+    ]);
+    let warmed = BTreeSet::from([(2, text("s-3"), 1790), (4, text("s-2"), 12)]);
+    Promises { shares, ledger, known: 3, fills, warmed }
+}
+
+/// The records of a voter of three, with version 1 in force.
+fn records() -> Vec<Vec<u8>> {
+    let files = Directory::look(&golden_path("folder")).unwrap();
+    let recovered = Journal::read(&files, "voter", 1);
+    assert_eq!(recovered.fault, None);
+    recovered.records.into_iter().map(|record| record.bytes).collect()
+}
+
+/// What a broker of that fleet knew.
+fn kept() -> Kept {
+    let files = Directory::look(&golden_path("folder")).unwrap();
+    let newest = Snapshots::new(Arc::new(files), "kept", 1).read().unwrap().newest.unwrap();
+    Kept::of(&newest.bytes).unwrap()
+}
+
+/// The stored folder in a place of its own. A stand-in for the directory: a real one knows a copy of itself.
+fn copied() -> (tempfile::TempDir, Arc<Directory>) {
+    let folder = tempfile::tempdir().unwrap();
+    for name in SNAPSHOTS.map(|name| snapshot(name, 1)).iter().map(String::as_str).chain([JOURNAL]) {
+        std::fs::copy(golden_path("folder").join(name), folder.path().join(name)).unwrap();
+    }
+    let files = Arc::new(Directory::open(folder.path()).unwrap());
+    (folder, files)
+}
+
+fn names(folder: &Path) -> Vec<String> {
+    let entries = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().file_name());
+    let mut names: Vec<_> = entries.map(|name| name.into_string().unwrap()).collect();
+    names.sort();
+    names
+}
+
+#[test]
+fn a_folder_is_written_as_before() {
+    let directory = tempfile::tempdir().unwrap();
+    let files = Arc::new(Directory::open(directory.path()).unwrap());
+    let (mut folder, held) = Folder::open(directory.path(), Some(files), true, OPENED).unwrap();
+    assert_eq!(held.incarnation, OPENED);
+    assert!(held.kept.is_none() && held.counts.is_none() && held.promises.is_none());
+    records().iter().for_each(|record| folder.save(record).unwrap());
+    folder.keep(&kept()).unwrap();
+    folder.count(&tally()).unwrap();
+    folder.promise(&promises()).unwrap();
+
+    let mut expected: Vec<_> = SNAPSHOTS.map(|name| snapshot(name, 1)).into();
+    expected.extend([text("dunepond.lock"), text(JOURNAL)]);
+    expected.sort();
+    assert_eq!(names(directory.path()), expected);
+    for name in expected.iter().filter(|name| *name != "dunepond.lock") {
+        assert_same(&format!("folder/{name}"), &std::fs::read(directory.path().join(name)).unwrap());
+    }
+}
+
+#[test]
+fn a_stored_folder_is_read_and_continued() {
+    let (directory, files) = copied();
+    let (mut folder, held) = Folder::open(directory.path(), Some(files), true, 0).unwrap();
+    let Held { incarnation, saved, kept: was_kept, counts, promises: promised } = held;
+    // A clock that was set back does not bring an earlier start's number back.
+    assert_eq!(incarnation, OPENED + 1);
+    let (was_kept, counts, promised) = (was_kept.unwrap(), counts.unwrap(), promised.unwrap());
+    assert_eq!((&counts, &promised), (&tally(), &promises()));
+    let voter = Voter::open(terms("n1", 3), saved, 0.0, 1).unwrap();
+    let document: Recovery = serde_json::from_slice(&golden("majority-lost.json")).unwrap();
+    assert_eq!(voter.held(), (document.folder, document.last));
+
+    folder.keep(&was_kept).unwrap();
+    folder.count(&counts).unwrap();
+    folder.promise(&promised).unwrap();
+    let files: Arc<Directory> = Arc::new(Directory::look(directory.path()).unwrap());
+    for name in ["counts", "kept", "promises"] {
+        let newest = Snapshots::new(files.clone(), name, 1).read().unwrap().newest.unwrap();
+        assert_eq!((newest.number, newest.version), (2, 1), "{name}");
+        let before = Snapshots::new(Arc::new(Directory::look(&golden_path("folder")).unwrap()), name, 1);
+        assert_eq!(newest.bytes, before.read().unwrap().newest.unwrap().bytes, "{name}");
+    }
+}
+
+/// Inode and time of making, as decimal numbers: read by any later build in the same place.
+#[test]
+fn a_real_folder_marks_its_place_on_the_disk_as_before() {
+    let directory = tempfile::tempdir().unwrap();
+    let (mut folder, _) = Folder::open(directory.path(), None, true, OPENED).unwrap();
+    folder.save(&records()[0]).unwrap();
+    drop(folder);
+    let origin = directory.path().join("origin");
+    let about = std::fs::metadata(&origin).unwrap();
+    let made = about.created().unwrap().duration_since(UNIX_EPOCH).unwrap().as_nanos();
+    assert_eq!(std::fs::read_to_string(&origin).unwrap(), format!("{} {made}", about.ino()));
+    let (_, held) = Folder::open(directory.path(), None, true, OPENED).unwrap();
+    let mut expected = Saved::new();
+    expected.take(&records()[0]).unwrap();
+    assert_eq!(format!("{:?}", held.saved), format!("{expected:?}"), "the records of this very folder");
+}
+
+#[test]
+fn a_stored_word_on_a_lost_majority_is_obeyed_once() {
+    let (directory, files) = copied();
+    let (mut folder, held) = Folder::open(directory.path(), Some(files), true, OPENED).unwrap();
+    let document = golden("majority-lost.json");
+    let (file, done) =
+        (directory.path().join("majority-lost.json"), directory.path().join("majority-lost.done"));
+    std::fs::write(&file, &document).unwrap();
+    let voter = back::by_word(directory.path(), &mut folder, &terms("n1", 3), &held.saved, 0.0, 1);
+    let voter = voter.unwrap().expect("goes on by the word");
+    assert_eq!(voter.state().number(), 1);
+    assert!(!file.exists());
+    assert_eq!(std::fs::read(&done).unwrap(), document);
+
+    let read: Recovery = serde_json::from_slice(&document).unwrap();
+    assert_eq!((read.lost.len(), read.highest, read.word.as_str()), (2, 1, WORD));
+    assert_same("majority-lost.json", serde_json::to_string(&read).unwrap().as_bytes());
+}
+
+fn holder(node: &str, partner: &str, filled: bool, share: f64) -> Holder {
+    Holder { node: text(node), partner: text(partner), filled, share }
+}
+
+fn version_7() -> Version {
+    let middle = 1 << 63;
+    let segments = vec![
+        Segment {
+            id: 0,
+            keys: Range { from: 0, to: Some(middle) },
+            owner: text("s-1"),
+            holders: vec![holder("s-1", "north", true, 0.5), holder("s-2", "south", true, 0.5)],
+        },
+        Segment {
+            id: 1,
+            keys: Range { from: middle, to: None },
+            owner: text("s-2"),
+            holders: vec![
+                holder("s-1", "north", true, 1.0),
+                holder("s-2", "south", true, 0.0),
+                holder("s-3", "south", false, 0.0),
+            ],
+        },
+    ];
+    Version {
+        number: 7,
+        follows: Some(6),
+        stage: Some(0.25),
+        rules: Rules {
+            least: vec![0.5, 1.0],
+            whole_at: vec![1.0, 1.0],
+            budget_share: 0.125,
+            budget_free: 20.0,
+            drain_grace: 1.0,
+            cold_multiple: 2.0,
+            dispatch_cap: 4,
+            second_copies: true,
+            repeats: true,
+            longest_wait: 2.0,
+        },
+        standings: Standings { draining: vec![text("s-17")], gone: vec![text("s-18")] },
+        map: Some(Map { epoch: 12, hash: text("xxh3-64"), segments, digest: String::new() }.sealed()),
+        who: text("mara"),
+        why: text("s-3 takes over from s-2 next week"),
+        at: 1_790_000_000.0,
+        more: vec![More { key: text("omens"), text: text("{\"a\":1}"), must: false }],
+    }
+}
+
+fn voting() -> Voting {
+    Voting {
+        number: 1,
+        voters: vec![
+            Named { name: text("n1"), at: None },
+            Named { name: text("n4"), at: Some(text("10.1.0.4:7400")) },
+        ],
+        who: text("mara"),
+        why: text("n3 is worn out"),
+        at: 1_790_000_000.0,
+    }
+}
+
+fn read_word(name: &str) -> Word {
+    version::word(&golden_path(name), 2, &[], &MapTerms { least_holders: 2, least_zones: 1 }).unwrap()
+}
+
+/// The operator's documents mean what they meant, and go to the leader in the same bytes.
+#[test]
+fn stored_version_and_voter_files_are_read_and_proposed_as_before() {
+    let words = [("version", Word::Version(Box::new(version_7()))), ("voters", Word::Voters(voting()))];
+    for (name, word) in words {
+        assert_eq!(read_word(&format!("{name}.json")), word, "{name}");
+        let message = format!("propose-{name}.bin");
+        assert_same(&message, &postcard::to_stdvec(&word).unwrap());
+        assert_eq!(postcard::from_bytes::<Word>(&golden(&message)).unwrap(), word, "{name}");
+    }
+}
+
+/// What brokers bring to the leader, and what they tell each other of what they counted.
+#[test]
+fn messages_about_debts_are_as_before() {
+    let mut shares = promises().shares;
+    shares.release(&ledger(), "north", "south", 250).unwrap();
+    let due: Vec<Agreed> = shares.owing().collect();
+    assert_eq!(due.len(), 2);
+    assert_same("bring.bin", &postcard::to_stdvec(&due).unwrap());
+    assert_eq!(postcard::from_bytes::<Vec<Agreed>>(&golden("bring.bin")).unwrap(), due);
+
+    let word = dunepond_debts::Word::bare(tally().counts().clone());
+    assert_same("counts-word.bin", &postcard::to_stdvec(&word).unwrap());
+    assert_eq!(postcard::from_bytes::<dunepond_debts::Word>(&golden("counts-word.bin")).unwrap(), word);
+    // One of a build that tells the counts alone.
+    assert_same("counts-alone.bin", &postcard::to_stdvec(tally().counts()).unwrap());
+    assert_eq!(&postcard::from_bytes::<Counts>(&golden("counts-alone.bin")).unwrap(), tally().counts());
+}
--- a/crates/dunepond-fleet/src/host/mod.rs
+++ b/crates/dunepond-fleet/src/host/mod.rs
@@ -27,6 +27,8 @@
 use crate::record::{Act, Recorder, Word};
 use crate::why::{Offer, Why};
 pub use counts::Counting;
+#[cfg(test)]
+pub(crate) use debts::Pledged;
 pub use debts::{Debts, Promises};
 pub use fills::{BY, Done, Fills, Lane};
 pub use limits::Limiting;
--- a/crates/dunepond-fleet/src/host/moves.rs
+++ b/crates/dunepond-fleet/src/host/moves.rs
@@ -405,3 +405,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod golden;
--- /dev/null
+++ b/crates/dunepond-fleet/src/host/moves/golden.rs
@@ -0,0 +1,74 @@
+//! Stored forms: the operator's plan, and what brokers tell each other of one.
+
+use std::collections::BTreeMap;
+
+use dunepond_move::{Node, Room, Sizes};
+
+use super::*;
+use crate::golden::{assert_same, golden, golden_path};
+
+fn plan() -> Plan {
+    let text = str::to_string;
+    let room = |bytes, segments| Room { bytes, segments };
+    Plan {
+        id: text("2026-12-s3"),
+        who: text("mara"),
+        why: text("s-3 takes over from s-1"),
+        word: Word::Pause,
+        ordered: true,
+        operations: vec![
+            Operation::Split { segment: 0, at: vec![1 << 62], into: vec![10, 11] },
+            Operation::Move { segment: 11, from: text("s-1"), to: text("s-3") },
+            Operation::Merge { segments: vec![4, 5], into: 12 },
+            Operation::Own { segment: 7, to: text("s-2") },
+        ],
+        nodes: BTreeMap::from([(
+            text("s-3"),
+            Node {
+                partner: Some(text("south")),
+                cell: Some(text("left")),
+                room: room(Some(500_000_000), Some(40)),
+            },
+        )]),
+        cells: BTreeMap::from([(text("left"), room(Some(2_000_000_000), None))]),
+        partners: BTreeMap::from([(text("south"), room(None, Some(100)))]),
+        sizes: Sizes { unless: 67_108_864, segments: BTreeMap::from([(11, 33_554_432)]) },
+    }
+}
+
+#[test]
+fn a_stored_plan_file_is_read_as_before() {
+    assert_eq!(read(&golden_path("plan.json")).unwrap(), plan());
+    assert_same("plan-compact.json", serde_json::to_string(&plan()).unwrap().as_bytes());
+    assert_eq!(read(&golden_path("plan-compact.json")).unwrap(), plan());
+    for (name, word) in [("go", Word::Go), ("pause", Word::Pause), ("withdraw", Word::Withdraw)] {
+        assert_eq!(serde_json::to_value(word).unwrap(), name);
+    }
+}
+
+#[test]
+fn offers_and_their_answers_are_as_before() {
+    let offer = Offer { plan: plan(), at_once: 4, again: true };
+    assert_same("offer.bin", &postcard::to_stdvec(&offer).unwrap());
+    let read: Offer = postcard::from_bytes(&golden("offer.bin")).unwrap();
+    assert_eq!((read.plan, read.at_once, read.again), (plan(), 4, true));
+
+    let text = str::to_string;
+    let answers = [
+        Answer::Taken,
+        Answer::Known(text("ended: Done")),
+        Answer::Leads(Some(text("n2"))),
+        Answer::Leads(None),
+        Answer::Wait(text("another plan runs")),
+        Answer::Refused { why: text("no room"), help: text("give it room") },
+    ];
+    let bytes: Vec<u8> = answers.iter().flat_map(|answer| postcard::to_stdvec(answer).unwrap()).collect();
+    assert_same("offer-answers.bin", &bytes);
+    let mut rest = &golden("offer-answers.bin")[..];
+    for answer in answers {
+        let (read, behind) = postcard::take_from_bytes::<Answer>(rest).unwrap();
+        assert_eq!(format!("{read:?}"), format!("{answer:?}"));
+        rest = behind;
+    }
+    assert!(rest.is_empty());
+}
--- a/crates/dunepond-fleet/src/host/propose.rs
+++ b/crates/dunepond-fleet/src/host/propose.rs
@@ -203,3 +203,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod golden;
--- a/crates/dunepond-fleet/src/lib.rs
+++ b/crates/dunepond-fleet/src/lib.rs
@@ -8,6 +8,8 @@
 mod error;
 mod filler;
 mod folder;
+#[cfg(test)]
+mod golden;
 mod hand;
 mod host;
 mod links;
--- /dev/null
+++ b/crates/dunepond-store/tests/golden.rs
@@ -0,0 +1,175 @@
+//! Stored forms: files that earlier builds wrote are read as they were meant, and the same values give the same bytes.
+
+use std::io;
+use std::os::unix::fs::PermissionsExt;
+use std::path::{Path, PathBuf};
+use std::sync::{Arc, Mutex};
+
+use dunepond_lab::files::Mem;
+use dunepond_store::{Fault, Files, Folder, Found, Journal, Record, Recovered, Snapshot, Snapshots, Writing};
+
+const FORMAT: u32 = 7;
+const FIRST: &[u8] = b"the first one";
+const SECOND: &[u8] = &[0, 1, 2, 3, 254, 255];
+
+const SNAPSHOTS: [&str; 2] =
+    ["beliefs-00000000000000000001.snapshot", "beliefs-00000000000000000002.snapshot"];
+const JOURNAL: &str = "voter.journal";
+const JOURNAL_REWRITTEN: &str = "rewritten.journal";
+
+fn golden(name: &str) -> Vec<u8> {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden").join(name);
+    std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+/// The bytes of `name` in `files` are those of the golden file `stored`.
+fn assert_same(files: &Mem, name: &str, stored: &str) {
+    let written = files.peek(name).unwrap_or_else(|| panic!("{name} is missing: {:?}", files.names()));
+    assert_eq!(written, golden(stored), "{name}");
+}
+
+fn record(number: u64, bytes: &[u8]) -> Record {
+    Record { number, bytes: bytes.to_vec() }
+}
+
+#[test]
+fn snapshots_are_written_as_before() {
+    let files = Mem::default();
+    let mut snapshots = Snapshots::new(Arc::new(files.clone()), "beliefs", FORMAT);
+    assert_eq!(snapshots.write(FIRST).unwrap(), 1);
+    assert_eq!(snapshots.write(SECOND).unwrap(), 2);
+    assert_eq!(files.names(), SNAPSHOTS);
+    for name in SNAPSHOTS {
+        assert_same(&files, name, name);
+    }
+}
+
+#[test]
+fn stored_snapshots_are_read() {
+    let files = Mem::default();
+    SNAPSHOTS.iter().for_each(|name| files.poke(name, golden(name)));
+    let snapshots = Snapshots::new(Arc::new(files.clone()), "beliefs", FORMAT);
+    let newest = Snapshot { number: 2, version: FORMAT, bytes: SECOND.to_vec() };
+    assert_eq!(snapshots.read().unwrap(), Found { newest: Some(newest), faults: Vec::new() });
+
+    // The first stays of use when the second is damaged.
+    let mut damaged = golden(SNAPSHOTS[1]);
+    *damaged.last_mut().unwrap() ^= 1;
+    files.poke(SNAPSHOTS[1], damaged);
+    let first = Snapshot { number: 1, version: FORMAT, bytes: FIRST.to_vec() };
+    let faults = vec![(SNAPSHOTS[1].to_string(), Fault::Damaged)];
+    assert_eq!(snapshots.read().unwrap(), Found { newest: Some(first), faults });
+
+    // An earlier build leaves a later one's files alone.
+    let earlier = Snapshots::new(Arc::new(files), "beliefs", FORMAT - 1).read().unwrap();
+    assert_eq!(earlier.newest, None);
+    assert_eq!(earlier.faults[1], (SNAPSHOTS[0].to_string(), Fault::Future(FORMAT)));
+}
+
+#[test]
+fn a_journal_is_written_as_before() {
+    let files = Mem::default();
+    let (mut journal, recovered) = Journal::open(Arc::new(files.clone()), "voter", FORMAT).unwrap();
+    assert_eq!(recovered, Recovered::default());
+    assert_eq!(journal.append(FIRST).unwrap(), 1);
+    assert_eq!(journal.append(SECOND).unwrap(), 2);
+    journal.sync().unwrap();
+    assert_eq!(files.names(), [JOURNAL]);
+    assert_same(&files, JOURNAL, JOURNAL);
+
+    journal.rewrite(&[SECOND.to_vec()]).unwrap();
+    assert_eq!(journal.append(FIRST).unwrap(), 4);
+    assert_eq!(files.names(), [JOURNAL]);
+    assert_same(&files, JOURNAL, JOURNAL_REWRITTEN);
+}
+
+#[test]
+fn a_stored_journal_is_read_and_continued() {
+    let files = Mem::default();
+    files.poke(JOURNAL, golden(JOURNAL));
+    let records = vec![record(1, FIRST), record(2, SECOND)];
+    assert_eq!(Journal::read(&files, "voter", FORMAT), Recovered { records: records.clone(), fault: None });
+    let (mut journal, recovered) = Journal::open(Arc::new(files.clone()), "voter", FORMAT).unwrap();
+    assert_eq!(recovered, Recovered { records, fault: None });
+    journal.rewrite(&[SECOND.to_vec()]).unwrap();
+    journal.append(FIRST).unwrap();
+    assert_same(&files, JOURNAL, JOURNAL_REWRITTEN);
+
+    let records = vec![record(3, SECOND), record(4, FIRST)];
+    assert_eq!(Journal::read(&files, "voter", FORMAT), Recovered { records, fault: None });
+    assert_eq!(Journal::read(&files, "voter", FORMAT - 1).fault, Some(Fault::Future(FORMAT)));
+}
+
+/// A folder in memory that notes the names under which files are begun.
+#[derive(Default)]
+struct Begun {
+    files: Mem,
+    names: Mutex<Vec<String>>,
+}
+
+impl Files for Begun {
+    fn create(&self, name: &str) -> io::Result<Box<dyn Writing>> {
+        self.names.lock().unwrap().push(name.to_string());
+        self.files.create(name)
+    }
+
+    fn append(&self, name: &str) -> io::Result<Box<dyn Writing>> {
+        self.files.append(name)
+    }
+
+    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
+        self.files.read(name, most)
+    }
+
+    fn rename(&self, from: &str, to: &str) -> io::Result<()> {
+        self.files.rename(from, to)
+    }
+
+    fn remove(&self, name: &str) -> io::Result<()> {
+        self.files.remove(name)
+    }
+
+    fn sync(&self) -> io::Result<()> {
+        self.files.sync()
+    }
+
+    fn list(&self) -> io::Result<Vec<String>> {
+        self.files.list()
+    }
+}
+
+/// What a crash leaves under such a name is written over by the next build.
+#[test]
+fn unfinished_files_keep_their_names() {
+    let files = Arc::new(Begun::default());
+    Snapshots::new(files.clone(), "beliefs", FORMAT).write(FIRST).unwrap();
+    Journal::open(files.clone(), "voter", FORMAT).unwrap();
+    assert_eq!(*files.names.lock().unwrap(), ["beliefs.aside", "voter.journal-aside"]);
+}
+
+fn fresh_folder(name: &str) -> PathBuf {
+    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    let _ = std::fs::remove_dir_all(&path);
+    std::fs::create_dir_all(&path).unwrap();
+    path
+}
+
+#[test]
+fn a_real_folder_is_locked_by_the_same_file_and_holds_the_same_bytes() {
+    let path = fresh_folder("golden-folder");
+    let folder = Arc::new(Folder::open(&path).unwrap());
+    let lock = std::fs::metadata(path.join("dunepond.lock")).unwrap();
+    assert_eq!((lock.len(), lock.permissions().mode() & 0o777), (0, 0o600));
+    let another = Folder::open(&path).map(drop).unwrap_err();
+    assert_eq!(another.kind(), io::ErrorKind::WouldBlock);
+
+    Snapshots::new(folder.clone(), "beliefs", FORMAT).write(FIRST).unwrap();
+    let snapshot = path.join(SNAPSHOTS[0]);
+    assert_eq!(std::fs::read(&snapshot).unwrap(), golden(SNAPSHOTS[0]));
+    assert_eq!(std::fs::metadata(&snapshot).unwrap().permissions().mode() & 0o777, 0o600);
+    let (mut journal, _) = Journal::open(folder, "voter", FORMAT).unwrap();
+    journal.append(FIRST).unwrap();
+    journal.append(SECOND).unwrap();
+    journal.sync().unwrap();
+    assert_eq!(std::fs::read(path.join(JOURNAL)).unwrap(), golden(JOURNAL));
+}
