--- a/crates/dunepond-work/tests/scheduler.rs
+++ b/crates/dunepond-background/tests/scheduler.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use dunepond_work::*;
+use dunepond_background::*;
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/dunepond-bodies/tests/keeper.rs
+++ b/crates/dunepond-body-buffer/tests/keeper.rs
@@ -1,6 +1,6 @@
 //! The keeper by stories, and by properties over random arrivals, failures and changes of its bounds.
 
-use dunepond_bodies::*;
+use dunepond_body_buffer::*;
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/dunepond-bodies/tests/spool.rs
+++ b/crates/dunepond-body-buffer/tests/spool.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dunepond_bodies::*;
+use dunepond_body_buffer::*;
 use rstest::rstest;
 
 fn folder() -> PathBuf {
--- a/crates/dunepond/src/api.rs
+++ b/crates/dunepond-broker/src/api.rs
@@ -3,13 +3,13 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use dunepond_decide::{Deployment, Part, Repeat, ScanId};
-use dunepond_search::answer::{self, Answer, Parts};
-use dunepond_search::hits::{Expected, Merge};
-use dunepond_search::node::{Meaning, meaning};
-use dunepond_search::request::{Track, read};
-use dunepond_search::{ApiError, Call, Limits, Search, routing};
-use dunepond_settings::Bounds;
+use dunepond_config::Bounds;
+use dunepond_routing::{Deployment, Part, Repeat, ScanId};
+use dunepond_search_api::answer::{self, Answer, Parts};
+use dunepond_search_api::hits::{Expected, Merge};
+use dunepond_search_api::node::{Meaning, meaning};
+use dunepond_search_api::request::{Track, read};
+use dunepond_search_api::{ApiError, Call, Limits, Search, routing};
 
 use crate::body::Text;
 use crate::clients::Asked;
--- a/crates/dunepond/src/ask.rs
+++ b/crates/dunepond-broker/src/ask.rs
@@ -1,4 +1,4 @@
-//! `dunepond query`: asks a broker at either door and shows the answer. For people and scripts; nothing of the broker
+//! `dunepond-broker query`: asks a broker at either door and shows the answer. For people and scripts; nothing of the broker
 //! uses it.
 
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/dunepond/src/asking.rs
+++ b/crates/dunepond-broker/src/asking.rs
@@ -4,8 +4,8 @@
 use std::hash::{BuildHasher, RandomState};
 use std::rc::Rc;
 
-use dunepond_decide::{Broker, Deployment, NodeId, Repeat, Scan, ScanId};
-use dunepond_phases::{Audit, Fleet, Key, Left, Order, Phases, Seg, Terms, Verdict, Wide};
+use dunepond_prefilter::{Audit, Fleet, Key, Left, Order, Phases, Seg, Terms, Verdict, Wide};
+use dunepond_routing::{Broker, Deployment, NodeId, Repeat, Scan, ScanId};
 use tracing::{debug, info};
 
 use crate::clock::{self, Due};
@@ -127,7 +127,7 @@
         broker: &mut Broker,
         desk: &mut Desk,
         question: u64,
-        words: Result<Words, dunepond_phases::Unanswered>,
+        words: Result<Words, dunepond_prefilter::Unanswered>,
     ) {
         let fleet = Seen(broker);
         let orders = match words {
--- a/crates/dunepond/src/background.rs
+++ b/crates/dunepond-broker/src/background.rs
@@ -1,6 +1,6 @@
 //! Background work in the broker: the scheduler's orders are carried out between turns of the loop and on its pool.
 
-use dunepond_work::{Finished, Given, JobId, Outcome, Pool, Scheduler, Spec, Used};
+use dunepond_background::{Finished, Given, JobId, Outcome, Pool, Scheduler, Spec, Used};
 
 use crate::clock::{self, Alarms, Due};
 
--- a/crates/dunepond/src/bodies.rs
+++ b/crates/dunepond-broker/src/bodies.rs
@@ -3,7 +3,9 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::{Rc, Weak};
 
-use dunepond_bodies::{Arrival, BodyId, Done, Fault, Given, Job, Keeper, Kind, Place, Reason, Spool, Terms};
+use dunepond_body_buffer::{
+    Arrival, BodyId, Done, Fault, Given, Job, Keeper, Kind, Place, Reason, Spool, Terms,
+};
 use tracing::info;
 
 use crate::body::{BLOCK, Body, Dropped};
--- a/crates/dunepond/src/body.rs
+++ b/crates/dunepond-broker/src/body.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use bytes::{Bytes, BytesMut};
-use dunepond_bodies::{BodyId, Reason};
+use dunepond_body_buffer::{BodyId, Reason};
 use slab::Slab;
 
 /// Bytes that are read, written and let go of together.
--- a/crates/dunepond/src/clients/answer.rs
+++ b/crates/dunepond-broker/src/clients/answer.rs
@@ -1,6 +1,6 @@
 //! Answers to clients: written, and the connection kept or closed after them.
 
-use dunepond_decide::ScanId;
+use dunepond_routing::ScanId;
 use tracing::debug;
 
 use super::closing::Last;
--- a/crates/dunepond/src/clients/hangup.rs
+++ b/crates/dunepond-broker/src/clients/hangup.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::net::TcpStream;
 
-use dunepond_decide::ScanId;
+use dunepond_routing::ScanId;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
 use super::read::READS;
--- a/crates/dunepond/src/clients/mod.rs
+++ b/crates/dunepond-broker/src/clients/mod.rs
@@ -15,9 +15,9 @@
 use std::rc::Rc;
 
 use calloop::RegistrationToken;
-use dunepond_bodies::BodyId;
-use dunepond_decide::{Part, ScanId};
-use dunepond_settings::Bounds;
+use dunepond_body_buffer::BodyId;
+use dunepond_config::Bounds;
+use dunepond_routing::{Part, ScanId};
 use serde_json::json;
 use slab::Slab;
 
--- a/crates/dunepond/src/clients/raw.rs
+++ b/crates/dunepond-broker/src/clients/raw.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use dunepond_bodies::BodyId;
+use dunepond_body_buffer::BodyId;
 
 use super::{Asked, Clients, Phase, Raw};
 use crate::body::Body;
--- a/crates/dunepond/src/clients/route.rs
+++ b/crates/dunepond-broker/src/clients/route.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use dunepond_decide::Part;
-use dunepond_settings::Bounds;
+use dunepond_config::Bounds;
+use dunepond_routing::Part;
 use serde_json::Value;
 
 use super::{Asked, Clients};
@@ -26,7 +26,7 @@
             };
         }
         let table_type = self.table_type(head)?;
-        let body = dunepond_settings::json(message.text()).map_err(|e| refusal(400, format!("body: {e}")))?;
+        let body = dunepond_config::json(message.text()).map_err(|e| refusal(400, format!("body: {e}")))?;
         let text = body.get("body").and_then(Value::as_str);
         let text = text.ok_or_else(|| refusal(400, "body: not a text"))?;
         let buckets = body.get("buckets").and_then(Value::as_array).filter(|b| !b.is_empty());
--- a/crates/dunepond/src/clients/time.rs
+++ b/crates/dunepond-broker/src/clients/time.rs
@@ -1,6 +1,6 @@
 //! The time that each client has, and the one way its connection goes.
 
-use dunepond_decide::ScanId;
+use dunepond_routing::ScanId;
 use tracing::debug;
 
 use super::{Clients, Phase, complaint};
--- a/crates/dunepond/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use dunepond_decide::Deployment;
-use dunepond_settings::operator::Operator;
-use dunepond_settings::{Bad, Bounds, Fields, bounds, deployment};
+use dunepond_config::operator::Operator;
+use dunepond_config::{Bad, Bounds, Fields, bounds, deployment};
+use dunepond_routing::Deployment;
 use serde_json::Value;
 use tracing::level_filters::LevelFilter;
 
@@ -41,7 +41,7 @@
 /// The operator's file, whole or with all that is wrong in it, a line each.
 pub fn operator(path: &Path) -> Result<Operator, Bad> {
     let text = std::fs::read_to_string(path).map_err(|e| Bad(format!("{}: {e}", path.display())))?;
-    dunepond_settings::operator::operator(&text).map_err(|faults| {
+    dunepond_config::operator::operator(&text).map_err(|faults| {
         let lines = faults.iter().map(|fault| format!("{}:{fault}", path.display()));
         Bad(lines.collect::<Vec<_>>().join("\n"))
     })
@@ -50,7 +50,7 @@
 pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Start, Bad> {
     let path = variable("GW_CONFIG").ok_or_else(|| Bad("GW_CONFIG: not set".to_string()))?;
     let text = std::fs::read_to_string(&path).map_err(|e| Bad(format!("GW_CONFIG: {path}: {e}")))?;
-    let file = dunepond_settings::json(text.as_bytes());
+    let file = dunepond_config::json(text.as_bytes());
     let file = file.map_err(|e| Bad(format!("GW_CONFIG: {path}: {e}")))?;
     start(&file, variable)
 }
--- a/crates/dunepond/src/desk/agreed.rs
+++ b/crates/dunepond-broker/src/desk/agreed.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use dunepond_decide::{End, Host, NodeId, Scan, ScanId};
-use dunepond_fleet::Act;
+use dunepond_control_plane::Act;
+use dunepond_routing::{End, Host, NodeId, Scan, ScanId};
 use tracing::debug;
 
 use super::{Desk, may_have_run};
--- a/crates/dunepond/src/desk/host.rs
+++ b/crates/dunepond-broker/src/desk/host.rs
@@ -1,8 +1,8 @@
 //! The module's host: its orders go to the peers, and what comes back from them becomes its calls.
 
-use dunepond_decide::{End, Host, NodeId, ScanId};
-use dunepond_phases::Grounds;
-use dunepond_search::ApiError;
+use dunepond_prefilter::Grounds;
+use dunepond_routing::{End, Host, NodeId, ScanId};
+use dunepond_search_api::ApiError;
 use serde_json::json;
 use tracing::{debug, error, info};
 
--- a/crates/dunepond/src/desk/mod.rs
+++ b/crates/dunepond-broker/src/desk/mod.rs
@@ -9,10 +9,10 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-use dunepond_bodies::{BodyId, Reason};
-use dunepond_decide::{Deployment, End, HELD_UP, NodeId, Repeat, ScanId};
-use dunepond_phases::{Left, Unanswered};
-use dunepond_settings::Bounds;
+use dunepond_body_buffer::{BodyId, Reason};
+use dunepond_config::Bounds;
+use dunepond_prefilter::{Left, Unanswered};
+use dunepond_routing::{Deployment, End, HELD_UP, NodeId, Repeat, ScanId};
 
 use crate::api::{Open, Searching};
 use crate::bodies::Bodies;
--- a/crates/dunepond/src/desk/over.rs
+++ b/crates/dunepond-broker/src/desk/over.rs
@@ -1,8 +1,8 @@
 //! Scans on their way out of hand: dispatches booked, clients answered, and all let go.
 
-use dunepond_decide::{End, Ended, ScanId};
-use dunepond_search::ApiError;
-use dunepond_search::answer::Answer;
+use dunepond_routing::{End, Ended, ScanId};
+use dunepond_search_api::ApiError;
+use dunepond_search_api::answer::Answer;
 use tracing::{debug, error, warn};
 
 use super::{Desk, may_have_run};
--- a/crates/dunepond/src/desk/raw.rs
+++ b/crates/dunepond-broker/src/desk/raw.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use dunepond_bodies::{Arrival, BodyId, Reason};
-use dunepond_decide::{Scan, ScanId};
+use dunepond_body_buffer::{Arrival, BodyId, Reason};
+use dunepond_routing::{Scan, ScanId};
 
 use super::Desk;
 use crate::body::{Body, Text};
--- a/crates/dunepond/src/desk/take.rs
+++ b/crates/dunepond-broker/src/desk/take.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use dunepond_decide::{Part, Scan};
-use dunepond_search::{ApiError, Call, Search, answer};
+use dunepond_routing::{Part, Scan};
+use dunepond_search_api::{ApiError, Call, Search, answer};
 use tracing::debug;
 
 use super::{Desk, InHand};
--- a/crates/dunepond/src/ending.rs
+++ b/crates/dunepond-broker/src/ending.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 use std::io;
 
-use dunepond_decide::End;
-use dunepond_phases::Unanswered;
+use dunepond_prefilter::Unanswered;
+use dunepond_routing::End;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
--- a/crates/dunepond/src/fleet/fence.rs
+++ b/crates/dunepond-broker/src/fleet/fence.rs
@@ -2,7 +2,7 @@
 //! joint step of a version that changes the owner of the part's keys: for that long nobody may be sent what must not run
 //! twice, and what went out before has to be known to be over before the new owner gets any.
 
-use dunepond_decide::{End, Repeat};
+use dunepond_routing::{End, Repeat};
 
 /// How far the part had come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/dunepond/src/fleet/gate.rs
+++ b/crates/dunepond-broker/src/fleet/gate.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use dunepond_agree::{Acting, Owner, SLACK};
-use dunepond_decide::Repeat;
-use dunepond_fleet::{Act, Hand, Watch, Word, phase, steady};
-use dunepond_map::{Piece, Proof, Range, covers};
+use dunepond_consensus::{Acting, Owner, SLACK};
+use dunepond_control_plane::{Act, Hand, Watch, Word, phase, steady};
+use dunepond_routing::Repeat;
+use dunepond_shard_map::{Piece, Proof, Range, covers};
 
 use super::fence::{self, Fate, Side, Stage};
 
@@ -252,7 +252,7 @@
 
 #[cfg(test)]
 mod tests {
-    use dunepond_map::{Holder, Map, Segment, Terms, check};
+    use dunepond_shard_map::{Holder, Map, Segment, Terms, check};
     use rstest::rstest;
 
     use super::*;
--- a/crates/dunepond/src/fleet/limits.rs
+++ b/crates/dunepond-broker/src/fleet/limits.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use dunepond_agree::Acting;
-use dunepond_decide::{Demand, Deployment, Limits};
-use dunepond_fleet::steady;
-use dunepond_limits::{Bounds, Need, Own, WHOLE};
-use dunepond_settings::Bad;
-use dunepond_settings::operator::Shared;
+use dunepond_config::Bad;
+use dunepond_config::operator::Shared;
+use dunepond_consensus::Acting;
+use dunepond_control_plane::steady;
+use dunepond_quota::{Bounds, Need, Own, WHOLE};
+use dunepond_routing::{Demand, Deployment, Limits};
 
 use super::{Gate, WINDOW};
 
--- a/crates/dunepond/src/fleet/mod.rs
+++ b/crates/dunepond-broker/src/fleet/mod.rs
@@ -10,14 +10,14 @@
 use std::sync::Arc;
 
 use calloop::channel::{self, channel};
-use dunepond_agree::{Acting, Owner};
-use dunepond_decide::{
+use dunepond_config::Bad;
+use dunepond_config::operator::{self, Known};
+use dunepond_consensus::{Acting, Owner};
+use dunepond_control_plane::{FleetError, Started, Told, Warming, steady};
+use dunepond_routing::{
     ColdRule, Demand, Deployment, FurtherBudget, Limits, Listed, NodeId, Rules, Scan, Standing,
 };
-use dunepond_fleet::{FleetError, Started, Told, Warming, steady};
-use dunepond_map::Node;
-use dunepond_settings::Bad;
-use dunepond_settings::operator::{self, Known};
+use dunepond_shard_map::Node;
 use tracing::info;
 
 pub use gate::{Began, Gate, Late, Look, Timely, proved};
@@ -35,7 +35,7 @@
 
 pub struct Fleet {
     pub gate: Rc<Gate>,
-    fleet: Option<dunepond_fleet::Fleet>,
+    fleet: Option<dunepond_control_plane::Fleet>,
     told: operator::Fleet,
     rows: HashMap<NodeId, Row>,
     nodes: HashMap<String, NodeId>,
@@ -73,12 +73,12 @@
         name: &str,
         site: &Deployment,
         customers: &[String],
-        stand_ins: dunepond_fleet::StandIns,
+        stand_ins: dunepond_control_plane::StandIns,
         handle: &Handle,
     ) -> Result<Self, Bad> {
         let longest = site.table_types.iter().map(|t| t.timeout).fold(0.0, f64::max);
         let known = told.voters.iter().chain(&told.peers).map(|Known { name, at }| (name.clone(), *at));
-        let partner = |p: &operator::Partner| dunepond_fleet::Partner {
+        let partner = |p: &operator::Partner| dunepond_control_plane::Partner {
             name: p.name.clone(),
             brokers: p.brokers.clone(),
             metered: p.metered,
@@ -95,7 +95,7 @@
             record: told.record.clone(),
             partners: told.partners.iter().map(partner).collect(),
             links: told.links.iter().map(|l| (l.from.clone(), l.to.clone(), l.bytes)).collect(),
-            fills: told.fills.as_ref().map(|fills| dunepond_fleet::Filling {
+            fills: told.fills.as_ref().map(|fills| dunepond_control_plane::Filling {
                 at: fills.at,
                 segment: fills.segment,
                 rate: fills.rate,
@@ -104,7 +104,7 @@
             }),
             warming: Some(warming(&site.cold)),
             limits: sharing.as_ref().map(|sharing| (sharing.bounds().clone(), sharing.every())),
-            moves: told.moves.as_ref().map(|moves| dunepond_fleet::Moves {
+            moves: told.moves.as_ref().map(|moves| dunepond_control_plane::Moves {
                 plan: moves.plan.clone(),
                 at_once: moves.at_once,
                 settle: moves.settle,
@@ -124,7 +124,7 @@
         let wake = move || {
             let _ = sender.send(());
         };
-        let fleet = dunepond_fleet::start(start, stand_ins, wake);
+        let fleet = dunepond_control_plane::start(start, stand_ins, wake);
         let fleet = fleet.map_err(|e| bad(&e))?;
         let partners = told.partners.iter().enumerate();
         let zones = partners.clone().flat_map(|(at, p)| p.zones.iter().map(move |zone| (zone.clone(), at)));
@@ -344,7 +344,7 @@
 
 /// What is agreed on beside what the deployment states: the stricter of both, as the deployment's limits are not the
 /// fleet's to widen.
-fn tightened(own: &Rules, agreed: &dunepond_agree::Rules) -> Rules {
+fn tightened(own: &Rules, agreed: &dunepond_consensus::Rules) -> Rules {
     let greater = |own: &[f64], agreed: &[f64]| {
         own.iter()
             .enumerate()
@@ -391,7 +391,7 @@
             cold_multiple: 2.0,
             longest_wait: 1.0,
         };
-        let mut agreed = dunepond_agree::Rules {
+        let mut agreed = dunepond_consensus::Rules {
             least: vec![0.7, 0.2],
             whole_at: vec![0.95, 0.5],
             budget_share: 0.2,
--- a/crates/dunepond/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use dunepond_phases::{Seg, Version, Word as Match};
+use dunepond_prefilter::{Seg, Version, Word as Match};
 
 use crate::buffers::SIZE;
 
--- a/crates/dunepond/src/keeping.rs
+++ b/crates/dunepond-broker/src/keeping.rs
@@ -5,11 +5,11 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use dunepond_decide::Broker;
-use dunepond_settings::operator::State;
-use dunepond_state::{Believed, Entry, Identity, Owed, SavedBeliefs, Stamp, VERSION, Verdict, ledger};
-use dunepond_store::{Fault, Files, Folder, Journal, Snapshots};
-use dunepond_work::{Cost, JobId, Kind, Outcome, Pool, Priority, Retry, Spec};
+use dunepond_background::{Cost, JobId, Kind, Outcome, Pool, Priority, Retry, Spec};
+use dunepond_config::operator::State;
+use dunepond_recovery::{Believed, Entry, Identity, Owed, SavedBeliefs, Stamp, VERSION, Verdict, ledger};
+use dunepond_routing::Broker;
+use dunepond_storage::{Fault, Files, Folder, Journal, Snapshots};
 use tracing::{debug, info, warn};
 
 use crate::background::Background;
--- a/crates/dunepond/src/list.rs
+++ b/crates/dunepond-broker/src/list.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 use calloop::RegistrationToken;
-use dunepond_decide::{Listed, NodeId, Standing};
-use dunepond_settings::{Bad, Bounds, Fields};
+use dunepond_config::{Bad, Bounds, Fields};
+use dunepond_routing::{Listed, NodeId, Standing};
 use serde_json::Value;
 use slab::Slab;
 use tracing::{debug, info, warn};
@@ -292,7 +292,7 @@
             return Ok(None);
         }
         let keep = message.head.keep;
-        let list = dunepond_settings::json(message.text()).map_err(|e| format!("list: {e}"))?;
+        let list = dunepond_config::json(message.text()).map_err(|e| format!("list: {e}"))?;
         call.message = None;
         let (seq, news, spoilt) = self.read(&list).map_err(|Bad(why)| why)?;
         if !news.whole && self.seq.is_none_or(|before| seq < before) {
--- a/crates/dunepond/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -7,12 +7,12 @@
 
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
-use dunepond::{
+use dunepond_broker::{
     CaughtSignals, Hooks, ask, catch_signals, check_fleet, config, keeping, logger, migrate, serve,
 };
-use dunepond_settings::Bad;
-use dunepond_settings::migrate::Ask;
-use dunepond_settings::operator::Operator;
+use dunepond_config::Bad;
+use dunepond_config::migrate::Ask;
+use dunepond_config::operator::Operator;
 use tracing::{error, warn};
 
 /// A query router (broker) before a sharded, replicated store. Without a command it runs.
--- a/crates/dunepond/src/migrate.rs
+++ b/crates/dunepond-broker/src/migrate.rs
@@ -3,8 +3,8 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-use dunepond_settings::Bad;
-use dunepond_settings::migrate::{Ask, Counterpart, counterpart};
+use dunepond_config::Bad;
+use dunepond_config::migrate::{Ask, Counterpart, counterpart};
 
 use crate::config;
 
--- a/crates/dunepond/src/questions.rs
+++ b/crates/dunepond-broker/src/questions.rs
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 
 use calloop::RegistrationToken;
-use dunepond_decide::NodeId;
-use dunepond_phases::{Seg, Unanswered, Version, Word};
-use dunepond_settings::Bounds;
+use dunepond_config::Bounds;
+use dunepond_prefilter::{Seg, Unanswered, Version, Word};
+use dunepond_routing::NodeId;
 use slab::Slab;
 use tracing::{debug, warn};
 
--- a/crates/dunepond/src/reread.rs
+++ b/crates/dunepond-broker/src/reread.rs
@@ -4,8 +4,8 @@
 use std::{io, thread};
 
 use calloop::channel::Sender;
-use dunepond_settings::Bad;
-use dunepond_settings::operator::Operator;
+use dunepond_config::Bad;
+use dunepond_config::operator::Operator;
 
 use crate::config::{self, Start};
 
--- a/crates/dunepond/src/servers/agreed.rs
+++ b/crates/dunepond-broker/src/servers/agreed.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use dunepond_decide::End;
+use dunepond_routing::End;
 use tracing::debug;
 
 use super::{Link, Out, Parcel, Servers};
--- a/crates/dunepond/src/servers/connect.rs
+++ b/crates/dunepond-broker/src/servers/connect.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-use dunepond_decide::NodeId;
+use dunepond_routing::NodeId;
 use socket2::{Domain, Protocol, Socket, Type};
 use tracing::{debug, info};
 
--- a/crates/dunepond/src/servers/ends.rs
+++ b/crates/dunepond-broker/src/servers/ends.rs
@@ -2,9 +2,9 @@
 
 use std::io;
 
-use dunepond_decide::End;
-use dunepond_search::hits::Expected;
-use dunepond_search::node::{Meaning, meaning};
+use dunepond_routing::End;
+use dunepond_search_api::hits::Expected;
+use dunepond_search_api::node::{Meaning, meaning};
 use tracing::{debug, warn};
 
 use super::{Back, Server, Servers};
--- a/crates/dunepond/src/servers/frames.rs
+++ b/crates/dunepond-broker/src/servers/frames.rs
@@ -2,8 +2,8 @@
 
 use std::io;
 
-use dunepond_decide::NodeId;
-use dunepond_search::node;
+use dunepond_routing::NodeId;
+use dunepond_search_api::node;
 use tracing::debug;
 
 use super::{Link, Out, Parcel, Servers, agreed};
--- a/crates/dunepond/src/servers/listing.rs
+++ b/crates/dunepond-broker/src/servers/listing.rs
@@ -3,8 +3,8 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use dunepond_decide::{NodeId, Standing};
-use dunepond_state::Identity;
+use dunepond_recovery::Identity;
+use dunepond_routing::{NodeId, Standing};
 
 use super::{Server, Servers};
 use crate::clock::Alarms;
--- a/crates/dunepond/src/servers/mod.rs
+++ b/crates/dunepond-broker/src/servers/mod.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 
 use calloop::RegistrationToken;
-use dunepond_decide::{End, Ended, NodeId, ScanId, Standing};
-use dunepond_settings::Bounds;
+use dunepond_config::Bounds;
+use dunepond_routing::{End, Ended, NodeId, ScanId, Standing};
 use ipnet::IpNet;
 use slab::Slab;
 
--- a/crates/dunepond/src/servers/recall.rs
+++ b/crates/dunepond-broker/src/servers/recall.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use dunepond_decide::{End, NodeId, ScanId};
+use dunepond_routing::{End, NodeId, ScanId};
 
 use super::{Link, Out, Servers};
 use crate::clock::Alarms;
--- a/crates/dunepond/src/signals.rs
+++ b/crates/dunepond-broker/src/signals.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use calloop::signals::{Signal, Signals};
-use dunepond_settings::Bad;
+use dunepond_config::Bad;
 
 /// Signals that wait until the broker serves, and since when they have been caught: none that it finds came before that.
 pub struct CaughtSignals {
--- a/crates/dunepond/src/turn.rs
+++ b/crates/dunepond-broker/src/turn.rs
@@ -8,8 +8,8 @@
 use calloop::channel::{Event, Sender, channel};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-use dunepond_bodies::Done;
-use dunepond_work::Finished;
+use dunepond_background::Finished;
+use dunepond_body_buffer::Done;
 
 use crate::reread::Configuration;
 
--- a/crates/dunepond/src/world/background.rs
+++ b/crates/dunepond-broker/src/world/background.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use dunepond_work::{Cost, Finished, Kind, Outcome, Priority, Spec};
+use dunepond_background::{Cost, Finished, Kind, Outcome, Priority, Spec};
 use tracing::{debug, info};
 
 use super::World;
--- a/crates/dunepond/src/world/changing.rs
+++ b/crates/dunepond-broker/src/world/changing.rs
@@ -1,7 +1,7 @@
 //! What is told to change under way: the configuration and the operator's file, read again.
 
-use dunepond_settings::Bad;
-use dunepond_settings::operator::Operator;
+use dunepond_config::Bad;
+use dunepond_config::operator::Operator;
 use tracing::{error, info, warn};
 
 use super::World;
--- a/crates/dunepond/src/world/ending.rs
+++ b/crates/dunepond-broker/src/world/ending.rs
@@ -1,6 +1,6 @@
 //! The way from SIGTERM to the end, during which whoever still comes is served or refused.
 
-use dunepond_decide::{Shutdown, ShutdownStage};
+use dunepond_routing::{Shutdown, ShutdownStage};
 use tracing::info;
 
 use super::World;
--- a/crates/dunepond/src/world/hangup.rs
+++ b/crates/dunepond-broker/src/world/hangup.rs
@@ -1,6 +1,6 @@
 //! Clients that have gone, taken before whatever may send something on for them.
 
-use dunepond_decide::ScanId;
+use dunepond_routing::ScanId;
 
 use super::World;
 use crate::turn::{Ready, Turn};
--- a/crates/dunepond/src/world/mod.rs
+++ b/crates/dunepond-broker/src/world/mod.rs
@@ -6,9 +6,9 @@
 mod hangup;
 mod start;
 
-use dunepond_bodies::{BodyId, Done};
-use dunepond_decide::{Broker, NOTICEABLE_PAUSE, Scan, ScanId, Shutdown, ShutdownStage};
-use dunepond_settings::operator::Operator;
+use dunepond_body_buffer::{BodyId, Done};
+use dunepond_config::operator::Operator;
+use dunepond_routing::{Broker, NOTICEABLE_PAUSE, Scan, ScanId, Shutdown, ShutdownStage};
 use tracing::{info, warn};
 
 use crate::asking::Asking;
--- a/crates/dunepond/src/world/start.rs
+++ b/crates/dunepond-broker/src/world/start.rs
@@ -10,12 +10,12 @@
 
 use calloop::EventLoop;
 use calloop::signals::Signal;
-use dunepond_bodies::{Disk, Folder, Spool};
-use dunepond_decide::{Broker, LONGEST_SHUTDOWN, LOOK_EVERY, Repeat, ShutdownStage};
-use dunepond_settings::Bad;
-use dunepond_settings::operator;
-use dunepond_store::Files;
-use dunepond_work::{Pool as WorkPool, Scheduler};
+use dunepond_background::{Pool as WorkPool, Scheduler};
+use dunepond_body_buffer::{Disk, Folder, Spool};
+use dunepond_config::Bad;
+use dunepond_config::operator;
+use dunepond_routing::{Broker, LONGEST_SHUTDOWN, LOOK_EVERY, Repeat, ShutdownStage};
+use dunepond_storage::Files;
 use tracing::{info, warn};
 
 use super::World;
@@ -60,7 +60,7 @@
     /// The same for the state's.
     pub files: Option<Arc<dyn Files>>,
     /// And for the fleet's, and for its filler.
-    pub fleet: dunepond_fleet::StandIns,
+    pub fleet: dunepond_control_plane::StandIns,
 }
 
 /// The files tier's threads, and the folder that they work on.
--- a/crates/dunepond/tests/agent/mod.rs
+++ b/crates/dunepond-broker/tests/agent/mod.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-use dunepond_lab::store::{Broker, Client, Node, config, scan};
+use dunepond_testkit::store::{Broker, Client, Node, config, scan};
 use serde_json::{Value, json};
 use socket2::SockRef;
 
--- a/crates/dunepond/tests/closing.rs
+++ b/crates/dunepond-broker/tests/closing.rs
@@ -7,12 +7,12 @@
 use std::time::{Duration, Instant};
 
 use calloop::EventLoop;
-use dunepond::buffers::Pool;
-use dunepond::clients::{Came, Clients, listen};
-use dunepond::clock::{Alarms, Due};
-use dunepond::turn::{Ready, Turn};
-use dunepond_lab::store::{Client, scan, settings};
-use dunepond_settings::{Fields, bounds};
+use dunepond_broker::buffers::Pool;
+use dunepond_broker::clients::{Came, Clients, listen};
+use dunepond_broker::clock::{Alarms, Due};
+use dunepond_broker::turn::{Ready, Turn};
+use dunepond_config::{Fields, bounds};
+use dunepond_testkit::store::{Client, scan, settings};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
--- a/crates/dunepond/tests/discovery.rs
+++ b/crates/dunepond-broker/tests/discovery.rs
@@ -8,7 +8,7 @@
 use std::process::Child;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::store::{Broker, Client, List, Node, config, launch, scan};
+use dunepond_testkit::store::{Broker, Client, List, Node, config, launch, scan};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
--- a/crates/dunepond/tests/ending.rs
+++ b/crates/dunepond-broker/tests/ending.rs
@@ -3,7 +3,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::store::{Broker, Client, List, Manner, Node, scan};
+use dunepond_testkit::store::{Broker, Client, List, Manner, Node, scan};
 use rstest::rstest;
 use serde_json::json;
 
--- a/crates/dunepond/tests/fleet.rs
+++ b/crates/dunepond-broker/tests/fleet.rs
@@ -11,8 +11,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_fleet::{Act, Line, Word};
-use dunepond_lab::store::{self, Answer, Broker, Client, List, Manner, Node, scan};
+use dunepond_control_plane::{Act, Line, Word};
+use dunepond_testkit::store::{self, Answer, Broker, Client, List, Manner, Node, scan};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
@@ -81,7 +81,7 @@
         config["settings"]["services"][0]["repeatWindowMs"] = json!(5000.0);
         config["settings"]["projects"] = json!([{"name": "mill", "quotaPerS": 100.0}]);
         config["settings"]["ceilings"]["connectTimeoutMs"] = json!(2500.0);
-        let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
         command.arg("run").arg("--operator").arg(&kdl);
         Broker::started(store::launch_by(command, &config))
     }
--- a/crates/dunepond/tests/golden.rs
+++ b/crates/dunepond-broker/tests/golden.rs
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::pages::{self, Site, Speech, request};
-use dunepond_lab::store::{self, Broker, Client, List, Manner, Node, config, scan};
+use dunepond_testkit::pages::{self, Site, Speech, request};
+use dunepond_testkit::store::{self, Broker, Client, List, Manner, Node, config, scan};
 use serde_json::{Value, json};
 
 /// Longest that anything here waits for what must come.
@@ -130,7 +130,7 @@
     change(&mut config);
     let file = store::scratch("kdl");
     std::fs::write(&file, kdl).unwrap();
-    let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
     command.arg("run").arg("--operator").arg(&file);
     let broker = Broker::started(store::launch_by(command, &config));
     std::fs::remove_file(&file).unwrap();
@@ -497,7 +497,7 @@
 
 fn site(speech: &[Speech]) -> Site {
     Site::start_by(speech, "", |kdl| {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
         command.arg("run").arg("--operator").arg(kdl);
         command
     })
@@ -556,13 +556,13 @@
 }
 
 fn dunepond(args: &[&str]) -> String {
-    let out = Command::new(env!("CARGO_BIN_EXE_dunepond")).args(args).output().unwrap();
+    let out = Command::new(env!("CARGO_BIN_EXE_dunepond-broker")).args(args).output().unwrap();
     format!("succeeds: {}\n{}", out.status.success(), String::from_utf8_lossy(&out.stdout))
 }
 
 /// The errors' first word is the program's name, which is not pinned here.
 fn faults(args: &[&str]) -> String {
-    let out = Command::new(env!("CARGO_BIN_EXE_dunepond")).args(args).output().unwrap();
+    let out = Command::new(env!("CARGO_BIN_EXE_dunepond-broker")).args(args).output().unwrap();
     let text = String::from_utf8_lossy(&out.stderr).into_owned();
     let lines = text.lines().map(|line| line.split_once(": ").map_or(line, |(_, rest)| rest));
     format!("succeeds: {}\n{}", out.status.success(), lines.collect::<Vec<_>>().join("\n"))
--- a/crates/dunepond/tests/gone.rs
+++ b/crates/dunepond-broker/tests/gone.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::store::{Broker, Client, List, config, scan};
+use dunepond_testkit::store::{Broker, Client, List, config, scan};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
--- a/crates/dunepond/tests/handover.rs
+++ b/crates/dunepond-broker/tests/handover.rs
@@ -6,7 +6,7 @@
 use std::os::fd::AsRawFd;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use dunepond_lab::store::{Broker, Client, List, Node, config, scan};
+use dunepond_testkit::store::{Broker, Client, List, Node, config, scan};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::{Domain, SockRef, Socket, Type};
--- a/crates/dunepond/tests/hangup.rs
+++ b/crates/dunepond-broker/tests/hangup.rs
@@ -5,12 +5,12 @@
 use std::time::{Duration, Instant};
 
 use calloop::EventLoop;
-use dunepond::buffers::Pool;
-use dunepond::clients::{Came, Clients, listen};
-use dunepond::clock::Alarms;
-use dunepond::turn::{Ready, Turn};
-use dunepond_lab::store::{Client, scan, settings};
-use dunepond_settings::{Fields, bounds};
+use dunepond_broker::buffers::Pool;
+use dunepond_broker::clients::{Came, Clients, listen};
+use dunepond_broker::clock::Alarms;
+use dunepond_broker::turn::{Ready, Turn};
+use dunepond_config::{Fields, bounds};
+use dunepond_testkit::store::{Client, scan, settings};
 
 /// Longest that anything here waits for what must come.
 const PATIENCE: Duration = Duration::from_secs(10);
--- a/crates/dunepond/tests/held_up.rs
+++ b/crates/dunepond-broker/tests/held_up.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, Command};
 use std::time::Duration;
 
-use dunepond_lab::store::{Broker, Client, List, Node, config, launch_by, program, scan};
+use dunepond_testkit::store::{Broker, Client, List, Node, config, launch_by, program, scan};
 
 /// A request's time, and how long its answer is awaited.
 const BUDGET: &str = "1.0";
--- a/crates/dunepond/tests/kill.rs
+++ b/crates/dunepond-broker/tests/kill.rs
@@ -20,7 +20,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::store::{Broker, Client, Manner, Node, scan, set_timeouts};
+use dunepond_testkit::store::{Broker, Client, Manner, Node, scan, set_timeouts};
 use rstest::rstest;
 use serde_json::json;
 
--- a/crates/dunepond/tests/list.rs
+++ b/crates/dunepond-broker/tests/list.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use dunepond_lab::store::{Broker, Client, config, scan};
+use dunepond_testkit::store::{Broker, Client, config, scan};
 use rstest::rstest;
 use serde_json::json;
 
--- a/crates/dunepond/tests/migrate.rs
+++ b/crates/dunepond-broker/tests/migrate.rs
@@ -1,17 +1,17 @@
-//! `dunepond migrate`: a file of the old shape, its counterpart, and a broker that serves by it.
+//! `dunepond-broker migrate`: a file of the old shape, its counterpart, and a broker that serves by it.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::store::{self, Broker, Client, List, Node, scan};
+use dunepond_testkit::store::{self, Broker, Client, List, Node, scan};
 use rstest::rstest;
 use serde_json::{Value, json};
 
 /// What it printed, and what it complained of.
 fn migrate(args: &[&str]) -> (bool, String, String) {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
     let out = command.arg("migrate").args(args).output().unwrap();
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (out.status.success(), text(&out.stdout), text(&out.stderr))
--- a/crates/dunepond/tests/query.rs
+++ b/crates/dunepond-broker/tests/query.rs
@@ -1,19 +1,19 @@
-//! `dunepond query` at both doors of a running broker.
+//! `dunepond-broker query` at both doors of a running broker.
 
 use std::process::Command;
 
-use dunepond_lab::pages::{Manner, Site, Speech, best};
+use dunepond_testkit::pages::{Manner, Site, Speech, best};
 
 fn site() -> Site {
     Site::start_by(&[Speech::Frames, Speech::Api], "", |kdl| {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
         command.arg("run").arg("--operator").arg(kdl);
         command
     })
 }
 
 fn query(args: &[&str]) -> (bool, String) {
-    let out = Command::new(env!("CARGO_BIN_EXE_dunepond")).arg("query").args(args).output().unwrap();
+    let out = Command::new(env!("CARGO_BIN_EXE_dunepond-broker")).arg("query").args(args).output().unwrap();
     (out.status.success(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
 }
 
@@ -36,7 +36,7 @@
 #[test]
 fn a_file_of_searches_is_answered_each_for_itself() {
     let site = site();
-    let file = dunepond_lab::store::scratch("ndjson");
+    let file = dunepond_testkit::store::scratch("ndjson");
     let searches = "{}\n{\"size\":1}\n{\"index\":\"none\"}\n{}\n".repeat(15);
     std::fs::write(&file, searches).unwrap();
     let (good, shown) = query(&["--at", &site.api.to_string(), "all", "--msearch", file.to_str().unwrap()]);
--- a/crates/dunepond/tests/shutdown.rs
+++ b/crates/dunepond-broker/tests/shutdown.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::store::{
+use dunepond_testkit::store::{
     Broker, Client, List, Manner, Node, config, launch_by, program, scan, scratch, set_timeouts,
 };
 use rstest::rstest;
@@ -17,7 +17,7 @@
 const READY: &str = "GET /ready HTTP/1.1\r\n\r\n";
 
 /// Asks on new connections until an answer is as wanted: a step of the way to the end has been reached.
-fn until(broker: &Broker, what: &str, wanted: impl Fn(&dunepond_lab::store::Answer) -> bool) {
+fn until(broker: &Broker, what: &str, wanted: impl Fn(&dunepond_testkit::store::Answer) -> bool) {
     let start = Instant::now();
     while !wanted(&Client::to(broker).ask(READY)) {
         assert!(start.elapsed() < Duration::from_secs(5), "never {what}");
--- a/crates/dunepond/tests/state.rs
+++ b/crates/dunepond-broker/tests/state.rs
@@ -1,14 +1,14 @@
-//! `dunepond state`: a folder is looked at without a broker, beside one, and after one.
+//! `dunepond-broker state`: a folder is looked at without a broker, beside one, and after one.
 
 use std::path::Path;
 use std::process::Command;
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::store::{self, Broker, Client, List, Node, scan};
+use dunepond_testkit::store::{self, Broker, Client, List, Node, scan};
 
 fn dunepond(args: &[&str]) -> (bool, String) {
-    let out = Command::new(env!("CARGO_BIN_EXE_dunepond")).args(args).output().unwrap();
+    let out = Command::new(env!("CARGO_BIN_EXE_dunepond-broker")).args(args).output().unwrap();
     (out.status.success(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
 }
 
@@ -18,7 +18,7 @@
     std::fs::write(&kdl, format!("state folder={folder:?} every=0.1")).unwrap();
     let lines: Vec<_> = nodes.iter().map(|node| node.line("ready")).collect();
     let list = List::start(lines.clone());
-    let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
     command.arg("run").arg("--operator").arg(&kdl);
     let broker = Broker::started(store::launch_by(command, &store::config(list.address, lines)));
     let mut client = Client::to(&broker);
--- a/crates/dunepond/tests/stories.rs
+++ b/crates/dunepond-broker/tests/stories.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use dunepond_lab::store::{Broker, Client, List, Manner, Node, config, launch, scan};
+use dunepond_testkit::store::{Broker, Client, List, Manner, Node, config, launch, scan};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
@@ -743,7 +743,7 @@
 
 /// A newcomer's first look at the program, and an operator's at a file.
 #[rstest]
-#[case::help(&["--help"], 0, "dunepond [COMMAND]", "GW_CONFIG")]
+#[case::help(&["--help"], 0, "dunepond-broker [COMMAND]", "GW_CONFIG")]
 #[case::unknown(&["fly"], 2, "", "unrecognized subcommand 'fly'")]
 #[case::no_configuration(&[], 1, "", "GW_CONFIG: not set")]
 #[case::no_file(&["check", "/nowhere/at/all.kdl"], 1, "", "/nowhere/at/all.kdl")]
@@ -755,7 +755,7 @@
     #[case] out: &str,
     #[case] either: &str,
 ) {
-    let output = std::process::Command::new(env!("CARGO_BIN_EXE_dunepond"))
+    let output = std::process::Command::new(env!("CARGO_BIN_EXE_dunepond-broker"))
         .args(arguments)
         .env_clear()
         .output()
@@ -776,8 +776,11 @@
 ) {
     let file = std::env::temp_dir().join(format!("dunepond-check-{}-{code}.kdl", std::process::id()));
     std::fs::write(&file, text).unwrap();
-    let output =
-        std::process::Command::new(env!("CARGO_BIN_EXE_dunepond")).arg("check").arg(&file).output().unwrap();
+    let output = std::process::Command::new(env!("CARGO_BIN_EXE_dunepond-broker"))
+        .arg("check")
+        .arg(&file)
+        .output()
+        .unwrap();
     let _ = std::fs::remove_file(&file);
     let all = [output.stdout, output.stderr].concat();
     let all = String::from_utf8_lossy(&all);
--- a/crates/dunepond/tests/streams.rs
+++ b/crates/dunepond-broker/tests/streams.rs
@@ -1,6 +1,6 @@
 //! What a connection to a node carries at once: parts, however many of them make a call.
 
-use dunepond_lab::store::{Broker, Client, Manner, Node, config, scan};
+use dunepond_testkit::store::{Broker, Client, Manner, Node, config, scan};
 use rstest::rstest;
 use serde_json::json;
 
@@ -17,7 +17,7 @@
 ) {
     let node = Node::start("n0");
     node.behave(Manner::Hang);
-    let list = dunepond_lab::store::List::start(vec![node.line("ready")]);
+    let list = dunepond_testkit::store::List::start(vec![node.line("ready")]);
     let mut told = config(list.address, vec![node.line("ready")]);
     *told.pointer_mut("/settings/ceilings/streamsPerConn").unwrap() = json!(streams);
     *told.pointer_mut("/settings/familyInfo/partsACall").unwrap() = json!(a_call);
--- a/crates/dunepond/tests/time_left.rs
+++ b/crates/dunepond-broker/tests/time_left.rs
@@ -6,7 +6,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::store::{Broker, Client, List, Manner, Node, config, scan, set_timeouts};
+use dunepond_testkit::store::{Broker, Client, List, Manner, Node, config, scan, set_timeouts};
 use rstest::rstest;
 
 /// By the page of the standing test the time that an attempt tells its node may be so much more than its client has left.
--- a/crates/dunepond-settings/src/lib.rs
+++ b/crates/dunepond-config/src/lib.rs
@@ -7,7 +7,7 @@
 
 pub use strict::json;
 
-use dunepond_decide::{ColdRule, Deployment, FurtherBudget, Repeat, TableType};
+use dunepond_routing::{ColdRule, Deployment, FurtherBudget, Repeat, TableType};
 use serde_json::Value;
 
 /// Why something cannot be taken, in one line.
--- a/crates/dunepond-settings/src/operator/bodies.rs
+++ b/crates/dunepond-config/src/operator/bodies.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use dunepond_bodies::{FileTerms, KEPT, Terms};
+use dunepond_body_buffer::{FileTerms, KEPT, Terms};
 use kdl::{KdlDocument, KdlNode};
 
 use super::MIB;
--- a/crates/dunepond-settings/src/operator/doors.rs
+++ b/crates/dunepond-config/src/operator/doors.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use dunepond_phases as phases;
-use dunepond_search::Limits;
+use dunepond_prefilter as phases;
+use dunepond_search_api::Limits;
 use kdl::{KdlEntry, KdlNode};
 
 use super::reader::Reader;
--- a/crates/dunepond-settings/src/operator/fleet.rs
+++ b/crates/dunepond-config/src/operator/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use dunepond_agree::{Terms, TermsError};
+use dunepond_consensus::{Terms, TermsError};
 use kdl::{KdlDocument, KdlEntry, KdlNode};
 
 use super::MIB;
@@ -124,7 +124,7 @@
             fills_deadline: self.fills.as_ref().map_or(FILLS_DEADLINE, |fills| fills.deadline),
             most_changed: map.most_changed,
             maps: self.map.is_some(),
-            map: dunepond_map::Terms { least_holders: map.least_holders, least_zones: map.least_zones },
+            map: dunepond_shard_map::Terms { least_holders: map.least_holders, least_zones: map.least_zones },
         }
     }
 }
--- a/crates/dunepond-settings/src/operator/mod.rs
+++ b/crates/dunepond-config/src/operator/mod.rs
@@ -9,8 +9,8 @@
 
 use std::fmt;
 
-use dunepond_phases as phases;
-use dunepond_work::Budget;
+use dunepond_background::Budget;
+use dunepond_prefilter as phases;
 use ipnet::IpNet;
 use kdl::KdlDocument;
 
--- a/crates/dunepond-settings/src/operator/tests.rs
+++ b/crates/dunepond-config/src/operator/tests.rs
@@ -1,6 +1,6 @@
 use rstest::rstest;
 
-use dunepond_search::Limits;
+use dunepond_search_api::Limits;
 
 use super::*;
 
--- a/crates/dunepond-agree/src/acting.rs
+++ b/crates/dunepond-consensus/src/acting.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::{Phase, Rules, Version, stricter};
-use dunepond_map::{Move, Proof, Step};
+use dunepond_shard_map::{Move, Proof, Step};
 
 /// Who may be sent a segment's non-replayable parts. Nothing is copied: it is asked for each part.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits<'a> {
     /// As it was last heard in this run.
-    pub told: Option<&'a dunepond_limits::Told>,
+    pub told: Option<&'a dunepond_quota::Told>,
     /// Under a lease that is good at that moment; without, only the floor is left.
     pub live: bool,
 }
@@ -55,7 +55,7 @@
     pub maps: bool,
     /// It had a lease in this run.
     pub leased: bool,
-    pub limits: Option<dunepond_limits::Told>,
+    pub limits: Option<dunepond_quota::Told>,
     /// Seconds.
     pub retry: f64,
     pub leased_rules: Option<Rules>,
@@ -148,7 +148,7 @@
         if self.live(now) { self.0.leased_rules.as_ref() } else { self.0.strictest.as_ref() }
     }
 
-    /// This broker's part of bounds that the fleet shares: with [`dunepond_limits::Own::part`] what it may use at `now`.
+    /// This broker's part of bounds that the fleet shares: with [`dunepond_quota::Own::part`] what it may use at `now`.
     pub fn limits(&self, now: f64) -> Limits<'_> {
         Limits { told: self.0.limits.as_ref(), live: self.live(now) }
     }
--- a/crates/dunepond-agree/src/lib.rs
+++ b/crates/dunepond-consensus/src/lib.rs
@@ -3,7 +3,7 @@
 //! A [`Voter`] orders entries with the other voters (the `raft` library, no input or output) and answers questions; a
 //! [`Member`], at every broker, asks, and makes of the answers an [`Acting`], which says at each act what is allowed.
 //! Times are seconds on each broker's own steady clock, which counts sleep, unless stated. What holds and why is stated
-//! and proved in `docs/notes/agree.md`.
+//! and proved in `docs/notes/consensus.md`.
 
 mod acting;
 mod docs;
@@ -28,8 +28,8 @@
 pub use terms::{SLACK, Terms, TermsError};
 pub use voter::{Recovery, RecoveryError, Voter, WORD};
 
-use dunepond_debts::Agreed;
-use dunepond_map::Map;
+use dunepond_settlement::Agreed;
+use dunepond_shard_map::Map;
 use serde::{Deserialize, Serialize};
 
 /// The settings that decide, and the operator's limits; one entry a table type where a list stands.
@@ -122,10 +122,10 @@
     Debt(Agreed),
     /// Parts of bounds that hold for the whole fleet.
     #[serde(rename = "Limit")]
-    Limit(dunepond_limits::Agreed),
+    Limit(dunepond_quota::Agreed),
     /// Of a plan of moves; its steps are versions.
     #[serde(rename = "Move")]
-    Move(dunepond_move::Agreed),
+    Move(dunepond_rebalance::Agreed),
     /// Who votes from now on.
     #[serde(rename = "Vote")]
     Vote(Box<Voting>),
--- a/crates/dunepond-agree/src/member.rs
+++ b/crates/dunepond-consensus/src/member.rs
@@ -10,7 +10,7 @@
 use crate::docs;
 use crate::state::{Ahead, judge, with_done};
 use crate::{Acting, Answer, Ask, DebtsTold, Kept, Named, Now, Refusal, Step, Terms, Told, Version};
-use dunepond_map::{self as maps, Proof};
+use dunepond_shard_map::{self as maps, Proof};
 
 /// A lease is asked for anew after this part of it.
 const AGAIN: f64 = 1.0 / 3.0;
@@ -58,7 +58,7 @@
     debts: u64,
     debts_told: Vec<DebtsTold>,
     /// What it says of bounds that the fleet shares.
-    report: Option<dunepond_limits::Report>,
+    report: Option<dunepond_quota::Report>,
     inner: Inner,
     acting: Acting,
     /// One earlier answer of the same run of a leader: (name, run, its clock, own clock before and after).
@@ -159,7 +159,7 @@
             debts: self.debts,
             limits: self.report.clone().map(|report| {
                 let shrunk = self.inner.limits.as_ref().map_or(0, |told| told.shrunk);
-                dunepond_limits::Report { shrunk, ..report }
+                dunepond_quota::Report { shrunk, ..report }
             }),
             passed: false,
             pressed: self.pressed,
@@ -174,7 +174,7 @@
     }
 
     /// What this broker says with its questions of the bounds that its file shares; nothing where it shares none.
-    pub fn report(&mut self, report: Option<dunepond_limits::Report>) {
+    pub fn report(&mut self, report: Option<dunepond_quota::Report>) {
         self.report = report;
     }
 
--- a/crates/dunepond-agree/src/messages.rs
+++ b/crates/dunepond-consensus/src/messages.rs
@@ -29,7 +29,7 @@
     pub debts: u64,
     /// What it needs of bounds that the fleet shares, and which parts it acts on; nothing where its file shares none.
     #[serde(rename = "limits")]
-    pub limits: Option<dunepond_limits::Report>,
+    pub limits: Option<dunepond_quota::Report>,
     /// A voter that was asked passes it on to the leader once.
     #[serde(rename = "passed")]
     pub passed: bool,
@@ -101,7 +101,7 @@
     pub debts: DebtsTold,
     /// Its part of bounds that the fleet shares.
     #[serde(rename = "limits")]
-    pub limits: Option<dunepond_limits::Told>,
+    pub limits: Option<dunepond_quota::Told>,
     /// Whose answer: name, run, and its clock as the question came.
     pub leader: String,
     #[serde(rename = "run")]
--- a/crates/dunepond-agree/src/old.rs
+++ b/crates/dunepond-consensus/src/old.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use dunepond_debts::{Agreed, Settlement};
+use dunepond_settlement::{Agreed, Settlement};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer};
 
--- a/crates/dunepond-agree/src/refusal.rs
+++ b/crates/dunepond-consensus/src/refusal.rs
@@ -1,7 +1,7 @@
 //! Why something is not adopted, proposed or believed; and what makes a voter stop.
 
-use dunepond_debts::DebtError;
-use dunepond_map::Fault;
+use dunepond_settlement::DebtError;
+use dunepond_shard_map::Fault;
 
 /// What is not taken, and why; nothing changed by it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -45,9 +45,9 @@
     #[error("{0}")]
     Debt(DebtError),
     #[error("{0}")]
-    Limit(dunepond_limits::LimitError),
+    Limit(dunepond_quota::LimitError),
     #[error("{0}")]
-    Move(Box<dunepond_move::MoveError>),
+    Move(Box<dunepond_rebalance::MoveError>),
     #[error("too much is proposed and not yet agreed on")]
     Busy,
     #[error("new terms come while version {0} is proposed")]
@@ -100,8 +100,8 @@
     Drift { here: f64, there: f64 },
 }
 
-impl From<dunepond_move::MoveError> for Refusal {
-    fn from(why: dunepond_move::MoveError) -> Self {
+impl From<dunepond_rebalance::MoveError> for Refusal {
+    fn from(why: dunepond_rebalance::MoveError) -> Self {
         Self::Move(Box::new(why))
     }
 }
--- a/crates/dunepond-agree/src/state/debts.rs
+++ b/crates/dunepond-consensus/src/state/debts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use dunepond_debts::{Agreed, Applied, Ledger};
+use dunepond_settlement::{Agreed, Applied, Ledger};
 use serde::{Deserialize, Serialize};
 
 use crate::Refusal;
@@ -85,7 +85,7 @@
 
 #[cfg(test)]
 mod tests {
-    use dunepond_debts::{Allot, DebtError, Settlement};
+    use dunepond_settlement::{Allot, DebtError, Settlement};
 
     use super::*;
 
--- a/crates/dunepond-agree/src/state/limits.rs
+++ b/crates/dunepond-consensus/src/state/limits.rs
@@ -1,6 +1,6 @@
 //! Each broker's part of bounds that hold for the whole fleet: judged and applied by the ledger itself.
 
-use dunepond_limits::Agreed;
+use dunepond_quota::Agreed;
 
 use super::{Change, State};
 use crate::Refusal;
--- a/crates/dunepond-agree/src/state/mod.rs
+++ b/crates/dunepond-consensus/src/state/mod.rs
@@ -11,13 +11,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use dunepond_debts::Agreed;
+use dunepond_settlement::Agreed;
 use serde::{Deserialize, Serialize};
 
 use crate::{Entry, Refusal, Step, Terms, Version};
 use crate::{docs, old};
 pub use debts::{Debts, DebtsTold, Noted};
-use dunepond_map::{self as maps, Proof};
+use dunepond_shard_map::{self as maps, Proof};
 pub(crate) use versions::{Ahead, judge, with_done};
 pub use versions::{Ended, Opened, Past};
 pub(crate) use voters::Voted;
@@ -130,8 +130,8 @@
     pub seats: BTreeMap<String, Seat>,
     /// Each broker's part of what holds for the whole fleet.
     #[serde(rename = "limits")]
-    pub limits: dunepond_limits::Ledger,
-    moves: dunepond_move::Book,
+    pub limits: dunepond_quota::Ledger,
+    moves: dunepond_rebalance::Book,
     /// Names of parts that a voter has to know, or take no part; none as yet.
     pub(crate) must: BTreeSet<String>,
     /// Parts of a later program that need not be known: passed on with each snapshot.
@@ -161,8 +161,8 @@
             history: VecDeque::new(),
             debts: Debts::default(),
             seats,
-            limits: dunepond_limits::Ledger::default(),
-            moves: dunepond_move::Book::default(),
+            limits: dunepond_quota::Ledger::default(),
+            moves: dunepond_rebalance::Book::default(),
             must: BTreeSet::new(),
             more: BTreeMap::new(),
             proof: None,
--- a/crates/dunepond-agree/src/state/moves.rs
+++ b/crates/dunepond-consensus/src/state/moves.rs
@@ -1,6 +1,6 @@
 //! Plans of moves beside the versions that carry them out: what a plan's entries find, and what they change.
 
-use dunepond_move::{Agreed, Book, Seen};
+use dunepond_rebalance::{Agreed, Book, Seen};
 
 use super::{Change, State};
 use crate::{Refusal, Version};
--- a/crates/dunepond-agree/src/state/versions.rs
+++ b/crates/dunepond-consensus/src/state/versions.rs
@@ -7,7 +7,7 @@
 
 use super::{Change, State};
 use crate::{Refusal, Step, Terms, Version, rules};
-use dunepond_map::{self as maps, Move, Proof};
+use dunepond_shard_map::{self as maps, Move, Proof};
 
 /// Ends of changes that are remembered.
 const PASTS: usize = 64;
--- a/crates/dunepond-agree/src/terms.rs
+++ b/crates/dunepond-consensus/src/terms.rs
@@ -40,7 +40,7 @@
     #[serde(rename = "maps")]
     pub maps: bool,
     #[serde(rename = "map")]
-    pub map: dunepond_map::Terms,
+    pub map: dunepond_shard_map::Terms,
 }
 
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
--- a/crates/dunepond-agree/src/voter.rs
+++ b/crates/dunepond-consensus/src/voter.rs
@@ -336,8 +336,8 @@
         {
             return Err(Refusal::LeaderOnly(*number));
         }
-        if let Entry::Limit(dunepond_limits::Agreed::Settled { broker, .. }) = &entry {
-            return Err(Refusal::Limit(dunepond_limits::LimitError::LeaderOnly(broker.clone())));
+        if let Entry::Limit(dunepond_quota::Agreed::Settled { broker, .. }) = &entry {
+            return Err(Refusal::Limit(dunepond_quota::LimitError::LeaderOnly(broker.clone())));
         }
         let opens = match &entry {
             Entry::Propose(version) => Some(version.number),
--- a/crates/dunepond-agree/src/voter/asks.rs
+++ b/crates/dunepond-consensus/src/voter/asks.rs
@@ -23,7 +23,7 @@
     /// By asker and run: what it was allowed last.
     pub granted: BTreeMap<(String, u64), Granted>,
     /// What brokers last said of bounds that the fleet shares, and when.
-    pub reports: BTreeMap<String, (dunepond_limits::Report, f64)>,
+    pub reports: BTreeMap<String, (dunepond_quota::Report, f64)>,
 }
 
 struct Waiting {
--- a/crates/dunepond-agree/src/voter/limits.rs
+++ b/crates/dunepond-consensus/src/voter/limits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_limits::{Agreed, Heard, Ledger, Run, Waits, settled_from};
+use dunepond_quota::{Agreed, Heard, Ledger, Run, Waits, settled_from};
 
 use super::Voter;
 use super::chores::Watch;
--- a/crates/dunepond-agree/src/voter/log.rs
+++ b/crates/dunepond-consensus/src/voter/log.rs
@@ -197,7 +197,7 @@
             fills_deadline: 1.0,
             most_changed: 1.0,
             maps: false,
-            map: dunepond_map::Terms { least_holders: 1, least_zones: 1 },
+            map: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
         };
         let mut voter = Voter::open(terms.clone(), Saved::new(), 0.0, 1).unwrap();
         let mut saved = Saved::new();
--- a/crates/dunepond-agree/tests/golden/documents.rs
+++ b/crates/dunepond-consensus/tests/golden/documents.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use dunepond_agree::*;
-use dunepond_debts::{Agreed, Allot, Ledger, Settlement};
-use dunepond_limits::{Bounds, Report, Told as Parts};
-use dunepond_sim::fleet::{map, settlement, terms, version};
+use dunepond_consensus::*;
+use dunepond_quota::{Bounds, Report, Told as Parts};
+use dunepond_settlement::{Agreed, Allot, Ledger, Settlement};
+use dunepond_simulation::fleet::{map, settlement, terms, version};
 
 use super::{again_json, golden};
 
--- a/crates/dunepond-agree/tests/golden/runs.rs
+++ b/crates/dunepond-consensus/tests/golden/runs.rs
@@ -3,13 +3,13 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use dunepond_agree::*;
-use dunepond_debts::{Agreed as Debt, Begun, Release};
-use dunepond_limits::{Agreed as Limit, Part};
-use dunepond_move::{
+use dunepond_consensus::*;
+use dunepond_quota::{Agreed as Limit, Part};
+use dunepond_rebalance::{
     Act, Agreed as Move, By, Kind, Operation, Pace, Pause, Plan, Step as PlanStep, Wave, order,
 };
-use dunepond_sim::fleet::{map, settlement, terms, version};
+use dunepond_settlement::{Agreed as Debt, Begun, Release};
+use dunepond_simulation::fleet::{map, settlement, terms, version};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry as LogEntry, Message, Snapshot};
 use serde::{Deserialize, Serialize};
--- a/crates/dunepond-agree/tests/limits.rs
+++ b/crates/dunepond-consensus/tests/limits.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_agree::*;
-use dunepond_limits::{Agreed, Bounds, LimitError, Own, Part, Report};
-use dunepond_sim::fleet::Fleet;
+use dunepond_consensus::*;
+use dunepond_quota::{Agreed, Bounds, LimitError, Own, Part, Report};
+use dunepond_simulation::fleet::Fleet;
 use rstest::rstest;
 
 fn bounds() -> Bounds {
--- a/crates/dunepond-agree/tests/long.rs
+++ b/crates/dunepond-consensus/tests/long.rs
@@ -1,7 +1,7 @@
 //! A long life and a bad disk: what is kept stays as large as it was, and what was promised is not lost.
 
-use dunepond_agree::*;
-use dunepond_sim::fleet::{Fleet, map, terms, version};
+use dunepond_consensus::*;
+use dunepond_simulation::fleet::{Fleet, map, terms, version};
 
 /// Keeps a journal as the host does.
 fn keep(voter: &Voter, orders: &Orders, journal: &mut Vec<Vec<u8>>, longest: &mut usize) {
--- a/crates/dunepond-agree/tests/lost.rs
+++ b/crates/dunepond-consensus/tests/lost.rs
@@ -1,7 +1,7 @@
 //! A majority of the voters is gone for good: what an operator's word brings back, and what it keeps out.
 
-use dunepond_agree::*;
-use dunepond_sim::fleet::{Fleet, map, version};
+use dunepond_consensus::*;
+use dunepond_simulation::fleet::{Fleet, map, version};
 use rstest::rstest;
 
 fn propose(number: u64) -> Entry {
@@ -75,7 +75,7 @@
 #[test]
 fn an_empty_folder_brings_nothing_back() {
     let word = Recovery { folder: 1, last: 1, lost: vec![], highest: 0, word: String::from(WORD) };
-    let terms = dunepond_sim::fleet::terms("n1", 3);
+    let terms = dunepond_simulation::fleet::terms("n1", 3);
     let why = Voter::recover(terms, Saved::new(), &word, 0.0, 1).err().unwrap();
     assert_eq!(why, AgreeError::Recovery(RecoveryError::Nothing));
     assert!(RecoveryError::Unknown(String::new()).help().contains("program"));
--- a/crates/dunepond-agree/tests/parts.rs
+++ b/crates/dunepond-consensus/tests/parts.rs
@@ -4,9 +4,9 @@
 use std::mem::discriminant;
 use std::sync::Arc;
 
-use dunepond_agree::*;
-use dunepond_debts::DebtError;
-use dunepond_sim::fleet::{map, rules, terms, version};
+use dunepond_consensus::*;
+use dunepond_settlement::DebtError;
+use dunepond_simulation::fleet::{map, rules, terms, version};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -194,7 +194,7 @@
     // Other rules under the digest that was agreed on; a map with a gap; none at all.
     let (mut other, mut gap) = (version(2, Some(map(2, false))), version(2, Some(map(2, false))));
     gap.map.as_mut().unwrap().segments.remove(1);
-    gap.map = gap.map.map(dunepond_map::Map::sealed);
+    gap.map = gap.map.map(dunepond_shard_map::Map::sealed);
     let mut stale = now(6, Some(&one), Some((&other, Step::Joint)));
     other.rules = rules(8);
     stale.documents = vec![Arc::new(other)];
@@ -300,7 +300,7 @@
 fn every_error_says_what_is_wrong_and_what_to_do() {
     use Refusal::*;
     let text = || String::from("x");
-    let fault = dunepond_map::Fault::NoSegments;
+    let fault = dunepond_shard_map::Fault::NoSegments;
     let refusals = [
         NotLeader(None),
         Open { open: 1 },
@@ -321,9 +321,9 @@
         Settled(text()),
         Known,
         Debt(DebtError::Name { name: text() }),
-        Limit(dunepond_limits::LimitError::Nothing),
+        Limit(dunepond_quota::LimitError::Nothing),
         Busy,
-        Move(Box::new(dunepond_move::MoveError::NoMap)),
+        Move(Box::new(dunepond_rebalance::MoveError::NoMap)),
         TermsWhileOpen(1),
         OldEpoch { said: 1, known: 2 },
         OtherFleet,
--- a/crates/dunepond-agree/tests/seeds.rs
+++ b/crates/dunepond-consensus/tests/seeds.rs
@@ -1,9 +1,9 @@
 //! Half a minute of faults by seed, several at a time, then a fleet that is whole again: it goes on where it was, and
 //! the next version comes into force. A seed that fails becomes a story.
 
-use dunepond_agree::*;
-use dunepond_sim::debts::settle;
-use dunepond_sim::fleet::{Fleet, map, settlement, version};
+use dunepond_consensus::*;
+use dunepond_simulation::debts::settle;
+use dunepond_simulation::fleet::{Fleet, map, settlement, version};
 use rand::RngExt;
 
 const VOTERS: usize = 5;
--- a/crates/dunepond-agree/tests/stories.rs
+++ b/crates/dunepond-consensus/tests/stories.rs
@@ -1,9 +1,9 @@
 //! One story for each way in which a change may be disturbed. What must hold at every moment is checked by the fleet
 //! itself at each step; the stories check what comes of it.
 
-use dunepond_agree::*;
-use dunepond_sim::debts;
-use dunepond_sim::fleet::{self, Fleet, map, settlement, terms, version};
+use dunepond_consensus::*;
+use dunepond_simulation::debts;
+use dunepond_simulation::fleet::{self, Fleet, map, settlement, terms, version};
 use rstest::rstest;
 
 fn propose(number: u64) -> Entry {
--- a/crates/dunepond-agree/tests/upgrades.rs
+++ b/crates/dunepond-consensus/tests/upgrades.rs
@@ -1,7 +1,7 @@
 //! Old and new programs: documents of format 1, and what a later program may add.
 
-use dunepond_agree::*;
-use dunepond_sim::fleet::{Fleet, map, terms, version};
+use dunepond_consensus::*;
+use dunepond_simulation::fleet::{Fleet, map, terms, version};
 
 /// Written by the program of commit 63ed26b: one voter's journal (520 settlements, version 1 in force, 2 open), the
 /// version below with its digest, and what a broker kept.
--- a/crates/dunepond-agree/tests/voters.rs
+++ b/crates/dunepond-consensus/tests/voters.rs
@@ -1,8 +1,8 @@
 //! Voters that change, one at a time: an operator's word, what becomes of it while things fail, and what those that were
 //! voters once can still do.
 
-use dunepond_agree::*;
-use dunepond_sim::fleet::{Fleet, map, settlement, version};
+use dunepond_consensus::*;
+use dunepond_simulation::fleet::{Fleet, map, settlement, version};
 use rstest::rstest;
 
 fn propose(number: u64) -> Entry {
@@ -107,7 +107,7 @@
     fleet.kill(0);
     assert!(fleet.until(5.0, |fleet| fleet.leader().is_some()));
     change(&mut fleet, &[3, 1, 2]);
-    fleet.propose(Entry::Debt(dunepond_debts::Agreed::Settle(settlement("paid")))).unwrap();
+    fleet.propose(Entry::Debt(dunepond_settlement::Agreed::Settle(settlement("paid")))).unwrap();
     fleet.run(0.5);
     fleet.start(0);
     assert!(fleet.until(3.0, |fleet| log(fleet, 0, "votes no more")));
--- a/crates/dunepond-fleet/src/back.rs
+++ b/crates/dunepond-control-plane/src/back.rs
@@ -3,7 +3,7 @@
 use std::io::ErrorKind;
 use std::path::Path;
 
-use dunepond_agree::{AgreeError, Recovery, Saved, Terms, Voter};
+use dunepond_consensus::{AgreeError, Recovery, Saved, Terms, Voter};
 use tracing::{info, warn};
 
 use crate::error::FleetError;
--- a/crates/dunepond-fleet/src/error.rs
+++ b/crates/dunepond-control-plane/src/error.rs
@@ -2,8 +2,8 @@
 
 use std::path::PathBuf;
 
-use dunepond_agree::TermsError;
-use dunepond_peers::PeerError;
+use dunepond_consensus::TermsError;
+use dunepond_membership::PeerError;
 use thiserror::Error;
 
 #[derive(Debug, Error)]
@@ -102,7 +102,7 @@
     #[error("{path}: {why}")]
     Unreadable { path: PathBuf, why: String },
     #[error("{path}: {why}")]
-    NotAPlan { path: PathBuf, why: Box<dunepond_move::MoveError> },
+    NotAPlan { path: PathBuf, why: Box<dunepond_rebalance::MoveError> },
 }
 
 impl PlanError {
@@ -172,7 +172,10 @@
         let plans = [
             PlanError::NotThere { path: PathBuf::from("/a/b") },
             PlanError::Unreadable { path: PathBuf::from("/a/b"), why: "no".to_string() },
-            PlanError::NotAPlan { path: PathBuf::from("/a/b"), why: dunepond_move::MoveError::NoId.into() },
+            PlanError::NotAPlan {
+                path: PathBuf::from("/a/b"),
+                why: dunepond_rebalance::MoveError::NoId.into(),
+            },
         ];
         assert!(plans.iter().all(|e| e.to_string().starts_with("/a/b") && !e.help().is_empty()));
         let fills = [
--- a/crates/dunepond-fleet/src/folder.rs
+++ b/crates/dunepond-control-plane/src/folder.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::UNIX_EPOCH;
 
-use dunepond_agree::{Kept, Saved};
-use dunepond_debts as debts;
-use dunepond_store::{Fault, Files, Folder as Directory, Journal, Snapshots};
+use dunepond_consensus::{Kept, Saved};
+use dunepond_settlement as debts;
+use dunepond_storage::{Fault, Files, Folder as Directory, Journal, Snapshots};
 use tracing::{error, info, warn};
 
 use crate::error::FleetError;
--- a/crates/dunepond-fleet/src/golden.rs
+++ b/crates/dunepond-control-plane/src/golden.rs
@@ -7,11 +7,13 @@
 use std::sync::Arc;
 use std::time::UNIX_EPOCH;
 
-use dunepond_agree::{Kept, More, Named, Recovery, Rules, Saved, Standings, Version, Voter, Voting, WORD};
-use dunepond_debts::{Agreed, Allot, Begun, Counts, Fill, Ledger, Settlement, Shares, Sides, Tally};
-use dunepond_map::{Holder, Map, Range, Segment, Terms as MapTerms};
-use dunepond_sim::fleet::terms;
-use dunepond_store::{Folder as Directory, Journal, Snapshots};
+use dunepond_consensus::{
+    Kept, More, Named, Recovery, Rules, Saved, Standings, Version, Voter, Voting, WORD,
+};
+use dunepond_settlement::{Agreed, Allot, Begun, Counts, Fill, Ledger, Settlement, Shares, Sides, Tally};
+use dunepond_shard_map::{Holder, Map, Range, Segment, Terms as MapTerms};
+use dunepond_simulation::fleet::terms;
+use dunepond_storage::{Folder as Directory, Journal, Snapshots};
 
 use crate::back;
 use crate::folder::{Folder, Held};
@@ -312,9 +314,9 @@
     assert_same("bring.bin", &postcard::to_stdvec(&due).unwrap());
     assert_eq!(postcard::from_bytes::<Vec<Agreed>>(&golden("bring.bin")).unwrap(), due);
 
-    let word = dunepond_debts::Word::bare(tally().counts().clone());
+    let word = dunepond_settlement::Word::bare(tally().counts().clone());
     assert_same("counts-word.bin", &postcard::to_stdvec(&word).unwrap());
-    assert_eq!(postcard::from_bytes::<dunepond_debts::Word>(&golden("counts-word.bin")).unwrap(), word);
+    assert_eq!(postcard::from_bytes::<dunepond_settlement::Word>(&golden("counts-word.bin")).unwrap(), word);
     // One of a build that tells the counts alone.
     assert_same("counts-alone.bin", &postcard::to_stdvec(tally().counts()).unwrap());
     assert_eq!(&postcard::from_bytes::<Counts>(&golden("counts-alone.bin")).unwrap(), tally().counts());
--- a/crates/dunepond-fleet/src/hand.rs
+++ b/crates/dunepond-control-plane/src/hand.rs
@@ -7,9 +7,9 @@
 
 use arc_swap::{ArcSwap, Cache};
 use crossbeam_channel::Sender;
-use dunepond_agree::{Acting, Phase};
-use dunepond_map::Node;
-use dunepond_peers::Counters;
+use dunepond_consensus::{Acting, Phase};
+use dunepond_membership::Counters;
+use dunepond_shard_map::Node;
 
 use crate::clock::steady;
 use crate::host::Started;
--- a/crates/dunepond-fleet/src/host/counts.rs
+++ b/crates/dunepond-control-plane/src/host/counts.rs
@@ -3,8 +3,8 @@
 
 use std::sync::Arc;
 
-use dunepond_debts::{Book, Counts, Sides, Tally, Telling, Word};
-use dunepond_peers::{Kind, Standing};
+use dunepond_membership::{Kind, Standing};
+use dunepond_settlement::{Book, Counts, Sides, Tally, Telling, Word};
 use rand::RngExt;
 use rand::seq::IndexedRandom;
 use rand_pcg::Pcg64Mcg;
--- a/crates/dunepond-fleet/src/host/debts.rs
+++ b/crates/dunepond-control-plane/src/host/debts.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunepond_agree::{DebtsTold, Entry, Refusal, Voter};
-use dunepond_debts::{Agreed, Applied, Fill, Ledger, Settlement, Shares, split};
-use dunepond_peers::{Kind, Refused, Standing, Token};
+use dunepond_consensus::{DebtsTold, Entry, Refusal, Voter};
+use dunepond_membership::{Kind, Refused, Standing, Token};
+use dunepond_settlement::{Agreed, Applied, Fill, Ledger, Settlement, Shares, split};
 use serde::{Deserialize, Serialize};
 use tracing::{debug, info, warn};
 
@@ -45,7 +45,7 @@
 }
 
 impl Promises {
-    pub fn new(by: &str) -> Result<Self, dunepond_debts::DebtError> {
+    pub fn new(by: &str) -> Result<Self, dunepond_settlement::DebtError> {
         let (shares, ledger, fills) = (Shares::new(by)?, Ledger::default(), BTreeMap::new());
         Ok(Self { shares, ledger, known: 0, fills, warmed: BTreeSet::new() })
     }
--- a/crates/dunepond-fleet/src/host/fills.rs
+++ b/crates/dunepond-control-plane/src/host/fills.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use crossbeam_channel::Sender;
-use dunepond_agree::{Entry, Refusal, Voter};
-use dunepond_debts::{
+use dunepond_consensus::{Entry, Refusal, Voter};
+use dunepond_settlement::{
     Agreed, Begun, Event, Fill, Filling, Ledger, Links, Need, Order, Patience, Planner, Settlement,
 };
 use rand_pcg::Pcg64Mcg;
--- a/crates/dunepond-fleet/src/host/leases.rs
+++ b/crates/dunepond-control-plane/src/host/leases.rs
@@ -1,7 +1,7 @@
 //! Leases: asked for by this broker, and answered where it votes.
 
-use dunepond_agree::{Ask, Refusal, Told};
-use dunepond_peers::{Kind, Refused, Token};
+use dunepond_consensus::{Ask, Refusal, Told};
+use dunepond_membership::{Kind, Refused, Token};
 use tracing::{debug, info, warn};
 
 use super::{Asked, Host, Waiting};
--- a/crates/dunepond-fleet/src/host/limits.rs
+++ b/crates/dunepond-control-plane/src/host/limits.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use dunepond_agree::{Acting, Entry};
-use dunepond_limits::{Agreed, Bounds, Own, Planning, Report, plan};
+use dunepond_consensus::{Acting, Entry};
+use dunepond_quota::{Agreed, Bounds, Own, Planning, Report, plan};
 use tracing::{debug, info};
 
 use super::Host;
--- a/crates/dunepond-fleet/src/host/mod.rs
+++ b/crates/dunepond-control-plane/src/host/mod.rs
@@ -17,8 +17,8 @@
 
 use arc_swap::ArcSwap;
 use crossbeam_channel::{Receiver, after, select};
-use dunepond_agree::{Acting, AgreeError, Entry, Member, Orders, Outcome, Refusal, Voter};
-use dunepond_peers::{Counters, Event, Kind, Peers, Refused, Token};
+use dunepond_consensus::{Acting, AgreeError, Entry, Member, Orders, Outcome, Refusal, Voter};
+use dunepond_membership::{Counters, Event, Kind, Peers, Refused, Token};
 use tracing::{debug, error, info, warn};
 
 use crate::clock::steady;
--- a/crates/dunepond-fleet/src/host/moves.rs
+++ b/crates/dunepond-control-plane/src/host/moves.rs
@@ -3,11 +3,11 @@
 
 use std::path::PathBuf;
 
-use dunepond_agree::{Entry, Refusal, Version};
-use dunepond_move::{
+use dunepond_consensus::{Entry, Refusal, Version};
+use dunepond_membership::{Kind, Refused, Token};
+use dunepond_rebalance::{
     Act, Agreed, By, Held, MoveError, Next, Operation, Pace, Pause, Plan, Pressure, Running, Word, order,
 };
-use dunepond_peers::{Kind, Refused, Token};
 use serde::{Deserialize, Serialize};
 use tracing::{error, info, warn};
 
@@ -366,7 +366,7 @@
     }
 
     /// The version that carries out the step under way: the map is the step's, all else goes on as it is.
-    fn step_version(&self, number: u64, map: dunepond_map::Map) -> Option<Version> {
+    fn step_version(&self, number: u64, map: dunepond_shard_map::Map) -> Option<Version> {
         let state = self.voter.as_ref()?.state();
         let running = state.moves().running.as_ref()?;
         let (in_force, _) = state.in_force.as_ref()?;
--- a/crates/dunepond-fleet/src/host/moves/golden.rs
+++ b/crates/dunepond-control-plane/src/host/moves/golden.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_move::{Node, Room, Sizes};
+use dunepond_rebalance::{Node, Room, Sizes};
 
 use super::*;
 use crate::golden::{assert_same, golden, golden_path};
--- a/crates/dunepond-fleet/src/host/propose.rs
+++ b/crates/dunepond-control-plane/src/host/propose.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use dunepond_agree::Refusal;
-use dunepond_map::{Node, Terms};
-use dunepond_peers::{Kind, Refused, Token};
+use dunepond_consensus::Refusal;
+use dunepond_membership::{Kind, Refused, Token};
+use dunepond_shard_map::{Node, Terms};
 use serde::{Deserialize, Serialize};
 use tracing::{error, info, warn};
 
--- a/crates/dunepond-fleet/src/host/warm.rs
+++ b/crates/dunepond-control-plane/src/host/warm.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use dunepond_debts::{Cold, Fill, Need, Room, bound};
+use dunepond_settlement::{Cold, Fill, Need, Room, bound};
 
 use super::Host;
 use super::fills::Lane;
--- a/crates/dunepond-fleet/src/lib.rs
+++ b/crates/dunepond-control-plane/src/lib.rs
@@ -26,9 +26,9 @@
 
 use arc_swap::ArcSwap;
 use crossbeam_channel::{bounded, unbounded};
-use dunepond_agree::{AgreeError, Member, Saved, Terms, Voter};
-use dunepond_debts as debts;
-use dunepond_store::Files;
+use dunepond_consensus::{AgreeError, Member, Saved, Terms, Voter};
+use dunepond_settlement as debts;
+use dunepond_storage::Files;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tracing::{error, info};
@@ -71,7 +71,7 @@
     /// How a cold node is spared; nothing: fills take no heed of it.
     pub warming: Option<Warming>,
     /// Bounds that the fleet shares, and the seconds between plans.
-    pub limits: Option<(dunepond_limits::Bounds, f64)>,
+    pub limits: Option<(dunepond_quota::Bounds, f64)>,
     pub moves: Option<Moves>,
     /// Entries that lists by table type have.
     pub table_types: usize,
@@ -171,15 +171,15 @@
     let recording = told.record.map(|path| Recording::start(&path, &terms.name, incarnation));
     let (recorder, recording) = recording.transpose()?.unzip();
     let known_names = known.iter().map(|known| known.0.clone()).collect();
-    let mut links = dunepond_peers::Told::new(&terms.name, incarnation, listen, known, chance.random());
+    let mut links = dunepond_membership::Told::new(&terms.name, incarnation, listen, known, chance.random());
     links.key = key;
     links.bounds = bounds;
-    let (peers, events) = dunepond_peers::start(links)?;
+    let (peers, events) = dunepond_membership::start(links)?;
     let listen = peers.listen();
 
     let (commands, commanded) = bounded(COMMANDS);
     let acting = Arc::new(ArcSwap::from_pointee(member.acting()));
-    let links_counted: Arc<ArcSwap<dunepond_peers::Counters>> = Arc::default();
+    let links_counted: Arc<ArcSwap<dunepond_membership::Counters>> = Arc::default();
     let nodes = Arc::new(ArcSwap::from_pointee(Vec::new()));
     let started = Arc::new(ArcSwap::from_pointee(Vec::new()));
     let names: Vec<_> = told.partners.iter().map(|partner| partner.name.clone()).collect();
--- a/crates/dunepond-fleet/src/links.rs
+++ b/crates/dunepond-control-plane/src/links.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use dunepond_peers::Bounds;
+use dunepond_membership::Bounds;
 
 use crate::Told;
 
--- a/crates/dunepond-fleet/src/version.rs
+++ b/crates/dunepond-control-plane/src/version.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use dunepond_agree::{Entry, More, Rules, Version, Voting};
-use dunepond_map::{Map, Node, Terms};
+use dunepond_consensus::{Entry, More, Rules, Version, Voting};
+use dunepond_shard_map::{Map, Node, Terms};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -77,7 +77,7 @@
     rules(path, &version.rules, table_types)?;
     if let Some(map) = version.map.take() {
         let map = if map.digest.is_empty() { map.sealed() } else { map };
-        if let Err(faults) = dunepond_map::check(&map, &judging(nodes, &map), terms) {
+        if let Err(faults) = dunepond_shard_map::check(&map, &judging(nodes, &map), terms) {
             let first = faults.first();
             return Err(VersionError::Map {
                 path: owned(),
--- a/crates/dunepond-fleet/src/why.rs
+++ b/crates/dunepond-control-plane/src/why.rs
@@ -6,9 +6,9 @@
 
 use std::fmt;
 
-use dunepond_agree::{Change, Ended, Entry, Refusal, State, Step, Version};
-use dunepond_debts::{Agreed, Book, Fill, Need, Settlement};
-use dunepond_map::Move;
+use dunepond_consensus::{Change, Ended, Entry, Refusal, State, Step, Version};
+use dunepond_settlement::{Agreed, Book, Fill, Need, Settlement};
+use dunepond_shard_map::Move;
 
 /// Bytes of one field, and of a whole line.
 const FIELD: usize = 160;
@@ -190,7 +190,7 @@
             Change::Limit(generation) => {
                 let limits = &state.limits;
                 let what = format!("parts of shared bounds, generation {generation}, entry {index}");
-                let limit = format!("{} units in each bound, all brokers together", dunepond_limits::WHOLE);
+                let limit = format!("{} units in each bound, all brokers together", dunepond_quota::WHOLE);
                 let free = limits.bounds.iter().flat_map(|bounds| &bounds.names);
                 let free = named(free.map(|name| format!("{} free of {}", limits.free(name), some(name))));
                 let weighed = format!("{free}; {} brokers share", limits.seats.len());
--- a/crates/dunepond-fleet/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -9,15 +9,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_agree::{Phase, Terms};
-use dunepond_debts::Tally;
-use dunepond_fleet::{
+use dunepond_consensus::{Phase, Terms};
+use dunepond_control_plane::{
     Act, FillError, Filled, Filler, Filling, Fleet, Line, Order, Partner, StandIns, Started, Told, Warming,
     start, steady,
 };
-use dunepond_lab::files::{Mem, Plan};
-use dunepond_map::Node;
-use dunepond_store::{Files, Snapshots};
+use dunepond_settlement::Tally;
+use dunepond_shard_map::Node;
+use dunepond_storage::{Files, Snapshots};
+use dunepond_testkit::files::{Mem, Plan};
 use rstest::rstest;
 
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -96,7 +96,7 @@
             fills_deadline: 10.0,
             most_changed: 1.0,
             maps: true,
-            map: dunepond_map::Terms { least_holders: 1, least_zones: 1 },
+            map: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
         };
         let partner = |name: &str| Partner { name: name.to_string(), brokers: Vec::new(), metered: false };
         let at = SocketAddr::from(([127, 0, 0, 1], 9));
@@ -120,7 +120,7 @@
         let stand_ins = StandIns {
             files: Some(Arc::new(self.files.clone())),
             filler: Some(self.nodes.clone()),
-            dies: dies.map(|point| Arc::new(move |at: &str| at == point) as dunepond_fleet::Dies),
+            dies: dies.map(|point| Arc::new(move |at: &str| at == point) as dunepond_control_plane::Dies),
         };
         let fleet = start(told, stand_ins, || ()).unwrap();
         let node = |i: usize| Node {
--- a/crates/dunepond-fleet/tests/golden.rs
+++ b/crates/dunepond-control-plane/tests/golden.rs
@@ -10,11 +10,11 @@
 use std::thread;
 use std::time::Duration;
 
-use dunepond_agree::{Change, Entry, Orders, Refusal, Saved, Terms, Voter};
-use dunepond_debts::{Book, Counts, Fill, Ledger, Settlement, Sides};
-use dunepond_fleet::why::{About, Offer, Why};
-use dunepond_fleet::{Act, Filled, Filler, HttpFiller, Line, Order, Word};
-use dunepond_sim::fleet::{map, terms, version};
+use dunepond_consensus::{Change, Entry, Orders, Refusal, Saved, Terms, Voter};
+use dunepond_control_plane::why::{About, Offer, Why};
+use dunepond_control_plane::{Act, Filled, Filler, HttpFiller, Line, Order, Word};
+use dunepond_settlement::{Book, Counts, Fill, Ledger, Settlement, Sides};
+use dunepond_simulation::fleet::{map, terms, version};
 use tracing::field::{Field, Visit};
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Metadata, Subscriber};
@@ -220,7 +220,8 @@
     let filled = Entry::Filled { number: 2, segment: 0, holder: text("cold2") };
     propose(&mut voter, &mut now, filled);
 
-    let mut book = Book::new(dunepond_debts::Terms::default(), Sides::default(), Ledger::default()).unwrap();
+    let mut book =
+        Book::new(dunepond_settlement::Terms::default(), Sides::default(), Ledger::default()).unwrap();
     let mut counts = Counts::new();
     counts.saw("n1", 1, "south", "north", 700);
     book.counted(0.0, &counts);
--- a/crates/dunepond-fleet/tests/host.rs
+++ b/crates/dunepond-control-plane/tests/host.rs
@@ -9,10 +9,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_agree::{Phase, Terms};
-use dunepond_fleet::{Fleet, FleetError, Partner, StandIns, Told, start, steady};
-use dunepond_lab::files::{Mem, Plan};
-use dunepond_limits::{Bounds, Own};
+use dunepond_consensus::{Phase, Terms};
+use dunepond_control_plane::{Fleet, FleetError, Partner, StandIns, Told, start, steady};
+use dunepond_quota::{Bounds, Own};
+use dunepond_testkit::files::{Mem, Plan};
 use rstest::rstest;
 
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -28,7 +28,7 @@
         fills_deadline: 10.0,
         most_changed: 1.0,
         maps: false,
-        map: dunepond_map::Terms { least_holders: 1, least_zones: 1 },
+        map: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
     };
     Told {
         terms,
--- a/crates/dunepond-fleet/tests/moves.rs
+++ b/crates/dunepond-control-plane/tests/moves.rs
@@ -8,9 +8,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_agree::Terms;
-use dunepond_fleet::{Filled, Filler, Filling, Fleet, Moves, Order, StandIns, Told, start, steady};
-use dunepond_lab::files::Mem;
+use dunepond_consensus::Terms;
+use dunepond_control_plane::{Filled, Filler, Filling, Fleet, Moves, Order, StandIns, Told, start, steady};
+use dunepond_testkit::files::Mem;
 use serde_json::{Value, json};
 
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -24,7 +24,7 @@
 }
 
 impl Filler for Source {
-    fn fill(&self, order: &Order, _within: Duration) -> Result<Filled, dunepond_fleet::FillError> {
+    fn fill(&self, order: &Order, _within: Duration) -> Result<Filled, dunepond_control_plane::FillError> {
         self.asked.lock().unwrap().push(order.id.clone());
         while self.waits.load(Ordering::Relaxed) {
             thread::sleep(Duration::from_millis(2));
@@ -64,7 +64,7 @@
             fills_deadline: 10.0,
             most_changed: 1.0,
             maps: true,
-            map: dunepond_map::Terms { least_holders: 1, least_zones: 1 },
+            map: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
         };
         let told = Told {
             terms,
--- a/crates/dunepond-fleet/tests/why.rs
+++ b/crates/dunepond-control-plane/tests/why.rs
@@ -1,10 +1,10 @@
 //! What the log answers to "why": each kind of decision has its line, with the word, the limit and what was weighed, and
 //! no line is long or broken, whatever names come in.
 
-use dunepond_agree::{Change, Entry, Orders, Refusal, Saved, State, Terms, Version, Voter};
-use dunepond_debts::{Book, Counts, Fill, Ledger, Need, Settlement, Sides};
-use dunepond_fleet::why::{About, LONGEST, Offer, Why};
-use dunepond_sim::fleet::{map, terms, version};
+use dunepond_consensus::{Change, Entry, Orders, Refusal, Saved, State, Terms, Version, Voter};
+use dunepond_control_plane::why::{About, LONGEST, Offer, Why};
+use dunepond_settlement::{Book, Counts, Fill, Ledger, Need, Settlement, Sides};
+use dunepond_simulation::fleet::{map, terms, version};
 
 /// One voter, alone, whose log holds what is proposed.
 struct Fleet {
@@ -107,7 +107,8 @@
 }
 
 fn book() -> Book {
-    let mut book = Book::new(dunepond_debts::Terms::default(), Sides::default(), Ledger::default()).unwrap();
+    let mut book =
+        Book::new(dunepond_settlement::Terms::default(), Sides::default(), Ledger::default()).unwrap();
     let mut counts = Counts::new();
     counts.saw("n1", 1, "south", "north", 700);
     counts.saw("n1", 1, "south", "west", 300);
--- a/crates/dunepond-peers/examples/links.rs
+++ b/crates/dunepond-membership/examples/links.rs
@@ -1,7 +1,7 @@
-//! What links cost: `cargo run --release -p dunepond-peers --example links [brokers ...]`. All brokers are in this one process, so
+//! What links cost: `cargo run --release -p dunepond-membership --example links [brokers ...]`. All brokers are in this one process, so
 //! processor time is shared out evenly; figures of one machine.
 
-use dunepond_peers::{Bound, Event, Kind, Peers, Told, bind, start_on};
+use dunepond_membership::{Bound, Event, Kind, Peers, Told, bind, start_on};
 use std::time::{Duration, Instant};
 
 const IDLE: Duration = Duration::from_secs(5);
--- a/crates/dunepond-peers/src/lib.rs
+++ b/crates/dunepond-membership/src/lib.rs
@@ -3,7 +3,7 @@
 //! waits, and no peer can make anything here grow without bound.
 //!
 //! [`Core`] is the pure part: it knows no socket, file, clock or thread. [`start`] is the host. Times are seconds (f64), sizes bytes.
-//! `docs/notes/peers.md` has the reasons.
+//! `docs/notes/membership.md` has the reasons.
 
 mod belief;
 mod core;
--- a/crates/dunepond-peers/tests/asks.rs
+++ b/crates/dunepond-membership/tests/asks.rs
@@ -1,7 +1,7 @@
 //! Asks and their ends, when the other side is slow, silent, half there or gone.
 
 mod fleet;
-use dunepond_peers::{About, Envelope, Event, Head, Id, Kind, PeerError, Refused, Seal, bind, frame};
+use dunepond_membership::{About, Envelope, Event, Head, Id, Kind, PeerError, Refused, Seal, bind, frame};
 use fleet::*;
 use rstest::rstest;
 use std::io::{Read, Write};
--- a/crates/dunepond-peers/tests/core.rs
+++ b/crates/dunepond-membership/tests/core.rs
@@ -1,6 +1,6 @@
 //! The pure core on a wire that exists only here: clock, losses and stops are the story's.
 
-use dunepond_peers::{
+use dunepond_membership::{
     About, Bounds, Core, Envelope, Event, Head, Id, Kind, Orders, PeerError, Refused, Seal, Sign, Span,
     Standing, Told, VERSION, frame, unframe,
 };
--- a/crates/dunepond-peers/tests/errors.rs
+++ b/crates/dunepond-membership/tests/errors.rs
@@ -1,6 +1,6 @@
 //! Every error says what is wrong, where, and what can be done.
 
-use dunepond_peers::{Bounds, Core, Pace, PeerError, Refused, Span, Told};
+use dunepond_membership::{Bounds, Core, Pace, PeerError, Refused, Span, Told};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// One of each variant. The match makes a variant that is missing here a fault of compilation.
--- a/crates/dunepond-peers/tests/fleet/mod.rs
+++ b/crates/dunepond-membership/tests/fleet/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each story uses what it needs")]
 
 use crossbeam_channel::Receiver;
-use dunepond_peers::{Bound, Event, Kind, PeerError, Peers, Token, Told, bind, start_on};
+use dunepond_membership::{Bound, Event, Kind, PeerError, Peers, Token, Told, bind, start_on};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
--- a/crates/dunepond-peers/tests/golden.rs
+++ b/crates/dunepond-membership/tests/golden.rs
@@ -2,7 +2,7 @@
 //! of the protocol, which needs a version of its own.
 
 mod fleet;
-use dunepond_peers::{
+use dunepond_membership::{
     About, Code, Core, Counters, Envelope, Event, Head, Id, Kind, Orders, Peer, Refused, Seal, Span,
     Standing, Told, VERSION, frame, peek, unframe,
 };
--- a/crates/dunepond-peers/tests/membership.rs
+++ b/crates/dunepond-membership/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Who is there, on real sockets.
 
 mod fleet;
-use dunepond_peers::{Event, PeerError, Standing};
+use dunepond_membership::{Event, PeerError, Standing};
 use fleet::*;
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::sync::Arc;
@@ -35,7 +35,7 @@
     let at = crashed.peers.listen();
     crashed.peers.stop();
     fleet[0].left("n3");
-    let back = run(dunepond_peers::bind(at).unwrap(), told("n3", 2, &known));
+    let back = run(dunepond_membership::bind(at).unwrap(), told("n3", 2, &known));
     assert_eq!(fleet[0].came("n3"), 2);
     back.all_came(&["n1", "n2"]);
     let standing = fleet[0].peers.members().into_iter().find(|peer| peer.name == "n3").unwrap();
--- a/crates/dunepond-peers/tests/strangers.rs
+++ b/crates/dunepond-membership/tests/strangers.rs
@@ -1,7 +1,9 @@
 //! What comes from who is not believed: counted, told why, and without effect.
 
 mod fleet;
-use dunepond_peers::{About, Envelope, Event, Head, Id, Kind, Refused, Seal, Span, VERSION, frame, unframe};
+use dunepond_membership::{
+    About, Envelope, Event, Head, Id, Kind, Refused, Seal, Span, VERSION, frame, unframe,
+};
 use fleet::*;
 use rstest::rstest;
 use std::io::{Read, Write};
--- a/crates/dunepond-peers/tests/versions.rs
+++ b/crates/dunepond-membership/tests/versions.rs
@@ -3,8 +3,10 @@
 
 mod fleet;
 mod old;
-use dunepond_peers::{About, Code, Envelope, Event, Head, Id, Kind, PeerError, Refused, Seal, Span, VERSION};
-use dunepond_peers::{bind, frame, unframe};
+use dunepond_membership::{
+    About, Code, Envelope, Event, Head, Id, Kind, PeerError, Refused, Seal, Span, VERSION,
+};
+use dunepond_membership::{bind, frame, unframe};
 use fleet::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/dunepond-phases/tests/phases.rs
+++ b/crates/dunepond-prefilter/tests/phases.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunepond_phases::*;
+use dunepond_prefilter::*;
 use proptest::prelude::*;
 
 const SEGS: usize = 24;
--- a/crates/dunepond-limits/src/lib.rs
+++ b/crates/dunepond-quota/src/lib.rs
@@ -5,7 +5,7 @@
 //! not; the rest is spare, and leased: a [`Ledger`], which is part of the agreed log, says who has how much of it. A part
 //! that goes down counts at its old size until its broker has surely stopped acting on that ([`settled_from`]); only then may
 //! another's go up. So the sum stays within the whole at each moment, over any window that a bound is counted by, whatever
-//! is lost, cut off, stopped or started again. What holds and why is proved in `docs/notes/limits.md`.
+//! is lost, cut off, stopped or started again. What holds and why is proved in `docs/notes/quota.md`.
 
 mod error;
 mod ledger;
--- a/crates/dunepond-limits/src/plan.rs
+++ b/crates/dunepond-quota/src/plan.rs
@@ -4,7 +4,7 @@
 
 use crate::{Agreed, Bounds, Ledger, Part, Report};
 
-/// How spare units are split; which one is taken and why stands in `docs/notes/limits.md`.
+/// How spare units are split; which one is taken and why stands in `docs/notes/quota.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
     /// The same for each.
--- a/crates/dunepond-limits/tests/model.rs
+++ b/crates/dunepond-quota/tests/model.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_limits::*;
+use dunepond_quota::*;
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
--- a/crates/dunepond-limits/tests/plan.rs
+++ b/crates/dunepond-quota/tests/plan.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_limits::*;
+use dunepond_quota::*;
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/dunepond-limits/tests/service.rs
+++ b/crates/dunepond-quota/tests/service.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use dunepond_limits::*;
+use dunepond_quota::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
--- a/crates/dunepond-move/src/book.rs
+++ b/crates/dunepond-rebalance/src/book.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use dunepond_map::{Move, Proof};
+use dunepond_shard_map::{Move, Proof};
 use serde::{Deserialize, Serialize};
 
 use crate::layout::Wave;
--- a/crates/dunepond-move/src/error.rs
+++ b/crates/dunepond-rebalance/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use dunepond_map::Fault;
+use dunepond_shard_map::Fault;
 use serde::{Deserialize, Serialize};
 use strum::EnumCount;
 
--- a/crates/dunepond-move/src/layout.rs
+++ b/crates/dunepond-rebalance/src/layout.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use dunepond_map::{Change, Holder, Move, Proof, Range, Segment, check_change};
+use dunepond_shard_map::{Change, Holder, Move, Proof, Range, Segment, check_change};
 use serde::{Deserialize, Serialize};
 
 use crate::{MoveError, Operation};
--- a/crates/dunepond-move/src/order.rs
+++ b/crates/dunepond-rebalance/src/order.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
-use dunepond_map::Proof;
+use dunepond_shard_map::Proof;
 use serde::{Deserialize, Serialize};
 
 use crate::layout::{Applied, Layout, Wave};
@@ -191,7 +191,7 @@
     /// What each node holds otherwise after the act: before and after, of the segments that it takes and puts.
     fn differing(&self, applied: &Applied) -> Vec<(String, Load, Load)> {
         let mut there: Vec<(String, Load, Load)> = Vec::new();
-        let mut count = |segment: &dunepond_map::Segment, after: bool| {
+        let mut count = |segment: &dunepond_shard_map::Segment, after: bool| {
             let bytes = self.bytes.of(segment.keys);
             for holder in &segment.holders {
                 let at = there.iter().position(|(node, ..)| *node == holder.node).unwrap_or_else(|| {
--- a/crates/dunepond-move/src/room.rs
+++ b/crates/dunepond-rebalance/src/room.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_map::{Proof, Range, Segment};
+use dunepond_shard_map::{Proof, Range, Segment};
 
 use crate::{Operation, Plan, Short, Where};
 
--- a/crates/dunepond-move/tests/common/mod.rs
+++ b/crates/dunepond-rebalance/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Maps and plans for tests.
 #![allow(dead_code)]
 
-use dunepond_map::{Holder, Map, Proof, Range, Segment, Terms, check};
-use dunepond_move::{Node, Operation, Pace, Plan, Room, Sizes, Word};
+use dunepond_rebalance::{Node, Operation, Pace, Plan, Room, Sizes, Word};
+use dunepond_shard_map::{Holder, Map, Proof, Range, Segment, Terms, check};
 
 pub const PACE: Pace = Pace { at_once: 3, most_changed: 1.0 };
 
--- a/crates/dunepond-move/tests/model.rs
+++ b/crates/dunepond-rebalance/tests/model.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 use common::*;
-use dunepond_map::{Move, Proof, check_move};
-use dunepond_move::{Agreed, Book, By, Finish, MoveError, Next, Pace, Pause, Plan, Seen, Step, order};
+use dunepond_rebalance::{Agreed, Book, By, Finish, MoveError, Next, Pace, Pause, Plan, Seen, Step, order};
+use dunepond_shard_map::{Move, Proof, check_move};
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -220,7 +220,7 @@
     }
 
     fn held(proof: &Proof) -> Vec<(u64, String, Vec<String>)> {
-        let one = |s: &dunepond_map::Segment| {
+        let one = |s: &dunepond_shard_map::Segment| {
             (s.id, s.owner.clone(), s.holders.iter().map(|h| h.node.clone()).collect())
         };
         proof.segments().map(one).collect()
--- a/crates/dunepond-move/tests/properties.rs
+++ b/crates/dunepond-rebalance/tests/properties.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::*;
-use dunepond_map::{Map, Proof, Terms, check, check_move};
-use dunepond_move::{
+use dunepond_rebalance::{
     Agreed, Book, MoveError, Next, Operation, PASTS, Pace, Plan, Room, Seen, Step, Wave, order, prove,
 };
+use dunepond_shard_map::{Map, Proof, Terms, check, check_move};
 use proptest::prelude::*;
 
 const NODES: [&str; 4] = ["a", "b", "c", "d"];
@@ -117,7 +117,7 @@
     assert_eq!((whole.needs(), whole.changed()), (moving.needs(), moving.changed()));
     let needs: Vec<_> = moving.needs().iter().map(|need| (need.segment, need.holder.clone())).collect();
     // Where owners change nothing is filled.
-    assert!(needs.is_empty() || wave.kind == dunepond_move::Kind::Fill);
+    assert!(needs.is_empty() || wave.kind == dunepond_rebalance::Kind::Fill);
     Ok(moving.to().with_filled(needs.iter().map(|(id, node)| (*id, &**node))))
 }
 
@@ -155,7 +155,7 @@
 }
 
 fn one_act(plan: &Plan, proof: &Proof, at: usize, done: usize, pending: &BTreeSet<u64>) -> Option<Proof> {
-    use dunepond_move::{Act, Kind};
+    use dunepond_rebalance::{Act, Kind};
     let (kind, act) = match plan.operations[at].clone() {
         Operation::Split { segment, at, into } => (Kind::Quiet, Act::Split { segment, at, into }),
         Operation::Merge { segments, into } => (Kind::Quiet, Act::Merge { segments, into }),
@@ -254,7 +254,7 @@
             }
         }
         let held = |proof: &Proof| -> Vec<_> {
-            let one = |s: &dunepond_map::Segment| {
+            let one = |s: &dunepond_shard_map::Segment| {
                 let nodes: BTreeSet<_> = s.holders.iter().map(|h| h.node.clone()).collect();
                 (s.id, s.keys, s.owner.clone(), nodes)
             };
--- a/crates/dunepond-move/tests/stories.rs
+++ b/crates/dunepond-rebalance/tests/stories.rs
@@ -3,15 +3,15 @@
 mod common;
 
 use common::*;
-use dunepond_map::{Proof, Step as At};
-use dunepond_move::{Kind, MoveError, Pace, Room, Step, Where, order, prove};
+use dunepond_rebalance::{Kind, MoveError, Pace, Room, Step, Where, order, prove};
+use dunepond_shard_map::{Proof, Step as At};
 use rstest::rstest;
 use strum::EnumCount;
 
 /// Carries the steps out on maps, each by what a version's change is judged by.
 fn carried_out<'a>(
     from: &Proof,
-    waves: impl Iterator<Item = &'a dunepond_move::Wave>,
+    waves: impl Iterator<Item = &'a dunepond_rebalance::Wave>,
 ) -> (Proof, Vec<(usize, usize)>) {
     let (mut proof, mut told) = (from.clone(), Vec::new());
     for (step, wave) in waves.enumerate() {
@@ -23,7 +23,7 @@
     (proof, told)
 }
 
-fn forward(steps: &[Step]) -> impl Iterator<Item = &dunepond_move::Wave> {
+fn forward(steps: &[Step]) -> impl Iterator<Item = &dunepond_rebalance::Wave> {
     steps.iter().map(|step| &step.wave)
 }
 
@@ -87,9 +87,12 @@
 }
 
 #[rstest]
-#[case::of_a_cell(|plan: &mut dunepond_move::Plan| { plan.cells.insert("left".into(), Room { bytes: Some(15), segments: None }); }, Where::Cell("left".into()))]
-#[case::of_a_partner(|plan: &mut dunepond_move::Plan| { plan.partners.insert("south".into(), Room { bytes: None, segments: Some(1) }); }, Where::Partner("south".into()))]
-fn room_of_cells_and_partners_counts_too(#[case] bound: fn(&mut dunepond_move::Plan), #[case] whose: Where) {
+#[case::of_a_cell(|plan: &mut dunepond_rebalance::Plan| { plan.cells.insert("left".into(), Room { bytes: Some(15), segments: None }); }, Where::Cell("left".into()))]
+#[case::of_a_partner(|plan: &mut dunepond_rebalance::Plan| { plan.partners.insert("south".into(), Room { bytes: None, segments: Some(1) }); }, Where::Partner("south".into()))]
+fn room_of_cells_and_partners_counts_too(
+    #[case] bound: fn(&mut dunepond_rebalance::Plan),
+    #[case] whose: Where,
+) {
     let from = proof(&[&["a"], &["c"], &["b"]]);
     // `a` and `c` are the left cell, `c` and `d` the south.
     let mut plan = plan(vec![moves(2, "b", "c")]);
@@ -148,15 +151,15 @@
     let section = page.split("## Moves").nth(1).unwrap();
     let lines = section.lines().skip_while(|line| !line.starts_with("    {"));
     let text: String = lines.take_while(|line| line.starts_with("    ")).collect();
-    let plan = dunepond_move::Plan::read(&text).unwrap();
+    let plan = dunepond_rebalance::Plan::read(&text).unwrap();
     assert_eq!((plan.operations.len(), plan.nodes["s-3"].room.segments), (4, Some(40)));
-    let error = dunepond_move::Plan::read(&text.replace("unless", "unles")).unwrap_err();
+    let error = dunepond_rebalance::Plan::read(&text.replace("unless", "unles")).unwrap_err();
     assert!(matches!(error, MoveError::NotAPlan { .. }), "{error}");
 }
 
 #[test]
 fn each_error_says_what_can_be_done() {
-    let short = dunepond_move::Short {
+    let short = dunepond_rebalance::Short {
         whose: Where::Node("a".to_string()),
         unit: "bytes".to_string(),
         room: 10,
@@ -189,7 +192,7 @@
         MoveError::TooMany { step, operation, changed: 1, of: 2, most: 0.2 },
         MoveError::OutOfRoom { step, operation, short: short.clone().into() },
         MoveError::TooHard { looks: 1, step, operation, short: short.into() },
-        MoveError::Map { step, faults: vec![dunepond_map::Fault::NoSegments] },
+        MoveError::Map { step, faults: vec![dunepond_shard_map::Fault::NoSegments] },
         MoveError::NotInOrder { step, what: String::new() },
         MoveError::Runs { running: id.clone() },
         MoveError::Known { id: id.clone(), how: String::new() },
--- a/crates/dunepond-state/src/beliefs.rs
+++ b/crates/dunepond-recovery/src/beliefs.rs
@@ -1,6 +1,6 @@
 //! What was learned of nodes, by their names, and what of it holds after a time without us.
 
-use dunepond_decide::{Beliefs, NodeBelief, NodeId, SampleBelief};
+use dunepond_routing::{Beliefs, NodeBelief, NodeId, SampleBelief};
 use serde::{Deserialize, Serialize};
 
 use crate::{Stamp, Unread, decode, encode};
--- a/crates/dunepond-state/src/ledger.rs
+++ b/crates/dunepond-recovery/src/ledger.rs
@@ -5,7 +5,7 @@
 //! and what was spent then was measured against scans that nobody remembers. So all that could have been spent counts
 //! as spent, until nothing of it stands in any window. A ledger that lags behind would have to say the same.
 
-use dunepond_decide::{Ledger, NodeId};
+use dunepond_routing::{Ledger, NodeId};
 use serde::{Deserialize, Serialize};
 
 use crate::beliefs::Identity;
--- a/crates/dunepond-state/tests/beliefs.rs
+++ b/crates/dunepond-recovery/tests/beliefs.rs
@@ -1,8 +1,8 @@
 //! What is believed after a restart, and what is owed.
 
-use dunepond_decide::{Beliefs, Ledger, NodeBelief, SampleBelief};
-use dunepond_state::ledger::owed;
-use dunepond_state::*;
+use dunepond_recovery::ledger::owed;
+use dunepond_recovery::*;
+use dunepond_routing::{Beliefs, Ledger, NodeBelief, SampleBelief};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/dunepond-state/tests/golden.rs
+++ b/crates/dunepond-recovery/tests/golden.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
-use dunepond_decide::{Beliefs, Ledger, NodeBelief, SampleBelief};
-use dunepond_state::{Entry, Identity, SavedBeliefs, Stamp, VERSION};
+use dunepond_recovery::{Entry, Identity, SavedBeliefs, Stamp, VERSION};
+use dunepond_routing::{Beliefs, Ledger, NodeBelief, SampleBelief};
 
 fn golden(name: &str) -> Vec<u8> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden").join(name);
--- a/crates/dunepond-decide/tests/fake/mod.rs
+++ b/crates/dunepond-routing/tests/fake/mod.rs
@@ -1,6 +1,6 @@
 //! A host of few lines: nodes that answer each dispatch after a set time, or never.
 #![allow(dead_code, reason = "each file of stories uses its own part")]
-use dunepond_decide::*;
+use dunepond_routing::*;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Final {
--- a/crates/dunepond-decide/tests/fleet.rs
+++ b/crates/dunepond-routing/tests/fleet.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use dunepond_decide::*;
+use dunepond_routing::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
--- a/crates/dunepond-decide/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunepond_decide::{
+use dunepond_routing::{
     Broker, ColdRule, Deployment, End, Ended, FurtherBudget, Host, Limits, Listed, NodeId, Part, Repeat,
     Rules, Scan, ScanId, Shutdown, ShutdownStage, Standing, TableType,
 };
--- a/crates/dunepond-decide/tests/stories.rs
+++ b/crates/dunepond-routing/tests/stories.rs
@@ -2,7 +2,7 @@
 
 mod fake;
 
-use dunepond_decide::*;
+use dunepond_routing::*;
 use fake::*;
 use rstest::rstest;
 
--- a/crates/dunepond-search/tests/answers.rs
+++ b/crates/dunepond-search-api/tests/answers.rs
@@ -1,10 +1,10 @@
 //! Answers of nodes that are broken, too much or another's; the first hits of all; and partial results.
 
-use dunepond_search::answer::{self, Parts};
-use dunepond_search::hits::{Expected, Found, Hit, Merge, Written};
-use dunepond_search::node::{Meaning, meaning};
-use dunepond_search::request::{Track, read};
-use dunepond_search::*;
+use dunepond_search_api::answer::{self, Parts};
+use dunepond_search_api::hits::{Expected, Found, Hit, Merge, Written};
+use dunepond_search_api::node::{Meaning, meaning};
+use dunepond_search_api::request::{Track, read};
+use dunepond_search_api::*;
 use proptest::prelude::*;
 use rstest::rstest;
 use serde_json::{Value, json};
--- a/crates/dunepond-search/tests/requests.rs
+++ b/crates/dunepond-search-api/tests/requests.rs
@@ -1,8 +1,8 @@
 //! Requests that do and that do not, each fault with its place; and texts that are the same whatever way they were written.
 
-use dunepond_search::query::Query;
-use dunepond_search::request::{Source, Track, read};
-use dunepond_search::*;
+use dunepond_search_api::query::Query;
+use dunepond_search_api::request::{Source, Track, read};
+use dunepond_search_api::*;
 use rstest::rstest;
 use serde_json::{Value, json};
 
--- a/crates/dunepond-debts/tests/book.rs
+++ b/crates/dunepond-settlement/tests/book.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use dunepond_debts::*;
+use dunepond_settlement::*;
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/dunepond-debts/tests/counts.rs
+++ b/crates/dunepond-settlement/tests/counts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunepond_debts::{Counts, DebtError, Sides, Tally};
+use dunepond_settlement::{Counts, DebtError, Sides, Tally};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/dunepond-debts/tests/leaders.rs
+++ b/crates/dunepond-settlement/tests/leaders.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_debts::*;
+use dunepond_settlement::*;
 use rstest::rstest;
 
 const WINDOW: f64 = 600.0;
--- a/crates/dunepond-debts/tests/model.rs
+++ b/crates/dunepond-settlement/tests/model.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Mutex;
 
-use dunepond_debts::*;
+use dunepond_settlement::*;
 use rstest::rstest;
 use stateright::{Checker, Model, Property, UniformChooser};
 
--- a/crates/dunepond-debts/tests/plan.rs
+++ b/crates/dunepond-settlement/tests/plan.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use dunepond_debts::*;
+use dunepond_settlement::*;
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
--- a/crates/dunepond-debts/tests/telling.rs
+++ b/crates/dunepond-settlement/tests/telling.rs
@@ -1,6 +1,6 @@
 //! What of the counts a peer is told: nobody is left behind, and those who have all hear next to nothing.
 
-use dunepond_debts::{Counts, Sides, Tally, Telling, Word};
+use dunepond_settlement::{Counts, Sides, Tally, Telling, Word};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/dunepond-debts/tests/week.rs
+++ b/crates/dunepond-settlement/tests/week.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_debts::*;
+use dunepond_settlement::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/dunepond-map/benches/million.rs
+++ b/crates/dunepond-shard-map/benches/million.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput};
-use dunepond_map::*;
+use dunepond_shard_map::*;
 
 struct Counting;
 
--- a/crates/dunepond-map/tests/common/mod.rs
+++ b/crates/dunepond-shard-map/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Small maps over a key space of 32 slots, each 2^59 keys wide.
 #![allow(dead_code)]
 
-use dunepond_map::*;
+use dunepond_shard_map::*;
 
 pub const SLOTS: u32 = 32;
 pub const TERMS: Terms = Terms { least_holders: 2, least_zones: 2 };
--- a/crates/dunepond-map/tests/faults.rs
+++ b/crates/dunepond-shard-map/tests/faults.rs
@@ -6,7 +6,7 @@
 use std::mem::discriminant;
 
 use common::*;
-use dunepond_map::*;
+use dunepond_shard_map::*;
 use strum::EnumCount;
 
 /// One of each; with one variant more the count below no longer holds.
--- a/crates/dunepond-map/tests/golden.rs
+++ b/crates/dunepond-shard-map/tests/golden.rs
@@ -8,7 +8,7 @@
 use std::mem::discriminant;
 
 use common::*;
-use dunepond_map::*;
+use dunepond_shard_map::*;
 use serde::{Serialize, de::DeserializeOwned};
 use strum::EnumCount;
 
--- a/crates/dunepond-map/tests/moves.rs
+++ b/crates/dunepond-shard-map/tests/moves.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use dunepond_map::*;
+use dunepond_shard_map::*;
 use rstest::rstest;
 
 fn need(segment: u64, holder: u32, sources: &[u32]) -> Need {
--- a/crates/dunepond-map/tests/properties.rs
+++ b/crates/dunepond-shard-map/tests/properties.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 use common::*;
-use dunepond_map::*;
+use dunepond_shard_map::*;
 use proptest::prelude::*;
 use proptest::sample::{Index, subsequence};
 
--- a/crates/dunepond-map/tests/stories.rs
+++ b/crates/dunepond-shard-map/tests/stories.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use dunepond_map::*;
+use dunepond_shard_map::*;
 use rstest::rstest;
 
 fn at(id: u64, from: u32, to: u32) -> Place {
--- a/crates/dunepond-simhost/src/desk.rs
+++ b/crates/dunepond-sim-adapter/src/desk.rs
@@ -3,8 +3,8 @@
 
 use std::collections::HashMap;
 
-use dunepond_decide::{Broker, End, Ended, Host, Listed, NodeId, Part, Scan, ScanId};
-use dunepond_settings::{Bad, Fields, deployment};
+use dunepond_config::{Bad, Fields, deployment};
+use dunepond_routing::{Broker, End, Ended, Host, Listed, NodeId, Part, Scan, ScanId};
 use serde_json::{Value, json};
 
 use crate::Lists;
@@ -169,7 +169,7 @@
             }
             // Known, and nothing the decisions go by here.
             "underWay" | "fromPeer" => {}
-            other => eprintln!("dunepond-simhost: {other}: unknown kind of event, skipped"),
+            other => eprintln!("dunepond-sim-adapter: {other}: unknown kind of event, skipped"),
         }
         Ok(())
     }
--- a/crates/dunepond-simhost/src/main.rs
+++ b/crates/dunepond-sim-adapter/src/main.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 
 use desk::Seat;
-use dunepond_settings::{Bad, Fields};
+use dunepond_config::{Bad, Fields};
 use serde_json::{Value, json};
 
 /// The numbered node lists last registered; one set for the whole process.
@@ -88,7 +88,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(Bad(line)) => {
-            eprintln!("dunepond-simhost: {line}");
+            eprintln!("dunepond-sim-adapter: {line}");
             ExitCode::FAILURE
         }
     }
--- a/crates/dunepond-simhost/src/read.rs
+++ b/crates/dunepond-sim-adapter/src/read.rs
@@ -1,7 +1,7 @@
 //! Reads node rows out of the simulator's messages.
 
-use dunepond_decide::Standing;
-use dunepond_settings::{Bad, Fields};
+use dunepond_config::{Bad, Fields};
+use dunepond_routing::Standing;
 use serde::Deserialize;
 
 #[derive(Deserialize, Clone)]
--- a/crates/dunepond-simhost/tests/wire.rs
+++ b/crates/dunepond-sim-adapter/tests/wire.rs
@@ -18,7 +18,7 @@
 "delaySeenMs":200,"closed":true,"gauge":{"x9":1}}"#;
 
 fn play(batches: &[String]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_dunepond-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_dunepond-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/dunepond-sim/src/debts.rs
+++ b/crates/dunepond-simulation/src/debts.rs
@@ -1,7 +1,7 @@
 //! Debts as the agreed log has them.
 
-use dunepond_agree::{Change, Entry, Member, State};
-use dunepond_debts::{Agreed, Settlement};
+use dunepond_consensus::{Change, Entry, Member, State};
+use dunepond_settlement::{Agreed, Settlement};
 
 pub fn settle(settlement: Settlement) -> Entry {
     Entry::Debt(Agreed::Settle(settlement))
--- a/crates/dunepond-sim/src/fleet.rs
+++ b/crates/dunepond-simulation/src/fleet.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeSet, HashMap};
 use std::ops::Deref;
 
-use dunepond_agree::*;
-use dunepond_debts::Settlement;
-use dunepond_map::{Holder, Map, Range, Segment};
+use dunepond_consensus::*;
+use dunepond_settlement::Settlement;
+use dunepond_shard_map::{Holder, Map, Range, Segment};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -34,7 +34,7 @@
         fills_deadline: 5.0,
         most_changed: 1.0,
         maps: true,
-        map: dunepond_map::Terms { least_holders: 1, least_zones: 1 },
+        map: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
     }
 }
 
--- a/crates/dunepond-sim/src/judge.rs
+++ b/crates/dunepond-simulation/src/judge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunepond_agree::{Acting, Change, Outcome, Owner, Phase};
+use dunepond_consensus::{Acting, Change, Outcome, Owner, Phase};
 
 use crate::debts;
 
--- a/crates/dunepond-sim/src/size/fills.rs
+++ b/crates/dunepond-simulation/src/size/fills.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_agree::{Entry, Refusal};
-use dunepond_debts::{
+use dunepond_consensus::{Entry, Refusal};
+use dunepond_settlement::{
     Agreed, Applied, Book, Cold, Counts, Fill, Ledger, Links, Need, Planner, Rule, Settlement, Sides, Terms,
 };
 use rand::{RngExt, SeedableRng};
--- a/crates/dunepond-sim/src/size/mod.rs
+++ b/crates/dunepond-simulation/src/size/mod.rs
@@ -5,7 +5,7 @@
 mod trouble;
 mod world;
 
-use dunepond_agree::{Entry, Refusal, Terms, Version, Voter};
+use dunepond_consensus::{Entry, Refusal, Terms, Version, Voter};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -64,7 +64,7 @@
             fills_deadline: 8.0,
             most_changed: 1.0,
             maps: true,
-            map: dunepond_map::Terms { least_holders: 1, least_zones: 1 },
+            map: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
         }
     }
 }
@@ -124,7 +124,7 @@
         let first = version(1, self.world.map(1));
         self.propose(first).expect("the first version");
         assert!(
-            self.until(BACK, |fleet| fleet.all(&dunepond_agree::Phase::Alone(1))),
+            self.until(BACK, |fleet| fleet.all(&dunepond_consensus::Phase::Alone(1))),
             "version 1 is in force everywhere"
         );
     }
@@ -191,7 +191,7 @@
         let next = self.fleet.state(leader).highest + 1;
         let map = self.world.changed(self.fleet.state(leader), next, 0, &mut self.chance);
         self.propose(version(next, map)).expect("the next version");
-        let all = |fleet: &Fleet| fleet.all(&dunepond_agree::Phase::Alone(next));
+        let all = |fleet: &Fleet| fleet.all(&dunepond_consensus::Phase::Alone(next));
         let agreed = self.until(BACK, all);
         let phases: Vec<_> = (0..self.shape.brokers).map(|n| self.fleet.phase(n)).collect();
         assert!(agreed, "{:.2}: version {next} everywhere: {phases:?}", self.fleet.now);
--- a/crates/dunepond-sim/src/size/trouble.rs
+++ b/crates/dunepond-simulation/src/size/trouble.rs
@@ -1,6 +1,6 @@
 //! What happens to a fleet: to one broker, and to many at once for one cause.
 
-use dunepond_agree::Voter;
+use dunepond_consensus::Voter;
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
@@ -196,7 +196,7 @@
             2 => drop(wrong.map.as_mut().expect("it has one").segments.remove(1)),
             _ => wrong.rules.budget_share = f64::NAN,
         }
-        let entry = dunepond_agree::Entry::Propose(Box::new(wrong));
+        let entry = dunepond_consensus::Entry::Propose(Box::new(wrong));
         let _ = self.fleet.propose_at(leader, entry, true);
     }
 
@@ -227,7 +227,7 @@
         for n in 0..self.shape.brokers {
             self.fleet.brokers[n].torn = false;
             // A broker whose clock went back trusts it no more in that run, or will not once it hears of it: its watchman's.
-            let distrusts = |member: &dunepond_agree::Member| member.distrusted().is_some();
+            let distrusts = |member: &dunepond_consensus::Member| member.distrusted().is_some();
             if self.fleet.set_back_in_run(n) || self.fleet.brokers[n].member.as_ref().is_some_and(distrusts) {
                 self.fleet.kill(n);
             }
--- a/crates/dunepond-sim/src/size/world.rs
+++ b/crates/dunepond-simulation/src/size/world.rs
@@ -1,7 +1,7 @@
 //! Nodes, partners and the maps that versions bring.
 
-use dunepond_agree::{Standings, State, Version};
-use dunepond_map::{Holder, Map, Range, Segment};
+use dunepond_consensus::{Standings, State, Version};
+use dunepond_shard_map::{Holder, Map, Range, Segment};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
@@ -49,7 +49,8 @@
         let segment = |id: u64| {
             let first = 2 * id as usize;
             let holders = vec![self.holder(first, true, 0.5), self.holder(first + 1, true, 0.5)];
-            let end = if id + 1 == self.segments { dunepond_map::END } else { u128::from(id + 1) * width };
+            let end =
+                if id + 1 == self.segments { dunepond_shard_map::END } else { u128::from(id + 1) * width };
             let keys = Range::of(u128::from(id) * width, end);
             Segment { id, keys, owner: self.node(first), holders }
         };
--- a/crates/dunepond-sim/src/voters.rs
+++ b/crates/dunepond-simulation/src/voters.rs
@@ -1,6 +1,6 @@
 //! Changes of voters, as operators make them.
 
-use dunepond_agree::*;
+use dunepond_consensus::*;
 
 use crate::fleet::Fleet;
 
--- a/crates/dunepond-sim/tests/life.rs
+++ b/crates/dunepond-simulation/tests/life.rs
@@ -4,10 +4,10 @@
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicIsize, Ordering::Relaxed};
 
-use dunepond_agree::*;
-use dunepond_debts::Settlement;
-use dunepond_sim::debts;
-use dunepond_sim::fleet::{Fleet, map, settlement, terms, version};
+use dunepond_consensus::*;
+use dunepond_settlement::Settlement;
+use dunepond_simulation::debts;
+use dunepond_simulation::fleet::{Fleet, map, settlement, terms, version};
 
 struct Counting;
 
@@ -45,7 +45,7 @@
 }
 
 fn held(fleet: &Fleet) -> Held {
-    let bytes = |broker: &dunepond_sim::fleet::Broker| broker.disk.iter().map(Vec::len).sum::<usize>();
+    let bytes = |broker: &dunepond_simulation::fleet::Broker| broker.disk.iter().map(Vec::len).sum::<usize>();
     Held { memory: HELD.load(Relaxed), folder: fleet.brokers.iter().map(bytes).max().unwrap_or(0) }
 }
 
--- a/crates/dunepond-sim/tests/seeds.rs
+++ b/crates/dunepond-simulation/tests/seeds.rs
@@ -1,7 +1,7 @@
 //! Small fleets through all kinds of trouble, by seed. What must hold is judged at each step; a seed that
 //! failed stays here by its number.
 
-use dunepond_sim::size::{Play, Report, Shape};
+use dunepond_simulation::size::{Play, Report, Shape};
 
 const BROKERS: usize = 8;
 
@@ -27,7 +27,7 @@
     let failed = play_all(0..50);
     assert!(
         failed.is_empty(),
-        "failed: {failed:?}; alone: SEED=N cargo test -p dunepond-sim --test seeds -- --ignored one"
+        "failed: {failed:?}; alone: SEED=N cargo test -p dunepond-simulation --test seeds -- --ignored one"
     );
 }
 
@@ -38,14 +38,14 @@
     assert_ne!(one.trace, other.trace);
 }
 
-/// Plays one alone: `SEED=7 cargo test -p dunepond-sim --test seeds -- --ignored --nocapture one`.
+/// Plays one alone: `SEED=7 cargo test -p dunepond-simulation --test seeds -- --ignored --nocapture one`.
 #[test]
 #[ignore = "by hand"]
 fn one() {
     println!("{:?}", play(std::env::var("SEED").unwrap().parse().unwrap()));
 }
 
-/// Many of a size, by hand: `SEEDS=4000..4300 BROKERS=12 cargo test --release -p dunepond-sim --test seeds -- --ignored
+/// Many of a size, by hand: `SEEDS=4000..4300 BROKERS=12 cargo test --release -p dunepond-simulation --test seeds -- --ignored
 /// --nocapture many`.
 #[test]
 #[ignore = "by hand"]
--- a/crates/dunepond-store/tests/crashes.rs
+++ b/crates/dunepond-storage/tests/crashes.rs
@@ -3,8 +3,8 @@
 
 use std::sync::Arc;
 
-use dunepond_lab::files::{Mem, Plan};
-use dunepond_store::*;
+use dunepond_storage::*;
+use dunepond_testkit::files::{Mem, Plan};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/dunepond-store/tests/golden.rs
+++ b/crates/dunepond-storage/tests/golden.rs
@@ -5,8 +5,10 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 
-use dunepond_lab::files::Mem;
-use dunepond_store::{Fault, Files, Folder, Found, Journal, Record, Recovered, Snapshot, Snapshots, Writing};
+use dunepond_storage::{
+    Fault, Files, Folder, Found, Journal, Record, Recovered, Snapshot, Snapshots, Writing,
+};
+use dunepond_testkit::files::Mem;
 
 const FORMAT: u32 = 7;
 const FIRST: &[u8] = b"the first one";
--- a/crates/dunepond-lab/src/auditor/records.rs
+++ b/crates/dunepond-testkit/src/auditor/records.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::Path;
 
-pub use dunepond_fleet::{Act, Line, Word};
+pub use dunepond_control_plane::{Act, Line, Word};
 
 /// What stood in the files: lines by their time, and lines that cannot be read, each with its place.
 #[derive(Clone, Debug, Default)]
--- a/crates/dunepond-lab/src/disk.rs
+++ b/crates/dunepond-testkit/src/disk.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use std::{fs, thread};
 
-use dunepond_bodies::{Disk, Folder, Volume};
-use dunepond_store::{Files, Writing};
+use dunepond_body_buffer::{Disk, Folder, Volume};
+use dunepond_storage::{Files, Writing};
 
 pub struct Faulty {
     disk: Disk,
@@ -83,7 +83,7 @@
 pub struct ToldFiles {
     path: PathBuf,
     told: PathBuf,
-    folder: std::sync::Mutex<Option<Arc<dunepond_store::Folder>>>,
+    folder: std::sync::Mutex<Option<Arc<dunepond_storage::Folder>>>,
 }
 
 impl ToldFiles {
@@ -92,12 +92,12 @@
     }
 
     /// Opened at the first call, so that a folder which another has is found out as the broker finds it out.
-    fn folder(&self, reading: bool) -> io::Result<Arc<dunepond_store::Folder>> {
+    fn folder(&self, reading: bool) -> io::Result<Arc<dunepond_storage::Folder>> {
         obey(&self.told, reading)?;
         let mut folder = self.folder.lock().unwrap();
         match &*folder {
             Some(folder) => Ok(folder.clone()),
-            None => Ok(folder.insert(Arc::new(dunepond_store::Folder::open(&self.path)?)).clone()),
+            None => Ok(folder.insert(Arc::new(dunepond_storage::Folder::open(&self.path)?)).clone()),
         }
     }
 }
--- a/crates/dunepond-lab/src/experiments/debts.rs
+++ b/crates/dunepond-testkit/src/experiments/debts.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use dunepond_debts::Rule;
+use dunepond_settlement::Rule;
 
 use super::Way;
 use crate::report::{Curve, Figures};
--- a/crates/dunepond-lab/src/experiments/debts/world.rs
+++ b/crates/dunepond-testkit/src/experiments/debts/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use dunepond_debts::*;
+use dunepond_settlement::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/dunepond-lab/src/experiments/fleet_at_size/cost.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/cost.rs
@@ -1,8 +1,8 @@
 //! A fleet at rest that agrees on a version every few leases: what each broker, and the leader, has to do for it, by the
 //! number of brokers.
 
-use dunepond_sim::fleet::Load;
-use dunepond_sim::size::{Play, Report, Shape};
+use dunepond_simulation::fleet::Load;
+use dunepond_simulation::size::{Play, Report, Shape};
 use nix::time::{ClockId, clock_gettime};
 
 use super::fit::fit;
--- a/crates/dunepond-lab/src/experiments/fleet_at_size/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/mod.rs
@@ -4,7 +4,7 @@
 mod fit;
 mod parts;
 
-use dunepond_sim::size::{Play, Report, Shape};
+use dunepond_simulation::size::{Play, Report, Shape};
 
 use super::Way;
 use crate::report::Figures;
@@ -26,7 +26,9 @@
     played.map_err(|why| {
         let why = why.downcast_ref::<String>().cloned().or(why.downcast_ref::<&str>().map(|s| s.to_string()));
         let why = why.unwrap_or_default();
-        format!("seed {seed}: {why}; alone: dunepond-lab run fleet-at-size --seed {seed} --brokers {brokers}")
+        format!(
+            "seed {seed}: {why}; alone: dunepond-testkit run fleet-at-size --seed {seed} --brokers {brokers}"
+        )
     })
 }
 
--- a/crates/dunepond-lab/src/experiments/map.rs
+++ b/crates/dunepond-testkit/src/experiments/map.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use dunepond_map::*;
+use dunepond_shard_map::*;
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/dunepond-lab/src/experiments/search.rs
+++ b/crates/dunepond-testkit/src/experiments/search.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use dunepond_search::hits::{Found, Hit, Merge};
-use dunepond_search::{Call, Limits, Sort, request};
+use dunepond_search_api::hits::{Found, Hit, Merge};
+use dunepond_search_api::{Call, Limits, Sort, request};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
--- a/crates/dunepond-lab/src/experiments/work.rs
+++ b/crates/dunepond-testkit/src/experiments/work.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_work::{Budget, Cost, Kind, Outcome, Priority, Scheduler, Spec, Used};
+use dunepond_background::{Budget, Cost, Kind, Outcome, Priority, Scheduler, Spec, Used};
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/dunepond-lab/src/files.rs
+++ b/crates/dunepond-testkit/src/files.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-use dunepond_store::{Files, Writing};
+use dunepond_storage::{Files, Writing};
 
 /// What is to become of the calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/dunepond-lab/src/fleet/clients.rs
+++ b/crates/dunepond-testkit/src/fleet/clients.rs
@@ -18,7 +18,7 @@
 impl Fleet {
     /// Fixes that came to nodes, as these counted them.
     pub fn ran(&self) -> Vec<Ran> {
-        let (now, steady) = (Instant::now(), dunepond_fleet::steady());
+        let (now, steady) = (Instant::now(), dunepond_control_plane::steady());
         let fix = |node: &Node| {
             let came = |at: Instant| steady - now.saturating_duration_since(at).as_secs_f64();
             let ran = |(at, id): (Instant, String)| {
--- a/crates/dunepond-lab/src/main.rs
+++ b/crates/dunepond-testkit/src/main.rs
@@ -6,13 +6,13 @@
 
 use anyhow::{Context, anyhow};
 use clap::{Parser, Subcommand};
-use dunepond::{Hooks, config, logger, serve};
-use dunepond_bodies::Folder;
-use dunepond_fleet::StandIns;
-use dunepond_lab::disk::{Faulty, ToldFiles};
-use dunepond_lab::experiments::{self, Way};
-use dunepond_settings::Bad;
-use dunepond_store::Files;
+use dunepond_body_buffer::Folder;
+use dunepond_broker::{Hooks, config, logger, serve};
+use dunepond_config::Bad;
+use dunepond_control_plane::StandIns;
+use dunepond_storage::Files;
+use dunepond_testkit::disk::{Faulty, ToldFiles};
+use dunepond_testkit::experiments::{self, Way};
 
 /// Experiments on the real broker among stand-ins on loopback.
 #[derive(Parser)]
--- a/crates/dunepond-lab/src/store.rs
+++ b/crates/dunepond-testkit/src/store.rs
@@ -378,7 +378,10 @@
 pub fn program() -> PathBuf {
     let ours = std::env::current_exe().unwrap();
     let folders = ours.ancestors().skip(1).take(2);
-    folders.map(|folder| folder.join("dunepond")).find(|path| path.exists()).expect("dunepond is built")
+    folders
+        .map(|folder| folder.join("dunepond-broker"))
+        .find(|path| path.exists())
+        .expect("dunepond-broker is built")
 }
 
 /// Runs the program on a configuration; not started yet, it tells on its standard error why.
--- a/crates/dunepond-lab/tests/agree.rs
+++ b/crates/dunepond-testkit/tests/agree.rs
@@ -5,13 +5,13 @@
 use std::thread;
 use std::time::Duration;
 
-use dunepond_agree::Version;
-use dunepond_lab::auditor::{Act, Word, longest_contradiction};
-use dunepond_lab::fleet::{FIX, Fleet, KEY, Plan, SEGMENT, TYPES, Went, name, share};
-use dunepond_lab::links::{CUT, Manner, WHOLE};
-use dunepond_lab::lives::unix_ms;
-use dunepond_lab::processes::wait;
-use dunepond_peers::{Event, Kind, Told};
+use dunepond_consensus::Version;
+use dunepond_membership::{Event, Kind, Told};
+use dunepond_testkit::auditor::{Act, Word, longest_contradiction};
+use dunepond_testkit::fleet::{FIX, Fleet, KEY, Plan, SEGMENT, TYPES, Went, name, share};
+use dunepond_testkit::links::{CUT, Manner, WHOLE};
+use dunepond_testkit::lives::unix_ms;
+use dunepond_testkit::processes::wait;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -31,7 +31,7 @@
 const GAP: Duration = Duration::from_millis(60);
 
 fn plan(voters: usize, brokers: usize) -> Plan {
-    Plan::new(Path::new(env!("CARGO_BIN_EXE_dunepond-lab")), voters, brokers)
+    Plan::new(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), voters, brokers)
 }
 
 /// All brokers but this one.
@@ -403,7 +403,7 @@
     fleet.brokers[4].kill();
     let known = (0..4).map(|i| (name(i), fleet.links.at("n5", &name(i)))).collect();
     let told = Told { key: Some(KEY.to_string()), ..Told::new("n5", unix_ms(), fleet.listens[4], known, 1) };
-    let (peers, events) = dunepond_peers::start(told).unwrap();
+    let (peers, events) = dunepond_membership::start(told).unwrap();
     // A busy machine can move the lead between two words: whoever leads by then is asked, as a broker would.
     const A_VERSION: u8 = 0;
     const LEADS: u8 = 1;
--- a/crates/dunepond-lab/tests/agree/debts.rs
+++ b/crates/dunepond-testkit/tests/agree/debts.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use dunepond_debts::{Counts, Sides, Tally};
-use dunepond_lab::auditor::Line;
-use dunepond_lab::fleet::PARTNERS;
-use dunepond_store::{Files, Folder as Directory, Snapshots};
+use dunepond_settlement::{Counts, Sides, Tally};
+use dunepond_storage::{Files, Folder as Directory, Snapshots};
+use dunepond_testkit::auditor::Line;
+use dunepond_testkit::fleet::PARTNERS;
 
 use super::*;
 
--- a/crates/dunepond-lab/tests/agree/limits.rs
+++ b/crates/dunepond-testkit/tests/agree/limits.rs
@@ -1,6 +1,6 @@
 //! Bounds that the fleet shares, while who has a part is alone, dead, cut off or stopped.
 
-use dunepond_lab::auditor::limits::{WHOLE as UNITS, largest};
+use dunepond_testkit::auditor::limits::{WHOLE as UNITS, largest};
 
 use super::*;
 
--- a/crates/dunepond-lab/tests/auditor.rs
+++ b/crates/dunepond-testkit/tests/auditor.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunepond_lab::auditor::{Finding, Known, Ran, Records, audit, limits, longest_contradiction};
+use dunepond_testkit::auditor::{Finding, Known, Ran, Records, audit, limits, longest_contradiction};
 use rstest::rstest;
 
 /// Three brokers over a change from version 1 to 2, in which segment 5 goes from s-0 to s-1: joint from 10.0, the new
--- a/crates/dunepond-lab/tests/bodies.rs
+++ b/crates/dunepond-testkit/tests/bodies.rs
@@ -6,8 +6,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::store::{Client, scan};
-use dunepond_lab::wide::{Ask, Manner, Node, Site, Told, ask, mib, twice};
+use dunepond_testkit::store::{Client, scan};
+use dunepond_testkit::wide::{Ask, Manner, Node, Site, Told, ask, mib, twice};
 use rstest::rstest;
 use serde_json::json;
 
@@ -34,13 +34,13 @@
 
 fn site(nodes: &[Manner], kdl: &str) -> Site {
     let nodes = nodes.iter().enumerate().map(|(i, manner)| Node::start(&format!("s-{i}"), *manner)).collect();
-    Site::start(Path::new(env!("CARGO_BIN_EXE_dunepond-lab")), nodes, kdl)
+    Site::start(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes, kdl)
 }
 
 /// One whose scans, and connections to nodes, may take as long as a client here waits for its answer at all.
 fn patient(nodes: &[Manner], kdl: &str) -> Site {
     let nodes = nodes.iter().enumerate().map(|(i, manner)| Node::start(&format!("s-{i}"), *manner)).collect();
-    Site::start_with(Path::new(env!("CARGO_BIN_EXE_dunepond-lab")), nodes, kdl, |config| {
+    Site::start_with(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes, kdl, |config| {
         config["settings"]["ceilings"]["connectTimeoutMs"] = json!(20_000.0);
         for service in config["settings"]["services"].as_array_mut().unwrap() {
             (service["aimMs"], service["deadlineMs"]) = (json!(50_000.0), json!(55_000.0));
@@ -503,7 +503,7 @@
 
 #[test]
 fn a_folder_that_is_not_there_stops_the_start_with_its_name() {
-    let output = std::process::Command::new(env!("CARGO_BIN_EXE_dunepond-lab"))
+    let output = std::process::Command::new(env!("CARGO_BIN_EXE_dunepond-testkit"))
         .args(["broker", "--operator", "/nowhere/operator.kdl", "--disk", "/nowhere/disk"])
         .output()
         .unwrap();
--- a/crates/dunepond-lab/tests/known_red.rs
+++ b/crates/dunepond-testkit/tests/known_red.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use dunepond_lab::store::scratch;
+use dunepond_testkit::store::scratch;
 use rstest::rstest;
 
 /// What `.ci/known-red` says of a list: whether it did what was asked, and its words.
--- a/crates/dunepond-lab/tests/links.rs
+++ b/crates/dunepond-testkit/tests/links.rs
@@ -5,8 +5,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::links::{CUT, Links, Manner, WHOLE};
-use dunepond_lab::processes::{Process, wait};
+use dunepond_testkit::links::{CUT, Links, Manner, WHOLE};
+use dunepond_testkit::processes::{Process, wait};
 
 /// Two peers: `a` sends, at `b` something echoes what comes, by stream and by datagram.
 struct Pair {
@@ -169,7 +169,7 @@
 
 #[test]
 fn a_process_is_stopped_woken_ended_and_reaped() {
-    let (program, folder) = (std::path::Path::new("/bin/sh"), dunepond_lab::store::scratch("none"));
+    let (program, folder) = (std::path::Path::new("/bin/sh"), dunepond_testkit::store::scratch("none"));
     let mut shell = Process::new(program, "sh", "127.0.0.1:9".parse().unwrap(), &folder)
         .arguments(&["-c", "trap 'exit 3' TERM; echo up; while :; do sleep 0.01; done"]);
     shell.start();
--- a/crates/dunepond-lab/tests/phases.rs
+++ b/crates/dunepond-testkit/tests/phases.rs
@@ -4,15 +4,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::store::{Answer, Client};
-use dunepond_lab::texts::{Manner, Said, Site, request, said, word};
+use dunepond_testkit::store::{Answer, Client};
+use dunepond_testkit::texts::{Manner, Said, Site, request, said, word};
 use rstest::rstest;
 
 const KDL: &str = "phases least-segments=6 share=0.3 audits=0\ncounters every=0.2\n";
 const WIDE: std::ops::Range<usize> = 0..24;
 
 fn site(kdl: &str, manner: impl Fn(usize) -> Manner) -> Site {
-    Site::start(Path::new(env!("CARGO_BIN_EXE_dunepond-lab")), kdl, Duration::from_micros(200), false, manner)
+    Site::start(
+        Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")),
+        kdl,
+        Duration::from_micros(200),
+        false,
+        manner,
+    )
 }
 
 struct Asked {
--- a/crates/dunepond-lab/tests/restart.rs
+++ b/crates/dunepond-testkit/tests/restart.rs
@@ -4,9 +4,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::lives::{Town, unix_ms};
-use dunepond_lab::processes::{PATIENCE, wait};
-use dunepond_lab::store::{Answer, Broker, Client, Manner, scan};
+use dunepond_testkit::lives::{Town, unix_ms};
+use dunepond_testkit::processes::{PATIENCE, wait};
+use dunepond_testkit::store::{Answer, Broker, Client, Manner, scan};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -16,7 +16,7 @@
 const HANG: usize = 4;
 
 fn town(nodes: usize) -> Town {
-    let mut town = Town::new(Path::new(env!("CARGO_BIN_EXE_dunepond-lab")), nodes);
+    let mut town = Town::new(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes);
     town.mend = patient;
     town
 }
@@ -92,7 +92,9 @@
 
 /// Whether the newest snapshot has all nodes that hang as set aside: killed before that, a life leaves less behind.
 fn kept(town: &Town) -> bool {
-    let Ok(shown) = dunepond::keeping::show(&town.folder, unix_ms() as f64 / 1e3) else { return false };
+    let Ok(shown) = dunepond_broker::keeping::show(&town.folder, unix_ms() as f64 / 1e3) else {
+        return false;
+    };
     let aside = |i: usize| {
         let line = shown.lines().find(|line| line.contains(&format!("  s-{i} at ")));
         line.is_some_and(|line| line.contains("set aside"))
--- a/crates/dunepond-lab/tests/search.rs
+++ b/crates/dunepond-testkit/tests/search.rs
@@ -6,9 +6,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_lab::pages::{Manner, Site, Speech, best, request};
-use dunepond_lab::processes::PATIENCE;
-use dunepond_lab::store::{Client, scan};
+use dunepond_testkit::pages::{Manner, Site, Speech, best, request};
+use dunepond_testkit::processes::PATIENCE;
+use dunepond_testkit::store::{Client, scan};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -17,7 +17,7 @@
 }
 
 fn speaking(speech: &[Speech]) -> Site {
-    Site::start(Path::new(env!("CARGO_BIN_EXE_dunepond-lab")), speech, "")
+    Site::start(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), speech, "")
 }
 
 fn ids(answer: &Value) -> Vec<String> {
@@ -296,7 +296,7 @@
 #[test]
 fn one_fleet_may_mix_both_kinds() {
     let mixed = [Speech::Frames, Speech::Api, Speech::Api, Speech::Frames];
-    let site = Site::patient(Path::new(env!("CARGO_BIN_EXE_dunepond-lab")), &mixed);
+    let site = Site::patient(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), &mixed);
     for i in 0..20 {
         let found = served(&site, || {
             let answer = site.ask("GET", "/all/_search?size=30", "");
--- a/crates/dunepond-lab/tests/shutdown.rs
+++ b/crates/dunepond-testkit/tests/shutdown.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use dunepond_lab::shutdown::{Breach, Fault, Verdict, play_all};
-use dunepond_lab::store::program;
+use dunepond_testkit::shutdown::{Breach, Fault, Verdict, play_all};
+use dunepond_testkit::store::program;
 
-/// The seeds that CI plays; more by hand, with `dunepond-lab run shutdown`.
+/// The seeds that CI plays; more by hand, with `dunepond-testkit run shutdown`.
 const SEEDS: std::ops::Range<u64> = 1..13;
 
 #[test]
