--- a/crates/dunepond-broker/src/api.rs
+++ b/crates/dunepond-broker/src/api.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use dunepond_config::Bounds;
-use dunepond_routing::{Deployment, Part, Repeat, ScanId};
+use dunepond_routing::{Deployment, Idempotency, Part, QueryId};
 use dunepond_search_api::answer::{self, Answer, Parts};
 use dunepond_search_api::hits::{Expected, Merge};
 use dunepond_search_api::node::{Meaning, meaning};
@@ -36,8 +36,9 @@
 
 impl Door {
     pub fn new(limits: Limits, bounds: Rc<Bounds>, site: &Deployment) -> Self {
-        let types = site.table_types.iter();
-        let types = types.map(|t| (t.repeat == Repeat::NonReplayable, t.whole_at, t.timeout)).collect();
+        let types = site.query_classes.iter();
+        let types =
+            types.map(|t| (t.idempotency == Idempotency::NonIdempotent, t.complete_at, t.timeout)).collect();
         Self { limits, bounds, types }
     }
 
@@ -106,7 +107,7 @@
             customer: request.customer,
             expires_at: request.came + wait.into_iter().flatten().fold(f64::MAX, f64::min),
             resent: request.again,
-            parts: segs.into_iter().map(|seg| Part { seg, weight, only: None }).collect(),
+            parts: segs.into_iter().map(|seg| Part { segment: seg, weight, required_node: None }).collect(),
             text: Text::Short(search.text().into()),
         }
     }
@@ -210,7 +211,7 @@
     pub began: f64,
     many: bool,
     outcomes: Vec<Option<Result<Answer, ApiError>>>,
-    pub scans: Vec<ScanId>,
+    pub scans: Vec<QueryId>,
     /// The longest wait that one of them was told.
     wait: f64,
 }
--- a/crates/dunepond-broker/src/asking.rs
+++ b/crates/dunepond-broker/src/asking.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use dunepond_prefilter::{Audit, Fleet, Key, Left, Order, Phases, Seg, Terms, Verdict, Wide};
-use dunepond_routing::{Broker, Deployment, NodeId, Repeat, Scan, ScanId};
+use dunepond_routing::{Deployment, Idempotency, NodeId, Query, QueryId, Router};
 use tracing::{debug, info};
 
 use crate::clock::{self, Due};
@@ -17,11 +17,11 @@
 const TEXTS: usize = 64;
 
 /// The nodes as the module sees them.
-struct Seen<'a>(&'a Broker);
+struct Seen<'a>(&'a Router);
 
 impl Fleet for Seen<'_> {
     fn holders(&self, seg: Seg) -> Vec<NodeId> {
-        self.0.to_ask(seg).collect()
+        self.0.prefilter_candidates(seg).collect()
     }
 
     fn outstanding(&self, node: NodeId) -> usize {
@@ -29,7 +29,7 @@
     }
 
     fn pressed(&self) -> bool {
-        self.0.pressed()
+        self.0.is_overloaded()
     }
 }
 
@@ -46,17 +46,18 @@
     /// Texts are known by a hash that nobody outside can aim at: two that met would vouch for each other.
     hashes: RandomState,
     repeats: Vec<(bool, f64)>,
-    known: HashMap<ScanId, Known>,
+    known: HashMap<QueryId, Known>,
     /// What was left out last, for audits, the oldest first by number.
     texts: BTreeMap<u64, (Key, usize, Rc<str>)>,
     remembered: u64,
-    audits: HashMap<ScanId, Audit>,
+    audits: HashMap<QueryId, Audit>,
     alarm: Option<(f64, clock::Key)>,
 }
 
 impl Asking {
     pub fn new(terms: Terms, site: &Deployment) -> Self {
-        let repeats = site.table_types.iter().map(|t| (t.repeat == Repeat::Replayable, t.whole_at));
+        let repeats =
+            site.query_classes.iter().map(|t| (t.idempotency == Idempotency::Idempotent, t.complete_at));
         Self {
             phases: Phases::new(terms, site.seed),
             hashes: RandomState::new(),
@@ -74,24 +75,24 @@
     }
 
     /// A scan has been taken: the module admits it, and only then are its questions gathered.
-    pub fn begin(&mut self, broker: &mut Broker, desk: &mut Desk, scan: Scan) {
-        let Some((text, segs)) = desk.asks_for(scan.id) else { return broker.scan(desk, scan) };
-        let (replayable, whole_at) = self.repeats[scan.table_type];
-        let key = self.hashes.hash_one((scan.table_type, &*text));
-        let (id, table_type, left) = (scan.id, scan.table_type, scan.expires_in);
+    pub fn begin(&mut self, broker: &mut Router, desk: &mut Desk, scan: Query) {
+        let Some((text, segs)) = desk.asks_for(scan.id) else { return broker.on_query(desk, scan) };
+        let (replayable, whole_at) = self.repeats[scan.class];
+        let key = self.hashes.hash_one((scan.class, &*text));
+        let (id, table_type, left) = (scan.id, scan.class, scan.expires_in);
         let wide = Wide { id, table_type, key, replayable, whole_at, left, segs: segs.clone() };
         if !self.phases.concerns(&wide) {
-            return broker.scan(desk, scan);
+            return broker.on_query(desk, scan);
         }
         self.known.insert(id, Known { key, table_type, text, segs });
-        broker.scan(desk, Scan { waits: true, ..scan });
+        broker.on_query(desk, Query { awaits_prefilter: true, ..scan });
         if desk.is_open(id) {
             let orders = self.phases.open(desk.now, &Seen(broker), wide);
             self.carry_out(broker, desk, orders);
         }
     }
 
-    fn carry_out(&mut self, broker: &mut Broker, desk: &mut Desk, orders: Vec<Order>) {
+    fn carry_out(&mut self, broker: &mut Router, desk: &mut Desk, orders: Vec<Order>) {
         for order in orders {
             match order {
                 Order::Ask(question) => {
@@ -105,7 +106,7 @@
         }
     }
 
-    fn search(&mut self, broker: &mut Broker, desk: &mut Desk, verdict: &Verdict) {
+    fn search(&mut self, broker: &mut Router, desk: &mut Desk, verdict: &Verdict) {
         let Some(known) = self.known.get(&verdict.scan) else { return };
         if !verdict.left_out.is_empty() {
             debug!("scan {}: {} left out", verdict.scan, verdict.left_out.len());
@@ -118,13 +119,13 @@
         let place = |left: &Left| known.segs.iter().position(|seg| *seg == left.seg);
         let parts: Vec<_> = verdict.left_out.iter().filter_map(place).collect();
         desk.leave_out(verdict.scan, verdict.left_out.clone());
-        broker.search(desk, verdict.scan, &parts);
+        broker.on_prefilter_result(desk, verdict.scan, &parts);
     }
 
     /// A node has answered a question, or will not.
     pub fn told(
         &mut self,
-        broker: &mut Broker,
+        broker: &mut Router,
         desk: &mut Desk,
         question: u64,
         words: Result<Words, dunepond_prefilter::Unanswered>,
@@ -139,10 +140,10 @@
 
     /// A part is back, before the module hears of it: what it found may bear words out or fell them, and what was left
     /// out on those that fell is to be searched before the answer can be whole.
-    pub fn returned(&mut self, broker: &mut Broker, desk: &mut Desk, back: &Back) {
-        let (scan, part) = (back.ended.scan, back.ended.part);
+    pub fn returned(&mut self, broker: &mut Router, desk: &mut Desk, back: &Back) {
+        let (scan, part) = (back.ended.query, back.ended.part);
         if let Some((version, found)) = back.searched {
-            let began = desk.now - back.ended.took;
+            let began = desk.now - back.ended.elapsed;
             let audited = self.audits.get(&scan).map(|audit| (audit.key, audit.seg));
             let known = || self.known.get(&scan).map(|known| (known.key, known.segs[part]));
             if let Some((key, seg)) = audited.or_else(known)
@@ -158,12 +159,12 @@
             let place = |seg: &Seg| known.segs.iter().position(|s| s == seg);
             let parts: Vec<_> = fallen.iter().filter_map(place).collect();
             desk.search_after_all(scan, &fallen);
-            broker.restore(desk, scan, &parts);
+            broker.on_prefilter_revoked(desk, scan, &parts);
         }
     }
 
     /// A scan is over, answered or not.
-    pub fn over(&mut self, now: f64, scan: ScanId, answered: bool) {
+    pub fn over(&mut self, now: f64, scan: QueryId, answered: bool) {
         if self.audits.remove(&scan).is_none() && self.known.remove(&scan).is_some() {
             self.phases.finished(now, scan, answered);
         }
@@ -175,14 +176,14 @@
     }
 
     /// Phase one is over for some.
-    pub fn due(&mut self, broker: &mut Broker, desk: &mut Desk) {
+    pub fn due(&mut self, broker: &mut Router, desk: &mut Desk) {
         self.alarm = None;
         let orders = self.phases.due(desk.now);
         self.carry_out(broker, desk, orders);
     }
 
     /// The end of a turn: what was gathered in it goes out, and the next alarm is set.
-    pub fn turn_over(&mut self, broker: &mut Broker, desk: &mut Desk) {
+    pub fn turn_over(&mut self, broker: &mut Router, desk: &mut Desk) {
         let orders = self.phases.flush(desk.now);
         self.carry_out(broker, desk, orders);
         let due = self.phases.next_due();
@@ -198,14 +199,14 @@
     }
 
     /// Begins one audit, if the nodes are not pressed.
-    pub fn audit(&mut self, broker: &mut Broker, desk: &mut Desk) {
+    pub fn audit(&mut self, broker: &mut Router, desk: &mut Desk) {
         if let Some(audit) = self.phases.audit(&Seen(broker)) {
             let text = self.texts.values().rev().find(|(key, ..)| *key == audit.key).cloned();
             if let Some((_, table_type, text)) = text
                 && let Some(scan) = desk.audit(table_type, audit.seg, text)
             {
                 self.audits.insert(scan.id, audit);
-                broker.scan(desk, scan);
+                broker.on_query(desk, scan);
             }
         }
     }
--- a/crates/dunepond-broker/src/clients/answer.rs
+++ b/crates/dunepond-broker/src/clients/answer.rs
@@ -1,6 +1,6 @@
 //! Answers to clients: written, and the connection kept or closed after them.
 
-use dunepond_routing::ScanId;
+use dunepond_routing::QueryId;
 use tracing::debug;
 
 use super::closing::Last;
@@ -19,7 +19,7 @@
 
 impl Clients {
     /// This client's scan is held under that number until it is answered.
-    pub fn holds(&mut self, id: usize, scan: ScanId) {
+    pub fn holds(&mut self, id: usize, scan: QueryId) {
         match self.clients.get_mut(id).map(|c| &mut c.phase) {
             // It is still sending what its scan passes on.
             Some(Phase::Raw(raw)) => raw.scan = Some(scan),
--- a/crates/dunepond-broker/src/clients/hangup.rs
+++ b/crates/dunepond-broker/src/clients/hangup.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::net::TcpStream;
 
-use dunepond_routing::ScanId;
+use dunepond_routing::QueryId;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
 use super::read::READS;
@@ -45,7 +45,7 @@
     }
 
     /// Lets go of one that has hung up; names the scan that was held for it.
-    pub fn next_hung_up(&mut self, alarms: &mut Alarms) -> Option<Option<ScanId>> {
+    pub fn next_hung_up(&mut self, alarms: &mut Alarms) -> Option<Option<QueryId>> {
         let id = self.hung_up.pop()?;
         // It may have gone already, and its id to another.
         let ending = self.clients.get(id).and_then(|client| client.hung_up);
--- a/crates/dunepond-broker/src/clients/mod.rs
+++ b/crates/dunepond-broker/src/clients/mod.rs
@@ -17,7 +17,7 @@
 use calloop::RegistrationToken;
 use dunepond_body_buffer::BodyId;
 use dunepond_config::Bounds;
-use dunepond_routing::{Part, ScanId};
+use dunepond_routing::{Part, QueryId};
 use serde_json::json;
 use slab::Slab;
 
@@ -48,7 +48,7 @@
     /// A scan in the raw form, of which the body begins here.
     Opens(Asked, Box<Head>),
     /// It has gone, and with it whoever waited for this scan.
-    Left(Option<ScanId>),
+    Left(Option<QueryId>),
     /// A request of the API.
     Api(Box<Request>),
     Nothing,
@@ -62,7 +62,7 @@
     Raw(Box<Raw>),
     /// Asked, and not answered yet.
     Waiting,
-    Held(ScanId),
+    Held(QueryId),
     /// Answered for the last time; what still comes is thrown away until the client closes.
     Lingering,
 }
@@ -72,7 +72,7 @@
     body: Rc<Body>,
     /// What is asked, until its scan begins; then that.
     asked: Option<Asked>,
-    scan: Option<ScanId>,
+    scan: Option<QueryId>,
     /// All of the body has come.
     all: bool,
 }
--- a/crates/dunepond-broker/src/clients/route.rs
+++ b/crates/dunepond-broker/src/clients/route.rs
@@ -80,7 +80,7 @@
             return Err(bad(bucket, &format!("{seg} is named twice")));
         }
         let weight = weight.filter(|w| (0.0..=1.0).contains(w)).ok_or_else(|| bad(share, "not a share"))?;
-        parts.push(Part { seg, weight, only: None });
+        parts.push(Part { segment: seg, weight, required_node: None });
     }
     // Each may be rounded; further off, no share of the answer would mean what the settings say of it.
     if (parts.iter().map(|p| p.weight).sum::<f64>() - 1.0).abs() > ROUNDED * parts.len() as f64 {
--- a/crates/dunepond-broker/src/clients/time.rs
+++ b/crates/dunepond-broker/src/clients/time.rs
@@ -1,6 +1,6 @@
 //! The time that each client has, and the one way its connection goes.
 
-use dunepond_routing::ScanId;
+use dunepond_routing::QueryId;
 use tracing::debug;
 
 use super::{Clients, Phase, complaint};
@@ -44,7 +44,7 @@
     }
 
     /// A client has taken too long.
-    pub fn slow(&mut self, now: f64, id: usize, alarms: &mut Alarms) -> Option<ScanId> {
+    pub fn slow(&mut self, now: f64, id: usize, alarms: &mut Alarms) -> Option<QueryId> {
         self.calm(id, alarms);
         if self.lingers_on(now, id, alarms) {
             return None;
@@ -65,7 +65,7 @@
     }
 
     /// The one way a connection goes; names the scan that was held for it.
-    pub(super) fn end(&mut self, id: usize, ending: Ending, alarms: &mut Alarms) -> Option<ScanId> {
+    pub(super) fn end(&mut self, id: usize, ending: Ending, alarms: &mut Alarms) -> Option<QueryId> {
         self.calm(id, alarms);
         let client = self.clients.try_remove(id)?;
         self.handle.remove(client.token);
--- a/crates/dunepond-broker/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -82,7 +82,7 @@
         .map_err(|_| config.bad("seed", "not a hexadecimal number of 64 bits"))?;
     let settings = Fields::of("settings", config.raw("settings")?)?;
     let mut deployment = deployment(seed, &settings)?;
-    if deployment.table_types.iter().any(|t| t.second_step) {
+    if deployment.query_classes.iter().any(|t| t.second_step) {
         return Err(settings.bad("familyInfo.secondStep", "second steps are not served on sockets"));
     }
     // The frames have no probe.
--- a/crates/dunepond-broker/src/desk/agreed.rs
+++ b/crates/dunepond-broker/src/desk/agreed.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use dunepond_control_plane::Act;
-use dunepond_routing::{End, Host, NodeId, Scan, ScanId};
+use dunepond_control_plane::AuditEvent;
+use dunepond_routing::{AttemptOutcome, NodeId, Query, QueryId, Transport};
 use tracing::debug;
 
 use super::{Desk, may_have_run};
@@ -26,7 +26,7 @@
     }
 
     /// A dispatch is back.
-    pub fn ended(&mut self, part: usize, end: End) {
+    pub fn ended(&mut self, part: usize, end: AttemptOutcome) {
         if let Some((out, ran)) = self.tried.get_mut(part) {
             *out = out.saturating_sub(1);
             *ran |= may_have_run(end);
@@ -36,24 +36,24 @@
 
 impl Desk {
     /// A scan is about to begin: false if it is refused at once by what is agreed, before the module hears of it.
-    pub fn admit(&mut self, scan: &mut Scan) -> bool {
+    pub fn admit(&mut self, scan: &mut Query) -> bool {
         let Some(fleet) = &mut self.fleet else { return true };
-        fleet.came(scan.customer);
+        fleet.came(scan.tenant);
         let admitted = fleet.admit(scan);
         let (began, refused) = match admitted {
             Ok(began) => (began, None),
             Err((began, wait, why)) => (began, Some((wait, why))),
         };
         let Some(in_hand) = self.scans.get_mut(&scan.id) else { return false };
-        let keyed = fleet.gate.keyed(scan.table_type);
+        let keyed = fleet.gate.keyed(scan.class);
         let tried = vec![(0, false); if keyed { in_hand.segs.len() } else { 0 }];
         in_hand.agreed = Some(Agreed { began, moved: Vec::new(), tried });
         let Some((wait, why)) = refused else { return true };
         let hand = &fleet.gate.hand;
-        hand.throttled();
-        hand.wrote(|| Act::Refused { call: in_hand.call_id.clone(), why: why.to_string() });
+        hand.count_rejected();
+        hand.audit(|| AuditEvent::Refused { call: in_hand.call_id.clone(), why: why.to_string() });
         debug!("scan {}: refused: {why}", in_hand.call_id);
-        self.throttle(scan.id, wait.min(self.longest_wait));
+        self.reject_retriable(scan.id, wait.min(self.longest_wait));
         self.release(scan.id);
         false
     }
@@ -77,7 +77,7 @@
             }
         }
         if !may {
-            gate.hand.held_back();
+            gate.hand.count_withheld();
             debug!("node {name}: {} is held back by what is agreed", parcel.id);
         }
         may
@@ -85,7 +85,7 @@
 
     /// Whether an answer may be marked whole: only if the parts that are in cover what was asked for under one map, where
     /// there is one. Parts that two nodes said cannot match count as in.
-    pub(super) fn proves(&mut self, scan: ScanId, whole: bool) -> bool {
+    pub(super) fn proves(&mut self, scan: QueryId, whole: bool) -> bool {
         let (Some(fleet), Some(in_hand)) = (&self.fleet, self.scans.get(&scan)) else { return whole };
         let agreed = in_hand.agreed.as_ref();
         let proof = agreed.and_then(|agreed| agreed.began.map().map(|proof| (proof, &agreed.moved)));
@@ -96,12 +96,12 @@
             None => Ok(None),
         };
         if let Err(why) = &outcome {
-            fleet.gate.hand.not_whole();
+            fleet.gate.hand.count_incomplete();
             debug!("scan {}: not whole: {why}", in_hand.call_id);
         }
         let whole = whole && outcome.is_ok();
         let segs = in_hand.segs.iter().enumerate().filter(|(at, _)| is_in(*at));
-        fleet.gate.hand.wrote(|| Act::Answer {
+        fleet.gate.hand.audit(|| AuditEvent::Answer {
             call: in_hand.call_id.clone(),
             status: 200,
             whole,
@@ -111,9 +111,9 @@
         whole
     }
 
-    pub(super) fn note(&self, scan: ScanId, status: u16, whole: bool) {
+    pub(super) fn note(&self, scan: QueryId, status: u16, whole: bool) {
         if let (Some(fleet), Some(in_hand)) = (&self.fleet, self.scans.get(&scan)) {
-            fleet.gate.hand.wrote(|| Act::Answer {
+            fleet.gate.hand.audit(|| AuditEvent::Answer {
                 call: in_hand.call_id.clone(),
                 status,
                 whole,
--- a/crates/dunepond-broker/src/desk/host.rs
+++ b/crates/dunepond-broker/src/desk/host.rs
@@ -1,7 +1,7 @@
 //! The module's host: its orders go to the peers, and what comes back from them becomes its calls.
 
 use dunepond_prefilter::Grounds;
-use dunepond_routing::{End, Host, NodeId, ScanId};
+use dunepond_routing::{AttemptOutcome, NodeId, QueryId, Transport};
 use dunepond_search_api::ApiError;
 use serde_json::json;
 use tracing::{debug, error, info};
@@ -12,12 +12,12 @@
 use crate::clock::Due;
 use crate::servers::Parcel;
 
-impl Host for Desk {
+impl Transport for Desk {
     fn now(&self) -> f64 {
         self.now
     }
 
-    fn dispatch(&mut self, scan: ScanId, part: usize, node: NodeId) {
+    fn send_attempt(&mut self, scan: QueryId, part: usize, node: NodeId) {
         let Some(in_hand) = self.scans.get_mut(&scan) else { return };
         let shot = in_hand.shots[part].len();
         in_hand.shots[part].push(node);
@@ -36,34 +36,40 @@
         let late = in_hand.over || gone || shot >= self.dispatch_cap || lapses <= self.now;
         let late = late || in_hand.client.is_some_and(|client| self.clients.has_hung_up(self.now, client));
         if !late && !self.may(node, &parcel) {
-            return self.servers.back.push_back(parcel.unsent(node, End::NotSent));
+            return self.servers.back.push_back(parcel.unsent(node, AttemptOutcome::NotSent));
         }
         let holds = self.servers.holds(node, seg, self.cells, self.holders);
         if !late && !holds {
             error!("node {}: does not hold segment {seg}", self.servers.name(node));
         }
         if late || !holds {
-            return self.servers.back.push_back(parcel.unsent(node, End::NotSent));
+            return self.servers.back.push_back(parcel.unsent(node, AttemptOutcome::NotSent));
         }
         debug!("scan {}: part {part} to {}", self.scans[&scan].call_id, self.servers.name(node));
         self.servers.dispatch(node, parcel);
     }
 
-    fn close_idle(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.servers.close_idle(self.now, node, &mut self.alarms);
     }
 
-    fn cancel(&mut self, scan: ScanId, part: usize, shot: usize) {
+    fn cancel_attempt(&mut self, scan: QueryId, part: usize, shot: usize) {
         let node = self.scans.get(&scan).and_then(|s| s.shots.get(part)?.get(shot).copied());
         if let Some(node) = node {
-            self.servers.give_up(self.now, node, (scan, part, shot), End::Cancelled, &mut self.alarms);
+            self.servers.give_up(
+                self.now,
+                node,
+                (scan, part, shot),
+                AttemptOutcome::Cancelled,
+                &mut self.alarms,
+            );
         }
     }
 
     /// The frames know no probe, and the settings are read so that none is asked for.
     fn probe(&mut self, _: NodeId) {}
 
-    fn answer(&mut self, scan: ScanId, whole: bool) {
+    fn answer(&mut self, scan: QueryId, whole: bool) {
         let whole = self.proves(scan, whole);
         if let Some(in_hand) = self.scans.get_mut(&scan)
             && let Some(api) = &mut in_hand.api
@@ -99,7 +105,7 @@
         self.served(scan, whole);
     }
 
-    fn throttle(&mut self, scan: ScanId, wait: f64) {
+    fn reject_retriable(&mut self, scan: QueryId, wait: f64) {
         if self.scans.get(&scan).is_some_and(|in_hand| in_hand.api.is_some()) {
             if self.conclude(scan).is_some() {
                 self.note(scan, 429, false);
@@ -110,10 +116,10 @@
         self.reply(scan, 429, "", wait);
     }
 
-    fn abandon(&mut self, scan: ScanId) {
+    fn fail_unknown_outcome(&mut self, scan: QueryId) {
         // The module takes for sent what it has dispatched and not seen back; what still waits here has not left.
         if self.is_unsent(scan) {
-            return self.throttle(scan, 0.0);
+            return self.reject_retriable(scan, 0.0);
         }
         if self.scans.get(&scan).is_some_and(|in_hand| in_hand.api.is_some()) {
             if self.conclude(scan).is_some() {
@@ -125,11 +131,11 @@
         self.reply(scan, 502, "", 0.0);
     }
 
-    fn forget(&mut self, scan: ScanId) {
+    fn finish(&mut self, scan: QueryId) {
         self.release(scan);
     }
 
-    fn wake_at(&mut self, at: f64) {
+    fn schedule_wake(&mut self, at: f64) {
         self.alarms.set(at, Due::Wake);
     }
 
--- a/crates/dunepond-broker/src/desk/mod.rs
+++ b/crates/dunepond-broker/src/desk/mod.rs
@@ -12,7 +12,7 @@
 use dunepond_body_buffer::{BodyId, Reason};
 use dunepond_config::Bounds;
 use dunepond_prefilter::{Left, Unanswered};
-use dunepond_routing::{Deployment, End, HELD_UP, NodeId, Repeat, ScanId};
+use dunepond_routing::{AttemptOutcome, Deployment, Idempotency, MAX_STALL_SECONDS, NodeId, QueryId};
 
 use crate::api::{Open, Searching};
 use crate::bodies::Bodies;
@@ -69,7 +69,7 @@
     pub questions: Option<Questions>,
     /// The fleet that this broker agrees with; none where the operator's file does not name it.
     pub fleet: Option<Fleet>,
-    pub concluded: Vec<(ScanId, bool)>,
+    pub concluded: Vec<(QueryId, bool)>,
     /// Requests of the API whose searches are under way, by the number that their clients hold.
     requests: HashMap<u64, Open>,
     /// What nodes have given for scans in hand, in bytes.
@@ -86,9 +86,9 @@
     /// the margin that the module keeps.
     timeouts: Vec<f64>,
     windows: Vec<f64>,
-    scans: HashMap<ScanId, InHand>,
+    scans: HashMap<QueryId, InHand>,
     call_ids: HashSet<String>,
-    last: ScanId,
+    last: QueryId,
     /// Scans and parts that are open.
     held: usize,
 }
@@ -105,15 +105,15 @@
     }
 }
 
-fn may_have_run(end: End) -> bool {
-    !matches!(end, End::NotSent | End::NoConnection | End::Full)
+fn may_have_run(end: AttemptOutcome) -> bool {
+    !matches!(end, AttemptOutcome::NotSent | AttemptOutcome::ConnectFailed | AttemptOutcome::Rejected)
 }
 
-fn window(repeat: Repeat, margin: f64) -> f64 {
+fn window(repeat: Idempotency, margin: f64) -> f64 {
     match repeat {
-        Repeat::Replayable => f64::MAX,
-        Repeat::Keyed(window) => window - margin,
-        Repeat::NonReplayable => 0.0,
+        Idempotency::Idempotent => f64::MAX,
+        Idempotency::Keyed(window) => window - margin,
+        Idempotency::NonIdempotent => 0.0,
     }
 }
 
@@ -139,12 +139,12 @@
             values: 0,
             bringing: HashMap::new(),
             bounds,
-            cells: site.cells,
-            holders: site.holders,
-            dispatch_cap: site.dispatch_cap,
-            longest_wait: site.longest_wait,
-            timeouts: site.table_types.iter().map(|t| t.timeout).collect(),
-            windows: site.table_types.iter().map(|t| window(t.repeat, HELD_UP)).collect(),
+            cells: site.replica_groups,
+            holders: site.replicas,
+            dispatch_cap: site.max_attempts,
+            longest_wait: site.max_retry_after,
+            timeouts: site.query_classes.iter().map(|t| t.timeout).collect(),
+            windows: site.query_classes.iter().map(|t| window(t.idempotency, MAX_STALL_SECONDS)).collect(),
             scans: HashMap::new(),
             call_ids: HashSet::new(),
             last: 0,
@@ -180,12 +180,12 @@
         self.bounds.most_held.is_some_and(|most| self.held >= most)
     }
 
-    pub fn is_open(&self, scan: ScanId) -> bool {
+    pub fn is_open(&self, scan: QueryId) -> bool {
         self.scans.get(&scan).is_some_and(|in_hand| !in_hand.over)
     }
 
     /// The text and shards of a scan, where it is one whose nodes may be asked first.
-    pub fn asks_for(&self, scan: ScanId) -> Option<(Rc<str>, Vec<usize>)> {
+    pub fn asks_for(&self, scan: QueryId) -> Option<(Rc<str>, Vec<usize>)> {
         let in_hand = self.scans.get(&scan)?;
         match &in_hand.text {
             Text::Short(text) => Some((text.clone(), in_hand.segs.clone())),
@@ -203,11 +203,11 @@
         }
     }
 
-    pub fn leave_out(&mut self, scan: ScanId, left: Vec<Left>) {
+    pub fn leave_out(&mut self, scan: QueryId, left: Vec<Left>) {
         self.scans.get_mut(&scan).into_iter().for_each(|in_hand| in_hand.left_out = left.clone());
     }
 
-    pub fn search_after_all(&mut self, scan: ScanId, segs: &[usize]) {
+    pub fn search_after_all(&mut self, scan: QueryId, segs: &[usize]) {
         let in_hand = self.scans.get_mut(&scan).into_iter();
         in_hand.for_each(|in_hand| in_hand.left_out.retain(|left| !segs.contains(&left.seg)));
     }
--- a/crates/dunepond-broker/src/desk/raw.rs
+++ b/crates/dunepond-broker/src/desk/raw.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use dunepond_body_buffer::{Arrival, BodyId, Reason};
-use dunepond_routing::{Scan, ScanId};
+use dunepond_routing::{Query, QueryId};
 
 use super::Desk;
 use crate::body::{Body, Text};
@@ -48,7 +48,7 @@
     }
 
     /// The scan of a body that is kept, or passes, may begin.
-    pub fn begin(&mut self, body: BodyId, note: Option<Reason>) -> Option<(Scan, Rc<Body>)> {
+    pub fn begin(&mut self, body: BodyId, note: Option<Reason>) -> Option<(Query, Rc<Body>)> {
         let client = self.bringing.remove(&body)?;
         let (asked, body) = self.clients.begins(client, body, &mut self.alarms)?;
         let asked = Asked { text: Text::Body(body.clone()), ..asked };
@@ -58,7 +58,7 @@
     }
 
     /// A body can be had no more: its client is refused while it brings it, and afterwards its scan is named.
-    pub fn lost(&mut self, body: BodyId, why: Reason) -> Option<ScanId> {
+    pub fn lost(&mut self, body: BodyId, why: Reason) -> Option<QueryId> {
         if let Some(client) = self.bringing.remove(&body) {
             let (refusal, wait) = self.body_refusal(why);
             self.clients.body_lost(self.now, client, body, refusal, wait, &mut self.alarms);
@@ -69,7 +69,7 @@
     }
 
     /// Lets go of a scan's body where no dispatch can need it again.
-    pub fn relax(&mut self, scan: ScanId, needed: impl Fn(ScanId) -> bool) {
+    pub fn relax(&mut self, scan: QueryId, needed: impl Fn(QueryId) -> bool) {
         if let Some(in_hand) = self.scans.get_mut(&scan)
             && in_hand.text.body().is_some()
             && !needed(scan)
--- a/crates/dunepond-broker/src/desk/take.rs
+++ b/crates/dunepond-broker/src/desk/take.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use dunepond_routing::{Part, Scan};
+use dunepond_routing::{Part, Query};
 use dunepond_search_api::{ApiError, Call, Search, answer};
 use tracing::debug;
 
@@ -14,7 +14,7 @@
 
 impl Desk {
     /// Takes a scan in hand; one too many is turned away before the module hears of it.
-    pub fn take(&mut self, client: usize, asked: Asked) -> Option<Scan> {
+    pub fn take(&mut self, client: usize, asked: Asked) -> Option<Query> {
         if self.is_full() {
             debug!("scan {}: throttled, {} scans and parts are held", asked.call_id, self.held);
             self.clients.reply(self.now, client, 503, "", self.longest_wait, &mut self.alarms);
@@ -31,7 +31,7 @@
     }
 
     /// Takes a request of the API in hand: a scan for each of its searches; what has none has its outcome at once.
-    pub fn request(&mut self, client: usize, request: &Request) -> Vec<Scan> {
+    pub fn request(&mut self, client: usize, request: &Request) -> Vec<Query> {
         let Some(door) = self.clients.api.clone() else { return Vec::new() };
         let (now, call) = (self.now, &request.call);
         let searches: Vec<Result<&Search, ApiError>> = match call {
@@ -79,14 +79,14 @@
         scans
     }
 
-    fn hold(&mut self, client: usize, asked: Asked, api: Option<Box<Searching>>) -> Scan {
+    fn hold(&mut self, client: usize, asked: Asked, api: Option<Box<Searching>>) -> Query {
         self.call_ids.insert(asked.call_id.clone());
         self.last += 1;
         let scan = self.last;
         // No client waits longer, whatever it says, and nothing is held for longer.
         let client_until = asked.expires_at.min(self.now + self.timeouts[asked.table_type]);
         let ends_at = client_until.min(self.clients.until);
-        let segs: Vec<_> = asked.parts.iter().map(|p| p.seg).collect();
+        let segs: Vec<_> = asked.parts.iter().map(|p| p.segment).collect();
         let count = segs.len();
         self.held += 1 + count;
         let left = client_until - self.now;
@@ -115,22 +115,22 @@
             call_id: asked.call_id,
         };
         self.scans.insert(scan, in_hand);
-        Scan {
+        Query {
             id: scan,
-            table_type: asked.table_type,
-            customer: asked.customer,
+            class: asked.table_type,
+            tenant: asked.customer,
             expires_in: client_until - self.now,
-            resent: asked.resent,
-            kept,
-            long: body.is_some(),
-            waits: false,
+            is_retry: asked.resent,
+            body_retained: kept,
+            streamed: body.is_some(),
+            awaits_prefilter: false,
             audit: false,
             parts: asked.parts,
         }
     }
 
     /// A scan of one shard that no client waits for, as the module takes it; none where too much is held.
-    pub fn audit(&mut self, table_type: usize, seg: usize, text: Rc<str>) -> Option<Scan> {
+    pub fn audit(&mut self, table_type: usize, seg: usize, text: Rc<str>) -> Option<Query> {
         let call_id = format!("audit-{}", self.last + 1);
         let room = self.bounds.most_held.is_none_or(|most| self.held + 2 <= most);
         if !room || !self.call_ids.insert(call_id.clone()) {
@@ -162,18 +162,18 @@
             call_id,
         };
         self.scans.insert(scan, in_hand);
-        Some(Scan {
+        Some(Query {
             id: scan,
-            table_type,
+            class: table_type,
             // Of no customer's share, and of no tries that the module compares with each other.
-            customer: self.bounds.customers.len() + 1,
+            tenant: self.bounds.customers.len() + 1,
             expires_in: ends_at - self.now,
-            resent: false,
-            kept: true,
-            long: false,
-            waits: false,
+            is_retry: false,
+            body_retained: true,
+            streamed: false,
+            awaits_prefilter: false,
             audit: true,
-            parts: vec![Part { seg, weight: 1.0, only: None }],
+            parts: vec![Part { segment: seg, weight: 1.0, required_node: None }],
         })
     }
 }
--- a/crates/dunepond-broker/src/ending.rs
+++ b/crates/dunepond-broker/src/ending.rs
@@ -4,7 +4,7 @@
 use std::io;
 
 use dunepond_prefilter::Unanswered;
-use dunepond_routing::End;
+use dunepond_routing::AttemptOutcome;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
@@ -50,12 +50,12 @@
     /// How a part ends that was out when its connection did: whether it may have run goes by whether the
     /// last byte of its frame had been written, however the end came; the system reports a long silence or
     /// a lost way on a connection that was up with the same errors as on one that never was.
-    pub fn end(self, written: bool) -> End {
+    pub fn end(self, written: bool) -> AttemptOutcome {
         match (self, written) {
             // Our own lack must not be held against the node.
-            (Self::NoMeans | Self::NoDescriptor, _) => End::NotSent,
-            (_, false) => End::NoConnection,
-            (_, true) => End::Dropped,
+            (Self::NoMeans | Self::NoDescriptor, _) => AttemptOutcome::NotSent,
+            (_, false) => AttemptOutcome::ConnectFailed,
+            (_, true) => AttemptOutcome::ConnectionLost,
         }
     }
 
@@ -99,24 +99,24 @@
     use super::*;
 
     #[rstest]
-    #[case(Ending::NoMeans, End::NotSent, End::NotSent)]
-    #[case(Ending::NoDescriptor, End::NotSent, End::NotSent)]
-    #[case(Ending::Refused, End::NoConnection, End::Dropped)]
-    #[case(Ending::NeverUp, End::NoConnection, End::Dropped)]
-    #[case(Ending::Reset, End::NoConnection, End::Dropped)]
-    #[case(Ending::Closed, End::NoConnection, End::Dropped)]
-    #[case(Ending::Garbled, End::NoConnection, End::Dropped)]
-    #[case(Ending::Complaint, End::NoConnection, End::Dropped)]
-    #[case(Ending::CutShort, End::NoConnection, End::Dropped)]
-    #[case(Ending::Replaced, End::NoConnection, End::Dropped)]
-    #[case(Ending::Unused, End::NoConnection, End::Dropped)]
-    #[case(Ending::Stalled, End::NoConnection, End::Dropped)]
-    #[case(Ending::Outpaced, End::NoConnection, End::Dropped)]
-    #[case(Ending::BodyLost, End::NoConnection, End::Dropped)]
+    #[case(Ending::NoMeans, AttemptOutcome::NotSent, AttemptOutcome::NotSent)]
+    #[case(Ending::NoDescriptor, AttemptOutcome::NotSent, AttemptOutcome::NotSent)]
+    #[case(Ending::Refused, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(Ending::NeverUp, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(Ending::Reset, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(Ending::Closed, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(Ending::Garbled, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(Ending::Complaint, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(Ending::CutShort, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(Ending::Replaced, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(Ending::Unused, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(Ending::Stalled, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(Ending::Outpaced, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(Ending::BodyLost, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
     fn only_the_last_byte_of_its_frame_makes_a_part_one_that_may_have_run(
         #[case] ending: Ending,
-        #[case] unwritten: End,
-        #[case] written: End,
+        #[case] unwritten: AttemptOutcome,
+        #[case] written: AttemptOutcome,
     ) {
         assert_eq!((ending.end(false), ending.end(true)), (unwritten, written));
     }
--- a/crates/dunepond-broker/src/fleet/fence.rs
+++ b/crates/dunepond-broker/src/fleet/fence.rs
@@ -2,7 +2,7 @@
 //! joint step of a version that changes the owner of the part's keys: for that long nobody may be sent what must not run
 //! twice, and what went out before has to be known to be over before the new owner gets any.
 
-use dunepond_routing::{End, Repeat};
+use dunepond_routing::{AttemptOutcome, Idempotency};
 
 /// How far the part had come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,28 +52,28 @@
     }
 
     /// How the module hears of it; nothing where it goes on.
-    pub fn end(self) -> Option<End> {
+    pub fn end(self) -> Option<AttemptOutcome> {
         match self {
-            Self::Held => Some(End::NotSent),
-            Self::Cut => Some(End::NoConnection),
+            Self::Held => Some(AttemptOutcome::NotSent),
+            Self::Cut => Some(AttemptOutcome::ConnectFailed),
             Self::Goes | Self::Waits | Self::Counts => None,
         }
     }
 }
 
 /// The table. Both sides stand in it, as the new owner is no better while some broker may still act on the old map.
-pub fn fate(stage: Stage, effect: Repeat, side: Side) -> Fate {
+pub fn fate(stage: Stage, effect: Idempotency, side: Side) -> Fate {
     use Fate::{Counts, Cut, Goes, Held, Waits};
-    use Repeat::{Keyed, NonReplayable, Replayable};
+    use Idempotency::{Idempotent, Keyed, NonIdempotent};
     use Stage::{Answered, AnsweredLate, HalfWritten, Queued, Silent, Turned, Unsent};
     match (stage, effect, side) {
         (Answered | AnsweredLate, _, _) => Counts,
         // Whoever holds the keys may run it, as often as it takes; of keyed ones the node drops what it has run.
-        (Unsent | Queued | HalfWritten | Silent | Turned, Replayable | Keyed(_), _) => Goes,
-        (Unsent | Queued | Turned, NonReplayable, Side::Old | Side::New) => Held,
-        (HalfWritten, NonReplayable, Side::Old | Side::New) => Cut,
+        (Unsent | Queued | HalfWritten | Silent | Turned, Idempotent | Keyed(_), _) => Goes,
+        (Unsent | Queued | Turned, NonIdempotent, Side::Old | Side::New) => Held,
+        (HalfWritten, NonIdempotent, Side::Old | Side::New) => Cut,
         // It may be running: neither the other side nor this one may get it again.
-        (Silent, NonReplayable, Side::Old | Side::New) => Waits,
+        (Silent, NonIdempotent, Side::Old | Side::New) => Waits,
     }
 }
 
@@ -105,7 +105,7 @@
         #[values(Side::Old, Side::New)] side: Side,
     ) {
         let stage = STAGES[stage];
-        let fate = fate(stage, Repeat::NonReplayable, side);
+        let fate = fate(stage, Idempotency::NonIdempotent, side);
         assert_eq!(fate.never_ran(), !may_have_run(stage), "{stage:?}");
         assert_ne!(fate, Fate::Goes, "{stage:?}: nobody owns it while the fence is down");
         assert_eq!(fate.end().is_some(), fate.never_ran());
@@ -114,7 +114,7 @@
     #[test]
     fn what_may_run_twice_is_never_held_up() {
         for (stage, side) in STAGES.iter().flat_map(|stage| SIDES.map(|side| (*stage, side))) {
-            for effect in [Repeat::Replayable, Repeat::Keyed(1.0)] {
+            for effect in [Idempotency::Idempotent, Idempotency::Keyed(1.0)] {
                 let fate = fate(stage, effect, side);
                 assert!(matches!(fate, Fate::Goes | Fate::Counts), "{stage:?} {side:?}");
             }
--- a/crates/dunepond-broker/src/fleet/gate.rs
+++ b/crates/dunepond-broker/src/fleet/gate.rs
@@ -5,22 +5,24 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use dunepond_consensus::{Acting, Owner, SLACK};
-use dunepond_control_plane::{Act, Hand, Watch, Word, phase, steady};
-use dunepond_routing::Repeat;
+use dunepond_consensus::{ActiveConfig, MAX_ACTION_DELAY_SECONDS, SegmentOwner};
+use dunepond_control_plane::{
+    ActiveConfigWatch, AuditEvent, AuditPhase, ControlHandle, audit_phase, monotonic_seconds,
+};
+use dunepond_routing::Idempotency;
 use dunepond_shard_map::{Piece, Proof, Range, covers};
 
 use super::fence::{self, Fate, Side, Stage};
 
 /// What a scan began on; it keeps that to its end.
 pub struct Began {
-    acting: Arc<Acting>,
+    acting: Arc<ActiveConfig>,
     /// On the steady clock.
     at: f64,
 }
 
 impl Began {
-    pub fn owner(&self, seg: usize) -> Owner<'_> {
+    pub fn owner(&self, seg: usize) -> SegmentOwner<'_> {
         self.acting.owner(seg as u64, self.at)
     }
 
@@ -31,13 +33,13 @@
 
     /// Seconds that a throttling reply may name.
     pub fn longest_wait(&self) -> f64 {
-        self.acting.rules(self.at).map_or(f64::INFINITY, |rules| rules.longest_wait)
+        self.acting.rules(self.at).map_or(f64::INFINITY, |rules| rules.max_retry_after_seconds)
     }
 }
 
 /// What was in force at one moment: an act is judged by it, done at once and noted by the same.
 pub struct Look {
-    acting: Arc<Acting>,
+    acting: Arc<ActiveConfig>,
     at: f64,
 }
 
@@ -55,7 +57,7 @@
 
 impl<S: Write> Timely<'_, S> {
     fn check(&self) -> io::Result<()> {
-        let late = self.look.is_some_and(|look| steady() > look.at + SLACK);
+        let late = self.look.is_some_and(|look| monotonic_seconds() > look.at + MAX_ACTION_DELAY_SECONDS);
         if late { Err(io::Error::other(Late)) } else { Ok(()) }
     }
 }
@@ -78,53 +80,53 @@
 
 /// Shared by desk and connections.
 pub struct Gate {
-    pub hand: Hand,
-    watch: RefCell<Watch>,
-    repeats: Vec<Repeat>,
+    pub hand: ControlHandle,
+    watch: RefCell<ActiveConfigWatch>,
+    repeats: Vec<Idempotency>,
 }
 
 impl Gate {
-    pub fn new(hand: Hand, repeats: Vec<Repeat>) -> Self {
+    pub fn new(hand: ControlHandle, repeats: Vec<Idempotency>) -> Self {
         Self { watch: hand.watch().into(), hand, repeats }
     }
 
     /// What may be acted on at this moment.
-    pub fn acting(&self) -> Arc<Acting> {
-        self.watch.borrow_mut().acting().clone()
+    pub fn acting(&self) -> Arc<ActiveConfig> {
+        self.watch.borrow_mut().current().clone()
     }
 
-    pub fn is_still(&self, acting: &Arc<Acting>) -> bool {
-        Arc::ptr_eq(self.watch.borrow_mut().acting(), acting)
+    pub fn is_still(&self, acting: &Arc<ActiveConfig>) -> bool {
+        Arc::ptr_eq(self.watch.borrow_mut().current(), acting)
     }
 
     pub fn begin(&self) -> Rc<Began> {
         // The acting first: read the other way round, a lease that came in between would be younger than its scan.
         let acting = self.acting();
-        Rc::new(Began { acting, at: steady() })
+        Rc::new(Began { acting, at: monotonic_seconds() })
     }
 
     /// Parts of this table type must not run twice.
     pub fn once(&self, table_type: usize) -> bool {
-        self.repeats.get(table_type) == Some(&Repeat::NonReplayable)
+        self.repeats.get(table_type) == Some(&Idempotency::NonIdempotent)
     }
 
     /// What becomes of a part that may not go to a node any more, by how far it had come.
     pub fn fate(&self, look: &Look, stage: Stage, table_type: usize, seg: usize, node: &str) -> Fate {
-        let to = look.acting.moving().map(|moving| moving.to());
+        let to = look.acting.map_transition().map(|moving| moving.to());
         let new = to.and_then(|to| to.segment(seg as u64)).is_some_and(|segment| segment.owner == node);
-        let effect = self.repeats.get(table_type).copied().unwrap_or(Repeat::Replayable);
+        let effect = self.repeats.get(table_type).copied().unwrap_or(Idempotency::Idempotent);
         fence::fate(stage, effect, if new { Side::New } else { Side::Old })
     }
 
     /// Parts of this table type may run twice inside a window.
     pub fn keyed(&self, table_type: usize) -> bool {
-        matches!(self.repeats.get(table_type), Some(Repeat::Keyed(_)))
+        matches!(self.repeats.get(table_type), Some(Idempotency::Keyed(_)))
     }
 
     pub fn look(&self) -> Look {
         // The clock last: a process that stood still in here must not act on the time before.
         let acting = self.acting();
-        Look { acting, at: steady() }
+        Look { acting, at: monotonic_seconds() }
     }
 
     /// Whether a part may be sent to a node at this moment, by what its scan began on and by what is in force now.
@@ -143,15 +145,15 @@
         if !self.once(table_type) {
             return true;
         }
-        let allows = |owner: Owner| match owner {
-            Owner::Free => true,
-            Owner::Only(only) => only == node,
-            Owner::Refused(_) => false,
+        let allows = |owner: SegmentOwner| match owner {
+            SegmentOwner::AnyReplica => true,
+            SegmentOwner::Node(only) => only == node,
+            SegmentOwner::Unavailable(_) => false,
         };
         // What it began on would say the same once more, but for a lease that came or ran out since.
         let same = |began: &Began| {
             Arc::ptr_eq(&began.acting, &look.acting)
-                && began.acting.live(began.at) == look.acting.live(look.at)
+                && began.acting.lease_valid(began.at) == look.acting.lease_valid(look.at)
         };
         allows(look.acting.owner(seg as u64, look.at))
             && began.is_none_or(|began| same(began) || allows(began.owner(seg)))
@@ -159,8 +161,9 @@
 
     /// Whether a keyed part may be sent once more although it may have run.
     pub fn may_repeat(&self, began: &Began) -> bool {
-        let allows = |acting: &Acting, at| acting.rules(at).is_none_or(|rules| rules.repeats);
-        allows(&began.acting, began.at) && allows(&self.acting(), steady())
+        let allows =
+            |acting: &ActiveConfig, at| acting.rules(at).is_none_or(|rules| rules.keyed_retries_enabled);
+        allows(&began.acting, began.at) && allows(&self.acting(), monotonic_seconds())
     }
 
     /// The epoch of the map that is acted on now, where that has other keys for a segment than the one its scan began on.
@@ -169,7 +172,7 @@
             return None;
         }
         let acting = self.acting();
-        let (then, now) = (began.map()?, acting.map(steady())?);
+        let (then, now) = (began.map()?, acting.map(monotonic_seconds())?);
         if then.epoch() == now.epoch() {
             return None;
         }
@@ -190,18 +193,18 @@
     ) {
         let (seg, shot) = part;
         let act = || {
-            let (mut word, mut numbers) = phase(&look.acting, look.at);
+            let (mut word, mut numbers) = audit_phase(&look.acting, look.at);
             if let Some(began) = began {
-                let (then, before) = phase(&began.acting, began.at);
+                let (then, before) = audit_phase(&began.acting, began.at);
                 numbers.extend(before);
                 // The stricter of both is obeyed.
-                if then == Word::Joint && word == Word::Alone {
+                if then == AuditPhase::Joint && word == AuditPhase::Alone {
                     word = then;
                 }
             }
             numbers.sort_unstable();
             numbers.dedup();
-            Act::Dispatch {
+            AuditEvent::Dispatch {
                 call: id.rsplit_once('.').map_or(id, |(call, _)| call).to_string(),
                 seg: seg as u64,
                 node: node.to_string(),
@@ -211,7 +214,7 @@
                 numbers,
             }
         };
-        self.hand.wrote_at(look.at, act);
+        self.hand.audit_at(look.at, act);
     }
 }
 
@@ -259,9 +262,9 @@
 
     #[test]
     fn nothing_is_written_by_a_look_that_is_too_old() {
-        let acting = Arc::new(Acting::none());
-        let look = |ago| Look { acting: acting.clone(), at: steady() - ago };
-        let (fresh, old) = (look(0.0), look(2.0 * SLACK));
+        let acting = Arc::new(ActiveConfig::unleased());
+        let look = |ago| Look { acting: acting.clone(), at: monotonic_seconds() - ago };
+        let (fresh, old) = (look(0.0), look(2.0 * MAX_ACTION_DELAY_SECONDS));
         let write = |look| Timely { stream: Vec::new(), look }.write(b"x");
         assert_eq!(write(Some(&fresh)).unwrap(), 1);
         assert_eq!(write(None).unwrap(), 1);
--- a/crates/dunepond-broker/src/fleet/limits.rs
+++ b/crates/dunepond-broker/src/fleet/limits.rs
@@ -5,10 +5,10 @@
 
 use dunepond_config::Bad;
 use dunepond_config::operator::Shared;
-use dunepond_consensus::Acting;
-use dunepond_control_plane::steady;
-use dunepond_quota::{Bounds, Need, Own, WHOLE};
-use dunepond_routing::{Demand, Deployment, Limits};
+use dunepond_consensus::ActiveConfig;
+use dunepond_control_plane::monotonic_seconds;
+use dunepond_quota::{Demand, LocalQuota, SharedQuotas, TOTAL_UNITS};
+use dunepond_routing::{Deployment, QuotaDemand, QuotaShares};
 
 use super::{Gate, WINDOW};
 
@@ -19,8 +19,8 @@
 
 pub struct Sharing {
     every: f64,
-    bounds: Bounds,
-    own: Own,
+    bounds: SharedQuotas,
+    own: LocalQuota,
     /// Parts a second that a warm node takes.
     cold: Option<f64>,
     further: bool,
@@ -28,10 +28,10 @@
     customers: Vec<Option<Customer>>,
     /// Free further dispatches a second, all brokers together.
     free: f64,
-    needs: BTreeMap<String, Need>,
+    needs: BTreeMap<String, Demand>,
     sampled: f64,
     /// What was looked at last: the acting, with a lease or without, and whether an earlier run's use still counts.
-    looked: Option<(Arc<Acting>, bool, bool)>,
+    looked: Option<(Arc<ActiveConfig>, bool, bool)>,
 }
 
 struct Customer {
@@ -57,27 +57,28 @@
         names.extend(told.further.then(|| FURTHER.to_string()));
         names.extend(customers.iter().flatten().map(|customer| customer.bound.clone()));
         // The longest span over which the module counts any of them.
-        let longest = site.table_types.iter().map(|t| t.target).fold(0.0, f64::max);
-        let budget = site.budget.as_ref();
+        let longest = site.query_classes.iter().map(|t| t.latency_objective).fold(0.0, f64::max);
+        let budget = site.retry_budget.as_ref();
         let window = budget.map_or(WINDOW, |budget| budget.window);
-        let span = window.max(site.cold.span).max(longest) + site.tick;
-        let bounds = Bounds::new(names, site.brokers as u32, told.floor, (span * 1e3).ceil() as u64);
+        let span = window.max(site.slow_start.window).max(longest) + site.tick;
+        let bounds =
+            SharedQuotas::new(names, site.broker_count as u32, told.floor, (span * 1e3).ceil() as u64);
         let bounds = bounds.map_err(|e| Bad(format!("fleet: {e} ({})", e.help())))?;
         Ok(Self {
             every: told.every,
-            own: Own::new(&bounds, steady()),
+            own: LocalQuota::new(&bounds, monotonic_seconds()),
             bounds,
             cold: told.cold,
             further: told.further,
             customers,
-            free: budget.map_or(0.0, |budget| budget.free) * site.brokers / window,
+            free: budget.map_or(0.0, |budget| budget.min_retries) * site.broker_count / window,
             needs: BTreeMap::new(),
-            sampled: steady(),
+            sampled: monotonic_seconds(),
             looked: None,
         })
     }
 
-    pub fn bounds(&self) -> &Bounds {
+    pub fn bounds(&self) -> &SharedQuotas {
         &self.bounds
     }
 
@@ -87,18 +88,18 @@
 
     /// Our parts as of this moment, where they are others than at the last look: without a lease, too, and where the one
     /// that there was has run out while this process stood still.
-    pub fn look(&mut self, gate: &Gate, now: f64) -> Option<Limits> {
+    pub fn look(&mut self, gate: &Gate, now: f64) -> Option<QuotaShares> {
         let acting = gate.acting();
-        let (live, held) = (acting.live(now), now < self.own.started + self.own.window);
-        let same = |(before, was_live, was_held): &(Arc<Acting>, bool, bool)| {
+        let (live, held) = (acting.lease_valid(now), now < self.own.started_at + self.own.window_seconds);
+        let same = |(before, was_live, was_held): &(Arc<ActiveConfig>, bool, bool)| {
             Arc::ptr_eq(before, &acting) && (*was_live, *was_held) == (live, held)
         };
         if self.looked.as_ref().is_some_and(same) {
             return None;
         }
-        let limits = Limits {
-            cold: self.cold.map(|rate| rate * self.share(&acting, COLD, now)),
-            further: self.further.then(|| self.share(&acting, FURTHER, now)),
+        let limits = QuotaShares {
+            slow_start: self.cold.map(|rate| rate * self.share(&acting, COLD, now)),
+            retries: self.further.then(|| self.share(&acting, FURTHER, now)),
             quotas: (self.customers.iter())
                 .map(|customer| customer.as_ref().map(|c| self.share(&acting, &c.bound, now)))
                 .collect(),
@@ -108,9 +109,10 @@
     }
 
     /// Of the whole.
-    fn share(&self, acting: &Acting, bound: &str, now: f64) -> f64 {
-        let heard = acting.limits(now);
-        f64::from(self.own.part(heard.told, heard.live, bound, now)) / f64::from(WHOLE)
+    fn share(&self, acting: &ActiveConfig, bound: &str, now: f64) -> f64 {
+        let heard = acting.quota(now);
+        f64::from(self.own.available_units(heard.allocation, heard.lease_valid, bound, now))
+            / f64::from(TOTAL_UNITS)
     }
 
     pub fn came(&mut self, customer: usize) {
@@ -119,7 +121,7 @@
         }
     }
 
-    pub fn sample(&mut self, gate: &Gate, now: f64, demand: impl FnOnce(f64) -> Demand) {
+    pub fn sample(&mut self, gate: &Gate, now: f64, demand: impl FnOnce(f64) -> QuotaDemand) {
         let seconds = now - self.sampled;
         if seconds < SAMPLE {
             return;
@@ -128,11 +130,11 @@
         let demand = demand(seconds);
         let mut samples: Vec<(String, f64, f64)> = Vec::new();
         if let Some(rate) = self.cold {
-            samples.push((COLD.to_string(), demand.cold / rate, 0.0));
+            samples.push((COLD.to_string(), demand.slow_start / rate, 0.0));
         }
         if self.further {
             let whole = (self.free * seconds).max(f64::MIN_POSITIVE);
-            samples.push((FURTHER.to_string(), demand.further / whole, demand.refused / whole));
+            samples.push((FURTHER.to_string(), demand.retries / whole, demand.retries_denied / whole));
         }
         for customer in self.customers.iter_mut().flatten() {
             let whole = (customer.quota * seconds).max(f64::MIN_POSITIVE);
@@ -141,8 +143,8 @@
         let acting = gate.acting();
         for (bound, used, refused) in samples {
             let has = self.share(&acting, &bound, now);
-            self.needs.entry(bound).or_default().sample(used, refused, has);
+            self.needs.entry(bound).or_default().record_sample(used, refused, has);
         }
-        gate.hand.needs(self.needs.iter().map(|(bound, need)| (bound.clone(), need.units())).collect());
+        gate.hand.set_demand(self.needs.iter().map(|(bound, need)| (bound.clone(), need.units())).collect());
     }
 }
--- a/crates/dunepond-broker/src/fleet/mod.rs
+++ b/crates/dunepond-broker/src/fleet/mod.rs
@@ -12,10 +12,13 @@
 use calloop::channel::{self, channel};
 use dunepond_config::Bad;
 use dunepond_config::operator::{self, Known};
-use dunepond_consensus::{Acting, Owner};
-use dunepond_control_plane::{FleetError, Started, Told, Warming, steady};
+use dunepond_consensus::{ActiveConfig, SegmentOwner};
+use dunepond_control_plane::{
+    ControlPlaneConfig, ControlPlaneError, SlowStartPolicy, StartedNode, monotonic_seconds,
+};
 use dunepond_routing::{
-    ColdRule, Demand, Deployment, FurtherBudget, Limits, Listed, NodeId, Rules, Scan, Standing,
+    Deployment, Endpoint, EndpointState, NodeId, Query, QuotaDemand, QuotaShares, RetryBudget, Rules,
+    SlowStart,
 };
 use dunepond_shard_map::Node;
 use tracing::info;
@@ -31,11 +34,11 @@
 const WINDOW: f64 = 10.0;
 
 /// What discovery says, before anything that is agreed on.
-type Row = (Listed, Listing);
+type Row = (Endpoint, Listing);
 
 pub struct Fleet {
     pub gate: Rc<Gate>,
-    fleet: Option<dunepond_control_plane::Fleet>,
+    fleet: Option<dunepond_control_plane::ControlPlane>,
     told: operator::Fleet,
     rows: HashMap<NodeId, Row>,
     nodes: HashMap<String, NodeId>,
@@ -49,7 +52,7 @@
     /// What the deployment states; what is agreed on only tightens it.
     own: Rules,
     /// What was looked at last, with a lease or without, and what the module was told by it.
-    looked: Option<(Arc<Acting>, bool)>,
+    looked: Option<(Arc<ActiveConfig>, bool)>,
     governed: Rules,
     /// Bounds that all brokers share.
     sharing: Option<Sharing>,
@@ -62,7 +65,7 @@
     pub rows: Vec<Row>,
 }
 
-fn bad(e: &FleetError) -> Bad {
+fn bad(e: &ControlPlaneError) -> Bad {
     Bad(format!("fleet: {e} ({})", e.help()))
 }
 
@@ -73,10 +76,10 @@
         name: &str,
         site: &Deployment,
         customers: &[String],
-        stand_ins: dunepond_control_plane::StandIns,
+        stand_ins: dunepond_control_plane::TestDoubles,
         handle: &Handle,
     ) -> Result<Self, Bad> {
-        let longest = site.table_types.iter().map(|t| t.timeout).fold(0.0, f64::max);
+        let longest = site.query_classes.iter().map(|t| t.timeout).fold(0.0, f64::max);
         let known = told.voters.iter().chain(&told.peers).map(|Known { name, at }| (name.clone(), *at));
         let partner = |p: &operator::Partner| dunepond_control_plane::Partner {
             name: p.name.clone(),
@@ -85,32 +88,32 @@
         };
         let sharing = told.limits.as_ref().map(|limits| Sharing::new(limits, site, customers));
         let sharing = sharing.transpose()?;
-        let start = Told {
+        let start = ControlPlaneConfig {
             terms: told.terms(name, longest),
-            listen: told.listen,
-            folder: told.folder.clone(),
-            known: known.collect(),
-            key: told.key.clone(),
-            version: told.version.clone(),
-            record: told.record.clone(),
+            listen_address: told.listen,
+            data_directory: told.folder.clone(),
+            known_brokers: known.collect(),
+            key_file: told.key.clone(),
+            version_file: told.version.clone(),
+            audit_log_file: told.record.clone(),
             partners: told.partners.iter().map(partner).collect(),
-            links: told.links.iter().map(|l| (l.from.clone(), l.to.clone(), l.bytes)).collect(),
-            fills: told.fills.as_ref().map(|fills| dunepond_control_plane::Filling {
-                at: fills.at,
-                segment: fills.segment,
-                rate: fills.rate,
-                at_once: fills.at_once,
-                warm: fills.warm,
+            link_rates: told.links.iter().map(|l| (l.from.clone(), l.to.clone(), l.bytes)).collect(),
+            fills: told.fills.as_ref().map(|fills| dunepond_control_plane::FillConfig {
+                fill_service: fills.at,
+                segment_bytes: fills.segment,
+                bytes_per_second: fills.rate,
+                max_concurrent_fills: fills.at_once,
+                fill_started_nodes: fills.warm,
             }),
-            warming: Some(warming(&site.cold)),
-            limits: sharing.as_ref().map(|sharing| (sharing.bounds().clone(), sharing.every())),
-            moves: told.moves.as_ref().map(|moves| dunepond_control_plane::Moves {
-                plan: moves.plan.clone(),
-                at_once: moves.at_once,
-                settle: moves.settle,
-                link_bytes: moves.link_bytes,
+            slow_start: Some(warming(&site.slow_start)),
+            quotas: sharing.as_ref().map(|sharing| (sharing.bounds().clone(), sharing.every())),
+            rebalancing: told.moves.as_ref().map(|moves| dunepond_control_plane::RebalanceConfig {
+                plan_file: moves.plan.clone(),
+                max_concurrent_acts: moves.at_once,
+                settle_seconds: moves.settle,
+                default_link_rate: moves.link_bytes,
             }),
-            table_types: site.table_types.len(),
+            query_class_count: site.query_classes.len(),
             seed: site.seed,
         };
         let (sender, woken) = channel();
@@ -129,7 +132,7 @@
         let partners = told.partners.iter().enumerate();
         let zones = partners.clone().flat_map(|(at, p)| p.zones.iter().map(move |zone| (zone.clone(), at)));
         let of_customer = |name: &String| told.partners.iter().position(|p| p.customers.contains(name));
-        let repeats = site.table_types.iter().map(|t| t.repeat).collect();
+        let repeats = site.query_classes.iter().map(|t| t.idempotency).collect();
         Ok(Self {
             gate: Rc::new(Gate::new(fleet.hand(), repeats)),
             fleet: Some(fleet),
@@ -140,7 +143,7 @@
             by_zone: zones.collect(),
             by_customer: customers.iter().map(of_customer).collect(),
             by_node: Vec::new(),
-            warm_after: site.cold.warm_after,
+            warm_after: site.slow_start.duration,
             own: Rules::of(site),
             looked: None,
             governed: Rules::of(site),
@@ -150,23 +153,21 @@
 
     /// Whether the nodes are pressed, as the module says: others hear of it with the next question for a lease.
     pub fn press(&self, pressed: bool) {
-        self.gate.hand.press(pressed);
+        self.gate.hand.set_overloaded(pressed);
     }
 
     /// What is agreed on now, where it differs from what was told last. A look costs next to nothing, so that each turn
     /// begins with one: a process that stood still must not act on what was so before.
     pub fn changed(&mut self) -> Option<Changed> {
         let gate = &self.gate;
-        if self
-            .looked
-            .as_ref()
-            .is_some_and(|(acting, live)| gate.is_still(acting) && acting.live(steady()) == *live)
-        {
+        if self.looked.as_ref().is_some_and(|(acting, live)| {
+            gate.is_still(acting) && acting.lease_valid(monotonic_seconds()) == *live
+        }) {
             return None;
         }
         let acting = gate.acting();
-        let now = steady();
-        let live = acting.live(now);
+        let now = monotonic_seconds();
+        let live = acting.lease_valid(now);
         let rules = acting.rules(now).map_or_else(|| self.own.clone(), |rules| tightened(&self.own, rules));
         let mut changed = Changed::default();
         if rules != self.governed {
@@ -177,8 +178,8 @@
         let before = self.looked.replace((acting.clone(), live)).map(|(before, _)| before);
         if let Some(before) = before {
             let moved = |row: &&Row| {
-                row.1.standing != Standing::Gone
-                    && before.draining(&row.1.host) != acting.draining(&row.1.host)
+                row.1.standing != EndpointState::Removed
+                    && before.is_excluded(&row.1.host) != acting.is_excluded(&row.1.host)
             };
             let rows: Vec<Row> = self.rows.values().filter(moved).cloned().collect();
             changed.rows = rows.into_iter().map(|row| self.seen(row)).collect();
@@ -187,8 +188,8 @@
     }
 
     /// Our parts of bounds that all brokers share, where they are others than at the last look.
-    pub fn limited(&mut self) -> Option<Limits> {
-        self.sharing.as_mut()?.look(&self.gate, steady())
+    pub fn limited(&mut self) -> Option<QuotaShares> {
+        self.sharing.as_mut()?.look(&self.gate, monotonic_seconds())
     }
 
     /// A scan of this customer has come: what is needed of its quota.
@@ -199,18 +200,18 @@
     }
 
     /// From time to time tells what is needed of bounds that all brokers share.
-    pub fn needs(&mut self, demand: impl FnOnce(f64) -> Demand) {
+    pub fn needs(&mut self, demand: impl FnOnce(f64) -> QuotaDemand) {
         if let Some(sharing) = &mut self.sharing {
-            sharing.sample(&self.gate, steady(), demand);
+            sharing.sample(&self.gate, monotonic_seconds(), demand);
         }
     }
 
     /// A row as it stands beside what is agreed on: a node that is to be left alone drains, whatever discovery says.
     fn seen(&self, (mut listed, mut listing): Row) -> Row {
-        let leaves = self.looked.as_ref().is_some_and(|(acting, _)| acting.draining(&listing.host));
-        if leaves && listing.standing == Standing::Active {
+        let leaves = self.looked.as_ref().is_some_and(|(acting, _)| acting.is_excluded(&listing.host));
+        if leaves && listing.standing == EndpointState::Active {
             info!("fleet: node {} is to be left alone", listing.host);
-            (listed.standing, listing.standing) = (Standing::Draining, Standing::Draining);
+            (listed.state, listing.standing) = (EndpointState::Draining, EndpointState::Draining);
         }
         (listed, listing)
     }
@@ -236,26 +237,26 @@
             self.zones.insert(node, zone);
             self.rows.insert(node, row.clone());
         }
-        let here = self.rows.values().filter(|row| row.1.standing != Standing::Gone);
+        let here = self.rows.values().filter(|row| row.1.standing != EndpointState::Removed);
         let named = here.map(|row| Node {
             name: row.1.host.clone(),
             zone: self.zones.get(&row.0.node).cloned().unwrap_or_default(),
             partner: self.partner(row.0.node).map_or(String::new(), |at| self.told.partners[at].name.clone()),
-            draining: row.1.standing == Standing::Draining,
+            draining: row.1.standing == EndpointState::Draining,
         });
-        self.gate.hand.listed(named.collect());
-        self.gate.hand.started(self.started(now));
+        self.gate.hand.set_listed_nodes(named.collect());
+        self.gate.hand.set_started_nodes(self.started(now));
         rows.into_iter().map(|row| self.seen(row)).collect()
     }
 
     /// Nodes that are not long since warm, on the fleet's clock; `now` on the list's.
-    fn started(&self, now: f64) -> Vec<Started> {
-        let here = self.rows.values().filter(|row| row.1.standing != Standing::Gone);
+    fn started(&self, now: f64) -> Vec<StartedNode> {
+        let here = self.rows.values().filter(|row| row.1.standing != EndpointState::Removed);
         let cold = here.filter(|row| row.1.started > 0.0 && now < row.1.started + self.warm_after);
-        let started = cold.map(|(_, listing)| Started {
+        let started = cold.map(|(_, listing)| StartedNode {
             node: listing.host.clone(),
-            start: (listing.started * 1000.0).round() as u64,
-            since: steady() - (now - listing.started),
+            incarnation: (listing.started * 1000.0).round() as u64,
+            started_at: monotonic_seconds() - (now - listing.started),
         });
         started.collect()
     }
@@ -272,22 +273,22 @@
 
     /// What a scan begins on; of a non-replayable one each part gets the one node that may have it, or (`Err`) all of it
     /// is refused for so many seconds.
-    pub fn admit(&self, scan: &mut Scan) -> Result<Rc<Began>, (Rc<Began>, f64, &'static str)> {
+    pub fn admit(&self, scan: &mut Query) -> Result<Rc<Began>, (Rc<Began>, f64, &'static str)> {
         let began = self.gate.begin();
-        if !self.gate.once(scan.table_type) {
+        if !self.gate.once(scan.class) {
             return Ok(began);
         }
         for part in &mut scan.parts {
-            let refused = match began.owner(part.seg) {
-                Owner::Free => None,
-                Owner::Only(name) => match self.nodes.get(name) {
+            let refused = match began.owner(part.segment) {
+                SegmentOwner::AnyReplica => None,
+                SegmentOwner::Node(name) => match self.nodes.get(name) {
                     Some(node) => {
-                        part.only = Some(*node);
+                        part.required_node = Some(*node);
                         None
                     }
                     None => Some((self.told.lease, "its owner is not listed")),
                 },
-                Owner::Refused(wait) => Some((wait, "nobody may have it for now")),
+                SegmentOwner::Unavailable(wait) => Some((wait, "nobody may have it for now")),
             };
             if let Some((wait, why)) = refused {
                 let wait = wait.min(began.longest_wait());
@@ -305,16 +306,16 @@
     pub fn carried(&self, node: NodeId, customer: usize, bytes: usize) {
         let owed_by = self.by_customer.get(customer).copied().flatten();
         if let (Some(carrier), Some(owed_by)) = (self.partner(node), owed_by) {
-            self.gate.hand.carried(carrier, owed_by, bytes as u64);
+            self.gate.hand.record_carried(carrier, owed_by, bytes as u64);
         }
     }
 
     /// The operator's file was read again; true if what it says of the fleet waits for a start.
     pub fn reread(&mut self, told: Option<&operator::Fleet>) -> bool {
         let version = told.and_then(|told| told.version.clone());
-        self.gate.hand.reread(version.clone());
+        self.gate.hand.reload_version(version.clone());
         let plan = |told: &operator::Fleet| told.moves.as_ref().map(|moves| moves.plan.clone());
-        self.gate.hand.reread_moves(told.and_then(plan));
+        self.gate.hand.reload_plan(told.and_then(plan));
         // Where the files are may change under way; all else waits for a start.
         let rest = |told: &operator::Fleet| {
             let mut rest = operator::Fleet { version: None, ..told.clone() };
@@ -327,7 +328,7 @@
     }
 
     pub fn report(&self) {
-        info!(fleet = self.gate.hand.report(), "fleet counters");
+        info!(fleet = self.gate.hand.summary(), "fleet counters");
     }
 
     pub fn stop(&mut self) {
@@ -337,42 +338,56 @@
     }
 }
 
-fn warming(cold: &ColdRule) -> Warming {
-    let ColdRule { from, warm_after, multiple, span } = *cold;
-    Warming { from, warm_after, multiple, span }
+fn warming(cold: &SlowStart) -> SlowStartPolicy {
+    let SlowStart {
+        initial_capacity_ratio: from,
+        duration: warm_after,
+        rate_multiple: multiple,
+        window: span,
+    } = *cold;
+    SlowStartPolicy {
+        initial_share: from,
+        warm_up_seconds: warm_after,
+        capacity_multiple: multiple,
+        window_seconds: span,
+    }
 }
 
 /// What is agreed on beside what the deployment states: the stricter of both, as the deployment's limits are not the
 /// fleet's to widen.
-fn tightened(own: &Rules, agreed: &dunepond_consensus::Rules) -> Rules {
+fn tightened(own: &Rules, agreed: &dunepond_consensus::RoutingRules) -> Rules {
     let greater = |own: &[f64], agreed: &[f64]| {
         own.iter()
             .enumerate()
             .map(|(at, share)| agreed.get(at).map_or(*share, |other| share.max(*other)))
             .collect()
     };
-    let budget = own.budget.as_ref().map_or(
-        FurtherBudget { window: WINDOW, free: agreed.budget_free, share: agreed.budget_share },
-        |own| FurtherBudget {
+    let budget = own.retry_budget.as_ref().map_or(
+        RetryBudget {
+            window: WINDOW,
+            min_retries: agreed.retry_budget_min,
+            ratio: agreed.retry_budget_ratio,
+        },
+        |own| RetryBudget {
             window: own.window,
-            free: own.free.min(agreed.budget_free),
-            share: own.share.min(agreed.budget_share),
+            min_retries: own.min_retries.min(agreed.retry_budget_min),
+            ratio: own.ratio.min(agreed.retry_budget_ratio),
         },
     );
     Rules {
-        least: greater(&own.least, &agreed.least),
-        whole_at: greater(&own.whole_at, &agreed.whole_at),
-        budget: Some(budget),
-        dispatch_cap: own.dispatch_cap.min(agreed.dispatch_cap),
-        second_copies: own.second_copies && agreed.second_copies,
-        cold_multiple: own.cold_multiple.min(agreed.cold_multiple),
-        longest_wait: own.longest_wait.min(agreed.longest_wait),
+        minimum_share: greater(&own.minimum_share, &agreed.minimum_shares),
+        complete_at: greater(&own.complete_at, &agreed.complete_at),
+        retry_budget: Some(budget),
+        max_attempts: own.max_attempts.min(agreed.max_attempts),
+        hedging_enabled: own.hedging_enabled && agreed.hedging_enabled,
+        slow_start_multiple: own.slow_start_multiple.min(agreed.slow_start_multiple),
+        max_retry_after: own.max_retry_after.min(agreed.max_retry_after_seconds),
     }
 }
 
 /// What the file says beside a deployment: its name and its query timeouts.
 pub fn check(told: &operator::Fleet, name: &str, site: &Deployment) -> Result<(), Bad> {
-    let longest = site.table_types.iter().map(|t| t.timeout).fold(0.0, f64::max);
+    let longest = site.query_classes.iter().map(|t| t.timeout).fold(0.0, f64::max);
     told.terms(name, longest).check().map_err(|e| Bad(format!("fleet: {e} ({})", e.help())))
 }
 
@@ -383,35 +398,35 @@
     #[test]
     fn what_is_agreed_on_tightens_what_the_deployment_states_and_widens_nothing() {
         let own = Rules {
-            least: vec![0.5, 1.0],
-            whole_at: vec![0.9, 1.0],
-            budget: Some(FurtherBudget { window: 4.0, free: 10.0, share: 0.1 }),
-            dispatch_cap: 3,
-            second_copies: true,
-            cold_multiple: 2.0,
-            longest_wait: 1.0,
+            minimum_share: vec![0.5, 1.0],
+            complete_at: vec![0.9, 1.0],
+            retry_budget: Some(RetryBudget { window: 4.0, min_retries: 10.0, ratio: 0.1 }),
+            max_attempts: 3,
+            hedging_enabled: true,
+            slow_start_multiple: 2.0,
+            max_retry_after: 1.0,
         };
-        let mut agreed = dunepond_consensus::Rules {
-            least: vec![0.7, 0.2],
-            whole_at: vec![0.95, 0.5],
-            budget_share: 0.2,
-            budget_free: 5.0,
-            drain_grace: 1.0,
-            cold_multiple: 1.5,
-            dispatch_cap: 8,
-            second_copies: false,
-            repeats: true,
-            longest_wait: 9.0,
+        let mut agreed = dunepond_consensus::RoutingRules {
+            minimum_shares: vec![0.7, 0.2],
+            complete_at: vec![0.95, 0.5],
+            retry_budget_ratio: 0.2,
+            retry_budget_min: 5.0,
+            drain_grace_seconds: 1.0,
+            slow_start_multiple: 1.5,
+            max_attempts: 8,
+            hedging_enabled: false,
+            keyed_retries_enabled: true,
+            max_retry_after_seconds: 9.0,
         };
         let both = tightened(&own, &agreed);
-        assert_eq!((both.least, both.whole_at), (vec![0.7, 1.0], vec![0.95, 1.0]));
-        let budget = both.budget.unwrap();
-        assert_eq!((budget.window, budget.free, budget.share), (4.0, 5.0, 0.1));
-        assert_eq!((both.dispatch_cap, both.second_copies), (3, false));
-        assert_eq!((both.cold_multiple, both.longest_wait), (1.5, 1.0));
+        assert_eq!((both.minimum_share, both.complete_at), (vec![0.7, 1.0], vec![0.95, 1.0]));
+        let budget = both.retry_budget.unwrap();
+        assert_eq!((budget.window, budget.min_retries, budget.ratio), (4.0, 5.0, 0.1));
+        assert_eq!((both.max_attempts, both.hedging_enabled), (3, false));
+        assert_eq!((both.slow_start_multiple, both.max_retry_after), (1.5, 1.0));
         // Where the deployment states no budget, what is agreed on is one.
-        agreed.budget_free = 7.0;
-        let budget = tightened(&Rules { budget: None, ..own }, &agreed).budget.unwrap();
-        assert_eq!((budget.free, budget.share), (7.0, 0.2));
+        agreed.retry_budget_min = 7.0;
+        let budget = tightened(&Rules { retry_budget: None, ..own }, &agreed).retry_budget.unwrap();
+        assert_eq!((budget.min_retries, budget.ratio), (7.0, 0.2));
     }
 }
--- a/crates/dunepond-broker/src/keeping.rs
+++ b/crates/dunepond-broker/src/keeping.rs
@@ -7,9 +7,12 @@
 
 use dunepond_background::{Cost, JobId, Kind, Outcome, Pool, Priority, Retry, Spec};
 use dunepond_config::operator::State;
-use dunepond_recovery::{Believed, Entry, Identity, Owed, SavedBeliefs, Stamp, VERSION, Verdict, ledger};
-use dunepond_routing::Broker;
-use dunepond_storage::{Fault, Files, Folder, Journal, Snapshots};
+use dunepond_recovery::{
+    BudgetRecord, FORMAT_VERSION, LearnedSnapshot, NodeIdentity, OutstandingCharges, Timestamp,
+    TrustDecision, TrustedState, spent_budgets,
+};
+use dunepond_routing::Router;
+use dunepond_storage::{DiskStore, FileFault, FileStore, Journal, SnapshotStore};
 use tracing::{debug, info, warn};
 
 use crate::background::Background;
@@ -31,15 +34,15 @@
 
 /// The folder in use.
 struct Store {
-    snapshots: Snapshots,
+    snapshots: SnapshotStore,
     journal: Journal,
 }
 
 /// What the folder held when it was opened.
 #[derive(Default)]
 struct Held {
-    beliefs: Option<SavedBeliefs>,
-    entries: Vec<Entry>,
+    beliefs: Option<LearnedSnapshot>,
+    entries: Vec<BudgetRecord>,
     whole: bool,
 }
 
@@ -47,7 +50,7 @@
 
 pub struct Keeping {
     told: State,
-    files: Option<Arc<dyn Files>>,
+    files: Option<Arc<dyn FileStore>>,
     store: Shared,
     /// Not believed yet: the list is not there.
     held: Option<Held>,
@@ -59,42 +62,47 @@
 }
 
 /// This moment by both clocks.
-pub fn stamp(unix: f64) -> Stamp {
+pub fn stamp(unix: f64) -> Timestamp {
     let read = |path: &str| std::fs::read_to_string(path).unwrap_or_default();
     let uptime = read("/proc/uptime").split(' ').next().and_then(|seconds| seconds.parse().ok());
     let boot = read("/proc/sys/kernel/random/boot_id").trim().to_string();
-    Stamp { unix, boot: if uptime.is_some() { boot } else { String::new() }, uptime: uptime.unwrap_or(0.0) }
+    Timestamp {
+        unix,
+        boot: if uptime.is_some() { boot } else { String::new() },
+        uptime: uptime.unwrap_or(0.0),
+    }
 }
 
 /// Opens a folder, reads what it holds and says in it that we have begun.
-fn open(files: Arc<dyn Files>, at: Stamp) -> Result<(Store, Held), String> {
+fn open(files: Arc<dyn FileStore>, at: Timestamp) -> Result<(Store, Held), String> {
     let plain = |e: std::io::Error| e.to_string();
-    let snapshots = Snapshots::new(files.clone(), BELIEFS, VERSION);
-    let found = snapshots.read().map_err(plain)?;
+    let snapshots = SnapshotStore::new(files.clone(), BELIEFS, FORMAT_VERSION);
+    let found = snapshots.load().map_err(plain)?;
     for (name, fault) in &found.faults {
         warn!("state: {name}: {fault}; it is not believed");
     }
-    let beliefs = found.newest.and_then(|snapshot| match SavedBeliefs::decode(&snapshot.bytes) {
+    let beliefs = found.newest.and_then(|snapshot| match LearnedSnapshot::decode(&snapshot.bytes) {
         Ok(beliefs) => Some(beliefs),
         Err(e) => {
             warn!("state: snapshot {}: {e}", snapshot.number);
             None
         }
     });
-    let (mut journal, recovered) = Journal::open(files, DEBTS, VERSION).map_err(plain)?;
+    let (mut journal, recovered) = Journal::open(files, DEBTS, FORMAT_VERSION).map_err(plain)?;
     if let Some(fault) = &recovered.fault {
         warn!("state: {DEBTS}: {fault}; the whole records before are read");
     }
-    let entries: Vec<_> = recovered.records.iter().map(|record| Entry::decode(&record.bytes)).collect();
-    let whole =
-        entries.iter().all(Result::is_ok) && recovered.fault.as_ref().is_none_or(|f| *f == Fault::Cut);
+    let entries: Vec<_> =
+        recovered.records.iter().map(|record| BudgetRecord::decode(&record.bytes)).collect();
+    let whole = entries.iter().all(Result::is_ok)
+        && recovered.fault.as_ref().is_none_or(|f| *f == FileFault::Truncated);
     // A record that is cut off was being written when its writer went: it is one of an end that was not reached.
     let whole = whole && recovered.fault.is_none();
     if journal.length() > LONG {
         let last = recovered.records.last().map(|record| record.bytes.clone());
         journal.rewrite(&last.into_iter().collect::<Vec<_>>()).map_err(plain)?;
     }
-    journal.append(&Entry::Begun { at }.encode()).map_err(plain)?;
+    journal.append(&BudgetRecord::BrokerStarted { at }.encode()).map_err(plain)?;
     let held = Held { beliefs, entries: entries.into_iter().flatten().collect(), whole };
     Ok((Store { snapshots, journal }, held))
 }
@@ -108,7 +116,7 @@
     pub fn start(
         now: f64,
         told: State,
-        files: Option<Arc<dyn Files>>,
+        files: Option<Arc<dyn FileStore>>,
         table_types: Vec<String>,
         background: &mut Background,
     ) -> Self {
@@ -132,7 +140,7 @@
         }
         match opened.recv_timeout(AT_START) {
             Ok(Ok(held)) => {
-                let beliefs = held.beliefs.as_ref().map_or(0, SavedBeliefs::count);
+                let beliefs = held.beliefs.as_ref().map_or(0, LearnedSnapshot::node_count);
                 info!(
                     "state: read in {:.1} ms, beliefs of {beliefs} nodes",
                     1e3 * began.elapsed().as_secs_f64()
@@ -158,7 +166,7 @@
         Box::new(move || {
             let files = match given {
                 Some(files) => Ok(files),
-                None => Folder::open(&path).map(|folder| Arc::new(folder) as Arc<dyn Files>),
+                None => DiskStore::open(&path).map(|folder| Arc::new(folder) as Arc<dyn FileStore>),
             };
             let opened = files.map_err(|e| e.to_string()).and_then(|files| open(files, stamp(now)));
             let (outcome, told) = match opened {
@@ -192,7 +200,7 @@
 
     /// The list is there for the first time: what was learned before is believed as far as it still holds, and what may
     /// have been spent counts.
-    pub fn believe(&mut self, now: f64, broker: &mut Broker, desk: &mut Desk) {
+    pub fn believe(&mut self, now: f64, broker: &mut Router, desk: &mut Desk) {
         let present = desk.servers.identities();
         // Once: later lists find a process that knows better.
         if present.is_empty() || std::mem::replace(&mut self.believed, !present.is_empty()) {
@@ -200,24 +208,29 @@
         }
         let types = &self.table_types;
         let (held, now) = (self.held.take(), stamp(now));
-        let owed = held.as_ref().map_or(Owed::All, |h| ledger::owed(&h.entries, h.whole, &now, &present));
+        let owed = held.as_ref().map_or(OutstandingCharges::Unknown, |h| {
+            spent_budgets::outstanding_charges(&h.entries, h.whole, &now, &present)
+        });
         match &owed {
-            Owed::All => {
+            OutstandingCharges::Unknown => {
                 info!("state: what was spent before is not known: all of it counts as spent");
-                broker.owe(desk, None);
+                broker.restore_spent(desk, None);
             }
-            Owed::Exactly(ledger) => broker.owe(desk, Some(ledger)),
+            OutstandingCharges::Known(ledger) => broker.restore_spent(desk, Some(ledger)),
         }
         if let Some(saved) = held.and_then(|held| held.beliefs) {
-            let Believed { weight, beliefs, nodes } = saved.believe(&now, types, &present);
-            let aside = nodes.iter().filter(|n| matches!(n.1, Verdict::Believed { aside: true, .. })).count();
-            let elapsed = weight.elapsed.map_or("an unknown time".to_string(), |e| format!("{e:.1} s"));
+            let TrustedState { confidence: weight, learned: beliefs, nodes } =
+                saved.restore(&now, types, &present);
+            let aside =
+                nodes.iter().filter(|n| matches!(n.1, TrustDecision::Trusted { ejected: true, .. })).count();
+            let elapsed =
+                weight.elapsed_seconds.map_or("an unknown time".to_string(), |e| format!("{e:.1} s"));
             let (count, all) = (beliefs.nodes.len(), nodes.len());
             info!(
                 "state: of {elapsed} ago, weight {:.2}: {count} of {all} nodes believed, {aside} due a trial",
                 weight.weight
             );
-            broker.believe(desk, &beliefs);
+            broker.restore_learned(desk, &beliefs);
         }
     }
 
@@ -238,13 +251,13 @@
         self.snapshot = Some(background.add(now, spec));
     }
 
-    fn saved(&mut self, now: f64, broker: &mut Broker, desk: &Desk) -> Vec<u8> {
-        let beliefs = broker.beliefs(desk);
-        SavedBeliefs::of(stamp(now), &self.table_types, &desk.servers.identities(), &beliefs).encode()
+    fn saved(&mut self, now: f64, broker: &mut Router, desk: &Desk) -> Vec<u8> {
+        let beliefs = broker.learned_state(desk);
+        LearnedSnapshot::capture(stamp(now), &self.table_types, &desk.servers.identities(), &beliefs).encode()
     }
 
     /// A job of ours is to run.
-    pub fn run(&mut self, id: JobId, name: &str, now: f64, broker: &mut Broker, desk: &Desk, pool: &Pool) {
+    pub fn run(&mut self, id: JobId, name: &str, now: f64, broker: &mut Router, desk: &Desk, pool: &Pool) {
         if name == OPEN {
             let folder = self.told.folder.clone();
             let work = self.opening(now, move |held| match held {
@@ -287,9 +300,10 @@
     }
 
     /// The broker ends in order: what it has learned and spent is written, if the folder takes it soon.
-    pub fn finish(&mut self, now: f64, broker: &mut Broker, desk: &Desk, pool: &Pool) {
+    pub fn finish(&mut self, now: f64, broker: &mut Router, desk: &Desk, pool: &Pool) {
         let bytes = self.saved(now, broker, desk);
-        let entry = Entry::ended(stamp(now), &desk.servers.identities(), &broker.ledger(desk));
+        let entry =
+            BudgetRecord::stopped(stamp(now), &desk.servers.identities(), &broker.spent_budgets(desk));
         let (store, (sender, done)) = (self.store.clone(), channel());
         pool.run(0, move || {
             if let Some(open) = lock(&store).as_mut() {
@@ -309,29 +323,31 @@
 
 /// A folder as it stands, without a broker.
 pub struct Look {
-    pub beliefs: Option<SavedBeliefs>,
-    pub entries: Vec<Entry>,
+    pub beliefs: Option<LearnedSnapshot>,
+    pub entries: Vec<BudgetRecord>,
     /// Every file or record that is not believed, with why.
     pub faults: Vec<String>,
 }
 
 /// Reads a folder without taking it into use.
 pub fn look(path: &std::path::Path) -> Result<Look, String> {
-    let files: Arc<dyn Files> = Arc::new(Folder::look(path).map_err(|e| format!("{}: {e}", path.display()))?);
-    let found = Snapshots::new(files.clone(), BELIEFS, VERSION).read().map_err(|e| e.to_string())?;
+    let files: Arc<dyn FileStore> =
+        Arc::new(DiskStore::open_read_only(path).map_err(|e| format!("{}: {e}", path.display()))?);
+    let found =
+        SnapshotStore::new(files.clone(), BELIEFS, FORMAT_VERSION).load().map_err(|e| e.to_string())?;
     let mut faults: Vec<_> = found.faults.iter().map(|(name, fault)| format!("{name}: {fault}")).collect();
-    let beliefs = found.newest.and_then(|snapshot| match SavedBeliefs::decode(&snapshot.bytes) {
+    let beliefs = found.newest.and_then(|snapshot| match LearnedSnapshot::decode(&snapshot.bytes) {
         Ok(beliefs) => Some(beliefs),
         Err(e) => {
             faults.push(format!("snapshot {}: {e}", snapshot.number));
             None
         }
     });
-    let recovered = Journal::read(&*files, DEBTS, VERSION);
+    let recovered = Journal::read(&*files, DEBTS, FORMAT_VERSION);
     faults.extend(recovered.fault.map(|fault| format!("{DEBTS}.journal: {fault}")));
     let mut entries = Vec::new();
     for record in &recovered.records {
-        match Entry::decode(&record.bytes) {
+        match BudgetRecord::decode(&record.bytes) {
             Ok(entry) => entries.push(entry),
             Err(e) => faults.push(format!("{DEBTS}.journal: record {}: {e}", record.number)),
         }
@@ -345,37 +361,41 @@
     let look = look(path)?;
     let now = stamp(now);
     let mut out = String::new();
-    let present: Vec<Identity> = look.beliefs.as_ref().map_or(Vec::new(), SavedBeliefs::identities);
+    let present: Vec<NodeIdentity> = look.beliefs.as_ref().map_or(Vec::new(), LearnedSnapshot::identities);
     match &look.beliefs {
         None => out.push_str("no beliefs\n"),
         Some(saved) => {
-            let believed = saved.believe(&now, saved.table_types(), &present);
+            let believed = saved.restore(&now, saved.table_types(), &present);
             let ago = believed
-                .weight
-                .elapsed
+                .confidence
+                .elapsed_seconds
                 .map_or("at a time that no clock tells".to_string(), |e| format!("{e:.1} s ago"));
             let _ = writeln!(
                 out,
                 "beliefs of {} nodes, written {ago}; they would count {:.0} %",
-                saved.count(),
-                100.0 * believed.weight.weight
+                saved.node_count(),
+                100.0 * believed.confidence.weight
             );
             for ((name, verdict), identity) in believed.nodes.iter().zip(&present) {
                 let said = match verdict {
-                    Verdict::Believed { samples, aside: true } => {
+                    TrustDecision::Trusted { sample_count: samples, ejected: true } => {
                         format!("{samples} samples; set aside, due a trial")
                     }
-                    Verdict::Believed { samples, aside: false } => format!("{samples} samples"),
+                    TrustDecision::Trusted { sample_count: samples, ejected: false } => {
+                        format!("{samples} samples")
+                    }
                     other => format!("not believed: {other:?}"),
                 };
-                let _ = writeln!(out, "  {name} at {}: {said}", identity.dial);
+                let _ = writeln!(out, "  {name} at {}: {said}", identity.address);
             }
         }
     }
     let _ = match look.entries.last() {
         None => writeln!(out, "no debts"),
-        Some(Entry::Begun { .. }) => writeln!(out, "debts: a broker has begun and not ended in order"),
-        Some(Entry::Ended { further, cold, .. }) => {
+        Some(BudgetRecord::BrokerStarted { .. }) => {
+            writeln!(out, "debts: a broker has begun and not ended in order")
+        }
+        Some(BudgetRecord::BrokerStopped { further, cold, .. }) => {
             writeln!(
                 out,
                 "debts: ended in order, {} further dispatches and {} cold nodes",
@@ -384,12 +404,12 @@
             )
         }
     };
-    let _ = match ledger::owed(&look.entries, look.faults.is_empty(), &now, &present) {
-        Owed::All => writeln!(out, "a broker that began now would count all as spent"),
-        Owed::Exactly(ledger) => writeln!(
+    let _ = match spent_budgets::outstanding_charges(&look.entries, look.faults.is_empty(), &now, &present) {
+        OutstandingCharges::Unknown => writeln!(out, "a broker that began now would count all as spent"),
+        OutstandingCharges::Known(ledger) => writeln!(
             out,
             "a broker that began now would count {} further dispatches as spent",
-            ledger.further.len()
+            ledger.retries.len()
         ),
     };
     for fault in &look.faults {
--- a/crates/dunepond-broker/src/list.rs
+++ b/crates/dunepond-broker/src/list.rs
@@ -7,7 +7,7 @@
 
 use calloop::RegistrationToken;
 use dunepond_config::{Bad, Bounds, Fields};
-use dunepond_routing::{Listed, NodeId, Standing};
+use dunepond_routing::{Endpoint, EndpointState, NodeId};
 use serde_json::Value;
 use slab::Slab;
 use tracing::{debug, info, warn};
@@ -41,7 +41,7 @@
 /// A list, or what changed in it.
 pub struct News {
     pub whole: bool,
-    pub rows: Vec<(Listed, Listing)>,
+    pub rows: Vec<(Endpoint, Listing)>,
 }
 
 /// One call to the agent, on a connection of its own.
@@ -355,18 +355,18 @@
         Ok((seq, News { whole, rows }, spoilt))
     }
 
-    fn row(&mut self, row: &Value) -> Result<(Listed, Listing), Bad> {
+    fn row(&mut self, row: &Value) -> Result<(Endpoint, Listing), Bad> {
         let row = Fields::of("hosts", row)?;
         let host = row.text("host")?;
         let standing = match row.text("health")? {
-            "ready" => Standing::Active,
-            "draining" => Standing::Draining,
-            "gone" => Standing::Gone,
+            "ready" => EndpointState::Active,
+            "draining" => EndpointState::Draining,
+            "gone" => EndpointState::Removed,
             _ => return Err(row.bad("health", "unknown word")),
         };
         let dial: Option<SocketAddr> = match row.optional_text("dial")? {
             Some(dial) => Some(dial.parse().map_err(|_| row.bad("dial", "not an address:port"))?),
-            None if standing == Standing::Gone => None,
+            None if standing == EndpointState::Removed => None,
             None => return Err(row.bad("dial", "missing")),
         };
         let cell = row.count("block")? as usize;
@@ -382,6 +382,9 @@
             node
         });
         let host = host.to_string();
-        Ok((Listed { node, cell, zone, standing, started }, Listing { host, dial, cell, started, standing }))
+        Ok((
+            Endpoint { node, replica_group: cell, zone, state: standing, started_at: started },
+            Listing { host, dial, cell, started, standing },
+        ))
     }
 }
--- a/crates/dunepond-broker/src/servers/agreed.rs
+++ b/crates/dunepond-broker/src/servers/agreed.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use dunepond_routing::End;
+use dunepond_routing::AttemptOutcome;
 use tracing::debug;
 
 use super::{Link, Out, Parcel, Servers};
@@ -12,7 +12,7 @@
 
 /// Notes each part whose frame has been put on its connection since the last look.
 pub fn note(gate: &Gate, look: &Look, host: &str, link: &mut Link) {
-    if !gate.hand.records() {
+    if !gate.hand.is_audited() {
         return;
     }
     for out in link.carried.iter_mut().filter(|o| o.to.is_some() && !o.noted) {
@@ -51,9 +51,9 @@
         link.carried = carried;
         let (held, node): (VecDeque<Out>, _) = (held, link.node);
         for out in held {
-            gate.hand.held_back();
+            gate.hand.count_withheld();
             debug!("node {host}: {} is held back by what is agreed", out.parcel.id);
-            self.back.push_back(out.back(node, End::NotSent, now, None));
+            self.back.push_back(out.back(node, AttemptOutcome::NotSent, now, None));
         }
         self.rest(now, id, alarms);
         true
--- a/crates/dunepond-broker/src/servers/ends.rs
+++ b/crates/dunepond-broker/src/servers/ends.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use dunepond_routing::End;
+use dunepond_routing::AttemptOutcome;
 use dunepond_search_api::hits::Expected;
 use dunepond_search_api::node::{Meaning, meaning};
 use tracing::{debug, warn};
@@ -104,12 +104,12 @@
         let (status, keep) = (message.head.status, message.head.keep);
         let (end, value) = match meaning(status, message.text(), (!once).then_some(&expected)) {
             Meaning::Found(_) | Meaning::Updated(_) => {
-                (End::Completed, std::str::from_utf8(message.text()).ok().map(str::to_string))
+                (AttemptOutcome::Served, std::str::from_utf8(message.text()).ok().map(str::to_string))
             }
-            Meaning::Rejected => (End::Full, None),
+            Meaning::Rejected => (AttemptOutcome::Rejected, None),
             Meaning::Failed(why) => {
                 debug!("node {host}: {why}");
-                (End::Error, None)
+                (AttemptOutcome::Error, None)
             }
         };
         // Answered before all of it was there, it may yet be taken for run: only a rejection says that it was not.
@@ -155,9 +155,9 @@
                         late.map(|late| link.given_up.swap_remove(late));
                     }
                     let (end, value) = match word {
-                        Word::Hit => (End::Completed, Some(value.to_string())),
-                        Word::Fault => (End::Error, None),
-                        Word::Overload => (End::Full, None),
+                        Word::Hit => (AttemptOutcome::Served, Some(value.to_string())),
+                        Word::Fault => (AttemptOutcome::Error, None),
+                        Word::Overload => (AttemptOutcome::Rejected, None),
                     };
                     (used, at.map(|at| (at, end, value, frames::searched(report))))
                 }
@@ -167,7 +167,7 @@
             {
                 // Refused before all of it was there, it never ran; the rest of its frame has nowhere to go.
                 let half = out.to.is_none_or(|to| to > link.out.written());
-                if half && end != End::Full {
+                if half && end != AttemptOutcome::Rejected {
                     link.carried.push_front(out);
                     return spoilt_half(&self.servers[link.node]);
                 }
--- a/crates/dunepond-broker/src/servers/frames.rs
+++ b/crates/dunepond-broker/src/servers/frames.rs
@@ -209,7 +209,7 @@
         let once = gate
             .zip(carried)
             .is_some_and(|(gate, carried)| carried.iter().any(|o| gate.once(o.parcel.table_type)));
-        let look = gate.filter(|gate| once || gate.hand.records()).map(|gate| gate.look());
+        let look = gate.filter(|gate| once || gate.hand.is_audited()).map(|gate| gate.look());
         if let Some(look) = &look
             && !self.hold_back(look, now, id, alarms)
         {
--- a/crates/dunepond-broker/src/servers/listing.rs
+++ b/crates/dunepond-broker/src/servers/listing.rs
@@ -3,8 +3,8 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use dunepond_recovery::Identity;
-use dunepond_routing::{NodeId, Standing};
+use dunepond_recovery::NodeIdentity;
+use dunepond_routing::{EndpointState, NodeId};
 
 use super::{Server, Servers};
 use crate::clock::Alarms;
@@ -17,7 +17,7 @@
     pub dial: Option<SocketAddr>,
     pub cell: usize,
     pub started: f64,
-    pub standing: Standing,
+    pub standing: EndpointState,
 }
 
 impl Servers {
@@ -28,14 +28,14 @@
         }
         let server = &mut self.servers[node];
         let (started, standing) = (row.started, row.standing);
-        if standing == Standing::Gone && !server.stands(Standing::Gone) {
+        if standing == EndpointState::Removed && !server.stands(EndpointState::Removed) {
             self.gone.push(node);
         }
         let before = server.row.as_ref();
         let moved = before.is_some_and(|b| b.dial.is_some() && b.dial != row.dial);
         let replaced = started > before.map_or(0.0, |b| b.started);
         server.row = Some(row);
-        if moved || replaced || standing != Standing::Active {
+        if moved || replaced || standing != EndpointState::Active {
             self.changed.push((node, replaced));
         }
         for id in server.links.clone() {
@@ -45,10 +45,10 @@
                 self.end(now, id, Ending::Replaced, alarms);
                 continue;
             }
-            link.retired |= moved || standing == Standing::Gone;
+            link.retired |= moved || standing == EndpointState::Removed;
             // What still waits here may be written long after the node was not to get anything new, or to a new process that
             // bears less.
-            if link.retired || replaced || standing != Standing::Active {
+            if link.retired || replaced || standing != EndpointState::Active {
                 self.hold(now, id, |_| true);
                 self.rest(now, id, alarms);
             }
@@ -58,9 +58,9 @@
     /// A whole list is coming: what it does not name has gone.
     pub fn listed_anew(&mut self, now: f64, named: &HashSet<NodeId>, alarms: &mut Alarms) {
         for node in 0..self.servers.len() {
-            let row = self.servers[node].row.as_ref().filter(|row| row.standing != Standing::Gone);
+            let row = self.servers[node].row.as_ref().filter(|row| row.standing != EndpointState::Removed);
             if let Some(row) = row.filter(|_| !named.contains(&node)) {
-                let row = Listing { standing: Standing::Gone, ..row.clone() };
+                let row = Listing { standing: EndpointState::Removed, ..row.clone() };
                 self.listed(now, node, row, alarms);
             }
         }
@@ -70,7 +70,7 @@
     /// all day, whoever kept them would grow for ever.
     pub fn forgotten(&mut self) -> Option<(NodeId, String)> {
         let servers = &self.servers;
-        self.gone.retain(|node| servers[*node].stands(Standing::Gone));
+        self.gone.retain(|node| servers[*node].stands(EndpointState::Removed));
         let idle = |node: &NodeId| servers[*node].links.is_empty() && servers[*node].batch.is_empty();
         let at = self.gone.iter().position(idle)?;
         let node = self.gone.swap_remove(at);
@@ -79,7 +79,7 @@
     }
 
     pub fn any_active(&self) -> bool {
-        self.servers.iter().any(|s| s.stands(Standing::Active))
+        self.servers.iter().any(|s| s.stands(EndpointState::Active))
     }
 
     pub fn holds(&self, node: NodeId, seg: usize, cells: usize, holders: usize) -> bool {
@@ -89,16 +89,17 @@
 
     /// How many nodes the list names, and how many of them may get something new.
     pub fn count(&self) -> (usize, usize) {
-        let named = self.servers.iter().filter(|s| s.row.is_some() && !s.stands(Standing::Gone)).count();
-        (named, self.servers.iter().filter(|s| s.stands(Standing::Active)).count())
+        let named =
+            self.servers.iter().filter(|s| s.row.is_some() && !s.stands(EndpointState::Removed)).count();
+        (named, self.servers.iter().filter(|s| s.stands(EndpointState::Active)).count())
     }
 
     /// Every node that the list names, as others may know it again.
-    pub fn identities(&self) -> Vec<Identity> {
+    pub fn identities(&self) -> Vec<NodeIdentity> {
         let named = self.servers.iter().enumerate().filter_map(|(node, server)| {
-            let row = server.row.as_ref().filter(|row| row.standing != Standing::Gone)?;
+            let row = server.row.as_ref().filter(|row| row.standing != EndpointState::Removed)?;
             let dial = row.dial.map_or(String::new(), |dial| dial.to_string());
-            Some(Identity { node, name: row.host.clone(), dial, started: row.started })
+            Some(NodeIdentity { node, name: row.host.clone(), address: dial, started_at: row.started })
         });
         named.collect()
     }
@@ -106,6 +107,6 @@
     /// Where a node that may get something new is reached.
     pub fn dial(&self, node: NodeId) -> Option<SocketAddr> {
         let row = self.servers.get(node)?.row.as_ref()?;
-        row.dial.filter(|_| row.standing == Standing::Active)
+        row.dial.filter(|_| row.standing == EndpointState::Active)
     }
 }
--- a/crates/dunepond-broker/src/servers/mod.rs
+++ b/crates/dunepond-broker/src/servers/mod.rs
@@ -14,7 +14,7 @@
 
 use calloop::RegistrationToken;
 use dunepond_config::Bounds;
-use dunepond_routing::{End, Ended, NodeId, ScanId, Standing};
+use dunepond_routing::{AttemptEnded, AttemptOutcome, EndpointState, NodeId, QueryId};
 use ipnet::IpNet;
 use slab::Slab;
 
@@ -33,7 +33,7 @@
 
 /// A part on its way: which dispatch it is, and what its frame needs.
 pub struct Parcel {
-    pub scan: ScanId,
+    pub scan: QueryId,
     pub part: usize,
     pub shot: usize,
     pub id: Rc<str>,
@@ -99,7 +99,7 @@
 
 /// A dispatch that is over, with the value that it brought.
 pub struct Back {
-    pub ended: Ended,
+    pub ended: AttemptEnded,
     pub value: Option<String>,
     /// The version that was searched, and whether anything was found, where its node says so.
     pub searched: Option<(u64, bool)>,
@@ -131,7 +131,7 @@
     /// Nodes that moved, or are to get nothing new, or (true) are other processes now.
     pub changed: Vec<(NodeId, bool)>,
     /// Frames of bodies of which the last byte has gone out, and that the module has not been told of.
-    pub framed: VecDeque<(NodeId, (ScanId, usize, usize))>,
+    pub framed: VecDeque<(NodeId, (QueryId, usize, usize))>,
     /// Bytes copied into frames.
     pub copied: u64,
     /// Ends that the module has not been told yet: it may be in the middle of the call that caused them.
@@ -143,25 +143,43 @@
         self.row.as_ref().map_or("?", |row| &row.host)
     }
 
-    fn stands(&self, standing: Standing) -> bool {
+    fn stands(&self, standing: EndpointState) -> bool {
         self.row.as_ref().is_some_and(|row| row.standing == standing)
     }
 }
 
 impl Out {
-    fn back(self, node: NodeId, end: End, now: f64, value: Option<String>) -> Back {
+    fn back(self, node: NodeId, end: AttemptOutcome, now: f64, value: Option<String>) -> Back {
         let Parcel { scan, part, shot, .. } = self.parcel;
-        Back { ended: Ended { scan, part, shot, node, end, took: now - self.sent }, value, searched: None }
+        Back {
+            ended: AttemptEnded {
+                query: scan,
+                part,
+                attempt: shot,
+                node,
+                outcome: end,
+                elapsed: now - self.sent,
+            },
+            value,
+            searched: None,
+        }
     }
 }
 
 impl Parcel {
-    fn key(&self) -> (ScanId, usize, usize) {
+    fn key(&self) -> (QueryId, usize, usize) {
         (self.scan, self.part, self.shot)
     }
 
-    pub fn unsent(&self, node: NodeId, end: End) -> Back {
-        let ended = Ended { scan: self.scan, part: self.part, shot: self.shot, node, end, took: 0.0 };
+    pub fn unsent(&self, node: NodeId, end: AttemptOutcome) -> Back {
+        let ended = AttemptEnded {
+            query: self.scan,
+            part: self.part,
+            attempt: self.shot,
+            node,
+            outcome: end,
+            elapsed: 0.0,
+        };
         Back { ended, value: None, searched: None }
     }
 }
--- a/crates/dunepond-broker/src/servers/recall.rs
+++ b/crates/dunepond-broker/src/servers/recall.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use dunepond_routing::{End, NodeId, ScanId};
+use dunepond_routing::{AttemptOutcome, NodeId, QueryId};
 
 use super::{Link, Out, Servers};
 use crate::clock::Alarms;
@@ -15,8 +15,8 @@
         &mut self,
         now: f64,
         node: NodeId,
-        key: (ScanId, usize, usize),
-        end: End,
+        key: (QueryId, usize, usize),
+        end: AttemptOutcome,
         alarms: &mut Alarms,
     ) {
         if self.withdraw(now, node, key, end, alarms) {
@@ -29,7 +29,7 @@
         if link.api {
             // The API knows no taking back: the connection is its request.
             self.end(now, id, Ending::CutShort, alarms);
-        } else if end == End::Cancelled {
+        } else if end == AttemptOutcome::Cancelled {
             // A dispatch that has timed out is known to the node by its frame.
             link.out.put(&frames::give_up(&out.parcel.id));
             self.write(now, id, alarms);
@@ -39,19 +39,19 @@
     }
 
     /// The scans of which something waits on this connection for its last byte to be written.
-    pub fn unsent(&self, id: usize) -> Vec<ScanId> {
+    pub fn unsent(&self, id: usize) -> Vec<QueryId> {
         let Some(link) = self.links.get(id) else { return Vec::new() };
         let unsent = link.carried.iter().filter(|o| o.to.is_none_or(|to| to > link.out.written()));
         unsent.map(|o| o.parcel.scan).collect()
     }
 
     /// Whether some connection to a node carries a dispatch, sent or not.
-    pub fn carries(&self, node: NodeId, key: (ScanId, usize, usize)) -> bool {
+    pub fn carries(&self, node: NodeId, key: (QueryId, usize, usize)) -> bool {
         self.find(node, key).is_some()
     }
 
     /// The connection that carries a dispatch, and where on it.
-    fn find(&self, node: NodeId, key: (ScanId, usize, usize)) -> Option<(usize, usize)> {
+    fn find(&self, node: NodeId, key: (QueryId, usize, usize)) -> Option<(usize, usize)> {
         let links = &self.servers.get(node)?.links;
         let at = |link: &Link| link.carried.iter().position(|o| o.parcel.key() == key);
         links.iter().find_map(|id| Some((*id, at(&self.links[*id])?)))
@@ -78,7 +78,7 @@
             let (held, carried): (VecDeque<Out>, _) = link.carried.drain(..).partition(held);
             link.carried = carried;
             let node = link.node;
-            self.back.extend(held.into_iter().map(|o| o.back(node, End::NotSent, now, None)));
+            self.back.extend(held.into_iter().map(|o| o.back(node, AttemptOutcome::NotSent, now, None)));
         }
     }
 
@@ -87,8 +87,8 @@
         &mut self,
         now: f64,
         node: NodeId,
-        key: (ScanId, usize, usize),
-        end: End,
+        key: (QueryId, usize, usize),
+        end: AttemptOutcome,
         alarms: &mut Alarms,
     ) -> bool {
         let Some(server) = self.servers.get_mut(node) else { return false };
--- a/crates/dunepond-broker/src/world/changing.rs
+++ b/crates/dunepond-broker/src/world/changing.rs
@@ -29,7 +29,7 @@
                 info!("configuration read again");
                 logger::set_level(start.level);
                 // Settings wait for a start; but whoever starts and kills the process may go by these already.
-                let timeouts = start.deployment.table_types.iter().map(|t| t.timeout);
+                let timeouts = start.deployment.query_classes.iter().map(|t| t.timeout);
                 self.longest_timeout = self.longest_timeout.min(timeouts.fold(0.0, f64::max));
                 self.discovery.move_to(now, start.discovery, &mut self.desk.alarms);
                 self.call_discovery();
--- a/crates/dunepond-broker/src/world/ending.rs
+++ b/crates/dunepond-broker/src/world/ending.rs
@@ -21,7 +21,7 @@
                 shutdown.last_answers_at() - now
             );
             self.shutdown = Some(shutdown);
-            self.broker.told_to_end(shutdown);
+            self.broker.begin_shutdown(shutdown);
             self.desk.clients.leaving = true;
             self.desk.clients.until = shutdown.last_answers_at();
             self.drain();
@@ -56,7 +56,7 @@
             self.over = self.over || self.desk.clients.close_listeners(now, &mut self.desk.alarms);
             self.desk.clients.close_resting(now, &mut self.desk.alarms);
         }
-        if stage >= ShutdownStage::ClosingUnasked {
+        if stage >= ShutdownStage::ClosingWithoutRequest {
             self.desk.clients.close_unasked(now, &mut self.desk.alarms);
         }
         if stage >= ShutdownStage::LastAnswers {
--- a/crates/dunepond-broker/src/world/hangup.rs
+++ b/crates/dunepond-broker/src/world/hangup.rs
@@ -1,6 +1,6 @@
 //! Clients that have gone, taken before whatever may send something on for them.
 
-use dunepond_routing::ScanId;
+use dunepond_routing::QueryId;
 
 use super::World;
 use crate::turn::{Ready, Turn};
@@ -25,10 +25,10 @@
         }
     }
 
-    pub(super) fn client_left(&mut self, held: ScanId) {
+    pub(super) fn client_left(&mut self, held: QueryId) {
         for scan in self.desk.all_of(held) {
             self.desk.left(scan);
-            self.broker.client_left(&mut self.desk, scan);
+            self.broker.on_client_disconnect(&mut self.desk, scan);
         }
     }
 }
--- a/crates/dunepond-broker/src/world/mod.rs
+++ b/crates/dunepond-broker/src/world/mod.rs
@@ -8,7 +8,7 @@
 
 use dunepond_body_buffer::{BodyId, Done};
 use dunepond_config::operator::Operator;
-use dunepond_routing::{Broker, NOTICEABLE_PAUSE, Scan, ScanId, Shutdown, ShutdownStage};
+use dunepond_routing::{NOTICEABLE_PAUSE_SECONDS, Query, QueryId, Router, Shutdown, ShutdownStage};
 use tracing::{info, warn};
 
 use crate::asking::Asking;
@@ -27,7 +27,7 @@
 /// All that a turn of the loop works on.
 struct World {
     clock: Clock,
-    broker: Broker,
+    broker: Router,
     desk: Desk,
     discovery: DiscoveryClient,
     /// Two-phase scans; nothing where the operator's file does not ask for them.
@@ -57,7 +57,7 @@
     fn tick(&mut self) -> f64 {
         self.desk.now = self.clock.now();
         let apart = (self.this_turn - self.turn_before).max(self.desk.now - self.this_turn);
-        self.desk.clients.came_since = (apart > NOTICEABLE_PAUSE).then_some(self.turn_before);
+        self.desk.clients.came_since = (apart > NOTICEABLE_PAUSE_SECONDS).then_some(self.turn_before);
         self.look_at_fleet();
         self.desk.now
     }
@@ -67,7 +67,7 @@
         self.turn_before = std::mem::replace(&mut self.this_turn, self.clock.now());
         let now = self.tick();
         let apart = now - self.turn_before;
-        if apart > NOTICEABLE_PAUSE {
+        if apart > NOTICEABLE_PAUSE_SECONDS {
             warn!("stood still for {apart:.3} s");
         }
         self.advance_shutdown();
@@ -76,16 +76,16 @@
     /// Each act begins with what is agreed on at that moment.
     fn look_at_fleet(&mut self) {
         if let Some(fleet) = &mut self.desk.fleet {
-            fleet.needs(|seconds| self.broker.demand(seconds));
+            fleet.needs(|seconds| self.broker.quota_demand(seconds));
             if let Some(limits) = fleet.limited() {
-                self.broker.limited(limits);
+                self.broker.set_quota_shares(limits);
             }
         }
         let Some(changed) = self.desk.fleet.as_mut().and_then(Fleet::changed) else { return };
         // With each new lease, so that the next question tells it.
-        self.desk.fleet.iter().for_each(|fleet| fleet.press(self.broker.pressed()));
+        self.desk.fleet.iter().for_each(|fleet| fleet.press(self.broker.is_overloaded()));
         if let Some(rules) = changed.rules {
-            self.broker.govern(&rules);
+            self.broker.set_rules(&rules);
         }
         if !changed.rows.is_empty() {
             self.take_rows(News { whole: false, rows: changed.rows });
@@ -205,7 +205,7 @@
             }
         }
         self.desk.clients.may_serve = self.desk.servers.any_active();
-        self.broker.listed(&mut self.desk, news.whole, &listed);
+        self.broker.update_endpoints(&mut self.desk, news.whole, &listed);
         if let Some(keeping) = &mut self.keeping {
             keeping.believe(now, &mut self.broker, &mut self.desk);
         }
@@ -220,15 +220,15 @@
             self.desk.flush();
             self.desk.feed();
             if let Some((node, key)) = self.desk.servers.framed.pop_front() {
-                self.broker.framed(&mut self.desk, node, key);
+                self.broker.on_frame_written(&mut self.desk, node, key);
             } else if let Some(back) = self.desk.servers.back.pop_front() {
-                let scan = back.ended.scan;
+                let scan = back.ended.query;
                 if let Some(asking) = &mut self.asking {
                     asking.returned(&mut self.broker, &mut self.desk, &back);
                 }
                 if let Some(ended) = self.desk.book(back) {
-                    self.broker.ended(&mut self.desk, ended);
-                    self.desk.relax(scan, |scan| self.broker.needs_text(scan));
+                    self.broker.on_attempt_ended(&mut self.desk, ended);
+                    self.desk.relax(scan, |scan| self.broker.needs_body(scan));
                     self.desk.release(scan);
                 }
             } else if let Some(client) = self.desk.clients.again.pop() {
@@ -258,7 +258,7 @@
             } else if let Some((scan, answered)) = self.desk.concluded.pop() {
                 self.asking.as_mut().into_iter().for_each(|asking| asking.over(now, scan, answered));
             } else if let Some((node, host)) = self.desk.servers.forgotten() {
-                self.broker.forget(node);
+                self.broker.remove_node(node);
                 self.desk.fleet.as_mut().into_iter().for_each(|fleet| fleet.forget(node, &host));
                 self.asking.as_mut().into_iter().for_each(|asking| asking.forget(node));
                 self.discovery.forget(node, &host);
@@ -268,13 +268,13 @@
         }
     }
 
-    fn begin(&mut self, mut scan: Scan) {
+    fn begin(&mut self, mut scan: Query) {
         if !self.desk.admit(&mut scan) {
             return;
         }
         match &mut self.asking {
             Some(asking) => asking.begin(&mut self.broker, &mut self.desk, scan),
-            None => self.broker.scan(&mut self.desk, scan),
+            None => self.broker.on_query(&mut self.desk, scan),
         }
     }
 
@@ -294,7 +294,7 @@
             Event::Passes(why) => Some(why),
             Event::Lost(why) => {
                 if let Some(scan) = self.desk.lost(body, why) {
-                    self.broker.text_gone(&mut self.desk, scan);
+                    self.broker.on_body_discarded(&mut self.desk, scan);
                 }
                 let now = self.desk.now;
                 return self.desk.servers.cut_lost(now, &mut self.desk.alarms);
@@ -303,19 +303,19 @@
         if let Some((scan, body)) = self.desk.begin(body, note) {
             let (id, mut scan) = (scan.id, scan);
             if self.desk.admit(&mut scan) {
-                self.broker.scan(&mut self.desk, scan);
+                self.broker.on_query(&mut self.desk, scan);
             }
             body.begin();
-            self.desk.relax(id, |scan| self.broker.needs_text(scan));
+            self.desk.relax(id, |scan| self.broker.needs_body(scan));
         }
     }
 
     /// A scan's time is up.
-    fn scan_ends(&mut self, scan: ScanId) {
+    fn scan_ends(&mut self, scan: QueryId) {
         if self.desk.scan_ends(scan) {
             self.settle();
             self.desk.overdue(scan);
-            self.broker.client_left(&mut self.desk, scan);
+            self.broker.on_client_disconnect(&mut self.desk, scan);
         }
     }
 
@@ -324,7 +324,7 @@
         let now = self.tick();
         while let Some(due) = self.desk.alarms.take_due(now) {
             match due {
-                Due::Wake => self.broker.wake(&mut self.desk),
+                Due::Wake => self.broker.on_wake(&mut self.desk),
                 Due::ScanEnds(scan) => self.scan_ends(scan),
                 Due::Question(id) => {
                     if let Some(questions) = &mut self.desk.questions {
--- a/crates/dunepond-broker/src/world/start.rs
+++ b/crates/dunepond-broker/src/world/start.rs
@@ -14,8 +14,8 @@
 use dunepond_body_buffer::{Disk, Folder, Spool};
 use dunepond_config::Bad;
 use dunepond_config::operator;
-use dunepond_routing::{Broker, LONGEST_SHUTDOWN, LOOK_EVERY, Repeat, ShutdownStage};
-use dunepond_storage::Files;
+use dunepond_routing::{Idempotency, MAX_SHUTDOWN_SECONDS, Router, SIGNAL_POLL_INTERVAL, ShutdownStage};
+use dunepond_storage::FileStore;
 use tracing::{info, warn};
 
 use super::World;
@@ -58,9 +58,9 @@
     /// Stands in for the folder that the operator's file names for bodies.
     pub folder: Option<Arc<dyn Folder>>,
     /// The same for the state's.
-    pub files: Option<Arc<dyn Files>>,
+    pub files: Option<Arc<dyn FileStore>>,
     /// And for the fleet's, and for its filler.
-    pub fleet: dunepond_control_plane::StandIns,
+    pub fleet: dunepond_control_plane::TestDoubles,
 }
 
 /// The files tier's threads, and the folder that they work on.
@@ -94,7 +94,7 @@
         match clients::listen(address) {
             Err(e)
                 if e.kind() == io::ErrorKind::AddrInUse
-                    && since.elapsed().as_secs_f64() < LONGEST_SHUTDOWN =>
+                    && since.elapsed().as_secs_f64() < MAX_SHUTDOWN_SECONDS =>
             {
                 if !std::mem::replace(&mut waits, true) {
                     warn!("{what}: {address}: {e}; waiting for whoever holds it");
@@ -136,7 +136,7 @@
     let mut servers = Servers::new(handle, &pool, bounds.clone(), start.most_links - for_questions);
     let (table_types, table_bounds) = (bounds.table_types.clone(), bounds.clone());
     if !start.operator.search_nodes.is_empty() {
-        let once = start.deployment.table_types.iter().map(|t| t.repeat == Repeat::NonReplayable);
+        let once = start.deployment.query_classes.iter().map(|t| t.idempotency == Idempotency::NonIdempotent);
         servers.speak_api(start.operator.search_nodes.clone(), once.collect());
     }
     let mut desk = Desk::new(&start.deployment, bounds, &pool, clients, servers);
@@ -155,7 +155,7 @@
         folder = used;
         desk.bodies = Some(Bodies::new(bodies.terms.clone(), spool, table_types));
     }
-    let timeouts = start.deployment.table_types.iter().map(|t| t.timeout);
+    let timeouts = start.deployment.query_classes.iter().map(|t| t.timeout);
     let held_at_most = HELD_AT_MOST * timeouts.clone().fold(f64::MAX, f64::min);
     let longest_timeout = timeouts.fold(0.0, f64::max);
     let (terms, seed, types) = (start.operator.phases.clone(), start.deployment.seed, desk.table_types());
@@ -174,7 +174,7 @@
         desk.servers.gate = Some(fleet.gate.clone());
         desk.fleet = Some(fleet);
     }
-    let broker = Broker::new(start.deployment);
+    let broker = Router::new(start.deployment);
     let (clock, operator) = (Clock::start(), start.operator);
     let sender = channel_into(&event_loop.handle(), Ready::Work).map_err(|e| failed("background", &e))?;
     let reread = channel_into(&event_loop.handle(), Ready::Configuration);
@@ -241,7 +241,7 @@
         let mut turn = Turn::default();
         while !(self.over && self.desk.clients.count() == 0) {
             let next = self.desk.alarms.until_next(self.clock.now());
-            let wait = next.map_or(LOOK_EVERY, |next| next.min(LOOK_EVERY));
+            let wait = next.map_or(SIGNAL_POLL_INTERVAL, |next| next.min(SIGNAL_POLL_INTERVAL));
             event_loop.dispatch(wait, &mut turn)?;
             // Nothing came but a time: whatever runs now delays nobody who is already there.
             let calm = turn.ready.is_empty();
--- a/crates/dunepond-broker/tests/fleet.rs
+++ b/crates/dunepond-broker/tests/fleet.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_control_plane::{Act, Line, Word};
+use dunepond_control_plane::{AuditEvent, AuditPhase, AuditRecord};
 use dunepond_testkit::store::{self, Answer, Broker, Client, List, Manner, Node, scan};
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -91,11 +91,11 @@
     }
 
     /// What a broker has written of its acts so far.
-    fn acts(&self, at: usize) -> Vec<Line> {
+    fn acts(&self, at: usize) -> Vec<AuditRecord> {
         lines(&self.path(&format!("n{at}.jsonl")))
     }
 
-    fn wait(&self, at: usize, what: &str, is_so: impl Fn(&Line) -> bool) -> Line {
+    fn wait(&self, at: usize, what: &str, is_so: impl Fn(&AuditRecord) -> bool) -> AuditRecord {
         let start = Instant::now();
         loop {
             if let Some(line) = self.acts(at).into_iter().rev().find(&is_so) {
@@ -110,7 +110,7 @@
     fn wait_cut(&self, at: usize) {
         self.wait(at, "cut", |_| {
             let acts = self.acts(at);
-            let last = acts.iter().rev().find(|line| matches!(line.act, Act::Phase { .. }));
+            let last = acts.iter().rev().find(|line| matches!(line.event, AuditEvent::Phase { .. }));
             last.is_some_and(is_cut)
         });
     }
@@ -119,7 +119,7 @@
         self.wait(
             at,
             &format!("alone on {number}"),
-            |line| matches!(line.act, Act::Phase { phase: Word::Alone, to, .. } if to == number),
+            |line| matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Alone, to, .. } if to == number),
         );
     }
 }
@@ -185,20 +185,20 @@
     Client::to(broker).ask(&scan(table_type, id, segs, "2.5"))
 }
 
-fn is_cut(line: &Line) -> bool {
-    matches!(line.act, Act::Phase { phase: Word::Cut | Word::None, .. })
+fn is_cut(line: &AuditRecord) -> bool {
+    matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Cut | AuditPhase::None, .. })
 }
 
 /// Non-replayable parts that were sent: to which node, on which versions.
-fn sent_once(acts: Vec<Line>) -> Vec<(String, Vec<u64>)> {
-    let sent = acts.into_iter().filter_map(|line| match line.act {
-        Act::Dispatch { once: true, node, numbers, .. } => Some((node, numbers)),
+fn sent_once(acts: Vec<AuditRecord>) -> Vec<(String, Vec<u64>)> {
+    let sent = acts.into_iter().filter_map(|line| match line.event {
+        AuditEvent::Dispatch { once: true, node, numbers, .. } => Some((node, numbers)),
         _ => None,
     });
     sent.collect()
 }
 
-fn lines(path: &Path) -> Vec<Line> {
+fn lines(path: &Path) -> Vec<AuditRecord> {
     let text = fs::read_to_string(path).unwrap_or_default();
     let whole = text.rfind('\n').map_or("", |end| &text[..end]);
     whole.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
@@ -239,7 +239,7 @@
         let answer = ask(broker, "find", &format!("r{at}"), &[0, 1, 2, 3, 4, 5]);
         assert_eq!(answer.status, 200, "{answer:?}");
         fleet.wait(at, "a whole answer", |line| {
-            matches!(&line.act, Act::Answer { whole: true, epoch: Some(1), segs, .. } if segs.len() == 6)
+            matches!(&line.event, AuditEvent::Answer { whole: true, epoch: Some(1), segs, .. } if segs.len() == 6)
         });
     }
     let sent: Vec<_> = (0..3).flat_map(|at| sent_once(fleet.acts(at))).collect();
@@ -258,12 +258,14 @@
     next["standings"]["draining"] = json!(["s-1"]);
     fleet.offer(0, &next);
     broker.signal("HUP");
-    fleet.wait(0, "joint", |line| matches!(line.act, Act::Phase { phase: Word::Joint, from: 1, to: 2, .. }));
+    fleet.wait(0, "joint", |line| {
+        matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Joint, from: 1, to: 2, .. })
+    });
     let between = ask(&broker, "fix", "b", &[0]);
     assert_eq!(between.status, 429, "{between:?}");
     assert!(between.head.contains("Retry-After: "), "{between:?}");
     // Before the module heard of it.
-    fleet.wait(0, "refused", |line| matches!(&line.act, Act::Refused { call, .. } if call == "b"));
+    fleet.wait(0, "refused", |line| matches!(&line.event, AuditEvent::Refused { call, .. } if call == "b"));
     // The node that is to drain is left at once, in the joint step: no grace is waited for.
     let left = fleet.nodes[1].frames('A').len();
     (0..6).for_each(|i| assert_eq!(ask(&broker, "find", &format!("c{i}"), &[0, 1, 2]).status, 200));
@@ -277,8 +279,10 @@
     assert_eq!(sent_once(fleet.acts(0)), [("s-0".to_string(), vec![1]), ("s-2".to_string(), vec![2])]);
     let acts = fleet.acts(0);
     let digests = |number: u64| -> Vec<_> {
-        let of = |line: &Line| match &line.act {
-            Act::Proposed { number: n, digest } | Act::Confirmed { number: n, digest } if *n == number => {
+        let of = |line: &AuditRecord| match &line.event {
+            AuditEvent::Proposed { number: n, digest } | AuditEvent::Confirmed { number: n, digest }
+                if *n == number =>
+            {
                 Some(digest.clone())
             }
             _ => None,
@@ -310,7 +314,7 @@
     let _other = fleet.start(1);
     fleet.wait(0, "a lease", |line| {
         let later = fleet.acts(0).iter().rev().find(|line| is_cut(line)).map_or(0.0, |cut| cut.at);
-        line.at > later && matches!(line.act, Act::Phase { phase: Word::Alone, .. })
+        line.at > later && matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Alone, .. })
     });
     assert_eq!(ask(&broker, "fix", "c", &[0]).status, 200);
 }
@@ -333,7 +337,7 @@
     fleet.wait(
         0,
         "a false answer",
-        |line| matches!(&line.act, Act::Answer { call, whole: false, epoch: None, .. } if call == "b"),
+        |line| matches!(&line.event, AuditEvent::Answer { call, whole: false, epoch: None, .. } if call == "b"),
     );
 }
 
@@ -467,9 +471,9 @@
     // The fill of before the crash has come to its end meanwhile.
     filler.answers.store(true, Ordering::Relaxed);
     fleet.wait_alone(0, 2);
-    let settled = |acts: Vec<Line>| -> Vec<(String, String, u64)> {
-        let settled = acts.into_iter().filter_map(|line| match line.act {
-            Act::Settle { id, debtor, bytes, .. } => Some((id, debtor, bytes)),
+    let settled = |acts: Vec<AuditRecord>| -> Vec<(String, String, u64)> {
+        let settled = acts.into_iter().filter_map(|line| match line.event {
+            AuditEvent::Settle { id, debtor, bytes, .. } => Some((id, debtor, bytes)),
             _ => None,
         });
         settled.collect()
--- a/crates/dunepond-config/src/lib.rs
+++ b/crates/dunepond-config/src/lib.rs
@@ -7,7 +7,7 @@
 
 pub use strict::json;
 
-use dunepond_routing::{ColdRule, Deployment, FurtherBudget, Repeat, TableType};
+use dunepond_routing::{Deployment, Idempotency, QueryClass, RetryBudget, SlowStart};
 use serde_json::Value;
 
 /// Why something cannot be taken, in one line.
@@ -136,19 +136,19 @@
         let of = |list: &[f64], path: &str| {
             list.get(i).copied().ok_or_else(|| settings.bad(path, "shorter than services"))
         };
-        table_types.push(TableType {
-            target: service.seconds("aimMs")?,
+        table_types.push(QueryClass {
+            latency_objective: service.seconds("aimMs")?,
             timeout: service.seconds("deadlineMs")?,
-            benefit: service.number("value")?,
-            late: service.number_or("lateWorth", 0.0)?,
-            repeat: match service.text("semantics")? {
-                "pure" => Repeat::Replayable,
-                "token" => Repeat::Keyed(service.seconds("repeatWindowMs")?),
-                "side_effect" => Repeat::NonReplayable,
+            priority_weight: service.number("value")?,
+            late_value_ratio: service.number_or("lateWorth", 0.0)?,
+            idempotency: match service.text("semantics")? {
+                "pure" => Idempotency::Idempotent,
+                "token" => Idempotency::Keyed(service.seconds("repeatWindowMs")?),
+                "side_effect" => Idempotency::NonIdempotent,
                 _ => return Err(service.bad("semantics", "unknown word")),
             },
-            whole_at: of(&whole_at, "familyInfo.wholeAt")?,
-            least: of(&least, "familyInfo.leastShare")?,
+            complete_at: of(&whole_at, "familyInfo.wholeAt")?,
+            minimum_share: of(&least, "familyInfo.leastShare")?,
             second_step: of(&second, "familyInfo.secondStep")? > 0.0,
         });
     }
@@ -159,10 +159,10 @@
     }
     let budget = match settings.maybe("rules.repeatRatio", "a number", Value::as_f64)? {
         None => None,
-        Some(share) => Some(FurtherBudget {
+        Some(share) => Some(RetryBudget {
             window: settings.seconds("rules.budgetWindowMs")?,
-            free: settings.number_or("rules.freeResends", 0.0)?,
-            share,
+            min_retries: settings.number_or("rules.freeResends", 0.0)?,
+            ratio: share,
         }),
     };
     let longest_wait = match settings.mark("ceilings.retryAfter")? {
@@ -171,29 +171,29 @@
     };
     Ok(Deployment {
         seed,
-        brokers: settings.number("balancers")?,
+        broker_count: settings.number("balancers")?,
         zone: settings.count_or("zone", 0)? as usize,
-        table_types,
+        query_classes: table_types,
         quotas,
-        benefit_by_work: settings.text("countedBy")? == "work",
-        cells: settings.some("familyInfo.cells")?,
-        holders: settings.count("familyInfo.span")? as usize,
-        crossing: settings.maybe("penalties.crossZone", "a number from 0 up", |v| {
+        weight_by_work: settings.text("countedBy")? == "work",
+        replica_groups: settings.some("familyInfo.cells")?,
+        replicas: settings.count("familyInfo.span")? as usize,
+        cross_zone_cost: settings.maybe("penalties.crossZone", "a number from 0 up", |v| {
             v.as_f64().filter(|price| *price >= 0.0)
         })?,
-        dispatch_cap: settings.count("ceilings.attemptsCap")? as usize,
-        second_copies: settings.mark("ceilings.secondCopies")?,
+        max_attempts: settings.count("ceilings.attemptsCap")? as usize,
+        hedging_enabled: settings.mark("ceilings.secondCopies")?,
         may_cancel: settings.mark("ceilings.cancel")?,
         may_probe: settings.mark("ceilings.mayProbe")?,
-        longest_wait,
-        budget,
-        cold: ColdRule {
-            from: settings.number("rules.coldFrom")?,
-            warm_after: settings.seconds("rules.coldMs")?,
-            multiple: settings.number("rules.overloadFactor")?,
-            span: settings.seconds("rules.fallMs")?,
+        max_retry_after: longest_wait,
+        retry_budget: budget,
+        slow_start: SlowStart {
+            initial_capacity_ratio: settings.number("rules.coldFrom")?,
+            duration: settings.seconds("rules.coldMs")?,
+            rate_multiple: settings.number("rules.overloadFactor")?,
+            window: settings.seconds("rules.fallMs")?,
         },
-        ask_within: match settings.optional_text("discovery")? {
+        list_poll_deadline: match settings.optional_text("discovery")? {
             Some("on_request") => {
                 Some(settings.number_or("rules.mustAskInMs", ASK_WITHIN_MS)?.max(100.0) / 1e3)
             }
--- a/crates/dunepond-config/src/operator/fleet.rs
+++ b/crates/dunepond-config/src/operator/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use dunepond_consensus::{Terms, TermsError};
+use dunepond_consensus::{ConsensusConfig, ConsensusConfigError};
 use kdl::{KdlDocument, KdlEntry, KdlNode};
 
 use super::MIB;
@@ -112,19 +112,24 @@
 
 impl Fleet {
     /// What the agreement goes by, for the broker of this name. `longest_timeout`: what the deployment's settings say.
-    pub fn terms(&self, name: &str, longest_timeout: f64) -> Terms {
+    pub fn terms(&self, name: &str, longest_timeout: f64) -> ConsensusConfig {
         let map = self.map.clone().unwrap_or(MAPS);
-        Terms {
+        ConsensusConfig {
             name: name.to_string(),
             voters: self.voters.iter().map(|voter| voter.name.clone()).collect(),
-            lease: self.lease,
-            drift: self.drift,
-            bound: self.bound,
-            longest_timeout: self.longest_timeout.map_or(longest_timeout, |told| told.max(longest_timeout)),
-            fills_deadline: self.fills.as_ref().map_or(FILLS_DEADLINE, |fills| fills.deadline),
-            most_changed: map.most_changed,
-            maps: self.map.is_some(),
-            map: dunepond_shard_map::Terms { least_holders: map.least_holders, least_zones: map.least_zones },
+            lease_seconds: self.lease,
+            drift_ratio: self.drift,
+            switch_bound_seconds: self.bound,
+            longest_query_seconds: self
+                .longest_timeout
+                .map_or(longest_timeout, |told| told.max(longest_timeout)),
+            fill_deadline_seconds: self.fills.as_ref().map_or(FILLS_DEADLINE, |fills| fills.deadline),
+            max_changed_ratio: map.most_changed,
+            maps_enabled: self.map.is_some(),
+            map_requirements: dunepond_shard_map::Terms {
+                least_holders: map.least_holders,
+                least_zones: map.least_zones,
+            },
         }
     }
 }
@@ -222,10 +227,10 @@
         } else if let Err(error) = fleet.terms(&fleet.voters[0].name, SHORTEST).check() {
             // What goes beyond this file, the broker's name and the longest query timeout, is checked at the start.
             let place = match error {
-                TermsError::Lease { .. } => lease_at,
-                TermsError::Drift { .. } => drift_at,
-                TermsError::Bound { .. } => bound_at,
-                TermsError::LongestTimeout(_) => timeout,
+                ConsensusConfigError::Lease { .. } => lease_at,
+                ConsensusConfigError::Drift { .. } => drift_at,
+                ConsensusConfigError::Bound { .. } => bound_at,
+                ConsensusConfigError::LongestTimeout(_) => timeout,
                 _ => None,
             };
             let at = place.map_or(at, |entry| entry.span().offset());
--- a/crates/dunepond-consensus/src/acting.rs
+++ b/crates/dunepond-consensus/src/acting.rs
@@ -3,17 +3,17 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use crate::{Phase, Rules, Version, stricter};
+use crate::{ConfigPhase, ConfigVersion, RoutingRules, strictest_rules};
 use dunepond_shard_map::{Move, Proof, Step};
 
 /// Who may be sent a segment's non-replayable parts. Nothing is copied: it is asked for each part.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Owner<'a> {
+pub enum SegmentOwner<'a> {
     /// No map: any of its holders.
-    Free,
-    Only(&'a str),
+    AnyReplica,
+    Node(&'a str),
     /// Nobody for now; seconds after which asking again is worth while.
-    Refused(f64),
+    Unavailable(f64),
 }
 
 /// What of the agreed state a broker acts on while its lease lasts.
@@ -28,22 +28,22 @@
 /// moment that is handed in, so that a process that stood still does not act on what it had before. Beside it, what the
 /// clock showed as this was taken from the member: no later moment is before that.
 #[derive(Clone, Debug)]
-pub struct Acting(Arc<Inner>, f64);
+pub struct ActiveConfig(Arc<Inner>, f64);
 
 /// What is known of this broker's part of bounds that the fleet shares, at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits<'a> {
+pub struct QuotaView<'a> {
     /// As it was last heard in this run.
-    pub told: Option<&'a dunepond_quota::Told>,
+    pub allocation: Option<&'a dunepond_quota::Allocation>,
     /// Under a lease that is good at that moment; without, only the floor is left.
-    pub live: bool,
+    pub lease_valid: bool,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Inner {
     /// In force, and proposed.
-    pub old: Option<Arc<Version>>,
-    pub new: Option<Arc<Version>>,
+    pub old: Option<Arc<ConfigVersion>>,
+    pub new: Option<Arc<ConfigVersion>>,
     pub old_proof: Option<Proof>,
     pub new_proof: Option<Proof>,
     pub moving: Option<Move>,
@@ -55,21 +55,22 @@
     pub maps: bool,
     /// It had a lease in this run.
     pub leased: bool,
-    pub limits: Option<dunepond_quota::Told>,
+    pub limits: Option<dunepond_quota::Allocation>,
     /// Seconds.
     pub retry: f64,
-    pub leased_rules: Option<Rules>,
-    pub strictest: Option<Rules>,
+    pub leased_rules: Option<RoutingRules>,
+    pub strictest: Option<RoutingRules>,
     pub leaving: BTreeSet<String>,
 }
 
 impl Inner {
     /// Fills in what follows from the versions.
-    pub fn done(mut self) -> Acting {
-        let rules = |version: &Option<Arc<Version>>| version.as_ref().map(|version| version.rules.clone());
+    pub fn done(mut self) -> ActiveConfig {
+        let rules =
+            |version: &Option<Arc<ConfigVersion>>| version.as_ref().map(|version| version.rules.clone());
         let (old, new) = (rules(&self.old), rules(&self.new));
         self.strictest = match (&old, &new) {
-            (Some(old), Some(new)) => Some(stricter(old, new)),
+            (Some(old), Some(new)) => Some(strictest_rules(old, new)),
             (old, new) => old.clone().or(new.clone()),
         };
         self.leased_rules = match self.side {
@@ -77,9 +78,9 @@
             Side::Joint => self.strictest.clone(),
             Side::New => new,
         };
-        let standings = self.old.iter().chain(&self.new).map(|version| &version.standings);
-        self.leaving = standings.flat_map(|s| s.draining.iter().chain(&s.gone)).cloned().collect();
-        Acting(Arc::new(self), f64::NEG_INFINITY)
+        let standings = self.old.iter().chain(&self.new).map(|version| &version.excluded_nodes);
+        self.leaving = standings.flat_map(|s| s.draining.iter().chain(&s.removed)).cloned().collect();
+        ActiveConfig(Arc::new(self), f64::NEG_INFINITY)
     }
 
     pub fn empty(maps: bool, retry: f64) -> Self {
@@ -103,16 +104,16 @@
     }
 }
 
-impl Acting {
+impl ActiveConfig {
     /// Of a broker that has had no lease and knows nothing: non-replayable parts are refused.
-    pub fn none() -> Self {
+    pub fn unleased() -> Self {
         Inner::empty(true, 1.0).done()
     }
 
     /// Whether it has a lease. All other answers here are the same at any two moments of which this says the same.
     // A clock behind what it showed before went back, and says nothing about the lease's end: also in the first act after
     // a stand-still, before the member has looked.
-    pub fn live(&self, now: f64) -> bool {
+    pub fn lease_valid(&self, now: f64) -> bool {
         self.0.leased && self.0.from <= now && self.1 <= now && now < self.0.until
     }
 
@@ -122,56 +123,57 @@
     }
 
     /// When the question of the lease was sent, on the own clock.
-    pub fn since(&self) -> f64 {
+    pub fn lease_started_at(&self) -> f64 {
         self.0.from
     }
 
-    pub fn at(&self, now: f64) -> Phase {
-        let number = |version: &Option<Arc<Version>>| version.as_ref().map_or(0, |version| version.number);
+    pub fn phase(&self, now: f64) -> ConfigPhase {
+        let number =
+            |version: &Option<Arc<ConfigVersion>>| version.as_ref().map_or(0, |version| version.number);
         let (old, new) = (number(&self.0.old), number(&self.0.new));
         if old == 0 && new == 0 {
-            return Phase::None;
+            return ConfigPhase::Unconfigured;
         }
-        if !self.live(now) {
-            return Phase::Cut(old);
+        if !self.lease_valid(now) {
+            return ConfigPhase::LeaseExpired(old);
         }
         match self.0.side {
-            Side::Old if old == 0 => Phase::None,
-            Side::Old => Phase::Alone(old),
-            Side::Joint => Phase::Joint(old, new),
-            Side::New => Phase::Alone(new),
+            Side::Old if old == 0 => ConfigPhase::Unconfigured,
+            Side::Old => ConfigPhase::Active(old),
+            Side::Joint => ConfigPhase::Joint(old, new),
+            Side::New => ConfigPhase::Active(new),
         }
     }
 
     /// Those that apply, the strictest of all known while cut off; `None`: the broker's own settings.
-    pub fn rules(&self, now: f64) -> Option<&Rules> {
-        if self.live(now) { self.0.leased_rules.as_ref() } else { self.0.strictest.as_ref() }
+    pub fn rules(&self, now: f64) -> Option<&RoutingRules> {
+        if self.lease_valid(now) { self.0.leased_rules.as_ref() } else { self.0.strictest.as_ref() }
     }
 
     /// This broker's part of bounds that the fleet shares: with [`dunepond_quota::Own::part`] what it may use at `now`.
-    pub fn limits(&self, now: f64) -> Limits<'_> {
-        Limits { told: self.0.limits.as_ref(), live: self.live(now) }
+    pub fn quota(&self, now: f64) -> QuotaView<'_> {
+        QuotaView { allocation: self.0.limits.as_ref(), lease_valid: self.lease_valid(now) }
     }
 
     /// End of the lease on the own clock; in the past if there was none.
-    pub fn until(&self) -> f64 {
+    pub fn lease_expires_at(&self) -> f64 {
         self.0.until
     }
 
     /// Who may be sent non-replayable parts of `segment`.
-    pub fn owner(&self, segment: u64, now: f64) -> Owner<'_> {
-        let refused = Owner::Refused(self.0.retry);
+    pub fn owner(&self, segment: u64, now: f64) -> SegmentOwner<'_> {
+        let refused = SegmentOwner::Unavailable(self.0.retry);
         let (old, new) = (self.0.old_proof.as_ref(), self.0.new_proof.as_ref());
-        if !self.live(now) {
+        if !self.lease_valid(now) {
             // The owner may have moved unheard, or the first map may have come.
             let free = self.0.leased && !self.0.maps && old.is_none() && new.is_none();
-            return if free { Owner::Free } else { refused };
+            return if free { SegmentOwner::AnyReplica } else { refused };
         }
         fn one(proof: &Proof, segment: u64) -> Option<&str> {
             proof.segment(segment).map(|segment| segment.owner.as_str())
         }
         let owner = match (self.0.side, old, new) {
-            (Side::Old, None, _) | (_, None, None) => return Owner::Free,
+            (Side::Old, None, _) | (_, None, None) => return SegmentOwner::AnyReplica,
             (Side::Old, Some(old), _) => one(old, segment),
             // Where one of two versions has a map, only what it says is allowed by both.
             (Side::New | Side::Joint, None, Some(new)) | (Side::New, _, Some(new)) => one(new, segment),
@@ -182,11 +184,11 @@
                 None => one(old, segment).filter(|owner| one(new, segment) == Some(*owner)),
             },
         };
-        owner.map_or(refused, Owner::Only)
+        owner.map_or(refused, SegmentOwner::Node)
     }
 
     /// By any version that it knows, draining or gone: nothing new goes there.
-    pub fn draining(&self, node: &str) -> bool {
+    pub fn is_excluded(&self, node: &str) -> bool {
         self.0.leaving.contains(node)
     }
 
@@ -194,28 +196,28 @@
     /// acted on alone; `None` if there is none.
     pub fn map(&self, now: f64) -> Option<&Proof> {
         match self.0.side {
-            Side::New if self.live(now) => self.0.new_proof.as_ref(),
+            Side::New if self.lease_valid(now) => self.0.new_proof.as_ref(),
             _ => self.0.old_proof.as_ref().or(self.0.new_proof.as_ref()),
         }
     }
 
     /// Of the version in force, as far as it heard; 0 if there is none.
-    pub fn number(&self) -> u64 {
+    pub fn active_number(&self) -> u64 {
         self.0.old.as_ref().map_or(0, |version| version.number)
     }
 
     /// Of the version that is proposed.
-    pub fn proposed(&self) -> Option<u64> {
+    pub fn proposed_number(&self) -> Option<u64> {
         self.0.new.as_ref().map(|version| version.number)
     }
 
     /// In force, and proposed.
-    pub fn versions(&self) -> (Option<&Version>, Option<&Version>) {
+    pub fn versions(&self) -> (Option<&ConfigVersion>, Option<&ConfigVersion>) {
         (self.0.old.as_deref(), self.0.new.as_deref())
     }
 
     /// From the map in force to the proposed one: what has to be filled first, and from where.
-    pub fn moving(&self) -> Option<&Move> {
+    pub fn map_transition(&self) -> Option<&Move> {
         self.0.moving.as_ref()
     }
 }
--- a/crates/dunepond-consensus/src/docs.rs
+++ b/crates/dunepond-consensus/src/docs.rs
@@ -7,7 +7,7 @@
 use serde::de::{DeserializeOwned, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::{Refusal, Version};
+use crate::{ConfigVersion, Rejection};
 
 /// "This is CBOR": no document of format 1 begins with it.
 const MARK: [u8; 3] = [0xd9, 0xd9, 0xf7];
@@ -18,13 +18,13 @@
 /// What a version has beyond the parts that each program since format 1 knows: the text of one key. Parts are only ever
 /// added here, so that a version's bytes, and its digest, are the same to all programs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct More {
+pub struct Extension {
     /// With the keys above it: `rules.least_brokers`.
     pub key: String,
     /// JSON.
-    pub text: String,
+    pub json: String,
     /// Who does not know it must not act on the version.
-    pub must: bool,
+    pub required: bool,
 }
 
 pub(crate) fn write<T: Serialize>(document: &T) -> Vec<u8> {
@@ -48,10 +48,10 @@
 }
 
 /// Whether a program that goes by `knows` may act on `version`.
-pub(crate) fn understood(version: &Version, knows: &[String]) -> Result<(), Refusal> {
-    let unknown = version.more.iter().find(|more| more.must && !knows.contains(&more.key));
+pub(crate) fn understood(version: &ConfigVersion, knows: &[String]) -> Result<(), Rejection> {
+    let unknown = version.extensions.iter().find(|more| more.required && !knows.contains(&more.key));
     unknown
-        .map_or(Ok(()), |more| Err(Refusal::NotUnderstood { number: version.number, key: more.key.clone() }))
+        .map_or(Ok(()), |more| Err(Rejection::UnknownKey { number: version.number, key: more.key.clone() }))
 }
 
 pub(crate) fn knows() -> Vec<String> {
@@ -91,57 +91,58 @@
 }
 
 /// The parts that each program knows, as format 1 wrote them.
-struct Core<'a>(&'a Version);
+struct Core<'a>(&'a ConfigVersion);
 
 impl Serialize for Core<'_> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        Version::serialize(self.0, serializer)
+        ConfigVersion::serialize(self.0, serializer)
     }
 }
 
-struct OwnCore(Version);
+struct OwnCore(ConfigVersion);
 
 impl<'de> Deserialize<'de> for OwnCore {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        Version::deserialize(deserializer).map(OwnCore)
+        ConfigVersion::deserialize(deserializer).map(OwnCore)
     }
 }
 
-impl Version {
+impl ConfigVersion {
     /// As it is agreed on: the same at each program.
     pub fn packed(&self) -> Vec<u8> {
         let core = postcard::to_stdvec(&Core(self)).expect("a version is plain data");
-        match self.more.is_empty() {
+        match self.extensions.is_empty() {
             true => core,
-            false => postcard::to_extend(&self.more, core).expect("a version is plain data"),
+            false => postcard::to_extend(&self.extensions, core).expect("a version is plain data"),
         }
     }
 
     pub fn unpacked(bytes: &[u8]) -> Option<Self> {
         let (OwnCore(mut version), rest) = postcard::take_from_bytes(bytes).ok()?;
         if !rest.is_empty() {
-            version.more = postcard::from_bytes(rest).ok()?;
+            version.extensions = postcard::from_bytes(rest).ok()?;
         }
         Some(version)
     }
 }
 
 // For people its parts by name, for programs packed.
-impl Serialize for Version {
+impl Serialize for ConfigVersion {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         match serializer.is_human_readable() {
-            true => Version::serialize(self, serializer),
+            true => ConfigVersion::serialize(self, serializer),
             false => Blob(self.packed()).serialize(serializer),
         }
     }
 }
 
-impl<'de> Deserialize<'de> for Version {
+impl<'de> Deserialize<'de> for ConfigVersion {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         if deserializer.is_human_readable() {
-            return Version::deserialize(deserializer);
+            return ConfigVersion::deserialize(deserializer);
         }
         let Blob(bytes) = Blob::deserialize(deserializer)?;
-        Version::unpacked(&bytes).ok_or_else(|| serde::de::Error::custom("a version that does not read"))
+        ConfigVersion::unpacked(&bytes)
+            .ok_or_else(|| serde::de::Error::custom("a version that does not read"))
     }
 }
--- a/crates/dunepond-consensus/src/ledger.rs
+++ b/crates/dunepond-consensus/src/ledger.rs
@@ -4,7 +4,7 @@
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError, util::limit_size};
 
-use crate::{AgreeError, Save, Saved};
+use crate::{ConsensusError, StoredVoter, WriteBatch};
 
 /// Entries behind the last applied one that a snapshot leaves in the log, for voters that are a little behind.
 const TAIL: u64 = 64;
@@ -22,19 +22,19 @@
     /// Index and term of what is before the first entry.
     before: (u64, u64),
     /// Changes since [`Ledger::save`].
-    save: Save,
+    save: WriteBatch,
 }
 
 fn bytes(message: &impl Message) -> Vec<u8> {
     message.write_to_bytes().expect("all fields are set")
 }
 
-fn parsed<M: Message>(bytes: &[u8], what: &'static str) -> Result<M, AgreeError> {
-    M::parse_from_bytes(bytes).map_err(|_| AgreeError::Record(what))
+fn parsed<M: Message>(bytes: &[u8], what: &'static str) -> Result<M, ConsensusError> {
+    M::parse_from_bytes(bytes).map_err(|_| ConsensusError::CorruptRecord(what))
 }
 
 impl Ledger {
-    pub fn open(saved: &Saved) -> Result<Self, AgreeError> {
+    pub fn open(saved: &StoredVoter) -> Result<Self, ConsensusError> {
         let mut ledger = Self::default();
         if let Some(snapshot) = &saved.snapshot {
             ledger.snapshot = parsed(snapshot, "a snapshot")?;
@@ -48,12 +48,12 @@
         for (index, (_, data)) in saved.entries.range(ledger.before.0 + 1..) {
             let entry: Entry = parsed(data, "an entry")?;
             if entry.index != *index || *index != ledger.last() + 1 {
-                return Err(AgreeError::Log("a gap"));
+                return Err(ConsensusError::CorruptLog("a gap"));
             }
             ledger.entries.push(entry);
         }
         if ledger.hard.commit > ledger.last() {
-            return Err(AgreeError::Log("lost entries that were agreed on"));
+            return Err(ConsensusError::CorruptLog("lost entries that were agreed on"));
         }
         // A snapshot that came whole while the hard state of before was the last one written.
         ledger.hard.commit = ledger.hard.commit.max(ledger.before.0);
@@ -132,10 +132,10 @@
     }
 
     /// All of it, for a journal that starts anew.
-    pub fn whole(&self) -> Save {
+    pub fn whole(&self) -> WriteBatch {
         let after = self.snapshot.get_metadata().index;
         let entries = self.entries.iter().filter(|entry| entry.index > after);
-        Save {
+        WriteBatch {
             folder: None,
             hard: Some(bytes(&self.hard)),
             entries: entries.map(|entry| (entry.index, entry.term, bytes(entry))).collect(),
@@ -144,7 +144,7 @@
         }
     }
 
-    pub fn save(&mut self) -> Save {
+    pub fn save(&mut self) -> WriteBatch {
         std::mem::take(&mut self.save)
     }
 }
--- a/crates/dunepond-consensus/src/messages.rs
+++ b/crates/dunepond-consensus/src/messages.rs
@@ -5,157 +5,157 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{DebtsTold, Named, Refusal, State, Version};
+use crate::{ConfigVersion, Rejection, ReplicatedState, SettlementUpdate, VoterInfo};
 use crate::{docs, old};
 
 /// A broker's question for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaseRequest {
     pub id: u64,
     pub broker: String,
     /// Asker's clock; echoed, and not trusted when it comes back.
     #[serde(rename = "sent")]
-    pub sent: f64,
+    pub sent_at: f64,
     /// Number and digest of the versions whose documents it has.
     #[serde(rename = "knows")]
-    pub knows: Vec<(u64, String)>,
+    pub known_versions: Vec<(u64, String)>,
     /// It acts on the joint step towards this version.
     #[serde(rename = "joint")]
-    pub joint: Option<u64>,
+    pub joint_version: Option<u64>,
     /// One number a run of the process.
     pub incarnation: u64,
     /// How many entries about debts it has.
     #[serde(rename = "debts")]
-    pub debts: u64,
+    pub known_settlements: u64,
     /// What it needs of bounds that the fleet shares, and which parts it acts on; nothing where its file shares none.
     #[serde(rename = "limits")]
-    pub limits: Option<dunepond_quota::Report>,
+    pub demand: Option<dunepond_quota::DemandReport>,
     /// A voter that was asked passes it on to the leader once.
     #[serde(rename = "passed")]
-    pub passed: bool,
+    pub forwarded: bool,
     /// Its nodes are pressed: plans of moves pause where many say so.
     #[serde(rename = "pressed")]
-    pub pressed: bool,
+    pub overloaded: bool,
 }
 
-/// The answer to an [`Ask`].
+/// The answer to an [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct LeaseReply {
     pub id: u64,
     pub incarnation: u64,
     /// Echoed.
     #[serde(rename = "sent")]
-    pub sent: f64,
-    pub answer: Answer,
+    pub sent_at: f64,
+    pub answer: LeaseAnswer,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum LeaseAnswer {
     /// A lease on what was agreed after the question came.
-    Granted(Box<Now>),
+    Granted(Box<LeaseGrant>),
     /// The one asked votes no more, by what is agreed on; whom else to ask, as far as it has heard.
     #[serde(rename = "NoVoter")]
-    NoVoter(Vec<Named>),
+    NotAVoter(Vec<VoterInfo>),
     /// The one asked knows no leader, or lost its place while the question waited.
     NoLeader,
 }
 
 /// What is agreed, as a quorum confirmed it after the question came.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Now {
+pub struct LeaseGrant {
     /// Seconds from the sending of the question, on the asker's clock.
     #[serde(rename = "lease")]
-    pub lease: f64,
+    pub lease_seconds: f64,
     /// Parts of the answer, later than format 1, without which it must not be acted on.
     #[serde(default)]
     #[serde(rename = "must")]
-    pub must: Vec<String>,
+    pub required_parts: Vec<String>,
     #[serde(default)]
     #[serde(rename = "fleet")]
-    pub fleet: u64,
+    pub fleet_id: u64,
     #[serde(default)]
     pub epoch: u64,
     /// Place in the agreed log.
     pub index: u64,
     /// Number and digest.
     #[serde(rename = "in_force")]
-    pub in_force: Option<(u64, String)>,
+    pub active: Option<(u64, String)>,
     #[serde(rename = "open")]
-    pub open: Option<Open>,
+    pub proposed: Option<ProposedVersion>,
     #[serde(rename = "highest")]
-    pub highest: u64,
+    pub highest_number: u64,
     /// By the agreed terms, maps may come.
     #[serde(rename = "maps")]
-    pub maps: bool,
+    pub maps_enabled: bool,
     /// Who votes, by which word of the operator's.
-    pub voters: Vec<Named>,
+    pub voters: Vec<VoterInfo>,
     #[serde(rename = "voting")]
-    pub voting: u64,
+    pub voters_number: u64,
     /// Of those above, what the asker said that it lacks.
-    pub documents: Vec<Arc<Version>>,
+    pub documents: Vec<Arc<ConfigVersion>>,
     /// Fills that count for the map in force: segment, node.
     #[serde(rename = "done")]
-    pub done: Vec<(u64, String)>,
+    pub completed_fills: Vec<(u64, String)>,
     /// Of debts what the asker lacks, some at a time.
     #[serde(rename = "debts")]
-    pub debts: DebtsTold,
+    pub settlements: SettlementUpdate,
     /// Its part of bounds that the fleet shares.
     #[serde(rename = "limits")]
-    pub limits: Option<dunepond_quota::Told>,
+    pub quota: Option<dunepond_quota::Allocation>,
     /// Whose answer: name, run, and its clock as the question came.
     pub leader: String,
     #[serde(rename = "run")]
-    pub run: u64,
+    pub leader_run: u64,
     #[serde(rename = "heard")]
-    pub heard: f64,
+    pub received_at: f64,
 }
 
 /// The version that is proposed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Open {
+pub struct ProposedVersion {
     pub number: u64,
     pub digest: String,
-    pub step: Step,
+    pub step: RolloutStep,
 }
 
 /// How far a change has come.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Step {
+pub enum RolloutStep {
     /// All act on the stricter of both.
     Joint,
     /// This share of the brokers acts on the new version alone, the others are joint.
     Staged(f64),
     /// Taken back: all are joint again, and wait until nobody acts on the new one alone.
     #[serde(rename = "Returning")]
-    Returning,
+    RollingBack,
 }
 
 /// What a voter's host has to do: append `save` to the store and sync it, and only then send the rest.
 #[derive(Debug, Default)]
-pub struct Orders {
-    /// Voter and bytes; [`crate::Voter::received`] takes them there.
-    pub send: Vec<(String, Vec<u8>)>,
+pub struct Effects {
+    /// Voter and bytes; [`crate::Voter::receive`] takes them there.
+    pub messages: Vec<(String, Vec<u8>)>,
     /// Broker and answer.
-    pub told: Vec<(String, Told)>,
-    pub save: Save,
+    pub replies: Vec<(String, LeaseReply)>,
+    pub write_batch: WriteBatch,
     /// [`crate::Voter::state`] changed.
-    pub changed: bool,
+    pub state_changed: bool,
     /// What became of entries that were committed, in their order.
-    pub outcomes: Vec<Outcome>,
+    pub outcomes: Vec<EntryOutcome>,
     /// For people.
-    pub log: Vec<String>,
+    pub log_lines: Vec<String>,
 }
 
 /// What became of a committed entry; the same at each voter.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct EntryOutcome {
     pub index: u64,
-    pub what: Result<crate::Change, Refusal>,
+    pub result: Result<crate::StateChange, Rejection>,
 }
 
-/// What a voter has to keep; one record of a journal, read back by [`Saved::take`]. Nothing if [`Save::is_empty`].
+/// What a voter has to keep; one record of a journal, read back by [`StoredVoter::apply_record`]. Nothing if [`WriteBatch::is_empty`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Save {
+pub struct WriteBatch {
     pub(crate) folder: Option<Folder>,
     /// Bytes of the library's hard state, if it changed.
     pub(crate) hard: Option<Vec<u8>>,
@@ -179,7 +179,7 @@
 
 /// All that a voter's folder holds, put together from its records.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Saved {
+pub struct StoredVoter {
     pub(crate) folder: Option<Folder>,
     pub(crate) hard: Option<Vec<u8>>,
     pub(crate) entries: BTreeMap<u64, (u64, Vec<u8>)>,
@@ -188,11 +188,11 @@
 
 /// What any broker keeps of what is agreed, so that a restart without a voter in reach knows the strictest of it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
-    pub(crate) versions: Vec<Arc<Version>>,
+pub struct PersistedState {
+    pub(crate) versions: Vec<Arc<ConfigVersion>>,
     pub(crate) in_force: u64,
     pub(crate) done: Vec<(u64, String)>,
-    pub(crate) voters: Vec<Named>,
+    pub(crate) voters: Vec<VoterInfo>,
     pub(crate) voting: u64,
     #[serde(default)]
     pub(crate) fleet: u64,
@@ -200,37 +200,38 @@
     pub(crate) epoch: u64,
 }
 
-impl Save {
+impl WriteBatch {
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
     /// A record for a journal.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("plain data")
     }
 
     /// It holds a whole picture: all records before it may be left out, the journal may start again with
-    /// [`crate::Voter::whole`].
-    pub fn starts_anew(&self) -> bool {
+    /// [`crate::Voter::checkpoint`].
+    pub fn is_checkpoint(&self) -> bool {
         self.snapshot.is_some()
     }
 }
 
-impl Saved {
+impl StoredVoter {
     pub fn new() -> Self {
         Self::default()
     }
 
     /// The next record of the journal, in order.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<(), crate::AgreeError> {
+    pub fn apply_record(&mut self, bytes: &[u8]) -> Result<(), crate::ConsensusError> {
         // The frame of the record; what lasts in it are documents of their own.
-        let save: Save = postcard::from_bytes(bytes).map_err(|_| crate::AgreeError::Record("a save"))?;
+        let save: WriteBatch =
+            postcard::from_bytes(bytes).map_err(|_| crate::ConsensusError::CorruptRecord("a save"))?;
         self.apply(save);
         Ok(())
     }
 
-    pub(crate) fn apply(&mut self, save: Save) {
+    pub(crate) fn apply(&mut self, save: WriteBatch) {
         if let Some(folder) = save.folder {
             if self.folder.as_ref().is_some_and(|old| old.id != folder.id) {
                 *self = Self::default();
@@ -253,79 +254,79 @@
     }
 }
 
-impl Kept {
-    pub fn bytes(&self) -> Vec<u8> {
+impl PersistedState {
+    pub fn encode(&self) -> Vec<u8> {
         docs::write(self)
     }
 
-    pub fn of(bytes: &[u8]) -> Result<Self, crate::AgreeError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, crate::ConsensusError> {
         let kept = if docs::is_old(bytes) { old::kept(bytes) } else { docs::read(bytes) };
-        kept.ok_or(crate::AgreeError::Record("what a broker keeps"))
+        kept.ok_or(crate::ConsensusError::CorruptRecord("what a broker keeps"))
     }
 }
 
-impl Ask {
+impl LeaseRequest {
     /// As it goes to another broker.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         docs::write(self)
     }
 
-    pub fn of(bytes: &[u8]) -> Option<Self> {
+    pub fn decode(bytes: &[u8]) -> Option<Self> {
         docs::read(bytes)
     }
 }
 
-impl Told {
+impl LeaseReply {
     /// As it goes to another broker.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         docs::write(self)
     }
 
-    pub fn of(bytes: &[u8]) -> Option<Self> {
+    pub fn decode(bytes: &[u8]) -> Option<Self> {
         docs::read(bytes)
     }
 }
 
-impl Now {
+impl LeaseGrant {
     /// Of `state`, for an asker that has `knows` and so many entries about debts.
-    pub(crate) fn of(state: &State, ask: &Ask) -> Self {
+    pub(crate) fn of(state: &ReplicatedState, ask: &LeaseRequest) -> Self {
         let mut documents = Vec::new();
-        let named = |version: &Arc<Version>, digest: &String| (version.number, digest.clone());
-        let in_force = state.in_force.as_ref().map(|(v, d)| named(v, d));
-        let open = state.open.as_ref().map(|o| Open {
+        let named = |version: &Arc<ConfigVersion>, digest: &String| (version.number, digest.clone());
+        let active = state.active.as_ref().map(|(v, d)| named(v, d));
+        let proposed = state.open.as_ref().map(|o| ProposedVersion {
             number: o.version.number,
             digest: o.digest.clone(),
             step: o.step,
         });
         let both = state
-            .in_force
+            .active
             .iter()
             .map(|(v, d)| (v, d))
             .chain(state.open.iter().map(|o| (&o.version, &o.digest)));
         for (version, digest) in both {
-            if !ask.knows.iter().any(|(n, d)| *n == version.number && d == digest) {
+            if !ask.known_versions.iter().any(|(n, d)| *n == version.number && d == digest) {
                 documents.push(version.clone());
             }
         }
         Self {
-            lease: state.terms.lease,
-            must: Vec::new(),
-            fleet: state.fleet,
+            lease_seconds: state.config.lease_seconds,
+            required_parts: Vec::new(),
+            fleet_id: state.fleet_id,
             epoch: state.epoch,
             index: state.index,
-            in_force,
-            open,
-            highest: state.highest,
-            maps: state.terms.maps,
-            voters: state.voters.list.clone(),
-            voting: state.voters.number,
+            active,
+            proposed,
+            highest_number: state.highest_number,
+            maps_enabled: state.config.maps_enabled,
+            voters: state.voters.voters.clone(),
+            voters_number: state.voters.number,
             documents,
-            done: state.done.iter().cloned().collect(),
-            debts: state.debts.after(ask.debts),
-            limits: state.limits.told(&ask.broker),
+            completed_fills: state.completed_fills.iter().cloned().collect(),
+            settlements: state.settlements.updates_after(ask.known_settlements),
+            quota: state.quota.allocation_for(&ask.broker),
             leader: String::new(),
-            run: 0,
-            heard: 0.0,
+            leader_run: 0,
+            received_at: 0.0,
         }
     }
 }
--- a/crates/dunepond-consensus/src/old.rs
+++ b/crates/dunepond-consensus/src/old.rs
@@ -7,15 +7,18 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer};
 
-use crate::state::{Item, Opened};
-use crate::{Entry, Kept, Past, Seat, State, Step, Terms, Version};
+use crate::state::{Item, OpenChange};
+use crate::{
+    Command, ConfigVersion, ConsensusConfig, PastChange, PersistedState, ReplicatedState, RolloutStep,
+    VoterSlot,
+};
 
 /// In place, not packed.
-struct Version1(Version);
+struct Version1(ConfigVersion);
 
 impl<'de> Deserialize<'de> for Version1 {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        Version::deserialize(deserializer).map(Version1)
+        ConfigVersion::deserialize(deserializer).map(Version1)
     }
 }
 
@@ -42,17 +45,17 @@
 #[derive(Deserialize)]
 enum Item1 {
     Entry(Entry1),
-    Terms(Terms),
+    Terms(ConsensusConfig),
     Stage { number: u64 },
     Returned { number: u64 },
-    Seat { voter: String, seat: Seat },
+    Seat { voter: String, seat: VoterSlot },
 }
 
 #[derive(Deserialize)]
 struct Opened1 {
     version: Version1,
     digest: String,
-    step: Step,
+    step: RolloutStep,
     needs: BTreeSet<(u64, String)>,
     filled: BTreeSet<(u64, String)>,
     why: Option<String>,
@@ -61,17 +64,17 @@
 #[derive(Deserialize)]
 struct State1 {
     index: u64,
-    terms: Terms,
+    terms: ConsensusConfig,
     longest_lease: f64,
     in_force: Option<(Version1, String)>,
     done: BTreeSet<(u64, String)>,
     open: Option<Opened1>,
     highest: u64,
-    history: VecDeque<Past>,
+    history: VecDeque<PastChange>,
     settled: u64,
     settlements: VecDeque<Settled1>,
     ids: BTreeSet<String>,
-    seats: BTreeMap<String, Seat>,
+    seats: BTreeMap<String, VoterSlot>,
 }
 
 #[derive(Deserialize)]
@@ -94,11 +97,11 @@
 pub(crate) fn item(bytes: &[u8]) -> Option<Item> {
     Some(match whole(bytes)? {
         Item1::Entry(entry) => Item::Entry(match entry {
-            Entry1::Propose(version) => Entry::Propose(Box::new(version.0)),
-            Entry1::Filled { number, segment, holder } => Entry::Filled { number, segment, holder },
-            Entry1::Confirm { number } => Entry::Confirm { number },
-            Entry1::Withdraw { number, why } => Entry::Withdraw { number, why },
-            Entry1::Settle(old) => Entry::Debt(settlement(old)),
+            Entry1::Propose(version) => Command::Propose(Box::new(version.0)),
+            Entry1::Filled { number, segment, holder } => Command::FillCompleted { number, segment, holder },
+            Entry1::Confirm { number } => Command::Activate { number },
+            Entry1::Withdraw { number, why } => Command::Withdraw { number, why },
+            Entry1::Settle(old) => Command::Settlement(settlement(old)),
         }),
         Item1::Terms(terms) => Item::Terms(terms),
         Item1::Stage { number } => Item::Stage { number },
@@ -109,32 +112,32 @@
 
 /// The voters are those of its terms: format 1 had no others. A settlement whose id does not say of which fill it is
 /// cannot count again and is left out.
-pub(crate) fn state(bytes: &[u8]) -> Option<State> {
+pub(crate) fn state(bytes: &[u8]) -> Option<ReplicatedState> {
     let old: State1 = whole(bytes)?;
-    let mut state = State::new(old.terms, old.seats);
+    let mut state = ReplicatedState::new(old.terms, old.seats);
     state.index = old.index;
-    state.longest_lease = old.longest_lease;
-    state.in_force = old.in_force.map(|(version, digest)| (Arc::new(version.0), digest));
-    (state.done, state.highest, state.history) = (old.done, old.highest, old.history);
-    state.open = old.open.map(|open| Opened {
+    state.longest_lease_seconds = old.longest_lease;
+    state.active = old.in_force.map(|(version, digest)| (Arc::new(version.0), digest));
+    (state.completed_fills, state.highest_number, state.history) = (old.done, old.highest, old.history);
+    state.open = old.open.map(|open| OpenChange {
         version: Arc::new(open.version.0),
         digest: open.digest,
         step: open.step,
-        needs: open.needs,
-        filled: open.filled,
-        why: open.why,
+        required_fills: open.needs,
+        completed_fills: open.filled,
+        withdraw_reason: open.why,
     });
     let known = old.ids.len() as u64 <= old.settled;
     for entry in old.settlements.into_iter().filter(|_| known).map(settlement) {
-        if state.debts.check(&entry).is_ok() {
-            state.debts.apply(entry);
+        if state.settlements.check(&entry).is_ok() {
+            state.settlements.apply(entry);
         }
     }
     Some(state)
 }
 
-pub(crate) fn kept(bytes: &[u8]) -> Option<Kept> {
+pub(crate) fn kept(bytes: &[u8]) -> Option<PersistedState> {
     let old: Kept1 = whole(bytes)?;
     let versions = old.versions.into_iter().map(|version| Arc::new(version.0)).collect();
-    Some(Kept { versions, in_force: old.in_force, done: old.done, ..Kept::default() })
+    Some(PersistedState { versions, in_force: old.in_force, done: old.done, ..PersistedState::default() })
 }
--- a/crates/dunepond-consensus/src/refusal.rs
+++ b/crates/dunepond-consensus/src/refusal.rs
@@ -5,104 +5,104 @@
 
 /// What is not taken, and why; nothing changed by it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Refusal {
+pub enum Rejection {
     #[error("this broker does not lead; leader: {0:?}")]
     NotLeader(Option<String>),
     #[error("version {open} is proposed and not yet in force or withdrawn")]
-    Open { open: u64 },
+    ChangeOpen { open: u64 },
     #[error("version {given} was proposed, the next number is {expected}")]
-    Number { given: u64, expected: u64 },
+    WrongNumber { given: u64, expected: u64 },
     #[error("the version follows {given}, and {in_force} is in force")]
-    Follows { given: u64, in_force: u64 },
+    WrongBase { given: u64, in_force: u64 },
     #[error("rules: `{key}` is {value}, expected {expected}")]
-    Rules { key: &'static str, value: f64, expected: &'static str },
+    InvalidRule { key: &'static str, value: f64, expected: &'static str },
     #[error("stage is {0}, expected a share above 0 and below 1")]
-    Stage(f64),
+    InvalidStage(f64),
     #[error("the map does not prove: {}", list(.0))]
-    Map(Vec<Fault>),
+    InvalidMap(Vec<Fault>),
     #[error("the version brings a map, and the fleet's terms have none")]
-    MapsOff,
+    MapsDisabled,
     #[error("version {0} has no map, the one in force has")]
     MapDropped(u64),
     #[error("segment {segment}: owner `{owner}` is draining or gone by the same version")]
-    OwnerLeaves { segment: u64, owner: String },
+    OwnerExcluded { segment: u64, owner: String },
     #[error("{changed} of {of} segments change, at most a share of {most} may at once")]
-    TooMany { changed: usize, of: usize, most: f64 },
+    TooManySegments { changed: usize, of: usize, most: f64 },
     #[error("version {0} is not the one that is proposed")]
-    NotOpen(u64),
+    NotProposed(u64),
     #[error("only the leader may say that version {0} is in force or rolled out")]
     LeaderOnly(u64),
     #[error("{left} fills of version {number} are not done")]
-    Unfilled { number: u64, left: usize },
+    FillsMissing { number: u64, left: usize },
     #[error("version {number} needs no fill of segment {segment} at `{holder}`")]
-    NotNeeded { number: u64, segment: u64, holder: String },
+    FillNotNeeded { number: u64, segment: u64, holder: String },
     #[error("version {0} is being taken back")]
-    Returning(u64),
+    RollingBack(u64),
     #[error("settlement `{0}` is applied already")]
-    Settled(String),
+    AlreadySettled(String),
     #[error("what is said of a debt is applied already")]
-    Known,
+    AlreadyApplied,
     #[error("{0}")]
-    Debt(DebtError),
+    Settlement(DebtError),
     #[error("{0}")]
-    Limit(dunepond_quota::LimitError),
+    Quota(dunepond_quota::QuotaError),
     #[error("{0}")]
-    Move(Box<dunepond_rebalance::MoveError>),
+    Rebalance(Box<dunepond_rebalance::MoveError>),
     #[error("too much is proposed and not yet agreed on")]
     Busy,
     #[error("new terms come while version {0} is proposed")]
-    TermsWhileOpen(u64),
+    ConfigWhileOpen(u64),
     #[error("the list of voters is empty")]
     NoVoters,
     #[error("voter `{0}` stands in the list twice")]
-    VoterTwice(String),
+    DuplicateVoter(String),
     #[error("the list of voters has number {given}, expected {expected}")]
-    VotersNumber { given: u64, expected: u64 },
+    WrongVotersNumber { given: u64, expected: u64 },
     #[error("the list of voters is the one in force")]
-    VotersSame,
+    VotersUnchanged,
     #[error("list {number} of voters waits for its new voter")]
-    VotersWait { number: u64 },
+    VotersPending { number: u64 },
     #[error("voters join ({}) and leave ({}); one may join, one may leave, at once", joins.join(", "), leaves.join(", "))]
-    VotersAtOnce { joins: Vec<String>, leaves: Vec<String> },
+    TooManyVoterChanges { joins: Vec<String>, leaves: Vec<String> },
     #[error("list {number} of voters is not the one that waits")]
-    VotersPassed { number: u64 },
+    VotersSuperseded { number: u64 },
     #[error("`{0}` is no voter by what is agreed on")]
-    VotesNot(String),
+    NotAVoter(String),
     #[error("version {number}: `{key}` is not known to this program, and must be")]
-    NotUnderstood { number: u64, key: String },
+    UnknownKey { number: u64, key: String },
     #[error("version {number}: `{key}` is not known to the program of voter `{voter}`, and must be")]
-    NotUnderstoodAt { number: u64, key: String, voter: String },
+    UnknownKeyAtVoter { number: u64, key: String, voter: String },
     #[error("an entry is of a later program, or of none")]
     UnknownEntry,
     #[error("the answer has `{0}`, which is not known to this program, and must be")]
     UnknownPart(String),
     #[error("version {number} has the digest {is}, {said} was agreed on")]
-    Digest { number: u64, said: String, is: String },
+    DigestMismatch { number: u64, said: String, is: String },
     #[error("version {0} was agreed on, and its document did not come with the answer")]
-    NoDocument(u64),
+    MissingDocument(u64),
     #[error("the answer is about the log up to {said}, this broker knows it up to {known}")]
-    Older { said: u64, known: u64 },
+    StaleReply { said: u64, known: u64 },
     #[error("the answer is of epoch {said} of the fleet, this broker has heard of {known}")]
-    OldEpoch { said: u64, known: u64 },
+    StaleEpoch { said: u64, known: u64 },
     #[error("the answer is of another fleet")]
     OtherFleet,
     #[error("the fleet was brought back by an operator's word, and leases of before may run")]
-    Quiet,
+    LeasesSuspended,
     #[error("the answer is to question {0}, which is not waited for")]
-    Unasked(u64),
+    UnexpectedReply(u64),
     #[error("no voter that could be asked knows a leader")]
     NoLeader,
     #[error("the steady clock went from {from} back to {to}")]
-    ClockBack { from: f64, to: f64 },
+    ClockWentBack { from: f64, to: f64 },
     #[error(
         "this clock runs too slow by the leader's, or the leader's too fast: {here:.3} s here at most, {there:.3} s there"
     )]
-    Drift { here: f64, there: f64 },
+    ClockDrift { here: f64, there: f64 },
 }
 
-impl From<dunepond_rebalance::MoveError> for Refusal {
+impl From<dunepond_rebalance::MoveError> for Rejection {
     fn from(why: dunepond_rebalance::MoveError) -> Self {
-        Self::Move(Box::new(why))
+        Self::Rebalance(Box::new(why))
     }
 }
 
@@ -112,79 +112,81 @@
     if more > 0 { format!("{}; and {more} more", shown.join("; ")) } else { shown.join("; ") }
 }
 
-impl Refusal {
+impl Rejection {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
             Self::NotLeader(_) => "propose at the leader; the broker does so by itself once it knows one",
-            Self::Open { .. } => "wait until the change is in force or withdrawn, or withdraw it",
-            Self::Number { .. } => {
+            Self::ChangeOpen { .. } => "wait until the change is in force or withdrawn, or withdraw it",
+            Self::WrongNumber { .. } => {
                 "number the version as expected: numbers are never used again, even of withdrawn ones"
             }
-            Self::Follows { .. } => {
+            Self::WrongBase { .. } => {
                 "take over what the version in force has, then say that the new one follows it"
             }
-            Self::Rules { .. } => "set the named key to a value as expected",
-            Self::Stage(_) => "set `stage` to the share of brokers that go first, or leave it out",
-            Self::Map(_) => "mend each fault named; a map is only taken whole",
-            Self::MapsOff => {
+            Self::InvalidRule { .. } => "set the named key to a value as expected",
+            Self::InvalidStage(_) => "set `stage` to the share of brokers that go first, or leave it out",
+            Self::InvalidMap(_) => "mend each fault named; a map is only taken whole",
+            Self::MapsDisabled => {
                 "give `fleet` a `map` line in each broker's file and restart them first, then propose"
             }
             Self::MapDropped(_) => "add the map in force to the version",
-            Self::OwnerLeaves { .. } => "give the segment an owner that stays",
-            Self::TooMany { .. } => "split the change, or raise `map most-changed` at the voters",
-            Self::NotOpen(_) => "look at which version is proposed now; this one was decided on before",
+            Self::OwnerExcluded { .. } => "give the segment an owner that stays",
+            Self::TooManySegments { .. } => "split the change, or raise `map most-changed` at the voters",
+            Self::NotProposed(_) => "look at which version is proposed now; this one was decided on before",
             Self::LeaderOnly(_) => "nothing to do: the leader says so by itself when all is done",
-            Self::Unfilled { .. } => "wait for the fills, or see why the filler does not carry them out",
-            Self::NotNeeded { .. } => "nothing to do: a fill of an earlier change came late",
-            Self::Returning(_) => "wait until it is withdrawn, then propose anew",
-            Self::Settled(_) | Self::Known => "nothing to do: it counts once",
-            Self::Debt(why) => why.help(),
-            Self::Limit(why) => why.help(),
-            Self::Move(why) => why.help(),
+            Self::FillsMissing { .. } => "wait for the fills, or see why the filler does not carry them out",
+            Self::FillNotNeeded { .. } => "nothing to do: a fill of an earlier change came late",
+            Self::RollingBack(_) => "wait until it is withdrawn, then propose anew",
+            Self::AlreadySettled(_) | Self::AlreadyApplied => "nothing to do: it counts once",
+            Self::Settlement(why) => why.help(),
+            Self::Quota(why) => why.help(),
+            Self::Rebalance(why) => why.help(),
             Self::Busy => "wait; if it stays, see that a majority of the voters is up and linked",
-            Self::TermsWhileOpen(_) => "nothing to do: the leader takes them up after the change",
+            Self::ConfigWhileOpen(_) => "nothing to do: the leader takes them up after the change",
             Self::NoVoters => "name three or five voters; the last one cannot be taken away",
-            Self::VoterTwice(_) => "name each voter once",
-            Self::VotersNumber { .. } => {
+            Self::DuplicateVoter(_) => "name each voter once",
+            Self::WrongVotersNumber { .. } => {
                 "number the list as expected: one above the last that was agreed on, given up or not"
             }
-            Self::VotersSame => "nothing to do: these voters are in force",
-            Self::VotersWait { .. } => {
+            Self::VotersUnchanged => "nothing to do: these voters are in force",
+            Self::VotersPending { .. } => {
                 "start the new voter with an empty folder; or give it up: propose the list in force, one number on"
             }
-            Self::VotersAtOnce { .. } => {
+            Self::TooManyVoterChanges { .. } => {
                 "go step by step: propose the list in force with one voter added, removed or replaced, wait until \
                  the log says that it is in force, then the next, one number on"
             }
-            Self::VotersPassed { .. } => "nothing to do: another word on the voters came first",
-            Self::VotesNot(_) => {
+            Self::VotersSuperseded { .. } => "nothing to do: another word on the voters came first",
+            Self::NotAVoter(_) => {
                 "ask a voter of the agreed list, which the log names; put that list into this broker's file"
             }
-            Self::NotUnderstood { .. } => "bring this broker to the program of the one that proposed it",
-            Self::NotUnderstoodAt { .. } => {
+            Self::UnknownKey { .. } => "bring this broker to the program of the one that proposed it",
+            Self::UnknownKeyAtVoter { .. } => {
                 "bring all voters, and then all brokers, to the program that knows the key; then propose it"
             }
             Self::UnknownEntry => "bring this voter to the program that the leader has",
             Self::UnknownPart(_) => "bring this broker to the program that the voters have",
-            Self::Digest { .. } => {
+            Self::DigestMismatch { .. } => {
                 "a voter tells another document than was agreed on: look at that voter's folder and build"
             }
-            Self::NoDocument(_) => "nothing to do: the next question asks for it",
-            Self::Older { .. } => "nothing to do: an answer was overtaken",
-            Self::OldEpoch { .. } => {
+            Self::MissingDocument(_) => "nothing to do: the next question asks for it",
+            Self::StaleReply { .. } => "nothing to do: an answer was overtaken",
+            Self::StaleEpoch { .. } => {
                 "end the voter that gave it: the fleet was brought back without it, and it acts on what is gone"
             }
             Self::OtherFleet => {
                 "if the fleet was founded anew, empty this broker's folder; else find out whose voters these are"
             }
-            Self::Quiet => "wait about as long as `bound`, then propose anew",
-            Self::Unasked(_) => "nothing to do once; if often, something doubles or delays answers for long",
+            Self::LeasesSuspended => "wait about as long as `bound`, then propose anew",
+            Self::UnexpectedReply(_) => {
+                "nothing to do once; if often, something doubles or delays answers for long"
+            }
             Self::NoLeader => "see that a majority of the voters is up and linked",
-            Self::ClockBack { .. } => {
+            Self::ClockWentBack { .. } => {
                 "the machine's steady clock is faulty: take the broker out until it is mended"
             }
-            Self::Drift { .. } => {
+            Self::ClockDrift { .. } => {
                 "one of the two clocks breaks the `drift` of the file: mend it, or raise `drift` and `bound`"
             }
         }
@@ -193,56 +195,58 @@
 
 /// What a voter cannot go on from, or a message that is not believed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum AgreeError {
+pub enum ConsensusError {
     #[error("terms: {0}")]
-    Terms(#[from] crate::TermsError),
+    Config(#[from] crate::ConsensusConfigError),
     #[error("`{0}` is none of the voters of the file")]
-    NoVoter(String),
+    NotAVoter(String),
     #[error("the folder is of broker `{is}`, this is `{name}`")]
-    OthersFolder { is: String, name: String },
+    ForeignFolder { is: String, name: String },
     #[error("the operator's word on a lost majority: {0}")]
     Recovery(#[from] crate::RecoveryError),
     #[error("a message of `{from}` is of epoch {said} of the fleet, this is {known}")]
-    OldEpoch { from: String, said: u64, known: u64 },
+    StaleEpoch { from: String, said: u64, known: u64 },
     #[error("a message of `{from}` is of another fleet")]
     OtherFleet { from: String },
     #[error("a record of the folder does not read: {0}")]
-    Record(&'static str),
+    CorruptRecord(&'static str),
     #[error("the folder's log has {0}")]
-    Log(&'static str),
+    CorruptLog(&'static str),
     #[error("a message of `{0}` does not read")]
-    Garbled(String),
+    MalformedMessage(String),
     #[error("a message of `{from}` has version {version}, this broker speaks {ours}")]
-    Newer { from: String, version: u8, ours: u8 },
+    NewerProtocol { from: String, version: u8, ours: u8 },
     #[error("a message that came from `{from}` says that it is from `{says}`")]
-    OthersName { from: String, says: String },
+    SenderMismatch { from: String, says: String },
 }
 
-impl AgreeError {
+impl ConsensusError {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::Terms(terms) => terms.help(),
-            Self::NoVoter(_) => {
+            Self::Config(terms) => terms.help(),
+            Self::NotAVoter(_) => {
                 "a broker that is no `voter` in its file needs none of this; name it, or fix its name"
             }
-            Self::OthersFolder { .. } => "give each broker a folder of its own",
+            Self::ForeignFolder { .. } => "give each broker a folder of its own",
             Self::Recovery(why) => why.help(),
-            Self::OldEpoch { .. } => {
+            Self::StaleEpoch { .. } => {
                 "nothing to do: the fleet was brought back without it, and it is told; give it no voter's place unasked"
             }
             Self::OtherFleet { .. } => {
                 "two fleets were founded that know each other: end the brokers of one, and empty their folders"
             }
-            Self::Record(_) => {
+            Self::CorruptRecord(_) => {
                 "move the folder away and restart: the voter comes back empty and is brought up by the others"
             }
-            Self::Log(_) => {
+            Self::CorruptLog(_) => {
                 "move the folder away and restart: the voter comes back empty and is brought up by the others"
             }
-            Self::Garbled(_) => "see what stands between the brokers, and that they are of one build",
-            Self::Newer { .. } => "bring this broker to the newer build, too",
-            Self::OthersName { .. } => "give each broker a name of its own; see what stands between them",
+            Self::MalformedMessage(_) => {
+                "see what stands between the brokers, and that they are of one build"
+            }
+            Self::NewerProtocol { .. } => "bring this broker to the newer build, too",
+            Self::SenderMismatch { .. } => "give each broker a name of its own; see what stands between them",
         }
     }
 }
--- a/crates/dunepond-consensus/src/rules.rs
+++ b/crates/dunepond-consensus/src/rules.rs
@@ -1,6 +1,6 @@
 //! Whether the rules of a version are any; each broker judges for itself.
 
-use crate::{Refusal, Rules, Version};
+use crate::{ConfigVersion, Rejection, RoutingRules};
 
 const SHARE: &str = "a share from 0 to 1";
 const TIME: &str = "seconds from 0, finite";
@@ -8,12 +8,24 @@
 const MULTIPLE: &str = "a multiple from 1, finite";
 const CAP: &str = "1 to 64";
 
-pub fn check(version: &Version) -> Result<(), Refusal> {
-    let Rules { least, whole_at, budget_share, budget_free, .. } = &version.rules;
-    let Rules { drain_grace, cold_multiple, dispatch_cap, longest_wait, .. } = &version.rules;
+pub fn check(version: &ConfigVersion) -> Result<(), Rejection> {
+    let RoutingRules {
+        minimum_shares: least,
+        complete_at: whole_at,
+        retry_budget_ratio: budget_share,
+        retry_budget_min: budget_free,
+        ..
+    } = &version.rules;
+    let RoutingRules {
+        drain_grace_seconds: drain_grace,
+        slow_start_multiple: cold_multiple,
+        max_attempts: dispatch_cap,
+        max_retry_after_seconds: longest_wait,
+        ..
+    } = &version.rules;
     let share = |v: f64| (0.0..=1.0).contains(&v);
     let from = |least: f64| move |v: f64| v >= least && v.is_finite();
-    let bad = |key, value, expected| Err(Refusal::Rules { key, value, expected });
+    let bad = |key, value, expected| Err(Rejection::InvalidRule { key, value, expected });
     if let Some(&v) = least.iter().find(|v| !share(**v)) {
         return bad("least", v, SHARE);
     }
@@ -38,8 +50,8 @@
     if !from(0.0)(*longest_wait) {
         return bad("longest_wait", *longest_wait, TIME);
     }
-    match version.stage {
-        Some(stage) if !(stage > 0.0 && stage < 1.0) => Err(Refusal::Stage(stage)),
+    match version.first_stage_ratio {
+        Some(stage) if !(stage > 0.0 && stage < 1.0) => Err(Rejection::InvalidStage(stage)),
         _ => Ok(()),
     }
 }
