--- a/crates/dunepond-consensus/src/state/debts.rs
+++ b/crates/dunepond-consensus/src/state/debts.rs
@@ -5,7 +5,7 @@
 use dunepond_settlement::{Agreed, Applied, Ledger};
 use serde::{Deserialize, Serialize};
 
-use crate::Refusal;
+use crate::Rejection;
 
 /// Entries that are kept for brokers that are a little behind; one that is further behind gets the ledger whole.
 const LAST: usize = 4096;
@@ -18,48 +18,48 @@
 /// An entry as it was applied, and the ledger's floor at that time: whoever applies it after its floor has the same
 /// ledger.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Noted {
+pub struct SettlementRecord {
     pub floor: u64,
     pub entry: Agreed,
 }
 
-/// A part of [`Debts`], for a broker that has the rest. First the ledger, if it comes, and then the entries.
+/// A part of [`SettlementLog`], for a broker that has the rest. First the ledger, if it comes, and then the entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct DebtsTold {
+pub struct SettlementUpdate {
     /// Entries that were applied before the first of `entries`; by now there are `count`.
     pub from: u64,
     pub count: u64,
     /// All that came before `from`.
     pub ledger: Option<Box<Ledger>>,
-    pub entries: Vec<Noted>,
+    pub entries: Vec<SettlementRecord>,
 }
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Debts {
+pub struct SettlementLog {
     pub ledger: Ledger,
     /// Entries that were applied, ever.
     pub count: u64,
-    last: VecDeque<Noted>,
+    last: VecDeque<SettlementRecord>,
 }
 
-impl Debts {
-    pub(crate) fn check(&self, entry: &Agreed) -> Result<(), Refusal> {
+impl SettlementLog {
+    pub(crate) fn check(&self, entry: &Agreed) -> Result<(), Rejection> {
         match self.ledger.check(entry) {
             Ok(Applied::Now) => Ok(()),
             Ok(Applied::Before) => Err(match entry {
-                Agreed::Settle(settlement) => Refusal::Settled(settlement.id.clone()),
-                _ => Refusal::Known,
+                Agreed::Settle(settlement) => Rejection::AlreadySettled(settlement.id.clone()),
+                _ => Rejection::AlreadyApplied,
             }),
-            Err(why) => Err(Refusal::Debt(why)),
+            Err(why) => Err(Rejection::Settlement(why)),
         }
     }
 
-    /// After [`Debts::check`].
+    /// After [`SettlementLog::check`].
     pub(crate) fn apply(&mut self, entry: Agreed) {
         let applied = self.ledger.apply(&entry);
         debug_assert_eq!(applied, Ok(Applied::Now));
         self.count += 1;
-        self.last.push_back(Noted { floor: self.ledger.floor(), entry });
+        self.last.push_back(SettlementRecord { floor: self.ledger.floor(), entry });
         if self.last.len() > LAST {
             self.last.pop_front();
         }
@@ -71,15 +71,15 @@
     }
 
     /// For one that has the first `known` entries, some at a time.
-    pub fn after(&self, known: u64) -> DebtsTold {
+    pub fn updates_after(&self, known: u64) -> SettlementUpdate {
         let first = self.count - self.last.len() as u64;
         // One that knows more than there is has known another fleet.
         if known < first || known > self.count {
             let ledger = Some(Box::new(self.ledger.clone()));
-            return DebtsTold { from: self.count, count: self.count, ledger, entries: Vec::new() };
+            return SettlementUpdate { from: self.count, count: self.count, ledger, entries: Vec::new() };
         }
         let entries = self.last.iter().skip((known - first) as usize).take(TOLD_AT_ONCE).cloned().collect();
-        DebtsTold { from: known, count: self.count, ledger: None, entries }
+        SettlementUpdate { from: known, count: self.count, ledger: None, entries }
     }
 }
 
@@ -103,8 +103,8 @@
     }
 
     /// Five thousand settlements over fifty versions, the debt split in advance.
-    fn long() -> Debts {
-        let mut debts = Debts::default();
+    fn long() -> SettlementLog {
+        let mut debts = SettlementLog::default();
         let text = String::from;
         let (debtor, creditor, parts) = (text("north"), text("south"), vec![(text("fleet"), 15_000)]);
         let allot = Allot { number: 0, debtor, creditor, debt: 15_000, parts };
@@ -132,7 +132,7 @@
             (count == 4_900).then(|| {
                 // From the ledger whole up to the first that is kept, then entry by entry.
                 let first = all.count - kept.len() as u64;
-                let mut begun = Debts::default();
+                let mut begun = SettlementLog::default();
                 let allot = Allot {
                     number: 0,
                     debtor: "north".to_string(),
@@ -153,7 +153,7 @@
         for from in [0, 4_900, 9_999] {
             let (mut known, mut ledger, mut times) = (from, at(from), 0);
             while known != debts.count {
-                let told = debts.after(known);
+                let told = debts.updates_after(known);
                 if let Some(whole) = told.ledger {
                     ledger = *whole;
                     known = told.from;
@@ -174,11 +174,14 @@
     fn what_is_remembered_is_bounded_and_what_is_closed_is_refused() {
         let debts = long();
         assert!(debts.last.len() <= LAST);
-        assert_eq!(debts.check(&settle(50, 4999)), Err(Refusal::Settled("50/4999/h@fleet".to_string())));
+        assert_eq!(
+            debts.check(&settle(50, 4999)),
+            Err(Rejection::AlreadySettled("50/4999/h@fleet".to_string()))
+        );
         let late = debts.check(&settle(41, 1));
-        assert!(matches!(late, Err(Refusal::Debt(DebtError::Closed { floor: 42, .. }))), "{late:?}");
+        assert!(matches!(late, Err(Rejection::Settlement(DebtError::Closed { floor: 42, .. }))), "{late:?}");
         let past = debts.check(&settle(50, 5000));
-        assert!(matches!(past, Err(Refusal::Debt(DebtError::PastShare { .. }))), "{past:?}");
+        assert!(matches!(past, Err(Rejection::Settlement(DebtError::PastShare { .. }))), "{past:?}");
         let size = postcard::to_stdvec(&debts.ledger).unwrap().len();
         assert!(size < 900 * 64, "{size} bytes for nine versions of a hundred fills");
     }
--- a/crates/dunepond-consensus/src/state/mod.rs
+++ b/crates/dunepond-consensus/src/state/mod.rs
@@ -14,21 +14,21 @@
 use dunepond_settlement::Agreed;
 use serde::{Deserialize, Serialize};
 
-use crate::{Entry, Refusal, Step, Terms, Version};
+use crate::{Command, ConfigVersion, ConsensusConfig, Rejection, RolloutStep};
 use crate::{docs, old};
-pub use debts::{Debts, DebtsTold, Noted};
+pub use debts::{SettlementLog, SettlementRecord, SettlementUpdate};
 use dunepond_shard_map::{self as maps, Proof};
 pub(crate) use versions::{Ahead, judge, with_done};
-pub use versions::{Ended, Opened, Past};
+pub use versions::{ChangeEnd, OpenChange, PastChange};
 pub(crate) use voters::Voted;
-pub use voters::{Named, Voters, Voting};
+pub use voters::{VoterChange, VoterInfo, VoterList};
 
 /// What stands in the log: the entries, and what voters settle among themselves.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Item {
-    Entry(Entry),
+    Entry(Command),
     /// Another voter's file says other terms than those agreed; it leads now.
-    Terms(Terms),
+    Terms(ConsensusConfig),
     /// The share named in the version goes first.
     Stage {
         number: u64,
@@ -40,7 +40,7 @@
     /// What a voter's folder was last seen to be.
     Seat {
         voter: String,
-        seat: Seat,
+        seat: VoterSlot,
     },
     /// The voters that were asked for are in force.
     Voted(Voted),
@@ -52,85 +52,85 @@
 
 /// A voter's folder as its peers saw it last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seat {
+pub struct VoterSlot {
     #[serde(rename = "folder")]
-    pub folder: u64,
+    pub folder_id: u64,
     #[serde(rename = "starts")]
-    pub starts: u64,
+    pub start_count: u64,
     #[serde(rename = "run")]
-    pub run: u64,
+    pub run_id: u64,
 }
 
 /// What an entry changed.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum StateChange {
     Proposed(u64),
-    Filled {
+    FillCompleted {
         number: u64,
         segment: u64,
         holder: String,
     },
     Staged(u64),
-    InForce(u64),
-    Returning(u64),
+    Activated(u64),
+    RollingBack(u64),
     Withdrawn(u64),
-    Debt(Agreed),
+    Settlement(Agreed),
     /// Generation of the parts.
-    Limit(u64),
+    Quota(u64),
     /// A plan of moves, and how it stands now.
-    Moves {
+    Rebalance {
         plan: String,
-        told: String,
+        status: String,
     },
-    Terms,
-    Seat(String),
+    Config,
+    VoterSlot(String),
     /// Who votes is to change, and has changed; its number.
-    Voting(u64),
-    Voters(u64),
+    VotersPending(u64),
+    VotersChanged(u64),
     /// The epoch from which leases are granted again.
-    Calm(u64),
+    LeasesResumed(u64),
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct State {
+pub struct ReplicatedState {
     /// Drawn as the fleet was founded (0: before fleets had one), and how often it was brought back without a majority.
     #[serde(default)]
     #[serde(rename = "fleet")]
-    pub fleet: u64,
+    pub fleet_id: u64,
     #[serde(default)]
     pub epoch: u64,
     /// Leases of before it was brought back may run.
     #[serde(default)]
     #[serde(rename = "quiet")]
-    pub quiet: bool,
+    pub leases_suspended: bool,
     /// Place in the log up to which all is applied.
     pub index: u64,
     /// By which all voters judge, whatever their files say.
     #[serde(rename = "terms")]
-    pub terms: Terms,
+    pub config: ConsensusConfig,
     /// Seconds; of all leases that were ever allowed. The wait counts by it.
     #[serde(rename = "longest_lease")]
-    pub longest_lease: f64,
+    pub longest_lease_seconds: f64,
     /// With its digest.
     #[serde(rename = "in_force")]
-    pub in_force: Option<(Arc<Version>, String)>,
+    pub active: Option<(Arc<ConfigVersion>, String)>,
     /// Fills (segment, node) that count for the map in force.
     #[serde(rename = "done")]
-    pub done: BTreeSet<(u64, String)>,
-    pub open: Option<Opened>,
+    pub completed_fills: BTreeSet<(u64, String)>,
+    pub open: Option<OpenChange>,
     /// Highest number that was ever proposed.
     #[serde(rename = "highest")]
-    pub highest: u64,
-    pub history: VecDeque<Past>,
+    pub highest_number: u64,
+    pub history: VecDeque<PastChange>,
     #[serde(rename = "debts")]
-    pub debts: Debts,
-    pub voters: Voters,
+    pub settlements: SettlementLog,
+    pub voters: VoterList,
     #[serde(rename = "seats")]
-    pub seats: BTreeMap<String, Seat>,
+    pub voter_slots: BTreeMap<String, VoterSlot>,
     /// Each broker's part of what holds for the whole fleet.
     #[serde(rename = "limits")]
-    pub limits: dunepond_quota::Ledger,
+    pub quota: dunepond_quota::QuotaLedger,
     moves: dunepond_rebalance::Book,
     /// Names of parts that a voter has to know, or take no part; none as yet.
     pub(crate) must: BTreeSet<String>,
@@ -144,24 +144,24 @@
     ahead: Option<Ahead>,
 }
 
-impl State {
-    pub(crate) fn new(terms: Terms, seats: BTreeMap<String, Seat>) -> Self {
+impl ReplicatedState {
+    pub(crate) fn new(config: ConsensusConfig, voter_slots: BTreeMap<String, VoterSlot>) -> Self {
         Self {
-            fleet: 0,
+            fleet_id: 0,
             epoch: 0,
-            quiet: false,
+            leases_suspended: false,
             index: 0,
-            longest_lease: terms.lease,
-            voters: Voters::founded(&terms.voters),
-            terms,
-            in_force: None,
-            done: BTreeSet::new(),
+            longest_lease_seconds: config.lease_seconds,
+            voters: VoterList::founded(&config.voters),
+            config,
+            active: None,
+            completed_fills: BTreeSet::new(),
             open: None,
-            highest: 0,
+            highest_number: 0,
             history: VecDeque::new(),
-            debts: Debts::default(),
-            seats,
-            limits: dunepond_quota::Ledger::default(),
+            settlements: SettlementLog::default(),
+            voter_slots,
+            quota: dunepond_quota::QuotaLedger::default(),
             moves: dunepond_rebalance::Book::default(),
             must: BTreeSet::new(),
             more: BTreeMap::new(),
@@ -171,10 +171,10 @@
     }
 
     /// Of an entry, with what this program does not know of it as a reason to leave it alone.
-    pub(crate) fn item(bytes: &[u8], knows: &[String]) -> Result<Item, Refusal> {
+    pub(crate) fn item(bytes: &[u8], knows: &[String]) -> Result<Item, Rejection> {
         let item = if docs::is_old(bytes) { old::item(bytes) } else { docs::read_all(bytes) };
-        let item = item.ok_or(Refusal::UnknownEntry)?;
-        if let Item::Entry(Entry::Propose(version)) = &item {
+        let item = item.ok_or(Rejection::UnknownEntry)?;
+        if let Item::Entry(Command::Propose(version)) = &item {
             docs::understood(version, knows)?;
         }
         Ok(item)
@@ -190,36 +190,39 @@
         if !state.must.is_empty() {
             return None;
         }
-        if let Some((version, digest)) = &state.in_force {
+        if let Some((version, digest)) = &state.active {
             if version.digest() != *digest {
                 return None;
             }
             if let Some(map) = &version.map {
-                state.proof = Some(with_done(&maps::check(map, &[], &state.terms.map).ok()?, &state.done));
+                state.proof = Some(with_done(
+                    &maps::check(map, &[], &state.config.map_requirements).ok()?,
+                    &state.completed_fills,
+                ));
             }
         }
         if let Some(open) = &state.open {
-            let in_force = state.in_force.as_ref().map(|(version, _)| &**version);
-            state.ahead = Some(judge(in_force, state.proof.as_ref(), &open.version, &state.terms).ok()?);
+            let in_force = state.active.as_ref().map(|(version, _)| &**version);
+            state.ahead = Some(judge(in_force, state.proof.as_ref(), &open.version, &state.config).ok()?);
         }
         Some(state)
     }
 
-    /// Seconds on the leader's clock from when it saw a change committed, see [`Terms::wait`].
-    pub fn wait(&self, own: &Terms) -> f64 {
-        let lease = self.longest_lease.max(own.lease);
-        self.terms.waited(lease).max(own.waited(lease))
+    /// Seconds on the leader's clock from when it saw a change committed, see [`ConsensusConfig::quiescence_seconds`].
+    pub fn quiescence_seconds(&self, own: &ConsensusConfig) -> f64 {
+        let lease = self.longest_lease_seconds.max(own.lease_seconds);
+        self.config.quiescence_seconds_for(lease).max(own.quiescence_seconds_for(lease))
     }
 
     /// Whether it would change anything, as things stand.
-    pub(crate) fn check(&self, item: &Item) -> Result<(), Refusal> {
+    pub(crate) fn check(&self, item: &Item) -> Result<(), Rejection> {
         match item {
-            Item::Entry(Entry::Propose(version)) => self.check_version(version).map(drop),
-            Item::Entry(Entry::Filled { number, segment, holder }) => {
+            Item::Entry(Command::Propose(version)) => self.check_version(version).map(drop),
+            Item::Entry(Command::FillCompleted { number, segment, holder }) => {
                 let open = self.opened(*number)?;
                 let need = (*segment, holder.clone());
-                if !open.needs.contains(&need) || open.filled.contains(&need) {
-                    return Err(Refusal::NotNeeded {
+                if !open.required_fills.contains(&need) || open.completed_fills.contains(&need) {
+                    return Err(Rejection::FillNotNeeded {
                         number: *number,
                         segment: *segment,
                         holder: holder.clone(),
@@ -227,85 +230,87 @@
                 }
                 Ok(())
             }
-            Item::Entry(Entry::Confirm { number }) | Item::Stage { number } => {
+            Item::Entry(Command::Activate { number }) | Item::Stage { number } => {
                 let open = self.opened(*number)?;
-                if open.step == Step::Returning {
-                    return Err(Refusal::Returning(*number));
+                if open.step == RolloutStep::RollingBack {
+                    return Err(Rejection::RollingBack(*number));
                 }
-                match self.left() {
+                match self.missing_fills() {
                     0 => Ok(()),
-                    left => Err(Refusal::Unfilled { number: *number, left }),
+                    left => Err(Rejection::FillsMissing { number: *number, left }),
                 }
             }
-            Item::Entry(Entry::Withdraw { number, .. }) => match self.opened(*number)?.step {
-                Step::Returning => Err(Refusal::Returning(*number)),
+            Item::Entry(Command::Withdraw { number, .. }) => match self.opened(*number)?.step {
+                RolloutStep::RollingBack => Err(Rejection::RollingBack(*number)),
                 _ => Ok(()),
             },
-            Item::Entry(Entry::Debt(entry)) => self.debts.check(entry),
-            Item::Entry(Entry::Limit(entry)) => self.check_limit(entry),
-            Item::Entry(Entry::Move(entry)) => self.check_move(entry),
-            Item::Entry(Entry::Vote(voting)) => self.check_voting(voting),
-            Item::Seat { voter, .. } if !self.voters.votes(voter) => Err(Refusal::VotesNot(voter.clone())),
+            Item::Entry(Command::Settlement(entry)) => self.settlements.check(entry),
+            Item::Entry(Command::Quota(entry)) => self.check_limit(entry),
+            Item::Entry(Command::Rebalance(entry)) => self.check_move(entry),
+            Item::Entry(Command::ChangeVoters(voting)) => self.check_voting(voting),
+            Item::Seat { voter, .. } if !self.voters.contains(voter) => {
+                Err(Rejection::NotAVoter(voter.clone()))
+            }
             Item::Seat { .. } => Ok(()),
             Item::Voted(voted) => self.check_voted(voted),
-            Item::Calm { epoch } if self.quiet && *epoch == self.epoch => Ok(()),
-            Item::Calm { .. } => Err(Refusal::Known),
+            Item::Calm { epoch } if self.leases_suspended && *epoch == self.epoch => Ok(()),
+            Item::Calm { .. } => Err(Rejection::AlreadyApplied),
             Item::Returned { number } => match self.opened(*number)?.step {
-                Step::Returning => Ok(()),
-                _ => Err(Refusal::NotOpen(*number)),
+                RolloutStep::RollingBack => Ok(()),
+                _ => Err(Rejection::NotProposed(*number)),
             },
             Item::Terms(_) => match &self.open {
-                Some(open) => Err(Refusal::TermsWhileOpen(open.version.number)),
+                Some(open) => Err(Rejection::ConfigWhileOpen(open.version.number)),
                 None => Ok(()),
             },
         }
     }
 
     /// Applies the entry at `index`, or says why it is ignored.
-    pub(crate) fn apply(&mut self, index: u64, item: Item) -> Result<Change, Refusal> {
+    pub(crate) fn apply(&mut self, index: u64, item: Item) -> Result<StateChange, Rejection> {
         self.index = index;
-        if let Item::Entry(Entry::Propose(version)) = item {
+        if let Item::Entry(Command::Propose(version)) = item {
             let ahead = self.check_version(&version)?;
             return Ok(self.propose(Arc::new(*version), ahead));
         }
         self.check(&item)?;
         Ok(match item {
-            Item::Entry(Entry::Propose(_)) => unreachable!("taken above"),
-            Item::Entry(Entry::Filled { number, segment, holder }) => {
-                self.opening().filled.insert((segment, holder.clone()));
-                Change::Filled { number, segment, holder }
+            Item::Entry(Command::Propose(_)) => unreachable!("taken above"),
+            Item::Entry(Command::FillCompleted { number, segment, holder }) => {
+                self.opening().completed_fills.insert((segment, holder.clone()));
+                StateChange::FillCompleted { number, segment, holder }
             }
-            Item::Entry(Entry::Confirm { number }) => self.confirm(number),
-            Item::Entry(Entry::Withdraw { number, why }) => self.take_back(number, why),
+            Item::Entry(Command::Activate { number }) => self.confirm(number),
+            Item::Entry(Command::Withdraw { number, why }) => self.take_back(number, why),
             Item::Returned { number } => {
-                let why = self.opening().why.take().unwrap_or_default();
+                let why = self.opening().withdraw_reason.take().unwrap_or_default();
                 self.withdraw(number, why)
             }
             Item::Stage { number } => {
                 let open = self.opening();
-                open.step = Step::Staged(open.version.stage.unwrap_or(1.0));
-                Change::Staged(number)
+                open.step = RolloutStep::Staged(open.version.first_stage_ratio.unwrap_or(1.0));
+                StateChange::Staged(number)
             }
-            Item::Entry(Entry::Debt(entry)) => {
-                self.debts.apply(entry.clone());
-                Change::Debt(entry)
+            Item::Entry(Command::Settlement(entry)) => {
+                self.settlements.apply(entry.clone());
+                StateChange::Settlement(entry)
             }
-            Item::Entry(Entry::Limit(entry)) => self.limit(&entry)?,
-            Item::Entry(Entry::Move(entry)) => self.apply_move(entry)?,
+            Item::Entry(Command::Quota(entry)) => self.limit(&entry)?,
+            Item::Entry(Command::Rebalance(entry)) => self.apply_move(entry)?,
             Item::Terms(terms) => {
-                self.longest_lease = self.longest_lease.max(terms.lease);
-                self.terms = terms;
-                Change::Terms
+                self.longest_lease_seconds = self.longest_lease_seconds.max(terms.lease_seconds);
+                self.config = terms;
+                StateChange::Config
             }
-            Item::Entry(Entry::Vote(voting)) => self.vote(*voting),
+            Item::Entry(Command::ChangeVoters(voting)) => self.vote(*voting),
             Item::Voted(voted) => self.voted(voted),
             Item::Calm { epoch } => {
-                self.quiet = false;
-                Change::Calm(epoch)
+                self.leases_suspended = false;
+                StateChange::LeasesResumed(epoch)
             }
             Item::Seat { voter, seat } => {
-                self.seats.insert(voter.clone(), seat);
-                Change::Seat(voter)
+                self.voter_slots.insert(voter.clone(), seat);
+                StateChange::VoterSlot(voter)
             }
         })
     }
@@ -317,24 +322,24 @@
 
     #[test]
     fn parts_of_a_later_program_are_passed_on_unless_they_have_to_be_known() {
-        let terms = Terms {
+        let terms = ConsensusConfig {
             name: String::from("n1"),
             voters: vec![String::from("n1")],
-            lease: 1.0,
-            drift: 0.01,
-            bound: 3.0,
-            longest_timeout: 1.0,
-            fills_deadline: 1.0,
-            most_changed: 1.0,
-            maps: false,
-            map: maps::Terms { least_holders: 1, least_zones: 1 },
+            lease_seconds: 1.0,
+            drift_ratio: 0.01,
+            switch_bound_seconds: 3.0,
+            longest_query_seconds: 1.0,
+            fill_deadline_seconds: 1.0,
+            max_changed_ratio: 1.0,
+            maps_enabled: false,
+            map_requirements: maps::Terms { least_holders: 1, least_zones: 1 },
         };
-        let mut later = State::new(terms, BTreeMap::new());
+        let mut later = ReplicatedState::new(terms, BTreeMap::new());
         later.more.insert(String::from("omens"), ciborium::Value::from(vec![1, 2, 3]));
-        let read = State::of(&later.bytes()).unwrap();
+        let read = ReplicatedState::of(&later.bytes()).unwrap();
         assert_eq!(read.more, later.more);
         assert_eq!(read.bytes(), later.bytes());
         later.must.insert(String::from("omens"));
-        assert!(State::of(&later.bytes()).is_none());
+        assert!(ReplicatedState::of(&later.bytes()).is_none());
     }
 }
--- a/crates/dunepond-consensus/src/stricter.rs
+++ b/crates/dunepond-consensus/src/stricter.rs
@@ -1,6 +1,6 @@
 //! The stricter of two sets of rules, key by key, by one table.
 
-use crate::Rules;
+use crate::RoutingRules;
 
 /// Which of two values holds while both versions may be acted on.
 enum Stricter {
@@ -10,7 +10,7 @@
 }
 use Stricter::{Greater, OnlyIfBoth, Smaller};
 
-/// One line a key; [`of`] reads it. A new key of [`Rules`] does not build until it stands here.
+/// One line a key; [`of`] reads it. A new key of [`RoutingRules`] does not build until it stands here.
 const LEAST: Stricter = Greater;
 const WHOLE_AT: Stricter = Greater;
 const BUDGET_SHARE: Stricter = Smaller;
@@ -33,7 +33,7 @@
 
 /// Key by key; symmetric, and each with itself is itself. Lists of unequal length: the longer, as what one version
 /// does not limit the other does.
-pub fn stricter(a: &Rules, b: &Rules) -> Rules {
+pub fn strictest_rules(a: &RoutingRules, b: &RoutingRules) -> RoutingRules {
     let lists = |by: Stricter, a: &[f64], b: &[f64]| {
         let at = |i: usize| match (a.get(i), b.get(i)) {
             (Some(a), Some(b)) => of(&by, *a, *b),
@@ -42,28 +42,28 @@
         (0..a.len().max(b.len())).map(at).collect()
     };
     // By name and without `..`, so that no key is forgotten.
-    let Rules {
-        least,
-        whole_at,
-        budget_share,
-        budget_free,
-        drain_grace,
-        cold_multiple,
-        dispatch_cap,
-        second_copies,
-        repeats,
-        longest_wait,
+    let RoutingRules {
+        minimum_shares: least,
+        complete_at: whole_at,
+        retry_budget_ratio: budget_share,
+        retry_budget_min: budget_free,
+        drain_grace_seconds: drain_grace,
+        slow_start_multiple: cold_multiple,
+        max_attempts: dispatch_cap,
+        hedging_enabled: second_copies,
+        keyed_retries_enabled: repeats,
+        max_retry_after_seconds: longest_wait,
     } = a;
-    Rules {
-        least: lists(LEAST, least, &b.least),
-        whole_at: lists(WHOLE_AT, whole_at, &b.whole_at),
-        budget_share: of(&BUDGET_SHARE, *budget_share, b.budget_share),
-        budget_free: of(&BUDGET_FREE, *budget_free, b.budget_free),
-        drain_grace: of(&DRAIN_GRACE, *drain_grace, b.drain_grace),
-        cold_multiple: of(&COLD_MULTIPLE, *cold_multiple, b.cold_multiple),
-        dispatch_cap: of(&DISPATCH_CAP, *dispatch_cap, b.dispatch_cap),
-        second_copies: of(&SECOND_COPIES, *second_copies, b.second_copies),
-        repeats: of(&REPEATS, *repeats, b.repeats),
-        longest_wait: of(&LONGEST_WAIT, *longest_wait, b.longest_wait),
+    RoutingRules {
+        minimum_shares: lists(LEAST, least, &b.minimum_shares),
+        complete_at: lists(WHOLE_AT, whole_at, &b.complete_at),
+        retry_budget_ratio: of(&BUDGET_SHARE, *budget_share, b.retry_budget_ratio),
+        retry_budget_min: of(&BUDGET_FREE, *budget_free, b.retry_budget_min),
+        drain_grace_seconds: of(&DRAIN_GRACE, *drain_grace, b.drain_grace_seconds),
+        slow_start_multiple: of(&COLD_MULTIPLE, *cold_multiple, b.slow_start_multiple),
+        max_attempts: of(&DISPATCH_CAP, *dispatch_cap, b.max_attempts),
+        hedging_enabled: of(&SECOND_COPIES, *second_copies, b.hedging_enabled),
+        keyed_retries_enabled: of(&REPEATS, *repeats, b.keyed_retries_enabled),
+        max_retry_after_seconds: of(&LONGEST_WAIT, *longest_wait, b.max_retry_after_seconds),
     }
 }
--- a/crates/dunepond-consensus/src/voter.rs
+++ b/crates/dunepond-consensus/src/voter.rs
@@ -26,10 +26,11 @@
 use crate::messages::Folder;
 use crate::state::Item;
 use crate::{
-    AgreeError, Ask, Entry, Named, Orders, Refusal, Save, Saved, Seat, State, Step, Terms, Told, Version,
+    Command, ConfigVersion, ConsensusConfig, ConsensusError, Effects, LeaseReply, LeaseRequest, Rejection,
+    ReplicatedState, RolloutStep, StoredVoter, VoterInfo, VoterSlot, WriteBatch,
 };
 use asks::Asks;
-pub use back::{Recovery, RecoveryError, WORD};
+pub use back::{RecoveryError, RecoveryOrder, WORD};
 use chores::Watch;
 use seats::Met;
 
@@ -52,7 +53,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct Parcel {
     from: String,
-    seat: Seat,
+    seat: VoterSlot,
     /// The fleet whose state the sender holds, if any, and its epoch.
     fleet: u64,
     epoch: u64,
@@ -72,32 +73,32 @@
     /// So am I, and this is what I last saw of your folder, if it is later; and which one is agreed on at `index`.
     Heard {
         blank: bool,
-        seen: Option<Seat>,
-        agreed: Option<Seat>,
+        seen: Option<VoterSlot>,
+        agreed: Option<VoterSlot>,
         /// The addressee votes, or shall.
         wanted: bool,
         /// Who votes.
-        voters: Vec<Named>,
+        voters: Vec<VoterInfo>,
         index: u64,
         /// Keys of versions that its program goes by.
         knows: Vec<String>,
     },
     Raft(Blob),
-    Ask(Ask),
+    Ask(LeaseRequest),
     Told {
         broker: String,
-        told: Told,
+        told: LeaseReply,
     },
 }
 
 pub struct Voter {
-    terms: Terms,
+    terms: ConsensusConfig,
     folder: Folder,
     chance: Pcg64Mcg,
     raw: RawNode<Ledger>,
-    state: State,
+    state: ReplicatedState,
     /// It has a state: it founded the fleet or got a snapshot.
-    seated: bool,
+    has_state: bool,
     /// A majority has said that this folder is not an old one.
     cleared: bool,
     heard: Vec<String>,
@@ -110,7 +111,7 @@
     /// Place before the entries that it last did not vote for.
     withheld: u64,
     /// Who votes in its place, as others said.
-    successors: Vec<Named>,
+    successors: Vec<VoterInfo>,
     /// Voters that are none by what is known here: they hear of this one with the next greeting.
     strangers: BTreeSet<String>,
     met: BTreeMap<String, Met>,
@@ -124,21 +125,26 @@
     hello_at: f64,
     /// Snapshots under way: to whom, since when.
     snapshots: BTreeMap<u64, f64>,
-    orders: Orders,
+    orders: Effects,
 }
 
 impl Voter {
     /// With what its folder holds; nothing: an empty folder. `now`, own steady clock; `seed`, another one at each start
     /// and broker.
-    pub fn open(terms: Terms, saved: Saved, now: f64, seed: u64) -> Result<Self, AgreeError> {
+    pub fn open(
+        terms: ConsensusConfig,
+        saved: StoredVoter,
+        now: f64,
+        seed: u64,
+    ) -> Result<Self, ConsensusError> {
         terms.check()?;
         if !terms.voters.contains(&terms.name) {
-            return Err(AgreeError::NoVoter(terms.name.clone()));
+            return Err(ConsensusError::NotAVoter(terms.name.clone()));
         }
         if let Some(folder) = &saved.folder
             && folder.name != terms.name
         {
-            return Err(AgreeError::OthersFolder { is: folder.name.clone(), name: terms.name.clone() });
+            return Err(ConsensusError::ForeignFolder { is: folder.name.clone(), name: terms.name.clone() });
         }
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let mut folder = saved.folder.clone().unwrap_or_else(|| fresh(&terms.name, &mut chance));
@@ -147,8 +153,10 @@
         let (index, data) = ledger.start();
         let seated = index > 0;
         let state = match seated {
-            true => State::of(data).ok_or(AgreeError::Record("the state of a snapshot"))?,
-            false => State::new(terms.clone(), BTreeMap::new()),
+            true => {
+                ReplicatedState::of(data).ok_or(ConsensusError::CorruptRecord("the state of a snapshot"))?
+            }
+            false => ReplicatedState::new(terms.clone(), BTreeMap::new()),
         };
         let raw = node(folder.id, index, ledger);
         let mut voter = Self {
@@ -156,7 +164,7 @@
             folder,
             raw,
             state,
-            seated,
+            has_state: seated,
             heard: Vec::new(),
             mute: false,
             dismissed: false,
@@ -172,22 +180,22 @@
             owed: 0.0,
             hello_at: now,
             snapshots: BTreeMap::new(),
-            orders: Orders::default(),
+            orders: Effects::default(),
             chance,
             terms,
         };
-        voter.orders.save.folder = Some(voter.folder.clone());
+        voter.orders.write_batch.folder = Some(voter.folder.clone());
         // What is open by the snapshot is seen now.
         voter.watch.again(now, &voter.state);
         Ok(voter)
     }
 
     /// To be called some forty times a lease. The first orders hold what marks the start in the folder.
-    pub fn tick(&mut self, now: f64) -> Orders {
+    pub fn tick(&mut self, now: f64) -> Effects {
         self.clock(now);
         self.greet(now);
         if self.cleared {
-            let length = self.terms.lease / TICKS;
+            let length = self.terms.lease_seconds / TICKS;
             let ticks = (self.owed / length).floor();
             self.owed -= ticks * length;
             for _ in 0..(ticks as usize).min(MADE_UP) {
@@ -205,15 +213,17 @@
     /// Time that went by is owed to the library; a clock that goes back ends what this voter knows of waits.
     fn clock(&mut self, now: f64) {
         if now < self.last {
-            self.orders.log.push(format!("the steady clock went back from {} to {now}", self.last));
+            self.orders.log_lines.push(format!("the steady clock went back from {} to {now}", self.last));
             self.watch.again(now, &self.state);
             self.asks.drop_all(&mut self.orders);
         }
         // A clock that jumps forward looks like a stand-still: neither is time that the others are known to have had.
         let still = now - self.last;
-        if still > ELECTION as f64 * self.terms.lease / TICKS && self.raw.raft.state == StateRole::Leader {
+        if still > ELECTION as f64 * self.terms.lease_seconds / TICKS
+            && self.raw.raft.state == StateRole::Leader
+        {
             self.orders
-                .log
+                .log_lines
                 .push(format!("stood still for {still:.2} s, or the clock jumped: waits begin anew"));
             self.watch.again(now, &self.state);
             self.quiet_since = None;
@@ -222,28 +232,28 @@
         self.last = now;
     }
 
-    /// What another voter's [`Orders::send`] held for this one. `from` is who the link says it is.
-    pub fn received(&mut self, now: f64, from: &str, bytes: &[u8]) -> Result<Orders, AgreeError> {
+    /// What another voter's [`Effects::messages`] held for this one. `from` is who the link says it is.
+    pub fn receive(&mut self, now: f64, from: &str, bytes: &[u8]) -> Result<Effects, ConsensusError> {
         self.clock(now);
-        let garbled = || AgreeError::Garbled(from.to_string());
+        let garbled = || ConsensusError::MalformedMessage(from.to_string());
         let (&version, rest) = bytes.split_first().ok_or_else(garbled)?;
         if version != FORMAT {
-            return Err(AgreeError::Newer { from: from.to_string(), version, ours: FORMAT });
+            return Err(ConsensusError::NewerProtocol { from: from.to_string(), version, ours: FORMAT });
         }
         let parcel: Parcel = docs::read(rest).ok_or_else(garbled)?;
         if parcel.from != from {
-            return Err(AgreeError::OthersName { from: from.to_string(), says: parcel.from });
+            return Err(ConsensusError::SenderMismatch { from: from.to_string(), says: parcel.from });
         }
         self.fenced(&parcel)?;
         if !self.hears(&parcel) {
             // One that was a voter, from an old folder perhaps, has to hear of it; or it may be this one that was.
-            if self.seated && from != self.terms.name && matches!(parcel.body, Body::Hello { .. }) {
+            if self.has_state && from != self.terms.name && matches!(parcel.body, Body::Hello { .. }) {
                 self.tell_seats(&parcel, None);
                 if self.strangers.len() < STRANGERS {
                     self.strangers.insert(from.to_string());
                 }
             }
-            return Err(AgreeError::NoVoter(from.to_string()));
+            return Err(ConsensusError::NotAVoter(from.to_string()));
         }
         if self.meets(&parcel) {
             match parcel.body {
@@ -253,15 +263,15 @@
                     self.step(&parcel.seat, message);
                 }
                 Body::Ask(ask) => self.ask(now, ask, Some(from.to_string())),
-                Body::Told { broker, told } => self.orders.told.push((broker, told)),
+                Body::Told { broker, told } => self.orders.replies.push((broker, told)),
             }
         }
         self.settle(now);
         Ok(self.hand_over())
     }
 
-    fn step(&mut self, seat: &Seat, message: Message) {
-        if !self.cleared || message.from != seat.folder || message.to != self.folder.id {
+    fn step(&mut self, seat: &VoterSlot, message: Message) {
+        if !self.cleared || message.from != seat.folder_id || message.to != self.folder.id {
             return;
         }
         // The leader counts on entries of which this folder knows nothing: it is an old one, whatever was heard.
@@ -272,7 +282,7 @@
         }
         // Before it takes the place of what is in the folder.
         let snapshot = message.get_msg_type() == MessageType::MsgSnapshot;
-        if snapshot && State::of(message.get_snapshot().get_data()).is_none() {
+        if snapshot && ReplicatedState::of(message.get_snapshot().get_data()).is_none() {
             self.mutes("the leader's snapshot does not prove here");
             return;
         }
@@ -282,7 +292,7 @@
         {
             if self.withheld != message.index {
                 self.withheld = message.index;
-                self.orders.log.push(format!("does not vote: {why} ({})", why.help()));
+                self.orders.log_lines.push(format!("does not vote: {why} ({})", why.help()));
             }
             return;
         }
@@ -295,60 +305,60 @@
         let _ = self.raw.step(message);
     }
 
-    fn unreadable(&self, message: &Message) -> Option<Refusal> {
+    fn unreadable(&self, message: &Message) -> Option<Rejection> {
         message.get_entries().iter().find_map(|entry| {
             let bytes: &[u8] = if entry.context.is_empty() { &entry.data } else { &entry.context };
             let conf = entry.context.is_empty() && entry.get_entry_type() != EntryType::EntryNormal;
-            if conf || bytes.is_empty() { None } else { State::item(bytes, &self.knows).err() }
+            if conf || bytes.is_empty() { None } else { ReplicatedState::item(bytes, &self.knows).err() }
         })
     }
 
     /// A later program, for tests: it goes by these keys, too.
     #[doc(hidden)]
-    pub fn understands(&mut self, keys: &[&str]) {
+    pub fn add_known_keys(&mut self, keys: &[&str]) {
         self.knows.extend(keys.iter().map(|key| String::from(*key)));
     }
 
     /// All voters go by each key of the version that has to be known: else it would be agreed on without some of them.
-    fn understood(&self, version: &Version) -> Result<(), Refusal> {
+    fn understood(&self, version: &ConfigVersion) -> Result<(), Rejection> {
         docs::understood(version, &self.knows)?;
-        let others = self.state.voters.list.iter().filter(|voter| voter.name != self.terms.name);
+        let others = self.state.voters.voters.iter().filter(|voter| voter.name != self.terms.name);
         for voter in others {
             let knows = self.met.get(&voter.name).map_or(&[][..], |met| &met.knows);
-            if let Err(Refusal::NotUnderstood { number, key }) = docs::understood(version, knows) {
-                return Err(Refusal::NotUnderstoodAt { number, key, voter: voter.name.clone() });
+            if let Err(Rejection::UnknownKey { number, key }) = docs::understood(version, knows) {
+                return Err(Rejection::UnknownKeyAtVoter { number, key, voter: voter.name.clone() });
             }
         }
         Ok(())
     }
 
-    /// Offers an entry. `Ok` means that it stands in the leader's log; what became of it comes in [`Orders::outcomes`].
-    pub fn propose(&mut self, now: f64, entry: Entry) -> Result<Orders, Refusal> {
+    /// Offers an entry. `Ok` means that it stands in the leader's log; what became of it comes in [`Effects::outcomes`].
+    pub fn propose(&mut self, now: f64, entry: Command) -> Result<Effects, Rejection> {
         self.clock(now);
-        if !self.leads() {
-            return Err(Refusal::NotLeader(self.leader().filter(|name| *name != self.terms.name)));
+        if !self.is_leader() {
+            return Err(Rejection::NotLeader(self.leader().filter(|name| *name != self.terms.name)));
         }
-        if self.state.quiet {
-            return Err(Refusal::Quiet);
+        if self.state.leases_suspended {
+            return Err(Rejection::LeasesSuspended);
         }
-        if let Entry::Confirm { number } = &entry
-            && !self.state.open.as_ref().is_some_and(|open| matches!(open.step, Step::Staged(_)))
+        if let Command::Activate { number } = &entry
+            && !self.state.open.as_ref().is_some_and(|open| matches!(open.step, RolloutStep::Staged(_)))
         {
-            return Err(Refusal::LeaderOnly(*number));
+            return Err(Rejection::LeaderOnly(*number));
         }
-        if let Entry::Limit(dunepond_quota::Agreed::Settled { broker, .. }) = &entry {
-            return Err(Refusal::Limit(dunepond_quota::LimitError::LeaderOnly(broker.clone())));
+        if let Command::Quota(dunepond_quota::QuotaEntry::Release { broker, .. }) = &entry {
+            return Err(Rejection::Quota(dunepond_quota::QuotaError::LeaderOnly(broker.clone())));
         }
         let opens = match &entry {
-            Entry::Propose(version) => Some(version.number),
+            Command::Propose(version) => Some(version.number),
             _ => None,
         };
         if opens.is_some()
             && let Some(open) = self.watch.opening(self.state.index)
         {
-            return Err(Refusal::Open { open });
+            return Err(Rejection::ChangeOpen { open });
         }
-        if let Entry::Propose(version) = &entry {
+        if let Command::Propose(version) = &entry {
             self.understood(version)?;
         }
         let item = Item::Entry(entry);
@@ -363,26 +373,26 @@
 
     /// As [`Self::propose`], without any check: a faulty proposer, for tests.
     #[doc(hidden)]
-    pub fn propose_unchecked(&mut self, now: f64, entry: Entry) -> Result<Orders, Refusal> {
+    pub fn propose_unchecked(&mut self, now: f64, entry: Command) -> Result<Effects, Rejection> {
         self.clock(now);
-        if !self.leads() {
-            return Err(Refusal::NotLeader(self.leader()));
+        if !self.is_leader() {
+            return Err(Rejection::NotLeader(self.leader()));
         }
         self.write(&Item::Entry(entry))?;
         self.settle(now);
         Ok(self.hand_over())
     }
 
-    fn write(&mut self, item: &Item) -> Result<(), Refusal> {
+    fn write(&mut self, item: &Item) -> Result<(), Rejection> {
         let bytes = docs::write(item);
-        self.raw.propose(Vec::new(), bytes).map_err(|_| Refusal::Busy)
+        self.raw.propose(Vec::new(), bytes).map_err(|_| Rejection::Busy)
     }
 
     /// A broker's question; the answer comes in the orders, now or later, or from another voter by way of this one.
-    pub fn asked(&mut self, now: f64, from: &str, ask: Ask) -> Orders {
+    pub fn handle_lease_request(&mut self, now: f64, from: &str, ask: LeaseRequest) -> Effects {
         self.clock(now);
         // Who is asked for is who asks: an answer goes to nobody else.
-        if ask.broker == from && !ask.passed {
+        if ask.broker == from && !ask.forwarded {
             self.ask(now, ask, None);
         }
         self.settle(now);
@@ -390,17 +400,17 @@
     }
 
     /// What is agreed, as far as this voter has heard.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
     /// Brokers that have had a lease of this voter, and whether they said that their nodes are pressed.
-    pub fn pressed(&self) -> impl Iterator<Item = (&str, bool)> {
+    pub fn broker_overloads(&self) -> impl Iterator<Item = (&str, bool)> {
         self.asks.granted.iter().map(|((broker, _), granted)| (broker.as_str(), granted.pressed))
     }
 
     /// Leads, and has seen all that was agreed before.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.cleared
             && !self.is_out()
             && self.raw.raft.state == StateRole::Leader
@@ -414,13 +424,13 @@
     }
 
     /// Its folder holds a state: it founded the fleet or was brought up by others.
-    pub fn seated(&self) -> bool {
-        self.seated
+    pub fn has_state(&self) -> bool {
+        self.has_state
     }
 
-    /// All of the folder in one record, for a journal that starts anew, see [`Save::starts_anew`].
-    pub fn whole(&self) -> Save {
-        Save { folder: Some(self.folder.clone()), ..self.raw.store().whole() }
+    /// All of the folder in one record, for a journal that starts anew, see [`WriteBatch::is_checkpoint`].
+    pub fn checkpoint(&self) -> WriteBatch {
+        WriteBatch { folder: Some(self.folder.clone()), ..self.raw.store().whole() }
     }
 }
 
--- a/crates/dunepond-consensus/src/voter/asks.rs
+++ b/crates/dunepond-consensus/src/voter/asks.rs
@@ -7,7 +7,7 @@
 use raft::ReadState;
 
 use super::{Body, Voter};
-use crate::{Answer, Ask, Now, Orders, Told};
+use crate::{Effects, LeaseAnswer, LeaseGrant, LeaseReply, LeaseRequest};
 
 /// Questions that wait at once; more are answered that there is no leader.
 const MOST: usize = 4096;
@@ -23,11 +23,11 @@
     /// By asker and run: what it was allowed last.
     pub granted: BTreeMap<(String, u64), Granted>,
     /// What brokers last said of bounds that the fleet shares, and when.
-    pub reports: BTreeMap<String, (dunepond_quota::Report, f64)>,
+    pub reports: BTreeMap<String, (dunepond_quota::DemandReport, f64)>,
 }
 
 struct Waiting {
-    ask: Ask,
+    ask: LeaseRequest,
     /// The voter that passed it on.
     via: Option<String>,
     came: f64,
@@ -45,36 +45,36 @@
 }
 
 impl Asks {
-    pub(super) fn drop_all(&mut self, orders: &mut Orders) {
+    pub(super) fn drop_all(&mut self, orders: &mut Effects) {
         let all: Vec<Waiting> = self.waiting.drain(..).chain(self.confirming.drain(..)).collect();
         self.confirmed = None;
         for one in all.into_iter().filter(|one| one.via.is_none()) {
-            orders.told.push((one.ask.broker.clone(), told(&one.ask, Answer::NoLeader)));
+            orders.replies.push((one.ask.broker.clone(), told(&one.ask, LeaseAnswer::NoLeader)));
         }
         self.granted.clear();
         self.reports.clear();
     }
 }
 
-fn told(ask: &Ask, answer: Answer) -> Told {
-    Told { id: ask.id, incarnation: ask.incarnation, sent: ask.sent, answer }
+fn told(ask: &LeaseRequest, answer: LeaseAnswer) -> LeaseReply {
+    LeaseReply { id: ask.id, incarnation: ask.incarnation, sent_at: ask.sent_at, answer }
 }
 
 impl Voter {
-    pub(super) fn ask(&mut self, now: f64, mut ask: Ask, via: Option<String>) {
+    pub(super) fn ask(&mut self, now: f64, mut ask: LeaseRequest, via: Option<String>) {
         if self.is_out() {
             let others = match self.successors.is_empty() {
-                true => self.state.voters.list.clone(),
+                true => self.state.voters.voters.clone(),
                 false => self.successors.clone(),
             };
-            return self.reply(via, &ask, Answer::NoVoter(others));
+            return self.reply(via, &ask, LeaseAnswer::NotAVoter(others));
         }
-        if self.state.quiet && self.raw.raft.state == raft::StateRole::Leader {
-            return self.reply(via, &ask, Answer::NoLeader);
+        if self.state.leases_suspended && self.raw.raft.state == raft::StateRole::Leader {
+            return self.reply(via, &ask, LeaseAnswer::NoLeader);
         }
         let leads = self.cleared && self.raw.raft.state == raft::StateRole::Leader;
         if leads && self.asks.waiting.len() < MOST {
-            ask.passed = via.is_some();
+            ask.forwarded = via.is_some();
             self.asks.waiting.push(Waiting { ask, via, came: now });
             return;
         }
@@ -82,17 +82,17 @@
         match leader {
             Some(leader) if self.cleared && via.is_none() => {
                 let to = self.raw.raft.leader_id;
-                ask.passed = true;
+                ask.forwarded = true;
                 self.parcel(&leader, to, Body::Ask(ask));
             }
-            _ => self.reply(via, &ask, Answer::NoLeader),
+            _ => self.reply(via, &ask, LeaseAnswer::NoLeader),
         }
     }
 
-    fn reply(&mut self, via: Option<String>, ask: &Ask, answer: Answer) {
+    fn reply(&mut self, via: Option<String>, ask: &LeaseRequest, answer: LeaseAnswer) {
         let told = told(ask, answer);
         match via {
-            None => self.orders.told.push((ask.broker.clone(), told)),
+            None => self.orders.replies.push((ask.broker.clone(), told)),
             Some(voter) => self.parcel(&voter, 0, Body::Told { broker: ask.broker.clone(), told }),
         }
     }
@@ -106,7 +106,7 @@
             self.asks.granted.clear();
             self.asks.reports.clear();
             for one in all {
-                self.reply(one.via, &one.ask, Answer::NoLeader);
+                self.reply(one.via, &one.ask, LeaseAnswer::NoLeader);
             }
             return;
         }
@@ -122,13 +122,13 @@
             }
         }
         // A confirmation that takes longer than a lease grants nothing any more.
-        if !self.asks.confirming.is_empty() && now - self.asks.since > self.terms.lease {
+        if !self.asks.confirming.is_empty() && now - self.asks.since > self.terms.lease_seconds {
             self.asks.confirmed = None;
             for one in std::mem::take(&mut self.asks.confirming) {
-                self.reply(one.via, &one.ask, Answer::NoLeader);
+                self.reply(one.via, &one.ask, LeaseAnswer::NoLeader);
             }
         }
-        if self.asks.confirming.is_empty() && !self.asks.waiting.is_empty() && self.leads() {
+        if self.asks.confirming.is_empty() && !self.asks.waiting.is_empty() && self.is_leader() {
             self.asks.confirming = std::mem::take(&mut self.asks.waiting);
             self.asks.mark += 1;
             self.asks.since = now;
@@ -138,28 +138,30 @@
     }
 
     fn grant(&mut self, now: f64, one: Waiting) {
-        let mut granted = Now::of(&self.state, &one.ask);
-        (granted.leader, granted.run, granted.heard) = (self.terms.name.clone(), self.folder.run, one.came);
+        let mut granted = LeaseGrant::of(&self.state, &one.ask);
+        (granted.leader, granted.leader_run, granted.received_at) =
+            (self.terms.name.clone(), self.folder.run, one.came);
         let open = self.state.open.as_ref().map(|open| open.version.number);
         let key = (one.ask.broker.clone(), one.ask.incarnation);
-        let over = one.came + self.terms.at_most(granted.lease.max(self.state.longest_lease));
+        let over =
+            one.came + self.terms.with_drift(granted.lease_seconds.max(self.state.longest_lease_seconds));
         let entry = Granted { over, joint: None, shrunk: (0, now), pressed: false };
         let entry = self.asks.granted.entry(key).or_insert(entry);
-        entry.pressed = one.ask.pressed;
+        entry.pressed = one.ask.overloaded;
         entry.over = entry.over.max(over);
-        match one.ask.joint.filter(|joint| Some(*joint) == open) {
+        match one.ask.joint_version.filter(|joint| Some(*joint) == open) {
             Some(joint) if entry.joint.is_none_or(|(number, _)| number != joint) => {
                 entry.joint = Some((joint, now))
             }
             Some(_) => {}
             None => entry.joint = None,
         }
-        if let Some(report) = &one.ask.limits {
-            if report.shrunk > entry.shrunk.0 {
-                entry.shrunk = (report.shrunk, now);
+        if let Some(report) = &one.ask.demand {
+            if report.shrunk_generation > entry.shrunk.0 {
+                entry.shrunk = (report.shrunk_generation, now);
             }
             self.asks.reports.insert(one.ask.broker.clone(), (report.clone(), now));
         }
-        self.reply(one.via, &one.ask, Answer::Granted(Box::new(granted)));
+        self.reply(one.via, &one.ask, LeaseAnswer::Granted(Box::new(granted)));
     }
 }
--- a/crates/dunepond-consensus/src/voter/chores.rs
+++ b/crates/dunepond-consensus/src/voter/chores.rs
@@ -2,7 +2,7 @@
 
 use super::Voter;
 use crate::state::Item;
-use crate::{Change, Entry, Refusal, State, Step, Terms};
+use crate::{Command, ConsensusConfig, Rejection, ReplicatedState, RolloutStep, StateChange};
 
 /// Elections after which a chore that did not come to be agreed on is tried again.
 const PATIENCE: f64 = 1.0;
@@ -34,20 +34,22 @@
     }
 
     /// Nothing that was seen before counts any more; what is open is seen now.
-    pub fn again(&mut self, now: f64, state: &State) {
+    pub fn again(&mut self, now: f64, state: &ReplicatedState) {
         *self = Self { led: self.led.map(|(term, _)| (term, now)), opening: self.opening, ..Self::new(now) };
         if let Some(open) = &state.open {
             self.open = Some((open.version.number, now));
-            self.returning = (open.step == Step::Returning).then_some(now);
+            self.returning = (open.step == RolloutStep::RollingBack).then_some(now);
         }
-        self.saw_limits(now, &state.limits);
+        self.saw_limits(now, &state.quota);
     }
 
-    pub fn saw(&mut self, now: f64, change: &Change) {
+    pub fn saw(&mut self, now: f64, change: &StateChange) {
         match change {
-            Change::Proposed(number) => (self.open, self.returning) = (Some((*number, now)), None),
-            Change::Returning(_) => self.returning = Some(now),
-            Change::InForce(_) | Change::Withdrawn(_) => (self.open, self.returning) = (None, None),
+            StateChange::Proposed(number) => (self.open, self.returning) = (Some((*number, now)), None),
+            StateChange::RollingBack(_) => self.returning = Some(now),
+            StateChange::Activated(_) | StateChange::Withdrawn(_) => {
+                (self.open, self.returning) = (None, None)
+            }
             _ => {}
         }
     }
@@ -78,15 +80,16 @@
     /// The moment on this voter's clock from which nobody acts on the old version alone, nor has a query under way
     /// that did.
     fn nobody_alone_from(&self, seen: f64, number: u64) -> f64 {
-        let late = seen + self.state.wait(&self.terms);
-        let queries = self.state.terms.waited(0.0).max(self.terms.waited(0.0));
+        let late = seen + self.state.quiescence_seconds(&self.terms);
+        let queries =
+            self.state.config.quiescence_seconds_for(0.0).max(self.terms.quiescence_seconds_for(0.0));
         // Earlier, if every lease that may run is this leader's own, and each asker has said that it is joint.
-        let lease = self.state.longest_lease.max(self.terms.lease);
-        let drift = |terms: &Terms| terms.at_most(lease);
+        let lease = self.state.longest_lease_seconds.max(self.terms.lease_seconds);
+        let drift = |terms: &ConsensusConfig| terms.with_drift(lease);
         let others = self
             .watch
             .led
-            .is_none_or(|(_, led)| seen - led < drift(&self.terms).max(drift(&self.state.terms)));
+            .is_none_or(|(_, led)| seen - led < drift(&self.terms).max(drift(&self.state.config)));
         if others {
             return late;
         }
@@ -98,18 +101,19 @@
     }
 
     pub(super) fn chores(&mut self, now: f64) {
-        if !self.leads() {
+        if !self.is_leader() {
             self.quiet_since = None;
             return;
         }
-        if self.state.quiet {
+        if self.state.leases_suspended {
             self.quiet_since.get_or_insert(now);
         }
-        let queries = self.state.terms.waited(0.0).max(self.terms.waited(0.0));
+        let queries =
+            self.state.config.quiescence_seconds_for(0.0).max(self.terms.quiescence_seconds_for(0.0));
         // What a lease that is over allowed fills the windows of shared bounds for a while.
         let window = self.limits_window();
         self.asks.granted.retain(|_, granted| granted.over + queries + window > now);
-        let election = super::ELECTION as f64 * self.terms.lease / super::TICKS;
+        let election = super::ELECTION as f64 * self.terms.lease_seconds / super::TICKS;
         // What was tried is in the log and not applied yet.
         let under_way = self.raw.raft.raft_log.last_index() > self.state.index;
         if under_way && now - self.watch.tried < PATIENCE * election {
@@ -131,33 +135,37 @@
         if let Some(entry) = self.limit_to_settle(now) {
             return Some(entry);
         }
-        if self.state.quiet {
-            let over = self.quiet_since? + self.state.wait(&self.terms);
+        if self.state.leases_suspended {
+            let over = self.quiet_since? + self.state.quiescence_seconds(&self.terms);
             return (now >= over).then_some(Item::Calm { epoch: self.state.epoch });
         }
         let Some(open) = &self.state.open else {
             // Who votes is agreed on elsewhere.
-            let Terms { name, voters, .. } = self.state.terms.clone();
-            let own = Terms { name, voters, ..self.terms.clone() };
-            return (own != self.state.terms).then_some(Item::Terms(own));
+            let ConsensusConfig { name, voters, .. } = self.state.config.clone();
+            let own = ConsensusConfig { name, voters, ..self.terms.clone() };
+            return (own != self.state.config).then_some(Item::Terms(own));
         };
         let number = open.version.number;
         let (_, seen) = self.watch.open.filter(|(seen, _)| *seen == number)?;
-        if open.step == Step::Returning {
-            let over = self.watch.returning? + self.state.wait(&self.terms);
+        if open.step == RolloutStep::RollingBack {
+            let over = self.watch.returning? + self.state.quiescence_seconds(&self.terms);
             return (now >= over).then_some(Item::Returned { number });
         }
-        if open.step != Step::Joint {
+        if open.step != RolloutStep::Joint {
             return None;
         }
-        match self.state.check(&Item::Entry(Entry::Confirm { number })) {
-            Ok(()) if now >= self.nobody_alone_from(seen, number) => Some(match open.version.stage {
-                Some(_) => Item::Stage { number },
-                None => Item::Entry(Entry::Confirm { number }),
-            }),
-            Err(Refusal::Unfilled { left, .. }) if now - seen >= self.state.terms.fills_deadline => {
+        match self.state.check(&Item::Entry(Command::Activate { number })) {
+            Ok(()) if now >= self.nobody_alone_from(seen, number) => {
+                Some(match open.version.first_stage_ratio {
+                    Some(_) => Item::Stage { number },
+                    None => Item::Entry(Command::Activate { number }),
+                })
+            }
+            Err(Rejection::FillsMissing { left, .. })
+                if now - seen >= self.state.config.fill_deadline_seconds =>
+            {
                 let why = format!("{left} fills were not done in time");
-                Some(Item::Entry(Entry::Withdraw { number, why }))
+                Some(Item::Entry(Command::Withdraw { number, why }))
             }
             _ => None,
         }
--- a/crates/dunepond-consensus/src/voter/log.rs
+++ b/crates/dunepond-consensus/src/voter/log.rs
@@ -6,8 +6,8 @@
 
 use super::{Body, ELECTION, FORMAT, Parcel, TICKS, Voter};
 use crate::docs::{self, Blob};
-use crate::state::State;
-use crate::{Change, Orders, Outcome, Save};
+use crate::state::ReplicatedState;
+use crate::{Effects, EntryOutcome, StateChange, WriteBatch};
 
 /// Elections after which a snapshot that was sent and not taken is sent again.
 const SNAPSHOT_AGAIN: f64 = 4.0;
@@ -44,11 +44,11 @@
             self.raw.advance_apply();
             self.pin();
         }
-        if self.seated && !self.mute {
+        if self.has_state && !self.mute {
             let state = &self.state;
             self.raw.mut_store().compact(state.index, false, || state.bytes());
         }
-        self.watch.leads(now, self.leads().then_some(self.raw.raft.term));
+        self.watch.leads(now, self.is_leader().then_some(self.raw.raft.term));
         self.answer(now, reads);
     }
 
@@ -63,7 +63,9 @@
     /// others have; the folder stays as it is, for a build that can.
     pub(super) fn mutes(&mut self, why: &str) {
         (self.mute, self.cleared) = (true, false);
-        self.orders.log.push(format!("votes no more: {why}; start it with the build that the others have"));
+        self.orders
+            .log_lines
+            .push(format!("votes no more: {why}; start it with the build that the others have"));
         self.asks.drop_all(&mut self.orders);
     }
 
@@ -84,7 +86,7 @@
         // What is ignored changes no voters, either: all ignore it alike.
         let mut refused = false;
         if let Some(bytes) = bytes {
-            let item = match State::item(&bytes, &self.knows) {
+            let item = match ReplicatedState::item(&bytes, &self.knows) {
                 Ok(item) => item,
                 Err(why) => {
                     self.mutes(&format!("an entry that was agreed on: {why}"));
@@ -94,19 +96,22 @@
             let what = self.state.apply(index, item);
             match &what {
                 Ok(change) => {
-                    self.orders.changed = true;
+                    self.orders.state_changed = true;
                     self.watch.saw(now, change);
-                    if matches!(change, Change::Limit(_)) {
-                        self.watch.saw_limits(now, &self.state.limits);
+                    if matches!(change, StateChange::Quota(_)) {
+                        self.watch.saw_limits(now, &self.state.quota);
                     }
-                    if !matches!(change, Change::Debt(_) | Change::Seat(_) | Change::Limit(_)) {
-                        self.orders.log.push(format!("agreed at {index}: {change:?}"));
+                    if !matches!(
+                        change,
+                        StateChange::Settlement(_) | StateChange::VoterSlot(_) | StateChange::Quota(_)
+                    ) {
+                        self.orders.log_lines.push(format!("agreed at {index}: {change:?}"));
                     }
                 }
-                Err(why) => self.orders.log.push(format!("ignored at {index}: {why}; {}", why.help())),
+                Err(why) => self.orders.log_lines.push(format!("ignored at {index}: {why}; {}", why.help())),
             }
             refused = what.is_err();
-            self.orders.outcomes.push(Outcome { index, what });
+            self.orders.outcomes.push(EntryOutcome { index, result: what });
         }
         if let Some(change) = change.filter(|_| !refused)
             && let Ok(conf) = self.raw.apply_conf_change(&change)
@@ -116,7 +121,7 @@
             if self.is_out() && self.raw.raft.state == StateRole::Leader {
                 let term = self.raw.raft.term;
                 self.raw.raft.become_follower(term, 0);
-                self.orders.log.push(String::from("leads no more: it votes no more"));
+                self.orders.log_lines.push(String::from("leads no more: it votes no more"));
             }
         }
         self.state.index = index;
@@ -130,11 +135,11 @@
     /// A snapshot took the place of the state.
     fn restored(&mut self, now: f64) {
         let (index, data) = self.raw.store().start();
-        let state = State::of(data).expect("looked at before it was taken");
-        (self.state, self.seated) = (state, true);
+        let state = ReplicatedState::of(data).expect("looked at before it was taken");
+        (self.state, self.has_state) = (state, true);
         self.state.index = index;
-        self.orders.changed = true;
-        self.orders.log.push(format!("brought up to {index} by a snapshot"));
+        self.orders.state_changed = true;
+        self.orders.log_lines.push(format!("brought up to {index} by a snapshot"));
         self.watch.again(now, &self.state);
     }
 
@@ -152,7 +157,7 @@
 
     /// A snapshot that was lost would be waited for without end.
     pub(super) fn resend(&mut self, now: f64) {
-        let patience = SNAPSHOT_AGAIN * ELECTION as f64 * self.terms.lease / TICKS;
+        let patience = SNAPSHOT_AGAIN * ELECTION as f64 * self.terms.lease_seconds / TICKS;
         let late: Vec<u64> =
             self.snapshots.iter().filter(|(_, at)| now - **at > patience).map(|(id, _)| *id).collect();
         for id in late {
@@ -165,52 +170,53 @@
     }
 
     pub(super) fn parcel(&mut self, name: &str, to: u64, body: Body) {
-        let (fleet, epoch, seated) = (self.state.fleet, self.state.epoch, self.seated);
+        let (fleet, epoch, seated) = (self.state.fleet_id, self.state.epoch, self.has_state);
         let from = self.terms.name.clone();
         let parcel = Parcel { from, seat: self.seat(), fleet, epoch, seated, to, body };
         let bytes = [&[FORMAT], &docs::write(&parcel)[..]].concat();
-        self.orders.send.push((name.to_string(), bytes));
+        self.orders.messages.push((name.to_string(), bytes));
     }
 
-    pub(super) fn hand_over(&mut self) -> Orders {
+    pub(super) fn hand_over(&mut self) -> Effects {
         let save = self.raw.mut_store().save();
-        let folder = self.orders.save.folder.take();
+        let folder = self.orders.write_batch.folder.take();
         let mut orders = std::mem::take(&mut self.orders);
-        orders.save = Save { folder, ..save };
+        orders.write_batch = WriteBatch { folder, ..save };
         orders
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use crate::{Saved, Terms, Voter};
+    use crate::{ConsensusConfig, StoredVoter, Voter};
 
     #[test]
     fn an_entry_of_another_build_is_not_passed_over() {
-        let terms = Terms {
+        let terms = ConsensusConfig {
             name: String::from("n1"),
             voters: vec![String::from("n1")],
-            lease: 1.0,
-            drift: 0.01,
-            bound: 3.0,
-            longest_timeout: 1.0,
-            fills_deadline: 1.0,
-            most_changed: 1.0,
-            maps: false,
-            map: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
+            lease_seconds: 1.0,
+            drift_ratio: 0.01,
+            switch_bound_seconds: 3.0,
+            longest_query_seconds: 1.0,
+            fill_deadline_seconds: 1.0,
+            max_changed_ratio: 1.0,
+            maps_enabled: false,
+            map_requirements: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
         };
-        let mut voter = Voter::open(terms.clone(), Saved::new(), 0.0, 1).unwrap();
-        let mut saved = Saved::new();
-        let mut turn = |voter: &mut Voter, at: f64| saved.take(&voter.tick(at).save.bytes()).unwrap();
+        let mut voter = Voter::open(terms.clone(), StoredVoter::new(), 0.0, 1).unwrap();
+        let mut saved = StoredVoter::new();
+        let mut turn =
+            |voter: &mut Voter, at: f64| saved.apply_record(&voter.tick(at).write_batch.encode()).unwrap();
         (1..100).for_each(|n| turn(&mut voter, 0.02 * f64::from(n)));
-        assert!(voter.leads());
+        assert!(voter.is_leader());
         voter.raw.propose(Vec::new(), vec![255; 3]).unwrap();
         let before = voter.state().index;
         turn(&mut voter, 2.0);
-        assert!(!voter.leads() && voter.state().index == before, "it does not go on");
+        assert!(!voter.is_leader() && voter.state().index == before, "it does not go on");
         // Nor after a restart with the same build; the folder is whole.
         let mut again = Voter::open(terms, saved, 0.0, 2).unwrap();
-        assert!(again.tick(0.1).log.iter().any(|line| line.starts_with("votes no more")));
-        assert!(!again.leads() && again.seated());
+        assert!(again.tick(0.1).log_lines.iter().any(|line| line.starts_with("votes no more")));
+        assert!(!again.is_leader() && again.has_state());
     }
 }
--- a/crates/dunepond-consensus/src/voter/seats.rs
+++ b/crates/dunepond-consensus/src/voter/seats.rs
@@ -11,31 +11,32 @@
 
 use super::{Body, ELECTION, Parcel, TICKS, Voter, fresh, node};
 use crate::ledger::{Ledger, snapshot};
-use crate::state::{Item, State, Voted};
-use crate::{AgreeError, Named, Seat, docs};
+use crate::state::{Item, ReplicatedState, Voted};
+use crate::{ConsensusError, VoterInfo, VoterSlot, docs};
 
 /// What another voter last said of itself, and the highest start seen of each of its folders.
 #[derive(Default)]
 pub(super) struct Met {
-    now: Option<(Seat, bool)>,
+    now: Option<(VoterSlot, bool)>,
     /// It said so to this very folder.
     blank: bool,
     /// Keys of versions that its program goes by.
     pub knows: Vec<String>,
-    seen: BTreeMap<u64, Seat>,
+    seen: BTreeMap<u64, VoterSlot>,
 }
 
 /// Folders of one voter that are remembered.
 const FOLDERS: usize = 16;
 
 impl Voter {
-    pub(super) fn seat(&self) -> Seat {
-        Seat { folder: self.folder.id, starts: self.folder.starts, run: self.folder.run }
+    pub(super) fn seat(&self) -> VoterSlot {
+        VoterSlot { folder_id: self.folder.id, start_count: self.folder.starts, run_id: self.folder.run }
     }
 
     pub(super) fn name_of(&self, id: u64) -> Option<String> {
-        let met = self.met.iter().find(|(_, met)| met.now.is_some_and(|(seat, _)| seat.folder == id));
-        let agreed = || self.state.seats.iter().find(|(_, seat)| seat.folder == id).map(|(name, _)| name);
+        let met = self.met.iter().find(|(_, met)| met.now.is_some_and(|(seat, _)| seat.folder_id == id));
+        let agreed =
+            || self.state.voter_slots.iter().find(|(_, seat)| seat.folder_id == id).map(|(name, _)| name);
         let left = || self.state.voters.left.iter().find(|(_, folder)| *folder == id).map(|(name, _)| name);
         met.map(|(name, _)| name).or_else(agreed).or_else(left).cloned()
     }
@@ -45,10 +46,10 @@
         if now < self.hello_at {
             return;
         }
-        let election = ELECTION as f64 * self.terms.lease / TICKS;
-        let settled = self.cleared && self.seated;
+        let election = ELECTION as f64 * self.terms.lease_seconds / TICKS;
+        let settled = self.cleared && self.has_state;
         self.hello_at = now + election * if settled { 8.0 } else { 0.5 };
-        let blank = !self.seated;
+        let blank = !self.has_state;
         let others = self.partners();
         self.strangers.clear();
         for name in others {
@@ -63,7 +64,8 @@
 
     /// By what is agreed on, where it knows of that; else by the file.
     fn partners(&self) -> Vec<String> {
-        let mut all = if self.seated { self.state.voters.all() } else { self.terms.voters.clone() };
+        let mut all =
+            if self.has_state { self.state.voters.names_with_joining() } else { self.terms.voters.clone() };
         // The library may still count on it.
         let conf = self.raw.raft.prs();
         all.extend(
@@ -79,10 +81,10 @@
     /// Whether messages from there count. One that waits for its place hears whoever knows its folder.
     pub(super) fn hears(&self, parcel: &Parcel) -> bool {
         let (from, counts) = (&parcel.from, |id| self.raw.raft.prs().get(id).is_some());
-        let known = match (self.seated, &parcel.body) {
+        let known = match (self.has_state, &parcel.body) {
             // Whoever knows this very folder may tell how things stand.
             (_, Body::Heard { .. }) if parcel.to == self.folder.id => true,
-            (true, _) => self.state.voters.wants(from) || counts(parcel.seat.folder),
+            (true, _) => self.state.voters.contains_or_joining(from) || counts(parcel.seat.folder_id),
             (false, Body::Hello { blank: false, .. }) => true,
             (false, _) => parcel.to == self.folder.id || self.terms.voters.contains(from),
         };
@@ -90,13 +92,13 @@
     }
 
     /// What was brought back by an operator's word is one fleet with what was before, and goes before it.
-    pub(super) fn fenced(&mut self, parcel: &Parcel) -> Result<(), AgreeError> {
+    pub(super) fn fenced(&mut self, parcel: &Parcel) -> Result<(), ConsensusError> {
         let from = parcel.from.clone();
-        if !(self.seated && parcel.seated) || self.state.fleet == 0 || parcel.fleet == 0 {
+        if !(self.has_state && parcel.seated) || self.state.fleet_id == 0 || parcel.fleet == 0 {
             return Ok(());
         }
-        if parcel.fleet != self.state.fleet {
-            return Err(AgreeError::OtherFleet { from });
+        if parcel.fleet != self.state.fleet_id {
+            return Err(ConsensusError::OtherFleet { from });
         }
         if parcel.epoch > self.state.epoch {
             self.lose("the fleet was brought back without it, by an operator's word");
@@ -104,25 +106,25 @@
             if matches!(parcel.body, Body::Hello { .. }) {
                 self.tell_seats(parcel, None);
             }
-            return Err(AgreeError::OldEpoch { from, said: parcel.epoch, known: self.state.epoch });
+            return Err(ConsensusError::StaleEpoch { from, said: parcel.epoch, known: self.state.epoch });
         }
         Ok(())
     }
 
     /// Its folder counts no more, by what is agreed on.
     pub(super) fn is_out(&self) -> bool {
-        self.dismissed || (self.seated && self.raw.raft.prs().get(self.folder.id).is_none())
+        self.dismissed || (self.has_state && self.raw.raft.prs().get(self.folder.id).is_none())
     }
 
     /// How things stand, for one who says hello.
-    pub(super) fn tell_seats(&mut self, parcel: &Parcel, seen: Option<Seat>) {
-        let agreed = self.state.seats.get(&parcel.from).copied();
-        let (index, blank) = (self.state.index, !self.seated);
-        let wanted = self.seated && self.state.voters.wants(&parcel.from);
-        let voters = self.state.voters.list.clone();
+    pub(super) fn tell_seats(&mut self, parcel: &Parcel, seen: Option<VoterSlot>) {
+        let agreed = self.state.voter_slots.get(&parcel.from).copied();
+        let (index, blank) = (self.state.index, !self.has_state);
+        let wanted = self.has_state && self.state.voters.contains_or_joining(&parcel.from);
+        let voters = self.state.voters.voters.clone();
         let knows = self.knows.clone();
         let body = Body::Heard { blank, seen, agreed, wanted, voters, index, knows };
-        self.parcel(&parcel.from, parcel.seat.folder, body);
+        self.parcel(&parcel.from, parcel.seat.folder_id, body);
     }
 
     /// Whether a parcel is believed; what it says of its sender is remembered.
@@ -130,21 +132,25 @@
         if parcel.to != 0 && parcel.to != self.folder.id {
             return false;
         }
-        let agreed =
-            self.state.seats.get(&parcel.from).filter(|seat| seat.folder == parcel.seat.folder).copied();
+        let agreed = self
+            .state
+            .voter_slots
+            .get(&parcel.from)
+            .filter(|seat| seat.folder_id == parcel.seat.folder_id)
+            .copied();
         let met = self.met.entry(parcel.from.clone()).or_default();
-        let seen = met.seen.get(&parcel.seat.folder).copied().max_by_starts(agreed);
+        let seen = met.seen.get(&parcel.seat.folder_id).copied().max_by_starts(agreed);
         if seen.is_some_and(|seen| older(parcel.seat, seen)) {
             self.tell_seats(parcel, seen);
             return false;
         }
-        if met.seen.len() == FOLDERS && !met.seen.contains_key(&parcel.seat.folder) {
+        if met.seen.len() == FOLDERS && !met.seen.contains_key(&parcel.seat.folder_id) {
             met.seen.pop_first();
         }
-        met.seen.insert(parcel.seat.folder, parcel.seat);
+        met.seen.insert(parcel.seat.folder_id, parcel.seat);
         let blank = match &parcel.body {
             Body::Hello { blank, .. } | Body::Heard { blank, .. } => *blank,
-            _ => met.now.is_some_and(|(seat, blank)| blank && seat.folder == parcel.seat.folder),
+            _ => met.now.is_some_and(|(seat, blank)| blank && seat.folder_id == parcel.seat.folder_id),
         };
         met.now = Some((parcel.seat, blank));
         true
@@ -160,16 +166,16 @@
             }
             Body::Heard { blank, seen, agreed, wanted, voters, index, knows } => {
                 let mine = self.seat();
-                if seen.is_some_and(|seen| seen.folder == mine.folder && older(mine, seen)) {
+                if seen.is_some_and(|seen| seen.folder_id == mine.folder_id && older(mine, seen)) {
                     self.lose("another voter saw a later start of it");
                     return;
                 }
-                let replaced = agreed.is_some_and(|agreed| agreed.folder != mine.folder);
-                if self.seated && replaced && index > self.state.index {
+                let replaced = agreed.is_some_and(|agreed| agreed.folder_id != mine.folder_id);
+                if self.has_state && replaced && index > self.state.index {
                     self.lose("another folder has taken its place");
                     return;
                 }
-                if self.seated && agreed.is_none() && index > self.state.index {
+                if self.has_state && agreed.is_none() && index > self.state.index {
                     // Its promises stay in the folder as long as nobody wants it anew: a change of voters that is under
                     // way may need its word.
                     match wanted {
@@ -184,8 +190,8 @@
                 if !self.heard.contains(&parcel.from) {
                     self.heard.push(parcel.from);
                 }
-                let voters = match self.seated {
-                    true => self.state.voters.list.len(),
+                let voters = match self.has_state {
+                    true => self.state.voters.voters.len(),
                     false => self.terms.voters.len(),
                 };
                 if !self.cleared && !self.mute && !self.dismissed && self.heard.len() >= voters / 2 {
@@ -201,7 +207,7 @@
     /// The first voter of the file founds the fleet, once every other one has said to it that its folder is empty, too:
     /// so that none can have agreed on anything, and that only one fleet is founded.
     fn found(&mut self, now: f64) {
-        if self.seated || self.mute || self.terms.voters[0] != self.terms.name {
+        if self.has_state || self.mute || self.terms.voters[0] != self.terms.name {
             return;
         }
         let mut seats = BTreeMap::from([(self.terms.name.clone(), self.seat())]);
@@ -211,16 +217,16 @@
                 _ => return,
             };
         }
-        let ids: Vec<u64> = seats.values().map(|seat| seat.folder).collect();
-        let mut state = State::new(self.terms.clone(), seats);
-        (state.index, state.fleet, state.epoch) = (1, self.chance.random::<u64>().max(1), 1);
+        let ids: Vec<u64> = seats.values().map(|seat| seat.folder_id).collect();
+        let mut state = ReplicatedState::new(self.terms.clone(), seats);
+        (state.index, state.fleet_id, state.epoch) = (1, self.chance.random::<u64>().max(1), 1);
         let mut ledger = Ledger::default();
         // A term by chance: should a fleet be founded twice before it agreed on anything, their logs must not look alike.
         let term = self.chance.random_range(1..1 << 20);
         ledger.restore(snapshot(1, term, ConfState::from((ids, Vec::new())), state.bytes()));
         self.raw = node(self.folder.id, 1, ledger);
-        (self.state, self.seated, self.cleared) = (state, true, true);
-        self.orders.log.push(String::from("founded the fleet: every voter's folder was empty"));
+        (self.state, self.has_state, self.cleared) = (state, true, true);
+        self.orders.log_lines.push(String::from("founded the fleet: every voter's folder was empty"));
         self.watch.again(now, &self.state);
     }
 
@@ -229,31 +235,31 @@
         if self.mute {
             return;
         }
-        self.orders.log.push(format!(
+        self.orders.log_lines.push(format!(
             "the folder is not gone on from: {why}; begins anew and is brought up by the others"
         ));
         self.folder = fresh(&self.terms.name, &mut self.chance);
         (self.folder.starts, self.folder.run) = (1, self.chance.random());
         self.raw = node(self.folder.id, 0, Ledger::default());
-        self.state = State::new(self.terms.clone(), BTreeMap::new());
-        (self.seated, self.cleared, self.dismissed) = (false, true, false);
+        self.state = ReplicatedState::new(self.terms.clone(), BTreeMap::new());
+        (self.has_state, self.cleared, self.dismissed) = (false, true, false);
         self.heard.clear();
         self.snapshots.clear();
         self.asks.drop_all(&mut self.orders);
         self.met.values_mut().for_each(|met| met.blank = false);
         self.hello_at = self.last;
         // What the old folder would have said rests on nothing any more.
-        self.orders.send.clear();
-        self.orders.save.folder = Some(self.folder.clone());
-        self.orders.changed = true;
+        self.orders.messages.clear();
+        self.orders.write_batch.folder = Some(self.folder.clone());
+        self.orders.state_changed = true;
     }
 
     /// Others have agreed that it votes no more: it says nothing that could count.
-    fn dismiss(&mut self, voters: Vec<Named>) {
+    fn dismiss(&mut self, voters: Vec<VoterInfo>) {
         self.successors = voters;
         if !std::mem::replace(&mut self.dismissed, true) {
             self.cleared = false;
-            self.orders.log.push(String::from(
+            self.orders.log_lines.push(String::from(
                 "votes no more: the others have agreed on voters without it; take it out of the files",
             ));
             self.asks.drop_all(&mut self.orders);
@@ -264,10 +270,10 @@
     pub(super) fn seat_to_write(&self) -> Option<Item> {
         let mine = (&self.terms.name, self.seat(), false);
         let met = self.met.iter().filter_map(|(name, met)| met.now.map(|(seat, blank)| (name, seat, blank)));
-        let met = met.filter(|(name, ..)| self.state.voters.votes(name));
+        let met = met.filter(|(name, ..)| self.state.voters.contains(name));
         for (name, seat, blank) in std::iter::once(mine).chain(met) {
-            let changed = match self.state.seats.get(name) {
-                Some(agreed) if agreed.folder == seat.folder => seat.starts > agreed.starts,
+            let changed = match self.state.voter_slots.get(name) {
+                Some(agreed) if agreed.folder_id == seat.folder_id => seat.start_count > agreed.start_count,
                 // A folder that is none of the agreed ones, and holds something, will find out by itself.
                 _ => blank,
             };
@@ -288,9 +294,9 @@
             },
             None => None,
         };
-        let folder = |name: &String| self.state.seats.get(name).map(|seat| seat.folder);
+        let folder = |name: &String| self.state.voter_slots.get(name).map(|seat| seat.folder_id);
         let leaves = leaves.map(|name| (name.clone(), folder(&name)));
-        let number = self.state.voters.next.as_ref()?.number;
+        let number = self.state.voters.pending.as_ref()?.number;
         Some(Item::Voted(Voted { number, joins, leaves }))
     }
 
@@ -301,7 +307,7 @@
             let progress = self.raw.raft.prs().get(*id);
             *id != own && progress.is_some_and(|progress| progress.recent_active)
         };
-        let other = self.state.seats.values().map(|seat| seat.folder).find(fit);
+        let other = self.state.voter_slots.values().map(|seat| seat.folder_id).find(fit);
         if let Some(other) = other {
             self.raw.transfer_leader(other);
         }
@@ -317,7 +323,7 @@
         if voted.leaves.as_ref().is_some_and(|(name, _)| *name == self.terms.name) && self.hands_on() {
             return;
         }
-        let joins = voted.joins.as_ref().map(|(_, seat)| seat.folder);
+        let joins = voted.joins.as_ref().map(|(_, seat)| seat.folder_id);
         let leaves = voted.leaves.as_ref().and_then(|(_, folder)| *folder);
         self.write_change(joins, leaves, &Item::Voted(voted.clone()));
     }
@@ -325,13 +331,13 @@
     /// Writes it: a new start as an entry, another folder as a change of voters that takes the place of the old one.
     pub(super) fn write_seat(&mut self, item: &Item) {
         let Item::Seat { voter, seat } = item else { return };
-        let old = self.state.seats.get(voter).map(|seat| seat.folder);
-        if old == Some(seat.folder) {
+        let old = self.state.voter_slots.get(voter).map(|seat| seat.folder_id);
+        if old == Some(seat.folder_id) {
             let _ = self.write(item);
             return;
         }
         if self.raw.raft.state == StateRole::Leader {
-            self.write_change(Some(seat.folder), old, item);
+            self.write_change(Some(seat.folder_id), old, item);
         }
     }
 
@@ -358,18 +364,19 @@
 }
 
 /// `seat` is an earlier start of its folder than `seen`, or a copy that started beside it.
-fn older(seat: Seat, seen: Seat) -> bool {
-    seat.starts < seen.starts || (seat.starts == seen.starts && seat.run != seen.run)
+fn older(seat: VoterSlot, seen: VoterSlot) -> bool {
+    seat.start_count < seen.start_count
+        || (seat.start_count == seen.start_count && seat.run_id != seen.run_id)
 }
 
 trait Later {
-    fn max_by_starts(self, other: Option<Seat>) -> Option<Seat>;
+    fn max_by_starts(self, other: Option<VoterSlot>) -> Option<VoterSlot>;
 }
 
-impl Later for Option<Seat> {
-    fn max_by_starts(self, other: Option<Seat>) -> Option<Seat> {
+impl Later for Option<VoterSlot> {
+    fn max_by_starts(self, other: Option<VoterSlot>) -> Option<VoterSlot> {
         match (self, other) {
-            (Some(a), Some(b)) => Some(if a.starts >= b.starts { a } else { b }),
+            (Some(a), Some(b)) => Some(if a.start_count >= b.start_count { a } else { b }),
             (a, b) => a.or(b),
         }
     }
--- a/crates/dunepond-consensus/tests/golden/documents.rs
+++ b/crates/dunepond-consensus/tests/golden/documents.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use dunepond_consensus::*;
-use dunepond_quota::{Bounds, Report, Told as Parts};
+use dunepond_quota::{Allocation as Parts, DemandReport, SharedQuotas};
 use dunepond_settlement::{Agreed, Allot, Ledger, Settlement};
 use dunepond_simulation::fleet::{map, settlement, terms, version};
 
@@ -14,58 +14,62 @@
     String::from(text)
 }
 
-pub fn named(name: &str, at: Option<&str>) -> Named {
-    Named { name: text(name), at: at.map(text) }
+pub fn named(name: &str, at: Option<&str>) -> VoterInfo {
+    VoterInfo { name: text(name), address: at.map(text) }
 }
 
 /// With all that a version may have: a map, leaving nodes, a first stage, what it follows, keys of a later program.
-pub fn full_version(number: u64) -> Version {
-    let more = |key: &str, must| More { key: text(key), text: text("{\"a\": [1, 2.50]}"), must };
-    Version {
-        follows: Some(number - 1),
-        stage: Some(0.25),
-        standings: Standings { draining: vec![text("s8a")], gone: vec![text("s9a"), text("s9b")] },
-        at: 1_700_000_000.25,
-        more: vec![more("omens", false), more("rules.least_brokers", true)],
+pub fn full_version(number: u64) -> ConfigVersion {
+    let more =
+        |key: &str, must| Extension { key: text(key), json: text("{\"a\": [1, 2.50]}"), required: must };
+    ConfigVersion {
+        based_on: Some(number - 1),
+        first_stage_ratio: Some(0.25),
+        excluded_nodes: ExcludedNodes {
+            draining: vec![text("s8a")],
+            removed: vec![text("s9a"), text("s9b")],
+        },
+        proposed_at_unix_seconds: 1_700_000_000.25,
+        extensions: vec![more("omens", false), more("rules.least_brokers", true)],
         ..version(number, Some(map(number, true)))
     }
 }
 
-pub fn bounds() -> Bounds {
-    Bounds::new(vec![text("cold"), text("customer anna")], 7, 0.35, 500).unwrap()
+pub fn bounds() -> SharedQuotas {
+    SharedQuotas::new(vec![text("cold"), text("customer anna")], 7, 0.35, 500).unwrap()
 }
 
-fn report() -> Report {
+fn report() -> DemandReport {
     let needs = BTreeMap::from([(text("cold"), 120_000), (text("customer anna"), 7)]);
-    Report { shrunk: 3, bounds: bounds(), needs }
+    DemandReport { shrunk_generation: 3, shared: bounds(), demand_units: needs }
 }
 
-fn bare_request() -> Ask {
-    Ask {
+fn bare_request() -> LeaseRequest {
+    LeaseRequest {
         id: 1,
         broker: text("b1"),
-        sent: 0.5,
-        knows: Vec::new(),
-        joint: None,
+        sent_at: 0.5,
+        known_versions: Vec::new(),
+        joint_version: None,
         incarnation: 2,
-        debts: 0,
-        limits: None,
-        passed: false,
-        pressed: false,
+        known_settlements: 0,
+        demand: None,
+        forwarded: false,
+        overloaded: false,
     }
 }
 
-fn full_request() -> Ask {
-    Ask {
+fn full_request() -> LeaseRequest {
+    LeaseRequest {
         id: u64::MAX,
-        sent: 1234.0625,
-        knows: vec![(1, version(1, None).digest()), (2, full_version(2).digest())],
-        joint: Some(2),
+        sent_at: 1234.0625,
+        known_versions: vec![(1, version(1, None).digest()), (2, full_version(2).digest())],
+        joint_version: Some(2),
         incarnation: 1 << 60,
-        debts: 70_000,
-        limits: Some(report()),
-        passed: true,
-        pressed: true,
+        known_settlements: 70_000,
+        demand: Some(report()),
+        forwarded: true,
+        overloaded: true,
         ..bare_request()
     }
 }
@@ -75,107 +79,120 @@
     Agreed::Allot(Allot { number: 0, debtor: text("north"), creditor: text("south"), debt: 1000, parts })
 }
 
-fn some_debts(ledger: bool) -> DebtsTold {
+fn some_debts(ledger: bool) -> SettlementUpdate {
     let settle = Agreed::Settle(Settlement { bytes: 11, ..settlement("7") });
     let mut applied = Ledger::default();
     applied.apply(&allot()).unwrap();
     applied.apply(&Agreed::Settle(settlement("6"))).unwrap();
-    let entries = vec![Noted { floor: 0, entry: allot() }, Noted { floor: 4, entry: settle }];
-    DebtsTold { from: 4, count: 6, ledger: ledger.then(|| Box::new(applied)), entries }
+    let entries =
+        vec![SettlementRecord { floor: 0, entry: allot() }, SettlementRecord { floor: 4, entry: settle }];
+    SettlementUpdate { from: 4, count: 6, ledger: ledger.then(|| Box::new(applied)), entries }
 }
 
-fn first_grant() -> Now {
-    Now {
-        lease: 1.0,
-        must: Vec::new(),
-        fleet: 0,
+fn first_grant() -> LeaseGrant {
+    LeaseGrant {
+        lease_seconds: 1.0,
+        required_parts: Vec::new(),
+        fleet_id: 0,
         epoch: 0,
         index: 1,
-        in_force: None,
-        open: None,
-        highest: 0,
-        maps: false,
+        active: None,
+        proposed: None,
+        highest_number: 0,
+        maps_enabled: false,
         voters: Vec::new(),
-        voting: 0,
+        voters_number: 0,
         documents: Vec::new(),
-        done: Vec::new(),
-        debts: DebtsTold::default(),
-        limits: None,
+        completed_fills: Vec::new(),
+        settlements: SettlementUpdate::default(),
+        quota: None,
         leader: text("n1"),
-        run: 9,
-        heard: 0.75,
+        leader_run: 9,
+        received_at: 0.75,
     }
 }
 
-fn full_grant(step: Step) -> Now {
+fn full_grant(step: RolloutStep) -> LeaseGrant {
     let (one, two) = (version(1, Some(map(1, false))), full_version(2));
     let parts = BTreeMap::from([(text("cold"), 50_000)]);
-    Now {
-        must: vec![text("omens")],
-        fleet: 77,
+    LeaseGrant {
+        required_parts: vec![text("omens")],
+        fleet_id: 77,
         epoch: 3,
         index: 40_000,
-        in_force: Some((1, one.digest())),
-        open: Some(Open { number: 2, digest: two.digest(), step }),
-        highest: 2,
-        maps: true,
+        active: Some((1, one.digest())),
+        proposed: Some(ProposedVersion { number: 2, digest: two.digest(), step }),
+        highest_number: 2,
+        maps_enabled: true,
         voters: vec![named("n1", None), named("n2", Some("10.0.0.2:7000"))],
-        voting: 5,
+        voters_number: 5,
         documents: vec![Arc::new(one), Arc::new(two)],
-        done: vec![(0, text("cold1")), (3, text("s3b"))],
-        debts: some_debts(step == Step::Joint),
-        limits: Some(Parts { generation: 8, floor: 50_000, counted: true, shrunk: 6, parts }),
+        completed_fills: vec![(0, text("cold1")), (3, text("s3b"))],
+        settlements: some_debts(step == RolloutStep::Joint),
+        quota: Some(Parts {
+            generation: 8,
+            floor_units: 50_000,
+            admitted: true,
+            shrunk_generation: 6,
+            leased_units: parts,
+        }),
         ..first_grant()
     }
 }
 
-fn reply(answer: Answer) -> Told {
-    Told { id: 7, incarnation: 2, sent: 0.5, answer }
+fn reply(answer: LeaseAnswer) -> LeaseReply {
+    LeaseReply { id: 7, incarnation: 2, sent_at: 0.5, answer }
 }
 
 #[test]
 fn versions() {
-    let draft = Version { follows: None, stage: None, ..version(1, None) };
+    let draft = ConfigVersion { based_on: None, first_stage_ratio: None, ..version(1, None) };
     for (name, version) in [
         ("version-bare", draft),
         ("version-map", version(3, Some(map(3, false)))),
         ("version-full", full_version(2)),
     ] {
         let stored = golden(name, &version.packed());
-        let read = Version::unpacked(&stored).unwrap();
+        let read = ConfigVersion::unpacked(&stored).unwrap();
         assert_eq!(read, version, "{name}");
         assert_eq!(read.packed(), stored, "{name}");
         golden(&format!("{name}.digest"), version.digest().as_bytes());
         // The operator's file has the parts by name.
         let name = format!("{name}.json");
         let stored = golden(&name, &serde_json::to_vec_pretty(&version).unwrap());
-        assert_eq!(again_json::<Version>(&stored), stored, "{name}");
+        assert_eq!(again_json::<ConfigVersion>(&stored), stored, "{name}");
     }
 }
 
 #[test]
 fn operators_documents() {
-    let voting = Voting {
+    let voting = VoterChange {
         number: 4,
         voters: vec![named("n1", None), named("n2", Some("10.0.0.2:7000"))],
-        who: text("ann"),
-        why: text("a test"),
-        at: 1_700_000_000.0,
+        proposed_by: text("ann"),
+        reason: text("a test"),
+        proposed_at_unix_seconds: 1_700_000_000.0,
     };
     let stored = golden("voting.json", &serde_json::to_vec_pretty(&voting).unwrap());
-    assert_eq!(again_json::<Voting>(&stored), stored);
-    let word = Recovery { folder: 5, last: 60, lost: vec![text("n2")], highest: 3, word: text(WORD) };
+    assert_eq!(again_json::<VoterChange>(&stored), stored);
+    let word = RecoveryOrder {
+        folder_id: 5,
+        last_index: 60,
+        lost_voters: vec![text("n2")],
+        highest_number: 3,
+        confirmation: text(WORD),
+    };
     let stored = golden("recovery.json", &serde_json::to_vec_pretty(&word).unwrap());
-    assert_eq!(again_json::<Recovery>(&stored), stored);
+    assert_eq!(again_json::<RecoveryOrder>(&stored), stored);
 }
 
 #[test]
 fn lease_requests() {
     for (name, request) in [("request-bare", bare_request()), ("request-full", full_request())] {
-        let stored = golden(name, &request.bytes());
-        let read = Ask::of(&stored).unwrap();
+        let stored = golden(name, &request.encode());
+        let read = LeaseRequest::decode(&stored).unwrap();
         assert_eq!(read, request, "{name}");
-        assert_eq!(read.bytes(), stored, "{name}");
+        assert_eq!(read.encode(), stored, "{name}");
     }
 }
 
@@ -183,41 +200,45 @@
 fn lease_replies() {
     let others = vec![named("n2", None), named("n3", Some("10.0.0.3:7000"))];
     for (name, answer) in [
-        ("reply-no-leader", Answer::NoLeader),
-        ("reply-no-voter", Answer::NoVoter(others)),
-        ("reply-granted-first", Answer::Granted(Box::new(first_grant()))),
-        ("reply-granted-joint", Answer::Granted(Box::new(full_grant(Step::Joint)))),
-        ("reply-granted-staged", Answer::Granted(Box::new(full_grant(Step::Staged(0.25))))),
-        ("reply-granted-returning", Answer::Granted(Box::new(full_grant(Step::Returning)))),
+        ("reply-no-leader", LeaseAnswer::NoLeader),
+        ("reply-no-voter", LeaseAnswer::NotAVoter(others)),
+        ("reply-granted-first", LeaseAnswer::Granted(Box::new(first_grant()))),
+        ("reply-granted-joint", LeaseAnswer::Granted(Box::new(full_grant(RolloutStep::Joint)))),
+        ("reply-granted-staged", LeaseAnswer::Granted(Box::new(full_grant(RolloutStep::Staged(0.25))))),
+        ("reply-granted-returning", LeaseAnswer::Granted(Box::new(full_grant(RolloutStep::RollingBack)))),
     ] {
         let told = reply(answer);
-        let stored = golden(name, &told.bytes());
-        let read = Told::of(&stored).unwrap();
+        let stored = golden(name, &told.encode());
+        let read = LeaseReply::decode(&stored).unwrap();
         assert_eq!(read, told, "{name}");
-        assert_eq!(read.bytes(), stored, "{name}");
+        assert_eq!(read.encode(), stored, "{name}");
     }
 }
 
 #[test]
 fn what_a_broker_keeps() {
-    let mut member = Member::new(terms("b1", 3), None, 0.0, 5);
-    let empty = golden("kept-empty", &member.kept().bytes());
-    assert_eq!(Kept::of(&empty).unwrap().bytes(), empty);
+    let mut member = LeaseClient::new(terms("b1", 3), None, 0.0, 5);
+    let empty = golden("kept-empty", &member.persisted_state().encode());
+    assert_eq!(PersistedState::decode(&empty).unwrap().encode(), empty);
     let (_, ask) = member.tick(0.0).unwrap();
-    let two = Version { more: vec![full_version(2).more[0].clone()], ..full_version(2) };
-    let grant = Now {
-        must: Vec::new(),
-        open: Some(Open { number: 2, digest: two.digest(), step: Step::Joint }),
+    let two = ConfigVersion { extensions: vec![full_version(2).extensions[0].clone()], ..full_version(2) };
+    let grant = LeaseGrant {
+        required_parts: Vec::new(),
+        proposed: Some(ProposedVersion { number: 2, digest: two.digest(), step: RolloutStep::Joint }),
         documents: vec![Arc::new(version(1, Some(map(1, false)))), Arc::new(two)],
-        done: vec![(0, text("s0b"))],
-        ..full_grant(Step::Joint)
+        completed_fills: vec![(0, text("s0b"))],
+        ..full_grant(RolloutStep::Joint)
     };
-    let answer = Answer::Granted(Box::new(grant));
+    let answer = LeaseAnswer::Granted(Box::new(grant));
     member
-        .told(0.1, "n1", Told { id: ask.id, incarnation: ask.incarnation, sent: ask.sent, answer })
+        .handle_reply(
+            0.1,
+            "n1",
+            LeaseReply { id: ask.id, incarnation: ask.incarnation, sent_at: ask.sent_at, answer },
+        )
         .unwrap();
-    let stored = golden("kept-full", &member.kept().bytes());
-    let read = Kept::of(&stored).unwrap();
-    assert_eq!(read, member.kept());
-    assert_eq!(read.bytes(), stored);
+    let stored = golden("kept-full", &member.persisted_state().encode());
+    let read = PersistedState::decode(&stored).unwrap();
+    assert_eq!(read, member.persisted_state());
+    assert_eq!(read.encode(), stored);
 }
--- a/crates/dunepond-consensus/tests/golden/runs.rs
+++ b/crates/dunepond-consensus/tests/golden/runs.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use dunepond_consensus::*;
-use dunepond_quota::{Agreed as Limit, Part};
+use dunepond_quota::{QuotaEntry as Limit, QuotaShare};
 use dunepond_rebalance::{
     Act, Agreed as Move, By, Kind, Operation, Pace, Pause, Plan, Step as PlanStep, Wave, order,
 };
@@ -22,11 +22,11 @@
 /// What stands in an entry of the log.
 #[derive(Serialize, Deserialize)]
 enum Item {
-    Entry(Entry),
-    Terms(Terms),
+    Entry(Command),
+    Terms(ConsensusConfig),
     Stage { number: u64 },
     Returned { number: u64 },
-    Seat { voter: String, seat: Seat },
+    Seat { voter: String, seat: VoterSlot },
     Voted(Voted),
     Calm { epoch: u64 },
 }
@@ -34,7 +34,7 @@
 #[derive(Serialize, Deserialize)]
 struct Voted {
     number: u64,
-    joins: Option<(String, Seat)>,
+    joins: Option<(String, VoterSlot)>,
     leaves: Option<(String, Option<u64>)>,
 }
 
@@ -52,8 +52,8 @@
 fn check_records(name: &str, stored: &[u8]) -> BTreeMap<String, usize> {
     let (records, mut kinds) = (unframed(stored), BTreeMap::new());
     for bytes in &records {
-        let save: Save = postcard::from_bytes(bytes).unwrap();
-        assert!(save.bytes() == *bytes, "{name}: a record");
+        let save: WriteBatch = postcard::from_bytes(bytes).unwrap();
+        assert!(save.encode() == *bytes, "{name}: a record");
         let record: Record = postcard::from_bytes(bytes).unwrap();
         assert!(postcard::to_stdvec(&record).unwrap() == *bytes, "{name}: a record's parts");
         for (_, _, entry) in &record.entries {
@@ -65,11 +65,14 @@
         }
         if let Some(snapshot) = &record.snapshot {
             let snapshot = Snapshot::parse_from_bytes(snapshot).unwrap();
-            assert!(again::<State>(snapshot.get_data()) == snapshot.get_data(), "{name}: a snapshot");
+            assert!(
+                again::<ReplicatedState>(snapshot.get_data()) == snapshot.get_data(),
+                "{name}: a snapshot"
+            );
         }
     }
-    let mut saved = Saved::new();
-    records.iter().for_each(|record| saved.take(record).unwrap());
+    let mut saved = StoredVoter::new();
+    records.iter().for_each(|record| saved.apply_record(record).unwrap());
     kinds
 }
 
@@ -95,11 +98,11 @@
 }
 
 impl Alone {
-    fn take(&mut self, orders: Orders) {
-        if !orders.save.is_empty() {
-            self.records.push(orders.save.bytes());
+    fn take(&mut self, orders: Effects) {
+        if !orders.write_batch.is_empty() {
+            self.records.push(orders.write_batch.encode());
         }
-        self.outcomes.extend(orders.outcomes.iter().map(|outcome| match &outcome.what {
+        self.outcomes.extend(orders.outcomes.iter().map(|outcome| match &outcome.result {
             Ok(_) => text("applied"),
             Err(why) => format!("{}: {why}", outcome.index),
         }));
@@ -114,41 +117,44 @@
     }
 
     /// Enters it; it has to apply.
-    fn enter(&mut self, entry: Entry) {
+    fn enter(&mut self, entry: Command) {
         let shown = format!("{entry:?}");
         let orders = self.voter.propose(self.now, entry).unwrap_or_else(|why| panic!("{shown}: {why}"));
         self.take(orders);
         self.run(0.2);
     }
 
-    fn propose(&mut self, version: Version, seconds: f64) {
-        self.enter(Entry::Propose(Box::new(version)));
+    fn propose(&mut self, version: ConfigVersion, seconds: f64) {
+        self.enter(Command::Propose(Box::new(version)));
         self.run(seconds);
     }
 }
 
 fn states(alone: &Alone, name: &str) {
     let stored = golden(name, &document(alone.voter.state()));
-    assert!(again::<State>(&stored) == stored, "{name}");
+    assert!(again::<ReplicatedState>(&stored) == stored, "{name}");
 }
 
 fn enter_versions(alone: &mut Alone) {
     alone.propose(version(1, Some(map(1, false))), 3.0);
-    let two = Version { stage: Some(0.5), ..version(2, Some(map(2, true))) };
+    let two = ConfigVersion { first_stage_ratio: Some(0.5), ..version(2, Some(map(2, true))) };
     alone.propose(two, 0.0);
     states(alone, "state-open");
-    let fill = |number| Entry::Filled { number, segment: 0, holder: format!("cold{number}") };
+    let fill = |number| Command::FillCompleted { number, segment: 0, holder: format!("cold{number}") };
     alone.enter(fill(2));
     alone.run(3.0);
     states(alone, "state-staged");
-    alone.enter(Entry::Confirm { number: 2 });
-    let more = vec![full_version(3).more[0].clone()];
-    alone.propose(Version { stage: Some(0.5), more, ..version(3, Some(map(3, false))) }, 3.0);
-    alone.enter(Entry::Withdraw { number: 3, why: text("a test") });
+    alone.enter(Command::Activate { number: 2 });
+    let more = vec![full_version(3).extensions[0].clone()];
+    alone.propose(
+        ConfigVersion { first_stage_ratio: Some(0.5), extensions: more, ..version(3, Some(map(3, false))) },
+        3.0,
+    );
+    alone.enter(Command::Withdraw { number: 3, why: text("a test") });
     states(alone, "state-returning");
     alone.run(3.0);
     alone.propose(version(4, Some(map(4, true))), 0.0);
-    alone.enter(Entry::Withdraw { number: 4, why: text("a test") });
+    alone.enter(Command::Withdraw { number: 4, why: text("a test") });
 }
 
 fn enter_debts(alone: &mut Alone) {
@@ -167,26 +173,26 @@
         at: 1_700_000_000,
     };
     for entry in [allot(), Debt::Release(release), Debt::Settle(settlement("6")), Debt::Begin(begun)] {
-        alone.enter(Entry::Debt(entry));
+        alone.enter(Command::Settlement(entry));
     }
 }
 
 fn enter_limits(alone: &mut Alone) {
-    let part = |units| Part { broker: text("b1"), bound: text("cold"), units };
+    let part = |units| QuotaShare { broker: text("b1"), quota: text("cold"), units };
     for entry in [
-        Limit::Bounds(bounds()),
-        Limit::Seat { broker: text("b1") },
-        Limit::Seat { broker: text("b2") },
-        Limit::Parts { parts: vec![part(9000), Part { broker: text("b2"), ..part(70) }] },
-        Limit::Parts { parts: vec![part(100)] },
+        Limit::Configure(bounds()),
+        Limit::AddBroker { broker: text("b1") },
+        Limit::AddBroker { broker: text("b2") },
+        Limit::SetShares { parts: vec![part(9000), QuotaShare { broker: text("b2"), ..part(70) }] },
+        Limit::SetShares { parts: vec![part(100)] },
     ] {
-        alone.enter(Entry::Limit(entry));
+        alone.enter(Command::Quota(entry));
     }
     states(alone, "state-limits");
     // The leader says that the larger part is over, and may be the only one to say so.
     alone.run(4.0);
-    alone.enter(Entry::Limit(Limit::Seat { broker: text("b3") }));
-    alone.enter(Entry::Limit(Limit::Free { broker: text("b3") }));
+    alone.enter(Command::Quota(Limit::AddBroker { broker: text("b3") }));
+    alone.enter(Command::Quota(Limit::RemoveBroker { broker: text("b3") }));
 }
 
 fn plan(id: &str) -> Plan {
@@ -210,7 +216,7 @@
 
 /// Makes the plan's owners those of the map in force.
 fn fitting(alone: &Alone, id: &str) -> (Plan, Vec<PlanStep>) {
-    let proof = alone.voter.state().proof().unwrap().clone();
+    let proof = alone.voter.state().map_proof().unwrap().clone();
     let mut plan = plan(id);
     let owner = |segment: u64| proof.segment(segment).unwrap().owner.clone();
     let other = if owner(3) == "s3a" { "s3b" } else { "s3a" };
@@ -226,31 +232,37 @@
     let waves: Vec<&Wave> = steps.iter().flat_map(|step| step.back.iter().chain([&step.wave])).collect();
     assert!(waves.iter().any(|wave| wave.kind == Kind::Fence));
     assert!(waves.iter().flat_map(|wave| &wave.acts).any(|(_, act)| matches!(act, Act::Switch { .. })));
-    alone.enter(Entry::Move(Move::Taken { plan: Box::new(taken), steps, at_once: 2 }));
+    alone.enter(Command::Rebalance(Move::Taken { plan: Box::new(taken), steps, at_once: 2 }));
     for why in [Pause::Pressed { hundredths: 40 }, Pause::Word { who: text("ann") }] {
-        alone.enter(Entry::Move(Move::Paused { plan: plan(), why }));
+        alone.enter(Command::Rebalance(Move::Paused { plan: plan(), why }));
     }
-    alone.enter(Entry::Move(Move::Resumed { plan: plan(), by: By::Operator(text("ann")) }));
+    alone.enter(Command::Rebalance(Move::Resumed { plan: plan(), by: By::Operator(text("ann")) }));
     let pressed = Pause::Pressed { hundredths: 40 };
-    alone.enter(Entry::Move(Move::Paused { plan: plan(), why: pressed }));
-    alone.enter(Entry::Move(Move::Resumed { plan: plan(), by: By::Pressure(5) }));
+    alone.enter(Command::Rebalance(Move::Paused { plan: plan(), why: pressed }));
+    alone.enter(Command::Rebalance(Move::Resumed { plan: plan(), by: By::Pressure(5) }));
     let failed = Pause::Failed { why: text("a test") };
-    alone.enter(Entry::Move(Move::Paused { plan: plan(), why: failed }));
-    alone.enter(Entry::Move(Move::Resumed { plan: plan(), by: By::Operator(text("ann")) }));
+    alone.enter(Command::Rebalance(Move::Paused { plan: plan(), why: failed }));
+    alone.enter(Command::Rebalance(Move::Resumed { plan: plan(), by: By::Operator(text("ann")) }));
     let state = alone.voter.state();
-    let running = state.moves().running.as_ref().unwrap();
-    let moving = running.wave().unwrap().moving(state.proof().unwrap(), running.done).unwrap();
-    let (number, digest) = (state.highest + 1, text(moving.to().digest()));
-    alone.enter(Entry::Move(Move::Begun { plan: plan(), turn: 0, number, digest }));
+    let running = state.rebalance().running.as_ref().unwrap();
+    let moving = running.wave().unwrap().moving(state.map_proof().unwrap(), running.done).unwrap();
+    let (number, digest) = (state.highest_number + 1, text(moving.to().digest()));
+    alone.enter(Command::Rebalance(Move::Begun { plan: plan(), turn: 0, number, digest }));
     states(alone, "state-plan");
     let (who, why) = (text("ann"), text("a test"));
-    alone.enter(Entry::Move(Move::Withdrawn { plan: plan(), who, why }));
+    alone.enter(Command::Rebalance(Move::Withdrawn { plan: plan(), who, why }));
 }
 
 fn enter_votes(alone: &mut Alone) {
     let vote = |number, voters| {
         let (who, why) = (text("ann"), text("a test"));
-        Entry::Vote(Box::new(Voting { number, voters, who, why, at: 1_700_000_000.0 }))
+        Command::ChangeVoters(Box::new(VoterChange {
+            number,
+            voters,
+            proposed_by: who,
+            reason: why,
+            proposed_at_unix_seconds: 1_700_000_000.0,
+        }))
     };
     alone.enter(vote(1, vec![named("n1", None), named("n2", Some("10.0.0.2:7000"))]));
     states(alone, "state-voting");
@@ -259,8 +271,9 @@
 
 #[test]
 fn a_voter_alone_writes_each_kind_of_entry() {
-    let open = |terms: Terms, saved: Saved, now, seed| Voter::open(terms, saved, now, seed).unwrap();
-    let voter = open(terms("n1", 1), Saved::new(), 0.0, 31);
+    let open =
+        |terms: ConsensusConfig, saved: StoredVoter, now, seed| Voter::open(terms, saved, now, seed).unwrap();
+    let voter = open(terms("n1", 1), StoredVoter::new(), 0.0, 31);
     let mut alone = Alone { voter, now: 0.0, records: Vec::new(), outcomes: Vec::new() };
     alone.run(3.0);
     enter_versions(&mut alone);
@@ -269,9 +282,9 @@
     enter_votes(&mut alone);
     enter_moves(&mut alone);
     // Another start, with other terms.
-    let mut saved = Saved::new();
-    alone.records.iter().for_each(|record| saved.take(record).unwrap());
-    alone.voter = open(Terms { lease: 0.8, ..terms("n1", 1) }, saved, alone.now, 32);
+    let mut saved = StoredVoter::new();
+    alone.records.iter().for_each(|record| saved.apply_record(record).unwrap());
+    alone.voter = open(ConsensusConfig { lease_seconds: 0.8, ..terms("n1", 1) }, saved, alone.now, 32);
     alone.run(3.0);
     states(&alone, "state-after");
     let stored = golden("alone.journal", &framed(&alone.records));
@@ -304,13 +317,13 @@
     ] {
         assert!(kinds.contains_key(kind), "no {kind} in {kinds:?}");
     }
-    let whole = alone.voter.whole().bytes();
+    let whole = alone.voter.checkpoint().encode();
     check_records("whole", &framed(&[golden("alone.whole", &whole)]));
     // A later start of this program goes on from the file.
-    let mut saved = Saved::new();
-    unframed(&stored).iter().for_each(|record| saved.take(record).unwrap());
+    let mut saved = StoredVoter::new();
+    unframed(&stored).iter().for_each(|record| saved.apply_record(record).unwrap());
     let voter = open(terms("n1", 1), saved, 0.0, 33);
-    assert!(voter.seated());
+    assert!(voter.has_state());
 }
 
 /// Voters on a network that loses nothing; each message comes a turn later.
@@ -322,7 +335,7 @@
     /// All messages in their order, and two of each kind.
     all: blake3::Hasher,
     kinds: BTreeMap<String, Vec<Vec<u8>>>,
-    told: Vec<Told>,
+    told: Vec<LeaseReply>,
 }
 
 /// What a message between voters is: the variant, and the library's own kind.
@@ -342,20 +355,20 @@
 }
 
 impl Few {
-    fn start(&mut self, terms: Terms, seed: u64) {
-        let mut saved = Saved::new();
+    fn start(&mut self, terms: ConsensusConfig, seed: u64) {
+        let mut saved = StoredVoter::new();
         let records = self.records.entry(terms.name.clone()).or_default();
-        records.iter().for_each(|record| saved.take(record).unwrap());
+        records.iter().for_each(|record| saved.apply_record(record).unwrap());
         let voter = Voter::open(terms.clone(), saved, self.now, seed).unwrap();
         self.voters.insert(terms.name, voter);
     }
 
-    fn take(&mut self, name: &str, orders: Orders) {
-        if !orders.save.is_empty() {
-            self.records.entry(text(name)).or_default().push(orders.save.bytes());
+    fn take(&mut self, name: &str, orders: Effects) {
+        if !orders.write_batch.is_empty() {
+            self.records.entry(text(name)).or_default().push(orders.write_batch.encode());
         }
-        self.told.extend(orders.told.into_iter().map(|(_, told)| told));
-        for (to, bytes) in orders.send {
+        self.told.extend(orders.replies.into_iter().map(|(_, told)| told));
+        for (to, bytes) in orders.messages {
             self.all.update(&bytes);
             let kind = self.kinds.entry(message_kind(&bytes)).or_default();
             if kind.len() < 2 {
@@ -372,7 +385,7 @@
             for (from, to, bytes) in std::mem::take(&mut self.flying) {
                 let Some(voter) = self.voters.get_mut(&to) else { continue };
                 // What a voter does not believe changes nothing here.
-                if let Ok(orders) = voter.received(now, &from, &bytes) {
+                if let Ok(orders) = voter.receive(now, &from, &bytes) {
                     self.take(&to, orders);
                 }
             }
@@ -384,10 +397,14 @@
     }
 
     fn leader(&self) -> String {
-        self.voters.iter().find(|(_, voter)| voter.leads()).map(|(name, _)| name.clone()).expect("one leads")
+        self.voters
+            .iter()
+            .find(|(_, voter)| voter.is_leader())
+            .map(|(name, _)| name.clone())
+            .expect("one leads")
     }
 
-    fn propose(&mut self, entry: Entry) {
+    fn propose(&mut self, entry: Command) {
         let (leader, now) = (self.leader(), self.now);
         let orders = self.voters.get_mut(&leader).unwrap().propose(now, entry).unwrap();
         self.take(&leader, orders);
@@ -395,10 +412,11 @@
 
     /// A broker asks each voter for a lease.
     fn ask(&mut self) {
-        let mut member = Member::new(terms("b1", 3), None, self.now, 9);
+        let mut member = LeaseClient::new(terms("b1", 3), None, self.now, 9);
         let (_, ask) = member.tick(self.now).unwrap();
         for name in self.voters.keys().cloned().collect::<Vec<_>>() {
-            let orders = self.voters.get_mut(&name).unwrap().asked(self.now, "b1", ask.clone());
+            let orders =
+                self.voters.get_mut(&name).unwrap().handle_lease_request(self.now, "b1", ask.clone());
             self.take(&name, orders);
         }
         self.run(0.5);
@@ -418,7 +436,7 @@
     };
     (1..=3).for_each(|n| few.start(terms(&format!("n{n}"), 3), n));
     few.run(3.0);
-    few.propose(Entry::Propose(Box::new(version(1, Some(map(1, false))))));
+    few.propose(Command::Propose(Box::new(version(1, Some(map(1, false))))));
     few.run(3.0);
     few.ask();
     // One starts again, one comes back with an empty folder, one takes the place of another.
@@ -434,33 +452,45 @@
     few.run(1.0);
     few.start(terms(&lost, 3), 12);
     few.run(3.0);
-    few.start(Terms { voters: ["n1", "n2", "n3", "n4"].map(text).into(), ..terms("n4", 3) }, 13);
+    few.start(ConsensusConfig { voters: ["n1", "n2", "n3", "n4"].map(text).into(), ..terms("n4", 3) }, 13);
     let goes = other(&few);
     let stays = |n: &String| *n != goes;
     let voters = ["n1", "n2", "n3", "n4"].map(text).into_iter().filter(stays);
-    let voters: Vec<Named> = voters.map(|name| named(&name, None)).collect();
+    let voters: Vec<VoterInfo> = voters.map(|name| named(&name, None)).collect();
     let (who, why) = (text("ann"), text("a test"));
-    few.propose(Entry::Vote(Box::new(Voting { number: 1, voters, who, why, at: 0.0 })));
+    few.propose(Command::ChangeVoters(Box::new(VoterChange {
+        number: 1,
+        voters,
+        proposed_by: who,
+        reason: why,
+        proposed_at_unix_seconds: 0.0,
+    })));
     few.run(4.0);
     few.ask();
     // All but one are lost for good, and the fleet is brought back from that one's folder.
     let stays = few.leader();
     let state = few.voters[&stays].state();
-    let names = state.voters.list.iter().map(|voter| voter.name.clone());
+    let names = state.voters.voters.iter().map(|voter| voter.name.clone());
     let lost: Vec<String> = names.filter(|name| *name != stays).collect();
-    let highest = state.highest;
+    let highest = state.highest_number;
     few.voters.clear();
     few.flying.clear();
-    let mut saved = Saved::new();
-    few.records[&stays].iter().for_each(|record| saved.take(record).unwrap());
-    let own = Terms { voters: ["n1", "n2", "n3", "n4"].map(text).into(), ..terms(&stays, 3) };
-    let (folder, last) = Voter::open(own.clone(), saved.clone(), few.now, 21).unwrap().held();
-    let word = Recovery { folder, last, lost, highest, word: text(WORD) };
+    let mut saved = StoredVoter::new();
+    few.records[&stays].iter().for_each(|record| saved.apply_record(record).unwrap());
+    let own = ConsensusConfig { voters: ["n1", "n2", "n3", "n4"].map(text).into(), ..terms(&stays, 3) };
+    let (folder, last) = Voter::open(own.clone(), saved.clone(), few.now, 21).unwrap().recovery_position();
+    let word = RecoveryOrder {
+        folder_id: folder,
+        last_index: last,
+        lost_voters: lost,
+        highest_number: highest,
+        confirmation: text(WORD),
+    };
     let voter = Voter::recover(own, saved, &word, few.now, 22).unwrap();
-    few.records.get_mut(&stays).unwrap().push(voter.whole().bytes());
+    few.records.get_mut(&stays).unwrap().push(voter.checkpoint().encode());
     few.voters.insert(stays.clone(), voter);
     few.run(6.0);
-    assert_eq!((few.voters[&stays].state().epoch, few.voters[&stays].state().quiet), (2, false));
+    assert_eq!((few.voters[&stays].state().epoch, few.voters[&stays].state().leases_suspended), (2, false));
 
     golden("few.all", few.all.finalize().to_hex().as_bytes());
     let mut seen = Vec::new();
@@ -470,7 +500,7 @@
     }
     let wanted = ["Ask", "Heard", "Hello", "Raft MsgAppend", "Raft MsgHeartbeat", "Raft MsgSnapshot", "Told"];
     assert!(wanted.iter().all(|kind| seen.contains(kind)), "{seen:?}");
-    assert!(few.told.iter().any(|told| matches!(told.answer, Answer::Granted(_))));
+    assert!(few.told.iter().any(|told| matches!(told.answer, LeaseAnswer::Granted(_))));
     let mut kinds = BTreeMap::new();
     for (name, records) in &few.records {
         let name = format!("few-{name}.journal");
--- a/crates/dunepond-consensus/tests/lost.rs
+++ b/crates/dunepond-consensus/tests/lost.rs
@@ -4,8 +4,8 @@
 use dunepond_simulation::fleet::{Fleet, map, version};
 use rstest::rstest;
 
-fn propose(number: u64) -> Entry {
-    Entry::Propose(Box::new(version(number, Some(map(number, false)))))
+fn propose(number: u64) -> Command {
+    Command::Propose(Box::new(version(number, Some(map(number, false)))))
 }
 
 /// Two of three agree on version 2 and have it in force; the third was cut off, and is what is left.
@@ -14,14 +14,14 @@
     fleet.split(&[&[0, 1, 3], &[2, 4]]);
     assert!(fleet.until(5.0, |fleet| fleet.leader().is_some_and(|n| n != 2)));
     fleet.propose(propose(2)).unwrap();
-    assert!(fleet.until(5.0, |fleet| fleet.phase(3) == Phase::Alone(2)));
+    assert!(fleet.until(5.0, |fleet| fleet.phase(3) == ConfigPhase::Active(2)));
     fleet
 }
 
 #[test]
 fn one_voter_goes_on_by_a_word_and_nobody_contradicts_what_the_lost_ones_allowed() {
     let mut fleet = lost();
-    let word = Recovery { highest: 2, ..fleet.word(2, &["n1", "n2"]) };
+    let word = RecoveryOrder { highest_number: 2, ..fleet.word(2, &["n1", "n2"]) };
     // A broker that acted on version 2 to the last moment; at each step the fleet's judge looks on.
     fleet.kill(0);
     fleet.kill(1);
@@ -32,51 +32,57 @@
     let from = fleet.now;
     assert!(fleet.until(8.0, |fleet| fleet.all_live()));
     assert!(fleet.now - from > 1.5, "not before the wait: {:.2} s", fleet.now - from);
-    assert!(fleet.all(&Phase::Alone(1)), "version 2 is gone");
-    assert!(matches!(fleet.propose(propose(2)), Err(Refusal::Number { given: 2, expected: 3 })));
+    assert!(fleet.all(&ConfigPhase::Active(1)), "version 2 is gone");
+    assert!(matches!(fleet.propose(propose(2)), Err(Rejection::WrongNumber { given: 2, expected: 3 })));
     fleet.propose(propose(3)).unwrap();
-    assert!(fleet.until(5.0, |fleet| fleet.all(&Phase::Alone(3))));
+    assert!(fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(3))));
     // The lost majority comes back with its folders: it is told, and counts for nothing.
     fleet.start(0);
     fleet.start(1);
     for _ in 0..500 {
         fleet.step();
         assert!(
-            !fleet.brokers[0].voter.as_ref().unwrap().leads()
-                && !fleet.brokers[1].voter.as_ref().unwrap().leads()
+            !fleet.brokers[0].voter.as_ref().unwrap().is_leader()
+                && !fleet.brokers[1].voter.as_ref().unwrap().is_leader()
         );
     }
     assert!(fleet.brokers[0].log.iter().any(|line| line.contains("brought back without it")));
-    assert!(fleet.all(&Phase::Alone(3)) && fleet.all_live() && fleet.voting() == [2]);
+    assert!(fleet.all(&ConfigPhase::Active(3)) && fleet.all_live() && fleet.voting() == [2]);
     // By a word of the usual kind they vote again.
     fleet.vote(&[2, 0]).unwrap();
     assert!(fleet.until(5.0, |fleet| fleet.voting() == [2, 0] && fleet.staffed()));
 }
 
 #[rstest]
-#[case::another_folder(|w: &mut Recovery| w.folder += 1, |e: &RecoveryError| matches!(e, RecoveryError::Folder { .. }))]
-#[case::another_place(|w: &mut Recovery| w.last += 1, |e: &RecoveryError| matches!(e, RecoveryError::Last { .. }))]
-#[case::no_voter(|w: &mut Recovery| w.lost.push(String::from("n4")), |e: &RecoveryError| *e == RecoveryError::NoVoter(String::from("n4")))]
-#[case::itself(|w: &mut Recovery| w.lost.push(String::from("n3")), |e: &RecoveryError| *e == RecoveryError::Own)]
-#[case::a_minority(|w: &mut Recovery| drop(w.lost.pop()), |e: &RecoveryError| matches!(e, RecoveryError::Majority { lost: 1, of: 3 }))]
-#[case::a_number_of_before(|w: &mut Recovery| w.highest = 0, |e: &RecoveryError| matches!(e, RecoveryError::Highest { said: 0, is: 1 }))]
-#[case::other_words(|w: &mut Recovery| w.word = String::from("yes"), |e: &RecoveryError| *e == RecoveryError::Word)]
+#[case::another_folder(|w: &mut RecoveryOrder| w.folder_id += 1, |e: &RecoveryError| matches!(e, RecoveryError::WrongFolder { .. }))]
+#[case::another_place(|w: &mut RecoveryOrder| w.last_index += 1, |e: &RecoveryError| matches!(e, RecoveryError::WrongPosition { .. }))]
+#[case::no_voter(|w: &mut RecoveryOrder| w.lost_voters.push(String::from("n4")), |e: &RecoveryError| *e == RecoveryError::NotAVoter(String::from("n4")))]
+#[case::itself(|w: &mut RecoveryOrder| w.lost_voters.push(String::from("n3")), |e: &RecoveryError| *e == RecoveryError::OwnVoter)]
+#[case::a_minority(|w: &mut RecoveryOrder| drop(w.lost_voters.pop()), |e: &RecoveryError| matches!(e, RecoveryError::MajorityRemains { lost: 1, of: 3 }))]
+#[case::a_number_of_before(|w: &mut RecoveryOrder| w.highest_number = 0, |e: &RecoveryError| matches!(e, RecoveryError::VersionTooLow { said: 0, is: 1 }))]
+#[case::other_words(|w: &mut RecoveryOrder| w.confirmation = String::from("yes"), |e: &RecoveryError| *e == RecoveryError::WrongConfirmation)]
 fn a_word_that_does_not_fit_the_folder_is_refused_by_its_kind(
-    #[case] spoil: fn(&mut Recovery),
+    #[case] spoil: fn(&mut RecoveryOrder),
     #[case] as_told: fn(&RecoveryError) -> bool,
 ) {
     let mut fleet = Fleet::mapped(3, 1, 81);
     let mut word = fleet.word(2, &["n1", "n2"]);
     spoil(&mut word);
-    let Err(AgreeError::Recovery(why)) = fleet.bring_back(2, &word) else { panic!("refused") };
+    let Err(ConsensusError::Recovery(why)) = fleet.bring_back(2, &word) else { panic!("refused") };
     assert!(as_told(&why) && why.help().len() > 20, "{why}");
 }
 
 #[test]
 fn an_empty_folder_brings_nothing_back() {
-    let word = Recovery { folder: 1, last: 1, lost: vec![], highest: 0, word: String::from(WORD) };
+    let word = RecoveryOrder {
+        folder_id: 1,
+        last_index: 1,
+        lost_voters: vec![],
+        highest_number: 0,
+        confirmation: String::from(WORD),
+    };
     let terms = dunepond_simulation::fleet::terms("n1", 3);
-    let why = Voter::recover(terms, Saved::new(), &word, 0.0, 1).err().unwrap();
-    assert_eq!(why, AgreeError::Recovery(RecoveryError::Nothing));
-    assert!(RecoveryError::Unknown(String::new()).help().contains("program"));
+    let why = Voter::recover(terms, StoredVoter::new(), &word, 0.0, 1).err().unwrap();
+    assert_eq!(why, ConsensusError::Recovery(RecoveryError::NoState));
+    assert!(RecoveryError::UnknownEntry(String::new()).help().contains("program"));
 }
--- a/crates/dunepond-consensus/tests/seeds.rs
+++ b/crates/dunepond-consensus/tests/seeds.rs
@@ -13,10 +13,11 @@
 fn trouble(fleet: &mut Fleet) {
     let n = fleet.rng.random_range(0..ALL);
     let seats_whole = |fleet: &Fleet, n: usize| {
-        fleet.leader().is_some_and(|leader| fleet.state(leader).voters.next.is_none())
+        fleet.leader().is_some_and(|leader| fleet.state(leader).voters.pending.is_none())
             && fleet.voting().contains(&n)
             && fleet.voting().into_iter().all(|n| {
-                fleet.brokers[n].voter.as_ref().is_none_or(Voter::seated) && !fleet.brokers[n].disk.is_empty()
+                fleet.brokers[n].voter.as_ref().is_none_or(Voter::has_state)
+                    && !fleet.brokers[n].disk.is_empty()
             })
     };
     match fleet.rng.random_range(0..18) {
@@ -50,28 +51,33 @@
         }
         10..=12 => {
             let Some(leader) = fleet.leader() else { return };
-            let next = fleet.state(leader).highest + 1;
+            let next = fleet.state(leader).highest_number + 1;
             let cold = fleet.rng.random::<f64>() < 0.3;
             let mut version = version(next, Some(map(next, cold)));
-            version.stage = (fleet.rng.random::<f64>() < 0.3).then_some(0.5);
-            let _ = fleet.propose(Entry::Propose(Box::new(version)));
+            version.first_stage_ratio = (fleet.rng.random::<f64>() < 0.3).then_some(0.5);
+            let _ = fleet.propose(Command::Propose(Box::new(version)));
         }
         13 => {
             let Some(leader) = fleet.leader() else { return };
-            let number = fleet.state(leader).highest;
+            let number = fleet.state(leader).highest_number;
             let back = fleet.rng.random::<bool>();
             let end = match back {
-                true => Entry::Withdraw { number, why: String::from("by hand") },
-                false => Entry::Confirm { number },
+                true => Command::Withdraw { number, why: String::from("by hand") },
+                false => Command::Activate { number },
             };
             let _ = fleet.propose(end);
         }
         14 => {
             let Some(leader) = fleet.leader() else { return };
-            let needs: Vec<_> = fleet.state(leader).moving().map(|m| m.needs().to_vec()).unwrap_or_default();
-            let number = fleet.state(leader).highest;
+            let needs: Vec<_> =
+                fleet.state(leader).map_transition().map(|m| m.needs().to_vec()).unwrap_or_default();
+            let number = fleet.state(leader).highest_number;
             for need in needs {
-                let _ = fleet.propose(Entry::Filled { number, segment: need.segment, holder: need.holder });
+                let _ = fleet.propose(Command::FillCompleted {
+                    number,
+                    segment: need.segment,
+                    holder: need.holder,
+                });
             }
         }
         15 | 16 => change_voters(fleet, n),
@@ -86,7 +92,7 @@
 fn change_voters(fleet: &mut Fleet, n: usize) {
     let Some(leader) = fleet.leader() else { return };
     let mut list = fleet.voting();
-    if fleet.state(leader).voters.next.is_some() {
+    if fleet.state(leader).voters.pending.is_some() {
         return match fleet.rng.random::<f64>() < 0.3 {
             true => drop(fleet.vote(&list)),
             false => enlist(fleet),
@@ -111,7 +117,7 @@
 fn enlist(fleet: &mut Fleet) {
     let Some(leader) = fleet.leader() else { return };
     let list = fleet.voting();
-    let voters = fleet.state(leader).voters.all();
+    let voters = fleet.state(leader).voters.names_with_joining();
     let joins = (0..ALL).find(|n| voters.contains(&fleet.brokers[*n].name) && !list.contains(n));
     if let Some(n) = joins.filter(|n| fleet.brokers[*n].voter.is_none()) {
         fleet.enlist(n, &voters);
@@ -141,14 +147,14 @@
     // What is open comes to an end by itself, unless it waits for the operator's word.
     fleet.run(10.0);
     let leader = fleet.leader().expect("a fleet without faults keeps its leader");
-    let number = fleet.state(leader).highest;
+    let number = fleet.state(leader).highest_number;
     if fleet.state(leader).open.is_some() {
-        fleet.propose(Entry::Withdraw { number, why: String::from("by hand") }).unwrap();
+        fleet.propose(Command::Withdraw { number, why: String::from("by hand") }).unwrap();
         assert!(fleet.until(10.0, |fleet| fleet.state(leader).open.is_none()), "taken back");
     }
-    fleet.propose(Entry::Propose(Box::new(version(number + 1, Some(map(number + 1, false)))))).unwrap();
+    fleet.propose(Command::Propose(Box::new(version(number + 1, Some(map(number + 1, false)))))).unwrap();
     assert!(
-        fleet.until(10.0, |fleet| fleet.all(&Phase::Alone(number + 1))),
+        fleet.until(10.0, |fleet| fleet.all(&ConfigPhase::Active(number + 1))),
         "version {} everywhere",
         number + 1
     );
@@ -198,8 +204,8 @@
     for seed in 0..100 {
         let mut fleet = Fleet::mapped(VOTERS, OTHERS, seed);
         fleet.run(3.0);
-        fleet.propose(Entry::Propose(Box::new(version(2, Some(map(2, false)))))).unwrap();
-        assert!(fleet.until(10.0, |fleet| fleet.all(&Phase::Alone(2))));
+        fleet.propose(Command::Propose(Box::new(version(2, Some(map(2, false)))))).unwrap();
+        assert!(fleet.until(10.0, |fleet| fleet.all(&ConfigPhase::Active(2))));
         took.push(fleet.now - fleet.proposed_at[&2]);
     }
     took.sort_by(f64::total_cmp);
--- a/crates/dunepond-consensus/tests/stories.rs
+++ b/crates/dunepond-consensus/tests/stories.rs
@@ -6,37 +6,41 @@
 use dunepond_simulation::fleet::{self, Fleet, map, settlement, terms, version};
 use rstest::rstest;
 
-fn propose(number: u64) -> Entry {
-    Entry::Propose(Box::new(version(number, Some(map(number, false)))))
+fn propose(number: u64) -> Command {
+    Command::Propose(Box::new(version(number, Some(map(number, false)))))
 }
 
 /// Needs one fill.
-fn cold(number: u64) -> Entry {
-    Entry::Propose(Box::new(version(number, Some(map(number, true)))))
+fn cold(number: u64) -> Command {
+    Command::Propose(Box::new(version(number, Some(map(number, true)))))
 }
 
-fn filled(number: u64) -> Entry {
-    Entry::Filled { number, segment: 0, holder: format!("cold{number}") }
+fn filled(number: u64) -> Command {
+    Command::FillCompleted { number, segment: 0, holder: format!("cold{number}") }
 }
 
-fn staged(number: u64) -> Entry {
+fn staged(number: u64) -> Command {
     let mut version = version(number, Some(map(number, false)));
-    version.stage = Some(0.5);
-    Entry::Propose(Box::new(version))
+    version.first_stage_ratio = Some(0.5);
+    Command::Propose(Box::new(version))
 }
 
 fn joint(fleet: &Fleet) -> bool {
-    fleet.all(&Phase::Joint(1, 2))
+    fleet.all(&ConfigPhase::Joint(1, 2))
 }
 
 /// How the change from 1 to 2 ended at all, seconds allowed.
 fn in_force(fleet: &mut Fleet, seconds: f64) {
     assert!(
-        fleet.until(seconds, |fleet| fleet.all(&Phase::Alone(2)) && fleet.all_live()),
+        fleet.until(seconds, |fleet| fleet.all(&ConfigPhase::Active(2)) && fleet.all_live()),
         "version 2 everywhere"
     );
     let (from, last) = (fleet.proposed_at[&2], fleet.alone_last[&1]);
-    assert!(last - from <= terms("n1", 5).bound, "version 1 alone until {:.2} s after", last - from);
+    assert!(
+        last - from <= terms("n1", 5).switch_bound_seconds,
+        "version 1 alone until {:.2} s after",
+        last - from
+    );
 }
 
 #[test]
@@ -46,7 +50,7 @@
     fleet.propose(propose(2)).unwrap();
     in_force(&mut fleet, 5.0);
     let took = fleet.in_force_at[&2] - fleet.proposed_at[&2];
-    assert!(took < 1.3, "{took:.2} s, and the wait is {:.2}", terms("n1", 5).wait());
+    assert!(took < 1.3, "{took:.2} s, and the wait is {:.2}", terms("n1", 5).quiescence_seconds());
 }
 
 #[test]
@@ -59,7 +63,7 @@
     fleet.until(5.0, |fleet| fleet.in_force_at.contains_key(&2));
     let took = fleet.in_force_at[&2] - fleet.proposed_at[&2];
     assert!((1.0..1.8).contains(&took), "{took:.2} s");
-    assert_eq!(fleet.phase(6), Phase::Cut(1));
+    assert_eq!(fleet.phase(6), ConfigPhase::LeaseExpired(1));
     fleet.heal();
     in_force(&mut fleet, 5.0);
 }
@@ -80,13 +84,13 @@
     assert!(fleet.until(5.0, |fleet| fleet.leader().is_some()));
     let other = fleet.leader().unwrap();
     // Killed before it was agreed: then it is not, unless another had heard.
-    let number = fleet.state(other).highest;
+    let number = fleet.state(other).highest_number;
     assert!(number == 2 || after < 0.05, "what was agreed on is not forgotten");
     if number == 2 {
         in_force(&mut fleet, 8.0);
     }
     fleet.start(leader);
-    assert!(fleet.until(5.0, |fleet| fleet.all(&Phase::Alone(number)) && fleet.all_live()));
+    assert!(fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(number)) && fleet.all_live()));
 }
 
 #[test]
@@ -100,24 +104,24 @@
     assert!(joint(&fleet), "nothing comes into force without its fill");
     assert_eq!(fleet.propose(filled(2)), Ok(()));
     in_force(&mut fleet, 8.0);
-    assert_eq!(fleet.propose(filled(2)).unwrap_err(), Refusal::NotOpen(2));
+    assert_eq!(fleet.propose(filled(2)).unwrap_err(), Rejection::NotProposed(2));
 }
 
 #[test]
 fn fills_that_are_not_done_in_time_take_the_version_back_and_its_number_is_gone() {
     let mut fleet = Fleet::mapped(5, 1, 7);
     fleet.propose(cold(2)).unwrap();
-    let wrong = Entry::Filled { number: 2, segment: 1, holder: String::from("s1a") };
+    let wrong = Command::FillCompleted { number: 2, segment: 1, holder: String::from("s1a") };
     fleet.until(2.0, joint);
-    assert!(matches!(fleet.propose(wrong), Err(Refusal::NotNeeded { .. })));
-    assert!(fleet.until(9.0, |fleet| fleet.all(&Phase::Alone(1))), "taken back");
-    assert!(matches!(fleet.propose(propose(2)), Err(Refusal::Number { given: 2, expected: 3 })));
+    assert!(matches!(fleet.propose(wrong), Err(Rejection::FillNotNeeded { .. })));
+    assert!(fleet.until(9.0, |fleet| fleet.all(&ConfigPhase::Active(1))), "taken back");
+    assert!(matches!(fleet.propose(propose(2)), Err(Rejection::WrongNumber { given: 2, expected: 3 })));
     let leader = fleet.leader().unwrap();
     assert!(
-        matches!(&fleet.state(leader).history.back().unwrap().ended, Ended::Withdrawn(why) if why.contains("fills"))
+        matches!(&fleet.state(leader).history.back().unwrap().end, ChangeEnd::Withdrawn(why) if why.contains("fills"))
     );
     fleet.propose(propose(3)).unwrap();
-    assert!(fleet.until(5.0, |fleet| fleet.all(&Phase::Alone(3))));
+    assert!(fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(3))));
 }
 
 #[rstest]
@@ -136,23 +140,25 @@
     fleet.run(8.0);
     match comes {
         // The side with a majority goes on; the other is cut off, on the strictest of what it knows.
-        Some(number) => {
-            groups.last().unwrap().iter().for_each(|n| assert_eq!(fleet.phase(*n), Phase::Alone(number)))
-        }
+        Some(number) => groups
+            .last()
+            .unwrap()
+            .iter()
+            .for_each(|n| assert_eq!(fleet.phase(*n), ConfigPhase::Active(number))),
         None => assert!(!fleet.in_force_at.contains_key(&2), "nothing changes without a majority"),
     }
-    assert_eq!(fleet.phase(0), Phase::Cut(1));
-    let acting = fleet.brokers[0].member.as_ref().unwrap().acting();
+    assert_eq!(fleet.phase(0), ConfigPhase::LeaseExpired(1));
+    let acting = fleet.brokers[0].member.as_ref().unwrap().active_config();
     let now = fleet.clock(0);
     assert!(acting.rules(now).is_some(), "and nothing stops: replayable work has its rules");
-    assert!(matches!(acting.owner(0, now), Owner::Refused(_)));
+    assert!(matches!(acting.owner(0, now), SegmentOwner::Unavailable(_)));
     fleet.heal();
     in_force_late(&mut fleet);
 }
 
 fn in_force_late(fleet: &mut Fleet) {
     assert!(
-        fleet.until(10.0, |fleet| fleet.all(&Phase::Alone(2)) && fleet.all_live()),
+        fleet.until(10.0, |fleet| fleet.all(&ConfigPhase::Active(2)) && fleet.all_live()),
         "version 2 everywhere"
     );
 }
@@ -162,11 +168,11 @@
     let mut fleet = Fleet::mapped(5, 2, 10);
     fleet.split(&[]);
     fleet.run(5.0);
-    assert!(fleet.all(&Phase::Cut(1)));
+    assert!(fleet.all(&ConfigPhase::LeaseExpired(1)));
     assert_eq!(fleet.leader(), None, "a leader without a majority steps down");
-    assert_eq!(fleet.propose(propose(2)), Err(Refusal::NotLeader(None)));
+    assert_eq!(fleet.propose(propose(2)), Err(Rejection::NotLeader(None)));
     fleet.heal();
-    assert!(fleet.until(5.0, |fleet| fleet.all(&Phase::Alone(1)) && fleet.all_live()));
+    assert!(fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(1)) && fleet.all_live()));
 }
 
 #[rstest]
@@ -193,7 +199,7 @@
     fleet.run(1.0);
     for _ in 0..100 {
         fleet.run(0.1);
-        assert_eq!(fleet.phase(6), Phase::Alone(1));
+        assert_eq!(fleet.phase(6), ConfigPhase::Active(1));
     }
 }
 
@@ -205,9 +211,9 @@
     fleet.run(4.95);
     assert!(fleet.in_force_at.contains_key(&2), "the others did not wait for it");
     // As it wakes it has heard nothing yet, and holds a part for the old owner.
-    let (acting, wakes) = (fleet.brokers[6].member.as_ref().unwrap().acting(), fleet.clock(6) + 0.05);
-    assert_eq!(acting.at(wakes), Phase::Cut(1));
-    assert!(matches!(acting.owner(1, wakes), Owner::Refused(_)));
+    let (acting, wakes) = (fleet.brokers[6].member.as_ref().unwrap().active_config(), fleet.clock(6) + 0.05);
+    assert_eq!(acting.phase(wakes), ConfigPhase::LeaseExpired(1));
+    assert!(matches!(acting.owner(1, wakes), SegmentOwner::Unavailable(_)));
     in_force(&mut fleet, 5.0);
 }
 
@@ -217,7 +223,7 @@
     let mut fleet = Fleet::mapped(5, 2, seed);
     // A lease of this moment: its question is older than any reading that follows.
     fleet.until(2.0, |fleet| {
-        fleet.brokers[6].member.as_ref().unwrap().acting().until() - fleet.clock(6) < 0.8
+        fleet.brokers[6].member.as_ref().unwrap().active_config().lease_expires_at() - fleet.clock(6) < 0.8
     });
     let last = fleet.clock(6);
     fleet.stop(6, 5.0);
@@ -234,7 +240,11 @@
     let mut fleet = set_back(-0.1, 15);
     fleet.run(0.2);
     let member = fleet.brokers[6].member.as_ref().unwrap();
-    assert!(matches!(member.distrusted(), Some(Refusal::ClockBack { .. })), "{:?}", member.distrusted());
+    assert!(
+        matches!(member.distrust_reason(), Some(Rejection::ClockWentBack { .. })),
+        "{:?}",
+        member.distrust_reason()
+    );
     assert!(!fleet.live(6));
 }
 
@@ -243,10 +253,18 @@
 fn one_whose_clock_hid_a_stand_still_is_cut_by_the_first_answer() {
     let mut fleet = set_back(0.1, 15);
     fleet.run(0.07);
-    assert_eq!((fleet.live(6), fleet.phase(6)), (true, Phase::Alone(1)), "by its clock its lease lasts");
+    assert_eq!(
+        (fleet.live(6), fleet.phase(6)),
+        (true, ConfigPhase::Active(1)),
+        "by its clock its lease lasts"
+    );
     fleet.run(0.4);
     let member = fleet.brokers[6].member.as_ref().unwrap();
-    assert!(matches!(member.distrusted(), Some(Refusal::Drift { .. })), "{:?}", member.distrusted());
+    assert!(
+        matches!(member.distrust_reason(), Some(Rejection::ClockDrift { .. })),
+        "{:?}",
+        member.distrust_reason()
+    );
     assert!(!fleet.live(6));
 }
 
@@ -259,24 +277,24 @@
     fleet.propose(propose(2)).unwrap();
     assert!(fleet.until(5.0, |fleet| fleet.in_force_at.contains_key(&2)));
     // It wakes; first of all it reads a question that has just been sent, and it still believes that it leads.
-    let ask = Ask {
-        sent: 0.0,
+    let ask = LeaseRequest {
+        sent_at: 0.0,
         id: 1,
         broker: String::from("n7"),
-        knows: Vec::new(),
-        joint: None,
+        known_versions: Vec::new(),
+        joint_version: None,
         incarnation: 1,
-        debts: 0,
-        limits: None,
-        pressed: false,
-        passed: false,
+        known_settlements: 0,
+        demand: None,
+        overloaded: false,
+        forwarded: false,
     };
     let clock = fleet.clock(leader);
     let voter = fleet.brokers[leader].voter.as_mut().unwrap();
-    assert!(voter.leads() && voter.state().number() == 1);
-    let mut told = voter.asked(clock, "n7", ask).told;
-    told.extend((0..100).flat_map(|n| voter.tick(clock + 0.01 * f64::from(n)).told));
-    assert!(told.iter().all(|(_, told)| told.answer == Answer::NoLeader), "{told:?}");
+    assert!(voter.is_leader() && voter.state().active_number() == 1);
+    let mut told = voter.handle_lease_request(clock, "n7", ask).replies;
+    told.extend((0..100).flat_map(|n| voter.tick(clock + 0.01 * f64::from(n)).replies));
+    assert!(told.iter().all(|(_, told)| told.answer == LeaseAnswer::NoLeader), "{told:?}");
     assert_eq!(told.len(), 1, "and it is answered");
 }
 
@@ -287,14 +305,14 @@
     fleet.until(5.0, joint);
     fleet.kill(6);
     fleet.start(6);
-    assert_eq!(fleet.phase(6), Phase::Cut(1));
+    assert_eq!(fleet.phase(6), ConfigPhase::LeaseExpired(1));
     fleet.until(2.0, |fleet| fleet.live(6));
-    let acting = fleet.brokers[6].member.as_ref().unwrap().acting();
+    let acting = fleet.brokers[6].member.as_ref().unwrap().active_config();
     assert!(
-        matches!(acting.owner(1, fleet.clock(6)), Owner::Refused(_)),
+        matches!(acting.owner(1, fleet.clock(6)), SegmentOwner::Unavailable(_)),
         "segment 1 moves from version 1 to 2"
     );
-    assert_eq!(acting.owner(0, fleet.clock(6)), Owner::Only("s0b"));
+    assert_eq!(acting.owner(0, fleet.clock(6)), SegmentOwner::Node("s0b"));
 }
 
 #[test]
@@ -304,7 +322,10 @@
     fleet.split(&[&[0, 1, 3]]);
     assert!(fleet.until(5.0, |fleet| fleet.leader().is_some()));
     fleet.propose(debts::settle(settlement("paid"))).unwrap();
-    assert!(fleet.until(2.0, |fleet| fleet.state(0).debts.count == 1 && fleet.state(1).debts.count == 1));
+    assert!(
+        fleet.until(2.0, |fleet| fleet.state(0).settlements.count == 1
+            && fleet.state(1).settlements.count == 1)
+    );
     // 0 loses its folder, 1 stands still: 0 and 2 are a majority by count, and know nothing of it.
     fleet.kill(0);
     fleet.empty(0);
@@ -313,15 +334,15 @@
     fleet.heal();
     fleet.run(5.5);
     assert_eq!(fleet.leader(), None, "an empty folder counts for nothing");
-    assert!(fleet.until(8.0, |fleet| (0..3).all(|n| fleet.state(n).debts.count == 1)), "known to all");
-    assert!(fleet.brokers[0].voter.as_ref().unwrap().seated());
+    assert!(fleet.until(8.0, |fleet| (0..3).all(|n| fleet.state(n).settlements.count == 1)), "known to all");
+    assert!(fleet.brokers[0].voter.as_ref().unwrap().has_state());
     // It counts again: with 1 gone the two others go on.
     fleet.run(1.0);
     fleet.kill(1);
     assert!(fleet.until(5.0, |fleet| fleet.leader().is_some()));
     assert_eq!(
         fleet.propose(debts::settle(settlement("paid"))),
-        Err(Refusal::Settled(settlement("paid").id))
+        Err(Rejection::AlreadySettled(settlement("paid").id))
     );
 }
 
@@ -334,11 +355,16 @@
     fleet.kill(0);
     fleet.empty(0);
     fleet.start(0);
-    assert!(fleet.until(3.0, |fleet| fleet.brokers[0].voter.as_ref().unwrap().seated() && fleet.all_live()));
+    assert!(
+        fleet.until(3.0, |fleet| fleet.brokers[0].voter.as_ref().unwrap().has_state() && fleet.all_live())
+    );
     fleet.run(0.5);
     (0..3).for_each(|n| fleet.kill(n));
     (0..3).for_each(|n| fleet.start(n));
-    assert!(fleet.until(12.0, |fleet| fleet.all(&Phase::Alone(1))), "taken back, as its fill was never done");
+    assert!(
+        fleet.until(12.0, |fleet| fleet.all(&ConfigPhase::Active(1))),
+        "taken back, as its fill was never done"
+    );
 }
 
 #[test]
@@ -352,7 +378,7 @@
     fleet.split(&[&[0, 1, 3], &[2]]);
     assert!(fleet.until(5.0, |fleet| fleet.leader().is_some_and(|n| n != 2)));
     fleet.propose(debts::settle(settlement("paid"))).unwrap();
-    assert!(fleet.until(2.0, |fleet| fleet.state(0).debts.count == 1));
+    assert!(fleet.until(2.0, |fleet| fleet.state(0).settlements.count == 1));
     fleet.kill(0);
     fleet.brokers[0].disk = old;
     fleet.start(0);
@@ -365,7 +391,7 @@
         fleet.brokers[0].log
     );
     assert_eq!(fleet.leader(), None);
-    assert!(fleet.until(8.0, |fleet| (0..3).all(|n| fleet.state(n).debts.count == 1)), "known to all");
+    assert!(fleet.until(8.0, |fleet| (0..3).all(|n| fleet.state(n).settlements.count == 1)), "known to all");
 }
 
 /// Whenever it starts, beside one that asks for votes and does not know what was agreed on: until a peer has told it of
@@ -382,7 +408,7 @@
         fleet.split(&[&[0, 1], &[2]]);
         assert!(fleet.until(5.0, |fleet| fleet.leader().is_some_and(|n| n != 2)));
         fleet.propose(debts::settle(settlement("paid"))).unwrap();
-        assert!(fleet.until(2.0, |fleet| fleet.state(0).debts.count == 1));
+        assert!(fleet.until(2.0, |fleet| fleet.state(0).settlements.count == 1));
         fleet.kill(0);
         fleet.brokers[0].disk = old;
         fleet.stop(1, 4.0);
@@ -391,7 +417,10 @@
         fleet.start(0);
         fleet.run(3.5);
         assert_ne!(fleet.leader(), Some(2), "offset {offset}: led by one that knows nothing of it");
-        assert!(fleet.until(8.0, |fleet| (0..3).all(|n| fleet.state(n).debts.count == 1)), "offset {offset}");
+        assert!(
+            fleet.until(8.0, |fleet| (0..3).all(|n| fleet.state(n).settlements.count == 1)),
+            "offset {offset}"
+        );
     }
 }
 
@@ -414,27 +443,27 @@
     let mut fleet = Fleet::mapped(5, 0, 21);
     fleet.propose(propose(2)).unwrap();
     // Not agreed on yet, and refused; agreed on, and refused.
-    assert_eq!(fleet.propose(propose(2)), Err(Refusal::Open { open: 2 }));
+    assert_eq!(fleet.propose(propose(2)), Err(Rejection::ChangeOpen { open: 2 }));
     fleet.run(0.2);
-    assert_eq!(fleet.propose(propose(3)), Err(Refusal::Open { open: 2 }));
+    assert_eq!(fleet.propose(propose(3)), Err(Rejection::ChangeOpen { open: 2 }));
     // From a proposer that does not ask: ignored by all.
     let leader = fleet.leader().unwrap();
     fleet.propose_at(leader, propose(3), true).unwrap();
     in_force(&mut fleet, 5.0);
-    assert_eq!(fleet.state(leader).highest, 2);
+    assert_eq!(fleet.state(leader).highest_number, 2);
 }
 
 /// As its own check would not let it pass.
-fn faulty(fault: &str) -> Version {
+fn faulty(fault: &str) -> ConfigVersion {
     let mut version = version(2, Some(map(2, false)));
     let map = version.map.as_mut().unwrap();
     match fault {
         "gap" => drop(map.segments.remove(1)),
         "stale digest" => map.digest = String::from("0123"),
-        "owner gone" => version.standings.gone.push(String::from("s0b")),
+        "owner gone" => version.excluded_nodes.removed.push(String::from("s0b")),
         "epoch" => *map = fleet::map(1, true),
-        "rules" => version.rules.budget_share = f64::NAN,
-        "follows" => version.follows = Some(0),
+        "rules" => version.rules.retry_budget_ratio = f64::NAN,
+        "follows" => version.based_on = Some(0),
         "no map" => version.map = None,
         "number" => version.number = 9,
         _ => unreachable!(),
@@ -445,26 +474,26 @@
 }
 
 #[rstest]
-#[case("gap", |why: &Refusal| matches!(why, Refusal::Map(_)))]
-#[case("stale digest", |why: &Refusal| matches!(why, Refusal::Map(_)))]
-#[case("owner gone", |why: &Refusal| matches!(why, Refusal::OwnerLeaves { segment: 0, .. }))]
-#[case("epoch", |why: &Refusal| matches!(why, Refusal::Map(_)))]
-#[case("rules", |why: &Refusal| matches!(why, Refusal::Rules { key: "budget_share", .. }))]
-#[case("follows", |why: &Refusal| matches!(why, Refusal::Follows { given: 0, in_force: 1 }))]
-#[case("no map", |why: &Refusal| matches!(why, Refusal::MapDropped(2)))]
-#[case("number", |why: &Refusal| matches!(why, Refusal::Number { given: 9, expected: 2 }))]
+#[case("gap", |why: &Rejection| matches!(why, Rejection::InvalidMap(_)))]
+#[case("stale digest", |why: &Rejection| matches!(why, Rejection::InvalidMap(_)))]
+#[case("owner gone", |why: &Rejection| matches!(why, Rejection::OwnerExcluded { segment: 0, .. }))]
+#[case("epoch", |why: &Rejection| matches!(why, Rejection::InvalidMap(_)))]
+#[case("rules", |why: &Rejection| matches!(why, Rejection::InvalidRule { key: "budget_share", .. }))]
+#[case("follows", |why: &Rejection| matches!(why, Rejection::WrongBase { given: 0, in_force: 1 }))]
+#[case("no map", |why: &Rejection| matches!(why, Rejection::MapDropped(2)))]
+#[case("number", |why: &Rejection| matches!(why, Rejection::WrongNumber { given: 9, expected: 2 }))]
 fn a_faulty_version_is_refused_and_ignored_even_from_a_proposer_that_skips_its_check(
     #[case] fault: &str,
-    #[case] as_told: fn(&Refusal) -> bool,
+    #[case] as_told: fn(&Rejection) -> bool,
 ) {
     let mut fleet = Fleet::mapped(5, 1, 22);
-    let entry = || Entry::Propose(Box::new(faulty(fault)));
+    let entry = || Command::Propose(Box::new(faulty(fault)));
     let why = fleet.propose(entry()).unwrap_err();
     assert!(as_told(&why), "{why}");
     let leader = fleet.leader().unwrap();
     fleet.propose_at(leader, entry(), true).unwrap();
     fleet.run(4.0);
-    assert!(fleet.all(&Phase::Alone(1)) && fleet.all_live());
+    assert!(fleet.all(&ConfigPhase::Active(1)) && fleet.all_live());
     for n in 0..5 {
         assert!(fleet.brokers[n].log.iter().any(|line| line.starts_with("ignored")), "judged by each voter");
     }
@@ -479,9 +508,12 @@
     fleet.propose(debts::settle(settlement("two"))).unwrap();
     fleet.run(2.0);
     for n in 0..6 {
-        let told = fleet.brokers[n].member.as_mut().unwrap().debts();
-        let entries: Vec<Entry> =
-            told.into_iter().flat_map(|told| told.entries).map(|noted| Entry::Debt(noted.entry)).collect();
+        let told = fleet.brokers[n].member.as_mut().unwrap().take_settlement_updates();
+        let entries: Vec<Command> = told
+            .into_iter()
+            .flat_map(|told| told.entries)
+            .map(|noted| Command::Settlement(noted.entry))
+            .collect();
         assert_eq!(
             entries,
             [debts::settle(settlement("one")), debts::settle(settlement("two"))],
@@ -506,27 +538,31 @@
     }
     assert!(most < 2200, "{most} records in a folder");
     fleet.start(away);
-    assert!(fleet.until(5.0, |fleet| fleet.state(away).debts.count == 3000));
+    assert!(fleet.until(5.0, |fleet| fleet.state(away).settlements.count == 3000));
     assert!(fleet.brokers[away].log.iter().any(|line| line.contains("by a snapshot")));
-    assert_eq!(fleet.propose(debts::settle(settlement("7"))), Err(Refusal::Settled(settlement("7").id)));
+    assert_eq!(
+        fleet.propose(debts::settle(settlement("7"))),
+        Err(Rejection::AlreadySettled(settlement("7").id))
+    );
 }
 
 #[test]
 fn a_stage_goes_first_and_has_a_way_back_and_a_way_on() {
     let mut fleet = Fleet::mapped(5, 5, 25);
-    let ahead = |fleet: &Fleet, number| (0..10).filter(|n| fleet.phase(*n) == Phase::Alone(number)).count();
+    let ahead =
+        |fleet: &Fleet, number| (0..10).filter(|n| fleet.phase(*n) == ConfigPhase::Active(number)).count();
     fleet.propose(staged(2)).unwrap();
     fleet.run(5.0);
     assert!((1..10).contains(&ahead(&fleet, 2)), "{} of 10 go first", ahead(&fleet, 2));
     assert_eq!(ahead(&fleet, 1), 0, "the others are joint");
     // Back: no one may act on 1 alone before the last has left 2.
-    fleet.propose(Entry::Withdraw { number: 2, why: String::from("worse") }).unwrap();
-    assert!(fleet.until(8.0, |fleet| fleet.all(&Phase::Alone(1))));
+    fleet.propose(Command::Withdraw { number: 2, why: String::from("worse") }).unwrap();
+    assert!(fleet.until(8.0, |fleet| fleet.all(&ConfigPhase::Active(1))));
     fleet.propose(staged(3)).unwrap();
     fleet.run(5.0);
     assert!((1..10).contains(&ahead(&fleet, 3)));
-    fleet.propose(Entry::Confirm { number: 3 }).unwrap();
-    assert!(fleet.until(3.0, |fleet| fleet.all(&Phase::Alone(3))));
+    fleet.propose(Command::Activate { number: 3 }).unwrap();
+    assert!(fleet.until(3.0, |fleet| fleet.all(&ConfigPhase::Active(3))));
 }
 
 #[test]
@@ -534,7 +570,7 @@
     let mut fleet = Fleet::mapped(5, 0, 26);
     fleet.propose(propose(2)).unwrap();
     fleet.run(0.1);
-    assert_eq!(fleet.propose(Entry::Confirm { number: 2 }), Err(Refusal::LeaderOnly(2)));
+    assert_eq!(fleet.propose(Command::Activate { number: 2 }), Err(Rejection::LeaderOnly(2)));
 }
 
 #[test]
@@ -561,10 +597,9 @@
     }
     in_force_late(&mut fleet);
     let leader = fleet.leader().unwrap();
-    assert!(
-        fleet.until(5.0, |fleet| (0..5)
-            .all(|n| fleet.state(leader).seats[&format!("n{}", n + 1)].starts == 2))
-    );
+    assert!(fleet.until(5.0, |fleet| {
+        (0..5).all(|n| fleet.state(leader).voter_slots[&format!("n{}", n + 1)].start_count == 2)
+    }));
 }
 
 #[test]
@@ -581,11 +616,15 @@
     fleet.slow = Some(slow);
     assert!(fleet.until(5.0, |fleet| fleet.leader().is_some_and(|n| n != slow)));
     fleet.propose(propose(2)).unwrap();
-    let others = |fleet: &Fleet| (0..7).filter(|n| *n != slow).all(|n| fleet.phase(n) == Phase::Alone(2));
+    let others =
+        |fleet: &Fleet| (0..7).filter(|n| *n != slow).all(|n| fleet.phase(n) == ConfigPhase::Active(2));
     assert!(fleet.until(5.0, others));
     // Its answers come after the lease that they bring is over: it refuses, and is not mistaken.
-    assert!(!matches!(fleet.phase(slow), Phase::Alone(_)));
-    assert!(fleet.until(10.0, |fleet| fleet.state(slow).number() == 2), "its log comes along all the same");
+    assert!(!matches!(fleet.phase(slow), ConfigPhase::Active(_)));
+    assert!(
+        fleet.until(10.0, |fleet| fleet.state(slow).active_number() == 2),
+        "its log comes along all the same"
+    );
     fleet.slow = None;
     in_force_late(&mut fleet);
 }
@@ -601,11 +640,15 @@
         fleet.start(n);
         fleet.run(1.0);
     }
-    let leases = |fleet: &Fleet| (0..3).map(|n| fleet.state(n).terms.lease).collect::<Vec<_>>();
+    let leases = |fleet: &Fleet| (0..3).map(|n| fleet.state(n).config.lease_seconds).collect::<Vec<_>>();
     assert_eq!(leases(&fleet), [1.0; 3], "not while a version is proposed");
-    assert!(fleet.until(12.0, |fleet| fleet.all(&Phase::Alone(1)) && leases(fleet) == [0.5; 3]));
-    let own = Terms { lease: 0.5, ..terms("n1", 3) };
-    assert_eq!(fleet.state(0).wait(&own), terms("n1", 3).wait(), "one of a second may run yet");
+    assert!(fleet.until(12.0, |fleet| fleet.all(&ConfigPhase::Active(1)) && leases(fleet) == [0.5; 3]));
+    let own = ConsensusConfig { lease_seconds: 0.5, ..terms("n1", 3) };
+    assert_eq!(
+        fleet.state(0).quiescence_seconds(&own),
+        terms("n1", 3).quiescence_seconds(),
+        "one of a second may run yet"
+    );
     fleet.propose(propose(3)).unwrap();
-    assert!(fleet.until(5.0, |fleet| fleet.all(&Phase::Alone(3))));
+    assert!(fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(3))));
 }
--- a/crates/dunepond-consensus/tests/upgrades.rs
+++ b/crates/dunepond-consensus/tests/upgrades.rs
@@ -12,41 +12,44 @@
 
 const KEY: &str = "rules.least_brokers";
 
-fn more(key: &str, must: bool) -> More {
-    More { key: key.to_string(), text: String::from("{\"a\": [1, 2.50]}"), must }
+fn more(key: &str, must: bool) -> Extension {
+    Extension { key: key.to_string(), json: String::from("{\"a\": [1, 2.50]}"), required: must }
 }
 
-fn later(number: u64, more: More) -> Version {
-    Version { more: vec![more], ..version(number, Some(map(number, false))) }
+fn later(number: u64, more: Extension) -> ConfigVersion {
+    ConfigVersion { extensions: vec![more], ..version(number, Some(map(number, false))) }
 }
 
-fn propose(version: &Version) -> Entry {
-    Entry::Propose(Box::new(version.clone()))
+fn propose(version: &ConfigVersion) -> Command {
+    Command::Propose(Box::new(version.clone()))
 }
 
 #[test]
 fn documents_of_format_1_are_read_and_gone_on_from() {
-    let one = Version { stage: Some(0.5), ..version(1, Some(map(1, false))) };
-    let read = Version::unpacked(VERSION).unwrap();
+    let one = ConfigVersion { first_stage_ratio: Some(0.5), ..version(1, Some(map(1, false))) };
+    let read = ConfigVersion::unpacked(VERSION).unwrap();
     assert_eq!((&read, read.digest().as_str()), (&one, DIGEST));
-    let (mut saved, mut rest) = (Saved::new(), JOURNAL);
+    let (mut saved, mut rest) = (StoredVoter::new(), JOURNAL);
     while let Some((length, more)) = rest.split_first_chunk::<4>() {
         let (record, more) = more.split_at(u32::from_le_bytes(*length) as usize);
-        saved.take(record).unwrap();
+        saved.apply_record(record).unwrap();
         rest = more;
     }
     let mut voter = Voter::open(terms("n1", 1), saved, 0.0, 1).unwrap();
     (1..400).for_each(|n| drop(voter.tick(0.02 * f64::from(n))));
     let state = voter.state();
-    assert!(voter.leads() && voter.seated());
+    assert!(voter.is_leader() && voter.has_state());
     // Its fill was never done: it was taken back since, by the deadline.
-    assert_eq!((state.number(), state.highest, state.open.is_none()), (1, 2, true));
-    assert_eq!(state.voters.list.iter().map(|voter| voter.name.as_str()).collect::<Vec<_>>(), ["n1"]);
+    assert_eq!((state.active_number(), state.highest_number, state.open.is_none()), (1, 2, true));
+    assert_eq!(state.voters.voters.iter().map(|voter| voter.name.as_str()).collect::<Vec<_>>(), ["n1"]);
     voter.propose(8.0, propose(&version(3, Some(map(3, false))))).unwrap();
     assert_eq!(voter.state().open.as_ref().map(|open| open.version.number), Some(3));
-    let kept = Kept::of(KEPT).unwrap();
-    let member = Member::new(terms("n1", 1), Some(kept), 0.0, 1);
-    assert_eq!((member.acting().at(0.0), member.acting().proposed()), (Phase::Cut(1), Some(2)));
+    let kept = PersistedState::decode(KEPT).unwrap();
+    let member = LeaseClient::new(terms("n1", 1), Some(kept), 0.0, 1);
+    assert_eq!(
+        (member.active_config().phase(0.0), member.active_config().proposed_number()),
+        (ConfigPhase::LeaseExpired(1), Some(2))
+    );
 }
 
 #[test]
@@ -54,25 +57,25 @@
     let mut fleet = Fleet::mapped(3, 1, 70);
     let two = later(2, more("omens", false));
     fleet.propose(propose(&two)).unwrap();
-    assert!(fleet.until(5.0, |fleet| fleet.all(&Phase::Alone(2))));
+    assert!(fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(2))));
     // Through the log, snapshots, a restart, a new folder, and to each broker.
     fleet.kill(0);
     fleet.empty(0);
     fleet.start(0);
-    assert!(fleet.until(5.0, |fleet| fleet.all(&Phase::Alone(2)) && fleet.staffed()));
+    assert!(fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(2)) && fleet.staffed()));
     for n in 0..4 {
-        let acting = fleet.brokers[n].member.as_ref().unwrap().acting();
+        let acting = fleet.brokers[n].member.as_ref().unwrap().active_config();
         assert_eq!(acting.versions().0, Some(&two));
         assert_eq!(acting.versions().0.unwrap().digest(), two.digest());
     }
-    assert_ne!(two.digest(), Version { more: Vec::new(), ..two }.digest());
+    assert_ne!(two.digest(), ConfigVersion { extensions: Vec::new(), ..two }.digest());
 }
 
 fn newer(fleet: &mut Fleet, n: usize) {
     let broker = &mut fleet.brokers[n];
-    broker.member.as_mut().unwrap().understands(&[KEY]);
+    broker.member.as_mut().unwrap().add_known_keys(&[KEY]);
     if let Some(voter) = &mut broker.voter {
-        voter.understands(&[KEY]);
+        voter.add_known_keys(&[KEY]);
     }
 }
 
@@ -82,26 +85,26 @@
     let leader = fleet.leader().unwrap();
     let two = later(2, more(KEY, true));
     let key = String::from(KEY);
-    assert_eq!(fleet.propose(propose(&two)), Err(Refusal::NotUnderstood { number: 2, key: key.clone() }));
+    assert_eq!(fleet.propose(propose(&two)), Err(Rejection::UnknownKey { number: 2, key: key.clone() }));
     newer(&mut fleet, leader);
     fleet.run(3.0);
     let refused = fleet.propose(propose(&two)).unwrap_err();
-    assert!(matches!(refused, Refusal::NotUnderstoodAt { number: 2, .. }), "{refused}");
+    assert!(matches!(refused, Rejection::UnknownKeyAtVoter { number: 2, .. }), "{refused}");
     // From a leader that does not look: the two old ones do not vote for it, and say why.
     fleet.propose_at(leader, propose(&two), true).unwrap();
     fleet.run(3.0);
-    assert!((0..3).all(|n| fleet.state(n).highest == 1), "not agreed on");
+    assert!((0..3).all(|n| fleet.state(n).highest_number == 1), "not agreed on");
     let said = |n: usize| {
         fleet.brokers[n].log.iter().any(|line| line.contains("does not vote") && line.contains(KEY))
     };
     assert!((0..3).filter(|n| *n != leader).all(said));
-    assert!(fleet.all_live() && fleet.all(&Phase::Alone(1)), "and all go on as they were");
+    assert!(fleet.all_live() && fleet.all(&ConfigPhase::Active(1)), "and all go on as they were");
     // Those two go on without it once it is gone.
     fleet.kill(leader);
     assert!(fleet.until(5.0, |fleet| fleet.leader().is_some()));
     fleet.propose(propose(&version(2, Some(map(2, false))))).unwrap();
     fleet.start(leader);
-    assert!(fleet.until(8.0, |fleet| fleet.all(&Phase::Alone(2)) && fleet.all_live()));
+    assert!(fleet.until(8.0, |fleet| fleet.all(&ConfigPhase::Active(2)) && fleet.all_live()));
 }
 
 #[test]
@@ -110,8 +113,8 @@
     (0..4).for_each(|n| newer(&mut fleet, n));
     fleet.run(3.0);
     fleet.propose(propose(&later(2, more(KEY, true)))).unwrap();
-    assert!(fleet.until(5.0, |fleet| (0..4).all(|n| fleet.phase(n) == Phase::Alone(2))));
-    assert_eq!(fleet.phase(4), Phase::Cut(1));
-    let why = Refusal::NotUnderstood { number: 2, key: String::from(KEY) };
+    assert!(fleet.until(5.0, |fleet| (0..4).all(|n| fleet.phase(n) == ConfigPhase::Active(2))));
+    assert_eq!(fleet.phase(4), ConfigPhase::LeaseExpired(1));
+    let why = Rejection::UnknownKey { number: 2, key: String::from(KEY) };
     assert!(fleet.brokers[4].refusals.contains(&why));
 }
--- a/crates/dunepond-consensus/tests/voters.rs
+++ b/crates/dunepond-consensus/tests/voters.rs
@@ -5,8 +5,8 @@
 use dunepond_simulation::fleet::{Fleet, map, settlement, version};
 use rstest::rstest;
 
-fn propose(number: u64) -> Entry {
-    Entry::Propose(Box::new(version(number, Some(map(number, false)))))
+fn propose(number: u64) -> Command {
+    Command::Propose(Box::new(version(number, Some(map(number, false)))))
 }
 
 fn names(places: &[usize]) -> Vec<String> {
@@ -44,7 +44,7 @@
     }
     assert!(fleet.until(5.0, |fleet| fleet.leader().is_some() && fleet.all_live()));
     fleet.propose(propose(2)).unwrap();
-    assert!(fleet.until(5.0, |fleet| fleet.all(&Phase::Alone(2))));
+    assert!(fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(2))));
 }
 
 #[test]
@@ -61,17 +61,21 @@
         list[at] = new;
         change(&mut fleet, &list);
         fleet.kill(gone);
-        assert!(fleet.until(8.0, |fleet| fleet.all(&Phase::Alone(number)) && fleet.all_live()), "{number}");
+        assert!(
+            fleet.until(8.0, |fleet| fleet.all(&ConfigPhase::Active(number)) && fleet.all_live()),
+            "{number}"
+        );
     }
     assert!(list.iter().all(|n| *n > 2));
     fleet.propose(propose(5)).unwrap();
-    assert!(fleet.until(5.0, |fleet| fleet.all(&Phase::Alone(5))));
+    assert!(fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(5))));
     // A broker whose file still names the first ones has its lease, also after a restart, and says what to change.
     fleet.kill(6);
     fleet.start(6);
     assert!(fleet.until(3.0, |fleet| fleet.live(6)));
     let member = fleet.brokers[6].member.as_ref().unwrap();
-    let agreed: Vec<String> = member.file_differs().unwrap().iter().map(|voter| voter.name.clone()).collect();
+    let agreed: Vec<String> =
+        member.voters_unlike_file().unwrap().iter().map(|voter| voter.name.clone()).collect();
     assert_eq!(agreed, names(&list));
 }
 
@@ -97,7 +101,11 @@
     change(&mut fleet, &[1]);
     assert!(fleet.until(3.0, |fleet| log(fleet, 0, "leads no more") && fleet.leader() == Some(1)));
     fleet.propose(propose(2)).unwrap();
-    assert!(fleet.until(5.0, |fleet| fleet.all(&Phase::Alone(2)) && fleet.all_live()), "{}", fleet.shown());
+    assert!(
+        fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(2)) && fleet.all_live()),
+        "{}",
+        fleet.shown()
+    );
 }
 
 #[test]
@@ -107,11 +115,11 @@
     fleet.kill(0);
     assert!(fleet.until(5.0, |fleet| fleet.leader().is_some()));
     change(&mut fleet, &[3, 1, 2]);
-    fleet.propose(Entry::Debt(dunepond_settlement::Agreed::Settle(settlement("paid")))).unwrap();
+    fleet.propose(Command::Settlement(dunepond_settlement::Agreed::Settle(settlement("paid")))).unwrap();
     fleet.run(0.5);
     fleet.start(0);
     assert!(fleet.until(3.0, |fleet| log(fleet, 0, "votes no more")));
-    assert!(!fleet.brokers[0].voter.as_ref().unwrap().leads());
+    assert!(!fleet.brokers[0].voter.as_ref().unwrap().is_leader());
     // Of the three that vote two are down: the old one is no second.
     fleet.kill(1);
     fleet.kill(2);
@@ -119,21 +127,21 @@
         fleet.step();
         assert_eq!(fleet.leader(), None, "two of the first three, and none of them counts");
     }
-    let ask = Ask {
+    let ask = LeaseRequest {
         id: 1,
         broker: String::from("n6"),
-        sent: 0.0,
-        knows: Vec::new(),
-        joint: None,
+        sent_at: 0.0,
+        known_versions: Vec::new(),
+        joint_version: None,
         incarnation: 1,
-        debts: 0,
-        limits: None,
-        pressed: false,
-        passed: false,
+        known_settlements: 0,
+        demand: None,
+        overloaded: false,
+        forwarded: false,
     };
     let clock = fleet.clock(0);
-    let told = fleet.brokers[0].voter.as_mut().unwrap().asked(clock, "n6", ask).told;
-    assert!(matches!(&told[0].1.answer, Answer::NoVoter(others) if others.len() == 3));
+    let told = fleet.brokers[0].voter.as_mut().unwrap().handle_lease_request(clock, "n6", ask).replies;
+    assert!(matches!(&told[0].1.answer, LeaseAnswer::NotAVoter(others) if others.len() == 3));
     // A broker that knows only the first voters asks it, is refused by type, and finds the others.
     fleet.start(1);
     fleet.start(2);
@@ -142,7 +150,7 @@
     fleet.cut.extend([(5, 2), (5, 3), (5, 4)]);
     fleet.start(5);
     assert!(fleet.until(5.0, |fleet| fleet.live(5)), "through n2: {}", fleet.shown());
-    assert!(fleet.brokers[5].refusals.contains(&Refusal::VotesNot(String::from("n1"))));
+    assert!(fleet.brokers[5].refusals.contains(&Rejection::NotAVoter(String::from("n1"))));
 }
 
 #[test]
@@ -154,18 +162,18 @@
         change(&mut fleet, &list);
     }
     fleet.propose(propose(2)).unwrap();
-    assert!(fleet.until(5.0, |fleet| fleet.all(&Phase::Alone(2))), "{}", fleet.shown());
+    assert!(fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(2))), "{}", fleet.shown());
     // On their own folders, restarted, and cut from all that vote now.
     (0..3).for_each(|n| fleet.kill(n));
     fleet.split(&[&[0, 1, 2, 6][..], &[3, 4, 5]]);
     (0..3).for_each(|n| fleet.start(n));
     for _ in 0..1000 {
         fleet.step();
-        assert!((0..3).all(|n| !fleet.brokers[n].voter.as_ref().unwrap().leads()), "{:.2}", fleet.now);
+        assert!((0..3).all(|n| !fleet.brokers[n].voter.as_ref().unwrap().is_leader()), "{:.2}", fleet.now);
     }
-    assert_eq!(fleet.phase(6), Phase::Cut(2));
+    assert_eq!(fleet.phase(6), ConfigPhase::LeaseExpired(2));
     fleet.heal();
-    assert!(fleet.until(5.0, |fleet| fleet.all(&Phase::Alone(2)) && fleet.all_live()));
+    assert!(fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(2)) && fleet.all_live()));
 }
 
 #[test]
@@ -185,33 +193,39 @@
     fleet.vote(&[0, 1, 2, 3]).unwrap();
     fleet.run(3.0);
     assert_eq!(fleet.voting(), [0, 1, 2], "it waits");
-    assert_eq!(fleet.vote(&[0, 1]), Err(Refusal::VotersWait { number: 1 }));
+    assert_eq!(fleet.vote(&[0, 1]), Err(Rejection::VotersPending { number: 1 }));
     fleet.vote(&[0, 1, 2]).unwrap();
     fleet.run(0.5);
     let state = fleet.state(fleet.leader().unwrap());
-    assert_eq!((state.voters.number, &state.voters.next), (2, &None));
+    assert_eq!((state.voters.number, &state.voters.pending), (2, &None));
     // The one that came too late gets no seat.
     fleet.enlist(3, &names(&[0, 1, 2, 3]));
     fleet.run(3.0);
-    assert!(!fleet.brokers[3].voter.as_ref().unwrap().seated() && fleet.voting() == [0, 1, 2]);
+    assert!(!fleet.brokers[3].voter.as_ref().unwrap().has_state() && fleet.voting() == [0, 1, 2]);
 }
 
 #[rstest]
-#[case::nobody(1, &[], Refusal::NoVoters)]
-#[case::twice(1, &[0, 1, 2, 2], Refusal::VoterTwice(String::from("n3")))]
-#[case::a_number_of_before(0, &[0, 1], Refusal::VotersNumber { given: 0, expected: 1 })]
-#[case::the_same(1, &[0, 1, 2], Refusal::VotersSame)]
-#[case::two_join(1, &[0, 1, 2, 3, 4], Refusal::VotersAtOnce { joins: names(&[3, 4]), leaves: vec![] })]
-#[case::two_leave(1, &[0, 3], Refusal::VotersAtOnce { joins: names(&[3]), leaves: names(&[1, 2]) })]
+#[case::nobody(1, &[], Rejection::NoVoters)]
+#[case::twice(1, &[0, 1, 2, 2], Rejection::DuplicateVoter(String::from("n3")))]
+#[case::a_number_of_before(0, &[0, 1], Rejection::WrongVotersNumber { given: 0, expected: 1 })]
+#[case::the_same(1, &[0, 1, 2], Rejection::VotersUnchanged)]
+#[case::two_join(1, &[0, 1, 2, 3, 4], Rejection::TooManyVoterChanges { joins: names(&[3, 4]), leaves: vec![] })]
+#[case::two_leave(1, &[0, 3], Rejection::TooManyVoterChanges { joins: names(&[3]), leaves: names(&[1, 2]) })]
 fn a_word_that_will_not_do_is_refused_by_its_kind_and_ignored_by_all(
     #[case] number: u64,
     #[case] places: &[usize],
-    #[case] why: Refusal,
+    #[case] why: Rejection,
 ) {
     let mut fleet = Fleet::mapped(3, 2, 56);
-    let voters: Vec<_> = names(places).into_iter().map(|name| Named { name, at: None }).collect();
+    let voters: Vec<_> = names(places).into_iter().map(|name| VoterInfo { name, address: None }).collect();
     let (who, why_not) = (String::from("ann"), String::new());
-    let entry = Entry::Vote(Box::new(Voting { number, voters, who, why: why_not, at: 0.0 }));
+    let entry = Command::ChangeVoters(Box::new(VoterChange {
+        number,
+        voters,
+        proposed_by: who,
+        reason: why_not,
+        proposed_at_unix_seconds: 0.0,
+    }));
     assert_eq!(fleet.propose(entry.clone()), Err(why));
     let leader = fleet.leader().unwrap();
     fleet.propose_at(leader, entry, true).unwrap();
@@ -238,5 +252,5 @@
     fleet.start(leader);
     assert!(fleet.until(8.0, |fleet| fleet.leader().is_some() && fleet.voting() == list && fleet.staffed()));
     fleet.propose(propose(2)).unwrap();
-    assert!(fleet.until(5.0, |fleet| fleet.all(&Phase::Alone(2)) && fleet.all_live()));
+    assert!(fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(2)) && fleet.all_live()));
 }
--- a/crates/dunepond-control-plane/src/clock.rs
+++ b/crates/dunepond-control-plane/src/clock.rs
@@ -4,7 +4,7 @@
 
 /// All leases are counted on this clock. A clock that stood still while the machine slept would let a lease outlast its
 /// end.
-pub fn steady() -> f64 {
+pub fn monotonic_seconds() -> f64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as f64 + now.tv_nsec as f64 / 1e9
 }
--- a/crates/dunepond-control-plane/src/error.rs
+++ b/crates/dunepond-control-plane/src/error.rs
@@ -2,14 +2,14 @@
 
 use std::path::PathBuf;
 
-use dunepond_consensus::TermsError;
+use dunepond_consensus::ConsensusConfigError;
 use dunepond_membership::PeerError;
 use thiserror::Error;
 
 #[derive(Debug, Error)]
-pub enum FleetError {
+pub enum ControlPlaneError {
     #[error("{0}")]
-    Terms(#[from] TermsError),
+    Terms(#[from] ConsensusConfigError),
     #[error("links: {0}")]
     Peers(#[from] PeerError),
     #[error("folder {path}: {why}")]
@@ -26,7 +26,7 @@
     Agree { why: String, help: String },
 }
 
-impl FleetError {
+impl ControlPlaneError {
     /// What an operator can do.
     pub fn help(&self) -> String {
         match self {
@@ -121,19 +121,21 @@
     #[error("the filler at {at} cannot be reached: {why}")]
     Unreachable { at: String, why: String },
     #[error("the filler at {at} answered {status} for {id}")]
-    Refused { at: String, status: u16, id: String },
+    Rejected { at: String, status: u16, id: String },
     #[error("the filler at {at} says of {id} what cannot be read: {why}")]
-    Garbled { at: String, id: String, why: String },
+    InvalidResponse { at: String, id: String, why: String },
 }
 
 impl FillError {
     pub fn help(&self) -> &'static str {
         match self {
             Self::Unreachable { .. } => "look whether the filler runs at the address of 'fills at='",
-            Self::Refused { .. } => {
+            Self::Rejected { .. } => {
                 "look at the filler's log; the fill is asked for again until the deadline"
             }
-            Self::Garbled { .. } => "the filler answers with no body, or with JSON of source and bytes",
+            Self::InvalidResponse { .. } => {
+                "the filler answers with no body, or with JSON of source and bytes"
+            }
         }
     }
 }
@@ -147,14 +149,14 @@
         let (path, why) = (PathBuf::from("/a/b"), "no".to_string());
         let at = || "127.0.0.1:1".to_string();
         let fleet = [
-            FleetError::Terms(TermsError::NoVoters),
-            FleetError::Peers(PeerError::Stopped),
-            FleetError::Folder { path: path.clone(), why: why.clone() },
-            FleetError::Key { path: path.clone(), why: why.clone() },
-            FleetError::Record { path: path.clone(), why: why.clone() },
-            FleetError::Thread { why: why.clone() },
-            FleetError::Agree { why: why.clone(), help: "look".to_string() },
-            FleetError::Word { path: path.clone(), why: why.clone(), help: "look".to_string() },
+            ControlPlaneError::Terms(ConsensusConfigError::NoVoters),
+            ControlPlaneError::Peers(PeerError::Stopped),
+            ControlPlaneError::Folder { path: path.clone(), why: why.clone() },
+            ControlPlaneError::Key { path: path.clone(), why: why.clone() },
+            ControlPlaneError::Record { path: path.clone(), why: why.clone() },
+            ControlPlaneError::Thread { why: why.clone() },
+            ControlPlaneError::Agree { why: why.clone(), help: "look".to_string() },
+            ControlPlaneError::Word { path: path.clone(), why: why.clone(), help: "look".to_string() },
         ];
         assert!(fleet.iter().all(|e| !e.help().is_empty() && !e.to_string().is_empty()));
         let version = [
@@ -180,8 +182,8 @@
         assert!(plans.iter().all(|e| e.to_string().starts_with("/a/b") && !e.help().is_empty()));
         let fills = [
             FillError::Unreachable { at: at(), why: why.clone() },
-            FillError::Refused { at: at(), status: 500, id: "1/2/a".to_string() },
-            FillError::Garbled { at: at(), id: "1/2/a".to_string(), why },
+            FillError::Rejected { at: at(), status: 500, id: "1/2/a".to_string() },
+            FillError::InvalidResponse { at: at(), id: "1/2/a".to_string(), why },
         ];
         assert!(fills.iter().all(|e| e.to_string().contains("127.0.0.1:1") && !e.help().is_empty()));
     }
--- a/crates/dunepond-control-plane/src/filler.rs
+++ b/crates/dunepond-control-plane/src/filler.rs
@@ -10,7 +10,7 @@
 /// What a filler is asked for. The id is the same however often and by whomever it is asked: a fill that was done is
 /// answered at once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Order {
+pub struct FillRequest {
     pub id: String,
     pub segment: u64,
     pub holder: String,
@@ -22,29 +22,29 @@
 
 /// What was done: of a fill that an earlier asker had begun, from the source that it named.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Filled {
+pub struct FillResult {
     pub source: String,
     pub bytes: u64,
 }
 
 /// Blocks until the fill is done or has failed; called on threads of its own.
-pub trait Filler: Send + Sync {
-    fn fill(&self, order: &Order, within: Duration) -> Result<Filled, FillError>;
+pub trait FillClient: Send + Sync {
+    fn fill(&self, order: &FillRequest, within: Duration) -> Result<FillResult, FillError>;
 }
 
 /// `POST /fill` with the order as JSON; 200 when it is done, with nothing or with what was done behind it.
-pub struct HttpFiller {
+pub struct HttpFillClient {
     at: SocketAddr,
 }
 
-impl HttpFiller {
+impl HttpFillClient {
     pub fn new(at: SocketAddr) -> Self {
         Self { at }
     }
 }
 
-impl Filler for HttpFiller {
-    fn fill(&self, order: &Order, within: Duration) -> Result<Filled, FillError> {
+impl FillClient for HttpFillClient {
+    fn fill(&self, order: &FillRequest, within: Duration) -> Result<FillResult, FillError> {
         let at = self.at.to_string();
         let unreachable = |why: String| FillError::Unreachable { at: at.clone(), why };
         let agent = ureq::Agent::config_builder().timeout_global(Some(within)).http_status_as_error(false);
@@ -54,14 +54,14 @@
         let mut response = request.send(body).map_err(|e| unreachable(e.to_string()))?;
         let status = response.status().as_u16();
         if status != 200 {
-            return Err(FillError::Refused { at, status, id: order.id.clone() });
+            return Err(FillError::Rejected { at, status, id: order.id.clone() });
         }
         let text = response.body_mut().read_to_string().map_err(|e| unreachable(e.to_string()))?;
-        let as_ordered = Filled { source: order.source.clone(), bytes: order.bytes };
+        let as_ordered = FillResult { source: order.source.clone(), bytes: order.bytes };
         if text.trim().is_empty() {
             return Ok(as_ordered);
         }
-        serde_json::from_str(&text).map_err(|e| FillError::Garbled {
+        serde_json::from_str(&text).map_err(|e| FillError::InvalidResponse {
             at,
             id: order.id.clone(),
             why: e.to_string(),
--- a/crates/dunepond-control-plane/src/folder.rs
+++ b/crates/dunepond-control-plane/src/folder.rs
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 use std::time::UNIX_EPOCH;
 
-use dunepond_consensus::{Kept, Saved};
+use dunepond_consensus::{PersistedState, StoredVoter};
 use dunepond_settlement as debts;
-use dunepond_storage::{Fault, Files, Folder as Directory, Journal, Snapshots};
+use dunepond_storage::{DiskStore as Directory, FileFault, FileStore, Journal, SnapshotStore};
 use tracing::{error, info, warn};
 
-use crate::error::FleetError;
+use crate::error::ControlPlaneError;
 use crate::host::Promises;
 
 /// Of all files here; one of a later version is left alone.
@@ -23,9 +23,9 @@
 pub struct Folder {
     /// Nothing at a broker that is no voter.
     journal: Option<Journal>,
-    kept: Snapshots,
-    counts: Snapshots,
-    promises: Snapshots,
+    kept: SnapshotStore,
+    counts: SnapshotStore,
+    promises: SnapshotStore,
     last_kept: Vec<u8>,
     last_counts: Vec<u8>,
 }
@@ -34,8 +34,8 @@
 pub struct Held {
     /// This start's number: greater than that of any earlier one.
     pub incarnation: u64,
-    pub saved: Saved,
-    pub kept: Option<Kept>,
+    pub saved: StoredVoter,
+    pub kept: Option<PersistedState>,
     pub counts: Option<debts::Tally>,
     pub promises: Option<Promises>,
 }
@@ -66,8 +66,8 @@
 }
 
 /// The newest that is whole and can be read; all else is named and left aside.
-fn newest(snapshots: &Snapshots, name: &str) -> std::io::Result<Option<Vec<u8>>> {
-    let found = snapshots.read()?;
+fn newest(snapshots: &SnapshotStore, name: &str) -> std::io::Result<Option<Vec<u8>>> {
+    let found = snapshots.load()?;
     for (file, fault) in &found.faults {
         warn!("fleet: {file}: {fault}; it is not believed");
     }
@@ -83,23 +83,23 @@
     /// folder does not bring back.
     pub fn open(
         path: &Path,
-        files: Option<Arc<dyn Files>>,
+        files: Option<Arc<dyn FileStore>>,
         voter: bool,
         now: u64,
-    ) -> Result<(Self, Held), FleetError> {
-        let failed = |why: String| FleetError::Folder { path: path.to_path_buf(), why };
+    ) -> Result<(Self, Held), ControlPlaneError> {
+        let failed = |why: String| ControlPlaneError::Folder { path: path.to_path_buf(), why };
         let real = files.is_none();
-        let files: Arc<dyn Files> = match files {
+        let files: Arc<dyn FileStore> = match files {
             Some(files) => files,
             None => Arc::new(Directory::open(path).map_err(|e| failed(e.to_string()))?),
         };
-        let snapshots = |name: &str| Snapshots::new(files.clone(), name, VERSION);
+        let snapshots = |name: &str| SnapshotStore::new(files.clone(), name, VERSION);
         let read = |name: &str| newest(&snapshots(name), name).map_err(|e| failed(e.to_string()));
         let last = read("starts")?.and_then(|bytes| postcard::from_bytes::<u64>(&bytes).ok());
         let incarnation = last.map_or(now, |last| now.max(last + 1));
         let starts = postcard::to_stdvec(&incarnation).map_err(|e| failed(e.to_string()))?;
         snapshots("starts").write(&starts).map_err(|e| failed(e.to_string()))?;
-        let kept = read("kept")?.and_then(|bytes| match Kept::of(&bytes) {
+        let kept = read("kept")?.and_then(|bytes| match PersistedState::decode(&bytes) {
             Ok(kept) => Some(kept),
             Err(e) => {
                 warn!("fleet: what is kept of the versions is not believed: {e} ({})", e.help());
@@ -120,13 +120,15 @@
                 None
             }
         });
-        let (mut saved, mut lost) = (Saved::new(), false);
+        let (mut saved, mut lost) = (StoredVoter::new(), false);
         let journal = if voter {
             let (mut journal, recovered) =
                 Journal::open(files.clone(), "voter", VERSION).map_err(|e| failed(e.to_string()))?;
             match &recovered.fault {
                 // Its writer went while it wrote; nobody has been told of it.
-                Some(Fault::Cut) => info!("fleet: the journal's last record is torn; it was never promised"),
+                Some(FileFault::Truncated) => {
+                    info!("fleet: the journal's last record is torn; it was never promised")
+                }
                 // Promises may have stood there: as good as a folder that was lost, which the others allow for.
                 Some(fault) => {
                     error!(
@@ -137,7 +139,7 @@
                 None => {}
             }
             for record in &recovered.records {
-                if let Err(e) = saved.take(&record.bytes) {
+                if let Err(e) = saved.apply_record(&record.bytes) {
                     error!("fleet: voter.journal: {e} ({}); this voter begins anew", e.help());
                     lost = true;
                 }
@@ -151,7 +153,7 @@
                 lost = true;
             }
             if lost {
-                saved = Saved::new();
+                saved = StoredVoter::new();
                 journal.rewrite(&[]).map_err(|e| failed(e.to_string()))?;
                 if real {
                     is_copy(path, true).map_err(|e| failed(format!("origin: {e}")))?;
@@ -189,8 +191,8 @@
         self.journal.as_mut().map_or(Ok(()), |journal| journal.rewrite(&[whole]))
     }
 
-    pub fn keep(&mut self, kept: &Kept) -> std::io::Result<()> {
-        let bytes = kept.bytes();
+    pub fn keep(&mut self, kept: &PersistedState) -> std::io::Result<()> {
+        let bytes = kept.encode();
         if bytes != self.last_kept {
             self.kept.write(&bytes)?;
             self.last_kept = bytes;
--- a/crates/dunepond-control-plane/src/golden.rs
+++ b/crates/dunepond-control-plane/src/golden.rs
@@ -8,12 +8,13 @@
 use std::time::UNIX_EPOCH;
 
 use dunepond_consensus::{
-    Kept, More, Named, Recovery, Rules, Saved, Standings, Version, Voter, Voting, WORD,
+    ConfigVersion, ExcludedNodes, Extension, PersistedState, RecoveryOrder, RoutingRules, StoredVoter, Voter,
+    VoterChange, VoterInfo, WORD,
 };
 use dunepond_settlement::{Agreed, Allot, Begun, Counts, Fill, Ledger, Settlement, Shares, Sides, Tally};
 use dunepond_shard_map::{Holder, Map, Range, Segment, Terms as MapTerms};
 use dunepond_simulation::fleet::terms;
-use dunepond_storage::{Folder as Directory, Journal, Snapshots};
+use dunepond_storage::{DiskStore as Directory, Journal, SnapshotStore};
 
 use crate::back;
 use crate::folder::{Folder, Held};
@@ -114,17 +115,17 @@
 
 /// The records of a voter of three, with version 1 in force.
 fn records() -> Vec<Vec<u8>> {
-    let files = Directory::look(&golden_path("folder")).unwrap();
+    let files = Directory::open_read_only(&golden_path("folder")).unwrap();
     let recovered = Journal::read(&files, "voter", 1);
     assert_eq!(recovered.fault, None);
     recovered.records.into_iter().map(|record| record.bytes).collect()
 }
 
 /// What a broker of that fleet knew.
-fn kept() -> Kept {
-    let files = Directory::look(&golden_path("folder")).unwrap();
-    let newest = Snapshots::new(Arc::new(files), "kept", 1).read().unwrap().newest.unwrap();
-    Kept::of(&newest.bytes).unwrap()
+fn kept() -> PersistedState {
+    let files = Directory::open_read_only(&golden_path("folder")).unwrap();
+    let newest = SnapshotStore::new(Arc::new(files), "kept", 1).load().unwrap().newest.unwrap();
+    PersistedState::decode(&newest.bytes).unwrap()
 }
 
 /// The stored folder in a place of its own. A stand-in for the directory: a real one knows a copy of itself.
@@ -175,18 +176,19 @@
     let (was_kept, counts, promised) = (was_kept.unwrap(), counts.unwrap(), promised.unwrap());
     assert_eq!((&counts, &promised), (&tally(), &promises()));
     let voter = Voter::open(terms("n1", 3), saved, 0.0, 1).unwrap();
-    let document: Recovery = serde_json::from_slice(&golden("majority-lost.json")).unwrap();
-    assert_eq!(voter.held(), (document.folder, document.last));
+    let document: RecoveryOrder = serde_json::from_slice(&golden("majority-lost.json")).unwrap();
+    assert_eq!(voter.recovery_position(), (document.folder_id, document.last_index));
 
     folder.keep(&was_kept).unwrap();
     folder.count(&counts).unwrap();
     folder.promise(&promised).unwrap();
-    let files: Arc<Directory> = Arc::new(Directory::look(directory.path()).unwrap());
+    let files: Arc<Directory> = Arc::new(Directory::open_read_only(directory.path()).unwrap());
     for name in ["counts", "kept", "promises"] {
-        let newest = Snapshots::new(files.clone(), name, 1).read().unwrap().newest.unwrap();
-        assert_eq!((newest.number, newest.version), (2, 1), "{name}");
-        let before = Snapshots::new(Arc::new(Directory::look(&golden_path("folder")).unwrap()), name, 1);
-        assert_eq!(newest.bytes, before.read().unwrap().newest.unwrap().bytes, "{name}");
+        let newest = SnapshotStore::new(files.clone(), name, 1).load().unwrap().newest.unwrap();
+        assert_eq!((newest.number, newest.format_version), (2, 1), "{name}");
+        let before =
+            SnapshotStore::new(Arc::new(Directory::open_read_only(&golden_path("folder")).unwrap()), name, 1);
+        assert_eq!(newest.bytes, before.load().unwrap().newest.unwrap().bytes, "{name}");
     }
 }
 
@@ -202,8 +204,8 @@
     let made = about.created().unwrap().duration_since(UNIX_EPOCH).unwrap().as_nanos();
     assert_eq!(std::fs::read_to_string(&origin).unwrap(), format!("{} {made}", about.ino()));
     let (_, held) = Folder::open(directory.path(), None, true, OPENED).unwrap();
-    let mut expected = Saved::new();
-    expected.take(&records()[0]).unwrap();
+    let mut expected = StoredVoter::new();
+    expected.apply_record(&records()[0]).unwrap();
     assert_eq!(format!("{:?}", held.saved), format!("{expected:?}"), "the records of this very folder");
 }
 
@@ -217,12 +219,12 @@
     std::fs::write(&file, &document).unwrap();
     let voter = back::by_word(directory.path(), &mut folder, &terms("n1", 3), &held.saved, 0.0, 1);
     let voter = voter.unwrap().expect("goes on by the word");
-    assert_eq!(voter.state().number(), 1);
+    assert_eq!(voter.state().active_number(), 1);
     assert!(!file.exists());
     assert_eq!(std::fs::read(&done).unwrap(), document);
 
-    let read: Recovery = serde_json::from_slice(&document).unwrap();
-    assert_eq!((read.lost.len(), read.highest, read.word.as_str()), (2, 1, WORD));
+    let read: RecoveryOrder = serde_json::from_slice(&document).unwrap();
+    assert_eq!((read.lost_voters.len(), read.highest_number, read.confirmation.as_str()), (2, 1, WORD));
     assert_same("majority-lost.json", serde_json::to_string(&read).unwrap().as_bytes());
 }
 
@@ -230,7 +232,7 @@
     Holder { node: text(node), partner: text(partner), filled, share }
 }
 
-fn version_7() -> Version {
+fn version_7() -> ConfigVersion {
     let middle = 1 << 63;
     let segments = vec![
         Segment {
@@ -250,41 +252,41 @@
             ],
         },
     ];
-    Version {
+    ConfigVersion {
         number: 7,
-        follows: Some(6),
-        stage: Some(0.25),
-        rules: Rules {
-            least: vec![0.5, 1.0],
-            whole_at: vec![1.0, 1.0],
-            budget_share: 0.125,
-            budget_free: 20.0,
-            drain_grace: 1.0,
-            cold_multiple: 2.0,
-            dispatch_cap: 4,
-            second_copies: true,
-            repeats: true,
-            longest_wait: 2.0,
+        based_on: Some(6),
+        first_stage_ratio: Some(0.25),
+        rules: RoutingRules {
+            minimum_shares: vec![0.5, 1.0],
+            complete_at: vec![1.0, 1.0],
+            retry_budget_ratio: 0.125,
+            retry_budget_min: 20.0,
+            drain_grace_seconds: 1.0,
+            slow_start_multiple: 2.0,
+            max_attempts: 4,
+            hedging_enabled: true,
+            keyed_retries_enabled: true,
+            max_retry_after_seconds: 2.0,
         },
-        standings: Standings { draining: vec![text("s-17")], gone: vec![text("s-18")] },
+        excluded_nodes: ExcludedNodes { draining: vec![text("s-17")], removed: vec![text("s-18")] },
         map: Some(Map { epoch: 12, hash: text("xxh3-64"), segments, digest: String::new() }.sealed()),
-        who: text("mara"),
-        why: text("s-3 takes over from s-2 next week"),
-        at: 1_790_000_000.0,
-        more: vec![More { key: text("omens"), text: text("{\"a\":1}"), must: false }],
+        proposed_by: text("mara"),
+        reason: text("s-3 takes over from s-2 next week"),
+        proposed_at_unix_seconds: 1_790_000_000.0,
+        extensions: vec![Extension { key: text("omens"), json: text("{\"a\":1}"), required: false }],
     }
 }
 
-fn voting() -> Voting {
-    Voting {
+fn voting() -> VoterChange {
+    VoterChange {
         number: 1,
         voters: vec![
-            Named { name: text("n1"), at: None },
-            Named { name: text("n4"), at: Some(text("10.1.0.4:7400")) },
+            VoterInfo { name: text("n1"), address: None },
+            VoterInfo { name: text("n4"), address: Some(text("10.1.0.4:7400")) },
         ],
-        who: text("mara"),
-        why: text("n3 is worn out"),
-        at: 1_790_000_000.0,
+        proposed_by: text("mara"),
+        reason: text("n3 is worn out"),
+        proposed_at_unix_seconds: 1_790_000_000.0,
     }
 }
 
