--- a/crates/dunepond-control-plane/src/hand.rs
+++ b/crates/dunepond-control-plane/src/hand.rs
@@ -7,13 +7,13 @@
 
 use arc_swap::{ArcSwap, Cache};
 use crossbeam_channel::Sender;
-use dunepond_consensus::{Acting, Phase};
+use dunepond_consensus::{ActiveConfig, ConfigPhase};
 use dunepond_membership::Counters;
 use dunepond_shard_map::Node;
 
-use crate::clock::steady;
-use crate::host::Started;
-use crate::record::{Act, Recorder, Word};
+use crate::clock::monotonic_seconds;
+use crate::host::StartedNode;
+use crate::record::{AuditEvent, AuditPhase, Recorder};
 
 /// Bytes that each partner carried for each, as this broker saw it since its start: the loop adds, the fleet's thread
 /// takes what is new.
@@ -46,7 +46,7 @@
 }
 
 /// What the loop tells the thread, seldom.
-pub enum Command {
+pub enum LoopRequest {
     /// The files are to be read again; the version file may have another name.
     Reread(Option<PathBuf>),
     /// The same of the file of plans.
@@ -75,112 +75,112 @@
 }
 
 /// What this broker may act on, as one thread sees it: while nothing new has come, a look is one read.
-pub struct Watch(Cache<Arc<ArcSwap<Acting>>, Arc<Acting>>);
+pub struct ActiveConfigWatch(Cache<Arc<ArcSwap<ActiveConfig>>, Arc<ActiveConfig>>);
 
-impl Watch {
-    /// At this moment, as [`Hand::acting`] gives it.
-    pub fn acting(&mut self) -> &Arc<Acting> {
+impl ActiveConfigWatch {
+    /// At this moment, as [`ControlHandle::active_config`] gives it.
+    pub fn current(&mut self) -> &Arc<ActiveConfig> {
         self.0.load()
     }
 }
 
 /// Cheap to clone.
 #[derive(Clone)]
-pub struct Hand {
-    pub(crate) acting: Arc<ArcSwap<Acting>>,
-    pub(crate) carried: Arc<Carried>,
+pub struct ControlHandle {
+    pub(crate) active_config: Arc<ArcSwap<ActiveConfig>>,
+    pub(crate) carried_bytes: Arc<Carried>,
     pub(crate) recorder: Option<Recorder>,
-    pub(crate) commands: Sender<Command>,
+    pub(crate) commands: Sender<LoopRequest>,
     pub(crate) nodes: Arc<ArcSwap<Vec<Node>>>,
-    pub(crate) started: Arc<ArcSwap<Vec<Started>>>,
+    pub(crate) started_nodes: Arc<ArcSwap<Vec<StartedNode>>>,
     pub(crate) tally: Arc<Tally>,
     /// Units that this broker would use of each bound that the fleet shares.
-    pub(crate) needs: Arc<ArcSwap<BTreeMap<String, u32>>>,
+    pub(crate) demand: Arc<ArcSwap<BTreeMap<String, u32>>>,
     /// What the links counted, a second ago at most.
     pub(crate) links: Arc<ArcSwap<Counters>>,
 }
 
-impl Hand {
+impl ControlHandle {
     /// What this broker may act on, for whoever asks it at the moment of the act.
-    pub fn acting(&self) -> Arc<Acting> {
-        self.acting.load_full()
+    pub fn active_config(&self) -> Arc<ActiveConfig> {
+        self.active_config.load_full()
     }
 
     /// The same for one thread that asks often.
-    pub fn watch(&self) -> Watch {
-        Watch(Cache::new(self.acting.clone()))
+    pub fn watch(&self) -> ActiveConfigWatch {
+        ActiveConfigWatch(Cache::new(self.active_config.clone()))
     }
 
     /// So many bytes of an answer came from a holder of one partner, for a customer of another; by their places among
     /// the partners.
-    pub fn carried(&self, carrier: usize, owed_by: usize, bytes: u64) {
-        self.carried.add(carrier, owed_by, bytes);
+    pub fn record_carried(&self, carrier: usize, owed_by: usize, bytes: u64) {
+        self.carried_bytes.add(carrier, owed_by, bytes);
     }
 
-    pub fn records(&self) -> bool {
+    pub fn is_audited(&self) -> bool {
         self.recorder.is_some()
     }
 
     /// Notes an act, made only where acts are recorded.
-    pub fn wrote(&self, act: impl FnOnce() -> Act) {
+    pub fn audit(&self, act: impl FnOnce() -> AuditEvent) {
         if let Some(recorder) = &self.recorder {
             recorder.wrote(act());
         }
     }
 
     /// The same of an act that was judged at this moment, on the steady clock.
-    pub fn wrote_at(&self, at: f64, act: impl FnOnce() -> Act) {
+    pub fn audit_at(&self, at: f64, act: impl FnOnce() -> AuditEvent) {
         if let Some(recorder) = &self.recorder {
             recorder.wrote_at(at, act());
         }
     }
 
     /// The nodes as discovery lists them now: a version that is read later is judged by them.
-    pub fn listed(&self, nodes: Vec<Node>) {
+    pub fn set_listed_nodes(&self, nodes: Vec<Node>) {
         self.nodes.store(Arc::new(nodes));
     }
 
     /// The nodes that started not long ago, as discovery lists them now.
-    pub fn started(&self, nodes: Vec<Started>) {
-        self.started.store(Arc::new(nodes));
+    pub fn set_started_nodes(&self, nodes: Vec<StartedNode>) {
+        self.started_nodes.store(Arc::new(nodes));
     }
 
     /// What this broker would use of bounds that the fleet shares, in units of the whole: told with the next lease.
-    pub fn needs(&self, needs: BTreeMap<String, u32>) {
-        self.needs.store(Arc::new(needs));
+    pub fn set_demand(&self, needs: BTreeMap<String, u32>) {
+        self.demand.store(Arc::new(needs));
     }
 
-    pub fn reread(&self, version: Option<PathBuf>) {
+    pub fn reload_version(&self, version: Option<PathBuf>) {
         // Full only if as many are waiting already.
-        let _ = self.commands.try_send(Command::Reread(version));
+        let _ = self.commands.try_send(LoopRequest::Reread(version));
     }
 
-    pub fn reread_moves(&self, plan: Option<PathBuf>) {
-        let _ = self.commands.try_send(Command::Moves(plan));
+    pub fn reload_plan(&self, plan: Option<PathBuf>) {
+        let _ = self.commands.try_send(LoopRequest::Moves(plan));
     }
 
     /// Whether this broker's nodes are pressed now: plans of moves pause where many brokers say so.
-    pub fn press(&self, pressed: bool) {
+    pub fn set_overloaded(&self, pressed: bool) {
         self.tally.pressed.store(pressed, Relaxed);
     }
 
-    pub fn throttled(&self) {
+    pub fn count_rejected(&self) {
         add(&self.tally.throttled);
     }
 
-    pub fn held_back(&self) {
+    pub fn count_withheld(&self) {
         add(&self.tally.held_back);
     }
 
-    pub fn not_whole(&self) {
+    pub fn count_incomplete(&self) {
         add(&self.tally.not_whole);
     }
 
     /// A line for the counters.
-    pub fn report(&self) -> String {
+    pub fn summary(&self) -> String {
         let tally = &self.tally;
-        let now = steady();
-        let (phase, numbers) = phase(&self.acting(), now);
+        let now = monotonic_seconds();
+        let (phase, numbers) = audit_phase(&self.active_config(), now);
         let counted = [
             ("leases", &tally.leases),
             ("refused", &tally.refused),
@@ -202,16 +202,16 @@
 
 /// A phase as the record names it, and the versions that are obeyed in it. With a lease and no version yet it is alone
 /// on none.
-pub fn phase(acting: &Acting, now: f64) -> (Word, Vec<u64>) {
-    match acting.at(now) {
-        Phase::None if now < acting.until() => (Word::Alone, Vec::new()),
-        Phase::None => (Word::None, Vec::new()),
-        Phase::Alone(number) => (Word::Alone, vec![number]),
-        Phase::Joint(0, new) => (Word::Joint, vec![new]),
-        Phase::Joint(old, new) => (Word::Joint, vec![old, new]),
-        Phase::Cut(number) => {
-            let known = (number > 0).then_some(number).into_iter().chain(acting.proposed());
-            (Word::Cut, known.collect())
+pub fn audit_phase(acting: &ActiveConfig, now: f64) -> (AuditPhase, Vec<u64>) {
+    match acting.phase(now) {
+        ConfigPhase::Unconfigured if now < acting.lease_expires_at() => (AuditPhase::Alone, Vec::new()),
+        ConfigPhase::Unconfigured => (AuditPhase::None, Vec::new()),
+        ConfigPhase::Active(number) => (AuditPhase::Alone, vec![number]),
+        ConfigPhase::Joint(0, new) => (AuditPhase::Joint, vec![new]),
+        ConfigPhase::Joint(old, new) => (AuditPhase::Joint, vec![old, new]),
+        ConfigPhase::LeaseExpired(number) => {
+            let known = (number > 0).then_some(number).into_iter().chain(acting.proposed_number());
+            (AuditPhase::Cut, known.collect())
         }
     }
 }
@@ -222,13 +222,13 @@
 
     #[test]
     fn a_watch_sees_what_is_new_at_once() {
-        let acting = Arc::new(ArcSwap::from_pointee(Acting::none()));
-        let mut watch = Watch(Cache::new(acting.clone()));
-        let before = watch.acting().clone();
-        assert!(Arc::ptr_eq(watch.acting(), &before));
-        let next = Arc::new(Acting::none());
+        let acting = Arc::new(ArcSwap::from_pointee(ActiveConfig::unleased()));
+        let mut watch = ActiveConfigWatch(Cache::new(acting.clone()));
+        let before = watch.current().clone();
+        assert!(Arc::ptr_eq(watch.current(), &before));
+        let next = Arc::new(ActiveConfig::unleased());
         acting.store(next.clone());
-        assert!(Arc::ptr_eq(watch.acting(), &next));
+        assert!(Arc::ptr_eq(watch.current(), &next));
     }
 
     #[test]
--- a/crates/dunepond-control-plane/src/host/counts.rs
+++ b/crates/dunepond-control-plane/src/host/counts.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use dunepond_membership::{Kind, Standing};
+use dunepond_membership::{PeerState, RequestKind};
 use dunepond_settlement::{Book, Counts, Sides, Tally, Telling, Word};
 use rand::RngExt;
 use rand::seq::IndexedRandom;
@@ -11,7 +11,7 @@
 use tracing::{debug, warn};
 
 use super::{Asked, Host};
-use crate::clock::{steady, unix};
+use crate::clock::{monotonic_seconds, unix};
 use crate::hand::Carried;
 
 /// Seconds between two peers that are asked for their counts, varied by a half.
@@ -63,7 +63,7 @@
 
 impl Host {
     pub(super) fn count(&mut self) {
-        let now = steady();
+        let now = monotonic_seconds();
         if now < self.counting.next {
             return;
         }
@@ -75,10 +75,10 @@
         }
         let members = self.peers.members();
         let here: Vec<_> =
-            members.iter().filter(|p| p.standing == Standing::Here && p.name != self.name).collect();
+            members.iter().filter(|p| p.state == PeerState::Alive && p.name != self.name).collect();
         let Some(peer) = here.choose(&mut self.counting.chance).map(|peer| peer.name.clone()) else { return };
         if let Ok(body) = self.counting.word(&peer) {
-            self.ask(&peer, Kind::Counts, body, WITHIN, Asked::Counts);
+            self.ask(&peer, RequestKind::TransferCounts, body, WITHIN, Asked::Counts);
         }
     }
 
@@ -86,7 +86,7 @@
     pub(super) fn counted(&mut self) -> bool {
         let counting = &mut self.counting;
         counting.take();
-        counting.book.counted(steady(), counting.tally.counts());
+        counting.book.counted(monotonic_seconds(), counting.tally.counts());
         match self.folder.count(&counting.tally) {
             Ok(()) => true,
             Err(e) => {
--- a/crates/dunepond-control-plane/src/host/debts.rs
+++ b/crates/dunepond-control-plane/src/host/debts.rs
@@ -3,16 +3,16 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunepond_consensus::{DebtsTold, Entry, Refusal, Voter};
-use dunepond_membership::{Kind, Refused, Standing, Token};
+use dunepond_consensus::{Command, Rejection, SettlementUpdate, Voter};
+use dunepond_membership::{PeerState, RefusalReason, RequestKind, Responder};
 use dunepond_settlement::{Agreed, Applied, Fill, Ledger, Settlement, Shares, split};
 use serde::{Deserialize, Serialize};
 use tracing::{debug, info, warn};
 
 use super::{Asked, BY, Host};
-use crate::clock::steady;
+use crate::clock::monotonic_seconds;
 use crate::hand::add;
-use crate::record::Act;
+use crate::record::AuditEvent;
 use crate::why::Why;
 
 /// Seconds after which what is promised is brought to the leader again, and debts are looked through for what is to be
@@ -91,27 +91,27 @@
     pub(super) fn debts_by_voter(&mut self) {
         while let Some(state) = self.voter.as_ref().map(Voter::state) {
             // A voter that was just started may have applied less of the log than this broker knew before.
-            if state.debts.count == self.debts.known || self.debts.known > state.debts.count {
+            if state.settlements.count == self.debts.known || self.debts.known > state.settlements.count {
                 break;
             }
-            let told = state.debts.after(self.debts.known);
+            let told = state.settlements.updates_after(self.debts.known);
             self.debts_told(told);
         }
     }
 
     pub(super) fn debts_by_member(&mut self) {
-        for told in self.member.debts() {
+        for told in self.member.take_settlement_updates() {
             // A voter's own log has them; an answer that has less than we know is of another fleet, and replaces all.
             if self.voter.is_none() || told.ledger.is_some() && told.count < self.debts.known {
                 self.debts_told(told);
             }
         }
         if self.voter.is_some() {
-            self.member.knows_debts(self.debts.known);
+            self.member.set_known_settlements(self.debts.known);
         }
     }
 
-    fn debts_told(&mut self, told: DebtsTold) {
+    fn debts_told(&mut self, told: SettlementUpdate) {
         let book = &mut self.counting.book;
         if let Some(ledger) = told.ledger {
             book.replace(*ledger);
@@ -156,7 +156,7 @@
         let Settlement { id, debtor, creditor, bytes, .. } = settlement;
         info!("fleet: settled {id}: {bytes} bytes that {debtor} owed {creditor}");
         if let Some(recorder) = &self.recorder {
-            recorder.wrote(Act::Settle { id, debtor, creditor, bytes, number });
+            recorder.wrote(AuditEvent::Settle { id, debtor, creditor, bytes, number });
         }
     }
 
@@ -191,7 +191,7 @@
 
     /// Brings what is due into the log, splits what is owed, gives back what is not needed.
     pub(super) fn see_to_debts(&mut self) {
-        let now = steady();
+        let now = monotonic_seconds();
         if now < self.debts.next || self.counting.partners.is_empty() {
             return;
         }
@@ -199,8 +199,8 @@
         if self.debts.unsaved && !self.save_promises() {
             return;
         }
-        let leads = self.state.failed.is_none() && self.voter.as_ref().is_some_and(Voter::leads);
-        if now < self.member.acting().until() || leads {
+        let leads = self.state.failed.is_none() && self.voter.as_ref().is_some_and(Voter::is_leader);
+        if now < self.member.active_config().lease_expires_at() || leads {
             self.give_back();
             self.bring(leads);
         }
@@ -221,17 +221,17 @@
             return;
         };
         if let Ok(body) = postcard::to_stdvec(&due) {
-            self.ask(&leader, Kind::Fill, body, WITHIN, Asked::Debts);
+            self.ask(&leader, RequestKind::Fill, body, WITHIN, Asked::Debts);
         }
     }
 
     /// What another broker brings, where this one leads. The answer says only that it came: the log tells the rest.
-    pub(super) fn brought(&mut self, from: &str, body: &[u8], token: Token) {
-        if self.state.failed.is_some() || !self.voter.as_ref().is_some_and(Voter::leads) {
-            return self.peers.answer(token, Err(Refused::Declined("another leads".to_string())));
+    pub(super) fn brought(&mut self, from: &str, body: &[u8], token: Responder) {
+        if self.state.failed.is_some() || !self.voter.as_ref().is_some_and(Voter::is_leader) {
+            return self.peers.respond(token, Err(RefusalReason::Declined("another leads".to_string())));
         }
         let Ok(entries) = postcard::from_bytes::<Vec<Agreed>>(body) else {
-            return self.peers.answer(token, Err(Refused::Garbled));
+            return self.peers.respond(token, Err(RefusalReason::Malformed));
         };
         for entry in entries.into_iter().take(AT_ONCE) {
             if !is_its(&entry, from) {
@@ -240,13 +240,19 @@
             }
             let _ = self.enter_debt(entry);
         }
-        self.peers.answer(token, Ok(Vec::new()));
+        self.peers.respond(token, Ok(Vec::new()));
     }
 
-    pub(super) fn enter_debt(&mut self, entry: Agreed) -> Result<(), Refusal> {
-        let entered = self.enter(Entry::Debt(entry));
+    pub(super) fn enter_debt(&mut self, entry: Agreed) -> Result<(), Rejection> {
+        let entered = self.enter(Command::Settlement(entry));
         if let Err(why) = &entered
-            && !matches!(why, Refusal::NotLeader(_) | Refusal::Settled(_) | Refusal::Known | Refusal::Busy)
+            && !matches!(
+                why,
+                Rejection::NotLeader(_)
+                    | Rejection::AlreadySettled(_)
+                    | Rejection::AlreadyApplied
+                    | Rejection::Busy
+            )
         {
             debug!("fleet: an entry about a debt: {why} ({})", why.help());
         }
@@ -289,7 +295,7 @@
 
     pub(super) fn is_here(&self, broker: &str) -> bool {
         broker == self.name
-            || self.peers.members().iter().any(|peer| peer.name == broker && peer.standing == Standing::Here)
+            || self.peers.members().iter().any(|peer| peer.name == broker && peer.state == PeerState::Alive)
     }
 
     /// Gives back what this broker will not spend: all of it if it carries out no fills, and its part of what is split
--- a/crates/dunepond-control-plane/src/host/fills.rs
+++ b/crates/dunepond-control-plane/src/host/fills.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crossbeam_channel::Sender;
-use dunepond_consensus::{Entry, Refusal, Voter};
+use dunepond_consensus::{Command, Rejection, Voter};
 use dunepond_settlement::{
     Agreed, Begun, Event, Fill, Filling, Ledger, Links, Need, Order, Patience, Planner, Settlement,
 };
@@ -17,11 +17,11 @@
 
 use super::Host;
 use super::sources::Avoided;
-use crate::clock::{steady, unix};
+use crate::clock::{monotonic_seconds, unix};
 use crate::error::FillError;
-use crate::filler::{self, Filled, Filler};
+use crate::filler::{self, FillClient, FillResult};
 use crate::hand::add;
-use crate::record::Act;
+use crate::record::AuditEvent;
 use crate::why::Why;
 
 /// Seconds between two looks at what is to be filled.
@@ -47,14 +47,14 @@
 pub struct Done {
     lane: Lane,
     id: String,
-    outcome: Result<Filled, FillError>,
+    outcome: Result<FillResult, FillError>,
 }
 
 /// A fill under way, and what its filler said once it is done.
 struct Under {
     filling: Filling,
     thread: bool,
-    done: Option<Filled>,
+    done: Option<FillResult>,
     /// When it is entered again, as begun and as done, unless the log has it by then.
     begin: f64,
     enter: f64,
@@ -71,7 +71,7 @@
 
 pub struct Fills {
     lane: Lane,
-    pub filler: Option<Arc<dyn Filler>>,
+    pub filler: Option<Arc<dyn FillClient>>,
     pub ended: Sender<Done>,
     pub planner: Planner,
     pub links: Links,
@@ -94,7 +94,7 @@
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         lane: Lane,
-        filler: Option<Arc<dyn Filler>>,
+        filler: Option<Arc<dyn FillClient>>,
         ended: Sender<Done>,
         planner: Planner,
         links: Links,
@@ -149,7 +149,7 @@
 
     fn begin(&self, fill: &Fill) {
         let Some(filler) = self.filler.clone() else { return };
-        let order = filler::Order {
+        let order = filler::FillRequest {
             id: fill.id.clone(),
             segment: fill.segment,
             holder: fill.holder.clone(),
@@ -182,7 +182,7 @@
     /// Notes when each fill that stands in the log as begun was first seen here: later than it began, never sooner. Of
     /// those that stand there at a start the leader's clock says how old they are.
     pub(super) fn begun_seen(&mut self) {
-        let (now, fills) = (steady(), &mut self.fills);
+        let (now, fills) = (monotonic_seconds(), &mut self.fills);
         let ledger = self.counting.book.ledger();
         let at_start = fills.begun.is_empty();
         for begun in ledger.begun() {
@@ -216,7 +216,7 @@
 
     /// Carries on with the fills of the proposed version, where this broker leads.
     pub(super) fn plan_fills(&mut self) {
-        let now = steady();
+        let now = monotonic_seconds();
         if now < self.fills.next || self.fills.filler.is_none() {
             return;
         }
@@ -248,7 +248,7 @@
 
     /// Carries on with the fills of cold holders that fall to this broker.
     pub(super) fn plan_own(&mut self) {
-        let now = steady();
+        let now = monotonic_seconds();
         if now < self.warm.next || self.warm.filler.is_none() {
             return;
         }
@@ -290,16 +290,18 @@
 
     /// What the proposed version's map needs and has not; nothing where this broker does not lead, or nothing is proposed.
     fn needs(&mut self) -> Option<Vec<Need>> {
-        let leads = self.state.failed.is_none() && self.voter.as_ref().is_some_and(Voter::leads);
+        let leads = self.state.failed.is_none() && self.voter.as_ref().is_some_and(Voter::is_leader);
         let state = self.voter.as_ref().filter(|_| leads).map(Voter::state)?;
-        let (open, moving) = (state.open.as_ref()?, state.moving()?);
+        let (open, moving) = (state.open.as_ref()?, state.map_transition()?);
         let number = open.version.number;
         if self.fills.number != number {
             self.fills.forget();
             self.fills.number = number;
         }
-        let left =
-            moving.needs().iter().filter(|need| !open.filled.contains(&(need.segment, need.holder.clone())));
+        let left = moving
+            .needs()
+            .iter()
+            .filter(|need| !open.completed_fills.contains(&(need.segment, need.holder.clone())));
         let bytes = self.fills.segment;
         let (avoided, listed) = (&self.fills.avoided, self.proposing.nodes.load());
         let leaves = |node: &str| listed.iter().any(|listed| listed.name == node && listed.draining);
@@ -403,7 +405,7 @@
     /// A try has ended.
     pub(super) fn fill_ended(&mut self, done: Option<Done>) {
         let Some(Done { lane, id, outcome }) = done else { return };
-        let now = steady();
+        let now = monotonic_seconds();
         let tally = self.tally.clone();
         let fills = self.lane(lane);
         let Some(under) = fills.under.get_mut(&id) else { return };
@@ -447,17 +449,21 @@
         let started = self.started_now();
         let warmed = &mut self.debts.promises.warmed;
         // Only starts that may still be asked about are kept in mind.
-        warmed.retain(|(_, node, start)| started.iter().any(|it| it.node == *node && it.start == *start));
+        warmed
+            .retain(|(_, node, start)| started.iter().any(|it| it.node == *node && it.incarnation == *start));
         warmed.insert((fill.segment, fill.holder.clone(), start));
         let (mut from, mut bytes) = (fill.from.clone(), fill.unsettled());
         if filled.source != fill.source {
             // Another's fill of this id, from elsewhere: what was promised was not paid.
             self.warm.planner.refused(id);
             self.forgo(id);
-            let acting = self.member.acting();
-            let holder = acting.map(steady()).and_then(|proof| proof.segment(fill.segment)).and_then(|it| {
-                it.holders.iter().find(|holder| holder.node == filled.source).map(|it| it.partner.clone())
-            });
+            let acting = self.member.active_config();
+            let holder = acting
+                .map(monotonic_seconds())
+                .and_then(|proof| proof.segment(fill.segment))
+                .and_then(|it| {
+                    it.holders.iter().find(|holder| holder.node == filled.source).map(|it| it.partner.clone())
+                });
             (from, bytes) = (holder.unwrap_or(fill.to.clone()), filled.bytes);
         } else if fill.settles.is_none() {
             self.forgo(id);
@@ -486,7 +492,7 @@
     /// Enters what is done until the log has it: the settlement first, as a crash behind it leaves the fill open, and the
     /// next leader's filler answers at once.
     fn enter_done(&mut self) {
-        let now = steady();
+        let now = monotonic_seconds();
         let due = self.fills.under.values_mut().filter(|under| now >= under.enter);
         let done = due.filter_map(|under| {
             let filled = under.done.clone()?;
@@ -501,24 +507,24 @@
             }
             let number = self.fills.number;
             let entered = match settled {
-                Ok(()) | Err(Refusal::Settled(_)) => {
+                Ok(()) | Err(Rejection::AlreadySettled(_)) => {
                     let (segment, holder) = (fill.segment, fill.holder.clone());
-                    self.enter(Entry::Filled { number, segment, holder })
+                    self.enter(Command::FillCompleted { number, segment, holder })
                 }
                 // Never taken, as the share is spent or another has settled the fill: the holder is filled all the same.
-                Err(Refusal::Debt(why)) => {
+                Err(Rejection::Settlement(why)) => {
                     info!("fleet: fill {}: not settled: {why} ({})", fill.id, why.help());
                     self.fills.planner.refused(&fill.id);
                     if let Some(under) = self.fills.under.get_mut(&fill.id) {
                         under.unpaid = !self.counting.book.ledger().has(&fill.id);
                     }
                     let (segment, holder) = (fill.segment, fill.holder.clone());
-                    self.enter(Entry::Filled { number, segment, holder })
+                    self.enter(Command::FillCompleted { number, segment, holder })
                 }
                 Err(e) => Err(e),
             };
             if let Err(why) = entered
-                && !matches!(why, Refusal::NotNeeded { .. } | Refusal::NotLeader(_))
+                && !matches!(why, Rejection::FillNotNeeded { .. } | Rejection::NotLeader(_))
             {
                 warn!("fleet: fill {}: {why} ({})", fill.id, why.help());
             }
@@ -526,11 +532,11 @@
     }
 
     /// What the fill pays off: of the source that it was really taken from.
-    fn settlement(&self, fill: &Fill, filled: &Filled) -> Option<Settlement> {
+    fn settlement(&self, fill: &Fill, filled: &FillResult) -> Option<Settlement> {
         if filled.source == fill.source {
             return fill.settles.clone();
         }
-        let moving = self.voter.as_ref()?.state().moving()?;
+        let moving = self.voter.as_ref()?.state().map_transition()?;
         let keys = moving.to().segment(fill.segment)?.keys;
         let mut holders = moving.from().over(keys).flat_map(|old| &old.holders);
         let from = holders.find(|holder| holder.node == filled.source)?.partner.clone();
@@ -542,7 +548,7 @@
 
     fn note_fill(&self, fill: &Fill, state: &str) {
         if let Some(recorder) = &self.recorder {
-            recorder.wrote(Act::Fill {
+            recorder.wrote(AuditEvent::Fill {
                 id: fill.id.clone(),
                 segment: fill.segment,
                 holder: fill.holder.clone(),
--- a/crates/dunepond-control-plane/src/host/leases.rs
+++ b/crates/dunepond-control-plane/src/host/leases.rs
@@ -1,71 +1,71 @@
 //! Leases: asked for by this broker, and answered where it votes.
 
-use dunepond_consensus::{Ask, Refusal, Told};
-use dunepond_membership::{Kind, Refused, Token};
+use dunepond_consensus::{LeaseReply, LeaseRequest, Rejection};
+use dunepond_membership::{RefusalReason, RequestKind, Responder};
 use tracing::{debug, info, warn};
 
 use super::{Asked, Host, Waiting};
-use crate::clock::steady;
+use crate::clock::monotonic_seconds;
 use crate::hand::add;
 
 impl Host {
     pub(super) fn ask_for_lease(&mut self) {
-        let now = steady();
+        let now = monotonic_seconds();
         let Some((voter, ask)) = self.member.tick(now) else { return };
         if voter == self.name {
             return self.question(ask);
         }
-        let body = ask.bytes();
+        let body = ask.encode();
         let asked = Asked::Lease { voter: voter.clone() };
-        if !self.ask(&voter, Kind::Lease, body, self.lease, asked) {
-            self.member.failed(now, &voter);
+        if !self.ask(&voter, RequestKind::Lease, body, self.lease, asked) {
+            self.member.request_failed(now, &voter);
         }
     }
 
     /// A question for this voter, ours or another's.
-    fn question(&mut self, ask: Ask) {
+    fn question(&mut self, ask: LeaseRequest) {
         if self.state.failed.is_some() {
             return;
         }
         let from = ask.broker.clone();
         if let Some(voter) = &mut self.voter {
-            let orders = voter.asked(steady(), &from, ask);
+            let orders = voter.handle_lease_request(monotonic_seconds(), &from, ask);
             self.carry_out(orders);
         }
     }
 
-    pub(super) fn lease_asked(&mut self, from: String, body: &[u8], token: Token) {
-        let Some(ask) = Ask::of(body) else {
-            return self.peers.answer(token, Err(Refused::Garbled));
+    pub(super) fn lease_asked(&mut self, from: String, body: &[u8], token: Responder) {
+        let Some(ask) = LeaseRequest::decode(body) else {
+            return self.peers.respond(token, Err(RefusalReason::Malformed));
         };
         if ask.broker != from {
             let name = ask.broker;
-            return self.peers.answer(token, Err(Refused::Claimed { name }));
+            return self.peers.respond(token, Err(RefusalReason::UnverifiedSender { name }));
         }
         if self.voter.is_none() {
-            return self.peers.answer(token, Err(Refused::Declined("not a voter".to_string())));
+            return self.peers.respond(token, Err(RefusalReason::Declined("not a voter".to_string())));
         }
-        let waiting = Waiting { token, until: steady() + self.lease };
+        let waiting = Waiting { token, until: monotonic_seconds() + self.lease };
         self.state.waiting.insert((from, ask.id), waiting);
         self.question(ask);
     }
 
     /// An answer of this voter: to whoever waits for it here, to ourselves, or to one who asked another voter.
-    pub(super) fn tell(&mut self, broker: String, told: Told) {
+    pub(super) fn tell(&mut self, broker: String, told: LeaseReply) {
         if broker == self.name {
             return self.granted(&broker, told);
         }
-        let body = told.bytes();
+        let body = told.encode();
         match self.state.waiting.remove(&(broker.clone(), told.id)) {
-            Some(waiting) => self.peers.answer(waiting.token, Ok(body)),
-            None => drop(self.ask(&broker, Kind::State, body, self.lease, Asked::Told)),
+            Some(waiting) => self.peers.respond(waiting.token, Ok(body)),
+            None => drop(self.ask(&broker, RequestKind::State, body, self.lease, Asked::Told)),
         }
     }
 
     pub(super) fn lease_answered(&mut self, voter: &str, body: Option<Vec<u8>>) {
-        match body.and_then(|body| Told::of(&body)) {
+        match body.and_then(|body| LeaseReply::decode(&body)) {
             Some(told) => self.granted(voter, told),
-            None => self.member.failed(steady(), voter),
+            None => self.member.request_failed(monotonic_seconds(), voter),
         }
     }
 
@@ -75,13 +75,13 @@
         if !self.member.voters().iter().any(|voter| voter == from) {
             return warn!("fleet: {from} is no voter, and tells what is agreed: not believed");
         }
-        if let Some(told) = Told::of(body) {
+        if let Some(told) = LeaseReply::decode(body) {
             self.granted(from, told);
         }
     }
 
-    fn granted(&mut self, from: &str, told: Told) {
-        match self.member.told(steady(), from, told) {
+    fn granted(&mut self, from: &str, told: LeaseReply) {
+        match self.member.handle_reply(monotonic_seconds(), from, told) {
             Ok(()) => {
                 let leader = self.member.leader().map(str::to_string);
                 if leader != self.state.leader {
@@ -93,12 +93,14 @@
             }
             // Answered twice, or too late; and a voter without a leader: both pass.
             Err(
-                why
-                @ (Refusal::Unasked(_) | Refusal::NoLeader | Refusal::VotesNot(_) | Refusal::Older { .. }),
+                why @ (Rejection::UnexpectedReply(_)
+                | Rejection::NoLeader
+                | Rejection::NotAVoter(_)
+                | Rejection::StaleReply { .. }),
             ) => {
                 debug!("fleet: {from}: {why}");
             }
-            Err(why @ Refusal::NoDocument(_)) => info!("fleet: {from}: {why} ({})", why.help()),
+            Err(why @ Rejection::MissingDocument(_)) => info!("fleet: {from}: {why} ({})", why.help()),
             Err(why) => {
                 add(&self.tally.refused);
                 warn!("fleet: {from}: not adopted: {why} ({})", why.help());
--- a/crates/dunepond-control-plane/src/host/limits.rs
+++ b/crates/dunepond-control-plane/src/host/limits.rs
@@ -4,20 +4,20 @@
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use dunepond_consensus::{Acting, Entry};
-use dunepond_quota::{Agreed, Bounds, Own, Planning, Report, plan};
+use dunepond_consensus::{ActiveConfig, Command};
+use dunepond_quota::{DemandReport, LocalQuota, PlannerConfig, QuotaEntry, SharedQuotas, next_entry};
 use tracing::{debug, info};
 
 use super::Host;
-use crate::record::Act;
+use crate::record::AuditEvent;
 
 /// In leases: between two looks at what is needed; and after an entry that only says who is there, before the next.
 const LOOK: f64 = 0.1;
 
 pub struct Limiting {
-    bounds: Bounds,
-    own: Own,
-    planning: Planning,
+    bounds: SharedQuotas,
+    own: LocalQuota,
+    planning: PlannerConfig,
     every: f64,
     lease: f64,
     needs: Arc<ArcSwap<BTreeMap<String, u32>>>,
@@ -27,27 +27,27 @@
 
 impl Limiting {
     pub fn new(
-        bounds: Bounds,
+        bounds: SharedQuotas,
         every: f64,
         lease: f64,
         needs: Arc<ArcSwap<BTreeMap<String, u32>>>,
         now: f64,
     ) -> Self {
-        let (own, planning) = (Own::new(&bounds, now), Planning::by(lease));
+        let (own, planning) = (LocalQuota::new(&bounds, now), PlannerConfig::for_lease(lease));
         Self { bounds, own, planning, every, lease, needs, reported: f64::NEG_INFINITY, planned: 0.0 }
     }
 
     /// For the record.
-    pub fn act(&self, acting: &Acting, until: f64) -> Act {
-        let told = acting.limits(until).told;
-        Act::Share {
+    pub fn act(&self, acting: &ActiveConfig, until: f64) -> AuditEvent {
+        let told = acting.quota(until).allocation;
+        AuditEvent::Share {
             generation: told.map_or(0, |told| told.generation),
-            counted: told.is_none_or(|told| told.counted),
-            floor: told.map_or(self.own.floor, |told| told.floor.min(self.own.floor)),
-            parts: told.map(|told| told.parts.clone()).unwrap_or_default(),
-            from: self.own.started + self.own.window,
+            counted: told.is_none_or(|told| told.admitted),
+            floor: told.map_or(self.own.floor_units, |told| told.floor_units.min(self.own.floor_units)),
+            parts: told.map(|told| told.leased_units.clone()).unwrap_or_default(),
+            from: self.own.started_at + self.own.window_seconds,
             until,
-            window: self.own.window,
+            window: self.own.window_seconds,
         }
     }
 }
@@ -58,7 +58,11 @@
         if now >= limiting.reported + LOOK * limiting.lease {
             limiting.reported = now;
             let needs = (**limiting.needs.load()).clone();
-            self.member.report(Some(Report { shrunk: 0, bounds: limiting.bounds.clone(), needs }));
+            self.member.set_demand_report(Some(DemandReport {
+                shrunk_generation: 0,
+                shared: limiting.bounds.clone(),
+                demand_units: needs,
+            }));
         }
     }
 
@@ -69,28 +73,32 @@
             return;
         }
         limiting.planned = now + LOOK * limiting.lease;
-        let Some((heard, led)) = voter.reports(now) else { return };
-        let ledger = &voter.state().limits;
-        let Some(entry) = plan(ledger, &limiting.bounds, &heard, led, &limiting.planning) else { return };
+        let Some((heard, led)) = voter.demand_reports(now) else { return };
+        let ledger = &voter.state().quota;
+        let Some(entry) = next_entry(ledger, &limiting.bounds, &heard, led, &limiting.planning) else {
+            return;
+        };
         match &entry {
-            Agreed::Parts { parts } => {
+            QuotaEntry::SetShares { parts } => {
                 limiting.planned = now + limiting.every;
                 for part in parts {
-                    let before = ledger.seats.get(&part.broker).map_or(0, |seat| seat.now(&part.bound));
-                    let need = heard.get(&part.broker).and_then(|heard| heard.report.needs.get(&part.bound));
+                    let before =
+                        ledger.brokers.get(&part.broker).map_or(0, |seat| seat.granted_units(&part.quota));
+                    let need =
+                        heard.get(&part.broker).and_then(|heard| heard.report.demand_units.get(&part.quota));
                     info!(
                         "fleet: limits: {} of {}: {} for {before} beyond the floor; it needs {}, {} are free",
-                        part.bound,
+                        part.quota,
                         part.broker,
                         part.units,
                         need.map_or("what is not known".to_string(), u32::to_string),
-                        ledger.free(&part.bound)
+                        ledger.free_units(&part.quota)
                     );
                 }
             }
             other => info!("fleet: limits: {other:?}"),
         }
-        if let Err(why) = self.enter(Entry::Limit(entry)) {
+        if let Err(why) = self.enter(Command::Quota(entry)) {
             debug!("fleet: limits: {why} ({})", why.help());
         }
     }
--- a/crates/dunepond-control-plane/src/host/mod.rs
+++ b/crates/dunepond-control-plane/src/host/mod.rs
@@ -17,14 +17,16 @@
 
 use arc_swap::ArcSwap;
 use crossbeam_channel::{Receiver, after, select};
-use dunepond_consensus::{Acting, AgreeError, Entry, Member, Orders, Outcome, Refusal, Voter};
-use dunepond_membership::{Counters, Event, Kind, Peers, Refused, Token};
+use dunepond_consensus::{
+    ActiveConfig, Command, ConsensusError, Effects, EntryOutcome, LeaseClient, Rejection, Voter,
+};
+use dunepond_membership::{Counters, Event, Peers, RefusalReason, RequestKind, Responder};
 use tracing::{debug, error, info, warn};
 
-use crate::clock::steady;
+use crate::clock::monotonic_seconds;
 use crate::folder::Folder;
-use crate::hand::{Command, Tally, add, phase};
-use crate::record::{Act, Recorder, Word};
+use crate::hand::{LoopRequest, Tally, add, audit_phase};
+use crate::record::{AuditEvent, AuditPhase, Recorder};
 use crate::why::{Offer, Why};
 pub use counts::Counting;
 #[cfg(test)]
@@ -34,7 +36,7 @@
 pub use limits::Limiting;
 pub use moves::{Moving, SETTLE};
 pub use propose::Proposing;
-pub use warm::{Started, Warming};
+pub use warm::{SlowStartPolicy, StartedNode};
 
 /// Between two turns at most: so many in a lease, as leases and elections are counted by them, and seconds.
 const TICKS: f64 = 40.0;
@@ -57,11 +59,11 @@
 }
 
 /// Whether the process ends at the point named, in tests.
-pub type Dies = Arc<dyn Fn(&str) -> bool + Send + Sync>;
+pub type CrashPoints = Arc<dyn Fn(&str) -> bool + Send + Sync>;
 
 /// One who waits for our answer to his question.
 struct Waiting {
-    token: Token,
+    token: Responder,
     until: f64,
 }
 
@@ -69,12 +71,12 @@
     pub(crate) name: String,
     pub(crate) lease: f64,
     pub(crate) voter: Option<Voter>,
-    pub(crate) member: Member,
+    pub(crate) member: LeaseClient,
     pub(crate) folder: Folder,
     pub(crate) peers: Peers,
     pub(crate) events: Receiver<Event>,
-    pub(crate) commands: Receiver<Command>,
-    pub(crate) acting: Arc<ArcSwap<Acting>>,
+    pub(crate) commands: Receiver<LoopRequest>,
+    pub(crate) acting: Arc<ArcSwap<ActiveConfig>>,
     pub(crate) links: Arc<ArcSwap<Counters>>,
     pub(crate) tally: Arc<Tally>,
     pub(crate) recorder: Option<Recorder>,
@@ -91,12 +93,12 @@
     pub(crate) filled: Receiver<Done>,
     /// Bytes a second that a warm node bears, as the file has it; how a cold one is spared, and which were started.
     pub(crate) rate: f64,
-    pub(crate) warming: Option<Warming>,
-    pub(crate) started: Arc<ArcSwap<Vec<Started>>>,
+    pub(crate) warming: Option<SlowStartPolicy>,
+    pub(crate) started: Arc<ArcSwap<Vec<StartedNode>>>,
     /// Brokers that the file names.
     pub(crate) known: Vec<String>,
     /// Stands in for the end of the process at the point named.
-    pub(crate) dies: Option<Dies>,
+    pub(crate) dies: Option<CrashPoints>,
     pub(crate) state: HostState,
 }
 
@@ -124,7 +126,7 @@
 
 #[derive(Default)]
 struct Shown {
-    word: Option<Word>,
+    word: Option<AuditPhase>,
     numbers: Vec<u64>,
     in_force: u64,
     proposed: Option<(u64, String)>,
@@ -135,27 +137,28 @@
         self.show(true);
         let tick = (self.lease / TICKS).clamp(TICK.0, TICK.1);
         loop {
-            let wait = Duration::from_secs_f64((self.state.ticked + tick - steady()).clamp(0.0, tick));
+            let wait =
+                Duration::from_secs_f64((self.state.ticked + tick - monotonic_seconds()).clamp(0.0, tick));
             select! {
                 recv(self.events) -> event => match event {
                     Ok(event) => self.heard(event),
                     Err(_) => return error!("fleet: the links have ended; this broker is cut off from now on"),
                 },
                 recv(self.commands) -> command => match command {
-                    Ok(Command::Reread(path)) => self.proposing.reread(path),
-                    Ok(Command::Moves(path)) => self.moving.reread(path),
-                    Ok(Command::Stop) | Err(_) => break,
+                    Ok(LoopRequest::Reread(path)) => self.proposing.reread(path),
+                    Ok(LoopRequest::Moves(path)) => self.moving.reread(path),
+                    Ok(LoopRequest::Stop) | Err(_) => break,
                 },
                 recv(self.filled) -> done => self.fill_ended(done.ok()),
                 recv(after(wait)) -> _ => {}
             }
             // What waits, as far as the next turn is not due: each message may wait for the disk.
-            while steady() < self.state.ticked + tick
+            while monotonic_seconds() < self.state.ticked + tick
                 && let Ok(event) = self.events.try_recv()
             {
                 self.heard(event);
             }
-            if steady() >= self.state.ticked + tick {
+            if monotonic_seconds() >= self.state.ticked + tick {
                 self.tick();
             }
             if self.state.dead {
@@ -167,7 +170,7 @@
     }
 
     fn tick(&mut self) {
-        let now = steady();
+        let now = monotonic_seconds();
         self.state.ticked = now;
         self.mend(now);
         if self.state.failed.is_none()
@@ -176,7 +179,7 @@
             let orders = voter.tick(now);
             self.carry_out(orders);
         }
-        self.member.press(self.tally.pressed.load(Relaxed));
+        self.member.set_overloaded(self.tally.pressed.load(Relaxed));
         self.report_needs(now);
         self.ask_for_lease();
         self.show(false);
@@ -197,7 +200,7 @@
         if self.state.failed.is_some_and(|until| now >= until)
             && let Some(voter) = &self.voter
         {
-            match self.folder.rewrite(voter.whole().bytes()) {
+            match self.folder.rewrite(voter.checkpoint().encode()) {
                 Ok(()) => {
                     info!("fleet: the folder can be written again");
                     self.state.failed = None;
@@ -211,42 +214,42 @@
     }
 
     /// Does what the voter orders: first the disk, and only then what others hear.
-    fn carry_out(&mut self, orders: Orders) {
-        if !orders.save.is_empty() {
+    fn carry_out(&mut self, orders: Effects) {
+        if !orders.write_batch.is_empty() {
             add(&self.tally.syncs);
-            let mut saved = self.folder.save(&orders.save.bytes());
+            let mut saved = self.folder.save(&orders.write_batch.encode());
             if saved.is_ok()
                 && self.folder.is_long()
                 && let Some(voter) = &self.voter
             {
-                saved = self.folder.rewrite(voter.whole().bytes());
+                saved = self.folder.rewrite(voter.checkpoint().encode());
             }
             if let Err(e) = saved {
                 error!("fleet: folder: {e}; this voter is silent until it can be written: look at the disk");
-                self.state.failed = Some(steady() + AGAIN);
+                self.state.failed = Some(monotonic_seconds() + AGAIN);
                 return;
             }
         }
-        for line in orders.log {
+        for line in orders.log_lines {
             info!("fleet: {line}");
         }
         for outcome in orders.outcomes {
             self.why(&outcome);
-            match outcome.what {
+            match outcome.result {
                 Ok(change) => debug!("fleet: entry {}: {change:?}", outcome.index),
                 Err(why) => info!("fleet: entry {} is left out: {why} ({})", outcome.index, why.help()),
             }
         }
-        for (to, bytes) in orders.send {
-            self.ask(&to, Kind::Raft, bytes, RAFT_WITHIN, Asked::Raft);
+        for (to, bytes) in orders.messages {
+            self.ask(&to, RequestKind::Raft, bytes, RAFT_WITHIN, Asked::Raft);
         }
-        for (broker, told) in orders.told {
+        for (broker, told) in orders.replies {
             self.tell(broker, told);
         }
     }
 
-    fn ask(&mut self, to: &str, kind: Kind, body: Vec<u8>, within: f64, what: Asked) -> bool {
-        match self.peers.ask(to, kind, body, within) {
+    fn ask(&mut self, to: &str, kind: RequestKind, body: Vec<u8>, within: f64, what: Asked) -> bool {
+        match self.peers.request(to, kind, body, within) {
             Ok(id) => {
                 self.state.asks.insert(id, what);
                 true
@@ -260,8 +263,8 @@
 
     fn heard(&mut self, event: Event) {
         match event {
-            Event::Asked { from, kind, body, token } => self.asked(from, kind, &body, token),
-            Event::Answer { id, to, body } => {
+            Event::Request { from, kind, body, responder: token } => self.asked(from, kind, &body, token),
+            Event::Response { id, to, result: body } => {
                 let Some(what) = self.state.asks.remove(&id) else { return };
                 if let Err(e) = &body {
                     debug!("fleet: {e}");
@@ -278,34 +281,34 @@
                     }
                 }
             }
-            Event::Came(peer) => info!("fleet: {} is there, at {}", peer.name, peer.listen),
-            Event::Suspect(name) => info!("fleet: {name} gives no sign"),
-            Event::Left(name) => info!("fleet: {name} has gone"),
+            Event::PeerUp(peer) => info!("fleet: {} is there, at {}", peer.name, peer.listen_address),
+            Event::PeerSuspected(name) => info!("fleet: {name} gives no sign"),
+            Event::PeerDown(name) => info!("fleet: {name} has gone"),
         }
     }
 
-    fn asked(&mut self, from: String, kind: Kind, body: &[u8], token: Token) {
+    fn asked(&mut self, from: String, kind: RequestKind, body: &[u8], token: Responder) {
         match kind {
-            Kind::Raft => {
-                self.peers.answer(token, Ok(Vec::new()));
+            RequestKind::Raft => {
+                self.peers.respond(token, Ok(Vec::new()));
                 self.received(&from, body);
             }
-            Kind::Lease => self.lease_asked(from, body, token),
-            Kind::State => {
-                self.peers.answer(token, Ok(Vec::new()));
+            RequestKind::Lease => self.lease_asked(from, body, token),
+            RequestKind::State => {
+                self.peers.respond(token, Ok(Vec::new()));
                 self.pushed(&from, body);
             }
-            Kind::Propose => self.proposal_asked(&from, body, token),
-            Kind::Moves => self.offer_asked(&from, body, token),
-            Kind::Counts => {
+            RequestKind::Propose => self.proposal_asked(&from, body, token),
+            RequestKind::RebalancePlan => self.offer_asked(&from, body, token),
+            RequestKind::TransferCounts => {
                 self.heard_counts(&from, body);
                 // What is told has to be kept first.
                 let counts = self.counted().then(|| self.counting.word(&from).ok()).flatten();
-                self.peers.answer(token, counts.ok_or(Refused::Busy));
+                self.peers.respond(token, counts.ok_or(RefusalReason::Busy));
             }
-            Kind::Fill => self.brought(&from, body, token),
+            RequestKind::Fill => self.brought(&from, body, token),
             // The links answer these themselves.
-            Kind::Sign => drop(token),
+            RequestKind::LivenessCheck => drop(token),
         }
     }
 
@@ -314,9 +317,9 @@
             return;
         }
         let Some(voter) = &mut self.voter else { return };
-        match voter.received(steady(), from, bytes) {
+        match voter.receive(monotonic_seconds(), from, bytes) {
             Ok(orders) => self.carry_out(orders),
-            Err(e @ AgreeError::Garbled(_)) => debug!("fleet: {e} ({})", e.help()),
+            Err(e @ ConsensusError::MalformedMessage(_)) => debug!("fleet: {e} ({})", e.help()),
             Err(e) => warn!("fleet: {e} ({})", e.help()),
         }
     }
@@ -328,19 +331,19 @@
     }
 
     /// Puts an entry into the log, where this voter leads.
-    fn enter(&mut self, entry: Entry) -> Result<(), Refusal> {
+    fn enter(&mut self, entry: Command) -> Result<(), Rejection> {
         let by = self.name.clone();
         self.enter_for(&by, entry)
     }
 
     /// The same on the word of `by`.
-    fn enter_for(&mut self, by: &str, entry: Entry) -> Result<(), Refusal> {
+    fn enter_for(&mut self, by: &str, entry: Command) -> Result<(), Rejection> {
         let silent = self.state.failed.is_some();
         let Some(voter) = self.voter.as_mut().filter(|_| !silent) else {
-            return Err(Refusal::NotLeader(None));
+            return Err(Rejection::NotLeader(None));
         };
         let offer = Offer::of(&entry, by);
-        match voter.propose(steady(), entry) {
+        match voter.propose(monotonic_seconds(), entry) {
             Ok(orders) => self.carry_out(orders),
             Err(why) => {
                 self.why_not(&offer, &why);
@@ -351,9 +354,9 @@
     }
 
     /// Says why, once each.
-    fn why(&self, outcome: &Outcome) {
+    fn why(&self, outcome: &EntryOutcome) {
         let Some(state) = self.voter.as_ref().map(Voter::state) else { return };
-        let why = match &outcome.what {
+        let why = match &outcome.result {
             Ok(change) => Why::agreed(outcome.index, change, state),
             Err(why) => Some(Why::refused(&Offer::logged(outcome.index), why, state)),
         };
@@ -361,8 +364,11 @@
     }
 
     /// What is offered again and again, and refused for the same reason, is told once.
-    fn why_not(&mut self, offer: &Offer, why: &Refusal) {
-        let routine = matches!(why, Refusal::NotLeader(_) | Refusal::Settled(_) | Refusal::NotNeeded { .. });
+    fn why_not(&mut self, offer: &Offer, why: &Rejection) {
+        let routine = matches!(
+            why,
+            Rejection::NotLeader(_) | Rejection::AlreadySettled(_) | Rejection::FillNotNeeded { .. }
+        );
         let Some(state) = self.voter.as_ref().map(Voter::state).filter(|_| !routine) else { return };
         let why = Why::refused(offer, why, state);
         if self.state.refused.as_ref() != Some(&why) {
@@ -373,42 +379,42 @@
 
     /// Hands the loop what it may act on now, and notes what has changed in it. `leased`: with a new lease.
     fn show(&mut self, leased: bool) {
-        let (acting, now) = (self.member.acting(), steady());
-        let (word, numbers) = phase(&acting, now);
+        let (acting, now) = (self.member.active_config(), monotonic_seconds());
+        let (word, numbers) = audit_phase(&acting, now);
         let shown = &mut self.state.shown;
         let changed = shown.word != Some(word) || shown.numbers != numbers;
         if !leased && !changed {
             return;
         }
-        let until = acting.until().max(0.0);
+        let until = acting.lease_expires_at().max(0.0);
         let (from, to) = (numbers.first().copied().unwrap_or(0), numbers.last().copied().unwrap_or(0));
         let (in_force, proposed) = acting.versions();
         let mut acts = Vec::new();
         // A digest is as much work as its map is long: only where it is another version.
-        if shown.in_force != acting.number()
+        if shown.in_force != acting.active_number()
             && let Some(version) = in_force
         {
-            acts.push(Act::Confirmed { number: version.number, digest: version.digest() });
+            acts.push(AuditEvent::Confirmed { number: version.number, digest: version.digest() });
         }
-        if shown.proposed.as_ref().map(|before| before.0) != acting.proposed() {
+        if shown.proposed.as_ref().map(|before| before.0) != acting.proposed_number() {
             // Given up, unless it is what is in force now or later.
             let before = shown.proposed.take();
-            if let Some((number, digest)) = before.filter(|(number, _)| *number > acting.number()) {
-                acts.push(Act::Withdrawn { number, digest });
+            if let Some((number, digest)) = before.filter(|(number, _)| *number > acting.active_number()) {
+                acts.push(AuditEvent::Withdrawn { number, digest });
             }
             shown.proposed = proposed.map(|version| (version.number, version.digest()));
             if let Some((number, digest)) = &shown.proposed {
-                acts.push(Act::Proposed { number: *number, digest: digest.clone() });
+                acts.push(AuditEvent::Proposed { number: *number, digest: digest.clone() });
             }
         }
         if changed {
             info!("fleet: {word:?} {numbers:?}, until {until:.3}");
         }
-        (shown.word, shown.numbers, shown.in_force) = (Some(word), numbers, acting.number());
+        (shown.word, shown.numbers, shown.in_force) = (Some(word), numbers, acting.active_number());
         self.acting.store(Arc::new(acting));
         if let Some(recorder) = &self.recorder {
             acts.into_iter().for_each(|act| recorder.wrote_at(now, act));
-            recorder.wrote_at(now, Act::Phase { phase: word, from, to, until });
+            recorder.wrote_at(now, AuditEvent::Phase { phase: word, from, to, until });
             if let Some(limiting) = &self.limiting {
                 recorder.wrote_at(now, limiting.act(&self.acting.load(), until));
             }
@@ -421,9 +427,9 @@
     fn leased(&mut self) {
         self.tally.leases.fetch_add(1, Relaxed);
         // Before the loop acts on it: a restart has to know the strictest of what was heard.
-        let versions = self.member.mark();
+        let versions = self.member.persisted_revision();
         if self.state.kept != Some(versions) {
-            match self.folder.keep(&self.member.kept()) {
+            match self.folder.keep(&self.member.persisted_state()) {
                 Ok(()) => self.state.kept = Some(versions),
                 Err(e) => {
                     warn!("fleet: folder: {e}; a restart would not know the versions: look at the disk")
@@ -436,13 +442,13 @@
 
     /// Says once for each list that the file names other voters than those agreed.
     fn compare_voters(&mut self) {
-        let voting = self.member.voting();
+        let voting = self.member.voters_number();
         if self.state.differs == Some(voting) {
             return;
         }
         self.state.differs = Some(voting);
-        if let Some(voters) = self.member.file_differs() {
-            let named = voters.iter().map(|voter| match &voter.at {
+        if let Some(voters) = self.member.voters_unlike_file() {
+            let named = voters.iter().map(|voter| match &voter.address {
                 Some(at) => format!("voter \"{}\" at=\"{at}\"", voter.name),
                 None => format!("voter \"{}\"", voter.name),
             });
--- a/crates/dunepond-control-plane/src/host/moves.rs
+++ b/crates/dunepond-control-plane/src/host/moves.rs
@@ -3,8 +3,8 @@
 
 use std::path::PathBuf;
 
-use dunepond_consensus::{Entry, Refusal, Version};
-use dunepond_membership::{Kind, Refused, Token};
+use dunepond_consensus::{Command, ConfigVersion, Rejection};
+use dunepond_membership::{RefusalReason, RequestKind, Responder};
 use dunepond_rebalance::{
     Act, Agreed, By, Held, MoveError, Next, Operation, Pace, Pause, Plan, Pressure, Running, Word, order,
 };
@@ -12,7 +12,7 @@
 use tracing::{error, info, warn};
 
 use super::{Asked, Host};
-use crate::clock::{steady, unix};
+use crate::clock::{monotonic_seconds, unix};
 use crate::error::PlanError;
 use crate::version::LONGEST;
 
@@ -68,11 +68,11 @@
 }
 
 impl Answer {
-    fn of(why: &Refusal) -> Self {
+    fn of(why: &Rejection) -> Self {
         match why {
-            Refusal::NotLeader(leader) => Self::Leads(leader.clone()),
-            Refusal::Move(e) if e.passes() => Self::Wait(why.to_string()),
-            Refusal::Busy | Refusal::NoLeader => Self::Wait(why.to_string()),
+            Rejection::NotLeader(leader) => Self::Leads(leader.clone()),
+            Rejection::Rebalance(e) if e.passes() => Self::Wait(why.to_string()),
+            Rejection::Busy | Rejection::NoLeader => Self::Wait(why.to_string()),
             _ => Self::Refused { why: why.to_string(), help: why.help().to_string() },
         }
     }
@@ -129,7 +129,7 @@
     /// Whether a plan's fills are to begin no further ones for now.
     pub(super) fn fills_held(&self) -> bool {
         let state = self.voter.as_ref().map(|voter| voter.state());
-        let running = state.and_then(|state| state.moves().running.as_ref());
+        let running = state.and_then(|state| state.rebalance().running.as_ref());
         running.is_some_and(|running| running.paused.is_some() && running.begun.is_some())
     }
 
@@ -137,7 +137,7 @@
     /// leads.
     pub(super) fn move_on(&mut self) {
         self.offer();
-        let leads = self.state.failed.is_none() && self.voter.as_ref().is_some_and(|voter| voter.leads());
+        let leads = self.state.failed.is_none() && self.voter.as_ref().is_some_and(|voter| voter.is_leader());
         if !leads {
             (self.moving.turn, self.moving.told) = (None, None);
             self.moving.pressure = Pressure::default();
@@ -147,8 +147,8 @@
     }
 
     fn offer(&mut self) {
-        let now = steady();
-        if now < self.moving.next || now >= self.member.acting().until() {
+        let now = monotonic_seconds();
+        if now < self.moving.next || now >= self.member.active_config().lease_expires_at() {
             return;
         }
         self.moving.read();
@@ -166,23 +166,29 @@
             return self.offer_said(&to, answer);
         }
         let Ok(body) = postcard::to_stdvec(&offer) else { return };
-        self.ask(&to.clone(), Kind::Moves, body, self.lease * WITHIN, Asked::Moves { voter: to });
+        self.ask(
+            &to.clone(),
+            RequestKind::RebalancePlan,
+            body,
+            self.lease * WITHIN,
+            Asked::Moves { voter: to },
+        );
     }
 
-    pub(super) fn offer_asked(&mut self, from: &str, body: &[u8], token: Token) {
+    pub(super) fn offer_asked(&mut self, from: &str, body: &[u8], token: Responder) {
         if body.len() > LONGEST {
-            return self.peers.answer(token, Err(Refused::TooLarge { most: LONGEST as u64 }));
+            return self.peers.respond(token, Err(RefusalReason::TooLarge { most: LONGEST as u64 }));
         }
         let Ok(offer) = postcard::from_bytes::<Offer>(body) else {
-            return self.peers.answer(token, Err(Refused::Garbled));
+            return self.peers.respond(token, Err(RefusalReason::Malformed));
         };
         let id = offer.plan.id.clone();
         let answer = self.offered(offer);
         if !matches!(answer, Answer::Wait(_)) {
             info!("fleet: plan {id}, offered by {from}: {answer:?}");
         }
-        let body = postcard::to_stdvec(&answer).map_err(|_| Refused::Garbled);
-        self.peers.answer(token, body);
+        let body = postcard::to_stdvec(&answer).map_err(|_| RefusalReason::Malformed);
+        self.peers.respond(token, body);
     }
 
     pub(super) fn offer_answered(&mut self, voter: &str, body: Option<Vec<u8>>) {
@@ -202,7 +208,7 @@
             }
             Answer::Leads(leader) => {
                 moving.to = leader;
-                moving.next = steady() + self.lease * AGAIN;
+                moving.next = monotonic_seconds() + self.lease * AGAIN;
             }
             Answer::Wait(why) => info!("fleet: plan {id}: {voter}: not now: {why}"),
             Answer::Refused { why, help } => {
@@ -216,15 +222,15 @@
     /// A plan that somebody offers this broker as leader: put in order and entered, or its word taken.
     fn offered(&mut self, offer: Offer) -> Answer {
         let Offer { plan, at_once, again } = offer;
-        let leads = self.voter.as_ref().filter(|voter| voter.leads());
+        let leads = self.voter.as_ref().filter(|voter| voter.is_leader());
         let Some(voter) = leads else {
             let leader = self.voter.as_ref().and_then(|voter| voter.leader());
             return Answer::Leads(leader.filter(|leader| *leader != self.name));
         };
         let state = voter.state();
         let (id, who) = (plan.id.clone(), plan.who.clone());
-        if let Some(told) = state.moves().told(&id) {
-            let running = state.moves().running.as_ref().filter(|running| running.plan.id == id);
+        if let Some(told) = state.rebalance().told(&id) {
+            let running = state.rebalance().running.as_ref().filter(|running| running.plan.id == id);
             let entry = match (running, plan.word) {
                 (Some(Running { paused: None | Some(Pause::Pressed { .. }), .. }), Word::Pause) => {
                     Agreed::Paused { plan: id, why: Pause::Word { who } }
@@ -239,21 +245,23 @@
                 }
                 _ => return Answer::Known(told),
             };
-            return self.enter(Entry::Move(entry)).map_or_else(|why| Answer::of(&why), |()| Answer::Taken);
+            return self
+                .enter(Command::Rebalance(entry))
+                .map_or_else(|why| Answer::of(&why), |()| Answer::Taken);
         }
         if plan.word == Word::Withdraw {
             return Answer::Known("it was never taken, so nothing is to be undone".to_string());
         }
-        let Some(proof) = state.proof() else { return Answer::of(&MoveError::NoMap.into()) };
+        let Some(proof) = state.map_proof() else { return Answer::of(&MoveError::NoMap.into()) };
         // Nothing is put in order that could not be taken now.
-        if let Some(running) = &state.moves().running {
+        if let Some(running) = &state.rebalance().running {
             return Answer::of(&MoveError::Runs { running: running.plan.id.clone() }.into());
         }
         if let Some(open) = &state.open {
             return Answer::of(&MoveError::Open { open: open.version.number }.into());
         }
-        let pace = Pace { at_once, most_changed: state.terms.most_changed };
-        match order(&plan, proof, pace, |node| state.leaves(node)) {
+        let pace = Pace { at_once, most_changed: state.config.max_changed_ratio };
+        match order(&plan, proof, pace, |node| state.is_excluded(node)) {
             Ok(steps) => {
                 let (operations, versions) = (plan.operations.len(), steps.len());
                 info!(
@@ -262,7 +270,7 @@
                     pace.most_changed
                 );
                 let taken = Agreed::Taken { plan: Box::new(plan), steps, at_once };
-                self.enter(Entry::Move(taken)).map_or_else(|why| Answer::of(&why), |()| Answer::Taken)
+                self.enter(Command::Rebalance(taken)).map_or_else(|why| Answer::of(&why), |()| Answer::Taken)
             }
             Err(why) => Answer::of(&why.into()),
         }
@@ -270,14 +278,14 @@
 
     /// The leader's part.
     fn carry_on(&mut self) {
-        let now = steady();
+        let now = monotonic_seconds();
         let Some(voter) = &self.voter else { return };
         let (state, moving) = (voter.state(), &mut self.moving);
-        for (broker, pressed) in voter.pressed() {
+        for (broker, pressed) in voter.broker_overloads() {
             moving.pressure.heard(now, broker, pressed);
         }
         let pressed = moving.pressure.pressed(now, SAID * self.lease);
-        let Some(running) = &state.moves().running else {
+        let Some(running) = &state.rebalance().running else {
             (moving.turn, moving.told) = (None, None);
             return;
         };
@@ -295,7 +303,7 @@
             (Some(Pause::Pressed { .. }), false) => {
                 Next::Enter(Agreed::Resumed { plan: id, by: By::Pressure(hundredths) })
             }
-            _ => state.moves().next(&state.seen(), now >= rested + moving.settle),
+            _ => state.rebalance().next(&state.rebalance_context(), now >= rested + moving.settle),
         };
         self.moving.entered = now;
         match next {
@@ -317,21 +325,21 @@
             }
             Next::Enter(entry) => {
                 self.say(&entry);
-                self.enter_move(Entry::Move(entry));
+                self.enter_move(Command::Rebalance(entry));
             }
             Next::Propose { number, moving } => {
                 let Some(version) = self.step_version(number, moving.to().map().clone()) else { return };
-                self.enter_move(Entry::Propose(Box::new(version)));
+                self.enter_move(Command::Propose(Box::new(version)));
             }
             Next::Withdraw { number, why } => {
                 info!("fleet: version {number} is taken back: {why}");
-                self.enter_move(Entry::Withdraw { number, why });
+                self.enter_move(Command::Withdraw { number, why });
             }
         }
     }
 
     fn running(&self) -> Option<&Running> {
-        self.voter.as_ref()?.state().moves().running.as_ref()
+        self.voter.as_ref()?.state().rebalance().running.as_ref()
     }
 
     fn plan_id(&self) -> String {
@@ -346,7 +354,7 @@
             return info!("fleet: plan {id}: {entry:?}");
         };
         let segments =
-            self.voter.as_ref().and_then(|voter| voter.state().proof()).map_or(0, |proof| proof.len());
+            self.voter.as_ref().and_then(|voter| voter.state().map_proof()).map_or(0, |proof| proof.len());
         let (changed, of) = wave.changed(segments);
         let done: Vec<usize> = running.steps[..running.done]
             .iter()
@@ -366,32 +374,35 @@
     }
 
     /// The version that carries out the step under way: the map is the step's, all else goes on as it is.
-    fn step_version(&self, number: u64, map: dunepond_shard_map::Map) -> Option<Version> {
+    fn step_version(&self, number: u64, map: dunepond_shard_map::Map) -> Option<ConfigVersion> {
         let state = self.voter.as_ref()?.state();
-        let running = state.moves().running.as_ref()?;
-        let (in_force, _) = state.in_force.as_ref()?;
+        let running = state.rebalance().running.as_ref()?;
+        let (in_force, _) = state.active.as_ref()?;
         let plan = &running.plan;
         let what = running.wave().map_or(String::new(), ToString::to_string);
         let back = if running.undoing.is_some() { ", back" } else { "" };
-        Some(Version {
+        Some(ConfigVersion {
             number,
-            follows: Some(in_force.number),
-            stage: None,
+            based_on: Some(in_force.number),
+            first_stage_ratio: None,
             map: Some(map),
-            who: plan.who.clone(),
-            why: format!("plan {}, turn {}{back}: {what}; {}", plan.id, running.turn, plan.why),
-            at: unix(),
-            ..Version::clone(in_force)
+            proposed_by: plan.who.clone(),
+            reason: format!("plan {}, turn {}{back}: {what}; {}", plan.id, running.turn, plan.why),
+            proposed_at_unix_seconds: unix(),
+            ..ConfigVersion::clone(in_force)
         })
     }
 
-    fn enter_move(&mut self, entry: Entry) {
-        let proposes = matches!(entry, Entry::Propose(_));
+    fn enter_move(&mut self, entry: Command) {
+        let proposes = matches!(entry, Command::Propose(_));
         let Err(why) = self.enter(entry) else { return };
         let passes = match &why {
-            Refusal::Move(why) => why.passes() || !proposes,
-            Refusal::NotLeader(_) | Refusal::Busy | Refusal::Open { .. } | Refusal::NotOpen(_) => true,
-            Refusal::Returning(_) => true,
+            Rejection::Rebalance(why) => why.passes() || !proposes,
+            Rejection::NotLeader(_)
+            | Rejection::Busy
+            | Rejection::ChangeOpen { .. }
+            | Rejection::NotProposed(_) => true,
+            Rejection::RollingBack(_) => true,
             _ => false,
         };
         if passes {
@@ -399,9 +410,9 @@
         }
         warn!("fleet: plan {}: {why} ({})", self.plan_id(), why.help());
         // A person has to look: what the voters will not have now they will not have in a moment.
-        let fails = self.voter.as_ref().map(|voter| voter.state().moves().fails(&why));
+        let fails = self.voter.as_ref().map(|voter| voter.state().rebalance().fails(&why));
         if let Some(Next::Enter(entry)) = fails {
-            let _ = self.enter(Entry::Move(entry));
+            let _ = self.enter(Command::Rebalance(entry));
         }
     }
 }
--- a/crates/dunepond-control-plane/src/host/propose.rs
+++ b/crates/dunepond-control-plane/src/host/propose.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use dunepond_consensus::Refusal;
-use dunepond_membership::{Kind, Refused, Token};
+use dunepond_consensus::Rejection;
+use dunepond_membership::{RefusalReason, RequestKind, Responder};
 use dunepond_shard_map::{Node, Terms};
 use serde::{Deserialize, Serialize};
 use tracing::{error, info, warn};
 
 use super::{Asked, Host};
-use crate::clock::steady;
+use crate::clock::monotonic_seconds;
 use crate::error::VersionError;
 use crate::hand::add;
 use crate::version::{self, LONGEST, Word};
@@ -55,19 +55,17 @@
 }
 
 impl Answer {
-    fn of(outcome: Result<(), Refusal>) -> Self {
+    fn of(outcome: Result<(), Rejection>) -> Self {
         match outcome {
             Ok(()) => Self::Taken,
-            Err(Refusal::NotLeader(leader)) => Self::Leads(leader),
-            Err(why @ (Refusal::Open { .. } | Refusal::NoLeader | Refusal::Returning(_))) => {
+            Err(Rejection::NotLeader(leader)) => Self::Leads(leader),
+            Err(why @ (Rejection::ChangeOpen { .. } | Rejection::NoLeader | Rejection::RollingBack(_))) => {
                 Self::Wait(why.to_string())
             }
-            Err(Refusal::Move(why)) if why.passes() => Self::Wait(why.to_string()),
-            Err(Refusal::Number { given, expected } | Refusal::VotersNumber { given, expected })
-                if given < expected =>
-            {
-                Self::Passed { expected }
-            }
+            Err(Rejection::Rebalance(why)) if why.passes() => Self::Wait(why.to_string()),
+            Err(
+                Rejection::WrongNumber { given, expected } | Rejection::WrongVotersNumber { given, expected },
+            ) if given < expected => Self::Passed { expected },
             Err(why) => Self::Refused { why: why.to_string(), help: why.help().to_string() },
         }
     }
@@ -106,10 +104,10 @@
 impl Host {
     /// Proposes the file's version where it is above what is known, at whoever leads; again until it stands in the log.
     pub(super) fn propose(&mut self) {
-        let now = steady();
-        let acting = self.member.acting();
+        let now = monotonic_seconds();
+        let acting = self.member.active_config();
         // Without a lease we know too little, and nobody who could take it may be in reach.
-        if now < self.proposing.next || now >= acting.until() {
+        if now < self.proposing.next || now >= acting.lease_expires_at() {
             return;
         }
         self.proposing.read();
@@ -128,7 +126,7 @@
                 }
                 version.number <= highest
             }
-            Word::Voters(voting) => voting.number <= self.member.voting(),
+            Word::Voters(voting) => voting.number <= self.member.voters_number(),
         };
         if known {
             info!("fleet: {} is known", word.named());
@@ -153,20 +151,20 @@
         }
         let Ok(body) = postcard::to_stdvec(&word) else { return };
         info!("fleet: {}: proposed to {to}", word.named());
-        self.ask(&to.clone(), Kind::Propose, body, self.lease * WITHIN, Asked::Propose { voter: to });
+        self.ask(&to.clone(), RequestKind::Propose, body, self.lease * WITHIN, Asked::Propose { voter: to });
     }
 
-    pub(super) fn proposal_asked(&mut self, from: &str, body: &[u8], token: Token) {
+    pub(super) fn proposal_asked(&mut self, from: &str, body: &[u8], token: Responder) {
         if body.len() > LONGEST {
-            return self.peers.answer(token, Err(Refused::TooLarge { most: LONGEST as u64 }));
+            return self.peers.respond(token, Err(RefusalReason::TooLarge { most: LONGEST as u64 }));
         }
         let Ok(word) = postcard::from_bytes::<Word>(body) else {
-            return self.peers.answer(token, Err(Refused::Garbled));
+            return self.peers.respond(token, Err(RefusalReason::Malformed));
         };
         let answer = Answer::of(self.enter_for(from, word.entry()));
         info!("fleet: {}, proposed by {from}: {answer:?}", word.named());
-        let body = postcard::to_stdvec(&answer).map_err(|_| Refused::Garbled);
-        self.peers.answer(token, body);
+        let body = postcard::to_stdvec(&answer).map_err(|_| RefusalReason::Malformed);
+        self.peers.respond(token, body);
     }
 
     pub(super) fn proposal_answered(&mut self, voter: &str, body: Option<Vec<u8>>) {
@@ -180,7 +178,7 @@
         let named = proposing.word.as_ref().map_or(String::from("what was proposed"), Word::named);
         if !matches!(answer, Answer::Leads(_)) {
             // It stands in a log, or waits for another: we hear of that with the next leases.
-            proposing.next = steady() + self.lease;
+            proposing.next = monotonic_seconds() + self.lease;
         }
         match answer {
             Answer::Taken => info!("fleet: {named}: taken by {voter}"),
@@ -188,8 +186,8 @@
             Answer::Wait(why) => info!("fleet: {named}: {voter}: not now: {why}"),
             Answer::Passed { expected } => {
                 // With two leases from now on we would have heard of it, if it were in force or open.
-                let since = *proposing.passed.get_or_insert(steady());
-                if steady() > since + 2.0 * self.lease {
+                let since = *proposing.passed.get_or_insert(monotonic_seconds());
+                if monotonic_seconds() > since + 2.0 * self.lease {
                     add(&self.tally.refused);
                     error!("fleet: {named}: this number was used before; give the file {expected}");
                     proposing.word = None;
--- a/crates/dunepond-control-plane/src/host/warm.rs
+++ b/crates/dunepond-control-plane/src/host/warm.rs
@@ -15,51 +15,53 @@
 
 /// A node that has started not long ago.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Started {
+pub struct StartedNode {
     pub node: String,
     /// The same at each broker, as the list says it; another one with each start.
-    pub start: u64,
+    pub incarnation: u64,
     /// Seconds, on the steady clock.
-    pub since: f64,
+    pub started_at: f64,
 }
 
 /// How a node that has just started must be spared, as the deployment states it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Warming {
+pub struct SlowStartPolicy {
     /// Share of its capacity at its start, and when it is warm; multiple of its capacity that it gets at most, counted
     /// over `span`. Seconds.
-    pub from: f64,
-    pub warm_after: f64,
-    pub multiple: f64,
-    pub span: f64,
+    pub initial_share: f64,
+    pub warm_up_seconds: f64,
+    pub capacity_multiple: f64,
+    pub window_seconds: f64,
 }
 
-impl Warming {
+impl SlowStartPolicy {
     /// What fills may bring to a node of this age: all brokers together never more than the multiple of the part that it
     /// has by now of a warm one's `rate`. `part`: ours of that. The room for chance above it is left to the scans.
     pub fn room(&self, age: f64, multiple: f64, rate: f64, part: f64) -> Room {
-        let share = self.from + (1.0 - self.from) * (age / self.warm_after).clamp(0.0, 1.0);
-        let expected = multiple * share * rate * self.span / UNIT as f64 * part;
+        let share =
+            self.initial_share + (1.0 - self.initial_share) * (age / self.warm_up_seconds).clamp(0.0, 1.0);
+        let expected = multiple * share * rate * self.window_seconds / UNIT as f64 * part;
         Room { expected, taken: bound(expected) - expected }
     }
 }
 
 impl Host {
-    pub(super) fn cold_nodes(&self, now: f64) -> Vec<Started> {
+    pub(super) fn cold_nodes(&self, now: f64) -> Vec<StartedNode> {
         let Some(warming) = self.warming else { return Vec::new() };
         let all = self.started.load();
-        all.iter().filter(|it| now < it.since + warming.warm_after).cloned().collect()
+        all.iter().filter(|it| now < it.started_at + warming.warm_up_seconds).cloned().collect()
     }
 
     /// Rule 4 over all brokers together, and by the stricter of the deployment and the versions.
     pub(super) fn cold(&self, now: f64, lane: Lane) -> Cold {
-        let window = self.warming.map_or(1.0, |warming| warming.span);
+        let window = self.warming.map_or(1.0, |warming| warming.window_seconds);
         let part = self.part(lane);
-        let agreed = self.member.acting().rules(now).map_or(f64::INFINITY, |rules| rules.cold_multiple);
-        let room = |it: &Started| {
+        let agreed =
+            self.member.active_config().rules(now).map_or(f64::INFINITY, |rules| rules.slow_start_multiple);
+        let room = |it: &StartedNode| {
             let warming = self.warming?;
-            let multiple = warming.multiple.min(agreed);
-            Some((it.node.clone(), warming.room(now - it.since, multiple, self.rate, part)))
+            let multiple = warming.capacity_multiple.min(agreed);
+            Some((it.node.clone(), warming.room(now - it.started_at, multiple, self.rate, part)))
         };
         Cold { window, unit: UNIT, rooms: self.cold_nodes(now).iter().filter_map(room).collect() }
     }
@@ -75,13 +77,20 @@
     }
 
     /// Whom a holder falls to: one of its partner's brokers, or of all if that has none; the same for all that ask.
-    fn falls_to(&self, holder: &str, partner: &str, brokers: &[String], now: f64, cold: &Started) -> bool {
+    fn falls_to(
+        &self,
+        holder: &str,
+        partner: &str,
+        brokers: &[String],
+        now: f64,
+        cold: &StartedNode,
+    ) -> bool {
         let sides = &self.counting.sides;
         let its = |broker: &&String| sides.of(broker) == Some(partner);
         let any = brokers.iter().any(|broker| its(&broker));
         let mut of: Vec<&String> = brokers.iter().filter(|broker| !any || its(broker)).collect();
         of.sort_by_key(|broker| mixed(holder, broker));
-        let waited = self.warming.is_some_and(|it| now >= cold.since + GRACE * it.warm_after);
+        let waited = self.warming.is_some_and(|it| now >= cold.started_at + GRACE * it.warm_up_seconds);
         // Cut off from the first it may be filled by both: under the same id, which settles once.
         let first = if waited { of.iter().find(|broker| self.is_here(broker)) } else { of.first() };
         first.is_some_and(|broker| **broker == self.name)
@@ -90,7 +99,7 @@
     /// Cold holders of the map in force that fall to this broker, whether it has a lease or not.
     pub(super) fn own_needs(&self, now: f64) -> Vec<Need> {
         let cold = self.cold_nodes(now);
-        let acting = self.member.acting();
+        let acting = self.member.active_config();
         let Some(proof) = acting.map(now).filter(|_| self.debts.warm && !cold.is_empty()) else {
             return Vec::new();
         };
@@ -101,22 +110,22 @@
             for holder in segment.holders.iter().filter(|holder| proof.filled(segment, &holder.node)) {
                 let Some(started) = is_cold(&holder.node) else { continue };
                 let node = &holder.node;
-                if acting.draining(node) || !self.falls_to(node, &holder.partner, &brokers, now, started) {
+                if acting.is_excluded(node) || !self.falls_to(node, &holder.partner, &brokers, now, started) {
                     continue;
                 }
                 let warm = segment.holders.iter().filter(|it| {
                     proof.filled(segment, &it.node)
                         && is_cold(&it.node).is_none()
-                        && !acting.draining(&it.node)
+                        && !acting.is_excluded(&it.node)
                 });
                 needs.push(Need {
-                    version: acting.number(),
+                    version: acting.active_number(),
                     segment: segment.id,
                     holder: node.clone(),
                     holder_partner: holder.partner.clone(),
                     sources: warm.map(|it| (it.node.clone(), it.partner.clone())).collect(),
                     bytes: self.warm.segment,
-                    start: started.start,
+                    start: started.incarnation,
                 });
             }
         }
@@ -151,7 +160,7 @@
         self.debts.unsaved = true;
     }
 
-    pub(super) fn started_now(&self) -> Arc<Vec<Started>> {
+    pub(super) fn started_now(&self) -> Arc<Vec<StartedNode>> {
         self.started.load_full()
     }
 }
@@ -171,7 +180,12 @@
 
     #[test]
     fn a_cold_node_bears_the_multiple_of_what_it_has_by_now_and_parts_add_up_to_it() {
-        let warming = Warming { from: 0.25, warm_after: 10.0, multiple: 2.0, span: 2.0 };
+        let warming = SlowStartPolicy {
+            initial_share: 0.25,
+            warm_up_seconds: 10.0,
+            capacity_multiple: 2.0,
+            window_seconds: 2.0,
+        };
         let rate = (64 * UNIT) as f64;
         let cap = |age: f64, part: f64| {
             let rooms = [("s".to_string(), warming.room(age, 1.5, rate, part))].into();
--- a/crates/dunepond-control-plane/src/lib.rs
+++ b/crates/dunepond-control-plane/src/lib.rs
@@ -1,7 +1,7 @@
 //! The host of what brokers agree on: a thread of its own between the links, the folder and the broker's loop. The loop
-//! holds a [`Hand`], which says at each act what is allowed; nothing that it calls there waits.
+//! holds a [`ControlHandle`], which says at each act what is allowed; nothing that it calls there waits.
 //!
-//! Times are seconds on the steady clock ([`steady`]) unless stated.
+//! Times are seconds on the steady clock ([`monotonic_seconds`]) unless stated.
 
 mod back;
 mod clock;
@@ -26,22 +26,22 @@
 
 use arc_swap::ArcSwap;
 use crossbeam_channel::{bounded, unbounded};
-use dunepond_consensus::{AgreeError, Member, Saved, Terms, Voter};
+use dunepond_consensus::{ConsensusConfig, ConsensusError, LeaseClient, StoredVoter, Voter};
 use dunepond_settlement as debts;
-use dunepond_storage::Files;
+use dunepond_storage::FileStore;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tracing::{error, info};
 
-pub use clock::steady;
-pub use error::{FillError, FleetError, PlanError, VersionError};
-pub use filler::{Filled, Filler, HttpFiller, Order};
-pub use hand::{Hand, Watch, phase};
-pub use host::{Dies, Started, Warming};
-pub use record::{Act, Line, Word};
+pub use clock::monotonic_seconds;
+pub use error::{ControlPlaneError, FillError, PlanError, VersionError};
+pub use filler::{FillClient, FillRequest, FillResult, HttpFillClient};
+pub use hand::{ActiveConfigWatch, ControlHandle, audit_phase};
+pub use host::{CrashPoints, SlowStartPolicy, StartedNode};
+pub use record::{AuditEvent, AuditPhase, AuditRecord};
 
 use folder::{Folder, Held};
-use hand::{Carried, Command, Tally};
+use hand::{Carried, LoopRequest, Tally};
 use host::{
     BY, Counting, Debts, Fills, Host, HostState, Lane, Limiting, Moving, Promises, Proposing, SETTLE,
 };
@@ -54,27 +54,27 @@
 
 /// What a broker is told of its fleet.
 #[derive(Clone, Debug)]
-pub struct Told {
-    pub terms: Terms,
-    pub listen: SocketAddr,
-    pub folder: PathBuf,
+pub struct ControlPlaneConfig {
+    pub terms: ConsensusConfig,
+    pub listen_address: SocketAddr,
+    pub data_directory: PathBuf,
     /// Voters and others that are known from the start, this broker among them or not.
-    pub known: Vec<(String, SocketAddr)>,
+    pub known_brokers: Vec<(String, SocketAddr)>,
     /// A file with the fleet's secret.
-    pub key: Option<PathBuf>,
-    pub version: Option<PathBuf>,
-    pub record: Option<PathBuf>,
+    pub key_file: Option<PathBuf>,
+    pub version_file: Option<PathBuf>,
+    pub audit_log_file: Option<PathBuf>,
     pub partners: Vec<Partner>,
     /// From, to, bytes a second.
-    pub links: Vec<(String, String, u64)>,
-    pub fills: Option<Filling>,
+    pub link_rates: Vec<(String, String, u64)>,
+    pub fills: Option<FillConfig>,
     /// How a cold node is spared; nothing: fills take no heed of it.
-    pub warming: Option<Warming>,
+    pub slow_start: Option<SlowStartPolicy>,
     /// Bounds that the fleet shares, and the seconds between plans.
-    pub limits: Option<(dunepond_quota::Bounds, f64)>,
-    pub moves: Option<Moves>,
+    pub quotas: Option<(dunepond_quota::SharedQuotas, f64)>,
+    pub rebalancing: Option<RebalanceConfig>,
     /// Entries that lists by table type have.
-    pub table_types: usize,
+    pub query_class_count: usize,
     pub seed: u64,
 }
 
@@ -89,41 +89,41 @@
 
 /// Plans of moves.
 #[derive(Clone, Debug)]
-pub struct Moves {
+pub struct RebalanceConfig {
     /// The operator's document.
-    pub plan: PathBuf,
+    pub plan_file: PathBuf,
     /// Acts of one step, at most.
-    pub at_once: usize,
+    pub max_concurrent_acts: usize,
     /// Seconds between two steps.
-    pub settle: f64,
+    pub settle_seconds: f64,
     /// Bytes a second that fills may take between two partners without a link of their own.
-    pub link_bytes: Option<u64>,
+    pub default_link_rate: Option<u64>,
 }
 
 /// How holders are filled.
 #[derive(Clone, Debug)]
-pub struct Filling {
-    pub at: SocketAddr,
+pub struct FillConfig {
+    pub fill_service: SocketAddr,
     /// Bytes of a segment.
-    pub segment: u64,
+    pub segment_bytes: u64,
     /// Bytes a second of one fill, at most.
-    pub rate: u64,
-    pub at_once: usize,
+    pub bytes_per_second: u64,
+    pub max_concurrent_fills: usize,
     /// Each broker fills cold holders of the map in force that fall to it, and settles from its share.
-    pub warm: bool,
+    pub fill_started_nodes: bool,
 }
 
 /// What stands in for the outside in tests.
 #[derive(Default)]
-pub struct StandIns {
-    pub files: Option<Arc<dyn Files>>,
-    pub filler: Option<Arc<dyn Filler>>,
-    pub dies: Option<Dies>,
+pub struct TestDoubles {
+    pub storage: Option<Arc<dyn FileStore>>,
+    pub fill_client: Option<Arc<dyn FillClient>>,
+    pub crashes_at: Option<CrashPoints>,
 }
 
 /// A fleet that this broker takes part in.
-pub struct Fleet {
-    hand: Hand,
+pub struct ControlPlane {
+    handle: ControlHandle,
     listen: SocketAddr,
     thread: JoinHandle<()>,
     recording: Option<Recording>,
@@ -131,54 +131,60 @@
 
 /// Takes part from now on. `wake` is called from the fleet's thread when what may be acted on has changed; it must not
 /// wait.
-pub fn start(told: Told, stand_ins: StandIns, wake: impl Fn() + Send + 'static) -> Result<Fleet, FleetError> {
+pub fn start(
+    told: ControlPlaneConfig,
+    stand_ins: TestDoubles,
+    wake: impl Fn() + Send + 'static,
+) -> Result<ControlPlane, ControlPlaneError> {
     let bounds = links::bounds(&told);
-    let Told { terms, listen, known, seed, .. } = told;
+    let ControlPlaneConfig { terms, listen_address: listen, known_brokers: known, seed, .. } = told;
     terms.check()?;
-    let key = told.key.map(|path| {
+    let key = told.key_file.map(|path| {
         let text = std::fs::read_to_string(&path);
-        text.map(|text| text.trim().to_string()).map_err(|e| FleetError::Key { path, why: e.to_string() })
+        text.map(|text| text.trim().to_string())
+            .map_err(|e| ControlPlaneError::Key { path, why: e.to_string() })
     });
     let key = key.transpose()?;
     let votes = terms.voters.contains(&terms.name);
     let millis = (clock::unix() * 1000.0) as u64;
-    let (mut folder, held) = Folder::open(&told.folder, stand_ins.files, votes, millis)?;
+    let (mut folder, held) = Folder::open(&told.data_directory, stand_ins.storage, votes, millis)?;
     let Held { incarnation, saved, kept, counts, promises } = held;
     // Another one at each start, at each broker.
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ incarnation ^ name_sum(&terms.name));
-    let now = steady();
+    let now = monotonic_seconds();
     let back = match votes {
-        true => back::by_word(&told.folder, &mut folder, &terms, &saved, now, chance.random())?,
+        true => back::by_word(&told.data_directory, &mut folder, &terms, &saved, now, chance.random())?,
         false => None,
     };
     let voter = (votes && back.is_none()).then(|| {
         let opened = Voter::open(terms.clone(), saved, now, chance.random());
         match opened {
             // As good as a folder that was lost, which the others allow for.
-            Err(e @ (AgreeError::Record(_) | AgreeError::Log(_))) => {
+            Err(e @ (ConsensusError::CorruptRecord(_) | ConsensusError::CorruptLog(_))) => {
                 error!("fleet: {e} ({}); this voter begins anew", e.help());
-                Voter::open(terms.clone(), Saved::new(), now, chance.random())
+                Voter::open(terms.clone(), StoredVoter::new(), now, chance.random())
             }
             other => other,
         }
     });
     let voter = voter
         .transpose()
-        .map_err(|e| FleetError::Agree { why: e.to_string(), help: e.help().to_string() })?;
+        .map_err(|e| ControlPlaneError::Agree { why: e.to_string(), help: e.help().to_string() })?;
     let voter = back.or(voter);
     voter.iter().for_each(back::tell);
-    let mut member = Member::new(terms.clone(), kept, now, chance.random());
-    let recording = told.record.map(|path| Recording::start(&path, &terms.name, incarnation));
+    let mut member = LeaseClient::new(terms.clone(), kept, now, chance.random());
+    let recording = told.audit_log_file.map(|path| Recording::start(&path, &terms.name, incarnation));
     let (recorder, recording) = recording.transpose()?.unzip();
     let known_names = known.iter().map(|known| known.0.clone()).collect();
-    let mut links = dunepond_membership::Told::new(&terms.name, incarnation, listen, known, chance.random());
+    let mut links =
+        dunepond_membership::MembershipOptions::new(&terms.name, incarnation, listen, known, chance.random());
     links.key = key;
-    links.bounds = bounds;
+    links.limits = bounds;
     let (peers, events) = dunepond_membership::start(links)?;
-    let listen = peers.listen();
+    let listen = peers.local_addr();
 
     let (commands, commanded) = bounded(COMMANDS);
-    let acting = Arc::new(ArcSwap::from_pointee(member.acting()));
+    let acting = Arc::new(ArcSwap::from_pointee(member.active_config()));
     let links_counted: Arc<ArcSwap<dunepond_membership::Counters>> = Arc::default();
     let nodes = Arc::new(ArcSwap::from_pointee(Vec::new()));
     let started = Arc::new(ArcSwap::from_pointee(Vec::new()));
@@ -186,21 +192,23 @@
     let carried = Arc::new(Carried::new(names.len()));
     let tally = Arc::new(Tally::default());
     let needs = Arc::default();
-    let limiting =
-        told.limits.map(|(bounds, every)| Limiting::new(bounds, every, terms.lease, Arc::clone(&needs), now));
-    let hand = Hand {
-        needs,
-        acting: acting.clone(),
-        carried: carried.clone(),
+    let limiting = told
+        .quotas
+        .map(|(bounds, every)| Limiting::new(bounds, every, terms.lease_seconds, Arc::clone(&needs), now));
+    let hand = ControlHandle {
+        demand: needs,
+        active_config: acting.clone(),
+        carried_bytes: carried.clone(),
         recorder: recorder.clone(),
         commands,
         nodes: nodes.clone(),
-        started: started.clone(),
+        started_nodes: started.clone(),
         tally: tally.clone(),
         links: links_counted.clone(),
     };
 
-    let owed = |e: debts::DebtError| FleetError::Agree { why: e.to_string(), help: e.help().to_string() };
+    let owed =
+        |e: debts::DebtError| ControlPlaneError::Agree { why: e.to_string(), help: e.help().to_string() };
     let counts = match debts::Tally::open(counts.clone(), &terms.name, incarnation) {
         // The clock went back, and the number of starts was lost.
         Err(debts::DebtError::OldIncarnation { kept, .. }) => {
@@ -219,16 +227,18 @@
         Some(promises) => promises,
         None => Promises::new(&terms.name).map_err(owed)?,
     };
-    member.knows_debts(promises.known);
-    let rate = told.fills.as_ref().map_or(f64::MAX, |fills| fills.rate as f64);
+    member.set_known_settlements(promises.known);
+    let rate = told.fills.as_ref().map_or(f64::MAX, |fills| fills.bytes_per_second as f64);
     let owing = debts::Terms { most_rate: rate, ..debts::Terms::default() };
     let book = debts::Book::new(owing, sides.clone(), promises.ledger.clone()).map_err(owed)?;
-    let caps: BTreeMap<_, _> = told.links.into_iter().map(|(a, b, bytes)| ((a, b), bytes as f64)).collect();
-    let moves = told.moves.as_ref();
-    let unstated = moves.and_then(|moves| moves.link_bytes).map_or(f64::INFINITY, |bytes| bytes as f64);
+    let caps: BTreeMap<_, _> =
+        told.link_rates.into_iter().map(|(a, b, bytes)| ((a, b), bytes as f64)).collect();
+    let moves = told.rebalancing.as_ref();
+    let unstated =
+        moves.and_then(|moves| moves.default_link_rate).map_or(f64::INFINITY, |bytes| bytes as f64);
     let (ended, filled) = unbounded();
-    let filler = stand_ins.filler.or(told.fills.as_ref().map(|fills| {
-        let filler: Arc<dyn Filler> = Arc::new(HttpFiller::new(fills.at));
+    let filler = stand_ins.fill_client.or(told.fills.as_ref().map(|fills| {
+        let filler: Arc<dyn FillClient> = Arc::new(HttpFillClient::new(fills.fill_service));
         filler
     }));
     let mut lane = |lane: Lane, by: &str| {
@@ -238,17 +248,18 @@
             ended.clone(),
             debts::Planner::new(by, debts::Rule::MaxMin, chance.random()),
             debts::Links { caps: caps.clone(), unstated, inside: f64::INFINITY },
-            debts::Patience { deadline: terms.fills_deadline, ..debts::Patience::default() },
-            told.fills.as_ref().map_or(1, |fills| fills.segment),
-            told.fills.as_ref().map_or(1, |fills| fills.at_once),
+            debts::Patience { deadline: terms.fill_deadline_seconds, ..debts::Patience::default() },
+            told.fills.as_ref().map_or(1, |fills| fills.segment_bytes),
+            told.fills.as_ref().map_or(1, |fills| fills.max_concurrent_fills),
             Pcg64Mcg::seed_from_u64(chance.random()),
         )
     };
     let (fills, mut warm) = (lane(Lane::Version, BY), lane(Lane::Own, &terms.name));
     // What was promised before the start goes on: whether it was done, the filler knows.
     warm.go_on_with(promises.fills.values().filter(|it| !it.done).map(|it| it.fill.clone()), now);
-    let debts = Debts::new(promises, told.fills.as_ref().is_some_and(|fills| fills.warm));
-    let proposing = Proposing::new(told.version, told.table_types, nodes, terms.map.clone());
+    let debts = Debts::new(promises, told.fills.as_ref().is_some_and(|fills| fills.fill_started_nodes));
+    let proposing =
+        Proposing::new(told.version_file, told.query_class_count, nodes, terms.map_requirements.clone());
     info!(
         "fleet: {} listening at {listen}, start {incarnation}, {}",
         terms.name,
@@ -256,7 +267,7 @@
     );
     let host = Host {
         name: terms.name,
-        lease: terms.lease,
+        lease: terms.lease_seconds,
         voter,
         member,
         folder,
@@ -270,9 +281,9 @@
         wake: Box::new(wake),
         proposing,
         moving: Moving::new(
-            moves.map(|moves| moves.plan.clone()),
-            moves.map_or(1, |moves| moves.at_once),
-            moves.map_or(SETTLE, |moves| moves.settle),
+            moves.map(|moves| moves.plan_file.clone()),
+            moves.map_or(1, |moves| moves.max_concurrent_acts),
+            moves.map_or(SETTLE, |moves| moves.settle_seconds),
         ),
         counting: Counting::new(
             names,
@@ -288,15 +299,15 @@
         limiting,
         filled,
         rate,
-        warming: told.warming,
+        warming: told.slow_start,
         started,
         known: known_names,
-        dies: stand_ins.dies,
+        dies: stand_ins.crashes_at,
         state: HostState::default(),
     };
     let thread = std::thread::Builder::new().name("fleet".to_string()).spawn(move || host.run());
-    let thread = thread.map_err(|e| FleetError::Thread { why: e.to_string() })?;
-    Ok(Fleet { hand, listen, thread, recording })
+    let thread = thread.map_err(|e| ControlPlaneError::Thread { why: e.to_string() })?;
+    Ok(ControlPlane { handle: hand, listen, thread, recording })
 }
 
 /// Some number of a name: brokers that share a seed differ by it.
@@ -317,9 +328,9 @@
     let _ = thread.join();
 }
 
-impl Fleet {
-    pub fn hand(&self) -> Hand {
-        self.hand.clone()
+impl ControlPlane {
+    pub fn hand(&self) -> ControlHandle {
+        self.handle.clone()
     }
 
     pub fn listen(&self) -> SocketAddr {
@@ -329,7 +340,7 @@
     /// Takes its leave: what was counted is kept, and the record is whole; but a disk that does not answer is not waited
     /// for.
     pub fn stop(self) {
-        let _ = self.hand.commands.send_timeout(Command::Stop, AT_END);
+        let _ = self.handle.commands.send_timeout(LoopRequest::Stop, AT_END);
         ended(self.thread);
         if let Some(recording) = self.recording {
             recording.finish();
--- a/crates/dunepond-control-plane/src/links.rs
+++ b/crates/dunepond-control-plane/src/links.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use dunepond_membership::Bounds;
+use dunepond_membership::Limits;
 
-use crate::Told;
+use crate::ControlPlaneConfig;
 
 /// Bytes of one message between brokers.
 const LONGEST_MESSAGE: usize = 16 << 20;
@@ -13,24 +13,24 @@
 
 /// Never under what the links have of themselves. Each broker may ask one leader over all its connections at the same
 /// moment, so that many places are there for each that the file names; strangers share what is there anyway.
-pub fn bounds(told: &Told) -> Bounds {
-    let named = told.known.iter().map(|known| &known.0);
+pub fn bounds(told: &ControlPlaneConfig) -> Limits {
+    let named = told.known_brokers.iter().map(|known| &known.0);
     let named = named.chain(told.partners.iter().flat_map(|partner| &partner.brokers));
     let brokers: BTreeSet<_> = named.chain(&told.terms.voters).collect();
     room_for(brokers.len())
 }
 
-fn room_for(brokers: usize) -> Bounds {
-    let usual = Bounds::default();
-    let places = brokers.saturating_mul(usual.connections);
-    Bounds {
-        body: LONGEST_MESSAGE,
-        bytes_in: 4 * LONGEST_MESSAGE,
-        bytes_out: 4 * LONGEST_MESSAGE,
-        incoming: usual.incoming.max(places),
-        asked: usual.asked.max(places),
-        asks: usual.asks.max(places),
-        events: usual.events.max(places.saturating_mul(EVENTS_EACH)),
+fn room_for(brokers: usize) -> Limits {
+    let usual = Limits::default();
+    let places = brokers.saturating_mul(usual.max_connections_per_peer);
+    Limits {
+        max_body_bytes: LONGEST_MESSAGE,
+        max_receive_bytes: 4 * LONGEST_MESSAGE,
+        max_send_bytes: 4 * LONGEST_MESSAGE,
+        max_incoming_connections: usual.max_incoming_connections.max(places),
+        max_pending_requests: usual.max_pending_requests.max(places),
+        max_requests: usual.max_requests.max(places),
+        max_queued_events: usual.max_queued_events.max(places.saturating_mul(EVENTS_EACH)),
         ..usual
     }
 }
@@ -41,9 +41,20 @@
 
     #[test]
     fn each_broker_named_has_places_and_none_are_taken_away() {
-        let (usual, few, many) = (Bounds::default(), room_for(5), room_for(300));
-        assert_eq!((few.incoming, few.asked, few.asks), (usual.incoming, usual.asked, usual.asks));
-        assert_eq!((few.events, few.members), (usual.events, usual.members));
-        assert_eq!((many.incoming, many.asked, many.asks, many.events), (1200, 1200, 1200, 2400));
+        let (usual, few, many) = (Limits::default(), room_for(5), room_for(300));
+        assert_eq!(
+            (few.max_incoming_connections, few.max_pending_requests, few.max_requests),
+            (usual.max_incoming_connections, usual.max_pending_requests, usual.max_requests)
+        );
+        assert_eq!((few.max_queued_events, few.max_members), (usual.max_queued_events, usual.max_members));
+        assert_eq!(
+            (
+                many.max_incoming_connections,
+                many.max_pending_requests,
+                many.max_requests,
+                many.max_queued_events
+            ),
+            (1200, 1200, 1200, 2400)
+        );
     }
 }
--- a/crates/dunepond-control-plane/src/record.rs
+++ b/crates/dunepond-control-plane/src/record.rs
@@ -13,29 +13,29 @@
 use serde::{Deserialize, Serialize};
 use tracing::error;
 
-use crate::clock::steady;
-use crate::error::FleetError;
+use crate::clock::monotonic_seconds;
+use crate::error::ControlPlaneError;
 
 /// Lines that wait for the disk at most.
 const WAITING: usize = 65_536;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct AuditRecord {
     /// Seconds on the steady clock.
     pub at: f64,
     pub brk: String,
     /// Which of the broker's lives.
     pub run: u64,
     #[serde(flatten)]
-    pub act: Act,
+    pub event: AuditEvent,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "lowercase")]
-pub enum Act {
+pub enum AuditEvent {
     /// What it may act on from now on, up to the lease's end; once more with each lease.
     Phase {
-        phase: Word,
+        phase: AuditPhase,
         from: u64,
         to: u64,
         until: f64,
@@ -47,7 +47,7 @@
         node: String,
         shot: u64,
         once: bool,
-        phase: Word,
+        phase: AuditPhase,
         numbers: Vec<u64>,
     },
     /// `segs`: those that are in. `epoch`: of the one map under which they were proved to be whole.
@@ -110,7 +110,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Word {
+pub enum AuditPhase {
     None,
     Alone,
     Joint,
@@ -120,17 +120,17 @@
 /// Cheap to clone; each writer has one.
 #[derive(Clone)]
 pub struct Recorder {
-    sender: Sender<Option<(f64, Act)>>,
+    sender: Sender<Option<(f64, AuditEvent)>>,
     lost: Arc<AtomicU64>,
 }
 
 impl Recorder {
     /// Notes an act of this moment.
-    pub fn wrote(&self, act: Act) {
-        self.wrote_at(steady(), act);
+    pub fn wrote(&self, act: AuditEvent) {
+        self.wrote_at(monotonic_seconds(), act);
     }
 
-    pub fn wrote_at(&self, at: f64, act: Act) {
+    pub fn wrote_at(&self, at: f64, act: AuditEvent) {
         if self.sender.try_send(Some((at, act))).is_err() {
             self.lost.fetch_add(1, Relaxed);
         }
@@ -139,13 +139,13 @@
 
 /// The file's thread; it ends when it is told to, or once all recorders are dropped.
 pub struct Recording {
-    sender: Sender<Option<(f64, Act)>>,
+    sender: Sender<Option<(f64, AuditEvent)>>,
     thread: JoinHandle<()>,
 }
 
 impl Recording {
-    pub fn start(path: &Path, brk: &str, run: u64) -> Result<(Recorder, Self), FleetError> {
-        let failed = |why: &dyn std::fmt::Display| FleetError::Record {
+    pub fn start(path: &Path, brk: &str, run: u64) -> Result<(Recorder, Self), ControlPlaneError> {
+        let failed = |why: &dyn std::fmt::Display| ControlPlaneError::Record {
             path: path.to_path_buf(),
             why: why.to_string(),
         };
@@ -173,7 +173,7 @@
 }
 
 impl Writing {
-    fn run(mut self, acts: &Receiver<Option<(f64, Act)>>) {
+    fn run(mut self, acts: &Receiver<Option<(f64, AuditEvent)>>) {
         let (mut failing, mut ends) = (false, false);
         while !ends && let Ok(first) = acts.recv() {
             let mut next = Some(first);
@@ -189,7 +189,7 @@
             }
             let lost = self.lost.swap(0, Relaxed);
             if lost > 0 && outcome.is_ok() {
-                outcome = self.line((steady(), Act::Lost { count: lost }));
+                outcome = self.line((monotonic_seconds(), AuditEvent::Lost { count: lost }));
             }
             let outcome = outcome.and_then(|()| self.file.flush());
             if let Err(e) = &outcome
@@ -201,8 +201,8 @@
         }
     }
 
-    fn line(&mut self, (at, act): (f64, Act)) -> std::io::Result<()> {
-        let line = Line { at, brk: self.brk.clone(), run: self.run, act };
+    fn line(&mut self, (at, act): (f64, AuditEvent)) -> std::io::Result<()> {
+        let line = AuditRecord { at, brk: self.brk.clone(), run: self.run, event: act };
         serde_json::to_writer(&mut self.file, &line)?;
         self.file.write_all(b"\n")
     }
@@ -218,8 +218,8 @@
         let path = folder.path().join("acts.jsonl");
         std::fs::write(&path, "{\"old\":1}\n").unwrap();
         let (recorder, recording) = Recording::start(&path, "n1", 3).unwrap();
-        recorder.wrote_at(1.5, Act::Phase { phase: Word::Joint, from: 1, to: 2, until: 9.0 });
-        recorder.clone().wrote_at(2.0, Act::Refused { call: "c".to_string(), why: "cut".to_string() });
+        recorder.wrote_at(1.5, AuditEvent::Phase { phase: AuditPhase::Joint, from: 1, to: 2, until: 9.0 });
+        recorder.clone().wrote_at(2.0, AuditEvent::Refused { call: "c".to_string(), why: "cut".to_string() });
         recording.finish();
         let text = std::fs::read_to_string(&path).unwrap();
         let lines: Vec<_> = text.lines().collect();
@@ -228,7 +228,7 @@
             lines[1],
             r#"{"at":1.5,"brk":"n1","run":3,"act":"phase","phase":"joint","from":1,"to":2,"until":9.0}"#
         );
-        let last: Line = serde_json::from_str(lines[2]).unwrap();
-        assert_eq!(last.act, Act::Refused { call: "c".to_string(), why: "cut".to_string() });
+        let last: AuditRecord = serde_json::from_str(lines[2]).unwrap();
+        assert_eq!(last.event, AuditEvent::Refused { call: "c".to_string(), why: "cut".to_string() });
     }
 }
--- a/crates/dunepond-control-plane/src/version.rs
+++ b/crates/dunepond-control-plane/src/version.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use dunepond_consensus::{Entry, More, Rules, Version, Voting};
+use dunepond_consensus::{Command, ConfigVersion, Extension, RoutingRules, VoterChange};
 use dunepond_shard_map::{Map, Node, Terms};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -19,8 +19,8 @@
 /// What an operator's file asks for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Word {
-    Version(Box<Version>),
-    Voters(Voting),
+    Version(Box<ConfigVersion>),
+    Voters(VoterChange),
 }
 
 impl Word {
@@ -32,10 +32,10 @@
         }
     }
 
-    pub fn entry(&self) -> Entry {
+    pub fn entry(&self) -> Command {
         match self.clone() {
-            Self::Version(version) => Entry::Propose(version),
-            Self::Voters(voting) => Entry::Vote(Box::new(voting)),
+            Self::Version(version) => Command::Propose(version),
+            Self::Voters(voting) => Command::ChangeVoters(Box::new(voting)),
         }
     }
 }
@@ -47,10 +47,10 @@
     if !is_voters {
         return read(path, table_types, nodes, terms).map(|version| Word::Version(Box::new(version)));
     }
-    let voting: Voting = serde_json::from_str(&text).map_err(|e| unread(path, &e))?;
+    let voting: VoterChange = serde_json::from_str(&text).map_err(|e| unread(path, &e))?;
     let address = |at: &String| at.parse::<SocketAddr>().is_err();
-    if let Some(voter) = voting.voters.iter().find(|voter| voter.at.as_ref().is_some_and(address)) {
-        let (name, at) = (voter.name.clone(), voter.at.clone().unwrap_or_default());
+    if let Some(voter) = voting.voters.iter().find(|voter| voter.address.as_ref().is_some_and(address)) {
+        let (name, at) = (voter.name.clone(), voter.address.clone().unwrap_or_default());
         return Err(VersionError::Voter { path: path.to_path_buf(), name, at });
     }
     Ok(Word::Voters(voting))
@@ -69,11 +69,16 @@
 }
 
 /// Reads a version. A map without a digest gets its own. `nodes`: as discovery lists them, or none to leave them out.
-pub fn read(path: &Path, table_types: usize, nodes: &[Node], terms: &Terms) -> Result<Version, VersionError> {
+pub fn read(
+    path: &Path,
+    table_types: usize,
+    nodes: &[Node],
+    terms: &Terms,
+) -> Result<ConfigVersion, VersionError> {
     let owned = || path.to_path_buf();
     let text = text(path)?;
-    let mut version: Version = serde_json::from_str(&text).map_err(|e| unread(path, &e))?;
-    version.more = more(path, &text, &version)?;
+    let mut version: ConfigVersion = serde_json::from_str(&text).map_err(|e| unread(path, &e))?;
+    version.extensions = more(path, &text, &version)?;
     rules(path, &version.rules, table_types)?;
     if let Some(map) = version.map.take() {
         let map = if map.digest.is_empty() { map.sealed() } else { map };
@@ -96,7 +101,7 @@
 
 /// Keys that this program does not know: kept beside the others, unless they have to be known. Inside rules, standings and
 /// maps all have; beside those, what the list `must` names.
-fn more(path: &Path, text: &str, version: &Version) -> Result<Vec<More>, VersionError> {
+fn more(path: &Path, text: &str, version: &ConfigVersion) -> Result<Vec<Extension>, VersionError> {
     let given: Value = serde_json::from_str(text).map_err(|e| unread(path, &e))?;
     let known = serde_json::to_value(version).map_err(|e| unread(path, &e))?;
     let must = given.get("must").and_then(Value::as_array).cloned().unwrap_or_default();
@@ -106,7 +111,7 @@
         if key.contains('.') || must.iter().any(|name| *name == key) {
             return Err(VersionError::UnknownKey { path: path.to_path_buf(), key });
         }
-        more.push(More { key, text: value.to_string(), must: false });
+        more.push(Extension { key, json: value.to_string(), required: false });
     }
     Ok(more)
 }
@@ -142,8 +147,8 @@
     judged.collect()
 }
 
-fn rules(path: &Path, rules: &Rules, table_types: usize) -> Result<(), VersionError> {
-    for (key, list) in [("least", &rules.least), ("whole_at", &rules.whole_at)] {
+fn rules(path: &Path, rules: &RoutingRules, table_types: usize) -> Result<(), VersionError> {
+    for (key, list) in [("least", &rules.minimum_shares), ("whole_at", &rules.complete_at)] {
         let (path, found) = (path.to_path_buf(), list.len());
         if found != table_types {
             return Err(VersionError::TableTypes { path, key, found, expected: table_types });
@@ -153,14 +158,14 @@
         }
     }
     let amounts = [
-        ("budget_share", rules.budget_share),
-        ("budget_free", rules.budget_free),
-        ("drain_grace", rules.drain_grace),
-        ("cold_multiple", rules.cold_multiple),
-        ("longest_wait", rules.longest_wait),
+        ("budget_share", rules.retry_budget_ratio),
+        ("budget_free", rules.retry_budget_min),
+        ("drain_grace", rules.drain_grace_seconds),
+        ("cold_multiple", rules.slow_start_multiple),
+        ("longest_wait", rules.max_retry_after_seconds),
     ];
     let bad = amounts.into_iter().find(|(_, value)| !value.is_finite() || *value < 0.0);
-    let bad = bad.or((rules.dispatch_cap == 0).then_some(("dispatch_cap", 0.0)));
+    let bad = bad.or((rules.max_attempts == 0).then_some(("dispatch_cap", 0.0)));
     bad.map_or(Ok(()), |(key, value)| {
         let expected = if key == "dispatch_cap" { "1 or more" } else { "0 or more" };
         Err(VersionError::Rule { path: path.to_path_buf(), key, value, expected })
@@ -183,7 +188,7 @@
         serde_json::from_str(&text).unwrap()
     }
 
-    fn read_as(value: &Value, nodes: &[Node]) -> Result<Version, VersionError> {
+    fn read_as(value: &Value, nodes: &[Node]) -> Result<ConfigVersion, VersionError> {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("version.json");
         std::fs::write(&path, value.to_string()).unwrap();
@@ -193,7 +198,7 @@
     #[test]
     fn the_documented_version_is_read_and_its_map_gets_a_digest() {
         let version = read_as(&documented(), &[]).unwrap();
-        assert_eq!((version.number, version.follows, version.stage), (7, Some(6), None));
+        assert_eq!((version.number, version.based_on, version.first_stage_ratio), (7, Some(6), None));
         let map = version.map.unwrap();
         assert_eq!(map.digest, map.digest_of());
     }
@@ -208,9 +213,12 @@
             within.insert(key.to_string(), json!({"a": 1}));
             version
         };
-        let kept = read_as(&with("", "omens"), &[]).unwrap().more;
-        assert_eq!(kept, [More { key: "omens".to_string(), text: "{\"a\":1}".to_string(), must: false }]);
-        assert!(read_as(&later, &[]).unwrap().more.is_empty());
+        let kept = read_as(&with("", "omens"), &[]).unwrap().extensions;
+        assert_eq!(
+            kept,
+            [Extension { key: "omens".to_string(), json: "{\"a\":1}".to_string(), required: false }]
+        );
+        assert!(read_as(&later, &[]).unwrap().extensions.is_empty());
         let refused = |version: &Value| match read_as(version, &[]) {
             Err(VersionError::UnknownKey { key, .. }) => key,
             other => panic!("{other:?}"),
@@ -235,7 +243,7 @@
         let good = json!({"number": 1, "who": "mara", "why": "n3 is worn out", "at": 0.0,
             "voters": [{"name": "n1"}, {"name": "n4", "at": "10.1.0.4:7400"}]});
         let Ok(Word::Voters(voting)) = word_as(&good) else { panic!("voters") };
-        assert_eq!((voting.number, voting.voters[0].at.as_deref()), (1, None));
+        assert_eq!((voting.number, voting.voters[0].address.as_deref()), (1, None));
         assert!(matches!(word_as(&documented()), Ok(Word::Version(_))));
         let (mut nowhere, mut unnumbered) = (good.clone(), good);
         *nowhere.pointer_mut("/voters/1/at").unwrap() = json!("n4:7400");
--- a/crates/dunepond-control-plane/src/why.rs
+++ b/crates/dunepond-control-plane/src/why.rs
@@ -6,7 +6,9 @@
 
 use std::fmt;
 
-use dunepond_consensus::{Change, Ended, Entry, Refusal, State, Step, Version};
+use dunepond_consensus::{
+    ChangeEnd, Command, ConfigVersion, Rejection, ReplicatedState, RolloutStep, StateChange,
+};
 use dunepond_settlement::{Agreed, Book, Fill, Need, Settlement};
 use dunepond_shard_map::Move;
 
@@ -68,17 +70,19 @@
 
 impl Offer {
     /// `by`: the broker that offers it.
-    pub fn of(entry: &Entry, by: &str) -> Self {
+    pub fn of(entry: &Command, by: &str) -> Self {
         let what = match entry {
-            Entry::Propose(version) => format!("version {}", version.number),
-            Entry::Filled { number, segment, holder } => format!("fill {number}/{segment}/{}", some(holder)),
-            Entry::Confirm { number } => format!("confirm {number}"),
-            Entry::Withdraw { number, .. } => format!("withdraw {number}"),
+            Command::Propose(version) => format!("version {}", version.number),
+            Command::FillCompleted { number, segment, holder } => {
+                format!("fill {number}/{segment}/{}", some(holder))
+            }
+            Command::Activate { number } => format!("confirm {number}"),
+            Command::Withdraw { number, .. } => format!("withdraw {number}"),
             _ => String::from("another entry"),
         };
         let word = match entry {
-            Entry::Propose(version) => format!("{}, by {}", words(version), some(by)),
-            Entry::Withdraw { why, .. } => format!("{}, by {}", some(why), some(by)),
+            Command::Propose(version) => format!("{}, by {}", words(version), some(by)),
+            Command::Withdraw { why, .. } => format!("{}, by {}", some(why), some(by)),
             _ => some(by),
         };
         Self { what, word }
@@ -125,15 +129,15 @@
 
     /// An entry of the agreed log that changed something; `state` as it stands behind it. Nothing for what is told at
     /// its own place ([`Why::settled`]) or has nobody's choice in it.
-    pub fn agreed(index: u64, change: &Change, state: &State) -> Option<Self> {
-        let terms = &state.terms;
-        let moves = || state.moving().map_or(String::from("no segment moves"), moved);
+    pub fn agreed(index: u64, change: &StateChange, state: &ReplicatedState) -> Option<Self> {
+        let terms = &state.config;
+        let moves = || state.map_transition().map_or(String::from("no segment moves"), moved);
         match change {
-            Change::Proposed(number) => {
+            StateChange::Proposed(number) => {
                 let Some(open) = state.open.as_ref().filter(|open| open.version.number == *number) else {
                     // Others came with it, and ended it.
                     let past = state.history.iter().rev().find(|past| past.number == *number)?;
-                    let word = format!("{}: {}", some(&past.who), some(&past.why));
+                    let word = format!("{}: {}", some(&past.proposed_by), some(&past.reason));
                     let what = format!("{number} was proposed, entry {index}");
                     return Some(Self::new(About::Version, &what, &word, "", "it is over"));
                 };
@@ -141,79 +145,89 @@
                 let what = format!("{number} is proposed, entry {index}");
                 let limit = format!(
                     "in force no sooner than all have heard, at most {:.2} s on; {} of the segments at once; fills within {} s",
-                    state.wait(terms),
-                    terms.most_changed,
-                    terms.fills_deadline
+                    state.quiescence_seconds(terms),
+                    terms.max_changed_ratio,
+                    terms.fill_deadline_seconds
+                );
+                let weighed = format!(
+                    "follows {}, {}, {} fills",
+                    state.active_number(),
+                    moves(),
+                    state.missing_fills()
                 );
-                let weighed = format!("follows {}, {}, {} fills", state.number(), moves(), state.left());
                 Some(Self::new(About::Version, &what, &words(version), &limit, &weighed))
             }
-            Change::Staged(number) => {
+            StateChange::Staged(number) => {
                 let open = state.open.as_ref()?;
                 let share = match open.step {
-                    Step::Staged(share) => share,
+                    RolloutStep::Staged(share) => share,
                     _ => return None,
                 };
                 let what = format!("{number} goes to {share} of the brokers first, entry {index}");
                 let limit = "the others stay joint until it is confirmed or withdrawn";
                 Some(Self::new(About::Version, &what, &words(&open.version), limit, &moves()))
             }
-            Change::Returning(number) => {
+            StateChange::RollingBack(number) => {
                 let open = state.open.as_ref()?;
                 let what = format!("{number} is taken back, entry {index}");
-                let limit = format!("all are joint for {:.2} s more", state.wait(terms));
-                let weighed = format!("because: {}", some(open.why.as_deref().unwrap_or("")));
+                let limit = format!("all are joint for {:.2} s more", state.quiescence_seconds(terms));
+                let weighed = format!("because: {}", some(open.withdraw_reason.as_deref().unwrap_or("")));
                 Some(Self::new(About::Version, &what, &words(&open.version), &limit, &weighed))
             }
-            Change::InForce(number) | Change::Withdrawn(number) => {
+            StateChange::Activated(number) | StateChange::Withdrawn(number) => {
                 let past = state.history.iter().rev().find(|past| past.number == *number)?;
-                let (what, weighed) = match &past.ended {
-                    Ended::InForce => {
+                let (what, weighed) = match &past.end {
+                    ChangeEnd::Activated => {
                         (format!("{number} is in force, entry {index}"), String::from("all fills are done"))
                     }
-                    Ended::Withdrawn(why) => {
+                    ChangeEnd::Withdrawn(why) => {
                         (format!("{number} is withdrawn, entry {index}"), format!("because: {}", some(why)))
                     }
                 };
-                let word = format!("{}: {}", some(&past.who), some(&past.why));
-                let limit =
-                    format!("{} is in force, the next number is {}", state.number(), state.highest + 1);
+                let word = format!("{}: {}", some(&past.proposed_by), some(&past.reason));
+                let limit = format!(
+                    "{} is in force, the next number is {}",
+                    state.active_number(),
+                    state.highest_number + 1
+                );
                 Some(Self::new(About::Version, &what, &word, &limit, &weighed))
             }
-            Change::Filled { number, segment, holder } => {
+            StateChange::FillCompleted { number, segment, holder } => {
                 let what = format!("{number}/{segment}/{} is filled, entry {index}", some(holder));
-                let weighed = format!("{} fills are left", state.left());
-                let limit = format!("within {} s", terms.fills_deadline);
+                let weighed = format!("{} fills are left", state.missing_fills());
+                let limit = format!("within {} s", terms.fill_deadline_seconds);
                 Some(Self::new(About::Fill, &what, "the leader's filler", &limit, &weighed))
             }
-            Change::Debt(Agreed::Settle(_)) | Change::Seat(_) => None,
-            Change::Limit(generation) => {
-                let limits = &state.limits;
+            StateChange::Settlement(Agreed::Settle(_)) | StateChange::VoterSlot(_) => None,
+            StateChange::Quota(generation) => {
+                let limits = &state.quota;
                 let what = format!("parts of shared bounds, generation {generation}, entry {index}");
-                let limit = format!("{} units in each bound, all brokers together", dunepond_quota::WHOLE);
-                let free = limits.bounds.iter().flat_map(|bounds| &bounds.names);
-                let free = named(free.map(|name| format!("{} free of {}", limits.free(name), some(name))));
-                let weighed = format!("{free}; {} brokers share", limits.seats.len());
+                let limit =
+                    format!("{} units in each bound, all brokers together", dunepond_quota::TOTAL_UNITS);
+                let free = limits.shared.iter().flat_map(|bounds| &bounds.names);
+                let free =
+                    named(free.map(|name| format!("{} free of {}", limits.free_units(name), some(name))));
+                let weighed = format!("{free}; {} brokers share", limits.brokers.len());
                 Some(Self::new(About::Limit, &what, "the leader, by what brokers need", &limit, &weighed))
             }
-            Change::Moves { plan, told } => {
+            StateChange::Rebalance { plan, status: told } => {
                 let what = format!("plan {}, entry {index}: {}", some(plan), cut(told));
-                let limit = format!("{} of the segments at once", terms.most_changed);
-                let book = state.moves();
+                let limit = format!("{} of the segments at once", terms.max_changed_ratio);
+                let book = state.rebalance();
                 let running = book.running.as_ref().filter(|running| running.plan.id == *plan);
                 let word = running.map_or(String::from("as its beginning said"), |running| {
                     format!("{}: {}", some(&running.plan.who), some(&running.plan.why))
                 });
                 Some(Self::new(About::Move, &what, &word, &limit, &moves()))
             }
-            Change::Voting(number) | Change::Voters(number) => {
-                let ends = if matches!(change, Change::Voters(_)) { "is done" } else { "begins" };
+            StateChange::VotersPending(number) | StateChange::VotersChanged(number) => {
+                let ends = if matches!(change, StateChange::VotersChanged(_)) { "is done" } else { "begins" };
                 let what = format!("change of voters {number} {ends}, entry {index}");
                 let limit = "one voter at a time, each majority with one of before";
-                let next = state.voters.next.as_ref().filter(|next| next.number == *number);
-                let word = next.map(|next| format!("{}: {}", some(&next.who), some(&next.why)));
+                let next = state.voters.pending.as_ref().filter(|next| next.number == *number);
+                let word = next.map(|next| format!("{}: {}", some(&next.proposed_by), some(&next.reason)));
                 let word = word.unwrap_or_else(|| String::from("as its beginning said"));
-                let weighed = named(state.voters.list.iter().map(|voter| some(&voter.name)));
+                let weighed = named(state.voters.voters.iter().map(|voter| some(&voter.name)));
                 Some(Self::new(About::Voters, &what, &word, limit, &format!("voters: {weighed}")))
             }
             other => {
@@ -224,9 +238,10 @@
     }
 
     /// What was asked for was not taken, or stands in the log and is ignored by all.
-    pub fn refused(offer: &Offer, why: &Refusal, state: &State) -> Self {
+    pub fn refused(offer: &Offer, why: &Rejection, state: &ReplicatedState) -> Self {
         let open = state.open.as_ref().map_or(0, |open| open.version.number);
-        let weighed = format!("in force {}, proposed {open}, next {}", state.number(), state.highest + 1);
+        let weighed =
+            format!("in force {}, proposed {open}, next {}", state.active_number(), state.highest_number + 1);
         Self::new(About::Refused, &offer.what, &offer.word, &why.to_string(), &weighed)
     }
 
@@ -280,8 +295,8 @@
     }
 }
 
-fn words(version: &Version) -> String {
-    format!("{}: {}", some(&version.who), some(&version.why))
+fn words(version: &ConfigVersion) -> String {
+    format!("{}: {}", some(&version.proposed_by), some(&version.reason))
 }
 
 fn moved(moving: &Move) -> String {
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -9,14 +9,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_consensus::{Phase, Terms};
+use dunepond_consensus::{ConfigPhase, ConsensusConfig};
 use dunepond_control_plane::{
-    Act, FillError, Filled, Filler, Filling, Fleet, Line, Order, Partner, StandIns, Started, Told, Warming,
-    start, steady,
+    AuditEvent, AuditRecord, ControlPlane, ControlPlaneConfig, FillClient, FillConfig, FillError,
+    FillRequest, FillResult, Partner, SlowStartPolicy, StartedNode, TestDoubles, monotonic_seconds, start,
 };
 use dunepond_settlement::Tally;
 use dunepond_shard_map::Node;
-use dunepond_storage::{Files, Snapshots};
+use dunepond_storage::{FileStore, SnapshotStore};
 use dunepond_testkit::files::{Mem, Plan};
 use rstest::rstest;
 
@@ -33,14 +33,14 @@
     fails: AtomicBool,
     /// Ids that were carried out, and all orders under way.
     done: Mutex<BTreeSet<String>>,
-    under: Mutex<BTreeMap<String, Order>>,
-    asked: Mutex<Vec<Order>>,
+    under: Mutex<BTreeMap<String, FillRequest>>,
+    asked: Mutex<Vec<FillRequest>>,
 }
 
-impl Filler for Nodes {
-    fn fill(&self, order: &Order, _: Duration) -> Result<Filled, FillError> {
+impl FillClient for Nodes {
+    fn fill(&self, order: &FillRequest, _: Duration) -> Result<FillResult, FillError> {
         self.asked.lock().unwrap().push(order.clone());
-        let filled = Filled { source: order.source.clone(), bytes: order.bytes };
+        let filled = FillResult { source: order.source.clone(), bytes: order.bytes };
         if !self.done.lock().unwrap().contains(&order.id) {
             self.under.lock().unwrap().insert(order.id.clone(), order.clone());
             let began = Instant::now();
@@ -79,48 +79,60 @@
         // What north owes, as a folder holds it.
         let mut tally = Tally::open(None, "n1", 1).unwrap();
         tally.saw("south", "north", OWED);
-        let mut counts = Snapshots::new(Arc::new(one.files.clone()) as Arc<dyn Files>, "counts", 1);
+        let mut counts = SnapshotStore::new(Arc::new(one.files.clone()) as Arc<dyn FileStore>, "counts", 1);
         counts.write(&postcard::to_stdvec(&tally).unwrap()).unwrap();
         one
     }
 
-    fn begin(&mut self, version: Option<PathBuf>, dies: Option<&'static str>) -> Fleet {
+    fn begin(&mut self, version: Option<PathBuf>, dies: Option<&'static str>) -> ControlPlane {
         self.lives += 1;
-        let terms = Terms {
+        let terms = ConsensusConfig {
             name: "n1".to_string(),
             voters: vec!["n1".to_string()],
-            lease: 0.3,
-            drift: 0.01,
-            bound: 1.0,
-            longest_timeout: 0.1,
-            fills_deadline: 10.0,
-            most_changed: 1.0,
-            maps: true,
-            map: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
+            lease_seconds: 0.3,
+            drift_ratio: 0.01,
+            switch_bound_seconds: 1.0,
+            longest_query_seconds: 0.1,
+            fill_deadline_seconds: 10.0,
+            max_changed_ratio: 1.0,
+            maps_enabled: true,
+            map_requirements: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
         };
         let partner = |name: &str| Partner { name: name.to_string(), brokers: Vec::new(), metered: false };
         let at = SocketAddr::from(([127, 0, 0, 1], 9));
-        let told = Told {
+        let told = ControlPlaneConfig {
             terms,
-            listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            folder: PathBuf::from("/nowhere"),
-            known: Vec::new(),
-            key: None,
-            version,
-            record: Some(self.record(self.lives)),
+            listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
+            data_directory: PathBuf::from("/nowhere"),
+            known_brokers: Vec::new(),
+            key_file: None,
+            version_file: version,
+            audit_log_file: Some(self.record(self.lives)),
             partners: vec![partner("north"), partner("south")],
-            links: Vec::new(),
-            fills: Some(Filling { at, segment: SEGMENT, rate: RATE, at_once: 16, warm: self.warm }),
-            limits: None,
-            warming: Some(Warming { from: 0.2, warm_after: 100.0, multiple: 2.0, span: 1.0 }),
-            moves: None,
-            table_types: 1,
+            link_rates: Vec::new(),
+            fills: Some(FillConfig {
+                fill_service: at,
+                segment_bytes: SEGMENT,
+                bytes_per_second: RATE,
+                max_concurrent_fills: 16,
+                fill_started_nodes: self.warm,
+            }),
+            quotas: None,
+            slow_start: Some(SlowStartPolicy {
+                initial_share: 0.2,
+                warm_up_seconds: 100.0,
+                capacity_multiple: 2.0,
+                window_seconds: 1.0,
+            }),
+            rebalancing: None,
+            query_class_count: 1,
             seed: 7,
         };
-        let stand_ins = StandIns {
-            files: Some(Arc::new(self.files.clone())),
-            filler: Some(self.nodes.clone()),
-            dies: dies.map(|point| Arc::new(move |at: &str| at == point) as dunepond_control_plane::Dies),
+        let stand_ins = TestDoubles {
+            storage: Some(Arc::new(self.files.clone())),
+            fill_client: Some(self.nodes.clone()),
+            crashes_at: dies
+                .map(|point| Arc::new(move |at: &str| at == point) as dunepond_control_plane::CrashPoints),
         };
         let fleet = start(told, stand_ins, || ()).unwrap();
         let node = |i: usize| Node {
@@ -129,7 +141,7 @@
             partner: ["north", "south"][i % 2].to_string(),
             draining: false,
         };
-        fleet.hand().listed((0..4).map(node).collect());
+        fleet.hand().set_listed_nodes((0..4).map(node).collect());
         fleet
     }
 
@@ -137,12 +149,15 @@
         self.folder.path().join(format!("acts-{life}"))
     }
 
-    fn acts(&self) -> Vec<Act> {
+    fn acts(&self) -> Vec<AuditEvent> {
         let texts =
             (1..=self.lives).map(|life| std::fs::read_to_string(self.record(life)).unwrap_or_default());
         let texts: Vec<_> = texts.collect();
         let lines = texts.iter().flat_map(|text| text.lines());
-        lines.filter_map(|line| serde_json::from_str::<Line>(line).ok()).map(|line| line.act).collect()
+        lines
+            .filter_map(|line| serde_json::from_str::<AuditRecord>(line).ok())
+            .map(|line| line.event)
+            .collect()
     }
 
     /// Segments, each held by two nodes; with `new` a third holder, of south, that is to be filled first.
@@ -174,7 +189,7 @@
 
     fn settled(&self) -> Vec<(String, u64)> {
         let settled = self.acts().into_iter().filter_map(|act| match act {
-            Act::Settle { id, bytes, .. } => Some((id, bytes)),
+            AuditEvent::Settle { id, bytes, .. } => Some((id, bytes)),
             _ => None,
         });
         settled.collect()
@@ -189,13 +204,19 @@
     }
 }
 
-fn alone(fleet: &Fleet, number: u64) {
-    wait("a version", || fleet.hand().acting().at(steady()) == Phase::Alone(number));
+fn alone(fleet: &ControlPlane, number: u64) {
+    wait("a version", || {
+        fleet.hand().active_config().phase(monotonic_seconds()) == ConfigPhase::Active(number)
+    });
 }
 
-fn cold(fleet: &Fleet, node: &str, age: f64) {
-    let since = steady() - age;
-    fleet.hand().started(vec![Started { node: node.to_string(), start: 77, since }]);
+fn cold(fleet: &ControlPlane, node: &str, age: f64) {
+    let since = monotonic_seconds() - age;
+    fleet.hand().set_started_nodes(vec![StartedNode {
+        node: node.to_string(),
+        incarnation: 77,
+        started_at: since,
+    }]);
 }
 
 /// Between the entry of its settlement and that of the fill: the fill is asked for again, known again, settled once.
@@ -204,10 +225,10 @@
     let mut one = One::new(false);
     let fleet = one.begin(Some(one.version(1, 1, false)), Some("settled"));
     alone(&fleet, 1);
-    fleet.hand().reread(Some(one.version(2, 1, true)));
+    fleet.hand().reload_version(Some(one.version(2, 1, true)));
     wait("the fill", || !one.nodes.done.lock().unwrap().is_empty());
     thread::sleep(Duration::from_millis(200));
-    assert_eq!(fleet.hand().acting().number(), 1, "it came into force without its fill");
+    assert_eq!(fleet.hand().active_config().active_number(), 1, "it came into force without its fill");
     fleet.stop();
     let fleet = one.begin(None, None);
     alone(&fleet, 2);
@@ -221,8 +242,8 @@
 
 /// Bytes that stand in the folder as carried by south for north, and the other way.
 fn owed(one: &One) -> u64 {
-    let counts = Snapshots::new(Arc::new(one.files.clone()) as Arc<dyn Files>, "counts", 1);
-    let newest = counts.read().unwrap().newest.unwrap();
+    let counts = SnapshotStore::new(Arc::new(one.files.clone()) as Arc<dyn FileStore>, "counts", 1);
+    let newest = counts.load().unwrap().newest.unwrap();
     let tally: Tally = postcard::from_bytes(&newest.bytes).unwrap();
     assert_eq!(tally.counts().total("north", "south"), 0);
     tally.counts().total("south", "north")
@@ -237,7 +258,7 @@
     alone(&fleet, 1);
     cold(&fleet, "s3", age);
     one.nodes.held.store(true, Ordering::Relaxed);
-    fleet.hand().reread(Some(one.version(2, 6, true)));
+    fleet.hand().reload_version(Some(one.version(2, 6, true)));
     let bound = 1.5 * share * RATE as f64;
     let rates = || one.nodes.under.lock().unwrap().values().map(|order| order.rate as f64).sum::<f64>();
     wait("fills", || rates() > 0.0);
@@ -316,11 +337,11 @@
     one.nodes.held.store(true, Ordering::Relaxed);
     let fleet = one.begin(Some(one.version(1, 1, false)), None);
     alone(&fleet, 1);
-    fleet.hand().reread(Some(one.version(2, 1, true)));
+    fleet.hand().reload_version(Some(one.version(2, 1, true)));
     wait("an order", || !one.nodes.asked.lock().unwrap().is_empty());
     fleet.stop();
     let none = Tally::open(None, "n1", 1).unwrap();
-    let mut counts = Snapshots::new(Arc::new(one.files.clone()) as Arc<dyn Files>, "counts", 1);
+    let mut counts = SnapshotStore::new(Arc::new(one.files.clone()) as Arc<dyn FileStore>, "counts", 1);
     counts.write(&postcard::to_stdvec(&none).unwrap()).unwrap();
     one.nodes.held.store(false, Ordering::Relaxed);
     let fleet = one.begin(None, None);
--- a/crates/dunepond-control-plane/tests/golden.rs
+++ b/crates/dunepond-control-plane/tests/golden.rs
@@ -10,9 +10,11 @@
 use std::thread;
 use std::time::Duration;
 
-use dunepond_consensus::{Change, Entry, Orders, Refusal, Saved, Terms, Voter};
+use dunepond_consensus::{Command, ConsensusConfig, Effects, Rejection, StateChange, StoredVoter, Voter};
 use dunepond_control_plane::why::{About, Offer, Why};
-use dunepond_control_plane::{Act, Filled, Filler, HttpFiller, Line, Order, Word};
+use dunepond_control_plane::{
+    AuditEvent, AuditPhase, AuditRecord, FillClient, FillRequest, FillResult, HttpFillClient,
+};
 use dunepond_settlement::{Book, Counts, Fill, Ledger, Settlement, Sides};
 use dunepond_simulation::fleet::{map, terms, version};
 use tracing::field::{Field, Visit};
@@ -28,9 +30,9 @@
     text.to_string()
 }
 
-fn lines() -> Vec<Line> {
+fn lines() -> Vec<AuditRecord> {
     let (call, node, id, digest) = (text("c-1"), text("s-1"), text("7/1/s-3"), text("00ff"));
-    let fill = |state: &str| Act::Fill {
+    let fill = |state: &str| AuditEvent::Fill {
         id: id.clone(),
         segment: 1,
         holder: text("s-3"),
@@ -39,23 +41,29 @@
         state: text(state),
     };
     let acts = vec![
-        Act::Phase { phase: Word::None, from: 0, to: 0, until: 0.0 },
-        Act::Phase { phase: Word::Alone, from: 6, to: 6, until: 9.5 },
-        Act::Phase { phase: Word::Joint, from: 6, to: 7, until: 9.5 },
-        Act::Phase { phase: Word::Cut, from: 6, to: 7, until: 9.5 },
-        Act::Dispatch {
+        AuditEvent::Phase { phase: AuditPhase::None, from: 0, to: 0, until: 0.0 },
+        AuditEvent::Phase { phase: AuditPhase::Alone, from: 6, to: 6, until: 9.5 },
+        AuditEvent::Phase { phase: AuditPhase::Joint, from: 6, to: 7, until: 9.5 },
+        AuditEvent::Phase { phase: AuditPhase::Cut, from: 6, to: 7, until: 9.5 },
+        AuditEvent::Dispatch {
             call: call.clone(),
             seg: 1,
             node: node.clone(),
             shot: 2,
             once: true,
-            phase: Word::Alone,
+            phase: AuditPhase::Alone,
             numbers: vec![6, 7],
         },
-        Act::Answer { call: call.clone(), status: 200, whole: true, segs: vec![0, 1], epoch: Some(12) },
-        Act::Answer { call: call.clone(), status: 429, whole: false, segs: Vec::new(), epoch: None },
-        Act::Refused { call, why: text("cut") },
-        Act::Settle {
+        AuditEvent::Answer {
+            call: call.clone(),
+            status: 200,
+            whole: true,
+            segs: vec![0, 1],
+            epoch: Some(12),
+        },
+        AuditEvent::Answer { call: call.clone(), status: 429, whole: false, segs: Vec::new(), epoch: None },
+        AuditEvent::Refused { call, why: text("cut") },
+        AuditEvent::Settle {
             id: format!("{id}@n1"),
             debtor: text("north"),
             creditor: text("south"),
@@ -64,10 +72,10 @@
         },
         fill("planned"),
         fill("done"),
-        Act::Proposed { number: 7, digest: digest.clone() },
-        Act::Confirmed { number: 7, digest: digest.clone() },
-        Act::Withdrawn { number: 7, digest },
-        Act::Share {
+        AuditEvent::Proposed { number: 7, digest: digest.clone() },
+        AuditEvent::Confirmed { number: 7, digest: digest.clone() },
+        AuditEvent::Withdrawn { number: 7, digest },
+        AuditEvent::Share {
             generation: 3,
             counted: true,
             floor: 100_000,
@@ -76,10 +84,13 @@
             until: 9.5,
             window: 60.0,
         },
-        Act::Lost { count: 12 },
+        AuditEvent::Lost { count: 12 },
     ];
     let times = (0..).map(|n| 1.25 + f64::from(n));
-    times.zip(acts).map(|(at, act)| Line { at, brk: text("n1"), run: 1_790_000_000_000, act }).collect()
+    times
+        .zip(acts)
+        .map(|(at, act)| AuditRecord { at, brk: text("n1"), run: 1_790_000_000_000, event: act })
+        .collect()
 }
 
 #[test]
@@ -87,12 +98,12 @@
     let stored = golden("audit.jsonl");
     let written: String = lines().iter().map(|line| serde_json::to_string(line).unwrap() + "\n").collect();
     assert_eq!(written, stored);
-    let read: Vec<Line> = stored.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
+    let read: Vec<AuditRecord> = stored.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
     assert_eq!(read, lines());
 }
 
-fn order() -> Order {
-    Order {
+fn order() -> FillRequest {
+    FillRequest {
         id: text("7/1/s-3"),
         segment: 1,
         holder: text("s-3"),
@@ -102,16 +113,16 @@
     }
 }
 
-fn filled() -> Filled {
-    Filled { source: text("s-2"), bytes: 67_000_000 }
+fn filled() -> FillResult {
+    FillResult { source: text("s-2"), bytes: 67_000_000 }
 }
 
 #[test]
 fn a_fill_is_ordered_and_answered_as_before() {
     assert_eq!(serde_json::to_string(&order()).unwrap(), golden("fill-order.json"));
-    assert_eq!(serde_json::from_str::<Order>(&golden("fill-order.json")).unwrap(), order());
+    assert_eq!(serde_json::from_str::<FillRequest>(&golden("fill-order.json")).unwrap(), order());
     assert_eq!(serde_json::to_string(&filled()).unwrap(), golden("fill-done.json"));
-    assert_eq!(serde_json::from_str::<Filled>(&golden("fill-done.json")).unwrap(), filled());
+    assert_eq!(serde_json::from_str::<FillResult>(&golden("fill-done.json")).unwrap(), filled());
 }
 
 #[test]
@@ -131,7 +142,7 @@
         write!(asker, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{answer}", answer.len()).unwrap();
         String::from_utf8(heard).unwrap()
     });
-    assert_eq!(HttpFiller::new(at).fill(&order(), Duration::from_secs(20)).unwrap(), filled());
+    assert_eq!(HttpFillClient::new(at).fill(&order(), Duration::from_secs(20)).unwrap(), filled());
     let heard = filler.join().unwrap().to_ascii_lowercase();
     assert!(heard.starts_with("post /fill http/1.1\r\n"), "{heard}");
     assert!(heard.contains("\r\ncontent-type: application/json\r\n"), "{heard}");
@@ -192,14 +203,15 @@
 }
 
 fn whys() -> Vec<Why> {
-    let terms = Terms { lease: 0.5, ..terms("n1", 1) };
-    let mut voter = Voter::open(terms, Saved::new(), 0.0, 1).unwrap();
+    let terms = ConsensusConfig { lease_seconds: 0.5, ..terms("n1", 1) };
+    let mut voter = Voter::open(terms, StoredVoter::new(), 0.0, 1).unwrap();
     let mut found = Vec::new();
-    let mut take = |voter: &Voter, orders: Orders| {
-        let changes = orders.outcomes.into_iter().filter_map(|o| Some((o.index, o.what.ok()?)));
-        found.extend(
-            changes.filter_map(|(index, change): (u64, Change)| Why::agreed(index, &change, voter.state())),
-        );
+    let mut take = |voter: &Voter, orders: Effects| {
+        let changes = orders.outcomes.into_iter().filter_map(|o| Some((o.index, o.result.ok()?)));
+        found
+            .extend(changes.filter_map(|(index, change): (u64, StateChange)| {
+                Why::agreed(index, &change, voter.state())
+            }));
     };
     let mut now = 0.0;
     let mut propose = |voter: &mut Voter, now: &mut f64, entry| {
@@ -215,9 +227,9 @@
         now += 0.02;
         let _ = voter.tick(now);
     }
-    propose(&mut voter, &mut now, Entry::Propose(Box::new(version(1, Some(map(1, false))))));
-    propose(&mut voter, &mut now, Entry::Propose(Box::new(version(2, Some(map(2, true))))));
-    let filled = Entry::Filled { number: 2, segment: 0, holder: text("cold2") };
+    propose(&mut voter, &mut now, Command::Propose(Box::new(version(1, Some(map(1, false))))));
+    propose(&mut voter, &mut now, Command::Propose(Box::new(version(2, Some(map(2, true))))));
+    let filled = Command::FillCompleted { number: 2, segment: 0, holder: text("cold2") };
     propose(&mut voter, &mut now, filled);
 
     let mut book =
@@ -247,7 +259,7 @@
     };
     found.push(Why::fill(&fill, None, &book));
     found.push(Why::settled(&settlement, &book));
-    found.push(Why::refused(&Offer::logged(9), &Refusal::NoLeader, voter.state()));
+    found.push(Why::refused(&Offer::logged(9), &Rejection::NoLeader, voter.state()));
     found
 }
 
--- a/crates/dunepond-control-plane/tests/host.rs
+++ b/crates/dunepond-control-plane/tests/host.rs
@@ -9,65 +9,67 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_consensus::{Phase, Terms};
-use dunepond_control_plane::{Fleet, FleetError, Partner, StandIns, Told, start, steady};
-use dunepond_quota::{Bounds, Own};
+use dunepond_consensus::{ConfigPhase, ConsensusConfig};
+use dunepond_control_plane::{
+    ControlPlane, ControlPlaneConfig, ControlPlaneError, Partner, TestDoubles, monotonic_seconds, start,
+};
+use dunepond_quota::{LocalQuota, SharedQuotas};
 use dunepond_testkit::files::{Mem, Plan};
 use rstest::rstest;
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
-fn told(version: Option<PathBuf>) -> Told {
-    let terms = Terms {
+fn told(version: Option<PathBuf>) -> ControlPlaneConfig {
+    let terms = ConsensusConfig {
         name: "n1".to_string(),
         voters: vec!["n1".to_string()],
-        lease: 0.3,
-        drift: 0.01,
-        bound: 1.0,
-        longest_timeout: 0.1,
-        fills_deadline: 10.0,
-        most_changed: 1.0,
-        maps: false,
-        map: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
+        lease_seconds: 0.3,
+        drift_ratio: 0.01,
+        switch_bound_seconds: 1.0,
+        longest_query_seconds: 0.1,
+        fill_deadline_seconds: 10.0,
+        max_changed_ratio: 1.0,
+        maps_enabled: false,
+        map_requirements: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
     };
-    Told {
+    ControlPlaneConfig {
         terms,
-        listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-        folder: PathBuf::from("/nowhere"),
-        known: Vec::new(),
-        key: None,
-        version,
-        record: None,
+        listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
+        data_directory: PathBuf::from("/nowhere"),
+        known_brokers: Vec::new(),
+        key_file: None,
+        version_file: version,
+        audit_log_file: None,
         partners: Vec::new(),
-        links: Vec::new(),
+        link_rates: Vec::new(),
         fills: None,
-        warming: None,
-        limits: None,
-        moves: None,
-        table_types: 1,
+        slow_start: None,
+        quotas: None,
+        rebalancing: None,
+        query_class_count: 1,
         seed: 7,
     }
 }
 
-fn begin(files: &Mem, version: Option<PathBuf>) -> (Fleet, Arc<AtomicUsize>) {
+fn begin(files: &Mem, version: Option<PathBuf>) -> (ControlPlane, Arc<AtomicUsize>) {
     begin_with(files, told(version))
 }
 
-fn begin_with(files: &Mem, told: Told) -> (Fleet, Arc<AtomicUsize>) {
+fn begin_with(files: &Mem, told: ControlPlaneConfig) -> (ControlPlane, Arc<AtomicUsize>) {
     let woken = Arc::new(AtomicUsize::new(0));
     let counted = woken.clone();
-    let stand_ins = StandIns { files: Some(Arc::new(files.clone())), ..StandIns::default() };
+    let stand_ins = TestDoubles { storage: Some(Arc::new(files.clone())), ..TestDoubles::default() };
     let wake = move || {
         counted.fetch_add(1, Ordering::Relaxed);
     };
     (start(told, stand_ins, wake).unwrap(), woken)
 }
 
-fn wait(fleet: &Fleet, what: &str, is_so: impl Fn(Phase, bool) -> bool) {
+fn wait(fleet: &ControlPlane, what: &str, is_so: impl Fn(ConfigPhase, bool) -> bool) {
     let began = Instant::now();
-    let acting = || fleet.hand().acting();
-    while !is_so(acting().at(steady()), steady() < acting().until()) {
-        assert!(began.elapsed() < PATIENCE, "{what}: {:?}", acting().at(steady()));
+    let acting = || fleet.hand().active_config();
+    while !is_so(acting().phase(monotonic_seconds()), monotonic_seconds() < acting().lease_expires_at()) {
+        assert!(began.elapsed() < PATIENCE, "{what}: {:?}", acting().phase(monotonic_seconds()));
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -90,10 +92,10 @@
     let folder = tempfile::tempdir().unwrap();
     files.plan(Plan::Full);
     // What is proposed now cannot be promised.
-    fleet.hand().reread(Some(version(&folder, 1)));
-    wait(&fleet, "no lease", |phase, leased| !leased && phase == Phase::None);
+    fleet.hand().reload_version(Some(version(&folder, 1)));
+    wait(&fleet, "no lease", |phase, leased| !leased && phase == ConfigPhase::Unconfigured);
     files.plan(Plan::Serve);
-    wait(&fleet, "the version", |phase, _| phase == Phase::Alone(1));
+    wait(&fleet, "the version", |phase, _| phase == ConfigPhase::Active(1));
     assert!(woken.load(Ordering::Relaxed) >= 3);
     fleet.stop();
 }
@@ -105,58 +107,64 @@
     let folder = tempfile::tempdir().unwrap();
     let files = Mem::default();
     let (fleet, _) = begin(&files, Some(version(&folder, 1)));
-    wait(&fleet, "the version", |phase, _| phase == Phase::Alone(1));
+    wait(&fleet, "the version", |phase, _| phase == ConfigPhase::Active(1));
     fleet.stop();
     let mut journal = files.peek("voter.journal").unwrap();
     journal.extend_from_slice(torn);
     files.poke("voter.journal", journal);
     let (fleet, _) = begin(&files, None);
     // Before the first lease the strictest of what was known holds.
-    assert!(matches!(fleet.hand().acting().at(steady()), Phase::Cut(1) | Phase::Alone(1)));
-    wait(&fleet, "a lease on it", |phase, _| phase == Phase::Alone(1));
-    let acting = fleet.hand().acting();
-    let rules = acting.rules(steady()).unwrap();
-    assert_eq!((rules.dispatch_cap, rules.second_copies), (2, false));
+    assert!(matches!(
+        fleet.hand().active_config().phase(monotonic_seconds()),
+        ConfigPhase::LeaseExpired(1) | ConfigPhase::Active(1)
+    ));
+    wait(&fleet, "a lease on it", |phase, _| phase == ConfigPhase::Active(1));
+    let acting = fleet.hand().active_config();
+    let rules = acting.rules(monotonic_seconds()).unwrap();
+    assert_eq!((rules.max_attempts, rules.hedging_enabled), (2, false));
     fleet.stop();
 }
 
 #[test]
 fn terms_that_cannot_hold_are_refused_at_the_start_with_what_to_change() {
     let mut told = told(None);
-    told.terms.bound = 0.2;
-    let error = start(told, StandIns::default(), || ()).map(drop).unwrap_err();
-    assert!(matches!(error, FleetError::Terms(_)), "{error}");
+    told.terms.switch_bound_seconds = 0.2;
+    let error = start(told, TestDoubles::default(), || ()).map(drop).unwrap_err();
+    assert!(matches!(error, ControlPlaneError::Terms(_)), "{error}");
     assert!(error.help().contains("bound"));
 }
 
 #[test]
 fn a_folder_that_is_not_there_is_named() {
-    let error = start(told(None), StandIns::default(), || ()).map(drop).unwrap_err();
-    assert!(matches!(error, FleetError::Folder { .. }) && error.to_string().contains("/nowhere"), "{error}");
+    let error = start(told(None), TestDoubles::default(), || ()).map(drop).unwrap_err();
+    assert!(
+        matches!(error, ControlPlaneError::Folder { .. }) && error.to_string().contains("/nowhere"),
+        "{error}"
+    );
 }
 
 /// Three brokers may exist, so that two floors stay unused; what is spare goes to the only one that needs it, and outlasts
 /// it in the log: after a restart it comes with the first lease.
 #[test]
 fn what_is_spare_is_leased_to_who_needs_it_and_is_gone_with_the_lease() {
-    let bounds = Bounds::new(vec!["cold".to_string()], 3, 0.3, 100).unwrap();
-    let shares = || Told { limits: Some((bounds.clone(), 0.1)), ..told(None) };
+    let bounds = SharedQuotas::new(vec!["cold".to_string()], 3, 0.3, 100).unwrap();
+    let shares = || ControlPlaneConfig { quotas: Some((bounds.clone(), 0.1)), ..told(None) };
     let files = Mem::default();
     let (fleet, _) = begin_with(&files, shares());
-    fleet.hand().needs(BTreeMap::from([("cold".to_string(), 900_000)]));
-    let part = |fleet: &Fleet, now: f64| {
-        let acting = fleet.hand().acting();
-        let heard = acting.limits(now);
-        Own::new(&bounds, 0.0).part(heard.told, heard.live, "cold", now)
+    fleet.hand().set_demand(BTreeMap::from([("cold".to_string(), 900_000)]));
+    let part = |fleet: &ControlPlane, now: f64| {
+        let acting = fleet.hand().active_config();
+        let heard = acting.quota(now);
+        LocalQuota::new(&bounds, 0.0).available_units(heard.allocation, heard.lease_valid, "cold", now)
     };
-    wait(&fleet, "its part", |_, _| part(&fleet, steady()) == 800_000);
-    let until = fleet.hand().acting().until();
+    wait(&fleet, "its part", |_, _| part(&fleet, monotonic_seconds()) == 800_000);
+    let until = fleet.hand().active_config().lease_expires_at();
     assert_eq!(part(&fleet, until + 60.0), 100_000, "a minute after its last lease");
     fleet.stop();
     let (fleet, _) = begin_with(&files, shares());
-    wait(&fleet, "its part again", |_, _| part(&fleet, steady()) == 800_000);
+    wait(&fleet, "its part again", |_, _| part(&fleet, monotonic_seconds()) == 800_000);
     // Who needs nothing any more keeps it as long as nobody else does.
-    fleet.hand().needs(BTreeMap::new());
+    fleet.hand().set_demand(BTreeMap::new());
     fleet.stop();
 }
 
@@ -170,11 +178,11 @@
     let word = serde_json::json!({"folder": 1, "last": 1, "lost": ["n2"], "highest": 0, "word": "yes"});
     let path = folder.path().join("majority-lost.json");
     std::fs::write(&path, word.to_string()).unwrap();
-    let told = Told { folder: folder.path().to_path_buf(), ..told(None) };
-    let stand_ins = StandIns { files: Some(Arc::new(files.clone())), ..StandIns::default() };
+    let told = ControlPlaneConfig { data_directory: folder.path().to_path_buf(), ..told(None) };
+    let stand_ins = TestDoubles { storage: Some(Arc::new(files.clone())), ..TestDoubles::default() };
     let error = start(told, stand_ins, || ()).map(drop).unwrap_err();
     assert!(
-        matches!(error, FleetError::Word { .. }) && error.to_string().contains("here: folder"),
+        matches!(error, ControlPlaneError::Word { .. }) && error.to_string().contains("here: folder"),
         "{error}"
     );
     assert!(error.help().contains("lost the least") && path.exists());
--- a/crates/dunepond-control-plane/tests/moves.rs
+++ b/crates/dunepond-control-plane/tests/moves.rs
@@ -8,8 +8,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_consensus::Terms;
-use dunepond_control_plane::{Filled, Filler, Filling, Fleet, Moves, Order, StandIns, Told, start, steady};
+use dunepond_consensus::ConsensusConfig;
+use dunepond_control_plane::{
+    ControlPlane, ControlPlaneConfig, FillClient, FillConfig, FillRequest, FillResult, RebalanceConfig,
+    TestDoubles, monotonic_seconds, start,
+};
 use dunepond_testkit::files::Mem;
 use serde_json::{Value, json};
 
@@ -23,13 +26,17 @@
     waits: AtomicBool,
 }
 
-impl Filler for Source {
-    fn fill(&self, order: &Order, _within: Duration) -> Result<Filled, dunepond_control_plane::FillError> {
+impl FillClient for Source {
+    fn fill(
+        &self,
+        order: &FillRequest,
+        _within: Duration,
+    ) -> Result<FillResult, dunepond_control_plane::FillError> {
         self.asked.lock().unwrap().push(order.id.clone());
         while self.waits.load(Ordering::Relaxed) {
             thread::sleep(Duration::from_millis(2));
         }
-        Ok(Filled { source: order.source.clone(), bytes: order.bytes })
+        Ok(FillResult { source: order.source.clone(), bytes: order.bytes })
     }
 }
 
@@ -53,50 +60,53 @@
         self.path(name)
     }
 
-    fn begin(&self, version: Option<&Path>, plan: Option<&Path>) -> Fleet {
-        let terms = Terms {
+    fn begin(&self, version: Option<&Path>, plan: Option<&Path>) -> ControlPlane {
+        let terms = ConsensusConfig {
             name: "n1".to_string(),
             voters: vec!["n1".to_string()],
-            lease: 0.3,
-            drift: 0.01,
-            bound: 1.0,
-            longest_timeout: 0.1,
-            fills_deadline: 10.0,
-            most_changed: 1.0,
-            maps: true,
-            map: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
+            lease_seconds: 0.3,
+            drift_ratio: 0.01,
+            switch_bound_seconds: 1.0,
+            longest_query_seconds: 0.1,
+            fill_deadline_seconds: 10.0,
+            max_changed_ratio: 1.0,
+            maps_enabled: true,
+            map_requirements: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
         };
-        let told = Told {
+        let told = ControlPlaneConfig {
             terms,
-            listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            folder: PathBuf::from("/nowhere"),
-            known: Vec::new(),
-            key: None,
-            version: version.map(Path::to_path_buf),
-            record: None,
+            listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
+            data_directory: PathBuf::from("/nowhere"),
+            known_brokers: Vec::new(),
+            key_file: None,
+            version_file: version.map(Path::to_path_buf),
+            audit_log_file: None,
             partners: Vec::new(),
-            links: Vec::new(),
-            fills: Some(Filling {
-                at: SocketAddr::from(([127, 0, 0, 1], 1)),
-                segment: 1000,
-                rate: 1 << 20,
-                at_once: 2,
-                warm: false,
+            link_rates: Vec::new(),
+            fills: Some(FillConfig {
+                fill_service: SocketAddr::from(([127, 0, 0, 1], 1)),
+                segment_bytes: 1000,
+                bytes_per_second: 1 << 20,
+                max_concurrent_fills: 2,
+                fill_started_nodes: false,
             }),
-            warming: None,
-            limits: None,
-            moves: plan.map(|plan| Moves {
-                plan: plan.to_path_buf(),
-                at_once: 2,
-                settle: 0.0,
-                link_bytes: None,
+            slow_start: None,
+            quotas: None,
+            rebalancing: plan.map(|plan| RebalanceConfig {
+                plan_file: plan.to_path_buf(),
+                max_concurrent_acts: 2,
+                settle_seconds: 0.0,
+                default_link_rate: None,
             }),
-            table_types: 1,
+            query_class_count: 1,
             seed: 7,
         };
         let files: Arc<Mem> = Arc::new(self.files.clone());
-        let stand_ins =
-            StandIns { files: Some(files), filler: Some(self.source.clone()), ..StandIns::default() };
+        let stand_ins = TestDoubles {
+            storage: Some(files),
+            fill_client: Some(self.source.clone()),
+            ..TestDoubles::default()
+        };
         start(told, stand_ins, || ()).unwrap()
     }
 }
@@ -121,17 +131,17 @@
 }
 
 /// Ids and owners of the map that is acted on alone.
-fn held(fleet: &Fleet) -> Vec<(u64, String)> {
-    let acting = fleet.hand().acting();
-    let alone = acting.live(steady()) && acting.proposed().is_none();
-    let proof = acting.map(steady()).filter(|_| alone);
+fn held(fleet: &ControlPlane) -> Vec<(u64, String)> {
+    let acting = fleet.hand().active_config();
+    let alone = acting.lease_valid(monotonic_seconds()) && acting.proposed_number().is_none();
+    let proof = acting.map(monotonic_seconds()).filter(|_| alone);
     proof.map_or(Vec::new(), |proof| proof.segments().map(|s| (s.id, s.owner.clone())).collect())
 }
 
-fn wait(fleet: &Fleet, what: &str, is_so: impl Fn(&Fleet) -> bool) {
+fn wait(fleet: &ControlPlane, what: &str, is_so: impl Fn(&ControlPlane) -> bool) {
     let began = Instant::now();
     while !is_so(fleet) {
-        assert!(began.elapsed() < PATIENCE, "{what}: {:?}, {}", held(fleet), fleet.hand().report());
+        assert!(began.elapsed() < PATIENCE, "{what}: {:?}, {}", held(fleet), fleet.hand().summary());
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -147,7 +157,7 @@
     stage.source.waits.store(true, Ordering::Relaxed);
     let fleet = stage.begin(Some(&first), Some(&file));
     wait(&fleet, "the fill", |_| !stage.source.asked.lock().unwrap().is_empty());
-    wait(&fleet, "the joint step", |fleet| fleet.hand().acting().proposed().is_some());
+    wait(&fleet, "the joint step", |fleet| fleet.hand().active_config().proposed_number().is_some());
     // Killed, as far as the folder knows; the next run has no plan file: what is agreed on is enough.
     fleet.stop();
     stage.source.waits.store(false, Ordering::Relaxed);
@@ -156,11 +166,18 @@
     let asked = stage.source.asked.lock().unwrap().clone();
     assert!(asked.iter().all(|id| *id == asked[0]), "one fill, under one id: {asked:?}");
     // Split, fill, switch, merge, or in whatever order: each version once.
-    assert!((4..=5).contains(&fleet.hand().acting().number()), "{}", fleet.hand().acting().number());
-    let before = fleet.hand().acting().number();
-    fleet.hand().reread_moves(Some(stage.write("plan", &plan("withdraw"))));
+    assert!(
+        (4..=5).contains(&fleet.hand().active_config().active_number()),
+        "{}",
+        fleet.hand().active_config().active_number()
+    );
+    let before = fleet.hand().active_config().active_number();
+    fleet.hand().reload_plan(Some(stage.write("plan", &plan("withdraw"))));
     thread::sleep(Duration::from_millis(900));
-    assert_eq!((fleet.hand().acting().number(), held(&fleet)), (before, owned(&[(10, "b"), (12, "a")])));
+    assert_eq!(
+        (fleet.hand().active_config().active_number(), held(&fleet)),
+        (before, owned(&[(10, "b"), (12, "a")]))
+    );
     fleet.stop();
 }
 
@@ -175,10 +192,10 @@
     // Whatever number the plan comes to: above all of its own.
     (other["number"], other["map"]["epoch"]) = (json!(6), json!(50));
     other["map"]["segments"][0]["id"] = json!(7);
-    fleet.hand().reread(Some(stage.write("other", &other)));
+    fleet.hand().reload_version(Some(stage.write("other", &other)));
     thread::sleep(Duration::from_millis(700));
-    assert!(fleet.hand().acting().number() < 6);
-    fleet.hand().reread_moves(Some(stage.write("plan", &plan("withdraw"))));
+    assert!(fleet.hand().active_config().active_number() < 6);
+    fleet.hand().reload_plan(Some(stage.write("plan", &plan("withdraw"))));
     wait(&fleet, "the way back", |fleet| held(fleet) == owned(&[(0, "a"), (1, "a")]));
     stage.source.waits.store(false, Ordering::Relaxed);
     fleet.stop();
@@ -191,10 +208,10 @@
     impossible["nodes"]["b"]["room"] = json!({"segments": 0});
     let (first, file) = (stage.write("version", &version()), stage.write("plan", &impossible));
     let fleet = stage.begin(Some(&first), Some(&file));
-    wait(&fleet, "the refusal", |fleet| fleet.hand().report().contains("refused 1"));
+    wait(&fleet, "the refusal", |fleet| fleet.hand().summary().contains("refused 1"));
     assert_eq!(held(&fleet), owned(&[(0, "a"), (1, "a")]));
     // Mended, under the same id: what was refused never was.
-    fleet.hand().reread_moves(Some(stage.write("plan", &plan("go"))));
+    fleet.hand().reload_plan(Some(stage.write("plan", &plan("go"))));
     wait(&fleet, "the plan", |fleet| held(fleet) == owned(&[(10, "b"), (12, "a")]));
     fleet.stop();
 }
--- a/crates/dunepond-control-plane/tests/why.rs
+++ b/crates/dunepond-control-plane/tests/why.rs
@@ -1,7 +1,10 @@
 //! What the log answers to "why": each kind of decision has its line, with the word, the limit and what was weighed, and
 //! no line is long or broken, whatever names come in.
 
-use dunepond_consensus::{Change, Entry, Orders, Refusal, Saved, State, Terms, Version, Voter};
+use dunepond_consensus::{
+    Command, ConfigVersion, ConsensusConfig, Effects, Rejection, ReplicatedState, StateChange, StoredVoter,
+    Voter,
+};
 use dunepond_control_plane::why::{About, LONGEST, Offer, Why};
 use dunepond_settlement::{Book, Counts, Fill, Ledger, Need, Settlement, Sides};
 use dunepond_simulation::fleet::{map, terms, version};
@@ -10,20 +13,23 @@
 struct Fleet {
     voter: Voter,
     now: f64,
-    seen: Vec<(u64, Change)>,
+    seen: Vec<(u64, StateChange)>,
 }
 
 impl Fleet {
     fn new() -> Self {
-        let terms = Terms { lease: 0.5, ..terms("n1", 1) };
-        let mut fleet =
-            Self { voter: Voter::open(terms, Saved::new(), 0.0, 1).unwrap(), now: 0.0, seen: Vec::new() };
+        let terms = ConsensusConfig { lease_seconds: 0.5, ..terms("n1", 1) };
+        let mut fleet = Self {
+            voter: Voter::open(terms, StoredVoter::new(), 0.0, 1).unwrap(),
+            now: 0.0,
+            seen: Vec::new(),
+        };
         fleet.run(2.0);
         fleet
     }
 
-    fn take(&mut self, orders: Orders) {
-        let done = orders.outcomes.into_iter().filter_map(|o| Some((o.index, o.what.ok()?)));
+    fn take(&mut self, orders: Effects) {
+        let done = orders.outcomes.into_iter().filter_map(|o| Some((o.index, o.result.ok()?)));
         self.seen.extend(done);
     }
 
@@ -35,7 +41,7 @@
         }
     }
 
-    fn enter(&mut self, entry: Entry) {
+    fn enter(&mut self, entry: Command) {
         let orders = self.voter.propose(self.now, entry).unwrap();
         self.take(orders);
     }
@@ -46,16 +52,16 @@
         Why::agreed(*index, change, self.voter.state()).expect("a line")
     }
 
-    fn state(&self) -> &State {
+    fn state(&self) -> &ReplicatedState {
         self.voter.state()
     }
 }
 
-fn propose(number: u64, cold: bool, word: &str) -> Entry {
+fn propose(number: u64, cold: bool, word: &str) -> Command {
     let who = word.to_string();
-    Entry::Propose(Box::new(Version {
-        who,
-        why: word.to_string(),
+    Command::Propose(Box::new(ConfigVersion {
+        proposed_by: who,
+        reason: word.to_string(),
         ..version(number, Some(map(number, cold)))
     }))
 }
@@ -75,7 +81,7 @@
         "{}",
         fleet.why()
     );
-    fleet.enter(Entry::Withdraw { number: 2, why: String::from("too early") });
+    fleet.enter(Command::Withdraw { number: 2, why: String::from("too early") });
     let why = fleet.why();
     assert!(why.what.starts_with("2 is withdrawn") && why.weighed.contains("too early"), "{why}");
     assert_eq!(why.word, "ann: ann");
@@ -87,7 +93,7 @@
     fleet.enter(propose(1, false, "mara"));
     fleet.run(3.0);
     fleet.enter(propose(2, true, "mara"));
-    fleet.enter(Entry::Filled { number: 2, segment: 0, holder: String::from("cold2") });
+    fleet.enter(Command::FillCompleted { number: 2, segment: 0, holder: String::from("cold2") });
     let why = fleet.why();
     assert_eq!(why.about, About::Fill);
     assert!(why.what.contains("2/0/cold2") && why.weighed.starts_with("0 fills"), "{why}");
@@ -99,7 +105,7 @@
     let entry = propose(7, false, "mara");
     let asked = Offer::of(&entry, "n3");
     let refusal = fleet.voter.propose(fleet.now, entry).unwrap_err();
-    assert_eq!(refusal, Refusal::Number { given: 7, expected: 1 });
+    assert_eq!(refusal, Rejection::WrongNumber { given: 7, expected: 1 });
     let why = Why::refused(&asked, &refusal, fleet.state());
     assert_eq!((why.about, why.what.as_str()), (About::Refused, "version 7"));
     assert!(why.word.contains("mara") && why.word.ends_with("by n3"), "{why}");
@@ -178,15 +184,15 @@
     let asked = Offer::of(&entry, &long);
     let refusal = fleet.voter.propose(fleet.now, entry).unwrap_err();
     let mut lines = vec![Why::refused(&asked, &refusal, fleet.state())];
-    lines.push(Why::refused(&asked, &Refusal::Settled(long.clone()), fleet.state()));
+    lines.push(Why::refused(&asked, &Rejection::AlreadySettled(long.clone()), fleet.state()));
     fleet.enter(propose(1, false, &long));
     lines.push(fleet.why());
-    fleet.enter(Entry::Withdraw { number: 1, why: long.clone() });
+    fleet.enter(Command::Withdraw { number: 1, why: long.clone() });
     lines.push(fleet.why());
     let (fill, need) = fill(&long);
     lines.push(Why::fill(&fill, Some(&need), &book()));
     lines.push(Why::settled(fill.settles.as_ref().unwrap(), &book()));
-    let done = Change::Filled { number: 1, segment: 0, holder: long };
+    let done = StateChange::FillCompleted { number: 1, segment: 0, holder: long };
     lines.push(Why::agreed(9, &done, fleet.state()).unwrap());
     for line in lines {
         let text = line.to_string();
--- a/crates/dunepond-membership/examples/links.rs
+++ b/crates/dunepond-membership/examples/links.rs
@@ -1,7 +1,7 @@
 //! What links cost: `cargo run --release -p dunepond-membership --example links [brokers ...]`. All brokers are in this one process, so
 //! processor time is shared out evenly; figures of one machine.
 
-use dunepond_membership::{Bound, Event, Kind, Peers, Told, bind, start_on};
+use dunepond_membership::{Bound, Event, MembershipOptions, Peers, RequestKind, bind, start_on};
 use std::time::{Duration, Instant};
 
 const IDLE: Duration = Duration::from_secs(5);
@@ -25,9 +25,9 @@
         .into_iter()
         .zip(&known)
         .map(|(bound, (name, at))| {
-            let mut told = Told::new(name, 1, *at, known.clone(), at.port().into());
+            let mut told = MembershipOptions::new(name, 1, *at, known.clone(), at.port().into());
             // One after the other they are more than one peer may send.
-            told.bounds.requests_each = u32::MAX;
+            told.limits.max_requests_per_second = u32::MAX;
             start_on(bound, told).expect("a start")
         })
         .collect();
@@ -49,18 +49,18 @@
         scope.spawn(|| {
             let mut left = ASKS;
             while left > 0 {
-                if let Ok(Event::Asked { body, token, .. }) = asks.recv() {
-                    asked.answer(token, Ok(body));
+                if let Ok(Event::Request { body, responder: token, .. }) = asks.recv() {
+                    asked.respond(token, Ok(body));
                     left -= 1;
                 }
             }
         });
         for _ in 0..ASKS {
             let begun = Instant::now();
-            asker.ask("n1", Kind::State, vec![7; BODY], 5.0).expect("room");
+            asker.request("n1", RequestKind::State, vec![7; BODY], 5.0).expect("room");
             loop {
                 match answers.recv().expect("the links are there") {
-                    Event::Answer { body, .. } => break drop(body.expect("an echo")),
+                    Event::Response { result: body, .. } => break drop(body.expect("an echo")),
                     _ => continue,
                 }
             }
--- a/crates/dunepond-membership/src/core.rs
+++ b/crates/dunepond-membership/src/core.rs
@@ -1,7 +1,7 @@
 //! The membership, free of input and output: `foca` with what it lacks for us. Around it stand the belief in who speaks, bounds on
 //! what others can make us hold, calls to known peers that are not members, and the time in which we stood still.
 //!
-//! Whoever hosts this hands in each datagram and calls [`Core::tick`] at [`Core::next`] or earlier, datagrams that wait first: after
+//! Whoever hosts this hands in each datagram and calls [`Core::tick`] at [`Core::next_tick_at`] or earlier, datagrams that wait first: after
 //! a stop they tell who is alive before any timer can say otherwise.
 
 mod fresh;
@@ -15,7 +15,7 @@
 use crate::rests::Gauge;
 use crate::terms::check;
 use crate::wire::{About, Head, LONGEST_HEAD, Seal, Span, unframe};
-use crate::words::{Bounds, Event, Id, Pace, Peer, Standing, Told};
+use crate::words::{Event, Id, Limits, MembershipOptions, Peer, PeerState, Timing};
 use foca::{
     AccumulatingRuntime, Foca, Identity, NoCustomBroadcast, PeriodicParams, PostcardCodec, State, Timer,
 };
@@ -43,8 +43,8 @@
 
 /// What is to be done after a call.
 #[derive(Debug, Default)]
-pub struct Orders {
-    pub send: Vec<(SocketAddr, Vec<u8>)>,
+pub struct Actions {
+    pub datagrams: Vec<(SocketAddr, Vec<u8>)>,
     /// Only `Came`, `Suspect` and `Left`.
     pub changes: Vec<Event>,
     /// Why the message that was handed in, or a part of it, is not believed.
@@ -65,8 +65,8 @@
     floor: [u64; 2],
     /// What was last sent to names whose pass we do not have, and when: it is sent again with the pass.
     unheard: BTreeMap<String, (f64, Vec<u8>)>,
-    bounds: Bounds,
-    pace: Pace,
+    bounds: Limits,
+    pace: Timing,
     /// By due time and order of arrival; a timer that is late must not overtake.
     timers: Vec<(f64, u64, Timer<Id>)>,
     ordered: u64,
@@ -78,7 +78,7 @@
     refusals: Gauge,
     greetings: Gauge,
     lives: Lives,
-    seen: BTreeMap<String, (Id, Standing)>,
+    seen: BTreeMap<String, (Id, PeerState)>,
     /// The library has been told something since it was last looked at.
     touched: bool,
     /// Suspected members of the file, asked for a sign of life over the request channel.
@@ -91,36 +91,40 @@
 
 impl Core {
     /// `told.listen` must have its port by now. `secret` is this life's own, which no other can guess.
-    pub fn new(told: &Told, secret: [u8; 32], now: f64) -> Result<Core, PeerError> {
+    pub fn new(told: &MembershipOptions, secret: [u8; 32], now: f64) -> Result<Core, PeerError> {
         let seal = Seal::new(told.key.as_deref())?;
-        let belief = Belief::new(&told.name, seal.keyed(), &told.known)?;
-        let (bounds, pace) = (&told.bounds, &told.pace);
+        let belief = Belief::new(&told.name, seal.keyed(), &told.known_peers)?;
+        let (bounds, pace) = (&told.limits, &told.timing);
         check(bounds, pace)?;
         let room = |count: usize| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
         let often = |every: f64, members: usize| {
             Some(PeriodicParams { frequency: seconds(every), num_members: room(members) })
         };
         let terms = foca::Config {
-            probe_period: seconds(pace.probe),
-            probe_rtt: seconds(pace.rtt),
+            probe_period: seconds(pace.probe_interval_seconds),
+            probe_rtt: seconds(pace.probe_timeout_seconds),
             num_indirect_probes: room(HELPERS),
             max_transmissions: NonZeroU8::new(TOLD_TIMES).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: seconds(pace.suspect),
+            suspect_to_down_after: seconds(pace.suspicion_timeout_seconds),
             remove_down_after: Some(seconds(REMEMBERED)),
-            max_packet_size: room(bounds.datagram - LONGEST_HEAD),
+            max_packet_size: room(bounds.max_datagram_bytes - LONGEST_HEAD),
             notify_down_members: true,
             periodic_announce: often(30.0, 1),
             periodic_announce_to_down_members: often(CALL_GONE, 2),
             periodic_gossip: often(GOSSIP, HELPERS),
         };
-        let me =
-            Id { name: told.name.clone(), incarnation: told.incarnation, renewed: 0, listen: told.listen };
+        let me = Id {
+            name: told.name.clone(),
+            incarnation: told.incarnation,
+            renewed: 0,
+            listen: told.listen_address,
+        };
         Ok(Core {
             foca: Foca::new(me, terms, Pcg64::seed_from_u64(told.seed), PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             belief,
             seal,
-            speaks: told.speaks,
+            speaks: told.supported_versions,
             assumed: BTreeMap::new(),
             greet_at: now,
             counts: BTreeMap::new(),
@@ -137,7 +141,7 @@
             requests: Gauge::default(),
             refusals: Gauge::default(),
             greetings: Gauge::default(),
-            lives: Lives::new(secret, 2.0 * pace.suspect, bounds.members),
+            lives: Lives::new(secret, 2.0 * pace.suspicion_timeout_seconds, bounds.max_members),
             seen: BTreeMap::new(),
             touched: false,
             pending: BTreeMap::new(),
@@ -150,11 +154,11 @@
 
     /// All that were heard of, by name; those that left for two minutes more.
     pub fn members(&self) -> Vec<Peer> {
-        let peer = |(id, standing): &(Id, Standing)| Peer {
+        let peer = |(id, standing): &(Id, PeerState)| Peer {
             name: id.name.clone(),
             incarnation: id.incarnation,
-            listen: id.listen,
-            standing: *standing,
+            listen_address: id.listen,
+            state: *standing,
         };
         self.seen.values().map(peer).collect()
     }
@@ -165,16 +169,16 @@
     }
 
     /// When the next turn is due, at the latest.
-    pub fn next(&self) -> f64 {
+    pub fn next_tick_at(&self) -> f64 {
         let first = self.timers.iter().map(|timer| timer.0).fold(self.announce_at, f64::min);
         let first = first.min(self.next_sign());
         first.clamp(self.now, self.now + LONGEST_TURN)
     }
 
     /// Lets pass what time has brought due.
-    pub fn tick(&mut self, now: f64) -> Orders {
+    pub fn tick(&mut self, now: f64) -> Actions {
         self.wake(now);
-        let mut orders = Orders::default();
+        let mut orders = Actions::default();
         // What a timer orders for at once waits for the next turn, so that this ends.
         let due = self.due();
         for timer in due {
@@ -183,7 +187,8 @@
         }
         if self.now >= self.announce_at {
             // All that started together must not call together for ever.
-            self.announce_at = self.now + self.pace.announce * self.chance.random_range(0.75..1.25);
+            self.announce_at =
+                self.now + self.pace.announce_interval_seconds * self.chance.random_range(0.75..1.25);
             self.announce();
             self.greet(&mut orders);
         }
@@ -192,9 +197,9 @@
     }
 
     /// Takes a datagram that came from `source`.
-    pub fn received(&mut self, now: f64, source: SocketAddr, bytes: &[u8]) -> Orders {
+    pub fn on_datagram(&mut self, now: f64, source: SocketAddr, bytes: &[u8]) -> Actions {
         self.wake(now);
-        let mut orders = Orders::default();
+        let mut orders = Actions::default();
         if let Err(fault) = self.take(source, bytes, &mut orders) {
             self.refuse(source, &fault, bytes, &mut orders);
             orders.fault = Some(fault);
@@ -223,9 +228,9 @@
     }
 
     /// Tells others that we go. Nothing else may be called after this.
-    pub fn leave(&mut self, now: f64) -> Orders {
+    pub fn leave(&mut self, now: f64) -> Actions {
         self.wake(now);
-        let mut orders = Orders::default();
+        let mut orders = Actions::default();
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.collect(&mut orders, None);
         orders
@@ -234,7 +239,7 @@
     /// After standing still, what waited for others waits as much longer: they were not heard because we did not listen.
     fn wake(&mut self, now: f64) {
         let gap = now - self.now;
-        if gap > self.pace.still {
+        if gap > self.pace.stall_threshold_seconds {
             self.timers.iter_mut().for_each(|timer| timer.0 += gap);
         }
         self.now = self.now.max(now);
@@ -259,21 +264,24 @@
     }
 
     fn active(&self, name: &str) -> Option<&Id> {
-        self.seen.get(name).filter(|(_, standing)| *standing != Standing::Gone).map(|(id, _)| id)
+        self.seen.get(name).filter(|(_, standing)| *standing != PeerState::Down).map(|(id, _)| id)
     }
 
-    fn take(&mut self, source: SocketAddr, bytes: &[u8], orders: &mut Orders) -> Result<(), PeerError> {
+    fn take(&mut self, source: SocketAddr, bytes: &[u8], orders: &mut Actions) -> Result<(), PeerError> {
         let from = source.to_string();
         let garbled = || PeerError::Garbled { from: source.to_string() };
-        if bytes.len() > self.bounds.datagram {
-            let most = self.bounds.datagram;
+        if bytes.len() > self.bounds.max_datagram_bytes {
+            let most = self.bounds.max_datagram_bytes;
             return Err(PeerError::TooLarge { to: self.me().name.clone(), bytes: bytes.len(), most });
         }
         let (said, head, load) = unframe(bytes, &self.seal, &from, self.speaks)?;
         self.allowed(&head, source)?;
         self.first(&said, &head, bytes.len(), orders)?;
-        if !self.datagrams.take(&head.from.name, self.bounds.datagrams_each, self.now) {
-            return Err(PeerError::Flood { name: head.from.name, most: self.bounds.datagrams_each });
+        if !self.datagrams.take(&head.from.name, self.bounds.max_datagrams_per_second, self.now) {
+            return Err(PeerError::Flood {
+                name: head.from.name,
+                most: self.bounds.max_datagrams_per_second,
+            });
         }
         match head.about {
             About::Members => self.lives.passes(&head.from.name, head.gives, head.echo),
@@ -313,8 +321,8 @@
         let more: BTreeSet<&String> =
             [sender].into_iter().chain(hearsay.about()).filter(fresh).map(|id| &id.name).collect();
         let strangers = self.seen.keys().filter(|name| stranger(name)).count();
-        if !more.is_empty() && strangers + more.len() > self.bounds.members {
-            return Err(PeerError::Full { most: self.bounds.members });
+        if !more.is_empty() && strangers + more.len() > self.bounds.max_members {
+            return Err(PeerError::Full { most: self.bounds.max_members });
         }
         let mut fault = None;
         hearsay.retain(|id| match self.belief.said(id, self.active(&id.name), self.me(), from) {
@@ -329,7 +337,7 @@
 
     /// Tells a known peer, at its known address, why it is not believed: in fewer bytes than came, and only so often. What an
     /// unknown address sends is counted and not answered.
-    fn refuse(&mut self, source: SocketAddr, fault: &PeerError, came: &[u8], orders: &mut Orders) {
+    fn refuse(&mut self, source: SocketAddr, fault: &PeerError, came: &[u8], orders: &mut Actions) {
         let known = self.belief.known.iter().find(|(_, at)| **at == source);
         // Who lacks our pass is greeted instead, and what is old was not sent now.
         let told =
@@ -343,13 +351,13 @@
         let bytes = self.framed(version, &head, &load);
         // Shorter, so that refusals of refusals end.
         if bytes.len() < came.len() && self.refusals.take("", REFUSALS, self.now) {
-            orders.send.push((at, bytes));
+            orders.datagrams.push((at, bytes));
         }
     }
 
     /// Takes out of the library what it wants done, and compares who is there with who was. What goes to `aside` is given back
     /// instead of ordered: it is asking over a connection.
-    fn collect(&mut self, orders: &mut Orders, aside: Option<&str>) -> Vec<Vec<u8>> {
+    fn collect(&mut self, orders: &mut Actions, aside: Option<&str>) -> Vec<Vec<u8>> {
         self.touched = false;
         let mut there = BTreeMap::new();
         let mut kept = Vec::new();
@@ -361,9 +369,9 @@
         while self.runtime.to_notify().is_some() {}
         for member in self.foca.iter_membership_state().filter(|member| member.id().name != self.belief.me) {
             let standing = match member.state() {
-                State::Alive => Standing::Here,
-                State::Suspect => Standing::Suspected,
-                State::Down => Standing::Gone,
+                State::Alive => PeerState::Alive,
+                State::Suspect => PeerState::Suspected,
+                State::Down => PeerState::Down,
             };
             there.insert(member.id().addr(), (member.id().clone(), standing));
         }
@@ -378,38 +386,38 @@
             let head = self.head(&to.name, About::Members);
             let bytes = self.framed(self.version_to(&to.name), &head, &load);
             if head.echo == 0
-                && (self.unheard.len() < self.bounds.members || self.unheard.contains_key(&to.name))
+                && (self.unheard.len() < self.bounds.max_members || self.unheard.contains_key(&to.name))
             {
                 self.unheard.insert(to.name, (self.now, load.to_vec()));
             }
-            orders.send.push((at, bytes));
+            orders.datagrams.push((at, bytes));
         }
         for (name, (id, standing)) in &there {
             let before = self.seen.get(name);
             let same_life = before.is_some_and(|(was, _)| was == id);
             let was = before.map(|(_, standing)| *standing);
             match standing {
-                Standing::Here if !(same_life && was == Some(Standing::Here)) => {
+                PeerState::Alive if !(same_life && was == Some(PeerState::Alive)) => {
                     let peer = Peer {
                         name: name.clone(),
                         incarnation: id.incarnation,
-                        listen: id.listen,
-                        standing: *standing,
+                        listen_address: id.listen,
+                        state: *standing,
                     };
-                    orders.changes.push(Event::Came(peer));
+                    orders.changes.push(Event::PeerUp(peer));
                 }
-                Standing::Suspected if was != Some(Standing::Suspected) => {
-                    orders.changes.push(Event::Suspect(name.clone()));
+                PeerState::Suspected if was != Some(PeerState::Suspected) => {
+                    orders.changes.push(Event::PeerSuspected(name.clone()));
                 }
-                Standing::Gone if was.is_some_and(|was| was != Standing::Gone) => {
-                    orders.changes.push(Event::Left(name.clone()));
+                PeerState::Down if was.is_some_and(|was| was != PeerState::Down) => {
+                    orders.changes.push(Event::PeerDown(name.clone()));
                 }
                 _ => {}
             }
         }
         for (name, (_, standing)) in &self.seen {
-            if *standing != Standing::Gone && !there.contains_key(name) {
-                orders.changes.push(Event::Left(name.clone()));
+            if *standing != PeerState::Down && !there.contains_key(name) {
+                orders.changes.push(Event::PeerDown(name.clone()));
             }
         }
         self.seen = there;
--- a/crates/dunepond-membership/src/core/fresh.rs
+++ b/crates/dunepond-membership/src/core/fresh.rs
@@ -5,7 +5,7 @@
 //! count that each life of a receiver hears once. Who does not have the pass is sent it, in a greeting that shows *its* pass, and nothing
 //! of its message is kept. With a key that holds of requests too; without, of those whose asker has shown the pass, as before.
 
-use super::{Core, Orders};
+use super::{Actions, Core};
 use crate::belief::Way;
 use crate::error::PeerError;
 use crate::wire::{About, Envelope, Head};
@@ -53,9 +53,11 @@
         if shows && proven && !self.lives.fresh(head, said.count) {
             return Err(PeerError::Old { name: from.name.clone() });
         }
-        match self.requests.take(&from.name, self.bounds.requests_each, self.now) {
+        match self.requests.take(&from.name, self.bounds.max_requests_per_second, self.now) {
             true => Ok(()),
-            false => Err(PeerError::Flood { name: from.name.clone(), most: self.bounds.requests_each }),
+            false => {
+                Err(PeerError::Flood { name: from.name.clone(), most: self.bounds.max_requests_per_second })
+            }
         }
     }
 
@@ -94,7 +96,7 @@
         said: &Envelope,
         head: &Head,
         size: usize,
-        orders: &mut Orders,
+        orders: &mut Actions,
     ) -> Result<(), PeerError> {
         let name = &head.from.name;
         let shows = said.version >= SHOWN;
@@ -111,18 +113,18 @@
             let bytes = self.framed(said.version, &greeting, &[]);
             // Never more than what came: who has another's address must not make us send it much.
             if bytes.len() <= size {
-                orders.send.push((known.unwrap_or(head.from.listen), bytes));
+                orders.datagrams.push((known.unwrap_or(head.from.listen), bytes));
             }
         }
         Err(PeerError::Unproven { name: name.clone() })
     }
 
     /// Sends again what was lost for want of the pass that has just come.
-    pub(super) fn send_again(&mut self, name: &str, orders: &mut Orders) {
+    pub(super) fn send_again(&mut self, name: &str, orders: &mut Actions) {
         let Some((when, load)) = self.unheard.remove(name) else { return };
         let Some(at) = self.address(name).filter(|_| self.now - when < AGAIN) else { return };
         let head = self.head(name, About::Members);
         let bytes = self.framed(self.version_to(name), &head, &load);
-        orders.send.push((at, bytes));
+        orders.datagrams.push((at, bytes));
     }
 }
--- a/crates/dunepond-membership/src/core/signs.rs
+++ b/crates/dunepond-membership/src/core/signs.rs
@@ -3,10 +3,10 @@
 //! told that it is suspected and answers as it would by datagram, with a later count of its own, which is the one thing that refutes a
 //! suspicion. What is carried are the library's own messages, so nothing is believed here that a datagram could not bring.
 
-use super::{Core, Orders};
+use super::{Actions, Core};
 use crate::error::PeerError;
 use crate::wire::{Envelope, Head};
-use crate::words::{Id, Kind, Standing};
+use crate::words::{Id, PeerState, RequestKind};
 use foca::{Codec, Header, Member, Message, PostcardCodec, State};
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -44,19 +44,19 @@
             name.clone()
         });
         let names: Vec<String> = names.collect();
-        let within = WITHIN * self.pace.suspect;
+        let within = WITHIN * self.pace.suspicion_timeout_seconds;
         let body = |to: String| self.question(&to).map(|body| Sign { to, body, within });
         names.into_iter().filter_map(body).collect()
     }
 
     /// Answers a request for a sign of life that [`Core::believes`] let through: the answer's body, and what else is to be done.
     /// Unlike other requests it moves the membership, so without a key the asker must have shown our pass, whoever it is.
-    pub fn sign_asked(&mut self, head: &Head, body: &[u8]) -> Result<(Vec<u8>, Orders), PeerError> {
+    pub fn sign_asked(&mut self, head: &Head, body: &[u8]) -> Result<(Vec<u8>, Actions), PeerError> {
         let from = &head.from;
         if !self.belief.keyed && head.echo != self.lives.ours(&from.name) {
             return Err(PeerError::Claimed { from: from.listen.to_string(), name: from.name.clone() });
         }
-        let mut orders = Orders::default();
+        let mut orders = Actions::default();
         let heard = self.hear_all(from, body);
         let answers = self.collect(&mut orders, Some(&from.name));
         heard?;
@@ -71,11 +71,11 @@
         to: &str,
         at: SocketAddr,
         answer: Option<(&Envelope, &Head, &[u8])>,
-    ) -> Orders {
+    ) -> Actions {
         self.wake(now);
-        let mut orders = Orders::default();
+        let mut orders = Actions::default();
         if let Some(one) = self.pending.get_mut(to) {
-            (one.under_way, one.due) = (false, self.now + WITHIN * self.pace.suspect);
+            (one.under_way, one.due) = (false, self.now + WITHIN * self.pace.suspicion_timeout_seconds);
         }
         if let Some((said, head, body)) = answer {
             orders.fault = self
@@ -90,15 +90,15 @@
 
     /// Members of the file that are suspected, and no others, are asked; those of version 1 do not know the question.
     pub(super) fn suspects(&mut self) {
-        let suspected = |(id, standing): &(Id, Standing)| {
-            let asked = self.version_to(&id.name) >= Kind::Sign.since();
-            *standing == Standing::Suspected && asked && self.belief.known.contains_key(&id.name)
+        let suspected = |(id, standing): &(Id, PeerState)| {
+            let asked = self.version_to(&id.name) >= RequestKind::LivenessCheck.since();
+            *standing == PeerState::Suspected && asked && self.belief.known.contains_key(&id.name)
         };
         let names: Vec<String> =
             self.seen.values().filter(|one| suspected(one)).map(|(id, _)| id.name.clone()).collect();
         self.pending.retain(|name, _| names.contains(name));
         for name in names.into_iter().filter(|name| !self.pending.contains_key(name)).collect::<Vec<_>>() {
-            let due = self.now + self.chance.random_range(0.0..SPREAD) * self.pace.suspect;
+            let due = self.now + self.chance.random_range(0.0..SPREAD) * self.pace.suspicion_timeout_seconds;
             self.pending.insert(name, Pending { due, under_way: false });
         }
     }
@@ -127,7 +127,8 @@
         let from = sender.listen.to_string();
         let garbled = || PeerError::Garbled { from: from.clone() };
         let messages: Vec<&[u8]> = postcard::from_bytes(body).map_err(|_| garbled())?;
-        if messages.len() > MESSAGES || messages.iter().any(|one| one.len() > self.bounds.datagram) {
+        if messages.len() > MESSAGES || messages.iter().any(|one| one.len() > self.bounds.max_datagram_bytes)
+        {
             return Err(garbled());
         }
         messages.into_iter().try_for_each(|message| self.hear(sender, message, &from))
--- a/crates/dunepond-membership/src/core/versions.rs
+++ b/crates/dunepond-membership/src/core/versions.rs
@@ -4,7 +4,7 @@
 //! A life is of one program, so what is known of it holds until the next life. Whoever is not known yet is spoken to in our highest: a
 //! newer one answers in what it shares, an older one refuses, and calls us by itself within a second.
 
-use super::{Core, Orders};
+use super::{Actions, Core};
 use crate::wire::{About, Envelope, Head, Seal, Span, frame, peek};
 
 /// Who spoke version 1 to us is told so often which versions we speak: it may be newer, and have taken us for an older program.
@@ -51,7 +51,7 @@
             About::Answer { .. } | About::Refused { .. } => None,
         };
         let count = count.map_or(0, |kind| {
-            if !self.counts.contains_key(&head.to) && self.counts.len() > 2 * self.bounds.members {
+            if !self.counts.contains_key(&head.to) && self.counts.len() > 2 * self.bounds.max_members {
                 self.forget_counts();
             }
             let counts = self.counts.entry(head.to.clone()).or_insert(self.floor);
@@ -74,7 +74,7 @@
     }
 
     /// Tells those who speak version 1, and may know more, what we speak.
-    pub(super) fn greet(&mut self, orders: &mut Orders) {
+    pub(super) fn greet(&mut self, orders: &mut Actions) {
         if self.now < self.greet_at || self.speaks.most < 2 {
             return;
         }
@@ -84,7 +84,7 @@
         for name in names {
             let head = self.head(&name, About::Greeting);
             let bytes = self.framed(self.speaks.most, &head, &[]);
-            orders.send.push((self.belief.known[&name], bytes));
+            orders.datagrams.push((self.belief.known[&name], bytes));
         }
     }
 }
