--- a/crates/dunepond-membership/src/error.rs
+++ b/crates/dunepond-membership/src/error.rs
@@ -7,7 +7,7 @@
 
 /// Why a peer does not answer what it was asked; travels in answers.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
-pub enum Refused {
+pub enum RefusalReason {
     #[error("busy: more is asked than it holds at once")]
     Busy,
     #[error("not answered within the asker's time")]
@@ -17,13 +17,13 @@
     #[error("it speaks version {ours} and was spoken to in version {theirs}")]
     Version { theirs: u8, ours: u8 },
     #[error("the name {name} is not believed from there")]
-    Claimed { name: String },
+    UnverifiedSender { name: String },
     #[error("the seal does not fit")]
     Seal,
     #[error("a later life of {name} is known, incarnation {known}")]
     Stale { name: String, known: u64 },
     #[error("the message cannot be read")]
-    Garbled,
+    Malformed,
     #[error("the message is for another; this is {name}")]
     NotMe { name: String },
     #[error("too many messages in a second")]
@@ -34,10 +34,10 @@
     Dropped,
     #[error("declined: {0}")]
     Declined(String),
-    /// In place of [`Refused::Version`] from version 2 on.
+    /// In place of [`RefusalReason::Version`] from version 2 on.
     #[error("it speaks version {ours}, and the asker version {theirs}")]
     Versions { theirs: Span, ours: Span },
-    /// From version 2 on; in version 1 it is [`Refused::Garbled`].
+    /// From version 2 on; in version 1 it is [`RefusalReason::Malformed`].
     #[error("it does not know requests of kind {kind}")]
     Kind { kind: u32 },
     /// Both from version 2 on. The first brings the pass with it.
@@ -47,58 +47,64 @@
     Old,
 }
 
-impl Refused {
+impl RefusalReason {
     /// The same for one who reads only what this version has.
-    pub fn spoken_in(self, version: u8) -> Refused {
+    pub fn spoken_in(self, version: u8) -> RefusalReason {
         match self {
-            Refused::Versions { theirs, ours } if version < 2 => {
-                Refused::Version { theirs: theirs.most, ours: ours.most }
+            RefusalReason::Versions { theirs, ours } if version < 2 => {
+                RefusalReason::Version { theirs: theirs.most, ours: ours.most }
+            }
+            RefusalReason::Kind { .. } | RefusalReason::Pass | RefusalReason::Old if version < 2 => {
+                RefusalReason::Malformed
             }
-            Refused::Kind { .. } | Refused::Pass | Refused::Old if version < 2 => Refused::Garbled,
             other => other,
         }
     }
 }
 
-impl Refused {
+impl RefusalReason {
     pub fn help(&self) -> &'static str {
         match self {
-            Refused::Busy => {
+            RefusalReason::Busy => {
                 "passes by itself; if it lasts, look at that broker's load and its counter `asked_busy`"
             }
-            Refused::Late => "that broker is slow: look at its load and at its disk",
-            Refused::TooLarge { .. } => {
+            RefusalReason::Late => "that broker is slow: look at its load and at its disk",
+            RefusalReason::TooLarge { .. } => {
                 "a document has outgrown the bound `body`: split it, or raise the bound at all brokers"
             }
-            Refused::Version { .. } | Refused::Versions { .. } => {
+            RefusalReason::Version { .. } | RefusalReason::Versions { .. } => {
                 "start the older of the two programs in a release between them: they talk of nothing until they have a version in common"
             }
-            Refused::Pass => {
+            RefusalReason::Pass => {
                 "passes by itself: the asker has the pass now, or with that broker's next datagram"
             }
-            Refused::Old => {
+            RefusalReason::Old => {
                 "something between repeats or keeps back messages: look at relays and at who else is on the network"
             }
-            Refused::Kind { .. } => {
+            RefusalReason::Kind { .. } => {
                 "that broker runs an older program, and the asker does without: finish the roll-out"
             }
-            Refused::Claimed { .. } => {
+            RefusalReason::UnverifiedSender { .. } => {
                 "two brokers use one name, or the file names another address for it; behind a relay the fleet needs `key`"
             }
-            Refused::Seal => "the fleet's `key` differs between the two files",
-            Refused::Stale { .. } => {
+            RefusalReason::Seal => "the fleet's `key` differs between the two files",
+            RefusalReason::Stale { .. } => {
                 "two processes run under one name: end the earlier one; or a folder was restored and its start counter went back"
             }
-            Refused::Garbled => {
+            RefusalReason::Malformed => {
                 "something that is no broker of this fleet sends to this port, or the link spoils bytes"
             }
-            Refused::NotMe { .. } => "the file gives a name the address of another broker: correct `at`",
-            Refused::Flood => "a broker sends without bound: look at its log, restart it if it goes on",
-            Refused::Full => "more names than the bound `members`: names should stay the same over restarts",
-            Refused::Dropped => {
+            RefusalReason::NotMe { .. } => {
+                "the file gives a name the address of another broker: correct `at`"
+            }
+            RefusalReason::Flood => "a broker sends without bound: look at its log, restart it if it goes on",
+            RefusalReason::Full => {
+                "more names than the bound `members`: names should stay the same over restarts"
+            }
+            RefusalReason::Dropped => {
                 "that broker is ending, or has no use for this kind of message: look whether its file has `fleet`"
             }
-            Refused::Declined(_) => "the reason stands in the message; it is the asked broker's own",
+            RefusalReason::Declined(_) => "the reason stands in the message; it is the asked broker's own",
         }
     }
 }
@@ -132,7 +138,7 @@
     #[error("the connection to {to} ended before its answer was whole")]
     Broken { to: String },
     #[error("{to} refuses: {why}")]
-    Refused { to: String, why: Refused },
+    Refused { to: String, why: RefusalReason },
     #[error("a message from {from} cannot be read")]
     Garbled { from: String },
     #[error("a message from {from}, which speaks version {theirs}; this broker speaks {ours}")]
@@ -186,28 +192,28 @@
                 "that broker ended, or something between cuts connections: look at its log"
             }
             PeerError::Refused { why, .. } => why.help(),
-            PeerError::Garbled { .. } => Refused::Garbled.help(),
+            PeerError::Garbled { .. } => RefusalReason::Malformed.help(),
             PeerError::Version { theirs, ours, .. } if theirs.common(*ours).is_some() => {
                 "nothing is to be done: both go on in the highest version that they have in common"
             }
             PeerError::Version { theirs, ours, .. } => {
-                Refused::Versions { theirs: *theirs, ours: *ours }.help()
+                RefusalReason::Versions { theirs: *theirs, ours: *ours }.help()
             }
-            PeerError::Kind { .. } => Refused::Kind { kind: 0 }.help(),
+            PeerError::Kind { .. } => RefusalReason::Kind { kind: 0 }.help(),
             PeerError::Claimed { .. } => {
                 "two brokers use one name, or the file names another address for it; behind a relay the fleet needs `key`"
             }
-            PeerError::Seal { .. } => Refused::Seal.help(),
+            PeerError::Seal { .. } => RefusalReason::Seal.help(),
             PeerError::Stale { .. } => {
                 "two processes run under one name: end the earlier one; or a folder was restored and its start counter went back"
             }
-            PeerError::Unproven { .. } => Refused::Pass.help(),
-            PeerError::Old { .. } => Refused::Old.help(),
+            PeerError::Unproven { .. } => RefusalReason::Pass.help(),
+            PeerError::Old { .. } => RefusalReason::Old.help(),
             PeerError::NotUs { .. } => {
                 "the sender's file gives our address to another name: correct `at` there"
             }
-            PeerError::Flood { .. } => Refused::Flood.help(),
-            PeerError::Full { .. } => Refused::Full.help(),
+            PeerError::Flood { .. } => RefusalReason::Flood.help(),
+            PeerError::Full { .. } => RefusalReason::Full.help(),
             PeerError::Membership { .. } => {
                 "counted and left out; if it lasts, that broker runs other code: finish the roll-out"
             }
@@ -216,21 +222,25 @@
     }
 
     /// What a peer is told that sent us this; nothing, where the fault is ours or the way's.
-    pub fn refusal(&self, me: &str) -> Option<Refused> {
+    pub fn refusal(&self, me: &str) -> Option<RefusalReason> {
         Some(match self {
-            PeerError::Garbled { .. } | PeerError::Membership { .. } => Refused::Garbled,
-            PeerError::Version { theirs, ours, .. } => Refused::Versions { theirs: *theirs, ours: *ours },
-            PeerError::Claimed { name, .. } => Refused::Claimed { name: name.clone() },
-            PeerError::Seal { .. } => Refused::Seal,
-            PeerError::Stale { name, known, .. } => Refused::Stale { name: name.clone(), known: *known },
-            PeerError::Unproven { .. } => Refused::Pass,
-            PeerError::Old { .. } => Refused::Old,
-            PeerError::NotUs { .. } => Refused::NotMe { name: me.into() },
-            PeerError::Flood { .. } => Refused::Flood,
-            PeerError::Full { .. } => Refused::Full,
-            PeerError::TooLarge { most, .. } => Refused::TooLarge { most: *most as u64 },
-            PeerError::Busy { .. } => Refused::Busy,
-            PeerError::Late { .. } => Refused::Late,
+            PeerError::Garbled { .. } | PeerError::Membership { .. } => RefusalReason::Malformed,
+            PeerError::Version { theirs, ours, .. } => {
+                RefusalReason::Versions { theirs: *theirs, ours: *ours }
+            }
+            PeerError::Claimed { name, .. } => RefusalReason::UnverifiedSender { name: name.clone() },
+            PeerError::Seal { .. } => RefusalReason::Seal,
+            PeerError::Stale { name, known, .. } => {
+                RefusalReason::Stale { name: name.clone(), known: *known }
+            }
+            PeerError::Unproven { .. } => RefusalReason::Pass,
+            PeerError::Old { .. } => RefusalReason::Old,
+            PeerError::NotUs { .. } => RefusalReason::NotMe { name: me.into() },
+            PeerError::Flood { .. } => RefusalReason::Flood,
+            PeerError::Full { .. } => RefusalReason::Full,
+            PeerError::TooLarge { most, .. } => RefusalReason::TooLarge { most: *most as u64 },
+            PeerError::Busy { .. } => RefusalReason::Busy,
+            PeerError::Late { .. } => RefusalReason::Late,
             PeerError::Refused { why, .. } => why.clone(),
             _ => return None,
         })
--- a/crates/dunepond-membership/src/host.rs
+++ b/crates/dunepond-membership/src/host.rs
@@ -1,13 +1,13 @@
 //! The host: one thread with a tokio runtime of its own, sockets, and the core. Callers talk to it through counts and bounded queues
 //! that never make them wait.
 
-use crate::core::{Core, Orders};
+use crate::core::{Actions, Core};
 use crate::counters::{Counters, Tally, add};
-use crate::error::{PeerError, Refused};
+use crate::error::{PeerError, RefusalReason};
 use crate::links::{Links, Order, Whole};
 use crate::serve;
 use crate::wire::Span;
-use crate::words::{Bounds, Event, Kind, Peer, Token, Told};
+use crate::words::{Event, Limits, MembershipOptions, Peer, RequestKind, Responder};
 use arc_swap::ArcSwap;
 use crossbeam_channel::{Receiver, Sender, TrySendError};
 use std::cell::RefCell;
@@ -63,7 +63,7 @@
 
 /// What callers and the thread share.
 pub(crate) struct Common {
-    pub bounds: Bounds,
+    pub bounds: Limits,
     pub tally: Tally,
     members: ArcSwap<Vec<Peer>>,
     /// Asks, and their bytes, whose end has not been handed to the caller.
@@ -83,30 +83,30 @@
 }
 
 /// Binds and starts.
-pub fn start(told: Told) -> Result<(Peers, Receiver<Event>), PeerError> {
-    start_on(bind(told.listen)?, told)
+pub fn start(told: MembershipOptions) -> Result<(Peers, Receiver<Event>), PeerError> {
+    start_on(bind(told.listen_address)?, told)
 }
 
 /// Starts on sockets that are bound; `told.listen` is not looked at.
-pub fn start_on(bound: Bound, mut told: Told) -> Result<(Peers, Receiver<Event>), PeerError> {
-    told.listen = bound.at;
+pub fn start_on(bound: Bound, mut told: MembershipOptions) -> Result<(Peers, Receiver<Event>), PeerError> {
+    told.listen_address = bound.at;
     let mut secret = [0; 32];
     getrandom::fill(&mut secret).map_err(|fault| PeerError::Thread { why: fault.to_string() })?;
     let core = Core::new(&told, secret, 0.0)?;
     let common = Arc::new(Common {
-        bounds: told.bounds.clone(),
+        bounds: told.limits.clone(),
         tally: Tally::default(),
         members: ArcSwap::default(),
         asks: AtomicUsize::new(0),
         bytes_out: AtomicUsize::new(0),
     });
-    let (orders, taken) = mpsc::channel(told.bounds.asks);
-    let (events, heard) = crossbeam_channel::bounded(told.bounds.events);
+    let (orders, taken) = mpsc::channel(told.limits.max_requests);
+    let (events, heard) = crossbeam_channel::bounded(told.limits.max_queued_events);
     let (stop, stopped) = watch::channel(false);
     let failed = |fault: std::io::Error| PeerError::Thread { why: fault.to_string() };
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build().map_err(failed)?;
-    let (at, within_most, shared) = (bound.at, told.pace.within_most, common.clone());
+    let (at, within_most, shared) = (bound.at, told.timing.max_request_timeout_seconds, common.clone());
     let run = move || {
         let local = tokio::task::LocalSet::new();
         local.block_on(&runtime, live(bound, told, core, shared, taken, events, stopped));
@@ -121,33 +121,33 @@
 
 impl Peers {
     /// Where we listen.
-    pub fn listen(&self) -> SocketAddr {
+    pub fn local_addr(&self) -> SocketAddr {
         self.at
     }
 
-    /// Asks `to`, a known name or a member. The number comes back in the one [`Event::Answer`] that ends the ask, within `within`
+    /// Asks `to`, a known name or a member. The number comes back in the one [`Event::Response`] that ends the ask, within `within`
     /// seconds. An error: it was not taken, and no event will come.
-    pub fn ask(&self, to: &str, kind: Kind, body: Vec<u8>, within: f64) -> Result<u64, PeerError> {
+    pub fn request(&self, to: &str, kind: RequestKind, body: Vec<u8>, within: f64) -> Result<u64, PeerError> {
         let taken = self.take(to, kind, body, within);
         add(if taken.is_ok() { &self.common.tally.asks } else { &self.common.tally.not_taken });
         taken
     }
 
-    fn take(&self, to: &str, kind: Kind, body: Vec<u8>, within: f64) -> Result<u64, PeerError> {
+    fn take(&self, to: &str, kind: RequestKind, body: Vec<u8>, within: f64) -> Result<u64, PeerError> {
         let bounds = &self.common.bounds;
         let bytes = body.len();
-        if bytes > bounds.body {
-            return Err(PeerError::TooLarge { to: to.into(), bytes, most: bounds.body });
+        if bytes > bounds.max_body_bytes {
+            return Err(PeerError::TooLarge { to: to.into(), bytes, most: bounds.max_body_bytes });
         }
         let room = |held: &AtomicUsize, more: usize, most: usize| {
             held.fetch_update(Relaxed, Relaxed, |held| Some(held + more).filter(|all| *all <= most)).is_ok()
         };
-        if !room(&self.common.asks, 1, bounds.asks) {
-            return Err(PeerError::Busy { to: to.into(), most: bounds.asks });
+        if !room(&self.common.asks, 1, bounds.max_requests) {
+            return Err(PeerError::Busy { to: to.into(), most: bounds.max_requests });
         }
-        if !room(&self.common.bytes_out, bytes, bounds.bytes_out) {
+        if !room(&self.common.bytes_out, bytes, bounds.max_send_bytes) {
             self.common.asks.fetch_sub(1, Relaxed);
-            return Err(PeerError::Busy { to: to.into(), most: bounds.asks });
+            return Err(PeerError::Busy { to: to.into(), most: bounds.max_requests });
         }
         let id = self.next.fetch_add(1, Relaxed);
         let within = if within > 0.0 { within.min(self.within_most) } else { 0.0 };
@@ -160,11 +160,11 @@
         Ok(id)
     }
 
-    /// Answers an ask. What comes after the asker's time is dropped; a body above the bound becomes [`Refused::TooLarge`].
-    pub fn answer(&self, token: Token, body: Result<Vec<u8>, Refused>) {
-        let most = self.common.bounds.body;
+    /// Answers an ask. What comes after the asker's time is dropped; a body above the bound becomes [`RefusalReason::TooLarge`].
+    pub fn respond(&self, token: Responder, body: Result<Vec<u8>, RefusalReason>) {
+        let most = self.common.bounds.max_body_bytes;
         let body = match body {
-            Ok(body) if body.len() > most => Err(Refused::TooLarge { most: most as u64 }),
+            Ok(body) if body.len() > most => Err(RefusalReason::TooLarge { most: most as u64 }),
             other => other,
         };
         let _ = token.0.send(body);
@@ -196,7 +196,7 @@
 
 /// What the thread's tasks share.
 pub(crate) struct Inside {
-    pub told: Told,
+    pub told: MembershipOptions,
     pub common: Arc<Common>,
     pub core: RefCell<Core>,
     pub outbox: RefCell<Outbox>,
@@ -257,7 +257,7 @@
             self.sizes.pop_front();
         }
         let unread: usize = self.sizes.iter().sum();
-        if unread > 0 && unread + size > self.common.bounds.bytes_in {
+        if unread > 0 && unread + size > self.common.bounds.max_receive_bytes {
             return Err(event);
         }
         // The size stands there before the event can be read.
@@ -270,9 +270,16 @@
     }
 
     /// An ask of another; none waits here.
-    pub fn asked(&mut self, from: String, kind: Kind, body: Vec<u8>, token: Token) -> Result<(), Refused> {
+    pub fn asked(
+        &mut self,
+        from: String,
+        kind: RequestKind,
+        body: Vec<u8>,
+        token: Responder,
+    ) -> Result<(), RefusalReason> {
         let size = body.len();
-        self.offer(Event::Asked { from, kind, body, token }, size).map_err(|_| Refused::Busy)
+        self.offer(Event::Request { from, kind, body, responder: token }, size)
+            .map_err(|_| RefusalReason::Busy)
     }
 
     pub fn answer(&mut self, event: Event, room: Option<OwnedSemaphorePermit>, asked: usize) {
@@ -283,9 +290,9 @@
     fn changed(&mut self, changes: Vec<Event>) {
         for event in changes {
             let name = match &event {
-                Event::Came(peer) => peer.name.clone(),
-                Event::Suspect(name) | Event::Left(name) => name.clone(),
-                Event::Asked { .. } | Event::Answer { .. } => continue,
+                Event::PeerUp(peer) => peer.name.clone(),
+                Event::PeerSuspected(name) | Event::PeerDown(name) => name.clone(),
+                Event::Request { .. } | Event::Response { .. } => continue,
             };
             if self.changes.insert(name, event).is_some() {
                 add(&self.common.tally.coalesced);
@@ -303,7 +310,7 @@
         }
         while let Some((event, room, asked)) = self.answers.pop_front() {
             let size = match &event {
-                Event::Answer { body: Ok(body), .. } => body.len(),
+                Event::Response { result: Ok(body), .. } => body.len(),
                 _ => 0,
             };
             match self.offer(event, size) {
@@ -323,7 +330,7 @@
 
 async fn live(
     bound: Bound,
-    told: Told,
+    told: MembershipOptions,
     core: Core,
     common: Arc<Common>,
     mut orders: mpsc::Receiver<Order>,
@@ -337,7 +344,7 @@
         Err(fault) => return tracing::error!(%fault, "links: sockets cannot be watched, no peer is heard"),
     };
     let inside = Rc::new(Inside {
-        room: Arc::new(Semaphore::new(told.bounds.bytes_in.div_ceil(1024))),
+        room: Arc::new(Semaphore::new(told.limits.max_receive_bytes.div_ceil(1024))),
         outbox: RefCell::new(Outbox::new(events, common.clone())),
         core: RefCell::new(core),
         began: Instant::now(),
@@ -350,7 +357,7 @@
     // As many as there are suspected members: one ask to each is under way.
     let (ends, mut ended) = mpsc::unbounded_channel();
     tokio::task::spawn_local(serve::accept(tcp, inside.clone()));
-    let mut buffer = vec![0; inside.told.bounds.datagram + 1];
+    let mut buffer = vec![0; inside.told.limits.max_datagram_bytes + 1];
     loop {
         // Datagrams that wait come before timers: see the core.
         let mut read = 0;
@@ -358,7 +365,7 @@
             let Ok((size, source)) = inside.udp.try_recv_from(&mut buffer) else { break };
             read += 1;
             add(&inside.common.tally.datagrams_in);
-            let done = inside.core.borrow_mut().received(inside.now(), source, &buffer[..size]);
+            let done = inside.core.borrow_mut().on_datagram(inside.now(), source, &buffer[..size]);
             carry_out(&inside, done);
         }
         let done = inside.core.borrow_mut().tick(inside.now());
@@ -370,7 +377,7 @@
             tokio::task::yield_now().await;
         }
         let waits = inside.outbox.borrow().waits();
-        let due = (inside.core.borrow().next() - inside.now()).max(0.001);
+        let due = (inside.core.borrow().next_tick_at() - inside.now()).max(0.001);
         tokio::select! {
             biased;
             _ = stopped.changed() => break,
@@ -394,7 +401,7 @@
         Some(whole) => {
             core.sign_came(inside.now(), to, whole.at, Some((&whole.said, &whole.head, &whole.load)))
         }
-        None => core.sign_came(inside.now(), to, inside.told.listen, None),
+        None => core.sign_came(inside.now(), to, inside.told.listen_address, None),
     };
     drop(core);
     if end.is_some() && orders.fault.is_none() {
@@ -403,9 +410,9 @@
     carry_out(inside, orders);
 }
 
-pub(crate) fn carry_out(inside: &Inside, orders: Orders) {
+pub(crate) fn carry_out(inside: &Inside, orders: Actions) {
     let tally = &inside.common.tally;
-    for (to, bytes) in orders.send {
+    for (to, bytes) in orders.datagrams {
         // A full socket loses it, as the network may.
         if inside.udp.try_send_to(&bytes, to).is_ok() {
             add(&tally.datagrams_out);
--- a/crates/dunepond-membership/src/lib.rs
+++ b/crates/dunepond-membership/src/lib.rs
@@ -20,10 +20,10 @@
 mod words;
 
 pub use belief::{Belief, LONGEST_NAME, Way};
-pub use core::{Core, Orders, Sign};
+pub use core::{Actions, Core, Sign};
 pub use counters::Counters;
-pub use error::{PeerError, Refused};
+pub use error::{PeerError, RefusalReason};
 pub use host::{Bound, Peers, bind, start, start_on};
 pub use rests::{Gauge, Rests};
 pub use wire::{About, Code, Envelope, Head, Seal, Span, VERSION, frame, peek, unframe};
-pub use words::{Bounds, Event, Id, Kind, Pace, Peer, Standing, Token, Told};
+pub use words::{Event, Id, Limits, MembershipOptions, Peer, PeerState, RequestKind, Responder, Timing};
--- a/crates/dunepond-membership/src/links.rs
+++ b/crates/dunepond-membership/src/links.rs
@@ -3,11 +3,11 @@
 
 use crate::core::Sign;
 use crate::counters::add;
-use crate::error::{PeerError, Refused};
+use crate::error::{PeerError, RefusalReason};
 use crate::host::Inside;
 use crate::rests::Rests;
 use crate::wire::{About, Envelope, Head, Span, unframe};
-use crate::words::{Event, Kind};
+use crate::words::{Event, RequestKind};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Body;
@@ -35,7 +35,7 @@
 pub(crate) struct Order {
     pub id: u64,
     pub to: String,
-    pub kind: Kind,
+    pub kind: RequestKind,
     pub body: Vec<u8>,
     pub within: f64,
     pub until: Instant,
@@ -67,14 +67,14 @@
 
 impl Links {
     pub fn new(inside: Rc<Inside>) -> Links {
-        let pace = &inside.told.pace;
+        let pace = &inside.told.timing;
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(Duration::from_secs_f64(pace.connect)));
+        connector.set_connect_timeout(Some(Duration::from_secs_f64(pace.connect_timeout_seconds)));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(Duration::from_secs_f64(pace.idle * IDLE_SHARE))
-            .pool_max_idle_per_host(inside.told.bounds.connections)
+            .pool_idle_timeout(Duration::from_secs_f64(pace.idle_timeout_seconds * IDLE_SHARE))
+            .pool_max_idle_per_host(inside.told.limits.max_connections_per_peer)
             .http1_max_buf_size(HEAD_BYTES)
             .build(connector);
         Links { inside, client, links: RefCell::default() }
@@ -96,7 +96,7 @@
                 Err(fault) => (Err(fault), None),
             };
             links.inside.common.tally.ended(&body);
-            let event = Event::Answer { id: order.id, to: order.to, body };
+            let event = Event::Response { id: order.id, to: order.to, result: body };
             links.inside.outbox.borrow_mut().answer(event, room, asked);
         });
     }
@@ -111,8 +111,14 @@
         tokio::task::spawn_local(async move {
             let within = Duration::from_secs_f64(sign.within);
             let until = Instant::now() + within;
-            let order =
-                Order { id, to: sign.to, kind: Kind::Sign, body: sign.body, within: sign.within, until };
+            let order = Order {
+                id,
+                to: sign.to,
+                kind: RequestKind::LivenessCheck,
+                body: sign.body,
+                within: sign.within,
+                until,
+            };
             let end = tokio::time::timeout(within, links.carry(&order)).await;
             let _ = ends.send((order.to, end.ok().and_then(Result::ok)));
         });
@@ -120,7 +126,7 @@
 
     /// Waits for one of the peer's connections to be free.
     async fn queued(&self, order: &Order) -> Result<(Vec<u8>, OwnedSemaphorePermit), PeerError> {
-        let most = self.inside.told.bounds.asks_each;
+        let most = self.inside.told.limits.max_requests_per_peer;
         let permits = self.with(&order.to, |link| {
             (link.out < most).then(|| {
                 link.out += 1;
@@ -160,11 +166,12 @@
         let pass = || self.inside.core.borrow().pass(&order.to);
         let had = pass();
         match self.carry_once(order).await {
-            Err(PeerError::Refused { why: Refused::Claimed { .. } | Refused::Pass, .. }) if pass() != had => {
-                self.carry_once(order).await
-            }
+            Err(PeerError::Refused {
+                why: RefusalReason::UnverifiedSender { .. } | RefusalReason::Pass,
+                ..
+            }) if pass() != had => self.carry_once(order).await,
             // It was overtaken by too many.
-            Err(PeerError::Refused { why: Refused::Old, .. }) => self.carry_once(order).await,
+            Err(PeerError::Refused { why: RefusalReason::Old, .. }) => self.carry_once(order).await,
             Err(PeerError::Refused { to, why }) => match self.versions(&to, &why) {
                 true => self.carry_once(order).await,
                 false => Err(PeerError::Refused { to, why }),
@@ -174,10 +181,10 @@
     }
 
     /// Whether a refusal says which versions are spoken, and one is ours that we did not speak.
-    fn versions(&self, to: &str, why: &Refused) -> bool {
+    fn versions(&self, to: &str, why: &RefusalReason) -> bool {
         let speaks = match why {
-            Refused::Version { ours, .. } => Span::only(*ours),
-            Refused::Versions { ours, .. } => *ours,
+            RefusalReason::Version { ours, .. } => Span::only(*ours),
+            RefusalReason::Versions { ours, .. } => *ours,
             _ => return false,
         };
         self.inside.core.borrow_mut().refused_version(to, speaks)
@@ -206,7 +213,7 @@
             true => PeerError::Unreachable { to: to(), at, why: cause(&fault) },
             false => PeerError::Broken { to: to() },
         })?;
-        let most = self.inside.told.bounds.body;
+        let most = self.inside.told.limits.max_body_bytes;
         let body = answer.into_body();
         // Every broker states the length; what does not is no broker.
         let size = body.size_hint().exact().ok_or_else(|| PeerError::Garbled { from: to() })?;
@@ -229,7 +236,7 @@
             // A refusal may come from another: the address may be that of the wrong broker.
             About::Refused { id } if *id == order.id || *id == 0 => {
                 let why = postcard::from_bytes(load).map_err(|_| PeerError::Garbled { from: to() })?;
-                if why == Refused::Pass && head.from.name == order.to {
+                if why == RefusalReason::Pass && head.from.name == order.to {
                     self.inside.core.borrow_mut().pass_came(&said, &head, at);
                 }
                 Err(PeerError::Refused { to: to(), why })
@@ -244,10 +251,10 @@
             // As many as there are addresses; those of names that have gone for good go when a new one comes.
             let core = self.inside.core.borrow();
             links.retain(|name, link| link.out > 0 || core.address(name).is_some());
-            let (bounds, pace) = (&self.inside.told.bounds, &self.inside.told.pace);
+            let (bounds, pace) = (&self.inside.told.limits, &self.inside.told.timing);
             let seed = self.inside.told.seed ^ u64::from_le_bytes(first(name));
-            let rests = Rests::new(pace.rest_first, pace.rest_most, seed);
-            let permits = Arc::new(Semaphore::new(bounds.connections));
+            let rests = Rests::new(pace.initial_backoff_seconds, pace.max_backoff_seconds, seed);
+            let permits = Arc::new(Semaphore::new(bounds.max_connections_per_peer));
             links.insert(name.into(), Link { out: 0, permits, rests });
         }
         act(links.get_mut(name).expect("put in above, if it was not there"))
--- a/crates/dunepond-membership/src/serve.rs
+++ b/crates/dunepond-membership/src/serve.rs
@@ -1,11 +1,11 @@
 //! Asks of others: connections in, requests judged, handed to the caller, answered.
 
 use crate::counters::add;
-use crate::error::{PeerError, Refused};
+use crate::error::{PeerError, RefusalReason};
 use crate::host::{Inside, carry_out};
 use crate::links::{FRAME_BYTES, TYPE};
 use crate::wire::{About, unframe};
-use crate::words::{Kind, Token};
+use crate::words::{RequestKind, Responder};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
@@ -69,7 +69,7 @@
     /// At the bound, the oldest that has brought nothing believable makes room.
     fn room(&self) -> bool {
         let mut guests = self.guests.borrow_mut();
-        if guests.len() < self.inside.told.bounds.incoming {
+        if guests.len() < self.inside.told.limits.max_incoming_connections {
             return true;
         }
         let Some(number) = guests.iter().find(|(_, guest)| !guest.proven.get()).map(|(number, _)| *number)
@@ -84,22 +84,22 @@
     }
 
     async fn host(self: &Rc<Self>, stream: TcpStream, source: SocketAddr, guest: Rc<Guest>) {
-        let pace = &self.inside.told.pace;
+        let pace = &self.inside.told.timing;
         let _ = stream.set_nodelay(true);
         let mut stream = TimeoutStream::new(stream);
         // Who asks and does not read the answer holds it in our memory.
-        stream.set_write_timeout(Some(Duration::from_secs_f64(pace.step)));
+        stream.set_write_timeout(Some(Duration::from_secs_f64(pace.transfer_timeout_seconds)));
         let serve = service_fn(|request| {
             let (door, guest) = (self.clone(), guest.clone());
             async move { Ok::<_, Infallible>(door.request(request, source, &guest).await) }
         });
         let connection = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(Duration::from_secs_f64(pace.idle))
+            .header_read_timeout(Duration::from_secs_f64(pace.idle_timeout_seconds))
             .max_buf_size(HEAD_BYTES)
             .serve_connection(TokioIo::new(Box::pin(stream)), serve);
         let unproven = async {
-            tokio::time::sleep(Duration::from_secs_f64(pace.unproven)).await;
+            tokio::time::sleep(Duration::from_secs_f64(pace.first_request_timeout_seconds)).await;
             if guest.proven.get() {
                 std::future::pending::<()>().await;
             }
@@ -122,9 +122,9 @@
             Ok(body) => self.reply(&asker, Ok(body)),
             Err(fault) => {
                 let tally = &self.inside.common.tally;
-                let why = fault.refusal(&self.inside.told.name).unwrap_or(Refused::Dropped);
+                let why = fault.refusal(&self.inside.told.name).unwrap_or(RefusalReason::Dropped);
                 match &fault {
-                    PeerError::Refused { why: Refused::Busy, .. } | PeerError::Busy { .. } => {
+                    PeerError::Refused { why: RefusalReason::Busy, .. } | PeerError::Busy { .. } => {
                         add(&tally.asked_busy)
                     }
                     PeerError::Refused { .. } | PeerError::Late { .. } => {}
@@ -144,7 +144,7 @@
     ) -> Result<Vec<u8>, PeerError> {
         let from = source.to_string();
         let garbled = || PeerError::Garbled { from: source.to_string() };
-        let (me, bounds) = (&self.inside.told.name, &self.inside.told.bounds);
+        let (me, bounds) = (&self.inside.told.name, &self.inside.told.limits);
         if request.method() != Method::POST {
             return Err(garbled());
         }
@@ -153,13 +153,13 @@
         // The length is stated, so that its room can be had before it is read.
         let size = body.size_hint().exact().ok_or_else(garbled)?;
         let size = usize::try_from(size).unwrap_or(usize::MAX);
-        if size > bounds.body + FRAME_BYTES {
-            return Err(PeerError::TooLarge { to: me.clone(), bytes: size, most: bounds.body });
+        if size > bounds.max_body_bytes + FRAME_BYTES {
+            return Err(PeerError::TooLarge { to: me.clone(), bytes: size, most: bounds.max_body_bytes });
         }
         let busy = |most| PeerError::Busy { to: me.clone(), most };
-        let _room = self.inside.room_for(size).ok_or_else(|| busy(bounds.bytes_in))?;
-        let whole = Limited::new(body, bounds.body + FRAME_BYTES).collect();
-        let step = self.inside.told.pace.step;
+        let _room = self.inside.room_for(size).ok_or_else(|| busy(bounds.max_receive_bytes))?;
+        let whole = Limited::new(body, bounds.max_body_bytes + FRAME_BYTES).collect();
+        let step = self.inside.told.timing.transfer_timeout_seconds;
         let late = |_| PeerError::Late { to: me.clone(), within: step };
         let bytes = tokio::time::timeout(Duration::from_secs_f64(step), whole)
             .await
@@ -174,7 +174,7 @@
         };
         let (said, head, load) = unframe(&bytes, &seal, &from, speaks)?;
         let About::Ask { id, kind: code, within_ms } = head.about else { return Err(garbled()) };
-        if code.kind() != Kind::of_path(&path) {
+        if code.kind() != RequestKind::of_path(&path) {
             return Err(garbled());
         }
         (asker.name, asker.id) = (head.from.name.clone(), id);
@@ -184,44 +184,48 @@
             return Err(PeerError::NotUs { to: head.to });
         }
         // Who is newer may ask what we do not know, and does without.
-        let unknown = Refused::Kind { kind: code.0 };
+        let unknown = RefusalReason::Kind { kind: code.0 };
         let kind = code.kind().filter(|kind| kind.since() <= speaks.most);
         let kind = kind.ok_or_else(|| PeerError::Refused { to: me.clone(), why: unknown })?;
-        if kind == Kind::Sign {
+        if kind == RequestKind::LivenessCheck {
             let (answer, orders) = self.inside.core.borrow_mut().sign_asked(&head, load)?;
             carry_out(&self.inside, orders);
             add(&self.inside.common.tally.signs_given);
             return Ok(answer);
         }
-        let _asked = self.count(&head.from.name).ok_or_else(|| busy(bounds.asked))?;
+        let _asked = self.count(&head.from.name).ok_or_else(|| busy(bounds.max_pending_requests))?;
         let (send, answered) = oneshot::channel();
         let refused = |why| PeerError::Refused { to: me.clone(), why };
         let load = load.to_vec();
         drop(bytes);
-        self.inside.outbox.borrow_mut().asked(head.from.name, kind, load, Token(send)).map_err(refused)?;
+        self.inside
+            .outbox
+            .borrow_mut()
+            .asked(head.from.name, kind, load, Responder(send))
+            .map_err(refused)?;
         add(&self.inside.common.tally.asked);
-        let within = (f64::from(within_ms) / 1e3).min(self.inside.told.pace.within_most);
+        let within = (f64::from(within_ms) / 1e3).min(self.inside.told.timing.max_request_timeout_seconds);
         match tokio::time::timeout(Duration::from_secs_f64(within), answered).await {
             Ok(Ok(answer)) => answer.map_err(refused),
-            Ok(Err(_)) => Err(refused(Refused::Dropped)),
+            Ok(Err(_)) => Err(refused(RefusalReason::Dropped)),
             Err(_) => Err(PeerError::Late { to: me.clone(), within }),
         }
     }
 
     /// Takes a place among those asked, if there is one.
     fn count(self: &Rc<Self>, name: &str) -> Option<Asked> {
-        let bounds = &self.inside.told.bounds;
+        let bounds = &self.inside.told.limits;
         let mut asked = self.asked.borrow_mut();
         let all: usize = asked.values().sum();
         let one = asked.get(name).copied().unwrap_or(0);
-        (all < bounds.asked && one < bounds.asked_each).then(|| {
+        (all < bounds.max_pending_requests && one < bounds.max_pending_requests_per_peer).then(|| {
             asked.insert(name.into(), one + 1);
             Asked { door: self.clone(), name: name.into() }
         })
     }
 
-    fn reply(&self, asker: &Asker, answer: Result<Vec<u8>, Refused>) -> Response<Full<Bytes>> {
-        let pass = matches!(answer, Err(Refused::Pass));
+    fn reply(&self, asker: &Asker, answer: Result<Vec<u8>, RefusalReason>) -> Response<Full<Bytes>> {
+        let pass = matches!(answer, Err(RefusalReason::Pass));
         let (about, load, status) = match answer {
             Ok(body) => (About::Answer { id: asker.id }, body, StatusCode::OK),
             Err(why) => {
@@ -273,19 +277,19 @@
     }
 }
 
-fn status(why: &Refused) -> StatusCode {
+fn status(why: &RefusalReason) -> StatusCode {
     match why {
-        Refused::Busy => StatusCode::SERVICE_UNAVAILABLE,
-        Refused::Late | Refused::Dropped => StatusCode::GATEWAY_TIMEOUT,
-        Refused::Declined(_) => StatusCode::INTERNAL_SERVER_ERROR,
-        Refused::TooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
-        Refused::Version { .. } | Refused::Versions { .. } => StatusCode::UPGRADE_REQUIRED,
-        Refused::Kind { .. } => StatusCode::NOT_IMPLEMENTED,
-        Refused::Claimed { .. } | Refused::Seal => StatusCode::FORBIDDEN,
-        Refused::Stale { .. } | Refused::Old => StatusCode::CONFLICT,
-        Refused::Pass => StatusCode::PRECONDITION_REQUIRED,
-        Refused::Garbled => StatusCode::BAD_REQUEST,
-        Refused::NotMe { .. } => StatusCode::MISDIRECTED_REQUEST,
-        Refused::Flood | Refused::Full => StatusCode::TOO_MANY_REQUESTS,
+        RefusalReason::Busy => StatusCode::SERVICE_UNAVAILABLE,
+        RefusalReason::Late | RefusalReason::Dropped => StatusCode::GATEWAY_TIMEOUT,
+        RefusalReason::Declined(_) => StatusCode::INTERNAL_SERVER_ERROR,
+        RefusalReason::TooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
+        RefusalReason::Version { .. } | RefusalReason::Versions { .. } => StatusCode::UPGRADE_REQUIRED,
+        RefusalReason::Kind { .. } => StatusCode::NOT_IMPLEMENTED,
+        RefusalReason::UnverifiedSender { .. } | RefusalReason::Seal => StatusCode::FORBIDDEN,
+        RefusalReason::Stale { .. } | RefusalReason::Old => StatusCode::CONFLICT,
+        RefusalReason::Pass => StatusCode::PRECONDITION_REQUIRED,
+        RefusalReason::Malformed => StatusCode::BAD_REQUEST,
+        RefusalReason::NotMe { .. } => StatusCode::MISDIRECTED_REQUEST,
+        RefusalReason::Flood | RefusalReason::Full => StatusCode::TOO_MANY_REQUESTS,
     }
 }
--- a/crates/dunepond-membership/src/terms.rs
+++ b/crates/dunepond-membership/src/terms.rs
@@ -2,58 +2,58 @@
 
 use crate::error::PeerError;
 use crate::wire::LONGEST_HEAD;
-use crate::words::{Bounds, Pace};
+use crate::words::{Limits, Timing};
 
 /// Bounds and times with which nothing could work are refused at the start, each by its name.
-pub(crate) fn check(bounds: &Bounds, pace: &Pace) -> Result<(), PeerError> {
+pub(crate) fn check(bounds: &Limits, pace: &Timing) -> Result<(), PeerError> {
     let wrong = |which, value| Err(PeerError::Bound { which, value });
     for (which, value) in [
-        ("body", bounds.body),
-        ("asks", bounds.asks),
-        ("asks_each", bounds.asks_each),
-        ("connections", bounds.connections),
-        ("incoming", bounds.incoming),
-        ("asked", bounds.asked),
-        ("asked_each", bounds.asked_each),
-        ("events", bounds.events),
-        ("members", bounds.members),
+        ("body", bounds.max_body_bytes),
+        ("asks", bounds.max_requests),
+        ("asks_each", bounds.max_requests_per_peer),
+        ("connections", bounds.max_connections_per_peer),
+        ("incoming", bounds.max_incoming_connections),
+        ("asked", bounds.max_pending_requests),
+        ("asked_each", bounds.max_pending_requests_per_peer),
+        ("events", bounds.max_queued_events),
+        ("members", bounds.max_members),
     ] {
         if value == 0 {
             return wrong(which, 0.0);
         }
     }
-    if bounds.datagram <= 2 * LONGEST_HEAD || bounds.datagram > 65_000 {
-        return wrong("datagram", bounds.datagram as f64);
+    if bounds.max_datagram_bytes <= 2 * LONGEST_HEAD || bounds.max_datagram_bytes > 65_000 {
+        return wrong("datagram", bounds.max_datagram_bytes as f64);
     }
-    if bounds.bytes_in < bounds.body {
-        return wrong("bytes_in", bounds.bytes_in as f64);
+    if bounds.max_receive_bytes < bounds.max_body_bytes {
+        return wrong("bytes_in", bounds.max_receive_bytes as f64);
     }
-    if bounds.bytes_out < bounds.body {
-        return wrong("bytes_out", bounds.bytes_out as f64);
+    if bounds.max_send_bytes < bounds.max_body_bytes {
+        return wrong("bytes_out", bounds.max_send_bytes as f64);
     }
     for (which, value) in [
-        ("probe", pace.probe),
-        ("rtt", pace.rtt),
-        ("suspect", pace.suspect),
-        ("announce", pace.announce),
-        ("still", pace.still),
-        ("connect", pace.connect),
-        ("rest_first", pace.rest_first),
-        ("rest_most", pace.rest_most),
-        ("unproven", pace.unproven),
-        ("idle", pace.idle),
-        ("step", pace.step),
-        ("within_most", pace.within_most),
+        ("probe", pace.probe_interval_seconds),
+        ("rtt", pace.probe_timeout_seconds),
+        ("suspect", pace.suspicion_timeout_seconds),
+        ("announce", pace.announce_interval_seconds),
+        ("still", pace.stall_threshold_seconds),
+        ("connect", pace.connect_timeout_seconds),
+        ("rest_first", pace.initial_backoff_seconds),
+        ("rest_most", pace.max_backoff_seconds),
+        ("unproven", pace.first_request_timeout_seconds),
+        ("idle", pace.idle_timeout_seconds),
+        ("step", pace.transfer_timeout_seconds),
+        ("within_most", pace.max_request_timeout_seconds),
     ] {
         if !(value > 0.0 && value < 1e6) {
             return wrong(which, value);
         }
     }
-    if pace.rtt >= pace.probe {
-        return wrong("rtt", pace.rtt);
+    if pace.probe_timeout_seconds >= pace.probe_interval_seconds {
+        return wrong("rtt", pace.probe_timeout_seconds);
     }
-    if pace.rest_first > pace.rest_most {
-        return wrong("rest_first", pace.rest_first);
+    if pace.initial_backoff_seconds > pace.max_backoff_seconds {
+        return wrong("rest_first", pace.initial_backoff_seconds);
     }
     Ok(())
 }
--- a/crates/dunepond-membership/src/wire.rs
+++ b/crates/dunepond-membership/src/wire.rs
@@ -3,7 +3,7 @@
 //! so that they can be read whatever comes after them.
 
 use crate::error::PeerError;
-use crate::words::{Id, Kind};
+use crate::words::{Id, RequestKind};
 use serde::{Deserialize, Serialize};
 
 /// The highest version that this program speaks, and the first whose messages state a span.
@@ -81,15 +81,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Code(pub u32);
 
-impl From<Kind> for Code {
-    fn from(kind: Kind) -> Code {
-        Code(Kind::ALL.iter().position(|one| *one == kind).unwrap_or(Kind::ALL.len()) as u32)
+impl From<RequestKind> for Code {
+    fn from(kind: RequestKind) -> Code {
+        Code(RequestKind::ALL.iter().position(|one| *one == kind).unwrap_or(RequestKind::ALL.len()) as u32)
     }
 }
 
 impl Code {
-    pub fn kind(self) -> Option<Kind> {
-        Kind::ALL.get(self.0 as usize).copied()
+    pub fn kind(self) -> Option<RequestKind> {
+        RequestKind::ALL.get(self.0 as usize).copied()
     }
 }
 
@@ -115,7 +115,7 @@
     Answer {
         id: u64,
     },
-    /// Carries a [`Refused`](crate::Refused); `id` is 0 over UDP.
+    /// Carries a [`RefusalReason`](crate::Refused); `id` is 0 over UDP.
     Refused {
         id: u64,
     },
--- a/crates/dunepond-membership/tests/asks.rs
+++ b/crates/dunepond-membership/tests/asks.rs
@@ -1,7 +1,9 @@
 //! Asks and their ends, when the other side is slow, silent, half there or gone.
 
 mod fleet;
-use dunepond_membership::{About, Envelope, Event, Head, Id, Kind, PeerError, Refused, Seal, bind, frame};
+use dunepond_membership::{
+    About, Envelope, Event, Head, Id, PeerError, RefusalReason, RequestKind, Seal, bind, frame,
+};
 use fleet::*;
 use rstest::rstest;
 use std::io::{Read, Write};
@@ -64,15 +66,15 @@
 
 #[test]
 fn one_silent_peer_holds_up_no_other() {
-    let fleet = fleet(2, |told| told.known.push(("silent".into(), server(vec![], false))));
+    let fleet = fleet(2, |told| told.known_peers.push(("silent".into(), server(vec![], false))));
     for _ in 0..20 {
-        fleet[0].peers.ask("silent", Kind::Raft, vec![], 3.0).unwrap();
+        fleet[0].peers.request("silent", RequestKind::Raft, vec![], 3.0).unwrap();
     }
     std::thread::scope(|scope| {
         scope.spawn(|| {
             for _ in 0..20 {
                 let (.., token) = fleet[1].asked();
-                fleet[1].peers.answer(token, Ok(vec![]));
+                fleet[1].peers.respond(token, Ok(vec![]));
             }
         });
         for _ in 0..20 {
@@ -87,20 +89,21 @@
 fn asks_are_bounded_and_each_that_is_taken_ends_once() {
     let silent = server(vec![], false);
     let mut told = told("n1", 1, &[("silent", silent)]);
-    told.bounds.asks = 50;
-    told.bounds.asks_each = 40;
+    told.limits.max_requests = 50;
+    told.limits.max_requests_per_peer = 40;
     let broker = run(bound(), told);
-    let taken: Vec<u64> =
-        (0..500).filter_map(|_| broker.peers.ask("silent", Kind::Raft, vec![], 0.5).ok()).collect();
+    let taken: Vec<u64> = (0..500)
+        .filter_map(|_| broker.peers.request("silent", RequestKind::Raft, vec![], 0.5).ok())
+        .collect();
     assert_eq!(taken.len(), 50);
     assert!(matches!(
-        broker.peers.ask("silent", Kind::Raft, vec![], 0.5),
+        broker.peers.request("silent", RequestKind::Raft, vec![], 0.5),
         Err(PeerError::Busy { most: 50, .. })
     ));
     let (mut ended, mut late) = (Vec::new(), 0);
     while ended.len() < 50 {
         match broker.events.recv_timeout(PATIENCE).unwrap() {
-            Event::Answer { id, body, .. } => {
+            Event::Response { id, result: body, .. } => {
                 ended.push(id);
                 late += usize::from(matches!(body, Err(PeerError::Late { .. })));
             }
@@ -138,11 +141,11 @@
     }
     // Rests double from at least 25 ms up to at least half a second.
     assert!(tries >= 1 && tries <= 6 + 2 * begun.elapsed().as_secs(), "{rests} rests, {tries} tries");
-    let there = run(bind(at).unwrap(), told("n2", 1, &[("n1", broker.peers.listen())]));
+    let there = run(bind(at).unwrap(), told("n2", 1, &[("n1", broker.peers.local_addr())]));
     std::thread::scope(|scope| {
         scope.spawn(|| {
             let (.., token) = there.asked();
-            there.peers.answer(token, Ok(vec![]));
+            there.peers.respond(token, Ok(vec![]));
         });
         let begun = Instant::now();
         while broker.ask("n2", b"", 2.0).is_err() {
@@ -157,42 +160,45 @@
     let fleet = fleet(2, |_| {});
     let whole = vec![7; 4 << 20];
     assert!(matches!(
-        fleet[0].peers.ask("n2", Kind::State, vec![0; (4 << 20) + 1], 1.0),
+        fleet[0].peers.request("n2", RequestKind::State, vec![0; (4 << 20) + 1], 1.0),
         Err(PeerError::TooLarge { .. })
     ));
     std::thread::scope(|scope| {
         scope.spawn(|| {
             let (.., body, token) = fleet[1].asked();
-            fleet[1].peers.answer(token, Ok(body));
+            fleet[1].peers.respond(token, Ok(body));
             let (.., token) = fleet[1].asked();
-            fleet[1].peers.answer(token, Ok(vec![0; (4 << 20) + 1]));
+            fleet[1].peers.respond(token, Ok(vec![0; (4 << 20) + 1]));
         });
         assert_eq!(fleet[0].ask("n2", &whole, 10.0).unwrap(), whole);
         let end = fleet[0].ask("n2", b"", 10.0);
-        assert!(matches!(end, Err(PeerError::Refused { why: Refused::TooLarge { .. }, .. })), "{end:?}");
+        assert!(
+            matches!(end, Err(PeerError::Refused { why: RefusalReason::TooLarge { .. }, .. })),
+            "{end:?}"
+        );
     });
 }
 
 #[test]
 fn an_ask_without_an_answer_is_told_why() {
     let fleet = fleet(2, |_| {});
-    let known = [("n3", fleet[1].peers.listen())];
+    let known = [("n3", fleet[1].peers.local_addr())];
     let misled = run(bound(), told("n0", 1, &known));
     let end = misled.ask("n3", b"", 2.0);
     assert!(
-        matches!(&end, Err(PeerError::Refused { why: Refused::NotMe { name }, .. }) if name == "n2"),
+        matches!(&end, Err(PeerError::Refused { why: RefusalReason::NotMe { name }, .. }) if name == "n2"),
         "{end:?}"
     );
     std::thread::scope(|scope| {
         scope.spawn(|| {
             drop(fleet[1].asked());
             let (.., token) = fleet[1].asked();
-            fleet[1].peers.answer(token, Err(Refused::Declined("no such version".into())));
+            fleet[1].peers.respond(token, Err(RefusalReason::Declined("no such version".into())));
         });
         let end = fleet[0].ask("n2", b"", 2.0);
-        assert!(matches!(end, Err(PeerError::Refused { why: Refused::Dropped, .. })), "{end:?}");
+        assert!(matches!(end, Err(PeerError::Refused { why: RefusalReason::Dropped, .. })), "{end:?}");
         let end = fleet[0].ask("n2", b"", 2.0);
-        assert!(matches!(end, Err(PeerError::Refused { why: Refused::Declined(_), .. })), "{end:?}");
+        assert!(matches!(end, Err(PeerError::Refused { why: RefusalReason::Declined(_), .. })), "{end:?}");
     });
     assert!(matches!(fleet[0].ask("nobody", b"", 2.0), Err(PeerError::Unknown { .. })));
 }
@@ -201,21 +207,24 @@
 fn a_caller_that_does_not_read_costs_asks_and_no_memory() {
     let mut fleet = fleet(3, |told| {
         if told.name == "n1" {
-            told.bounds.events = 4;
+            told.limits.max_queued_events = 4;
         }
     });
     fleet[1].all_came(&["n1", "n3"]);
     fleet[0].wait("n2 and n3", |peers| peers.members().len() == 2);
     // n1 reads nothing. Its own asks wait for it; what others ask has no room.
-    let ids: Vec<u64> = (0..8).map(|_| fleet[1].peers.ask("n1", Kind::Raft, vec![], 3.0).unwrap()).collect();
+    let ids: Vec<u64> =
+        (0..8).map(|_| fleet[1].peers.request("n1", RequestKind::Raft, vec![], 3.0).unwrap()).collect();
     let ends = fleet[1].ends(&ids);
-    let busy =
-        ends.iter().filter(|end| matches!(end, Err(PeerError::Refused { why: Refused::Busy, .. }))).count();
+    let busy = ends
+        .iter()
+        .filter(|end| matches!(end, Err(PeerError::Refused { why: RefusalReason::Busy, .. })))
+        .count();
     assert_eq!((busy, ends.len()), (6, 8), "two changes and two asks are all that has room");
-    let own = fleet[0].peers.ask("n2", Kind::Raft, vec![], 0.2).unwrap();
-    let known = [("n1", fleet[0].peers.listen()), ("n2", fleet[1].peers.listen())];
+    let own = fleet[0].peers.request("n2", RequestKind::Raft, vec![], 0.2).unwrap();
+    let known = [("n1", fleet[0].peers.local_addr()), ("n2", fleet[1].peers.local_addr())];
     let n3 = fleet.pop().unwrap();
-    let at = n3.peers.listen();
+    let at = n3.peers.local_addr();
     n3.peers.stop();
     fleet[1].left("n3");
     let _back = run(bind(at).unwrap(), told("n3", 2, &known));
@@ -226,27 +235,28 @@
         heard.push(fleet[0].events.recv_timeout(PATIENCE).unwrap());
     }
     assert!(
-        heard.iter().any(|event| matches!(event, Event::Came(peer) if peer.incarnation == 2)),
+        heard.iter().any(|event| matches!(event, Event::PeerUp(peer) if peer.incarnation == 2)),
         "{heard:?}"
     );
-    assert!(!heard.iter().any(|event| matches!(event, Event::Left(_))), "{heard:?}");
-    assert!(heard.iter().any(|event| matches!(event, Event::Answer { id, .. } if *id == own)), "{heard:?}");
+    assert!(!heard.iter().any(|event| matches!(event, Event::PeerDown(_))), "{heard:?}");
+    assert!(heard.iter().any(|event| matches!(event, Event::Response { id, .. } if *id == own)), "{heard:?}");
 }
 
 #[test]
 fn bytes_are_bounded_wherever_they_wait() {
     let mut fleet = fleet(2, |told| {
-        told.known.push(("silent".into(), server(vec![], false)));
-        told.bounds.bytes_in = 8 << 20;
-        told.bounds.bytes_out = 10 << 20;
-        told.bounds.asked_each = 2;
+        told.known_peers.push(("silent".into(), server(vec![], false)));
+        told.limits.max_receive_bytes = 8 << 20;
+        told.limits.max_send_bytes = 10 << 20;
+        told.limits.max_pending_requests_per_peer = 2;
     });
-    let busy =
-        |end: &Result<Vec<u8>, PeerError>| matches!(end, Err(PeerError::Refused { why: Refused::Busy, .. }));
+    let busy = |end: &Result<Vec<u8>, PeerError>| {
+        matches!(end, Err(PeerError::Refused { why: RefusalReason::Busy, .. }))
+    };
     let two = fleet.pop().unwrap();
     let large = || vec![0; 3 << 20];
     // None of these ends because its time is over: the machine may be slow.
-    let ask = |to: &str, body| two.peers.ask(to, Kind::State, body, 20.0);
+    let ask = |to: &str, body| two.peers.request(to, RequestKind::State, body, 20.0);
     let asked = |count| fleet[0].wait("what is asked", |peers| peers.counters().asked == count);
     let drop_all = || while fleet[0].events.try_recv().is_ok() {};
     // Waiting to be read by the caller.
@@ -270,7 +280,7 @@
     // On their way in: stated, and never sent. One of the three finds no room, whichever is read last.
     let state = b"POST /raft HTTP/1.1\r\nhost: x\r\ncontent-length: 4194304\r\n\r\n";
     let streams: Vec<TcpStream> =
-        (0..3).map(|_| TcpStream::connect(fleet[0].peers.listen()).unwrap()).collect();
+        (0..3).map(|_| TcpStream::connect(fleet[0].peers.local_addr()).unwrap()).collect();
     for mut stream in &streams {
         stream.write_all(state).unwrap();
         stream.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
@@ -287,7 +297,7 @@
     let silent = server(vec![], false);
     let broker = run(bound(), told("n1", 1, &[("silent", silent)]));
     for _ in 0..20 {
-        broker.peers.ask("silent", Kind::Raft, vec![], 30.0).unwrap();
+        broker.peers.request("silent", RequestKind::Raft, vec![], 30.0).unwrap();
     }
     std::thread::sleep(Duration::from_millis(50));
     let begun = Instant::now();
--- a/crates/dunepond-membership/tests/core.rs
+++ b/crates/dunepond-membership/tests/core.rs
@@ -1,8 +1,8 @@
 //! The pure core on a wire that exists only here: clock, losses and stops are the story's.
 
 use dunepond_membership::{
-    About, Bounds, Core, Envelope, Event, Head, Id, Kind, Orders, PeerError, Refused, Seal, Sign, Span,
-    Standing, Told, VERSION, frame, unframe,
+    About, Actions, Core, Envelope, Event, Head, Id, Limits, MembershipOptions, PeerError, PeerState,
+    RefusalReason, RequestKind, Seal, Sign, Span, VERSION, frame, unframe,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -24,9 +24,9 @@
     format!("n{number}")
 }
 
-fn told(number: usize, incarnation: u64, count: usize, key: bool) -> Told {
+fn told(number: usize, incarnation: u64, count: usize, key: bool) -> MembershipOptions {
     let known = (0..count).map(|other| (name(other), at(other))).collect();
-    let mut told = Told::new(&name(number), incarnation, at(number), known, number as u64);
+    let mut told = MembershipOptions::new(&name(number), incarnation, at(number), known, number as u64);
     told.key = key.then(|| KEY.into());
     told
 }
@@ -63,8 +63,8 @@
         }
     }
 
-    fn carry(&mut self, from: usize, orders: Orders, lost: &impl Fn(usize, usize) -> bool) {
-        for (to, bytes) in orders.send {
+    fn carry(&mut self, from: usize, orders: Actions, lost: &impl Fn(usize, usize) -> bool) {
+        for (to, bytes) in orders.datagrams {
             let to = usize::from(to.port()) - 7000;
             self.sent.push((from, to, bytes.clone()));
             if to < self.cores.len() && !lost(from, to) {
@@ -72,9 +72,9 @@
             }
         }
         self.heard[from].extend(orders.changes.iter().map(|change| match change {
-            Event::Came(peer) => format!("came {} {}", peer.name, peer.incarnation),
-            Event::Suspect(name) => format!("suspect {name}"),
-            Event::Left(name) => format!("left {name}"),
+            Event::PeerUp(peer) => format!("came {} {}", peer.name, peer.incarnation),
+            Event::PeerSuspected(name) => format!("suspect {name}"),
+            Event::PeerDown(name) => format!("left {name}"),
             other => panic!("{other:?} is no change"),
         }));
     }
@@ -92,7 +92,7 @@
                     continue;
                 }
                 for (from, bytes) in std::mem::take(&mut self.waits[number]) {
-                    let orders = self.cores[number].received(self.now, at(from), &bytes);
+                    let orders = self.cores[number].on_datagram(self.now, at(from), &bytes);
                     self.carry(number, orders, &lost);
                 }
                 let orders = self.cores[number].tick(self.now);
@@ -111,7 +111,7 @@
         let mut answer = None;
         if passes && !self.stopped[to] {
             let about = |kind| About::Ask { id: 1, kind, within_ms: 100 };
-            let head = self.cores[from].head(&sign.to, about(Kind::Sign.into()));
+            let head = self.cores[from].head(&sign.to, about(RequestKind::LivenessCheck.into()));
             let asked = &mut self.cores[to];
             self.asked += 1;
             let said = Envelope { version: 2, speaks: Span::OURS, count: self.asked };
@@ -128,13 +128,13 @@
         self.carry(from, orders, lost);
     }
 
-    fn standings(&self, number: usize) -> Vec<Standing> {
-        self.cores[number].members().iter().map(|peer| peer.standing).collect()
+    fn standings(&self, number: usize) -> Vec<PeerState> {
+        self.cores[number].members().iter().map(|peer| peer.state).collect()
     }
 
     fn all_here(&self) -> bool {
         let others = self.cores.len() - 1;
-        (0..self.cores.len()).all(|number| self.standings(number) == vec![Standing::Here; others])
+        (0..self.cores.len()).all(|number| self.standings(number) == vec![PeerState::Alive; others])
     }
 
     fn forget(&mut self) {
@@ -227,7 +227,8 @@
 fn a_sign_of_life_needs_the_pass() {
     let mut world = World::new(3, false);
     world.play(3.0, none);
-    let mut head = world.cores[1].head("n0", About::Ask { id: 1, kind: Kind::Sign.into(), within_ms: 100 });
+    let mut head = world.cores[1]
+        .head("n0", About::Ask { id: 1, kind: RequestKind::LivenessCheck.into(), within_ms: 100 });
     let body = postcard::to_stdvec(&Vec::<Vec<u8>>::new()).unwrap();
     assert!(world.cores[0].sign_asked(&head, &body).is_ok());
     head.echo ^= 1;
@@ -240,7 +241,7 @@
     let mut world = World::new(5, key);
     world.play(3.0, none);
     world.play(15.0, |from, to| (from < 2) != (to < 2));
-    assert!(world.standings(0).contains(&Standing::Gone));
+    assert!(world.standings(0).contains(&PeerState::Down));
     world.play(25.0, none);
     assert!(world.all_here(), "{:?}", world.heard);
 }
@@ -257,18 +258,19 @@
     assert!(world.all_here());
     let seal = Seal::new(key.then_some(KEY)).unwrap();
     let late = Head { from: old, to: name(0), gives: 0, echo: 0, about: About::Members };
-    let fault = world.cores[0].received(world.now, at(2), &frame(&Envelope::FIRST, &late, b"", &seal)).fault;
+    let fault =
+        world.cores[0].on_datagram(world.now, at(2), &frame(&Envelope::FIRST, &late, b"", &seal)).fault;
     assert!(matches!(fault, Some(PeerError::Stale { said: 1, known: 2, .. })), "{fault:?}");
 }
 
 /// What `n2`, a member, sends to `n0`: `message`, and what it says of others.
-fn from_n2(world: &mut World, message: foca::Message<Id>, said: &[foca::Member<Id>]) -> Orders {
+fn from_n2(world: &mut World, message: foca::Message<Id>, said: &[foca::Member<Id>]) -> Actions {
     let (src, dst) = (world.cores[2].me().clone(), world.cores[0].me().clone());
     let head = Head { from: src.clone(), to: name(0), gives: 0, echo: 0, about: About::Members };
     let mut load = postcard::to_stdvec(&foca::Header { src, src_incarnation: 0, dst, message }).unwrap();
     load.extend([0, said.len() as u8]);
     said.iter().for_each(|member| load.extend(postcard::to_stdvec(member).unwrap()));
-    world.cores[0].received(
+    world.cores[0].on_datagram(
         world.now,
         at(2),
         &frame(&Envelope::FIRST, &head, &load, &Seal::new(None).unwrap()),
@@ -295,36 +297,39 @@
     let target =
         Id { name: "far".into(), incarnation: 1, renewed: 0, listen: "192.0.2.1:53".parse().unwrap() };
     let orders = from_n2(&mut world, foca::Message::PingReq { target, probe_number: 1 }, &[]);
-    assert!(orders.fault.is_none() && orders.send.iter().all(|(to, _)| to.ip().is_loopback()), "{orders:?}");
+    assert!(
+        orders.fault.is_none() && orders.datagrams.iter().all(|(to, _)| to.ip().is_loopback()),
+        "{orders:?}"
+    );
 }
 
 #[test]
 fn what_is_sent_goes_to_the_relay_whatever_the_peer_says() {
     let (mut one, mut other) = (told(0, 1, 2, true), told(1, 1, 2, true));
-    one.known = vec![("n1".into(), at(50))];
-    other.known = vec![("n0".into(), at(51))];
+    one.known_peers = vec![("n1".into(), at(50))];
+    other.known_peers = vec![("n0".into(), at(51))];
     let mut one = Core::new(&one, [0; 32], 0.0).unwrap();
     let mut other = Core::new(&other, [1; 32], 0.0).unwrap();
     for turn in 0..300 {
         let now = f64::from(turn) / 100.0;
         let (mine, theirs) = (one.tick(now), other.tick(now));
-        let mut moves = VecDeque::from([(true, mine.send), (false, theirs.send)]);
+        let mut moves = VecDeque::from([(true, mine.datagrams), (false, theirs.datagrams)]);
         while let Some((from_one, sent)) = moves.pop_front() {
             for (to, bytes) in sent {
                 assert_eq!(to, if from_one { at(50) } else { at(51) });
                 let (taker, relay) = if from_one { (&mut other, at(60)) } else { (&mut one, at(61)) };
-                moves.push_back((!from_one, taker.received(now, relay, &bytes).send));
+                moves.push_back((!from_one, taker.on_datagram(now, relay, &bytes).datagrams));
             }
         }
     }
-    assert_eq!(one.members()[0].listen, at(1));
+    assert_eq!(one.members()[0].listen_address, at(1));
     assert_eq!(one.address("n1"), Some(at(50)));
 }
 
 #[test]
 fn a_flood_is_cut_and_strangers_cannot_crowd_out_the_file() {
     let mut told = told(0, 1, 3, false);
-    told.bounds = Bounds { members: 4, datagrams_each: 10, ..Bounds::default() };
+    told.limits = Limits { max_members: 4, max_datagrams_per_second: 10, ..Limits::default() };
     let mut core = Core::new(&told, [0; 32], 0.0).unwrap();
     let mut send = |number: usize| {
         let from = Id { name: name(number), incarnation: 1, renewed: 0, listen: at(number) };
@@ -334,7 +339,7 @@
         let head = Head { from, to: name(0), gives: 0, echo: 0, about: About::Members };
         let bytes =
             frame(&Envelope::FIRST, &head, &postcard::to_stdvec(&call).unwrap(), &Seal::new(None).unwrap());
-        core.received(0.1, at(number), &bytes).fault
+        core.on_datagram(0.1, at(number), &bytes).fault
     };
     let faults: Vec<Option<PeerError>> = (10..20).map(&mut send).collect();
     assert_eq!(faults.iter().filter(|fault| fault.is_none()).count(), 4);
@@ -361,8 +366,8 @@
     let faults = (10..20).map(|number| {
         let from = Id { name: name(number), incarnation: 1, renewed: 0, listen: at(number) };
         let head = Head { from, to: name(0), gives: 0, echo: 0, about: About::Refused { id: 0 } };
-        let load = postcard::to_stdvec(&Refused::Full).unwrap();
-        core.received(0.1, at(number), &frame(&Envelope::FIRST, &head, &load, &Seal::new(None).unwrap()))
+        let load = postcard::to_stdvec(&RefusalReason::Full).unwrap();
+        core.on_datagram(0.1, at(number), &frame(&Envelope::FIRST, &head, &load, &Seal::new(None).unwrap()))
             .fault
     });
     assert_eq!(faults.filter(|fault| matches!(fault, Some(PeerError::Full { .. }))).count(), 6);
@@ -371,10 +376,10 @@
 #[test]
 fn so_many_requests_a_second_and_no_more() {
     let mut told = told(0, 1, 2, true);
-    told.bounds.requests_each = 10;
+    told.limits.max_requests_per_second = 10;
     let mut core = Core::new(&told, [0; 32], 0.0).unwrap();
     let from = Id { name: name(1), incarnation: 1, renewed: 0, listen: at(1) };
-    let about = About::Ask { id: 1, kind: Kind::Raft.into(), within_ms: 100 };
+    let about = About::Ask { id: 1, kind: RequestKind::Raft.into(), within_ms: 100 };
     let head = Head { from, to: name(0), gives: 0, echo: 0, about };
     let mut taken =
         |now: f64| (0..15).filter(|_| core.believes(now, &Envelope::FIRST, &head, at(1)).is_ok()).count();
@@ -386,22 +391,22 @@
     let mut core = Core::new(&told(0, 1, 3, true), [0; 32], 0.0).unwrap();
     let newer = [VERSION + 1; 200];
     let theirs = Span::only(VERSION + 1);
-    let orders = core.received(0.1, at(1), &newer);
+    let orders = core.on_datagram(0.1, at(1), &newer);
     assert!(
         matches!(orders.fault, Some(PeerError::Version { theirs: said, ours: Span::OURS, .. }) if said == theirs)
     );
-    let (to, bytes) = &orders.send[0];
+    let (to, bytes) = &orders.datagrams[0];
     assert!(*to == at(1) && bytes.len() <= newer.len());
     let (_, head, load) = unframe(bytes, core.seal(), "n0", Span::OURS).unwrap();
     assert_eq!(head.to, "n1");
     assert_eq!(
-        postcard::from_bytes::<Refused>(load).unwrap(),
-        Refused::Versions { theirs, ours: Span::OURS }
+        postcard::from_bytes::<RefusalReason>(load).unwrap(),
+        RefusalReason::Versions { theirs, ours: Span::OURS }
     );
     // Not to who is not known, not for a shorter message, and only so often.
-    assert!(core.received(0.1, at(9), &newer).send.is_empty());
-    assert!(core.received(0.1, at(1), &newer[..20]).send.is_empty());
-    let sent: usize = (0..100).map(|_| core.received(0.2, at(1), &newer).send.len()).sum();
+    assert!(core.on_datagram(0.1, at(9), &newer).datagrams.is_empty());
+    assert!(core.on_datagram(0.1, at(1), &newer[..20]).datagrams.is_empty());
+    let sent: usize = (0..100).map(|_| core.on_datagram(0.2, at(1), &newer).datagrams.len()).sum();
     assert!(sent < 10, "{sent}");
 }
 
@@ -413,11 +418,11 @@
     fn nothing_unsealed_is_believed(bytes in proptest::collection::vec(any::<u8>(), 0..1500), flip in any::<(usize, u8)>(), sender in 0..4usize) {
         let mut core = Core::new(&told(0, 1, 3, true), [0; 32], 0.0).unwrap();
         let mut other = Core::new(&told(1, 1, 3, true), [1; 32], 0.0).unwrap();
-        let (_, mut good) = other.tick(0.1).send.into_iter().find(|(to, _)| *to == at(0)).unwrap();
+        let (_, mut good) = other.tick(0.1).datagrams.into_iter().find(|(to, _)| *to == at(0)).unwrap();
         let place = flip.0 % good.len();
         good[place] ^= flip.1.max(1);
         for bytes in [&bytes, &good, &good[..place].to_vec()] {
-            let orders = core.received(0.1, at(sender), bytes);
+            let orders = core.on_datagram(0.1, at(sender), bytes);
             prop_assert!(orders.fault.is_some() && orders.changes.is_empty());
         }
         prop_assert!(core.members().is_empty());
@@ -429,7 +434,7 @@
         let mut core = Core::new(&told(0, 1, 3, false), [0; 32], 0.0).unwrap();
         let from = Id { name: name(sender), incarnation: 1, renewed: 0, listen: at(sender) };
         let head = Head { from, to: name(0), gives: 1, echo: 1, about: About::Members };
-        let orders = core.received(0.1, at(sender), &frame(&Envelope::FIRST, &head, &load, &Seal::new(None).unwrap()));
+        let orders = core.on_datagram(0.1, at(sender), &frame(&Envelope::FIRST, &head, &load, &Seal::new(None).unwrap()));
         prop_assert!(orders.fault.is_some(), "{:?}", orders);
     }
 }
--- a/crates/dunepond-membership/tests/core/fresh.rs
+++ b/crates/dunepond-membership/tests/core/fresh.rs
@@ -7,7 +7,7 @@
     let mut faults = Vec::new();
     for (from, bytes) in recorded {
         let now = world.now;
-        let orders = world.cores[0].received(now, at(*from), bytes);
+        let orders = world.cores[0].on_datagram(now, at(*from), bytes);
         faults.extend(orders.fault.clone());
         world.carry(0, orders, &none);
     }
@@ -49,7 +49,7 @@
 fn a_request_that_comes_long_after_has_no_effect(#[values(false, true)] key: bool) {
     let mut world = World::new(2, key);
     world.play(3.0, none);
-    let about = About::Ask { id: 1, kind: Kind::Raft.into(), within_ms: 100 };
+    let about = About::Ask { id: 1, kind: RequestKind::Raft.into(), within_ms: 100 };
     let head = world.cores[1].head("n0", about);
     let seal = Seal::new(key.then_some(KEY)).unwrap();
     let bytes = world.cores[1].framed(VERSION, &head, b"take this");
@@ -73,12 +73,12 @@
 fn who_lacks_the_pass_is_heard_a_turn_later(#[values(false, true)] key: bool) {
     let mut cores =
         [0, 1].map(|number| Core::new(&told(number, 1, 2, key), [number as u8; 32], 0.0).unwrap());
-    let mut sent = cores[0].tick(0.1).send;
+    let mut sent = cores[0].tick(0.1).datagrams;
     for turn in 1..=3 {
         assert!(cores[1].members().is_empty());
         let [(to, bytes)] = &sent[..] else { panic!("{turn}: {sent:?}") };
         let taker = usize::from(to.port()) - 7000;
-        sent = cores[taker].received(0.1, at(1 - taker), bytes).send;
+        sent = cores[taker].on_datagram(0.1, at(1 - taker), bytes).datagrams;
     }
     assert_eq!(cores[1].members()[0].name, "n0");
 }
@@ -88,7 +88,7 @@
 fn requests_that_overtake_each_other_are_each_heard_once() {
     let mut world = World::new(2, true);
     world.play(3.0, none);
-    let about = About::Ask { id: 1, kind: Kind::Raft.into(), within_ms: 100 };
+    let about = About::Ask { id: 1, kind: RequestKind::Raft.into(), within_ms: 100 };
     let head = world.cores[1].head("n0", about);
     let mut heard = |count: u64, now: f64| {
         let said = Envelope { version: VERSION, speaks: Span::OURS, count };
--- a/crates/dunepond-membership/tests/core/versions.rs
+++ b/crates/dunepond-membership/tests/core/versions.rs
@@ -19,7 +19,7 @@
 
 fn core(number: usize, incarnation: u64, speaks: &Span, count: usize, key: bool, now: f64) -> Core {
     let mut told = told(number, incarnation, count, key);
-    told.speaks = *speaks;
+    told.supported_versions = *speaks;
     Core::new(&told, [number as u8 + 10 * incarnation as u8; 32], now).unwrap()
 }
 
@@ -68,7 +68,7 @@
 #[test]
 fn the_first_version_is_written_as_ever() {
     let from = Id { name: "n1".into(), incarnation: 300, renewed: 2, listen: at(1) };
-    let about = About::Ask { id: 5, kind: Kind::Counts.into(), within_ms: 1500 };
+    let about = About::Ask { id: 5, kind: RequestKind::TransferCounts.into(), within_ms: 1500 };
     let head = Head { from, to: "n2".into(), gives: 1, echo: 128, about };
     let bytes = frame(&Envelope::FIRST, &head, b"load", &Seal::new(None).unwrap());
     let want: [&[u8]; 5] = [
@@ -105,14 +105,14 @@
     assert!(world.cores.iter().all(|core| core.members().is_empty()), "{:?}", world.heard);
     for (from, to, theirs, ours) in [(0, 1, OLD, later), (1, 0, later, OLD)] {
         let (.., bytes) = world.sent.iter().find(|sent| sent.0 == from).unwrap().clone();
-        let fault = world.cores[to].received(world.now, at(from), &bytes).fault.unwrap();
+        let fault = world.cores[to].on_datagram(world.now, at(from), &bytes).fault.unwrap();
         let named =
             matches!(&fault, PeerError::Version { theirs: a, ours: b, .. } if (*a, *b) == (theirs, ours));
         assert!(named, "{fault:?}");
         let said = fault.to_string();
         assert!(said.contains(&format!("version {theirs};")) && said.ends_with(&ours.to_string()), "{said}");
         assert!(fault.help().contains("between them"), "{}", fault.help());
-        assert_eq!(fault.refusal("n"), Some(Refused::Versions { theirs, ours }));
+        assert_eq!(fault.refusal("n"), Some(RefusalReason::Versions { theirs, ours }));
     }
 }
 
@@ -120,15 +120,16 @@
 #[test]
 fn refusals_of_refusals_die_out() {
     let mut world = fleet(&[Span::only(2), Span::only(3)], false);
-    let (mut taker, mut bytes) = (1, world.cores[0].tick(0.1).send[0].1.clone());
-    let refused =
-        (0..8).take_while(|_| match world.cores[taker].received(0.2, at(1 - taker), &bytes).send.pop() {
+    let (mut taker, mut bytes) = (1, world.cores[0].tick(0.1).datagrams[0].1.clone());
+    let refused = (0..8).take_while(|_| {
+        match world.cores[taker].on_datagram(0.2, at(1 - taker), &bytes).datagrams.pop() {
             Some((_, refusal)) => {
                 (taker, bytes) = (1 - taker, refusal);
                 true
             }
             None => false,
-        });
+        }
+    });
     assert!((1..4).contains(&refused.count()));
 }
 
--- a/crates/dunepond-membership/tests/fleet/mod.rs
+++ b/crates/dunepond-membership/tests/fleet/mod.rs
@@ -2,7 +2,9 @@
 #![allow(dead_code, reason = "each story uses what it needs")]
 
 use crossbeam_channel::Receiver;
-use dunepond_membership::{Bound, Event, Kind, PeerError, Peers, Token, Told, bind, start_on};
+use dunepond_membership::{
+    Bound, Event, MembershipOptions, PeerError, Peers, RequestKind, Responder, bind, start_on,
+};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -19,28 +21,28 @@
 }
 
 /// What a broker is told in these stories: quick, so that a suspicion takes a second.
-pub fn told(name: &str, incarnation: u64, known: &[(&str, SocketAddr)]) -> Told {
+pub fn told(name: &str, incarnation: u64, known: &[(&str, SocketAddr)]) -> MembershipOptions {
     let known = known.iter().map(|(name, at)| (name.to_string(), *at)).collect();
-    let mut told = Told::new(name, incarnation, "127.0.0.1:0".parse().unwrap(), known, 7);
-    told.pace.probe = 0.2;
-    told.pace.rtt = 0.08;
-    told.pace.suspect = 0.8;
-    told.pace.announce = 0.1;
+    let mut told = MembershipOptions::new(name, incarnation, "127.0.0.1:0".parse().unwrap(), known, 7);
+    told.timing.probe_interval_seconds = 0.2;
+    told.timing.probe_timeout_seconds = 0.08;
+    told.timing.suspicion_timeout_seconds = 0.8;
+    told.timing.announce_interval_seconds = 0.1;
     told
 }
 
-pub fn run(bound: Bound, told: Told) -> Broker {
+pub fn run(bound: Bound, told: MembershipOptions) -> Broker {
     let (peers, events) = start_on(bound, told).unwrap();
     Broker { peers, events }
 }
 
 /// Brokers `n1`, `n2`, ... that know each other, each told a little otherwise by `change`.
-pub fn fleet(count: usize, change: impl Fn(&mut Told)) -> Vec<Broker> {
+pub fn fleet(count: usize, change: impl Fn(&mut MembershipOptions)) -> Vec<Broker> {
     let bounds: Vec<Bound> = (0..count).map(|_| bound()).collect();
     let names: Vec<String> = (1..=count).map(|number| format!("n{number}")).collect();
     let known: Vec<(&str, SocketAddr)> =
         names.iter().map(String::as_str).zip(bounds.iter().map(Bound::at)).collect();
-    let all: Vec<Told> = names
+    let all: Vec<MembershipOptions> = names
         .iter()
         .map(|name| {
             let mut told = told(name, 1, &known);
@@ -60,30 +62,30 @@
             if let Some(found) = wanted(&event) {
                 return found;
             }
-            if let Event::Asked { body, token, .. } = event {
-                self.peers.answer(token, Ok(body));
+            if let Event::Request { body, responder: token, .. } = event {
+                self.peers.respond(token, Ok(body));
             }
         }
     }
 
     pub fn came(&self, name: &str) -> u64 {
         self.until(name, |event| match event {
-            Event::Came(peer) if peer.name == name => Some(peer.incarnation),
+            Event::PeerUp(peer) if peer.name == name => Some(peer.incarnation),
             _ => None,
         })
     }
 
     pub fn left(&self, name: &str) {
         self.until(&format!("the end of {name}"), |event| {
-            matches!(event, Event::Left(who) if who == name).then_some(())
+            matches!(event, Event::PeerDown(who) if who == name).then_some(())
         });
     }
 
-    pub fn asked(&self) -> (String, Kind, Vec<u8>, Token) {
+    pub fn asked(&self) -> (String, RequestKind, Vec<u8>, Responder) {
         let end = Instant::now() + PATIENCE;
         loop {
             match self.events.recv_deadline(end).expect("an ask") {
-                Event::Asked { from, kind, body, token } => return (from, kind, body, token),
+                Event::Request { from, kind, body, responder: token } => return (from, kind, body, token),
                 _ => continue,
             }
         }
@@ -92,13 +94,13 @@
     /// The end of ask `id`.
     pub fn end(&self, id: u64) -> Result<Vec<u8>, PeerError> {
         self.until(&format!("the answer to {id}"), |event| match event {
-            Event::Answer { id: ended, body, .. } if *ended == id => Some(body.clone()),
+            Event::Response { id: ended, result: body, .. } if *ended == id => Some(body.clone()),
             _ => None,
         })
     }
 
     pub fn ask(&self, to: &str, body: &[u8], within: f64) -> Result<Vec<u8>, PeerError> {
-        let id = self.peers.ask(to, Kind::State, body.to_vec(), within).unwrap();
+        let id = self.peers.request(to, RequestKind::State, body.to_vec(), within).unwrap();
         self.end(id)
     }
 }
@@ -108,7 +110,7 @@
         let mut missing = names.to_vec();
         while !missing.is_empty() {
             let came = self.until("a peer", |event| match event {
-                Event::Came(peer) => Some(peer.name.clone()),
+                Event::PeerUp(peer) => Some(peer.name.clone()),
                 _ => None,
             });
             missing.retain(|name| *name != came);
@@ -131,7 +133,7 @@
         let mut ends = Vec::new();
         while ends.len() < ids.len() {
             ends.push(self.until("an answer", |event| match event {
-                Event::Answer { id, body, .. } if ids.contains(id) => Some(body.clone()),
+                Event::Response { id, result: body, .. } if ids.contains(id) => Some(body.clone()),
                 _ => None,
             }));
         }
--- a/crates/dunepond-membership/tests/golden.rs
+++ b/crates/dunepond-membership/tests/golden.rs
@@ -3,8 +3,8 @@
 
 mod fleet;
 use dunepond_membership::{
-    About, Code, Core, Counters, Envelope, Event, Head, Id, Kind, Orders, Peer, Refused, Seal, Span,
-    Standing, Told, VERSION, frame, peek, unframe,
+    About, Actions, Code, Core, Counters, Envelope, Event, Head, Id, MembershipOptions, Peer, PeerState,
+    RefusalReason, RequestKind, Seal, Span, VERSION, frame, peek, unframe,
 };
 use fleet::{PATIENCE, bound, run, told};
 use serde::{Serialize, de::DeserializeOwned};
@@ -74,20 +74,20 @@
 
 /// Each kind of message, with what it can carry.
 fn abouts() -> Vec<(&'static str, About, Vec<u8>)> {
-    let ask = |kind: Kind| About::Ask { id: 1 << 62, kind: kind.into(), within_ms: 1500 };
+    let ask = |kind: RequestKind| About::Ask { id: 1 << 62, kind: kind.into(), within_ms: 1500 };
     let unknown = About::Ask { id: 7, kind: Code(99), within_ms: u32::MAX };
-    let refused = |why: Refused| postcard::to_stdvec(&why).unwrap();
+    let refused = |why: RefusalReason| postcard::to_stdvec(&why).unwrap();
     let mut abouts = vec![
         ("members", About::Members, b"what the library says".to_vec()),
         ("answer", About::Answer { id: 300 }, b"yes".to_vec()),
         ("answer-empty", About::Answer { id: 0 }, vec![]),
-        ("refused", About::Refused { id: 5 }, refused(Refused::Busy)),
-        ("refused-datagram", About::Refused { id: 0 }, refused(Refused::NotMe { name: "n1".into() })),
+        ("refused", About::Refused { id: 5 }, refused(RefusalReason::Busy)),
+        ("refused-datagram", About::Refused { id: 0 }, refused(RefusalReason::NotMe { name: "n1".into() })),
         ("greeting", About::Greeting, vec![]),
         ("ask-unknown", unknown, vec![0, 1, 2, 255]),
     ];
     for (label, kind) in
-        ["raft", "lease", "propose", "counts", "fill", "state", "sign", "moves"].iter().zip(Kind::ALL)
+        ["raft", "lease", "propose", "counts", "fill", "state", "sign", "moves"].iter().zip(RequestKind::ALL)
     {
         abouts.push((label, ask(kind), label.as_bytes().to_vec()));
     }
@@ -126,13 +126,14 @@
 #[test]
 fn ids_and_members_keep_their_form() {
     postcards("ids.txt", &ids());
-    let standings = [("here", Standing::Here), ("suspected", Standing::Suspected), ("gone", Standing::Gone)];
+    let standings =
+        [("here", PeerState::Alive), ("suspected", PeerState::Suspected), ("gone", PeerState::Down)];
     let peers: Vec<(String, Peer)> = standings
         .into_iter()
         .zip(ids())
         .map(|((label, standing), (_, id))| {
             let (name, incarnation, listen) = (id.name, id.incarnation, id.listen);
-            (label.to_string(), Peer { name, incarnation, listen, standing })
+            (label.to_string(), Peer { name, incarnation, listen_address: listen, state: standing })
         })
         .collect();
     postcards("members.txt", &peers);
@@ -140,11 +141,11 @@
 
 #[test]
 fn kinds_keep_their_number_path_and_version() {
-    let now: Vec<(String, String)> = Kind::ALL
+    let now: Vec<(String, String)> = RequestKind::ALL
         .into_iter()
         .map(|kind| {
             let code = Code::from(kind);
-            assert_eq!((code.kind(), Kind::of_path(kind.path())), (Some(kind), Some(kind)));
+            assert_eq!((code.kind(), RequestKind::of_path(kind.path())), (Some(kind), Some(kind)));
             let forms = [postcard::to_stdvec(&kind).unwrap(), postcard::to_stdvec(&code).unwrap()];
             (format!("{} {}", kind.path(), kind.since()), forms.map(|form| hex(&form)).join("-"))
         })
@@ -179,27 +180,27 @@
     }
 }
 
-fn refusals() -> Vec<(String, Refused)> {
+fn refusals() -> Vec<(String, RefusalReason)> {
     let name = || "n1".to_string();
     let span = |least, most| Span { least, most };
     [
-        ("busy", Refused::Busy),
-        ("late", Refused::Late),
-        ("too-large", Refused::TooLarge { most: 4 << 20 }),
-        ("version", Refused::Version { theirs: 1, ours: 2 }),
-        ("claimed", Refused::Claimed { name: name() }),
-        ("seal", Refused::Seal),
-        ("stale", Refused::Stale { name: name(), known: 300 }),
-        ("garbled", Refused::Garbled),
-        ("not-me", Refused::NotMe { name: name() }),
-        ("flood", Refused::Flood),
-        ("full", Refused::Full),
-        ("dropped", Refused::Dropped),
-        ("declined", Refused::Declined("no such version".into())),
-        ("versions", Refused::Versions { theirs: span(1, 2), ours: span(3, 200) }),
-        ("kind", Refused::Kind { kind: 99 }),
-        ("pass", Refused::Pass),
-        ("old", Refused::Old),
+        ("busy", RefusalReason::Busy),
+        ("late", RefusalReason::Late),
+        ("too-large", RefusalReason::TooLarge { most: 4 << 20 }),
+        ("version", RefusalReason::Version { theirs: 1, ours: 2 }),
+        ("claimed", RefusalReason::UnverifiedSender { name: name() }),
+        ("seal", RefusalReason::Seal),
+        ("stale", RefusalReason::Stale { name: name(), known: 300 }),
+        ("garbled", RefusalReason::Malformed),
+        ("not-me", RefusalReason::NotMe { name: name() }),
+        ("flood", RefusalReason::Flood),
+        ("full", RefusalReason::Full),
+        ("dropped", RefusalReason::Dropped),
+        ("declined", RefusalReason::Declined("no such version".into())),
+        ("versions", RefusalReason::Versions { theirs: span(1, 2), ours: span(3, 200) }),
+        ("kind", RefusalReason::Kind { kind: 99 }),
+        ("pass", RefusalReason::Pass),
+        ("old", RefusalReason::Old),
     ]
     .map(|(label, refused)| (label.to_string(), refused))
     .into()
@@ -208,10 +209,10 @@
 #[test]
 fn refusals_keep_their_form_in_each_version() {
     postcards("refusals.txt", &refusals());
-    let first: Vec<(String, Refused)> =
+    let first: Vec<(String, RefusalReason)> =
         refusals().into_iter().map(|(label, refused)| (label, refused.spoken_in(1))).collect();
     postcards("refusals-first.txt", &first);
-    let second: Vec<(String, Refused)> =
+    let second: Vec<(String, RefusalReason)> =
         refusals().into_iter().map(|(label, refused)| (label, refused.spoken_in(2))).collect();
     assert_eq!(second, refusals());
 }
@@ -239,8 +240,8 @@
     let known =
         (0..3).map(|other| (format!("n{other}"), SocketAddr::from(([127, 0, 0, 1], 7000 + other)))).collect();
     let listen = SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16));
-    let mut told = Told::new(&format!("n{number}"), incarnation, listen, known, number as u64);
-    (told.key, told.speaks) = (key.map(String::from), speaks);
+    let mut told = MembershipOptions::new(&format!("n{number}"), incarnation, listen, known, number as u64);
+    (told.key, told.supported_versions) = (key.map(String::from), speaks);
     Core::new(&told, [number as u8 + 10 * incarnation as u8; 32], now).unwrap()
 }
 
@@ -261,8 +262,8 @@
         self.said.push((format!("{:.2} {what}", self.now), form));
     }
 
-    fn carry(&mut self, from: usize, orders: Orders, lost: &impl Fn(usize, usize) -> bool) {
-        for (to, bytes) in orders.send {
+    fn carry(&mut self, from: usize, orders: Actions, lost: &impl Fn(usize, usize) -> bool) {
+        for (to, bytes) in orders.datagrams {
             let to = usize::from(to.port()) - 7000;
             self.note(format!("datagram n{from} n{to}"), &bytes);
             if !lost(from, to) {
@@ -271,9 +272,9 @@
         }
         for change in orders.changes {
             let what = match change {
-                Event::Came(peer) => format!("here {} {}", peer.name, peer.incarnation),
-                Event::Suspect(name) => format!("suspected {name}"),
-                Event::Left(name) => format!("gone {name}"),
+                Event::PeerUp(peer) => format!("here {} {}", peer.name, peer.incarnation),
+                Event::PeerSuspected(name) => format!("suspected {name}"),
+                Event::PeerDown(name) => format!("gone {name}"),
                 other => panic!("{other:?} is no change"),
             };
             self.note(format!("member n{from} {what}"), &[]);
@@ -295,7 +296,7 @@
             }
             for number in (0..self.cores.len()).filter(|number| !stopped.contains(number)) {
                 for (from, bytes) in waits.remove(&number).unwrap_or_default() {
-                    let orders = self.cores[number].received(self.now, address(from), &bytes);
+                    let orders = self.cores[number].on_datagram(self.now, address(from), &bytes);
                     self.carry(number, orders, &lost);
                 }
                 let orders = self.cores[number].tick(self.now);
@@ -317,7 +318,7 @@
         lost: &impl Fn(usize, usize) -> bool,
     ) {
         let other: usize = to[1..].parse().unwrap();
-        let about = About::Ask { id: 1, kind: Kind::Sign.into(), within_ms: 100 };
+        let about = About::Ask { id: 1, kind: RequestKind::LivenessCheck.into(), within_ms: 100 };
         let head = self.cores[from].head(to, about);
         let version = self.cores[from].version_to(to);
         let bytes = self.cores[from].framed(version, &head, body);
@@ -360,7 +361,7 @@
     let mut spoilt = unhex(&old);
     spoilt[40] ^= 1;
     for bytes in [unhex(&old), spoilt, vec![VERSION + 1; 200], vec![]] {
-        let orders = world.cores[0].received(world.now, address(1), &bytes);
+        let orders = world.cores[0].on_datagram(world.now, address(1), &bytes);
         world.carry(0, orders, &none);
     }
     world.play(9.0, &[], none);
@@ -459,8 +460,8 @@
     });
     let broker = run(bound(), told("n1", 1, &[("n2", there)]));
     let mut now = Vec::new();
-    for kind in Kind::ALL {
-        let id = broker.peers.ask("n2", kind, b"body".to_vec(), 5.0).unwrap();
+    for kind in RequestKind::ALL {
+        let id = broker.peers.request("n2", kind, b"body".to_vec(), 5.0).unwrap();
         assert_eq!(broker.end(id).unwrap(), b"yes");
         let head = heads.recv_timeout(PATIENCE).unwrap();
         assert!(head.contains(&format!("host: {there}\r\n")), "{head}");
@@ -475,20 +476,21 @@
     let broker = run(bound(), told("n1", 1, &[("n2", n2)]));
     let seal = Seal::new(None).unwrap();
     let from = Id { name: "n2".into(), incarnation: 1, renewed: 0, listen: n2 };
-    let mut ends: Vec<(String, Result<Vec<u8>, Refused>)> = vec![("answer".into(), Ok(b"yes".to_vec()))];
+    let mut ends: Vec<(String, Result<Vec<u8>, RefusalReason>)> =
+        vec![("answer".into(), Ok(b"yes".to_vec()))];
     ends.extend(refusals().into_iter().map(|(label, refused)| (label, Err(refused))));
     let mut now = Vec::new();
     for (label, end) in ends {
-        let about = About::Ask { id: 3, kind: Kind::State.into(), within_ms: 5000 };
+        let about = About::Ask { id: 3, kind: RequestKind::State.into(), within_ms: 5000 };
         let head = Head { from: from.clone(), to: "n1".into(), gives: 0, echo: 0, about };
         let envelope = Envelope { version: VERSION, speaks: Span::OURS, count: 0 };
         let body = frame(&envelope, &head, b"body", &seal);
-        let mut stream = TcpStream::connect(broker.peers.listen()).unwrap();
+        let mut stream = TcpStream::connect(broker.peers.local_addr()).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         let request = format!("POST /state HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n", body.len());
         stream.write_all(&[request.as_bytes(), &body].concat()).unwrap();
         let (.., token) = broker.asked();
-        broker.peers.answer(token, end.clone());
+        broker.peers.respond(token, end.clone());
         let (head, body) = read_http(&mut stream).expect("an answer");
         let (said, answered, load) = unframe(&body, &seal, "n1", Span::OURS).unwrap();
         assert_eq!((said.version, said.speaks, said.count), (VERSION, Span::OURS, 0), "{label}");
--- a/crates/dunepond-membership/tests/membership.rs
+++ b/crates/dunepond-membership/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Who is there, on real sockets.
 
 mod fleet;
-use dunepond_membership::{Event, PeerError, Standing};
+use dunepond_membership::{Event, PeerError, PeerState};
 use fleet::*;
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
         scope.spawn(|| {
             let (from, _, body, token) = fleet[1].asked();
             assert_eq!(from, "n1");
-            fleet[1].peers.answer(token, Ok(body));
+            fleet[1].peers.respond(token, Ok(body));
         });
         fleet[0].ask("n2", b"hello", 5.0)
     });
@@ -29,21 +29,21 @@
     let mut fleet = fleet(3, |_| {});
     fleet[0].all_came(&["n2", "n3"]);
     let known: Vec<(&str, SocketAddr)> =
-        ["n1", "n2", "n3"].into_iter().zip(fleet.iter().map(|broker| broker.peers.listen())).collect();
+        ["n1", "n2", "n3"].into_iter().zip(fleet.iter().map(|broker| broker.peers.local_addr())).collect();
     // Stopped as nobody would who has the time to say so.
     let crashed = fleet.pop().unwrap();
-    let at = crashed.peers.listen();
+    let at = crashed.peers.local_addr();
     crashed.peers.stop();
     fleet[0].left("n3");
     let back = run(dunepond_membership::bind(at).unwrap(), told("n3", 2, &known));
     assert_eq!(fleet[0].came("n3"), 2);
     back.all_came(&["n1", "n2"]);
     let standing = fleet[0].peers.members().into_iter().find(|peer| peer.name == "n3").unwrap();
-    assert_eq!((standing.incarnation, standing.standing), (2, Standing::Here));
+    assert_eq!((standing.incarnation, standing.state), (2, PeerState::Alive));
     std::thread::scope(|scope| {
         scope.spawn(|| {
             let (.., body, token) = back.asked();
-            back.peers.answer(token, Ok(body));
+            back.peers.respond(token, Ok(body));
         });
         // What the asker kept open to the earlier life may break once; the way is then opened anew.
         let again = (0..5).find_map(|_| fleet[0].ask("n3", b"again", 2.0).ok());
@@ -54,7 +54,7 @@
 #[test]
 fn a_follower_whom_no_file_names_is_heard_of_by_all() {
     let fleet = fleet(2, |_| {});
-    let known = [("n1", fleet[0].peers.listen())];
+    let known = [("n1", fleet[0].peers.local_addr())];
     let follower = run(bound(), told("f1", 1, &known));
     follower.all_came(&["n1", "n2"]);
     fleet[0].came("f1");
@@ -65,14 +65,14 @@
 fn one_name_at_two_places_is_believed_where_the_file_says() {
     let fleet = fleet(2, |_| {});
     fleet[0].came("n2");
-    let known = [("n1", fleet[0].peers.listen())];
+    let known = [("n1", fleet[0].peers.local_addr())];
     let double = run(bound(), told("n2", 9, &known));
     let fault = double.ask("n1", b"", 2.0);
     assert!(matches!(fault, Err(PeerError::Refused { .. })), "{fault:?}");
     fleet[0].wait("the claim to be counted twice", |peers| peers.counters().claimed > 1);
     let n2 = &fleet[0].peers.members()[0];
-    assert_eq!((n2.incarnation, n2.listen), (1, fleet[1].peers.listen()));
-    assert!(double.peers.members().iter().all(|peer| peer.standing != Standing::Here));
+    assert_eq!((n2.incarnation, n2.listen_address), (1, fleet[1].peers.local_addr()));
+    assert!(double.peers.members().iter().all(|peer| peer.state != PeerState::Alive));
 }
 
 /// Passes everything on between whoever comes and `to`, from addresses of its own; datagrams only until `crowded`.
@@ -113,7 +113,7 @@
     let keyed = |name, other, at| {
         let mut told = told(name, 1, &[(other, at)]);
         told.key = Some("behind the relays".into());
-        told.pace.suspect = suspect;
+        told.timing.suspicion_timeout_seconds = suspect;
         told
     };
     let n1 = run(one, keyed("n1", "n2", relays[1]));
@@ -128,11 +128,11 @@
 #[test]
 fn behind_relays_the_key_speaks_and_the_way_stays() {
     let (n1, n2, _) = behind_relays(0.8, false);
-    assert_eq!(n1.peers.members()[0].listen, n2.peers.listen());
+    assert_eq!(n1.peers.members()[0].listen_address, n2.peers.local_addr());
     std::thread::scope(|scope| {
         scope.spawn(|| {
             let (.., token) = n2.asked();
-            n2.peers.answer(token, Ok(b"through".into()));
+            n2.peers.respond(token, Ok(b"through".into()));
         });
         assert_eq!(n1.ask("n2", b"", 5.0).unwrap(), b"through");
     });
@@ -145,7 +145,7 @@
     std::thread::scope(|scope| {
         scope.spawn(|| {
             let (.., token) = n2.asked();
-            n2.peers.answer(token, Ok(b"through".into()));
+            n2.peers.respond(token, Ok(b"through".into()));
         });
         assert_eq!(n1.ask("n2", b"", 10.0).unwrap(), b"through");
     });
@@ -160,8 +160,8 @@
     for broker in [&n1, &n2] {
         for _ in 0..2 {
             broker.until("a suspicion and its end", |event| match event {
-                Event::Left(name) => panic!("{name} was given up: {:?}", broker.peers.counters()),
-                Event::Suspect(_) => Some(()),
+                Event::PeerDown(name) => panic!("{name} was given up: {:?}", broker.peers.counters()),
+                Event::PeerSuspected(_) => Some(()),
                 _ => None,
             });
         }
@@ -190,5 +190,7 @@
     assert!(matches!(fault, Err(PeerError::Seal { .. })), "{fault:?}");
     fleet[0].wait("bad seals", |peers| peers.counters().bad_seal > 2);
     assert!(fleet.iter().all(|broker| broker.peers.members().is_empty()));
-    assert!(!fleet[0].events.try_iter().any(|event| matches!(event, Event::Asked { .. } | Event::Came(_))));
+    assert!(
+        !fleet[0].events.try_iter().any(|event| matches!(event, Event::Request { .. } | Event::PeerUp(_)))
+    );
 }
--- a/crates/dunepond-membership/tests/strangers.rs
+++ b/crates/dunepond-membership/tests/strangers.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 use dunepond_membership::{
-    About, Envelope, Event, Head, Id, Kind, Refused, Seal, Span, VERSION, frame, unframe,
+    About, Envelope, Event, Head, Id, RefusalReason, RequestKind, Seal, Span, VERSION, frame, unframe,
 };
 use fleet::*;
 use rstest::rstest;
@@ -23,7 +23,7 @@
 }
 
 /// Status and typed refusal, if any, of a request.
-fn post(at: SocketAddr, path: &str, body: &[u8]) -> (u16, Option<Refused>) {
+fn post(at: SocketAddr, path: &str, body: &[u8]) -> (u16, Option<RefusalReason>) {
     let head = format!(
         "POST {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
         body.len()
@@ -37,7 +37,7 @@
 
 fn ask(name: &str, incarnation: u64, listen: SocketAddr, to: &str) -> Vec<u8> {
     let from = Id { name: name.into(), incarnation, renewed: 0, listen };
-    let about = About::Ask { id: 1, kind: Kind::Raft.into(), within_ms: 500 };
+    let about = About::Ask { id: 1, kind: RequestKind::Raft.into(), within_ms: 500 };
     frame(
         &Envelope::FIRST,
         &Head { from, to: to.into(), gives: 0, echo: 0, about },
@@ -48,7 +48,9 @@
 
 /// Two brokers that have heard each other's passes.
 fn pair() -> Vec<Broker> {
-    let fleet = fleet(2, |told| (told.pace.unproven, told.pace.suspect) = (0.3, 3.0));
+    let fleet = fleet(2, |told| {
+        (told.timing.first_request_timeout_seconds, told.timing.suspicion_timeout_seconds) = (0.3, 3.0)
+    });
     fleet[0].came("n2");
     fleet[1].came("n1");
     // The first datagram that answers one of ours brings our pass back.
@@ -59,13 +61,13 @@
 /// Nothing has come to the caller, and the other one still gets its answer.
 fn untouched(fleet: &[Broker]) {
     let came: Vec<Event> = fleet[0].events.try_iter().collect();
-    let wrong = |event: &Event| matches!(event, Event::Asked { .. } | Event::Left(_));
+    let wrong = |event: &Event| matches!(event, Event::Request { .. } | Event::PeerDown(_));
     assert!(!came.iter().any(wrong), "{came:?}, {:?}", fleet[0].peers.counters());
     std::thread::scope(|scope| {
         scope.spawn(|| {
             let (from, .., token) = fleet[0].asked();
             assert_eq!(from, "n2");
-            fleet[0].peers.answer(token, Ok(b"still".into()));
+            fleet[0].peers.respond(token, Ok(b"still".into()));
         });
         assert_eq!(fleet[1].ask("n1", b"", 5.0).unwrap(), b"still");
     });
@@ -81,7 +83,7 @@
 fn bad_connections_end_soon_and_change_nothing(#[case] bytes: Vec<u8>) {
     let fleet = pair();
     let begun = Instant::now();
-    raw(fleet[0].peers.listen(), &bytes);
+    raw(fleet[0].peers.local_addr(), &bytes);
     assert!(begun.elapsed() < Duration::from_secs(3));
     untouched(&fleet);
 }
@@ -89,12 +91,12 @@
 #[test]
 fn each_request_not_believed_is_told_why() {
     let fleet = pair();
-    let (at, n2) = (fleet[0].peers.listen(), fleet[1].peers.listen());
+    let (at, n2) = (fleet[0].peers.local_addr(), fleet[1].peers.local_addr());
     let elsewhere = "127.0.0.1:9".parse().unwrap();
     let good = ask("n2", 1, n2, "n1");
     let newer: Vec<u8> = [&[VERSION + 1; 3], &good[1..]].concat();
-    let claimed = |name: &str| Some(Refused::Claimed { name: name.into() });
-    let garbled = Some(Refused::Garbled);
+    let claimed = |name: &str| Some(RefusalReason::UnverifiedSender { name: name.into() });
+    let garbled = Some(RefusalReason::Malformed);
     let cases = [
         ("another path", "/shell", good.clone(), 400, garbled.clone()),
         ("another kind than the path's", "/lease", good.clone(), 400, garbled.clone()),
@@ -105,7 +107,7 @@
             "/raft",
             newer,
             426,
-            Some(Refused::Versions { theirs: Span::only(VERSION + 1), ours: Span::OURS }),
+            Some(RefusalReason::Versions { theirs: Span::only(VERSION + 1), ours: Span::OURS }),
         ),
         ("our own name", "/raft", ask("n1", 1, at, "n1"), 403, claimed("n1")),
         ("another's name", "/raft", ask("n2", 1, elsewhere, "n1"), 403, claimed("n2")),
@@ -116,7 +118,7 @@
             "/raft",
             ask("n2", 0, n2, "n1"),
             409,
-            Some(Refused::Stale { name: "n2".into(), known: 1 }),
+            Some(RefusalReason::Stale { name: "n2".into(), known: 1 }),
         ),
         ("no name", "/raft", ask("", 1, elsewhere, "n1"), 400, garbled),
     ];
@@ -134,9 +136,9 @@
 #[test]
 fn datagrams_of_others_end_nothing_however_many() {
     let fleet = pair();
-    let at = fleet[0].peers.listen();
+    let at = fleet[0].peers.local_addr();
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let claim = ask("n2", 9, fleet[1].peers.listen(), "n1");
+    let claim = ask("n2", 9, fleet[1].peers.local_addr(), "n1");
     let newer = [VERSION + 1; 300];
     for _ in 0..4 {
         for bytes in [&claim[..], &newer, &[], &[VERSION], &[7; 3000]].iter().cycle().take(20_000) {
@@ -160,9 +162,9 @@
 
 #[test]
 fn connections_that_bring_nothing_keep_nobody_out() {
-    let fleet = fleet(2, |told| told.bounds.incoming = 8);
+    let fleet = fleet(2, |told| told.limits.max_incoming_connections = 8);
     fleet[1].came("n1");
-    let at = fleet[0].peers.listen();
+    let at = fleet[0].peers.local_addr();
     let idle: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(at).unwrap()).collect();
     fleet[0].wait("the crowd", |peers| peers.counters().connections_in >= 100);
     untouched(&fleet);
@@ -174,17 +176,19 @@
 fn who_asks_much_and_does_not_read_is_let_go() {
     let known = [("n2", "127.0.0.1:9".parse().unwrap())];
     let mut told = told("n1", 1, &known);
-    told.pace.step = 0.3;
+    told.timing.transfer_timeout_seconds = 0.3;
     let broker = run(bound(), told);
-    let mut slow = TcpStream::connect(broker.peers.listen()).unwrap();
+    let mut slow = TcpStream::connect(broker.peers.local_addr()).unwrap();
     let body = ask("n2", 1, known[0].1, "n1");
     let head = format!("POST /raft HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n", body.len());
     let request = [head.as_bytes(), &body].concat();
     let (mut taken, begun) = (0, Instant::now());
     // Each answer is as large as answers may be; none is read.
     while slow.write_all(&request).is_ok() && begun.elapsed() < PATIENCE {
-        if let Ok(Event::Asked { token, .. }) = broker.events.recv_timeout(Duration::from_millis(50)) {
-            broker.peers.answer(token, Ok(vec![0; 4 << 20]));
+        if let Ok(Event::Request { responder: token, .. }) =
+            broker.events.recv_timeout(Duration::from_millis(50))
+        {
+            broker.peers.respond(token, Ok(vec![0; 4 << 20]));
             taken += 1;
         }
     }
@@ -199,7 +203,7 @@
 #[test]
 fn who_asks_without_bound_is_cut_to_what_one_may() {
     let most = 5;
-    let mut fleet = fleet(2, |told| told.bounds.requests_each = most);
+    let mut fleet = fleet(2, |told| told.limits.max_requests_per_second = most);
     fleet[0].came("n2");
     let asker = fleet.pop().unwrap();
     let done = AtomicBool::new(false);
@@ -207,15 +211,16 @@
         scope.spawn(|| {
             while !done.load(Relaxed) {
                 let event = fleet[0].events.recv_timeout(Duration::from_millis(5));
-                if let Ok(Event::Asked { token, .. }) = event {
-                    fleet[0].peers.answer(token, Ok(vec![]));
+                if let Ok(Event::Request { responder: token, .. }) = event {
+                    fleet[0].peers.respond(token, Ok(vec![]));
                 }
             }
         });
         let (begun, mut answered) = (Instant::now(), 0);
         while fleet[0].peers.counters().flood == 0 && begun.elapsed() < PATIENCE {
-            let ids: Vec<u64> =
-                (0..50).filter_map(|_| asker.peers.ask("n1", Kind::State, vec![], 5.0).ok()).collect();
+            let ids: Vec<u64> = (0..50)
+                .filter_map(|_| asker.peers.request("n1", RequestKind::State, vec![], 5.0).ok())
+                .collect();
             answered += asker.ends(&ids).iter().filter(|end| end.is_ok()).count() as u64;
         }
         done.store(true, Relaxed);
--- a/crates/dunepond-membership/tests/versions.rs
+++ b/crates/dunepond-membership/tests/versions.rs
@@ -4,7 +4,7 @@
 mod fleet;
 mod old;
 use dunepond_membership::{
-    About, Code, Envelope, Event, Head, Id, Kind, PeerError, Refused, Seal, Span, VERSION,
+    About, Code, Envelope, Event, Head, Id, PeerError, RefusalReason, RequestKind, Seal, Span, VERSION,
 };
 use dunepond_membership::{bind, frame, unframe};
 use fleet::*;
@@ -44,20 +44,20 @@
         let (begun, mut body) = (Instant::now(), None);
         while body.is_none() {
             assert!(begun.elapsed() < PATIENCE, "{name} does not answer");
-            let id = one.peers.ask(name, Kind::Counts, b"again".into(), 5.0).unwrap();
+            let id = one.peers.request(name, RequestKind::TransferCounts, b"again".into(), 5.0).unwrap();
             while body.is_none() {
                 for event in other.events.try_iter() {
-                    if let Event::Asked { body, token, .. } = event {
-                        other.peers.answer(token, Ok(body));
+                    if let Event::Request { body, responder: token, .. } = event {
+                        other.peers.respond(token, Ok(body));
                     }
                 }
                 let end = one.events.recv_timeout(std::time::Duration::from_millis(5));
                 match end {
-                    Ok(Event::Answer { id: of, body: end, .. }) if of == id => {
+                    Ok(Event::Response { id: of, result: end, .. }) if of == id => {
                         body = end.ok();
                         break;
                     }
-                    Ok(Event::Left(left)) => panic!("{left} was given up"),
+                    Ok(Event::PeerDown(left)) => panic!("{left} was given up"),
                     _ => {}
                 }
             }
@@ -65,8 +65,9 @@
         assert_eq!(body.unwrap(), b"again");
     };
     for one in &there {
-        for other in there.iter().filter(|other| other.peers.listen() != one.peers.listen()) {
-            let known = one.peers.members().into_iter().find(|peer| peer.listen == other.peers.listen());
+        for other in there.iter().filter(|other| other.peers.local_addr() != one.peers.local_addr()) {
+            let known =
+                one.peers.members().into_iter().find(|peer| peer.listen_address == other.peers.local_addr());
             talk(one, other, &known.expect("a member").name);
         }
     }
@@ -80,7 +81,7 @@
         names.into_iter().zip(bounds.iter().map(|bound| bound.at())).collect();
     let told = |number: usize, incarnation: u64, speaks: Span| {
         let mut told = told(names[number], incarnation, &known);
-        (told.speaks, told.pace.suspect) = (speaks, 5.0);
+        (told.supported_versions, told.timing.suspicion_timeout_seconds) = (speaks, 5.0);
         told
     };
     let mut fleet: Vec<Option<Broker>> =
@@ -115,11 +116,11 @@
 #[test]
 fn an_old_program_is_answered_as_it_reads() {
     let broker = run(bound(), told("n1", 1, &[("n2", "127.0.0.1:9".parse().unwrap())]));
-    let (at, n2) = (broker.peers.listen(), "127.0.0.1:9".parse().unwrap());
+    let (at, n2) = (broker.peers.local_addr(), "127.0.0.1:9".parse().unwrap());
     let asked = std::thread::scope(|scope| {
         scope.spawn(|| {
             let (.., body, token) = broker.asked();
-            broker.peers.answer(token, Ok(body));
+            broker.peers.respond(token, Ok(body));
         });
         post(at, "/counts", &old::ask("n2", n2, "n1", old::Kind::Counts, b"mine"))
     });
@@ -148,14 +149,14 @@
     let seal = Seal::new(None).unwrap();
     let newer = Envelope { version: VERSION, speaks: Span { least: 1, most: 200 }, count: 0 };
     let ask = |envelope: &Envelope| {
-        let (status, answer) = post(broker.peers.listen(), "/later", &frame(envelope, &head, b"", &seal));
+        let (status, answer) = post(broker.peers.local_addr(), "/later", &frame(envelope, &head, b"", &seal));
         let (said, _, load) = unframe(&answer, &seal, "n1", Span::OURS).unwrap();
-        (status, said.version, postcard::from_bytes::<Refused>(load).unwrap())
+        (status, said.version, postcard::from_bytes::<RefusalReason>(load).unwrap())
     };
-    assert_eq!(ask(&newer), ("501".into(), VERSION, Refused::Kind { kind: 99 }));
-    assert_eq!(ask(&Envelope::FIRST), ("400".into(), 1, Refused::Garbled));
+    assert_eq!(ask(&newer), ("501".into(), VERSION, RefusalReason::Kind { kind: 99 }));
+    assert_eq!(ask(&Envelope::FIRST), ("400".into(), 1, RefusalReason::Malformed));
     // One whose path is not its kind's is no request of any program.
-    let (status, _) = post(broker.peers.listen(), "/raft", &frame(&newer, &head, b"", &seal));
+    let (status, _) = post(broker.peers.local_addr(), "/raft", &frame(&newer, &head, b"", &seal));
     assert_eq!(status, "400");
 }
 
@@ -192,7 +193,7 @@
     let broker = run(bound(), told("n1", 1, &[("n2", at)]));
     assert_eq!(broker.ask("n2", b"hello", 10.0).unwrap(), b"hello");
     // What version 1 does not have is not asked, and that is said.
-    let id = broker.peers.ask("n2", Kind::Sign, vec![], 10.0).unwrap();
+    let id = broker.peers.request("n2", RequestKind::LivenessCheck, vec![], 10.0).unwrap();
     let end = broker.end(id);
     assert!(matches!(end, Err(PeerError::Kind { path: "/sign", version: 1, .. })), "{end:?}");
 }
--- a/crates/dunepond-quota/src/plan.rs
+++ b/crates/dunepond-quota/src/plan.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Agreed, Bounds, Ledger, Part, Report};
+use crate::{DemandReport, QuotaEntry, QuotaLedger, QuotaShare, SharedQuotas};
 
 /// How spare units are split; which one is taken and why stands in `docs/notes/quota.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rule {
+pub enum SplitRule {
     /// The same for each.
     Even,
     /// By need.
@@ -17,42 +17,48 @@
 
 /// Tuned.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Planning {
-    pub rule: Rule,
+pub struct PlannerConfig {
+    pub rule: SplitRule,
     /// A part is planned for this multiple of the need, as the need may grow until the next plan.
-    pub headroom: f64,
+    pub headroom_ratio: f64,
     /// Share of an even part: a lack or a surplus below this moves nothing.
-    pub step: f64,
+    pub min_step_ratio: f64,
     /// Seconds after which a broker that says nothing needs nothing, and after which it has no seat any more. A leader that
     /// has led for less does not know yet who is there, and moves nothing.
-    pub silent: f64,
-    pub gone: f64,
+    pub silent_after_seconds: f64,
+    pub removed_after_seconds: f64,
 }
 
-impl Planning {
+impl PlannerConfig {
     /// By the length of a lease, seconds.
-    pub fn by(lease: f64) -> Self {
-        Self { rule: Rule::MaxMin, headroom: 1.25, step: 0.2, silent: 3.0 * lease, gone: 10.0 * lease }
+    pub fn for_lease(lease: f64) -> Self {
+        Self {
+            rule: SplitRule::MaxMin,
+            headroom_ratio: 1.25,
+            min_step_ratio: 0.2,
+            silent_after_seconds: 3.0 * lease,
+            removed_after_seconds: 10.0 * lease,
+        }
     }
 }
 
 /// What the leader last heard of a broker, and how many seconds ago.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Heard {
-    pub report: Report,
-    pub ago: f64,
+pub struct ReceivedReport {
+    pub report: DemandReport,
+    pub age_seconds: f64,
 }
 
 /// Units beyond the floor for each need (floor included), of so many spare ones; in the order of the needs.
-pub fn targets(rule: Rule, spare: u32, floor: u32, needs: &[u32]) -> Vec<u32> {
+pub fn target_units(rule: SplitRule, spare: u32, floor: u32, needs: &[u32]) -> Vec<u32> {
     let count = needs.len() as u32;
     if count == 0 {
         return Vec::new();
     }
     let even = spare / count;
     match rule {
-        Rule::Even => vec![even; needs.len()],
-        Rule::Proportional => {
+        SplitRule::Even => vec![even; needs.len()],
+        SplitRule::Proportional => {
             let sum: u64 = needs.iter().map(|need| u64::from(*need)).sum();
             let part = |need: &u32| u64::from(spare) * u64::from(*need) / sum.max(1);
             if sum == 0 {
@@ -61,7 +67,7 @@
                 needs.iter().map(|need| part(need) as u32).collect()
             }
         }
-        Rule::MaxMin => {
+        SplitRule::MaxMin => {
             let wants: Vec<u32> = needs.iter().map(|need| need.saturating_sub(floor)).collect();
             let mut order: Vec<usize> = (0..wants.len()).collect();
             order.sort_by_key(|at| wants[*at]);
@@ -78,104 +84,114 @@
 
 /// What the leader should enter next, if anything. `own`: what its own file shares. `led`: for how many seconds it has led
 /// and listened.
-pub fn plan(
-    ledger: &Ledger,
-    own: &Bounds,
-    heard: &BTreeMap<String, Heard>,
+pub fn next_entry(
+    ledger: &QuotaLedger,
+    own: &SharedQuotas,
+    heard: &BTreeMap<String, ReceivedReport>,
     led: f64,
-    planning: &Planning,
-) -> Option<Agreed> {
-    if led < planning.silent {
+    planning: &PlannerConfig,
+) -> Option<QuotaEntry> {
+    if led < planning.silent_after_seconds {
         return None;
     }
-    let there = |broker: &str| heard.get(broker).filter(|heard| heard.ago < planning.silent);
-    let Some(bounds) = &ledger.bounds else { return Some(Agreed::Bounds(own.clone())) };
+    let there =
+        |broker: &str| heard.get(broker).filter(|heard| heard.age_seconds < planning.silent_after_seconds);
+    let Some(bounds) = &ledger.shared else { return Some(QuotaEntry::Configure(own.clone())) };
     // While files differ only the floors hold: nothing may be leased on what one of them does not reserve.
-    let other = heard.values().any(|heard| heard.ago < planning.gone && heard.report.bounds != *bounds);
+    let other = heard
+        .values()
+        .any(|heard| heard.age_seconds < planning.removed_after_seconds && heard.report.shared != *bounds);
     if other || bounds != own {
         let parts = all(ledger).filter(|(_, _, now)| *now > 0);
-        let parts: Vec<_> = parts.map(|(broker, bound, _)| Part { broker, bound, units: 0 }).collect();
+        let parts: Vec<_> =
+            parts.map(|(broker, bound, _)| QuotaShare { broker, quota: bound, units: 0 }).collect();
         if !parts.is_empty() {
-            return Some(Agreed::Parts { parts });
+            return Some(QuotaEntry::SetShares { parts });
         }
-        let entry = Agreed::Bounds(own.clone());
+        let entry = QuotaEntry::Configure(own.clone());
         return (bounds != own && ledger.check(&entry).is_ok()).then_some(entry);
     }
-    let gone = |broker: &&String| heard.get(*broker).map_or(led, |heard| heard.ago) >= planning.gone;
-    if let Some(broker) = ledger.seats.keys().find(gone) {
-        let entry = Agreed::Free { broker: broker.clone() };
+    let gone = |broker: &&String| {
+        heard.get(*broker).map_or(led, |heard| heard.age_seconds) >= planning.removed_after_seconds
+    };
+    if let Some(broker) = ledger.brokers.keys().find(gone) {
+        let entry = QuotaEntry::RemoveBroker { broker: broker.clone() };
         if ledger.check(&entry).is_ok() {
             return Some(entry);
         }
     }
-    let new = heard.keys().find(|broker| !ledger.seats.contains_key(*broker) && there(broker).is_some());
+    let new = heard.keys().find(|broker| !ledger.brokers.contains_key(*broker) && there(broker).is_some());
     if let Some(broker) = new {
-        let entry = Agreed::Seat { broker: broker.clone() };
+        let entry = QuotaEntry::AddBroker { broker: broker.clone() };
         if ledger.check(&entry).is_ok() {
             return Some(entry);
         }
     }
-    let parts: Vec<Part> =
+    let parts: Vec<QuotaShare> =
         bounds.names.iter().flat_map(|bound| split(ledger, bounds, bound, heard, planning)).collect();
-    (!parts.is_empty()).then_some(Agreed::Parts { parts })
+    (!parts.is_empty()).then_some(QuotaEntry::SetShares { parts })
 }
 
-fn all(ledger: &Ledger) -> impl Iterator<Item = (String, String, u32)> {
-    let seats = ledger.seats.iter();
+fn all(ledger: &QuotaLedger) -> impl Iterator<Item = (String, String, u32)> {
+    let seats = ledger.brokers.iter();
     seats.flat_map(|(broker, seat)| {
-        seat.held.iter().map(move |(bound, held)| (broker.clone(), bound.clone(), held.now))
+        seat.grants.iter().map(move |(bound, held)| (broker.clone(), bound.clone(), held.granted))
     })
 }
 
 /// Changes of one bound: what goes down goes down at once, and what goes up takes only what is free now.
 fn split(
-    ledger: &Ledger,
-    bounds: &Bounds,
+    ledger: &QuotaLedger,
+    bounds: &SharedQuotas,
     bound: &str,
-    heard: &BTreeMap<String, Heard>,
-    planning: &Planning,
-) -> Vec<Part> {
+    heard: &BTreeMap<String, ReceivedReport>,
+    planning: &PlannerConfig,
+) -> Vec<QuotaShare> {
     let need = |broker: &String| {
-        let heard = heard.get(broker).filter(|heard| heard.ago < planning.silent)?;
-        Some(heard.report.needs.get(bound).copied().unwrap_or(0))
+        let heard = heard.get(broker).filter(|heard| heard.age_seconds < planning.silent_after_seconds)?;
+        Some(heard.report.demand_units.get(bound).copied().unwrap_or(0))
     };
-    let ahead = |need: u32| (f64::from(need) * planning.headroom) as u32;
-    let step = (f64::from(bounds.spare() / bounds.brokers) * planning.step) as u32;
-    let part = |broker: &String, units| Part { broker: broker.clone(), bound: bound.to_string(), units };
+    let ahead = |need: u32| (f64::from(need) * planning.headroom_ratio) as u32;
+    let step = (f64::from(bounds.spare_units() / bounds.max_brokers) * planning.min_step_ratio) as u32;
+    let part =
+        |broker: &String, units| QuotaShare { broker: broker.clone(), quota: bound.to_string(), units };
     let (silent, there): (Vec<_>, Vec<_>) =
-        ledger.seats.iter().partition(|(broker, _)| need(broker).is_none());
+        ledger.brokers.iter().partition(|(broker, _)| need(broker).is_none());
     // Whoever says nothing may not be able to act at all; what it had is taken back, which costs it nothing then.
-    let mut parts: Vec<Part> =
-        silent.iter().filter(|(_, seat)| seat.now(bound) > 0).map(|(broker, _)| part(broker, 0)).collect();
+    let mut parts: Vec<QuotaShare> = silent
+        .iter()
+        .filter(|(_, seat)| seat.granted_units(bound) > 0)
+        .map(|(broker, _)| part(broker, 0))
+        .collect();
     let needs: Vec<u32> = there.iter().map(|(broker, _)| need(broker).unwrap_or(0)).collect();
     let ahead: Vec<u32> = needs.iter().map(|need| ahead(*need)).collect();
-    let targets = targets(planning.rule, bounds.spare(), bounds.floor, &ahead);
+    let targets = target_units(planning.rule, bounds.spare_units(), bounds.floor_units, &ahead);
     let seats = || there.iter().zip(&targets).map(|((broker, seat), target)| (*broker, *seat, *target));
     // What it has does not do, and it may have more. That it has less of the headroom is no lack, nor is others' surplus.
-    let lacks = |seat: &crate::Seat, target: u32, need: u32| {
-        need > bounds.floor + seat.now(bound) && target > seat.now(bound) + step
+    let lacks = |seat: &crate::BrokerShares, target: u32, need: u32| {
+        need > bounds.floor_units + seat.granted_units(bound) && target > seat.granted_units(bound) + step
     };
     if !seats().zip(&needs).any(|((_, seat, target), need)| lacks(seat, target, *need)) {
         return parts;
     }
     for (broker, seat, target) in seats() {
         // While an earlier shrink is waited for another would only begin the wait anew.
-        if seat.now(bound) > target + step && !seat.waits() {
+        if seat.granted_units(bound) > target + step && !seat.awaits_release() {
             parts.push(part(broker, target));
         }
     }
-    let grows: Vec<_> = seats().filter(|(_, seat, target)| *target > seat.now(bound)).collect();
+    let grows: Vec<_> = seats().filter(|(_, seat, target)| *target > seat.granted_units(bound)).collect();
     let (mut free, mut wanted) = (
-        u64::from(ledger.free(bound)),
-        grows.iter().map(|(_, seat, target)| u64::from(*target - seat.now(bound))).sum::<u64>(),
+        u64::from(ledger.free_units(bound)),
+        grows.iter().map(|(_, seat, target)| u64::from(*target - seat.granted_units(bound))).sum::<u64>(),
     );
     for (broker, seat, target) in grows {
-        let more = u64::from(target - seat.now(bound));
+        let more = u64::from(target - seat.granted_units(bound));
         // Up to what still counts as its own it may go back without taking from what is free.
-        let own = u64::from(seat.counted(bound).saturating_sub(seat.now(bound))).min(more);
+        let own = u64::from(seat.reserved_units(bound).saturating_sub(seat.granted_units(bound))).min(more);
         let given = (free * more / wanted.max(1)).min(more - own);
         (free, wanted) = (free - given, wanted - more);
-        let units = seat.now(bound) + (own + given) as u32;
+        let units = seat.granted_units(bound) + (own + given) as u32;
         if own + given >= u64::from(step) || units == target && own + given > 0 {
             parts.push(part(broker, units));
         }
--- a/crates/dunepond-quota/tests/ledger.rs
+++ b/crates/dunepond-quota/tests/ledger.rs
@@ -6,27 +6,29 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-fn bounds(brokers: u32, share: f64) -> Bounds {
-    Bounds::new(vec![String::from("cold"), String::from("further")], brokers, share, 1000).unwrap()
+fn bounds(brokers: u32, share: f64) -> SharedQuotas {
+    SharedQuotas::new(vec![String::from("cold"), String::from("further")], brokers, share, 1000).unwrap()
 }
 
-fn part(broker: usize, bound: &str, units: u32) -> Part {
-    Part { broker: name(broker), bound: bound.to_string(), units }
+fn part(broker: usize, bound: &str, units: u32) -> QuotaShare {
+    QuotaShare { broker: name(broker), quota: bound.to_string(), units }
 }
 
 fn name(broker: usize) -> String {
     format!("n{broker}")
 }
 
-fn parts(parts: &[(usize, u32)]) -> Agreed {
-    Agreed::Parts { parts: parts.iter().map(|(broker, units)| part(*broker, "cold", *units)).collect() }
+fn parts(parts: &[(usize, u32)]) -> QuotaEntry {
+    QuotaEntry::SetShares {
+        parts: parts.iter().map(|(broker, units)| part(*broker, "cold", *units)).collect(),
+    }
 }
 
 /// Three brokers, a floor of a tenth each, 700,000 units spare; all of them with the first.
-fn led() -> Ledger {
-    let mut ledger = Ledger::default();
-    ledger.apply(&Agreed::Bounds(bounds(3, 0.3))).unwrap();
-    (0..3).for_each(|broker| ledger.apply(&Agreed::Seat { broker: name(broker) }).unwrap());
+fn led() -> QuotaLedger {
+    let mut ledger = QuotaLedger::default();
+    ledger.apply(&QuotaEntry::Configure(bounds(3, 0.3))).unwrap();
+    (0..3).for_each(|broker| ledger.apply(&QuotaEntry::AddBroker { broker: name(broker) }).unwrap());
     ledger.apply(&parts(&[(0, 700_000)])).unwrap();
     ledger
 }
@@ -38,50 +40,50 @@
     let grow = parts(&[(1, 500_000)]);
     assert!(matches!(
         ledger.apply(&grow),
-        Err(LimitError::PastWhole { units: 1_200_000, spare: 700_000, .. })
+        Err(QuotaError::ExceedsTotal { units: 1_200_000, spare: 700_000, .. })
     ));
-    let generation = ledger.told("n0").unwrap().shrunk;
-    ledger.apply(&Agreed::Settled { broker: name(0), generation }).unwrap();
+    let generation = ledger.allocation_for("n0").unwrap().shrunk_generation;
+    ledger.apply(&QuotaEntry::Release { broker: name(0), generation }).unwrap();
     ledger.apply(&grow).unwrap();
-    assert_eq!(ledger.told("n1").unwrap().parts["cold"], 500_000);
+    assert_eq!(ledger.allocation_for("n1").unwrap().leased_units["cold"], 500_000);
 }
 
 #[test]
 fn a_word_about_an_earlier_shrink_does_not_settle_a_later_one() {
     let mut ledger = led();
     ledger.apply(&parts(&[(0, 400_000)])).unwrap();
-    let earlier = ledger.told("n0").unwrap().shrunk;
+    let earlier = ledger.allocation_for("n0").unwrap().shrunk_generation;
     ledger.apply(&parts(&[(0, 100_000)])).unwrap();
-    let refused = ledger.apply(&Agreed::Settled { broker: name(0), generation: earlier });
-    assert!(matches!(refused, Err(LimitError::NotWaited { .. })));
+    let refused = ledger.apply(&QuotaEntry::Release { broker: name(0), generation: earlier });
+    assert!(matches!(refused, Err(QuotaError::NotAwaited { .. })));
 }
 
 #[test]
 fn one_more_broker_than_may_exist_has_nothing_and_is_told_so() {
     let mut ledger = led();
-    assert!(!ledger.told("n3").unwrap().counted);
-    let own = Own::new(&bounds(3, 0.3), 0.0);
-    assert_eq!(own.part(ledger.told("n3").as_ref(), true, "cold", 9.0), 0);
-    ledger.apply(&Agreed::Free { broker: name(2) }).unwrap();
-    assert_eq!(own.part(ledger.told("n3").as_ref(), true, "cold", 9.0), 100_000);
+    assert!(!ledger.allocation_for("n3").unwrap().admitted);
+    let own = LocalQuota::new(&bounds(3, 0.3), 0.0);
+    assert_eq!(own.available_units(ledger.allocation_for("n3").as_ref(), true, "cold", 9.0), 0);
+    ledger.apply(&QuotaEntry::RemoveBroker { broker: name(2) }).unwrap();
+    assert_eq!(own.available_units(ledger.allocation_for("n3").as_ref(), true, "cold", 9.0), 100_000);
 }
 
 #[rstest]
-#[case::seat_full(Agreed::Seat { broker: name(3) }, LimitError::Full { broker: name(3), brokers: 3 })]
-#[case::seat_twice(Agreed::Seat { broker: name(1) }, LimitError::Seated(name(1)))]
-#[case::free_holds(Agreed::Free { broker: name(0) },
-    LimitError::Holds { broker: name(0), bound: String::from("cold"), units: 700_000 })]
-#[case::free_none(Agreed::Free { broker: name(7) }, LimitError::NoSeat(name(7)))]
-#[case::same_bounds(Agreed::Bounds(bounds(3, 0.3)), LimitError::Same)]
-#[case::bounds_leased(Agreed::Bounds(bounds(4, 0.3)),
-    LimitError::Leased { bound: String::from("cold"), units: 700_000 })]
-#[case::no_bound(Agreed::Parts { parts: vec![part(0, "warm", 1)] }, LimitError::NoBound(String::from("warm")))]
-#[case::nothing(parts(&[(0, 700_000)]), LimitError::Nothing)]
-#[case::not_waited(Agreed::Settled { broker: name(0), generation: 1 },
-    LimitError::NotWaited { broker: name(0), generation: 1 })]
+#[case::seat_full(QuotaEntry::AddBroker { broker: name(3) }, QuotaError::TooManyBrokers { broker: name(3), brokers: 3 })]
+#[case::seat_twice(QuotaEntry::AddBroker { broker: name(1) }, QuotaError::BrokerExists(name(1)))]
+#[case::free_holds(QuotaEntry::RemoveBroker { broker: name(0) },
+    QuotaError::BrokerHoldsUnits { broker: name(0), bound: String::from("cold"), units: 700_000 })]
+#[case::free_none(QuotaEntry::RemoveBroker { broker: name(7) }, QuotaError::UnknownBroker(name(7)))]
+#[case::same_bounds(QuotaEntry::Configure(bounds(3, 0.3)), QuotaError::AlreadyConfigured)]
+#[case::bounds_leased(QuotaEntry::Configure(bounds(4, 0.3)),
+    QuotaError::StillLeased { bound: String::from("cold"), units: 700_000 })]
+#[case::no_bound(QuotaEntry::SetShares { parts: vec![part(0, "warm", 1)] }, QuotaError::UnknownQuota(String::from("warm")))]
+#[case::nothing(parts(&[(0, 700_000)]), QuotaError::NoChange)]
+#[case::not_waited(QuotaEntry::Release { broker: name(0), generation: 1 },
+    QuotaError::NotAwaited { broker: name(0), generation: 1 })]
 #[case::past(parts(&[(2, 1)]),
-    LimitError::PastWhole { bound: String::from("cold"), units: 700_001, spare: 700_000 })]
-fn an_entry_that_does_not_fit_changes_nothing(#[case] entry: Agreed, #[case] why: LimitError) {
+    QuotaError::ExceedsTotal { bound: String::from("cold"), units: 700_001, spare: 700_000 })]
+fn an_entry_that_does_not_fit_changes_nothing(#[case] entry: QuotaEntry, #[case] why: QuotaError) {
     let mut ledger = led();
     let before = ledger.clone();
     assert_eq!(ledger.apply(&entry), Err(why));
@@ -89,12 +91,12 @@
 }
 
 #[rstest]
-#[case::share(Bounds::new(vec![String::from("cold")], 3, 0.0, 1), "above 0")]
-#[case::brokers(Bounds::new(vec![String::from("cold")], 0, 0.5, 1), "0 brokers")]
-#[case::none(Bounds::new(vec![], 3, 0.5, 1), "0 bounds")]
-#[case::doubled(Bounds::new(vec![String::from("cold"), String::from("cold")], 3, 0.5, 1), "`cold` is named twice")]
-#[case::window(Bounds::new(vec![String::from("cold")], 3, 0.5, 0), "0 ms")]
-fn bounds_that_cannot_be_are_refused(#[case] bounds: Result<Bounds, LimitError>, #[case] words: &str) {
+#[case::share(SharedQuotas::new(vec![String::from("cold")], 3, 0.0, 1), "above 0")]
+#[case::brokers(SharedQuotas::new(vec![String::from("cold")], 0, 0.5, 1), "0 brokers")]
+#[case::none(SharedQuotas::new(vec![], 3, 0.5, 1), "0 bounds")]
+#[case::doubled(SharedQuotas::new(vec![String::from("cold"), String::from("cold")], 3, 0.5, 1), "`cold` is named twice")]
+#[case::window(SharedQuotas::new(vec![String::from("cold")], 3, 0.5, 0), "0 ms")]
+fn bounds_that_cannot_be_are_refused(#[case] bounds: Result<SharedQuotas, QuotaError>, #[case] words: &str) {
     assert!(bounds.unwrap_err().to_string().contains(words));
 }
 
@@ -102,46 +104,46 @@
 fn every_error_says_what_to_do() {
     let (broker, bound) = (name(1), String::from("cold"));
     let all = [
-        LimitError::Share(2.0),
-        LimitError::Brokers { given: 0, most: 1 },
-        LimitError::Count { given: 0, most: 1 },
-        LimitError::Doubled(bound.clone()),
-        LimitError::Floors { floor: 1, brokers: 1 },
-        LimitError::Window { given: 0, most: 1 },
-        LimitError::NoBounds,
-        LimitError::Leased { bound: bound.clone(), units: 1 },
-        LimitError::Same,
-        LimitError::Full { broker: broker.clone(), brokers: 1 },
-        LimitError::Seated(broker.clone()),
-        LimitError::NoSeat(broker.clone()),
-        LimitError::Holds { broker: broker.clone(), bound: bound.clone(), units: 1 },
-        LimitError::NoBound(bound.clone()),
-        LimitError::PastWhole { bound, units: 1, spare: 1 },
-        LimitError::Nothing,
-        LimitError::NotWaited { broker: broker.clone(), generation: 1 },
-        LimitError::LeaderOnly(broker),
+        QuotaError::FloorRatio(2.0),
+        QuotaError::BrokerCount { given: 0, most: 1 },
+        QuotaError::QuotaCount { given: 0, most: 1 },
+        QuotaError::DuplicateQuota(bound.clone()),
+        QuotaError::FloorsExceedTotal { floor: 1, brokers: 1 },
+        QuotaError::Window { given: 0, most: 1 },
+        QuotaError::NotConfigured,
+        QuotaError::StillLeased { bound: bound.clone(), units: 1 },
+        QuotaError::AlreadyConfigured,
+        QuotaError::TooManyBrokers { broker: broker.clone(), brokers: 1 },
+        QuotaError::BrokerExists(broker.clone()),
+        QuotaError::UnknownBroker(broker.clone()),
+        QuotaError::BrokerHoldsUnits { broker: broker.clone(), bound: bound.clone(), units: 1 },
+        QuotaError::UnknownQuota(bound.clone()),
+        QuotaError::ExceedsTotal { bound, units: 1, spare: 1 },
+        QuotaError::NoChange,
+        QuotaError::NotAwaited { broker: broker.clone(), generation: 1 },
+        QuotaError::LeaderOnly(broker),
     ];
     for error in all {
         // A variant that is missing above does not build here.
         match &error {
-            LimitError::Share(_)
-            | LimitError::Brokers { .. }
-            | LimitError::Count { .. }
-            | LimitError::Doubled(_)
-            | LimitError::Floors { .. }
-            | LimitError::Window { .. }
-            | LimitError::NoBounds
-            | LimitError::Leased { .. }
-            | LimitError::Same
-            | LimitError::Full { .. }
-            | LimitError::Seated(_)
-            | LimitError::NoSeat(_)
-            | LimitError::Holds { .. }
-            | LimitError::NoBound(_)
-            | LimitError::PastWhole { .. }
-            | LimitError::Nothing
-            | LimitError::NotWaited { .. }
-            | LimitError::LeaderOnly(_) => {}
+            QuotaError::FloorRatio(_)
+            | QuotaError::BrokerCount { .. }
+            | QuotaError::QuotaCount { .. }
+            | QuotaError::DuplicateQuota(_)
+            | QuotaError::FloorsExceedTotal { .. }
+            | QuotaError::Window { .. }
+            | QuotaError::NotConfigured
+            | QuotaError::StillLeased { .. }
+            | QuotaError::AlreadyConfigured
+            | QuotaError::TooManyBrokers { .. }
+            | QuotaError::BrokerExists(_)
+            | QuotaError::UnknownBroker(_)
+            | QuotaError::BrokerHoldsUnits { .. }
+            | QuotaError::UnknownQuota(_)
+            | QuotaError::ExceedsTotal { .. }
+            | QuotaError::NoChange
+            | QuotaError::NotAwaited { .. }
+            | QuotaError::LeaderOnly(_) => {}
         }
         assert!(error.to_string().starts_with("limits: ") && error.help().len() > 15, "{error}");
     }
@@ -175,9 +177,9 @@
 proptest! {
     #[test]
     fn the_sum_of_all_that_may_still_be_acted_on_stays_within(steps in prop::collection::vec(step(), 1..60)) {
-        let (mut ledger, mut naive) = (Ledger::default(), Naive::default());
-        ledger.apply(&Agreed::Bounds(bounds(3, 0.3))).unwrap();
-        (0..3).for_each(|broker| ledger.apply(&Agreed::Seat { broker: name(broker) }).unwrap());
+        let (mut ledger, mut naive) = (QuotaLedger::default(), Naive::default());
+        ledger.apply(&QuotaEntry::Configure(bounds(3, 0.3))).unwrap();
+        (0..3).for_each(|broker| ledger.apply(&QuotaEntry::AddBroker { broker: name(broker) }).unwrap());
         let mut shrinks: BTreeMap<usize, u64> = BTreeMap::new();
         for step in steps {
             match step {
@@ -187,7 +189,7 @@
                     let before = *sizes.last().unwrap();
                     sizes.push(units);
                     let fits = naive.most(bound) <= 700_000 && units != before;
-                    let entry = Agreed::Parts { parts: vec![part(broker, bound, units)] };
+                    let entry = QuotaEntry::SetShares { parts: vec![part(broker, bound, units)] };
                     let taken = ledger.apply(&entry).is_ok();
                     prop_assert_eq!(taken, fits);
                     if !taken {
@@ -198,7 +200,7 @@
                 }
                 Step::Settle(broker, back) => {
                     let generation = shrinks.get(&broker).copied().unwrap_or(1) - back;
-                    let taken = ledger.apply(&Agreed::Settled { broker: name(broker), generation }).is_ok();
+                    let taken = ledger.apply(&QuotaEntry::Release { broker: name(broker), generation }).is_ok();
                     if taken {
                         prop_assert_eq!(back, 0);
                         let of = naive.0.iter_mut().filter(|((of, _), _)| *of == broker);
@@ -207,8 +209,8 @@
                 }
             }
             for bound in ["cold", "further"] {
-                prop_assert_eq!(ledger.counted(bound), naive.most(bound));
-                prop_assert!(ledger.counted(bound) + 300_000 <= u64::from(WHOLE));
+                prop_assert_eq!(ledger.reserved_units(bound), naive.most(bound));
+                prop_assert!(ledger.reserved_units(bound) + 300_000 <= u64::from(TOTAL_UNITS));
             }
         }
     }
--- a/crates/dunepond-quota/tests/model.rs
+++ b/crates/dunepond-quota/tests/model.rs
@@ -17,7 +17,7 @@
 /// In units of a tenth of the whole.
 const FLOOR: u8 = 1;
 const SPARE: u8 = 8;
-const TENTH: u32 = WHOLE / 10;
+const TENTH: u32 = TOTAL_UNITS / 10;
 
 /// How the rules are weakened, to see that the model notices.
 #[derive(Clone, Copy, Debug)]
@@ -123,19 +123,21 @@
     format!("n{broker}")
 }
 
-fn bounds() -> Bounds {
+fn bounds() -> SharedQuotas {
     let window = u64::from(WINDOW) * 1000;
-    Bounds {
+    SharedQuotas {
         names: vec![String::from("cold")],
-        brokers: BROKERS as u32,
-        floor: u32::from(FLOOR) * TENTH,
-        window,
+        max_brokers: BROKERS as u32,
+        floor_units: u32::from(FLOOR) * TENTH,
+        window_millis: window,
     }
 }
 
-fn entry(broker: usize, units: u8) -> Agreed {
+fn entry(broker: usize, units: u8) -> QuotaEntry {
     let units = u32::from(units) * TENTH;
-    Agreed::Parts { parts: vec![Part { broker: name(broker), bound: String::from("cold"), units }] }
+    QuotaEntry::SetShares {
+        parts: vec![QuotaShare { broker: name(broker), quota: String::from("cold"), units }],
+    }
 }
 
 impl Broker {
@@ -143,10 +145,13 @@
         self.counted > self.now
     }
 
-    fn seat(&self) -> Seat {
+    fn seat(&self) -> BrokerShares {
         let units = |tenths: u8| u32::from(tenths) * TENTH;
-        let held = Held { now: units(self.now), counted: units(self.counted) };
-        Seat { held: BTreeMap::from([(String::from("cold"), held)]), shrunk: u64::from(self.shrunk) }
+        let held = UnitGrant { granted: units(self.now), reserved: units(self.counted) };
+        BrokerShares {
+            grants: BTreeMap::from([(String::from("cold"), held)]),
+            shrunk_generation: u64::from(self.shrunk),
+        }
     }
 }
 
@@ -159,16 +164,17 @@
     }
 
     /// The crate's own ledger takes the entry, or refuses it.
-    fn enter(&mut self, entry: &Agreed) -> Option<()> {
+    fn enter(&mut self, entry: &QuotaEntry) -> Option<()> {
         let seats = self.brokers.iter().enumerate().map(|(n, broker)| (name(n), broker.seat()));
         let (bounds, generation) = (Some(bounds()), u64::from(self.generation));
-        let mut ledger = Ledger { bounds, generation, seats: seats.collect() };
+        let mut ledger = QuotaLedger { shared: bounds, generation, brokers: seats.collect() };
         ledger.apply(entry).ok()?;
         self.generation = ledger.generation as u8;
         for (n, broker) in self.brokers.iter_mut().enumerate() {
-            let (seat, tenths) = (&ledger.seats[&name(n)], |units: u32| (units / TENTH) as u8);
-            (broker.now, broker.counted) = (tenths(seat.now("cold")), tenths(seat.counted("cold")));
-            broker.shrunk = seat.shrunk as u8;
+            let (seat, tenths) = (&ledger.brokers[&name(n)], |units: u32| (units / TENTH) as u8);
+            (broker.now, broker.counted) =
+                (tenths(seat.granted_units("cold")), tenths(seat.reserved_units("cold")));
+            broker.shrunk = seat.shrunk_generation as u8;
         }
         Some(())
     }
@@ -180,35 +186,39 @@
     /// What a broker may use now in all, by the crate's own rule.
     fn part(&self, rules: &Rules, broker: usize) -> u8 {
         let b = &self.brokers[broker];
-        let mut own = Own::new(&bounds(), f64::from(b.started));
+        let mut own = LocalQuota::new(&bounds(), f64::from(b.started));
         if rules.no_hold || b.run == 0 {
             // The first run has none before it.
-            own.window = 0.0;
+            own.window_seconds = 0.0;
         }
         let live = self.now < b.until || (rules.no_look || rules.keeps_all) && b.until > 0;
-        let told = b.told.map(|tells| Told {
+        let told = b.told.map(|tells| Allocation {
             generation: u64::from(tells.generation),
-            floor: u32::from(FLOOR) * TENTH,
-            counted: true,
-            shrunk: u64::from(tells.shrunk),
-            parts: BTreeMap::from([(String::from("cold"), u32::from(tells.units) * TENTH)]),
+            floor_units: u32::from(FLOOR) * TENTH,
+            admitted: true,
+            shrunk_generation: u64::from(tells.shrunk),
+            leased_units: BTreeMap::from([(String::from("cold"), u32::from(tells.units) * TENTH)]),
         });
-        (own.part(told.as_ref(), live, "cold", f64::from(self.now)) / TENTH) as u8
+        (own.available_units(told.as_ref(), live, "cold", f64::from(self.now)) / TENTH) as u8
     }
 
-    fn waits(rules: &Rules) -> Waits {
+    fn waits(rules: &Rules) -> ReuseDelays {
         let by = |time: u8| f64::from(time) * if rules.no_drift { 1.0 } else { 2.0 };
-        Waits { lease: by(LEASE), acts: 0.0, window: if rules.no_window { 0.0 } else { by(WINDOW) } }
+        ReuseDelays {
+            lease_seconds: by(LEASE),
+            action_seconds: 0.0,
+            window_seconds: if rules.no_window { 0.0 } else { by(WINDOW) },
+        }
     }
 
     fn settled_from(&self, rules: &Rules, broker: usize) -> f64 {
         let b = &self.brokers[broker];
-        let runs = b.granted.iter().flatten().map(|(over, shrunk, at)| Run {
-            over: f64::from(*over),
-            acked: (*shrunk >= b.shrunk).then_some(f64::from(*at)),
+        let runs = b.granted.iter().flatten().map(|(over, shrunk, at)| BrokerRun {
+            lease_over_at: f64::from(*over),
+            acknowledged_at: (*shrunk >= b.shrunk).then_some(f64::from(*at)),
         });
         let led = if rules.early { Some(-99.0) } else { self.led.map(f64::from) };
-        settled_from(f64::from(b.seen), led, runs, Self::waits(rules))
+        reusable_from(f64::from(b.seen), led, runs, Self::waits(rules))
     }
 
     fn used(&self) -> u8 {
@@ -336,7 +346,7 @@
                 world.brokers[broker].seen = world.leaders();
                 if self.grow_before_ack {
                     let generation = u64::from(world.generation);
-                    world.enter(&Agreed::Settled { broker: name(broker), generation })?;
+                    world.enter(&QuotaEntry::Release { broker: name(broker), generation })?;
                 }
             }
             Act::Grow(broker) => {
@@ -345,7 +355,7 @@
             }
             Act::Settle(broker) => {
                 let generation = u64::from(world.brokers[broker].shrunk);
-                world.enter(&Agreed::Settled { broker: name(broker), generation })?;
+                world.enter(&QuotaEntry::Release { broker: name(broker), generation })?;
             }
         }
         Some(world)
--- a/crates/dunepond-quota/tests/service.rs
+++ b/crates/dunepond-quota/tests/service.rs
@@ -21,10 +21,10 @@
 
 #[derive(Clone, Default)]
 struct Broker {
-    told: Option<Told>,
+    told: Option<Allocation>,
     until: f64,
     asks_at: f64,
-    need: Need,
+    need: Demand,
     used: VecDeque<(f64, f64)>,
     wanted: f64,
     refused: f64,
@@ -35,11 +35,11 @@
 struct Town {
     now: f64,
     /// Even parts for good where there is none.
-    planning: Option<Planning>,
-    bounds: Bounds,
-    ledger: Ledger,
+    planning: Option<PlannerConfig>,
+    bounds: SharedQuotas,
+    ledger: QuotaLedger,
     brokers: Vec<Broker>,
-    heard: BTreeMap<String, Heard>,
+    heard: BTreeMap<String, ReceivedReport>,
     at: BTreeMap<String, f64>,
     runs: BTreeMap<String, (f64, u64, f64)>,
     seen: BTreeMap<String, (u64, f64)>,
@@ -56,15 +56,15 @@
 }
 
 impl Town {
-    fn new(brokers: usize, rule: Option<Rule>) -> Self {
+    fn new(brokers: usize, rule: Option<SplitRule>) -> Self {
         let bounds =
-            Bounds::new(vec![BOUND.to_string()], brokers as u32, SHARE, (WINDOW * 1e3) as u64).unwrap();
+            SharedQuotas::new(vec![BOUND.to_string()], brokers as u32, SHARE, (WINDOW * 1e3) as u64).unwrap();
         let fresh = |n| Broker { asks_at: 0.1 * n as f64, ..Broker::default() };
         Self {
             now: 0.0,
-            planning: rule.map(|rule| Planning { rule, ..Planning::by(LEASE) }),
+            planning: rule.map(|rule| PlannerConfig { rule, ..PlannerConfig::for_lease(LEASE) }),
             bounds,
-            ledger: Ledger::default(),
+            ledger: QuotaLedger::default(),
             brokers: (0..brokers).map(fresh).collect(),
             heard: BTreeMap::new(),
             at: BTreeMap::new(),
@@ -83,9 +83,9 @@
         if self.planning.is_none() {
             return 1.0 / self.brokers.len() as f64;
         }
-        let (b, own) = (&self.brokers[broker], Own::new(&self.bounds, -WINDOW));
-        let units = own.part(b.told.as_ref(), self.now < b.until, BOUND, self.now);
-        f64::from(units) / f64::from(WHOLE)
+        let (b, own) = (&self.brokers[broker], LocalQuota::new(&self.bounds, -WINDOW));
+        let units = own.available_units(b.told.as_ref(), self.now < b.until, BOUND, self.now);
+        f64::from(units) / f64::from(TOTAL_UNITS)
     }
 
     /// One step: each broker wants so much, in wholes a second.
@@ -105,7 +105,7 @@
             (self.offered, self.served) = (self.offered + wanted, self.served + took);
             if now - b.sampled >= 0.25 {
                 let seconds = now - b.sampled;
-                b.need.sample(b.took / seconds, b.refused / seconds, part);
+                b.need.record_sample(b.took / seconds, b.refused / seconds, part);
                 (b.sampled, b.took, b.refused) = (now, 0.0, 0.0);
             }
         }
@@ -124,58 +124,65 @@
             if self.now < b.asks_at + ROUND {
                 continue;
             }
-            let shrunk = b.told.as_ref().map_or(0, |told| told.shrunk);
+            let shrunk = b.told.as_ref().map_or(0, |told| told.shrunk_generation);
             let needs = BTreeMap::from([(BOUND.to_string(), b.need.units())]);
-            let report = Report { shrunk, bounds: self.bounds.clone(), needs };
-            self.heard.insert(name(n), Heard { report, ago: 0.0 });
+            let report =
+                DemandReport { shrunk_generation: shrunk, shared: self.bounds.clone(), demand_units: needs };
+            self.heard.insert(name(n), ReceivedReport { report, age_seconds: 0.0 });
             self.at.insert(name(n), self.now);
             let run = self.runs.entry(name(n)).or_insert((0.0, 0, self.now));
             if shrunk > run.1 {
                 (run.1, run.2) = (shrunk, self.now);
             }
             run.0 = self.now + LEASE * DRIFT;
-            b.told = self.ledger.told(&name(n));
+            b.told = self.ledger.allocation_for(&name(n));
             b.until = b.asks_at + LEASE;
             b.asks_at += LEASE / 3.0;
         }
     }
 
     fn settle(&mut self) {
-        let waits = Waits { lease: LEASE * DRIFT, acts: ACTS, window: WINDOW * DRIFT };
-        let waiting = self.ledger.seats.iter().filter(|(_, seat)| seat.waits());
-        let waiting: Vec<_> = waiting.map(|(broker, seat)| (broker.clone(), seat.shrunk)).collect();
+        let waits = ReuseDelays {
+            lease_seconds: LEASE * DRIFT,
+            action_seconds: ACTS,
+            window_seconds: WINDOW * DRIFT,
+        };
+        let waiting = self.ledger.brokers.iter().filter(|(_, seat)| seat.awaits_release());
+        let waiting: Vec<_> =
+            waiting.map(|(broker, seat)| (broker.clone(), seat.shrunk_generation)).collect();
         for (broker, generation) in waiting {
             let seen = self.seen.get(&broker).filter(|seen| seen.0 == generation).map(|seen| seen.1);
             let seen = seen.unwrap_or(self.now);
             self.seen.insert(broker.clone(), (generation, seen));
-            let run = self
-                .runs
-                .get(&broker)
-                .map(|(over, acked, at)| Run { over: *over, acked: (*acked >= generation).then_some(*at) });
-            if self.now >= settled_from(seen, Some(-99.0), run.into_iter(), waits) {
-                self.ledger.apply(&Agreed::Settled { broker, generation }).unwrap();
+            let run = self.runs.get(&broker).map(|(over, acked, at)| BrokerRun {
+                lease_over_at: *over,
+                acknowledged_at: (*acked >= generation).then_some(*at),
+            });
+            if self.now >= reusable_from(seen, Some(-99.0), run.into_iter(), waits) {
+                self.ledger.apply(&QuotaEntry::Release { broker, generation }).unwrap();
             }
         }
     }
 
-    fn plan(&mut self, planning: &Planning) {
+    fn plan(&mut self, planning: &PlannerConfig) {
         if self.now < self.planned {
             return;
         }
         for (broker, heard) in &mut self.heard {
-            heard.ago = self.now - self.at[broker];
+            heard.age_seconds = self.now - self.at[broker];
         }
-        let entry = plan(&self.ledger, &self.bounds, &self.heard, 99.0, planning);
-        self.planned = self.now + if matches!(entry, Some(Agreed::Parts { .. })) { EVERY } else { 0.2 };
+        let entry = next_entry(&self.ledger, &self.bounds, &self.heard, 99.0, planning);
+        self.planned =
+            self.now + if matches!(entry, Some(QuotaEntry::SetShares { .. })) { EVERY } else { 0.2 };
         if let Some(entry) = entry {
-            self.moves += usize::from(matches!(entry, Agreed::Parts { .. }));
+            self.moves += usize::from(matches!(entry, QuotaEntry::SetShares { .. }));
             self.ledger.apply(&entry).unwrap();
         }
     }
 }
 
 /// Four brokers that want nine tenths of the whole, most of it at one, and after a while at another.
-fn skewed(rule: Option<Rule>, hot: f64, seconds: f64) -> Town {
+fn skewed(rule: Option<SplitRule>, hot: f64, seconds: f64) -> Town {
     let mut town = Town::new(4, rule);
     for place in [0, 2, 1] {
         let rest = (0.9 - hot) / 3.0;
@@ -189,7 +196,7 @@
 #[case::mostly_at_one(0.75, 0.2)]
 #[case::half_at_one(0.5, 0.1)]
 fn parts_by_need_serve_more_of_skewed_traffic_and_keep_within_the_whole(#[case] hot: f64, #[case] more: f64) {
-    let (even, leased) = (skewed(None, hot, 30.0), skewed(Some(Rule::MaxMin), hot, 30.0));
+    let (even, leased) = (skewed(None, hot, 30.0), skewed(Some(SplitRule::MaxMin), hot, 30.0));
     let share = |town: &Town| town.served / town.offered;
     assert!(share(&leased) > share(&even) + more, "{:.3} against {:.3}", share(&leased), share(&even));
     assert!(leased.most <= 1.0 + 1e-9, "{}", leased.most);
@@ -197,7 +204,7 @@
 
 #[test]
 fn steady_traffic_moves_nothing_once_it_has_what_it_needs() {
-    let mut town = Town::new(4, Some(Rule::MaxMin));
+    let mut town = Town::new(4, Some(SplitRule::MaxMin));
     let wants = [0.4, 0.2, 0.2, 0.1];
     (0..800).for_each(|_| town.step(&wants));
     let moves = town.moves;
@@ -207,7 +214,7 @@
 
 /// Seconds until a node that starts cold has done what makes it warm, as fast as the brokers' parts of its room allow; they
 /// want all there is, most of it at one.
-fn warms(rule: Option<Rule>, hot: f64) -> f64 {
+fn warms(rule: Option<SplitRule>, hot: f64) -> f64 {
     let mut town = Town::new(4, rule);
     let rest = (1.0 - hot) / 3.0;
     // Parts follow the traffic that is there before the node comes.
@@ -223,7 +230,7 @@
 
 #[test]
 fn a_cold_node_that_one_broker_needs_is_warm_sooner() {
-    let (even, leased) = (warms(None, 0.85), warms(Some(Rule::MaxMin), 0.85));
+    let (even, leased) = (warms(None, 0.85), warms(Some(SplitRule::MaxMin), 0.85));
     assert!(leased < 0.75 * even, "{leased:.1} s against {even:.1} s");
 }
 
@@ -231,7 +238,7 @@
 #[test]
 #[ignore = "figures"]
 fn figures() {
-    let rules = [None, Some(Rule::Even), Some(Rule::Proportional), Some(Rule::MaxMin)];
+    let rules = [None, Some(SplitRule::Even), Some(SplitRule::Proportional), Some(SplitRule::MaxMin)];
     for rule in rules {
         for hot in [0.3, 0.5, 0.75, 0.85] {
             let town = skewed(rule, hot, 30.0);
--- a/crates/dunepond-recovery/src/ledger.rs
+++ b/crates/dunepond-recovery/src/spent_budgets.rs
@@ -5,19 +5,19 @@
 //! and what was spent then was measured against scans that nobody remembers. So all that could have been spent counts
 //! as spent, until nothing of it stands in any window. A ledger that lags behind would have to say the same.
 
-use dunepond_routing::{Ledger, NodeId};
+use dunepond_routing::{NodeId, SpentBudgets};
 use serde::{Deserialize, Serialize};
 
-use crate::beliefs::Identity;
-use crate::{Stamp, Unread, decode, encode};
+use crate::learned_state::NodeIdentity;
+use crate::{DecodeError, Timestamp, decode, encode};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Entry {
+pub enum BudgetRecord {
     /// A broker has begun.
-    Begun { at: Stamp },
+    BrokerStarted { at: Timestamp },
     /// It has ended in order, having spent this, in seconds before.
-    Ended {
-        at: Stamp,
+    BrokerStopped {
+        at: Timestamp,
         further: Vec<f64>,
         taken: Vec<(f64, f64)>,
         /// By name and start of the node.
@@ -27,62 +27,67 @@
 
 /// What a broker that begins starts with.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Owed {
+pub enum OutstandingCharges {
     /// Whatever could be spent was spent just now.
-    All,
+    Unknown,
     /// Exactly this; nothing where nobody was here before.
-    Exactly(Ledger),
+    Known(SpentBudgets),
 }
 
-impl Entry {
-    pub fn ended(at: Stamp, known: &[Identity], ledger: &Ledger) -> Self {
+impl BudgetRecord {
+    pub fn stopped(at: Timestamp, known: &[NodeIdentity], ledger: &SpentBudgets) -> Self {
         let name = |node: NodeId| known.iter().find(|identity| identity.node == node);
-        let cold = ledger.cold.iter().filter_map(|(node, times)| {
+        let cold = ledger.slow_start_sends.iter().filter_map(|(node, times)| {
             let identity = name(*node)?;
-            Some((identity.name.clone(), identity.started, times.clone()))
+            Some((identity.name.clone(), identity.started_at, times.clone()))
         });
-        let (further, taken) = (ledger.further.clone(), ledger.taken.clone());
-        Self::Ended { at, further, taken, cold: cold.collect() }
+        let (further, taken) = (ledger.retries.clone(), ledger.admissions.clone());
+        Self::BrokerStopped { at, further, taken, cold: cold.collect() }
     }
 
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    pub fn decode(bytes: &[u8]) -> Result<Self, Unread> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let entry: Self = decode(bytes)?;
         let time = |t: f64| t.is_finite() && t >= 0.0;
         let good = match &entry {
-            Self::Begun { at } => at.is_time(),
-            Self::Ended { at, further, taken, cold } => {
+            Self::BrokerStarted { at } => at.is_time(),
+            Self::BrokerStopped { at, further, taken, cold } => {
                 at.is_time()
                     && further.iter().all(|t| time(*t))
                     && taken.iter().all(|(t, count)| time(*t) && time(*count))
                     && cold.iter().all(|(_, started, times)| time(*started) && times.iter().all(|t| time(*t)))
             }
         };
-        if good { Ok(entry) } else { Err(Unread("a time out of bounds".to_string())) }
+        if good { Ok(entry) } else { Err(DecodeError("a time out of bounds".to_string())) }
     }
 }
 
 /// What is owed after these records, whole or not. `whole` says that nothing behind them had to be left away.
-pub fn owed(records: &[Entry], whole: bool, now: &Stamp, present: &[Identity]) -> Owed {
+pub fn outstanding_charges(
+    records: &[BudgetRecord],
+    whole: bool,
+    now: &Timestamp,
+    present: &[NodeIdentity],
+) -> OutstandingCharges {
     let (at, further, taken, cold) = match records.last() {
         // A new folder says nothing of who ran here without one; but then nobody promised anything either.
-        None if whole => return Owed::Exactly(Ledger::default()),
-        Some(Entry::Ended { at, further, taken, cold }) if whole => (at, further, taken, cold),
-        _ => return Owed::All,
+        None if whole => return OutstandingCharges::Known(SpentBudgets::default()),
+        Some(BudgetRecord::BrokerStopped { at, further, taken, cold }) if whole => (at, further, taken, cold),
+        _ => return OutstandingCharges::Unknown,
     };
-    let Some(elapsed) = now.since(at) else { return Owed::All };
+    let Some(elapsed) = now.seconds_since(at) else { return OutstandingCharges::Unknown };
     let aged = |times: &[f64]| times.iter().map(|ago| ago + elapsed).collect::<Vec<_>>();
     let cold = cold.iter().filter_map(|(name, started, times)| {
         // Started again it is another process, with all of its room.
-        let same = |identity: &&Identity| identity.name == *name && identity.started <= *started;
+        let same = |identity: &&NodeIdentity| identity.name == *name && identity.started_at <= *started;
         Some((present.iter().find(same)?.node, aged(times)))
     });
-    Owed::Exactly(Ledger {
-        further: aged(further),
-        taken: taken.iter().map(|(ago, count)| (ago + elapsed, *count)).collect(),
-        cold: cold.collect(),
+    OutstandingCharges::Known(SpentBudgets {
+        retries: aged(further),
+        admissions: taken.iter().map(|(ago, count)| (ago + elapsed, *count)).collect(),
+        slow_start_sends: cold.collect(),
     })
 }
--- a/crates/dunepond-routing/src/policy/admission.rs
+++ b/crates/dunepond-routing/src/policy/admission.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Broker {
+impl Router {
     /// How long parts wait at a segment's best holder in service or due a trial: our oldest there or what
     /// its last ones took beyond ease. Where there is none the wait has no end: a scan sent to dead nodes
     /// would only take the others' time. That is no overload: scans of other segments do not feel it.
@@ -44,31 +44,31 @@
     }
 
     /// Under overload the least benefit goes first: beyond a customer's share, then late, then dear.
-    pub(super) fn admit(&mut self, host: &mut dyn Host, held: &mut Held) -> Pass {
+    pub(super) fn admit(&mut self, host: &mut dyn Transport, held: &mut Held) -> Pass {
         if held.admitted {
             return Pass::On;
         }
         held.admitted = true;
         if held.outlasts {
             // Elsewhere it may be asked again at once.
-            host.throttle(held.id, 0.0);
+            host.reject_retriable(held.id, 0.0);
             return Pass::End;
         }
-        let kind = &self.site.table_types[held.table_type];
+        let kind = &self.site.query_classes[held.table_type];
         let steps = if kind.second_step { TWO_STEPS } else { 1.0 };
         let ahead = steps * self.wait_ahead(held);
         let likely = self.likely(ahead);
         let late = likely > held.target_at;
         // Its client will not wait for what it asks, or not for anything of worth: sent all the same it would
         // only take the nodes from the others, once for each of the many tries of such a client.
-        if likely > held.ends_at || late && kind.late <= 0.0 {
+        if likely > held.ends_at || late && kind.late_value_ratio <= 0.0 {
             return self.give_up(host, held);
         }
-        let useful = if late { kind.target } else { held.target_at - self.now };
+        let useful = if late { kind.latency_objective } else { held.target_at - self.now };
         let horizon = useful.min(held.ends_at - self.now);
-        let parts = held.pieces.len() as f64 * self.share(held, |r| &r.whole_at);
-        let work = if self.site.benefit_by_work { 1.0 } else { parts };
-        let density = kind.benefit * if late { kind.late } else { 1.0 } / work;
+        let parts = held.pieces.len() as f64 * self.share(held, |r| &r.complete_at);
+        let work = if self.site.weight_by_work { 1.0 } else { parts };
+        let density = kind.priority_weight * if late { kind.late_value_ratio } else { 1.0 } / work;
         keep_last(&mut self.density, density, FLEET_SAMPLES);
         let below = |d: &f64| 0.5 * (f64::from(*d < density) + f64::from(*d <= density));
         let rank = self.density.iter().map(below).sum::<f64>() / self.density.len() as f64;
@@ -85,7 +85,7 @@
     }
 
     /// At most nodes in service the oldest of ours has waited long: nothing is to go out that need not.
-    pub fn pressed(&self) -> bool {
+    pub fn is_overloaded(&self) -> bool {
         let late = PRESSED * self.shortest_target;
         let waits = |n: &Node| n.outs.first().is_some_and(|o| self.now - o.at > late);
         let serving = self.nodes.iter().flatten().filter(|n| n.aside.is_none());
@@ -115,6 +115,6 @@
         let span = self.longest_target;
         times.drain(..times.partition_point(|t| *t < self.now - span));
         let part = self.limits.quotas.get(customer).copied().flatten();
-        (times.len() as f64) < part.map_or(quota * span / self.site.brokers, |part| quota * span * part)
+        (times.len() as f64) < part.map_or(quota * span / self.site.broker_count, |part| quota * span * part)
     }
 }
--- a/crates/dunepond-routing/src/policy/fork.rs
+++ b/crates/dunepond-routing/src/policy/fork.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 impl Piece {
-    pub(super) fn cancel(&self, host: &mut dyn Host, site: &Deployment, scan: ScanId, part: usize) {
+    pub(super) fn cancel(&self, host: &mut dyn Transport, site: &Deployment, scan: QueryId, part: usize) {
         let out = self.shots.iter().enumerate().filter(|(_, s)| site.may_cancel && s.end.is_none());
-        out.for_each(|(shot, _)| host.cancel(scan, part, shot));
+        out.for_each(|(shot, _)| host.cancel_attempt(scan, part, shot));
     }
 }
 
-impl Broker {
-    pub(super) fn fork(&mut self, host: &mut dyn Host, held: &mut Held) -> Pass {
+impl Router {
+    pub(super) fn fork(&mut self, host: &mut dyn Transport, held: &mut Held) -> Pass {
         if held.waits {
             return Pass::Keep;
         }
@@ -68,14 +68,14 @@
         held.asked.is_some_and(|at| self.now - at < ASKED * self.ease)
     }
 
-    pub(super) fn dispatch(&mut self, host: &mut dyn Host, held: &mut Held, part: usize, node: NodeId) {
+    pub(super) fn dispatch(&mut self, host: &mut dyn Transport, held: &mut Held, part: usize, node: NodeId) {
         let mut idle =
             self.nodes[node].as_ref().filter(|n| n.outs.is_empty()).map_or(0.0, |n| self.now - n.used);
         if self.stale(idle) {
-            host.close_idle(node);
+            host.close_idle_connections(node);
             idle = 0.0;
         }
-        host.dispatch(held.id, part, node);
+        host.send_attempt(held.id, part, node);
         let left = self.nodes[node].as_ref().map_or(0.0, |n| self.tokens(n, held) - 1.0);
         let shots = &mut held.pieces[part].shots;
         shots.push(Shot { node, at: self.now, end: None });
@@ -86,7 +86,7 @@
             if n.warmth(&self.site, self.now) < 1.0 {
                 n.tokens = Tokens { left, done: self.done, at: self.now };
                 n.sent_cold.push_back(self.now);
-                n.sent_cold.retain(|t| *t >= self.now - self.site.cold.warm_after);
+                n.sent_cold.retain(|t| *t >= self.now - self.site.slow_start.duration);
             }
         }
     }
--- a/crates/dunepond-routing/src/policy/health.rs
+++ b/crates/dunepond-routing/src/policy/health.rs
@@ -26,7 +26,7 @@
     }
 }
 
-impl Broker {
+impl Router {
     /// What dispatches take, from the fleet's last samples; before there are any, a small part of the
     /// shortest target time.
     pub(super) fn measure(&mut self) {
@@ -55,20 +55,20 @@
         self.now >= aside.again && node.outs.iter().filter(|o| o.at >= aside.again).count() < aside.room
     }
 
-    pub(super) fn health(&mut self, host: &mut dyn Host, ended: &Ended) {
+    pub(super) fn health(&mut self, host: &mut dyn Transport, ended: &AttemptEnded) {
         let (median, nearly_all) = (self.median, self.nearly_all);
         let Some(node) = self.nodes.get_mut(ended.node).and_then(Option::as_mut) else { return };
-        let sent = |o: &Out| (o.scan, o.part, o.shot) == (ended.scan, ended.part, ended.shot);
+        let sent = |o: &Out| (o.scan, o.part, o.shot) == (ended.query, ended.part, ended.attempt);
         let Some(out) = node.outs.iter().position(sent).map(|at| node.outs.remove(at)) else { return };
-        let (now, took, served) = (self.now, self.now - out.at, ended.end == End::Completed);
+        let (now, took, served) = (self.now, self.now - out.at, ended.outcome == AttemptOutcome::Served);
         let (table_type, sent) = (out.table_type, out.at);
         node.used = now;
         let again = node.samples.back().is_some_and(|s| s.fault && s.at == now);
         let mut withdrawn = false;
-        match ended.end {
+        match ended.outcome {
             // A frame that was still on its way tells nothing of the node.
-            End::Cancelled | End::TimedOut if !out.framed => return,
-            End::Cancelled | End::TimedOut => {
+            AttemptOutcome::Cancelled | AttemptOutcome::TimedOut if !out.framed => return,
+            AttemptOutcome::Cancelled | AttemptOutcome::TimedOut => {
                 // Some nodes answer a part of what they take and swallow the rest, so that they are never
                 // silent for long. What later ones overtook, and nobody answered for so long, is lost.
                 let overtaken = node.samples.iter().filter(|s| s.sent > out.at).count() >= OVERTAKEN;
@@ -88,22 +88,22 @@
             }
             // It answers at once and looks idle; asked again it would eat the part's dispatches. Who meets it
             // seldom comes back when that is long over: that its queue is full is kept as a sample.
-            End::Full => {
+            AttemptOutcome::Rejected => {
                 (node.refused, node.heard) = (now, now);
                 let full =
                     Sample { table_type, sent, took: nearly_all, at: now, served: false, fault: false };
                 return keep_last(&mut node.samples, full, NODE_SAMPLES);
             }
-            End::NotSent => return,
+            AttemptOutcome::NotSent => return,
             // Broken at once on a connection that lay idle: that is no fault of the node, which has not even
             // seen it. A crash breaks what is out at any time.
-            End::Dropped if out.idle > median && took < PROMPT * self.site.tick => {
+            AttemptOutcome::ConnectionLost if out.idle > median && took < PROMPT * self.site.tick => {
                 return keep_last(&mut self.reaped, (now, out.idle, true), NODE_SAMPLES);
             }
             // What one connection takes with it is one fault, however many parts were out on it.
-            End::Dropped | End::NoConnection if again => return,
-            End::Completed | End::Error => node.heard = now,
-            End::NoConnection | End::Dropped => {}
+            AttemptOutcome::ConnectionLost | AttemptOutcome::ConnectFailed if again => return,
+            AttemptOutcome::Served | AttemptOutcome::Error => node.heard = now,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLost => {}
         }
         let warmth = node.warmth(&self.site, self.now);
         let took = took * warmth;
@@ -139,14 +139,14 @@
     }
 
     /// Sets a node aside by its symptoms.
-    pub(super) fn judge(&mut self, host: &mut dyn Host, id: NodeId) {
+    pub(super) fn judge(&mut self, host: &mut dyn Transport, id: NodeId) {
         let (now, silence) = (self.now, SILENT * self.nearly_all);
         let Some(node) = self.nodes[id].as_mut() else { return };
         node.ghosts.retain(|until| *until > now);
         if let Some(aside) = &mut node.aside {
             if node.outs.iter().any(|o| o.framed && o.at >= aside.again && now - o.at > silence) {
                 *aside = Aside::rest(now, self.nearly_all);
-                host.close_idle(id);
+                host.close_idle_connections(id);
             }
             return;
         }
@@ -158,21 +158,21 @@
         let why = if silent { "it is silent" } else { "it fails what it is given" };
         node.aside = Some(Aside::rest(now, self.nearly_all));
         // It may be only a connection that fell silent: a trial on that would tell nothing of the node.
-        host.close_idle(id);
+        host.close_idle_connections(id);
         for out in &node.outs {
             self.scans.get_mut(&out.scan).into_iter().for_each(|held| held.due = now);
         }
         host.log(&format!("node {id} is set aside: {why}"));
     }
 
-    pub(super) fn returned(&mut self, host: &mut dyn Host, ended: &Ended) {
-        let Some(held) = self.scans.get_mut(&ended.scan) else { return };
+    pub(super) fn returned(&mut self, host: &mut dyn Transport, ended: &AttemptEnded) {
+        let Some(held) = self.scans.get_mut(&ended.query) else { return };
         let piece = &mut held.pieces[ended.part];
-        piece.shots[ended.shot].end = Some(ended.end);
-        if ended.end == End::Completed && !piece.done {
+        piece.shots[ended.attempt].end = Some(ended.outcome);
+        if ended.outcome == AttemptOutcome::Served && !piece.done {
             piece.done = true;
-            piece.cancel(host, &self.site, ended.scan, ended.part);
+            piece.cancel(host, &self.site, ended.query, ended.part);
         }
-        self.pass(host, ended.scan);
+        self.pass(host, ended.query);
     }
 }
--- a/crates/dunepond-routing/src/policy/mod.rs
+++ b/crates/dunepond-routing/src/policy/mod.rs
@@ -28,13 +28,15 @@
 
 use rand::RngExt;
 
-pub use self::shutdown::{LONGEST_SHUTDOWN, LOOK_EVERY, NOTICEABLE_PAUSE, Shutdown, ShutdownStage};
-pub use self::time::HELD_UP;
-pub use crate::state::Broker;
+pub use self::shutdown::{
+    MAX_SHUTDOWN_SECONDS, NOTICEABLE_PAUSE_SECONDS, SIGNAL_POLL_INTERVAL, Shutdown, ShutdownStage,
+};
+pub use self::time::MAX_STALL_SECONDS;
+pub use crate::state::Router;
 use crate::state::{Aside, Held, Node, Out, Piece, Sample, Shot, Tokens, keep_last};
 use crate::{
-    Beliefs, Deployment, End, Ended, Host, Ledger, Listed, NodeBelief, NodeId, Part, Repeat, Rules, Scan,
-    ScanId, Standing,
+    AttemptEnded, AttemptOutcome, Deployment, Endpoint, EndpointState, Idempotency, LearnedNode,
+    LearnedState, NodeId, Part, Query, QueryId, Rules, SpentBudgets, Transport,
 };
 
 /// Samples kept of the whole fleet, and of one node.
@@ -90,38 +92,38 @@
     End,
 }
 
-type Down = fn(&mut Broker, &mut dyn Host, &mut Held) -> Pass;
-type Up = fn(&mut Broker, &mut dyn Host, &Ended);
+type Down = fn(&mut Router, &mut dyn Transport, &mut Held) -> Pass;
+type Up = fn(&mut Router, &mut dyn Transport, &AttemptEnded);
 
-const DOWN: [Down; 5] = [Broker::admit, Broker::in_time, Broker::tally, Broker::fork, Broker::further];
-const UP: [Up; 2] = [Broker::health, Broker::returned];
+const DOWN: [Down; 5] = [Router::admit, Router::in_time, Router::tally, Router::fork, Router::further];
+const UP: [Up; 2] = [Router::health, Router::returned];
 
-impl Broker {
+impl Router {
     pub fn new(site: Deployment) -> Self {
         let mut broker = Self::holding_nothing(site);
         broker.measure();
         broker
     }
 
-    pub fn scan(&mut self, host: &mut dyn Host, scan: Scan) {
+    pub fn on_query(&mut self, host: &mut dyn Transport, scan: Query) {
         self.hear(host);
         self.take(if scan.audit { 0.0 } else { 1.0 + scan.parts.len() as f64 });
         self.measure();
-        let kind = &self.site.table_types[scan.table_type];
+        let kind = &self.site.query_classes[scan.class];
         // A further try has used up part of its client's time. How much shows only once it is given less
         // than that customer's first tries, which some clients keep short.
-        let tries = scan.table_type + scan.customer * self.site.table_types.len();
+        let tries = scan.class + scan.tenant * self.site.query_classes.len();
         self.full_try.resize(self.full_try.len().max(tries + 1), 0.0);
         let full = &mut self.full_try[tries];
-        if !scan.resent {
+        if !scan.is_retry {
             *full = scan.expires_in;
         }
-        let cut = scan.resent && scan.expires_in < *full - self.site.tick;
+        let cut = scan.is_retry && scan.expires_in < *full - self.site.tick;
         let spent = if cut { kind.timeout - scan.expires_in } else { 0.0 };
-        let target_at = self.now + (kind.target - spent).max(0.0);
+        let target_at = self.now + (kind.latency_objective - spent).max(0.0);
         let mut held = Held::new(&scan, self.now, target_at, self.rules.clone());
         // What comes with a body has been in hand since its head came, and is cut short by the host.
-        if let Some(shutdown) = self.shutdown.filter(|_| !scan.long) {
+        if let Some(shutdown) = self.shutdown.filter(|_| !scan.streamed) {
             held.outlasts = shutdown.refuses(self.now, held.ends_at);
             held.ends_at = held.ends_at.min(shutdown.last_answers_at());
         }
@@ -129,7 +131,7 @@
         self.arm(host);
     }
 
-    pub fn second_step(&mut self, host: &mut dyn Host, scan: ScanId, parts: Vec<Part>) {
+    pub fn on_second_step(&mut self, host: &mut dyn Transport, scan: QueryId, parts: Vec<Part>) {
         self.hear(host);
         self.take(parts.len() as f64);
         if let Some(mut held) = self.scans.remove(&scan) {
@@ -139,7 +141,7 @@
         }
     }
 
-    pub fn ended(&mut self, host: &mut dyn Host, ended: Ended) {
+    pub fn on_attempt_ended(&mut self, host: &mut dyn Transport, ended: AttemptEnded) {
         self.hear(host);
         for stage in UP {
             stage(self, host, &ended);
@@ -147,7 +149,7 @@
     }
 
     /// A probe has ended: answered after so long, or not at all.
-    pub fn probed(&mut self, host: &mut dyn Host, node: NodeId, answered: Option<f64>) {
+    pub fn on_probe_result(&mut self, host: &mut dyn Transport, node: NodeId, answered: Option<f64>) {
         self.hear(host);
         let telling = answered.is_none_or(|took| took > PROMPT * self.site.tick);
         keep_last(&mut self.probes, (self.now, telling), FLEET_SAMPLES);
@@ -160,7 +162,7 @@
     }
 
     /// The last byte of a long text's frame has gone out: only now the node's time begins.
-    pub fn framed(&mut self, host: &mut dyn Host, node: NodeId, key: (ScanId, usize, usize)) {
+    pub fn on_frame_written(&mut self, host: &mut dyn Transport, node: NodeId, key: (QueryId, usize, usize)) {
         self.hear(host);
         let Some(n) = self.nodes.get_mut(node).and_then(Option::as_mut) else { return };
         if let Some(at) = n.outs.iter().position(|o| (o.scan, o.part, o.shot) == key) {
@@ -170,7 +172,7 @@
     }
 
     /// A scan's text can be had no more: what has not gone out whole never will.
-    pub fn text_gone(&mut self, host: &mut dyn Host, scan: ScanId) {
+    pub fn on_body_discarded(&mut self, host: &mut dyn Transport, scan: QueryId) {
         self.hear(host);
         if let Some(held) = self.scans.get_mut(&scan) {
             held.spent = true;
@@ -180,7 +182,7 @@
 
     /// What asking first has come to: these parts are left out, on evidence that the host holds; the others
     /// go out, if what is left of the time will do.
-    pub fn search(&mut self, host: &mut dyn Host, scan: ScanId, left_out: &[usize]) {
+    pub fn on_prefilter_result(&mut self, host: &mut dyn Transport, scan: QueryId, left_out: &[usize]) {
         self.hear(host);
         let Some(held) = self.scans.get_mut(&scan).filter(|held| held.waits) else { return };
         held.waits = false;
@@ -195,7 +197,7 @@
     }
 
     /// The evidence on which parts were left out has fallen: they go out after all.
-    pub fn restore(&mut self, host: &mut dyn Host, scan: ScanId, parts: &[usize]) {
+    pub fn on_prefilter_revoked(&mut self, host: &mut dyn Transport, scan: QueryId, parts: &[usize]) {
         self.hear(host);
         let Some(held) = self.scans.get_mut(&scan) else { return };
         let left = held.pieces.iter_mut().enumerate().filter(|(part, p)| p.left && parts.contains(part));
@@ -204,7 +206,7 @@
     }
 
     /// Holders that a question may go to: a cold one has nothing to spare for it.
-    pub fn to_ask(&self, seg: usize) -> impl Iterator<Item = NodeId> {
+    pub fn prefilter_candidates(&self, seg: usize) -> impl Iterator<Item = NodeId> {
         let warm = |n: &Node| n.warmth(&self.site, self.now) >= 1.0;
         let fit = move |n: &Node| n.aside.is_none() && !self.full(n) && warm(n);
         self.holders(seg, None).filter(move |h| fit(h.1)).map(|h| h.0)
@@ -216,7 +218,7 @@
 
     /// The process has been told to end. What is held is through by its last answers, whatever time its client leaves; from
     /// a stage of the shutdown on, what comes and would be there longer is turned away.
-    pub fn told_to_end(&mut self, shutdown: Shutdown) {
+    pub fn begin_shutdown(&mut self, shutdown: Shutdown) {
         self.shutdown = Some(shutdown);
         let mut scans = std::mem::take(&mut self.scans);
         for held in scans.values_mut() {
@@ -226,14 +228,14 @@
         self.scans = scans;
     }
 
-    pub fn client_left(&mut self, host: &mut dyn Host, scan: ScanId) {
+    pub fn on_client_disconnect(&mut self, host: &mut dyn Transport, scan: QueryId) {
         self.hear(host);
         if let Some(held) = self.scans.remove(&scan) {
             self.close(host, &held);
         }
     }
 
-    pub fn wake(&mut self, host: &mut dyn Host) {
+    pub fn on_wake(&mut self, host: &mut dyn Transport) {
         self.hear(host);
         // One that was asked for before a sooner one was comes besides.
         if self.ask_at == f64::MAX || self.now > self.wake_due - 0.5 * self.site.tick {
@@ -251,7 +253,7 @@
 
     /// A wake that is overdue means that we stood still ourselves: what came in meanwhile is still unread.
     /// Taken for the nodes' silence it would set aside the fleet and turn all scans away.
-    fn hear(&mut self, host: &dyn Host) {
+    fn hear(&mut self, host: &dyn Transport) {
         self.now = host.now();
         let stood = self.now - self.wake_due;
         if stood > STOOD_STILL * self.site.tick {
@@ -268,20 +270,20 @@
         self.now - targets * self.longest_target
     }
 
-    fn arm(&mut self, host: &mut dyn Host) {
+    fn arm(&mut self, host: &mut dyn Transport) {
         self.ask(host);
         let next = if self.scans.is_empty() { self.ask_at } else { self.now + 5.0 * self.site.tick };
         if next < self.wake_due {
             self.wake_due = next;
-            host.wake_at(next);
+            host.schedule_wake(next);
         }
     }
 
-    fn enter(&mut self, host: &mut dyn Host, mut held: Held, parts: Vec<Part>) {
+    fn enter(&mut self, host: &mut dyn Transport, mut held: Held, parts: Vec<Part>) {
         // Shares come rounded: all that there is of many parts may sum to less than whole, and nobody could.
         let all = parts.iter().map(|p| p.weight).sum::<f64>().max(f64::MIN_POSITIVE);
         let piece = |p: Part| {
-            let (seg, weight, only) = (p.seg, p.weight / all, p.only);
+            let (seg, weight, only) = (p.segment, p.weight / all, p.required_node);
             Piece { seg, weight, only, done: false, left: false, shots: vec![] }
         };
         held.pieces.extend(parts.into_iter().map(piece));
@@ -290,7 +292,7 @@
         self.pass(host, id);
     }
 
-    fn pass(&mut self, host: &mut dyn Host, id: ScanId) {
+    fn pass(&mut self, host: &mut dyn Transport, id: QueryId) {
         let Some(mut held) = self.scans.remove(&id) else { return };
         held.due = self.last_call(&held);
         for stage in DOWN {
@@ -303,7 +305,7 @@
         self.scans.insert(id, held);
     }
 
-    fn close(&mut self, host: &mut dyn Host, held: &Held) {
+    fn close(&mut self, host: &mut dyn Transport, held: &Held) {
         if held.pieces.iter().any(|p| !p.shots.is_empty()) {
             let past = self.now > held.target_at - self.site.tick;
             keep_last(&mut self.missed, (self.now, past), 2 * NODE_SAMPLES);
@@ -311,6 +313,6 @@
         for (part, piece) in held.pieces.iter().enumerate() {
             piece.cancel(host, &self.site, held.id, part);
         }
-        host.forget(held.id);
+        host.finish(held.id);
     }
 }
--- a/crates/dunepond-routing/src/policy/placement.rs
+++ b/crates/dunepond-routing/src/policy/placement.rs
@@ -2,19 +2,20 @@
 
 use super::*;
 
-impl Broker {
+impl Router {
     pub(super) fn holders(&self, seg: usize, only: Option<NodeId>) -> impl Iterator<Item = (NodeId, &Node)> {
         let cells = self.cells.len();
-        let ids = (0..self.site.holders.min(cells)).flat_map(move |j| &self.cells[(seg + j) % cells]);
+        let ids = (0..self.site.replicas.min(cells)).flat_map(move |j| &self.cells[(seg + j) % cells]);
         let known = ids.filter_map(|id| self.nodes[*id].as_ref().map(|n| (*id, n)));
-        known.filter(move |(id, n)| n.standing == Standing::Active && only.is_none_or(|only| only == *id))
+        known
+            .filter(move |(id, n)| n.standing == EndpointState::Active && only.is_none_or(|only| only == *id))
     }
 
     /// The lightest of two sampled holders, among the best sort of holders there is.
     pub(super) fn place(&mut self, held: &Held, part: usize, since: f64) -> Option<NodeId> {
         let spare = self.in_budget(held);
         let piece = &held.pieces[part];
-        let replayable = self.site.table_types[held.table_type].repeat == Repeat::Replayable;
+        let replayable = self.site.query_classes[held.table_type].idempotency == Idempotency::Idempotent;
         let (mut fit, mut trials, mut doubtful, mut all) = (Vec::new(), Vec::new(), Vec::new(), 0);
         for (id, node) in self.holders(piece.seg, piece.only) {
             let fails = node.fails(held.table_type, self.since(FRESH));
@@ -70,7 +71,8 @@
         // Where holders are fewer than zones, many segments have none near: hardly a part would be kept from
         // crossing, and ties would lose their choice for nothing.
         let near = node.zone == self.site.zone || holders < self.zones.len();
-        let far = if near { 1.0 } else { 1.0 + self.site.crossing.map_or(FAR, |price| FAR_A_PRICE * price) };
+        let far =
+            if near { 1.0 } else { 1.0 + self.site.cross_zone_cost.map_or(FAR, |price| FAR_A_PRICE * price) };
         far * (node.outstanding() / node.warmth(&self.site, self.now) + 1.0) * slower
     }
 
--- a/crates/dunepond-routing/src/policy/rules.rs
+++ b/crates/dunepond-routing/src/policy/rules.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-impl Broker {
+impl Router {
     /// Other rules from now on. A budget's window longer than any before it reaches back to what was not
     /// kept: all is taken to be spent then.
-    pub fn govern(&mut self, rules: &Rules) {
+    pub fn set_rules(&mut self, rules: &Rules) {
         self.rules = Arc::new(rules.clone());
-        let window = rules.budget.as_ref().map_or(0.0, |b| b.window);
+        let window = rules.retry_budget.as_ref().map_or(0.0, |b| b.window);
         if window > self.window {
             (self.window, self.owes) = (window, self.now);
         }
@@ -20,7 +20,7 @@
     }
 
     pub(super) fn dispatch_cap(&self, held: &Held) -> usize {
-        if held.audit { 1 } else { held.rules.dispatch_cap.min(self.rules.dispatch_cap) }
+        if held.audit { 1 } else { held.rules.max_attempts.min(self.rules.max_attempts) }
     }
 
     /// Both budgets allow one more.
--- a/crates/dunepond-routing/src/policy/shutdown.rs
+++ b/crates/dunepond-routing/src/policy/shutdown.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::time::HELD_UP;
+use super::time::MAX_STALL_SECONDS;
 
 /// By the protocol page "for 0.2 to 0.4 s new connections go on coming" after SIGTERM, and "every time limit is longer by
 /// 50 ms".
@@ -17,15 +17,15 @@
 const KILL_AFTER_DEADLINE: f64 = 0.7;
 const LONGEST_COUNTED: f64 = 3.0;
 /// It may be held up at its last answers, too; a turn of the loop and the way of an answer take the slack, each.
-const BEFORE_THE_KILL: f64 = HELD_UP + 2.0 * SLACK;
+const BEFORE_THE_KILL: f64 = MAX_STALL_SECONDS + 2.0 * SLACK;
 
 /// So often the loop looks for signals at the least, whatever else it waits for: a signal that it finds came after the look
 /// before. Small against the time in which new connections come, so that counting from there closes no door early.
-pub const LOOK_EVERY: Duration = Duration::from_millis(100);
+pub const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Between two looks that lie further apart than this the process was held up for longer than any term allows for.
-pub const NOTICEABLE_PAUSE: f64 = HELD_UP;
+pub const NOTICEABLE_PAUSE_SECONDS: f64 = MAX_STALL_SECONDS;
 /// So long after SIGTERM an old process may still be there.
-pub const LONGEST_SHUTDOWN: f64 = LONGEST_COUNTED + KILL_AFTER_DEADLINE;
+pub const MAX_SHUTDOWN_SECONDS: f64 = LONGEST_COUNTED + KILL_AFTER_DEADLINE;
 
 /// What is done at some time of a shutdown; each stage includes those before it.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
@@ -37,7 +37,7 @@
     /// The listener and the connections at rest close; a request that still comes is refused if it would outlast the process.
     Refusing,
     /// Connections close that have not asked anything yet; they had as long for that as new connections come.
-    ClosingUnasked,
+    ClosingWithoutRequest,
     /// All that is in hand is answered.
     LastAnswers,
 }
@@ -68,7 +68,7 @@
         [
             (at(NEW_CONNECTIONS + SLACK), ShutdownStage::ClosingAfterAnswers),
             (at(still_coming), ShutdownStage::Refusing),
-            (at(still_coming + NEW_CONNECTIONS), ShutdownStage::ClosingUnasked),
+            (at(still_coming + NEW_CONNECTIONS), ShutdownStage::ClosingWithoutRequest),
             (self.last_answers_at(), ShutdownStage::LastAnswers),
         ]
     }
--- a/crates/dunepond-routing/src/policy/tally.rs
+++ b/crates/dunepond-routing/src/policy/tally.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 
-impl Broker {
-    pub(super) fn tally(&mut self, host: &mut dyn Host, held: &mut Held) -> Pass {
+impl Router {
+    pub(super) fn tally(&mut self, host: &mut dyn Transport, held: &mut Held) -> Pass {
         if held.step().is_empty() {
             return Pass::Keep;
         }
         if held.weight(|p| p.done) >= self.need(held) {
             host.answer(held.id, true);
-            if held.second || !self.site.table_types[held.table_type].second_step {
+            if held.second || !self.site.query_classes[held.table_type].second_step {
                 return Pass::End;
             }
             held.step_from = held.pieces.len();
@@ -23,12 +23,12 @@
 
     /// The weight of parts that makes the present step whole; shares sum up with a rounding.
     pub(super) fn need(&self, held: &Held) -> f64 {
-        if held.second { 1.0 - 1e-6 } else { self.share(held, |r| &r.whole_at) - 1e-6 }
+        if held.second { 1.0 - 1e-6 } else { self.share(held, |r| &r.complete_at) - 1e-6 }
     }
 
     /// The weight of parts under which nothing can be answered.
     pub(super) fn least(&self, held: &Held) -> f64 {
-        self.need(held).min(self.share(held, |r| &r.least) - 1e-6)
+        self.need(held).min(self.share(held, |r| &r.minimum_share) - 1e-6)
     }
 
     /// Another dispatch of this part breaks no rule of its table type.
@@ -38,17 +38,17 @@
             && !held.spent
             && piece.shots.len() < self.dispatch_cap(held)
             && (piece.only.is_none() || self.holders(piece.seg, piece.only).next().is_some())
-            && match self.site.table_types[held.table_type].repeat {
-                Repeat::Replayable => true,
-                Repeat::Keyed(window) => {
-                    piece.shots.iter().find(ran).is_none_or(|s| self.now - s.at < window - HELD_UP)
+            && match self.site.query_classes[held.table_type].idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::Keyed(window) => {
+                    piece.shots.iter().find(ran).is_none_or(|s| self.now - s.at < window - MAX_STALL_SECONDS)
                 }
-                Repeat::NonReplayable => !piece.shots.iter().any(|s| ran(&s)),
+                Idempotency::NonIdempotent => !piece.shots.iter().any(|s| ran(&s)),
             }
     }
 
     /// Some dispatch may still need a scan's text: what is out may yet come back as never run.
-    pub fn needs_text(&self, scan: ScanId) -> bool {
+    pub fn needs_body(&self, scan: QueryId) -> bool {
         let Some(held) = self.scans.get(&scan).filter(|held| !held.spent) else { return false };
         let cap = self.dispatch_cap(held);
         let again =
--- a/crates/dunepond-routing/src/state.rs
+++ b/crates/dunepond-routing/src/state.rs
@@ -8,10 +8,13 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::policy::Shutdown;
-use crate::{Demand, Deployment, End, Limits, Listed, NodeId, Rules, SampleBelief, Scan, ScanId, Standing};
+use crate::{
+    AttemptOutcome, Deployment, Endpoint, EndpointState, LearnedSample, NodeId, Query, QueryId, QuotaDemand,
+    QuotaShares, Rules,
+};
 
 /// One broker: what it was told, what it holds, and what it has seen.
-pub struct Broker {
+pub struct Router {
     pub(crate) site: Deployment,
     /// What holds now of that which may change.
     pub(crate) rules: Arc<Rules>,
@@ -20,7 +23,7 @@
     pub(crate) nodes: Vec<Option<Node>>,
     /// Nodes by cell: only a segment's holders are looked at, or each part would cost more in a larger fleet.
     pub(crate) cells: Vec<Vec<NodeId>>,
-    pub(crate) scans: BTreeMap<ScanId, Held>,
+    pub(crate) scans: BTreeMap<QueryId, Held>,
     /// How long the last dispatches to each zone took, and when each was over.
     pub(crate) zones: Vec<VecDeque<(f64, f64)>>,
     /// What dispatches to each zone take.
@@ -64,7 +67,7 @@
     /// What a warm node completed for us each second when we last woke: with scans held, in a rush.
     pub(crate) seen: f64,
     /// Our parts of what all brokers share.
-    pub(crate) limits: Limits,
+    pub(crate) limits: QuotaShares,
     /// The shutdown under way, once the process has been told to end.
     pub(crate) shutdown: Option<Shutdown>,
     /// How often there was no room for a further dispatch since that was asked for.
@@ -74,7 +77,7 @@
 pub struct Shot {
     pub node: NodeId,
     pub at: f64,
-    pub end: Option<End>,
+    pub end: Option<AttemptOutcome>,
 }
 
 pub struct Piece {
@@ -90,7 +93,7 @@
 
 /// A scan that has been taken and not ended.
 pub struct Held {
-    pub id: ScanId,
+    pub id: QueryId,
     pub table_type: usize,
     pub customer: usize,
     pub admitted: bool,
@@ -119,7 +122,7 @@
 }
 
 pub struct Out {
-    pub scan: ScanId,
+    pub scan: QueryId,
     pub table_type: usize,
     pub part: usize,
     pub shot: usize,
@@ -155,7 +158,7 @@
 
 pub struct Node {
     pub zone: usize,
-    pub standing: Standing,
+    pub standing: EndpointState,
     pub started: f64,
     pub tokens: Tokens,
     pub heard: f64,
@@ -175,27 +178,35 @@
 
 impl Sample {
     /// As another process may take it, in ages.
-    pub fn aged(&self, now: f64) -> SampleBelief {
+    pub fn aged(&self, now: f64) -> LearnedSample {
         let &Self { table_type, sent, took, at, served, fault } = self;
         let ago = |at: f64| (now - at).max(0.0);
-        SampleBelief { table_type, sent_ago: ago(sent), took, ago: ago(at), served, fault }
+        LearnedSample {
+            class: table_type,
+            sent_ago: ago(sent),
+            latency: took,
+            ended_ago: ago(at),
+            served,
+            fault,
+        }
     }
 
     /// On our own clock again.
-    pub fn dated(belief: &SampleBelief, now: f64) -> Self {
-        let &SampleBelief { table_type, sent_ago, took, ago, served, fault } = belief;
+    pub fn dated(belief: &LearnedSample, now: f64) -> Self {
+        let &LearnedSample { class: table_type, sent_ago, latency: took, ended_ago: ago, served, fault } =
+            belief;
         Self { table_type, sent: now - sent_ago, took, at: now - ago, served, fault }
     }
 }
 
-impl Broker {
+impl Router {
     /// One that has been told nothing but what its deployment states.
     pub(crate) fn holding_nothing(site: Deployment) -> Self {
         Self {
             now: 0.0,
             rng: Pcg64Mcg::seed_from_u64(site.seed),
             nodes: Vec::new(),
-            cells: vec![Vec::new(); site.cells],
+            cells: vec![Vec::new(); site.replica_groups],
             scans: BTreeMap::new(),
             zones: Vec::new(),
             zone_usual: Vec::new(),
@@ -207,37 +218,41 @@
             full_try: Vec::new(),
             taken: VecDeque::new(),
             again: VecDeque::new(),
-            window: site.budget.as_ref().map_or(0.0, |b| b.window),
+            window: site.retry_budget.as_ref().map_or(0.0, |b| b.window),
             rules: Arc::new(Rules::of(&site)),
             probes: VecDeque::new(),
             reaped: VecDeque::new(),
             wake_due: f64::MAX,
-            ask_at: if site.ask_within.is_some() { f64::MIN } else { f64::MAX },
+            ask_at: if site.list_poll_deadline.is_some() { f64::MIN } else { f64::MAX },
             refusals: 0,
             median: 0.0,
             nearly_all: 0.0,
             seen: 0.0,
             missed: VecDeque::new(),
             owes: f64::MIN,
-            limits: Limits::default(),
+            limits: QuotaShares::default(),
             shutdown: None,
             refused: Cell::new(0.0),
             ease: f64::MAX,
-            shortest_target: site.table_types.iter().map(|t| t.target).fold(f64::MAX, f64::min),
-            longest_target: site.table_types.iter().map(|t| t.target).fold(0.0, f64::max),
+            shortest_target: site.query_classes.iter().map(|t| t.latency_objective).fold(f64::MAX, f64::min),
+            longest_target: site.query_classes.iter().map(|t| t.latency_objective).fold(0.0, f64::max),
             site,
         }
     }
 
     /// Our parts of bounds that hold for all brokers together, from now on.
-    pub fn limited(&mut self, limits: Limits) {
+    pub fn set_quota_shares(&mut self, limits: QuotaShares) {
         self.limits = limits;
     }
 
     /// What we would use of them, over the last `seconds`; refusals since they were asked for last.
-    pub fn demand(&self, seconds: f64) -> Demand {
+    pub fn quota_demand(&self, seconds: f64) -> QuotaDemand {
         let made = self.again.iter().filter(|at| **at > self.now - seconds).count();
-        Demand { cold: self.completes(), further: made as f64, refused: self.refused.take() }
+        QuotaDemand {
+            slow_start: self.completes(),
+            retries: made as f64,
+            retries_denied: self.refused.take(),
+        }
     }
 
     pub(crate) fn noted(&self, room: bool) -> bool {
@@ -249,7 +264,10 @@
 impl Shot {
     /// It is known not to have run.
     pub fn never_ran(&self) -> bool {
-        matches!(self.end, Some(End::Full | End::NoConnection | End::NotSent))
+        matches!(
+            self.end,
+            Some(AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
+        )
     }
 }
 
@@ -261,11 +279,11 @@
 
 impl Held {
     /// A scan as it comes in, before its parts are entered.
-    pub fn new(scan: &Scan, now: f64, target_at: f64, rules: Arc<Rules>) -> Self {
+    pub fn new(scan: &Query, now: f64, target_at: f64, rules: Arc<Rules>) -> Self {
         Self {
             id: scan.id,
-            table_type: scan.table_type,
-            customer: scan.customer,
+            table_type: scan.class,
+            customer: scan.tenant,
             admitted: false,
             outlasts: false,
             target_at,
@@ -276,10 +294,10 @@
             step_from: 0,
             second: false,
             asked: None,
-            once: !scan.kept,
+            once: !scan.body_retained,
             spent: false,
-            long: scan.long,
-            waits: scan.waits,
+            long: scan.streamed,
+            waits: scan.awaits_prefilter,
             audit: scan.audit,
             rules,
         }
@@ -302,11 +320,11 @@
     }
 
     /// A node as it is first listed.
-    pub fn new(row: &Listed, tokens: Tokens) -> Self {
+    pub fn new(row: &Endpoint, tokens: Tokens) -> Self {
         Self {
             zone: row.zone,
-            standing: row.standing,
-            started: row.started,
+            standing: row.state,
+            started: row.started_at,
             tokens,
             heard: f64::MIN,
             used: f64::MAX,
