--- a/crates/dunepond-routing/tests/fleet.rs
+++ b/crates/dunepond-routing/tests/fleet.rs
@@ -42,10 +42,10 @@
 struct Desk {
     now: f64,
     nodes: Rc<RefCell<Nodes>>,
-    due: Vec<(f64, Ended)>,
+    due: Vec<(f64, AttemptEnded)>,
     /// Node, and when it was sent, of each dispatch of each part.
-    shots: Vec<(ScanId, usize, usize, f64)>,
-    finals: Vec<ScanId>,
+    shots: Vec<(QueryId, usize, usize, f64)>,
+    finals: Vec<QueryId>,
     wakes: Vec<f64>,
     /// The start of each node that this broker has heard of.
     heard: Vec<f64>,
@@ -53,11 +53,11 @@
     works: Vec<f64>,
 }
 
-impl Host for Desk {
+impl Transport for Desk {
     fn now(&self) -> f64 {
         self.now
     }
-    fn dispatch(&mut self, scan: ScanId, part: usize, node: NodeId) {
+    fn send_attempt(&mut self, scan: QueryId, part: usize, node: NodeId) {
         assert!(!self.finals.contains(&scan), "sent after the final answer");
         let shot = self.shots.iter().filter(|s| (s.0, s.1) == (scan, part)).count();
         self.shots.push((scan, part, node, self.now));
@@ -70,34 +70,48 @@
             let worker = usize::from(busy[1] < busy[0]);
             busy[worker] = busy[worker].max(self.now) + 0.02 * work / warmth;
             let took = busy[worker] - self.now;
-            let ended = Ended { scan, part, shot, node, end: End::Completed, took };
+            let ended = AttemptEnded {
+                query: scan,
+                part,
+                attempt: shot,
+                node,
+                outcome: AttemptOutcome::Served,
+                elapsed: took,
+            };
             self.due.push((busy[worker], ended));
         }
     }
-    fn cancel(&mut self, scan: ScanId, part: usize, shot: usize) {
+    fn cancel_attempt(&mut self, scan: QueryId, part: usize, shot: usize) {
         let sent = self.shots.iter().filter(|s| (s.0, s.1) == (scan, part)).nth(shot);
         let (node, at) = sent.map(|s| (s.2, s.3)).expect("cancelled what was sent");
-        self.due.retain(|(_, e)| (e.scan, e.part, e.shot) != (scan, part, shot));
-        let ended = Ended { scan, part, shot, node, end: End::Cancelled, took: self.now - at };
+        self.due.retain(|(_, e)| (e.query, e.part, e.attempt) != (scan, part, shot));
+        let ended = AttemptEnded {
+            query: scan,
+            part,
+            attempt: shot,
+            node,
+            outcome: AttemptOutcome::Cancelled,
+            elapsed: self.now - at,
+        };
         self.due.push((self.now, ended));
     }
-    fn answer(&mut self, scan: ScanId, _: bool) {
+    fn answer(&mut self, scan: QueryId, _: bool) {
         self.finals.push(scan);
     }
-    fn throttle(&mut self, scan: ScanId, _: f64) {
+    fn reject_retriable(&mut self, scan: QueryId, _: f64) {
         self.finals.push(scan);
     }
-    fn abandon(&mut self, scan: ScanId) {
+    fn fail_unknown_outcome(&mut self, scan: QueryId) {
         self.finals.push(scan);
     }
-    fn wake_at(&mut self, at: f64) {
+    fn schedule_wake(&mut self, at: f64) {
         self.wakes.push(at);
     }
-    fn close_idle(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.nodes.borrow_mut().closed.push((self.now, node));
     }
     fn probe(&mut self, _: NodeId) {}
-    fn forget(&mut self, _: ScanId) {}
+    fn finish(&mut self, _: QueryId) {}
     fn log(&mut self, _: &str) {}
 }
 
@@ -112,45 +126,50 @@
 
 struct Fleet {
     now: f64,
-    brokers: Vec<(Broker, Desk)>,
+    brokers: Vec<(Router, Desk)>,
     nodes: Rc<RefCell<Nodes>>,
     rng: Pcg64Mcg,
-    asked: Vec<ScanId>,
+    asked: Vec<QueryId>,
     /// How many of the scans come to each broker, against the others.
     shares: Vec<f64>,
     /// How many scans have parts of more than mean work, and how much these and the others have: 1 in the mean.
     works: (f64, f64, f64),
 }
 
-fn site(seed: u64, brokers: usize, nodes: usize, budget: Option<FurtherBudget>) -> Deployment {
-    let full = TableType {
-        target: 0.5,
+fn site(seed: u64, brokers: usize, nodes: usize, budget: Option<RetryBudget>) -> Deployment {
+    let full = QueryClass {
+        latency_objective: 0.5,
         timeout: 2.0,
-        benefit: 1.0,
-        late: 0.3,
-        repeat: Repeat::Replayable,
-        whole_at: 1.0,
-        least: 1.0,
+        priority_weight: 1.0,
+        late_value_ratio: 0.3,
+        idempotency: Idempotency::Idempotent,
+        complete_at: 1.0,
+        minimum_share: 1.0,
         second_step: false,
     };
     Deployment {
         seed,
-        brokers: brokers as f64,
+        broker_count: brokers as f64,
         zone: seed as usize % 3,
-        table_types: vec![full],
+        query_classes: vec![full],
         quotas: Vec::new(),
-        benefit_by_work: false,
-        cells: nodes,
-        holders: 3,
-        crossing: None,
-        dispatch_cap: 4,
-        second_copies: true,
+        weight_by_work: false,
+        replica_groups: nodes,
+        replicas: 3,
+        cross_zone_cost: None,
+        max_attempts: 4,
+        hedging_enabled: true,
         may_cancel: true,
         may_probe: false,
-        longest_wait: 2.0,
-        budget,
-        cold: ColdRule { from: 0.2, warm_after: 15.0, multiple: 2.5, span: 1.0 },
-        ask_within: None,
+        max_retry_after: 2.0,
+        retry_budget: budget,
+        slow_start: SlowStart {
+            initial_capacity_ratio: 0.2,
+            duration: 15.0,
+            rate_multiple: 2.5,
+            window: 1.0,
+        },
+        list_poll_deadline: None,
         tick: TICK,
     }
 }
@@ -160,8 +179,8 @@
     now: f64,
     brokers: usize,
     shared: &Rc<RefCell<Nodes>>,
-    budget: &Option<FurtherBudget>,
-) -> (Broker, Desk) {
+    budget: &Option<RetryBudget>,
+) -> (Router, Desk) {
     let nodes = shared.borrow().natures.len();
     let desk = Desk {
         now,
@@ -173,11 +192,11 @@
         heard: vec![0.0; nodes],
         works: Vec::new(),
     };
-    (Broker::new(site(seed, brokers, nodes, budget.clone())), desk)
+    (Router::new(site(seed, brokers, nodes, budget.clone())), desk)
 }
 
 impl Fleet {
-    fn new(brokers: usize, nodes: usize, budget: Option<FurtherBudget>) -> Self {
+    fn new(brokers: usize, nodes: usize, budget: Option<RetryBudget>) -> Self {
         let shared = Rc::new(RefCell::new(Nodes {
             natures: vec![Nature::Sound; nodes],
             started: vec![0.0; nodes],
@@ -206,18 +225,23 @@
 
     /// One broker hears when these nodes started.
     fn tell(&mut self, id: usize, started: &[(NodeId, f64)]) {
-        self.tell_as(id, started, Standing::Active);
+        self.tell_as(id, started, EndpointState::Active);
     }
 
     /// One broker hears how these nodes stand.
-    fn tell_as(&mut self, id: usize, started: &[(NodeId, f64)], standing: Standing) {
-        let row =
-            |&(node, started): &(NodeId, f64)| Listed { node, cell: node, zone: node % 3, standing, started };
+    fn tell_as(&mut self, id: usize, started: &[(NodeId, f64)], standing: EndpointState) {
+        let row = |&(node, started): &(NodeId, f64)| Endpoint {
+            node,
+            replica_group: node,
+            zone: node % 3,
+            state: standing,
+            started_at: started,
+        };
         let rows: Vec<_> = started.iter().map(row).collect();
         let (broker, desk) = &mut self.brokers[id];
         desk.now = self.now;
         started.iter().for_each(|(node, at)| desk.heard[*node] = *at);
-        broker.listed(desk, false, &rows);
+        broker.update_endpoints(desk, false, &rows);
     }
 
     /// Other processes take the places of these brokers and hear the whole list; what the old ones held has gone.
@@ -249,11 +273,11 @@
                 desk.now = self.now;
                 while let Some(at) = desk.due.iter().position(|d| d.0 <= self.now) {
                     let (_, ended) = desk.due.swap_remove(at);
-                    broker.ended(desk, ended);
+                    broker.on_attempt_ended(desk, ended);
                 }
                 if desk.wakes.iter().any(|at| *at <= self.now) {
                     desk.wakes.retain(|at| *at > self.now);
-                    broker.wake(desk);
+                    broker.on_wake(desk);
                 }
                 for _ in 0..comes[id] {
                     self.asked[id] += 1;
@@ -262,20 +286,24 @@
                     let (heavy, more, less) = self.works;
                     let work = if heavy > 0.0 && self.rng.random::<f64>() < heavy { more } else { less };
                     desk.works.push(work);
-                    let part = |j| Part { seg: (first + j) % cells, weight: 1.0 / parts as f64, only: None };
-                    let scan = Scan {
+                    let part = |j| Part {
+                        segment: (first + j) % cells,
+                        weight: 1.0 / parts as f64,
+                        required_node: None,
+                    };
+                    let scan = Query {
                         id: self.asked[id],
-                        table_type: 0,
-                        customer: 0,
+                        class: 0,
+                        tenant: 0,
                         expires_in: 2.0,
-                        resent: false,
-                        kept: true,
-                        long: false,
-                        waits: false,
+                        is_retry: false,
+                        body_retained: true,
+                        streamed: false,
+                        awaits_prefilter: false,
                         audit: false,
                         parts: (0..parts).map(part).collect(),
                     };
-                    broker.scan(desk, scan);
+                    broker.on_query(desk, scan);
                 }
             }
         }
@@ -434,7 +462,7 @@
             Self::HoldersLost => {
                 fleet.run(4.0, 90.0, 8);
                 let lost = [(1, 0.0), (2, 0.0), (4, 0.0), (5, 0.0)];
-                (0..brokers).for_each(|id| fleet.tell_as(id, &lost, Standing::Gone));
+                (0..brokers).for_each(|id| fleet.tell_as(id, &lost, EndpointState::Removed));
                 fleet.run(1.5, 90.0, 8);
             }
         }
@@ -535,7 +563,7 @@
 /// know is trials, and every scan has its one answer.
 #[test]
 fn a_lost_zone_gets_few_trials_from_all_brokers_together_and_each_scan_one_answer() {
-    let mut fleet = Fleet::new(100, 12, Some(FurtherBudget { window: 2.0, free: 0.0, share: 0.05 }));
+    let mut fleet = Fleet::new(100, 12, Some(RetryBudget { window: 2.0, min_retries: 0.0, ratio: 0.05 }));
     fleet.run(4.0, 60.0, 4);
     (0..12).step_by(3).for_each(|n| fleet.nodes.borrow_mut().natures[n] = Nature::Silent);
     fleet.run(8.0, 60.0, 4);
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -8,8 +8,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunepond_routing::{
-    Broker, ColdRule, Deployment, End, Ended, FurtherBudget, Host, Limits, Listed, NodeId, Part, Repeat,
-    Rules, Scan, ScanId, Shutdown, ShutdownStage, Standing, TableType,
+    AttemptEnded, AttemptOutcome, Deployment, Endpoint, EndpointState, Idempotency, NodeId, Part, Query,
+    QueryClass, QueryId, QuotaShares, RetryBudget, Router, Rules, Shutdown, ShutdownStage, SlowStart,
+    Transport,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -103,7 +104,7 @@
     /// When each of its two workers is through with what it has.
     busy: [f64; 2],
     used: f64,
-    out: BTreeSet<(ScanId, usize, usize)>,
+    out: BTreeSet<(QueryId, usize, usize)>,
 }
 
 struct Sent {
@@ -124,13 +125,13 @@
 #[derive(Clone)]
 enum Event {
     Arrival,
-    Ended { scan: ScanId, part: usize, shot: usize, end: End },
-    Framed { scan: ScanId, part: usize, shot: usize },
-    TextGone(ScanId),
-    Search(ScanId),
-    Restore(ScanId, Vec<usize>),
-    SecondStep(ScanId),
-    ClientLeft(ScanId),
+    Ended { scan: QueryId, part: usize, shot: usize, end: AttemptOutcome },
+    Framed { scan: QueryId, part: usize, shot: usize },
+    TextGone(QueryId),
+    Search(QueryId),
+    Restore(QueryId, Vec<usize>),
+    SecondStep(QueryId),
+    ClientLeft(QueryId),
     Probed(NodeId, Option<f64>),
     Wake,
     ListAnswered,
@@ -155,8 +156,8 @@
     queue: BTreeMap<(u64, u64), Event>,
     sequence: u64,
     nodes: Vec<NodeState>,
-    scans: BTreeMap<ScanId, Tracked>,
-    live: BTreeSet<ScanId>,
+    scans: BTreeMap<QueryId, Tracked>,
+    live: BTreeSet<QueryId>,
     service: f64,
     two_step: bool,
 }
@@ -174,7 +175,7 @@
     }
 
     /// How a dispatch that reaches a node now will end, and when.
-    fn outcome(&mut self, id: NodeId, table_type: usize) -> (End, f64) {
+    fn outcome(&mut self, id: NodeId, table_type: usize) -> (AttemptOutcome, f64) {
         let chance: f64 = self.rng.random();
         let work = self.service * self.rng.random_range(0.3..1.7);
         let node = &mut self.nodes[id];
@@ -182,56 +183,62 @@
         node.used = self.now;
         let soon = self.now + 0.2 * TICK;
         match node.mode {
-            _ if chance < 0.004 => return (End::NotSent, soon),
-            _ if chance < 0.01 => return (End::Error, self.now + work),
-            Mode::Down => return (End::NoConnection, soon),
-            Mode::Silent => return (End::Completed, f64::MAX),
-            Mode::Swallowing if chance < 0.4 => return (End::Completed, f64::MAX),
-            Mode::Failing if chance < 0.8 => return (End::Error, soon),
-            Mode::FailingQuick if table_type == QUICK => return (End::Error, soon),
-            Mode::Full if chance < 0.6 => return (End::Full, soon),
-            Mode::Reaped if idle > 0.6 => return (End::Dropped, soon),
+            _ if chance < 0.004 => return (AttemptOutcome::NotSent, soon),
+            _ if chance < 0.01 => return (AttemptOutcome::Error, self.now + work),
+            Mode::Down => return (AttemptOutcome::ConnectFailed, soon),
+            Mode::Silent => return (AttemptOutcome::Served, f64::MAX),
+            Mode::Swallowing if chance < 0.4 => return (AttemptOutcome::Served, f64::MAX),
+            Mode::Failing if chance < 0.8 => return (AttemptOutcome::Error, soon),
+            Mode::FailingQuick if table_type == QUICK => return (AttemptOutcome::Error, soon),
+            Mode::Full if chance < 0.6 => return (AttemptOutcome::Rejected, soon),
+            Mode::Reaped if idle > 0.6 => return (AttemptOutcome::ConnectionLost, soon),
             _ => {}
         }
         let warmth = (0.2 + 0.8 * (self.now - node.started) / 15.0).min(1.0);
         let factor = if node.mode == Mode::Slow { 8.0 } else { 1.0 };
         let worker = usize::from(node.busy[1] < node.busy[0]);
         node.busy[worker] = node.busy[worker].max(self.now) + work * factor / warmth;
-        (End::Completed, node.busy[worker])
+        (AttemptOutcome::Served, node.busy[worker])
     }
 
     fn crash(&mut self, id: NodeId) {
         let out = self.nodes[id].out.clone();
         for (scan, part, shot) in out {
-            self.schedule(self.now, Event::Ended { scan, part, shot, end: End::Dropped });
+            self.schedule(self.now, Event::Ended { scan, part, shot, end: AttemptOutcome::ConnectionLost });
         }
         self.nodes[id].busy = [self.now; 2];
     }
 
-    fn row(&self, id: NodeId) -> Option<Listed> {
+    fn row(&self, id: NodeId) -> Option<Endpoint> {
         let node = &self.nodes[id];
         let standing = match node.presence {
-            Presence::Active => Standing::Active,
-            Presence::Draining => Standing::Draining,
-            Presence::Gone => Standing::Gone,
+            Presence::Active => EndpointState::Active,
+            Presence::Draining => EndpointState::Draining,
+            Presence::Gone => EndpointState::Removed,
             Presence::Forgotten => return None,
         };
-        Some(Listed { node: id, cell: node.cell, zone: node.zone, standing, started: node.started })
+        Some(Endpoint {
+            node: id,
+            replica_group: node.cell,
+            zone: node.zone,
+            state: standing,
+            started_at: node.started,
+        })
     }
 
     /// All that the list has of the fleet.
-    fn rows(&self) -> Vec<Listed> {
+    fn rows(&self) -> Vec<Endpoint> {
         let present = (0..self.nodes.len()).filter(|id| self.nodes[*id].presence != Presence::Gone);
         present.filter_map(|id| self.row(id)).collect()
     }
 }
 
-impl Host for Recorder {
+impl Transport for Recorder {
     fn now(&self) -> f64 {
         self.now
     }
 
-    fn dispatch(&mut self, scan: ScanId, part: usize, node: NodeId) {
+    fn send_attempt(&mut self, scan: QueryId, part: usize, node: NodeId) {
         self.record(Call::Dispatch, &[scan, part as u64, node as u64]);
         let (table_type, expires_at, long) = {
             let tracked = &self.scans[&scan];
@@ -239,7 +246,8 @@
         };
         let (end, at) = self.outcome(node, table_type);
         let frame = if long { self.rng.random_range(0.0..0.3) } else { 0.0 };
-        let (end, at) = if at + frame < expires_at { (end, at + frame) } else { (End::TimedOut, expires_at) };
+        let (end, at) =
+            if at + frame < expires_at { (end, at + frame) } else { (AttemptOutcome::TimedOut, expires_at) };
         let tracked = self.scans.get_mut(&scan).expect("it is a scan of ours");
         let shot = tracked.parts[part].len();
         tracked.parts[part].push(Sent { node, at: self.now, ended: false });
@@ -250,15 +258,15 @@
         self.schedule(at, Event::Ended { scan, part, shot, end });
     }
 
-    fn close_idle(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.record(Call::CloseIdle, &[node as u64]);
         self.nodes[node].used = self.now;
     }
 
-    fn cancel(&mut self, scan: ScanId, part: usize, shot: usize) {
+    fn cancel_attempt(&mut self, scan: QueryId, part: usize, shot: usize) {
         self.record(Call::Cancel, &[scan, part as u64, shot as u64]);
         let at = self.now + self.rng.random_range(0.0..2.0) * TICK;
-        self.schedule(at, Event::Ended { scan, part, shot, end: End::Cancelled });
+        self.schedule(at, Event::Ended { scan, part, shot, end: AttemptOutcome::Cancelled });
     }
 
     fn probe(&mut self, node: NodeId) {
@@ -270,7 +278,7 @@
         self.schedule(at, Event::Probed(node, answered.then_some(took)));
     }
 
-    fn answer(&mut self, scan: ScanId, whole: bool) {
+    fn answer(&mut self, scan: QueryId, whole: bool) {
         self.record(if whole { Call::AnswerWhole } else { Call::AnswerPart }, &[scan]);
         let tracked = self.scans.get_mut(&scan).expect("it is a scan of ours");
         tracked.answers += 1;
@@ -280,27 +288,27 @@
         }
     }
 
-    fn throttle(&mut self, scan: ScanId, wait: f64) {
+    fn reject_retriable(&mut self, scan: QueryId, wait: f64) {
         self.record(Call::Throttle, &[scan, wait.to_bits()]);
     }
 
-    fn abandon(&mut self, scan: ScanId) {
+    fn fail_unknown_outcome(&mut self, scan: QueryId) {
         self.record(Call::Abandon, &[scan]);
     }
 
-    fn forget(&mut self, scan: ScanId) {
+    fn finish(&mut self, scan: QueryId) {
         self.record(Call::Forget, &[scan]);
         self.scans.get_mut(&scan).expect("it is a scan of ours").over = true;
         self.live.remove(&scan);
     }
 
-    fn wake_at(&mut self, at: f64) {
+    fn schedule_wake(&mut self, at: f64) {
         self.record(Call::WakeAt, &[at.to_bits()]);
         let late = TICK * self.rng.random_range(0.0..1.0);
         self.schedule(at.max(self.now) + late, Event::Wake);
     }
 
-    fn ask_list(&mut self) {
+    fn poll_endpoint_list(&mut self) {
         self.record(Call::AskList, &[]);
         let (chance, wait): (f64, f64) = (self.rng.random(), self.rng.random_range(0.0..0.2));
         match chance {
@@ -339,54 +347,59 @@
     shutdown_after: f64,
 }
 
-fn table_types() -> Vec<TableType> {
-    let full = TableType {
-        target: 0.8,
+fn table_types() -> Vec<QueryClass> {
+    let full = QueryClass {
+        latency_objective: 0.8,
         timeout: 2.5,
-        benefit: 1.0,
-        late: 0.3,
-        repeat: Repeat::Replayable,
-        whole_at: 1.0,
-        least: 1.0,
+        priority_weight: 1.0,
+        late_value_ratio: 0.3,
+        idempotency: Idempotency::Idempotent,
+        complete_at: 1.0,
+        minimum_share: 1.0,
         second_step: false,
     };
     vec![
-        TableType {
-            target: 0.4,
+        QueryClass {
+            latency_objective: 0.4,
             timeout: 1.5,
-            benefit: 2.0,
-            late: 0.0,
-            whole_at: 0.6,
-            least: 0.6,
+            priority_weight: 2.0,
+            late_value_ratio: 0.0,
+            complete_at: 0.6,
+            minimum_share: 0.6,
             ..full.clone()
         },
         full.clone(),
-        TableType { repeat: Repeat::NonReplayable, ..full.clone() },
-        TableType { repeat: Repeat::Keyed(0.7), ..full.clone() },
-        TableType { second_step: true, whole_at: 0.5, least: 0.5, ..full.clone() },
-        TableType { least: 0.5, ..full },
+        QueryClass { idempotency: Idempotency::NonIdempotent, ..full.clone() },
+        QueryClass { idempotency: Idempotency::Keyed(0.7), ..full.clone() },
+        QueryClass { second_step: true, complete_at: 0.5, minimum_share: 0.5, ..full.clone() },
+        QueryClass { minimum_share: 0.5, ..full },
     ]
 }
 
 fn site(seed: u64) -> Deployment {
     Deployment {
         seed,
-        brokers: 3.0,
+        broker_count: 3.0,
         zone: 1,
-        table_types: table_types(),
+        query_classes: table_types(),
         quotas: Vec::new(),
-        benefit_by_work: false,
-        cells: CELLS,
-        holders: 3,
-        crossing: Some(0.02),
-        dispatch_cap: 4,
-        second_copies: true,
+        weight_by_work: false,
+        replica_groups: CELLS,
+        replicas: 3,
+        cross_zone_cost: Some(0.02),
+        max_attempts: 4,
+        hedging_enabled: true,
         may_cancel: true,
         may_probe: false,
-        longest_wait: 2.0,
-        budget: None,
-        cold: ColdRule { from: 0.2, warm_after: 15.0, multiple: 2.5, span: 1.0 },
-        ask_within: None,
+        max_retry_after: 2.0,
+        retry_budget: None,
+        slow_start: SlowStart {
+            initial_capacity_ratio: 0.2,
+            duration: 15.0,
+            rate_multiple: 2.5,
+            window: 1.0,
+        },
+        list_poll_deadline: None,
         tick: TICK,
     }
 }
@@ -418,15 +431,15 @@
 
 /// No copies, no cancels, no crossing price; a tight budget and quotas, far more work than the nodes can do.
 fn overloaded() -> Scenario {
-    let budget = Some(FurtherBudget { window: 10.0, free: 3.0, share: 0.05 });
+    let budget = Some(RetryBudget { window: 10.0, min_retries: 3.0, ratio: 0.05 });
     let tight = Deployment {
         quotas: vec![30.0, 8.0, 2.0],
-        benefit_by_work: true,
-        crossing: None,
-        second_copies: false,
+        weight_by_work: true,
+        cross_zone_cost: None,
+        hedging_enabled: false,
         may_cancel: false,
-        longest_wait: 0.0,
-        budget,
+        max_retry_after: 0.0,
+        retry_budget: budget,
         ..site(2)
     };
     Scenario { site: tight, seconds: 32.0, gap: 0.012, rush: 4.0, service: 0.08, ..ordinary(2) }
@@ -434,7 +447,7 @@
 
 /// Sixty nodes, each met seldom, some of them slow: holders are in doubt and probed.
 fn probing() -> Scenario {
-    let probes = Deployment { may_probe: true, cells: 30, ..site(3) };
+    let probes = Deployment { may_probe: true, replica_groups: 30, ..site(3) };
     Scenario {
         site: probes,
         nodes: 60,
@@ -450,7 +463,7 @@
 
 /// Scans of many parts, each with two holders that break often: most are sent by probes and some are turned away by them.
 fn doubting() -> Scenario {
-    let probes = Deployment { may_probe: true, cells: 60, holders: 2, ..site(9) };
+    let probes = Deployment { may_probe: true, replica_groups: 60, replicas: 2, ..site(9) };
     Scenario {
         site: probes,
         most_parts: 4,
@@ -464,7 +477,7 @@
 
 /// A list that is polled and refuses; nodes drain, go, are forgotten and start cold.
 fn churning() -> Scenario {
-    let polled = Deployment { ask_within: Some(2.0), ..site(4) };
+    let polled = Deployment { list_poll_deadline: Some(2.0), ..site(4) };
     Scenario { site: polled, churn_every: 0.5, stalls_every: 7.0, ..ordinary(4) }
 }
 
@@ -475,15 +488,15 @@
 
 /// Rules and our parts of fleet-wide bounds change while scans are held; budgets and cold nodes.
 fn changing_rules() -> Scenario {
-    let budget = Some(FurtherBudget { window: 8.0, free: 10.0, share: 0.2 });
-    let stated = Deployment { quotas: vec![20.0, 10.0, 5.0], budget, ..site(6) };
+    let budget = Some(RetryBudget { window: 8.0, min_retries: 10.0, ratio: 0.2 });
+    let stated = Deployment { quotas: vec![20.0, 10.0, 5.0], retry_budget: budget, ..site(6) };
     Scenario { site: stated, churn_every: 2.0, rules_every: 1.1, limits_every: 1.7, rush: 3.0, ..ordinary(6) }
 }
 
 /// Processes follow one another, with what was learned and spent, or without.
 fn restarting() -> Scenario {
-    let budget = Some(FurtherBudget { window: 6.0, free: 6.0, share: 0.1 });
-    let stated = Deployment { budget, ..site(7) };
+    let budget = Some(RetryBudget { window: 6.0, min_retries: 6.0, ratio: 0.1 });
+    let stated = Deployment { retry_budget: budget, ..site(7) };
     Scenario { site: stated, restart_every: 5.0, churn_every: 3.0, ..ordinary(7) }
 }
 
@@ -494,10 +507,10 @@
 
 struct Driver {
     scenario: Scenario,
-    broker: Broker,
+    broker: Router,
     host: Recorder,
     rng: Pcg64Mcg,
-    scans: ScanId,
+    scans: QueryId,
     shutdown: Option<Shutdown>,
     checkpoints: Vec<u64>,
 }
@@ -507,7 +520,7 @@
         let nodes = (0..scenario.nodes).map(|id| NodeState {
             mode: Mode::Sound,
             presence: Presence::Active,
-            cell: id % scenario.site.cells,
+            cell: id % scenario.site.replica_groups,
             zone: id % ZONES,
             started: if id % 7 == 6 { START - 4.0 } else { 0.0 },
             busy: [START; 2],
@@ -527,14 +540,14 @@
             service: scenario.service,
             two_step: true,
         };
-        let broker = Broker::new(scenario.site.clone());
+        let broker = Router::new(scenario.site.clone());
         let rng = Pcg64Mcg::seed_from_u64(scenario.seed + 200);
         Self { scenario, broker, host, rng, scans: 0, shutdown: None, checkpoints: Vec::new() }
     }
 
     fn play(mut self) -> (Vec<u64>, [usize; CALL_KINDS]) {
         let rows = self.host.rows();
-        self.broker.listed(&mut self.host, true, &rows);
+        self.broker.update_endpoints(&mut self.host, true, &rows);
         self.host.schedule(START + 0.01, Event::Arrival);
         let s = &self.scenario;
         let recurring = [
@@ -589,24 +602,24 @@
             Event::Ended { scan, part, shot, end } => self.ended(scan, part, shot, end),
             Event::Framed { scan, part, shot } => {
                 let node = self.host.scans[&scan].parts[part][shot].node;
-                self.broker.framed(&mut self.host, node, (scan, part, shot));
+                self.broker.on_frame_written(&mut self.host, node, (scan, part, shot));
             }
-            Event::TextGone(scan) => self.broker.text_gone(&mut self.host, scan),
+            Event::TextGone(scan) => self.broker.on_body_discarded(&mut self.host, scan),
             Event::Search(scan) => self.search(scan),
-            Event::Restore(scan, parts) => self.broker.restore(&mut self.host, scan, &parts),
+            Event::Restore(scan, parts) => self.broker.on_prefilter_revoked(&mut self.host, scan, &parts),
             Event::SecondStep(scan) => self.second_step(scan),
             Event::ClientLeft(scan) => {
                 if !self.host.scans[&scan].over {
-                    self.broker.client_left(&mut self.host, scan);
+                    self.broker.on_client_disconnect(&mut self.host, scan);
                 }
             }
-            Event::Probed(node, answered) => self.broker.probed(&mut self.host, node, answered),
-            Event::Wake => self.broker.wake(&mut self.host),
+            Event::Probed(node, answered) => self.broker.on_probe_result(&mut self.host, node, answered),
+            Event::Wake => self.broker.on_wake(&mut self.host),
             Event::ListAnswered => {
                 let rows = self.host.rows();
-                self.broker.listed(&mut self.host, true, &rows);
+                self.broker.update_endpoints(&mut self.host, true, &rows);
             }
-            Event::ListRefused => self.broker.list_refused(&mut self.host),
+            Event::ListRefused => self.broker.on_list_poll_failed(&mut self.host),
             Event::Fault => self.fault(),
             Event::Churn => self.churn(),
             Event::Stall => {
@@ -619,7 +632,7 @@
             Event::Shutdown => {
                 let shutdown = Shutdown::new(self.host.now, 2.5);
                 self.shutdown = Some(shutdown);
-                self.broker.told_to_end(shutdown);
+                self.broker.begin_shutdown(shutdown);
             }
         }
     }
@@ -632,7 +645,7 @@
         let id = self.scans;
         let kinds = self.scenario.table_types;
         let table_type = kinds[self.rng.random_range(0..kinds.len())];
-        let timeout = self.scenario.site.table_types[table_type].timeout;
+        let timeout = self.scenario.site.query_classes[table_type].timeout;
         let hasty = self.rng.random_bool(0.15);
         let expires_in = timeout * if hasty { self.rng.random_range(0.02..0.6) } else { 1.0 };
         let kept = !self.scenario.bodies || self.rng.random_bool(0.6);
@@ -640,15 +653,15 @@
         let waits = self.scenario.prefilter && kept && self.rng.random_bool(0.3);
         let audit = self.scenario.prefilter && kept && !waits && self.rng.random_bool(0.05);
         let parts = self.parts(table_type);
-        let scan = Scan {
+        let scan = Query {
             id,
-            table_type,
-            customer: self.rng.random_range(0..4),
+            class: table_type,
+            tenant: self.rng.random_range(0..4),
             expires_in,
-            resent: self.rng.random_bool(0.1),
-            kept,
-            long,
-            waits,
+            is_retry: self.rng.random_bool(0.1),
+            body_retained: kept,
+            streamed: long,
+            awaits_prefilter: waits,
             audit,
             parts,
         };
@@ -676,32 +689,32 @@
             let at = self.host.now + self.rng.random_range(0.005..0.3);
             self.host.schedule(at, Event::Search(id));
         }
-        self.broker.scan(&mut self.host, scan);
+        self.broker.on_query(&mut self.host, scan);
     }
 
     fn parts(&mut self, table_type: usize) -> Vec<Part> {
         let count = self.rng.random_range(1..=self.scenario.most_parts);
         let owned = self.scenario.owners && table_type == FIX;
-        let cells = self.scenario.site.cells;
+        let cells = self.scenario.site.replica_groups;
         let part = |rng: &mut Pcg64Mcg| Part {
-            seg: rng.random_range(0..3 * cells),
+            segment: rng.random_range(0..3 * cells),
             weight: rng.random_range(0.1..1.0) / count as f64,
-            only: owned.then(|| rng.random_range(0..self.scenario.nodes)),
+            required_node: owned.then(|| rng.random_range(0..self.scenario.nodes)),
         };
         (0..count).map(|_| part(&mut self.rng)).collect()
     }
 
-    fn second_step(&mut self, scan: ScanId) {
+    fn second_step(&mut self, scan: QueryId) {
         if self.host.scans[&scan].over {
             return;
         }
         let parts = self.parts(FULL);
         let tracked = self.host.scans.get_mut(&scan).expect("it is a scan of ours");
         tracked.parts.extend(parts.iter().map(|_| Vec::new()));
-        self.broker.second_step(&mut self.host, scan, parts);
+        self.broker.on_second_step(&mut self.host, scan, parts);
     }
 
-    fn ended(&mut self, scan: ScanId, part: usize, shot: usize, end: End) {
+    fn ended(&mut self, scan: QueryId, part: usize, shot: usize, end: AttemptOutcome) {
         let tracked = self.host.scans.get_mut(&scan).expect("it is a scan of ours");
         let sent = &mut tracked.parts[part][shot];
         if std::mem::replace(&mut sent.ended, true) {
@@ -710,16 +723,19 @@
         let (node, took) = (sent.node, self.host.now - sent.at);
         self.host.nodes[node].out.remove(&(scan, part, shot));
         self.host.nodes[node].used = self.host.now;
-        self.broker.ended(&mut self.host, Ended { scan, part, shot, node, end, took });
+        self.broker.on_attempt_ended(
+            &mut self.host,
+            AttemptEnded { query: scan, part, attempt: shot, node, outcome: end, elapsed: took },
+        );
     }
 
-    fn search(&mut self, scan: ScanId) {
+    fn search(&mut self, scan: QueryId) {
         if self.host.scans[&scan].over {
             return;
         }
         let count = self.host.scans[&scan].parts.len();
         let left_out: Vec<usize> = (0..count).filter(|_| self.rng.random_bool(0.3)).collect();
-        self.broker.search(&mut self.host, scan, &left_out);
+        self.broker.on_prefilter_result(&mut self.host, scan, &left_out);
         if !left_out.is_empty() && self.rng.random_bool(0.3) {
             let at = self.host.now + self.rng.random_range(0.0..0.1);
             self.host.schedule(at, Event::Restore(scan, left_out));
@@ -770,8 +786,8 @@
                 Presence::Gone
             }
             Presence::Gone if self.host.nodes[id].out.is_empty() && self.broker.outstanding(id) == 0 => {
-                self.broker.forget(id);
-                self.host.nodes[id].cell = self.rng.random_range(0..self.scenario.site.cells);
+                self.broker.remove_node(id);
+                self.host.nodes[id].cell = self.rng.random_range(0..self.scenario.site.replica_groups);
                 Presence::Forgotten
             }
             Presence::Gone => Presence::Gone,
@@ -781,10 +797,10 @@
             }
         };
         self.host.nodes[id].presence = presence;
-        if self.scenario.site.ask_within.is_none() || self.rng.random_bool(0.1) {
+        if self.scenario.site.list_poll_deadline.is_none() || self.rng.random_bool(0.1) {
             let complete = self.rng.random_bool(0.3);
             let rows = if complete { self.host.rows() } else { self.host.row(id).into_iter().collect() };
-            self.broker.listed(&mut self.host, complete, &rows);
+            self.broker.update_endpoints(&mut self.host, complete, &rows);
         }
         self.again(self.scenario.churn_every, Event::Churn);
     }
@@ -792,26 +808,26 @@
     fn change_rules(&mut self) {
         let mut rules = Rules::of(&self.scenario.site);
         if self.rng.random_bool(0.5) {
-            rules.least[PARTIAL] = self.rng.random_range(0.2..1.0);
-            rules.whole_at[QUICK] = self.rng.random_range(0.3..1.0);
+            rules.minimum_share[PARTIAL] = self.rng.random_range(0.2..1.0);
+            rules.complete_at[QUICK] = self.rng.random_range(0.3..1.0);
         }
         if self.rng.random_bool(0.1) {
-            rules.whole_at.pop();
+            rules.complete_at.pop();
         }
-        rules.budget = match self.rng.random_range(0..4) {
+        rules.retry_budget = match self.rng.random_range(0..4) {
             0 => None,
-            1 => rules.budget,
-            _ => Some(FurtherBudget {
+            1 => rules.retry_budget,
+            _ => Some(RetryBudget {
                 window: self.rng.random_range(4.0..9.0),
-                free: self.rng.random_range(0..20) as f64,
-                share: self.rng.random_range(0.0..0.5),
+                min_retries: self.rng.random_range(0..20) as f64,
+                ratio: self.rng.random_range(0.0..0.5),
             }),
         };
-        rules.dispatch_cap = self.rng.random_range(1..6);
-        rules.second_copies = self.rng.random_bool(0.7);
-        rules.cold_multiple = self.rng.random_range(0.5..4.0);
-        rules.longest_wait = self.rng.random_range(0.0..3.0);
-        self.broker.govern(&rules);
+        rules.max_attempts = self.rng.random_range(1..6);
+        rules.hedging_enabled = self.rng.random_bool(0.7);
+        rules.slow_start_multiple = self.rng.random_range(0.5..4.0);
+        rules.max_retry_after = self.rng.random_range(0.0..3.0);
+        self.broker.set_rules(&rules);
         self.again(self.scenario.rules_every, Event::ChangeRules);
     }
 
@@ -820,45 +836,46 @@
             let stated = self.rng.random_bool(0.6);
             stated.then(|| self.rng.random_range(0.0..most))
         };
-        let limits = Limits { cold: part(20.0), further: part(1.0), quotas: vec![part(1.0), part(1.0)] };
-        self.broker.limited(limits);
+        let limits =
+            QuotaShares { slow_start: part(20.0), retries: part(1.0), quotas: vec![part(1.0), part(1.0)] };
+        self.broker.set_quota_shares(limits);
         self.again(self.scenario.limits_every, Event::ChangeLimits);
     }
 
     /// Another process in this one's place: after an orderly end with all that was learned and spent, or after a crash.
     fn restart(&mut self) {
-        let beliefs = self.broker.beliefs(&self.host);
-        let ledger = self.broker.ledger(&self.host);
-        self.broker = Broker::new(self.scenario.site.clone());
+        let beliefs = self.broker.learned_state(&self.host);
+        let ledger = self.broker.spent_budgets(&self.host);
+        self.broker = Router::new(self.scenario.site.clone());
         for scan in std::mem::take(&mut self.host.live) {
             self.host.scans.get_mut(&scan).expect("it is a scan of ours").over = true;
         }
         let rows: Vec<_> = (0..self.scenario.nodes).filter_map(|id| self.host.row(id)).collect();
         self.host.now += 0.2;
-        self.broker.listed(&mut self.host, true, &rows);
+        self.broker.update_endpoints(&mut self.host, true, &rows);
         if self.rng.random_bool(0.7) {
-            self.broker.believe(&mut self.host, &beliefs);
+            self.broker.restore_learned(&mut self.host, &beliefs);
         }
         let orderly = self.rng.random_bool(0.6);
-        self.broker.owe(&mut self.host, orderly.then_some(&ledger));
+        self.broker.restore_spent(&mut self.host, orderly.then_some(&ledger));
         self.again(self.scenario.restart_every, Event::Restart);
     }
 
     /// What the broker tells when asked, as it is on the way.
     fn look(&mut self) {
-        let demand = self.broker.demand(10.0);
+        let demand = self.broker.quota_demand(10.0);
         let digest = &mut self.host.digest;
-        digest.number(demand.cold);
-        digest.number(demand.further);
-        digest.number(demand.refused);
-        digest.flag(self.broker.pressed());
+        digest.number(demand.slow_start);
+        digest.number(demand.retries);
+        digest.number(demand.retries_denied);
+        digest.flag(self.broker.is_overloaded());
         for id in 0..=self.host.nodes.iter().rposition(|n| n.presence == Presence::Active).unwrap_or(0) {
             digest.index(self.broker.outstanding(id));
         }
-        let seg = (self.scans as usize) % self.scenario.site.cells;
-        self.broker.to_ask(seg).for_each(|id| digest.index(id));
+        let seg = (self.scans as usize) % self.scenario.site.replica_groups;
+        self.broker.prefilter_candidates(seg).for_each(|id| digest.index(id));
         for scan in &self.host.live {
-            digest.flag(self.broker.needs_text(*scan));
+            digest.flag(self.broker.needs_body(*scan));
         }
         if let Some(shutdown) = &self.shutdown {
             let now = self.host.now;
@@ -866,7 +883,7 @@
                 ShutdownStage::Serving => 0,
                 ShutdownStage::ClosingAfterAnswers => 1,
                 ShutdownStage::Refusing => 2,
-                ShutdownStage::ClosingUnasked => 3,
+                ShutdownStage::ClosingWithoutRequest => 3,
                 ShutdownStage::LastAnswers => 4,
             });
             digest.number(shutdown.next_stage_at(now).unwrap_or(0.0));
@@ -876,34 +893,36 @@
 
     /// What it has learned and spent.
     fn look_deeply(&mut self) {
-        let beliefs = self.broker.beliefs(&self.host);
-        let ledger = self.broker.ledger(&self.host);
+        let beliefs = self.broker.learned_state(&self.host);
+        let ledger = self.broker.spent_budgets(&self.host);
         let digest = &mut self.host.digest;
         for node in &beliefs.nodes {
             digest.index(node.node);
-            digest.flag(node.aside);
+            digest.flag(node.ejected);
             for sample in &node.samples {
-                digest.index(sample.table_type);
-                [sample.sent_ago, sample.took, sample.ago].into_iter().for_each(|n| digest.number(n));
+                digest.index(sample.class);
+                [sample.sent_ago, sample.latency, sample.ended_ago]
+                    .into_iter()
+                    .for_each(|n| digest.number(n));
                 digest.flag(sample.served);
                 digest.flag(sample.fault);
             }
         }
-        for (took, ago, part) in &beliefs.fleet {
+        for (took, ago, part) in &beliefs.latency_samples {
             [*took, *ago, *part].into_iter().for_each(|n| digest.number(n));
         }
-        for (ago, idle, broke) in &beliefs.reaped {
+        for (ago, idle, broke) in &beliefs.idle_resets {
             digest.number(*ago);
             digest.number(*idle);
             digest.flag(*broke);
         }
-        digest.number(beliefs.ease.unwrap_or(-1.0));
-        ledger.further.iter().for_each(|ago| digest.number(*ago));
-        for (ago, count) in &ledger.taken {
+        digest.number(beliefs.baseline_latency.unwrap_or(-1.0));
+        ledger.retries.iter().for_each(|ago| digest.number(*ago));
+        for (ago, count) in &ledger.admissions {
             digest.number(*ago);
             digest.number(*count);
         }
-        for (node, times) in &ledger.cold {
+        for (node, times) in &ledger.slow_start_sends {
             digest.index(*node);
             times.iter().for_each(|ago| digest.number(*ago));
         }
--- a/crates/dunepond-routing/tests/held_up.rs
+++ b/crates/dunepond-routing/tests/held_up.rs
@@ -14,7 +14,7 @@
 #[case::too_close_to_the_end_of_the_window(0.9, 1)]
 fn a_repeat_leaves_time_to_the_end_of_its_window(#[case] fails_after: f64, #[case] attempts: usize) {
     let mut town = Town::new(site());
-    town.host.nodes = vec![Some((End::Error, fails_after)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Error, fails_after)); 6];
     let scan = town.scan(KEYED, &[0]);
     town.run(1.2);
     assert_eq!(town.sent(scan).len(), attempts);
@@ -24,8 +24,8 @@
 #[case::in_time(1.9, 2)]
 #[case::too_close_to_the_end_of_its_clients_time(1.97, 1)]
 fn a_retry_begins_before_the_last_call(#[case] fails_after: f64, #[case] attempts: usize) {
-    let mut town = Town::new(Deployment { second_copies: false, ..site() });
-    town.host.nodes = vec![Some((End::Error, fails_after)); 6];
+    let mut town = Town::new(Deployment { hedging_enabled: false, ..site() });
+    town.host.nodes = vec![Some((AttemptOutcome::Error, fails_after)); 6];
     let scan = town.scan_of(FULL, &[0], 0, 2.0, false);
     town.run(2.5);
     assert_eq!(town.sent(scan).len(), attempts);
@@ -38,7 +38,7 @@
 #[case::less_than_nodes_take(0.02, false)]
 fn what_comes_with_little_time_is_sent_on_if_nodes_are_quick_enough(#[case] left: f64, #[case] sent: bool) {
     let mut town = Town::new(site());
-    town.host.nodes = vec![Some((End::Completed, 0.02)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Served, 0.02)); 6];
     town.traffic(FULL, 2.0, 0.02);
     let scan = town.scan_of(FULL, &[0], 0, left, false);
     assert_eq!(!town.sent(scan).is_empty(), sent);
--- a/crates/dunepond-routing/tests/limits.rs
+++ b/crates/dunepond-routing/tests/limits.rs
@@ -17,10 +17,10 @@
 #[case::half(5.0, 5)]
 #[case::none(0.0, 0)]
 fn a_cold_node_is_sent_what_our_part_allows(#[case] rate: f64, #[case] most: usize) {
-    let mut town = Town::new(Deployment { holders: 1, ..site() });
+    let mut town = Town::new(Deployment { replicas: 1, ..site() });
     let now = town.host.now;
-    town.list(false, &[row(0, Standing::Active, now - 3.0)]);
-    town.broker.limited(Limits { cold: Some(rate), ..Limits::default() });
+    town.list(false, &[row(0, EndpointState::Active, now - 3.0)]);
+    town.broker.set_quota_shares(QuotaShares { slow_start: Some(rate), ..QuotaShares::default() });
     for _ in 0..100 {
         town.scan(FULL, &[0]);
         town.run(0.01);
@@ -36,33 +36,33 @@
 #[case::most(Some(0.75), 9)]
 #[case::none(Some(0.0), 0)]
 fn further_dispatches_keep_to_our_part(#[case] part: Option<f64>, #[case] most: usize) {
-    let budget = Some(FurtherBudget { window: 60.0, free: 4.0, share: 0.0 });
-    let mut town = Town::new(Deployment { budget, dispatch_cap: 20, ..site() });
-    town.host.nodes = vec![Some((End::Error, 0.05)); 6];
-    town.broker.limited(Limits { further: part, ..Limits::default() });
+    let budget = Some(RetryBudget { window: 60.0, min_retries: 4.0, ratio: 0.0 });
+    let mut town = Town::new(Deployment { retry_budget: budget, max_attempts: 20, ..site() });
+    town.host.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
+    town.broker.set_quota_shares(QuotaShares { retries: part, ..QuotaShares::default() });
     let scans: Vec<_> = (0..12).map(|seg| town.scan(FULL, &[seg % 6])).collect();
     town.run(3.0);
     let further: usize = scans.iter().map(|scan| town.sent(*scan).len().saturating_sub(1)).sum();
     assert_eq!(further, most);
-    let demand = town.broker.demand(60.0);
-    assert_eq!(demand.further, most as f64);
-    assert!(demand.refused > 0.0 && town.broker.demand(60.0).refused == 0.0);
+    let demand = town.broker.quota_demand(60.0);
+    assert_eq!(demand.retries, most as f64);
+    assert!(demand.retries_denied > 0.0 && town.broker.quota_demand(60.0).retries_denied == 0.0);
 }
 
 /// What was spent under a larger part fills the window under a smaller one.
 #[test]
 fn a_part_that_goes_down_counts_what_was_spent_before() {
-    let budget = Some(FurtherBudget { window: 60.0, free: 4.0, share: 0.0 });
-    let mut town = Town::new(Deployment { budget, ..site() });
-    town.host.nodes = vec![Some((End::Error, 0.05)); 6];
-    town.broker.limited(Limits { further: Some(0.5), ..Limits::default() });
+    let budget = Some(RetryBudget { window: 60.0, min_retries: 4.0, ratio: 0.0 });
+    let mut town = Town::new(Deployment { retry_budget: budget, ..site() });
+    town.host.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
+    town.broker.set_quota_shares(QuotaShares { retries: Some(0.5), ..QuotaShares::default() });
     let before: Vec<_> = (0..6).map(|seg| town.scan(FULL, &[seg])).collect();
     town.run(2.0);
-    let further = |town: &Town, scans: &[ScanId]| -> usize {
+    let further = |town: &Town, scans: &[QueryId]| -> usize {
         scans.iter().map(|scan| town.sent(*scan).len().saturating_sub(1)).sum()
     };
     assert_eq!(further(&town, &before), 6);
-    town.broker.limited(Limits { further: Some(0.25), ..Limits::default() });
+    town.broker.set_quota_shares(QuotaShares { retries: Some(0.25), ..QuotaShares::default() });
     let after: Vec<_> = (0..6).map(|seg| town.scan(FULL, &[seg])).collect();
     town.run(2.0);
     assert_eq!(further(&town, &after), 0);
@@ -73,8 +73,8 @@
 fn a_customer_is_inside_its_share_as_long_as_our_part_of_it_lasts() {
     let served = |part: Option<f64>| {
         let mut town = Town::new(Deployment { quotas: vec![3.0], ..site() });
-        town.host.nodes = vec![Some((End::Completed, 1.75)); 6];
-        town.broker.limited(Limits { quotas: vec![part], ..Limits::default() });
+        town.host.nodes = vec![Some((AttemptOutcome::Served, 1.75)); 6];
+        town.broker.set_quota_shares(QuotaShares { quotas: vec![part], ..QuotaShares::default() });
         town.traffic(FULL, 12.0, 0.04);
         town.run(6.0);
         town.host.finals.iter().filter(|f| f.2 == Final::Answer { whole: true }).count()
--- a/crates/dunepond-routing/tests/list.rs
+++ b/crates/dunepond-routing/tests/list.rs
@@ -23,7 +23,7 @@
 const WITHIN: f64 = 10.0;
 
 fn asked_for() -> Town {
-    Town::new(Deployment { ask_within: Some(WITHIN), ..site() })
+    Town::new(Deployment { list_poll_deadline: Some(WITHIN), ..site() })
 }
 
 /// Plays the list for so long, and gives the times at which it was asked.
@@ -37,16 +37,16 @@
             match list.refuses {
                 0 => town.list(false, &[]),
                 n if answered % n == 0 => town.list(false, &[]),
-                _ => town.broker.list_refused(&mut town.host),
+                _ => town.broker.on_list_poll_failed(&mut town.host),
             }
         }
         if list.breaks.is_some_and(|every| town.host.now - last_break >= every) {
             last_break = town.host.now;
-            town.broker.list_refused(&mut town.host);
+            town.broker.on_list_poll_failed(&mut town.host);
         }
         if list.changes.is_some_and(|every| town.host.now - last_change >= every) {
             last_change = town.host.now;
-            town.list(false, &[row(0, Standing::Active, 0.0)]);
+            town.list(false, &[row(0, EndpointState::Active, 0.0)]);
         }
     }
     town.host.asked.clone()
@@ -55,7 +55,7 @@
 #[test]
 fn a_list_that_is_pushed_is_never_asked_for() {
     let mut town = Town::new(site());
-    town.broker.list_refused(&mut town.host);
+    town.broker.on_list_poll_failed(&mut town.host);
     town.traffic(FULL, 5.0, 0.05);
     town.run(60.0);
     assert!(town.host.asked.is_empty());
@@ -92,7 +92,7 @@
         town.run(0.1);
         if town.host.now > 105.0 && !town.host.asked.is_empty() && !told {
             told = true;
-            town.list(false, &[row(0, Standing::Draining, 0.0)]);
+            town.list(false, &[row(0, EndpointState::Draining, 0.0)]);
         }
     }
     assert_eq!(town.to_node(0, 105.2), 0);
@@ -103,7 +103,7 @@
 #[test]
 fn calls_that_fail_are_spread_out() {
     let first = |seed| {
-        let mut town = Town::new(Deployment { ask_within: Some(WITHIN), seed, ..site() });
+        let mut town = Town::new(Deployment { list_poll_deadline: Some(WITHIN), seed, ..site() });
         play(&mut town, Discovery { refuses: usize::MAX, ..Discovery::default() }, 3.0)[1]
     };
     let mut times: Vec<f64> = (0..40).map(first).collect();
--- a/crates/dunepond-routing/tests/shutdown.rs
+++ b/crates/dunepond-routing/tests/shutdown.rs
@@ -12,7 +12,7 @@
 #[case::no_new_connections(100.45, ShutdownStage::ClosingAfterAnswers, Some(100.65))]
 #[case::before_the_listener_closes(100.64, ShutdownStage::ClosingAfterAnswers, Some(100.65))]
 #[case::listener_closed(100.7, ShutdownStage::Refusing, Some(101.05))]
-#[case::nobody_connects_to_ask(101.1, ShutdownStage::ClosingUnasked, Some(102.45))]
+#[case::nobody_connects_to_ask(101.1, ShutdownStage::ClosingWithoutRequest, Some(102.45))]
 #[case::before_the_kill(102.46, ShutdownStage::LastAnswers, None)]
 fn the_stages_count_from_the_signal(
     #[case] now: f64,
@@ -45,7 +45,7 @@
     let mut town = Town::new(site());
     town.host.nodes = vec![None; 6];
     town.run(0.1);
-    town.broker.told_to_end(Shutdown::new(town.host.now - 0.8, 6.0));
+    town.broker.begin_shutdown(Shutdown::new(town.host.now - 0.8, 6.0));
     let scan = town.scan_of(FIX, &[0], 0, client_waits, false);
     assert_eq!(town.finals(scan).first().cloned(), answer);
     assert_eq!(town.sent(scan).is_empty(), answer.is_some());
@@ -59,7 +59,7 @@
         let mut town = Town::new(site());
         town.host.now = 1_764_700_000.0 + 0.001_7 * f64::from(step);
         let shutdown = Shutdown::new(town.host.now - 0.8, 6.0);
-        town.broker.told_to_end(shutdown);
+        town.broker.begin_shutdown(shutdown);
         let scan = town.scan_of(FIX, &[0], 0, shutdown.last_answers_at() - town.host.now, false);
         assert_eq!(town.finals(scan), Vec::new(), "{step}");
     }
@@ -73,7 +73,7 @@
     let scan = town.scan(FIX, &[0]);
     town.run(0.1);
     let shutdown = Shutdown::new(town.host.now, 6.0);
-    town.broker.told_to_end(shutdown);
+    town.broker.begin_shutdown(shutdown);
     town.run(4.0);
     let ended = town.host.finals.iter().find(|(_, of, _)| *of == scan).expect("it ended");
     assert!(ended.0 <= shutdown.last_answers_at(), "{ended:?}");
--- a/crates/dunepond-routing/tests/stories.rs
+++ b/crates/dunepond-routing/tests/stories.rs
@@ -14,17 +14,17 @@
     town.host.nodes = vec![None; 6];
     let scan = town.scan(QUICK, &[0, 1, 2, 3, 4]);
     assert_eq!(town.sent(scan).len(), 5);
-    town.end(scan, 0, End::Completed);
-    town.end(scan, 3, End::Completed);
+    town.end(scan, 0, AttemptOutcome::Served);
+    town.end(scan, 3, AttemptOutcome::Served);
     assert_eq!(town.finals(scan), []);
-    town.end(scan, 4, End::Completed);
+    town.end(scan, 4, AttemptOutcome::Served);
     assert_eq!(town.finals(scan), [WHOLE]);
     assert_eq!(town.host.cancelled, [(scan, 1, 0), (scan, 2, 0)]);
 }
 
 #[test]
 fn a_part_goes_to_the_holder_with_fewer_of_ours() {
-    let mut town = Town::new(Deployment { holders: 2, ..site() });
+    let mut town = Town::new(Deployment { replicas: 2, ..site() });
     town.host.nodes = vec![None; 6];
     let first = town.scan(FULL, &[0]);
     let second = town.scan(FULL, &[0]);
@@ -40,7 +40,7 @@
     #[case] holders: usize,
     #[case] expected: std::ops::Range<usize>,
 ) {
-    let mut town = Town::new(Deployment { holders, ..site() });
+    let mut town = Town::new(Deployment { replicas: holders, ..site() });
     let one = |town: &mut Town| {
         let scan = town.scan(FULL, &[0]);
         town.run(1.0);
@@ -53,7 +53,7 @@
 /// In sets a segment is held by all nodes of one cell: how many there are is a matter of the list.
 #[test]
 fn the_near_one_of_a_set_is_taken() {
-    let mut town = Town::new(Deployment { holders: 1, cells: 2, ..site() });
+    let mut town = Town::new(Deployment { replicas: 1, replica_groups: 2, ..site() });
     let one = |town: &mut Town| {
         let scan = town.scan(FULL, &[0]);
         town.run(1.0);
@@ -71,8 +71,8 @@
     #[case] price: f64,
     #[case] expected: std::ops::Range<usize>,
 ) {
-    let mut town = Town::new(Deployment { crossing: Some(price), ..site() });
-    [0, 3].iter().for_each(|near| town.host.nodes[*near] = Some((End::Completed, 0.25)));
+    let mut town = Town::new(Deployment { cross_zone_cost: Some(price), ..site() });
+    [0, 3].iter().for_each(|near| town.host.nodes[*near] = Some((AttemptOutcome::Served, 0.25)));
     let one = |town: &mut Town| {
         let scan = town.scan(FULL, &[0]);
         town.run(1.0);
@@ -90,13 +90,13 @@
     let mut town = Town::new(site());
     town.host.nodes = vec![None; 6];
     let scan = town.scan(TWO_STEP, &[0, 1]);
-    town.end(scan, 1, End::Completed);
+    town.end(scan, 1, AttemptOutcome::Served);
     assert_eq!(town.finals(scan), [WHOLE]);
-    town.broker.second_step(&mut town.host, scan, parts(&[1, 1]));
+    town.broker.on_second_step(&mut town.host, scan, parts(&[1, 1]));
     assert_eq!(town.sent(scan).len(), 4);
-    town.end(scan, 2, End::Completed);
+    town.end(scan, 2, AttemptOutcome::Served);
     assert_eq!(town.finals(scan), [WHOLE]);
-    town.end(scan, 3, End::Completed);
+    town.end(scan, 3, AttemptOutcome::Served);
     assert_eq!(town.finals(scan), [WHOLE, WHOLE]);
 }
 
@@ -111,7 +111,7 @@
     assert_eq!(town.sent(scan).len(), count);
     for part in 0..count {
         assert_eq!(town.finals(scan), []);
-        town.end(scan, part, End::Completed);
+        town.end(scan, part, AttemptOutcome::Served);
     }
     assert_eq!(town.finals(scan), [WHOLE]);
 }
@@ -121,8 +121,8 @@
 #[test]
 fn a_node_that_turns_parts_away_as_full_is_met_less_often_by_a_broker_that_meets_it_seldom() {
     let mut town = Town::new(site());
-    town.host.nodes[0] = Some((End::Full, 0.001));
-    town.host.nodes[5] = Some((End::Completed, 0.9));
+    town.host.nodes[0] = Some((AttemptOutcome::Rejected, 0.001));
+    town.host.nodes[5] = Some((AttemptOutcome::Served, 0.9));
     for _ in 0..60 {
         town.scan(FULL, &[0]);
         town.run(0.5);
@@ -139,7 +139,7 @@
 fn leftovers_are_cancelled_where_that_is_allowed(#[case] may_cancel: bool, #[case] cancels: usize) {
     let mut town = Town::new(Deployment { may_cancel, ..site() });
     let scan = town.scan(FULL, &[0]);
-    town.broker.client_left(&mut town.host, scan);
+    town.broker.on_client_disconnect(&mut town.host, scan);
     assert_eq!(town.host.cancelled.len(), cancels);
 }
 
@@ -157,13 +157,13 @@
 }
 
 #[rstest]
-#[case::error(End::Error, 1, Some(Final::Abandon))]
-#[case::timed_out(End::TimedOut, 1, Some(Final::Abandon))]
-#[case::dropped(End::Dropped, 1, Some(Final::Abandon))]
-#[case::full(End::Full, 2, None)]
-#[case::no_connection(End::NoConnection, 2, None)]
+#[case::error(AttemptOutcome::Error, 1, Some(Final::Abandon))]
+#[case::timed_out(AttemptOutcome::TimedOut, 1, Some(Final::Abandon))]
+#[case::dropped(AttemptOutcome::ConnectionLost, 1, Some(Final::Abandon))]
+#[case::full(AttemptOutcome::Rejected, 2, None)]
+#[case::no_connection(AttemptOutcome::ConnectFailed, 2, None)]
 fn a_non_replayable_part_goes_again_only_if_it_never_ran(
-    #[case] end: End,
+    #[case] end: AttemptOutcome,
     #[case] sends: usize,
     #[case] fin: Option<Final>,
 ) {
@@ -183,14 +183,14 @@
     town.host.nodes = vec![None; 6];
     let scan = town.scan(KEYED, &[0]);
     town.run(after);
-    town.end(scan, 0, End::Error);
+    town.end(scan, 0, AttemptOutcome::Error);
     assert_eq!(town.sent(scan).len(), sends);
 }
 
 #[rstest]
-#[case::told(false, vec![row(0, Standing::Draining, 0.0), row(1, Standing::Gone, 0.0)])]
-#[case::missing_from_a_full_list(true, (2..6).map(|n| row(n, Standing::Active, 0.0)).collect())]
-fn nothing_new_goes_to_a_draining_or_gone_node(#[case] complete: bool, #[case] rows: Vec<Listed>) {
+#[case::told(false, vec![row(0, EndpointState::Draining, 0.0), row(1, EndpointState::Removed, 0.0)])]
+#[case::missing_from_a_full_list(true, (2..6).map(|n| row(n, EndpointState::Active, 0.0)).collect())]
+fn nothing_new_goes_to_a_draining_or_gone_node(#[case] complete: bool, #[case] rows: Vec<Endpoint>) {
     let mut town = Town::new(site());
     town.list(complete, &rows);
     town.traffic(QUICK, 5.0, 0.05);
@@ -207,7 +207,7 @@
 #[case::all_are_cold_and_the_broker_is_new(6)]
 fn a_cold_node_gets_its_part_of_the_budget(#[case] cold: usize) {
     let mut town = Town::new(site());
-    let rows: Vec<_> = (0..cold).map(|n| row(n, Standing::Active, 99.9)).collect();
+    let rows: Vec<_> = (0..cold).map(|n| row(n, EndpointState::Active, 99.9)).collect();
     town.list(false, &rows);
     town.traffic(FULL, 3.0, 0.06);
     for node in 0..cold {
@@ -220,9 +220,9 @@
 fn many_brokers_that_hear_of_a_start_do_not_all_begin_at_once() {
     let mut times: Vec<f64> = Vec::new();
     for seed in 0..40 {
-        let mut town = Town::new(Deployment { seed, brokers: 40.0, holders: 1, ..site() });
+        let mut town = Town::new(Deployment { seed, broker_count: 40.0, replicas: 1, ..site() });
         town.traffic(FULL, 6.0, 0.5);
-        town.list(false, &[row(0, Standing::Active, 104.0)]);
+        town.list(false, &[row(0, EndpointState::Active, 104.0)]);
         town.scan(FULL, &[0]);
         town.run(3.5);
         times.extend(town.host.sent.iter().filter(|s| s.node == 0 && s.at > 105.9).map(|s| s.at));
@@ -236,10 +236,10 @@
 /// one bears in that time. A scan of many parts asks for several of them at once, and the next comes much later.
 #[test]
 fn several_parts_at_once_get_what_a_cold_node_was_not_sent_before() {
-    let mut town = Town::new(Deployment { brokers: 6.0, ..site() });
+    let mut town = Town::new(Deployment { broker_count: 6.0, ..site() });
     town.traffic(FULL, 10.0, 0.01);
     let now = town.host.now;
-    town.list(false, &[row(0, Standing::Active, now)]);
+    town.list(false, &[row(0, EndpointState::Active, now)]);
     for turn in 0..150 {
         town.owned(FULL, 1 + turn % 5, 1 + turn % 5);
         town.run(0.01);
@@ -256,12 +256,12 @@
 /// second for one node.
 #[test]
 fn the_first_completions_do_not_widen_a_cold_nodes_room() {
-    let mut town = Town::new(Deployment { brokers: 40.0, holders: 1, ..site() });
-    town.host.nodes = vec![Some((End::Completed, 0.002)); 6];
+    let mut town = Town::new(Deployment { broker_count: 40.0, replicas: 1, ..site() });
+    town.host.nodes = vec![Some((AttemptOutcome::Served, 0.002)); 6];
     town.scan(FULL, &[0, 1, 2, 3, 4, 5]);
     town.run(1.0);
     let start = town.host.now;
-    town.list(false, &[row(0, Standing::Active, start)]);
+    town.list(false, &[row(0, EndpointState::Active, start)]);
     (0..20).for_each(|_| assert!(town.scan(FULL, &[0]) > 0));
     assert!(town.to_node(0, start) <= 1, "{}", town.to_node(0, start));
 }
@@ -269,11 +269,11 @@
 #[test]
 fn waiting_at_warm_nodes_does_not_starve_a_cold_one() {
     let mut town = Town::new(site());
-    town.host.nodes = vec![Some((End::Completed, 0.9)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Served, 0.9)); 6];
     town.traffic(FULL, 4.0, 0.02);
     let restart = town.host.now;
-    town.list(false, &[row(0, Standing::Active, restart - 5.0)]);
-    town.host.nodes[0] = Some((End::Completed, 0.1));
+    town.list(false, &[row(0, EndpointState::Active, restart - 5.0)]);
+    town.host.nodes[0] = Some((AttemptOutcome::Served, 0.1));
     town.traffic(FULL, 2.0, 0.02);
     assert!(town.to_node(0, restart) >= 6);
 }
@@ -282,8 +282,8 @@
 fn quick_faults_of_dead_nodes_do_not_widen_a_cold_ones_room() {
     let mut town = Town::new(site());
     town.traffic(FULL, 3.0, 0.05);
-    (1..6).for_each(|node| town.host.nodes[node] = Some((End::NoConnection, 0.002)));
-    town.list(false, &[row(0, Standing::Active, town.host.now)]);
+    (1..6).for_each(|node| town.host.nodes[node] = Some((AttemptOutcome::ConnectFailed, 0.002)));
+    town.list(false, &[row(0, EndpointState::Active, town.host.now)]);
     let restart = town.host.now;
     town.traffic(FULL, 2.0, 0.01);
     assert!(town.to_node(0, restart) <= 4);
@@ -294,8 +294,8 @@
     let mut town = Town::new(site());
     town.traffic(FULL, 4.0, 0.05);
     let restart = town.host.now;
-    let gone: Vec<_> = (1..5).map(|n| row(n, Standing::Gone, 0.0)).collect();
-    town.list(false, &[vec![row(0, Standing::Active, restart)], gone].concat());
+    let gone: Vec<_> = (1..5).map(|n| row(n, EndpointState::Removed, 0.0)).collect();
+    town.list(false, &[vec![row(0, EndpointState::Active, restart)], gone].concat());
     town.host.nodes[5] = None;
     (0..40).for_each(|_| {
         town.scan(FULL, &[0]);
@@ -309,7 +309,7 @@
     let mut town = Town::new(site());
     town.traffic(FULL, 3.0, 0.05);
     let scan = town.scan(FULL, &[0]);
-    (0..3).for_each(|_| town.end(scan, 0, End::Error));
+    (0..3).for_each(|_| town.end(scan, 0, AttemptOutcome::Error));
     let scans: Vec<_> = (0..12).map(|_| town.scan(FULL, &[0])).collect();
     assert!(scans.iter().all(|s| town.finals(*s).is_empty()));
 }
@@ -318,10 +318,10 @@
 #[case::half_is_enough(2, Final::Answer { whole: false })]
 #[case::a_quarter_is_not(1, Final::Throttle { wait: 0.0 })]
 fn when_time_runs_out_a_partial_answer_is_marked_so(#[case] come: usize, #[case] expected: Final) {
-    let mut town = Town::new(Deployment { longest_wait: 0.0, ..site() });
+    let mut town = Town::new(Deployment { max_retry_after: 0.0, ..site() });
     town.host.nodes = vec![None; 6];
     let scan = town.scan(PARTIAL, &[0, 1, 2, 3]);
-    (0..come).for_each(|part| town.end(scan, part, End::Completed));
+    (0..come).for_each(|part| town.end(scan, part, AttemptOutcome::Served));
     town.run(5.0);
     assert_eq!(town.finals(scan), [expected]);
 }
@@ -329,11 +329,11 @@
 #[test]
 fn a_partial_answer_comes_while_it_still_earns() {
     let mut site = site();
-    site.table_types[PARTIAL].late = 0.0;
+    site.query_classes[PARTIAL].late_value_ratio = 0.0;
     let mut town = Town::new(site);
     town.host.nodes = vec![None; 6];
     let scan = town.scan(PARTIAL, &[0, 1, 2, 3]);
-    (0..2).for_each(|part| town.end(scan, part, End::Completed));
+    (0..2).for_each(|part| town.end(scan, part, AttemptOutcome::Served));
     town.run(1.9);
     assert_eq!(town.finals(scan), []);
     town.run(0.099);
@@ -343,7 +343,7 @@
 /// Segment 0's holders are dead: three quarters can still come, and half may be answered.
 #[test]
 fn a_scan_that_can_be_answered_in_part_is_not_turned_away_for_the_rest() {
-    let mut town = Town::new(Deployment { holders: 1, ..site() });
+    let mut town = Town::new(Deployment { replicas: 1, ..site() });
     town.host.nodes[0] = None;
     (0..4).for_each(|_| {
         town.scan(FULL, &[0]);
@@ -356,9 +356,9 @@
 
 #[test]
 fn further_dispatches_stay_in_the_budget() {
-    let budget = FurtherBudget { window: 2.0, free: 3.0, share: 0.05 };
-    let mut town = Town::new(Deployment { budget: Some(budget), ..site() });
-    town.host.nodes = vec![Some((End::Error, 0.1)); 6];
+    let budget = RetryBudget { window: 2.0, min_retries: 3.0, ratio: 0.05 };
+    let mut town = Town::new(Deployment { retry_budget: Some(budget), ..site() });
+    town.host.nodes = vec![Some((AttemptOutcome::Error, 0.1)); 6];
     let scans: Vec<_> = (0..18).map(|seg| town.scan(FULL, &[seg % 6])).collect();
     town.run(1.9);
     assert!(town.host.sent.len() > scans.len());
@@ -367,8 +367,8 @@
 
 #[test]
 fn a_part_is_not_dispatched_beyond_its_cap() {
-    let mut town = Town::new(Deployment { dispatch_cap: 2, ..site() });
-    town.host.nodes = vec![Some((End::Error, 0.01)); 6];
+    let mut town = Town::new(Deployment { max_attempts: 2, ..site() });
+    town.host.nodes = vec![Some((AttemptOutcome::Error, 0.01)); 6];
     let scan = town.scan(FULL, &[0]);
     town.run(1.0);
     assert_eq!(town.sent(scan).len(), 2);
@@ -394,9 +394,9 @@
 }
 
 #[rstest]
-#[case::errors(End::Error)]
-#[case::connections(End::NoConnection)]
-fn a_node_that_fails_at_once_does_not_draw_more(#[case] end: End) {
+#[case::errors(AttemptOutcome::Error)]
+#[case::connections(AttemptOutcome::ConnectFailed)]
+fn a_node_that_fails_at_once_does_not_draw_more(#[case] end: AttemptOutcome) {
     let mut town = Town::new(site());
     town.traffic(FULL, 3.0, 0.05);
     town.host.nodes[2] = Some((end, 0.002));
@@ -412,7 +412,7 @@
     let mut town = Town::new(site());
     town.traffic(FULL, 3.0, 0.05);
     town.run(1.0);
-    town.host.nodes = vec![Some((End::Dropped, 0.1)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::ConnectionLost, 0.1)); 6];
     for i in 0..24 {
         town.scan(FULL, &[i % 6]);
     }
@@ -446,7 +446,7 @@
     let mut town = Town::new(site());
     town.traffic(FULL, 3.0, 0.05);
     town.run(idle);
-    town.host.nodes = vec![Some((End::Dropped, took)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::ConnectionLost, took)); 6];
     town.scan(FULL, &[0, 3]);
     town.run(0.5);
     town.run(4.0);
@@ -463,7 +463,11 @@
     let mut town = Town::new(site());
     town.traffic(FULL, 3.0, 0.05);
     for turn in 0..40 {
-        let end = if turn % 13 == 0 { (End::Dropped, 0.002) } else { (End::Completed, 0.2) };
+        let end = if turn % 13 == 0 {
+            (AttemptOutcome::ConnectionLost, 0.002)
+        } else {
+            (AttemptOutcome::Served, 0.2)
+        };
         town.host.nodes = vec![Some(end); 6];
         town.scan(FIX, &[turn % 6]);
         town.run(1.0);
@@ -481,7 +485,7 @@
         town.scan(FULL, &[2]);
         let met = town.sent(scan)[0].node == 2;
         if met {
-            town.end(scan, 0, End::Error);
+            town.end(scan, 0, AttemptOutcome::Error);
         }
         town.run(0.05);
         usize::from(met)
@@ -496,7 +500,7 @@
     let mut town = Town::new(site());
     town.traffic(FULL, 3.0, 0.05);
     let scan = town.scan(FULL, &[0]);
-    town.end(scan, 0, End::Error);
+    town.end(scan, 0, AttemptOutcome::Error);
     town.traffic(FULL, 3.0, 0.05);
     assert!(!town.host.log.iter().any(|l| l.contains("set aside")));
 }
@@ -505,9 +509,9 @@
 fn a_node_set_aside_comes_back_by_a_doubling_trickle() {
     let mut town = Town::new(site());
     town.traffic(FULL, 3.0, 0.05);
-    town.host.nodes[2] = Some((End::Error, 0.002));
+    town.host.nodes[2] = Some((AttemptOutcome::Error, 0.002));
     town.traffic(FULL, 1.0, 0.05);
-    town.host.nodes[2] = Some((End::Completed, 0.2));
+    town.host.nodes[2] = Some((AttemptOutcome::Served, 0.2));
     let mended = town.host.now;
     town.traffic(FULL, 0.9, 0.02);
     assert!(town.to_node(2, mended) <= 8);
@@ -530,7 +534,7 @@
 #[test]
 fn a_slow_node_is_given_less_even_when_counts_are_low() {
     let mut town = Town::new(site());
-    town.host.nodes[2] = Some((End::Completed, 0.26));
+    town.host.nodes[2] = Some((AttemptOutcome::Served, 0.26));
     town.traffic(FULL, 9.0, 0.3);
     let start = town.host.now;
     town.traffic(FULL, 18.0, 0.3);
@@ -549,7 +553,7 @@
 ) {
     let mut town = Town::new(site());
     town.traffic(FULL, 3.0, 0.1);
-    town.host.nodes[2] = Some((End::Completed, took));
+    town.host.nodes[2] = Some((AttemptOutcome::Served, took));
     let ask = |town: &mut Town, times: usize| {
         (0..times).for_each(|_| {
             town.scan(FULL, &[2]);
@@ -564,13 +568,13 @@
 
 /// Sixty nodes, of which every third answers after a time of its own.
 fn sixty(site: Deployment) -> Town {
-    let mut town = Town::new(Deployment { cells: 60, ..site });
-    town.list(true, &(0..60).map(|n| row(n, Standing::Active, 0.0)).collect::<Vec<_>>());
+    let mut town = Town::new(Deployment { replica_groups: 60, ..site });
+    town.list(true, &(0..60).map(|n| row(n, EndpointState::Active, 0.0)).collect::<Vec<_>>());
     town
 }
 
-fn every_third(took: f64) -> Vec<Option<(End, f64)>> {
-    (0..60).map(|n| Some((End::Completed, if n % 3 == 0 { took } else { 0.2 }))).collect()
+fn every_third(took: f64) -> Vec<Option<(AttemptOutcome, f64)>> {
+    (0..60).map(|n| Some((AttemptOutcome::Served, if n % 3 == 0 { took } else { 0.2 }))).collect()
 }
 
 #[test]
@@ -594,7 +598,7 @@
 
 #[test]
 fn what_cannot_be_asked_again_goes_where_health_is_proven() {
-    let mut town = Town::new(Deployment { holders: 2, ..site() });
+    let mut town = Town::new(Deployment { replicas: 2, ..site() });
     town.traffic(FULL, 3.0, 0.05);
     town.host.nodes[1] = None;
     (0..4).for_each(|_| _ = town.scan(FULL, &[0]));
@@ -641,7 +645,7 @@
     town.traffic(FULL, 3.0, 0.05);
     town.host.nodes = vec![None; 6];
     town.traffic(FULL, 4.0, 0.05);
-    town.host.nodes = vec![Some((End::Completed, 0.2)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Served, 0.2)); 6];
     town.traffic(FULL, 8.0, 0.05);
     let scan = town.scan(FULL, &[0, 3]);
     town.run(1.0);
@@ -652,11 +656,11 @@
 fn a_new_process_under_an_old_id_is_not_judged_by_its_forerunner() {
     let mut town = Town::new(site());
     town.traffic(FULL, 3.0, 0.05);
-    town.host.nodes[2] = Some((End::NoConnection, 0.002));
+    town.host.nodes[2] = Some((AttemptOutcome::ConnectFailed, 0.002));
     town.traffic(FULL, 1.0, 0.02);
-    town.host.nodes[2] = Some((End::Completed, 0.2));
+    town.host.nodes[2] = Some((AttemptOutcome::Served, 0.2));
     let restart = town.host.now;
-    town.list(false, &[row(2, Standing::Active, restart - 14.9)]);
+    town.list(false, &[row(2, EndpointState::Active, restart - 14.9)]);
     town.traffic(FIX, 0.5, 0.02);
     assert!(town.to_node(2, restart) >= 2);
 }
@@ -665,14 +669,14 @@
 #[test]
 fn a_forgotten_nodes_index_is_anothers_that_holds_something_else() {
     let mut town = Town::new(site());
-    town.host.nodes[2] = Some((End::Error, 0.002));
+    town.host.nodes[2] = Some((AttemptOutcome::Error, 0.002));
     town.traffic(FULL, 2.0, 0.05);
     assert!(town.aside(2));
-    town.list(false, &[row(2, Standing::Gone, 0.0)]);
+    town.list(false, &[row(2, EndpointState::Removed, 0.0)]);
     town.run(1.0);
-    town.broker.forget(2);
-    town.host.nodes[2] = Some((End::Completed, 0.2));
-    town.list(false, &[Listed { cell: 5, ..row(2, Standing::Active, 0.0) }]);
+    town.broker.remove_node(2);
+    town.host.nodes[2] = Some((AttemptOutcome::Served, 0.2));
+    town.list(false, &[Endpoint { replica_group: 5, ..row(2, EndpointState::Active, 0.0) }]);
     let mut asked = |seg: usize| {
         let scans: Vec<_> = (0..20).map(|_| town.scan(FIX, &[seg])).collect();
         town.run(5.0);
@@ -685,7 +689,7 @@
 #[test]
 fn a_failed_part_goes_to_another_holder() {
     let mut town = Town::new(site());
-    town.host.nodes = vec![Some((End::Error, 0.01)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Error, 0.01)); 6];
     let scans: Vec<_> = (0..6).map(|seg| town.scan(FULL, &[seg])).collect();
     town.run(0.1);
     for scan in scans {
@@ -711,7 +715,7 @@
 #[test]
 fn no_copies_are_made_at_drowning_holders() {
     let mut town = Town::new(site());
-    town.host.nodes = vec![Some((End::Completed, 0.7)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Served, 0.7)); 6];
     let fill = |town: &mut Town, seconds: f64| {
         (0..(seconds / 0.02) as usize).for_each(|_| {
             town.scan_of(PATIENT, &[0], 0, 30.0, false);
@@ -745,7 +749,7 @@
 fn a_late_part_is_copied_only_where_there_is_room(#[case] takes: f64, #[case] sends: usize) {
     let mut town = Town::new(site());
     town.traffic(FULL, 3.0, 0.03);
-    town.host.nodes = vec![Some((End::Completed, takes)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Served, takes)); 6];
     town.traffic(PATIENT, 3.0, 0.03);
     let scan = town.scan(FULL, &[0]);
     (0..6).for_each(|node| town.hold(scan, node));
@@ -781,12 +785,12 @@
 
 #[test]
 fn of_two_holders_that_lost_an_answer_each_the_first_is_asked_again() {
-    let mut town = Town::new(Deployment { holders: 2, ..site() });
+    let mut town = Town::new(Deployment { replicas: 2, ..site() });
     town.host.nodes = vec![None; 6];
     let scan = town.scan(FULL, &[0]);
     (0..2).for_each(|_| {
         town.run(0.1);
-        town.end(scan, 0, End::Dropped);
+        town.end(scan, 0, AttemptOutcome::ConnectionLost);
     });
     let to: Vec<_> = town.sent(scan).iter().map(|s| s.node).collect();
     assert_eq!(to.len(), 3);
@@ -796,8 +800,8 @@
 /// Each is asked again once its refusal is over; with all its dispatches gone the scan is ended at once.
 #[test]
 fn a_part_that_all_holders_turn_away_as_full_goes_again_and_then_ends_its_scan() {
-    let mut town = Town::new(Deployment { holders: 2, ..site() });
-    town.host.nodes = vec![Some((End::Full, 0.002)); 6];
+    let mut town = Town::new(Deployment { replicas: 2, ..site() });
+    town.host.nodes = vec![Some((AttemptOutcome::Rejected, 0.002)); 6];
     let scan = town.scan(FULL, &[0]);
     town.run(0.2);
     assert_eq!(town.sent(scan).len(), 2);
@@ -810,7 +814,7 @@
 fn a_node_that_refused_as_full_is_left_alone_for_a_while() {
     let mut town = Town::new(site());
     town.traffic(FULL, 3.0, 0.05);
-    town.host.nodes[2] = Some((End::Full, 0.001));
+    town.host.nodes[2] = Some((AttemptOutcome::Rejected, 0.001));
     let start = town.host.now;
     town.traffic(FULL, 1.0, 0.02);
     assert!(town.to_node(2, start) <= 6);
@@ -820,7 +824,7 @@
 fn drowned() -> Town {
     let mut town = Town::new(site());
     for wait in [0.6, 1.2] {
-        (0..3).for_each(|node| town.host.nodes[node] = Some((End::Completed, wait)));
+        (0..3).for_each(|node| town.host.nodes[node] = Some((AttemptOutcome::Served, wait)));
         (0..60).for_each(|_| {
             town.scan_of(PATIENT, &[0], 0, 30.0, false);
             town.scan_of(PATIENT, &[3], 0, 30.0, false);
@@ -848,7 +852,7 @@
 fn a_fleet_slow_altogether_presses_even_where_we_hold_little_and_not_for_longer() {
     let mut town = Town::new(site());
     let pace = |town: &mut Town, took: f64, seconds: f64| {
-        town.host.nodes = vec![Some((End::Completed, took)); 6];
+        town.host.nodes = vec![Some((AttemptOutcome::Served, took)); 6];
         town.traffic(PATIENT, seconds, 0.15);
         town.run(2.0);
     };
@@ -874,15 +878,15 @@
 ) {
     let mut town = Town::new(site());
     let rows =
-        |standing| (0..6).map(|n| Listed { zone: n % zones, ..row(n, standing, 0.0) }).collect::<Vec<_>>();
-    town.list(true, &rows(Standing::Gone));
-    (0..6).for_each(|node| town.broker.forget(node));
-    town.list(true, &rows(Standing::Active));
+        |standing| (0..6).map(|n| Endpoint { zone: n % zones, ..row(n, standing, 0.0) }).collect::<Vec<_>>();
+    town.list(true, &rows(EndpointState::Removed));
+    (0..6).for_each(|node| town.broker.remove_node(node));
+    town.list(true, &rows(EndpointState::Active));
     town.traffic(PATIENT, 16.0, 0.15);
-    town.host.nodes = vec![Some((End::Completed, 3.0)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Served, 3.0)); 6];
     town.traffic(PATIENT, 24.0, 0.15);
     town.run(3.0);
-    town.host.nodes = vec![Some((End::Completed, 0.2)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Served, 0.2)); 6];
     let (mut last, mut longest, mut served) = (town.host.now, 0.0, 0);
     for turn in 0..100 {
         let scan = town.scan(FULL, &[turn % 6]);
@@ -900,8 +904,8 @@
 /// Sixty nodes, each met once in a few seconds; a third of them have become slow.
 fn doubtful(gap: f64) -> Town {
     let plain = site();
-    let kinds = plain.table_types[..PARTIAL].to_vec();
-    let mut town = sixty(Deployment { table_types: kinds, may_probe: true, ..plain });
+    let kinds = plain.query_classes[..PARTIAL].to_vec();
+    let mut town = sixty(Deployment { query_classes: kinds, may_probe: true, ..plain });
     for (slow, seconds) in [(0.2, 5.0), (0.95, 2.5)] {
         town.host.nodes = every_third(slow);
         (0..(seconds / gap) as usize).for_each(|turn| {
@@ -919,7 +923,7 @@
     let scan = town.scan(FULL, &[10]);
     assert_eq!(town.host.probed, [10, 11, 12]);
     assert!(town.sent(scan).is_empty());
-    town.broker.probed(&mut town.host, 12, Some(0.1));
+    town.broker.on_probe_result(&mut town.host, 12, Some(0.1));
     assert_eq!(town.sent(scan)[0].node, 12);
 }
 
@@ -927,7 +931,7 @@
 fn a_scan_whose_holders_leave_its_probes_unanswered_is_turned_away() {
     let mut town = doubtful(0.1);
     let scan = town.scan(FULL, &[10, 11, 12, 13]);
-    town.broker.probed(&mut town.host, 10, Some(0.1));
+    town.broker.on_probe_result(&mut town.host, 10, Some(0.1));
     town.run(1.3);
     assert!(matches!(town.finals(scan)[..], [Final::Throttle { .. }]));
 }
@@ -937,9 +941,9 @@
 fn a_second_step_is_not_turned_away_by_its_probes() {
     let mut town = doubtful(0.1);
     let scan = town.scan(TWO_STEP, &[10, 13]);
-    [10, 13].iter().for_each(|node| town.broker.probed(&mut town.host, *node, Some(0.1)));
-    town.end(scan, 0, End::Completed);
-    town.broker.second_step(&mut town.host, scan, parts(&[10, 13]));
+    [10, 13].iter().for_each(|node| town.broker.on_probe_result(&mut town.host, *node, Some(0.1)));
+    town.end(scan, 0, AttemptOutcome::Served);
+    town.broker.on_second_step(&mut town.host, scan, parts(&[10, 13]));
     town.run(1.5);
     assert_eq!(town.finals(scan), [WHOLE, WHOLE]);
     assert_eq!(town.sent(scan).len(), 4);
@@ -950,7 +954,7 @@
 #[case::a_sign_of_life_only(0.004, false)]
 fn probes_that_tell_nothing_are_given_up(#[case] took: f64, #[case] goes_on: bool) {
     let mut town = doubtful(0.1);
-    (0..10).for_each(|node| town.broker.probed(&mut town.host, node, Some(took)));
+    (0..10).for_each(|node| town.broker.on_probe_result(&mut town.host, node, Some(took)));
     town.scan(FULL, &[10]);
     assert_eq!(!town.host.probed.is_empty(), goes_on);
 }
@@ -980,7 +984,7 @@
         (0..3).all(|n| town.aside(n))
     };
     assert!((0..12).any(|_| all_aside()));
-    (0..3).for_each(|node| town.host.nodes[node] = Some((End::Completed, 0.2)));
+    (0..3).for_each(|node| town.host.nodes[node] = Some((AttemptOutcome::Served, 0.2)));
     let scans = [FULL, FIX].map(|table_type| town.scan(table_type, &[0]));
     town.traffic(FULL, 2.0, 0.02);
     assert!(scans.iter().all(|scan| town.finals(*scan) == [WHOLE]));
@@ -1005,7 +1009,7 @@
 fn beyond_its_share_a_customer_goes_first() {
     let mut town = Town::new(Deployment { quotas: vec![0.3, 3000.0], ..site() });
     // The wait is just past where turning away begins: within a share most still pass.
-    town.host.nodes = vec![Some((End::Completed, 0.75)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Served, 0.75)); 6];
     (0..80).for_each(|_| {
         town.scan_of(PATIENT, &[0], 1, 30.0, false);
         town.run(0.05);
@@ -1031,11 +1035,11 @@
     let first: Vec<_> = (0..12).map(|turn| town.scan_of(kind, &[turn % 6], 0, 30.0, false)).collect();
     town.run(0.5);
     // As where beyond its share a customer goes first: the wait is just past where turning away begins.
-    town.host.nodes = vec![Some((End::Completed, 0.75)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Served, 0.75)); 6];
     (0..80).for_each(|turn| {
         town.scan_of(PATIENT, &[0], 0, 30.0, false);
         if turn == 62 {
-            first.iter().for_each(|scan| town.broker.second_step(&mut town.host, *scan, parts(&[0])));
+            first.iter().for_each(|scan| town.broker.on_second_step(&mut town.host, *scan, parts(&[0])));
         }
         town.run(0.05);
     });
@@ -1047,7 +1051,7 @@
 #[test]
 fn what_its_client_will_not_wait_for_is_not_sent() {
     let mut town = Town::new(site());
-    town.host.nodes = vec![Some((End::Completed, 0.6)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Served, 0.6)); 6];
     town.traffic(FULL, 3.0, 0.1);
     let hasty = town.scan_of(FULL, &[0, 1], 0, 0.4, false);
     assert!(town.sent(hasty).is_empty());
@@ -1069,7 +1073,7 @@
 #[case::late_already(FULL, true, 1)]
 fn a_light_wait_turns_away_what_it_makes_late(#[case] kind: usize, #[case] late: bool, #[case] away: usize) {
     let mut town = Town::new(Deployment { quotas: vec![0.0, 3000.0], ..site() });
-    town.host.nodes = vec![Some((End::Completed, if late { 0.75 } else { 0.48 })); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Served, if late { 0.75 } else { 0.48 })); 6];
     (0..200).for_each(|_| {
         town.scan_of(PATIENT, &[0], 1, 30.0, false);
         town.run(0.02);
@@ -1088,7 +1092,7 @@
     town.host.nodes = vec![None; 6];
     let scan = town.passing(FULL, &[0, 1]);
     assert_eq!(town.sent(scan).len(), 2);
-    town.end(scan, 0, End::Error);
+    town.end(scan, 0, AttemptOutcome::Error);
     assert_eq!(town.sent(scan).len(), 2);
     assert!(matches!(town.finals(scan)[..], [Final::Throttle { .. }]));
 }
@@ -1109,10 +1113,10 @@
     let mut town = Town::new(site());
     town.host.nodes = vec![None; 6];
     let scan = town.passing(QUICK, &[0, 1, 2, 3, 4]);
-    town.end(scan, 0, End::NoConnection);
-    town.end(scan, 1, End::Error);
+    town.end(scan, 0, AttemptOutcome::ConnectFailed);
+    town.end(scan, 1, AttemptOutcome::Error);
     assert_eq!(town.finals(scan), []);
-    (2..5).for_each(|part| town.end(scan, part, End::Completed));
+    (2..5).for_each(|part| town.end(scan, part, AttemptOutcome::Served));
     assert_eq!(town.finals(scan), [WHOLE]);
 }
 
@@ -1120,21 +1124,25 @@
 #[test]
 fn a_text_that_passes_and_finds_no_node_is_given_up_at_once() {
     let mut town = Town::new(site());
-    town.list(true, &[row(0, Standing::Draining, 0.0)]);
+    town.list(true, &[row(0, EndpointState::Draining, 0.0)]);
     let scan = town.passing(FULL, &[0]);
     assert_eq!(town.sent(scan).len(), 0);
     assert!(matches!(town.finals(scan)[..], [Final::Throttle { .. }]));
 }
 
 #[rstest]
-#[case::replayable(FULL, End::Error, Final::Throttle { wait: 0.0 })]
-#[case::may_have_run(FIX, End::Dropped, Final::Abandon)]
-#[case::never_ran(FIX, End::Full, Final::Throttle { wait: 0.0 })]
-fn once_a_text_is_gone_what_fails_is_final(#[case] kind: usize, #[case] end: End, #[case] expected: Final) {
-    let mut town = Town::new(Deployment { longest_wait: 0.0, ..site() });
+#[case::replayable(FULL, AttemptOutcome::Error, Final::Throttle { wait: 0.0 })]
+#[case::may_have_run(FIX, AttemptOutcome::ConnectionLost, Final::Abandon)]
+#[case::never_ran(FIX, AttemptOutcome::Rejected, Final::Throttle { wait: 0.0 })]
+fn once_a_text_is_gone_what_fails_is_final(
+    #[case] kind: usize,
+    #[case] end: AttemptOutcome,
+    #[case] expected: Final,
+) {
+    let mut town = Town::new(Deployment { max_retry_after: 0.0, ..site() });
     town.host.nodes = vec![None; 6];
     let scan = town.scan(kind, &[0]);
-    town.broker.text_gone(&mut town.host, scan);
+    town.broker.on_body_discarded(&mut town.host, scan);
     assert_eq!(town.finals(scan), []);
     town.end(scan, 0, end);
     assert_eq!(town.finals(scan), [expected]);
@@ -1147,39 +1155,39 @@
     let mut town = Town::new(site());
     town.host.nodes = vec![None; 6];
     let scan = town.scan(FIX, &[0]);
-    (0..3).for_each(|_| town.end(scan, 0, End::Full));
+    (0..3).for_each(|_| town.end(scan, 0, AttemptOutcome::Rejected));
     assert_eq!((town.sent(scan).len(), town.finals(scan)), (3, vec![]));
-    town.broker.text_gone(&mut town.host, scan);
+    town.broker.on_body_discarded(&mut town.host, scan);
     assert!(matches!(town.finals(scan)[..], [Final::Throttle { .. }]));
 }
 
 /// A body need not be kept for what can never go again, and must be for what may come back as never run.
 #[rstest]
-#[case::may_have_run(FIX, End::Error, false)]
-#[case::refused(FIX, End::Full, true)]
-#[case::replayable(FULL, End::Error, true)]
+#[case::may_have_run(FIX, AttemptOutcome::Error, false)]
+#[case::refused(FIX, AttemptOutcome::Rejected, true)]
+#[case::replayable(FULL, AttemptOutcome::Error, true)]
 fn a_text_is_needed_as_long_as_some_part_may_go_again(
     #[case] kind: usize,
-    #[case] end: End,
+    #[case] end: AttemptOutcome,
     #[case] needed: bool,
 ) {
     let mut town = Town::new(site());
     town.host.nodes = vec![None; 6];
     let scan = town.scan(kind, &[0, 1]);
-    assert!(town.broker.needs_text(scan));
-    town.end(scan, 1, End::Completed);
-    assert!(town.broker.needs_text(scan));
+    assert!(town.broker.needs_body(scan));
+    town.end(scan, 1, AttemptOutcome::Served);
+    assert!(town.broker.needs_body(scan));
     town.end(scan, 0, end);
-    assert_eq!(town.broker.needs_text(scan), needed);
+    assert_eq!(town.broker.needs_body(scan), needed);
     assert_eq!(town.sent(scan).len(), if needed { 3 } else { 2 });
 }
 
 #[test]
 fn a_text_is_not_needed_once_its_parts_have_had_all_their_dispatches() {
-    let mut town = Town::new(Deployment { dispatch_cap: 1, ..site() });
+    let mut town = Town::new(Deployment { max_attempts: 1, ..site() });
     town.host.nodes = vec![None; 6];
     let scan = town.scan(FULL, &[0]);
-    assert!(!town.broker.needs_text(scan));
+    assert!(!town.broker.needs_body(scan));
 }
 
 /// A client that sends slowly would set aside every node that its body goes to.
@@ -1187,13 +1195,13 @@
 #[case::on_its_way(false)]
 #[case::gone_out(true)]
 fn a_node_owes_an_answer_only_once_the_frame_has_gone_out(#[case] framed: bool) {
-    let mut town = Town::new(Deployment { holders: 1, ..site() });
+    let mut town = Town::new(Deployment { replicas: 1, ..site() });
     town.traffic(FULL, 10.0, 0.1);
     town.host.nodes[0] = None;
     let scan = town.long(FULL, &[0]);
     town.run(0.5);
     if framed {
-        town.broker.framed(&mut town.host, 0, (scan, 0, 0));
+        town.broker.on_frame_written(&mut town.host, 0, (scan, 0, 0));
     }
     town.run(2.5);
     assert_eq!(town.aside(0), framed);
@@ -1206,7 +1214,7 @@
     let scan = town.waiting(FULL, &[0, 1, 2, 3]);
     town.run(0.5);
     assert_eq!((town.sent(scan).len(), town.finals(scan)), (0, vec![]));
-    town.broker.search(&mut town.host, scan, &[0, 2]);
+    town.broker.on_prefilter_result(&mut town.host, scan, &[0, 2]);
     town.run(1.0);
     let sent: Vec<_> = town.sent(scan).iter().map(|s| s.part).collect();
     assert_eq!((sent, town.finals(scan)), (vec![1, 3], vec![WHOLE]));
@@ -1216,7 +1224,7 @@
 fn a_scan_of_which_all_is_left_out_is_answered_at_once() {
     let mut town = Town::new(site());
     let scan = town.waiting(FULL, &[0, 1]);
-    town.broker.search(&mut town.host, scan, &[0, 1]);
+    town.broker.on_prefilter_result(&mut town.host, scan, &[0, 1]);
     assert_eq!((town.sent(scan).len(), town.finals(scan)), (0, vec![WHOLE]));
 }
 
@@ -1225,9 +1233,9 @@
 fn what_was_left_out_on_a_word_that_fell_is_sent_before_the_answer_is_whole() {
     let mut town = Town::new(site());
     let scan = town.waiting(FULL, &[0, 1]);
-    town.broker.search(&mut town.host, scan, &[0]);
+    town.broker.on_prefilter_result(&mut town.host, scan, &[0]);
     town.run(0.1);
-    town.broker.restore(&mut town.host, scan, &[0]);
+    town.broker.on_prefilter_revoked(&mut town.host, scan, &[0]);
     town.run(0.15);
     assert_eq!((town.sent(scan).len(), town.finals(scan)), (2, vec![]));
     town.run(1.0);
@@ -1242,7 +1250,7 @@
     let scan = town.waiting(FULL, &[0, 1]);
     town.run(3.8);
     let before = town.host.now;
-    town.broker.search(&mut town.host, scan, &[]);
+    town.broker.on_prefilter_result(&mut town.host, scan, &[]);
     assert!(town.sent(scan).is_empty());
     assert!(matches!(town.finals(scan)[..], [Final::Throttle { .. }]));
     assert_eq!(town.host.finals.last().unwrap().0, before);
@@ -1254,8 +1262,8 @@
     let mut town = Town::new(site());
     town.host.nodes = vec![None; 6];
     let scan = town.waiting(PARTIAL, &[0, 1, 2, 3]);
-    town.broker.search(&mut town.host, scan, &[0, 1]);
-    town.end(scan, 2, End::Completed);
+    town.broker.on_prefilter_result(&mut town.host, scan, &[0, 1]);
+    town.end(scan, 2, AttemptOutcome::Served);
     town.run(4.0);
     assert!(matches!(town.finals(scan)[..], [Final::Throttle { .. }]), "{:?}", town.finals(scan));
 }
@@ -1263,7 +1271,7 @@
 #[test]
 fn an_audit_goes_out_once_and_is_not_tried_again() {
     let mut town = Town::new(site());
-    town.host.nodes = vec![Some((End::Error, 0.1)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Error, 0.1)); 6];
     let scan = town.audit(FULL, 0);
     town.run(3.0);
     assert_eq!(town.sent(scan).len(), 1);
@@ -1273,12 +1281,12 @@
 /// Audits must not widen the budget of those that clients wait for.
 #[test]
 fn audits_earn_no_further_dispatches() {
-    let budget = Some(FurtherBudget { window: 10.0, free: 0.0, share: 1.0 });
-    let mut town = Town::new(Deployment { budget, ..site() });
+    let budget = Some(RetryBudget { window: 10.0, min_retries: 0.0, ratio: 1.0 });
+    let mut town = Town::new(Deployment { retry_budget: budget, ..site() });
     for _ in 0..20 {
         town.audit(FULL, 0);
     }
-    town.host.nodes = vec![Some((End::Error, 0.1)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Error, 0.1)); 6];
     let scan = town.scan(FULL, &[1]);
     town.run(3.0);
     // Its own scan and part allow two more.
@@ -1289,22 +1297,22 @@
 fn nothing_that_need_not_be_is_asked_of_cold_nodes_those_set_aside_or_a_pressed_fleet() {
     let mut town = Town::new(site());
     town.traffic(FULL, 10.0, 0.1);
-    assert_eq!(town.broker.to_ask(0).count(), 3);
-    assert!(!town.broker.pressed());
+    assert_eq!(town.broker.prefilter_candidates(0).count(), 3);
+    assert!(!town.broker.is_overloaded());
     town.host.nodes[0] = None;
     town.traffic(FULL, 4.0, 0.1);
     assert!(town.aside(0));
     let now = town.host.now;
-    town.list(false, &[row(1, Standing::Active, now - 1.0)]);
-    assert_eq!(town.broker.to_ask(0).collect::<Vec<_>>(), [2]);
+    town.list(false, &[row(1, EndpointState::Active, now - 1.0)]);
+    assert_eq!(town.broker.prefilter_candidates(0).collect::<Vec<_>>(), [2]);
     // The cold node's room is there after half a second, whatever the seed; it stays in service longest.
     town.run(0.5);
-    town.host.nodes = vec![Some((End::Completed, 1.5)); 6];
+    town.host.nodes = vec![Some((AttemptOutcome::Served, 1.5)); 6];
     for i in 0..4 {
         town.scan(FULL, &[i, i + 2]);
     }
     town.run(1.0);
-    assert!(town.broker.pressed());
+    assert!(town.broker.is_overloaded());
 }
 
 /// What one process learned, another goes by: the median, and who was set aside, who is due a trial at once.
@@ -1315,12 +1323,12 @@
     first.host.nodes[0] = None;
     first.traffic(FULL, 4.0, 0.1);
     assert!(first.aside(0));
-    let beliefs = first.broker.beliefs(&first.host);
+    let beliefs = first.broker.learned_state(&first.host);
     let sent = |believed: bool| {
         let mut second = Town::new(site());
         second.host.nodes[0] = None;
         if believed {
-            second.broker.believe(&mut second.host, &beliefs);
+            second.broker.restore_learned(&mut second.host, &beliefs);
         }
         second.traffic(FULL, 1.0, 0.05);
         second.to_node(0, 0.0)
@@ -1335,23 +1343,23 @@
     first.traffic(FULL, 10.0, 0.1);
     first.host.nodes[0] = None;
     first.traffic(FULL, 4.0, 0.1);
-    let beliefs = first.broker.beliefs(&first.host);
+    let beliefs = first.broker.learned_state(&first.host);
     let mut second = Town::new(site());
-    second.broker.believe(&mut second.host, &beliefs);
-    assert!(second.broker.beliefs(&second.host).nodes[0].aside);
+    second.broker.restore_learned(&mut second.host, &beliefs);
+    assert!(second.broker.learned_state(&second.host).nodes[0].ejected);
     second.traffic(FULL, 6.0, 0.1);
-    assert!(!second.broker.beliefs(&second.host).nodes[0].aside);
+    assert!(!second.broker.learned_state(&second.host).nodes[0].ejected);
 }
 
 /// It is not known what an earlier process spent: all of it, for as long as it may stand in a window.
 #[test]
 fn after_a_crash_nothing_is_sent_further_for_one_window_and_nothing_to_cold_nodes_for_a_span() {
-    let budget = Some(FurtherBudget { window: 2.0, free: 9.0, share: 0.1 });
-    let mut town = Town::new(Deployment { budget, ..site() });
-    town.host.nodes = vec![Some((End::Error, 0.05)); 6];
+    let budget = Some(RetryBudget { window: 2.0, min_retries: 9.0, ratio: 0.1 });
+    let mut town = Town::new(Deployment { retry_budget: budget, ..site() });
+    town.host.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
     let now = town.host.now;
-    town.list(false, &[row(0, Standing::Active, now - 1.0)]);
-    town.broker.owe(&mut town.host, None);
+    town.list(false, &[row(0, EndpointState::Active, now - 1.0)]);
+    town.broker.restore_spent(&mut town.host, None);
     let early = town.scan(FULL, &[0]);
     town.run(1.5);
     assert_eq!((town.sent(early).len(), town.to_node(0, 0.0)), (1, 0));
@@ -1363,19 +1371,19 @@
 
 #[test]
 fn what_was_spent_before_an_orderly_end_counts_afterwards() {
-    let budget = Some(FurtherBudget { window: 20.0, free: 3.0, share: 0.0 });
-    let site = || Deployment { budget: budget.clone(), ..site() };
+    let budget = Some(RetryBudget { window: 20.0, min_retries: 3.0, ratio: 0.0 });
+    let site = || Deployment { retry_budget: budget.clone(), ..site() };
     let mut first = Town::new(site());
-    first.host.nodes = vec![Some((End::Error, 0.05)); 6];
+    first.host.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
     let scan = first.scan(FULL, &[0]);
     first.run(1.0);
     let spent = first.sent(scan).len() - 1;
     assert!((1..=3).contains(&spent));
-    let ledger = first.broker.ledger(&first.host);
-    assert_eq!(ledger.further.len(), spent);
+    let ledger = first.broker.spent_budgets(&first.host);
+    assert_eq!(ledger.retries.len(), spent);
     let mut second = Town::new(site());
-    second.host.nodes = vec![Some((End::Error, 0.05)); 6];
-    second.broker.owe(&mut second.host, Some(&ledger));
+    second.host.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
+    second.broker.restore_spent(&mut second.host, Some(&ledger));
     let scans: Vec<_> = (0..4).map(|seg| second.scan(FULL, &[seg])).collect();
     second.run(3.0);
     let further: usize = scans.iter().map(|scan| second.sent(*scan).len() - 1).sum();
@@ -1385,9 +1393,9 @@
 /// A cold node may be sent two parts at any time, by all brokers together: who is alone need not wait for the first.
 #[rstest]
 fn a_lone_broker_sends_a_new_node_its_first_part_at_once(#[values(1, 2, 3, 4, 5)] seed: u64) {
-    let mut town = Town::new(Deployment { brokers: 1.0, holders: 1, seed, ..site() });
+    let mut town = Town::new(Deployment { broker_count: 1.0, replicas: 1, seed, ..site() });
     let now = town.host.now;
-    town.list(true, &[row(0, Standing::Active, now)]);
+    town.list(true, &[row(0, EndpointState::Active, now)]);
     let scan = town.scan(FULL, &[0]);
     assert_eq!(town.sent(scan).len(), 1);
 }
--- a/crates/dunepond-sim-adapter/src/desk.rs
+++ b/crates/dunepond-sim-adapter/src/desk.rs
@@ -4,7 +4,9 @@
 use std::collections::HashMap;
 
 use dunepond_config::{Bad, Fields, deployment};
-use dunepond_routing::{Broker, End, Ended, Host, Listed, NodeId, Part, Scan, ScanId};
+use dunepond_routing::{
+    AttemptEnded, AttemptOutcome, Endpoint, NodeId, Part, Query, QueryId, Router, Transport,
+};
 use serde_json::{Value, json};
 
 use crate::Lists;
@@ -25,21 +27,21 @@
     orders: Vec<Value>,
     nodes: Vec<String>,
     node_index: HashMap<String, NodeId>,
-    scans: HashMap<ScanId, Named>,
+    scans: HashMap<QueryId, Named>,
     /// A scan by its own id (no part) or by a part's.
-    ids: HashMap<String, (ScanId, Option<usize>)>,
+    ids: HashMap<String, (QueryId, Option<usize>)>,
 }
 
 /// A scan, or the parts of a second step, that is still being read.
 struct Incoming {
-    scan: ScanId,
+    scan: QueryId,
     /// The scan itself with the number of parts it stated; absent at a second step.
-    first: Option<(Scan, usize)>,
+    first: Option<(Query, usize)>,
     parts: Vec<Part>,
 }
 
 pub struct Seat {
-    broker: Broker,
+    broker: Router,
     desk: Desk,
     incoming: Option<Incoming>,
     table_types: usize,
@@ -55,7 +57,7 @@
         self.nodes.len() - 1
     }
 
-    fn release(&mut self, scan: ScanId) {
+    fn release(&mut self, scan: QueryId) {
         if self.scans.get(&scan).is_some_and(|n| n.over && n.out == 0)
             && let Some(named) = self.scans.remove(&scan)
         {
@@ -66,24 +68,24 @@
     }
 }
 
-impl Host for Desk {
+impl Transport for Desk {
     fn now(&self) -> f64 {
         self.now
     }
 
-    fn dispatch(&mut self, scan: ScanId, part: usize, node: NodeId) {
+    fn send_attempt(&mut self, scan: QueryId, part: usize, node: NodeId) {
         let Some(named) = self.scans.get_mut(&scan) else { return };
         named.out += 1;
         self.orders.push(json!({"what": "dispatch", "xid": named.parts[part], "node": self.nodes[node]}));
     }
 
-    fn cancel(&mut self, scan: ScanId, part: usize, shot: usize) {
+    fn cancel_attempt(&mut self, scan: QueryId, part: usize, shot: usize) {
         if let Some(named) = self.scans.get(&scan) {
             self.orders.push(json!({"what": "stopAttempt", "xid": named.parts[part], "shot": shot}));
         }
     }
 
-    fn close_idle(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.orders.push(json!({"what": "shutIdle", "node": self.nodes[node]}));
     }
 
@@ -91,37 +93,37 @@
         self.orders.push(json!({"what": "sample", "node": self.nodes[node]}));
     }
 
-    fn answer(&mut self, scan: ScanId, whole: bool) {
+    fn answer(&mut self, scan: QueryId, whole: bool) {
         if let Some(named) = self.scans.get(&scan) {
             self.orders.push(json!({"what": "conclude", "xid": named.xid, "on": whole}));
         }
     }
 
-    fn throttle(&mut self, scan: ScanId, wait: f64) {
+    fn reject_retriable(&mut self, scan: QueryId, wait: f64) {
         if let Some(named) = self.scans.get(&scan) {
             let wait_ms = wait * 1000.0;
             self.orders.push(json!({"what": "pushBack", "xid": named.xid, "waitMs": wait_ms}));
         }
     }
 
-    fn abandon(&mut self, scan: ScanId) {
+    fn fail_unknown_outcome(&mut self, scan: QueryId) {
         if let Some(named) = self.scans.get(&scan) {
             self.orders.push(json!({"what": "endFailed", "xid": named.xid}));
         }
     }
 
-    fn forget(&mut self, scan: ScanId) {
+    fn finish(&mut self, scan: QueryId) {
         if let Some(named) = self.scans.get_mut(&scan) {
             named.over = true;
         }
         self.release(scan);
     }
 
-    fn wake_at(&mut self, at: f64) {
+    fn schedule_wake(&mut self, at: f64) {
         self.orders.push(json!({"what": "defer", "cookie": 0, "whenMs": at * 1000.0}));
     }
 
-    fn ask_list(&mut self) {
+    fn poll_endpoint_list(&mut self) {
         self.orders.push(json!({"what": "observe", "on": true}));
     }
 
@@ -135,8 +137,8 @@
         let seed = init.whole("salt")?.cast_unsigned();
         let site = deployment(seed, &Fields::of("init params", init.raw("params")?)?)?;
         Ok(Self {
-            table_types: site.table_types.len(),
-            broker: Broker::new(site),
+            table_types: site.query_classes.len(),
+            broker: Router::new(site),
             desk: Desk { now, ..Desk::default() },
             incoming: None,
         })
@@ -155,17 +157,17 @@
             "arrival" => self.arrival(event)?,
             "answer" => self.ended(event)?,
             "directoryUpdate" => self.listed(event, lists)?,
-            "timeoutFired" => self.broker.wake(&mut self.desk),
+            "timeoutFired" => self.broker.on_wake(&mut self.desk),
             "clientLeft" => {
                 if let Some(&(scan, None)) = self.desk.ids.get(event.text("xid")?) {
-                    self.broker.client_left(&mut self.desk, scan);
+                    self.broker.on_client_disconnect(&mut self.desk, scan);
                 }
             }
             "pingResult" => {
                 let node = self.desk.node(event.text("node")?);
                 let good = event.text("outcome")? == "GOOD";
                 let took = event.number_or("delaySeenMs", 0.0)? / 1000.0;
-                self.broker.probed(&mut self.desk, node, good.then_some(took));
+                self.broker.on_probe_result(&mut self.desk, node, good.then_some(took));
             }
             // Known, and nothing the decisions go by here.
             "underWay" | "fromPeer" => {}
@@ -178,13 +180,13 @@
     pub fn settle(&mut self) -> Result<(), Bad> {
         let Some(incoming) = self.incoming.take() else { return Ok(()) };
         match incoming.first {
-            None => self.broker.second_step(&mut self.desk, incoming.scan, incoming.parts),
+            None => self.broker.on_second_step(&mut self.desk, incoming.scan, incoming.parts),
             Some((_, stated)) if stated != incoming.parts.len() => {
                 let came = incoming.parts.len();
                 return Err(Bad(format!("arrival: shareOrCount: {stated} parts stated, {came} came")));
             }
             Some((scan, _)) => {
-                self.broker.scan(&mut self.desk, Scan { parts: incoming.parts, ..scan });
+                self.broker.on_query(&mut self.desk, Query { parts: incoming.parts, ..scan });
             }
         }
         Ok(())
@@ -199,16 +201,16 @@
             self.settle()?;
         }
         if seg < 0 {
-            let first = Scan {
+            let first = Query {
                 id: scan,
-                table_type: event.index("cls", self.table_types)?,
-                customer: event.count_or("owner", 0)? as usize,
+                class: event.index("cls", self.table_types)?,
+                tenant: event.count_or("owner", 0)? as usize,
                 expires_in: event.number("expiresInMs")? / 1000.0,
-                resent: event.mark("resent")?,
+                is_retry: event.mark("resent")?,
                 // The wire names a scan's parts; what they carry is its own matter.
-                kept: true,
-                long: false,
-                waits: false,
+                body_retained: true,
+                streamed: false,
+                awaits_prefilter: false,
                 audit: false,
                 parts: Vec::new(),
             };
@@ -224,7 +226,7 @@
         };
         self.desk.ids.insert(xid.clone(), (scan, Some(named.parts.len())));
         named.parts.push(xid);
-        let part = Part { seg: seg as usize, weight: share, only: None };
+        let part = Part { segment: seg as usize, weight: share, required_node: None };
         match &mut self.incoming {
             Some(incoming) => incoming.parts.push(part),
             None => self.incoming = Some(Incoming { scan, first: None, parts: vec![part] }),
@@ -234,28 +236,28 @@
 
     fn ended(&mut self, event: &Fields) -> Result<(), Bad> {
         let end = match event.text("outcome")? {
-            "GOOD" => End::Completed,
-            "BAD" => End::Error,
-            "FULL" => End::Full,
-            "LATE" => End::TimedOut,
-            "NOCONN" => End::NoConnection,
-            "RST" => End::Dropped,
-            "CXL" => End::Cancelled,
-            "NOP" => End::NotSent,
+            "GOOD" => AttemptOutcome::Served,
+            "BAD" => AttemptOutcome::Error,
+            "FULL" => AttemptOutcome::Rejected,
+            "LATE" => AttemptOutcome::TimedOut,
+            "NOCONN" => AttemptOutcome::ConnectFailed,
+            "RST" => AttemptOutcome::ConnectionLost,
+            "CXL" => AttemptOutcome::Cancelled,
+            "NOP" => AttemptOutcome::NotSent,
             other => return Err(Bad(format!("answer: outcome: unknown word '{other}'"))),
         };
         let Some(&(scan, Some(part))) = self.desk.ids.get(event.text("xid")?) else {
             return Ok(());
         };
-        let ended = Ended {
-            scan,
+        let ended = AttemptEnded {
+            query: scan,
             part,
-            shot: event.count_or("shot", 0)? as usize,
+            attempt: event.count_or("shot", 0)? as usize,
             node: self.desk.node(event.text("node")?),
-            end,
-            took: event.number_or("delaySeenMs", 0.0)? / 1000.0,
+            outcome: end,
+            elapsed: event.number_or("delaySeenMs", 0.0)? / 1000.0,
         };
-        self.broker.ended(&mut self.desk, ended);
+        self.broker.on_attempt_ended(&mut self.desk, ended);
         if let Some(named) = self.desk.scans.get_mut(&scan) {
             named.out = named.out.saturating_sub(1);
         }
@@ -268,7 +270,7 @@
             "changes" => false,
             "all" | "remembered" => true,
             "refused" => {
-                self.broker.list_refused(&mut self.desk);
+                self.broker.on_list_poll_failed(&mut self.desk);
                 return Ok(());
             }
             other => return Err(Bad(format!("directoryUpdate: form: unknown word '{other}'"))),
@@ -279,15 +281,15 @@
         };
         let mut listed = Vec::with_capacity(rows.len());
         for row in rows {
-            listed.push(Listed {
+            listed.push(Endpoint {
                 node: self.desk.node(&row.node),
-                cell: row.cell,
+                replica_group: row.cell,
                 zone: row.area,
-                standing: read::standing(&row.mode)?,
-                started: row.ready_at_ms / 1000.0,
+                state: read::standing(&row.mode)?,
+                started_at: row.ready_at_ms / 1000.0,
             });
         }
-        self.broker.listed(&mut self.desk, complete, &listed);
+        self.broker.update_endpoints(&mut self.desk, complete, &listed);
         Ok(())
     }
 }
--- a/crates/dunepond-sim-adapter/src/read.rs
+++ b/crates/dunepond-sim-adapter/src/read.rs
@@ -1,7 +1,7 @@
 //! Reads node rows out of the simulator's messages.
 
 use dunepond_config::{Bad, Fields};
-use dunepond_routing::Standing;
+use dunepond_routing::EndpointState;
 use serde::Deserialize;
 
 #[derive(Deserialize, Clone)]
@@ -21,11 +21,11 @@
     rows.collect::<Result<_, _>>().map_err(|e| register.bad("rowsIn", &e.to_string()))
 }
 
-pub fn standing(mode: &str) -> Result<Standing, Bad> {
+pub fn standing(mode: &str) -> Result<EndpointState, Bad> {
     match mode {
-        "active" => Ok(Standing::Active),
-        "leaving" => Ok(Standing::Draining),
-        "left" => Ok(Standing::Gone),
+        "active" => Ok(EndpointState::Active),
+        "leaving" => Ok(EndpointState::Draining),
+        "left" => Ok(EndpointState::Removed),
         other => Err(Bad(format!("register: mode: unknown word '{other}'"))),
     }
 }
--- a/crates/dunepond-simulation/src/fleet.rs
+++ b/crates/dunepond-simulation/src/fleet.rs
@@ -23,33 +23,33 @@
 /// Of the small map.
 pub const SEGMENTS: u64 = 4;
 
-pub fn terms(name: &str, voters: usize) -> Terms {
-    Terms {
+pub fn terms(name: &str, voters: usize) -> ConsensusConfig {
+    ConsensusConfig {
         name: name.to_string(),
         voters: (1..=voters).map(|n| format!("n{n}")).collect(),
-        lease: 1.0,
-        drift: DRIFT,
-        bound: 2.0,
-        longest_timeout: 0.5,
-        fills_deadline: 5.0,
-        most_changed: 1.0,
-        maps: true,
-        map: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
+        lease_seconds: 1.0,
+        drift_ratio: DRIFT,
+        switch_bound_seconds: 2.0,
+        longest_query_seconds: 0.5,
+        fill_deadline_seconds: 5.0,
+        max_changed_ratio: 1.0,
+        maps_enabled: true,
+        map_requirements: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
     }
 }
 
-pub fn rules(cap: usize) -> Rules {
-    Rules {
-        least: vec![0.5],
-        whole_at: vec![1.0],
-        budget_share: 0.1,
-        budget_free: 10.0,
-        drain_grace: 1.0,
-        cold_multiple: 2.0,
-        dispatch_cap: cap,
-        second_copies: true,
-        repeats: true,
-        longest_wait: 5.0,
+pub fn rules(cap: usize) -> RoutingRules {
+    RoutingRules {
+        minimum_shares: vec![0.5],
+        complete_at: vec![1.0],
+        retry_budget_ratio: 0.1,
+        retry_budget_min: 10.0,
+        drain_grace_seconds: 1.0,
+        slow_start_multiple: 2.0,
+        max_attempts: cap,
+        hedging_enabled: true,
+        keyed_retries_enabled: true,
+        max_retry_after_seconds: 5.0,
     }
 }
 
@@ -72,18 +72,18 @@
     Map { epoch, hash: String::from("xxh3-64"), segments, digest: String::new() }.sealed()
 }
 
-pub fn version(number: u64, map: Option<Map>) -> Version {
-    Version {
+pub fn version(number: u64, map: Option<Map>) -> ConfigVersion {
+    ConfigVersion {
         number,
-        follows: None,
-        stage: None,
+        based_on: None,
+        first_stage_ratio: None,
         rules: rules(1 + number as usize % 8),
-        standings: Standings::default(),
+        excluded_nodes: ExcludedNodes::default(),
         map,
-        who: String::from("ann"),
-        why: String::from("a test"),
-        at: 0.0,
-        more: Vec::new(),
+        proposed_by: String::from("ann"),
+        reason: String::from("a test"),
+        proposed_at_unix_seconds: 0.0,
+        extensions: Vec::new(),
     }
 }
 
@@ -105,8 +105,8 @@
 #[derive(Clone)]
 enum Wire {
     Voters(Vec<u8>),
-    Ask(Ask),
-    Told(Told),
+    Ask(LeaseRequest),
+    Told(LeaseReply),
 }
 
 impl Wire {
@@ -143,10 +143,10 @@
 pub struct Broker {
     pub name: String,
     pub voter: Option<Voter>,
-    pub member: Option<Member>,
+    pub member: Option<LeaseClient>,
     /// What is synced to its folder.
     pub disk: Vec<Vec<u8>>,
-    pub(crate) kept: Kept,
+    pub(crate) kept: PersistedState,
     pub(crate) votes: bool,
     /// Own clock: rate by the true time, and what it shows at its start.
     pub rate: f64,
@@ -160,11 +160,11 @@
     pub hidden: Option<f64>,
     /// Dies while it writes its next record, which is torn.
     pub torn: bool,
-    pub refusals: Vec<Refusal>,
+    pub refusals: Vec<Rejection>,
     pub log: Vec<String>,
     pub load: Load,
     /// As its file says.
-    pub terms: Terms,
+    pub terms: ConsensusConfig,
 }
 
 /// The fleet, and its judge: what that has seen is read as if it were the fleet's own.
@@ -216,16 +216,16 @@
     }
 
     /// By these terms, each broker under a name of its own; the first ones vote.
-    pub fn of(terms: &Terms, brokers: usize, watched: Vec<u64>, seed: u64) -> Self {
+    pub fn of(terms: &ConsensusConfig, brokers: usize, watched: Vec<u64>, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let brokers = (1..=brokers).map(|n| Broker {
             name: format!("n{n}"),
             voter: None,
             member: None,
             disk: Vec::new(),
-            kept: Kept::default(),
+            kept: PersistedState::default(),
             votes: n <= terms.voters.len(),
-            rate: 1.0 + terms.drift * [-1.0, 0.0, 1.0][rng.random_range(0..3)],
+            rate: 1.0 + terms.drift_ratio * [-1.0, 0.0, 1.0][rng.random_range(0..3)],
             offset: rng.random_range(0.0..1000.0),
             still_until: 0.0,
             looked: f64::NEG_INFINITY,
@@ -235,7 +235,7 @@
             refusals: Vec::new(),
             log: Vec::new(),
             load: Load::default(),
-            terms: Terms { name: format!("n{n}"), ..terms.clone() },
+            terms: ConsensusConfig { name: format!("n{n}"), ..terms.clone() },
         });
         let brokers: Vec<_> = brokers.collect();
         let names = brokers.iter().enumerate().map(|(n, broker)| (broker.name.clone(), n)).collect();
@@ -254,7 +254,7 @@
             delay: (0.001, 0.02),
             late: 0.0,
             slow: None,
-            lease: terms.lease,
+            lease: terms.lease_seconds,
             watched,
             sent: 0,
             trace: seed,
@@ -275,8 +275,13 @@
     /// Settled, with version 1 and its map in force.
     pub fn mapped(voters: usize, others: usize, seed: u64) -> Self {
         let mut fleet = Self::settled(voters, others, seed);
-        fleet.propose(Entry::Propose(Box::new(version(1, Some(map(1, false)))))).expect("the first version");
-        assert!(fleet.until(10.0, |fleet| fleet.all(&Phase::Alone(1))), "version 1 is in force everywhere");
+        fleet
+            .propose(Command::Propose(Box::new(version(1, Some(map(1, false))))))
+            .expect("the first version");
+        assert!(
+            fleet.until(10.0, |fleet| fleet.all(&ConfigPhase::Active(1))),
+            "version 1 is in force everywhere"
+        );
         fleet
     }
 
@@ -295,12 +300,12 @@
     pub fn start(&mut self, n: usize) {
         let (clock, seed) = (self.clock(n), self.rng.random());
         let broker = &mut self.brokers[n];
-        let terms = Terms { lease: self.lease, ..broker.terms.clone() };
+        let terms = ConsensusConfig { lease_seconds: self.lease, ..broker.terms.clone() };
         (broker.looked, broker.went_back, broker.hidden) = (clock, false, None);
-        broker.member = Some(Member::new(terms.clone(), Some(broker.kept.clone()), clock, seed));
+        broker.member = Some(LeaseClient::new(terms.clone(), Some(broker.kept.clone()), clock, seed));
         if broker.votes {
-            let mut saved = Saved::new();
-            broker.disk.iter().for_each(|record| saved.take(record).expect("a record of its own"));
+            let mut saved = StoredVoter::new();
+            broker.disk.iter().for_each(|record| saved.apply_record(record).expect("a record of its own"));
             broker.voter = Some(Voter::open(terms, saved, clock, seed ^ 1).expect("its own folder"));
         }
     }
@@ -314,7 +319,7 @@
 
     pub fn empty(&mut self, n: usize) {
         self.brokers[n].disk.clear();
-        self.brokers[n].kept = Kept::default();
+        self.brokers[n].kept = PersistedState::default();
     }
 
     /// Another broker, which does not vote, comes in the place of this one, for good.
@@ -371,36 +376,42 @@
 
     pub fn leader(&self) -> Option<usize> {
         (0..self.brokers.len())
-            .find(|n| self.awake(*n) && self.brokers[*n].voter.as_ref().is_some_and(Voter::leads))
+            .find(|n| self.awake(*n) && self.brokers[*n].voter.as_ref().is_some_and(Voter::is_leader))
     }
 
-    pub fn phase(&self, n: usize) -> Phase {
-        self.brokers[n].member.as_ref().map_or(Phase::None, |member| member.acting().at(self.clock(n)))
+    pub fn phase(&self, n: usize) -> ConfigPhase {
+        self.brokers[n]
+            .member
+            .as_ref()
+            .map_or(ConfigPhase::Unconfigured, |member| member.active_config().phase(self.clock(n)))
     }
 
     pub fn live(&self, n: usize) -> bool {
-        self.brokers[n].member.as_ref().is_some_and(|member| member.acting().until() > self.clock(n))
+        self.brokers[n]
+            .member
+            .as_ref()
+            .is_some_and(|member| member.active_config().lease_expires_at() > self.clock(n))
     }
 
     pub fn all_live(&self) -> bool {
         (0..self.brokers.len()).all(|n| !self.up(n) || self.live(n))
     }
 
-    pub fn all(&self, phase: &Phase) -> bool {
+    pub fn all(&self, phase: &ConfigPhase) -> bool {
         (0..self.brokers.len()).all(|n| !self.up(n) || self.phase(n) == *phase)
     }
 
-    pub fn state(&self, n: usize) -> &State {
+    pub fn state(&self, n: usize) -> &ReplicatedState {
         self.brokers[n].voter.as_ref().expect("a voter that is up").state()
     }
 
     /// At the leader, as the host would.
-    pub fn propose(&mut self, entry: Entry) -> Result<(), Refusal> {
-        let n = self.leader().ok_or(Refusal::NotLeader(None))?;
+    pub fn propose(&mut self, entry: Command) -> Result<(), Rejection> {
+        let n = self.leader().ok_or(Rejection::NotLeader(None))?;
         self.propose_at(n, entry, false)
     }
 
-    pub fn propose_at(&mut self, n: usize, entry: Entry, unchecked: bool) -> Result<(), Refusal> {
+    pub fn propose_at(&mut self, n: usize, entry: Command, unchecked: bool) -> Result<(), Rejection> {
         let clock = self.clock(n);
         let voter = self.brokers[n].voter.as_mut().expect("a voter that is up");
         let orders =
@@ -498,7 +509,7 @@
             if let Wire::Ask(_) = flying.wire
                 && let Some(member) = &mut self.brokers[flying.from].member
             {
-                member.failed(clock, &name);
+                member.request_failed(clock, &name);
             }
             return;
         }
@@ -513,23 +524,23 @@
         match flying.wire {
             Wire::Voters(bytes) => {
                 let voter = broker.voter.as_mut();
-                orders = voter.and_then(|voter| match voter.received(clock, &from, &bytes) {
+                orders = voter.and_then(|voter| match voter.receive(clock, &from, &bytes) {
                     Ok(orders) => Some(orders),
-                    Err(AgreeError::NoVoter(_) | AgreeError::OldEpoch { .. }) => None,
+                    Err(ConsensusError::NotAVoter(_) | ConsensusError::StaleEpoch { .. }) => None,
                     Err(why) => panic!("a message of ours: {why}"),
                 });
             }
             Wire::Ask(ask) => {
-                orders = broker.voter.as_mut().map(|voter| voter.asked(clock, &from, ask));
+                orders = broker.voter.as_mut().map(|voter| voter.handle_lease_request(clock, &from, ask));
             }
             Wire::Told(told) => {
                 let Some(member) = &mut broker.member else { return };
-                if let Err(why) = member.told(clock, &from, told)
+                if let Err(why) = member.handle_reply(clock, &from, told)
                     && broker.refusals.len() < REFUSALS
                 {
                     broker.refusals.push(why);
                 }
-                broker.kept = member.kept();
+                broker.kept = member.persisted_state();
                 if let Some(told) = &mut self.told {
                     told.extend(debts::heard(member).into_iter().map(|id| (self.now, n, id)));
                 }
@@ -541,30 +552,30 @@
         }
     }
 
-    fn carry_out(&mut self, n: usize, orders: Orders) {
-        if !orders.save.is_empty() {
+    fn carry_out(&mut self, n: usize, orders: Effects) {
+        if !orders.write_batch.is_empty() {
             if self.brokers[n].torn {
                 // The record is torn: read back without it, and nothing that rests on it went out.
                 self.kill(n);
                 return;
             }
-            if orders.save.starts_anew() {
+            if orders.write_batch.is_checkpoint() {
                 self.brokers[n].disk =
-                    vec![self.brokers[n].voter.as_ref().expect("it gave orders").whole().bytes()];
+                    vec![self.brokers[n].voter.as_ref().expect("it gave orders").checkpoint().encode()];
             } else {
-                self.brokers[n].disk.push(orders.save.bytes());
+                self.brokers[n].disk.push(orders.write_batch.encode());
             }
         }
-        self.brokers[n].log.extend(orders.log);
+        self.brokers[n].log.extend(orders.log_lines);
         for outcome in &orders.outcomes {
-            self.note(&[n as u64, outcome.index, u64::from(outcome.what.is_ok())]);
+            self.note(&[n as u64, outcome.index, u64::from(outcome.result.is_ok())]);
             self.judge.applied(self.now, &self.brokers[n].name, outcome);
         }
-        for (voter, bytes) in orders.send {
+        for (voter, bytes) in orders.messages {
             let to = self.named(&voter);
             self.send(n, to, Wire::Voters(bytes));
         }
-        for (broker, told) in orders.told {
+        for (broker, told) in orders.replies {
             // One that asked may have gone for good.
             if let Some(to) = self.names.get(&broker).copied() {
                 self.send(n, to, Wire::Told(told));
@@ -600,13 +611,14 @@
             let Some(member) = broker.member.as_ref().filter(|_| self.now >= broker.still_until) else {
                 continue;
             };
-            let acting = member.acting();
+            let acting = member.active_config();
             // Only this broker, only by this lease: what it does under a later one is judged again.
-            if broker.hidden.is_some_and(|clock| acting.since() < clock) {
+            if broker.hidden.is_some_and(|clock| acting.lease_started_at() < clock) {
                 continue;
             }
             let clock = broker.offset + broker.rate * self.now;
-            let (lasts, bound) = (broker.terms.longest_timeout / broker.rate, broker.terms.bound);
+            let (lasts, bound) =
+                (broker.terms.longest_query_seconds / broker.rate, broker.terms.switch_bound_seconds);
             self.judge.acts(self.now, n, &acting, clock, &self.watched, lasts, bound);
         }
         self.judge.judged(self.now);
--- a/crates/dunepond-simulation/src/judge.rs
+++ b/crates/dunepond-simulation/src/judge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunepond_consensus::{Acting, Change, Outcome, Owner, Phase};
+use dunepond_consensus::{ActiveConfig, ConfigPhase, EntryOutcome, SegmentOwner, StateChange};
 
 use crate::debts;
 
@@ -35,16 +35,16 @@
 
 impl Judge {
     /// What became of an entry, as `name` applied it.
-    pub fn applied(&mut self, now: f64, name: &str, outcome: &Outcome) {
-        let said = format!("{:?}", outcome.what);
+    pub fn applied(&mut self, now: f64, name: &str, outcome: &EntryOutcome) {
+        let said = format!("{:?}", outcome.result);
         match self.outcomes.get(&outcome.index) {
             Some(known) => assert_eq!(*known, said, "the log differs at {} for {name}", outcome.index),
             None => drop(self.outcomes.insert(outcome.index, said)),
         }
-        match &outcome.what {
-            Ok(Change::Proposed(number)) => drop(self.proposed_at.entry(*number).or_insert(now)),
-            Ok(Change::Withdrawn(number)) => drop(self.withdrawn.insert(*number)),
-            Ok(Change::InForce(number)) => drop(self.in_force_at.entry(*number).or_insert(now)),
+        match &outcome.result {
+            Ok(StateChange::Proposed(number)) => drop(self.proposed_at.entry(*number).or_insert(now)),
+            Ok(StateChange::Withdrawn(number)) => drop(self.withdrawn.insert(*number)),
+            Ok(StateChange::Activated(number)) => drop(self.in_force_at.entry(*number).or_insert(now)),
             Ok(change) => {
                 if let Some(id) = debts::settled(change) {
                     let at = *self.settled.entry(id.to_string()).or_insert(outcome.index);
@@ -81,19 +81,19 @@
         &mut self,
         now: f64,
         n: usize,
-        acting: &Acting,
+        acting: &ActiveConfig,
         clock: f64,
         segments: &[u64],
         lasts: f64,
         bound: f64,
     ) {
-        let live = acting.live(clock);
-        let sides = match acting.at(clock) {
-            Phase::Cut(_) => None,
-            Phase::None if !live => None,
-            Phase::None => Some((0, 0)),
-            Phase::Alone(a) => Some((a, a)),
-            Phase::Joint(a, b) => Some((a, b)),
+        let live = acting.lease_valid(clock);
+        let sides = match acting.phase(clock) {
+            ConfigPhase::LeaseExpired(_) => None,
+            ConfigPhase::Unconfigured if !live => None,
+            ConfigPhase::Unconfigured => Some((0, 0)),
+            ConfigPhase::Active(a) => Some((a, a)),
+            ConfigPhase::Joint(a, b) => Some((a, b)),
         };
         if let Some((a, b)) = sides
             && a == b
@@ -110,7 +110,7 @@
             self.sides.entry(sides).or_insert(n);
         }
         for &segment in segments {
-            let Owner::Only(owner) = acting.owner(segment, clock) else { continue };
+            let SegmentOwner::Node(owner) = acting.owner(segment, clock) else { continue };
             let under = self.under.entry(segment).or_default();
             if let Some((other, at)) = under.iter().find(|(other, _)| *other != owner) {
                 let by = at.by + 1;
--- a/crates/dunepond-simulation/src/size/fills.rs
+++ b/crates/dunepond-simulation/src/size/fills.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_consensus::{Entry, Refusal};
+use dunepond_consensus::{Command, Rejection};
 use dunepond_settlement::{
     Agreed, Applied, Book, Cold, Counts, Fill, Ledger, Links, Need, Planner, Rule, Settlement, Sides, Terms,
 };
@@ -148,7 +148,7 @@
             desk.book.counted(now, counts);
         }
         let state = fleet.state(leader);
-        let open = state.open.as_ref().and_then(|open| Some((open, state.moving()?)));
+        let open = state.open.as_ref().and_then(|open| Some((open, state.map_transition()?)));
         let number = open.as_ref().map_or(0, |(open, _)| open.version.number);
         if desk.number != number {
             for (id, _) in std::mem::take(&mut desk.under) {
@@ -157,8 +157,10 @@
             desk.number = number;
         }
         let Some((open, moving)) = open else { return };
-        let needs =
-            moving.needs().iter().filter(|need| !open.filled.contains(&(need.segment, need.holder.clone())));
+        let needs = moving
+            .needs()
+            .iter()
+            .filter(|need| !open.completed_fills.contains(&(need.segment, need.holder.clone())));
         let needs: Vec<Need> = needs
             .map(|need| Need {
                 version: number,
@@ -210,9 +212,9 @@
                     fleet.propose(debts::settle(settlement.clone()))
                 }
             };
-            if matches!(settled, Ok(()) | Err(Refusal::Settled(_))) {
+            if matches!(settled, Ok(()) | Err(Rejection::AlreadySettled(_))) {
                 let Fill { segment, holder, .. } = under.fill.clone();
-                let _ = fleet.propose(Entry::Filled { number: desk.number, segment, holder });
+                let _ = fleet.propose(Command::FillCompleted { number: desk.number, segment, holder });
             }
         }
     }
--- a/crates/dunepond-simulation/src/size/mod.rs
+++ b/crates/dunepond-simulation/src/size/mod.rs
@@ -5,7 +5,7 @@
 mod trouble;
 mod world;
 
-use dunepond_consensus::{Entry, Refusal, Terms, Version, Voter};
+use dunepond_consensus::{Command, ConfigVersion, ConsensusConfig, Rejection, Voter};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -53,18 +53,18 @@
         }
     }
 
-    pub fn terms(&self) -> Terms {
-        Terms {
+    pub fn terms(&self) -> ConsensusConfig {
+        ConsensusConfig {
             name: String::from("n0"),
             voters: (1..=self.voters).map(|n| format!("n{n}")).collect(),
-            lease: self.lease,
-            drift: 0.01,
-            bound: 2.0 * self.lease + 1.5,
-            longest_timeout: 1.0,
-            fills_deadline: 8.0,
-            most_changed: 1.0,
-            maps: true,
-            map: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
+            lease_seconds: self.lease,
+            drift_ratio: 0.01,
+            switch_bound_seconds: 2.0 * self.lease + 1.5,
+            longest_query_seconds: 1.0,
+            fill_deadline_seconds: 8.0,
+            max_changed_ratio: 1.0,
+            maps_enabled: true,
+            map_requirements: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
         }
     }
 }
@@ -114,7 +114,7 @@
         (fleet.pace, fleet.told) = (shape.lease / 100.0, Some(Vec::new()));
         let fills = Fills::new(&world, shape.seed);
         let chance = Pcg64Mcg::seed_from_u64(!shape.seed);
-        let report = Report { bound: shape.terms().bound, ..Report::default() };
+        let report = Report { bound: shape.terms().switch_bound_seconds, ..Report::default() };
         Self { fleet, shape, report, world, fills, later: Queue::default(), chance, open: Vec::new() }
     }
 
@@ -124,7 +124,7 @@
         let first = version(1, self.world.map(1));
         self.propose(first).expect("the first version");
         assert!(
-            self.until(BACK, |fleet| fleet.all(&dunepond_consensus::Phase::Alone(1))),
+            self.until(BACK, |fleet| fleet.all(&dunepond_consensus::ConfigPhase::Active(1))),
             "version 1 is in force everywhere"
         );
     }
@@ -188,15 +188,15 @@
             self.until(0.5, |_| false);
         }
         let leader = self.fleet.leader().expect("it leads");
-        let next = self.fleet.state(leader).highest + 1;
+        let next = self.fleet.state(leader).highest_number + 1;
         let map = self.world.changed(self.fleet.state(leader), next, 0, &mut self.chance);
         self.propose(version(next, map)).expect("the next version");
-        let all = |fleet: &Fleet| fleet.all(&dunepond_consensus::Phase::Alone(next));
+        let all = |fleet: &Fleet| fleet.all(&dunepond_consensus::ConfigPhase::Active(next));
         let agreed = self.until(BACK, all);
         let phases: Vec<_> = (0..self.shape.brokers).map(|n| self.fleet.phase(n)).collect();
         assert!(agreed, "{:.2}: version {next} everywhere: {phases:?}", self.fleet.now);
         for n in 0..self.shape.voters {
-            let seated = self.fleet.brokers[n].voter.as_ref().is_some_and(Voter::seated);
+            let seated = self.fleet.brokers[n].voter.as_ref().is_some_and(Voter::has_state);
             assert!(seated, "n{} is in its place again", n + 1);
         }
     }
@@ -258,10 +258,10 @@
         });
     }
 
-    fn propose(&mut self, version: Version) -> Result<(), Refusal> {
-        let more = version.stage.is_some() || self.world.wants(&version);
+    fn propose(&mut self, version: ConfigVersion) -> Result<(), Rejection> {
+        let more = version.first_stage_ratio.is_some() || self.world.wants(&version);
         let number = version.number;
-        let said = self.fleet.propose(Entry::Propose(Box::new(version)));
+        let said = self.fleet.propose(Command::Propose(Box::new(version)));
         match &said {
             Ok(()) => self.open.push((number, more)),
             Err(_) => self.report.refused += 1,
@@ -273,20 +273,20 @@
     fn next_version(&mut self, cold: f64, staged: f64) {
         let Some(leader) = self.fleet.leader() else { return };
         let state = self.fleet.state(leader);
-        let next = state.highest + 1;
+        let next = state.highest_number + 1;
         let fills = if self.chance.random::<f64>() < cold { self.chance.random_range(1..4) } else { 0 };
         let mut version = version(next, self.world.changed(state, next, fills, &mut self.chance));
-        version.stage = (self.chance.random::<f64>() < staged).then_some(0.3);
+        version.first_stage_ratio = (self.chance.random::<f64>() < staged).then_some(0.3);
         let _ = self.propose(version);
     }
 
     /// By the operator's word, if a version is at its stage.
     fn end_stage(&mut self, confirm: bool) {
         let Some(leader) = self.fleet.leader() else { return };
-        let number = self.fleet.state(leader).highest;
+        let number = self.fleet.state(leader).highest_number;
         let end = match confirm {
-            true => Entry::Confirm { number },
-            false => Entry::Withdraw { number, why: String::from("by hand") },
+            true => Command::Activate { number },
+            false => Command::Withdraw { number, why: String::from("by hand") },
         };
         let _ = self.fleet.propose(end);
     }
--- a/crates/dunepond-simulation/src/size/trouble.rs
+++ b/crates/dunepond-simulation/src/size/trouble.rs
@@ -149,11 +149,11 @@
     fn partner_gone(&mut self, n: usize) {
         let Some(leader) = self.fleet.leader() else { return };
         let state = self.fleet.state(leader);
-        let next = state.highest + 1;
+        let next = state.highest_number + 1;
         let partner = self.world.partner(n);
         let Some((map, gone)) = self.world.without(state, next, &partner) else { return };
         let mut version = version(next, map);
-        version.standings.gone = gone;
+        version.excluded_nodes.removed = gone;
         let _ = self.propose(version);
     }
 
@@ -175,7 +175,7 @@
     fn lost_folder(&mut self, n: usize) {
         let whole = (0..self.shape.voters).all(|n| {
             let voter = &self.fleet.brokers[n];
-            voter.voter.as_ref().is_some_and(Voter::seated) && !voter.disk.is_empty()
+            voter.voter.as_ref().is_some_and(Voter::has_state) && !voter.disk.is_empty()
         });
         if whole && self.fleet.is_whole() {
             self.fleet.kill(n);
@@ -188,15 +188,15 @@
     fn faulty(&mut self, n: usize) {
         let Some(leader) = self.fleet.leader() else { return };
         let state = self.fleet.state(leader);
-        let next = state.highest + 1;
+        let next = state.highest_number + 1;
         let mut wrong = version(next, self.world.changed(state, next, 0, &mut self.chance));
         match n % 4 {
             0 => wrong.number += 7,
             1 => wrong.map.as_mut().expect("it has one").digest = String::from("0123"),
             2 => drop(wrong.map.as_mut().expect("it has one").segments.remove(1)),
-            _ => wrong.rules.budget_share = f64::NAN,
+            _ => wrong.rules.retry_budget_ratio = f64::NAN,
         }
-        let entry = dunepond_consensus::Entry::Propose(Box::new(wrong));
+        let entry = dunepond_consensus::Command::Propose(Box::new(wrong));
         let _ = self.fleet.propose_at(leader, entry, true);
     }
 
@@ -227,7 +227,7 @@
         for n in 0..self.shape.brokers {
             self.fleet.brokers[n].torn = false;
             // A broker whose clock went back trusts it no more in that run, or will not once it hears of it: its watchman's.
-            let distrusts = |member: &dunepond_consensus::Member| member.distrusted().is_some();
+            let distrusts = |member: &dunepond_consensus::LeaseClient| member.distrust_reason().is_some();
             if self.fleet.set_back_in_run(n) || self.fleet.brokers[n].member.as_ref().is_some_and(distrusts) {
                 self.fleet.kill(n);
             }
--- a/crates/dunepond-simulation/src/size/world.rs
+++ b/crates/dunepond-simulation/src/size/world.rs
@@ -1,6 +1,6 @@
 //! Nodes, partners and the maps that versions bring.
 
-use dunepond_consensus::{Standings, State, Version};
+use dunepond_consensus::{ConfigVersion, ExcludedNodes, ReplicatedState};
 use dunepond_shard_map::{Holder, Map, Range, Segment};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -59,8 +59,8 @@
     }
 
     /// The map in force with some segments' owners changed, and `fills` of them with a holder that is to be filled.
-    pub fn changed(&self, state: &State, epoch: u64, fills: usize, chance: &mut Pcg64Mcg) -> Map {
-        let Some(map) = state.in_force.as_ref().and_then(|(version, _)| version.map.as_ref()) else {
+    pub fn changed(&self, state: &ReplicatedState, epoch: u64, fills: usize, chance: &mut Pcg64Mcg) -> Map {
+        let Some(map) = state.active.as_ref().and_then(|(version, _)| version.map.as_ref()) else {
             return self.map(epoch);
         };
         let mut map = Map { epoch, digest: String::new(), ..map.clone() };
@@ -82,8 +82,8 @@
     }
 
     /// The map in force without the nodes of `partner`, and their names.
-    pub fn without(&self, state: &State, epoch: u64, partner: &str) -> Option<(Map, Vec<String>)> {
-        let map = state.in_force.as_ref()?.0.map.as_ref()?;
+    pub fn without(&self, state: &ReplicatedState, epoch: u64, partner: &str) -> Option<(Map, Vec<String>)> {
+        let map = state.active.as_ref()?.0.map.as_ref()?;
         let mut map = Map { epoch, digest: String::new(), ..map.clone() };
         let mut gone = Vec::new();
         for segment in &mut map.segments {
@@ -102,23 +102,23 @@
     }
 
     /// It needs a fill, as far as the map says.
-    pub fn wants(&self, version: &Version) -> bool {
+    pub fn wants(&self, version: &ConfigVersion) -> bool {
         let segments = version.map.iter().flat_map(|map| &map.segments);
         segments.flat_map(|segment| &segment.holders).any(|holder| !holder.filled)
     }
 }
 
-pub fn version(number: u64, map: Map) -> Version {
-    Version {
+pub fn version(number: u64, map: Map) -> ConfigVersion {
+    ConfigVersion {
         number,
-        follows: None,
-        stage: None,
+        based_on: None,
+        first_stage_ratio: None,
         rules: rules(1 + number as usize % 8),
-        standings: Standings::default(),
+        excluded_nodes: ExcludedNodes::default(),
         map: Some(map),
-        who: String::from("ann"),
-        why: String::from("a play"),
-        at: 0.0,
-        more: Vec::new(),
+        proposed_by: String::from("ann"),
+        reason: String::from("a play"),
+        proposed_at_unix_seconds: 0.0,
+        extensions: Vec::new(),
     }
 }
--- a/crates/dunepond-simulation/tests/life.rs
+++ b/crates/dunepond-simulation/tests/life.rs
@@ -51,7 +51,12 @@
 
 /// The most in the second quarter, and in the second half.
 fn live(versions: u64, comings: u64) -> (Held, Held) {
-    let terms = Terms { lease: 0.2, longest_timeout: 0.05, bound: 1.0, ..terms("", VOTERS) };
+    let terms = ConsensusConfig {
+        lease_seconds: 0.2,
+        longest_query_seconds: 0.05,
+        switch_bound_seconds: 1.0,
+        ..terms("", VOTERS)
+    };
     let mut fleet = Fleet::of(&terms, VOTERS + OTHERS, vec![0, 1], 1);
     fleet.told = Some(Vec::new());
     assert!(fleet.until(10.0, |fleet| fleet.leader().is_some() && fleet.all_live()));
@@ -64,11 +69,12 @@
     }
     let mut most = [Held::default(); 2];
     for number in 1..=versions {
-        let entry = Entry::Propose(Box::new(version(number, Some(map(number, number % 3 == 0)))));
+        let entry = Command::Propose(Box::new(version(number, Some(map(number, number % 3 == 0)))));
         let _ = fleet.propose(entry);
         fleet.until(0.1, |_| false);
         if number % 3 == 0 {
-            let _ = fleet.propose(Entry::Filled { number, segment: 0, holder: format!("cold{number}") });
+            let _ =
+                fleet.propose(Command::FillCompleted { number, segment: 0, holder: format!("cold{number}") });
             let paid = Settlement { id: format!("{number}/0/cold{number}@fleet"), ..settlement("") };
             fleet.propose(debts::settle(paid)).expect("a new settlement");
         }
@@ -79,7 +85,7 @@
         let done = |fleet: &Fleet| fleet.leader().is_some_and(|n| fleet.state(n).open.is_none());
         assert!(fleet.until(20.0, done), "{:.1}: version {number} is over", fleet.now);
         let leader = fleet.leader().expect("it leads");
-        assert_eq!(fleet.state(leader).number(), number, "it came into force");
+        assert_eq!(fleet.state(leader).active_number(), number, "it came into force");
         let index = fleet.state(leader).index;
         fleet.judge.forget(index.saturating_sub(1000), number.saturating_sub(8));
         fleet.told = Some(Vec::new());
--- a/crates/dunepond-storage/src/files.rs
+++ b/crates/dunepond-storage/src/files.rs
@@ -6,40 +6,40 @@
 use std::path::{Path, PathBuf};
 
 /// A folder of plain files, by their names. What a call has done may be lost in a crash until it is synced.
-pub trait Files: Send + Sync {
+pub trait FileStore: Send + Sync {
     /// A new file, or an old one emptied.
-    fn create(&self, name: &str) -> io::Result<Box<dyn Writing>>;
+    fn create(&self, name: &str) -> io::Result<Box<dyn WritableFile>>;
     /// An old file, to be written on behind its last byte.
-    fn append(&self, name: &str) -> io::Result<Box<dyn Writing>>;
+    fn open_append(&self, name: &str) -> io::Result<Box<dyn WritableFile>>;
     /// All of a file, or an error where it holds more than `most` bytes.
     fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>>;
     /// One takes another's name, whole or not at all.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&self, name: &str) -> io::Result<()>;
     /// Names that were made, changed or removed are there for good.
-    fn sync(&self) -> io::Result<()>;
+    fn sync_names(&self) -> io::Result<()>;
     /// All names.
     fn list(&self) -> io::Result<Vec<String>>;
 }
 
 /// A file that is written.
-pub trait Writing: Send {
+pub trait WritableFile: Send {
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()>;
     /// Cuts it, so that the next write goes behind so many bytes.
-    fn cut(&mut self, length: u64) -> io::Result<()>;
+    fn truncate(&mut self, length: u64) -> io::Result<()>;
     /// What was written is there for good.
     fn sync(&mut self) -> io::Result<()>;
 }
 
 /// A real folder. Who opens it holds a lock in it, until the process has gone however it goes.
-pub struct Folder {
+pub struct DiskStore {
     path: PathBuf,
     _lock: Option<File>,
 }
 
 const LOCK: &str = "dunepond.lock";
 
-impl Folder {
+impl DiskStore {
     /// Takes a folder for oneself; `WouldBlock` where another process has it.
     pub fn open(path: &Path) -> io::Result<Self> {
         let lock =
@@ -52,20 +52,20 @@
     }
 
     /// To look at what is there, beside whoever has it.
-    pub fn look(path: &Path) -> io::Result<Self> {
+    pub fn open_read_only(path: &Path) -> io::Result<Self> {
         std::fs::read_dir(path)?;
         Ok(Self { path: path.to_path_buf(), _lock: None })
     }
 }
 
-impl Files for Folder {
-    fn create(&self, name: &str) -> io::Result<Box<dyn Writing>> {
+impl FileStore for DiskStore {
+    fn create(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let path = self.path.join(name);
         let file = OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(path)?;
         Ok(Box::new(file))
     }
 
-    fn append(&self, name: &str) -> io::Result<Box<dyn Writing>> {
+    fn open_append(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         // Not in append mode only: a cut must move the place of the next write, which this mode does by itself.
         Ok(Box::new(OpenOptions::new().append(true).open(self.path.join(name))?))
     }
@@ -88,7 +88,7 @@
         std::fs::remove_file(self.path.join(name))
     }
 
-    fn sync(&self) -> io::Result<()> {
+    fn sync_names(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 
@@ -99,12 +99,12 @@
     }
 }
 
-impl Writing for File {
+impl WritableFile for File {
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
         Write::write_all(self, bytes)
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.set_len(length)
     }
 
--- a/crates/dunepond-storage/src/format.rs
+++ b/crates/dunepond-storage/src/format.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 /// Files of ours are never longer.
-pub const LONGEST: u64 = 64 * 1024 * 1024;
+pub const MAX_FILE_BYTES: u64 = 64 * 1024 * 1024;
 
 const MAGIC: [u8; 8] = *b"dunepond";
 /// Magic, kind, version, number, length, checksum.
@@ -11,15 +11,15 @@
 
 /// Why a file, or the rest of one, is not believed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum FileFault {
     #[error("not a file of ours")]
-    Foreign,
+    UnknownFormat,
     #[error("of version {0}, which is later than ours")]
-    Future(u32),
+    NewerVersion(u32),
     #[error("cut off")]
-    Cut,
+    Truncated,
     #[error("damaged")]
-    Damaged,
+    Corrupted,
     #[error("cannot be read: {0}")]
     Unreadable(io::ErrorKind),
 }
@@ -48,23 +48,23 @@
 }
 
 /// The head of a file of this kind and of no later version than this.
-pub fn read_head(kind: [u8; 4], version: u32, bytes: &[u8]) -> Result<Head, Fault> {
+pub fn read_head(kind: [u8; 4], version: u32, bytes: &[u8]) -> Result<Head, FileFault> {
     if bytes.len() < 12 {
         // Not even its name: an empty file is what a crash leaves of one just made.
         let ours = MAGIC.iter().chain(&kind).zip(bytes).all(|(a, b)| a == b);
-        return Err(if ours { Fault::Cut } else { Fault::Foreign });
+        return Err(if ours { FileFault::Truncated } else { FileFault::UnknownFormat });
     }
     if bytes[..8] != MAGIC || bytes[8..12] != kind {
-        return Err(Fault::Foreign);
+        return Err(FileFault::UnknownFormat);
     }
-    let sum = number(bytes, 32).map(u32::from_le_bytes).ok_or(Fault::Cut)?;
+    let sum = number(bytes, 32).map(u32::from_le_bytes).ok_or(FileFault::Truncated)?;
     if crc32fast::hash(&bytes[..32]) != sum {
-        return Err(Fault::Damaged);
+        return Err(FileFault::Corrupted);
     }
-    let of = |at| number(bytes, at).map(u64::from_le_bytes).ok_or(Fault::Cut);
-    let found = number(bytes, 12).map(u32::from_le_bytes).ok_or(Fault::Cut)?;
+    let of = |at| number(bytes, at).map(u64::from_le_bytes).ok_or(FileFault::Truncated);
+    let found = number(bytes, 12).map(u32::from_le_bytes).ok_or(FileFault::Truncated)?;
     if found > version {
-        return Err(Fault::Future(found));
+        return Err(FileFault::NewerVersion(found));
     }
     Ok(Head { version: found, number: of(16)?, length: of(24)? })
 }
--- a/crates/dunepond-storage/src/journal.rs
+++ b/crates/dunepond-storage/src/journal.rs
@@ -4,8 +4,8 @@
 use std::io;
 use std::sync::Arc;
 
-use crate::files::{Files, Writing};
-use crate::format::{self, Fault, HEAD, Head, LONGEST};
+use crate::files::{FileStore, WritableFile};
+use crate::format::{self, FileFault, HEAD, Head, MAX_FILE_BYTES};
 
 const KIND: [u8; 4] = *b"JRNL";
 const ENDING: &str = ".journal";
@@ -14,24 +14,24 @@
 const RECORD: usize = 4 + 8 + 4;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Record {
+pub struct JournalRecord {
     pub number: u64,
     pub bytes: Vec<u8>,
 }
 
 /// What a journal held when it was opened, and why what stood behind that is not believed.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Recovered {
-    pub records: Vec<Record>,
-    pub fault: Option<Fault>,
+pub struct RecoveredJournal {
+    pub records: Vec<JournalRecord>,
+    pub fault: Option<FileFault>,
 }
 
 pub struct Journal {
-    files: Arc<dyn Files>,
+    files: Arc<dyn FileStore>,
     name: String,
     version: u32,
     /// Open for more; nothing after a call failed, until it has been written anew.
-    file: Option<Box<dyn Writing>>,
+    file: Option<Box<dyn WritableFile>>,
     next: u64,
     length: u64,
 }
@@ -56,7 +56,7 @@
 }
 
 /// The whole records at the beginning of `bytes`, and how far they go.
-fn records(bytes: &[u8], first: u64) -> (Vec<Record>, usize, Option<Fault>) {
+fn records(bytes: &[u8], first: u64) -> (Vec<JournalRecord>, usize, Option<FileFault>) {
     let (mut found, mut at, mut expected) = (Vec::new(), 0, first);
     while at < bytes.len() {
         let head = (|| {
@@ -66,11 +66,11 @@
             let body = bytes.get(at + RECORD..(at + RECORD).checked_add(length)?)?;
             Some((number, sum, body))
         })();
-        let Some((number, told, body)) = head else { return (found, at, Some(Fault::Cut)) };
+        let Some((number, told, body)) = head else { return (found, at, Some(FileFault::Truncated)) };
         if told != sum(number, body) || number != expected {
-            return (found, at, Some(Fault::Damaged));
+            return (found, at, Some(FileFault::Corrupted));
         }
-        found.push(Record { number, bytes: body.to_vec() });
+        found.push(JournalRecord { number, bytes: body.to_vec() });
         at += RECORD + body.len();
         expected += 1;
     }
@@ -83,33 +83,35 @@
     }
 
     /// What a journal holds, without opening it for more.
-    pub fn read(files: &dyn Files, name: &str, version: u32) -> Recovered {
+    pub fn read(files: &dyn FileStore, name: &str, version: u32) -> RecoveredJournal {
         Self::look(files, name, version).0
     }
 
     /// What it holds, how far that goes, and its head.
-    fn look(files: &dyn Files, name: &str, version: u32) -> (Recovered, usize, Option<Head>) {
-        let bytes = match files.read(&Self::file_name(name), LONGEST) {
+    fn look(files: &dyn FileStore, name: &str, version: u32) -> (RecoveredJournal, usize, Option<Head>) {
+        let bytes = match files.read(&Self::file_name(name), MAX_FILE_BYTES) {
             Ok(bytes) => bytes,
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return (Recovered::default(), 0, None),
+            Err(e) if e.kind() == io::ErrorKind::NotFound => return (RecoveredJournal::default(), 0, None),
             Err(e) => {
-                let fault = Some(Fault::Unreadable(e.kind()));
-                return (Recovered { records: Vec::new(), fault }, 0, None);
+                let fault = Some(FileFault::Unreadable(e.kind()));
+                return (RecoveredJournal { records: Vec::new(), fault }, 0, None);
             }
         };
         match format::read_head(KIND, version, &bytes) {
             Ok(head) => {
                 let (records, used, fault) = records(&bytes[HEAD..], head.number);
-                (Recovered { records, fault }, HEAD + used, Some(head))
+                (RecoveredJournal { records, fault }, HEAD + used, Some(head))
             }
-            Err(fault) => (Recovered { records: Vec::new(), fault: Some(fault) }, 0, None),
+            Err(fault) => (RecoveredJournal { records: Vec::new(), fault: Some(fault) }, 0, None),
         }
     }
 
     /// Opens a journal, or begins one. One of a later version, or not ours, is left alone, and nothing is written.
-    pub fn open(files: Arc<dyn Files>, name: &str, version: u32) -> io::Result<(Self, Recovered)> {
+    pub fn open(files: Arc<dyn FileStore>, name: &str, version: u32) -> io::Result<(Self, RecoveredJournal)> {
         let (recovered, used, head) = Self::look(&*files, name, version);
-        if let Some(fault @ (Fault::Future(_) | Fault::Foreign | Fault::Unreadable(_))) = &recovered.fault
+        if let Some(
+            fault @ (FileFault::NewerVersion(_) | FileFault::UnknownFormat | FileFault::Unreadable(_)),
+        ) = &recovered.fault
             && head.is_none()
         {
             return Err(io::Error::new(io::ErrorKind::InvalidData, fault.clone()));
@@ -119,9 +121,9 @@
         let mut journal =
             Self { files, name: name.to_string(), version, file: None, next, length: used as u64 };
         if head.is_some_and(|head| head.version == version) {
-            let mut file = journal.files.append(&Self::file_name(name))?;
+            let mut file = journal.files.open_append(&Self::file_name(name))?;
             if recovered.fault.is_some() {
-                file.cut(used as u64)?;
+                file.truncate(used as u64)?;
             }
             journal.file = Some(file);
         } else {
@@ -169,7 +171,7 @@
         file.write_all(&bytes)?;
         file.sync()?;
         self.files.rename(&aside, &Self::file_name(&self.name))?;
-        self.files.sync()?;
+        self.files.sync_names()?;
         (self.file, self.length) = (Some(file), bytes.len() as u64);
         self.next = first + kept.len() as u64;
         Ok(())
--- a/crates/dunepond-storage/src/lib.rs
+++ b/crates/dunepond-storage/src/lib.rs
@@ -9,7 +9,7 @@
 mod journal;
 mod snapshots;
 
-pub use files::{Files, Folder, Writing};
-pub use format::{Fault, LONGEST};
-pub use journal::{Journal, Record, Recovered};
-pub use snapshots::{Found, Snapshot, Snapshots};
+pub use files::{DiskStore, FileStore, WritableFile};
+pub use format::{FileFault, MAX_FILE_BYTES};
+pub use journal::{Journal, JournalRecord, RecoveredJournal};
+pub use snapshots::{LoadedSnapshots, Snapshot, SnapshotStore};
--- a/crates/dunepond-storage/src/snapshots.rs
+++ b/crates/dunepond-storage/src/snapshots.rs
@@ -3,8 +3,8 @@
 use std::io;
 use std::sync::Arc;
 
-use crate::files::Files;
-use crate::format::{self, Fault, HEAD, Head, LONGEST};
+use crate::files::FileStore;
+use crate::format::{self, FileFault, HEAD, Head, MAX_FILE_BYTES};
 
 const KIND: [u8; 4] = *b"SNAP";
 const ENDING: &str = ".snapshot";
@@ -16,28 +16,28 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
     pub number: u64,
-    pub version: u32,
+    pub format_version: u32,
     pub bytes: Vec<u8>,
 }
 
 /// The newest that is whole, and every file that is not believed, with why.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
+pub struct LoadedSnapshots {
     pub newest: Option<Snapshot>,
-    pub faults: Vec<(String, Fault)>,
+    pub faults: Vec<(String, FileFault)>,
 }
 
-pub struct Snapshots {
-    files: Arc<dyn Files>,
+pub struct SnapshotStore {
+    files: Arc<dyn FileStore>,
     name: String,
     version: u32,
     /// Above every number that stands in the folder; known once it has been looked at.
     next: Option<u64>,
 }
 
-impl Snapshots {
+impl SnapshotStore {
     /// Snapshots of this name in a folder, written in this version.
-    pub fn new(files: Arc<dyn Files>, name: &str, version: u32) -> Self {
+    pub fn new(files: Arc<dyn FileStore>, name: &str, version: u32) -> Self {
         Self { files, name: name.to_string(), version, next: None }
     }
 
@@ -54,23 +54,25 @@
         Ok(found)
     }
 
-    fn read_one(&self, name: &str) -> Result<Snapshot, Fault> {
-        let bytes = self.files.read(name, LONGEST).map_err(|e| Fault::Unreadable(e.kind()))?;
+    fn read_one(&self, name: &str) -> Result<Snapshot, FileFault> {
+        let bytes = self.files.read(name, MAX_FILE_BYTES).map_err(|e| FileFault::Unreadable(e.kind()))?;
         let head = format::read_head(KIND, self.version, &bytes)?;
         // Its length is believed only as far as there are bytes for it.
         let rest = &bytes[HEAD.min(bytes.len())..];
-        let length = usize::try_from(head.length).map_err(|_| Fault::Damaged)?;
-        let (body, sum) =
-            (rest.get(..length).ok_or(Fault::Cut)?, format::number(rest, length).ok_or(Fault::Cut)?);
+        let length = usize::try_from(head.length).map_err(|_| FileFault::Corrupted)?;
+        let (body, sum) = (
+            rest.get(..length).ok_or(FileFault::Truncated)?,
+            format::number(rest, length).ok_or(FileFault::Truncated)?,
+        );
         if crc32fast::hash(body) != u32::from_le_bytes(sum) {
-            return Err(Fault::Damaged);
+            return Err(FileFault::Corrupted);
         }
-        Ok(Snapshot { number: head.number, version: head.version, bytes: body.to_vec() })
+        Ok(Snapshot { number: head.number, format_version: head.version, bytes: body.to_vec() })
     }
 
     /// The newest whole one, by its number. A folder that cannot be listed is an error; a file that cannot be read, none.
-    pub fn read(&self) -> io::Result<Found> {
-        let mut found = Found::default();
+    pub fn load(&self) -> io::Result<LoadedSnapshots> {
+        let mut found = LoadedSnapshots::default();
         for (_, name) in self.numbered()? {
             match self.read_one(&name) {
                 Ok(snapshot) if found.newest.is_none() => found.newest = Some(snapshot),
@@ -97,7 +99,7 @@
         self.files.rename(&aside, &format!("{}-{number:020}{ENDING}", self.name))?;
         // From here on a number may be taken even where the call failed.
         self.next = Some(number.saturating_add(1));
-        self.files.sync()?;
+        self.files.sync_names()?;
         self.prune();
         Ok(number)
     }
@@ -110,9 +112,11 @@
         for (_, name) in numbered {
             match self.read_one(&name) {
                 Ok(_) if whole < KEPT => whole += 1,
-                Err(Fault::Future(_) | Fault::Foreign | Fault::Unreadable(_)) => {}
+                Err(FileFault::NewerVersion(_) | FileFault::UnknownFormat | FileFault::Unreadable(_)) => {}
                 Ok(_) => drop(self.files.remove(&name)),
-                Err(Fault::Cut | Fault::Damaged) if whole >= KEPT => drop(self.files.remove(&name)),
+                Err(FileFault::Truncated | FileFault::Corrupted) if whole >= KEPT => {
+                    drop(self.files.remove(&name))
+                }
                 Err(_) => {}
             }
         }
--- a/crates/dunepond-storage/tests/crashes.rs
+++ b/crates/dunepond-storage/tests/crashes.rs
@@ -10,12 +10,12 @@
 
 const VERSION: u32 = 3;
 
-fn snapshots(mem: &Mem) -> Snapshots {
-    Snapshots::new(Arc::new(mem.clone()), "beliefs", VERSION)
+fn snapshots(mem: &Mem) -> SnapshotStore {
+    SnapshotStore::new(Arc::new(mem.clone()), "beliefs", VERSION)
 }
 
 fn newest(mem: &Mem) -> Option<Vec<u8>> {
-    snapshots(mem).read().unwrap().newest.map(|snapshot| snapshot.bytes)
+    snapshots(mem).load().unwrap().newest.map(|snapshot| snapshot.bytes)
 }
 
 fn body(n: u8) -> Vec<u8> {
@@ -52,7 +52,7 @@
         let expected = [(wrote > 0).then(|| body(wrote)), Some(body(wrote + 1))];
         assert!(expected.contains(&found), "killed at {at}, seed {seed}: wrote {wrote}, found {found:?}");
         // And it goes on from there.
-        let before = snapshots(&mem).read().unwrap().newest.map_or(0, |snapshot| snapshot.number);
+        let before = snapshots(&mem).load().unwrap().newest.map_or(0, |snapshot| snapshot.number);
         assert!(snapshots(&mem).write(&body(77)).unwrap() > before);
         assert_eq!(newest(&mem), Some(body(77)));
     }
@@ -187,8 +187,8 @@
     let sum = crc32fast_of(&bytes);
     bytes.extend_from_slice(&sum.to_le_bytes());
     mem.poke("beliefs-7.snapshot", bytes);
-    let found = snapshots(&mem).read().unwrap();
-    assert_eq!((found.newest, found.faults[0].1.clone()), (None, Fault::Cut));
+    let found = snapshots(&mem).load().unwrap();
+    assert_eq!((found.newest, found.faults[0].1.clone()), (None, FileFault::Truncated));
 }
 
 /// The checksum as the format has it, worked out here by hand.
@@ -201,7 +201,7 @@
 fn files_of_a_later_version_are_left_alone() {
     let mem = Mem::default();
     let files = Arc::new(mem.clone());
-    Snapshots::new(files.clone(), "beliefs", VERSION + 1).write(&body(9)).unwrap();
+    SnapshotStore::new(files.clone(), "beliefs", VERSION + 1).write(&body(9)).unwrap();
     Journal::open(files.clone(), "ledger", VERSION + 1).unwrap().0.append(&body(9)).unwrap();
     let before: Vec<_> = mem.names().into_iter().map(|name| (mem.peek(&name), name)).collect();
     assert!(Journal::open(files.clone(), "ledger", VERSION).is_err());
@@ -209,9 +209,9 @@
     for n in 1..6 {
         ours.write(&body(n)).unwrap();
     }
-    let found = ours.read().unwrap();
+    let found = ours.load().unwrap();
     assert_eq!(found.newest.unwrap().bytes, body(5));
-    assert!(found.faults.iter().any(|(_, fault)| *fault == Fault::Future(VERSION + 1)));
+    assert!(found.faults.iter().any(|(_, fault)| *fault == FileFault::NewerVersion(VERSION + 1)));
     assert!(before.iter().all(|(bytes, name)| mem.peek(name) == *bytes));
     // Ours before the last two have gone.
     assert_eq!(mem.names().iter().filter(|name| name.ends_with(".snapshot")).count(), 3);
@@ -226,33 +226,33 @@
     assert_eq!(recovered.records[0].bytes, body(1));
     journal.append(&body(2)).unwrap();
     assert_eq!(Journal::read(&mem, "ledger", VERSION).records.len(), 2);
-    assert!(matches!(Journal::read(&mem, "ledger", VERSION - 1).fault, Some(Fault::Future(_))));
+    assert!(matches!(Journal::read(&mem, "ledger", VERSION - 1).fault, Some(FileFault::NewerVersion(_))));
 }
 
 #[rstest]
-#[case::empty(b"".to_vec(), Fault::Cut)]
-#[case::half_a_name(b"dunep".to_vec(), Fault::Cut)]
-#[case::anothers(b"#!/bin/sh\necho hello\n".to_vec(), Fault::Foreign)]
-#[case::another_kind(b"dunepondJRNL000000000000000000000000".to_vec(), Fault::Foreign)]
-fn what_is_not_ours_is_named_so(#[case] bytes: Vec<u8>, #[case] fault: Fault) {
+#[case::empty(b"".to_vec(), FileFault::Truncated)]
+#[case::half_a_name(b"dunep".to_vec(), FileFault::Truncated)]
+#[case::anothers(b"#!/bin/sh\necho hello\n".to_vec(), FileFault::UnknownFormat)]
+#[case::another_kind(b"dunepondJRNL000000000000000000000000".to_vec(), FileFault::UnknownFormat)]
+fn what_is_not_ours_is_named_so(#[case] bytes: Vec<u8>, #[case] fault: FileFault) {
     let mem = Mem::default();
     mem.poke("beliefs-1.snapshot", bytes);
-    assert_eq!(snapshots(&mem).read().unwrap().faults, [("beliefs-1.snapshot".to_string(), fault)]);
+    assert_eq!(snapshots(&mem).load().unwrap().faults, [("beliefs-1.snapshot".to_string(), fault)]);
 }
 
 #[test]
 fn a_real_folder_belongs_to_one_process_at_a_time_and_may_be_looked_at_beside_it() {
     let path = std::env::temp_dir().join(format!("dunepond-store-{}", std::process::id()));
     std::fs::create_dir(&path).unwrap();
-    let folder = Folder::open(&path).unwrap();
-    let second = Folder::open(&path).map(drop).unwrap_err();
+    let folder = DiskStore::open(&path).unwrap();
+    let second = DiskStore::open(&path).map(drop).unwrap_err();
     assert_eq!(second.kind(), std::io::ErrorKind::WouldBlock);
-    let mut ours = Snapshots::new(Arc::new(folder), "beliefs", VERSION);
+    let mut ours = SnapshotStore::new(Arc::new(folder), "beliefs", VERSION);
     ours.write(&body(4)).unwrap();
-    let looking = Snapshots::new(Arc::new(Folder::look(&path).unwrap()), "beliefs", VERSION);
-    assert_eq!(looking.read().unwrap().newest.unwrap().bytes, body(4));
+    let looking = SnapshotStore::new(Arc::new(DiskStore::open_read_only(&path).unwrap()), "beliefs", VERSION);
+    assert_eq!(looking.load().unwrap().newest.unwrap().bytes, body(4));
     drop((ours, looking));
-    assert!(Folder::open(&path).is_ok());
+    assert!(DiskStore::open(&path).is_ok());
     std::fs::remove_dir_all(&path).unwrap();
 }
 
@@ -272,7 +272,7 @@
             let whole = mem.peek(&name).unwrap();
             mem.poke(&name, [&whole[..keep.min(whole.len())], &bytes].concat());
         }
-        let read = snapshots(&mem).read().unwrap();
+        let read = snapshots(&mem).load().unwrap();
         prop_assert!(read.newest.is_none() || read.newest.unwrap().bytes == body(1));
         let journal = Journal::open(Arc::new(mem.clone()), "ledger", VERSION);
         if let Ok((mut journal, _)) = journal {
--- a/crates/dunepond-storage/tests/golden.rs
+++ b/crates/dunepond-storage/tests/golden.rs
@@ -6,7 +6,8 @@
 use std::sync::{Arc, Mutex};
 
 use dunepond_storage::{
-    Fault, Files, Folder, Found, Journal, Record, Recovered, Snapshot, Snapshots, Writing,
+    DiskStore, FileFault, FileStore, Journal, JournalRecord, LoadedSnapshots, RecoveredJournal, Snapshot,
+    SnapshotStore, WritableFile,
 };
 use dunepond_testkit::files::Mem;
 
@@ -30,14 +31,14 @@
     assert_eq!(written, golden(stored), "{name}");
 }
 
-fn record(number: u64, bytes: &[u8]) -> Record {
-    Record { number, bytes: bytes.to_vec() }
+fn record(number: u64, bytes: &[u8]) -> JournalRecord {
+    JournalRecord { number, bytes: bytes.to_vec() }
 }
 
 #[test]
 fn snapshots_are_written_as_before() {
     let files = Mem::default();
-    let mut snapshots = Snapshots::new(Arc::new(files.clone()), "beliefs", FORMAT);
+    let mut snapshots = SnapshotStore::new(Arc::new(files.clone()), "beliefs", FORMAT);
     assert_eq!(snapshots.write(FIRST).unwrap(), 1);
     assert_eq!(snapshots.write(SECOND).unwrap(), 2);
     assert_eq!(files.names(), SNAPSHOTS);
@@ -50,29 +51,29 @@
 fn stored_snapshots_are_read() {
     let files = Mem::default();
     SNAPSHOTS.iter().for_each(|name| files.poke(name, golden(name)));
-    let snapshots = Snapshots::new(Arc::new(files.clone()), "beliefs", FORMAT);
-    let newest = Snapshot { number: 2, version: FORMAT, bytes: SECOND.to_vec() };
-    assert_eq!(snapshots.read().unwrap(), Found { newest: Some(newest), faults: Vec::new() });
+    let snapshots = SnapshotStore::new(Arc::new(files.clone()), "beliefs", FORMAT);
+    let newest = Snapshot { number: 2, format_version: FORMAT, bytes: SECOND.to_vec() };
+    assert_eq!(snapshots.load().unwrap(), LoadedSnapshots { newest: Some(newest), faults: Vec::new() });
 
     // The first stays of use when the second is damaged.
     let mut damaged = golden(SNAPSHOTS[1]);
     *damaged.last_mut().unwrap() ^= 1;
     files.poke(SNAPSHOTS[1], damaged);
-    let first = Snapshot { number: 1, version: FORMAT, bytes: FIRST.to_vec() };
-    let faults = vec![(SNAPSHOTS[1].to_string(), Fault::Damaged)];
-    assert_eq!(snapshots.read().unwrap(), Found { newest: Some(first), faults });
+    let first = Snapshot { number: 1, format_version: FORMAT, bytes: FIRST.to_vec() };
+    let faults = vec![(SNAPSHOTS[1].to_string(), FileFault::Corrupted)];
+    assert_eq!(snapshots.load().unwrap(), LoadedSnapshots { newest: Some(first), faults });
 
     // An earlier build leaves a later one's files alone.
-    let earlier = Snapshots::new(Arc::new(files), "beliefs", FORMAT - 1).read().unwrap();
+    let earlier = SnapshotStore::new(Arc::new(files), "beliefs", FORMAT - 1).load().unwrap();
     assert_eq!(earlier.newest, None);
-    assert_eq!(earlier.faults[1], (SNAPSHOTS[0].to_string(), Fault::Future(FORMAT)));
+    assert_eq!(earlier.faults[1], (SNAPSHOTS[0].to_string(), FileFault::NewerVersion(FORMAT)));
 }
 
 #[test]
 fn a_journal_is_written_as_before() {
     let files = Mem::default();
     let (mut journal, recovered) = Journal::open(Arc::new(files.clone()), "voter", FORMAT).unwrap();
-    assert_eq!(recovered, Recovered::default());
+    assert_eq!(recovered, RecoveredJournal::default());
     assert_eq!(journal.append(FIRST).unwrap(), 1);
     assert_eq!(journal.append(SECOND).unwrap(), 2);
     journal.sync().unwrap();
@@ -90,16 +91,19 @@
     let files = Mem::default();
     files.poke(JOURNAL, golden(JOURNAL));
     let records = vec![record(1, FIRST), record(2, SECOND)];
-    assert_eq!(Journal::read(&files, "voter", FORMAT), Recovered { records: records.clone(), fault: None });
+    assert_eq!(
+        Journal::read(&files, "voter", FORMAT),
+        RecoveredJournal { records: records.clone(), fault: None }
+    );
     let (mut journal, recovered) = Journal::open(Arc::new(files.clone()), "voter", FORMAT).unwrap();
-    assert_eq!(recovered, Recovered { records, fault: None });
+    assert_eq!(recovered, RecoveredJournal { records, fault: None });
     journal.rewrite(&[SECOND.to_vec()]).unwrap();
     journal.append(FIRST).unwrap();
     assert_same(&files, JOURNAL, JOURNAL_REWRITTEN);
 
     let records = vec![record(3, SECOND), record(4, FIRST)];
-    assert_eq!(Journal::read(&files, "voter", FORMAT), Recovered { records, fault: None });
-    assert_eq!(Journal::read(&files, "voter", FORMAT - 1).fault, Some(Fault::Future(FORMAT)));
+    assert_eq!(Journal::read(&files, "voter", FORMAT), RecoveredJournal { records, fault: None });
+    assert_eq!(Journal::read(&files, "voter", FORMAT - 1).fault, Some(FileFault::NewerVersion(FORMAT)));
 }
 
 /// A folder in memory that notes the names under which files are begun.
@@ -109,14 +113,14 @@
     names: Mutex<Vec<String>>,
 }
 
-impl Files for Begun {
-    fn create(&self, name: &str) -> io::Result<Box<dyn Writing>> {
+impl FileStore for Begun {
+    fn create(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         self.names.lock().unwrap().push(name.to_string());
         self.files.create(name)
     }
 
-    fn append(&self, name: &str) -> io::Result<Box<dyn Writing>> {
-        self.files.append(name)
+    fn open_append(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
+        self.files.open_append(name)
     }
 
     fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
@@ -131,8 +135,8 @@
         self.files.remove(name)
     }
 
-    fn sync(&self) -> io::Result<()> {
-        self.files.sync()
+    fn sync_names(&self) -> io::Result<()> {
+        self.files.sync_names()
     }
 
     fn list(&self) -> io::Result<Vec<String>> {
@@ -144,7 +148,7 @@
 #[test]
 fn unfinished_files_keep_their_names() {
     let files = Arc::new(Begun::default());
-    Snapshots::new(files.clone(), "beliefs", FORMAT).write(FIRST).unwrap();
+    SnapshotStore::new(files.clone(), "beliefs", FORMAT).write(FIRST).unwrap();
     Journal::open(files.clone(), "voter", FORMAT).unwrap();
     assert_eq!(*files.names.lock().unwrap(), ["beliefs.aside", "voter.journal-aside"]);
 }
@@ -159,13 +163,13 @@
 #[test]
 fn a_real_folder_is_locked_by_the_same_file_and_holds_the_same_bytes() {
     let path = fresh_folder("golden-folder");
-    let folder = Arc::new(Folder::open(&path).unwrap());
+    let folder = Arc::new(DiskStore::open(&path).unwrap());
     let lock = std::fs::metadata(path.join("dunepond.lock")).unwrap();
     assert_eq!((lock.len(), lock.permissions().mode() & 0o777), (0, 0o600));
-    let another = Folder::open(&path).map(drop).unwrap_err();
+    let another = DiskStore::open(&path).map(drop).unwrap_err();
     assert_eq!(another.kind(), io::ErrorKind::WouldBlock);
 
-    Snapshots::new(folder.clone(), "beliefs", FORMAT).write(FIRST).unwrap();
+    SnapshotStore::new(folder.clone(), "beliefs", FORMAT).write(FIRST).unwrap();
     let snapshot = path.join(SNAPSHOTS[0]);
     assert_eq!(std::fs::read(&snapshot).unwrap(), golden(SNAPSHOTS[0]));
     assert_eq!(std::fs::metadata(&snapshot).unwrap().permissions().mode() & 0o777, 0o600);
--- a/crates/dunepond-testkit/src/auditor/limits.rs
+++ b/crates/dunepond-testkit/src/auditor/limits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Act, Finding, Line, Records};
+use super::{AuditEvent, AuditRecord, Finding, Records};
 
 /// Units in the whole of each bound.
 pub const WHOLE: u64 = 1_000_000;
@@ -63,19 +63,20 @@
 
 /// By what brokers were told they may, each line up to the next of any life of the same broker.
 pub fn stretches(records: &Records) -> Vec<Stretch> {
-    let shares = || records.lines.iter().filter(|line| matches!(line.act, Act::Share { .. }));
+    let shares = || records.lines.iter().filter(|line| matches!(line.event, AuditEvent::Share { .. }));
     let names: BTreeSet<&String> = shares()
-        .flat_map(|line| match &line.act {
-            Act::Share { parts, .. } => parts.keys().collect::<Vec<_>>(),
+        .flat_map(|line| match &line.event {
+            AuditEvent::Share { parts, .. } => parts.keys().collect::<Vec<_>>(),
             _ => Vec::new(),
         })
         .collect();
-    let mut by_broker: BTreeMap<&str, Vec<&Line>> = BTreeMap::new();
+    let mut by_broker: BTreeMap<&str, Vec<&AuditRecord>> = BTreeMap::new();
     shares().for_each(|line| by_broker.entry(&line.brk).or_default().push(line));
     let mut all = Vec::new();
     for (brk, lines) in by_broker {
         for (i, line) in lines.iter().enumerate() {
-            let Act::Share { counted: true, floor, parts, from, until, window, .. } = &line.act else {
+            let AuditEvent::Share { counted: true, floor, parts, from, until, window, .. } = &line.event
+            else {
                 continue;
             };
             // Nothing says when the last one stops: its lease does, and its floor is its own for good.
--- a/crates/dunepond-testkit/src/auditor/mod.rs
+++ b/crates/dunepond-testkit/src/auditor/mod.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-pub use records::{Act, Line, Records, Word};
+pub use records::{AuditEvent, AuditPhase, AuditRecord, Records};
 use thiserror::Error;
 
 /// What the records are judged by, seconds each.
@@ -98,18 +98,20 @@
 }
 
 struct Sent<'a> {
-    line: &'a Line,
+    line: &'a AuditRecord,
     call: &'a str,
     seg: u64,
     node: &'a str,
     shot: u64,
     once: bool,
-    phase: Word,
+    phase: AuditPhase,
     numbers: &'a [u64],
 }
 
-fn sent(line: &Line) -> Option<Sent<'_>> {
-    let Act::Dispatch { call, seg, node, shot, once, phase, numbers } = &line.act else { return None };
+fn sent(line: &AuditRecord) -> Option<Sent<'_>> {
+    let AuditEvent::Dispatch { call, seg, node, shot, once, phase, numbers } = &line.event else {
+        return None;
+    };
     let (seg, shot, once, phase) = (*seg, *shot, *once, *phase);
     Some(Sent { line, call, seg, node, shot, once, phase, numbers })
 }
@@ -154,8 +156,8 @@
     let mut open: BTreeMap<&str, (u64, usize)> = BTreeMap::new();
     for line in &records.lines {
         // A new life, even if it says nothing of its phase yet, has ended what the last one might do.
-        let ended = match (&line.act, open.get(line.brk.as_str())) {
-            (Act::Phase { .. }, Some(_)) => true,
+        let ended = match (&line.event, open.get(line.brk.as_str())) {
+            (AuditEvent::Phase { .. }, Some(_)) => true,
             (_, Some((run, _))) => *run != line.run,
             _ => false,
         };
@@ -163,7 +165,7 @@
         if let Some((_, place)) = last {
             plain[place].to = plain[place].to.min(line.at);
         }
-        let Act::Phase { phase: Word::Alone, to, until, from } = line.act else { continue };
+        let AuditEvent::Phase { phase: AuditPhase::Alone, to, until, from } = line.event else { continue };
         let number = if to > 0 { to } else { from };
         match last {
             // Renewed: it goes on, unless it stood still in between.
@@ -189,7 +191,7 @@
     let mut mapped: BTreeSet<(&str, u64)> = BTreeSet::new();
     for line in &records.lines {
         let (brk, life) = (line.brk.clone(), (line.brk.as_str(), line.run));
-        if let Act::Phase { until: end, from, to, .. } = &line.act {
+        if let AuditEvent::Phase { until: end, from, to, .. } = &line.event {
             until.insert(life, *end);
             if known.maps.contains_key(from) || known.maps.contains_key(to) {
                 mapped.insert(life);
@@ -202,12 +204,12 @@
             continue;
         }
         match phase {
-            Word::Alone | Word::Joint => found.push(Finding::PastLease { brk, call, seg, late }),
+            AuditPhase::Alone | AuditPhase::Joint => found.push(Finding::PastLease { brk, call, seg, late }),
             // Cut off without any map known, a broker goes on by its last rules.
-            Word::Cut if once && mapped.contains(&life) => {
+            AuditPhase::Cut if once && mapped.contains(&life) => {
                 found.push(Finding::WithoutLease { brk, call, seg })
             }
-            Word::None if once => found.push(Finding::WithoutLease { brk, call, seg }),
+            AuditPhase::None if once => found.push(Finding::WithoutLease { brk, call, seg }),
             _ => {}
         }
     }
@@ -216,7 +218,7 @@
 /// Non-replayable parts sent on one version alone while another broker might act on another alone.
 fn contradictions(records: &Records, known: &Known, dispatches: &[Sent], found: &mut Vec<Finding>) {
     let plain = plains(records);
-    for one in dispatches.iter().filter(|one| one.once && one.phase == Word::Alone) {
+    for one in dispatches.iter().filter(|one| one.once && one.phase == AuditPhase::Alone) {
         let (at, Some(&on)) = (one.line.at, one.numbers.last()) else { continue };
         let beside = plain.iter().find(|other| {
             let (from, to) = (other.from + known.slack, other.to - known.slack);
@@ -279,17 +281,17 @@
 fn arrivals(records: &Records, known: &Known, dispatches: &[Sent], found: &mut Vec<Finding>) {
     let once = dispatches.iter().filter(|one| one.once && !one.numbers.is_empty());
     let sent: BTreeMap<_, _> = once.map(|one| ((one.call, one.seg), one)).collect();
-    let mut phases: BTreeMap<_, Vec<&Line>> = BTreeMap::new();
-    for line in records.lines.iter().filter(|line| matches!(line.act, Act::Phase { .. })) {
+    let mut phases: BTreeMap<_, Vec<&AuditRecord>> = BTreeMap::new();
+    for line in records.lines.iter().filter(|line| matches!(line.event, AuditEvent::Phase { .. })) {
         phases.entry((&line.brk, line.run)).or_default().push(line);
     }
     for Ran { call, seg, at, .. } in &known.ran {
         let Some(sent) = sent.get(&(call.as_str(), *seg)) else { continue };
         let held = phases.get(&(&sent.line.brk, sent.line.run)).map_or(&[][..], Vec::as_slice);
-        let until = held.iter().filter(|line| line.at <= *at).filter_map(|line| match &line.act {
-            Act::Phase { phase, from, to, until } => {
-                let joint = *phase == Word::Joint && sent.numbers.contains(from);
-                let on = *phase == Word::Alone || *phase == Word::Joint;
+        let until = held.iter().filter(|line| line.at <= *at).filter_map(|line| match &line.event {
+            AuditEvent::Phase { phase, from, to, until } => {
+                let joint = *phase == AuditPhase::Joint && sent.numbers.contains(from);
+                let on = *phase == AuditPhase::Alone || *phase == AuditPhase::Joint;
                 (joint || on && sent.numbers.contains(to)).then_some(*until)
             }
             _ => None,
@@ -326,7 +328,7 @@
     let mut sums: BTreeMap<_, u64> = BTreeMap::new();
     let mut first: BTreeMap<&str, (&str, &str, u64)> = BTreeMap::new();
     for line in &records.lines {
-        let Act::Settle { id, debtor, creditor, bytes, .. } = &line.act else { continue };
+        let AuditEvent::Settle { id, debtor, creditor, bytes, .. } = &line.event else { continue };
         let (brk, what) = (line.brk.clone(), (debtor.as_str(), creditor.as_str(), *bytes));
         if !applied.insert((&line.brk, line.run, id)) {
             found.push(Finding::SettledAgain { brk, id: id.clone() });
@@ -357,7 +359,7 @@
         by_call.entry((&one.line.brk, one.call)).or_default().push(one);
     }
     for line in &records.lines {
-        let Act::Answer { call, whole: true, segs, epoch, .. } = &line.act else { continue };
+        let AuditEvent::Answer { call, whole: true, segs, epoch, .. } = &line.event else { continue };
         let parts = by_call.get(&(line.brk.as_str(), call.as_str())).map_or(&[][..], Vec::as_slice);
         let of_parts = || parts.iter().map(|one| one.seg).collect();
         let asked = known.asked.get(call).cloned().unwrap_or_else(of_parts);
@@ -387,10 +389,12 @@
     let mut confirmed: BTreeMap<u64, BTreeSet<&String>> = BTreeMap::new();
     let mut withdrawn = BTreeSet::new();
     for line in &records.lines {
-        match &line.act {
-            Act::Confirmed { number, digest } => drop(confirmed.entry(*number).or_default().insert(digest)),
-            Act::Withdrawn { number, .. } => drop(withdrawn.insert(*number)),
-            Act::Lost { count } => found.push(Finding::Lost { brk: line.brk.clone(), count: *count }),
+        match &line.event {
+            AuditEvent::Confirmed { number, digest } => {
+                confirmed.entry(*number).or_default().insert(digest);
+            }
+            AuditEvent::Withdrawn { number, .. } => drop(withdrawn.insert(*number)),
+            AuditEvent::Lost { count } => found.push(Finding::Lost { brk: line.brk.clone(), count: *count }),
             _ => {}
         }
     }
--- a/crates/dunepond-testkit/src/auditor/records.rs
+++ b/crates/dunepond-testkit/src/auditor/records.rs
@@ -3,12 +3,12 @@
 use std::fs;
 use std::path::Path;
 
-pub use dunepond_control_plane::{Act, Line, Word};
+pub use dunepond_control_plane::{AuditEvent, AuditPhase, AuditRecord};
 
 /// What stood in the files: lines by their time, and lines that cannot be read, each with its place.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    pub lines: Vec<Line>,
+    pub lines: Vec<AuditRecord>,
     pub unreadable: Vec<(String, usize)>,
 }
 
--- a/crates/dunepond-testkit/src/disk.rs
+++ b/crates/dunepond-testkit/src/disk.rs
@@ -8,7 +8,7 @@
 use std::{fs, thread};
 
 use dunepond_body_buffer::{Disk, Folder, Volume};
-use dunepond_storage::{Files, Writing};
+use dunepond_storage::{FileStore, WritableFile};
 
 pub struct Faulty {
     disk: Disk,
@@ -83,7 +83,7 @@
 pub struct ToldFiles {
     path: PathBuf,
     told: PathBuf,
-    folder: std::sync::Mutex<Option<Arc<dunepond_storage::Folder>>>,
+    folder: std::sync::Mutex<Option<Arc<dunepond_storage::DiskStore>>>,
 }
 
 impl ToldFiles {
@@ -92,24 +92,24 @@
     }
 
     /// Opened at the first call, so that a folder which another has is found out as the broker finds it out.
-    fn folder(&self, reading: bool) -> io::Result<Arc<dunepond_storage::Folder>> {
+    fn folder(&self, reading: bool) -> io::Result<Arc<dunepond_storage::DiskStore>> {
         obey(&self.told, reading)?;
         let mut folder = self.folder.lock().unwrap();
         match &*folder {
             Some(folder) => Ok(folder.clone()),
-            None => Ok(folder.insert(Arc::new(dunepond_storage::Folder::open(&self.path)?)).clone()),
+            None => Ok(folder.insert(Arc::new(dunepond_storage::DiskStore::open(&self.path)?)).clone()),
         }
     }
 }
 
-impl Files for ToldFiles {
-    fn create(&self, name: &str) -> io::Result<Box<dyn Writing>> {
+impl FileStore for ToldFiles {
+    fn create(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let file = self.folder(false)?.create(name)?;
         Ok(Box::new(ToldWriting { file, told: self.told.clone() }))
     }
 
-    fn append(&self, name: &str) -> io::Result<Box<dyn Writing>> {
-        let file = self.folder(false)?.append(name)?;
+    fn open_append(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
+        let file = self.folder(false)?.open_append(name)?;
         Ok(Box::new(ToldWriting { file, told: self.told.clone() }))
     }
 
@@ -125,8 +125,8 @@
         self.folder(false)?.remove(name)
     }
 
-    fn sync(&self) -> io::Result<()> {
-        self.folder(false)?.sync()
+    fn sync_names(&self) -> io::Result<()> {
+        self.folder(false)?.sync_names()
     }
 
     fn list(&self) -> io::Result<Vec<String>> {
@@ -135,11 +135,11 @@
 }
 
 struct ToldWriting {
-    file: Box<dyn Writing>,
+    file: Box<dyn WritableFile>,
     told: PathBuf,
 }
 
-impl Writing for ToldWriting {
+impl WritableFile for ToldWriting {
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
         let may = obey(&self.told, false);
         if may.is_err() && fs::read_to_string(&self.told).is_ok_and(|word| word.trim() == "brim") {
@@ -150,9 +150,9 @@
         self.file.write_all(bytes)
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         obey(&self.told, false)?;
-        self.file.cut(length)
+        self.file.truncate(length)
     }
 
     fn sync(&mut self) -> io::Result<()> {
--- a/crates/dunepond-testkit/src/experiments/agree.rs
+++ b/crates/dunepond-testkit/src/experiments/agree.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::Way;
-use crate::auditor::{Act, Word, longest_contradiction};
+use crate::auditor::{AuditEvent, AuditPhase, longest_contradiction};
 use crate::fleet::{Fleet, Plan, served};
 use crate::links::{Manner, WHOLE};
 use crate::processes::{Process, wait};
@@ -59,7 +59,7 @@
     // Fixes of what moves are refused in the joint step, cut or not.
     let next = fleet.version(2 + rounds, &[0], &[]);
     fleet.propose(majority[0], &next);
-    let joint = |i: &usize| matches!(fleet.phase(*i), Some((Word::Joint, ..)));
+    let joint = |i: &usize| matches!(fleet.phase(*i), Some((AuditPhase::Joint, ..)));
     wait(|| majority.iter().any(joint));
     fleet.part(&[&minority, &majority]);
     let clients = fleet.clients(0..brokers, gap);
@@ -76,7 +76,7 @@
     let found = fleet.audit();
     found.iter().take(5).for_each(|finding| eprintln!("{finding}"));
     figures.hold("findings of the auditor", found.len() as f64, 0.0, "");
-    let acts = records.lines.iter().filter(|line| matches!(line.act, Act::Dispatch { .. })).count();
+    let acts = records.lines.iter().filter(|line| matches!(line.event, AuditEvent::Dispatch { .. })).count();
     figures.tell("dispatches that it judged", acts as f64, "");
 }
 
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use dunepond_membership::{Core, Orders, Standing, Told};
+use dunepond_membership::{Actions, Core, MembershipOptions, PeerState};
 use dunepond_settlement::{Book, Counts, Ledger, Sides, Terms};
 use dunepond_simulation::size::{World, version};
 
@@ -99,8 +99,9 @@
 fn members(count: usize, seed: u64) -> Option<Members> {
     let told = |number: usize| {
         let known = (0..count).map(|other| (format!("n{other}"), place(other))).collect();
-        let mut told = Told::new(&format!("n{number}"), 1, place(number), known, seed + number as u64);
-        told.bounds.members = 2 * count;
+        let mut told =
+            MembershipOptions::new(&format!("n{number}"), 1, place(number), known, seed + number as u64);
+        told.limits.max_members = 2 * count;
         told
     };
     let mut cores: Vec<Core> =
@@ -111,24 +112,24 @@
     let mut from = spent;
     while now < 60.0 {
         now += 0.02;
-        let post = |orders: Orders, n: usize, wire: &mut VecDeque<_>, sent: &mut u64, bytes: &mut u64| {
-            for (to, load) in orders.send {
+        let post = |orders: Actions, n: usize, wire: &mut VecDeque<_>, sent: &mut u64, bytes: &mut u64| {
+            for (to, load) in orders.datagrams {
                 (*sent, *bytes) = (*sent + 1, *bytes + load.len() as u64);
                 wire.push_back((now + 0.01, n, usize::from(to.port()) - 2000, load));
             }
         };
         while wire.front().is_some_and(|next| next.0 <= now) {
             let Some((_, source, to, load)) = wire.pop_front() else { break };
-            let orders = cores[to].received(now, place(source), &load);
+            let orders = cores[to].on_datagram(now, place(source), &load);
             post(orders, to, &mut wire, &mut sent, &mut bytes);
         }
         for (n, core) in cores.iter_mut().enumerate() {
-            if core.next() <= now {
+            if core.next_tick_at() <= now {
                 post(core.tick(now), n, &mut wire, &mut sent, &mut bytes);
             }
         }
         let whole = |core: &Core| {
-            core.members().iter().filter(|peer| peer.standing == Standing::Here).count() + 1 == count
+            core.members().iter().filter(|peer| peer.state == PeerState::Alive).count() + 1 == count
         };
         match since {
             None if cores.iter().all(whole) => {
--- a/crates/dunepond-testkit/src/experiments/moves.rs
+++ b/crates/dunepond-testkit/src/experiments/moves.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 use super::Way;
-use crate::auditor::{Finding, Word, longest_contradiction};
+use crate::auditor::{AuditPhase, Finding, longest_contradiction};
 use crate::fleet::{FIX, Fleet, Plan, SEGMENT, TYPES, Went, quantile};
 use crate::processes::wait;
 use crate::report::{Curve, Figures};
@@ -40,7 +40,7 @@
     fn moves(&mut self, id: &str) -> bool {
         self.fleet.plan_moves(1, &self.plan(id));
         let (brokers, number) = (self.fleet.plan.brokers, self.number + 2);
-        let there = |i| matches!(self.fleet.phase(i), Some((Word::Alone, _, to)) if to == number);
+        let there = |i| matches!(self.fleet.phase(i), Some((AuditPhase::Alone, _, to)) if to == number);
         if !wait(|| (0..brokers).all(there)) {
             return false;
         }
--- a/crates/dunepond-testkit/src/files.rs
+++ b/crates/dunepond-testkit/src/files.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-use dunepond_storage::{Files, Writing};
+use dunepond_storage::{FileStore, WritableFile};
 
 /// What is to become of the calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -175,8 +175,8 @@
     inode: usize,
 }
 
-impl Files for Mem {
-    fn create(&self, name: &str) -> io::Result<Box<dyn Writing>> {
+impl FileStore for Mem {
+    fn create(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let mut state = self.0.lock().unwrap();
         let stops = state.call(true)?;
         let inode = state.inodes.len();
@@ -185,7 +185,7 @@
         if stops { State::stop() } else { Ok(Box::new(Open { files: self.clone(), inode })) }
     }
 
-    fn append(&self, name: &str) -> io::Result<Box<dyn Writing>> {
+    fn open_append(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let mut state = self.0.lock().unwrap();
         if state.call(false)? {
             return State::stop();
@@ -226,7 +226,7 @@
         Ok(())
     }
 
-    fn sync(&self) -> io::Result<()> {
+    fn sync_names(&self) -> io::Result<()> {
         let mut state = self.0.lock().unwrap();
         if state.call(false)? {
             return State::stop();
@@ -245,7 +245,7 @@
     }
 }
 
-impl Writing for Open {
+impl WritableFile for Open {
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.files.0.lock().unwrap();
         let stops = state.call(true)?;
@@ -256,7 +256,7 @@
         if stops { State::stop() } else { Ok(()) }
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         let mut state = self.files.0.lock().unwrap();
         if state.call(false)? {
             return State::stop();
--- a/crates/dunepond-testkit/src/fleet/clients.rs
+++ b/crates/dunepond-testkit/src/fleet/clients.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use super::{CUSTOMERS, FIX, Fleet, TYPES, name};
-use crate::auditor::{Act, Finding, Known, Ran, audit};
+use crate::auditor::{AuditEvent, Finding, Known, Ran, audit};
 use crate::processes::PATIENCE;
 use crate::store::{Client, Node, scan};
 
@@ -18,7 +18,7 @@
 impl Fleet {
     /// Fixes that came to nodes, as these counted them.
     pub fn ran(&self) -> Vec<Ran> {
-        let (now, steady) = (Instant::now(), dunepond_control_plane::steady());
+        let (now, steady) = (Instant::now(), dunepond_control_plane::monotonic_seconds());
         let fix = |node: &Node| {
             let came = |at: Instant| steady - now.saturating_duration_since(at).as_secs_f64();
             let ran = |(at, id): (Instant, String)| {
@@ -48,7 +48,10 @@
     pub fn clean(&self) {
         let found = self.audit();
         assert!(found.is_empty(), "{} findings, the first: {:#?}", found.len(), &found[..found.len().min(5)]);
-        assert!(self.did(|act| matches!(act, Act::Dispatch { once: true, .. })), "no fix was ever sent");
+        assert!(
+            self.did(|act| matches!(act, AuditEvent::Dispatch { once: true, .. })),
+            "no fix was ever sent"
+        );
     }
 
     /// Clients that ask each of these brokers for all kinds of scans, one after the other, `gap` apart.
--- a/crates/dunepond-testkit/src/fleet/mod.rs
+++ b/crates/dunepond-testkit/src/fleet/mod.rs
@@ -15,7 +15,7 @@
 
 use serde_json::{Value, json};
 
-use crate::auditor::{Act, Line, Records, Word};
+use crate::auditor::{AuditEvent, AuditPhase, AuditRecord, Records};
 use crate::links::Links;
 use crate::lives::unix_ms;
 use crate::processes::{Process, wait};
@@ -292,11 +292,11 @@
     }
 
     /// The phase that a broker last wrote down, from which version to which.
-    pub fn phase(&self, broker: usize) -> Option<(Word, u64, u64)> {
+    pub fn phase(&self, broker: usize) -> Option<(AuditPhase, u64, u64)> {
         let name = name(broker);
         self.seen(|records| {
-            records.lines.iter().rev().filter(|line| line.brk == name).find_map(|line| match line.act {
-                Act::Phase { phase, from, to, .. } => Some((phase, from, to)),
+            records.lines.iter().rev().filter(|line| line.brk == name).find_map(|line| match line.event {
+                AuditEvent::Phase { phase, from, to, .. } => Some((phase, from, to)),
                 _ => None,
             })
         })
@@ -304,14 +304,14 @@
 
     /// Waits until these brokers all act on this version alone.
     pub fn wait_alone(&self, brokers: impl IntoIterator<Item = usize> + Clone, number: u64) {
-        let alone = |i| matches!(self.phase(i), Some((Word::Alone, _, to)) if to == number);
+        let alone = |i| matches!(self.phase(i), Some((AuditPhase::Alone, _, to)) if to == number);
         let there = wait(|| brokers.clone().into_iter().all(alone));
         let phases: Vec<_> = brokers.into_iter().map(|i| (name(i), self.phase(i))).collect();
         assert!(there, "version {number} is not in force at all of {phases:?}");
     }
 
     /// Waits until this broker is in this phase, whichever version.
-    pub fn wait_phase(&self, broker: usize, word: Word) {
+    pub fn wait_phase(&self, broker: usize, word: AuditPhase) {
         let there = wait(|| matches!(self.phase(broker), Some((phase, ..)) if phase == word));
         assert!(there, "{} is in {:?}", name(broker), self.phase(broker));
     }
@@ -364,8 +364,8 @@
     }
 
     /// Whether any broker wrote down such an act.
-    pub fn did(&self, is: impl Fn(&Act) -> bool) -> bool {
-        self.seen(|records| records.lines.iter().any(|line| is(&line.act)))
+    pub fn did(&self, is: impl Fn(&AuditEvent) -> bool) -> bool {
+        self.seen(|records| records.lines.iter().any(|line| is(&line.event)))
     }
 
     /// Whether this broker's log has these words.
@@ -380,11 +380,13 @@
         if thread::panicking() {
             self.seen(|records| {
                 let mut last = BTreeMap::new();
-                for Line { at, brk, run, act } in &records.lines {
+                for AuditRecord { at, brk, run, event: act } in &records.lines {
                     let again = match act {
-                        Act::Dispatch { .. } | Act::Answer { .. } | Act::Refused { .. } => true,
+                        AuditEvent::Dispatch { .. }
+                        | AuditEvent::Answer { .. }
+                        | AuditEvent::Refused { .. } => true,
                         // Once more with each lease.
-                        Act::Phase { phase, from, to, .. } => {
+                        AuditEvent::Phase { phase, from, to, .. } => {
                             let told = Some((run, *phase, *from, *to));
                             std::mem::replace(last.entry(brk).or_default(), told) == told
                         }
--- a/crates/dunepond-testkit/src/main.rs
+++ b/crates/dunepond-testkit/src/main.rs
@@ -9,8 +9,8 @@
 use dunepond_body_buffer::Folder;
 use dunepond_broker::{Hooks, config, logger, serve};
 use dunepond_config::Bad;
-use dunepond_control_plane::StandIns;
-use dunepond_storage::Files;
+use dunepond_control_plane::TestDoubles;
+use dunepond_storage::FileStore;
 use dunepond_testkit::disk::{Faulty, ToldFiles};
 use dunepond_testkit::experiments::{self, Way};
 
@@ -73,11 +73,13 @@
     start.operator = operator;
     let state =
         operator_state.map(|path| ToldFiles::new(&path, &disk)).transpose().context("state: folder")?;
-    let files = state.map(|files| Arc::new(files) as Arc<dyn Files>);
+    let files = state.map(|files| Arc::new(files) as Arc<dyn FileStore>);
     let fleet = start.operator.fleet.as_ref().zip(fleet_disk);
     let fleet = fleet.map(|(fleet, told)| ToldFiles::new(&fleet.folder, &told)).transpose()?;
-    let fleet =
-        StandIns { files: fleet.map(|files| Arc::new(files) as Arc<dyn Files>), ..StandIns::default() };
+    let fleet = TestDoubles {
+        storage: fleet.map(|files| Arc::new(files) as Arc<dyn FileStore>),
+        ..TestDoubles::default()
+    };
     serve(start, Hooks { operator: Some(file), folder, files, fleet, ..Hooks::default() }).map_err(plain)
 }
 
