--- a/crates/dunepond-testkit/tests/agree.rs
+++ b/crates/dunepond-testkit/tests/agree.rs
@@ -5,9 +5,9 @@
 use std::thread;
 use std::time::Duration;
 
-use dunepond_consensus::Version;
-use dunepond_membership::{Event, Kind, Told};
-use dunepond_testkit::auditor::{Act, Word, longest_contradiction};
+use dunepond_consensus::ConfigVersion;
+use dunepond_membership::{Event, MembershipOptions, RequestKind};
+use dunepond_testkit::auditor::{AuditEvent, AuditPhase, longest_contradiction};
 use dunepond_testkit::fleet::{FIX, Fleet, KEY, Plan, SEGMENT, TYPES, Went, name, share};
 use dunepond_testkit::links::{CUT, Manner, WHOLE};
 use dunepond_testkit::lives::unix_ms;
@@ -40,7 +40,7 @@
 }
 
 fn wait_joint(fleet: &Fleet, brokers: &[usize], number: u64) {
-    let joint = |i: &usize| matches!(fleet.phase(*i), Some((Word::Joint, _, to)) if to == number);
+    let joint = |i: &usize| matches!(fleet.phase(*i), Some((AuditPhase::Joint, _, to)) if to == number);
     assert!(wait(|| brokers.iter().all(joint)), "not all of {brokers:?} are joint");
 }
 
@@ -87,7 +87,7 @@
         }
         When::Confirmed => {
             fleet.filler.hold(false);
-            let confirmed = |act: &Act| matches!(act, Act::Confirmed { number: 2, .. });
+            let confirmed = |act: &AuditEvent| matches!(act, AuditEvent::Confirmed { number: 2, .. });
             assert!(wait(|| fleet.did(confirmed)), "not confirmed");
         }
     }
@@ -113,7 +113,7 @@
     fleet.part(groups);
     fleet.filler.hold(false);
     for minority in groups.iter().filter(|group| group.len() < 3).copied().flatten() {
-        fleet.wait_phase(*minority, Word::Cut);
+        fleet.wait_phase(*minority, AuditPhase::Cut);
     }
     fleet.wait_alone([2, 3, 4], 2);
     thread::sleep(Duration::from_secs(1));
@@ -137,7 +137,7 @@
     let next = fleet.version(2, &[1], &[]);
     fleet.propose(rest[0], &next);
     fleet.wait_alone(rest, 2);
-    fleet.wait_phase(leader, Word::Cut);
+    fleet.wait_phase(leader, AuditPhase::Cut);
     fleet.links.set_all(&WHOLE);
     fleet.wait_alone(0..5, 2);
     answered(&clients.stop(), &[0, 1, 2, 3, 4]);
@@ -189,7 +189,7 @@
         thread::sleep(Duration::from_secs_f64(fleet.plan.lease));
     }
     fleet.links.set_around(&["n3"], &CUT);
-    fleet.wait_phase(2, Word::Cut);
+    fleet.wait_phase(2, AuditPhase::Cut);
     let next = fleet.version(2, &[0, 3], &[]);
     fleet.propose(0, &next);
     fleet.wait_alone([0, 1, 3, 4], 2);
@@ -210,7 +210,7 @@
     let clients = fleet.clients([1, 2, 3, 4], GAP);
     thread::sleep(Duration::from_secs_f64(3.0 * fleet.plan.lease));
     let phase = fleet.phase(2).unwrap();
-    assert_eq!(phase.0, Word::Cut, "n3 has a lease of a majority that has forgotten: {phase:?}");
+    assert_eq!(phase.0, AuditPhase::Cut, "n3 has a lease of a majority that has forgotten: {phase:?}");
     fleet.brokers[0].start();
     fleet.wait_alone(0..5, 2);
     clients.stop();
@@ -298,7 +298,7 @@
     fleet.brokers[leader].start();
     fleet.wait_alone(0..5, 2);
     answered(&clients.stop(), &rest);
-    assert!(fleet.did(|act| matches!(act, Act::Settle { .. })), "nothing is settled");
+    assert!(fleet.did(|act| matches!(act, AuditEvent::Settle { .. })), "nothing is settled");
     clean(&fleet);
 }
 
@@ -333,10 +333,10 @@
     // Longer than any wait for leases.
     thread::sleep(Duration::from_secs_f64(fleet.plan.bound));
     assert!(
-        !fleet.did(|act| matches!(act, Act::Confirmed { number: 2, .. })),
+        !fleet.did(|act| matches!(act, AuditEvent::Confirmed { number: 2, .. })),
         "in force before it is filled"
     );
-    assert!(!fleet.did(|act| matches!(act, Act::Proposed { number: 3, .. })), "two changes are open");
+    assert!(!fleet.did(|act| matches!(act, AuditEvent::Proposed { number: 3, .. })), "two changes are open");
     fleet.filler.hold(false);
     fleet.wait_alone(0..5, 3);
     answered(&clients.stop(), &[0, 1, 2, 3, 4]);
@@ -347,7 +347,7 @@
 fn cut_from_each_other_all_serve_what_may_be_repeated_and_refuse_the_rest_at_once() {
     let fleet = Fleet::agreed(plan(3, 6));
     fleet.part(&[]);
-    (0..6).for_each(|i| fleet.wait_phase(i, Word::Cut));
+    (0..6).for_each(|i| fleet.wait_phase(i, AuditPhase::Cut));
     let clients = fleet.clients(0..6, GAP);
     thread::sleep(Duration::from_secs(2));
     let went = clients.stop();
@@ -402,22 +402,25 @@
     let (mut leader, clients) = (name(fleet.leader()), fleet.clients(0..4, GAP));
     fleet.brokers[4].kill();
     let known = (0..4).map(|i| (name(i), fleet.links.at("n5", &name(i)))).collect();
-    let told = Told { key: Some(KEY.to_string()), ..Told::new("n5", unix_ms(), fleet.listens[4], known, 1) };
+    let told = MembershipOptions {
+        key: Some(KEY.to_string()),
+        ..MembershipOptions::new("n5", unix_ms(), fleet.listens[4], known, 1)
+    };
     let (peers, events) = dunepond_membership::start(told).unwrap();
     // A busy machine can move the lead between two words: whoever leads by then is asked, as a broker would.
     const A_VERSION: u8 = 0;
     const LEADS: u8 = 1;
     const WAIT: u8 = 2;
     let mut propose = |version: &Value, sealed: bool| {
-        let mut version: Version = serde_json::from_value(version.clone()).unwrap();
+        let mut version: ConfigVersion = serde_json::from_value(version.clone()).unwrap();
         version.map = version.map.map(|map| if sealed { map.sealed() } else { map });
         let mut answer = None;
         wait(|| {
             let body = postcard::to_stdvec(&(A_VERSION, &version)).unwrap();
-            let asked = peers.ask(&leader, Kind::Propose, body, 2.0);
+            let asked = peers.request(&leader, RequestKind::Propose, body, 2.0);
             let Ok(id) = asked else { return false };
             let event = events.iter().find_map(|event| match event {
-                Event::Answer { id: of, body, .. } if of == id => Some(body),
+                Event::Response { id: of, result: body, .. } if of == id => Some(body),
                 _ => None,
             });
             answer = event.and_then(Result::ok);
@@ -430,7 +433,7 @@
         String::from_utf8_lossy(&answer.expect("an answer")).into_owned()
     };
     let mut faulty = fleet.version(2, &[0], &[]);
-    let before: Version = serde_json::from_value(fleet.version(1, &[], &[])).unwrap();
+    let before: ConfigVersion = serde_json::from_value(fleet.version(1, &[], &[])).unwrap();
     faulty["map"]["digest"] = json!(before.map.unwrap().digest_of());
     spoil(&mut faulty["map"]);
     let said = propose(&faulty, sealed);
@@ -493,7 +496,7 @@
             _ => {
                 // What a number stands for is the same whoever proposes it.
                 number += u64::from(
-                    fleet.did(|act| matches!(act, Act::Proposed { number: of, .. } if *of == number)),
+                    fleet.did(|act| matches!(act, AuditEvent::Proposed { number: of, .. } if *of == number)),
                 );
                 let next = fleet.version(number, &[number % 6, (number + 3) % 6], &[]);
                 fleet.put(one, &next);
@@ -519,8 +522,9 @@
     }
     // One more change, with a number that nobody has used.
     let last = fleet.version(number + 1, &[], &[]);
-    let proposed =
-        |fleet: &Fleet| fleet.did(|act| matches!(act, Act::Proposed { number: of, .. } if *of > number));
+    let proposed = |fleet: &Fleet| {
+        fleet.did(|act| matches!(act, AuditEvent::Proposed { number: of, .. } if *of > number))
+    };
     let all = wait(|| {
         if !proposed(&fleet) {
             fleet.propose(0, &fleet.version(number, &[number % 6, (number + 3) % 6], &[]));
--- a/crates/dunepond-testkit/tests/agree/debts.rs
+++ b/crates/dunepond-testkit/tests/agree/debts.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use dunepond_settlement::{Counts, Sides, Tally};
-use dunepond_storage::{Files, Folder as Directory, Snapshots};
-use dunepond_testkit::auditor::Line;
+use dunepond_storage::{DiskStore as Directory, FileStore, SnapshotStore};
+use dunepond_testkit::auditor::AuditRecord;
 use dunepond_testkit::fleet::PARTNERS;
 
 use super::*;
@@ -14,14 +14,14 @@
 const DEBTOR: &str = PARTNERS[0];
 const CREDITOR: &str = PARTNERS[1];
 
-fn kept(files: Arc<dyn Files>) -> Snapshots {
-    Snapshots::new(files, "counts", 1)
+fn kept(files: Arc<dyn FileStore>) -> SnapshotStore {
+    SnapshotStore::new(files, "counts", 1)
 }
 
 /// A broker's hand on the counts, as it stands in its folder; what stands there is in its book and may have been told.
 fn tally(fleet: &Fleet, broker: usize) -> Option<Tally> {
-    let files = Directory::look(&fleet.brokers[broker].folder).ok()?;
-    let newest = kept(Arc::new(files)).read().ok()?.newest?;
+    let files = Directory::open_read_only(&fleet.brokers[broker].folder).ok()?;
+    let newest = kept(Arc::new(files)).load().ok()?.newest?;
     postcard::from_bytes(&newest.bytes).ok()
 }
 
@@ -49,8 +49,8 @@
 fn settled(fleet: &Fleet, brokers: &[usize], expected: &[(&str, u64)]) {
     let by = |broker: usize| {
         let lines = fleet.records().lines.into_iter().filter(|line| line.brk == name(broker));
-        let settled = lines.filter_map(|line| match line.act {
-            Act::Settle { id, debtor, creditor, bytes, .. } => Some((id, debtor, creditor, bytes)),
+        let settled = lines.filter_map(|line| match line.event {
+            AuditEvent::Settle { id, debtor, creditor, bytes, .. } => Some((id, debtor, creditor, bytes)),
             _ => None,
         });
         settled.collect::<Vec<_>>()
@@ -149,8 +149,8 @@
 /// What `broker` applied: settlements by id.
 fn applied(fleet: &Fleet, broker: usize) -> Vec<(String, u64)> {
     let lines = fleet.records().lines.into_iter().filter(|line| line.brk == name(broker));
-    let settled = lines.filter_map(|line| match line.act {
-        Act::Settle { id, bytes, .. } => Some((id, bytes)),
+    let settled = lines.filter_map(|line| match line.event {
+        AuditEvent::Settle { id, bytes, .. } => Some((id, bytes)),
         _ => None,
     });
     settled.collect()
@@ -176,14 +176,14 @@
     let split = |i: &usize| fleet.said(*i, "are split in advance");
     assert!(wait(|| (0..5).all(|i| split(&i))), "nothing is split");
     fleet.part(&[&majority[..], &rest[..]]);
-    fleet.wait_phase(3, Word::Cut);
-    fleet.wait_phase(4, Word::Cut);
+    fleet.wait_phase(3, AuditPhase::Cut);
+    fleet.wait_phase(4, AuditPhase::Cut);
     // The creditor's holders have all just started; they are filled from the debtor's nodes.
     fleet.restarted(&[1, 3, 5, 7, 9, 11]);
     let begun = |by: &[usize]| {
         let by: Vec<_> = by.iter().map(|i| name(*i)).collect();
         let lines = fleet.records().lines.into_iter().filter(|line| by.contains(&line.brk));
-        lines.filter(|line| matches!(&line.act, Act::Fill { state, .. } if state == "done")).count()
+        lines.filter(|line| matches!(&line.event, AuditEvent::Fill { state, .. } if state == "done")).count()
     };
     assert!(wait(|| begun(&majority) > 0 && begun(&rest) > 0 && begun(&majority) + begun(&rest) >= fills));
     assert!(wait(|| majority.iter().all(|i| !applied(&fleet, *i).is_empty())));
@@ -203,8 +203,8 @@
     for i in [1, 2, 4] {
         assert_eq!(applied(&fleet, i).len(), first.len(), "at {}", name(i));
     }
-    let ids = |line: Line| match line.act {
-        Act::Fill { id, .. } => Some(id),
+    let ids = |line: AuditRecord| match line.event {
+        AuditEvent::Fill { id, .. } => Some(id),
         _ => None,
     };
     let ids: BTreeSet<_> = fleet.records().lines.into_iter().filter_map(ids).collect();
--- a/crates/dunepond-testkit/tests/agree/limits.rs
+++ b/crates/dunepond-testkit/tests/agree/limits.rs
@@ -21,8 +21,8 @@
 /// Units that a broker was last told, floor left out.
 fn part(fleet: &Fleet, broker: usize) -> u32 {
     let lines = fleet.records().lines.into_iter().rev().filter(|line| line.brk == name(broker));
-    let told = lines.filter_map(|line| match line.act {
-        Act::Share { parts, .. } => Some(parts.get(BOUND).copied().unwrap_or(0)),
+    let told = lines.filter_map(|line| match line.event {
+        AuditEvent::Share { parts, .. } => Some(parts.get(BOUND).copied().unwrap_or(0)),
         _ => None,
     });
     told.take(1).sum()
@@ -50,7 +50,7 @@
     let (left, rest) = (4, [0, 1, 2, 3]);
     gathered(&fleet, left);
     rest.iter().for_each(|i| fleet.brokers[*i].stop());
-    fleet.wait_phase(left, Word::Cut);
+    fleet.wait_phase(left, AuditPhase::Cut);
     fleet.starts_cold("s-5");
     let (clients, lasted) = (fleet.clients([left], BUSY), 3.0);
     let before = fleet.nodes[5].times().len();
--- a/crates/dunepond-testkit/tests/agree/moves.rs
+++ b/crates/dunepond-testkit/tests/agree/moves.rs
@@ -39,7 +39,7 @@
     fleet.filler.hold(true);
     fleet.plan_moves(rest[0], &move_of("one", 0, "s-0", "s-2"));
     let confirmed = |fleet: &Fleet, number| {
-        wait(|| fleet.did(|act| matches!(act, Act::Confirmed { number: of, .. } if *of == number)))
+        wait(|| fleet.did(|act| matches!(act, AuditEvent::Confirmed { number: of, .. } if *of == number)))
     };
     match at {
         At::Taken => assert!(wait(|| fleet.said(rest[0], "plan one: "))),
@@ -71,7 +71,7 @@
 fn plans_of_both_sides_of_a_partition_move_a_segment_once() {
     let mut fleet = Fleet::agreed(Plan { voters: 5, ..moving() });
     fleet.part(&[&[0, 1], &[2, 3, 4]]);
-    fleet.wait_phase(0, Word::Cut);
+    fleet.wait_phase(0, AuditPhase::Cut);
     let clients = fleet.clients(0..5, GAP);
     fleet.plan_moves(0, &move_of("few", 0, "s-0", "s-2"));
     fleet.plan_moves(3, &move_of("many", 0, "s-0", "s-3"));
