--- a/crates/dunepond-broker/src/asking.rs
+++ b/crates/dunepond-broker/src/asking.rs
@@ -4,7 +4,10 @@
 use std::hash::{BuildHasher, RandomState};
 use std::rc::Rc;
 
-use dunepond_prefilter::{Audit, Fleet, Key, Left, Order, Phases, Seg, Terms, Verdict, Wide};
+use dunepond_prefilter::{
+    Action, Audit, NodeView, Prefilter, PrefilterConfig, PrefilterQuery, PrunedSegment, QueryKey, SearchPlan,
+    SegmentIndex,
+};
 use dunepond_routing::{Deployment, Idempotency, NodeId, Query, QueryId, Router};
 use tracing::{debug, info};
 
@@ -19,8 +22,8 @@
 /// The nodes as the module sees them.
 struct Seen<'a>(&'a Router);
 
-impl Fleet for Seen<'_> {
-    fn holders(&self, seg: Seg) -> Vec<NodeId> {
+impl NodeView for Seen<'_> {
+    fn replicas(&self, seg: SegmentIndex) -> Vec<NodeId> {
         self.0.prefilter_candidates(seg).collect()
     }
 
@@ -28,38 +31,38 @@
         self.0.outstanding(node)
     }
 
-    fn pressed(&self) -> bool {
+    fn is_congested(&self) -> bool {
         self.0.is_overloaded()
     }
 }
 
 /// A scan that the core knows.
 struct Known {
-    key: Key,
+    key: QueryKey,
     table_type: usize,
     text: Rc<str>,
-    segs: Vec<Seg>,
+    segs: Vec<SegmentIndex>,
 }
 
 pub struct Asking {
-    phases: Phases,
+    phases: Prefilter,
     /// Texts are known by a hash that nobody outside can aim at: two that met would vouch for each other.
     hashes: RandomState,
     repeats: Vec<(bool, f64)>,
     known: HashMap<QueryId, Known>,
     /// What was left out last, for audits, the oldest first by number.
-    texts: BTreeMap<u64, (Key, usize, Rc<str>)>,
+    texts: BTreeMap<u64, (QueryKey, usize, Rc<str>)>,
     remembered: u64,
     audits: HashMap<QueryId, Audit>,
     alarm: Option<(f64, clock::Key)>,
 }
 
 impl Asking {
-    pub fn new(terms: Terms, site: &Deployment) -> Self {
+    pub fn new(terms: PrefilterConfig, site: &Deployment) -> Self {
         let repeats =
             site.query_classes.iter().map(|t| (t.idempotency == Idempotency::Idempotent, t.complete_at));
         Self {
-            phases: Phases::new(terms, site.seed),
+            phases: Prefilter::new(terms, site.seed),
             hashes: RandomState::new(),
             repeats: repeats.collect(),
             known: HashMap::new(),
@@ -70,8 +73,8 @@
         }
     }
 
-    pub fn change(&mut self, terms: Terms) {
-        self.phases.change(terms);
+    pub fn change(&mut self, terms: PrefilterConfig) {
+        self.phases.reconfigure(terms);
     }
 
     /// A scan has been taken: the module admits it, and only then are its questions gathered.
@@ -80,8 +83,16 @@
         let (replayable, whole_at) = self.repeats[scan.class];
         let key = self.hashes.hash_one((scan.class, &*text));
         let (id, table_type, left) = (scan.id, scan.class, scan.expires_in);
-        let wide = Wide { id, table_type, key, replayable, whole_at, left, segs: segs.clone() };
-        if !self.phases.concerns(&wide) {
+        let wide = PrefilterQuery {
+            id,
+            query_class: table_type,
+            key,
+            idempotent: replayable,
+            complete_at: whole_at,
+            time_left_seconds: left,
+            segments: segs.clone(),
+        };
+        if !self.phases.is_eligible(&wide) {
             return broker.on_query(desk, scan);
         }
         self.known.insert(id, Known { key, table_type, text, segs });
@@ -92,34 +103,34 @@
         }
     }
 
-    fn carry_out(&mut self, broker: &mut Router, desk: &mut Desk, orders: Vec<Order>) {
+    fn carry_out(&mut self, broker: &mut Router, desk: &mut Desk, orders: Vec<Action>) {
         for order in orders {
             match order {
-                Order::Ask(question) => {
+                Action::Send(question) => {
                     let Some(known) = self.known.values().find(|known| known.key == question.key) else {
                         continue;
                     };
-                    desk.ask(question.node, question.id, &known.text, &question.segs);
+                    desk.ask(question.node, question.id, &known.text, &question.segments);
                 }
-                Order::Search(verdict) => self.search(broker, desk, &verdict),
+                Action::Search(verdict) => self.search(broker, desk, &verdict),
             }
         }
     }
 
-    fn search(&mut self, broker: &mut Router, desk: &mut Desk, verdict: &Verdict) {
-        let Some(known) = self.known.get(&verdict.scan) else { return };
-        if !verdict.left_out.is_empty() {
-            debug!("scan {}: {} left out", verdict.scan, verdict.left_out.len());
+    fn search(&mut self, broker: &mut Router, desk: &mut Desk, verdict: &SearchPlan) {
+        let Some(known) = self.known.get(&verdict.query) else { return };
+        if !verdict.pruned.is_empty() {
+            debug!("scan {}: {} left out", verdict.query, verdict.pruned.len());
             self.remembered += 1;
             self.texts.insert(self.remembered, (known.key, known.table_type, known.text.clone()));
             while self.texts.len() > TEXTS {
                 self.texts.pop_first();
             }
         }
-        let place = |left: &Left| known.segs.iter().position(|seg| *seg == left.seg);
-        let parts: Vec<_> = verdict.left_out.iter().filter_map(place).collect();
-        desk.leave_out(verdict.scan, verdict.left_out.clone());
-        broker.on_prefilter_result(desk, verdict.scan, &parts);
+        let place = |left: &PrunedSegment| known.segs.iter().position(|seg| *seg == left.segment);
+        let parts: Vec<_> = verdict.pruned.iter().filter_map(place).collect();
+        desk.leave_out(verdict.query, verdict.pruned.clone());
+        broker.on_prefilter_result(desk, verdict.query, &parts);
     }
 
     /// A node has answered a question, or will not.
@@ -128,12 +139,12 @@
         broker: &mut Router,
         desk: &mut Desk,
         question: u64,
-        words: Result<Words, dunepond_prefilter::Unanswered>,
+        words: Result<Words, dunepond_prefilter::RequestFailure>,
     ) {
         let fleet = Seen(broker);
         let orders = match words {
-            Ok(words) => self.phases.answered(desk.now, &fleet, question, &words),
-            Err(why) => self.phases.failed(desk.now, &fleet, question, why),
+            Ok(words) => self.phases.on_response(desk.now, &fleet, question, &words),
+            Err(why) => self.phases.on_failure(desk.now, &fleet, question, why),
         };
         self.carry_out(broker, desk, orders);
     }
@@ -144,19 +155,19 @@
         let (scan, part) = (back.ended.query, back.ended.part);
         if let Some((version, found)) = back.searched {
             let began = desk.now - back.ended.elapsed;
-            let audited = self.audits.get(&scan).map(|audit| (audit.key, audit.seg));
+            let audited = self.audits.get(&scan).map(|audit| (audit.key, audit.segment));
             let known = || self.known.get(&scan).map(|known| (known.key, known.segs[part]));
             if let Some((key, seg)) = audited.or_else(known)
-                && self.phases.searched(began, key, seg, version, found)
+                && self.phases.record_search(began, key, seg, version, found)
             {
                 info!("node {}: found {seg} to match, which a trusted word denied", back.ended.node);
             }
         }
         let Some(known) = self.known.get(&scan) else { return };
-        let fallen = self.phases.fallen(scan);
+        let fallen = self.phases.take_revoked(scan);
         if !fallen.is_empty() {
             debug!("scan {scan}: {} to be searched after all", fallen.len());
-            let place = |seg: &Seg| known.segs.iter().position(|s| s == seg);
+            let place = |seg: &SegmentIndex| known.segs.iter().position(|s| s == seg);
             let parts: Vec<_> = fallen.iter().filter_map(place).collect();
             desk.search_after_all(scan, &fallen);
             broker.on_prefilter_revoked(desk, scan, &parts);
@@ -166,7 +177,7 @@
     /// A scan is over, answered or not.
     pub fn over(&mut self, now: f64, scan: QueryId, answered: bool) {
         if self.audits.remove(&scan).is_none() && self.known.remove(&scan).is_some() {
-            self.phases.finished(now, scan, answered);
+            self.phases.on_query_end(now, scan, answered);
         }
     }
 
@@ -178,7 +189,7 @@
     /// Phase one is over for some.
     pub fn due(&mut self, broker: &mut Router, desk: &mut Desk) {
         self.alarm = None;
-        let orders = self.phases.due(desk.now);
+        let orders = self.phases.on_deadline(desk.now);
         self.carry_out(broker, desk, orders);
     }
 
@@ -186,7 +197,7 @@
     pub fn turn_over(&mut self, broker: &mut Router, desk: &mut Desk) {
         let orders = self.phases.flush(desk.now);
         self.carry_out(broker, desk, orders);
-        let due = self.phases.next_due();
+        let due = self.phases.next_deadline();
         if due != self.alarm.map(|alarm| alarm.0) {
             desk.alarms.unset(self.alarm.map(|alarm| alarm.1));
             self.alarm = due.map(|due| (due, desk.alarms.set(due, Due::Asking)));
@@ -203,7 +214,7 @@
         if let Some(audit) = self.phases.audit(&Seen(broker)) {
             let text = self.texts.values().rev().find(|(key, ..)| *key == audit.key).cloned();
             if let Some((_, table_type, text)) = text
-                && let Some(scan) = desk.audit(table_type, audit.seg, text)
+                && let Some(scan) = desk.audit(table_type, audit.segment, text)
             {
                 self.audits.insert(scan.id, audit);
                 broker.on_query(desk, scan);
@@ -215,17 +226,17 @@
     pub fn report(&self, now: f64) {
         let counts = self.phases.counts();
         info!(
-            asked_first = counts.asked_first,
-            plain = counts.plain,
-            questions = counts.questions,
-            unanswered = counts.unanswered,
-            segments = counts.segs,
-            left_out = counts.left_out,
+            asked_first = counts.prefiltered,
+            plain = counts.searched_directly,
+            questions = counts.requests,
+            unanswered = counts.failed_requests,
+            segments = counts.segments,
+            left_out = counts.pruned,
             audits = counts.audits,
-            lies = counts.lies,
-            fallen = counts.fallen,
-            doubted = self.phases.doubted(),
-            resting = self.phases.resting(now),
+            lies = counts.false_denials,
+            fallen = counts.revoked,
+            doubted = self.phases.distrusted_nodes(),
+            resting = self.phases.nodes_in_backoff(now),
             "two-phase counters"
         );
     }
--- a/crates/dunepond-broker/src/desk/host.rs
+++ b/crates/dunepond-broker/src/desk/host.rs
@@ -1,6 +1,6 @@
 //! The module's host: its orders go to the peers, and what comes back from them becomes its calls.
 
-use dunepond_prefilter::Grounds;
+use dunepond_prefilter::PruningBasis;
 use dunepond_routing::{AttemptOutcome, NodeId, QueryId, Transport};
 use dunepond_search_api::ApiError;
 use serde_json::json;
@@ -76,7 +76,7 @@
         {
             let segs: Vec<_> =
                 in_hand.segs.iter().zip(&in_hand.values).map(|(s, v)| (*s, v.is_some())).collect();
-            let left_out: Vec<_> = in_hand.left_out.iter().map(|left| left.seg).collect();
+            let left_out: Vec<_> = in_hand.left_out.iter().map(|left| left.segment).collect();
             let outcome = api.answer(self.now, whole, &segs, &left_out);
             if self.conclude(scan).is_some() {
                 self.outcome(scan, outcome, 0.0);
@@ -92,11 +92,11 @@
         if !in_hand.left_out.is_empty() {
             let left_out = in_hand.left_out.iter().map(|left| {
                 let name = |node: NodeId| self.servers.name(node);
-                let words = match left.grounds {
-                    Grounds::Two(a, b) => [name(a), name(b)],
-                    Grounds::Searched(a) => [name(a), "our own search"],
+                let words = match left.basis {
+                    PruningBasis::TwoReplicas(a, b) => [name(a), name(b)],
+                    PruningBasis::OwnSearch(a) => [name(a), "our own search"],
                 };
-                json!({"bucket": left.seg, "words": words})
+                json!({"bucket": left.segment, "words": words})
             });
             body["left_out"] = left_out.collect();
         }
--- a/crates/dunepond-broker/src/desk/mod.rs
+++ b/crates/dunepond-broker/src/desk/mod.rs
@@ -11,7 +11,7 @@
 
 use dunepond_body_buffer::{BodyId, Reason};
 use dunepond_config::Bounds;
-use dunepond_prefilter::{Left, Unanswered};
+use dunepond_prefilter::{PrunedSegment, RequestFailure};
 use dunepond_routing::{AttemptOutcome, Deployment, Idempotency, MAX_STALL_SECONDS, NodeId, QueryId};
 
 use crate::api::{Open, Searching};
@@ -43,7 +43,7 @@
     /// The value of each part that is in.
     values: Vec<Option<String>>,
     /// What was left out, and on whose word.
-    left_out: Vec<Left>,
+    left_out: Vec<PrunedSegment>,
     /// The nodes of each part's dispatches.
     shots: Vec<Vec<NodeId>>,
     /// When the first of each part's dispatches was sent that may have run; never, as long as there is none.
@@ -199,16 +199,16 @@
         let frame = frames::question(question, text, segs);
         match self.servers.dial(node) {
             Some(dial) => questions.ask(self.now, node, dial, question, &frame, &mut self.alarms),
-            None => questions.told.push_back((question, Err(Unanswered::Gone))),
+            None => questions.told.push_back((question, Err(RequestFailure::NodeGone))),
         }
     }
 
-    pub fn leave_out(&mut self, scan: QueryId, left: Vec<Left>) {
+    pub fn leave_out(&mut self, scan: QueryId, left: Vec<PrunedSegment>) {
         self.scans.get_mut(&scan).into_iter().for_each(|in_hand| in_hand.left_out = left.clone());
     }
 
     pub fn search_after_all(&mut self, scan: QueryId, segs: &[usize]) {
         let in_hand = self.scans.get_mut(&scan).into_iter();
-        in_hand.for_each(|in_hand| in_hand.left_out.retain(|left| !segs.contains(&left.seg)));
+        in_hand.for_each(|in_hand| in_hand.left_out.retain(|left| !segs.contains(&left.segment)));
     }
 }
--- a/crates/dunepond-broker/src/ending.rs
+++ b/crates/dunepond-broker/src/ending.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::io;
 
-use dunepond_prefilter::Unanswered;
+use dunepond_prefilter::RequestFailure;
 use dunepond_routing::AttemptOutcome;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -60,13 +60,13 @@
     }
 
     /// Why a question is not answered that was out when its connection ended.
-    pub fn unanswered(self) -> Unanswered {
+    pub fn unanswered(self) -> RequestFailure {
         match self {
-            Self::Complaint | Self::Closed => Unanswered::NotSpoken,
-            Self::Garbled => Unanswered::Spoilt,
-            Self::Stalled => Unanswered::Late,
-            Self::Replaced => Unanswered::Gone,
-            _ => Unanswered::NoConnection,
+            Self::Complaint | Self::Closed => RequestFailure::Unsupported,
+            Self::Garbled => RequestFailure::Malformed,
+            Self::Stalled => RequestFailure::Timeout,
+            Self::Replaced => RequestFailure::NodeGone,
+            _ => RequestFailure::NoConnection,
         }
     }
 }
--- a/crates/dunepond-broker/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use dunepond_prefilter::{Seg, Version, Word as Match};
+use dunepond_prefilter::{CanMatch as Match, SegmentIndex, Version};
 
 use crate::buffers::SIZE;
 
@@ -18,7 +18,7 @@
     /// What a node says of shards that it was asked about.
     Words {
         question: u64,
-        words: Vec<(Seg, Match, Version)>,
+        words: Vec<(SegmentIndex, Match, Version)>,
     },
     Complaint(&'a str),
 }
@@ -52,8 +52,8 @@
 }
 
 /// A question of phase one: which of these shards can match a text.
-pub fn question(id: u64, text: &str, segs: &[Seg]) -> Vec<u8> {
-    let segs: Vec<_> = segs.iter().map(Seg::to_string).collect();
+pub fn question(id: u64, text: &str, segs: &[SegmentIndex]) -> Vec<u8> {
+    let segs: Vec<_> = segs.iter().map(SegmentIndex::to_string).collect();
     frame(b'P', format!("{id} {} {}\n{text}", text.len(), segs.join(",")).as_bytes())
 }
 
@@ -64,14 +64,14 @@
 }
 
 /// The lines of an answer to a question, `SHARD WORD VERSION` each.
-fn words(lines: &str) -> Option<Vec<(Seg, Match, Version)>> {
+fn words(lines: &str) -> Option<Vec<(SegmentIndex, Match, Version)>> {
     let line = |line: &str| {
         let mut words = line.splitn(3, ' ');
         let seg = words.next()?.parse().ok()?;
         let word = match words.next()? {
             "may" => Match::MayMatch,
             "no" => Match::CannotMatch,
-            "unknown" => Match::DontKnow,
+            "unknown" => Match::Unknown,
             _ => return None,
         };
         Some((seg, word, words.next()?.parse().ok()?))
@@ -178,7 +178,7 @@
     fn a_question_and_its_answer_and_what_a_report_tells() {
         assert_eq!(question(7, "q 1", &[3, 9])[4..], *b"P7 3 3,9\nq 1");
         let bytes = frame(b'Q', b"7\n3 no 12\n9 may 4\n1 unknown 0");
-        let words = vec![(3, Match::CannotMatch, 12), (9, Match::MayMatch, 4), (1, Match::DontKnow, 0)];
+        let words = vec![(3, Match::CannotMatch, 12), (9, Match::MayMatch, 4), (1, Match::Unknown, 0)];
         assert_eq!(read(&bytes), Ok(Some((Said::Words { question: 7, words }, bytes.len()))));
         assert_eq!((searched("v=12,n=0"), searched("n=3,v=1")), (Some((12, false)), Some((1, true))));
         assert_eq!((searched("-"), searched("v=1"), searched("v=x,n=1")), (None, None, None));
--- a/crates/dunepond-broker/src/questions.rs
+++ b/crates/dunepond-broker/src/questions.rs
@@ -8,7 +8,7 @@
 
 use calloop::RegistrationToken;
 use dunepond_config::Bounds;
-use dunepond_prefilter::{Seg, Unanswered, Version, Word};
+use dunepond_prefilter::{CanMatch, RequestFailure, SegmentIndex, Version};
 use dunepond_routing::NodeId;
 use slab::Slab;
 use tracing::{debug, warn};
@@ -28,7 +28,7 @@
 const MOST_WAITING: usize = 256 * 1024;
 
 /// What one node says of each shard that it was asked about.
-pub type Words = Vec<(Seg, Word, Version)>;
+pub type Words = Vec<(SegmentIndex, CanMatch, Version)>;
 
 struct Link {
     node: NodeId,
@@ -50,7 +50,7 @@
     most: usize,
     bounds: Rc<Bounds>,
     /// Answers, and questions that will have none.
-    pub told: VecDeque<(u64, Result<Words, Unanswered>)>,
+    pub told: VecDeque<(u64, Result<Words, RequestFailure>)>,
 }
 
 impl Questions {
@@ -75,13 +75,13 @@
                 Ok(id) => id,
                 Err(ending) => {
                     debug!("node {node}: connection for questions {ending}");
-                    return self.told.push_back((question, Err(Unanswered::NoConnection)));
+                    return self.told.push_back((question, Err(RequestFailure::NoConnection)));
                 }
             },
         };
         let link = &mut self.links[id];
         if link.out.waiting() > MOST_WAITING {
-            return self.told.push_back((question, Err(Unanswered::Late)));
+            return self.told.push_back((question, Err(RequestFailure::Timeout)));
         }
         link.out.put(frame);
         if link.asked.is_empty() && link.up {
--- a/crates/dunepond-config/src/operator/doors.rs
+++ b/crates/dunepond-config/src/operator/doors.rs
@@ -58,18 +58,18 @@
         Some(State { folder: path?, every })
     }
 
-    pub(super) fn phases(&mut self, node: &KdlNode) -> phases::Terms {
+    pub(super) fn phases(&mut self, node: &KdlNode) -> phases::PrefilterConfig {
         let known = ["least-segments", "share", "fresh", "known", "audits"];
         let [least, share, fresh, known, audits] = self.properties(node, known);
         let mut number = |entry: Option<&KdlEntry>, bounds: (f64, f64), unless: f64| {
             entry.and_then(|entry| self.number(entry, bounds.0, bounds.1)).unwrap_or(unless)
         };
-        phases::Terms {
-            least_segs: number(least, (2.0, 1e6), 8.0) as usize,
-            share: number(share, (0.01, 0.9), 0.25),
-            fresh: number(fresh, (0.0, 60.0), 0.0),
-            most_known: number(known, (1.0, 1e7), 20_000.0) as usize,
-            audits: number(audits, (0.0, 1.0), 0.01),
+        phases::PrefilterConfig {
+            min_segments: number(least, (2.0, 1e6), 8.0) as usize,
+            time_ratio: number(share, (0.01, 0.9), 0.25),
+            max_age_seconds: number(fresh, (0.0, 60.0), 0.0),
+            max_entries: number(known, (1.0, 1e7), 20_000.0) as usize,
+            audit_ratio: number(audits, (0.0, 1.0), 0.01),
         }
     }
 }
--- a/crates/dunepond-config/src/operator/mod.rs
+++ b/crates/dunepond-config/src/operator/mod.rs
@@ -39,7 +39,7 @@
 pub struct Operator {
     pub bodies: Option<Bodies>,
     /// Two-phase scans: which can match is asked first; off where the file does not name them.
-    pub phases: Option<phases::Terms>,
+    pub phases: Option<phases::PrefilterConfig>,
     /// What outlasts the process; nothing does where the file does not name it.
     pub state: Option<State>,
     /// The API's door; there is none where the file does not name it.
--- a/crates/dunepond-prefilter/src/evidence.rs
+++ b/crates/dunepond-prefilter/src/evidence.rs
@@ -1,291 +1,243 @@
-//! What is known of which text in which segment, and on whose word. Bounded; what was said of another version is gone.
+//! What is known of which text in which segment, and from which node. Bounded; answers about another version are dropped.
 //!
-//! A remembered word tells of a version, and which version a segment is in at this moment only its holders know: one
-//! that repeats an old version's word would make two of itself and an old truth. So both words must be fresh, and a
-//! word is as old as its question: what was on its way when a scan came may have been said before.
+//! An answer is about a version, and only the replicas know which version a segment has now: one node that repeats an old version's answer
+//! could combine with an old, true one. So both answers must be fresh, and an answer is as old as its request: what was in flight when a
+//! query came may have been decided before.
 
 use std::collections::VecDeque;
 
 use imbl::HashMap;
 
-use crate::{Key, NodeId, Seg, Version, Word};
+use crate::model::{CanMatch, NodeId, QueryKey, SegmentIndex, Version};
 
-/// On what a segment is left out.
+#[cfg(test)]
+mod tests;
+
+/// Why a segment may be pruned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Grounds {
-    /// Two holders say so of the same version.
-    Two(NodeId, NodeId),
-    /// One holder says so of the version in which our own search found nothing.
-    Searched(NodeId),
+pub enum PruningBasis {
+    /// Two replicas deny a match in the same version.
+    TwoReplicas(NodeId, NodeId),
+    /// One replica denies a match in the version in which our own search found nothing.
+    OwnSearch(NodeId),
 }
 
-/// When a question went out, or a search began: its place among all questions, and the time. A search has only a time.
+/// When a request was sent or a search began. A search has no sequence number.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Asked {
-    pub place: u64,
-    pub at: f64,
+pub struct SentAt {
+    /// The order among all requests.
+    pub sequence: u64,
+    /// Seconds.
+    pub time: f64,
+}
+
+/// From when on answers count: after a sequence number, or later than a time. The number tells requests apart that were sent within one
+/// reading of the clock.
+#[derive(Clone, Copy, Debug)]
+pub struct FreshSince {
+    /// The last request sent before.
+    pub sequence: u64,
+    /// Seconds.
+    pub time: f64,
+}
+
+impl FreshSince {
+    /// Whether an answer to what was sent then counts.
+    pub fn includes(&self, sent: SentAt) -> bool {
+        sent.sequence > self.sequence || sent.time > self.time
+    }
 }
 
-/// From when on words count: behind a place, or later than a time. The place tells apart what time does not, as many
-/// things happen within one reading of the clock.
+/// A node that denies a match, and when it was asked.
 #[derive(Clone, Copy, Debug)]
-pub struct Since {
-    pub place: u64,
-    pub at: f64,
+struct Denial {
+    node: NodeId,
+    sent: SentAt,
 }
 
-impl Since {
-    pub fn holds(&self, asked: Asked) -> bool {
-        asked.place > self.place || asked.at > self.at
+impl Denial {
+    fn order(denial: &Option<Denial>) -> (f64, u64) {
+        denial.map_or((f64::MIN, 0), |denial| (denial.sent.time, denial.sent.sequence))
     }
 }
 
-/// What is remembered of one text in one segment.
+/// What is known of one text in one segment.
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct Entry {
     version: Version,
-    /// Who says that it cannot match, in this version, and when it was asked: two are enough.
-    denies: [Option<(NodeId, Asked)>; 2],
-    /// When the last search of ours began that found nothing in this version.
-    searched: Option<Asked>,
+    /// Two are enough.
+    denials: [Option<Denial>; 2],
+    /// When our last search began that found nothing in this version.
+    own_search: Option<SentAt>,
 }
 
-/// A table that can be handed out whole at any moment: a copy of it is one pointer.
+/// The table of evidence. Cloning it costs one pointer.
 #[derive(Clone)]
 pub struct Evidence {
-    known: HashMap<(Key, Seg), Known>,
-    /// In the order in which they came to be known.
-    order: VecDeque<(Key, Seg)>,
-    most: usize,
-    /// The last version that each segment was heard to be in, and what of it is known: dropped when that moves.
-    versions: HashMap<Seg, Version>,
+    entries: HashMap<(QueryKey, SegmentIndex), Entry>,
+    /// In the order of insertion.
+    order: VecDeque<(QueryKey, SegmentIndex)>,
+    max_entries: usize,
+    /// The latest version heard of each segment; entries of earlier ones do not count.
+    versions: HashMap<SegmentIndex, Version>,
 }
 
 impl Evidence {
-    pub fn new(most: usize) -> Self {
-        Self { known: HashMap::new(), order: VecDeque::new(), most: most.max(1), versions: HashMap::new() }
-    }
-
-    /// Another bound from now on; what is over it goes as new words come.
-    pub fn bound(&mut self, most: usize) {
-        self.most = most.max(1);
-    }
-
-    pub fn len(&self) -> usize {
-        self.known.len()
+    /// At most `max_entries` pairs of a text and a segment.
+    pub fn new(max_entries: usize) -> Self {
+        Self {
+            entries: HashMap::new(),
+            order: VecDeque::new(),
+            max_entries: max_entries.max(1),
+            versions: HashMap::new(),
+        }
     }
 
-    pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+    /// Sets the bound; what exceeds it is dropped as new entries come.
+    pub fn set_max_entries(&mut self, max_entries: usize) {
+        self.max_entries = max_entries.max(1);
     }
 
-    /// Content has been heard of in a version. An older one than the last says only that its holder lags behind.
-    fn heard(&mut self, seg: Seg, version: Version) -> bool {
-        let last = self.versions.get(&seg).copied();
-        if last.is_none_or(|last| version > last) {
-            self.versions.insert(seg, version);
+    /// Records that a segment was seen in a version. False for an earlier version than the latest: its replica lags behind.
+    fn advance_version(&mut self, segment: SegmentIndex, version: Version) -> bool {
+        let latest = self.versions.get(&segment).copied();
+        if latest.is_none_or(|latest| version > latest) {
+            self.versions.insert(segment, version);
         }
-        last.is_none_or(|last| version >= last)
+        latest.is_none_or(|latest| version >= latest)
     }
 
-    fn entry(&mut self, key: Key, seg: Seg, version: Version) -> &mut Known {
-        if !self.known.contains_key(&(key, seg)) {
-            while self.known.len() >= self.most
+    fn entry(&mut self, key: QueryKey, segment: SegmentIndex, version: Version) -> &mut Entry {
+        if !self.entries.contains_key(&(key, segment)) {
+            while self.entries.len() >= self.max_entries
                 && let Some(oldest) = self.order.pop_front()
             {
-                self.known.remove(&oldest);
+                self.entries.remove(&oldest);
             }
-            self.order.push_back((key, seg));
+            self.order.push_back((key, segment));
         }
-        let known = self.known.entry((key, seg)).or_default();
-        if known.version != version {
-            *known = Known { version, ..Known::default() };
+        let entry = self.entries.entry((key, segment)).or_default();
+        if entry.version != version {
+            *entry = Entry { version, ..Entry::default() };
         }
-        known
-    }
-
-    /// A node's word. Anything but a plain no is against all noes of this version: two holders that disagree are no
-    /// evidence, whichever of them is right.
-    pub fn said(&mut self, asked: Asked, key: Key, seg: Seg, node: NodeId, word: Word, version: Version) {
-        if !self.heard(seg, version) {
+        entry
+    }
+
+    /// Records a node's answer. Anything but a denial cancels all denials of this version: replicas that disagree are no evidence, whichever
+    /// of them is right.
+    pub fn record_answer(
+        &mut self,
+        sent: SentAt,
+        key: QueryKey,
+        segment: SegmentIndex,
+        node: NodeId,
+        answer: CanMatch,
+        version: Version,
+    ) {
+        if !self.advance_version(segment, version) {
             return;
         }
-        let known = self.entry(key, seg, version);
-        match word {
-            Word::CannotMatch => {
-                // Its own place, or the one that was filled the longest ago.
-                let own = known.denies.iter().position(|d| d.is_some_and(|d| d.0 == node));
-                let at = |d: &Option<(NodeId, Asked)>| d.map_or((f64::MIN, 0), |d| (d.1.at, d.1.place));
-                let oldest = usize::from(at(&known.denies[1]) < at(&known.denies[0]));
-                known.denies[own.unwrap_or(oldest)] = Some((node, asked));
+        let denials = &mut self.entry(key, segment, version).denials;
+        match answer {
+            CanMatch::CannotMatch => {
+                let own = denials.iter().position(|denial| denial.is_some_and(|denial| denial.node == node));
+                let oldest = usize::from(Denial::order(&denials[1]) < Denial::order(&denials[0]));
+                denials[own.unwrap_or(oldest)] = Some(Denial { node, sent });
             }
-            Word::MayMatch | Word::DontKnow => known.denies = [None; 2],
+            CanMatch::MayMatch | CanMatch::Unknown => *denials = [None; 2],
         }
     }
 
-    /// Our own search of a segment, in the version that its holder named with the answer.
-    pub fn searched(&mut self, began: Asked, key: Key, seg: Seg, version: Version, found: bool) {
-        if !self.heard(seg, version) {
+    /// Records a search of our own, in the version that the replica stated with its result.
+    pub fn record_search(
+        &mut self,
+        started: SentAt,
+        key: QueryKey,
+        segment: SegmentIndex,
+        version: Version,
+        found: bool,
+    ) {
+        if !self.advance_version(segment, version) {
             return;
         }
-        let known = self.entry(key, seg, version);
-        known.searched = (!found).then_some(began);
+        let entry = self.entry(key, segment, version);
+        entry.own_search = (!found).then_some(started);
         if found {
-            known.denies = [None; 2];
+            entry.denials = [None; 2];
         }
     }
 
-    /// Whether a segment may be left out, and on what was said since then. `trusted` tells whose word counts at this
-    /// moment.
-    pub fn grounds(
-        &self,
-        key: Key,
-        seg: Seg,
-        since: Since,
-        trusted: impl Fn(NodeId) -> bool,
-    ) -> Option<Grounds> {
-        let known = self.known.get(&(key, seg))?;
-        if self.versions.get(&seg) != Some(&known.version) {
-            return None;
-        }
-        let fresh = known.denies.iter().flatten().filter(|d| since.holds(d.1) && trusted(d.0));
-        let mut denies = fresh.map(|d| d.0);
-        let first = denies.next()?;
-        match denies.next() {
-            _ if known.searched.is_some_and(|at| since.holds(at)) => Some(Grounds::Searched(first)),
-            Some(second) => Some(Grounds::Two(first, second)),
-            None => None,
-        }
+    /// The entry, if it is of the latest version.
+    fn current_entry(&self, key: QueryKey, segment: SegmentIndex) -> Option<&Entry> {
+        let entry = self.entries.get(&(key, segment))?;
+        (self.versions.get(&segment) == Some(&entry.version)).then_some(entry)
     }
 
-    /// Who has denied a match since then, in the version that counts: another's word would bear it out.
-    pub fn denied_by(&self, key: Key, seg: Seg, since: Since) -> impl Iterator<Item = NodeId> {
-        let known =
-            self.known.get(&(key, seg)).filter(|known| self.versions.get(&seg) == Some(&known.version));
-        let denies = known.into_iter().flat_map(|known| known.denies.into_iter().flatten());
-        denies.filter(move |d| since.holds(d.1)).map(|d| d.0)
-    }
-
-    /// Who denies a match in just this version.
-    pub fn denied_in(&self, key: Key, seg: Seg, version: Version) -> impl Iterator<Item = NodeId> {
-        let known = self.known.get(&(key, seg)).filter(|known| known.version == version);
-        known.into_iter().flat_map(|known| known.denies.into_iter().flatten()).map(|d| d.0)
+    /// Why a segment may be pruned, if it may, on what was sent since then. `is_trusted` tells whose answers count.
+    pub fn basis(
+        &self,
+        key: QueryKey,
+        segment: SegmentIndex,
+        since: FreshSince,
+        is_trusted: impl Fn(NodeId) -> bool,
+    ) -> Option<PruningBasis> {
+        let entry = self.current_entry(key, segment)?;
+        let counts = |denial: &&Denial| since.includes(denial.sent) && is_trusted(denial.node);
+        let mut nodes = entry.denials.iter().flatten().filter(counts).map(|denial| denial.node);
+        let first = nodes.next()?;
+        if entry.own_search.is_some_and(|started| since.includes(started)) {
+            return Some(PruningBasis::OwnSearch(first));
+        }
+        nodes.next().map(|second| PruningBasis::TwoReplicas(first, second))
     }
 
-    /// A node's word has been found false: nothing rests on it any more.
-    pub fn forget(&mut self, node: NodeId) {
-        let stained: Vec<_> = self
-            .known
+    /// The nodes that denied a match since then, in the latest version: another one's denial would complete the evidence.
+    pub fn denied_since(
+        &self,
+        key: QueryKey,
+        segment: SegmentIndex,
+        since: FreshSince,
+    ) -> impl Iterator<Item = NodeId> {
+        let denials = self
+            .current_entry(key, segment)
+            .into_iter()
+            .flat_map(|entry| entry.denials.into_iter().flatten());
+        denials.filter(move |denial| since.includes(denial.sent)).map(|denial| denial.node)
+    }
+
+    /// The nodes that deny a match in just this version.
+    pub fn denied_in_version(
+        &self,
+        key: QueryKey,
+        segment: SegmentIndex,
+        version: Version,
+    ) -> impl Iterator<Item = NodeId> {
+        let entry = self.entries.get(&(key, segment)).filter(|entry| entry.version == version);
+        entry.into_iter().flat_map(|entry| entry.denials.into_iter().flatten()).map(|denial| denial.node)
+    }
+
+    /// Drops all denials of a node.
+    pub fn remove_node(&mut self, node: NodeId) {
+        let is_of_node = |denial: &Denial| denial.node == node;
+        let affected: Vec<_> = self
+            .entries
             .iter()
-            .filter(|(_, known)| known.denies.iter().flatten().any(|d| d.0 == node))
+            .filter(|(_, entry)| entry.denials.iter().flatten().any(is_of_node))
             .map(|(at, _)| *at)
             .collect();
-        for at in stained {
-            if let Some(known) = self.known.get_mut(&at) {
-                known.denies.iter_mut().filter(|d| d.is_some_and(|d| d.0 == node)).for_each(|d| *d = None);
+        for at in affected {
+            if let Some(entry) = self.entries.get_mut(&at) {
+                let of_node =
+                    entry.denials.iter_mut().filter(|denial| denial.as_ref().is_some_and(is_of_node));
+                of_node.for_each(|denial| *denial = None);
             }
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use rstest::rstest;
-
-    use super::*;
-
-    fn at(at: f64) -> Asked {
-        Asked { place: 0, at }
-    }
-
-    fn since(at: f64) -> Since {
-        Since { place: 9, at }
-    }
-
-    const TRUST: fn(NodeId) -> bool = |_| true;
-
-    #[test]
-    fn one_holders_no_is_nothing_and_two_are_evidence() {
-        let mut evidence = Evidence::new(10);
-        evidence.said(at(0.0), 1, 0, 7, Word::CannotMatch, 3);
-        evidence.said(at(0.0), 1, 0, 7, Word::CannotMatch, 3);
-        assert_eq!(evidence.grounds(1, 0, since(-0.5), TRUST), None);
-        evidence.said(at(0.0), 1, 0, 8, Word::CannotMatch, 3);
-        assert_eq!(evidence.grounds(1, 0, since(-0.5), TRUST), Some(Grounds::Two(7, 8)));
-        assert_eq!(evidence.grounds(1, 0, since(-0.5), |node| node != 8), None);
-    }
-
-    /// The content may have moved since, and a holder that lies could name the old version.
-    #[test]
-    fn a_word_said_before_the_scan_came_is_no_evidence_for_it() {
-        let mut evidence = Evidence::new(10);
-        evidence.said(at(1.0), 1, 0, 7, Word::CannotMatch, 3);
-        evidence.said(at(2.0), 1, 0, 8, Word::CannotMatch, 3);
-        assert_eq!(evidence.grounds(1, 0, since(1.5), TRUST), None);
-        evidence.said(at(3.0), 1, 0, 7, Word::CannotMatch, 3);
-        assert!(evidence.grounds(1, 0, since(1.5), TRUST).is_some());
-        // A third takes the place of the oldest.
-        evidence.said(at(4.0), 1, 0, 9, Word::CannotMatch, 3);
-        assert_eq!(evidence.grounds(1, 0, since(2.5), TRUST), Some(Grounds::Two(7, 9)));
-    }
-
-    #[test]
-    fn our_own_search_bears_one_holders_word_out() {
-        let mut evidence = Evidence::new(10);
-        evidence.searched(at(0.0), 1, 0, 3, false);
-        assert_eq!(evidence.grounds(1, 0, since(-0.5), TRUST), None);
-        evidence.said(at(0.0), 1, 0, 7, Word::CannotMatch, 3);
-        assert_eq!(evidence.grounds(1, 0, since(-0.5), TRUST), Some(Grounds::Searched(7)));
-    }
-
-    /// The content has moved on: what was said of it before says nothing.
-    #[rstest]
-    #[case::a_holder_says_so(|e: &mut Evidence| e.said(at(0.0), 2, 0, 9, Word::DontKnow, 4))]
-    #[case::a_search_says_so(|e: &mut Evidence| e.searched(at(0.0), 2, 0, 4, true))]
-    fn what_was_said_of_another_version_is_gone(#[case] moved: fn(&mut Evidence)) {
-        let mut evidence = Evidence::new(10);
-        evidence.said(at(0.0), 1, 0, 7, Word::CannotMatch, 3);
-        evidence.said(at(0.0), 1, 0, 8, Word::CannotMatch, 3);
-        moved(&mut evidence);
-        assert_eq!(evidence.grounds(1, 0, since(-0.5), TRUST), None);
-        // A holder that lags behind cannot bring it back.
-        evidence.said(at(0.0), 1, 0, 7, Word::CannotMatch, 3);
-        assert_eq!(evidence.grounds(1, 0, since(-0.5), TRUST), None);
-    }
-
-    #[rstest]
-    #[case(Word::MayMatch)]
-    #[case(Word::DontKnow)]
-    fn holders_that_disagree_are_no_evidence(#[case] word: Word) {
-        let mut evidence = Evidence::new(10);
-        evidence.said(at(0.0), 1, 0, 7, Word::CannotMatch, 3);
-        evidence.said(at(0.0), 1, 0, 8, Word::CannotMatch, 3);
-        evidence.said(at(0.0), 1, 0, 9, word, 3);
-        assert_eq!(evidence.grounds(1, 0, since(-0.5), TRUST), None);
-    }
-
-    #[test]
-    fn the_table_is_bounded_and_drops_the_oldest() {
-        let mut evidence = Evidence::new(4);
-        for seg in 0..20 {
-            evidence.said(at(0.0), 1, seg, 7, Word::CannotMatch, 1);
-            evidence.said(at(0.0), 1, seg, 8, Word::CannotMatch, 1);
-        }
-        assert_eq!(evidence.len(), 4);
-        assert_eq!(evidence.grounds(1, 15, since(-0.5), TRUST), None);
-        assert!(evidence.grounds(1, 19, since(-0.5), TRUST).is_some());
-    }
-
-    #[test]
-    fn a_liars_words_are_taken_out_of_all_that_rests_on_them() {
-        let mut evidence = Evidence::new(10);
-        for seg in 0..3 {
-            evidence.said(at(0.0), 1, seg, 7, Word::CannotMatch, 1);
-            evidence.said(at(0.0), 1, seg, 8, Word::CannotMatch, 1);
-        }
-        evidence.forget(7);
-        assert!((0..3).all(|seg| evidence.grounds(1, seg, since(-0.5), TRUST).is_none()));
-        evidence.said(at(0.0), 1, 0, 9, Word::CannotMatch, 1);
-        assert_eq!(evidence.grounds(1, 0, since(-0.5), TRUST), Some(Grounds::Two(9, 8)));
+impl Evidence {
+    fn len(&self) -> usize {
+        self.entries.len()
     }
 }
--- /dev/null
+++ b/crates/dunepond-prefilter/src/evidence/tests.rs
@@ -0,0 +1,99 @@
+use rstest::rstest;
+
+use super::{Evidence, FreshSince, PruningBasis, SentAt};
+use crate::model::{CanMatch, NodeId};
+
+fn at(time: f64) -> SentAt {
+    SentAt { sequence: 0, time }
+}
+
+fn since(time: f64) -> FreshSince {
+    FreshSince { sequence: 9, time }
+}
+
+const ALL_TRUSTED: fn(NodeId) -> bool = |_| true;
+
+#[test]
+fn one_denial_is_no_evidence_and_two_are() {
+    let mut evidence = Evidence::new(10);
+    evidence.record_answer(at(0.0), 1, 0, 7, CanMatch::CannotMatch, 3);
+    evidence.record_answer(at(0.0), 1, 0, 7, CanMatch::CannotMatch, 3);
+    assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), None);
+    evidence.record_answer(at(0.0), 1, 0, 8, CanMatch::CannotMatch, 3);
+    assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), Some(PruningBasis::TwoReplicas(7, 8)));
+    assert_eq!(evidence.basis(1, 0, since(-0.5), |node| node != 8), None);
+}
+
+/// The content may have changed since, and a faulty replica could state the old version.
+#[test]
+fn an_answer_to_a_request_sent_before_the_query_came_is_no_evidence_for_it() {
+    let mut evidence = Evidence::new(10);
+    evidence.record_answer(at(1.0), 1, 0, 7, CanMatch::CannotMatch, 3);
+    evidence.record_answer(at(2.0), 1, 0, 8, CanMatch::CannotMatch, 3);
+    assert_eq!(evidence.basis(1, 0, since(1.5), ALL_TRUSTED), None);
+    evidence.record_answer(at(3.0), 1, 0, 7, CanMatch::CannotMatch, 3);
+    assert!(evidence.basis(1, 0, since(1.5), ALL_TRUSTED).is_some());
+    // A third replaces the oldest.
+    evidence.record_answer(at(4.0), 1, 0, 9, CanMatch::CannotMatch, 3);
+    assert_eq!(evidence.basis(1, 0, since(2.5), ALL_TRUSTED), Some(PruningBasis::TwoReplicas(7, 9)));
+}
+
+#[test]
+fn our_own_search_confirms_one_denial() {
+    let mut evidence = Evidence::new(10);
+    evidence.record_search(at(0.0), 1, 0, 3, false);
+    assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), None);
+    evidence.record_answer(at(0.0), 1, 0, 7, CanMatch::CannotMatch, 3);
+    assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), Some(PruningBasis::OwnSearch(7)));
+}
+
+/// The content has changed: answers about it before mean nothing now.
+#[rstest]
+#[case::an_answer_shows_it(|e: &mut Evidence| e.record_answer(at(0.0), 2, 0, 9, CanMatch::Unknown, 4))]
+#[case::a_search_shows_it(|e: &mut Evidence| e.record_search(at(0.0), 2, 0, 4, true))]
+fn answers_about_another_version_are_dropped(#[case] change: fn(&mut Evidence)) {
+    let mut evidence = Evidence::new(10);
+    evidence.record_answer(at(0.0), 1, 0, 7, CanMatch::CannotMatch, 3);
+    evidence.record_answer(at(0.0), 1, 0, 8, CanMatch::CannotMatch, 3);
+    change(&mut evidence);
+    assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), None);
+    // A replica that lags behind cannot bring them back.
+    evidence.record_answer(at(0.0), 1, 0, 7, CanMatch::CannotMatch, 3);
+    assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), None);
+}
+
+#[rstest]
+#[case(CanMatch::MayMatch)]
+#[case(CanMatch::Unknown)]
+fn replicas_that_disagree_are_no_evidence(#[case] answer: CanMatch) {
+    let mut evidence = Evidence::new(10);
+    evidence.record_answer(at(0.0), 1, 0, 7, CanMatch::CannotMatch, 3);
+    evidence.record_answer(at(0.0), 1, 0, 8, CanMatch::CannotMatch, 3);
+    evidence.record_answer(at(0.0), 1, 0, 9, answer, 3);
+    assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), None);
+}
+
+#[test]
+fn the_table_is_bounded_and_drops_the_oldest() {
+    let mut evidence = Evidence::new(4);
+    for segment in 0..20 {
+        evidence.record_answer(at(0.0), 1, segment, 7, CanMatch::CannotMatch, 1);
+        evidence.record_answer(at(0.0), 1, segment, 8, CanMatch::CannotMatch, 1);
+    }
+    assert_eq!(evidence.len(), 4);
+    assert_eq!(evidence.basis(1, 15, since(-0.5), ALL_TRUSTED), None);
+    assert!(evidence.basis(1, 19, since(-0.5), ALL_TRUSTED).is_some());
+}
+
+#[test]
+fn denials_of_a_removed_node_count_nowhere() {
+    let mut evidence = Evidence::new(10);
+    for segment in 0..3 {
+        evidence.record_answer(at(0.0), 1, segment, 7, CanMatch::CannotMatch, 1);
+        evidence.record_answer(at(0.0), 1, segment, 8, CanMatch::CannotMatch, 1);
+    }
+    evidence.remove_node(7);
+    assert!((0..3).all(|segment| evidence.basis(1, segment, since(-0.5), ALL_TRUSTED).is_none()));
+    evidence.record_answer(at(0.0), 1, 0, 9, CanMatch::CannotMatch, 1);
+    assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), Some(PruningBasis::TwoReplicas(9, 8)));
+}
--- a/crates/dunepond-prefilter/src/lib.rs
+++ b/crates/dunepond-prefilter/src/lib.rs
@@ -1,34 +1,29 @@
-//! Two-phase scans: ask first which segments can match, then search only those.
+//! The prefilter of wide queries: ask nodes first which segments can match, then search only those.
 //!
-//! A pure core. The host calls [`Phases::open`] for a scan that may be asked about first, carries the questions that
-//! it orders to nodes, tells what came back, and is told what is to be searched. It never knows a socket, and `now` is
-//! handed in. Times are seconds; nodes, segments and table types are small indices; a text is known by a hash of it.
+//! Most segments of a wide query cannot match. Asking first saves the nodes most of the work, provided that it costs little and that no
+//! segment is pruned that might match.
 //!
-//! What may be left out rests on evidence ([`evidence`]): two holders that say the same of the same version, or one and
-//! our own last search of it. Whose word was found false is worth nothing until it has been right again for long
-//! enough ([`trust`]). Who cannot be asked is left alone for a while ([`reach`]). Whether asking first pays at all is learned by table type ([`worth`]).
-
-pub mod evidence;
-mod phases;
-pub mod reach;
-pub mod trust;
-pub mod worth;
-
-pub use evidence::Grounds;
-pub use phases::{Audit, Counts, Fleet, Left, Order, Phases, Question, ScanId, Terms, Verdict, Wide};
-pub use reach::Unanswered;
+//! Without input and output. The host calls [`Prefilter::open`] for a query, sends the requests it is ordered to, reports what came back, and
+//! learns which segments to search. Times are seconds on a steady clock; nodes, segments and query classes are small indices; a query's text
+//! is identified by a hash.
+//!
+//! A segment is pruned on evidence (`evidence`): two replicas that deny a match in the same version, or one and the last search of our own
+//! in that version. A node whose denial was refuted does not count until it has been right again for long enough (`trust`). A node that
+//! does not answer is in backoff (`backoff`). Whether asking first is beneficial at all is learned for each query class (`benefit`).
+#![warn(missing_docs)]
 
-pub type NodeId = usize;
-pub type Seg = usize;
-/// The content of a segment, as its holders number it.
-pub type Version = u64;
-/// A hash of a scan's text and table type.
-pub type Key = u64;
+mod audit_budget;
+mod backoff;
+mod benefit;
+mod evidence;
+mod model;
+mod prefilter;
+mod trust;
 
-/// What a node says of one segment.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
-    MayMatch,
-    CannotMatch,
-    DontKnow,
-}
+pub use backoff::RequestFailure;
+pub use evidence::PruningBasis;
+pub use model::{
+    Action, Audit, CanMatch, CanMatchRequest, Counters, InFlight, NodeId, NodeView, PrefilterConfig,
+    PrefilterQuery, PrunedSegment, QueryId, QueryKey, SearchPlan, SegmentIndex, Version,
+};
+pub use prefilter::Prefilter;
--- /dev/null
+++ b/crates/dunepond-prefilter/src/trust/tests.rs
@@ -0,0 +1,16 @@
+use super::Trust;
+
+#[test]
+fn each_false_denial_costs_twice_as_many_confirmations() {
+    let mut trust = Trust::default();
+    assert!(trust.is_trusted(3));
+    for needed in [4, 8, 16] {
+        assert!(trust.record_false_denial(3));
+        for _ in 0..needed {
+            assert!(!trust.is_trusted(3));
+            trust.record_confirmation(3);
+        }
+        assert!(trust.is_trusted(3));
+    }
+    assert!(trust.is_trusted(4));
+}
--- a/crates/dunepond-shard-map/benches/million.rs
+++ b/crates/dunepond-shard-map/benches/million.rs
@@ -1,5 +1,5 @@
-//! What proving costs, up to a million segments with three holders each. Memory is counted by an allocator that adds up
-//! what is asked of it (sizes as asked, without what the system's allocator rounds up).
+//! What verification costs, up to a million segments with three replicas each. Memory is counted by an allocator that adds up
+//! the sizes requested, without what the system's allocator rounds up.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::hint::black_box;
@@ -30,7 +30,7 @@
 #[global_allocator]
 static COUNTING: Counting = Counting;
 
-const TERMS: Terms = Terms { least_holders: 2, least_zones: 2 };
+const TERMS: MapConstraints = MapConstraints { min_replicas: 2, min_zones: 2 };
 const NODES: u64 = 60;
 
 fn nodes() -> Vec<Node> {
@@ -43,38 +43,44 @@
     (0..NODES).map(node).collect()
 }
 
-fn segment(id: u64, keys: Range, seed: u64) -> Segment {
+fn segment(id: u64, keys: KeyRange, seed: u64) -> Segment {
     let name = |i: u64| format!("node-{:02}", (seed + i) % NODES);
-    let holders = (0..3).map(|i| Holder {
+    let holders = (0..3).map(|i| Replica {
         node: name(i),
         partner: format!("partner-{}", (seed + i) % NODES % 4),
         filled: true,
         share: [0.5, 0.25, 0.25][i as usize],
     });
-    Segment { id, keys, owner: name(0), holders: holders.collect() }
+    Segment { id, keys, owner: name(0), replicas: holders.collect() }
 }
 
-fn map(count: u64) -> Map {
+fn map(count: u64) -> ShardMap {
     let width = u64::MAX / count;
-    let keys = |i| Range { from: i * width, to: (i + 1 < count).then(|| (i + 1) * width) };
+    let keys = |i| KeyRange { from: i * width, to: (i + 1 < count).then(|| (i + 1) * width) };
     let segments = (0..count).map(|i| segment(i, keys(i), i % NODES)).collect();
-    Map { epoch: 1, hash: HASH.to_string(), segments, digest: String::new() }.sealed()
+    ShardMap { epoch: 1, hash: KEY_HASH.to_string(), segments, digest: String::new() }.with_digest()
 }
 
-/// `k` segments spread over the map, each with the next owner and one holder otherwise.
-fn change(from: &Proof, k: usize) -> Change {
+/// `k` segments spread over the map, each with the next owner and one other replica.
+fn change(from: &VerifiedMap, k: usize) -> MapDelta {
     let every = from.len() / k;
     let old = (0..k).map(|i| from.segment((i * every) as u64).unwrap());
     let put = old.map(|old| segment(old.id, old.keys, old.id % NODES + 1)).collect();
-    let change = Change { epoch: 2, follows: String::new(), gone: vec![], put, digest: String::new() };
-    change.sealed(from)
+    let change = MapDelta {
+        epoch: 2,
+        base_digest: String::new(),
+        removed: vec![],
+        upserted: put,
+        digest: String::new(),
+    };
+    change.with_digests(from)
 }
 
 fn mib(bytes: usize) -> f64 {
     bytes as f64 / f64::from(1 << 20)
 }
 
-/// What `make` leaves held, and what it held at its highest, in bytes over what was held before.
+/// What `make` leaves allocated, and its peak, in bytes above what was allocated before.
 fn counted<T>(make: impl FnOnce() -> T) -> (T, usize, usize) {
     let before = HELD.load(Relaxed);
     PEAK.store(before, Relaxed);
@@ -86,19 +92,19 @@
     let count = 1_000_000;
     let (whole, held, _) = counted(|| map(count));
     println!("memory, {count} segments: map {:.0} MiB", mib(held));
-    let (proof, held, peak) = counted(|| check(&whole, &nodes(), &TERMS).unwrap());
+    let (proof, held, peak) = counted(|| verify(&whole, &nodes(), &TERMS).unwrap());
     println!("memory, check: proof {:.0} MiB beside the map, {:.0} MiB at the highest", mib(held), mib(peak));
     drop((whole, proof));
     let whole = map(count);
     let before = HELD.load(Relaxed);
     PEAK.store(before, Relaxed);
-    let proof = check_own(whole, &nodes(), &TERMS).unwrap();
+    let proof = verify_owned(whole, &nodes(), &TERMS).unwrap();
     let (more, peak) = (HELD.load(Relaxed) as f64 - before as f64, PEAK.load(Relaxed) - before);
     let more = more / f64::from(1 << 20);
     println!("memory, check_own: proof {more:+.0} MiB against the map, {:+.0} MiB at the highest", mib(peak));
     for k in [1, 100, 10_000] {
         let change = change(&proof, k);
-        let (_moved, held, peak) = counted(|| check_change(&proof, &change).unwrap());
+        let (_moved, held, peak) = counted(|| verify_delta(&proof, &change).unwrap());
         let (held, peak) = (held / 1024, peak / 1024);
         println!("memory, a change of {k}: {held} KiB beside the proof before, {peak} KiB at the highest");
     }
@@ -108,11 +114,11 @@
     let nodes = nodes();
     for count in [10_000, 100_000, 1_000_000] {
         let whole = map(count);
-        let proof = check(&whole, &nodes, &TERMS).unwrap();
+        let proof = verify(&whole, &nodes, &TERMS).unwrap();
         let mut group = criterion.benchmark_group("whole");
         group.sample_size(10).throughput(Throughput::Elements(count));
         group.bench_with_input(BenchmarkId::new("check_own", count), &whole, |bench, whole| {
-            let all = |map| check_own(map, &nodes, &TERMS).unwrap();
+            let all = |map| verify_owned(map, &nodes, &TERMS).unwrap();
             bench.iter_batched(|| whole.clone(), all, BatchSize::PerIteration);
         });
         let mut shuffled = whole.clone();
@@ -120,17 +126,17 @@
         let order = |i: usize| (i * 617) % whole.segments.len();
         shuffled.segments = (0..whole.segments.len()).map(|i| whole.segments[order(i)].clone()).collect();
         group.bench_with_input(BenchmarkId::new("check_own, unsorted", count), &shuffled, |bench, whole| {
-            let all = |map| check_own(map, &nodes, &TERMS).unwrap();
+            let all = |map| verify_owned(map, &nodes, &TERMS).unwrap();
             bench.iter_batched(|| whole.clone(), all, BatchSize::PerIteration);
         });
         drop(shuffled);
         group.bench_with_input(BenchmarkId::new("digest_of", count), &whole, |bench, whole| {
-            bench.iter(|| whole.digest_of());
+            bench.iter(|| whole.compute_digest());
         });
         drop(whole);
-        let other = check_change(&proof, &change(&proof, 100)).unwrap().to().clone();
+        let other = verify_delta(&proof, &change(&proof, 100)).unwrap().to().clone();
         group.bench_with_input(BenchmarkId::new("check_move", count), &other, |bench, other| {
-            bench.iter(|| check_move(&proof, other).unwrap());
+            bench.iter(|| verify_transition(&proof, other).unwrap());
         });
         group.finish();
         let mut group = criterion.benchmark_group("change");
@@ -139,27 +145,27 @@
             group.throughput(Throughput::Elements(k as u64));
             let id = BenchmarkId::new(format!("check_change of {k}"), count);
             group.bench_with_input(id, &change, |bench, change| {
-                bench.iter(|| check_change(&proof, change).unwrap());
+                bench.iter(|| verify_delta(&proof, change).unwrap());
             });
         }
         group.finish();
         let mut group = criterion.benchmark_group("scan");
-        let moved = check_change(&proof, &change(&proof, 100)).unwrap();
+        let moved = verify_delta(&proof, &change(&proof, 100)).unwrap();
         group.bench_function(BenchmarkId::new("owner_at", count), |bench| {
             let mut key = 1_u64;
             bench.iter(|| {
                 key = key.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-                black_box(moved.owner_at(key, Step::Joint));
+                black_box(moved.owner_of_key(key, TransitionPhase::Joint));
             });
         });
-        let wanted = [Range { from: 1 << 62, to: Some((1 << 62) + (u64::MAX / count) * 1000) }];
+        let wanted = [KeyRange { from: 1 << 62, to: Some((1 << 62) + (u64::MAX / count) * 1000) }];
         let pieces: Vec<_> = proof
-            .over(wanted[0])
-            .map(|s| Piece { segment: s.id, keys: s.keys.shared(&wanted[0]).unwrap(), epoch: 1 })
+            .overlapping(wanted[0])
+            .map(|s| AnsweredPart { segment: s.id, keys: s.keys.intersection(&wanted[0]).unwrap(), epoch: 1 })
             .collect();
         group.throughput(Throughput::Elements(pieces.len() as u64));
         group.bench_function(BenchmarkId::new("covers, 1000 parts", count), |bench| {
-            bench.iter(|| covers(&proof, &wanted, &pieces).unwrap());
+            bench.iter(|| verify_coverage(&proof, &wanted, &pieces).unwrap());
         });
         group.finish();
     }
--- /dev/null
+++ b/crates/dunepond-shard-map/src/delta.rs
@@ -0,0 +1,202 @@
+//! A change of few segments, verified against the verified rest: O(k log n) for k segments of n.
+
+use std::collections::{HashMap, HashSet};
+use std::sync::Arc;
+
+use serde::{Deserialize, Serialize};
+
+use crate::digest::KEY_HASH;
+use crate::fault::{MapFault, SegmentContext, SegmentRef};
+use crate::transition::{SegmentDiff, verify_diff};
+use crate::verified::has_unfilled_replica;
+use crate::verify::verify_by;
+use crate::{KeyRange, MapTransition, Segment, ShardMap, VerifiedMap, verify_transition};
+
+/// How a new map differs from the one it follows. Names in the stored form are those of the first release.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct MapDelta {
+    /// Of the new map.
+    pub epoch: u64,
+    /// Digest of the map that the delta is relative to.
+    #[serde(rename = "follows")]
+    pub base_digest: String,
+    /// Ids that the new map does not have.
+    #[serde(rename = "gone")]
+    pub removed: Vec<u64>,
+    /// Segments that are new, or that replace the one with their id.
+    #[serde(rename = "put")]
+    pub upserted: Vec<Segment>,
+    /// Digest of the new map.
+    pub digest: String,
+}
+
+/// The new map where a delta has no fault by itself.
+struct AppliedDelta {
+    map: VerifiedMap,
+    diff: SegmentDiff,
+}
+
+/// A union of touching ranges: its first key, and one past its last.
+#[derive(PartialEq)]
+struct Run {
+    from: u64,
+    end: u128,
+}
+
+impl MapDelta {
+    /// What leads from a verified map to `to`, which need not be sound: its faults show when the delta is verified. Reads both maps in whole,
+    /// which a delta made by hand need not.
+    pub fn between(from: &VerifiedMap, to: &ShardMap) -> Self {
+        let mut count_by_id = HashMap::with_capacity(to.segments.len());
+        to.segments.iter().for_each(|segment| *count_by_id.entry(segment.id).or_insert(0) += 1);
+        let old_ids = from.segments().map(|segment| segment.id);
+        let removed = old_ids.filter(|id| !count_by_id.contains_key(id)).collect();
+        // A duplicate id is upserted twice, so that it is found.
+        let differs =
+            |segment: &&Segment| count_by_id[&segment.id] > 1 || from.segment(segment.id) != Some(segment);
+        let upserted = to.segments.iter().filter(differs).cloned().collect();
+        let base_digest = from.digest.clone();
+        Self { epoch: to.epoch, base_digest, removed, upserted, digest: to.digest.clone() }
+    }
+
+    /// The delta with both digests set, for its author. Ids that `from` does not have are ignored.
+    pub fn with_digests(mut self, from: &VerifiedMap) -> Self {
+        let (mut sum, mut buffer, mut count) = (from.sum, Vec::new(), from.len());
+        for old in self.replaced(from) {
+            sum.subtract(old, &mut buffer);
+            count -= 1;
+        }
+        for segment in &self.upserted {
+            sum.add(segment, &mut buffer);
+            count += 1;
+        }
+        self.digest = sum.digest(self.epoch, KEY_HASH, count);
+        self.base_digest = from.digest.clone();
+        self
+    }
+
+    /// Ids of segments that are removed or replaced.
+    fn touched_ids(&self) -> impl Iterator<Item = u64> {
+        self.removed.iter().copied().chain(self.upserted.iter().map(|segment| segment.id))
+    }
+
+    /// Segments of `from` that are removed or replaced, by key, each once.
+    fn replaced<'a>(&self, from: &'a VerifiedMap) -> Vec<&'a Segment> {
+        let mut old: Vec<_> = self.touched_ids().filter_map(|id| from.segment(id)).collect();
+        old.sort_by_key(|segment| segment.keys.from);
+        old.dedup_by_key(|segment| segment.keys.from);
+        old
+    }
+}
+
+/// Verifies the map that `delta` makes of `from`, and the transition to it: the same verdict as [`crate::verify`] and [`verify_transition`]
+/// on the whole, against the nodes and constraints of `from`. Only a sound delta is cheap: where a fault is found, the whole map is made and
+/// verified, so that each fault is named with its true neighbours.
+pub fn verify_delta(from: &VerifiedMap, delta: &MapDelta) -> Result<MapTransition, Vec<MapFault>> {
+    let unknown = delta.removed.iter().filter(|id| from.segment(**id).is_none());
+    let mut faults: Vec<_> = unknown.map(|id| MapFault::UnknownSegment { id: *id }).collect();
+    if delta.base_digest != from.digest {
+        let (base, in_force) = (delta.base_digest.clone(), from.digest.clone());
+        faults.push(MapFault::WrongBase { base, in_force });
+    }
+    if !faults.is_empty() {
+        return Err(faults);
+    }
+    if let Some(AppliedDelta { map, diff }) = apply(from, delta) {
+        return verify_diff(from, map, &diff);
+    }
+    let touched: HashSet<u64> = delta.touched_ids().collect();
+    let kept = from.segments().filter(|segment| !touched.contains(&segment.id)).cloned();
+    let segments = kept.chain(delta.upserted.iter().cloned()).collect();
+    let (hash, digest) = (KEY_HASH.to_string(), delta.digest.clone());
+    let map = ShardMap { epoch: delta.epoch, hash, segments, digest };
+    verify_transition(from, &verify_by(map, from.rules.clone())?)
+}
+
+/// The new map; None where anything is at fault.
+fn apply(from: &VerifiedMap, delta: &MapDelta) -> Option<AppliedDelta> {
+    let old = delta.replaced(from);
+    let mut upserted: Vec<_> = delta.upserted.iter().collect();
+    upserted.sort_by_key(|segment| segment.keys.from);
+    if !has_sound_keys_and_ids(&old, &upserted) || !has_sound_replicas(from, &upserted) {
+        return None;
+    }
+    let (mut to, mut buffer) = (from.with_epoch(delta.epoch), Vec::new());
+    for segment in &old {
+        to.sum.subtract(segment, &mut buffer);
+        to.by_key.remove(&segment.keys.from);
+        to.by_id.remove(&segment.id);
+        to.unfilled.remove(&segment.keys.from);
+    }
+    let mut diff = SegmentDiff { differing: Vec::new(), unchanged: from.len() - old.len() };
+    for segment in upserted {
+        to.sum.add(segment, &mut buffer);
+        to.by_id.insert(segment.id, segment.keys.from);
+        to.by_key.insert(segment.keys.from, Arc::new(segment.clone()));
+        if from.segment(segment.id) == Some(segment) {
+            diff.unchanged += 1;
+        } else {
+            diff.differing.push(segment.keys.from);
+        }
+        if has_unfilled_replica(segment) {
+            to.unfilled.insert(segment.keys.from);
+        }
+    }
+    drop_outdated_fills(&mut to, &old);
+    to.digest = to.sum.digest(to.epoch, KEY_HASH, to.by_key.len());
+    (to.digest == delta.digest).then_some(AppliedDelta { map: to, diff })
+}
+
+/// Whether the new segments have exactly the keys of the old ones, each once, and ids of their own. The rest is a partition already, and
+/// stays one.
+fn has_sound_keys_and_ids(old: &[&Segment], upserted: &[&Segment]) -> bool {
+    let old_runs = runs(old.iter().map(|segment| segment.keys));
+    if old_runs.is_none() || old_runs != runs(upserted.iter().map(|segment| segment.keys)) {
+        return false;
+    }
+    let mut ids: Vec<_> = upserted.iter().map(|segment| segment.id).collect();
+    ids.sort_unstable();
+    ids.windows(2).all(|pair| pair[0] != pair[1])
+}
+
+fn has_sound_replicas(from: &VerifiedMap, upserted: &[&Segment]) -> bool {
+    let mut faults = Vec::new();
+    for segment in upserted {
+        // Without neighbours: faults are reported by the verification of the whole map.
+        let alone =
+            || Box::new(SegmentContext { segment: SegmentRef::from(*segment), before: None, after: None });
+        from.rules.check(segment, alone, &mut faults);
+    }
+    faults.is_empty()
+}
+
+/// Earlier fills count only where nothing changed.
+fn drop_outdated_fills(to: &mut VerifiedMap, old: &[&Segment]) {
+    if to.filled_since.is_empty() {
+        return;
+    }
+    for old in old {
+        if to.segment(old.id) != Some(old) {
+            for replica in &old.replicas {
+                to.filled_since.remove(&(old.id, replica.node.clone()));
+            }
+        }
+    }
+}
+
+/// Ranges in the order of their first keys, merged where they touch; None where one is empty or two overlap.
+fn runs(ranges: impl Iterator<Item = KeyRange>) -> Option<Vec<Run>> {
+    let mut runs: Vec<Run> = Vec::new();
+    for range in ranges {
+        if range.is_empty() {
+            return None;
+        }
+        let from = u128::from(range.from);
+        match runs.last_mut() {
+            Some(last) if last.end > from => return None,
+            Some(last) if last.end == from => last.end = range.end(),
+            _ => runs.push(Run { from: range.from, end: range.end() }),
+        }
+    }
+    Some(runs)
+}
--- /dev/null
+++ b/crates/dunepond-shard-map/src/verify.rs
@@ -0,0 +1,106 @@
+//! A map by itself: every key in exactly one segment, every segment replicated as the constraints require. Linear after sorting.
+
+use std::sync::Arc;
+
+use crate::digest::{DigestSum, KEY_HASH};
+use crate::fault::{MapFault, SegmentRef};
+use crate::segment_rules::{SegmentRules, context};
+use crate::{KEY_SPACE_END, KeyRange, MapConstraints, Node, Segment, ShardMap, VerifiedMap};
+
+/// Verifies `map`, or names everything that is wrong with it. With an empty list of `nodes`, names, zones, partners and drains are not
+/// checked.
+pub fn verify(
+    map: &ShardMap,
+    nodes: &[Node],
+    constraints: &MapConstraints,
+) -> Result<VerifiedMap, Vec<MapFault>> {
+    verify_owned(map.clone(), nodes, constraints)
+}
+
+/// As [`verify`], without a copy of the map.
+pub fn verify_owned(
+    map: ShardMap,
+    nodes: &[Node],
+    constraints: &MapConstraints,
+) -> Result<VerifiedMap, Vec<MapFault>> {
+    verify_by(map, SegmentRules::new(nodes, constraints).into())
+}
+
+pub(crate) fn verify_by(map: ShardMap, rules: Arc<SegmentRules>) -> Result<VerifiedMap, Vec<MapFault>> {
+    let mut faults = Vec::new();
+    if map.hash != KEY_HASH {
+        faults.push(MapFault::UnknownHash { hash: map.hash.clone(), expected: KEY_HASH.to_string() });
+    }
+    let sum = DigestSum::of(&map.segments);
+    let digest = sum.digest(map.epoch, &map.hash, map.segments.len());
+    if digest != map.digest {
+        faults.push(MapFault::DigestMismatch { stated: map.digest, actual: digest.clone() });
+    }
+    let mut segments = map.segments;
+    // Cached sort keys: the lookups in segments scattered over memory would cost more than the sort.
+    segments.sort_by_cached_key(|segment| (segment.keys.from, segment.keys.end(), segment.id));
+    let segments: Vec<_> = segments.into_iter().map(Arc::new).collect();
+    check_cover(&segments, &mut faults);
+    check_ids(&segments, &mut faults);
+    faults.extend(rules.check_all(&segments));
+    if faults.is_empty() {
+        Ok(VerifiedMap::new(map.epoch, digest, sum, segments, rules))
+    } else {
+        Err(faults)
+    }
+}
+
+/// One walk in the order of the keys. An overlap is reported between a segment and the earlier one that reaches furthest: so each key
+/// covered more than once is in a reported overlap, each overlapping segment is named, and there are never more reports than segments.
+fn check_cover(segments: &[Arc<Segment>], faults: &mut Vec<MapFault>) {
+    // The segment that covers furthest so far.
+    let mut furthest: Option<SegmentRef> = None;
+    for (index, segment) in segments.iter().enumerate() {
+        let here = SegmentRef::from(&**segment);
+        let from = u128::from(here.keys.from);
+        if here.keys.end() < from {
+            faults.push(MapFault::InvertedRange { context: context(segments, index) });
+            continue;
+        }
+        if here.keys.end() == from {
+            faults.push(MapFault::EmptyRange { context: context(segments, index) });
+            continue;
+        }
+        match furthest {
+            None if from > 0 => {
+                faults.push(MapFault::GapAtStart { keys: KeyRange::between(0, from), after: here })
+            }
+            Some(before) if before.keys.end() < from => {
+                let keys = KeyRange::between(before.keys.end(), from);
+                faults.push(MapFault::Gap { keys, before, after: here });
+            }
+            Some(first) => {
+                if let Some(keys) = first.keys.intersection(&here.keys) {
+                    faults.push(MapFault::Overlap { keys, first, second: here });
+                }
+            }
+            None => {}
+        }
+        if furthest.is_none_or(|before| here.keys.end() > before.keys.end()) {
+            furthest = Some(here);
+        }
+    }
+    match furthest {
+        // Only empty and inverted ranges, if any.
+        None => faults.push(MapFault::NoSegments),
+        Some(before) if before.keys.end() < KEY_SPACE_END => {
+            let keys = KeyRange::between(before.keys.end(), KEY_SPACE_END);
+            faults.push(MapFault::GapAtEnd { keys, before });
+        }
+        Some(_) => {}
+    }
+}
+
+fn check_ids(segments: &[Arc<Segment>], faults: &mut Vec<MapFault>) {
+    let mut refs: Vec<_> = segments.iter().map(|segment| SegmentRef::from(&**segment)).collect();
+    // Stable, so that segments with one id stay in the order of their keys.
+    refs.sort_by_key(|segment| segment.id);
+    for pair in refs.windows(2).filter(|pair| pair[0].id == pair[1].id) {
+        faults.push(MapFault::DuplicateId { first: pair[0], second: pair[1] });
+    }
+}
--- a/crates/dunepond-shard-map/tests/common/mod.rs
+++ b/crates/dunepond-shard-map/tests/common/mod.rs
@@ -4,15 +4,15 @@
 use dunepond_shard_map::*;
 
 pub const SLOTS: u32 = 32;
-pub const TERMS: Terms = Terms { least_holders: 2, least_zones: 2 };
+pub const TERMS: MapConstraints = MapConstraints { min_replicas: 2, min_zones: 2 };
 
 pub fn key(slot: u32) -> u64 {
     u64::from(slot) << 59
 }
 
 /// From one slot up to another; `SLOTS` is the end of the space.
-pub fn keys(from: u32, to: u32) -> Range {
-    Range { from: key(from), to: (to < SLOTS).then(|| key(to)) }
+pub fn keys(from: u32, to: u32) -> KeyRange {
+    KeyRange { from: key(from), to: (to < SLOTS).then(|| key(to)) }
 }
 
 /// `n0` to `n5`, in zones `z0` to `z2`, of partners `p0` and `p1`.
@@ -26,8 +26,8 @@
     (0..6).map(node).collect()
 }
 
-pub fn holder(node: u32, share: f64) -> Holder {
-    Holder { node: format!("n{node}"), partner: format!("p{}", node % 2), filled: true, share }
+pub fn replica(node: u32, share: f64) -> Replica {
+    Replica { node: format!("n{node}"), partner: format!("p{}", node % 2), filled: true, share }
 }
 
 /// Held in equal shares, owned by the first.
@@ -37,22 +37,22 @@
         id,
         keys: keys(from, to),
         owner: format!("n{}", holders[0]),
-        holders: holders.iter().map(|node| holder(*node, share)).collect(),
+        replicas: holders.iter().map(|node| replica(*node, share)).collect(),
     }
 }
 
-pub fn map(epoch: u64, segments: Vec<Segment>) -> Map {
-    Map { epoch, hash: "xxh3-64".to_string(), segments, digest: String::new() }.sealed()
+pub fn map(epoch: u64, segments: Vec<Segment>) -> ShardMap {
+    ShardMap { epoch, hash: "xxh3-64".to_string(), segments, digest: String::new() }.with_digest()
 }
 
 /// Four segments: 0 to 8, 8 to 16, 16 to 24, 24 to the end.
-pub fn four() -> Map {
+pub fn four() -> ShardMap {
     let holders = [[0, 1], [1, 2], [2, 3], [3, 4]];
     map(1, (0..4).map(|i| segment(i.into(), i * 8, i * 8 + 8, &holders[i as usize])).collect())
 }
 
-pub fn prove(map: &Map) -> Proof {
-    check(map, &nodes(), &TERMS).unwrap_or_else(|faults| panic!("{faults:?}"))
+pub fn verified(map: &ShardMap) -> VerifiedMap {
+    verify(map, &nodes(), &TERMS).unwrap_or_else(|faults| panic!("{faults:?}"))
 }
 
 pub type Segs = Vec<Segment>;
--- a/crates/dunepond-shard-map/tests/faults.rs
+++ b/crates/dunepond-shard-map/tests/faults.rs
@@ -9,68 +9,68 @@
 use dunepond_shard_map::*;
 use strum::EnumCount;
 
-/// One of each; with one variant more the count below no longer holds.
-fn each() -> Vec<Fault> {
+/// One of each variant, which the count below checks.
+fn each() -> Vec<MapFault> {
     let (keys, text) = (keys(1, 2), || "x7".to_string());
-    let (one, two) = (Place { id: 41, keys }, Place { id: 42, keys });
-    let spot = || Box::new(Spot { at: one, before: Some(two), after: None });
+    let (one, two) = (SegmentRef { id: 41, keys }, SegmentRef { id: 42, keys });
+    let context = || Box::new(SegmentContext { segment: one, before: Some(two), after: None });
     vec![
-        Fault::NoSegments,
-        Fault::UnknownHash { hash: text(), expected: text() },
-        Fault::Digest { said: text(), is: text() },
-        Fault::DoubledNode { node: text() },
-        Fault::Gap { keys, before: one, after: two },
-        Fault::GapAtStart { keys, after: one },
-        Fault::GapAtEnd { keys, before: one },
-        Fault::Overlap { keys, first: one, second: two },
-        Fault::EmptyRange { spot: spot() },
-        Fault::InvertedRange { spot: spot() },
-        Fault::DoubledId { first: one, second: two },
-        Fault::UnknownHolder { node: text(), spot: spot() },
-        Fault::DoubledHolder { node: text(), spot: spot() },
-        Fault::DrainingHolder { node: text(), spot: spot() },
-        Fault::WrongPartner { node: text(), said: text(), is: text(), spot: spot() },
-        Fault::TooFewHolders { filled: 1, least: 2, spot: spot() },
-        Fault::TooFewZones { zones: 1, least: 2, spot: spot() },
-        Fault::OwnerNoHolder { owner: text(), spot: spot() },
-        Fault::OwnerNotFilled { owner: text(), spot: spot() },
-        Fault::ShareOutOfRange { node: text(), share: 2.0, spot: spot() },
-        Fault::SharesDoNotAddUp { sum: 2.0, spot: spot() },
-        Fault::EpochNotAbove { from: 41, to: 41 },
-        Fault::NotThere { id: 41 },
-        Fault::FollowsOther { follows: text(), from: text() },
-        Fault::LastHolderLost { keys, old: one, new: two },
-        Fault::NoSource { holder: text(), new: one, first: one, last: two },
-        Fault::OtherEpoch { at: one, epoch: 1, expected: 2 },
-        Fault::PartOutside { at: one, keys: None },
-        Fault::PartEmpty { at: one },
-        Fault::WantedEmpty { keys },
-        Fault::NotCovered { keys, before: None, after: Some(one) },
-        Fault::CoveredTwice { keys, first: one, second: two },
-        Fault::NotWanted { keys, at: one },
+        MapFault::NoSegments,
+        MapFault::UnknownHash { hash: text(), expected: text() },
+        MapFault::DigestMismatch { stated: text(), actual: text() },
+        MapFault::DuplicateNode { node: text() },
+        MapFault::Gap { keys, before: one, after: two },
+        MapFault::GapAtStart { keys, after: one },
+        MapFault::GapAtEnd { keys, before: one },
+        MapFault::Overlap { keys, first: one, second: two },
+        MapFault::EmptyRange { context: context() },
+        MapFault::InvertedRange { context: context() },
+        MapFault::DuplicateId { first: one, second: two },
+        MapFault::UnknownReplica { node: text(), context: context() },
+        MapFault::DuplicateReplica { node: text(), context: context() },
+        MapFault::DrainingReplica { node: text(), context: context() },
+        MapFault::WrongPartner { node: text(), stated: text(), actual: text(), context: context() },
+        MapFault::TooFewReplicas { filled: 1, min: 2, context: context() },
+        MapFault::TooFewZones { zones: 1, min: 2, context: context() },
+        MapFault::OwnerNotReplica { owner: text(), context: context() },
+        MapFault::OwnerNotFilled { owner: text(), context: context() },
+        MapFault::ShareOutOfRange { node: text(), share: 2.0, context: context() },
+        MapFault::ShareSumNotOne { sum: 2.0, context: context() },
+        MapFault::EpochNotAbove { from: 41, to: 41 },
+        MapFault::UnknownSegment { id: 41 },
+        MapFault::WrongBase { base: text(), in_force: text() },
+        MapFault::LastReplicaLost { keys, old: one, new: two },
+        MapFault::NoSource { replica: text(), new: one, first: one, last: two },
+        MapFault::OtherEpoch { part: one, epoch: 1, expected: 2 },
+        MapFault::PartOutside { part: one, keys: None },
+        MapFault::PartEmpty { part: one },
+        MapFault::QueryEmpty { keys },
+        MapFault::NotCovered { keys, before: None, after: Some(one) },
+        MapFault::CoveredTwice { keys, first: one, second: two },
+        MapFault::NotQueried { keys, part: one },
     ]
 }
 
 #[test]
-fn all_variants_say_where_and_what_to_do() {
+fn all_variants_name_their_place_and_have_help() {
     let each = each();
     let kinds: HashSet<_> = each.iter().map(discriminant).collect();
-    assert_eq!(kinds.len(), Fault::COUNT);
-    let texts: HashSet<_> = each.iter().map(Fault::to_string).collect();
-    assert_eq!(texts.len(), Fault::COUNT);
+    assert_eq!(kinds.len(), MapFault::COUNT);
+    let texts: HashSet<_> = each.iter().map(MapFault::to_string).collect();
+    assert_eq!(texts.len(), MapFault::COUNT);
     for fault in &each {
         let text = fault.to_string();
         let named = ["41", "x7", "0x0800000000000000"].iter().any(|name| text.contains(name));
-        assert!(named || *fault == Fault::NoSegments, "{text}");
+        assert!(named || *fault == MapFault::NoSegments, "{text}");
         assert!(fault.help().len() > 20, "{text}");
     }
 }
 
 #[test]
-fn a_fault_reads_like_this() {
+fn a_fault_names_range_and_neighbours() {
     let mut map = four();
     map.segments[1].keys = keys(10, 16);
-    let faults = check(&map.sealed(), &nodes(), &TERMS).unwrap_err();
+    let faults = verify(&map.with_digest(), &nodes(), &TERMS).unwrap_err();
     assert_eq!(
         faults[0].to_string(),
         "no segment has the keys [0x4000000000000000, 0x5000000000000000), between segment 0 \
--- a/crates/dunepond-shard-map/tests/golden.rs
+++ b/crates/dunepond-shard-map/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Stored and exchanged forms, byte by byte. The files under `data/golden` are what folders in use hold: documents in JSON, entries in
+//! Stored and exchanged forms, byte by byte. The files under `data/golden` are what released brokers store: documents in JSON, entries in
 //! `postcard`, and digests.
 
 mod common;
@@ -48,116 +48,116 @@
     }
 }
 
-/// Unfilled holders, uneven shares, segments out of order, ids and epochs that fill their width.
-fn mixed() -> Map {
+/// Unfilled replicas, uneven shares, segments out of order, ids and epochs that fill their width.
+fn mixed() -> ShardMap {
     let mut segments =
         vec![segment(u64::MAX, 16, 32, &[3, 4]), segment(7, 0, 8, &[0, 1, 2]), segment(300, 8, 16, &[2])];
-    segments[0].holders[1].filled = false;
-    segments[1].holders[0].share = 0.25;
-    segments[1].holders[1].share = -0.0;
-    segments[1].holders[2].share = 0.75;
+    segments[0].replicas[1].filled = false;
+    segments[1].replicas[0].share = 0.25;
+    segments[1].replicas[1].share = -0.0;
+    segments[1].replicas[2].share = 0.75;
     segments[2].owner = "n\u{e9}".to_string();
     map(u64::MAX, segments)
 }
 
-fn maps() -> Vec<Map> {
-    let unknown = Map { hash: "other".into(), digest: "said".into(), ..four() };
+fn maps() -> Vec<ShardMap> {
+    let unknown = ShardMap { hash: "other".into(), digest: "said".into(), ..four() };
     vec![four(), mixed(), map(0, vec![]), unknown]
 }
 
 #[test]
-fn maps_keep_their_form_and_their_digest() {
+fn maps_keep_their_encoding_and_digest() {
     forms("maps", &maps());
-    let digests: Vec<String> = maps().iter().map(Map::digest_of).collect();
+    let digests: Vec<String> = maps().iter().map(ShardMap::compute_digest).collect();
     same("digests.txt", &digests);
-    // What is read has the same digest, in whatever order segments and holders stand.
+    // What is read has the same digest, in any order of segments and replicas.
     for (text, digest) in lines("maps.json").iter().zip(digests) {
-        let mut map: Map = serde_json::from_str(text).unwrap();
+        let mut map: ShardMap = serde_json::from_str(text).unwrap();
         map.segments.reverse();
-        map.segments.iter_mut().for_each(|segment| segment.holders.reverse());
-        assert_eq!(map.digest_of(), digest);
+        map.segments.iter_mut().for_each(|segment| segment.replicas.reverse());
+        assert_eq!(map.compute_digest(), digest);
     }
 }
 
 #[test]
-fn places_of_keys_are_as_ever() {
-    assert_eq!(HASH, "xxh3-64");
+fn positions_of_keys_are_kept() {
+    assert_eq!(KEY_HASH, "xxh3-64");
     let keys: [&[u8]; 4] = [b"", b"a", b"customer/17", &[0, 255, 128]];
-    same("places.txt", &keys.map(|key| format!("{} {:016x}", hex(key), place(key))));
+    same("places.txt", &keys.map(|key| format!("{} {:016x}", hex(key), key_position(key))));
 }
 
 #[test]
-fn changes_keep_their_form_and_lead_to_the_same_map() {
-    let from = prove(&four());
+fn deltas_keep_their_encoding_and_lead_to_the_same_map() {
+    let from = verified(&four());
     let mut to = four();
     to.epoch = 2;
     to.segments[0] = segment(0, 0, 8, &[0, 1, 2]);
-    to.segments[0].holders[2].filled = false;
+    to.segments[0].replicas[2].filled = false;
     to.segments.remove(1);
     to.segments.push(segment(9, 8, 16, &[1, 2]));
-    let between = Change::between(&from, &to.clone().sealed());
-    let unsealed = Change { digest: String::new(), follows: String::new(), ..between.clone() };
-    assert_eq!(unsealed.clone().sealed(&from), between);
+    let between = MapDelta::between(&from, &to.clone().with_digest());
+    let unsealed = MapDelta { digest: String::new(), base_digest: String::new(), ..between.clone() };
+    assert_eq!(unsealed.clone().with_digests(&from), between);
     forms("changes", &[between.clone(), unsealed]);
-    let moved = check_change(&from, &between).unwrap();
+    let moved = verify_delta(&from, &between).unwrap();
     forms("moved", std::slice::from_ref(moved.to().map()));
-    forms("needs", moved.needs());
+    forms("needs", moved.required_fills());
 }
 
 #[test]
-fn small_forms_are_kept() {
-    forms("ranges", &[Range::ALL, keys(1, 2), Range { from: u64::MAX, to: None }]);
+fn small_types_keep_their_encoding() {
+    forms("ranges", &[KeyRange::ALL, keys(1, 2), KeyRange { from: u64::MAX, to: None }]);
     forms("nodes", &[nodes(), vec![Node { draining: true, ..nodes()[1].clone() }], vec![]]);
-    forms("terms", &[TERMS, Terms { least_holders: 0, least_zones: 300 }]);
-    forms("steps", &[Step::Old, Step::Joint, Step::New]);
-    forms("pieces", &[Piece { segment: 300, keys: keys(3, 32), epoch: 9 }]);
+    forms("terms", &[TERMS, MapConstraints { min_replicas: 0, min_zones: 300 }]);
+    forms("steps", &[TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New]);
+    forms("pieces", &[AnsweredPart { segment: 300, keys: keys(3, 32), epoch: 9 }]);
 }
 
 /// One of each.
-fn faults() -> Vec<Fault> {
+fn faults() -> Vec<MapFault> {
     let (keys, text) = (keys(1, 2), |text: &str| text.to_string());
-    let (one, two) = (Place { id: 41, keys }, Place { id: 300, keys: Range::ALL });
-    let spot = || Box::new(Spot { at: one, before: Some(two), after: None });
+    let (one, two) = (SegmentRef { id: 41, keys }, SegmentRef { id: 300, keys: KeyRange::ALL });
+    let context = || Box::new(SegmentContext { segment: one, before: Some(two), after: None });
     vec![
-        Fault::NoSegments,
-        Fault::UnknownHash { hash: text("a"), expected: text("b") },
-        Fault::Digest { said: text("a"), is: text("b") },
-        Fault::DoubledNode { node: text("a") },
-        Fault::Gap { keys, before: one, after: two },
-        Fault::GapAtStart { keys, after: one },
-        Fault::GapAtEnd { keys, before: one },
-        Fault::Overlap { keys, first: one, second: two },
-        Fault::EmptyRange { spot: spot() },
-        Fault::InvertedRange { spot: spot() },
-        Fault::DoubledId { first: one, second: two },
-        Fault::UnknownHolder { node: text("a"), spot: spot() },
-        Fault::DoubledHolder { node: text("a"), spot: spot() },
-        Fault::DrainingHolder { node: text("a"), spot: spot() },
-        Fault::WrongPartner { node: text("a"), said: text("b"), is: text("c"), spot: spot() },
-        Fault::TooFewHolders { filled: 1, least: 2, spot: spot() },
-        Fault::TooFewZones { zones: 1, least: 2, spot: spot() },
-        Fault::OwnerNoHolder { owner: text("a"), spot: spot() },
-        Fault::OwnerNotFilled { owner: text("a"), spot: spot() },
-        Fault::ShareOutOfRange { node: text("a"), share: 2.5, spot: spot() },
-        Fault::SharesDoNotAddUp { sum: 2.5, spot: spot() },
-        Fault::EpochNotAbove { from: 41, to: 42 },
-        Fault::NotThere { id: 41 },
-        Fault::FollowsOther { follows: text("a"), from: text("b") },
-        Fault::LastHolderLost { keys, old: one, new: two },
-        Fault::NoSource { holder: text("a"), new: one, first: one, last: two },
-        Fault::OtherEpoch { at: one, epoch: 1, expected: 2 },
-        Fault::PartOutside { at: one, keys: Some(keys) },
-        Fault::PartEmpty { at: one },
-        Fault::WantedEmpty { keys },
-        Fault::NotCovered { keys, before: None, after: Some(one) },
-        Fault::CoveredTwice { keys, first: one, second: two },
-        Fault::NotWanted { keys, at: one },
+        MapFault::NoSegments,
+        MapFault::UnknownHash { hash: text("a"), expected: text("b") },
+        MapFault::DigestMismatch { stated: text("a"), actual: text("b") },
+        MapFault::DuplicateNode { node: text("a") },
+        MapFault::Gap { keys, before: one, after: two },
+        MapFault::GapAtStart { keys, after: one },
+        MapFault::GapAtEnd { keys, before: one },
+        MapFault::Overlap { keys, first: one, second: two },
+        MapFault::EmptyRange { context: context() },
+        MapFault::InvertedRange { context: context() },
+        MapFault::DuplicateId { first: one, second: two },
+        MapFault::UnknownReplica { node: text("a"), context: context() },
+        MapFault::DuplicateReplica { node: text("a"), context: context() },
+        MapFault::DrainingReplica { node: text("a"), context: context() },
+        MapFault::WrongPartner { node: text("a"), stated: text("b"), actual: text("c"), context: context() },
+        MapFault::TooFewReplicas { filled: 1, min: 2, context: context() },
+        MapFault::TooFewZones { zones: 1, min: 2, context: context() },
+        MapFault::OwnerNotReplica { owner: text("a"), context: context() },
+        MapFault::OwnerNotFilled { owner: text("a"), context: context() },
+        MapFault::ShareOutOfRange { node: text("a"), share: 2.5, context: context() },
+        MapFault::ShareSumNotOne { sum: 2.5, context: context() },
+        MapFault::EpochNotAbove { from: 41, to: 42 },
+        MapFault::UnknownSegment { id: 41 },
+        MapFault::WrongBase { base: text("a"), in_force: text("b") },
+        MapFault::LastReplicaLost { keys, old: one, new: two },
+        MapFault::NoSource { replica: text("a"), new: one, first: one, last: two },
+        MapFault::OtherEpoch { part: one, epoch: 1, expected: 2 },
+        MapFault::PartOutside { part: one, keys: Some(keys) },
+        MapFault::PartEmpty { part: one },
+        MapFault::QueryEmpty { keys },
+        MapFault::NotCovered { keys, before: None, after: Some(one) },
+        MapFault::CoveredTwice { keys, first: one, second: two },
+        MapFault::NotQueried { keys, part: one },
     ]
 }
 
 #[test]
-fn faults_keep_their_form() {
+fn faults_keep_their_encoding() {
     let kinds: HashSet<_> = faults().iter().map(discriminant).collect();
-    assert_eq!(kinds.len(), Fault::COUNT);
+    assert_eq!(kinds.len(), MapFault::COUNT);
     forms("faults", &faults());
 }
--- /dev/null
+++ b/crates/dunepond-shard-map/tests/maps.rs
@@ -0,0 +1,285 @@
+//! Each fault planted by itself into a sound map, transition or query, and named with its place and neighbours.
+
+mod common;
+
+use common::*;
+use dunepond_shard_map::*;
+use rstest::rstest;
+
+fn at(id: u64, from: u32, to: u32) -> SegmentRef {
+    SegmentRef { id, keys: keys(from, to) }
+}
+
+/// Each of the four segments with its neighbours.
+fn context(i: u32) -> Box<SegmentContext> {
+    let place = |i: u32| at(i.into(), i * 8, i * 8 + 8);
+    Box::new(SegmentContext {
+        segment: place(i),
+        before: i.checked_sub(1).map(place),
+        after: (i < 3).then(|| place(i + 1)),
+    })
+}
+
+fn n(node: u32) -> String {
+    format!("n{node}")
+}
+
+#[test]
+fn a_sound_map_is_verified_in_any_order() {
+    let mut turned = four();
+    turned.segments.reverse();
+    turned.segments.iter_mut().for_each(|segment| segment.replicas.reverse());
+    let proof = verified(&turned);
+    assert_eq!(proof.digest(), four().digest);
+    assert_eq!(proof.segment_for_key(key(8) - 1).id, 0);
+    assert_eq!(proof.segment_for_key(key(8)).id, 1);
+    assert_eq!(proof.segment_for_key(u64::MAX).id, 3);
+    assert_eq!(proof.segment(2).unwrap().keys, keys(16, 24));
+    assert_eq!(proof.map().segments.iter().map(|segment| segment.id).collect::<Vec<_>>(), [0, 1, 2, 3]);
+}
+
+type Plant = fn(&mut Segs);
+
+#[rstest]
+#[case::gap(|s: &mut Segs| s[1].keys = keys(10, 16), vec![
+    MapFault::Gap { keys: keys(8, 10), before: at(0, 0, 8), after: at(1, 10, 16) },
+])]
+#[case::start(|s: &mut Segs| s[0].keys = keys(1, 8), vec![MapFault::GapAtStart { keys: keys(0, 1), after: at(0, 1, 8) }])]
+#[case::end(|s: &mut Segs| s[3].keys = keys(24, 31), vec![MapFault::GapAtEnd { keys: keys(31, 32), before: at(3, 24, 31) }])]
+#[case::last_key(|s: &mut Segs| s[3].keys.to = Some(u64::MAX), vec![MapFault::GapAtEnd {
+    keys: KeyRange { from: u64::MAX, to: None },
+    before: SegmentRef { id: 3, keys: KeyRange { from: key(24), to: Some(u64::MAX) } },
+}])]
+#[case::first_key(|s: &mut Segs| s[0].keys.from = 1, vec![MapFault::GapAtStart {
+    keys: KeyRange { from: 0, to: Some(1) },
+    after: SegmentRef { id: 0, keys: KeyRange { from: 1, to: Some(key(8)) } },
+}])]
+#[case::overlap(|s: &mut Segs| s[1].keys = keys(8, 18), vec![
+    MapFault::Overlap { keys: keys(16, 18), first: at(1, 8, 18), second: at(2, 16, 24) },
+])]
+#[case::one_inside(|s: &mut Segs| s[0].keys = keys(0, 20), vec![
+    MapFault::Overlap { keys: keys(8, 16), first: at(0, 0, 20), second: at(1, 8, 16) },
+    MapFault::Overlap { keys: keys(16, 20), first: at(0, 0, 20), second: at(2, 16, 24) },
+])]
+#[case::past_the_end(|s: &mut Segs| s[2].keys = keys(16, 32), vec![
+    MapFault::Overlap { keys: keys(24, 32), first: at(2, 16, 32), second: at(3, 24, 32) },
+])]
+#[case::empty(|s: &mut Segs| s.push(segment(9, 12, 12, &[0, 1])), vec![MapFault::EmptyRange {
+    context: Box::new(SegmentContext { segment: at(9, 12, 12), before: Some(at(1, 8, 16)), after: Some(at(2, 16, 24)) }),
+}])]
+#[case::inverted(|s: &mut Segs| s.push(segment(9, 12, 10, &[0, 1])), vec![MapFault::InvertedRange {
+    context: Box::new(SegmentContext { segment: at(9, 12, 10), before: Some(at(1, 8, 16)), after: Some(at(2, 16, 24)) }),
+}])]
+#[case::doubled_id(|s: &mut Segs| s[2].id = 0, vec![MapFault::DuplicateId { first: at(0, 0, 8), second: at(0, 16, 24) }])]
+#[case::only_empty(|s: &mut Segs| *s = vec![segment(7, 3, 3, &[0, 1])], vec![
+    MapFault::EmptyRange { context: Box::new(SegmentContext { segment: at(7, 3, 3), before: None, after: None }) },
+    MapFault::NoSegments,
+])]
+#[case::none(|s: &mut Segs| s.clear(), vec![MapFault::NoSegments])]
+fn gaps_and_overlaps_are_named(#[case] plant: Plant, #[case] expected: Vec<MapFault>) {
+    let mut map = four();
+    plant(&mut map.segments);
+    assert_eq!(verify(&map.with_digest(), &nodes(), &TERMS).unwrap_err(), expected);
+}
+
+#[rstest]
+#[case::unknown(|s: &mut Segs| s[1].replicas[1] = Replica { node: "x".into(), ..replica(2, 0.5) }, vec![
+    MapFault::UnknownReplica { node: "x".into(), context: context(1) },
+    MapFault::TooFewZones { zones: 1, min: 2, context: context(1) },
+])]
+#[case::doubled(|s: &mut Segs| s[3] = segment(3, 24, 32, &[3, 4, 3]), vec![
+    MapFault::DuplicateReplica { node: n(3), context: context(3) },
+])]
+#[case::draining(|s: &mut Segs| s[0] = segment(0, 0, 8, &[0, 1, 5]), vec![
+    MapFault::DrainingReplica { node: n(5), context: context(0) },
+])]
+#[case::partner(|s: &mut Segs| s[0].replicas[0].partner = "p9".into(), vec![
+    MapFault::WrongPartner { node: n(0), stated: "p9".into(), actual: "p0".into(), context: context(0) },
+])]
+#[case::too_few(|s: &mut Segs| s[2] = segment(2, 16, 24, &[2]), vec![
+    MapFault::TooFewReplicas { filled: 1, min: 2, context: context(2) },
+    MapFault::TooFewZones { zones: 1, min: 2, context: context(2) },
+])]
+#[case::too_few_filled(|s: &mut Segs| s[2].replicas[1].filled = false, vec![
+    MapFault::TooFewReplicas { filled: 1, min: 2, context: context(2) },
+    MapFault::TooFewZones { zones: 1, min: 2, context: context(2) },
+])]
+#[case::doubled_is_one(|s: &mut Segs| s[2] = segment(2, 16, 24, &[2, 2]), vec![
+    MapFault::DuplicateReplica { node: n(2), context: context(2) },
+    MapFault::TooFewReplicas { filled: 1, min: 2, context: context(2) },
+    MapFault::TooFewZones { zones: 1, min: 2, context: context(2) },
+])]
+#[case::one_zone(|s: &mut Segs| s[0] = segment(0, 0, 8, &[0, 3]), vec![
+    MapFault::TooFewZones { zones: 1, min: 2, context: context(0) },
+])]
+#[case::owner(|s: &mut Segs| s[1].owner = n(0), vec![MapFault::OwnerNotReplica { owner: n(0), context: context(1) }])]
+#[case::owner_unfilled(|s: &mut Segs| { s[1] = segment(1, 8, 16, &[0, 1, 2]); s[1].replicas[0].filled = false }, vec![
+    MapFault::OwnerNotFilled { owner: n(0), context: context(1) },
+])]
+#[case::shares(|s: &mut Segs| s[0].replicas[0].share = 0.75, vec![MapFault::ShareSumNotOne { sum: 1.25, context: context(0) }])]
+#[case::no_shares(|s: &mut Segs| s[0].replicas.iter_mut().for_each(|h| h.share = 0.0), vec![
+    MapFault::ShareSumNotOne { sum: 0.0, context: context(0) },
+])]
+#[case::infinite(|s: &mut Segs| s[0].replicas[0].share = f64::INFINITY, vec![
+    MapFault::ShareOutOfRange { node: n(0), share: f64::INFINITY, context: context(0) },
+])]
+#[case::negative(|s: &mut Segs| { s[0].replicas[0].share = -0.5; s[0].replicas[1].share = 1.5 }, vec![
+    MapFault::ShareOutOfRange { node: n(0), share: -0.5, context: context(0) },
+    MapFault::ShareOutOfRange { node: n(1), share: 1.5, context: context(0) },
+])]
+fn a_segment_with_unsound_replicas_is_named(#[case] plant: Plant, #[case] expected: Vec<MapFault>) {
+    let (mut map, mut nodes) = (four(), nodes());
+    plant(&mut map.segments);
+    nodes[5].draining = true;
+    assert_eq!(verify(&map.with_digest(), &nodes, &TERMS).unwrap_err(), expected);
+}
+
+#[test]
+fn a_share_that_is_not_a_number_is_named() {
+    let mut map = four();
+    map.segments[0].replicas[1].share = f64::NAN;
+    let faults = verify(&map.with_digest(), &nodes(), &TERMS).unwrap_err();
+    assert!(
+        matches!(&faults[..], [MapFault::ShareOutOfRange { node, share, .. }] if node == "n1" && share.is_nan())
+    );
+}
+
+#[test]
+fn hash_digest_and_node_list_are_checked() {
+    let mut map = four();
+    map.hash = "murmur3".to_string();
+    let (said, is) = (map.digest.clone(), map.compute_digest());
+    let list: Vec<_> = nodes().into_iter().chain(nodes().into_iter().take(1)).collect();
+    let expected = vec![
+        MapFault::UnknownHash { hash: "murmur3".to_string(), expected: KEY_HASH.to_string() },
+        MapFault::DigestMismatch { stated: said, actual: is },
+        MapFault::DuplicateNode { node: n(0) },
+    ];
+    assert_eq!(verify(&map, &list, &TERMS).unwrap_err(), expected);
+}
+
+#[test]
+fn without_a_node_list_only_what_needs_none_is_checked() {
+    let mut map = four();
+    map.segments[0].replicas[0] = Replica { node: "x".into(), partner: "y".into(), ..replica(0, 0.5) };
+    map.segments[0].owner = "x".into();
+    assert!(verify(&map.clone().with_digest(), &[], &TERMS).is_ok());
+    map.segments[0].replicas[1].filled = false;
+    let faults = verify(&map.with_digest(), &[], &TERMS).unwrap_err();
+    assert_eq!(faults, [MapFault::TooFewReplicas { filled: 1, min: 2, context: context(0) }]);
+}
+
+#[test]
+fn a_map_is_reverified_against_another_node_list() {
+    let proof = verified(&four());
+    let mut list = nodes();
+    assert!(proof.reverified(&list, &TERMS).is_ok());
+    list[0].draining = true;
+    list[2].zone = "z1".into();
+    let expected = [
+        MapFault::DrainingReplica { node: n(0), context: context(0) },
+        MapFault::TooFewZones { zones: 1, min: 2, context: context(1) },
+    ];
+    assert_eq!(proof.reverified(&list, &TERMS).unwrap_err(), expected);
+    // A delta is verified against the node list of its base.
+    list[2].zone = "z2".into();
+    let map = four();
+    let later = map.segments[1..].iter().cloned().chain([segment(0, 0, 8, &[1, 2])]).collect();
+    let other = verified(&common::map(1, later)).reverified(&list, &TERMS).unwrap();
+    let back = MapDelta {
+        epoch: 2,
+        base_digest: String::new(),
+        removed: vec![],
+        upserted: vec![map.segments[0].clone()],
+        digest: String::new(),
+    };
+    let faults = verify_delta(&other, &back.with_digests(&other)).unwrap_err();
+    assert_eq!(faults, [MapFault::DrainingReplica { node: n(0), context: context(0) }]);
+}
+
+#[test]
+fn several_faults_are_all_named() {
+    let mut map = four();
+    map.segments.remove(1);
+    map.segments[2].owner = "x".into();
+    map.segments[1].keys = keys(16, 25);
+    map.segments[1].id = 3;
+    let faults = verify(&map, &nodes(), &TERMS).unwrap_err();
+    let has = |wanted: fn(&MapFault) -> bool| faults.iter().any(wanted);
+    assert!(has(|fault| matches!(fault, MapFault::Gap { .. })));
+    assert!(has(|fault| matches!(fault, MapFault::Overlap { .. })));
+    assert!(has(|fault| matches!(fault, MapFault::DuplicateId { .. })));
+    assert!(has(|fault| matches!(fault, MapFault::OwnerNotReplica { .. })));
+    assert!(has(|fault| matches!(fault, MapFault::DigestMismatch { .. })));
+    assert_eq!(faults.len(), 5);
+}
+
+#[rstest]
+#[case::share(|m: &mut ShardMap| m.segments[0].replicas.iter_mut().for_each(|h| h.share = if h.node == "n0" { 0.4 } else { 0.6 }))]
+#[case::filled(|m: &mut ShardMap| m.segments[3].replicas[1].filled = false)]
+#[case::boundary(|m: &mut ShardMap| { m.segments[0].keys.to = Some(key(8) + 1); m.segments[1].keys.from = key(8) + 1 })]
+#[case::exchange(|m: &mut ShardMap| { m.segments[0].id = 1; m.segments[1].id = 0 })]
+#[case::epoch(|m: &mut ShardMap| m.epoch = 2)]
+#[case::end(|m: &mut ShardMap| m.segments[3].keys.to = Some(0))]
+#[case::owner(|m: &mut ShardMap| m.segments[0].owner = "n1".into())]
+#[case::left_out(|m: &mut ShardMap| { m.segments.pop(); })]
+#[case::words(|m: &mut ShardMap| { m.segments[0].replicas[0].node = "n".into(); m.segments[0].replicas[0].partner = "0p0".into() })]
+fn every_difference_changes_the_digest(#[case] plant: fn(&mut ShardMap)) {
+    let mut map = four();
+    plant(&mut map);
+    assert_ne!(map.compute_digest(), four().digest);
+}
+
+fn part(segment: u64, from: u32, to: u32, epoch: u64) -> AnsweredPart {
+    AnsweredPart { segment, keys: keys(from, to), epoch }
+}
+
+#[rstest]
+#[case::whole(vec![(0, 32)], vec![(0, 0, 8, 1), (1, 8, 16, 1), (2, 16, 24, 1), (3, 24, 32, 1)], None)]
+#[case::in_parts(vec![(2, 12)], vec![(1, 8, 12, 1), (0, 5, 8, 1), (0, 2, 5, 1)], None)]
+#[case::two_stretches(vec![(20, 30), (2, 6)], vec![(0, 2, 6, 1), (2, 20, 24, 1), (3, 24, 30, 1)], None)]
+#[case::wanted_twice(vec![(2, 6), (4, 8)], vec![(0, 2, 8, 1)], None)]
+#[case::nothing(vec![], vec![], None)]
+#[case::missing(vec![(0, 16)], vec![(0, 0, 8, 1), (1, 10, 16, 1)], Some(MapFault::NotCovered {
+    keys: keys(8, 10), before: Some(at(0, 0, 8)), after: Some(at(1, 10, 16)),
+}))]
+#[case::last_missing(vec![(0, 32)], vec![(0, 0, 8, 1), (1, 8, 16, 1)], Some(MapFault::NotCovered {
+    keys: keys(16, 32), before: Some(at(1, 8, 16)), after: None,
+}))]
+#[case::first_missing(vec![(0, 8)], vec![(0, 1, 8, 1)], Some(MapFault::NotCovered {
+    keys: keys(0, 1), before: None, after: Some(at(0, 1, 8)),
+}))]
+#[case::all_missing(vec![(0, 8)], vec![], Some(MapFault::NotCovered { keys: keys(0, 8), before: None, after: None }))]
+#[case::twice(vec![(0, 8)], vec![(0, 0, 6, 1), (0, 5, 8, 1)], Some(MapFault::CoveredTwice {
+    keys: keys(5, 6), first: at(0, 0, 6), second: at(0, 5, 8),
+}))]
+#[case::doubled(vec![(0, 8)], vec![(0, 0, 8, 1), (0, 0, 8, 1)], Some(MapFault::CoveredTwice {
+    keys: keys(0, 8), first: at(0, 0, 8), second: at(0, 0, 8),
+}))]
+#[case::other_epoch(vec![(0, 16)], vec![(0, 0, 8, 1), (1, 8, 16, 2)], Some(MapFault::OtherEpoch {
+    part: at(1, 8, 16), epoch: 2, expected: 1,
+}))]
+#[case::outside(vec![(0, 9)], vec![(0, 0, 9, 1)], Some(MapFault::PartOutside {
+    part: at(0, 0, 9), keys: Some(keys(0, 8)),
+}))]
+#[case::no_segment(vec![(0, 8)], vec![(7, 0, 8, 1)], Some(MapFault::PartOutside { part: at(7, 0, 8), keys: None }))]
+#[case::empty(vec![(0, 8)], vec![(0, 0, 8, 1), (1, 9, 9, 1)], Some(MapFault::PartEmpty { part: at(1, 9, 9) }))]
+#[case::unwanted(vec![(0, 8)], vec![(0, 0, 8, 1), (1, 8, 16, 1)], Some(MapFault::NotQueried {
+    keys: keys(8, 16), part: at(1, 8, 16),
+}))]
+#[case::beyond(vec![(0, 4), (6, 8)], vec![(0, 0, 8, 1)], Some(MapFault::NotQueried { keys: keys(4, 6), part: at(0, 0, 8) }))]
+#[case::too_early(vec![(4, 8)], vec![(0, 2, 8, 1)], Some(MapFault::NotQueried { keys: keys(2, 4), part: at(0, 2, 8) }))]
+#[case::wholly_before(vec![(4, 8)], vec![(0, 1, 2, 1), (0, 4, 8, 1)], Some(MapFault::NotQueried {
+    keys: keys(1, 2), part: at(0, 1, 2),
+}))]
+#[case::wanted_empty(vec![(4, 4)], vec![], Some(MapFault::QueryEmpty { keys: keys(4, 4) }))]
+#[case::wanted_inverted(vec![(4, 2)], vec![], Some(MapFault::QueryEmpty { keys: keys(4, 2) }))]
+fn parts_cover_a_query_exactly_once_or_the_fault_is_named(
+    #[case] wanted: Vec<(u32, u32)>,
+    #[case] pieces: Vec<(u64, u32, u32, u64)>,
+    #[case] expected: Option<MapFault>,
+) {
+    let wanted: Vec<_> = wanted.into_iter().map(|(from, to)| keys(from, to)).collect();
+    let pieces: Vec<_> = pieces.into_iter().map(|(id, from, to, epoch)| part(id, from, to, epoch)).collect();
+    assert_eq!(verify_coverage(&verified(&four()), &wanted, &pieces).err(), expected);
+}
--- a/crates/dunepond-shard-map/tests/properties.rs
+++ b/crates/dunepond-shard-map/tests/properties.rs
@@ -1,4 +1,4 @@
-//! The same verdicts as a naive reader who counts segments key by key. He looks at each key at which anything can
+//! The same verdicts as a naive model that counts segments key by key. It looks at each key at which anything can
 //! change, and at both its neighbours: between them all counts stay the same.
 
 mod common;
@@ -10,11 +10,11 @@
 use proptest::prelude::*;
 use proptest::sample::{Index, subsequence};
 
-/// Holders that the terms allow.
+/// Replicas that the constraints allow.
 const HELD: [&[u32]; 8] =
     [&[0, 1], &[1, 2], &[2, 0], &[1, 3, 2], &[0, 1, 2], &[4, 5, 0], &[3, 4, 5, 1], &[5, 3]];
 
-fn sound(epoch: u64) -> impl Strategy<Value = Map> {
+fn sound(epoch: u64) -> impl Strategy<Value = ShardMap> {
     let cuts = subsequence((1..SLOTS).collect::<Vec<_>>(), 0..8);
     let ids = Just((0..9).collect::<Vec<u64>>()).prop_shuffle();
     let held = proptest::collection::vec((0..HELD.len(), any::<bool>(), -1..2_i64), 9);
@@ -23,8 +23,8 @@
         let segments = ends.windows(2).zip(ids).zip(&held).map(|((ends, id), (which, unfilled, _))| {
             let mut segment = segment(id, ends[0], ends[1], HELD[*which]);
             // The last one may be still to be filled, where the others are enough.
-            if *unfilled && segment.holders.len() > 2 && *which != 3 {
-                segment.holders.last_mut().unwrap().filled = false;
+            if *unfilled && segment.replicas.len() > 2 && *which != 3 {
+                segment.replicas.last_mut().unwrap().filled = false;
             }
             segment
         });
@@ -39,11 +39,11 @@
     })
 }
 
-/// Anything that may be done to a map by mistake; some of it is sound.
-fn spoilt(map: &mut Map, kind: usize, at: &Index, other: &Index, slot: u32) {
+/// Mistakes in a map; some of them leave it sound.
+fn spoilt(map: &mut ShardMap, kind: usize, at: &Index, other: &Index, slot: u32) {
     let count = map.segments.len();
     let (i, j) = (at.index(count), other.index(count));
-    let n = map.segments[i].holders.len();
+    let n = map.segments[i].replicas.len();
     let one = &mut map.segments[i];
     match kind {
         0 => one.keys.from = key(slot % SLOTS) ^ 1,
@@ -56,13 +56,13 @@
         4 => one.id = u64::from(slot),
         5 => map.segments[i].id = map.segments[j].id,
         6 => one.owner = format!("n{}", slot % 7),
-        7 => one.holders[other.index(n)].filled ^= true,
-        8 => one.holders[other.index(n)].node = format!("n{}", slot % 8),
-        9 => one.holders[other.index(n)].share = [0.2, -1.0, f64::INFINITY, 1.0][slot as usize % 4],
-        10 => one.holders[other.index(n)].partner = format!("p{}", slot % 3),
-        11 => drop(one.holders.remove(other.index(n))),
+        7 => one.replicas[other.index(n)].filled ^= true,
+        8 => one.replicas[other.index(n)].node = format!("n{}", slot % 8),
+        9 => one.replicas[other.index(n)].share = [0.2, -1.0, f64::INFINITY, 1.0][slot as usize % 4],
+        10 => one.replicas[other.index(n)].partner = format!("p{}", slot % 3),
+        11 => drop(one.replicas.remove(other.index(n))),
         12 => one.keys.to = Some(one.keys.from),
-        // Sound ones: a split, two segments exchanging ids, another holding.
+        // Sound ones: a split, two segments exchanging ids, other replicas.
         13 if one.keys.to.is_some_and(|to| to > one.keys.from.saturating_add(2)) => {
             let mut half = one.clone();
             let middle = one.keys.from + (one.keys.to.unwrap() - one.keys.from) / 2;
@@ -74,7 +74,7 @@
         }
         15 => {
             let fresh = segment(0, 0, 1, HELD[slot as usize % HELD.len()]);
-            (one.holders, one.owner) = (fresh.holders, fresh.owner);
+            (one.replicas, one.owner) = (fresh.replicas, fresh.owner);
         }
         16 | 17 => {
             // With the one after it: merged, or the boundary between them elsewhere.
@@ -99,36 +99,36 @@
     proptest::collection::vec((kinds, any::<Index>(), any::<Index>(), 0..=SLOTS), 0..4)
 }
 
-fn with(mut map: Map, spoils: &[Spoil]) -> Map {
+fn with(mut map: ShardMap, spoils: &[Spoil]) -> ShardMap {
     spoils.iter().for_each(|(kind, at, other, slot)| spoilt(&mut map, *kind, at, other, *slot));
-    map.sealed()
+    map.with_digest()
 }
 
 /// Each key at which a count may change, with the one before and the one after.
-fn probes<'a>(ranges: impl IntoIterator<Item = &'a Range>) -> BTreeSet<u64> {
+fn probes<'a>(ranges: impl IntoIterator<Item = &'a KeyRange>) -> BTreeSet<u64> {
     let ends = ranges.into_iter().flat_map(|keys| [keys.from, keys.to.unwrap_or(0)]);
     let ends = ends.flat_map(|key| [key.wrapping_sub(1), key, key.wrapping_add(1)]);
     ends.chain([0, u64::MAX]).collect()
 }
 
-fn of_maps(maps: &[&Map]) -> BTreeSet<u64> {
+fn of_maps(maps: &[&ShardMap]) -> BTreeSet<u64> {
     probes(maps.iter().flat_map(|map| &map.segments).map(|segment| &segment.keys))
 }
 
-/// The naive reader's own half-open range.
-fn has(keys: &Range, key: u64) -> bool {
+/// The model's own half-open range.
+fn has(keys: &KeyRange, key: u64) -> bool {
     key >= keys.from && keys.to.is_none_or(|to| key < to)
 }
 
-fn find(map: &Map, key: u64) -> &Segment {
+fn find(map: &ShardMap, key: u64) -> &Segment {
     map.segments.iter().find(|segment| has(&segment.keys, key)).unwrap()
 }
 
-/// Whether a segment is held as the terms ask for, and how many faults of which kind are to be named if not.
+/// How many faults of which kind a segment has by its replicas.
 fn held(segment: &Segment) -> [usize; 8] {
     let nodes = nodes();
-    let known = |holder: &Holder| nodes.iter().find(|node| node.name == holder.node).cloned();
-    let all = &segment.holders;
+    let known = |holder: &Replica| nodes.iter().find(|node| node.name == holder.node).cloned();
+    let all = &segment.replicas;
     let distinct = |names: Vec<String>| names.into_iter().collect::<BTreeSet<_>>().len();
     let filled = all.iter().filter(|holder| holder.filled);
     let zones = filled.clone().filter_map(known).map(|node| node.zone).collect();
@@ -147,18 +147,18 @@
     ]
 }
 
-fn kinds(faults: &[Fault]) -> [usize; 8] {
+fn kinds(faults: &[MapFault]) -> [usize; 8] {
     let mut kinds = [0; 8];
     for fault in faults {
         match fault {
-            Fault::UnknownHolder { .. } => kinds[0] += 1,
-            Fault::DoubledHolder { .. } => kinds[1] += 1,
-            Fault::WrongPartner { .. } => kinds[2] += 1,
-            Fault::TooFewHolders { .. } => kinds[3] += 1,
-            Fault::TooFewZones { .. } => kinds[4] += 1,
-            Fault::OwnerNoHolder { .. } | Fault::OwnerNotFilled { .. } => kinds[5] += 1,
-            Fault::ShareOutOfRange { .. } => kinds[6] += 1,
-            Fault::SharesDoNotAddUp { .. } => kinds[7] += 1,
+            MapFault::UnknownReplica { .. } => kinds[0] += 1,
+            MapFault::DuplicateReplica { .. } => kinds[1] += 1,
+            MapFault::WrongPartner { .. } => kinds[2] += 1,
+            MapFault::TooFewReplicas { .. } => kinds[3] += 1,
+            MapFault::TooFewZones { .. } => kinds[4] += 1,
+            MapFault::OwnerNotReplica { .. } | MapFault::OwnerNotFilled { .. } => kinds[5] += 1,
+            MapFault::ShareOutOfRange { .. } => kinds[6] += 1,
+            MapFault::ShareSumNotOne { .. } => kinds[7] += 1,
             _ => {}
         }
     }
@@ -180,19 +180,19 @@
     #[test]
     fn faults_are_those_that_counting_finds(map in sound(1), spoils in spoils(0..19)) {
         let map = with(map, &spoils);
-        let faults = check(&map, &nodes(), &TERMS).err().unwrap_or_default();
+        let faults = verify(&map, &nodes(), &TERMS).err().unwrap_or_default();
         let (mut gaps, mut overlaps, mut bad, mut doubled) = (Vec::new(), Vec::new(), 0, 0);
         for fault in &faults {
             match fault {
-                Fault::Gap { keys, before, after } => {
+                MapFault::Gap { keys, before, after } => {
                     prop_assert_eq!((keys.from, keys.to), (before.keys.to.unwrap(), Some(after.keys.from)));
                     gaps.push(*keys);
                 }
-                Fault::GapAtStart { keys, .. } | Fault::GapAtEnd { keys, .. } => gaps.push(*keys),
-                Fault::NoSegments => gaps.push(Range::ALL),
-                Fault::Overlap { keys, first, second } => overlaps.push((*keys, *first, *second)),
-                Fault::EmptyRange { .. } | Fault::InvertedRange { .. } => bad += 1,
-                Fault::DoubledId { .. } => doubled += 1,
+                MapFault::GapAtStart { keys, .. } | MapFault::GapAtEnd { keys, .. } => gaps.push(*keys),
+                MapFault::NoSegments => gaps.push(KeyRange::ALL),
+                MapFault::Overlap { keys, first, second } => overlaps.push((*keys, *first, *second)),
+                MapFault::EmptyRange { .. } | MapFault::InvertedRange { .. } => bad += 1,
+                MapFault::DuplicateId { .. } => doubled += 1,
                 _ => {}
             }
         }
@@ -205,8 +205,8 @@
             }
         }
         for segment in &map.segments {
-            let others = map.segments.iter().filter(|other| other.keys.shared(&segment.keys).is_some()).count();
-            let named = overlaps.iter().any(|(_, a, b)| [a, b].contains(&&Place::from(segment)));
+            let others = map.segments.iter().filter(|other| other.keys.intersection(&segment.keys).is_some()).count();
+            let named = overlaps.iter().any(|(_, a, b)| [a, b].contains(&&SegmentRef::from(segment)));
             prop_assert_eq!(named, others > 1, "{:?}", segment);
         }
         let ids: BTreeSet<_> = map.segments.iter().map(|segment| segment.id).collect();
@@ -221,14 +221,14 @@
     }
 
     #[test]
-    fn a_proof_finds_what_a_search_finds(map in sound(1)) {
-        let proof = prove(&map);
+    fn a_verified_map_finds_what_a_linear_search_finds(map in sound(1)) {
+        let proof = verified(&map);
         for key in of_maps(&[&map]) {
-            prop_assert_eq!(proof.at(key), find(&map, key));
+            prop_assert_eq!(proof.segment_for_key(key), find(&map, key));
             for other in of_maps(&[&map]) {
-                let keys = Range { from: key, to: Some(other) };
-                let over: Vec<_> = proof.over(keys).collect();
-                let mut naive: Vec<_> = map.segments.iter().filter(|s| s.keys.shared(&keys).is_some()).collect();
+                let keys = KeyRange { from: key, to: Some(other) };
+                let over: Vec<_> = proof.overlapping(keys).collect();
+                let mut naive: Vec<_> = map.segments.iter().filter(|s| s.keys.intersection(&keys).is_some()).collect();
                 naive.sort_by_key(|segment| segment.keys.from);
                 prop_assert_eq!(over, naive);
             }
@@ -239,24 +239,24 @@
     }
 
     #[test]
-    fn a_move_is_what_going_key_by_key_finds(
+    fn a_transition_is_what_comparing_key_by_key_finds(
         from in sound(1),
         fresh in sound(2),
         spoils in proptest::option::of(spoils(13..18)),
         filled in proptest::collection::vec((0..9_u64, 0..6_u32), 0..6),
     ) {
-        // Either another map altogether, or some steps away.
+        // Either another map altogether, or some changes away.
         let to = match spoils {
-            Some(spoils) => with(Map { epoch: 2, ..from.clone() }, &spoils),
+            Some(spoils) => with(ShardMap { epoch: 2, ..from.clone() }, &spoils),
             None => fresh,
         };
         let names: Vec<_> = filled.iter().map(|(id, node)| (*id, format!("n{node}"))).collect();
-        let proof = prove(&from).with_filled(names.iter().map(|(id, node)| (*id, node.as_str())));
-        let Ok(to_proof) = check(&to, &nodes(), &TERMS) else { return Ok(()) };
+        let proof = verified(&from).with_filled(names.iter().map(|(id, node)| (*id, node.as_str())));
+        let Ok(to_proof) = verify(&to, &nodes(), &TERMS) else { return Ok(()) };
         let probes = of_maps(&[&from, &to]);
         let there = |segment: &Segment, node: &str| {
-            let filled = |h: &Holder| h.filled || names.contains(&(segment.id, h.node.clone()));
-            segment.holders.iter().any(|h| h.node == node && filled(h))
+            let filled = |h: &Replica| h.filled || names.contains(&(segment.id, h.node.clone()));
+            segment.replicas.iter().any(|h| h.node == node && filled(h))
         };
         let (mut needs, mut sourceless, mut lost) = (Vec::new(), 0, false);
         let mut sorted: Vec<_> = to.segments.iter().collect();
@@ -266,8 +266,8 @@
             let olds: Vec<_> =
                 probes.iter().filter(|key| has(&new.keys, **key)).map(|key| find(&from, *key)).collect();
             lost |= !as_it_was
-                && olds.iter().any(|old| !new.holders.iter().any(|h| h.filled && there(old, &h.node)));
-            let mut holders: Vec<_> = new.holders.iter().collect();
+                && olds.iter().any(|old| !new.replicas.iter().any(|h| h.filled && there(old, &h.node)));
+            let mut holders: Vec<_> = new.replicas.iter().collect();
             holders.sort_by_key(|holder| holder.node.clone());
             for holder in holders {
                 let anew = !holder.filled && !as_it_was;
@@ -279,38 +279,38 @@
                     continue;
                 }
                 sourceless += usize::from(sources.is_empty());
-                needs.push(Need { segment: new.id, holder: holder.node.clone(), sources });
+                needs.push(RequiredFill { segment: new.id, replica: holder.node.clone(), sources });
             }
         }
-        match check_move(&proof, &to_proof) {
+        match verify_transition(&proof, &to_proof) {
             Err(faults) => {
-                let lost_named = faults.iter().any(|fault| matches!(fault, Fault::LastHolderLost { .. }));
-                let no_source = faults.iter().filter(|fault| matches!(fault, Fault::NoSource { .. })).count();
+                let lost_named = faults.iter().any(|fault| matches!(fault, MapFault::LastReplicaLost { .. }));
+                let no_source = faults.iter().filter(|fault| matches!(fault, MapFault::NoSource { .. })).count();
                 prop_assert_eq!((lost_named, no_source), (lost, sourceless));
             }
             Ok(moved) => {
                 prop_assert_eq!((lost, sourceless), (false, 0));
-                prop_assert_eq!(moved.needs(), &needs[..]);
+                prop_assert_eq!(moved.required_fills(), &needs[..]);
                 let ends = from.segments.iter().filter(|segment| !to.segments.contains(segment)).count();
                 let begins = to.segments.iter().filter(|segment| !from.segments.contains(segment)).count();
-                prop_assert_eq!(moved.changed(), ends.max(begins));
+                prop_assert_eq!(moved.changed_segments(), ends.max(begins));
                 for key in &probes {
                     let [old, new] = [&from, &to].map(|map| find(map, *key).owner.as_str());
                     let joint = (old == new).then_some(new);
-                    let steps = [Step::Old, Step::Joint, Step::New].map(|step| moved.owner_at(*key, step));
+                    let steps = [TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New].map(|step| moved.owner_of_key(*key, step));
                     prop_assert_eq!(steps, [Some(old), joint, Some(new)]);
                 }
-                // Two brokers, a step apart, each about any segment: never two owners for one key.
-                for (one, other) in [(Step::Old, Step::Joint), (Step::Joint, Step::New), (Step::Joint, Step::Joint)] {
+                // Two brokers, a phase apart, each about any segment: never two owners for one key.
+                for (one, other) in [(TransitionPhase::Old, TransitionPhase::Joint), (TransitionPhase::Joint, TransitionPhase::New), (TransitionPhase::Joint, TransitionPhase::Joint)] {
                     for key in &probes {
                         let owners = |step| {
-                            let maps: &[&Map] = match step {
-                                Step::Old => &[&from],
-                                Step::Joint => &[&from, &to],
-                                Step::New => &[&to],
+                            let maps: &[&ShardMap] = match step {
+                                TransitionPhase::Old => &[&from],
+                                TransitionPhase::Joint => &[&from, &to],
+                                TransitionPhase::New => &[&to],
                             };
                             let ids = maps.iter().map(|map| find(map, *key).id);
-                            ids.filter_map(|id| moved.owner(id, step)).collect::<BTreeSet<_>>()
+                            ids.filter_map(|id| moved.owner_of_segment(id, step)).collect::<BTreeSet<_>>()
                         };
                         let all: BTreeSet<_> = owners(one).union(&owners(other)).copied().collect();
                         prop_assert!(all.len() <= 1, "key {:#x}: {:?}", key, all);
@@ -320,40 +320,40 @@
         }
     }
 
-    /// Over several changes, each on the proof that the one before made.
+    /// Over several deltas, each on the map that the one before made.
     #[test]
-    fn a_change_has_the_verdict_of_the_whole(
+    fn a_delta_has_the_verdict_of_the_whole(
         from in sound(1),
         steps in proptest::collection::vec((spoils(0..19), any::<bool>()), 1..5),
         filled in proptest::collection::vec((0..9_u64, 0..6_u32), 0..6),
     ) {
         let names: Vec<_> = filled.iter().map(|(id, node)| (*id, format!("n{node}"))).collect();
-        let mut proof = prove(&from).with_filled(names.iter().map(|(id, node)| (*id, node.as_str())));
+        let mut proof = verified(&from).with_filled(names.iter().map(|(id, node)| (*id, node.as_str())));
         for (spoils, mostly_sound) in steps {
             let spoils: Vec<_> = spoils.into_iter().filter(|spoil| !mostly_sound || spoil.0 > 12).collect();
-            let next = Map { epoch: proof.epoch() + 1, ..proof.map().clone() };
+            let next = ShardMap { epoch: proof.epoch() + 1, ..proof.map().clone() };
             let next = with(next, &spoils);
-            let whole = check(&next, &nodes(), &TERMS).and_then(|to| check_move(&proof, &to));
-            let change = Change::between(&proof, &next);
-            match (whole, check_change(&proof, &change)) {
+            let whole = verify(&next, &nodes(), &TERMS).and_then(|to| verify_transition(&proof, &to));
+            let change = MapDelta::between(&proof, &next);
+            match (whole, verify_delta(&proof, &change)) {
                 (Ok(whole), Ok(few)) => {
-                    prop_assert_eq!(whole.needs(), few.needs());
-                    prop_assert_eq!(whole.changed(), few.changed());
+                    prop_assert_eq!(whole.required_fills(), few.required_fills());
+                    prop_assert_eq!(whole.changed_segments(), few.changed_segments());
                     prop_assert_eq!(whole.to().map(), few.to().map());
-                    prop_assert_eq!(&few.to().map().digest, &few.to().map().digest_of());
-                    prop_assert_eq!(&change.clone().sealed(&proof), &change);
+                    prop_assert_eq!(&few.to().map().digest, &few.to().map().compute_digest());
+                    prop_assert_eq!(&change.clone().with_digests(&proof), &change);
                     for id in 0..140 {
                         prop_assert_eq!(whole.to().segment(id), few.to().segment(id));
-                        for step in [Step::Old, Step::Joint, Step::New] {
-                            prop_assert_eq!(whole.owner(id, step), few.owner(id, step));
+                        for step in [TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New] {
+                            prop_assert_eq!(whole.owner_of_segment(id, step), few.owner_of_segment(id, step));
                         }
                     }
-                    // What stays is shared, not copied: the change did not go by way of the whole.
+                    // Unchanged segments are shared, not copied: the whole map was not made.
                     for segment in few.to().segments().filter(|s| proof.segment(s.id) == Some(*s)) {
                         let shared = proof.segment(segment.id).is_some_and(|old| std::ptr::eq(old, segment));
-                        prop_assert!(shared || change.put.contains(segment), "{:?}", segment);
+                        prop_assert!(shared || change.upserted.contains(segment), "{:?}", segment);
                     }
-                    // What is kept beside the map is the same as well: it shows in what follows.
+                    // The state beside the map is the same as well: it shows in later deltas.
                     prop_assert_eq!(format!("{:?}", Kept(whole.to())), format!("{:?}", Kept(few.to())));
                     proof = few.to().clone();
                 }
@@ -363,18 +363,18 @@
     }
 
     #[test]
-    fn an_answer_is_whole_if_and_only_if_each_wanted_key_counts_once(
+    fn an_answer_is_complete_if_and_only_if_each_queried_key_counts_once(
         map in sound(1),
         wanted in proptest::collection::vec((0..SLOTS, 1..=SLOTS), 1..3),
         dropped in proptest::collection::vec((0..12_usize, any::<Index>(), 0..SLOTS), 0..2),
     ) {
-        let proof = prove(&map);
+        let proof = verified(&map);
         let wanted: Vec<_> = wanted.into_iter().map(|(from, to)| keys(from.min(to - 1), to)).collect();
         let mut pieces = Vec::new();
-        // What a sound scan would have, wanted ranges taken one after the other: where they meet it has keys twice.
+        // What a sound query would have, range by range: where ranges overlap it has keys twice.
         for want in &wanted {
-            for segment in proof.over(*want) {
-                pieces.push(Piece { segment: segment.id, keys: segment.keys.shared(want).unwrap(), epoch: 1 });
+            for segment in proof.overlapping(*want) {
+                pieces.push(AnsweredPart { segment: segment.id, keys: segment.keys.intersection(want).unwrap(), epoch: 1 });
             }
         }
         for (kind, at, slot) in &dropped {
@@ -392,11 +392,11 @@
                 6 => pieces[i].keys.from ^= 1,
                 7 => {
                     let whole = map.segments.iter().find(|segment| segment.id == pieces[i].segment);
-                    pieces[i].keys = whole.map_or(Range::ALL, |segment| segment.keys);
+                    pieces[i].keys = whole.map_or(KeyRange::ALL, |segment| segment.keys);
                 }
-                // A part in two, as it may come.
-                8 if pieces[i].keys.holds(key(*slot)) && pieces[i].keys.from < key(*slot) => {
-                    let late = Piece { keys: Range { from: key(*slot), ..pieces[i].keys }, ..pieces[i] };
+                // One part split in two.
+                8 if pieces[i].keys.contains(key(*slot)) && pieces[i].keys.from < key(*slot) => {
+                    let late = AnsweredPart { keys: KeyRange { from: key(*slot), ..pieces[i].keys }, ..pieces[i] };
                     pieces[i].keys.to = Some(key(*slot));
                     pieces.insert(0, late);
                 }
@@ -404,7 +404,7 @@
             }
         }
         let segment = |id| map.segments.iter().find(|segment| segment.id == id);
-        let within = |piece: &Piece| {
+        let within = |piece: &AnsweredPart| {
             let probes = probes([&piece.keys]);
             let mut inside = probes.iter().filter(|key| has(&piece.keys, **key)).peekable();
             inside.peek().is_some() && segment(piece.segment).is_some_and(|s| inside.all(|key| has(&s.keys, *key)))
@@ -414,13 +414,13 @@
         let probes = probes(wanted.iter().chain(pieces.iter().map(|piece| &piece.keys)));
         let once = probes.iter().all(|key| count(*key) == usize::from(is_wanted(*key)));
         let whole = pieces.iter().all(|piece| piece.epoch == 1 && within(piece)) && once;
-        let verdict = covers(&proof, &wanted, &pieces);
+        let verdict = verify_coverage(&proof, &wanted, &pieces);
         prop_assert_eq!(verdict.is_ok(), whole, "{:?}", verdict);
-        // What is named is so.
-        let (keys, expected): (Range, &dyn Fn(u64) -> bool) = match verdict {
-            Err(Fault::NotCovered { keys, .. }) => (keys, &|key| count(key) == 0 && is_wanted(key)),
-            Err(Fault::CoveredTwice { keys, .. }) => (keys, &|key| count(key) > 1),
-            Err(Fault::NotWanted { keys, .. }) => (keys, &|key| count(key) == 1 && !is_wanted(key)),
+        // The named fault is real.
+        let (keys, expected): (KeyRange, &dyn Fn(u64) -> bool) = match verdict {
+            Err(MapFault::NotCovered { keys, .. }) => (keys, &|key| count(key) == 0 && is_wanted(key)),
+            Err(MapFault::CoveredTwice { keys, .. }) => (keys, &|key| count(key) > 1),
+            Err(MapFault::NotQueried { keys, .. }) => (keys, &|key| count(key) == 1 && !is_wanted(key)),
             _ => return Ok(()),
         };
         prop_assert!(!keys.is_empty());
@@ -430,13 +430,13 @@
     }
 }
 
-/// All of a proof that shows: whole map, and who counts as filled.
-struct Kept<'a>(&'a Proof);
+/// All that shows of a verified map: the whole map, and which replicas count as filled.
+struct Kept<'a>(&'a VerifiedMap);
 
 impl std::fmt::Debug for Kept<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for segment in self.0.segments() {
-            let filled = segment.holders.iter().map(|holder| self.0.filled(segment, &holder.node));
+            let filled = segment.replicas.iter().map(|holder| self.0.is_filled(segment, &holder.node));
             writeln!(f, "{segment:?} {:?}", filled.collect::<Vec<_>>())?;
         }
         Ok(())
--- /dev/null
+++ b/crates/dunepond-shard-map/tests/transitions.rs
@@ -0,0 +1,261 @@
+//! Transitions between two maps: owners in each phase, required fills, and what no transition may do.
+
+mod common;
+
+use common::*;
+use dunepond_shard_map::*;
+use rstest::rstest;
+
+fn need(segment: u64, holder: u32, sources: &[u32]) -> RequiredFill {
+    RequiredFill {
+        segment,
+        replica: format!("n{holder}"),
+        sources: sources.iter().map(|node| format!("n{node}")).collect(),
+    }
+}
+
+fn transition(plant: fn(&mut Segs)) -> Result<MapTransition, Vec<MapFault>> {
+    let mut to = four();
+    to.epoch = 2;
+    plant(&mut to.segments);
+    let (from, to) = (verified(&four()), verified(&to.with_digest()));
+    let whole = verify_transition(&from, &to);
+    // A delta must have the same verdict.
+    let change = MapDelta::between(&from, to.map());
+    let few = verify_delta(&from, &change);
+    match (&whole, &few) {
+        (Ok(whole), Ok(few)) => {
+            assert_eq!(whole.required_fills(), few.required_fills());
+            assert_eq!(
+                (whole.changed_segments(), whole.to().map()),
+                (few.changed_segments(), few.to().map())
+            );
+        }
+        (whole, few) => assert_eq!(whole.as_ref().err(), few.as_ref().err()),
+    }
+    whole
+}
+
+#[rstest]
+#[case::nothing(|_: &mut Segs| {}, 0, vec![], vec![])]
+#[case::a_holder_comes(|s: &mut Segs| s[0] = segment(0, 0, 8, &[0, 1, 2]), 1, vec![need(0, 2, &[0, 1])], vec![])]
+#[case::unfilled_one(|s: &mut Segs| { s[0] = segment(0, 0, 8, &[0, 1, 2]); s[0].replicas[2].filled = false }, 1,
+    vec![need(0, 2, &[0, 1])], vec![])]
+#[case::filled_anew(|s: &mut Segs| { s[0] = segment(0, 0, 8, &[0, 1, 2]); s[0].replicas[1].filled = false }, 1,
+    vec![need(0, 1, &[0]), need(0, 2, &[0, 1])], vec![])]
+#[case::the_owner_changes(|s: &mut Segs| s[0].owner = "n1".into(), 1, vec![], vec![(0, 8)])]
+#[case::owner_and_holder(|s: &mut Segs| s[0] = segment(0, 0, 8, &[2, 1]), 1, vec![need(0, 2, &[0, 1])], vec![(0, 8)])]
+#[case::split(|s: &mut Segs| { s[0].keys = keys(0, 4); s.push(segment(9, 4, 8, &[0, 1])) }, 2, vec![], vec![])]
+#[case::split_to_another(|s: &mut Segs| { s[0].keys = keys(0, 4); s.push(segment(9, 4, 8, &[1, 2])) }, 2,
+    vec![need(9, 2, &[0, 1])], vec![(4, 8)])]
+#[case::merged(|s: &mut Segs| { s[1] = segment(1, 0, 16, &[1, 2]); s.remove(0); }, 2, vec![need(1, 2, &[0, 1])], vec![(0, 8)])]
+#[case::boundary(|s: &mut Segs| { s[0].keys = keys(0, 9); s[1].keys = keys(9, 16) }, 2, vec![need(0, 0, &[1, 2])], vec![(8, 9)])]
+#[case::ids_exchanged(|s: &mut Segs| { s[0].id = 1; s[1].id = 0 }, 2, vec![], vec![])]
+fn a_transition_names_its_fills_and_has_no_owner_where_maps_differ(
+    #[case] plant: fn(&mut Segs),
+    #[case] changed: usize,
+    #[case] needs: Vec<RequiredFill>,
+    #[case] without: Vec<(u32, u32)>,
+) {
+    let moved = transition(plant).unwrap();
+    assert_eq!((moved.changed_segments(), moved.required_fills()), (changed, &needs[..]));
+    for slot in 0..SLOTS {
+        let refused = without.iter().any(|(from, to)| (*from..*to).contains(&slot));
+        let [old, joint, new] = [TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New]
+            .map(|step| moved.owner_of_key(key(slot), step));
+        assert_eq!(joint.is_none(), refused, "slot {slot}");
+        assert!(joint.is_none_or(|joint| old == Some(joint) && new == Some(joint)), "slot {slot}");
+    }
+}
+
+#[test]
+fn an_id_has_an_owner_in_the_joint_phase_only_if_all_its_keys_have_one() {
+    let split = transition(|s| {
+        s[0].keys = keys(0, 4);
+        s.push(segment(9, 4, 8, &[1, 2]));
+    });
+    let split = split.unwrap();
+    assert_eq!(split.owner_of_segment(0, TransitionPhase::Old), Some("n0"));
+    assert_eq!(split.owner_of_segment(0, TransitionPhase::New), Some("n0"));
+    // Some of its old keys go to another owner.
+    assert_eq!(split.owner_of_segment(0, TransitionPhase::Joint), None);
+    assert_eq!(split.owner_of_segment(9, TransitionPhase::Joint), None);
+    assert_eq!(split.owner_of_segment(9, TransitionPhase::Old), None);
+    assert_eq!(split.owner_of_segment(1, TransitionPhase::Joint), Some("n1"));
+    assert_eq!(split.owner_of_segment(77, TransitionPhase::Joint), None);
+    let alike = transition(|s| {
+        s[0].keys = keys(0, 4);
+        s.push(segment(9, 4, 8, &[0, 1]));
+    });
+    let alike = alike.unwrap();
+    assert_eq!(
+        (
+            alike.owner_of_segment(0, TransitionPhase::Joint),
+            alike.owner_of_segment(9, TransitionPhase::Joint)
+        ),
+        (Some("n0"), Some("n0"))
+    );
+    // The keys keep their owners, the ids do not.
+    let exchanged = transition(|s| (s[0].id, s[1].id) = (1, 0)).unwrap();
+    assert_eq!(exchanged.owner_of_key(0, TransitionPhase::Joint), Some("n0"));
+    assert_eq!(
+        (
+            exchanged.owner_of_segment(0, TransitionPhase::Joint),
+            exchanged.owner_of_segment(1, TransitionPhase::Joint)
+        ),
+        (None, None)
+    );
+}
+
+#[test]
+fn keys_keep_a_filled_replica() {
+    let at = |id, from, to| SegmentRef { id, keys: keys(from, to) };
+    // All of one, and of a merge only the keys of the other.
+    let faults = transition(|s| s[0] = segment(0, 0, 8, &[4, 5])).unwrap_err();
+    assert_eq!(faults, [MapFault::LastReplicaLost { keys: keys(0, 8), old: at(0, 0, 8), new: at(0, 0, 8) }]);
+    let faults = transition(|s| {
+        s[0].keys = keys(0, 4);
+        s[0].id = 9;
+        s[1].keys = keys(4, 16);
+        s[1].replicas = segment(1, 4, 16, &[2, 0]).replicas;
+        s[1].owner = "n2".into();
+        s[2] = segment(2, 16, 24, &[0, 1]);
+    });
+    assert_eq!(
+        faults.unwrap_err(),
+        [MapFault::LastReplicaLost { keys: keys(16, 24), old: at(2, 16, 24), new: at(2, 16, 24) }]
+    );
+    // A replica that stays and is to be filled again has no data.
+    let faults = transition(|s| {
+        s[0] = segment(0, 0, 8, &[4, 5, 0, 1]);
+        s[0].replicas[2].filled = false;
+        s[0].replicas[3].filled = false;
+    });
+    assert_eq!(
+        faults.unwrap_err(),
+        [MapFault::LastReplicaLost { keys: keys(0, 8), old: at(0, 0, 8), new: at(0, 0, 8) }]
+    );
+}
+
+#[test]
+fn a_replica_that_needs_keys_of_two_segments_needs_one_source_for_both() {
+    // n5 gets keys of n0, n1 and of n2, n3.
+    let mut from = four();
+    from.segments[1] = segment(1, 8, 16, &[2, 3]);
+    let mut to = from.clone();
+    to.epoch = 2;
+    to.segments[0] = segment(0, 0, 16, &[0, 2, 5]);
+    to.segments.remove(1);
+    let (from, to) = (verified(&from.with_digest()), verified(&to.with_digest()));
+    let faults = verify_transition(&from, &to).unwrap_err();
+    let (first, last) = (from.segment(0).unwrap().into(), from.segment(1).unwrap().into());
+    let new = to.segment(0).unwrap().into();
+    assert_eq!(faults, [MapFault::NoSource { replica: "n5".into(), new, first, last }]);
+}
+
+#[rstest]
+#[case(1)]
+#[case(0)]
+fn an_epoch_that_is_not_above_is_refused(#[case] epoch: u64) {
+    let from = verified(&four());
+    let to = verified(&ShardMap { epoch, ..four() }.with_digest());
+    assert_eq!(verify_transition(&from, &to).unwrap_err(), [MapFault::EpochNotAbove { from: 1, to: epoch }]);
+    let change = MapDelta {
+        epoch,
+        base_digest: String::new(),
+        removed: vec![],
+        upserted: vec![],
+        digest: String::new(),
+    };
+    assert_eq!(
+        verify_delta(&from, &change.with_digests(&from)).unwrap_err(),
+        [MapFault::EpochNotAbove { from: 1, to: epoch }]
+    );
+}
+
+#[test]
+fn a_delta_is_relative_to_the_map_in_force() {
+    let from = verified(&four());
+    let change = MapDelta {
+        epoch: 2,
+        base_digest: "x".into(),
+        removed: vec![7],
+        upserted: vec![],
+        digest: "y".into(),
+    };
+    let faults = verify_delta(&from, &change).unwrap_err();
+    assert_eq!(
+        faults,
+        [
+            MapFault::UnknownSegment { id: 7 },
+            MapFault::WrongBase { base: "x".into(), in_force: four().digest },
+        ]
+    );
+    let change = MapDelta { removed: vec![], ..change }.with_digests(&from);
+    assert!(verify_delta(&from, &change).is_ok());
+    let altered = MapDelta { digest: "y".into(), ..change };
+    assert!(matches!(&verify_delta(&from, &altered).unwrap_err()[..], [MapFault::DigestMismatch { .. }]));
+}
+
+/// Each would pass if only the ends of the old and new ranges were compared.
+#[rstest]
+#[case::empty(vec![segment(9, 8, 8, &[0, 1])], |faults: &[MapFault]| matches!(faults, [MapFault::EmptyRange { .. }]))]
+#[case::empty_beside(vec![segment(0, 0, 8, &[1, 0]), segment(9, 8, 8, &[0, 1])],
+    |faults: &[MapFault]| matches!(faults, [MapFault::EmptyRange { .. }]))]
+#[case::inverted(vec![segment(0, 0, 8, &[1, 0]), segment(9, 8, 4, &[0, 1])],
+    |faults: &[MapFault]| matches!(faults, [MapFault::InvertedRange { .. }]))]
+#[case::overlap(vec![segment(0, 0, 8, &[1, 0]), segment(9, 4, 8, &[0, 1])],
+    |faults: &[MapFault]| matches!(faults, [MapFault::Overlap { .. }]))]
+#[case::one_id_twice(vec![segment(0, 0, 4, &[1, 0]), segment(0, 4, 8, &[0, 1])],
+    |faults: &[MapFault]| matches!(faults, [MapFault::DuplicateId { .. }]))]
+fn a_delta_must_upsert_the_removed_keys_each_once(
+    #[case] put: Vec<Segment>,
+    #[case] is: fn(&[MapFault]) -> bool,
+) {
+    let from = verified(&four());
+    let change = MapDelta {
+        epoch: 2,
+        base_digest: String::new(),
+        removed: vec![],
+        upserted: put,
+        digest: String::new(),
+    };
+    let faults = verify_delta(&from, &change.with_digests(&from)).unwrap_err();
+    assert!(is(&faults), "{faults:?}");
+}
+
+#[test]
+fn a_transition_can_be_shared_between_threads() {
+    fn shared<T: Send + Sync + Clone>(_: &T) {}
+    let proof = verified(&four());
+    shared(&proof);
+    let later = verified(&ShardMap { epoch: 2, ..four() }.with_digest());
+    shared(&verify_transition(&proof, &later).unwrap());
+    assert_eq!(
+        format!("{proof:?}"),
+        format!("VerifiedMap {{ epoch: 1, digest: {}, segments: 4 }}", four().digest)
+    );
+}
+
+#[test]
+fn fills_since_count_in_the_next_transition() {
+    let mut one = four();
+    one.segments[0] = segment(0, 0, 8, &[0, 1, 2]);
+    one.segments[0].replicas[2].filled = false;
+    let proof = verified(&one.clone().with_digest());
+    // Nothing changes but the epoch: the replica still has to be filled.
+    let mut two = one.clone();
+    two.epoch = 2;
+    let two = verified(&two.with_digest());
+    assert_eq!(verify_transition(&proof, &two).unwrap().required_fills(), [need(0, 2, &[0, 1])]);
+    let filled = proof.with_filled([(0, "n2"), (0, "n4"), (77, "n2")]);
+    let carried = verify_transition(&filled, &two).unwrap();
+    assert_eq!(carried.required_fills(), []);
+    // Over a further transition too, and for a map that now states so.
+    let mut three = one.clone();
+    three.epoch = 3;
+    three.segments[0].replicas[2].filled = true;
+    let three = verified(&three.with_digest());
+    assert_eq!(verify_transition(carried.to(), &three).unwrap().required_fills(), []);
+    assert_eq!(verify_transition(&two, &three).unwrap().required_fills(), [need(0, 2, &[0, 1])]);
+}
