--- a/crates/dunepond-broker/src/desk/agreed.rs
+++ b/crates/dunepond-broker/src/desk/agreed.rs
@@ -89,7 +89,7 @@
         let (Some(fleet), Some(in_hand)) = (&self.fleet, self.scans.get(&scan)) else { return whole };
         let agreed = in_hand.agreed.as_ref();
         let proof = agreed.and_then(|agreed| agreed.began.map().map(|proof| (proof, &agreed.moved)));
-        let left_out = |seg: &usize| in_hand.left_out.iter().any(|left| left.seg == *seg);
+        let left_out = |seg: &usize| in_hand.left_out.iter().any(|left| left.segment == *seg);
         let is_in = |at: usize| in_hand.values[at].is_some() || left_out(&in_hand.segs[at]);
         let outcome = match proof.filter(|_| whole) {
             Some((proof, moved)) => proved(proof, &in_hand.segs, is_in, moved).map(Some),
--- a/crates/dunepond-broker/src/fleet/gate.rs
+++ b/crates/dunepond-broker/src/fleet/gate.rs
@@ -10,7 +10,7 @@
     ActiveConfigWatch, AuditEvent, AuditPhase, ControlHandle, audit_phase, monotonic_seconds,
 };
 use dunepond_routing::Idempotency;
-use dunepond_shard_map::{Piece, Proof, Range, covers};
+use dunepond_shard_map::{AnsweredPart, KeyRange, VerifiedMap, verify_coverage};
 
 use super::fence::{self, Fate, Side, Stage};
 
@@ -27,7 +27,7 @@
     }
 
     /// The map under which its parts have to cover its keys.
-    pub fn map(&self) -> Option<&Proof> {
+    pub fn map(&self) -> Option<&VerifiedMap> {
         self.acting.map(self.at)
     }
 
@@ -176,7 +176,7 @@
         if then.epoch() == now.epoch() {
             return None;
         }
-        let keys = |proof: &Proof| proof.segment(seg as u64).map(|segment| segment.keys);
+        let keys = |proof: &VerifiedMap| proof.segment(seg as u64).map(|segment| segment.keys);
         (keys(then) != keys(now)).then_some(now.epoch())
     }
 
@@ -221,7 +221,7 @@
 /// Whether the parts that are in have the keys of all that was asked for, each exactly once and under one map. `moved`:
 /// parts that were sent under another map's keys, with its epoch. The epoch, or why not.
 pub fn proved(
-    proof: &Proof,
+    proof: &VerifiedMap,
     segs: &[usize],
     is_in: impl Fn(usize) -> bool,
     moved: &[(usize, u64)],
@@ -231,7 +231,7 @@
     let different = segs.windows(2).all(|two| two[0] < two[1]);
     if different
         && moved.is_empty()
-        && segs.iter().enumerate().all(|(at, seg)| is_in(at) && proof.has(*seg as u64))
+        && segs.iter().enumerate().all(|(at, seg)| is_in(at) && proof.contains_segment(*seg as u64))
     {
         return Ok(proof.epoch());
     }
@@ -239,23 +239,28 @@
     key_by_key(proof, segs, &is_in, moved)
 }
 
-fn key_by_key(proof: &Proof, segs: &[usize], is_in: &[bool], moved: &[(usize, u64)]) -> Result<u64, String> {
+fn key_by_key(
+    proof: &VerifiedMap,
+    segs: &[usize],
+    is_in: &[bool],
+    moved: &[(usize, u64)],
+) -> Result<u64, String> {
     let keys = |seg: &usize| proof.segment(*seg as u64).map(|segment| segment.keys);
-    let wanted: Option<Vec<Range>> = segs.iter().map(keys).collect();
+    let wanted: Option<Vec<KeyRange>> = segs.iter().map(keys).collect();
     let wanted = wanted.ok_or("a segment that the map does not have")?;
     let pieces = segs.iter().zip(&wanted).enumerate().filter(|(part, _)| is_in[*part]);
     let pieces = pieces.map(|(part, (seg, keys))| {
         let other = moved.iter().find(|(moved, _)| *moved == part);
         let epoch = other.map_or(proof.epoch(), |(_, epoch)| *epoch);
-        Piece { segment: *seg as u64, keys: *keys, epoch }
+        AnsweredPart { segment: *seg as u64, keys: *keys, epoch }
     });
     let pieces: Vec<_> = pieces.collect();
-    covers(proof, &wanted, &pieces).map(|()| proof.epoch()).map_err(|fault| fault.to_string())
+    verify_coverage(proof, &wanted, &pieces).map(|()| proof.epoch()).map_err(|fault| fault.to_string())
 }
 
 #[cfg(test)]
 mod tests {
-    use dunepond_shard_map::{Holder, Map, Segment, Terms, check};
+    use dunepond_shard_map::{MapConstraints, Replica, Segment, ShardMap, verify};
     use rstest::rstest;
 
     use super::*;
@@ -271,22 +276,26 @@
         assert!(write(Some(&old)).unwrap_err().get_ref().is_some_and(|e| e.is::<Late>()));
     }
 
-    fn proof() -> Proof {
-        let holder = |node: &str| Holder {
+    fn proof() -> VerifiedMap {
+        let holder = |node: &str| Replica {
             node: node.to_string(),
             partner: "north".to_string(),
             filled: true,
             share: 1.0,
         };
-        let segment =
-            |id, keys, node: &str| Segment { id, keys, owner: node.to_string(), holders: vec![holder(node)] };
+        let segment = |id, keys, node: &str| Segment {
+            id,
+            keys,
+            owner: node.to_string(),
+            replicas: vec![holder(node)],
+        };
         let half = 1 << 63;
         let segments = vec![
-            segment(0, Range { from: 0, to: Some(half) }, "a"),
-            segment(1, Range { from: half, to: None }, "b"),
+            segment(0, KeyRange { from: 0, to: Some(half) }, "a"),
+            segment(1, KeyRange { from: half, to: None }, "b"),
         ];
-        let map = Map { epoch: 4, hash: "xxh3-64".to_string(), segments, digest: String::new() };
-        check(&map.sealed(), &[], &Terms { least_holders: 1, least_zones: 1 }).unwrap()
+        let map = ShardMap { epoch: 4, hash: "xxh3-64".to_string(), segments, digest: String::new() };
+        verify(&map.with_digest(), &[], &MapConstraints { min_replicas: 1, min_zones: 1 }).unwrap()
     }
 
     #[rstest]
--- a/crates/dunepond-config/src/operator/fleet.rs
+++ b/crates/dunepond-config/src/operator/fleet.rs
@@ -126,9 +126,9 @@
             fill_deadline_seconds: self.fills.as_ref().map_or(FILLS_DEADLINE, |fills| fills.deadline),
             max_changed_ratio: map.most_changed,
             maps_enabled: self.map.is_some(),
-            map_requirements: dunepond_shard_map::Terms {
-                least_holders: map.least_holders,
-                least_zones: map.least_zones,
+            map_requirements: dunepond_shard_map::MapConstraints {
+                min_replicas: map.least_holders,
+                min_zones: map.least_zones,
             },
         }
     }
--- a/crates/dunepond-config/src/operator/tests.rs
+++ b/crates/dunepond-config/src/operator/tests.rs
@@ -25,7 +25,7 @@
     let state = on.state.unwrap();
     assert_eq!((state.folder.to_str(), state.every), (Some("/var/lib/dunepond/state"), 1.0));
     assert_eq!(on.background, Operator::default().background);
-    assert_eq!(on.phases.unwrap().least_segs, 8);
+    assert_eq!(on.phases.unwrap().min_segments, 8);
     let fleet = on.fleet.unwrap();
     assert_eq!((fleet.lease, fleet.drift, fleet.bound, fleet.longest_timeout), (2.0, 0.01, 8.0, Some(4.0)));
     assert_eq!((fleet.voters.len(), fleet.peers[0].name.as_str(), fleet.links[0].bytes), (3, "n4", 10 * MIB));
--- a/crates/dunepond-consensus/src/acting.rs
+++ b/crates/dunepond-consensus/src/acting.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::{ConfigPhase, ConfigVersion, RoutingRules, strictest_rules};
-use dunepond_shard_map::{Move, Proof, Step};
+use dunepond_shard_map::{MapTransition, TransitionPhase, VerifiedMap};
 
 /// Who may be sent a segment's non-replayable parts. Nothing is copied: it is asked for each part.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -44,9 +44,9 @@
     /// In force, and proposed.
     pub old: Option<Arc<ConfigVersion>>,
     pub new: Option<Arc<ConfigVersion>>,
-    pub old_proof: Option<Proof>,
-    pub new_proof: Option<Proof>,
-    pub moving: Option<Move>,
+    pub old_proof: Option<VerifiedMap>,
+    pub new_proof: Option<VerifiedMap>,
+    pub moving: Option<MapTransition>,
     pub side: Side,
     /// Own clock: the lease is good from `from` (when its question was sent) up to `until`, this excluded.
     pub from: f64,
@@ -169,7 +169,7 @@
             let free = self.0.leased && !self.0.maps && old.is_none() && new.is_none();
             return if free { SegmentOwner::AnyReplica } else { refused };
         }
-        fn one(proof: &Proof, segment: u64) -> Option<&str> {
+        fn one(proof: &VerifiedMap, segment: u64) -> Option<&str> {
             proof.segment(segment).map(|segment| segment.owner.as_str())
         }
         let owner = match (self.0.side, old, new) {
@@ -179,7 +179,7 @@
             (Side::New | Side::Joint, None, Some(new)) | (Side::New, _, Some(new)) => one(new, segment),
             (Side::Joint | Side::New, Some(old), None) => one(old, segment),
             (Side::Joint, Some(old), Some(new)) => match &self.0.moving {
-                Some(moving) => moving.owner(segment, Step::Joint),
+                Some(moving) => moving.owner_of_segment(segment, TransitionPhase::Joint),
                 // The same map in both versions.
                 None => one(old, segment).filter(|owner| one(new, segment) == Some(*owner)),
             },
@@ -194,7 +194,7 @@
 
     /// The map under which a scan's parts have to cover its keys: that of the version in force, until the next is
     /// acted on alone; `None` if there is none.
-    pub fn map(&self, now: f64) -> Option<&Proof> {
+    pub fn map(&self, now: f64) -> Option<&VerifiedMap> {
         match self.0.side {
             Side::New if self.lease_valid(now) => self.0.new_proof.as_ref(),
             _ => self.0.old_proof.as_ref().or(self.0.new_proof.as_ref()),
@@ -217,7 +217,7 @@
     }
 
     /// From the map in force to the proposed one: what has to be filled first, and from where.
-    pub fn map_transition(&self) -> Option<&Move> {
+    pub fn map_transition(&self) -> Option<&MapTransition> {
         self.0.moving.as_ref()
     }
 }
--- a/crates/dunepond-consensus/src/lib.rs
+++ b/crates/dunepond-consensus/src/lib.rs
@@ -35,7 +35,7 @@
 pub use voter::{RecoveryError, RecoveryOrder, Voter, WORD};
 
 use dunepond_settlement::Agreed;
-use dunepond_shard_map::Map;
+use dunepond_shard_map::ShardMap;
 use serde::{Deserialize, Serialize};
 
 /// The settings that decide, and the operator's limits; one entry a table type where a list stands.
@@ -95,7 +95,7 @@
     pub rules: RoutingRules,
     #[serde(rename = "standings")]
     pub excluded_nodes: ExcludedNodes,
-    pub map: Option<Map>,
+    pub map: Option<ShardMap>,
     /// Who proposed it and why; when, in Unix seconds, for people only.
     #[serde(rename = "who")]
     pub proposed_by: String,
--- a/crates/dunepond-consensus/src/member.rs
+++ b/crates/dunepond-consensus/src/member.rs
@@ -13,7 +13,7 @@
     ActiveConfig, ConfigVersion, ConsensusConfig, LeaseAnswer, LeaseGrant, LeaseReply, LeaseRequest,
     PersistedState, Rejection, RolloutStep, SettlementUpdate, VoterInfo,
 };
-use dunepond_shard_map::{self as maps, Proof};
+use dunepond_shard_map::{self as maps, VerifiedMap};
 
 /// A lease is asked for anew after this part of it.
 const AGAIN: f64 = 1.0 / 3.0;
@@ -445,7 +445,7 @@
     fn ahead(
         &self,
         old: &Option<(Arc<ConfigVersion>, String)>,
-        proof: Option<&Proof>,
+        proof: Option<&VerifiedMap>,
         new: &ConfigVersion,
     ) -> Result<Ahead, Rejection> {
         let terms =
@@ -457,14 +457,14 @@
         &self,
         old: &Option<(Arc<ConfigVersion>, String)>,
         done: &BTreeSet<(u64, String)>,
-    ) -> Result<Option<Proof>, Rejection> {
+    ) -> Result<Option<VerifiedMap>, Rejection> {
         let Some((version, digest)) = old else { return Ok(None) };
         let Some(map) = &version.map else { return Ok(None) };
         crate::rules::check(version)?;
         let had = self.old.as_ref().filter(|(_, d)| d == digest).and(self.inner.old_proof.as_ref());
         let proof = match had {
             Some(proof) => proof.clone(),
-            None => maps::check(map, &[], &self.terms.map_requirements).map_err(Rejection::InvalidMap)?,
+            None => maps::verify(map, &[], &self.terms.map_requirements).map_err(Rejection::InvalidMap)?,
         };
         Ok(Some(with_done(&proof, done)))
     }
--- a/crates/dunepond-consensus/src/refusal.rs
+++ b/crates/dunepond-consensus/src/refusal.rs
@@ -1,7 +1,7 @@
 //! Why something is not adopted, proposed or believed; and what makes a voter stop.
 
 use dunepond_settlement::DebtError;
-use dunepond_shard_map::Fault;
+use dunepond_shard_map::MapFault;
 
 /// What is not taken, and why; nothing changed by it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -19,7 +19,7 @@
     #[error("stage is {0}, expected a share above 0 and below 1")]
     InvalidStage(f64),
     #[error("the map does not prove: {}", list(.0))]
-    InvalidMap(Vec<Fault>),
+    InvalidMap(Vec<MapFault>),
     #[error("the version brings a map, and the fleet's terms have none")]
     MapsDisabled,
     #[error("version {0} has no map, the one in force has")]
@@ -106,7 +106,7 @@
     }
 }
 
-fn list(faults: &[Fault]) -> String {
+fn list(faults: &[MapFault]) -> String {
     let shown: Vec<String> = faults.iter().take(3).map(ToString::to_string).collect();
     let more = faults.len().saturating_sub(3);
     if more > 0 { format!("{}; and {more} more", shown.join("; ")) } else { shown.join("; ") }
--- a/crates/dunepond-consensus/src/state/mod.rs
+++ b/crates/dunepond-consensus/src/state/mod.rs
@@ -17,7 +17,7 @@
 use crate::{Command, ConfigVersion, ConsensusConfig, Rejection, RolloutStep};
 use crate::{docs, old};
 pub use debts::{SettlementLog, SettlementRecord, SettlementUpdate};
-use dunepond_shard_map::{self as maps, Proof};
+use dunepond_shard_map::{self as maps, VerifiedMap};
 pub(crate) use versions::{Ahead, judge, with_done};
 pub use versions::{ChangeEnd, OpenChange, PastChange};
 pub(crate) use voters::Voted;
@@ -139,7 +139,7 @@
     pub(crate) more: BTreeMap<String, ciborium::Value>,
     /// Of the map in force, and of the move to the proposed one; made again from what stands above.
     #[serde(skip)]
-    proof: Option<Proof>,
+    proof: Option<VerifiedMap>,
     #[serde(skip)]
     ahead: Option<Ahead>,
 }
@@ -196,7 +196,7 @@
             }
             if let Some(map) = &version.map {
                 state.proof = Some(with_done(
-                    &maps::check(map, &[], &state.config.map_requirements).ok()?,
+                    &maps::verify(map, &[], &state.config.map_requirements).ok()?,
                     &state.completed_fills,
                 ));
             }
@@ -332,7 +332,7 @@
             fill_deadline_seconds: 1.0,
             max_changed_ratio: 1.0,
             maps_enabled: false,
-            map_requirements: maps::Terms { least_holders: 1, least_zones: 1 },
+            map_requirements: maps::MapConstraints { min_replicas: 1, min_zones: 1 },
         };
         let mut later = ReplicatedState::new(terms, BTreeMap::new());
         later.more.insert(String::from("omens"), ciborium::Value::from(vec![1, 2, 3]));
--- a/crates/dunepond-consensus/src/state/versions.rs
+++ b/crates/dunepond-consensus/src/state/versions.rs
@@ -7,7 +7,7 @@
 
 use super::{ReplicatedState, StateChange};
 use crate::{ConfigVersion, ConsensusConfig, Rejection, RolloutStep, rules};
-use dunepond_shard_map::{self as maps, Move, Proof};
+use dunepond_shard_map::{self as maps, MapTransition, VerifiedMap};
 
 /// Ends of changes that are remembered.
 const PASTS: usize = 64;
@@ -54,14 +54,14 @@
 /// What the maps of a proposed version proved to be.
 #[derive(Clone, Debug)]
 pub(crate) struct Ahead {
-    pub proof: Option<Proof>,
-    pub moving: Option<Move>,
+    pub proof: Option<VerifiedMap>,
+    pub moving: Option<MapTransition>,
 }
 
 /// Judges `version` against what is in force. One way for proposers, voters and adopters.
 pub(crate) fn judge(
     in_force: Option<&ConfigVersion>,
-    proof: Option<&Proof>,
+    proof: Option<&VerifiedMap>,
     version: &ConfigVersion,
     terms: &ConsensusConfig,
 ) -> Result<Ahead, Rejection> {
@@ -86,10 +86,10 @@
     if in_force.and_then(|version| version.map.as_ref()) == Some(map) {
         return Ok(Ahead { proof: proof.cloned(), moving: None });
     }
-    let to = maps::check(map, &[], &terms.map_requirements).map_err(Rejection::InvalidMap)?;
+    let to = maps::verify(map, &[], &terms.map_requirements).map_err(Rejection::InvalidMap)?;
     let Some(from) = proof else { return Ok(Ahead { proof: Some(to), moving: None }) };
-    let moving = maps::check_move(from, &to).map_err(Rejection::InvalidMap)?;
-    let (changed, of) = (moving.changed(), from.len().max(to.len()));
+    let moving = maps::verify_transition(from, &to).map_err(Rejection::InvalidMap)?;
+    let (changed, of) = (moving.changed_segments(), from.len().max(to.len()));
     if changed as f64 > terms.max_changed_ratio * of as f64 {
         return Err(Rejection::TooManySegments { changed, of, most: terms.max_changed_ratio });
     }
@@ -97,7 +97,7 @@
 }
 
 /// A fill of the move is done: by the new map's segment and holder.
-pub(crate) fn with_done(proof: &Proof, done: &BTreeSet<(u64, String)>) -> Proof {
+pub(crate) fn with_done(proof: &VerifiedMap, done: &BTreeSet<(u64, String)>) -> VerifiedMap {
     proof.with_filled(done.iter().map(|(segment, node)| (*segment, node.as_str())))
 }
 
@@ -107,12 +107,12 @@
     }
 
     /// Of the map in force.
-    pub fn map_proof(&self) -> Option<&Proof> {
+    pub fn map_proof(&self) -> Option<&VerifiedMap> {
         self.proof.as_ref()
     }
 
     /// From the map in force to the proposed one: what has to be filled, and from where.
-    pub fn map_transition(&self) -> Option<&Move> {
+    pub fn map_transition(&self) -> Option<&MapTransition> {
         self.ahead.as_ref()?.moving.as_ref()
     }
 
@@ -151,7 +151,7 @@
         let fills = std::mem::take(&mut self.completed_fills).into_iter().chain(open.completed_fills);
         if let Some(proof) = &self.proof {
             self.completed_fills = fills
-                .filter(|(id, node)| proof.segment(*id).is_some_and(|s| proof.filled(s, node)))
+                .filter(|(id, node)| proof.segment(*id).is_some_and(|s| proof.is_filled(s, node)))
                 .collect();
         }
         self.active = Some((open.version, open.digest));
@@ -180,8 +180,8 @@
         let needs = ahead
             .moving
             .iter()
-            .flat_map(Move::needs)
-            .map(|need| (need.segment, need.holder.clone()))
+            .flat_map(MapTransition::required_fills)
+            .map(|need| (need.segment, need.replica.clone()))
             .collect();
         let (digest, filled) = (version.digest(), BTreeSet::new());
         self.open = Some(OpenChange {
--- a/crates/dunepond-consensus/src/terms.rs
+++ b/crates/dunepond-consensus/src/terms.rs
@@ -40,7 +40,7 @@
     #[serde(rename = "maps")]
     pub maps_enabled: bool,
     #[serde(rename = "map")]
-    pub map_requirements: dunepond_shard_map::Terms,
+    pub map_requirements: dunepond_shard_map::MapConstraints,
 }
 
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
--- a/crates/dunepond-consensus/src/voter/log.rs
+++ b/crates/dunepond-consensus/src/voter/log.rs
@@ -202,7 +202,7 @@
             fill_deadline_seconds: 1.0,
             max_changed_ratio: 1.0,
             maps_enabled: false,
-            map_requirements: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
+            map_requirements: dunepond_shard_map::MapConstraints { min_replicas: 1, min_zones: 1 },
         };
         let mut voter = Voter::open(terms.clone(), StoredVoter::new(), 0.0, 1).unwrap();
         let mut saved = StoredVoter::new();
--- a/crates/dunepond-consensus/tests/parts.rs
+++ b/crates/dunepond-consensus/tests/parts.rs
@@ -217,7 +217,7 @@
     // Other rules under the digest that was agreed on; a map with a gap; none at all.
     let (mut other, mut gap) = (version(2, Some(map(2, false))), version(2, Some(map(2, false))));
     gap.map.as_mut().unwrap().segments.remove(1);
-    gap.map = gap.map.map(dunepond_shard_map::Map::sealed);
+    gap.map = gap.map.map(dunepond_shard_map::ShardMap::with_digest);
     let mut stale = now(6, Some(&one), Some((&other, RolloutStep::Joint)));
     other.rules = rules(8);
     stale.documents = vec![Arc::new(other)];
@@ -345,7 +345,7 @@
 fn every_error_says_what_is_wrong_and_what_to_do() {
     use Rejection::*;
     let text = || String::from("x");
-    let fault = dunepond_shard_map::Fault::NoSegments;
+    let fault = dunepond_shard_map::MapFault::NoSegments;
     let refusals = [
         NotLeader(None),
         ChangeOpen { open: 1 },
--- a/crates/dunepond-consensus/tests/seeds.rs
+++ b/crates/dunepond-consensus/tests/seeds.rs
@@ -70,13 +70,13 @@
         14 => {
             let Some(leader) = fleet.leader() else { return };
             let needs: Vec<_> =
-                fleet.state(leader).map_transition().map(|m| m.needs().to_vec()).unwrap_or_default();
+                fleet.state(leader).map_transition().map(|m| m.required_fills().to_vec()).unwrap_or_default();
             let number = fleet.state(leader).highest_number;
             for need in needs {
                 let _ = fleet.propose(Command::FillCompleted {
                     number,
                     segment: need.segment,
-                    holder: need.holder,
+                    holder: need.replica,
                 });
             }
         }
--- a/crates/dunepond-consensus/tests/stories.rs
+++ b/crates/dunepond-consensus/tests/stories.rs
@@ -469,7 +469,7 @@
         _ => unreachable!(),
     }
     let sealed = !["stale digest", "epoch", "no map"].contains(&fault);
-    version.map = version.map.map(|map| if sealed { map.sealed() } else { map });
+    version.map = version.map.map(|map| if sealed { map.with_digest() } else { map });
     version
 }
 
--- a/crates/dunepond-control-plane/src/golden.rs
+++ b/crates/dunepond-control-plane/src/golden.rs
@@ -12,7 +12,7 @@
     VoterChange, VoterInfo, WORD,
 };
 use dunepond_settlement::{Agreed, Allot, Begun, Counts, Fill, Ledger, Settlement, Shares, Sides, Tally};
-use dunepond_shard_map::{Holder, Map, Range, Segment, Terms as MapTerms};
+use dunepond_shard_map::{KeyRange, MapConstraints as MapTerms, Replica, Segment, ShardMap};
 use dunepond_simulation::fleet::terms;
 use dunepond_storage::{DiskStore as Directory, Journal, SnapshotStore};
 
@@ -228,8 +228,8 @@
     assert_same("majority-lost.json", serde_json::to_string(&read).unwrap().as_bytes());
 }
 
-fn holder(node: &str, partner: &str, filled: bool, share: f64) -> Holder {
-    Holder { node: text(node), partner: text(partner), filled, share }
+fn holder(node: &str, partner: &str, filled: bool, share: f64) -> Replica {
+    Replica { node: text(node), partner: text(partner), filled, share }
 }
 
 fn version_7() -> ConfigVersion {
@@ -237,15 +237,15 @@
     let segments = vec![
         Segment {
             id: 0,
-            keys: Range { from: 0, to: Some(middle) },
+            keys: KeyRange { from: 0, to: Some(middle) },
             owner: text("s-1"),
-            holders: vec![holder("s-1", "north", true, 0.5), holder("s-2", "south", true, 0.5)],
+            replicas: vec![holder("s-1", "north", true, 0.5), holder("s-2", "south", true, 0.5)],
         },
         Segment {
             id: 1,
-            keys: Range { from: middle, to: None },
+            keys: KeyRange { from: middle, to: None },
             owner: text("s-2"),
-            holders: vec![
+            replicas: vec![
                 holder("s-1", "north", true, 1.0),
                 holder("s-2", "south", true, 0.0),
                 holder("s-3", "south", false, 0.0),
@@ -269,7 +269,9 @@
             max_retry_after_seconds: 2.0,
         },
         excluded_nodes: ExcludedNodes { draining: vec![text("s-17")], removed: vec![text("s-18")] },
-        map: Some(Map { epoch: 12, hash: text("xxh3-64"), segments, digest: String::new() }.sealed()),
+        map: Some(
+            ShardMap { epoch: 12, hash: text("xxh3-64"), segments, digest: String::new() }.with_digest(),
+        ),
         proposed_by: text("mara"),
         reason: text("s-3 takes over from s-2 next week"),
         proposed_at_unix_seconds: 1_790_000_000.0,
@@ -291,7 +293,7 @@
 }
 
 fn read_word(name: &str) -> Word {
-    version::word(&golden_path(name), 2, &[], &MapTerms { least_holders: 2, least_zones: 1 }).unwrap()
+    version::word(&golden_path(name), 2, &[], &MapTerms { min_replicas: 2, min_zones: 1 }).unwrap()
 }
 
 /// The operator's documents mean what they meant, and go to the leader in the same bytes.
--- a/crates/dunepond-control-plane/src/host/fills.rs
+++ b/crates/dunepond-control-plane/src/host/fills.rs
@@ -299,25 +299,25 @@
             self.fills.number = number;
         }
         let left = moving
-            .needs()
+            .required_fills()
             .iter()
-            .filter(|need| !open.completed_fills.contains(&(need.segment, need.holder.clone())));
+            .filter(|need| !open.completed_fills.contains(&(need.segment, need.replica.clone())));
         let bytes = self.fills.segment;
         let (avoided, listed) = (&self.fills.avoided, self.proposing.nodes.load());
         let leaves = |node: &str| listed.iter().any(|listed| listed.name == node && listed.draining);
         let needs = left.map(|need| {
             let to = moving.to().segment(need.segment);
-            let holder = to.and_then(|segment| segment.holders.iter().find(|h| h.node == need.holder));
+            let holder = to.and_then(|segment| segment.replicas.iter().find(|h| h.node == need.replica));
             let partner = |node: &String| {
-                let olds = to.into_iter().flat_map(|to| moving.from().over(to.keys));
-                let mut holders = olds.flat_map(|old| &old.holders);
+                let olds = to.into_iter().flat_map(|to| moving.from().overlapping(to.keys));
+                let mut holders = olds.flat_map(|old| &old.replicas);
                 holders.find(|h| h.node == *node).map_or(String::new(), |h| h.partner.clone())
             };
             let sources: Vec<_> = need.sources.iter().map(|node| (node.clone(), partner(node))).collect();
             let mut need = Need {
                 version: number,
                 segment: need.segment,
-                holder: need.holder.clone(),
+                holder: need.replica.clone(),
                 holder_partner: holder.map_or(String::new(), |holder| holder.partner.clone()),
                 sources: Vec::new(),
                 bytes,
@@ -462,7 +462,10 @@
                 .map(monotonic_seconds())
                 .and_then(|proof| proof.segment(fill.segment))
                 .and_then(|it| {
-                    it.holders.iter().find(|holder| holder.node == filled.source).map(|it| it.partner.clone())
+                    it.replicas
+                        .iter()
+                        .find(|holder| holder.node == filled.source)
+                        .map(|it| it.partner.clone())
                 });
             (from, bytes) = (holder.unwrap_or(fill.to.clone()), filled.bytes);
         } else if fill.settles.is_none() {
@@ -538,7 +541,7 @@
         }
         let moving = self.voter.as_ref()?.state().map_transition()?;
         let keys = moving.to().segment(fill.segment)?.keys;
-        let mut holders = moving.from().over(keys).flat_map(|old| &old.holders);
+        let mut holders = moving.from().overlapping(keys).flat_map(|old| &old.replicas);
         let from = holders.find(|holder| holder.node == filled.source)?.partner.clone();
         let fill = Fill { source: filled.source.clone(), from, bytes: filled.bytes, ..fill.clone() };
         let pays = fill.bytes.min(self.counting.book.open(&fill.from, &fill.to));
--- a/crates/dunepond-control-plane/src/host/moves.rs
+++ b/crates/dunepond-control-plane/src/host/moves.rs
@@ -177,7 +177,7 @@
 
     pub(super) fn offer_asked(&mut self, from: &str, body: &[u8], token: Responder) {
         if body.len() > LONGEST {
-            return self.peers.respond(token, Err(RefusalReason::TooLarge { most: LONGEST as u64 }));
+            return self.peers.respond(token, Err(RefusalReason::TooLarge { max_bytes: LONGEST as u64 }));
         }
         let Ok(offer) = postcard::from_bytes::<Offer>(body) else {
             return self.peers.respond(token, Err(RefusalReason::Malformed));
@@ -374,7 +374,7 @@
     }
 
     /// The version that carries out the step under way: the map is the step's, all else goes on as it is.
-    fn step_version(&self, number: u64, map: dunepond_shard_map::Map) -> Option<ConfigVersion> {
+    fn step_version(&self, number: u64, map: dunepond_shard_map::ShardMap) -> Option<ConfigVersion> {
         let state = self.voter.as_ref()?.state();
         let running = state.rebalance().running.as_ref()?;
         let (in_force, _) = state.active.as_ref()?;
--- a/crates/dunepond-control-plane/src/host/propose.rs
+++ b/crates/dunepond-control-plane/src/host/propose.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwap;
 use dunepond_consensus::Rejection;
 use dunepond_membership::{RefusalReason, RequestKind, Responder};
-use dunepond_shard_map::{Node, Terms};
+use dunepond_shard_map::{MapConstraints, Node};
 use serde::{Deserialize, Serialize};
 use tracing::{error, info, warn};
 
@@ -24,7 +24,7 @@
     pub path: Option<PathBuf>,
     pub table_types: usize,
     pub nodes: Arc<ArcSwap<Vec<Node>>>,
-    pub terms: Terms,
+    pub terms: MapConstraints,
     /// The file is to be read.
     unread: bool,
     word: Option<Word>,
@@ -76,7 +76,7 @@
         path: Option<PathBuf>,
         table_types: usize,
         nodes: Arc<ArcSwap<Vec<Node>>>,
-        terms: Terms,
+        terms: MapConstraints,
     ) -> Self {
         let (unread, word, next, to) = (path.is_some(), None, 0.0, None);
         Self { path, table_types, nodes, terms, unread, word, next, to, asked: 0, passed: None }
@@ -156,7 +156,7 @@
 
     pub(super) fn proposal_asked(&mut self, from: &str, body: &[u8], token: Responder) {
         if body.len() > LONGEST {
-            return self.peers.respond(token, Err(RefusalReason::TooLarge { most: LONGEST as u64 }));
+            return self.peers.respond(token, Err(RefusalReason::TooLarge { max_bytes: LONGEST as u64 }));
         }
         let Ok(word) = postcard::from_bytes::<Word>(body) else {
             return self.peers.respond(token, Err(RefusalReason::Malformed));
--- a/crates/dunepond-control-plane/src/host/warm.rs
+++ b/crates/dunepond-control-plane/src/host/warm.rs
@@ -107,14 +107,14 @@
         let is_cold = |node: &str| cold.iter().find(|it| it.node == node);
         let mut needs = Vec::new();
         for segment in proof.segments() {
-            for holder in segment.holders.iter().filter(|holder| proof.filled(segment, &holder.node)) {
+            for holder in segment.replicas.iter().filter(|holder| proof.is_filled(segment, &holder.node)) {
                 let Some(started) = is_cold(&holder.node) else { continue };
                 let node = &holder.node;
                 if acting.is_excluded(node) || !self.falls_to(node, &holder.partner, &brokers, now, started) {
                     continue;
                 }
-                let warm = segment.holders.iter().filter(|it| {
-                    proof.filled(segment, &it.node)
+                let warm = segment.replicas.iter().filter(|it| {
+                    proof.is_filled(segment, &it.node)
                         && is_cold(&it.node).is_none()
                         && !acting.is_excluded(&it.node)
                 });
--- a/crates/dunepond-control-plane/src/version.rs
+++ b/crates/dunepond-control-plane/src/version.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 use dunepond_consensus::{Command, ConfigVersion, Extension, RoutingRules, VoterChange};
-use dunepond_shard_map::{Map, Node, Terms};
+use dunepond_shard_map::{MapConstraints, Node, ShardMap};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -41,7 +41,12 @@
 }
 
 /// Reads a version, or, where the document has `voters`, who shall vote.
-pub fn word(path: &Path, table_types: usize, nodes: &[Node], terms: &Terms) -> Result<Word, VersionError> {
+pub fn word(
+    path: &Path,
+    table_types: usize,
+    nodes: &[Node],
+    terms: &MapConstraints,
+) -> Result<Word, VersionError> {
     let text = text(path)?;
     let is_voters = serde_json::from_str::<serde_json::Value>(&text).is_ok_and(|v| v.get("voters").is_some());
     if !is_voters {
@@ -73,7 +78,7 @@
     path: &Path,
     table_types: usize,
     nodes: &[Node],
-    terms: &Terms,
+    terms: &MapConstraints,
 ) -> Result<ConfigVersion, VersionError> {
     let owned = || path.to_path_buf();
     let text = text(path)?;
@@ -81,8 +86,8 @@
     version.extensions = more(path, &text, &version)?;
     rules(path, &version.rules, table_types)?;
     if let Some(map) = version.map.take() {
-        let map = if map.digest.is_empty() { map.sealed() } else { map };
-        if let Err(faults) = dunepond_shard_map::check(&map, &judging(nodes, &map), terms) {
+        let map = if map.digest.is_empty() { map.with_digest() } else { map };
+        if let Err(faults) = dunepond_shard_map::verify(&map, &judging(nodes, &map), terms) {
             let first = faults.first();
             return Err(VersionError::Map {
                 path: owned(),
@@ -137,8 +142,8 @@
 }
 
 /// The nodes that the map is judged by: where the operator's file names no partner for a node, the map says whose it is.
-fn judging(nodes: &[Node], map: &Map) -> Vec<Node> {
-    let holders = map.segments.iter().flat_map(|segment| &segment.holders);
+fn judging(nodes: &[Node], map: &ShardMap) -> Vec<Node> {
+    let holders = map.segments.iter().flat_map(|segment| &segment.replicas);
     let said: HashMap<_, _> = holders.map(|holder| (holder.node.as_str(), holder.partner.as_str())).collect();
     let judged = nodes.iter().map(|node| match said.get(node.name.as_str()) {
         Some(partner) if node.partner.is_empty() => Node { partner: partner.to_string(), ..node.clone() },
@@ -192,7 +197,7 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("version.json");
         std::fs::write(&path, value.to_string()).unwrap();
-        read(&path, 2, nodes, &Terms { least_holders: 2, least_zones: 1 })
+        read(&path, 2, nodes, &MapConstraints { min_replicas: 2, min_zones: 1 })
     }
 
     #[test]
@@ -200,7 +205,7 @@
         let version = read_as(&documented(), &[]).unwrap();
         assert_eq!((version.number, version.based_on, version.first_stage_ratio), (7, Some(6), None));
         let map = version.map.unwrap();
-        assert_eq!(map.digest, map.digest_of());
+        assert_eq!(map.digest, map.compute_digest());
     }
 
     #[test]
@@ -235,7 +240,7 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("version.json");
         std::fs::write(&path, value.to_string()).unwrap();
-        word(&path, 2, &[], &Terms { least_holders: 2, least_zones: 1 })
+        word(&path, 2, &[], &MapConstraints { min_replicas: 2, min_zones: 1 })
     }
 
     #[test]
--- a/crates/dunepond-control-plane/src/why.rs
+++ b/crates/dunepond-control-plane/src/why.rs
@@ -10,7 +10,7 @@
     ChangeEnd, Command, ConfigVersion, Rejection, ReplicatedState, RolloutStep, StateChange,
 };
 use dunepond_settlement::{Agreed, Book, Fill, Need, Settlement};
-use dunepond_shard_map::Move;
+use dunepond_shard_map::MapTransition;
 
 /// Bytes of one field, and of a whole line.
 const FIELD: usize = 160;
@@ -299,6 +299,6 @@
     format!("{}: {}", some(&version.proposed_by), some(&version.reason))
 }
 
-fn moved(moving: &Move) -> String {
-    format!("{} of {} segments change", moving.changed(), moving.to().len())
+fn moved(moving: &MapTransition) -> String {
+    format!("{} of {} segments change", moving.changed_segments(), moving.to().len())
 }
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -96,7 +96,7 @@
             fill_deadline_seconds: 10.0,
             max_changed_ratio: 1.0,
             maps_enabled: true,
-            map_requirements: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
+            map_requirements: dunepond_shard_map::MapConstraints { min_replicas: 1, min_zones: 1 },
         };
         let partner = |name: &str| Partner { name: name.to_string(), brokers: Vec::new(), metered: false };
         let at = SocketAddr::from(([127, 0, 0, 1], 9));
--- a/crates/dunepond-control-plane/tests/host.rs
+++ b/crates/dunepond-control-plane/tests/host.rs
@@ -30,7 +30,7 @@
         fill_deadline_seconds: 10.0,
         max_changed_ratio: 1.0,
         maps_enabled: false,
-        map_requirements: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
+        map_requirements: dunepond_shard_map::MapConstraints { min_replicas: 1, min_zones: 1 },
     };
     ControlPlaneConfig {
         terms,
--- /dev/null
+++ b/crates/dunepond-membership/src/client.rs
@@ -0,0 +1,374 @@
+//! Requests of this broker: to each peer a limited number at a time, over pooled connections, each with its deadline, none to a peer in
+//! backoff.
+
+use crate::backoff::Backoff;
+use crate::context::Context;
+use crate::core::LivenessCheck;
+use crate::counters::increment;
+use crate::error::PeerError;
+use crate::event_queue::CompletedRequest;
+use crate::http::{CONTENT_TYPE, MAX_HEAD_BYTES, MESSAGE_OVERHEAD_BYTES};
+use crate::messages::{Envelope, Message, MessageHeader, MessageType};
+use crate::refusal::RefusalReason;
+use crate::request_kind::RequestKind;
+use crate::version::VersionRange;
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::{Request, header};
+use hyper_util::client::legacy::connect::HttpConnector;
+use hyper_util::rt::{TokioExecutor, TokioTimer};
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::Relaxed;
+use std::time::{Duration, Instant};
+use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
+
+/// Pooled connections are closed after this part of the idle timeout, before the peer closes them.
+const POOL_IDLE_RATIO: f64 = 0.5;
+/// Sets the ids of liveness checks apart from those of the callers' requests.
+const LIVENESS_ID_BIT: u64 = 1 << 63;
+
+/// A request that was accepted.
+pub(crate) struct OutboundRequest {
+    pub id: u64,
+    pub to: String,
+    pub kind: RequestKind,
+    pub body: Vec<u8>,
+    pub timeout_seconds: f64,
+    pub deadline: Instant,
+}
+
+/// A verified response from `address`, with the room it occupies.
+pub(crate) struct ReceivedResponse {
+    pub address: SocketAddr,
+    envelope: Envelope,
+    header: MessageHeader,
+    payload: Vec<u8>,
+    receive_permit: OwnedSemaphorePermit,
+}
+
+impl ReceivedResponse {
+    pub fn message(&self) -> Message<'_> {
+        Message { envelope: self.envelope, header: self.header.clone(), payload: &self.payload }
+    }
+}
+
+/// The end of a liveness check.
+pub(crate) struct LivenessOutcome {
+    pub to: String,
+    pub response: Option<ReceivedResponse>,
+}
+
+/// A request in the form in which it is sent.
+struct EncodedRequest {
+    address: SocketAddr,
+    bytes: Vec<u8>,
+}
+
+/// A response as it was received.
+struct RawResponse {
+    bytes: Bytes,
+    receive_permit: OwnedSemaphorePermit,
+}
+
+/// What is kept for each peer.
+struct PeerConnections {
+    in_flight: usize,
+    slots: Arc<Semaphore>,
+    backoff: Backoff,
+}
+
+pub(crate) struct Client {
+    context: Rc<Context>,
+    http: hyper_util::client::legacy::Client<HttpConnector, Full<Bytes>>,
+    peers: RefCell<BTreeMap<String, PeerConnections>>,
+}
+
+impl Client {
+    pub fn new(context: Rc<Context>) -> Client {
+        let timing = &context.options.timing;
+        let mut connector = HttpConnector::new();
+        connector.set_nodelay(true);
+        connector.set_connect_timeout(Some(Duration::from_secs_f64(timing.connect_timeout_seconds)));
+        let pool_idle_timeout = Duration::from_secs_f64(timing.idle_timeout_seconds * POOL_IDLE_RATIO);
+        let http = hyper_util::client::legacy::Client::builder(TokioExecutor::new())
+            .pool_timer(TokioTimer::new())
+            .pool_idle_timeout(pool_idle_timeout)
+            .pool_max_idle_per_host(context.options.limits.max_connections_per_peer)
+            .http1_max_buf_size(MAX_HEAD_BYTES)
+            .build(connector);
+        Client { context, http, peers: RefCell::default() }
+    }
+
+    /// Carries the request out in a task of its own; its one end goes into the event queue.
+    pub fn send(self: &Rc<Self>, request: OutboundRequest) {
+        let client = self.clone();
+        tokio::task::spawn_local(async move {
+            let deadline = tokio::time::Instant::from_std(request.deadline);
+            let response = match tokio::time::timeout_at(deadline, client.send_queued(&request)).await {
+                Ok(response) => response,
+                Err(_) => {
+                    let (to, timeout_seconds) = (request.to.clone(), request.timeout_seconds);
+                    Err(PeerError::Timeout { to, timeout_seconds })
+                }
+            };
+            let (result, receive_permit) = match response {
+                Ok(response) => (Ok(response.payload), Some(response.receive_permit)),
+                Err(error) => (Err(error), None),
+            };
+            client.context.shared.counters.record_response(&result);
+            let (id, request_bytes) = (request.id, request.body.len());
+            let completed = CompletedRequest { id, to: request.to, result, receive_permit, request_bytes };
+            client.context.events.borrow_mut().push_response(completed);
+        });
+    }
+
+    /// Carries out a liveness check, past backoff and connections in use: there is at most one to each peer. Its one end goes to `outcomes`.
+    pub fn check_liveness(
+        self: &Rc<Self>,
+        check: LivenessCheck,
+        outcomes: mpsc::UnboundedSender<LivenessOutcome>,
+    ) {
+        let client = self.clone();
+        let counters = &self.context.shared.counters;
+        increment(&counters.liveness_checks_sent);
+        let id = counters.liveness_checks_sent.load(Relaxed) | LIVENESS_ID_BIT;
+        tokio::task::spawn_local(async move {
+            let timeout = Duration::from_secs_f64(check.timeout_seconds);
+            let request = OutboundRequest {
+                id,
+                to: check.to,
+                kind: RequestKind::LivenessCheck,
+                body: check.body,
+                timeout_seconds: check.timeout_seconds,
+                deadline: Instant::now() + timeout,
+            };
+            let response = tokio::time::timeout(timeout, client.send_with_retry(&request)).await;
+            let response = response.ok().and_then(Result::ok);
+            let _ = outcomes.send(LivenessOutcome { to: request.to, response });
+        });
+    }
+
+    /// Waits for one of the peer's connections, unless the peer is in backoff.
+    async fn send_queued(&self, request: &OutboundRequest) -> Result<ReceivedResponse, PeerError> {
+        let limit = self.context.options.limits.max_requests_per_peer;
+        let slots = self.with_peer(&request.to, |peer| {
+            (peer.in_flight < limit).then(|| {
+                peer.in_flight += 1;
+                peer.slots.clone()
+            })
+        });
+        let Some(slots) = slots else {
+            return Err(PeerError::Busy { to: request.to.clone(), limit });
+        };
+        let _in_flight = InFlightGuard { client: self, to: &request.to };
+        self.check_backoff(request)?;
+        let _slot = slots.acquire().await.map_err(|_| PeerError::Stopped)?;
+        // Requests ahead of this one may have found the peer unreachable.
+        self.check_backoff(request)?;
+        let response = self.send_with_retry(request).await;
+        let now = self.context.now();
+        self.with_peer(&request.to, |peer| match &response {
+            Err(PeerError::Unreachable { .. } | PeerError::ConnectionLost { .. }) => {
+                peer.backoff.record_failure(now)
+            }
+            // A refusal too shows that the peer can be reached.
+            Ok(_) | Err(PeerError::Refused { .. }) => peer.backoff.reset(),
+            Err(_) => {}
+        });
+        response
+    }
+
+    fn check_backoff(&self, request: &OutboundRequest) -> Result<(), PeerError> {
+        let now = self.context.now();
+        let wait_seconds = self.with_peer(&request.to, |peer| peer.backoff.remaining_seconds(now));
+        if wait_seconds > 0.0 {
+            return Err(PeerError::BackingOff { to: request.to.clone(), wait_seconds });
+        }
+        Ok(())
+    }
+
+    /// Sends the request, and once more where a refusal says how it would be accepted. A peer that refuses has not acted on the request.
+    async fn send_with_retry(&self, request: &OutboundRequest) -> Result<ReceivedResponse, PeerError> {
+        let token = || self.context.core.borrow().token_from(&request.to);
+        let token_before = token();
+        match self.send_once(request).await {
+            Err(PeerError::Refused { to, reason }) => {
+                let retry = match &reason {
+                    RefusalReason::UnverifiedSender { .. } | RefusalReason::InvalidToken
+                        if token() != token_before =>
+                    {
+                        true
+                    }
+                    // Too many later requests overtook it; the retry has a new sequence number.
+                    RefusalReason::Replayed => true,
+                    reason => self.has_other_version(&to, reason),
+                };
+                if retry { self.send_once(request).await } else { Err(PeerError::Refused { to, reason }) }
+            }
+            result => result,
+        }
+    }
+
+    /// Whether a refusal states the peer's versions, and we speak one of them that we did not use.
+    fn has_other_version(&self, to: &str, reason: &RefusalReason) -> bool {
+        let range = match reason {
+            RefusalReason::UnsupportedVersionV1 { ours, .. } => VersionRange::exactly(*ours),
+            RefusalReason::UnsupportedVersion { ours, .. } => *ours,
+            _ => return false,
+        };
+        self.context.core.borrow_mut().on_version_refused(to, range)
+    }
+
+    async fn send_once(&self, request: &OutboundRequest) -> Result<ReceivedResponse, PeerError> {
+        let encoded = self.encode(request)?;
+        let address = encoded.address;
+        let raw = self.exchange(request, encoded).await?;
+        self.verify_response(request, address, raw)
+    }
+
+    fn encode(&self, request: &OutboundRequest) -> Result<EncodedRequest, PeerError> {
+        let OutboundRequest { id, to, kind, .. } = request;
+        let remaining = request.deadline.saturating_duration_since(Instant::now()).as_millis();
+        let timeout_ms = u32::try_from(remaining).unwrap_or(u32::MAX);
+        let mut core = self.context.core.borrow_mut();
+        let address = core.address(to).ok_or_else(|| PeerError::UnknownPeer { to: to.clone() })?;
+        let message_type = MessageType::Request { id: *id, kind: (*kind).into(), timeout_ms };
+        let (header, version) = (core.header_for(to, message_type), core.version_for(to));
+        if version < kind.min_version() {
+            return Err(PeerError::UnsupportedKind { to: to.clone(), path: kind.path(), version });
+        }
+        Ok(EncodedRequest { address, bytes: core.encode(version, &header, &request.body) })
+    }
+
+    /// Sends the encoded request over a pooled or new connection, and receives the response.
+    async fn exchange(
+        &self,
+        request: &OutboundRequest,
+        encoded: EncodedRequest,
+    ) -> Result<RawResponse, PeerError> {
+        let to = || request.to.clone();
+        let EncodedRequest { address, bytes } = encoded;
+        let http_request = Request::post(format!("http://{address}{}", request.kind.path()))
+            .header(header::CONTENT_TYPE, CONTENT_TYPE)
+            .body(Full::new(Bytes::from(bytes)))
+            .map_err(|_| PeerError::UnknownPeer { to: to() })?;
+        let response = self.http.request(http_request).await.map_err(|error| {
+            if error.is_connect() {
+                PeerError::Unreachable { to: to(), at: address, reason: root_cause(&error) }
+            } else {
+                PeerError::ConnectionLost { to: to() }
+            }
+        })?;
+        self.receive_body(request, response.into_body()).await
+    }
+
+    async fn receive_body(
+        &self,
+        request: &OutboundRequest,
+        body: Incoming,
+    ) -> Result<RawResponse, PeerError> {
+        let to = || request.to.clone();
+        let limits = &self.context.options.limits;
+        let max_bytes = limits.max_body_bytes;
+        // Every broker states the length, so that room can be reserved for the body before it is received.
+        let size = body.size_hint().exact().ok_or_else(|| PeerError::Malformed { from: to() })?;
+        let size = usize::try_from(size).unwrap_or(usize::MAX);
+        if size > max_bytes + MESSAGE_OVERHEAD_BYTES {
+            return Err(PeerError::TooLarge { to: to(), bytes: size, max_bytes });
+        }
+        let receive_permit = self
+            .context
+            .reserve_receive(size)
+            .ok_or_else(|| PeerError::Busy { to: to(), limit: max_bytes })?;
+        let received = Limited::new(body, max_bytes + MESSAGE_OVERHEAD_BYTES).collect().await;
+        let bytes = received.map_err(|_| PeerError::ConnectionLost { to: to() })?.to_bytes();
+        Ok(RawResponse { bytes, receive_permit })
+    }
+
+    /// Decodes a response, and checks that it is of that peer and to that request.
+    fn verify_response(
+        &self,
+        request: &OutboundRequest,
+        address: SocketAddr,
+        raw: RawResponse,
+    ) -> Result<ReceivedResponse, PeerError> {
+        let to = || request.to.clone();
+        let message = {
+            let core = self.context.core.borrow();
+            crate::codec::decode(&raw.bytes, core.authenticator(), &request.to, core.supported_versions())?
+        };
+        let Message { envelope, header, payload } = message;
+        match &header.message_type {
+            MessageType::Response { .. } if header.from.name != request.to => {
+                Err(PeerError::UnverifiedSender { from: to(), name: header.from.name })
+            }
+            MessageType::Response { id } if *id == request.id && header.to == self.context.options.name => {
+                let (payload, receive_permit) = (payload.to_vec(), raw.receive_permit);
+                Ok(ReceivedResponse { address, envelope, header, payload, receive_permit })
+            }
+            // A refusal may come from another broker: the address may be that of the wrong one.
+            MessageType::Refusal { id } if *id == request.id || *id == 0 => {
+                let reason =
+                    postcard::from_bytes(payload).map_err(|_| PeerError::Malformed { from: to() })?;
+                if reason == RefusalReason::InvalidToken && header.from.name == request.to {
+                    self.context.core.borrow_mut().on_token_refusal(&envelope, &header, address);
+                }
+                Err(PeerError::Refused { to: to(), reason })
+            }
+            _ => Err(PeerError::Malformed { from: to() }),
+        }
+    }
+
+    fn with_peer<T>(&self, name: &str, act: impl FnOnce(&mut PeerConnections) -> T) -> T {
+        let mut peers = self.peers.borrow_mut();
+        if !peers.contains_key(name) {
+            // Bounded by the addresses known: names without one are dropped when a new one comes.
+            let core = self.context.core.borrow();
+            peers.retain(|name, peer| peer.in_flight > 0 || core.address(name).is_some());
+            peers.insert(name.into(), self.new_peer(name));
+        }
+        act(peers.get_mut(name).expect("inserted above, if it was missing"))
+    }
+
+    fn new_peer(&self, name: &str) -> PeerConnections {
+        let (limits, timing) = (&self.context.options.limits, &self.context.options.timing);
+        let seed = self.context.options.seed ^ name_seed(name);
+        PeerConnections {
+            in_flight: 0,
+            slots: Arc::new(Semaphore::new(limits.max_connections_per_peer)),
+            backoff: Backoff::new(timing.initial_backoff_seconds, timing.max_backoff_seconds, seed),
+        }
+    }
+}
+
+/// A number that differs between names, so that peers do not back off in step.
+fn name_seed(name: &str) -> u64 {
+    let hash = blake3::hash(name.as_bytes());
+    u64::from_le_bytes(hash.as_bytes()[..8].try_into().expect("eight of thirty-two"))
+}
+
+/// The innermost error: what the system said.
+fn root_cause(error: &dyn std::error::Error) -> String {
+    let mut error = error;
+    while let Some(source) = error.source() {
+        error = source;
+    }
+    error.to_string()
+}
+
+/// Counts one request to a peer as ended, however it ends.
+struct InFlightGuard<'a> {
+    client: &'a Client,
+    to: &'a str,
+}
+
+impl Drop for InFlightGuard<'_> {
+    fn drop(&mut self) {
+        self.client.with_peer(self.to, |peer| peer.in_flight = peer.in_flight.saturating_sub(1));
+    }
+}
--- /dev/null
+++ b/crates/dunepond-membership/src/codec.rs
@@ -0,0 +1,114 @@
+//! The encoding of messages: a version byte, from version 2 on the sender's range of versions and a sequence number, the header, the
+//! payload, and a message authentication code if the fleet has a key. Version and range come first in every version that will ever be, so
+//! that they can be read whatever follows.
+
+use crate::error::PeerError;
+use crate::messages::{Envelope, Message, MessageHeader};
+use crate::version::{FIRST_VERSION_WITH_RANGE, VersionRange};
+
+const MIN_KEY_BYTES: usize = 16;
+const MAC_BYTES: usize = 32;
+/// The domain of the derived key. Part of the wire format.
+const KEY_CONTEXT: &str = "dunepond peers, messages, 1";
+/// Version byte and range, in versions that state a range.
+const RANGE_PREFIX_BYTES: usize = 3;
+const PLAIN_DATA: &str = "plain data always serialises to memory";
+
+/// What envelope, header and authentication code take at most; the rest of a datagram is gossip.
+pub(crate) const MAX_OVERHEAD_BYTES: usize = 256;
+
+/// Signs and verifies messages with the fleet's key, if it has one. Whoever holds the key can sign in any name: it keeps strangers out,
+/// not one member from another's name.
+#[derive(Clone)]
+pub struct Authenticator(Option<[u8; 32]>);
+
+impl Authenticator {
+    /// Of the fleet's key, or of none. The error is a key that is too short.
+    pub fn new(key: Option<&str>) -> Result<Authenticator, PeerError> {
+        match key {
+            Some(key) if key.len() < MIN_KEY_BYTES => {
+                Err(PeerError::KeyTooShort { bytes: key.len(), min_bytes: MIN_KEY_BYTES })
+            }
+            Some(key) => Ok(Authenticator(Some(blake3::derive_key(KEY_CONTEXT, key.as_bytes())))),
+            None => Ok(Authenticator(None)),
+        }
+    }
+
+    /// Whether messages are authenticated at all.
+    pub fn has_key(&self) -> bool {
+        self.0.is_some()
+    }
+
+    fn sign(&self, bytes: &mut Vec<u8>) {
+        if let Some(key) = &self.0 {
+            let mac = blake3::keyed_hash(key, bytes);
+            bytes.extend_from_slice(mac.as_bytes());
+        }
+    }
+
+    /// The message without its authentication code, which is compared in constant time.
+    fn verify<'a>(&self, bytes: &'a [u8], from: &str) -> Result<&'a [u8], PeerError> {
+        let Some(key) = &self.0 else { return Ok(bytes) };
+        let malformed = || PeerError::Malformed { from: from.into() };
+        let mac_start = bytes.len().checked_sub(MAC_BYTES).ok_or_else(malformed)?;
+        let (message, mac) = bytes.split_at(mac_start);
+        if blake3::Hash::from_slice(mac).map_err(|_| malformed())? != blake3::keyed_hash(key, message) {
+            return Err(PeerError::AuthenticationFailed { from: from.into() });
+        }
+        Ok(message)
+    }
+}
+
+/// The version of an encoded message and the range of its sender, readable or not; None for what makes no sense.
+pub fn peek_version(bytes: &[u8]) -> Option<(u8, VersionRange)> {
+    match *bytes {
+        [version, min, max, ..] if version >= FIRST_VERSION_WITH_RANGE => {
+            (min <= version && version <= max).then_some((version, VersionRange { min, max }))
+        }
+        // Version 1, or cut short: no range is stated.
+        [version, ..] => Some((version, VersionRange::exactly(version))),
+        [] => None,
+    }
+}
+
+/// Encodes a message in `envelope.version`, which is one of [`VersionRange::SUPPORTED`].
+pub fn encode(
+    envelope: &Envelope,
+    header: &MessageHeader,
+    payload: &[u8],
+    authenticator: &Authenticator,
+) -> Vec<u8> {
+    let mut bytes = vec![envelope.version];
+    if envelope.version >= FIRST_VERSION_WITH_RANGE {
+        bytes.extend([envelope.supported.min, envelope.supported.max]);
+        bytes = postcard::to_extend(&envelope.sequence, bytes).expect(PLAIN_DATA);
+    }
+    bytes = postcard::to_extend(header, bytes).expect(PLAIN_DATA);
+    bytes.extend_from_slice(payload);
+    authenticator.sign(&mut bytes);
+    bytes
+}
+
+/// Decodes a message from `from` (an address or a name, for the error) in a version of `supported`. Nothing but the version is looked at
+/// before the authentication code is verified.
+pub fn decode<'a>(
+    bytes: &'a [u8],
+    authenticator: &Authenticator,
+    from: &str,
+    supported: VersionRange,
+) -> Result<Message<'a>, PeerError> {
+    let malformed = || PeerError::Malformed { from: from.into() };
+    let (version, theirs) = peek_version(bytes).ok_or_else(malformed)?;
+    if !supported.contains(version) {
+        return Err(PeerError::UnsupportedVersion { from: from.into(), theirs, ours: supported });
+    }
+    let message = authenticator.verify(bytes, from)?;
+    let (sequence, rest) = if version >= FIRST_VERSION_WITH_RANGE {
+        let after_range = message.get(RANGE_PREFIX_BYTES..).ok_or_else(malformed)?;
+        postcard::take_from_bytes(after_range).map_err(|_| malformed())?
+    } else {
+        (0, message.get(1..).ok_or_else(malformed)?)
+    };
+    let (header, payload) = postcard::take_from_bytes(rest).map_err(|_| malformed())?;
+    Ok(Message { envelope: Envelope { version, supported: theirs, sequence }, header, payload })
+}
--- /dev/null
+++ b/crates/dunepond-membership/src/core/freshness.rs
@@ -0,0 +1,183 @@
+//! Replay protection. A recorded message can be delivered an hour later, to the same incarnation of its receiver or to the next, with its
+//! sender long down.
+//!
+//! So from version 2 on each datagram echoes the address token of its receiver's current incarnation, which no earlier message has, and a
+//! sequence number that an incarnation accepts once. A sender without the token gets it in a hello that echoes *its* token, and nothing of
+//! its message is used. With a key the same holds for requests; without one, for requests of senders that have echoed the token.
+
+use super::{Actions, Core};
+use crate::error::PeerError;
+use crate::messages::{Envelope, MessageHeader, MessageType};
+use crate::sender_auth::Transport;
+use crate::version::FIRST_VERSION_WITH_RANGE;
+use std::net::SocketAddr;
+
+/// Hellos in a second, to each configured peer and to all others together.
+const MAX_HELLOS_PER_SECOND: u32 = 20;
+/// What was sent without the receiver's token is sent again this long after at most.
+const RESEND_WINDOW_SECONDS: f64 = 1.0;
+
+/// Gossip that was sent without the receiver's address token.
+pub(super) struct SentGossip {
+    sent_at: f64,
+    payload: Vec<u8>,
+}
+
+fn requires_token(envelope: &Envelope) -> bool {
+    envelope.version >= FIRST_VERSION_WITH_RANGE
+}
+
+impl Core {
+    /// Verifies a request that came over a connection from `source`: its sender, that it is no replay, and its rate.
+    pub fn authenticate_request(
+        &mut self,
+        now: f64,
+        envelope: &Envelope,
+        header: &MessageHeader,
+        source: SocketAddr,
+    ) -> Result<(), PeerError> {
+        self.advance_clock(now);
+        let from = &header.from;
+        let member = self.active_member(&from.name);
+        self.sender_policy.verify_sender(from, source, Transport::Connection, member)?;
+        let active = member.map_or(0, |member| member.incarnation);
+        self.incarnations.check_not_stale(from, active, self.now)?;
+        let has_key = self.sender_policy.has_key;
+        let with_token = requires_token(envelope);
+        let echoes_ours = header.echoed_token == self.incarnations.token_for(&from.name);
+        if has_key && with_token && !echoes_ours {
+            return Err(PeerError::InvalidToken { name: from.name.clone() });
+        }
+        if !has_key && !self.may_request_without_key(header, with_token, echoes_ours) {
+            return Err(PeerError::UnverifiedSender { from: source.to_string(), name: from.name.clone() });
+        }
+        if has_key || with_token && echoes_ours {
+            self.record_heard(envelope, header)?;
+        }
+        if with_token && echoes_ours && !self.incarnations.record_sequence(header, envelope.sequence) {
+            return Err(PeerError::Replayed { name: from.name.clone() });
+        }
+        let per_second = self.limits.max_requests_per_second;
+        if !self.request_limiter.admit(&from.name, per_second, self.now) {
+            return Err(PeerError::RateLimited { name: from.name.clone(), per_second });
+        }
+        Ok(())
+    }
+
+    /// Without a key: a member was heard from its own address, so a request in its name must be of that incarnation and echo the token that
+    /// went to that address, once the member has echoed it. Of a name that is no member less can be known, and its requests change nothing here.
+    fn may_request_without_key(&self, header: &MessageHeader, with_token: bool, echoes_ours: bool) -> bool {
+        let from = &header.from;
+        let is_that_member = self.active_member(&from.name).is_none_or(|member| {
+            member.incarnation == from.incarnation && (echoes_ours || !self.incarnations.has_echoed(from))
+        });
+        // A token that is not ours was issued by an earlier incarnation of this broker.
+        let echoes_earlier = with_token && header.echoed_token != 0 && !echoes_ours;
+        is_that_member && !echoes_earlier
+    }
+
+    /// The address token that a refusal to `name` carries. Over a connection only under a key: there an address proves nothing.
+    pub fn token_in_refusal(&self, name: &str) -> u64 {
+        if self.sender_policy.has_key { self.incarnations.token_for(name) } else { 0 }
+    }
+
+    /// Stores the token that came with a refusal, over a connection to `address` and under a key.
+    pub fn on_token_refusal(&mut self, envelope: &Envelope, header: &MessageHeader, address: SocketAddr) {
+        if self.sender_policy.has_key
+            && self.verify_membership_sender(header, address).is_ok()
+            && self.record_heard(envelope, header).is_ok()
+        {
+            self.incarnations.record_tokens(&header.from.name, header.issued_token, 0);
+        }
+    }
+
+    /// Whether a message from there may change the membership, and is for this broker. Changes nothing.
+    pub(super) fn verify_membership_sender(
+        &self,
+        header: &MessageHeader,
+        source: SocketAddr,
+    ) -> Result<(), PeerError> {
+        let member = self.active_member(&header.from.name);
+        self.sender_policy.verify_sender(&header.from, source, Transport::Datagram, member)?;
+        if header.to != self.local_id().name {
+            return Err(PeerError::WrongRecipient { to: header.to.clone() });
+        }
+        let active = member.map_or(0, |member| member.incarnation);
+        self.incarnations.check_not_stale(&header.from, active, self.now)
+    }
+
+    /// Records that this incarnation sent a message.
+    pub(super) fn record_heard(
+        &mut self,
+        envelope: &Envelope,
+        header: &MessageHeader,
+    ) -> Result<(), PeerError> {
+        let configured = self.is_configured(&header.from.name);
+        self.incarnations.record_heard(&header.from, configured, envelope, self.now)
+    }
+
+    /// Whether a datagram is for our current incarnation, and received for the first time. A sender that lacks our token is sent a hello;
+    /// any other is recorded as heard.
+    pub(super) fn check_fresh(
+        &mut self,
+        envelope: &Envelope,
+        header: &MessageHeader,
+        received_bytes: usize,
+        actions: &mut Actions,
+    ) -> Result<(), PeerError> {
+        let name = &header.from.name;
+        let with_token = requires_token(envelope);
+        if with_token && header.echoed_token != self.incarnations.token_for(name) {
+            self.send_hello(envelope, header, received_bytes, actions);
+            return Err(PeerError::InvalidToken { name: name.clone() });
+        }
+        self.record_heard(envelope, header)?;
+        if with_token && !self.incarnations.record_sequence(header, envelope.sequence) {
+            return Err(PeerError::Replayed { name: name.clone() });
+        }
+        Ok(())
+    }
+
+    /// Sends our token to the sender of a datagram that lacks it.
+    fn send_hello(
+        &mut self,
+        envelope: &Envelope,
+        header: &MessageHeader,
+        received_bytes: usize,
+        actions: &mut Actions,
+    ) {
+        let name = &header.from.name;
+        let configured = self.sender_policy.known_peers.get(name).copied();
+        let hello =
+            MessageHeader { echoed_token: header.issued_token, ..self.header_for(name, MessageType::Hello) };
+        let limited_as = if configured.is_some() { name.as_str() } else { "" };
+        if !self.hello_limiter.admit(limited_as, MAX_HELLOS_PER_SECOND, self.now) {
+            return;
+        }
+        let bytes = self.encode(envelope.version, &hello, &[]);
+        // Never more than what came: else a forged source address would make us amplify traffic to it.
+        if bytes.len() <= received_bytes {
+            actions.datagrams.push((configured.unwrap_or(header.from.listen_address), bytes));
+        }
+    }
+
+    /// Keeps gossip that was sent without the receiver's token.
+    pub(super) fn keep_for_resend(&mut self, name: String, payload: &[u8]) {
+        let kept = &mut self.unverified_gossip;
+        if kept.len() < self.limits.max_members || kept.contains_key(&name) {
+            kept.insert(name, SentGossip { sent_at: self.now, payload: payload.to_vec() });
+        }
+    }
+
+    /// Sends again what was rejected for want of the token that has just come.
+    pub(super) fn resend_gossip(&mut self, name: &str, actions: &mut Actions) {
+        let Some(sent) = self.unverified_gossip.remove(name) else { return };
+        if self.now - sent.sent_at >= RESEND_WINDOW_SECONDS {
+            return;
+        }
+        let Some(address) = self.address(name) else { return };
+        let header = self.header_for(name, MessageType::Gossip);
+        let bytes = self.encode(self.version_for(name), &header, &sent.payload);
+        actions.datagrams.push((address, bytes));
+    }
+}
--- /dev/null
+++ b/crates/dunepond-membership/src/core/liveness.rs
@@ -0,0 +1,163 @@
+//! Liveness checks over the request channel. A flood of datagrams crowds legitimate ones out of a socket, both ways, and a member behind it
+//! would be declared down though it lives. So a suspected configured peer is also asked over a connection, before the suspicion times out:
+//! it is told that it is suspected and responds as it would by datagram, with a higher incarnation number of the library's own, which is the
+//! one thing that refutes a suspicion. The library's own messages are carried, so nothing is accepted here that a datagram could not bring.
+
+use super::{Actions, Core};
+use crate::error::PeerError;
+use crate::identity::{PeerId, PeerState};
+use crate::messages::{Message, MessageHeader};
+use crate::request_kind::RequestKind;
+use foca::{Codec, Header, Member, Message as GossipKind, PostcardCodec, State};
+use rand::RngExt;
+use std::net::SocketAddr;
+
+/// The first check comes at a random moment within this part of the suspicion timeout: were all members to ask at once, they would crowd
+/// the suspected one, and the first response is gossiped to the others.
+const FIRST_CHECK_RATIO: f64 = 0.5;
+/// A check may take this part of the suspicion timeout, and the next one follows after another such part.
+const CHECK_TIMEOUT_RATIO: f64 = 0.25;
+/// Messages in one check or response, at most.
+const MAX_MESSAGES: usize = 8;
+
+/// One liveness check to carry out.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LivenessCheck {
+    /// The suspected member.
+    pub to: String,
+    /// The request's body.
+    pub body: Vec<u8>,
+    /// How long it may take, in seconds.
+    pub timeout_seconds: f64,
+}
+
+/// A suspected member that is to be checked, or is being checked.
+pub(super) struct PendingCheck {
+    due: f64,
+    in_flight: bool,
+}
+
+impl Core {
+    /// The checks that are due now; each ends in one call of [`Core::on_liveness_result`].
+    pub fn due_liveness_checks(&mut self) -> Vec<LivenessCheck> {
+        let now = self.now;
+        let mut names = Vec::new();
+        for (name, check) in &mut self.liveness_checks {
+            if !check.in_flight && check.due <= now {
+                check.in_flight = true;
+                names.push(name.clone());
+            }
+        }
+        let timeout_seconds = CHECK_TIMEOUT_RATIO * self.timing.suspicion_timeout_seconds;
+        let check =
+            |to: String| self.liveness_request(&to).map(|body| LivenessCheck { to, body, timeout_seconds });
+        names.into_iter().filter_map(check).collect()
+    }
+
+    /// Responds to a check that [`Core::authenticate_request`] let through: the response's body, and what else is to be done. It changes the
+    /// membership, unlike other requests, so without a key the sender must echo our token, whoever it is.
+    pub fn answer_liveness_check(
+        &mut self,
+        header: &MessageHeader,
+        body: &[u8],
+    ) -> Result<(Vec<u8>, Actions), PeerError> {
+        let from = &header.from;
+        let echoes_ours = header.echoed_token == self.incarnations.token_for(&from.name);
+        if !self.sender_policy.has_key && !echoes_ours {
+            let (from, name) = (from.listen_address.to_string(), from.name.clone());
+            return Err(PeerError::UnverifiedSender { from, name });
+        }
+        let mut actions = Actions::default();
+        let processed = self.process_messages(from, body);
+        let responses = self.collect_actions(&mut actions, Some(&from.name));
+        processed?;
+        let body = postcard::to_stdvec(&responses[..responses.len().min(MAX_MESSAGES)]);
+        Ok((body.expect("plain data always serialises to memory"), actions))
+    }
+
+    /// Processes the end of a check: what `to` responded from `address`, or nothing.
+    pub fn on_liveness_result(
+        &mut self,
+        now: f64,
+        to: &str,
+        address: SocketAddr,
+        response: Option<&Message<'_>>,
+    ) -> Actions {
+        self.advance_clock(now);
+        let mut actions = Actions::default();
+        if let Some(check) = self.liveness_checks.get_mut(to) {
+            check.in_flight = false;
+            check.due = self.now + CHECK_TIMEOUT_RATIO * self.timing.suspicion_timeout_seconds;
+        }
+        if let Some(response) = response {
+            actions.error = self.process_liveness_response(address, response).err();
+        }
+        self.collect_actions(&mut actions, None);
+        actions
+    }
+
+    fn process_liveness_response(
+        &mut self,
+        address: SocketAddr,
+        response: &Message<'_>,
+    ) -> Result<(), PeerError> {
+        self.verify_membership_sender(&response.header, address)?;
+        self.record_heard(&response.envelope, &response.header)?;
+        self.process_messages(&response.header.from, response.payload)
+    }
+
+    /// Schedules checks of suspected configured peers, and drops those of peers that are suspected no longer.
+    pub(super) fn update_liveness_checks(&mut self) {
+        let mut suspected = Vec::new();
+        for member in self.members.values().filter(|member| member.state == PeerState::Suspected) {
+            let name = &member.id.name;
+            let knows_checks = self.version_for(name) >= RequestKind::LivenessCheck.min_version();
+            if knows_checks && self.is_configured(name) {
+                suspected.push(name.clone());
+            }
+        }
+        self.liveness_checks.retain(|name, _| suspected.contains(name));
+        for name in suspected {
+            if !self.liveness_checks.contains_key(&name) {
+                let delay =
+                    self.rng.random_range(0.0..FIRST_CHECK_RATIO) * self.timing.suspicion_timeout_seconds;
+                self.liveness_checks.insert(name, PendingCheck { due: self.now + delay, in_flight: false });
+            }
+        }
+    }
+
+    pub(super) fn next_liveness_check_at(&self) -> f64 {
+        let waiting = self.liveness_checks.values().filter(|check| !check.in_flight);
+        waiting.map(|check| check.due).fold(f64::INFINITY, f64::min)
+    }
+
+    /// Two messages of the library: a ping that carries the suspicion, which the member refutes, and an announcement, which it answers even
+    /// if it has renewed its identity since.
+    fn liveness_request(&self, to: &str) -> Option<Vec<u8>> {
+        let member = self.foca.iter_membership_state().find(|member| member.id().name == to)?;
+        let dst = member.id();
+        let header =
+            |message| Header { src: self.local_id().clone(), src_incarnation: 0, dst: dst.clone(), message };
+        let mut codec = PostcardCodec;
+        let mut ping = Vec::new();
+        codec.encode_header(&header(GossipKind::Ping(0)), &mut ping).ok()?;
+        let update_count = 1u16;
+        ping.extend_from_slice(&update_count.to_be_bytes());
+        let suspicion = Member::new(dst.clone(), member.incarnation(), State::Suspect);
+        codec.encode_member(&suspicion, &mut ping).ok()?;
+        let mut announcement = Vec::new();
+        codec.encode_header(&header(GossipKind::Announce), &mut announcement).ok()?;
+        postcard::to_stdvec(&vec![ping, announcement]).ok()
+    }
+
+    fn process_messages(&mut self, sender: &PeerId, body: &[u8]) -> Result<(), PeerError> {
+        let from = sender.listen_address.to_string();
+        let malformed = || PeerError::Malformed { from: from.clone() };
+        let messages: Vec<&[u8]> = postcard::from_bytes(body).map_err(|_| malformed())?;
+        let max_bytes = self.limits.max_datagram_bytes;
+        if messages.len() > MAX_MESSAGES || messages.iter().any(|message| message.len() > max_bytes) {
+            return Err(malformed());
+        }
+        messages.into_iter().try_for_each(|message| self.process_gossip(sender, message, &from))
+    }
+}
--- /dev/null
+++ b/crates/dunepond-membership/src/core/mod.rs
@@ -0,0 +1,300 @@
+//! The membership without input and output: the gossip library `foca` with what it leaves to its user. That is verification of senders,
+//! limits on what peers can make us store, announcements to configured peers that are not members, and stalls of this process.
+//!
+//! The host passes in each datagram and calls [`Core::tick`] at [`Core::next_tick_at`] or earlier. Datagrams that wait in the socket go
+//! first: after a stall they show who is alive before any timer can say otherwise.
+
+mod changes;
+mod freshness;
+mod liveness;
+mod receive;
+mod versions;
+
+use crate::codec::{Authenticator, MAX_OVERHEAD_BYTES};
+use crate::error::PeerError;
+use crate::event::Event;
+use crate::identity::{Peer, PeerId, PeerState};
+use crate::incarnations::Incarnations;
+use crate::messages::{MessageHeader, MessageType};
+use crate::options::{Limits, MembershipOptions, Timing};
+use crate::rate_limit::RateLimiter;
+use crate::sender_auth::SenderPolicy;
+use crate::version::VersionRange;
+use foca::{AccumulatingRuntime, Foca, NoCustomBroadcast, PeriodicParams, PostcardCodec, Timer};
+use rand::RngExt;
+use rand_pcg::Pcg64;
+use rand_pcg::rand_core::SeedableRng;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::num::{NonZeroU8, NonZeroUsize};
+use std::time::Duration;
+
+pub use liveness::LivenessCheck;
+
+/// Members asked to probe for us, and members that one round of gossip goes to.
+const FANOUT_COUNT: usize = 3;
+/// Each update is passed on this often.
+const MAX_TRANSMISSIONS: u8 = 10;
+const GOSSIP_INTERVAL_SECONDS: f64 = 0.2;
+const REANNOUNCE_INTERVAL_SECONDS: f64 = 30.0;
+/// Members that are down are remembered for this long, so that old gossip does not bring them back.
+const DOWN_RETENTION_SECONDS: f64 = 120.0;
+/// Members that are down are announced to this often, which reaches those that no configuration names.
+const ANNOUNCE_TO_DOWN_INTERVAL_SECONDS: f64 = 15.0;
+const ANNOUNCE_TO_DOWN_COUNT: usize = 2;
+/// A tick comes at least this often, so that a stall can be told from having nothing to do.
+const MAX_TICK_INTERVAL_SECONDS: f64 = 0.25;
+/// Announcement intervals vary by this factor: brokers that started together must not announce together for ever.
+const ANNOUNCE_JITTER: std::ops::Range<f64> = 0.75..1.25;
+/// An earlier incarnation is refused for so many suspicion timeouts after a later one was heard.
+const STALE_RETENTION_TIMEOUTS: f64 = 2.0;
+
+/// What the host must do after a call.
+#[derive(Debug, Default)]
+pub struct Actions {
+    /// Datagrams to send.
+    pub datagrams: Vec<(SocketAddr, Vec<u8>)>,
+    /// Only `PeerUp`, `PeerSuspected` and `PeerDown`.
+    pub changes: Vec<Event>,
+    /// Why the message passed in, or a part of it, was rejected.
+    pub error: Option<PeerError>,
+}
+
+/// The state of the membership.
+pub struct Core {
+    foca: Foca<PeerId, PostcardCodec, Pcg64, NoCustomBroadcast>,
+    runtime: AccumulatingRuntime<PeerId>,
+    sender_policy: SenderPolicy,
+    authenticator: Authenticator,
+    limits: Limits,
+    timing: Timing,
+    rng: Pcg64,
+    /// The latest time passed in, in seconds.
+    now: f64,
+    timers: Vec<ScheduledTimer>,
+    timers_scheduled: u64,
+    next_announce_at: f64,
+    members: BTreeMap<String, MemberRecord>,
+    incarnations: Incarnations,
+    /// Liveness checks by the name of the suspected member.
+    liveness_checks: BTreeMap<String, liveness::PendingCheck>,
+    versions: versions::VersionState,
+    sequences: versions::SequenceNumbers,
+    /// By name, for peers whose address token we lack: sent again once the token is there.
+    unverified_gossip: BTreeMap<String, freshness::SentGossip>,
+    datagram_limiter: RateLimiter,
+    request_limiter: RateLimiter,
+    refusal_limiter: RateLimiter,
+    hello_limiter: RateLimiter,
+    /// The library has processed something since its members were last compared.
+    members_stale: bool,
+}
+
+/// A timer of the library. Late timers run by due time and then in the library's own order, as none may overtake another.
+struct ScheduledTimer {
+    due: f64,
+    order: u64,
+    timer: Timer<PeerId>,
+}
+
+/// A member as last reported to the caller.
+#[derive(Clone)]
+struct MemberRecord {
+    id: PeerId,
+    state: PeerState,
+}
+
+fn duration(seconds: f64) -> Duration {
+    Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
+}
+
+fn at_least_one(count: usize) -> NonZeroUsize {
+    NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN)
+}
+
+fn gossip_config(limits: &Limits, timing: &Timing) -> foca::Config {
+    let periodic = |interval_seconds: f64, members: usize| {
+        Some(PeriodicParams { frequency: duration(interval_seconds), num_members: at_least_one(members) })
+    };
+    foca::Config {
+        probe_period: duration(timing.probe_interval_seconds),
+        probe_rtt: duration(timing.probe_timeout_seconds),
+        num_indirect_probes: at_least_one(FANOUT_COUNT),
+        max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
+        suspect_to_down_after: duration(timing.suspicion_timeout_seconds),
+        remove_down_after: Some(duration(DOWN_RETENTION_SECONDS)),
+        max_packet_size: at_least_one(limits.max_datagram_bytes - MAX_OVERHEAD_BYTES),
+        notify_down_members: true,
+        periodic_announce: periodic(REANNOUNCE_INTERVAL_SECONDS, 1),
+        periodic_announce_to_down_members: periodic(
+            ANNOUNCE_TO_DOWN_INTERVAL_SECONDS,
+            ANNOUNCE_TO_DOWN_COUNT,
+        ),
+        periodic_gossip: periodic(GOSSIP_INTERVAL_SECONDS, FANOUT_COUNT),
+    }
+}
+
+impl Core {
+    /// `options.listen_address` must have its final port. `token_secret` is of this incarnation, and no other process can guess it.
+    pub fn new(options: &MembershipOptions, token_secret: [u8; 32], now: f64) -> Result<Core, PeerError> {
+        let authenticator = Authenticator::new(options.key.as_deref())?;
+        let sender_policy = SenderPolicy::new(&options.name, authenticator.has_key(), &options.known_peers)?;
+        options.check()?;
+        let (limits, timing) = (&options.limits, &options.timing);
+        let local_id = PeerId {
+            name: options.name.clone(),
+            incarnation: options.incarnation,
+            renewals: 0,
+            listen_address: options.listen_address,
+        };
+        let stale_retention = STALE_RETENTION_TIMEOUTS * timing.suspicion_timeout_seconds;
+        Ok(Core {
+            foca: Foca::new(
+                local_id,
+                gossip_config(limits, timing),
+                Pcg64::seed_from_u64(options.seed),
+                PostcardCodec,
+            ),
+            runtime: AccumulatingRuntime::new(),
+            sender_policy,
+            authenticator,
+            limits: limits.clone(),
+            timing: timing.clone(),
+            rng: Pcg64::seed_from_u64(!options.seed),
+            now,
+            timers: Vec::new(),
+            timers_scheduled: 0,
+            next_announce_at: now,
+            members: BTreeMap::new(),
+            incarnations: Incarnations::new(token_secret, stale_retention, limits.max_members),
+            liveness_checks: BTreeMap::new(),
+            versions: versions::VersionState::new(options.supported_versions, now),
+            sequences: versions::SequenceNumbers::default(),
+            unverified_gossip: BTreeMap::new(),
+            datagram_limiter: RateLimiter::default(),
+            request_limiter: RateLimiter::default(),
+            refusal_limiter: RateLimiter::default(),
+            hello_limiter: RateLimiter::default(),
+            members_stale: false,
+        })
+    }
+
+    /// This broker's identity.
+    pub fn local_id(&self) -> &PeerId {
+        self.foca.identity()
+    }
+
+    /// All members by name, those that went down lately included.
+    pub fn members(&self) -> Vec<Peer> {
+        self.members.values().map(|member| Peer::new(&member.id, member.state)).collect()
+    }
+
+    /// Where to send what is for `name`: its configured address, else the one it states as a member.
+    pub fn address(&self, name: &str) -> Option<SocketAddr> {
+        let configured = self.sender_policy.known_peers.get(name).copied();
+        configured.or_else(|| self.members.get(name).map(|member| member.id.listen_address))
+    }
+
+    /// When the next tick is due at the latest, in seconds.
+    pub fn next_tick_at(&self) -> f64 {
+        let first = self.timers.iter().map(|timer| timer.due).fold(self.next_announce_at, f64::min);
+        let first = first.min(self.next_liveness_check_at());
+        first.clamp(self.now, self.now + MAX_TICK_INTERVAL_SECONDS)
+    }
+
+    /// Runs the timers that are due.
+    pub fn tick(&mut self, now: f64) -> Actions {
+        self.advance_clock(now);
+        let mut actions = Actions::default();
+        // Timers that these schedule for now wait for the next tick, so that this loop ends.
+        for timer in self.take_due_timers() {
+            // A late timer can find its probe cycle over: the library reports an error and begins the next cycle.
+            let _ = self.foca.handle_timer(timer, &mut self.runtime);
+        }
+        if self.now >= self.next_announce_at {
+            let jitter = self.rng.random_range(ANNOUNCE_JITTER);
+            self.next_announce_at = self.now + self.timing.announce_interval_seconds * jitter;
+            self.announce_to_absent();
+            self.send_hello_to_older(&mut actions);
+        }
+        self.collect_actions(&mut actions, None);
+        actions
+    }
+
+    /// Tells the members that this broker leaves. Nothing else may be called afterwards.
+    pub fn leave(&mut self, now: f64) -> Actions {
+        self.advance_clock(now);
+        let mut actions = Actions::default();
+        let _ = self.foca.leave_cluster(&mut self.runtime);
+        self.collect_actions(&mut actions, None);
+        actions
+    }
+
+    /// The header of a message to `to`. Our address token goes only into datagrams, since they go to the peer's own address.
+    pub fn header_for(&self, to: &str, message_type: MessageType) -> MessageHeader {
+        let is_datagram = matches!(message_type, MessageType::Gossip | MessageType::Hello);
+        let is_request = matches!(message_type, MessageType::Request { .. });
+        let issued_token = if is_datagram { self.incarnations.token_for(to) } else { 0 };
+        let echoed_token = if is_datagram || is_request { self.incarnations.token_from(to) } else { 0 };
+        MessageHeader {
+            from: self.local_id().clone(),
+            to: to.into(),
+            issued_token,
+            echoed_token,
+            message_type,
+        }
+    }
+
+    /// The address token that `name` issued to us, 0 if none; a request to it must echo it.
+    pub fn token_from(&self, name: &str) -> u64 {
+        self.incarnations.token_from(name)
+    }
+
+    /// The versions that this broker speaks.
+    pub fn supported_versions(&self) -> VersionRange {
+        self.versions.supported
+    }
+
+    /// Signs and verifies the fleet's messages.
+    pub fn authenticator(&self) -> &Authenticator {
+        &self.authenticator
+    }
+
+    /// Moves the clock. After a stall, timers are extended by its length: peers went unheard because we did not listen.
+    fn advance_clock(&mut self, now: f64) {
+        let gap = now - self.now;
+        if gap > self.timing.stall_threshold_seconds {
+            self.timers.iter_mut().for_each(|timer| timer.due += gap);
+        }
+        self.now = self.now.max(now);
+    }
+
+    fn take_due_timers(&mut self) -> Vec<Timer<PeerId>> {
+        let now = self.now;
+        let (mut due, later): (Vec<_>, Vec<_>) = self.timers.drain(..).partition(|timer| timer.due <= now);
+        self.timers = later;
+        due.sort_by(|a, b| a.due.total_cmp(&b.due).then(a.timer.cmp(&b.timer)).then(a.order.cmp(&b.order)));
+        due.into_iter().map(|scheduled| scheduled.timer).collect()
+    }
+
+    /// Announces this broker to each configured peer that is not a member, at its configured address.
+    fn announce_to_absent(&mut self) {
+        let is_absent = |name: &&String| self.active_member(name).is_none();
+        let names: Vec<String> = self.sender_policy.known_peers.keys().filter(is_absent).cloned().collect();
+        for name in names {
+            let listen_address = self.sender_policy.known_peers[&name];
+            let peer = PeerId { name, incarnation: 0, renewals: 0, listen_address };
+            let _ = self.foca.announce(peer, &mut self.runtime);
+        }
+    }
+
+    /// The identity under this name that is not down.
+    fn active_member(&self, name: &str) -> Option<&PeerId> {
+        let member = self.members.get(name)?;
+        (member.state != PeerState::Down).then_some(&member.id)
+    }
+
+    fn is_configured(&self, name: &str) -> bool {
+        self.sender_policy.known_peers.contains_key(name)
+    }
+}
--- /dev/null
+++ b/crates/dunepond-membership/src/core/receive.rs
@@ -0,0 +1,165 @@
+//! Datagrams: decoded, verified, rate-limited, filtered, and passed to the gossip library.
+
+use super::{Actions, Core};
+use crate::codec::decode;
+use crate::error::PeerError;
+use crate::gossip::GossipMessage;
+use crate::identity::PeerId;
+use crate::messages::MessageType;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// Refusals sent by datagram in a second, over all peers.
+const MAX_REFUSALS_PER_SECOND: u32 = 10;
+
+/// A datagram after filtering.
+struct FilteredGossip {
+    payload: Vec<u8>,
+    /// Why the last update that is an error was dropped.
+    error: Option<PeerError>,
+}
+
+impl Core {
+    /// Processes a datagram that came from `source`.
+    pub fn on_datagram(&mut self, now: f64, source: SocketAddr, bytes: &[u8]) -> Actions {
+        self.advance_clock(now);
+        let mut actions = Actions::default();
+        if let Err(error) = self.process_datagram(source, bytes, &mut actions) {
+            self.refuse_datagram(source, &error, bytes, &mut actions);
+            actions.error = Some(error);
+        }
+        // Nearly all of a flood ends above: comparing all members for each such datagram would multiply its cost.
+        if self.members_stale {
+            self.collect_actions(&mut actions, None);
+        }
+        actions
+    }
+
+    fn process_datagram(
+        &mut self,
+        source: SocketAddr,
+        bytes: &[u8],
+        actions: &mut Actions,
+    ) -> Result<(), PeerError> {
+        let from = source.to_string();
+        let malformed = || PeerError::Malformed { from: source.to_string() };
+        let max_bytes = self.limits.max_datagram_bytes;
+        if bytes.len() > max_bytes {
+            let to = self.local_id().name.clone();
+            return Err(PeerError::TooLarge { to, bytes: bytes.len(), max_bytes });
+        }
+        let message = decode(bytes, &self.authenticator, &from, self.supported_versions())?;
+        self.verify_membership_sender(&message.header, source)?;
+        self.check_fresh(&message.envelope, &message.header, bytes.len(), actions)?;
+        let (header, payload) = (message.header, message.payload);
+        let name = &header.from.name;
+        let per_second = self.limits.max_datagrams_per_second;
+        if !self.datagram_limiter.admit(name, per_second, self.now) {
+            return Err(PeerError::RateLimited { name: name.clone(), per_second });
+        }
+        match header.message_type {
+            MessageType::Gossip => {
+                self.incarnations.record_tokens(name, header.issued_token, header.echoed_token);
+                self.process_gossip(&header.from, payload, &from)
+            }
+            MessageType::Hello => {
+                self.incarnations.record_tokens(name, header.issued_token, header.echoed_token);
+                self.resend_gossip(name, actions);
+                Ok(())
+            }
+            MessageType::Refusal { .. } => {
+                let reason = postcard::from_bytes(payload).map_err(|_| malformed())?;
+                Err(PeerError::Refused { to: header.from.name, reason })
+            }
+            MessageType::Request { .. } | MessageType::Response { .. } => Err(malformed()),
+        }
+    }
+
+    /// Passes one message of a verified sender to the library. The error is what was rejected, which may be a part of the message only.
+    pub(super) fn process_gossip(
+        &mut self,
+        sender: &PeerId,
+        payload: &[u8],
+        from: &str,
+    ) -> Result<(), PeerError> {
+        let filtered = self.filter_gossip(sender, payload, from)?;
+        self.members_stale = true;
+        let handled = self.foca.handle_data(&filtered.payload, &mut self.runtime);
+        handled.map_err(|error| PeerError::Gossip { from: from.into(), reason: error.to_string() })?;
+        filtered.error.map_or(Ok(()), Err)
+    }
+
+    /// Drops the updates about third parties that the sender policy does not accept.
+    fn filter_gossip(
+        &self,
+        sender: &PeerId,
+        payload: &[u8],
+        from: &str,
+    ) -> Result<FilteredGossip, PeerError> {
+        let mut gossip = GossipMessage::decode(payload, from)?;
+        let source = &gossip.header.src;
+        if source != sender {
+            return Err(PeerError::UnverifiedSender { from: from.into(), name: source.name.clone() });
+        }
+        self.check_member_limit(sender, &gossip)?;
+        let mut error = None;
+        gossip.retain_updates(|id| {
+            let active = self.active_member(&id.name);
+            match self.sender_policy.accepts_update(id, active, self.local_id(), from) {
+                Ok(accepted) => accepted,
+                Err(rejected) => {
+                    error = Some(rejected);
+                    false
+                }
+            }
+        });
+        Ok(FilteredGossip { payload: gossip.encode(), error })
+    }
+
+    /// Limits the names that no configuration has: unknown names must not crowd out configured ones.
+    fn check_member_limit(&self, sender: &PeerId, gossip: &GossipMessage<'_>) -> Result<(), PeerError> {
+        let is_unknown = |name: &str| name != self.local_id().name && !self.is_configured(name);
+        let is_new = |id: &&PeerId| is_unknown(&id.name) && !self.members.contains_key(&id.name);
+        let new: BTreeSet<&String> =
+            [sender].into_iter().chain(gossip.subjects()).filter(is_new).map(|id| &id.name).collect();
+        if new.is_empty() {
+            return Ok(());
+        }
+        let unknown = self.members.keys().filter(|name| is_unknown(name)).count();
+        let limit = self.limits.max_members;
+        if unknown + new.len() > limit { Err(PeerError::TooManyMembers { limit }) } else { Ok(()) }
+    }
+
+    /// Tells a configured peer, at its configured address, why its datagram was rejected. Other sources get no answer: their address may be
+    /// forged.
+    fn refuse_datagram(
+        &mut self,
+        source: SocketAddr,
+        error: &PeerError,
+        received: &[u8],
+        actions: &mut Actions,
+    ) {
+        // A refusal needs no answer, a missing token is answered by a hello, and a replay was not sent now.
+        let unanswered = matches!(
+            error,
+            PeerError::Refused { .. } | PeerError::InvalidToken { .. } | PeerError::Replayed { .. }
+        );
+        if unanswered {
+            return;
+        }
+        let known_peers = &self.sender_policy.known_peers;
+        let Some((name, address)) = known_peers.iter().find(|(_, address)| **address == source) else {
+            return;
+        };
+        let Some(reason) = error.refusal(&self.local_id().name) else { return };
+        let header = self.header_for(name, MessageType::Refusal { id: 0 });
+        let (address, version) = (*address, self.response_version(received));
+        let payload = postcard::to_stdvec(&reason.for_version(version)).unwrap_or_default();
+        let bytes = self.encode(version, &header, &payload);
+        // Shorter than what came, so that refusals of refusals die out.
+        let fits = bytes.len() < received.len();
+        if fits && self.refusal_limiter.admit("", MAX_REFUSALS_PER_SECOND, self.now) {
+            actions.datagrams.push((address, bytes));
+        }
+    }
+}
--- a/crates/dunepond-membership/src/core/versions.rs
+++ b/crates/dunepond-membership/src/core/versions.rs
@@ -1,90 +1,133 @@
-//! Which version is spoken to whom: the highest that both speak. A message states its sender's span from version 2 on; a program of
-//! version 1 is known by its messages, and by its refusals.
+//! Which protocol version is spoken to whom: the highest that both speak. A message states its sender's range from version 2 on; a program
+//! of version 1 is known by its messages, and by its refusals.
 //!
-//! A life is of one program, so what is known of it holds until the next life. Whoever is not known yet is spoken to in our highest: a
-//! newer one answers in what it shares, an older one refuses, and calls us by itself within a second.
+//! An incarnation is of one program, so what is known of it holds until the next one. A peer that is not known yet is spoken to in our
+//! highest version: a newer program answers in one it shares, an older one refuses, and announces itself within a second.
 
 use super::{Actions, Core};
-use crate::wire::{About, Envelope, Head, Seal, Span, frame, peek};
+use crate::codec::{encode, peek_version};
+use crate::messages::{Envelope, MessageHeader, MessageType};
+use crate::version::{FIRST_VERSION_WITH_RANGE, VersionRange};
+use std::collections::BTreeMap;
 
-/// Who spoke version 1 to us is told so often which versions we speak: it may be newer, and have taken us for an older program.
-const GREET: f64 = 10.0;
+/// Peers heard in version 1 only are sent a hello this often: they may be newer, and have taken us for an older program.
+const HELLO_INTERVAL_SECONDS: f64 = 10.0;
+/// Sequence numbers are kept for so many times the limit on members before those of names without an address are dropped.
+const SEQUENCES_PER_MEMBER: usize = 2;
 
-impl Core {
-    pub fn speaks(&self) -> Span {
-        self.speaks
-    }
+/// The versions we speak, and those we found out.
+pub(super) struct VersionState {
+    pub supported: VersionRange,
+    /// Of configured peers that were not heard yet, from their refusals.
+    assumed: BTreeMap<String, VersionRange>,
+    next_hello_at: f64,
+}
 
-    pub fn seal(&self) -> &Seal {
-        &self.seal
+impl VersionState {
+    pub fn new(supported: VersionRange, now: f64) -> VersionState {
+        VersionState { supported, assumed: BTreeMap::new(), next_hello_at: now }
     }
+}
+
+/// The sequence numbers last sent to one peer.
+#[derive(Clone, Copy, Default)]
+struct Sequences {
+    datagrams: u64,
+    requests: u64,
+}
+
+/// The sequence numbers last sent to each peer.
+#[derive(Default)]
+pub(super) struct SequenceNumbers {
+    by_name: BTreeMap<String, Sequences>,
+    /// Above all that were dropped: a name that comes back must not repeat its numbers, which would count as replays.
+    floor: Sequences,
+}
 
+impl Core {
     /// The version in which `name` is spoken to.
-    pub fn version_to(&self, name: &str) -> u8 {
-        let known = self.lives.speaks(name).map(|(span, _)| span).or(self.assumed.get(name).copied());
-        known.and_then(|span| span.common(self.speaks)).unwrap_or(self.speaks.most)
+    pub fn version_for(&self, name: &str) -> u8 {
+        let VersionState { supported, assumed, .. } = &self.versions;
+        let heard = self.incarnations.versions(name).map(|versions| versions.range);
+        let known = heard.or_else(|| assumed.get(name).copied());
+        known.and_then(|range| range.highest_common(*supported)).unwrap_or(supported.max)
     }
 
-    /// The version in which to answer `came`, readable or not: one that its sender reads, if there is one.
-    pub fn answer_in(&self, came: &[u8]) -> u8 {
-        match peek(came) {
-            Some((version, _)) if self.speaks.least <= version && version <= self.speaks.most => version,
-            Some((_, span)) => span.common(self.speaks).unwrap_or(self.speaks.most),
-            None => self.speaks.most,
+    /// The version in which to respond to `received`, readable or not: one that its sender reads, if there is one.
+    pub fn response_version(&self, received: &[u8]) -> u8 {
+        let supported = self.versions.supported;
+        match peek_version(received) {
+            Some((version, _)) if supported.contains(version) => version,
+            Some((_, range)) => range.highest_common(supported).unwrap_or(supported.max),
+            None => supported.max,
         }
     }
 
-    /// A name of the file has refused what we spoke and said what it speaks. True if there is a version in which to try again.
-    pub fn refused_version(&mut self, name: &str, speaks: Span) -> bool {
-        let had = self.version_to(name);
-        if self.belief.known.contains_key(name) && self.lives.speaks(name).is_none() {
-            self.assumed.insert(name.into(), speaks);
+    /// Records that a configured peer refused our version and stated its range. True if there is another version to try.
+    pub fn on_version_refused(&mut self, name: &str, range: VersionRange) -> bool {
+        let tried = self.version_for(name);
+        if self.is_configured(name) && self.incarnations.versions(name).is_none() {
+            self.versions.assumed.insert(name.into(), range);
         }
-        speaks.common(self.speaks).is_some() && self.version_to(name) != had
+        range.highest_common(self.versions.supported).is_some() && self.version_for(name) != tried
     }
 
-    /// `head` and `load` as a message in `version`, under the next count for its receiver.
-    pub fn framed(&mut self, version: u8, head: &Head, load: &[u8]) -> Vec<u8> {
-        let count = match head.about {
-            About::Members | About::Greeting => Some(0),
-            About::Ask { .. } => Some(1),
-            About::Answer { .. } | About::Refused { .. } => None,
-        };
-        let count = count.map_or(0, |kind| {
-            if !self.counts.contains_key(&head.to) && self.counts.len() > 2 * self.bounds.max_members {
-                self.forget_counts();
+    /// Encodes a message in `version`, under the next sequence number for its receiver.
+    pub fn encode(&mut self, version: u8, header: &MessageHeader, payload: &[u8]) -> Vec<u8> {
+        let sequence = match header.message_type {
+            MessageType::Gossip | MessageType::Hello => {
+                let sequences = self.sequences_to(&header.to);
+                sequences.datagrams += 1;
+                sequences.datagrams
             }
-            let counts = self.counts.entry(head.to.clone()).or_insert(self.floor);
-            counts[kind] += 1;
-            counts[kind]
-        });
-        frame(&Envelope { version, speaks: self.speaks, count }, head, load, &self.seal)
+            MessageType::Request { .. } => {
+                let sequences = self.sequences_to(&header.to);
+                sequences.requests += 1;
+                sequences.requests
+            }
+            MessageType::Response { .. } | MessageType::Refusal { .. } => 0,
+        };
+        let envelope = Envelope { version, supported: self.versions.supported, sequence };
+        encode(&envelope, header, payload, &self.authenticator)
+    }
+
+    fn sequences_to(&mut self, name: &str) -> &mut Sequences {
+        let by_name = &self.sequences.by_name;
+        if !by_name.contains_key(name) && by_name.len() > SEQUENCES_PER_MEMBER * self.limits.max_members {
+            self.drop_sequences();
+        }
+        let floor = self.sequences.floor;
+        self.sequences.by_name.entry(name.into()).or_insert(floor)
     }
 
-    /// Names without an address go; should one come back, its count goes on above all that were forgotten.
-    fn forget_counts(&mut self) {
-        let counts = std::mem::take(&mut self.counts);
-        for (name, counts) in counts {
+    /// Drops the sequence numbers of names without an address.
+    fn drop_sequences(&mut self) {
+        let by_name = std::mem::take(&mut self.sequences.by_name);
+        for (name, sequences) in by_name {
             if self.address(&name).is_some() {
-                self.counts.insert(name, counts);
+                self.sequences.by_name.insert(name, sequences);
             } else {
-                self.floor = [0, 1].map(|kind| self.floor[kind].max(counts[kind]));
+                let floor = &mut self.sequences.floor;
+                floor.datagrams = floor.datagrams.max(sequences.datagrams);
+                floor.requests = floor.requests.max(sequences.requests);
             }
         }
     }
 
-    /// Tells those who speak version 1, and may know more, what we speak.
-    pub(super) fn greet(&mut self, orders: &mut Actions) {
-        if self.now < self.greet_at || self.speaks.most < 2 {
+    /// Tells configured peers that were heard in version 1 only which versions we speak.
+    pub(super) fn send_hello_to_older(&mut self, actions: &mut Actions) {
+        let max = self.versions.supported.max;
+        if self.now < self.versions.next_hello_at || max < FIRST_VERSION_WITH_RANGE {
             return;
         }
-        self.greet_at = self.now + GREET;
-        let older = |name: &&String| matches!(self.lives.speaks(name), Some((_, false)));
-        let names: Vec<String> = self.belief.known.keys().filter(older).cloned().collect();
+        self.versions.next_hello_at = self.now + HELLO_INTERVAL_SECONDS;
+        let is_older =
+            |name: &&String| self.incarnations.versions(name).is_some_and(|versions| !versions.stated);
+        let names: Vec<String> = self.sender_policy.known_peers.keys().filter(is_older).cloned().collect();
         for name in names {
-            let head = self.head(&name, About::Greeting);
-            let bytes = self.framed(self.speaks.most, &head, &[]);
-            orders.datagrams.push((self.belief.known[&name], bytes));
+            let header = self.header_for(&name, MessageType::Hello);
+            let bytes = self.encode(max, &header, &[]);
+            actions.datagrams.push((self.sender_policy.known_peers[&name], bytes));
         }
     }
 }
--- a/crates/dunepond-membership/src/counters.rs
+++ b/crates/dunepond-membership/src/counters.rs
@@ -1,109 +1,131 @@
-//! Plain numbers that the host prints with its own: never decreasing, from the start of the process.
+//! Counters since the start of the process. The names under which they are printed are part of the operators' pages and stay as they are.
 
 use crate::error::PeerError;
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 macro_rules! counters {
-    ($($(#[$said:meta])* $name:ident,)*) => {
-        /// What was counted since the start.
+    ($($(#[$doc:meta])* $field:ident as $printed:literal,)*) => {
+        /// What was counted since the start; never decreasing.
         #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-        pub struct Counters { $($(#[$said])* pub $name: u64,)* }
+        pub struct Counters { $($(#[$doc])* #[serde(rename = $printed)] pub $field: u64,)* }
 
+        /// The counters as the thread writes them.
         #[derive(Default)]
-        pub(crate) struct Tally { $(pub $name: AtomicU64,)* }
+        pub(crate) struct CounterCells { $(pub $field: AtomicU64,)* }
 
         impl Counters {
-            /// Each by its name, for a line of a log.
+            /// Each with the name under which it is printed.
             pub fn list(&self) -> Vec<(&'static str, u64)> {
-                vec![$((stringify!($name), self.$name),)*]
+                vec![$(($printed, self.$field),)*]
             }
         }
 
-        impl Tally {
+        impl CounterCells {
             pub fn read(&self) -> Counters {
-                Counters { $($name: self.$name.load(Relaxed),)* }
+                Counters { $($field: self.$field.load(Relaxed),)* }
             }
         }
     };
 }
 
 counters! {
-    datagrams_in,
-    datagrams_out,
-    /// Asks of ours that were taken, and how they ended.
-    asks,
-    answered,
-    refused_by_peer,
-    late,
-    unreachable,
-    broken,
-    /// Asks that ended at once because the peer was left alone after failures.
-    rested,
-    /// Asks refused before they were taken: too many, too large.
-    not_taken,
-    /// Asks of others that the caller was given, and those it was not as there was no room.
-    asked,
-    asked_busy,
-    /// Suspected members that were asked for a sign of life over a connection, and how many gave one; asks for ours that were answered.
-    signs,
-    signs_came,
-    signs_given,
-    connections_in,
-    connections_refused,
-    /// What was not believed, by why.
-    garbled,
-    other_version,
-    claimed,
-    bad_seal,
-    stale,
-    /// Messages without the pass of our present life, and messages that were heard before.
-    unproven,
-    old,
-    not_us,
-    flood,
-    too_large,
-    full,
-    /// Refusals that we were sent over UDP: if this grows, our key, name or version is not that of the others.
-    refused_us,
-    /// Changes of the membership that the caller never saw one by one, as a later one of the same name overtook them.
-    coalesced,
+    /// Datagrams received.
+    datagrams_in as "datagrams_in",
+    /// Datagrams sent.
+    datagrams_out as "datagrams_out",
+    /// Own requests accepted; the following ones say how they ended.
+    requests_sent as "asks",
+    /// Own requests with a response.
+    responses as "answered",
+    /// Own requests that the peer refused.
+    refused_by_peer as "refused_by_peer",
+    /// Own requests without a response before the deadline.
+    timed_out as "late",
+    /// Own requests to peers that could not be reached.
+    unreachable as "unreachable",
+    /// Own requests whose connection was lost.
+    connections_lost as "broken",
+    /// Own requests that ended at once because the peer is in backoff.
+    backed_off as "rested",
+    /// Own requests that were not accepted: too many, too large.
+    requests_rejected as "not_taken",
+    /// Requests of peers that the caller received.
+    requests_received as "asked",
+    /// Requests of peers that were refused because a limit was reached.
+    requests_shed as "asked_busy",
+    /// Suspected members that were sent a liveness check.
+    liveness_checks_sent as "signs",
+    /// Liveness checks with a response.
+    liveness_checks_passed as "signs_came",
+    /// Liveness checks of peers that were answered.
+    liveness_checks_answered as "signs_given",
+    /// Connections from peers.
+    connections_in as "connections_in",
+    /// Connections from peers that were closed for want of room or of a verified request.
+    connections_refused as "connections_refused",
+    /// Messages rejected: cannot be decoded.
+    malformed as "garbled",
+    /// Messages rejected: protocol version not supported.
+    unsupported_version as "other_version",
+    /// Messages rejected: sender not verified.
+    unverified_sender as "claimed",
+    /// Messages rejected: wrong authentication code.
+    authentication_failed as "bad_seal",
+    /// Messages rejected: earlier incarnation.
+    stale_incarnation as "stale",
+    /// Messages rejected: without our current address token.
+    invalid_token as "unproven",
+    /// Messages rejected: received before.
+    replayed as "old",
+    /// Messages rejected: for another broker.
+    wrong_recipient as "not_us",
+    /// Messages rejected: sender above its rate.
+    rate_limited as "flood",
+    /// Messages rejected: larger than the limit.
+    too_large as "too_large",
+    /// Messages rejected: member table full.
+    too_many_members as "full",
+    /// Refusals received by datagram: if this grows, our key, name or version is not that of the others.
+    refusals_received as "refused_us",
+    /// Membership changes that the caller never saw one by one, since a later one of the same name replaced them in the queue.
+    coalesced as "coalesced",
 }
 
-pub(crate) fn add(counter: &AtomicU64) {
+pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Relaxed);
 }
 
-impl Tally {
-    /// Counts what was not believed of another.
-    pub fn disbelieved(&self, fault: &PeerError) {
-        match fault {
-            PeerError::Garbled { .. } | PeerError::Membership { .. } => add(&self.garbled),
-            PeerError::Version { .. } => add(&self.other_version),
-            PeerError::Claimed { .. } => add(&self.claimed),
-            PeerError::Seal { .. } => add(&self.bad_seal),
-            PeerError::Stale { .. } => add(&self.stale),
-            PeerError::Unproven { .. } => add(&self.unproven),
-            PeerError::Old { .. } => add(&self.old),
-            PeerError::NotUs { .. } => add(&self.not_us),
-            PeerError::Flood { .. } => add(&self.flood),
-            PeerError::TooLarge { .. } => add(&self.too_large),
-            PeerError::Full { .. } => add(&self.full),
-            PeerError::Refused { .. } => add(&self.refused_us),
-            _ => {}
-        }
+impl CounterCells {
+    /// Counts a message that was rejected.
+    pub fn record_rejected(&self, error: &PeerError) {
+        increment(match error {
+            PeerError::Malformed { .. } | PeerError::Gossip { .. } => &self.malformed,
+            PeerError::UnsupportedVersion { .. } => &self.unsupported_version,
+            PeerError::UnverifiedSender { .. } => &self.unverified_sender,
+            PeerError::AuthenticationFailed { .. } => &self.authentication_failed,
+            PeerError::StaleIncarnation { .. } => &self.stale_incarnation,
+            PeerError::InvalidToken { .. } => &self.invalid_token,
+            PeerError::Replayed { .. } => &self.replayed,
+            PeerError::WrongRecipient { .. } => &self.wrong_recipient,
+            PeerError::RateLimited { .. } => &self.rate_limited,
+            PeerError::TooLarge { .. } => &self.too_large,
+            PeerError::TooManyMembers { .. } => &self.too_many_members,
+            PeerError::Refused { .. } => &self.refusals_received,
+            _ => return,
+        });
     }
 
-    /// Counts the end of an ask of ours.
-    pub fn ended(&self, end: &Result<Vec<u8>, PeerError>) {
-        add(match end {
-            Ok(_) => &self.answered,
+    /// Counts the end of an own request.
+    pub fn record_response(&self, result: &Result<Vec<u8>, PeerError>) {
+        increment(match result {
+            Ok(_) => &self.responses,
             Err(PeerError::Refused { .. }) => &self.refused_by_peer,
-            Err(PeerError::Late { .. }) => &self.late,
+            Err(PeerError::Timeout { .. }) => &self.timed_out,
             Err(PeerError::Unreachable { .. }) => &self.unreachable,
-            Err(PeerError::Resting { .. }) => &self.rested,
-            Err(PeerError::Broken { .. }) => &self.broken,
-            Err(fault) => return self.disbelieved(fault),
+            Err(PeerError::BackingOff { .. }) => &self.backed_off,
+            Err(PeerError::ConnectionLost { .. }) => &self.connections_lost,
+            Err(error) => return self.record_rejected(error),
         });
     }
 }
--- /dev/null
+++ b/crates/dunepond-membership/src/gossip.rs
@@ -0,0 +1,64 @@
+//! Datagrams of the gossip library, taken apart so that updates about third parties can be filtered before the library sees any of them.
+
+use crate::error::PeerError;
+use crate::identity::PeerId;
+use foca::{Codec, Header, Member, PostcardCodec};
+
+/// What a datagram says about one member, with its encoding.
+struct Update<'a> {
+    member: Member<PeerId>,
+    encoded: &'a [u8],
+}
+
+/// One datagram of the library.
+pub(crate) struct GossipMessage<'a> {
+    pub header: Header<PeerId>,
+    encoded_header: &'a [u8],
+    updates: Vec<Update<'a>>,
+    has_update_count: bool,
+}
+
+impl<'a> GossipMessage<'a> {
+    pub fn decode(payload: &'a [u8], from: &str) -> Result<GossipMessage<'a>, PeerError> {
+        let malformed = || PeerError::Malformed { from: from.into() };
+        let mut rest = payload;
+        let header = PostcardCodec.decode_header(&mut rest).map_err(|_| malformed())?;
+        let encoded_header = &payload[..payload.len() - rest.len()];
+        let mut updates = Vec::new();
+        let has_update_count = !rest.is_empty();
+        if let [high, low, encoded_updates @ ..] = rest {
+            rest = encoded_updates;
+            for _ in 0..u16::from_be_bytes([*high, *low]) {
+                let before = rest;
+                let member: Member<PeerId> =
+                    PostcardCodec.decode_member(&mut rest).map_err(|_| malformed())?;
+                updates.push(Update { member, encoded: &before[..before.len() - rest.len()] });
+            }
+        }
+        // Members send nothing behind the updates: unread bytes would reach the library unfiltered.
+        if !rest.is_empty() {
+            return Err(malformed());
+        }
+        Ok(GossipMessage { header, encoded_header, updates, has_update_count })
+    }
+
+    /// The members that the datagram tells about.
+    pub fn subjects(&self) -> impl Iterator<Item = &PeerId> {
+        self.updates.iter().map(|update| update.member.id())
+    }
+
+    /// Drops the updates that `accept` refuses.
+    pub fn retain_updates(&mut self, mut accept: impl FnMut(&PeerId) -> bool) {
+        self.updates.retain(|update| accept(update.member.id()));
+    }
+
+    /// The datagram with the updates that are left.
+    pub fn encode(&self) -> Vec<u8> {
+        let mut bytes = self.encoded_header.to_vec();
+        if self.has_update_count {
+            bytes.extend_from_slice(&(self.updates.len() as u16).to_be_bytes());
+        }
+        self.updates.iter().for_each(|update| bytes.extend_from_slice(update.encoded));
+        bytes
+    }
+}
--- a/crates/dunepond-membership/src/lib.rs
+++ b/crates/dunepond-membership/src/lib.rs
@@ -1,29 +1,54 @@
-//! Who is there among brokers, and the links between them: membership with suspicion and incarnations over UDP (`foca`), and a
-//! channel of requests over HTTP/1.1 (`hyper`), on one thread of its own. What comes is handed on over a bounded channel; no call here
-//! waits, and no peer can make anything here grow without bound.
+//! Membership among brokers, and requests between them: a gossip protocol with suspicion and incarnations over UDP (`foca`), and a request
+//! channel over HTTP/1.1 (`hyper`), on one thread of its own. Events reach the caller over a bounded channel; no call waits for a peer, and
+//! no peer can make anything here grow without limit.
 //!
-//! [`Core`] is the pure part: it knows no socket, file, clock or thread. [`start`] is the host. Times are seconds (f64), sizes bytes.
-//! `docs/notes/membership.md` has the reasons.
+//! Brokers that agree on a configuration must reach each other while some are cut off, slow, stalled or down, and while something that is no
+//! broker, or one of another version, sends to the same port. None of it may hold up the loop that serves queries.
+//!
+//! [`Core`] is the part without input and output: it knows no socket, file, clock or thread. [`start`] runs it. Times are seconds (f64) on a
+//! steady clock, sizes are bytes. `docs/notes/membership.md` has the reasons.
+#![warn(missing_docs)]
 
-mod belief;
+mod backoff;
+mod client;
+mod codec;
+mod context;
 mod core;
 mod counters;
 mod error;
-mod hearsay;
-mod host;
-mod links;
-mod lives;
-mod rests;
-mod serve;
-mod terms;
-mod wire;
-mod words;
+mod event;
+mod event_loop;
+mod event_queue;
+mod gossip;
+mod handle;
+mod http;
+mod identity;
+mod incarnations;
+mod messages;
+mod options;
+mod rate_limit;
+mod refusal;
+mod replay;
+mod request_kind;
+mod sender_auth;
+mod server;
+mod shared;
+mod sockets;
+mod version;
 
-pub use belief::{Belief, LONGEST_NAME, Way};
-pub use core::{Actions, Core, Sign};
+pub use backoff::Backoff;
+pub use codec::{Authenticator, decode, encode, peek_version};
+pub use core::{Actions, Core, LivenessCheck};
 pub use counters::Counters;
-pub use error::{PeerError, RefusalReason};
-pub use host::{Bound, Peers, bind, start, start_on};
-pub use rests::{Gauge, Rests};
-pub use wire::{About, Code, Envelope, Head, Seal, Span, VERSION, frame, peek, unframe};
-pub use words::{Event, Id, Limits, MembershipOptions, Peer, PeerState, RequestKind, Responder, Timing};
+pub use error::PeerError;
+pub use event::{Event, Responder};
+pub use handle::{Peers, start, start_on};
+pub use identity::{Peer, PeerId, PeerState};
+pub use messages::{Envelope, Message, MessageHeader, MessageType};
+pub use options::{Limits, MembershipOptions, Timing};
+pub use rate_limit::RateLimiter;
+pub use refusal::RefusalReason;
+pub use request_kind::{KindCode, RequestKind};
+pub use sender_auth::{MAX_NAME_BYTES, SenderPolicy, Transport};
+pub use sockets::{BoundSockets, bind};
+pub use version::{PROTOCOL_VERSION, VersionRange};
--- /dev/null
+++ b/crates/dunepond-membership/src/rate_limit.rs
@@ -0,0 +1,34 @@
+//! Limits on messages a second.
+
+use std::collections::BTreeMap;
+
+/// A name that sent nothing for this long is dropped when a new one comes.
+const RETENTION_SECONDS: f64 = 60.0;
+const WINDOW_SECONDS: f64 = 1.0;
+
+struct Window {
+    start: f64,
+    count: u32,
+}
+
+/// Counts messages by name in windows of a second. Only verified names are counted, so it is as small as the membership.
+#[derive(Default)]
+pub struct RateLimiter {
+    windows: BTreeMap<String, Window>,
+}
+
+impl RateLimiter {
+    /// Counts a message. False if `name` has sent more than `max_per_second` within its current window.
+    pub fn admit(&mut self, name: &str, max_per_second: u32, now: f64) -> bool {
+        if !self.windows.contains_key(name) {
+            self.windows.retain(|_, window| now - window.start < RETENTION_SECONDS);
+            self.windows.insert(name.into(), Window { start: now, count: 0 });
+        }
+        let Some(window) = self.windows.get_mut(name) else { return false };
+        if now - window.start >= WINDOW_SECONDS {
+            *window = Window { start: now, count: 0 };
+        }
+        window.count = window.count.saturating_add(1);
+        window.count <= max_per_second
+    }
+}
--- /dev/null
+++ b/crates/dunepond-membership/src/sender_auth.rs
@@ -0,0 +1,119 @@
+//! Whether a sender is who it claims to be. With the fleet's key, the authentication code shows that the sender holds it. Without, only what
+//! the machine itself vouches for is accepted: a configured name sends from its configured address. On one machine no process can send from
+//! a UDP port that another one holds.
+
+use crate::error::PeerError;
+use crate::identity::PeerId;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// The longest name of a broker.
+pub const MAX_NAME_BYTES: usize = 64;
+
+/// How a message arrived: a datagram comes from the port its sender listens on, a connection from any port.
+#[derive(Clone, Copy, Debug)]
+pub enum Transport {
+    /// UDP.
+    Datagram,
+    /// TCP.
+    Connection,
+}
+
+/// Decides which senders, and which claims about third parties, are accepted.
+pub struct SenderPolicy {
+    pub(crate) local_name: String,
+    pub(crate) has_key: bool,
+    pub(crate) known_peers: BTreeMap<String, SocketAddr>,
+}
+
+pub(crate) fn is_valid_name(name: &str) -> bool {
+    let allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.:".contains(letter);
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(allowed)
+}
+
+impl SenderPolicy {
+    /// Of a fleet that has a key or not, and of its configured peers. Refuses names that do not fit, and two addresses for one name.
+    pub fn new(
+        local_name: &str,
+        has_key: bool,
+        known_peers: &[(String, SocketAddr)],
+    ) -> Result<SenderPolicy, PeerError> {
+        for name in known_peers.iter().map(|(name, _)| name.as_str()).chain([local_name]) {
+            if !is_valid_name(name) {
+                return Err(PeerError::InvalidName { name: name.into(), max_bytes: MAX_NAME_BYTES });
+            }
+        }
+        let mut addresses = BTreeMap::new();
+        for (name, address) in known_peers.iter().filter(|(name, _)| name != local_name) {
+            if let Some(first) = addresses.insert(name.clone(), *address).filter(|first| first != address) {
+                return Err(PeerError::ConflictingAddresses { name: name.clone(), first, second: *address });
+            }
+        }
+        Ok(SenderPolicy { local_name: local_name.into(), has_key, known_peers: addresses })
+    }
+
+    /// Verifies the sender of an authenticated message from `source`. `active_member` is the identity that is alive under its name.
+    pub fn verify_sender(
+        &self,
+        id: &PeerId,
+        source: SocketAddr,
+        transport: Transport,
+        active_member: Option<&PeerId>,
+    ) -> Result<(), PeerError> {
+        let unverified = || PeerError::UnverifiedSender { from: source.to_string(), name: id.name.clone() };
+        if !is_valid_name(&id.name) {
+            return Err(PeerError::Malformed { from: source.to_string() });
+        }
+        if id.name == self.local_name {
+            return Err(unverified());
+        }
+        if self.has_key {
+            return Ok(());
+        }
+        let sent_from_there = match transport {
+            Transport::Datagram => source == id.listen_address,
+            Transport::Connection => source.ip() == id.listen_address.ip(),
+        };
+        if sent_from_there && self.is_expected_address(id, active_member) {
+            Ok(())
+        } else {
+            Err(unverified())
+        }
+    }
+
+    /// Whether gossip about a third party is accepted, ignored, or an error. Without a key nobody speaks for another incarnation than the
+    /// one heard from its own address: else any member could declare another down with a greater incarnation.
+    pub fn accepts_update(
+        &self,
+        about: &PeerId,
+        active_member: Option<&PeerId>,
+        local_id: &PeerId,
+        from: &str,
+    ) -> Result<bool, PeerError> {
+        if !is_valid_name(&about.name) {
+            return Err(PeerError::Malformed { from: from.into() });
+        }
+        if self.has_key {
+            return Ok(true);
+        }
+        if about.name == local_id.name {
+            return Ok(about == local_id);
+        }
+        if !self.is_expected_address(about, active_member) {
+            return Err(PeerError::UnverifiedSender { from: from.into(), name: about.name.clone() });
+        }
+        Ok(match active_member {
+            Some(member) => member == about,
+            // A configured peer is announced to at its address, and speaks for itself.
+            None => !self.known_peers.contains_key(&about.name),
+        })
+    }
+
+    /// Without a key, a configured name has its configured address; any other keeps its address while it is a member.
+    fn is_expected_address(&self, id: &PeerId, active_member: Option<&PeerId>) -> bool {
+        match self.known_peers.get(&id.name) {
+            Some(address) => *address == id.listen_address,
+            None => active_member.is_none_or(|member| member.listen_address == id.listen_address),
+        }
+    }
+}
--- /dev/null
+++ b/crates/dunepond-membership/src/server/mod.rs
@@ -0,0 +1,113 @@
+//! Connections from peers: accepted up to a limit, and closed if they bring no verified request in time.
+
+mod request;
+mod response;
+
+use crate::context::Context;
+use crate::counters::increment;
+use crate::http::MAX_HEAD_BYTES;
+use hyper::service::service_fn;
+use hyper_util::rt::{TokioIo, TokioTimer};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::convert::Infallible;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Notify;
+use tokio_io_timeout::TimeoutStream;
+
+/// Pause after a failed accept: the process is out of descriptors, and the next attempt would fail at once.
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(50);
+
+/// A connection from a peer.
+struct Connection {
+    /// It has brought a verified request.
+    verified: Cell<bool>,
+    close: Notify,
+}
+
+pub(crate) struct Server {
+    context: Rc<Context>,
+    /// By the order in which they were accepted.
+    connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
+    /// Requests that the caller has not responded to, by the peer's name.
+    pending: RefCell<BTreeMap<String, usize>>,
+}
+
+/// Accepts connections for ever.
+pub(crate) async fn accept(listener: TcpListener, context: Rc<Context>) {
+    let server = Rc::new(Server { context, connections: RefCell::default(), pending: RefCell::default() });
+    let counters = &server.context.shared.counters;
+    for number in 0.. {
+        let (stream, source) = match listener.accept().await {
+            Ok(accepted) => accepted,
+            Err(_) => {
+                tokio::time::sleep(ACCEPT_ERROR_PAUSE).await;
+                continue;
+            }
+        };
+        increment(&counters.connections_in);
+        if !server.make_room() {
+            increment(&counters.connections_refused);
+            continue;
+        }
+        let connection = Rc::new(Connection { verified: Cell::new(false), close: Notify::new() });
+        server.connections.borrow_mut().insert(number, connection.clone());
+        let server = server.clone();
+        tokio::task::spawn_local(async move {
+            server.serve(stream, source, connection).await;
+            server.connections.borrow_mut().remove(&number);
+        });
+    }
+}
+
+impl Server {
+    /// Whether one more connection has room. At the limit, the oldest one without a verified request is closed: strangers cannot keep
+    /// peers out.
+    fn make_room(&self) -> bool {
+        let mut connections = self.connections.borrow_mut();
+        if connections.len() < self.context.options.limits.max_incoming_connections {
+            return true;
+        }
+        let Some(oldest) =
+            connections.iter().find(|(_, connection)| !connection.verified.get()).map(|(number, _)| *number)
+        else {
+            return false;
+        };
+        increment(&self.context.shared.counters.connections_refused);
+        connections.remove(&oldest).is_some_and(|connection| {
+            connection.close.notify_one();
+            true
+        })
+    }
+
+    async fn serve(self: &Rc<Self>, stream: TcpStream, source: SocketAddr, connection: Rc<Connection>) {
+        let timing = &self.context.options.timing;
+        let _ = stream.set_nodelay(true);
+        let mut stream = TimeoutStream::new(stream);
+        // A peer that does not read a response keeps it in our memory.
+        stream.set_write_timeout(Some(Duration::from_secs_f64(timing.transfer_timeout_seconds)));
+        let service = service_fn(|request| {
+            let (server, connection) = (self.clone(), connection.clone());
+            async move { Ok::<_, Infallible>(server.handle(request, source, &connection).await) }
+        });
+        let http = hyper::server::conn::http1::Builder::new()
+            .timer(TokioTimer::new())
+            .header_read_timeout(Duration::from_secs_f64(timing.idle_timeout_seconds))
+            .max_buf_size(MAX_HEAD_BYTES)
+            .serve_connection(TokioIo::new(Box::pin(stream)), service);
+        let first_request_timeout = async {
+            tokio::time::sleep(Duration::from_secs_f64(timing.first_request_timeout_seconds)).await;
+            if connection.verified.get() {
+                std::future::pending::<()>().await;
+            }
+        };
+        tokio::select! {
+            _ = http => {}
+            () = connection.close.notified() => {}
+            () = first_request_timeout => increment(&self.context.shared.counters.connections_refused),
+        }
+    }
+}
--- /dev/null
+++ b/crates/dunepond-membership/src/server/response.rs
@@ -0,0 +1,62 @@
+//! Responses and refusals to peers.
+
+use super::Server;
+use crate::http::{CONTENT_TYPE, status};
+use crate::messages::MessageType;
+use crate::refusal::RefusalReason;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{self, HeaderValue};
+use hyper::{Response, StatusCode};
+
+/// Whom a response names, as far as the request could be read.
+#[derive(Default)]
+pub(super) struct ResponseTarget {
+    pub name: String,
+    pub request_id: u64,
+    /// The protocol version that the peer reads; 0 until anything was received.
+    pub version: u8,
+}
+
+impl Server {
+    pub(super) fn respond(
+        &self,
+        target: &ResponseTarget,
+        result: Result<Vec<u8>, RefusalReason>,
+    ) -> Response<Full<Bytes>> {
+        let carries_token = matches!(result, Err(RefusalReason::InvalidToken));
+        let id = target.request_id;
+        let (message_type, payload, status) = match result {
+            Ok(body) => (MessageType::Response { id }, body, StatusCode::OK),
+            Err(reason) => {
+                let reason = reason.for_version(target.version);
+                let payload = postcard::to_stdvec(&reason).unwrap_or_default();
+                (MessageType::Refusal { id }, payload, status(&reason))
+            }
+        };
+        let bytes = self.encode(target, message_type, &payload, carries_token);
+        let mut response = Response::new(Full::new(Bytes::from(bytes)));
+        *response.status_mut() = status;
+        let headers = response.headers_mut();
+        headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(CONTENT_TYPE));
+        // A peer that is not verified, or whose body was not received, loses the connection.
+        if !status.is_success() && !status.is_server_error() {
+            headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
+        }
+        response
+    }
+
+    fn encode(
+        &self,
+        target: &ResponseTarget,
+        message_type: MessageType,
+        payload: &[u8],
+        carries_token: bool,
+    ) -> Vec<u8> {
+        let mut core = self.context.core.borrow_mut();
+        let mut header = core.header_for(&target.name, message_type);
+        header.issued_token = if carries_token { core.token_in_refusal(&target.name) } else { 0 };
+        let version = if target.version == 0 { core.supported_versions().max } else { target.version };
+        core.encode(version, &header, payload)
+    }
+}
--- /dev/null
+++ b/crates/dunepond-membership/src/sockets.rs
@@ -0,0 +1,43 @@
+//! The sockets of a broker: UDP and TCP on one port.
+
+use crate::error::PeerError;
+use std::net::{SocketAddr, TcpListener, UdpSocket};
+
+/// A free port must be free for both kinds of socket; so many are tried.
+const MAX_PORTS_TRIED: usize = 32;
+
+/// Both sockets, before anything is sent on them.
+pub struct BoundSockets {
+    pub(crate) tcp: TcpListener,
+    pub(crate) udp: UdpSocket,
+    address: SocketAddr,
+}
+
+impl BoundSockets {
+    /// The address with its final port.
+    pub fn local_addr(&self) -> SocketAddr {
+        self.address
+    }
+}
+
+/// Binds UDP and TCP on one port; port 0 finds one that is free for both.
+pub fn bind(listen_address: SocketAddr) -> Result<BoundSockets, PeerError> {
+    let attempts = if listen_address.port() == 0 { MAX_PORTS_TRIED } else { 1 };
+    let mut reason = String::new();
+    for _ in 0..attempts {
+        match bind_once(listen_address) {
+            Ok(sockets) => return Ok(sockets),
+            Err(error) => reason = error.to_string(),
+        }
+    }
+    Err(PeerError::Bind { at: listen_address, reason })
+}
+
+fn bind_once(listen_address: SocketAddr) -> std::io::Result<BoundSockets> {
+    let tcp = TcpListener::bind(listen_address)?;
+    let address = tcp.local_addr()?;
+    let udp = UdpSocket::bind(address)?;
+    tcp.set_nonblocking(true)?;
+    udp.set_nonblocking(true)?;
+    Ok(BoundSockets { tcp, udp, address })
+}
--- a/crates/dunepond-membership/tests/core.rs
+++ b/crates/dunepond-membership/tests/core.rs
@@ -1,20 +1,21 @@
-//! The pure core on a wire that exists only here: clock, losses and stops are the story's.
+//! The core on a simulated network: the test controls clock, losses and stalls.
 
 use dunepond_membership::{
-    About, Actions, Core, Envelope, Event, Head, Id, Limits, MembershipOptions, PeerError, PeerState,
-    RefusalReason, RequestKind, Seal, Sign, Span, VERSION, frame, unframe,
+    Actions, Authenticator, Core, Envelope, Event, Limits, LivenessCheck, MembershipOptions, Message,
+    MessageHeader, MessageType, PROTOCOL_VERSION, PeerError, PeerId, PeerState, RefusalReason, RequestKind,
+    VersionRange, decode, encode,
 };
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-#[path = "core/fresh.rs"]
-mod fresh;
+#[path = "core/replay.rs"]
+mod replay;
 #[path = "core/versions.rs"]
 mod versions;
 
-const KEY: &str = "a key of the stories";
+const KEY: &str = "a key of these tests";
 
 fn at(number: usize) -> SocketAddr {
     format!("127.0.0.1:{}", 7000 + number).parse().unwrap()
@@ -24,21 +25,21 @@
     format!("n{number}")
 }
 
-fn told(number: usize, incarnation: u64, count: usize, key: bool) -> MembershipOptions {
+fn options(number: usize, incarnation: u64, count: usize, key: bool) -> MembershipOptions {
     let known = (0..count).map(|other| (name(other), at(other))).collect();
-    let mut told = MembershipOptions::new(&name(number), incarnation, at(number), known, number as u64);
-    told.key = key.then(|| KEY.into());
-    told
+    let mut options = MembershipOptions::new(&name(number), incarnation, at(number), known, number as u64);
+    options.key = key.then(|| KEY.into());
+    options
 }
 
 struct World {
     now: f64,
     cores: Vec<Core>,
-    /// Who stands still.
+    /// Stalled brokers.
     stopped: Vec<bool>,
     wire: VecDeque<(f64, usize, usize, Vec<u8>)>,
     waits: Vec<Vec<(usize, Vec<u8>)>>,
-    heard: Vec<Vec<String>>,
+    changes: Vec<Vec<String>>,
     /// A flood loses datagrams and no requests.
     flood: bool,
     /// All datagrams, lost or not: from, to, bytes.
@@ -49,37 +50,37 @@
 impl World {
     fn new(count: usize, key: bool) -> World {
         let cores = (0..count)
-            .map(|number| Core::new(&told(number, 1, count, key), [number as u8; 32], 0.0).unwrap());
+            .map(|number| Core::new(&options(number, 1, count, key), [number as u8; 32], 0.0).unwrap());
         World {
             now: 0.0,
             cores: cores.collect(),
             stopped: vec![false; count],
             wire: VecDeque::new(),
             waits: vec![Vec::new(); count],
-            heard: vec![Vec::new(); count],
+            changes: vec![Vec::new(); count],
             flood: false,
             sent: Vec::new(),
             asked: 0,
         }
     }
 
-    fn carry(&mut self, from: usize, orders: Actions, lost: &impl Fn(usize, usize) -> bool) {
-        for (to, bytes) in orders.datagrams {
+    fn carry(&mut self, from: usize, actions: Actions, lost: &impl Fn(usize, usize) -> bool) {
+        for (to, bytes) in actions.datagrams {
             let to = usize::from(to.port()) - 7000;
             self.sent.push((from, to, bytes.clone()));
             if to < self.cores.len() && !lost(from, to) {
                 self.wire.push_back((self.now + 0.01, from, to, bytes));
             }
         }
-        self.heard[from].extend(orders.changes.iter().map(|change| match change {
-            Event::PeerUp(peer) => format!("came {} {}", peer.name, peer.incarnation),
+        self.changes[from].extend(actions.changes.iter().map(|change| match change {
+            Event::PeerUp(peer) => format!("up {} {}", peer.name, peer.incarnation),
             Event::PeerSuspected(name) => format!("suspect {name}"),
-            Event::PeerDown(name) => format!("left {name}"),
+            Event::PeerDown(name) => format!("down {name}"),
             other => panic!("{other:?} is no change"),
         }));
     }
 
-    /// Plays until `end`, in steps of 10 ms.
+    /// Runs until `end`, in steps of 10 ms.
     fn play(&mut self, end: f64, lost: impl Fn(usize, usize) -> bool) {
         while self.now < end {
             self.now += 0.01;
@@ -92,53 +93,54 @@
                     continue;
                 }
                 for (from, bytes) in std::mem::take(&mut self.waits[number]) {
-                    let orders = self.cores[number].on_datagram(self.now, at(from), &bytes);
-                    self.carry(number, orders, &lost);
+                    let actions = self.cores[number].on_datagram(self.now, at(from), &bytes);
+                    self.carry(number, actions, &lost);
                 }
-                let orders = self.cores[number].tick(self.now);
-                self.carry(number, orders, &lost);
-                for sign in self.cores[number].signs() {
-                    self.ask(number, sign, &lost);
+                let actions = self.cores[number].tick(self.now);
+                self.carry(number, actions, &lost);
+                for check in self.cores[number].due_liveness_checks() {
+                    self.check_liveness(number, check, &lost);
                 }
             }
         }
     }
 
-    /// Carries a request for a sign of life there and back; where datagrams are lost one way, so are connections, but for a flood.
-    fn ask(&mut self, from: usize, sign: Sign, lost: &impl Fn(usize, usize) -> bool) {
-        let to: usize = sign.to[1..].parse().unwrap();
+    /// Carries a liveness check there and back. Where datagrams are lost one way, so are connections, except in a flood.
+    fn check_liveness(&mut self, from: usize, check: LivenessCheck, lost: &impl Fn(usize, usize) -> bool) {
+        let to: usize = check.to[1..].parse().unwrap();
         let passes = self.flood || !(lost(from, to) || lost(to, from));
         let mut answer = None;
         if passes && !self.stopped[to] {
-            let about = |kind| About::Ask { id: 1, kind, within_ms: 100 };
-            let head = self.cores[from].head(&sign.to, about(RequestKind::LivenessCheck.into()));
+            let about = |kind| MessageType::Request { id: 1, kind, timeout_ms: 100 };
+            let header = self.cores[from].header_for(&check.to, about(RequestKind::LivenessCheck.into()));
             let asked = &mut self.cores[to];
             self.asked += 1;
-            let said = Envelope { version: 2, speaks: Span::OURS, count: self.asked };
-            if asked.believes(self.now, &said, &head, at(from)).is_ok() {
-                let (body, orders) = asked.sign_asked(&head, &sign.body).unwrap();
-                answer = Some((asked.head(&name(from), About::Answer { id: 1 }), body));
-                self.carry(to, orders, lost);
+            let said = Envelope { version: 2, supported: VersionRange::SUPPORTED, sequence: self.asked };
+            if asked.authenticate_request(self.now, &said, &header, at(from)).is_ok() {
+                let (body, actions) = asked.answer_liveness_check(&header, &check.body).unwrap();
+                answer = Some((asked.header_for(&name(from), MessageType::Response { id: 1 }), body));
+                self.carry(to, actions, lost);
             }
         }
-        let said = Envelope { version: 2, speaks: Span::OURS, count: 0 };
-        let answer = answer.as_ref().map(|(head, body)| (&said, head, &body[..]));
-        let orders = self.cores[from].sign_came(self.now, &sign.to, at(to), answer);
-        assert_eq!(orders.fault, None);
-        self.carry(from, orders, lost);
+        let envelope = Envelope { version: 2, supported: VersionRange::SUPPORTED, sequence: 0 };
+        let answer =
+            answer.as_ref().map(|(header, body)| Message { envelope, header: header.clone(), payload: body });
+        let actions = self.cores[from].on_liveness_result(self.now, &check.to, at(to), answer.as_ref());
+        assert_eq!(actions.error, None);
+        self.carry(from, actions, lost);
     }
 
-    fn standings(&self, number: usize) -> Vec<PeerState> {
+    fn states(&self, number: usize) -> Vec<PeerState> {
         self.cores[number].members().iter().map(|peer| peer.state).collect()
     }
 
-    fn all_here(&self) -> bool {
+    fn all_alive(&self) -> bool {
         let others = self.cores.len() - 1;
-        (0..self.cores.len()).all(|number| self.standings(number) == vec![PeerState::Alive; others])
+        (0..self.cores.len()).all(|number| self.states(number) == vec![PeerState::Alive; others])
     }
 
-    fn forget(&mut self) {
-        self.heard.iter_mut().for_each(Vec::clear);
+    fn clear_changes(&mut self) {
+        self.changes.iter_mut().for_each(Vec::clear);
     }
 }
 
@@ -147,28 +149,28 @@
 }
 
 #[rstest]
-fn who_stood_still_gives_nobody_up_and_is_taken_back(#[values(false, true)] key: bool) {
+fn a_stalled_broker_declares_no_peer_down_and_rejoins(#[values(false, true)] key: bool) {
     let mut world = World::new(5, key);
     world.play(3.0, none);
-    assert!(world.all_here());
-    world.forget();
+    assert!(world.all_alive());
+    world.clear_changes();
     world.stopped[0] = true;
-    // Nothing that was sent meanwhile reaches it either: a socket holds so much only.
+    // Nothing sent meanwhile reaches it either: a socket buffers only so much.
     world.play(11.0, |_, to| to == 0);
-    assert!(world.heard[1].contains(&"left n0".into()), "{:?}", world.heard[1]);
+    assert!(world.changes[1].contains(&"down n0".into()), "{:?}", world.changes[1]);
     world.stopped[0] = false;
     world.play(20.0, none);
-    assert!(!world.heard[0].iter().any(|change| change.starts_with("left")), "{:?}", world.heard[0]);
-    assert!(world.all_here(), "{:?}", world.heard);
+    assert!(!world.changes[0].iter().any(|change| change.starts_with("down")), "{:?}", world.changes[0]);
+    assert!(world.all_alive(), "{:?}", world.changes);
 }
 
-/// n3 is suspected when n0 stops, and refutes it while n0 hears nothing.
+/// n3 is suspected when n0 stalls, and refutes the suspicion while n0 receives nothing.
 #[rstest]
-fn the_time_in_which_we_stood_still_is_not_held_against_others(#[values(false, true)] key: bool) {
+fn timeouts_of_others_are_extended_by_our_stall(#[values(false, true)] key: bool) {
     let mut world = World::new(5, key);
     world.play(3.0, none);
-    world.forget();
-    while !world.heard[0].contains(&"suspect n3".into()) {
+    world.clear_changes();
+    while !world.changes[0].contains(&"suspect n3".into()) {
         let next = world.now + 0.01;
         world.play(next, |from, _| from == 3);
     }
@@ -177,135 +179,154 @@
     world.play(woken, |_, to| to == 0);
     world.stopped[0] = false;
     world.play(woken + 5.0, none);
-    assert!(!world.heard[0].contains(&"left n3".into()), "{:?}", world.heard[0]);
-    assert!(world.all_here(), "{:?}", world.heard);
+    assert!(!world.changes[0].contains(&"down n3".into()), "{:?}", world.changes[0]);
+    assert!(world.all_alive(), "{:?}", world.changes);
 }
 
 #[rstest]
-fn a_cut_one_way_ends_nobody_as_long_as_others_can_ask(#[values(false, true)] key: bool) {
+fn a_one_way_cut_brings_no_peer_down_while_indirect_probes_pass(#[values(false, true)] key: bool) {
     let mut world = World::new(5, key);
     world.play(3.0, none);
-    world.forget();
+    world.clear_changes();
     world.play(30.0, |from, to| (from, to) == (0, 1));
-    assert!(!world.heard.iter().flatten().any(|change| change.starts_with("left")), "{:?}", world.heard);
+    assert!(!world.changes.iter().flatten().any(|change| change.starts_with("down")), "{:?}", world.changes);
 }
 
 #[test]
 fn a_suspicion_is_refuted() {
     let mut world = World::new(4, false);
     world.play(3.0, none);
-    world.forget();
+    world.clear_changes();
     world.play(6.0, |from, _| from == 3);
-    assert!(world.heard.iter().flatten().any(|change| change == "suspect n3"));
+    assert!(world.changes.iter().flatten().any(|change| change == "suspect n3"));
     world.play(12.0, none);
-    assert!(!world.heard[..3].iter().flatten().any(|change| change == "left n3"), "{:?}", world.heard);
-    assert!(world.all_here());
+    assert!(!world.changes[..3].iter().flatten().any(|change| change == "down n3"), "{:?}", world.changes);
+    assert!(world.all_alive());
 }
 
-/// No datagram comes to n0, whoever sends it: a flood has its socket. It lives, and answers over connections.
+/// No datagram reaches n0, as a flood fills its socket. It is alive, and responds over connections.
 #[rstest]
-fn whose_datagrams_are_crowded_out_is_given_up_by_nobody(
+fn a_peer_whose_datagrams_are_crowded_out_stays_up(
     #[values(false, true)] key: bool,
     #[values(2, 5)] count: usize,
 ) {
     let mut world = World::new(count, key);
     world.play(3.0, none);
-    world.forget();
+    world.clear_changes();
     world.flood = true;
     world.play(40.0, |_, to| to == 0);
-    let heard: Vec<&String> = world.heard.iter().flatten().collect();
-    assert!(heard.iter().any(|change| change.starts_with("suspect")), "{heard:?}");
-    assert!(!heard.iter().any(|change| change.starts_with("left")), "{heard:?}");
-    // Who is dead is given up as before.
+    let changes: Vec<&String> = world.changes.iter().flatten().collect();
+    assert!(changes.iter().any(|change| change.starts_with("suspect")), "{changes:?}");
+    assert!(!changes.iter().any(|change| change.starts_with("down")), "{changes:?}");
+    // A dead peer is declared down as before.
     world.stopped[0] = true;
     world.play(60.0, |_, to| to == 0);
-    assert!(world.heard[1].contains(&"left n0".into()), "{:?}", world.heard[1]);
+    assert!(world.changes[1].contains(&"down n0".into()), "{:?}", world.changes[1]);
 }
 
-/// A request in a member's name is a sign of its life only with the pass that went to its address.
+/// A request in a member's name shows that it is alive only with the token that went to its address.
 #[test]
-fn a_sign_of_life_needs_the_pass() {
+fn a_liveness_check_needs_the_address_token() {
     let mut world = World::new(3, false);
     world.play(3.0, none);
-    let mut head = world.cores[1]
-        .head("n0", About::Ask { id: 1, kind: RequestKind::LivenessCheck.into(), within_ms: 100 });
+    let mut header = world.cores[1].header_for(
+        "n0",
+        MessageType::Request { id: 1, kind: RequestKind::LivenessCheck.into(), timeout_ms: 100 },
+    );
     let body = postcard::to_stdvec(&Vec::<Vec<u8>>::new()).unwrap();
-    assert!(world.cores[0].sign_asked(&head, &body).is_ok());
-    head.echo ^= 1;
-    let fault = world.cores[0].sign_asked(&head, &body).unwrap_err();
-    assert!(matches!(fault, PeerError::Claimed { .. }), "{fault:?}");
+    assert!(world.cores[0].answer_liveness_check(&header, &body).is_ok());
+    header.echoed_token ^= 1;
+    let error = world.cores[0].answer_liveness_check(&header, &body).unwrap_err();
+    assert!(matches!(error, PeerError::UnverifiedSender { .. }), "{error:?}");
 }
 
 #[rstest]
-fn halves_that_gave_each_other_up_find_each_other_again(#[values(false, true)] key: bool) {
+fn halves_of_a_partition_merge_again(#[values(false, true)] key: bool) {
     let mut world = World::new(5, key);
     world.play(3.0, none);
     world.play(15.0, |from, to| (from < 2) != (to < 2));
-    assert!(world.standings(0).contains(&PeerState::Down));
+    assert!(world.states(0).contains(&PeerState::Down));
     world.play(25.0, none);
-    assert!(world.all_here(), "{:?}", world.heard);
+    assert!(world.all_alive(), "{:?}", world.changes);
 }
 
 #[rstest]
-fn a_new_life_wins_over_the_old_one(#[values(false, true)] key: bool) {
+fn a_later_incarnation_wins(#[values(false, true)] key: bool) {
     let mut world = World::new(3, key);
     world.play(3.0, none);
-    let old = world.cores[2].me().clone();
-    world.cores[2] = Core::new(&told(2, 2, 3, key), [9; 32], world.now).unwrap();
-    world.forget();
+    let old = world.cores[2].local_id().clone();
+    world.cores[2] = Core::new(&options(2, 2, 3, key), [9; 32], world.now).unwrap();
+    world.clear_changes();
     world.play(8.0, none);
-    assert!(world.heard[0].contains(&"came n2 2".into()), "{:?}", world.heard[0]);
-    assert!(world.all_here());
-    let seal = Seal::new(key.then_some(KEY)).unwrap();
-    let late = Head { from: old, to: name(0), gives: 0, echo: 0, about: About::Members };
-    let fault =
-        world.cores[0].on_datagram(world.now, at(2), &frame(&Envelope::FIRST, &late, b"", &seal)).fault;
-    assert!(matches!(fault, Some(PeerError::Stale { said: 1, known: 2, .. })), "{fault:?}");
+    assert!(world.changes[0].contains(&"up n2 2".into()), "{:?}", world.changes[0]);
+    assert!(world.all_alive());
+    let authenticator = Authenticator::new(key.then_some(KEY)).unwrap();
+    let late = MessageHeader {
+        from: old,
+        to: name(0),
+        issued_token: 0,
+        echoed_token: 0,
+        message_type: MessageType::Gossip,
+    };
+    let error = world.cores[0]
+        .on_datagram(world.now, at(2), &encode(&Envelope::VERSION_1, &late, b"", &authenticator))
+        .error;
+    assert!(matches!(error, Some(PeerError::StaleIncarnation { incarnation: 1, known: 2, .. })), "{error:?}");
 }
 
-/// What `n2`, a member, sends to `n0`: `message`, and what it says of others.
-fn from_n2(world: &mut World, message: foca::Message<Id>, said: &[foca::Member<Id>]) -> Actions {
-    let (src, dst) = (world.cores[2].me().clone(), world.cores[0].me().clone());
-    let head = Head { from: src.clone(), to: name(0), gives: 0, echo: 0, about: About::Members };
-    let mut load = postcard::to_stdvec(&foca::Header { src, src_incarnation: 0, dst, message }).unwrap();
-    load.extend([0, said.len() as u8]);
-    said.iter().for_each(|member| load.extend(postcard::to_stdvec(member).unwrap()));
+/// Sends `message` from `n2`, a member, to `n0`, with updates about others.
+fn from_n2(world: &mut World, message: foca::Message<PeerId>, said: &[foca::Member<PeerId>]) -> Actions {
+    let (src, dst) = (world.cores[2].local_id().clone(), world.cores[0].local_id().clone());
+    let header = MessageHeader {
+        from: src.clone(),
+        to: name(0),
+        issued_token: 0,
+        echoed_token: 0,
+        message_type: MessageType::Gossip,
+    };
+    let mut payload = postcard::to_stdvec(&foca::Header { src, src_incarnation: 0, dst, message }).unwrap();
+    payload.extend([0, said.len() as u8]);
+    said.iter().for_each(|member| payload.extend(postcard::to_stdvec(member).unwrap()));
     world.cores[0].on_datagram(
         world.now,
         at(2),
-        &frame(&Envelope::FIRST, &head, &load, &Seal::new(None).unwrap()),
+        &encode(&Envelope::VERSION_1, &header, &payload, &Authenticator::new(None).unwrap()),
     )
 }
 
 #[test]
-fn nobody_speaks_for_anothers_life() {
+fn gossip_cannot_replace_an_incarnation_that_was_heard() {
     let mut world = World::new(3, false);
     world.play(3.0, none);
-    world.forget();
-    let later = Id { incarnation: u64::MAX, ..world.cores[1].me().clone() };
+    world.clear_changes();
+    let later = PeerId { incarnation: u64::MAX, ..world.cores[1].local_id().clone() };
     let ended = foca::Member::new(later, 0, foca::State::Down);
-    let orders = from_n2(&mut world, foca::Message::Gossip, &[ended]);
-    world.carry(0, orders, &none);
+    let actions = from_n2(&mut world, foca::Message::Gossip, &[ended]);
+    world.carry(0, actions, &none);
     world.play(10.0, none);
-    assert!(world.heard.iter().flatten().next().is_none(), "{:?}", world.heard);
+    assert!(world.changes.iter().flatten().next().is_none(), "{:?}", world.changes);
 }
 
 #[test]
-fn nobody_makes_us_send_to_where_no_member_is() {
+fn gossip_cannot_make_us_send_to_strangers() {
     let mut world = World::new(3, false);
     world.play(3.0, none);
-    let target =
-        Id { name: "far".into(), incarnation: 1, renewed: 0, listen: "192.0.2.1:53".parse().unwrap() };
-    let orders = from_n2(&mut world, foca::Message::PingReq { target, probe_number: 1 }, &[]);
+    let target = PeerId {
+        name: "far".into(),
+        incarnation: 1,
+        renewals: 0,
+        listen_address: "192.0.2.1:53".parse().unwrap(),
+    };
+    let actions = from_n2(&mut world, foca::Message::PingReq { target, probe_number: 1 }, &[]);
     assert!(
-        orders.fault.is_none() && orders.datagrams.iter().all(|(to, _)| to.ip().is_loopback()),
-        "{orders:?}"
+        actions.error.is_none() && actions.datagrams.iter().all(|(to, _)| to.ip().is_loopback()),
+        "{actions:?}"
     );
 }
 
 #[test]
-fn what_is_sent_goes_to_the_relay_whatever_the_peer_says() {
-    let (mut one, mut other) = (told(0, 1, 2, true), told(1, 1, 2, true));
+fn datagrams_go_to_the_configured_relay_whatever_the_peer_states() {
+    let (mut one, mut other) = (options(0, 1, 2, true), options(1, 1, 2, true));
     one.known_peers = vec![("n1".into(), at(50))];
     other.known_peers = vec![("n0".into(), at(51))];
     let mut one = Core::new(&one, [0; 32], 0.0).unwrap();
@@ -327,83 +348,107 @@
 }
 
 #[test]
-fn a_flood_is_cut_and_strangers_cannot_crowd_out_the_file() {
-    let mut told = told(0, 1, 3, false);
-    told.limits = Limits { max_members: 4, max_datagrams_per_second: 10, ..Limits::default() };
-    let mut core = Core::new(&told, [0; 32], 0.0).unwrap();
+fn floods_are_limited_and_unknown_names_cannot_crowd_out_configured_ones() {
+    let mut options = options(0, 1, 3, false);
+    options.limits = Limits { max_members: 4, max_datagrams_per_second: 10, ..Limits::default() };
+    let mut core = Core::new(&options, [0; 32], 0.0).unwrap();
     let mut send = |number: usize| {
-        let from = Id { name: name(number), incarnation: 1, renewed: 0, listen: at(number) };
-        let dst = Id { name: name(0), incarnation: 0, renewed: 0, listen: at(0) };
+        let from = PeerId { name: name(number), incarnation: 1, renewals: 0, listen_address: at(number) };
+        let dst = PeerId { name: name(0), incarnation: 0, renewals: 0, listen_address: at(0) };
         let call =
             foca::Header { src: from.clone(), src_incarnation: 0, dst, message: foca::Message::Announce };
-        let head = Head { from, to: name(0), gives: 0, echo: 0, about: About::Members };
-        let bytes =
-            frame(&Envelope::FIRST, &head, &postcard::to_stdvec(&call).unwrap(), &Seal::new(None).unwrap());
-        core.on_datagram(0.1, at(number), &bytes).fault
+        let header = MessageHeader {
+            from,
+            to: name(0),
+            issued_token: 0,
+            echoed_token: 0,
+            message_type: MessageType::Gossip,
+        };
+        let bytes = encode(
+            &Envelope::VERSION_1,
+            &header,
+            &postcard::to_stdvec(&call).unwrap(),
+            &Authenticator::new(None).unwrap(),
+        );
+        core.on_datagram(0.1, at(number), &bytes).error
     };
-    let faults: Vec<Option<PeerError>> = (10..20).map(&mut send).collect();
-    assert_eq!(faults.iter().filter(|fault| fault.is_none()).count(), 4);
-    assert!(matches!(faults[9], Some(PeerError::Full { most: 4 })), "{faults:?}");
+    let errors: Vec<Option<PeerError>> = (10..20).map(&mut send).collect();
+    assert_eq!(errors.iter().filter(|error| error.is_none()).count(), 4);
+    assert!(matches!(errors[9], Some(PeerError::TooManyMembers { limit: 4 })), "{errors:?}");
     assert_eq!(send(1), None);
-    let faults: Vec<Option<PeerError>> = (0..10).map(|_| send(1)).collect();
-    assert!(matches!(faults[9], Some(PeerError::Flood { most: 10, .. })), "{faults:?}");
-    assert_eq!(faults[8], None);
+    let errors: Vec<Option<PeerError>> = (0..10).map(|_| send(1)).collect();
+    assert!(matches!(errors[9], Some(PeerError::RateLimited { per_second: 10, .. })), "{errors:?}");
+    assert_eq!(errors[8], None);
 
-    // Names that only one member speaks of, and names that speak without becoming members, have the same bound.
+    // Names that only gossip mentions, and names that send without becoming members, have the same limit.
     let mut world = World::new(3, false);
     world.play(3.0, none);
     let stranger = |number: usize| {
         let (name, listen) = (format!("s{number}"), at(100 + number));
-        foca::Member::alive(Id { name, incarnation: 1, renewed: 0, listen })
+        foca::Member::alive(PeerId { name, incarnation: 1, renewals: 0, listen_address: listen })
     };
     for part in 0..20 {
         let named: Vec<_> = (20 * part..20 * (part + 1)).map(stranger).collect();
-        let fault = from_n2(&mut world, foca::Message::Gossip, &named).fault;
-        assert_eq!(fault.is_some(), part >= 12, "{part}: {fault:?}");
+        let error = from_n2(&mut world, foca::Message::Gossip, &named).error;
+        assert_eq!(error.is_some(), part >= 12, "{part}: {error:?}");
     }
     assert!(world.cores[0].members().len() <= 2 + 256);
-    let mut core = Core::new(&told, [0; 32], 0.0).unwrap();
-    let faults = (10..20).map(|number| {
-        let from = Id { name: name(number), incarnation: 1, renewed: 0, listen: at(number) };
-        let head = Head { from, to: name(0), gives: 0, echo: 0, about: About::Refused { id: 0 } };
-        let load = postcard::to_stdvec(&RefusalReason::Full).unwrap();
-        core.on_datagram(0.1, at(number), &frame(&Envelope::FIRST, &head, &load, &Seal::new(None).unwrap()))
-            .fault
+    let mut core = Core::new(&options, [0; 32], 0.0).unwrap();
+    let errors = (10..20).map(|number| {
+        let from = PeerId { name: name(number), incarnation: 1, renewals: 0, listen_address: at(number) };
+        let header = MessageHeader {
+            from,
+            to: name(0),
+            issued_token: 0,
+            echoed_token: 0,
+            message_type: MessageType::Refusal { id: 0 },
+        };
+        let payload = postcard::to_stdvec(&RefusalReason::TooManyMembers).unwrap();
+        core.on_datagram(
+            0.1,
+            at(number),
+            &encode(&Envelope::VERSION_1, &header, &payload, &Authenticator::new(None).unwrap()),
+        )
+        .error
     });
-    assert_eq!(faults.filter(|fault| matches!(fault, Some(PeerError::Full { .. }))).count(), 6);
+    assert_eq!(errors.filter(|error| matches!(error, Some(PeerError::TooManyMembers { .. }))).count(), 6);
 }
 
 #[test]
-fn so_many_requests_a_second_and_no_more() {
-    let mut told = told(0, 1, 2, true);
-    told.limits.max_requests_per_second = 10;
-    let mut core = Core::new(&told, [0; 32], 0.0).unwrap();
-    let from = Id { name: name(1), incarnation: 1, renewed: 0, listen: at(1) };
-    let about = About::Ask { id: 1, kind: RequestKind::Raft.into(), within_ms: 100 };
-    let head = Head { from, to: name(0), gives: 0, echo: 0, about };
-    let mut taken =
-        |now: f64| (0..15).filter(|_| core.believes(now, &Envelope::FIRST, &head, at(1)).is_ok()).count();
+fn requests_are_rate_limited() {
+    let mut options = options(0, 1, 2, true);
+    options.limits.max_requests_per_second = 10;
+    let mut core = Core::new(&options, [0; 32], 0.0).unwrap();
+    let from = PeerId { name: name(1), incarnation: 1, renewals: 0, listen_address: at(1) };
+    let message_type = MessageType::Request { id: 1, kind: RequestKind::Raft.into(), timeout_ms: 100 };
+    let header = MessageHeader { from, to: name(0), issued_token: 0, echoed_token: 0, message_type };
+    let mut taken = |now: f64| {
+        (0..15)
+            .filter(|_| core.authenticate_request(now, &Envelope::VERSION_1, &header, at(1)).is_ok())
+            .count()
+    };
     assert_eq!([taken(0.1), taken(1.0), taken(1.2)], [10, 0, 10]);
 }
 
 #[test]
-fn a_newer_version_is_told_so_at_its_known_address_in_no_more_bytes() {
-    let mut core = Core::new(&told(0, 1, 3, true), [0; 32], 0.0).unwrap();
-    let newer = [VERSION + 1; 200];
-    let theirs = Span::only(VERSION + 1);
-    let orders = core.on_datagram(0.1, at(1), &newer);
+fn a_newer_version_is_refused_at_its_configured_address_in_fewer_bytes() {
+    let mut core = Core::new(&options(0, 1, 3, true), [0; 32], 0.0).unwrap();
+    let newer = [PROTOCOL_VERSION + 1; 200];
+    let theirs = VersionRange::exactly(PROTOCOL_VERSION + 1);
+    let actions = core.on_datagram(0.1, at(1), &newer);
     assert!(
-        matches!(orders.fault, Some(PeerError::Version { theirs: said, ours: Span::OURS, .. }) if said == theirs)
+        matches!(actions.error, Some(PeerError::UnsupportedVersion { theirs: said, ours: VersionRange::SUPPORTED, .. }) if said == theirs)
     );
-    let (to, bytes) = &orders.datagrams[0];
+    let (to, bytes) = &actions.datagrams[0];
     assert!(*to == at(1) && bytes.len() <= newer.len());
-    let (_, head, load) = unframe(bytes, core.seal(), "n0", Span::OURS).unwrap();
-    assert_eq!(head.to, "n1");
+    let Message { header, payload, .. } =
+        decode(bytes, core.authenticator(), "n0", VersionRange::SUPPORTED).unwrap();
+    assert_eq!(header.to, "n1");
     assert_eq!(
-        postcard::from_bytes::<RefusalReason>(load).unwrap(),
-        RefusalReason::Versions { theirs, ours: Span::OURS }
+        postcard::from_bytes::<RefusalReason>(payload).unwrap(),
+        RefusalReason::UnsupportedVersion { theirs, ours: VersionRange::SUPPORTED }
     );
-    // Not to who is not known, not for a shorter message, and only so often.
+    // Not to unknown addresses, not for a shorter message, and rate-limited.
     assert!(core.on_datagram(0.1, at(9), &newer).datagrams.is_empty());
     assert!(core.on_datagram(0.1, at(1), &newer[..20]).datagrams.is_empty());
     let sent: usize = (0..100).map(|_| core.on_datagram(0.2, at(1), &newer).datagrams.len()).sum();
@@ -413,28 +458,28 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(34), ..ProptestConfig::default() })]
 
-    /// Whatever comes, cut, spoilt or made up: without the key nobody becomes a member, and nothing ends us.
+    /// Cut, corrupted or invented bytes: without the key nobody becomes a member, and nothing panics.
     #[test]
-    fn nothing_unsealed_is_believed(bytes in proptest::collection::vec(any::<u8>(), 0..1500), flip in any::<(usize, u8)>(), sender in 0..4usize) {
-        let mut core = Core::new(&told(0, 1, 3, true), [0; 32], 0.0).unwrap();
-        let mut other = Core::new(&told(1, 1, 3, true), [1; 32], 0.0).unwrap();
+    fn unauthenticated_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..1500), flip in any::<(usize, u8)>(), sender in 0..4usize) {
+        let mut core = Core::new(&options(0, 1, 3, true), [0; 32], 0.0).unwrap();
+        let mut other = Core::new(&options(1, 1, 3, true), [1; 32], 0.0).unwrap();
         let (_, mut good) = other.tick(0.1).datagrams.into_iter().find(|(to, _)| *to == at(0)).unwrap();
         let place = flip.0 % good.len();
         good[place] ^= flip.1.max(1);
         for bytes in [&bytes, &good, &good[..place].to_vec()] {
-            let orders = core.on_datagram(0.1, at(sender), bytes);
-            prop_assert!(orders.fault.is_some() && orders.changes.is_empty());
+            let actions = core.on_datagram(0.1, at(sender), bytes);
+            prop_assert!(actions.error.is_some() && actions.changes.is_empty());
         }
         prop_assert!(core.members().is_empty());
     }
 
-    /// Without a key, garbage of a true address still ends nothing.
+    /// Without a key, garbage from a configured address changes nothing.
     #[test]
-    fn garbage_ends_nothing(load in proptest::collection::vec(any::<u8>(), 0..1300), sender in 1..3usize) {
-        let mut core = Core::new(&told(0, 1, 3, false), [0; 32], 0.0).unwrap();
-        let from = Id { name: name(sender), incarnation: 1, renewed: 0, listen: at(sender) };
-        let head = Head { from, to: name(0), gives: 1, echo: 1, about: About::Members };
-        let orders = core.on_datagram(0.1, at(sender), &frame(&Envelope::FIRST, &head, &load, &Seal::new(None).unwrap()));
-        prop_assert!(orders.fault.is_some(), "{:?}", orders);
+    fn garbage_changes_nothing(payload in proptest::collection::vec(any::<u8>(), 0..1300), sender in 1..3usize) {
+        let mut core = Core::new(&options(0, 1, 3, false), [0; 32], 0.0).unwrap();
+        let from = PeerId { name: name(sender), incarnation: 1, renewals: 0, listen_address: at(sender) };
+        let header = MessageHeader { from, to: name(0), issued_token: 1, echoed_token: 1, message_type: MessageType::Gossip };
+        let actions = core.on_datagram(0.1, at(sender), &encode(&Envelope::VERSION_1, &header, &payload, &Authenticator::new(None).unwrap()));
+        prop_assert!(actions.error.is_some(), "{:?}", actions);
     }
 }
--- a/crates/dunepond-membership/tests/errors.rs
+++ b/crates/dunepond-membership/tests/errors.rs
@@ -1,9 +1,9 @@
 //! Every error says what is wrong, where, and what can be done.
 
-use dunepond_membership::{Core, Limits, MembershipOptions, PeerError, RefusalReason, Span, Timing};
+use dunepond_membership::{Core, Limits, MembershipOptions, PeerError, RefusalReason, Timing, VersionRange};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// One of each variant. The match makes a variant that is missing here a fault of compilation.
+/// One of each variant. The match makes a variant that is missing here an error of compilation.
 macro_rules! one_of_each {
     ($each:ident, $type:ident: $($variant:ident $fields:tt,)*) => {
         fn $each() -> Vec<$type> {
@@ -22,54 +22,69 @@
 const AT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 7400);
 
 one_of_each!(refusals, RefusalReason:
-    Busy(), Late(), Seal(), Malformed(), Flood(), Full(), Dropped(), Declined("n2 is no voter".into()),
-    TooLarge { most: 4u64 }, Version { theirs: 2, ours: 1 }, UnverifiedSender { name: "n2" }, NotMe { name: "n2" },
-    Stale { name: "n2", known: 3u64 }, Versions { theirs: Span::only(3), ours: Span::OURS }, Kind { kind: 9u32 }, Pass(), Old(),
+    Busy(), Timeout(), AuthenticationFailed(), Malformed(), RateLimited(), TooManyMembers(), NoResponse(), Declined("n2 is no voter".into()),
+    TooLarge { max_bytes: 4u64 }, UnsupportedVersionV1 { theirs: 2, ours: 1 }, UnverifiedSender { name: "n2" }, WrongRecipient { name: "n2" },
+    StaleIncarnation { name: "n2", known: 3u64 }, UnsupportedVersion { theirs: VersionRange::exactly(3), ours: VersionRange::SUPPORTED },
+    UnknownKind { kind: 9u32 }, InvalidToken(), Replayed(),
 );
 
-one_of_each!(faults, PeerError:
-    Bind { at: AT, why: "in use" }, Thread { why: "no descriptor" }, Name { name: "", most: 64usize },
-    Twice { name: "n2", one: AT, other: AT }, Key { has: 3usize, least: 16usize }, Bound { which: "asks", value: 0.0 },
-    Unknown { to: "n2" }, Busy { to: "n2", most: 7usize }, TooLarge { to: "n2", bytes: 9usize, most: 7usize },
-    Resting { to: "n2", wait: 0.5 }, Unreachable { to: "n2", at: AT, why: "refused" }, Late { to: "n2", within: 0.5 },
-    Broken { to: "n2" }, Refused { to: "n2", why: RefusalReason::Busy }, Garbled { from: "n2" },
-    Version { from: "n2", theirs: Span::only(3), ours: Span::OURS }, Kind { to: "n2", path: "/sign", version: 1 }, Claimed { from: "n2", name: "n3" }, Seal { from: "n2" },
-    Stale { name: "n2", said: 1u64, known: 2u64 }, NotUs { to: "n2" }, Unproven { name: "n2" }, Old { name: "n2" }, Flood { name: "n2", most: 7u32 },
-    Full { most: 7usize }, Membership { from: "n2", why: "no" }, Stopped(),
+one_of_each!(errors, PeerError:
+    Bind { at: AT, reason: "in use" }, Thread { reason: "no descriptor" }, InvalidName { name: "", max_bytes: 64usize },
+    ConflictingAddresses { name: "n2", first: AT, second: AT }, KeyTooShort { bytes: 3usize, min_bytes: 16usize },
+    InvalidOption { option: "max_requests", value: 0.0 }, UnknownPeer { to: "n2" }, Busy { to: "n2", limit: 7usize },
+    TooLarge { to: "n2", bytes: 9usize, max_bytes: 7usize }, BackingOff { to: "n2", wait_seconds: 0.5 },
+    Unreachable { to: "n2", at: AT, reason: "refused" }, Timeout { to: "n2", timeout_seconds: 0.5 },
+    ConnectionLost { to: "n2" }, Refused { to: "n2", reason: RefusalReason::Busy }, Malformed { from: "n2" },
+    UnsupportedVersion { from: "n2", theirs: VersionRange::exactly(3), ours: VersionRange::SUPPORTED },
+    UnsupportedKind { to: "n2", path: "/sign", version: 1 }, UnverifiedSender { from: "n2", name: "n3" }, AuthenticationFailed { from: "n2" },
+    StaleIncarnation { name: "n2", incarnation: 1u64, known: 2u64 }, WrongRecipient { to: "n2" }, InvalidToken { name: "n2" }, Replayed { name: "n2" },
+    RateLimited { name: "n2", per_second: 7u32 }, TooManyMembers { limit: 7usize }, Gossip { from: "n2", reason: "no" }, Stopped(),
 );
 
 #[test]
-fn each_says_what_can_be_done() {
+fn each_error_has_a_message_and_help() {
     let refusals = refusals().into_iter().map(|refused| (refused.to_string(), refused.help()));
-    let faults = faults().into_iter().map(|fault| (fault.to_string(), fault.help()));
-    for (said, help) in refusals.chain(faults) {
+    let errors = errors().into_iter().map(|error| (error.to_string(), error.help()));
+    for (said, help) in refusals.chain(errors) {
         assert!(said.len() > 3 && help.len() > 20 && help != said, "{said}: {help}");
     }
 }
 
 #[test]
-fn what_cannot_work_is_refused_by_its_name() {
+fn options_that_cannot_work_are_refused_by_name() {
     let at = "127.0.0.1:7400".parse().unwrap();
-    let fault = |change: &dyn Fn(&mut MembershipOptions)| {
-        let mut told = MembershipOptions::new("n1", 1, at, vec![], 1);
-        change(&mut told);
-        Core::new(&told, [0; 32], 0.0).err()
+    let error = |change: &dyn Fn(&mut MembershipOptions)| {
+        let mut options = MembershipOptions::new("n1", 1, at, vec![], 1);
+        change(&mut options);
+        Core::new(&options, [0; 32], 0.0).err()
     };
-    assert_eq!(fault(&|_| {}), None);
-    let bound = |which, value| Some(PeerError::Bound { which, value });
+    assert_eq!(error(&|_| {}), None);
+    let invalid = |option, value| Some(PeerError::InvalidOption { option, value });
     assert_eq!(
-        fault(&|told| told.limits = Limits { max_requests: 0, ..Limits::default() }),
-        bound("asks", 0.0)
+        error(&|options| options.limits = Limits { max_requests: 0, ..Limits::default() }),
+        invalid("max_requests", 0.0)
     );
-    assert_eq!(fault(&|told| told.limits.max_datagram_bytes = 100), bound("datagram", 100.0));
-    assert_eq!(fault(&|told| told.limits.max_receive_bytes = 1), bound("bytes_in", 1.0));
     assert_eq!(
-        fault(&|told| told.timing = Timing { probe_timeout_seconds: 2.0, ..Timing::default() }),
-        bound("rtt", 2.0)
+        error(&|options| options.limits.max_datagram_bytes = 100),
+        invalid("max_datagram_bytes", 100.0)
     );
-    assert_eq!(fault(&|told| told.timing.idle_timeout_seconds = -1.0), bound("idle", -1.0));
-    assert_eq!(fault(&|told| told.key = Some("short".into())), Some(PeerError::Key { has: 5, least: 16 }));
-    assert!(matches!(fault(&|told| told.name = "a b".into()), Some(PeerError::Name { .. })));
+    assert_eq!(error(&|options| options.limits.max_receive_bytes = 1), invalid("max_receive_bytes", 1.0));
+    assert_eq!(
+        error(&|options| options.timing = Timing { probe_timeout_seconds: 2.0, ..Timing::default() }),
+        invalid("probe_timeout_seconds", 2.0)
+    );
+    assert_eq!(
+        error(&|options| options.timing.idle_timeout_seconds = -1.0),
+        invalid("idle_timeout_seconds", -1.0)
+    );
+    assert_eq!(
+        error(&|options| options.key = Some("short".into())),
+        Some(PeerError::KeyTooShort { bytes: 5, min_bytes: 16 })
+    );
+    assert!(matches!(error(&|options| options.name = "a b".into()), Some(PeerError::InvalidName { .. })));
     let twice = ["127.0.0.1:1", "127.0.0.1:2"].map(|at| ("n2".to_owned(), at.parse().unwrap()));
-    assert!(matches!(fault(&|told| told.known_peers = twice.to_vec()), Some(PeerError::Twice { .. })));
+    assert!(matches!(
+        error(&|options| options.known_peers = twice.to_vec()),
+        Some(PeerError::ConflictingAddresses { .. })
+    ));
 }
