--- a/crates/dunepond-membership/tests/golden.rs
+++ b/crates/dunepond-membership/tests/golden.rs
@@ -1,12 +1,13 @@
-//! Exchanged forms, byte by byte. The files under `data/golden` are what brokers in use write and read: a change of one of them is a change
-//! of the protocol, which needs a version of its own.
+//! The wire format, byte by byte. The files under `data/golden` are what released brokers write and read: changing one of them changes the
+//! protocol, which needs a version of its own.
 
 mod fleet;
 use dunepond_membership::{
-    About, Actions, Code, Core, Counters, Envelope, Event, Head, Id, MembershipOptions, Peer, PeerState,
-    RefusalReason, RequestKind, Seal, Span, VERSION, frame, peek, unframe,
+    Actions, Authenticator, Core, Counters, Envelope, Event, KindCode, MembershipOptions, Message,
+    MessageHeader, MessageType, PROTOCOL_VERSION, Peer, PeerId, PeerState, RefusalReason, RequestKind,
+    VersionRange, decode, encode, peek_version,
 };
-use fleet::{PATIENCE, bound, run, told};
+use fleet::{PATIENCE, bound, options, run};
 use serde::{Serialize, de::DeserializeOwned};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Debug;
@@ -24,10 +25,10 @@
     (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
 }
 
-/// Lines of a file: a label, a space, and the form.
+/// Lines of a file: a label, a space, and the encoding.
 fn lines(file: &str) -> Vec<(String, String)> {
     let path = format!("{}/tests/data/golden/{file}", env!("CARGO_MANIFEST_DIR"));
-    let text = std::fs::read_to_string(&path).unwrap_or_else(|fault| panic!("{path}: {fault}"));
+    let text = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"));
     text.lines()
         .map(|line| line.rsplit_once(' ').unwrap_or_else(|| panic!("{path}: {line:?}")))
         .map(|(label, form)| (label.into(), form.into()))
@@ -43,7 +44,7 @@
     assert_eq!(golden.len(), now.len(), "{file}");
 }
 
-/// Values by label, in the form that `postcard` gives them: written as in the file, and read from it.
+/// Values by label: `postcard` encodes each as in the file, and decodes the file to it.
 fn postcards<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, values: &[(String, T)]) {
     let now: Vec<(String, String)> = values
         .iter()
@@ -60,10 +61,10 @@
     text.parse().unwrap()
 }
 
-fn ids() -> Vec<(String, Id)> {
-    let id = |name: &str, incarnation, renewed, listen: &str| {
-        let id = Id { name: name.into(), incarnation, renewed, listen: at(listen) };
-        (format!("{name}/{incarnation}/{renewed}"), id)
+fn ids() -> Vec<(String, PeerId)> {
+    let id = |name: &str, incarnation, renewals, listen_address: &str| {
+        let id = PeerId { name: name.into(), incarnation, renewals, listen_address: at(listen_address) };
+        (format!("{name}/{incarnation}/{renewals}"), id)
     };
     vec![
         id("n1", 1, 0, "127.0.0.1:7001"),
@@ -73,17 +74,21 @@
 }
 
 /// Each kind of message, with what it can carry.
-fn abouts() -> Vec<(&'static str, About, Vec<u8>)> {
-    let ask = |kind: RequestKind| About::Ask { id: 1 << 62, kind: kind.into(), within_ms: 1500 };
-    let unknown = About::Ask { id: 7, kind: Code(99), within_ms: u32::MAX };
+fn abouts() -> Vec<(&'static str, MessageType, Vec<u8>)> {
+    let ask = |kind: RequestKind| MessageType::Request { id: 1 << 62, kind: kind.into(), timeout_ms: 1500 };
+    let unknown = MessageType::Request { id: 7, kind: KindCode(99), timeout_ms: u32::MAX };
     let refused = |why: RefusalReason| postcard::to_stdvec(&why).unwrap();
     let mut abouts = vec![
-        ("members", About::Members, b"what the library says".to_vec()),
-        ("answer", About::Answer { id: 300 }, b"yes".to_vec()),
-        ("answer-empty", About::Answer { id: 0 }, vec![]),
-        ("refused", About::Refused { id: 5 }, refused(RefusalReason::Busy)),
-        ("refused-datagram", About::Refused { id: 0 }, refused(RefusalReason::NotMe { name: "n1".into() })),
-        ("greeting", About::Greeting, vec![]),
+        ("members", MessageType::Gossip, b"what the library says".to_vec()),
+        ("answer", MessageType::Response { id: 300 }, b"yes".to_vec()),
+        ("answer-empty", MessageType::Response { id: 0 }, vec![]),
+        ("refused", MessageType::Refusal { id: 5 }, refused(RefusalReason::Busy)),
+        (
+            "refused-datagram",
+            MessageType::Refusal { id: 0 },
+            refused(RefusalReason::WrongRecipient { name: "n1".into() }),
+        ),
+        ("greeting", MessageType::Hello, vec![]),
         ("ask-unknown", unknown, vec![0, 1, 2, 255]),
     ];
     for (label, kind) in
@@ -97,25 +102,35 @@
 struct Written {
     label: String,
     envelope: Envelope,
-    head: Head,
-    load: Vec<u8>,
-    seal: Seal,
+    head: MessageHeader,
+    payload: Vec<u8>,
+    authenticator: Authenticator,
 }
 
 fn messages() -> Vec<Written> {
-    let second = Envelope { version: VERSION, speaks: Span::OURS, count: 129 };
-    let newer = Envelope { version: VERSION, speaks: Span { least: 2, most: 200 }, count: u64::MAX };
-    let envelopes = [("first", Envelope::FIRST), ("second", second), ("newer", newer)];
+    let second = Envelope { version: PROTOCOL_VERSION, supported: VersionRange::SUPPORTED, sequence: 129 };
+    let newer = Envelope {
+        version: PROTOCOL_VERSION,
+        supported: VersionRange { min: 2, max: 200 },
+        sequence: u64::MAX,
+    };
+    let envelopes = [("first", Envelope::VERSION_1), ("second", second), ("newer", newer)];
     let mut messages = Vec::new();
-    for (seal, key) in [("open", None), ("sealed", Some(KEY))] {
+    for (authenticator, key) in [("open", None), ("sealed", Some(KEY))] {
         for (version, envelope) in envelopes {
-            for (about, kind, load) in abouts() {
+            for (about, kind, payload) in abouts() {
                 for (pass, gives, echo) in [("none", 0, 0), ("passes", 1, u64::MAX)] {
                     let from = ids()[1].1.clone();
-                    let head = Head { from, to: "n1".into(), gives, echo, about: kind.clone() };
-                    let label = format!("{seal} {version} {about} {pass}");
-                    let seal = Seal::new(key).unwrap();
-                    messages.push(Written { label, envelope, head, load: load.clone(), seal });
+                    let head = MessageHeader {
+                        from,
+                        to: "n1".into(),
+                        issued_token: gives,
+                        echoed_token: echo,
+                        message_type: kind.clone(),
+                    };
+                    let label = format!("{authenticator} {version} {about} {pass}");
+                    let authenticator = Authenticator::new(key).unwrap();
+                    messages.push(Written { label, envelope, head, payload: payload.clone(), authenticator });
                 }
             }
         }
@@ -124,39 +139,38 @@
 }
 
 #[test]
-fn ids_and_members_keep_their_form() {
+fn ids_and_members_keep_their_encoding() {
     postcards("ids.txt", &ids());
-    let standings =
-        [("here", PeerState::Alive), ("suspected", PeerState::Suspected), ("gone", PeerState::Down)];
-    let peers: Vec<(String, Peer)> = standings
+    let states = [("here", PeerState::Alive), ("suspected", PeerState::Suspected), ("gone", PeerState::Down)];
+    let peers: Vec<(String, Peer)> = states
         .into_iter()
         .zip(ids())
-        .map(|((label, standing), (_, id))| {
-            let (name, incarnation, listen) = (id.name, id.incarnation, id.listen);
-            (label.to_string(), Peer { name, incarnation, listen_address: listen, state: standing })
+        .map(|((label, state), (_, id))| {
+            let (name, incarnation, listen_address) = (id.name, id.incarnation, id.listen_address);
+            (label.to_string(), Peer { name, incarnation, listen_address, state })
         })
         .collect();
     postcards("members.txt", &peers);
 }
 
 #[test]
-fn kinds_keep_their_number_path_and_version() {
+fn request_kinds_keep_number_path_and_version() {
     let now: Vec<(String, String)> = RequestKind::ALL
         .into_iter()
         .map(|kind| {
-            let code = Code::from(kind);
-            assert_eq!((code.kind(), RequestKind::of_path(kind.path())), (Some(kind), Some(kind)));
+            let code = KindCode::from(kind);
+            assert_eq!((code.kind(), RequestKind::from_path(kind.path())), (Some(kind), Some(kind)));
             let forms = [postcard::to_stdvec(&kind).unwrap(), postcard::to_stdvec(&code).unwrap()];
-            (format!("{} {}", kind.path(), kind.since()), forms.map(|form| hex(&form)).join("-"))
+            (format!("{} {}", kind.path(), kind.min_version()), forms.map(|form| hex(&form)).join("-"))
         })
         .collect();
     same("kinds.txt", &now);
-    assert_eq!(Code(8).kind(), None);
+    assert_eq!(KindCode(8).kind(), None);
 }
 
 #[test]
-fn heads_keep_their_form() {
-    let heads: Vec<(String, Head)> = messages()
+fn headers_keep_their_encoding() {
+    let heads: Vec<(String, MessageHeader)> = messages()
         .into_iter()
         .filter(|message| message.label.starts_with("open first"))
         .map(|message| (message.label["open first ".len()..].to_string(), message.head))
@@ -165,60 +179,65 @@
 }
 
 #[test]
-fn messages_are_written_and_read_as_ever() {
+fn messages_keep_their_encoding() {
     let now: Vec<(String, String)> = messages()
         .iter()
-        .map(|m| (m.label.clone(), hex(&frame(&m.envelope, &m.head, &m.load, &m.seal))))
+        .map(|m| (m.label.clone(), hex(&encode(&m.envelope, &m.head, &m.payload, &m.authenticator))))
         .collect();
     same("messages.txt", &now);
     for ((label, form), message) in lines("messages.txt").iter().zip(messages()) {
         let bytes = unhex(form);
-        let (envelope, head, load) = unframe(&bytes, &message.seal, "n1", Span::OURS).unwrap();
-        assert_eq!((envelope, &head, load), (message.envelope, &message.head, &message.load[..]), "{label}");
-        assert_eq!(frame(&envelope, &head, load, &message.seal), bytes, "{label}");
-        assert_eq!(peek(&bytes), Some((envelope.version, envelope.speaks)), "{label}");
+        let Message { envelope, header: head, payload } =
+            decode(&bytes, &message.authenticator, "n1", VersionRange::SUPPORTED).unwrap();
+        assert_eq!(
+            (envelope, &head, payload),
+            (message.envelope, &message.head, &message.payload[..]),
+            "{label}"
+        );
+        assert_eq!(encode(&envelope, &head, payload, &message.authenticator), bytes, "{label}");
+        assert_eq!(peek_version(&bytes), Some((envelope.version, envelope.supported)), "{label}");
     }
 }
 
 fn refusals() -> Vec<(String, RefusalReason)> {
     let name = || "n1".to_string();
-    let span = |least, most| Span { least, most };
+    let span = |min, max| VersionRange { min, max };
     [
         ("busy", RefusalReason::Busy),
-        ("late", RefusalReason::Late),
-        ("too-large", RefusalReason::TooLarge { most: 4 << 20 }),
-        ("version", RefusalReason::Version { theirs: 1, ours: 2 }),
+        ("late", RefusalReason::Timeout),
+        ("too-large", RefusalReason::TooLarge { max_bytes: 4 << 20 }),
+        ("version", RefusalReason::UnsupportedVersionV1 { theirs: 1, ours: 2 }),
         ("claimed", RefusalReason::UnverifiedSender { name: name() }),
-        ("seal", RefusalReason::Seal),
-        ("stale", RefusalReason::Stale { name: name(), known: 300 }),
+        ("seal", RefusalReason::AuthenticationFailed),
+        ("stale", RefusalReason::StaleIncarnation { name: name(), known: 300 }),
         ("garbled", RefusalReason::Malformed),
-        ("not-me", RefusalReason::NotMe { name: name() }),
-        ("flood", RefusalReason::Flood),
-        ("full", RefusalReason::Full),
-        ("dropped", RefusalReason::Dropped),
+        ("not-me", RefusalReason::WrongRecipient { name: name() }),
+        ("flood", RefusalReason::RateLimited),
+        ("full", RefusalReason::TooManyMembers),
+        ("dropped", RefusalReason::NoResponse),
         ("declined", RefusalReason::Declined("no such version".into())),
-        ("versions", RefusalReason::Versions { theirs: span(1, 2), ours: span(3, 200) }),
-        ("kind", RefusalReason::Kind { kind: 99 }),
-        ("pass", RefusalReason::Pass),
-        ("old", RefusalReason::Old),
+        ("versions", RefusalReason::UnsupportedVersion { theirs: span(1, 2), ours: span(3, 200) }),
+        ("kind", RefusalReason::UnknownKind { kind: 99 }),
+        ("pass", RefusalReason::InvalidToken),
+        ("old", RefusalReason::Replayed),
     ]
     .map(|(label, refused)| (label.to_string(), refused))
     .into()
 }
 
 #[test]
-fn refusals_keep_their_form_in_each_version() {
+fn refusals_keep_their_encoding_in_each_version() {
     postcards("refusals.txt", &refusals());
     let first: Vec<(String, RefusalReason)> =
-        refusals().into_iter().map(|(label, refused)| (label, refused.spoken_in(1))).collect();
+        refusals().into_iter().map(|(label, refused)| (label, refused.for_version(1))).collect();
     postcards("refusals-first.txt", &first);
     let second: Vec<(String, RefusalReason)> =
-        refusals().into_iter().map(|(label, refused)| (label, refused.spoken_in(2))).collect();
+        refusals().into_iter().map(|(label, refused)| (label, refused.for_version(2))).collect();
     assert_eq!(second, refusals());
 }
 
 #[test]
-fn counters_keep_their_names() {
+fn counters_keep_their_printed_names() {
     let names = Counters::default().list().into_iter();
     same(
         "counters.txt",
@@ -226,23 +245,24 @@
     );
 }
 
-/// Three cores, their clock and their wire; all that is said is noted.
+/// Three cores on a simulated network; everything sent is recorded.
 struct World {
     now: f64,
     cores: Vec<Core>,
-    seal: Seal,
-    /// Datagrams under way: due, from, to, bytes.
+    authenticator: Authenticator,
+    /// Datagrams in flight: due, from, to, bytes.
     wire: VecDeque<(f64, usize, usize, Vec<u8>)>,
     said: Vec<(String, String)>,
 }
 
-fn core_at(number: usize, incarnation: u64, speaks: Span, key: Option<&str>, now: f64) -> Core {
+fn core_at(number: usize, incarnation: u64, versions: VersionRange, key: Option<&str>, now: f64) -> Core {
     let known =
         (0..3).map(|other| (format!("n{other}"), SocketAddr::from(([127, 0, 0, 1], 7000 + other)))).collect();
     let listen = SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16));
-    let mut told = MembershipOptions::new(&format!("n{number}"), incarnation, listen, known, number as u64);
-    (told.key, told.supported_versions) = (key.map(String::from), speaks);
-    Core::new(&told, [number as u8 + 10 * incarnation as u8; 32], now).unwrap()
+    let mut options =
+        MembershipOptions::new(&format!("n{number}"), incarnation, listen, known, number as u64);
+    (options.key, options.supported_versions) = (key.map(String::from), versions);
+    Core::new(&options, [number as u8 + 10 * incarnation as u8; 32], now).unwrap()
 }
 
 fn address(number: usize) -> SocketAddr {
@@ -251,10 +271,16 @@
 
 impl World {
     fn new(key: Option<&str>) -> World {
-        let spans = [Span::OURS, Span::OURS, Span::only(1)];
+        let spans = [VersionRange::SUPPORTED, VersionRange::SUPPORTED, VersionRange::exactly(1)];
         let cores =
             spans.iter().enumerate().map(|(number, span)| core_at(number, 1, *span, key, 0.0)).collect();
-        World { now: 0.0, cores, seal: Seal::new(key).unwrap(), wire: VecDeque::new(), said: Vec::new() }
+        World {
+            now: 0.0,
+            cores,
+            authenticator: Authenticator::new(key).unwrap(),
+            wire: VecDeque::new(),
+            said: Vec::new(),
+        }
     }
 
     fn note(&mut self, what: String, bytes: &[u8]) {
@@ -262,15 +288,15 @@
         self.said.push((format!("{:.2} {what}", self.now), form));
     }
 
-    fn carry(&mut self, from: usize, orders: Actions, lost: &impl Fn(usize, usize) -> bool) {
-        for (to, bytes) in orders.datagrams {
+    fn carry(&mut self, from: usize, actions: Actions, lost: &impl Fn(usize, usize) -> bool) {
+        for (to, bytes) in actions.datagrams {
             let to = usize::from(to.port()) - 7000;
             self.note(format!("datagram n{from} n{to}"), &bytes);
             if !lost(from, to) {
                 self.wire.push_back((self.now + 0.01, from, to, bytes));
             }
         }
-        for change in orders.changes {
+        for change in actions.changes {
             let what = match change {
                 Event::PeerUp(peer) => format!("here {} {}", peer.name, peer.incarnation),
                 Event::PeerSuspected(name) => format!("suspected {name}"),
@@ -279,9 +305,9 @@
             };
             self.note(format!("member n{from} {what}"), &[]);
         }
-        if let Some(fault) = orders.fault {
+        if let Some(error) = actions.error {
             let refusal =
-                fault.refusal("n9").map(|why| postcard::to_stdvec(&why).unwrap()).unwrap_or_default();
+                error.refusal("n9").map(|why| postcard::to_stdvec(&why).unwrap()).unwrap_or_default();
             self.note(format!("fault n{from}"), &refusal);
         }
     }
@@ -296,19 +322,19 @@
             }
             for number in (0..self.cores.len()).filter(|number| !stopped.contains(number)) {
                 for (from, bytes) in waits.remove(&number).unwrap_or_default() {
-                    let orders = self.cores[number].on_datagram(self.now, address(from), &bytes);
-                    self.carry(number, orders, &lost);
+                    let actions = self.cores[number].on_datagram(self.now, address(from), &bytes);
+                    self.carry(number, actions, &lost);
                 }
-                let orders = self.cores[number].tick(self.now);
-                self.carry(number, orders, &lost);
-                for sign in self.cores[number].signs() {
-                    self.request(number, &sign.to, &sign.body, stopped, &lost);
+                let actions = self.cores[number].tick(self.now);
+                self.carry(number, actions, &lost);
+                for check in self.cores[number].due_liveness_checks() {
+                    self.request(number, &check.to, &check.body, stopped, &lost);
                 }
             }
         }
     }
 
-    /// Carries a request for a sign of life there and back, in the bytes that it would have.
+    /// Carries a liveness check there and back, in its encoding.
     fn request(
         &mut self,
         from: usize,
@@ -318,26 +344,28 @@
         lost: &impl Fn(usize, usize) -> bool,
     ) {
         let other: usize = to[1..].parse().unwrap();
-        let about = About::Ask { id: 1, kind: RequestKind::LivenessCheck.into(), within_ms: 100 };
-        let head = self.cores[from].head(to, about);
-        let version = self.cores[from].version_to(to);
-        let bytes = self.cores[from].framed(version, &head, body);
+        let message_type =
+            MessageType::Request { id: 1, kind: RequestKind::LivenessCheck.into(), timeout_ms: 100 };
+        let head = self.cores[from].header_for(to, message_type);
+        let version = self.cores[from].version_for(to);
+        let bytes = self.cores[from].encode(version, &head, body);
         self.note(format!("request n{from} {to}"), &bytes);
         if stopped.contains(&other) {
-            let orders = self.cores[from].sign_came(self.now, to, address(other), None);
-            return self.carry(from, orders, lost);
+            let actions = self.cores[from].on_liveness_result(self.now, to, address(other), None);
+            return self.carry(from, actions, lost);
         }
-        let (said, head, load) = unframe(&bytes, &self.seal, to, Span::OURS).unwrap();
-        self.cores[other].believes(self.now, &said, &head, address(from)).unwrap();
-        let (body, orders) = self.cores[other].sign_asked(&head, load).unwrap();
-        self.carry(other, orders, lost);
-        let head = self.cores[other].head(&format!("n{from}"), About::Answer { id: 1 });
-        let version = self.cores[other].answer_in(&bytes);
-        let answer = self.cores[other].framed(version, &head, &body);
+        let Message { envelope: said, header: head, payload } =
+            decode(&bytes, &self.authenticator, to, VersionRange::SUPPORTED).unwrap();
+        self.cores[other].authenticate_request(self.now, &said, &head, address(from)).unwrap();
+        let (body, actions) = self.cores[other].answer_liveness_check(&head, payload).unwrap();
+        self.carry(other, actions, lost);
+        let head = self.cores[other].header_for(&format!("n{from}"), MessageType::Response { id: 1 });
+        let version = self.cores[other].response_version(&bytes);
+        let answer = self.cores[other].encode(version, &head, &body);
         self.note(format!("answer {to} n{from}"), &answer);
-        let (said, head, load) = unframe(&answer, &self.seal, to, Span::OURS).unwrap();
-        let orders = self.cores[from].sign_came(self.now, to, address(other), Some((&said, &head, load)));
-        self.carry(from, orders, lost);
+        let message = decode(&answer, &self.authenticator, to, VersionRange::SUPPORTED).unwrap();
+        let actions = self.cores[from].on_liveness_result(self.now, to, address(other), Some(&message));
+        self.carry(from, actions, lost);
     }
 }
 
@@ -345,40 +373,41 @@
     false
 }
 
-/// Joining, a member of version 1 that leaves and comes back in a later life and version, a suspicion that is refuted over a connection,
-/// a member that dies, and messages that are refused.
+/// Joining, a member of version 1 that leaves and returns in a later incarnation and version, a suspicion that is refuted over a connection,
+/// a member that goes down, and messages that are refused.
 fn conversation(key: Option<&str>) -> Vec<(String, String)> {
     let mut world = World::new(key);
     world.play(1.6, &[], none);
-    let orders = world.cores[2].leave(world.now);
-    world.carry(2, orders, &none);
+    let actions = world.cores[2].leave(world.now);
+    world.carry(2, actions, &none);
     world.play(2.0, &[2], none);
-    world.cores[2] = core_at(2, 2, Span::OURS, key, world.now);
+    world.cores[2] = core_at(2, 2, VersionRange::SUPPORTED, key, world.now);
     world.play(3.5, &[], none);
     world.play(7.5, &[], |from, _| from == 1);
     world.play(8.5, &[], none);
     let old = world.said.iter().rfind(|(label, _)| label.ends_with("datagram n1 n0")).unwrap().1.clone();
     let mut spoilt = unhex(&old);
     spoilt[40] ^= 1;
-    for bytes in [unhex(&old), spoilt, vec![VERSION + 1; 200], vec![]] {
-        let orders = world.cores[0].on_datagram(world.now, address(1), &bytes);
-        world.carry(0, orders, &none);
+    for bytes in [unhex(&old), spoilt, vec![PROTOCOL_VERSION + 1; 200], vec![]] {
+        let actions = world.cores[0].on_datagram(world.now, address(1), &bytes);
+        world.carry(0, actions, &none);
     }
     world.play(9.0, &[], none);
     world.play(13.5, &[2], none);
     world.said
 }
 
-fn conversation_is_as_ever(file: &str, key: Option<&str>) {
+fn check_conversation(file: &str, key: Option<&str>) {
     let now = conversation(key);
     same(file, &now);
-    let seal = Seal::new(key).unwrap();
+    let authenticator = Authenticator::new(key).unwrap();
     for (label, form) in lines(file) {
         let kind = label.split(' ').nth(1).unwrap();
         if ["datagram", "request", "answer"].contains(&kind) {
             let bytes = unhex(&form);
-            let (envelope, head, load) = unframe(&bytes, &seal, "it", Span::OURS).unwrap();
-            assert_eq!(frame(&envelope, &head, load, &seal), bytes, "{label}");
+            let Message { envelope, header: head, payload } =
+                decode(&bytes, &authenticator, "it", VersionRange::SUPPORTED).unwrap();
+            assert_eq!(encode(&envelope, &head, payload, &authenticator), bytes, "{label}");
         }
     }
     for (what, least) in [
@@ -396,16 +425,16 @@
 }
 
 #[test]
-fn a_conversation_without_a_key_is_as_ever() {
-    conversation_is_as_ever("conversation-open.txt", None);
+fn a_conversation_without_a_key_keeps_its_bytes() {
+    check_conversation("conversation-open.txt", None);
 }
 
 #[test]
-fn a_conversation_under_a_key_is_as_ever() {
-    conversation_is_as_ever("conversation-sealed.txt", Some(KEY));
+fn a_conversation_under_a_key_keeps_its_bytes() {
+    check_conversation("conversation-sealed.txt", Some(KEY));
 }
 
-/// Head and body of what comes next; nothing at the end.
+/// Head and body of the next request or response; None at the end.
 fn read_http(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
@@ -422,7 +451,7 @@
     Some((head, body))
 }
 
-/// A head without what differs each time, in one word. As bytes, so that names in it are changed by no tool.
+/// An HTTP head without the values that differ each time, as bytes in hexadecimal: a replacement of names in the repository must not touch it.
 fn fixed(head: &str) -> String {
     let lines: Vec<&str> = head
         .split("\r\n")
@@ -435,7 +464,7 @@
 }
 
 #[test]
-fn requests_have_their_head() {
+fn requests_keep_their_http_head() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let there = listener.local_addr().unwrap();
     let (send, heads) = std::sync::mpsc::channel();
@@ -444,25 +473,34 @@
             let send = send.clone();
             std::thread::spawn(move || {
                 while let Some((head, body)) = read_http(&mut stream) {
-                    let seal = Seal::new(None).unwrap();
-                    let (envelope, asked, _) = unframe(&body, &seal, "n1", Span::OURS).unwrap();
-                    let About::Ask { id, .. } = asked.about else { panic!("{asked:?}") };
+                    let authenticator = Authenticator::new(None).unwrap();
+                    let Message { envelope, header: asked, .. } =
+                        decode(&body, &authenticator, "n1", VersionRange::SUPPORTED).unwrap();
+                    let MessageType::Request { id, .. } = asked.message_type else { panic!("{asked:?}") };
                     send.send(head).unwrap();
-                    let from = Id { name: "n2".into(), incarnation: 1, renewed: 0, listen: there };
-                    let about = About::Answer { id };
-                    let answer = Head { from, to: "n1".into(), gives: 0, echo: 0, about };
-                    let answer = frame(&Envelope { count: 0, ..envelope }, &answer, b"yes", &seal);
+                    let from =
+                        PeerId { name: "n2".into(), incarnation: 1, renewals: 0, listen_address: there };
+                    let message_type = MessageType::Response { id };
+                    let answer = MessageHeader {
+                        from,
+                        to: "n1".into(),
+                        issued_token: 0,
+                        echoed_token: 0,
+                        message_type,
+                    };
+                    let answer =
+                        encode(&Envelope { sequence: 0, ..envelope }, &answer, b"yes", &authenticator);
                     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", answer.len());
                     stream.write_all(&[head.as_bytes(), &answer].concat()).unwrap();
                 }
             });
         }
     });
-    let broker = run(bound(), told("n1", 1, &[("n2", there)]));
+    let broker = run(bound(), options("n1", 1, &[("n2", there)]));
     let mut now = Vec::new();
     for kind in RequestKind::ALL {
         let id = broker.peers.request("n2", kind, b"body".to_vec(), 5.0).unwrap();
-        assert_eq!(broker.end(id).unwrap(), b"yes");
+        assert_eq!(broker.response(id).unwrap(), b"yes");
         let head = heads.recv_timeout(PATIENCE).unwrap();
         assert!(head.contains(&format!("host: {there}\r\n")), "{head}");
         now.push((kind.path().to_string(), fixed(&head)));
@@ -471,34 +509,46 @@
 }
 
 #[test]
-fn answers_have_their_head_and_status() {
+fn responses_keep_their_http_head_and_status() {
     let n2 = at("127.0.0.1:9");
-    let broker = run(bound(), told("n1", 1, &[("n2", n2)]));
-    let seal = Seal::new(None).unwrap();
-    let from = Id { name: "n2".into(), incarnation: 1, renewed: 0, listen: n2 };
+    let broker = run(bound(), options("n1", 1, &[("n2", n2)]));
+    let authenticator = Authenticator::new(None).unwrap();
+    let from = PeerId { name: "n2".into(), incarnation: 1, renewals: 0, listen_address: n2 };
     let mut ends: Vec<(String, Result<Vec<u8>, RefusalReason>)> =
         vec![("answer".into(), Ok(b"yes".to_vec()))];
     ends.extend(refusals().into_iter().map(|(label, refused)| (label, Err(refused))));
     let mut now = Vec::new();
     for (label, end) in ends {
-        let about = About::Ask { id: 3, kind: RequestKind::State.into(), within_ms: 5000 };
-        let head = Head { from: from.clone(), to: "n1".into(), gives: 0, echo: 0, about };
-        let envelope = Envelope { version: VERSION, speaks: Span::OURS, count: 0 };
-        let body = frame(&envelope, &head, b"body", &seal);
+        let message_type = MessageType::Request { id: 3, kind: RequestKind::State.into(), timeout_ms: 5000 };
+        let head = MessageHeader {
+            from: from.clone(),
+            to: "n1".into(),
+            issued_token: 0,
+            echoed_token: 0,
+            message_type,
+        };
+        let envelope =
+            Envelope { version: PROTOCOL_VERSION, supported: VersionRange::SUPPORTED, sequence: 0 };
+        let body = encode(&envelope, &head, b"body", &authenticator);
         let mut stream = TcpStream::connect(broker.peers.local_addr()).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         let request = format!("POST /state HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n", body.len());
         stream.write_all(&[request.as_bytes(), &body].concat()).unwrap();
-        let (.., token) = broker.asked();
-        broker.peers.respond(token, end.clone());
-        let (head, body) = read_http(&mut stream).expect("an answer");
-        let (said, answered, load) = unframe(&body, &seal, "n1", Span::OURS).unwrap();
-        assert_eq!((said.version, said.speaks, said.count), (VERSION, Span::OURS, 0), "{label}");
+        let (.., responder) = broker.next_request();
+        broker.peers.respond(responder, end.clone());
+        let (head, body) = read_http(&mut stream).expect("a response");
+        let Message { envelope: said, header: answered, payload } =
+            decode(&body, &authenticator, "n1", VersionRange::SUPPORTED).unwrap();
+        assert_eq!(
+            (said.version, said.supported, said.sequence),
+            (PROTOCOL_VERSION, VersionRange::SUPPORTED, 0),
+            "{label}"
+        );
         let (about, want) = match end {
-            Ok(body) => (About::Answer { id: 3 }, body),
-            Err(why) => (About::Refused { id: 3 }, postcard::to_stdvec(&why).unwrap()),
+            Ok(body) => (MessageType::Response { id: 3 }, body),
+            Err(why) => (MessageType::Refusal { id: 3 }, postcard::to_stdvec(&why).unwrap()),
         };
-        assert_eq!((answered.about, answered.gives, load), (about, 0, &want[..]), "{label}");
+        assert_eq!((answered.message_type, answered.issued_token, payload), (about, 0, &want[..]), "{label}");
         now.push((label, fixed(&head)));
     }
     same("answers.txt", &now);
--- a/crates/dunepond-membership/tests/membership.rs
+++ b/crates/dunepond-membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is there, on real sockets.
+//! Joining, leaving and failing, on real sockets.
 
 mod fleet;
 use dunepond_membership::{Event, PeerError, PeerState};
@@ -8,74 +8,74 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 
 #[test]
-fn three_find_each_other_and_one_answers() {
+fn three_find_each_other_and_one_responds() {
     let fleet = fleet(3, |_| {});
     for (broker, others) in fleet.iter().zip([["n2", "n3"], ["n1", "n3"], ["n1", "n2"]]) {
-        broker.all_came(&others);
+        broker.all_up(&others);
     }
     let echo = std::thread::scope(|scope| {
         scope.spawn(|| {
-            let (from, _, body, token) = fleet[1].asked();
+            let (from, _, body, responder) = fleet[1].next_request();
             assert_eq!(from, "n1");
-            fleet[1].peers.respond(token, Ok(body));
+            fleet[1].peers.respond(responder, Ok(body));
         });
-        fleet[0].ask("n2", b"hello", 5.0)
+        fleet[0].call("n2", b"hello", 5.0)
     });
     assert_eq!(echo.unwrap(), b"hello");
 }
 
 #[test]
-fn who_crashes_is_given_up_and_its_next_life_wins() {
+fn a_crashed_peer_goes_down_and_its_next_incarnation_wins() {
     let mut fleet = fleet(3, |_| {});
-    fleet[0].all_came(&["n2", "n3"]);
+    fleet[0].all_up(&["n2", "n3"]);
     let known: Vec<(&str, SocketAddr)> =
         ["n1", "n2", "n3"].into_iter().zip(fleet.iter().map(|broker| broker.peers.local_addr())).collect();
-    // Stopped as nobody would who has the time to say so.
+    // Stopped, which the others see as leaving.
     let crashed = fleet.pop().unwrap();
     let at = crashed.peers.local_addr();
     crashed.peers.stop();
-    fleet[0].left("n3");
-    let back = run(dunepond_membership::bind(at).unwrap(), told("n3", 2, &known));
-    assert_eq!(fleet[0].came("n3"), 2);
-    back.all_came(&["n1", "n2"]);
+    fleet[0].down("n3");
+    let back = run(dunepond_membership::bind(at).unwrap(), options("n3", 2, &known));
+    assert_eq!(fleet[0].up("n3"), 2);
+    back.all_up(&["n1", "n2"]);
     let standing = fleet[0].peers.members().into_iter().find(|peer| peer.name == "n3").unwrap();
     assert_eq!((standing.incarnation, standing.state), (2, PeerState::Alive));
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            let (.., body, token) = back.asked();
-            back.peers.respond(token, Ok(body));
+            let (.., body, responder) = back.next_request();
+            back.peers.respond(responder, Ok(body));
         });
-        // What the asker kept open to the earlier life may break once; the way is then opened anew.
-        let again = (0..5).find_map(|_| fleet[0].ask("n3", b"again", 2.0).ok());
+        // A pooled connection to the earlier incarnation may break once; a new one is then opened.
+        let again = (0..5).find_map(|_| fleet[0].call("n3", b"again", 2.0).ok());
         assert_eq!(again.unwrap(), b"again");
     });
 }
 
 #[test]
-fn a_follower_whom_no_file_names_is_heard_of_by_all() {
+fn an_unconfigured_follower_becomes_known_to_all() {
     let fleet = fleet(2, |_| {});
     let known = [("n1", fleet[0].peers.local_addr())];
-    let follower = run(bound(), told("f1", 1, &known));
-    follower.all_came(&["n1", "n2"]);
-    fleet[0].came("f1");
-    fleet[1].came("f1");
+    let follower = run(bound(), options("f1", 1, &known));
+    follower.all_up(&["n1", "n2"]);
+    fleet[0].up("f1");
+    fleet[1].up("f1");
 }
 
 #[test]
-fn one_name_at_two_places_is_believed_where_the_file_says() {
+fn a_duplicate_name_is_accepted_at_its_configured_address_only() {
     let fleet = fleet(2, |_| {});
-    fleet[0].came("n2");
+    fleet[0].up("n2");
     let known = [("n1", fleet[0].peers.local_addr())];
-    let double = run(bound(), told("n2", 9, &known));
-    let fault = double.ask("n1", b"", 2.0);
-    assert!(matches!(fault, Err(PeerError::Refused { .. })), "{fault:?}");
-    fleet[0].wait("the claim to be counted twice", |peers| peers.counters().claimed > 1);
+    let double = run(bound(), options("n2", 9, &known));
+    let error = double.call("n1", b"", 2.0);
+    assert!(matches!(error, Err(PeerError::Refused { .. })), "{error:?}");
+    fleet[0].wait("the claim to be counted twice", |peers| peers.counters().unverified_sender > 1);
     let n2 = &fleet[0].peers.members()[0];
     assert_eq!((n2.incarnation, n2.listen_address), (1, fleet[1].peers.local_addr()));
     assert!(double.peers.members().iter().all(|peer| peer.state != PeerState::Alive));
 }
 
-/// Passes everything on between whoever comes and `to`, from addresses of its own; datagrams only until `crowded`.
+/// Forwards everything between any client and `to`, from addresses of its own; datagrams only until `crowded`.
 fn relay(to: SocketAddr, crowded: Arc<AtomicBool>) -> SocketAddr {
     let (tcp, udp) = loop {
         let tcp = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -104,57 +104,58 @@
     at
 }
 
-/// Two that reach each other through relays only, and what crowds all datagrams out of them.
+/// Two brokers that reach each other through relays only, and the switch that drops all datagrams.
 fn behind_relays(suspect: f64, crowded: bool) -> (Broker, Broker, Arc<AtomicBool>) {
     let crowded = Arc::new(AtomicBool::new(crowded));
     let bounds = [bound(), bound()];
-    let relays = [relay(bounds[0].at(), crowded.clone()), relay(bounds[1].at(), crowded.clone())];
+    let relays =
+        [relay(bounds[0].local_addr(), crowded.clone()), relay(bounds[1].local_addr(), crowded.clone())];
     let [one, two] = bounds;
     let keyed = |name, other, at| {
-        let mut told = told(name, 1, &[(other, at)]);
-        told.key = Some("behind the relays".into());
-        told.timing.suspicion_timeout_seconds = suspect;
-        told
+        let mut options = options(name, 1, &[(other, at)]);
+        options.key = Some("behind the relays".into());
+        options.timing.suspicion_timeout_seconds = suspect;
+        options
     };
     let n1 = run(one, keyed("n1", "n2", relays[1]));
     let n2 = run(two, keyed("n2", "n1", relays[0]));
     if !crowded.load(Relaxed) {
-        n1.came("n2");
-        n2.came("n1");
+        n1.up("n2");
+        n2.up("n1");
     }
     (n1, n2, crowded)
 }
 
 #[test]
-fn behind_relays_the_key_speaks_and_the_way_stays() {
+fn behind_relays_the_key_verifies_senders() {
     let (n1, n2, _) = behind_relays(0.8, false);
     assert_eq!(n1.peers.members()[0].listen_address, n2.peers.local_addr());
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            let (.., token) = n2.asked();
-            n2.peers.respond(token, Ok(b"through".into()));
+            let (.., responder) = n2.next_request();
+            n2.peers.respond(responder, Ok(b"through".into()));
         });
-        assert_eq!(n1.ask("n2", b"", 5.0).unwrap(), b"through");
+        assert_eq!(n1.call("n2", b"", 5.0).unwrap(), b"through");
     });
 }
 
-/// Under a key the refusal of a request brings the pass, and the request is carried once more.
+/// Under a key the refusal of a request carries the address token, and the request is retried.
 #[test]
-fn who_never_had_a_datagram_has_the_pass_from_a_refusal() {
+fn a_refusal_carries_the_address_token_under_a_key() {
     let (n1, n2, _) = behind_relays(0.8, true);
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            let (.., token) = n2.asked();
-            n2.peers.respond(token, Ok(b"through".into()));
+            let (.., responder) = n2.next_request();
+            n2.peers.respond(responder, Ok(b"through".into()));
         });
-        assert_eq!(n1.ask("n2", b"", 10.0).unwrap(), b"through");
+        assert_eq!(n1.call("n2", b"", 10.0).unwrap(), b"through");
     });
-    assert_eq!(n2.peers.counters().unproven, 1);
+    assert_eq!(n2.peers.counters().invalid_token, 1);
 }
 
-/// What a flood does at its worst: not one datagram comes through. Both suspect each other, ask over connections, and stay.
+/// A flood at its worst: no datagram gets through. Both suspect each other, check over connections, and stay up.
 #[test]
-fn who_answers_over_connections_is_not_given_up() {
+fn a_peer_that_passes_liveness_checks_stays_up() {
     let (n1, n2, crowded) = behind_relays(3.0, false);
     crowded.store(true, Relaxed);
     for broker in [&n1, &n2] {
@@ -166,29 +167,29 @@
             });
         }
     }
-    let asked = n1.peers.counters().signs_came + n2.peers.counters().signs_came;
+    let asked = n1.peers.counters().liveness_checks_passed + n2.peers.counters().liveness_checks_passed;
     assert!(asked >= 2, "{asked}");
 }
 
 #[test]
-fn without_the_key_or_with_another_nobody_is_found() {
+fn brokers_without_a_common_key_do_not_join() {
     let bounds = [bound(), bound(), bound()];
     let known: Vec<(&str, SocketAddr)> =
-        ["n1", "n2", "n3"].into_iter().zip(bounds.iter().map(|bound| bound.at())).collect();
+        ["n1", "n2", "n3"].into_iter().zip(bounds.iter().map(|bound| bound.local_addr())).collect();
     let keys = [Some("the key of the fleet"), Some("another fleet's key"), None];
     let fleet: Vec<Broker> = bounds
         .into_iter()
         .zip(keys)
         .enumerate()
         .map(|(number, (bound, key))| {
-            let mut told = told(known[number].0, 1, &known);
-            told.key = key.map(str::to_owned);
-            run(bound, told)
+            let mut options = options(known[number].0, 1, &known);
+            options.key = key.map(str::to_owned);
+            run(bound, options)
         })
         .collect();
-    let fault = fleet[1].ask("n1", b"", 2.0);
-    assert!(matches!(fault, Err(PeerError::Seal { .. })), "{fault:?}");
-    fleet[0].wait("bad seals", |peers| peers.counters().bad_seal > 2);
+    let error = fleet[1].call("n1", b"", 2.0);
+    assert!(matches!(error, Err(PeerError::AuthenticationFailed { .. })), "{error:?}");
+    fleet[0].wait("bad seals", |peers| peers.counters().authentication_failed > 2);
     assert!(fleet.iter().all(|broker| broker.peers.members().is_empty()));
     assert!(
         !fleet[0].events.try_iter().any(|event| matches!(event, Event::Request { .. } | Event::PeerUp(_)))
--- /dev/null
+++ b/crates/dunepond-membership/tests/requests.rs
@@ -0,0 +1,325 @@
+//! Requests and their ends, when the peer is slow, silent, half there or gone.
+
+mod fleet;
+use dunepond_membership::{
+    Authenticator, Envelope, Event, MessageHeader, MessageType, PeerError, PeerId, RefusalReason,
+    RequestKind, bind, encode,
+};
+use fleet::*;
+use rstest::rstest;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::{Duration, Instant};
+
+/// A server that accepts, reads the start of a request, writes `response`, and then closes the connection or keeps it open for ever.
+fn server(response: Vec<u8>, closes: bool) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    std::thread::spawn(move || {
+        let mut open: Vec<TcpStream> = Vec::new();
+        for mut stream in listener.incoming().flatten() {
+            let _ = stream.read(&mut [0; 4096]);
+            let _ = stream.write_all(&response);
+            if !closes {
+                open.push(stream);
+            }
+        }
+    });
+    address
+}
+
+fn head(length: usize) -> Vec<u8> {
+    format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n").into()
+}
+
+fn with_body(body: &[u8]) -> Vec<u8> {
+    [head(body.len()), body.to_vec()].concat()
+}
+
+/// The complete response of a broker called `name` to request `id`.
+fn response(name: &str, id: u64) -> Vec<u8> {
+    let from = PeerId {
+        name: name.into(),
+        incarnation: 1,
+        renewals: 0,
+        listen_address: "127.0.0.1:9".parse().unwrap(),
+    };
+    let head = MessageHeader {
+        from,
+        to: "n1".into(),
+        issued_token: 0,
+        echoed_token: 0,
+        message_type: MessageType::Response { id },
+    };
+    with_body(&encode(&Envelope::VERSION_1, &head, b"yes", &Authenticator::new(None).unwrap()))
+}
+
+#[rstest]
+#[case::of_another(response("n7", 1), false, "UnverifiedSender")]
+#[case::to_another_request(response("bad", 2), false, "Malformed")]
+#[case::silent(vec![], false, "Timeout")]
+#[case::half_a_head(b"HTTP/1.1 200".to_vec(), false, "Timeout")]
+#[case::half_a_response([head(100), b"half".to_vec()].concat(), false, "Timeout")]
+#[case::closes_at_once(vec![], true, "ConnectionLost")]
+#[case::closes_half_way([head(100), b"half".to_vec()].concat(), true, "ConnectionLost")]
+#[case::no_http(b"220 mail\r\n\r\n".to_vec(), false, "ConnectionLost")]
+#[case::garbage(with_body(&[1, 200, 200, 200]), false, "Malformed")]
+#[case::newer(with_body(&[9, 3, 9, 0]), false, "UnsupportedVersion")]
+#[case::too_large(head(5 << 20), false, "TooLarge")]
+#[case::without_length(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\na\r\n".to_vec(), false, "Malformed")]
+fn each_bad_response_ends_in_time(#[case] response: Vec<u8>, #[case] closes: bool, #[case] want: &str) {
+    let broker = run(bound(), options("n1", 1, &[("bad", server(response, closes))]));
+    let started = Instant::now();
+    let end = broker.call("bad", b"x", 0.4).unwrap_err();
+    let took = started.elapsed().as_secs_f64();
+    assert!(format!("{end:?}").starts_with(want), "{end:?}");
+    assert!(took < 2.0 && (want != "Timeout" || took >= 0.4), "{took}");
+}
+
+#[test]
+fn a_silent_peer_delays_no_other() {
+    let fleet = fleet(2, |options| options.known_peers.push(("silent".into(), server(vec![], false))));
+    for _ in 0..20 {
+        fleet[0].peers.request("silent", RequestKind::Raft, vec![], 3.0).unwrap();
+    }
+    std::thread::scope(|scope| {
+        scope.spawn(|| {
+            for _ in 0..20 {
+                let (.., responder) = fleet[1].next_request();
+                fleet[1].peers.respond(responder, Ok(vec![]));
+            }
+        });
+        for _ in 0..20 {
+            fleet[0].call("n2", b"", 2.0).unwrap();
+        }
+    });
+    // All over the same few connections.
+    assert!(fleet[1].peers.counters().connections_in <= 4, "{:?}", fleet[1].peers.counters());
+}
+
+#[test]
+fn requests_are_limited_and_each_accepted_one_ends_once() {
+    let silent = server(vec![], false);
+    let mut options = options("n1", 1, &[("silent", silent)]);
+    options.limits.max_requests = 50;
+    options.limits.max_requests_per_peer = 40;
+    let broker = run(bound(), options);
+    let taken: Vec<u64> = (0..500)
+        .filter_map(|_| broker.peers.request("silent", RequestKind::Raft, vec![], 0.5).ok())
+        .collect();
+    assert_eq!(taken.len(), 50);
+    assert!(matches!(
+        broker.peers.request("silent", RequestKind::Raft, vec![], 0.5),
+        Err(PeerError::Busy { limit: 50, .. })
+    ));
+    let (mut ended, mut late) = (Vec::new(), 0);
+    while ended.len() < 50 {
+        match broker.events.recv_timeout(PATIENCE).unwrap() {
+            Event::Response { id, result, .. } => {
+                ended.push(id);
+                late += usize::from(matches!(result, Err(PeerError::Timeout { .. })));
+            }
+            other => panic!("{other:?}"),
+        }
+    }
+    ended.sort_unstable();
+    assert_eq!(ended, taken);
+    assert_eq!(late, 40, "more are out than one peer may have");
+    // All of the limit is free again.
+    assert!(matches!(broker.call("silent", b"", 0.1), Err(PeerError::Timeout { .. })));
+}
+
+#[test]
+fn an_unreachable_peer_is_backed_off_and_found_again() {
+    let place = bound();
+    let at = place.local_addr();
+    drop(place);
+    let broker = run(bound(), options("n1", 1, &[("n2", at)]));
+    assert!(matches!(broker.call("n2", b"", 2.0), Err(PeerError::Unreachable { .. })));
+    let started = Instant::now();
+    let (mut backed_off, mut attempts) = (0, 0);
+    // So many refusals come in a quarter of a second on an idle machine.
+    while backed_off < 50 || started.elapsed() < Duration::from_secs(1) {
+        assert!(started.elapsed() < PATIENCE, "{backed_off} backed_off, {attempts} attempts");
+        match broker.call("n2", b"", 2.0).unwrap_err() {
+            PeerError::BackingOff { wait_seconds, .. } => {
+                assert!(wait_seconds <= 1.0);
+                backed_off += 1;
+            }
+            PeerError::Unreachable { .. } => attempts += 1,
+            other => panic!("{other:?}"),
+        }
+        std::thread::sleep(Duration::from_millis(5));
+    }
+    // The backoff doubles from at least 25 ms up to at least half a second.
+    assert!(
+        attempts >= 1 && attempts <= 6 + 2 * started.elapsed().as_secs(),
+        "{backed_off} backed_off, {attempts} attempts"
+    );
+    let there = run(bind(at).unwrap(), options("n2", 1, &[("n1", broker.peers.local_addr())]));
+    std::thread::scope(|scope| {
+        scope.spawn(|| {
+            let (.., responder) = there.next_request();
+            there.peers.respond(responder, Ok(vec![]));
+        });
+        let started = Instant::now();
+        while broker.call("n2", b"", 2.0).is_err() {
+            assert!(started.elapsed() < PATIENCE);
+            std::thread::sleep(Duration::from_millis(5));
+        }
+    });
+}
+
+#[test]
+fn oversized_bodies_are_refused_on_either_side() {
+    let fleet = fleet(2, |_| {});
+    let whole = vec![7; 4 << 20];
+    assert!(matches!(
+        fleet[0].peers.request("n2", RequestKind::State, vec![0; (4 << 20) + 1], 1.0),
+        Err(PeerError::TooLarge { .. })
+    ));
+    std::thread::scope(|scope| {
+        scope.spawn(|| {
+            let (.., body, responder) = fleet[1].next_request();
+            fleet[1].peers.respond(responder, Ok(body));
+            let (.., responder) = fleet[1].next_request();
+            fleet[1].peers.respond(responder, Ok(vec![0; (4 << 20) + 1]));
+        });
+        assert_eq!(fleet[0].call("n2", &whole, 10.0).unwrap(), whole);
+        let end = fleet[0].call("n2", b"", 10.0);
+        assert!(
+            matches!(end, Err(PeerError::Refused { reason: RefusalReason::TooLarge { .. }, .. })),
+            "{end:?}"
+        );
+    });
+}
+
+#[test]
+fn a_request_without_a_response_gets_a_reason() {
+    let fleet = fleet(2, |_| {});
+    let known = [("n3", fleet[1].peers.local_addr())];
+    let misled = run(bound(), options("n0", 1, &known));
+    let end = misled.call("n3", b"", 2.0);
+    assert!(
+        matches!(&end, Err(PeerError::Refused { reason: RefusalReason::WrongRecipient { name }, .. }) if name == "n2"),
+        "{end:?}"
+    );
+    std::thread::scope(|scope| {
+        scope.spawn(|| {
+            drop(fleet[1].next_request());
+            let (.., responder) = fleet[1].next_request();
+            fleet[1].peers.respond(responder, Err(RefusalReason::Declined("no such version".into())));
+        });
+        let end = fleet[0].call("n2", b"", 2.0);
+        assert!(matches!(end, Err(PeerError::Refused { reason: RefusalReason::NoResponse, .. })), "{end:?}");
+        let end = fleet[0].call("n2", b"", 2.0);
+        assert!(matches!(end, Err(PeerError::Refused { reason: RefusalReason::Declined(_), .. })), "{end:?}");
+    });
+    assert!(matches!(fleet[0].call("nobody", b"", 2.0), Err(PeerError::UnknownPeer { .. })));
+}
+
+#[test]
+fn a_caller_that_does_not_read_costs_requests_and_no_memory() {
+    let mut fleet = fleet(3, |options| {
+        if options.name == "n1" {
+            options.limits.max_queued_events = 4;
+        }
+    });
+    fleet[1].all_up(&["n1", "n3"]);
+    fleet[0].wait("n2 and n3", |peers| peers.members().len() == 2);
+    // n1 reads nothing. Responses to its own requests wait; requests of others have no room.
+    let ids: Vec<u64> =
+        (0..8).map(|_| fleet[1].peers.request("n1", RequestKind::Raft, vec![], 3.0).unwrap()).collect();
+    let ends = fleet[1].responses(&ids);
+    let busy = ends
+        .iter()
+        .filter(|end| matches!(end, Err(PeerError::Refused { reason: RefusalReason::Busy, .. })))
+        .count();
+    assert_eq!((busy, ends.len()), (6, 8), "two changes and two asks are all that has room");
+    let own = fleet[0].peers.request("n2", RequestKind::Raft, vec![], 0.2).unwrap();
+    let known = [("n1", fleet[0].peers.local_addr()), ("n2", fleet[1].peers.local_addr())];
+    let n3 = fleet.pop().unwrap();
+    let at = n3.peers.local_addr();
+    n3.peers.stop();
+    fleet[1].down("n3");
+    let _back = run(bind(at).unwrap(), options("n3", 2, &known));
+    fleet[0].wait("the new life", |peers| peers.members().iter().any(|peer| peer.incarnation == 2));
+    fleet[0].wait("an overtaken change", |peers| peers.counters().coalesced > 0);
+    let mut events = Vec::new();
+    while events.len() < 6 {
+        events.push(fleet[0].events.recv_timeout(PATIENCE).unwrap());
+    }
+    assert!(
+        events.iter().any(|event| matches!(event, Event::PeerUp(peer) if peer.incarnation == 2)),
+        "{events:?}"
+    );
+    assert!(!events.iter().any(|event| matches!(event, Event::PeerDown(_))), "{events:?}");
+    assert!(
+        events.iter().any(|event| matches!(event, Event::Response { id, .. } if *id == own)),
+        "{events:?}"
+    );
+}
+
+#[test]
+fn bytes_are_limited_in_every_queue() {
+    let mut fleet = fleet(2, |options| {
+        options.known_peers.push(("silent".into(), server(vec![], false)));
+        options.limits.max_receive_bytes = 8 << 20;
+        options.limits.max_send_bytes = 10 << 20;
+        options.limits.max_pending_requests_per_peer = 2;
+    });
+    let busy = |end: &Result<Vec<u8>, PeerError>| {
+        matches!(end, Err(PeerError::Refused { reason: RefusalReason::Busy, .. }))
+    };
+    let two = fleet.pop().unwrap();
+    let large = || vec![0; 3 << 20];
+    // None of these ends by its timeout: the machine may be slow.
+    let ask = |to: &str, body| two.peers.request(to, RequestKind::State, body, 20.0);
+    let asked = |count| fleet[0].wait("what is asked", |peers| peers.counters().requests_received == count);
+    let drop_all = || while fleet[0].events.try_recv().is_ok() {};
+    // Waiting to be read by the caller.
+    let ids = [ask("n1", large()).unwrap(), ask("n1", large()).unwrap()];
+    asked(2);
+    let third = two.call("n1", &large(), 20.0);
+    // The refusal may be lost where the other side closes over a body that it does not read.
+    assert!(busy(&third) || matches!(third, Err(PeerError::ConnectionLost { .. })), "{third:?}");
+    fleet[0].wait("the refusal", |peers| peers.counters().requests_shed == 1);
+    drop_all();
+    assert!(!two.responses(&ids).iter().any(busy));
+    // Read by the caller, without a response.
+    let ids: Vec<u64> = (0..4).map(|_| ask("n1", vec![]).unwrap()).collect();
+    asked(4);
+    fleet[0].wait("the others' end", |peers| peers.counters().requests_shed == 3);
+    drop_all();
+    assert_eq!(two.responses(&ids).iter().filter(|end| busy(end)).count(), 2);
+    // Being sent.
+    let out: Vec<bool> = (0..4).map(|_| ask("silent", large()).is_ok()).collect();
+    assert_eq!(out, [true, true, true, false]);
+    // Being received: the length is stated, the body never sent. The one that is read last finds no room.
+    let state = b"POST /raft HTTP/1.1\r\nhost: x\r\ncontent-length: 4194304\r\n\r\n";
+    let streams: Vec<TcpStream> =
+        (0..3).map(|_| TcpStream::connect(fleet[0].peers.local_addr()).unwrap()).collect();
+    for mut stream in &streams {
+        stream.write_all(state).unwrap();
+        stream.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
+    }
+    let (started, mut status) = (Instant::now(), [0; 12]);
+    while !streams.iter().any(|mut stream| stream.read_exact(&mut status).is_ok()) {
+        assert!(started.elapsed() < PATIENCE);
+    }
+    assert_eq!(&status, b"HTTP/1.1 503");
+}
+
+#[test]
+fn stopping_waits_for_no_peer() {
+    let silent = server(vec![], false);
+    let broker = run(bound(), options("n1", 1, &[("silent", silent)]));
+    for _ in 0..20 {
+        broker.peers.request("silent", RequestKind::Raft, vec![], 30.0).unwrap();
+    }
+    std::thread::sleep(Duration::from_millis(50));
+    let started = Instant::now();
+    broker.peers.stop();
+    assert!(started.elapsed() < Duration::from_secs(1));
+    assert!(broker.events.try_iter().next().is_none() && broker.events.recv().is_err());
+}
--- a/crates/dunepond-rebalance/src/book.rs
+++ b/crates/dunepond-rebalance/src/book.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use dunepond_shard_map::{Move, Proof};
+use dunepond_shard_map::{MapTransition, VerifiedMap};
 use serde::{Deserialize, Serialize};
 
 use crate::layout::Wave;
@@ -127,7 +127,7 @@
     /// The highest that ever was.
     pub highest: u64,
     /// Of the map in force.
-    pub proof: Option<&'a Proof>,
+    pub proof: Option<&'a VerifiedMap>,
     pub most_changed: f64,
 }
 
@@ -151,7 +151,7 @@
     /// Proposes a version of this number with this move's new map.
     Propose {
         number: u64,
-        moving: Box<Move>,
+        moving: Box<MapTransition>,
     },
     /// Withdraws the version.
     Withdraw {
--- a/crates/dunepond-rebalance/src/error.rs
+++ b/crates/dunepond-rebalance/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use dunepond_shard_map::Fault;
+use dunepond_shard_map::MapFault;
 use serde::{Deserialize, Serialize};
 use strum::EnumCount;
 
@@ -114,7 +114,7 @@
     )]
     TooHard { looks: usize, step: usize, operation: usize, short: Box<Short> },
     #[error("step {step}: the map does not prove: {}", first(.faults))]
-    Map { step: usize, faults: Vec<Fault> },
+    Map { step: usize, faults: Vec<MapFault> },
 
     // Of steps that somebody else ordered.
     #[error("step {step}: {what}")]
@@ -147,7 +147,7 @@
     GivenUp { number: u64 },
 }
 
-fn first(faults: &[Fault]) -> String {
+fn first(faults: &[MapFault]) -> String {
     faults.first().map_or(String::new(), |fault| format!("{fault} ({})", fault.help()))
 }
 
--- a/crates/dunepond-rebalance/src/layout.rs
+++ b/crates/dunepond-rebalance/src/layout.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use dunepond_shard_map::{Change, Holder, Move, Proof, Range, Segment, check_change};
+use dunepond_shard_map::{KeyRange, MapDelta, MapTransition, Replica, Segment, VerifiedMap, verify_delta};
 use serde::{Deserialize, Serialize};
 
 use crate::{MoveError, Operation};
@@ -155,14 +155,14 @@
 
 impl Layout {
     /// Segments of a map; holders that were filled since it was made are filled.
-    pub fn of(proof: &Proof, ids: impl Iterator<Item = u64>) -> Self {
+    pub fn of(proof: &VerifiedMap, ids: impl Iterator<Item = u64>) -> Self {
         let mut segments = BTreeMap::new();
         for id in ids {
             if let Some(segment) = proof.segment(id) {
                 let mut segment = segment.clone();
                 let done: Vec<bool> =
-                    segment.holders.iter().map(|h| proof.filled(&segment, &h.node)).collect();
-                segment.holders.iter_mut().zip(done).for_each(|(holder, done)| holder.filled = done);
+                    segment.replicas.iter().map(|h| proof.is_filled(&segment, &h.node)).collect();
+                segment.replicas.iter_mut().zip(done).for_each(|(holder, done)| holder.filled = done);
                 segments.insert(id, Arc::new(segment));
             }
         }
@@ -214,7 +214,7 @@
     }
 
     pub fn partner(&self, segment: u64, node: &str) -> Option<String> {
-        let holders = &self.get(segment)?.holders;
+        let holders = &self.get(segment)?.replicas;
         holders.iter().find(|holder| holder.node == node).map(|holder| holder.partner.clone())
     }
 
@@ -238,7 +238,7 @@
         if !matches!(act, Act::Switch { .. } | Act::Drop { .. })
             && let Some(segment) = act.takes().iter().find(|id| self.is_pending(**id))
         {
-            let to = self.segment(operation, *segment)?.holders.last();
+            let to = self.segment(operation, *segment)?.replicas.last();
             let node = to.map_or(String::new(), |holder| holder.node.clone());
             return Err(MoveError::Unfilled { operation, segment: *segment, node });
         }
@@ -248,7 +248,7 @@
                 for id in into {
                     free(self, *id, act.takes())?;
                 }
-                let inside = |at: &&u64| old.keys.holds(**at) && **at != old.keys.from;
+                let inside = |at: &&u64| old.keys.contains(**at) && **at != old.keys.from;
                 if let Some(at) = at.iter().find(|at| !inside(at)) {
                     return Err(MoveError::SplitOutside { operation, segment: *segment, at: *at });
                 }
@@ -257,7 +257,7 @@
                 let ends = at.iter().map(|at| Some(*at)).chain([old.keys.to]);
                 let parts = froms.zip(ends).zip(into).map(|((from, to), id)| Segment {
                     id: *id,
-                    keys: Range { from, to },
+                    keys: KeyRange { from, to },
                     ..Segment::clone(&old)
                 });
                 (parts.collect(), None)
@@ -274,7 +274,7 @@
                         return Err(MoveError::Apart { operation, first, second });
                     }
                     let names = |segment: &Segment| {
-                        segment.holders.iter().map(|holder| holder.node.clone()).collect::<BTreeSet<_>>()
+                        segment.replicas.iter().map(|holder| holder.node.clone()).collect::<BTreeSet<_>>()
                     };
                     if two[0].owner != two[1].owner || names(&two[0]) != names(&two[1]) {
                         return Err(MoveError::HeldOtherwise { operation, first, second });
@@ -284,9 +284,9 @@
                 let mut new = Segment::clone(&olds[0]);
                 (new.id, new.keys.to) = (*into, olds[olds.len() - 1].keys.to);
                 // Reads of a holder: what it had of all of them.
-                for holder in &mut new.holders {
+                for holder in &mut new.replicas {
                     let of = |old: &Arc<Segment>| {
-                        old.holders.iter().find(|h| h.node == holder.node).map_or(0.0, |h| h.share)
+                        old.replicas.iter().find(|h| h.node == holder.node).map_or(0.0, |h| h.share)
                     };
                     holder.share = olds.iter().map(of).sum::<f64>() / olds.len() as f64;
                 }
@@ -294,12 +294,12 @@
             }
             Act::Fill { segment, to, partner } => {
                 let mut new = Segment::clone(self.segment(operation, *segment)?);
-                if new.holders.iter().any(|holder| holder.node == *to) {
+                if new.replicas.iter().any(|holder| holder.node == *to) {
                     return Err(MoveError::HoldsAlready { operation, segment: *segment, node: to.clone() });
                 }
                 filled(operation, &new)?;
                 let (node, partner) = (to.clone(), partner.clone());
-                new.holders.push(Holder { node, partner, filled: false, share: 0.0 });
+                new.replicas.push(Replica { node, partner, filled: false, share: 0.0 });
                 (vec![new], Some((*segment, true)))
             }
             Act::Switch { segment, from, to } if from == to => {
@@ -308,13 +308,13 @@
             Act::Switch { segment, from, to } => {
                 let mut new = Segment::clone(self.segment(operation, *segment)?);
                 let place = |new: &Segment, node: &str| {
-                    new.holders.iter().position(|h| h.node == node).ok_or_else(|| no_holder(new, node))
+                    new.replicas.iter().position(|h| h.node == node).ok_or_else(|| no_holder(new, node))
                 };
                 let (to_at, from_at) = (place(&new, to)?, place(&new, from)?);
-                let mut holder = new.holders.remove(to_at);
+                let mut holder = new.replicas.remove(to_at);
                 let from_at = from_at - usize::from(to_at < from_at);
-                (holder.filled, holder.share) = (true, holder.share + new.holders[from_at].share);
-                new.holders[from_at] = holder;
+                (holder.filled, holder.share) = (true, holder.share + new.replicas[from_at].share);
+                new.replicas[from_at] = holder;
                 if new.owner == *from {
                     new.owner = to.clone();
                 }
@@ -325,7 +325,7 @@
                 if new.owner == *to {
                     return Err(MoveError::Nowhere { operation, segment: *segment, node: to.clone() });
                 }
-                match new.holders.iter().find(|holder| holder.node == *to) {
+                match new.replicas.iter().find(|holder| holder.node == *to) {
                     None => return Err(no_holder(&new, to)),
                     Some(_) => filled(operation, &new)?,
                 }
@@ -334,9 +334,9 @@
             }
             Act::Drop { segment, to } => {
                 let mut new = Segment::clone(self.segment(operation, *segment)?);
-                let at = new.holders.iter().position(|holder| holder.node == *to);
+                let at = new.replicas.iter().position(|holder| holder.node == *to);
                 let at = at.ok_or_else(|| no_holder(&new, to))?;
-                new.holders.remove(at);
+                new.replicas.remove(at);
                 (vec![new], Some((*segment, false)))
             }
         };
@@ -369,7 +369,7 @@
 }
 
 fn filled(operation: usize, segment: &Segment) -> Result<(), MoveError> {
-    match segment.holders.iter().find(|holder| !holder.filled) {
+    match segment.replicas.iter().find(|holder| !holder.filled) {
         Some(holder) => {
             let (segment, node) = (segment.id, holder.node.clone());
             Err(MoveError::Unfilled { operation, segment, node })
@@ -380,21 +380,27 @@
 
 impl Wave {
     /// The move from the map in force to this step's, proved. `step` is for the error alone.
-    pub fn moving(&self, proof: &Proof, step: usize) -> Result<Move, MoveError> {
+    pub fn moving(&self, proof: &VerifiedMap, step: usize) -> Result<MapTransition, MoveError> {
         let ids = self.acts.iter().flat_map(|(_, act)| act.takes().iter().copied());
         let mut layout = Layout::of(proof, ids);
         // By the documents: what the plan's own fills brought takes over by this step.
         for (operation, act) in &self.acts {
-            layout.apply(*operation, act, |id| proof.has(id))?;
+            layout.apply(*operation, act, |id| proof.contains_segment(id))?;
         }
         let before = self.acts.iter().flat_map(|(_, act)| act.takes().iter().copied());
         let put: Vec<Segment> = layout.iter().map(|segment| Segment::clone(segment)).collect();
-        let mut gone: Vec<u64> = before.filter(|id| layout.get(*id).is_none() && proof.has(*id)).collect();
+        let mut gone: Vec<u64> =
+            before.filter(|id| layout.get(*id).is_none() && proof.contains_segment(*id)).collect();
         gone.sort_unstable();
         gone.dedup();
-        let change =
-            Change { epoch: proof.epoch() + 1, follows: String::new(), gone, put, digest: String::new() };
-        check_change(proof, &change.sealed(proof)).map_err(|faults| MoveError::Map { step, faults })
+        let change = MapDelta {
+            epoch: proof.epoch() + 1,
+            base_digest: String::new(),
+            removed: gone,
+            upserted: put,
+            digest: String::new(),
+        };
+        verify_delta(proof, &change.with_digests(proof)).map_err(|faults| MoveError::Map { step, faults })
     }
 
     /// Segments that end or begin, whichever are more; and of how many.
--- a/crates/dunepond-rebalance/src/order.rs
+++ b/crates/dunepond-rebalance/src/order.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
-use dunepond_shard_map::Proof;
+use dunepond_shard_map::VerifiedMap;
 use serde::{Deserialize, Serialize};
 
 use crate::layout::{Applied, Layout, Wave};
@@ -23,7 +23,7 @@
 /// for plan, map and pace.
 pub fn order(
     plan: &Plan,
-    proof: &Proof,
+    proof: &VerifiedMap,
     pace: Pace,
     leaves: impl Fn(&str) -> bool,
 ) -> Result<Vec<Step>, MoveError> {
@@ -46,7 +46,7 @@
 pub fn prove(
     plan: &Plan,
     steps: &[Step],
-    proof: &Proof,
+    proof: &VerifiedMap,
     pace: Pace,
     leaves: impl Fn(&str) -> bool,
 ) -> Result<(), MoveError> {
@@ -82,7 +82,7 @@
 /// The plan as far as it has come in thought.
 struct World<'a> {
     plan: &'a Plan,
-    proof: &'a Proof,
+    proof: &'a VerifiedMap,
     pace: Pace,
     /// Acts of each operation, and how many are done.
     acts: Vec<Vec<Act>>,
@@ -112,7 +112,7 @@
 impl<'a> World<'a> {
     fn new(
         plan: &'a Plan,
-        proof: &'a Proof,
+        proof: &'a VerifiedMap,
         pace: Pace,
         leaves: &impl Fn(&str) -> bool,
     ) -> Result<Self, MoveError> {
@@ -193,7 +193,7 @@
         let mut there: Vec<(String, Load, Load)> = Vec::new();
         let mut count = |segment: &dunepond_shard_map::Segment, after: bool| {
             let bytes = self.bytes.of(segment.keys);
-            for holder in &segment.holders {
+            for holder in &segment.replicas {
                 let at = there.iter().position(|(node, ..)| *node == holder.node).unwrap_or_else(|| {
                     there.push((holder.node.clone(), Load::default(), Load::default()));
                     there.len() - 1
@@ -220,7 +220,7 @@
         }
         let (proof, layout) = (self.proof, &mut self.layout);
         // An id of the map in force that was touched and is gone may not come again but by undoing.
-        let applied = layout.apply(operation, &act, |id| proof.has(id))?;
+        let applied = layout.apply(operation, &act, |id| proof.contains_segment(id))?;
         let loads = self.differing(&applied);
         let mut adds = Loads::default();
         for (node, before, after) in &loads {
@@ -273,7 +273,7 @@
             }
             Operation::Merge { segments, .. } if short.unit == "segments" => {
                 let layout = segments.iter().filter_map(|id| self.layout.get(*id));
-                layout.flat_map(|s| &s.holders).any(|h| self.rooms.of(&h.node).any(|w| w == short.whose))
+                layout.flat_map(|s| &s.replicas).any(|h| self.rooms.of(&h.node).any(|w| w == short.whose))
             }
             _ => false,
         };
@@ -286,7 +286,7 @@
         for segment in self.shared_ids.iter().filter_map(|id| self.layout.get(*id)) {
             key.extend_from_slice(&segment.id.to_be_bytes());
             key.extend_from_slice(segment.owner.as_bytes());
-            for holder in &segment.holders {
+            for holder in &segment.replicas {
                 key.push(0);
                 key.extend_from_slice(holder.node.as_bytes());
             }
--- a/crates/dunepond-rebalance/src/room.rs
+++ b/crates/dunepond-rebalance/src/room.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_shard_map::{Proof, Range, Segment};
+use dunepond_shard_map::{KeyRange, Segment, VerifiedMap};
 
 use crate::{Operation, Plan, Short, Where};
 
@@ -24,7 +24,8 @@
         for segment in touched {
             let keys = segment.keys;
             let first = cuts.partition_point(|cut| *cut <= keys.from);
-            let inside = cuts[first..].iter().take_while(|cut| keys.holds(**cut)).map(|cut| u128::from(*cut));
+            let inside =
+                cuts[first..].iter().take_while(|cut| keys.contains(**cut)).map(|cut| u128::from(*cut));
             let edges: Vec<u128> =
                 [u128::from(keys.from)].into_iter().chain(inside).chain([keys.end()]).collect();
             let (all, width) = (size(plan, segment.id), keys.end() - u128::from(keys.from));
@@ -37,8 +38,8 @@
         Self(bytes)
     }
 
-    pub fn of(&self, keys: Range) -> u64 {
-        let inside = self.0.range(keys.from..).take_while(|(from, _)| keys.holds(**from));
+    pub fn of(&self, keys: KeyRange) -> u64 {
+        let inside = self.0.range(keys.from..).take_while(|(from, _)| keys.contains(**from));
         inside.map(|(_, (_, bytes))| *bytes).sum()
     }
 }
@@ -69,7 +70,7 @@
 
 impl Loads {
     /// Of the segments that no operation touches.
-    pub fn untouched(plan: &Plan, proof: &Proof, touched: impl Fn(u64) -> bool) -> Self {
+    pub fn untouched(plan: &Plan, proof: &VerifiedMap, touched: impl Fn(u64) -> bool) -> Self {
         let mut loads = Self::default();
         for segment in proof.segments().filter(|segment| !touched(segment.id)) {
             loads.holds(segment, size(plan, segment.id));
@@ -78,7 +79,7 @@
     }
 
     pub fn holds(&mut self, segment: &Segment, bytes: u64) {
-        for holder in &segment.holders {
+        for holder in &segment.replicas {
             self.add(&holder.node, Load { bytes, segments: 1 });
         }
     }
@@ -147,8 +148,8 @@
 }
 
 impl<'a> Rooms<'a> {
-    pub fn new(plan: &'a Plan, proof: &Proof) -> Self {
-        let holders = proof.segments().flat_map(|segment| &segment.holders);
+    pub fn new(plan: &'a Plan, proof: &VerifiedMap) -> Self {
+        let holders = proof.segments().flat_map(|segment| &segment.replicas);
         let mut partners = BTreeMap::new();
         for holder in holders {
             if !partners.contains_key(&holder.node) {
--- a/crates/dunepond-rebalance/tests/common/mod.rs
+++ b/crates/dunepond-rebalance/tests/common/mod.rs
@@ -2,15 +2,15 @@
 #![allow(dead_code)]
 
 use dunepond_rebalance::{Node, Operation, Pace, Plan, Room, Sizes, Word};
-use dunepond_shard_map::{Holder, Map, Proof, Range, Segment, Terms, check};
+use dunepond_shard_map::{KeyRange, MapConstraints, Replica, Segment, ShardMap, VerifiedMap, verify};
 
 pub const PACE: Pace = Pace { at_once: 3, most_changed: 1.0 };
 
 /// Segments of the same width; of each the holders, the first of which owns it.
-pub fn proof(held: &[&[&str]]) -> Proof {
+pub fn proof(held: &[&[&str]]) -> VerifiedMap {
     let width = ((1_u128 << 64) / held.len() as u128) as u64;
     let segments = held.iter().enumerate().map(|(at, nodes)| {
-        let holder = |node: &&str| Holder {
+        let holder = |node: &&str| Replica {
             node: node.to_string(),
             partner: partner(node),
             filled: true,
@@ -19,14 +19,14 @@
         let to = (at + 1 < held.len()).then(|| width * (at as u64 + 1));
         Segment {
             id: at as u64,
-            keys: Range { from: width * at as u64, to },
+            keys: KeyRange { from: width * at as u64, to },
             owner: nodes[0].to_string(),
-            holders: nodes.iter().map(holder).collect(),
+            replicas: nodes.iter().map(holder).collect(),
         }
     });
     let segments = segments.collect();
-    let map = Map { epoch: 4, hash: "xxh3-64".to_string(), segments, digest: String::new() };
-    check(&map.sealed(), &[], &Terms { least_holders: 1, least_zones: 1 }).unwrap()
+    let map = ShardMap { epoch: 4, hash: "xxh3-64".to_string(), segments, digest: String::new() };
+    verify(&map.with_digest(), &[], &MapConstraints { min_replicas: 1, min_zones: 1 }).unwrap()
 }
 
 pub fn partner(node: &str) -> String {
--- a/crates/dunepond-rebalance/tests/model.rs
+++ b/crates/dunepond-rebalance/tests/model.rs
@@ -10,7 +10,7 @@
 
 use common::*;
 use dunepond_rebalance::{Agreed, Book, By, Finish, MoveError, Next, Pace, Pause, Plan, Seen, Step, order};
-use dunepond_shard_map::{Move, Proof, check_move};
+use dunepond_shard_map::{MapTransition, VerifiedMap, verify_transition};
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -36,7 +36,7 @@
 enum Item {
     Move(Agreed),
     /// Number, the new map, and who sent it: the plan's leader or an operator.
-    Propose(u64, Arc<Move>, bool),
+    Propose(u64, Arc<MapTransition>, bool),
     Filled(u64),
     Confirm(u64),
     Withdraw(u64),
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 struct Open {
     number: u64,
-    moving: Arc<Move>,
+    moving: Arc<MapTransition>,
     filled: bool,
     /// A step of the plan: its id and wave, and whether it leads back.
     step: Option<(String, String, bool)>,
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug)]
 struct World {
     book: Book,
-    proof: Proof,
+    proof: VerifiedMap,
     open: Option<Open>,
     highest: u64,
     on_the_way: Vec<Item>,
@@ -130,7 +130,7 @@
     steps: Vec<Step>,
     other: Plan,
     other_steps: Vec<Step>,
-    first: Proof,
+    first: VerifiedMap,
 }
 
 impl Moves {
@@ -166,8 +166,8 @@
                 if self.rule != Rule::AnyVersion {
                     world.book.allows(number, Some(moving.to().digest()))?;
                 }
-                let moving = check_move(&world.proof, moving.to()).map_err(|_| wrong())?;
-                let filled = moving.needs().is_empty();
+                let moving = verify_transition(&world.proof, moving.to()).map_err(|_| wrong())?;
+                let filled = moving.required_fills().is_empty();
                 let running = world.book.running.as_ref();
                 let begun = running.and_then(|running| running.begun.as_ref());
                 let is_step = begun.is_some_and(|b| b.number == number && b.digest == moving.to().digest());
@@ -191,8 +191,8 @@
             }
             Item::Confirm(number) => {
                 if let Some(open) = world.open.take_if(|open| open.number == number && open.filled) {
-                    let needs = open.moving.needs().iter();
-                    let needs: Vec<_> = needs.map(|need| (need.segment, need.holder.clone())).collect();
+                    let needs = open.moving.required_fills().iter();
+                    let needs: Vec<_> = needs.map(|need| (need.segment, need.replica.clone())).collect();
                     let needs = needs.iter().map(|(id, node)| (*id, node.as_str()));
                     world.proof = open.moving.to().with_filled(needs);
                     world.book.ended(number, None);
@@ -210,8 +210,8 @@
 
     /// Segments that `a` has at once at most: what both maps give it.
     fn at_a(world: &World) -> usize {
-        let held = |proof: &Proof| -> BTreeSet<u64> {
-            let of_a = proof.segments().filter(|s| s.holders.iter().any(|h| h.node == "a"));
+        let held = |proof: &VerifiedMap| -> BTreeSet<u64> {
+            let of_a = proof.segments().filter(|s| s.replicas.iter().any(|h| h.node == "a"));
             of_a.map(|s| s.keys.from).collect()
         };
         let mut all = held(&world.proof);
@@ -219,9 +219,9 @@
         all.len()
     }
 
-    fn held(proof: &Proof) -> Vec<(u64, String, Vec<String>)> {
+    fn held(proof: &VerifiedMap) -> Vec<(u64, String, Vec<String>)> {
         let one = |s: &dunepond_shard_map::Segment| {
-            (s.id, s.owner.clone(), s.holders.iter().map(|h| h.node.clone()).collect())
+            (s.id, s.owner.clone(), s.replicas.iter().map(|h| h.node.clone()).collect())
         };
         proof.segments().map(one).collect()
     }
--- a/crates/dunepond-rebalance/tests/properties.rs
+++ b/crates/dunepond-rebalance/tests/properties.rs
@@ -9,7 +9,7 @@
 use dunepond_rebalance::{
     Agreed, Book, MoveError, Next, Operation, PASTS, Pace, Plan, Room, Seen, Step, Wave, order, prove,
 };
-use dunepond_shard_map::{Map, Proof, Terms, check, check_move};
+use dunepond_shard_map::{MapConstraints, ShardMap, VerifiedMap, verify, verify_transition};
 use proptest::prelude::*;
 
 const NODES: [&str; 4] = ["a", "b", "c", "d"];
@@ -71,15 +71,15 @@
 type Loads = BTreeMap<String, (u64, u64)>;
 
 /// By node, cell and partner: bytes and segments of all that stands in either map, keys that are in both counted once.
-fn loads(plan: &Plan, maps: &[&Map]) -> Loads {
+fn loads(plan: &Plan, maps: &[&ShardMap]) -> Loads {
     let mut loads = Loads::new();
     for name in NODES {
         let quarters =
-            maps.iter().flat_map(|map| &map.segments).filter(|s| s.holders.iter().any(|h| h.node == name));
+            maps.iter().flat_map(|map| &map.segments).filter(|s| s.replicas.iter().any(|h| h.node == name));
         let quarters: BTreeSet<u64> =
-            quarters.flat_map(|s| (0..16_u64).filter(|q| s.keys.holds(q * (SEGMENT / 4)))).collect();
-        let segments = |map: &&Map| {
-            map.segments.iter().filter(|s| s.holders.iter().any(|h| h.node == name)).count() as u64
+            quarters.flat_map(|s| (0..16_u64).filter(|q| s.keys.contains(q * (SEGMENT / 4)))).collect();
+        let segments = |map: &&ShardMap| {
+            map.segments.iter().filter(|s| s.replicas.iter().any(|h| h.node == name)).count() as u64
         };
         let load = (2 * quarters.len() as u64, maps.iter().map(segments).max().unwrap());
         let cell = plan.nodes[name].cell.clone().unwrap();
@@ -109,20 +109,24 @@
     })
 }
 
-fn stepped(proof: &Proof, wave: &Wave) -> Result<Proof, MoveError> {
+fn stepped(proof: &VerifiedMap, wave: &Wave) -> Result<VerifiedMap, MoveError> {
     let moving = wave.moving(proof, 0)?;
     // The whole says the same as the change did.
-    let terms = Terms { least_holders: 1, least_zones: 1 };
-    let whole = check_move(proof, &check(moving.to().map(), &[], &terms).unwrap()).unwrap();
-    assert_eq!((whole.needs(), whole.changed()), (moving.needs(), moving.changed()));
-    let needs: Vec<_> = moving.needs().iter().map(|need| (need.segment, need.holder.clone())).collect();
+    let terms = MapConstraints { min_replicas: 1, min_zones: 1 };
+    let whole = verify_transition(proof, &verify(moving.to().map(), &[], &terms).unwrap()).unwrap();
+    assert_eq!(
+        (whole.required_fills(), whole.changed_segments()),
+        (moving.required_fills(), moving.changed_segments())
+    );
+    let needs: Vec<_> =
+        moving.required_fills().iter().map(|need| (need.segment, need.replica.clone())).collect();
     // Where owners change nothing is filled.
     assert!(needs.is_empty() || wave.kind == dunepond_rebalance::Kind::Fill);
     Ok(moving.to().with_filled(needs.iter().map(|(id, node)| (*id, &**node))))
 }
 
 /// Every order of the operations' acts, one act a version, by nothing but the maps.
-fn any_order(plan: &Plan, proof: &Proof, done: &mut Vec<usize>, pending: &mut BTreeSet<u64>) -> bool {
+fn any_order(plan: &Plan, proof: &VerifiedMap, done: &mut Vec<usize>, pending: &mut BTreeSet<u64>) -> bool {
     let acts = |operation: &Operation| if matches!(operation, Operation::Move { .. }) { 2 } else { 1 };
     if plan.operations.iter().zip(&*done).all(|(operation, done)| *done == acts(operation)) {
         return true;
@@ -154,7 +158,13 @@
     false
 }
 
-fn one_act(plan: &Plan, proof: &Proof, at: usize, done: usize, pending: &BTreeSet<u64>) -> Option<Proof> {
+fn one_act(
+    plan: &Plan,
+    proof: &VerifiedMap,
+    at: usize,
+    done: usize,
+    pending: &BTreeSet<u64>,
+) -> Option<VerifiedMap> {
     use dunepond_rebalance::{Act, Kind};
     let (kind, act) = match plan.operations[at].clone() {
         Operation::Split { segment, at, into } => (Kind::Quiet, Act::Split { segment, at, into }),
@@ -211,7 +221,7 @@
 /// From each step a withdrawal leads back to the map of the beginning, with room on the way.
 fn undone_from_everywhere(
     plan: &Plan,
-    from: &Proof,
+    from: &VerifiedMap,
     steps: &[Step],
     pace: Pace,
 ) -> Result<(), TestCaseError> {
@@ -219,7 +229,7 @@
         let (mut book, mut proof, mut highest) = (Book::default(), from.clone(), 1);
         let taken =
             Agreed::Taken { plan: Box::new(plan.clone()), steps: steps.to_vec(), at_once: pace.at_once };
-        let enter = |book: &mut Book, entry, highest, proof: &Proof| {
+        let enter = |book: &mut Book, entry, highest, proof: &VerifiedMap| {
             book.apply(entry, &Seen { open: None, highest, proof: Some(proof), most_changed: 1.0 }).unwrap();
         };
         enter(&mut book, taken, highest, &proof);
@@ -253,9 +263,9 @@
                 other => prop_assert!(false, "{:?}", other),
             }
         }
-        let held = |proof: &Proof| -> Vec<_> {
+        let held = |proof: &VerifiedMap| -> Vec<_> {
             let one = |s: &dunepond_shard_map::Segment| {
-                let nodes: BTreeSet<_> = s.holders.iter().map(|h| h.node.clone()).collect();
+                let nodes: BTreeSet<_> = s.replicas.iter().map(|h| h.node.clone()).collect();
                 (s.id, s.keys, s.owner.clone(), nodes)
             };
             proof.segments().map(one).collect()
--- a/crates/dunepond-rebalance/tests/stories.rs
+++ b/crates/dunepond-rebalance/tests/stories.rs
@@ -4,20 +4,21 @@
 
 use common::*;
 use dunepond_rebalance::{Kind, MoveError, Pace, Room, Step, Where, order, prove};
-use dunepond_shard_map::{Proof, Step as At};
+use dunepond_shard_map::{TransitionPhase as At, VerifiedMap};
 use rstest::rstest;
 use strum::EnumCount;
 
 /// Carries the steps out on maps, each by what a version's change is judged by.
 fn carried_out<'a>(
-    from: &Proof,
+    from: &VerifiedMap,
     waves: impl Iterator<Item = &'a dunepond_rebalance::Wave>,
-) -> (Proof, Vec<(usize, usize)>) {
+) -> (VerifiedMap, Vec<(usize, usize)>) {
     let (mut proof, mut told) = (from.clone(), Vec::new());
     for (step, wave) in waves.enumerate() {
         let moving = wave.moving(&proof, step).unwrap();
-        let filled: Vec<_> = moving.needs().iter().map(|need| (need.segment, need.holder.clone())).collect();
-        told.push((moving.needs().len(), moving.changed()));
+        let filled: Vec<_> =
+            moving.required_fills().iter().map(|need| (need.segment, need.replica.clone())).collect();
+        told.push((moving.required_fills().len(), moving.changed_segments()));
         proof = moving.to().with_filled(filled.iter().map(|(id, node)| (*id, &**node)));
     }
     (proof, told)
@@ -44,7 +45,7 @@
     // In the joint step of the fence nobody owns what moves, everybody else goes on.
     let (before, _) = carried_out(&from, forward(&steps[..2]));
     let moving = steps[2].wave.moving(&before, 2).unwrap();
-    assert_eq!([10, 11, 12].map(|id| moving.owner(id, At::Joint)), [Some("a"), None, Some("a")]);
+    assert_eq!([10, 11, 12].map(|id| moving.owner_of_segment(id, At::Joint)), [Some("a"), None, Some("a")]);
 }
 
 #[test]
@@ -192,7 +193,7 @@
         MoveError::TooMany { step, operation, changed: 1, of: 2, most: 0.2 },
         MoveError::OutOfRoom { step, operation, short: short.clone().into() },
         MoveError::TooHard { looks: 1, step, operation, short: short.into() },
-        MoveError::Map { step, faults: vec![dunepond_shard_map::Fault::NoSegments] },
+        MoveError::Map { step, faults: vec![dunepond_shard_map::MapFault::NoSegments] },
         MoveError::NotInOrder { step, what: String::new() },
         MoveError::Runs { running: id.clone() },
         MoveError::Known { id: id.clone(), how: String::new() },
--- a/crates/dunepond-simulation/src/fleet.rs
+++ b/crates/dunepond-simulation/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use dunepond_consensus::*;
 use dunepond_settlement::Settlement;
-use dunepond_shard_map::{Holder, Map, Range, Segment};
+use dunepond_shard_map::{KeyRange, Replica, Segment, ShardMap};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -34,7 +34,7 @@
         fill_deadline_seconds: 5.0,
         max_changed_ratio: 1.0,
         maps_enabled: true,
-        map_requirements: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
+        map_requirements: dunepond_shard_map::MapConstraints { min_replicas: 1, min_zones: 1 },
     }
 }
 
@@ -55,9 +55,10 @@
 
 /// Each segment has two filled holders; the owner of one of them is another with each epoch. `cold`: and a third holder
 /// of segment 0 that has to be filled first.
-pub fn map(epoch: u64, cold: bool) -> Map {
+pub fn map(epoch: u64, cold: bool) -> ShardMap {
     let width = (1u128 << 64) / u128::from(SEGMENTS);
-    let holder = |node: String, filled, share| Holder { node, partner: String::from("north"), filled, share };
+    let holder =
+        |node: String, filled, share| Replica { node, partner: String::from("north"), filled, share };
     let segments = (0..SEGMENTS).map(|id| {
         // How often this one has moved by now.
         let moves = (epoch + SEGMENTS - 1 - id) / SEGMENTS;
@@ -65,14 +66,14 @@
         if cold && id == 0 {
             holders.push(holder(format!("cold{epoch}"), false, 0.0));
         }
-        let keys = Range::of(u128::from(id) * width, u128::from(id + 1) * width);
-        Segment { id, keys, owner: format!("s{id}{}", ["a", "b"][moves as usize % 2]), holders }
+        let keys = KeyRange::between(u128::from(id) * width, u128::from(id + 1) * width);
+        Segment { id, keys, owner: format!("s{id}{}", ["a", "b"][moves as usize % 2]), replicas: holders }
     });
     let segments = segments.collect();
-    Map { epoch, hash: String::from("xxh3-64"), segments, digest: String::new() }.sealed()
+    ShardMap { epoch, hash: String::from("xxh3-64"), segments, digest: String::new() }.with_digest()
 }
 
-pub fn version(number: u64, map: Option<Map>) -> ConfigVersion {
+pub fn version(number: u64, map: Option<ShardMap>) -> ConfigVersion {
     ConfigVersion {
         number,
         based_on: None,
--- a/crates/dunepond-simulation/src/size/fills.rs
+++ b/crates/dunepond-simulation/src/size/fills.rs
@@ -158,15 +158,15 @@
         }
         let Some((open, moving)) = open else { return };
         let needs = moving
-            .needs()
+            .required_fills()
             .iter()
-            .filter(|need| !open.completed_fills.contains(&(need.segment, need.holder.clone())));
+            .filter(|need| !open.completed_fills.contains(&(need.segment, need.replica.clone())));
         let needs: Vec<Need> = needs
             .map(|need| Need {
                 version: number,
                 segment: need.segment,
-                holder: need.holder.clone(),
-                holder_partner: world.partner_of(&need.holder),
+                holder: need.replica.clone(),
+                holder_partner: world.partner_of(&need.replica),
                 sources: need.sources.iter().map(|s| (s.clone(), world.partner_of(s))).collect(),
                 bytes: SEGMENT,
                 start: 0,
--- a/crates/dunepond-simulation/src/size/mod.rs
+++ b/crates/dunepond-simulation/src/size/mod.rs
@@ -64,7 +64,7 @@
             fill_deadline_seconds: 8.0,
             max_changed_ratio: 1.0,
             maps_enabled: true,
-            map_requirements: dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 },
+            map_requirements: dunepond_shard_map::MapConstraints { min_replicas: 1, min_zones: 1 },
         }
     }
 }
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
@@ -28,14 +28,15 @@
 
 fn maps(way: &Way, figures: &mut Figures) {
     let sizes: &[u64] = if way.quick { &[100, 1000, 10_000] } else { &[100, 1000, 10_000, 30_000, 100_000] };
-    let terms = dunepond_shard_map::Terms { least_holders: 1, least_zones: 1 };
+    let terms = dunepond_shard_map::MapConstraints { min_replicas: 1, min_zones: 1 };
     let (mut bytes, mut proofs) = (Vec::new(), Vec::new());
     for size in sizes {
         let world = World::new(NODES, PARTNERS, *size);
         let version = version(1, world.map(1));
         let whole = postcard::to_stdvec(&version).map_or(f64::NAN, |bytes| bytes.len() as f64);
         let map = version.map.as_ref().expect("it has one");
-        let proof = ms(|| drop(black_box(dunepond_shard_map::check(map, &[], &terms).expect("a sound map"))));
+        let proof =
+            ms(|| drop(black_box(dunepond_shard_map::verify(map, &[], &terms).expect("a sound map"))));
         let digest = ms(|| drop(black_box(version.digest())));
         figures.tell(format!("{size} segments: a version"), whole, "bytes to each broker");
         figures.tell(format!("{size} segments: its proof, at each broker"), proof, "ms");
--- a/crates/dunepond-testkit/src/experiments/map.rs
+++ b/crates/dunepond-testkit/src/experiments/map.rs
@@ -11,7 +11,7 @@
 use super::Way;
 use crate::report::{Curve, Figures};
 
-const TERMS: Terms = Terms { least_holders: 2, least_zones: 2 };
+const TERMS: MapConstraints = MapConstraints { min_replicas: 2, min_zones: 2 };
 const NODES: u64 = 60;
 /// Segments of the maps in which faults are planted.
 const SMALL: usize = 500;
@@ -31,18 +31,18 @@
     (0..=NODES).map(node).collect()
 }
 
-fn holder(i: u64, share: f64) -> Holder {
+fn holder(i: u64, share: f64) -> Replica {
     let node = node(i);
-    Holder { node: node.name, partner: node.partner, filled: true, share }
+    Replica { node: node.name, partner: node.partner, filled: true, share }
 }
 
 /// Three neighbours by number, so in three zones; the first owns.
-fn segment(id: u64, keys: Range, first: u64) -> Segment {
+fn segment(id: u64, keys: KeyRange, first: u64) -> Segment {
     let holders = (0..3).map(|i| holder((first + i) % NODES, [0.5, 0.25, 0.25][i as usize]));
-    Segment { id, keys, owner: node(first % NODES).name, holders: holders.collect() }
+    Segment { id, keys, owner: node(first % NODES).name, replicas: holders.collect() }
 }
 
-fn drawn(rng: &mut Pcg64Mcg, count: usize) -> Map {
+fn drawn(rng: &mut Pcg64Mcg, count: usize) -> ShardMap {
     let mut cuts: Vec<u64> = (1..count).map(|_| rng.random_range(1..u64::MAX)).collect();
     cuts.sort_unstable();
     cuts.dedup();
@@ -50,98 +50,98 @@
     let to = cuts.iter().copied().map(Some).chain([None]);
     let segments = from.zip(to).zip(0..);
     let segments =
-        segments.map(|((from, to), id)| segment(id, Range { from, to }, rng.random_range(0..NODES)));
+        segments.map(|((from, to), id)| segment(id, KeyRange { from, to }, rng.random_range(0..NODES)));
     let segments = segments.collect();
-    Map { epoch: 1, hash: HASH.to_string(), segments, digest: String::new() }.sealed()
+    ShardMap { epoch: 1, hash: KEY_HASH.to_string(), segments, digest: String::new() }.with_digest()
 }
 
-fn spot(segments: &[Segment], i: usize) -> Box<Spot> {
-    let place = |i: usize| segments.get(i).map(Place::from);
+fn spot(segments: &[Segment], i: usize) -> Box<SegmentContext> {
+    let place = |i: usize| segments.get(i).map(SegmentRef::from);
     let before = i.checked_sub(1).and_then(place);
-    Box::new(Spot { at: Place::from(&segments[i]), before, after: place(i + 1) })
+    Box::new(SegmentContext { segment: SegmentRef::from(&segments[i]), before, after: place(i + 1) })
 }
 
 /// Spoils the segment at a place, which is neither the first nor the last, and says what is to be named.
-type Plant = fn(&mut Vec<Segment>, usize) -> Vec<Fault>;
+type Plant = fn(&mut Vec<Segment>, usize) -> Vec<MapFault>;
 
-type PlantWhole = fn(&mut Map) -> Vec<Fault>;
+type PlantWhole = fn(&mut ShardMap) -> Vec<MapFault>;
 
 const PLANTS: [(&str, Plant); 16] = [
     ("gap", |s, i| {
         let from = s[i].keys.from;
         s[i].keys.from += 1;
-        let keys = Range { from, to: Some(from + 1) };
-        vec![Fault::Gap { keys, before: (&s[i - 1]).into(), after: (&s[i]).into() }]
+        let keys = KeyRange { from, to: Some(from + 1) };
+        vec![MapFault::Gap { keys, before: (&s[i - 1]).into(), after: (&s[i]).into() }]
     }),
     ("overlap", |s, i| {
         let from = s[i].keys.from - 1;
         s[i].keys.from = from;
-        let keys = Range { from, to: Some(from + 1) };
-        vec![Fault::Overlap { keys, first: (&s[i - 1]).into(), second: (&s[i]).into() }]
+        let keys = KeyRange { from, to: Some(from + 1) };
+        vec![MapFault::Overlap { keys, first: (&s[i - 1]).into(), second: (&s[i]).into() }]
     }),
     ("empty range", |s, i| {
         let from = s[i].keys.from;
-        s.insert(i, segment(u64::MAX - i as u64, Range { from, to: Some(from) }, 0));
-        vec![Fault::EmptyRange { spot: spot(s, i) }]
+        s.insert(i, segment(u64::MAX - i as u64, KeyRange { from, to: Some(from) }, 0));
+        vec![MapFault::EmptyRange { context: spot(s, i) }]
     }),
     ("inverted range", |s, i| {
         let from = s[i].keys.from;
-        s.insert(i, segment(u64::MAX - i as u64, Range { from, to: Some(from - 1) }, 0));
-        vec![Fault::InvertedRange { spot: spot(s, i) }]
+        s.insert(i, segment(u64::MAX - i as u64, KeyRange { from, to: Some(from - 1) }, 0));
+        vec![MapFault::InvertedRange { context: spot(s, i) }]
     }),
     ("doubled id", |s, i| {
         s[i].id = s[i - 1].id;
-        vec![Fault::DoubledId { first: (&s[i - 1]).into(), second: (&s[i]).into() }]
+        vec![MapFault::DuplicateId { first: (&s[i - 1]).into(), second: (&s[i]).into() }]
     }),
     ("unknown holder", |s, i| {
-        s[i].holders[1].node = "x".to_string();
-        vec![Fault::UnknownHolder { node: "x".to_string(), spot: spot(s, i) }]
+        s[i].replicas[1].node = "x".to_string();
+        vec![MapFault::UnknownReplica { node: "x".to_string(), context: spot(s, i) }]
     }),
     ("doubled holder", |s, i| {
-        let mut twin = s[i].holders[0].clone();
+        let mut twin = s[i].replicas[0].clone();
         twin.share = 0.0;
-        s[i].holders.push(twin.clone());
-        vec![Fault::DoubledHolder { node: twin.node, spot: spot(s, i) }]
+        s[i].replicas.push(twin.clone());
+        vec![MapFault::DuplicateReplica { node: twin.node, context: spot(s, i) }]
     }),
     ("draining holder", |s, i| {
-        s[i].holders.push(holder(NODES, 0.0));
-        vec![Fault::DrainingHolder { node: node(NODES).name, spot: spot(s, i) }]
+        s[i].replicas.push(holder(NODES, 0.0));
+        vec![MapFault::DrainingReplica { node: node(NODES).name, context: spot(s, i) }]
     }),
     ("partner", |s, i| {
-        let is = std::mem::replace(&mut s[i].holders[2].partner, "x".to_string());
-        let (node, said) = (s[i].holders[2].node.clone(), "x".to_string());
-        vec![Fault::WrongPartner { node, said, is, spot: spot(s, i) }]
+        let is = std::mem::replace(&mut s[i].replicas[2].partner, "x".to_string());
+        let (node, said) = (s[i].replicas[2].node.clone(), "x".to_string());
+        vec![MapFault::WrongPartner { node, stated: said, actual: is, context: spot(s, i) }]
     }),
     ("too few holders", |s, i| {
-        s[i].holders[1..].iter_mut().for_each(|holder| holder.filled = false);
-        let holders = Fault::TooFewHolders { filled: 1, least: 2, spot: spot(s, i) };
-        vec![holders, Fault::TooFewZones { zones: 1, least: 2, spot: spot(s, i) }]
+        s[i].replicas[1..].iter_mut().for_each(|holder| holder.filled = false);
+        let holders = MapFault::TooFewReplicas { filled: 1, min: 2, context: spot(s, i) };
+        vec![holders, MapFault::TooFewZones { zones: 1, min: 2, context: spot(s, i) }]
     }),
     ("too few zones", |s, i| {
-        s[i].holders = vec![holder(3, 0.5), holder(6, 0.5)];
+        s[i].replicas = vec![holder(3, 0.5), holder(6, 0.5)];
         s[i].owner = node(3).name;
-        vec![Fault::TooFewZones { zones: 1, least: 2, spot: spot(s, i) }]
+        vec![MapFault::TooFewZones { zones: 1, min: 2, context: spot(s, i) }]
     }),
     ("owner no holder", |s, i| {
         s[i].owner = "x".to_string();
-        vec![Fault::OwnerNoHolder { owner: "x".to_string(), spot: spot(s, i) }]
+        vec![MapFault::OwnerNotReplica { owner: "x".to_string(), context: spot(s, i) }]
     }),
     ("owner not filled", |s, i| {
-        s[i].holders[0].filled = false;
-        vec![Fault::OwnerNotFilled { owner: s[i].owner.clone(), spot: spot(s, i) }]
+        s[i].replicas[0].filled = false;
+        vec![MapFault::OwnerNotFilled { owner: s[i].owner.clone(), context: spot(s, i) }]
     }),
     ("share", |s, i| {
-        s[i].holders[0].share = f64::INFINITY;
-        let node = s[i].holders[0].node.clone();
-        vec![Fault::ShareOutOfRange { node, share: f64::INFINITY, spot: spot(s, i) }]
+        s[i].replicas[0].share = f64::INFINITY;
+        let node = s[i].replicas[0].node.clone();
+        vec![MapFault::ShareOutOfRange { node, share: f64::INFINITY, context: spot(s, i) }]
     }),
     ("shares", |s, i| {
-        s[i].holders[0].share = 0.25;
-        vec![Fault::SharesDoNotAddUp { sum: 0.75, spot: spot(s, i) }]
+        s[i].replicas[0].share = 0.25;
+        vec![MapFault::ShareSumNotOne { sum: 0.75, context: spot(s, i) }]
     }),
     ("left out", |s, i| {
         let keys = s.remove(i).keys;
-        vec![Fault::Gap { keys, before: (&s[i - 1]).into(), after: (&s[i]).into() }]
+        vec![MapFault::Gap { keys, before: (&s[i - 1]).into(), after: (&s[i]).into() }]
     }),
 ];
 
@@ -149,25 +149,25 @@
 const WHOLE: [(&str, PlantWhole); 4] = [
     ("start", |map| {
         map.segments[0].keys.from = 1;
-        let keys = Range { from: 0, to: Some(1) };
-        map.digest = map.digest_of();
-        vec![Fault::GapAtStart { keys, after: (&map.segments[0]).into() }]
+        let keys = KeyRange { from: 0, to: Some(1) };
+        map.digest = map.compute_digest();
+        vec![MapFault::GapAtStart { keys, after: (&map.segments[0]).into() }]
     }),
     ("end", |map| {
         let last = map.segments.len() - 1;
         map.segments[last].keys.to = Some(u64::MAX);
-        let keys = Range { from: u64::MAX, to: None };
-        map.digest = map.digest_of();
-        vec![Fault::GapAtEnd { keys, before: (&map.segments[last]).into() }]
+        let keys = KeyRange { from: u64::MAX, to: None };
+        map.digest = map.compute_digest();
+        vec![MapFault::GapAtEnd { keys, before: (&map.segments[last]).into() }]
     }),
     ("digest", |map| {
         let is = std::mem::replace(&mut map.digest, "x".to_string());
-        vec![Fault::Digest { said: "x".to_string(), is }]
+        vec![MapFault::DigestMismatch { stated: "x".to_string(), actual: is }]
     }),
     ("hash", |map| {
         map.hash = "x".to_string();
-        map.digest = map.digest_of();
-        vec![Fault::UnknownHash { hash: "x".to_string(), expected: HASH.to_string() }]
+        map.digest = map.compute_digest();
+        vec![MapFault::UnknownHash { hash: "x".to_string(), expected: KEY_HASH.to_string() }]
     }),
 ];
 
@@ -182,7 +182,7 @@
 }
 
 impl Found {
-    fn compare(&mut self, kind: &'static str, planted: &[Fault], named: &[Fault]) {
+    fn compare(&mut self, kind: &'static str, planted: &[MapFault], named: &[MapFault]) {
         let found = planted.iter().filter(|fault| named.contains(fault)).count();
         self.planted += planted.len();
         self.named += found;
@@ -193,8 +193,8 @@
     }
 }
 
-fn faults(map: &Map) -> Vec<Fault> {
-    check(map, &nodes(), &TERMS).err().unwrap_or_default()
+fn faults(map: &ShardMap) -> Vec<MapFault> {
+    verify(map, &nodes(), &TERMS).err().unwrap_or_default()
 }
 
 fn maps(rng: &mut Pcg64Mcg, rounds: usize) -> Found {
@@ -207,7 +207,7 @@
             let mut map = sound.clone();
             let planted = plant(&mut map.segments, rng.random_range(inside.clone()));
             map.segments.shuffle(rng);
-            found.compare(kind, &planted, &faults(&map.sealed()));
+            found.compare(kind, &planted, &faults(&map.with_digest()));
         }
         for (kind, plant) in WHOLE {
             let mut map = sound.clone();
@@ -225,7 +225,7 @@
             }
         }
         map.segments.shuffle(rng);
-        found.compare("many", &planted, &faults(&map.sealed()));
+        found.compare("many", &planted, &faults(&map.with_digest()));
     }
     found
 }
@@ -237,12 +237,12 @@
     let width = keys.end() - u128::from(keys.from);
     let middle = keys.from + (width / 2) as u64;
     match rng.random_range(0..6) {
-        0 => segments[i].owner = segments[i].holders[1].node.clone(),
+        0 => segments[i].owner = segments[i].replicas[1].node.clone(),
         // A node farther on, in the zone of the one that goes; the others stay.
         1 => {
-            let number: u64 = segments[i].holders[2].node[1..].parse().expect("a node's number");
-            segments[i].owner = segments[i].holders[0].node.clone();
-            segments[i].holders[2] = holder((number + 3) % NODES, 0.25);
+            let number: u64 = segments[i].replicas[2].node[1..].parse().expect("a node's number");
+            segments[i].owner = segments[i].replicas[0].node.clone();
+            segments[i].replicas[2] = holder((number + 3) % NODES, 0.25);
         }
         2 if width > 2 => {
             *fresh += 1;
@@ -275,13 +275,13 @@
 
 fn moves(rng: &mut Pcg64Mcg, rounds: usize) -> Moves {
     let (mut told, mut fresh) = (Moves::default(), 1 << 32);
-    let mut from = check(&drawn(rng, SMALL), &nodes(), &TERMS).expect("a sound map");
+    let mut from = verify(&drawn(rng, SMALL), &nodes(), &TERMS).expect("a sound map");
     for _ in 0..rounds {
-        let mut to = Map { epoch: from.epoch() + 1, ..from.map().clone() };
+        let mut to = ShardMap { epoch: from.epoch() + 1, ..from.map().clone() };
         (0..rng.random_range(1..8)).for_each(|_| step(rng, &mut to.segments, &mut fresh));
-        let to = to.sealed();
-        let whole = check(&to, &nodes(), &TERMS).and_then(|to| check_move(&from, &to));
-        let few = check_change(&from, &Change::between(&from, &to));
+        let to = to.with_digest();
+        let whole = verify(&to, &nodes(), &TERMS).and_then(|to| verify_transition(&from, &to));
+        let few = verify_delta(&from, &MapDelta::between(&from, &to));
         let (whole, few) = match (whole, few) {
             (Ok(whole), Ok(few)) => (whole, few),
             (whole, few) => {
@@ -291,17 +291,17 @@
             }
         };
         told.sound += 1;
-        let same = whole.needs() == few.needs() && whole.to().map() == few.to().map();
+        let same = whole.required_fills() == few.required_fills() && whole.to().map() == few.to().map();
         told.otherwise += usize::from(!same);
         for segment in few.from().segments().chain(few.to().segments()) {
             let key = segment.keys.from;
             told.looked_at += 1;
-            told.no_owner += usize::from(few.owner_at(key, Step::Joint).is_none());
-            let (old, new) = (few.from().at(key), few.to().at(key));
+            told.no_owner += usize::from(few.owner_of_key(key, TransitionPhase::Joint).is_none());
+            let (old, new) = (few.from().segment_for_key(key), few.to().segment_for_key(key));
             let joint = [
-                few.owner(old.id, Step::Joint),
-                few.owner(new.id, Step::Joint),
-                few.owner_at(key, Step::Joint),
+                few.owner_of_segment(old.id, TransitionPhase::Joint),
+                few.owner_of_segment(new.id, TransitionPhase::Joint),
+                few.owner_of_key(key, TransitionPhase::Joint),
             ];
             // Joint beside joint, and beside each of the plain ones.
             let mut owners = joint.into_iter().flatten();
@@ -318,48 +318,49 @@
     let mut found = Found::default();
     for _ in 0..rounds {
         let map = drawn(rng, SMALL);
-        let from = check(&map, &nodes(), &TERMS).expect("a sound map");
+        let from = verify(&map, &nodes(), &TERMS).expect("a sound map");
         let i = rng.random_range(1..map.segments.len() - 2);
-        let spoil = |spoil: &dyn Fn(&mut Map)| {
-            let mut to = Map { epoch: 2, ..map.clone() };
+        let spoil = |spoil: &dyn Fn(&mut ShardMap)| {
+            let mut to = ShardMap { epoch: 2, ..map.clone() };
             spoil(&mut to);
-            let change = Change::between(&from, &to.sealed());
-            check_change(&from, &change).err().unwrap_or_default()
+            let change = MapDelta::between(&from, &to.with_digest());
+            verify_delta(&from, &change).err().unwrap_or_default()
         };
         let first: u64 = map.segments[i].owner[1..].parse().expect("a node's number");
         let elsewhere = segment(map.segments[i].id, map.segments[i].keys, first + 30);
-        let at = Place::from(&map.segments[i]);
+        let at = SegmentRef::from(&map.segments[i]);
         found.compare(
             "last holder",
-            &[Fault::LastHolderLost { keys: at.keys, old: at, new: at }],
+            &[MapFault::LastReplicaLost { keys: at.keys, old: at, new: at }],
             &spoil(&|to| to.segments[i] = elsewhere.clone()),
         );
-        found.compare("epoch", &[Fault::EpochNotAbove { from: 1, to: 1 }], &spoil(&|to| to.epoch = 1));
+        found.compare("epoch", &[MapFault::EpochNotAbove { from: 1, to: 1 }], &spoil(&|to| to.epoch = 1));
         // Parts of a scan over some segments.
         let scan = &map.segments[i..i + 3.min(map.segments.len() - i)];
-        let wanted = [Range { from: scan[0].keys.from, to: scan[scan.len() - 1].keys.to }];
-        let sound: Vec<_> = scan.iter().map(|s| Piece { segment: s.id, keys: s.keys, epoch: 1 }).collect();
-        let mut judge = |planted: &[Fault], spoil: &dyn Fn(&mut Vec<Piece>)| {
+        let wanted = [KeyRange { from: scan[0].keys.from, to: scan[scan.len() - 1].keys.to }];
+        let sound: Vec<_> =
+            scan.iter().map(|s| AnsweredPart { segment: s.id, keys: s.keys, epoch: 1 }).collect();
+        let mut judge = |planted: &[MapFault], spoil: &dyn Fn(&mut Vec<AnsweredPart>)| {
             let mut pieces = sound.clone();
             spoil(&mut pieces);
             pieces.reverse();
-            let named: Vec<_> = covers(&from, &wanted, &pieces).err().into_iter().collect();
+            let named: Vec<_> = verify_coverage(&from, &wanted, &pieces).err().into_iter().collect();
             found.compare("scan", planted, &named);
         };
-        let [a, b] = [0, 1].map(|i| Place::from(&sound[i]));
-        let after = sound.get(2).map(Place::from);
+        let [a, b] = [0, 1].map(|i| SegmentRef::from(&sound[i]));
+        let after = sound.get(2).map(SegmentRef::from);
         judge(&[], &|_| {});
-        judge(&[Fault::NotCovered { keys: b.keys, before: Some(a), after }], &|p| {
+        judge(&[MapFault::NotCovered { keys: b.keys, before: Some(a), after }], &|p| {
             p.retain(|p| p.segment != b.id)
         });
-        judge(&[Fault::CoveredTwice { keys: b.keys, first: b, second: b }], &|p| p.push(p[1]));
-        judge(&[Fault::OtherEpoch { at: a, epoch: 2, expected: 1 }], &|p| p[0].epoch = 2);
-        judge(&[Fault::PartOutside { at: Place { id: a.id, ..b }, keys: Some(a.keys) }], &|p| {
+        judge(&[MapFault::CoveredTwice { keys: b.keys, first: b, second: b }], &|p| p.push(p[1]));
+        judge(&[MapFault::OtherEpoch { part: a, epoch: 2, expected: 1 }], &|p| p[0].epoch = 2);
+        judge(&[MapFault::PartOutside { part: SegmentRef { id: a.id, ..b }, keys: Some(a.keys) }], &|p| {
             p[1].segment = a.id
         });
-        let early = Place::from(&map.segments[i - 1]);
-        judge(&[Fault::NotWanted { keys: early.keys, at: early }], &|p| {
-            p.push(Piece { segment: early.id, keys: early.keys, epoch: 1 });
+        let early = SegmentRef::from(&map.segments[i - 1]);
+        judge(&[MapFault::NotQueried { keys: early.keys, part: early }], &|p| {
+            p.push(AnsweredPart { segment: early.id, keys: early.keys, epoch: 1 });
         });
     }
     found
@@ -377,31 +378,37 @@
     let whole = least(rounds, || {
         let map = map.clone();
         let start = Instant::now();
-        let proof = check_own(map, &nodes, &TERMS);
+        let proof = verify_owned(map, &nodes, &TERMS);
         let took = start.elapsed().as_secs_f64();
         assert!(proof.is_ok());
         took
     });
-    let from = check(&map, &nodes, &TERMS).expect("a sound map");
+    let from = verify(&map, &nodes, &TERMS).expect("a sound map");
     let every = map.segments.len() / CHANGED;
     let put = map.segments.iter().step_by(every).take(CHANGED).map(|segment| {
-        let owner = segment.holders[1].node.clone();
+        let owner = segment.replicas[1].node.clone();
         Segment { owner, ..segment.clone() }
     });
     let put: Vec<_> = put.collect();
-    let change = Change { epoch: 2, follows: String::new(), gone: vec![], put, digest: String::new() };
-    let change = change.sealed(&from);
-    let to = check_change(&from, &change).expect("a sound change").to().clone();
+    let change = MapDelta {
+        epoch: 2,
+        base_digest: String::new(),
+        removed: vec![],
+        upserted: put,
+        digest: String::new(),
+    };
+    let change = change.with_digests(&from);
+    let to = verify_delta(&from, &change).expect("a sound change").to().clone();
     let few = least(rounds * 20, || {
         let start = Instant::now();
-        let moved = check_change(&from, &change);
+        let moved = verify_delta(&from, &change);
         let took = start.elapsed().as_secs_f64();
-        assert!(moved.is_ok_and(|moved| moved.changed() == CHANGED));
+        assert!(moved.is_ok_and(|moved| moved.changed_segments() == CHANGED));
         took
     });
     let moved = least(rounds, || {
         let start = Instant::now();
-        assert!(check_move(&from, &to).is_ok());
+        assert!(verify_transition(&from, &to).is_ok());
         start.elapsed().as_secs_f64()
     });
     [whole / count as f64 * 1e9, moved / count as f64 * 1e9, few / CHANGED as f64 * 1e9]
--- a/crates/dunepond-testkit/tests/agree.rs
+++ b/crates/dunepond-testkit/tests/agree.rs
@@ -413,7 +413,7 @@
     const WAIT: u8 = 2;
     let mut propose = |version: &Value, sealed: bool| {
         let mut version: ConfigVersion = serde_json::from_value(version.clone()).unwrap();
-        version.map = version.map.map(|map| if sealed { map.sealed() } else { map });
+        version.map = version.map.map(|map| if sealed { map.with_digest() } else { map });
         let mut answer = None;
         wait(|| {
             let body = postcard::to_stdvec(&(A_VERSION, &version)).unwrap();
@@ -434,7 +434,7 @@
     };
     let mut faulty = fleet.version(2, &[0], &[]);
     let before: ConfigVersion = serde_json::from_value(fleet.version(1, &[], &[])).unwrap();
-    faulty["map"]["digest"] = json!(before.map.unwrap().digest_of());
+    faulty["map"]["digest"] = json!(before.map.unwrap().compute_digest());
     spoil(&mut faulty["map"]);
     let said = propose(&faulty, sealed);
     assert!(said.contains(words), "{said}");
