--- a/crates/dunepond-broker/src/fleet/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod fence;
 mod gate;
-mod limits;
+mod quotas;
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -25,10 +25,10 @@
 
 pub use gate::{Began, Gate, Late, Look, Timely, proved};
 
-use limits::Sharing;
+use quotas::Sharing;
 
-use crate::servers::Listing;
-use crate::turn::{Handle, Ready, Turn};
+use crate::iteration::{Handle, Ready, Turn};
+use crate::upstream::Listing;
 
 /// The span of a budget of further dispatches where the deployment states none, in seconds.
 const WINDOW: f64 = 10.0;
--- a/crates/dunepond-broker/src/list.rs
+++ b/crates/dunepond-broker/src/discovery.rs
@@ -14,10 +14,10 @@
 
 use crate::buffers::{Buffer, Outflow, Pool};
 use crate::clock::{Alarms, Due, Key};
-use crate::ending::Ending;
+use crate::connection_end::Ending;
 use crate::http::{self, Message};
-use crate::servers::{self, Listing};
-use crate::turn::{Handle, Ready, watch};
+use crate::iteration::{Handle, Ready, watch};
+use crate::upstream::{self, Listing};
 
 /// What a silent agent does not tell counts as told so long after it fell silent: the page's one clock for silence, the same
 /// for all deployments. What follows are shares of it.
@@ -100,7 +100,7 @@
     /// Calls the agent on a new connection: to watch on from where it was, or for the whole list.
     pub fn call(&mut self, now: f64, alarms: &mut Alarms) {
         let open = || -> Result<Call, Ending> {
-            let stream = Rc::new(servers::open(self.address)?);
+            let stream = Rc::new(upstream::open(self.address)?);
             let token = watch(&self.handle, &stream, Ready::Discovery).map_err(|_| Ending::NoMeans)?;
             let out = Outflow::new(&self.pool);
             Ok(Call {
--- a/crates/dunepond-broker/src/clients/accept.rs
+++ b/crates/dunepond-broker/src/downstream/accept.rs
@@ -13,8 +13,8 @@
 use super::{Arrivals, Client, Clients, Door, Phase};
 use crate::buffers::Outflow;
 use crate::clock::{Alarms, Due};
-use crate::ending::Ending;
-use crate::turn::{Ready, watch};
+use crate::connection_end::Ending;
+use crate::iteration::{Ready, watch};
 
 /// Connections accepted before all others have their turn: a bound of the program, so that one turn of the loop stays short
 /// against the 50 ms by which the protocol page makes every time limit longer.
--- a/crates/dunepond-broker/src/clients/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -9,10 +9,10 @@
 use std::net::{Shutdown, TcpStream};
 use std::os::fd::AsRawFd;
 
-use super::time::ASKS;
+use super::timeouts::ASKS;
 use super::{Client, Clients, Phase};
 use crate::clock::{Alarms, Key};
-use crate::ending::Ending;
+use crate::connection_end::Ending;
 
 /// Who has not asked for so long makes room before those that rest, which have asked before. A bound of the program that
 /// tells only at the cap, where by the fleet's page "new connections may be shut unread": some round trips, as whoever
--- a/crates/dunepond-broker/src/clients/hangup.rs
+++ b/crates/dunepond-broker/src/downstream/disconnect.rs
@@ -11,7 +11,7 @@
 use super::{Clients, Phase};
 use crate::buffers::Buffer;
 use crate::clock::Alarms;
-use crate::ending::Ending;
+use crate::connection_end::Ending;
 
 /// How old a look at its connection may be when something is sent on for a client. By the fleet's page an attempt "that
 /// begins more than 0.1 s after the close is a break"; half of that is left for its frame to be written.
--- a/crates/dunepond-broker/src/clients/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -1,14 +1,14 @@
 //! The clients: their connections, the requests that come on them and the answers that go back.
 
 mod accept;
-mod answer;
 mod arrivals;
 mod closing;
-mod hangup;
-mod raw;
+mod disconnect;
 mod read;
-mod route;
-mod time;
+mod response;
+mod streamed_body;
+mod timeouts;
+mod validation;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{TcpListener, TcpStream};
@@ -21,13 +21,13 @@
 use serde_json::json;
 use slab::Slab;
 
-use crate::api::{self, Request};
 use crate::body::{Body, Text};
 use crate::buffers::{Buffer, Outflow, Pool};
 use crate::clock::Key;
-use crate::ending::Ending;
+use crate::connection_end::Ending;
 use crate::http::{Head, Message};
-use crate::turn::Handle;
+use crate::iteration::Handle;
+use crate::search_api::{self, Request};
 pub use accept::listen;
 use arrivals::Arrivals;
 
@@ -124,7 +124,7 @@
     listeners: Vec<Door>,
     paused: bool,
     /// What the API's door goes by, where there is one.
-    pub api: Option<Rc<api::Door>>,
+    pub api: Option<Rc<search_api::Door>>,
     /// By their alarms, so the longest first: who has connected or begun and not asked yet, and who waits for
     /// nothing. At the cap these make room.
     asking: BTreeMap<Key, usize>,
--- a/crates/dunepond-broker/src/clients/read.rs
+++ b/crates/dunepond-broker/src/downstream/read.rs
@@ -7,11 +7,11 @@
 use tracing::debug;
 
 use super::{Arrivals, Came, Client, Clients, Phase, complaint};
-use crate::api;
 use crate::buffers::{Buffer, SIZE};
 use crate::clock::{Alarms, Due};
-use crate::ending::Ending;
+use crate::connection_end::Ending;
 use crate::http::{self, Message, Refusal};
+use crate::search_api;
 
 /// Reads from one client before all others have their turn; and how soon the one that sends on and on is read
 /// again. Bounds of the program: a turn of some reads is short against the 50 ms by which the protocol page makes every
@@ -240,7 +240,7 @@
             client.keep &= outcome.is_ok();
             let began = client.began;
             if let Some(door) = self.api.clone().filter(|_| client.api) {
-                let read = outcome.map_err(|why| api::refused(&why));
+                let read = outcome.map_err(|why| search_api::refused(&why));
                 match read.and_then(|message| door.read(&message.head, message.text(), began)) {
                     Ok(request) => return Some(Came::Api(Box::new(request))),
                     Err(e) => {
--- a/crates/dunepond-broker/src/clients/time.rs
+++ b/crates/dunepond-broker/src/downstream/timeouts.rs
@@ -4,10 +4,10 @@
 use tracing::debug;
 
 use super::{Clients, Phase, complaint};
-use crate::api;
 use crate::clock::{Alarms, Due, Key};
-use crate::ending::Ending;
+use crate::connection_end::Ending;
 use crate::http::refusal;
+use crate::search_api;
 
 /// Longest that a client may take over sending a request, from its connection on or from the first byte of a
 /// later one. Clients that connect by hundreds and say nothing, or half of something, held all there was.
@@ -59,7 +59,8 @@
         }
         client.keep = false;
         let why = refusal(408, "request: not whole in time");
-        let body = if client.api { api::refused(&why).body().to_string() } else { complaint(&why.why) };
+        let body =
+            if client.api { search_api::refused(&why).body().to_string() } else { complaint(&why.why) };
         self.reply(now, id, 408, &body, 0.0, alarms);
         None
     }
--- a/crates/dunepond-broker/src/world/background.rs
+++ b/crates/dunepond-broker/src/event_loop/background.rs
@@ -6,9 +6,9 @@
 use tracing::{debug, info};
 
 use super::World;
-use crate::asking::Asking;
 use crate::clock::Due;
-use crate::fleet::Fleet;
+use crate::control_plane::Fleet;
+use crate::prefilter::Asking;
 
 /// The name of audits among background work; one that has waited so long has met its end, as the content will have moved.
 const AUDIT: &str = "audit";
--- a/crates/dunepond-broker/src/world/hangup.rs
+++ b/crates/dunepond-broker/src/event_loop/disconnects.rs
@@ -3,7 +3,7 @@
 use dunepond_routing::QueryId;
 
 use super::World;
-use crate::turn::{Ready, Turn};
+use crate::iteration::{Ready, Turn};
 
 impl World {
     /// Hang-ups are taken before all else that a turn brings: what a node said may have come sooner, and what it would
--- a/crates/dunepond-broker/src/world/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -1,28 +1,28 @@
 //! The broker at work: hands what the loop and the clock bring to the module, one call at a time.
 
 mod background;
-mod changing;
-mod ending;
-mod hangup;
-mod start;
+mod disconnects;
+mod reload;
+mod shutdown;
+mod startup;
 
 use dunepond_body_buffer::{BodyId, Done};
 use dunepond_config::operator::Operator;
 use dunepond_routing::{NOTICEABLE_PAUSE_SECONDS, Query, QueryId, Router, Shutdown, ShutdownStage};
 use tracing::{info, warn};
 
-use crate::asking::Asking;
 use crate::background::Background;
-use crate::bodies::Event;
-use crate::clients::Came;
+use crate::body_store::Event;
 use crate::clock::{Clock, Due};
-use crate::desk::Desk;
-use crate::fleet::Fleet;
-use crate::keeping::Keeping;
-use crate::list::{DiscoveryClient, News};
-use crate::reread::Rereader;
-use crate::turn::Ready;
-pub use start::{Hooks, serve};
+use crate::config_reload::Rereader;
+use crate::control_plane::Fleet;
+use crate::discovery::{DiscoveryClient, News};
+use crate::downstream::Came;
+use crate::iteration::Ready;
+use crate::persistence::Keeping;
+use crate::prefilter::Asking;
+use crate::router::Desk;
+pub use startup::{Hooks, serve};
 
 /// All that a turn of the loop works on.
 struct World {
--- a/crates/dunepond-broker/src/world/changing.rs
+++ b/crates/dunepond-broker/src/event_loop/reload.rs
@@ -6,8 +6,8 @@
 
 use super::World;
 use crate::clock::Due;
+use crate::config_reload::Configuration;
 use crate::logger;
-use crate::reread::Configuration;
 
 impl World {
     /// The configuration is to be read again. What it says of discovery and of the log is in force at once; the
--- a/crates/dunepond-broker/src/world/start.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -19,23 +19,23 @@
 use tracing::{info, warn};
 
 use super::World;
-use crate::api::Door;
-use crate::asking::Asking;
 use crate::background::Background;
-use crate::bodies::Bodies;
+use crate::body_store::Bodies;
 use crate::buffers::{self, Pool};
-use crate::clients::{self, Clients};
 use crate::clock::{Clock, Due};
 use crate::config::Start;
-use crate::desk::Desk;
-use crate::fleet::Fleet;
-use crate::keeping::Keeping;
-use crate::list::{DiscoveryClient, OVERDUE};
-use crate::questions::Questions;
-use crate::reread::Rereader;
-use crate::servers::Servers;
+use crate::config_reload::Rereader;
+use crate::control_plane::Fleet;
+use crate::discovery::{DiscoveryClient, OVERDUE};
+use crate::downstream::{self, Clients};
+use crate::iteration::{Handle, Ready, Turn, channel_into};
+use crate::persistence::Keeping;
+use crate::prefilter::Asking;
+use crate::prefilter_connections::Questions;
+use crate::router::Desk;
+use crate::search_api::Door;
 use crate::signals::{CaughtSignals, catch_signals};
-use crate::turn::{Handle, Ready, Turn, channel_into};
+use crate::upstream::Servers;
 
 /// How long a new process waits for the list: for a call and for the one beside it. What the agent on its machine has
 /// counts as told from its first moment, and what it was left with may be old; but while discovery is down there is
@@ -91,7 +91,7 @@
 fn listen(what: &str, address: SocketAddr) -> io::Result<TcpListener> {
     let (since, mut waits) = (Instant::now(), false);
     loop {
-        match clients::listen(address) {
+        match downstream::listen(address) {
             Err(e)
                 if e.kind() == io::ErrorKind::AddrInUse
                     && since.elapsed().as_secs_f64() < MAX_SHUTDOWN_SECONDS =>
--- a/crates/dunepond-broker/src/turn.rs
+++ b/crates/dunepond-broker/src/iteration.rs
@@ -11,7 +11,7 @@
 use dunepond_background::Finished;
 use dunepond_body_buffer::Done;
 
-use crate::reread::Configuration;
+use crate::config_reload::Configuration;
 
 /// What has happened, to whom; `true` where it can be read. The id may have gone to another within the turn: that
 /// one is then told of a readiness too many, which costs it a read for nothing.
--- a/crates/dunepond-broker/src/lib.rs
+++ b/crates/dunepond-broker/src/lib.rs
@@ -1,31 +1,31 @@
 //! A dunepond broker, for the program of that name and for whoever hosts it among stand-ins.
 
-mod api;
-pub mod ask;
-mod asking;
 mod background;
-mod bodies;
 mod body;
+mod body_store;
 pub mod buffers;
-pub mod clients;
 pub mod clock;
 pub mod config;
-mod desk;
-mod ending;
-mod fleet;
+mod config_reload;
+mod connection_end;
+mod control_plane;
+mod discovery;
+pub mod downstream;
+mod event_loop;
 mod frames;
 mod http;
-pub mod keeping;
-mod list;
+pub mod iteration;
 pub mod logger;
 pub mod migrate;
-mod questions;
-mod reread;
-mod servers;
+pub mod persistence;
+mod prefilter;
+mod prefilter_connections;
+pub mod query_command;
+mod router;
+mod search_api;
 mod signals;
-pub mod turn;
-mod world;
+mod upstream;
 
-pub use fleet::check as check_fleet;
+pub use control_plane::check as check_fleet;
+pub use event_loop::{Hooks, serve};
 pub use signals::{CaughtSignals, catch_signals};
-pub use world::{Hooks, serve};
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -8,7 +8,8 @@
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
 use dunepond_broker::{
-    CaughtSignals, Hooks, ask, catch_signals, check_fleet, config, keeping, logger, migrate, serve,
+    CaughtSignals, Hooks, catch_signals, check_fleet, config, logger, migrate, persistence, query_command,
+    serve,
 };
 use dunepond_config::Bad;
 use dunepond_config::migrate::Ask;
@@ -117,11 +118,11 @@
     match command {
         StateCommand::Show { folder } => {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
-            print!("{}", keeping::show(&folder, now).map_err(Bad)?);
+            print!("{}", persistence::show(&folder, now).map_err(Bad)?);
             Ok(())
         }
         StateCommand::Check { folder } => {
-            let look = keeping::look(&folder).map_err(Bad)?;
+            let look = persistence::look(&folder).map_err(Bad)?;
             if !look.faults.is_empty() {
                 return Err(Bad(look.faults.join("\n")));
             }
@@ -194,11 +195,11 @@
         }
         Some(Command::State { command }) => state(command),
         Some(Command::Query { at, index, text, size, shards, seconds, msearch, json }) => {
-            let ask = ask::Ask { at, index: &index, json };
+            let ask = query_command::Ask { at, index: &index, json };
             let told = match msearch {
-                Some(file) => ask::many(&ask, &file),
-                None if shards.is_empty() => ask::search(&ask, text.as_deref(), size),
-                None => ask::scan(&ask, text.as_deref().unwrap_or_default(), &shards, seconds),
+                Some(file) => query_command::many(&ask, &file),
+                None if shards.is_empty() => query_command::search(&ask, text.as_deref(), size),
+                None => query_command::scan(&ask, text.as_deref().unwrap_or_default(), &shards, seconds),
             };
             told.map(|told| print!("{told}")).map_err(Bad)
         }
--- a/crates/dunepond-broker/src/keeping.rs
+++ b/crates/dunepond-broker/src/persistence.rs
@@ -16,7 +16,7 @@
 use tracing::{debug, info, warn};
 
 use crate::background::Background;
-use crate::desk::Desk;
+use crate::router::Desk;
 
 pub const SNAPSHOT: &str = "snapshot";
 pub const OPEN: &str = "open the state's folder";
--- a/crates/dunepond-broker/src/asking.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -9,9 +9,9 @@
 use tracing::{debug, info};
 
 use crate::clock::{self, Due};
-use crate::desk::Desk;
-use crate::questions::Words;
-use crate::servers::Back;
+use crate::prefilter_connections::Words;
+use crate::router::Desk;
+use crate::upstream::Back;
 
 /// Texts that are kept for audits: as many as can wait, and some behind them.
 const TEXTS: usize = 64;
--- a/crates/dunepond-broker/src/questions.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -15,10 +15,10 @@
 
 use crate::buffers::{Buffer, Outflow, Pool};
 use crate::clock::{Alarms, Due, Key};
-use crate::ending::Ending;
+use crate::connection_end::Ending;
 use crate::frames::{self, Said};
-use crate::servers::open;
-use crate::turn::{Handle, Ready, watch};
+use crate::iteration::{Handle, Ready, watch};
+use crate::upstream::open;
 
 /// A node that leaves questions unanswered for so long is not there, or its connection is not.
 const PATIENCE: f64 = 3.0;
--- a/crates/dunepond-broker/src/desk/take.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -7,10 +7,10 @@
 use tracing::debug;
 
 use super::{Desk, InHand};
-use crate::api::{Open, Request, Searching};
 use crate::body::Text;
-use crate::clients::{Asked, complaint};
 use crate::clock::Due;
+use crate::downstream::{Asked, complaint};
+use crate::search_api::{Open, Request, Searching};
 
 impl Desk {
     /// Takes a scan in hand; one too many is turned away before the module hears of it.
--- a/crates/dunepond-broker/src/desk/over.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -7,8 +7,8 @@
 
 use super::{Desk, may_have_run};
 use crate::body::Text;
-use crate::clients::complaint;
-use crate::servers::Back;
+use crate::downstream::complaint;
+use crate::upstream::Back;
 
 impl Desk {
     /// Books a dispatch that is back; `None` if the module has nothing to hear of it.
--- a/crates/dunepond-broker/src/desk/agreed.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -7,8 +7,8 @@
 use tracing::debug;
 
 use super::{Desk, may_have_run};
-use crate::fleet::{Began, proved};
-use crate::servers::Parcel;
+use crate::control_plane::{Began, proved};
+use crate::upstream::Parcel;
 
 /// What a scan goes by in a fleet that agrees.
 pub struct Agreed {
--- a/crates/dunepond-broker/src/desk/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -1,10 +1,10 @@
 //! The scans in hand: what each is, and what is held for all of them.
 
-mod agreed;
-mod host;
-mod over;
-mod raw;
-mod take;
+mod admission;
+mod completion;
+mod coordination;
+mod streamed_bodies;
+mod transport;
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -14,17 +14,17 @@
 use dunepond_prefilter::{Left, Unanswered};
 use dunepond_routing::{AttemptOutcome, Deployment, Idempotency, MAX_STALL_SECONDS, NodeId, QueryId};
 
-use crate::api::{Open, Searching};
-use crate::bodies::Bodies;
 use crate::body::Text;
+use crate::body_store::Bodies;
 use crate::buffers::Pool;
-use crate::clients::Clients;
 use crate::clock::{Alarms, Key};
-use crate::fleet::Fleet;
+use crate::control_plane::Fleet;
+use crate::downstream::Clients;
 use crate::frames;
-use crate::questions::Questions;
-use crate::servers::Servers;
-use agreed::Agreed;
+use crate::prefilter_connections::Questions;
+use crate::search_api::{Open, Searching};
+use crate::upstream::Servers;
+use coordination::Agreed;
 
 /// A scan from its request until it is answered and all its dispatches are back.
 struct InHand {
--- a/crates/dunepond-broker/src/desk/raw.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -7,8 +7,8 @@
 
 use super::Desk;
 use crate::body::{Body, Text};
-use crate::clients::Asked;
 use crate::clock::Due;
+use crate::downstream::Asked;
 use crate::http::{Head, Refusal, refusal};
 
 impl Desk {
--- a/crates/dunepond-broker/src/desk/host.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -7,10 +7,10 @@
 use tracing::{debug, error, info};
 
 use super::Desk;
-use super::agreed::Agreed;
+use super::coordination::Agreed;
 use crate::body::{Reader, Text};
 use crate::clock::Due;
-use crate::servers::Parcel;
+use crate::upstream::Parcel;
 
 impl Transport for Desk {
     fn now(&self) -> f64 {
--- a/crates/dunepond-broker/src/api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -12,7 +12,7 @@
 use dunepond_search_api::{ApiError, Call, Limits, Search, routing};
 
 use crate::body::Text;
-use crate::clients::Asked;
+use crate::downstream::Asked;
 use crate::http::{Head, Refusal};
 
 /// What the door goes by; shared by the clients' connections, which read with it, and the desk.
--- a/crates/dunepond-broker/src/servers/recall.rs
+++ b/crates/dunepond-broker/src/upstream/cancel.rs
@@ -6,7 +6,7 @@
 
 use super::{Link, Out, Servers};
 use crate::clock::Alarms;
-use crate::ending::Ending;
+use crate::connection_end::Ending;
 use crate::frames;
 
 impl Servers {
--- a/crates/dunepond-broker/src/servers/connect.rs
+++ b/crates/dunepond-broker/src/upstream/connection.rs
@@ -12,8 +12,8 @@
 use super::{Link, Servers};
 use crate::buffers::Outflow;
 use crate::clock::{Alarms, Due};
-use crate::ending::Ending;
-use crate::turn::{Ready, watch};
+use crate::connection_end::Ending;
+use crate::iteration::{Ready, watch};
 
 /// We close an idle connection at this share of the time at which the node does at the latest, so that no frame crosses. The time
 /// is the settings'; a share of it, as what is in between has to cover a frame's way and a turn of ours that comes late, be
--- a/crates/dunepond-broker/src/servers/listing.rs
+++ b/crates/dunepond-broker/src/upstream/endpoints.rs
@@ -8,7 +8,7 @@
 
 use super::{Server, Servers};
 use crate::clock::Alarms;
-use crate::ending::Ending;
+use crate::connection_end::Ending;
 
 /// A line of the list, as far as connections go by it.
 #[derive(Clone)]
--- a/crates/dunepond-broker/src/servers/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -1,12 +1,12 @@
 //! The nodes: their connections, the frames that go out on them and the ends that come back.
 
-mod agreed;
-mod bodies;
-mod connect;
-mod ends;
-mod frames;
-mod listing;
-mod recall;
+mod cancel;
+mod connection;
+mod endpoints;
+mod ownership_check;
+mod request;
+mod response;
+mod streaming;
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::TcpStream;
@@ -21,11 +21,11 @@
 use crate::body::{Reader, Text};
 use crate::buffers::{Buffer, Outflow, Pool};
 use crate::clock::{self, Key};
-use crate::fleet::{Began, Gate};
+use crate::control_plane::{Began, Gate};
 use crate::http::Message;
-use crate::turn::Handle;
-pub use connect::open;
-pub use listing::Listing;
+use crate::iteration::Handle;
+pub use connection::open;
+pub use endpoints::Listing;
 
 /// Parts that a connection remembers after it was through with them, as their ends may come twice: a bound of ours on memory.
 /// What was given up is remembered beside that until its end comes, however many a connection carries.
--- a/crates/dunepond-broker/src/servers/agreed.rs
+++ b/crates/dunepond-broker/src/upstream/ownership_check.rs
@@ -7,8 +7,8 @@
 
 use super::{Link, Out, Parcel, Servers};
 use crate::clock::Alarms;
-use crate::fleet::fence::{Fate, Stage};
-use crate::fleet::{Gate, Look};
+use crate::control_plane::fence::{Fate, Stage};
+use crate::control_plane::{Gate, Look};
 
 /// Notes each part whose frame has been put on its connection since the last look.
 pub fn note(gate: &Gate, look: &Look, host: &str, link: &mut Link) {
--- a/crates/dunepond-broker/src/servers/frames.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -6,12 +6,12 @@
 use dunepond_search_api::node;
 use tracing::debug;
 
-use super::{Link, Out, Parcel, Servers, agreed};
+use super::{Link, Out, Parcel, Servers, ownership_check};
 use crate::body::Text;
 use crate::buffers::SIZE;
 use crate::clock::Alarms;
-use crate::ending::Ending;
-use crate::fleet::{Late, Look, Timely};
+use crate::connection_end::Ending;
+use crate::control_plane::{Late, Look, Timely};
 use crate::frames;
 
 /// A text up to so long is copied into its frames: a piece of its own for it would cost more.
@@ -225,7 +225,7 @@
         let outcome = link.write(now, spoken, look.as_ref().filter(|_| once));
         self.copied += link.out.take_copied();
         if let (Some(gate), Some(look)) = (&self.gate, &look) {
-            agreed::note(gate, look, host, link);
+            ownership_check::note(gate, look, host, link);
         }
         if link.out.is_starved() {
             self.starved.push(id);
--- a/crates/dunepond-broker/src/servers/ends.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -9,7 +9,7 @@
 
 use super::{Back, Server, Servers};
 use crate::clock::{Alarms, Due};
-use crate::ending::Ending;
+use crate::connection_end::Ending;
 use crate::frames::{self, Said, Word};
 use crate::http::{self, Message};
 
--- a/crates/dunepond-broker/src/servers/bodies.rs
+++ b/crates/dunepond-broker/src/upstream/streaming.rs
@@ -4,7 +4,7 @@
 
 use super::{Link, Out, Servers};
 use crate::clock::Alarms;
-use crate::ending::Ending;
+use crate::connection_end::Ending;
 
 impl Servers {
     /// More of some body is there: what waited for it is written on.
--- a/crates/dunepond-broker/tests/hangup.rs
+++ b/crates/dunepond-broker/tests/hangup.rs
@@ -6,9 +6,9 @@
 
 use calloop::EventLoop;
 use dunepond_broker::buffers::Pool;
-use dunepond_broker::clients::{Came, Clients, listen};
 use dunepond_broker::clock::Alarms;
-use dunepond_broker::turn::{Ready, Turn};
+use dunepond_broker::downstream::{Came, Clients, listen};
+use dunepond_broker::iteration::{Ready, Turn};
 use dunepond_config::{Fields, bounds};
 use dunepond_testkit::store::{Client, scan, settings};
 
