--- a/crates/dunepond-storage/src/files.rs
+++ b/crates/dunepond-storage/src/files.rs
@@ -1,49 +1,59 @@
-//! The calls on a folder that the rest stands on, and a real folder.
+//! The file operations that snapshots and journals need, and their implementation on a real directory.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// A folder of plain files, by their names. What a call has done may be lost in a crash until it is synced.
+/// Held by the process that uses the directory.
+const LOCK_FILE: &str = "dunepond.lock";
+/// Only the owner may read and write what is stored.
+const FILE_MODE: u32 = 0o600;
+
+/// A flat directory of files, addressed by name. A change may be lost in a crash until it is synced.
 pub trait FileStore: Send + Sync {
-    /// A new file, or an old one emptied.
+    /// Creates a file, or empties an existing one.
     fn create(&self, name: &str) -> io::Result<Box<dyn WritableFile>>;
-    /// An old file, to be written on behind its last byte.
+    /// Opens an existing file to write behind its last byte.
     fn open_append(&self, name: &str) -> io::Result<Box<dyn WritableFile>>;
-    /// All of a file, or an error where it holds more than `most` bytes.
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>>;
-    /// One takes another's name, whole or not at all.
+    /// Reads a whole file; an error where it is longer than `max_bytes`.
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>>;
+    /// Renames a file atomically, replacing an existing one.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
+    /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Names that were made, changed or removed are there for good.
+    /// Makes created, renamed and removed names durable.
     fn sync_names(&self) -> io::Result<()>;
-    /// All names.
+    /// Lists all names.
     fn list(&self) -> io::Result<Vec<String>>;
 }
 
-/// A file that is written.
+/// A file open for writing.
 pub trait WritableFile: Send {
+    /// Writes all bytes at the end of the file.
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts it, so that the next write goes behind so many bytes.
+    /// Truncates the file to `length` bytes; the next write goes there.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
-    /// What was written is there for good.
+    /// Makes what was written durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A real folder. Who opens it holds a lock in it, until the process has gone however it goes.
+/// A real directory.
 pub struct DiskStore {
     path: PathBuf,
+    /// Held for as long as the process lives; the kernel releases it however the process ends.
     _lock: Option<File>,
 }
 
-const LOCK: &str = "dunepond.lock";
-
 impl DiskStore {
-    /// Takes a folder for oneself; `WouldBlock` where another process has it.
+    /// Opens a directory for exclusive use. Fails with `WouldBlock` where another process holds its lock.
     pub fn open(path: &Path) -> io::Result<Self> {
-        let lock =
-            OpenOptions::new().write(true).create(true).truncate(false).mode(0o600).open(path.join(LOCK))?;
+        let lock = OpenOptions::new()
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .mode(FILE_MODE)
+            .open(path.join(LOCK_FILE))?;
         lock.try_lock().map_err(|e| match e {
             TryLockError::WouldBlock => io::Error::new(io::ErrorKind::WouldBlock, "another broker uses it"),
             TryLockError::Error(e) => e,
@@ -51,7 +61,7 @@
         Ok(Self { path: path.to_path_buf(), _lock: Some(lock) })
     }
 
-    /// To look at what is there, beside whoever has it.
+    /// Opens a directory without its lock, to read beside a running broker.
     pub fn open_read_only(path: &Path) -> io::Result<Self> {
         std::fs::read_dir(path)?;
         Ok(Self { path: path.to_path_buf(), _lock: None })
@@ -61,20 +71,21 @@
 impl FileStore for DiskStore {
     fn create(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let path = self.path.join(name);
-        let file = OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(path)?;
+        let file = OpenOptions::new().write(true).create(true).truncate(true).mode(FILE_MODE).open(path)?;
         Ok(Box::new(file))
     }
 
     fn open_append(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
-        // Not in append mode only: a cut must move the place of the next write, which this mode does by itself.
+        // Append mode, so that after a truncation the next write goes to the new end.
         Ok(Box::new(OpenOptions::new().append(true).open(self.path.join(name))?))
     }
 
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
         let file = File::open(self.path.join(name))?;
         let mut bytes = Vec::new();
-        file.take(most + 1).read_to_end(&mut bytes)?;
-        if bytes.len() as u64 > most {
+        // One byte more than allowed tells a file that is too long.
+        file.take(max_bytes + 1).read_to_end(&mut bytes)?;
+        if bytes.len() as u64 > max_bytes {
             return Err(io::Error::new(io::ErrorKind::FileTooLarge, "longer than any of ours"));
         }
         Ok(bytes)
--- a/crates/dunepond-storage/src/journal.rs
+++ b/crates/dunepond-storage/src/journal.rs
@@ -1,179 +1,212 @@
-//! A journal: records behind each other in one file, each with its length, number and checksum. What a crash leaves of
-//! the last ones is cut off at the next opening.
+//! The journal: records appended to one file, each with length, number and checksum. The next open truncates what a crash
+//! left unfinished behind the last valid record.
 
 use std::io;
 use std::sync::Arc;
 
 use crate::files::{FileStore, WritableFile};
-use crate::format::{self, FileFault, HEAD, Head, MAX_FILE_BYTES};
+use crate::format::{self, FileFault, FileKind, HEADER_BYTES, Header, MAX_FILE_BYTES};
 
-const KIND: [u8; 4] = *b"JRNL";
-const ENDING: &str = ".journal";
-const ASIDE: &str = ".journal-aside";
-/// Length, number, checksum.
-const RECORD: usize = 4 + 8 + 4;
+const KIND: FileKind = *b"JRNL";
+const SUFFIX: &str = ".journal";
+/// Of a journal that is being rewritten, until it takes the old one's name.
+const UNFINISHED_SUFFIX: &str = ".journal-aside";
 
+// A record's header: length of the payload (u32), number (u64), checksum (u32).
+const NUMBER_AT: usize = 4;
+const CHECKSUM_AT: usize = 12;
+const RECORD_HEADER_BYTES: usize = 16;
+
+/// One valid record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JournalRecord {
+    /// One more than that of the record before, over the journal's whole life.
     pub number: u64,
+    /// Payload.
     pub bytes: Vec<u8>,
 }
 
-/// What a journal held when it was opened, and why what stood behind that is not believed.
+/// What a journal held when it was opened.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveredJournal {
+    /// All valid records from the beginning.
     pub records: Vec<JournalRecord>,
+    /// Why what stands behind them is not used.
     pub fault: Option<FileFault>,
 }
 
+/// A journal open for appending.
 pub struct Journal {
     files: Arc<dyn FileStore>,
     name: String,
     version: u32,
-    /// Open for more; nothing after a call failed, until it has been written anew.
+    /// `None` after a failed call, until the journal has been rewritten: what the file ends with is unknown.
     file: Option<Box<dyn WritableFile>>,
-    next: u64,
-    length: u64,
+    next_number: u64,
+    length_bytes: u64,
+}
+
+/// A file's content as far as it is valid.
+struct Scan {
+    recovered: RecoveredJournal,
+    /// Length of the valid part.
+    valid_bytes: usize,
+    header: Option<Header>,
+}
+
+impl Scan {
+    fn invalid(fault: Option<FileFault>) -> Self {
+        Self { recovered: RecoveredJournal { records: Vec::new(), fault }, valid_bytes: 0, header: None }
+    }
 }
 
-/// One record's bytes, behind what came before.
-fn record(number: u64, bytes: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(RECORD + bytes.len());
-    out.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
+fn encode_record(number: u64, payload: &[u8]) -> Vec<u8> {
+    let mut out = Vec::with_capacity(RECORD_HEADER_BYTES + payload.len());
+    out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     out.extend_from_slice(&number.to_le_bytes());
-    out.extend_from_slice(&sum(number, bytes).to_le_bytes());
-    out.extend_from_slice(bytes);
+    out.extend_from_slice(&checksum(number, payload).to_le_bytes());
+    out.extend_from_slice(payload);
     out
 }
 
-/// Over its length and number too: a record of zeros is none.
-fn sum(number: u64, bytes: &[u8]) -> u32 {
+/// Covers length and number too, so that a run of zero bytes is no valid record.
+fn checksum(number: u64, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&(bytes.len() as u32).to_le_bytes());
+    hasher.update(&(payload.len() as u32).to_le_bytes());
     hasher.update(&number.to_le_bytes());
-    hasher.update(bytes);
+    hasher.update(payload);
     hasher.finalize()
 }
 
-/// The whole records at the beginning of `bytes`, and how far they go.
-fn records(bytes: &[u8], first: u64) -> (Vec<JournalRecord>, usize, Option<FileFault>) {
-    let (mut found, mut at, mut expected) = (Vec::new(), 0, first);
-    while at < bytes.len() {
-        let head = (|| {
-            let length = u32::from_le_bytes(format::number(bytes, at)?) as usize;
-            let number = u64::from_le_bytes(format::number(bytes, at + 4)?);
-            let sum = u32::from_le_bytes(format::number(bytes, at + 12)?);
-            let body = bytes.get(at + RECORD..(at + RECORD).checked_add(length)?)?;
-            Some((number, sum, body))
-        })();
-        let Some((number, told, body)) = head else { return (found, at, Some(FileFault::Truncated)) };
-        if told != sum(number, body) || number != expected {
-            return (found, at, Some(FileFault::Corrupted));
+/// Number, checksum and payload of the record at an offset; `None` where the bytes end before it does.
+fn record_at(bytes: &[u8], offset: usize) -> Option<(u64, u32, &[u8])> {
+    let length = u32::from_le_bytes(format::bytes_at(bytes, offset)?) as usize;
+    let number = u64::from_le_bytes(format::bytes_at(bytes, offset + NUMBER_AT)?);
+    let checksum = u32::from_le_bytes(format::bytes_at(bytes, offset + CHECKSUM_AT)?);
+    let start = offset + RECORD_HEADER_BYTES;
+    let payload = bytes.get(start..start.checked_add(length)?)?;
+    Some((number, checksum, payload))
+}
+
+/// The valid records at the beginning of `bytes`, their length in bytes, and what is wrong behind them.
+fn decode_records(bytes: &[u8], first_number: u64) -> (Vec<JournalRecord>, usize, Option<FileFault>) {
+    let (mut records, mut offset, mut expected) = (Vec::new(), 0, first_number);
+    while offset < bytes.len() {
+        let Some((number, stored_checksum, payload)) = record_at(bytes, offset) else {
+            return (records, offset, Some(FileFault::Truncated));
+        };
+        if stored_checksum != checksum(number, payload) || number != expected {
+            return (records, offset, Some(FileFault::Corrupted));
         }
-        found.push(JournalRecord { number, bytes: body.to_vec() });
-        at += RECORD + body.len();
+        records.push(JournalRecord { number, bytes: payload.to_vec() });
+        offset += RECORD_HEADER_BYTES + payload.len();
         expected += 1;
     }
-    (found, at, None)
+    (records, offset, None)
 }
 
-impl Journal {
-    fn file_name(name: &str) -> String {
-        format!("{name}{ENDING}")
-    }
+fn file_name(name: &str) -> String {
+    format!("{name}{SUFFIX}")
+}
 
-    /// What a journal holds, without opening it for more.
-    pub fn read(files: &dyn FileStore, name: &str, version: u32) -> RecoveredJournal {
-        Self::look(files, name, version).0
+fn scan(files: &dyn FileStore, name: &str, version: u32) -> Scan {
+    let bytes = match files.read(&file_name(name), MAX_FILE_BYTES) {
+        Ok(bytes) => bytes,
+        Err(e) if e.kind() == io::ErrorKind::NotFound => return Scan::invalid(None),
+        Err(e) => return Scan::invalid(Some(FileFault::Unreadable(e.kind()))),
+    };
+    match format::decode_header(KIND, version, &bytes) {
+        Ok(header) => {
+            let (records, valid, fault) = decode_records(&bytes[HEADER_BYTES..], header.number);
+            let recovered = RecoveredJournal { records, fault };
+            Scan { recovered, valid_bytes: HEADER_BYTES + valid, header: Some(header) }
+        }
+        Err(fault) => Scan::invalid(Some(fault)),
     }
+}
 
-    /// What it holds, how far that goes, and its head.
-    fn look(files: &dyn FileStore, name: &str, version: u32) -> (RecoveredJournal, usize, Option<Head>) {
-        let bytes = match files.read(&Self::file_name(name), MAX_FILE_BYTES) {
-            Ok(bytes) => bytes,
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return (RecoveredJournal::default(), 0, None),
-            Err(e) => {
-                let fault = Some(FileFault::Unreadable(e.kind()));
-                return (RecoveredJournal { records: Vec::new(), fault }, 0, None);
-            }
-        };
-        match format::read_head(KIND, version, &bytes) {
-            Ok(head) => {
-                let (records, used, fault) = records(&bytes[HEAD..], head.number);
-                (RecoveredJournal { records, fault }, HEAD + used, Some(head))
-            }
-            Err(fault) => (RecoveredJournal { records: Vec::new(), fault: Some(fault) }, 0, None),
-        }
+fn earlier_call_failed() -> io::Error {
+    io::Error::other("an earlier record failed")
+}
+
+impl Journal {
+    /// Reads a journal without opening it for writing.
+    pub fn read(files: &dyn FileStore, name: &str, version: u32) -> RecoveredJournal {
+        scan(files, name, version).recovered
     }
 
-    /// Opens a journal, or begins one. One of a later version, or not ours, is left alone, and nothing is written.
+    /// Opens a journal, or creates one, in this format version. Fails where the file is of a newer version, not ours or
+    /// unreadable: it is left alone then.
     pub fn open(files: Arc<dyn FileStore>, name: &str, version: u32) -> io::Result<(Self, RecoveredJournal)> {
-        let (recovered, used, head) = Self::look(&*files, name, version);
+        let Scan { recovered, valid_bytes, header } = scan(&*files, name, version);
         if let Some(
             fault @ (FileFault::NewerVersion(_) | FileFault::UnknownFormat | FileFault::Unreadable(_)),
         ) = &recovered.fault
-            && head.is_none()
+            && header.is_none()
         {
             return Err(io::Error::new(io::ErrorKind::InvalidData, fault.clone()));
         }
-        let next = recovered.records.last().map(|last| last.number + 1);
-        let next = next.or(head.map(|head| head.number)).unwrap_or(1);
+        let after_last = recovered.records.last().map(|last| last.number + 1);
+        let next_number = after_last.or(header.map(|header| header.number)).unwrap_or(1);
+        let length_bytes = valid_bytes as u64;
         let mut journal =
-            Self { files, name: name.to_string(), version, file: None, next, length: used as u64 };
-        if head.is_some_and(|head| head.version == version) {
-            let mut file = journal.files.open_append(&Self::file_name(name))?;
+            Self { files, name: name.to_string(), version, file: None, next_number, length_bytes };
+        if header.is_some_and(|header| header.version == version) {
+            let mut file = journal.files.open_append(&file_name(name))?;
             if recovered.fault.is_some() {
-                file.truncate(used as u64)?;
+                file.truncate(length_bytes)?;
             }
             journal.file = Some(file);
         } else {
-            // None, one of which nothing is whole, or one of an earlier version, whose records go into a new file.
-            let kept: Vec<_> = recovered.records.iter().map(|record| record.bytes.clone()).collect();
-            journal.rewrite(&kept)?;
+            // No file, one without a valid header, or one of an earlier version, whose records are kept.
+            let payloads: Vec<_> = recovered.records.iter().map(|record| record.bytes.clone()).collect();
+            journal.rewrite(&payloads)?;
         }
         Ok((journal, recovered))
     }
 
-    /// Bytes of its file.
+    /// Length of the file, bytes.
     pub fn length(&self) -> u64 {
-        self.length
+        self.length_bytes
     }
 
-    /// Puts a record behind the others. It outlasts the process from then on, and the machine once synced. After an
-    /// error nothing more is taken before [`Journal::rewrite`]: what the file ends with is not known.
+    /// Appends a record and returns its number. It survives the process from then on, and a power loss once synced.
+    /// After an error all further records are refused until [`Journal::rewrite`].
     pub fn append(&mut self, bytes: &[u8]) -> io::Result<u64> {
-        let mut file = self.file.take().ok_or_else(|| io::Error::other("an earlier record failed"))?;
-        let record = record(self.next, bytes);
+        let mut file = self.file.take().ok_or_else(earlier_call_failed)?;
+        let record = encode_record(self.next_number, bytes);
         file.write_all(&record)?;
         self.file = Some(file);
-        self.length += record.len() as u64;
-        self.next += 1;
-        Ok(self.next - 1)
+        self.length_bytes += record.len() as u64;
+        self.next_number += 1;
+        Ok(self.next_number - 1)
     }
 
+    /// Makes all appended records durable.
     pub fn sync(&mut self) -> io::Result<()> {
-        let mut file = self.file.take().ok_or_else(|| io::Error::other("an earlier record failed"))?;
-        // What a failed sync has left is not known, so the file is not written on.
+        // Taken out: a file whose sync failed must not be written on, as the kernel may have dropped its pages.
+        let mut file = self.file.take().ok_or_else(earlier_call_failed)?;
         file.sync()?;
         self.file = Some(file);
         Ok(())
     }
 
-    /// Begins anew with these records, in a file that takes the old one's place whole.
-    pub fn rewrite(&mut self, kept: &[Vec<u8>]) -> io::Result<()> {
-        let aside = format!("{}{ASIDE}", self.name);
-        let mut file = self.files.create(&aside)?;
-        let first = self.next;
-        let mut bytes = format::head(KIND, Head { version: self.version, number: first, length: 0 }).to_vec();
-        for (number, body) in (first..).zip(kept) {
-            bytes.extend_from_slice(&record(number, body));
+    /// Replaces the journal atomically by one of these records alone; numbers go on.
+    pub fn rewrite(&mut self, payloads: &[Vec<u8>]) -> io::Result<()> {
+        let unfinished = format!("{}{UNFINISHED_SUFFIX}", self.name);
+        let mut file = self.files.create(&unfinished)?;
+        let first = self.next_number;
+        let header = Header { version: self.version, number: first, length: 0 };
+        let mut bytes = format::encode_header(KIND, header).to_vec();
+        for (number, payload) in (first..).zip(payloads) {
+            bytes.extend_from_slice(&encode_record(number, payload));
         }
         file.write_all(&bytes)?;
         file.sync()?;
-        self.files.rename(&aside, &Self::file_name(&self.name))?;
+        self.files.rename(&unfinished, &file_name(&self.name))?;
         self.files.sync_names()?;
-        (self.file, self.length) = (Some(file), bytes.len() as u64);
-        self.next = first + kept.len() as u64;
+        (self.file, self.length_bytes) = (Some(file), bytes.len() as u64);
+        self.next_number = first + payloads.len() as u64;
         Ok(())
     }
 }
--- a/crates/dunepond-storage/src/lib.rs
+++ b/crates/dunepond-storage/src/lib.rs
@@ -1,8 +1,12 @@
-//! Files that survive crashes: snapshots of which the last whole one is read, and a journal that recovers to its last
-//! whole record. Both stand on a trait for files, so that a stand-in can fail any call and lose what was not synced.
+//! Durable files: snapshots, of which the newest valid one is read, and an append-only journal that recovers up to its
+//! last valid record.
 //!
-//! What is read is old, new or nothing: a file that is cut, damaged, foreign or of a later version is named and left
-//! alone. Nothing here waits for anything but the calls it makes; whoever must not wait makes them elsewhere.
+//! The layer exists so that a crash at any point leaves old data, new data or none, and never a mixture. Files carry a
+//! format version and checksums; a file that is truncated, corrupted, unknown or written by a newer build is reported and
+//! left alone. Both kinds stand on the trait [`FileStore`], so that tests can fail any call and drop what was not synced.
+//!
+//! Every call blocks on the disk; callers that must not wait run them on a thread of their own.
+#![warn(missing_docs)]
 
 mod files;
 mod format;
--- a/crates/dunepond-storage/src/snapshots.rs
+++ b/crates/dunepond-storage/src/snapshots.rs
@@ -1,50 +1,57 @@
-//! Snapshots: each is written aside, synced, and takes its name whole; the last two stay.
+//! Snapshots: each is written under a temporary name, synced and renamed; the last two stay.
 
 use std::io;
 use std::sync::Arc;
 
 use crate::files::FileStore;
-use crate::format::{self, FileFault, HEAD, Head, MAX_FILE_BYTES};
+use crate::format::{self, FileFault, FileKind, HEADER_BYTES, Header, MAX_FILE_BYTES};
 
-const KIND: [u8; 4] = *b"SNAP";
-const ENDING: &str = ".snapshot";
-const ASIDE: &str = ".aside";
-/// Whole ones that stay; the one before the last is there for when the last turns out to be damaged.
-const KEPT: usize = 2;
+const KIND: FileKind = *b"SNAP";
+const SUFFIX: &str = ".snapshot";
+/// Of a snapshot that is being written.
+const UNFINISHED_SUFFIX: &str = ".aside";
+/// The one before the last serves when the last turns out to be corrupted.
+const RETAINED_COUNT: usize = 2;
 
-/// What a snapshot holds, and of which version its writer was.
+/// A valid snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
+    /// Rises with each snapshot of a name.
     pub number: u64,
+    /// Format version of its writer.
     pub format_version: u32,
+    /// Payload.
     pub bytes: Vec<u8>,
 }
 
-/// The newest that is whole, and every file that is not believed, with why.
+/// What a directory holds under one name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadedSnapshots {
+    /// The newest valid one.
     pub newest: Option<Snapshot>,
+    /// Files that are not used, with the reason, the newest first.
     pub faults: Vec<(String, FileFault)>,
 }
 
+/// The snapshots of one name in a directory.
 pub struct SnapshotStore {
     files: Arc<dyn FileStore>,
     name: String,
     version: u32,
-    /// Above every number that stands in the folder; known once it has been looked at.
-    next: Option<u64>,
+    /// Above every number in the directory; known after the first write.
+    next_number: Option<u64>,
 }
 
 impl SnapshotStore {
-    /// Snapshots of this name in a folder, written in this version.
+    /// Snapshots of this name, written in this format version.
     pub fn new(files: Arc<dyn FileStore>, name: &str, version: u32) -> Self {
-        Self { files, name: name.to_string(), version, next: None }
+        Self { files, name: name.to_string(), version, next_number: None }
     }
 
-    /// Files of this name by their numbers, the newest first.
-    fn numbered(&self) -> io::Result<Vec<(u64, String)>> {
+    /// Numbers and names of all snapshots, the newest first.
+    fn list(&self) -> io::Result<Vec<(u64, String)>> {
         let number = |file: &str| {
-            let digits = file.strip_prefix(&self.name)?.strip_prefix('-')?.strip_suffix(ENDING)?;
+            let digits = file.strip_prefix(&self.name)?.strip_prefix('-')?.strip_suffix(SUFFIX)?;
             digits.parse::<u64>().ok()
         };
         let names = self.files.list()?;
@@ -54,68 +61,64 @@
         Ok(found)
     }
 
-    fn read_one(&self, name: &str) -> Result<Snapshot, FileFault> {
+    fn read_file(&self, name: &str) -> Result<Snapshot, FileFault> {
         let bytes = self.files.read(name, MAX_FILE_BYTES).map_err(|e| FileFault::Unreadable(e.kind()))?;
-        let head = format::read_head(KIND, self.version, &bytes)?;
-        // Its length is believed only as far as there are bytes for it.
-        let rest = &bytes[HEAD.min(bytes.len())..];
-        let length = usize::try_from(head.length).map_err(|_| FileFault::Corrupted)?;
-        let (body, sum) = (
-            rest.get(..length).ok_or(FileFault::Truncated)?,
-            format::number(rest, length).ok_or(FileFault::Truncated)?,
-        );
-        if crc32fast::hash(body) != u32::from_le_bytes(sum) {
+        let header = format::decode_header(KIND, self.version, &bytes)?;
+        let rest = &bytes[HEADER_BYTES.min(bytes.len())..];
+        let length = usize::try_from(header.length).map_err(|_| FileFault::Corrupted)?;
+        let payload = rest.get(..length).ok_or(FileFault::Truncated)?;
+        let checksum = format::bytes_at(rest, length).ok_or(FileFault::Truncated)?;
+        if crc32fast::hash(payload) != u32::from_le_bytes(checksum) {
             return Err(FileFault::Corrupted);
         }
-        Ok(Snapshot { number: head.number, format_version: head.version, bytes: body.to_vec() })
+        Ok(Snapshot { number: header.number, format_version: header.version, bytes: payload.to_vec() })
     }
 
-    /// The newest whole one, by its number. A folder that cannot be listed is an error; a file that cannot be read, none.
+    /// Loads the newest valid snapshot. Fails only where the directory cannot be listed; an unreadable file is a fault.
     pub fn load(&self) -> io::Result<LoadedSnapshots> {
-        let mut found = LoadedSnapshots::default();
-        for (_, name) in self.numbered()? {
-            match self.read_one(&name) {
-                Ok(snapshot) if found.newest.is_none() => found.newest = Some(snapshot),
+        let mut loaded = LoadedSnapshots::default();
+        for (_, name) in self.list()? {
+            match self.read_file(&name) {
+                Ok(snapshot) if loaded.newest.is_none() => loaded.newest = Some(snapshot),
                 Ok(_) => {}
-                Err(fault) => found.faults.push((name, fault)),
+                Err(fault) => loaded.faults.push((name, fault)),
             }
         }
-        Ok(found)
+        Ok(loaded)
     }
 
-    /// Writes the next one; on an error what was there before is there still.
+    /// Writes the next snapshot durably and returns its number. After an error the earlier ones are unchanged.
     pub fn write(&mut self, bytes: &[u8]) -> io::Result<u64> {
-        let number = match self.next {
+        let number = match self.next_number {
             Some(next) => next,
-            None => self.numbered()?.first().map_or(1, |(newest, _)| newest.saturating_add(1)),
+            None => self.list()?.first().map_or(1, |(newest, _)| newest.saturating_add(1)),
         };
-        let aside = format!("{}{ASIDE}", self.name);
-        let head = Head { version: self.version, number, length: bytes.len() as u64 };
-        let mut file = self.files.create(&aside)?;
-        let whole = [&format::head(KIND, head)[..], bytes, &crc32fast::hash(bytes).to_le_bytes()].concat();
-        file.write_all(&whole)?;
+        let unfinished = format!("{}{UNFINISHED_SUFFIX}", self.name);
+        let header = Header { version: self.version, number, length: bytes.len() as u64 };
+        let header = format::encode_header(KIND, header);
+        let mut file = self.files.create(&unfinished)?;
+        file.write_all(&[&header[..], bytes, &crc32fast::hash(bytes).to_le_bytes()].concat())?;
         file.sync()?;
         drop(file);
-        self.files.rename(&aside, &format!("{}-{number:020}{ENDING}", self.name))?;
-        // From here on a number may be taken even where the call failed.
-        self.next = Some(number.saturating_add(1));
+        self.files.rename(&unfinished, &format!("{}-{number:020}{SUFFIX}", self.name))?;
+        // The number may be in use from here on, even where the sync fails.
+        self.next_number = Some(number.saturating_add(1));
         self.files.sync_names()?;
         self.prune();
         Ok(number)
     }
 
-    /// Whole ones before the last two go, and damaged ones that are older than those. One that cannot be removed stays,
-    /// and one of a later version always.
+    /// Removes valid snapshots before the last two, and broken ones older than those. What cannot be removed stays, and so
+    /// does what this build cannot judge: files of a newer version, unknown or unreadable ones.
     fn prune(&self) {
-        let Ok(numbered) = self.numbered() else { return };
-        let mut whole = 0;
-        for (_, name) in numbered {
-            match self.read_one(&name) {
-                Ok(_) if whole < KEPT => whole += 1,
-                Err(FileFault::NewerVersion(_) | FileFault::UnknownFormat | FileFault::Unreadable(_)) => {}
+        let Ok(found) = self.list() else { return };
+        let mut valid_count = 0;
+        for (_, name) in found {
+            match self.read_file(&name) {
+                Ok(_) if valid_count < RETAINED_COUNT => valid_count += 1,
                 Ok(_) => drop(self.files.remove(&name)),
-                Err(FileFault::Truncated | FileFault::Corrupted) if whole >= KEPT => {
-                    drop(self.files.remove(&name))
+                Err(FileFault::Truncated | FileFault::Corrupted) if valid_count >= RETAINED_COUNT => {
+                    drop(self.files.remove(&name));
                 }
                 Err(_) => {}
             }
