--- a/crates/dunepond-broker/src/persistence.rs
+++ b/crates/dunepond-broker/src/persistence.rs
@@ -365,7 +365,7 @@
     match &look.beliefs {
         None => out.push_str("no beliefs\n"),
         Some(saved) => {
-            let believed = saved.restore(&now, saved.table_types(), &present);
+            let believed = saved.restore(&now, saved.query_classes(), &present);
             let ago = believed
                 .confidence
                 .elapsed_seconds
@@ -395,12 +395,12 @@
         Some(BudgetRecord::BrokerStarted { .. }) => {
             writeln!(out, "debts: a broker has begun and not ended in order")
         }
-        Some(BudgetRecord::BrokerStopped { further, cold, .. }) => {
+        Some(BudgetRecord::BrokerStopped { retries, slow_start_sends, .. }) => {
             writeln!(
                 out,
                 "debts: ended in order, {} further dispatches and {} cold nodes",
-                further.len(),
-                cold.len()
+                retries.len(),
+                slow_start_sends.len()
             )
         }
     };
--- a/crates/dunepond-recovery/src/learned_state.rs
+++ b/crates/dunepond-recovery/src/learned_state.rs
@@ -1,213 +1,260 @@
-//! What was learned of nodes, by their names, and what of it holds after a time without us.
+//! What was learned of nodes, keyed by their names, and how much of it holds after a restart.
 
 use dunepond_routing::{LearnedNode, LearnedSample, LearnedState, NodeId};
 use serde::{Deserialize, Serialize};
 
-use crate::{DecodeError, Timestamp, decode, encode};
+use crate::{DecodeError, Timestamp, decode, encode, is_duration};
 
-/// Seconds in which beliefs lose half of their weight: nodes are mended, and fail, within minutes.
-const HALF: f64 = 30.0;
-/// Below this weight nothing is believed: what little it says would only be in the way.
-const LEAST: f64 = 1.0 / 8.0;
+/// Time in which a snapshot loses half of its weight: nodes recover, and fail, within minutes.
+const HALF_LIFE_SECONDS: f64 = 30.0;
+/// Below this weight a snapshot is not used at all.
+const MIN_WEIGHT_RATIO: f64 = 1.0 / 8.0;
 
-/// A node as the list names it.
+/// A node as the endpoint list names it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeIdentity {
+    /// Its number in the routing crate.
     pub node: NodeId,
+    /// Its name in the list.
     pub name: String,
+    /// Address and port.
     pub address: String,
-    /// Unix time at which its process started; 0 if long ago.
+    /// Unix seconds at which its process started; 0 if long ago.
     pub started_at: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct SavedNode {
+struct StoredNode {
     name: String,
-    dial: String,
-    started: f64,
-    aside: bool,
+    address: String,
+    started_at: f64,
+    ejected: bool,
+    /// The oldest first.
     samples: Vec<LearnedSample>,
 }
 
-/// Everything that was learned, as it is written.
+/// Everything that was learned, as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedSnapshot {
     at: Timestamp,
-    /// Table types by their names: their order may change.
-    table_types: Vec<String>,
-    nodes: Vec<SavedNode>,
-    fleet: Vec<(f64, f64, f64)>,
-    reaped: Vec<(f64, f64, bool)>,
-    ease: Option<f64>,
+    /// By name, as their order may change.
+    query_classes: Vec<String>,
+    nodes: Vec<StoredNode>,
+    latency_samples: Vec<(f64, f64, f64)>,
+    idle_resets: Vec<(f64, f64, bool)>,
+    baseline_latency: Option<f64>,
 }
 
-/// How much of a file counts, and by what.
+/// How much of a snapshot counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Confidence {
-    /// Seconds since it was written; nothing where no clock tells.
+    /// Since it was written; `None` where no clock tells.
     pub elapsed_seconds: Option<f64>,
-    /// The part of its nodes that stand in the list as they did.
+    /// Part of its nodes that the list names unchanged.
     pub unchanged_ratio: f64,
-    /// 0 where nothing is believed.
+    /// From 0 (not used) to 1.
     pub weight: f64,
 }
 
-/// What became of the beliefs of one node.
+/// What became of the entry of one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrustDecision {
-    /// So many samples, and whether it comes back as one that is due its trial.
+    /// It is used.
     Trusted {
+        /// Samples given back.
         sample_count: usize,
+        /// It comes back ejected, due for its probation attempt at once.
         ejected: bool,
     },
+    /// The snapshot has lost its weight.
     Expired,
-    /// Its process has started since.
+    /// The node's process was restarted since.
     Restarted,
-    /// It has another address.
+    /// The list names another address.
     AddressChanged,
-    /// The list does not name it.
+    /// The list does not name the node.
     Unlisted,
 }
 
-/// What the decision module is to be told, and how it came to that.
+/// What the routing crate is given back, and how that was decided.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrustedState {
+    /// Of the snapshot as a whole.
     pub confidence: Confidence,
+    /// With all ages as of now.
     pub learned: LearnedState,
+    /// Decision for each stored node, by name.
     pub nodes: Vec<(String, TrustDecision)>,
 }
 
+/// The newest part of `all`, as long as the weight allows, rounded up.
+fn newest<T>(all: &[T], weight: f64) -> &[T] {
+    let count = (weight * all.len() as f64).ceil() as usize;
+    &all[all.len() - count.min(all.len())..]
+}
+
 impl LearnedSnapshot {
-    /// `known` are all nodes of the list; what is believed of one that it does not name is not kept.
+    /// Captures what was learned. Nodes that are not in `listed` are left out.
     pub fn capture(
         at: Timestamp,
-        table_types: &[String],
-        known: &[NodeIdentity],
-        beliefs: &LearnedState,
+        query_classes: &[String],
+        listed: &[NodeIdentity],
+        learned: &LearnedState,
     ) -> Self {
-        let nodes = beliefs.nodes.iter().filter_map(|belief| {
-            let identity = known.iter().find(|identity| identity.node == belief.node)?;
-            Some(SavedNode {
+        let nodes = learned.nodes.iter().filter_map(|node| {
+            let identity = listed.iter().find(|identity| identity.node == node.node)?;
+            Some(StoredNode {
                 name: identity.name.clone(),
-                dial: identity.address.clone(),
-                started: identity.started_at,
-                aside: belief.ejected,
-                samples: belief.samples.clone(),
+                address: identity.address.clone(),
+                started_at: identity.started_at,
+                ejected: node.ejected,
+                samples: node.samples.clone(),
             })
         });
         Self {
             at,
-            table_types: table_types.to_vec(),
+            query_classes: query_classes.to_vec(),
             nodes: nodes.collect(),
-            fleet: beliefs.latency_samples.clone(),
-            reaped: beliefs.idle_resets.clone(),
-            ease: beliefs.baseline_latency,
+            latency_samples: learned.latency_samples.clone(),
+            idle_resets: learned.idle_resets.clone(),
+            baseline_latency: learned.baseline_latency,
         }
     }
 
+    /// Encodes the payload of a snapshot file.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Whatever reads as these types is checked too: a time that is none, or below nothing, is nobody's.
+    /// Decodes a payload. Times that are negative or not finite, and unknown query classes, are refused.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        let saved: Self = decode(bytes)?;
-        let time = |t: f64| t.is_finite() && t >= 0.0;
+        let snapshot: Self = decode(bytes)?;
+        if snapshot.is_valid() {
+            Ok(snapshot)
+        } else {
+            Err(DecodeError("a time or a table type out of bounds".to_string()))
+        }
+    }
+
+    fn is_valid(&self) -> bool {
         let sample = |s: &LearnedSample| {
-            time(s.sent_ago) && time(s.latency) && time(s.ended_ago) && s.class < saved.table_types.len()
+            is_duration(s.sent_ago)
+                && is_duration(s.latency)
+                && is_duration(s.ended_ago)
+                && s.class < self.query_classes.len()
         };
-        let node = |n: &SavedNode| time(n.started) && n.samples.iter().all(sample);
-        let good = saved.at.is_time()
-            && saved.nodes.iter().all(node)
-            && saved.fleet.iter().all(|f| time(f.0) && time(f.1) && time(f.2))
-            && saved.reaped.iter().all(|r| time(r.0) && time(r.1))
-            && saved.ease.is_none_or(time);
-        if good { Ok(saved) } else { Err(DecodeError("a time or a table type out of bounds".to_string())) }
+        self.at.is_valid()
+            && self.nodes.iter().all(|n| is_duration(n.started_at) && n.samples.iter().all(sample))
+            && self.latency_samples.iter().all(|l| is_duration(l.0) && is_duration(l.1) && is_duration(l.2))
+            && self.idle_resets.iter().all(|reset| is_duration(reset.0) && is_duration(reset.1))
+            && self.baseline_latency.is_none_or(is_duration)
     }
 
+    /// When it was captured.
     pub fn at(&self) -> &Timestamp {
         &self.at
     }
 
-    pub fn table_types(&self) -> &[String] {
-        &self.table_types
+    /// Names of the query classes, in the order of its samples' indices.
+    pub fn query_classes(&self) -> &[String] {
+        &self.query_classes
     }
 
-    /// Its nodes as they stood, as a list would name them.
+    /// Its nodes as an endpoint list would have named them.
     pub fn identities(&self) -> Vec<NodeIdentity> {
-        let identity = |(node, saved): (NodeId, &SavedNode)| NodeIdentity {
+        let identity = |(node, stored): (NodeId, &StoredNode)| NodeIdentity {
             node,
-            name: saved.name.clone(),
-            address: saved.dial.clone(),
-            started_at: saved.started,
+            name: stored.name.clone(),
+            address: stored.address.clone(),
+            started_at: stored.started_at,
         };
         self.nodes.iter().enumerate().map(identity).collect()
     }
 
+    /// Number of its nodes.
     pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
-    fn same(saved: &SavedNode, present: &[NodeIdentity]) -> Result<NodeId, TrustDecision> {
-        let identity =
-            present.iter().find(|identity| identity.name == saved.name).ok_or(TrustDecision::Unlisted)?;
-        if identity.started_at > saved.started {
-            return Err(TrustDecision::Restarted);
+    /// The node's present number, if the list still names the same process at the same address.
+    fn find_unchanged(stored: &StoredNode, listed: &[NodeIdentity]) -> Result<NodeId, TrustDecision> {
+        let Some(identity) = listed.iter().find(|identity| identity.name == stored.name) else {
+            return Err(TrustDecision::Unlisted);
+        };
+        if identity.started_at > stored.started_at {
+            Err(TrustDecision::Restarted)
+        } else if identity.address != stored.address {
+            Err(TrustDecision::AddressChanged)
+        } else {
+            Ok(identity.node)
         }
-        if identity.address != saved.dial { Err(TrustDecision::AddressChanged) } else { Ok(identity.node) }
     }
 
-    /// How much it counts at this time before this list.
-    pub fn confidence(&self, now: &Timestamp, present: &[NodeIdentity]) -> Confidence {
-        let elapsed = now.seconds_since(&self.at);
-        let same = self.nodes.iter().filter(|saved| Self::same(saved, present).is_ok()).count();
-        let same = same as f64 / self.nodes.len().max(1) as f64;
-        let aged = elapsed.map_or(0.0, |elapsed| 0.5f64.powf(elapsed / HALF));
-        let weight = aged * same;
-        Confidence {
-            elapsed_seconds: elapsed,
-            unchanged_ratio: same,
-            weight: if weight < LEAST { 0.0 } else { weight },
-        }
+    /// How much the snapshot counts now, before this list.
+    pub fn confidence(&self, now: &Timestamp, listed: &[NodeIdentity]) -> Confidence {
+        let elapsed_seconds = now.seconds_since(&self.at);
+        let unchanged =
+            self.nodes.iter().filter(|stored| Self::find_unchanged(stored, listed).is_ok()).count();
+        let unchanged_ratio = unchanged as f64 / self.nodes.len().max(1) as f64;
+        let freshness = elapsed_seconds.map_or(0.0, |elapsed| 0.5f64.powf(elapsed / HALF_LIFE_SECONDS));
+        let weight = freshness * unchanged_ratio;
+        let weight = if weight < MIN_WEIGHT_RATIO { 0.0 } else { weight };
+        Confidence { elapsed_seconds, unchanged_ratio, weight }
     }
 
-    /// What holds of it now, before this list.
-    pub fn restore(&self, now: &Timestamp, table_types: &[String], present: &[NodeIdentity]) -> TrustedState {
-        let weight = self.confidence(now, present);
-        let elapsed = weight.elapsed_seconds.unwrap_or(0.0);
-        let place = |index: usize| table_types.iter().position(|name| *name == self.table_types[index]);
-        let mut beliefs = LearnedState::default();
+    /// What of it is trusted now, before this list.
+    pub fn restore(
+        &self,
+        now: &Timestamp,
+        query_classes: &[String],
+        listed: &[NodeIdentity],
+    ) -> TrustedState {
+        let confidence = self.confidence(now, listed);
+        let (elapsed, weight) = (confidence.elapsed_seconds.unwrap_or(0.0), confidence.weight);
+        let mut learned = LearnedState::default();
         let mut nodes = Vec::new();
-        for saved in &self.nodes {
-            let verdict = match Self::same(saved, present) {
-                Err(verdict) => verdict,
-                Ok(_) if weight.weight == 0.0 => TrustDecision::Expired,
+        for stored in &self.nodes {
+            let decision = match Self::find_unchanged(stored, listed) {
+                Err(decision) => decision,
+                Ok(_) if weight == 0.0 => TrustDecision::Expired,
                 Ok(node) => {
-                    // The newest, as many as the weight leaves; and none of a table type that there is no more.
-                    let most = (weight.weight * saved.samples.len() as f64).ceil() as usize;
-                    let newest = &saved.samples[saved.samples.len() - most.min(saved.samples.len())..];
-                    let aged = newest.iter().filter_map(|s| {
-                        let (sent_ago, ago) = (s.sent_ago + elapsed, s.ended_ago + elapsed);
-                        Some(LearnedSample { class: place(s.class)?, sent_ago, ended_ago: ago, ..s.clone() })
-                    });
-                    let samples: Vec<_> = aged.collect();
-                    let verdict =
-                        TrustDecision::Trusted { sample_count: samples.len(), ejected: saved.aside };
-                    beliefs.nodes.push(LearnedNode { node, ejected: saved.aside, samples });
-                    verdict
+                    let samples = self.aged_samples(stored, weight, elapsed, query_classes);
+                    let sample_count = samples.len();
+                    learned.nodes.push(LearnedNode { node, ejected: stored.ejected, samples });
+                    TrustDecision::Trusted { sample_count, ejected: stored.ejected }
                 }
             };
-            nodes.push((saved.name.clone(), verdict));
+            nodes.push((stored.name.clone(), decision));
         }
-        if weight.weight > 0.0 {
-            let most = (weight.weight * self.fleet.len() as f64).ceil() as usize;
-            let newest = &self.fleet[self.fleet.len() - most.min(self.fleet.len())..];
-            beliefs.latency_samples =
-                newest.iter().map(|(took, ago, share)| (*took, ago + elapsed, *share)).collect();
-            beliefs.idle_resets =
-                self.reaped.iter().map(|(ago, idle, broke)| (ago + elapsed, *idle, *broke)).collect();
-            beliefs.baseline_latency = self.ease;
+        if weight > 0.0 {
+            let latencies = newest(&self.latency_samples, weight).iter();
+            learned.latency_samples =
+                latencies.map(|(latency, ago, share)| (*latency, ago + elapsed, *share)).collect();
+            let resets = self.idle_resets.iter();
+            learned.idle_resets = resets.map(|(ago, idle, broke)| (ago + elapsed, *idle, *broke)).collect();
+            learned.baseline_latency = self.baseline_latency;
         }
-        TrustedState { confidence: weight, learned: beliefs, nodes }
+        TrustedState { confidence, learned, nodes }
+    }
+
+    /// The node's newest samples, as many as the weight leaves, without those of query classes that are gone.
+    fn aged_samples(
+        &self,
+        stored: &StoredNode,
+        weight: f64,
+        elapsed: f64,
+        query_classes: &[String],
+    ) -> Vec<LearnedSample> {
+        let class_of =
+            |index: usize| query_classes.iter().position(|name| *name == self.query_classes[index]);
+        let aged = newest(&stored.samples, weight).iter().filter_map(|sample| {
+            Some(LearnedSample {
+                class: class_of(sample.class)?,
+                sent_ago: sample.sent_ago + elapsed,
+                ended_ago: sample.ended_ago + elapsed,
+                ..sample.clone()
+            })
+        });
+        aged.collect()
     }
 }
--- a/crates/dunepond-recovery/src/lib.rs
+++ b/crates/dunepond-recovery/src/lib.rs
@@ -1,8 +1,13 @@
-//! What a broker keeps over a restart, and how much of it is believed afterwards. Pure: bytes and times come in, plain
-//! types for the decision module go out.
+//! What a broker stores for its successor after a restart, and how much of it is trusted then.
 //!
-//! Beliefs ([`learned_state`]) are of use as long as they are true, so they age: with the time, and with how much of the list
-//! has changed. Ledgers ([`spent_budgets`]) are debts, and do not age: what may have been spent was spent.
+//! A broker that starts in the middle of an outage would learn anew which nodes fail, and would spend its retry budget a
+//! second time. What was learned ([`learned_state`]) is of use as long as it is true, so it loses weight with time and
+//! with changes of the endpoint list. What was spent ([`spent_budgets`]) does not: it is charged until it has left every
+//! window.
+//!
+//! Pure: bytes and times come in, plain types of the routing crate go out. The encoding is postcard, which carries the
+//! order of fields and variants: neither is ever changed without a new [`FORMAT_VERSION`].
+#![warn(missing_docs)]
 
 pub mod learned_state;
 pub mod spent_budgets;
@@ -10,43 +15,52 @@
 pub use learned_state::{Confidence, LearnedSnapshot, NodeIdentity, TrustDecision, TrustedState};
 pub use spent_budgets::{BudgetRecord, OutstandingCharges};
 
-/// The version of what is written, for files and records alike.
+/// Format version of snapshots and journal records alike.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// A moment, by two clocks.
+/// How far Unix time may have been set back between two stamps before it tells nothing.
+const MAX_UNIX_SETBACK_SECONDS: f64 = 1.0;
+/// The same of the uptime clock, which is only rounded.
+const MAX_UPTIME_SETBACK_SECONDS: f64 = 0.1;
+
+/// A moment on two clocks.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Timestamp {
-    /// Unix time, which may be set at any moment.
+    /// Unix seconds; may be set at any moment.
     pub unix: f64,
-    /// Which start of the machine this is, and the seconds since; empty where that is not known.
+    /// Identifies this boot of the machine; empty where unknown.
     pub boot: String,
+    /// Seconds since that boot.
     pub uptime: f64,
 }
 
-/// Clocks are set a little; by more than so many seconds backwards, and Unix time says nothing.
-const AHEAD: f64 = 1.0;
-
 impl Timestamp {
-    fn is_time(&self) -> bool {
-        [self.unix, self.uptime].iter().all(|t| t.is_finite() && *t >= 0.0)
+    fn is_valid(&self) -> bool {
+        is_duration(self.unix) && is_duration(self.uptime)
     }
 
-    /// Seconds from an earlier one to this; nothing where no clock tells. Within one start of the machine its own clock
-    /// does, whatever the other was set to.
+    /// Seconds since an earlier stamp; `None` where no clock tells. Within one boot the uptime clock decides, whatever
+    /// Unix time was set to.
     pub fn seconds_since(&self, earlier: &Timestamp) -> Option<f64> {
-        let (elapsed, slack) = match !self.boot.is_empty() && self.boot == earlier.boot {
-            true => (self.uptime - earlier.uptime, 0.1),
-            false => (self.unix - earlier.unix, AHEAD),
+        let same_boot = !self.boot.is_empty() && self.boot == earlier.boot;
+        let (elapsed, max_setback) = if same_boot {
+            (self.uptime - earlier.uptime, MAX_UPTIME_SETBACK_SECONDS)
+        } else {
+            (self.unix - earlier.unix, MAX_UNIX_SETBACK_SECONDS)
         };
-        (elapsed >= -slack).then_some(elapsed.max(0.0))
+        (elapsed >= -max_setback).then_some(elapsed.max(0.0))
     }
 }
 
-/// Why bytes that were whole as a file are not of use.
+/// Why the payload of a valid file cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("does not read as what it should be: {0}")]
 pub struct DecodeError(String);
 
+fn is_duration(seconds: f64) -> bool {
+    seconds.is_finite() && seconds >= 0.0
+}
+
 fn decode<'a, T: serde::Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, DecodeError> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Ok(value),
@@ -56,6 +70,6 @@
 }
 
 fn encode(value: &impl serde::Serialize) -> Vec<u8> {
-    // Plain numbers and texts: there is nothing that could not be written.
+    // Numbers, strings and lists of them always encode.
     postcard::to_stdvec(value).unwrap_or_default()
 }
--- a/crates/dunepond-recovery/src/spent_budgets.rs
+++ b/crates/dunepond-recovery/src/spent_budgets.rs
@@ -1,93 +1,117 @@
-//! What was spent of the budget of further dispatches and of cold nodes' room, over a restart.
+//! What was spent of the retry budget and of slow-start capacity before a restart.
 //!
-//! A record says that a broker begins; one more, at its orderly end, what it had spent and when. After a crash there is
-//! no such record, and what was spent is not known: a record a moment before the crash would not tell of that moment,
-//! and what was spent then was measured against scans that nobody remembers. So all that could have been spent counts
-//! as spent, until nothing of it stands in any window. A ledger that lags behind would have to say the same.
+//! The journal gets a record when a broker starts, and one with everything spent at its graceful shutdown. After a crash
+//! the second is missing, and a record written some moments before would not tell of the last ones. So everything that
+//! could have been spent counts as spent, until it has left every window.
 
 use dunepond_routing::{NodeId, SpentBudgets};
 use serde::{Deserialize, Serialize};
 
 use crate::learned_state::NodeIdentity;
-use crate::{DecodeError, Timestamp, decode, encode};
+use crate::{DecodeError, Timestamp, decode, encode, is_duration};
 
+/// A record of the budget journal. Ages are seconds before `at`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum BudgetRecord {
-    /// A broker has begun.
-    BrokerStarted { at: Timestamp },
-    /// It has ended in order, having spent this, in seconds before.
+    /// A broker has started.
+    BrokerStarted {
+        /// When.
+        at: Timestamp,
+    },
+    /// It has shut down gracefully.
     BrokerStopped {
+        /// When.
         at: Timestamp,
-        further: Vec<f64>,
-        taken: Vec<(f64, f64)>,
-        /// By name and start of the node.
-        cold: Vec<(String, f64, Vec<f64>)>,
+        /// Ages of retries and hedged requests.
+        retries: Vec<f64>,
+        /// Age of each batch of admitted requests, and their number.
+        admissions: Vec<(f64, f64)>,
+        /// Node's name, its start in Unix seconds, and the ages of what it was sent while warming up.
+        slow_start_sends: Vec<(String, f64, Vec<f64>)>,
     },
 }
 
-/// What a broker that begins starts with.
+/// What a starting broker is charged with.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OutstandingCharges {
-    /// Whatever could be spent was spent just now.
+    /// Not known: everything that could be spent counts as spent just now.
     Unknown,
-    /// Exactly this; nothing where nobody was here before.
+    /// Exactly this; nothing where no broker was here before.
     Known(SpentBudgets),
 }
 
 impl BudgetRecord {
-    pub fn stopped(at: Timestamp, known: &[NodeIdentity], ledger: &SpentBudgets) -> Self {
-        let name = |node: NodeId| known.iter().find(|identity| identity.node == node);
-        let cold = ledger.slow_start_sends.iter().filter_map(|(node, times)| {
-            let identity = name(*node)?;
-            Some((identity.name.clone(), identity.started_at, times.clone()))
+    /// The record of a graceful shutdown. Nodes that are not in `listed` are left out.
+    pub fn stopped(at: Timestamp, listed: &[NodeIdentity], spent: &SpentBudgets) -> Self {
+        let identity_of = |node: NodeId| listed.iter().find(|identity| identity.node == node);
+        let slow_start_sends = spent.slow_start_sends.iter().filter_map(|(node, ages)| {
+            let identity = identity_of(*node)?;
+            Some((identity.name.clone(), identity.started_at, ages.clone()))
         });
-        let (further, taken) = (ledger.retries.clone(), ledger.admissions.clone());
-        Self::BrokerStopped { at, further, taken, cold: cold.collect() }
+        Self::BrokerStopped {
+            at,
+            retries: spent.retries.clone(),
+            admissions: spent.admissions.clone(),
+            slow_start_sends: slow_start_sends.collect(),
+        }
     }
 
+    /// Encodes a journal record.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
+    /// Decodes a journal record. Ages that are negative or not finite are refused.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        let entry: Self = decode(bytes)?;
-        let time = |t: f64| t.is_finite() && t >= 0.0;
-        let good = match &entry {
-            Self::BrokerStarted { at } => at.is_time(),
-            Self::BrokerStopped { at, further, taken, cold } => {
-                at.is_time()
-                    && further.iter().all(|t| time(*t))
-                    && taken.iter().all(|(t, count)| time(*t) && time(*count))
-                    && cold.iter().all(|(_, started, times)| time(*started) && times.iter().all(|t| time(*t)))
+        let record: Self = decode(bytes)?;
+        if record.is_valid() { Ok(record) } else { Err(DecodeError("a time out of bounds".to_string())) }
+    }
+
+    fn is_valid(&self) -> bool {
+        let all_durations = |ages: &[f64]| ages.iter().all(|age| is_duration(*age));
+        match self {
+            Self::BrokerStarted { at } => at.is_valid(),
+            Self::BrokerStopped { at, retries, admissions, slow_start_sends } => {
+                at.is_valid()
+                    && all_durations(retries)
+                    && admissions.iter().all(|(age, count)| is_duration(*age) && is_duration(*count))
+                    && slow_start_sends
+                        .iter()
+                        .all(|(_, started_at, ages)| is_duration(*started_at) && all_durations(ages))
             }
-        };
-        if good { Ok(entry) } else { Err(DecodeError("a time out of bounds".to_string())) }
+        }
     }
 }
 
-/// What is owed after these records, whole or not. `whole` says that nothing behind them had to be left away.
+/// What is charged after these records. `complete`: nothing behind them was lost or left out.
 pub fn outstanding_charges(
     records: &[BudgetRecord],
-    whole: bool,
+    complete: bool,
     now: &Timestamp,
-    present: &[NodeIdentity],
+    listed: &[NodeIdentity],
 ) -> OutstandingCharges {
-    let (at, further, taken, cold) = match records.last() {
-        // A new folder says nothing of who ran here without one; but then nobody promised anything either.
-        None if whole => return OutstandingCharges::Known(SpentBudgets::default()),
-        Some(BudgetRecord::BrokerStopped { at, further, taken, cold }) if whole => (at, further, taken, cold),
-        _ => return OutstandingCharges::Unknown,
+    if !complete {
+        return OutstandingCharges::Unknown;
+    }
+    let (at, retries, admissions, slow_start_sends) = match records.last() {
+        // An empty directory says nothing of a broker that ran here without one, but that one promised nothing either.
+        None => return OutstandingCharges::Known(SpentBudgets::default()),
+        Some(BudgetRecord::BrokerStarted { .. }) => return OutstandingCharges::Unknown,
+        Some(BudgetRecord::BrokerStopped { at, retries, admissions, slow_start_sends }) => {
+            (at, retries, admissions, slow_start_sends)
+        }
     };
     let Some(elapsed) = now.seconds_since(at) else { return OutstandingCharges::Unknown };
-    let aged = |times: &[f64]| times.iter().map(|ago| ago + elapsed).collect::<Vec<_>>();
-    let cold = cold.iter().filter_map(|(name, started, times)| {
-        // Started again it is another process, with all of its room.
-        let same = |identity: &&NodeIdentity| identity.name == *name && identity.started_at <= *started;
-        Some((present.iter().find(same)?.node, aged(times)))
+    let aged = |ages: &[f64]| ages.iter().map(|age| age + elapsed).collect::<Vec<_>>();
+    let slow_start_sends = slow_start_sends.iter().filter_map(|(name, started_at, ages)| {
+        // A node that was restarted since is another process, with its whole capacity.
+        let is_same_process =
+            |identity: &&NodeIdentity| identity.name == *name && identity.started_at <= *started_at;
+        Some((listed.iter().find(is_same_process)?.node, aged(ages)))
     });
     OutstandingCharges::Known(SpentBudgets {
-        retries: aged(further),
-        admissions: taken.iter().map(|(ago, count)| (ago + elapsed, *count)).collect(),
-        slow_start_sends: cold.collect(),
+        retries: aged(retries),
+        admissions: admissions.iter().map(|(age, count)| (age + elapsed, *count)).collect(),
+        slow_start_sends: slow_start_sends.collect(),
     })
 }
--- a/crates/dunepond-recovery/tests/golden.rs
+++ b/crates/dunepond-recovery/tests/golden.rs
@@ -28,7 +28,7 @@
     LearnedSample { class: table_type, sent_ago: ago + 0.25, latency: 0.25, ended_ago: ago, served, fault }
 }
 
-fn table_types() -> Vec<String> {
+fn query_classes() -> Vec<String> {
     vec!["find".to_string(), "fix".to_string()]
 }
 
@@ -49,7 +49,7 @@
         idle_resets: vec![(4.0, 30.0, true), (2.0, 15.0, false)],
         baseline_latency: Some(0.0625),
     };
-    LearnedSnapshot::capture(stamp(), &table_types(), &identities(), &beliefs)
+    LearnedSnapshot::capture(stamp(), &query_classes(), &identities(), &beliefs)
 }
 
 #[test]
@@ -60,7 +60,7 @@
     let read = LearnedSnapshot::decode(&golden("beliefs.bin")).unwrap();
     assert_eq!(read, saved);
     assert_eq!(read.encode(), golden("beliefs.bin"));
-    assert_eq!((read.at(), read.table_types(), read.node_count()), (&stamp(), &table_types()[..], 2));
+    assert_eq!((read.at(), read.query_classes(), read.node_count()), (&stamp(), &query_classes()[..], 2));
 }
 
 #[test]
