--- a/crates/dunepond-control-plane/src/record.rs
+++ b/crates/dunepond-control-plane/src/audit_log.rs
@@ -17,7 +17,7 @@
 use crate::error::ControlPlaneError;
 
 /// Lines that wait for the disk at most.
-const WAITING: usize = 65_536;
+const MAX_QUEUED_EVENTS: usize = 65_536;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AuditRecord {
@@ -119,18 +119,18 @@
 
 /// Cheap to clone; each writer has one.
 #[derive(Clone)]
-pub struct Recorder {
+pub struct AuditSender {
     sender: Sender<Option<(f64, AuditEvent)>>,
     lost: Arc<AtomicU64>,
 }
 
-impl Recorder {
+impl AuditSender {
     /// Notes an act of this moment.
-    pub fn wrote(&self, act: AuditEvent) {
-        self.wrote_at(monotonic_seconds(), act);
+    pub fn record(&self, act: AuditEvent) {
+        self.record_at(monotonic_seconds(), act);
     }
 
-    pub fn wrote_at(&self, at: f64, act: AuditEvent) {
+    pub fn record_at(&self, at: f64, act: AuditEvent) {
         if self.sender.try_send(Some((at, act))).is_err() {
             self.lost.fetch_add(1, Relaxed);
         }
@@ -138,41 +138,46 @@
 }
 
 /// The file's thread; it ends when it is told to, or once all recorders are dropped.
-pub struct Recording {
+pub struct AuditLog {
     sender: Sender<Option<(f64, AuditEvent)>>,
     thread: JoinHandle<()>,
 }
 
-impl Recording {
-    pub fn start(path: &Path, brk: &str, run: u64) -> Result<(Recorder, Self), ControlPlaneError> {
-        let failed = |why: &dyn std::fmt::Display| ControlPlaneError::Record {
+impl AuditLog {
+    pub fn start(path: &Path, brk: &str, run: u64) -> Result<(AuditSender, Self), ControlPlaneError> {
+        let failed = |why: &dyn std::fmt::Display| ControlPlaneError::AuditLog {
             path: path.to_path_buf(),
             why: why.to_string(),
         };
         let file = OpenOptions::new().create(true).append(true).open(path).map_err(|e| failed(&e))?;
-        let (sender, acts) = bounded(WAITING);
+        let (sender, acts) = bounded(MAX_QUEUED_EVENTS);
         let lost = Arc::new(AtomicU64::new(0));
-        let writing = Writing { file: BufWriter::new(file), brk: brk.to_string(), run, lost: lost.clone() };
+        let writing = AuditWriter {
+            file: BufWriter::new(file),
+            broker: brk.to_string(),
+            incarnation: run,
+            lost: lost.clone(),
+        };
         let thread = std::thread::Builder::new().name("record".to_string());
         let thread = thread.spawn(move || writing.run(&acts)).map_err(|e| failed(&e))?;
-        Ok((Recorder { sender: sender.clone(), lost }, Self { sender, thread }))
+        Ok((AuditSender { sender: sender.clone(), lost }, Self { sender, thread }))
     }
 
     /// Waits until all that was noted so far is in the file; what is noted later is lost.
     pub fn finish(self) {
-        let _ = self.sender.send_timeout(None, crate::AT_END);
-        crate::ended(self.thread);
+        let _ = self.sender.send_timeout(None, crate::SHUTDOWN_TIMEOUT);
+        crate::join_with_timeout(self.thread);
     }
 }
 
-struct Writing {
+struct AuditWriter {
     file: BufWriter<File>,
-    brk: String,
-    run: u64,
+    broker: String,
+    incarnation: u64,
     lost: Arc<AtomicU64>,
 }
 
-impl Writing {
+impl AuditWriter {
     fn run(mut self, acts: &Receiver<Option<(f64, AuditEvent)>>) {
         let (mut failing, mut ends) = (false, false);
         while !ends && let Ok(first) = acts.recv() {
@@ -181,7 +186,7 @@
             // All that waits, and then the disk.
             while let Some(act) = next.take() {
                 match act {
-                    Some(act) if outcome.is_ok() => outcome = self.line(act),
+                    Some(act) if outcome.is_ok() => outcome = self.write_record(act),
                     Some(_) => drop(self.lost.fetch_add(1, Relaxed)),
                     None => ends = true,
                 }
@@ -189,7 +194,7 @@
             }
             let lost = self.lost.swap(0, Relaxed);
             if lost > 0 && outcome.is_ok() {
-                outcome = self.line((monotonic_seconds(), AuditEvent::Lost { count: lost }));
+                outcome = self.write_record((monotonic_seconds(), AuditEvent::Lost { count: lost }));
             }
             let outcome = outcome.and_then(|()| self.file.flush());
             if let Err(e) = &outcome
@@ -201,8 +206,8 @@
         }
     }
 
-    fn line(&mut self, (at, act): (f64, AuditEvent)) -> std::io::Result<()> {
-        let line = AuditRecord { at, brk: self.brk.clone(), run: self.run, event: act };
+    fn write_record(&mut self, (at, act): (f64, AuditEvent)) -> std::io::Result<()> {
+        let line = AuditRecord { at, brk: self.broker.clone(), run: self.incarnation, event: act };
         serde_json::to_writer(&mut self.file, &line)?;
         self.file.write_all(b"\n")
     }
@@ -217,9 +222,11 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("acts.jsonl");
         std::fs::write(&path, "{\"old\":1}\n").unwrap();
-        let (recorder, recording) = Recording::start(&path, "n1", 3).unwrap();
-        recorder.wrote_at(1.5, AuditEvent::Phase { phase: AuditPhase::Joint, from: 1, to: 2, until: 9.0 });
-        recorder.clone().wrote_at(2.0, AuditEvent::Refused { call: "c".to_string(), why: "cut".to_string() });
+        let (recorder, recording) = AuditLog::start(&path, "n1", 3).unwrap();
+        recorder.record_at(1.5, AuditEvent::Phase { phase: AuditPhase::Joint, from: 1, to: 2, until: 9.0 });
+        recorder
+            .clone()
+            .record_at(2.0, AuditEvent::Refused { call: "c".to_string(), why: "cut".to_string() });
         recording.finish();
         let text = std::fs::read_to_string(&path).unwrap();
         let lines: Vec<_> = text.lines().collect();
--- a/crates/dunepond-control-plane/src/clock.rs
+++ b/crates/dunepond-control-plane/src/clock.rs
@@ -10,7 +10,7 @@
 }
 
 /// Unix seconds, for people only.
-pub fn unix() -> f64 {
+pub fn unix_seconds() -> f64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0.0, |since| since.as_secs_f64())
 }
--- a/crates/dunepond-control-plane/src/host/sources.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fill_sources.rs
@@ -5,20 +5,20 @@
 
 /// By a fill's id.
 #[derive(Default)]
-pub struct Avoided(BTreeMap<String, BTreeSet<String>>);
+pub struct AvoidedSources(BTreeMap<String, BTreeSet<String>>);
 
-impl Avoided {
-    pub fn failed(&mut self, id: &str, source: &str) {
+impl AvoidedSources {
+    pub fn note_failure(&mut self, id: &str, source: &str) {
         self.0.entry(id.to_string()).or_default().insert(source.to_string());
     }
 
     /// Only these fills are still wanted.
-    pub fn keep(&mut self, wanted: impl Fn(&str) -> bool) {
+    pub fn retain(&mut self, wanted: impl Fn(&str) -> bool) {
         self.0.retain(|id, _| wanted(id));
     }
 
     /// Of a need's sources, node and partner, those that are left to try. Where none is, all of those that stay, else all.
-    pub fn left(
+    pub fn usable(
         &self,
         id: &str,
         sources: Vec<(String, String)>,
@@ -51,12 +51,12 @@
         #[case] leaves: &[&str],
         #[case] expected: &[&str],
     ) {
-        let mut avoided = Avoided::default();
-        failed.iter().for_each(|source| avoided.failed("x", source));
+        let mut avoided = AvoidedSources::default();
+        failed.iter().for_each(|source| avoided.note_failure("x", source));
         let sources = ["a", "b", "c"].map(|node| (node.to_string(), String::new())).to_vec();
-        let left = avoided.left("x", sources.clone(), |node| leaves.contains(&node));
+        let left = avoided.usable("x", sources.clone(), |node| leaves.contains(&node));
         assert_eq!(left.iter().map(|source| &*source.0).collect::<Vec<_>>(), expected);
         // Another fill knows nothing of it.
-        assert_eq!(avoided.left("y", sources.clone(), |_| false), sources);
+        assert_eq!(avoided.usable("y", sources.clone(), |_| false), sources);
     }
 }
--- a/crates/dunepond-control-plane/src/host/leases.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leases.rs
@@ -4,37 +4,37 @@
 use dunepond_membership::{RefusalReason, RequestKind, Responder};
 use tracing::{debug, info, warn};
 
-use super::{Asked, Host, Waiting};
+use super::{ControlLoop, SentRequest, UnansweredRequest};
 use crate::clock::monotonic_seconds;
-use crate::hand::add;
+use crate::handle::increment;
 
-impl Host {
-    pub(super) fn ask_for_lease(&mut self) {
+impl ControlLoop {
+    pub(super) fn request_lease(&mut self) {
         let now = monotonic_seconds();
         let Some((voter, ask)) = self.member.tick(now) else { return };
         if voter == self.name {
-            return self.question(ask);
+            return self.ask_own_voter(ask);
         }
         let body = ask.encode();
-        let asked = Asked::Lease { voter: voter.clone() };
-        if !self.ask(&voter, RequestKind::Lease, body, self.lease, asked) {
+        let asked = SentRequest::Lease { voter: voter.clone() };
+        if !self.send_request(&voter, RequestKind::Lease, body, self.lease_seconds, asked) {
             self.member.request_failed(now, &voter);
         }
     }
 
     /// A question for this voter, ours or another's.
-    fn question(&mut self, ask: LeaseRequest) {
-        if self.state.failed.is_some() {
+    fn ask_own_voter(&mut self, ask: LeaseRequest) {
+        if self.state.storage_failed_until.is_some() {
             return;
         }
         let from = ask.broker.clone();
         if let Some(voter) = &mut self.voter {
             let orders = voter.handle_lease_request(monotonic_seconds(), &from, ask);
-            self.carry_out(orders);
+            self.execute(orders);
         }
     }
 
-    pub(super) fn lease_asked(&mut self, from: String, body: &[u8], token: Responder) {
+    pub(super) fn handle_lease_request(&mut self, from: String, body: &[u8], token: Responder) {
         let Some(ask) = LeaseRequest::decode(body) else {
             return self.peers.respond(token, Err(RefusalReason::Malformed));
         };
@@ -45,42 +45,48 @@
         if self.voter.is_none() {
             return self.peers.respond(token, Err(RefusalReason::Declined("not a voter".to_string())));
         }
-        let waiting = Waiting { token, until: monotonic_seconds() + self.lease };
-        self.state.waiting.insert((from, ask.id), waiting);
-        self.question(ask);
+        let waiting = UnansweredRequest { token, until: monotonic_seconds() + self.lease_seconds };
+        self.state.unanswered.insert((from, ask.id), waiting);
+        self.ask_own_voter(ask);
     }
 
     /// An answer of this voter: to whoever waits for it here, to ourselves, or to one who asked another voter.
-    pub(super) fn tell(&mut self, broker: String, told: LeaseReply) {
+    pub(super) fn send_lease_reply(&mut self, broker: String, told: LeaseReply) {
         if broker == self.name {
-            return self.granted(&broker, told);
+            return self.adopt_reply(&broker, told);
         }
         let body = told.encode();
-        match self.state.waiting.remove(&(broker.clone(), told.id)) {
+        match self.state.unanswered.remove(&(broker.clone(), told.id)) {
             Some(waiting) => self.peers.respond(waiting.token, Ok(body)),
-            None => drop(self.ask(&broker, RequestKind::State, body, self.lease, Asked::Told)),
+            None => drop(self.send_request(
+                &broker,
+                RequestKind::State,
+                body,
+                self.lease_seconds,
+                SentRequest::PushedLease,
+            )),
         }
     }
 
-    pub(super) fn lease_answered(&mut self, voter: &str, body: Option<Vec<u8>>) {
+    pub(super) fn on_lease_reply(&mut self, voter: &str, body: Option<Vec<u8>>) {
         match body.and_then(|body| LeaseReply::decode(&body)) {
-            Some(told) => self.granted(voter, told),
+            Some(told) => self.adopt_reply(voter, told),
             None => self.member.request_failed(monotonic_seconds(), voter),
         }
     }
 
     /// The answer of a leader to whom another voter passed our question on.
-    pub(super) fn pushed(&mut self, from: &str, body: &[u8]) {
+    pub(super) fn on_pushed_reply(&mut self, from: &str, body: &[u8]) {
         // Nobody else has a word in it.
         if !self.member.voters().iter().any(|voter| voter == from) {
             return warn!("fleet: {from} is no voter, and tells what is agreed: not believed");
         }
         if let Some(told) = LeaseReply::decode(body) {
-            self.granted(from, told);
+            self.adopt_reply(from, told);
         }
     }
 
-    fn granted(&mut self, from: &str, told: LeaseReply) {
+    fn adopt_reply(&mut self, from: &str, told: LeaseReply) {
         match self.member.handle_reply(monotonic_seconds(), from, told) {
             Ok(()) => {
                 let leader = self.member.leader().map(str::to_string);
@@ -88,8 +94,8 @@
                     info!("fleet: led by {}", leader.as_deref().unwrap_or("nobody"));
                     self.state.leader = leader;
                 }
-                self.leased();
-                self.debts_by_member();
+                self.on_lease();
+                self.apply_leased_entries();
             }
             // Answered twice, or too late; and a voter without a leader: both pass.
             Err(
@@ -102,7 +108,7 @@
             }
             Err(why @ Rejection::MissingDocument(_)) => info!("fleet: {from}: {why} ({})", why.help()),
             Err(why) => {
-                add(&self.tally.refused);
+                increment(&self.counters.refused);
                 warn!("fleet: {from}: not adopted: {why} ({})", why.help());
             }
         }
--- a/crates/dunepond-control-plane/src/host/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -1,14 +1,14 @@
 //! The fleet's thread: it owns the voter, the member, the folder and the links, and hands the loop what it may act on.
 
-mod counts;
-mod debts;
+mod fill_sources;
 mod fills;
 mod leases;
-mod limits;
-mod moves;
-mod propose;
-mod sources;
-mod warm;
+mod proposals;
+mod quotas;
+mod rebalancing;
+mod settlements;
+mod slow_start;
+mod traffic_counts;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,210 +23,210 @@
 use dunepond_membership::{Counters, Event, Peers, RefusalReason, RequestKind, Responder};
 use tracing::{debug, error, info, warn};
 
+use crate::audit_log::{AuditEvent, AuditPhase, AuditSender};
 use crate::clock::monotonic_seconds;
-use crate::folder::Folder;
-use crate::hand::{LoopRequest, Tally, add, audit_phase};
-use crate::record::{AuditEvent, AuditPhase, Recorder};
-use crate::why::{Offer, Why};
-pub use counts::Counting;
+use crate::data_directory::DataDirectory;
+use crate::explain::{Explanation, ProposedEntry};
+use crate::handle::{ActivityCounters, LoopRequest, audit_phase, increment};
+pub use fills::{FillEnded, FillLane, LOG_SHARE_HOLDER, Lane};
+pub use proposals::Proposals;
+pub use quotas::QuotaSharing;
+pub use rebalancing::{DEFAULT_SETTLE_SECONDS, Rebalancing};
 #[cfg(test)]
-pub(crate) use debts::Pledged;
-pub use debts::{Debts, Promises};
-pub use fills::{BY, Done, Fills, Lane};
-pub use limits::Limiting;
-pub use moves::{Moving, SETTLE};
-pub use propose::Proposing;
-pub use warm::{SlowStartPolicy, StartedNode};
+pub(crate) use settlements::CommittedFill;
+pub use settlements::{Commitments, Settlements};
+pub use slow_start::{SlowStartPolicy, StartedNode};
+pub use traffic_counts::TrafficCounts;
 
 /// Between two turns at most: so many in a lease, as leases and elections are counted by them, and seconds.
-const TICKS: f64 = 40.0;
+const TICKS_PER_LEASE: f64 = 40.0;
 const TICK: (f64, f64) = (0.005, 0.025);
 /// A folder that cannot be written is tried again after so long. Meanwhile the voter is silent: what it has not on the
 /// disk it must not count on.
-const AGAIN: f64 = 0.5;
+const STORAGE_RETRY_SECONDS: f64 = 0.5;
 /// A message between voters that takes longer is worth nothing any more.
-const RAFT_WITHIN: f64 = 1.0;
+const CONSENSUS_TIMEOUT_SECONDS: f64 = 1.0;
 
 /// What an ask of ours was for.
-enum Asked {
-    Raft,
-    Told,
+enum SentRequest {
+    Consensus,
+    PushedLease,
     Lease { voter: String },
-    Propose { voter: String },
-    Moves { voter: String },
+    Proposal { voter: String },
+    Plan { voter: String },
     Counts,
-    Debts,
+    SettlementEntries,
 }
 
 /// Whether the process ends at the point named, in tests.
 pub type CrashPoints = Arc<dyn Fn(&str) -> bool + Send + Sync>;
 
 /// One who waits for our answer to his question.
-struct Waiting {
+struct UnansweredRequest {
     token: Responder,
     until: f64,
 }
 
-pub struct Host {
+pub struct ControlLoop {
     pub(crate) name: String,
-    pub(crate) lease: f64,
+    pub(crate) lease_seconds: f64,
     pub(crate) voter: Option<Voter>,
     pub(crate) member: LeaseClient,
-    pub(crate) folder: Folder,
+    pub(crate) data: DataDirectory,
     pub(crate) peers: Peers,
     pub(crate) events: Receiver<Event>,
     pub(crate) commands: Receiver<LoopRequest>,
-    pub(crate) acting: Arc<ArcSwap<ActiveConfig>>,
-    pub(crate) links: Arc<ArcSwap<Counters>>,
-    pub(crate) tally: Arc<Tally>,
-    pub(crate) recorder: Option<Recorder>,
+    pub(crate) active_config: Arc<ArcSwap<ActiveConfig>>,
+    pub(crate) link_counters: Arc<ArcSwap<Counters>>,
+    pub(crate) counters: Arc<ActivityCounters>,
+    pub(crate) audit_log: Option<AuditSender>,
     /// Tells the loop that what it may act on is another.
     pub(crate) wake: Box<dyn Fn() + Send>,
-    pub(crate) proposing: Proposing,
-    pub(crate) moving: Moving,
-    pub(crate) counting: Counting,
-    pub(crate) debts: Debts,
+    pub(crate) proposals: Proposals,
+    pub(crate) rebalancing: Rebalancing,
+    pub(crate) traffic: TrafficCounts,
+    pub(crate) settlement: Settlements,
     /// Those of the proposed version, where this broker leads; and its own, of cold holders that fall to it.
-    pub(crate) fills: Fills,
-    pub(crate) warm: Fills,
-    pub(crate) limiting: Option<Limiting>,
-    pub(crate) filled: Receiver<Done>,
+    pub(crate) version_fills: FillLane,
+    pub(crate) own_fills: FillLane,
+    pub(crate) quotas: Option<QuotaSharing>,
+    pub(crate) finished_fills: Receiver<FillEnded>,
     /// Bytes a second that a warm node bears, as the file has it; how a cold one is spared, and which were started.
-    pub(crate) rate: f64,
-    pub(crate) warming: Option<SlowStartPolicy>,
-    pub(crate) started: Arc<ArcSwap<Vec<StartedNode>>>,
+    pub(crate) fill_bytes_per_second: f64,
+    pub(crate) slow_start: Option<SlowStartPolicy>,
+    pub(crate) started_nodes: Arc<ArcSwap<Vec<StartedNode>>>,
     /// Brokers that the file names.
-    pub(crate) known: Vec<String>,
+    pub(crate) configured_brokers: Vec<String>,
     /// Stands in for the end of the process at the point named.
-    pub(crate) dies: Option<CrashPoints>,
-    pub(crate) state: HostState,
+    pub(crate) crashes_at: Option<CrashPoints>,
+    pub(crate) state: LoopState,
 }
 
 /// What is under way.
 #[derive(Default)]
-pub struct HostState {
-    asks: HashMap<u64, Asked>,
+pub struct LoopState {
+    sent_requests: HashMap<u64, SentRequest>,
     /// By broker and the number of its question.
-    waiting: HashMap<(String, u64), Waiting>,
-    ticked: f64,
+    unanswered: HashMap<(String, u64), UnansweredRequest>,
+    last_tick: f64,
     /// Who leads, as the log has it.
     leader: Option<String>,
     /// The folder failed: the voter is silent until then, and until it could be written whole.
-    failed: Option<f64>,
+    storage_failed_until: Option<f64>,
     /// The versions (in force, proposed) that the folder has.
-    kept: Option<(u64, Option<u64>, u64, u64)>,
+    saved_config: Option<(u64, Option<u64>, u64, u64)>,
     /// The list of voters of which the log has said that the file differs from it.
-    differs: Option<u64>,
+    reported_voters: Option<u64>,
     /// The last refusal that was told.
-    refused: Option<Why>,
+    last_refusal: Option<Explanation>,
     /// What the record and the loop were last told.
-    shown: Shown,
-    dead: bool,
+    published: Published,
+    crashed: bool,
 }
 
 #[derive(Default)]
-struct Shown {
-    word: Option<AuditPhase>,
-    numbers: Vec<u64>,
+struct Published {
+    phase: Option<AuditPhase>,
+    versions: Vec<u64>,
     in_force: u64,
     proposed: Option<(u64, String)>,
 }
 
-impl Host {
+impl ControlLoop {
     pub fn run(mut self) {
-        self.show(true);
-        let tick = (self.lease / TICKS).clamp(TICK.0, TICK.1);
+        self.publish(true);
+        let tick = (self.lease_seconds / TICKS_PER_LEASE).clamp(TICK.0, TICK.1);
         loop {
             let wait =
-                Duration::from_secs_f64((self.state.ticked + tick - monotonic_seconds()).clamp(0.0, tick));
+                Duration::from_secs_f64((self.state.last_tick + tick - monotonic_seconds()).clamp(0.0, tick));
             select! {
                 recv(self.events) -> event => match event {
-                    Ok(event) => self.heard(event),
+                    Ok(event) => self.handle_event(event),
                     Err(_) => return error!("fleet: the links have ended; this broker is cut off from now on"),
                 },
                 recv(self.commands) -> command => match command {
-                    Ok(LoopRequest::Reread(path)) => self.proposing.reread(path),
-                    Ok(LoopRequest::Moves(path)) => self.moving.reread(path),
+                    Ok(LoopRequest::Reread(path)) => self.proposals.reload(path),
+                    Ok(LoopRequest::Moves(path)) => self.rebalancing.reload(path),
                     Ok(LoopRequest::Stop) | Err(_) => break,
                 },
-                recv(self.filled) -> done => self.fill_ended(done.ok()),
+                recv(self.finished_fills) -> done => self.on_fill_ended(done.ok()),
                 recv(after(wait)) -> _ => {}
             }
             // What waits, as far as the next turn is not due: each message may wait for the disk.
-            while monotonic_seconds() < self.state.ticked + tick
+            while monotonic_seconds() < self.state.last_tick + tick
                 && let Ok(event) = self.events.try_recv()
             {
-                self.heard(event);
+                self.handle_event(event);
             }
-            if monotonic_seconds() >= self.state.ticked + tick {
+            if monotonic_seconds() >= self.state.last_tick + tick {
                 self.tick();
             }
-            if self.state.dead {
+            if self.state.crashed {
                 return self.peers.stop();
             }
         }
-        self.counted();
+        self.save_traffic();
         self.peers.stop();
     }
 
     fn tick(&mut self) {
         let now = monotonic_seconds();
-        self.state.ticked = now;
-        self.mend(now);
-        if self.state.failed.is_none()
+        self.state.last_tick = now;
+        self.retry_storage(now);
+        if self.state.storage_failed_until.is_none()
             && let Some(voter) = &mut self.voter
         {
             let orders = voter.tick(now);
-            self.carry_out(orders);
+            self.execute(orders);
         }
-        self.member.set_overloaded(self.tally.pressed.load(Relaxed));
-        self.report_needs(now);
-        self.ask_for_lease();
-        self.show(false);
-        self.propose();
-        self.debts_by_voter();
-        self.move_on();
-        self.plan_fills();
-        self.plan_own();
-        self.see_to_debts();
-        self.plan_limits(now);
-        self.count();
+        self.member.set_overloaded(self.counters.overloaded.load(Relaxed));
+        self.report_demand(now);
+        self.request_lease();
+        self.publish(false);
+        self.propose_document();
+        self.apply_voter_entries();
+        self.rebalance();
+        self.plan_version_fills();
+        self.plan_own_fills();
+        self.review_settlements();
+        self.plan_quotas(now);
+        self.exchange_counts();
         // Dropped unanswered: whoever asked has asked anew.
-        self.state.waiting.retain(|_, waiting| now < waiting.until);
+        self.state.unanswered.retain(|_, waiting| now < waiting.until);
     }
 
     /// After a failure of the folder all is written anew; only then does the voter speak again.
-    fn mend(&mut self, now: f64) {
-        if self.state.failed.is_some_and(|until| now >= until)
+    fn retry_storage(&mut self, now: f64) {
+        if self.state.storage_failed_until.is_some_and(|until| now >= until)
             && let Some(voter) = &self.voter
         {
-            match self.folder.rewrite(voter.checkpoint().encode()) {
+            match self.data.rewrite_journal(voter.checkpoint().encode()) {
                 Ok(()) => {
                     info!("fleet: the folder can be written again");
-                    self.state.failed = None;
+                    self.state.storage_failed_until = None;
                 }
                 Err(e) => {
                     debug!("fleet: folder: {e}");
-                    self.state.failed = Some(now + AGAIN);
+                    self.state.storage_failed_until = Some(now + STORAGE_RETRY_SECONDS);
                 }
             }
         }
     }
 
     /// Does what the voter orders: first the disk, and only then what others hear.
-    fn carry_out(&mut self, orders: Effects) {
+    fn execute(&mut self, orders: Effects) {
         if !orders.write_batch.is_empty() {
-            add(&self.tally.syncs);
-            let mut saved = self.folder.save(&orders.write_batch.encode());
+            increment(&self.counters.syncs);
+            let mut saved = self.data.append_to_journal(&orders.write_batch.encode());
             if saved.is_ok()
-                && self.folder.is_long()
+                && self.data.journal_is_long()
                 && let Some(voter) = &self.voter
             {
-                saved = self.folder.rewrite(voter.checkpoint().encode());
+                saved = self.data.rewrite_journal(voter.checkpoint().encode());
             }
             if let Err(e) = saved {
                 error!("fleet: folder: {e}; this voter is silent until it can be written: look at the disk");
-                self.state.failed = Some(monotonic_seconds() + AGAIN);
+                self.state.storage_failed_until = Some(monotonic_seconds() + STORAGE_RETRY_SECONDS);
                 return;
             }
         }
@@ -234,24 +234,37 @@
             info!("fleet: {line}");
         }
         for outcome in orders.outcomes {
-            self.why(&outcome);
+            self.explain_outcome(&outcome);
             match outcome.result {
                 Ok(change) => debug!("fleet: entry {}: {change:?}", outcome.index),
                 Err(why) => info!("fleet: entry {} is left out: {why} ({})", outcome.index, why.help()),
             }
         }
         for (to, bytes) in orders.messages {
-            self.ask(&to, RequestKind::Raft, bytes, RAFT_WITHIN, Asked::Raft);
+            self.send_request(
+                &to,
+                RequestKind::Raft,
+                bytes,
+                CONSENSUS_TIMEOUT_SECONDS,
+                SentRequest::Consensus,
+            );
         }
         for (broker, told) in orders.replies {
-            self.tell(broker, told);
+            self.send_lease_reply(broker, told);
         }
     }
 
-    fn ask(&mut self, to: &str, kind: RequestKind, body: Vec<u8>, within: f64, what: Asked) -> bool {
+    fn send_request(
+        &mut self,
+        to: &str,
+        kind: RequestKind,
+        body: Vec<u8>,
+        within: f64,
+        what: SentRequest,
+    ) -> bool {
         match self.peers.request(to, kind, body, within) {
             Ok(id) => {
-                self.state.asks.insert(id, what);
+                self.state.sent_requests.insert(id, what);
                 true
             }
             Err(e) => {
@@ -261,22 +274,24 @@
         }
     }
 
-    fn heard(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Request { from, kind, body, responder: token } => self.asked(from, kind, &body, token),
+            Event::Request { from, kind, body, responder: token } => {
+                self.handle_request(from, kind, &body, token)
+            }
             Event::Response { id, to, result: body } => {
-                let Some(what) = self.state.asks.remove(&id) else { return };
+                let Some(what) = self.state.sent_requests.remove(&id) else { return };
                 if let Err(e) = &body {
                     debug!("fleet: {e}");
                 }
                 match what {
-                    Asked::Raft | Asked::Told | Asked::Debts => {}
-                    Asked::Lease { voter } => self.lease_answered(&voter, body.ok()),
-                    Asked::Propose { voter } => self.proposal_answered(&voter, body.ok()),
-                    Asked::Moves { voter } => self.offer_answered(&voter, body.ok()),
-                    Asked::Counts => {
+                    SentRequest::Consensus | SentRequest::PushedLease | SentRequest::SettlementEntries => {}
+                    SentRequest::Lease { voter } => self.on_lease_reply(&voter, body.ok()),
+                    SentRequest::Proposal { voter } => self.on_proposal_reply(&voter, body.ok()),
+                    SentRequest::Plan { voter } => self.on_offer_reply(&voter, body.ok()),
+                    SentRequest::Counts => {
                         if let Ok(body) = body {
-                            self.heard_counts(&to, &body);
+                            self.merge_counts(&to, &body);
                         }
                     }
                 }
@@ -287,66 +302,66 @@
         }
     }
 
-    fn asked(&mut self, from: String, kind: RequestKind, body: &[u8], token: Responder) {
+    fn handle_request(&mut self, from: String, kind: RequestKind, body: &[u8], token: Responder) {
         match kind {
             RequestKind::Raft => {
                 self.peers.respond(token, Ok(Vec::new()));
-                self.received(&from, body);
+                self.handle_consensus_message(&from, body);
             }
-            RequestKind::Lease => self.lease_asked(from, body, token),
+            RequestKind::Lease => self.handle_lease_request(from, body, token),
             RequestKind::State => {
                 self.peers.respond(token, Ok(Vec::new()));
-                self.pushed(&from, body);
+                self.on_pushed_reply(&from, body);
             }
-            RequestKind::Propose => self.proposal_asked(&from, body, token),
-            RequestKind::RebalancePlan => self.offer_asked(&from, body, token),
+            RequestKind::Propose => self.handle_proposal(&from, body, token),
+            RequestKind::RebalancePlan => self.handle_offer(&from, body, token),
             RequestKind::TransferCounts => {
-                self.heard_counts(&from, body);
+                self.merge_counts(&from, body);
                 // What is told has to be kept first.
-                let counts = self.counted().then(|| self.counting.word(&from).ok()).flatten();
+                let counts = self.save_traffic().then(|| self.traffic.message_to(&from).ok()).flatten();
                 self.peers.respond(token, counts.ok_or(RefusalReason::Busy));
             }
-            RequestKind::Fill => self.brought(&from, body, token),
+            RequestKind::Fill => self.handle_entries(&from, body, token),
             // The links answer these themselves.
             RequestKind::LivenessCheck => drop(token),
         }
     }
 
-    fn received(&mut self, from: &str, bytes: &[u8]) {
-        if self.state.failed.is_some() {
+    fn handle_consensus_message(&mut self, from: &str, bytes: &[u8]) {
+        if self.state.storage_failed_until.is_some() {
             return;
         }
         let Some(voter) = &mut self.voter else { return };
         match voter.receive(monotonic_seconds(), from, bytes) {
-            Ok(orders) => self.carry_out(orders),
+            Ok(orders) => self.execute(orders),
             Err(e @ ConsensusError::MalformedMessage(_)) => debug!("fleet: {e} ({})", e.help()),
             Err(e) => warn!("fleet: {e} ({})", e.help()),
         }
     }
 
     /// The process ends here, if a test says so.
-    fn dies(&mut self, at: &str) -> bool {
-        self.state.dead |= self.dies.as_ref().is_some_and(|dies| dies(at));
-        self.state.dead
+    fn crash_point(&mut self, at: &str) -> bool {
+        self.state.crashed |= self.crashes_at.as_ref().is_some_and(|dies| dies(at));
+        self.state.crashed
     }
 
     /// Puts an entry into the log, where this voter leads.
     fn enter(&mut self, entry: Command) -> Result<(), Rejection> {
         let by = self.name.clone();
-        self.enter_for(&by, entry)
+        self.enter_on_behalf_of(&by, entry)
     }
 
     /// The same on the word of `by`.
-    fn enter_for(&mut self, by: &str, entry: Command) -> Result<(), Rejection> {
-        let silent = self.state.failed.is_some();
+    fn enter_on_behalf_of(&mut self, by: &str, entry: Command) -> Result<(), Rejection> {
+        let silent = self.state.storage_failed_until.is_some();
         let Some(voter) = self.voter.as_mut().filter(|_| !silent) else {
             return Err(Rejection::NotLeader(None));
         };
-        let offer = Offer::of(&entry, by);
+        let offer = ProposedEntry::of(&entry, by);
         match voter.propose(monotonic_seconds(), entry) {
-            Ok(orders) => self.carry_out(orders),
+            Ok(orders) => self.execute(orders),
             Err(why) => {
-                self.why_not(&offer, &why);
+                self.explain_refusal(&offer, &why);
                 return Err(why);
             }
         }
@@ -354,35 +369,35 @@
     }
 
     /// Says why, once each.
-    fn why(&self, outcome: &EntryOutcome) {
+    fn explain_outcome(&self, outcome: &EntryOutcome) {
         let Some(state) = self.voter.as_ref().map(Voter::state) else { return };
         let why = match &outcome.result {
-            Ok(change) => Why::agreed(outcome.index, change, state),
-            Err(why) => Some(Why::refused(&Offer::logged(outcome.index), why, state)),
+            Ok(change) => Explanation::for_change(outcome.index, change, state),
+            Err(why) => Some(Explanation::for_refusal(&ProposedEntry::logged(outcome.index), why, state)),
         };
-        why.iter().for_each(Why::tell);
+        why.iter().for_each(Explanation::log);
     }
 
     /// What is offered again and again, and refused for the same reason, is told once.
-    fn why_not(&mut self, offer: &Offer, why: &Rejection) {
+    fn explain_refusal(&mut self, offer: &ProposedEntry, why: &Rejection) {
         let routine = matches!(
             why,
             Rejection::NotLeader(_) | Rejection::AlreadySettled(_) | Rejection::FillNotNeeded { .. }
         );
         let Some(state) = self.voter.as_ref().map(Voter::state).filter(|_| !routine) else { return };
-        let why = Why::refused(offer, why, state);
-        if self.state.refused.as_ref() != Some(&why) {
-            why.tell();
-            self.state.refused = Some(why);
+        let why = Explanation::for_refusal(offer, why, state);
+        if self.state.last_refusal.as_ref() != Some(&why) {
+            why.log();
+            self.state.last_refusal = Some(why);
         }
     }
 
     /// Hands the loop what it may act on now, and notes what has changed in it. `leased`: with a new lease.
-    fn show(&mut self, leased: bool) {
+    fn publish(&mut self, leased: bool) {
         let (acting, now) = (self.member.active_config(), monotonic_seconds());
         let (word, numbers) = audit_phase(&acting, now);
-        let shown = &mut self.state.shown;
-        let changed = shown.word != Some(word) || shown.numbers != numbers;
+        let shown = &mut self.state.published;
+        let changed = shown.phase != Some(word) || shown.versions != numbers;
         if !leased && !changed {
             return;
         }
@@ -410,13 +425,13 @@
         if changed {
             info!("fleet: {word:?} {numbers:?}, until {until:.3}");
         }
-        (shown.word, shown.numbers, shown.in_force) = (Some(word), numbers, acting.active_number());
-        self.acting.store(Arc::new(acting));
-        if let Some(recorder) = &self.recorder {
-            acts.into_iter().for_each(|act| recorder.wrote_at(now, act));
-            recorder.wrote_at(now, AuditEvent::Phase { phase: word, from, to, until });
-            if let Some(limiting) = &self.limiting {
-                recorder.wrote_at(now, limiting.act(&self.acting.load(), until));
+        (shown.phase, shown.versions, shown.in_force) = (Some(word), numbers, acting.active_number());
+        self.active_config.store(Arc::new(acting));
+        if let Some(recorder) = &self.audit_log {
+            acts.into_iter().for_each(|act| recorder.record_at(now, act));
+            recorder.record_at(now, AuditEvent::Phase { phase: word, from, to, until });
+            if let Some(limiting) = &self.quotas {
+                recorder.record_at(now, limiting.audit_event(&self.active_config.load(), until));
             }
         }
         if changed {
@@ -424,29 +439,29 @@
         }
     }
 
-    fn leased(&mut self) {
-        self.tally.leases.fetch_add(1, Relaxed);
+    fn on_lease(&mut self) {
+        self.counters.leases.fetch_add(1, Relaxed);
         // Before the loop acts on it: a restart has to know the strictest of what was heard.
         let versions = self.member.persisted_revision();
-        if self.state.kept != Some(versions) {
-            match self.folder.keep(&self.member.persisted_state()) {
-                Ok(()) => self.state.kept = Some(versions),
+        if self.state.saved_config != Some(versions) {
+            match self.data.save_config(&self.member.persisted_state()) {
+                Ok(()) => self.state.saved_config = Some(versions),
                 Err(e) => {
                     warn!("fleet: folder: {e}; a restart would not know the versions: look at the disk")
                 }
             }
         }
-        self.show(true);
+        self.publish(true);
         self.compare_voters();
     }
 
     /// Says once for each list that the file names other voters than those agreed.
     fn compare_voters(&mut self) {
         let voting = self.member.voters_number();
-        if self.state.differs == Some(voting) {
+        if self.state.reported_voters == Some(voting) {
             return;
         }
-        self.state.differs = Some(voting);
+        self.state.reported_voters = Some(voting);
         if let Some(voters) = self.member.voters_unlike_file() {
             let named = voters.iter().map(|voter| match &voter.address {
                 Some(at) => format!("voter \"{}\" at=\"{at}\"", voter.name),
--- a/crates/dunepond-control-plane/src/host/limits.rs
+++ b/crates/dunepond-control-plane/src/control_loop/quotas.rs
@@ -8,56 +8,65 @@
 use dunepond_quota::{DemandReport, LocalQuota, PlannerConfig, QuotaEntry, SharedQuotas, next_entry};
 use tracing::{debug, info};
 
-use super::Host;
-use crate::record::AuditEvent;
+use super::ControlLoop;
+use crate::audit_log::AuditEvent;
 
 /// In leases: between two looks at what is needed; and after an entry that only says who is there, before the next.
-const LOOK: f64 = 0.1;
+const REVIEW_INTERVAL_LEASES: f64 = 0.1;
 
-pub struct Limiting {
+pub struct QuotaSharing {
     bounds: SharedQuotas,
-    own: LocalQuota,
+    local: LocalQuota,
     planning: PlannerConfig,
-    every: f64,
-    lease: f64,
-    needs: Arc<ArcSwap<BTreeMap<String, u32>>>,
-    reported: f64,
-    planned: f64,
+    interval_seconds: f64,
+    lease_seconds: f64,
+    demand: Arc<ArcSwap<BTreeMap<String, u32>>>,
+    reported_at: f64,
+    next_plan_at: f64,
 }
 
-impl Limiting {
+impl QuotaSharing {
     pub fn new(
         bounds: SharedQuotas,
-        every: f64,
-        lease: f64,
-        needs: Arc<ArcSwap<BTreeMap<String, u32>>>,
+        interval_seconds: f64,
+        lease_seconds: f64,
+        demand: Arc<ArcSwap<BTreeMap<String, u32>>>,
         now: f64,
     ) -> Self {
-        let (own, planning) = (LocalQuota::new(&bounds, now), PlannerConfig::for_lease(lease));
-        Self { bounds, own, planning, every, lease, needs, reported: f64::NEG_INFINITY, planned: 0.0 }
+        let (local, planning) = (LocalQuota::new(&bounds, now), PlannerConfig::for_lease(lease_seconds));
+        Self {
+            bounds,
+            local,
+            planning,
+            interval_seconds,
+            lease_seconds,
+            demand,
+            reported_at: f64::NEG_INFINITY,
+            next_plan_at: 0.0,
+        }
     }
 
     /// For the record.
-    pub fn act(&self, acting: &ActiveConfig, until: f64) -> AuditEvent {
+    pub fn audit_event(&self, acting: &ActiveConfig, until: f64) -> AuditEvent {
         let told = acting.quota(until).allocation;
         AuditEvent::Share {
             generation: told.map_or(0, |told| told.generation),
             counted: told.is_none_or(|told| told.admitted),
-            floor: told.map_or(self.own.floor_units, |told| told.floor_units.min(self.own.floor_units)),
+            floor: told.map_or(self.local.floor_units, |told| told.floor_units.min(self.local.floor_units)),
             parts: told.map(|told| told.leased_units.clone()).unwrap_or_default(),
-            from: self.own.started_at + self.own.window_seconds,
+            from: self.local.started_at + self.local.window_seconds,
             until,
-            window: self.own.window_seconds,
+            window: self.local.window_seconds,
         }
     }
 }
 
-impl Host {
-    pub(super) fn report_needs(&mut self, now: f64) {
-        let Some(limiting) = &mut self.limiting else { return };
-        if now >= limiting.reported + LOOK * limiting.lease {
-            limiting.reported = now;
-            let needs = (**limiting.needs.load()).clone();
+impl ControlLoop {
+    pub(super) fn report_demand(&mut self, now: f64) {
+        let Some(limiting) = &mut self.quotas else { return };
+        if now >= limiting.reported_at + REVIEW_INTERVAL_LEASES * limiting.lease_seconds {
+            limiting.reported_at = now;
+            let needs = (**limiting.demand.load()).clone();
             self.member.set_demand_report(Some(DemandReport {
                 shrunk_generation: 0,
                 shared: limiting.bounds.clone(),
@@ -67,12 +76,12 @@
     }
 
     /// At the leader: who gets how much from now on.
-    pub(super) fn plan_limits(&mut self, now: f64) {
-        let (Some(limiting), Some(voter)) = (&mut self.limiting, &self.voter) else { return };
-        if now < limiting.planned {
+    pub(super) fn plan_quotas(&mut self, now: f64) {
+        let (Some(limiting), Some(voter)) = (&mut self.quotas, &self.voter) else { return };
+        if now < limiting.next_plan_at {
             return;
         }
-        limiting.planned = now + LOOK * limiting.lease;
+        limiting.next_plan_at = now + REVIEW_INTERVAL_LEASES * limiting.lease_seconds;
         let Some((heard, led)) = voter.demand_reports(now) else { return };
         let ledger = &voter.state().quota;
         let Some(entry) = next_entry(ledger, &limiting.bounds, &heard, led, &limiting.planning) else {
@@ -80,7 +89,7 @@
         };
         match &entry {
             QuotaEntry::SetShares { parts } => {
-                limiting.planned = now + limiting.every;
+                limiting.next_plan_at = now + limiting.interval_seconds;
                 for part in parts {
                     let before =
                         ledger.brokers.get(&part.broker).map_or(0, |seat| seat.granted_units(&part.quota));
--- a/crates/dunepond-control-plane/src/host/moves.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing.rs
@@ -11,106 +11,106 @@
 use serde::{Deserialize, Serialize};
 use tracing::{error, info, warn};
 
-use super::{Asked, Host};
-use crate::clock::{monotonic_seconds, unix};
+use super::{ControlLoop, SentRequest};
+use crate::clock::{monotonic_seconds, unix_seconds};
+use crate::documents::MAX_DOCUMENT_BYTES;
 use crate::error::PlanError;
-use crate::version::LONGEST;
 
 /// Leases that an offer may take to be answered, and between two offers.
-const WITHIN: f64 = 1.0;
+const OFFER_TIMEOUT_LEASES: f64 = 1.0;
 /// Part of a lease after which what was entered and is not agreed on is entered again.
-const AGAIN: f64 = 0.25;
+const RETRY_LEASES: f64 = 0.25;
 /// Leases for which what a broker said of its nodes counts.
-const SAID: f64 = 2.0;
+const LOAD_REPORT_LEASES: f64 = 2.0;
 /// Seconds between two steps where the file does not say.
-pub const SETTLE: f64 = 1.0;
+pub const DEFAULT_SETTLE_SECONDS: f64 = 1.0;
 
 /// The plan's file, what of it was offered, and what the leader needs between two turns.
-pub struct Moving {
+pub struct Rebalancing {
     pub path: Option<PathBuf>,
-    pub at_once: usize,
+    pub max_concurrent_acts: usize,
     /// Seconds.
-    pub settle: f64,
-    unread: bool,
+    pub settle_seconds: f64,
+    must_read: bool,
     plan: Option<Plan>,
     offered: bool,
-    next: f64,
-    to: Option<String>,
-    asked: usize,
+    next_offer_at: f64,
+    next_voter: Option<String>,
+    voters_tried: usize,
     /// Of the leader: plan and turn, and since when they are so.
-    turn: Option<(String, u64, f64)>,
-    entered: f64,
+    current_turn: Option<(String, u64, f64)>,
+    entered_at: f64,
     pressure: Pressure,
-    told: Option<Held>,
+    reported_wait: Option<Held>,
 }
 
 /// A plan on its way to the leader.
 #[derive(Serialize, Deserialize)]
-struct Offer {
+struct PlanOffer {
     plan: Plan,
-    at_once: usize,
+    max_concurrent_acts: usize,
     /// It was offered before: its word counts once.
-    again: bool,
+    is_repeat: bool,
 }
 
 /// What a voter says of it.
 #[derive(Debug, Serialize, Deserialize)]
-enum Answer {
+enum OfferReply {
     /// It stands in a log; to be offered again until it is known.
-    Taken,
+    Accepted,
     Known(String),
-    Leads(Option<String>),
-    Wait(String),
+    NotLeader(Option<String>),
+    RetryLater(String),
     Refused {
         why: String,
         help: String,
     },
 }
 
-impl Answer {
+impl OfferReply {
     fn of(why: &Rejection) -> Self {
         match why {
-            Rejection::NotLeader(leader) => Self::Leads(leader.clone()),
-            Rejection::Rebalance(e) if e.passes() => Self::Wait(why.to_string()),
-            Rejection::Busy | Rejection::NoLeader => Self::Wait(why.to_string()),
+            Rejection::NotLeader(leader) => Self::NotLeader(leader.clone()),
+            Rejection::Rebalance(e) if e.passes() => Self::RetryLater(why.to_string()),
+            Rejection::Busy | Rejection::NoLeader => Self::RetryLater(why.to_string()),
             _ => Self::Refused { why: why.to_string(), help: why.help().to_string() },
         }
     }
 }
 
-impl Moving {
-    pub fn new(path: Option<PathBuf>, at_once: usize, settle: f64) -> Self {
-        let unread = path.is_some();
+impl Rebalancing {
+    pub fn new(path: Option<PathBuf>, max_concurrent_acts: usize, settle_seconds: f64) -> Self {
+        let must_read = path.is_some();
         Self {
             path,
-            at_once,
-            settle,
-            unread,
+            max_concurrent_acts,
+            settle_seconds,
+            must_read,
             plan: None,
             offered: false,
-            next: 0.0,
-            to: None,
-            asked: 0,
-            turn: None,
-            entered: f64::NEG_INFINITY,
+            next_offer_at: 0.0,
+            next_voter: None,
+            voters_tried: 0,
+            current_turn: None,
+            entered_at: f64::NEG_INFINITY,
             pressure: Pressure::default(),
-            told: None,
+            reported_wait: None,
         }
     }
 
-    pub fn reread(&mut self, path: Option<PathBuf>) {
-        (self.path, self.unread, self.next) = (path, true, 0.0);
+    pub fn reload(&mut self, path: Option<PathBuf>) {
+        (self.path, self.must_read, self.next_offer_at) = (path, true, 0.0);
     }
 
     fn read(&mut self) {
-        if !std::mem::take(&mut self.unread) {
+        if !std::mem::take(&mut self.must_read) {
             return;
         }
         (self.plan, self.offered) = (None, false);
         let Some(path) = &self.path else { return };
         match read(path) {
             Ok(plan) => self.plan = Some(plan),
-            Err(e @ PlanError::NotThere { .. }) => info!("fleet: moves: {e} ({})", e.help()),
+            Err(e @ PlanError::NotFound { .. }) => info!("fleet: moves: {e} ({})", e.help()),
             Err(e) => error!("fleet: moves: {e} ({})", e.help()),
         }
     }
@@ -119,15 +119,15 @@
 fn read(path: &std::path::Path) -> Result<Plan, PlanError> {
     let owned = || path.to_path_buf();
     let text = std::fs::read_to_string(path).map_err(|e| match e.kind() {
-        std::io::ErrorKind::NotFound => PlanError::NotThere { path: owned() },
+        std::io::ErrorKind::NotFound => PlanError::NotFound { path: owned() },
         _ => PlanError::Unreadable { path: owned(), why: e.to_string() },
     })?;
-    Plan::read(&text).map_err(|why| PlanError::NotAPlan { path: owned(), why: Box::new(why) })
+    Plan::read(&text).map_err(|why| PlanError::Invalid { path: owned(), why: Box::new(why) })
 }
 
-impl Host {
+impl ControlLoop {
     /// Whether a plan's fills are to begin no further ones for now.
-    pub(super) fn fills_held(&self) -> bool {
+    pub(super) fn fills_are_paused(&self) -> bool {
         let state = self.voter.as_ref().map(|voter| voter.state());
         let running = state.and_then(|state| state.rebalance().running.as_ref());
         running.is_some_and(|running| running.paused.is_some() && running.begun.is_some())
@@ -135,97 +135,104 @@
 
     /// Offers the file's plan to whoever leads, until it is known; and carries on with the agreed one, where this broker
     /// leads.
-    pub(super) fn move_on(&mut self) {
-        self.offer();
-        let leads = self.state.failed.is_none() && self.voter.as_ref().is_some_and(|voter| voter.is_leader());
+    pub(super) fn rebalance(&mut self) {
+        self.offer_plan();
+        let leads = self.state.storage_failed_until.is_none()
+            && self.voter.as_ref().is_some_and(|voter| voter.is_leader());
         if !leads {
-            (self.moving.turn, self.moving.told) = (None, None);
-            self.moving.pressure = Pressure::default();
+            (self.rebalancing.current_turn, self.rebalancing.reported_wait) = (None, None);
+            self.rebalancing.pressure = Pressure::default();
             return;
         }
-        self.carry_on();
+        self.advance_plan();
     }
 
-    fn offer(&mut self) {
+    fn offer_plan(&mut self) {
         let now = monotonic_seconds();
-        if now < self.moving.next || now >= self.member.active_config().lease_expires_at() {
+        if now < self.rebalancing.next_offer_at || now >= self.member.active_config().lease_expires_at() {
             return;
         }
-        self.moving.read();
-        let Some(plan) = self.moving.plan.clone() else { return };
-        self.moving.next = now + self.lease * WITHIN;
-        let to = self.moving.to.take().or(self.member.leader().map(str::to_string));
+        self.rebalancing.read();
+        let Some(plan) = self.rebalancing.plan.clone() else { return };
+        self.rebalancing.next_offer_at = now + self.lease_seconds * OFFER_TIMEOUT_LEASES;
+        let to = self.rebalancing.next_voter.take().or(self.member.leader().map(str::to_string));
         let to = to.unwrap_or_else(|| {
-            self.moving.asked += 1;
+            self.rebalancing.voters_tried += 1;
             let voters = self.member.voters();
-            voters[self.moving.asked % voters.len()].clone()
+            voters[self.rebalancing.voters_tried % voters.len()].clone()
         });
-        let offer = Offer { plan, at_once: self.moving.at_once, again: self.moving.offered };
+        let offer = PlanOffer {
+            plan,
+            max_concurrent_acts: self.rebalancing.max_concurrent_acts,
+            is_repeat: self.rebalancing.offered,
+        };
         if to == self.name {
-            let answer = self.offered(offer);
-            return self.offer_said(&to, answer);
+            let answer = self.accept_offer(offer);
+            return self.apply_offer_reply(&to, answer);
         }
         let Ok(body) = postcard::to_stdvec(&offer) else { return };
-        self.ask(
+        self.send_request(
             &to.clone(),
             RequestKind::RebalancePlan,
             body,
-            self.lease * WITHIN,
-            Asked::Moves { voter: to },
+            self.lease_seconds * OFFER_TIMEOUT_LEASES,
+            SentRequest::Plan { voter: to },
         );
     }
 
-    pub(super) fn offer_asked(&mut self, from: &str, body: &[u8], token: Responder) {
-        if body.len() > LONGEST {
-            return self.peers.respond(token, Err(RefusalReason::TooLarge { max_bytes: LONGEST as u64 }));
+    pub(super) fn handle_offer(&mut self, from: &str, body: &[u8], token: Responder) {
+        if body.len() > MAX_DOCUMENT_BYTES {
+            return self
+                .peers
+                .respond(token, Err(RefusalReason::TooLarge { max_bytes: MAX_DOCUMENT_BYTES as u64 }));
         }
-        let Ok(offer) = postcard::from_bytes::<Offer>(body) else {
+        let Ok(offer) = postcard::from_bytes::<PlanOffer>(body) else {
             return self.peers.respond(token, Err(RefusalReason::Malformed));
         };
         let id = offer.plan.id.clone();
-        let answer = self.offered(offer);
-        if !matches!(answer, Answer::Wait(_)) {
+        let answer = self.accept_offer(offer);
+        if !matches!(answer, OfferReply::RetryLater(_)) {
             info!("fleet: plan {id}, offered by {from}: {answer:?}");
         }
         let body = postcard::to_stdvec(&answer).map_err(|_| RefusalReason::Malformed);
         self.peers.respond(token, body);
     }
 
-    pub(super) fn offer_answered(&mut self, voter: &str, body: Option<Vec<u8>>) {
+    pub(super) fn on_offer_reply(&mut self, voter: &str, body: Option<Vec<u8>>) {
         if let Some(answer) = body.and_then(|body| postcard::from_bytes(&body).ok()) {
-            self.offer_said(voter, answer);
+            self.apply_offer_reply(voter, answer);
         }
     }
 
-    fn offer_said(&mut self, voter: &str, answer: Answer) {
-        let moving = &mut self.moving;
+    fn apply_offer_reply(&mut self, voter: &str, answer: OfferReply) {
+        let moving = &mut self.rebalancing;
         let id = moving.plan.as_ref().map_or(String::new(), |plan| plan.id.clone());
         match answer {
-            Answer::Taken => moving.offered = true,
-            Answer::Known(how) => {
+            OfferReply::Accepted => moving.offered = true,
+            OfferReply::Known(how) => {
                 info!("fleet: plan {id}: {how}");
                 moving.plan = None;
             }
-            Answer::Leads(leader) => {
-                moving.to = leader;
-                moving.next = monotonic_seconds() + self.lease * AGAIN;
+            OfferReply::NotLeader(leader) => {
+                moving.next_voter = leader;
+                moving.next_offer_at = monotonic_seconds() + self.lease_seconds * RETRY_LEASES;
             }
-            Answer::Wait(why) => info!("fleet: plan {id}: {voter}: not now: {why}"),
-            Answer::Refused { why, help } => {
+            OfferReply::RetryLater(why) => info!("fleet: plan {id}: {voter}: not now: {why}"),
+            OfferReply::Refused { why, help } => {
                 error!("fleet: plan {id}: refused by {voter}: {why} ({help})");
-                crate::hand::add(&self.tally.refused);
+                crate::handle::increment(&self.counters.refused);
                 moving.plan = None;
             }
         }
     }
 
     /// A plan that somebody offers this broker as leader: put in order and entered, or its word taken.
-    fn offered(&mut self, offer: Offer) -> Answer {
-        let Offer { plan, at_once, again } = offer;
+    fn accept_offer(&mut self, offer: PlanOffer) -> OfferReply {
+        let PlanOffer { plan, max_concurrent_acts: at_once, is_repeat: again } = offer;
         let leads = self.voter.as_ref().filter(|voter| voter.is_leader());
         let Some(voter) = leads else {
             let leader = self.voter.as_ref().and_then(|voter| voter.leader());
-            return Answer::Leads(leader.filter(|leader| *leader != self.name));
+            return OfferReply::NotLeader(leader.filter(|leader| *leader != self.name));
         };
         let state = voter.state();
         let (id, who) = (plan.id.clone(), plan.who.clone());
@@ -243,22 +250,22 @@
                 (Some(Running { undoing: None, .. }), Word::Withdraw) => {
                     Agreed::Withdrawn { plan: id, who, why: plan.why }
                 }
-                _ => return Answer::Known(told),
+                _ => return OfferReply::Known(told),
             };
             return self
                 .enter(Command::Rebalance(entry))
-                .map_or_else(|why| Answer::of(&why), |()| Answer::Taken);
+                .map_or_else(|why| OfferReply::of(&why), |()| OfferReply::Accepted);
         }
         if plan.word == Word::Withdraw {
-            return Answer::Known("it was never taken, so nothing is to be undone".to_string());
+            return OfferReply::Known("it was never taken, so nothing is to be undone".to_string());
         }
-        let Some(proof) = state.map_proof() else { return Answer::of(&MoveError::NoMap.into()) };
+        let Some(proof) = state.map_proof() else { return OfferReply::of(&MoveError::NoMap.into()) };
         // Nothing is put in order that could not be taken now.
         if let Some(running) = &state.rebalance().running {
-            return Answer::of(&MoveError::Runs { running: running.plan.id.clone() }.into());
+            return OfferReply::of(&MoveError::Runs { running: running.plan.id.clone() }.into());
         }
         if let Some(open) = &state.open {
-            return Answer::of(&MoveError::Open { open: open.version.number }.into());
+            return OfferReply::of(&MoveError::Open { open: open.version.number }.into());
         }
         let pace = Pace { at_once, most_changed: state.config.max_changed_ratio };
         match order(&plan, proof, pace, |node| state.is_excluded(node)) {
@@ -270,46 +277,51 @@
                     pace.most_changed
                 );
                 let taken = Agreed::Taken { plan: Box::new(plan), steps, at_once };
-                self.enter(Command::Rebalance(taken)).map_or_else(|why| Answer::of(&why), |()| Answer::Taken)
+                self.enter(Command::Rebalance(taken))
+                    .map_or_else(|why| OfferReply::of(&why), |()| OfferReply::Accepted)
             }
-            Err(why) => Answer::of(&why.into()),
+            Err(why) => OfferReply::of(&why.into()),
         }
     }
 
     /// The leader's part.
-    fn carry_on(&mut self) {
+    fn advance_plan(&mut self) {
         let now = monotonic_seconds();
         let Some(voter) = &self.voter else { return };
-        let (state, moving) = (voter.state(), &mut self.moving);
+        let (state, moving) = (voter.state(), &mut self.rebalancing);
         for (broker, pressed) in voter.broker_overloads() {
             moving.pressure.heard(now, broker, pressed);
         }
-        let pressed = moving.pressure.pressed(now, SAID * self.lease);
+        let pressed = moving.pressure.pressed(now, LOAD_REPORT_LEASES * self.lease_seconds);
         let Some(running) = &state.rebalance().running else {
-            (moving.turn, moving.told) = (None, None);
+            (moving.current_turn, moving.reported_wait) = (None, None);
             return;
         };
         let turn = (running.plan.id.clone(), running.turn);
-        if moving.turn.as_ref().is_none_or(|(id, turn, _)| (id, turn) != (&running.plan.id, &running.turn)) {
-            moving.turn = Some((turn.0, turn.1, now));
+        if moving
+            .current_turn
+            .as_ref()
+            .is_none_or(|(id, turn, _)| (id, turn) != (&running.plan.id, &running.turn))
+        {
+            moving.current_turn = Some((turn.0, turn.1, now));
         }
-        if now < moving.entered + AGAIN * self.lease {
+        if now < moving.entered_at + RETRY_LEASES * self.lease_seconds {
             return;
         }
         let hundredths = (100.0 * moving.pressure.share()).round() as u32;
-        let (id, rested) = (running.plan.id.clone(), moving.turn.as_ref().map_or(now, |turn| turn.2));
+        let (id, rested) = (running.plan.id.clone(), moving.current_turn.as_ref().map_or(now, |turn| turn.2));
         let next = match (&running.paused, pressed) {
             (None, true) => Next::Enter(Agreed::Paused { plan: id, why: Pause::Pressed { hundredths } }),
             (Some(Pause::Pressed { .. }), false) => {
                 Next::Enter(Agreed::Resumed { plan: id, by: By::Pressure(hundredths) })
             }
-            _ => state.rebalance().next(&state.rebalance_context(), now >= rested + moving.settle),
+            _ => state.rebalance().next(&state.rebalance_context(), now >= rested + moving.settle_seconds),
         };
-        self.moving.entered = now;
+        self.rebalancing.entered_at = now;
         match next {
             Next::Nothing(held) => {
-                self.moving.entered = f64::NEG_INFINITY;
-                if self.moving.told.as_ref() != Some(&held) {
+                self.rebalancing.entered_at = f64::NEG_INFINITY;
+                if self.rebalancing.reported_wait.as_ref() != Some(&held) {
                     match &held {
                         Held::Paused(why) => info!("fleet: plan {}: waits: {why}", self.plan_id()),
                         Held::Other(open) => {
@@ -320,35 +332,35 @@
                         }
                         Held::NoPlan | Held::UnderWay(_) => {}
                     }
-                    self.moving.told = Some(held);
+                    self.rebalancing.reported_wait = Some(held);
                 }
             }
             Next::Enter(entry) => {
-                self.say(&entry);
-                self.enter_move(Command::Rebalance(entry));
+                self.log_step(&entry);
+                self.enter_plan_entry(Command::Rebalance(entry));
             }
             Next::Propose { number, moving } => {
                 let Some(version) = self.step_version(number, moving.to().map().clone()) else { return };
-                self.enter_move(Command::Propose(Box::new(version)));
+                self.enter_plan_entry(Command::Propose(Box::new(version)));
             }
             Next::Withdraw { number, why } => {
                 info!("fleet: version {number} is taken back: {why}");
-                self.enter_move(Command::Withdraw { number, why });
+                self.enter_plan_entry(Command::Withdraw { number, why });
             }
         }
     }
 
-    fn running(&self) -> Option<&Running> {
+    fn running_plan(&self) -> Option<&Running> {
         self.voter.as_ref()?.state().rebalance().running.as_ref()
     }
 
     fn plan_id(&self) -> String {
-        self.running().map_or(String::new(), |running| running.plan.id.clone())
+        self.running_plan().map_or(String::new(), |running| running.plan.id.clone())
     }
 
     /// One line for each step: on whose word, by which limits, what else is left.
-    fn say(&self, entry: &Agreed) {
-        let Some(running) = self.running() else { return };
+    fn log_step(&self, entry: &Agreed) {
+        let Some(running) = self.running_plan() else { return };
         let (id, who, why) = (&running.plan.id, &running.plan.who, &running.plan.why);
         let (Agreed::Begun { turn, number, .. }, Some(wave)) = (entry, running.wave()) else {
             return info!("fleet: plan {id}: {entry:?}");
@@ -388,12 +400,12 @@
             map: Some(map),
             proposed_by: plan.who.clone(),
             reason: format!("plan {}, turn {}{back}: {what}; {}", plan.id, running.turn, plan.why),
-            proposed_at_unix_seconds: unix(),
+            proposed_at_unix_seconds: unix_seconds(),
             ..ConfigVersion::clone(in_force)
         })
     }
 
-    fn enter_move(&mut self, entry: Command) {
+    fn enter_plan_entry(&mut self, entry: Command) {
         let proposes = matches!(entry, Command::Propose(_));
         let Err(why) = self.enter(entry) else { return };
         let passes = match &why {
--- a/crates/dunepond-control-plane/src/host/moves/golden.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/golden.rs
@@ -48,25 +48,25 @@
 
 #[test]
 fn offers_and_their_answers_are_as_before() {
-    let offer = Offer { plan: plan(), at_once: 4, again: true };
+    let offer = PlanOffer { plan: plan(), max_concurrent_acts: 4, is_repeat: true };
     assert_same("offer.bin", &postcard::to_stdvec(&offer).unwrap());
-    let read: Offer = postcard::from_bytes(&golden("offer.bin")).unwrap();
-    assert_eq!((read.plan, read.at_once, read.again), (plan(), 4, true));
+    let read: PlanOffer = postcard::from_bytes(&golden("offer.bin")).unwrap();
+    assert_eq!((read.plan, read.max_concurrent_acts, read.is_repeat), (plan(), 4, true));
 
     let text = str::to_string;
     let answers = [
-        Answer::Taken,
-        Answer::Known(text("ended: Done")),
-        Answer::Leads(Some(text("n2"))),
-        Answer::Leads(None),
-        Answer::Wait(text("another plan runs")),
-        Answer::Refused { why: text("no room"), help: text("give it room") },
+        OfferReply::Accepted,
+        OfferReply::Known(text("ended: Done")),
+        OfferReply::NotLeader(Some(text("n2"))),
+        OfferReply::NotLeader(None),
+        OfferReply::RetryLater(text("another plan runs")),
+        OfferReply::Refused { why: text("no room"), help: text("give it room") },
     ];
     let bytes: Vec<u8> = answers.iter().flat_map(|answer| postcard::to_stdvec(answer).unwrap()).collect();
     assert_same("offer-answers.bin", &bytes);
     let mut rest = &golden("offer-answers.bin")[..];
     for answer in answers {
-        let (read, behind) = postcard::take_from_bytes::<Answer>(rest).unwrap();
+        let (read, behind) = postcard::take_from_bytes::<OfferReply>(rest).unwrap();
         assert_eq!(format!("{read:?}"), format!("{answer:?}"));
         rest = behind;
     }
--- a/crates/dunepond-control-plane/src/host/warm.rs
+++ b/crates/dunepond-control-plane/src/control_loop/slow_start.rs
@@ -4,14 +4,14 @@
 
 use dunepond_settlement::{Cold, Fill, Need, Room, bound};
 
-use super::Host;
+use super::ControlLoop;
 use super::fills::Lane;
 
 /// Bytes by which what a cold node bears is counted.
-const UNIT: u64 = 64 * 1024;
+const COUNTING_UNIT_BYTES: u64 = 64 * 1024;
 /// Of the time that a node takes to be warm: for so long the broker that it falls to is waited for, where it is not to be
 /// seen.
-const GRACE: f64 = 1.0 / 3.0;
+const TAKEOVER_RATIO: f64 = 1.0 / 3.0;
 
 /// A node that has started not long ago.
 #[derive(Clone, Debug, PartialEq)]
@@ -37,47 +37,54 @@
 impl SlowStartPolicy {
     /// What fills may bring to a node of this age: all brokers together never more than the multiple of the part that it
     /// has by now of a warm one's `rate`. `part`: ours of that. The room for chance above it is left to the scans.
-    pub fn room(&self, age: f64, multiple: f64, rate: f64, part: f64) -> Room {
+    pub fn fill_capacity(&self, age: f64, multiple: f64, rate: f64, part: f64) -> Room {
         let share =
             self.initial_share + (1.0 - self.initial_share) * (age / self.warm_up_seconds).clamp(0.0, 1.0);
-        let expected = multiple * share * rate * self.window_seconds / UNIT as f64 * part;
+        let expected = multiple * share * rate * self.window_seconds / COUNTING_UNIT_BYTES as f64 * part;
         Room { expected, taken: bound(expected) - expected }
     }
 }
 
-impl Host {
-    pub(super) fn cold_nodes(&self, now: f64) -> Vec<StartedNode> {
-        let Some(warming) = self.warming else { return Vec::new() };
-        let all = self.started.load();
+impl ControlLoop {
+    pub(super) fn warming_nodes(&self, now: f64) -> Vec<StartedNode> {
+        let Some(warming) = self.slow_start else { return Vec::new() };
+        let all = self.started_nodes.load();
         all.iter().filter(|it| now < it.started_at + warming.warm_up_seconds).cloned().collect()
     }
 
     /// Rule 4 over all brokers together, and by the stricter of the deployment and the versions.
-    pub(super) fn cold(&self, now: f64, lane: Lane) -> Cold {
-        let window = self.warming.map_or(1.0, |warming| warming.window_seconds);
-        let part = self.part(lane);
+    pub(super) fn warming_capacity(&self, now: f64, lane: Lane) -> Cold {
+        let window = self.slow_start.map_or(1.0, |warming| warming.window_seconds);
+        let part = self.capacity_part(lane);
         let agreed =
             self.member.active_config().rules(now).map_or(f64::INFINITY, |rules| rules.slow_start_multiple);
         let room = |it: &StartedNode| {
-            let warming = self.warming?;
+            let warming = self.slow_start?;
             let multiple = warming.capacity_multiple.min(agreed);
-            Some((it.node.clone(), warming.room(now - it.started_at, multiple, self.rate, part)))
+            Some((
+                it.node.clone(),
+                warming.fill_capacity(now - it.started_at, multiple, self.fill_bytes_per_second, part),
+            ))
         };
-        Cold { window, unit: UNIT, rooms: self.cold_nodes(now).iter().filter_map(room).collect() }
+        Cold {
+            window,
+            unit: COUNTING_UNIT_BYTES,
+            rooms: self.warming_nodes(now).iter().filter_map(room).collect(),
+        }
     }
 
     /// How much of what is bounded over all brokers a planner here may use: the leader's half and the brokers' half, where
     /// brokers have fills of their own.
-    pub(super) fn part(&self, lane: Lane) -> f64 {
+    pub(super) fn capacity_part(&self, lane: Lane) -> f64 {
         match lane {
-            Lane::Version if self.debts.warm => 0.5,
+            Lane::Version if self.settlement.fill_started_nodes => 0.5,
             Lane::Version => 1.0,
-            Lane::Own => 0.5 / self.brokers().len() as f64,
+            Lane::Own => 0.5 / self.all_brokers().len() as f64,
         }
     }
 
     /// Whom a holder falls to: one of its partner's brokers, or of all if that has none; the same for all that ask.
-    fn falls_to(
+    fn is_responsible_for(
         &self,
         holder: &str,
         partner: &str,
@@ -85,32 +92,36 @@
         now: f64,
         cold: &StartedNode,
     ) -> bool {
-        let sides = &self.counting.sides;
+        let sides = &self.traffic.sides;
         let its = |broker: &&String| sides.of(broker) == Some(partner);
         let any = brokers.iter().any(|broker| its(&broker));
         let mut of: Vec<&String> = brokers.iter().filter(|broker| !any || its(broker)).collect();
-        of.sort_by_key(|broker| mixed(holder, broker));
-        let waited = self.warming.is_some_and(|it| now >= cold.started_at + GRACE * it.warm_up_seconds);
+        of.sort_by_key(|broker| rendezvous_hash(holder, broker));
+        let waited =
+            self.slow_start.is_some_and(|it| now >= cold.started_at + TAKEOVER_RATIO * it.warm_up_seconds);
         // Cut off from the first it may be filled by both: under the same id, which settles once.
-        let first = if waited { of.iter().find(|broker| self.is_here(broker)) } else { of.first() };
+        let first = if waited { of.iter().find(|broker| self.is_alive(broker)) } else { of.first() };
         first.is_some_and(|broker| **broker == self.name)
     }
 
     /// Cold holders of the map in force that fall to this broker, whether it has a lease or not.
-    pub(super) fn own_needs(&self, now: f64) -> Vec<Need> {
-        let cold = self.cold_nodes(now);
+    pub(super) fn own_fill_needs(&self, now: f64) -> Vec<Need> {
+        let cold = self.warming_nodes(now);
         let acting = self.member.active_config();
-        let Some(proof) = acting.map(now).filter(|_| self.debts.warm && !cold.is_empty()) else {
+        let Some(proof) = acting.map(now).filter(|_| self.settlement.fill_started_nodes && !cold.is_empty())
+        else {
             return Vec::new();
         };
-        let brokers = self.brokers();
+        let brokers = self.all_brokers();
         let is_cold = |node: &str| cold.iter().find(|it| it.node == node);
         let mut needs = Vec::new();
         for segment in proof.segments() {
             for holder in segment.replicas.iter().filter(|holder| proof.is_filled(segment, &holder.node)) {
                 let Some(started) = is_cold(&holder.node) else { continue };
                 let node = &holder.node;
-                if acting.is_excluded(node) || !self.falls_to(node, &holder.partner, &brokers, now, started) {
+                if acting.is_excluded(node)
+                    || !self.is_responsible_for(node, &holder.partner, &brokers, now, started)
+                {
                     continue;
                 }
                 let warm = segment.replicas.iter().filter(|it| {
@@ -124,50 +135,50 @@
                     holder: node.clone(),
                     holder_partner: holder.partner.clone(),
                     sources: warm.map(|it| (it.node.clone(), it.partner.clone())).collect(),
-                    bytes: self.warm.segment,
+                    bytes: self.own_fills.segment_bytes,
                     start: started.incarnation,
                 });
             }
         }
         // The same start under a later version is the same fill.
-        let warmed = &self.debts.promises.warmed;
+        let warmed = &self.settlement.commitments.finished;
         needs.retain(|need| !warmed.contains(&(need.segment, need.holder.clone(), need.start)));
         needs
     }
 
     /// Before a fill of our own begins: its promise stands in the folder. False if it could not be written.
-    pub(super) fn pledge(&mut self, fill: &Fill) -> bool {
-        let ledger = self.counting.book.ledger().clone();
+    pub(super) fn commit_fill(&mut self, fill: &Fill) -> bool {
+        let ledger = self.traffic.balances.ledger().clone();
         if let Some(settlement) = &fill.settles
-            && let Err(e) = self.debts.promises.shares.promise(&ledger, settlement.clone())
+            && let Err(e) = self.settlement.commitments.shares.promise(&ledger, settlement.clone())
         {
             tracing::warn!("fleet: fill {}: {e} ({})", fill.id, e.help());
             return false;
         }
-        let pledged = super::debts::Pledged { fill: fill.clone(), done: false };
-        self.debts.promises.fills.insert(fill.id.clone(), pledged);
-        if !self.save_promises() {
-            self.forgo(&fill.id);
+        let pledged = super::settlements::CommittedFill { fill: fill.clone(), done: false };
+        self.settlement.commitments.fills.insert(fill.id.clone(), pledged);
+        if !self.save_commitments() {
+            self.abandon_commitment(&fill.id);
             return false;
         }
         true
     }
 
     /// It came to nothing. Written later: until then a restart goes on with it.
-    pub(super) fn forgo(&mut self, fill: &str) {
-        self.debts.promises.shares.forgo(fill);
-        self.debts.promises.fills.remove(fill);
-        self.debts.unsaved = true;
+    pub(super) fn abandon_commitment(&mut self, fill: &str) {
+        self.settlement.commitments.shares.forgo(fill);
+        self.settlement.commitments.fills.remove(fill);
+        self.settlement.unsaved = true;
     }
 
     pub(super) fn started_now(&self) -> Arc<Vec<StartedNode>> {
-        self.started.load_full()
+        self.started_nodes.load_full()
     }
 }
 
 /// Some number of both names, spread evenly.
-fn mixed(holder: &str, broker: &str) -> u64 {
-    let mut sum = crate::name_sum(holder) ^ crate::name_sum(broker).rotate_left(31);
+fn rendezvous_hash(holder: &str, broker: &str) -> u64 {
+    let mut sum = crate::name_hash(holder) ^ crate::name_hash(broker).rotate_left(31);
     for _ in 0..2 {
         sum = (sum ^ (sum >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     }
@@ -186,14 +197,14 @@
             capacity_multiple: 2.0,
             window_seconds: 2.0,
         };
-        let rate = (64 * UNIT) as f64;
+        let rate = (64 * COUNTING_UNIT_BYTES) as f64;
         let cap = |age: f64, part: f64| {
-            let rooms = [("s".to_string(), warming.room(age, 1.5, rate, part))].into();
-            Cold { window: 2.0, unit: UNIT, rooms }.cap("s")
+            let rooms = [("s".to_string(), warming.fill_capacity(age, 1.5, rate, part))].into();
+            Cold { window: 2.0, unit: COUNTING_UNIT_BYTES, rooms }.cap("s")
         };
         for (age, share) in [(0.0, 0.25), (5.0, 0.625), (10.0, 1.0), (99.0, 1.0)] {
             let most = 1.5 * share * rate;
-            assert!(cap(age, 1.0) <= most && cap(age, 1.0) > most - UNIT as f64, "at {age}");
+            assert!(cap(age, 1.0) <= most && cap(age, 1.0) > most - COUNTING_UNIT_BYTES as f64, "at {age}");
             assert!(0.5 * most >= cap(age, 0.5) && 4.0 * cap(age, 0.125) <= 0.5 * most);
         }
     }
@@ -202,7 +213,7 @@
     fn holders_fall_to_all_brokers_alike() {
         let mut held = [0; 5];
         for holder in 0..1000 {
-            let of = |broker: &usize| mixed(&format!("s-{holder}"), &format!("n{broker}"));
+            let of = |broker: &usize| rendezvous_hash(&format!("s-{holder}"), &format!("n{broker}"));
             held[(0..5).min_by_key(of).unwrap()] += 1;
         }
         assert!(held.iter().all(|count| (150..250).contains(count)), "{held:?}");
--- a/crates/dunepond-control-plane/src/folder.rs
+++ b/crates/dunepond-control-plane/src/data_directory.rs
@@ -12,32 +12,32 @@
 use dunepond_storage::{DiskStore as Directory, FileFault, FileStore, Journal, SnapshotStore};
 use tracing::{error, info, warn};
 
+use crate::control_loop::Commitments;
 use crate::error::ControlPlaneError;
-use crate::host::Promises;
 
 /// Of all files here; one of a later version is left alone.
-const VERSION: u32 = 1;
+const FORMAT_VERSION: u32 = 1;
 /// A journal longer than this begins anew with one record of all.
-const LONG: u64 = 1 << 20;
+const MAX_JOURNAL_BYTES: u64 = 1 << 20;
 
-pub struct Folder {
+pub struct DataDirectory {
     /// Nothing at a broker that is no voter.
     journal: Option<Journal>,
-    kept: SnapshotStore,
+    config: SnapshotStore,
     counts: SnapshotStore,
-    promises: SnapshotStore,
-    last_kept: Vec<u8>,
+    commitments: SnapshotStore,
+    last_config: Vec<u8>,
     last_counts: Vec<u8>,
 }
 
 /// What the folder held when it was opened.
-pub struct Held {
+pub struct StoredState {
     /// This start's number: greater than that of any earlier one.
     pub incarnation: u64,
-    pub saved: StoredVoter,
-    pub kept: Option<PersistedState>,
+    pub voter_records: StoredVoter,
+    pub config: Option<PersistedState>,
     pub counts: Option<debts::Tally>,
-    pub promises: Option<Promises>,
+    pub commitments: Option<Commitments>,
 }
 
 /// Whether the folder is a copy of the one that was written here, as a backup brings it back. What a voter has promised
@@ -66,7 +66,7 @@
 }
 
 /// The newest that is whole and can be read; all else is named and left aside.
-fn newest(snapshots: &SnapshotStore, name: &str) -> std::io::Result<Option<Vec<u8>>> {
+fn load_newest(snapshots: &SnapshotStore, name: &str) -> std::io::Result<Option<Vec<u8>>> {
     let found = snapshots.load()?;
     for (file, fault) in &found.faults {
         warn!("fleet: {file}: {fault}; it is not believed");
@@ -78,7 +78,7 @@
     Ok(newest)
 }
 
-impl Folder {
+impl DataDirectory {
     /// `files` stands in for the directory in the laboratory. `now`: Unix milliseconds, for a start number that a lost
     /// folder does not bring back.
     pub fn open(
@@ -86,15 +86,15 @@
         files: Option<Arc<dyn FileStore>>,
         voter: bool,
         now: u64,
-    ) -> Result<(Self, Held), ControlPlaneError> {
-        let failed = |why: String| ControlPlaneError::Folder { path: path.to_path_buf(), why };
+    ) -> Result<(Self, StoredState), ControlPlaneError> {
+        let failed = |why: String| ControlPlaneError::DataDirectory { path: path.to_path_buf(), why };
         let real = files.is_none();
         let files: Arc<dyn FileStore> = match files {
             Some(files) => files,
             None => Arc::new(Directory::open(path).map_err(|e| failed(e.to_string()))?),
         };
-        let snapshots = |name: &str| SnapshotStore::new(files.clone(), name, VERSION);
-        let read = |name: &str| newest(&snapshots(name), name).map_err(|e| failed(e.to_string()));
+        let snapshots = |name: &str| SnapshotStore::new(files.clone(), name, FORMAT_VERSION);
+        let read = |name: &str| load_newest(&snapshots(name), name).map_err(|e| failed(e.to_string()));
         let last = read("starts")?.and_then(|bytes| postcard::from_bytes::<u64>(&bytes).ok());
         let incarnation = last.map_or(now, |last| now.max(last + 1));
         let starts = postcard::to_stdvec(&incarnation).map_err(|e| failed(e.to_string()))?;
@@ -123,7 +123,7 @@
         let (mut saved, mut lost) = (StoredVoter::new(), false);
         let journal = if voter {
             let (mut journal, recovered) =
-                Journal::open(files.clone(), "voter", VERSION).map_err(|e| failed(e.to_string()))?;
+                Journal::open(files.clone(), "voter", FORMAT_VERSION).map_err(|e| failed(e.to_string()))?;
             match &recovered.fault {
                 // Its writer went while it wrote; nobody has been told of it.
                 Some(FileFault::Truncated) => {
@@ -165,49 +165,52 @@
         };
         let folder = Self {
             journal,
-            kept: snapshots("kept"),
+            config: snapshots("kept"),
             counts: snapshots("counts"),
-            promises: snapshots("promises"),
-            last_kept: Vec::new(),
+            commitments: snapshots("promises"),
+            last_config: Vec::new(),
             last_counts: Vec::new(),
         };
-        Ok((folder, Held { incarnation, saved, kept, counts, promises }))
+        Ok((
+            folder,
+            StoredState { incarnation, voter_records: saved, config: kept, counts, commitments: promises },
+        ))
     }
 
     /// Appends what a voter has to keep and waits until it is on the disk.
-    pub fn save(&mut self, record: &[u8]) -> std::io::Result<()> {
+    pub fn append_to_journal(&mut self, record: &[u8]) -> std::io::Result<()> {
         let Some(journal) = &mut self.journal else { return Ok(()) };
         journal.append(record)?;
         journal.sync()
     }
 
     /// The journal has grown long.
-    pub fn is_long(&self) -> bool {
-        self.journal.as_ref().is_some_and(|journal| journal.length() > LONG)
+    pub fn journal_is_long(&self) -> bool {
+        self.journal.as_ref().is_some_and(|journal| journal.length() > MAX_JOURNAL_BYTES)
     }
 
     /// Begins the journal anew with one record of all that the voter has to keep.
-    pub fn rewrite(&mut self, whole: Vec<u8>) -> std::io::Result<()> {
+    pub fn rewrite_journal(&mut self, whole: Vec<u8>) -> std::io::Result<()> {
         self.journal.as_mut().map_or(Ok(()), |journal| journal.rewrite(&[whole]))
     }
 
-    pub fn keep(&mut self, kept: &PersistedState) -> std::io::Result<()> {
+    pub fn save_config(&mut self, kept: &PersistedState) -> std::io::Result<()> {
         let bytes = kept.encode();
-        if bytes != self.last_kept {
-            self.kept.write(&bytes)?;
-            self.last_kept = bytes;
+        if bytes != self.last_config {
+            self.config.write(&bytes)?;
+            self.last_config = bytes;
         }
         Ok(())
     }
 
     /// Written before anything rests on them.
-    pub fn promise(&mut self, promises: &Promises) -> std::io::Result<()> {
+    pub fn save_commitments(&mut self, promises: &Commitments) -> std::io::Result<()> {
         let bytes = postcard::to_stdvec(promises).map_err(std::io::Error::other)?;
-        self.promises.write(&bytes).map(drop)
+        self.commitments.write(&bytes).map(drop)
     }
 
     /// Written before any peer is told of them.
-    pub fn count(&mut self, counts: &debts::Tally) -> std::io::Result<()> {
+    pub fn save_counts(&mut self, counts: &debts::Tally) -> std::io::Result<()> {
         let bytes = postcard::to_stdvec(counts).map_err(std::io::Error::other)?;
         if bytes != self.last_counts {
             self.counts.write(&bytes)?;
--- a/crates/dunepond-control-plane/src/version.rs
+++ b/crates/dunepond-control-plane/src/documents.rs
@@ -14,18 +14,18 @@
 
 /// Bytes of a version at most: what is agreed, two versions and all settlements that are remembered, has to go to a voter
 /// in one message ([`crate::LONGEST_MESSAGE`]).
-pub const LONGEST: usize = 3 << 20;
+pub const MAX_DOCUMENT_BYTES: usize = 3 << 20;
 
 /// What an operator's file asks for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Document {
     Version(Box<ConfigVersion>),
     Voters(VoterChange),
 }
 
-impl Word {
+impl Document {
     /// For the log.
-    pub fn named(&self) -> String {
+    pub fn name(&self) -> String {
         match self {
             Self::Version(version) => format!("version {}", version.number),
             Self::Voters(voting) => format!("voters {}", voting.number),
@@ -41,53 +41,54 @@
 }
 
 /// Reads a version, or, where the document has `voters`, who shall vote.
-pub fn word(
+pub fn read_document(
     path: &Path,
     table_types: usize,
     nodes: &[Node],
     terms: &MapConstraints,
-) -> Result<Word, VersionError> {
-    let text = text(path)?;
+) -> Result<Document, VersionError> {
+    let text = read_text(path)?;
     let is_voters = serde_json::from_str::<serde_json::Value>(&text).is_ok_and(|v| v.get("voters").is_some());
     if !is_voters {
-        return read(path, table_types, nodes, terms).map(|version| Word::Version(Box::new(version)));
+        return read_version(path, table_types, nodes, terms)
+            .map(|version| Document::Version(Box::new(version)));
     }
-    let voting: VoterChange = serde_json::from_str(&text).map_err(|e| unread(path, &e))?;
+    let voting: VoterChange = serde_json::from_str(&text).map_err(|e| parse_error(path, &e))?;
     let address = |at: &String| at.parse::<SocketAddr>().is_err();
     if let Some(voter) = voting.voters.iter().find(|voter| voter.address.as_ref().is_some_and(address)) {
         let (name, at) = (voter.name.clone(), voter.address.clone().unwrap_or_default());
-        return Err(VersionError::Voter { path: path.to_path_buf(), name, at });
+        return Err(VersionError::VoterAddress { path: path.to_path_buf(), name, at });
     }
-    Ok(Word::Voters(voting))
+    Ok(Document::Voters(voting))
 }
 
-fn text(path: &Path) -> Result<String, VersionError> {
+fn read_text(path: &Path) -> Result<String, VersionError> {
     std::fs::read_to_string(path).map_err(|e| match e.kind() {
-        ErrorKind::NotFound => VersionError::NotThere { path: path.to_path_buf() },
+        ErrorKind::NotFound => VersionError::NotFound { path: path.to_path_buf() },
         _ => VersionError::Unreadable { path: path.to_path_buf(), why: e.to_string() },
     })
 }
 
-fn unread(path: &Path, e: &serde_json::Error) -> VersionError {
+fn parse_error(path: &Path, e: &serde_json::Error) -> VersionError {
     let (line, column) = (e.line(), e.column());
-    VersionError::NotAVersion { path: path.to_path_buf(), line, column, why: e.to_string() }
+    VersionError::Invalid { path: path.to_path_buf(), line, column, why: e.to_string() }
 }
 
 /// Reads a version. A map without a digest gets its own. `nodes`: as discovery lists them, or none to leave them out.
-pub fn read(
+pub fn read_version(
     path: &Path,
     table_types: usize,
     nodes: &[Node],
     terms: &MapConstraints,
 ) -> Result<ConfigVersion, VersionError> {
     let owned = || path.to_path_buf();
-    let text = text(path)?;
-    let mut version: ConfigVersion = serde_json::from_str(&text).map_err(|e| unread(path, &e))?;
-    version.extensions = more(path, &text, &version)?;
-    rules(path, &version.rules, table_types)?;
+    let text = read_text(path)?;
+    let mut version: ConfigVersion = serde_json::from_str(&text).map_err(|e| parse_error(path, &e))?;
+    version.extensions = unknown_keys(path, &text, &version)?;
+    check_rules(path, &version.rules, table_types)?;
     if let Some(map) = version.map.take() {
         let map = if map.digest.is_empty() { map.with_digest() } else { map };
-        if let Err(faults) = dunepond_shard_map::verify(&map, &judging(nodes, &map), terms) {
+        if let Err(faults) = dunepond_shard_map::verify(&map, &nodes_with_partners(nodes, &map), terms) {
             let first = faults.first();
             return Err(VersionError::Map {
                 path: owned(),
@@ -99,19 +100,21 @@
         version.map = Some(map);
     }
     match version.packed().len() {
-        bytes if bytes > LONGEST => Err(VersionError::TooLong { path: owned(), bytes, most: LONGEST }),
+        bytes if bytes > MAX_DOCUMENT_BYTES => {
+            Err(VersionError::TooLarge { path: owned(), bytes, most: MAX_DOCUMENT_BYTES })
+        }
         _ => Ok(version),
     }
 }
 
 /// Keys that this program does not know: kept beside the others, unless they have to be known. Inside rules, standings and
 /// maps all have; beside those, what the list `must` names.
-fn more(path: &Path, text: &str, version: &ConfigVersion) -> Result<Vec<Extension>, VersionError> {
-    let given: Value = serde_json::from_str(text).map_err(|e| unread(path, &e))?;
-    let known = serde_json::to_value(version).map_err(|e| unread(path, &e))?;
+fn unknown_keys(path: &Path, text: &str, version: &ConfigVersion) -> Result<Vec<Extension>, VersionError> {
+    let given: Value = serde_json::from_str(text).map_err(|e| parse_error(path, &e))?;
+    let known = serde_json::to_value(version).map_err(|e| parse_error(path, &e))?;
     let must = given.get("must").and_then(Value::as_array).cloned().unwrap_or_default();
     let (mut found, mut more) = (Vec::new(), Vec::new());
-    beyond(&given, &known, "", &mut found);
+    collect_unknown(&given, &known, "", &mut found);
     for (key, value) in found.into_iter().filter(|(key, _)| key != "must") {
         if key.contains('.') || must.iter().any(|name| *name == key) {
             return Err(VersionError::UnknownKey { path: path.to_path_buf(), key });
@@ -122,27 +125,27 @@
 }
 
 /// What `given` has and `known` has not, by its keys.
-fn beyond(given: &Value, known: &Value, at: &str, found: &mut Vec<(String, Value)>) {
+fn collect_unknown(given: &Value, known: &Value, at: &str, found: &mut Vec<(String, Value)>) {
     match (given, known) {
         (Value::Object(given), Value::Object(known)) => {
             for (key, value) in given {
                 let at = if at.is_empty() { key.clone() } else { format!("{at}.{key}") };
                 match known.get(key) {
-                    Some(known) => beyond(value, known, &at, found),
+                    Some(known) => collect_unknown(value, known, &at, found),
                     None => found.push((at, value.clone())),
                 }
             }
         }
         (Value::Array(given), Value::Array(known)) => {
             let pairs = given.iter().zip(known).enumerate();
-            pairs.for_each(|(n, (given, known))| beyond(given, known, &format!("{at}.{n}"), found));
+            pairs.for_each(|(n, (given, known))| collect_unknown(given, known, &format!("{at}.{n}"), found));
         }
         _ => {}
     }
 }
 
 /// The nodes that the map is judged by: where the operator's file names no partner for a node, the map says whose it is.
-fn judging(nodes: &[Node], map: &ShardMap) -> Vec<Node> {
+fn nodes_with_partners(nodes: &[Node], map: &ShardMap) -> Vec<Node> {
     let holders = map.segments.iter().flat_map(|segment| &segment.replicas);
     let said: HashMap<_, _> = holders.map(|holder| (holder.node.as_str(), holder.partner.as_str())).collect();
     let judged = nodes.iter().map(|node| match said.get(node.name.as_str()) {
@@ -152,11 +155,11 @@
     judged.collect()
 }
 
-fn rules(path: &Path, rules: &RoutingRules, table_types: usize) -> Result<(), VersionError> {
+fn check_rules(path: &Path, rules: &RoutingRules, table_types: usize) -> Result<(), VersionError> {
     for (key, list) in [("least", &rules.minimum_shares), ("whole_at", &rules.complete_at)] {
         let (path, found) = (path.to_path_buf(), list.len());
         if found != table_types {
-            return Err(VersionError::TableTypes { path, key, found, expected: table_types });
+            return Err(VersionError::QueryClassCount { path, key, found, expected: table_types });
         }
         if let Some(value) = list.iter().copied().find(|share| !(0.0..=1.0).contains(share)) {
             return Err(VersionError::Rule { path, key, value, expected: "a share from 0 to 1" });
@@ -197,7 +200,7 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("version.json");
         std::fs::write(&path, value.to_string()).unwrap();
-        read(&path, 2, nodes, &MapConstraints { min_replicas: 2, min_zones: 1 })
+        read_version(&path, 2, nodes, &MapConstraints { min_replicas: 2, min_zones: 1 })
     }
 
     #[test]
@@ -236,30 +239,30 @@
         assert_eq!(refused(&must), "omens");
     }
 
-    fn word_as(value: &Value) -> Result<Word, VersionError> {
+    fn word_as(value: &Value) -> Result<Document, VersionError> {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("version.json");
         std::fs::write(&path, value.to_string()).unwrap();
-        word(&path, 2, &[], &MapConstraints { min_replicas: 2, min_zones: 1 })
+        read_document(&path, 2, &[], &MapConstraints { min_replicas: 2, min_zones: 1 })
     }
 
     #[test]
     fn a_document_of_voters_is_one_of_its_own() {
         let good = json!({"number": 1, "who": "mara", "why": "n3 is worn out", "at": 0.0,
             "voters": [{"name": "n1"}, {"name": "n4", "at": "10.1.0.4:7400"}]});
-        let Ok(Word::Voters(voting)) = word_as(&good) else { panic!("voters") };
+        let Ok(Document::Voters(voting)) = word_as(&good) else { panic!("voters") };
         assert_eq!((voting.number, voting.voters[0].address.as_deref()), (1, None));
-        assert!(matches!(word_as(&documented()), Ok(Word::Version(_))));
+        assert!(matches!(word_as(&documented()), Ok(Document::Version(_))));
         let (mut nowhere, mut unnumbered) = (good.clone(), good);
         *nowhere.pointer_mut("/voters/1/at").unwrap() = json!("n4:7400");
-        assert!(matches!(word_as(&nowhere), Err(VersionError::Voter { .. })));
+        assert!(matches!(word_as(&nowhere), Err(VersionError::VoterAddress { .. })));
         unnumbered.as_object_mut().unwrap().remove("number");
-        assert!(matches!(word_as(&unnumbered), Err(VersionError::NotAVersion { .. })));
+        assert!(matches!(word_as(&unnumbered), Err(VersionError::Invalid { .. })));
     }
 
     #[rstest]
-    #[case::a_key_is_missing("/rules/repeats", Value::Null, "NotAVersion")]
-    #[case::an_entry_too_few("/rules/least", json!([0.5]), "TableTypes")]
+    #[case::a_key_is_missing("/rules/repeats", Value::Null, "Invalid")]
+    #[case::an_entry_too_few("/rules/least", json!([0.5]), "QueryClassCount")]
     #[case::no_share("/rules/whole_at", json!([0.5, 1.5]), "Rule")]
     #[case::no_dispatch("/rules/dispatch_cap", json!(0), "Rule")]
     #[case::below_nothing("/rules/budget_free", json!(-1.0), "Rule")]
--- a/crates/dunepond-control-plane/src/error.rs
+++ b/crates/dunepond-control-plane/src/error.rs
@@ -11,19 +11,19 @@
     #[error("{0}")]
     Terms(#[from] ConsensusConfigError),
     #[error("links: {0}")]
-    Peers(#[from] PeerError),
+    Links(#[from] PeerError),
     #[error("folder {path}: {why}")]
-    Folder { path: PathBuf, why: String },
+    DataDirectory { path: PathBuf, why: String },
     #[error("key {path}: {why}")]
     Key { path: PathBuf, why: String },
     #[error("record {path}: {why}")]
-    Record { path: PathBuf, why: String },
+    AuditLog { path: PathBuf, why: String },
     #[error("the thread cannot be started: {why}")]
     Thread { why: String },
     #[error("word on a lost majority {path}: {why}")]
-    Word { path: PathBuf, why: String, help: String },
+    LostMajority { path: PathBuf, why: String, help: String },
     #[error("agreement: {why}")]
-    Agree { why: String, help: String },
+    Consensus { why: String, help: String },
 }
 
 impl ControlPlaneError {
@@ -31,18 +31,18 @@
     pub fn help(&self) -> String {
         match self {
             Self::Terms(error) => error.help().to_string(),
-            Self::Peers(error) => error.help().to_string(),
-            Self::Folder { .. } => {
+            Self::Links(error) => error.help().to_string(),
+            Self::DataDirectory { .. } => {
                 "give 'folder' a directory that this broker alone may write to".to_string()
             }
             Self::Key { .. } => {
                 "give 'key' a readable file with 16 bytes or more, the same at all brokers".to_string()
             }
-            Self::Record { .. } => "give 'record' a file that this broker may append to".to_string(),
+            Self::AuditLog { .. } => "give 'record' a file that this broker may append to".to_string(),
             Self::Thread { .. } => {
                 "the machine has no room for a further thread: look at its limits".to_string()
             }
-            Self::Agree { help, .. } | Self::Word { help, .. } => help.clone(),
+            Self::Consensus { help, .. } | Self::LostMajority { help, .. } => help.clone(),
         }
     }
 }
@@ -51,19 +51,19 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum VersionError {
     #[error("{path}: is not there")]
-    NotThere { path: PathBuf },
+    NotFound { path: PathBuf },
     #[error("{path}: {why}")]
     Unreadable { path: PathBuf, why: String },
     #[error("{path}:{line}:{column}: {why}")]
-    NotAVersion { path: PathBuf, line: usize, column: usize, why: String },
+    Invalid { path: PathBuf, line: usize, column: usize, why: String },
     #[error("{path}: rules: {key} has {found} entries, this deployment has {expected} table types")]
-    TableTypes { path: PathBuf, key: &'static str, found: usize, expected: usize },
+    QueryClassCount { path: PathBuf, key: &'static str, found: usize, expected: usize },
     #[error("{path}: rules: {key} is {value}, not {expected}")]
     Rule { path: PathBuf, key: &'static str, value: f64, expected: &'static str },
     #[error("{path}: it comes to {bytes} bytes, more than the {most} that a version may have")]
-    TooLong { path: PathBuf, bytes: usize, most: usize },
+    TooLarge { path: PathBuf, bytes: usize, most: usize },
     #[error("{path}: voter {name}: at is {at:?}, not an address and port")]
-    Voter { path: PathBuf, name: String, at: String },
+    VoterAddress { path: PathBuf, name: String, at: String },
     #[error(
         "{path}: `{key}` is not known to this program, and a version's rules, standings and maps must be"
     )]
@@ -75,18 +75,18 @@
 impl VersionError {
     pub fn help(&self) -> &'static str {
         match self {
-            Self::NotThere { .. } => "nothing to do; to propose a version put it there and send SIGHUP",
+            Self::NotFound { .. } => "nothing to do; to propose a version put it there and send SIGHUP",
             Self::Unreadable { .. } => "make the file readable for this broker and send SIGHUP",
-            Self::NotAVersion { .. } => {
+            Self::Invalid { .. } => {
                 "write the version as docs/operators/fleet.md shows it, and send SIGHUP; nothing was changed"
             }
-            Self::TableTypes { .. } => "give each table type an entry, in the order of the settings",
+            Self::QueryClassCount { .. } => "give each table type an entry, in the order of the settings",
             Self::Rule { .. } => "put the value right and send SIGHUP; nothing was changed",
             Self::UnknownKey { .. } => {
                 "mend the key's name; or bring all brokers to the program that knows it, and propose it there"
             }
-            Self::Voter { .. } => "give `at` as 10.1.0.4:7400, or leave it out where each file has it",
-            Self::TooLong { .. } => "give the map fewer segments: join those that go together",
+            Self::VoterAddress { .. } => "give `at` as 10.1.0.4:7400, or leave it out where each file has it",
+            Self::TooLarge { .. } => "give the map fewer segments: join those that go together",
             Self::Map { .. } => {
                 "put the map right, or leave its digest empty to have it computed, and send SIGHUP"
             }
@@ -98,19 +98,19 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PlanError {
     #[error("{path}: is not there")]
-    NotThere { path: PathBuf },
+    NotFound { path: PathBuf },
     #[error("{path}: {why}")]
     Unreadable { path: PathBuf, why: String },
     #[error("{path}: {why}")]
-    NotAPlan { path: PathBuf, why: Box<dunepond_rebalance::MoveError> },
+    Invalid { path: PathBuf, why: Box<dunepond_rebalance::MoveError> },
 }
 
 impl PlanError {
     pub fn help(&self) -> &'static str {
         match self {
-            Self::NotThere { .. } => "nothing to do; to move segments put a plan there and send SIGHUP",
+            Self::NotFound { .. } => "nothing to do; to move segments put a plan there and send SIGHUP",
             Self::Unreadable { .. } => "make the file readable for this broker and send SIGHUP",
-            Self::NotAPlan { why, .. } => why.help(),
+            Self::Invalid { why, .. } => why.help(),
         }
     }
 }
@@ -150,31 +150,35 @@
         let at = || "127.0.0.1:1".to_string();
         let fleet = [
             ControlPlaneError::Terms(ConsensusConfigError::NoVoters),
-            ControlPlaneError::Peers(PeerError::Stopped),
-            ControlPlaneError::Folder { path: path.clone(), why: why.clone() },
+            ControlPlaneError::Links(PeerError::Stopped),
+            ControlPlaneError::DataDirectory { path: path.clone(), why: why.clone() },
             ControlPlaneError::Key { path: path.clone(), why: why.clone() },
-            ControlPlaneError::Record { path: path.clone(), why: why.clone() },
+            ControlPlaneError::AuditLog { path: path.clone(), why: why.clone() },
             ControlPlaneError::Thread { why: why.clone() },
-            ControlPlaneError::Agree { why: why.clone(), help: "look".to_string() },
-            ControlPlaneError::Word { path: path.clone(), why: why.clone(), help: "look".to_string() },
+            ControlPlaneError::Consensus { why: why.clone(), help: "look".to_string() },
+            ControlPlaneError::LostMajority {
+                path: path.clone(),
+                why: why.clone(),
+                help: "look".to_string(),
+            },
         ];
         assert!(fleet.iter().all(|e| !e.help().is_empty() && !e.to_string().is_empty()));
         let version = [
-            VersionError::NotThere { path: path.clone() },
+            VersionError::NotFound { path: path.clone() },
             VersionError::Unreadable { path: path.clone(), why: why.clone() },
-            VersionError::NotAVersion { path: path.clone(), line: 1, column: 2, why: why.clone() },
-            VersionError::TableTypes { path: path.clone(), key: "least", found: 1, expected: 2 },
+            VersionError::Invalid { path: path.clone(), line: 1, column: 2, why: why.clone() },
+            VersionError::QueryClassCount { path: path.clone(), key: "least", found: 1, expected: 2 },
             VersionError::Rule { path: path.clone(), key: "least", value: 2.0, expected: "a share" },
-            VersionError::TooLong { path: path.clone(), bytes: 2, most: 1 },
-            VersionError::Voter { path: path.clone(), name: "n4".to_string(), at: why.clone() },
+            VersionError::TooLarge { path: path.clone(), bytes: 2, most: 1 },
+            VersionError::VoterAddress { path: path.clone(), name: "n4".to_string(), at: why.clone() },
             VersionError::UnknownKey { path: path.clone(), key: "rules.x".to_string() },
             VersionError::Map { path, faults: 1, first: why.clone(), help: why.clone() },
         ];
         assert!(version.iter().all(|e| e.to_string().starts_with("/a/b") && !e.help().is_empty()));
         let plans = [
-            PlanError::NotThere { path: PathBuf::from("/a/b") },
+            PlanError::NotFound { path: PathBuf::from("/a/b") },
             PlanError::Unreadable { path: PathBuf::from("/a/b"), why: "no".to_string() },
-            PlanError::NotAPlan {
+            PlanError::Invalid {
                 path: PathBuf::from("/a/b"),
                 why: dunepond_rebalance::MoveError::NoId.into(),
             },
--- a/crates/dunepond-control-plane/src/why.rs
+++ b/crates/dunepond-control-plane/src/explain.rs
@@ -13,14 +13,14 @@
 use dunepond_shard_map::MapTransition;
 
 /// Bytes of one field, and of a whole line.
-const FIELD: usize = 160;
-pub const LONGEST: usize = 4 * FIELD + 64;
+const MAX_FIELD_BYTES: usize = 160;
+pub const MAX_LINE_BYTES: usize = 4 * MAX_FIELD_BYTES + 64;
 /// Of others that were weighed, so many are named.
-const NAMED: usize = 3;
+const MAX_NAMED_COUNT: usize = 3;
 
 /// What a line is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum About {
+pub enum Subject {
     Version,
     Refused,
     Fill,
@@ -32,7 +32,7 @@
     Entry,
 }
 
-impl About {
+impl Subject {
     pub fn name(self) -> &'static str {
         match self {
             Self::Version => "version",
@@ -49,56 +49,56 @@
 
 /// One decision.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Why {
-    pub about: About,
+pub struct Explanation {
+    pub subject: Subject,
     /// Which, and what became of it.
     pub what: String,
     /// On whose word.
-    pub word: String,
+    pub authority: String,
     /// Against which limit it was held.
     pub limit: String,
     /// What else there was to choose from, or stood beside it.
-    pub weighed: String,
+    pub alternatives: String,
 }
 
 /// An entry on its way, as far as a line names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Offer {
+pub struct ProposedEntry {
     what: String,
-    word: String,
+    authority: String,
 }
 
-impl Offer {
+impl ProposedEntry {
     /// `by`: the broker that offers it.
     pub fn of(entry: &Command, by: &str) -> Self {
         let what = match entry {
             Command::Propose(version) => format!("version {}", version.number),
             Command::FillCompleted { number, segment, holder } => {
-                format!("fill {number}/{segment}/{}", some(holder))
+                format!("fill {number}/{segment}/{}", shortened(holder))
             }
             Command::Activate { number } => format!("confirm {number}"),
             Command::Withdraw { number, .. } => format!("withdraw {number}"),
             _ => String::from("another entry"),
         };
-        let word = match entry {
-            Command::Propose(version) => format!("{}, by {}", words(version), some(by)),
-            Command::Withdraw { why, .. } => format!("{}, by {}", some(why), some(by)),
-            _ => some(by),
+        let authority = match entry {
+            Command::Propose(version) => format!("{}, by {}", proposer_and_reason(version), shortened(by)),
+            Command::Withdraw { why, .. } => format!("{}, by {}", shortened(why), shortened(by)),
+            _ => shortened(by),
         };
-        Self { what, word }
+        Self { what, authority }
     }
 
     /// One that stands in the log.
     pub fn logged(index: u64) -> Self {
-        Self { what: format!("entry {index} is ignored"), word: String::from("the agreed log") }
+        Self { what: format!("entry {index} is ignored"), authority: String::from("the agreed log") }
     }
 }
 
 /// Cut to so many bytes, in one line.
-fn cut(text: &str) -> String {
+fn truncated(text: &str) -> String {
     let mut short = String::new();
     for c in text.chars().map(|c| if c.is_control() { ' ' } else { c }) {
-        if short.len() + c.len_utf8() > FIELD - 3 {
+        if short.len() + c.len_utf8() > MAX_FIELD_BYTES - 3 {
             short.push_str("...");
             break;
         }
@@ -108,38 +108,44 @@
 }
 
 /// Names and reasons of others, each with its share of a field.
-fn some(text: &str) -> String {
+fn shortened(text: &str) -> String {
     match text.char_indices().nth(40) {
         Some((end, _)) => format!("{}...", &text[..end]),
         None => text.to_string(),
     }
 }
 
-fn named(all: impl Iterator<Item = String>) -> String {
+fn first_few(all: impl Iterator<Item = String>) -> String {
     let all: Vec<String> = all.collect();
-    let more = all.len().saturating_sub(NAMED);
-    let first = all.into_iter().take(NAMED).collect::<Vec<_>>().join(", ");
+    let more = all.len().saturating_sub(MAX_NAMED_COUNT);
+    let first = all.into_iter().take(MAX_NAMED_COUNT).collect::<Vec<_>>().join(", ");
     if more > 0 { format!("{first} and {more} more") } else { first }
 }
 
-impl Why {
-    fn new(about: About, what: &str, word: &str, limit: &str, weighed: &str) -> Self {
-        Self { about, what: cut(what), word: cut(word), limit: cut(limit), weighed: cut(weighed) }
+impl Explanation {
+    fn new(subject: Subject, what: &str, word: &str, limit: &str, weighed: &str) -> Self {
+        Self {
+            subject,
+            what: truncated(what),
+            authority: truncated(word),
+            limit: truncated(limit),
+            alternatives: truncated(weighed),
+        }
     }
 
     /// An entry of the agreed log that changed something; `state` as it stands behind it. Nothing for what is told at
     /// its own place ([`Why::settled`]) or has nobody's choice in it.
-    pub fn agreed(index: u64, change: &StateChange, state: &ReplicatedState) -> Option<Self> {
+    pub fn for_change(index: u64, change: &StateChange, state: &ReplicatedState) -> Option<Self> {
         let terms = &state.config;
-        let moves = || state.map_transition().map_or(String::from("no segment moves"), moved);
+        let moves = || state.map_transition().map_or(String::from("no segment moves"), changed_segments);
         match change {
             StateChange::Proposed(number) => {
                 let Some(open) = state.open.as_ref().filter(|open| open.version.number == *number) else {
                     // Others came with it, and ended it.
                     let past = state.history.iter().rev().find(|past| past.number == *number)?;
-                    let word = format!("{}: {}", some(&past.proposed_by), some(&past.reason));
+                    let word = format!("{}: {}", shortened(&past.proposed_by), shortened(&past.reason));
                     let what = format!("{number} was proposed, entry {index}");
-                    return Some(Self::new(About::Version, &what, &word, "", "it is over"));
+                    return Some(Self::new(Subject::Version, &what, &word, "", "it is over"));
                 };
                 let version = &open.version;
                 let what = format!("{number} is proposed, entry {index}");
@@ -155,7 +161,7 @@
                     moves(),
                     state.missing_fills()
                 );
-                Some(Self::new(About::Version, &what, &words(version), &limit, &weighed))
+                Some(Self::new(Subject::Version, &what, &proposer_and_reason(version), &limit, &weighed))
             }
             StateChange::Staged(number) => {
                 let open = state.open.as_ref()?;
@@ -165,14 +171,21 @@
                 };
                 let what = format!("{number} goes to {share} of the brokers first, entry {index}");
                 let limit = "the others stay joint until it is confirmed or withdrawn";
-                Some(Self::new(About::Version, &what, &words(&open.version), limit, &moves()))
+                Some(Self::new(Subject::Version, &what, &proposer_and_reason(&open.version), limit, &moves()))
             }
             StateChange::RollingBack(number) => {
                 let open = state.open.as_ref()?;
                 let what = format!("{number} is taken back, entry {index}");
                 let limit = format!("all are joint for {:.2} s more", state.quiescence_seconds(terms));
-                let weighed = format!("because: {}", some(open.withdraw_reason.as_deref().unwrap_or("")));
-                Some(Self::new(About::Version, &what, &words(&open.version), &limit, &weighed))
+                let weighed =
+                    format!("because: {}", shortened(open.withdraw_reason.as_deref().unwrap_or("")));
+                Some(Self::new(
+                    Subject::Version,
+                    &what,
+                    &proposer_and_reason(&open.version),
+                    &limit,
+                    &weighed,
+                ))
             }
             StateChange::Activated(number) | StateChange::Withdrawn(number) => {
                 let past = state.history.iter().rev().find(|past| past.number == *number)?;
@@ -180,23 +193,24 @@
                     ChangeEnd::Activated => {
                         (format!("{number} is in force, entry {index}"), String::from("all fills are done"))
                     }
-                    ChangeEnd::Withdrawn(why) => {
-                        (format!("{number} is withdrawn, entry {index}"), format!("because: {}", some(why)))
-                    }
+                    ChangeEnd::Withdrawn(why) => (
+                        format!("{number} is withdrawn, entry {index}"),
+                        format!("because: {}", shortened(why)),
+                    ),
                 };
-                let word = format!("{}: {}", some(&past.proposed_by), some(&past.reason));
+                let word = format!("{}: {}", shortened(&past.proposed_by), shortened(&past.reason));
                 let limit = format!(
                     "{} is in force, the next number is {}",
                     state.active_number(),
                     state.highest_number + 1
                 );
-                Some(Self::new(About::Version, &what, &word, &limit, &weighed))
+                Some(Self::new(Subject::Version, &what, &word, &limit, &weighed))
             }
             StateChange::FillCompleted { number, segment, holder } => {
-                let what = format!("{number}/{segment}/{} is filled, entry {index}", some(holder));
+                let what = format!("{number}/{segment}/{} is filled, entry {index}", shortened(holder));
                 let weighed = format!("{} fills are left", state.missing_fills());
                 let limit = format!("within {} s", terms.fill_deadline_seconds);
-                Some(Self::new(About::Fill, &what, "the leader's filler", &limit, &weighed))
+                Some(Self::new(Subject::Fill, &what, "the leader's filler", &limit, &weighed))
             }
             StateChange::Settlement(Agreed::Settle(_)) | StateChange::VoterSlot(_) => None,
             StateChange::Quota(generation) => {
@@ -205,50 +219,53 @@
                 let limit =
                     format!("{} units in each bound, all brokers together", dunepond_quota::TOTAL_UNITS);
                 let free = limits.shared.iter().flat_map(|bounds| &bounds.names);
-                let free =
-                    named(free.map(|name| format!("{} free of {}", limits.free_units(name), some(name))));
+                let free = first_few(
+                    free.map(|name| format!("{} free of {}", limits.free_units(name), shortened(name))),
+                );
                 let weighed = format!("{free}; {} brokers share", limits.brokers.len());
-                Some(Self::new(About::Limit, &what, "the leader, by what brokers need", &limit, &weighed))
+                Some(Self::new(Subject::Limit, &what, "the leader, by what brokers need", &limit, &weighed))
             }
             StateChange::Rebalance { plan, status: told } => {
-                let what = format!("plan {}, entry {index}: {}", some(plan), cut(told));
+                let what = format!("plan {}, entry {index}: {}", shortened(plan), truncated(told));
                 let limit = format!("{} of the segments at once", terms.max_changed_ratio);
                 let book = state.rebalance();
                 let running = book.running.as_ref().filter(|running| running.plan.id == *plan);
                 let word = running.map_or(String::from("as its beginning said"), |running| {
-                    format!("{}: {}", some(&running.plan.who), some(&running.plan.why))
+                    format!("{}: {}", shortened(&running.plan.who), shortened(&running.plan.why))
                 });
-                Some(Self::new(About::Move, &what, &word, &limit, &moves()))
+                Some(Self::new(Subject::Move, &what, &word, &limit, &moves()))
             }
             StateChange::VotersPending(number) | StateChange::VotersChanged(number) => {
                 let ends = if matches!(change, StateChange::VotersChanged(_)) { "is done" } else { "begins" };
                 let what = format!("change of voters {number} {ends}, entry {index}");
                 let limit = "one voter at a time, each majority with one of before";
                 let next = state.voters.pending.as_ref().filter(|next| next.number == *number);
-                let word = next.map(|next| format!("{}: {}", some(&next.proposed_by), some(&next.reason)));
+                let word =
+                    next.map(|next| format!("{}: {}", shortened(&next.proposed_by), shortened(&next.reason)));
                 let word = word.unwrap_or_else(|| String::from("as its beginning said"));
-                let weighed = named(state.voters.voters.iter().map(|voter| some(&voter.name)));
-                Some(Self::new(About::Voters, &what, &word, limit, &format!("voters: {weighed}")))
+                let weighed = first_few(state.voters.voters.iter().map(|voter| shortened(&voter.name)));
+                Some(Self::new(Subject::Voters, &what, &word, limit, &format!("voters: {weighed}")))
             }
             other => {
                 let what = format!("entry {index}: {other:?}");
-                Some(Self::new(About::Entry, &what, "the agreed log", "", ""))
+                Some(Self::new(Subject::Entry, &what, "the agreed log", "", ""))
             }
         }
     }
 
     /// What was asked for was not taken, or stands in the log and is ignored by all.
-    pub fn refused(offer: &Offer, why: &Rejection, state: &ReplicatedState) -> Self {
+    pub fn for_refusal(offer: &ProposedEntry, why: &Rejection, state: &ReplicatedState) -> Self {
         let open = state.open.as_ref().map_or(0, |open| open.version.number);
         let weighed =
             format!("in force {}, proposed {open}, next {}", state.active_number(), state.highest_number + 1);
-        Self::new(About::Refused, &offer.what, &offer.word, &why.to_string(), &weighed)
+        Self::new(Subject::Refused, &offer.what, &offer.authority, &why.to_string(), &weighed)
     }
 
     /// A fill as it is planned: why this source, among those of its need.
-    pub fn fill(fill: &Fill, need: Option<&Need>, book: &Book) -> Self {
+    pub fn for_fill(fill: &Fill, need: Option<&Need>, book: &Book) -> Self {
         let settles = fill.settles.as_ref().map_or(0, |settlement| settlement.bytes);
-        let what = format!("{} from {} of {}", some(&fill.id), some(&fill.source), some(&fill.from));
+        let what =
+            format!("{} from {} of {}", shortened(&fill.id), shortened(&fill.source), shortened(&fill.from));
         let word = format!("version {}, planned by the leader", fill.id.split('/').next().unwrap_or(""));
         let terms = book.terms();
         let limit = format!(
@@ -257,18 +274,23 @@
         );
         let others = need.into_iter().flat_map(|need| &need.sources).filter(|source| source.0 != fill.source);
         let other = |(node, partner): &(String, String)| {
-            format!("{} owed {}", some(node), book.open(partner, &fill.to))
+            format!("{} owed {}", shortened(node), book.open(partner, &fill.to))
         };
-        let others = named(others.map(other));
+        let others = first_few(others.map(other));
         let weighed = if others.is_empty() { String::from("no other source") } else { others };
-        Self::new(About::Fill, &what, &word, &limit, &weighed)
+        Self::new(Subject::Fill, &what, &word, &limit, &weighed)
     }
 
     /// A settlement as this broker's book takes it.
-    pub fn settled(settlement: &Settlement, book: &Book) -> Self {
+    pub fn for_settlement(settlement: &Settlement, book: &Book) -> Self {
         let Settlement { id, debtor, creditor, bytes, source, .. } = settlement;
-        let what = format!("{}: {bytes} bytes that {} owed {}", some(id), some(debtor), some(creditor));
-        let word = format!("{}, for a fill from {}", some(settlement.by()), some(source));
+        let what = format!(
+            "{}: {bytes} bytes that {} owed {}",
+            shortened(id),
+            shortened(debtor),
+            shortened(creditor)
+        );
+        let word = format!("{}, for a fill from {}", shortened(settlement.by()), shortened(source));
         let gross = book.gross(creditor, debtor);
         let limit =
             format!("{gross} bytes were seen, {} of them are settled", book.settled(debtor, creditor));
@@ -277,28 +299,28 @@
             book.open(debtor, creditor),
             book.open(creditor, debtor)
         );
-        Self::new(About::Settlement, &what, &word, &limit, &weighed)
+        Self::new(Subject::Settlement, &what, &word, &limit, &weighed)
     }
 
     /// Into the program's log.
-    pub fn tell(&self) {
-        let Self { about, what, word, limit, weighed } = self;
+    pub fn log(&self) {
+        let Self { subject: about, what, authority: word, limit, alternatives: weighed } = self;
         let about = about.name();
         tracing::info!(target: "dunepond::why", about, what, word, limit, weighed, "why");
     }
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { about, what, word, limit, weighed } = self;
+        let Self { subject: about, what, authority: word, limit, alternatives: weighed } = self;
         write!(f, "why {} {what} | word: {word} | limit: {limit} | weighed: {weighed}", about.name())
     }
 }
 
-fn words(version: &ConfigVersion) -> String {
-    format!("{}: {}", some(&version.proposed_by), some(&version.reason))
+fn proposer_and_reason(version: &ConfigVersion) -> String {
+    format!("{}: {}", shortened(&version.proposed_by), shortened(&version.reason))
 }
 
-fn moved(moving: &MapTransition) -> String {
+fn changed_segments(moving: &MapTransition) -> String {
     format!("{} of {} segments change", moving.changed_segments(), moving.to().len())
 }
--- a/crates/dunepond-control-plane/src/golden.rs
+++ b/crates/dunepond-control-plane/src/golden.rs
@@ -16,10 +16,10 @@
 use dunepond_simulation::fleet::terms;
 use dunepond_storage::{DiskStore as Directory, Journal, SnapshotStore};
 
-use crate::back;
-use crate::folder::{Folder, Held};
-use crate::host::{Pledged, Promises};
-use crate::version::{self, Word};
+use crate::control_loop::{Commitments, CommittedFill};
+use crate::data_directory::{DataDirectory, StoredState};
+use crate::documents::{self, Document};
+use crate::lost_majority;
 
 /// Unix milliseconds at which the stored folder was opened.
 const OPENED: u64 = 1_790_000_000_000;
@@ -99,18 +99,18 @@
     ledger
 }
 
-fn promises() -> Promises {
+fn promises() -> Commitments {
     let ledger = ledger();
     let mut shares = Shares::new("n1").unwrap();
     let promised = settlement("7/1/s-3+1790", "n1", 400);
     shares.promise(&ledger, promised.clone()).unwrap();
-    let pledged = |fill, done| Pledged { fill, done };
+    let pledged = |fill, done| CommittedFill { fill, done };
     let fills = BTreeMap::from([
         (text("7/1/s-3+1790"), pledged(fill("7/1/s-3+1790", Some(promised)), false)),
         (text("7/2/s-3+1790"), pledged(fill("7/2/s-3+1790", None), true)),
     ]);
     let warmed = BTreeSet::from([(2, text("s-3"), 1790), (4, text("s-2"), 12)]);
-    Promises { shares, ledger, known: 3, fills, warmed }
+    Commitments { shares, ledger, applied_entries: 3, fills, finished: warmed }
 }
 
 /// The records of a voter of three, with version 1 in force.
@@ -149,13 +149,13 @@
 fn a_folder_is_written_as_before() {
     let directory = tempfile::tempdir().unwrap();
     let files = Arc::new(Directory::open(directory.path()).unwrap());
-    let (mut folder, held) = Folder::open(directory.path(), Some(files), true, OPENED).unwrap();
+    let (mut folder, held) = DataDirectory::open(directory.path(), Some(files), true, OPENED).unwrap();
     assert_eq!(held.incarnation, OPENED);
-    assert!(held.kept.is_none() && held.counts.is_none() && held.promises.is_none());
-    records().iter().for_each(|record| folder.save(record).unwrap());
-    folder.keep(&kept()).unwrap();
-    folder.count(&tally()).unwrap();
-    folder.promise(&promises()).unwrap();
+    assert!(held.config.is_none() && held.counts.is_none() && held.commitments.is_none());
+    records().iter().for_each(|record| folder.append_to_journal(record).unwrap());
+    folder.save_config(&kept()).unwrap();
+    folder.save_counts(&tally()).unwrap();
+    folder.save_commitments(&promises()).unwrap();
 
     let mut expected: Vec<_> = SNAPSHOTS.map(|name| snapshot(name, 1)).into();
     expected.extend([text("dunepond.lock"), text(JOURNAL)]);
@@ -169,8 +169,9 @@
 #[test]
 fn a_stored_folder_is_read_and_continued() {
     let (directory, files) = copied();
-    let (mut folder, held) = Folder::open(directory.path(), Some(files), true, 0).unwrap();
-    let Held { incarnation, saved, kept: was_kept, counts, promises: promised } = held;
+    let (mut folder, held) = DataDirectory::open(directory.path(), Some(files), true, 0).unwrap();
+    let StoredState { incarnation, voter_records: saved, config: was_kept, counts, commitments: promised } =
+        held;
     // A clock that was set back does not bring an earlier start's number back.
     assert_eq!(incarnation, OPENED + 1);
     let (was_kept, counts, promised) = (was_kept.unwrap(), counts.unwrap(), promised.unwrap());
@@ -179,9 +180,9 @@
     let document: RecoveryOrder = serde_json::from_slice(&golden("majority-lost.json")).unwrap();
     assert_eq!(voter.recovery_position(), (document.folder_id, document.last_index));
 
-    folder.keep(&was_kept).unwrap();
-    folder.count(&counts).unwrap();
-    folder.promise(&promised).unwrap();
+    folder.save_config(&was_kept).unwrap();
+    folder.save_counts(&counts).unwrap();
+    folder.save_commitments(&promised).unwrap();
     let files: Arc<Directory> = Arc::new(Directory::open_read_only(directory.path()).unwrap());
     for name in ["counts", "kept", "promises"] {
         let newest = SnapshotStore::new(files.clone(), name, 1).load().unwrap().newest.unwrap();
@@ -196,28 +197,33 @@
 #[test]
 fn a_real_folder_marks_its_place_on_the_disk_as_before() {
     let directory = tempfile::tempdir().unwrap();
-    let (mut folder, _) = Folder::open(directory.path(), None, true, OPENED).unwrap();
-    folder.save(&records()[0]).unwrap();
+    let (mut folder, _) = DataDirectory::open(directory.path(), None, true, OPENED).unwrap();
+    folder.append_to_journal(&records()[0]).unwrap();
     drop(folder);
     let origin = directory.path().join("origin");
     let about = std::fs::metadata(&origin).unwrap();
     let made = about.created().unwrap().duration_since(UNIX_EPOCH).unwrap().as_nanos();
     assert_eq!(std::fs::read_to_string(&origin).unwrap(), format!("{} {made}", about.ino()));
-    let (_, held) = Folder::open(directory.path(), None, true, OPENED).unwrap();
+    let (_, held) = DataDirectory::open(directory.path(), None, true, OPENED).unwrap();
     let mut expected = StoredVoter::new();
     expected.apply_record(&records()[0]).unwrap();
-    assert_eq!(format!("{:?}", held.saved), format!("{expected:?}"), "the records of this very folder");
+    assert_eq!(
+        format!("{:?}", held.voter_records),
+        format!("{expected:?}"),
+        "the records of this very folder"
+    );
 }
 
 #[test]
 fn a_stored_word_on_a_lost_majority_is_obeyed_once() {
     let (directory, files) = copied();
-    let (mut folder, held) = Folder::open(directory.path(), Some(files), true, OPENED).unwrap();
+    let (mut folder, held) = DataDirectory::open(directory.path(), Some(files), true, OPENED).unwrap();
     let document = golden("majority-lost.json");
     let (file, done) =
         (directory.path().join("majority-lost.json"), directory.path().join("majority-lost.done"));
     std::fs::write(&file, &document).unwrap();
-    let voter = back::by_word(directory.path(), &mut folder, &terms("n1", 3), &held.saved, 0.0, 1);
+    let voter =
+        lost_majority::recover(directory.path(), &mut folder, &terms("n1", 3), &held.voter_records, 0.0, 1);
     let voter = voter.unwrap().expect("goes on by the word");
     assert_eq!(voter.state().active_number(), 1);
     assert!(!file.exists());
@@ -292,19 +298,20 @@
     }
 }
 
-fn read_word(name: &str) -> Word {
-    version::word(&golden_path(name), 2, &[], &MapTerms { min_replicas: 2, min_zones: 1 }).unwrap()
+fn read_word(name: &str) -> Document {
+    documents::read_document(&golden_path(name), 2, &[], &MapTerms { min_replicas: 2, min_zones: 1 }).unwrap()
 }
 
 /// The operator's documents mean what they meant, and go to the leader in the same bytes.
 #[test]
 fn stored_version_and_voter_files_are_read_and_proposed_as_before() {
-    let words = [("version", Word::Version(Box::new(version_7()))), ("voters", Word::Voters(voting()))];
+    let words =
+        [("version", Document::Version(Box::new(version_7()))), ("voters", Document::Voters(voting()))];
     for (name, word) in words {
         assert_eq!(read_word(&format!("{name}.json")), word, "{name}");
         let message = format!("propose-{name}.bin");
         assert_same(&message, &postcard::to_stdvec(&word).unwrap());
-        assert_eq!(postcard::from_bytes::<Word>(&golden(&message)).unwrap(), word, "{name}");
+        assert_eq!(postcard::from_bytes::<Document>(&golden(&message)).unwrap(), word, "{name}");
     }
 }
 
--- a/crates/dunepond-control-plane/src/hand.rs
+++ b/crates/dunepond-control-plane/src/handle.rs
@@ -11,25 +11,25 @@
 use dunepond_membership::Counters;
 use dunepond_shard_map::Node;
 
+use crate::audit_log::{AuditEvent, AuditPhase, AuditSender};
 use crate::clock::monotonic_seconds;
-use crate::host::StartedNode;
-use crate::record::{AuditEvent, AuditPhase, Recorder};
+use crate::control_loop::StartedNode;
 
 /// Bytes that each partner carried for each, as this broker saw it since its start: the loop adds, the fleet's thread
 /// takes what is new.
-pub struct Carried {
+pub struct CarriedBytes {
     partners: usize,
-    cells: Vec<AtomicU64>,
+    bytes: Vec<AtomicU64>,
 }
 
-impl Carried {
+impl CarriedBytes {
     pub fn new(partners: usize) -> Self {
-        Self { partners, cells: (0..partners * partners).map(|_| AtomicU64::new(0)).collect() }
+        Self { partners, bytes: (0..partners * partners).map(|_| AtomicU64::new(0)).collect() }
     }
 
     fn add(&self, carrier: usize, owed_by: usize, bytes: u64) {
         if owed_by < self.partners
-            && let Some(cell) = self.cells.get(carrier * self.partners + owed_by)
+            && let Some(cell) = self.bytes.get(carrier * self.partners + owed_by)
         {
             cell.fetch_add(bytes, Relaxed);
         }
@@ -37,7 +37,7 @@
 
     /// What came since it was asked last: carrier, who owes it, bytes.
     pub fn take(&self) -> Vec<(usize, usize, u64)> {
-        let taken = self.cells.iter().enumerate().map(|(at, cell)| {
+        let taken = self.bytes.iter().enumerate().map(|(at, cell)| {
             let bytes = if cell.load(Relaxed) == 0 { 0 } else { cell.swap(0, Relaxed) };
             (at / self.partners, at % self.partners, bytes)
         });
@@ -56,10 +56,10 @@
 
 /// Counted by loop and thread alike, never decreasing.
 #[derive(Default)]
-pub struct Tally {
-    pub throttled: AtomicU64,
-    pub held_back: AtomicU64,
-    pub not_whole: AtomicU64,
+pub struct ActivityCounters {
+    pub rejected: AtomicU64,
+    pub withheld: AtomicU64,
+    pub incomplete: AtomicU64,
     pub leases: AtomicU64,
     pub refused: AtomicU64,
     pub fills: AtomicU64,
@@ -67,10 +67,10 @@
     pub settled: AtomicU64,
     pub syncs: AtomicU64,
     /// As the loop saw its nodes last.
-    pub pressed: AtomicBool,
+    pub overloaded: AtomicBool,
 }
 
-pub(crate) fn add(counter: &AtomicU64) {
+pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Relaxed);
 }
 
@@ -88,16 +88,16 @@
 #[derive(Clone)]
 pub struct ControlHandle {
     pub(crate) active_config: Arc<ArcSwap<ActiveConfig>>,
-    pub(crate) carried_bytes: Arc<Carried>,
-    pub(crate) recorder: Option<Recorder>,
+    pub(crate) carried_bytes: Arc<CarriedBytes>,
+    pub(crate) audit_log: Option<AuditSender>,
     pub(crate) commands: Sender<LoopRequest>,
-    pub(crate) nodes: Arc<ArcSwap<Vec<Node>>>,
+    pub(crate) listed_nodes: Arc<ArcSwap<Vec<Node>>>,
     pub(crate) started_nodes: Arc<ArcSwap<Vec<StartedNode>>>,
-    pub(crate) tally: Arc<Tally>,
+    pub(crate) counters: Arc<ActivityCounters>,
     /// Units that this broker would use of each bound that the fleet shares.
     pub(crate) demand: Arc<ArcSwap<BTreeMap<String, u32>>>,
     /// What the links counted, a second ago at most.
-    pub(crate) links: Arc<ArcSwap<Counters>>,
+    pub(crate) link_counters: Arc<ArcSwap<Counters>>,
 }
 
 impl ControlHandle {
@@ -118,26 +118,26 @@
     }
 
     pub fn is_audited(&self) -> bool {
-        self.recorder.is_some()
+        self.audit_log.is_some()
     }
 
     /// Notes an act, made only where acts are recorded.
     pub fn audit(&self, act: impl FnOnce() -> AuditEvent) {
-        if let Some(recorder) = &self.recorder {
-            recorder.wrote(act());
+        if let Some(recorder) = &self.audit_log {
+            recorder.record(act());
         }
     }
 
     /// The same of an act that was judged at this moment, on the steady clock.
     pub fn audit_at(&self, at: f64, act: impl FnOnce() -> AuditEvent) {
-        if let Some(recorder) = &self.recorder {
-            recorder.wrote_at(at, act());
+        if let Some(recorder) = &self.audit_log {
+            recorder.record_at(at, act());
         }
     }
 
     /// The nodes as discovery lists them now: a version that is read later is judged by them.
     pub fn set_listed_nodes(&self, nodes: Vec<Node>) {
-        self.nodes.store(Arc::new(nodes));
+        self.listed_nodes.store(Arc::new(nodes));
     }
 
     /// The nodes that started not long ago, as discovery lists them now.
@@ -161,39 +161,39 @@
 
     /// Whether this broker's nodes are pressed now: plans of moves pause where many brokers say so.
     pub fn set_overloaded(&self, pressed: bool) {
-        self.tally.pressed.store(pressed, Relaxed);
+        self.counters.overloaded.store(pressed, Relaxed);
     }
 
     pub fn count_rejected(&self) {
-        add(&self.tally.throttled);
+        increment(&self.counters.rejected);
     }
 
     pub fn count_withheld(&self) {
-        add(&self.tally.held_back);
+        increment(&self.counters.withheld);
     }
 
     pub fn count_incomplete(&self) {
-        add(&self.tally.not_whole);
+        increment(&self.counters.incomplete);
     }
 
     /// A line for the counters.
     pub fn summary(&self) -> String {
-        let tally = &self.tally;
+        let tally = &self.counters;
         let now = monotonic_seconds();
         let (phase, numbers) = audit_phase(&self.active_config(), now);
         let counted = [
             ("leases", &tally.leases),
             ("refused", &tally.refused),
-            ("throttled", &tally.throttled),
-            ("held back", &tally.held_back),
-            ("not whole", &tally.not_whole),
+            ("throttled", &tally.rejected),
+            ("held back", &tally.withheld),
+            ("not whole", &tally.incomplete),
             ("fills", &tally.fills),
             ("fills failed", &tally.fills_failed),
             ("settled", &tally.settled),
             ("syncs", &tally.syncs),
         ];
         let counted = counted.map(|(name, counter)| format!("{name} {}", counter.load(Relaxed)));
-        let links = self.links.load().list();
+        let links = self.link_counters.load().list();
         let links = links.into_iter().filter(|(_, count)| *count > 0);
         let links: Vec<_> = links.map(|(name, count)| format!("{name} {count}")).collect();
         format!("{phase:?} {numbers:?}; {}; links: {}", counted.join(", "), links.join(", "))
@@ -233,7 +233,7 @@
 
     #[test]
     fn bytes_are_taken_once_by_carrier_and_who_owes_them() {
-        let carried = Carried::new(3);
+        let carried = CarriedBytes::new(3);
         carried.add(0, 2, 10);
         carried.add(0, 2, 5);
         carried.add(2, 1, 7);
--- a/crates/dunepond-control-plane/src/lib.rs
+++ b/crates/dunepond-control-plane/src/lib.rs
@@ -3,19 +3,19 @@
 //!
 //! Times are seconds on the steady clock ([`monotonic_seconds`]) unless stated.
 
-mod back;
+mod audit_log;
 mod clock;
+mod control_loop;
+mod data_directory;
+mod documents;
 mod error;
-mod filler;
-mod folder;
+pub mod explain;
+mod fill_client;
 #[cfg(test)]
 mod golden;
-mod hand;
-mod host;
-mod links;
-mod record;
-mod version;
-pub mod why;
+mod handle;
+mod link_limits;
+mod lost_majority;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,24 +33,25 @@
 use rand_pcg::Pcg64Mcg;
 use tracing::{error, info};
 
+pub use audit_log::{AuditEvent, AuditPhase, AuditRecord};
 pub use clock::monotonic_seconds;
+pub use control_loop::{CrashPoints, SlowStartPolicy, StartedNode};
 pub use error::{ControlPlaneError, FillError, PlanError, VersionError};
-pub use filler::{FillClient, FillRequest, FillResult, HttpFillClient};
-pub use hand::{ActiveConfigWatch, ControlHandle, audit_phase};
-pub use host::{CrashPoints, SlowStartPolicy, StartedNode};
-pub use record::{AuditEvent, AuditPhase, AuditRecord};
+pub use fill_client::{FillClient, FillRequest, FillResult, HttpFillClient};
+pub use handle::{ActiveConfigWatch, ControlHandle, audit_phase};
 
-use folder::{Folder, Held};
-use hand::{Carried, LoopRequest, Tally};
-use host::{
-    BY, Counting, Debts, Fills, Host, HostState, Lane, Limiting, Moving, Promises, Proposing, SETTLE,
+use audit_log::AuditLog;
+use control_loop::{
+    Commitments, ControlLoop, DEFAULT_SETTLE_SECONDS, FillLane, LOG_SHARE_HOLDER, Lane, LoopState, Proposals,
+    QuotaSharing, Rebalancing, Settlements, TrafficCounts,
 };
-use record::Recording;
+use data_directory::{DataDirectory, StoredState};
+use handle::{ActivityCounters, CarriedBytes, LoopRequest};
 
 /// Longest that the end waits for each thread.
-const AT_END: Duration = Duration::from_millis(300);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
 /// Commands of the loop that may wait.
-const COMMANDS: usize = 16;
+const MAX_QUEUED_COMMANDS: usize = 16;
 
 /// What a broker is told of its fleet.
 #[derive(Clone, Debug)]
@@ -126,7 +127,7 @@
     handle: ControlHandle,
     listen: SocketAddr,
     thread: JoinHandle<()>,
-    recording: Option<Recording>,
+    recording: Option<AuditLog>,
 }
 
 /// Takes part from now on. `wake` is called from the fleet's thread when what may be acted on has changed; it must not
@@ -136,7 +137,7 @@
     stand_ins: TestDoubles,
     wake: impl Fn() + Send + 'static,
 ) -> Result<ControlPlane, ControlPlaneError> {
-    let bounds = links::bounds(&told);
+    let bounds = link_limits::bounds(&told);
     let ControlPlaneConfig { terms, listen_address: listen, known_brokers: known, seed, .. } = told;
     terms.check()?;
     let key = told.key_file.map(|path| {
@@ -146,14 +147,16 @@
     });
     let key = key.transpose()?;
     let votes = terms.voters.contains(&terms.name);
-    let millis = (clock::unix() * 1000.0) as u64;
-    let (mut folder, held) = Folder::open(&told.data_directory, stand_ins.storage, votes, millis)?;
-    let Held { incarnation, saved, kept, counts, promises } = held;
+    let millis = (clock::unix_seconds() * 1000.0) as u64;
+    let (mut folder, held) = DataDirectory::open(&told.data_directory, stand_ins.storage, votes, millis)?;
+    let StoredState { incarnation, voter_records: saved, config: kept, counts, commitments: promises } = held;
     // Another one at each start, at each broker.
-    let mut chance = Pcg64Mcg::seed_from_u64(seed ^ incarnation ^ name_sum(&terms.name));
+    let mut chance = Pcg64Mcg::seed_from_u64(seed ^ incarnation ^ name_hash(&terms.name));
     let now = monotonic_seconds();
     let back = match votes {
-        true => back::by_word(&told.data_directory, &mut folder, &terms, &saved, now, chance.random())?,
+        true => {
+            lost_majority::recover(&told.data_directory, &mut folder, &terms, &saved, now, chance.random())?
+        }
         false => None,
     };
     let voter = (votes && back.is_none()).then(|| {
@@ -169,11 +172,11 @@
     });
     let voter = voter
         .transpose()
-        .map_err(|e| ControlPlaneError::Agree { why: e.to_string(), help: e.help().to_string() })?;
+        .map_err(|e| ControlPlaneError::Consensus { why: e.to_string(), help: e.help().to_string() })?;
     let voter = back.or(voter);
-    voter.iter().for_each(back::tell);
+    voter.iter().for_each(lost_majority::log_recovery_facts);
     let mut member = LeaseClient::new(terms.clone(), kept, now, chance.random());
-    let recording = told.audit_log_file.map(|path| Recording::start(&path, &terms.name, incarnation));
+    let recording = told.audit_log_file.map(|path| AuditLog::start(&path, &terms.name, incarnation));
     let (recorder, recording) = recording.transpose()?.unzip();
     let known_names = known.iter().map(|known| known.0.clone()).collect();
     let mut links =
@@ -183,32 +186,32 @@
     let (peers, events) = dunepond_membership::start(links)?;
     let listen = peers.local_addr();
 
-    let (commands, commanded) = bounded(COMMANDS);
+    let (commands, commanded) = bounded(MAX_QUEUED_COMMANDS);
     let acting = Arc::new(ArcSwap::from_pointee(member.active_config()));
     let links_counted: Arc<ArcSwap<dunepond_membership::Counters>> = Arc::default();
     let nodes = Arc::new(ArcSwap::from_pointee(Vec::new()));
     let started = Arc::new(ArcSwap::from_pointee(Vec::new()));
     let names: Vec<_> = told.partners.iter().map(|partner| partner.name.clone()).collect();
-    let carried = Arc::new(Carried::new(names.len()));
-    let tally = Arc::new(Tally::default());
+    let carried = Arc::new(CarriedBytes::new(names.len()));
+    let tally = Arc::new(ActivityCounters::default());
     let needs = Arc::default();
-    let limiting = told
-        .quotas
-        .map(|(bounds, every)| Limiting::new(bounds, every, terms.lease_seconds, Arc::clone(&needs), now));
+    let limiting = told.quotas.map(|(bounds, every)| {
+        QuotaSharing::new(bounds, every, terms.lease_seconds, Arc::clone(&needs), now)
+    });
     let hand = ControlHandle {
         demand: needs,
         active_config: acting.clone(),
         carried_bytes: carried.clone(),
-        recorder: recorder.clone(),
+        audit_log: recorder.clone(),
         commands,
-        nodes: nodes.clone(),
+        listed_nodes: nodes.clone(),
         started_nodes: started.clone(),
-        tally: tally.clone(),
-        links: links_counted.clone(),
+        counters: tally.clone(),
+        link_counters: links_counted.clone(),
     };
 
     let owed =
-        |e: debts::DebtError| ControlPlaneError::Agree { why: e.to_string(), help: e.help().to_string() };
+        |e: debts::DebtError| ControlPlaneError::Consensus { why: e.to_string(), help: e.help().to_string() };
     let counts = match debts::Tally::open(counts.clone(), &terms.name, incarnation) {
         // The clock went back, and the number of starts was lost.
         Err(debts::DebtError::OldIncarnation { kept, .. }) => {
@@ -225,9 +228,9 @@
     };
     let promises = match promises {
         Some(promises) => promises,
-        None => Promises::new(&terms.name).map_err(owed)?,
+        None => Commitments::new(&terms.name).map_err(owed)?,
     };
-    member.set_known_settlements(promises.known);
+    member.set_known_settlements(promises.applied_entries);
     let rate = told.fills.as_ref().map_or(f64::MAX, |fills| fills.bytes_per_second as f64);
     let owing = debts::Terms { most_rate: rate, ..debts::Terms::default() };
     let book = debts::Book::new(owing, sides.clone(), promises.ledger.clone()).map_err(owed)?;
@@ -242,7 +245,7 @@
         filler
     }));
     let mut lane = |lane: Lane, by: &str| {
-        Fills::new(
+        FillLane::new(
             lane,
             filler.clone(),
             ended.clone(),
@@ -254,38 +257,38 @@
             Pcg64Mcg::seed_from_u64(chance.random()),
         )
     };
-    let (fills, mut warm) = (lane(Lane::Version, BY), lane(Lane::Own, &terms.name));
+    let (fills, mut warm) = (lane(Lane::Version, LOG_SHARE_HOLDER), lane(Lane::Own, &terms.name));
     // What was promised before the start goes on: whether it was done, the filler knows.
-    warm.go_on_with(promises.fills.values().filter(|it| !it.done).map(|it| it.fill.clone()), now);
-    let debts = Debts::new(promises, told.fills.as_ref().is_some_and(|fills| fills.fill_started_nodes));
+    warm.resume(promises.fills.values().filter(|it| !it.done).map(|it| it.fill.clone()), now);
+    let debts = Settlements::new(promises, told.fills.as_ref().is_some_and(|fills| fills.fill_started_nodes));
     let proposing =
-        Proposing::new(told.version_file, told.query_class_count, nodes, terms.map_requirements.clone());
+        Proposals::new(told.version_file, told.query_class_count, nodes, terms.map_requirements.clone());
     info!(
         "fleet: {} listening at {listen}, start {incarnation}, {}",
         terms.name,
         if votes { "voter" } else { "no voter" }
     );
-    let host = Host {
+    let host = ControlLoop {
         name: terms.name,
-        lease: terms.lease_seconds,
+        lease_seconds: terms.lease_seconds,
         voter,
         member,
-        folder,
+        data: folder,
         peers,
         events,
         commands: commanded,
-        acting,
-        links: links_counted,
-        tally,
-        recorder,
+        active_config: acting,
+        link_counters: links_counted,
+        counters: tally,
+        audit_log: recorder,
         wake: Box::new(wake),
-        proposing,
-        moving: Moving::new(
+        proposals: proposing,
+        rebalancing: Rebalancing::new(
             moves.map(|moves| moves.plan_file.clone()),
             moves.map_or(1, |moves| moves.max_concurrent_acts),
-            moves.map_or(SETTLE, |moves| moves.settle_seconds),
+            moves.map_or(DEFAULT_SETTLE_SECONDS, |moves| moves.settle_seconds),
         ),
-        counting: Counting::new(
+        traffic: TrafficCounts::new(
             names,
             carried,
             counts,
@@ -293,17 +296,17 @@
             sides,
             Pcg64Mcg::seed_from_u64(chance.random()),
         ),
-        debts,
-        fills,
-        warm,
-        limiting,
-        filled,
-        rate,
-        warming: told.slow_start,
-        started,
-        known: known_names,
-        dies: stand_ins.crashes_at,
-        state: HostState::default(),
+        settlement: debts,
+        version_fills: fills,
+        own_fills: warm,
+        quotas: limiting,
+        finished_fills: filled,
+        fill_bytes_per_second: rate,
+        slow_start: told.slow_start,
+        started_nodes: started,
+        configured_brokers: known_names,
+        crashes_at: stand_ins.crashes_at,
+        state: LoopState::default(),
     };
     let thread = std::thread::Builder::new().name("fleet".to_string()).spawn(move || host.run());
     let thread = thread.map_err(|e| ControlPlaneError::Thread { why: e.to_string() })?;
@@ -311,14 +314,14 @@
 }
 
 /// Some number of a name: brokers that share a seed differ by it.
-fn name_sum(name: &str) -> u64 {
+fn name_hash(name: &str) -> u64 {
     name.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
 /// Waits for a thread's end, but not for long.
-fn ended(thread: JoinHandle<()>) {
-    let until = Instant::now() + AT_END;
+fn join_with_timeout(thread: JoinHandle<()>) {
+    let until = Instant::now() + SHUTDOWN_TIMEOUT;
     while !thread.is_finished() {
         if Instant::now() > until {
             return error!("fleet: a thread does not end: look at the disk");
@@ -340,8 +343,8 @@
     /// Takes its leave: what was counted is kept, and the record is whole; but a disk that does not answer is not waited
     /// for.
     pub fn stop(self) {
-        let _ = self.handle.commands.send_timeout(LoopRequest::Stop, AT_END);
-        ended(self.thread);
+        let _ = self.handle.commands.send_timeout(LoopRequest::Stop, SHUTDOWN_TIMEOUT);
+        join_with_timeout(self.thread);
         if let Some(recording) = self.recording {
             recording.finish();
         }
--- a/crates/dunepond-control-plane/src/links.rs
+++ b/crates/dunepond-control-plane/src/link_limits.rs
@@ -7,9 +7,9 @@
 use crate::ControlPlaneConfig;
 
 /// Bytes of one message between brokers.
-const LONGEST_MESSAGE: usize = 16 << 20;
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
 /// An ask that comes, and what comes back to one of ours.
-const EVENTS_EACH: usize = 2;
+const EVENTS_PER_CONNECTION: usize = 2;
 
 /// Never under what the links have of themselves. Each broker may ask one leader over all its connections at the same
 /// moment, so that many places are there for each that the file names; strangers share what is there anyway.
@@ -17,20 +17,20 @@
     let named = told.known_brokers.iter().map(|known| &known.0);
     let named = named.chain(told.partners.iter().flat_map(|partner| &partner.brokers));
     let brokers: BTreeSet<_> = named.chain(&told.terms.voters).collect();
-    room_for(brokers.len())
+    bounds_for(brokers.len())
 }
 
-fn room_for(brokers: usize) -> Limits {
+fn bounds_for(brokers: usize) -> Limits {
     let usual = Limits::default();
     let places = brokers.saturating_mul(usual.max_connections_per_peer);
     Limits {
-        max_body_bytes: LONGEST_MESSAGE,
-        max_receive_bytes: 4 * LONGEST_MESSAGE,
-        max_send_bytes: 4 * LONGEST_MESSAGE,
+        max_body_bytes: MAX_MESSAGE_BYTES,
+        max_receive_bytes: 4 * MAX_MESSAGE_BYTES,
+        max_send_bytes: 4 * MAX_MESSAGE_BYTES,
         max_incoming_connections: usual.max_incoming_connections.max(places),
         max_pending_requests: usual.max_pending_requests.max(places),
         max_requests: usual.max_requests.max(places),
-        max_queued_events: usual.max_queued_events.max(places.saturating_mul(EVENTS_EACH)),
+        max_queued_events: usual.max_queued_events.max(places.saturating_mul(EVENTS_PER_CONNECTION)),
         ..usual
     }
 }
@@ -41,7 +41,7 @@
 
     #[test]
     fn each_broker_named_has_places_and_none_are_taken_away() {
-        let (usual, few, many) = (Limits::default(), room_for(5), room_for(300));
+        let (usual, few, many) = (Limits::default(), bounds_for(5), bounds_for(300));
         assert_eq!(
             (few.max_incoming_connections, few.max_pending_requests, few.max_requests),
             (usual.max_incoming_connections, usual.max_pending_requests, usual.max_requests)
--- a/crates/dunepond-control-plane/src/back.rs
+++ b/crates/dunepond-control-plane/src/lost_majority.rs
@@ -6,35 +6,35 @@
 use dunepond_consensus::{ConsensusConfig, ConsensusError, RecoveryOrder, StoredVoter, Voter};
 use tracing::{info, warn};
 
+use crate::data_directory::DataDirectory;
 use crate::error::ControlPlaneError;
-use crate::folder::Folder;
 
 /// In the fleet's folder; and its name once it has been done.
-const WORD: &str = "majority-lost.json";
-const DONE: &str = "majority-lost.done";
+const STATEMENT_FILE: &str = "majority-lost.json";
+const DONE_FILE: &str = "majority-lost.done";
 
 /// Goes on by the word, if one is there. A word that does not fit ends the start: whoever wrote it expects it to be done.
-pub fn by_word(
+pub fn recover(
     path: &Path,
-    folder: &mut Folder,
+    folder: &mut DataDirectory,
     terms: &ConsensusConfig,
     saved: &StoredVoter,
     now: f64,
     seed: u64,
 ) -> Result<Option<Voter>, ControlPlaneError> {
-    let file = path.join(WORD);
+    let file = path.join(STATEMENT_FILE);
     let text = match std::fs::read_to_string(&file) {
         Ok(text) => text,
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
         Err(e) => {
-            return Err(ControlPlaneError::Word {
+            return Err(ControlPlaneError::LostMajority {
                 path: file,
                 why: e.to_string(),
                 help: "make it readable".into(),
             });
         }
     };
-    let word: RecoveryOrder = serde_json::from_str(&text).map_err(|e| ControlPlaneError::Word {
+    let word: RecoveryOrder = serde_json::from_str(&text).map_err(|e| ControlPlaneError::LostMajority {
         path: file.clone(),
         why: e.to_string(),
         help: "write it as docs/operators/fleet.md shows it, or take it away".into(),
@@ -46,25 +46,25 @@
                 .map(|voter| voter.recovery_position());
             let held =
                 held.map_or(String::new(), |(folder, last)| format!("; here: folder {folder}, last {last}"));
-            ControlPlaneError::Word {
+            ControlPlaneError::LostMajority {
                 path: file.clone(),
                 why: format!("{why}{held}"),
                 help: why.help().into(),
             }
         }
-        other => ControlPlaneError::Agree { why: other.to_string(), help: other.help().into() },
+        other => ControlPlaneError::Consensus { why: other.to_string(), help: other.help().into() },
     })?;
     // All at once, and before anybody hears of it.
     let failed =
-        |e: std::io::Error| ControlPlaneError::Folder { path: path.to_path_buf(), why: e.to_string() };
-    folder.rewrite(voter.checkpoint().encode()).map_err(failed)?;
-    std::fs::rename(&file, path.join(DONE)).map_err(failed)?;
-    warn!("fleet: goes on by {WORD}, without {}", word.lost_voters.join(", "));
+        |e: std::io::Error| ControlPlaneError::DataDirectory { path: path.to_path_buf(), why: e.to_string() };
+    folder.rewrite_journal(voter.checkpoint().encode()).map_err(failed)?;
+    std::fs::rename(&file, path.join(DONE_FILE)).map_err(failed)?;
+    warn!("fleet: goes on by {STATEMENT_FILE}, without {}", word.lost_voters.join(", "));
     Ok(Some(voter))
 }
 
 /// What such a word has to name, at each start of a voter.
-pub fn tell(voter: &Voter) {
+pub fn log_recovery_facts(voter: &Voter) {
     let ((folder, last), state) = (voter.recovery_position(), voter.state());
     let voters: Vec<_> = state.voters.voters.iter().map(|voter| voter.name.as_str()).collect();
     info!(
--- a/crates/dunepond-control-plane/tests/golden.rs
+++ b/crates/dunepond-control-plane/tests/golden.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use dunepond_consensus::{Command, ConsensusConfig, Effects, Rejection, StateChange, StoredVoter, Voter};
-use dunepond_control_plane::why::{About, Offer, Why};
+use dunepond_control_plane::explain::{Explanation, ProposedEntry, Subject};
 use dunepond_control_plane::{
     AuditEvent, AuditPhase, AuditRecord, FillClient, FillRequest, FillResult, HttpFillClient,
 };
@@ -202,16 +202,15 @@
     fn exit(&self, _: &Id) {}
 }
 
-fn whys() -> Vec<Why> {
+fn whys() -> Vec<Explanation> {
     let terms = ConsensusConfig { lease_seconds: 0.5, ..terms("n1", 1) };
     let mut voter = Voter::open(terms, StoredVoter::new(), 0.0, 1).unwrap();
     let mut found = Vec::new();
     let mut take = |voter: &Voter, orders: Effects| {
         let changes = orders.outcomes.into_iter().filter_map(|o| Some((o.index, o.result.ok()?)));
-        found
-            .extend(changes.filter_map(|(index, change): (u64, StateChange)| {
-                Why::agreed(index, &change, voter.state())
-            }));
+        found.extend(changes.filter_map(|(index, change): (u64, StateChange)| {
+            Explanation::for_change(index, &change, voter.state())
+        }));
     };
     let mut now = 0.0;
     let mut propose = |voter: &mut Voter, now: &mut f64, entry| {
@@ -257,27 +256,27 @@
         rate: 65_536.0,
         settles: Some(settlement.clone()),
     };
-    found.push(Why::fill(&fill, None, &book));
-    found.push(Why::settled(&settlement, &book));
-    found.push(Why::refused(&Offer::logged(9), &Rejection::NoLeader, voter.state()));
+    found.push(Explanation::for_fill(&fill, None, &book));
+    found.push(Explanation::for_settlement(&settlement, &book));
+    found.push(Explanation::for_refusal(&ProposedEntry::logged(9), &Rejection::NoLeader, voter.state()));
     found
 }
 
 #[test]
 fn a_decision_is_explained_under_the_documented_names() {
     let heard = Heard::default();
-    tracing::subscriber::with_default(heard.clone(), || whys().iter().for_each(Why::tell));
+    tracing::subscriber::with_default(heard.clone(), || whys().iter().for_each(Explanation::log));
     let heard: Vec<String> = heard.0.lock().unwrap().clone();
     assert_eq!(heard.join("\n") + "\n", golden("explain.txt"));
     let names = [
-        (About::Version, "version"),
-        (About::Refused, "refused"),
-        (About::Fill, "fill"),
-        (About::Settlement, "settlement"),
-        (About::Limit, "limit"),
-        (About::Move, "move"),
-        (About::Voters, "voters"),
-        (About::Entry, "entry"),
+        (Subject::Version, "version"),
+        (Subject::Refused, "refused"),
+        (Subject::Fill, "fill"),
+        (Subject::Settlement, "settlement"),
+        (Subject::Limit, "limit"),
+        (Subject::Move, "move"),
+        (Subject::Voters, "voters"),
+        (Subject::Entry, "entry"),
     ];
     for (about, name) in names {
         assert_eq!(about.name(), name);
--- a/crates/dunepond-control-plane/tests/host.rs
+++ b/crates/dunepond-control-plane/tests/host.rs
@@ -138,7 +138,7 @@
 fn a_folder_that_is_not_there_is_named() {
     let error = start(told(None), TestDoubles::default(), || ()).map(drop).unwrap_err();
     assert!(
-        matches!(error, ControlPlaneError::Folder { .. }) && error.to_string().contains("/nowhere"),
+        matches!(error, ControlPlaneError::DataDirectory { .. }) && error.to_string().contains("/nowhere"),
         "{error}"
     );
 }
@@ -182,7 +182,7 @@
     let stand_ins = TestDoubles { storage: Some(Arc::new(files.clone())), ..TestDoubles::default() };
     let error = start(told, stand_ins, || ()).map(drop).unwrap_err();
     assert!(
-        matches!(error, ControlPlaneError::Word { .. }) && error.to_string().contains("here: folder"),
+        matches!(error, ControlPlaneError::LostMajority { .. }) && error.to_string().contains("here: folder"),
         "{error}"
     );
     assert!(error.help().contains("lost the least") && path.exists());
--- a/crates/dunepond-control-plane/tests/why.rs
+++ b/crates/dunepond-control-plane/tests/why.rs
@@ -5,7 +5,7 @@
     Command, ConfigVersion, ConsensusConfig, Effects, Rejection, ReplicatedState, StateChange, StoredVoter,
     Voter,
 };
-use dunepond_control_plane::why::{About, LONGEST, Offer, Why};
+use dunepond_control_plane::explain::{Explanation, MAX_LINE_BYTES, ProposedEntry, Subject};
 use dunepond_settlement::{Book, Counts, Fill, Ledger, Need, Settlement, Sides};
 use dunepond_simulation::fleet::{map, terms, version};
 
@@ -47,9 +47,9 @@
     }
 
     /// The line of the last entry.
-    fn why(&self) -> Why {
+    fn why(&self) -> Explanation {
         let (index, change) = self.seen.last().expect("an entry");
-        Why::agreed(*index, change, self.voter.state()).expect("a line")
+        Explanation::for_change(*index, change, self.voter.state()).expect("a line")
     }
 
     fn state(&self) -> &ReplicatedState {
@@ -71,20 +71,20 @@
     let mut fleet = Fleet::new();
     fleet.enter(propose(1, false, "mara"));
     let why = fleet.why();
-    assert_eq!((why.about, why.word.as_str()), (About::Version, "mara: mara"));
+    assert_eq!((why.subject, why.authority.as_str()), (Subject::Version, "mara: mara"));
     assert!(why.limit.contains("5 s") && why.what.starts_with("1 is proposed"), "{why}");
     fleet.run(3.0);
     assert!(fleet.why().what.starts_with("1 is in force"), "{}", fleet.why());
     fleet.enter(propose(2, true, "ann"));
     assert!(
-        fleet.why().weighed.contains("follows 1") && fleet.why().weighed.ends_with("1 fills"),
+        fleet.why().alternatives.contains("follows 1") && fleet.why().alternatives.ends_with("1 fills"),
         "{}",
         fleet.why()
     );
     fleet.enter(Command::Withdraw { number: 2, why: String::from("too early") });
     let why = fleet.why();
-    assert!(why.what.starts_with("2 is withdrawn") && why.weighed.contains("too early"), "{why}");
-    assert_eq!(why.word, "ann: ann");
+    assert!(why.what.starts_with("2 is withdrawn") && why.alternatives.contains("too early"), "{why}");
+    assert_eq!(why.authority, "ann: ann");
 }
 
 #[test]
@@ -95,21 +95,21 @@
     fleet.enter(propose(2, true, "mara"));
     fleet.enter(Command::FillCompleted { number: 2, segment: 0, holder: String::from("cold2") });
     let why = fleet.why();
-    assert_eq!(why.about, About::Fill);
-    assert!(why.what.contains("2/0/cold2") && why.weighed.starts_with("0 fills"), "{why}");
+    assert_eq!(why.subject, Subject::Fill);
+    assert!(why.what.contains("2/0/cold2") && why.alternatives.starts_with("0 fills"), "{why}");
 }
 
 #[test]
 fn a_refusal_names_the_proposer_the_limit_and_what_stands() {
     let mut fleet = Fleet::new();
     let entry = propose(7, false, "mara");
-    let asked = Offer::of(&entry, "n3");
+    let asked = ProposedEntry::of(&entry, "n3");
     let refusal = fleet.voter.propose(fleet.now, entry).unwrap_err();
     assert_eq!(refusal, Rejection::WrongNumber { given: 7, expected: 1 });
-    let why = Why::refused(&asked, &refusal, fleet.state());
-    assert_eq!((why.about, why.what.as_str()), (About::Refused, "version 7"));
-    assert!(why.word.contains("mara") && why.word.ends_with("by n3"), "{why}");
-    assert!(why.limit.contains("next number is 1") && why.weighed.contains("in force 0"), "{why}");
+    let why = Explanation::for_refusal(&asked, &refusal, fleet.state());
+    assert_eq!((why.subject, why.what.as_str()), (Subject::Refused, "version 7"));
+    assert!(why.authority.contains("mara") && why.authority.ends_with("by n3"), "{why}");
+    assert!(why.limit.contains("next number is 1") && why.alternatives.contains("in force 0"), "{why}");
 }
 
 fn book() -> Book {
@@ -161,19 +161,25 @@
 #[test]
 fn a_fill_names_the_source_what_it_pays_and_the_others() {
     let (fill, need) = fill("cold");
-    let why = Why::fill(&fill, Some(&need), &book());
-    assert!(why.what.contains("from s1 of north") && why.word.starts_with("version 2"), "{why}");
+    let why = Explanation::for_fill(&fill, Some(&need), &book());
+    assert!(why.what.contains("from s1 of north") && why.authority.starts_with("version 2"), "{why}");
     assert!(why.limit.contains("500 of 1000 bytes paid off"), "{why}");
-    assert!(why.weighed.contains("cold-2 owed 300") && why.weighed.contains("s3 owed 0"), "{why}");
+    assert!(why.alternatives.contains("cold-2 owed 300") && why.alternatives.contains("s3 owed 0"), "{why}");
 }
 
 #[test]
 fn a_settlement_names_the_fill_and_what_was_seen() {
     let (fill, _) = fill("cold");
-    let why = Why::settled(fill.settles.as_ref().unwrap(), &book());
-    assert_eq!(why.about, About::Settlement);
-    assert!(why.what.contains("500 bytes that north owed south") && why.word.starts_with("fleet"), "{why}");
-    assert!(why.limit.contains("700 bytes were seen") && why.weighed.contains("700 still open"), "{why}");
+    let why = Explanation::for_settlement(fill.settles.as_ref().unwrap(), &book());
+    assert_eq!(why.subject, Subject::Settlement);
+    assert!(
+        why.what.contains("500 bytes that north owed south") && why.authority.starts_with("fleet"),
+        "{why}"
+    );
+    assert!(
+        why.limit.contains("700 bytes were seen") && why.alternatives.contains("700 still open"),
+        "{why}"
+    );
 }
 
 #[test]
@@ -181,22 +187,22 @@
     let long = "\n\u{1f98a}x".repeat(100_000);
     let mut fleet = Fleet::new();
     let entry = propose(3, false, &long);
-    let asked = Offer::of(&entry, &long);
+    let asked = ProposedEntry::of(&entry, &long);
     let refusal = fleet.voter.propose(fleet.now, entry).unwrap_err();
-    let mut lines = vec![Why::refused(&asked, &refusal, fleet.state())];
-    lines.push(Why::refused(&asked, &Rejection::AlreadySettled(long.clone()), fleet.state()));
+    let mut lines = vec![Explanation::for_refusal(&asked, &refusal, fleet.state())];
+    lines.push(Explanation::for_refusal(&asked, &Rejection::AlreadySettled(long.clone()), fleet.state()));
     fleet.enter(propose(1, false, &long));
     lines.push(fleet.why());
     fleet.enter(Command::Withdraw { number: 1, why: long.clone() });
     lines.push(fleet.why());
     let (fill, need) = fill(&long);
-    lines.push(Why::fill(&fill, Some(&need), &book()));
-    lines.push(Why::settled(fill.settles.as_ref().unwrap(), &book()));
+    lines.push(Explanation::for_fill(&fill, Some(&need), &book()));
+    lines.push(Explanation::for_settlement(fill.settles.as_ref().unwrap(), &book()));
     let done = StateChange::FillCompleted { number: 1, segment: 0, holder: long };
-    lines.push(Why::agreed(9, &done, fleet.state()).unwrap());
+    lines.push(Explanation::for_change(9, &done, fleet.state()).unwrap());
     for line in lines {
         let text = line.to_string();
-        assert!(text.len() <= LONGEST, "{} bytes: {text}", text.len());
+        assert!(text.len() <= MAX_LINE_BYTES, "{} bytes: {text}", text.len());
         assert!(!text.chars().any(char::is_control), "{text}");
     }
 }
