--- a/crates/dunepond-prefilter/src/backoff.rs
+++ b/crates/dunepond-prefilter/src/backoff.rs
@@ -44,7 +44,7 @@
 
 impl NodeBackoffs {
     /// Whether a request may be sent to the node.
-    pub fn may_ask(&self, now: f64, node: NodeId) -> bool {
+    pub fn is_available(&self, now: f64, node: NodeId) -> bool {
         self.by_node.get(&node).is_none_or(|backoff| now >= backoff.until && backoff.probe.is_none())
     }
 
--- a/crates/dunepond-prefilter/src/benefit.rs
+++ b/crates/dunepond-prefilter/src/benefit.rs
@@ -29,7 +29,7 @@
     /// The part of its segments that were pruned.
     pub pruned_ratio: f64,
     /// How long asking took.
-    pub asking_seconds: f64,
+    pub request_seconds: f64,
     /// How long the whole query took.
     pub total_seconds: f64,
 }
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct UsualTimes {
     /// Asking.
-    pub asking_seconds: f64,
+    pub request_seconds: f64,
     /// The search after it.
     pub search_seconds: f64,
 }
@@ -142,9 +142,9 @@
 
     /// What a prefiltered query takes at the median.
     pub fn usual_times(&self) -> Option<UsualTimes> {
-        let asking_seconds = median(self.prefiltered.iter().map(|sample| sample.asking_seconds))?;
-        let search = self.prefiltered.iter().map(|sample| sample.total_seconds - sample.asking_seconds);
-        Some(UsualTimes { asking_seconds, search_seconds: median(search)? })
+        let request_seconds = median(self.prefiltered.iter().map(|sample| sample.request_seconds))?;
+        let search = self.prefiltered.iter().map(|sample| sample.total_seconds - sample.request_seconds);
+        Some(UsualTimes { request_seconds, search_seconds: median(search)? })
     }
 
     /// What a query takes at the median that is searched directly.
--- a/crates/dunepond-prefilter/src/benefit/tests.rs
+++ b/crates/dunepond-prefilter/src/benefit/tests.rs
@@ -19,7 +19,7 @@
 }
 
 fn sample(pruned_ratio: f64, total_seconds: f64) -> PrefilterSample {
-    PrefilterSample { pruned_ratio, asking_seconds: 0.1, total_seconds }
+    PrefilterSample { pruned_ratio, request_seconds: 0.1, total_seconds }
 }
 
 #[rstest]
--- a/crates/dunepond-prefilter/src/evidence.rs
+++ b/crates/dunepond-prefilter/src/evidence.rs
@@ -34,14 +34,14 @@
 /// From when on answers count: after a sequence number, or later than a time. The number tells requests apart that were sent within one
 /// reading of the clock.
 #[derive(Clone, Copy, Debug)]
-pub struct FreshSince {
+pub struct CountsSince {
     /// The last request sent before.
     pub sequence: u64,
     /// Seconds.
     pub time: f64,
 }
 
-impl FreshSince {
+impl CountsSince {
     /// Whether an answer to what was sent then counts.
     pub fn includes(&self, sent: SentAt) -> bool {
         sent.sequence > self.sequence || sent.time > self.time
@@ -178,7 +178,7 @@
         &self,
         key: QueryKey,
         segment: SegmentIndex,
-        since: FreshSince,
+        since: CountsSince,
         is_trusted: impl Fn(NodeId) -> bool,
     ) -> Option<PruningBasis> {
         let entry = self.current_entry(key, segment)?;
@@ -196,7 +196,7 @@
         &self,
         key: QueryKey,
         segment: SegmentIndex,
-        since: FreshSince,
+        since: CountsSince,
     ) -> impl Iterator<Item = NodeId> {
         let denials = self
             .current_entry(key, segment)
--- a/crates/dunepond-prefilter/src/evidence/tests.rs
+++ b/crates/dunepond-prefilter/src/evidence/tests.rs
@@ -1,14 +1,14 @@
 use rstest::rstest;
 
-use super::{Evidence, FreshSince, PruningBasis, SentAt};
+use super::{CountsSince, Evidence, PruningBasis, SentAt};
 use crate::model::{CanMatch, NodeId};
 
 fn at(time: f64) -> SentAt {
     SentAt { sequence: 0, time }
 }
 
-fn since(time: f64) -> FreshSince {
-    FreshSince { sequence: 9, time }
+fn since(time: f64) -> CountsSince {
+    CountsSince { sequence: 9, time }
 }
 
 const ALL_TRUSTED: fn(NodeId) -> bool = |_| true;
--- a/crates/dunepond-prefilter/src/prefilter/mod.rs
+++ b/crates/dunepond-prefilter/src/prefilter/mod.rs
@@ -1,8 +1,8 @@
 //! The prefilter: queries from their opening to their search plan, and the audits behind them.
 
-mod asking;
 mod outcome;
 mod planning;
+mod requests;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,7 +12,7 @@
 use crate::audit_budget::AuditBudget;
 use crate::backoff::NodeBackoffs;
 use crate::benefit::Benefit;
-use crate::evidence::{Evidence, FreshSince, SentAt};
+use crate::evidence::{CountsSince, Evidence, SentAt};
 use crate::model::{
     Audit, CanMatchRequest, Counters, InFlight, NodeId, PrefilterConfig, PrefilterQuery, PrunedSegment,
     QueryId, QueryKey, SegmentIndex,
@@ -26,13 +26,13 @@
 struct OpenQuery {
     query: PrefilterQuery,
     opened_at: f64,
-    fresh_since: FreshSince,
+    counts_since: CountsSince,
     /// When asking ends, whatever has come.
     deadline: f64,
     /// The request that each segment waits for.
     waiting: BTreeMap<SegmentIndex, u64>,
     /// Segments of which a second replica has been asked.
-    second_asked: BTreeSet<SegmentIndex>,
+    second_requested: BTreeSet<SegmentIndex>,
 }
 
 /// A query with a search plan, until it ends.
@@ -40,7 +40,7 @@
     query_class: usize,
     key: QueryKey,
     opened_at: f64,
-    fresh_since: FreshSince,
+    counts_since: CountsSince,
     /// When asking ended; None where the query was searched directly.
     planned_at: Option<f64>,
     segment_count: usize,
@@ -157,8 +157,8 @@
     }
 
     /// From when on answers count for a query that comes now.
-    fn fresh_since(&self, now: f64) -> FreshSince {
-        FreshSince { sequence: self.requests_sent, time: now - self.config.max_age_seconds }
+    fn counts_since(&self, now: f64) -> CountsSince {
+        CountsSince { sequence: self.requests_sent, time: now - self.config.max_age_seconds }
     }
 
     fn benefit(&mut self, query_class: usize) -> &mut Benefit {
--- a/crates/dunepond-prefilter/src/prefilter/outcome.rs
+++ b/crates/dunepond-prefilter/src/prefilter/outcome.rs
@@ -49,7 +49,7 @@
             None => benefit.record_direct(total_seconds),
             Some(planned_at) => benefit.record_prefiltered(PrefilterSample {
                 pruned_ratio: searching.pruned.len() as f64 / searching.segment_count as f64,
-                asking_seconds: planned_at - searching.opened_at,
+                request_seconds: planned_at - searching.opened_at,
                 total_seconds,
             }),
         }
--- a/crates/dunepond-prefilter/src/prefilter/planning.rs
+++ b/crates/dunepond-prefilter/src/prefilter/planning.rs
@@ -14,11 +14,11 @@
 
     /// The search plan of a query, from the evidence there is.
     pub(super) fn plan(&mut self, now: f64, id: QueryId) -> Option<Action> {
-        let OpenQuery { query, opened_at, fresh_since, .. } = self.open.remove(&id)?;
+        let OpenQuery { query, opened_at, counts_since, .. } = self.open.remove(&id)?;
         let (mut search, mut pruned) = (Vec::new(), Vec::new());
         for &segment in &query.segments {
             let is_trusted = |node| self.trust.is_trusted(node);
-            match self.evidence.basis(query.key, segment, fresh_since, is_trusted) {
+            match self.evidence.basis(query.key, segment, counts_since, is_trusted) {
                 Some(basis) => pruned.push(PrunedSegment { segment, basis }),
                 None => search.push(segment),
             }
@@ -30,7 +30,7 @@
             query_class: query.query_class,
             key: query.key,
             opened_at,
-            fresh_since,
+            counts_since,
             planned_at: Some(now),
             segment_count: query.segments.len(),
             pruned: pruned.clone(),
@@ -51,7 +51,7 @@
     pub fn take_revoked(&mut self, id: QueryId) -> Vec<SegmentIndex> {
         let Some(searching) = self.searching.get_mut(&id) else { return Vec::new() };
         let (evidence, trust) = (&self.evidence, &self.trust);
-        let (key, since) = (searching.key, searching.fresh_since);
+        let (key, since) = (searching.key, searching.counts_since);
         let mut revoked = Vec::new();
         searching.pruned.retain(|pruned| {
             let counts = evidence.basis(key, pruned.segment, since, |node| trust.is_trusted(node)).is_some();
--- a/crates/dunepond-prefilter/src/prefilter/asking.rs
+++ b/crates/dunepond-prefilter/src/prefilter/requests.rs
@@ -1,4 +1,4 @@
-//! Asking: whether a query is prefiltered, which nodes are asked, and what follows from their answers.
+//! Can-match requests: whether a query is prefiltered, which nodes are asked, and what follows from their answers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,7 +23,7 @@
     /// A query came. Its search plan is returned at once where it is searched directly, or nothing need be asked; otherwise its requests are
     /// returned by [`Prefilter::flush`].
     pub fn open(&mut self, now: f64, nodes: &dyn NodeView, query: PrefilterQuery) -> Vec<Action> {
-        let Some(deadline) = self.asking_deadline(now, nodes, &query) else {
+        let Some(deadline) = self.request_deadline(now, nodes, &query) else {
             return vec![self.search_directly(now, query)];
         };
         self.counters.prefiltered += 1;
@@ -33,13 +33,13 @@
         let open = OpenQuery {
             query,
             opened_at: now,
-            fresh_since: self.fresh_since(now),
+            counts_since: self.counts_since(now),
             deadline,
             waiting: BTreeMap::new(),
-            second_asked: BTreeSet::new(),
+            second_requested: BTreeSet::new(),
         };
         self.open.insert(id, open);
-        self.ask(now, nodes, id, &segments);
+        self.assign_requests(now, nodes, id, &segments);
         self.plan_if_answered(now, id).into_iter().collect()
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Until when a query may wait for answers; None where it is searched directly.
-    fn asking_deadline(&mut self, now: f64, nodes: &dyn NodeView, query: &PrefilterQuery) -> Option<f64> {
+    fn request_deadline(&mut self, now: f64, nodes: &dyn NodeView, query: &PrefilterQuery) -> Option<f64> {
         if !self.is_eligible(query) || nodes.is_congested() {
             return None;
         }
@@ -78,7 +78,7 @@
             // A direct search may take longer than one after pruning: if little is pruned, that must fit too.
             let search_seconds = usual.search_seconds.max(benefit.direct_seconds().unwrap_or(0.0));
             max_seconds = max_seconds.min(time_left - SEARCH_TIME_MARGIN_RATIO * search_seconds);
-            if max_seconds < usual.asking_seconds {
+            if max_seconds < usual.request_seconds {
                 return None;
             }
         }
@@ -95,7 +95,7 @@
             query_class,
             key,
             opened_at: now,
-            fresh_since: self.fresh_since(now),
+            counts_since: self.counts_since(now),
             planned_at: None,
             segment_count: segments.len(),
             pruned: Vec::new(),
@@ -105,9 +105,9 @@
     }
 
     /// Finds or gathers a request for each segment of a query that lacks evidence.
-    fn ask(&mut self, now: f64, nodes: &dyn NodeView, id: QueryId, segments: &[SegmentIndex]) {
+    fn assign_requests(&mut self, now: f64, nodes: &dyn NodeView, id: QueryId, segments: &[SegmentIndex]) {
         let Some(open) = self.open.get(&id) else { return };
-        let (key, since) = (open.query.key, open.fresh_since);
+        let (key, since) = (open.query.key, open.counts_since);
         for &segment in segments {
             let is_trusted = |node| self.trust.is_trusted(node);
             if self.evidence.basis(key, segment, since, is_trusted).is_some() {
@@ -130,7 +130,7 @@
     /// A request of another query that asks the same: one not sent yet, or sent late enough to be fresh.
     fn shared_request(&self, id: QueryId, segment: SegmentIndex, denied_by: &[NodeId]) -> Option<u64> {
         let open = self.open.get(&id)?;
-        let (key, since) = (open.query.key, open.fresh_since);
+        let (key, since) = (open.query.key, open.counts_since);
         let fresh = self.sent.values().filter(|sent| since.includes(sent.sent)).map(|sent| &sent.request);
         let asks_the_same = |request: &&CanMatchRequest| {
             request.key == key && request.segments.contains(&segment) && !denied_by.contains(&request.node)
@@ -148,12 +148,12 @@
         denied_by: &[NodeId],
     ) -> Option<NodeId> {
         let on_probation = self.rng.random_bool(PROBATION_RATIO);
-        let may_ask = |node: &NodeId| {
+        let is_available = |node: &NodeId| {
             !denied_by.contains(node)
-                && self.backoffs.may_ask(now, *node)
+                && self.backoffs.is_available(now, *node)
                 && (on_probation || self.trust.is_trusted(*node))
         };
-        let candidates: Vec<_> = nodes.replicas(segment).into_iter().filter(may_ask).collect();
+        let candidates: Vec<_> = nodes.replicas(segment).into_iter().filter(is_available).collect();
         match candidates.len() {
             0 => None,
             1 => Some(candidates[0]),
@@ -236,17 +236,17 @@
         let mut actions = Vec::new();
         for id in waiting {
             let Some(open) = self.open.get_mut(&id) else { continue };
-            let mut ask_second = Vec::new();
+            let mut to_confirm = Vec::new();
             open.waiting.retain(|segment, waited| {
                 let ended = *waited == request.id;
                 // One second replica only.
-                if ended && denied.contains(segment) && open.second_asked.insert(*segment) {
-                    ask_second.push(*segment);
+                if ended && denied.contains(segment) && open.second_requested.insert(*segment) {
+                    to_confirm.push(*segment);
                 }
                 !ended
             });
             if now < open.deadline && !nodes.is_congested() {
-                self.ask(now, nodes, id, &ask_second);
+                self.assign_requests(now, nodes, id, &to_confirm);
             }
             actions.extend(self.plan_if_answered(now, id));
         }
