--- /dev/null
+++ b/crates/dunepond-consensus/src/decode.rs
@@ -0,0 +1,34 @@
+//! Reads documents of every format that a folder or a message may hold: the present one, and format 1.
+
+use crate::log_entry::LogEntry;
+use crate::{Command, ConsensusError, PersistedState, Rejection, ReplicatedState, codec, format1};
+
+/// An entry of the log. What this build does not know entirely is rejected.
+pub(crate) fn log_entry(bytes: &[u8], known_keys: &[String]) -> Result<LogEntry, Rejection> {
+    let entry =
+        if codec::is_format1(bytes) { format1::log_entry(bytes) } else { codec::decode_fully_known(bytes) };
+    let entry = entry.ok_or(Rejection::UnknownEntry)?;
+    if let LogEntry::Command(Command::Propose(version)) = &entry {
+        version.check_known_keys(known_keys)?;
+    }
+    Ok(entry)
+}
+
+/// The state of a snapshot, with its proofs made again; `None` if it does not prove here.
+pub(crate) fn replicated_state(bytes: &[u8]) -> Option<ReplicatedState> {
+    let state =
+        if codec::is_format1(bytes) { format1::replicated_state(bytes) } else { codec::decode(bytes) };
+    state?.with_proofs()
+}
+
+impl PersistedState {
+    /// Reverses [`PersistedState::encode`]; reads format 1, too.
+    ///
+    /// # Errors
+    /// The document is malformed.
+    pub fn decode(bytes: &[u8]) -> Result<Self, ConsensusError> {
+        let state =
+            if codec::is_format1(bytes) { format1::persisted_state(bytes) } else { codec::decode(bytes) };
+        state.ok_or(ConsensusError::CorruptRecord("the persisted state of a broker"))
+    }
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/format1.rs
@@ -0,0 +1,162 @@
+//! Documents of format 1, as folders of the first fleets hold them: read, never written. postcard: the order of fields and
+//! variants is the format.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::sync::Arc;
+
+use dunepond_settlement::{Agreed, Settlement};
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Deserializer};
+
+use crate::log_entry::LogEntry;
+use crate::{
+    Command, ConfigVersion, ConsensusConfig, OpenChange, PastChange, PersistedState, ReplicatedState,
+    RolloutStep, VoterSlot,
+};
+
+/// Its fields in place; later formats hold it packed.
+struct Version1(ConfigVersion);
+
+impl<'de> Deserialize<'de> for Version1 {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        ConfigVersion::deserialize(deserializer).map(Version1)
+    }
+}
+
+#[derive(Deserialize)]
+struct Settlement1 {
+    id: String,
+    debtor: String,
+    creditor: String,
+    bytes: u64,
+    segment: u64,
+    holder: String,
+    source: String,
+}
+
+#[derive(Deserialize)]
+enum Command1 {
+    Propose(Box<Version1>),
+    FillCompleted { number: u64, segment: u64, holder: String },
+    Activate { number: u64 },
+    Withdraw { number: u64, why: String },
+    Settle(Settlement1),
+}
+
+#[derive(Deserialize)]
+enum LogEntry1 {
+    Command(Command1),
+    Config(ConsensusConfig),
+    StartStage { number: u64 },
+    RollbackCompleted { number: u64 },
+    VoterSlot { voter: String, slot: VoterSlot },
+}
+
+#[derive(Deserialize)]
+struct OpenChange1 {
+    version: Version1,
+    digest: String,
+    step: RolloutStep,
+    required_fills: BTreeSet<(u64, String)>,
+    completed_fills: BTreeSet<(u64, String)>,
+    withdraw_reason: Option<String>,
+}
+
+#[derive(Deserialize)]
+struct ReplicatedState1 {
+    index: u64,
+    config: ConsensusConfig,
+    longest_lease_seconds: f64,
+    active: Option<(Version1, String)>,
+    completed_fills: BTreeSet<(u64, String)>,
+    open: Option<OpenChange1>,
+    highest_number: u64,
+    history: VecDeque<PastChange>,
+    settled_count: u64,
+    settlements: VecDeque<Settlement1>,
+    settlement_ids: BTreeSet<String>,
+    voter_slots: BTreeMap<String, VoterSlot>,
+}
+
+#[derive(Deserialize)]
+struct PersistedState1 {
+    versions: Vec<Version1>,
+    active_number: u64,
+    completed_fills: Vec<(u64, String)>,
+}
+
+/// `None` unless the document ends with the last byte.
+fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
+    let (document, rest) = postcard::take_from_bytes(bytes).ok()?;
+    rest.is_empty().then_some(document)
+}
+
+fn settlement(old: Settlement1) -> Agreed {
+    let Settlement1 { id, debtor, creditor, bytes, segment, holder, source } = old;
+    Agreed::Settle(Settlement { id, debtor, creditor, bytes, segment, holder, source })
+}
+
+pub(crate) fn log_entry(bytes: &[u8]) -> Option<LogEntry> {
+    Some(match decode(bytes)? {
+        LogEntry1::Command(old) => LogEntry::Command(command(old)),
+        LogEntry1::Config(config) => LogEntry::Config(config),
+        LogEntry1::StartStage { number } => LogEntry::StartStage { number },
+        LogEntry1::RollbackCompleted { number } => LogEntry::RollbackCompleted { number },
+        LogEntry1::VoterSlot { voter, slot } => LogEntry::VoterSlot { voter, slot },
+    })
+}
+
+fn command(old: Command1) -> Command {
+    match old {
+        Command1::Propose(version) => Command::Propose(Box::new(version.0)),
+        Command1::FillCompleted { number, segment, holder } => {
+            Command::FillCompleted { number, segment, holder }
+        }
+        Command1::Activate { number } => Command::Activate { number },
+        Command1::Withdraw { number, why } => Command::Withdraw { number, why },
+        Command1::Settle(old) => Command::Settlement(settlement(old)),
+    }
+}
+
+/// The voters are those of its configuration: format 1 had no others. A settlement whose id does not say of which fill it
+/// is cannot count again and is left out.
+pub(crate) fn replicated_state(bytes: &[u8]) -> Option<ReplicatedState> {
+    let old: ReplicatedState1 = decode(bytes)?;
+    let mut state = ReplicatedState::new(old.config, old.voter_slots);
+    state.index = old.index;
+    state.longest_lease_seconds = old.longest_lease_seconds;
+    state.active = old.active.map(|(version, digest)| (Arc::new(version.0), digest));
+    state.completed_fills = old.completed_fills;
+    state.highest_number = old.highest_number;
+    state.history = old.history;
+    state.open = old.open.map(open_change);
+    let ids_complete = old.settlement_ids.len() as u64 <= old.settled_count;
+    for entry in old.settlements.into_iter().filter(|_| ids_complete).map(settlement) {
+        if state.settlements.check(&entry).is_ok() {
+            state.settlements.apply(entry);
+        }
+    }
+    Some(state)
+}
+
+fn open_change(old: OpenChange1) -> OpenChange {
+    OpenChange {
+        version: Arc::new(old.version.0),
+        digest: old.digest,
+        step: old.step,
+        required_fills: old.required_fills,
+        completed_fills: old.completed_fills,
+        withdraw_reason: old.withdraw_reason,
+    }
+}
+
+pub(crate) fn persisted_state(bytes: &[u8]) -> Option<PersistedState> {
+    let old: PersistedState1 = decode(bytes)?;
+    let versions = old.versions.into_iter().map(|version| Arc::new(version.0)).collect();
+    Some(PersistedState {
+        versions,
+        active_number: old.active_number,
+        completed_fills: old.completed_fills,
+        ..PersistedState::default()
+    })
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/lease_client/adoption.rs
@@ -0,0 +1,136 @@
+//! Adopts a grant: the versions are proved here again, whoever sent them.
+
+use std::collections::BTreeSet;
+
+use dunepond_shard_map as maps;
+
+use super::{ConfigVersion, KnownVersion, LeaseClient, LeaseGrant, Rejection, RolloutSide, VerifiedMap};
+use crate::replicated_state::{ValidatedProposal, validate_proposal, with_completed_fills};
+use crate::{ConsensusConfig, RolloutStep, SettlementUpdate};
+
+impl LeaseClient {
+    pub(super) fn adopt(&mut self, grant: &LeaseGrant) -> Result<(), Rejection> {
+        if let Some(part) = grant.required_parts.first() {
+            return Err(Rejection::UnknownPart(part.clone()));
+        }
+        // That maps are possible counts even if the rest is not adopted.
+        self.snapshot.maps_enabled |= grant.maps_enabled;
+        let active = grant.active.as_ref().map(|(number, digest)| self.document(grant, *number, digest));
+        let active = active.transpose()?;
+        let proposed =
+            grant.proposed.as_ref().map(|proposed| self.document(grant, proposed.number, &proposed.digest));
+        let proposed = proposed.transpose()?;
+        for known in active.iter().chain(&proposed) {
+            known.version.check_known_keys(&self.known_keys)?;
+        }
+        let completed_fills: BTreeSet<(u64, String)> = grant.completed_fills.iter().cloned().collect();
+        let unchanged = same_digest(&active, &self.active)
+            && same_digest(&proposed, &self.proposed)
+            && completed_fills == self.completed_fills;
+        if !unchanged {
+            self.adopt_proofs(active.as_ref(), proposed.as_ref(), &completed_fills)?;
+        }
+        (self.active, self.proposed, self.completed_fills) = (active, proposed, completed_fills);
+        self.index = grant.index;
+        (self.fleet_id, self.epoch) = (grant.fleet_id, grant.epoch);
+        self.snapshot.allocation = grant.quota.clone();
+        self.voters.set_agreed(grant.voters.clone(), grant.voters_number);
+        self.snapshot.side = self.side(grant);
+        self.adopt_settlements(&grant.settlements);
+        Ok(())
+    }
+
+    /// A version that is known already, or comes with the grant.
+    fn document(&self, grant: &LeaseGrant, number: u64, agreed: &str) -> Result<KnownVersion, Rejection> {
+        let mut known = self.active.iter().chain(&self.proposed);
+        if let Some(known) = known.find(|known| known.version.number == number && known.digest == agreed) {
+            return Ok(known.clone());
+        }
+        let received = grant.documents.iter().find(|version| version.number == number);
+        let received = KnownVersion::new(received.ok_or(Rejection::MissingDocument(number))?);
+        if received.digest != agreed {
+            let (said, is) = (agreed.to_string(), received.digest);
+            return Err(Rejection::DigestMismatch { number, said, is });
+        }
+        Ok(received)
+    }
+
+    fn adopt_proofs(
+        &mut self,
+        active: Option<&KnownVersion>,
+        proposed: Option<&KnownVersion>,
+        completed_fills: &BTreeSet<(u64, String)>,
+    ) -> Result<(), Rejection> {
+        let proof = self.prove(active, completed_fills)?;
+        let validated = match proposed {
+            Some(known) => Some(self.validate(active, proof.as_ref(), &known.version)?),
+            None => None,
+        };
+        self.snapshot.active_proof = proof;
+        (self.snapshot.proposed_proof, self.snapshot.transition) = match validated {
+            Some(validated) => (validated.proof, validated.transition),
+            None => (None, None),
+        };
+        Ok(())
+    }
+
+    /// Validated by this broker's own terms, but for the ratio of segments that may change: that is the voters' to limit.
+    pub(super) fn validate(
+        &self,
+        active: Option<&KnownVersion>,
+        proof: Option<&VerifiedMap>,
+        proposed: &ConfigVersion,
+    ) -> Result<ValidatedProposal, Rejection> {
+        let maps_enabled = self.snapshot.maps_enabled;
+        let config = ConsensusConfig { max_changed_ratio: 1.0, maps_enabled, ..self.config.clone() };
+        validate_proposal(active.map(|known| &*known.version), proof, proposed, &config)
+    }
+
+    pub(super) fn prove(
+        &self,
+        active: Option<&KnownVersion>,
+        completed_fills: &BTreeSet<(u64, String)>,
+    ) -> Result<Option<VerifiedMap>, Rejection> {
+        let Some(KnownVersion { version, digest }) = active else { return Ok(None) };
+        let Some(map) = &version.map else { return Ok(None) };
+        version.check_rules()?;
+        let is_known = self.active.as_ref().is_some_and(|known| known.digest == *digest);
+        let proof = match self.snapshot.active_proof.as_ref().filter(|_| is_known) {
+            Some(proof) => proof.clone(),
+            None => maps::verify(map, &[], &self.config.map_requirements).map_err(Rejection::InvalidMap)?,
+        };
+        Ok(Some(with_completed_fills(&proof, completed_fills)))
+    }
+
+    fn side(&self, grant: &LeaseGrant) -> RolloutSide {
+        let Some(proposed) = &grant.proposed else { return RolloutSide::Active };
+        match proposed.step {
+            RolloutStep::Staged(ratio) if is_in_first_stage(&self.config.name, proposed.number, ratio) => {
+                RolloutSide::Proposed
+            }
+            RolloutStep::Joint | RolloutStep::Staged(_) | RolloutStep::RollingBack => RolloutSide::Joint,
+        }
+    }
+
+    /// A reply to a request from before the last one that was adopted has nothing new, or everything.
+    fn adopt_settlements(&mut self, update: &SettlementUpdate) {
+        let is_whole = update.ledger.is_some();
+        if update.from != self.known_settlements && !is_whole {
+            return;
+        }
+        self.known_settlements = update.from + update.entries.len() as u64;
+        if is_whole || !update.entries.is_empty() {
+            self.settlement_updates.push(update.clone());
+        }
+    }
+}
+
+fn same_digest(a: &Option<KnownVersion>, b: &Option<KnownVersion>) -> bool {
+    a.as_ref().map(|known| &known.digest) == b.as_ref().map(|known| &known.digest)
+}
+
+/// Whether the broker is of the ratio that acts on `number` first; another part of the fleet each time.
+fn is_in_first_stage(broker: &str, number: u64, ratio: f64) -> bool {
+    let hash = xxhash_rust::xxh3::xxh3_64_with_seed(broker.as_bytes(), number);
+    (hash as f64) < ratio * u64::MAX as f64
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/lease_client/mod.rs
@@ -0,0 +1,393 @@
+//! Requests leases from voters and turns the grants into an [`ActiveConfig`].
+
+mod adoption;
+mod clock_guard;
+mod voter_selection;
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+use dunepond_quota::DemandReport;
+use dunepond_shard_map::VerifiedMap;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+use crate::active_config::{ConfigSnapshot, RolloutSide};
+use crate::config_version::known_keys;
+use crate::{
+    ActiveConfig, ConfigVersion, ConsensusConfig, LeaseAnswer, LeaseGrant, LeaseReply, LeaseRequest,
+    PersistedState, Rejection, SettlementUpdate, VoterInfo,
+};
+use clock_guard::{ClockGuard, ClockSample};
+use voter_selection::VoterSelection;
+
+/// A lease is renewed after this part of it.
+const RENEWAL_LEASE_RATIO: f64 = 1.0 / 3.0;
+/// Without an answer another voter is asked after this part of a lease, up to twice as long.
+const RETRY_LEASE_RATIO: f64 = 1.0 / 12.0;
+/// Requests whose replies are accepted at the same time.
+const MAX_PENDING_COUNT: usize = 8;
+
+/// Changes whenever [`LeaseClient::persisted_state`] does.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PersistedRevision {
+    active: u64,
+    proposed: Option<u64>,
+    voters: u64,
+    epoch: u64,
+}
+
+struct PendingRequest {
+    id: u64,
+    sent_at: f64,
+    voter: String,
+}
+
+/// A version and its digest.
+#[derive(Clone)]
+struct KnownVersion {
+    version: Arc<ConfigVersion>,
+    digest: String,
+}
+
+impl KnownVersion {
+    fn new(version: &Arc<ConfigVersion>) -> Self {
+        Self { version: version.clone(), digest: version.digest() }
+    }
+}
+
+/// A broker's client for leases.
+pub struct LeaseClient {
+    config: ConsensusConfig,
+    incarnation: u64,
+    rng: Pcg64Mcg,
+    next_id: u64,
+    /// In the order in which they were sent.
+    pending: Vec<PendingRequest>,
+    next_request_at: f64,
+    voters: VoterSelection,
+    fleet_id: u64,
+    epoch: u64,
+    /// Keys of version extensions that this build implements.
+    known_keys: Vec<String>,
+    /// Of the last grant that was adopted.
+    index: u64,
+    active: Option<KnownVersion>,
+    proposed: Option<KnownVersion>,
+    completed_fills: BTreeSet<(u64, String)>,
+    known_settlements: u64,
+    settlement_updates: Vec<SettlementUpdate>,
+    demand: Option<DemandReport>,
+    overloaded: bool,
+    snapshot: ConfigSnapshot,
+    active_config: ActiveConfig,
+    clock: ClockGuard,
+}
+
+impl LeaseClient {
+    /// `now`: own monotonic clock; `seed`: another one at each start of the process.
+    pub fn new(config: ConsensusConfig, persisted: Option<PersistedState>, now: f64, seed: u64) -> Self {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let incarnation = rng.random();
+        let first = rng.random_range(0..config.voters.len().max(1));
+        let snapshot = ConfigSnapshot::unleased(config.maps_enabled, config.lease_seconds);
+        let mut client = Self {
+            incarnation,
+            next_id: 1,
+            pending: Vec::new(),
+            next_request_at: now,
+            voters: VoterSelection::new(&config, first),
+            fleet_id: 0,
+            epoch: 0,
+            known_keys: known_keys(),
+            index: 0,
+            active: None,
+            proposed: None,
+            completed_fills: BTreeSet::new(),
+            known_settlements: 0,
+            settlement_updates: Vec::new(),
+            demand: None,
+            overloaded: false,
+            active_config: snapshot.clone().into_active_config(),
+            snapshot,
+            clock: ClockGuard::new(now),
+            rng,
+            config,
+        };
+        client.restore(persisted.unwrap_or_default());
+        client
+    }
+
+    /// Adopts what was known before the restart, without a lease. Whatever does not prove any more is left out.
+    fn restore(&mut self, persisted: PersistedState) {
+        self.voters.set_agreed(persisted.voters, persisted.voters_number);
+        (self.fleet_id, self.epoch) = (persisted.fleet_id, persisted.epoch);
+        let (active, proposed): (Vec<_>, Vec<_>) =
+            persisted.versions.iter().partition(|version| version.number == persisted.active_number);
+        let active = active.first().map(|version| KnownVersion::new(version));
+        self.snapshot.maps_enabled |= active.iter().any(|known| known.version.map.is_some());
+        let completed_fills = persisted.completed_fills.into_iter().collect();
+        let Ok(proof) = self.prove(active.as_ref(), &completed_fills) else { return self.refresh() };
+        (self.active, self.completed_fills, self.snapshot.active_proof) = (active, completed_fills, proof);
+        if let Some(proposed) = proposed.first() {
+            self.restore_proposed(proposed);
+        }
+        self.refresh();
+    }
+
+    fn restore_proposed(&mut self, proposed: &Arc<ConfigVersion>) {
+        let proof = self.snapshot.active_proof.as_ref();
+        let Ok(validated) = self.validate(self.active.as_ref(), proof, proposed) else { return };
+        self.proposed = Some(KnownVersion::new(proposed));
+        self.snapshot.proposed_proof = validated.proof;
+        self.snapshot.transition = validated.transition;
+        self.snapshot.side = RolloutSide::Joint;
+    }
+
+    /// Whether this broker's nodes are overloaded; sent with the next request.
+    pub fn set_overloaded(&mut self, overloaded: bool) {
+        self.overloaded = overloaded;
+    }
+
+    /// Demand for fleet-wide quotas, sent with each request; `None` where the file shares none.
+    pub fn set_demand_report(&mut self, demand: Option<DemandReport>) {
+        self.demand = demand;
+    }
+
+    /// Which voter to ask and what, when it is time. To be called at least ten times a lease.
+    pub fn tick(&mut self, now: f64) -> Option<(String, LeaseRequest)> {
+        self.observe_clock(now);
+        if now < self.next_request_at || self.config.voters.is_empty() {
+            return None;
+        }
+        if let Some(last) = self.pending.last() {
+            // It has not replied in time; the next voter forwards the request if it does not lead.
+            self.voters.mark_unresponsive(now, &last.voter);
+        }
+        let retry = RETRY_LEASE_RATIO * (1.0 + self.rng.random::<f64>());
+        self.next_request_at = now + self.config.lease_seconds * 2.0 * retry;
+        let request = self.next_request(now);
+        let voter = self.voters.select(now);
+        self.pending.push(PendingRequest { id: request.id, sent_at: now, voter: voter.clone() });
+        if self.pending.len() > MAX_PENDING_COUNT {
+            self.pending.remove(0);
+        }
+        Some((voter, request))
+    }
+
+    fn next_request(&mut self, now: f64) -> LeaseRequest {
+        let id = self.next_id;
+        self.next_id += 1;
+        let known = self.active.iter().chain(&self.proposed);
+        LeaseRequest {
+            id,
+            broker: self.config.name.clone(),
+            sent_at: now,
+            known_versions: known.map(|known| (known.version.number, known.digest.clone())).collect(),
+            joint_version: self.joint_version(),
+            incarnation: self.incarnation,
+            known_settlements: self.known_settlements,
+            demand: self.demand.clone().map(|report| self.acknowledging(report)),
+            forwarded: false,
+            overloaded: self.overloaded,
+        }
+    }
+
+    fn acknowledging(&self, report: DemandReport) -> DemandReport {
+        let allocation = self.snapshot.allocation.as_ref();
+        let shrunk_generation = allocation.map_or(0, |allocation| allocation.shrunk_generation);
+        DemandReport { shrunk_generation, ..report }
+    }
+
+    fn joint_version(&self) -> Option<u64> {
+        self.proposed.as_ref().map(|known| known.version.number)
+    }
+
+    /// The request to `voter` could not be sent, or failed.
+    pub fn request_failed(&mut self, now: f64, voter: &str) {
+        self.observe_clock(now);
+        self.voters.mark_unresponsive(now, voter);
+        self.retry_soon(now);
+    }
+
+    fn retry_soon(&mut self, now: f64) {
+        let lease = self.config.lease_seconds;
+        let retry = RETRY_LEASE_RATIO * (1.0 + self.rng.random::<f64>());
+        self.next_request_at = self.next_request_at.min(now + lease * retry);
+        self.pending.retain(|request| now - request.sent_at < lease);
+    }
+
+    fn observe_clock(&mut self, now: f64) {
+        if self.clock.observe(now) {
+            self.end_lease();
+        }
+    }
+
+    fn end_lease(&mut self) {
+        self.snapshot.lease_until = f64::NEG_INFINITY;
+        self.refresh();
+    }
+
+    /// Why no lease is accepted any more, if so: to be shown, and resolved by a person.
+    pub fn distrust_reason(&self) -> Option<&Rejection> {
+        self.clock.distrust_reason()
+    }
+
+    /// Takes a reply; nothing of it is adopted if any of it is not valid.
+    ///
+    /// # Errors
+    /// Why it is not adopted.
+    pub fn handle_reply(&mut self, now: f64, _from: &str, reply: LeaseReply) -> Result<(), Rejection> {
+        self.observe_clock(now);
+        let is_for_us = reply.incarnation == self.incarnation;
+        let position = self.pending.iter().position(|request| request.id == reply.id && is_for_us);
+        let Some(position) = position else { return Err(Rejection::UnexpectedReply(reply.id)) };
+        let grant = match reply.answer {
+            LeaseAnswer::Granted(grant) => grant,
+            LeaseAnswer::NoLeader => {
+                self.drop_refused(now, position);
+                return Err(Rejection::NoLeader);
+            }
+            LeaseAnswer::NotAVoter(others) => {
+                let voter = self.drop_refused(now, position);
+                self.voters.set_hints(others);
+                return Err(Rejection::NotAVoter(voter));
+            }
+        };
+        // Earlier requests are overtaken.
+        let Some(request) = self.pending.drain(..=position).next_back() else {
+            return Err(Rejection::UnexpectedReply(reply.id));
+        };
+        self.check_grant(now, request.sent_at, &grant)?;
+        let joint_before = self.joint_version();
+        if let Err(reason) = self.adopt(&grant) {
+            self.refresh();
+            return Err(reason);
+        }
+        self.voters.granted(now, &grant.leader, request.voter);
+        let became_joint = self.joint_version().is_some() && self.joint_version() != joint_before;
+        self.next_request_at = if became_joint {
+            // The leader waits to hear that this broker is joint.
+            now
+        } else {
+            request.sent_at + self.config.lease_seconds * RENEWAL_LEASE_RATIO
+        };
+        self.extend_lease(request.sent_at, grant.lease_seconds);
+        Ok(())
+    }
+
+    /// The voter of a request that was not granted.
+    fn drop_refused(&mut self, now: f64, position: usize) -> String {
+        let voter = self.pending.remove(position).voter;
+        self.voters.forget_leader();
+        self.voters.mark_unresponsive(now, &voter);
+        self.retry_soon(now);
+        voter
+    }
+
+    fn check_grant(&mut self, now: f64, sent_at: f64, grant: &LeaseGrant) -> Result<(), Rejection> {
+        self.clock.check_trusted()?;
+        if self.fleet_id != 0 && grant.fleet_id != 0 && grant.fleet_id != self.fleet_id {
+            return Err(Rejection::OtherFleet);
+        }
+        if grant.epoch < self.epoch {
+            return Err(Rejection::StaleEpoch { said: grant.epoch, known: self.epoch });
+        }
+        if grant.index < self.index {
+            return Err(Rejection::StaleReply { said: grant.index, known: self.index });
+        }
+        let sample = ClockSample::new(grant, sent_at);
+        let was_trusted = self.clock.trusts(&sample);
+        let checked = self.clock.compare(now, sample, &self.config);
+        if checked.is_err() && was_trusted {
+            self.end_lease();
+        }
+        checked
+    }
+
+    /// A lease counts from when its request was sent: only then is it certain to end before the leader's wait does.
+    fn extend_lease(&mut self, sent_at: f64, lease_seconds: f64) {
+        let until = sent_at + lease_seconds.min(self.config.lease_seconds);
+        if until > self.snapshot.lease_until {
+            (self.snapshot.lease_from, self.snapshot.lease_until) = (sent_at, until);
+        }
+        self.snapshot.had_lease = true;
+        self.refresh();
+    }
+
+    fn refresh(&mut self) {
+        self.snapshot.active = self.active.as_ref().map(|known| known.version.clone());
+        self.snapshot.proposed = self.proposed.as_ref().map(|known| known.version.clone());
+        self.active_config = self.snapshot.clone().into_active_config();
+    }
+
+    /// What this broker may act on; to be taken anew after each [`Self::handle_reply`] and [`Self::tick`].
+    pub fn active_config(&self) -> ActiveConfig {
+        self.active_config.taken_at(self.clock.last())
+    }
+
+    /// For the folder.
+    pub fn persisted_state(&self) -> PersistedState {
+        let known = self.active.iter().chain(&self.proposed);
+        PersistedState {
+            versions: known.map(|known| known.version.clone()).collect(),
+            active_number: self.active.as_ref().map_or(0, |known| known.version.number),
+            completed_fills: self.completed_fills.iter().cloned().collect(),
+            voters: self.voters.agreed().to_vec(),
+            voters_number: self.voters.number(),
+            fleet_id: self.fleet_id,
+            epoch: self.epoch,
+        }
+    }
+
+    /// Changes whenever [`Self::persisted_state`] does.
+    pub fn persisted_revision(&self) -> PersistedRevision {
+        PersistedRevision {
+            active: self.active_config.active_number(),
+            proposed: self.active_config.proposed_number(),
+            voters: self.voters.number(),
+            epoch: self.epoch,
+        }
+    }
+
+    /// Settlement entries that were committed and have not been taken from here yet, in their order.
+    pub fn take_settlement_updates(&mut self) -> Vec<SettlementUpdate> {
+        std::mem::take(&mut self.settlement_updates)
+    }
+
+    /// So many settlement entries are known from before, or from elsewhere.
+    pub fn set_known_settlements(&mut self, count: u64) {
+        self.known_settlements = count;
+    }
+
+    /// Names of the voters: as agreed, or as the file states while nothing is known of that.
+    pub fn voters(&self) -> Vec<String> {
+        self.voters.names()
+    }
+
+    /// Number of the agreed list of voters.
+    pub fn voters_number(&self) -> u64 {
+        self.voters.number()
+    }
+
+    /// The agreed voters, if this broker's file names others.
+    pub fn voters_unlike_file(&self) -> Option<&[VoterInfo]> {
+        self.voters.unlike_file()
+    }
+
+    /// Who led at the last reply.
+    pub fn leader(&self) -> Option<&str> {
+        self.voters.leader()
+    }
+
+    /// Drawn at the start of the process.
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
+    }
+
+    /// Makes this a later build for tests: it implements these keys, too.
+    #[doc(hidden)]
+    pub fn add_known_keys(&mut self, keys: &[&str]) {
+        self.known_keys.extend(keys.iter().map(ToString::to_string));
+    }
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/persistence.rs
@@ -0,0 +1,139 @@
+//! What voters and brokers store: journal records of a voter, and the state that each broker persists.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use serde::{Deserialize, Serialize};
+
+use crate::{ConfigVersion, ConsensusError, VoterInfo, codec};
+
+/// What a voter has to store: one record of a journal, read back by [`StoredVoter::apply_record`].
+// postcard: the order of fields is the format.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct WriteBatch {
+    pub(crate) folder: Option<FolderIdentity>,
+    /// The raft library's hard state, if it changed.
+    pub(crate) hard_state: Option<Vec<u8>>,
+    /// An entry replaces what was stored from its index on.
+    pub(crate) entries: Vec<StoredEntry>,
+    pub(crate) snapshot: Option<Vec<u8>>,
+    /// The snapshot came from the leader and replaces all entries so far.
+    pub(crate) replaces_entries: bool,
+}
+
+/// An entry of the log, as the raft library encodes it.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub(crate) struct StoredEntry {
+    pub index: u64,
+    pub term: u64,
+    pub bytes: Vec<u8>,
+}
+
+/// Which folder a voter runs on.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct FolderIdentity {
+    /// Name of the broker.
+    pub name: String,
+    /// Drawn when the folder was empty. It is the voter's id in the raft library, so that a voter with another folder is
+    /// another voter, which has promised nothing.
+    pub id: u64,
+    /// Starts on this folder, this one included.
+    pub start_count: u64,
+    /// Drawn at this start.
+    pub run_id: u64,
+}
+
+/// The content of a voter's folder, put together from its records.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct StoredVoter {
+    pub(crate) folder: Option<FolderIdentity>,
+    pub(crate) hard_state: Option<Vec<u8>>,
+    /// Term and bytes, by index.
+    pub(crate) entries: BTreeMap<u64, (u64, Vec<u8>)>,
+    pub(crate) snapshot: Option<Vec<u8>>,
+}
+
+/// What every broker persists, so that a restart without a reachable voter knows the strictest of it.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct PersistedState {
+    /// Active and proposed.
+    pub(crate) versions: Vec<Arc<ConfigVersion>>,
+    #[serde(rename = "in_force")]
+    pub(crate) active_number: u64,
+    /// Segment and node.
+    #[serde(rename = "done")]
+    pub(crate) completed_fills: Vec<(u64, String)>,
+    pub(crate) voters: Vec<VoterInfo>,
+    #[serde(rename = "voting")]
+    pub(crate) voters_number: u64,
+    #[serde(default)]
+    #[serde(rename = "fleet")]
+    pub(crate) fleet_id: u64,
+    #[serde(default)]
+    pub(crate) epoch: u64,
+}
+
+impl WriteBatch {
+    /// Nothing has to be stored.
+    pub fn is_empty(&self) -> bool {
+        *self == Self::default()
+    }
+
+    /// A journal record.
+    pub fn encode(&self) -> Vec<u8> {
+        postcard::to_stdvec(self).expect("plain data")
+    }
+
+    /// It holds a whole snapshot: the journal may be rewritten with [`crate::Voter::checkpoint`] as its only record.
+    pub fn is_checkpoint(&self) -> bool {
+        self.snapshot.is_some()
+    }
+}
+
+impl StoredVoter {
+    /// An empty folder.
+    pub fn new() -> Self {
+        Self::default()
+    }
+
+    /// Adds the next record of the journal.
+    ///
+    /// # Errors
+    /// The record is malformed.
+    pub fn apply_record(&mut self, bytes: &[u8]) -> Result<(), ConsensusError> {
+        let batch =
+            postcard::from_bytes(bytes).map_err(|_| ConsensusError::CorruptRecord("a write batch"))?;
+        self.apply(batch);
+        Ok(())
+    }
+
+    fn apply(&mut self, batch: WriteBatch) {
+        if let Some(folder) = batch.folder {
+            // Another folder is another voter: nothing of the previous one counts.
+            if self.folder.as_ref().is_some_and(|previous| previous.id != folder.id) {
+                *self = Self::default();
+            }
+            self.folder = Some(folder);
+        }
+        if let Some(snapshot) = batch.snapshot {
+            self.snapshot = Some(snapshot);
+        }
+        if batch.replaces_entries {
+            self.entries.clear();
+        }
+        if let Some(first) = batch.entries.first() {
+            self.entries.split_off(&first.index);
+        }
+        self.entries.extend(batch.entries.into_iter().map(|entry| (entry.index, (entry.term, entry.bytes))));
+        if batch.hard_state.is_some() {
+            self.hard_state = batch.hard_state;
+        }
+    }
+}
+
+impl PersistedState {
+    /// A document for the folder.
+    pub fn encode(&self) -> Vec<u8> {
+        codec::encode(self)
+    }
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -0,0 +1,231 @@
+//! The state machine of the log. Each voter applies the same entries in the same order and judges each by itself, so that
+//! an entry that should not have been proposed is ignored by all alike. No clock is read here: what takes time is the
+//! leader's to wait for. The serialised names are those of the snapshot format.
+
+mod quota;
+mod rebalance;
+mod settlement_log;
+mod state_change;
+#[cfg(test)]
+mod tests;
+mod version_change;
+mod voter_list;
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::sync::Arc;
+
+use dunepond_quota::QuotaLedger;
+use dunepond_rebalance::Book;
+use dunepond_shard_map::{self as maps, VerifiedMap};
+use serde::{Deserialize, Serialize};
+
+use crate::log_entry::LogEntry;
+use crate::{Command, ConfigVersion, ConsensusConfig, Rejection, VoterSlot, codec};
+pub use settlement_log::{SettlementLog, SettlementRecord, SettlementUpdate};
+pub use state_change::StateChange;
+pub use version_change::{ChangeEnd, OpenChange, PastChange, RolloutStep};
+pub(crate) use version_change::{ValidatedProposal, validate_proposal, with_completed_fills};
+pub use voter_list::VoterList;
+
+/// What the committed entries add up to.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct ReplicatedState {
+    /// Drawn as the fleet was founded; 0: by a build that drew none.
+    #[serde(default)]
+    #[serde(rename = "fleet")]
+    pub fleet_id: u64,
+    /// How often the fleet was recovered without a majority.
+    #[serde(default)]
+    pub epoch: u64,
+    /// Leases from before a recovery may still run, so none is granted.
+    #[serde(default)]
+    #[serde(rename = "quiet")]
+    pub leases_suspended: bool,
+    /// Index in the log up to which everything is applied.
+    pub index: u64,
+    /// By which all voters judge, whatever their files state.
+    #[serde(rename = "terms")]
+    pub config: ConsensusConfig,
+    /// Of all leases that were ever allowed; the quiescence period is computed from it.
+    #[serde(rename = "longest_lease")]
+    pub longest_lease_seconds: f64,
+    /// The active version and its digest.
+    #[serde(rename = "in_force")]
+    pub active: Option<(Arc<ConfigVersion>, String)>,
+    /// Fills that count for the active map: segment and node.
+    #[serde(rename = "done")]
+    pub completed_fills: BTreeSet<(u64, String)>,
+    /// The proposed version and its progress.
+    pub open: Option<OpenChange>,
+    /// Highest number ever proposed.
+    #[serde(rename = "highest")]
+    pub highest_number: u64,
+    /// The last changes that ended.
+    pub history: VecDeque<PastChange>,
+    /// Accounts between partners.
+    #[serde(rename = "debts")]
+    pub settlements: SettlementLog,
+    /// Who votes.
+    pub voters: VoterList,
+    /// Identity of each voter's folder.
+    #[serde(rename = "seats")]
+    pub voter_slots: BTreeMap<String, VoterSlot>,
+    /// Each broker's shares of fleet-wide quotas.
+    #[serde(rename = "limits")]
+    pub quota: QuotaLedger,
+    #[serde(rename = "moves")]
+    rebalance: Book,
+    /// Parts that a voter has to know, or else must not take part; none so far.
+    #[serde(rename = "must")]
+    required_parts: BTreeSet<String>,
+    /// Parts of a later build that need not be known; they stay in each snapshot.
+    #[serde(flatten)]
+    unknown_parts: BTreeMap<String, ciborium::Value>,
+    /// Of the active map; derived.
+    #[serde(skip)]
+    proof: Option<VerifiedMap>,
+    /// Of the proposed version; derived.
+    #[serde(skip)]
+    proposal: Option<ValidatedProposal>,
+}
+
+impl ReplicatedState {
+    pub(crate) fn new(config: ConsensusConfig, voter_slots: BTreeMap<String, VoterSlot>) -> Self {
+        Self {
+            fleet_id: 0,
+            epoch: 0,
+            leases_suspended: false,
+            index: 0,
+            longest_lease_seconds: config.lease_seconds,
+            voters: VoterList::founding(&config.voters),
+            config,
+            active: None,
+            completed_fills: BTreeSet::new(),
+            open: None,
+            highest_number: 0,
+            history: VecDeque::new(),
+            settlements: SettlementLog::default(),
+            voter_slots,
+            quota: QuotaLedger::default(),
+            rebalance: Book::default(),
+            required_parts: BTreeSet::new(),
+            unknown_parts: BTreeMap::new(),
+            proof: None,
+            proposal: None,
+        }
+    }
+
+    /// The data of a snapshot.
+    pub(crate) fn encode(&self) -> Vec<u8> {
+        codec::encode(self)
+    }
+
+    /// Derives the proofs again. `None` if this build misses a required part, or something does not prove: such a state
+    /// must not be acted on.
+    pub(crate) fn with_proofs(mut self) -> Option<Self> {
+        if !self.required_parts.is_empty() {
+            return None;
+        }
+        if let Some((version, digest)) = &self.active {
+            if version.digest() != *digest {
+                return None;
+            }
+            if let Some(map) = &version.map {
+                let proof = maps::verify(map, &[], &self.config.map_requirements).ok()?;
+                self.proof = Some(with_completed_fills(&proof, &self.completed_fills));
+            }
+        }
+        if let Some(open) = &self.open {
+            self.proposal = Some(self.validate(&open.version).ok()?);
+        }
+        Some(self)
+    }
+
+    /// The quiescence period, in seconds on the leader's clock from when it saw a change committed, see
+    /// [`ConsensusConfig::quiescence_seconds`]. `own`: the leader's file.
+    pub fn quiescence_seconds(&self, own: &ConsensusConfig) -> f64 {
+        let lease = self.longest_lease_seconds.max(own.lease_seconds);
+        self.config.quiescence_seconds_for(lease).max(own.quiescence_seconds_for(lease))
+    }
+
+    /// Whether the entry would change anything, as things stand.
+    pub(crate) fn check(&self, entry: &LogEntry) -> Result<(), Rejection> {
+        match entry {
+            LogEntry::Command(command) => self.check_command(command),
+            LogEntry::StartStage { number } => self.check_rollout(*number),
+            LogEntry::RollbackCompleted { number } => self.check_rollback_completed(*number),
+            LogEntry::Config(_) => match &self.open {
+                Some(open) => Err(Rejection::ConfigWhileOpen(open.version.number)),
+                None => Ok(()),
+            },
+            LogEntry::VoterSlot { voter, .. } if !self.voters.contains(voter) => {
+                Err(Rejection::NotAVoter(voter.clone()))
+            }
+            LogEntry::VoterSlot { .. } => Ok(()),
+            LogEntry::VotersReplaced(replacement) => self.check_replacement(replacement),
+            LogEntry::ResumeLeases { epoch } if self.leases_suspended && *epoch == self.epoch => Ok(()),
+            LogEntry::ResumeLeases { .. } => Err(Rejection::AlreadyApplied),
+        }
+    }
+
+    fn check_command(&self, command: &Command) -> Result<(), Rejection> {
+        match command {
+            Command::Propose(version) => self.check_proposal(version).map(drop),
+            Command::FillCompleted { number, segment, holder } => self.check_fill(*number, *segment, holder),
+            Command::Activate { number } => self.check_rollout(*number),
+            Command::Withdraw { number, .. } => self.check_withdraw(*number),
+            Command::Settlement(entry) => self.settlements.check(entry),
+            Command::Quota(entry) => self.check_quota(entry),
+            Command::Rebalance(entry) => self.check_rebalance(entry),
+            Command::ChangeVoters(change) => self.check_voter_change(change),
+        }
+    }
+
+    /// Applies the entry at `index`, or says why it is ignored.
+    pub(crate) fn apply(&mut self, index: u64, entry: LogEntry) -> Result<StateChange, Rejection> {
+        self.index = index;
+        if let LogEntry::Command(Command::Propose(version)) = entry {
+            let proposal = self.check_proposal(&version)?;
+            return Ok(self.open_change(Arc::new(*version), proposal));
+        }
+        self.check(&entry)?;
+        match entry {
+            LogEntry::Command(command) => self.apply_command(command),
+            LogEntry::StartStage { number } => Ok(self.start_stage(number)),
+            LogEntry::RollbackCompleted { number } => Ok(self.complete_rollback(number)),
+            LogEntry::Config(config) => {
+                self.longest_lease_seconds = self.longest_lease_seconds.max(config.lease_seconds);
+                self.config = config;
+                Ok(StateChange::Config)
+            }
+            LogEntry::VoterSlot { voter, slot } => {
+                self.voter_slots.insert(voter.clone(), slot);
+                Ok(StateChange::VoterSlot(voter))
+            }
+            LogEntry::VotersReplaced(replacement) => Ok(self.replace_voters(replacement)),
+            LogEntry::ResumeLeases { epoch } => {
+                self.leases_suspended = false;
+                Ok(StateChange::LeasesResumed(epoch))
+            }
+        }
+    }
+
+    /// After [`Self::check`].
+    fn apply_command(&mut self, command: Command) -> Result<StateChange, Rejection> {
+        match command {
+            Command::Propose(_) => unreachable!("applied by its caller"),
+            Command::FillCompleted { number, segment, holder } => {
+                Ok(self.complete_fill(number, segment, holder))
+            }
+            Command::Activate { number } => Ok(self.activate(number)),
+            Command::Withdraw { number, why } => Ok(self.withdraw_or_roll_back(number, why)),
+            Command::Settlement(entry) => {
+                self.settlements.apply(entry.clone());
+                Ok(StateChange::Settlement(entry))
+            }
+            Command::Quota(entry) => self.apply_quota(&entry),
+            Command::Rebalance(entry) => self.apply_rebalance(entry),
+            Command::ChangeVoters(change) => Ok(self.change_voters(*change)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/replicated_state/rebalance.rs
@@ -0,0 +1,56 @@
+//! Rebalancing plans, and the versions that carry out their steps.
+
+use dunepond_rebalance::{Agreed, Book, Seen};
+
+use super::{ReplicatedState, StateChange};
+use crate::{ConfigVersion, Rejection};
+
+impl ReplicatedState {
+    /// Progress of the running plan, and the plans that ended.
+    pub fn rebalance(&self) -> &Book {
+        &self.rebalance
+    }
+
+    /// The state in which an entry of a plan is judged.
+    pub fn rebalance_context(&self) -> Seen<'_> {
+        Seen {
+            open: self.open.as_ref().map(|open| open.version.number),
+            highest: self.highest_number,
+            proof: self.proof.as_ref(),
+            most_changed: self.config.max_changed_ratio,
+        }
+    }
+
+    /// Whether the active version excludes the node.
+    pub fn is_excluded(&self, node: &str) -> bool {
+        self.active.as_ref().is_some_and(|(version, _)| version.excluded_nodes.contains(node))
+    }
+
+    pub(super) fn check_rebalance(&self, entry: &Agreed) -> Result<(), Rejection> {
+        Ok(self.rebalance.check(entry, &self.rebalance_context())?)
+    }
+
+    pub(super) fn apply_rebalance(&mut self, entry: Agreed) -> Result<StateChange, Rejection> {
+        let plan = match &entry {
+            Agreed::Taken { plan, .. } => plan.id.clone(),
+            Agreed::Begun { plan, .. }
+            | Agreed::Paused { plan, .. }
+            | Agreed::Resumed { plan, .. }
+            | Agreed::Withdrawn { plan, .. } => plan.clone(),
+        };
+        let mut progress = std::mem::take(&mut self.rebalance);
+        let applied = progress.apply(entry, &self.rebalance_context());
+        self.rebalance = progress;
+        applied?;
+        let status = self.rebalance.told(&plan).unwrap_or_default();
+        Ok(StateChange::Rebalance { plan, status })
+    }
+
+    /// While a plan runs only its own steps may change the map.
+    pub(super) fn check_beside_plan(&self, version: &ConfigVersion) -> Result<(), Rejection> {
+        let digest = version.map.as_ref().map(|map| map.digest.as_str());
+        let active = self.proof.as_ref().map(|proof| proof.digest());
+        let other_map = digest.filter(|digest| active != Some(*digest));
+        Ok(self.rebalance.allows(version.number, other_map)?)
+    }
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
@@ -0,0 +1,96 @@
+use dunepond_settlement::{Agreed, Allot, Applied, DebtError, Ledger, Settlement};
+
+use super::{RETAINED_ENTRY_COUNT, SettlementLog};
+use crate::Rejection;
+
+const FILLS: u64 = 5000;
+const FILLS_PER_VERSION: u64 = 100;
+
+fn settle(version: u64, fill: u64) -> Agreed {
+    let text = String::from;
+    Agreed::Settle(Settlement {
+        id: format!("{version}/{fill}/h@fleet"),
+        debtor: text("north"),
+        creditor: text("south"),
+        bytes: 3,
+        segment: fill,
+        holder: text("h"),
+        source: text("s"),
+    })
+}
+
+fn allot() -> Agreed {
+    let text = String::from;
+    let (debtor, creditor, parts) = (text("north"), text("south"), vec![(text("fleet"), 15_000)]);
+    Agreed::Allot(Allot { number: 0, debtor, creditor, debt: 15_000, parts })
+}
+
+/// Five thousand settlements over fifty versions, the debt split in advance.
+fn long_log() -> SettlementLog {
+    let mut log = SettlementLog::default();
+    log.check(&allot()).unwrap();
+    log.apply(allot());
+    for fill in 0..FILLS {
+        if fill % FILLS_PER_VERSION == 0 {
+            log.close_old_versions(1 + fill / FILLS_PER_VERSION);
+        }
+        let entry = settle(1 + fill / FILLS_PER_VERSION, fill);
+        log.check(&entry).unwrap();
+        log.apply(entry);
+    }
+    log
+}
+
+/// The ledger of a broker that has heard of the first `count` entries.
+fn ledger_at(log: &SettlementLog, count: u64) -> Ledger {
+    if count != 4_900 {
+        return Ledger::default();
+    }
+    // The whole ledger up to the first retained entry, then entry by entry.
+    let first = log.count - log.last.len() as u64;
+    let mut before = SettlementLog::default();
+    before.apply(allot());
+    (0..first - 1).for_each(|fill| before.apply(settle(1 + fill / FILLS_PER_VERSION, fill)));
+    let mut ledger = before.ledger;
+    for record in log.last.iter().take((count - first) as usize) {
+        ledger.close(record.floor);
+        ledger.apply(&record.entry).unwrap();
+    }
+    ledger
+}
+
+#[test]
+fn updates_from_any_position_lead_to_the_same_ledger() {
+    let log = long_log();
+    for from in [0, 4_900, 9_999] {
+        let (mut known, mut ledger, mut times) = (from, ledger_at(&log, from), 0);
+        while known != log.count {
+            let update = log.updates_after(known);
+            if let Some(whole) = update.ledger {
+                ledger = *whole;
+                known = update.from;
+            }
+            for record in update.entries {
+                ledger.close(record.floor);
+                assert_eq!(ledger.apply(&record.entry), Ok(Applied::Now));
+                known += 1;
+            }
+            times += 1;
+            assert!(times < 100, "no end of it from {from}");
+        }
+        assert_eq!(ledger, log.ledger, "from {from}");
+    }
+}
+
+#[test]
+fn retained_entries_are_bounded_and_closed_versions_are_rejected() {
+    let log = long_log();
+    assert!(log.last.len() <= RETAINED_ENTRY_COUNT);
+    assert_eq!(log.check(&settle(50, 4999)), Err(Rejection::AlreadySettled("50/4999/h@fleet".to_string())));
+    let late = log.check(&settle(41, 1));
+    assert!(matches!(late, Err(Rejection::Settlement(DebtError::Closed { floor: 42, .. }))), "{late:?}");
+    let past = log.check(&settle(50, 5000));
+    assert!(matches!(past, Err(Rejection::Settlement(DebtError::PastShare { .. }))), "{past:?}");
+    let size = postcard::to_stdvec(&log.ledger).unwrap().len();
+    assert!(size < 900 * 64, "{size} bytes for nine versions of a hundred fills");
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -0,0 +1,294 @@
+//! The active version and the proposed one: validated, opened, rolled out, ended.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+use dunepond_shard_map::{self as maps, MapTransition, VerifiedMap};
+use serde::{Deserialize, Serialize};
+
+use super::{ReplicatedState, StateChange};
+use crate::{ConfigVersion, ConsensusConfig, Rejection};
+
+/// Length of [`ReplicatedState::history`].
+const HISTORY_COUNT: usize = 64;
+
+/// How far the rollout of a proposed version is.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub enum RolloutStep {
+    /// All brokers act on the stricter of both versions.
+    Joint,
+    /// This ratio of the brokers acts on the new version alone, the others are joint.
+    Staged(f64),
+    /// All brokers are joint again, until nobody acts on the new version alone.
+    #[serde(rename = "Returning")]
+    RollingBack,
+}
+
+/// The version that is proposed, and its progress.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct OpenChange {
+    /// The version.
+    pub version: Arc<ConfigVersion>,
+    /// Its digest.
+    pub digest: String,
+    /// How far its rollout is.
+    pub step: RolloutStep,
+    /// Fills without which it cannot be activated: segment and node.
+    #[serde(rename = "needs")]
+    pub required_fills: BTreeSet<(u64, String)>,
+    /// Those of them that are complete.
+    #[serde(rename = "filled")]
+    pub completed_fills: BTreeSet<(u64, String)>,
+    /// Why it is being rolled back.
+    #[serde(rename = "why")]
+    pub withdraw_reason: Option<String>,
+}
+
+/// How a change ended.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum ChangeEnd {
+    /// The version became the only active one.
+    #[serde(rename = "InForce")]
+    Activated,
+    /// The version was withdrawn; why.
+    Withdrawn(String),
+}
+
+/// A change that ended.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct PastChange {
+    /// Of the version.
+    pub number: u64,
+    /// Who proposed it.
+    #[serde(rename = "who")]
+    pub proposed_by: String,
+    /// Why, in the proposer's words.
+    #[serde(rename = "why")]
+    pub reason: String,
+    /// Unix seconds, as the proposer stated.
+    #[serde(rename = "at")]
+    pub proposed_at_unix_seconds: f64,
+    /// How it ended.
+    #[serde(rename = "ended")]
+    pub end: ChangeEnd,
+}
+
+/// What is derived from the maps of a valid proposal.
+#[derive(Clone, Debug)]
+pub(crate) struct ValidatedProposal {
+    pub proof: Option<VerifiedMap>,
+    pub transition: Option<MapTransition>,
+}
+
+/// Validates `version` against the active one. Proposers, voters and lease clients all judge by this function.
+pub(crate) fn validate_proposal(
+    active: Option<&ConfigVersion>,
+    active_proof: Option<&VerifiedMap>,
+    version: &ConfigVersion,
+    config: &ConsensusConfig,
+) -> Result<ValidatedProposal, Rejection> {
+    version.check_rules()?;
+    let Some(map) = &version.map else {
+        return match active_proof {
+            Some(_) => Err(Rejection::MapDropped(version.number)),
+            None => Ok(ValidatedProposal { proof: None, transition: None }),
+        };
+    };
+    if !config.maps_enabled {
+        return Err(Rejection::MapsDisabled);
+    }
+    let excluded = map.segments.iter().find(|segment| version.excluded_nodes.contains(&segment.owner));
+    if let Some(segment) = excluded {
+        return Err(Rejection::OwnerExcluded { segment: segment.id, owner: segment.owner.clone() });
+    }
+    let unchanged = active.and_then(|version| version.map.as_ref()) == Some(map);
+    if unchanged {
+        return Ok(ValidatedProposal { proof: active_proof.cloned(), transition: None });
+    }
+    let to = maps::verify(map, &[], &config.map_requirements).map_err(Rejection::InvalidMap)?;
+    let Some(from) = active_proof else {
+        return Ok(ValidatedProposal { proof: Some(to), transition: None });
+    };
+    let transition = maps::verify_transition(from, &to).map_err(Rejection::InvalidMap)?;
+    let (changed, of) = (transition.changed_segments(), from.len().max(to.len()));
+    if changed as f64 > config.max_changed_ratio * of as f64 {
+        return Err(Rejection::TooManySegments { changed, of, most: config.max_changed_ratio });
+    }
+    Ok(ValidatedProposal { proof: Some(transition.to().clone()), transition: Some(transition) })
+}
+
+/// Marks replicas of the map as filled.
+pub(crate) fn with_completed_fills(proof: &VerifiedMap, fills: &BTreeSet<(u64, String)>) -> VerifiedMap {
+    proof.with_filled(fills.iter().map(|(segment, node)| (*segment, node.as_str())))
+}
+
+impl ReplicatedState {
+    /// Number of the active version, 0 if there is none.
+    pub fn active_number(&self) -> u64 {
+        self.active.as_ref().map_or(0, |(version, _)| version.number)
+    }
+
+    /// Of the active map.
+    pub fn map_proof(&self) -> Option<&VerifiedMap> {
+        self.proof.as_ref()
+    }
+
+    /// From the active map to the proposed one: what has to be filled, and from where.
+    pub fn map_transition(&self) -> Option<&MapTransition> {
+        self.proposal.as_ref()?.transition.as_ref()
+    }
+
+    /// How many fills the proposed version still waits for.
+    pub fn missing_fills(&self) -> usize {
+        self.open.as_ref().map_or(0, |open| open.required_fills.difference(&open.completed_fills).count())
+    }
+
+    fn open_at(&self, number: u64) -> Result<&OpenChange, Rejection> {
+        self.open.as_ref().filter(|open| open.version.number == number).ok_or(Rejection::NotProposed(number))
+    }
+
+    fn checked_open(&mut self) -> &mut OpenChange {
+        self.open.as_mut().expect("checked")
+    }
+
+    pub(super) fn check_proposal(&self, version: &ConfigVersion) -> Result<ValidatedProposal, Rejection> {
+        if let Some(open) = &self.open {
+            return Err(Rejection::ChangeOpen { open: open.version.number });
+        }
+        self.check_beside_plan(version)?;
+        let expected = self.highest_number + 1;
+        if version.number != expected {
+            return Err(Rejection::WrongNumber { given: version.number, expected });
+        }
+        if let Some(given) = version.based_on
+            && given != self.active_number()
+        {
+            return Err(Rejection::WrongBase { given, in_force: self.active_number() });
+        }
+        self.validate(version)
+    }
+
+    pub(super) fn validate(&self, version: &ConfigVersion) -> Result<ValidatedProposal, Rejection> {
+        let active = self.active.as_ref().map(|(version, _)| &**version);
+        validate_proposal(active, self.proof.as_ref(), version, &self.config)
+    }
+
+    pub(super) fn check_fill(&self, number: u64, segment: u64, holder: &str) -> Result<(), Rejection> {
+        let open = self.open_at(number)?;
+        let fill = (segment, holder.to_string());
+        if open.required_fills.contains(&fill) && !open.completed_fills.contains(&fill) {
+            return Ok(());
+        }
+        Err(Rejection::FillNotNeeded { number, segment, holder: fill.1 })
+    }
+
+    /// Of a stage, or of the activation.
+    pub(super) fn check_rollout(&self, number: u64) -> Result<(), Rejection> {
+        if self.open_at(number)?.step == RolloutStep::RollingBack {
+            return Err(Rejection::RollingBack(number));
+        }
+        match self.missing_fills() {
+            0 => Ok(()),
+            left => Err(Rejection::FillsMissing { number, left }),
+        }
+    }
+
+    pub(super) fn check_withdraw(&self, number: u64) -> Result<(), Rejection> {
+        match self.open_at(number)?.step {
+            RolloutStep::RollingBack => Err(Rejection::RollingBack(number)),
+            RolloutStep::Joint | RolloutStep::Staged(_) => Ok(()),
+        }
+    }
+
+    pub(super) fn check_rollback_completed(&self, number: u64) -> Result<(), Rejection> {
+        match self.open_at(number)?.step {
+            RolloutStep::RollingBack => Ok(()),
+            RolloutStep::Joint | RolloutStep::Staged(_) => Err(Rejection::NotProposed(number)),
+        }
+    }
+
+    pub(super) fn open_change(
+        &mut self,
+        version: Arc<ConfigVersion>,
+        proposal: ValidatedProposal,
+    ) -> StateChange {
+        let number = version.number;
+        self.highest_number = number;
+        let needs = proposal.transition.iter().flat_map(MapTransition::required_fills);
+        self.open = Some(OpenChange {
+            digest: version.digest(),
+            version,
+            step: RolloutStep::Joint,
+            required_fills: needs.map(|need| (need.segment, need.replica.clone())).collect(),
+            completed_fills: BTreeSet::new(),
+            withdraw_reason: None,
+        });
+        self.proposal = Some(proposal);
+        StateChange::Proposed(number)
+    }
+
+    pub(super) fn complete_fill(&mut self, number: u64, segment: u64, holder: String) -> StateChange {
+        self.checked_open().completed_fills.insert((segment, holder.clone()));
+        StateChange::FillCompleted { number, segment, holder }
+    }
+
+    pub(super) fn start_stage(&mut self, number: u64) -> StateChange {
+        let open = self.checked_open();
+        open.step = RolloutStep::Staged(open.version.first_stage_ratio.unwrap_or(1.0));
+        StateChange::Staged(number)
+    }
+
+    pub(super) fn activate(&mut self, number: u64) -> StateChange {
+        let open = self.open.take().expect("checked");
+        self.record_end(&open.version, ChangeEnd::Activated);
+        let proposal = self.proposal.take().expect("with what is open");
+        self.proof = proposal.proof.map(|proof| with_completed_fills(&proof, &open.completed_fills));
+        let fills = std::mem::take(&mut self.completed_fills).into_iter().chain(open.completed_fills);
+        if let Some(proof) = &self.proof {
+            let counts =
+                |id: u64, node: &str| proof.segment(id).is_some_and(|segment| proof.is_filled(segment, node));
+            self.completed_fills = fills.filter(|(id, node)| counts(*id, node)).collect();
+        }
+        self.active = Some((open.version, open.digest));
+        self.settlements.close_old_versions(number);
+        self.rebalance.ended(number, None);
+        StateChange::Activated(number)
+    }
+
+    /// Where some brokers act on the version alone already, it has to be rolled back first.
+    pub(super) fn withdraw_or_roll_back(&mut self, number: u64, why: String) -> StateChange {
+        let open = self.checked_open();
+        if matches!(open.step, RolloutStep::Staged(_)) {
+            open.step = RolloutStep::RollingBack;
+            open.withdraw_reason = Some(why);
+            return StateChange::RollingBack(number);
+        }
+        self.withdraw(number, why)
+    }
+
+    pub(super) fn complete_rollback(&mut self, number: u64) -> StateChange {
+        let why = self.checked_open().withdraw_reason.take().unwrap_or_default();
+        self.withdraw(number, why)
+    }
+
+    fn withdraw(&mut self, number: u64, why: String) -> StateChange {
+        let open = self.open.take().expect("checked");
+        self.proposal = None;
+        self.rebalance.ended(number, Some(&why));
+        self.record_end(&open.version, ChangeEnd::Withdrawn(why));
+        StateChange::Withdrawn(number)
+    }
+
+    fn record_end(&mut self, version: &ConfigVersion, end: ChangeEnd) {
+        if self.history.len() == HISTORY_COUNT {
+            self.history.pop_front();
+        }
+        self.history.push_back(PastChange {
+            number: version.number,
+            proposed_by: version.proposed_by.clone(),
+            reason: version.reason.clone(),
+            proposed_at_unix_seconds: version.proposed_at_unix_seconds,
+            end,
+        });
+    }
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/replicated_state/voter_list.rs
@@ -0,0 +1,150 @@
+//! Who votes. The list of the operator's file founds the fleet; from then on it is changed by an operator's document, one
+//! voter at a time.
+
+use serde::{Deserialize, Serialize};
+
+use super::{ReplicatedState, StateChange};
+use crate::log_entry::VoterReplacement;
+use crate::{Rejection, VoterChange, VoterInfo};
+
+/// The voters in force, and the change that waits until its new voter is ready.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct VoterList {
+    /// Of the last change that was committed; 0: the founding list.
+    pub number: u64,
+    /// In force.
+    #[serde(rename = "list")]
+    pub voters: Vec<VoterInfo>,
+    /// Waits for its new voter.
+    #[serde(rename = "next")]
+    pub pending: Option<VoterChange>,
+    /// Who left last, with its folder's id: the raft library may need it until the membership change is complete.
+    #[serde(rename = "left")]
+    pub(crate) last_removed: Option<(String, u64)>,
+}
+
+/// The difference between the list in force and the pending one.
+#[derive(Debug, Default)]
+pub(crate) struct PendingReplacement {
+    pub joining: Option<String>,
+    pub leaving: Option<String>,
+}
+
+/// Names that are in `to` and not in `from`.
+fn added(from: &[VoterInfo], to: &[VoterInfo]) -> Vec<String> {
+    let is_new = |voter: &&VoterInfo| !from.iter().any(|other| other.name == voter.name);
+    to.iter().filter(is_new).map(|voter| voter.name.clone()).collect()
+}
+
+fn first_duplicate(voters: &[VoterInfo]) -> Option<&VoterInfo> {
+    let is_duplicate = |i: usize, name: &str| voters[..i].iter().any(|other| other.name == name);
+    voters.iter().enumerate().find(|(i, voter)| is_duplicate(*i, &voter.name)).map(|(_, voter)| voter)
+}
+
+impl VoterList {
+    pub(crate) fn founding(names: &[String]) -> Self {
+        let voters = names.iter().map(|name| VoterInfo { name: name.clone(), address: None }).collect();
+        Self { number: 0, voters, pending: None, last_removed: None }
+    }
+
+    /// Whether the broker votes.
+    pub fn contains(&self, name: &str) -> bool {
+        self.voters.iter().any(|voter| voter.name == name)
+    }
+
+    /// Whether the broker votes, or will by the pending list.
+    pub fn contains_or_joining(&self, name: &str) -> bool {
+        let mut pending = self.pending.iter().flat_map(|pending| &pending.voters);
+        self.contains(name) || pending.any(|voter| voter.name == name)
+    }
+
+    /// Names of all voters, and of the one that joins by the pending list.
+    pub fn names_with_joining(&self) -> Vec<String> {
+        let joining = self.pending.iter().flat_map(|pending| added(&self.voters, &pending.voters));
+        self.voters.iter().map(|voter| voter.name.clone()).chain(joining).collect()
+    }
+
+    pub(crate) fn pending_replacement(&self) -> Option<PendingReplacement> {
+        let pending = self.pending.as_ref()?;
+        Some(PendingReplacement {
+            joining: added(&self.voters, &pending.voters).pop(),
+            leaving: added(&pending.voters, &self.voters).pop(),
+        })
+    }
+
+    fn check(&self, change: &VoterChange) -> Result<(), Rejection> {
+        if change.voters.is_empty() {
+            return Err(Rejection::NoVoters);
+        }
+        if let Some(voter) = first_duplicate(&change.voters) {
+            return Err(Rejection::DuplicateVoter(voter.name.clone()));
+        }
+        let expected = self.pending.as_ref().map_or(self.number, |pending| pending.number) + 1;
+        if change.number != expected {
+            return Err(Rejection::WrongVotersNumber { given: change.number, expected });
+        }
+        let (joins, leaves) = (added(&self.voters, &change.voters), added(&change.voters, &self.voters));
+        let same_names = joins.is_empty() && leaves.is_empty();
+        match &self.pending {
+            // Only the list in force may follow: it withdraws the pending one.
+            Some(pending) if !same_names => {
+                return Err(Rejection::VotersPending { number: pending.number });
+            }
+            None if same_names && change.voters == self.voters => return Err(Rejection::VotersUnchanged),
+            _ => {}
+        }
+        // Two consecutive lists have to share a majority.
+        if joins.len() > 1 || leaves.len() > 1 {
+            return Err(Rejection::TooManyVoterChanges { joins, leaves });
+        }
+        Ok(())
+    }
+}
+
+impl ReplicatedState {
+    pub(super) fn check_voter_change(&self, change: &VoterChange) -> Result<(), Rejection> {
+        self.voters.check(change)
+    }
+
+    /// A change that somebody joins or leaves by is pending until the new voter is ready; any other takes effect at once.
+    pub(super) fn change_voters(&mut self, change: VoterChange) -> StateChange {
+        let number = change.number;
+        let same_names = added(&self.voters.voters, &change.voters).is_empty()
+            && added(&change.voters, &self.voters.voters).is_empty();
+        if !same_names {
+            self.voters.pending = Some(change);
+            return StateChange::VotersPending(number);
+        }
+        let last_removed = self.voters.last_removed.take();
+        self.voters = VoterList { number, voters: change.voters, pending: None, last_removed };
+        StateChange::VotersChanged(number)
+    }
+
+    /// The replacement has to be that of the pending list, with the folders that are recorded now.
+    pub(super) fn check_replacement(&self, replacement: &VoterReplacement) -> Result<(), Rejection> {
+        let is_pending =
+            self.voters.pending.as_ref().is_some_and(|pending| pending.number == replacement.number);
+        let expected = self.voters.pending_replacement().unwrap_or_default();
+        let leaving = expected.leaving.map(|name| {
+            let folder = self.voter_slots.get(&name).map(|slot| slot.folder_id);
+            (name, folder)
+        });
+        let joining = replacement.joining.as_ref().map(|(name, _)| name);
+        if is_pending && expected.joining.as_ref() == joining && leaving == replacement.leaving {
+            return Ok(());
+        }
+        Err(Rejection::VotersSuperseded { number: replacement.number })
+    }
+
+    pub(super) fn replace_voters(&mut self, replacement: VoterReplacement) -> StateChange {
+        let last_removed = replacement.leaving.and_then(|(name, folder)| Some((name, folder?)));
+        if let Some((name, _)) = &last_removed {
+            self.voter_slots.remove(name);
+        }
+        self.voter_slots.extend(replacement.joining);
+        let pending = self.voters.pending.take().expect("checked");
+        self.voters =
+            VoterList { number: pending.number, voters: pending.voters, pending: None, last_removed };
+        StateChange::VotersChanged(replacement.number)
+    }
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/voter/housekeeping.rs
@@ -0,0 +1,115 @@
+//! What the leader writes by its own clock: the end of a rollout step after its wait, overdue fills, changed configuration,
+//! changed folders.
+
+use super::Voter;
+use super::raft_node::elections_seconds;
+use crate::log_entry::LogEntry;
+use crate::{Command, ConsensusConfig, OpenChange, Rejection, RolloutStep};
+
+/// Election timeouts after which an entry that was not committed is written again.
+const RETRY_ELECTIONS: f64 = 1.0;
+
+impl Voter {
+    pub(super) fn run_housekeeping(&mut self, now: f64) {
+        if !self.is_leader() {
+            self.suspended_since = None;
+            return;
+        }
+        if self.state.leases_suspended {
+            self.suspended_since.get_or_insert(now);
+        }
+        self.forget_old_leases(now);
+        let is_in_progress = self.node.raft.raft_log.last_index() > self.state.index;
+        let patience = elections_seconds(RETRY_ELECTIONS, self.config.lease_seconds);
+        if is_in_progress && now - self.watch.last_attempt_at < patience {
+            return;
+        }
+        let Some(entry) = self.next_housekeeping_entry(now) else { return };
+        self.watch.last_attempt_at = now;
+        match entry {
+            LogEntry::VoterSlot { voter, slot } => self.write_slot(voter, slot),
+            LogEntry::VotersReplaced(replacement) => self.write_replacement(replacement),
+            // If the log is full it is tried again.
+            entry => drop(self.append(&entry)),
+        }
+    }
+
+    /// What an expired lease allowed may be in flight for a while, and fills the windows of shared quotas after that.
+    fn forget_old_leases(&mut self, now: f64) {
+        let (actions, window) = (self.action_seconds(), self.quota_window_seconds());
+        self.lease_requests.granted.retain(|_, lease| lease.over_at + actions + window > now);
+    }
+
+    fn next_housekeeping_entry(&self, now: f64) -> Option<LogEntry> {
+        if let Some(entry) = self.next_membership_entry() {
+            return Some(entry);
+        }
+        if let Some(release) = self.next_quota_release(now) {
+            return Some(LogEntry::Command(release));
+        }
+        if self.state.leases_suspended {
+            let over_at = self.suspended_since? + self.state.quiescence_seconds(&self.config);
+            return (now >= over_at).then_some(LogEntry::ResumeLeases { epoch: self.state.epoch });
+        }
+        match &self.state.open {
+            Some(open) => self.next_rollout_entry(now, open),
+            None => self.changed_config().map(LogEntry::Config),
+        }
+    }
+
+    /// This leader's configuration, if it differs from the one in force. Who votes is agreed on separately.
+    fn changed_config(&self) -> Option<ConsensusConfig> {
+        let agreed = &self.state.config;
+        let (name, voters) = (agreed.name.clone(), agreed.voters.clone());
+        let own = ConsensusConfig { name, voters, ..self.config.clone() };
+        (own != *agreed).then_some(own)
+    }
+
+    fn next_rollout_entry(&self, now: f64, open: &OpenChange) -> Option<LogEntry> {
+        let number = open.version.number;
+        let seen_at = self.watch.open_seen_at(number)?;
+        match open.step {
+            RolloutStep::Staged(_) => None,
+            RolloutStep::RollingBack => {
+                let over_at = self.watch.rollback_seen_at()? + self.state.quiescence_seconds(&self.config);
+                (now >= over_at).then_some(LogEntry::RollbackCompleted { number })
+            }
+            RolloutStep::Joint => self.next_joint_entry(now, open, seen_at),
+        }
+    }
+
+    fn next_joint_entry(&self, now: f64, open: &OpenChange, seen_at: f64) -> Option<LogEntry> {
+        let number = open.version.number;
+        let activate = LogEntry::Command(Command::Activate { number });
+        match self.state.check(&activate) {
+            Ok(()) if now >= self.all_joint_from(seen_at, number) => match open.version.first_stage_ratio {
+                Some(_) => Some(LogEntry::StartStage { number }),
+                None => Some(activate),
+            },
+            Err(Rejection::FillsMissing { left, .. })
+                if now - seen_at >= self.state.config.fill_deadline_seconds =>
+            {
+                let why = format!("{left} fills were not completed in time");
+                Some(LogEntry::Command(Command::Withdraw { number, why }))
+            }
+            _ => None,
+        }
+    }
+
+    /// From when on, by this clock, nobody acts on the old version alone, and no action that did is in flight. The proposal
+    /// was seen committed at `seen_at`.
+    fn all_joint_from(&self, seen_at: f64, number: u64) -> f64 {
+        let latest = seen_at + self.state.quiescence_seconds(&self.config);
+        // Earlier, if every lease that may run is this leader's own, and each broker has said that it is joint.
+        let lease = self.state.longest_lease_seconds.max(self.config.lease_seconds);
+        let longest_lease = self.config.with_drift(lease).max(self.state.config.with_drift(lease));
+        if self.watch.leading_since().is_none_or(|since| seen_at - since < longest_lease) {
+            return latest;
+        }
+        let joint_or_over = self.lease_requests.granted.values().map(|lease| match lease.joint {
+            Some(joint) if joint.number == number => joint.at,
+            _ => lease.over_at,
+        });
+        latest.min(joint_or_over.fold(seen_at, f64::max) + self.action_seconds())
+    }
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/voter/leader_watch.rs
@@ -0,0 +1,130 @@
+//! What a voter has seen, by its own clock in this run. Nothing of it survives a restart or a clock that goes back: the
+//! waits that rely on it start again then.
+
+use std::collections::BTreeMap;
+
+use dunepond_quota::QuotaLedger;
+
+use crate::{ReplicatedState, RolloutStep, StateChange};
+
+/// So long ago that everything may be tried at once.
+const LONG_AGO_SECONDS: f64 = 1e9;
+
+#[derive(Clone, Copy)]
+pub(super) struct SeenChange {
+    number: u64,
+    seen_at: f64,
+}
+
+#[derive(Clone, Copy)]
+struct Leadership {
+    term: u64,
+    since: f64,
+}
+
+#[derive(Clone, Copy)]
+struct UncommittedProposal {
+    index: u64,
+    number: u64,
+}
+
+/// A share of a quota that shrank.
+#[derive(Clone, Copy)]
+pub(super) struct SeenShrink {
+    pub generation: u64,
+    pub seen_at: f64,
+}
+
+pub(super) struct LeaderWatch {
+    /// The open change, and when it was first seen committed.
+    open: Option<SeenChange>,
+    rollback_seen_at: Option<f64>,
+    /// It leads without interruption.
+    leadership: Option<Leadership>,
+    proposal: Option<UncommittedProposal>,
+    /// When an entry of the leader's own was last written.
+    pub last_attempt_at: f64,
+    /// By broker: shrinks that await their release.
+    pub quota_shrinks: BTreeMap<String, SeenShrink>,
+}
+
+impl LeaderWatch {
+    pub fn new(now: f64) -> Self {
+        Self {
+            open: None,
+            rollback_seen_at: None,
+            leadership: None,
+            proposal: None,
+            last_attempt_at: now - LONG_AGO_SECONDS,
+            quota_shrinks: BTreeMap::new(),
+        }
+    }
+
+    /// Nothing that was seen before counts any more; what is open is seen now.
+    pub fn restart(&mut self, now: f64, state: &ReplicatedState) {
+        let leadership = self.leadership.map(|it| Leadership { since: now, ..it });
+        *self = Self { leadership, proposal: self.proposal, ..Self::new(now) };
+        if let Some(open) = &state.open {
+            self.open = Some(SeenChange { number: open.version.number, seen_at: now });
+            self.rollback_seen_at = (open.step == RolloutStep::RollingBack).then_some(now);
+        }
+        self.observe_quota(now, &state.quota);
+    }
+
+    pub fn observe(&mut self, now: f64, change: &StateChange) {
+        match change {
+            StateChange::Proposed(number) => {
+                self.open = Some(SeenChange { number: *number, seen_at: now });
+                self.rollback_seen_at = None;
+            }
+            StateChange::RollingBack(_) => self.rollback_seen_at = Some(now),
+            StateChange::Activated(_) | StateChange::Withdrawn(_) => {
+                (self.open, self.rollback_seen_at) = (None, None);
+            }
+            _ => {}
+        }
+    }
+
+    /// When the open change was first seen committed.
+    pub fn open_seen_at(&self, number: u64) -> Option<f64> {
+        self.open.filter(|open| open.number == number).map(|open| open.seen_at)
+    }
+
+    pub fn rollback_seen_at(&self) -> Option<f64> {
+        self.rollback_seen_at
+    }
+
+    /// Notes shrinks of shares that await their release, each from when it was first seen.
+    pub fn observe_quota(&mut self, now: f64, ledger: &QuotaLedger) {
+        let awaiting = ledger.brokers.iter().filter(|(_, shares)| shares.awaits_release());
+        let seen = awaiting.map(|(broker, shares)| {
+            let generation = shares.shrunk_generation;
+            let before = self.quota_shrinks.get(broker).filter(|seen| seen.generation == generation);
+            (broker.clone(), before.copied().unwrap_or(SeenShrink { generation, seen_at: now }))
+        });
+        self.quota_shrinks = seen.collect();
+    }
+
+    /// `term`: in which it leads, `None` if it does not.
+    pub fn set_leading(&mut self, now: f64, term: Option<u64>) {
+        if self.leadership.map(|leadership| leadership.term) != term {
+            self.leadership = term.map(|term| Leadership { term, since: now });
+            self.proposal = None;
+        }
+    }
+
+    /// Since when it leads without interruption.
+    pub fn leading_since(&self) -> Option<f64> {
+        self.leadership.map(|leadership| leadership.since)
+    }
+
+    /// A version was written to the log at `index`.
+    pub fn proposed(&mut self, index: u64, number: u64) {
+        self.proposal = Some(UncommittedProposal { index, number });
+    }
+
+    /// Number of a version that stands in the log and is not applied yet.
+    pub fn uncommitted_proposal(&self, applied: u64) -> Option<u64> {
+        self.proposal.filter(|proposal| proposal.index > applied).map(|proposal| proposal.number)
+    }
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/voter/lease_requests.rs
@@ -0,0 +1,212 @@
+//! Lease requests. None is granted before a quorum has confirmed, after the request came, that this voter leads: the grant
+//! is then at least as new as what was committed when the request was sent. Requests that come while one confirmation is in
+//! progress share the next one.
+
+use std::collections::BTreeMap;
+
+use dunepond_quota::DemandReport;
+use raft::{ReadState, StateRole};
+
+use super::Voter;
+use super::envelope::Body;
+use crate::lease_messages::Grantor;
+use crate::{Effects, LeaseAnswer, LeaseGrant, LeaseReply, LeaseRequest};
+
+/// Requests that wait at the same time; more are answered that there is no leader.
+const MAX_WAITING_COUNT: usize = 4096;
+
+#[derive(Default)]
+pub(super) struct LeaseRequests {
+    /// For the next confirmation.
+    waiting: Vec<PendingRequest>,
+    /// For the confirmation in progress.
+    confirming: Vec<PendingRequest>,
+    /// Identifies the confirmation in progress.
+    read_id: u64,
+    /// Log index that the quorum confirmed.
+    confirmed_index: Option<u64>,
+    confirming_since: f64,
+    /// By broker and incarnation.
+    pub granted: BTreeMap<(String, u64), GrantedLease>,
+    /// Last demand of each broker.
+    pub reports: BTreeMap<String, TimedReport>,
+}
+
+struct PendingRequest {
+    request: LeaseRequest,
+    /// The voter that forwarded it.
+    via: Option<String>,
+    received_at: f64,
+}
+
+pub(super) struct TimedReport {
+    pub report: DemandReport,
+    pub received_at: f64,
+}
+
+/// Something that a broker acknowledged, and when that was first heard.
+#[derive(Clone, Copy)]
+pub(super) struct Acknowledged {
+    pub number: u64,
+    pub at: f64,
+}
+
+/// The last lease of a broker's run, by this voter's clock.
+pub(super) struct GrantedLease {
+    /// It is over by then, whatever the broker's clock does within the drift.
+    pub over_at: f64,
+    /// The broker acts on the joint step to this version.
+    pub joint: Option<Acknowledged>,
+    /// Generation of the last shrink of its shares that the broker acts on.
+    pub shrink: Acknowledged,
+    overloaded: bool,
+}
+
+impl LeaseRequests {
+    /// Answers all requests that there is no leader, and forgets all leases.
+    pub fn drop_all(&mut self, effects: &mut Effects) {
+        for pending in self.take_all().into_iter().filter(|pending| pending.via.is_none()) {
+            let reply = LeaseReply::to(&pending.request, LeaseAnswer::NoLeader);
+            effects.replies.push((pending.request.broker, reply));
+        }
+    }
+
+    fn take_all(&mut self) -> Vec<PendingRequest> {
+        self.confirmed_index = None;
+        self.granted.clear();
+        self.reports.clear();
+        self.waiting.drain(..).chain(self.confirming.drain(..)).collect()
+    }
+
+    pub fn overloads(&self) -> impl Iterator<Item = (&str, bool)> {
+        self.granted.iter().map(|((broker, _), lease)| (broker.as_str(), lease.overloaded))
+    }
+
+    /// Notes the lease that is granted now until `over_at`. `open`: number of the proposed version.
+    fn record_lease(&mut self, now: f64, request: &LeaseRequest, over_at: f64, open: Option<u64>) {
+        let first = GrantedLease {
+            over_at,
+            joint: None,
+            shrink: Acknowledged { number: 0, at: now },
+            overloaded: false,
+        };
+        let lease = self.granted.entry((request.broker.clone(), request.incarnation)).or_insert(first);
+        lease.overloaded = request.overloaded;
+        lease.over_at = lease.over_at.max(over_at);
+        let joint = request.joint_version.filter(|joint| Some(*joint) == open);
+        if joint != lease.joint.map(|acknowledged| acknowledged.number) {
+            lease.joint = joint.map(|number| Acknowledged { number, at: now });
+        }
+        if let Some(report) = &request.demand {
+            if report.shrunk_generation > lease.shrink.number {
+                lease.shrink = Acknowledged { number: report.shrunk_generation, at: now };
+            }
+            let timed = TimedReport { report: report.clone(), received_at: now };
+            self.reports.insert(request.broker.clone(), timed);
+        }
+    }
+}
+
+impl Voter {
+    /// `via`: the voter that forwarded the request.
+    pub(super) fn accept_lease_request(&mut self, now: f64, mut request: LeaseRequest, via: Option<String>) {
+        if self.is_removed() {
+            let others = match self.successors.is_empty() {
+                true => self.state.voters.voters.clone(),
+                false => self.successors.clone(),
+            };
+            return self.reply(via, &request, LeaseAnswer::NotAVoter(others));
+        }
+        let has_leader_role = self.node.raft.state == StateRole::Leader;
+        if self.state.leases_suspended && has_leader_role {
+            return self.reply(via, &request, LeaseAnswer::NoLeader);
+        }
+        let has_capacity = self.lease_requests.waiting.len() < MAX_WAITING_COUNT;
+        if self.is_active() && has_leader_role && has_capacity {
+            request.forwarded = via.is_some();
+            self.lease_requests.waiting.push(PendingRequest { request, via, received_at: now });
+            return;
+        }
+        let leader = self.leader().filter(|name| *name != self.config.name);
+        match leader {
+            Some(leader) if self.is_active() && via.is_none() => {
+                let folder_id = self.node.raft.leader_id;
+                request.forwarded = true;
+                self.send(&leader, folder_id, Body::LeaseRequest(request));
+            }
+            _ => self.reply(via, &request, LeaseAnswer::NoLeader),
+        }
+    }
+
+    fn reply(&mut self, via: Option<String>, request: &LeaseRequest, answer: LeaseAnswer) {
+        let (broker, reply) = (request.broker.clone(), LeaseReply::to(request, answer));
+        match via {
+            None => self.effects.replies.push((broker, reply)),
+            Some(voter) => self.send(&voter, 0, Body::LeaseReply { broker, reply }),
+        }
+    }
+
+    /// Replies to what is confirmed, and asks the other voters to confirm what waits.
+    pub(super) fn reply_to_lease_requests(&mut self, now: f64, reads: Vec<ReadState>) {
+        if self.node.raft.state != StateRole::Leader || self.is_removed() {
+            let all = self.lease_requests.take_all();
+            return self.reply_no_leader(all);
+        }
+        let requests = &mut self.lease_requests;
+        let own_id = requests.read_id.to_be_bytes();
+        if let Some(read) = reads.iter().rfind(|read| read.request_ctx == own_id) {
+            requests.confirmed_index = Some(read.index);
+        }
+        if requests.confirmed_index.is_some_and(|index| self.state.index >= index) {
+            requests.confirmed_index = None;
+            for pending in std::mem::take(&mut requests.confirming) {
+                self.grant_lease(now, pending);
+            }
+        }
+        self.expire_confirmation(now);
+        self.start_confirmation(now);
+    }
+
+    fn reply_no_leader(&mut self, requests: Vec<PendingRequest>) {
+        for pending in requests {
+            self.reply(pending.via, &pending.request, LeaseAnswer::NoLeader);
+        }
+    }
+
+    /// A confirmation that takes longer than a lease would grant nothing any more.
+    fn expire_confirmation(&mut self, now: f64) {
+        let requests = &mut self.lease_requests;
+        if requests.confirming.is_empty() || now - requests.confirming_since <= self.config.lease_seconds {
+            return;
+        }
+        requests.confirmed_index = None;
+        let expired = std::mem::take(&mut requests.confirming);
+        self.reply_no_leader(expired);
+    }
+
+    fn start_confirmation(&mut self, now: f64) {
+        let has_work = self.lease_requests.confirming.is_empty() && !self.lease_requests.waiting.is_empty();
+        if !has_work || !self.is_leader() {
+            return;
+        }
+        let requests = &mut self.lease_requests;
+        requests.confirming = std::mem::take(&mut requests.waiting);
+        requests.read_id += 1;
+        requests.confirming_since = now;
+        let read_id = requests.read_id.to_be_bytes().to_vec();
+        self.node.read_index(read_id);
+        self.process_ready(now);
+    }
+
+    fn grant_lease(&mut self, now: f64, pending: PendingRequest) {
+        let PendingRequest { request, via, received_at } = pending;
+        let leader = self.config.name.clone();
+        let grantor = Grantor { leader, leader_run: self.folder.run_id, received_at };
+        let grant = LeaseGrant::new(&self.state, &request, grantor);
+        let longest = grant.lease_seconds.max(self.state.longest_lease_seconds);
+        let over_at = received_at + self.config.with_drift(longest);
+        let open = self.state.open.as_ref().map(|open| open.version.number);
+        self.lease_requests.record_lease(now, &request, over_at, open);
+        self.reply(via, &request, LeaseAnswer::Granted(Box::new(grant)));
+    }
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/voter/membership.rs
@@ -0,0 +1,114 @@
+//! Changes of voters and of their folders, as the leader writes them: together with the raft library's membership change.
+
+use raft::StateRole;
+use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
+
+use super::Voter;
+use crate::log_entry::{LogEntry, VoterReplacement};
+use crate::{VoterSlot, codec};
+
+impl Voter {
+    /// What the leader has to write about the voters; one thing at a time.
+    pub(super) fn next_membership_entry(&self) -> Option<LogEntry> {
+        let changed = self.changed_slot();
+        let entry = changed.map(|(voter, slot)| LogEntry::VoterSlot { voter, slot });
+        entry.or_else(|| self.ready_replacement().map(LogEntry::VotersReplaced))
+    }
+
+    /// A voter that has started again, or runs on another folder.
+    fn changed_slot(&self) -> Option<(String, VoterSlot)> {
+        let own = (&self.config.name, self.slot(), false);
+        let others = self.peers.iter().filter_map(|(name, peer)| {
+            let folder = peer.folder.filter(|_| self.state.voters.contains(name))?;
+            Some((name, folder.slot, folder.empty))
+        });
+        let mut all = std::iter::once(own).chain(others);
+        let changed = all.find(|(name, slot, empty)| match self.state.voter_slots.get(*name) {
+            Some(agreed) if agreed.folder_id == slot.folder_id => slot.start_count > agreed.start_count,
+            // A voter with an unknown folder that is not empty finds out by itself.
+            _ => *empty,
+        });
+        changed.map(|(name, slot, _)| (name.clone(), slot))
+    }
+
+    /// The pending list of voters, once the one that joins is there with an empty folder.
+    fn ready_replacement(&self) -> Option<VoterReplacement> {
+        let pending = self.state.voters.pending_replacement()?;
+        let joining = match pending.joining {
+            Some(name) => {
+                let folder = self.peers.get(&name)?.folder.filter(|folder| folder.empty)?;
+                Some((name, folder.slot))
+            }
+            None => None,
+        };
+        let leaving = pending.leaving.map(|name| {
+            let folder_id = self.state.voter_slots.get(&name).map(|slot| slot.folder_id);
+            (name, folder_id)
+        });
+        let number = self.state.voters.pending.as_ref()?.number;
+        Some(VoterReplacement { number, joining, leaving })
+    }
+
+    /// A leader that leaves transfers the leadership first, so that nobody has to wait for an election. Whether it waits
+    /// for that.
+    fn hands_over_leadership(&mut self) -> bool {
+        let own = self.folder.id;
+        let is_fit = |id: u64| {
+            let progress = self.node.raft.prs().get(id);
+            id != own && progress.is_some_and(|progress| progress.recent_active)
+        };
+        let mut folders = self.state.voter_slots.values().map(|slot| slot.folder_id);
+        if let Some(successor) = folders.find(|id| is_fit(*id)) {
+            self.node.transfer_leader(successor);
+        }
+        // Without the others nothing is committed, either; only the last voter does not wait.
+        self.node.raft.prs().iter().any(|(id, _)| *id != own)
+    }
+
+    /// Writes the pending list of voters, with the library's membership change.
+    pub(super) fn write_replacement(&mut self, replacement: VoterReplacement) {
+        if self.node.raft.state != StateRole::Leader {
+            return;
+        }
+        let leaves_itself = replacement.leaving.as_ref().is_some_and(|(name, _)| *name == self.config.name);
+        if leaves_itself && self.hands_over_leadership() {
+            return;
+        }
+        let joining = replacement.joining.as_ref().map(|(_, slot)| slot.folder_id);
+        let leaving = replacement.leaving.as_ref().and_then(|(_, folder_id)| *folder_id);
+        self.write_membership(joining, leaving, &LogEntry::VotersReplaced(replacement));
+    }
+
+    /// Writes a new start as an entry, and another folder as a membership change that replaces the old one.
+    pub(super) fn write_slot(&mut self, voter: String, slot: VoterSlot) {
+        let old = self.state.voter_slots.get(&voter).map(|slot| slot.folder_id);
+        let entry = LogEntry::VoterSlot { voter, slot };
+        if old == Some(slot.folder_id) {
+            // If the log is full the leader tries again.
+            let _ = self.append(&entry);
+        } else if self.node.raft.state == StateRole::Leader {
+            self.write_membership(Some(slot.folder_id), old, &entry);
+        }
+    }
+
+    fn write_membership(&mut self, joining: Option<u64>, leaving: Option<u64>, entry: &LogEntry) {
+        // The library takes one change at a time, and would write an empty entry in the place of another.
+        let conf_state = self.node.raft.prs().conf().to_conf_state();
+        if self.node.raft.has_pending_conf() || !conf_state.voters_outgoing.is_empty() {
+            return;
+        }
+        let joining = joining.map(|id| single_change(ConfChangeType::AddNode, id));
+        let leaving = leaving.map(|id| single_change(ConfChangeType::RemoveNode, id));
+        let changes: Vec<ConfChangeSingle> = joining.into_iter().chain(leaving).collect();
+        let mut change = ConfChangeV2::default();
+        change.set_changes(changes.into());
+        let _ = self.node.propose_conf_change(codec::encode(entry), change);
+    }
+}
+
+fn single_change(kind: ConfChangeType, folder_id: u64) -> ConfChangeSingle {
+    let mut single = ConfChangeSingle::default();
+    single.set_change_type(kind);
+    single.node_id = folder_id;
+    single
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/voter/ready.rs
@@ -0,0 +1,227 @@
+//! Works off what the raft library has ready: messages out, entries into the log and, once committed, into the state.
+
+use protobuf::Message as _;
+use raft::eraftpb::{ConfChangeV2, Entry, EntryType, Message, MessageType};
+use raft::{ProgressState, SnapshotStatus, StateRole};
+
+use super::envelope::{Body, Envelope};
+use super::raft_node::{ELECTION_TICKS, elections_seconds};
+use super::{Participation, Voter};
+use crate::codec::Blob;
+use crate::log_storage::SnapshotPolicy;
+use crate::{Effects, EntryOutcome, StateChange, WriteBatch, decode};
+
+/// Election timeouts after which a snapshot that was not acknowledged is sent again.
+const SNAPSHOT_RETRY_ELECTIONS: f64 = 4.0;
+
+/// What of a raft entry matters here.
+struct CommittedEntry {
+    index: u64,
+    /// An encoded [`crate::log_entry::LogEntry`].
+    bytes: Option<Vec<u8>>,
+    membership_change: Option<ConfChangeV2>,
+    is_membership_entry: bool,
+}
+
+impl CommittedEntry {
+    fn new(entry: Entry) -> Self {
+        let index = entry.index;
+        match entry.get_entry_type() {
+            EntryType::EntryNormal => {
+                let bytes = Some(entry.data.to_vec()).filter(|data| !data.is_empty());
+                Self { index, bytes, membership_change: None, is_membership_entry: false }
+            }
+            // The old form of a membership change is never written here.
+            EntryType::EntryConfChange => {
+                Self { index, bytes: None, membership_change: None, is_membership_entry: true }
+            }
+            EntryType::EntryConfChangeV2 => Self {
+                index,
+                bytes: Some(entry.context.to_vec()).filter(|context| !context.is_empty()),
+                membership_change: ConfChangeV2::parse_from_bytes(&entry.data).ok(),
+                is_membership_entry: true,
+            },
+        }
+    }
+}
+
+impl Voter {
+    /// Works off everything that the library has ready.
+    pub(super) fn process_ready(&mut self, now: f64) {
+        let mut reads = Vec::new();
+        while !self.is_muted() && self.node.has_ready() {
+            let mut ready = self.node.ready();
+            self.send_raft_messages(now, ready.take_messages());
+            if !ready.snapshot().is_empty() {
+                self.node.mut_store().restore(ready.snapshot().clone());
+                self.adopt_snapshot(now);
+            }
+            if !self.commit_all(now, ready.take_committed_entries()) {
+                return;
+            }
+            self.node.mut_store().append(ready.entries());
+            if let Some(hard_state) = ready.hs() {
+                self.node.mut_store().set_hard_state(hard_state);
+            }
+            self.send_raft_messages(now, ready.take_persisted_messages());
+            reads.extend(ready.take_read_states());
+            let mut light = self.node.advance(ready);
+            if let Some(commit) = light.commit_index() {
+                self.node.mut_store().set_commit(commit);
+            }
+            self.send_raft_messages(now, light.take_messages());
+            if !self.commit_all(now, light.take_committed_entries()) {
+                return;
+            }
+            self.node.advance_apply();
+            self.pin_election_timeout();
+        }
+        if self.has_state && !self.is_muted() {
+            self.compact(self.state.index, SnapshotPolicy::WhenLong);
+        }
+        let leading_term = self.is_leader().then_some(self.node.raft.term);
+        self.watch.set_leading(now, leading_term);
+        self.reply_to_lease_requests(now, reads);
+    }
+
+    /// The library draws the election timeout at random; here it follows from folder and term, so that a run can be
+    /// replayed. Voters differ, and each differs from term to term.
+    pub(super) fn pin_election_timeout(&mut self) {
+        let term = self.node.raft.term.to_be_bytes();
+        let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&term, self.folder.id);
+        self.node.raft.set_randomized_election_timeout(ELECTION_TICKS + hash as usize % ELECTION_TICKS);
+    }
+
+    fn compact(&mut self, index: u64, policy: SnapshotPolicy) {
+        let state = &self.state;
+        self.node.mut_store().compact(index, policy, || state.encode());
+    }
+
+    /// Another build wrote what this one cannot follow. The voter sends nothing any more, so that no state continues
+    /// without what the others have; the folder stays as it is, for a build that can follow.
+    pub(super) fn mute(&mut self, reason: &str) {
+        self.participation = Participation::Muted;
+        self.log(format!("stopped voting: {reason}; start it with the build that the other voters run"));
+        self.lease_requests.drop_all(&mut self.effects);
+    }
+
+    /// `false`: the voter was muted by one of them.
+    fn commit_all(&mut self, now: f64, entries: Vec<Entry>) -> bool {
+        entries.into_iter().all(|entry| self.commit(now, CommittedEntry::new(entry)))
+    }
+
+    fn commit(&mut self, now: f64, entry: CommittedEntry) -> bool {
+        let mut applied = true;
+        if let Some(bytes) = &entry.bytes {
+            match decode::log_entry(bytes, &self.known_keys) {
+                Ok(log_entry) => {
+                    let result = self.state.apply(entry.index, log_entry);
+                    applied = result.is_ok();
+                    self.record_outcome(now, EntryOutcome { index: entry.index, result });
+                }
+                Err(reason) => {
+                    self.mute(&format!("a committed entry: {reason}"));
+                    return false;
+                }
+            }
+        }
+        // An ignored entry changes no membership, either: all voters ignore it alike.
+        if let Some(change) = entry.membership_change.filter(|_| applied) {
+            self.apply_membership_change(&change);
+        }
+        self.state.index = entry.index;
+        if entry.is_membership_entry {
+            self.compact(entry.index, SnapshotPolicy::Now);
+        }
+        true
+    }
+
+    fn record_outcome(&mut self, now: f64, outcome: EntryOutcome) {
+        let index = outcome.index;
+        match &outcome.result {
+            Ok(change) => {
+                self.effects.state_changed = true;
+                self.watch.observe(now, change);
+                if matches!(change, StateChange::Quota(_)) {
+                    self.watch.observe_quota(now, &self.state.quota);
+                }
+                let is_frequent = matches!(
+                    change,
+                    StateChange::Settlement(_) | StateChange::VoterSlot(_) | StateChange::Quota(_)
+                );
+                if !is_frequent {
+                    self.log(format!("committed at {index}: {change:?}"));
+                }
+            }
+            Err(reason) => self.log(format!("ignored at {index}: {reason}; {}", reason.help())),
+        }
+        self.effects.outcomes.push(outcome);
+    }
+
+    fn apply_membership_change(&mut self, change: &ConfChangeV2) {
+        let Ok(conf_state) = self.node.apply_conf_change(change) else { return };
+        self.node.mut_store().set_conf_state(conf_state);
+        // A leader that was removed by the change: the library would go on leading without being able to.
+        if self.is_removed() && self.node.raft.state == StateRole::Leader {
+            let term = self.node.raft.term;
+            self.node.raft.become_follower(term, 0);
+            self.log(String::from("stepped down as leader: it is removed as a voter"));
+        }
+    }
+
+    /// A snapshot from the leader replaced the log.
+    fn adopt_snapshot(&mut self, now: f64) {
+        let (index, data) = self.node.store().last_snapshot();
+        self.state = decode::replicated_state(data).expect("judged before it was taken");
+        self.state.index = index;
+        self.has_state = true;
+        self.effects.state_changed = true;
+        self.log(format!("caught up to {index} by a snapshot"));
+        self.watch.restart(now, &self.state);
+    }
+
+    fn send_raft_messages(&mut self, now: f64, messages: Vec<Message>) {
+        for message in messages {
+            let Some(name) = self.name_of(message.to) else { continue };
+            if message.get_msg_type() == MessageType::MsgSnapshot {
+                self.snapshots_sent.insert(message.to, now);
+            }
+            let bytes = message.write_to_bytes().expect("all fields are set");
+            self.send(&name, message.to, Body::Raft(Blob(bytes)));
+        }
+    }
+
+    /// The library would wait for the acknowledgement of a lost snapshot forever.
+    pub(super) fn resend_snapshots(&mut self, now: f64) {
+        let patience = elections_seconds(SNAPSHOT_RETRY_ELECTIONS, self.config.lease_seconds);
+        let late = self.snapshots_sent.iter().filter(|(_, sent_at)| now - **sent_at > patience);
+        for id in late.map(|(id, _)| *id).collect::<Vec<_>>() {
+            self.snapshots_sent.remove(&id);
+            let progress = self.node.raft.prs().get(id);
+            if progress.is_some_and(|progress| progress.state == ProgressState::Snapshot) {
+                self.node.report_snapshot(id, SnapshotStatus::Failure);
+            }
+        }
+    }
+
+    /// `to_folder`: 0 if it is not known.
+    pub(super) fn send(&mut self, name: &str, to_folder: u64, body: Body) {
+        let envelope = Envelope {
+            from: self.config.name.clone(),
+            slot: self.slot(),
+            fleet_id: self.state.fleet_id,
+            epoch: self.state.epoch,
+            has_state: self.has_state,
+            to_folder,
+            body,
+        };
+        self.effects.messages.push((name.to_string(), envelope.encode()));
+    }
+
+    pub(super) fn take_effects(&mut self) -> Effects {
+        let batch = self.node.mut_store().take_batch();
+        let mut effects = std::mem::take(&mut self.effects);
+        effects.write_batch = WriteBatch { folder: effects.write_batch.folder, ..batch };
+        effects
+    }
+}
--- /dev/null
+++ b/crates/dunepond-consensus/src/voter/recovery.rs
@@ -0,0 +1,117 @@
+//! Recovery of a fleet whose majority is lost for good, by an operator's order, from one voter's folder. What the lost
+//! voters alone had committed is lost. What could go wrong by that is fenced: the fleet's epoch goes up, whoever has heard
+//! of it accepts nothing from before, and nobody has a lease until everything that the lost voters allowed has ended.
+
+use raft::eraftpb::{ConfState, EntryType};
+
+use super::{Participation, Voter, raft_node};
+use crate::log_storage::{LogStorage, snapshot};
+use crate::{ConsensusConfig, ConsensusError, RECOVERY_CONFIRMATION, RecoveryError, RecoveryOrder};
+use crate::{ReplicatedState, StoredVoter, decode};
+
+/// By so much index and term go up: no position of the log means two things.
+const POSITION_GAP: u64 = 1 << 20;
+
+impl Voter {
+    /// As [`Voter::open`], and continues alone by an operator's order: it votes on a new folder, alone until the others that
+    /// are left have begun anew.
+    ///
+    /// # Errors
+    /// As [`Voter::open`], or the order does not fit the folder.
+    pub fn recover(
+        config: ConsensusConfig,
+        stored: StoredVoter,
+        order: &RecoveryOrder,
+        now: f64,
+        seed: u64,
+    ) -> Result<Self, ConsensusError> {
+        let mut voter = Self::open(config, stored, now, seed)?;
+        voter.check_position(order)?;
+        let state = voter.state_with_all_entries()?;
+        voter.check_order(order, &state)?;
+        voter.continue_alone(now, order, state);
+        Ok(voter)
+    }
+
+    /// Id of the folder and last index of its log, for a [`RecoveryOrder`].
+    pub fn recovery_position(&self) -> (u64, u64) {
+        (self.folder.id, self.node.raft.raft_log.last_index())
+    }
+
+    fn check_position(&self, order: &RecoveryOrder) -> Result<(), RecoveryError> {
+        let (folder_id, last_index) = self.recovery_position();
+        if !self.has_state {
+            return Err(RecoveryError::NoState);
+        }
+        if order.folder_id != folder_id {
+            return Err(RecoveryError::WrongFolder { said: order.folder_id, is: folder_id });
+        }
+        if order.last_index != last_index {
+            return Err(RecoveryError::WrongPosition { said: order.last_index, is: last_index });
+        }
+        Ok(())
+    }
+
+    /// With entries of which this voter does not know that they were committed: the lost voters may have.
+    fn state_with_all_entries(&self) -> Result<ReplicatedState, RecoveryError> {
+        let mut state = self.state.clone();
+        for entry in self.node.store().entries_after(state.index) {
+            let is_membership = entry.get_entry_type() != EntryType::EntryNormal;
+            let bytes: &[u8] = if is_membership { &entry.context } else { &entry.data };
+            if !bytes.is_empty() {
+                let log_entry = decode::log_entry(bytes, &self.known_keys)
+                    .map_err(|reason| RecoveryError::UnknownEntry(reason.to_string()))?;
+                // What is ignored here is ignored by every voter.
+                let _ = state.apply(entry.index, log_entry);
+            }
+        }
+        Ok(state)
+    }
+
+    fn check_order(&self, order: &RecoveryOrder, state: &ReplicatedState) -> Result<(), RecoveryError> {
+        if let Some(name) = order.lost_voters.iter().find(|name| !state.voters.contains(name)) {
+            return Err(RecoveryError::NotAVoter(name.clone()));
+        }
+        if order.lost_voters.contains(&self.config.name) {
+            return Err(RecoveryError::OwnVoter);
+        }
+        let (lost, of) = (order.lost_voters.len(), state.voters.voters.len());
+        if lost * 2 < of {
+            return Err(RecoveryError::MajorityRemains { lost, of });
+        }
+        if order.highest_number < state.highest_number {
+            let (said, is) = (order.highest_number, state.highest_number);
+            return Err(RecoveryError::VersionTooLow { said, is });
+        }
+        if order.confirmation != RECOVERY_CONFIRMATION {
+            return Err(RecoveryError::WrongConfirmation);
+        }
+        Ok(())
+    }
+
+    fn continue_alone(&mut self, now: f64, order: &RecoveryOrder, mut state: ReplicatedState) {
+        let (_, last_index) = self.recovery_position();
+        self.begin_new_folder();
+        state.voters.voters.retain(|voter| !order.lost_voters.contains(&voter.name));
+        (state.voters.pending, state.voters.last_removed) = (None, None);
+        state.voters.number += 1;
+        state.voter_slots = [(self.config.name.clone(), self.slot())].into();
+        state.highest_number = order.highest_number;
+        state.epoch += 1;
+        state.leases_suspended = true;
+        state.index = last_index + POSITION_GAP;
+        let conf_state = ConfState::from((vec![self.folder.id], Vec::new()));
+        let term = self.node.raft.term + POSITION_GAP;
+        let mut log = LogStorage::default();
+        log.restore(snapshot(state.index, term, conf_state, state.encode()));
+        self.node = raft_node(self.folder.id, state.index, log);
+        self.log(format!(
+            "continues alone by an operator's order, epoch {}, without {}: nobody has a lease for {:.1} s",
+            state.epoch,
+            order.lost_voters.join(", "),
+            state.quiescence_seconds(&self.config)
+        ));
+        (self.state, self.participation) = (state, Participation::Active);
+        self.watch.restart(now, &self.state);
+    }
+}
--- a/crates/dunepond-consensus/tests/golden/documents.rs
+++ b/crates/dunepond-consensus/tests/golden/documents.rs
@@ -180,7 +180,7 @@
         last_index: 60,
         lost_voters: vec![text("n2")],
         highest_number: 3,
-        confirmation: text(WORD),
+        confirmation: text(RECOVERY_CONFIRMATION),
     };
     let stored = golden("recovery.json", &serde_json::to_vec_pretty(&word).unwrap());
     assert_eq!(again_json::<RecoveryOrder>(&stored), stored);
--- a/crates/dunepond-consensus/tests/golden/runs.rs
+++ b/crates/dunepond-consensus/tests/golden/runs.rs
@@ -183,8 +183,8 @@
         Limit::Configure(bounds()),
         Limit::AddBroker { broker: text("b1") },
         Limit::AddBroker { broker: text("b2") },
-        Limit::SetShares { parts: vec![part(9000), QuotaShare { broker: text("b2"), ..part(70) }] },
-        Limit::SetShares { parts: vec![part(100)] },
+        Limit::SetShares { shares: vec![part(9000), QuotaShare { broker: text("b2"), ..part(70) }] },
+        Limit::SetShares { shares: vec![part(100)] },
     ] {
         alone.enter(Command::Quota(entry));
     }
@@ -484,7 +484,7 @@
         last_index: last,
         lost_voters: lost,
         highest_number: highest,
-        confirmation: text(WORD),
+        confirmation: text(RECOVERY_CONFIRMATION),
     };
     let voter = Voter::recover(own, saved, &word, few.now, 22).unwrap();
     few.records.get_mut(&stays).unwrap().push(voter.checkpoint().encode());
--- a/crates/dunepond-consensus/tests/limits.rs
+++ b/crates/dunepond-consensus/tests/limits.rs
@@ -13,7 +13,7 @@
 
 fn parts(broker: &str, units: u32) -> Command {
     let part = QuotaShare { broker: broker.to_string(), quota: String::from("cold"), units };
-    Command::Quota(QuotaEntry::SetShares { parts: vec![part] })
+    Command::Quota(QuotaEntry::SetShares { shares: vec![part] })
 }
 
 /// Five voters and two others; all that is spare is leased to n7.
--- a/crates/dunepond-consensus/tests/long.rs
+++ b/crates/dunepond-consensus/tests/long.rs
@@ -94,7 +94,7 @@
     // Ten seconds at once: for the others next to nothing went by, and their leases run.
     let wait = terms("n1", 1).quiescence_seconds();
     let log = ticks(&mut voter, 13.0, 0.5);
-    assert!(log.iter().any(|line| line.contains("waits begin anew")) && voter.state().active_number() == 0);
+    assert!(log.iter().any(|line| line.contains("waits restart")) && voter.state().active_number() == 0);
     ticks(&mut voter, 13.5, wait);
     assert_eq!(voter.state().active_number(), 1);
 }
--- a/crates/dunepond-consensus/tests/lost.rs
+++ b/crates/dunepond-consensus/tests/lost.rs
@@ -46,7 +46,7 @@
                 && !fleet.brokers[1].voter.as_ref().unwrap().is_leader()
         );
     }
-    assert!(fleet.brokers[0].log.iter().any(|line| line.contains("brought back without it")));
+    assert!(fleet.brokers[0].log.iter().any(|line| line.contains("recovered without it")));
     assert!(fleet.all(&ConfigPhase::Active(3)) && fleet.all_live() && fleet.voting() == [2]);
     // By a word of the usual kind they vote again.
     fleet.vote(&[2, 0]).unwrap();
@@ -79,10 +79,10 @@
         last_index: 1,
         lost_voters: vec![],
         highest_number: 0,
-        confirmation: String::from(WORD),
+        confirmation: String::from(RECOVERY_CONFIRMATION),
     };
     let terms = dunepond_simulation::fleet::terms("n1", 3);
     let why = Voter::recover(terms, StoredVoter::new(), &word, 0.0, 1).err().unwrap();
     assert_eq!(why, ConsensusError::Recovery(RecoveryError::NoState));
-    assert!(RecoveryError::UnknownEntry(String::new()).help().contains("program"));
+    assert!(RecoveryError::UnknownEntry(String::new()).help().contains("build"));
 }
--- a/crates/dunepond-consensus/tests/parts.rs
+++ b/crates/dunepond-consensus/tests/parts.rs
@@ -315,7 +315,10 @@
     assert_eq!(again.phase(100.2), ConfigPhase::LeaseExpired(1));
     assert_eq!(again.rules(100.2), Some(&strictest_rules(&one.rules, &two.rules)));
     assert_eq!(again.owner(0, 100.2), SegmentOwner::Unavailable(1.0));
-    assert_eq!(PersistedState::decode(&[9, 9]), Err(ConsensusError::CorruptRecord("what a broker keeps")));
+    assert_eq!(
+        PersistedState::decode(&[9, 9]),
+        Err(ConsensusError::CorruptRecord("the persisted state of a broker"))
+    );
 }
 
 #[test]
@@ -445,7 +448,7 @@
         ConsensusError::Recovery(RecoveryError::NoState),
         ConsensusError::StaleEpoch { from: text(), said: 1, known: 2 },
         ConsensusError::OtherFleet { from: text() },
-        ConsensusError::CorruptRecord("a save"),
+        ConsensusError::CorruptRecord("a write batch"),
         ConsensusError::CorruptLog("a gap"),
         ConsensusError::MalformedMessage(text()),
         ConsensusError::NewerProtocol { from: text(), version: 2, ours: 1 },
@@ -506,7 +509,7 @@
     saved.apply_record(&record).unwrap();
     let other = Voter::open(terms("n2", 2), saved.clone(), 0.0, 1).err().unwrap();
     assert_eq!(other, ConsensusError::ForeignFolder { is: String::from("n1"), name: String::from("n2") });
-    assert_eq!(saved.apply_record(&[7]), Err(ConsensusError::CorruptRecord("a save")));
+    assert_eq!(saved.apply_record(&[7]), Err(ConsensusError::CorruptRecord("a write batch")));
     let nobody = ConsensusConfig { name: String::from("n7"), ..terms("n1", 3) };
     assert_eq!(
         Voter::open(nobody, StoredVoter::new(), 0.0, 1).err().unwrap(),
--- a/crates/dunepond-consensus/tests/upgrades.rs
+++ b/crates/dunepond-consensus/tests/upgrades.rs
@@ -95,7 +95,7 @@
     fleet.run(3.0);
     assert!((0..3).all(|n| fleet.state(n).highest_number == 1), "not agreed on");
     let said = |n: usize| {
-        fleet.brokers[n].log.iter().any(|line| line.contains("does not vote") && line.contains(KEY))
+        fleet.brokers[n].log.iter().any(|line| line.contains("withholds its vote") && line.contains(KEY))
     };
     assert!((0..3).filter(|n| *n != leader).all(said));
     assert!(fleet.all_live() && fleet.all(&ConfigPhase::Active(1)), "and all go on as they were");
--- a/crates/dunepond-consensus/tests/voters.rs
+++ b/crates/dunepond-consensus/tests/voters.rs
@@ -99,7 +99,7 @@
 fn the_only_voter_is_replaced_and_steps_down_by_itself() {
     let mut fleet = Fleet::mapped(1, 2, 51);
     change(&mut fleet, &[1]);
-    assert!(fleet.until(3.0, |fleet| log(fleet, 0, "leads no more") && fleet.leader() == Some(1)));
+    assert!(fleet.until(3.0, |fleet| log(fleet, 0, "stepped down") && fleet.leader() == Some(1)));
     fleet.propose(propose(2)).unwrap();
     assert!(
         fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(2)) && fleet.all_live()),
@@ -118,7 +118,7 @@
     fleet.propose(Command::Settlement(dunepond_settlement::Agreed::Settle(settlement("paid")))).unwrap();
     fleet.run(0.5);
     fleet.start(0);
-    assert!(fleet.until(3.0, |fleet| log(fleet, 0, "votes no more")));
+    assert!(fleet.until(3.0, |fleet| log(fleet, 0, "removed as a voter")));
     assert!(!fleet.brokers[0].voter.as_ref().unwrap().is_leader());
     // Of the three that vote two are down: the old one is no second.
     fleet.kill(1);
--- a/crates/dunepond-control-plane/src/golden.rs
+++ b/crates/dunepond-control-plane/src/golden.rs
@@ -8,8 +8,8 @@
 use std::time::UNIX_EPOCH;
 
 use dunepond_consensus::{
-    ConfigVersion, ExcludedNodes, Extension, PersistedState, RecoveryOrder, RoutingRules, StoredVoter, Voter,
-    VoterChange, VoterInfo, WORD,
+    ConfigVersion, ExcludedNodes, Extension, PersistedState, RECOVERY_CONFIRMATION, RecoveryOrder,
+    RoutingRules, StoredVoter, Voter, VoterChange, VoterInfo,
 };
 use dunepond_settlement::{Agreed, Allot, Begun, Counts, Fill, Ledger, Settlement, Shares, Sides, Tally};
 use dunepond_shard_map::{KeyRange, MapConstraints as MapTerms, Replica, Segment, ShardMap};
@@ -224,7 +224,10 @@
     assert_eq!(std::fs::read(&done).unwrap(), document);
 
     let read: RecoveryOrder = serde_json::from_slice(&document).unwrap();
-    assert_eq!((read.lost_voters.len(), read.highest_number, read.confirmation.as_str()), (2, 1, WORD));
+    assert_eq!(
+        (read.lost_voters.len(), read.highest_number, read.confirmation.as_str()),
+        (2, 1, RECOVERY_CONFIRMATION)
+    );
     assert_same("majority-lost.json", serde_json::to_string(&read).unwrap().as_bytes());
 }
 
--- a/crates/dunepond-control-plane/src/host/limits.rs
+++ b/crates/dunepond-control-plane/src/host/limits.rs
@@ -79,9 +79,9 @@
             return;
         };
         match &entry {
-            QuotaEntry::SetShares { parts } => {
+            QuotaEntry::SetShares { shares } => {
                 limiting.planned = now + limiting.every;
-                for part in parts {
+                for part in shares {
                     let before =
                         ledger.brokers.get(&part.broker).map_or(0, |seat| seat.granted_units(&part.quota));
                     let need =
--- a/crates/dunepond-control-plane/src/host/mod.rs
+++ b/crates/dunepond-control-plane/src/host/mod.rs
@@ -114,7 +114,7 @@
     /// The folder failed: the voter is silent until then, and until it could be written whole.
     failed: Option<f64>,
     /// The versions (in force, proposed) that the folder has.
-    kept: Option<(u64, Option<u64>, u64, u64)>,
+    kept: Option<dunepond_consensus::PersistedRevision>,
     /// The list of voters of which the log has said that the file differs from it.
     differs: Option<u64>,
     /// The last refusal that was told.
--- a/crates/dunepond-quota/src/error.rs
+++ b/crates/dunepond-quota/src/error.rs
@@ -1,46 +1,114 @@
-//! What can be wrong, and what an operator can do about it.
+//! Why quotas are not shared as asked, and what an operator can do about it.
 
 use thiserror::Error;
 
+/// An entry or a configuration that is rejected; nothing changes by it.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum QuotaError {
+    /// The ratio of floors is out of range.
     #[error("limits: the share of floors is {0}, expected above 0 and up to 1")]
     FloorRatio(f64),
-    #[error("limits: {given} brokers, expected 1 to {most}")]
-    BrokerCount { given: u32, most: u32 },
-    #[error("limits: {given} bounds, expected 1 to {most}")]
-    QuotaCount { given: usize, most: usize },
-    #[error("limits: the bound `{0}` is named twice")]
+    /// The number of brokers is out of range.
+    #[error("limits: {given} brokers, expected 1 to {max}")]
+    BrokerCount {
+        /// As configured.
+        given: u32,
+        /// Upper limit.
+        max: u32,
+    },
+    /// The number of quotas is out of range.
+    #[error("limits: {given} quotas, expected 1 to {max}")]
+    QuotaCount {
+        /// As configured.
+        given: usize,
+        /// Upper limit.
+        max: usize,
+    },
+    /// A quota is named twice.
+    #[error("limits: the quota `{0}` is named twice")]
     DuplicateQuota(String),
-    #[error("limits: floors of {floor} units for {brokers} brokers are more than the whole")]
-    FloorsExceedTotal { floor: u32, brokers: u32 },
-    #[error("limits: a window of {given} ms, expected 1 to {most}")]
-    Window { given: u64, most: u64 },
-    #[error("limits: nothing is shared yet")]
+    /// The floors of all brokers come to more than the total.
+    #[error("limits: floors of {floor_units} units for {brokers} brokers exceed the total")]
+    FloorsExceedTotal {
+        /// Of each broker.
+        floor_units: u32,
+        /// That may exist.
+        brokers: u32,
+    },
+    /// The window is out of range.
+    #[error("limits: a window of {given} ms, expected 1 to {max}")]
+    Window {
+        /// Milliseconds.
+        given: u64,
+        /// Upper limit, milliseconds.
+        max: u64,
+    },
+    /// No quota is configured.
+    #[error("limits: no quota is shared yet")]
     NotConfigured,
-    #[error("limits: other bounds come while {units} units of `{bound}` count as leased")]
-    StillLeased { bound: String, units: u32 },
-    #[error("limits: these bounds are agreed on already")]
+    /// Quotas cannot be reconfigured while units are leased.
+    #[error("limits: other quotas are proposed while {units} units of `{quota}` are reserved")]
+    StillLeased {
+        /// With reserved units.
+        quota: String,
+        /// Reserved.
+        units: u32,
+    },
+    /// The configuration is the one in force.
+    #[error("limits: these quotas are in force already")]
     AlreadyConfigured,
-    #[error("limits: `{broker}` comes, and all {brokers} that may exist are there")]
-    TooManyBrokers { broker: String, brokers: u32 },
-    #[error("limits: `{0}` is one of the brokers already")]
+    /// No broker may be added.
+    #[error("limits: `{broker}` joins, and all {brokers} brokers that may exist are present")]
+    TooManyBrokers {
+        /// That would join.
+        broker: String,
+        /// That may exist.
+        brokers: u32,
+    },
+    /// The broker was added before.
+    #[error("limits: `{0}` shares already")]
     BrokerExists(String),
+    /// The broker was never added.
     #[error("limits: `{0}` is none of the brokers that share")]
     UnknownBroker(String),
-    #[error("limits: `{broker}` goes while {units} units of `{bound}` count as its own")]
-    BrokerHoldsUnits { broker: String, bound: String, units: u32 },
-    #[error("limits: no bound `{0}` is shared")]
+    /// A broker with reserved units cannot be removed.
+    #[error("limits: `{broker}` leaves while {units} units of `{quota}` are reserved for it")]
+    BrokerHoldsUnits {
+        /// That would be removed.
+        broker: String,
+        /// With reserved units.
+        quota: String,
+        /// Reserved.
+        units: u32,
+    },
+    /// The quota is not configured.
+    #[error("limits: no quota `{0}` is shared")]
     UnknownQuota(String),
+    /// More units would be reserved than are spare.
     #[error(
-        "limits: the parts of `{bound}` would come to {units} units beyond the floors, and {spare} are spare"
+        "limits: shares of `{quota}` would come to {units} units beyond the floors, and {spare} are spare"
     )]
-    ExceedsTotal { bound: String, units: u64, spare: u32 },
+    ExceedsTotal {
+        /// Whose shares would be too large.
+        quota: String,
+        /// Reserved in total.
+        units: u64,
+        /// Units that belong to no floor.
+        spare: u32,
+    },
+    /// The entry repeats what is in force.
     #[error("limits: nothing would change")]
     NoChange,
+    /// The shrink was released before, or another one followed it.
     #[error("limits: `{broker}` is not waited for at generation {generation}")]
-    NotAwaited { broker: String, generation: u64 },
-    #[error("limits: only the leader's clock may say that `{0}` has let go")]
+    NotAwaited {
+        /// That was said to have stopped.
+        broker: String,
+        /// Of the shrink.
+        generation: u64,
+    },
+    /// A release was proposed by somebody other than the leader itself.
+    #[error("limits: only the leader's clock may release the units of `{0}`")]
     LeaderOnly(String),
 }
 
@@ -56,24 +124,24 @@
                 "lower `limits floor`, or see that all files state the same number of brokers"
             }
             Self::Window { .. } => "set the settings' windows of budgets to some seconds",
-            Self::NotConfigured => "nothing to do: the leader enters the bounds of its file first",
+            Self::NotConfigured => "nothing to do: the leader enters the quotas of its file first",
             Self::StillLeased { .. } => {
-                "nothing to do: the leader takes all parts back first; it takes some leases"
+                "nothing to do: the leader takes all shares back first; it takes some leases"
             }
             Self::AlreadyConfigured => "nothing to do: a leader entered them before",
             Self::TooManyBrokers { .. } => {
                 "raise the number of brokers in all settings and restart those that run, then start one more"
             }
             Self::BrokerExists(_) => "nothing to do: it was entered twice",
-            Self::UnknownBroker(_) => "nothing to do: a plan was overtaken; the next names who is there",
-            Self::BrokerHoldsUnits { .. } => "nothing to do: it goes once its last lease has surely run out",
+            Self::UnknownBroker(_) => "nothing to do: a plan is out of date; the next names who is present",
+            Self::BrokerHoldsUnits { .. } => "nothing to do: it is removed once its last lease has expired",
             Self::UnknownQuota(_) => "see that all files state the same `limits`",
             Self::ExceedsTotal { .. } => {
-                "a plan was overtaken, the next fits; if it stays, look at the leader's build"
+                "a plan is out of date, the next fits; if it stays, look at the leader's build"
             }
             Self::NoChange => "nothing to do: a plan came twice",
             Self::NotAwaited { .. } => {
-                "nothing to do: it was settled before, or its part went down again since"
+                "nothing to do: it was released before, or its share shrank again since"
             }
             Self::LeaderOnly(_) => "nothing to do: the leader says so by itself",
         }
--- a/crates/dunepond-quota/src/ledger.rs
+++ b/crates/dunepond-quota/src/ledger.rs
@@ -1,5 +1,5 @@
-//! Who has how much of the spare units, as the agreed log has it. Each voter applies the same entries and judges each for
-//! itself; no clock is read here, so that all come to the same.
+//! Who holds how many of the spare units, as the consensus log has it. Each voter applies the same entries and judges each
+//! by itself; no clock is read here, so that all voters come to the same result.
 
 use std::collections::BTreeMap;
 
@@ -7,187 +7,217 @@
 
 use crate::{Allocation, QuotaEntry, QuotaError, QuotaShare, SharedQuotas};
 
-/// A broker's units of one bound, beyond its floor.
+/// A broker's units of one quota, beyond its floor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct UnitGrant {
     /// What it is told.
     #[serde(rename = "now")]
     pub granted: u32,
-    /// What it may still act on: at least `now`.
+    /// What it may still be using: at least `granted`.
     #[serde(rename = "counted")]
     pub reserved: u32,
 }
 
-/// A broker that may have a part.
+/// A broker that may hold shares.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BrokerShares {
+    /// By quota.
     #[serde(rename = "held")]
     pub grants: BTreeMap<String, UnitGrant>,
-    /// Generation of the last entry by which one of its parts went down.
+    /// Generation of the last entry that shrank one of its shares.
     #[serde(rename = "shrunk")]
     pub shrunk_generation: u64,
 }
 
 impl BrokerShares {
-    /// What it had before still counts.
+    /// A share shrank, and its old size is still reserved.
     pub fn awaits_release(&self) -> bool {
-        self.grants.values().any(|held| held.reserved > held.granted)
+        self.grants.values().any(|grant| grant.reserved > grant.granted)
     }
 
-    pub fn granted_units(&self, bound: &str) -> u32 {
-        self.grants.get(bound).map_or(0, |held| held.granted)
+    /// Units that the broker is told.
+    pub fn granted_units(&self, quota: &str) -> u32 {
+        self.grants.get(quota).map_or(0, |grant| grant.granted)
     }
 
-    pub fn reserved_units(&self, bound: &str) -> u32 {
-        self.grants.get(bound).map_or(0, |held| held.reserved)
+    /// Units that the broker may still be using.
+    pub fn reserved_units(&self, quota: &str) -> u32 {
+        self.grants.get(quota).map_or(0, |grant| grant.reserved)
     }
 
-    fn largest(&self) -> Option<(&String, u32)> {
-        let counted = self.grants.iter().map(|(bound, held)| (bound, held.reserved));
-        counted.max_by_key(|(_, counted)| *counted).filter(|(_, counted)| *counted > 0)
+    /// The quota of which most is reserved, if anything is.
+    fn largest_reservation(&self) -> Option<(&String, u32)> {
+        let reserved = self.grants.iter().map(|(quota, grant)| (quota, grant.reserved));
+        reserved.max_by_key(|(_, units)| *units).filter(|(_, units)| *units > 0)
     }
 }
 
+/// The replicated state of all quotas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaLedger {
+    /// `None` before the first configuration.
     #[serde(rename = "bounds")]
     pub shared: Option<SharedQuotas>,
-    /// One more with each entry that changed something.
+    /// Counts the entries that changed something.
     pub generation: u64,
+    /// Brokers that may hold shares, by name.
     #[serde(rename = "seats")]
     pub brokers: BTreeMap<String, BrokerShares>,
 }
 
 impl QuotaLedger {
-    /// Units of a bound that count as leased.
-    pub fn reserved_units(&self, bound: &str) -> u64 {
-        self.brokers.values().map(|seat| u64::from(seat.reserved_units(bound))).sum()
+    /// Units of a quota that are reserved beyond the floors.
+    pub fn reserved_units(&self, quota: &str) -> u64 {
+        self.brokers.values().map(|shares| u64::from(shares.reserved_units(quota))).sum()
     }
 
-    /// Units of a bound that may be given to somebody now.
-    pub fn free_units(&self, bound: &str) -> u32 {
+    /// Units of a quota that may be granted now.
+    pub fn free_units(&self, quota: &str) -> u32 {
         let spare = self.shared.as_ref().map_or(0, SharedQuotas::spare_units);
-        u64::from(spare).saturating_sub(self.reserved_units(bound)) as u32
+        u64::from(spare).saturating_sub(self.reserved_units(quota)) as u32
     }
 
-    /// Whether it would change anything, as things stand.
+    /// Whether the entry may be applied, and would change anything.
+    ///
+    /// # Errors
+    /// Why it would be rejected.
     pub fn check(&self, entry: &QuotaEntry) -> Result<(), QuotaError> {
         match entry {
-            QuotaEntry::Configure(bounds) => {
-                bounds.check()?;
-                if self.shared.as_ref() == Some(bounds) {
-                    return Err(QuotaError::AlreadyConfigured);
-                }
-                match self.brokers.values().find_map(BrokerShares::largest) {
-                    Some((bound, units)) => Err(QuotaError::StillLeased { bound: bound.clone(), units }),
-                    None => Ok(()),
-                }
-            }
-            QuotaEntry::AddBroker { broker } => {
-                let brokers = self.shared.as_ref().ok_or(QuotaError::NotConfigured)?.max_brokers;
-                if self.brokers.contains_key(broker) {
-                    return Err(QuotaError::BrokerExists(broker.clone()));
-                }
-                if self.brokers.len() >= brokers as usize {
-                    return Err(QuotaError::TooManyBrokers { broker: broker.clone(), brokers });
-                }
-                Ok(())
-            }
-            QuotaEntry::RemoveBroker { broker } => match self.seat(broker)?.largest() {
-                Some((bound, units)) => {
-                    Err(QuotaError::BrokerHoldsUnits { broker: broker.clone(), bound: bound.clone(), units })
-                }
-                None => Ok(()),
-            },
-            QuotaEntry::SetShares { parts } => self.check_parts(parts),
-            QuotaEntry::Release { broker, generation } => {
-                let seat = self.seat(broker)?;
-                if !seat.awaits_release() || seat.shrunk_generation != *generation {
-                    return Err(QuotaError::NotAwaited { broker: broker.clone(), generation: *generation });
-                }
-                Ok(())
+            QuotaEntry::Configure(shared) => self.check_configure(shared),
+            QuotaEntry::AddBroker { broker } => self.check_add(broker),
+            QuotaEntry::RemoveBroker { broker } => self.check_remove(broker),
+            QuotaEntry::SetShares { shares } => self.check_shares(shares),
+            QuotaEntry::Release { broker, generation } => self.check_release(broker, *generation),
+        }
+    }
+
+    fn check_configure(&self, shared: &SharedQuotas) -> Result<(), QuotaError> {
+        shared.check()?;
+        if self.shared.as_ref() == Some(shared) {
+            return Err(QuotaError::AlreadyConfigured);
+        }
+        match self.brokers.values().find_map(BrokerShares::largest_reservation) {
+            Some((quota, units)) => Err(QuotaError::StillLeased { quota: quota.clone(), units }),
+            None => Ok(()),
+        }
+    }
+
+    fn check_add(&self, broker: &str) -> Result<(), QuotaError> {
+        let brokers = self.shared.as_ref().ok_or(QuotaError::NotConfigured)?.max_brokers;
+        if self.brokers.contains_key(broker) {
+            return Err(QuotaError::BrokerExists(broker.to_string()));
+        }
+        if self.brokers.len() >= brokers as usize {
+            return Err(QuotaError::TooManyBrokers { broker: broker.to_string(), brokers });
+        }
+        Ok(())
+    }
+
+    fn check_remove(&self, broker: &str) -> Result<(), QuotaError> {
+        match self.shares_of(broker)?.largest_reservation() {
+            Some((quota, units)) => {
+                Err(QuotaError::BrokerHoldsUnits { broker: broker.to_string(), quota: quota.clone(), units })
             }
+            None => Ok(()),
+        }
+    }
+
+    fn check_release(&self, broker: &str, generation: u64) -> Result<(), QuotaError> {
+        let shares = self.shares_of(broker)?;
+        if !shares.awaits_release() || shares.shrunk_generation != generation {
+            return Err(QuotaError::NotAwaited { broker: broker.to_string(), generation });
         }
+        Ok(())
     }
 
-    fn seat(&self, broker: &str) -> Result<&BrokerShares, QuotaError> {
+    fn shares_of(&self, broker: &str) -> Result<&BrokerShares, QuotaError> {
         self.brokers.get(broker).ok_or_else(|| QuotaError::UnknownBroker(broker.to_string()))
     }
 
-    /// Whatever is asked for: each part counts at the greatest that its broker may act on, and all of them have to fit.
-    fn check_parts(&self, parts: &[QuotaShare]) -> Result<(), QuotaError> {
-        let bounds = self.shared.as_ref().ok_or(QuotaError::NotConfigured)?;
+    /// Each share counts at the largest size that its broker may be using, old or new, and all have to fit: a share cannot
+    /// grow before another one's shrink is released, whoever planned the entry.
+    fn check_shares(&self, shares: &[QuotaShare]) -> Result<(), QuotaError> {
+        let shared = self.shared.as_ref().ok_or(QuotaError::NotConfigured)?;
         let mut changes = false;
-        let mut after: BTreeMap<(&str, &str), u32> = BTreeMap::new();
-        for QuotaShare { broker, quota: bound, units } in parts {
-            let seat = self.seat(broker)?;
-            if !bounds.names.contains(bound) {
-                return Err(QuotaError::UnknownQuota(bound.clone()));
+        let mut reserved_after: BTreeMap<(&str, &str), u32> = BTreeMap::new();
+        for QuotaShare { broker, quota, units } in shares {
+            let held = self.shares_of(broker)?;
+            if !shared.names.contains(quota) {
+                return Err(QuotaError::UnknownQuota(quota.clone()));
             }
-            changes |= seat.granted_units(bound) != *units;
-            let counted = after.entry((bound, broker)).or_insert(seat.reserved_units(bound));
-            *counted = (*counted).max(*units);
+            changes |= held.granted_units(quota) != *units;
+            let reserved = reserved_after.entry((quota, broker)).or_insert(held.reserved_units(quota));
+            *reserved = (*reserved).max(*units);
         }
         if !changes {
             return Err(QuotaError::NoChange);
         }
-        for bound in &bounds.names {
-            let named = after.range((bound.as_str(), "")..).take_while(|((name, _), _)| *name == bound);
-            let more = named
-                .map(|((_, broker), units)| u64::from(units - self.brokers[*broker].reserved_units(bound)));
-            let (units, spare) = (self.reserved_units(bound) + more.sum::<u64>(), bounds.spare_units());
+        let spare = shared.spare_units();
+        for quota in &shared.names {
+            let named =
+                reserved_after.range((quota.as_str(), "")..).take_while(|((name, _), _)| *name == quota);
+            let growth = named
+                .map(|((_, broker), units)| u64::from(units - self.brokers[*broker].reserved_units(quota)));
+            let units = self.reserved_units(quota) + growth.sum::<u64>();
             if units > u64::from(spare) {
-                return Err(QuotaError::ExceedsTotal { bound: bound.clone(), units, spare });
+                return Err(QuotaError::ExceedsTotal { quota: quota.clone(), units, spare });
             }
         }
         Ok(())
     }
 
+    /// Applies an entry of the log.
+    ///
+    /// # Errors
+    /// As [`QuotaLedger::check`]; nothing changed then.
     pub fn apply(&mut self, entry: &QuotaEntry) -> Result<(), QuotaError> {
         self.check(entry)?;
         self.generation += 1;
         match entry {
-            QuotaEntry::Configure(bounds) => {
-                self.shared = Some(bounds.clone());
-                // Nothing is leased. Who is there takes a seat again, of which there may be fewer now.
+            QuotaEntry::Configure(shared) => {
+                self.shared = Some(shared.clone());
+                // Brokers are added again: fewer may be allowed now.
                 self.brokers.clear();
             }
             QuotaEntry::AddBroker { broker } => {
-                drop(self.brokers.insert(broker.clone(), BrokerShares::default()))
+                self.brokers.insert(broker.clone(), BrokerShares::default());
             }
-            QuotaEntry::RemoveBroker { broker } => drop(self.brokers.remove(broker)),
-            QuotaEntry::SetShares { parts } => {
-                for QuotaShare { broker, quota: bound, units } in parts {
-                    let Some(seat) = self.brokers.get_mut(broker) else { continue };
-                    let held = seat.grants.entry(bound.clone()).or_default();
-                    if *units < held.granted {
-                        seat.shrunk_generation = self.generation;
-                    }
-                    (held.granted, held.reserved) = (*units, held.reserved.max(*units));
-                }
-            }
-            QuotaEntry::Release { broker, .. } => {
-                let held = self.brokers.get_mut(broker).into_iter().flat_map(|seat| seat.grants.values_mut());
-                held.for_each(|held| held.reserved = held.granted);
+            QuotaEntry::RemoveBroker { broker } => {
+                self.brokers.remove(broker);
             }
+            QuotaEntry::SetShares { shares } => shares.iter().for_each(|share| self.set_share(share)),
+            QuotaEntry::Release { broker, .. } => self.release(broker),
         }
         Ok(())
     }
 
-    /// What a broker hears; nothing while nothing is shared.
+    fn set_share(&mut self, share: &QuotaShare) {
+        let Some(shares) = self.brokers.get_mut(&share.broker) else { return };
+        let grant = shares.grants.entry(share.quota.clone()).or_default();
+        if share.units < grant.granted {
+            shares.shrunk_generation = self.generation;
+        }
+        grant.granted = share.units;
+        grant.reserved = grant.reserved.max(share.units);
+    }
+
+    fn release(&mut self, broker: &str) {
+        let grants = self.brokers.get_mut(broker).into_iter().flat_map(|shares| shares.grants.values_mut());
+        grants.for_each(|grant| grant.reserved = grant.granted);
+    }
+
+    /// What a broker is told with its lease; `None` while nothing is shared.
     pub fn allocation_for(&self, broker: &str) -> Option<Allocation> {
-        let bounds = self.shared.as_ref()?;
-        let seat = self.brokers.get(broker);
-        let parts = seat.into_iter().flat_map(|seat| &seat.grants);
+        let shared = self.shared.as_ref()?;
+        let shares = self.brokers.get(broker);
+        let grants = shares.into_iter().flat_map(|shares| &shares.grants);
+        let leased = grants.filter(|(_, grant)| grant.granted > 0);
         Some(Allocation {
             generation: self.generation,
-            floor_units: bounds.floor_units,
-            admitted: seat.is_some() || self.brokers.len() < bounds.max_brokers as usize,
-            shrunk_generation: seat.map_or(0, |seat| seat.shrunk_generation),
-            leased_units: parts
-                .filter(|(_, held)| held.granted > 0)
-                .map(|(name, held)| (name.clone(), held.granted))
-                .collect(),
+            floor_units: shared.floor_units,
+            admitted: shares.is_some() || self.brokers.len() < shared.max_brokers as usize,
+            shrunk_generation: shares.map_or(0, |shares| shares.shrunk_generation),
+            leased_units: leased.map(|(quota, grant)| (quota.clone(), grant.granted)).collect(),
         })
     }
 }
--- a/crates/dunepond-quota/tests/ledger.rs
+++ b/crates/dunepond-quota/tests/ledger.rs
@@ -20,7 +20,7 @@
 
 fn parts(parts: &[(usize, u32)]) -> QuotaEntry {
     QuotaEntry::SetShares {
-        parts: parts.iter().map(|(broker, units)| part(*broker, "cold", *units)).collect(),
+        shares: parts.iter().map(|(broker, units)| part(*broker, "cold", *units)).collect(),
     }
 }
 
@@ -72,17 +72,17 @@
 #[case::seat_full(QuotaEntry::AddBroker { broker: name(3) }, QuotaError::TooManyBrokers { broker: name(3), brokers: 3 })]
 #[case::seat_twice(QuotaEntry::AddBroker { broker: name(1) }, QuotaError::BrokerExists(name(1)))]
 #[case::free_holds(QuotaEntry::RemoveBroker { broker: name(0) },
-    QuotaError::BrokerHoldsUnits { broker: name(0), bound: String::from("cold"), units: 700_000 })]
+    QuotaError::BrokerHoldsUnits { broker: name(0), quota: String::from("cold"), units: 700_000 })]
 #[case::free_none(QuotaEntry::RemoveBroker { broker: name(7) }, QuotaError::UnknownBroker(name(7)))]
 #[case::same_bounds(QuotaEntry::Configure(bounds(3, 0.3)), QuotaError::AlreadyConfigured)]
 #[case::bounds_leased(QuotaEntry::Configure(bounds(4, 0.3)),
-    QuotaError::StillLeased { bound: String::from("cold"), units: 700_000 })]
-#[case::no_bound(QuotaEntry::SetShares { parts: vec![part(0, "warm", 1)] }, QuotaError::UnknownQuota(String::from("warm")))]
+    QuotaError::StillLeased { quota: String::from("cold"), units: 700_000 })]
+#[case::no_bound(QuotaEntry::SetShares { shares: vec![part(0, "warm", 1)] }, QuotaError::UnknownQuota(String::from("warm")))]
 #[case::nothing(parts(&[(0, 700_000)]), QuotaError::NoChange)]
 #[case::not_waited(QuotaEntry::Release { broker: name(0), generation: 1 },
     QuotaError::NotAwaited { broker: name(0), generation: 1 })]
 #[case::past(parts(&[(2, 1)]),
-    QuotaError::ExceedsTotal { bound: String::from("cold"), units: 700_001, spare: 700_000 })]
+    QuotaError::ExceedsTotal { quota: String::from("cold"), units: 700_001, spare: 700_000 })]
 fn an_entry_that_does_not_fit_changes_nothing(#[case] entry: QuotaEntry, #[case] why: QuotaError) {
     let mut ledger = led();
     let before = ledger.clone();
@@ -93,7 +93,7 @@
 #[rstest]
 #[case::share(SharedQuotas::new(vec![String::from("cold")], 3, 0.0, 1), "above 0")]
 #[case::brokers(SharedQuotas::new(vec![String::from("cold")], 0, 0.5, 1), "0 brokers")]
-#[case::none(SharedQuotas::new(vec![], 3, 0.5, 1), "0 bounds")]
+#[case::none(SharedQuotas::new(vec![], 3, 0.5, 1), "0 quotas")]
 #[case::doubled(SharedQuotas::new(vec![String::from("cold"), String::from("cold")], 3, 0.5, 1), "`cold` is named twice")]
 #[case::window(SharedQuotas::new(vec![String::from("cold")], 3, 0.5, 0), "0 ms")]
 fn bounds_that_cannot_be_are_refused(#[case] bounds: Result<SharedQuotas, QuotaError>, #[case] words: &str) {
@@ -105,20 +105,20 @@
     let (broker, bound) = (name(1), String::from("cold"));
     let all = [
         QuotaError::FloorRatio(2.0),
-        QuotaError::BrokerCount { given: 0, most: 1 },
-        QuotaError::QuotaCount { given: 0, most: 1 },
+        QuotaError::BrokerCount { given: 0, max: 1 },
+        QuotaError::QuotaCount { given: 0, max: 1 },
         QuotaError::DuplicateQuota(bound.clone()),
-        QuotaError::FloorsExceedTotal { floor: 1, brokers: 1 },
-        QuotaError::Window { given: 0, most: 1 },
+        QuotaError::FloorsExceedTotal { floor_units: 1, brokers: 1 },
+        QuotaError::Window { given: 0, max: 1 },
         QuotaError::NotConfigured,
-        QuotaError::StillLeased { bound: bound.clone(), units: 1 },
+        QuotaError::StillLeased { quota: bound.clone(), units: 1 },
         QuotaError::AlreadyConfigured,
         QuotaError::TooManyBrokers { broker: broker.clone(), brokers: 1 },
         QuotaError::BrokerExists(broker.clone()),
         QuotaError::UnknownBroker(broker.clone()),
-        QuotaError::BrokerHoldsUnits { broker: broker.clone(), bound: bound.clone(), units: 1 },
+        QuotaError::BrokerHoldsUnits { broker: broker.clone(), quota: bound.clone(), units: 1 },
         QuotaError::UnknownQuota(bound.clone()),
-        QuotaError::ExceedsTotal { bound, units: 1, spare: 1 },
+        QuotaError::ExceedsTotal { quota: bound, units: 1, spare: 1 },
         QuotaError::NoChange,
         QuotaError::NotAwaited { broker: broker.clone(), generation: 1 },
         QuotaError::LeaderOnly(broker),
@@ -189,7 +189,7 @@
                     let before = *sizes.last().unwrap();
                     sizes.push(units);
                     let fits = naive.most(bound) <= 700_000 && units != before;
-                    let entry = QuotaEntry::SetShares { parts: vec![part(broker, bound, units)] };
+                    let entry = QuotaEntry::SetShares { shares: vec![part(broker, bound, units)] };
                     let taken = ledger.apply(&entry).is_ok();
                     prop_assert_eq!(taken, fits);
                     if !taken {
--- a/crates/dunepond-quota/tests/model.rs
+++ b/crates/dunepond-quota/tests/model.rs
@@ -136,7 +136,7 @@
 fn entry(broker: usize, units: u8) -> QuotaEntry {
     let units = u32::from(units) * TENTH;
     QuotaEntry::SetShares {
-        parts: vec![QuotaShare { broker: name(broker), quota: String::from("cold"), units }],
+        shares: vec![QuotaShare { broker: name(broker), quota: String::from("cold"), units }],
     }
 }
 
--- a/crates/dunepond-simulation/src/voters.rs
+++ b/crates/dunepond-simulation/src/voters.rs
@@ -79,7 +79,7 @@
             last_index: last,
             lost_voters: lost,
             highest_number: voter.state().highest_number + 1,
-            confirmation: String::from(WORD),
+            confirmation: String::from(RECOVERY_CONFIRMATION),
         }
     }
 
