--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -114,7 +114,7 @@
     /// The folder failed: the voter is silent until then, and until it could be written whole.
     storage_failed_until: Option<f64>,
     /// The versions (in force, proposed) that the folder has.
-    saved_config: Option<(u64, Option<u64>, u64, u64)>,
+    saved_config: Option<dunepond_consensus::PersistedRevision>,
     /// The list of voters of which the log has said that the file differs from it.
     reported_voters: Option<u64>,
     /// The last refusal that was told.
--- a/crates/dunepond-control-plane/src/control_loop/quotas.rs
+++ b/crates/dunepond-control-plane/src/control_loop/quotas.rs
@@ -88,9 +88,9 @@
             return;
         };
         match &entry {
-            QuotaEntry::SetShares { parts } => {
+            QuotaEntry::SetShares { shares } => {
                 limiting.next_plan_at = now + limiting.interval_seconds;
-                for part in parts {
+                for part in shares {
                     let before =
                         ledger.brokers.get(&part.broker).map_or(0, |seat| seat.granted_units(&part.quota));
                     let need =
