--- /dev/null
+++ b/crates/dunepond-routing/src/learned.rs
@@ -0,0 +1,58 @@
+//! What a process learned and spent, for the one that comes after it. All times are ages in seconds, as each process has a
+//! clock of its own. These types are stored: the order of their fields is part of the format.
+
+use serde::{Deserialize, Serialize};
+
+use crate::NodeId;
+
+/// What a router has learned.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct LearnedState {
+    /// Node by node.
+    pub nodes: Vec<LearnedNode>,
+    /// The fleet's last completions, the oldest first.
+    pub latency_samples: Vec<(f64, f64, f64)>,
+    /// Attempts on connections that had been idle.
+    pub idle_resets: Vec<(f64, f64, bool)>,
+    /// Seconds that attempts take at ease; `None` while that is not known.
+    pub baseline_latency: Option<f64>,
+}
+
+/// What was learned of a node.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct LearnedNode {
+    /// The node.
+    pub node: NodeId,
+    /// It was ejected.
+    pub ejected: bool,
+    /// Its last attempts, the oldest first.
+    pub samples: Vec<LearnedSample>,
+}
+
+/// What an attempt told of its node.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct LearnedSample {
+    /// Index into [`Deployment::query_classes`](crate::Deployment::query_classes).
+    pub class: usize,
+    /// Seconds since it was sent.
+    pub sent_ago: f64,
+    /// Seconds that it took, as a warm node would have taken them.
+    pub latency: f64,
+    /// Seconds since it ended.
+    pub ended_ago: f64,
+    /// It was answered.
+    pub served: bool,
+    /// It counts against the node.
+    pub fault: bool,
+}
+
+/// What a router has spent of the budgets that a restart does not renew.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct SpentBudgets {
+    /// Retries and hedged requests, in seconds ago.
+    pub retries: Vec<f64>,
+    /// What the retry budget is measured against.
+    pub admissions: Vec<(f64, f64)>,
+    /// Parts sent to nodes in slow start.
+    pub slow_start_sends: Vec<(NodeId, Vec<f64>)>,
+}
--- a/crates/dunepond-routing/src/policy/admission.rs
+++ b/crates/dunepond-routing/src/policy/admission.rs
@@ -1,120 +1,231 @@
-//! Admission: what is turned away as it comes in, by how long it would wait and what it is worth.
+//! Admission: which queries are rejected on arrival.
+//!
+//! Inputs: the expected wait of a query's parts (seconds), its latency objective and deadline, its value per
+//! unit of work, its tenant's quota, and the share of recent queries that missed their objective. Under
+//! overload an answer that comes late earns little and delays all others, while a rejection on arrival costs
+//! nothing. Load is shed in this order: traffic beyond a tenant's quota, queries that are already late, then
+//! the lowest value per unit of work.
 
-use super::*;
+use rand::RngExt;
+
+use super::StageResult;
+use super::latency::RECENT_OBJECTIVES;
+use super::outlier_detection::{EJECTION_P95_RATIO, SILENCE_P95_RATIO};
+use crate::state::{InFlightQuery, Node, ObjectiveResult, PartState, Router, keep_last};
+use crate::{Query, QueryClass, Transport};
+
+/// Ratio of expected wait to useful time left at which load shedding starts, and at which everything is shed.
+pub(super) const SHED_START_RATIO: f64 = 0.25;
+const SHED_ALL_RATIO: f64 = 0.65;
+/// Weight of the share of missed objectives in the overload level.
+const MISSED_WEIGHT: f64 = 0.5;
+/// Queries in that share, and on-time ones added to it as a prior: a few samples say little.
+const MISSED_SAMPLE_COUNT: usize = 16;
+const MISSED_PRIOR_COUNT: f64 = 4.0;
+/// Recent queries among which a new one is ranked by value.
+const VALUE_SAMPLE_COUNT: usize = 64;
+/// A second step waits again, mostly for lighter parts.
+const TWO_STEP_WAIT_RATIO: f64 = 1.5;
+/// Expected service time of a part, as a multiple of the baseline latency.
+const SERVICE_BASELINE_RATIO: f64 = 1.5;
 
 impl Router {
-    /// How long parts wait at a segment's best holder in service or due a trial: our oldest there or what
-    /// its last ones took beyond ease. Where there is none the wait has no end: a scan sent to dead nodes
-    /// would only take the others' time. That is no overload: scans of other segments do not feel it.
-    pub(super) fn wait_for(&self, piece: &Piece) -> f64 {
-        let pause = (2.0 * SILENT + REST) * self.nearly_all;
-        let waits = self.holders(piece.seg, piece.only).map(|(_, n)| match (&n.aside, n.outs.first()) {
-            _ if self.full(n) => f64::MAX,
-            // Until its first trial is met with silence too, it may only have paused: there is time for that.
-            (Some(a), _) if self.now - n.heard < pause => (a.again - self.now).max(0.0),
-            (Some(a), _) if !self.trial(n, a) => f64::MAX,
-            (_, oldest) => {
-                // What it did before it was set aside says nothing of its trial.
-                let lately = if n.aside.is_some() { 0.0 } else { self.usual(n, LATELY, |_| 0.0) - self.ease };
-                // Of a wait that none in its zone told of for as long as itself, only a part sent tells more.
-                let told = self.zones[n.zone].back().map_or(0.0, |z| z.1);
-                let over = oldest.is_none() && self.now - told > lately;
-                oldest.map_or(if over { 0.0 } else { lately }, |o| lately.max(self.now - o.at))
-            }
-        });
-        waits.min_by(f64::total_cmp).unwrap_or(f64::MAX)
+    /// Decides once, on arrival, whether a query is served.
+    pub(super) fn admit(&mut self, transport: &mut dyn Transport, query: &mut InFlightQuery) -> StageResult {
+        if query.admission_checked {
+            return StageResult::Continue;
+        }
+        query.admission_checked = true;
+        if query.exceeds_shutdown {
+            // Another broker can serve it right away.
+            transport.reject_retriable(query.id, 0.0);
+            return StageResult::Done;
+        }
+        let class = self.class(query);
+        let steps = if class.second_step { TWO_STEP_WAIT_RATIO } else { 1.0 };
+        let wait = steps * self.expected_wait(query);
+        let served_at = self.expected_served_at(wait);
+        let is_late = served_at > query.objective_at;
+        let earns_nothing = is_late && class.late_value_ratio <= 0.0;
+        // It would only take capacity from other queries, once for each retry of an impatient client.
+        if served_at > query.deadline_at || earns_nothing {
+            return self.reject(transport, query);
+        }
+        let horizon = self.useful_seconds(query, class, is_late);
+        let value_rank = self.rank_value(query, is_late);
+        let level = self.overload_level(wait / horizon);
+        let chance: f64 = self.rng.random();
+        let is_within_quota = self.is_within_quota(query.tenant);
+        let is_shed_first = !is_within_quota || query.audit || is_late;
+        if level > 0.0 && (is_shed_first || 0.5 * (value_rank + chance) < level) {
+            return self.reject(transport, query);
+        }
+        if is_within_quota && let Some(times) = self.admission.within_quota.get_mut(query.tenant) {
+            times.push_back(self.now);
+        }
+        StageResult::Continue
     }
 
-    /// The wait ahead of a scan: of as many of its parts as it needs. Blocks differ in how much they are
-    /// asked for, so that some holders may drown while the fleet is at ease.
-    pub(super) fn wait_ahead(&self, held: &Held) -> f64 {
-        let mut waits: Vec<_> = held.step().iter().map(|p| (self.wait_for(p), p.weight)).collect();
-        waits.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut weight = 0.0;
-        let enough = waits.iter().find(|w| {
-            weight += w.1;
-            weight >= self.least(held)
-        });
-        enough.map_or(0.0, |w| w.0)
+    /// The instant up to which an answer has its full value. A client's retry has already used part of the
+    /// client's time. That shows only when it has less time left than the tenant's first tries: some clients
+    /// state short times from the start.
+    pub(super) fn objective_at(&mut self, query: &Query) -> f64 {
+        let class = &self.deployment.query_classes[query.class];
+        let index = query.class + query.tenant * self.deployment.query_classes.len();
+        let first_tries = &mut self.admission.first_try_seconds;
+        first_tries.resize(first_tries.len().max(index + 1), 0.0);
+        if !query.is_retry {
+            first_tries[index] = query.expires_in;
+        }
+        let is_cut_short = query.is_retry && query.expires_in < first_tries[index] - self.deployment.tick;
+        let spent = if is_cut_short { class.timeout - query.expires_in } else { 0.0 };
+        self.now + (class.latency_objective - spent).max(0.0)
     }
 
-    /// It turned a part away so lately that it can hardly have worked off what it holds.
-    pub(super) fn full(&self, node: &Node) -> bool {
-        self.now - node.refused < self.median
+    /// Seconds for which an answer keeps the value that the query can still earn.
+    fn useful_seconds(&self, query: &InFlightQuery, class: &QueryClass, is_late: bool) -> f64 {
+        let useful = if is_late { class.latency_objective } else { query.objective_at - self.now };
+        useful.min(query.deadline_at - self.now)
     }
 
-    /// Under overload the least benefit goes first: beyond a customer's share, then late, then dear.
-    pub(super) fn admit(&mut self, host: &mut dyn Transport, held: &mut Held) -> Pass {
-        if held.admitted {
-            return Pass::On;
-        }
-        held.admitted = true;
-        if held.outlasts {
-            // Elsewhere it may be asked again at once.
-            host.reject_retriable(held.id, 0.0);
-            return Pass::End;
+    /// Rank of the query's value density (value per unit of work) among recent queries, itself included: from
+    /// 0, the lowest, to 1.
+    fn rank_value(&mut self, query: &InFlightQuery, is_late: bool) -> f64 {
+        let class = self.class(query);
+        let parts_needed = query.parts.len() as f64 * self.complete_share(query);
+        let work = if self.deployment.weight_by_work { 1.0 } else { parts_needed };
+        let late_ratio = if is_late { class.late_value_ratio } else { 1.0 };
+        let density = class.priority_weight * late_ratio / work;
+        keep_last(&mut self.admission.value_densities, density, VALUE_SAMPLE_COUNT);
+        let densities = &self.admission.value_densities;
+        let below = |other: &f64| 0.5 * (f64::from(*other < density) + f64::from(*other <= density));
+        densities.iter().map(below).sum::<f64>() / densities.len() as f64
+    }
+
+    /// Overload level: 0 or less sheds nothing, 1 or more sheds everything.
+    fn overload_level(&self, wait_ratio: f64) -> f64 {
+        (wait_ratio - SHED_START_RATIO) / (SHED_ALL_RATIO - SHED_START_RATIO)
+            + MISSED_WEIGHT * self.missed_share()
+    }
+
+    /// Expected wait (seconds) until enough parts for an answer can be served. Load differs by segment: some
+    /// replicas may be overloaded while the fleet as a whole is not.
+    pub(super) fn expected_wait(&self, query: &InFlightQuery) -> f64 {
+        let wait_and_weight = |part: &PartState| (self.part_wait(part), part.weight);
+        let mut waits: Vec<(f64, f64)> = query.step().iter().map(wait_and_weight).collect();
+        waits.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let minimum = self.minimum_weight(query);
+        let mut covered = 0.0;
+        for (wait, weight) in waits {
+            covered += weight;
+            if covered >= minimum {
+                return wait;
+            }
         }
-        let kind = &self.site.query_classes[held.table_type];
-        let steps = if kind.second_step { TWO_STEPS } else { 1.0 };
-        let ahead = steps * self.wait_ahead(held);
-        let likely = self.likely(ahead);
-        let late = likely > held.target_at;
-        // Its client will not wait for what it asks, or not for anything of worth: sent all the same it would
-        // only take the nodes from the others, once for each of the many tries of such a client.
-        if likely > held.ends_at || late && kind.late_value_ratio <= 0.0 {
-            return self.give_up(host, held);
+        0.0
+    }
+
+    /// Expected wait (seconds) at a part's best replica; `f64::MAX` if no replica is in service or due a
+    /// probation attempt, as an attempt there would only waste the capacity that its other parts take. This
+    /// is no overload: queries of other segments are not affected.
+    pub(super) fn part_wait(&self, part: &PartState) -> f64 {
+        let replicas = self.replicas(part.segment, part.required_node);
+        replicas.map(|(_, node)| self.node_wait(node)).min_by(f64::total_cmp).unwrap_or(f64::MAX)
+    }
+
+    fn node_wait(&self, node: &Node) -> f64 {
+        if self.is_full(node) {
+            return f64::MAX;
         }
-        let useful = if late { kind.latency_objective } else { held.target_at - self.now };
-        let horizon = useful.min(held.ends_at - self.now);
-        let parts = held.pieces.len() as f64 * self.share(held, |r| &r.complete_at);
-        let work = if self.site.weight_by_work { 1.0 } else { parts };
-        let density = kind.priority_weight * if late { kind.late_value_ratio } else { 1.0 } / work;
-        keep_last(&mut self.density, density, FLEET_SAMPLES);
-        let below = |d: &f64| 0.5 * (f64::from(*d < density) + f64::from(*d <= density));
-        let rank = self.density.iter().map(below).sum::<f64>() / self.density.len() as f64;
-        let level = (ahead / horizon - PRESSED) / (CRUSHED - PRESSED) + MISSED * self.missing();
-        let chance: f64 = self.rng.random();
-        let inside = self.inside_share(held.customer);
-        if level > 0.0 && (!inside || held.audit || late || 0.5 * (rank + chance) < level) {
-            return self.give_up(host, held);
+        let Some(ejection) = &node.ejection else { return self.queue_wait(node, self.recent_excess(node)) };
+        // The node may only have paused; there is time to wait for its first probation attempt.
+        let pause = (2.0 * SILENCE_P95_RATIO + EJECTION_P95_RATIO) * self.latency.p95;
+        if self.now - node.last_response_at < pause {
+            (ejection.probation_at - self.now).max(0.0)
+        } else if self.is_due_probation(node, ejection) {
+            // Samples from before the ejection say nothing about the probation attempt.
+            self.queue_wait(node, 0.0)
+        } else {
+            f64::MAX
         }
-        if inside && let Some(times) = self.within.get_mut(held.customer) {
-            times.push_back(self.now);
+    }
+
+    /// Seconds by which a node's recent attempts exceeded the baseline latency.
+    fn recent_excess(&self, node: &Node) -> f64 {
+        self.expected_latency(node, RECENT_OBJECTIVES, |_| 0.0) - self.latency.baseline
+    }
+
+    /// Expected wait at a node: the age of the oldest outstanding attempt, or the recent excess latency.
+    fn queue_wait(&self, node: &Node, excess: f64) -> f64 {
+        if let Some(oldest) = node.outstanding.first() {
+            return excess.max(self.now - oldest.sent_at);
         }
-        Pass::On
+        // If no sample of the zone is newer than the wait itself, it may be over, and only a new attempt can
+        // tell.
+        let last_told_at = self.latency.zones[node.zone].back().map_or(0.0, |sample| sample.at);
+        let is_outdated = self.now - last_told_at > excess;
+        if is_outdated { 0.0 } else { excess }
     }
 
-    /// At most nodes in service the oldest of ours has waited long: nothing is to go out that need not.
+    /// The node rejected an attempt as full less than a median latency ago, so its queue is likely still
+    /// full.
+    pub(super) fn is_full(&self, node: &Node) -> bool {
+        self.now - node.last_full_at < self.latency.median
+    }
+
+    /// When a query that waits this many seconds is expected to be served.
+    fn expected_served_at(&self, wait: f64) -> f64 {
+        self.now + wait + SERVICE_BASELINE_RATIO * self.latency.baseline.min(self.latency.median)
+    }
+
+    /// After the prefilter: nothing is left to send, or the rest is expected before the deadline.
+    pub(super) fn can_still_be_served(&self, query: &InFlightQuery) -> bool {
+        query.parts.iter().all(PartState::is_done)
+            || self.expected_served_at(self.expected_wait(query)) <= query.deadline_at
+    }
+
+    /// Whether the oldest attempt at most nodes in service has been outstanding for long. Optional work is to
+    /// be held back then.
     pub fn is_overloaded(&self) -> bool {
-        let late = PRESSED * self.shortest_target;
-        let waits = |n: &Node| n.outs.first().is_some_and(|o| self.now - o.at > late);
-        let serving = self.nodes.iter().flatten().filter(|n| n.aside.is_none());
-        let (late, all) = serving.fold((0, 0), |(late, all), n| (late + usize::from(waits(n)), all + 1));
-        2 * late > all
+        let limit = SHED_START_RATIO * self.latency.shortest_objective;
+        let (mut late, mut in_service) = (0, 0);
+        for node in self.nodes.iter().flatten().filter(|node| node.ejection.is_none()) {
+            in_service += 1;
+            if node.outstanding.first().is_some_and(|oldest| self.now - oldest.sent_at > limit) {
+                late += 1;
+            }
+        }
+        2 * late > in_service
     }
 
-    /// The share of our last scans that missed their target: who meets each holder seldom reckons its wait
-    /// from the fleet's median, and what is admitted by that comes too late.
-    pub(super) fn missing(&self) -> f64 {
-        let lately = self.missed.iter().filter(|m| m.0 > self.since(LATELY));
-        let (past, all) = lately.fold((0.0, FEW), |(past, all), m| (past + f64::from(m.1), all + 1.0));
-        past / all
+    /// Share of recent queries that missed their objective. A broker that meets each replica rarely estimates
+    /// waits from the fleet's median; this share shows when those estimates are too low.
+    fn missed_share(&self) -> f64 {
+        let since = self.objectives_ago(RECENT_OBJECTIVES);
+        let (mut missed, mut all) = (0.0, MISSED_PRIOR_COUNT);
+        for result in self.admission.missed_objectives.iter().filter(|result| result.at > since) {
+            missed += f64::from(result.missed);
+            all += 1.0;
+        }
+        missed / all
     }
 
-    /// When it will likely be through, where so much is ahead of it.
-    pub(super) fn likely(&self, ahead: f64) -> f64 {
-        self.now + ahead + 1.5 * self.ease.min(self.median)
+    pub(super) fn record_objective(&mut self, query: &InFlightQuery) {
+        let missed = self.now > query.objective_at - self.deployment.tick;
+        let result = ObjectiveResult { at: self.now, missed };
+        keep_last(&mut self.admission.missed_objectives, result, MISSED_SAMPLE_COUNT);
     }
 
-    /// Our part of a customer's share, over the longest target time, is not used up yet.
-    pub(super) fn inside_share(&mut self, customer: usize) -> bool {
-        let (Some(quota), Some(times)) = (self.site.quotas.get(customer), self.within.get_mut(customer))
-        else {
-            return true;
+    /// Whether this broker's part of a tenant's quota, counted over the longest latency objective, has room.
+    fn is_within_quota(&mut self, tenant: usize) -> bool {
+        let Some(quota) = self.deployment.quotas.get(tenant) else { return true };
+        let Some(times) = self.admission.within_quota.get_mut(tenant) else { return true };
+        let span = self.latency.longest_objective;
+        times.drain(..times.partition_point(|at| *at < self.now - span));
+        let allowed = match self.limits.quotas.get(tenant).copied().flatten() {
+            Some(share) => quota * span * share,
+            None => quota * span / self.deployment.broker_count,
         };
-        let span = self.longest_target;
-        times.drain(..times.partition_point(|t| *t < self.now - span));
-        let part = self.limits.quotas.get(customer).copied().flatten();
-        (times.len() as f64) < part.map_or(quota * span / self.site.broker_count, |part| quota * span * part)
+        (times.len() as f64) < allowed
     }
 }
--- /dev/null
+++ b/crates/dunepond-routing/src/policy/clock.rs
@@ -0,0 +1,66 @@
+//! Clock: when the router wakes next, and how a stall of the process itself is compensated.
+//!
+//! Inputs: the transport's clock (seconds), the tick (seconds), the instant of the requested wake. A wake
+//! that comes far too late means that nothing was read in the meantime; counted as silence of the nodes, it
+//! would eject the whole fleet.
+
+use crate::Transport;
+use crate::state::Router;
+
+/// Longest stall in seconds between reading the clock and writing to a connection. A repeat that must not run
+/// after some instant is not started closer to it than this. Client deadlines have no such margin: many
+/// queries arrive with less time than that and are served in time.
+pub const MAX_STALL_SECONDS: f64 = 0.15;
+/// A wake that is later than this indicates a stall.
+const STALL_TICKS: f64 = 10.0;
+/// Interval of wakes while queries are in flight.
+const WAKE_INTERVAL_TICKS: f64 = 5.0;
+/// Tolerance for a wake that comes early because clocks are rounded.
+const EARLY_WAKE_TICKS: f64 = 0.5;
+
+impl Router {
+    /// Reads the clock. After a stall, shifts the nodes' timestamps by it, so that it does not count as their
+    /// silence.
+    pub(super) fn sync_clock(&mut self, transport: &dyn Transport) {
+        self.now = transport.now();
+        let stalled = self.now - self.wake_due_at;
+        if stalled <= STALL_TICKS * self.deployment.tick {
+            return;
+        }
+        self.wake_due_at = self.now;
+        for node in self.nodes.iter_mut().flatten() {
+            node.last_response_at += stalled;
+            for attempt in &mut node.outstanding {
+                attempt.sent_at += stalled;
+            }
+        }
+    }
+
+    /// The instant this many times the longest latency objective ago.
+    pub(super) fn objectives_ago(&self, objectives: f64) -> f64 {
+        self.now - objectives * self.latency.longest_objective
+    }
+
+    /// Clears the requested wake once it has come. A wake requested before an earlier one replaced it still
+    /// comes, and clears nothing.
+    pub(super) fn clear_due_wake(&mut self) {
+        let is_polling = self.endpoint_poll.next_at < f64::MAX;
+        if !is_polling || self.now > self.wake_due_at - EARLY_WAKE_TICKS * self.deployment.tick {
+            self.wake_due_at = f64::MAX;
+        }
+    }
+
+    /// Polls the endpoint list if due, and requests the next wake unless an earlier one is pending.
+    pub(super) fn schedule_wake(&mut self, transport: &mut dyn Transport) {
+        self.poll_endpoints(transport);
+        let next = if self.queries.is_empty() {
+            self.endpoint_poll.next_at
+        } else {
+            self.now + WAKE_INTERVAL_TICKS * self.deployment.tick
+        };
+        if next < self.wake_due_at {
+            self.wake_due_at = next;
+            transport.schedule_wake(next);
+        }
+    }
+}
--- /dev/null
+++ b/crates/dunepond-routing/src/policy/latency.rs
@@ -0,0 +1,79 @@
+//! Latency: median, 95th percentile and baseline of the fleet, and the median of each zone.
+//!
+//! Inputs: latencies (seconds) of the last completions at warm nodes and of the last attempts in each zone.
+//! Other rules use multiples of these quantiles, so that no limit has to be tuned for a deployment. A node is
+//! judged against the fleet: if all nodes become slow, the quantiles follow and no node is an outlier.
+
+use std::collections::VecDeque;
+
+use crate::state::{CompletionSample, Router, ZoneSample, keep_last};
+
+/// Completions kept of the whole fleet, and how many recent ones give a quantile or a baseline.
+const FLEET_SAMPLE_COUNT: usize = 64;
+const MIN_QUANTILE_SAMPLE_COUNT: usize = 8;
+const MIN_BASELINE_SAMPLE_COUNT: usize = 16;
+/// Attempts kept of each zone, and how many fresh ones give its median.
+const ZONE_SAMPLE_COUNT: usize = 16;
+const MIN_ZONE_SAMPLE_COUNT: usize = 4;
+/// Samples describe the present load for this many longest latency objectives.
+pub(super) const RECENT_OBJECTIVES: f64 = 2.0;
+/// Samples describe a node or zone at all for this many longest latency objectives.
+pub(super) const FRESH_OBJECTIVES: f64 = 8.0;
+/// A latency above this multiple of the median is slow.
+pub(super) const SLOW_RATIO: f64 = 2.5;
+/// Until there are samples, quantile q is this times q times the shortest latency objective.
+const UNMEASURED_RATIO: f64 = 0.4;
+const HIGH_QUANTILE: f64 = 0.95;
+
+impl Router {
+    /// Recomputes the quantiles from the last samples.
+    pub(super) fn measure_latency(&mut self) {
+        let since = self.objectives_ago(RECENT_OBJECTIVES);
+        let recent = self.latency.completions.iter().filter(|sample| sample.at > since);
+        let sorted = sorted(recent.map(|sample| sample.latency));
+        let median = self.quantile(&sorted, 0.5).max(self.deployment.tick);
+        if sorted.len() >= MIN_BASELINE_SAMPLE_COUNT {
+            self.latency.baseline = self.latency.baseline.min(median);
+        }
+        self.latency.median = median;
+        self.latency.p95 = self.quantile(&sorted, HIGH_QUANTILE).max(median);
+        self.latency.zone_median = self.latency.zones.iter().map(|zone| self.zone_median(zone)).collect();
+    }
+
+    fn quantile(&self, sorted: &[f64], quantile: f64) -> f64 {
+        if sorted.len() < MIN_QUANTILE_SAMPLE_COUNT {
+            return UNMEASURED_RATIO * quantile * self.latency.shortest_objective;
+        }
+        sorted[(sorted.len() as f64 * quantile) as usize]
+    }
+
+    /// A zone gets a median of its own if it is much slower than the fleet: a bad link between zones makes
+    /// all its nodes slow for this broker, and learning that node by node would cost an attempt at each.
+    fn zone_median(&self, zone: &VecDeque<ZoneSample>) -> f64 {
+        let since = self.objectives_ago(FRESH_OBJECTIVES);
+        let sorted = sorted(zone.iter().filter(|sample| sample.at > since).map(|sample| sample.latency));
+        if sorted.len() < MIN_ZONE_SAMPLE_COUNT {
+            return self.latency.median;
+        }
+        let zone_median = sorted[sorted.len() / 2];
+        if zone_median > SLOW_RATIO * self.latency.median { zone_median } else { self.latency.median }
+    }
+
+    pub(super) fn record_completion(&mut self, latency: f64) {
+        let node_share = 1.0 / self.latency.warm_nodes as f64;
+        let sample = CompletionSample { latency, at: self.now, node_share };
+        keep_last(&mut self.latency.completions, sample, FLEET_SAMPLE_COUNT);
+        self.latency.completed_per_node += node_share;
+    }
+
+    pub(super) fn record_zone_latency(&mut self, zone: usize, latency: f64) {
+        let sample = ZoneSample { latency, at: self.now };
+        keep_last(&mut self.latency.zones[zone], sample, ZONE_SAMPLE_COUNT);
+    }
+}
+
+fn sorted(latencies: impl Iterator<Item = f64>) -> Vec<f64> {
+    let mut sorted: Vec<f64> = latencies.collect();
+    sorted.sort_unstable_by(f64::total_cmp);
+    sorted
+}
--- /dev/null
+++ b/crates/dunepond-routing/src/policy/outlier_detection.rs
@@ -0,0 +1,293 @@
+//! Outlier detection: what the outcome of an attempt says about its node, when a node is ejected, and how it
+//! returns to service.
+//!
+//! Inputs: outcomes and latencies (seconds) of a node's last attempts, and how long an answer has been due. A
+//! node that is silent or fails its attempts is ejected. After its ejection time it gets one probation
+//! attempt, then twice as many after each success, until it is back in service.
+
+use super::latency::SLOW_RATIO;
+use crate::state::{Ejection, Node, NodeSample, OutstandingAttempt, Router, SampleOutcome, keep_last};
+use crate::{AttemptEnded, AttemptOutcome, NodeId, Transport};
+
+/// Samples kept of one node.
+const NODE_SAMPLE_COUNT: usize = 8;
+/// A node counts as silent after this multiple of the 95th percentile.
+pub(super) const SILENCE_P95_RATIO: f64 = 2.0;
+/// Faults among a node's samples that eject it; a single stray error must not.
+const MIN_FAULT_COUNT: usize = 2;
+/// A cancelled attempt counts as lost if this many later ones were answered before it.
+const MIN_OVERTAKEN_COUNT: usize = 2;
+/// Ejection time before the first probation attempt, as a multiple of the 95th percentile.
+pub(super) const EJECTION_P95_RATIO: f64 = 3.0;
+/// A node returns to service once it would be allowed more probation attempts at once than this.
+const MAX_PROBATION_ATTEMPTS: usize = 8;
+
+/// Why a node is ejected.
+#[derive(Clone, Copy)]
+enum EjectionCause {
+    Silent,
+    Failing,
+}
+
+impl Ejection {
+    pub(super) fn after_rest(now: f64, p95: f64) -> Self {
+        Self { probation_at: now + EJECTION_P95_RATIO * p95, probation_limit: 1 }
+    }
+}
+
+impl Node {
+    /// Whether the node fails attempts of this query class that were sent after the given instant.
+    pub(super) fn fails_class(&self, class: usize, since: f64) -> bool {
+        let is_such_fault =
+            |sample: &&NodeSample| sample.is_fault() && sample.sent_at > since && sample.class == class;
+        self.samples.iter().filter(is_such_fault).count() >= MIN_FAULT_COUNT
+    }
+
+    /// Whether some query class has no fault among its samples and at least one success. Then only the
+    /// failing classes avoid the node, and the others keep it in service.
+    fn serves_some_class(&self) -> bool {
+        let has_failed =
+            |class: usize| self.samples.iter().any(|sample| sample.is_fault() && sample.class == class);
+        self.samples.iter().any(|sample| sample.is_served() && !has_failed(sample.class))
+    }
+
+    /// Seconds for which an answer has been due without any response.
+    pub(super) fn silence(&self, now: f64) -> f64 {
+        match self.outstanding.iter().find(|attempt| attempt.frame_sent) {
+            Some(oldest) => now - oldest.sent_at.max(self.last_response_at),
+            None => 0.0,
+        }
+    }
+
+    fn overtaken_count(&self, attempt: &OutstandingAttempt) -> usize {
+        self.samples.iter().filter(|sample| sample.sent_at > attempt.sent_at).count()
+    }
+}
+
+impl Router {
+    /// Records the outcome of an attempt in what is known of its node and of the fleet.
+    pub(super) fn update_node_health(&mut self, transport: &mut dyn Transport, ended: &AttemptEnded) {
+        let (id, now) = (ended.node, self.now);
+        let Some(node) = self.node_mut(id) else { return };
+        let Some(position) = node.outstanding_position(ended.id()) else { return };
+        let attempt = node.outstanding.remove(position);
+        node.last_used_at = now;
+        match ended.outcome {
+            AttemptOutcome::Cancelled | AttemptOutcome::TimedOut => {
+                self.on_unanswered(transport, id, &attempt)
+            }
+            AttemptOutcome::Rejected => self.on_rejected_as_full(id, &attempt),
+            AttemptOutcome::NotSent => {}
+            AttemptOutcome::ConnectionLost if self.is_idle_reset(&attempt) => {
+                self.record_idle_reset(&attempt)
+            }
+            AttemptOutcome::ConnectionLost | AttemptOutcome::ConnectFailed => {
+                self.on_connection_fault(transport, id, &attempt)
+            }
+            AttemptOutcome::Served => self.on_response(transport, id, &attempt, SampleOutcome::Served),
+            AttemptOutcome::Error => self.on_response(transport, id, &attempt, SampleOutcome::Fault),
+        }
+    }
+
+    /// An attempt was cancelled or timed out. Some nodes answer some attempts and drop others, so that they
+    /// are never silent for long: an attempt that was overtaken by later ones and unanswered for long counts
+    /// as lost.
+    fn on_unanswered(&mut self, transport: &mut dyn Transport, id: NodeId, attempt: &OutstandingAttempt) {
+        // A frame that has not been sent completely says nothing about the node.
+        if !attempt.frame_sent {
+            return;
+        }
+        let Some(node) = &self.nodes[id] else { return };
+        let is_overtaken = node.overtaken_count(attempt) >= MIN_OVERTAKEN_COUNT;
+        if is_overtaken && self.now - attempt.sent_at >= SILENCE_P95_RATIO * self.latency.p95 {
+            self.record_outcome(transport, id, attempt, SampleOutcome::Fault);
+        } else {
+            self.on_withdrawn(id, attempt);
+        }
+    }
+
+    /// An attempt was given up while the node may still be working on it.
+    fn on_withdrawn(&mut self, id: NodeId, attempt: &OutstandingAttempt) {
+        let (now, median, p95) = (self.now, self.latency.median, self.latency.p95);
+        let Some(node) = self.node_mut(id) else { return };
+        // A probation attempt that was cancelled because its hedge won has shown nothing. The next one waits
+        // as after silence; otherwise a node that hangs would get one with each hedge that wins.
+        if let Some(ejection) = &mut node.ejection
+            && attempt.sent_at >= ejection.probation_at
+        {
+            *ejection = Ejection::after_rest(now, p95);
+        }
+        node.abandoned_until.push(attempt.sent_at + median);
+        if now - attempt.sent_at > SLOW_RATIO * median {
+            self.record_sample(id, attempt, SampleOutcome::Inconclusive);
+        }
+    }
+
+    /// A node that rejects attempts as full answers fast and seems idle, and would attract all attempts of a
+    /// part. The rejection is also kept as a slow sample, for brokers that meet the node too rarely to
+    /// remember it otherwise.
+    fn on_rejected_as_full(&mut self, id: NodeId, attempt: &OutstandingAttempt) {
+        let (now, latency) = (self.now, self.latency.p95);
+        let Some(node) = self.node_mut(id) else { return };
+        node.last_full_at = now;
+        node.last_response_at = now;
+        let sample = NodeSample {
+            class: attempt.class,
+            sent_at: attempt.sent_at,
+            latency,
+            at: now,
+            outcome: SampleOutcome::Inconclusive,
+        };
+        keep_last(&mut node.samples, sample, NODE_SAMPLE_COUNT);
+    }
+
+    /// All attempts lost with one connection count as one fault.
+    fn on_connection_fault(
+        &mut self,
+        transport: &mut dyn Transport,
+        id: NodeId,
+        attempt: &OutstandingAttempt,
+    ) {
+        let Some(node) = &self.nodes[id] else { return };
+        let is_counted = node.samples.back().is_some_and(|last| last.is_fault() && last.at == self.now);
+        if !is_counted {
+            self.record_outcome(transport, id, attempt, SampleOutcome::Fault);
+        }
+    }
+
+    fn on_response(
+        &mut self,
+        transport: &mut dyn Transport,
+        id: NodeId,
+        attempt: &OutstandingAttempt,
+        outcome: SampleOutcome,
+    ) {
+        let now = self.now;
+        let Some(node) = self.node_mut(id) else { return };
+        node.last_response_at = now;
+        self.record_outcome(transport, id, attempt, outcome);
+    }
+
+    /// Records a sample, advances the probation, and judges the node by it.
+    fn record_outcome(
+        &mut self,
+        transport: &mut dyn Transport,
+        id: NodeId,
+        attempt: &OutstandingAttempt,
+        outcome: SampleOutcome,
+    ) {
+        let Some(latency) = self.record_sample(id, attempt, outcome) else { return };
+        let is_served = outcome == SampleOutcome::Served;
+        if is_served {
+            self.record_idle_survival(attempt);
+        }
+        let is_good = is_served && latency <= SLOW_RATIO * self.latency.median;
+        self.advance_probation(transport, id, is_good);
+        self.measure_latency();
+        self.detect_outlier(transport, id);
+    }
+
+    /// Adds a sample of the node, its zone and, if it was served by a warm node, the fleet. Returns the
+    /// latency (seconds) scaled to that of a warm node.
+    fn record_sample(
+        &mut self,
+        id: NodeId,
+        attempt: &OutstandingAttempt,
+        outcome: SampleOutcome,
+    ) -> Option<f64> {
+        let now = self.now;
+        let node = self.nodes.get_mut(id).and_then(Option::as_mut)?;
+        let warmth = node.slow_start_weight(&self.deployment, now);
+        let latency = (now - attempt.sent_at) * warmth;
+        let sample = NodeSample { class: attempt.class, sent_at: attempt.sent_at, latency, at: now, outcome };
+        keep_last(&mut node.samples, sample, NODE_SAMPLE_COUNT);
+        let zone = node.zone;
+        self.record_zone_latency(zone, latency);
+        // A node in slow start may be faster than its stated capacity. Counted for the fleet, its samples
+        // would widen the budget of all nodes in slow start.
+        if outcome == SampleOutcome::Served && warmth >= 1.0 {
+            self.record_completion(latency);
+        }
+        Some(latency)
+    }
+
+    /// A success during probation doubles the number of probation attempts; anything else starts the ejection
+    /// time anew.
+    fn advance_probation(&mut self, transport: &mut dyn Transport, id: NodeId, is_good: bool) {
+        let (now, p95) = (self.now, self.latency.p95);
+        let Some(node) = self.node_mut(id) else { return };
+        let Some(ejection) = &mut node.ejection else { return };
+        if !is_good {
+            *ejection = Ejection::after_rest(now, p95);
+            return;
+        }
+        ejection.probation_limit *= 2;
+        if ejection.probation_limit > MAX_PROBATION_ATTEMPTS {
+            node.ejection = None;
+            node.samples.clear();
+            transport.log(&format!("node {id} is back in service"));
+        }
+    }
+
+    /// Ejects a node that is silent or failing, or renews the ejection of one that stays silent.
+    pub(super) fn detect_outlier(&mut self, transport: &mut dyn Transport, id: NodeId) {
+        let (now, p95) = (self.now, self.latency.p95);
+        let Some(node) = self.nodes[id].as_mut() else { return };
+        node.abandoned_until.retain(|until| *until > now);
+        let Some(ejection) = &node.ejection else {
+            if let Some(cause) = self.ejection_cause(id) {
+                self.eject(transport, id, cause);
+            }
+            return;
+        };
+        let probation_at = ejection.probation_at;
+        let is_silent = |attempt: &OutstandingAttempt| {
+            attempt.frame_sent
+                && attempt.sent_at >= probation_at
+                && now - attempt.sent_at > SILENCE_P95_RATIO * p95
+        };
+        if node.outstanding.iter().any(is_silent) {
+            node.ejection = Some(Ejection::after_rest(now, p95));
+            transport.close_idle_connections(id);
+        }
+    }
+
+    fn ejection_cause(&self, id: NodeId) -> Option<EjectionCause> {
+        let node = self.nodes[id].as_ref()?;
+        let silence = node.silence(self.now) * node.slow_start_weight(&self.deployment, self.now);
+        if silence > SILENCE_P95_RATIO * self.latency.p95 {
+            return Some(EjectionCause::Silent);
+        }
+        let faults = node.samples.iter().filter(|sample| sample.is_fault()).count();
+        (faults >= MIN_FAULT_COUNT && !node.serves_some_class()).then_some(EjectionCause::Failing)
+    }
+
+    fn eject(&mut self, transport: &mut dyn Transport, id: NodeId, cause: EjectionCause) {
+        let (now, p95) = (self.now, self.latency.p95);
+        let Some(node) = self.nodes[id].as_mut() else { return };
+        node.ejection = Some(Ejection::after_rest(now, p95));
+        // Only the connection may have failed; a probation attempt on it would say nothing about the node.
+        transport.close_idle_connections(id);
+        for attempt in &node.outstanding {
+            if let Some(query) = self.queries.get_mut(&attempt.id.query) {
+                query.due_at = now;
+            }
+        }
+        let cause = match cause {
+            EjectionCause::Silent => "it is silent",
+            EjectionCause::Failing => "it fails what it is given",
+        };
+        transport.log(&format!("node {id} is set aside: {cause}"));
+    }
+
+    /// Whether an ejected node may get one more attempt now.
+    pub(super) fn is_due_probation(&self, node: &Node, ejection: &Ejection) -> bool {
+        let on_probation = |attempt: &&OutstandingAttempt| attempt.sent_at >= ejection.probation_at;
+        self.now >= ejection.probation_at
+            && node.outstanding.iter().filter(on_probation).count() < ejection.probation_limit
+    }
+
+    pub(super) fn is_ejected(&self, id: NodeId) -> bool {
+        self.nodes[id].as_ref().is_some_and(|node| node.ejection.is_some())
+    }
+}
--- /dev/null
+++ b/crates/dunepond-routing/src/policy/retry_budget.rs
@@ -0,0 +1,75 @@
+//! Retry budget: how many retries and hedged requests may be sent in any window.
+//!
+//! Inputs: the window (seconds), the number of free retries and the ratio to admitted queries and parts, and
+//! the instants at which each was sent or admitted. The window is taken one tick longer for what was sent and
+//! one tick shorter for what was admitted, so that no other clock finds the budget exceeded.
+
+use std::sync::Arc;
+
+use crate::state::{InFlightQuery, Router};
+use crate::{QuotaDemand, RetryBudget, Rules};
+
+impl Router {
+    /// Counts admitted queries and parts, and drops records older than any budget's window.
+    pub(super) fn record_admission(&mut self, queries_and_parts: f64) {
+        let since = self.now - self.retries.window_seconds - self.deployment.tick;
+        let sent = &mut self.retries.retries_sent;
+        sent.drain(..sent.partition_point(|at| *at < since));
+        self.retries.add_admitted(self.now, queries_and_parts);
+        let admitted = &mut self.retries.admitted;
+        admitted.drain(..admitted.partition_point(|work| work.at < since));
+    }
+
+    /// Whether both the budget that the query began with and the one in force permit another attempt.
+    pub(super) fn is_within_budget(&self, query: &InFlightQuery) -> bool {
+        let is_same = Arc::ptr_eq(&query.rules, &self.rules);
+        self.permits(&self.rules) && (is_same || self.permits(&query.rules))
+    }
+
+    fn permits(&self, rules: &Rules) -> bool {
+        let Some(budget) = &rules.retry_budget else { return true };
+        let long_window_start = self.now - budget.window - self.deployment.tick;
+        let sent = &self.retries.retries_sent;
+        let sent_count = sent.len() - sent.partition_point(|at| *at < long_window_start);
+        let allowed = self.free_retries(budget) + budget.ratio * self.admitted_count(budget);
+        self.retries.charged_until < long_window_start && sent_count as f64 + 1.0 <= allowed
+    }
+
+    /// Free retries of this broker in a window.
+    fn free_retries(&self, budget: &RetryBudget) -> f64 {
+        match self.limits.retries {
+            Some(share) => share * budget.min_retries * self.deployment.broker_count,
+            None => budget.min_retries,
+        }
+    }
+
+    /// Queries and parts admitted within a budget's window.
+    fn admitted_count(&self, budget: &RetryBudget) -> f64 {
+        let short_window_start = self.now - budget.window + self.deployment.tick;
+        let admitted = &self.retries.admitted;
+        let first = admitted.partition_point(|work| work.at < short_window_start);
+        match (admitted.get(first), admitted.back()) {
+            (Some(first), Some(last)) => last.count + last.count_before - first.count_before,
+            _ => 0.0,
+        }
+    }
+
+    /// Counts an attempt that the budget denies, and returns its verdict.
+    pub(super) fn note_denial(&self, is_permitted: bool) -> bool {
+        let denials = &self.retries.denials;
+        denials.set(denials.get() + f64::from(!is_permitted));
+        is_permitted
+    }
+
+    /// What this broker would use of the bounds shared by all brokers: rates over the last `seconds`, and
+    /// retries denied since the last call.
+    pub fn quota_demand(&self, seconds: f64) -> QuotaDemand {
+        let since = self.now - seconds;
+        let sent = self.retries.retries_sent.iter().filter(|at| **at > since).count();
+        QuotaDemand {
+            slow_start: self.completion_rate(),
+            retries: sent as f64,
+            retries_denied: self.retries.denials.take(),
+        }
+    }
+}
--- a/crates/dunepond-routing/src/policy/rules.rs
+++ b/crates/dunepond-routing/src/policy/rules.rs
@@ -1,31 +1,63 @@
-//! Rules: a scan is held to the stricter of what it began with and what holds now.
+//! Rules that change while queries are in flight: each query is held to the stricter of the rules it began
+//! with and those in force.
+//!
+//! Inputs: shares of a query's weight, the retry budget, caps, and waits (seconds), as stated by the
+//! deployment or its operators. No broker exceeds what the rules before and after a change allow.
 
-use super::*;
+use std::sync::Arc;
+
+use crate::state::{InFlightQuery, Router};
+use crate::{QuotaShares, Rules};
 
 impl Router {
-    /// Other rules from now on. A budget's window longer than any before it reaches back to what was not
-    /// kept: all is taken to be spent then.
+    /// Puts other rules in force. If the retry budget's window is longer than any before it, records do not
+    /// reach back that far, and everything counts as spent.
     pub fn set_rules(&mut self, rules: &Rules) {
         self.rules = Arc::new(rules.clone());
-        let window = rules.retry_budget.as_ref().map_or(0.0, |b| b.window);
-        if window > self.window {
-            (self.window, self.owes) = (window, self.now);
+        let window = rules.retry_budget.as_ref().map_or(0.0, |budget| budget.window);
+        if window > self.retries.window_seconds {
+            self.retries.window_seconds = window;
+            self.retries.charged_until = self.now;
         }
     }
 
-    /// The greater of what was and what is; all there is where neither says.
-    pub(super) fn share(&self, held: &Held, list: impl Fn(&Rules) -> &Vec<f64>) -> f64 {
-        let of = |rules| list(rules).get(held.table_type).copied().unwrap_or(1.0);
-        of(&held.rules).max(of(&self.rules))
+    /// Sets this broker's parts of the bounds shared by all brokers.
+    pub fn set_quota_shares(&mut self, limits: QuotaShares) {
+        self.limits = limits;
+    }
+
+    /// Share of a step's weight that makes an answer complete.
+    pub(super) fn complete_share(&self, query: &InFlightQuery) -> f64 {
+        let share = |rules: &Rules| share_of(&rules.complete_at, query.class);
+        share(&query.rules).max(share(&self.rules))
+    }
+
+    /// Least share of the weight for any answer.
+    pub(super) fn minimum_share(&self, query: &InFlightQuery) -> f64 {
+        let share = |rules: &Rules| share_of(&rules.minimum_share, query.class);
+        share(&query.rules).max(share(&self.rules))
     }
 
-    pub(super) fn dispatch_cap(&self, held: &Held) -> usize {
-        if held.audit { 1 } else { held.rules.max_attempts.min(self.rules.max_attempts) }
+    /// How often a part may be sent; an audit only once.
+    pub(super) fn attempt_cap(&self, query: &InFlightQuery) -> usize {
+        if query.audit {
+            return 1;
+        }
+        query.rules.max_attempts.min(self.rules.max_attempts)
+    }
+
+    /// Longest Retry-After (seconds) of a rejection.
+    pub(super) fn max_retry_after(&self, query: &InFlightQuery) -> f64 {
+        query.rules.max_retry_after.min(self.rules.max_retry_after)
     }
 
-    /// Both budgets allow one more.
-    pub(super) fn in_budget(&self, held: &Held) -> bool {
-        let same = Arc::ptr_eq(&held.rules, &self.rules);
-        self.allows(&self.rules) && (same || self.allows(&held.rules))
+    /// Multiple of its capacity that a node in slow start may be sent.
+    pub(super) fn slow_start_multiple(&self, query: &InFlightQuery) -> f64 {
+        query.rules.slow_start_multiple.min(self.rules.slow_start_multiple)
     }
 }
+
+/// A share that the rules do not state is the strictest, 1.
+fn share_of(shares: &[f64], class: usize) -> f64 {
+    shares.get(class).copied().unwrap_or(1.0)
+}
--- /dev/null
+++ b/crates/dunepond-routing/src/policy/warm_restart.rs
@@ -0,0 +1,86 @@
+//! Warm restart: what a process has learned and spent, for its successor.
+//!
+//! All times are ages in seconds, as each process has its own clock. Anything not known to be unspent counts
+//! as spent.
+
+use std::collections::VecDeque;
+
+use crate::state::{CompletionSample, Ejection, IdleReset, Node, NodeSample, Router};
+use crate::{LearnedState, NodeId, SpentBudgets, Transport};
+
+impl Router {
+    /// What this router has learned.
+    pub fn learned_state(&mut self, transport: &dyn Transport) -> LearnedState {
+        self.sync_clock(transport);
+        let now = self.now;
+        let baseline = self.latency.baseline;
+        LearnedState {
+            nodes: self.listed_nodes().map(|(id, node)| node.to_learned(id, now)).collect(),
+            latency_samples: self.latency.completions.iter().map(|sample| sample.to_record(now)).collect(),
+            idle_resets: self.idle_resets.iter().map(|reset| reset.to_record(now)).collect(),
+            baseline_latency: (baseline < f64::MAX).then_some(baseline),
+        }
+    }
+
+    /// Restores what an earlier process learned. A node that was ejected is due its probation attempt at
+    /// once: its fault may be over.
+    pub fn restore_learned(&mut self, transport: &mut dyn Transport, learned: &LearnedState) {
+        self.sync_clock(transport);
+        let now = self.now;
+        for belief in &learned.nodes {
+            let Some(node) = self.node_mut(belief.node) else { continue };
+            node.samples =
+                belief.samples.iter().map(|sample| NodeSample::from_learned(sample, now)).collect();
+            node.ejection = belief.ejected.then_some(Ejection { probation_at: now, probation_limit: 1 });
+        }
+        let completions =
+            learned.latency_samples.iter().map(|record| CompletionSample::from_record(record, now));
+        self.latency.completions.extend(completions);
+        self.idle_resets.extend(learned.idle_resets.iter().map(|record| IdleReset::from_record(record, now)));
+        if let Some(baseline) = learned.baseline_latency {
+            self.latency.baseline = self.latency.baseline.min(baseline);
+        }
+        self.measure_latency();
+    }
+
+    /// What has been spent of the retry budget and of the slow start budgets, and the admissions it is
+    /// measured against.
+    pub fn spent_budgets(&mut self, transport: &dyn Transport) -> SpentBudgets {
+        self.sync_clock(transport);
+        let now = self.now;
+        let ages = |times: &VecDeque<f64>| times.iter().map(|at| (now - at).max(0.0)).collect();
+        let slow_start_record = |(id, node): (NodeId, &Node)| (id, ages(&node.slow_start_sends));
+        SpentBudgets {
+            retries: ages(&self.retries.retries_sent),
+            admissions: self.retries.admitted.iter().map(|work| work.to_record(now)).collect(),
+            slow_start_sends: self.listed_nodes().map(slow_start_record).collect(),
+        }
+    }
+
+    /// Charges what an earlier process spent. `None` if that is not known: then everything counts as spent
+    /// now.
+    pub fn restore_spent(&mut self, transport: &mut dyn Transport, spent: Option<&SpentBudgets>) {
+        self.sync_clock(transport);
+        let now = self.now;
+        let Some(spent) = spent else {
+            self.retries.charged_until = now;
+            return;
+        };
+        self.retries.retries_sent.extend(spent.retries.iter().map(|ago| now - ago));
+        for (ago, count) in &spent.admissions {
+            self.retries.add_admitted(now - ago, *count);
+        }
+        for (id, sent_ago) in &spent.slow_start_sends {
+            let Some(node) = self.node_mut(*id) else { continue };
+            if sent_ago.is_empty() {
+                continue;
+            }
+            node.slow_start_sends.extend(sent_ago.iter().map(|ago| now - ago));
+            node.slow_start_tokens.tokens = 0.0;
+        }
+    }
+
+    fn listed_nodes(&self) -> impl Iterator<Item = (NodeId, &Node)> {
+        self.nodes.iter().enumerate().filter_map(|(id, node)| Some((id, node.as_ref()?)))
+    }
+}
--- /dev/null
+++ b/crates/dunepond-routing/src/state/endpoint_poll.rs
@@ -0,0 +1,18 @@
+//! Polling state of an endpoint list that comes only on request.
+
+use crate::Deployment;
+
+pub struct EndpointPoll {
+    /// Instant of the next poll; `f64::MIN` before the first one, `f64::MAX` if the list is pushed and never
+    /// polled.
+    pub next_at: f64,
+    /// Refused polls in a row.
+    pub refusals: i32,
+}
+
+impl EndpointPoll {
+    pub fn new(deployment: &Deployment) -> Self {
+        let polled = deployment.list_poll_deadline.is_some();
+        Self { next_at: if polled { f64::MIN } else { f64::MAX }, refusals: 0 }
+    }
+}
--- /dev/null
+++ b/crates/dunepond-routing/src/state/latency.rs
@@ -0,0 +1,80 @@
+//! Latency samples, and the quantiles computed from them.
+
+use std::collections::VecDeque;
+
+use super::age;
+use crate::Deployment;
+
+pub struct LatencyStats {
+    /// The last completions at warm nodes.
+    pub completions: VecDeque<CompletionSample>,
+    /// The last attempts in each zone, by zone.
+    pub zones: Vec<VecDeque<ZoneSample>>,
+    /// Median latency of each zone in seconds, by zone.
+    pub zone_median: Vec<f64>,
+    /// Median latency in seconds; computed once after each change, as a burst of queries reads it often.
+    pub median: f64,
+    /// 95th percentile in seconds.
+    pub p95: f64,
+    /// Baseline latency in seconds: the lowest median so far. `f64::MAX` while unknown.
+    pub baseline: f64,
+    /// Nodes listed as active and past slow start; at least 1.
+    pub warm_nodes: usize,
+    /// Parts completed for this broker by each warm node since the start, on average.
+    pub completed_per_node: f64,
+    /// Completions per second of a warm node for this broker, as of the last wake.
+    pub completion_rate_at_wake: f64,
+    /// Longest latency objective of all query classes in seconds.
+    pub longest_objective: f64,
+    /// The shortest one in seconds.
+    pub shortest_objective: f64,
+}
+
+/// A completion at a warm node.
+#[derive(Clone, Copy)]
+pub struct CompletionSample {
+    pub latency: f64,
+    pub at: f64,
+    /// One node's share of this completion, by the number of warm nodes at its time: if many nodes crash,
+    /// what all of them did must not be attributed to the remaining few.
+    pub node_share: f64,
+}
+
+/// An attempt in a zone.
+#[derive(Clone, Copy)]
+pub struct ZoneSample {
+    pub latency: f64,
+    pub at: f64,
+}
+
+impl LatencyStats {
+    pub fn new(deployment: &Deployment) -> Self {
+        let objectives = || deployment.query_classes.iter().map(|class| class.latency_objective);
+        Self {
+            completions: VecDeque::new(),
+            zones: Vec::new(),
+            zone_median: Vec::new(),
+            median: 0.0,
+            p95: 0.0,
+            baseline: f64::MAX,
+            warm_nodes: 1,
+            completed_per_node: 0.0,
+            completion_rate_at_wake: 0.0,
+            longest_objective: objectives().fold(0.0, f64::max),
+            shortest_objective: objectives().fold(f64::MAX, f64::min),
+        }
+    }
+}
+
+impl CompletionSample {
+    /// As stored for another process.
+    pub fn to_record(self, now: f64) -> (f64, f64, f64) {
+        (self.latency, age(self.at, now), self.node_share)
+    }
+
+    /// Back on this process's clock.
+    pub fn from_record(record: &(f64, f64, f64), now: f64) -> Self {
+        let &(latency, ago, node_share) = record;
+        Self { latency, at: now - ago, node_share }
+    }
+}
--- /dev/null
+++ b/crates/dunepond-routing/src/state/node.rs
@@ -0,0 +1,153 @@
+//! What is known of a node.
+
+use std::collections::VecDeque;
+
+use super::age;
+use crate::{AttemptId, Endpoint, EndpointState, LearnedNode, LearnedSample, NodeId};
+
+pub struct Node {
+    pub zone: usize,
+    pub state: EndpointState,
+    pub started_at: f64,
+    pub slow_start_tokens: TokenBucket,
+    pub last_response_at: f64,
+    /// Instant of the last traffic with it.
+    pub last_used_at: f64,
+    /// Instant at which it last rejected an attempt as full.
+    pub last_full_at: f64,
+    /// Instant at which it last answered a probe.
+    pub last_probe_at: f64,
+    /// The oldest first.
+    pub outstanding: Vec<OutstandingAttempt>,
+    /// For each attempt that was given up: the instant by which the node should be done with it.
+    pub abandoned_until: Vec<f64>,
+    pub samples: VecDeque<NodeSample>,
+    /// Instants at which it was sent parts during slow start.
+    pub slow_start_sends: VecDeque<f64>,
+    /// Set while it is ejected: only probation attempts are sent to it.
+    pub ejection: Option<Ejection>,
+}
+
+/// An attempt that has not ended.
+pub struct OutstandingAttempt {
+    pub id: AttemptId,
+    pub class: usize,
+    /// When it was sent; of a streamed attempt, when its frame had been sent completely.
+    pub sent_at: f64,
+    /// Seconds without traffic with the node before it was sent.
+    pub idle_seconds: f64,
+    /// Its frame has been sent completely; before that, no answer is due.
+    pub frame_sent: bool,
+}
+
+/// What an attempt showed about its node.
+pub struct NodeSample {
+    pub class: usize,
+    pub sent_at: f64,
+    /// Seconds.
+    pub latency: f64,
+    pub at: f64,
+    pub outcome: SampleOutcome,
+}
+
+#[derive(Clone, Copy, PartialEq)]
+pub enum SampleOutcome {
+    Served,
+    Fault,
+    /// Rejected as full, or cancelled before it ended: its time counts, but not against the node.
+    Inconclusive,
+}
+
+/// The ejection of an outlier.
+pub struct Ejection {
+    /// Instant from which probation attempts may be sent.
+    pub probation_at: f64,
+    /// Probation attempts that may be outstanding at once.
+    pub probation_limit: usize,
+}
+
+/// Slow start budget of a node, as of an instant.
+#[derive(Clone, Copy)]
+pub struct TokenBucket {
+    pub tokens: f64,
+    /// [`LatencyStats::completed_per_node`](super::LatencyStats::completed_per_node) at that instant.
+    pub completed_per_node: f64,
+    pub at: f64,
+}
+
+impl Node {
+    /// A node as first listed.
+    pub fn new(endpoint: &Endpoint, slow_start_tokens: TokenBucket) -> Self {
+        Self {
+            zone: endpoint.zone,
+            state: endpoint.state,
+            started_at: endpoint.started_at,
+            slow_start_tokens,
+            last_response_at: f64::MIN,
+            last_used_at: f64::MAX,
+            last_full_at: f64::MIN,
+            last_probe_at: f64::MIN,
+            outstanding: Vec::new(),
+            abandoned_until: Vec::new(),
+            samples: VecDeque::new(),
+            slow_start_sends: VecDeque::new(),
+            ejection: None,
+        }
+    }
+
+    /// Our attempts that the node is likely working on, given up or not.
+    pub fn attempts_in_hand(&self) -> f64 {
+        (self.outstanding.len() + self.abandoned_until.len()) as f64
+    }
+
+    /// As stored for another process.
+    pub fn to_learned(&self, id: NodeId, now: f64) -> LearnedNode {
+        LearnedNode {
+            node: id,
+            ejected: self.ejection.is_some(),
+            samples: self.samples.iter().map(|sample| sample.to_learned(now)).collect(),
+        }
+    }
+
+    pub fn outstanding_position(&self, id: AttemptId) -> Option<usize> {
+        self.outstanding.iter().position(|attempt| attempt.id == id)
+    }
+}
+
+impl NodeSample {
+    pub fn is_fault(&self) -> bool {
+        self.outcome == SampleOutcome::Fault
+    }
+
+    pub fn is_served(&self) -> bool {
+        self.outcome == SampleOutcome::Served
+    }
+
+    /// As stored for another process, in ages.
+    pub fn to_learned(&self, now: f64) -> LearnedSample {
+        LearnedSample {
+            class: self.class,
+            sent_ago: age(self.sent_at, now),
+            latency: self.latency,
+            ended_ago: age(self.at, now),
+            served: self.is_served(),
+            fault: self.is_fault(),
+        }
+    }
+
+    /// Back on this process's clock.
+    pub fn from_learned(learned: &LearnedSample, now: f64) -> Self {
+        let outcome = match (learned.fault, learned.served) {
+            (true, _) => SampleOutcome::Fault,
+            (false, true) => SampleOutcome::Served,
+            (false, false) => SampleOutcome::Inconclusive,
+        };
+        Self {
+            class: learned.class,
+            sent_at: now - learned.sent_ago,
+            latency: learned.latency,
+            at: now - learned.ended_ago,
+            outcome,
+        }
+    }
+}
--- /dev/null
+++ b/crates/dunepond-routing/src/state/retry_budget.rs
@@ -0,0 +1,53 @@
+//! What has been spent of the retry budget, and the admissions it is measured against.
+
+use std::cell::Cell;
+use std::collections::VecDeque;
+
+use super::age;
+use crate::Deployment;
+
+pub struct RetryHistory {
+    /// Instants at which retries and hedged requests were sent.
+    pub retries_sent: VecDeque<f64>,
+    /// Queries and parts admitted.
+    pub admitted: VecDeque<AdmittedWork>,
+    /// Longest window of any budget so far in seconds; records are kept for as long.
+    pub window_seconds: f64,
+    /// Up to this instant everything counts as spent, as it is not known what was; `f64::MIN` if it is.
+    pub charged_until: f64,
+    /// Attempts that the budget has denied since this was last reported.
+    pub denials: Cell<f64>,
+}
+
+/// Queries and parts admitted at an instant.
+#[derive(Clone, Copy)]
+pub struct AdmittedWork {
+    pub at: f64,
+    pub count: f64,
+    /// Count of all earlier records.
+    pub count_before: f64,
+}
+
+impl RetryHistory {
+    pub fn new(deployment: &Deployment) -> Self {
+        Self {
+            retries_sent: VecDeque::new(),
+            admitted: VecDeque::new(),
+            window_seconds: deployment.retry_budget.as_ref().map_or(0.0, |budget| budget.window),
+            charged_until: f64::MIN,
+            denials: Cell::new(0.0),
+        }
+    }
+
+    pub fn add_admitted(&mut self, at: f64, count: f64) {
+        let count_before = self.admitted.back().map_or(0.0, |last| last.count + last.count_before);
+        self.admitted.push_back(AdmittedWork { at, count, count_before });
+    }
+}
+
+impl AdmittedWork {
+    /// As stored for another process.
+    pub fn to_record(self, now: f64) -> (f64, f64) {
+        (age(self.at, now), self.count)
+    }
+}
--- /dev/null
+++ b/crates/dunepond-sim-adapter/src/process.rs
@@ -0,0 +1,60 @@
+//! All brokers that the simulator runs in this process, and the endpoint lists that they share.
+
+use std::collections::BTreeMap;
+
+use dunepond_config::{Bad, Fields};
+use serde_json::Value;
+
+use crate::session::Session;
+use crate::wire::{self, EndpointLists, event};
+
+#[derive(Default)]
+pub struct Process {
+    lists: EndpointLists,
+    sessions: BTreeMap<String, Session>,
+}
+
+impl Process {
+    /// Plays a batch of events, and gives the batch of orders that they led to.
+    pub fn handle_batch(&mut self, line: &str) -> Result<Value, Bad> {
+        let batch: Value = serde_json::from_str(line).map_err(|e| Bad(format!("batch: not JSON: {e}")))?;
+        let batch = wire::Batch::read(&batch)?;
+        let mut replies = Vec::new();
+        for part in batch.parts {
+            let part = wire::BatchPart::read(part)?;
+            for event in part.events {
+                self.handle_event(batch.now, part.broker, event)?;
+            }
+            if let Some(session) = self.sessions.get_mut(part.broker) {
+                session.flush_incoming()?;
+                let orders = session.take_orders();
+                if !orders.is_empty() {
+                    replies.push(wire::broker_orders(part.broker, orders));
+                }
+            }
+        }
+        Ok(wire::reply(batch.turn, replies))
+    }
+
+    fn handle_event(&mut self, now: f64, broker: &str, event: &Value) -> Result<(), Bad> {
+        let kind = wire::event_kind(event)?;
+        let event = Fields::of(kind, event)?;
+        match kind {
+            event::REGISTER_LIST => {
+                let (number, rows) = wire::read_list(&event)?;
+                self.lists.insert(number, rows);
+            }
+            event::START => {
+                self.sessions.insert(broker.to_string(), Session::start(now, &event)?);
+            }
+            event::STOP => {
+                self.sessions.remove(broker);
+            }
+            _ => match self.sessions.get_mut(broker) {
+                Some(session) => session.handle_event(now, kind, &event, &self.lists)?,
+                None => return Err(Bad(format!("{kind}: who: '{broker}' was never started"))),
+            },
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/dunepond-sim-adapter/src/wire.rs
@@ -0,0 +1,316 @@
+//! The simulator's wire: its field names and words, mapped to the router's terms here and nowhere else. Times are in
+//! milliseconds on the wire and in seconds behind it.
+
+use std::collections::BTreeMap;
+
+use dunepond_config::{Bad, Fields};
+use dunepond_routing::{AttemptOutcome, EndpointState, Query, QueryId};
+use serde::Deserialize;
+use serde_json::{Value, json};
+
+const MS_PER_SECOND: f64 = 1000.0;
+
+/// Kinds of events.
+pub mod event {
+    pub const REGISTER_LIST: &str = "register";
+    pub const START: &str = "init";
+    pub const STOP: &str = "shutdown";
+    pub const ARRIVAL: &str = "arrival";
+    pub const ATTEMPT_ENDED: &str = "answer";
+    pub const ENDPOINTS: &str = "directoryUpdate";
+    pub const WAKE: &str = "timeoutFired";
+    pub const CLIENT_GONE: &str = "clientLeft";
+    pub const PROBE_RESULT: &str = "pingResult";
+    pub const ATTEMPT_STARTED: &str = "underWay";
+    pub const PEER_MESSAGE: &str = "fromPeer";
+}
+
+/// Names of fields that more than one event has.
+mod field {
+    pub const KIND: &str = "what";
+    pub const BROKER: &str = "who";
+    pub const PARTS: &str = "parts";
+    pub const TURN: &str = "turn";
+    pub const NAME: &str = "xid";
+    pub const NODE: &str = "node";
+    pub const OUTCOME: &str = "outcome";
+    pub const DELAY: &str = "delaySeenMs";
+    pub const LIST_NUMBER: &str = "setId";
+}
+
+/// The outcome of what went well, of attempts and of probes.
+const GOOD: &str = "GOOD";
+
+/// The numbered endpoint lists last registered; one set for the whole process.
+pub type EndpointLists = BTreeMap<u64, Vec<EndpointRow>>;
+
+/// What happened at one time.
+pub struct Batch<'a> {
+    /// Seconds.
+    pub now: f64,
+    /// Given back with the orders.
+    pub turn: &'a Value,
+    pub parts: &'a [Value],
+}
+
+/// What happened to one broker.
+pub struct BatchPart<'a> {
+    pub broker: &'a str,
+    pub events: &'a [Value],
+}
+
+/// What a broker is started with.
+pub struct Settings<'a> {
+    pub seed: u64,
+    pub parameters: Fields<'a>,
+}
+
+/// A query or one of its parts has come in.
+pub struct Arrival<'a> {
+    pub name: &'a str,
+    pub query: QueryId,
+    /// The segment of a part; `None` in the row of the query itself.
+    pub segment: Option<usize>,
+    /// A part's weight; the number of parts in the row of the query itself.
+    pub share_or_count: f64,
+}
+
+/// An attempt has ended. Its other fields are read only if its part is still known.
+pub struct AttemptEnd<'a> {
+    pub outcome: AttemptOutcome,
+    event: Fields<'a>,
+}
+
+/// A probe has ended.
+pub struct ProbeResult<'a> {
+    pub node: &'a str,
+    /// Seconds; `None` where it failed.
+    pub answered_after: Option<f64>,
+}
+
+/// A row of an endpoint list.
+#[derive(Deserialize, Clone)]
+pub struct EndpointRow {
+    pub node: String,
+    #[serde(default, rename = "cell")]
+    pub replica_group: usize,
+    #[serde(default, rename = "area")]
+    pub zone: usize,
+    #[serde(rename = "mode")]
+    pub state: String,
+    #[serde(default, rename = "readyAtMs")]
+    pub started_at_ms: f64,
+}
+
+/// What a word of the endpoint list is.
+pub enum ListForm {
+    Changes,
+    Complete,
+    Refused,
+}
+
+impl<'a> Batch<'a> {
+    pub fn read(batch: &'a Value) -> Result<Self, Bad> {
+        let batch = Fields::of("batch", batch)?;
+        Ok(Self {
+            now: batch.number("clockMs")? / MS_PER_SECOND,
+            turn: batch.raw(field::TURN)?,
+            parts: batch.list(field::PARTS)?,
+        })
+    }
+}
+
+impl<'a> BatchPart<'a> {
+    pub fn read(part: &'a Value) -> Result<Self, Bad> {
+        let part = Fields::of("batch part", part)?;
+        let broker = part.optional_text(field::BROKER)?.unwrap_or_default();
+        Ok(Self { broker, events: part.list("input")? })
+    }
+}
+
+impl<'a> Settings<'a> {
+    pub fn read(init: &Fields<'a>) -> Result<Self, Bad> {
+        let seed = init.whole("salt")?.cast_unsigned();
+        Ok(Self { seed, parameters: Fields::of("init params", init.raw("params")?)? })
+    }
+}
+
+impl<'a> Arrival<'a> {
+    pub fn read(event: &Fields<'a>) -> Result<Self, Bad> {
+        Ok(Self {
+            name: name(event)?,
+            query: event.count("query")?,
+            segment: usize::try_from(event.whole("segmentNo")?).ok(),
+            share_or_count: event.number("shareOrCount")?,
+        })
+    }
+}
+
+impl<'a> AttemptEnd<'a> {
+    pub fn read(event: &Fields<'a>) -> Result<Self, Bad> {
+        let outcome = match event.text(field::OUTCOME)? {
+            GOOD => AttemptOutcome::Served,
+            "BAD" => AttemptOutcome::Error,
+            "FULL" => AttemptOutcome::Rejected,
+            "LATE" => AttemptOutcome::TimedOut,
+            "NOCONN" => AttemptOutcome::ConnectFailed,
+            "RST" => AttemptOutcome::ConnectionLost,
+            "CXL" => AttemptOutcome::Cancelled,
+            "NOP" => AttemptOutcome::NotSent,
+            other => return Err(Bad(format!("answer: outcome: unknown word '{other}'"))),
+        };
+        Ok(Self { outcome, event: *event })
+    }
+
+    /// The name of its part.
+    pub fn name(&self) -> Result<&'a str, Bad> {
+        name(&self.event)
+    }
+
+    pub fn attempt(&self) -> Result<usize, Bad> {
+        Ok(self.event.count_or("shot", 0)? as usize)
+    }
+
+    pub fn node(&self) -> Result<&'a str, Bad> {
+        self.event.text(field::NODE)
+    }
+
+    /// Seconds since it was sent.
+    pub fn elapsed(&self) -> Result<f64, Bad> {
+        delay(&self.event)
+    }
+}
+
+impl<'a> ProbeResult<'a> {
+    pub fn read(event: &Fields<'a>) -> Result<Self, Bad> {
+        let node = event.text(field::NODE)?;
+        let is_good = event.text(field::OUTCOME)? == GOOD;
+        let took = delay(event)?;
+        Ok(Self { node, answered_after: is_good.then_some(took) })
+    }
+}
+
+pub fn event_kind(event: &Value) -> Result<&str, Bad> {
+    Fields::of("event", event)?.text(field::KIND)
+}
+
+/// The name of the query or part that an event is about.
+pub fn name<'a>(event: &Fields<'a>) -> Result<&'a str, Bad> {
+    event.text(field::NAME)
+}
+
+fn delay(event: &Fields) -> Result<f64, Bad> {
+    Ok(event.number_or(field::DELAY, 0.0)? / MS_PER_SECOND)
+}
+
+/// The query whose row has come in, without its parts. The wire names parts; what they carry is its own matter, so that a body
+/// can always be had again and no frame takes long.
+pub fn read_query(event: &Fields, id: QueryId, query_class_count: usize) -> Result<Query, Bad> {
+    Ok(Query {
+        id,
+        class: event.index("cls", query_class_count)?,
+        tenant: event.count_or("owner", 0)? as usize,
+        expires_in: event.number("expiresInMs")? / MS_PER_SECOND,
+        is_retry: event.mark("resent")?,
+        body_retained: true,
+        streamed: false,
+        awaits_prefilter: false,
+        audit: false,
+        parts: Vec::new(),
+    })
+}
+
+pub fn wrong_part_count(announced: usize, came: usize) -> Bad {
+    Bad(format!("arrival: shareOrCount: {announced} parts stated, {came} came"))
+}
+
+/// The endpoint list that an event registers, and its number.
+pub fn read_list(event: &Fields) -> Result<(u64, Vec<EndpointRow>), Bad> {
+    let number = event.count(field::LIST_NUMBER)?;
+    let rows = event.list("rowsIn")?.iter().map(EndpointRow::deserialize).collect::<Result<_, _>>();
+    Ok((number, rows.map_err(|e| event.bad("rowsIn", &e.to_string()))?))
+}
+
+pub fn list_form(event: &Fields) -> Result<ListForm, Bad> {
+    match event.text("form")? {
+        "changes" => Ok(ListForm::Changes),
+        "all" | "remembered" => Ok(ListForm::Complete),
+        "refused" => Ok(ListForm::Refused),
+        other => Err(Bad(format!("directoryUpdate: form: unknown word '{other}'"))),
+    }
+}
+
+/// The registered list that an event names.
+pub fn registered_list<'a>(event: &Fields, lists: &'a EndpointLists) -> Result<&'a [EndpointRow], Bad> {
+    let number = event.count(field::LIST_NUMBER)?;
+    match lists.get(&number) {
+        Some(rows) => Ok(rows),
+        None => Err(Bad(format!("directoryUpdate: setId: no list {number} was registered"))),
+    }
+}
+
+pub fn endpoint_state(mode: &str) -> Result<EndpointState, Bad> {
+    match mode {
+        "active" => Ok(EndpointState::Active),
+        "leaving" => Ok(EndpointState::Draining),
+        "left" => Ok(EndpointState::Removed),
+        other => Err(Bad(format!("register: mode: unknown word '{other}'"))),
+    }
+}
+
+/// The orders of one broker.
+pub fn broker_orders(broker: &str, orders: Vec<Value>) -> Value {
+    json!({"who": broker, "orders": orders})
+}
+
+/// The answer to a batch.
+pub fn reply(turn: &Value, parts: Vec<Value>) -> Value {
+    json!({"turn": turn, "parts": parts})
+}
+
+/// Orders as they are written.
+pub mod order {
+    use serde_json::{Value, json};
+
+    use super::MS_PER_SECOND;
+
+    pub fn dispatch(part: &str, node: &str) -> Value {
+        json!({"what": "dispatch", "xid": part, "node": node})
+    }
+
+    pub fn cancel(part: &str, attempt: usize) -> Value {
+        json!({"what": "stopAttempt", "xid": part, "shot": attempt})
+    }
+
+    pub fn close_idle(node: &str) -> Value {
+        json!({"what": "shutIdle", "node": node})
+    }
+
+    pub fn probe(node: &str) -> Value {
+        json!({"what": "sample", "node": node})
+    }
+
+    pub fn answer(query: &str, is_complete: bool) -> Value {
+        json!({"what": "conclude", "xid": query, "on": is_complete})
+    }
+
+    pub fn reject_retriable(query: &str, retry_after: f64) -> Value {
+        json!({"what": "pushBack", "xid": query, "waitMs": retry_after * MS_PER_SECOND})
+    }
+
+    pub fn fail(query: &str) -> Value {
+        json!({"what": "endFailed", "xid": query})
+    }
+
+    pub fn wake_at(at: f64) -> Value {
+        json!({"what": "defer", "cookie": 0, "whenMs": at * MS_PER_SECOND})
+    }
+
+    pub fn poll_endpoints() -> Value {
+        json!({"what": "observe", "on": true})
+    }
+
+    pub fn log(line: &str) -> Value {
+        json!({"what": "writeLog", "bodyText": line})
+    }
+}
