--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -134,7 +134,7 @@
         let of_customer = |name: &String| told.partners.iter().position(|p| p.customers.contains(name));
         let repeats = site.query_classes.iter().map(|t| t.idempotency).collect();
         Ok(Self {
-            gate: Rc::new(Gate::new(fleet.hand(), repeats)),
+            gate: Rc::new(Gate::new(fleet.handle(), repeats)),
             fleet: Some(fleet),
             told: told.clone(),
             rows: HashMap::new(),
--- a/crates/dunepond-control-plane/src/audit_log.rs
+++ b/crates/dunepond-control-plane/src/audit_log.rs
@@ -165,8 +165,8 @@
 
     /// Waits until all that was noted so far is in the file; what is noted later is lost.
     pub fn finish(self) {
-        let _ = self.sender.send_timeout(None, crate::SHUTDOWN_TIMEOUT);
-        crate::join_with_timeout(self.thread);
+        let _ = self.sender.send_timeout(None, crate::startup::SHUTDOWN_TIMEOUT);
+        crate::startup::join_with_timeout(self.thread);
     }
 }
 
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -3,11 +3,11 @@
 mod fill_sources;
 mod fills;
 mod leases;
+mod own_fills;
 mod proposals;
 mod quotas;
 mod rebalancing;
 mod settlements;
-mod slow_start;
 mod traffic_counts;
 
 use std::collections::HashMap;
@@ -25,17 +25,16 @@
 
 use crate::audit_log::{AuditEvent, AuditPhase, AuditSender};
 use crate::clock::monotonic_seconds;
+use crate::config::CrashPoints;
 use crate::data_directory::DataDirectory;
 use crate::explain::{Explanation, ProposedEntry};
 use crate::handle::{ActivityCounters, LoopRequest, audit_phase, increment};
+use crate::slow_start::{SlowStartPolicy, StartedNode};
 pub use fills::{FillEnded, FillLane, LOG_SHARE_HOLDER, Lane};
 pub use proposals::Proposals;
 pub use quotas::QuotaSharing;
 pub use rebalancing::{DEFAULT_SETTLE_SECONDS, Rebalancing};
-#[cfg(test)]
-pub(crate) use settlements::CommittedFill;
-pub use settlements::{Commitments, Settlements};
-pub use slow_start::{SlowStartPolicy, StartedNode};
+pub use settlements::Settlements;
 pub use traffic_counts::TrafficCounts;
 
 /// Between two turns at most: so many in a lease, as leases and elections are counted by them, and seconds.
@@ -58,9 +57,6 @@
     SettlementEntries,
 }
 
-/// Whether the process ends at the point named, in tests.
-pub type CrashPoints = Arc<dyn Fn(&str) -> bool + Send + Sync>;
-
 /// One who waits for our answer to his question.
 struct UnansweredRequest {
     token: Responder,
--- a/crates/dunepond-control-plane/src/control_loop/slow_start.rs
+++ b/crates/dunepond-control-plane/src/control_loop/own_fills.rs
@@ -1,50 +1,18 @@
-//! Holders that are cold after a start, and what a cold one bears.
+//! This broker's own fills: of replicas on nodes that were started not long ago, as far as they fall to this broker, and
+//! the commitments behind them.
 
 use std::sync::Arc;
 
-use dunepond_settlement::{Cold, Fill, Need, Room, bound};
+use dunepond_settlement::{Cold, Fill, Need};
 
 use super::ControlLoop;
 use super::fills::Lane;
+use crate::slow_start::{COUNTING_UNIT_BYTES, StartedNode};
 
-/// Bytes by which what a cold node bears is counted.
-const COUNTING_UNIT_BYTES: u64 = 64 * 1024;
 /// Of the time that a node takes to be warm: for so long the broker that it falls to is waited for, where it is not to be
 /// seen.
 const TAKEOVER_RATIO: f64 = 1.0 / 3.0;
 
-/// A node that has started not long ago.
-#[derive(Clone, Debug, PartialEq)]
-pub struct StartedNode {
-    pub node: String,
-    /// The same at each broker, as the list says it; another one with each start.
-    pub incarnation: u64,
-    /// Seconds, on the steady clock.
-    pub started_at: f64,
-}
-
-/// How a node that has just started must be spared, as the deployment states it.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SlowStartPolicy {
-    /// Share of its capacity at its start, and when it is warm; multiple of its capacity that it gets at most, counted
-    /// over `span`. Seconds.
-    pub initial_share: f64,
-    pub warm_up_seconds: f64,
-    pub capacity_multiple: f64,
-    pub window_seconds: f64,
-}
-
-impl SlowStartPolicy {
-    /// What fills may bring to a node of this age: all brokers together never more than the multiple of the part that it
-    /// has by now of a warm one's `rate`. `part`: ours of that. The room for chance above it is left to the scans.
-    pub fn fill_capacity(&self, age: f64, multiple: f64, rate: f64, part: f64) -> Room {
-        let share =
-            self.initial_share + (1.0 - self.initial_share) * (age / self.warm_up_seconds).clamp(0.0, 1.0);
-        let expected = multiple * share * rate * self.window_seconds / COUNTING_UNIT_BYTES as f64 * part;
-        Room { expected, taken: bound(expected) - expected }
-    }
-}
-
 impl ControlLoop {
     pub(super) fn warming_nodes(&self, now: f64) -> Vec<StartedNode> {
         let Some(warming) = self.slow_start else { return Vec::new() };
@@ -155,7 +123,7 @@
             tracing::warn!("fleet: fill {}: {e} ({})", fill.id, e.help());
             return false;
         }
-        let pledged = super::settlements::CommittedFill { fill: fill.clone(), done: false };
+        let pledged = crate::commitments::CommittedFill { fill: fill.clone(), done: false };
         self.settlement.commitments.fills.insert(fill.id.clone(), pledged);
         if !self.save_commitments() {
             self.abandon_commitment(&fill.id);
@@ -178,7 +146,7 @@
 
 /// Some number of both names, spread evenly.
 fn rendezvous_hash(holder: &str, broker: &str) -> u64 {
-    let mut sum = crate::name_hash(holder) ^ crate::name_hash(broker).rotate_left(31);
+    let mut sum = crate::startup::name_hash(holder) ^ crate::startup::name_hash(broker).rotate_left(31);
     for _ in 0..2 {
         sum = (sum ^ (sum >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     }
@@ -186,36 +154,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_cold_node_bears_the_multiple_of_what_it_has_by_now_and_parts_add_up_to_it() {
-        let warming = SlowStartPolicy {
-            initial_share: 0.25,
-            warm_up_seconds: 10.0,
-            capacity_multiple: 2.0,
-            window_seconds: 2.0,
-        };
-        let rate = (64 * COUNTING_UNIT_BYTES) as f64;
-        let cap = |age: f64, part: f64| {
-            let rooms = [("s".to_string(), warming.fill_capacity(age, 1.5, rate, part))].into();
-            Cold { window: 2.0, unit: COUNTING_UNIT_BYTES, rooms }.cap("s")
-        };
-        for (age, share) in [(0.0, 0.25), (5.0, 0.625), (10.0, 1.0), (99.0, 1.0)] {
-            let most = 1.5 * share * rate;
-            assert!(cap(age, 1.0) <= most && cap(age, 1.0) > most - COUNTING_UNIT_BYTES as f64, "at {age}");
-            assert!(0.5 * most >= cap(age, 0.5) && 4.0 * cap(age, 0.125) <= 0.5 * most);
-        }
-    }
-
-    #[test]
-    fn holders_fall_to_all_brokers_alike() {
-        let mut held = [0; 5];
-        for holder in 0..1000 {
-            let of = |broker: &usize| rendezvous_hash(&format!("s-{holder}"), &format!("n{broker}"));
-            held[(0..5).min_by_key(of).unwrap()] += 1;
-        }
-        assert!(held.iter().all(|count| (150..250).contains(count)), "{held:?}");
-    }
-}
+mod tests;
--- a/crates/dunepond-control-plane/src/control_loop/settlements.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements.rs
@@ -1,17 +1,15 @@
 //! The agreed part of debts at this broker: entries as the log has them, shares that are split in advance, and what this
 //! broker promised out of its own while it was cut off.
 
-use std::collections::{BTreeMap, BTreeSet};
-
 use dunepond_consensus::{Command, Rejection, SettlementUpdate, Voter};
 use dunepond_membership::{PeerState, RefusalReason, RequestKind, Responder};
-use dunepond_settlement::{Agreed, Applied, Fill, Ledger, Settlement, Shares, split};
-use serde::{Deserialize, Serialize};
+use dunepond_settlement::{Agreed, Applied, Settlement, split};
 use tracing::{debug, info, warn};
 
 use super::{ControlLoop, LOG_SHARE_HOLDER, SentRequest};
 use crate::audit_log::AuditEvent;
 use crate::clock::monotonic_seconds;
+use crate::commitments::{Commitments, MAX_ENTRIES_PER_MESSAGE};
 use crate::explain::Explanation;
 use crate::handle::increment;
 
@@ -21,45 +19,8 @@
 const ENTRIES_TIMEOUT_SECONDS: f64 = 1.0;
 /// What is split or given back at once is at least this part of a segment: an entry for every few bytes would be dear.
 const MIN_PART_OF_SEGMENT: u64 = 8;
-/// Entries that one broker brings at once.
-const MAX_ENTRIES_PER_MESSAGE: usize = 256;
-
-/// A fill of our own that has begun, and whether it is done and only the log is waited for.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CommittedFill {
-    pub fill: Fill,
-    pub done: bool,
-}
-
-/// What this broker has promised, as it stands in its folder before it is acted on. The ledger stands there with it: after
-/// a restart neither of the two may be older than the other.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Commitments {
-    pub shares: Shares,
-    pub ledger: Ledger,
-    /// Entries about debts that the ledger has.
-    pub applied_entries: u64,
-    pub fills: BTreeMap<String, CommittedFill>,
-    /// Own fills that are done, of nodes that may still be cold: segment, holder, and the start after which it was.
-    pub finished: BTreeSet<(u64, String, u64)>,
-}
-
-impl Commitments {
-    pub fn new(by: &str) -> Result<Self, dunepond_settlement::DebtError> {
-        let (shares, ledger, fills) = (Shares::new(by)?, Ledger::default(), BTreeMap::new());
-        Ok(Self { shares, ledger, applied_entries: 0, fills, finished: BTreeSet::new() })
-    }
-
-    /// Entries to be brought into the log: settlements of fills that are done, and what is given back.
-    fn due_entries(&self) -> Vec<Agreed> {
-        let done = |entry: &Agreed| match entry {
-            Agreed::Settle(settlement) => self.fills.get(settlement.fill()).is_none_or(|it| it.done),
-            _ => true,
-        };
-        self.shares.owing().filter(done).take(MAX_ENTRIES_PER_MESSAGE).collect()
-    }
-}
 
+/// Settlement at this broker: what it has committed to, and how much of the log it has applied.
 pub struct Settlements {
     pub commitments: Commitments,
     /// Holders are kept warm by fills of each broker's own: debts are split in advance.
--- a/crates/dunepond-control-plane/src/data_directory.rs
+++ b/crates/dunepond-control-plane/src/data_directory.rs
@@ -12,7 +12,7 @@
 use dunepond_storage::{DiskStore as Directory, FileFault, FileStore, Journal, SnapshotStore};
 use tracing::{error, info, warn};
 
-use crate::control_loop::Commitments;
+use crate::commitments::Commitments;
 use crate::error::ControlPlaneError;
 
 /// Of all files here; one of a later version is left alone.
--- a/crates/dunepond-control-plane/src/golden.rs
+++ b/crates/dunepond-control-plane/src/golden.rs
@@ -16,7 +16,7 @@
 use dunepond_simulation::fleet::terms;
 use dunepond_storage::{DiskStore as Directory, Journal, SnapshotStore};
 
-use crate::control_loop::{Commitments, CommittedFill};
+use crate::commitments::{Commitments, CommittedFill};
 use crate::data_directory::{DataDirectory, StoredState};
 use crate::documents::{self, Document};
 use crate::lost_majority;
--- a/crates/dunepond-control-plane/src/handle.rs
+++ b/crates/dunepond-control-plane/src/handle.rs
@@ -13,7 +13,7 @@
 
 use crate::audit_log::{AuditEvent, AuditPhase, AuditSender};
 use crate::clock::monotonic_seconds;
-use crate::control_loop::StartedNode;
+use crate::slow_start::StartedNode;
 
 /// Bytes that each partner carried for each, as this broker saw it since its start: the loop adds, the fleet's thread
 /// takes what is new.
--- a/crates/dunepond-control-plane/src/link_limits.rs
+++ b/crates/dunepond-control-plane/src/link_limits.rs
@@ -4,7 +4,7 @@
 
 use dunepond_membership::Limits;
 
-use crate::ControlPlaneConfig;
+use crate::config::ControlPlaneConfig;
 
 /// Bytes of one message between brokers.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
--- /dev/null
+++ b/crates/dunepond-control-plane/src/slow_start/tests.rs
@@ -0,0 +1,25 @@
+//! The capacity that fills may use of a node that warms up.
+
+use dunepond_settlement::Cold;
+
+use super::{COUNTING_UNIT_BYTES, SlowStartPolicy};
+
+#[test]
+fn a_cold_node_bears_the_multiple_of_what_it_has_by_now_and_parts_add_up_to_it() {
+    let warming = SlowStartPolicy {
+        initial_share: 0.25,
+        warm_up_seconds: 10.0,
+        capacity_multiple: 2.0,
+        window_seconds: 2.0,
+    };
+    let rate = (64 * COUNTING_UNIT_BYTES) as f64;
+    let cap = |age: f64, part: f64| {
+        let rooms = [("s".to_string(), warming.fill_capacity(age, 1.5, rate, part))].into();
+        Cold { window: 2.0, unit: COUNTING_UNIT_BYTES, rooms }.cap("s")
+    };
+    for (age, share) in [(0.0, 0.25), (5.0, 0.625), (10.0, 1.0), (99.0, 1.0)] {
+        let most = 1.5 * share * rate;
+        assert!(cap(age, 1.0) <= most && cap(age, 1.0) > most - COUNTING_UNIT_BYTES as f64, "at {age}");
+        assert!(0.5 * most >= cap(age, 0.5) && 4.0 * cap(age, 0.125) <= 0.5 * most);
+    }
+}
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -141,7 +141,7 @@
             partner: ["north", "south"][i % 2].to_string(),
             draining: false,
         };
-        fleet.hand().set_listed_nodes((0..4).map(node).collect());
+        fleet.handle().set_listed_nodes((0..4).map(node).collect());
         fleet
     }
 
@@ -206,13 +206,13 @@
 
 fn alone(fleet: &ControlPlane, number: u64) {
     wait("a version", || {
-        fleet.hand().active_config().phase(monotonic_seconds()) == ConfigPhase::Active(number)
+        fleet.handle().active_config().phase(monotonic_seconds()) == ConfigPhase::Active(number)
     });
 }
 
 fn cold(fleet: &ControlPlane, node: &str, age: f64) {
     let since = monotonic_seconds() - age;
-    fleet.hand().set_started_nodes(vec![StartedNode {
+    fleet.handle().set_started_nodes(vec![StartedNode {
         node: node.to_string(),
         incarnation: 77,
         started_at: since,
@@ -225,10 +225,10 @@
     let mut one = One::new(false);
     let fleet = one.begin(Some(one.version(1, 1, false)), Some("settled"));
     alone(&fleet, 1);
-    fleet.hand().reload_version(Some(one.version(2, 1, true)));
+    fleet.handle().reload_version(Some(one.version(2, 1, true)));
     wait("the fill", || !one.nodes.done.lock().unwrap().is_empty());
     thread::sleep(Duration::from_millis(200));
-    assert_eq!(fleet.hand().active_config().active_number(), 1, "it came into force without its fill");
+    assert_eq!(fleet.handle().active_config().active_number(), 1, "it came into force without its fill");
     fleet.stop();
     let fleet = one.begin(None, None);
     alone(&fleet, 2);
@@ -258,7 +258,7 @@
     alone(&fleet, 1);
     cold(&fleet, "s3", age);
     one.nodes.held.store(true, Ordering::Relaxed);
-    fleet.hand().reload_version(Some(one.version(2, 6, true)));
+    fleet.handle().reload_version(Some(one.version(2, 6, true)));
     let bound = 1.5 * share * RATE as f64;
     let rates = || one.nodes.under.lock().unwrap().values().map(|order| order.rate as f64).sum::<f64>();
     wait("fills", || rates() > 0.0);
@@ -337,7 +337,7 @@
     one.nodes.held.store(true, Ordering::Relaxed);
     let fleet = one.begin(Some(one.version(1, 1, false)), None);
     alone(&fleet, 1);
-    fleet.hand().reload_version(Some(one.version(2, 1, true)));
+    fleet.handle().reload_version(Some(one.version(2, 1, true)));
     wait("an order", || !one.nodes.asked.lock().unwrap().is_empty());
     fleet.stop();
     let none = Tally::open(None, "n1", 1).unwrap();
--- a/crates/dunepond-control-plane/tests/host.rs
+++ b/crates/dunepond-control-plane/tests/host.rs
@@ -67,7 +67,7 @@
 
 fn wait(fleet: &ControlPlane, what: &str, is_so: impl Fn(ConfigPhase, bool) -> bool) {
     let began = Instant::now();
-    let acting = || fleet.hand().active_config();
+    let acting = || fleet.handle().active_config();
     while !is_so(acting().phase(monotonic_seconds()), monotonic_seconds() < acting().lease_expires_at()) {
         assert!(began.elapsed() < PATIENCE, "{what}: {:?}", acting().phase(monotonic_seconds()));
         thread::sleep(Duration::from_millis(5));
@@ -92,7 +92,7 @@
     let folder = tempfile::tempdir().unwrap();
     files.plan(Plan::Full);
     // What is proposed now cannot be promised.
-    fleet.hand().reload_version(Some(version(&folder, 1)));
+    fleet.handle().reload_version(Some(version(&folder, 1)));
     wait(&fleet, "no lease", |phase, leased| !leased && phase == ConfigPhase::Unconfigured);
     files.plan(Plan::Serve);
     wait(&fleet, "the version", |phase, _| phase == ConfigPhase::Active(1));
@@ -115,11 +115,11 @@
     let (fleet, _) = begin(&files, None);
     // Before the first lease the strictest of what was known holds.
     assert!(matches!(
-        fleet.hand().active_config().phase(monotonic_seconds()),
+        fleet.handle().active_config().phase(monotonic_seconds()),
         ConfigPhase::LeaseExpired(1) | ConfigPhase::Active(1)
     ));
     wait(&fleet, "a lease on it", |phase, _| phase == ConfigPhase::Active(1));
-    let acting = fleet.hand().active_config();
+    let acting = fleet.handle().active_config();
     let rules = acting.rules(monotonic_seconds()).unwrap();
     assert_eq!((rules.max_attempts, rules.hedging_enabled), (2, false));
     fleet.stop();
@@ -151,20 +151,20 @@
     let shares = || ControlPlaneConfig { quotas: Some((bounds.clone(), 0.1)), ..told(None) };
     let files = Mem::default();
     let (fleet, _) = begin_with(&files, shares());
-    fleet.hand().set_demand(BTreeMap::from([("cold".to_string(), 900_000)]));
+    fleet.handle().set_demand(BTreeMap::from([("cold".to_string(), 900_000)]));
     let part = |fleet: &ControlPlane, now: f64| {
-        let acting = fleet.hand().active_config();
+        let acting = fleet.handle().active_config();
         let heard = acting.quota(now);
         LocalQuota::new(&bounds, 0.0).available_units(heard.allocation, heard.lease_valid, "cold", now)
     };
     wait(&fleet, "its part", |_, _| part(&fleet, monotonic_seconds()) == 800_000);
-    let until = fleet.hand().active_config().lease_expires_at();
+    let until = fleet.handle().active_config().lease_expires_at();
     assert_eq!(part(&fleet, until + 60.0), 100_000, "a minute after its last lease");
     fleet.stop();
     let (fleet, _) = begin_with(&files, shares());
     wait(&fleet, "its part again", |_, _| part(&fleet, monotonic_seconds()) == 800_000);
     // Who needs nothing any more keeps it as long as nobody else does.
-    fleet.hand().set_demand(BTreeMap::new());
+    fleet.handle().set_demand(BTreeMap::new());
     fleet.stop();
 }
 
@@ -196,7 +196,8 @@
     told.partners = vec![Partner { name: "north".to_string(), brokers, metered: false }];
     let (fleet, _) = begin_with(&Mem::default(), told);
     let come = || {
-        let mut guests: Vec<_> = (0..200).map(|_| TcpStream::connect(fleet.listen()).unwrap()).collect();
+        let mut guests: Vec<_> =
+            (0..200).map(|_| TcpStream::connect(fleet.listen_address()).unwrap()).collect();
         for guest in &mut guests {
             guest.set_read_timeout(Some(PATIENCE)).unwrap();
             let _ = guest.write_all(b"GET / HTTP/1.1\r\nhost: n1\r\n\r\n");
--- a/crates/dunepond-control-plane/tests/moves.rs
+++ b/crates/dunepond-control-plane/tests/moves.rs
@@ -132,7 +132,7 @@
 
 /// Ids and owners of the map that is acted on alone.
 fn held(fleet: &ControlPlane) -> Vec<(u64, String)> {
-    let acting = fleet.hand().active_config();
+    let acting = fleet.handle().active_config();
     let alone = acting.lease_valid(monotonic_seconds()) && acting.proposed_number().is_none();
     let proof = acting.map(monotonic_seconds()).filter(|_| alone);
     proof.map_or(Vec::new(), |proof| proof.segments().map(|s| (s.id, s.owner.clone())).collect())
@@ -141,7 +141,7 @@
 fn wait(fleet: &ControlPlane, what: &str, is_so: impl Fn(&ControlPlane) -> bool) {
     let began = Instant::now();
     while !is_so(fleet) {
-        assert!(began.elapsed() < PATIENCE, "{what}: {:?}, {}", held(fleet), fleet.hand().summary());
+        assert!(began.elapsed() < PATIENCE, "{what}: {:?}, {}", held(fleet), fleet.handle().summary());
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -157,7 +157,7 @@
     stage.source.waits.store(true, Ordering::Relaxed);
     let fleet = stage.begin(Some(&first), Some(&file));
     wait(&fleet, "the fill", |_| !stage.source.asked.lock().unwrap().is_empty());
-    wait(&fleet, "the joint step", |fleet| fleet.hand().active_config().proposed_number().is_some());
+    wait(&fleet, "the joint step", |fleet| fleet.handle().active_config().proposed_number().is_some());
     // Killed, as far as the folder knows; the next run has no plan file: what is agreed on is enough.
     fleet.stop();
     stage.source.waits.store(false, Ordering::Relaxed);
@@ -167,15 +167,15 @@
     assert!(asked.iter().all(|id| *id == asked[0]), "one fill, under one id: {asked:?}");
     // Split, fill, switch, merge, or in whatever order: each version once.
     assert!(
-        (4..=5).contains(&fleet.hand().active_config().active_number()),
+        (4..=5).contains(&fleet.handle().active_config().active_number()),
         "{}",
-        fleet.hand().active_config().active_number()
+        fleet.handle().active_config().active_number()
     );
-    let before = fleet.hand().active_config().active_number();
-    fleet.hand().reload_plan(Some(stage.write("plan", &plan("withdraw"))));
+    let before = fleet.handle().active_config().active_number();
+    fleet.handle().reload_plan(Some(stage.write("plan", &plan("withdraw"))));
     thread::sleep(Duration::from_millis(900));
     assert_eq!(
-        (fleet.hand().active_config().active_number(), held(&fleet)),
+        (fleet.handle().active_config().active_number(), held(&fleet)),
         (before, owned(&[(10, "b"), (12, "a")]))
     );
     fleet.stop();
@@ -192,10 +192,10 @@
     // Whatever number the plan comes to: above all of its own.
     (other["number"], other["map"]["epoch"]) = (json!(6), json!(50));
     other["map"]["segments"][0]["id"] = json!(7);
-    fleet.hand().reload_version(Some(stage.write("other", &other)));
+    fleet.handle().reload_version(Some(stage.write("other", &other)));
     thread::sleep(Duration::from_millis(700));
-    assert!(fleet.hand().active_config().active_number() < 6);
-    fleet.hand().reload_plan(Some(stage.write("plan", &plan("withdraw"))));
+    assert!(fleet.handle().active_config().active_number() < 6);
+    fleet.handle().reload_plan(Some(stage.write("plan", &plan("withdraw"))));
     wait(&fleet, "the way back", |fleet| held(fleet) == owned(&[(0, "a"), (1, "a")]));
     stage.source.waits.store(false, Ordering::Relaxed);
     fleet.stop();
@@ -208,10 +208,10 @@
     impossible["nodes"]["b"]["room"] = json!({"segments": 0});
     let (first, file) = (stage.write("version", &version()), stage.write("plan", &impossible));
     let fleet = stage.begin(Some(&first), Some(&file));
-    wait(&fleet, "the refusal", |fleet| fleet.hand().summary().contains("refused 1"));
+    wait(&fleet, "the refusal", |fleet| fleet.handle().summary().contains("refused 1"));
     assert_eq!(held(&fleet), owned(&[(0, "a"), (1, "a")]));
     // Mended, under the same id: what was refused never was.
-    fleet.hand().reload_plan(Some(stage.write("plan", &plan("go"))));
+    fleet.handle().reload_plan(Some(stage.write("plan", &plan("go"))));
     wait(&fleet, "the plan", |fleet| held(fleet) == owned(&[(10, "b"), (12, "a")]));
     fleet.stop();
 }
