--- a/crates/dunepond-shard-map/benches/million.rs
+++ b/crates/dunepond-shard-map/benches/million.rs
@@ -92,21 +92,30 @@
     let count = 1_000_000;
     let (whole, held, _) = counted(|| map(count));
     println!("memory, {count} segments: map {:.0} MiB", mib(held));
-    let (proof, held, peak) = counted(|| verify(&whole, &nodes(), &TERMS).unwrap());
-    println!("memory, check: proof {:.0} MiB beside the map, {:.0} MiB at the highest", mib(held), mib(peak));
-    drop((whole, proof));
+    let (verified_map, held, peak) = counted(|| verify(&whole, &nodes(), &TERMS).unwrap());
+    println!(
+        "memory, verify: verified map {:.0} MiB beside the map, {:.0} MiB at the highest",
+        mib(held),
+        mib(peak)
+    );
+    drop((whole, verified_map));
     let whole = map(count);
     let before = HELD.load(Relaxed);
     PEAK.store(before, Relaxed);
-    let proof = verify_owned(whole, &nodes(), &TERMS).unwrap();
+    let verified_map = verify_owned(whole, &nodes(), &TERMS).unwrap();
     let (more, peak) = (HELD.load(Relaxed) as f64 - before as f64, PEAK.load(Relaxed) - before);
     let more = more / f64::from(1 << 20);
-    println!("memory, check_own: proof {more:+.0} MiB against the map, {:+.0} MiB at the highest", mib(peak));
+    println!(
+        "memory, verify_owned: verified map {more:+.0} MiB against the map, {:+.0} MiB at the highest",
+        mib(peak)
+    );
     for k in [1, 100, 10_000] {
-        let change = change(&proof, k);
-        let (_moved, held, peak) = counted(|| verify_delta(&proof, &change).unwrap());
+        let change = change(&verified_map, k);
+        let (_moved, held, peak) = counted(|| verify_delta(&verified_map, &change).unwrap());
         let (held, peak) = (held / 1024, peak / 1024);
-        println!("memory, a change of {k}: {held} KiB beside the proof before, {peak} KiB at the highest");
+        println!(
+            "memory, a delta of {k}: {held} KiB beside the verified map before, {peak} KiB at the highest"
+        );
     }
 }
 
@@ -114,7 +123,7 @@
     let nodes = nodes();
     for count in [10_000, 100_000, 1_000_000] {
         let whole = map(count);
-        let proof = verify(&whole, &nodes, &TERMS).unwrap();
+        let verified_map = verify(&whole, &nodes, &TERMS).unwrap();
         let mut group = criterion.benchmark_group("whole");
         group.sample_size(10).throughput(Throughput::Elements(count));
         group.bench_with_input(BenchmarkId::new("check_own", count), &whole, |bench, whole| {
@@ -134,23 +143,23 @@
             bench.iter(|| whole.compute_digest());
         });
         drop(whole);
-        let other = verify_delta(&proof, &change(&proof, 100)).unwrap().to().clone();
+        let other = verify_delta(&verified_map, &change(&verified_map, 100)).unwrap().to().clone();
         group.bench_with_input(BenchmarkId::new("check_move", count), &other, |bench, other| {
-            bench.iter(|| verify_transition(&proof, other).unwrap());
+            bench.iter(|| verify_transition(&verified_map, other).unwrap());
         });
         group.finish();
         let mut group = criterion.benchmark_group("change");
         for k in [1, 16, 256] {
-            let change = change(&proof, k);
+            let change = change(&verified_map, k);
             group.throughput(Throughput::Elements(k as u64));
             let id = BenchmarkId::new(format!("check_change of {k}"), count);
             group.bench_with_input(id, &change, |bench, change| {
-                bench.iter(|| verify_delta(&proof, change).unwrap());
+                bench.iter(|| verify_delta(&verified_map, change).unwrap());
             });
         }
         group.finish();
         let mut group = criterion.benchmark_group("scan");
-        let moved = verify_delta(&proof, &change(&proof, 100)).unwrap();
+        let moved = verify_delta(&verified_map, &change(&verified_map, 100)).unwrap();
         group.bench_function(BenchmarkId::new("owner_at", count), |bench| {
             let mut key = 1_u64;
             bench.iter(|| {
@@ -158,14 +167,18 @@
                 black_box(moved.owner_of_key(key, TransitionPhase::Joint));
             });
         });
-        let wanted = [KeyRange { from: 1 << 62, to: Some((1 << 62) + (u64::MAX / count) * 1000) }];
-        let pieces: Vec<_> = proof
-            .overlapping(wanted[0])
-            .map(|s| AnsweredPart { segment: s.id, keys: s.keys.intersection(&wanted[0]).unwrap(), epoch: 1 })
+        let queried = [KeyRange { from: 1 << 62, to: Some((1 << 62) + (u64::MAX / count) * 1000) }];
+        let parts: Vec<_> = verified_map
+            .overlapping(queried[0])
+            .map(|s| AnsweredPart {
+                segment: s.id,
+                keys: s.keys.intersection(&queried[0]).unwrap(),
+                epoch: 1,
+            })
             .collect();
-        group.throughput(Throughput::Elements(pieces.len() as u64));
+        group.throughput(Throughput::Elements(parts.len() as u64));
         group.bench_function(BenchmarkId::new("covers, 1000 parts", count), |bench| {
-            bench.iter(|| verify_coverage(&proof, &wanted, &pieces).unwrap());
+            bench.iter(|| verify_coverage(&verified_map, &queried, &parts).unwrap());
         });
         group.finish();
     }
--- a/crates/dunepond-shard-map/tests/maps.rs
+++ b/crates/dunepond-shard-map/tests/maps.rs
@@ -29,13 +29,16 @@
     let mut turned = four();
     turned.segments.reverse();
     turned.segments.iter_mut().for_each(|segment| segment.replicas.reverse());
-    let proof = verified(&turned);
-    assert_eq!(proof.digest(), four().digest);
-    assert_eq!(proof.segment_for_key(key(8) - 1).id, 0);
-    assert_eq!(proof.segment_for_key(key(8)).id, 1);
-    assert_eq!(proof.segment_for_key(u64::MAX).id, 3);
-    assert_eq!(proof.segment(2).unwrap().keys, keys(16, 24));
-    assert_eq!(proof.map().segments.iter().map(|segment| segment.id).collect::<Vec<_>>(), [0, 1, 2, 3]);
+    let verified_map = verified(&turned);
+    assert_eq!(verified_map.digest(), four().digest);
+    assert_eq!(verified_map.segment_for_key(key(8) - 1).id, 0);
+    assert_eq!(verified_map.segment_for_key(key(8)).id, 1);
+    assert_eq!(verified_map.segment_for_key(u64::MAX).id, 3);
+    assert_eq!(verified_map.segment(2).unwrap().keys, keys(16, 24));
+    assert_eq!(
+        verified_map.map().segments.iter().map(|segment| segment.id).collect::<Vec<_>>(),
+        [0, 1, 2, 3]
+    );
 }
 
 type Plant = fn(&mut Segs);
@@ -171,16 +174,16 @@
 
 #[test]
 fn a_map_is_reverified_against_another_node_list() {
-    let proof = verified(&four());
+    let verified_map = verified(&four());
     let mut list = nodes();
-    assert!(proof.reverified(&list, &TERMS).is_ok());
+    assert!(verified_map.reverified(&list, &TERMS).is_ok());
     list[0].draining = true;
     list[2].zone = "z1".into();
     let expected = [
         MapFault::DrainingReplica { node: n(0), context: context(0) },
         MapFault::TooFewZones { zones: 1, min: 2, context: context(1) },
     ];
-    assert_eq!(proof.reverified(&list, &TERMS).unwrap_err(), expected);
+    assert_eq!(verified_map.reverified(&list, &TERMS).unwrap_err(), expected);
     // A delta is verified against the node list of its base.
     list[2].zone = "z2".into();
     let map = four();
@@ -205,7 +208,7 @@
     map.segments[1].keys = keys(16, 25);
     map.segments[1].id = 3;
     let faults = verify(&map, &nodes(), &TERMS).unwrap_err();
-    let has = |wanted: fn(&MapFault) -> bool| faults.iter().any(wanted);
+    let has = |queried: fn(&MapFault) -> bool| faults.iter().any(queried);
     assert!(has(|fault| matches!(fault, MapFault::Gap { .. })));
     assert!(has(|fault| matches!(fault, MapFault::Overlap { .. })));
     assert!(has(|fault| matches!(fault, MapFault::DuplicateId { .. })));
@@ -275,11 +278,11 @@
 #[case::wanted_empty(vec![(4, 4)], vec![], Some(MapFault::QueryEmpty { keys: keys(4, 4) }))]
 #[case::wanted_inverted(vec![(4, 2)], vec![], Some(MapFault::QueryEmpty { keys: keys(4, 2) }))]
 fn parts_cover_a_query_exactly_once_or_the_fault_is_named(
-    #[case] wanted: Vec<(u32, u32)>,
-    #[case] pieces: Vec<(u64, u32, u32, u64)>,
+    #[case] queried: Vec<(u32, u32)>,
+    #[case] parts: Vec<(u64, u32, u32, u64)>,
     #[case] expected: Option<MapFault>,
 ) {
-    let wanted: Vec<_> = wanted.into_iter().map(|(from, to)| keys(from, to)).collect();
-    let pieces: Vec<_> = pieces.into_iter().map(|(id, from, to, epoch)| part(id, from, to, epoch)).collect();
-    assert_eq!(verify_coverage(&verified(&four()), &wanted, &pieces).err(), expected);
+    let queried: Vec<_> = queried.into_iter().map(|(from, to)| keys(from, to)).collect();
+    let parts: Vec<_> = parts.into_iter().map(|(id, from, to, epoch)| part(id, from, to, epoch)).collect();
+    assert_eq!(verify_coverage(&verified(&four()), &queried, &parts).err(), expected);
 }
--- a/crates/dunepond-shard-map/tests/properties.rs
+++ b/crates/dunepond-shard-map/tests/properties.rs
@@ -222,19 +222,19 @@
 
     #[test]
     fn a_verified_map_finds_what_a_linear_search_finds(map in sound(1)) {
-        let proof = verified(&map);
+        let verified_map = verified(&map);
         for key in of_maps(&[&map]) {
-            prop_assert_eq!(proof.segment_for_key(key), find(&map, key));
+            prop_assert_eq!(verified_map.segment_for_key(key), find(&map, key));
             for other in of_maps(&[&map]) {
                 let keys = KeyRange { from: key, to: Some(other) };
-                let over: Vec<_> = proof.overlapping(keys).collect();
+                let over: Vec<_> = verified_map.overlapping(keys).collect();
                 let mut naive: Vec<_> = map.segments.iter().filter(|s| s.keys.intersection(&keys).is_some()).collect();
                 naive.sort_by_key(|segment| segment.keys.from);
                 prop_assert_eq!(over, naive);
             }
         }
         for segment in &map.segments {
-            prop_assert_eq!(proof.segment(segment.id), Some(segment));
+            prop_assert_eq!(verified_map.segment(segment.id), Some(segment));
         }
     }
 
@@ -251,7 +251,7 @@
             None => fresh,
         };
         let names: Vec<_> = filled.iter().map(|(id, node)| (*id, format!("n{node}"))).collect();
-        let proof = verified(&from).with_filled(names.iter().map(|(id, node)| (*id, node.as_str())));
+        let verified_map = verified(&from).with_filled(names.iter().map(|(id, node)| (*id, node.as_str())));
         let Ok(to_proof) = verify(&to, &nodes(), &TERMS) else { return Ok(()) };
         let probes = of_maps(&[&from, &to]);
         let there = |segment: &Segment, node: &str| {
@@ -282,7 +282,7 @@
                 needs.push(RequiredFill { segment: new.id, replica: holder.node.clone(), sources });
             }
         }
-        match verify_transition(&proof, &to_proof) {
+        match verify_transition(&verified_map, &to_proof) {
             Err(faults) => {
                 let lost_named = faults.iter().any(|fault| matches!(fault, MapFault::LastReplicaLost { .. }));
                 let no_source = faults.iter().filter(|fault| matches!(fault, MapFault::NoSource { .. })).count();
@@ -328,20 +328,20 @@
         filled in proptest::collection::vec((0..9_u64, 0..6_u32), 0..6),
     ) {
         let names: Vec<_> = filled.iter().map(|(id, node)| (*id, format!("n{node}"))).collect();
-        let mut proof = verified(&from).with_filled(names.iter().map(|(id, node)| (*id, node.as_str())));
+        let mut verified_map = verified(&from).with_filled(names.iter().map(|(id, node)| (*id, node.as_str())));
         for (spoils, mostly_sound) in steps {
             let spoils: Vec<_> = spoils.into_iter().filter(|spoil| !mostly_sound || spoil.0 > 12).collect();
-            let next = ShardMap { epoch: proof.epoch() + 1, ..proof.map().clone() };
+            let next = ShardMap { epoch: verified_map.epoch() + 1, ..verified_map.map().clone() };
             let next = with(next, &spoils);
-            let whole = verify(&next, &nodes(), &TERMS).and_then(|to| verify_transition(&proof, &to));
-            let change = MapDelta::between(&proof, &next);
-            match (whole, verify_delta(&proof, &change)) {
+            let whole = verify(&next, &nodes(), &TERMS).and_then(|to| verify_transition(&verified_map, &to));
+            let change = MapDelta::between(&verified_map, &next);
+            match (whole, verify_delta(&verified_map, &change)) {
                 (Ok(whole), Ok(few)) => {
                     prop_assert_eq!(whole.required_fills(), few.required_fills());
                     prop_assert_eq!(whole.changed_segments(), few.changed_segments());
                     prop_assert_eq!(whole.to().map(), few.to().map());
                     prop_assert_eq!(&few.to().map().digest, &few.to().map().compute_digest());
-                    prop_assert_eq!(&change.clone().with_digests(&proof), &change);
+                    prop_assert_eq!(&change.clone().with_digests(&verified_map), &change);
                     for id in 0..140 {
                         prop_assert_eq!(whole.to().segment(id), few.to().segment(id));
                         for step in [TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New] {
@@ -349,13 +349,13 @@
                         }
                     }
                     // Unchanged segments are shared, not copied: the whole map was not made.
-                    for segment in few.to().segments().filter(|s| proof.segment(s.id) == Some(*s)) {
-                        let shared = proof.segment(segment.id).is_some_and(|old| std::ptr::eq(old, segment));
+                    for segment in few.to().segments().filter(|s| verified_map.segment(s.id) == Some(*s)) {
+                        let shared = verified_map.segment(segment.id).is_some_and(|old| std::ptr::eq(old, segment));
                         prop_assert!(shared || change.upserted.contains(segment), "{:?}", segment);
                     }
                     // The state beside the map is the same as well: it shows in later deltas.
                     prop_assert_eq!(format!("{:?}", Kept(whole.to())), format!("{:?}", Kept(few.to())));
-                    proof = few.to().clone();
+                    verified_map = few.to().clone();
                 }
                 (whole, few) => prop_assert_eq!(format!("{:?}", whole.err()), format!("{:?}", few.err())),
             }
@@ -365,56 +365,56 @@
     #[test]
     fn an_answer_is_complete_if_and_only_if_each_queried_key_counts_once(
         map in sound(1),
-        wanted in proptest::collection::vec((0..SLOTS, 1..=SLOTS), 1..3),
+        queried in proptest::collection::vec((0..SLOTS, 1..=SLOTS), 1..3),
         dropped in proptest::collection::vec((0..12_usize, any::<Index>(), 0..SLOTS), 0..2),
     ) {
-        let proof = verified(&map);
-        let wanted: Vec<_> = wanted.into_iter().map(|(from, to)| keys(from.min(to - 1), to)).collect();
-        let mut pieces = Vec::new();
+        let verified_map = verified(&map);
+        let queried: Vec<_> = queried.into_iter().map(|(from, to)| keys(from.min(to - 1), to)).collect();
+        let mut parts = Vec::new();
         // What a sound query would have, range by range: where ranges overlap it has keys twice.
-        for want in &wanted {
-            for segment in proof.overlapping(*want) {
-                pieces.push(AnsweredPart { segment: segment.id, keys: segment.keys.intersection(want).unwrap(), epoch: 1 });
+        for want in &queried {
+            for segment in verified_map.overlapping(*want) {
+                parts.push(AnsweredPart { segment: segment.id, keys: segment.keys.intersection(want).unwrap(), epoch: 1 });
             }
         }
         for (kind, at, slot) in &dropped {
-            if pieces.is_empty() {
+            if parts.is_empty() {
                 break;
             }
-            let i = at.index(pieces.len());
+            let i = at.index(parts.len());
             match kind {
-                0 => drop(pieces.remove(i)),
-                1 => pieces.push(pieces[i]),
-                2 => pieces[i].epoch += 1,
-                3 => pieces[i].segment += 1,
-                4 => pieces[i].keys.from = key(*slot),
-                5 => pieces[i].keys.to = Some(key(*slot)),
-                6 => pieces[i].keys.from ^= 1,
+                0 => drop(parts.remove(i)),
+                1 => parts.push(parts[i]),
+                2 => parts[i].epoch += 1,
+                3 => parts[i].segment += 1,
+                4 => parts[i].keys.from = key(*slot),
+                5 => parts[i].keys.to = Some(key(*slot)),
+                6 => parts[i].keys.from ^= 1,
                 7 => {
-                    let whole = map.segments.iter().find(|segment| segment.id == pieces[i].segment);
-                    pieces[i].keys = whole.map_or(KeyRange::ALL, |segment| segment.keys);
+                    let whole = map.segments.iter().find(|segment| segment.id == parts[i].segment);
+                    parts[i].keys = whole.map_or(KeyRange::ALL, |segment| segment.keys);
                 }
                 // One part split in two.
-                8 if pieces[i].keys.contains(key(*slot)) && pieces[i].keys.from < key(*slot) => {
-                    let late = AnsweredPart { keys: KeyRange { from: key(*slot), ..pieces[i].keys }, ..pieces[i] };
-                    pieces[i].keys.to = Some(key(*slot));
-                    pieces.insert(0, late);
+                8 if parts[i].keys.contains(key(*slot)) && parts[i].keys.from < key(*slot) => {
+                    let late = AnsweredPart { keys: KeyRange { from: key(*slot), ..parts[i].keys }, ..parts[i] };
+                    parts[i].keys.to = Some(key(*slot));
+                    parts.insert(0, late);
                 }
-                _ => pieces.reverse(),
+                _ => parts.reverse(),
             }
         }
         let segment = |id| map.segments.iter().find(|segment| segment.id == id);
-        let within = |piece: &AnsweredPart| {
-            let probes = probes([&piece.keys]);
-            let mut inside = probes.iter().filter(|key| has(&piece.keys, **key)).peekable();
-            inside.peek().is_some() && segment(piece.segment).is_some_and(|s| inside.all(|key| has(&s.keys, *key)))
+        let within = |part: &AnsweredPart| {
+            let probes = probes([&part.keys]);
+            let mut inside = probes.iter().filter(|key| has(&part.keys, **key)).peekable();
+            inside.peek().is_some() && segment(part.segment).is_some_and(|s| inside.all(|key| has(&s.keys, *key)))
         };
-        let count = |key| pieces.iter().filter(|piece| has(&piece.keys, key)).count();
-        let is_wanted = |key| wanted.iter().any(|want| has(want, key));
-        let probes = probes(wanted.iter().chain(pieces.iter().map(|piece| &piece.keys)));
+        let count = |key| parts.iter().filter(|part| has(&part.keys, key)).count();
+        let is_wanted = |key| queried.iter().any(|want| has(want, key));
+        let probes = probes(queried.iter().chain(parts.iter().map(|part| &part.keys)));
         let once = probes.iter().all(|key| count(*key) == usize::from(is_wanted(*key)));
-        let whole = pieces.iter().all(|piece| piece.epoch == 1 && within(piece)) && once;
-        let verdict = verify_coverage(&proof, &wanted, &pieces);
+        let whole = parts.iter().all(|part| part.epoch == 1 && within(part)) && once;
+        let verdict = verify_coverage(&verified_map, &queried, &parts);
         prop_assert_eq!(verdict.is_ok(), whole, "{:?}", verdict);
         // The named fault is real.
         let (keys, expected): (KeyRange, &dyn Fn(u64) -> bool) = match verdict {
--- a/crates/dunepond-shard-map/tests/transitions.rs
+++ b/crates/dunepond-shard-map/tests/transitions.rs
@@ -227,12 +227,12 @@
 #[test]
 fn a_transition_can_be_shared_between_threads() {
     fn shared<T: Send + Sync + Clone>(_: &T) {}
-    let proof = verified(&four());
-    shared(&proof);
+    let verified_map = verified(&four());
+    shared(&verified_map);
     let later = verified(&ShardMap { epoch: 2, ..four() }.with_digest());
-    shared(&verify_transition(&proof, &later).unwrap());
+    shared(&verify_transition(&verified_map, &later).unwrap());
     assert_eq!(
-        format!("{proof:?}"),
+        format!("{verified_map:?}"),
         format!("VerifiedMap {{ epoch: 1, digest: {}, segments: 4 }}", four().digest)
     );
 }
@@ -242,13 +242,13 @@
     let mut one = four();
     one.segments[0] = segment(0, 0, 8, &[0, 1, 2]);
     one.segments[0].replicas[2].filled = false;
-    let proof = verified(&one.clone().with_digest());
+    let verified_map = verified(&one.clone().with_digest());
     // Nothing changes but the epoch: the replica still has to be filled.
     let mut two = one.clone();
     two.epoch = 2;
     let two = verified(&two.with_digest());
-    assert_eq!(verify_transition(&proof, &two).unwrap().required_fills(), [need(0, 2, &[0, 1])]);
-    let filled = proof.with_filled([(0, "n2"), (0, "n4"), (77, "n2")]);
+    assert_eq!(verify_transition(&verified_map, &two).unwrap().required_fills(), [need(0, 2, &[0, 1])]);
+    let filled = verified_map.with_filled([(0, "n2"), (0, "n4"), (77, "n2")]);
     let carried = verify_transition(&filled, &two).unwrap();
     assert_eq!(carried.required_fills(), []);
     // Over a further transition too, and for a map that now states so.
