--- /dev/null
+++ b/crates/dunepond-routing/tests/admission.rs
@@ -0,0 +1,235 @@
+//! Admission: which queries are rejected on arrival.
+
+mod support;
+
+use dunepond_routing::*;
+use rstest::rstest;
+use support::*;
+
+/// The holders of segment 0 answer all, but after more than half a target time; the others are at ease.
+fn overloaded() -> Cluster {
+    let mut cluster = Cluster::new(site());
+    for wait in [0.6, 1.2] {
+        (0..3).for_each(|node| cluster.transport.nodes[node] = Some((AttemptOutcome::Served, wait)));
+        (0..60).for_each(|_| {
+            cluster.query_with(PATIENT, &[0], 0, 30.0, false);
+            cluster.query_with(PATIENT, &[3], 0, 30.0, false);
+            cluster.run(0.05);
+        });
+    }
+    cluster
+}
+
+#[test]
+fn a_fault_is_no_wait() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    let query = cluster.query(FULL, &[0]);
+    (0..3).for_each(|_| cluster.end_attempt(query, 0, AttemptOutcome::Error));
+    let queries: Vec<_> = (0..12).map(|_| cluster.query(FULL, &[0])).collect();
+    assert!(queries.iter().all(|s| cluster.answers(*s).is_empty()));
+}
+
+#[test]
+fn queries_of_overloaded_replicas_are_rejected_at_no_cost_and_no_others() {
+    let mut cluster = overloaded();
+    let queries: Vec<_> = (0..24).map(|_| cluster.query(FULL, &[0])).collect();
+    let away: Vec<_> = queries.into_iter().filter(|s| !cluster.answers(*s).is_empty()).collect();
+    assert!(away.len() >= 8);
+    for query in away {
+        assert!(cluster.sent(query).is_empty());
+        assert!(
+            matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { retry_after }] if retry_after > 0.0 && retry_after <= 2.0)
+        );
+    }
+    let others: Vec<_> = (0..24).map(|_| cluster.query(FULL, &[3])).collect();
+    assert!(others.iter().all(|s| cluster.answers(*s).is_empty()));
+}
+
+#[test]
+fn a_fleet_slow_altogether_is_overloaded_even_with_little_in_flight_and_no_longer() {
+    let mut cluster = Cluster::new(site());
+    let pace = |cluster: &mut Cluster, took: f64, seconds: f64| {
+        cluster.transport.nodes = vec![Some((AttemptOutcome::Served, took)); 6];
+        cluster.traffic(PATIENT, seconds, 0.15);
+        cluster.run(2.0);
+    };
+    [0.2, 0.5, 1.0, 1.8].into_iter().for_each(|took| pace(&mut cluster, took, 16.0));
+    let away = |cluster: &mut Cluster| {
+        let queries: Vec<_> = (0..12).map(|turn| cluster.query(FULL, &[turn % 6])).collect();
+        queries.iter().filter(|s| !cluster.answers(**s).is_empty()).count()
+    };
+    assert!(away(&mut cluster) >= 10);
+    cluster.run(200.0);
+    assert_eq!(away(&mut cluster), 0);
+}
+
+/// All have taken long and are well again. A broker that sends nothing for fear of a wait hears of nothing either: it
+/// turned away all that came, with nothing out, for twice the longest target time of all, here 40 s; and where a zone's
+/// samples stand in for a node's, for four times as long.
+#[rstest]
+#[case::zones(3, 30)]
+#[case::one_zone(1, 3)]
+fn a_wait_that_no_sample_confirms_for_as_long_as_itself_is_tested(
+    #[case] zones: usize,
+    #[case] least: usize,
+) {
+    let mut cluster = Cluster::new(site());
+    let rows =
+        |standing| (0..6).map(|n| Endpoint { zone: n % zones, ..row(n, standing, 0.0) }).collect::<Vec<_>>();
+    cluster.list(true, &rows(EndpointState::Removed));
+    (0..6).for_each(|node| cluster.router.remove_node(node));
+    cluster.list(true, &rows(EndpointState::Active));
+    cluster.traffic(PATIENT, 16.0, 0.15);
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 3.0)); 6];
+    cluster.traffic(PATIENT, 24.0, 0.15);
+    cluster.run(3.0);
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.2)); 6];
+    let (mut last, mut longest, mut served) = (cluster.transport.now, 0.0, 0);
+    for turn in 0..100 {
+        let query = cluster.query(FULL, &[turn % 6]);
+        if cluster.answers(query).is_empty() {
+            longest = f64::max(longest, cluster.transport.now - last);
+            last = cluster.transport.now;
+            served += usize::from(turn >= 60);
+        }
+        cluster.run(0.25);
+    }
+    assert!(longest < 4.0, "{longest}");
+    assert!(served >= least, "{served}");
+}
+
+/// Nodes that collect their garbage are silent for as long as that takes, and neighbours may do so together.
+#[test]
+fn a_query_whose_replicas_all_paused_a_moment_ago_is_not_rejected() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    (0..3).for_each(|node| cluster.transport.nodes[node] = None);
+    let mut all_aside = || {
+        cluster.traffic(FULL, 0.1, 0.02);
+        (0..3).all(|n| cluster.is_ejected(n))
+    };
+    assert!((0..12).any(|_| all_aside()));
+    (0..3).for_each(|node| cluster.transport.nodes[node] = Some((AttemptOutcome::Served, 0.2)));
+    let queries = [FULL, NON_IDEMPOTENT].map(|table_type| cluster.query(table_type, &[0]));
+    cluster.traffic(FULL, 2.0, 0.02);
+    assert!(queries.iter().all(|query| cluster.answers(*query) == [COMPLETE]));
+}
+
+#[test]
+fn a_dead_node_is_no_overload_but_a_segment_with_no_other_is_rejected() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    (0..3).for_each(|node| cluster.transport.nodes[node] = None);
+    cluster.traffic(FULL, 3.0, 0.05);
+    assert!((0..3).all(|n| cluster.is_ejected(n)));
+    let verdicts = |cluster: &mut Cluster, segment: usize| {
+        let queries: Vec<_> = (0..12).map(|_| cluster.query(FULL, &[segment])).collect();
+        queries.iter().filter(|s| !cluster.answers(**s).is_empty()).count()
+    };
+    assert_eq!(verdicts(&mut cluster, 1), 0);
+    assert!(verdicts(&mut cluster, 0) >= 9);
+}
+
+#[test]
+fn traffic_beyond_a_tenants_quota_is_shed_first() {
+    let mut cluster = Cluster::new(Deployment { quotas: vec![0.3, 3000.0], ..site() });
+    // The wait is just past where turning away begins: within a share most still pass.
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.75)); 6];
+    (0..80).for_each(|_| {
+        cluster.query_with(PATIENT, &[0], 1, 30.0, false);
+        cluster.run(0.05);
+    });
+    let mut away = |customer: usize| {
+        let queries: Vec<_> = (0..20).map(|_| cluster.query_with(FULL, &[0], customer, 3.9, false)).collect();
+        queries.iter().filter(|s| !cluster.answers(**s).is_empty()).count()
+    };
+    assert!(away(1) <= 10);
+    assert!(away(0) >= 16);
+}
+
+/// The wait that is seen is one and the same; that queries admitted by it came late says that it is longer.
+#[rstest]
+#[case::most_came_in_time(false, 0..8)]
+#[case::most_came_late(true, 8..21)]
+fn queries_that_missed_their_objective_lately_raise_the_overload_level(
+    #[case] late: bool,
+    #[case] away: std::ops::Range<usize>,
+) {
+    let mut cluster = Cluster::new(site());
+    let kind = if late { TWO_STEP } else { PATIENT };
+    let first: Vec<_> = (0..12).map(|turn| cluster.query_with(kind, &[turn % 6], 0, 30.0, false)).collect();
+    cluster.run(0.5);
+    // As where beyond its share a customer goes first: the wait is just past where turning away begins.
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.75)); 6];
+    (0..80).for_each(|turn| {
+        cluster.query_with(PATIENT, &[0], 0, 30.0, false);
+        if turn == 62 {
+            first
+                .iter()
+                .for_each(|query| cluster.router.on_second_step(&mut cluster.transport, *query, parts(&[0])));
+        }
+        cluster.run(0.05);
+    });
+    let queries: Vec<_> = (0..20).map(|_| cluster.query_with(FULL, &[0], 0, 3.9, false)).collect();
+    let turned = queries.iter().filter(|s| !cluster.answers(**s).is_empty()).count();
+    assert!(away.contains(&turned), "{turned}");
+}
+
+#[test]
+fn what_its_client_will_not_wait_for_is_not_sent() {
+    let mut cluster = Cluster::new(site());
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.6)); 6];
+    cluster.traffic(FULL, 3.0, 0.1);
+    let hasty = cluster.query_with(FULL, &[0, 1], 0, 0.4, false);
+    assert!(cluster.sent(hasty).is_empty());
+    assert!(matches!(cluster.answers(hasty)[..], [FinalAnswer::Rejected { .. }]));
+}
+
+#[test]
+fn a_clients_retry_that_has_no_value_left_is_rejected() {
+    let mut cluster = Cluster::new(site());
+    let first = cluster.query_with(QUICK, &[0], 0, 4.0, false);
+    let again = cluster.query_with(QUICK, &[0], 0, 1.5, true);
+    assert_eq!(cluster.answers(first), []);
+    assert!(matches!(cluster.answers(again)[..], [FinalAnswer::Rejected { .. }]));
+}
+
+#[rstest]
+#[case::one_step(FULL, false, 0)]
+#[case::a_second_step_waits_again(TWO_STEP, false, 1)]
+#[case::late_already(FULL, true, 1)]
+fn a_short_wait_rejects_what_it_makes_late(#[case] kind: usize, #[case] late: bool, #[case] away: usize) {
+    let mut cluster = Cluster::new(Deployment { quotas: vec![0.0, 3000.0], ..site() });
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Served, if late { 0.75 } else { 0.48 })); 6];
+    (0..200).for_each(|_| {
+        cluster.query_with(PATIENT, &[0], 1, 30.0, false);
+        cluster.run(0.02);
+    });
+    let customer = if late { 1 } else { 0 };
+    cluster.query_with(kind, &[3], customer, 5.9, false);
+    let query = cluster.query_with(kind, &[0], customer, if late { 3.0 } else { 5.9 }, late);
+    assert_eq!(cluster.answers(query).len(), away);
+}
+
+#[test]
+fn no_optional_work_goes_to_nodes_in_slow_start_ejected_ones_or_an_overloaded_fleet() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 10.0, 0.1);
+    assert_eq!(cluster.router.prefilter_candidates(0).count(), 3);
+    assert!(!cluster.router.is_overloaded());
+    cluster.transport.nodes[0] = None;
+    cluster.traffic(FULL, 4.0, 0.1);
+    assert!(cluster.is_ejected(0));
+    let now = cluster.transport.now;
+    cluster.list(false, &[row(1, EndpointState::Active, now - 1.0)]);
+    assert_eq!(cluster.router.prefilter_candidates(0).collect::<Vec<_>>(), [2]);
+    // The cold node's room is there after half a second, whatever the seed; it stays in service longest.
+    cluster.run(0.5);
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 1.5)); 6];
+    for i in 0..4 {
+        cluster.query(FULL, &[i, i + 2]);
+    }
+    cluster.run(1.0);
+    assert!(cluster.router.is_overloaded());
+}
--- /dev/null
+++ b/crates/dunepond-routing/tests/dispatch.rs
@@ -0,0 +1,78 @@
+//! Dispatch and completion: all parts go out together, enough of them answer, and what is left is cancelled.
+
+mod support;
+
+use dunepond_routing::*;
+use rstest::rstest;
+use support::*;
+
+#[test]
+fn all_parts_are_dispatched_together_and_enough_of_them_complete_the_query() {
+    let mut cluster = Cluster::new(site());
+    cluster.transport.nodes = vec![None; 6];
+    let query = cluster.query(QUICK, &[0, 1, 2, 3, 4]);
+    assert_eq!(cluster.sent(query).len(), 5);
+    cluster.end_attempt(query, 0, AttemptOutcome::Served);
+    cluster.end_attempt(query, 3, AttemptOutcome::Served);
+    assert_eq!(cluster.answers(query), []);
+    cluster.end_attempt(query, 4, AttemptOutcome::Served);
+    assert_eq!(cluster.answers(query), [COMPLETE]);
+    assert_eq!(cluster.transport.cancelled, [(query, 1, 0), (query, 2, 0)]);
+}
+
+#[test]
+fn a_second_step_is_requested_and_needs_all_of_its_parts() {
+    let mut cluster = Cluster::new(site());
+    cluster.transport.nodes = vec![None; 6];
+    let query = cluster.query(TWO_STEP, &[0, 1]);
+    cluster.end_attempt(query, 1, AttemptOutcome::Served);
+    assert_eq!(cluster.answers(query), [COMPLETE]);
+    cluster.router.on_second_step(&mut cluster.transport, query, parts(&[1, 1]));
+    assert_eq!(cluster.sent(query).len(), 4);
+    cluster.end_attempt(query, 2, AttemptOutcome::Served);
+    assert_eq!(cluster.answers(query), [COMPLETE]);
+    cluster.end_attempt(query, 3, AttemptOutcome::Served);
+    assert_eq!(cluster.answers(query), [COMPLETE, COMPLETE]);
+}
+
+/// 56 shares of 0.017857 sum to 0.999992: all of them are the whole answer, and one less is not.
+#[rstest]
+#[case::down(56, 0.017857)]
+#[case::up(7, 0.142858)]
+fn a_query_whose_weights_are_rounded_is_complete_with_all_of_its_parts(
+    #[case] count: usize,
+    #[case] share: f64,
+) {
+    let mut cluster = Cluster::new(site());
+    cluster.transport.nodes = vec![None; 6];
+    let query = cluster.rounded(FULL, count, share);
+    assert_eq!(cluster.sent(query).len(), count);
+    for part in 0..count {
+        assert_eq!(cluster.answers(query), []);
+        cluster.end_attempt(query, part, AttemptOutcome::Served);
+    }
+    assert_eq!(cluster.answers(query), [COMPLETE]);
+}
+
+#[rstest]
+#[case::allowed(true, 1)]
+#[case::forbidden(false, 0)]
+fn outstanding_attempts_are_cancelled_where_that_is_allowed(
+    #[case] may_cancel: bool,
+    #[case] cancels: usize,
+) {
+    let mut cluster = Cluster::new(Deployment { may_cancel, ..site() });
+    let query = cluster.query(FULL, &[0]);
+    cluster.router.on_client_disconnect(&mut cluster.transport, query);
+    assert_eq!(cluster.transport.cancelled.len(), cancels);
+}
+
+#[rstest]
+#[case::told(false, vec![row(0, EndpointState::Draining, 0.0), row(1, EndpointState::Removed, 0.0)])]
+#[case::missing_from_a_full_list(true, (2..6).map(|n| row(n, EndpointState::Active, 0.0)).collect())]
+fn nothing_new_is_sent_to_a_draining_or_removed_node(#[case] complete: bool, #[case] rows: Vec<Endpoint>) {
+    let mut cluster = Cluster::new(site());
+    cluster.list(complete, &rows);
+    cluster.traffic(QUICK, 5.0, 0.05);
+    assert_eq!(cluster.sent_count(0, 0.0) + cluster.sent_count(1, 0.0), 0);
+}
--- /dev/null
+++ b/crates/dunepond-routing/tests/outlier_detection.rs
@@ -0,0 +1,186 @@
+//! Outlier detection: which nodes are ejected, and how they return to service.
+
+mod support;
+
+use dunepond_routing::*;
+use rstest::rstest;
+use support::*;
+
+#[test]
+fn a_silent_node_is_ejected_and_its_parts_are_hedged() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.transport.nodes[2] = None;
+    let hang = cluster.transport.now;
+    cluster.traffic(FULL, 2.0, 0.05);
+    assert!(cluster.is_ejected(2));
+    // It may be only the connection that is silent.
+    assert!(cluster.transport.closed.contains(&2));
+    let known = cluster.transport.now;
+    cluster.traffic(FULL, 3.0, 0.05);
+    assert!(cluster.sent_count(2, known) <= 10);
+    cluster.run(3.0);
+    let late = cluster.transport.answers.iter().filter(|f| f.0 > hang && f.2 != COMPLETE).count();
+    assert_eq!(late, 0);
+}
+
+#[rstest]
+#[case::errors(AttemptOutcome::Error)]
+#[case::connections(AttemptOutcome::ConnectFailed)]
+fn a_node_that_fails_at_once_does_not_attract_more(#[case] end: AttemptOutcome) {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.transport.nodes[2] = Some((end, 0.002));
+    let start = cluster.transport.now;
+    cluster.traffic(FULL, 4.0, 0.05);
+    assert!(cluster.is_ejected(2));
+    assert!(cluster.sent_count(2, start) <= 10);
+}
+
+/// However many parts were out on it; spoilt answers come from any node, and each costs its connection.
+#[test]
+fn a_connection_that_breaks_is_one_fault() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.run(1.0);
+    cluster.transport.nodes = vec![Some((AttemptOutcome::ConnectionLost, 0.1)); 6];
+    for i in 0..24 {
+        cluster.query(FULL, &[i % 6]);
+    }
+    cluster.run(0.1);
+    assert!((0..6).all(|n| !cluster.is_ejected(n)));
+}
+
+#[test]
+fn a_node_that_drops_some_of_its_parts_is_ejected() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    (0..300).for_each(|turn| {
+        let query = cluster.query(FULL, &[2]);
+        if turn % 3 == 0 {
+            cluster.hold(query, 2);
+        }
+        cluster.run(0.01);
+    });
+    assert!(cluster.transport.log.iter().any(|l| l == "node 2 is set aside: it fails what it is given"));
+}
+
+#[test]
+fn a_node_that_fails_one_query_class_keeps_the_others() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    let start = cluster.transport.now;
+    let fails = |cluster: &mut Cluster| {
+        let query = cluster.query(QUICK, &[2]);
+        cluster.query(FULL, &[2]);
+        let met = cluster.sent(query)[0].node == 2;
+        if met {
+            cluster.end_attempt(query, 0, AttemptOutcome::Error);
+        }
+        cluster.run(0.05);
+        usize::from(met)
+    };
+    let failed: usize = (0..200).map(|_| fails(&mut cluster)).sum();
+    assert!(!cluster.is_ejected(2));
+    assert!(failed < 30 && cluster.sent_count(2, start) > 2 * failed, "{failed}");
+}
+
+#[test]
+fn one_stray_error_ejects_no_node() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    let query = cluster.query(FULL, &[0]);
+    cluster.end_attempt(query, 0, AttemptOutcome::Error);
+    cluster.traffic(FULL, 3.0, 0.05);
+    assert!(!cluster.transport.log.iter().any(|l| l.contains("set aside")));
+}
+
+#[test]
+fn an_ejected_node_returns_by_doubling_probation_attempts() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.transport.nodes[2] = Some((AttemptOutcome::Error, 0.002));
+    cluster.traffic(FULL, 1.0, 0.05);
+    cluster.transport.nodes[2] = Some((AttemptOutcome::Served, 0.2));
+    let mended = cluster.transport.now;
+    cluster.traffic(FULL, 0.9, 0.02);
+    assert!(cluster.sent_count(2, mended) <= 8);
+    cluster.traffic(FULL, 4.0, 0.02);
+    assert!(cluster.transport.log.iter().any(|l| l == "node 2 is back in service"));
+}
+
+#[test]
+fn a_stall_of_the_broker_is_not_the_nodes_silence() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    (0..6).for_each(|segment| _ = cluster.query(FULL, &[segment, (segment + 1) % 6]));
+    cluster.transport.now += 1.7;
+    let first = cluster.query(FULL, &[0]);
+    assert_eq!(cluster.answers(first), []);
+    cluster.traffic(FULL, 1.0, 0.05);
+    assert!(!cluster.transport.log.iter().any(|l| l.contains("set aside")));
+}
+
+#[test]
+fn a_fleet_that_died_altogether_is_found_again() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.transport.nodes = vec![None; 6];
+    cluster.traffic(FULL, 4.0, 0.05);
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.2)); 6];
+    cluster.traffic(FULL, 8.0, 0.05);
+    let query = cluster.query(FULL, &[0, 3]);
+    cluster.run(1.0);
+    assert_eq!(cluster.answers(query), [COMPLETE]);
+}
+
+#[test]
+fn a_new_process_under_an_old_id_is_not_judged_by_its_predecessor() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.transport.nodes[2] = Some((AttemptOutcome::ConnectFailed, 0.002));
+    cluster.traffic(FULL, 1.0, 0.02);
+    cluster.transport.nodes[2] = Some((AttemptOutcome::Served, 0.2));
+    let restart = cluster.transport.now;
+    cluster.list(false, &[row(2, EndpointState::Active, restart - 14.9)]);
+    cluster.traffic(NON_IDEMPOTENT, 0.5, 0.02);
+    assert!(cluster.sent_count(2, restart) >= 2);
+}
+
+/// With new nodes under new names all day, what is known of those that went would grow without end.
+#[test]
+fn a_forgotten_nodes_id_is_reused_by_a_node_of_another_group() {
+    let mut cluster = Cluster::new(site());
+    cluster.transport.nodes[2] = Some((AttemptOutcome::Error, 0.002));
+    cluster.traffic(FULL, 2.0, 0.05);
+    assert!(cluster.is_ejected(2));
+    cluster.list(false, &[row(2, EndpointState::Removed, 0.0)]);
+    cluster.run(1.0);
+    cluster.router.remove_node(2);
+    cluster.transport.nodes[2] = Some((AttemptOutcome::Served, 0.2));
+    cluster.list(false, &[Endpoint { replica_group: 5, ..row(2, EndpointState::Active, 0.0) }]);
+    let mut polled = |segment: usize| {
+        let queries: Vec<_> = (0..20).map(|_| cluster.query(NON_IDEMPOTENT, &[segment])).collect();
+        cluster.run(5.0);
+        queries.into_iter().filter(|query| cluster.sent(*query)[0].node == 2).count()
+    };
+    assert_eq!(polled(2), 0);
+    assert!(polled(5) > 0);
+}
+
+/// A client that sends slowly would set aside every node that its body goes to.
+#[rstest]
+#[case::on_its_way(false)]
+#[case::gone_out(true)]
+fn an_answer_is_due_only_once_the_frame_has_been_sent(#[case] framed: bool) {
+    let mut cluster = Cluster::new(Deployment { replicas: 1, ..site() });
+    cluster.traffic(FULL, 10.0, 0.1);
+    cluster.transport.nodes[0] = None;
+    let query = cluster.streamed(FULL, &[0]);
+    cluster.run(0.5);
+    if framed {
+        cluster.router.on_frame_written(&mut cluster.transport, 0, (query, 0, 0));
+    }
+    cluster.run(2.5);
+    assert_eq!(cluster.is_ejected(0), framed);
+}
--- /dev/null
+++ b/crates/dunepond-routing/tests/probing.rs
@@ -0,0 +1,79 @@
+//! Probing: replicas are asked for capacity where nothing else tells them apart.
+
+mod support;
+
+use dunepond_routing::*;
+use rstest::rstest;
+use support::*;
+
+/// Sixty nodes, each met once in a few seconds; a third of them have become slow.
+fn in_doubt(gap: f64) -> Cluster {
+    let plain = site();
+    let kinds = plain.query_classes[..PARTIAL].to_vec();
+    let mut cluster = sixty(Deployment { query_classes: kinds, may_probe: true, ..plain });
+    for (slow, seconds) in [(0.2, 5.0), (0.95, 2.5)] {
+        cluster.transport.nodes = every_third(slow);
+        (0..(seconds / gap) as usize).for_each(|turn| {
+            cluster.query(NON_IDEMPOTENT, &[turn * 7 % 60]);
+            cluster.run(gap);
+        });
+    }
+    cluster.transport.probed.clear();
+    cluster
+}
+
+#[test]
+fn a_part_waits_for_the_first_replica_that_answers_a_probe_where_nothing_else_tells() {
+    let mut cluster = in_doubt(0.1);
+    let query = cluster.query(FULL, &[10]);
+    assert_eq!(cluster.transport.probed, [10, 11, 12]);
+    assert!(cluster.sent(query).is_empty());
+    cluster.router.on_probe_result(&mut cluster.transport, 12, Some(0.1));
+    assert_eq!(cluster.sent(query)[0].node, 12);
+}
+
+#[test]
+fn a_query_whose_replicas_leave_its_probes_unanswered_is_rejected() {
+    let mut cluster = in_doubt(0.1);
+    let query = cluster.query(FULL, &[10, 11, 12, 13]);
+    cluster.router.on_probe_result(&mut cluster.transport, 10, Some(0.1));
+    cluster.run(1.3);
+    assert!(matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }]));
+}
+
+/// What the first step has cost would be lost for two parts.
+#[test]
+fn a_second_step_is_not_rejected_by_its_probes() {
+    let mut cluster = in_doubt(0.1);
+    let query = cluster.query(TWO_STEP, &[10, 13]);
+    [10, 13].iter().for_each(|node| cluster.router.on_probe_result(&mut cluster.transport, *node, Some(0.1)));
+    cluster.end_attempt(query, 0, AttemptOutcome::Served);
+    cluster.router.on_second_step(&mut cluster.transport, query, parts(&[10, 13]));
+    cluster.run(1.5);
+    assert_eq!(cluster.answers(query), [COMPLETE, COMPLETE]);
+    assert_eq!(cluster.sent(query).len(), 4);
+}
+
+#[rstest]
+#[case::a_queue_shows(0.1, true)]
+#[case::a_sign_of_life_only(0.004, false)]
+fn uninformative_probes_are_given_up(#[case] took: f64, #[case] goes_on: bool) {
+    let mut cluster = in_doubt(0.1);
+    (0..10).for_each(|node| cluster.router.on_probe_result(&mut cluster.transport, node, Some(took)));
+    cluster.query(FULL, &[10]);
+    assert_eq!(!cluster.transport.probed.is_empty(), goes_on);
+}
+
+#[test]
+fn a_broker_that_meets_its_replicas_often_needs_no_probes() {
+    let mut cluster = in_doubt(0.02);
+    cluster.query(FULL, &[10]);
+    assert!(cluster.transport.probed.is_empty());
+}
+
+#[test]
+fn no_probes_are_sent_without_load() {
+    let mut cluster = Cluster::new(Deployment { may_probe: true, ..site() });
+    cluster.traffic(FULL, 6.0, 0.05);
+    assert!(cluster.transport.probed.is_empty());
+}
--- /dev/null
+++ b/crates/dunepond-routing/tests/retry.rs
@@ -0,0 +1,183 @@
+//! Retries and hedged requests: when another attempt is sent, and within which bounds.
+
+mod support;
+
+use dunepond_routing::*;
+use rstest::rstest;
+use support::*;
+
+#[rstest]
+#[case::error(AttemptOutcome::Error, 1, Some(FinalAnswer::Failed))]
+#[case::timed_out(AttemptOutcome::TimedOut, 1, Some(FinalAnswer::Failed))]
+#[case::dropped(AttemptOutcome::ConnectionLost, 1, Some(FinalAnswer::Failed))]
+#[case::full(AttemptOutcome::Rejected, 2, None)]
+#[case::no_connection(AttemptOutcome::ConnectFailed, 2, None)]
+fn a_non_idempotent_part_is_retried_only_if_it_never_ran(
+    #[case] end: AttemptOutcome,
+    #[case] sends: usize,
+    #[case] fin: Option<FinalAnswer>,
+) {
+    let mut cluster = Cluster::new(site());
+    cluster.transport.nodes = vec![None; 6];
+    let query = cluster.query(NON_IDEMPOTENT, &[0]);
+    cluster.end_attempt(query, 0, end);
+    assert_eq!(cluster.sent(query).len(), sends);
+    assert_eq!(cluster.answers(query).first(), fin.as_ref());
+}
+
+#[rstest]
+#[case::inside(0.5, 2)]
+#[case::outside(1.2, 1)]
+fn a_keyed_part_that_may_have_run_is_retried_within_its_window(#[case] after: f64, #[case] sends: usize) {
+    let mut cluster = Cluster::new(site());
+    cluster.transport.nodes = vec![None; 6];
+    let query = cluster.query(KEYED, &[0]);
+    cluster.run(after);
+    cluster.end_attempt(query, 0, AttemptOutcome::Error);
+    assert_eq!(cluster.sent(query).len(), sends);
+}
+
+#[test]
+fn retries_stay_within_the_budget() {
+    let budget = RetryBudget { window: 2.0, min_retries: 3.0, ratio: 0.05 };
+    let mut cluster = Cluster::new(Deployment { retry_budget: Some(budget), ..site() });
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.1)); 6];
+    let queries: Vec<_> = (0..18).map(|segment| cluster.query(FULL, &[segment % 6])).collect();
+    cluster.run(1.9);
+    assert!(cluster.transport.sent.len() > queries.len());
+    assert!(cluster.transport.sent.len() - queries.len() <= 3 + 1);
+}
+
+#[test]
+fn a_part_is_not_sent_beyond_its_attempt_cap() {
+    let mut cluster = Cluster::new(Deployment { max_attempts: 2, ..site() });
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.01)); 6];
+    let query = cluster.query(FULL, &[0]);
+    cluster.run(1.0);
+    assert_eq!(cluster.sent(query).len(), 2);
+    assert!(matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }]));
+}
+
+#[test]
+fn a_failed_part_is_retried_at_another_replica() {
+    let mut cluster = Cluster::new(site());
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.01)); 6];
+    let queries: Vec<_> = (0..6).map(|segment| cluster.query(FULL, &[segment])).collect();
+    cluster.run(0.1);
+    for query in queries {
+        let sent = cluster.sent(query);
+        assert!(sent.len() > 1 && sent[1..].iter().all(|s| s.node != sent[0].node));
+    }
+}
+
+#[test]
+fn spare_parts_stand_in_for_hedged_requests() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.transport.nodes[2] = None;
+    cluster.traffic(FULL, 1.0, 0.05);
+    cluster.run(2.0);
+    let start = cluster.transport.now;
+    let queries: Vec<_> = (0..4).map(|_| cluster.query(QUICK, &[0, 1, 2, 3, 4])).collect();
+    cluster.run(0.15);
+    assert!(cluster.sent_count(2, start) > 0);
+    assert!(queries.iter().all(|s| cluster.sent(*s).len() == 5));
+}
+
+#[test]
+fn no_hedges_are_sent_to_overloaded_replicas() {
+    let mut cluster = Cluster::new(site());
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.7)); 6];
+    let fill = |cluster: &mut Cluster, seconds: f64| {
+        (0..(seconds / 0.02) as usize).for_each(|_| {
+            cluster.query_with(PATIENT, &[0], 0, 30.0, false);
+            cluster.run(0.02);
+        });
+    };
+    fill(&mut cluster, 3.0);
+    let query = cluster.query_with(QUICK, &[0, 3], 0, 3.9, false);
+    (0..6).for_each(|node| cluster.hold(query, node));
+    fill(&mut cluster, 1.5);
+    let copies = cluster.sent(query).iter().filter(|s| s.part == 0).count();
+    assert_eq!(copies, 1);
+}
+
+#[test]
+fn a_costly_part_is_hedged_in_time_but_not_sooner() {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.03);
+    let query = cluster.query(FULL, &[0]);
+    (0..6).for_each(|node| cluster.hold(query, node));
+    cluster.traffic(FULL, 0.6, 0.03);
+    assert_eq!(cluster.sent(query).len(), 1);
+    cluster.traffic(FULL, 0.4, 0.03);
+    assert_eq!(cluster.sent(query).len(), 2);
+}
+
+/// At ease the part would be copied after 0.8 s.
+#[rstest]
+#[case::at_ease(0.2, 2)]
+#[case::all_take_longer(0.5, 1)]
+fn a_late_part_is_hedged_only_where_there_is_capacity(#[case] takes: f64, #[case] sends: usize) {
+    let mut cluster = Cluster::new(site());
+    cluster.traffic(FULL, 3.0, 0.03);
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Served, takes)); 6];
+    cluster.traffic(PATIENT, 3.0, 0.03);
+    let query = cluster.query(FULL, &[0]);
+    (0..6).for_each(|node| cluster.hold(query, node));
+    cluster.traffic(PATIENT, 0.9, 0.03);
+    assert_eq!(cluster.sent(query).len(), sends);
+}
+
+/// A queue looks like silence: the copy goes only once nearly all would have answered, and then at once.
+#[rstest]
+fn a_part_at_an_ejected_node_is_hedged_after_the_95th_percentile(#[values(1, 2, 3)] seed: u64) {
+    let mut cluster = Cluster::new(Deployment { seed, ..site() });
+    cluster.traffic(FULL, 3.0, 0.05);
+    (cluster.transport.nodes[2], cluster.transport.nodes[3]) = (None, None);
+    cluster.traffic(FULL, 2.0, 0.05);
+    assert!(cluster.is_ejected(2) && cluster.is_ejected(3));
+    let mut tried = 0;
+    for _ in 0..20 {
+        cluster.run(4.0);
+        for _ in 0..6 {
+            cluster.query(FULL, &[4]);
+        }
+        let query = cluster.query(FULL, &[2]);
+        if cluster.sent(query)[0].node != 4 {
+            tried += 1;
+            cluster.run(0.15);
+            assert_eq!(cluster.sent(query).len(), 1);
+            cluster.run(0.1);
+            assert_eq!(cluster.sent(query).len(), 2);
+        }
+    }
+    assert!(tried > 0);
+}
+
+#[test]
+fn of_two_replicas_that_lost_an_answer_each_the_first_is_tried_again() {
+    let mut cluster = Cluster::new(Deployment { replicas: 2, ..site() });
+    cluster.transport.nodes = vec![None; 6];
+    let query = cluster.query(FULL, &[0]);
+    (0..2).for_each(|_| {
+        cluster.run(0.1);
+        cluster.end_attempt(query, 0, AttemptOutcome::ConnectionLost);
+    });
+    let to: Vec<_> = cluster.sent(query).iter().map(|s| s.node).collect();
+    assert_eq!(to.len(), 3);
+    assert_ne!(to[0], to[1]);
+}
+
+/// Each is polled again once its refusal is over; with all its dispatches gone the query is ended at once.
+#[test]
+fn a_part_that_all_replicas_reject_as_full_is_retried_and_then_ends_its_query() {
+    let mut cluster = Cluster::new(Deployment { replicas: 2, ..site() });
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Rejected, 0.002)); 6];
+    let query = cluster.query(FULL, &[0]);
+    cluster.run(0.2);
+    assert_eq!(cluster.sent(query).len(), 2);
+    cluster.run(1.0);
+    assert_eq!(cluster.sent(query).len(), 4);
+    assert!(matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }]));
+}
--- a/crates/dunepond-routing/tests/shutdown.rs
+++ b/crates/dunepond-routing/tests/shutdown.rs
@@ -1,10 +1,10 @@
-//! The stages of a shutdown, and what the module does with scans in them.
+//! The stages of a shutdown, and what the module does with queries in them.
 
-mod fake;
+mod support;
 
 use dunepond_routing::*;
-use fake::*;
 use rstest::rstest;
+use support::*;
 
 /// Told at 100 s, with a longest query timeout of 2 s: the kill may come at 102.7 s.
 #[rstest]
@@ -37,18 +37,18 @@
 /// The kill may come 6.7 s after the signal at this site, were it not for the page, which counts 3 s of its timeouts.
 #[rstest]
 #[case::there_is_time(2.0, None)]
-#[case::it_outlasts_the_process(5.0, Some(Final::Throttle { wait: 0.0 }))]
+#[case::it_outlasts_the_process(5.0, Some(FinalAnswer::Rejected { retry_after: 0.0 }))]
 fn what_comes_late_is_refused_if_it_outlasts_the_process(
     #[case] client_waits: f64,
-    #[case] answer: Option<Final>,
+    #[case] answer: Option<FinalAnswer>,
 ) {
-    let mut town = Town::new(site());
-    town.host.nodes = vec![None; 6];
-    town.run(0.1);
-    town.broker.begin_shutdown(Shutdown::new(town.host.now - 0.8, 6.0));
-    let scan = town.scan_of(FIX, &[0], 0, client_waits, false);
-    assert_eq!(town.finals(scan).first().cloned(), answer);
-    assert_eq!(town.sent(scan).is_empty(), answer.is_some());
+    let mut cluster = Cluster::new(site());
+    cluster.transport.nodes = vec![None; 6];
+    cluster.run(0.1);
+    cluster.router.begin_shutdown(Shutdown::new(cluster.transport.now - 0.8, 6.0));
+    let query = cluster.query_with(NON_IDEMPOTENT, &[0], 0, client_waits, false);
+    assert_eq!(cluster.answers(query).first().cloned(), answer);
+    assert_eq!(cluster.sent(query).is_empty(), answer.is_some());
 }
 
 /// A body that was coming in as the broker was told to end has until the last answers. How long that is from now on and when
@@ -56,25 +56,31 @@
 #[test]
 fn what_has_until_the_last_answers_is_taken_however_that_is_rounded() {
     for step in 0..200 {
-        let mut town = Town::new(site());
-        town.host.now = 1_764_700_000.0 + 0.001_7 * f64::from(step);
-        let shutdown = Shutdown::new(town.host.now - 0.8, 6.0);
-        town.broker.begin_shutdown(shutdown);
-        let scan = town.scan_of(FIX, &[0], 0, shutdown.last_answers_at() - town.host.now, false);
-        assert_eq!(town.finals(scan), Vec::new(), "{step}");
+        let mut cluster = Cluster::new(site());
+        cluster.transport.now = 1_764_700_000.0 + 0.001_7 * f64::from(step);
+        let shutdown = Shutdown::new(cluster.transport.now - 0.8, 6.0);
+        cluster.router.begin_shutdown(shutdown);
+        let query = cluster.query_with(
+            NON_IDEMPOTENT,
+            &[0],
+            0,
+            shutdown.last_answers_at() - cluster.transport.now,
+            false,
+        );
+        assert_eq!(cluster.answers(query), Vec::new(), "{step}");
     }
 }
 
 /// It came before the signal, and its client has more time than the process.
 #[test]
 fn what_is_in_hand_ends_by_the_last_answers() {
-    let mut town = Town::new(site());
-    town.host.nodes = vec![None; 6];
-    let scan = town.scan(FIX, &[0]);
-    town.run(0.1);
-    let shutdown = Shutdown::new(town.host.now, 6.0);
-    town.broker.begin_shutdown(shutdown);
-    town.run(4.0);
-    let ended = town.host.finals.iter().find(|(_, of, _)| *of == scan).expect("it ended");
+    let mut cluster = Cluster::new(site());
+    cluster.transport.nodes = vec![None; 6];
+    let query = cluster.query(NON_IDEMPOTENT, &[0]);
+    cluster.run(0.1);
+    let shutdown = Shutdown::new(cluster.transport.now, 6.0);
+    cluster.router.begin_shutdown(shutdown);
+    cluster.run(4.0);
+    let ended = cluster.transport.answers.iter().find(|(_, of, _)| *of == query).expect("it ended");
     assert!(ended.0 <= shutdown.last_answers_at(), "{ended:?}");
 }
--- a/crates/dunepond-routing/tests/held_up.rs
+++ b/crates/dunepond-routing/tests/stalls.rs
@@ -2,34 +2,34 @@
 //! that to the end of its window may run a second time after it. The end of a client's time has the usual margin of seven
 //! ticks alone: on a day of short deadlines a fifth of all requests came with less than 0.15 s and were served in time.
 
-mod fake;
+mod support;
 
 use dunepond_routing::*;
-use fake::*;
 use rstest::rstest;
+use support::*;
 
 /// A repeat is dropped for one second after the first dispatch. That fails so late that one more could come after it.
 #[rstest]
 #[case::in_time(0.8, 2)]
 #[case::too_close_to_the_end_of_the_window(0.9, 1)]
 fn a_repeat_leaves_time_to_the_end_of_its_window(#[case] fails_after: f64, #[case] attempts: usize) {
-    let mut town = Town::new(site());
-    town.host.nodes = vec![Some((AttemptOutcome::Error, fails_after)); 6];
-    let scan = town.scan(KEYED, &[0]);
-    town.run(1.2);
-    assert_eq!(town.sent(scan).len(), attempts);
+    let mut cluster = Cluster::new(site());
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Error, fails_after)); 6];
+    let query = cluster.query(KEYED, &[0]);
+    cluster.run(1.2);
+    assert_eq!(cluster.sent(query).len(), attempts);
 }
 
 #[rstest]
 #[case::in_time(1.9, 2)]
 #[case::too_close_to_the_end_of_its_clients_time(1.97, 1)]
 fn a_retry_begins_before_the_last_call(#[case] fails_after: f64, #[case] attempts: usize) {
-    let mut town = Town::new(Deployment { hedging_enabled: false, ..site() });
-    town.host.nodes = vec![Some((AttemptOutcome::Error, fails_after)); 6];
-    let scan = town.scan_of(FULL, &[0], 0, 2.0, false);
-    town.run(2.5);
-    assert_eq!(town.sent(scan).len(), attempts);
-    assert_eq!(town.finals(scan).len(), 1);
+    let mut cluster = Cluster::new(Deployment { hedging_enabled: false, ..site() });
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Error, fails_after)); 6];
+    let query = cluster.query_with(FULL, &[0], 0, 2.0, false);
+    cluster.run(2.5);
+    assert_eq!(cluster.sent(query).len(), attempts);
+    assert_eq!(cluster.answers(query).len(), 1);
 }
 
 /// Nodes take 20 ms.
@@ -37,12 +37,12 @@
 #[case::enough(0.1, true)]
 #[case::less_than_nodes_take(0.02, false)]
 fn what_comes_with_little_time_is_sent_on_if_nodes_are_quick_enough(#[case] left: f64, #[case] sent: bool) {
-    let mut town = Town::new(site());
-    town.host.nodes = vec![Some((AttemptOutcome::Served, 0.02)); 6];
-    town.traffic(FULL, 2.0, 0.02);
-    let scan = town.scan_of(FULL, &[0], 0, left, false);
-    assert_eq!(!town.sent(scan).is_empty(), sent);
-    assert_eq!(town.finals(scan).is_empty(), sent);
-    town.run(0.2);
-    assert_eq!(town.finals(scan).len(), 1);
+    let mut cluster = Cluster::new(site());
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.02)); 6];
+    cluster.traffic(FULL, 2.0, 0.02);
+    let query = cluster.query_with(FULL, &[0], 0, left, false);
+    assert_eq!(!cluster.sent(query).is_empty(), sent);
+    assert_eq!(cluster.answers(query).is_empty(), sent);
+    cluster.run(0.2);
+    assert_eq!(cluster.answers(query).len(), 1);
 }
--- /dev/null
+++ b/crates/dunepond-routing/tests/warm_restart.rs
@@ -0,0 +1,81 @@
+//! Warm restart: what a process learned and spent, at its successor.
+
+mod support;
+
+use dunepond_routing::*;
+use support::*;
+
+/// What one process learned, another goes by: the median, and who was set aside, who is due a trial at once.
+#[test]
+fn a_node_ejected_before_a_restart_gets_its_probation_attempts_after_it_and_no_more() {
+    let mut first = Cluster::new(site());
+    first.traffic(FULL, 10.0, 0.1);
+    first.transport.nodes[0] = None;
+    first.traffic(FULL, 4.0, 0.1);
+    assert!(first.is_ejected(0));
+    let beliefs = first.router.learned_state(&first.transport);
+    let sent = |believed: bool| {
+        let mut second = Cluster::new(site());
+        second.transport.nodes[0] = None;
+        if believed {
+            second.router.restore_learned(&mut second.transport, &beliefs);
+        }
+        second.traffic(FULL, 1.0, 0.05);
+        second.sent_count(0, 0.0)
+    };
+    // Its trials one after the other, until they are met with silence too.
+    assert!(sent(true) <= 3 && sent(true) < sent(false), "{} {}", sent(true), sent(false));
+}
+
+#[test]
+fn a_node_that_has_recovered_meanwhile_returns_after_its_probation() {
+    let mut first = Cluster::new(site());
+    first.traffic(FULL, 10.0, 0.1);
+    first.transport.nodes[0] = None;
+    first.traffic(FULL, 4.0, 0.1);
+    let beliefs = first.router.learned_state(&first.transport);
+    let mut second = Cluster::new(site());
+    second.router.restore_learned(&mut second.transport, &beliefs);
+    assert!(second.router.learned_state(&second.transport).nodes[0].ejected);
+    second.traffic(FULL, 6.0, 0.1);
+    assert!(!second.router.learned_state(&second.transport).nodes[0].ejected);
+}
+
+/// It is not known what an earlier process spent: all of it, for as long as it may stand in a window.
+#[test]
+fn after_a_crash_nothing_is_retried_for_one_window_and_slow_start_gets_nothing_for_a_span() {
+    let budget = Some(RetryBudget { window: 2.0, min_retries: 9.0, ratio: 0.1 });
+    let mut cluster = Cluster::new(Deployment { retry_budget: budget, ..site() });
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
+    let now = cluster.transport.now;
+    cluster.list(false, &[row(0, EndpointState::Active, now - 1.0)]);
+    cluster.router.restore_spent(&mut cluster.transport, None);
+    let early = cluster.query(FULL, &[0]);
+    cluster.run(1.5);
+    assert_eq!((cluster.sent(early).len(), cluster.sent_count(0, 0.0)), (1, 0));
+    cluster.run(1.0);
+    let late = cluster.query(FULL, &[1]);
+    cluster.run(1.0);
+    assert!(cluster.sent(late).len() > 1);
+}
+
+#[test]
+fn what_was_spent_before_an_orderly_end_counts_afterwards() {
+    let budget = Some(RetryBudget { window: 20.0, min_retries: 3.0, ratio: 0.0 });
+    let site = || Deployment { retry_budget: budget.clone(), ..site() };
+    let mut first = Cluster::new(site());
+    first.transport.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
+    let query = first.query(FULL, &[0]);
+    first.run(1.0);
+    let spent = first.sent(query).len() - 1;
+    assert!((1..=3).contains(&spent));
+    let ledger = first.router.spent_budgets(&first.transport);
+    assert_eq!(ledger.retries.len(), spent);
+    let mut second = Cluster::new(site());
+    second.transport.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
+    second.router.restore_spent(&mut second.transport, Some(&ledger));
+    let queries: Vec<_> = (0..4).map(|segment| second.query(FULL, &[segment])).collect();
+    second.run(3.0);
+    let further: usize = queries.iter().map(|query| second.sent(*query).len() - 1).sum();
+    assert_eq!(further, 3 - spent);
+}
