--- a/crates/dunepond-broker/src/background.rs
+++ b/crates/dunepond-broker/src/background.rs
@@ -2,18 +2,18 @@
 
 use dunepond_background::{Finished, Given, JobId, Outcome, Pool, Scheduler, Spec, Used};
 
-use crate::clock::{self, Alarms, Due};
+use crate::clock::{self, TimerEvent, Timers};
 
 pub struct Background {
     scheduler: Scheduler,
     /// Where nothing may block, there is none.
     pool: Option<Pool>,
-    alarm: Option<(f64, clock::Key)>,
+    timer: Option<(f64, clock::TimerKey)>,
 }
 
 impl Background {
     pub fn new(scheduler: Scheduler, pool: Option<Pool>) -> Self {
-        Self { scheduler, pool, alarm: None }
+        Self { scheduler, pool, timer: None }
     }
 
     pub fn pool(&self) -> Option<&Pool> {
@@ -25,17 +25,17 @@
     }
 
     /// The next job that may run; `calm` where the loop has nothing else to do at this moment.
-    pub fn next(&mut self, now: f64, calm: bool) -> Option<Given> {
-        self.scheduler.next(now, calm)
+    pub fn next(&mut self, now: f64, idle: bool) -> Option<Given> {
+        self.scheduler.next(now, idle)
     }
 
     /// A step has run for so long.
-    pub fn stepped(&mut self, now: f64, id: JobId, outcome: Outcome, seconds: f64) {
+    pub fn on_step_done(&mut self, now: f64, id: JobId, outcome: Outcome, seconds: f64) {
         self.scheduler.ended(now, id, outcome, Used { seconds, bytes: 0 });
     }
 
-    pub fn finished(&mut self, now: f64, finished: Finished) {
-        self.scheduler.ended(now, finished.id, finished.outcome, finished.used);
+    pub fn on_job_finished(&mut self, now: f64, on_job_finished: Finished) {
+        self.scheduler.ended(now, on_job_finished.id, on_job_finished.outcome, on_job_finished.used);
     }
 
     /// Jobs that will not be done any more.
@@ -43,23 +43,23 @@
         self.scheduler.take_dropped()
     }
 
-    /// Sets the alarm at which the next may run.
-    pub fn arm(&mut self, now: f64, alarms: &mut Alarms) {
+    /// Sets the timer at which the next may run.
+    pub fn arm(&mut self, now: f64, timers: &mut Timers) {
         let due = self.scheduler.next_due(now).map(|due| due.max(now + 0.001));
-        let sooner = match (due, self.alarm) {
+        let sooner = match (due, self.timer) {
             (Some(due), Some((set, _))) => due < set - 1e-4,
             (Some(_), None) => true,
             (None, _) => false,
         };
         if sooner && let Some(due) = due {
-            alarms.unset(self.alarm.map(|alarm| alarm.1));
-            self.alarm = Some((due, alarms.set(due, Due::Work)));
+            timers.unset(self.timer.map(|timer| timer.1));
+            self.timer = Some((due, timers.set(due, TimerEvent::BackgroundJob)));
         }
     }
 
-    /// The alarm has rung.
-    pub fn rung(&mut self) {
-        self.alarm = None;
+    /// The timer has rung.
+    pub fn on_timer(&mut self) {
+        self.timer = None;
     }
 
     /// A line for the counters: each name with what became of its jobs.
--- a/crates/dunepond-broker/src/body.rs
+++ b/crates/dunepond-broker/src/body.rs
@@ -10,18 +10,18 @@
 use slab::Slab;
 
 /// Bytes that are read, written and let go of together.
-pub const BLOCK: usize = 64 * 1024;
+pub const BLOCK_BYTES: usize = 64 * 1024;
 
 #[derive(Default)]
 struct Block {
     bytes: Option<Bytes>,
     /// Handed to the files tier, and written there.
-    given: bool,
+    submitted: bool,
     on_file: bool,
     length: usize,
 }
 
-struct Inner {
+struct BodyState {
     length: Option<u64>,
     stated: bool,
     /// What it may take of the memory while it comes in; none where all of it may stay there.
@@ -35,14 +35,14 @@
     /// Where each frame stands in it.
     readers: Slab<u64>,
     /// A body that passes lets go of what all its readers are through with.
-    passing: bool,
+    pass_through: bool,
     /// It has been read once at least: before, what is there waits for its readers.
     begun: bool,
     /// Blocks that a reader waits for and that are in the file only.
     wanted: BTreeSet<u64>,
     /// Read back and lent out, the oldest first; and what of it is still being read.
-    lent: VecDeque<u64>,
-    coming: BTreeSet<u64>,
+    loaned: VecDeque<u64>,
+    loading: BTreeSet<u64>,
     lost: Option<Reason>,
 }
 
@@ -51,7 +51,7 @@
 
 pub struct Body {
     pub id: BodyId,
-    inner: RefCell<Inner>,
+    inner: RefCell<BodyState>,
     dropped: Dropped,
 }
 
@@ -63,7 +63,7 @@
 
 impl Body {
     pub fn new(id: BodyId, length: Option<u64>, limit: Option<u64>, dropped: &Dropped) -> Rc<Self> {
-        let inner = Inner {
+        let inner = BodyState {
             length,
             stated: length.is_some(),
             limit,
@@ -73,11 +73,11 @@
             first: 0,
             tail: BytesMut::new(),
             readers: Slab::new(),
-            passing: false,
+            pass_through: false,
             begun: false,
             wanted: BTreeSet::new(),
-            lent: VecDeque::new(),
-            coming: BTreeSet::new(),
+            loaned: VecDeque::new(),
+            loading: BTreeSet::new(),
             lost: None,
         };
         Rc::new(Self { id, inner: RefCell::new(inner), dropped: dropped.clone() })
@@ -98,7 +98,7 @@
     }
 
     /// Its length was stated ahead.
-    pub fn is_stated(&self) -> bool {
+    pub fn has_known_length(&self) -> bool {
         self.inner.borrow().stated
     }
 
@@ -109,15 +109,15 @@
     /// No more may come in before something of it has gone on.
     pub fn is_full(&self) -> bool {
         let limit = self.inner.borrow().limit;
-        limit.is_some_and(|limit| self.in_memory() + BLOCK as u64 > limit)
+        limit.is_some_and(|limit| self.in_memory() + BLOCK_BYTES as u64 > limit)
     }
 
     pub fn pass(&self) {
-        self.inner.borrow_mut().passing = true;
+        self.inner.borrow_mut().pass_through = true;
     }
 
-    pub fn is_passing(&self) -> bool {
-        self.inner.borrow().passing
+    pub fn is_pass_through(&self) -> bool {
+        self.inner.borrow().pass_through
     }
 
     /// Its readers are all there that it will have.
@@ -135,7 +135,7 @@
     }
 
     /// What has come and is neither in a file nor let go of.
-    pub fn unwritten(&self) -> u64 {
+    pub fn unwritten_bytes(&self) -> u64 {
         let inner = self.inner.borrow();
         let blocks = inner.blocks.iter().filter(|b| !b.on_file).filter_map(|b| b.bytes.as_ref());
         (blocks.map(Bytes::len).sum::<usize>() + inner.tail.len()) as u64
@@ -146,14 +146,15 @@
         inner.arrived += bytes.len() as u64;
         while !bytes.is_empty() {
             if inner.tail.capacity() == 0 {
-                let left = inner.length.map_or(BLOCK as u64, |length| length - inner.arrived.min(length));
-                let room = (left as usize + bytes.len()).min(BLOCK);
+                let left =
+                    inner.length.map_or(BLOCK_BYTES as u64, |length| length - inner.arrived.min(length));
+                let room = (left as usize + bytes.len()).min(BLOCK_BYTES);
                 inner.tail = BytesMut::with_capacity(room);
             }
-            let count = bytes.len().min(BLOCK - inner.tail.len());
+            let count = bytes.len().min(BLOCK_BYTES - inner.tail.len());
             inner.tail.extend_from_slice(&bytes[..count]);
             bytes = &bytes[count..];
-            if inner.tail.len() == BLOCK {
+            if inner.tail.len() == BLOCK_BYTES {
                 inner.seal();
             }
         }
@@ -179,34 +180,35 @@
     }
 
     /// The next block to be written to its file, with its place there.
-    pub fn to_write(&self) -> Option<(u64, Bytes)> {
+    pub fn next_write(&self) -> Option<(u64, Bytes)> {
         let mut inner = self.inner.borrow_mut();
         let first = inner.first;
-        let (at, block) = inner.blocks.iter_mut().enumerate().find(|(_, b)| !b.given && b.bytes.is_some())?;
-        block.given = true;
-        Some(((first + at as u64) * BLOCK as u64, block.bytes.clone()?))
+        let (at, block) =
+            inner.blocks.iter_mut().enumerate().find(|(_, b)| !b.submitted && b.bytes.is_some())?;
+        block.submitted = true;
+        Some(((first + at as u64) * BLOCK_BYTES as u64, block.bytes.clone()?))
     }
 
     /// A block could not be handed over.
     pub fn give_back(&self, at: u64) {
-        if let Some(block) = self.inner.borrow_mut().block(at / BLOCK as u64) {
-            block.given = false;
+        if let Some(block) = self.inner.borrow_mut().block(at / BLOCK_BYTES as u64) {
+            block.submitted = false;
         }
     }
 
     /// Nothing is being written any more: what was handed over and not written is to be written again, if at all.
     pub fn take_back(&self) {
         let mut inner = self.inner.borrow_mut();
-        inner.blocks.iter_mut().for_each(|b| b.given = b.on_file);
+        inner.blocks.iter_mut().for_each(|b| b.submitted = b.on_file);
     }
 
     /// A block is in the file; its memory goes unless somebody is reading there.
     pub fn wrote(&self, at: u64) {
         let mut inner = self.inner.borrow_mut();
-        let number = at / BLOCK as u64;
-        let busy = inner.readers.iter().any(|(_, place)| place / BLOCK as u64 == number);
+        let number = at / BLOCK_BYTES as u64;
+        let busy = inner.readers.iter().any(|(_, place)| place / BLOCK_BYTES as u64 == number);
         if busy {
-            inner.lent.push_back(number);
+            inner.loaned.push_back(number);
         }
         if let Some(block) = inner.block(number) {
             block.on_file = true;
@@ -217,51 +219,53 @@
     }
 
     /// All that has come is in the file.
-    pub fn is_written(&self) -> bool {
+    pub fn is_on_disk(&self) -> bool {
         let inner = self.inner.borrow();
         inner.tail.is_empty() && inner.blocks.iter().all(|b| b.on_file)
     }
 
     /// Blocks to be read back now, with place and length; so many at most may be lent out.
-    pub fn to_read(&self, most: usize) -> Vec<(u64, usize)> {
+    pub fn next_reads(&self, most: usize) -> Vec<(u64, usize)> {
         let mut inner = self.inner.borrow_mut();
         let mut reads = Vec::new();
         for number in std::mem::take(&mut inner.wanted) {
             let block = number.checked_sub(inner.first).and_then(|at| inner.blocks.get(at as usize));
             let there = block.is_none_or(|b| !b.on_file || b.bytes.is_some());
-            if there || inner.coming.contains(&number) {
+            if there || inner.loading.contains(&number) {
                 continue;
             }
             // The oldest that is there makes room: who still needs it asks for it again.
-            while inner.lent.len() >= most.max(1) {
-                let Some(at) = inner.lent.iter().position(|lent| !inner.coming.contains(lent)) else { break };
-                let oldest = inner.lent.remove(at).unwrap_or_default();
+            while inner.loaned.len() >= most.max(1) {
+                let Some(at) = inner.loaned.iter().position(|loaned| !inner.loading.contains(loaned)) else {
+                    break;
+                };
+                let oldest = inner.loaned.remove(at).unwrap_or_default();
                 if let Some(block) = inner.block(oldest).filter(|b| b.on_file) {
                     block.bytes = None;
                 }
             }
-            if inner.lent.len() >= most.max(1) {
+            if inner.loaned.len() >= most.max(1) {
                 inner.wanted.insert(number);
                 continue;
             }
-            inner.lent.push_back(number);
-            inner.coming.insert(number);
+            inner.loaned.push_back(number);
+            inner.loading.insert(number);
             let length = inner.block(number).map_or(0, |b| b.length);
-            reads.push((number * BLOCK as u64, length));
+            reads.push((number * BLOCK_BYTES as u64, length));
         }
         reads
     }
 
-    pub fn has_wants(&self) -> bool {
+    pub fn has_pending_reads(&self) -> bool {
         !self.inner.borrow().wanted.is_empty()
     }
 
     pub fn read(&self, at: u64, bytes: Bytes) {
         let mut inner = self.inner.borrow_mut();
-        let number = at / BLOCK as u64;
-        inner.coming.remove(&number);
-        let lent = inner.lent.contains(&number);
-        if let Some(block) = inner.block(number).filter(|_| lent) {
+        let number = at / BLOCK_BYTES as u64;
+        inner.loading.remove(&number);
+        let loaned = inner.loaned.contains(&number);
+        if let Some(block) = inner.block(number).filter(|_| loaned) {
             block.bytes = Some(bytes);
         }
         // Whoever asked for it may have gone meanwhile.
@@ -269,7 +273,7 @@
     }
 }
 
-impl Inner {
+impl BodyState {
     fn block(&mut self, number: u64) -> Option<&mut Block> {
         number.checked_sub(self.first).and_then(|at| self.blocks.get_mut(at as usize))
     }
@@ -283,12 +287,13 @@
 
     /// Lets go of what no reader will come to, where no new one may come.
     fn trim(&mut self) {
-        if !self.passing || !self.begun {
+        if !self.pass_through || !self.begun {
             return;
         }
         let arrived = self.arrived - self.tail.len() as u64;
         let through = self.readers.iter().map(|(_, place)| *place).min().unwrap_or(arrived);
-        while !self.blocks.is_empty() && (self.first * BLOCK as u64 + self.blocks[0].length as u64) <= through
+        while !self.blocks.is_empty()
+            && (self.first * BLOCK_BYTES as u64 + self.blocks[0].length as u64) <= through
         {
             self.blocks.pop_front();
             self.first += 1;
@@ -298,34 +303,34 @@
 
 /// What each part of a scan carries.
 #[derive(Clone)]
-pub enum Text {
-    Short(Rc<str>),
-    Body(Rc<Body>),
+pub enum Payload {
+    Inline(Rc<str>),
+    Streamed(Rc<Body>),
     /// No dispatch can need it any more.
-    Gone,
+    Released,
 }
 
-impl Text {
+impl Payload {
     pub fn length(&self) -> u64 {
         match self {
-            Self::Short(text) => text.len() as u64,
-            Self::Body(body) => body.length(),
-            Self::Gone => 0,
+            Self::Inline(text) => text.len() as u64,
+            Self::Streamed(body) => body.length(),
+            Self::Released => 0,
         }
     }
 
     pub fn body(&self) -> Option<&Rc<Body>> {
-        if let Self::Body(body) = self { Some(body) } else { None }
+        if let Self::Streamed(body) = self { Some(body) } else { None }
     }
 }
 
 /// One frame's way through a body. What is left of it goes when the frame does.
-pub struct Reader {
+pub struct BodyReader {
     pub body: Rc<Body>,
     key: usize,
 }
 
-impl Reader {
+impl BodyReader {
     pub fn new(body: &Rc<Body>) -> Self {
         let key = body.inner.borrow_mut().readers.insert(0);
         Self { body: body.clone(), key }
@@ -343,14 +348,14 @@
     pub fn pieces(&self, most: usize, into: &mut Vec<Bytes>) {
         let mut inner = self.body.inner.borrow_mut();
         let place = inner.readers[self.key];
-        let (mut number, mut skip) = (place / BLOCK as u64, (place % BLOCK as u64) as usize);
+        let (mut number, mut skip) = (place / BLOCK_BYTES as u64, (place % BLOCK_BYTES as u64) as usize);
         for _ in 0..most {
             let Some(block) = inner.block(number).filter(|block| skip < block.length) else { return };
             match &block.bytes {
                 Some(bytes) => into.push(bytes.slice(skip..)),
                 None => {
                     // Only the next one: what would be read ahead for one could push out another's.
-                    if skip > 0 || number == place / BLOCK as u64 {
+                    if skip > 0 || number == place / BLOCK_BYTES as u64 {
                         inner.wanted.insert(number);
                     }
                     return;
@@ -362,9 +367,9 @@
 
     pub fn advance(&self, count: u64) {
         let mut inner = self.body.inner.borrow_mut();
-        let from = inner.readers[self.key] / BLOCK as u64;
+        let from = inner.readers[self.key] / BLOCK_BYTES as u64;
         inner.readers[self.key] += count;
-        let to = inner.readers[self.key] / BLOCK as u64;
+        let to = inner.readers[self.key] / BLOCK_BYTES as u64;
         for number in from..to {
             inner.leave(number);
         }
@@ -372,14 +377,14 @@
     }
 }
 
-impl Inner {
+impl BodyState {
     /// A reader is through with a block; lent out from a file, it need not be there any longer.
     fn leave(&mut self, number: u64) {
-        if !self.readers.iter().any(|(_, place)| place / BLOCK as u64 == number)
-            && !self.coming.contains(&number)
-            && let Some(at) = self.lent.iter().position(|lent| *lent == number)
+        if !self.readers.iter().any(|(_, place)| place / BLOCK_BYTES as u64 == number)
+            && !self.loading.contains(&number)
+            && let Some(at) = self.loaned.iter().position(|loaned| *loaned == number)
         {
-            self.lent.remove(at);
+            self.loaned.remove(at);
             if let Some(block) = self.block(number).filter(|b| b.on_file) {
                 block.bytes = None;
             }
@@ -387,11 +392,11 @@
     }
 }
 
-impl Drop for Reader {
+impl Drop for BodyReader {
     fn drop(&mut self) {
         let mut inner = self.body.inner.borrow_mut();
         let place = inner.readers.remove(self.key);
-        inner.leave(place / BLOCK as u64);
+        inner.leave(place / BLOCK_BYTES as u64);
         inner.trim();
     }
 }
@@ -407,7 +412,7 @@
     }
 
     /// Reads on as far as it goes, and what it got.
-    fn drain(reader: &Reader) -> Vec<u8> {
+    fn drain(reader: &BodyReader) -> Vec<u8> {
         let mut got = Vec::new();
         loop {
             let mut pieces = Vec::new();
@@ -424,16 +429,16 @@
 
     #[test]
     fn what_is_kept_is_read_as_often_as_asked_and_gone_with_its_last_holder() {
-        let (body, bytes, dropped) = body(3 * BLOCK + 5);
+        let (body, bytes, dropped) = body(3 * BLOCK_BYTES + 5);
         bytes.chunks(10_000).for_each(|piece| body.put(piece));
         body.end();
         for _ in 0..2 {
-            let reader = Reader::new(&body);
+            let reader = BodyReader::new(&body);
             assert!(drain(&reader) == bytes);
             assert_eq!(reader.left(), 0);
         }
         assert_eq!(body.in_memory(), bytes.len() as u64);
-        let reader = Reader::new(&body);
+        let reader = BodyReader::new(&body);
         drop(body);
         assert!(dropped.borrow().is_empty());
         drop(reader);
@@ -442,26 +447,26 @@
 
     #[test]
     fn what_passes_is_let_go_of_once_the_slowest_is_through() {
-        let (body, bytes, _) = body(4 * BLOCK);
+        let (body, bytes, _) = body(4 * BLOCK_BYTES);
         body.pass();
-        let (quick, slow) = (Reader::new(&body), Reader::new(&body));
+        let (quick, slow) = (BodyReader::new(&body), BodyReader::new(&body));
         body.begin();
-        body.put(&bytes[..2 * BLOCK]);
-        assert!(drain(&quick) == bytes[..2 * BLOCK]);
-        assert_eq!((body.in_memory(), slow.place()), (2 * BLOCK as u64, 0));
-        slow.advance(BLOCK as u64);
-        assert_eq!(body.in_memory(), BLOCK as u64);
+        body.put(&bytes[..2 * BLOCK_BYTES]);
+        assert!(drain(&quick) == bytes[..2 * BLOCK_BYTES]);
+        assert_eq!((body.in_memory(), slow.place()), (2 * BLOCK_BYTES as u64, 0));
+        slow.advance(BLOCK_BYTES as u64);
+        assert_eq!(body.in_memory(), BLOCK_BYTES as u64);
         drop(slow);
         assert_eq!(body.in_memory(), 0);
-        body.put(&bytes[2 * BLOCK..]);
+        body.put(&bytes[2 * BLOCK_BYTES..]);
         body.end();
-        assert!(drain(&quick) == bytes[2 * BLOCK..]);
+        assert!(drain(&quick) == bytes[2 * BLOCK_BYTES..]);
         assert_eq!(body.in_memory(), 0);
     }
 
     #[test]
     fn what_nobody_reads_any_more_is_thrown_away_as_it_comes() {
-        let (body, bytes, _) = body(4 * BLOCK);
+        let (body, bytes, _) = body(4 * BLOCK_BYTES);
         body.pass();
         body.begin();
         body.put(&bytes);
@@ -470,20 +475,20 @@
 
     #[test]
     fn what_is_in_a_file_is_read_back_a_few_blocks_at_a_time() {
-        let (body, bytes, _) = body(3 * BLOCK);
+        let (body, bytes, _) = body(3 * BLOCK_BYTES);
         body.put(&bytes);
         body.end();
-        while let Some((at, _)) = body.to_write() {
+        while let Some((at, _)) = body.next_write() {
             body.wrote(at);
         }
-        assert!(body.is_written());
+        assert!(body.is_on_disk());
         assert_eq!(body.in_memory(), 0);
-        let reader = Reader::new(&body);
+        let reader = BodyReader::new(&body);
         let mut got = Vec::new();
         while reader.left() > 0 {
             got.extend(drain(&reader));
-            for (at, length) in body.to_read(1) {
-                assert!(body.in_memory() <= BLOCK as u64);
+            for (at, length) in body.next_reads(1) {
+                assert!(body.in_memory() <= BLOCK_BYTES as u64);
                 let from = at as usize;
                 body.read(at, Bytes::copy_from_slice(&bytes[from..from + length]));
             }
@@ -494,36 +499,36 @@
 
     #[test]
     fn two_readers_far_apart_take_turns_with_one_block() {
-        let (body, bytes, _) = body(3 * BLOCK);
+        let (body, bytes, _) = body(3 * BLOCK_BYTES);
         body.put(&bytes);
         body.end();
-        while let Some((at, _)) = body.to_write() {
+        while let Some((at, _)) = body.next_write() {
             body.wrote(at);
         }
-        let (ahead, behind) = (Reader::new(&body), Reader::new(&body));
-        ahead.advance(2 * BLOCK as u64);
+        let (ahead, behind) = (BodyReader::new(&body), BodyReader::new(&body));
+        ahead.advance(2 * BLOCK_BYTES as u64);
         let (mut one, mut other) = (Vec::new(), Vec::new());
         for _ in 0..20 {
             one.extend(drain(&ahead));
             other.extend(drain(&behind));
-            for (at, length) in body.to_read(1) {
+            for (at, length) in body.next_reads(1) {
                 let from = at as usize;
                 body.read(at, Bytes::copy_from_slice(&bytes[from..from + length]));
             }
         }
-        assert!(one == bytes[2 * BLOCK..] && other == bytes);
+        assert!(one == bytes[2 * BLOCK_BYTES..] && other == bytes);
     }
 
     #[test]
     fn a_block_that_was_not_written_is_still_there_to_be_passed_on() {
-        let (body, bytes, _) = body(2 * BLOCK);
+        let (body, bytes, _) = body(2 * BLOCK_BYTES);
         body.put(&bytes);
         body.end();
-        let (at, _) = body.to_write().unwrap();
+        let (at, _) = body.next_write().unwrap();
         body.wrote(at);
-        body.to_write().unwrap();
+        body.next_write().unwrap();
         body.take_back();
-        assert_eq!((body.unwritten(), body.is_written()), (BLOCK as u64, false));
-        assert_eq!(body.to_write().unwrap().0, BLOCK as u64);
+        assert_eq!((body.unwritten_bytes(), body.is_on_disk()), (BLOCK_BYTES as u64, false));
+        assert_eq!(body.next_write().unwrap().0, BLOCK_BYTES as u64);
     }
 }
--- a/crates/dunepond-broker/src/body_store.rs
+++ b/crates/dunepond-broker/src/body_store.rs
@@ -8,51 +8,51 @@
 };
 use tracing::info;
 
-use crate::body::{BLOCK, Body, Dropped};
+use crate::body::{BLOCK_BYTES, Body, Dropped};
 
 /// What has become of a body, for whoever waits for it.
 #[derive(Debug)]
-pub enum Event {
+pub enum BodyEvent {
     /// All of it has come and is kept: its scan may begin.
-    Kept,
+    Buffered,
     /// It is passed on as it comes in, as it is not kept.
-    Passes(Reason),
+    PassThrough(Reason),
     /// It cannot be taken, or can be had no more.
     Lost(Reason),
 }
 
 /// A body and what is under way for it.
-struct Held {
+struct TrackedBody {
     body: Weak<Body>,
     table_type: usize,
     place: Place,
     /// From memory to its file, of which a part may be there already.
     moving: bool,
     /// Its client waits to hear that it is kept.
-    awaited: bool,
+    awaiting_client: bool,
     /// Bytes handed to the disk, and since when the oldest of them is there.
-    writing: u64,
-    reading: usize,
+    writing_bytes: u64,
+    pending_reads: usize,
     since: Option<f64>,
     on_disk: bool,
 }
 
-pub struct Bodies {
+pub struct BodyStore {
     keeper: Keeper,
     spool: Option<Spool>,
-    held: HashMap<BodyId, Held>,
+    held: HashMap<BodyId, TrackedBody>,
     dropped: Dropped,
     /// Bodies for which the disk had no room.
     waiting: Vec<BodyId>,
     table_types: Vec<String>,
-    pub events: VecDeque<(BodyId, Event)>,
-    /// An alarm is set to look them over.
-    pub watched: bool,
+    pub events: VecDeque<(BodyId, BodyEvent)>,
+    /// An timer is set to look them over.
+    pub check_scheduled: bool,
     /// More of some body can be read, or more taken in, than before.
-    pub progress: bool,
+    pub made_progress: bool,
 }
 
-impl Bodies {
+impl BodyStore {
     pub fn new(terms: Terms, spool: Option<Spool>, table_types: Vec<String>) -> Self {
         Self {
             keeper: Keeper::new(terms),
@@ -62,8 +62,8 @@
             waiting: Vec::new(),
             table_types,
             events: VecDeque::new(),
-            watched: false,
-            progress: false,
+            check_scheduled: false,
+            made_progress: false,
         }
     }
 
@@ -85,33 +85,33 @@
 
     /// A body begins to come in; what is not kept is told as an event at once.
     pub fn arrive(&mut self, now: f64, arrival: Arrival) -> Result<Rc<Body>, Reason> {
-        let given = self.keeper.arrive(now, arrival);
+        let submitted = self.keeper.arrive(now, arrival);
         let Given { id, place, why } =
-            given.inspect_err(|why| self.tell("not taken", arrival.table_type, *why))?;
+            submitted.inspect_err(|why| self.tell("rejected", arrival.table_type, *why))?;
         let reserved = place == Place::Memory && arrival.length.is_some();
         let limit = (!reserved).then_some(self.terms().window);
         let body = Body::new(id, arrival.length, limit, &self.dropped);
-        let held = Held {
+        let held = TrackedBody {
             body: Rc::downgrade(&body),
             table_type: arrival.table_type,
             place,
             moving: false,
-            awaited: place != Place::Passing,
-            writing: 0,
-            reading: 0,
+            awaiting_client: place != Place::Passing,
+            writing_bytes: 0,
+            pending_reads: 0,
             since: None,
             on_disk: false,
         };
         self.held.insert(id, held);
         if let Some(why) = why {
             self.tell(
-                if place == Place::File { "not in memory" } else { "not kept" },
+                if place == Place::File { "not in memory" } else { "not buffered" },
                 arrival.table_type,
                 why,
             );
             if place == Place::Passing {
                 body.pass();
-                self.events.push_back((id, Event::Passes(why)));
+                self.events.push_back((id, BodyEvent::PassThrough(why)));
             }
         }
         Ok(body)
@@ -127,20 +127,22 @@
     pub fn pump(&mut self, now: f64, id: BodyId) {
         let Some(held) = self.held.get_mut(&id) else { return };
         let Some(body) = held.body.upgrade() else { return };
-        if !body.is_stated() && held.place != Place::Passing && held.awaited {
+        if !body.has_known_length() && held.place != Place::Passing && held.awaiting_client {
             match self.keeper.grow(now, id, body.arrived()) {
                 Ok(place) if place != held.place => {
                     held.place = place;
                     body.limit(self.keeper.terms().window);
                 }
                 // Up to what is reserved, and one block on, or it would never be asked for more.
-                Ok(Place::Memory) => body.limit(self.keeper.reserved(id).max(body.arrived() + BLOCK as u64)),
+                Ok(Place::Memory) => {
+                    body.limit(self.keeper.reserved(id).max(body.arrived() + BLOCK_BYTES as u64))
+                }
                 Ok(_) => {}
                 Err(why) => {
-                    held.awaited = false;
+                    held.awaiting_client = false;
                     let table_type = held.table_type;
-                    self.tell("not taken", table_type, why);
-                    return self.events.push_back((id, Event::Lost(why)));
+                    self.tell("rejected", table_type, why);
+                    return self.events.push_back((id, BodyEvent::Lost(why)));
                 }
             }
         }
@@ -148,12 +150,12 @@
             return;
         }
         let Some(held) = self.held.get_mut(&id) else { return };
-        if held.awaited && body.is_whole() && (held.place == Place::Memory || body.is_written()) {
-            held.awaited = false;
+        if held.awaiting_client && body.is_whole() && (held.place == Place::Memory || body.is_on_disk()) {
+            held.awaiting_client = false;
             self.keeper.whole(now, id);
-            self.events.push_back((id, Event::Kept));
-            self.relieve(now);
-        } else if held.moving && body.is_written() {
+            self.events.push_back((id, BodyEvent::Buffered));
+            self.spill_coldest(now);
+        } else if held.moving && body.is_on_disk() {
             (held.moving, held.place) = (false, Place::File);
             self.keeper.spilled(id);
         }
@@ -163,14 +165,14 @@
     fn write(&mut self, now: f64, id: BodyId, body: &Rc<Body>) -> bool {
         let window = self.terms().window;
         let (Some(spool), Some(held)) = (&self.spool, self.held.get_mut(&id)) else { return true };
-        while held.writing < window
-            && let Some((at, bytes)) = body.to_write()
+        while held.writing_bytes < window
+            && let Some((at, bytes)) = body.next_write()
         {
             let length = bytes.len() as u64;
             if spool.submit(Job::Write { file: id, at, bytes }).is_err() {
                 body.give_back(at);
                 // What of it is under way, or may wait where it is, goes on once the disk has done something.
-                if held.writing == 0 && !held.moving {
+                if held.writing_bytes == 0 && !held.moving {
                     self.fault(now, id, Fault::Busy);
                     return false;
                 }
@@ -178,14 +180,14 @@
                 return true;
             }
             held.on_disk = true;
-            held.writing += length;
+            held.writing_bytes += length;
             held.since.get_or_insert(now);
         }
         true
     }
 
     /// The memory is pressed: the coldest go to files.
-    fn relieve(&mut self, now: f64) {
+    fn spill_coldest(&mut self, now: f64) {
         for order in self.keeper.pressed(now) {
             if let Some(held) = self.held.get_mut(&order.0) {
                 held.moving = true;
@@ -196,7 +198,7 @@
 
     /// What the disk has done.
     pub fn done(&mut self, now: f64, done: Done) {
-        self.progress = true;
+        self.made_progress = true;
         for id in std::mem::take(&mut self.waiting) {
             self.pump(now, id);
         }
@@ -206,18 +208,18 @@
         let Some(body) = held.body.upgrade() else { return };
         match done {
             Done::Wrote { at, length, .. } => {
-                held.writing = held.writing.saturating_sub(length as u64);
-                held.since = (held.writing > 0 || held.reading > 0).then_some(now);
+                held.writing_bytes = held.writing_bytes.saturating_sub(length as u64);
+                held.since = (held.writing_bytes > 0 || held.pending_reads > 0).then_some(now);
                 body.wrote(at);
                 self.pump(now, id);
             }
             Done::Read { at, bytes, .. } => {
-                held.reading = held.reading.saturating_sub(1);
-                held.since = (held.writing > 0 || held.reading > 0).then_some(now);
+                held.pending_reads = held.pending_reads.saturating_sub(1);
+                held.since = (held.writing_bytes > 0 || held.pending_reads > 0).then_some(now);
                 body.read(at, bytes);
             }
             // Of several writes under way all fail; what the body has fallen from cannot fail it again.
-            Done::Failed { fault, .. } if fault != Fault::Unreadable && held.writing == 0 => {}
+            Done::Failed { fault, .. } if fault != Fault::Unreadable && held.writing_bytes == 0 => {}
             Done::Failed { fault, .. } => self.fault(now, id, fault),
         }
     }
@@ -229,7 +231,7 @@
         if body.lost().is_some() {
             return;
         }
-        (held.writing, held.reading, held.since) = (0, 0, None);
+        (held.writing_bytes, held.pending_reads, held.since) = (0, 0, None);
         let table_type = held.table_type;
         let outcome = self.keeper.failed(now, id, fault);
         body.take_back();
@@ -242,33 +244,33 @@
                 self.tell("stays in memory", table_type, Reason::Disk(fault));
             }
             Ok(place) => {
-                (held.place, held.awaited) = (place, false);
+                (held.place, held.awaiting_client) = (place, false);
                 body.pass();
-                self.tell("not kept", table_type, Reason::Disk(fault));
-                self.events.push_back((id, Event::Passes(Reason::Disk(fault))));
+                self.tell("not buffered", table_type, Reason::Disk(fault));
+                self.events.push_back((id, BodyEvent::PassThrough(Reason::Disk(fault))));
             }
             Err(why) => {
-                (held.place, held.awaited) = (Place::Passing, false);
+                (held.place, held.awaiting_client) = (Place::Passing, false);
                 body.lose(why);
                 self.tell("lost", table_type, why);
-                self.events.push_back((id, Event::Lost(why)));
+                self.events.push_back((id, BodyEvent::Lost(why)));
             }
         }
     }
 
     /// Asks the disk for what readers wait for.
-    pub fn fetch(&mut self, now: f64) {
+    pub fn submit_reads(&mut self, now: f64) {
         let Some(spool) = &self.spool else { return };
         for (id, held) in &mut self.held {
-            let Some(body) = held.body.upgrade().filter(|body| body.has_wants()) else { continue };
-            let window = self.keeper.terms().window.saturating_sub(body.unwritten());
+            let Some(body) = held.body.upgrade().filter(|body| body.has_pending_reads()) else { continue };
+            let window = self.keeper.terms().window.saturating_sub(body.unwritten_bytes());
             // Where too much waits for the disk, so does this: something is under way, and its end brings us back.
             if !spool.has_room() {
                 return;
             }
-            for (at, length) in body.to_read(window as usize / BLOCK) {
+            for (at, length) in body.next_reads(window as usize / BLOCK_BYTES) {
                 spool.submit_over(Job::Read { file: *id, at, length });
-                held.reading += 1;
+                held.pending_reads += 1;
                 held.since.get_or_insert(now);
             }
         }
@@ -279,9 +281,9 @@
         let slowest = self.terms().slowest;
         let late =
             self.held.iter().filter(|(_, held)| held.since.is_some_and(|since| now - since >= slowest));
-        let late: Vec<_> = late.map(|(id, held)| (*id, held.writing > 0)).collect();
-        for (id, writing) in late {
-            self.fault(now, id, if writing { Fault::Slow } else { Fault::Unreadable });
+        let late: Vec<_> = late.map(|(id, held)| (*id, held.writing_bytes > 0)).collect();
+        for (id, writing_bytes) in late {
+            self.fault(now, id, if writing_bytes { Fault::Slow } else { Fault::Unreadable });
         }
     }
 
@@ -310,7 +312,7 @@
         self.keeper.held_beside(Kind::Buffers, buffers);
         self.keeper.held_beside(Kind::Values, values);
         let waiting = self.spool.as_ref().map_or(0, Spool::bytes);
-        let counted = if waiting > 0 { self.held.values().map(|held| held.writing).sum() } else { 0 };
+        let counted = if waiting > 0 { self.held.values().map(|held| held.writing_bytes).sum() } else { 0 };
         self.keeper.held_beside(Kind::Unwritten, waiting.saturating_sub(counted));
     }
 
--- a/crates/dunepond-broker/src/buffers.rs
+++ b/crates/dunepond-broker/src/buffers.rs
@@ -7,19 +7,19 @@
 
 use bytes::{Buf, Bytes};
 
-use crate::body::Reader;
+use crate::body::BodyReader;
 
 /// What the longest body or frame needs.
-pub const SIZE: usize = 64 * 1024;
+pub const BUFFER_BYTES: usize = 64 * 1024;
 /// Free buffers kept; beyond them a burst's buffers go back to the system.
-const KEPT: usize = 32;
+const MAX_FREE_BUFFERS: usize = 32;
 /// Pieces of a chain written in one go.
-const AT_ONCE: usize = 16;
+const MAX_SLICES_PER_WRITE: usize = 16;
 
 /// Has the allocator keep one heap for all threads. With one for each, what the disk's threads read for bodies and the
 /// loop let go of stayed with them, beside what the next ones took: up to 10 MiB over the bound were seen. Mapping each
 /// block by itself would give all of it back, but costs more than 20 us a block on the loop.
-pub fn one_heap() {
+pub fn use_single_malloc_arena() {
     #[cfg(all(target_os = "linux", target_env = "gnu"))]
     // SAFETY: mallopt only sets the allocator's own options; it may be called at any time.
     unsafe {
@@ -36,7 +36,7 @@
 impl Pool {
     pub fn take(&self) -> Buffer {
         let bytes = self.free.borrow_mut().pop();
-        let bytes = bytes.unwrap_or_else(|| vec![0; SIZE].into_boxed_slice());
+        let bytes = bytes.unwrap_or_else(|| vec![0; BUFFER_BYTES].into_boxed_slice());
         self.out.set(self.out.get() + 1);
         Buffer { bytes, from: 0, to: 0, pool: self.clone() }
     }
@@ -48,7 +48,7 @@
 
     /// What all of them take, the free ones too.
     pub fn bytes(&self) -> u64 {
-        ((self.out.get() + self.free.borrow().len()) * SIZE) as u64
+        ((self.out.get() + self.free.borrow().len()) * BUFFER_BYTES) as u64
     }
 }
 
@@ -64,7 +64,7 @@
     fn drop(&mut self) {
         self.pool.out.set(self.pool.out.get() - 1);
         let mut free = self.pool.free.borrow_mut();
-        if free.len() < KEPT {
+        if free.len() < MAX_FREE_BUFFERS {
             free.push(std::mem::take(&mut self.bytes));
         }
     }
@@ -80,7 +80,7 @@
     }
 
     pub fn is_full(&self) -> bool {
-        self.to - self.from == SIZE
+        self.to - self.from == BUFFER_BYTES
     }
 
     pub fn consume(&mut self, count: usize) {
@@ -92,7 +92,7 @@
 
     /// Takes as much of `bytes` as there is room for behind what it holds.
     pub fn put(&mut self, bytes: &[u8]) -> usize {
-        let count = bytes.len().min(SIZE - self.to);
+        let count = bytes.len().min(BUFFER_BYTES - self.to);
         self.bytes[self.to..self.to + count].copy_from_slice(&bytes[..count]);
         self.to += count;
         count
@@ -105,7 +105,7 @@
 
     /// One read behind what it holds; `Ok(0)` is the end of the stream, as there is always room.
     pub fn read_from(&mut self, mut stream: impl Read) -> io::Result<usize> {
-        if self.to == SIZE {
+        if self.to == BUFFER_BYTES {
             self.bytes.copy_within(self.from..self.to, 0);
             (self.from, self.to) = (0, self.to - self.from);
         }
@@ -116,43 +116,43 @@
 }
 
 /// A piece of what waits: bytes of its own, or a place in what others send as well and nobody copies.
-enum Piece {
-    Own(Buffer),
-    Text(Rc<str>, usize),
+enum Chunk {
+    Owned(Buffer),
+    SharedText(Rc<str>, usize),
     /// A few bytes that are not worth a buffer.
-    Few(Bytes),
-    Body(Reader),
+    Small(Bytes),
+    Streamed(BodyReader),
 }
 
-impl Piece {
+impl Chunk {
     fn is_empty(&self) -> bool {
         match self {
-            Self::Own(buffer) => buffer.is_empty(),
-            Self::Text(text, at) => *at == text.len(),
-            Self::Few(bytes) => bytes.is_empty(),
-            Self::Body(reader) => reader.left() == 0,
+            Self::Owned(buffer) => buffer.is_empty(),
+            Self::SharedText(text, at) => *at == text.len(),
+            Self::Small(bytes) => bytes.is_empty(),
+            Self::Streamed(reader) => reader.left() == 0,
         }
     }
 
     /// Lets so much be written of it, or all that it has.
     fn consume(&mut self, count: usize) -> usize {
         match self {
-            Self::Own(buffer) => {
+            Self::Owned(buffer) => {
                 let count = count.min(buffer.held().len());
                 buffer.consume(count);
                 count
             }
-            Self::Text(text, at) => {
+            Self::SharedText(text, at) => {
                 let count = count.min(text.len() - *at);
                 *at += count;
                 count
             }
-            Self::Few(bytes) => {
+            Self::Small(bytes) => {
                 let count = count.min(bytes.len());
                 bytes.advance(count);
                 count
             }
-            Self::Body(reader) => {
+            Self::Streamed(reader) => {
                 let count = (count as u64).min(reader.left());
                 reader.advance(count);
                 count as usize
@@ -162,8 +162,8 @@
 }
 
 /// What waits to be written to one connection, counted in bytes since it was opened.
-pub struct Outflow {
-    chain: VecDeque<Piece>,
+pub struct WriteQueue {
+    chain: VecDeque<Chunk>,
     pool: Pool,
     put: u64,
     written: u64,
@@ -174,7 +174,7 @@
     copied: u64,
 }
 
-impl Outflow {
+impl WriteQueue {
     pub fn new(pool: &Pool) -> Self {
         let (chain, pool) = (VecDeque::new(), pool.clone());
         Self { chain, pool, put: 0, written: 0, bodies: 0, starved: false, copied: 0 }
@@ -185,53 +185,53 @@
         self.copied += bytes.len() as u64;
         while !bytes.is_empty() {
             let count = match self.chain.back_mut() {
-                Some(Piece::Own(last)) => last.put(bytes),
+                Some(Chunk::Owned(last)) => last.put(bytes),
                 _ => 0,
             };
             bytes = &bytes[count..];
             if !bytes.is_empty() {
-                self.chain.push_back(Piece::Own(self.pool.take()));
+                self.chain.push_back(Chunk::Owned(self.pool.take()));
             }
         }
     }
 
     /// Puts what goes before a body: a buffer for each frame would be held for as long as its body takes.
-    pub fn put_few(&mut self, bytes: Vec<u8>) {
+    pub fn queue_small(&mut self, bytes: Vec<u8>) {
         self.put += bytes.len() as u64;
         self.copied += bytes.len() as u64;
-        self.chain.push_back(Piece::Few(bytes.into()));
+        self.chain.push_back(Chunk::Small(bytes.into()));
     }
 
     /// Puts a text that others send as well; it is written from where it is.
-    pub fn put_text(&mut self, text: &Rc<str>) {
+    pub fn queue_text(&mut self, text: &Rc<str>) {
         self.put += text.len() as u64;
-        self.chain.push_back(Piece::Text(text.clone(), 0));
+        self.chain.push_back(Chunk::SharedText(text.clone(), 0));
     }
 
     /// Puts a body whose length is known; it is written as it can be had.
-    pub fn put_body(&mut self, reader: Reader) {
+    pub fn queue_body(&mut self, reader: BodyReader) {
         if reader.left() == 0 {
             return;
         }
         self.put += reader.left();
         self.bodies += 1;
-        self.chain.push_back(Piece::Body(reader));
+        self.chain.push_back(Chunk::Streamed(reader));
     }
 
     /// Takes back what was put from a place on, as far as nothing of it has been written: `from` lies between two
     /// frames. Gives back the body that was in it.
-    pub fn take_back(&mut self, from: u64) -> Option<Reader> {
+    pub fn take_back(&mut self, from: u64) -> Option<BodyReader> {
         let mut body = None;
         while self.put > from.max(self.written) {
             let Some(last) = self.chain.back_mut() else { break };
             let over = self.put - from.max(self.written);
             let held = match last {
-                Piece::Own(buffer) => buffer.held().len() as u64,
-                Piece::Text(text, at) => (text.len() - *at) as u64,
-                Piece::Few(bytes) => bytes.len() as u64,
-                Piece::Body(reader) => reader.left(),
+                Chunk::Owned(buffer) => buffer.held().len() as u64,
+                Chunk::SharedText(text, at) => (text.len() - *at) as u64,
+                Chunk::Small(bytes) => bytes.len() as u64,
+                Chunk::Streamed(reader) => reader.left(),
             };
-            if let Piece::Own(buffer) = last
+            if let Chunk::Owned(buffer) = last
                 && held > over
             {
                 buffer.take_back(over as usize);
@@ -239,7 +239,7 @@
                 break;
             }
             self.put -= held;
-            if let Some(Piece::Body(reader)) = self.chain.pop_back() {
+            if let Some(Chunk::Streamed(reader)) = self.chain.pop_back() {
                 self.bodies -= 1;
                 body = Some(reader);
             }
@@ -265,13 +265,15 @@
     }
 
     /// It could be written on, if only the next piece of a body were there.
-    pub fn is_starved(&self) -> bool {
+    pub fn is_awaiting_body(&self) -> bool {
         self.starved
     }
 
     /// The body that is being written, or is next.
-    pub fn body(&self) -> Option<&Reader> {
-        self.chain.iter().find_map(|piece| if let Piece::Body(reader) = piece { Some(reader) } else { None })
+    pub fn body(&self) -> Option<&BodyReader> {
+        self.chain
+            .iter()
+            .find_map(|piece| if let Chunk::Streamed(reader) = piece { Some(reader) } else { None })
     }
 
     /// Bytes copied into it since the last call.
@@ -283,28 +285,28 @@
     pub fn flush(&mut self, mut stream: impl Write) -> io::Result<()> {
         self.starved = false;
         while !self.chain.is_empty() {
-            let mut lent = Vec::new();
+            let mut loaned = Vec::new();
             let outcome = if self.bodies == 0 {
-                let slices: Vec<_> = self.chain.iter().take(AT_ONCE).filter_map(plain).collect();
+                let slices: Vec<_> = self.chain.iter().take(MAX_SLICES_PER_WRITE).filter_map(plain).collect();
                 stream.write_vectored(&slices)
             } else {
                 // What bodies lend is kept alive beside the slices that point into it.
                 let mut counts = Vec::new();
-                for piece in self.chain.iter().take(AT_ONCE) {
-                    let before = lent.len();
-                    if let Piece::Body(reader) = piece {
-                        reader.pieces(AT_ONCE, &mut lent);
-                        counts.push(lent.len() - before);
+                for piece in self.chain.iter().take(MAX_SLICES_PER_WRITE) {
+                    let before = loaned.len();
+                    if let Chunk::Streamed(reader) = piece {
+                        reader.pieces(MAX_SLICES_PER_WRITE, &mut loaned);
+                        counts.push(loaned.len() - before);
                         break;
                     }
                     counts.push(0);
                 }
-                let mut pieces = lent.iter();
+                let mut pieces = loaned.iter();
                 let slices = self.chain.iter().zip(&counts).flat_map(|(piece, count)| {
                     let bodies: Vec<_> = pieces.by_ref().take(*count).map(|b| IoSlice::new(b)).collect();
                     plain(piece).into_iter().chain(bodies)
                 });
-                let slices: Vec<_> = slices.take(2 * AT_ONCE).collect();
+                let slices: Vec<_> = slices.take(2 * MAX_SLICES_PER_WRITE).collect();
                 if slices.is_empty() {
                     self.starved = true;
                     return Ok(());
@@ -324,7 +326,7 @@
                 if !first.is_empty() {
                     break;
                 }
-                if let Some(Piece::Body(_)) = self.chain.pop_front() {
+                if let Some(Chunk::Streamed(_)) = self.chain.pop_front() {
                     self.bodies -= 1;
                 }
             }
@@ -333,12 +335,12 @@
     }
 }
 
-fn plain(piece: &Piece) -> Option<IoSlice<'_>> {
+fn plain(piece: &Chunk) -> Option<IoSlice<'_>> {
     match piece {
-        Piece::Own(buffer) => Some(IoSlice::new(buffer.held())),
-        Piece::Text(text, at) => Some(IoSlice::new(&text.as_bytes()[*at..])),
-        Piece::Few(bytes) => Some(IoSlice::new(bytes)),
-        Piece::Body(_) => None,
+        Chunk::Owned(buffer) => Some(IoSlice::new(buffer.held())),
+        Chunk::SharedText(text, at) => Some(IoSlice::new(&text.as_bytes()[*at..])),
+        Chunk::Small(bytes) => Some(IoSlice::new(bytes)),
+        Chunk::Streamed(_) => None,
     }
 }
 
@@ -368,12 +370,12 @@
     #[test]
     fn what_is_put_comes_out_in_order_however_little_the_stream_takes() {
         let pool = Pool::default();
-        let bytes: Vec<u8> = (0..3 * SIZE).map(|i| (i % 251) as u8).collect();
-        let mut out = Outflow::new(&pool);
+        let bytes: Vec<u8> = (0..3 * BUFFER_BYTES).map(|i| (i % 251) as u8).collect();
+        let mut out = WriteQueue::new(&pool);
         bytes.chunks(10_000).for_each(|piece| out.put(piece));
-        let mut stream = Narrow(Vec::new(), SIZE);
+        let mut stream = Narrow(Vec::new(), BUFFER_BYTES);
         out.flush(&mut stream).unwrap();
-        assert_eq!((out.written(), out.waiting()), (SIZE as u64, 2 * SIZE));
+        assert_eq!((out.written(), out.waiting()), (BUFFER_BYTES as u64, 2 * BUFFER_BYTES));
         stream.1 = bytes.len();
         out.flush(&mut stream).unwrap();
         assert!(out.is_empty() && stream.0 == bytes);
@@ -386,29 +388,29 @@
         let text: Rc<str> = "text".into();
         let body = Body::new(1, Some(6), None, &Default::default());
         body.put(b"bo");
-        let mut out = Outflow::new(&pool);
+        let mut out = WriteQueue::new(&pool);
         out.put(b"<");
-        out.put_text(&text);
-        out.put_body(Reader::new(&body));
+        out.queue_text(&text);
+        out.queue_body(BodyReader::new(&body));
         out.put(b">");
         assert_eq!((out.end(), out.take_copied()), (12, 2));
-        let mut stream = Narrow(Vec::new(), SIZE);
+        let mut stream = Narrow(Vec::new(), BUFFER_BYTES);
         out.flush(&mut stream).unwrap();
-        assert!(out.is_starved() && stream.0 == b"<text");
+        assert!(out.is_awaiting_body() && stream.0 == b"<text");
         body.put(b"dies");
         body.end();
         out.flush(&mut stream).unwrap();
-        assert!(out.is_empty() && !out.is_starved() && stream.0 == b"<textbodies>");
+        assert!(out.is_empty() && !out.is_awaiting_body() && stream.0 == b"<textbodies>");
     }
 
     #[test]
     fn a_buffer_read_to_its_end_makes_room_for_the_rest_of_a_message() {
         let mut buffer = Pool::default().take();
-        let mut stream = &vec![7; SIZE + 10][..];
-        assert_eq!(buffer.read_from(&mut stream).unwrap(), SIZE);
+        let mut stream = &vec![7; BUFFER_BYTES + 10][..];
+        assert_eq!(buffer.read_from(&mut stream).unwrap(), BUFFER_BYTES);
         assert!(buffer.is_full());
         buffer.consume(100);
         assert_eq!(buffer.read_from(&mut stream).unwrap(), 10);
-        assert_eq!(buffer.held().len(), SIZE - 90);
+        assert_eq!(buffer.held().len(), BUFFER_BYTES - 90);
     }
 }
--- a/crates/dunepond-broker/src/clock.rs
+++ b/crates/dunepond-broker/src/clock.rs
@@ -29,48 +29,48 @@
 
 /// What is due at some time, each naming whom it concerns.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Due {
-    Wake,
-    ScanEnds(u64),
-    Link(usize),
-    Question(usize),
+pub enum TimerEvent {
+    RouterWake,
+    QueryDeadline(u64),
+    UpstreamConnection(usize),
+    PrefilterConnection(usize),
     /// Phase one is over for some scan.
-    Asking,
+    Prefilter,
     /// Another snapshot of what was learned.
     Snapshot,
     /// Background work may go on.
-    Work,
-    ClientSlow(usize),
-    ClientMore(usize),
+    BackgroundJob,
+    ClientTimeout(usize),
+    ClientResume(usize),
     Discovery,
-    Accept,
+    ResumeAccept,
     /// Discovery has not spoken since the start.
-    FirstList,
-    Drain,
+    FirstListTimeout,
+    ShutdownStage,
     /// What passes and what the disk does is looked over.
-    Bodies,
+    BodyCheck,
     Counters,
 }
 
-/// An alarm that is set; good for taking it back.
-pub type Key = (u64, u64);
+/// An timer that is set; good for taking it back.
+pub type TimerKey = (u64, u64);
 
 /// Kept in order of time: calloop's own timers pass all of them to take one back.
 #[derive(Default)]
-pub struct Alarms {
-    set: BTreeMap<Key, Due>,
+pub struct Timers {
+    set: BTreeMap<TimerKey, TimerEvent>,
     count: u64,
 }
 
-impl Alarms {
-    pub fn set(&mut self, at: f64, due: Due) -> Key {
+impl Timers {
+    pub fn set(&mut self, at: f64, due: TimerEvent) -> TimerKey {
         self.count += 1;
         let key = ((at.max(0.0) * 1e6) as u64, self.count);
         self.set.insert(key, due);
         key
     }
 
-    pub fn unset(&mut self, key: Option<Key>) {
+    pub fn unset(&mut self, key: Option<TimerKey>) {
         if let Some(key) = key {
             self.set.remove(&key);
         }
@@ -81,14 +81,14 @@
         Some(Duration::from_micros(micros.saturating_sub((now * 1e6) as u64)))
     }
 
-    pub fn take_due(&mut self, now: f64) -> Option<Due> {
+    pub fn pop_due(&mut self, now: f64) -> Option<TimerEvent> {
         let first = self.set.first_entry()?;
         if is_due(*first.key(), now) { Some(first.remove()) } else { None }
     }
 }
 
-/// Whether an alarm's time has come, rung or not.
-pub fn is_due(key: Key, now: f64) -> bool {
+/// Whether an timer's time has come, rung or not.
+pub fn is_due(key: TimerKey, now: f64) -> bool {
     key.0 <= (now * 1e6) as u64
 }
 
@@ -98,14 +98,17 @@
 
     #[test]
     fn alarms_ring_in_order_of_time_and_not_once_they_are_taken_back() {
-        let mut alarms = Alarms::default();
-        alarms.set(3.0, Due::Discovery);
-        let taken_back = alarms.set(1.0, Due::Wake);
-        alarms.set(2.0, Due::Accept);
-        alarms.unset(Some(taken_back));
-        assert_eq!(alarms.until_next(1.5), Some(Duration::from_millis(500)));
-        assert_eq!(alarms.take_due(1.9), None);
-        assert_eq!((alarms.take_due(9.0), alarms.take_due(9.0)), (Some(Due::Accept), Some(Due::Discovery)));
-        assert_eq!(alarms.until_next(9.0), None);
+        let mut timers = Timers::default();
+        timers.set(3.0, TimerEvent::Discovery);
+        let taken_back = timers.set(1.0, TimerEvent::RouterWake);
+        timers.set(2.0, TimerEvent::ResumeAccept);
+        timers.unset(Some(taken_back));
+        assert_eq!(timers.until_next(1.5), Some(Duration::from_millis(500)));
+        assert_eq!(timers.pop_due(1.9), None);
+        assert_eq!(
+            (timers.pop_due(9.0), timers.pop_due(9.0)),
+            (Some(TimerEvent::ResumeAccept), Some(TimerEvent::Discovery))
+        );
+        assert_eq!(timers.until_next(9.0), None);
     }
 }
--- a/crates/dunepond-broker/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -10,27 +10,27 @@
 use serde_json::Value;
 use tracing::level_filters::LevelFilter;
 
-use crate::buffers::SIZE;
+use crate::buffers::BUFFER_BYTES;
 
 /// Descriptors for what is neither a client nor a node: standard streams, loop, signals and listener take eleven, calls to a
 /// silent discovery twelve at most, and one goes to a client that is taken in before another makes room.
-const OWN_SOCKETS: u64 = 24;
-const MEMORY_MB: f64 = 192.0;
-const SOCKETS: u64 = 1024;
+const RESERVED_DESCRIPTORS: u64 = 24;
+const DEFAULT_MEMORY_MIB: f64 = 192.0;
+const DEFAULT_DESCRIPTORS: u64 = 1024;
 
 #[derive(Debug)]
-pub struct Start {
+pub struct StartupConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub level: LevelFilter,
-    pub most_clients: usize,
+    pub max_clients: usize,
     /// Buffers that may be in use before one more is taken for a request.
-    pub most_buffers: usize,
+    pub max_buffers: usize,
     pub most_links: usize,
     pub deployment: Deployment,
     /// A setting that allows what sockets do not serve, and that the broker does without.
-    pub unserved: Option<&'static str>,
+    pub unsupported_setting: Option<&'static str>,
     pub bounds: Bounds,
     /// The list as this broker last held it, in discovery's form.
     pub known: Value,
@@ -47,7 +47,7 @@
     })
 }
 
-pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Start, Bad> {
+pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, Bad> {
     let path = variable("GW_CONFIG").ok_or_else(|| Bad("GW_CONFIG: not set".to_string()))?;
     let text = std::fs::read_to_string(&path).map_err(|e| Bad(format!("GW_CONFIG: {path}: {e}")))?;
     let file = dunepond_config::json(text.as_bytes());
@@ -57,7 +57,7 @@
 
 /// Reads it all again, under way. The environment still says what was so at the start, so that the file goes
 /// before it: a file with another address of discovery would otherwise change nothing.
-pub fn reread(variable: impl Fn(&str) -> Option<String>) -> Result<Start, Bad> {
+pub fn reread(variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, Bad> {
     read(|name| Some(name).filter(|name| matches!(*name, "GW_CONFIG" | "GW_LOG")).and_then(&variable))
 }
 
@@ -66,7 +66,7 @@
     start(file, |_| None).map(drop)
 }
 
-fn start(file: &Value, variable: impl Fn(&str) -> Option<String>) -> Result<Start, Bad> {
+fn start(file: &Value, variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, Bad> {
     let config = Fields::of("config", file)?;
     // At the start, what the environment says goes before the file.
     let told = |name: &str, key: &str| match variable(name) {
@@ -86,9 +86,9 @@
         return Err(settings.bad("familyInfo.secondStep", "second steps are not served on sockets"));
     }
     // The frames have no probe.
-    let unserved = std::mem::take(&mut deployment.may_probe).then_some("ceilings.mayProbe");
-    let sockets = config.count_or("limits.sockets", SOCKETS)?;
-    let memory = config.number_or("limits.memory_mb", MEMORY_MB)?;
+    let unsupported_setting = std::mem::take(&mut deployment.may_probe).then_some("ceilings.mayProbe");
+    let sockets = config.count_or("limits.sockets", DEFAULT_DESCRIPTORS)?;
+    let memory = config.number_or("limits.memory_mb", DEFAULT_MEMORY_MIB)?;
     let level = match variable("GW_LOG") {
         Some(value) => value.parse().map_err(|_| Bad(format!("GW_LOG: '{value}' is no level")))?,
         None => match config.optional_text("log")? {
@@ -98,25 +98,25 @@
     };
     // Connections hold buffers only while something is in them. A quarter of the memory is for those; the rest
     // for scans in hand, queued frames and the program itself.
-    let most = sockets.saturating_sub(OWN_SOCKETS);
-    let most_buffers = (memory * 1024.0 * 1024.0 / 4.0 / SIZE as f64) as usize;
-    if most < 16 || most_buffers < 16 {
+    let most = sockets.saturating_sub(RESERVED_DESCRIPTORS);
+    let max_buffers = (memory * 1024.0 * 1024.0 / 4.0 / BUFFER_BYTES as f64) as usize;
+    if most < 16 || max_buffers < 16 {
         return Err(config.bad("limits", "too little memory or sockets for any connections"));
     }
     // Each node is sent to on few connections, by however many clients: no term says how many, and this share is ours. It is of
     // the settings' descriptors, and what is idle makes room for what is wanted; where a connection carries few parts and a
     // scan has many, it bounds how many scans are out at once.
     let most_links = (most / 4) as usize;
-    Ok(Start {
+    Ok(StartupConfig {
         name: told("GW_NAME", "name")?.0,
         listen: address("GW_LISTEN", "listen")?,
         discovery: address("GW_DISCOVERY", "discovery")?,
         level,
-        most_clients: most as usize - most_links,
-        most_buffers,
+        max_clients: most as usize - most_links,
+        max_buffers,
         most_links,
         deployment,
-        unserved,
+        unsupported_setting,
         bounds: bounds(&settings)?,
         known: config.maybe("known", "a list of nodes", Some)?.cloned().unwrap_or(Value::Null),
         operator: Operator::default(),
--- a/crates/dunepond-broker/src/config_reload.rs
+++ b/crates/dunepond-broker/src/config_reload.rs
@@ -7,26 +7,26 @@
 use dunepond_config::Bad;
 use dunepond_config::operator::Operator;
 
-use crate::config::{self, Start};
+use crate::config::{self, StartupConfig};
 
 /// What was read, or why it will not do.
-pub struct Configuration {
-    pub start: Result<Start, Bad>,
+pub struct LoadedConfig {
+    pub start: Result<StartupConfig, Bad>,
     /// The operator's file, where there is one.
     pub operator: Option<Result<Operator, Bad>>,
 }
 
 /// Reads the configuration on a thread of its own, one reading at a time.
-pub struct Rereader {
-    sender: Sender<Box<Configuration>>,
+pub struct ConfigReloader {
+    sender: Sender<Box<LoadedConfig>>,
     operator: Option<PathBuf>,
     is_reading: bool,
     /// It was asked for again meanwhile: what is being read may be old.
     again: bool,
 }
 
-impl Rereader {
-    pub fn new(sender: Sender<Box<Configuration>>, operator: Option<PathBuf>) -> Self {
+impl ConfigReloader {
+    pub fn new(sender: Sender<Box<LoadedConfig>>, operator: Option<PathBuf>) -> Self {
         Self { sender, operator, is_reading: false, again: false }
     }
 
@@ -41,7 +41,7 @@
             let start = config::reread(|name| std::env::var(name).ok());
             let operator = operator.as_deref().map(config::operator);
             // The broker may have ended meanwhile.
-            let _ = sender.send(Box::new(Configuration { start, operator }));
+            let _ = sender.send(Box::new(LoadedConfig { start, operator }));
         };
         thread::Builder::new().name("reread".to_string()).spawn(read)?;
         self.is_reading = true;
@@ -49,7 +49,7 @@
     }
 
     /// What was read has come; true if it is to be read once more.
-    pub fn has_come(&mut self) -> bool {
+    pub fn take_read_again(&mut self) -> bool {
         self.is_reading = false;
         std::mem::take(&mut self.again)
     }
--- a/crates/dunepond-broker/src/connection_end.rs
+++ b/crates/dunepond-broker/src/connection_end.rs
@@ -7,41 +7,41 @@
 use dunepond_routing::AttemptOutcome;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ending {
+pub enum ConnectionEnd {
     /// There is no address or room in the loop for it.
-    NoMeans,
+    LocalResources,
     /// The process has no descriptor left for it.
-    NoDescriptor,
+    DescriptorsExhausted,
     Refused,
     /// Not up within the connect limit.
-    NeverUp,
+    ConnectTimeout,
     Reset,
     /// The peer closed it in order.
     Closed,
     /// The peer sent what cannot be read.
-    Garbled,
+    ProtocolError,
     /// The node could not use a frame of ours.
-    Complaint,
+    RejectedByPeer,
     /// A frame of which a part was written had to be taken back.
-    CutShort,
+    FrameAborted,
     /// The process behind it is known to have been replaced.
     Replaced,
     /// We closed it while nothing was out.
-    Unused,
+    IdleClosed,
     /// The peer did not send or take the rest within its time.
-    Stalled,
+    IoTimeout,
     /// It took too little of a body that passes, and the others wait for it.
-    Outpaced,
+    SlowConsumer,
     /// The body of a frame that was half written can be had no more.
     BodyLost,
 }
 
-impl Ending {
+impl ConnectionEnd {
     pub fn of(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::ConnectionRefused => Self::Refused,
             io::ErrorKind::TimedOut | io::ErrorKind::HostUnreachable | io::ErrorKind::NetworkUnreachable => {
-                Self::NeverUp
+                Self::ConnectTimeout
             }
             _ => Self::Reset,
         }
@@ -53,7 +53,7 @@
     pub fn end(self, written: bool) -> AttemptOutcome {
         match (self, written) {
             // Our own lack must not be held against the node.
-            (Self::NoMeans | Self::NoDescriptor, _) => AttemptOutcome::NotSent,
+            (Self::LocalResources | Self::DescriptorsExhausted, _) => AttemptOutcome::NotSent,
             (_, false) => AttemptOutcome::ConnectFailed,
             (_, true) => AttemptOutcome::ConnectionLost,
         }
@@ -62,32 +62,32 @@
     /// Why a question is not answered that was out when its connection ended.
     pub fn unanswered(self) -> RequestFailure {
         match self {
-            Self::Complaint | Self::Closed => RequestFailure::Unsupported,
-            Self::Garbled => RequestFailure::Malformed,
-            Self::Stalled => RequestFailure::Timeout,
+            Self::RejectedByPeer | Self::Closed => RequestFailure::Unsupported,
+            Self::ProtocolError => RequestFailure::Malformed,
+            Self::IoTimeout => RequestFailure::Timeout,
             Self::Replaced => RequestFailure::NodeGone,
             _ => RequestFailure::NoConnection,
         }
     }
 }
 
-impl fmt::Display for Ending {
+impl fmt::Display for ConnectionEnd {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Self::NoMeans => "could not be opened",
-            Self::NoDescriptor => "found no descriptor",
+            Self::LocalResources => "could not be opened",
+            Self::DescriptorsExhausted => "could not be opened: no file descriptor left",
             Self::Refused => "refused",
-            Self::NeverUp => "never came up",
-            Self::Reset => "broke",
+            Self::ConnectTimeout => "timed out while connecting",
+            Self::Reset => "was reset",
             Self::Closed => "closed by the peer",
-            Self::Garbled => "sent what cannot be read",
-            Self::Complaint => "could not use a frame",
-            Self::CutShort => "closed with a frame half written",
+            Self::ProtocolError => "sent an unreadable message",
+            Self::RejectedByPeer => "closed: the peer rejected a frame",
+            Self::FrameAborted => "closed with a partly written frame",
             Self::Replaced => "belonged to a process that was replaced",
-            Self::Unused => "closed unused",
-            Self::Stalled => "stalled",
-            Self::Outpaced => "took too little of a passing body",
-            Self::BodyLost => "had a frame half written whose body is lost",
+            Self::IdleClosed => "closed while idle",
+            Self::IoTimeout => "stalled",
+            Self::SlowConsumer => "read a streamed body too slowly",
+            Self::BodyLost => "closed: the body of a partly written frame was lost",
         })
     }
 }
@@ -99,34 +99,37 @@
     use super::*;
 
     #[rstest]
-    #[case(Ending::NoMeans, AttemptOutcome::NotSent, AttemptOutcome::NotSent)]
-    #[case(Ending::NoDescriptor, AttemptOutcome::NotSent, AttemptOutcome::NotSent)]
-    #[case(Ending::Refused, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(Ending::NeverUp, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(Ending::Reset, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(Ending::Closed, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(Ending::Garbled, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(Ending::Complaint, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(Ending::CutShort, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(Ending::Replaced, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(Ending::Unused, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(Ending::Stalled, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(Ending::Outpaced, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(Ending::BodyLost, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(ConnectionEnd::LocalResources, AttemptOutcome::NotSent, AttemptOutcome::NotSent)]
+    #[case(ConnectionEnd::DescriptorsExhausted, AttemptOutcome::NotSent, AttemptOutcome::NotSent)]
+    #[case(ConnectionEnd::Refused, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(ConnectionEnd::ConnectTimeout, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(ConnectionEnd::Reset, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(ConnectionEnd::Closed, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(ConnectionEnd::ProtocolError, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(ConnectionEnd::RejectedByPeer, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(ConnectionEnd::FrameAborted, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(ConnectionEnd::Replaced, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(ConnectionEnd::IdleClosed, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(ConnectionEnd::IoTimeout, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(ConnectionEnd::SlowConsumer, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
+    #[case(ConnectionEnd::BodyLost, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
     fn only_the_last_byte_of_its_frame_makes_a_part_one_that_may_have_run(
-        #[case] ending: Ending,
-        #[case] unwritten: AttemptOutcome,
+        #[case] ending: ConnectionEnd,
+        #[case] unwritten_bytes: AttemptOutcome,
         #[case] written: AttemptOutcome,
     ) {
-        assert_eq!((ending.end(false), ending.end(true)), (unwritten, written));
+        assert_eq!((ending.end(false), ending.end(true)), (unwritten_bytes, written));
     }
 
     #[rstest]
-    #[case(io::ErrorKind::ConnectionRefused, Ending::Refused)]
-    #[case(io::ErrorKind::TimedOut, Ending::NeverUp)]
-    #[case(io::ErrorKind::ConnectionReset, Ending::Reset)]
-    #[case(io::ErrorKind::BrokenPipe, Ending::Reset)]
-    fn an_error_of_the_system_is_one_of_the_endings(#[case] kind: io::ErrorKind, #[case] ending: Ending) {
-        assert_eq!(Ending::of(&kind.into()), ending);
+    #[case(io::ErrorKind::ConnectionRefused, ConnectionEnd::Refused)]
+    #[case(io::ErrorKind::TimedOut, ConnectionEnd::ConnectTimeout)]
+    #[case(io::ErrorKind::ConnectionReset, ConnectionEnd::Reset)]
+    #[case(io::ErrorKind::BrokenPipe, ConnectionEnd::Reset)]
+    fn an_error_of_the_system_is_one_of_the_endings(
+        #[case] kind: io::ErrorKind,
+        #[case] ending: ConnectionEnd,
+    ) {
+        assert_eq!(ConnectionEnd::of(&kind.into()), ending);
     }
 }
--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -12,16 +12,16 @@
 use dunepond_routing::Idempotency;
 use dunepond_shard_map::{AnsweredPart, KeyRange, VerifiedMap, verify_coverage};
 
-use super::fence::{self, Fate, Side, Stage};
+use super::fence::{self, AttemptStage, FenceAction, OwnerSide};
 
 /// What a scan began on; it keeps that to its end.
-pub struct Began {
+pub struct QueryStart {
     acting: Arc<ActiveConfig>,
     /// On the steady clock.
     at: f64,
 }
 
-impl Began {
+impl QueryStart {
     pub fn owner(&self, seg: usize) -> SegmentOwner<'_> {
         self.acting.owner(seg as u64, self.at)
     }
@@ -38,31 +38,31 @@
 }
 
 /// What was in force at one moment: an act is judged by it, done at once and noted by the same.
-pub struct Look {
+pub struct CheckedConfig {
     acting: Arc<ActiveConfig>,
     at: f64,
 }
 
 /// A stream to which nothing is written any more once the look that allowed it is too old: a process that stood still in
 /// between looks again.
-pub struct Timely<'a, S> {
+pub struct FreshWriter<'a, S> {
     pub stream: S,
-    pub look: Option<&'a Look>,
+    pub look: Option<&'a CheckedConfig>,
 }
 
 /// It stood still between the look and the writing.
 #[derive(Debug, thiserror::Error)]
 #[error("this process stood still before it could write")]
-pub struct Late;
+pub struct StaleCheck;
 
-impl<S: Write> Timely<'_, S> {
+impl<S: Write> FreshWriter<'_, S> {
     fn check(&self) -> io::Result<()> {
         let late = self.look.is_some_and(|look| monotonic_seconds() > look.at + MAX_ACTION_DELAY_SECONDS);
-        if late { Err(io::Error::other(Late)) } else { Ok(()) }
+        if late { Err(io::Error::other(StaleCheck)) } else { Ok(()) }
     }
 }
 
-impl<S: Write> Write for Timely<'_, S> {
+impl<S: Write> Write for FreshWriter<'_, S> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.check()?;
         self.stream.write(bytes)
@@ -95,14 +95,14 @@
         self.watch.borrow_mut().current().clone()
     }
 
-    pub fn is_still(&self, acting: &Arc<ActiveConfig>) -> bool {
+    pub fn is_current(&self, acting: &Arc<ActiveConfig>) -> bool {
         Arc::ptr_eq(self.watch.borrow_mut().current(), acting)
     }
 
-    pub fn begin(&self) -> Rc<Began> {
+    pub fn begin(&self) -> Rc<QueryStart> {
         // The acting first: read the other way round, a lease that came in between would be younger than its scan.
         let acting = self.acting();
-        Rc::new(Began { acting, at: monotonic_seconds() })
+        Rc::new(QueryStart { acting, at: monotonic_seconds() })
     }
 
     /// Parts of this table type must not run twice.
@@ -111,33 +111,40 @@
     }
 
     /// What becomes of a part that may not go to a node any more, by how far it had come.
-    pub fn fate(&self, look: &Look, stage: Stage, table_type: usize, seg: usize, node: &str) -> Fate {
+    pub fn fence_action(
+        &self,
+        look: &CheckedConfig,
+        stage: AttemptStage,
+        table_type: usize,
+        seg: usize,
+        node: &str,
+    ) -> FenceAction {
         let to = look.acting.map_transition().map(|moving| moving.to());
         let new = to.and_then(|to| to.segment(seg as u64)).is_some_and(|segment| segment.owner == node);
         let effect = self.repeats.get(table_type).copied().unwrap_or(Idempotency::Idempotent);
-        fence::fate(stage, effect, if new { Side::New } else { Side::Old })
+        fence::fence_action(stage, effect, if new { OwnerSide::New } else { OwnerSide::Old })
     }
 
     /// Parts of this table type may run twice inside a window.
-    pub fn keyed(&self, table_type: usize) -> bool {
+    pub fn is_keyed(&self, table_type: usize) -> bool {
         matches!(self.repeats.get(table_type), Some(Idempotency::Keyed(_)))
     }
 
-    pub fn look(&self) -> Look {
+    pub fn look(&self) -> CheckedConfig {
         // The clock last: a process that stood still in here must not act on the time before.
         let acting = self.acting();
-        Look { acting, at: monotonic_seconds() }
+        CheckedConfig { acting, at: monotonic_seconds() }
     }
 
     /// Whether a part may be sent to a node at this moment, by what its scan began on and by what is in force now.
-    pub fn may(&self, began: Option<&Began>, table_type: usize, seg: usize, node: &str) -> bool {
-        !self.once(table_type) || self.may_by(&self.look(), began, table_type, seg, node)
+    pub fn may_send(&self, began: Option<&QueryStart>, table_type: usize, seg: usize, node: &str) -> bool {
+        !self.once(table_type) || self.may_send_under(&self.look(), began, table_type, seg, node)
     }
 
-    pub fn may_by(
+    pub fn may_send_under(
         &self,
-        look: &Look,
-        began: Option<&Began>,
+        look: &CheckedConfig,
+        began: Option<&QueryStart>,
         table_type: usize,
         seg: usize,
         node: &str,
@@ -151,7 +158,7 @@
             SegmentOwner::Unavailable(_) => false,
         };
         // What it began on would say the same once more, but for a lease that came or ran out since.
-        let same = |began: &Began| {
+        let same = |began: &QueryStart| {
             Arc::ptr_eq(&began.acting, &look.acting)
                 && began.acting.lease_valid(began.at) == look.acting.lease_valid(look.at)
         };
@@ -160,15 +167,15 @@
     }
 
     /// Whether a keyed part may be sent once more although it may have run.
-    pub fn may_repeat(&self, began: &Began) -> bool {
+    pub fn may_retry_keyed(&self, began: &QueryStart) -> bool {
         let allows =
             |acting: &ActiveConfig, at| acting.rules(at).is_none_or(|rules| rules.keyed_retries_enabled);
         allows(&began.acting, began.at) && allows(&self.acting(), monotonic_seconds())
     }
 
     /// The epoch of the map that is acted on now, where that has other keys for a segment than the one its scan began on.
-    pub fn moved(&self, began: &Began, seg: usize) -> Option<u64> {
-        if self.is_still(&began.acting) {
+    pub fn moved(&self, began: &QueryStart, seg: usize) -> Option<u64> {
+        if self.is_current(&began.acting) {
             return None;
         }
         let acting = self.acting();
@@ -184,8 +191,8 @@
     /// has come since is another act's.
     pub fn sent(
         &self,
-        look: &Look,
-        began: Option<&Began>,
+        look: &CheckedConfig,
+        began: Option<&QueryStart>,
         table_type: usize,
         id: &str,
         part: (usize, usize),
@@ -236,10 +243,10 @@
         return Ok(proof.epoch());
     }
     let is_in: Vec<bool> = (0..segs.len()).map(is_in).collect();
-    key_by_key(proof, segs, &is_in, moved)
+    prove_by_keys(proof, segs, &is_in, moved)
 }
 
-fn key_by_key(
+fn prove_by_keys(
     proof: &VerifiedMap,
     segs: &[usize],
     is_in: &[bool],
@@ -268,12 +275,12 @@
     #[test]
     fn nothing_is_written_by_a_look_that_is_too_old() {
         let acting = Arc::new(ActiveConfig::unleased());
-        let look = |ago| Look { acting: acting.clone(), at: monotonic_seconds() - ago };
+        let look = |ago| CheckedConfig { acting: acting.clone(), at: monotonic_seconds() - ago };
         let (fresh, old) = (look(0.0), look(2.0 * MAX_ACTION_DELAY_SECONDS));
-        let write = |look| Timely { stream: Vec::new(), look }.write(b"x");
+        let write = |look| FreshWriter { stream: Vec::new(), look }.write(b"x");
         assert_eq!(write(Some(&fresh)).unwrap(), 1);
         assert_eq!(write(None).unwrap(), 1);
-        assert!(write(Some(&old)).unwrap_err().get_ref().is_some_and(|e| e.is::<Late>()));
+        assert!(write(Some(&old)).unwrap_err().get_ref().is_some_and(|e| e.is::<StaleCheck>()));
     }
 
     fn proof() -> VerifiedMap {
@@ -315,6 +322,6 @@
     ) {
         assert_eq!(proved(&proof(), segs, |at| is_in[at], moved).ok(), epoch);
         // The short way says what the long one would.
-        assert_eq!(key_by_key(&proof(), segs, is_in, moved).ok(), epoch);
+        assert_eq!(prove_by_keys(&proof(), segs, is_in, moved).ok(), epoch);
     }
 }
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -23,53 +23,53 @@
 use dunepond_shard_map::Node;
 use tracing::info;
 
-pub use gate::{Began, Gate, Late, Look, Timely, proved};
+pub use gate::{CheckedConfig, FreshWriter, Gate, QueryStart, StaleCheck, proved};
 
-use quotas::Sharing;
+use quotas::Quotas;
 
-use crate::iteration::{Handle, Ready, Turn};
-use crate::upstream::Listing;
+use crate::iteration::{EventLoopHandle, Iteration, LoopEvent};
+use crate::upstream::EndpointInfo;
 
 /// The span of a budget of further dispatches where the deployment states none, in seconds.
-const WINDOW: f64 = 10.0;
+const DEFAULT_RETRY_WINDOW_SECONDS: f64 = 10.0;
 
 /// What discovery says, before anything that is agreed on.
-type Row = (Endpoint, Listing);
+type EndpointRow = (Endpoint, EndpointInfo);
 
-pub struct Fleet {
+pub struct ControlPlane {
     pub gate: Rc<Gate>,
     fleet: Option<dunepond_control_plane::ControlPlane>,
     told: operator::Fleet,
-    rows: HashMap<NodeId, Row>,
+    endpoints: HashMap<NodeId, EndpointRow>,
     nodes: HashMap<String, NodeId>,
     zones: HashMap<NodeId, String>,
     /// Places among the partners.
-    by_zone: HashMap<String, usize>,
-    by_customer: Vec<Option<usize>>,
+    partner_by_zone: HashMap<String, usize>,
+    partner_by_tenant: Vec<Option<usize>>,
     by_node: Vec<Option<usize>>,
     /// Seconds after its start in which a node may be cold.
     warm_after: f64,
     /// What the deployment states; what is agreed on only tightens it.
     own: Rules,
     /// What was looked at last, with a lease or without, and what the module was told by it.
-    looked: Option<(Arc<ActiveConfig>, bool)>,
-    governed: Rules,
+    last_applied: Option<(Arc<ActiveConfig>, bool)>,
+    applied_rules: Rules,
     /// Bounds that all brokers share.
-    sharing: Option<Sharing>,
+    sharing: Option<Quotas>,
 }
 
 /// What changed in what is agreed on, for the module.
 #[derive(Default)]
-pub struct Changed {
+pub struct Changes {
     pub rules: Option<Rules>,
-    pub rows: Vec<Row>,
+    pub endpoints: Vec<EndpointRow>,
 }
 
 fn bad(e: &ControlPlaneError) -> Bad {
     Bad(format!("fleet: {e} ({})", e.help()))
 }
 
-impl Fleet {
+impl ControlPlane {
     /// Takes part in a fleet under this name.
     pub fn start(
         told: &operator::Fleet,
@@ -77,7 +77,7 @@
         site: &Deployment,
         customers: &[String],
         stand_ins: dunepond_control_plane::TestDoubles,
-        handle: &Handle,
+        handle: &EventLoopHandle,
     ) -> Result<Self, Bad> {
         let longest = site.query_classes.iter().map(|t| t.timeout).fold(0.0, f64::max);
         let known = told.voters.iter().chain(&told.peers).map(|Known { name, at }| (name.clone(), *at));
@@ -86,7 +86,7 @@
             brokers: p.brokers.clone(),
             metered: p.metered,
         };
-        let sharing = told.limits.as_ref().map(|limits| Sharing::new(limits, site, customers));
+        let sharing = told.limits.as_ref().map(|limits| Quotas::new(limits, site, customers));
         let sharing = sharing.transpose()?;
         let start = ControlPlaneConfig {
             terms: told.terms(name, longest),
@@ -117,9 +117,9 @@
             seed: site.seed,
         };
         let (sender, woken) = channel();
-        let inserted = handle.insert_source(woken, |event, _, turn: &mut Turn| {
+        let inserted = handle.insert_source(woken, |event, _, turn: &mut Iteration| {
             if let channel::Event::Msg(()) = event {
-                turn.ready.push_back(Ready::Fleet);
+                turn.ready.push_back(LoopEvent::ControlPlaneChanged);
             }
         });
         inserted.map_err(|e| Bad(format!("fleet: {}", e.error)))?;
@@ -137,16 +137,16 @@
             gate: Rc::new(Gate::new(fleet.hand(), repeats)),
             fleet: Some(fleet),
             told: told.clone(),
-            rows: HashMap::new(),
+            endpoints: HashMap::new(),
             nodes: HashMap::new(),
             zones: HashMap::new(),
-            by_zone: zones.collect(),
-            by_customer: customers.iter().map(of_customer).collect(),
+            partner_by_zone: zones.collect(),
+            partner_by_tenant: customers.iter().map(of_customer).collect(),
             by_node: Vec::new(),
             warm_after: site.slow_start.duration,
             own: Rules::of(site),
-            looked: None,
-            governed: Rules::of(site),
+            last_applied: None,
+            applied_rules: Rules::of(site),
             sharing,
         })
     }
@@ -158,37 +158,37 @@
 
     /// What is agreed on now, where it differs from what was told last. A look costs next to nothing, so that each turn
     /// begins with one: a process that stood still must not act on what was so before.
-    pub fn changed(&mut self) -> Option<Changed> {
+    pub fn changed(&mut self) -> Option<Changes> {
         let gate = &self.gate;
-        if self.looked.as_ref().is_some_and(|(acting, live)| {
-            gate.is_still(acting) && acting.lease_valid(monotonic_seconds()) == *live
+        if self.last_applied.as_ref().is_some_and(|(acting, live)| {
+            gate.is_current(acting) && acting.lease_valid(monotonic_seconds()) == *live
         }) {
             return None;
         }
         let acting = gate.acting();
         let now = monotonic_seconds();
         let live = acting.lease_valid(now);
-        let rules = acting.rules(now).map_or_else(|| self.own.clone(), |rules| tightened(&self.own, rules));
-        let mut changed = Changed::default();
-        if rules != self.governed {
-            self.governed = rules.clone();
+        let rules = acting.rules(now).map_or_else(|| self.own.clone(), |rules| strictest(&self.own, rules));
+        let mut changed = Changes::default();
+        if rules != self.applied_rules {
+            self.applied_rules = rules.clone();
             changed.rules = Some(rules);
         }
         // The first look comes before any list.
-        let before = self.looked.replace((acting.clone(), live)).map(|(before, _)| before);
+        let before = self.last_applied.replace((acting.clone(), live)).map(|(before, _)| before);
         if let Some(before) = before {
-            let moved = |row: &&Row| {
+            let moved = |row: &&EndpointRow| {
                 row.1.standing != EndpointState::Removed
                     && before.is_excluded(&row.1.host) != acting.is_excluded(&row.1.host)
             };
-            let rows: Vec<Row> = self.rows.values().filter(moved).cloned().collect();
-            changed.rows = rows.into_iter().map(|row| self.seen(row)).collect();
+            let endpoints: Vec<EndpointRow> = self.endpoints.values().filter(moved).cloned().collect();
+            changed.endpoints = endpoints.into_iter().map(|row| self.seen(row)).collect();
         }
         Some(changed)
     }
 
     /// Our parts of bounds that all brokers share, where they are others than at the last look.
-    pub fn limited(&mut self) -> Option<QuotaShares> {
+    pub fn changed_limits(&mut self) -> Option<QuotaShares> {
         self.sharing.as_mut()?.look(&self.gate, monotonic_seconds())
     }
 
@@ -207,10 +207,10 @@
     }
 
     /// A row as it stands beside what is agreed on: a node that is to be left alone drains, whatever discovery says.
-    fn seen(&self, (mut listed, mut listing): Row) -> Row {
-        let leaves = self.looked.as_ref().is_some_and(|(acting, _)| acting.is_excluded(&listing.host));
+    fn seen(&self, (mut listed, mut listing): EndpointRow) -> EndpointRow {
+        let leaves = self.last_applied.as_ref().is_some_and(|(acting, _)| acting.is_excluded(&listing.host));
         if leaves && listing.standing == EndpointState::Active {
-            info!("fleet: node {} is to be left alone", listing.host);
+            info!("fleet: node {} is drained by the active configuration", listing.host);
             (listed.state, listing.standing) = (EndpointState::Draining, EndpointState::Draining);
         }
         (listed, listing)
@@ -221,23 +221,23 @@
         &mut self,
         now: f64,
         whole: bool,
-        rows: Vec<Row>,
+        endpoints: Vec<EndpointRow>,
         zone: impl Fn(usize) -> String,
-    ) -> Vec<Row> {
+    ) -> Vec<EndpointRow> {
         if whole {
-            self.rows.clear();
+            self.endpoints.clear();
         }
-        for row in &rows {
+        for row in &endpoints {
             let (node, zone) = (row.0.node, zone(row.0.zone));
             self.nodes.insert(row.1.host.clone(), node);
             if self.by_node.len() <= node {
                 self.by_node.resize(node + 1, None);
             }
-            self.by_node[node] = self.by_zone.get(&zone).copied();
+            self.by_node[node] = self.partner_by_zone.get(&zone).copied();
             self.zones.insert(node, zone);
-            self.rows.insert(node, row.clone());
+            self.endpoints.insert(node, row.clone());
         }
-        let here = self.rows.values().filter(|row| row.1.standing != EndpointState::Removed);
+        let here = self.endpoints.values().filter(|row| row.1.standing != EndpointState::Removed);
         let named = here.map(|row| Node {
             name: row.1.host.clone(),
             zone: self.zones.get(&row.0.node).cloned().unwrap_or_default(),
@@ -246,12 +246,12 @@
         });
         self.gate.hand.set_listed_nodes(named.collect());
         self.gate.hand.set_started_nodes(self.started(now));
-        rows.into_iter().map(|row| self.seen(row)).collect()
+        endpoints.into_iter().map(|row| self.seen(row)).collect()
     }
 
     /// Nodes that are not long since warm, on the fleet's clock; `now` on the list's.
     fn started(&self, now: f64) -> Vec<StartedNode> {
-        let here = self.rows.values().filter(|row| row.1.standing != EndpointState::Removed);
+        let here = self.endpoints.values().filter(|row| row.1.standing != EndpointState::Removed);
         let cold = here.filter(|row| row.1.started > 0.0 && now < row.1.started + self.warm_after);
         let started = cold.map(|(_, listing)| StartedNode {
             node: listing.host.clone(),
@@ -264,7 +264,7 @@
     /// Nothing names this node any more.
     pub fn forget(&mut self, node: NodeId, host: &str) {
         self.nodes.remove(host);
-        self.rows.remove(&node);
+        self.endpoints.remove(&node);
         self.zones.remove(&node);
         if let Some(partner) = self.by_node.get_mut(node) {
             *partner = None;
@@ -273,12 +273,12 @@
 
     /// What a scan begins on; of a non-replayable one each part gets the one node that may have it, or (`Err`) all of it
     /// is refused for so many seconds.
-    pub fn admit(&self, scan: &mut Query) -> Result<Rc<Began>, (Rc<Began>, f64, &'static str)> {
+    pub fn admit(&self, query: &mut Query) -> Result<Rc<QueryStart>, (Rc<QueryStart>, f64, &'static str)> {
         let began = self.gate.begin();
-        if !self.gate.once(scan.class) {
+        if !self.gate.once(query.class) {
             return Ok(began);
         }
-        for part in &mut scan.parts {
+        for part in &mut query.parts {
             let refused = match began.owner(part.segment) {
                 SegmentOwner::AnyReplica => None,
                 SegmentOwner::Node(name) => match self.nodes.get(name) {
@@ -304,7 +304,7 @@
 
     /// So many bytes came from a node for a customer.
     pub fn carried(&self, node: NodeId, customer: usize, bytes: usize) {
-        let owed_by = self.by_customer.get(customer).copied().flatten();
+        let owed_by = self.partner_by_tenant.get(customer).copied().flatten();
         if let (Some(carrier), Some(owed_by)) = (self.partner(node), owed_by) {
             self.gate.hand.record_carried(carrier, owed_by, bytes as u64);
         }
@@ -355,16 +355,16 @@
 
 /// What is agreed on beside what the deployment states: the stricter of both, as the deployment's limits are not the
 /// fleet's to widen.
-fn tightened(own: &Rules, agreed: &dunepond_consensus::RoutingRules) -> Rules {
+fn strictest(own: &Rules, agreed: &dunepond_consensus::RoutingRules) -> Rules {
     let greater = |own: &[f64], agreed: &[f64]| {
         own.iter()
             .enumerate()
             .map(|(at, share)| agreed.get(at).map_or(*share, |other| share.max(*other)))
             .collect()
     };
-    let budget = own.retry_budget.as_ref().map_or(
+    let time_budget = own.retry_budget.as_ref().map_or(
         RetryBudget {
-            window: WINDOW,
+            window: DEFAULT_RETRY_WINDOW_SECONDS,
             min_retries: agreed.retry_budget_min,
             ratio: agreed.retry_budget_ratio,
         },
@@ -377,7 +377,7 @@
     Rules {
         minimum_share: greater(&own.minimum_share, &agreed.minimum_shares),
         complete_at: greater(&own.complete_at, &agreed.complete_at),
-        retry_budget: Some(budget),
+        retry_budget: Some(time_budget),
         max_attempts: own.max_attempts.min(agreed.max_attempts),
         hedging_enabled: own.hedging_enabled && agreed.hedging_enabled,
         slow_start_multiple: own.slow_start_multiple.min(agreed.slow_start_multiple),
@@ -418,15 +418,15 @@
             keyed_retries_enabled: true,
             max_retry_after_seconds: 9.0,
         };
-        let both = tightened(&own, &agreed);
+        let both = strictest(&own, &agreed);
         assert_eq!((both.minimum_share, both.complete_at), (vec![0.7, 1.0], vec![0.95, 1.0]));
-        let budget = both.retry_budget.unwrap();
-        assert_eq!((budget.window, budget.min_retries, budget.ratio), (4.0, 5.0, 0.1));
+        let time_budget = both.retry_budget.unwrap();
+        assert_eq!((time_budget.window, time_budget.min_retries, time_budget.ratio), (4.0, 5.0, 0.1));
         assert_eq!((both.max_attempts, both.hedging_enabled), (3, false));
         assert_eq!((both.slow_start_multiple, both.max_retry_after), (1.5, 1.0));
         // Where the deployment states no budget, what is agreed on is one.
         agreed.retry_budget_min = 7.0;
-        let budget = tightened(&Rules { retry_budget: None, ..own }, &agreed).retry_budget.unwrap();
-        assert_eq!((budget.min_retries, budget.ratio), (7.0, 0.2));
+        let time_budget = strictest(&Rules { retry_budget: None, ..own }, &agreed).retry_budget.unwrap();
+        assert_eq!((time_budget.min_retries, time_budget.ratio), (7.0, 0.2));
     }
 }
--- a/crates/dunepond-broker/src/control_plane/quotas.rs
+++ b/crates/dunepond-broker/src/control_plane/quotas.rs
@@ -10,14 +10,14 @@
 use dunepond_quota::{Demand, LocalQuota, SharedQuotas, TOTAL_UNITS};
 use dunepond_routing::{Deployment, QuotaDemand, QuotaShares};
 
-use super::{Gate, WINDOW};
+use super::{DEFAULT_RETRY_WINDOW_SECONDS, Gate};
 
-const COLD: &str = "cold";
-const FURTHER: &str = "further";
+const SLOW_START_QUOTA: &str = "cold";
+const RETRY_QUOTA: &str = "further";
 /// Seconds between two samples of what is needed.
-const SAMPLE: f64 = 0.25;
+const SAMPLE_INTERVAL_SECONDS: f64 = 0.25;
 
-pub struct Sharing {
+pub struct Quotas {
     every: f64,
     bounds: SharedQuotas,
     own: LocalQuota,
@@ -25,41 +25,41 @@
     cold: Option<f64>,
     further: bool,
     /// By customer: the bound's name, scans a second of the whole, and those that came since the last sample.
-    customers: Vec<Option<Customer>>,
+    customers: Vec<Option<TenantQuota>>,
     /// Free further dispatches a second, all brokers together.
     free: f64,
     needs: BTreeMap<String, Demand>,
-    sampled: f64,
+    last_sample_at: f64,
     /// What was looked at last: the acting, with a lease or without, and whether an earlier run's use still counts.
-    looked: Option<(Arc<ActiveConfig>, bool, bool)>,
+    last_applied: Option<(Arc<ActiveConfig>, bool, bool)>,
 }
 
-struct Customer {
+struct TenantQuota {
     bound: String,
     quota: f64,
     came: f64,
 }
 
-impl Sharing {
+impl Quotas {
     pub fn new(told: &Shared, site: &Deployment, customers: &[String]) -> Result<Self, Bad> {
         if let Some(name) = told.customers.iter().find(|name| !customers.contains(name)) {
             return Err(Bad(format!("fleet: limits: the settings have no customer '{name}'")));
         }
         let named = customers.iter().zip(&site.quotas).map(|(name, quota)| {
-            told.customers.contains(name).then(|| Customer {
+            told.customers.contains(name).then(|| TenantQuota {
                 bound: format!("customer/{name}"),
                 quota: *quota,
                 came: 0.0,
             })
         });
-        let customers: Vec<Option<Customer>> = named.collect();
-        let mut names: Vec<String> = told.cold.map(|_| COLD.to_string()).into_iter().collect();
-        names.extend(told.further.then(|| FURTHER.to_string()));
+        let customers: Vec<Option<TenantQuota>> = named.collect();
+        let mut names: Vec<String> = told.cold.map(|_| SLOW_START_QUOTA.to_string()).into_iter().collect();
+        names.extend(told.further.then(|| RETRY_QUOTA.to_string()));
         names.extend(customers.iter().flatten().map(|customer| customer.bound.clone()));
         // The longest span over which the module counts any of them.
         let longest = site.query_classes.iter().map(|t| t.latency_objective).fold(0.0, f64::max);
-        let budget = site.retry_budget.as_ref();
-        let window = budget.map_or(WINDOW, |budget| budget.window);
+        let time_budget = site.retry_budget.as_ref();
+        let window = time_budget.map_or(DEFAULT_RETRY_WINDOW_SECONDS, |time_budget| time_budget.window);
         let span = window.max(site.slow_start.window).max(longest) + site.tick;
         let bounds =
             SharedQuotas::new(names, site.broker_count as u32, told.floor, (span * 1e3).ceil() as u64);
@@ -71,10 +71,10 @@
             cold: told.cold,
             further: told.further,
             customers,
-            free: budget.map_or(0.0, |budget| budget.min_retries) * site.broker_count / window,
+            free: time_budget.map_or(0.0, |time_budget| time_budget.min_retries) * site.broker_count / window,
             needs: BTreeMap::new(),
-            sampled: monotonic_seconds(),
-            looked: None,
+            last_sample_at: monotonic_seconds(),
+            last_applied: None,
         })
     }
 
@@ -94,17 +94,17 @@
         let same = |(before, was_live, was_held): &(Arc<ActiveConfig>, bool, bool)| {
             Arc::ptr_eq(before, &acting) && (*was_live, *was_held) == (live, held)
         };
-        if self.looked.as_ref().is_some_and(same) {
+        if self.last_applied.as_ref().is_some_and(same) {
             return None;
         }
         let limits = QuotaShares {
-            slow_start: self.cold.map(|rate| rate * self.share(&acting, COLD, now)),
-            retries: self.further.then(|| self.share(&acting, FURTHER, now)),
+            slow_start: self.cold.map(|rate| rate * self.share(&acting, SLOW_START_QUOTA, now)),
+            retries: self.further.then(|| self.share(&acting, RETRY_QUOTA, now)),
             quotas: (self.customers.iter())
                 .map(|customer| customer.as_ref().map(|c| self.share(&acting, &c.bound, now)))
                 .collect(),
         };
-        self.looked = Some((acting, live, held));
+        self.last_applied = Some((acting, live, held));
         Some(limits)
     }
 
@@ -122,19 +122,19 @@
     }
 
     pub fn sample(&mut self, gate: &Gate, now: f64, demand: impl FnOnce(f64) -> QuotaDemand) {
-        let seconds = now - self.sampled;
-        if seconds < SAMPLE {
+        let seconds = now - self.last_sample_at;
+        if seconds < SAMPLE_INTERVAL_SECONDS {
             return;
         }
-        self.sampled = now;
+        self.last_sample_at = now;
         let demand = demand(seconds);
         let mut samples: Vec<(String, f64, f64)> = Vec::new();
         if let Some(rate) = self.cold {
-            samples.push((COLD.to_string(), demand.slow_start / rate, 0.0));
+            samples.push((SLOW_START_QUOTA.to_string(), demand.slow_start / rate, 0.0));
         }
         if self.further {
             let whole = (self.free * seconds).max(f64::MIN_POSITIVE);
-            samples.push((FURTHER.to_string(), demand.retries / whole, demand.retries_denied / whole));
+            samples.push((RETRY_QUOTA.to_string(), demand.retries / whole, demand.retries_denied / whole));
         }
         for customer in self.customers.iter_mut().flatten() {
             let whole = (customer.quota * seconds).max(f64::MIN_POSITIVE);
--- a/crates/dunepond-broker/src/downstream/accept.rs
+++ b/crates/dunepond-broker/src/downstream/accept.rs
@@ -10,73 +10,78 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use tracing::warn;
 
-use super::{Arrivals, Client, Clients, Door, Phase};
-use crate::buffers::Outflow;
-use crate::clock::{Alarms, Due};
-use crate::connection_end::Ending;
-use crate::iteration::{Ready, watch};
+use super::{ArrivalTimes, ClientConnection, Downstream, Listener, RequestPhase};
+use crate::buffers::WriteQueue;
+use crate::clock::{TimerEvent, Timers};
+use crate::connection_end::ConnectionEnd;
+use crate::iteration::{LoopEvent, watch};
 
 /// Connections accepted before all others have their turn: a bound of the program, so that one turn of the loop stays short
 /// against the 50 ms by which the protocol page makes every time limit longer.
-const ACCEPTS: usize = 32;
+const MAX_ACCEPTS_PER_ITERATION: usize = 32;
 /// How soon accepting is tried again after it has failed for want of means: those 50 ms, as who waits at the listener has
 /// a time that runs.
-const NO_MEANS: f64 = 0.05;
-const BACKLOG: i32 = 1024;
+const ACCEPT_RETRY_SECONDS: f64 = 0.05;
+const LISTEN_BACKLOG: i32 = 1024;
 
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
 
-impl Clients {
+impl Downstream {
     /// Takes in who comes to one more door.
     pub fn open(&mut self, listener: TcpListener, api: bool) -> calloop::Result<()> {
         let listener = Rc::new(listener);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
         let token = self.handle.insert_source(source, move |_, _, turn| {
-            turn.ready.push_back(Ready::Accept(api));
+            turn.ready.push_back(LoopEvent::Accept(api));
             Ok(PostAction::Continue)
         });
-        self.listeners.push(Door { listener, token: token.map_err(|e| e.error)?, api, waited_since: None });
+        self.listeners.push(Listener {
+            listener,
+            token: token.map_err(|e| e.error)?,
+            api,
+            paused_since: None,
+        });
         Ok(())
     }
 
     /// Takes in some of those that have come; true if there may be more.
-    pub fn accept(&mut self, now: f64, api: bool, alarms: &mut Alarms) -> bool {
-        for _ in 0..ACCEPTS {
+    pub fn accept(&mut self, now: f64, api: bool, timers: &mut Timers) -> bool {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let Some(at) = self.listeners.iter().position(|door| door.api == api) else { return false };
-            let full = self.clients.len() >= self.most;
+            let full = self.connections.len() >= self.most;
             let least = if full { self.least(now) } else { None };
             if full && least.is_none() {
                 // Who is to be read may turn out to be nobody that is owed an answer.
                 let soon = !self.again.is_empty();
-                self.pause(now, soon.then_some(now), alarms);
+                self.pause(now, soon.then_some(now), timers);
                 return false;
             }
             match self.listeners[at].listener.accept() {
                 Ok((stream, peer)) => {
                     // Not sooner: there may be nobody to make room for.
-                    least.map(|id| self.end(id, Ending::Unused, alarms));
-                    let waited_since = self.listeners[at].waited_since;
-                    match self.enter(now, stream, api, waited_since, alarms) {
+                    least.map(|id| self.end(id, ConnectionEnd::IdleClosed, timers));
+                    let paused_since = self.listeners[at].paused_since;
+                    match self.enter(now, stream, api, paused_since, timers) {
                         Ok(id) => self.again.push(id),
-                        Err(e) => warn!("client {peer}: not taken in: {e}"),
+                        Err(e) => warn!("client {peer}: not accepted: {e}"),
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.listeners[at].waited_since = None;
+                    self.listeners[at].paused_since = None;
                     return false;
                 }
                 Err(e)
                     if matches!(e.kind(), io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted) => {}
                 Err(e) => {
-                    warn!("accepting pauses: {e}");
-                    self.pause(now, Some(now + NO_MEANS), alarms);
+                    warn!("accepting paused: {e}");
+                    self.pause(now, Some(now + ACCEPT_RETRY_SECONDS), timers);
                     return false;
                 }
             }
@@ -85,9 +90,9 @@
     }
 
     /// Somebody makes room for connections of our own; false if all are owed an answer.
-    pub fn give_way(&mut self, now: f64, alarms: &mut Alarms) -> bool {
+    pub fn give_way(&mut self, now: f64, timers: &mut Timers) -> bool {
         let least = self.least(now);
-        least.map(|id| self.end(id, Ending::Unused, alarms));
+        least.map(|id| self.end(id, ConnectionEnd::IdleClosed, timers));
         least.is_some()
     }
 
@@ -96,56 +101,56 @@
         now: f64,
         stream: TcpStream,
         api: bool,
-        waited_since: Option<f64>,
-        alarms: &mut Alarms,
+        paused_since: Option<f64>,
+        timers: &mut Timers,
     ) -> calloop::Result<usize> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
         let came = self.came(now);
-        let connected = waited_since.map_or(came, |since| since.min(came));
-        let entry = self.clients.vacant_entry();
+        let connected = paused_since.map_or(came, |since| since.min(came));
+        let entry = self.connections.vacant_entry();
         let id = entry.key();
-        let token = watch(&self.handle, &stream, move |readable| Ready::Client(id, readable));
-        entry.insert(Client {
+        let token = watch(&self.handle, &stream, move |readable| LoopEvent::ClientReady(id, readable));
+        entry.insert(ClientConnection {
             stream,
             api,
             token: token?,
             input: None,
             ahead: VecDeque::new(),
-            out: Outflow::new(&self.pool),
-            phase: Phase::Head,
+            out: WriteQueue::new(&self.pool),
+            phase: RequestPhase::ReadingHead,
             readable: true,
             seen: f64::MIN,
-            hung_up: None,
-            arrivals: Arrivals::since(connected),
+            disconnected: None,
+            arrivals: ArrivalTimes::since(connected),
             began: now,
             keep: true,
-            in_body: false,
+            responded_in_body: false,
             more: false,
-            alarm: None,
+            timer: None,
         });
-        self.asks(now, id, alarms);
+        self.start_request_timer(now, id, timers);
         Ok(id)
     }
 
     /// Stops accepting until a connection has gone, or until a time.
-    fn pause(&mut self, now: f64, until: Option<f64>, alarms: &mut Alarms) {
+    fn pause(&mut self, now: f64, until: Option<f64>, timers: &mut Timers) {
         if !self.paused {
             self.listeners.iter_mut().for_each(|door| {
-                door.waited_since.get_or_insert(now);
+                door.paused_since.get_or_insert(now);
             });
             self.paused = self.listeners.iter().all(|door| self.handle.disable(&door.token).is_ok());
         }
         if let Some(until) = until {
-            alarms.set(until, Due::Accept);
+            timers.set(until, TimerEvent::ResumeAccept);
         }
     }
 
     /// Somebody may be accepted again; not here, as this may be the listener's own callback.
-    pub(super) fn make_room(&self, alarms: &mut Alarms) {
+    pub(super) fn make_room(&self, timers: &mut Timers) {
         if self.paused {
-            alarms.set(0.0, Due::Accept);
+            timers.set(0.0, TimerEvent::ResumeAccept);
         }
     }
 
@@ -156,7 +161,7 @@
     }
 
     /// Nobody is taken in before `until`, or before `resume`; who comes waits unanswered for so long.
-    pub fn hold(&mut self, now: f64, until: f64, alarms: &mut Alarms) {
-        self.pause(now, Some(until), alarms);
+    pub fn hold(&mut self, now: f64, until: f64, timers: &mut Timers) {
+        self.pause(now, Some(until), timers);
     }
 }
--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -9,45 +9,45 @@
 use std::net::{Shutdown, TcpStream};
 use std::os::fd::AsRawFd;
 
-use super::timeouts::ASKS;
-use super::{Client, Clients, Phase};
-use crate::clock::{Alarms, Key};
-use crate::connection_end::Ending;
+use super::timeouts::REQUEST_TIMEOUT_SECONDS;
+use super::{ClientConnection, Downstream, RequestPhase};
+use crate::clock::{TimerKey, Timers};
+use crate::connection_end::ConnectionEnd;
 
 /// Who has not asked for so long makes room before those that rest, which have asked before. A bound of the program that
 /// tells only at the cap, where by the fleet's page "new connections may be shut unread": some round trips, as whoever
 /// means to ask does so right after it has connected, however long it then waits.
-const LATE: f64 = 0.25;
+const EVICTABLE_AFTER_SECONDS: f64 = 0.25;
 /// How long a client may take to close its side once it has been told of ours and has the whole of its last answer. A
 /// bound of the program: some round trips, however long a query may take.
-const LINGERS: f64 = 1.0;
+const LINGER_SECONDS: f64 = 1.0;
 /// On the way to the end who lingers may stay for so long after all is answered: the 50 ms by which the protocol page
 /// makes every time limit longer. The kill comes later.
-const STAYS: f64 = 0.05;
+const SHUTDOWN_LINGER_SECONDS: f64 = 0.05;
 
 /// What the last look at a connection has shown.
-pub(super) enum Last {
+pub(super) enum FinalRead {
     /// Something has come, and will be read in its turn.
-    Said,
-    Silent,
-    Gone(Ending),
+    ReceivedData,
+    Quiet,
+    Disconnected(ConnectionEnd),
 }
 
 /// Whether the system still holds something that the peer's has not acknowledged. Where it cannot tell, there is
 /// nothing.
-fn has_unsent(stream: &TcpStream) -> bool {
+fn has_unacknowledged(stream: &TcpStream) -> bool {
     let mut count: libc::c_int = 0;
     // SAFETY: the descriptor is open as long as the stream is borrowed, and the call writes one whole number.
     unsafe { libc::ioctl(stream.as_raw_fd(), libc::TIOCOUTQ, &mut count) == 0 && count > 0 }
 }
 
-impl Clients {
+impl Downstream {
     /// Takes in what has come to the listeners so far, and closes them. False, and nothing is closed, while there is
     /// no room for all of it: those that wait at a listener are reset with it.
-    pub fn close_listeners(&mut self, now: f64, alarms: &mut Alarms) -> bool {
+    pub fn close_listeners(&mut self, now: f64, timers: &mut Timers) -> bool {
         self.resume();
         for api in [false, true] {
-            while self.accept(now, api, alarms) {}
+            while self.accept(now, api, timers) {}
         }
         if self.paused {
             return false;
@@ -59,65 +59,70 @@
     }
 
     /// From now on each connection ends with its answer.
-    pub fn close_with_answers(&mut self) {
+    pub fn close_after_responses(&mut self) {
         self.closing = true;
     }
 
     /// Closes the connections at rest, those of now and of later.
-    pub fn close_resting(&mut self, now: f64, alarms: &mut Alarms) {
-        self.rest_is_over = true;
+    pub fn close_resting(&mut self, now: f64, timers: &mut Timers) {
+        self.close_when_idle = true;
         for id in self.unasked(true) {
-            self.part(now, id, alarms);
+            self.part(now, id, timers);
         }
     }
 
     /// Closes the connections on which nothing more was asked, also those that have not asked at all.
-    pub fn close_unasked(&mut self, now: f64, alarms: &mut Alarms) {
+    pub fn close_without_request(&mut self, now: f64, timers: &mut Timers) {
         for id in self.unasked(false) {
-            self.part(now, id, alarms);
+            self.part(now, id, timers);
         }
     }
 
     /// What has come from those that are over a request is to be read before `close_asking`.
-    pub fn hear_asking(&mut self) {
-        for id in self.asking.values().copied().collect::<Vec<_>>() {
-            self.hear_out(id);
+    pub fn read_pending_requests(&mut self) {
+        for id in self.awaiting_request.values().copied().collect::<Vec<_>>() {
+            self.read_before_timeout(id);
         }
     }
 
     /// Nobody may be over a request any longer.
-    pub fn close_asking(&mut self, now: f64, alarms: &mut Alarms) {
-        for id in self.asking.values().copied().collect::<Vec<_>>() {
-            self.slow(now, id, alarms);
+    pub fn expire_pending_requests(&mut self, now: f64, timers: &mut Timers) {
+        for id in self.awaiting_request.values().copied().collect::<Vec<_>>() {
+            self.slow(now, id, timers);
         }
     }
 
-    fn unasked(&self, rests: bool) -> Vec<usize> {
-        let resting = |c: &Client| c.alarm.is_some_and(|key| self.resting.contains_key(&key));
-        let unasked = self.clients.iter().filter(|(_, c)| c.unasked() && (!rests || resting(c)));
+    fn unasked(&self, start_idle_timer: bool) -> Vec<usize> {
+        let idle = |c: &ClientConnection| c.timer.is_some_and(|key| self.idle.contains_key(&key));
+        let unasked = self
+            .connections
+            .iter()
+            .filter(|(_, c)| c.is_between_requests() && (!start_idle_timer || idle(c)));
         unasked.map(|(id, _)| id).collect()
     }
 
     /// Its time is up: whatever it has sent by now is to be read before `slow`. Names the time that is up.
-    pub fn hear_out(&mut self, id: usize) -> Option<Key> {
-        let client = self.clients.get_mut(id)?;
+    pub fn read_before_timeout(&mut self, id: usize) -> Option<TimerKey> {
+        let client = self.connections.get_mut(id)?;
         client.readable = true;
         self.again.push(id);
-        client.alarm
+        client.timer
     }
 
     /// Its time is still up, after what it had sent was read.
-    pub fn is_still_slow(&self, id: usize, alarm: Option<Key>) -> bool {
-        alarm.is_some() && self.clients.get(id).is_some_and(|client| client.alarm == alarm)
+    pub fn is_still_timed_out(&self, id: usize, timer: Option<TimerKey>) -> bool {
+        timer.is_some() && self.connections.get(id).is_some_and(|client| client.timer == timer)
     }
 
     /// Reads once more, whether a readiness has told of something or not.
-    pub(super) fn last_read(&mut self, now: f64, id: usize) -> Last {
+    pub(super) fn final_read(&mut self, now: f64, id: usize) -> FinalRead {
         let came = self.came(now);
-        let Some(client) = self.clients.get_mut(id) else { return Last::Gone(Ending::Closed) };
+        let Some(client) = self.connections.get_mut(id) else {
+            return FinalRead::Disconnected(ConnectionEnd::Closed);
+        };
         if !client.ahead.is_empty() {
             self.again.push(id);
-            return Last::Said;
+            return FinalRead::ReceivedData;
         }
         let mut input = client.input.take().unwrap_or_else(|| self.pool.take());
         let before = input.held().len();
@@ -130,62 +135,67 @@
         };
         client.arrivals.read(input.held().len() - before, came);
         client.input =
-            Some(input).filter(|input| !input.is_empty() && !matches!(client.phase, Phase::Lingering));
+            Some(input).filter(|input| !input.is_empty() && !matches!(client.phase, RequestPhase::Lingering));
         match read {
-            Ok(0) => Last::Gone(Ending::Closed),
+            Ok(0) => FinalRead::Disconnected(ConnectionEnd::Closed),
             Ok(_) => {
                 client.readable = true;
                 self.again.push(id);
-                Last::Said
+                FinalRead::ReceivedData
             }
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Last::Silent,
-            Err(e) => Last::Gone(Ending::of(&e)),
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => FinalRead::Quiet,
+            Err(e) => FinalRead::Disconnected(ConnectionEnd::of(&e)),
         }
     }
 
     /// Closes a connection on which nothing is asked; if something has just come, it stays for that.
-    pub(super) fn part(&mut self, now: f64, id: usize, alarms: &mut Alarms) {
+    pub(super) fn part(&mut self, now: f64, id: usize, timers: &mut Timers) {
         // What was read together with the request before is a request, too.
-        if self.clients.get(id).is_some_and(|c| c.input.is_some() || !c.ahead.is_empty()) {
-            return self.asks(now, id, alarms);
+        if self.connections.get(id).is_some_and(|c| c.input.is_some() || !c.ahead.is_empty()) {
+            return self.start_request_timer(now, id, timers);
         }
-        match self.last_read(now, id) {
-            Last::Said => self.asks(now, id, alarms),
-            Last::Silent => self.linger(now, id, alarms),
-            Last::Gone(ending) => drop(self.end(id, ending, alarms)),
+        match self.final_read(now, id) {
+            FinalRead::ReceivedData => self.start_request_timer(now, id, timers),
+            FinalRead::Quiet => self.start_lingering(now, id, timers),
+            FinalRead::Disconnected(ending) => drop(self.end(id, ending, timers)),
         }
     }
 
     /// Shuts our side, and waits for the client to close its own.
-    pub(super) fn linger(&mut self, now: f64, id: usize, alarms: &mut Alarms) {
-        let Some(client) = self.clients.get_mut(id) else { return };
+    pub(super) fn start_lingering(&mut self, now: f64, id: usize, timers: &mut Timers) {
+        let Some(client) = self.connections.get_mut(id) else { return };
         let _ = client.stream.shutdown(Shutdown::Write);
-        client.phase = Phase::Lingering;
+        client.phase = RequestPhase::Lingering;
         client.began = now;
         client.input = None;
         client.ahead.clear();
         // Closed before who is still sending its body has looked for its answer, the connection would take that back.
-        let time = if client.in_body { self.longest_taking().max(ASKS) } else { LINGERS };
-        self.lingers(id, now + time, alarms);
-        self.make_room(alarms);
+        let time = if client.responded_in_body {
+            self.max_delivery_seconds().max(REQUEST_TIMEOUT_SECONDS)
+        } else {
+            LINGER_SECONDS
+        };
+        self.set_linger_timer(id, now + time, timers);
+        self.make_room(timers);
     }
 
     /// Its side is awaited until then. On the way to the end nobody is waited for that is owed nothing.
-    fn lingers(&mut self, id: usize, until: f64, alarms: &mut Alarms) {
-        let key = self.set(id, until.min(self.until + STAYS), alarms);
+    fn set_linger_timer(&mut self, id: usize, until: f64, timers: &mut Timers) {
+        let key = self.set(id, until.min(self.until + SHUTDOWN_LINGER_SECONDS), timers);
         self.lingering.insert(key, id);
     }
 
     /// The rest of its last answer is still in the system's queue, and of use to it: closed now, the connection would be
     /// reset by whatever crosses that. It is awaited on; false if there is no more to wait for.
-    pub(super) fn lingers_on(&mut self, now: f64, id: usize, alarms: &mut Alarms) -> bool {
-        let until = self.until + STAYS;
-        let Some(client) = self.clients.get(id) else { return false };
-        let lost = client.began + self.longest_taking();
-        let on =
-            matches!(client.phase, Phase::Lingering) && now < lost.min(until) && has_unsent(&client.stream);
+    pub(super) fn extend_linger(&mut self, now: f64, id: usize, timers: &mut Timers) -> bool {
+        let until = self.until + SHUTDOWN_LINGER_SECONDS;
+        let Some(client) = self.connections.get(id) else { return false };
+        let lost = client.began + self.max_delivery_seconds();
+        let on = matches!(client.phase, RequestPhase::Lingering)
+            && now < lost.min(until)
+            && has_unacknowledged(&client.stream);
         if on {
-            self.lingers(id, lost.min(now + LINGERS), alarms);
+            self.set_linger_timer(id, lost.min(now + LINGER_SECONDS), timers);
         }
         on
     }
@@ -194,20 +204,21 @@
     /// read yet. One that has only just connected is given its time to ask, as long as such do not take up half of
     /// all. `None`, too, if all that could go have just been found to have something to say.
     pub(super) fn least(&mut self, now: f64) -> Option<usize> {
-        let late = ((now + ASKS - LATE) * 1e6) as u64;
+        let late = ((now + REQUEST_TIMEOUT_SECONDS - EVICTABLE_AFTER_SECONDS) * 1e6) as u64;
         loop {
-            let many = 2 * self.asking.len() > self.most;
-            let overdue = self.asking.iter().filter(|(key, _)| key.0 < late || many);
-            let in_order = overdue.chain(&self.lingering).chain(&self.resting).chain(&self.asking);
+            let many = 2 * self.awaiting_request.len() > self.most;
+            let fail_overdue = self.awaiting_request.iter().filter(|(key, _)| key.0 < late || many);
+            let in_order =
+                fail_overdue.chain(&self.lingering).chain(&self.idle).chain(&self.awaiting_request);
             // Its turn to be read comes before its turn to go.
             let Some(id) = in_order.map(|(_, id)| *id).find(|id| !self.again.contains(id)) else { break };
-            if !matches!(self.last_read(now, id), Last::Said) {
+            if !matches!(self.final_read(now, id), FinalRead::ReceivedData) {
                 return Some(id);
             }
         }
         // All that could go wait to be read: whoever of them has closed needs no turn.
-        let all = self.asking.values().chain(self.lingering.values()).chain(self.resting.values());
+        let all = self.awaiting_request.values().chain(self.lingering.values()).chain(self.idle.values());
         let waiting: Vec<_> = all.copied().collect();
-        waiting.into_iter().find(|id| matches!(self.last_read(now, *id), Last::Gone(_)))
+        waiting.into_iter().find(|id| matches!(self.final_read(now, *id), FinalRead::Disconnected(_)))
     }
 }
--- a/crates/dunepond-broker/src/downstream/validation.rs
+++ b/crates/dunepond-broker/src/downstream/validation.rs
@@ -6,20 +6,20 @@
 use dunepond_routing::Part;
 use serde_json::Value;
 
-use super::{Asked, Clients};
-use crate::body::Text;
-use crate::http::{Head, Message, Refusal, refusal};
+use super::{Downstream, QueryRequest};
+use crate::body::Payload;
+use crate::http::{Head, HttpError, Message, refusal};
 
-const LONGEST_ID: usize = 200;
+const MAX_REQUEST_ID_BYTES: usize = 200;
 /// By how much a share may be rounded.
-const ROUNDED: f64 = 0.002;
+const SHARE_ROUNDING_TOLERANCE: f64 = 0.002;
 
-impl Clients {
-    pub(super) fn route(&self, message: &Message, began: f64) -> Result<Option<Asked>, Refusal> {
+impl Downstream {
+    pub(super) fn validate(&self, message: &Message, began: f64) -> Result<Option<QueryRequest>, HttpError> {
         let head = &message.head;
         let path = head.path.split('?').next().unwrap_or_default();
         if path == "/ready" {
-            return match (head.method.as_str(), self.may_serve && !self.leaving) {
+            return match (head.method.as_str(), self.has_endpoints && !self.leaving) {
                 ("GET", true) => Ok(None),
                 ("GET", false) => Err(refusal(503, "not ready")),
                 _ => Err(refusal(405, "/ready: only GET")),
@@ -29,15 +29,15 @@
         let body = dunepond_config::json(message.text()).map_err(|e| refusal(400, format!("body: {e}")))?;
         let text = body.get("body").and_then(Value::as_str);
         let text = text.ok_or_else(|| refusal(400, "body: not a text"))?;
-        let buckets = body.get("buckets").and_then(Value::as_array).filter(|b| !b.is_empty());
-        let buckets = buckets.ok_or_else(|| refusal(400, "buckets: not a list of parts"))?;
+        let segments = body.get("buckets").and_then(Value::as_array).filter(|b| !b.is_empty());
+        let segments = segments.ok_or_else(|| refusal(400, "buckets: not a list of parts"))?;
         let of = |b: &Value| (b.get("bucket").and_then(Value::as_u64), b.get("part").and_then(Value::as_f64));
-        let parts = parts(buckets.iter().map(of), "buckets", &self.bounds)?;
-        asked(head, table_type, began, parts, Text::Short(text.into()), &self.bounds).map(Some)
+        let parts = parts(segments.iter().map(of), "buckets", &self.bounds)?;
+        asked(head, table_type, began, parts, Payload::Inline(text.into()), &self.bounds).map(Some)
     }
 
     /// The table type in the path, and whether the request may ask for it so.
-    fn table_type(&self, head: &Head) -> Result<usize, Refusal> {
+    fn table_type(&self, head: &Head) -> Result<usize, HttpError> {
         let path = head.path.split('?').next().unwrap_or_default();
         let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
         let index = |name: &str| self.bounds.table_types.iter().position(|t| t == name);
@@ -52,15 +52,15 @@
     }
 
     /// A scan in the raw form: its parts in `X-Buckets: 3=0.5,9=0.5`, checked as strictly as in the other.
-    pub(super) fn route_raw(&self, head: &Head, began: f64) -> Result<Asked, Refusal> {
+    pub(super) fn validate_streamed(&self, head: &Head, began: f64) -> Result<QueryRequest, HttpError> {
         let table_type = self.table_type(head)?;
         let plain = |text: &str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
         let of = |entry: &str| match entry.split_once('=') {
             Some((seg, weight)) if plain(seg) && plain(weight) => (seg.parse().ok(), weight.parse().ok()),
             _ => (None, None),
         };
-        let parts = parts(head.buckets.split(',').map(of), "X-Buckets", &self.bounds)?;
-        asked(head, table_type, began, parts, Text::Gone, &self.bounds)
+        let parts = parts(head.segments.split(',').map(of), "X-Buckets", &self.bounds)?;
+        asked(head, table_type, began, parts, Payload::Released, &self.bounds)
     }
 }
 
@@ -69,7 +69,7 @@
     entries: impl Iterator<Item = (Option<u64>, Option<f64>)>,
     from: &str,
     bounds: &Bounds,
-) -> Result<Vec<Part>, Refusal> {
+) -> Result<Vec<Part>, HttpError> {
     let bad = |field: &str, why: &str| refusal(400, format!("{from}{field}: {why}"));
     let (bucket, share) = if from == "buckets" { (".bucket", ".part") } else { ("", "") };
     let (mut parts, mut seen) = (Vec::with_capacity(entries.size_hint().0), BTreeSet::new());
@@ -83,7 +83,9 @@
         parts.push(Part { segment: seg, weight, required_node: None });
     }
     // Each may be rounded; further off, no share of the answer would mean what the settings say of it.
-    if (parts.iter().map(|p| p.weight).sum::<f64>() - 1.0).abs() > ROUNDED * parts.len() as f64 {
+    if (parts.iter().map(|p| p.weight).sum::<f64>() - 1.0).abs()
+        > SHARE_ROUNDING_TOLERANCE * parts.len() as f64
+    {
         return Err(bad(share, "the shares do not add up to 1"));
     }
     Ok(parts)
@@ -95,29 +97,29 @@
     table_type: usize,
     began: f64,
     parts: Vec<Part>,
-    text: Text,
+    text: Payload,
     bounds: &Bounds,
-) -> Result<Asked, Refusal> {
+) -> Result<QueryRequest, HttpError> {
     let bad = |why: &str| refusal(400, why);
-    let id = &head.call_id;
-    if id.is_empty() || id.len() > LONGEST_ID || !id.bytes().all(|b| b.is_ascii_graphic()) {
+    let id = &head.request_id;
+    if id.is_empty() || id.len() > MAX_REQUEST_ID_BYTES || !id.bytes().all(|b| b.is_ascii_graphic()) {
         return Err(bad("X-Call-Id: missing, too long or not in plain characters"));
     }
     // A number's other forms, from infinity to exponents, are nobody's time in seconds.
-    let plain = head.budget.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let budget = head.budget.parse::<f64>().ok().filter(|b| plain && b.is_finite());
-    let budget = budget.ok_or_else(|| bad("X-Budget: not a number of seconds"))?;
-    if budget <= 0.0 {
+    let plain = head.time_budget.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    let time_budget = head.time_budget.parse::<f64>().ok().filter(|b| plain && b.is_finite());
+    let time_budget = time_budget.ok_or_else(|| bad("X-Budget: not a number of seconds"))?;
+    if time_budget <= 0.0 {
         return Err(bad("X-Budget: spent"));
     }
     // A customer that the settings do not list is served as one more.
-    let customer = bounds.customers.iter().position(|c| *c == head.caller);
-    Ok(Asked {
-        call_id: id.clone(),
+    let customer = bounds.customers.iter().position(|c| *c == head.tenant);
+    Ok(QueryRequest {
+        request_id: id.clone(),
         table_type,
         customer: customer.unwrap_or(bounds.customers.len()),
-        expires_at: began + budget,
-        resent: head.again,
+        deadline: began + time_budget,
+        is_retry: head.again,
         parts,
         text,
     })
--- a/crates/dunepond-broker/src/event_loop/background.rs
+++ b/crates/dunepond-broker/src/event_loop/background.rs
@@ -5,81 +5,88 @@
 use dunepond_background::{Cost, Finished, Kind, Outcome, Priority, Spec};
 use tracing::{debug, info};
 
-use super::World;
-use crate::clock::Due;
-use crate::control_plane::Fleet;
-use crate::prefilter::Asking;
+use super::EventLoop;
+use crate::clock::TimerEvent;
+use crate::control_plane::ControlPlane;
+use crate::prefilter::PrefilterHost;
 
 /// The name of audits among background work; one that has waited so long has met its end, as the content will have moved.
-const AUDIT: &str = "audit";
-const AUDIT_LIFE: f64 = 5.0;
+const AUDIT_JOB: &str = "audit";
+const AUDIT_EXPIRY_SECONDS: f64 = 5.0;
 
 fn audit(now: f64) -> Spec {
     Spec {
-        name: AUDIT,
+        name: AUDIT_JOB,
         priority: Priority::Idle,
         kind: Kind::Step,
         cost: Cost::default(),
         not_before: now,
-        deadline: Some(now + AUDIT_LIFE),
+        deadline: Some(now + AUDIT_EXPIRY_SECONDS),
         retry: None,
     }
 }
 
-impl World {
-    pub(super) fn work_ended(&mut self, finished: Finished) {
+impl EventLoop {
+    pub(super) fn job_finished(&mut self, on_job_finished: Finished) {
         let now = self.tick();
-        self.background.finished(now, finished);
-        let failed = finished.outcome == Outcome::Failed;
-        if let Some(keeping) = &mut self.keeping {
-            keeping.ended(now, finished.id, failed, &mut self.background);
+        self.background.on_job_finished(now, on_job_finished);
+        let failed = on_job_finished.outcome == Outcome::Failed;
+        if let Some(persistence) = &mut self.persistence {
+            persistence.ended(now, on_job_finished.id, failed, &mut self.background);
         }
     }
 
     /// Background work: blocking jobs go to the pool, and a step runs where the loop has nothing else to do.
-    pub(super) fn work(&mut self, calm: bool) {
-        let now = self.desk.now;
-        if !self.audit && self.asking.as_ref().is_some_and(Asking::has_audits) {
+    pub(super) fn work(&mut self, idle: bool) {
+        let now = self.router_host.now;
+        if !self.audit && self.prefilter.as_ref().is_some_and(PrefilterHost::has_audits) {
             self.audit = true;
             self.background.add(now, audit(now));
         }
-        while let Some(given) = self.background.next(now, calm) {
-            if given.kind == Kind::Blocking {
-                if let (Some(keeping), Some(pool)) = (&mut self.keeping, self.background.pool()) {
-                    keeping.run(given.id, given.name, now, &mut self.broker, &self.desk, pool);
+        while let Some(submitted) = self.background.next(now, idle) {
+            if submitted.kind == Kind::Blocking {
+                if let (Some(persistence), Some(pool)) = (&mut self.persistence, self.background.pool()) {
+                    persistence.run(
+                        submitted.id,
+                        submitted.name,
+                        now,
+                        &mut self.router,
+                        &self.router_host,
+                        pool,
+                    );
                 }
                 continue;
             }
             let began = Instant::now();
             let mut outcome = Outcome::Done;
-            if let Some(asking) = &mut self.asking {
-                asking.audit(&mut self.broker, &mut self.desk);
-                if asking.has_audits() {
+            if let Some(prefilter) = &mut self.prefilter {
+                prefilter.audit(&mut self.router, &mut self.router_host);
+                if prefilter.has_audits() {
                     outcome = Outcome::More;
                 }
             }
             self.audit = outcome == Outcome::More;
             self.settle();
-            self.background.stepped(now, given.id, outcome, began.elapsed().as_secs_f64());
+            self.background.on_step_done(now, submitted.id, outcome, began.elapsed().as_secs_f64());
         }
         for (id, name) in self.background.dropped() {
-            debug!("{name} will not be done");
-            self.audit &= name != AUDIT;
-            if let Some(keeping) = &mut self.keeping {
-                keeping.ended(now, id, false, &mut self.background);
+            debug!("background job {name} dropped");
+            self.audit &= name != AUDIT_JOB;
+            if let Some(persistence) = &mut self.persistence {
+                persistence.ended(now, id, false, &mut self.background);
             }
         }
-        self.background.arm(now, &mut self.desk.alarms);
+        self.background.arm(now, &mut self.router_host.timers);
     }
 
     pub(super) fn report(&mut self) {
-        let now = self.desk.now;
+        let now = self.router_host.now;
         if let Some(every) = self.operator.counters_every {
-            self.desk.alarms.set(now + every, Due::Counters);
-            let copied = self.desk.servers.copied;
-            self.desk.report(copied);
-            self.asking.iter().for_each(|asking| asking.report(now));
-            self.desk.fleet.iter().for_each(Fleet::report);
+            self.router_host.timers.set(now + every, TimerEvent::Counters);
+            let copied = self.router_host.upstream.copied;
+            self.router_host.report(copied);
+            self.prefilter.iter().for_each(|prefilter| prefilter.report(now));
+            self.router_host.control_plane.iter().for_each(ControlPlane::report);
             let work = self.background.report();
             if !work.is_empty() {
                 info!(work, "background counters");
--- a/crates/dunepond-broker/src/event_loop/disconnects.rs
+++ b/crates/dunepond-broker/src/event_loop/disconnects.rs
@@ -2,17 +2,17 @@
 
 use dunepond_routing::QueryId;
 
-use super::World;
-use crate::iteration::{Ready, Turn};
+use super::EventLoop;
+use crate::iteration::{Iteration, LoopEvent};
 
-impl World {
+impl EventLoop {
     /// Hang-ups are taken before all else that a turn brings: what a node said may have come sooner, and what it would
     /// have sent again is not wanted any more.
-    pub(super) fn hang_ups(&mut self, turn: &Turn) {
-        let now = self.desk.now;
+    pub(super) fn detect_disconnects(&mut self, turn: &Iteration) {
+        let now = self.router_host.now;
         for ready in &turn.ready {
-            if let Ready::Client(id, true) = ready {
-                self.desk.clients.look_ahead(now, *id);
+            if let LoopEvent::ClientReady(id, true) = ready {
+                self.router_host.downstream.check_while_waiting(now, *id);
             }
         }
         self.let_go();
@@ -20,15 +20,15 @@
 
     /// Lets go of those that were seen to have gone.
     pub(super) fn let_go(&mut self) {
-        while let Some(held) = self.desk.clients.next_hung_up(&mut self.desk.alarms) {
-            held.into_iter().for_each(|scan| self.client_left(scan));
+        while let Some(held) = self.router_host.downstream.next_disconnected(&mut self.router_host.timers) {
+            held.into_iter().for_each(|query| self.client_disconnected(query));
         }
     }
 
-    pub(super) fn client_left(&mut self, held: QueryId) {
-        for scan in self.desk.all_of(held) {
-            self.desk.left(scan);
-            self.broker.on_client_disconnect(&mut self.desk, scan);
+    pub(super) fn client_disconnected(&mut self, held: QueryId) {
+        for query in self.router_host.queries_of(held) {
+            self.router_host.left(query);
+            self.router.on_client_disconnect(&mut self.router_host, query);
         }
     }
 }
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -12,38 +12,38 @@
 use tracing::{info, warn};
 
 use crate::background::Background;
-use crate::body_store::Event;
-use crate::clock::{Clock, Due};
-use crate::config_reload::Rereader;
-use crate::control_plane::Fleet;
-use crate::discovery::{DiscoveryClient, News};
-use crate::downstream::Came;
-use crate::iteration::Ready;
-use crate::persistence::Keeping;
-use crate::prefilter::Asking;
-use crate::router::Desk;
+use crate::body_store::BodyEvent;
+use crate::clock::{Clock, TimerEvent};
+use crate::config_reload::ConfigReloader;
+use crate::control_plane::ControlPlane;
+use crate::discovery::{DiscoveryClient, EndpointUpdate};
+use crate::downstream::ClientEvent;
+use crate::iteration::LoopEvent;
+use crate::persistence::Persistence;
+use crate::prefilter::PrefilterHost;
+use crate::router::RouterHost;
 pub use startup::{Hooks, serve};
 
 /// All that a turn of the loop works on.
-struct World {
+struct EventLoop {
     clock: Clock,
-    broker: Router,
-    desk: Desk,
+    router: Router,
+    router_host: RouterHost,
     discovery: DiscoveryClient,
     /// Two-phase scans; nothing where the operator's file does not ask for them.
-    asking: Option<Asking>,
+    prefilter: Option<PrefilterHost>,
     background: Background,
     /// What outlasts the process; nothing where the operator's file does not ask for it.
-    keeping: Option<Keeping>,
+    persistence: Option<Persistence>,
     /// An audit waits for its turn.
     audit: bool,
-    rereader: Rereader,
+    config_reloader: ConfigReloader,
     operator: Operator,
     /// The list of the configuration, until discovery speaks or has been silent for too long.
-    known: Option<News>,
+    known: Option<EndpointUpdate>,
     /// When this turn of the loop began, and the one before it: what a turn finds came after that.
-    this_turn: f64,
-    turn_before: f64,
+    iteration_began_at: f64,
+    previous_iteration_at: f64,
     /// The longest query timeout, or a shorter one that a configuration read since has told.
     longest_timeout: f64,
     shutdown: Option<Shutdown>,
@@ -52,111 +52,115 @@
     over: bool,
 }
 
-impl World {
+impl EventLoop {
     /// The clock stands still during a call.
     fn tick(&mut self) -> f64 {
-        self.desk.now = self.clock.now();
-        let apart = (self.this_turn - self.turn_before).max(self.desk.now - self.this_turn);
-        self.desk.clients.came_since = (apart > NOTICEABLE_PAUSE_SECONDS).then_some(self.turn_before);
-        self.look_at_fleet();
-        self.desk.now
+        self.router_host.now = self.clock.now();
+        let apart = (self.iteration_began_at - self.previous_iteration_at)
+            .max(self.router_host.now - self.iteration_began_at);
+        self.router_host.downstream.received_since =
+            (apart > NOTICEABLE_PAUSE_SECONDS).then_some(self.previous_iteration_at);
+        self.apply_control_plane();
+        self.router_host.now
     }
 
     /// The loop has come round with something to do, or to look for signals.
-    fn begin_turn(&mut self) {
-        self.turn_before = std::mem::replace(&mut self.this_turn, self.clock.now());
+    fn begin_iteration(&mut self) {
+        self.previous_iteration_at = std::mem::replace(&mut self.iteration_began_at, self.clock.now());
         let now = self.tick();
-        let apart = now - self.turn_before;
+        let apart = now - self.previous_iteration_at;
         if apart > NOTICEABLE_PAUSE_SECONDS {
-            warn!("stood still for {apart:.3} s");
+            warn!("event loop stalled for {apart:.3} s");
         }
         self.advance_shutdown();
     }
 
     /// Each act begins with what is agreed on at that moment.
-    fn look_at_fleet(&mut self) {
-        if let Some(fleet) = &mut self.desk.fleet {
-            fleet.needs(|seconds| self.broker.quota_demand(seconds));
-            if let Some(limits) = fleet.limited() {
-                self.broker.set_quota_shares(limits);
+    fn apply_control_plane(&mut self) {
+        if let Some(fleet) = &mut self.router_host.control_plane {
+            fleet.needs(|seconds| self.router.quota_demand(seconds));
+            if let Some(limits) = fleet.changed_limits() {
+                self.router.set_quota_shares(limits);
             }
         }
-        let Some(changed) = self.desk.fleet.as_mut().and_then(Fleet::changed) else { return };
+        let Some(changed) = self.router_host.control_plane.as_mut().and_then(ControlPlane::changed) else {
+            return;
+        };
         // With each new lease, so that the next question tells it.
-        self.desk.fleet.iter().for_each(|fleet| fleet.press(self.broker.is_overloaded()));
+        self.router_host.control_plane.iter().for_each(|fleet| fleet.press(self.router.is_overloaded()));
         if let Some(rules) = changed.rules {
-            self.broker.set_rules(&rules);
+            self.router.set_rules(&rules);
         }
-        if !changed.rows.is_empty() {
-            self.take_rows(News { whole: false, rows: changed.rows });
+        if !changed.endpoints.is_empty() {
+            self.apply_endpoints(EndpointUpdate { whole: false, endpoints: changed.endpoints });
         }
     }
 
     /// One of the things that the loop has told of.
-    fn turn(&mut self, ready: Ready) {
+    fn turn(&mut self, ready: LoopEvent) {
         match ready {
-            Ready::Accept(api) => self.accept(api),
-            Ready::Client(id, readable) => self.client_ready(id, readable),
-            Ready::Link(id, readable) => self.link_ready(id, readable),
-            Ready::Question(id, readable) => self.question_ready(id, readable),
-            Ready::Discovery(readable) => self.discovery_ready(readable),
-            Ready::Disk(done) => self.disk(done),
-            Ready::Work(finished) => self.work_ended(finished),
-            Ready::Fleet => {
+            LoopEvent::Accept(api) => self.accept(api),
+            LoopEvent::ClientReady(id, readable) => self.client_ready(id, readable),
+            LoopEvent::UpstreamReady(id, readable) => self.upstream_ready(id, readable),
+            LoopEvent::PrefilterReady(id, readable) => self.prefilter_ready(id, readable),
+            LoopEvent::DiscoveryReady(readable) => self.discovery_ready(readable),
+            LoopEvent::DiskDone(done) => self.disk_done(done),
+            LoopEvent::JobFinished(on_job_finished) => self.job_finished(on_job_finished),
+            LoopEvent::ControlPlaneChanged => {
                 self.tick();
                 self.settle();
             }
-            Ready::Reread => self.told_to_reread(),
-            Ready::Configuration(configuration) => self.reread(*configuration),
-            Ready::End => self.told_to_end(),
+            LoopEvent::ReloadRequested => self.start_reload(),
+            LoopEvent::ConfigLoaded(configuration) => self.reread(*configuration),
+            LoopEvent::ShutdownRequested => self.told_to_end(),
         }
     }
 
     fn accept(&mut self, api: bool) {
         let now = self.tick();
-        self.desk.clients.accept(now, api, &mut self.desk.alarms);
+        self.router_host.downstream.accept(now, api, &mut self.router_host.timers);
         self.settle();
     }
 
     /// Nobody was taken in for a while: who waits at the listeners is looked for at once, so that it is known who of those
     /// that come has waited.
-    fn take_in_waiting(&mut self) {
-        self.desk.clients.resume();
+    fn accept_backlog(&mut self) {
+        self.router_host.downstream.resume();
         for api in [false, true] {
-            self.desk.clients.accept(self.desk.now, api, &mut self.desk.alarms);
+            self.router_host.downstream.accept(self.router_host.now, api, &mut self.router_host.timers);
         }
     }
 
     fn client_ready(&mut self, id: usize, readable: bool) {
         let now = self.tick();
-        self.desk.clients.ready(now, id, readable, &mut self.desk.alarms);
-        self.desk.clients.again.push(id);
+        self.router_host.downstream.ready(now, id, readable, &mut self.router_host.timers);
+        self.router_host.downstream.again.push(id);
         self.settle();
     }
 
-    fn link_ready(&mut self, id: usize, readable: bool) {
+    fn upstream_ready(&mut self, id: usize, readable: bool) {
         let now = self.tick();
-        for scan in self.desk.servers.unsent(id) {
-            self.desk.look_after(scan);
+        for query in self.router_host.upstream.unsent(id) {
+            self.router_host.check_client(query);
         }
         self.let_go();
-        self.desk.servers.ready(now, id, readable, &mut self.desk.alarms);
+        self.router_host.upstream.ready(now, id, readable, &mut self.router_host.timers);
         self.settle();
     }
 
-    fn question_ready(&mut self, id: usize, readable: bool) {
+    fn prefilter_ready(&mut self, id: usize, readable: bool) {
         let now = self.tick();
-        if let Some(questions) = &mut self.desk.questions {
-            questions.ready(now, id, readable, &mut self.desk.alarms);
+        if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
+            prefilter_connections.ready(now, id, readable, &mut self.router_host.timers);
         }
         self.settle();
     }
 
     fn discovery_ready(&mut self, readable: bool) {
         let now = self.tick();
-        for news in self.discovery.ready(now, readable, &mut self.desk.alarms) {
+        for news in self.discovery.ready(now, readable, &mut self.router_host.timers) {
             if self.known.take().is_some() {
-                self.take_in_waiting();
+                self.accept_backlog();
             }
             self.listed(news);
         }
@@ -164,50 +168,55 @@
     }
 
     /// Makes a call to discovery after all that found no descriptor: a list that is not asked for counts as told too.
-    fn call_discovery(&mut self) {
-        if std::mem::take(&mut self.discovery.short) && self.desk.make_room() {
-            self.discovery.call(self.desk.now, &mut self.desk.alarms);
+    fn retry_discovery(&mut self) {
+        if std::mem::take(&mut self.discovery.short) && self.router_host.make_room() {
+            self.discovery.call(self.router_host.now, &mut self.router_host.timers);
         }
     }
 
-    fn disk(&mut self, done: Done) {
+    fn disk_done(&mut self, done: Done) {
         let now = self.tick();
-        if let Some(bodies) = &mut self.desk.bodies {
+        if let Some(bodies) = &mut self.router_host.body_store {
             bodies.done(now, done);
         }
         self.settle();
     }
 
-    fn listed(&mut self, mut news: News) {
-        if let Some(fleet) = &mut self.desk.fleet {
-            news.rows = fleet.listed(self.desk.now, news.whole, news.rows, |zone| self.discovery.zone(zone));
+    fn listed(&mut self, mut news: EndpointUpdate) {
+        if let Some(fleet) = &mut self.router_host.control_plane {
+            news.endpoints = fleet
+                .listed(self.router_host.now, news.whole, news.endpoints, |zone| self.discovery.zone(zone));
         }
-        self.take_rows(news);
+        self.apply_endpoints(news);
     }
 
-    fn take_rows(&mut self, news: News) {
-        let now = self.desk.now;
-        let mut listed = Vec::with_capacity(news.rows.len());
+    fn apply_endpoints(&mut self, news: EndpointUpdate) {
+        let now = self.router_host.now;
+        let mut listed = Vec::with_capacity(news.endpoints.len());
         if news.whole {
-            let named = news.rows.iter().map(|row| row.0.node).collect();
-            self.desk.servers.listed_anew(self.desk.now, &named, &mut self.desk.alarms);
+            let named = news.endpoints.iter().map(|row| row.0.node).collect();
+            self.router_host.upstream.remove_unlisted(
+                self.router_host.now,
+                &named,
+                &mut self.router_host.timers,
+            );
         }
-        for (row, listing) in news.rows {
-            self.desk.servers.listed(now, row.node, listing, &mut self.desk.alarms);
+        for (row, listing) in news.endpoints {
+            self.router_host.upstream.listed(now, row.node, listing, &mut self.router_host.timers);
             listed.push(row);
         }
-        for (node, replaced) in std::mem::take(&mut self.desk.servers.changed) {
-            if let Some(questions) = &mut self.desk.questions {
-                questions.leave(node, &mut self.desk.alarms);
+        for (node, replaced) in std::mem::take(&mut self.router_host.upstream.changed) {
+            if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
+                prefilter_connections.leave(node, &mut self.router_host.timers);
             }
-            if let Some(asking) = self.asking.as_mut().filter(|_| replaced) {
-                asking.forget(node);
+            if let Some(prefilter) = self.prefilter.as_mut().filter(|_| replaced) {
+                prefilter.forget(node);
             }
         }
-        self.desk.clients.may_serve = self.desk.servers.any_active();
-        self.broker.update_endpoints(&mut self.desk, news.whole, &listed);
-        if let Some(keeping) = &mut self.keeping {
-            keeping.believe(now, &mut self.broker, &mut self.desk);
+        self.router_host.downstream.has_endpoints = self.router_host.upstream.any_active();
+        self.router.update_endpoints(&mut self.router_host, news.whole, &listed);
+        if let Some(persistence) = &mut self.persistence {
+            persistence.believe(now, &mut self.router, &mut self.router_host);
         }
     }
 
@@ -215,52 +224,61 @@
     /// ends that came while the module was in a call, as its calls never nest.
     fn settle(&mut self) {
         loop {
-            let now = self.desk.now;
+            let now = self.router_host.now;
             self.let_go();
-            self.desk.flush();
-            self.desk.feed();
-            if let Some((node, key)) = self.desk.servers.framed.pop_front() {
-                self.broker.on_frame_written(&mut self.desk, node, key);
-            } else if let Some(back) = self.desk.servers.back.pop_front() {
-                let scan = back.ended.query;
-                if let Some(asking) = &mut self.asking {
-                    asking.returned(&mut self.broker, &mut self.desk, &back);
+            self.router_host.flush();
+            self.router_host.feed();
+            if let Some((node, key)) = self.router_host.upstream.framed.pop_front() {
+                self.router.on_frame_written(&mut self.router_host, node, key);
+            } else if let Some(back) = self.router_host.upstream.back.pop_front() {
+                let query = back.ended.query;
+                if let Some(prefilter) = &mut self.prefilter {
+                    prefilter.returned(&mut self.router, &mut self.router_host, &back);
                 }
-                if let Some(ended) = self.desk.book(back) {
-                    self.broker.on_attempt_ended(&mut self.desk, ended);
-                    self.desk.relax(scan, |scan| self.broker.needs_body(scan));
-                    self.desk.release(scan);
+                if let Some(ended) = self.router_host.book(back) {
+                    self.router.on_attempt_ended(&mut self.router_host, ended);
+                    self.router_host.release_body(query, |query| self.router.needs_body(query));
+                    self.router_host.release(query);
                 }
-            } else if let Some(client) = self.desk.clients.again.pop() {
-                match self.desk.clients.next(now, client, &mut self.desk.alarms) {
-                    Came::Scan(asked) => {
-                        if let Some(scan) = self.desk.take(client, asked) {
-                            self.begin(scan);
+            } else if let Some(client) = self.router_host.downstream.again.pop() {
+                match self.router_host.downstream.next(now, client, &mut self.router_host.timers) {
+                    ClientEvent::Query(asked) => {
+                        if let Some(query) = self.router_host.take(client, asked) {
+                            self.begin(query);
                         }
                     }
-                    Came::Api(request) => {
-                        for scan in self.desk.request(client, &request) {
-                            self.begin(scan);
+                    ClientEvent::SearchRequest(request) => {
+                        for query in self.router_host.request(client, &request) {
+                            self.begin(query);
                         }
                     }
-                    Came::Opens(asked, head) => self.desk.open(client, asked, *head),
-                    Came::Left(Some(scan)) => self.client_left(scan),
-                    Came::Left(None) | Came::Nothing => {}
+                    ClientEvent::StreamedQuery(asked, head) => self.router_host.open(client, asked, *head),
+                    ClientEvent::Disconnected(Some(query)) => self.client_disconnected(query),
+                    ClientEvent::Disconnected(None) | ClientEvent::Nothing => {}
                 }
-            } else if let Some((body, event)) = self.desk.bodies.as_mut().and_then(|b| b.events.pop_front()) {
+            } else if let Some((body, event)) =
+                self.router_host.body_store.as_mut().and_then(|b| b.events.pop_front())
+            {
                 self.body(body, event);
             } else if let Some((question, words)) =
-                self.desk.questions.as_mut().and_then(|q| q.told.pop_front())
+                self.router_host.prefilter_connections.as_mut().and_then(|q| q.told.pop_front())
             {
-                if let Some(asking) = &mut self.asking {
-                    asking.told(&mut self.broker, &mut self.desk, question, words);
+                if let Some(prefilter) = &mut self.prefilter {
+                    prefilter.told(&mut self.router, &mut self.router_host, question, words);
                 }
-            } else if let Some((scan, answered)) = self.desk.concluded.pop() {
-                self.asking.as_mut().into_iter().for_each(|asking| asking.over(now, scan, answered));
-            } else if let Some((node, host)) = self.desk.servers.forgotten() {
-                self.broker.remove_node(node);
-                self.desk.fleet.as_mut().into_iter().for_each(|fleet| fleet.forget(node, &host));
-                self.asking.as_mut().into_iter().for_each(|asking| asking.forget(node));
+            } else if let Some((query, answered)) = self.router_host.concluded.pop() {
+                self.prefilter
+                    .as_mut()
+                    .into_iter()
+                    .for_each(|prefilter| prefilter.over(now, query, answered));
+            } else if let Some((node, host)) = self.router_host.upstream.next_forgotten() {
+                self.router.remove_node(node);
+                self.router_host
+                    .control_plane
+                    .as_mut()
+                    .into_iter()
+                    .for_each(|fleet| fleet.forget(node, &host));
+                self.prefilter.as_mut().into_iter().for_each(|prefilter| prefilter.forget(node));
                 self.discovery.forget(node, &host);
             } else {
                 return;
@@ -268,111 +286,116 @@
         }
     }
 
-    fn begin(&mut self, mut scan: Query) {
-        if !self.desk.admit(&mut scan) {
+    fn begin(&mut self, mut query: Query) {
+        if !self.router_host.admit(&mut query) {
             return;
         }
-        match &mut self.asking {
-            Some(asking) => asking.begin(&mut self.broker, &mut self.desk, scan),
-            None => self.broker.on_query(&mut self.desk, scan),
+        match &mut self.prefilter {
+            Some(prefilter) => prefilter.begin(&mut self.router, &mut self.router_host, query),
+            None => self.router.on_query(&mut self.router_host, query),
         }
     }
 
     /// All that this turn of the loop has brought has been told.
-    fn turn_over(&mut self, calm: bool) {
-        if let Some(asking) = &mut self.asking {
-            asking.turn_over(&mut self.broker, &mut self.desk);
+    fn end_iteration(&mut self, idle: bool) {
+        if let Some(prefilter) = &mut self.prefilter {
+            prefilter.end_iteration(&mut self.router, &mut self.router_host);
             self.settle();
         }
-        self.work(calm);
+        self.work(idle);
     }
 
     /// What has become of a body.
-    fn body(&mut self, body: BodyId, event: Event) {
+    fn body(&mut self, body: BodyId, event: BodyEvent) {
         let note = match event {
-            Event::Kept => None,
-            Event::Passes(why) => Some(why),
-            Event::Lost(why) => {
-                if let Some(scan) = self.desk.lost(body, why) {
-                    self.broker.on_body_discarded(&mut self.desk, scan);
+            BodyEvent::Buffered => None,
+            BodyEvent::PassThrough(why) => Some(why),
+            BodyEvent::Lost(why) => {
+                if let Some(query) = self.router_host.lost(body, why) {
+                    self.router.on_body_discarded(&mut self.router_host, query);
                 }
-                let now = self.desk.now;
-                return self.desk.servers.cut_lost(now, &mut self.desk.alarms);
+                let now = self.router_host.now;
+                return self.router_host.upstream.abort_lost_bodies(now, &mut self.router_host.timers);
             }
         };
-        if let Some((scan, body)) = self.desk.begin(body, note) {
-            let (id, mut scan) = (scan.id, scan);
-            if self.desk.admit(&mut scan) {
-                self.broker.on_query(&mut self.desk, scan);
+        if let Some((query, body)) = self.router_host.begin(body, note) {
+            let (id, mut query) = (query.id, query);
+            if self.router_host.admit(&mut query) {
+                self.router.on_query(&mut self.router_host, query);
             }
             body.begin();
-            self.desk.relax(id, |scan| self.broker.needs_body(scan));
+            self.router_host.release_body(id, |query| self.router.needs_body(query));
         }
     }
 
     /// A scan's time is up.
-    fn scan_ends(&mut self, scan: QueryId) {
-        if self.desk.scan_ends(scan) {
+    fn scan_ends(&mut self, query: QueryId) {
+        if self.router_host.scan_ends(query) {
             self.settle();
-            self.desk.overdue(scan);
-            self.broker.on_client_disconnect(&mut self.desk, scan);
+            self.router_host.fail_overdue(query);
+            self.router.on_client_disconnect(&mut self.router_host, query);
         }
     }
 
     /// Does what has come due.
-    fn ring(&mut self) {
+    fn run_timers(&mut self) {
         let now = self.tick();
-        while let Some(due) = self.desk.alarms.take_due(now) {
+        while let Some(due) = self.router_host.timers.pop_due(now) {
             match due {
-                Due::Wake => self.broker.on_wake(&mut self.desk),
-                Due::ScanEnds(scan) => self.scan_ends(scan),
-                Due::Question(id) => {
-                    if let Some(questions) = &mut self.desk.questions {
-                        questions.due(id, &mut self.desk.alarms);
+                TimerEvent::RouterWake => self.router.on_wake(&mut self.router_host),
+                TimerEvent::QueryDeadline(query) => self.scan_ends(query),
+                TimerEvent::PrefilterConnection(id) => {
+                    if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
+                        prefilter_connections.due(id, &mut self.router_host.timers);
                     }
                 }
-                Due::Asking => {
-                    if let Some(asking) = &mut self.asking {
-                        asking.due(&mut self.broker, &mut self.desk);
+                TimerEvent::Prefilter => {
+                    if let Some(prefilter) = &mut self.prefilter {
+                        prefilter.due(&mut self.router, &mut self.router_host);
                     }
                 }
-                Due::Snapshot => {
-                    if let Some(keeping) = &mut self.keeping {
-                        keeping.due(now, &mut self.background);
-                        self.desk.alarms.set(now + keeping.every(), Due::Snapshot);
+                TimerEvent::Snapshot => {
+                    if let Some(persistence) = &mut self.persistence {
+                        persistence.due(now, &mut self.background);
+                        self.router_host.timers.set(now + persistence.every(), TimerEvent::Snapshot);
                     }
                 }
-                Due::Work => self.background.rung(),
-                Due::Link(id) => self.desk.servers.due(now, id, &mut self.desk.alarms),
-                Due::ClientSlow(id) => {
+                TimerEvent::BackgroundJob => self.background.on_timer(),
+                TimerEvent::UpstreamConnection(id) => {
+                    self.router_host.upstream.due(now, id, &mut self.router_host.timers)
+                }
+                TimerEvent::ClientTimeout(id) => {
                     // What it has sent may be behind this in the same turn.
-                    let time = self.desk.clients.hear_out(id);
+                    let time = self.router_host.downstream.read_before_timeout(id);
                     self.settle();
-                    if self.desk.clients.is_still_slow(id, time)
-                        && let Some(scan) = self.desk.clients.slow(now, id, &mut self.desk.alarms)
+                    if self.router_host.downstream.is_still_timed_out(id, time)
+                        && let Some(query) =
+                            self.router_host.downstream.slow(now, id, &mut self.router_host.timers)
                     {
-                        self.client_left(scan);
+                        self.client_disconnected(query);
                     }
                 }
-                Due::ClientMore(id) => self.desk.clients.go_on(id),
-                Due::Discovery => {
-                    self.discovery.due(now, &mut self.desk.alarms);
-                    self.call_discovery();
+                TimerEvent::ClientResume(id) => self.router_host.downstream.go_on(id),
+                TimerEvent::Discovery => {
+                    self.discovery.due(now, &mut self.router_host.timers);
+                    self.retry_discovery();
                 }
-                Due::Accept => {
-                    self.take_in_waiting();
-                    self.make_room_to_end();
+                TimerEvent::ResumeAccept => {
+                    self.accept_backlog();
+                    self.retry_closing_listeners();
                 }
-                Due::FirstList => {
+                TimerEvent::FirstListTimeout => {
                     if let Some(known) = self.known.take() {
-                        info!("discovery is silent; the configuration's list is in force until it speaks");
+                        info!(
+                            "discovery does not answer; the configured endpoint list is used until it does"
+                        );
                         self.listed(known);
-                        self.take_in_waiting();
+                        self.accept_backlog();
                     }
                 }
-                Due::Drain => self.drain(),
-                Due::Bodies => self.desk.look_over(),
-                Due::Counters => self.report(),
+                TimerEvent::ShutdownStage => self.drain(),
+                TimerEvent::BodyCheck => self.router_host.check_bodies(),
+                TimerEvent::Counters => self.report(),
             }
             self.settle();
         }
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -8,7 +8,6 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use calloop::EventLoop;
 use calloop::signals::Signal;
 use dunepond_background::{Pool as WorkPool, Scheduler};
 use dunepond_body_buffer::{Disk, Folder, Spool};
@@ -18,35 +17,35 @@
 use dunepond_storage::FileStore;
 use tracing::{info, warn};
 
-use super::World;
+use super::EventLoop;
 use crate::background::Background;
-use crate::body_store::Bodies;
+use crate::body_store::BodyStore;
 use crate::buffers::{self, Pool};
-use crate::clock::{Clock, Due};
-use crate::config::Start;
-use crate::config_reload::Rereader;
-use crate::control_plane::Fleet;
-use crate::discovery::{DiscoveryClient, OVERDUE};
-use crate::downstream::{self, Clients};
-use crate::iteration::{Handle, Ready, Turn, channel_into};
-use crate::persistence::Keeping;
-use crate::prefilter::Asking;
-use crate::prefilter_connections::Questions;
-use crate::router::Desk;
-use crate::search_api::Door;
+use crate::clock::{Clock, TimerEvent};
+use crate::config::StartupConfig;
+use crate::config_reload::ConfigReloader;
+use crate::control_plane::ControlPlane;
+use crate::discovery::{DiscoveryClient, RESPONSE_OVERDUE_SECONDS};
+use crate::downstream::{self, Downstream};
+use crate::iteration::{EventLoopHandle, Iteration, LoopEvent, event_channel};
+use crate::persistence::Persistence;
+use crate::prefilter::PrefilterHost;
+use crate::prefilter_connections::PrefilterConnections;
+use crate::router::RouterHost;
+use crate::search_api::SearchApi;
 use crate::signals::{CaughtSignals, catch_signals};
-use crate::upstream::Servers;
+use crate::upstream::Upstream;
 
 /// How long a new process waits for the list: for a call and for the one beside it. What the agent on its machine has
 /// counts as told from its first moment, and what it was left with may be old; but while discovery is down there is
 /// nothing else to go by. Who waits at the listener so long has a time of its own, which is not seen before its
 /// request is read: it waits for this share of the shortest query timeout at most, and is throttled then. Half, as the other
 /// half is its client's, to ask elsewhere; the timeouts are the settings'.
-const FIRST_LIST: f64 = 2.0 * OVERDUE;
-const HELD_AT_MOST: f64 = 0.5;
+const FIRST_LIST_TIMEOUT_SECONDS: f64 = 2.0 * RESPONSE_OVERDUE_SECONDS;
+const MAX_ACCEPT_HOLD_RATIO: f64 = 0.5;
 /// How soon an address that is still held is tried again. No term asks for it: a bound of ours on how often a process that can do
 /// nothing else runs, far below the seconds in which one has to be ready.
-const HELD_AGAIN: Duration = Duration::from_millis(20);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What its program lends a broker.
 #[derive(Default)]
@@ -67,7 +66,11 @@
 type BodyFiles = (Spool, Arc<dyn Folder>);
 
 /// The files tier, where the operator's file names a folder. Its threads leave word as the sockets do.
-fn spool(bodies: &operator::Bodies, hooks: &Hooks, handle: &Handle) -> Result<Option<BodyFiles>, Bad> {
+fn spool(
+    bodies: &operator::Bodies,
+    hooks: &Hooks,
+    handle: &EventLoopHandle,
+) -> Result<Option<BodyFiles>, Bad> {
     let Some(told) = &bodies.folder else { return Ok(None) };
     let failed = |e: &dyn std::fmt::Display| Bad(format!("files: folder: {}: {e}", told.path.display()));
     let folder = match &hooks.folder {
@@ -79,7 +82,7 @@
             Arc::new(Disk::open(&told.path, &mark).map_err(|e| failed(&e))?)
         }
     };
-    let sender = channel_into(handle, Ready::Disk).map_err(|e| failed(&e))?;
+    let sender = event_channel(handle, LoopEvent::DiskDone).map_err(|e| failed(&e))?;
     // Once nobody listens the broker has ended, and its files go with it.
     let tell = move |done| drop(sender.send(done));
     let spool = Spool::start(folder.clone(), told.threads, told.waiting, tell).map_err(|e| failed(&e))?;
@@ -97,9 +100,9 @@
                     && since.elapsed().as_secs_f64() < MAX_SHUTDOWN_SECONDS =>
             {
                 if !std::mem::replace(&mut waits, true) {
-                    warn!("{what}: {address}: {e}; waiting for whoever holds it");
+                    warn!("{what}: {address}: {e}; retrying until it is free");
                 }
-                thread::sleep(HELD_AGAIN);
+                thread::sleep(BIND_RETRY_INTERVAL);
             }
             outcome => return outcome,
         }
@@ -107,18 +110,18 @@
 }
 
 /// Serves until it is told to end.
-pub fn serve(start: Start, mut hooks: Hooks) -> Result<(), Bad> {
+pub fn serve(start: StartupConfig, mut hooks: Hooks) -> Result<(), Bad> {
     let failed = |what: &str, why: &dyn std::fmt::Display| Bad(format!("{what}: {why}"));
     if start.operator.bodies.is_some() {
-        buffers::one_heap();
+        buffers::use_single_malloc_arena();
     }
-    let mut event_loop = EventLoop::try_new().map_err(|e| failed("loop", &e))?;
+    let mut event_loop = calloop::EventLoop::try_new().map_err(|e| failed("loop", &e))?;
     let handle = event_loop.handle();
     let CaughtSignals { signals, since } = hooks.signals.take().map_or_else(catch_signals, Ok)?;
-    let signals = handle.insert_source(signals, |event, _, turn: &mut Turn| {
+    let signals = handle.insert_source(signals, |event, _, turn: &mut Iteration| {
         turn.ready.push_back(match event.signal() {
-            Signal::SIGHUP => Ready::Reread,
-            _ => Ready::End,
+            Signal::SIGHUP => LoopEvent::ReloadRequested,
+            _ => LoopEvent::ShutdownRequested,
         });
     });
     signals.map_err(|e| failed("signals", &e.error))?;
@@ -128,42 +131,50 @@
     let known = discovery.read(&start.known).ok().map(|(_, news, _)| news);
     let listener = listen("GW_LISTEN", start.listen).map_err(|e| failed("GW_LISTEN", &e))?;
     let local = listener.local_addr().map_err(|e| failed("GW_LISTEN", &e))?;
-    let clients =
-        Clients::new(handle.clone(), &pool, bounds.clone(), start.most_clients, start.most_buffers, listener);
-    let clients = clients.map_err(|e| failed("GW_LISTEN", &e))?;
+    let downstream = Downstream::new(
+        handle.clone(),
+        &pool,
+        bounds.clone(),
+        start.max_clients,
+        start.max_buffers,
+        listener,
+    );
+    let downstream = downstream.map_err(|e| failed("GW_LISTEN", &e))?;
     let for_questions = if start.operator.phases.is_some() { start.most_links / 4 } else { 0 };
-    let questions = Questions::new(handle.clone(), &pool, bounds.clone(), for_questions);
-    let mut servers = Servers::new(handle, &pool, bounds.clone(), start.most_links - for_questions);
+    let prefilter_connections =
+        PrefilterConnections::new(handle.clone(), &pool, bounds.clone(), for_questions);
+    let mut upstream = Upstream::new(handle, &pool, bounds.clone(), start.most_links - for_questions);
     let (table_types, table_bounds) = (bounds.table_types.clone(), bounds.clone());
     if !start.operator.search_nodes.is_empty() {
         let once = start.deployment.query_classes.iter().map(|t| t.idempotency == Idempotency::NonIdempotent);
-        servers.speak_api(start.operator.search_nodes.clone(), once.collect());
+        upstream.set_search_api_nodes(start.operator.search_nodes.clone(), once.collect());
     }
-    let mut desk = Desk::new(&start.deployment, bounds, &pool, clients, servers);
+    let mut router_host = RouterHost::new(&start.deployment, bounds, &pool, downstream, upstream);
     if let Some(told) = &start.operator.search {
         let listener = listen("search: listen", told.listen).map_err(|e| failed("search: listen", &e))?;
         let api = listener.local_addr().map_err(|e| failed("search: listen", &e))?;
-        desk.clients.open(listener, true).map_err(|e| failed("search: listen", &e))?;
-        let door = Door::new(told.limits.clone(), table_bounds, &start.deployment);
-        desk.clients.api = Some(Rc::new(door));
+        router_host.downstream.open(listener, true).map_err(|e| failed("search: listen", &e))?;
+        let door = SearchApi::new(told.limits.clone(), table_bounds, &start.deployment);
+        router_host.downstream.api = Some(Rc::new(door));
         info!("the API listening at {api}");
     }
     let mut folder = None;
     if let Some(bodies) = &start.operator.bodies {
-        desk.clients.raw = true;
+        router_host.downstream.raw = true;
         let (spool, used) = spool(bodies, &hooks, &event_loop.handle())?.unzip();
         folder = used;
-        desk.bodies = Some(Bodies::new(bodies.terms.clone(), spool, table_types));
+        router_host.body_store = Some(BodyStore::new(bodies.terms.clone(), spool, table_types));
     }
     let timeouts = start.deployment.query_classes.iter().map(|t| t.timeout);
-    let held_at_most = HELD_AT_MOST * timeouts.clone().fold(f64::MAX, f64::min);
+    let held_at_most = MAX_ACCEPT_HOLD_RATIO * timeouts.clone().fold(f64::MAX, f64::min);
     let longest_timeout = timeouts.fold(0.0, f64::max);
-    let (terms, seed, types) = (start.operator.phases.clone(), start.deployment.seed, desk.table_types());
-    let asking = terms.map(|terms| Asking::new(terms, &start.deployment));
-    desk.questions = asking.is_some().then_some(questions);
+    let (terms, seed, types) =
+        (start.operator.phases.clone(), start.deployment.seed, router_host.table_types());
+    let prefilter = terms.map(|terms| PrefilterHost::new(terms, &start.deployment));
+    router_host.prefilter_connections = prefilter.is_some().then_some(prefilter_connections);
     if let Some(told) = &start.operator.fleet {
-        let (site, customers) = (&start.deployment, desk.customers());
-        let fleet = Fleet::start(
+        let (site, customers) = (&start.deployment, router_host.customers());
+        let fleet = ControlPlane::start(
             told,
             &start.name,
             site,
@@ -171,87 +182,93 @@
             std::mem::take(&mut hooks.fleet),
             &event_loop.handle(),
         )?;
-        desk.servers.gate = Some(fleet.gate.clone());
-        desk.fleet = Some(fleet);
+        router_host.upstream.gate = Some(fleet.gate.clone());
+        router_host.control_plane = Some(fleet);
     }
-    let broker = Router::new(start.deployment);
+    let router = Router::new(start.deployment);
     let (clock, operator) = (Clock::start(), start.operator);
-    let sender = channel_into(&event_loop.handle(), Ready::Work).map_err(|e| failed("background", &e))?;
-    let reread = channel_into(&event_loop.handle(), Ready::Configuration);
+    let sender =
+        event_channel(&event_loop.handle(), LoopEvent::JobFinished).map_err(|e| failed("background", &e))?;
+    let reread = event_channel(&event_loop.handle(), LoopEvent::ConfigLoaded);
     let reread = reread.map_err(|e| failed("configuration", &e))?;
-    let rereader = Rereader::new(reread, hooks.operator.clone());
+    let config_reloader = ConfigReloader::new(reread, hooks.operator.clone());
     let pool = operator.state.as_ref().map(|_| {
-        WorkPool::start("work", operator.background.at_once, move |finished| {
-            let _ = sender.send(finished);
+        WorkPool::start("work", operator.background.at_once, move |on_job_finished| {
+            let _ = sender.send(on_job_finished);
         })
     });
     let pool = pool.transpose().map_err(|e| failed("background", &e))?;
     let mut background = Background::new(Scheduler::new(operator.background.clone(), seed), pool);
     let files = hooks.files.clone();
-    let keeping = operator.state.clone();
-    let keeping = keeping.map(|told| Keeping::start(clock.now(), told, files, types, &mut background));
-    let mut world = World {
+    let persistence = operator.state.clone();
+    let persistence =
+        persistence.map(|told| Persistence::start(clock.now(), told, files, types, &mut background));
+    let mut world = EventLoop {
         clock,
-        broker,
-        desk,
+        router,
+        router_host,
         discovery,
-        asking,
+        prefilter,
         background,
-        keeping,
+        persistence,
         audit: false,
-        rereader,
+        config_reloader,
         operator,
         known,
-        this_turn: clock.at(since),
-        turn_before: clock.at(since),
+        iteration_began_at: clock.at(since),
+        previous_iteration_at: clock.at(since),
         longest_timeout,
         shutdown: None,
         stage: ShutdownStage::Serving,
         over: false,
     };
-    world.set_out(held_at_most);
+    world.schedule_first(held_at_most);
     info!("listening on {local}");
     world.run(&mut event_loop).map_err(|e| failed("loop", &e))?;
     world.finish();
     if let Some(folder) = &folder {
         folder.leave();
     }
-    info!("ended");
+    info!("stopped");
     Ok(())
 }
 
-impl World {
+impl EventLoop {
     /// What is due from the first moment on. Nobody is taken in before the first list, for so long at most.
-    fn set_out(&mut self, held_at_most: f64) {
+    fn schedule_first(&mut self, held_at_most: f64) {
         let now = self.tick();
         self.report();
-        if let Some(keeping) = &self.keeping {
-            self.desk.alarms.set(now + keeping.every(), Due::Snapshot);
+        if let Some(persistence) = &self.persistence {
+            self.router_host.timers.set(now + persistence.every(), TimerEvent::Snapshot);
         }
         if self.known.is_some() {
             // The list comes into force before who waited for it is taken in.
-            self.desk.alarms.set(now + FIRST_LIST, Due::FirstList);
-            self.desk.clients.hold(now, now + FIRST_LIST.min(held_at_most), &mut self.desk.alarms);
+            self.router_host.timers.set(now + FIRST_LIST_TIMEOUT_SECONDS, TimerEvent::FirstListTimeout);
+            self.router_host.downstream.hold(
+                now,
+                now + FIRST_LIST_TIMEOUT_SECONDS.min(held_at_most),
+                &mut self.router_host.timers,
+            );
         }
-        self.discovery.call(now, &mut self.desk.alarms);
+        self.discovery.call(now, &mut self.router_host.timers);
     }
 
     /// Turn by turn, until the listeners are closed and no client is left.
-    fn run(&mut self, event_loop: &mut EventLoop<'static, Turn>) -> calloop::Result<()> {
-        let mut turn = Turn::default();
-        while !(self.over && self.desk.clients.count() == 0) {
-            let next = self.desk.alarms.until_next(self.clock.now());
+    fn run(&mut self, event_loop: &mut calloop::EventLoop<'static, Iteration>) -> calloop::Result<()> {
+        let mut turn = Iteration::default();
+        while !(self.over && self.router_host.downstream.count() == 0) {
+            let next = self.router_host.timers.until_next(self.clock.now());
             let wait = next.map_or(SIGNAL_POLL_INTERVAL, |next| next.min(SIGNAL_POLL_INTERVAL));
             event_loop.dispatch(wait, &mut turn)?;
             // Nothing came but a time: whatever runs now delays nobody who is already there.
-            let calm = turn.ready.is_empty();
-            self.begin_turn();
-            self.hang_ups(&turn);
+            let idle = turn.ready.is_empty();
+            self.begin_iteration();
+            self.detect_disconnects(&turn);
             while let Some(ready) = turn.ready.pop_front() {
                 self.turn(ready);
             }
-            self.ring();
-            self.turn_over(calm);
+            self.run_timers();
+            self.end_iteration(idle);
         }
         Ok(())
     }
@@ -259,9 +276,9 @@
     /// Keeps what outlasts the process, and ends its threads.
     fn finish(&mut self) {
         let now = self.tick();
-        if let (Some(keeping), Some(pool)) = (&mut self.keeping, self.background.pool()) {
-            keeping.finish(now, &mut self.broker, &self.desk, pool);
+        if let (Some(persistence), Some(pool)) = (&mut self.persistence, self.background.pool()) {
+            persistence.finish(now, &mut self.router, &self.router_host, pool);
         }
-        self.desk.fleet.iter_mut().for_each(Fleet::stop);
+        self.router_host.control_plane.iter_mut().for_each(ControlPlane::stop);
     }
 }
--- a/crates/dunepond-broker/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -4,30 +4,30 @@
 
 use dunepond_prefilter::{CanMatch as Match, SegmentIndex, Version};
 
-use crate::buffers::SIZE;
+use crate::buffers::BUFFER_BYTES;
 
 /// What a frame of a node says.
 #[derive(Debug, PartialEq)]
-pub enum Said<'a> {
-    Ended {
+pub enum NodeFrame<'a> {
+    AttemptEnded {
         id: &'a str,
-        word: Word,
+        word: ReplicaOutcome,
         value: &'a str,
         report: &'a str,
     },
     /// What a node says of shards that it was asked about.
-    Words {
+    PrefilterAnswers {
         question: u64,
         words: Vec<(SegmentIndex, Match, Version)>,
     },
-    Complaint(&'a str),
+    Rejected(&'a str),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
-    Hit,
-    Fault,
-    Overload,
+pub enum ReplicaOutcome {
+    Served,
+    Failed,
+    Overloaded,
 }
 
 /// Puts one call together: a line and the text for each of its parts.
@@ -46,7 +46,7 @@
 }
 
 /// What a call begins with whose lines and texts, so many bytes, are put one by one.
-pub fn call_head(length: u64) -> [u8; 5] {
+pub fn attempts_head(length: u64) -> [u8; 5] {
     let [a, b, c, d] = (length as u32 + 1).to_be_bytes();
     [a, b, c, d, b'A']
 }
@@ -92,37 +92,40 @@
 }
 
 /// The first frame in `bytes` and how long it is; `None` until all of it has come.
-pub fn read(bytes: &[u8]) -> Result<Option<(Said<'_>, usize)>, &'static str> {
+pub fn read(bytes: &[u8]) -> Result<Option<(NodeFrame<'_>, usize)>, &'static str> {
     let Some((head, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
-    if length == 0 || length > SIZE - 4 {
+    if length == 0 || length > BUFFER_BYTES - 4 {
         return Err("a length out of bounds");
     }
     let Some(frame) = rest.get(..length) else { return Ok(None) };
     let text = std::str::from_utf8(&frame[1..]).map_err(|_| "not UTF-8")?;
     let said = match frame[0] {
         b'E' => {
-            let (line, value) = text.split_once('\n').ok_or("no line in an E")?;
+            let (line, value) = text.split_once('\n').ok_or("an E frame without a head line")?;
             let mut words = line.splitn(4, ' ');
-            let id = words.next().filter(|id| !id.is_empty()).ok_or("an E without an id")?;
+            let id = words.next().filter(|id| !id.is_empty()).ok_or("an E frame without an id")?;
             let word = match words.next() {
-                Some("hit") => Word::Hit,
-                Some("fault") => Word::Fault,
-                Some("overload") => Word::Overload,
-                _ => return Err("an E with an unknown end"),
+                Some("hit") => ReplicaOutcome::Served,
+                Some("fault") => ReplicaOutcome::Failed,
+                Some("overload") => ReplicaOutcome::Overloaded,
+                _ => return Err("an E frame with an unknown outcome"),
             };
-            words.next().and_then(|score| score.parse::<f64>().ok()).ok_or("an E without a score")?;
+            words.next().and_then(|score| score.parse::<f64>().ok()).ok_or("an E frame without a score")?;
             // Whatever the report says, the value is good; but its place must be there.
-            let report = words.next().ok_or("an E without a report")?;
-            Said::Ended { id, word, value, report }
+            let report = words.next().ok_or("an E frame without a report")?;
+            NodeFrame::AttemptEnded { id, word, value, report }
         }
         b'Q' => {
-            let (id, lines) = text.split_once('\n').ok_or("no line in a Q")?;
-            let question = id.parse().map_err(|_| "a Q without a number")?;
-            Said::Words { question, words: words(lines).ok_or("a Q with a line that says nothing")? }
+            let (id, lines) = text.split_once('\n').ok_or("a Q frame without a head line")?;
+            let question = id.parse().map_err(|_| "a Q frame without a number")?;
+            NodeFrame::PrefilterAnswers {
+                question,
+                words: words(lines).ok_or("a Q frame with an unreadable line")?,
+            }
         }
-        b'F' => Said::Complaint(text),
-        _ => return Err("an unknown letter"),
+        b'F' => NodeFrame::Rejected(text),
+        _ => return Err("an unknown frame type"),
     };
     Ok(Some((said, 4 + length)))
 }
@@ -138,9 +141,14 @@
         let bytes = [frame(b'E', b"c1.3 hit 7 -\nva\nlue"), frame(b'F', b"no")].concat();
         let first = bytes.len() - 7;
         (0..first).for_each(|count| assert_eq!(read(&bytes[..count]), Ok(None)));
-        let said = Said::Ended { id: "c1.3", word: Word::Hit, value: "va\nlue", report: "-" };
+        let said = NodeFrame::AttemptEnded {
+            id: "c1.3",
+            word: ReplicaOutcome::Served,
+            value: "va\nlue",
+            report: "-",
+        };
         assert_eq!(read(&bytes), Ok(Some((said, first))));
-        assert_eq!(read(&bytes[first..]), Ok(Some((Said::Complaint("no"), 7))));
+        assert_eq!(read(&bytes[first..]), Ok(Some((NodeFrame::Rejected("no"), 7))));
     }
 
     #[rstest]
@@ -179,7 +187,7 @@
         assert_eq!(question(7, "q 1", &[3, 9])[4..], *b"P7 3 3,9\nq 1");
         let bytes = frame(b'Q', b"7\n3 no 12\n9 may 4\n1 unknown 0");
         let words = vec![(3, Match::CannotMatch, 12), (9, Match::MayMatch, 4), (1, Match::Unknown, 0)];
-        assert_eq!(read(&bytes), Ok(Some((Said::Words { question: 7, words }, bytes.len()))));
+        assert_eq!(read(&bytes), Ok(Some((NodeFrame::PrefilterAnswers { question: 7, words }, bytes.len()))));
         assert_eq!((searched("v=12,n=0"), searched("n=3,v=1")), (Some((12, false)), Some((1, true))));
         assert_eq!((searched("-"), searched("v=1"), searched("v=x,n=1")), (None, None, None));
     }
@@ -192,7 +200,7 @@
         // Put one by one it is the same frame.
         let (id, seg, wait, body) = parts[0];
         let line = line(id, seg, wait, body.len() as u64);
-        let head = call_head((line.len() + body.len()) as u64);
+        let head = attempts_head((line.len() + body.len()) as u64);
         assert_eq!([&head[..], line.as_bytes(), body.as_bytes()].concat(), call(parts.into_iter().take(1)));
     }
 }
