--- a/crates/dunepond-broker/src/http.rs
+++ b/crates/dunepond-broker/src/http.rs
@@ -4,21 +4,21 @@
 use std::rc::Rc;
 
 use crate::body::Body;
-use crate::buffers::{Buffer, Pool, SIZE};
+use crate::buffers::{BUFFER_BYTES, Buffer, Pool};
 
 /// Longest head, with its start line.
-const HEAD: usize = 16 * 1024;
-const HEADERS: usize = 64;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_HEADER_COUNT: usize = 64;
 
 /// Why a message cannot be taken: the status that says so, and the words for it.
 #[derive(Debug, PartialEq)]
-pub struct Refusal {
+pub struct HttpError {
     pub status: u16,
     pub why: String,
 }
 
-pub fn refusal(status: u16, why: impl Into<String>) -> Refusal {
-    Refusal { status, why: why.into() }
+pub fn refusal(status: u16, why: impl Into<String>) -> HttpError {
+    HttpError { status, why: why.into() }
 }
 
 /// How the body that follows is framed, and how far it has come.
@@ -27,10 +27,10 @@
     Length(usize),
     ChunkSize,
     Chunk(usize),
-    ChunkEnd,
+    ChunkTerminator,
     Trailer,
     /// An answer that states no length: what comes until its sender closes in order.
-    ToTheEnd,
+    UntilClose,
     Done,
 }
 
@@ -40,15 +40,15 @@
     pub method: String,
     pub path: String,
     pub status: u16,
-    pub call_id: String,
+    pub request_id: String,
     pub class: String,
-    pub budget: String,
+    pub time_budget: String,
     pub again: bool,
-    pub caller: String,
+    pub tenant: String,
     /// The parts of a scan in the raw form; empty in the other.
-    pub buckets: String,
+    pub segments: String,
     pub keep: bool,
-    pub expects: bool,
+    pub expects_continue: bool,
     framing: Framing,
 }
 
@@ -60,19 +60,19 @@
     raw: Option<Rc<Body>>,
 }
 
-fn fields(headers: &[httparse::Header], version: u8, unstated: Framing) -> Result<Head, Refusal> {
+fn fields(headers: &[httparse::Header], version: u8, unstated: Framing) -> Result<Head, HttpError> {
     let mut head = Head {
         method: String::new(),
         path: String::new(),
         status: 0,
-        call_id: String::new(),
+        request_id: String::new(),
         class: String::new(),
-        budget: String::new(),
+        time_budget: String::new(),
         again: false,
-        caller: String::new(),
-        buckets: String::new(),
+        tenant: String::new(),
+        segments: String::new(),
         keep: version == 1,
-        expects: false,
+        expects_continue: false,
         framing: unstated,
     };
     let mut length = None;
@@ -107,17 +107,17 @@
                     None => {}
                 }
             }
-            "expect" => head.expects = text()?.eq_ignore_ascii_case("100-continue"),
-            "x-call-id" | "x-opaque-id" => head.call_id = text()?,
+            "expect" => head.expects_continue = text()?.eq_ignore_ascii_case("100-continue"),
+            "x-call-id" | "x-opaque-id" => head.request_id = text()?,
             "x-call-class" => head.class = text()?,
-            "x-budget" => head.budget = text()?,
+            "x-budget" => head.time_budget = text()?,
             "x-again" => head.again = text()? == "1",
-            "x-caller" => head.caller = text()?,
+            "x-caller" => head.tenant = text()?,
             "x-buckets" => {
-                if !head.buckets.is_empty() {
+                if !head.segments.is_empty() {
                     return Err(refusal(400, "X-Buckets: given twice"));
                 }
-                head.buckets = text()?;
+                head.segments = text()?;
             }
             _ => {}
         }
@@ -127,17 +127,19 @@
         (true, Some(_)) => return Err(refusal(400, "Content-Length: given beside Transfer-Encoding")),
         (true, None) => Framing::ChunkSize,
         // In the raw form whoever takes it says how long it may be.
-        (false, Some(length)) if length > SIZE && head.buckets.is_empty() => return Err(too_long()),
+        (false, Some(length)) if length > BUFFER_BYTES && head.segments.is_empty() => {
+            return Err(body_too_long());
+        }
         (false, Some(length)) => Framing::Length(length),
         (false, None) => head.framing,
     };
     // Nothing can follow it.
-    head.keep &= head.framing != Framing::ToTheEnd;
+    head.keep &= head.framing != Framing::UntilClose;
     Ok(head)
 }
 
 /// What a body of the ordinary form, or one that is not to be taken in the raw form, may not exceed.
-pub fn too_long() -> Refusal {
+pub fn body_too_long() -> HttpError {
     refusal(413, "body: over 64 KiB")
 }
 
@@ -148,17 +150,17 @@
     }
 }
 
-fn unfinished(input: &Buffer) -> Result<Option<Head>, Refusal> {
-    if input.held().len() > HEAD { Err(refusal(431, "head: over 16 KiB")) } else { Ok(None) }
+fn incomplete_head(input: &Buffer) -> Result<Option<Head>, HttpError> {
+    if input.held().len() > MAX_HEAD_BYTES { Err(refusal(431, "head: over 16 KiB")) } else { Ok(None) }
 }
 
 /// Takes a request's head out of `input`; `None` until all of it is in.
-pub fn request(input: &mut Buffer) -> Result<Option<Head>, Refusal> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+pub fn request(input: &mut Buffer) -> Result<Option<Head>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_COUNT];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(input.held()) {
         Err(e) => Err(refusal(400, format!("head: {e}"))),
-        Ok(httparse::Status::Partial) => unfinished(input),
+        Ok(httparse::Status::Partial) => incomplete_head(input),
         Ok(httparse::Status::Complete(used)) => {
             let mut head = fields(request.headers, request.version.unwrap_or(0), Framing::Length(0))?;
             head.method = request.method.unwrap_or_default().to_string();
@@ -170,16 +172,16 @@
 }
 
 /// Takes a response's head out of `input`; `None` until all of it is in.
-pub fn response(input: &mut Buffer) -> Result<Option<Head>, Refusal> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+pub fn response(input: &mut Buffer) -> Result<Option<Head>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_COUNT];
     let mut response = httparse::Response::new(&mut headers);
     match response.parse(input.held()) {
         Err(e) => Err(refusal(400, format!("head: {e}"))),
-        Ok(httparse::Status::Partial) => unfinished(input),
+        Ok(httparse::Status::Partial) => incomplete_head(input),
         Ok(httparse::Status::Complete(used)) => {
             let status = response.code.unwrap_or(0);
             let bare = matches!(status, 100..=199 | 204 | 304);
-            let unstated = if bare { Framing::Done } else { Framing::ToTheEnd };
+            let unstated = if bare { Framing::Done } else { Framing::UntilClose };
             let mut head = fields(response.headers, response.version.unwrap_or(0), unstated)?;
             head.status = status;
             input.consume(used);
@@ -194,7 +196,7 @@
     }
 
     /// From its first byte on its body goes there.
-    pub fn into_body(head: Head, body: &Rc<Body>) -> Self {
+    pub fn streaming_into(head: Head, body: &Rc<Body>) -> Self {
         Self { head, body: None, raw: Some(body.clone()) }
     }
 
@@ -203,7 +205,7 @@
     }
 
     /// Moves what has come of the body out of `input`; true once all of it is in.
-    pub fn take(&mut self, input: &mut Buffer, pool: &Pool) -> Result<bool, Refusal> {
+    pub fn take(&mut self, input: &mut Buffer, pool: &Pool) -> Result<bool, HttpError> {
         loop {
             self.head.framing = match self.head.framing {
                 Framing::Done | Framing::Length(0) => return Ok(true),
@@ -211,11 +213,11 @@
                     0 => return Ok(false),
                     moved => Framing::Length(left - moved),
                 },
-                Framing::ToTheEnd => match self.moved(input, usize::MAX, pool)? {
+                Framing::UntilClose => match self.moved(input, usize::MAX, pool)? {
                     0 => return Ok(false),
-                    _ => Framing::ToTheEnd,
+                    _ => Framing::UntilClose,
                 },
-                Framing::Chunk(0) => Framing::ChunkEnd,
+                Framing::Chunk(0) => Framing::ChunkTerminator,
                 Framing::Chunk(left) => match self.moved(input, left, pool)? {
                     0 => return Ok(false),
                     moved => Framing::Chunk(left - moved),
@@ -227,12 +229,14 @@
                         input.consume(used);
                         match size {
                             0 => Framing::Trailer,
-                            size if size > SIZE as u64 && self.raw.is_none() => return Err(too_long()),
+                            size if size > BUFFER_BYTES as u64 && self.raw.is_none() => {
+                                return Err(body_too_long());
+                            }
                             size => Framing::Chunk(size as usize),
                         }
                     }
                 },
-                Framing::ChunkEnd => match input.held() {
+                Framing::ChunkTerminator => match input.held() {
                     [b'\r', b'\n', ..] => {
                         input.consume(2);
                         Framing::ChunkSize
@@ -252,8 +256,8 @@
     }
 
     /// Its sender has closed in order; a reset is no end. True if that was the end of a body that states no length.
-    pub fn closed(&mut self) -> bool {
-        let ends = self.head.framing == Framing::ToTheEnd;
+    pub fn finish_at_close(&mut self) -> bool {
+        let ends = self.head.framing == Framing::UntilClose;
         if ends {
             self.head.framing = Framing::Done;
         }
@@ -261,11 +265,15 @@
     }
 
     /// A chunk's size or a trailer may be short of its end, but not for ever.
-    fn wait(&self, input: &Buffer) -> Result<bool, Refusal> {
-        if input.held().len() > HEAD { Err(refusal(400, "body: a chunk without an end")) } else { Ok(false) }
+    fn wait(&self, input: &Buffer) -> Result<bool, HttpError> {
+        if input.held().len() > MAX_HEAD_BYTES {
+            Err(refusal(400, "body: a chunk without an end"))
+        } else {
+            Ok(false)
+        }
     }
 
-    fn moved(&mut self, input: &mut Buffer, left: usize, pool: &Pool) -> Result<usize, Refusal> {
+    fn moved(&mut self, input: &mut Buffer, left: usize, pool: &Pool) -> Result<usize, HttpError> {
         let held = input.held();
         let held = &held[..held.len().min(left)];
         if held.is_empty() {
@@ -279,7 +287,7 @@
             None => self.body.get_or_insert_with(|| pool.take()).put(held),
         };
         if moved < held.len() {
-            return Err(too_long());
+            return Err(body_too_long());
         }
         input.consume(moved);
         Ok(moved)
@@ -345,7 +353,7 @@
     }
 
     /// Feeds an answer in pieces of this size, and then its sender's close or reset; gives what its body came to.
-    fn told(bytes: &str, pieces: usize, closed: bool) -> Option<String> {
+    fn told(bytes: &str, pieces: usize, finish_at_close: bool) -> Option<String> {
         let pool = Pool::default();
         let (mut input, mut message) = (pool.take(), None);
         for piece in bytes.as_bytes().chunks(pieces) {
@@ -359,8 +367,9 @@
                 return Some(String::from_utf8_lossy(message.text()).into_owned());
             }
         }
-        let message = message.as_mut().filter(|_| closed)?;
-        let whole = message.closed() && !message.head.keep && message.take(&mut input, &pool).unwrap();
+        let message = message.as_mut().filter(|_| finish_at_close)?;
+        let whole =
+            message.finish_at_close() && !message.head.keep && message.take(&mut input, &pool).unwrap();
         whole.then(|| String::from_utf8_lossy(message.text()).into_owned())
     }
 
@@ -371,12 +380,12 @@
     #[case::without_a_body("204 No Content\r\n\r\n", Some(""), Some(""))]
     fn an_answer_without_a_length_ends_where_its_sender_closes_and_nowhere_else(
         #[case] bytes: &str,
-        #[case] closed: Option<&str>,
+        #[case] finish_at_close: Option<&str>,
         #[case] reset: Option<&str>,
         #[values(1, 1000)] pieces: usize,
     ) {
         let bytes = format!("HTTP/1.1 {bytes}");
-        assert_eq!(told(&bytes, pieces, true).as_deref(), closed);
+        assert_eq!(told(&bytes, pieces, true).as_deref(), finish_at_close);
         assert_eq!(told(&bytes, pieces, false).as_deref(), reset);
     }
 
@@ -396,11 +405,11 @@
     }
 
     #[rstest]
-    #[case::endless_head(format!("GET /a HTTP/1.1\r\nA: {}", "x".repeat(HEAD)), 431)]
+    #[case::endless_head(format!("GET /a HTTP/1.1\r\nA: {}", "x".repeat(MAX_HEAD_BYTES)), 431)]
     #[case::huge_chunk(format!("{CHUNKED}10001\r\n"), 413)]
     #[case::many_chunks(format!("{CHUNKED}{}", format!("8000\r\n{}\r\n", "x".repeat(0x8000)).repeat(3)), 413)]
-    #[case::endless_size(format!("{CHUNKED}1;{}", "x".repeat(2 * HEAD)), 400)]
-    #[case::endless_trailer(format!("{CHUNKED}0\r\n{}", "x".repeat(2 * HEAD)), 400)]
+    #[case::endless_size(format!("{CHUNKED}1;{}", "x".repeat(2 * MAX_HEAD_BYTES)), 400)]
+    #[case::endless_trailer(format!("{CHUNKED}0\r\n{}", "x".repeat(2 * MAX_HEAD_BYTES)), 400)]
     #[case::overlong_chunk(format!("{CHUNKED}2\r\nhello\r\n"), 400)]
     #[case::no_size(format!("{CHUNKED}zz\r\n"), 400)]
     #[case::two_lengths("POST /a HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n".to_string(), 400)]
--- a/crates/dunepond-broker/src/iteration.rs
+++ b/crates/dunepond-broker/src/iteration.rs
@@ -11,43 +11,43 @@
 use dunepond_background::Finished;
 use dunepond_body_buffer::Done;
 
-use crate::config_reload::Configuration;
+use crate::config_reload::LoadedConfig;
 
 /// What has happened, to whom; `true` where it can be read. The id may have gone to another within the turn: that
 /// one is then told of a readiness too many, which costs it a read for nothing.
-pub enum Ready {
+pub enum LoopEvent {
     /// At the first door, or (true) at the API's.
     Accept(bool),
-    Client(usize, bool),
-    Link(usize, bool),
+    ClientReady(usize, bool),
+    UpstreamReady(usize, bool),
     /// A connection for questions.
-    Question(usize, bool),
+    PrefilterReady(usize, bool),
     /// A connection to discovery.
-    Discovery(bool),
+    DiscoveryReady(bool),
     /// The files tier has done something.
-    Disk(Done),
+    DiskDone(Done),
     /// A background job that could block has ended.
-    Work(Finished),
+    JobFinished(Finished),
     /// What the fleet has agreed on has changed.
-    Fleet,
-    Reread,
+    ControlPlaneChanged,
+    ReloadRequested,
     /// The configuration has been read again.
-    Configuration(Box<Configuration>),
-    End,
+    ConfigLoaded(Box<LoadedConfig>),
+    ShutdownRequested,
 }
 
 /// All that the loop's callbacks work on.
 #[derive(Default)]
-pub struct Turn {
-    pub ready: VecDeque<Ready>,
+pub struct Iteration {
+    pub ready: VecDeque<LoopEvent>,
 }
 
-pub type Handle = LoopHandle<'static, Turn>;
+pub type EventLoopHandle = LoopHandle<'static, Iteration>;
 
 /// A channel by which other threads leave word: what comes on it is one thing of a turn.
-pub fn channel_into<T: 'static>(
-    handle: &Handle,
-    ready: impl Fn(T) -> Ready + 'static,
+pub fn event_channel<T: 'static>(
+    handle: &EventLoopHandle,
+    ready: impl Fn(T) -> LoopEvent + 'static,
 ) -> calloop::Result<Sender<T>> {
     let (sender, received) = channel();
     let inserted = handle.insert_source(received, move |event, _, turn| {
@@ -61,9 +61,9 @@
 
 /// Has the loop tell of each new readiness of a stream, once, and whether it can be read.
 pub fn watch(
-    handle: &Handle,
+    handle: &EventLoopHandle,
     stream: &Rc<TcpStream>,
-    told: impl Fn(bool) -> Ready + 'static,
+    told: impl Fn(bool) -> LoopEvent + 'static,
 ) -> calloop::Result<RegistrationToken> {
     let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
     let token = handle.insert_source(source, move |ready, _, turn| {
--- a/crates/dunepond-broker/src/logger.rs
+++ b/crates/dunepond-broker/src/logger.rs
@@ -19,20 +19,20 @@
 use tracing_subscriber::{Layer, Registry, reload};
 
 /// Lines of one place in the code per second.
-const MOST: u32 = 20;
+const MAX_LINES_PER_SECOND: u32 = 20;
 
 /// A pipe that is ready for writing takes a page at least without waiting (pipe(7), PIPE_BUF); a line end is left of it.
-const PIPE_ROOM: usize = 4096 - 1;
+const PIPE_LINE_BYTES: usize = 4096 - 1;
 
 /// How a line is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Form {
+pub enum LogFormat {
     #[default]
     Text,
     Json,
 }
 
-impl FromStr for Form {
+impl FromStr for LogFormat {
     type Err = ();
 
     fn from_str(word: &str) -> Result<Self, ()> {
@@ -45,12 +45,12 @@
 }
 
 /// Seconds since the start, the broker's name, the level, the words, then the fields.
-struct Lines {
+struct TextFormat {
     name: String,
     start: Instant,
 }
 
-impl<S, N> FormatEvent<S, N> for Lines
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -64,13 +64,13 @@
 }
 
 /// Lines that were left out because there was no room for them, until the next one that is written tells of them.
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Standard error, to which no line waits to be written: it may be a pipe that nobody reads, and whoever waited there would
 /// answer nobody.
-struct WithoutWaiting;
+struct NonBlockingStderr;
 
-impl WithoutWaiting {
+impl NonBlockingStderr {
     /// Whether a line can be written at once; what cannot be asked is taken to have room, as a file has.
     fn has_room(stderr: &io::Stderr) -> bool {
         let mut asked = [PollFd::new(stderr, PollFlags::OUT)];
@@ -79,22 +79,22 @@
     }
 }
 
-impl Write for WithoutWaiting {
+impl Write for NonBlockingStderr {
     /// A line at a time. A pipe that is told to have room has it for as much as is written to it in one piece.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let stderr = io::stderr();
         if !Self::has_room(&stderr) {
-            LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
             return Ok(line.len());
         }
         let mut out = stderr.lock();
-        let left_out = LEFT_OUT.swap(0, Ordering::Relaxed);
+        let left_out = DROPPED_LINES.swap(0, Ordering::Relaxed);
         if left_out > 0 {
-            let told = format!("{left_out} lines left out, as nobody read them\n");
+            let told = format!("{left_out} log lines dropped, as standard error was not read\n");
             out.write_all(told.as_bytes())?;
         }
         // Longer than what a pipe surely takes, it could wait after all.
-        let most = if left_out > 0 { PIPE_ROOM / 2 } else { PIPE_ROOM };
+        let most = if left_out > 0 { PIPE_LINE_BYTES / 2 } else { PIPE_LINE_BYTES };
         out.write_all(&line[..line.len().min(most)])?;
         if line.len() > most {
             out.write_all(b"\n")?;
@@ -109,34 +109,34 @@
 
 /// The lines that each place in the code wrote in the present second.
 #[derive(Default)]
-struct Seen {
+struct LinesThisSecond {
     second: u64,
     lines: HashMap<Identifier, u32>,
 }
 
-struct Guard {
+struct RateLimit {
     name: String,
     start: Instant,
-    seen: Mutex<Seen>,
+    seen: Mutex<LinesThisSecond>,
 }
 
-impl Guard {
+impl RateLimit {
     /// Whether this line is one too many, and how many were held back in the second that is over.
     fn held_back(&self, metadata: &Metadata) -> (bool, u32) {
         let second = self.start.elapsed().as_secs();
         let Ok(mut seen) = self.seen.lock() else { return (false, 0) };
         let mut over = 0;
         if seen.second != second {
-            over = seen.lines.values().map(|lines| lines.saturating_sub(MOST)).sum();
-            *seen = Seen { second, lines: HashMap::new() };
+            over = seen.lines.values().map(|lines| lines.saturating_sub(MAX_LINES_PER_SECOND)).sum();
+            *seen = LinesThisSecond { second, lines: HashMap::new() };
         }
         let lines = seen.lines.entry(metadata.callsite()).or_default();
         *lines += 1;
-        (*lines > MOST, over)
+        (*lines > MAX_LINES_PER_SECOND, over)
     }
 }
 
-impl<S> Filter<S> for Guard {
+impl<S> Filter<S> for RateLimit {
     fn enabled(&self, metadata: &Metadata, _: &Context<S>) -> bool {
         metadata.target().starts_with("dunepond")
     }
@@ -149,8 +149,9 @@
         let (held_back, over) = self.held_back(event.metadata());
         if over > 0 {
             let at = self.start.elapsed().as_secs_f64();
-            let line = format!("{at:10.4} {} WARN {over} lines held back\n", self.name);
-            let _ = WithoutWaiting.write_all(line.as_bytes());
+            let line =
+                format!("{at:10.4} {} WARN {over} log lines suppressed by the rate limit\n", self.name);
+            let _ = NonBlockingStderr.write_all(line.as_bytes());
         }
         !held_back
     }
@@ -158,14 +159,14 @@
 
 static LEVEL: OnceLock<reload::Handle<LevelFilter, Registry>> = OnceLock::new();
 
-pub fn start(name: &str, level: LevelFilter, form: Form) {
+pub fn start(name: &str, level: LevelFilter, form: LogFormat) {
     let (level, handle) = reload::Layer::new(level);
     let start = Instant::now();
-    let guard = Guard { name: name.to_string(), start, seen: Mutex::default() };
-    let lines = tracing_subscriber::fmt::layer().with_writer(|| WithoutWaiting).with_ansi(false);
+    let guard = RateLimit { name: name.to_string(), start, seen: Mutex::default() };
+    let lines = tracing_subscriber::fmt::layer().with_writer(|| NonBlockingStderr).with_ansi(false);
     let lines = match form {
-        Form::Text => lines.event_format(Lines { name: name.to_string(), start }).boxed(),
-        Form::Json => lines.json().flatten_event(true).with_current_span(false).boxed(),
+        LogFormat::Text => lines.event_format(TextFormat { name: name.to_string(), start }).boxed(),
+        LogFormat::Json => lines.json().flatten_event(true).with_current_span(false).boxed(),
     };
     let subscriber = Registry::default().with(level).with(lines.with_filter(guard));
     // A second start can only happen in tests, and the first one serves them as well.
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -154,8 +154,8 @@
     start.operator = operator;
     let form = start.operator.log_form.as_deref().and_then(|form| form.parse().ok()).unwrap_or_default();
     logger::start(&start.name, start.level, form);
-    if let Some(key) = start.unserved {
-        warn!("settings: {key}: allowed, and not done on sockets");
+    if let Some(key) = start.unsupported_setting {
+        warn!("settings: {key}: allowed, but not supported on sockets");
     }
     // From here on the log has what goes wrong.
     serve(start, Hooks { operator: path, signals, ..Hooks::default() }).map_err(|Bad(line)| {
@@ -195,7 +195,7 @@
         }
         Some(Command::State { command }) => state(command),
         Some(Command::Query { at, index, text, size, shards, seconds, msearch, json }) => {
-            let ask = query_command::Ask { at, index: &index, json };
+            let ask = query_command::Target { at, index: &index, json };
             let told = match msearch {
                 Some(file) => query_command::many(&ask, &file),
                 None if shards.is_empty() => query_command::search(&ask, text.as_deref(), size),
--- a/crates/dunepond-broker/src/prefilter.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -11,18 +11,18 @@
 use dunepond_routing::{Deployment, Idempotency, NodeId, Query, QueryId, Router};
 use tracing::{debug, info};
 
-use crate::clock::{self, Due};
-use crate::prefilter_connections::Words;
-use crate::router::Desk;
-use crate::upstream::Back;
+use crate::clock::{self, TimerEvent};
+use crate::prefilter_connections::PrefilterAnswers;
+use crate::router::RouterHost;
+use crate::upstream::CompletedAttempt;
 
 /// Texts that are kept for audits: as many as can wait, and some behind them.
-const TEXTS: usize = 64;
+const MAX_AUDIT_TEXTS: usize = 64;
 
 /// The nodes as the module sees them.
-struct Seen<'a>(&'a Router);
+struct RouterView<'a>(&'a Router);
 
-impl NodeView for Seen<'_> {
+impl NodeView for RouterView<'_> {
     fn replicas(&self, seg: SegmentIndex) -> Vec<NodeId> {
         self.0.prefilter_candidates(seg).collect()
     }
@@ -37,27 +37,27 @@
 }
 
 /// A scan that the core knows.
-struct Known {
+struct KnownQuery {
     key: QueryKey,
     table_type: usize,
     text: Rc<str>,
     segs: Vec<SegmentIndex>,
 }
 
-pub struct Asking {
+pub struct PrefilterHost {
     phases: Prefilter,
     /// Texts are known by a hash that nobody outside can aim at: two that met would vouch for each other.
     hashes: RandomState,
     repeats: Vec<(bool, f64)>,
-    known: HashMap<QueryId, Known>,
+    known: HashMap<QueryId, KnownQuery>,
     /// What was left out last, for audits, the oldest first by number.
-    texts: BTreeMap<u64, (QueryKey, usize, Rc<str>)>,
-    remembered: u64,
+    audit_texts: BTreeMap<u64, (QueryKey, usize, Rc<str>)>,
+    last_text: u64,
     audits: HashMap<QueryId, Audit>,
-    alarm: Option<(f64, clock::Key)>,
+    timer: Option<(f64, clock::TimerKey)>,
 }
 
-impl Asking {
+impl PrefilterHost {
     pub fn new(terms: PrefilterConfig, site: &Deployment) -> Self {
         let repeats =
             site.query_classes.iter().map(|t| (t.idempotency == Idempotency::Idempotent, t.complete_at));
@@ -66,10 +66,10 @@
             hashes: RandomState::new(),
             repeats: repeats.collect(),
             known: HashMap::new(),
-            texts: BTreeMap::new(),
-            remembered: 0,
+            audit_texts: BTreeMap::new(),
+            last_text: 0,
             audits: HashMap::new(),
-            alarm: None,
+            timer: None,
         }
     }
 
@@ -78,11 +78,13 @@
     }
 
     /// A scan has been taken: the module admits it, and only then are its questions gathered.
-    pub fn begin(&mut self, broker: &mut Router, desk: &mut Desk, scan: Query) {
-        let Some((text, segs)) = desk.asks_for(scan.id) else { return broker.on_query(desk, scan) };
-        let (replayable, whole_at) = self.repeats[scan.class];
-        let key = self.hashes.hash_one((scan.class, &*text));
-        let (id, table_type, left) = (scan.id, scan.class, scan.expires_in);
+    pub fn begin(&mut self, router: &mut Router, router_host: &mut RouterHost, query: Query) {
+        let Some((text, segs)) = router_host.prefilter_input(query.id) else {
+            return router.on_query(router_host, query);
+        };
+        let (replayable, whole_at) = self.repeats[query.class];
+        let key = self.hashes.hash_one((query.class, &*text));
+        let (id, table_type, left) = (query.id, query.class, query.expires_in);
         let wide = PrefilterQuery {
             id,
             query_class: table_type,
@@ -93,91 +95,94 @@
             segments: segs.clone(),
         };
         if !self.phases.is_eligible(&wide) {
-            return broker.on_query(desk, scan);
+            return router.on_query(router_host, query);
         }
-        self.known.insert(id, Known { key, table_type, text, segs });
-        broker.on_query(desk, Query { awaits_prefilter: true, ..scan });
-        if desk.is_open(id) {
-            let orders = self.phases.open(desk.now, &Seen(broker), wide);
-            self.carry_out(broker, desk, orders);
+        self.known.insert(id, KnownQuery { key, table_type, text, segs });
+        router.on_query(router_host, Query { awaits_prefilter: true, ..query });
+        if router_host.is_open(id) {
+            let orders = self.phases.open(router_host.now, &RouterView(router), wide);
+            self.carry_out(router, router_host, orders);
         }
     }
 
-    fn carry_out(&mut self, broker: &mut Router, desk: &mut Desk, orders: Vec<Action>) {
+    fn carry_out(&mut self, router: &mut Router, router_host: &mut RouterHost, orders: Vec<Action>) {
         for order in orders {
             match order {
                 Action::Send(question) => {
                     let Some(known) = self.known.values().find(|known| known.key == question.key) else {
                         continue;
                     };
-                    desk.ask(question.node, question.id, &known.text, &question.segments);
+                    router_host.ask(question.node, question.id, &known.text, &question.segments);
                 }
-                Action::Search(verdict) => self.search(broker, desk, &verdict),
+                Action::Search(verdict) => self.search(router, router_host, &verdict),
             }
         }
     }
 
-    fn search(&mut self, broker: &mut Router, desk: &mut Desk, verdict: &SearchPlan) {
+    fn search(&mut self, router: &mut Router, router_host: &mut RouterHost, verdict: &SearchPlan) {
         let Some(known) = self.known.get(&verdict.query) else { return };
         if !verdict.pruned.is_empty() {
-            debug!("scan {}: {} left out", verdict.query, verdict.pruned.len());
-            self.remembered += 1;
-            self.texts.insert(self.remembered, (known.key, known.table_type, known.text.clone()));
-            while self.texts.len() > TEXTS {
-                self.texts.pop_first();
+            debug!("query {}: {} shards pruned by the prefilter", verdict.query, verdict.pruned.len());
+            self.last_text += 1;
+            self.audit_texts.insert(self.last_text, (known.key, known.table_type, known.text.clone()));
+            while self.audit_texts.len() > MAX_AUDIT_TEXTS {
+                self.audit_texts.pop_first();
             }
         }
         let place = |left: &PrunedSegment| known.segs.iter().position(|seg| *seg == left.segment);
         let parts: Vec<_> = verdict.pruned.iter().filter_map(place).collect();
-        desk.leave_out(verdict.query, verdict.pruned.clone());
-        broker.on_prefilter_result(desk, verdict.query, &parts);
+        router_host.prune(verdict.query, verdict.pruned.clone());
+        router.on_prefilter_result(router_host, verdict.query, &parts);
     }
 
     /// A node has answered a question, or will not.
     pub fn told(
         &mut self,
-        broker: &mut Router,
-        desk: &mut Desk,
+        router: &mut Router,
+        router_host: &mut RouterHost,
         question: u64,
-        words: Result<Words, dunepond_prefilter::RequestFailure>,
+        words: Result<PrefilterAnswers, dunepond_prefilter::RequestFailure>,
     ) {
-        let fleet = Seen(broker);
+        let fleet = RouterView(router);
         let orders = match words {
-            Ok(words) => self.phases.on_response(desk.now, &fleet, question, &words),
-            Err(why) => self.phases.on_failure(desk.now, &fleet, question, why),
+            Ok(words) => self.phases.on_response(router_host.now, &fleet, question, &words),
+            Err(why) => self.phases.on_failure(router_host.now, &fleet, question, why),
         };
-        self.carry_out(broker, desk, orders);
+        self.carry_out(router, router_host, orders);
     }
 
     /// A part is back, before the module hears of it: what it found may bear words out or fell them, and what was left
     /// out on those that fell is to be searched before the answer can be whole.
-    pub fn returned(&mut self, broker: &mut Router, desk: &mut Desk, back: &Back) {
-        let (scan, part) = (back.ended.query, back.ended.part);
+    pub fn returned(&mut self, router: &mut Router, router_host: &mut RouterHost, back: &CompletedAttempt) {
+        let (query, part) = (back.ended.query, back.ended.part);
         if let Some((version, found)) = back.searched {
-            let began = desk.now - back.ended.elapsed;
-            let audited = self.audits.get(&scan).map(|audit| (audit.key, audit.segment));
-            let known = || self.known.get(&scan).map(|known| (known.key, known.segs[part]));
+            let began = router_host.now - back.ended.elapsed;
+            let audited = self.audits.get(&query).map(|audit| (audit.key, audit.segment));
+            let known = || self.known.get(&query).map(|known| (known.key, known.segs[part]));
             if let Some((key, seg)) = audited.or_else(known)
                 && self.phases.record_search(began, key, seg, version, found)
             {
-                info!("node {}: found {seg} to match, which a trusted word denied", back.ended.node);
+                info!(
+                    "node {}: shard {seg} matched although a trusted prefilter answer excluded it",
+                    back.ended.node
+                );
             }
         }
-        let Some(known) = self.known.get(&scan) else { return };
-        let fallen = self.phases.take_revoked(scan);
+        let Some(known) = self.known.get(&query) else { return };
+        let fallen = self.phases.take_revoked(query);
         if !fallen.is_empty() {
-            debug!("scan {scan}: {} to be searched after all", fallen.len());
+            debug!("query {query}: {} pruned shards are searched after all", fallen.len());
             let place = |seg: &SegmentIndex| known.segs.iter().position(|s| s == seg);
             let parts: Vec<_> = fallen.iter().filter_map(place).collect();
-            desk.search_after_all(scan, &fallen);
-            broker.on_prefilter_revoked(desk, scan, &parts);
+            router_host.restore_pruned(query, &fallen);
+            router.on_prefilter_revoked(router_host, query, &parts);
         }
     }
 
     /// A scan is over, answered or not.
-    pub fn over(&mut self, now: f64, scan: QueryId, answered: bool) {
-        if self.audits.remove(&scan).is_none() && self.known.remove(&scan).is_some() {
-            self.phases.on_query_end(now, scan, answered);
+    pub fn over(&mut self, now: f64, query: QueryId, answered: bool) {
+        if self.audits.remove(&query).is_none() && self.known.remove(&query).is_some() {
+            self.phases.on_query_end(now, query, answered);
         }
     }
 
@@ -187,20 +192,20 @@
     }
 
     /// Phase one is over for some.
-    pub fn due(&mut self, broker: &mut Router, desk: &mut Desk) {
-        self.alarm = None;
-        let orders = self.phases.on_deadline(desk.now);
-        self.carry_out(broker, desk, orders);
+    pub fn due(&mut self, router: &mut Router, router_host: &mut RouterHost) {
+        self.timer = None;
+        let orders = self.phases.on_deadline(router_host.now);
+        self.carry_out(router, router_host, orders);
     }
 
-    /// The end of a turn: what was gathered in it goes out, and the next alarm is set.
-    pub fn turn_over(&mut self, broker: &mut Router, desk: &mut Desk) {
-        let orders = self.phases.flush(desk.now);
-        self.carry_out(broker, desk, orders);
+    /// The end of a turn: what was gathered in it goes out, and the next timer is set.
+    pub fn end_iteration(&mut self, router: &mut Router, router_host: &mut RouterHost) {
+        let orders = self.phases.flush(router_host.now);
+        self.carry_out(router, router_host, orders);
         let due = self.phases.next_deadline();
-        if due != self.alarm.map(|alarm| alarm.0) {
-            desk.alarms.unset(self.alarm.map(|alarm| alarm.1));
-            self.alarm = due.map(|due| (due, desk.alarms.set(due, Due::Asking)));
+        if due != self.timer.map(|timer| timer.0) {
+            router_host.timers.unset(self.timer.map(|timer| timer.1));
+            self.timer = due.map(|due| (due, router_host.timers.set(due, TimerEvent::Prefilter)));
         }
     }
 
@@ -210,14 +215,14 @@
     }
 
     /// Begins one audit, if the nodes are not pressed.
-    pub fn audit(&mut self, broker: &mut Router, desk: &mut Desk) {
-        if let Some(audit) = self.phases.audit(&Seen(broker)) {
-            let text = self.texts.values().rev().find(|(key, ..)| *key == audit.key).cloned();
+    pub fn audit(&mut self, router: &mut Router, router_host: &mut RouterHost) {
+        if let Some(audit) = self.phases.audit(&RouterView(router)) {
+            let text = self.audit_texts.values().rev().find(|(key, ..)| *key == audit.key).cloned();
             if let Some((_, table_type, text)) = text
-                && let Some(scan) = desk.audit(table_type, audit.segment, text)
+                && let Some(query) = router_host.audit(table_type, audit.segment, text)
             {
-                self.audits.insert(scan.id, audit);
-                broker.on_query(desk, scan);
+                self.audits.insert(query.id, audit);
+                router.on_query(router_host, query);
             }
         }
     }
--- a/crates/dunepond-broker/src/query_command.rs
+++ b/crates/dunepond-broker/src/query_command.rs
@@ -11,21 +11,21 @@
 use serde_json::{Value, json};
 
 /// Searches of a file that are sent in one `_msearch`.
-const TOGETHER: usize = 20;
+const MAX_SEARCHES_PER_REQUEST: usize = 20;
 /// Longer than any scan may take.
-const PATIENCE: Duration = Duration::from_secs(120);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// What is asked, and where.
-pub struct Ask<'a> {
+pub struct Target<'a> {
     pub at: SocketAddr,
     pub index: &'a str,
     pub json: bool,
 }
 
-fn talk(at: SocketAddr, request: &str) -> Result<(u16, Vec<u8>), String> {
+fn exchange(at: SocketAddr, request: &str) -> Result<(u16, Vec<u8>), String> {
     let failed = |e: std::io::Error| format!("{at}: {e}");
     let mut stream = TcpStream::connect(at).map_err(failed)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(failed)?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(failed)?;
     stream.write_all(request.as_bytes()).map_err(failed)?;
     let mut reader = BufReader::new(stream);
     let mut head = String::new();
@@ -60,21 +60,21 @@
 }
 
 /// Asks the API's door with a query string, or everything without one.
-pub fn search(ask: &Ask, query: Option<&str>, size: u64) -> Result<String, String> {
+pub fn search(ask: &Target, query: Option<&str>, size: u64) -> Result<String, String> {
     let query = query.map_or(json!({"match_all": {}}), |q| json!({"query_string": {"query": q}}));
     let body = json!({"query": query, "size": size}).to_string();
-    let (status, body) = talk(ask.at, &post(&format!("/{}/_search", ask.index), "", &body))?;
+    let (status, body) = exchange(ask.at, &post(&format!("/{}/_search", ask.index), "", &body))?;
     let answer = read(status, &body)?;
-    Ok(if ask.json { pretty(&answer) } else { shown(&answer) })
+    Ok(if ask.json { pretty(&answer) } else { format_hits(&answer) })
 }
 
 /// Asks the first door for some shards with a text.
-pub fn scan(ask: &Ask, text: &str, shards: &[u64], seconds: f64) -> Result<String, String> {
+pub fn scan(ask: &Target, text: &str, shards: &[u64], seconds: f64) -> Result<String, String> {
     let share = 1.0 / shards.len().max(1) as f64;
-    let buckets: Vec<_> = shards.iter().map(|shard| json!({"bucket": shard, "part": share})).collect();
-    let body = json!({"buckets": buckets, "body": text}).to_string();
+    let segments: Vec<_> = shards.iter().map(|shard| json!({"bucket": shard, "part": share})).collect();
+    let body = json!({"buckets": segments, "body": text}).to_string();
     let heads = format!("X-Call-Id: query-{}\r\nX-Budget: {seconds}\r\n", std::process::id());
-    let (status, body) = talk(ask.at, &post(&format!("/{}", ask.index), &heads, &body))?;
+    let (status, body) = exchange(ask.at, &post(&format!("/{}", ask.index), &heads, &body))?;
     let answer = read(status, &body)?;
     if ask.json {
         return Ok(pretty(&answer));
@@ -89,7 +89,7 @@
 }
 
 /// Sends a file of searches, line by line in pairs, some of them together; a line of progress on standard error.
-pub fn many(ask: &Ask, path: &Path) -> Result<String, String> {
+pub fn many(ask: &Target, path: &Path) -> Result<String, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let lines: Vec<&str> = text.lines().collect();
     if lines.len() % 2 == 1 {
@@ -103,9 +103,9 @@
     table.load_preset(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
     table.set_header(["search", "status", "hits", "shards", ""]);
     let (mut all, mut number) = (Vec::new(), 0);
-    for pairs in lines.chunks(2 * TOGETHER) {
+    for pairs in lines.chunks(2 * MAX_SEARCHES_PER_REQUEST) {
         let body = pairs.join("\n") + "\n";
-        let (status, body) = talk(ask.at, &post(&format!("/{}/_msearch", ask.index), "", &body))?;
+        let (status, body) = exchange(ask.at, &post(&format!("/{}/_msearch", ask.index), "", &body))?;
         let answer = read(status, &body)?;
         for one in answer["responses"].as_array().into_iter().flatten() {
             number += 1;
@@ -135,7 +135,7 @@
     serde_json::to_string_pretty(value).unwrap_or_default() + "\n"
 }
 
-fn shown(answer: &Value) -> String {
+fn format_hits(answer: &Value) -> String {
     let mut table = Table::new();
     table.load_preset(comfy_table::presets::UTF8_HORIZONTAL_ONLY).set_header(["id", "score", "document"]);
     for hit in answer["hits"]["hits"].as_array().into_iter().flatten() {
--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -6,44 +6,44 @@
 use dunepond_search_api::{ApiError, Call, Search, answer};
 use tracing::debug;
 
-use super::{Desk, InHand};
-use crate::body::Text;
-use crate::clock::Due;
-use crate::downstream::{Asked, complaint};
-use crate::search_api::{Open, Request, Searching};
+use super::{ActiveQuery, RouterHost};
+use crate::body::Payload;
+use crate::clock::TimerEvent;
+use crate::downstream::{QueryRequest, error_body};
+use crate::search_api::{ActiveRequest, ActiveSearch, SearchRequest};
 
-impl Desk {
+impl RouterHost {
     /// Takes a scan in hand; one too many is turned away before the module hears of it.
-    pub fn take(&mut self, client: usize, asked: Asked) -> Option<Query> {
+    pub fn take(&mut self, client: usize, asked: QueryRequest) -> Option<Query> {
         if self.is_full() {
-            debug!("scan {}: throttled, {} scans and parts are held", asked.call_id, self.held);
-            self.clients.reply(self.now, client, 503, "", self.longest_wait, &mut self.alarms);
+            debug!("query {}: rejected, {} queries and parts in flight", asked.request_id, self.held);
+            self.downstream.reply(self.now, client, 503, "", self.longest_wait, &mut self.timers);
             return None;
         }
-        if self.call_ids.contains(&asked.call_id) {
-            let body = complaint("X-Call-Id: in use");
-            self.clients.reply(self.now, client, 400, &body, 0.0, &mut self.alarms);
+        if self.request_ids.contains(&asked.request_id) {
+            let body = error_body("X-Call-Id: in use");
+            self.downstream.reply(self.now, client, 400, &body, 0.0, &mut self.timers);
             return None;
         }
-        let scan = self.hold(client, asked, None);
-        self.clients.holds(client, scan.id);
-        Some(scan)
+        let query = self.hold(client, asked, None);
+        self.downstream.holds(client, query.id);
+        Some(query)
     }
 
     /// Takes a request of the API in hand: a scan for each of its searches; what has none has its outcome at once.
-    pub fn request(&mut self, client: usize, request: &Request) -> Vec<Query> {
-        let Some(door) = self.clients.api.clone() else { return Vec::new() };
+    pub fn request(&mut self, client: usize, request: &SearchRequest) -> Vec<Query> {
+        let Some(door) = self.downstream.api.clone() else { return Vec::new() };
         let (now, call) = (self.now, &request.call);
         let searches: Vec<Result<&Search, ApiError>> = match call {
             Call::Info => {
                 let body = answer::info("dunepond", env!("CARGO_PKG_VERSION")).to_string();
-                self.clients.reply(now, client, 200, &body, 0.0, &mut self.alarms);
+                self.downstream.reply(now, client, 200, &body, 0.0, &mut self.timers);
                 return Vec::new();
             }
             Call::Health => {
-                let (nodes, active) = self.servers.count();
+                let (nodes, active) = self.upstream.count();
                 let body = answer::health(nodes, active, self.bounds.segs).to_string();
-                self.clients.reply(now, client, 200, &body, 0.0, &mut self.alarms);
+                self.downstream.reply(now, client, 200, &body, 0.0, &mut self.timers);
                 return Vec::new();
             }
             Call::Search(search) | Call::Count(search) | Call::Update(search) => vec![Ok(&**search)],
@@ -51,9 +51,9 @@
         };
         self.last += 1;
         let number = self.last;
-        self.requests.insert(number, Open::new(client, now, call));
-        self.clients.holds(client, number);
-        let mut scans = Vec::new();
+        self.requests.insert(number, ActiveRequest::new(client, now, call));
+        self.downstream.holds(client, number);
+        let mut queries = Vec::new();
         for (place, search) in searches.into_iter().enumerate() {
             let outcome = match search {
                 Ok(_) if self.is_full() => {
@@ -61,14 +61,14 @@
                 }
                 Ok(search) => {
                     let id = if request.id.is_empty() { "api" } else { &request.id };
-                    let call_id = format!("{id}-{number}-{place}");
-                    let asked = door.asked(search, request, call_id);
-                    let searching = Searching::new(&door, number, place, search, call, now);
-                    let scan = self.hold(client, asked, Some(Box::new(searching)));
+                    let request_id = format!("{id}-{number}-{place}");
+                    let asked = door.asked(search, request, request_id);
+                    let searching = ActiveSearch::new(&door, number, place, search, call, now);
+                    let query = self.hold(client, asked, Some(Box::new(searching)));
                     if let Some(open) = self.requests.get_mut(&number) {
-                        open.scans.push(scan.id);
+                        open.queries.push(query.id);
                     }
-                    scans.push(scan);
+                    queries.push(query);
                     continue;
                 }
                 Err(e) => Err(e),
@@ -76,24 +76,24 @@
             let wait = if outcome.as_ref().is_err_and(|e| e.status == 429) { self.longest_wait } else { 0.0 };
             self.done(number, place, outcome, wait);
         }
-        scans
+        queries
     }
 
-    fn hold(&mut self, client: usize, asked: Asked, api: Option<Box<Searching>>) -> Query {
-        self.call_ids.insert(asked.call_id.clone());
+    fn hold(&mut self, client: usize, asked: QueryRequest, api: Option<Box<ActiveSearch>>) -> Query {
+        self.request_ids.insert(asked.request_id.clone());
         self.last += 1;
-        let scan = self.last;
+        let query = self.last;
         // No client waits longer, whatever it says, and nothing is held for longer.
-        let client_until = asked.expires_at.min(self.now + self.timeouts[asked.table_type]);
-        let ends_at = client_until.min(self.clients.until);
+        let client_until = asked.deadline.min(self.now + self.timeouts[asked.table_type]);
+        let ends_at = client_until.min(self.downstream.until);
         let segs: Vec<_> = asked.parts.iter().map(|p| p.segment).collect();
         let count = segs.len();
         self.held += 1 + count;
         let left = client_until - self.now;
-        debug!("scan {}: taken as {scan}, {count} parts, {left:.3} s left", asked.call_id);
+        debug!("query {}: admitted as {query}, {count} parts, {left:.3} s left", asked.request_id);
         let body = asked.text.body().map(|body| body.id);
-        let kept = !asked.text.body().is_some_and(|body| body.is_passing());
-        let in_hand = InHand {
+        let kept = !asked.text.body().is_some_and(|body| body.is_pass_through());
+        let in_hand = ActiveQuery {
             api,
             client: Some(client),
             table_type: asked.table_type,
@@ -101,26 +101,26 @@
             body,
             note: None,
             left_out: Vec::new(),
-            ids: segs.iter().map(|seg| format!("{}.{seg}", asked.call_id).into()).collect(),
+            part_ids: segs.iter().map(|seg| format!("{}.{seg}", asked.request_id).into()).collect(),
             segs,
             values: vec![None; count],
             shots: vec![Vec::new(); count],
-            ran: vec![f64::MAX; count],
+            may_run_since: vec![f64::MAX; count],
             ends_at,
-            alarm: Some(self.alarms.set(ends_at, Due::ScanEnds(scan))),
+            timer: Some(self.timers.set(ends_at, TimerEvent::QueryDeadline(query))),
             customer: asked.customer,
             agreed: None,
             out: 0,
             over: false,
-            call_id: asked.call_id,
+            request_id: asked.request_id,
         };
-        self.scans.insert(scan, in_hand);
+        self.queries.insert(query, in_hand);
         Query {
-            id: scan,
+            id: query,
             class: asked.table_type,
             tenant: asked.customer,
             expires_in: client_until - self.now,
-            is_retry: asked.resent,
+            is_retry: asked.is_retry,
             body_retained: kept,
             streamed: body.is_some(),
             awaits_prefilter: false,
@@ -131,39 +131,39 @@
 
     /// A scan of one shard that no client waits for, as the module takes it; none where too much is held.
     pub fn audit(&mut self, table_type: usize, seg: usize, text: Rc<str>) -> Option<Query> {
-        let call_id = format!("audit-{}", self.last + 1);
+        let request_id = format!("audit-{}", self.last + 1);
         let room = self.bounds.most_held.is_none_or(|most| self.held + 2 <= most);
-        if !room || !self.call_ids.insert(call_id.clone()) {
+        if !room || !self.request_ids.insert(request_id.clone()) {
             return None;
         }
         self.last += 1;
         self.held += 2;
-        let (scan, ends_at) = (self.last, self.now + self.timeouts[table_type]);
-        debug!("scan {call_id}: an audit of {seg}");
-        let in_hand = InHand {
+        let (query, ends_at) = (self.last, self.now + self.timeouts[table_type]);
+        debug!("scan {request_id}: an audit of {seg}");
+        let in_hand = ActiveQuery {
             api: None,
             client: None,
             table_type,
-            text: Text::Short(text),
+            text: Payload::Inline(text),
             body: None,
             note: None,
             left_out: Vec::new(),
-            ids: vec![format!("{call_id}.{seg}").into()],
+            part_ids: vec![format!("{request_id}.{seg}").into()],
             segs: vec![seg],
             values: vec![None],
             shots: vec![Vec::new()],
-            ran: vec![f64::MAX],
+            may_run_since: vec![f64::MAX],
             ends_at,
-            alarm: Some(self.alarms.set(ends_at, Due::ScanEnds(scan))),
+            timer: Some(self.timers.set(ends_at, TimerEvent::QueryDeadline(query))),
             customer: usize::MAX,
             agreed: None,
             out: 0,
             over: false,
-            call_id,
+            request_id,
         };
-        self.scans.insert(scan, in_hand);
+        self.queries.insert(query, in_hand);
         Some(Query {
-            id: scan,
+            id: query,
             class: table_type,
             // Of no customer's share, and of no tries that the module compares with each other.
             tenant: self.bounds.customers.len() + 1,
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -6,87 +6,89 @@
 use dunepond_routing::{AttemptOutcome, NodeId, Query, QueryId, Transport};
 use tracing::debug;
 
-use super::{Desk, may_have_run};
-use crate::control_plane::{Began, proved};
-use crate::upstream::Parcel;
+use super::{RouterHost, may_have_run};
+use crate::control_plane::{QueryStart, proved};
+use crate::upstream::AttemptRequest;
 
 /// What a scan goes by in a fleet that agrees.
-pub struct Agreed {
-    began: Rc<Began>,
+pub struct Coordination {
+    began: Rc<QueryStart>,
     /// Parts that were sent under other keys than those that the scan began on, with that map's epoch.
     moved: Vec<(usize, u64)>,
     /// Of each part of a keyed scan, as only its repeats are judged: its dispatches that are out, and whether one may have
     /// run.
-    tried: Vec<(usize, bool)>,
+    keyed_attempts: Vec<(usize, bool)>,
 }
 
-impl Agreed {
-    pub fn began(&self) -> Rc<Began> {
+impl Coordination {
+    pub fn began(&self) -> Rc<QueryStart> {
         self.began.clone()
     }
 
     /// A dispatch is back.
     pub fn ended(&mut self, part: usize, end: AttemptOutcome) {
-        if let Some((out, ran)) = self.tried.get_mut(part) {
+        if let Some((out, may_run_since)) = self.keyed_attempts.get_mut(part) {
             *out = out.saturating_sub(1);
-            *ran |= may_have_run(end);
+            *may_run_since |= may_have_run(end);
         }
     }
 }
 
-impl Desk {
+impl RouterHost {
     /// A scan is about to begin: false if it is refused at once by what is agreed, before the module hears of it.
-    pub fn admit(&mut self, scan: &mut Query) -> bool {
-        let Some(fleet) = &mut self.fleet else { return true };
-        fleet.came(scan.tenant);
-        let admitted = fleet.admit(scan);
+    pub fn admit(&mut self, query: &mut Query) -> bool {
+        let Some(fleet) = &mut self.control_plane else { return true };
+        fleet.came(query.tenant);
+        let admitted = fleet.admit(query);
         let (began, refused) = match admitted {
             Ok(began) => (began, None),
             Err((began, wait, why)) => (began, Some((wait, why))),
         };
-        let Some(in_hand) = self.scans.get_mut(&scan.id) else { return false };
-        let keyed = fleet.gate.keyed(scan.class);
-        let tried = vec![(0, false); if keyed { in_hand.segs.len() } else { 0 }];
-        in_hand.agreed = Some(Agreed { began, moved: Vec::new(), tried });
+        let Some(in_hand) = self.queries.get_mut(&query.id) else { return false };
+        let is_keyed = fleet.gate.is_keyed(query.class);
+        let keyed_attempts = vec![(0, false); if is_keyed { in_hand.segs.len() } else { 0 }];
+        in_hand.agreed = Some(Coordination { began, moved: Vec::new(), keyed_attempts });
         let Some((wait, why)) = refused else { return true };
         let hand = &fleet.gate.hand;
         hand.count_rejected();
-        hand.audit(|| AuditEvent::Refused { call: in_hand.call_id.clone(), why: why.to_string() });
-        debug!("scan {}: refused: {why}", in_hand.call_id);
-        self.reject_retriable(scan.id, wait.min(self.longest_wait));
-        self.release(scan.id);
+        hand.audit(|| AuditEvent::Refused { call: in_hand.request_id.clone(), why: why.to_string() });
+        debug!("query {}: rejected: {why}", in_hand.request_id);
+        self.reject_retriable(query.id, wait.min(self.longest_wait));
+        self.release(query.id);
         false
     }
 
     /// Whether a part may go to a node now, and what that means for its scan.
-    pub(super) fn may(&mut self, node: NodeId, parcel: &Parcel) -> bool {
-        let Some(fleet) = &self.fleet else { return true };
-        let (gate, name) = (&fleet.gate, self.servers.name(node));
-        let Parcel { part, seg, table_type, .. } = *parcel;
-        let in_hand = self.scans.get_mut(&parcel.scan);
+    pub(super) fn may_send(&mut self, node: NodeId, parcel: &AttemptRequest) -> bool {
+        let Some(fleet) = &self.control_plane else { return true };
+        let (gate, name) = (&fleet.gate, self.upstream.name(node));
+        let AttemptRequest { part, seg, table_type, .. } = *parcel;
+        let in_hand = self.queries.get_mut(&parcel.query);
         let agreed = in_hand.and_then(|in_hand| in_hand.agreed.as_mut());
-        let mut may = gate.may(parcel.began.as_deref(), table_type, seg, name);
+        let mut may_send = gate.may_send(parcel.began.as_deref(), table_type, seg, name);
         if let Some(agreed) = agreed {
-            if let Some((out, ran)) = agreed.tried.get_mut(part) {
-                may &= (*out == 0 && !*ran) || gate.may_repeat(&agreed.began);
+            if let Some((out, may_run_since)) = agreed.keyed_attempts.get_mut(part) {
+                may_send &= (*out == 0 && !*may_run_since) || gate.may_retry_keyed(&agreed.began);
                 // Its end will be told, sent or not.
                 *out += 1;
             }
-            if may && let Some(epoch) = gate.moved(&agreed.began, seg) {
+            if may_send && let Some(epoch) = gate.moved(&agreed.began, seg) {
                 agreed.moved.push((part, epoch));
             }
         }
-        if !may {
+        if !may_send {
             gate.hand.count_withheld();
-            debug!("node {name}: {} is held back by what is agreed", parcel.id);
+            debug!("node {name}: {} is not sent: the active configuration forbids it", parcel.id);
         }
-        may
+        may_send
     }
 
     /// Whether an answer may be marked whole: only if the parts that are in cover what was asked for under one map, where
     /// there is one. Parts that two nodes said cannot match count as in.
-    pub(super) fn proves(&mut self, scan: QueryId, whole: bool) -> bool {
-        let (Some(fleet), Some(in_hand)) = (&self.fleet, self.scans.get(&scan)) else { return whole };
+    pub(super) fn is_provably_complete(&mut self, query: QueryId, whole: bool) -> bool {
+        let (Some(fleet), Some(in_hand)) = (&self.control_plane, self.queries.get(&query)) else {
+            return whole;
+        };
         let agreed = in_hand.agreed.as_ref();
         let proof = agreed.and_then(|agreed| agreed.began.map().map(|proof| (proof, &agreed.moved)));
         let left_out = |seg: &usize| in_hand.left_out.iter().any(|left| left.segment == *seg);
@@ -97,12 +99,12 @@
         };
         if let Err(why) = &outcome {
             fleet.gate.hand.count_incomplete();
-            debug!("scan {}: not whole: {why}", in_hand.call_id);
+            debug!("query {}: not complete: {why}", in_hand.request_id);
         }
         let whole = whole && outcome.is_ok();
         let segs = in_hand.segs.iter().enumerate().filter(|(at, _)| is_in(*at));
         fleet.gate.hand.audit(|| AuditEvent::Answer {
-            call: in_hand.call_id.clone(),
+            call: in_hand.request_id.clone(),
             status: 200,
             whole,
             segs: segs.map(|(_, seg)| *seg as u64).collect(),
@@ -111,10 +113,10 @@
         whole
     }
 
-    pub(super) fn note(&self, scan: QueryId, status: u16, whole: bool) {
-        if let (Some(fleet), Some(in_hand)) = (&self.fleet, self.scans.get(&scan)) {
+    pub(super) fn note(&self, query: QueryId, status: u16, whole: bool) {
+        if let (Some(fleet), Some(in_hand)) = (&self.control_plane, self.queries.get(&query)) {
             fleet.gate.hand.audit(|| AuditEvent::Answer {
-                call: in_hand.call_id.clone(),
+                call: in_hand.request_id.clone(),
                 status,
                 whole,
                 segs: Vec::new(),
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -14,32 +14,32 @@
 use dunepond_prefilter::{PrunedSegment, RequestFailure};
 use dunepond_routing::{AttemptOutcome, Deployment, Idempotency, MAX_STALL_SECONDS, NodeId, QueryId};
 
-use crate::body::Text;
-use crate::body_store::Bodies;
+use crate::body::Payload;
+use crate::body_store::BodyStore;
 use crate::buffers::Pool;
-use crate::clock::{Alarms, Key};
-use crate::control_plane::Fleet;
-use crate::downstream::Clients;
+use crate::clock::{TimerKey, Timers};
+use crate::control_plane::ControlPlane;
+use crate::downstream::Downstream;
 use crate::frames;
-use crate::prefilter_connections::Questions;
-use crate::search_api::{Open, Searching};
-use crate::upstream::Servers;
-use coordination::Agreed;
+use crate::prefilter_connections::PrefilterConnections;
+use crate::search_api::{ActiveRequest, ActiveSearch};
+use crate::upstream::Upstream;
+use coordination::Coordination;
 
 /// A scan from its request until it is answered and all its dispatches are back.
-struct InHand {
+struct ActiveQuery {
     /// The search of the API that it is.
-    api: Option<Box<Searching>>,
+    api: Option<Box<ActiveSearch>>,
     /// Nobody waits for an audit.
     client: Option<usize>,
     table_type: usize,
-    call_id: String,
-    text: Text,
+    request_id: String,
+    text: Payload,
     /// The body it came with in the raw form, and why that is not there for retries.
     body: Option<BodyId>,
     note: Option<Reason>,
     segs: Vec<usize>,
-    ids: Vec<Rc<str>>,
+    part_ids: Vec<Rc<str>>,
     /// The value of each part that is in.
     values: Vec<Option<String>>,
     /// What was left out, and on whose word.
@@ -47,35 +47,35 @@
     /// The nodes of each part's dispatches.
     shots: Vec<Vec<NodeId>>,
     /// When the first of each part's dispatches was sent that may have run; never, as long as there is none.
-    ran: Vec<f64>,
+    may_run_since: Vec<f64>,
     ends_at: f64,
-    alarm: Option<Key>,
+    timer: Option<TimerKey>,
     customer: usize,
-    agreed: Option<Agreed>,
+    agreed: Option<Coordination>,
     out: usize,
     /// Answered or given up by its client: nothing more goes out for it.
     over: bool,
 }
 
-pub struct Desk {
+pub struct RouterHost {
     pub now: f64,
     pool: Pool,
-    pub alarms: Alarms,
-    pub clients: Clients,
-    pub servers: Servers,
+    pub timers: Timers,
+    pub downstream: Downstream,
+    pub upstream: Upstream,
     /// Bodies of the raw form; nothing where the operator's file does not ask for them.
-    pub bodies: Option<Bodies>,
+    pub body_store: Option<BodyStore>,
     /// Where two phases are on: the nodes that are asked first, and scans that are over, answered or not.
-    pub questions: Option<Questions>,
+    pub prefilter_connections: Option<PrefilterConnections>,
     /// The fleet that this broker agrees with; none where the operator's file does not name it.
-    pub fleet: Option<Fleet>,
+    pub control_plane: Option<ControlPlane>,
     pub concluded: Vec<(QueryId, bool)>,
     /// Requests of the API whose searches are under way, by the number that their clients hold.
-    requests: HashMap<u64, Open>,
+    requests: HashMap<u64, ActiveRequest>,
     /// What nodes have given for scans in hand, in bytes.
     values: u64,
     /// Who brings each body.
-    bringing: HashMap<BodyId, usize>,
+    uploads: HashMap<BodyId, usize>,
     bounds: Rc<Bounds>,
     cells: usize,
     holders: usize,
@@ -86,20 +86,20 @@
     /// the margin that the module keeps.
     timeouts: Vec<f64>,
     windows: Vec<f64>,
-    scans: HashMap<QueryId, InHand>,
-    call_ids: HashSet<String>,
+    queries: HashMap<QueryId, ActiveQuery>,
+    request_ids: HashSet<String>,
     last: QueryId,
     /// Scans and parts that are open.
     held: usize,
 }
 
-impl InHand {
+impl ActiveQuery {
     fn open_parts(&self) -> usize {
         self.values.iter().filter(|v| v.is_none()).count()
     }
 
     /// Part, number and node of each dispatch so far.
-    fn dispatches(&self) -> Vec<(usize, usize, NodeId)> {
+    fn all_attempts(&self) -> Vec<(usize, usize, NodeId)> {
         let parts = self.shots.iter().enumerate();
         parts.flat_map(|(part, s)| s.iter().enumerate().map(move |(shot, n)| (part, shot, *n))).collect()
     }
@@ -117,27 +117,27 @@
     }
 }
 
-impl Desk {
+impl RouterHost {
     pub fn new(
         site: &Deployment,
         bounds: Rc<Bounds>,
         pool: &Pool,
-        clients: Clients,
-        servers: Servers,
+        downstream: Downstream,
+        upstream: Upstream,
     ) -> Self {
         Self {
             now: 0.0,
             pool: pool.clone(),
-            alarms: Alarms::default(),
-            clients,
-            servers,
-            bodies: None,
-            questions: None,
-            fleet: None,
+            timers: Timers::default(),
+            downstream,
+            upstream,
+            body_store: None,
+            prefilter_connections: None,
+            control_plane: None,
             requests: HashMap::new(),
             concluded: Vec::new(),
             values: 0,
-            bringing: HashMap::new(),
+            uploads: HashMap::new(),
             bounds,
             cells: site.replica_groups,
             holders: site.replicas,
@@ -145,8 +145,8 @@
             longest_wait: site.max_retry_after,
             timeouts: site.query_classes.iter().map(|t| t.timeout).collect(),
             windows: site.query_classes.iter().map(|t| window(t.idempotency, MAX_STALL_SECONDS)).collect(),
-            scans: HashMap::new(),
-            call_ids: HashSet::new(),
+            queries: HashMap::new(),
+            request_ids: HashSet::new(),
             last: 0,
             held: 0,
         }
@@ -162,53 +162,53 @@
 
     /// Writes what was dispatched.
     pub fn flush(&mut self) {
-        self.servers.flush(self.now, &mut self.alarms);
-        while self.servers.is_short() {
+        self.upstream.flush(self.now, &mut self.timers);
+        while self.upstream.is_awaiting_descriptor() {
             let room = self.make_room();
-            self.servers.flush_short(self.now, room, &mut self.alarms);
+            self.upstream.retry_awaiting_descriptor(self.now, room, &mut self.timers);
         }
     }
 
     /// Where descriptors have run out, a client that waits for nothing gives up its own, or else a connection to some
     /// node that is idle: clients that fill all there is must cut off neither the nodes nor discovery.
     pub fn make_room(&mut self) -> bool {
-        let (now, alarms) = (self.now, &mut self.alarms);
-        self.clients.give_way(now, alarms) || self.servers.give_way(now, alarms)
+        let (now, timers) = (self.now, &mut self.timers);
+        self.downstream.give_way(now, timers) || self.upstream.give_way(now, timers)
     }
 
     fn is_full(&self) -> bool {
         self.bounds.most_held.is_some_and(|most| self.held >= most)
     }
 
-    pub fn is_open(&self, scan: QueryId) -> bool {
-        self.scans.get(&scan).is_some_and(|in_hand| !in_hand.over)
+    pub fn is_open(&self, query: QueryId) -> bool {
+        self.queries.get(&query).is_some_and(|in_hand| !in_hand.over)
     }
 
     /// The text and shards of a scan, where it is one whose nodes may be asked first.
-    pub fn asks_for(&self, scan: QueryId) -> Option<(Rc<str>, Vec<usize>)> {
-        let in_hand = self.scans.get(&scan)?;
+    pub fn prefilter_input(&self, query: QueryId) -> Option<(Rc<str>, Vec<usize>)> {
+        let in_hand = self.queries.get(&query)?;
         match &in_hand.text {
-            Text::Short(text) => Some((text.clone(), in_hand.segs.clone())),
+            Payload::Inline(text) => Some((text.clone(), in_hand.segs.clone())),
             _ => None,
         }
     }
 
     /// Asks a node which shards can match; nothing new goes to one that drains or has gone.
     pub fn ask(&mut self, node: NodeId, question: u64, text: &str, segs: &[usize]) {
-        let Some(questions) = &mut self.questions else { return };
+        let Some(prefilter_connections) = &mut self.prefilter_connections else { return };
         let frame = frames::question(question, text, segs);
-        match self.servers.dial(node) {
-            Some(dial) => questions.ask(self.now, node, dial, question, &frame, &mut self.alarms),
-            None => questions.told.push_back((question, Err(RequestFailure::NodeGone))),
+        match self.upstream.dial(node) {
+            Some(dial) => prefilter_connections.ask(self.now, node, dial, question, &frame, &mut self.timers),
+            None => prefilter_connections.told.push_back((question, Err(RequestFailure::NodeGone))),
         }
     }
 
-    pub fn leave_out(&mut self, scan: QueryId, left: Vec<PrunedSegment>) {
-        self.scans.get_mut(&scan).into_iter().for_each(|in_hand| in_hand.left_out = left.clone());
+    pub fn prune(&mut self, query: QueryId, left: Vec<PrunedSegment>) {
+        self.queries.get_mut(&query).into_iter().for_each(|in_hand| in_hand.left_out = left.clone());
     }
 
-    pub fn search_after_all(&mut self, scan: QueryId, segs: &[usize]) {
-        let in_hand = self.scans.get_mut(&scan).into_iter();
+    pub fn restore_pruned(&mut self, query: QueryId, segs: &[usize]) {
+        let in_hand = self.queries.get_mut(&query).into_iter();
         in_hand.for_each(|in_hand| in_hand.left_out.retain(|left| !segs.contains(&left.segment)));
     }
 }
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -11,12 +11,12 @@
 use dunepond_search_api::request::{Track, read};
 use dunepond_search_api::{ApiError, Call, Limits, Search, routing};
 
-use crate::body::Text;
-use crate::downstream::Asked;
-use crate::http::{Head, Refusal};
+use crate::body::Payload;
+use crate::downstream::QueryRequest;
+use crate::http::{Head, HttpError};
 
 /// What the door goes by; shared by the clients' connections, which read with it, and the desk.
-pub struct Door {
+pub struct SearchApi {
     pub limits: Limits,
     bounds: Rc<Bounds>,
     /// Of each table type: whether its scans must never run twice, the share that makes them whole, its query timeout.
@@ -24,17 +24,17 @@
 }
 
 /// A request as it came: what is asked, and what its head says of who asks.
-pub struct Request {
+pub struct SearchRequest {
     pub call: Call,
     pub customer: usize,
     pub again: bool,
     pub id: String,
     /// How long its head says that the client will wait, and since when: its first byte came then.
-    pub budget: Option<f64>,
+    pub time_budget: Option<f64>,
     pub came: f64,
 }
 
-impl Door {
+impl SearchApi {
     pub fn new(limits: Limits, bounds: Rc<Bounds>, site: &Deployment) -> Self {
         let types = site.query_classes.iter();
         let types =
@@ -44,7 +44,7 @@
 
     /// Reads a request, of which the first byte came then; what must not run twice is updated and not searched, and the
     /// other way round.
-    pub fn read(&self, head: &Head, body: &[u8], came: f64) -> Result<Request, ApiError> {
+    pub fn read(&self, head: &Head, body: &[u8], came: f64) -> Result<SearchRequest, ApiError> {
         let call = read(&head.method, &head.path, body, &self.bounds.table_types, &self.limits)?;
         let fits = |search: &Search, update: bool| {
             let name = &self.bounds.table_types[search.index];
@@ -73,21 +73,21 @@
             }
             call => call,
         };
-        let customer = self.bounds.customers.iter().position(|c| *c == head.caller);
-        let plain = head.call_id.bytes().all(|b| b.is_ascii_graphic());
-        let budget = match head.budget.as_str() {
+        let customer = self.bounds.customers.iter().position(|c| *c == head.tenant);
+        let plain = head.request_id.bytes().all(|b| b.is_ascii_graphic());
+        let time_budget = match head.time_budget.as_str() {
             "" => None,
             text => {
                 let seconds = text.parse::<f64>().ok().filter(|s| s.is_finite() && *s > 0.0);
                 Some(seconds.ok_or_else(|| ApiError::argument("X-Budget: not a number of seconds"))?)
             }
         };
-        Ok(Request {
+        Ok(SearchRequest {
             call,
             customer: customer.unwrap_or(self.bounds.customers.len()),
             again: head.again,
-            id: if plain { head.call_id.chars().take(64).collect() } else { String::new() },
-            budget,
+            id: if plain { head.request_id.chars().take(64).collect() } else { String::new() },
+            time_budget,
             came,
         })
     }
@@ -97,31 +97,31 @@
     }
 
     /// The scan that a search comes to. Its parts weigh the same: which holds more is told nowhere.
-    pub fn asked(&self, search: &Search, request: &Request, call_id: String) -> Asked {
+    pub fn asked(&self, search: &Search, request: &SearchRequest, request_id: String) -> QueryRequest {
         let segs = routing::segments(&search.routing, self.bounds.segs);
         let weight = 1.0 / segs.len().max(1) as f64;
-        let wait = [search.timeout, request.budget, Some(self.types[search.index].2)];
-        Asked {
-            call_id,
+        let wait = [search.timeout, request.time_budget, Some(self.types[search.index].2)];
+        QueryRequest {
+            request_id,
             table_type: search.index,
             customer: request.customer,
-            expires_at: request.came + wait.into_iter().flatten().fold(f64::MAX, f64::min),
-            resent: request.again,
+            deadline: request.came + wait.into_iter().flatten().fold(f64::MAX, f64::min),
+            is_retry: request.again,
             parts: segs.into_iter().map(|seg| Part { segment: seg, weight, required_node: None }).collect(),
-            text: Text::Short(search.text().into()),
+            text: Payload::Inline(search.text().into()),
         }
     }
 }
 
 /// One search of a request, from its scan's beginning on.
-pub struct Searching {
+pub struct ActiveSearch {
     pub request: u64,
     /// Its place among the request's searches.
     place: usize,
     search: Search,
     index: String,
     merge: Merge,
-    updates: bool,
+    is_update: bool,
     updated: u64,
     count: bool,
     began: f64,
@@ -129,8 +129,15 @@
     failures: HashMap<usize, String>,
 }
 
-impl Searching {
-    pub fn new(door: &Door, request: u64, place: usize, search: &Search, call: &Call, began: f64) -> Self {
+impl ActiveSearch {
+    pub fn new(
+        door: &SearchApi,
+        request: u64,
+        place: usize,
+        search: &Search,
+        call: &Call,
+        began: f64,
+    ) -> Self {
         let most = search.window();
         Self {
             request,
@@ -138,7 +145,7 @@
             index: door.index(search.index).to_string(),
             merge: Merge::new(&search.sort, most),
             search: search.clone(),
-            updates: matches!(call, Call::Update(_)),
+            is_update: matches!(call, Call::Update(_)),
             updated: 0,
             count: matches!(call, Call::Count(_)),
             began,
@@ -158,7 +165,7 @@
             keys: Some(self.search.sort.len()),
             untracked: self.search.track == Track::No,
         };
-        match meaning(200, value.as_bytes(), (!self.updates).then_some(&expected)) {
+        match meaning(200, value.as_bytes(), (!self.is_update).then_some(&expected)) {
             Meaning::Found(found) => self.merge.add(seg, *found),
             Meaning::Updated(count) => self.updated = self.updated.saturating_add(count),
             Meaning::Rejected => return Err("rejected".to_string()),
@@ -179,7 +186,7 @@
         left_out: &[usize],
     ) -> Result<Answer, ApiError> {
         let took = ((now - self.began).max(0.0) * 1000.0) as u64;
-        if self.updates {
+        if self.is_update {
             return if whole {
                 Ok(answer::updated(took, self.updated))
             } else {
@@ -206,23 +213,23 @@
 }
 
 /// A request whose searches are under way.
-pub struct Open {
+pub struct ActiveRequest {
     pub client: usize,
     pub began: f64,
     many: bool,
     outcomes: Vec<Option<Result<Answer, ApiError>>>,
-    pub scans: Vec<QueryId>,
+    pub queries: Vec<QueryId>,
     /// The longest wait that one of them was told.
     wait: f64,
 }
 
-impl Open {
+impl ActiveRequest {
     pub fn new(client: usize, began: f64, call: &Call) -> Self {
         let (many, count) = match call {
             Call::Multi(searches) => (true, searches.len()),
             _ => (false, 1),
         };
-        Self { client, began, many, outcomes: vec![None; count], scans: Vec::new(), wait: 0.0 }
+        Self { client, began, many, outcomes: vec![None; count], queries: Vec::new(), wait: 0.0 }
     }
 
     /// One of them is through. With the last comes the whole answer: status, body, and when to come back.
@@ -251,7 +258,7 @@
 }
 
 /// A refusal of the connection's own in the API's form.
-pub fn refused(why: &Refusal) -> ApiError {
+pub fn refused(why: &HttpError) -> ApiError {
     let error = match why.status {
         413 => ApiError::too_large(&why.why),
         429 | 503 => ApiError::rejected(&why.why),
--- a/crates/dunepond-broker/src/upstream/cancel.rs
+++ b/crates/dunepond-broker/src/upstream/cancel.rs
@@ -4,12 +4,12 @@
 
 use dunepond_routing::{AttemptOutcome, NodeId, QueryId};
 
-use super::{Link, Out, Servers};
-use crate::clock::Alarms;
-use crate::connection_end::Ending;
+use super::{NodeConnection, OutstandingRequest, Upstream};
+use crate::clock::Timers;
+use crate::connection_end::ConnectionEnd;
 use crate::frames;
 
-impl Servers {
+impl Upstream {
     /// Gives one dispatch up: never sent if it still can be kept here, taken back at the node otherwise.
     pub fn give_up(
         &mut self,
@@ -17,53 +17,55 @@
         node: NodeId,
         key: (QueryId, usize, usize),
         end: AttemptOutcome,
-        alarms: &mut Alarms,
+        timers: &mut Timers,
     ) {
-        if self.withdraw(now, node, key, end, alarms) {
+        if self.withdraw(now, node, key, end, timers) {
             return;
         }
         let Some((id, at)) = self.find(node, key) else { return };
-        let link = &mut self.links[id];
-        let Some(out) = link.take(at) else { return };
-        link.given_up.push(out.parcel.id.clone());
-        if link.api {
+        let connection = &mut self.connections[id];
+        let Some(out) = connection.take(at) else { return };
+        connection.cancelled.push(out.parcel.id.clone());
+        if connection.api {
             // The API knows no taking back: the connection is its request.
-            self.end(now, id, Ending::CutShort, alarms);
+            self.end(now, id, ConnectionEnd::FrameAborted, timers);
         } else if end == AttemptOutcome::Cancelled {
             // A dispatch that has timed out is known to the node by its frame.
-            link.out.put(&frames::give_up(&out.parcel.id));
-            self.write(now, id, alarms);
+            connection.out.put(&frames::give_up(&out.parcel.id));
+            self.write(now, id, timers);
         }
         self.back.push_back(out.back(node, end, now, None));
-        self.rest(now, id, alarms);
+        self.rest(now, id, timers);
     }
 
     /// The scans of which something waits on this connection for its last byte to be written.
     pub fn unsent(&self, id: usize) -> Vec<QueryId> {
-        let Some(link) = self.links.get(id) else { return Vec::new() };
-        let unsent = link.carried.iter().filter(|o| o.to.is_none_or(|to| to > link.out.written()));
-        unsent.map(|o| o.parcel.scan).collect()
+        let Some(connection) = self.connections.get(id) else { return Vec::new() };
+        let unsent =
+            connection.outstanding.iter().filter(|o| o.to.is_none_or(|to| to > connection.out.written()));
+        unsent.map(|o| o.parcel.query).collect()
     }
 
     /// Whether some connection to a node carries a dispatch, sent or not.
-    pub fn carries(&self, node: NodeId, key: (QueryId, usize, usize)) -> bool {
+    pub fn has_outstanding(&self, node: NodeId, key: (QueryId, usize, usize)) -> bool {
         self.find(node, key).is_some()
     }
 
     /// The connection that carries a dispatch, and where on it.
     fn find(&self, node: NodeId, key: (QueryId, usize, usize)) -> Option<(usize, usize)> {
-        let links = &self.servers.get(node)?.links;
-        let at = |link: &Link| link.carried.iter().position(|o| o.parcel.key() == key);
-        links.iter().find_map(|id| Some((*id, at(&self.links[*id])?)))
+        let connections = &self.nodes.get(node)?.connections;
+        let at =
+            |connection: &NodeConnection| connection.outstanding.iter().position(|o| o.parcel.key() == key);
+        connections.iter().find_map(|id| Some((*id, at(&self.connections[*id])?)))
     }
 
     /// Takes back what has waited on a connection for too long. False where of some frame a part has gone out by then:
     /// its rest would arrive too late, and cannot be cut out of the stream.
-    pub(super) fn lapse(&mut self, now: f64, id: usize) -> bool {
-        let Some(link) = self.links.get_mut(id) else { return true };
-        let written = link.out.written();
-        let lapsed = |o: &Out| now >= o.parcel.lapses;
-        if link.carried.iter().any(|o| lapsed(o) && o.to.is_some_and(|to| to > written)) {
+    pub(super) fn withdraw_expired(&mut self, now: f64, id: usize) -> bool {
+        let Some(connection) = self.connections.get_mut(id) else { return true };
+        let written = connection.out.written();
+        let lapsed = |o: &OutstandingRequest| now >= o.parcel.send_by;
+        if connection.outstanding.iter().any(|o| lapsed(o) && o.to.is_some_and(|to| to > written)) {
             return false;
         }
         self.hold(now, id, lapsed);
@@ -71,13 +73,14 @@
     }
 
     /// Takes back such of what waits on a connection as `which` says.
-    pub(super) fn hold(&mut self, now: f64, id: usize, which: impl Fn(&Out) -> bool) {
-        let Some(link) = self.links.get_mut(id) else { return };
-        let held = |o: &Out| o.to.is_none() && which(o);
-        if link.carried.iter().any(held) {
-            let (held, carried): (VecDeque<Out>, _) = link.carried.drain(..).partition(held);
-            link.carried = carried;
-            let node = link.node;
+    pub(super) fn hold(&mut self, now: f64, id: usize, which: impl Fn(&OutstandingRequest) -> bool) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let held = |o: &OutstandingRequest| o.to.is_none() && which(o);
+        if connection.outstanding.iter().any(held) {
+            let (held, outstanding): (VecDeque<OutstandingRequest>, _) =
+                connection.outstanding.drain(..).partition(held);
+            connection.outstanding = outstanding;
+            let node = connection.node;
             self.back.extend(held.into_iter().map(|o| o.back(node, AttemptOutcome::NotSent, now, None)));
         }
     }
@@ -89,24 +92,24 @@
         node: NodeId,
         key: (QueryId, usize, usize),
         end: AttemptOutcome,
-        alarms: &mut Alarms,
+        timers: &mut Timers,
     ) -> bool {
-        let Some(server) = self.servers.get_mut(node) else { return false };
-        if let Some(at) = server.batch.iter().position(|p| p.key() == key) {
-            self.back.push_back(server.batch.remove(at).unsent(node, end));
+        let Some(node_entry) = self.nodes.get_mut(node) else { return false };
+        if let Some(at) = node_entry.unframed.iter().position(|p| p.key() == key) {
+            self.back.push_back(node_entry.unframed.remove(at).unsent(node, end));
             return true;
         }
         let Some((id, at)) = self.find(node, key) else { return false };
-        let link = &mut self.links[id];
-        let half = match link.carried[at].to {
-            Some(to) if to <= link.out.written() => return false,
+        let connection = &mut self.connections[id];
+        let half = match connection.outstanding[at].to {
+            Some(to) if to <= connection.out.written() => return false,
             to => to.is_some(),
         };
-        let out = if half { link.take(at) } else { link.carried.remove(at) };
+        let out = if half { connection.take(at) } else { connection.outstanding.remove(at) };
         self.back.extend(out.map(|out| out.back(node, end, now, None)));
         if half {
             // It cannot be cut out of the stream.
-            self.end(now, id, Ending::CutShort, alarms);
+            self.end(now, id, ConnectionEnd::FrameAborted, timers);
         }
         true
     }
--- a/crates/dunepond-broker/src/upstream/connection.rs
+++ b/crates/dunepond-broker/src/upstream/connection.rs
@@ -9,19 +9,19 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use tracing::{debug, info};
 
-use super::{Link, Servers};
-use crate::buffers::Outflow;
-use crate::clock::{Alarms, Due};
-use crate::connection_end::Ending;
-use crate::iteration::{Ready, watch};
+use super::{NodeConnection, Upstream};
+use crate::buffers::WriteQueue;
+use crate::clock::{TimerEvent, Timers};
+use crate::connection_end::ConnectionEnd;
+use crate::iteration::{LoopEvent, watch};
 
 /// We close an idle connection at this share of the time at which the node does at the latest, so that no frame crosses. The time
 /// is the settings'; a share of it, as what is in between has to cover a frame's way and a turn of ours that comes late, be
 /// it of a fifth of a second or of a minute. What is due and still open is not used either.
-const IN_TIME: f64 = 0.9;
+const IDLE_CLOSE_RATIO: f64 = 0.9;
 
 /// Starts a connection; whether it comes up is told later.
-pub fn open(dial: SocketAddr) -> Result<TcpStream, Ending> {
+pub fn open(dial: SocketAddr) -> Result<TcpStream, ConnectionEnd> {
     let start = || -> io::Result<Socket> {
         let socket = Socket::new(Domain::for_address(dial), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -29,126 +29,136 @@
         Ok(socket)
     };
     let lacking = |e: io::Error| match e.raw_os_error() {
-        Some(libc::EMFILE | libc::ENFILE) => Ending::NoDescriptor,
-        _ => Ending::NoMeans,
+        Some(libc::EMFILE | libc::ENFILE) => ConnectionEnd::DescriptorsExhausted,
+        _ => ConnectionEnd::LocalResources,
     };
     let socket = start().map_err(lacking)?;
     match socket.connect(&dial.into()) {
         Ok(()) => Ok(socket.into()),
         Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) => Ok(socket.into()),
-        Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => Err(Ending::Refused),
-        Err(_) => Err(Ending::NoMeans),
+        Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => Err(ConnectionEnd::Refused),
+        Err(_) => Err(ConnectionEnd::LocalResources),
     }
 }
 
-impl Servers {
-    pub(super) fn connect(&mut self, now: f64, node: NodeId, alarms: &mut Alarms) -> Result<usize, Ending> {
-        let dial = self.servers[node].row.as_ref().and_then(|row| row.dial).ok_or(Ending::NoMeans)?;
-        if self.links.len() >= self.most_links && !self.give_way(now, alarms) {
-            return Err(Ending::NoMeans);
+impl Upstream {
+    pub(super) fn connect(
+        &mut self,
+        now: f64,
+        node: NodeId,
+        timers: &mut Timers,
+    ) -> Result<usize, ConnectionEnd> {
+        let dial =
+            self.nodes[node].row.as_ref().and_then(|row| row.dial).ok_or(ConnectionEnd::LocalResources)?;
+        if self.connections.len() >= self.most_links && !self.give_way(now, timers) {
+            return Err(ConnectionEnd::LocalResources);
         }
         let (stream, api) = (Rc::new(open(dial)?), self.speaks_api(node));
-        let entry = self.links.vacant_entry();
+        let entry = self.connections.vacant_entry();
         let id = entry.key();
-        let token = watch(&self.handle, &stream, move |readable| Ready::Link(id, readable));
-        let token = token.map_err(|_| Ending::NoMeans)?;
-        entry.insert(Link {
+        let token = watch(&self.handle, &stream, move |readable| LoopEvent::UpstreamReady(id, readable));
+        let token = token.map_err(|_| ConnectionEnd::LocalResources)?;
+        entry.insert(NodeConnection {
             node,
             stream,
             token,
             up: false,
             since: now,
             retired: false,
-            alarm: Some(alarms.set(now + self.bounds.connect_timeout, Due::Link(id))),
+            timer: Some(timers.set(now + self.bounds.connect_timeout, TimerEvent::UpstreamConnection(id))),
             input: None,
-            out: Outflow::new(&self.pool),
-            carried: VecDeque::new(),
-            given_up: Vec::new(),
+            out: WriteQueue::new(&self.pool),
+            outstanding: VecDeque::new(),
+            cancelled: Vec::new(),
             calls: 0,
             api,
             message: None,
-            past: VecDeque::new(),
+            finished: VecDeque::new(),
         });
-        self.servers[node].links.push(id);
+        self.nodes[node].connections.push(id);
         debug!("node {}: opening a connection", self.name(node));
         Ok(id)
     }
 
     /// The connection that has been idle the longest makes room; false if there is none.
-    pub fn give_way(&mut self, now: f64, alarms: &mut Alarms) -> bool {
+    pub fn give_way(&mut self, now: f64, timers: &mut Timers) -> bool {
         let idle = self.idle.first_key_value().map(|(_, id)| *id);
-        idle.into_iter().for_each(|id| self.end(now, id, Ending::Unused, alarms));
+        idle.into_iter().for_each(|id| self.end(now, id, ConnectionEnd::IdleClosed, timers));
         idle.is_some()
     }
 
     /// Something can be read or written, or the connection has come up or failed.
-    pub fn ready(&mut self, now: f64, id: usize, readable: bool, alarms: &mut Alarms) {
-        let Some(link) = self.links.get_mut(id) else { return };
-        if !link.up {
-            match link.stream.take_error() {
-                Ok(Some(e)) | Err(e) => return self.end(now, id, Ending::of(&e), alarms),
-                Ok(None) if link.stream.peer_addr().is_err() => return,
+    pub fn ready(&mut self, now: f64, id: usize, readable: bool, timers: &mut Timers) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        if !connection.up {
+            match connection.stream.take_error() {
+                Ok(Some(e)) | Err(e) => return self.end(now, id, ConnectionEnd::of(&e), timers),
+                Ok(None) if connection.stream.peer_addr().is_err() => return,
                 Ok(None) => {}
             }
-            (link.up, link.since) = (true, now);
-            alarms.unset(link.alarm.take());
+            (connection.up, connection.since) = (true, now);
+            timers.unset(connection.timer.take());
         }
         // What came before a break is read before the break is met in writing.
         if readable {
-            self.read(now, id, alarms);
+            self.read(now, id, timers);
         }
-        self.write(now, id, alarms);
-        self.rest(now, id, alarms);
+        self.write(now, id, timers);
+        self.rest(now, id, timers);
     }
 
     /// Sends nothing new on the connections to a node, and closes them as nothing is out on them.
-    pub fn close_idle(&mut self, now: f64, node: NodeId, alarms: &mut Alarms) {
-        for id in self.servers.get(node).map(|s| s.links.clone()).unwrap_or_default() {
-            self.links[id].retired = true;
-            self.rest(now, id, alarms);
+    pub fn close_idle(&mut self, now: f64, node: NodeId, timers: &mut Timers) {
+        for id in self.nodes.get(node).map(|s| s.connections.clone()).unwrap_or_default() {
+            self.connections[id].retired = true;
+            self.rest(now, id, timers);
         }
     }
 
     /// Sets the time at which a connection that carries nothing is closed.
-    pub(super) fn rest(&mut self, now: f64, id: usize, alarms: &mut Alarms) {
-        let Some(link) = self.links.get_mut(id).filter(|l| l.up && l.carried.is_empty()) else { return };
+    pub(super) fn rest(&mut self, now: f64, id: usize, timers: &mut Timers) {
+        let Some(connection) = self.connections.get_mut(id).filter(|l| l.up && l.outstanding.is_empty())
+        else {
+            return;
+        };
         // Which of those that were given up the node still works on is told nowhere but by their ends.
-        let no_room = link.given_up.len() >= self.bounds.parts_a_connection;
-        if link.retired || link.input.is_some() || no_room {
-            return self.end(now, id, Ending::Unused, alarms);
+        let no_room = connection.cancelled.len() >= self.bounds.parts_a_connection;
+        if connection.retired || connection.input.is_some() || no_room {
+            return self.end(now, id, ConnectionEnd::IdleClosed, timers);
         }
-        if link.alarm.is_none() {
-            let key = alarms.set(now + IN_TIME * self.bounds.idle_close, Due::Link(id));
-            link.alarm = Some(key);
+        if connection.timer.is_none() {
+            let key = timers
+                .set(now + IDLE_CLOSE_RATIO * self.bounds.idle_close, TimerEvent::UpstreamConnection(id));
+            connection.timer = Some(key);
             self.idle.insert(key, id);
         }
     }
 
     /// A connection's time is up: to come up, to carry something, or to bring the rest of a frame.
-    pub fn due(&mut self, now: f64, id: usize, alarms: &mut Alarms) {
-        let ending = match self.links.get(id) {
-            Some(link) if !link.up => Ending::NeverUp,
-            Some(link) if !link.carried.is_empty() => Ending::Stalled,
-            _ => Ending::Unused,
+    pub fn due(&mut self, now: f64, id: usize, timers: &mut Timers) {
+        let ending = match self.connections.get(id) {
+            Some(connection) if !connection.up => ConnectionEnd::ConnectTimeout,
+            Some(connection) if !connection.outstanding.is_empty() => ConnectionEnd::IoTimeout,
+            _ => ConnectionEnd::IdleClosed,
         };
-        self.end(now, id, ending, alarms);
+        self.end(now, id, ending, timers);
     }
 
     /// The one way a connection goes: what it carried is told by how it ended.
-    pub(super) fn end(&mut self, now: f64, id: usize, ending: Ending, alarms: &mut Alarms) {
-        let Some(link) = self.links.try_remove(id) else { return };
-        alarms.unset(link.alarm);
-        link.alarm.and_then(|key| self.idle.remove(&key));
-        self.handle.remove(link.token);
-        let server = &mut self.servers[link.node];
-        server.links.retain(|l| *l != id);
-        match link.carried.len() {
-            0 => debug!("node {}: connection {ending}", server.name()),
-            out => info!("node {}: connection {ending} with {out} parts out", server.name()),
+    pub(super) fn end(&mut self, now: f64, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
+        let Some(connection) = self.connections.try_remove(id) else { return };
+        timers.unset(connection.timer);
+        connection.timer.and_then(|key| self.idle.remove(&key));
+        self.handle.remove(connection.token);
+        let node_entry = &mut self.nodes[connection.node];
+        node_entry.connections.retain(|l| *l != id);
+        match connection.outstanding.len() {
+            0 => debug!("node {}: connection {ending}", node_entry.name()),
+            out => info!("node {}: connection {ending} with {out} attempts outstanding", node_entry.name()),
         }
-        for out in link.carried {
-            let end = ending.end(out.to.is_some_and(|to| to <= link.out.written()));
-            self.back.push_back(out.back(link.node, end, now, None));
+        for out in connection.outstanding {
+            let end = ending.end(out.to.is_some_and(|to| to <= connection.out.written()));
+            self.back.push_back(out.back(connection.node, end, now, None));
         }
     }
 }
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -18,22 +18,22 @@
 use ipnet::IpNet;
 use slab::Slab;
 
-use crate::body::{Reader, Text};
-use crate::buffers::{Buffer, Outflow, Pool};
-use crate::clock::{self, Key};
-use crate::control_plane::{Began, Gate};
+use crate::body::{BodyReader, Payload};
+use crate::buffers::{Buffer, Pool, WriteQueue};
+use crate::clock::{self, TimerKey};
+use crate::control_plane::{Gate, QueryStart};
 use crate::http::Message;
-use crate::iteration::Handle;
+use crate::iteration::EventLoopHandle;
 pub use connection::open;
-pub use endpoints::Listing;
+pub use endpoints::EndpointInfo;
 
 /// Parts that a connection remembers after it was through with them, as their ends may come twice: a bound of ours on memory.
 /// What was given up is remembered beside that until its end comes, however many a connection carries.
-const PAST: usize = 512;
+const MAX_FINISHED_REMEMBERED: usize = 512;
 
 /// A part on its way: which dispatch it is, and what its frame needs.
-pub struct Parcel {
-    pub scan: QueryId,
+pub struct AttemptRequest {
+    pub query: QueryId,
     pub part: usize,
     pub shot: usize,
     pub id: Rc<str>,
@@ -42,17 +42,17 @@
     pub until: f64,
     /// From then on not a byte of it may go out: its scan's time is over, or the window in which a repeat is dropped is close
     /// to its end.
-    pub lapses: f64,
-    pub text: Text,
+    pub send_by: f64,
+    pub text: Payload,
     /// Its own way through a body, from the beginning of its dispatch on.
-    pub reader: Option<Reader>,
+    pub reader: Option<BodyReader>,
     /// What its scan began on, in a fleet that agrees.
-    pub began: Option<Rc<Began>>,
+    pub began: Option<Rc<QueryStart>>,
 }
 
 /// A part that a connection carries.
-struct Out {
-    parcel: Parcel,
+struct OutstandingRequest {
+    parcel: AttemptRequest,
     sent: f64,
     /// Parts of one frame are one call.
     call: u64,
@@ -65,7 +65,7 @@
     noted: bool,
 }
 
-struct Link {
+struct NodeConnection {
     node: NodeId,
     stream: Rc<TcpStream>,
     token: RegistrationToken,
@@ -74,50 +74,50 @@
     since: f64,
     /// Nothing new goes out on it; it is closed once nothing is out.
     retired: bool,
-    alarm: Option<Key>,
+    timer: Option<TimerKey>,
     input: Option<Buffer>,
-    out: Outflow,
-    carried: VecDeque<Out>,
+    out: WriteQueue,
+    outstanding: VecDeque<OutstandingRequest>,
     /// Parts that were given up and have not ended: the node may still be at them, and each takes its place until then.
-    given_up: Vec<Rc<str>>,
+    cancelled: Vec<Rc<str>>,
     calls: u64,
     /// It speaks the API: one request at a time, and the answer that is coming in.
     api: bool,
     message: Option<Message>,
     /// What it has answered or was given up on it, the last ones.
-    past: VecDeque<Rc<str>>,
+    finished: VecDeque<Rc<str>>,
 }
 
 #[derive(Default)]
-struct Server {
+struct NodeEntry {
     /// What the list said last; nothing where the index is nobody's.
-    row: Option<Listing>,
-    links: Vec<usize>,
+    row: Option<EndpointInfo>,
+    connections: Vec<usize>,
     /// Dispatched in this call and not yet framed.
-    batch: Vec<Parcel>,
+    unframed: Vec<AttemptRequest>,
 }
 
 /// A dispatch that is over, with the value that it brought.
-pub struct Back {
+pub struct CompletedAttempt {
     pub ended: AttemptEnded,
     pub value: Option<String>,
     /// The version that was searched, and whether anything was found, where its node says so.
     pub searched: Option<(u64, bool)>,
 }
 
-pub struct Servers {
-    handle: Handle,
+pub struct Upstream {
+    handle: EventLoopHandle,
     pool: Pool,
-    servers: Vec<Server>,
-    links: Slab<Link>,
+    nodes: Vec<NodeEntry>,
+    connections: Slab<NodeConnection>,
     most_links: usize,
-    /// Connections that carry nothing, by the alarm that will close them: the first has been idle the longest.
-    idle: BTreeMap<Key, usize>,
+    /// Connections that carry nothing, by the timer that will close them: the first has been idle the longest.
+    idle: BTreeMap<TimerKey, usize>,
     bounds: Rc<Bounds>,
     /// Nodes with something to frame.
-    batched: Vec<NodeId>,
+    nodes_to_flush: Vec<NodeId>,
     /// Calls that found no descriptor for their connection, until somebody has made room, or nobody can.
-    short: Vec<(NodeId, Vec<Parcel>)>,
+    short: Vec<(NodeId, Vec<AttemptRequest>)>,
     /// Nodes that have gone and are not forgotten yet.
     gone: Vec<NodeId>,
     /// What is agreed on, in a fleet.
@@ -135,10 +135,10 @@
     /// Bytes copied into frames.
     pub copied: u64,
     /// Ends that the module has not been told yet: it may be in the middle of the call that caused them.
-    pub back: VecDeque<Back>,
+    pub back: VecDeque<CompletedAttempt>,
 }
 
-impl Server {
+impl NodeEntry {
     fn name(&self) -> &str {
         self.row.as_ref().map_or("?", |row| &row.host)
     }
@@ -148,12 +148,12 @@
     }
 }
 
-impl Out {
-    fn back(self, node: NodeId, end: AttemptOutcome, now: f64, value: Option<String>) -> Back {
-        let Parcel { scan, part, shot, .. } = self.parcel;
-        Back {
+impl OutstandingRequest {
+    fn back(self, node: NodeId, end: AttemptOutcome, now: f64, value: Option<String>) -> CompletedAttempt {
+        let AttemptRequest { query, part, shot, .. } = self.parcel;
+        CompletedAttempt {
             ended: AttemptEnded {
-                query: scan,
+                query: query,
                 part,
                 attempt: shot,
                 node,
@@ -166,71 +166,71 @@
     }
 }
 
-impl Parcel {
+impl AttemptRequest {
     fn key(&self) -> (QueryId, usize, usize) {
-        (self.scan, self.part, self.shot)
+        (self.query, self.part, self.shot)
     }
 
-    pub fn unsent(&self, node: NodeId, end: AttemptOutcome) -> Back {
+    pub fn unsent(&self, node: NodeId, end: AttemptOutcome) -> CompletedAttempt {
         let ended = AttemptEnded {
-            query: self.scan,
+            query: self.query,
             part: self.part,
             attempt: self.shot,
             node,
             outcome: end,
             elapsed: 0.0,
         };
-        Back { ended, value: None, searched: None }
+        CompletedAttempt { ended, value: None, searched: None }
     }
 }
 
-impl Link {
+impl NodeConnection {
     /// It is through with a part.
-    fn take(&mut self, at: usize) -> Option<Out> {
-        let out = self.carried.remove(at)?;
-        self.past.push_back(out.parcel.id.clone());
-        if self.past.len() > PAST {
-            self.past.pop_front();
+    fn take(&mut self, at: usize) -> Option<OutstandingRequest> {
+        let out = self.outstanding.remove(at)?;
+        self.finished.push_back(out.parcel.id.clone());
+        if self.finished.len() > MAX_FINISHED_REMEMBERED {
+            self.finished.pop_front();
         }
         Some(out)
     }
 
     /// It carries a part of this name, or has.
     fn knows(&self, id: &str) -> bool {
-        let given_up = self.given_up.iter().chain(&self.past).any(|past| **past == *id);
-        given_up || self.carried.iter().any(|o| *o.parcel.id == *id)
+        let cancelled = self.cancelled.iter().chain(&self.finished).any(|finished| **finished == *id);
+        cancelled || self.outstanding.iter().any(|o| *o.parcel.id == *id)
     }
 
     fn is_idle(&self) -> bool {
-        self.up && self.carried.is_empty()
+        self.up && self.outstanding.is_empty()
     }
 
     /// It has been idle for as long as it may.
     fn is_over(&self, now: f64) -> bool {
-        self.is_idle() && self.alarm.is_some_and(|key| clock::is_due(key, now))
+        self.is_idle() && self.timer.is_some_and(|key| clock::is_due(key, now))
     }
 
     /// The frame of a body is on its way, or the next thing to go: whatever came behind it would wait for all of it.
-    fn is_taken(&self) -> bool {
+    fn is_reserved_for_body(&self) -> bool {
         self.out.body().is_some()
-            || self.carried.iter().any(|o| o.to.is_none() && o.parcel.text.body().is_some())
+            || self.outstanding.iter().any(|o| o.to.is_none() && o.parcel.text.body().is_some())
     }
 }
 
-impl Servers {
-    pub fn new(handle: Handle, pool: &Pool, bounds: Rc<Bounds>, most_links: usize) -> Self {
-        let (pool, links, idle) = (pool.clone(), Slab::new(), BTreeMap::new());
-        let (servers, batched, gone, back) = (Vec::new(), Vec::new(), Vec::new(), VecDeque::new());
+impl Upstream {
+    pub fn new(handle: EventLoopHandle, pool: &Pool, bounds: Rc<Bounds>, most_links: usize) -> Self {
+        let (pool, connections, idle) = (pool.clone(), Slab::new(), BTreeMap::new());
+        let (nodes, nodes_to_flush, gone, back) = (Vec::new(), Vec::new(), Vec::new(), VecDeque::new());
         let (starved, paces, copied) = (Vec::new(), HashMap::new(), 0);
         Self {
             handle,
             pool,
-            servers,
-            links,
+            nodes,
+            connections,
             most_links,
             idle,
             bounds,
-            batched,
+            nodes_to_flush,
             short: Vec::new(),
             gone,
             gate: None,
@@ -245,12 +245,12 @@
     }
 
     /// Nodes of these addresses speak the API. `once` says of each table type whether it must not run twice.
-    pub fn speak_api(&mut self, addresses: Vec<IpNet>, once: Vec<bool>) {
+    pub fn set_search_api_nodes(&mut self, addresses: Vec<IpNet>, once: Vec<bool>) {
         self.api = Some((addresses, once));
     }
 
     fn speaks_api(&self, node: NodeId) -> bool {
-        let dial = self.servers.get(node).and_then(|s| s.row.as_ref()?.dial);
+        let dial = self.nodes.get(node).and_then(|s| s.row.as_ref()?.dial);
         let among = |(addresses, _): &(Vec<IpNet>, _)| {
             dial.is_some_and(|d| addresses.iter().any(|a| a.contains(&d.ip())))
         };
@@ -258,11 +258,11 @@
     }
 
     pub fn name(&self, node: NodeId) -> &str {
-        self.servers.get(node).map_or("?", Server::name)
+        self.nodes.get(node).map_or("?", NodeEntry::name)
     }
 
-    pub fn dispatch(&mut self, node: NodeId, parcel: Parcel) {
-        self.servers[node].batch.push(parcel);
-        self.batched.push(node);
+    pub fn dispatch(&mut self, node: NodeId, parcel: AttemptRequest) {
+        self.nodes[node].unframed.push(parcel);
+        self.nodes_to_flush.push(node);
     }
 }
--- a/crates/dunepond-broker/src/upstream/ownership_check.rs
+++ b/crates/dunepond-broker/src/upstream/ownership_check.rs
@@ -5,57 +5,68 @@
 use dunepond_routing::AttemptOutcome;
 use tracing::debug;
 
-use super::{Link, Out, Parcel, Servers};
-use crate::clock::Alarms;
-use crate::control_plane::fence::{Fate, Stage};
-use crate::control_plane::{Gate, Look};
+use super::{AttemptRequest, NodeConnection, OutstandingRequest, Upstream};
+use crate::clock::Timers;
+use crate::control_plane::fence::{AttemptStage, FenceAction};
+use crate::control_plane::{CheckedConfig, Gate};
 
 /// Notes each part whose frame has been put on its connection since the last look.
-pub fn note(gate: &Gate, look: &Look, host: &str, link: &mut Link) {
+pub fn note(gate: &Gate, look: &CheckedConfig, host: &str, connection: &mut NodeConnection) {
     if !gate.hand.is_audited() {
         return;
     }
-    for out in link.carried.iter_mut().filter(|o| o.to.is_some() && !o.noted) {
+    for out in connection.outstanding.iter_mut().filter(|o| o.to.is_some() && !o.noted) {
         let p = &out.parcel;
         out.noted = true;
         gate.sent(look, p.began.as_deref(), p.table_type, &p.id, (p.seg, p.shot), host);
     }
 }
 
-impl Servers {
+impl Upstream {
     /// What has waited for its connection may go nowhere any more: checked again right before it is framed. False where one
     /// that is framed and not all written may not.
-    pub(super) fn hold_back(&mut self, look: &Look, now: f64, id: usize, alarms: &mut Alarms) -> bool {
+    pub(super) fn withdraw_disallowed(
+        &mut self,
+        look: &CheckedConfig,
+        now: f64,
+        id: usize,
+        timers: &mut Timers,
+    ) -> bool {
         let Some(gate) = &self.gate else { return true };
-        let Some(link) = self.links.get_mut(id).filter(|l| l.up) else { return true };
-        let host = self.servers[link.node].name();
-        let may = |p: &Parcel| gate.may_by(look, p.began.as_deref(), p.table_type, p.seg, host);
-        let written = link.out.written();
-        let stage = |o: &Out| match o.to {
-            None => Stage::Queued,
-            Some(to) if to > written => Stage::HalfWritten,
-            Some(_) => Stage::Silent,
+        let Some(connection) = self.connections.get_mut(id).filter(|l| l.up) else { return true };
+        let host = self.nodes[connection.node].name();
+        let may_send =
+            |p: &AttemptRequest| gate.may_send_under(look, p.began.as_deref(), p.table_type, p.seg, host);
+        let written = connection.out.written();
+        let stage = |o: &OutstandingRequest| match o.to {
+            None => AttemptStage::Queued,
+            Some(to) if to > written => AttemptStage::PartlyWritten,
+            Some(_) => AttemptStage::AwaitingAnswer,
         };
-        let fate = |o: &Out| {
+        let fence_action = |o: &OutstandingRequest| {
             let p = &o.parcel;
-            if may(p) { Fate::Goes } else { gate.fate(look, stage(o), p.table_type, p.seg, host) }
+            if may_send(p) {
+                FenceAction::Allowed
+            } else {
+                gate.fence_action(look, stage(o), p.table_type, p.seg, host)
+            }
         };
-        if link.carried.iter().any(|o| fate(o) == Fate::Cut) {
+        if connection.outstanding.iter().any(|o| fence_action(o) == FenceAction::Aborted) {
             return false;
         }
-        let held = |o: &Out| fate(o) == Fate::Held;
-        if !link.carried.iter().any(held) {
+        let held = |o: &OutstandingRequest| fence_action(o) == FenceAction::Returned;
+        if !connection.outstanding.iter().any(held) {
             return true;
         }
-        let (held, carried) = link.carried.drain(..).partition(held);
-        link.carried = carried;
-        let (held, node): (VecDeque<Out>, _) = (held, link.node);
+        let (held, outstanding) = connection.outstanding.drain(..).partition(held);
+        connection.outstanding = outstanding;
+        let (held, node): (VecDeque<OutstandingRequest>, _) = (held, connection.node);
         for out in held {
             gate.hand.count_withheld();
-            debug!("node {host}: {} is held back by what is agreed", out.parcel.id);
+            debug!("node {host}: {} is not sent: the active configuration forbids it", out.parcel.id);
             self.back.push_back(out.back(node, AttemptOutcome::NotSent, now, None));
         }
-        self.rest(now, id, alarms);
+        self.rest(now, id, timers);
         true
     }
 }
--- a/crates/dunepond-broker/src/upstream/response.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -7,92 +7,104 @@
 use dunepond_search_api::node::{Meaning, meaning};
 use tracing::{debug, warn};
 
-use super::{Back, Server, Servers};
-use crate::clock::{Alarms, Due};
-use crate::connection_end::Ending;
-use crate::frames::{self, Said, Word};
+use super::{CompletedAttempt, NodeEntry, Upstream};
+use crate::clock::{TimerEvent, Timers};
+use crate::connection_end::ConnectionEnd;
+use crate::frames::{self, NodeFrame, ReplicaOutcome};
 use crate::http::{self, Message};
 
 /// Of what cannot be read, the log shows so many bytes.
-const SHOWN: usize = 48;
+const MAX_LOGGED_BYTES: usize = 48;
 
-impl Servers {
-    pub(super) fn read(&mut self, now: f64, id: usize, alarms: &mut Alarms) {
-        self.read_on(now, id, None, alarms);
+impl Upstream {
+    pub(super) fn read(&mut self, now: f64, id: usize, timers: &mut Timers) {
+        self.receive_until(now, id, None, timers);
     }
 
     /// A connection has broken, as was met in writing: what had come before is read, and then it ends.
-    pub(super) fn read_out(&mut self, now: f64, id: usize, broken: Ending, alarms: &mut Alarms) {
-        self.read_on(now, id, Some(broken), alarms);
+    pub(super) fn receive_before_close(
+        &mut self,
+        now: f64,
+        id: usize,
+        broken: ConnectionEnd,
+        timers: &mut Timers,
+    ) {
+        self.receive_until(now, id, Some(broken), timers);
     }
 
-    fn read_on(&mut self, now: f64, id: usize, broken: Option<Ending>, alarms: &mut Alarms) {
+    fn receive_until(&mut self, now: f64, id: usize, broken: Option<ConnectionEnd>, timers: &mut Timers) {
         loop {
-            let link = &mut self.links[id];
-            let input = link.input.get_or_insert_with(|| self.pool.take());
-            let ending = match input.read_from(&*link.stream) {
+            let connection = &mut self.connections[id];
+            let input = connection.input.get_or_insert_with(|| self.pool.take());
+            let ending = match input.read_from(&*connection.stream) {
                 // An answer of the API that states no length ends so; but a reset that has been told once is told no more.
-                Ok(0) if broken.is_none() && link.message.as_mut().is_some_and(Message::closed) => {
-                    self.answers(now, id)
+                Ok(0)
+                    if broken.is_none()
+                        && connection.message.as_mut().is_some_and(Message::finish_at_close) =>
+                {
+                    self.receive_search_response(now, id)
                 }
-                Ok(0) => broken.or(Some(Ending::Closed)),
-                Ok(_) if link.api => self.answers(now, id),
-                Ok(_) => self.frames(now, id, alarms),
+                Ok(0) => broken.or(Some(ConnectionEnd::Closed)),
+                Ok(_) if connection.api => self.receive_search_response(now, id),
+                Ok(_) => self.frames(now, id, timers),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => None,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock && broken.is_some() => broken,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     if input.is_empty() {
-                        link.input = None;
-                        // All of an answer has come; an idle connection's alarm stays.
-                        alarms.unset(link.alarm.take_if(|key| !self.idle.contains_key(key)));
-                    } else if link.carried.is_empty() {
+                        connection.input = None;
+                        // All of an answer has come; an idle connection's timer stays.
+                        timers.unset(connection.timer.take_if(|key| !self.idle.contains_key(key)));
+                    } else if connection.outstanding.is_empty() {
                         // Half of a frame that nobody waits for: what comes next would be taken for its rest.
-                        return self.end(now, id, Ending::Garbled, alarms);
-                    } else if link.alarm.is_none() {
+                        return self.end(now, id, ConnectionEnd::ProtocolError, timers);
+                    } else if connection.timer.is_none() {
                         // The rest of a frame may never come: it has as long as a connection to come up.
                         let until = now + self.bounds.connect_timeout;
-                        link.alarm = Some(alarms.set(until, Due::Link(id)));
+                        connection.timer = Some(timers.set(until, TimerEvent::UpstreamConnection(id)));
                     }
                     return;
                 }
-                Err(e) => Some(Ending::of(&e)),
+                Err(e) => Some(ConnectionEnd::of(&e)),
             };
             if let Some(ending) = ending {
-                return self.end(now, id, ending, alarms);
+                return self.end(now, id, ending, timers);
             }
         }
     }
 
     /// Takes an answer of the API out of what has come. What it means for the part is told by `node::meaning`.
-    fn answers(&mut self, now: f64, id: usize) -> Option<Ending> {
-        let link = &mut self.links[id];
-        let host = self.servers[link.node].name();
-        let input = link.input.as_mut()?;
-        if link.message.is_none() {
+    fn receive_search_response(&mut self, now: f64, id: usize) -> Option<ConnectionEnd> {
+        let connection = &mut self.connections[id];
+        let host = self.nodes[connection.node].name();
+        let input = connection.input.as_mut()?;
+        if connection.message.is_none() {
             match http::response(input) {
-                Ok(head) => link.message = Some(Message::after(head?)),
+                Ok(head) => connection.message = Some(Message::after(head?)),
                 Err(why) => {
                     warn!("node {host}: {}", why.why);
-                    return Some(Ending::Garbled);
+                    return Some(ConnectionEnd::ProtocolError);
                 }
             }
         }
-        let whole = link.message.as_mut()?.take(input, &self.pool);
+        let whole = connection.message.as_mut()?.take(input, &self.pool);
         match whole {
             Ok(false) => return None,
             Ok(true) => {}
             Err(why) => {
                 warn!("node {host}: {}", why.why);
-                return Some(Ending::Garbled);
+                return Some(ConnectionEnd::ProtocolError);
             }
         }
-        let message = link.message.take()?;
+        let message = connection.message.take()?;
         if !input.is_empty() {
             // Behind the one answer that was owed there is nothing that could be told apart from the next one's.
-            return Some(Ending::Garbled);
+            return Some(ConnectionEnd::ProtocolError);
         }
-        let half = link.carried.front().is_some_and(|o| o.to.is_none_or(|to| to > link.out.written()));
-        let Some(out) = link.carried.pop_front() else { return Some(Ending::Garbled) };
+        let half = connection
+            .outstanding
+            .front()
+            .is_some_and(|o| o.to.is_none_or(|to| to > connection.out.written()));
+        let Some(out) = connection.outstanding.pop_front() else { return Some(ConnectionEnd::ProtocolError) };
         let once = self.api.as_ref().is_some_and(|(_, once)| once[out.parcel.table_type]);
         let expected = Expected {
             index: &self.bounds.table_types[out.parcel.table_type],
@@ -113,78 +125,82 @@
             }
         };
         // Answered before all of it was there, it may yet be taken for run: only a rejection says that it was not.
-        let node = link.node;
+        let node = connection.node;
         self.back.push_back(out.back(node, end, now, value));
-        let link = &mut self.links[id];
+        let connection = &mut self.connections[id];
         if half || !keep {
-            return Some(Ending::CutShort);
+            return Some(ConnectionEnd::FrameAborted);
         }
-        if link.retired {
-            return Some(Ending::Unused);
+        if connection.retired {
+            return Some(ConnectionEnd::IdleClosed);
         }
-        link.input = None;
+        connection.input = None;
         None
     }
 
     /// Takes the whole frames out of what has come.
-    fn frames(&mut self, now: f64, id: usize, alarms: &mut Alarms) -> Option<Ending> {
+    fn frames(&mut self, now: f64, id: usize, timers: &mut Timers) -> Option<ConnectionEnd> {
         loop {
-            let link = &mut self.links[id];
-            let host = self.servers[link.node].name();
-            let held = link.input.as_ref()?.held();
-            let spoilt = |why: &str| {
-                warn!("node {host}: {why}: {}", held[..held.len().min(SHOWN)].escape_ascii());
-                Some(Ending::Garbled)
+            let connection = &mut self.connections[id];
+            let host = self.nodes[connection.node].name();
+            let held = connection.input.as_ref()?.held();
+            let had_invalid_row = |why: &str| {
+                warn!("node {host}: {why}: {}", held[..held.len().min(MAX_LOGGED_BYTES)].escape_ascii());
+                Some(ConnectionEnd::ProtocolError)
             };
             let (used, told) = match frames::read(held) {
                 Ok(None) => return None,
-                Err(why) => return spoilt(why),
-                Ok(Some((Said::Complaint(words), _))) => {
+                Err(why) => return had_invalid_row(why),
+                Ok(Some((NodeFrame::Rejected(words), _))) => {
                     warn!("node {host}: {}", words.escape_debug());
-                    return Some(Ending::Complaint);
+                    return Some(ConnectionEnd::RejectedByPeer);
                 }
-                Ok(Some((Said::Words { .. }, _))) => return spoilt("a Q on a connection for parts"),
-                Ok(Some((Said::Ended { id, word, value, report }, used))) => {
-                    let at = link.carried.iter().position(|o| *o.parcel.id == *id);
-                    let late = link.given_up.iter().position(|given_up| **given_up == *id);
+                Ok(Some((NodeFrame::PrefilterAnswers { .. }, _))) => {
+                    return had_invalid_row("a Q frame on a connection for attempts");
+                }
+                Ok(Some((NodeFrame::AttemptEnded { id, word, value, report }, used))) => {
+                    let at = connection.outstanding.iter().position(|o| *o.parcel.id == *id);
+                    let late = connection.cancelled.iter().position(|cancelled| **cancelled == *id);
                     // Given up, or answered before: its end has been told. Any other may belong to any part here.
-                    if at.or(late).is_none() && !link.past.iter().any(|past| **past == *id) {
-                        return spoilt("an E for a part that is not out");
+                    if at.or(late).is_none() && !connection.finished.iter().any(|finished| **finished == *id)
+                    {
+                        return had_invalid_row("an E frame for an attempt that is not outstanding");
                     }
                     if at.is_none() {
-                        late.map(|late| link.given_up.swap_remove(late));
+                        late.map(|late| connection.cancelled.swap_remove(late));
                     }
                     let (end, value) = match word {
-                        Word::Hit => (AttemptOutcome::Served, Some(value.to_string())),
-                        Word::Fault => (AttemptOutcome::Error, None),
-                        Word::Overload => (AttemptOutcome::Rejected, None),
+                        ReplicaOutcome::Served => (AttemptOutcome::Served, Some(value.to_string())),
+                        ReplicaOutcome::Failed => (AttemptOutcome::Error, None),
+                        ReplicaOutcome::Overloaded => (AttemptOutcome::Rejected, None),
                     };
                     (used, at.map(|at| (at, end, value, frames::searched(report))))
                 }
             };
             if let Some((at, end, value, searched)) = told
-                && let Some(out) = link.take(at)
+                && let Some(out) = connection.take(at)
             {
                 // Refused before all of it was there, it never ran; the rest of its frame has nowhere to go.
-                let half = out.to.is_none_or(|to| to > link.out.written());
+                let half = out.to.is_none_or(|to| to > connection.out.written());
                 if half && end != AttemptOutcome::Rejected {
-                    link.carried.push_front(out);
-                    return spoilt_half(&self.servers[link.node]);
+                    connection.outstanding.push_front(out);
+                    return unfinished_frame_answered(&self.nodes[connection.node]);
                 }
-                self.back.push_back(Back { searched, ..out.back(link.node, end, now, value) });
+                self.back
+                    .push_back(CompletedAttempt { searched, ..out.back(connection.node, end, now, value) });
                 if half {
-                    return Some(Ending::CutShort);
+                    return Some(ConnectionEnd::FrameAborted);
                 }
             }
-            let link = &mut self.links[id];
-            link.input.as_mut()?.consume(used);
+            let connection = &mut self.connections[id];
+            connection.input.as_mut()?.consume(used);
             // The next one has its own time.
-            alarms.unset(link.alarm.take_if(|key| !self.idle.contains_key(key)));
+            timers.unset(connection.timer.take_if(|key| !self.idle.contains_key(key)));
         }
     }
 }
 
-fn spoilt_half(server: &Server) -> Option<Ending> {
-    warn!("node {}: an E before its frame was whole", server.name());
-    Some(Ending::Garbled)
+fn unfinished_frame_answered(node_entry: &NodeEntry) -> Option<ConnectionEnd> {
+    warn!("node {}: an E frame before its request was fully sent", node_entry.name());
+    Some(ConnectionEnd::ProtocolError)
 }
--- a/crates/dunepond-broker/src/upstream/streaming.rs
+++ b/crates/dunepond-broker/src/upstream/streaming.rs
@@ -2,48 +2,51 @@
 
 use std::collections::HashMap;
 
-use super::{Link, Out, Servers};
-use crate::clock::Alarms;
-use crate::connection_end::Ending;
+use super::{NodeConnection, OutstandingRequest, Upstream};
+use crate::clock::Timers;
+use crate::connection_end::ConnectionEnd;
 
-impl Servers {
+impl Upstream {
     /// More of some body is there: what waited for it is written on.
-    pub fn feed(&mut self, now: f64, alarms: &mut Alarms) {
+    pub fn feed(&mut self, now: f64, timers: &mut Timers) {
         for id in std::mem::take(&mut self.starved) {
-            self.write(now, id, alarms);
-            self.rest(now, id, alarms);
+            self.write(now, id, timers);
+            self.rest(now, id, timers);
         }
     }
 
     /// Ends what takes nothing of a passing body for too long while the others wait for it; true while any passes.
-    pub fn pace(&mut self, now: f64, slowest: f64, alarms: &mut Alarms) -> bool {
-        let mut passing = HashMap::new();
-        for (id, link) in &self.links {
-            let Some(reader) = link.out.body().filter(|r| r.body.is_passing()) else { continue };
+    pub fn close_slow_consumers(&mut self, now: f64, slowest: f64, timers: &mut Timers) -> bool {
+        let mut pass_through = HashMap::new();
+        for (id, connection) in &self.connections {
+            let Some(reader) = connection.out.body().filter(|r| r.body.is_pass_through()) else { continue };
             let place = reader.place();
             let before = self.paces.get(&id).filter(|before| before.0 == place);
             // Who waits for the client himself holds nobody up.
             let holds_up = reader.body.is_full();
             let since = before.filter(|_| holds_up).map_or(now, |before| before.1);
-            passing.insert(id, (place, since));
+            pass_through.insert(id, (place, since));
         }
-        let late: Vec<_> = passing.iter().filter(|(_, p)| now - p.1 >= slowest).map(|(id, _)| *id).collect();
-        self.paces = passing;
+        let late: Vec<_> =
+            pass_through.iter().filter(|(_, p)| now - p.1 >= slowest).map(|(id, _)| *id).collect();
+        self.paces = pass_through;
         for id in late {
             self.paces.remove(&id);
-            self.end(now, id, Ending::Outpaced, alarms);
+            self.end(now, id, ConnectionEnd::SlowConsumer, timers);
         }
         !self.paces.is_empty()
     }
 
     /// Ends every frame that is half written and whose body can be had no more.
-    pub fn cut_lost(&mut self, now: f64, alarms: &mut Alarms) {
-        let lost = |l: &Link| {
+    pub fn abort_lost_bodies(&mut self, now: f64, timers: &mut Timers) {
+        let lost = |l: &NodeConnection| {
             let framed = l.out.body().is_some_and(|r| r.body.lost().is_some());
-            let waits = |o: &Out| o.to.is_none() && o.parcel.text.body().is_some_and(|b| b.lost().is_some());
-            framed || l.carried.iter().any(waits)
+            let waits = |o: &OutstandingRequest| {
+                o.to.is_none() && o.parcel.text.body().is_some_and(|b| b.lost().is_some())
+            };
+            framed || l.outstanding.iter().any(waits)
         };
-        let ids: Vec<_> = self.links.iter().filter(|(_, l)| lost(l)).map(|(id, _)| id).collect();
-        ids.into_iter().for_each(|id| self.end(now, id, Ending::BodyLost, alarms));
+        let part_ids: Vec<_> = self.connections.iter().filter(|(_, l)| lost(l)).map(|(id, _)| id).collect();
+        part_ids.into_iter().for_each(|id| self.end(now, id, ConnectionEnd::BodyLost, timers));
     }
 }
--- a/crates/dunepond-broker/tests/closing.rs
+++ b/crates/dunepond-broker/tests/closing.rs
@@ -8,9 +8,9 @@
 
 use calloop::EventLoop;
 use dunepond_broker::buffers::Pool;
-use dunepond_broker::clock::{Alarms, Due};
-use dunepond_broker::downstream::{Came, Clients, listen};
-use dunepond_broker::iteration::{Ready, Turn};
+use dunepond_broker::clock::{TimerEvent, Timers};
+use dunepond_broker::downstream::{ClientEvent, Downstream, listen};
+use dunepond_broker::iteration::{Iteration, LoopEvent};
 use dunepond_config::{Fields, bounds};
 use dunepond_testkit::store::{Client, scan, settings};
 use rstest::rstest;
@@ -18,9 +18,9 @@
 use socket2::{Domain, Socket, Type};
 
 struct Door {
-    turns: EventLoop<'static, Turn>,
-    clients: Clients,
-    alarms: Alarms,
+    turns: EventLoop<'static, Iteration>,
+    clients: Downstream,
+    timers: Timers,
     address: SocketAddr,
     now: f64,
 }
@@ -43,14 +43,14 @@
         let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         let bounds = Rc::new(bounds(&Fields::of("settings", &settings).unwrap()).unwrap());
-        let clients = Clients::new(turns.handle(), &Pool::default(), bounds, most, 64, listener).unwrap();
-        Self { turns, clients, alarms: Alarms::default(), address, now: 100.0 }
+        let clients = Downstream::new(turns.handle(), &Pool::default(), bounds, most, 64, listener).unwrap();
+        Self { turns, clients, timers: Timers::default(), address, now: 100.0 }
     }
 
     /// Waits for what the loop tells of this client, and leaves it waiting.
     fn told_of(&mut self, id: usize) {
-        let (mut turn, start) = (Turn::default(), Instant::now());
-        while !turn.ready.iter().any(|ready| matches!(ready, Ready::Client(of, true) if *of == id)) {
+        let (mut turn, start) = (Iteration::default(), Instant::now());
+        while !turn.ready.iter().any(|ready| matches!(ready, LoopEvent::ClientReady(of, true) if *of == id)) {
             self.turns.dispatch(Duration::from_millis(100), &mut turn).unwrap();
             assert!(start.elapsed() < Duration::from_secs(5), "nothing is told of it");
         }
@@ -58,9 +58,9 @@
 
     fn enters(&mut self) -> (Client, usize) {
         let client = Client::dial(self.address);
-        let mut turn = Turn::default();
+        let mut turn = Iteration::default();
         self.turns.dispatch(Duration::from_secs(5), &mut turn).unwrap();
-        self.clients.accept(self.now, false, &mut self.alarms);
+        self.clients.accept(self.now, false, &mut self.timers);
         (client, self.clients.again.pop().unwrap())
     }
 
@@ -70,33 +70,33 @@
         socket.set_recv_buffer_size(4096).unwrap();
         socket.connect(&self.address.into()).unwrap();
         socket.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-        let mut turn = Turn::default();
+        let mut turn = Iteration::default();
         self.turns.dispatch(Duration::from_secs(5), &mut turn).unwrap();
-        self.clients.accept(self.now, false, &mut self.alarms);
+        self.clients.accept(self.now, false, &mut self.timers);
         (Client::on(socket.into()), self.clients.again.pop().unwrap())
     }
 
-    fn asks(&mut self, client: &mut Client, id: usize) {
+    fn start_request_timer(&mut self, client: &mut Client, id: usize) {
         client.send(&scan("find", "c1", &[1], "2.0"));
         self.told_of(id);
-        self.clients.ready(self.now, id, true, &mut self.alarms);
+        self.clients.ready(self.now, id, true, &mut self.timers);
         assert!(self.gets_scan(id));
     }
 
     /// Its turn to be read brings a scan.
     fn gets_scan(&mut self, id: usize) -> bool {
-        matches!(self.clients.next(self.now, id, &mut self.alarms), Came::Scan(_))
+        matches!(self.clients.next(self.now, id, &mut self.timers), ClientEvent::Query(_))
     }
 
     fn answered(&mut self, client: &mut Client, id: usize) {
-        self.clients.reply(self.now, id, 200, "{}", 0.0, &mut self.alarms);
+        self.clients.reply(self.now, id, 200, "{}", 0.0, &mut self.timers);
         assert_eq!(client.answer().unwrap().status, 200);
         self.clients.again.clear();
     }
 
     fn rests(&mut self) -> (Client, usize) {
         let (mut client, id) = self.enters();
-        self.asks(&mut client, id);
+        self.start_request_timer(&mut client, id);
         self.answered(&mut client, id);
         self.now += 0.01;
         (client, id)
@@ -110,18 +110,18 @@
 
     fn slow(&mut self, id: usize) {
         self.now += 4.0;
-        assert_eq!(self.clients.slow(self.now, id, &mut self.alarms), None);
+        assert_eq!(self.clients.slow(self.now, id, &mut self.timers), None);
     }
 
     /// Looks at the clients that are to be read until one brings a scan.
     fn settles(&mut self) -> Vec<usize> {
-        let mut scans = Vec::new();
+        let mut queries = Vec::new();
         while let Some(id) = self.clients.again.pop() {
             if self.gets_scan(id) {
-                scans.push(id);
+                queries.push(id);
             }
         }
-        scans
+        queries
     }
 }
 
@@ -156,12 +156,12 @@
     let request = request();
     let (half, rest) = request.split_at(request.len() / 2);
     door.sends(&mut client, id, half);
-    door.clients.ready(door.now, id, true, &mut door.alarms);
+    door.clients.ready(door.now, id, true, &mut door.timers);
     assert!(!door.gets_scan(id));
     door.sends(&mut client, id, rest);
-    let time = door.clients.hear_out(id);
+    let time = door.clients.read_before_timeout(id);
     assert_eq!(door.settles(), [id]);
-    assert!(!door.clients.is_still_slow(id, time));
+    assert!(!door.clients.is_still_timed_out(id, time));
     door.answered(&mut client, id);
 }
 
@@ -175,7 +175,7 @@
     door.slow(id);
     assert!(door.settles().is_empty());
     door.sends(&mut client, id, rest);
-    door.clients.ready(door.now, id, true, &mut door.alarms);
+    door.clients.ready(door.now, id, true, &mut door.timers);
     assert!(door.gets_scan(id));
     door.answered(&mut client, id);
 }
@@ -188,14 +188,14 @@
     door.slow(id);
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
     door.sends(&mut client, id, &request());
-    door.clients.ready(door.now, id, true, &mut door.alarms);
+    door.clients.ready(door.now, id, true, &mut door.timers);
     assert!(!door.gets_scan(id));
     assert_eq!(door.clients.count(), 1);
     client.stream.write_all(b"x").unwrap();
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
     drop(client);
     door.told_of(id);
-    door.clients.ready(door.now, id, true, &mut door.alarms);
+    door.clients.ready(door.now, id, true, &mut door.timers);
     assert!(!door.gets_scan(id));
     assert_eq!(door.clients.count(), 0);
 }
@@ -208,8 +208,8 @@
     let _second = door.rests();
     door.sends(&mut longest, id, &request());
     let (mut third, last) = door.enters();
-    door.asks(&mut third, last);
-    door.clients.reply(door.now, last, 200, "{}", 0.0, &mut door.alarms);
+    door.start_request_timer(&mut third, last);
+    door.clients.reply(door.now, last, 200, "{}", 0.0, &mut door.timers);
     assert_eq!(door.settles(), [id]);
     door.answered(&mut longest, id);
 }
@@ -220,7 +220,7 @@
     let (mut longest, id) = door.rests();
     let (mut next, _) = door.rests();
     let mut held: Vec<_> = (0..6).map(|_| door.enters()).collect();
-    held.iter_mut().for_each(|(client, id)| door.asks(client, *id));
+    held.iter_mut().for_each(|(client, id)| door.start_request_timer(client, *id));
     door.sends(&mut longest, id, &request());
     let _one_more = door.enters();
     assert_eq!(next.stream.read(&mut [0]).unwrap(), 0);
@@ -232,28 +232,28 @@
 #[rstest]
 fn an_answer_may_be_taken_for_as_long_as_its_client_may_wait(
     #[values(300.0, 60_000.0)] timeout: f64,
-    #[values(false, true)] in_body: bool,
+    #[values(false, true)] responded_in_body: bool,
 ) {
     let mut door = Door::with_timeouts(timeout);
     let (mut client, id) = door.enters();
-    if in_body {
+    if responded_in_body {
         // Answered before its body has come: it looks for its answer once that is sent.
         door.clients.raw = true;
         let head = "POST /nowhere HTTP/1.1\r\nX-Buckets: 1=1.0\r\nContent-Length: 9000000\r\n\r\n";
         door.sends(&mut client, id, head);
-        door.clients.ready(door.now, id, true, &mut door.alarms);
+        door.clients.ready(door.now, id, true, &mut door.timers);
         assert!(!door.gets_scan(id));
     } else {
-        door.asks(&mut client, id);
+        door.start_request_timer(&mut client, id);
         // More than the system takes at once.
-        door.clients.reply(door.now, id, 200, &"x".repeat(16 << 20), 0.0, &mut door.alarms);
+        door.clients.reply(door.now, id, 200, &"x".repeat(16 << 20), 0.0, &mut door.timers);
     }
     let mut is_up = |after: f64| {
-        let due = std::iter::from_fn(|| door.alarms.take_due(door.now + 0.001 * timeout + after));
-        due.filter(|due| *due == Due::ClientSlow(id)).count() > 0
+        let due = std::iter::from_fn(|| door.timers.pop_due(door.now + 0.001 * timeout + after));
+        due.filter(|due| *due == TimerEvent::ClientTimeout(id)).count() > 0
     };
     // Whoever may still send its body has at least as long as a request may take.
-    assert_eq!((is_up(0.49), is_up(if in_body { 2.0 } else { 0.51 })), (false, true));
+    assert_eq!((is_up(0.49), is_up(if responded_in_body { 2.0 } else { 0.51 })), (false, true));
 }
 
 /// The rest of an answer is in the system's queue, and goes with the connection if that is closed over what crosses it.
@@ -263,13 +263,13 @@
 ) {
     let mut door = Door::with(64);
     let (mut client, id) = door.enters_narrowly();
-    door.asks(&mut client, id);
-    door.clients.close_with_answers();
+    door.start_request_timer(&mut client, id);
+    door.clients.close_after_responses();
     let answer = "x".repeat(500_000);
-    door.clients.reply(door.now, id, 200, &format!("\"{answer}\""), 0.0, &mut door.alarms);
+    door.clients.reply(door.now, id, 200, &format!("\"{answer}\""), 0.0, &mut door.timers);
     // All is written: it is only the client's end that is awaited.
     let times = [1.1, 2.2, 3.3].map(|after| {
-        door.clients.slow(door.now + after, id, &mut door.alarms);
+        door.clients.slow(door.now + after, id, &mut door.timers);
         client.stream.write_all(b"x").unwrap();
         door.clients.count()
     });
@@ -278,7 +278,7 @@
         assert_eq!(client.answer().unwrap().body, json!(answer));
     }
     // Once it is taken, or nobody has any use for it, the connection goes.
-    door.clients.slow(door.now + 3.6, id, &mut door.alarms);
+    door.clients.slow(door.now + 3.6, id, &mut door.timers);
     assert_eq!(door.clients.count(), 0);
 }
 
@@ -288,11 +288,11 @@
     let mut door = Door::with(64);
     let (mut client, id) = if rests { door.rests() } else { door.enters() };
     let (mut silent, _) = if rests { door.rests() } else { door.enters() };
-    door.clients.close_with_answers();
+    door.clients.close_after_responses();
     door.sends(&mut client, id, &request());
     match rests {
-        true => door.clients.close_resting(door.now, &mut door.alarms),
-        false => door.clients.close_unasked(door.now, &mut door.alarms),
+        true => door.clients.close_resting(door.now, &mut door.timers),
+        false => door.clients.close_without_request(door.now, &mut door.timers),
     }
     assert_eq!(silent.stream.read(&mut [0]).unwrap(), 0);
     assert_eq!(door.settles(), [id]);
@@ -305,13 +305,13 @@
 fn a_request_in_the_instant_of_the_last_answer_is_taken() {
     let mut door = Door::with(64);
     let (mut client, id) = door.enters();
-    door.asks(&mut client, id);
-    door.clients.close_with_answers();
+    door.start_request_timer(&mut client, id);
+    door.clients.close_after_responses();
     door.sends(&mut client, id, &request());
-    door.clients.reply(door.now, id, 200, "{}", 0.0, &mut door.alarms);
+    door.clients.reply(door.now, id, 200, "{}", 0.0, &mut door.timers);
     assert!(!client.answer().unwrap().head.contains("Connection: close"));
     assert_eq!(door.settles(), [id]);
-    door.clients.reply(door.now, id, 200, "{}", 0.0, &mut door.alarms);
+    door.clients.reply(door.now, id, 200, "{}", 0.0, &mut door.timers);
     assert!(client.answer().unwrap().head.contains("Connection: close"));
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
 }
--- a/crates/dunepond-broker/tests/fleet.rs
+++ b/crates/dunepond-broker/tests/fleet.rs
@@ -417,7 +417,7 @@
     assert_eq!(String::from_utf8_lossy(&came), "");
     assert_ne!(client.answer().unwrap().status, 200);
     assert_eq!(sent_once(fleet.acts(0)), []);
-    broker.said().contains("held back by what is agreed")
+    broker.said().contains("the active configuration forbids it")
 }
 
 #[test]
--- a/crates/dunepond-broker/tests/hangup.rs
+++ b/crates/dunepond-broker/tests/hangup.rs
@@ -6,9 +6,9 @@
 
 use calloop::EventLoop;
 use dunepond_broker::buffers::Pool;
-use dunepond_broker::clock::Alarms;
-use dunepond_broker::downstream::{Came, Clients, listen};
-use dunepond_broker::iteration::{Ready, Turn};
+use dunepond_broker::clock::Timers;
+use dunepond_broker::downstream::{ClientEvent, Downstream, listen};
+use dunepond_broker::iteration::{Iteration, LoopEvent};
 use dunepond_config::{Fields, bounds};
 use dunepond_testkit::store::{Client, scan, settings};
 
@@ -17,9 +17,9 @@
 
 /// The clients alone, led through a turn by hand: what the loop has told of them is not passed on.
 struct Door {
-    turns: EventLoop<'static, Turn>,
-    clients: Clients,
-    alarms: Alarms,
+    turns: EventLoop<'static, Iteration>,
+    clients: Downstream,
+    timers: Timers,
     address: SocketAddr,
     client: Client,
     id: usize,
@@ -36,15 +36,16 @@
         let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         let client = Client::dial(address);
-        let (settings, mut alarms) = (settings(), Alarms::default());
+        let (settings, mut timers) = (settings(), Timers::default());
         let bounds = Rc::new(bounds(&Fields::of("settings", &settings).unwrap()).unwrap());
-        let mut clients = Clients::new(turns.handle(), &Pool::default(), bounds, most, 64, listener).unwrap();
-        turns.dispatch(PATIENCE, &mut Turn::default()).unwrap();
-        clients.accept(at, false, &mut alarms);
+        let mut clients =
+            Downstream::new(turns.handle(), &Pool::default(), bounds, most, 64, listener).unwrap();
+        turns.dispatch(PATIENCE, &mut Iteration::default()).unwrap();
+        clients.accept(at, false, &mut timers);
         let id = clients.again.pop().unwrap();
-        let mut door = Self { turns, clients, alarms, address, client, id };
+        let mut door = Self { turns, clients, timers, address, client, id };
         door.sends(&scan("find", "c1", &[1], "2.0"));
-        assert!(matches!(door.clients.next(at, id, &mut door.alarms), Came::Scan(_)));
+        assert!(matches!(door.clients.next(at, id, &mut door.timers), ClientEvent::Query(_)));
         door.clients.holds(id, 7);
         door
     }
@@ -61,8 +62,8 @@
 
     /// Waits for what the loop tells of the client.
     fn told(&mut self) {
-        let (mut turn, start) = (Turn::default(), Instant::now());
-        while !turn.ready.iter().any(|ready| matches!(ready, Ready::Client(_, true))) {
+        let (mut turn, start) = (Iteration::default(), Instant::now());
+        while !turn.ready.iter().any(|ready| matches!(ready, LoopEvent::ClientReady(_, true))) {
             self.turns.dispatch(PATIENCE, &mut turn).unwrap();
             assert!(start.elapsed() < PATIENCE, "nothing is told");
         }
@@ -74,10 +75,10 @@
 fn a_look_at_a_client_is_good_for_half_of_what_an_attempt_may_be_late() {
     let mut door = Door::asked(100.0);
     door.hangs_up();
-    let seen = [100.01, 100.04, 100.06].map(|now| door.clients.has_hung_up(now, door.id));
+    let seen = [100.01, 100.04, 100.06].map(|now| door.clients.is_disconnected(now, door.id));
     assert_eq!(seen, [false, false, true]);
-    assert_eq!(door.clients.next_hung_up(&mut door.alarms), Some(Some(7)));
-    assert_eq!((door.clients.next_hung_up(&mut door.alarms), door.clients.count()), (None, 0));
+    assert_eq!(door.clients.next_disconnected(&mut door.timers), Some(Some(7)));
+    assert_eq!((door.clients.next_disconnected(&mut door.timers), door.clients.count()), (None, 0));
 }
 
 /// What the loop has told of it is not to be missed for a look that is not old.
@@ -85,23 +86,23 @@
 fn a_client_of_which_something_is_told_is_looked_at_whenever_that_was_before() {
     let mut door = Door::asked(100.0);
     door.hangs_up();
-    door.clients.look_ahead(100.0, door.id);
-    assert_eq!(door.clients.next_hung_up(&mut door.alarms), Some(Some(7)));
+    door.clients.check_while_waiting(100.0, door.id);
+    assert_eq!(door.clients.next_disconnected(&mut door.timers), Some(Some(7)));
 }
 
 /// The last look at a connection whose time is up finds a request, and the end behind it, just after an answer.
 #[test]
 fn who_asks_and_closes_as_its_rest_is_over_is_not_sent_on() {
     let mut door = Door::asked(100.0);
-    door.clients.reply(100.0, door.id, 200, "{}", 0.0, &mut door.alarms);
+    door.clients.reply(100.0, door.id, 200, "{}", 0.0, &mut door.timers);
     assert_eq!(door.client.answer().unwrap().status, 200);
     door.clients.again.clear();
     door.sends(&scan("find", "c2", &[1], "2.0"));
     door.hangs_up();
-    door.clients.slow(100.01, door.id, &mut door.alarms);
+    door.clients.slow(100.01, door.id, &mut door.timers);
     assert_eq!(door.clients.again, [door.id]);
-    assert!(matches!(door.clients.next(100.01, door.id, &mut door.alarms), Came::Nothing));
-    assert_eq!(door.clients.next_hung_up(&mut door.alarms), Some(None));
+    assert!(matches!(door.clients.next(100.01, door.id, &mut door.timers), ClientEvent::Nothing));
+    assert_eq!(door.clients.next_disconnected(&mut door.timers), Some(None));
 }
 
 /// There is no room for it until somebody else is answered.
@@ -110,13 +111,13 @@
     let mut door = Door::for_at_most(1, 100.0);
     let mut waits = Client::dial(door.address);
     waits.send(&scan("find", "c2", &[1], "2.0"));
-    assert!(!door.clients.accept(100.1, false, &mut door.alarms) && door.clients.again.is_empty());
+    assert!(!door.clients.accept(100.1, false, &mut door.timers) && door.clients.again.is_empty());
     waits.stream.shutdown(Shutdown::Both).unwrap();
-    door.clients.reply(100.2, door.id, 200, "{}", 0.0, &mut door.alarms);
+    door.clients.reply(100.2, door.id, 200, "{}", 0.0, &mut door.timers);
     door.clients.again.clear();
     door.clients.resume();
-    door.clients.accept(100.2, false, &mut door.alarms);
+    door.clients.accept(100.2, false, &mut door.timers);
     let id = door.clients.again.pop().unwrap();
-    assert!(matches!(door.clients.next(100.2, id, &mut door.alarms), Came::Nothing));
-    assert_eq!((door.clients.next_hung_up(&mut door.alarms), door.clients.count()), (Some(None), 0));
+    assert!(matches!(door.clients.next(100.2, id, &mut door.timers), ClientEvent::Nothing));
+    assert_eq!((door.clients.next_disconnected(&mut door.timers), door.clients.count()), (Some(None), 0));
 }
--- a/crates/dunepond-broker/tests/kill.rs
+++ b/crates/dunepond-broker/tests/kill.rs
@@ -173,7 +173,7 @@
     client.send(&scan("fix", "c1", &[1], "3.0"));
     node[0].wait_for('A', 1);
     broker.reread(&shorter.unwrap());
-    while !broker.said().contains("configuration read again") {
+    while !broker.said().contains("configuration reloaded") {
         thread::sleep(Duration::from_millis(5));
     }
     let told = Instant::now();
--- a/crates/dunepond-broker/tests/migrate.rs
+++ b/crates/dunepond-broker/tests/migrate.rs
@@ -176,5 +176,5 @@
     let mut config = store::config(list.address, vec![]);
     config["settings"]["ceilings"]["mayProbe"] = json!(true);
     let broker = Broker::start(&config);
-    assert!(broker.before.contains("ceilings.mayProbe: allowed, and not done"), "{}", broker.before);
+    assert!(broker.before.contains("ceilings.mayProbe: allowed, but not supported"), "{}", broker.before);
 }
--- a/crates/dunepond-broker/tests/shutdown.rs
+++ b/crates/dunepond-broker/tests/shutdown.rs
@@ -116,7 +116,7 @@
     }
     list.wait_read();
     assert_eq!(Client::to(&broker).ask(&scan("find", "c1", &[1], "2.0")).status, 200);
-    assert!(broker.said().contains("configuration read again"));
+    assert!(broker.said().contains("configuration reloaded"));
 }
 
 /// They were written whole to a connection that stays open: all are taken.
--- a/crates/dunepond-testkit/src/main.rs
+++ b/crates/dunepond-testkit/src/main.rs
@@ -64,7 +64,7 @@
     let plain = |Bad(line)| anyhow!(line);
     let operator = config::operator(&file).map_err(plain)?;
     let mut start = config::read(|name| std::env::var(name).ok()).map_err(plain)?;
-    logger::start(&start.name, start.level, logger::Form::Text);
+    logger::start(&start.name, start.level, logger::LogFormat::Text);
     let folder = operator.bodies.as_ref().and_then(|bodies| bodies.folder.as_ref());
     let folder =
         folder.map(|folder| Faulty::new(&folder.path, &disk)).transpose().context("files: folder")?;
--- a/crates/dunepond-testkit/tests/bodies.rs
+++ b/crates/dunepond-testkit/tests/bodies.rs
@@ -378,7 +378,7 @@
         assert!(matches!(told.status(), 200 | 429), "{told:?}");
     }
     assert!(cut > 0, "none met the node that is stuck");
-    assert!(site.broker.said().contains("took too little of a passing body"), "{}", site.broker.said());
+    assert!(site.broker.said().contains("read a streamed body too slowly"), "{}", site.broker.said());
 }
 
 /// What does not fit is refused with the reason and when to come back, or passes; the bound holds.
@@ -489,7 +489,7 @@
         let asking = scope.spawn(|| site.ask(&kept));
         assert!(logged(&site, "files=4194304"), "{}", site.broker.said());
         site.reread(&KDL.replace("longest \"16MiB\"", "longest \"1MiB\""));
-        assert!(logged(&site, "operator's file read again"));
+        assert!(logged(&site, "operator's file reloaded"));
         let told = site.ask(&ask("find", "c2", &[0], mib(4)));
         assert_eq!((told.status(), told.why().contains("bodies.longest")), (413, true), "{told:?}");
         site.nodes[0].behave(Manner::Serve);
@@ -497,7 +497,7 @@
         assert!(matches!(told.status(), 200 | 429), "{told:?}");
     });
     site.reread("bodies {\n  longst \"1MiB\"\n}");
-    assert!(logged(&site, "the operator's file in force stays"), "{}", site.broker.said());
+    assert!(logged(&site, "operator's file reload failed"), "{}", site.broker.said());
     assert!(logged(&site, ":2:3: bodies: 'longst' is not known"), "{}", site.broker.said());
 }
 
--- a/crates/dunepond-testkit/tests/phases.rs
+++ b/crates/dunepond-testkit/tests/phases.rs
@@ -172,7 +172,7 @@
     // All nodes lie, which no evidence can stand: the audits stop it.
     assert!(told[0], "nothing was denied");
     assert!(told[20..].iter().all(|falsely| !falsely), "{told:?}");
-    assert!(site.broker.said().contains("which a trusted word denied"));
+    assert!(site.broker.said().contains("a trusted prefilter answer excluded it"));
 }
 
 /// The content moves while phase one is under way, and again between the phases.
@@ -297,10 +297,12 @@
     let site = site(KDL, |_| Manner::Honest);
     first(&site, "nobody-has-this");
     site.reread("phases least-segments=40 audits=0\n");
-    until("the file was not read", || site.broker.said().contains("operator's file read again"));
+    until("the file was not read", || site.broker.said().contains("operator's file reloaded"));
     let before = site.questions();
     (2..8).for_each(|i| drop(ask(&site, &format!("c{i}"), &wide(), 2.0, "nobody-has-this")));
     assert_eq!(site.questions(), before);
     site.reread("");
-    until("it was not named", || site.broker.said().contains("phases, turned on or off, waits for a start"));
+    until("it was not named", || {
+        site.broker.said().contains("phases, turned on or off, takes effect after a restart")
+    });
 }
