--- a/crates/dunepond-control-plane/src/data_directory.rs
+++ b/crates/dunepond-control-plane/src/data_directory.rs
@@ -1,27 +1,37 @@
-//! What the broker keeps of the fleet: the voter's journal, what is agreed as it last heard it, the counts, and how often
-//! it has started. All calls block; the fleet's thread makes them.
+//! The control plane's data directory: the voter's journal, and snapshots of the agreed configuration, the traffic counts,
+//! the commitments and the number of starts.
+//!
+//! All calls block on the disk; the control loop's thread makes them.
+
+mod origin;
 
-use std::io::Write;
-use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 use std::sync::Arc;
-use std::time::UNIX_EPOCH;
 
 use dunepond_consensus::{PersistedState, StoredVoter};
-use dunepond_settlement as debts;
-use dunepond_storage::{DiskStore as Directory, FileFault, FileStore, Journal, SnapshotStore};
+use dunepond_settlement as settlement;
+use dunepond_storage::{DiskStore, FileFault, FileStore, Journal, SnapshotStore};
+use serde::de::DeserializeOwned;
 use tracing::{error, info, warn};
 
 use crate::commitments::Commitments;
 use crate::error::ControlPlaneError;
 
-/// Of all files here; one of a later version is left alone.
+/// Of all files here; those of a later version are left alone.
 const FORMAT_VERSION: u32 = 1;
-/// A journal longer than this begins anew with one record of all.
+/// A journal longer than this is rewritten as one record.
 const MAX_JOURNAL_BYTES: u64 = 1 << 20;
 
+// File names, which are stored forms: snapshots end in `-N.snapshot`, the journal in `.journal`.
+const STARTS: &str = "starts";
+const CONFIG: &str = "kept";
+const COUNTS: &str = "counts";
+const COMMITMENTS: &str = "promises";
+const VOTER: &str = "voter";
+
+/// The open directory.
 pub struct DataDirectory {
-    /// Nothing at a broker that is no voter.
+    /// `None` at a broker that is no voter.
     journal: Option<Journal>,
     config: SnapshotStore,
     counts: SnapshotStore,
@@ -30,170 +40,179 @@
     last_counts: Vec<u8>,
 }
 
-/// What the folder held when it was opened.
+/// What the directory held when it was opened.
 pub struct StoredState {
-    /// This start's number: greater than that of any earlier one.
+    /// Number of this start: greater than that of any earlier one.
     pub incarnation: u64,
     pub voter_records: StoredVoter,
     pub config: Option<PersistedState>,
-    pub counts: Option<debts::Tally>,
+    pub counts: Option<settlement::Tally>,
     pub commitments: Option<Commitments>,
 }
 
-/// Whether the folder is a copy of the one that was written here, as a backup brings it back. What a voter has promised
-/// since the copy was made is not in it, and the number of starts does not tell where it was made in this very life. So a
-/// file in it holds its own place on the disk and the time of its making, which no copy of files has in common with it; an
-/// image of the whole disk has. `fresh`: nothing stands in the folder, and it gets its mark now.
-fn is_copy(folder: &Path, fresh: bool) -> std::io::Result<bool> {
-    let path = folder.join("origin");
-    let place = |path: &Path| {
-        let told = std::fs::metadata(path)?;
-        let made = told.created().ok().and_then(|at| at.duration_since(UNIX_EPOCH).ok());
-        Ok::<_, std::io::Error>(format!("{} {}", told.ino(), made.map_or(0, |made| made.as_nanos())))
-    };
-    if fresh {
-        let _ = std::fs::remove_file(&path);
-        let mut file = std::fs::File::create_new(&path)?;
-        file.write_all(place(&path)?.as_bytes())?;
-        file.sync_all()?;
-        return Ok(false);
+/// Opens the files of one directory, with its path for errors.
+struct Opener<'a> {
+    path: &'a Path,
+    files: Arc<dyn FileStore>,
+    /// Not a test double: the directory can be checked for being a copy.
+    is_real: bool,
+}
+
+impl Opener<'_> {
+    fn error(&self, why: impl std::fmt::Display) -> ControlPlaneError {
+        ControlPlaneError::DataDirectory { path: self.path.to_path_buf(), why: why.to_string() }
     }
-    match std::fs::read_to_string(&path) {
-        Ok(marked) => Ok(marked != place(&path)?),
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(true),
-        Err(e) => Err(e),
+
+    fn snapshots(&self, name: &str) -> SnapshotStore {
+        SnapshotStore::new(self.files.clone(), name, FORMAT_VERSION)
     }
-}
 
-/// The newest that is whole and can be read; all else is named and left aside.
-fn load_newest(snapshots: &SnapshotStore, name: &str) -> std::io::Result<Option<Vec<u8>>> {
-    let found = snapshots.load()?;
-    for (file, fault) in &found.faults {
-        warn!("fleet: {file}: {fault}; it is not believed");
+    /// Payload of the newest valid snapshot; files that are not used are logged.
+    fn load(&self, name: &str) -> Result<Option<Vec<u8>>, ControlPlaneError> {
+        let loaded = self.snapshots(name).load().map_err(|e| self.error(e))?;
+        for (file, fault) in &loaded.faults {
+            warn!("fleet: {file}: {fault}; it is not believed");
+        }
+        if loaded.newest.is_none() {
+            info!("fleet: {name}: nothing is kept");
+        }
+        Ok(loaded.newest.map(|snapshot| snapshot.bytes))
     }
-    let newest = found.newest.map(|snapshot| snapshot.bytes);
-    if newest.is_none() {
-        info!("fleet: {name}: nothing is kept");
+
+    /// The same, decoded; `lost` says what a payload that cannot be decoded means.
+    fn load_as<T: DeserializeOwned>(&self, name: &str, lost: &str) -> Result<Option<T>, ControlPlaneError> {
+        let Some(bytes) = self.load(name)? else { return Ok(None) };
+        match postcard::from_bytes(&bytes) {
+            Ok(value) => Ok(Some(value)),
+            Err(e) => {
+                warn!("fleet: the {name} are not believed: {e}; {lost}");
+                Ok(None)
+            }
+        }
     }
-    Ok(newest)
-}
 
-impl DataDirectory {
-    /// `files` stands in for the directory in the laboratory. `now`: Unix milliseconds, for a start number that a lost
-    /// folder does not bring back.
-    pub fn open(
-        path: &Path,
-        files: Option<Arc<dyn FileStore>>,
-        voter: bool,
-        now: u64,
-    ) -> Result<(Self, StoredState), ControlPlaneError> {
-        let failed = |why: String| ControlPlaneError::DataDirectory { path: path.to_path_buf(), why };
-        let real = files.is_none();
-        let files: Arc<dyn FileStore> = match files {
-            Some(files) => files,
-            None => Arc::new(Directory::open(path).map_err(|e| failed(e.to_string()))?),
-        };
-        let snapshots = |name: &str| SnapshotStore::new(files.clone(), name, FORMAT_VERSION);
-        let read = |name: &str| load_newest(&snapshots(name), name).map_err(|e| failed(e.to_string()));
-        let last = read("starts")?.and_then(|bytes| postcard::from_bytes::<u64>(&bytes).ok());
+    /// Counts this start. `now` (Unix milliseconds) takes the place of a count that was lost.
+    fn next_incarnation(&self, now: u64) -> Result<u64, ControlPlaneError> {
+        let last = self.load(STARTS)?.and_then(|bytes| postcard::from_bytes::<u64>(&bytes).ok());
         let incarnation = last.map_or(now, |last| now.max(last + 1));
-        let starts = postcard::to_stdvec(&incarnation).map_err(|e| failed(e.to_string()))?;
-        snapshots("starts").write(&starts).map_err(|e| failed(e.to_string()))?;
-        let kept = read("kept")?.and_then(|bytes| match PersistedState::decode(&bytes) {
-            Ok(kept) => Some(kept),
+        let bytes = postcard::to_stdvec(&incarnation).map_err(|e| self.error(e))?;
+        self.snapshots(STARTS).write(&bytes).map_err(|e| self.error(e))?;
+        Ok(incarnation)
+    }
+
+    fn load_config(&self) -> Result<Option<PersistedState>, ControlPlaneError> {
+        let Some(bytes) = self.load(CONFIG)? else { return Ok(None) };
+        match PersistedState::decode(&bytes) {
+            Ok(config) => Ok(Some(config)),
             Err(e) => {
                 warn!("fleet: what is kept of the versions is not believed: {e} ({})", e.help());
-                None
-            }
-        });
-        let counts = read("counts")?.and_then(|bytes| match postcard::from_bytes(&bytes) {
-            Ok(counts) => Some(counts),
-            Err(e) => {
-                warn!("fleet: the counts are not believed: {e}; they come back from the others");
-                None
-            }
-        });
-        let promises = read("promises")?.and_then(|bytes| match postcard::from_bytes(&bytes) {
-            Ok(promises) => Some(promises),
-            Err(e) => {
-                warn!("fleet: the promises are not believed: {e}; the log bounds what was promised");
-                None
-            }
-        });
-        let (mut saved, mut lost) = (StoredVoter::new(), false);
-        let journal = if voter {
-            let (mut journal, recovered) =
-                Journal::open(files.clone(), "voter", FORMAT_VERSION).map_err(|e| failed(e.to_string()))?;
-            match &recovered.fault {
-                // Its writer went while it wrote; nobody has been told of it.
-                Some(FileFault::Truncated) => {
-                    info!("fleet: the journal's last record is torn; it was never promised")
-                }
-                // Promises may have stood there: as good as a folder that was lost, which the others allow for.
-                Some(fault) => {
-                    error!(
-                        "fleet: voter.journal: {fault}; this voter begins anew, as after the loss of its folder"
-                    );
-                    lost = true;
-                }
-                None => {}
+                Ok(None)
             }
-            for record in &recovered.records {
-                if let Err(e) = saved.apply_record(&record.bytes) {
-                    error!("fleet: voter.journal: {e} ({}); this voter begins anew", e.help());
-                    lost = true;
-                }
+        }
+    }
+
+    /// Opens the voter's journal. One that is damaged, or stands in a copied directory, is emptied: promises may be missing
+    /// from it, and an empty voter is what the others allow for.
+    fn open_journal(&self) -> Result<(Journal, StoredVoter), ControlPlaneError> {
+        let opened = Journal::open(self.files.clone(), VOTER, FORMAT_VERSION);
+        let (mut journal, recovered) = opened.map_err(|e| self.error(e))?;
+        let (mut stored, mut lost) = (StoredVoter::new(), false);
+        match &recovered.fault {
+            // The process ended while it wrote; nobody was told of the record.
+            Some(FileFault::Truncated) => {
+                info!("fleet: the journal's last record is torn; it was never promised");
             }
-            let fresh = recovered.records.is_empty();
-            if real && is_copy(path, fresh).map_err(|e| failed(format!("origin: {e}")))? {
+            Some(fault) => {
                 error!(
-                    "fleet: the folder is a copy, and what was promised since it was made is not in it; \
-                     this voter begins anew, as after the loss of its folder"
+                    "fleet: voter.journal: {fault}; this voter begins anew, as after the loss of its folder"
                 );
                 lost = true;
             }
-            if lost {
-                saved = StoredVoter::new();
-                journal.rewrite(&[]).map_err(|e| failed(e.to_string()))?;
-                if real {
-                    is_copy(path, true).map_err(|e| failed(format!("origin: {e}")))?;
-                }
+            None => {}
+        }
+        for record in &recovered.records {
+            if let Err(e) = stored.apply_record(&record.bytes) {
+                error!("fleet: voter.journal: {e} ({}); this voter begins anew", e.help());
+                lost = true;
             }
-            Some(journal)
-        } else {
-            None
+        }
+        if self.is_copy(recovered.records.is_empty())? {
+            error!(
+                "fleet: the folder is a copy, and what was promised since it was made is not in it; \
+                 this voter begins anew, as after the loss of its folder"
+            );
+            lost = true;
+        }
+        if lost {
+            stored = StoredVoter::new();
+            journal.rewrite(&[]).map_err(|e| self.error(e))?;
+            self.is_copy(true)?;
+        }
+        Ok((journal, stored))
+    }
+
+    /// `is_new`: nothing stands in the directory, and it is marked now.
+    fn is_copy(&self, is_new: bool) -> Result<bool, ControlPlaneError> {
+        let checked = if self.is_real { origin::is_copy(self.path, is_new) } else { Ok(false) };
+        checked.map_err(|e| self.error(format!("origin: {e}")))
+    }
+}
+
+impl DataDirectory {
+    /// Opens the directory. `files` replaces it in tests; `now`, in Unix milliseconds, is this start's number where none is
+    /// stored.
+    pub fn open(
+        path: &Path,
+        files: Option<Arc<dyn FileStore>>,
+        is_voter: bool,
+        now: u64,
+    ) -> Result<(Self, StoredState), ControlPlaneError> {
+        let is_real = files.is_none();
+        let files = match files {
+            Some(files) => files,
+            None => Arc::new(DiskStore::open(path).map_err(|e| ControlPlaneError::DataDirectory {
+                path: path.to_path_buf(),
+                why: e.to_string(),
+            })?),
+        };
+        let opener = Opener { path, files, is_real };
+        let incarnation = opener.next_incarnation(now)?;
+        let config = opener.load_config()?;
+        let counts = opener.load_as(COUNTS, "they come back from the others")?;
+        let commitments = opener.load_as(COMMITMENTS, "the log bounds what was promised")?;
+        let (journal, voter_records) = match is_voter {
+            true => opener.open_journal().map(|(journal, stored)| (Some(journal), stored))?,
+            false => (None, StoredVoter::new()),
         };
-        let folder = Self {
+        let directory = Self {
             journal,
-            config: snapshots("kept"),
-            counts: snapshots("counts"),
-            commitments: snapshots("promises"),
+            config: opener.snapshots(CONFIG),
+            counts: opener.snapshots(COUNTS),
+            commitments: opener.snapshots(COMMITMENTS),
             last_config: Vec::new(),
             last_counts: Vec::new(),
         };
-        Ok((
-            folder,
-            StoredState { incarnation, voter_records: saved, config: kept, counts, commitments: promises },
-        ))
+        Ok((directory, StoredState { incarnation, voter_records, config, counts, commitments }))
     }
 
-    /// Appends what a voter has to keep and waits until it is on the disk.
+    /// Appends a record of the voter and waits until it is durable.
     pub fn append_to_journal(&mut self, record: &[u8]) -> std::io::Result<()> {
         let Some(journal) = &mut self.journal else { return Ok(()) };
         journal.append(record)?;
         journal.sync()
     }
 
-    /// The journal has grown long.
+    /// The journal should be rewritten.
     pub fn journal_is_long(&self) -> bool {
         self.journal.as_ref().is_some_and(|journal| journal.length() > MAX_JOURNAL_BYTES)
     }
 
-    /// Begins the journal anew with one record of all that the voter has to keep.
+    /// Replaces the journal by one record of the voter's whole state.
     pub fn rewrite_journal(&mut self, whole: Vec<u8>) -> std::io::Result<()> {
         self.journal.as_mut().map_or(Ok(()), |journal| journal.rewrite(&[whole]))
     }
 
+    /// Stores the agreed configuration, unless it is stored already.
     pub fn save_config(&mut self, kept: &PersistedState) -> std::io::Result<()> {
         let bytes = kept.encode();
         if bytes != self.last_config {
@@ -203,14 +222,14 @@
         Ok(())
     }
 
-    /// Written before anything rests on them.
+    /// Stores commitments; before anything rests on them.
     pub fn save_commitments(&mut self, promises: &Commitments) -> std::io::Result<()> {
         let bytes = postcard::to_stdvec(promises).map_err(std::io::Error::other)?;
         self.commitments.write(&bytes).map(drop)
     }
 
-    /// Written before any peer is told of them.
-    pub fn save_counts(&mut self, counts: &debts::Tally) -> std::io::Result<()> {
+    /// Stores traffic counts, unless they are stored already; before any peer is told of them.
+    pub fn save_counts(&mut self, counts: &settlement::Tally) -> std::io::Result<()> {
         let bytes = postcard::to_stdvec(counts).map_err(std::io::Error::other)?;
         if bytes != self.last_counts {
             self.counts.write(&bytes)?;
@@ -219,27 +238,3 @@
         Ok(())
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_folder_is_itself_over_restarts_and_a_copy_of_it_is_not() {
-        let folder = tempfile::tempdir().unwrap();
-        let (own, copy) = (folder.path().join("own"), folder.path().join("copy"));
-        std::fs::create_dir(&own).unwrap();
-        std::fs::create_dir(&copy).unwrap();
-        assert!(!is_copy(&own, true).unwrap());
-        assert!(!is_copy(&own, false).unwrap());
-        std::fs::copy(own.join("origin"), copy.join("origin")).unwrap();
-        assert!(is_copy(&copy, false).unwrap());
-        // Back in its place, and the folder itself under another name.
-        std::fs::remove_file(own.join("origin")).unwrap();
-        std::fs::copy(copy.join("origin"), own.join("origin")).unwrap();
-        assert!(is_copy(&own, false).unwrap());
-        assert!(!is_copy(&copy, true).unwrap());
-        std::fs::rename(&copy, folder.path().join("moved")).unwrap();
-        assert!(!is_copy(&folder.path().join("moved"), false).unwrap());
-    }
-}
--- /dev/null
+++ b/crates/dunepond-control-plane/src/data_directory/origin/tests.rs
@@ -0,0 +1,22 @@
+//! A data directory is itself over restarts and renames; a copy of its files is not.
+
+use super::is_copy;
+
+#[test]
+fn a_folder_is_itself_over_restarts_and_a_copy_of_it_is_not() {
+    let folder = tempfile::tempdir().unwrap();
+    let (own, copy) = (folder.path().join("own"), folder.path().join("copy"));
+    std::fs::create_dir(&own).unwrap();
+    std::fs::create_dir(&copy).unwrap();
+    assert!(!is_copy(&own, true).unwrap());
+    assert!(!is_copy(&own, false).unwrap());
+    std::fs::copy(own.join("origin"), copy.join("origin")).unwrap();
+    assert!(is_copy(&copy, false).unwrap());
+    // Back in its place, and the folder itself under another name.
+    std::fs::remove_file(own.join("origin")).unwrap();
+    std::fs::copy(copy.join("origin"), own.join("origin")).unwrap();
+    assert!(is_copy(&own, false).unwrap());
+    assert!(!is_copy(&copy, true).unwrap());
+    std::fs::rename(&copy, folder.path().join("moved")).unwrap();
+    assert!(!is_copy(&folder.path().join("moved"), false).unwrap());
+}
--- /dev/null
+++ b/crates/dunepond-control-plane/src/error/tests.rs
@@ -0,0 +1,47 @@
+//! Each error names its place and a remedy.
+
+use super::{ControlPlaneError, FillError, PlanError, VersionError};
+use dunepond_consensus::ConsensusConfigError;
+use dunepond_membership::PeerError;
+use std::path::PathBuf;
+
+#[test]
+fn every_error_says_where_it_is_and_what_can_be_done() {
+    let (path, why) = (PathBuf::from("/a/b"), "no".to_string());
+    let at = || "127.0.0.1:1".to_string();
+    let fleet = [
+        ControlPlaneError::Terms(ConsensusConfigError::NoVoters),
+        ControlPlaneError::Links(PeerError::Stopped),
+        ControlPlaneError::DataDirectory { path: path.clone(), why: why.clone() },
+        ControlPlaneError::Key { path: path.clone(), why: why.clone() },
+        ControlPlaneError::AuditLog { path: path.clone(), why: why.clone() },
+        ControlPlaneError::Thread { why: why.clone() },
+        ControlPlaneError::Consensus { why: why.clone(), help: "look".to_string() },
+        ControlPlaneError::LostMajority { path: path.clone(), why: why.clone(), help: "look".to_string() },
+    ];
+    assert!(fleet.iter().all(|e| !e.help().is_empty() && !e.to_string().is_empty()));
+    let version = [
+        VersionError::NotFound { path: path.clone() },
+        VersionError::Unreadable { path: path.clone(), why: why.clone() },
+        VersionError::Invalid { path: path.clone(), line: 1, column: 2, why: why.clone() },
+        VersionError::QueryClassCount { path: path.clone(), key: "least", found: 1, expected: 2 },
+        VersionError::Rule { path: path.clone(), key: "least", value: 2.0, expected: "a share" },
+        VersionError::TooLarge { path: path.clone(), bytes: 2, most: 1 },
+        VersionError::VoterAddress { path: path.clone(), name: "n4".to_string(), at: why.clone() },
+        VersionError::UnknownKey { path: path.clone(), key: "rules.x".to_string() },
+        VersionError::Map { path, faults: 1, first: why.clone(), help: why.clone() },
+    ];
+    assert!(version.iter().all(|e| e.to_string().starts_with("/a/b") && !e.help().is_empty()));
+    let plans = [
+        PlanError::NotFound { path: PathBuf::from("/a/b") },
+        PlanError::Unreadable { path: PathBuf::from("/a/b"), why: "no".to_string() },
+        PlanError::Invalid { path: PathBuf::from("/a/b"), why: dunepond_rebalance::MoveError::NoId.into() },
+    ];
+    assert!(plans.iter().all(|e| e.to_string().starts_with("/a/b") && !e.help().is_empty()));
+    let fills = [
+        FillError::Unreachable { at: at(), why: why.clone() },
+        FillError::Rejected { at: at(), status: 500, id: "1/2/a".to_string() },
+        FillError::InvalidResponse { at: at(), id: "1/2/a".to_string(), why },
+    ];
+    assert!(fills.iter().all(|e| e.to_string().contains("127.0.0.1:1") && !e.help().is_empty()));
+}
--- a/crates/dunepond-control-plane/src/explain.rs
+++ b/crates/dunepond-control-plane/src/explain.rs
@@ -133,119 +133,27 @@
         }
     }
 
-    /// An entry of the agreed log that changed something; `state` as it stands behind it. Nothing for what is told at
-    /// its own place ([`Why::settled`]) or has nobody's choice in it.
+    /// Explains an entry of the agreed log that changed something; `state` as it is after the entry. `None` for what is
+    /// explained elsewhere ([`Explanation::for_settlement`]) and for what nobody chose.
     pub fn for_change(index: u64, change: &StateChange, state: &ReplicatedState) -> Option<Self> {
-        let terms = &state.config;
-        let moves = || state.map_transition().map_or(String::from("no segment moves"), changed_segments);
         match change {
-            StateChange::Proposed(number) => {
-                let Some(open) = state.open.as_ref().filter(|open| open.version.number == *number) else {
-                    // Others came with it, and ended it.
-                    let past = state.history.iter().rev().find(|past| past.number == *number)?;
-                    let word = format!("{}: {}", shortened(&past.proposed_by), shortened(&past.reason));
-                    let what = format!("{number} was proposed, entry {index}");
-                    return Some(Self::new(Subject::Version, &what, &word, "", "it is over"));
-                };
-                let version = &open.version;
-                let what = format!("{number} is proposed, entry {index}");
-                let limit = format!(
-                    "in force no sooner than all have heard, at most {:.2} s on; {} of the segments at once; fills within {} s",
-                    state.quiescence_seconds(terms),
-                    terms.max_changed_ratio,
-                    terms.fill_deadline_seconds
-                );
-                let weighed = format!(
-                    "follows {}, {}, {} fills",
-                    state.active_number(),
-                    moves(),
-                    state.missing_fills()
-                );
-                Some(Self::new(Subject::Version, &what, &proposer_and_reason(version), &limit, &weighed))
-            }
-            StateChange::Staged(number) => {
-                let open = state.open.as_ref()?;
-                let share = match open.step {
-                    RolloutStep::Staged(share) => share,
-                    _ => return None,
-                };
-                let what = format!("{number} goes to {share} of the brokers first, entry {index}");
-                let limit = "the others stay joint until it is confirmed or withdrawn";
-                Some(Self::new(Subject::Version, &what, &proposer_and_reason(&open.version), limit, &moves()))
-            }
-            StateChange::RollingBack(number) => {
-                let open = state.open.as_ref()?;
-                let what = format!("{number} is taken back, entry {index}");
-                let limit = format!("all are joint for {:.2} s more", state.quiescence_seconds(terms));
-                let weighed =
-                    format!("because: {}", shortened(open.withdraw_reason.as_deref().unwrap_or("")));
-                Some(Self::new(
-                    Subject::Version,
-                    &what,
-                    &proposer_and_reason(&open.version),
-                    &limit,
-                    &weighed,
-                ))
-            }
+            StateChange::Proposed(number) => Self::for_proposed(index, *number, state),
+            StateChange::Staged(number) => Self::for_staged(index, *number, state),
+            StateChange::RollingBack(number) => Self::for_rollback(index, *number, state),
             StateChange::Activated(number) | StateChange::Withdrawn(number) => {
-                let past = state.history.iter().rev().find(|past| past.number == *number)?;
-                let (what, weighed) = match &past.end {
-                    ChangeEnd::Activated => {
-                        (format!("{number} is in force, entry {index}"), String::from("all fills are done"))
-                    }
-                    ChangeEnd::Withdrawn(why) => (
-                        format!("{number} is withdrawn, entry {index}"),
-                        format!("because: {}", shortened(why)),
-                    ),
-                };
-                let word = format!("{}: {}", shortened(&past.proposed_by), shortened(&past.reason));
-                let limit = format!(
-                    "{} is in force, the next number is {}",
-                    state.active_number(),
-                    state.highest_number + 1
-                );
-                Some(Self::new(Subject::Version, &what, &word, &limit, &weighed))
+                Self::for_ended(index, *number, state)
             }
             StateChange::FillCompleted { number, segment, holder } => {
                 let what = format!("{number}/{segment}/{} is filled, entry {index}", shortened(holder));
                 let weighed = format!("{} fills are left", state.missing_fills());
-                let limit = format!("within {} s", terms.fill_deadline_seconds);
+                let limit = format!("within {} s", state.config.fill_deadline_seconds);
                 Some(Self::new(Subject::Fill, &what, "the leader's filler", &limit, &weighed))
             }
             StateChange::Settlement(Agreed::Settle(_)) | StateChange::VoterSlot(_) => None,
-            StateChange::Quota(generation) => {
-                let limits = &state.quota;
-                let what = format!("parts of shared bounds, generation {generation}, entry {index}");
-                let limit =
-                    format!("{} units in each bound, all brokers together", dunepond_quota::TOTAL_UNITS);
-                let free = limits.shared.iter().flat_map(|bounds| &bounds.names);
-                let free = first_few(
-                    free.map(|name| format!("{} free of {}", limits.free_units(name), shortened(name))),
-                );
-                let weighed = format!("{free}; {} brokers share", limits.brokers.len());
-                Some(Self::new(Subject::Limit, &what, "the leader, by what brokers need", &limit, &weighed))
-            }
-            StateChange::Rebalance { plan, status: told } => {
-                let what = format!("plan {}, entry {index}: {}", shortened(plan), truncated(told));
-                let limit = format!("{} of the segments at once", terms.max_changed_ratio);
-                let book = state.rebalance();
-                let running = book.running.as_ref().filter(|running| running.plan.id == *plan);
-                let word = running.map_or(String::from("as its beginning said"), |running| {
-                    format!("{}: {}", shortened(&running.plan.who), shortened(&running.plan.why))
-                });
-                Some(Self::new(Subject::Move, &what, &word, &limit, &moves()))
-            }
-            StateChange::VotersPending(number) | StateChange::VotersChanged(number) => {
-                let ends = if matches!(change, StateChange::VotersChanged(_)) { "is done" } else { "begins" };
-                let what = format!("change of voters {number} {ends}, entry {index}");
-                let limit = "one voter at a time, each majority with one of before";
-                let next = state.voters.pending.as_ref().filter(|next| next.number == *number);
-                let word =
-                    next.map(|next| format!("{}: {}", shortened(&next.proposed_by), shortened(&next.reason)));
-                let word = word.unwrap_or_else(|| String::from("as its beginning said"));
-                let weighed = first_few(state.voters.voters.iter().map(|voter| shortened(&voter.name)));
-                Some(Self::new(Subject::Voters, &what, &word, limit, &format!("voters: {weighed}")))
-            }
+            StateChange::Quota(generation) => Some(Self::for_quota(index, *generation, state)),
+            StateChange::Rebalance { plan, status } => Some(Self::for_plan(index, plan, status, state)),
+            StateChange::VotersPending(number) => Some(Self::for_voters(index, *number, "begins", state)),
+            StateChange::VotersChanged(number) => Some(Self::for_voters(index, *number, "is done", state)),
             other => {
                 let what = format!("entry {index}: {other:?}");
                 Some(Self::new(Subject::Entry, &what, "the agreed log", "", ""))
@@ -253,6 +161,95 @@
         }
     }
 
+    fn for_proposed(index: u64, number: u64, state: &ReplicatedState) -> Option<Self> {
+        let terms = &state.config;
+        let Some(open) = state.open.as_ref().filter(|open| open.version.number == number) else {
+            // Entries applied with it have ended it already.
+            let past = state.history.iter().rev().find(|past| past.number == number)?;
+            let word = format!("{}: {}", shortened(&past.proposed_by), shortened(&past.reason));
+            let what = format!("{number} was proposed, entry {index}");
+            return Some(Self::new(Subject::Version, &what, &word, "", "it is over"));
+        };
+        let what = format!("{number} is proposed, entry {index}");
+        let limit = format!(
+            "in force no sooner than all have heard, at most {:.2} s on; {} of the segments at once; fills within {} s",
+            state.quiescence_seconds(terms),
+            terms.max_changed_ratio,
+            terms.fill_deadline_seconds
+        );
+        let weighed = format!(
+            "follows {}, {}, {} fills",
+            state.active_number(),
+            open_transition(state),
+            state.missing_fills()
+        );
+        Some(Self::new(Subject::Version, &what, &proposer_and_reason(&open.version), &limit, &weighed))
+    }
+
+    fn for_staged(index: u64, number: u64, state: &ReplicatedState) -> Option<Self> {
+        let open = state.open.as_ref()?;
+        let RolloutStep::Staged(share) = open.step else { return None };
+        let what = format!("{number} goes to {share} of the brokers first, entry {index}");
+        let limit = "the others stay joint until it is confirmed or withdrawn";
+        let word = proposer_and_reason(&open.version);
+        Some(Self::new(Subject::Version, &what, &word, limit, &open_transition(state)))
+    }
+
+    fn for_rollback(index: u64, number: u64, state: &ReplicatedState) -> Option<Self> {
+        let open = state.open.as_ref()?;
+        let what = format!("{number} is taken back, entry {index}");
+        let limit = format!("all are joint for {:.2} s more", state.quiescence_seconds(&state.config));
+        let weighed = format!("because: {}", shortened(open.withdraw_reason.as_deref().unwrap_or("")));
+        Some(Self::new(Subject::Version, &what, &proposer_and_reason(&open.version), &limit, &weighed))
+    }
+
+    fn for_ended(index: u64, number: u64, state: &ReplicatedState) -> Option<Self> {
+        let past = state.history.iter().rev().find(|past| past.number == number)?;
+        let (what, weighed) = match &past.end {
+            ChangeEnd::Activated => {
+                (format!("{number} is in force, entry {index}"), String::from("all fills are done"))
+            }
+            ChangeEnd::Withdrawn(why) => {
+                (format!("{number} is withdrawn, entry {index}"), format!("because: {}", shortened(why)))
+            }
+        };
+        let word = format!("{}: {}", shortened(&past.proposed_by), shortened(&past.reason));
+        let limit =
+            format!("{} is in force, the next number is {}", state.active_number(), state.highest_number + 1);
+        Some(Self::new(Subject::Version, &what, &word, &limit, &weighed))
+    }
+
+    fn for_quota(index: u64, generation: u64, state: &ReplicatedState) -> Self {
+        let quota = &state.quota;
+        let what = format!("parts of shared bounds, generation {generation}, entry {index}");
+        let limit = format!("{} units in each bound, all brokers together", dunepond_quota::TOTAL_UNITS);
+        let names = quota.shared.iter().flat_map(|shared| &shared.names);
+        let free = |name: &String| format!("{} free of {}", quota.free_units(name), shortened(name));
+        let weighed = format!("{}; {} brokers share", first_few(names.map(free)), quota.brokers.len());
+        Self::new(Subject::Limit, &what, "the leader, by what brokers need", &limit, &weighed)
+    }
+
+    fn for_plan(index: u64, plan: &str, status: &str, state: &ReplicatedState) -> Self {
+        let what = format!("plan {}, entry {index}: {}", shortened(plan), truncated(status));
+        let limit = format!("{} of the segments at once", state.config.max_changed_ratio);
+        let running = state.rebalance().running.as_ref().filter(|running| running.plan.id == *plan);
+        let word = running.map_or(String::from("as its beginning said"), |running| {
+            format!("{}: {}", shortened(&running.plan.who), shortened(&running.plan.why))
+        });
+        Self::new(Subject::Move, &what, &word, &limit, &open_transition(state))
+    }
+
+    fn for_voters(index: u64, number: u64, ends: &str, state: &ReplicatedState) -> Self {
+        let what = format!("change of voters {number} {ends}, entry {index}");
+        let limit = "one voter at a time, each majority with one of before";
+        let next = state.voters.pending.as_ref().filter(|next| next.number == number);
+        let word = next.map_or(String::from("as its beginning said"), |next| {
+            format!("{}: {}", shortened(&next.proposed_by), shortened(&next.reason))
+        });
+        let weighed = first_few(state.voters.voters.iter().map(|voter| shortened(&voter.name)));
+        Self::new(Subject::Voters, &what, &word, limit, &format!("voters: {weighed}"))
+    }
+
     /// What was asked for was not taken, or stands in the log and is ignored by all.
     pub fn for_refusal(offer: &ProposedEntry, why: &Rejection, state: &ReplicatedState) -> Self {
         let open = state.open.as_ref().map_or(0, |open| open.version.number);
@@ -324,3 +321,8 @@
 fn changed_segments(moving: &MapTransition) -> String {
     format!("{} of {} segments change", moving.changed_segments(), moving.to().len())
 }
+
+/// How many segments the open transition changes.
+fn open_transition(state: &ReplicatedState) -> String {
+    state.map_transition().map_or(String::from("no segment moves"), changed_segments)
+}
