--- a/crates/dunepond-control-plane/src/audit_log.rs
+++ b/crates/dunepond-control-plane/src/audit_log.rs
@@ -23,8 +23,10 @@
 pub struct AuditRecord {
     /// Seconds on the steady clock.
     pub at: f64,
+    #[serde(rename = "brk")]
     pub brk: String,
-    /// Which of the broker's lives.
+    /// Which of the broker's runs wrote it.
+    #[serde(rename = "run")]
     pub run: u64,
     #[serde(flatten)]
     pub event: AuditEvent,
@@ -41,28 +43,41 @@
         until: f64,
     },
     /// A part's frame has been handed to its connection.
+    #[serde(rename = "dispatch")]
     Dispatch {
+        #[serde(rename = "call")]
         call: String,
+        #[serde(rename = "seg")]
         seg: u64,
         node: String,
+        #[serde(rename = "shot")]
         shot: u64,
+        #[serde(rename = "once")]
         once: bool,
         phase: AuditPhase,
+        #[serde(rename = "numbers")]
         numbers: Vec<u64>,
     },
     /// `segs`: those that are in. `epoch`: of the one map under which they were proved to be whole.
     Answer {
+        #[serde(rename = "call")]
         call: String,
         status: u16,
+        #[serde(rename = "whole")]
         whole: bool,
+        #[serde(rename = "segs")]
         segs: Vec<u64>,
+        #[serde(rename = "epoch")]
         epoch: Option<u64>,
     },
     /// A scan that was turned away, or a part that was held back, because of what is agreed.
+    #[serde(rename = "refused")]
     Refused {
+        #[serde(rename = "call")]
         call: String,
         why: String,
     },
+    #[serde(rename = "settle")]
     Settle {
         id: String,
         debtor: String,
@@ -93,6 +108,7 @@
     /// What it may use of bounds that the fleet shares, in millionths of the whole: from this line on `floor` and, before
     /// `until`, `parts` beside it; nothing at all before `from`, when what an earlier run used has left every window, nor
     /// where it is not `counted`. Once more with each lease.
+    #[serde(rename = "share")]
     Share {
         generation: u64,
         counted: bool,
@@ -103,6 +119,7 @@
         window: f64,
     },
     /// So many lines found no room since the last of these.
+    #[serde(rename = "lost")]
     Lost {
         count: u64,
     },
