--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -211,14 +211,14 @@
             }
             numbers.sort_unstable();
             numbers.dedup();
-            AuditEvent::Dispatch {
-                call: id.rsplit_once('.').map_or(id, |(call, _)| call).to_string(),
-                seg: seg as u64,
+            AuditEvent::AttemptSent {
+                request_id: id.rsplit_once('.').map_or(id, |(call, _)| call).to_string(),
+                segment_id: seg as u64,
                 node: node.to_string(),
-                shot: shot as u64,
-                once: self.once(table_type),
+                attempt: shot as u64,
+                non_idempotent: self.once(table_type),
                 phase: word,
-                numbers,
+                versions: numbers,
             }
         };
         self.hand.audit_at(look.at, act);
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -51,7 +51,7 @@
         let Some((wait, why)) = refused else { return true };
         let hand = &fleet.gate.hand;
         hand.count_rejected();
-        hand.audit(|| AuditEvent::Refused { call: in_hand.request_id.clone(), why: why.to_string() });
+        hand.audit(|| AuditEvent::Rejected { request_id: in_hand.request_id.clone(), why: why.to_string() });
         debug!("query {}: rejected: {why}", in_hand.request_id);
         self.reject_retriable(query.id, wait.min(self.longest_wait));
         self.release(query.id);
@@ -104,11 +104,11 @@
         let whole = whole && outcome.is_ok();
         let segs = in_hand.segs.iter().enumerate().filter(|(at, _)| is_in(*at));
         fleet.gate.hand.audit(|| AuditEvent::Answer {
-            call: in_hand.request_id.clone(),
+            request_id: in_hand.request_id.clone(),
             status: 200,
-            whole,
-            segs: segs.map(|(_, seg)| *seg as u64).collect(),
-            epoch: outcome.ok().flatten(),
+            complete: whole,
+            segments: segs.map(|(_, seg)| *seg as u64).collect(),
+            map_epoch: outcome.ok().flatten(),
         });
         whole
     }
@@ -116,11 +116,11 @@
     pub(super) fn note(&self, query: QueryId, status: u16, whole: bool) {
         if let (Some(fleet), Some(in_hand)) = (&self.control_plane, self.queries.get(&query)) {
             fleet.gate.hand.audit(|| AuditEvent::Answer {
-                call: in_hand.request_id.clone(),
+                request_id: in_hand.request_id.clone(),
                 status,
-                whole,
-                segs: Vec::new(),
-                epoch: None,
+                complete: whole,
+                segments: Vec::new(),
+                map_epoch: None,
             });
         }
     }
--- a/crates/dunepond-broker/tests/fleet.rs
+++ b/crates/dunepond-broker/tests/fleet.rs
@@ -192,7 +192,9 @@
 /// Non-replayable parts that were sent: to which node, on which versions.
 fn sent_once(acts: Vec<AuditRecord>) -> Vec<(String, Vec<u64>)> {
     let sent = acts.into_iter().filter_map(|line| match line.event {
-        AuditEvent::Dispatch { once: true, node, numbers, .. } => Some((node, numbers)),
+        AuditEvent::AttemptSent { non_idempotent: true, node, versions: numbers, .. } => {
+            Some((node, numbers))
+        }
         _ => None,
     });
     sent.collect()
@@ -239,7 +241,7 @@
         let answer = ask(broker, "find", &format!("r{at}"), &[0, 1, 2, 3, 4, 5]);
         assert_eq!(answer.status, 200, "{answer:?}");
         fleet.wait(at, "a whole answer", |line| {
-            matches!(&line.event, AuditEvent::Answer { whole: true, epoch: Some(1), segs, .. } if segs.len() == 6)
+            matches!(&line.event, AuditEvent::Answer { complete: true, map_epoch: Some(1), segments, .. } if segments.len() == 6)
         });
     }
     let sent: Vec<_> = (0..3).flat_map(|at| sent_once(fleet.acts(at))).collect();
@@ -265,7 +267,11 @@
     assert_eq!(between.status, 429, "{between:?}");
     assert!(between.head.contains("Retry-After: "), "{between:?}");
     // Before the module heard of it.
-    fleet.wait(0, "refused", |line| matches!(&line.event, AuditEvent::Refused { call, .. } if call == "b"));
+    fleet.wait(
+        0,
+        "refused",
+        |line| matches!(&line.event, AuditEvent::Rejected { request_id, .. } if request_id == "b"),
+    );
     // The node that is to drain is left at once, in the joint step: no grace is waited for.
     let left = fleet.nodes[1].frames('A').len();
     (0..6).for_each(|i| assert_eq!(ask(&broker, "find", &format!("c{i}"), &[0, 1, 2]).status, 200));
@@ -337,7 +343,7 @@
     fleet.wait(
         0,
         "a false answer",
-        |line| matches!(&line.event, AuditEvent::Answer { call, whole: false, epoch: None, .. } if call == "b"),
+        |line| matches!(&line.event, AuditEvent::Answer { request_id, complete: false, map_epoch: None, .. } if request_id == "b"),
     );
 }
 
@@ -473,7 +479,7 @@
     fleet.wait_alone(0, 2);
     let settled = |acts: Vec<AuditRecord>| -> Vec<(String, String, u64)> {
         let settled = acts.into_iter().filter_map(|line| match line.event {
-            AuditEvent::Settle { id, debtor, bytes, .. } => Some((id, debtor, bytes)),
+            AuditEvent::Settled { id, debtor, bytes, .. } => Some((id, debtor, bytes)),
             _ => None,
         });
         settled.collect()
--- a/crates/dunepond-control-plane/src/audit_log.rs
+++ b/crates/dunepond-control-plane/src/audit_log.rs
@@ -1,5 +1,6 @@
-//! What this broker did, for an auditor: one JSON object a line, written by a thread of its own. Whoever acts never
-//! waits for it; what finds no room is counted, and the count stands in the file too.
+//! The audit log: what this broker did, one JSON object a line, written by a thread of its own.
+//!
+//! Whoever acts never waits for the disk: records that find the queue full are dropped, and counted in the file.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -16,125 +17,182 @@
 use crate::clock::monotonic_seconds;
 use crate::error::ControlPlaneError;
 
-/// Lines that wait for the disk at most.
+/// Records that wait for the disk at most.
 const MAX_QUEUED_EVENTS: usize = 65_536;
 
+/// One line of the audit log. The JSON names are a stored form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// Seconds on the steady clock.
+    /// Seconds on the monotonic clock.
     pub at: f64,
+    /// Name of the broker.
     #[serde(rename = "brk")]
-    pub brk: String,
+    pub broker: String,
     /// Which of the broker's runs wrote it.
     #[serde(rename = "run")]
-    pub run: u64,
+    pub incarnation: u64,
+    /// What was done.
     #[serde(flatten)]
     pub event: AuditEvent,
 }
 
+/// What a broker did, as far as an auditor judges it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "lowercase")]
 pub enum AuditEvent {
-    /// What it may act on from now on, up to the lease's end; once more with each lease.
+    /// What it may act on from now on; once more with each lease.
     Phase {
+        /// The phase.
         phase: AuditPhase,
+        /// First version obeyed in it, 0 if none.
         from: u64,
+        /// Last version obeyed in it, 0 if none.
         to: u64,
+        /// End of the lease.
         until: f64,
     },
-    /// A part's frame has been handed to its connection.
+    /// A part's frame was handed to its connection.
     #[serde(rename = "dispatch")]
-    Dispatch {
+    AttemptSent {
+        /// Of the query.
         #[serde(rename = "call")]
-        call: String,
+        request_id: String,
+        /// Of the part.
         #[serde(rename = "seg")]
-        seg: u64,
+        segment_id: u64,
+        /// To which node.
         node: String,
+        /// Number of the attempt within its part.
         #[serde(rename = "shot")]
-        shot: u64,
+        attempt: u64,
+        /// The part must not run twice.
         #[serde(rename = "once")]
-        once: bool,
+        non_idempotent: bool,
+        /// In which phase it was judged.
         phase: AuditPhase,
+        /// Versions obeyed in that phase.
         #[serde(rename = "numbers")]
-        numbers: Vec<u64>,
+        versions: Vec<u64>,
     },
-    /// `segs`: those that are in. `epoch`: of the one map under which they were proved to be whole.
+    /// A query was answered.
     Answer {
+        /// Of the query.
         #[serde(rename = "call")]
-        call: String,
+        request_id: String,
+        /// HTTP status.
         status: u16,
+        /// The answer was marked complete.
         #[serde(rename = "whole")]
-        whole: bool,
+        complete: bool,
+        /// Segments whose parts are in it.
         #[serde(rename = "segs")]
-        segs: Vec<u64>,
+        segments: Vec<u64>,
+        /// Of the one map under which they cover all keys asked for.
         #[serde(rename = "epoch")]
-        epoch: Option<u64>,
+        map_epoch: Option<u64>,
     },
-    /// A scan that was turned away, or a part that was held back, because of what is agreed.
+    /// A query was rejected, or a part withheld, because of the agreed configuration.
     #[serde(rename = "refused")]
-    Refused {
+    Rejected {
+        /// Of the query.
         #[serde(rename = "call")]
-        call: String,
+        request_id: String,
+        /// Reason, for people.
         why: String,
     },
+    /// A settlement was applied.
     #[serde(rename = "settle")]
-    Settle {
+    Settled {
+        /// `FILL@BROKER`.
         id: String,
+        /// Whose debt shrank.
         debtor: String,
+        /// Towards whom.
         creditor: String,
+        /// By how many bytes.
         bytes: u64,
+        /// Version that the fill was for.
         number: u64,
     },
+    /// A fill changed its state.
     Fill {
+        /// `VERSION/SEGMENT/NODE`, with `+START` for fills of a broker's own.
         id: String,
+        /// Segment to be filled.
         segment: u64,
+        /// Node to be filled.
         holder: String,
+        /// Node that it is filled from.
         source: String,
+        /// Bytes to be copied.
         bytes: u64,
+        /// `begun`, `done` or `failed`.
         state: String,
     },
+    /// A version was proposed.
     Proposed {
+        /// Its number.
         number: u64,
+        /// Its digest.
         digest: String,
     },
+    /// A version is in force.
     Confirmed {
+        /// Its number.
         number: u64,
+        /// Its digest.
         digest: String,
     },
+    /// A proposed version was given up.
     Withdrawn {
+        /// Its number.
         number: u64,
+        /// Its digest.
         digest: String,
     },
-    /// What it may use of bounds that the fleet shares, in millionths of the whole: from this line on `floor` and, before
-    /// `until`, `parts` beside it; nothing at all before `from`, when what an earlier run used has left every window, nor
-    /// where it is not `counted`. Once more with each lease.
+    /// What it may use of shared quotas, in millionths of the whole: from this line on `floor` and, before `until`, `parts`
+    /// beside it. Nothing before `from`, when what an earlier run used has left every window, nor where it is not
+    /// `counted`. Once more with each lease.
     #[serde(rename = "share")]
-    Share {
+    QuotaShare {
+        /// Generation of the agreed division.
         generation: u64,
+        /// The division counts this broker.
         counted: bool,
+        /// Part that needs no lease.
         floor: u32,
+        /// Leased parts by quota.
         parts: BTreeMap<String, u32>,
+        /// When use may begin.
         from: f64,
+        /// End of the lease.
         until: f64,
+        /// Seconds over which use is counted.
         window: f64,
     },
-    /// So many lines found no room since the last of these.
+    /// Records were dropped, as the queue to the disk was full.
     #[serde(rename = "lost")]
-    Lost {
+    RecordsLost {
+        /// How many since the last such record.
         count: u64,
     },
 }
 
+/// A phase of the agreed configuration, as the audit log names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AuditPhase {
+    /// Neither a lease nor a version is known.
     None,
+    /// One version is obeyed.
     Alone,
+    /// Two versions are obeyed, by the stricter of both.
     Joint,
+    /// The lease ran out: the strictest of what is known is obeyed.
     Cut,
 }
 
-/// Cheap to clone; each writer has one.
+/// Queues records; cheap to clone.
 #[derive(Clone)]
 pub struct AuditSender {
     sender: Sender<Option<(f64, AuditEvent)>>,
@@ -154,7 +212,7 @@
     }
 }
 
-/// The file's thread; it ends when it is told to, or once all recorders are dropped.
+/// The file's thread; it ends when told to, or once all senders are dropped.
 pub struct AuditLog {
     sender: Sender<Option<(f64, AuditEvent)>>,
     thread: JoinHandle<()>,
@@ -211,7 +269,7 @@
             }
             let lost = self.lost.swap(0, Relaxed);
             if lost > 0 && outcome.is_ok() {
-                outcome = self.write_record((monotonic_seconds(), AuditEvent::Lost { count: lost }));
+                outcome = self.write_record((monotonic_seconds(), AuditEvent::RecordsLost { count: lost }));
             }
             let outcome = outcome.and_then(|()| self.file.flush());
             if let Err(e) = &outcome
@@ -224,7 +282,7 @@
     }
 
     fn write_record(&mut self, (at, act): (f64, AuditEvent)) -> std::io::Result<()> {
-        let line = AuditRecord { at, brk: self.broker.clone(), run: self.incarnation, event: act };
+        let line = AuditRecord { at, broker: self.broker.clone(), incarnation: self.incarnation, event: act };
         serde_json::to_writer(&mut self.file, &line)?;
         self.file.write_all(b"\n")
     }
--- a/crates/dunepond-control-plane/src/audit_log/tests.rs
+++ b/crates/dunepond-control-plane/src/audit_log/tests.rs
@@ -9,7 +9,9 @@
     std::fs::write(&path, "{\"old\":1}\n").unwrap();
     let (recorder, recording) = AuditLog::start(&path, "n1", 3).unwrap();
     recorder.record_at(1.5, AuditEvent::Phase { phase: AuditPhase::Joint, from: 1, to: 2, until: 9.0 });
-    recorder.clone().record_at(2.0, AuditEvent::Refused { call: "c".to_string(), why: "cut".to_string() });
+    recorder
+        .clone()
+        .record_at(2.0, AuditEvent::Rejected { request_id: "c".to_string(), why: "cut".to_string() });
     recording.finish();
     let text = std::fs::read_to_string(&path).unwrap();
     let lines: Vec<_> = text.lines().collect();
@@ -19,5 +21,5 @@
         r#"{"at":1.5,"brk":"n1","run":3,"act":"phase","phase":"joint","from":1,"to":2,"until":9.0}"#
     );
     let last: AuditRecord = serde_json::from_str(lines[2]).unwrap();
-    assert_eq!(last.event, AuditEvent::Refused { call: "c".to_string(), why: "cut".to_string() });
+    assert_eq!(last.event, AuditEvent::Rejected { request_id: "c".to_string(), why: "cut".to_string() });
 }
--- a/crates/dunepond-control-plane/src/control_loop/quotas.rs
+++ b/crates/dunepond-control-plane/src/control_loop/quotas.rs
@@ -49,7 +49,7 @@
     /// For the record.
     pub fn audit_event(&self, acting: &ActiveConfig, until: f64) -> AuditEvent {
         let told = acting.quota(until).allocation;
-        AuditEvent::Share {
+        AuditEvent::QuotaShare {
             generation: told.map_or(0, |told| told.generation),
             counted: told.is_none_or(|told| told.admitted),
             floor: told.map_or(self.local.floor_units, |told| told.floor_units.min(self.local.floor_units)),
--- a/crates/dunepond-control-plane/src/control_loop/settlements.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements.rs
@@ -125,7 +125,7 @@
         let Settlement { id, debtor, creditor, bytes, .. } = settlement;
         info!("fleet: settled {id}: {bytes} bytes that {debtor} owed {creditor}");
         if let Some(recorder) = &self.audit_log {
-            recorder.record(AuditEvent::Settle { id, debtor, creditor, bytes, number });
+            recorder.record(AuditEvent::Settled { id, debtor, creditor, bytes, number });
         }
     }
 
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -189,7 +189,7 @@
 
     fn settled(&self) -> Vec<(String, u64)> {
         let settled = self.acts().into_iter().filter_map(|act| match act {
-            AuditEvent::Settle { id, bytes, .. } => Some((id, bytes)),
+            AuditEvent::Settled { id, bytes, .. } => Some((id, bytes)),
             _ => None,
         });
         settled.collect()
--- a/crates/dunepond-control-plane/tests/golden.rs
+++ b/crates/dunepond-control-plane/tests/golden.rs
@@ -45,25 +45,31 @@
         AuditEvent::Phase { phase: AuditPhase::Alone, from: 6, to: 6, until: 9.5 },
         AuditEvent::Phase { phase: AuditPhase::Joint, from: 6, to: 7, until: 9.5 },
         AuditEvent::Phase { phase: AuditPhase::Cut, from: 6, to: 7, until: 9.5 },
-        AuditEvent::Dispatch {
-            call: call.clone(),
-            seg: 1,
+        AuditEvent::AttemptSent {
+            request_id: call.clone(),
+            segment_id: 1,
             node: node.clone(),
-            shot: 2,
-            once: true,
+            attempt: 2,
+            non_idempotent: true,
             phase: AuditPhase::Alone,
-            numbers: vec![6, 7],
+            versions: vec![6, 7],
         },
         AuditEvent::Answer {
-            call: call.clone(),
+            request_id: call.clone(),
             status: 200,
-            whole: true,
-            segs: vec![0, 1],
-            epoch: Some(12),
+            complete: true,
+            segments: vec![0, 1],
+            map_epoch: Some(12),
         },
-        AuditEvent::Answer { call: call.clone(), status: 429, whole: false, segs: Vec::new(), epoch: None },
-        AuditEvent::Refused { call, why: text("cut") },
-        AuditEvent::Settle {
+        AuditEvent::Answer {
+            request_id: call.clone(),
+            status: 429,
+            complete: false,
+            segments: Vec::new(),
+            map_epoch: None,
+        },
+        AuditEvent::Rejected { request_id: call, why: text("cut") },
+        AuditEvent::Settled {
             id: format!("{id}@n1"),
             debtor: text("north"),
             creditor: text("south"),
@@ -75,7 +81,7 @@
         AuditEvent::Proposed { number: 7, digest: digest.clone() },
         AuditEvent::Confirmed { number: 7, digest: digest.clone() },
         AuditEvent::Withdrawn { number: 7, digest },
-        AuditEvent::Share {
+        AuditEvent::QuotaShare {
             generation: 3,
             counted: true,
             floor: 100_000,
@@ -84,12 +90,12 @@
             until: 9.5,
             window: 60.0,
         },
-        AuditEvent::Lost { count: 12 },
+        AuditEvent::RecordsLost { count: 12 },
     ];
     let times = (0..).map(|n| 1.25 + f64::from(n));
     times
         .zip(acts)
-        .map(|(at, act)| AuditRecord { at, brk: text("n1"), run: 1_790_000_000_000, event: act })
+        .map(|(at, act)| AuditRecord { at, broker: text("n1"), incarnation: 1_790_000_000_000, event: act })
         .collect()
 }
 
--- a/crates/dunepond-testkit/src/auditor/limits.rs
+++ b/crates/dunepond-testkit/src/auditor/limits.rs
@@ -63,19 +63,19 @@
 
 /// By what brokers were told they may, each line up to the next of any life of the same broker.
 pub fn stretches(records: &Records) -> Vec<Stretch> {
-    let shares = || records.lines.iter().filter(|line| matches!(line.event, AuditEvent::Share { .. }));
+    let shares = || records.lines.iter().filter(|line| matches!(line.event, AuditEvent::QuotaShare { .. }));
     let names: BTreeSet<&String> = shares()
         .flat_map(|line| match &line.event {
-            AuditEvent::Share { parts, .. } => parts.keys().collect::<Vec<_>>(),
+            AuditEvent::QuotaShare { parts, .. } => parts.keys().collect::<Vec<_>>(),
             _ => Vec::new(),
         })
         .collect();
     let mut by_broker: BTreeMap<&str, Vec<&AuditRecord>> = BTreeMap::new();
-    shares().for_each(|line| by_broker.entry(&line.brk).or_default().push(line));
+    shares().for_each(|line| by_broker.entry(&line.broker).or_default().push(line));
     let mut all = Vec::new();
     for (brk, lines) in by_broker {
         for (i, line) in lines.iter().enumerate() {
-            let AuditEvent::Share { counted: true, floor, parts, from, until, window, .. } = &line.event
+            let AuditEvent::QuotaShare { counted: true, floor, parts, from, until, window, .. } = &line.event
             else {
                 continue;
             };
--- a/crates/dunepond-testkit/src/auditor/mod.rs
+++ b/crates/dunepond-testkit/src/auditor/mod.rs
@@ -109,7 +109,16 @@
 }
 
 fn sent(line: &AuditRecord) -> Option<Sent<'_>> {
-    let AuditEvent::Dispatch { call, seg, node, shot, once, phase, numbers } = &line.event else {
+    let AuditEvent::AttemptSent {
+        request_id: call,
+        segment_id: seg,
+        node,
+        attempt: shot,
+        non_idempotent: once,
+        phase,
+        versions: numbers,
+    } = &line.event
+    else {
         return None;
     };
     let (seg, shot, once, phase) = (*seg, *shot, *once, *phase);
@@ -156,12 +165,12 @@
     let mut open: BTreeMap<&str, (u64, usize)> = BTreeMap::new();
     for line in &records.lines {
         // A new life, even if it says nothing of its phase yet, has ended what the last one might do.
-        let ended = match (&line.event, open.get(line.brk.as_str())) {
+        let ended = match (&line.event, open.get(line.broker.as_str())) {
             (AuditEvent::Phase { .. }, Some(_)) => true,
-            (_, Some((run, _))) => *run != line.run,
+            (_, Some((run, _))) => *run != line.incarnation,
             _ => false,
         };
-        let last = if ended { open.remove(line.brk.as_str()) } else { None };
+        let last = if ended { open.remove(line.broker.as_str()) } else { None };
         if let Some((_, place)) = last {
             plain[place].to = plain[place].to.min(line.at);
         }
@@ -170,14 +179,14 @@
         match last {
             // Renewed: it goes on, unless it stood still in between.
             Some((run, place))
-                if run == line.run && plain[place].number == number && plain[place].to == line.at =>
+                if run == line.incarnation && plain[place].number == number && plain[place].to == line.at =>
             {
                 plain[place].to = until;
-                open.insert(&line.brk, (run, place));
+                open.insert(&line.broker, (run, place));
             }
             _ => {
-                open.insert(&line.brk, (line.run, plain.len()));
-                plain.push(Plain { brk: line.brk.clone(), number, from: line.at, to: until });
+                open.insert(&line.broker, (line.incarnation, plain.len()));
+                plain.push(Plain { brk: line.broker.clone(), number, from: line.at, to: until });
             }
         }
     }
@@ -190,7 +199,7 @@
     let mut until: BTreeMap<(&str, u64), f64> = BTreeMap::new();
     let mut mapped: BTreeSet<(&str, u64)> = BTreeSet::new();
     for line in &records.lines {
-        let (brk, life) = (line.brk.clone(), (line.brk.as_str(), line.run));
+        let (brk, life) = (line.broker.clone(), (line.broker.as_str(), line.incarnation));
         if let AuditEvent::Phase { until: end, from, to, .. } = &line.event {
             until.insert(life, *end);
             if known.maps.contains_key(from) || known.maps.contains_key(to) {
@@ -222,10 +231,10 @@
         let (at, Some(&on)) = (one.line.at, one.numbers.last()) else { continue };
         let beside = plain.iter().find(|other| {
             let (from, to) = (other.from + known.slack, other.to - known.slack);
-            other.brk != one.line.brk && other.number != on && from < at && at < to
+            other.brk != one.line.broker && other.number != on && from < at && at < to
         });
         if let Some(other) = beside {
-            let (brk, call, seg) = (one.line.brk.clone(), one.call.to_string(), one.seg);
+            let (brk, call, seg) = (one.line.broker.clone(), one.call.to_string(), one.seg);
             let (other, beside) = (other.brk.clone(), other.number);
             found.push(Finding::Contradiction { brk, call, seg, on, other, beside, at });
         }
@@ -242,7 +251,7 @@
         }
         let (seg, node) = (one.seg, one.node.to_string());
         if maps.iter().any(|map| map.1.get(&seg).map(String::as_str) != Some(one.node)) {
-            let (brk, call, numbers) = (one.line.brk.clone(), one.call.to_string(), one.numbers.to_vec());
+            let (brk, call, numbers) = (one.line.broker.clone(), one.call.to_string(), one.numbers.to_vec());
             found.push(Finding::NotOwner { brk, call, seg, node: node.clone(), numbers });
         }
         if let Some(before) = last.insert(seg, one) {
@@ -263,9 +272,11 @@
     for ((call, seg), all) in sent {
         let first = all[0];
         let shots: BTreeSet<_> = all.iter().map(|one| one.shot).collect();
-        let other = all.iter().find(|one| one.line.brk != first.line.brk || one.line.run != first.line.run);
+        let other = all.iter().find(|one| {
+            one.line.broker != first.line.broker || one.line.incarnation != first.line.incarnation
+        });
         if let Some(second) = other.or((shots.len() < all.len()).then_some(&first)) {
-            let (first, second) = (first.line.brk.clone(), second.line.brk.clone());
+            let (first, second) = (first.line.broker.clone(), second.line.broker.clone());
             found.push(Finding::Doubled { call: call.to_string(), seg, first, second });
         }
     }
@@ -283,11 +294,11 @@
     let sent: BTreeMap<_, _> = once.map(|one| ((one.call, one.seg), one)).collect();
     let mut phases: BTreeMap<_, Vec<&AuditRecord>> = BTreeMap::new();
     for line in records.lines.iter().filter(|line| matches!(line.event, AuditEvent::Phase { .. })) {
-        phases.entry((&line.brk, line.run)).or_default().push(line);
+        phases.entry((&line.broker, line.incarnation)).or_default().push(line);
     }
     for Ran { call, seg, at, .. } in &known.ran {
         let Some(sent) = sent.get(&(call.as_str(), *seg)) else { continue };
-        let held = phases.get(&(&sent.line.brk, sent.line.run)).map_or(&[][..], Vec::as_slice);
+        let held = phases.get(&(&sent.line.broker, sent.line.incarnation)).map_or(&[][..], Vec::as_slice);
         let until = held.iter().filter(|line| line.at <= *at).filter_map(|line| match &line.event {
             AuditEvent::Phase { phase, from, to, until } => {
                 let joint = *phase == AuditPhase::Joint && sent.numbers.contains(from);
@@ -298,7 +309,7 @@
         });
         let late = at - until.fold(sent.line.at, f64::max);
         if late > known.longest + known.slack {
-            let (brk, numbers) = (sent.line.brk.clone(), sent.numbers.to_vec());
+            let (brk, numbers) = (sent.line.broker.clone(), sent.numbers.to_vec());
             found.push(Finding::RanLate { brk, call: call.clone(), seg: *seg, numbers, late });
         }
     }
@@ -328,9 +339,9 @@
     let mut sums: BTreeMap<_, u64> = BTreeMap::new();
     let mut first: BTreeMap<&str, (&str, &str, u64)> = BTreeMap::new();
     for line in &records.lines {
-        let AuditEvent::Settle { id, debtor, creditor, bytes, .. } = &line.event else { continue };
-        let (brk, what) = (line.brk.clone(), (debtor.as_str(), creditor.as_str(), *bytes));
-        if !applied.insert((&line.brk, line.run, id)) {
+        let AuditEvent::Settled { id, debtor, creditor, bytes, .. } = &line.event else { continue };
+        let (brk, what) = (line.broker.clone(), (debtor.as_str(), creditor.as_str(), *bytes));
+        if !applied.insert((&line.broker, line.incarnation, id)) {
             found.push(Finding::SettledAgain { brk, id: id.clone() });
         } else if *first.entry(id).or_insert(what) != what {
             found.push(Finding::SettledOtherwise { brk, id: id.clone() });
@@ -342,7 +353,7 @@
             let (first, second) = (first.to_string(), id.clone());
             found.push(Finding::FillSettledTwice { fill: fill.to_string(), first, second });
         }
-        *sums.entry((&line.brk, line.run, debtor, creditor)).or_default() += bytes;
+        *sums.entry((&line.broker, line.incarnation, debtor, creditor)).or_default() += bytes;
     }
     for ((brk, _, debtor, creditor), settled) in sums {
         if let Some(owed) = known.owed.filter(|owed| settled > *owed) {
@@ -356,15 +367,19 @@
 fn wholes(records: &Records, known: &Known, dispatches: &[Sent], found: &mut Vec<Finding>) {
     let mut by_call: BTreeMap<(&str, &str), Vec<&Sent>> = BTreeMap::new();
     for one in dispatches {
-        by_call.entry((&one.line.brk, one.call)).or_default().push(one);
+        by_call.entry((&one.line.broker, one.call)).or_default().push(one);
     }
     for line in &records.lines {
-        let AuditEvent::Answer { call, whole: true, segs, epoch, .. } = &line.event else { continue };
-        let parts = by_call.get(&(line.brk.as_str(), call.as_str())).map_or(&[][..], Vec::as_slice);
+        let AuditEvent::Answer { request_id: call, complete: true, segments: segs, map_epoch: epoch, .. } =
+            &line.event
+        else {
+            continue;
+        };
+        let parts = by_call.get(&(line.broker.as_str(), call.as_str())).map_or(&[][..], Vec::as_slice);
         let of_parts = || parts.iter().map(|one| one.seg).collect();
         let asked = known.asked.get(call).cloned().unwrap_or_else(of_parts);
         let missing: Vec<_> = asked.into_iter().filter(|seg| !segs.contains(seg)).collect();
-        let (brk, call) = (line.brk.clone(), call.clone());
+        let (brk, call) = (line.broker.clone(), call.clone());
         if !missing.is_empty() {
             found.push(Finding::FalseWhole { brk, call, missing });
             continue;
@@ -394,7 +409,9 @@
                 confirmed.entry(*number).or_default().insert(digest);
             }
             AuditEvent::Withdrawn { number, .. } => drop(withdrawn.insert(*number)),
-            AuditEvent::Lost { count } => found.push(Finding::Lost { brk: line.brk.clone(), count: *count }),
+            AuditEvent::RecordsLost { count } => {
+                found.push(Finding::Lost { brk: line.broker.clone(), count: *count })
+            }
             _ => {}
         }
     }
--- a/crates/dunepond-testkit/src/experiments/agree.rs
+++ b/crates/dunepond-testkit/src/experiments/agree.rs
@@ -76,7 +76,8 @@
     let found = fleet.audit();
     found.iter().take(5).for_each(|finding| eprintln!("{finding}"));
     figures.hold("findings of the auditor", found.len() as f64, 0.0, "");
-    let acts = records.lines.iter().filter(|line| matches!(line.event, AuditEvent::Dispatch { .. })).count();
+    let acts =
+        records.lines.iter().filter(|line| matches!(line.event, AuditEvent::AttemptSent { .. })).count();
     figures.tell("dispatches that it judged", acts as f64, "");
 }
 
--- a/crates/dunepond-testkit/src/fleet/clients.rs
+++ b/crates/dunepond-testkit/src/fleet/clients.rs
@@ -49,7 +49,7 @@
         let found = self.audit();
         assert!(found.is_empty(), "{} findings, the first: {:#?}", found.len(), &found[..found.len().min(5)]);
         assert!(
-            self.did(|act| matches!(act, AuditEvent::Dispatch { once: true, .. })),
+            self.did(|act| matches!(act, AuditEvent::AttemptSent { non_idempotent: true, .. })),
             "no fix was ever sent"
         );
     }
--- a/crates/dunepond-testkit/src/fleet/mod.rs
+++ b/crates/dunepond-testkit/src/fleet/mod.rs
@@ -295,7 +295,7 @@
     pub fn phase(&self, broker: usize) -> Option<(AuditPhase, u64, u64)> {
         let name = name(broker);
         self.seen(|records| {
-            records.lines.iter().rev().filter(|line| line.brk == name).find_map(|line| match line.event {
+            records.lines.iter().rev().filter(|line| line.broker == name).find_map(|line| match line.event {
                 AuditEvent::Phase { phase, from, to, .. } => Some((phase, from, to)),
                 _ => None,
             })
@@ -380,11 +380,11 @@
         if thread::panicking() {
             self.seen(|records| {
                 let mut last = BTreeMap::new();
-                for AuditRecord { at, brk, run, event: act } in &records.lines {
+                for AuditRecord { at, broker: brk, incarnation: run, event: act } in &records.lines {
                     let again = match act {
-                        AuditEvent::Dispatch { .. }
+                        AuditEvent::AttemptSent { .. }
                         | AuditEvent::Answer { .. }
-                        | AuditEvent::Refused { .. } => true,
+                        | AuditEvent::Rejected { .. } => true,
                         // Once more with each lease.
                         AuditEvent::Phase { phase, from, to, .. } => {
                             let told = Some((run, *phase, *from, *to));
--- a/crates/dunepond-testkit/tests/agree.rs
+++ b/crates/dunepond-testkit/tests/agree.rs
@@ -298,7 +298,7 @@
     fleet.brokers[leader].start();
     fleet.wait_alone(0..5, 2);
     answered(&clients.stop(), &rest);
-    assert!(fleet.did(|act| matches!(act, AuditEvent::Settle { .. })), "nothing is settled");
+    assert!(fleet.did(|act| matches!(act, AuditEvent::Settled { .. })), "nothing is settled");
     clean(&fleet);
 }
 
--- a/crates/dunepond-testkit/tests/agree/debts.rs
+++ b/crates/dunepond-testkit/tests/agree/debts.rs
@@ -48,9 +48,9 @@
 /// Waits until these brokers have all written down as many settlements, by id and bytes; and these alone, each once.
 fn settled(fleet: &Fleet, brokers: &[usize], expected: &[(&str, u64)]) {
     let by = |broker: usize| {
-        let lines = fleet.records().lines.into_iter().filter(|line| line.brk == name(broker));
+        let lines = fleet.records().lines.into_iter().filter(|line| line.broker == name(broker));
         let settled = lines.filter_map(|line| match line.event {
-            AuditEvent::Settle { id, debtor, creditor, bytes, .. } => Some((id, debtor, creditor, bytes)),
+            AuditEvent::Settled { id, debtor, creditor, bytes, .. } => Some((id, debtor, creditor, bytes)),
             _ => None,
         });
         settled.collect::<Vec<_>>()
@@ -148,9 +148,9 @@
 
 /// What `broker` applied: settlements by id.
 fn applied(fleet: &Fleet, broker: usize) -> Vec<(String, u64)> {
-    let lines = fleet.records().lines.into_iter().filter(|line| line.brk == name(broker));
+    let lines = fleet.records().lines.into_iter().filter(|line| line.broker == name(broker));
     let settled = lines.filter_map(|line| match line.event {
-        AuditEvent::Settle { id, bytes, .. } => Some((id, bytes)),
+        AuditEvent::Settled { id, bytes, .. } => Some((id, bytes)),
         _ => None,
     });
     settled.collect()
@@ -182,7 +182,7 @@
     fleet.restarted(&[1, 3, 5, 7, 9, 11]);
     let begun = |by: &[usize]| {
         let by: Vec<_> = by.iter().map(|i| name(*i)).collect();
-        let lines = fleet.records().lines.into_iter().filter(|line| by.contains(&line.brk));
+        let lines = fleet.records().lines.into_iter().filter(|line| by.contains(&line.broker));
         lines.filter(|line| matches!(&line.event, AuditEvent::Fill { state, .. } if state == "done")).count()
     };
     assert!(wait(|| begun(&majority) > 0 && begun(&rest) > 0 && begun(&majority) + begun(&rest) >= fills));
--- a/crates/dunepond-testkit/tests/agree/limits.rs
+++ b/crates/dunepond-testkit/tests/agree/limits.rs
@@ -20,9 +20,9 @@
 
 /// Units that a broker was last told, floor left out.
 fn part(fleet: &Fleet, broker: usize) -> u32 {
-    let lines = fleet.records().lines.into_iter().rev().filter(|line| line.brk == name(broker));
+    let lines = fleet.records().lines.into_iter().rev().filter(|line| line.broker == name(broker));
     let told = lines.filter_map(|line| match line.event {
-        AuditEvent::Share { parts, .. } => Some(parts.get(BOUND).copied().unwrap_or(0)),
+        AuditEvent::QuotaShare { parts, .. } => Some(parts.get(BOUND).copied().unwrap_or(0)),
         _ => None,
     });
     told.take(1).sum()
