--- a/crates/dunepond-consensus/src/command.rs
+++ b/crates/dunepond-consensus/src/command.rs
@@ -36,7 +36,7 @@
     },
     /// Accounts between partners: allotments, settlements, fills that start.
     #[serde(rename = "Debt")]
-    Settlement(dunepond_settlement::Agreed),
+    Settlement(dunepond_settlement::SettlementEntry),
     /// Shares of fleet-wide quotas.
     #[serde(rename = "Limit")]
     Quota(dunepond_quota::QuotaEntry),
--- a/crates/dunepond-consensus/src/format1.rs
+++ b/crates/dunepond-consensus/src/format1.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use dunepond_settlement::{Agreed, Settlement};
+use dunepond_settlement::{Settlement, SettlementEntry};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer};
 
@@ -91,9 +91,9 @@
     rest.is_empty().then_some(document)
 }
 
-fn settlement(old: Settlement1) -> Agreed {
+fn settlement(old: Settlement1) -> SettlementEntry {
     let Settlement1 { id, debtor, creditor, bytes, segment, holder, source } = old;
-    Agreed::Settle(Settlement { id, debtor, creditor, bytes, segment, holder, source })
+    SettlementEntry::Settle(Settlement { id, debtor, creditor, bytes, segment, holder, source })
 }
 
 pub(crate) fn log_entry(bytes: &[u8]) -> Option<LogEntry> {
--- a/crates/dunepond-consensus/src/rejection.rs
+++ b/crates/dunepond-consensus/src/rejection.rs
@@ -2,7 +2,7 @@
 
 use dunepond_quota::QuotaError;
 use dunepond_rebalance::MoveError;
-use dunepond_settlement::DebtError;
+use dunepond_settlement::SettlementError;
 use dunepond_shard_map::MapFault;
 
 /// Faults of a map that an error message shows.
@@ -111,7 +111,7 @@
     AlreadyApplied,
     /// By the ledger of accounts between partners.
     #[error("{0}")]
-    Settlement(DebtError),
+    Settlement(SettlementError),
     /// By the ledger of quotas.
     #[error("{0}")]
     Quota(QuotaError),
--- a/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
@@ -5,7 +5,7 @@
 
 use std::collections::VecDeque;
 
-use dunepond_settlement::{Agreed, Applied, Ledger};
+use dunepond_settlement::{ApplyOutcome, SettlementEntry, SettlementLedger};
 use serde::{Deserialize, Serialize};
 
 use crate::Rejection;
@@ -25,7 +25,7 @@
     /// Versions below it are closed.
     pub floor: u64,
     /// The entry.
-    pub entry: Agreed,
+    pub entry: SettlementEntry,
 }
 
 /// A part of the [`SettlementLog`], for a broker that has the rest: first the ledger, if it comes, then the entries.
@@ -36,7 +36,7 @@
     /// Entries that were applied by now.
     pub count: u64,
     /// Everything before `from`.
-    pub ledger: Option<Box<Ledger>>,
+    pub ledger: Option<Box<SettlementLedger>>,
     /// In their order.
     pub entries: Vec<SettlementRecord>,
 }
@@ -45,28 +45,28 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SettlementLog {
     /// Of all entries so far.
-    pub ledger: Ledger,
+    pub ledger: SettlementLedger,
     /// Entries that were ever applied.
     pub count: u64,
     last: VecDeque<SettlementRecord>,
 }
 
 impl SettlementLog {
-    pub(crate) fn check(&self, entry: &Agreed) -> Result<(), Rejection> {
+    pub(crate) fn check(&self, entry: &SettlementEntry) -> Result<(), Rejection> {
         match (self.ledger.check(entry), entry) {
-            (Ok(Applied::Now), _) => Ok(()),
-            (Ok(Applied::Before), Agreed::Settle(settlement)) => {
+            (Ok(ApplyOutcome::New), _) => Ok(()),
+            (Ok(ApplyOutcome::Duplicate), SettlementEntry::Settle(settlement)) => {
                 Err(Rejection::AlreadySettled(settlement.id.clone()))
             }
-            (Ok(Applied::Before), _) => Err(Rejection::AlreadyApplied),
+            (Ok(ApplyOutcome::Duplicate), _) => Err(Rejection::AlreadyApplied),
             (Err(error), _) => Err(Rejection::Settlement(error)),
         }
     }
 
     /// After [`SettlementLog::check`].
-    pub(crate) fn apply(&mut self, entry: Agreed) {
+    pub(crate) fn apply(&mut self, entry: SettlementEntry) {
         let applied = self.ledger.apply(&entry);
-        debug_assert_eq!(applied, Ok(Applied::Now));
+        debug_assert_eq!(applied, Ok(ApplyOutcome::New));
         self.count += 1;
         self.last.push_back(SettlementRecord { floor: self.ledger.floor(), entry });
         if self.last.len() > RETAINED_ENTRY_COUNT {
--- a/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
@@ -1,4 +1,6 @@
-use dunepond_settlement::{Agreed, Allot, Applied, DebtError, Ledger, Settlement};
+use dunepond_settlement::{
+    Allotment, ApplyOutcome, Settlement, SettlementEntry, SettlementError, SettlementLedger,
+};
 
 use super::{RETAINED_ENTRY_COUNT, SettlementLog};
 use crate::Rejection;
@@ -6,9 +8,9 @@
 const FILLS: u64 = 5000;
 const FILLS_PER_VERSION: u64 = 100;
 
-fn settle(version: u64, fill: u64) -> Agreed {
+fn settle(version: u64, fill: u64) -> SettlementEntry {
     let text = String::from;
-    Agreed::Settle(Settlement {
+    SettlementEntry::Settle(Settlement {
         id: format!("{version}/{fill}/h@fleet"),
         debtor: text("north"),
         creditor: text("south"),
@@ -19,10 +21,10 @@
     })
 }
 
-fn allot() -> Agreed {
+fn allot() -> SettlementEntry {
     let text = String::from;
     let (debtor, creditor, parts) = (text("north"), text("south"), vec![(text("fleet"), 15_000)]);
-    Agreed::Allot(Allot { number: 0, debtor, creditor, debt: 15_000, parts })
+    SettlementEntry::Allot(Allotment { number: 0, debtor, creditor, debt: 15_000, parts })
 }
 
 /// Five thousand settlements over fifty versions, the debt split in advance.
@@ -42,9 +44,9 @@
 }
 
 /// The ledger of a broker that has heard of the first `count` entries.
-fn ledger_at(log: &SettlementLog, count: u64) -> Ledger {
+fn ledger_at(log: &SettlementLog, count: u64) -> SettlementLedger {
     if count != 4_900 {
-        return Ledger::default();
+        return SettlementLedger::default();
     }
     // The whole ledger up to the first retained entry, then entry by entry.
     let first = log.count - log.last.len() as u64;
@@ -72,7 +74,7 @@
             }
             for record in update.entries {
                 ledger.close(record.floor);
-                assert_eq!(ledger.apply(&record.entry), Ok(Applied::Now));
+                assert_eq!(ledger.apply(&record.entry), Ok(ApplyOutcome::New));
                 known += 1;
             }
             times += 1;
@@ -88,9 +90,12 @@
     assert!(log.last.len() <= RETAINED_ENTRY_COUNT);
     assert_eq!(log.check(&settle(50, 4999)), Err(Rejection::AlreadySettled("50/4999/h@fleet".to_string())));
     let late = log.check(&settle(41, 1));
-    assert!(matches!(late, Err(Rejection::Settlement(DebtError::Closed { floor: 42, .. }))), "{late:?}");
+    assert!(
+        matches!(late, Err(Rejection::Settlement(SettlementError::Closed { floor: 42, .. }))),
+        "{late:?}"
+    );
     let past = log.check(&settle(50, 5000));
-    assert!(matches!(past, Err(Rejection::Settlement(DebtError::PastShare { .. }))), "{past:?}");
+    assert!(matches!(past, Err(Rejection::Settlement(SettlementError::PastShare { .. }))), "{past:?}");
     let size = postcard::to_stdvec(&log.ledger).unwrap().len();
     assert!(size < 900 * 64, "{size} bytes for nine versions of a hundred fills");
 }
--- a/crates/dunepond-consensus/src/replicated_state/state_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/state_change.rs
@@ -1,6 +1,6 @@
 //! What an entry changed.
 
-use dunepond_settlement::Agreed;
+use dunepond_settlement::SettlementEntry;
 
 /// What an applied entry changed.
 #[allow(clippy::large_enum_variant)]
@@ -26,7 +26,7 @@
     /// The version is withdrawn.
     Withdrawn(u64),
     /// Accounts between partners changed by this entry.
-    Settlement(Agreed),
+    Settlement(SettlementEntry),
     /// Shares of quotas changed; the ledger's generation.
     Quota(u64),
     /// A rebalancing plan changed.
--- a/crates/dunepond-consensus/tests/golden/documents.rs
+++ b/crates/dunepond-consensus/tests/golden/documents.rs
@@ -5,7 +5,7 @@
 
 use dunepond_consensus::*;
 use dunepond_quota::{Allocation as Parts, DemandReport, SharedQuotas};
-use dunepond_settlement::{Agreed, Allot, Ledger, Settlement};
+use dunepond_settlement::{Allotment, Settlement, SettlementEntry, SettlementLedger};
 use dunepond_simulation::fleet::{map, settlement, terms, version};
 
 use super::{again_json, golden};
@@ -74,16 +74,22 @@
     }
 }
 
-pub fn allot() -> Agreed {
+pub fn allot() -> SettlementEntry {
     let parts = vec![(text("fleet"), 900), (text("b1"), 100)];
-    Agreed::Allot(Allot { number: 0, debtor: text("north"), creditor: text("south"), debt: 1000, parts })
+    SettlementEntry::Allot(Allotment {
+        number: 0,
+        debtor: text("north"),
+        creditor: text("south"),
+        debt: 1000,
+        parts,
+    })
 }
 
 fn some_debts(ledger: bool) -> SettlementUpdate {
-    let settle = Agreed::Settle(Settlement { bytes: 11, ..settlement("7") });
-    let mut applied = Ledger::default();
+    let settle = SettlementEntry::Settle(Settlement { bytes: 11, ..settlement("7") });
+    let mut applied = SettlementLedger::default();
     applied.apply(&allot()).unwrap();
-    applied.apply(&Agreed::Settle(settlement("6"))).unwrap();
+    applied.apply(&SettlementEntry::Settle(settlement("6"))).unwrap();
     let entries =
         vec![SettlementRecord { floor: 0, entry: allot() }, SettlementRecord { floor: 4, entry: settle }];
     SettlementUpdate { from: 4, count: 6, ledger: ledger.then(|| Box::new(applied)), entries }
--- a/crates/dunepond-consensus/tests/golden/runs.rs
+++ b/crates/dunepond-consensus/tests/golden/runs.rs
@@ -8,7 +8,7 @@
 use dunepond_rebalance::{
     Act, Agreed as Move, By, Kind, Operation, Pace, Pause, Plan, Step as PlanStep, Wave, order,
 };
-use dunepond_settlement::{Agreed as Debt, Begun, Release};
+use dunepond_settlement::{Release, SettlementEntry as Debt, StartedFill};
 use dunepond_simulation::fleet::{map, settlement, terms, version};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry as LogEntry, Message, Snapshot};
@@ -160,7 +160,7 @@
 fn enter_debts(alone: &mut Alone) {
     let (debtor, creditor) = (text("north"), text("south"));
     let release = Release { number: 1, debtor, creditor, by: text("b1"), bytes: 40 };
-    let begun = Begun {
+    let begun = StartedFill {
         id: text("2/5/s0a"),
         segment: 5,
         holder: text("s0a"),
--- a/crates/dunepond-consensus/tests/parts.rs
+++ b/crates/dunepond-consensus/tests/parts.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use dunepond_consensus::*;
-use dunepond_settlement::DebtError;
+use dunepond_settlement::SettlementError;
 use dunepond_simulation::fleet::{map, rules, terms, version};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -368,7 +368,7 @@
         RollingBack(1),
         AlreadySettled(text()),
         AlreadyApplied,
-        Settlement(DebtError::Name { name: text() }),
+        Settlement(SettlementError::Name { name: text() }),
         Quota(dunepond_quota::QuotaError::NoChange),
         Busy,
         Rebalance(Box::new(dunepond_rebalance::MoveError::NoMap)),
--- a/crates/dunepond-consensus/tests/voters.rs
+++ b/crates/dunepond-consensus/tests/voters.rs
@@ -115,7 +115,9 @@
     fleet.kill(0);
     assert!(fleet.until(5.0, |fleet| fleet.leader().is_some()));
     change(&mut fleet, &[3, 1, 2]);
-    fleet.propose(Command::Settlement(dunepond_settlement::Agreed::Settle(settlement("paid")))).unwrap();
+    fleet
+        .propose(Command::Settlement(dunepond_settlement::SettlementEntry::Settle(settlement("paid"))))
+        .unwrap();
     fleet.run(0.5);
     fleet.start(0);
     assert!(fleet.until(3.0, |fleet| log(fleet, 0, "removed as a voter")));
--- a/crates/dunepond-control-plane/src/commitments.rs
+++ b/crates/dunepond-control-plane/src/commitments.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunepond_settlement::{Agreed, DebtError, Fill, Ledger, Shares};
+use dunepond_settlement::{Fill, SettlementEntry, SettlementError, SettlementLedger, SharePromises};
 use serde::{Deserialize, Serialize};
 
 /// Entries that one broker sends to the leader at once.
@@ -22,8 +22,8 @@
 /// Everything committed to. The ledger is stored with it: after a restart neither may be older than the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Commitments {
-    pub shares: Shares,
-    pub ledger: Ledger,
+    pub shares: SharePromises,
+    pub ledger: SettlementLedger,
     /// Settlement entries of the log that the ledger has applied.
     pub applied_entries: u64,
     /// By fill id.
@@ -34,17 +34,18 @@
 
 impl Commitments {
     /// None yet, of this broker.
-    pub fn new(broker: &str) -> Result<Self, DebtError> {
-        let (shares, ledger, fills) = (Shares::new(broker)?, Ledger::default(), BTreeMap::new());
+    pub fn new(broker: &str) -> Result<Self, SettlementError> {
+        let (shares, ledger, fills) =
+            (SharePromises::new(broker)?, SettlementLedger::default(), BTreeMap::new());
         Ok(Self { shares, ledger, applied_entries: 0, fills, finished: BTreeSet::new() })
     }
 
     /// Entries to be brought into the log: settlements of fills that are done, and released shares.
-    pub fn due_entries(&self) -> Vec<Agreed> {
-        let is_due = |entry: &Agreed| match entry {
-            Agreed::Settle(settlement) => self.fills.get(settlement.fill()).is_none_or(|it| it.done),
+    pub fn due_entries(&self) -> Vec<SettlementEntry> {
+        let is_due = |entry: &SettlementEntry| match entry {
+            SettlementEntry::Settle(settlement) => self.fills.get(settlement.fill()).is_none_or(|it| it.done),
             _ => true,
         };
-        self.shares.owing().filter(is_due).take(MAX_ENTRIES_PER_MESSAGE).collect()
+        self.shares.pending_entries().filter(is_due).take(MAX_ENTRIES_PER_MESSAGE).collect()
     }
 }
--- a/crates/dunepond-control-plane/src/control_loop/fills.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills.rs
@@ -10,7 +10,8 @@
 use crossbeam_channel::Sender;
 use dunepond_consensus::{Command, Rejection, Voter};
 use dunepond_settlement::{
-    Agreed, Begun, Event, Fill, Filling, Ledger, Links, Need, Order, Patience, Planner, Settlement,
+    Fill, FillAction, FillDemand, FillEvent, FillPlanner, FillProgress, FillRetryPolicy, LinkCapacities,
+    Settlement, SettlementEntry, SettlementLedger, StartedFill,
 };
 use rand_pcg::Pcg64Mcg;
 use tracing::{info, warn};
@@ -52,7 +53,7 @@
 
 /// A fill under way, and what its filler said once it is done.
 struct ActiveFill {
-    progress: Filling,
+    progress: FillProgress,
     attempt_running: bool,
     result: Option<FillResult>,
     /// When it is entered again, as begun and as done, unless the log has it by then.
@@ -63,8 +64,8 @@
 }
 
 impl ActiveFill {
-    fn new(fill: Fill, patience: Patience, now: f64) -> Self {
-        let progress = Filling::new(fill, patience, now);
+    fn new(fill: Fill, patience: FillRetryPolicy, now: f64) -> Self {
+        let progress = FillProgress::new(fill, patience, now);
         Self {
             progress,
             attempt_running: false,
@@ -80,9 +81,9 @@
     lane: Lane,
     pub client: Option<Arc<dyn FillClient>>,
     pub ended: Sender<FillEnded>,
-    pub planner: Planner,
-    pub links: Links,
-    pub patience: Patience,
+    pub planner: FillPlanner,
+    pub links: LinkCapacities,
+    pub patience: FillRetryPolicy,
     /// Bytes of a segment.
     pub segment_bytes: u64,
     pub max_concurrent: usize,
@@ -103,9 +104,9 @@
         lane: Lane,
         client: Option<Arc<dyn FillClient>>,
         ended: Sender<FillEnded>,
-        planner: Planner,
-        links: Links,
-        patience: Patience,
+        planner: FillPlanner,
+        links: LinkCapacities,
+        patience: FillRetryPolicy,
         segment_bytes: u64,
         max_concurrent: usize,
         rng: Pcg64Mcg,
@@ -134,7 +135,7 @@
     /// Another version, or another leader: what is under way is not ours any more.
     fn abandon_all(&mut self) {
         for (id, _) in std::mem::take(&mut self.active) {
-            self.planner.ended(&id, false);
+            self.planner.fill_ended(&id, false);
         }
         self.is_leading = false;
     }
@@ -165,8 +166,9 @@
             rate: fill.rate as u64,
         };
         let (ended, lane) = (self.ended.clone(), self.lane);
-        let within =
-            Duration::from_secs_f64((fill.lasts() * self.patience.factor).clamp(5.0, MAX_ATTEMPT_SECONDS));
+        let within = Duration::from_secs_f64(
+            (fill.duration_seconds() * self.patience.factor).clamp(5.0, MAX_ATTEMPT_SECONDS),
+        );
         let run = move || {
             let outcome = filler.fill(&order, within);
             let _ = ended.send(FillEnded { lane, id: order.id, outcome });
@@ -197,11 +199,11 @@
             let age = if at_start { (unix_seconds() - begun.at as f64).max(0.0) } else { 0.0 };
             fills.begun_at.entry((begun.id.clone(), begun.from.clone())).or_insert(now - age);
         }
-        fills.begun_at.retain(|(id, from), _| ledger.has_begun(id, from));
+        fills.begun_at.retain(|(id, from), _| ledger.has_started(id, from));
     }
 
     /// One that begins to lead takes over what the leader before has in its windows, and what is under way.
-    fn take_over(&mut self, needs: &[Need], now: f64) {
+    fn take_over(&mut self, needs: &[FillDemand], now: f64) {
         let fills = &mut self.version_fills;
         if std::mem::replace(&mut fills.is_leading, true) {
             return;
@@ -235,20 +237,20 @@
             return;
         }
         let fills = &mut self.version_fills;
-        let ids: BTreeSet<_> = needs.iter().map(Need::id).collect();
+        let ids: BTreeSet<_> = needs.iter().map(FillDemand::id).collect();
         // Entered, or needed no more.
         let gone: Vec<_> = fills.active.keys().filter(|id| !ids.contains(*id)).cloned().collect();
         let mut counted = Vec::new();
         for id in gone {
             let under = fills.active.remove(&id).filter(|under| under.result.is_some());
-            fills.planner.ended(&id, under.is_some());
+            fills.planner.fill_ended(&id, under.is_some());
             counted.extend(under);
         }
         for under in counted {
             // What it settled is paid; the rest is a new debt of whoever was filled.
             let fill = under.progress.fill;
-            let bytes = if under.settlement_refused { fill.bytes } else { fill.unsettled() };
-            self.traffic.counts.saw(&fill.from, &fill.to, bytes);
+            let bytes = if under.settlement_refused { fill.bytes } else { fill.unsettled_bytes() };
+            self.traffic.counts.record(&fill.from, &fill.to, bytes);
         }
         self.plan_new_fills(Lane::Version, needs, now);
         self.advance_fills(Lane::Version, now);
@@ -269,7 +271,7 @@
         self.advance_fills(Lane::Own, now);
     }
 
-    fn plan_new_fills(&mut self, lane: Lane, needs: Vec<Need>, now: f64) {
+    fn plan_new_fills(&mut self, lane: Lane, needs: Vec<FillDemand>, now: f64) {
         let (part, cold) = (self.capacity_part(lane), self.warming_capacity(now, lane));
         let under = &self.lane(lane).active;
         let new: Vec<_> = needs.into_iter().filter(|need| !under.contains_key(&need.id())).collect();
@@ -280,13 +282,13 @@
         let shares = (lane == Lane::Own).then_some(&self.settlement.commitments.shares);
         let fills = if lane == Lane::Version { &mut self.version_fills } else { &mut self.own_fills };
         let plan = if part < 1.0 {
-            fills.planner.plan(&book.part(part), &new, &fills.links.part(part), &cold, shares, now)
+            fills.planner.plan(&book.fraction(part), &new, &fills.links.fraction(part), &cold, shares, now)
         } else {
             fills.planner.plan(book, &new, &fills.links, &cold, shares, now)
         };
         for fill in plan.fills {
             if lane == Lane::Own && !self.commit_fill(&fill) {
-                self.own_fills.planner.ended(&fill.id, false);
+                self.own_fills.planner.fill_ended(&fill.id, false);
                 continue;
             }
             Explanation::for_fill(
@@ -302,7 +304,7 @@
     }
 
     /// What the proposed version's map needs and has not; nothing where this broker does not lead, or nothing is proposed.
-    fn version_fill_needs(&mut self) -> Option<Vec<Need>> {
+    fn version_fill_needs(&mut self) -> Option<Vec<FillDemand>> {
         let leads =
             self.state.storage_failed_until.is_none() && self.voter.as_ref().is_some_and(Voter::is_leader);
         let state = self.voter.as_ref().filter(|_| leads).map(Voter::state)?;
@@ -328,7 +330,7 @@
                 holders.find(|h| h.node == *node).map_or(String::new(), |h| h.partner.clone())
             };
             let sources: Vec<_> = need.sources.iter().map(|node| (node.clone(), partner(node))).collect();
-            let mut need = Need {
+            let mut need = FillDemand {
                 version: number,
                 segment: need.segment,
                 holder: need.replica.clone(),
@@ -359,7 +361,7 @@
                 continue;
             }
             let ordered = under.progress.tick(now, &mut fills.rng);
-            if ordered.iter().any(|order| matches!(order, Order::Begin(_))) && !under.attempt_running {
+            if ordered.iter().any(|order| matches!(order, FillAction::Begin(_))) && !under.attempt_running {
                 (under.attempt_running, busy) = (true, busy + 1);
             }
             orders.extend(ordered);
@@ -384,31 +386,32 @@
             }
         }
         for fill in new {
-            let _ = self.enter_settlement(Agreed::Begin(Begun::of(&fill, unix_seconds() as u64)));
+            let _ =
+                self.enter_settlement(SettlementEntry::Begin(StartedFill::new(&fill, unix_seconds() as u64)));
         }
         self.apply_voter_entries();
     }
 
-    fn execute_fill_orders(&mut self, lane: Lane, orders: Vec<Order>) {
+    fn execute_fill_orders(&mut self, lane: Lane, orders: Vec<FillAction>) {
         for order in orders {
             match order {
-                Order::Begin(fill) => {
+                FillAction::Begin(fill) => {
                     info!("fleet: fill {}: from {} at {:.0} bytes a second", fill.id, fill.source, fill.rate);
                     self.audit_fill(&fill, "begun");
                     self.lane(lane).start_attempt(&fill);
                 }
                 // The filler knows no stopping: it is asked again under the same id.
-                Order::Stop(fill) => info!("fleet: fill {}: no answer in time", fill.id),
+                FillAction::Stop(fill) => info!("fleet: fill {}: no answer in time", fill.id),
                 // Its place is free once the log has it; see `plan_fills`.
-                Order::Free(_) | Order::Propose(_) => {}
+                FillAction::Free(_) | FillAction::Propose(_) => {}
             }
         }
         let under = self.lane(lane).active.iter();
-        let failed = under.filter(|(_, u)| u.progress.state().ended() && u.result.is_none());
+        let failed = under.filter(|(_, u)| u.progress.state().is_final() && u.result.is_none());
         let failed: Vec<String> = failed.map(|(id, _)| id.clone()).collect();
         for id in failed {
             // Planned anew, from another source perhaps.
-            self.lane(lane).planner.ended(&id, false);
+            self.lane(lane).planner.fill_ended(&id, false);
             self.lane(lane).active.remove(&id);
             if lane == Lane::Own {
                 self.abandon_commitment(&id);
@@ -427,17 +430,17 @@
         let event = match outcome {
             Ok(filled) => {
                 under.result = Some(filled);
-                Event::Done
+                FillEvent::Done
             }
             Err(e) => {
                 increment(&counters.fills_failed);
                 warn!("fleet: fill {id}: {e} ({})", e.help());
-                Event::Failed { why: e.to_string() }
+                FillEvent::Failed { why: e.to_string() }
             }
         };
         let fill = under.progress.fill.clone();
-        let state = if event == Event::Done { "done" } else { "failed" };
-        let orders = under.progress.heard(now, event, &mut fills.rng).unwrap_or_default();
+        let state = if event == FillEvent::Done { "done" } else { "failed" };
+        let orders = under.progress.handle_event(now, event, &mut fills.rng).unwrap_or_default();
         if state == "done" {
             increment(&counters.fills);
         }
@@ -459,7 +462,7 @@
         let Some(filled) = under.result else {
             return drop(self.own_fills.active.insert(id.to_string(), under));
         };
-        self.own_fills.planner.ended(id, true);
+        self.own_fills.planner.fill_ended(id, true);
         let fill = under.progress.fill;
         let start = id.rsplit_once('+').and_then(|(_, start)| start.parse().ok()).unwrap_or(0);
         let started = self.started_now();
@@ -468,10 +471,10 @@
         warmed
             .retain(|(_, node, start)| started.iter().any(|it| it.node == *node && it.incarnation == *start));
         warmed.insert((fill.segment, fill.holder.clone(), start));
-        let (mut from, mut bytes) = (fill.from.clone(), fill.unsettled());
+        let (mut from, mut bytes) = (fill.from.clone(), fill.unsettled_bytes());
         if filled.source != fill.source {
             // Another's fill of this id, from elsewhere: what was promised was not paid.
-            self.own_fills.planner.refused(id);
+            self.own_fills.planner.settlement_rejected(id);
             self.abandon_commitment(id);
             let acting = self.member.active_config();
             let holder = acting
@@ -490,7 +493,7 @@
             pledged.done = true;
         }
         self.save_commitments();
-        self.traffic.counts.saw(&from, &fill.to, bytes);
+        self.traffic.counts.record(&from, &fill.to, bytes);
         self.crash_point("done");
     }
 
@@ -503,7 +506,7 @@
         let need = needs.iter().find(|need| need.id() == fill.id);
         if need.is_some_and(|need| need.sources.iter().all(|(node, _)| *node != fill.source)) {
             info!("fleet: fill {}: not from {} any more", fill.id, fill.source);
-            self.version_fills.planner.ended(&fill.id, false);
+            self.version_fills.planner.fill_ended(&fill.id, false);
             self.version_fills.active.remove(&fill.id);
         }
     }
@@ -520,7 +523,7 @@
         });
         for (fill, filled) in done.collect::<Vec<_>>() {
             let settles = self.settlement(&fill, &filled);
-            let settled = settles.map_or(Ok(()), |it| self.enter_settlement(Agreed::Settle(it)));
+            let settled = settles.map_or(Ok(()), |it| self.enter_settlement(SettlementEntry::Settle(it)));
             if self.crash_point("settled") {
                 return;
             }
@@ -533,9 +536,9 @@
                 // Never taken, as the share is spent or another has settled the fill: the holder is filled all the same.
                 Err(Rejection::Settlement(why)) => {
                     info!("fleet: fill {}: not settled: {why} ({})", fill.id, why.help());
-                    self.version_fills.planner.refused(&fill.id);
+                    self.version_fills.planner.settlement_rejected(&fill.id);
                     if let Some(under) = self.version_fills.active.get_mut(&fill.id) {
-                        under.settlement_refused = !self.traffic.balances.ledger().has(&fill.id);
+                        under.settlement_refused = !self.traffic.balances.ledger().is_settled(&fill.id);
                     }
                     let (segment, holder) = (fill.segment, fill.holder.clone());
                     self.enter(Command::FillCompleted { number, segment, holder })
@@ -560,7 +563,7 @@
         let mut holders = moving.from().overlapping(keys).flat_map(|old| &old.replicas);
         let from = holders.find(|holder| holder.node == filled.source)?.partner.clone();
         let fill = Fill { source: filled.source.clone(), from, bytes: filled.bytes, ..fill.clone() };
-        let pays = fill.bytes.min(self.traffic.balances.open(&fill.from, &fill.to));
+        let pays = fill.bytes.min(self.traffic.balances.net_debt(&fill.from, &fill.to));
         let settlement =
             (pays > 0).then(|| Settlement::new(&fill, LOG_SHARE_HOLDER, &fill.from, &fill.to, pays))?;
         settlement.ok()
@@ -581,6 +584,6 @@
 }
 
 /// Whether the log has it as begun.
-fn log_has_begun(ledger: &Ledger, fill: &Fill) -> bool {
-    ledger.has_begun(&fill.id, &fill.from)
+fn log_has_begun(ledger: &SettlementLedger, fill: &Fill) -> bool {
+    ledger.has_started(&fill.id, &fill.from)
 }
--- a/crates/dunepond-control-plane/src/control_loop/own_fills.rs
+++ b/crates/dunepond-control-plane/src/control_loop/own_fills.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use dunepond_settlement::{Cold, Fill, Need};
+use dunepond_settlement::{Fill, FillDemand, SlowStartCapacity};
 
 use super::ControlLoop;
 use super::fills::Lane;
@@ -21,7 +21,7 @@
     }
 
     /// Rule 4 over all brokers together, and by the stricter of the deployment and the versions.
-    pub(super) fn warming_capacity(&self, now: f64, lane: Lane) -> Cold {
+    pub(super) fn warming_capacity(&self, now: f64, lane: Lane) -> SlowStartCapacity {
         let window = self.slow_start.map_or(1.0, |warming| warming.window_seconds);
         let part = self.capacity_part(lane);
         let agreed =
@@ -34,7 +34,7 @@
                 warming.fill_capacity(now - it.started_at, multiple, self.fill_bytes_per_second, part),
             ))
         };
-        Cold {
+        SlowStartCapacity {
             window,
             unit: COUNTING_UNIT_BYTES,
             rooms: self.warming_nodes(now).iter().filter_map(room).collect(),
@@ -61,7 +61,7 @@
         cold: &StartedNode,
     ) -> bool {
         let sides = &self.traffic.sides;
-        let its = |broker: &&String| sides.of(broker) == Some(partner);
+        let its = |broker: &&String| sides.partner(broker) == Some(partner);
         let any = brokers.iter().any(|broker| its(&broker));
         let mut of: Vec<&String> = brokers.iter().filter(|broker| !any || its(broker)).collect();
         of.sort_by_key(|broker| rendezvous_hash(holder, broker));
@@ -72,8 +72,8 @@
         first.is_some_and(|broker| **broker == self.name)
     }
 
-    /// Cold holders of the map in force that fall to this broker, whether it has a lease or not.
-    pub(super) fn own_fill_needs(&self, now: f64) -> Vec<Need> {
+    /// SlowStartCapacity holders of the map in force that fall to this broker, whether it has a lease or not.
+    pub(super) fn own_fill_needs(&self, now: f64) -> Vec<FillDemand> {
         let cold = self.warming_nodes(now);
         let acting = self.member.active_config();
         let Some(proof) = acting.map(now).filter(|_| self.settlement.fill_started_nodes && !cold.is_empty())
@@ -97,7 +97,7 @@
                         && is_cold(&it.node).is_none()
                         && !acting.is_excluded(&it.node)
                 });
-                needs.push(Need {
+                needs.push(FillDemand {
                     version: acting.active_number(),
                     segment: segment.id,
                     holder: node.clone(),
@@ -134,7 +134,7 @@
 
     /// It came to nothing. Written later: until then a restart goes on with it.
     pub(super) fn abandon_commitment(&mut self, fill: &str) {
-        self.settlement.commitments.shares.forgo(fill);
+        self.settlement.commitments.shares.cancel(fill);
         self.settlement.commitments.fills.remove(fill);
         self.settlement.unsaved = true;
     }
--- a/crates/dunepond-control-plane/src/control_loop/settlements.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements.rs
@@ -1,9 +1,9 @@
-//! The agreed part of debts at this broker: entries as the log has them, shares that are split in advance, and what this
+//! The agreed part of debts at this broker: entries as the log has them, shares that are allot_evenly in advance, and what this
 //! broker promised out of its own while it was cut off.
 
 use dunepond_consensus::{Command, Rejection, SettlementUpdate, Voter};
 use dunepond_membership::{PeerState, RefusalReason, RequestKind, Responder};
-use dunepond_settlement::{Agreed, Applied, Settlement, split};
+use dunepond_settlement::{ApplyOutcome, Settlement, SettlementEntry, allot_evenly};
 use tracing::{debug, info, warn};
 
 use super::{ControlLoop, LOG_SHARE_HOLDER, SentRequest};
@@ -14,16 +14,16 @@
 use crate::handle::increment;
 
 /// Seconds after which what is promised is brought to the leader again, and debts are looked through for what is to be
-/// split or given back.
+/// allot_evenly or given back.
 const REVIEW_INTERVAL_SECONDS: f64 = 0.5;
 const ENTRIES_TIMEOUT_SECONDS: f64 = 1.0;
-/// What is split or given back at once is at least this part of a segment: an entry for every few bytes would be dear.
+/// What is allot_evenly or given back at once is at least this part of a segment: an entry for every few bytes would be dear.
 const MIN_PART_OF_SEGMENT: u64 = 8;
 
 /// Settlement at this broker: what it has committed to, and how much of the log it has applied.
 pub struct Settlements {
     pub commitments: Commitments,
-    /// Holders are kept warm by fills of each broker's own: debts are split in advance.
+    /// Holders are kept warm by fills of each broker's own: debts are allot_evenly in advance.
     pub fill_started_nodes: bool,
     /// Entries of the log that the book has.
     pub applied_entries: u64,
@@ -45,11 +45,11 @@
 }
 
 /// Whether `from` may propose it: only a broker itself knows what it promised and what it has left.
-fn may_propose(entry: &Agreed, from: &str) -> bool {
+fn may_propose(entry: &SettlementEntry, from: &str) -> bool {
     match entry {
-        Agreed::Settle(settlement) => settlement.by() == from,
-        Agreed::Release(release) => release.by == from,
-        Agreed::Allot(_) | Agreed::Begin(_) => false,
+        SettlementEntry::Settle(settlement) => settlement.by() == from,
+        SettlementEntry::Release(release) => release.by == from,
+        SettlementEntry::Allot(_) | SettlementEntry::Begin(_) => false,
     }
 }
 
@@ -94,24 +94,24 @@
             let book = &mut self.traffic.balances;
             book.close(noted.floor);
             match book.apply(&noted.entry) {
-                Ok(Applied::Now) => {}
-                Ok(Applied::Before) => continue,
+                Ok(ApplyOutcome::New) => {}
+                Ok(ApplyOutcome::Duplicate) => continue,
                 Err(e) => {
                     warn!("fleet: an entry about a debt: {e} ({})", e.help());
                     continue;
                 }
             }
             match noted.entry {
-                Agreed::Settle(settlement) => self.on_settled(settlement),
-                Agreed::Allot(allot) => {
+                SettlementEntry::Settle(settlement) => self.on_settled(settlement),
+                SettlementEntry::Allot(allot) => {
                     let sum: u64 = allot.parts.iter().map(|part| part.1).sum();
                     let (debtor, creditor) = (allot.debtor, allot.creditor);
                     info!("fleet: {sum} bytes that {debtor} owes {creditor} are split in advance");
                 }
-                Agreed::Release(release) => {
+                SettlementEntry::Release(release) => {
                     debug!("fleet: {} gives back {} bytes of its share", release.by, release.bytes);
                 }
-                Agreed::Begin(_) => {}
+                SettlementEntry::Begin(_) => {}
             }
         }
         self.note_begun_fills();
@@ -133,7 +133,7 @@
     fn release_logged_commitments(&mut self) {
         let (promises, ledger) = (&mut self.settlement.commitments, self.traffic.balances.ledger());
         let (open, giving) = (promises.due_entries().len(), promises.shares.releasing().is_some());
-        promises.shares.caught_up(ledger, &[]);
+        promises.shares.reconcile(ledger, &[]);
         let shares = &promises.shares;
         promises.fills.retain(|id, pledged| !pledged.done || shares.promised(id).is_some());
         if open != promises.due_entries().len() || giving != promises.shares.releasing().is_some() {
@@ -207,7 +207,7 @@
         if self.state.storage_failed_until.is_some() || !self.voter.as_ref().is_some_and(Voter::is_leader) {
             return self.peers.respond(token, Err(RefusalReason::Declined("another leads".to_string())));
         }
-        let Ok(entries) = postcard::from_bytes::<Vec<Agreed>>(body) else {
+        let Ok(entries) = postcard::from_bytes::<Vec<SettlementEntry>>(body) else {
             return self.peers.respond(token, Err(RefusalReason::Malformed));
         };
         for entry in entries.into_iter().take(MAX_ENTRIES_PER_MESSAGE) {
@@ -220,7 +220,7 @@
         self.peers.respond(token, Ok(Vec::new()));
     }
 
-    pub(super) fn enter_settlement(&mut self, entry: Agreed) -> Result<(), Rejection> {
+    pub(super) fn enter_settlement(&mut self, entry: SettlementEntry) -> Result<(), Rejection> {
         let entered = self.enter(Command::Settlement(entry));
         if let Err(why) = &entered
             && !matches!(
@@ -240,22 +240,24 @@
         (self.version_fills.segment_bytes / MIN_PART_OF_SEGMENT).max(1)
     }
 
-    /// Splits what is owed and not split yet evenly: over all brokers that are known, and the log itself, out of which
+    /// Splits what is owed and not allot_evenly yet evenly: over all brokers that are known, and the log itself, out of which
     /// whoever leads settles the fills of versions. Nobody knows which of them will be cut off.
     fn split_debts(&mut self) {
         let mut brokers = self.all_brokers();
         brokers.push(LOG_SHARE_HOLDER.to_string());
-        for debt in self.traffic.balances.net() {
+        for debt in self.traffic.balances.net_debts() {
             let (debtor, creditor) = (debt.debtor, debt.creditor);
-            // What is planned before the first split has no share to be taken from: it comes into the log first.
+            // What is planned before the first allot_evenly has no share to be taken from: it comes into the log first.
             if !self.traffic.balances.ledger().is_split(&debtor, &creditor)
                 && self.version_fills.settles(&debtor, &creditor)
             {
                 continue;
             }
-            let Some(allot) = split(&self.traffic.balances, &debtor, &creditor, &brokers) else { continue };
+            let Some(allot) = allot_evenly(&self.traffic.balances, &debtor, &creditor, &brokers) else {
+                continue;
+            };
             if allot.parts.iter().map(|part| part.1).sum::<u64>() >= self.min_split_bytes() {
-                let _ = self.enter_settlement(Agreed::Allot(allot));
+                let _ = self.enter_settlement(SettlementEntry::Allot(allot));
             }
         }
     }
@@ -275,7 +277,7 @@
             || self.peers.members().iter().any(|peer| peer.name == broker && peer.state == PeerState::Alive)
     }
 
-    /// Gives back what this broker will not spend: all of it if it carries out no fills, and its part of what is split
+    /// Gives back what this broker will not spend: all of it if it carries out no fills, and its part of what is allot_evenly
     /// beyond the debt as it stands now, when the other side has carried in the meantime.
     fn release_surplus(&mut self) {
         let ledger = self.traffic.balances.ledger();
@@ -286,9 +288,9 @@
             ledger.pairs().map(|(debtor, creditor)| (debtor.to_string(), creditor.to_string())).collect();
         for (debtor, creditor) in pairs {
             let ledger = self.traffic.balances.ledger();
-            let left = self.settlement.commitments.shares.left(ledger, &debtor, &creditor);
+            let left = self.settlement.commitments.shares.remaining(ledger, &debtor, &creditor);
             let unspent = ledger.allotted(&debtor, &creditor) - ledger.settled(&debtor, &creditor);
-            let beyond = unspent.saturating_sub(self.traffic.balances.open(&debtor, &creditor));
+            let beyond = unspent.saturating_sub(self.traffic.balances.net_debt(&debtor, &creditor));
             let part = (beyond as f64 * left as f64 / unspent.max(1) as f64) as u64;
             let back = if self.settlement.fill_started_nodes { part.min(left) } else { left };
             if back < self.min_split_bytes() {
--- a/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 
 use dunepond_membership::{PeerState, RequestKind};
-use dunepond_settlement::{Book, Counts, Sides, Tally, Telling, Word};
+use dunepond_settlement::{
+    Balances, BrokerPartners, CarriedCounts, CountsMessage, CountsReplication, LocalCounts,
+};
 use rand::RngExt;
 use rand::seq::IndexedRandom;
 use rand_pcg::Pcg64Mcg;
@@ -21,11 +23,11 @@
 pub struct TrafficCounts {
     pub partners: Vec<String>,
     pub carried: Arc<CarriedBytes>,
-    pub counts: Tally,
-    pub balances: Book,
-    pub sides: Sides,
+    pub counts: LocalCounts,
+    pub balances: Balances,
+    pub sides: BrokerPartners,
     pub rng: Pcg64Mcg,
-    replication: Telling,
+    replication: CountsReplication,
     next_exchange_at: f64,
 }
 
@@ -33,19 +35,19 @@
     pub fn new(
         partners: Vec<String>,
         carried: Arc<CarriedBytes>,
-        counts: Tally,
-        balances: Book,
-        sides: Sides,
+        counts: LocalCounts,
+        balances: Balances,
+        sides: BrokerPartners,
         mut rng: Pcg64Mcg,
     ) -> Self {
         // With the time: an old folder put back gives the same chance again.
-        let replication = Telling::new(rng.random::<u64>() ^ unix_seconds().to_bits());
+        let replication = CountsReplication::new(rng.random::<u64>() ^ unix_seconds().to_bits());
         Self { partners, carried, counts, balances, sides, rng, replication, next_exchange_at: 0.0 }
     }
 
     /// For `to`; the counts have to be kept already.
     pub fn message_to(&mut self, to: &str) -> Result<Vec<u8>, postcard::Error> {
-        postcard::to_stdvec(&self.replication.tell(to, self.counts.counts()))
+        postcard::to_stdvec(&self.replication.message_for(to, self.counts.counts()))
     }
 
     /// Takes in what the loop has seen since; true if there was anything.
@@ -54,7 +56,7 @@
         for (carrier, owed_by, bytes) in &seen {
             if let (Some(carrier), Some(owed_by)) = (self.partners.get(*carrier), self.partners.get(*owed_by))
             {
-                self.counts.saw(carrier, owed_by, *bytes);
+                self.counts.record(carrier, owed_by, *bytes);
             }
         }
         !seen.is_empty()
@@ -93,7 +95,7 @@
     pub(super) fn save_traffic(&mut self) -> bool {
         let counting = &mut self.traffic;
         counting.collect();
-        counting.balances.counted(monotonic_seconds(), counting.counts.counts());
+        counting.balances.update_counts(monotonic_seconds(), counting.counts.counts());
         match self.data.save_counts(&counting.counts) {
             Ok(()) => true,
             Err(e) => {
@@ -105,17 +107,19 @@
 
     pub(super) fn merge_counts(&mut self, from: &str, body: &[u8]) {
         // A program of before tells the counts alone.
-        let word = postcard::from_bytes::<Word>(body);
-        let Ok(word) = word.or_else(|_| postcard::from_bytes::<Counts>(body).map(Word::bare)) else {
+        let word = postcard::from_bytes::<CountsMessage>(body);
+        let Ok(word) =
+            word.or_else(|_| postcard::from_bytes::<CarriedCounts>(body).map(CountsMessage::counts_only))
+        else {
             return debug!("fleet: counts of {from} cannot be read");
         };
         let counting = &mut self.traffic;
-        match counting.counts.heard(from, &word.counts, &counting.sides) {
+        match counting.counts.merge_from_peer(from, &word.counts, &counting.sides) {
             Ok(left_out) => {
                 if left_out > 0 {
                     debug!("fleet: {left_out} rows that {from} told are not its to tell");
                 }
-                counting.replication.heard(from, &word, counting.counts.counts());
+                counting.replication.handle_message(from, &word, counting.counts.counts());
             }
             Err(e) => warn!("fleet: counts of {from}: {e} ({})", e.help()),
         }
--- a/crates/dunepond-control-plane/src/data_directory.rs
+++ b/crates/dunepond-control-plane/src/data_directory.rs
@@ -46,7 +46,7 @@
     pub incarnation: u64,
     pub voter_records: StoredVoter,
     pub config: Option<PersistedState>,
-    pub counts: Option<settlement::Tally>,
+    pub counts: Option<settlement::LocalCounts>,
     pub commitments: Option<Commitments>,
 }
 
@@ -229,7 +229,7 @@
     }
 
     /// Stores traffic counts, unless they are stored already; before any peer is told of them.
-    pub fn save_counts(&mut self, counts: &settlement::Tally) -> std::io::Result<()> {
+    pub fn save_counts(&mut self, counts: &settlement::LocalCounts) -> std::io::Result<()> {
         let bytes = postcard::to_stdvec(counts).map_err(std::io::Error::other)?;
         if bytes != self.last_counts {
             self.counts.write(&bytes)?;
--- a/crates/dunepond-control-plane/src/explain.rs
+++ b/crates/dunepond-control-plane/src/explain.rs
@@ -9,7 +9,7 @@
 use dunepond_consensus::{
     ChangeEnd, Command, ConfigVersion, Rejection, ReplicatedState, RolloutStep, StateChange,
 };
-use dunepond_settlement::{Agreed, Book, Fill, Need, Settlement};
+use dunepond_settlement::{Balances, Fill, FillDemand, Settlement, SettlementEntry};
 use dunepond_shard_map::MapTransition;
 
 /// Bytes of one field, and of a whole line.
@@ -149,7 +149,7 @@
                 let limit = format!("within {} s", state.config.fill_deadline_seconds);
                 Some(Self::new(Subject::Fill, &what, "the leader's filler", &limit, &weighed))
             }
-            StateChange::Settlement(Agreed::Settle(_)) | StateChange::VoterSlot(_) => None,
+            StateChange::Settlement(SettlementEntry::Settle(_)) | StateChange::VoterSlot(_) => None,
             StateChange::Quota(generation) => Some(Self::for_quota(index, *generation, state)),
             StateChange::Rebalance { plan, status } => Some(Self::for_plan(index, plan, status, state)),
             StateChange::VotersPending(number) => Some(Self::for_voters(index, *number, "begins", state)),
@@ -259,7 +259,7 @@
     }
 
     /// A fill as it is planned: why this source, among those of its need.
-    pub fn for_fill(fill: &Fill, need: Option<&Need>, book: &Book) -> Self {
+    pub fn for_fill(fill: &Fill, need: Option<&FillDemand>, book: &Balances) -> Self {
         let settles = fill.settles.as_ref().map_or(0, |settlement| settlement.bytes);
         let what =
             format!("{} from {} of {}", shortened(&fill.id), shortened(&fill.source), shortened(&fill.from));
@@ -271,7 +271,7 @@
         );
         let others = need.into_iter().flat_map(|need| &need.sources).filter(|source| source.0 != fill.source);
         let other = |(node, partner): &(String, String)| {
-            format!("{} owed {}", shortened(node), book.open(partner, &fill.to))
+            format!("{} owed {}", shortened(node), book.net_debt(partner, &fill.to))
         };
         let others = first_few(others.map(other));
         let weighed = if others.is_empty() { String::from("no other source") } else { others };
@@ -279,7 +279,7 @@
     }
 
     /// A settlement as this broker's book takes it.
-    pub fn for_settlement(settlement: &Settlement, book: &Book) -> Self {
+    pub fn for_settlement(settlement: &Settlement, book: &Balances) -> Self {
         let Settlement { id, debtor, creditor, bytes, source, .. } = settlement;
         let what = format!(
             "{}: {bytes} bytes that {} owed {}",
@@ -293,8 +293,8 @@
             format!("{gross} bytes were seen, {} of them are settled", book.settled(debtor, creditor));
         let weighed = format!(
             "{} still open, {} the other way",
-            book.open(debtor, creditor),
-            book.open(creditor, debtor)
+            book.net_debt(debtor, creditor),
+            book.net_debt(creditor, debtor)
         );
         Self::new(Subject::Settlement, &what, &word, &limit, &weighed)
     }
--- a/crates/dunepond-control-plane/src/golden.rs
+++ b/crates/dunepond-control-plane/src/golden.rs
@@ -11,7 +11,10 @@
     ConfigVersion, ExcludedNodes, Extension, PersistedState, RECOVERY_CONFIRMATION, RecoveryOrder,
     RoutingRules, StoredVoter, Voter, VoterChange, VoterInfo,
 };
-use dunepond_settlement::{Agreed, Allot, Begun, Counts, Fill, Ledger, Settlement, Shares, Sides, Tally};
+use dunepond_settlement::{
+    Allotment, BrokerPartners, CarriedCounts, Fill, LocalCounts, Settlement, SettlementEntry,
+    SettlementLedger, SharePromises, StartedFill,
+};
 use dunepond_shard_map::{KeyRange, MapConstraints as MapTerms, Replica, Segment, ShardMap};
 use dunepond_simulation::fleet::terms;
 use dunepond_storage::{DiskStore as Directory, Journal, SnapshotStore};
@@ -74,26 +77,28 @@
     }
 }
 
-fn tally() -> Tally {
-    let mut tally = Tally::open(None, "n1", 5).unwrap();
-    tally.saw("north", "south", 700);
-    tally.saw("south", "north", 300);
+fn tally() -> LocalCounts {
+    let mut tally = LocalCounts::open(None, "n1", 5).unwrap();
+    tally.record("north", "south", 700);
+    tally.record("south", "north", 300);
     // What was counted before the last start is one sum.
-    let mut tally = Tally::open(Some(tally), "n1", 6).unwrap();
-    tally.saw("north", "south", 50);
-    let mut others = Counts::new();
-    others.saw("n2", 1_790_000_000_000, "south", "north", 1 << 40);
-    tally.heard("n2", &others, &Sides::default()).unwrap();
+    let mut tally = LocalCounts::open(Some(tally), "n1", 6).unwrap();
+    tally.record("north", "south", 50);
+    let mut others = CarriedCounts::new();
+    others.record("n2", 1_790_000_000_000, "south", "north", 1 << 40);
+    tally.merge_from_peer("n2", &others, &BrokerPartners::default()).unwrap();
     tally
 }
 
-fn ledger() -> Ledger {
-    let mut ledger = Ledger::default();
+fn ledger() -> SettlementLedger {
+    let mut ledger = SettlementLedger::default();
     let parts = vec![(text("n1"), 5000), (text("fleet"), 5000)];
-    let allot = Allot { number: 0, debtor: text("north"), creditor: text("south"), debt: 10_000, parts };
-    let begun = Begun::of(&fill("7/1/s-3", Some(settlement("7/1/s-3", "fleet", 900))), 1_790_000_000);
+    let allot = Allotment { number: 0, debtor: text("north"), creditor: text("south"), debt: 10_000, parts };
+    let begun = StartedFill::new(&fill("7/1/s-3", Some(settlement("7/1/s-3", "fleet", 900))), 1_790_000_000);
     let settled = settlement("6/1/s-3", "fleet", 1000);
-    for entry in [Agreed::Allot(allot), Agreed::Settle(settled), Agreed::Begin(begun)] {
+    for entry in
+        [SettlementEntry::Allot(allot), SettlementEntry::Settle(settled), SettlementEntry::Begin(begun)]
+    {
         ledger.apply(&entry).unwrap();
     }
     ledger
@@ -101,7 +106,7 @@
 
 fn promises() -> Commitments {
     let ledger = ledger();
-    let mut shares = Shares::new("n1").unwrap();
+    let mut shares = SharePromises::new("n1").unwrap();
     let promised = settlement("7/1/s-3+1790", "n1", 400);
     shares.promise(&ledger, promised.clone()).unwrap();
     let pledged = |fill, done| CommittedFill { fill, done };
@@ -323,15 +328,21 @@
 fn messages_about_debts_are_as_before() {
     let mut shares = promises().shares;
     shares.release(&ledger(), "north", "south", 250).unwrap();
-    let due: Vec<Agreed> = shares.owing().collect();
+    let due: Vec<SettlementEntry> = shares.pending_entries().collect();
     assert_eq!(due.len(), 2);
     assert_same("bring.bin", &postcard::to_stdvec(&due).unwrap());
-    assert_eq!(postcard::from_bytes::<Vec<Agreed>>(&golden("bring.bin")).unwrap(), due);
+    assert_eq!(postcard::from_bytes::<Vec<SettlementEntry>>(&golden("bring.bin")).unwrap(), due);
 
-    let word = dunepond_settlement::Word::bare(tally().counts().clone());
+    let word = dunepond_settlement::CountsMessage::counts_only(tally().counts().clone());
     assert_same("counts-word.bin", &postcard::to_stdvec(&word).unwrap());
-    assert_eq!(postcard::from_bytes::<dunepond_settlement::Word>(&golden("counts-word.bin")).unwrap(), word);
+    assert_eq!(
+        postcard::from_bytes::<dunepond_settlement::CountsMessage>(&golden("counts-word.bin")).unwrap(),
+        word
+    );
     // One of a build that tells the counts alone.
     assert_same("counts-alone.bin", &postcard::to_stdvec(tally().counts()).unwrap());
-    assert_eq!(&postcard::from_bytes::<Counts>(&golden("counts-alone.bin")).unwrap(), tally().counts());
+    assert_eq!(
+        &postcard::from_bytes::<CarriedCounts>(&golden("counts-alone.bin")).unwrap(),
+        tally().counts()
+    );
 }
--- a/crates/dunepond-control-plane/src/slow_start.rs
+++ b/crates/dunepond-control-plane/src/slow_start.rs
@@ -1,6 +1,6 @@
 //! Slow start of nodes: how much fills may bring to a node that was started not long ago.
 
-use dunepond_settlement::{Room, bound};
+use dunepond_settlement::{NodeCapacity, max_units};
 
 /// Unit in which the bytes that a warming node is sent are counted.
 pub const COUNTING_UNIT_BYTES: u64 = 64 * 1024;
@@ -33,11 +33,11 @@
     /// What fills may bring to a node of this age in seconds: from all brokers together at most `multiple` times its
     /// present part of `rate` (bytes a second of a warm node). `part` is the ratio of that which is ours. The allowance for
     /// chance above it is left to queries.
-    pub fn fill_capacity(&self, age: f64, multiple: f64, rate: f64, part: f64) -> Room {
+    pub fn fill_capacity(&self, age: f64, multiple: f64, rate: f64, part: f64) -> NodeCapacity {
         let share =
             self.initial_share + (1.0 - self.initial_share) * (age / self.warm_up_seconds).clamp(0.0, 1.0);
         let expected = multiple * share * rate * self.window_seconds / COUNTING_UNIT_BYTES as f64 * part;
-        Room { expected, taken: bound(expected) - expected }
+        NodeCapacity { expected, taken: max_units(expected) - expected }
     }
 }
 
--- a/crates/dunepond-control-plane/src/slow_start/tests.rs
+++ b/crates/dunepond-control-plane/src/slow_start/tests.rs
@@ -1,6 +1,6 @@
 //! The capacity that fills may use of a node that warms up.
 
-use dunepond_settlement::Cold;
+use dunepond_settlement::SlowStartCapacity;
 
 use super::{COUNTING_UNIT_BYTES, SlowStartPolicy};
 
@@ -15,7 +15,7 @@
     let rate = (64 * COUNTING_UNIT_BYTES) as f64;
     let cap = |age: f64, part: f64| {
         let rooms = [("s".to_string(), warming.fill_capacity(age, 1.5, rate, part))].into();
-        Cold { window: 2.0, unit: COUNTING_UNIT_BYTES, rooms }.cap("s")
+        SlowStartCapacity { window: 2.0, unit: COUNTING_UNIT_BYTES, rooms }.rate_cap("s")
     };
     for (age, share) in [(0.0, 0.25), (5.0, 0.625), (10.0, 1.0), (99.0, 1.0)] {
         let most = 1.5 * share * rate;
--- a/crates/dunepond-control-plane/src/startup.rs
+++ b/crates/dunepond-control-plane/src/startup.rs
@@ -44,7 +44,7 @@
     audit_log: Option<AuditLog>,
 }
 
-fn settlement_error(e: settlement::DebtError) -> ControlPlaneError {
+fn settlement_error(e: settlement::SettlementError) -> ControlPlaneError {
     ControlPlaneError::Consensus { why: e.to_string(), help: e.help().to_string() }
 }
 
@@ -90,26 +90,26 @@
 }
 
 fn open_counts(
-    stored: Option<settlement::Tally>,
+    stored: Option<settlement::LocalCounts>,
     broker: &str,
     incarnation: u64,
-) -> Result<settlement::Tally, ControlPlaneError> {
-    let opened = match settlement::Tally::open(stored.clone(), broker, incarnation) {
+) -> Result<settlement::LocalCounts, ControlPlaneError> {
+    let opened = match settlement::LocalCounts::open(stored.clone(), broker, incarnation) {
         // The clock went back, and the number of starts was lost.
-        Err(settlement::DebtError::OldIncarnation { kept, .. }) => {
-            settlement::Tally::open(stored, broker, kept + 1)
+        Err(settlement::SettlementError::OldIncarnation { kept, .. }) => {
+            settlement::LocalCounts::open(stored, broker, kept + 1)
         }
         other => other,
     };
     opened.map_err(settlement_error)
 }
 
-fn partner_sides(partners: &[Partner]) -> settlement::Sides {
+fn partner_sides(partners: &[Partner]) -> settlement::BrokerPartners {
     let brokers = |p: &Partner| {
         let name = p.name.clone();
         p.brokers.clone().into_iter().map(move |broker| (broker, name.clone()))
     };
-    settlement::Sides {
+    settlement::BrokerPartners {
         partner_of: partners.iter().flat_map(brokers).collect(),
         metered: partners.iter().filter(|p| p.metered).map(|p| p.name.clone()).collect(),
     }
@@ -154,13 +154,16 @@
             lane,
             self.client.clone(),
             self.ended.clone(),
-            settlement::Planner::new(by, settlement::Rule::MaxMin, rng.random()),
-            settlement::Links {
+            settlement::FillPlanner::new(by, settlement::PlanningRule::MaxMin, rng.random()),
+            settlement::LinkCapacities {
                 caps: self.link_rates.clone(),
                 unstated: self.default_link_rate,
                 inside: f64::INFINITY,
             },
-            settlement::Patience { deadline: self.deadline_seconds, ..settlement::Patience::default() },
+            settlement::FillRetryPolicy {
+                deadline: self.deadline_seconds,
+                ..settlement::FillRetryPolicy::default()
+            },
             self.segment_bytes,
             self.max_concurrent,
             Pcg64Mcg::seed_from_u64(rng.random()),
@@ -228,8 +231,9 @@
     };
     member.set_known_settlements(commitments.applied_entries);
     let fill_rate = config.fills.as_ref().map_or(f64::MAX, |fills| fills.bytes_per_second as f64);
-    let balance_terms = settlement::Terms { most_rate: fill_rate, ..settlement::Terms::default() };
-    let balances = settlement::Book::new(balance_terms, sides.clone(), commitments.ledger.clone())
+    let balance_terms =
+        settlement::SettlementTerms { most_rate: fill_rate, ..settlement::SettlementTerms::default() };
+    let balances = settlement::Balances::new(balance_terms, sides.clone(), commitments.ledger.clone())
         .map_err(settlement_error)?;
     let (fill_ended, finished_fills) = unbounded();
     let setup = FillSetup::new(&config, doubles.fill_client, fill_ended);
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -14,7 +14,7 @@
     AuditEvent, AuditRecord, ControlPlane, ControlPlaneConfig, FillClient, FillConfig, FillError,
     FillRequest, FillResult, Partner, SlowStartPolicy, StartedNode, TestDoubles, monotonic_seconds, start,
 };
-use dunepond_settlement::Tally;
+use dunepond_settlement::LocalCounts;
 use dunepond_shard_map::Node;
 use dunepond_storage::{FileStore, SnapshotStore};
 use dunepond_testkit::files::{Mem, Plan};
@@ -77,8 +77,8 @@
             lives: 0,
         };
         // What north owes, as a folder holds it.
-        let mut tally = Tally::open(None, "n1", 1).unwrap();
-        tally.saw("south", "north", OWED);
+        let mut tally = LocalCounts::open(None, "n1", 1).unwrap();
+        tally.record("south", "north", OWED);
         let mut counts = SnapshotStore::new(Arc::new(one.files.clone()) as Arc<dyn FileStore>, "counts", 1);
         counts.write(&postcard::to_stdvec(&tally).unwrap()).unwrap();
         one
@@ -244,7 +244,7 @@
 fn owed(one: &One) -> u64 {
     let counts = SnapshotStore::new(Arc::new(one.files.clone()) as Arc<dyn FileStore>, "counts", 1);
     let newest = counts.load().unwrap().newest.unwrap();
-    let tally: Tally = postcard::from_bytes(&newest.bytes).unwrap();
+    let tally: LocalCounts = postcard::from_bytes(&newest.bytes).unwrap();
     assert_eq!(tally.counts().total("north", "south"), 0);
     tally.counts().total("south", "north")
 }
@@ -340,7 +340,7 @@
     fleet.handle().reload_version(Some(one.version(2, 1, true)));
     wait("an order", || !one.nodes.asked.lock().unwrap().is_empty());
     fleet.stop();
-    let none = Tally::open(None, "n1", 1).unwrap();
+    let none = LocalCounts::open(None, "n1", 1).unwrap();
     let mut counts = SnapshotStore::new(Arc::new(one.files.clone()) as Arc<dyn FileStore>, "counts", 1);
     counts.write(&postcard::to_stdvec(&none).unwrap()).unwrap();
     one.nodes.held.store(false, Ordering::Relaxed);
--- a/crates/dunepond-control-plane/tests/golden.rs
+++ b/crates/dunepond-control-plane/tests/golden.rs
@@ -15,7 +15,7 @@
 use dunepond_control_plane::{
     AuditEvent, AuditPhase, AuditRecord, FillClient, FillRequest, FillResult, HttpFillClient,
 };
-use dunepond_settlement::{Book, Counts, Fill, Ledger, Settlement, Sides};
+use dunepond_settlement::{Balances, BrokerPartners, CarriedCounts, Fill, Settlement, SettlementLedger};
 use dunepond_simulation::fleet::{map, terms, version};
 use tracing::field::{Field, Visit};
 use tracing::span::{Attributes, Id, Record};
@@ -231,11 +231,15 @@
     let filled = Command::FillCompleted { number: 2, segment: 0, holder: text("cold2") };
     propose(&mut voter, &mut now, filled);
 
-    let mut book =
-        Book::new(dunepond_settlement::Terms::default(), Sides::default(), Ledger::default()).unwrap();
-    let mut counts = Counts::new();
-    counts.saw("n1", 1, "south", "north", 700);
-    book.counted(0.0, &counts);
+    let mut book = Balances::new(
+        dunepond_settlement::SettlementTerms::default(),
+        BrokerPartners::default(),
+        SettlementLedger::default(),
+    )
+    .unwrap();
+    let mut counts = CarriedCounts::new();
+    counts.record("n1", 1, "south", "north", 700);
+    book.update_counts(0.0, &counts);
     let settlement = Settlement {
         id: text("2/0/s-3@fleet"),
         debtor: text("north"),
--- a/crates/dunepond-control-plane/tests/why.rs
+++ b/crates/dunepond-control-plane/tests/why.rs
@@ -6,7 +6,9 @@
     Voter,
 };
 use dunepond_control_plane::explain::{Explanation, MAX_LINE_BYTES, ProposedEntry, Subject};
-use dunepond_settlement::{Book, Counts, Fill, Ledger, Need, Settlement, Sides};
+use dunepond_settlement::{
+    Balances, BrokerPartners, CarriedCounts, Fill, FillDemand, Settlement, SettlementLedger,
+};
 use dunepond_simulation::fleet::{map, terms, version};
 
 /// One voter, alone, whose log holds what is proposed.
@@ -112,17 +114,21 @@
     assert!(why.limit.contains("next number is 1") && why.alternatives.contains("in force 0"), "{why}");
 }
 
-fn book() -> Book {
-    let mut book =
-        Book::new(dunepond_settlement::Terms::default(), Sides::default(), Ledger::default()).unwrap();
-    let mut counts = Counts::new();
-    counts.saw("n1", 1, "south", "north", 700);
-    counts.saw("n1", 1, "south", "west", 300);
-    book.counted(0.0, &counts);
+fn book() -> Balances {
+    let mut book = Balances::new(
+        dunepond_settlement::SettlementTerms::default(),
+        BrokerPartners::default(),
+        SettlementLedger::default(),
+    )
+    .unwrap();
+    let mut counts = CarriedCounts::new();
+    counts.record("n1", 1, "south", "north", 700);
+    counts.record("n1", 1, "south", "west", 300);
+    book.update_counts(0.0, &counts);
     book
 }
 
-fn fill(name: &str) -> (Fill, Need) {
+fn fill(name: &str) -> (Fill, FillDemand) {
     let text = |text: &str| text.to_string();
     let settles = Settlement {
         id: format!("2/0/{name}@fleet"),
@@ -146,7 +152,7 @@
     };
     let sources =
         vec![(text("s1"), text("north")), (format!("{name}-2"), text("west")), (text("s3"), text("east"))];
-    let need = Need {
+    let need = FillDemand {
         version: 2,
         start: 0,
         segment: 0,
--- a/crates/dunepond-settlement/src/counts.rs
+++ b/crates/dunepond-settlement/src/counts.rs
@@ -1,18 +1,18 @@
-//! What brokers saw: a state-based CRDT that only grows.
+//! What brokers saw of the traffic between partners: a state-based CRDT that only grows.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crdts::{CmRDT, CvRDT, VClock};
 use serde::{Deserialize, Serialize};
 
-use crate::DebtError;
+use crate::SettlementError;
 
-/// Unfolded incarnations of one broker that are kept; more only come from starts without a folder.
-const MOST_LIVE: usize = 16;
+/// Incarnations of one broker that are retained unfolded; more only come from starts without a folder.
+const MAX_LIVE_COUNT: usize = 16;
 /// Cells (broker, incarnation, pair) in one message from a peer.
-const MOST_CELLS: usize = 100_000;
+const MAX_CELL_COUNT: usize = 100_000;
 
-/// Carrier, then who owes it, then bytes. The join of counters by their greater value is the library's.
+/// Carrier, then who owes it, then bytes. The library joins counters by their greater value.
 type Carried = BTreeMap<String, VClock<String>>;
 
 fn join(into: &mut Carried, other: &Carried) {
@@ -21,7 +21,7 @@
     }
 }
 
-/// Adds cell by cell: for counts of different incarnations only, where nothing is counted in both.
+/// Adds cell by cell; only for different incarnations, which count nothing twice.
 fn add(into: &mut Carried, other: &Carried) {
     for (carrier, owed) in other {
         let into = into.entry(carrier.clone()).or_default();
@@ -36,18 +36,18 @@
     owed.apply(crdts::Dot::new(owed_by.to_string(), sum));
 }
 
-/// Is there a cell that `other` knows higher?
+/// Whether `other` has a cell that is higher.
 fn behind(mine: &Carried, other: &Carried) -> bool {
     other.iter().any(|(carrier, owed)| {
         owed.iter().any(|dot| mine.get(carrier).map_or(0, |mine| mine.get(dot.actor)) < dot.counter)
     })
 }
 
-/// One broker's counts: those of the incarnations before `through` in one sum, the rest each for itself.
+/// One broker's counts: incarnations before `through` folded into one sum, the others each by itself.
 ///
-/// A join of rows is lexicographic: the greater `through` brings its sum with it, and what stands below it falls away. A
-/// chain above a semilattice is a semilattice, so late and doubled rows change nothing, whatever they hold. That the sum
-/// loses nothing is the work of the one hand that folds; see [`Tally::open`].
+/// A join of rows is lexicographic: the greater `through` replaces the sum, and drops the incarnations below it. A chain of
+/// semilattices is a semilattice, so late and duplicated rows change nothing. That the sum loses nothing is ensured by the
+/// only writer that folds; see [`LocalCounts::open`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Row {
     through: u64,
@@ -90,25 +90,26 @@
     }
 }
 
-/// Of a row: the first incarnation not folded, incarnations, bytes. A join can only raise it, and raises it whenever the row
-/// has changed, so that it stands for the row where only a change is asked for.
+/// Of a row: first unfolded incarnation, number of incarnations, bytes. A join can only raise it, and raises it whenever
+/// the row changes, so comparing heights detects a change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Height(u64, usize, u128);
 
 /// Bytes that each partner carried for each other, as each broker saw it. Merging is commutative, associative and
 /// idempotent, so rows may come in any order, doubled and late.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct CarriedCounts {
     rows: BTreeMap<String, Row>,
 }
 
-impl Counts {
-    pub fn new() -> Counts {
-        Counts::default()
+impl CarriedCounts {
+    /// Of nothing.
+    pub fn new() -> CarriedCounts {
+        CarriedCounts::default()
     }
 
-    /// `carrier` carried so many bytes for a customer of `owed_by`, as `broker` saw in its present incarnation.
-    pub fn saw(&mut self, broker: &str, incarnation: u64, carrier: &str, owed_by: &str, bytes: u64) {
+    /// `carrier` carried so many bytes for a tenant of `owed_by`, as `broker` saw in its present incarnation.
+    pub fn record(&mut self, broker: &str, incarnation: u64, carrier: &str, owed_by: &str, bytes: u64) {
         if carrier == owed_by || bytes == 0 {
             return;
         }
@@ -120,23 +121,32 @@
         raise(carried.entry(carrier.to_string()).or_default(), owed_by, bytes);
     }
 
-    pub fn merge(&mut self, other: &Counts) {
+    /// Joins counts of any origin.
+    pub fn merge(&mut self, other: &CarriedCounts) {
         for (broker, row) in &other.rows {
             self.rows.entry(broker.clone()).or_default().merge(row);
         }
     }
 
-    /// Merges what a peer sent. A row of one partner's broker is taken from that side, or from brokers of no side, and
-    /// never from another partner: nobody writes what its debtor saw. Says how many rows were left out.
-    pub fn merge_from(&mut self, from: &str, other: &Counts, sides: &Sides) -> Result<usize, DebtError> {
-        let cells = other.cells();
-        if cells > MOST_CELLS {
+    /// Joins what a peer sent. A row of one partner's broker is accepted from that partner, or from brokers of no partner,
+    /// and never from another one: nobody writes what its debtor saw. Returns how many rows were rejected.
+    ///
+    /// # Errors
+    /// The message has too many cells; nothing was joined.
+    pub fn merge_from(
+        &mut self,
+        from: &str,
+        other: &CarriedCounts,
+        sides: &BrokerPartners,
+    ) -> Result<usize, SettlementError> {
+        let cells = other.cell_count();
+        if cells > MAX_CELL_COUNT {
             let (from, brokers) = (from.to_string(), other.rows.len());
-            return Err(DebtError::TooMany { from, brokers, cells, most: MOST_CELLS });
+            return Err(SettlementError::TooMany { from, brokers, cells, most: MAX_CELL_COUNT });
         }
         let mut left_out = 0;
         for (broker, row) in &other.rows {
-            match sides.may_tell(from, broker) {
+            match sides.may_send(from, broker) {
                 true => self.rows.entry(broker.clone()).or_default().merge(row),
                 false => left_out += 1,
             }
@@ -148,9 +158,9 @@
         self.rows.iter().map(|(broker, row)| (broker.as_str(), row.height()))
     }
 
-    pub(crate) fn rows_where(&self, is_so: impl Fn(&str) -> bool) -> Counts {
+    pub(crate) fn rows_where(&self, is_so: impl Fn(&str) -> bool) -> CarriedCounts {
         let rows = self.rows.iter().filter(|(broker, _)| is_so(broker));
-        Counts { rows: rows.map(|(broker, row)| (broker.clone(), row.clone())).collect() }
+        CarriedCounts { rows: rows.map(|(broker, row)| (broker.clone(), row.clone())).collect() }
     }
 
     pub(crate) fn height(&self, broker: &str) -> Option<Height> {
@@ -162,14 +172,14 @@
         self.total_of(carrier, owed_by, |_| true)
     }
 
-    /// Bytes that the brokers named saw.
+    /// Bytes that the selected brokers saw.
     pub fn total_of(&self, carrier: &str, owed_by: &str, of: impl Fn(&str) -> bool) -> u64 {
         let rows = self.rows.iter().filter(|(broker, _)| of(broker));
         let cells = rows.flat_map(|(_, row)| row.parts()).filter_map(|carried| carried.get(carrier));
         cells.fold(0u64, |sum, owed| sum.saturating_add(owed.dots.get(owed_by).copied().unwrap_or(0)))
     }
 
-    /// Each ordered pair (carrier, owed by) of which anything was seen.
+    /// Each ordered pair (carrier, owed by) with a count.
     pub fn pairs(&self) -> Vec<(String, String)> {
         let carried = self.rows.values().flat_map(Row::parts).flatten();
         let pairs =
@@ -180,84 +190,102 @@
         pairs
     }
 
-    /// What it takes in memory: cells of broker, incarnation and pair.
-    pub fn cells(&self) -> usize {
+    /// Cells of broker, incarnation and pair: the size in memory.
+    pub fn cell_count(&self) -> usize {
         let carried = self.rows.values().flat_map(Row::parts).flatten();
         carried.map(|(_, owed)| owed.dots.len()).sum()
     }
 }
 
-/// Which partner a broker belongs to; one that stands nowhere serves customers of all, and is a witness for both.
+/// Which partner a broker belongs to. A broker of no partner serves tenants of all, and is a witness for both sides.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sides {
+pub struct BrokerPartners {
+    /// By broker.
     pub partner_of: BTreeMap<String, String>,
-    /// Partners whose brokers also count what their own nodes carry. Stated, and not guessed from what has come so far: a
-    /// debt would fall when a first count came late.
+    /// Partners whose brokers also count what their own nodes carry. Configured, and not derived from the counts so far: a
+    /// debt would shrink when a first count came late.
     pub metered: BTreeSet<String>,
 }
 
-impl Sides {
-    pub fn of(&self, broker: &str) -> Option<&str> {
+impl BrokerPartners {
+    /// Partner of the broker.
+    pub fn partner(&self, broker: &str) -> Option<&str> {
         self.partner_of.get(broker).map(String::as_str)
     }
 
-    /// May `from` tell what `broker` saw?
-    fn may_tell(&self, from: &str, broker: &str) -> bool {
-        match (self.of(broker), self.of(from)) {
+    /// Whether `from` may send what `broker` saw.
+    fn may_send(&self, from: &str, broker: &str) -> bool {
+        match (self.partner(broker), self.partner(from)) {
             (Some(side), Some(teller)) => side == teller,
             _ => true,
         }
     }
 }
 
-/// One broker's hand on the counts, as it stands in its folder.
+/// One broker's own counts, as its folder holds them.
 ///
-/// What the host has to keep: *a tally is saved before it is told to a peer*. Then nobody ever knows more of a finished
-/// incarnation than its folder does, and the fold at the next start is whole.
+/// Invariant of the host: *they are stored before they are sent to a peer*. Then nobody ever knows more of a finished
+/// incarnation than the folder does, and the fold at the next start loses nothing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct LocalCounts {
     broker: String,
     incarnation: u64,
-    /// The first incarnation since which the folder has been kept without a gap.
+    /// Since this incarnation the folder has had no gap.
     first: u64,
-    counts: Counts,
+    counts: CarriedCounts,
 }
 
-impl Tally {
-    /// At a start, with what the folder had. Finished incarnations fold into one sum, which only the broker itself
-    /// does, once, and only with those that its own folder saw from their beginning to their end. Those that it knows
-    /// from others alone (its folder was lost) may not be whole yet: they stay as they are, and with them what follows,
-    /// up to [`MOST_LIVE`]; beyond that they are folded as heard, and what was still on its way is lost, never doubled.
-    pub fn open(saved: Option<Tally>, broker: &str, incarnation: u64) -> Result<Tally, DebtError> {
+impl LocalCounts {
+    /// At a start, with what the folder had. Finished incarnations are folded into one sum: only by the broker itself, once,
+    /// and only those that its own folder saw from beginning to end. Incarnations that it knows from peers alone (its folder
+    /// was lost) may be incomplete: they stay unfolded, and with them the later ones, up to [`MAX_LIVE_COUNT`]. Beyond that
+    /// they are folded as known; what was still in flight is lost, never counted twice.
+    ///
+    /// # Errors
+    /// The folder is another broker's, or newer than this start.
+    pub fn open(
+        saved: Option<LocalCounts>,
+        broker: &str,
+        incarnation: u64,
+    ) -> Result<LocalCounts, SettlementError> {
         let Some(mut tally) = saved else {
-            let (broker, counts) = (broker.to_string(), Counts::new());
-            return Ok(Tally { broker, incarnation, first: incarnation, counts });
+            let (broker, counts) = (broker.to_string(), CarriedCounts::new());
+            return Ok(LocalCounts { broker, incarnation, first: incarnation, counts });
         };
         if tally.broker != broker {
-            return Err(DebtError::OtherBroker { kept: tally.broker, broker: broker.to_string() });
+            return Err(SettlementError::OtherBroker { kept: tally.broker, broker: broker.to_string() });
         }
         if tally.incarnation >= incarnation {
             let (broker, kept) = (tally.broker, tally.incarnation);
-            return Err(DebtError::OldIncarnation { broker, incarnation, kept });
+            return Err(SettlementError::OldIncarnation { broker, incarnation, kept });
         }
         tally.incarnation = incarnation;
         if let Some(row) = tally.counts.rows.get_mut(broker) {
             let sure = row.live.keys().next().is_none_or(|oldest| *oldest >= tally.first);
-            if sure || row.live.len() > MOST_LIVE {
+            if sure || row.live.len() > MAX_LIVE_COUNT {
                 row.fold(incarnation);
             }
         }
         Ok(tally)
     }
 
-    pub fn saw(&mut self, carrier: &str, owed_by: &str, bytes: u64) {
-        self.counts.saw(&self.broker, self.incarnation, carrier, owed_by, bytes);
+    /// Counts traffic in this incarnation.
+    pub fn record(&mut self, carrier: &str, owed_by: &str, bytes: u64) {
+        self.counts.record(&self.broker, self.incarnation, carrier, owed_by, bytes);
     }
 
-    /// Merges what a peer told; see [`Counts::merge_from`]. Where others know more of this very incarnation than we do, the
-    /// folder was an old one: we go on under a number that nobody has heard of, so that no count hides below another.
-    pub fn heard(&mut self, from: &str, other: &Counts, sides: &Sides) -> Result<usize, DebtError> {
-        let ours = other.rows.get(&self.broker).filter(|_| sides.may_tell(from, &self.broker));
+    /// Joins what a peer sent; see [`CarriedCounts::merge_from`]. Where peers know more of this very incarnation, the folder
+    /// was an old copy: a new incarnation begins, so that no count hides below another.
+    ///
+    /// # Errors
+    /// As there.
+    pub fn merge_from_peer(
+        &mut self,
+        from: &str,
+        other: &CarriedCounts,
+        sides: &BrokerPartners,
+    ) -> Result<usize, SettlementError> {
+        let ours = other.rows.get(&self.broker).filter(|_| sides.may_send(from, &self.broker));
         let newest = ours.and_then(|theirs| {
             let newest = theirs.newest()?;
             let none = Carried::new();
@@ -273,10 +301,12 @@
         Ok(left_out)
     }
 
-    pub fn counts(&self) -> &Counts {
+    /// Of all brokers, as far as known.
+    pub fn counts(&self) -> &CarriedCounts {
         &self.counts
     }
 
+    /// The present incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
--- a/crates/dunepond-settlement/src/error.rs
+++ b/crates/dunepond-settlement/src/error.rs
@@ -1,68 +1,189 @@
-//! What can be wrong, and what an operator can do about it.
+//! Why an entry, a message or a setting is rejected, and what an operator can do about it.
 
 use thiserror::Error;
 
+/// Something was rejected; nothing changed by it.
 #[derive(Clone, Debug, PartialEq, Error)]
-pub enum DebtError {
+pub enum SettlementError {
+    /// A name is not usable in ids.
     #[error("the name {name:?} is empty or holds '@'")]
-    Name { name: String },
+    Name {
+        /// As given.
+        name: String,
+    },
+    /// The folder belongs to another broker.
     #[error("the folder holds the counts of broker {kept}, this is {broker}")]
-    OtherBroker { kept: String, broker: String },
+    OtherBroker {
+        /// In the folder.
+        kept: String,
+        /// This broker.
+        broker: String,
+    },
+    /// The folder is newer than this start.
     #[error("broker {broker} starts as incarnation {incarnation}, its folder already holds {kept}")]
-    OldIncarnation { broker: String, incarnation: u64, kept: u64 },
+    OldIncarnation {
+        /// This broker.
+        broker: String,
+        /// Of this start.
+        incarnation: u64,
+        /// In the folder.
+        kept: u64,
+    },
+    /// A message has more cells than are accepted.
     #[error("counts of {brokers} brokers and {cells} pairs came from {from}, at most {most} are taken")]
-    TooMany { from: String, brokers: usize, cells: usize, most: usize },
+    TooMany {
+        /// Sender.
+        from: String,
+        /// In the message.
+        brokers: usize,
+        /// In the message.
+        cells: usize,
+        /// Upper limit.
+        most: usize,
+    },
+    /// A term is out of range.
     #[error("terms of debts: {key} is {value}, wanted is {wanted}")]
-    Terms { key: &'static str, value: f64, wanted: &'static str },
+    Terms {
+        /// In the operator's file.
+        key: &'static str,
+        /// As configured.
+        value: f64,
+        /// Expected.
+        wanted: &'static str,
+    },
+    /// The fill has settled otherwise.
     #[error("settlement {id}: fill {fill} has settled already, as {before}")]
-    Contradicts { id: String, fill: String, before: String },
+    Contradicts {
+        /// Of the settlement.
+        id: String,
+        /// Its id.
+        fill: String,
+        /// The settlement that counts.
+        before: String,
+    },
+    /// The version is closed.
     #[error("settlement {id} belongs to version {version:?}, versions before {floor} are closed")]
-    Closed { id: String, version: Option<u64>, floor: u64 },
+    Closed {
+        /// Of the settlement.
+        id: String,
+        /// Of the settlement.
+        version: Option<u64>,
+        /// The first open version.
+        floor: u64,
+    },
+    /// The settlement exceeds its broker's share.
     #[error(
         "settlement {id} takes {bytes} off what {debtor} owes {creditor}; the share of {by} has {left} left"
     )]
-    PastShare { id: String, by: String, debtor: String, creditor: String, bytes: u64, left: u64 },
+    PastShare {
+        /// Of the settlement.
+        id: String,
+        /// Broker.
+        by: String,
+        /// Partner that owes.
+        debtor: String,
+        /// Partner that is owed.
+        creditor: String,
+        /// Amount.
+        bytes: u64,
+        /// Amount that is left.
+        left: u64,
+    },
+    /// Shares would exceed the debt.
     #[error("shares of {wanted} in what {debtor} owes {creditor}, a debt of {debt}")]
-    PastDebt { debtor: String, creditor: String, wanted: u64, debt: u64 },
+    PastDebt {
+        /// Partner that owes.
+        debtor: String,
+        /// Partner that is owed.
+        creditor: String,
+        /// Expected.
+        wanted: u64,
+        /// Amount that is owed.
+        debt: u64,
+    },
+    /// More would be returned than is left.
     #[error("{by} gives back {bytes} of its share in what {debtor} owes {creditor}, and has {left}")]
-    PastRelease { by: String, debtor: String, creditor: String, bytes: u64, left: u64 },
+    PastRelease {
+        /// Broker.
+        by: String,
+        /// Partner that owes.
+        debtor: String,
+        /// Partner that is owed.
+        creditor: String,
+        /// Amount.
+        bytes: u64,
+        /// Amount that is left.
+        left: u64,
+    },
+    /// The proposer has skipped an entry.
     #[error("an entry about {debtor} and {creditor} with the number {number}, {wanted} is next")]
-    Ahead { debtor: String, creditor: String, number: u64, wanted: u64 },
+    Ahead {
+        /// Partner that owes.
+        debtor: String,
+        /// Partner that is owed.
+        creditor: String,
+        /// Of the entry.
+        number: u64,
+        /// Expected.
+        wanted: u64,
+    },
+    /// The entry moves nothing.
     #[error("an entry of {bytes} bytes between {debtor} and {creditor} moves nothing")]
-    Nothing { debtor: String, creditor: String, bytes: u64 },
+    Nothing {
+        /// Partner that owes.
+        debtor: String,
+        /// Partner that is owed.
+        creditor: String,
+        /// Amount.
+        bytes: u64,
+    },
+    /// The event is impossible in this state.
     #[error("fill {fill} is {state}, which cannot be followed by {event}")]
-    Step { fill: String, state: &'static str, event: &'static str },
+    Step {
+        /// Its id.
+        fill: String,
+        /// Of the fill.
+        state: &'static str,
+        /// That came.
+        event: &'static str,
+    },
 }
 
-impl DebtError {
+impl SettlementError {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            DebtError::Name { .. } => "name every broker in `fleet` by letters, digits and dashes",
-            DebtError::OtherBroker { .. } => "give each broker a folder of its own, or clear this one",
-            DebtError::OldIncarnation { .. } => {
+            SettlementError::Name { .. } => "name every broker in `fleet` by letters, digits and dashes",
+            SettlementError::OtherBroker { .. } => "give each broker a folder of its own, or clear this one",
+            SettlementError::OldIncarnation { .. } => {
                 "the folder is newer than the start counter: do not put back one without the other"
             }
-            DebtError::TooMany { .. } => "look at the peer named: a broker sends rows for brokers that exist",
-            DebtError::Terms { .. } => "put the key named right in the operator's file",
-            DebtError::Contradicts { .. } => {
+            SettlementError::TooMany { .. } => {
+                "look at the peer named: a broker sends rows for brokers that exist"
+            }
+            SettlementError::Terms { .. } => "put the key named right in the operator's file",
+            SettlementError::Contradicts { .. } => {
                 "nothing is lost, the first settlement stands; a fill was carried out twice, look for a filler that is slow to answer"
             }
-            DebtError::Closed { .. } => {
+            SettlementError::Closed { .. } => {
                 "the broker was away for whole versions; its debt stays open and is paid by a later fill"
             }
-            DebtError::PastShare { .. } => "split more of the debt (an `Allot` entry) before the next fill",
-            DebtError::PastDebt { .. } => {
+            SettlementError::PastShare { .. } => {
+                "split more of the debt (an `Allot` entry) before the next fill"
+            }
+            SettlementError::PastDebt { .. } => {
                 "let the counts merge first; who proposes sees a smaller debt than it splits"
             }
-            DebtError::PastRelease { .. } => {
+            SettlementError::PastRelease { .. } => {
                 "only the broker itself may give back, and only what it has not spent"
             }
-            DebtError::Ahead { .. } => {
+            SettlementError::Ahead { .. } => {
                 "the proposer has not applied the log; it has to catch up and propose again"
             }
-            DebtError::Nothing { .. } => "a fault of the proposer: it names one partner twice, or no bytes",
-            DebtError::Step { .. } => {
+            SettlementError::Nothing { .. } => {
+                "a fault of the proposer: it names one partner twice, or no bytes"
+            }
+            SettlementError::Step { .. } => {
                 "a fault of the host, or a filler that answers twice: nothing was changed"
             }
         }
--- a/crates/dunepond-settlement/src/fair.rs
+++ b/crates/dunepond-settlement/src/fairness.rs
@@ -1,7 +1,7 @@
-//! Fair shares: max-min of amounts, max-min of rates over shared links, and the index by which spreads are judged.
+//! Max-min fairness of amounts, and of rates over shared resources; Jain's index.
 
-/// Max-min of one amount: nobody gets more than demanded, and nobody could get more without one that has no more than
-/// it getting less. What does not divide goes one by one to the first.
+/// Max-min fair split of `capacity`: nobody gets more than demanded, and nobody could get more without somebody with no
+/// more than it getting less. A remainder goes to the first ones, one unit each.
 pub fn max_min(demands: &[u64], capacity: u64) -> Vec<u64> {
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|&i| (demands[i], i));
@@ -10,7 +10,7 @@
     for (at, &i) in order.iter().enumerate() {
         let share = left / (demands.len() - at) as u64;
         if demands[i] > share {
-            // The level is found: all the rest want more than it.
+            // All the others demand more than an even share.
             let mut rest = order[at..].to_vec();
             rest.sort_unstable();
             let mut over = left - share * rest.len() as u64;
@@ -27,9 +27,9 @@
     given
 }
 
-/// Max-min of rates by progressive filling: all flows grow alike until one of their resources is full, those stop,
-/// the rest grow on. `flows` names each one's resources, `caps` what each resource bears.
-pub fn rates(flows: &[Vec<usize>], caps: &[f64]) -> Vec<f64> {
+/// Max-min fair rates by progressive filling: all flows grow alike until a resource is full, its flows stop, the others
+/// grow on. `flows` lists the resources of each flow, `caps` the capacity of each resource.
+pub fn max_min_rates(flows: &[Vec<usize>], caps: &[f64]) -> Vec<f64> {
     let mut rates = vec![0.0; flows.len()];
     let mut left = caps.to_vec();
     let mut growing: Vec<usize> = (0..flows.len()).collect();
@@ -42,7 +42,7 @@
         let Some(tight) =
             tight.min_by(|&a, &b| (left[a] / users[a] as f64).total_cmp(&(left[b] / users[b] as f64)))
         else {
-            // Nothing bounds what is left.
+            // No resource limits the remaining flows.
             growing.iter().for_each(|&flow| rates[flow] = f64::INFINITY);
             break;
         };
@@ -57,8 +57,8 @@
     rates
 }
 
-/// Jain's index: 1 where all are alike, 1/n where one has it all.
-pub fn jain(values: &[f64]) -> f64 {
+/// Jain's fairness index: 1 where all are equal, 1/n where one has everything.
+pub fn jain_index(values: &[f64]) -> f64 {
     let (sum, squares) = values.iter().fold((0.0, 0.0), |(s, q), v| (s + v, q + v * v));
     if squares == 0.0 { 1.0 } else { sum * sum / (values.len() as f64 * squares) }
 }
--- a/crates/dunepond-settlement/src/fill.rs
+++ b/crates/dunepond-settlement/src/fill.rs
@@ -1,242 +1,289 @@
-//! One fill, from its plan to its end: a machine that is told what happened and says what to do.
+//! One fill, from its plan to its end: a state machine that takes events and returns actions.
 
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
 
-use crate::{DebtError, Settlement};
+use crate::{Settlement, SettlementError};
 
-/// Brings a holder to warmth from one source.
+/// Limits the exponent of the backoff, which is capped long before.
+const MAX_DOUBLINGS: u32 = 30;
+
+/// Fills a node from one source.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fill {
-    /// `VERSION/SEGMENT/HOLDER`: the same need has the same id, whoever plans it and how often.
+    /// `VERSION/SEGMENT/NODE`: the same demand has the same id, whoever plans it and however often.
     pub id: String,
+    /// Id of the segment.
     pub segment: u64,
+    /// Node to fill.
     pub holder: String,
+    /// Node to fill it from.
     pub source: String,
-    /// The partners of source and holder.
+    /// Partner of the source.
     pub from: String,
+    /// Partner of the filled node.
     pub to: String,
+    /// Size of the segment.
     pub bytes: u64,
     /// Bytes a second, at most.
     pub rate: f64,
-    /// What it pays off, to be proposed when it is done. Only the rest of `bytes` is counted as carried.
+    /// What it pays off, to be proposed when it is complete. Only the rest of `bytes` counts as carried.
     pub settles: Option<Settlement>,
 }
 
 impl Fill {
+    /// Id of the fill of a demand.
     pub fn id_of(version: u64, segment: u64, holder: &str) -> String {
         format!("{version}/{segment}/{holder}")
     }
 
-    /// Bytes that are a new debt of `to` towards `from`: to be counted by [`crate::Tally::saw`] when it is done.
-    pub fn unsettled(&self) -> u64 {
+    /// Bytes that are a new debt of `to` towards `from`, for [`crate::LocalCounts::record`] when the fill is complete.
+    pub fn unsettled_bytes(&self) -> u64 {
         self.bytes - self.settles.as_ref().map_or(0, |settlement| settlement.bytes.min(self.bytes))
     }
 
-    /// Seconds that it takes at its rate.
-    pub fn lasts(&self) -> f64 {
+    /// At its rate.
+    pub fn duration_seconds(&self) -> f64 {
         self.bytes as f64 / self.rate
     }
 }
 
-/// How long a fill is waited for, and how often it is tried.
+/// How often a fill is attempted, and how long it may take.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Patience {
-    /// Seconds from the plan on after which it is withdrawn, and with it the version that needs it.
+pub struct FillRetryPolicy {
+    /// Seconds from its plan after which the fill is withdrawn.
     pub deadline: f64,
-    /// A try may take so many times what its rate makes of it, and this many seconds at least.
+    /// Timeout of an attempt, as a multiple of its duration at the planned rate.
     pub factor: f64,
+    /// Minimum timeout of an attempt, in seconds.
     pub least: f64,
-    /// Seconds before the second try; doubled with each further one up to `longest`, half of it by chance.
+    /// Backoff before the second attempt, in seconds; doubled with each further one, half of it random.
     pub pause: f64,
+    /// Maximum backoff, in seconds.
     pub longest: f64,
-    /// Tries at most.
+    /// Maximum number of attempts.
     pub tries: u32,
 }
 
-impl Default for Patience {
-    fn default() -> Patience {
-        Patience { deadline: 3600.0, factor: 2.0, least: 5.0, pause: 1.0, longest: 60.0, tries: 8 }
+impl Default for FillRetryPolicy {
+    fn default() -> FillRetryPolicy {
+        FillRetryPolicy { deadline: 3600.0, factor: 2.0, least: 5.0, pause: 1.0, longest: 60.0, tries: 8 }
     }
 }
 
+/// Where a fill is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum State {
-    /// Not to be begun before this time.
+pub enum FillState {
+    /// Waits for its next attempt.
     Planned {
+        /// The attempt does not start before.
         not_before: f64,
     },
-    /// Given up at this time, as far as this try goes.
+    /// An attempt is running.
     UnderWay {
+        /// The attempt times out then.
         until: f64,
     },
+    /// The node is filled.
     Done,
-    /// All tries have failed; another source may be planned.
+    /// All attempts failed; another source may be planned.
     Failed {
+        /// Of the last attempt.
         why: String,
     },
+    /// The fill is not required any more.
     Withdrawn {
+        /// For the log.
         why: String,
     },
 }
 
-impl State {
+impl FillState {
+    /// For messages.
     pub fn name(&self) -> &'static str {
         match self {
-            State::Planned { .. } => "planned",
-            State::UnderWay { .. } => "under way",
-            State::Done => "done",
-            State::Failed { .. } => "failed",
-            State::Withdrawn { .. } => "withdrawn",
+            FillState::Planned { .. } => "planned",
+            FillState::UnderWay { .. } => "under way",
+            FillState::Done => "done",
+            FillState::Failed { .. } => "failed",
+            FillState::Withdrawn { .. } => "withdrawn",
         }
     }
 
-    pub fn ended(&self) -> bool {
-        !matches!(self, State::Planned { .. } | State::UnderWay { .. })
+    /// No event changes it any more.
+    pub fn is_final(&self) -> bool {
+        !matches!(self, FillState::Planned { .. } | FillState::UnderWay { .. })
     }
 }
 
-/// What the filler said, or the agreed log.
+/// What the fill service reported, or the consensus log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Event {
-    /// The holder is warm.
+pub enum FillEvent {
+    /// The node is filled.
     Done,
+    /// The attempt failed.
     Failed {
+        /// As the fill service reported.
         why: String,
     },
-    /// The version that needs it is given up, or planned anew.
+    /// The version that requires it is withdrawn, or the fill planned again.
     Withdrawn {
+        /// For the log.
         why: String,
     },
 }
 
-impl Event {
+impl FillEvent {
     fn name(&self) -> &'static str {
         match self {
-            Event::Done => "done",
-            Event::Failed { .. } => "failed",
-            Event::Withdrawn { .. } => "withdrawn",
+            FillEvent::Done => "done",
+            FillEvent::Failed { .. } => "failed",
+            FillEvent::Withdrawn { .. } => "withdrawn",
         }
     }
 }
 
 /// What the host has to do now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum FillAction {
+    /// Start an attempt.
     Begin(Fill),
-    /// Tell the filler to stop, as far as it can be told.
+    /// Stop the attempt, if the fill service can.
     Stop(Fill),
-    /// Propose that the holder is filled, and the settlement if there is one; again until the log has it.
+    /// Propose that the node is filled, and the settlement if there is one; again until the log has both.
     Propose(Fill),
-    /// Its place at link and holder is free ([`crate::Planner::ended`]).
+    /// Its capacity at link and node is free ([`crate::FillPlanner::fill_ended`]).
     Free(Fill),
 }
 
-/// A fill and how far it has come. Saved as it is; after a crash [`Filling::again`] goes on from there.
+/// A fill and its progress. Stored as it is; after a crash [`FillProgress::resume`] continues from there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Filling {
+pub struct FillProgress {
+    /// As planned.
     pub fill: Fill,
-    patience: Patience,
-    state: State,
-    /// Tries that were begun.
-    tries: u32,
-    /// Seconds, on the steady clock.
+    retry_policy: FillRetryPolicy,
+    state: FillState,
+    /// Attempts that were started.
+    attempts: u32,
+    /// On the monotonic clock.
     deadline: f64,
 }
 
-impl Filling {
-    pub fn new(fill: Fill, patience: Patience, now: f64) -> Filling {
-        let deadline = now + patience.deadline;
-        Filling { fill, patience, state: State::Planned { not_before: now }, tries: 0, deadline }
+impl FillProgress {
+    /// Planned at `now`.
+    pub fn new(fill: Fill, retry_policy: FillRetryPolicy, now: f64) -> FillProgress {
+        let deadline = now + retry_policy.deadline;
+        FillProgress {
+            fill,
+            retry_policy,
+            state: FillState::Planned { not_before: now },
+            attempts: 0,
+            deadline,
+        }
     }
 
-    pub fn state(&self) -> &State {
+    /// Where it is.
+    pub fn state(&self) -> &FillState {
         &self.state
     }
 
+    /// Attempts that were started.
     pub fn tries(&self) -> u32 {
-        self.tries
+        self.attempts
     }
 
-    /// After a crash. What was under way may be done or not: it is begun again under the same id, which a filler answers at
-    /// once if the holder is warm. What was done is proposed again, which the ledger knows by the same id.
-    pub fn again(&mut self, now: f64) -> Vec<Order> {
+    /// After a crash. A running attempt may be complete or not: it is started again under the same id, which a fill service
+    /// answers at once if the node is filled. A complete fill is proposed again; the ledger recognises its id.
+    pub fn resume(&mut self, now: f64) -> Vec<FillAction> {
         match self.state {
-            State::UnderWay { .. } => {
-                self.tries = self.tries.saturating_sub(1);
-                self.state = State::Planned { not_before: now };
+            FillState::UnderWay { .. } => {
+                self.attempts = self.attempts.saturating_sub(1);
+                self.state = FillState::Planned { not_before: now };
                 Vec::new()
             }
-            State::Done => vec![Order::Propose(self.fill.clone())],
+            FillState::Done => vec![FillAction::Propose(self.fill.clone())],
             _ => Vec::new(),
         }
     }
 
-    /// When [`Filling::tick`] has something to do; none once it has ended.
-    pub fn due(&self) -> Option<f64> {
+    /// When [`FillProgress::tick`] has something to do; `None` once it is final.
+    pub fn next_tick_at(&self) -> Option<f64> {
         match self.state {
-            State::Planned { not_before } => Some(not_before.min(self.deadline)),
-            State::UnderWay { until } => Some(until.min(self.deadline)),
+            FillState::Planned { not_before } => Some(not_before.min(self.deadline)),
+            FillState::UnderWay { until } => Some(until.min(self.deadline)),
             _ => None,
         }
     }
 
-    pub fn tick(&mut self, now: f64, chance: &mut impl Rng) -> Vec<Order> {
-        if !self.state.ended() && now >= self.deadline {
+    /// Starts an attempt, or times it out.
+    pub fn tick(&mut self, now: f64, rng: &mut impl Rng) -> Vec<FillAction> {
+        if !self.state.is_final() && now >= self.deadline {
             return self.withdraw("its deadline has passed".to_string());
         }
         match self.state {
-            State::Planned { not_before } if now >= not_before => {
-                self.tries += 1;
-                let most = (self.fill.lasts() * self.patience.factor).max(self.patience.least);
-                self.state = State::UnderWay { until: now + most };
-                vec![Order::Begin(self.fill.clone())]
+            FillState::Planned { not_before } if now >= not_before => {
+                self.attempts += 1;
+                let policy = &self.retry_policy;
+                let timeout = (self.fill.duration_seconds() * policy.factor).max(policy.least);
+                self.state = FillState::UnderWay { until: now + timeout };
+                vec![FillAction::Begin(self.fill.clone())]
             }
-            State::UnderWay { until } if now >= until => {
-                let mut orders = vec![Order::Stop(self.fill.clone())];
-                orders.extend(self.failed(now, "no answer in time".to_string(), chance));
-                orders
+            FillState::UnderWay { until } if now >= until => {
+                let mut actions = vec![FillAction::Stop(self.fill.clone())];
+                actions.extend(self.failed(now, "no answer in time".to_string(), rng));
+                actions
             }
             _ => Vec::new(),
         }
     }
 
-    /// What happened. `Done` counts at any time before the end, also of a try that was given up: the holder is warm.
-    pub fn heard(&mut self, now: f64, event: Event, chance: &mut impl Rng) -> Result<Vec<Order>, DebtError> {
+    /// Takes an event. `Done` counts at any time before the end, also of an attempt that timed out: the node is filled.
+    ///
+    /// # Errors
+    /// The event is impossible in this state.
+    pub fn handle_event(
+        &mut self,
+        now: f64,
+        event: FillEvent,
+        rng: &mut impl Rng,
+    ) -> Result<Vec<FillAction>, SettlementError> {
         match (&self.state, event) {
-            (State::Planned { .. } | State::UnderWay { .. }, Event::Done) if self.tries > 0 => {
-                self.state = State::Done;
-                Ok(vec![Order::Free(self.fill.clone()), Order::Propose(self.fill.clone())])
+            (FillState::Planned { .. } | FillState::UnderWay { .. }, FillEvent::Done)
+                if self.attempts > 0 =>
+            {
+                self.state = FillState::Done;
+                Ok(vec![FillAction::Free(self.fill.clone()), FillAction::Propose(self.fill.clone())])
             }
-            (State::UnderWay { .. }, Event::Failed { why }) => Ok(self.failed(now, why, chance)),
-            (State::Planned { .. } | State::UnderWay { .. }, Event::Withdrawn { why }) => {
+            (FillState::UnderWay { .. }, FillEvent::Failed { why }) => Ok(self.failed(now, why, rng)),
+            (FillState::Planned { .. } | FillState::UnderWay { .. }, FillEvent::Withdrawn { why }) => {
                 Ok(self.withdraw(why))
             }
-            // Told twice.
-            (State::Done, Event::Done) => Ok(Vec::new()),
-            (State::Withdrawn { .. }, Event::Withdrawn { .. }) => Ok(Vec::new()),
+            // Duplicates.
+            (FillState::Done, FillEvent::Done) => Ok(Vec::new()),
+            (FillState::Withdrawn { .. }, FillEvent::Withdrawn { .. }) => Ok(Vec::new()),
             (state, event) => {
                 let (state, event) = (state.name(), event.name());
-                Err(DebtError::Step { fill: self.fill.id.clone(), state, event })
+                Err(SettlementError::Step { fill: self.fill.id.clone(), state, event })
             }
         }
     }
 
-    fn withdraw(&mut self, why: String) -> Vec<Order> {
-        let begun = matches!(self.state, State::UnderWay { .. });
-        self.state = State::Withdrawn { why };
-        let stop = begun.then(|| Order::Stop(self.fill.clone()));
-        stop.into_iter().chain([Order::Free(self.fill.clone())]).collect()
+    fn withdraw(&mut self, why: String) -> Vec<FillAction> {
+        let begun = matches!(self.state, FillState::UnderWay { .. });
+        self.state = FillState::Withdrawn { why };
+        let stop = begun.then(|| FillAction::Stop(self.fill.clone()));
+        stop.into_iter().chain([FillAction::Free(self.fill.clone())]).collect()
     }
 
-    fn failed(&mut self, now: f64, why: String, chance: &mut impl Rng) -> Vec<Order> {
-        if self.tries >= self.patience.tries {
-            self.state = State::Failed { why };
-            return vec![Order::Free(self.fill.clone())];
+    fn failed(&mut self, now: f64, why: String, rng: &mut impl Rng) -> Vec<FillAction> {
+        if self.attempts >= self.retry_policy.tries {
+            self.state = FillState::Failed { why };
+            return vec![FillAction::Free(self.fill.clone())];
         }
-        let doubled = self.patience.pause * 2f64.powi(self.tries.saturating_sub(1).min(30) as i32);
-        let pause = doubled.min(self.patience.longest) * (0.5 + 0.5 * chance.random::<f64>());
-        self.state = State::Planned { not_before: now + pause };
+        let doublings = self.attempts.saturating_sub(1).min(MAX_DOUBLINGS) as i32;
+        let doubled = self.retry_policy.pause * 2f64.powi(doublings);
+        let backoff = doubled.min(self.retry_policy.longest) * (0.5 + 0.5 * rng.random::<f64>());
+        self.state = FillState::Planned { not_before: now + backoff };
         Vec::new()
     }
 }
--- a/crates/dunepond-settlement/src/ledger.rs
+++ b/crates/dunepond-settlement/src/ledger.rs
@@ -1,60 +1,77 @@
-//! The agreed part: shares in debts and settlements, applied in the order of the agreed log, alike at every broker.
+//! The committed part: shares in debts and settlements, applied in the order of the consensus log, the same at every broker.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Begun, DebtError, Settlement, begun};
+use crate::started_fills::StartedFills;
+use crate::{Settlement, SettlementError, StartedFill};
 
-/// What the agreed log holds about debts.
+/// What the consensus log records about debts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Agreed {
-    Allot(Allot),
+pub enum SettlementEntry {
+    /// Splits a debt over brokers.
+    Allot(Allotment),
+    /// A broker returns a part of its share.
     Release(Release),
+    /// A fill paid off a part of a debt.
     Settle(Settlement),
-    /// A fill that a leader begins, so that the next one knows of it.
-    Begin(Begun),
+    /// A fill that a leader starts, so that the next one knows of it.
+    Begin(StartedFill),
 }
 
 /// Splits a debt, or more of it, over brokers in advance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Allot {
-    /// The pair's next number ([`Ledger::next`]): an entry that comes twice or crossed another does nothing.
+pub struct Allotment {
+    /// The pair's next number ([`SettlementLedger::next_number`]): an entry that is duplicated or overtaken does nothing.
     pub number: u64,
+    /// Partner that owes.
     pub debtor: String,
+    /// Partner that is owed.
     pub creditor: String,
-    /// All that was ever owed, settled or not, as the proposer saw it; the sum of shares stays within the greatest so stated.
+    /// All that was ever owed, settled or not, as the proposer saw it; shares stay within the largest debt so stated.
     pub debt: u64,
+    /// Broker and bytes.
     pub parts: Vec<(String, u64)>,
 }
 
-/// A broker gives back what it has not spent, so that it can be split anew. Only the broker itself may propose it:
-/// nobody else knows what it has promised while it was cut off.
+/// A broker returns what it has not spent, so that it can be split again. Only the broker itself may propose it:
+/// nobody else knows what it has promised while it was partitioned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Release {
+    /// As of an [`Allotment`].
     pub number: u64,
+    /// Partner that owes.
     pub debtor: String,
+    /// Partner that is owed.
     pub creditor: String,
+    /// Broker that returns it.
     pub by: String,
+    /// Returned.
     pub bytes: u64,
 }
 
 /// Whether an entry changed anything.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
-    Now,
-    /// It was there before: doubled, or told again after a crash.
-    Before,
+pub enum ApplyOutcome {
+    /// It did.
+    New,
+    /// It was applied before: duplicated, or proposed again after a crash.
+    Duplicate,
 }
 
+/// A broker's share of a debt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Share {
+pub struct DebtShare {
+    /// Bytes that the broker may settle.
     pub allotted: u64,
+    /// Bytes that it has settled.
     pub spent: u64,
 }
 
-impl Share {
-    pub fn left(&self) -> u64 {
+impl DebtShare {
+    /// Bytes that it may still settle.
+    pub fn remaining(&self) -> u64 {
         self.allotted - self.spent
     }
 }
@@ -64,11 +81,11 @@
     number: u64,
     debt: u64,
     settled: u64,
-    shares: BTreeMap<String, Share>,
+    shares: BTreeMap<String, DebtShare>,
 }
 
 impl Pair {
-    /// Shares, and what was settled before there were any. Once split, within `debt`, and what is settled within it.
+    /// Shares, and what was settled before there were any. Once split, it stays within `debt`.
     fn allotted(&self) -> u64 {
         let spent: u64 = self.shares.values().map(|share| share.spent).sum();
         let allotted: u64 = self.shares.values().map(|share| share.allotted).sum();
@@ -76,38 +93,43 @@
     }
 }
 
-/// Deterministic: the same entries in the same order give the same ledger. It goes into the snapshot.
+/// The same entries in the same order give the same ledger. Part of each snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ledger {
-    /// Settlements for versions before this one are neither remembered nor taken.
+pub struct SettlementLedger {
+    /// Settlements for versions before this one are neither retained nor accepted.
     floor: u64,
-    /// By fill: the whole id under which it was settled, and the bytes.
+    /// By fill: the id of its settlement, and the bytes.
     settled: BTreeMap<String, (String, u64)>,
     /// Debtor, then creditor.
     pairs: BTreeMap<String, BTreeMap<String, Pair>>,
-    /// What leaders began of late.
-    begun: begun::Log,
+    /// What leaders started recently.
+    #[serde(rename = "begun")]
+    started: StartedFills,
 }
 
-impl Ledger {
-    pub fn apply(&mut self, entry: &Agreed) -> Result<Applied, DebtError> {
-        if self.check(entry)? == Applied::Before {
-            return Ok(Applied::Before);
+impl SettlementLedger {
+    /// Applies an entry of the log.
+    ///
+    /// # Errors
+    /// The entry is rejected; nothing changed.
+    pub fn apply(&mut self, entry: &SettlementEntry) -> Result<ApplyOutcome, SettlementError> {
+        if self.check(entry)? == ApplyOutcome::Duplicate {
+            return Ok(ApplyOutcome::Duplicate);
         }
         match entry {
-            Agreed::Allot(allot) => {
+            SettlementEntry::Allot(allot) => {
                 let pair = self.pair_mut(&allot.debtor, &allot.creditor);
                 (pair.debt, pair.number) = (pair.debt.max(allot.debt), pair.number + 1);
                 for (by, bytes) in &allot.parts {
                     pair.shares.entry(by.clone()).or_default().allotted += bytes;
                 }
             }
-            Agreed::Release(release) => {
+            SettlementEntry::Release(release) => {
                 let pair = self.pair_mut(&release.debtor, &release.creditor);
                 pair.number += 1;
                 pair.shares.entry(release.by.clone()).or_default().allotted -= release.bytes;
             }
-            Agreed::Settle(settlement) => {
+            SettlementEntry::Settle(settlement) => {
                 let Settlement { id, debtor, creditor, bytes, .. } = settlement;
                 let split = self.is_split(debtor, creditor);
                 let pair = self.pair_mut(debtor, creditor);
@@ -117,18 +139,21 @@
                 }
                 self.settled.insert(settlement.fill().to_string(), (id.clone(), *bytes));
             }
-            Agreed::Begin(fill) => self.begun.note(fill.clone()),
+            SettlementEntry::Begin(fill) => self.started.add(fill.clone()),
         }
-        Ok(Applied::Now)
+        Ok(ApplyOutcome::New)
     }
 
-    /// What [`Ledger::apply`] would say; changes nothing.
-    pub fn check(&self, entry: &Agreed) -> Result<Applied, DebtError> {
+    /// What [`SettlementLedger::apply`] would return; changes nothing.
+    ///
+    /// # Errors
+    /// As there.
+    pub fn check(&self, entry: &SettlementEntry) -> Result<ApplyOutcome, SettlementError> {
         match entry {
-            Agreed::Allot(allot) => self.allot(allot),
-            Agreed::Release(release) => self.release(release),
-            Agreed::Settle(settlement) => self.settle(settlement),
-            Agreed::Begin(fill) => self.begin(fill),
+            SettlementEntry::Allot(allot) => self.check_allotment(allot),
+            SettlementEntry::Release(release) => self.check_release(release),
+            SettlementEntry::Settle(settlement) => self.check_settlement(settlement),
+            SettlementEntry::Begin(fill) => self.check_start(fill),
         }
     }
 
@@ -140,101 +165,102 @@
         self.pairs.entry(debtor.to_string()).or_default().entry(creditor.to_string()).or_default()
     }
 
-    /// The number that the next [`Allot`] or [`Release`] of the pair has to have.
-    pub fn next(&self, debtor: &str, creditor: &str) -> u64 {
+    /// The number that the next [`Allotment`] or [`Release`] of the pair has to have.
+    pub fn next_number(&self, debtor: &str, creditor: &str) -> u64 {
         self.pair(debtor, creditor).map_or(0, |pair| pair.number)
     }
 
-    fn in_turn(&self, debtor: &str, creditor: &str, number: u64) -> Result<bool, DebtError> {
-        let wanted = self.next(debtor, creditor);
+    fn is_next(&self, debtor: &str, creditor: &str, number: u64) -> Result<bool, SettlementError> {
+        let wanted = self.next_number(debtor, creditor);
         if number > wanted {
             let (debtor, creditor) = (debtor.to_string(), creditor.to_string());
-            return Err(DebtError::Ahead { debtor, creditor, number, wanted });
+            return Err(SettlementError::Ahead { debtor, creditor, number, wanted });
         }
         Ok(number == wanted)
     }
 
-    fn allot(&self, allot: &Allot) -> Result<Applied, DebtError> {
+    fn check_allotment(&self, allot: &Allotment) -> Result<ApplyOutcome, SettlementError> {
         let (debtor, creditor) = (allot.debtor.clone(), allot.creditor.clone());
-        if !self.in_turn(&debtor, &creditor, allot.number)? {
-            return Ok(Applied::Before);
+        if !self.is_next(&debtor, &creditor, allot.number)? {
+            return Ok(ApplyOutcome::Duplicate);
         }
         let more = allot.parts.iter().try_fold(0u64, |sum, (_, bytes)| sum.checked_add(*bytes));
         let more = more.unwrap_or(u64::MAX);
         if debtor == creditor || more == 0 {
-            return Err(DebtError::Nothing { debtor, creditor, bytes: more });
+            return Err(SettlementError::Nothing { debtor, creditor, bytes: more });
         }
-        // What was settled before the first split has used up its part of the debt.
+        // What was settled before the first split has used its part of the debt.
         let allotted = self.allotted(&debtor, &creditor);
         let debt = self.pair(&debtor, &creditor).map_or(0, |pair| pair.debt).max(allot.debt);
         let wanted = allotted.saturating_add(more);
         if wanted > debt {
-            return Err(DebtError::PastDebt { debtor, creditor, wanted, debt });
+            return Err(SettlementError::PastDebt { debtor, creditor, wanted, debt });
         }
-        Ok(Applied::Now)
+        Ok(ApplyOutcome::New)
     }
 
-    fn release(&self, release: &Release) -> Result<Applied, DebtError> {
+    fn check_release(&self, release: &Release) -> Result<ApplyOutcome, SettlementError> {
         let (debtor, creditor) = (release.debtor.clone(), release.creditor.clone());
-        if !self.in_turn(&debtor, &creditor, release.number)? {
-            return Ok(Applied::Before);
+        if !self.is_next(&debtor, &creditor, release.number)? {
+            return Ok(ApplyOutcome::Duplicate);
         }
         let (by, bytes) = (release.by.clone(), release.bytes);
-        let left = self.share(&by, &debtor, &creditor).left();
+        let left = self.share(&by, &debtor, &creditor).remaining();
         if bytes > left {
-            return Err(DebtError::PastRelease { by, debtor, creditor, bytes, left });
+            return Err(SettlementError::PastRelease { by, debtor, creditor, bytes, left });
         }
-        Ok(Applied::Now)
+        Ok(ApplyOutcome::New)
     }
 
-    /// The first settlement of a fill stands; the same again does nothing, another for the same fill is refused.
-    fn settle(&self, settlement: &Settlement) -> Result<Applied, DebtError> {
+    /// The first settlement of a fill counts; a duplicate does nothing, another one for the same fill is rejected.
+    fn check_settlement(&self, settlement: &Settlement) -> Result<ApplyOutcome, SettlementError> {
         let Settlement { id, debtor, creditor, bytes, .. } = settlement.clone();
         let (fill, by) = (settlement.fill().to_string(), settlement.by().to_string());
         if let Some((before, _)) = self.settled.get(&fill) {
             return match *before == id {
-                true => Ok(Applied::Before),
-                false => Err(DebtError::Contradicts { id, fill, before: before.clone() }),
+                true => Ok(ApplyOutcome::Duplicate),
+                false => Err(SettlementError::Contradicts { id, fill, before: before.clone() }),
             };
         }
         let version = settlement.version();
         if version.is_none_or(|version| version < self.floor) {
-            return Err(DebtError::Closed { id, version, floor: self.floor });
+            return Err(SettlementError::Closed { id, version, floor: self.floor });
         }
         if debtor == creditor || bytes == 0 {
-            return Err(DebtError::Nothing { debtor, creditor, bytes });
+            return Err(SettlementError::Nothing { debtor, creditor, bytes });
         }
-        let left = self.share(&by, &debtor, &creditor).left();
+        let left = self.share(&by, &debtor, &creditor).remaining();
         if self.is_split(&debtor, &creditor) && bytes > left {
-            return Err(DebtError::PastShare { id, by, debtor, creditor, bytes, left });
+            return Err(SettlementError::PastShare { id, by, debtor, creditor, bytes, left });
         }
-        Ok(Applied::Now)
+        Ok(ApplyOutcome::New)
     }
 
-    fn begin(&self, fill: &Begun) -> Result<Applied, DebtError> {
+    fn check_start(&self, fill: &StartedFill) -> Result<ApplyOutcome, SettlementError> {
         if fill.bytes == 0 {
             let (debtor, creditor) = (fill.from.clone(), fill.to.clone());
-            return Err(DebtError::Nothing { debtor, creditor, bytes: 0 });
+            return Err(SettlementError::Nothing { debtor, creditor, bytes: 0 });
         }
-        Ok(if self.begun.has(&fill.id, &fill.from) { Applied::Before } else { Applied::Now })
+        Ok(if self.started.has(&fill.id, &fill.from) { ApplyOutcome::Duplicate } else { ApplyOutcome::New })
     }
 
-    /// Fills that leaders began of late, from whichever partner.
-    pub fn begun(&self) -> impl Iterator<Item = &Begun> {
-        self.begun.iter()
+    /// Fills that leaders started recently, from any partner.
+    pub fn begun(&self) -> impl Iterator<Item = &StartedFill> {
+        self.started.iter()
     }
 
-    pub fn has_begun(&self, fill: &str, from: &str) -> bool {
-        self.begun.has(fill, from)
+    /// Whether the fill was started from a source of the partner `from`.
+    pub fn has_started(&self, fill: &str, from: &str) -> bool {
+        self.started.has(fill, from)
     }
 
-    /// Settlements for versions before this one are refused.
+    /// Settlements for versions before this one are rejected.
     pub fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// Settlements of versions before this one are closed: what is remembered of them goes, and late ones are
-    /// refused. To be called in the order of the log, a few versions behind the one in force.
+    /// Closes versions before this one: their settlements are dropped, and late ones rejected. To be called in the order
+    /// of the log, a few versions behind the active one.
     pub fn close(&mut self, before: u64) {
         self.floor = self.floor.max(before);
         let floor = self.floor;
@@ -242,30 +268,33 @@
         self.settled.retain(|fill, _| version(fill).is_some_and(|version| version >= floor));
     }
 
-    /// A debt that was never split knows no bound of its own here: [`crate::Book`] counts of its settlements what the
-    /// debt holds. Once split, a settlement past its broker's share is refused, for good.
+    /// Whether the debt was split over brokers. A debt that never was has no limit here: [`crate::Balances`] counts its
+    /// settlements up to the debt. Once split, a settlement beyond its broker's share is rejected for good.
     pub fn is_split(&self, debtor: &str, creditor: &str) -> bool {
         self.pair(debtor, creditor).is_some_and(|pair| !pair.shares.is_empty())
     }
 
-    pub fn has(&self, fill: &str) -> bool {
+    /// Whether the fill has settled.
+    pub fn is_settled(&self, fill: &str) -> bool {
         self.settled.contains_key(fill)
     }
 
+    /// Bytes that were settled.
     pub fn settled(&self, debtor: &str, creditor: &str) -> u64 {
         self.pair(debtor, creditor).map_or(0, |pair| pair.settled)
     }
 
-    /// Split over brokers so far, spent or not.
+    /// Bytes that were split over brokers so far, spent or not.
     pub fn allotted(&self, debtor: &str, creditor: &str) -> u64 {
         self.pair(debtor, creditor).map_or(0, Pair::allotted)
     }
 
-    pub fn share(&self, by: &str, debtor: &str, creditor: &str) -> Share {
+    /// Share of broker `by`.
+    pub fn share(&self, by: &str, debtor: &str, creditor: &str) -> DebtShare {
         self.pair(debtor, creditor).and_then(|pair| pair.shares.get(by)).copied().unwrap_or_default()
     }
 
-    /// Every pair (debtor, creditor) of which anything was agreed.
+    /// Every pair (debtor, creditor) with an entry.
     pub fn pairs(&self) -> impl Iterator<Item = (&str, &str)> {
         self.pairs
             .iter()
--- a/crates/dunepond-settlement/src/lib.rs
+++ b/crates/dunepond-settlement/src/lib.rs
@@ -1,66 +1,77 @@
-//! Bandwidth debts between partners and the fills that settle them. Pure: no socket, file, clock or thread; `now` in
-//! seconds on a steady clock is handed in, amounts are bytes, rates bytes a second, chance comes from a seed.
+//! Transfer accounting between partners, and the replica fills that settle it. Pure: no socket, file, clock or thread. `now`
+//! is in seconds on a monotonic clock and handed in, amounts are bytes, rates bytes a second, randomness comes from a seed.
 //!
-//! [`Counts`] is what brokers saw, merged in any order; [`Tally`] one broker's hand on it, over restarts, [`Telling`]
-//! what of it a peer is told. [`Ledger`] is the
-//! agreed part: shares and settlements, in the order of the agreed log. [`Book`] puts both together as net debts.
-//! [`Planner`] says from which source a holder is filled, [`Filling`] follows one fill, [`Shares`] is what this broker
-//! may promise while it is cut off.
+//! Partners carry traffic for each other. A debt is paid off by taking a fill from the debtor's nodes. [`CarriedCounts`] are
+//! what brokers saw, merged in any order; [`LocalCounts`] are one broker's own part over restarts, [`CountsReplication`]
+//! sends them to peers. [`SettlementLedger`] is the committed part: shares and settlements, in the order of the consensus
+//! log. [`Balances`] makes net debts of both. [`FillPlanner`] chooses the source of each fill, [`FillProgress`] follows one
+//! fill, [`SharePromises`] are what this broker may promise without reaching the log.
+#![warn(missing_docs)]
 
-mod begun;
-mod book;
+mod balances;
 mod counts;
+mod demand;
 mod error;
-mod fair;
+mod fairness;
 mod fill;
 mod ledger;
-mod needs;
-mod plan;
-mod round;
-mod shares;
-mod telling;
+mod planner;
+mod planning_round;
+mod promises;
+mod replication;
+mod started_fills;
 
 use serde::{Deserialize, Serialize};
 
-pub use begun::Begun;
-pub use book::{Book, Debt, Dispute, Terms};
-pub use counts::{Counts, Sides, Tally};
-pub use error::DebtError;
-pub use fair::{jain, max_min, rates};
-pub use fill::{Event, Fill, Filling, Order, Patience, State};
-pub use ledger::{Agreed, Allot, Applied, Ledger, Release, Share};
-pub use needs::{Cold, Held, Links, Need, Plan, Room, Rule, bound};
-pub use plan::{Planner, plan};
-pub use shares::{Shares, split};
-pub use telling::{Telling, Word};
+pub use balances::{Balances, Dispute, NetDebt, SettlementTerms};
+pub use counts::{BrokerPartners, CarriedCounts, LocalCounts};
+pub use demand::{
+    FillDemand, FillPlan, LinkCapacities, NodeCapacity, PlanningRule, SlowStartCapacity, WaitReason,
+    max_units,
+};
+pub use error::SettlementError;
+pub use fairness::{jain_index, max_min, max_min_rates};
+pub use fill::{Fill, FillAction, FillEvent, FillProgress, FillRetryPolicy, FillState};
+pub use ledger::{Allotment, ApplyOutcome, DebtShare, Release, SettlementEntry, SettlementLedger};
+pub use planner::{FillPlanner, plan};
+pub use promises::{SharePromises, allot_evenly};
+pub use replication::{CountsMessage, CountsReplication};
+pub use started_fills::StartedFill;
 
-/// What one settlement takes off: an agreed entry, applied exactly once by the fill that paid it.
+/// What one fill pays off: a committed entry, applied exactly once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Settlement {
     /// `FILL@BROKER`: the fill's id, and the broker from whose share it is taken; see [`Settlement::new`].
     pub id: String,
-    /// Whose debt shrinks, towards whom, by how many bytes.
+    /// Partner whose debt shrinks.
     pub debtor: String,
+    /// Partner to whom it owes less.
     pub creditor: String,
+    /// Paid off.
     pub bytes: u64,
-    /// The fill that paid it: segment, holder filled, source taken.
+    /// Id of the segment that was filled.
     pub segment: u64,
+    /// Node that was filled.
     pub holder: String,
+    /// Node that it was filled from.
     pub source: String,
 }
 
 impl Settlement {
-    /// For a fill that `by` carried out; `bytes` of it are taken off. The same fill has the same id at whichever
-    /// broker and after whichever crash, so that it cannot settle twice.
+    /// For a fill that broker `by` carried out, and that pays off `bytes`. The same fill has the same id at every broker and
+    /// after every crash, so that it cannot settle twice.
+    ///
+    /// # Errors
+    /// The name of the broker would make the id ambiguous.
     pub fn new(
         fill: &Fill,
         by: &str,
         debtor: &str,
         creditor: &str,
         bytes: u64,
-    ) -> Result<Settlement, DebtError> {
+    ) -> Result<Settlement, SettlementError> {
         if by.is_empty() || by.contains('@') {
-            return Err(DebtError::Name { name: by.to_string() });
+            return Err(SettlementError::Name { name: by.to_string() });
         }
         Ok(Settlement {
             id: format!("{}@{by}", fill.id),
@@ -73,17 +84,17 @@
         })
     }
 
-    /// The fill that paid.
+    /// Id of the fill that paid.
     pub fn fill(&self) -> &str {
         self.id.rsplit_once('@').map_or(&self.id, |(fill, _)| fill)
     }
 
-    /// From whose share it is taken; empty where the id names nobody.
+    /// Broker from whose share it is taken; empty where the id names none.
     pub fn by(&self) -> &str {
         self.id.rsplit_once('@').map_or("", |(_, by)| by)
     }
 
-    /// The version for whose map the fill was done.
+    /// Number of the version for whose map the fill was done.
     pub fn version(&self) -> Option<u64> {
         self.id.split_once('/')?.0.parse().ok()
     }
--- /dev/null
+++ b/crates/dunepond-settlement/src/promises.rs
@@ -0,0 +1,151 @@
+//! What this broker has promised from its shares and the log does not show yet.
+
+use std::collections::BTreeMap;
+
+use serde::{Deserialize, Serialize};
+
+use crate::{
+    Allotment, Balances, Release, Settlement, SettlementEntry, SettlementError, SettlementLedger, max_min,
+};
+
+/// Promises of one broker, to be stored before a promise is acted on. While partitioned a broker settles from this, and
+/// proposes its promises when it reaches the log again. Whatever is lost here, the ledger accepts nothing beyond a share.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct SharePromises {
+    by: String,
+    /// Settlements by fill, until the log has them.
+    promised: BTreeMap<String, Settlement>,
+    releasing: Option<Release>,
+}
+
+impl SharePromises {
+    /// Of broker `by`.
+    ///
+    /// # Errors
+    /// The name would make ids ambiguous.
+    pub fn new(by: &str) -> Result<SharePromises, SettlementError> {
+        if by.is_empty() || by.contains('@') {
+            return Err(SettlementError::Name { name: by.to_string() });
+        }
+        Ok(SharePromises { by: by.to_string(), promised: BTreeMap::new(), releasing: None })
+    }
+
+    /// Bytes that may still be promised: the share, less what is promised and what is being returned.
+    pub fn remaining(&self, ledger: &SettlementLedger, debtor: &str, creditor: &str) -> u64 {
+        let ours = |d: &str, c: &str| d == debtor && c == creditor;
+        let open =
+            self.promised.values().filter(|s| ours(&s.debtor, &s.creditor) && !ledger.is_settled(s.fill()));
+        let promised: u64 = open.map(|settlement| settlement.bytes).sum();
+        let back = self.releasing.as_ref().filter(|r| ours(&r.debtor, &r.creditor)).map_or(0, |r| r.bytes);
+        ledger.share(&self.by, debtor, creditor).remaining().saturating_sub(promised + back)
+    }
+
+    /// Promises a settlement; the same fill again changes nothing.
+    ///
+    /// # Errors
+    /// It exceeds what remains.
+    pub fn promise(
+        &mut self,
+        ledger: &SettlementLedger,
+        settlement: Settlement,
+    ) -> Result<(), SettlementError> {
+        let fill = settlement.fill().to_string();
+        if self.promised.contains_key(&fill) || ledger.is_settled(&fill) {
+            return Ok(());
+        }
+        let left = self.remaining(ledger, &settlement.debtor, &settlement.creditor);
+        if settlement.by() != self.by || settlement.bytes > left {
+            let by = settlement.by().to_string();
+            let Settlement { id, debtor, creditor, bytes, .. } = settlement;
+            return Err(SettlementError::PastShare { id, by, debtor, creditor, bytes, left });
+        }
+        self.promised.insert(fill, settlement);
+        Ok(())
+    }
+
+    /// Name of the broker.
+    pub fn by(&self) -> &str {
+        &self.by
+    }
+
+    /// What was promised for this fill, until the log shows it.
+    pub fn promised(&self, fill: &str) -> Option<&Settlement> {
+        self.promised.get(fill)
+    }
+
+    /// What is being returned.
+    pub fn releasing(&self) -> Option<&Release> {
+        self.releasing.as_ref()
+    }
+
+    /// What has to be proposed, again and again until the log shows it.
+    pub fn pending_entries(&self) -> impl Iterator<Item = SettlementEntry> {
+        let settle = self.promised.values().cloned().map(SettlementEntry::Settle);
+        settle.chain(self.releasing.clone().map(SettlementEntry::Release))
+    }
+
+    /// Drops the promise of a fill that failed before its settlement was proposed.
+    pub fn cancel(&mut self, fill: &str) {
+        self.promised.remove(fill);
+    }
+
+    /// Starts to return what is not spent, one return at a time. It cannot be promised from now on.
+    ///
+    /// # Errors
+    /// It exceeds what remains.
+    pub fn release(
+        &mut self,
+        ledger: &SettlementLedger,
+        debtor: &str,
+        creditor: &str,
+        bytes: u64,
+    ) -> Result<SettlementEntry, SettlementError> {
+        if let Some(release) = &self.releasing {
+            return Ok(SettlementEntry::Release(release.clone()));
+        }
+        let left = self.remaining(ledger, debtor, creditor);
+        let (by, debtor, creditor) = (self.by.clone(), debtor.to_string(), creditor.to_string());
+        if bytes == 0 || bytes > left {
+            return Err(SettlementError::PastRelease { by, debtor, creditor, bytes, left });
+        }
+        let release = Release { number: ledger.next_number(&debtor, &creditor), debtor, creditor, by, bytes };
+        self.releasing = Some(release.clone());
+        Ok(SettlementEntry::Release(release))
+    }
+
+    /// After new entries: drops what the log shows, and what it will never accept (`refused` by
+    /// [`SettlementLedger::apply`]).
+    pub fn reconcile(&mut self, ledger: &SettlementLedger, refused: &[Settlement]) {
+        // A closed version accepts none any more.
+        let open = |promise: &Settlement| promise.version().is_some_and(|version| version >= ledger.floor());
+        self.promised
+            .retain(|fill, promise| !ledger.is_settled(fill) && !refused.contains(promise) && open(promise));
+        // Applied, or overtaken by another entry of the pair; in that case the share is unchanged and can be returned
+        // again.
+        self.releasing
+            .take_if(|release| ledger.next_number(&release.debtor, &release.creditor) > release.number);
+    }
+}
+
+/// The entry that splits what is owed and not split yet, if there is anything. Evenly, as nobody knows which broker will
+/// be partitioned.
+pub fn allot_evenly(book: &Balances, debtor: &str, creditor: &str, brokers: &[String]) -> Option<Allotment> {
+    let ledger = book.ledger();
+    let unspent = ledger.allotted(debtor, creditor) - ledger.settled(debtor, creditor);
+    let more = book.net_debt(debtor, creditor).saturating_sub(unspent);
+    let all = ledger.allotted(debtor, creditor).saturating_add(more);
+    let debt = book.gross(creditor, debtor);
+    let more = more.saturating_sub(all.saturating_sub(debt));
+    let held: Vec<u64> = brokers.iter().map(|by| ledger.share(by, debtor, creditor).remaining()).collect();
+    // Who has the least remaining gets the most.
+    let level = max_min(&held.iter().map(|_| u64::MAX / 2).collect::<Vec<_>>(), unspent.saturating_add(more));
+    let wants: Vec<u64> = level.iter().zip(&held).map(|(level, held)| level.saturating_sub(*held)).collect();
+    let given = max_min(&wants, more);
+    let parts = brokers.iter().cloned().zip(given).filter(|(_, bytes)| *bytes > 0);
+    let parts: Vec<_> = parts.collect();
+    if parts.is_empty() {
+        return None;
+    }
+    let number = ledger.next_number(debtor, creditor);
+    Some(Allotment { number, debtor: debtor.to_string(), creditor: creditor.to_string(), debt, parts })
+}
--- /dev/null
+++ b/crates/dunepond-settlement/src/started_fills.rs
@@ -0,0 +1,104 @@
+//! Fills that a leader started: what the next leader has to know, so that limits over a window hold across both.
+
+use std::collections::BTreeMap;
+
+use serde::{Deserialize, Serialize};
+
+use crate::{Fill, Settlement};
+
+/// For so long, by the leaders' clocks, a fill is retained: twice the default window, as two leaders' clocks may differ.
+const RETENTION_SECONDS: u64 = 7200;
+/// Old fills are dropped once in so many parts of the retention.
+const SWEEPS_PER_RETENTION: u64 = 16;
+/// Upper limit of retained fills; the oldest are dropped first.
+const MAX_FILL_COUNT: usize = 16_384;
+
+/// A [`Fill`] as it stands in the log, entered before it starts.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct StartedFill {
+    /// As of the fill.
+    pub id: String,
+    /// Id of the segment.
+    pub segment: u64,
+    /// Node that is filled.
+    pub holder: String,
+    /// Node that it is filled from.
+    pub source: String,
+    /// Partner of the source.
+    pub from: String,
+    /// Partner of the filled node.
+    pub to: String,
+    /// Size of the fill.
+    pub bytes: u64,
+    /// Bytes a second.
+    pub rate: u64,
+    /// What it pays off.
+    pub settles: Option<Settlement>,
+    /// Unix seconds by the leader's clock; only the age of the entry is judged by it.
+    pub at: u64,
+}
+
+impl StartedFill {
+    /// Of a fill that starts at `at`, in Unix seconds.
+    pub fn new(fill: &Fill, at: u64) -> StartedFill {
+        let Fill { id, segment, holder, source, from, to, bytes, rate, settles } = fill.clone();
+        StartedFill { id, segment, holder, source, from, to, bytes, rate: rate as u64, settles, at }
+    }
+
+    /// The fill.
+    pub fn fill(&self) -> Fill {
+        let StartedFill { id, segment, holder, source, from, to, bytes, rate, settles, .. } = self.clone();
+        Fill { id, segment, holder, source, from, to, bytes, rate: rate as f64, settles }
+    }
+}
+
+/// By fill and partner of the source: the same fill from another partner is carried by that one, too.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct StartedFills {
+    fills: BTreeMap<String, BTreeMap<String, StartedFill>>,
+    newest: u64,
+    /// When old fills were dropped last, by `newest`.
+    swept: u64,
+    count: usize,
+}
+
+impl StartedFills {
+    pub fn has(&self, id: &str, from: &str) -> bool {
+        self.fills.get(id).is_some_and(|of| of.contains_key(from))
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = &StartedFill> {
+        self.fills.values().flat_map(BTreeMap::values)
+    }
+
+    /// Adds one, and drops what is old or too many; not each time, as that costs a scan of all.
+    pub fn add(&mut self, fill: StartedFill) {
+        self.newest = self.newest.max(fill.at);
+        self.fills.entry(fill.id.clone()).or_default().insert(fill.from.clone(), fill);
+        self.count += 1;
+        if self.count <= MAX_FILL_COUNT && self.newest < self.swept + RETENTION_SECONDS / SWEEPS_PER_RETENTION
+        {
+            return;
+        }
+        let (mut oldest, mut of_oldest) = (self.newest.saturating_sub(RETENTION_SECONDS), 0);
+        if self.count > MAX_FILL_COUNT {
+            let mut ages: Vec<u64> = self.iter().map(|fill| fill.at).collect();
+            ages.sort_unstable();
+            let half = ages.len() / 2;
+            if ages[half] >= oldest {
+                // Of the fills in the median second only so many are dropped that half remain.
+                (oldest, of_oldest) = (ages[half], half - ages.partition_point(|at| *at < ages[half]));
+            }
+        }
+        self.fills.retain(|_, of| {
+            of.retain(|_, fill| {
+                let spared = fill.at != oldest || of_oldest == 0;
+                of_oldest -= usize::from(!spared);
+                fill.at >= oldest && spared
+            });
+            !of.is_empty()
+        });
+        self.count = self.fills.values().map(BTreeMap::len).sum();
+        self.swept = self.newest;
+    }
+}
--- a/crates/dunepond-settlement/tests/book.rs
+++ b/crates/dunepond-settlement/tests/book.rs
@@ -6,21 +6,21 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-fn sides() -> Sides {
+fn sides() -> BrokerPartners {
     let partner_of = [("a1", "a"), ("b1", "b"), ("c1", "c")].map(|(b, p)| (b.to_string(), p.to_string()));
-    Sides { partner_of: partner_of.into(), metered: BTreeSet::from(["b".to_string()]) }
+    BrokerPartners { partner_of: partner_of.into(), metered: BTreeSet::from(["b".to_string()]) }
 }
 
-fn terms() -> Terms {
-    Terms { tolerance: 0.1, slack: 0, half_life: 100.0, ..Terms::default() }
+fn terms() -> SettlementTerms {
+    SettlementTerms { tolerance: 0.1, slack: 0, half_life: 100.0, ..SettlementTerms::default() }
 }
 
 /// `owes[i]`: debtor, creditor, bytes; counted by a witness.
-fn book(owes: &[(&str, &str, u64)]) -> Book {
-    let mut counts = Counts::new();
-    owes.iter().for_each(|(debtor, creditor, bytes)| counts.saw("w", 1, creditor, debtor, *bytes));
-    let mut book = Book::new(terms(), sides(), Ledger::default()).unwrap();
-    book.counted(0.0, &counts);
+fn book(owes: &[(&str, &str, u64)]) -> Balances {
+    let mut counts = CarriedCounts::new();
+    owes.iter().for_each(|(debtor, creditor, bytes)| counts.record("w", 1, creditor, debtor, *bytes));
+    let mut book = Balances::new(terms(), sides(), SettlementLedger::default()).unwrap();
+    book.update_counts(0.0, &counts);
     book
 }
 
@@ -36,13 +36,13 @@
     }
 }
 
-fn allot(number: u64, debt: u64, parts: &[(&str, u64)]) -> Allot {
+fn allot(number: u64, debt: u64, parts: &[(&str, u64)]) -> Allotment {
     let parts = parts.iter().map(|(by, bytes)| (by.to_string(), *bytes)).collect();
-    Allot { number, debtor: "a".into(), creditor: "b".into(), debt, parts }
+    Allotment { number, debtor: "a".into(), creditor: "b".into(), debt, parts }
 }
 
-fn settle(book: &mut Book, fill: &str, by: &str, bytes: u64) -> Result<Applied, DebtError> {
-    book.apply(&Agreed::Settle(settlement(fill, by, bytes)))
+fn settle(book: &mut Balances, fill: &str, by: &str, bytes: u64) -> Result<ApplyOutcome, SettlementError> {
+    book.apply(&SettlementEntry::Settle(settlement(fill, by, bytes)))
 }
 
 #[rstest]
@@ -56,49 +56,49 @@
     #[case] counts_as: u64,
     #[case] rest: u64,
 ) {
-    let mut counts = Counts::new();
-    counts.saw("b1", 1, "b", "a", said);
-    counts.saw("a1", 1, "b", "a", seen);
-    let mut book = Book::new(terms(), sides(), Ledger::default()).unwrap();
-    book.counted(0.0, &counts);
+    let mut counts = CarriedCounts::new();
+    counts.record("b1", 1, "b", "a", said);
+    counts.record("a1", 1, "b", "a", seen);
+    let mut book = Balances::new(terms(), sides(), SettlementLedger::default()).unwrap();
+    book.update_counts(0.0, &counts);
     assert_eq!(book.gross("b", "a"), counts_as);
-    assert_eq!(book.disputes().iter().map(Dispute::rest).sum::<u64>(), rest);
+    assert_eq!(book.disputes().iter().map(Dispute::uncounted_bytes).sum::<u64>(), rest);
     // Of c nobody counts what it carries: what the other side saw speaks against it, and counts.
-    counts.saw("a1", 1, "c", "a", 30);
-    book.counted(1.0, &counts);
+    counts.record("a1", 1, "c", "a", 30);
+    book.update_counts(1.0, &counts);
     assert_eq!(book.gross("c", "a"), 30);
 }
 
 #[rstest]
 fn cycles_go_first() {
     let book = book(&[("a", "b", 100), ("b", "c", 60), ("c", "a", 40), ("b", "a", 10)]);
-    let debt = |d: &str, c: &str, bytes| Debt { debtor: d.into(), creditor: c.into(), bytes };
-    assert_eq!(book.net(), vec![debt("a", "b", 50), debt("b", "c", 20)]);
+    let debt = |d: &str, c: &str, bytes| NetDebt { debtor: d.into(), creditor: c.into(), bytes };
+    assert_eq!(book.net_debts(), vec![debt("a", "b", 50), debt("b", "c", 20)]);
 }
 
 #[rstest]
 fn an_old_debt_weighs_less_and_is_owed_whole() {
-    let mut counts = Counts::new();
-    counts.saw("w", 1, "b", "a", 1000);
-    let mut book = Book::new(terms(), sides(), Ledger::default()).unwrap();
-    book.counted(0.0, &counts);
-    let debt = book.net().remove(0);
-    assert_eq!(book.weight(&debt, 0.0), 1000.0);
-    assert!((book.weight(&debt, 100.0) - 500.0).abs() < 1e-6);
-    assert!((book.weight(&debt, 1e6) - 100.0).abs() < 1e-6);
-    assert_eq!(book.open("a", "b"), 1000);
+    let mut counts = CarriedCounts::new();
+    counts.record("w", 1, "b", "a", 1000);
+    let mut book = Balances::new(terms(), sides(), SettlementLedger::default()).unwrap();
+    book.update_counts(0.0, &counts);
+    let debt = book.net_debts().remove(0);
+    assert_eq!(book.service_weight(&debt, 0.0), 1000.0);
+    assert!((book.service_weight(&debt, 100.0) - 500.0).abs() < 1e-6);
+    assert!((book.service_weight(&debt, 1e6) - 100.0).abs() < 1e-6);
+    assert_eq!(book.net_debt("a", "b"), 1000);
 }
 
 #[rstest]
 fn a_settlement_is_applied_once_whoever_proposes_it() {
     let mut book = book(&[("a", "b", 100)]);
-    assert_eq!(settle(&mut book, "1/7/h", "x", 40), Ok(Applied::Now));
-    assert_eq!(settle(&mut book, "1/7/h", "x", 40), Ok(Applied::Before));
-    assert!(matches!(settle(&mut book, "1/7/h", "y", 40), Err(DebtError::Contradicts { .. })));
-    assert_eq!(book.open("a", "b"), 60);
+    assert_eq!(settle(&mut book, "1/7/h", "x", 40), Ok(ApplyOutcome::New));
+    assert_eq!(settle(&mut book, "1/7/h", "x", 40), Ok(ApplyOutcome::Duplicate));
+    assert!(matches!(settle(&mut book, "1/7/h", "y", 40), Err(SettlementError::Contradicts { .. })));
+    assert_eq!(book.net_debt("a", "b"), 60);
     book.close(2);
-    assert!(matches!(settle(&mut book, "1/7/h", "x", 40), Err(DebtError::Closed { floor: 2, .. })));
-    assert_eq!(book.open("a", "b"), 60);
+    assert!(matches!(settle(&mut book, "1/7/h", "x", 40), Err(SettlementError::Closed { floor: 2, .. })));
+    assert_eq!(book.net_debt("a", "b"), 60);
 }
 
 /// The dead broker's counts have not come yet; the settlement counts as far as the debt is known, and wholly later.
@@ -106,90 +106,99 @@
 fn a_settlement_ahead_of_its_debt_waits_for_it() {
     let mut book = book(&[("a", "b", 30)]);
     settle(&mut book, "1/7/h", "x", 100).unwrap();
-    assert_eq!((book.open("a", "b"), book.open("b", "a"), book.past("a", "b")), (0, 0, 70));
-    let mut counts = Counts::new();
-    counts.saw("w", 1, "b", "a", 120);
-    book.counted(1.0, &counts);
-    assert_eq!((book.open("a", "b"), book.past("a", "b")), (20, 0));
+    assert_eq!(
+        (book.net_debt("a", "b"), book.net_debt("b", "a"), book.settled_beyond_debt("a", "b")),
+        (0, 0, 70)
+    );
+    let mut counts = CarriedCounts::new();
+    counts.record("w", 1, "b", "a", 120);
+    book.update_counts(1.0, &counts);
+    assert_eq!((book.net_debt("a", "b"), book.settled_beyond_debt("a", "b")), (20, 0));
 }
 
 #[rstest]
 fn a_cut_off_side_stays_within_its_share() {
     let mut book = book(&[("a", "b", 100)]);
     let brokers = ["x".to_string(), "y".to_string()];
-    let entry = split(&book, "a", "b", &brokers).unwrap();
+    let entry = allot_evenly(&book, "a", "b", &brokers).unwrap();
     assert_eq!(entry.parts, [("x".to_string(), 50), ("y".to_string(), 50)]);
-    assert_eq!(book.apply(&Agreed::Allot(entry.clone())), Ok(Applied::Now));
-    assert_eq!(book.apply(&Agreed::Allot(entry)), Ok(Applied::Before));
-    assert_eq!(split(&book, "a", "b", &brokers), None);
+    assert_eq!(book.apply(&SettlementEntry::Allot(entry.clone())), Ok(ApplyOutcome::New));
+    assert_eq!(book.apply(&SettlementEntry::Allot(entry)), Ok(ApplyOutcome::Duplicate));
+    assert_eq!(allot_evenly(&book, "a", "b", &brokers), None);
     // x is cut off and promises; y gives back what it does not need, and the rest goes to z.
-    let (mut x, mut y) = (Shares::new("x").unwrap(), Shares::new("y").unwrap());
+    let (mut x, mut y) = (SharePromises::new("x").unwrap(), SharePromises::new("y").unwrap());
     x.promise(book.ledger(), settlement("1/1/h", "x", 30)).unwrap();
     x.promise(book.ledger(), settlement("1/1/h", "x", 30)).unwrap();
     let past = x.promise(book.ledger(), settlement("1/2/h", "x", 30));
-    assert!(matches!(past, Err(DebtError::PastShare { left: 20, .. })));
-    assert!(matches!(x.release(book.ledger(), "a", "b", 21), Err(DebtError::PastRelease { left: 20, .. })));
+    assert!(matches!(past, Err(SettlementError::PastShare { left: 20, .. })));
+    assert!(matches!(
+        x.release(book.ledger(), "a", "b", 21),
+        Err(SettlementError::PastRelease { left: 20, .. })
+    ));
     let back = y.release(book.ledger(), "a", "b", 45).unwrap();
-    assert_eq!(y.left(book.ledger(), "a", "b"), 5);
-    assert_eq!(book.apply(&back), Ok(Applied::Now));
-    assert_eq!(book.apply(&back), Ok(Applied::Before));
-    y.caught_up(book.ledger(), &[]);
-    assert_eq!(y.left(book.ledger(), "a", "b"), 5);
-    book.apply(&Agreed::Allot(split(&book, "a", "b", &["z".to_string()]).unwrap())).unwrap();
-    assert_eq!(book.ledger().share("z", "a", "b").left(), 45);
+    assert_eq!(y.remaining(book.ledger(), "a", "b"), 5);
+    assert_eq!(book.apply(&back), Ok(ApplyOutcome::New));
+    assert_eq!(book.apply(&back), Ok(ApplyOutcome::Duplicate));
+    y.reconcile(book.ledger(), &[]);
+    assert_eq!(y.remaining(book.ledger(), "a", "b"), 5);
+    book.apply(&SettlementEntry::Allot(allot_evenly(&book, "a", "b", &["z".to_string()]).unwrap())).unwrap();
+    assert_eq!(book.ledger().share("z", "a", "b").remaining(), 45);
     // Back again, x brings what it promised; no more than the debt is ever settled.
-    for entry in x.owing().collect::<Vec<_>>() {
-        assert_eq!(book.apply(&entry), Ok(Applied::Now));
+    for entry in x.pending_entries().collect::<Vec<_>>() {
+        assert_eq!(book.apply(&entry), Ok(ApplyOutcome::New));
     }
-    x.caught_up(book.ledger(), &[]);
-    assert_eq!((x.owing().count(), x.left(book.ledger(), "a", "b")), (0, 20));
-    assert!(matches!(settle(&mut book, "1/9/h", "x", 21), Err(DebtError::PastShare { .. })));
-    assert_eq!(book.open("a", "b"), 70);
+    x.reconcile(book.ledger(), &[]);
+    assert_eq!((x.pending_entries().count(), x.remaining(book.ledger(), "a", "b")), (0, 20));
+    assert!(matches!(settle(&mut book, "1/9/h", "x", 21), Err(SettlementError::PastShare { .. })));
+    assert_eq!(book.net_debt("a", "b"), 70);
     // The ledger goes into snapshots, and promises into the folder.
     let kept = postcard::to_stdvec(&(book.ledger(), &x)).unwrap();
-    assert_eq!(postcard::from_bytes::<(Ledger, Shares)>(&kept).unwrap(), (book.ledger().clone(), x));
+    assert_eq!(
+        postcard::from_bytes::<(SettlementLedger, SharePromises)>(&kept).unwrap(),
+        (book.ledger().clone(), x)
+    );
 }
 
 /// Every variant, as far as a story can cause it, tells what to do.
 #[rstest]
 fn each_error_says_what_to_do() {
-    let mut ledger = Ledger::default();
+    let mut ledger = SettlementLedger::default();
     let mut errors = vec![
-        Shares::new("x@y").unwrap_err(),
-        Tally::open(Some(Tally::open(None, "n1", 1).unwrap()), "n2", 2).unwrap_err(),
-        Tally::open(Some(Tally::open(None, "n1", 1).unwrap()), "n1", 1).unwrap_err(),
-        DebtError::TooMany { from: "e1".into(), brokers: 1, cells: 2, most: 1 },
-        Terms { window: 0.0, ..Terms::default() }.check().unwrap_err(),
-        ledger.apply(&Agreed::Allot(allot(0, 10, &[("x", 11)]))).unwrap_err(),
-        ledger.apply(&Agreed::Allot(allot(3, 10, &[("x", 1)]))).unwrap_err(),
-        ledger.apply(&Agreed::Allot(allot(0, 10, &[]))).unwrap_err(),
+        SharePromises::new("x@y").unwrap_err(),
+        LocalCounts::open(Some(LocalCounts::open(None, "n1", 1).unwrap()), "n2", 2).unwrap_err(),
+        LocalCounts::open(Some(LocalCounts::open(None, "n1", 1).unwrap()), "n1", 1).unwrap_err(),
+        SettlementError::TooMany { from: "e1".into(), brokers: 1, cells: 2, most: 1 },
+        SettlementTerms { window: 0.0, ..SettlementTerms::default() }.check().unwrap_err(),
+        ledger.apply(&SettlementEntry::Allot(allot(0, 10, &[("x", 11)]))).unwrap_err(),
+        ledger.apply(&SettlementEntry::Allot(allot(3, 10, &[("x", 1)]))).unwrap_err(),
+        ledger.apply(&SettlementEntry::Allot(allot(0, 10, &[]))).unwrap_err(),
     ];
-    ledger.apply(&Agreed::Allot(allot(0, 10, &[("x", 10)]))).unwrap();
+    ledger.apply(&SettlementEntry::Allot(allot(0, 10, &[("x", 10)]))).unwrap();
     let release = Release { number: 1, debtor: "a".into(), creditor: "b".into(), by: "y".into(), bytes: 1 };
-    errors.push(ledger.apply(&Agreed::Release(release)).unwrap_err());
-    errors.push(ledger.apply(&Agreed::Settle(settlement("1/1/h", "x", 11))).unwrap_err());
-    ledger.apply(&Agreed::Settle(settlement("1/1/h", "x", 1))).unwrap();
-    errors.push(ledger.apply(&Agreed::Settle(settlement("1/1/h", "y", 1))).unwrap_err());
-    errors.push(ledger.apply(&Agreed::Settle(settlement("h", "y", 1))).unwrap_err());
-    errors.push(DebtError::Step { fill: "1/1/h".into(), state: "done", event: "failed" });
+    errors.push(ledger.apply(&SettlementEntry::Release(release)).unwrap_err());
+    errors.push(ledger.apply(&SettlementEntry::Settle(settlement("1/1/h", "x", 11))).unwrap_err());
+    ledger.apply(&SettlementEntry::Settle(settlement("1/1/h", "x", 1))).unwrap();
+    errors.push(ledger.apply(&SettlementEntry::Settle(settlement("1/1/h", "y", 1))).unwrap_err());
+    errors.push(ledger.apply(&SettlementEntry::Settle(settlement("h", "y", 1))).unwrap_err());
+    errors.push(SettlementError::Step { fill: "1/1/h".into(), state: "done", event: "failed" });
     // A new variant does not compile until it stands here.
-    let place = |error: &DebtError| match error {
-        DebtError::Name { .. } => 0,
-        DebtError::OtherBroker { .. } => 1,
-        DebtError::OldIncarnation { .. } => 2,
-        DebtError::TooMany { .. } => 3,
-        DebtError::Terms { .. } => 4,
-        DebtError::PastDebt { .. } => 5,
-        DebtError::Ahead { .. } => 6,
-        DebtError::Nothing { .. } => 7,
-        DebtError::PastRelease { .. } => 8,
-        DebtError::PastShare { .. } => 9,
-        DebtError::Contradicts { .. } => 10,
-        DebtError::Closed { .. } => 11,
-        DebtError::Step { .. } => 12,
+    let place = |error: &SettlementError| match error {
+        SettlementError::Name { .. } => 0,
+        SettlementError::OtherBroker { .. } => 1,
+        SettlementError::OldIncarnation { .. } => 2,
+        SettlementError::TooMany { .. } => 3,
+        SettlementError::Terms { .. } => 4,
+        SettlementError::PastDebt { .. } => 5,
+        SettlementError::Ahead { .. } => 6,
+        SettlementError::Nothing { .. } => 7,
+        SettlementError::PastRelease { .. } => 8,
+        SettlementError::PastShare { .. } => 9,
+        SettlementError::Contradicts { .. } => 10,
+        SettlementError::Closed { .. } => 11,
+        SettlementError::Step { .. } => 12,
     };
     assert_eq!(errors.iter().map(place).collect::<Vec<_>>(), (0..13).collect::<Vec<_>>());
-    let helps: BTreeSet<&str> = errors.iter().map(DebtError::help).collect();
+    let helps: BTreeSet<&str> = errors.iter().map(SettlementError::help).collect();
     assert_eq!(helps.len(), errors.len());
     assert!(errors.iter().all(|error| error.to_string().len() > 10 && error.help().len() > 20));
 }
@@ -203,7 +212,7 @@
         let names = ["a", "b", "c", "d", "e"];
         let owes: Vec<_> = owes.into_iter().map(|(d, c, bytes)| (names[d], names[c], bytes)).collect();
         let book = book(&owes);
-        let net = book.net();
+        let net = book.net_debts();
         for name in names {
             let of = |all: &[(String, String, u64)]| -> i64 {
                 all.iter().map(|(d, c, b)| (i64::from(d == name) - i64::from(c == name)) * *b as i64).sum()
@@ -230,27 +239,27 @@
     ) {
         let by = ["x", "y", "z"];
         let make = |&(kind, number, who, bytes): &(u8, u64, usize, u64)| match kind {
-            0 => Agreed::Allot(allot(number, bytes * 3, &[(by[who], bytes), (by[(who + 1) % 3], bytes)])),
+            0 => SettlementEntry::Allot(allot(number, bytes * 3, &[(by[who], bytes), (by[(who + 1) % 3], bytes)])),
             1 => {
                 let (debtor, creditor, by) = ("a".to_string(), "b".to_string(), by[who].to_string());
-                Agreed::Release(Release { number, debtor, creditor, by, bytes: bytes / 4 })
+                SettlementEntry::Release(Release { number, debtor, creditor, by, bytes: bytes / 4 })
             }
-            _ => Agreed::Settle(settlement(&format!("1/{number}/h"), by[who], bytes)),
+            _ => SettlementEntry::Settle(settlement(&format!("1/{number}/h"), by[who], bytes)),
         };
-        let entries: Vec<Agreed> = entries.iter().map(make).collect();
-        let mut ledger = Ledger::default();
-        ledger.apply(&Agreed::Allot(allot(0, 30, &[("x", 10), ("y", 10)]))).unwrap();
+        let entries: Vec<SettlementEntry> = entries.iter().map(make).collect();
+        let mut ledger = SettlementLedger::default();
+        ledger.apply(&SettlementEntry::Allot(allot(0, 30, &[("x", 10), ("y", 10)]))).unwrap();
         let (mut debt, mut once) = (30, BTreeSet::new());
         let mut sum = 0;
         for entry in entries.iter().chain(doubles.iter().map(|at| &entries[at.index(entries.len())])) {
             let before = ledger.clone();
             match (ledger.apply(entry), entry) {
-                (Ok(Applied::Now), Agreed::Allot(allot)) => debt = debt.max(allot.debt),
-                (Ok(Applied::Now), Agreed::Settle(settlement)) => {
+                (Ok(ApplyOutcome::New), SettlementEntry::Allot(allot)) => debt = debt.max(allot.debt),
+                (Ok(ApplyOutcome::New), SettlementEntry::Settle(settlement)) => {
                     prop_assert!(once.insert(settlement.fill().to_string()));
                     sum += settlement.bytes;
                 }
-                (Ok(Applied::Now), Agreed::Release(_)) => {}
+                (Ok(ApplyOutcome::New), SettlementEntry::Release(_)) => {}
                 _ => prop_assert_eq!(&before, &ledger),
             }
             prop_assert_eq!(ledger.settled("a", "b"), sum);
--- a/crates/dunepond-settlement/tests/counts.rs
+++ b/crates/dunepond-settlement/tests/counts.rs
@@ -2,35 +2,35 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunepond_settlement::{Counts, DebtError, Sides, Tally};
+use dunepond_settlement::{BrokerPartners, CarriedCounts, LocalCounts, SettlementError};
 use proptest::prelude::*;
 use rstest::rstest;
 
 const PARTNERS: [&str; 3] = ["east", "north", "south"];
 
-fn sides(metered: &[&str]) -> Sides {
+fn sides(metered: &[&str]) -> BrokerPartners {
     let partner_of = [("e1", "east"), ("n1", "north"), ("n2", "north")];
-    Sides {
+    BrokerPartners {
         partner_of: partner_of.map(|(b, p)| (b.to_string(), p.to_string())).into(),
         metered: metered.iter().map(|p| p.to_string()).collect::<BTreeSet<_>>(),
     }
 }
 
-fn counts(cells: &[(usize, u64, usize, usize, u64)]) -> Counts {
-    let mut counts = Counts::new();
+fn counts(cells: &[(usize, u64, usize, usize, u64)]) -> CarriedCounts {
+    let mut counts = CarriedCounts::new();
     for &(broker, incarnation, carrier, owed_by, bytes) in cells {
-        counts.saw(&format!("b{broker}"), incarnation, PARTNERS[carrier], PARTNERS[owed_by], bytes);
+        counts.record(&format!("b{broker}"), incarnation, PARTNERS[carrier], PARTNERS[owed_by], bytes);
     }
     counts
 }
 
-fn joined(a: &Counts, b: &Counts) -> Counts {
+fn joined(a: &CarriedCounts, b: &CarriedCounts) -> CarriedCounts {
     let mut both = a.clone();
     both.merge(b);
     both
 }
 
-fn some() -> impl Strategy<Value = Counts> {
+fn some() -> impl Strategy<Value = CarriedCounts> {
     prop::collection::vec((0..3usize, 0..4u64, 0..3usize, 0..3usize, 1..1000u64), 0..12)
         .prop_map(|c| counts(&c))
 }
@@ -50,17 +50,17 @@
     /// and out of order: in the end all know the same, which is all that was ever saved, and nothing ever falls.
     #[test]
     fn nothing_is_lost_or_doubled_over_restarts(acts in prop::collection::vec((0..6u8, 0..3usize, 0..3usize, 1..100u64, any::<prop::sample::Index>()), 1..80)) {
-        let none = Sides::default();
+        let none = BrokerPartners::default();
         let name = |b: usize| format!("b{b}");
-        let mut tallies: Vec<Tally> = (0..3).map(|b| Tally::open(None, &name(b), 0).unwrap()).collect();
+        let mut tallies: Vec<LocalCounts> = (0..3).map(|b| LocalCounts::open(None, &name(b), 0).unwrap()).collect();
         let mut saved = tallies.clone();
         let mut truth: BTreeMap<usize, u64> = BTreeMap::new();
         let mut kept = truth.clone();
-        let mut sent: Vec<(usize, Counts)> = Vec::new();
+        let mut sent: Vec<(usize, CarriedCounts)> = Vec::new();
         for (act, b, other, bytes, any) in acts {
             match act {
                 0 | 1 => {
-                    tallies[b].saw("north", "south", bytes);
+                    tallies[b].record("north", "south", bytes);
                     *truth.entry(b).or_default() += bytes;
                 }
                 2 => {
@@ -71,13 +71,13 @@
                 3 if !sent.is_empty() => {
                     let (from, counts) = &sent[any.index(sent.len())];
                     let before = tallies[other].counts().total("north", "south");
-                    tallies[other].heard(&name(*from), counts, &none).unwrap();
+                    tallies[other].merge_from_peer(&name(*from), counts, &none).unwrap();
                     let after = tallies[other].counts().total("north", "south");
                     prop_assert!(after >= before, "{} fell to {}", before, after);
                 }
                 4 => {
                     let incarnation = tallies[b].incarnation() + 1;
-                    tallies[b] = Tally::open(Some(saved[b].clone()), &name(b), incarnation).unwrap();
+                    tallies[b] = LocalCounts::open(Some(saved[b].clone()), &name(b), incarnation).unwrap();
                     saved[b] = tallies[b].clone();
                     truth.insert(b, kept.get(&b).copied().unwrap_or(0));
                 }
@@ -87,7 +87,7 @@
         sent.extend(tallies.iter().enumerate().map(|(b, tally)| (b, tally.counts().clone())));
         for tally in &mut tallies {
             for (from, counts) in sent.iter().rev().chain(&sent) {
-                tally.heard(&name(*from), counts, &none).unwrap();
+                tally.merge_from_peer(&name(*from), counts, &none).unwrap();
             }
             prop_assert_eq!(tally.counts().total("north", "south"), truth.values().sum::<u64>());
         }
@@ -97,68 +97,71 @@
 /// A thousand restarts leave one sum and one incarnation, not a thousand.
 #[rstest]
 fn restarts_do_not_grow_the_counts() {
-    let mut tally = Tally::open(None, "n1", 0).unwrap();
+    let mut tally = LocalCounts::open(None, "n1", 0).unwrap();
     for incarnation in 1..=1000 {
-        tally.saw("north", "south", 10);
-        tally = Tally::open(Some(tally), "n1", incarnation).unwrap();
+        tally.record("north", "south", 10);
+        tally = LocalCounts::open(Some(tally), "n1", incarnation).unwrap();
     }
-    assert_eq!((tally.counts().total("north", "south"), tally.counts().cells()), (10_000, 1));
+    assert_eq!((tally.counts().total("north", "south"), tally.counts().cell_count()), (10_000, 1));
     let bytes = postcard::to_stdvec(&tally).unwrap();
     assert!(bytes.len() < 100, "{}", bytes.len());
-    assert_eq!(postcard::from_bytes::<Tally>(&bytes).unwrap(), tally);
+    assert_eq!(postcard::from_bytes::<LocalCounts>(&bytes).unwrap(), tally);
     // What is counted under a number that was folded would fall away with the next merge: it never shows.
     let mut late = tally.counts().clone();
-    late.saw("n1", 999, "north", "south", 5);
+    late.record("n1", 999, "north", "south", 5);
     assert_eq!(&late, tally.counts());
 }
 
 /// Counts of before the folder was lost, heard from others, are not folded: a peer that was cut off may know more of them.
 #[rstest]
 fn a_lost_folder_waits_for_those_who_know_more() {
-    let (none, mut first) = (Sides::default(), Tally::open(None, "n1", 1).unwrap());
-    first.saw("north", "south", 100);
+    let (none, mut first) = (BrokerPartners::default(), LocalCounts::open(None, "n1", 1).unwrap());
+    first.record("north", "south", 100);
     let early = first.counts().clone();
-    first.saw("north", "south", 900);
+    first.record("north", "south", 900);
     let late = first.counts().clone();
-    let mut anew = Tally::open(None, "n1", 5).unwrap();
-    anew.heard("n2", &early, &none).unwrap();
-    anew.saw("north", "south", 7);
-    let mut anew = Tally::open(Some(anew), "n1", 6).unwrap();
+    let mut anew = LocalCounts::open(None, "n1", 5).unwrap();
+    anew.merge_from_peer("n2", &early, &none).unwrap();
+    anew.record("north", "south", 7);
+    let mut anew = LocalCounts::open(Some(anew), "n1", 6).unwrap();
     assert_eq!(anew.counts().total("north", "south"), 107);
-    anew.heard("e1", &late, &none).unwrap();
+    anew.merge_from_peer("e1", &late, &none).unwrap();
     assert_eq!(anew.counts().total("north", "south"), 1007);
 }
 
 /// An old folder put back: the number of the incarnation was used before, and what is counted under it must not hide.
 #[rstest]
 fn an_old_folder_goes_on_under_a_number_of_its_own() {
-    let (none, mut old) = (Sides::default(), Tally::open(None, "n1", 1).unwrap());
+    let (none, mut old) = (BrokerPartners::default(), LocalCounts::open(None, "n1", 1).unwrap());
     let backup = old.clone();
-    let mut used = Tally::open(Some(old.clone()), "n1", 2).unwrap();
-    used.saw("north", "south", 500);
-    old = Tally::open(Some(backup), "n1", 2).unwrap();
-    old.heard("n2", used.counts(), &none).unwrap();
+    let mut used = LocalCounts::open(Some(old.clone()), "n1", 2).unwrap();
+    used.record("north", "south", 500);
+    old = LocalCounts::open(Some(backup), "n1", 2).unwrap();
+    old.merge_from_peer("n2", used.counts(), &none).unwrap();
     assert_eq!(old.incarnation(), 3);
-    old.saw("north", "south", 20);
+    old.record("north", "south", 20);
     assert_eq!(old.counts().total("north", "south"), 520);
 }
 
 #[rstest]
 fn a_folder_of_another_or_of_later_is_refused() {
-    let kept = Tally::open(None, "n1", 4).unwrap();
-    let other = Tally::open(Some(kept.clone()), "n2", 5);
-    assert_eq!(other, Err(DebtError::OtherBroker { kept: "n1".into(), broker: "n2".into() }));
-    assert!(matches!(Tally::open(Some(kept), "n1", 4), Err(DebtError::OldIncarnation { kept: 4, .. })));
+    let kept = LocalCounts::open(None, "n1", 4).unwrap();
+    let other = LocalCounts::open(Some(kept.clone()), "n2", 5);
+    assert_eq!(other, Err(SettlementError::OtherBroker { kept: "n1".into(), broker: "n2".into() }));
+    assert!(matches!(
+        LocalCounts::open(Some(kept), "n1", 4),
+        Err(SettlementError::OldIncarnation { kept: 4, .. })
+    ));
 }
 
 /// A creditor's broker tells its own rows, and none of what the debtor's brokers saw.
 #[rstest]
 fn nobody_writes_what_the_other_side_saw() {
-    let mut forged = Counts::new();
-    forged.saw("e1", 1, "east", "north", 1000);
-    forged.saw("n1", 1, "east", "north", 1000);
-    forged.saw("w9", 1, "east", "north", 5);
-    let mut counts = Counts::new();
+    let mut forged = CarriedCounts::new();
+    forged.record("e1", 1, "east", "north", 1000);
+    forged.record("n1", 1, "east", "north", 1000);
+    forged.record("w9", 1, "east", "north", 5);
+    let mut counts = CarriedCounts::new();
     assert_eq!(counts.merge_from("e1", &forged, &sides(&["east"])), Ok(1));
     assert_eq!(counts.total("east", "north"), 1005);
     // The dead n1's row comes from its own side.
@@ -168,10 +171,10 @@
 
 #[rstest]
 fn a_flood_of_rows_is_refused_whole() {
-    let mut flood = Counts::new();
-    (0..100_001).for_each(|i| flood.saw(&format!("b{i}"), 1, "east", "north", 1));
-    let mut counts = Counts::new();
+    let mut flood = CarriedCounts::new();
+    (0..100_001).for_each(|i| flood.record(&format!("b{i}"), 1, "east", "north", 1));
+    let mut counts = CarriedCounts::new();
     let refused = counts.merge_from("e1", &flood, &sides(&[]));
-    assert!(matches!(refused, Err(DebtError::TooMany { cells: 100_001, .. })));
-    assert_eq!(counts, Counts::new());
+    assert!(matches!(refused, Err(SettlementError::TooMany { cells: 100_001, .. })));
+    assert_eq!(counts, CarriedCounts::new());
 }
--- a/crates/dunepond-settlement/tests/leaders.rs
+++ b/crates/dunepond-settlement/tests/leaders.rs
@@ -15,24 +15,24 @@
 /// For twelve windows south needs more than north may carry, and the leader is killed every `life` seconds: what north
 /// carried at most in any stretch of a window, less what clocks differ by, and how many fills began.
 fn most_carried(life: f64, resumed: bool) -> (u64, usize) {
-    let terms = Terms {
+    let terms = SettlementTerms {
         window: WINDOW,
         carry: CARRY,
         most_speed: SPEED,
         most_move: CARRY,
         least_rate: 1.0,
         most_rate: 1e6,
-        ..Terms::default()
+        ..SettlementTerms::default()
     };
-    let mut book = Book::new(terms, Sides::default(), Ledger::default()).unwrap();
-    let links = Links { caps: BTreeMap::new(), unstated: 1e9, inside: 1e9 };
-    let cold = Cold { window: 1.0, unit: 1, rooms: BTreeMap::new() };
-    let mut planner = Planner::new("fleet", Rule::MaxMin, 1);
+    let mut book = Balances::new(terms, BrokerPartners::default(), SettlementLedger::default()).unwrap();
+    let links = LinkCapacities { caps: BTreeMap::new(), unstated: 1e9, inside: 1e9 };
+    let cold = SlowStartCapacity { window: 1.0, unit: 1, rooms: BTreeMap::new() };
+    let mut planner = FillPlanner::new("fleet", PlanningRule::MaxMin, 1);
     let (mut began, mut born, mut segment) = (Vec::new(), 0.0, 0);
     let mut now = 0.0;
     while now < 12.0 * WINDOW {
         if now >= born + life {
-            (planner, born) = (Planner::new("fleet", Rule::MaxMin, now as u64), now);
+            (planner, born) = (FillPlanner::new("fleet", PlanningRule::MaxMin, now as u64), now);
             // By a clock of its own.
             let clock = now as u64 + if ((now / life) as u64).is_multiple_of(2) { CLOCKS } else { 0 };
             for begun in book.ledger().begun().filter(|_| resumed) {
@@ -42,7 +42,7 @@
             }
         }
         let sources = vec![("north-s".to_string(), "north".to_string())];
-        let need = |segment: u64| Need {
+        let need = |segment: u64| FillDemand {
             version: 1,
             segment,
             holder: format!("south-{segment}"),
@@ -54,9 +54,9 @@
         let needs: Vec<_> = (segment..segment + 3).map(need).collect();
         for fill in planner.plan(&book, &needs, &links, &cold, None, now).fills {
             // The log has it before it begins.
-            book.apply(&Agreed::Begin(Begun::of(&fill, now as u64))).unwrap();
+            book.apply(&SettlementEntry::Begin(StartedFill::new(&fill, now as u64))).unwrap();
             began.push(now);
-            planner.ended(&fill.id, false);
+            planner.fill_ended(&fill.id, false);
             segment = segment.max(fill.segment + 1);
         }
         now += 5.0;
@@ -88,7 +88,7 @@
 
 #[test]
 fn what_leaders_began_is_forgotten_by_age_and_bounded_in_number() {
-    let mut ledger = Ledger::default();
+    let mut ledger = SettlementLedger::default();
     let fill = |id: u64, at: u64| {
         let fill = Fill {
             id: format!("1/{id}/s"),
@@ -101,16 +101,16 @@
             rate: 1.0,
             settles: None,
         };
-        Agreed::Begin(Begun::of(&fill, at))
+        SettlementEntry::Begin(StartedFill::new(&fill, at))
     };
-    assert_eq!(ledger.apply(&fill(0, 1_000)), Ok(Applied::Now));
-    assert_eq!(ledger.apply(&fill(0, 1_000)), Ok(Applied::Before));
+    assert_eq!(ledger.apply(&fill(0, 1_000)), Ok(ApplyOutcome::New));
+    assert_eq!(ledger.apply(&fill(0, 1_000)), Ok(ApplyOutcome::Duplicate));
     for id in 1..40_000 {
         ledger.apply(&fill(id, 1_000 + id / 100)).unwrap();
     }
     let kept = ledger.begun().count();
     assert!((8_000..=16_400).contains(&kept), "{kept} are kept");
-    assert!(ledger.has_begun("1/39999/s", "north"));
+    assert!(ledger.has_started("1/39999/s", "north"));
     ledger.apply(&fill(99_999, 100_000)).unwrap();
     assert_eq!(ledger.begun().count(), 1);
 }
--- a/crates/dunepond-settlement/tests/model.rs
+++ b/crates/dunepond-settlement/tests/model.rs
@@ -26,9 +26,9 @@
 struct Broker {
     /// How far it has the log, and what follows from it.
     applied: usize,
-    ledger: Ledger,
+    ledger: SettlementLedger,
     /// In its folder.
-    shares: Shares,
+    shares: SharePromises,
     done: BTreeSet<usize>,
     /// Fills that it has under way: gone with a crash.
     under_way: BTreeSet<usize>,
@@ -39,10 +39,10 @@
 struct World {
     brokers: Vec<Broker>,
     /// Entries that were ever proposed, and how often each was committed: any of them may come, again or never.
-    sent: BTreeMap<Agreed, u8>,
-    log: Vec<Agreed>,
+    sent: BTreeMap<SettlementEntry, u8>,
+    log: Vec<SettlementEntry>,
     /// The ledger of the whole log, and the fills that it took, once each time.
-    truth: Ledger,
+    truth: SettlementLedger,
     taken: Vec<String>,
     wiped: bool,
 }
@@ -55,7 +55,7 @@
     Begin(usize, usize),
     End(usize, usize),
     Release(usize),
-    Commit(Agreed),
+    Commit(SettlementEntry),
     Learn(usize),
     HearDead(usize),
     Crash(usize),
@@ -66,7 +66,7 @@
     /// Entries in the log at most.
     log: usize,
     /// Splits by ledger and by what was heard: a book is dear, and few are different.
-    splits: Mutex<HashMap<(Ledger, bool), Option<Allot>>>,
+    splits: Mutex<HashMap<(SettlementLedger, bool), Option<Allotment>>>,
 }
 
 fn settlement(fill: usize, by: usize) -> Settlement {
@@ -81,14 +81,15 @@
     }
 }
 
-fn book(broker: &Broker) -> Book {
-    let mut counts = Counts::new();
-    counts.saw("w", 1, "b", "a", DEBT - DEAD);
+fn book(broker: &Broker) -> Balances {
+    let mut counts = CarriedCounts::new();
+    counts.record("w", 1, "b", "a", DEBT - DEAD);
     if broker.heard_dead {
-        counts.saw("dead", 1, "b", "a", DEAD);
+        counts.record("dead", 1, "b", "a", DEAD);
     }
-    let mut book = Book::new(Terms::default(), Sides::default(), broker.ledger.clone()).unwrap();
-    book.counted(0.0, &counts);
+    let mut book =
+        Balances::new(SettlementTerms::default(), BrokerPartners::default(), broker.ledger.clone()).unwrap();
+    book.update_counts(0.0, &counts);
     book
 }
 
@@ -99,8 +100,8 @@
     fn init_states(&self) -> Vec<World> {
         let broker = |by: &&str| Broker {
             applied: 0,
-            ledger: Ledger::default(),
-            shares: Shares::new(by).unwrap(),
+            ledger: SettlementLedger::default(),
+            shares: SharePromises::new(by).unwrap(),
             done: BTreeSet::new(),
             under_way: BTreeSet::new(),
             heard_dead: false,
@@ -109,7 +110,7 @@
             brokers: BY.iter().map(broker).collect(),
             sent: BTreeMap::new(),
             log: Vec::new(),
-            truth: Ledger::default(),
+            truth: SettlementLedger::default(),
             taken: Vec::new(),
             wiped: false,
         }]
@@ -153,9 +154,9 @@
                 let broker = &world.brokers[b];
                 let mut splits = self.splits.lock().unwrap();
                 let known = splits.entry((broker.ledger.clone(), broker.heard_dead));
-                let make = || split(&book(broker), "a", "b", &BY.map(String::from));
+                let make = || allot_evenly(&book(broker), "a", "b", &BY.map(String::from));
                 let entry = known.or_insert_with(make).clone()?;
-                world.sent.entry(Agreed::Allot(entry)).or_default();
+                world.sent.entry(SettlementEntry::Allot(entry)).or_default();
             }
             Act::Begin(b, f) => {
                 let broker = &mut world.brokers[b];
@@ -167,7 +168,7 @@
                 world.brokers[b].under_way.remove(&f);
                 world.brokers[b].done.insert(f);
                 // May be proposed from now on; whether it ever is, and how often, is the log's to choose.
-                world.sent.entry(Agreed::Settle(settlement(f, b))).or_default();
+                world.sent.entry(SettlementEntry::Settle(settlement(f, b))).or_default();
             }
             Act::Release(b) => {
                 let broker = &mut world.brokers[b];
@@ -176,7 +177,9 @@
             }
             Act::Commit(entry) => {
                 *world.sent.get_mut(&entry)? += 1;
-                if let (Ok(Applied::Now), Agreed::Settle(it)) = (world.truth.apply(&entry), &entry) {
+                if let (Ok(ApplyOutcome::New), SettlementEntry::Settle(it)) =
+                    (world.truth.apply(&entry), &entry)
+                {
                     world.taken.push(it.fill().to_string());
                 }
                 world.log.push(entry);
@@ -186,10 +189,10 @@
                 let entry = &world.log[broker.applied];
                 broker.applied += 1;
                 let refused = match (broker.ledger.apply(entry), entry) {
-                    (Err(_), Agreed::Settle(it)) => vec![it.clone()],
+                    (Err(_), SettlementEntry::Settle(it)) => vec![it.clone()],
                     _ => vec![],
                 };
-                broker.shares.caught_up(&broker.ledger, &refused);
+                broker.shares.reconcile(&broker.ledger, &refused);
             }
             Act::HearDead(b) => world.brokers[b].heard_dead = true,
             Act::Crash(b) => {
@@ -216,9 +219,9 @@
             }),
             // What is promised while cut off finds its place when it comes, as long as no folder was lost.
             Property::always("promises within the debt", |_, world: &World| {
-                let open = world.brokers.iter().flat_map(|broker| broker.shares.owing());
+                let open = world.brokers.iter().flat_map(|broker| broker.shares.pending_entries());
                 let open = open.filter_map(|entry| match entry {
-                    Agreed::Settle(it) if !world.truth.has(it.fill()) => Some(it.bytes),
+                    SettlementEntry::Settle(it) if !world.truth.is_settled(it.fill()) => Some(it.bytes),
                     _ => None,
                 });
                 world.wiped || open.sum::<u64>() + world.truth.settled("a", "b") <= DEBT
