--- a/crates/dunepond-settlement/tests/plan.rs
+++ b/crates/dunepond-settlement/tests/plan.rs
@@ -10,8 +10,8 @@
 
 const PARTNERS: [&str; 4] = ["a", "b", "c", "d"];
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> SettlementTerms {
+    SettlementTerms {
         window: 100.0,
         most_speed: 1e6,
         most_move: 10_000,
@@ -19,35 +19,35 @@
         carry: 40_000,
         least_rate: 10.0,
         most_rate: 1000.0,
-        ..Terms::default()
+        ..SettlementTerms::default()
     }
 }
 
 /// Debtor, creditor, bytes.
-fn book(terms: Terms, owes: &[(&str, &str, u64)]) -> Book {
-    let mut counts = Counts::new();
-    owes.iter().for_each(|(debtor, creditor, bytes)| counts.saw("w", 1, creditor, debtor, *bytes));
-    let mut book = Book::new(terms, Sides::default(), Ledger::default()).unwrap();
-    book.counted(0.0, &counts);
+fn book(terms: SettlementTerms, owes: &[(&str, &str, u64)]) -> Balances {
+    let mut counts = CarriedCounts::new();
+    owes.iter().for_each(|(debtor, creditor, bytes)| counts.record("w", 1, creditor, debtor, *bytes));
+    let mut book = Balances::new(terms, BrokerPartners::default(), SettlementLedger::default()).unwrap();
+    book.update_counts(0.0, &counts);
     book
 }
 
 /// A holder of `to` that each of `from` could fill; sources are named like their partners.
-fn need(segment: u64, to: &str, from: &[&str], bytes: u64) -> Need {
+fn need(segment: u64, to: &str, from: &[&str], bytes: u64) -> FillDemand {
     let sources = from.iter().map(|partner| (format!("{partner}-s"), partner.to_string())).collect();
     let holder = format!("{to}-{segment}");
-    Need { version: 1, segment, holder, holder_partner: to.to_string(), sources, bytes, start: 0 }
+    FillDemand { version: 1, segment, holder, holder_partner: to.to_string(), sources, bytes, start: 0 }
 }
 
-fn links(cap: f64) -> Links {
-    Links { caps: BTreeMap::new(), unstated: cap, inside: 1e9 }
+fn links(cap: f64) -> LinkCapacities {
+    LinkCapacities { caps: BTreeMap::new(), unstated: cap, inside: 1e9 }
 }
 
-fn warm() -> Cold {
-    Cold { window: 1.0, unit: 1, rooms: BTreeMap::new() }
+fn warm() -> SlowStartCapacity {
+    SlowStartCapacity { window: 1.0, unit: 1, rooms: BTreeMap::new() }
 }
 
-fn held(plan: &Plan) -> Vec<Held> {
+fn held(plan: &FillPlan) -> Vec<WaitReason> {
     plan.held.iter().map(|(_, why)| why.clone()).collect()
 }
 
@@ -56,8 +56,10 @@
     let book = book(terms(), &[("b", "a", 300), ("c", "a", 5000)]);
     let needs = [need(1, "a", &["a", "b", "c", "d"], 4000), need(2, "a", &["a", "b", "c", "d"], 4000)];
     let fills = plan(&book, &needs, &links(1e4), &warm(), 0.0, 1);
-    let seen: Vec<_> =
-        fills.iter().map(|f| (f.from.as_str(), f.settles.as_ref().unwrap().bytes, f.unsettled())).collect();
+    let seen: Vec<_> = fills
+        .iter()
+        .map(|f| (f.from.as_str(), f.settles.as_ref().unwrap().bytes, f.unsettled_bytes()))
+        .collect();
     // The second takes what is left of the same debt, as it is still the greatest.
     assert_eq!(seen, [("c", 4000, 0), ("c", 1000, 3000)]);
 }
@@ -75,46 +77,72 @@
 }
 
 #[rstest]
-#[case(Rule::MaxMin, "b")]
-#[case(Rule::Cheapest, "a")]
-fn the_largest_shortfall_is_served_first(#[case] rule: Rule, #[case] first: &str) {
+#[case(PlanningRule::MaxMin, "b")]
+#[case(PlanningRule::Cheapest, "a")]
+fn the_largest_shortfall_is_served_first(#[case] rule: PlanningRule, #[case] first: &str) {
     // Only one more fill goes out of c in this window.
-    let terms = Terms { carry: 1000, ..terms() };
+    let terms = SettlementTerms { carry: 1000, ..terms() };
     let book = book(terms, &[("c", "a", 2000), ("c", "b", 9000)]);
     let needs = [need(1, "a", &["c"], 1000), need(2, "b", &["c"], 1000)];
-    let plan = Planner::new("x", rule, 1).plan(&book, &needs, &links(1e4), &warm(), None, 0.0);
-    assert_eq!((plan.fills.len(), plan.fills[0].to.as_str(), held(&plan)), (1, first, vec![Held::Carry]));
+    let plan = FillPlanner::new("x", rule, 1).plan(&book, &needs, &links(1e4), &warm(), None, 0.0);
+    assert_eq!(
+        (plan.fills.len(), plan.fills[0].to.as_str(), held(&plan)),
+        (1, first, vec![WaitReason::Carry])
+    );
 }
 
 #[rstest]
 fn a_link_and_a_cold_node_bear_no_more_than_they_may_over_calls() {
     let book = book(terms(), &[("b", "a", 1_000_000)]);
-    let mut planner = Planner::new("x", Rule::MaxMin, 1);
+    let mut planner = FillPlanner::new("x", PlanningRule::MaxMin, 1);
     let needs: Vec<_> = (0..9).map(|i| need(i, "a", &["b"], 1000)).collect();
     let first = planner.plan(&book, &needs[..2], &links(35.0), &warm(), None, 0.0);
     assert_eq!(first.fills.iter().map(|fill| fill.rate).collect::<Vec<_>>(), [17.5, 17.5]);
     let second = planner.plan(&book, &needs, &links(35.0), &warm(), None, 1.0);
-    assert_eq!((second.fills.len(), held(&second).iter().filter(|why| **why == Held::Link).count()), (0, 7));
-    planner.ended(&first.fills[0].id, true);
+    assert_eq!(
+        (second.fills.len(), held(&second).iter().filter(|why| **why == WaitReason::Link).count()),
+        (0, 7)
+    );
+    planner.fill_ended(&first.fills[0].id, true);
     assert_eq!(planner.plan(&book, &needs, &links(35.0), &warm(), None, 2.0).fills.len(), 1);
     // 4 expected: 4 + 3 * 2 + 3 = 13 units at most, 3 taken by scans, one left free: 9 units of 10 bytes in 2 seconds.
-    let room = Room { expected: 4.0, taken: 3.0 };
-    let cold = Cold { window: 2.0, unit: 10, rooms: [("a-7".to_string(), room)].into() };
-    let cooled = Planner::new("x", Rule::MaxMin, 1).plan(&book, &needs[7..8], &links(1e4), &cold, None, 0.0);
+    let room = NodeCapacity { expected: 4.0, taken: 3.0 };
+    let cold = SlowStartCapacity { window: 2.0, unit: 10, rooms: [("a-7".to_string(), room)].into() };
+    let cooled = FillPlanner::new("x", PlanningRule::MaxMin, 1).plan(
+        &book,
+        &needs[7..8],
+        &links(1e4),
+        &cold,
+        None,
+        0.0,
+    );
     assert_eq!(cooled.fills[0].rate, 45.0);
-    let full = Cold { rooms: [("a-7".to_string(), Room { taken: 12.0, ..room })].into(), ..cold };
-    let full = Planner::new("x", Rule::MaxMin, 1).plan(&book, &needs[7..8], &links(1e4), &full, None, 0.0);
-    assert_eq!(held(&full), [Held::Cold]);
+    let full = SlowStartCapacity {
+        rooms: [("a-7".to_string(), NodeCapacity { taken: 12.0, ..room })].into(),
+        ..cold
+    };
+    let full = FillPlanner::new("x", PlanningRule::MaxMin, 1).plan(
+        &book,
+        &needs[7..8],
+        &links(1e4),
+        &full,
+        None,
+        0.0,
+    );
+    assert_eq!(held(&full), [WaitReason::Cold]);
 }
 
 #[rstest]
-#[case::too_large(Terms { most_move: 999, ..terms() }, Held::Far)]
-#[case::owed_too_much(Terms { most_debt: 999, ..terms() }, Held::Far)]
-#[case::more_than_a_window_bears(Terms { carry: 999, ..terms() }, Held::Far)]
-#[case::never_so_fast(Terms { most_speed: 9.99, ..terms() }, Held::Far)]
-fn a_debt_moves_no_further_and_no_faster_than_agreed(#[case] terms: Terms, #[case] why: Held) {
+#[case::too_large(SettlementTerms { most_move: 999, ..terms() }, WaitReason::Far)]
+#[case::owed_too_much(SettlementTerms { most_debt: 999, ..terms() }, WaitReason::Far)]
+#[case::more_than_a_window_bears(SettlementTerms { carry: 999, ..terms() }, WaitReason::Far)]
+#[case::never_so_fast(SettlementTerms { most_speed: 9.99, ..terms() }, WaitReason::Far)]
+fn a_debt_moves_no_further_and_no_faster_than_agreed(
+    #[case] terms: SettlementTerms,
+    #[case] why: WaitReason,
+) {
     let book = book(terms, &[]);
-    let plan = Planner::new("x", Rule::MaxMin, 1).plan(
+    let plan = FillPlanner::new("x", PlanningRule::MaxMin, 1).plan(
         &book,
         &[need(1, "a", &["b"], 1000)],
         &links(1e4),
@@ -128,14 +156,14 @@
 /// Fills under way count as done: together they make a debt no greater than one alone may.
 #[rstest]
 fn fills_under_way_count_in_how_far_a_debt_may_go() {
-    let book = book(Terms { most_debt: 1500, ..terms() }, &[]);
-    let mut planner = Planner::new("x", Rule::MaxMin, 1);
+    let book = book(SettlementTerms { most_debt: 1500, ..terms() }, &[]);
+    let mut planner = FillPlanner::new("x", PlanningRule::MaxMin, 1);
     let needs = [need(1, "a", &["b"], 1000), need(2, "a", &["b"], 1000)];
     let plan = planner.plan(&book, &needs, &links(1e4), &warm(), None, 0.0);
-    assert_eq!((plan.fills.len(), held(&plan)), (1, vec![Held::Far]));
+    assert_eq!((plan.fills.len(), held(&plan)), (1, vec![WaitReason::Far]));
     assert_eq!(
         held(&planner.plan(&book, &needs, &links(1e4), &warm(), None, 1.0)),
-        [Held::Running, Held::Far]
+        [WaitReason::Running, WaitReason::Far]
     );
     // One the other way makes room.
     let back = planner.plan(&book, &[need(3, "b", &["a"], 1000)], &links(1e4), &warm(), None, 2.0);
@@ -145,12 +173,12 @@
 
 #[rstest]
 fn a_window_bears_so_much_between_two() {
-    let book = book(Terms { most_speed: 15.0, ..terms() }, &[]);
-    let mut planner = Planner::new("x", Rule::MaxMin, 1);
+    let book = book(SettlementTerms { most_speed: 15.0, ..terms() }, &[]);
+    let mut planner = FillPlanner::new("x", PlanningRule::MaxMin, 1);
     let needs = [need(1, "a", &["b"], 1000), need(2, "a", &["b"], 1000)];
     let first = planner.plan(&book, &needs, &links(1e4), &warm(), None, 0.0);
-    assert_eq!((first.fills.len(), held(&first)), (1, vec![Held::Fast]));
-    assert_eq!(held(&planner.plan(&book, &needs[1..], &links(1e4), &warm(), None, 99.0)), [Held::Fast]);
+    assert_eq!((first.fills.len(), held(&first)), (1, vec![WaitReason::Fast]));
+    assert_eq!(held(&planner.plan(&book, &needs[1..], &links(1e4), &warm(), None, 99.0)), [WaitReason::Fast]);
     assert_eq!(planner.plan(&book, &needs[1..], &links(1e4), &warm(), None, 100.0).fills.len(), 1);
 }
 
@@ -158,27 +186,34 @@
 #[rstest]
 fn a_debt_is_not_paid_twice_between_the_end_and_the_entry() {
     let mut book = book(terms(), &[("b", "a", 1000)]);
-    let mut planner = Planner::new("x", Rule::MaxMin, 1);
+    let mut planner = FillPlanner::new("x", PlanningRule::MaxMin, 1);
     let needs: Vec<_> = (0..3).map(|i| need(i, "a", &["b"], 1000)).collect();
     let first = planner.plan(&book, &needs[..1], &links(1e4), &warm(), None, 0.0).fills.remove(0);
-    let settles = |plan: &Plan| plan.fills[0].settles.clone();
+    let settles = |plan: &FillPlan| plan.fills[0].settles.clone();
     assert_eq!(settles(&planner.plan(&book, &needs[..2], &links(1e4), &warm(), None, 1.0)), None);
-    planner.ended(&first.id, true);
+    planner.fill_ended(&first.id, true);
     assert_eq!(settles(&planner.plan(&book, &needs[2..], &links(1e4), &warm(), None, 2.0)), None);
-    assert_eq!(book.apply(&Agreed::Settle(first.settles.unwrap())), Ok(Applied::Now));
-    assert_eq!(book.open("a", "b") + book.open("b", "a"), 0);
+    assert_eq!(book.apply(&SettlementEntry::Settle(first.settles.unwrap())), Ok(ApplyOutcome::New));
+    assert_eq!(book.net_debt("a", "b") + book.net_debt("b", "a"), 0);
 }
 
 /// Another leads now: it knows what is under way and what the window has seen, and plans neither again.
 #[rstest]
 fn who_begins_to_lead_goes_on_from_what_is_under_way() {
-    let book = book(Terms { carry: 2000, ..terms() }, &[("b", "a", 1500)]);
+    let book = book(SettlementTerms { carry: 2000, ..terms() }, &[("b", "a", 1500)]);
     let needs: Vec<_> = (0..3).map(|i| need(i, "a", &["b"], 1000)).collect();
-    let first = Planner::new("x", Rule::MaxMin, 1).plan(&book, &needs[..1], &links(1e4), &warm(), None, 0.0);
-    let mut next = Planner::new("y", Rule::MaxMin, 2);
+    let first = FillPlanner::new("x", PlanningRule::MaxMin, 1).plan(
+        &book,
+        &needs[..1],
+        &links(1e4),
+        &warm(),
+        None,
+        0.0,
+    );
+    let mut next = FillPlanner::new("y", PlanningRule::MaxMin, 2);
     next.resume(&first.fills[0], 0.0, true);
     let plan = next.plan(&book, &needs, &links(1e4), &warm(), None, 1.0);
-    assert_eq!(held(&plan), [Held::Running, Held::Carry]);
+    assert_eq!(held(&plan), [WaitReason::Running, WaitReason::Carry]);
     assert_eq!(plan.fills[0].settles.as_ref().map(|settlement| settlement.bytes), Some(500));
 }
 
@@ -186,9 +221,10 @@
 #[rstest]
 fn a_plan_stays_within_its_brokers_share() {
     let mut book = book(terms(), &[("b", "a", 1000)]);
-    let entry = split(&book, "b", "a", &["x".to_string(), "y".to_string()]).unwrap();
-    book.apply(&Agreed::Allot(entry)).unwrap();
-    let (mut planner, mut shares) = (Planner::new("x", Rule::MaxMin, 1), Shares::new("x").unwrap());
+    let entry = allot_evenly(&book, "b", "a", &["x".to_string(), "y".to_string()]).unwrap();
+    book.apply(&SettlementEntry::Allot(entry)).unwrap();
+    let (mut planner, mut shares) =
+        (FillPlanner::new("x", PlanningRule::MaxMin, 1), SharePromises::new("x").unwrap());
     let needs = [need(1, "a", &["b"], 300), need(2, "a", &["b"], 300), need(3, "a", &["b"], 300)];
     let first = planner.plan(&book, &needs[..1], &links(1e4), &warm(), Some(&shares), 0.0);
     shares.promise(book.ledger(), first.fills[0].settles.clone().unwrap()).unwrap();
@@ -197,61 +233,61 @@
     assert_eq!(pays, [Some(200), None]);
 }
 
-fn filling(patience: Patience) -> (Filling, Pcg64Mcg) {
+fn filling(patience: FillRetryPolicy) -> (FillProgress, Pcg64Mcg) {
     let book = book(terms(), &[]);
     let fill = plan(&book, &[need(1, "a", &["b"], 1000)], &links(100.0), &warm(), 0.0, 1).remove(0);
-    (Filling::new(fill, patience, 0.0), Pcg64Mcg::seed_from_u64(1))
+    (FillProgress::new(fill, patience, 0.0), Pcg64Mcg::seed_from_u64(1))
 }
 
 #[rstest]
 fn a_fill_is_tried_again_later_and_later_and_then_fails() {
-    let patience = Patience { tries: 3, deadline: 1e6, ..Patience::default() };
+    let patience = FillRetryPolicy { tries: 3, deadline: 1e6, ..FillRetryPolicy::default() };
     let (mut filling, mut chance) = filling(patience);
     let (mut now, mut begun) = (0.0, Vec::new());
-    while let Some(due) = filling.due() {
+    while let Some(due) = filling.next_tick_at() {
         now = due;
         for order in filling.tick(now, &mut chance) {
             match order {
-                Order::Begin(_) => begun.push(now),
-                Order::Stop(_) => assert!(now - begun.last().unwrap() >= 20.0),
-                order => assert!(matches!(order, Order::Free(_)) && begun.len() == 3),
+                FillAction::Begin(_) => begun.push(now),
+                FillAction::Stop(_) => assert!(now - begun.last().unwrap() >= 20.0),
+                order => assert!(matches!(order, FillAction::Free(_)) && begun.len() == 3),
             }
         }
     }
-    assert!(matches!(filling.state(), State::Failed { .. }));
+    assert!(matches!(filling.state(), FillState::Failed { .. }));
     // 10 s at its rate, twice that waited for, then 0.5 to 1 s, and 1 to 2 s.
     let pauses: Vec<f64> = begun.windows(2).map(|pair| pair[1] - pair[0] - 20.0).collect();
     assert!((0.5..=1.0).contains(&pauses[0]) && (1.0..=2.0).contains(&pauses[1]), "{pauses:?}");
-    let late = filling.heard(now, Event::Done, &mut chance);
-    assert!(matches!(late, Err(DebtError::Step { state: "failed", event: "done", .. })));
+    let late = filling.handle_event(now, FillEvent::Done, &mut chance);
+    assert!(matches!(late, Err(SettlementError::Step { state: "failed", event: "done", .. })));
 }
 
 #[rstest]
 fn a_deadline_withdraws_and_a_late_end_still_counts_before_it() {
-    let (mut filling, mut chance) = filling(Patience { deadline: 30.0, ..Patience::default() });
+    let (mut filling, mut chance) = filling(FillRetryPolicy { deadline: 30.0, ..FillRetryPolicy::default() });
     filling.tick(0.0, &mut chance);
-    assert!(matches!(filling.tick(20.0, &mut chance)[..], [Order::Stop(_)]));
+    assert!(matches!(filling.tick(20.0, &mut chance)[..], [FillAction::Stop(_)]));
     let mut late = filling.clone();
-    let done = late.heard(20.1, Event::Done, &mut chance).unwrap();
-    assert!(matches!(done[..], [Order::Free(_), Order::Propose(_)]));
-    assert_eq!(late.heard(20.2, Event::Done, &mut chance), Ok(vec![]));
+    let done = late.handle_event(20.1, FillEvent::Done, &mut chance).unwrap();
+    assert!(matches!(done[..], [FillAction::Free(_), FillAction::Propose(_)]));
+    assert_eq!(late.handle_event(20.2, FillEvent::Done, &mut chance), Ok(vec![]));
     // A crash between the end and the entry: proposed again.
-    assert!(matches!(late.again(21.0)[..], [Order::Propose(_)]));
+    assert!(matches!(late.resume(21.0)[..], [FillAction::Propose(_)]));
     filling.tick(21.5, &mut chance);
-    assert!(matches!(filling.tick(30.0, &mut chance)[..], [Order::Stop(_), Order::Free(_)]));
-    assert!(matches!(filling.state(), State::Withdrawn { .. }) && filling.due().is_none());
+    assert!(matches!(filling.tick(30.0, &mut chance)[..], [FillAction::Stop(_), FillAction::Free(_)]));
+    assert!(matches!(filling.state(), FillState::Withdrawn { .. }) && filling.next_tick_at().is_none());
 }
 
 /// A crash while it is under way begins it again under the same id, and costs none of its tries.
 #[rstest]
 fn a_crash_begins_the_fill_again() {
-    let (mut filling, mut chance) = filling(Patience { tries: 1, ..Patience::default() });
+    let (mut filling, mut chance) = filling(FillRetryPolicy { tries: 1, ..FillRetryPolicy::default() });
     filling.tick(0.0, &mut chance);
-    let mut filling: Filling = postcard::from_bytes(&postcard::to_stdvec(&filling).unwrap()).unwrap();
-    assert_eq!(filling.again(5.0), vec![]);
-    assert!(matches!(&filling.tick(5.0, &mut chance)[..], [Order::Begin(fill)] if fill.id == "1/1/a-1"));
-    assert!(filling.heard(6.0, Event::Failed { why: "full".into() }, &mut chance).is_ok());
-    assert!(matches!(filling.state(), State::Failed { .. }));
+    let mut filling: FillProgress = postcard::from_bytes(&postcard::to_stdvec(&filling).unwrap()).unwrap();
+    assert_eq!(filling.resume(5.0), vec![]);
+    assert!(matches!(&filling.tick(5.0, &mut chance)[..], [FillAction::Begin(fill)] if fill.id == "1/1/a-1"));
+    assert!(filling.handle_event(6.0, FillEvent::Failed { why: "full".into() }, &mut chance).is_ok());
+    assert!(matches!(filling.state(), FillState::Failed { .. }));
 }
 
 /// One by one to whoever has least of those that want more.
@@ -277,7 +313,7 @@
     #[test]
     fn rates_are_max_min(flows in prop::collection::vec(prop::collection::vec(0..4usize, 1..4), 1..8), caps in prop::collection::vec(1.0..100.0f64, 4)) {
         let flows: Vec<Vec<usize>> = flows.into_iter().map(|mut f| { f.sort(); f.dedup(); f }).collect();
-        let rates = rates(&flows, &caps);
+        let rates = max_min_rates(&flows, &caps);
         let load = |r: usize| flows.iter().zip(&rates).filter(|(f, _)| f.contains(&r)).map(|(_, rate)| rate).sum::<f64>();
         prop_assert!((0..4).all(|r| load(r) <= caps[r] * (1.0 + 1e-9)));
         for (flow, rate) in flows.iter().zip(&rates) {
@@ -299,15 +335,15 @@
     fn bounds_hold_at_each_moment_and_nobody_is_starved(
         seed in any::<u64>(), turns in any::<bool>(), flood in 0..4usize, cap in 60.0..200.0f64, sizes in prop::collection::vec(200..1800u64, 4),
     ) {
-        let terms = Terms { carry: 9000, most_speed: 60.0, window: 30.0, ..terms() };
+        let terms = SettlementTerms { carry: 9000, most_speed: 60.0, window: 30.0, ..terms() };
         let owes: Vec<_> = (0..3).map(|i| (PARTNERS[i + 1], PARTNERS[flood], 900 * (i as u64 + 1))).collect();
         let mut book = book(terms.clone(), &owes);
-        let rule = if turns { Rule::DeficitRoundRobin } else { Rule::MaxMin };
-        let mut planner = Planner::new("x", rule, seed);
-        let room = Room { expected: 4.0, taken: 2.0 };
+        let rule = if turns { PlanningRule::DeficitRoundRobin } else { PlanningRule::MaxMin };
+        let mut planner = FillPlanner::new("x", rule, seed);
+        let room = NodeCapacity { expected: 4.0, taken: 2.0 };
         let rooms = PARTNERS.iter().flat_map(|p| (0..400).map(move |i| (format!("{p}-{i}"), room))).collect();
-        let cold = Cold { window: 1.0, unit: 20, rooms };
-        let mut queues: Vec<VecDeque<Need>> = vec![VecDeque::new(); 4];
+        let cold = SlowStartCapacity { window: 1.0, unit: 20, rooms };
+        let mut queues: Vec<VecDeque<FillDemand>> = vec![VecDeque::new(); 4];
         let mut under_way: Vec<(f64, Fill)> = Vec::new();
         let (mut log, mut waits, mut segment) = (Vec::new(), [0.0f64; 4], 0);
         for step in 0..180 {
@@ -315,9 +351,9 @@
             let (ended, still): (Vec<_>, Vec<_>) = under_way.into_iter().partition(|(end, _)| *end <= now);
             under_way = still;
             for (_, fill) in ended {
-                planner.ended(&fill.id, true);
+                planner.fill_ended(&fill.id, true);
                 if let Some(settlement) = fill.settles {
-                    prop_assert_eq!(book.apply(&Agreed::Settle(settlement)), Ok(Applied::Now));
+                    prop_assert_eq!(book.apply(&SettlementEntry::Settle(settlement)), Ok(ApplyOutcome::New));
                 }
             }
             for (p, queue) in queues.iter_mut().enumerate() {
@@ -328,7 +364,7 @@
                     segment = (segment + 1) % 400;
                 }
             }
-            let needs: Vec<Need> = queues.iter().flatten().cloned().collect();
+            let needs: Vec<FillDemand> = queues.iter().flatten().cloned().collect();
             let plan = planner.plan(&book, &needs, &links(cap), &cold, None, now);
             for (p, queue) in queues.iter_mut().enumerate() {
                 let before = queue.len();
@@ -340,7 +376,7 @@
             for fill in plan.fills {
                 prop_assert!(fill.rate >= terms.least_rate * (1.0 - 1e-9) && fill.rate <= terms.most_rate);
                 log.push((now, fill.from.clone(), fill.to.clone(), fill.bytes));
-                under_way.push((now + fill.lasts(), fill));
+                under_way.push((now + fill.duration_seconds(), fill));
             }
             for from in PARTNERS {
                 let recent = || log.iter().filter(|(at, ..)| *at > now - terms.window);
@@ -352,12 +388,12 @@
                     prop_assert!(rate <= cap * (1.0 + 1e-9));
                     let pair = recent().filter(|(_, f, t, _)| (f == from && t == to) || (f == to && t == from));
                     prop_assert!(pair.map(|(.., bytes)| *bytes).sum::<u64>() as f64 <= terms.most_speed * terms.window);
-                    prop_assert_eq!(book.past(from, to), 0);
+                    prop_assert_eq!(book.settled_beyond_debt(from, to), 0);
                 }
             }
             for (_, fill) in &under_way {
                 let rate: f64 = under_way.iter().filter(|(_, it)| it.holder == fill.holder).map(|(_, it)| it.rate).sum();
-                prop_assert!(rate + 2.0 * 20.0 <= bound(4.0) * 20.0 + 1e-6);
+                prop_assert!(rate + 2.0 * 20.0 <= max_units(4.0) * 20.0 + 1e-6);
             }
         }
     }
--- a/crates/dunepond-settlement/tests/telling.rs
+++ b/crates/dunepond-settlement/tests/telling.rs
@@ -1,6 +1,6 @@
 //! What of the counts a peer is told: nobody is left behind, and those who have all hear next to nothing.
 
-use dunepond_settlement::{Counts, Sides, Tally, Telling, Word};
+use dunepond_settlement::{BrokerPartners, CarriedCounts, CountsMessage, CountsReplication, LocalCounts};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -13,37 +13,37 @@
 /// A broker with its folder, as the host has it: saved before it tells, and merged before it notes what it heard.
 struct Broker {
     at: usize,
-    tally: Tally,
-    telling: Telling,
-    folder: Tally,
+    tally: LocalCounts,
+    telling: CountsReplication,
+    folder: LocalCounts,
 }
 
 impl Broker {
     fn new(at: usize) -> Broker {
-        let tally = Tally::open(None, &name(at), 1).unwrap();
-        Broker { at, folder: tally.clone(), tally, telling: Telling::new(u64::MAX - at as u64) }
+        let tally = LocalCounts::open(None, &name(at), 1).unwrap();
+        Broker { at, folder: tally.clone(), tally, telling: CountsReplication::new(u64::MAX - at as u64) }
     }
 
-    fn tell(&mut self, to: usize) -> Word {
+    fn tell(&mut self, to: usize) -> CountsMessage {
         self.folder = self.tally.clone();
-        self.telling.tell(&name(to), self.tally.counts())
+        self.telling.message_for(&name(to), self.tally.counts())
     }
 
-    fn hear(&mut self, from: usize, word: &Word) {
-        self.tally.heard(&name(from), &word.counts, &Sides::default()).unwrap();
-        self.telling.heard(&name(from), word, self.tally.counts());
+    fn hear(&mut self, from: usize, word: &CountsMessage) {
+        self.tally.merge_from_peer(&name(from), &word.counts, &BrokerPartners::default()).unwrap();
+        self.telling.handle_message(&name(from), word, self.tally.counts());
     }
 
     fn restart(&mut self, process: u64, lost: bool) {
         let incarnation = self.tally.incarnation() + 1;
         let folder = (!lost).then(|| self.folder.clone());
-        self.tally = Tally::open(folder, &name(self.at), incarnation).unwrap();
-        self.telling = Telling::new(process);
+        self.tally = LocalCounts::open(folder, &name(self.at), incarnation).unwrap();
+        self.telling = CountsReplication::new(process);
     }
 }
 
 /// One asks, the other answers; both come.
-fn exchange(brokers: &mut [Broker], from: usize, to: usize) -> [Word; 2] {
+fn exchange(brokers: &mut [Broker], from: usize, to: usize) -> [CountsMessage; 2] {
     let asked = brokers[from].tell(to);
     brokers[to].hear(from, &asked);
     let answer = brokers[to].tell(from);
@@ -51,7 +51,7 @@
     [asked, answer]
 }
 
-fn length(word: &Word) -> usize {
+fn length(word: &CountsMessage) -> usize {
     postcard::to_stdvec(word).unwrap().len()
 }
 
@@ -64,13 +64,13 @@
     #[test]
     fn changed_rows_alone_come_to_the_same_join(acts in prop::collection::vec((0..8u8, 0..BROKERS, 1..BROKERS, 1..100u64, any::<prop::sample::Index>()), 1..60), first in 0..BROKERS, further in 1..BROKERS) {
         let mut brokers: Vec<Broker> = (0..BROKERS).map(Broker::new).collect();
-        let (mut all, mut lost) = (Counts::new(), false);
+        let (mut all, mut lost) = (CarriedCounts::new(), false);
         // From, to, the word.
-        let mut sent: Vec<(usize, usize, Word)> = Vec::new();
+        let mut sent: Vec<(usize, usize, CountsMessage)> = Vec::new();
         for (number, (act, at, further, bytes, any)) in acts.into_iter().enumerate() {
             let to = (at + further) % BROKERS;
             match act {
-                0 | 1 => brokers[at].tally.saw("north", ["south", "west"][bytes as usize % 2], bytes),
+                0 | 1 => brokers[at].tally.record("north", ["south", "west"][bytes as usize % 2], bytes),
                 2 => {
                     let word = brokers[at].tell(to);
                     sent.push((at, to, word));
@@ -113,21 +113,21 @@
 #[rstest]
 fn a_quiet_fleet_tells_next_to_nothing() {
     let partners: Vec<_> = (0..6).map(|partner| format!("partner{partner}")).collect();
-    let mut rows = Counts::new();
+    let mut rows = CarriedCounts::new();
     for broker in 0..100 {
         for (carrier, owed_by) in partners.iter().flat_map(|a| partners.iter().map(move |b| (a, b))) {
-            rows.saw(&format!("broker{broker:03}"), 1, carrier, owed_by, 1 << 40);
+            rows.record(&format!("broker{broker:03}"), 1, carrier, owed_by, 1 << 40);
         }
     }
     let mut brokers = [Broker::new(0), Broker::new(1)];
-    brokers[0].tally.heard("b2", &rows, &Sides::default()).unwrap();
+    brokers[0].tally.merge_from_peer("b2", &rows, &BrokerPartners::default()).unwrap();
     let whole = postcard::to_stdvec(brokers[0].tally.counts()).unwrap().len();
     let [first, answer] = exchange(&mut brokers, 0, 1).map(|word| length(&word));
     assert!(first > whole && answer < 100, "{first} of {whole}, answered with {answer}");
     let quiet = exchange(&mut brokers, 1, 0).map(|word| length(&word));
     assert!(quiet.iter().all(|bytes| *bytes < 100), "{quiet:?} of {whole}");
     // One row of the hundred changes: it alone is told.
-    brokers[0].tally.saw("partner0", "partner1", 5);
+    brokers[0].tally.record("partner0", "partner1", 5);
     let one = exchange(&mut brokers, 0, 1).map(|word| length(&word));
     assert!(one[0] < 150 && one[1] < 100, "{one:?}");
     assert_eq!(brokers[0].tally.counts(), brokers[1].tally.counts());
@@ -142,13 +142,13 @@
 #[rstest]
 fn programs_of_before_go_on_as_they_were() {
     let mut brokers = [Broker::new(0), Broker::new(1)];
-    brokers[0].tally.saw("north", "south", 5);
+    brokers[0].tally.record("north", "south", 5);
     for _ in 0..3 {
         let told = postcard::to_stdvec(&brokers[0].tell(1)).unwrap();
-        assert_eq!(&postcard::from_bytes::<Counts>(&told).unwrap(), brokers[0].tally.counts());
+        assert_eq!(&postcard::from_bytes::<CarriedCounts>(&told).unwrap(), brokers[0].tally.counts());
         let bare = postcard::to_stdvec(brokers[1].tally.counts()).unwrap();
-        assert!(postcard::from_bytes::<Word>(&bare).is_err());
-        brokers[0].hear(1, &Word::bare(postcard::from_bytes(&bare).unwrap()));
+        assert!(postcard::from_bytes::<CountsMessage>(&bare).is_err());
+        brokers[0].hear(1, &CountsMessage::counts_only(postcard::from_bytes(&bare).unwrap()));
     }
 }
 
@@ -169,7 +169,7 @@
         for broker in &mut all {
             for pair in 0..36 {
                 if second == 0 || (chance(100) as u64) < busy {
-                    broker.tally.saw(&partners[pair / 6], &partners[pair % 6], 1 << 20);
+                    broker.tally.record(&partners[pair / 6], &partners[pair % 6], 1 << 20);
                 }
             }
         }
--- a/crates/dunepond-settlement/tests/week.rs
+++ b/crates/dunepond-settlement/tests/week.rs
@@ -16,11 +16,11 @@
 const FILL: u64 = 1 << 30;
 
 struct Broker {
-    tally: Tally,
-    book: Book,
-    shares: Shares,
+    tally: LocalCounts,
+    book: Balances,
+    shares: SharePromises,
     /// As the folder has them.
-    saved: (Tally, Shares),
+    saved: (LocalCounts, SharePromises),
     starts: u64,
     cut: bool,
 }
@@ -31,15 +31,18 @@
     let name = |i: usize| format!("n{i}");
     let names: Vec<String> = (0..BROKERS).map(name).collect();
     let start = |i: usize| {
-        let (tally, shares) = (Tally::open(None, &name(i), 1).unwrap(), Shares::new(&name(i)).unwrap());
-        let book = Book::new(Terms::default(), Sides::default(), Ledger::default()).unwrap();
+        let (tally, shares) =
+            (LocalCounts::open(None, &name(i), 1).unwrap(), SharePromises::new(&name(i)).unwrap());
+        let book =
+            Balances::new(SettlementTerms::default(), BrokerPartners::default(), SettlementLedger::default())
+                .unwrap();
         Broker { saved: (tally.clone(), shares.clone()), tally, book, shares, starts: 1, cut: false }
     };
     let mut brokers: Vec<Broker> = (0..BROKERS).map(start).collect();
     // The agreed log: each broker has applied so much of it.
-    let mut agreed = Ledger::default();
+    let mut agreed = SettlementLedger::default();
     let (mut paid, mut fills, mut sizes) = (BTreeMap::<String, Settlement>::new(), 0u64, Vec::new());
-    let mut told: Vec<(u64, Agreed)> = Vec::new();
+    let mut told: Vec<(u64, SettlementEntry)> = Vec::new();
     let mut known = [0usize; BROKERS];
     for at in (0..7 * DAY).step_by(STEP as usize) {
         let version = 1 + at * VERSIONS / DAY;
@@ -53,11 +56,11 @@
             if rng.random_bool(0.005) {
                 broker.starts += 1;
                 let (tally, shares) = broker.saved.clone();
-                broker.tally = Tally::open(Some(tally), &names[i], broker.starts).unwrap();
+                broker.tally = LocalCounts::open(Some(tally), &names[i], broker.starts).unwrap();
                 broker.shares = shares;
             }
             let (carrier, owed_by) = (rng.random_range(0..4), rng.random_range(0..4));
-            broker.tally.saw(PARTNERS[carrier], PARTNERS[owed_by], rng.random_range(0..FILL / 4));
+            broker.tally.record(PARTNERS[carrier], PARTNERS[owed_by], rng.random_range(0..FILL / 4));
             broker.saved.0 = broker.tally.clone();
             if !broker.cut {
                 while known[i] < told.len() {
@@ -66,7 +69,7 @@
                     broker.book.apply(entry).unwrap();
                     known[i] += 1;
                 }
-                broker.shares.caught_up(&agreed, &[]);
+                broker.shares.reconcile(&agreed, &[]);
                 broker.saved.1 = broker.shares.clone();
             }
         }
@@ -75,32 +78,32 @@
             let (a, b) = (rng.random_range(0..BROKERS), rng.random_range(0..BROKERS));
             if a != b && !brokers[a].cut && !brokers[b].cut {
                 let counts = brokers[a].tally.counts().clone();
-                brokers[b].tally.heard(&names[a], &counts, &Sides::default()).unwrap();
+                brokers[b].tally.merge_from_peer(&names[a], &counts, &BrokerPartners::default()).unwrap();
             }
         }
         for broker in &mut brokers {
             let counts = broker.tally.counts().clone();
-            broker.book.counted(at as f64, &counts);
+            broker.book.update_counts(at as f64, &counts);
         }
-        let enter = |agreed: &mut Ledger, told: &mut Vec<_>, entry: Agreed| {
-            if agreed.apply(&entry) == Ok(Applied::Now) {
+        let enter = |agreed: &mut SettlementLedger, told: &mut Vec<_>, entry: SettlementEntry| {
+            if agreed.apply(&entry) == Ok(ApplyOutcome::New) {
                 told.push((agreed.floor(), entry));
             }
         };
         // Whoever leads splits; each fills now and then, cut off or not, and brings what it promised when it is not.
         if !brokers[0].cut {
-            for debt in brokers[0].book.net() {
-                if let Some(allot) = split(&brokers[0].book, &debt.debtor, &debt.creditor, &names) {
-                    enter(&mut agreed, &mut told, Agreed::Allot(allot));
+            for debt in brokers[0].book.net_debts() {
+                if let Some(allot) = allot_evenly(&brokers[0].book, &debt.debtor, &debt.creditor, &names) {
+                    enter(&mut agreed, &mut told, SettlementEntry::Allot(allot));
                 }
             }
         }
         for broker in &mut brokers {
             if rng.random_bool(0.2) {
-                let debts = broker.book.net();
+                let debts = broker.book.net_debts();
                 if let Some(debt) = debts.get(rng.random_range(0..debts.len().max(1))) {
                     fills += 1;
-                    let left = broker.shares.left(broker.book.ledger(), &debt.debtor, &debt.creditor);
+                    let left = broker.shares.remaining(broker.book.ledger(), &debt.debtor, &debt.creditor);
                     let fill = Fill {
                         id: Fill::id_of(version, fills % 999, "s"),
                         segment: fills % 999,
@@ -122,14 +125,14 @@
                         broker.saved.1 = broker.shares.clone();
                     }
                     if !broker.cut {
-                        enter(&mut agreed, &mut told, Agreed::Begin(Begun::of(&fill, at)));
+                        enter(&mut agreed, &mut told, SettlementEntry::Begin(StartedFill::new(&fill, at)));
                     }
                 }
             }
             if !broker.cut {
-                for entry in broker.shares.owing().collect::<Vec<_>>() {
-                    if let Agreed::Settle(settlement) = &entry
-                        && agreed.check(&entry) == Ok(Applied::Now)
+                for entry in broker.shares.pending_entries().collect::<Vec<_>>() {
+                    if let SettlementEntry::Settle(settlement) = &entry
+                        && agreed.check(&entry) == Ok(ApplyOutcome::New)
                     {
                         let before = paid.insert(settlement.fill().to_string(), settlement.clone());
                         assert_eq!(before, None, "paid twice");
@@ -150,7 +153,7 @@
         }
     }
     // All that was ever carried, known to all: nowhere is more settled than that.
-    let mut all = Counts::new();
+    let mut all = CarriedCounts::new();
     brokers.iter().for_each(|broker| all.merge(broker.tally.counts()));
     let mut sums: BTreeMap<(&str, &str), u64> = BTreeMap::new();
     for settlement in paid.values() {
--- a/crates/dunepond-simulation/src/debts.rs
+++ b/crates/dunepond-simulation/src/debts.rs
@@ -1,16 +1,16 @@
 //! Debts as the agreed log has them.
 
 use dunepond_consensus::{Command, LeaseClient, ReplicatedState, StateChange};
-use dunepond_settlement::{Agreed, Settlement};
+use dunepond_settlement::{Settlement, SettlementEntry};
 
 pub fn settle(settlement: Settlement) -> Command {
-    Command::Settlement(Agreed::Settle(settlement))
+    Command::Settlement(SettlementEntry::Settle(settlement))
 }
 
 /// The id of the settlement that was applied.
 pub fn settled(change: &StateChange) -> Option<&str> {
     match change {
-        StateChange::Settlement(Agreed::Settle(settlement)) => Some(&settlement.id),
+        StateChange::Settlement(SettlementEntry::Settle(settlement)) => Some(&settlement.id),
         _ => None,
     }
 }
@@ -19,7 +19,7 @@
 pub fn heard(member: &mut LeaseClient) -> Vec<String> {
     let entries = member.take_settlement_updates().into_iter().flat_map(|told| told.entries);
     let settled = entries.filter_map(|noted| match noted.entry {
-        Agreed::Settle(settlement) => Some(settlement.id),
+        SettlementEntry::Settle(settlement) => Some(settlement.id),
         _ => None,
     });
     settled.collect()
@@ -32,7 +32,7 @@
     assert!(told.ledger.is_none() && told.from == known, "entries {known} to {} are forgotten", told.from);
     let count = known + told.entries.len() as u64;
     let settled = told.entries.into_iter().filter_map(|noted| match noted.entry {
-        Agreed::Settle(settlement) => Some(settlement),
+        SettlementEntry::Settle(settlement) => Some(settlement),
         _ => None,
     });
     (count, settled.collect())
--- a/crates/dunepond-simulation/src/size/fills.rs
+++ b/crates/dunepond-simulation/src/size/fills.rs
@@ -5,7 +5,8 @@
 
 use dunepond_consensus::{Command, Rejection};
 use dunepond_settlement::{
-    Agreed, Applied, Book, Cold, Counts, Fill, Ledger, Links, Need, Planner, Rule, Settlement, Sides, Terms,
+    ApplyOutcome, Balances, BrokerPartners, CarriedCounts, Fill, FillDemand, FillPlanner, LinkCapacities,
+    PlanningRule, Settlement, SettlementEntry, SettlementLedger, SettlementTerms, SlowStartCapacity,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -42,16 +43,16 @@
 struct Desk {
     leader: usize,
     number: u64,
-    book: Book,
-    planner: Planner,
+    book: Balances,
+    planner: FillPlanner,
     under: BTreeMap<String, Under>,
 }
 
 pub struct Fills {
     chance: Pcg64Mcg,
     /// What was really carried, and as it was known some seconds ago.
-    truth: Counts,
-    before: Vec<Counts>,
+    truth: CarriedCounts,
+    before: Vec<CarriedCounts>,
     desk: Option<Desk>,
     next: f64,
     second: f64,
@@ -68,7 +69,7 @@
     pub fn new(_: &World, seed: u64) -> Self {
         Self {
             chance: Pcg64Mcg::seed_from_u64(seed ^ 0xf111),
-            truth: Counts::new(),
+            truth: CarriedCounts::new(),
             before: Vec::new(),
             desk: None,
             next: 0.0,
@@ -105,7 +106,7 @@
                 (self.chance.random_range(0..world.partners), self.chance.random_range(0..world.partners));
             let broker = format!("n{}", self.chance.random_range(1..=COUNTING));
             let bytes = self.chance.random_range(1..CARRIED);
-            self.truth.saw(&broker, 1, &world.partner(carrier), &world.partner(other), bytes);
+            self.truth.record(&broker, 1, &world.partner(carrier), &world.partner(other), bytes);
         }
         self.before.push(self.truth.clone());
         if self.before.len() > LAG {
@@ -128,13 +129,14 @@
     }
 
     fn desk(&self, leader: usize) -> Desk {
-        let mut ledger = Ledger::default();
+        let mut ledger = SettlementLedger::default();
         for settlement in &self.settled {
-            let applied = ledger.apply(&Agreed::Settle(settlement.clone()));
-            assert_eq!(applied, Ok(Applied::Now), "{settlement:?}");
+            let applied = ledger.apply(&SettlementEntry::Settle(settlement.clone()));
+            assert_eq!(applied, Ok(ApplyOutcome::New), "{settlement:?}");
         }
-        let book = Book::new(Terms::default(), Sides::default(), ledger).expect("the terms stand");
-        let planner = Planner::new(BY, Rule::MaxMin, leader as u64);
+        let book = Balances::new(SettlementTerms::default(), BrokerPartners::default(), ledger)
+            .expect("the terms stand");
+        let planner = FillPlanner::new(BY, PlanningRule::MaxMin, leader as u64);
         Desk { leader, number: 0, book, planner, under: BTreeMap::new() }
     }
 
@@ -142,17 +144,17 @@
         let Some(desk) = &mut self.desk else { return };
         let now = fleet.now;
         for settlement in &self.settled {
-            let _ = desk.book.apply(&Agreed::Settle(settlement.clone()));
+            let _ = desk.book.apply(&SettlementEntry::Settle(settlement.clone()));
         }
         if let Some(counts) = self.before.first() {
-            desk.book.counted(now, counts);
+            desk.book.update_counts(now, counts);
         }
         let state = fleet.state(leader);
         let open = state.open.as_ref().and_then(|open| Some((open, state.map_transition()?)));
         let number = open.as_ref().map_or(0, |(open, _)| open.version.number);
         if desk.number != number {
             for (id, _) in std::mem::take(&mut desk.under) {
-                desk.planner.ended(&id, false);
+                desk.planner.fill_ended(&id, false);
             }
             desk.number = number;
         }
@@ -161,8 +163,8 @@
             .required_fills()
             .iter()
             .filter(|need| !open.completed_fills.contains(&(need.segment, need.replica.clone())));
-        let needs: Vec<Need> = needs
-            .map(|need| Need {
+        let needs: Vec<FillDemand> = needs
+            .map(|need| FillDemand {
                 version: number,
                 segment: need.segment,
                 holder: need.replica.clone(),
@@ -176,11 +178,12 @@
             desk.under.keys().filter(|id| !needs.iter().any(|need| need.id() == **id)).cloned().collect();
         for id in gone {
             let done = desk.under.remove(&id).is_some_and(|under| under.done);
-            desk.planner.ended(&id, done);
+            desk.planner.fill_ended(&id, done);
         }
-        let new: Vec<Need> = needs.into_iter().filter(|need| !desk.under.contains_key(&need.id())).collect();
-        let links = Links { caps: BTreeMap::new(), unstated: 1e9, inside: 1e9 };
-        let cold = Cold { window: 1.0, unit: 1, rooms: BTreeMap::new() };
+        let new: Vec<FillDemand> =
+            needs.into_iter().filter(|need| !desk.under.contains_key(&need.id())).collect();
+        let links = LinkCapacities { caps: BTreeMap::new(), unstated: 1e9, inside: 1e9 };
+        let cold = SlowStartCapacity { window: 1.0, unit: 1, rooms: BTreeMap::new() };
         for fill in desk.planner.plan(&desk.book, &new, &links, &cold, None, now).fills {
             let ends = now + self.chance.random_range(LASTS.0..LASTS.1);
             let fails = self.chance.random::<f64>() < FAILS;
@@ -201,7 +204,7 @@
             .collect();
         for id in failed {
             desk.under.remove(&id);
-            desk.planner.ended(&id, false);
+            desk.planner.fill_ended(&id, false);
         }
         for under in desk.under.values_mut().filter(|u| now >= u.ends && now >= u.enter) {
             (under.done, under.enter) = (true, now + AGAIN);
--- a/crates/dunepond-testkit/src/experiments/debts.rs
+++ b/crates/dunepond-testkit/src/experiments/debts.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use dunepond_settlement::Rule;
+use dunepond_settlement::PlanningRule;
 
 use super::Way;
 use crate::report::{Curve, Figures};
@@ -11,11 +11,11 @@
 
 const MIXES: [&str; 3] = ["even", "lopsided", "ring with bursts"];
 /// Nobody looks at debts: each need has one source, by chance.
-const RULES: [(&str, Option<Rule>); 4] = [
+const RULES: [(&str, Option<PlanningRule>); 4] = [
     ("none", None),
-    ("cheapest", Some(Rule::Cheapest)),
-    ("round robin", Some(Rule::DeficitRoundRobin)),
-    ("max-min", Some(Rule::MaxMin)),
+    ("cheapest", Some(PlanningRule::Cheapest)),
+    ("round robin", Some(PlanningRule::DeficitRoundRobin)),
+    ("max-min", Some(PlanningRule::MaxMin)),
 ];
 /// Plays of each rule in each mix, and what the open debts of the rules that look at them may be of those of the others.
 const GAMES: u64 = 3;
@@ -29,7 +29,7 @@
 
 impl Plays {
     fn of(mix: &str, way: &Way, seconds: f64) -> Vec<Plays> {
-        let one = |(rule, kind): &(&'static str, Option<Rule>)| {
+        let one = |(rule, kind): &(&'static str, Option<PlanningRule>)| {
             let seeds = (0..GAMES).map(|game| way.seed * GAMES + game);
             Plays { rule, plays: seeds.map(|seed| play(mix, *kind, seed, seconds)).collect() }
         };
--- a/crates/dunepond-testkit/src/experiments/debts/world.rs
+++ b/crates/dunepond-testkit/src/experiments/debts/world.rs
@@ -22,11 +22,11 @@
 /// What is left for settled: a share of what was open when the scans ended, or so many bytes, as fills go on.
 const SETTLED: f64 = 0.1;
 const FEW: f64 = 2.0 * NEED_BYTES as f64;
-const COLD: Room = Room { expected: 4.0, taken: 6.0 };
+const COLD: NodeCapacity = NodeCapacity { expected: 4.0, taken: 6.0 };
 const UNIT: u64 = 256 << 10;
 
-pub fn terms() -> Terms {
-    Terms {
+pub fn terms() -> SettlementTerms {
+    SettlementTerms {
         window: 600.0,
         half_life: 1800.0,
         most_move: 128 << 20,
@@ -35,7 +35,7 @@
         carry: 640 << 20,
         least_rate: 64.0 * KB,
         most_rate: LINK,
-        ..Terms::default()
+        ..SettlementTerms::default()
     }
 }
 
@@ -89,17 +89,17 @@
     /// Scans and needs: the same under every rule.
     outside: Pcg64Mcg,
     /// Two a partner would be more than is needed: one broker a partner, on that side.
-    tallies: Vec<Tally>,
-    sides: Sides,
+    tallies: Vec<LocalCounts>,
+    sides: BrokerPartners,
     /// Counts on their way to whoever plans.
-    post: Vec<(f64, String, Counts)>,
-    heard: Counts,
-    book: Book,
-    planner: Planner,
-    needs: VecDeque<Need>,
+    post: Vec<(f64, String, CarriedCounts)>,
+    heard: CarriedCounts,
+    book: Balances,
+    planner: FillPlanner,
+    needs: VecDeque<FillDemand>,
     /// Since when each partner that needs fills has had none.
     since: BTreeMap<String, f64>,
-    fillings: Vec<(f64, Filling)>,
+    fillings: Vec<(f64, FillProgress)>,
     /// In truth: carrier, owed by, bytes.
     truth: BTreeMap<(usize, usize), u64>,
     /// Bytes of each holder that is being filled, by second.
@@ -113,24 +113,26 @@
 }
 
 impl World {
-    fn new(rule: Option<Rule>, seed: u64) -> World {
+    fn new(rule: Option<PlanningRule>, seed: u64) -> World {
         let broker = |partner: &str| format!("{partner}-1");
-        let sides = Sides {
+        let sides = BrokerPartners {
             partner_of: PARTNERS.iter().map(|p| (broker(p), p.to_string())).collect(),
             metered: PARTNERS.iter().map(|p| p.to_string()).collect::<BTreeSet<_>>(),
         };
-        let open =
-            |p: &&str| Tally::open(None, &broker(p), 1).expect("a first start has nothing that could differ");
+        let open = |p: &&str| {
+            LocalCounts::open(None, &broker(p), 1).expect("a first start has nothing that could differ")
+        };
         World {
             now: 0.0,
             chance: Pcg64Mcg::seed_from_u64(seed),
             outside: Pcg64Mcg::seed_from_u64(seed ^ 0x0de6),
             tallies: PARTNERS.iter().map(open).collect(),
-            book: Book::new(terms(), sides.clone(), Ledger::default()).expect("the terms above are in order"),
+            book: Balances::new(terms(), sides.clone(), SettlementLedger::default())
+                .expect("the terms above are in order"),
             sides,
             post: Vec::new(),
-            heard: Counts::new(),
-            planner: Planner::new("planner", rule.unwrap_or(Rule::Cheapest), seed),
+            heard: CarriedCounts::new(),
+            planner: FillPlanner::new("planner", rule.unwrap_or(PlanningRule::Cheapest), seed),
             needs: VecDeque::new(),
             since: BTreeMap::new(),
             fillings: Vec::new(),
@@ -147,8 +149,8 @@
             return;
         }
         let times = if PARTNERS[carrier] == LIAR { 10 } else { 1 };
-        self.tallies[carrier].saw(PARTNERS[carrier], PARTNERS[owed_by], bytes * times);
-        self.tallies[owed_by].saw(PARTNERS[carrier], PARTNERS[owed_by], bytes);
+        self.tallies[carrier].record(PARTNERS[carrier], PARTNERS[owed_by], bytes * times);
+        self.tallies[owed_by].record(PARTNERS[carrier], PARTNERS[owed_by], bytes);
     }
 
     /// A broker tells, and now and then starts anew; what it told comes late, and often twice.
@@ -160,7 +162,7 @@
                 self.post.push((due, broker.clone(), told.clone()));
             }
             if self.chance.random::<f64>() < 0.02 {
-                let anew = Tally::open(Some(tally.clone()), &broker, tally.incarnation() + 1);
+                let anew = LocalCounts::open(Some(tally.clone()), &broker, tally.incarnation() + 1);
                 *tally = anew.expect("its own folder, and a later number");
             }
         }
@@ -171,7 +173,7 @@
         for (_, from, counts) in self.post.extract_if(.., |(due, ..)| all || *due <= now) {
             self.heard.merge_from(&from, &counts, sides).expect("fewer cells than a flood has");
         }
-        self.book.counted(now, &self.heard);
+        self.book.update_counts(now, &self.heard);
     }
 
     fn need(&mut self, segment: u64, one_source: bool, flood: bool) {
@@ -195,7 +197,7 @@
         };
         let bytes = (NEED_BYTES as f64 * (least + (most - least) * self.outside.random::<f64>())) as u64;
         self.played.asked[to] += bytes as f64;
-        let need = Need {
+        let need = FillDemand {
             version: 1,
             segment,
             holder: format!("{}-{segment}", PARTNERS[to]),
@@ -208,11 +210,11 @@
         self.needs.push_back(need);
     }
 
-    fn plan(&mut self, links: &Links) {
+    fn plan(&mut self, links: &LinkCapacities) {
         let rooms = self.needs.iter().map(|need| (need.holder.clone(), COLD));
         let running = self.planner.running().map(|fill| (fill.holder.clone(), COLD));
-        let cold = Cold { window: 1.0, unit: UNIT, rooms: rooms.chain(running).collect() };
-        let needs: Vec<Need> = self.needs.iter().cloned().collect();
+        let cold = SlowStartCapacity { window: 1.0, unit: UNIT, rooms: rooms.chain(running).collect() };
+        let needs: Vec<FillDemand> = self.needs.iter().cloned().collect();
         let plan = self.planner.plan(&self.book, &needs, links, &cold, None, self.now);
         for fill in plan.fills {
             self.needs.retain(|need| need.id() != fill.id);
@@ -222,8 +224,8 @@
             if fill.from != fill.to {
                 self.log.push((self.now, fill.from.clone(), fill.bytes));
             }
-            let patience = Patience { deadline: 1e9, tries: 100, ..Patience::default() };
-            self.fillings.push((0.0, Filling::new(fill, patience, self.now)));
+            let patience = FillRetryPolicy { deadline: 1e9, tries: 100, ..FillRetryPolicy::default() };
+            self.fillings.push((0.0, FillProgress::new(fill, patience, self.now)));
         }
         let (now, needs) = (self.now, &self.needs);
         self.since.retain(|partner, _| needs.iter().any(|need| need.holder_partner == *partner));
@@ -238,14 +240,18 @@
     }
 
     /// A second of all fills: each brings its rate; one in ten fails at its end, and is begun again.
-    fn fill(&mut self, links: &Links) {
+    fn fill(&mut self, links: &LinkCapacities) {
         let mut on: BTreeMap<(String, String), f64> = BTreeMap::new();
         let mut ended = Vec::new();
         for (brought, filling) in &mut self.fillings {
-            if filling.tick(self.now, &mut self.chance).iter().any(|order| matches!(order, Order::Begin(_))) {
+            if filling
+                .tick(self.now, &mut self.chance)
+                .iter()
+                .any(|order| matches!(order, FillAction::Begin(_)))
+            {
                 *brought = 0.0;
             }
-            if !matches!(filling.state(), State::UnderWay { .. }) {
+            if !matches!(filling.state(), FillState::UnderWay { .. }) {
                 continue;
             }
             let fill = filling.fill.clone();
@@ -256,45 +262,47 @@
             let end = *brought >= fill.bytes as f64 - 0.5;
             if end {
                 let failed = self.chance.random::<f64>() < 0.1;
-                let event = if failed { Event::Failed { why: "told to".into() } } else { Event::Done };
-                let orders = filling.heard(self.now, event, &mut self.chance).expect("it is under way");
+                let event =
+                    if failed { FillEvent::Failed { why: "told to".into() } } else { FillEvent::Done };
+                let orders =
+                    filling.handle_event(self.now, event, &mut self.chance).expect("it is under way");
                 ended.extend(orders.into_iter().filter_map(|order| match order {
-                    Order::Propose(fill) => Some(fill),
+                    FillAction::Propose(fill) => Some(fill),
                     _ => None,
                 }));
             }
         }
         for ((from, to), bytes) in on {
-            self.played.link = self.played.link.max(bytes / links.cap(&from, &to));
+            self.played.link = self.played.link.max(bytes / links.rate_cap(&from, &to));
         }
         for fill in ended {
             self.end(&fill);
         }
-        self.fillings.retain(|(_, filling)| !filling.state().ended());
+        self.fillings.retain(|(_, filling)| !filling.state().is_final());
     }
 
     /// Its settlement comes into the log twice; the rest of it is counted as carried.
     fn end(&mut self, fill: &Fill) {
         self.played.fills += 1.0;
-        self.planner.ended(&fill.id, true);
+        self.planner.fill_ended(&fill.id, true);
         let (from, to) = (index(&fill.from), index(&fill.to));
         if from != to {
             *self.truth.entry((from, to)).or_default() += fill.bytes;
         }
-        self.carried(from, to, fill.unsettled());
-        if let Some(settlement) = fill.settles.clone().map(Agreed::Settle) {
-            assert_eq!(self.book.apply(&settlement), Ok(Applied::Now));
-            assert_eq!(self.book.apply(&settlement), Ok(Applied::Before));
+        self.carried(from, to, fill.unsettled_bytes());
+        if let Some(settlement) = fill.settles.clone().map(SettlementEntry::Settle) {
+            assert_eq!(self.book.apply(&settlement), Ok(ApplyOutcome::New));
+            assert_eq!(self.book.apply(&settlement), Ok(ApplyOutcome::Duplicate));
         }
     }
 
     fn open(&self) -> f64 {
-        self.book.net().iter().map(|debt| debt.bytes as f64).sum()
+        self.book.net_debts().iter().map(|debt| debt.bytes as f64).sum()
     }
 
     fn worst(&self) -> f64 {
         let mut owed: BTreeMap<String, f64> = BTreeMap::new();
-        let net = self.book.net();
+        let net = self.book.net_debts();
         net.into_iter().for_each(|debt| *owed.entry(debt.creditor).or_default() += debt.bytes as f64);
         owed.into_values().fold(0.0, f64::max)
     }
@@ -309,10 +317,10 @@
     }
 }
 
-pub fn play(mix: &str, rule: Option<Rule>, seed: u64, seconds: f64) -> Played {
+pub fn play(mix: &str, rule: Option<PlanningRule>, seed: u64, seconds: f64) -> Played {
     let mut world = World::new(rule, seed);
     let slow = [("mid", "north"), ("north", "mid")].map(|(a, b)| ((a.to_string(), b.to_string()), SLOW));
-    let links = Links { caps: slow.into(), unstated: LINK, inside: 4.0 * LINK };
+    let links = LinkCapacities { caps: slow.into(), unstated: LINK, inside: 4.0 * LINK };
     let (mut next, mut segment, mut at_end) = (0.0, 0, 0.0);
     let (mut sum, mut worst, mut samples) = (0.0, 0.0, 0.0);
     // Scans for so long, then fills alone until debts are settled, or as long again.
@@ -348,7 +356,7 @@
                 break;
             } else if scans {
                 at_end = open;
-                world.played.jain = jain(&world.ratios());
+                world.played.jain = jain_index(&world.ratios());
             } else if open <= (SETTLED * at_end).max(FEW) {
                 break;
             }
@@ -356,7 +364,7 @@
         world.fill(&links);
         for holder in world.brought.values() {
             let units = holder.front().copied().unwrap_or(0.0) / UNIT as f64 + COLD.taken;
-            world.played.cold = world.played.cold.max(units / bound(COLD.expected));
+            world.played.cold = world.played.cold.max(units / max_units(COLD.expected));
         }
         world.now += 1.0;
     }
@@ -376,6 +384,6 @@
     let gross: u64 = PARTNERS.iter().map(|owed_by| world.book.gross(LIAR, owed_by)).sum();
     (played.counted, played.disputed) =
         (gross as f64 / seen.max(1) as f64, (said - seen) as f64 / seen.max(1) as f64);
-    played.cells = world.heard.cells() as f64;
+    played.cells = world.heard.cell_count() as f64;
     played
 }
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use dunepond_membership::{Actions, Core, MembershipOptions, PeerState};
-use dunepond_settlement::{Book, Counts, Ledger, Sides, Terms};
+use dunepond_settlement::{Balances, BrokerPartners, CarriedCounts, SettlementLedger, SettlementTerms};
 use dunepond_simulation::size::{World, version};
 
 use super::Way;
@@ -58,25 +58,36 @@
     let sizes: &[usize] = if way.quick { &[10, 30, 100] } else { &[10, 30, 100, 300, 1000, 3000] };
     let (mut bytes, mut looks) = (Vec::new(), Vec::new());
     for size in sizes {
-        let mut counts = Counts::new();
+        let mut counts = CarriedCounts::new();
         for broker in 0..*size {
             for pair in 0..PAIRS {
                 let (carrier, other) =
                     ((broker * 7 + pair) % PARTNERS, (broker * 13 + 5 * pair + 1) % PARTNERS);
-                counts.saw(&format!("n{broker}"), 1, &format!("p{carrier}"), &format!("p{other}"), 1 << 20);
+                counts.record(
+                    &format!("n{broker}"),
+                    1,
+                    &format!("p{carrier}"),
+                    &format!("p{other}"),
+                    1 << 20,
+                );
             }
         }
         let whole = postcard::to_stdvec(&counts).map_or(f64::NAN, |bytes| bytes.len() as f64);
-        let ledger = Ledger::default();
-        let mut book = Book::new(Terms::default(), Sides::default(), ledger).expect("terms that stand");
+        let ledger = SettlementLedger::default();
+        let mut book = Balances::new(SettlementTerms::default(), BrokerPartners::default(), ledger)
+            .expect("terms that stand");
         // Looked at each second; a sample of the pairs would not do, so large fleets are left out.
         if *size <= 300 {
-            let look = ms(|| book.counted(0.0, &counts));
+            let look = ms(|| book.update_counts(0.0, &counts));
             figures.tell(format!("{size} brokers, {PARTNERS} partners: a look at the counts"), look, "ms");
             looks.push((*size as f64, look));
         }
         figures.tell(format!("{size} brokers: counts as told each second"), whole, "bytes");
-        figures.tell(format!("{size} brokers: cells of counts"), counts.cells() as f64, "of 100,000 taken");
+        figures.tell(
+            format!("{size} brokers: cells of counts"),
+            counts.cell_count() as f64,
+            "of 100,000 taken",
+        );
         bytes.push((*size as f64, whole));
     }
     for (name, points) in [("counts told", bytes), ("a look at the counts", looks)] {
--- a/crates/dunepond-testkit/tests/agree/debts.rs
+++ b/crates/dunepond-testkit/tests/agree/debts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use dunepond_settlement::{Counts, Sides, Tally};
+use dunepond_settlement::{BrokerPartners, CarriedCounts, LocalCounts};
 use dunepond_storage::{DiskStore as Directory, FileStore, SnapshotStore};
 use dunepond_testkit::auditor::AuditRecord;
 use dunepond_testkit::fleet::PARTNERS;
@@ -19,7 +19,7 @@
 }
 
 /// A broker's hand on the counts, as it stands in its folder; what stands there is in its book and may have been told.
-fn tally(fleet: &Fleet, broker: usize) -> Option<Tally> {
+fn tally(fleet: &Fleet, broker: usize) -> Option<LocalCounts> {
     let files = Directory::open_read_only(&fleet.brokers[broker].folder).ok()?;
     let newest = kept(Arc::new(files)).load().ok()?.newest?;
     postcard::from_bytes(&newest.bytes).ok()
@@ -64,7 +64,7 @@
 }
 
 /// Puts counts into the folder of a broker that does not run.
-fn put(fleet: &Fleet, broker: usize, tally: &Tally) {
+fn put(fleet: &Fleet, broker: usize, tally: &LocalCounts) {
     let files = Directory::open(&fleet.brokers[broker].folder).unwrap();
     kept(Arc::new(files)).write(&postcard::to_stdvec(tally).unwrap()).unwrap();
 }
@@ -80,7 +80,7 @@
     let counted = SEGMENT + SEGMENT / 2;
     fleet.brokers[dead].kill();
     let mut more = tally(&fleet, dead).expect("it kept its counts");
-    more.saw(CREDITOR, DEBTOR, counted - carried);
+    more.record(CREDITOR, DEBTOR, counted - carried);
     put(&fleet, dead, &more);
     fleet.brokers[dead].start();
     let told = wait(|| rest.iter().all(|at| seen(&fleet, *at, dead) == counted));
@@ -117,12 +117,12 @@
     assert!(claim < SEGMENT, "{claim} bytes are more than one fill settles");
     fleet.brokers[liar].kill();
     let mut lie = tally(&fleet, liar).expect("it kept its counts");
-    lie.saw(CREDITOR, DEBTOR, claim);
+    lie.record(CREDITOR, DEBTOR, claim);
     if in_its_name {
-        let mut counts = Counts::new();
+        let mut counts = CarriedCounts::new();
         let incarnation = tally(&fleet, witness).unwrap().incarnation();
-        counts.saw(&name(witness), incarnation, CREDITOR, DEBTOR, claim);
-        lie.heard(&name(liar), &counts, &Sides::default()).unwrap();
+        counts.record(&name(witness), incarnation, CREDITOR, DEBTOR, claim);
+        lie.merge_from_peer(&name(liar), &counts, &BrokerPartners::default()).unwrap();
     }
     put(&fleet, liar, &lie);
     fleet.brokers[liar].start();
@@ -138,8 +138,8 @@
 /// Has `broker` know that the creditor carried so many bytes in all, as its folder says; once these others know it too.
 fn owes(fleet: &mut Fleet, broker: usize, bytes: u64, others: &[usize]) {
     fleet.brokers[broker].kill();
-    let mut more = tally(fleet, broker).unwrap_or_else(|| Tally::open(None, &name(broker), 1).unwrap());
-    more.saw(CREDITOR, DEBTOR, bytes);
+    let mut more = tally(fleet, broker).unwrap_or_else(|| LocalCounts::open(None, &name(broker), 1).unwrap());
+    more.record(CREDITOR, DEBTOR, bytes);
     put(fleet, broker, &more);
     fleet.brokers[broker].start();
     let told = wait(|| others.iter().all(|at| seen(fleet, *at, broker) == bytes));
