--- a/crates/dunepond-broker/tests/handover.rs
+++ b/crates/dunepond-broker/tests/handover.rs
@@ -525,7 +525,7 @@
     wire.say(&end(&call.id, "fault"));
     assert_eq!(client.answer().unwrap().status, 502);
     settled(&broker);
-    assert!(!broker.said().contains("set aside"), "set aside");
+    assert!(!broker.said().contains("is ejected"), "is ejected");
 }
 
 /// A new process bears less than the old one did: what waits for it is asked about again.
--- a/crates/dunepond-routing/src/policy/completion.rs
+++ b/crates/dunepond-routing/src/policy/completion.rs
@@ -137,6 +137,16 @@
     }
 }
 
+impl Attempt {
+    /// It is known not to have run at the node.
+    pub fn never_ran(&self) -> bool {
+        matches!(
+            self.outcome,
+            Some(AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
+        )
+    }
+}
+
 impl PartState {
     fn cancel_outstanding(
         &self,
--- a/crates/dunepond-routing/src/policy/outlier_detection.rs
+++ b/crates/dunepond-routing/src/policy/outlier_detection.rs
@@ -274,10 +274,10 @@
             }
         }
         let cause = match cause {
-            EjectionCause::Silent => "it is silent",
-            EjectionCause::Failing => "it fails what it is given",
+            EjectionCause::Silent => "it does not respond",
+            EjectionCause::Failing => "it fails its attempts",
         };
-        transport.log(&format!("node {id} is set aside: {cause}"));
+        transport.log(&format!("node {id} is ejected: {cause}"));
     }
 
     /// Whether an ejected node may get one more attempt now.
--- a/crates/dunepond-routing/src/state/query.rs
+++ b/crates/dunepond-routing/src/state/query.rs
@@ -149,12 +149,4 @@
     pub fn is_outstanding(&self) -> bool {
         self.outcome.is_none()
     }
-
-    /// It is known not to have run at the node.
-    pub fn never_ran(&self) -> bool {
-        matches!(
-            self.outcome,
-            Some(AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
-        )
-    }
 }
--- a/crates/dunepond-routing/tests/outlier_detection.rs
+++ b/crates/dunepond-routing/tests/outlier_detection.rs
@@ -62,7 +62,7 @@
         }
         cluster.run(0.01);
     });
-    assert!(cluster.transport.log.iter().any(|l| l == "node 2 is set aside: it fails what it is given"));
+    assert!(cluster.transport.log.iter().any(|l| l == "node 2 is ejected: it fails its attempts"));
 }
 
 #[test]
@@ -92,7 +92,7 @@
     let query = cluster.query(FULL, &[0]);
     cluster.end_attempt(query, 0, AttemptOutcome::Error);
     cluster.traffic(FULL, 3.0, 0.05);
-    assert!(!cluster.transport.log.iter().any(|l| l.contains("set aside")));
+    assert!(!cluster.transport.log.iter().any(|l| l.contains("is ejected")));
 }
 
 #[test]
@@ -118,7 +118,7 @@
     let first = cluster.query(FULL, &[0]);
     assert_eq!(cluster.answers(first), []);
     cluster.traffic(FULL, 1.0, 0.05);
-    assert!(!cluster.transport.log.iter().any(|l| l.contains("set aside")));
+    assert!(!cluster.transport.log.iter().any(|l| l.contains("is ejected")));
 }
 
 #[test]
@@ -168,7 +168,7 @@
     assert!(polled(5) > 0);
 }
 
-/// A client that sends slowly would set aside every node that its body goes to.
+/// A client that sends slowly would eject every node that its body goes to.
 #[rstest]
 #[case::on_its_way(false)]
 #[case::gone_out(true)]
--- a/crates/dunepond-routing/tests/support/mod.rs
+++ b/crates/dunepond-routing/tests/support/mod.rs
@@ -331,7 +331,7 @@
     }
 
     pub fn is_ejected(&self, node: NodeId) -> bool {
-        self.transport.log.iter().any(|l| l.starts_with(&format!("node {node} is set aside")))
+        self.transport.log.iter().any(|l| l.starts_with(&format!("node {node} is ejected")))
     }
 }
 
--- a/crates/dunepond-routing/tests/warm_restart.rs
+++ b/crates/dunepond-routing/tests/warm_restart.rs
@@ -5,7 +5,7 @@
 use dunepond_routing::*;
 use support::*;
 
-/// What one process learned, another goes by: the median, and who was set aside, who is due a trial at once.
+/// What one process learned, another goes by: the median, and who was ejected, who is due a trial at once.
 #[test]
 fn a_node_ejected_before_a_restart_gets_its_probation_attempts_after_it_and_no_more() {
     let mut first = Cluster::new(site());
--- a/crates/dunepond-testkit/tests/restart.rs
+++ b/crates/dunepond-testkit/tests/restart.rs
@@ -56,7 +56,7 @@
             }
             // All holders of a shard may fall silent together on a busy machine, and then it is refused unsent. The
             // log has to have named them in this life: at rest, where it names none, a refusal is a failure.
-            if answer.status != 429 || !broker.said().contains("is set aside") || start.elapsed() > PATIENCE {
+            if answer.status != 429 || !broker.said().contains("is ejected") || start.elapsed() > PATIENCE {
                 println!("{prefix}{i}: {} {}", answer.status, answer.body);
                 break;
             }
--- a/crates/dunepond-testkit/tests/search.rs
+++ b/crates/dunepond-testkit/tests/search.rs
@@ -283,7 +283,7 @@
         match ask() {
             Ok(answer) => return answer,
             Err(status) => {
-                let silent = site.broker.said().contains("is set aside");
+                let silent = site.broker.said().contains("is ejected");
                 let refused = matches!(status, 429 | 503);
                 assert!(refused && silent && start.elapsed() < PATIENCE, "{status}: {}", site.broker.said());
             }
