--- a/crates/dunepond-recovery/src/learned_state.rs
+++ b/crates/dunepond-recovery/src/learned_state.rs
@@ -1,6 +1,6 @@
 //! What was learned of nodes, keyed by their names, and how much of it holds after a restart.
 
-use dunepond_routing::{LearnedNode, LearnedSample, LearnedState, NodeId};
+use dunepond_routing::{IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, NodeId};
 use serde::{Deserialize, Serialize};
 
 use crate::{DecodeError, Timestamp, decode, encode, is_duration};
@@ -40,8 +40,8 @@
     /// By name, as their order may change.
     query_classes: Vec<String>,
     nodes: Vec<StoredNode>,
-    latency_samples: Vec<(f64, f64, f64)>,
-    idle_resets: Vec<(f64, f64, bool)>,
+    latency_samples: Vec<LatencyRecord>,
+    idle_resets: Vec<IdleResetRecord>,
     baseline_latency: Option<f64>,
 }
 
@@ -145,8 +145,10 @@
         };
         self.at.is_valid()
             && self.nodes.iter().all(|n| is_duration(n.started_at) && n.samples.iter().all(sample))
-            && self.latency_samples.iter().all(|l| is_duration(l.0) && is_duration(l.1) && is_duration(l.2))
-            && self.idle_resets.iter().all(|reset| is_duration(reset.0) && is_duration(reset.1))
+            && self.latency_samples.iter().all(|sample| {
+                is_duration(sample.latency) && is_duration(sample.ago) && is_duration(sample.node_share)
+            })
+            && self.idle_resets.iter().all(|reset| is_duration(reset.ago) && is_duration(reset.idle_seconds))
             && self.baseline_latency.is_none_or(is_duration)
     }
 
@@ -229,9 +231,10 @@
         if weight > 0.0 {
             let latencies = newest(&self.latency_samples, weight).iter();
             learned.latency_samples =
-                latencies.map(|(latency, ago, share)| (*latency, ago + elapsed, *share)).collect();
+                latencies.map(|sample| LatencyRecord { ago: sample.ago + elapsed, ..*sample }).collect();
             let resets = self.idle_resets.iter();
-            learned.idle_resets = resets.map(|(ago, idle, broke)| (ago + elapsed, *idle, *broke)).collect();
+            learned.idle_resets =
+                resets.map(|reset| IdleResetRecord { ago: reset.ago + elapsed, ..*reset }).collect();
             learned.baseline_latency = self.baseline_latency;
         }
         TrustedState { confidence, learned, nodes }
--- a/crates/dunepond-recovery/src/spent_budgets.rs
+++ b/crates/dunepond-recovery/src/spent_budgets.rs
@@ -4,7 +4,7 @@
 //! the second is missing, and a record written some moments before would not tell of the last ones. So everything that
 //! could have been spent counts as spent, until it has left every window.
 
-use dunepond_routing::{NodeId, SpentBudgets};
+use dunepond_routing::{AdmissionRecord, NodeId, SlowStartRecord, SpentBudgets};
 use serde::{Deserialize, Serialize};
 
 use crate::learned_state::NodeIdentity;
@@ -25,7 +25,7 @@
         /// Ages of retries and hedged requests.
         retries: Vec<f64>,
         /// Age of each batch of admitted requests, and their number.
-        admissions: Vec<(f64, f64)>,
+        admissions: Vec<AdmissionRecord>,
         /// Node's name, its start in Unix seconds, and the ages of what it was sent while warming up.
         slow_start_sends: Vec<(String, f64, Vec<f64>)>,
     },
@@ -44,9 +44,9 @@
     /// The record of a graceful shutdown. Nodes that are not in `listed` are left out.
     pub fn stopped(at: Timestamp, listed: &[NodeIdentity], spent: &SpentBudgets) -> Self {
         let identity_of = |node: NodeId| listed.iter().find(|identity| identity.node == node);
-        let slow_start_sends = spent.slow_start_sends.iter().filter_map(|(node, ages)| {
-            let identity = identity_of(*node)?;
-            Some((identity.name.clone(), identity.started_at, ages.clone()))
+        let slow_start_sends = spent.slow_start_sends.iter().filter_map(|record| {
+            let identity = identity_of(record.node)?;
+            Some((identity.name.clone(), identity.started_at, record.sent_ago.clone()))
         });
         Self::BrokerStopped {
             at,
@@ -74,7 +74,7 @@
             Self::BrokerStopped { at, retries, admissions, slow_start_sends } => {
                 at.is_valid()
                     && all_durations(retries)
-                    && admissions.iter().all(|(age, count)| is_duration(*age) && is_duration(*count))
+                    && admissions.iter().all(|record| is_duration(record.ago) && is_duration(record.count))
                     && slow_start_sends
                         .iter()
                         .all(|(_, started_at, ages)| is_duration(*started_at) && all_durations(ages))
@@ -107,11 +107,15 @@
         // A node that was restarted since is another process, with its whole capacity.
         let is_same_process =
             |identity: &&NodeIdentity| identity.name == *name && identity.started_at <= *started_at;
-        Some((listed.iter().find(is_same_process)?.node, aged(ages)))
+        let node = listed.iter().find(is_same_process)?.node;
+        Some(SlowStartRecord { node, sent_ago: aged(ages) })
     });
     OutstandingCharges::Known(SpentBudgets {
         retries: aged(retries),
-        admissions: admissions.iter().map(|(age, count)| (age + elapsed, *count)).collect(),
+        admissions: admissions
+            .iter()
+            .map(|record| AdmissionRecord { ago: record.ago + elapsed, ..*record })
+            .collect(),
         slow_start_sends: slow_start_sends.collect(),
     })
 }
--- a/crates/dunepond-recovery/tests/beliefs.rs
+++ b/crates/dunepond-recovery/tests/beliefs.rs
@@ -2,7 +2,10 @@
 
 use dunepond_recovery::spent_budgets::outstanding_charges;
 use dunepond_recovery::*;
-use dunepond_routing::{LearnedNode, LearnedSample, LearnedState, SpentBudgets};
+use dunepond_routing::{
+    AdmissionRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState,
+    SlowStartRecord, SpentBudgets,
+};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -38,8 +41,8 @@
     let nodes = (0..count).map(|node| LearnedNode { node, ejected: node == 0, samples: samples(node) });
     LearnedState {
         nodes: nodes.collect(),
-        latency_samples: vec![(0.2, 1.0, 0.1); 64],
-        idle_resets: vec![(1.0, 30.0, true)],
+        latency_samples: vec![LatencyRecord { latency: 0.2, ago: 1.0, node_share: 0.1 }; 64],
+        idle_resets: vec![IdleResetRecord { ago: 1.0, idle_seconds: 30.0, broke: true }],
         baseline_latency: Some(0.1),
     }
 }
@@ -119,8 +122,8 @@
 fn spent() -> SpentBudgets {
     SpentBudgets {
         retries: vec![0.5, 0.1],
-        admissions: vec![(0.4, 3.0)],
-        slow_start_sends: vec![(2, vec![0.3])],
+        admissions: vec![AdmissionRecord { ago: 0.4, count: 3.0 }],
+        slow_start_sends: vec![SlowStartRecord { node: 2, sent_ago: vec![0.3] }],
     }
 }
 
@@ -130,8 +133,8 @@
     let records = [BudgetRecord::BrokerStarted { at: at(AT - 9.0) }, ended];
     let expected = SpentBudgets {
         retries: vec![1.5, 1.1],
-        admissions: vec![(1.4, 3.0)],
-        slow_start_sends: vec![(2, vec![1.3])],
+        admissions: vec![AdmissionRecord { ago: 1.4, count: 3.0 }],
+        slow_start_sends: vec![SlowStartRecord { node: 2, sent_ago: vec![1.3] }],
     };
     assert_eq!(
         outstanding_charges(&records, true, &at(AT + 1.0), &list(8)),
--- a/crates/dunepond-recovery/tests/golden.rs
+++ b/crates/dunepond-recovery/tests/golden.rs
@@ -3,7 +3,10 @@
 use std::path::Path;
 
 use dunepond_recovery::{BudgetRecord, FORMAT_VERSION, LearnedSnapshot, NodeIdentity, Timestamp};
-use dunepond_routing::{LearnedNode, LearnedSample, LearnedState, SpentBudgets};
+use dunepond_routing::{
+    AdmissionRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState,
+    SlowStartRecord, SpentBudgets,
+};
 
 fn golden(name: &str) -> Vec<u8> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden").join(name);
@@ -45,8 +48,14 @@
     ];
     let beliefs = LearnedState {
         nodes,
-        latency_samples: vec![(0.25, 1.5, 0.125), (0.5, 0.75, 1.0)],
-        idle_resets: vec![(4.0, 30.0, true), (2.0, 15.0, false)],
+        latency_samples: vec![
+            LatencyRecord { latency: 0.25, ago: 1.5, node_share: 0.125 },
+            LatencyRecord { latency: 0.5, ago: 0.75, node_share: 1.0 },
+        ],
+        idle_resets: vec![
+            IdleResetRecord { ago: 4.0, idle_seconds: 30.0, broke: true },
+            IdleResetRecord { ago: 2.0, idle_seconds: 15.0, broke: false },
+        ],
         baseline_latency: Some(0.0625),
     };
     LearnedSnapshot::capture(stamp(), &query_classes(), &identities(), &beliefs)
@@ -74,9 +83,12 @@
 fn records_of_spent_budgets_are_written_and_read_as_before() {
     let ledger = SpentBudgets {
         retries: vec![0.5, 2.25],
-        admissions: vec![(0.5, 1.0), (1.5, 40.0)],
+        admissions: vec![AdmissionRecord { ago: 0.5, count: 1.0 }, AdmissionRecord { ago: 1.5, count: 40.0 }],
         // The last is not on the list: it is not kept.
-        slow_start_sends: vec![(3, vec![0.25, 0.75]), (9, vec![1.0])],
+        slow_start_sends: vec![
+            SlowStartRecord { node: 3, sent_ago: vec![0.25, 0.75] },
+            SlowStartRecord { node: 9, sent_ago: vec![1.0] },
+        ],
     };
     let entries = [
         ("begun.bin", BudgetRecord::BrokerStarted { at: stamp() }),
--- a/crates/dunepond-routing/src/learned.rs
+++ b/crates/dunepond-routing/src/learned.rs
@@ -11,9 +11,9 @@
     /// Node by node.
     pub nodes: Vec<LearnedNode>,
     /// The fleet's last completions, the oldest first.
-    pub latency_samples: Vec<(f64, f64, f64)>,
+    pub latency_samples: Vec<LatencyRecord>,
     /// Attempts on connections that had been idle.
-    pub idle_resets: Vec<(f64, f64, bool)>,
+    pub idle_resets: Vec<IdleResetRecord>,
     /// Seconds that attempts take at ease; `None` while that is not known.
     pub baseline_latency: Option<f64>,
 }
@@ -46,13 +46,53 @@
     pub fault: bool,
 }
 
+/// A completion at a warm node.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct LatencyRecord {
+    /// Seconds that it took.
+    pub latency: f64,
+    /// Seconds since it came.
+    pub ago: f64,
+    /// One node's part of it: 1 by the warm nodes of its time.
+    pub node_share: f64,
+}
+
+/// What became of an attempt on a connection that had been idle.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct IdleResetRecord {
+    /// Seconds since it ended.
+    pub ago: f64,
+    /// Seconds that the connection had been idle.
+    pub idle_seconds: f64,
+    /// The connection broke at once.
+    pub broke: bool,
+}
+
 /// What a router has spent of the budgets that a restart does not renew.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SpentBudgets {
     /// Retries and hedged requests, in seconds ago.
     pub retries: Vec<f64>,
     /// What the retry budget is measured against.
-    pub admissions: Vec<(f64, f64)>,
+    pub admissions: Vec<AdmissionRecord>,
     /// Parts sent to nodes in slow start.
-    pub slow_start_sends: Vec<(NodeId, Vec<f64>)>,
+    pub slow_start_sends: Vec<SlowStartRecord>,
+}
+
+/// Queries and parts admitted at a time.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct AdmissionRecord {
+    /// Seconds ago.
+    pub ago: f64,
+    /// How many queries and parts.
+    pub count: f64,
+}
+
+/// Parts sent to a node in slow start.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct SlowStartRecord {
+    /// The node.
+    pub node: NodeId,
+    /// When each was sent, in seconds ago.
+    pub sent_ago: Vec<f64>,
 }
--- a/crates/dunepond-routing/src/lib.rs
+++ b/crates/dunepond-routing/src/lib.rs
@@ -25,7 +25,10 @@
     Deployment, Idempotency, QueryClass, QuotaDemand, QuotaShares, RetryBudget, Rules, SlowStart,
 };
 pub use endpoint::{Endpoint, EndpointState, NodeId};
-pub use learned::{LearnedNode, LearnedSample, LearnedState, SpentBudgets};
+pub use learned::{
+    AdmissionRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState,
+    SlowStartRecord, SpentBudgets,
+};
 pub use policy::{
     MAX_SHUTDOWN_SECONDS, MAX_STALL_SECONDS, NOTICEABLE_PAUSE_SECONDS, SIGNAL_POLL_INTERVAL, ShutdownStage,
 };
--- a/crates/dunepond-routing/src/policy/router.rs
+++ b/crates/dunepond-routing/src/policy/router.rs
@@ -64,13 +64,7 @@
     }
 
     /// A streamed attempt's frame has been sent completely; the node's time starts now.
-    pub fn on_frame_written(
-        &mut self,
-        transport: &mut dyn Transport,
-        node: NodeId,
-        key: (QueryId, usize, usize),
-    ) {
-        let id = AttemptId { query: key.0, part: key.1, index: key.2 };
+    pub fn on_frame_written(&mut self, transport: &mut dyn Transport, node: NodeId, id: AttemptId) {
         self.sync_clock(transport);
         let now = self.now;
         let Some(node) = self.node_mut(node) else { return };
--- a/crates/dunepond-routing/src/policy/warm_restart.rs
+++ b/crates/dunepond-routing/src/policy/warm_restart.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 use crate::state::{CompletionSample, Ejection, IdleReset, Node, NodeSample, Router};
-use crate::{LearnedState, NodeId, SpentBudgets, Transport};
+use crate::{LearnedState, NodeId, SlowStartRecord, SpentBudgets, Transport};
 
 impl Router {
     /// What this router has learned.
@@ -49,7 +49,10 @@
         self.sync_clock(transport);
         let now = self.now;
         let ages = |times: &VecDeque<f64>| times.iter().map(|at| (now - at).max(0.0)).collect();
-        let slow_start_record = |(id, node): (NodeId, &Node)| (id, ages(&node.slow_start_sends));
+        let slow_start_record = |(node, state): (NodeId, &Node)| SlowStartRecord {
+            node,
+            sent_ago: ages(&state.slow_start_sends),
+        };
         SpentBudgets {
             retries: ages(&self.retries.retries_sent),
             admissions: self.retries.admitted.iter().map(|work| work.to_record(now)).collect(),
@@ -67,15 +70,15 @@
             return;
         };
         self.retries.retries_sent.extend(spent.retries.iter().map(|ago| now - ago));
-        for (ago, count) in &spent.admissions {
-            self.retries.add_admitted(now - ago, *count);
+        for record in &spent.admissions {
+            self.retries.add_admitted(now - record.ago, record.count);
         }
-        for (id, sent_ago) in &spent.slow_start_sends {
-            let Some(node) = self.node_mut(*id) else { continue };
-            if sent_ago.is_empty() {
+        for record in &spent.slow_start_sends {
+            let Some(node) = self.node_mut(record.node) else { continue };
+            if record.sent_ago.is_empty() {
                 continue;
             }
-            node.slow_start_sends.extend(sent_ago.iter().map(|ago| now - ago));
+            node.slow_start_sends.extend(record.sent_ago.iter().map(|ago| now - ago));
             node.slow_start_tokens.tokens = 0.0;
         }
     }
--- a/crates/dunepond-routing/src/state/latency.rs
+++ b/crates/dunepond-routing/src/state/latency.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use super::age;
-use crate::Deployment;
+use crate::{Deployment, LatencyRecord};
 
 pub struct LatencyStats {
     /// The last completions at warm nodes.
@@ -68,13 +68,13 @@
 
 impl CompletionSample {
     /// As stored for another process.
-    pub fn to_record(self, now: f64) -> (f64, f64, f64) {
-        (self.latency, age(self.at, now), self.node_share)
+    pub fn to_record(self, now: f64) -> LatencyRecord {
+        LatencyRecord { latency: self.latency, ago: age(self.at, now), node_share: self.node_share }
     }
 
     /// Back on this process's clock.
-    pub fn from_record(record: &(f64, f64, f64), now: f64) -> Self {
-        let &(latency, ago, node_share) = record;
+    pub fn from_record(record: &LatencyRecord, now: f64) -> Self {
+        let &LatencyRecord { latency, ago, node_share } = record;
         Self { latency, at: now - ago, node_share }
     }
 }
--- a/crates/dunepond-routing/src/state/mod.rs
+++ b/crates/dunepond-routing/src/state/mod.rs
@@ -22,7 +22,7 @@
 pub use self::query::{Attempt, InFlightQuery, PartState, PartStatus, Probing};
 pub use self::retry_budget::RetryHistory;
 pub use self::shutdown::Shutdown;
-use crate::{Deployment, NodeId, QueryClass, QueryId, QuotaShares, Rules};
+use crate::{Deployment, IdleResetRecord, NodeId, QueryClass, QueryId, QuotaShares, Rules};
 
 /// The routing decisions of one broker, with all the state they depend on.
 ///
@@ -73,13 +73,13 @@
 
 impl IdleReset {
     /// As stored for another process.
-    pub fn to_record(self, now: f64) -> (f64, f64, bool) {
-        (age(self.at, now), self.idle_seconds, self.broke)
+    pub fn to_record(self, now: f64) -> IdleResetRecord {
+        IdleResetRecord { ago: age(self.at, now), idle_seconds: self.idle_seconds, broke: self.broke }
     }
 
     /// Back on this process's clock.
-    pub fn from_record(record: &(f64, f64, bool), now: f64) -> Self {
-        let &(ago, idle_seconds, broke) = record;
+    pub fn from_record(record: &IdleResetRecord, now: f64) -> Self {
+        let &IdleResetRecord { ago, idle_seconds, broke } = record;
         Self { at: now - ago, idle_seconds, broke }
     }
 }
--- a/crates/dunepond-routing/src/state/retry_budget.rs
+++ b/crates/dunepond-routing/src/state/retry_budget.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use super::age;
-use crate::Deployment;
+use crate::{AdmissionRecord, Deployment};
 
 pub struct RetryHistory {
     /// Instants at which retries and hedged requests were sent.
@@ -47,7 +47,7 @@
 
 impl AdmittedWork {
     /// As stored for another process.
-    pub fn to_record(self, now: f64) -> (f64, f64) {
-        (age(self.at, now), self.count)
+    pub fn to_record(self, now: f64) -> AdmissionRecord {
+        AdmissionRecord { ago: age(self.at, now), count: self.count }
     }
 }
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -8,9 +8,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunepond_routing::{
-    AttemptEnded, AttemptOutcome, Deployment, Endpoint, EndpointState, Idempotency, NodeId, Part, Query,
-    QueryClass, QueryId, QuotaShares, RetryBudget, Router, Rules, Shutdown, ShutdownStage, SlowStart,
-    Transport,
+    AdmissionRecord, AttemptEnded, AttemptId, AttemptOutcome, Deployment, Endpoint, EndpointState,
+    Idempotency, IdleResetRecord, LatencyRecord, NodeId, Part, Query, QueryClass, QueryId, QuotaShares,
+    RetryBudget, Router, Rules, Shutdown, ShutdownStage, SlowStart, SlowStartRecord, Transport,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -602,7 +602,11 @@
             Event::Ended { scan, part, shot, end } => self.ended(scan, part, shot, end),
             Event::Framed { scan, part, shot } => {
                 let node = self.host.scans[&scan].parts[part][shot].node;
-                self.broker.on_frame_written(&mut self.host, node, (scan, part, shot));
+                self.broker.on_frame_written(
+                    &mut self.host,
+                    node,
+                    AttemptId { query: scan, part, index: shot },
+                );
             }
             Event::TextGone(scan) => self.broker.on_body_discarded(&mut self.host, scan),
             Event::Search(scan) => self.search(scan),
@@ -908,21 +912,21 @@
                 digest.flag(sample.fault);
             }
         }
-        for (took, ago, part) in &beliefs.latency_samples {
+        for LatencyRecord { latency: took, ago, node_share: part } in &beliefs.latency_samples {
             [*took, *ago, *part].into_iter().for_each(|n| digest.number(n));
         }
-        for (ago, idle, broke) in &beliefs.idle_resets {
+        for IdleResetRecord { ago, idle_seconds: idle, broke } in &beliefs.idle_resets {
             digest.number(*ago);
             digest.number(*idle);
             digest.flag(*broke);
         }
         digest.number(beliefs.baseline_latency.unwrap_or(-1.0));
         ledger.retries.iter().for_each(|ago| digest.number(*ago));
-        for (ago, count) in &ledger.admissions {
+        for AdmissionRecord { ago, count } in &ledger.admissions {
             digest.number(*ago);
             digest.number(*count);
         }
-        for (node, times) in &ledger.slow_start_sends {
+        for SlowStartRecord { node, sent_ago: times } in &ledger.slow_start_sends {
             digest.index(*node);
             times.iter().for_each(|ago| digest.number(*ago));
         }
--- a/crates/dunepond-routing/tests/outlier_detection.rs
+++ b/crates/dunepond-routing/tests/outlier_detection.rs
@@ -179,7 +179,7 @@
     let query = cluster.streamed(FULL, &[0]);
     cluster.run(0.5);
     if framed {
-        cluster.router.on_frame_written(&mut cluster.transport, 0, (query, 0, 0));
+        cluster.router.on_frame_written(&mut cluster.transport, 0, AttemptId { query, part: 0, index: 0 });
     }
     cluster.run(2.5);
     assert_eq!(cluster.is_ejected(0), framed);
