--- a/crates/dunepond-broker/src/background.rs
+++ b/crates/dunepond-broker/src/background.rs
@@ -1,4 +1,4 @@
-//! Background work in the broker: the scheduler's orders are carried out between turns of the loop and on its pool.
+//! Background jobs of the broker: runs what the scheduler orders, between iterations or on the thread pool.
 
 use dunepond_background::{Finished, Given, JobId, Outcome, Pool, Scheduler, Spec, Used};
 
--- a/crates/dunepond-broker/src/body.rs
+++ b/crates/dunepond-broker/src/body.rs
@@ -1,5 +1,5 @@
-//! The bytes of one body: a chain of blocks that all its readers share, in memory, in a file, or passing through.
-//! Nothing here decides where a body goes; it holds what has come, lends it out, and lets go of what nobody needs.
+//! The bytes of one request body as a chain of blocks that all its readers share: in memory, spilled to a file, or passing through.
+//! Where a body goes is decided elsewhere (`body_store`); this holds what has come, lends it out and drops what nobody needs.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, VecDeque};
@@ -301,12 +301,12 @@
     }
 }
 
-/// What each part of a scan carries.
+/// What each part of a query carries.
 #[derive(Clone)]
 pub enum Payload {
     Inline(Rc<str>),
     Streamed(Rc<Body>),
-    /// No dispatch can need it any more.
+    /// No attempt can need it any more.
     Released,
 }
 
--- a/crates/dunepond-broker/src/body_store.rs
+++ b/crates/dunepond-broker/src/body_store.rs
@@ -1,4 +1,4 @@
-//! Bodies of the raw form in hand: what the keeper decides about them is done here, with the threads of the files tier.
+//! The bodies of streamed requests: carries out what the body buffer decides (memory, file, pass-through) with the disk's threads.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::{Rc, Weak};
@@ -13,7 +13,7 @@
 /// What has become of a body, for whoever waits for it.
 #[derive(Debug)]
 pub enum BodyEvent {
-    /// All of it has come and is kept: its scan may begin.
+    /// All of it has come and is kept: its query may begin.
     Buffered,
     /// It is passed on as it comes in, as it is not kept.
     PassThrough(Reason),
@@ -46,7 +46,7 @@
     waiting: Vec<BodyId>,
     table_types: Vec<String>,
     pub events: VecDeque<(BodyId, BodyEvent)>,
-    /// An timer is set to look them over.
+    /// A timer is set to look them over.
     pub check_scheduled: bool,
     /// More of some body can be read, or more taken in, than before.
     pub made_progress: bool,
@@ -302,7 +302,7 @@
         dropped
     }
 
-    /// A dispatch takes it up.
+    /// An attempt takes it up.
     pub fn used(&mut self, now: f64, id: BodyId) {
         self.keeper.used(now, id);
     }
@@ -316,7 +316,7 @@
         self.keeper.held_beside(Kind::Unwritten, waiting.saturating_sub(counted));
     }
 
-    /// A line of counters: what is held, and how often a body was not kept, by place, reason and table type.
+    /// A line of counters: what is held, and how often a body was not kept, by place, reason and query class.
     pub fn report(&self, copied: u64) {
         let holding = self.keeper.holding();
         let counts = self.keeper.counts().map(|(place, reason, table_type, count)| {
--- a/crates/dunepond-broker/src/buffers.rs
+++ b/crates/dunepond-broker/src/buffers.rs
@@ -1,4 +1,4 @@
-//! Buffers of one size, used again from a pool, and the chain of them that waits to be written.
+//! Pooled buffers of one size, and the queue of chunks that wait to be written to one connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
--- a/crates/dunepond-broker/src/clock.rs
+++ b/crates/dunepond-broker/src/clock.rs
@@ -1,4 +1,4 @@
-//! One steady clock on which the list's times stand too, and what is to be done at its times.
+//! One monotonic clock on Unix time, as the endpoint list's times are, and the event loop's timers.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -34,7 +34,7 @@
     QueryDeadline(u64),
     UpstreamConnection(usize),
     PrefilterConnection(usize),
-    /// Phase one is over for some scan.
+    /// Phase one is over for some query.
     Prefilter,
     /// Another snapshot of what was learned.
     Snapshot,
@@ -52,7 +52,7 @@
     Counters,
 }
 
-/// An timer that is set; good for taking it back.
+/// A timer that is set; good for taking it back.
 pub type TimerKey = (u64, u64);
 
 /// Kept in order of time: calloop's own timers pass all of them to take one back.
@@ -87,7 +87,7 @@
     }
 }
 
-/// Whether an timer's time has come, rung or not.
+/// Whether a timer's time has come, rung or not.
 pub fn is_due(key: TimerKey, now: f64) -> bool {
     key.0 <= (now * 1e6) as u64
 }
--- a/crates/dunepond-broker/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -1,5 +1,4 @@
-//! The one place where configuration is read, checked and given defaults: the environment, the file that
-//! it names, and the settings in that file.
+//! The startup configuration: the environment, the file that it names and the settings in it, read, checked and given defaults here only.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -97,7 +96,7 @@
         },
     };
     // Connections hold buffers only while something is in them. A quarter of the memory is for those; the rest
-    // for scans in hand, queued frames and the program itself.
+    // for queries in hand, queued frames and the program itself.
     let most = sockets.saturating_sub(RESERVED_DESCRIPTORS);
     let max_buffers = (memory * 1024.0 * 1024.0 / 4.0 / BUFFER_BYTES as f64) as usize;
     if most < 16 || max_buffers < 16 {
@@ -105,7 +104,7 @@
     }
     // Each node is sent to on few connections, by however many clients: no term says how many, and this share is ours. It is of
     // the settings' descriptors, and what is idle makes room for what is wanted; where a connection carries few parts and a
-    // scan has many, it bounds how many scans are out at once.
+    // query has many, it bounds how many queries are out at once.
     let most_links = (most / 4) as usize;
     Ok(StartupConfig {
         name: told("GW_NAME", "name")?.0,
--- a/crates/dunepond-broker/src/config_reload.rs
+++ b/crates/dunepond-broker/src/config_reload.rs
@@ -1,4 +1,4 @@
-//! Configuration read again beside the loop: a file may lie on a disk that does not answer.
+//! Reads the configuration again on a thread of its own, as a file may lie on a disk that does not answer.
 
 use std::path::PathBuf;
 use std::{io, thread};
--- a/crates/dunepond-broker/src/connection_end.rs
+++ b/crates/dunepond-broker/src/connection_end.rs
@@ -1,4 +1,4 @@
-//! Every way in which a connection can end, and what each means for the parts that were out on it.
+//! Every way in which a connection can end, and the outcome of each attempt that was on it.
 
 use std::fmt;
 use std::io;
--- a/crates/dunepond-broker/src/control_plane/fence.rs
+++ b/crates/dunepond-broker/src/control_plane/fence.rs
@@ -1,13 +1,14 @@
-//! Every state in which a part can be when the fence of a move falls, and the one way in which it ends. A fence is the
-//! joint step of a version that changes the owner of the part's keys: for that long nobody may be sent what must not run
-//! twice, and what went out before has to be known to be over before the new owner gets any.
+//! Every state in which an attempt can be when a segment's owner changes, and the one action that follows.
+//!
+//! The fence is the joint phase of a configuration version that changes the owner: meanwhile nobody may get a non-idempotent attempt, and
+//! what went out before must be known to be over before the new owner gets any.
 
 use dunepond_routing::{AttemptOutcome, Idempotency};
 
 /// How far the part had come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStage {
-    /// Its scan has begun, and it is not dispatched.
+    /// Its query has begun, and it is not sent.
     NotSent,
     /// It waits for a connection, or in the line of one.
     Queued,
@@ -35,13 +36,13 @@
 pub enum FenceAction {
     /// As if there were no fence: it may be sent, and what is out may be sent once more as its effect allows.
     Allowed,
-    /// Given back unsent: its scan is throttled, with when to return, if nothing of it has run.
+    /// Given back unsent: its query is rejected, with when to return, if nothing of it has run.
     Returned,
     /// Its connection ends before the frame does, so that the node cannot have read it; then as held.
     Aborted,
     /// Its own answer alone ends it, until its query timeout; it is sent nowhere else.
     AwaitOwnAnswer,
-    /// Its answer counts, once, under the map that its scan began on.
+    /// Its answer counts, once, under the map that its query began on.
     Accepted,
 }
 
@@ -51,7 +52,7 @@
         matches!(self, Self::Returned | Self::Aborted)
     }
 
-    /// How the module hears of it; nothing where it goes on.
+    /// How the router hears of it; nothing where it goes on.
     pub fn end(self) -> Option<AttemptOutcome> {
         match self {
             Self::Returned => Some(AttemptOutcome::NotSent),
--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -1,4 +1,4 @@
-//! What is agreed, asked at the moment of each act.
+//! The active configuration as it is asked at the moment of each act: may this be sent, is this answer complete.
 
 use std::cell::RefCell;
 use std::io::{self, IoSlice, Write};
@@ -14,7 +14,7 @@
 
 use super::fence::{self, AttemptStage, FenceAction, OwnerSide};
 
-/// What a scan began on; it keeps that to its end.
+/// What a query began on; it keeps that to its end.
 pub struct QueryStart {
     acting: Arc<ActiveConfig>,
     /// On the steady clock.
@@ -100,12 +100,12 @@
     }
 
     pub fn begin(&self) -> Rc<QueryStart> {
-        // The acting first: read the other way round, a lease that came in between would be younger than its scan.
+        // The acting first: read the other way round, a lease that came in between would be younger than its query.
         let acting = self.acting();
         Rc::new(QueryStart { acting, at: monotonic_seconds() })
     }
 
-    /// Parts of this table type must not run twice.
+    /// Parts of this query class must not run twice.
     pub fn once(&self, table_type: usize) -> bool {
         self.repeats.get(table_type) == Some(&Idempotency::NonIdempotent)
     }
@@ -125,7 +125,7 @@
         fence::fence_action(stage, effect, if new { OwnerSide::New } else { OwnerSide::Old })
     }
 
-    /// Parts of this table type may run twice inside a window.
+    /// Parts of this query class may run twice inside a window.
     pub fn is_keyed(&self, table_type: usize) -> bool {
         matches!(self.repeats.get(table_type), Some(Idempotency::Keyed(_)))
     }
@@ -136,7 +136,7 @@
         CheckedConfig { acting, at: monotonic_seconds() }
     }
 
-    /// Whether a part may be sent to a node at this moment, by what its scan began on and by what is in force now.
+    /// Whether a part may be sent to a node at this moment, by what its query began on and by what is in force now.
     pub fn may_send(&self, began: Option<&QueryStart>, table_type: usize, seg: usize, node: &str) -> bool {
         !self.once(table_type) || self.may_send_under(&self.look(), began, table_type, seg, node)
     }
@@ -173,7 +173,7 @@
         allows(&began.acting, began.at) && allows(&self.acting(), monotonic_seconds())
     }
 
-    /// The epoch of the map that is acted on now, where that has other keys for a segment than the one its scan began on.
+    /// The epoch of the map that is acted on now, where that has other keys for a segment than the one its query began on.
     pub fn moved(&self, began: &QueryStart, seg: usize) -> Option<u64> {
         if self.is_current(&began.acting) {
             return None;
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -1,5 +1,5 @@
-//! The broker's part in a fleet that agrees: what its loop asks and tells. Where the operator's file does not name a
-//! fleet there is none of this.
+//! The event loop's side of the control plane: what it asks and tells the thread that hosts consensus, membership and quotas. Absent where
+//! the operator's file names no fleet.
 
 pub mod fence;
 mod gate;
@@ -30,7 +30,7 @@
 use crate::iteration::{EventLoopHandle, Iteration, LoopEvent};
 use crate::upstream::EndpointInfo;
 
-/// The span of a budget of further dispatches where the deployment states none, in seconds.
+/// The span of a budget of further attempts where the deployment states none, in seconds.
 const DEFAULT_RETRY_WINDOW_SECONDS: f64 = 10.0;
 
 /// What discovery says, before anything that is agreed on.
@@ -51,14 +51,14 @@
     warm_after: f64,
     /// What the deployment states; what is agreed on only tightens it.
     own: Rules,
-    /// What was looked at last, with a lease or without, and what the module was told by it.
+    /// What was looked at last, with a lease or without, and what the router was told by it.
     last_applied: Option<(Arc<ActiveConfig>, bool)>,
     applied_rules: Rules,
     /// Bounds that all brokers share.
     sharing: Option<Quotas>,
 }
 
-/// What changed in what is agreed on, for the module.
+/// What changed in what is agreed on, for the router.
 #[derive(Default)]
 pub struct Changes {
     pub rules: Option<Rules>,
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Whether the nodes are pressed, as the module says: others hear of it with the next question for a lease.
+    /// Whether the nodes are pressed, as the router says: others hear of it with the next question for a lease.
     pub fn press(&self, pressed: bool) {
         self.gate.hand.set_overloaded(pressed);
     }
@@ -192,7 +192,7 @@
         self.sharing.as_mut()?.look(&self.gate, monotonic_seconds())
     }
 
-    /// A scan of this customer has come: what is needed of its quota.
+    /// A query of this tenant has come: what is needed of its quota.
     pub fn came(&mut self, customer: usize) {
         if let Some(sharing) = &mut self.sharing {
             sharing.came(customer);
@@ -271,7 +271,7 @@
         }
     }
 
-    /// What a scan begins on; of a non-replayable one each part gets the one node that may have it, or (`Err`) all of it
+    /// What a query begins on; of a non-idempotent one each part gets the one node that may have it, or (`Err`) all of it
     /// is refused for so many seconds.
     pub fn admit(&self, query: &mut Query) -> Result<Rc<QueryStart>, (Rc<QueryStart>, f64, &'static str)> {
         let began = self.gate.begin();
@@ -302,7 +302,7 @@
         self.by_node.get(node).copied().flatten()
     }
 
-    /// So many bytes came from a node for a customer.
+    /// So many bytes came from a node for a tenant.
     pub fn carried(&self, node: NodeId, customer: usize, bytes: usize) {
         let owed_by = self.partner_by_tenant.get(customer).copied().flatten();
         if let (Some(carrier), Some(owed_by)) = (self.partner(node), owed_by) {
--- a/crates/dunepond-broker/src/control_plane/quotas.rs
+++ b/crates/dunepond-broker/src/control_plane/quotas.rs
@@ -1,4 +1,4 @@
-//! Bounds that all brokers share: what of them this broker may use at a moment, and what it needs.
+//! Fleet-wide quotas: this broker's share of each at a moment, and the demand that it reports.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,9 +24,9 @@
     /// Parts a second that a warm node takes.
     cold: Option<f64>,
     further: bool,
-    /// By customer: the bound's name, scans a second of the whole, and those that came since the last sample.
+    /// By tenant: the bound's name, queries a second of the whole, and those that came since the last sample.
     customers: Vec<Option<TenantQuota>>,
-    /// Free further dispatches a second, all brokers together.
+    /// Free further attempts a second, all brokers together.
     free: f64,
     needs: BTreeMap<String, Demand>,
     last_sample_at: f64,
@@ -56,7 +56,7 @@
         let mut names: Vec<String> = told.cold.map(|_| SLOW_START_QUOTA.to_string()).into_iter().collect();
         names.extend(told.further.then(|| RETRY_QUOTA.to_string()));
         names.extend(customers.iter().flatten().map(|customer| customer.bound.clone()));
-        // The longest span over which the module counts any of them.
+        // The longest span over which the router counts any of them.
         let longest = site.query_classes.iter().map(|t| t.latency_objective).fold(0.0, f64::max);
         let time_budget = site.retry_budget.as_ref();
         let window = time_budget.map_or(DEFAULT_RETRY_WINDOW_SECONDS, |time_budget| time_budget.window);
--- a/crates/dunepond-broker/src/discovery.rs
+++ b/crates/dunepond-broker/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list of nodes, whole at first and after each break, then by a watch on what changes.
+//! The client of the discovery agent: a complete endpoint list at first and after each break, then a watch for changes.
 
 use std::collections::HashMap;
 use std::io;
@@ -32,7 +32,7 @@
 /// By the protocol page a watch goes on if the next call comes so soon after the last answer.
 const WATCH_CONTINUATION_SECONDS: f64 = 0.2;
 /// Between two calls at least, far inside of that: an agent that answers a watch at once, whatever it is asked, must not make
-/// us ask it in circles. A quarter, so that a turn of the loop that comes late still finds the watch alive.
+/// us ask it in circles. A quarter, so that an iteration that comes late still finds the watch alive.
 const MIN_REQUEST_INTERVAL_SECONDS: f64 = WATCH_CONTINUATION_SECONDS / 4.0;
 /// Before a call to an agent that is down is made again: at first, inside of what keeps a watch alive, and at most, which is
 /// the pace of the silent.
@@ -311,7 +311,7 @@
         if !message.take(input, &self.pool).map_err(|refusal| refusal.why)? {
             return Ok(None);
         }
-        let keep = message.head.keep;
+        let keep = message.head.keep_alive;
         let list = dunepond_config::json(message.text()).map_err(|e| format!("list: {e}"))?;
         call.message = None;
         let (seq, news, had_invalid_row) = self.read(&list).map_err(|Bad(why)| why)?;
--- a/crates/dunepond-broker/src/downstream/accept.rs
+++ b/crates/dunepond-broker/src/downstream/accept.rs
@@ -1,4 +1,4 @@
-//! Taking clients in at the doors, and who makes room when there are too many.
+//! Accepts client connections, and evicts one where there are too many.
 
 use std::collections::VecDeque;
 use std::io;
@@ -16,7 +16,7 @@
 use crate::connection_end::ConnectionEnd;
 use crate::iteration::{LoopEvent, watch};
 
-/// Connections accepted before all others have their turn: a bound of the program, so that one turn of the loop stays short
+/// Connections accepted before all others have their turn: a bound of the program, so that one iteration stays short
 /// against the 50 ms by which the protocol page makes every time limit longer.
 const MAX_ACCEPTS_PER_ITERATION: usize = 32;
 /// How soon accepting is tried again after it has failed for want of means: those 50 ms, as who waits at the listener has
--- a/crates/dunepond-broker/src/downstream/arrivals.rs
+++ b/crates/dunepond-broker/src/downstream/arrivals.rs
@@ -1,5 +1,4 @@
-//! When the bytes of a connection came: a request's time runs from its first byte, however long it waits to be read or
-//! for its turn behind another.
+//! When the bytes of a connection arrived: a request's time runs from its first byte, however long it waits to be read or behind another.
 
 use std::collections::VecDeque;
 
--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -1,9 +1,9 @@
-//! How connections close that nobody is owed an answer on: at rest, for want of room, on the way to the end.
+//! Closes connections that are owed no answer: idle, evicted, or in a shutdown.
 //!
-//! Bytes may come between any look and the close behind it, and a close over unread bytes resets the connection, with
-//! it what of the last answer is still on its way. So what has come is read at the last moment, and a request in it is
-//! taken. With nothing there our side is shut and the other awaited (a lingering close): what crosses is thrown
-//! away, never sent on, and its client, which sees the end before an answer, asks it again elsewhere.
+//! Bytes may come between any check and the close behind it, and a close over unread bytes resets the connection and loses what of the
+//! last answer is still on its way. So what has come is read at the last moment, and a request in it is served. With nothing there our side is
+//! shut and the client's end is awaited (a lingering close): what crosses is discarded, and its client, which sees the end before an answer,
+//! retries it elsewhere.
 
 use std::io;
 use std::net::{Shutdown, TcpStream};
--- a/crates/dunepond-broker/src/downstream/disconnect.rs
+++ b/crates/dunepond-broker/src/downstream/disconnect.rs
@@ -1,5 +1,5 @@
-//! Hang-ups: a client that closes its connection has gone, and nothing is sent on for it. Its end may stand behind
-//! requests that nobody has read yet, and no readiness tells of it again.
+//! Detects disconnected clients, for which nothing more is sent. The end of a connection may stand behind requests that nobody has read yet,
+//! and no readiness event tells of it again.
 
 use std::io;
 use std::net::TcpStream;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Lets go of one that has hung up; names the scan that was held for it.
+    /// Lets go of one that has disconnected; names the query that was held for it.
     pub fn next_disconnected(&mut self, timers: &mut Timers) -> Option<Option<QueryId>> {
         let id = self.disconnected.pop()?;
         // It may have gone already, and its id to another.
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! The clients: their connections, the requests that come on them and the answers that go back.
+//! The client side: connections, the requests on them and the responses.
 
 mod accept;
 mod arrivals;
@@ -31,7 +31,7 @@
 pub use accept::listen;
 use arrivals::ArrivalTimes;
 
-/// A scan as a client asks for it.
+/// A query as a client asks for it.
 pub struct QueryRequest {
     pub request_id: String,
     pub table_type: usize,
@@ -45,9 +45,9 @@
 /// What a client's connection brings next.
 pub enum ClientEvent {
     Query(QueryRequest),
-    /// A scan in the raw form, of which the body begins here.
+    /// A query in the streamed form, of which the body begins here.
     StreamedQuery(QueryRequest, Box<Head>),
-    /// It has gone, and with it whoever waited for this scan.
+    /// It has gone, and with it whoever waited for this query.
     Disconnected(Option<QueryId>),
     /// A request of the API.
     SearchRequest(Box<SearchRequest>),
@@ -58,7 +58,7 @@
     /// Between requests, or inside of a head.
     ReadingHead,
     ReadingBody(Box<Message>),
-    /// Inside of a body of the raw form, or waiting to hear that it is kept.
+    /// Inside of a body of a streamed request, or waiting to hear that it is kept.
     StreamingBody(Box<StreamedRequest>),
     /// Asked, and not answered yet.
     AwaitingAdmission,
@@ -70,7 +70,7 @@
 struct StreamedRequest {
     message: Message,
     body: Rc<Body>,
-    /// What is asked, until its scan begins; then that.
+    /// What is asked, until its query begins; then that.
     asked: Option<QueryRequest>,
     query: Option<QueryId>,
     /// All of the body has come.
@@ -96,9 +96,9 @@
     /// When the first byte of this request came; or when lingering began.
     began: f64,
     keep: bool,
-    /// It was answered, or is, in the middle of a body of the raw form.
+    /// It was answered, or is, in the middle of a body of a streamed request.
     responded_in_body: bool,
-    /// It sends faster than it may be read; an timer will tell when it is its turn.
+    /// It sends faster than it may be read; a timer will tell when it is its turn.
     more: bool,
     timer: Option<TimerKey>,
 }
@@ -131,7 +131,7 @@
     idle: BTreeMap<TimerKey, usize>,
     /// Whose connections are shut on our side only.
     lingering: BTreeMap<TimerKey, usize>,
-    /// Whether the raw form is taken.
+    /// Whether the streamed form is taken.
     pub raw: bool,
     /// Bodies of which more has come, and who brings it.
     pub moved: Vec<BodyId>,
@@ -141,7 +141,7 @@
     pub again: Vec<usize>,
     /// Who was seen to have gone and is still to be let go.
     disconnected: Vec<usize>,
-    /// Scans can be served, as far as the list goes.
+    /// Queries can be served, as far as the list goes.
     pub has_endpoints: bool,
     /// Since when what is read may have come, where the process stood still; what is read came just now otherwise.
     pub received_since: Option<f64>,
--- a/crates/dunepond-broker/src/downstream/read.rs
+++ b/crates/dunepond-broker/src/downstream/read.rs
@@ -1,4 +1,4 @@
-//! Reading from clients: whole requests out of what has come, each client in its turn.
+//! Reads from client connections and parses complete requests, each connection in its turn.
 
 use std::collections::VecDeque;
 use std::io;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Reads on until there is a scan, or nothing more for now.
+    /// Reads on until there is a query, or nothing more for now.
     pub fn next(&mut self, now: f64, id: usize, timers: &mut Timers) -> ClientEvent {
         let mut reads = 0;
         loop {
@@ -128,8 +128,8 @@
         }
     }
 
-    /// On the way to the end there may be less time for a body to come than the client leaves. A scan without one keeps its
-    /// time, as it is for the module to see that it would outlast the process.
+    /// On the way to the end there may be less time for a body to come than the client leaves. A query without one keeps its
+    /// time, as it is for the router to see that it would outlast the process.
     fn in_time(&self, mut came: ClientEvent) -> ClientEvent {
         if let ClientEvent::StreamedQuery(asked, _) = &mut came {
             asked.deadline = asked.deadline.min(self.until);
@@ -146,7 +146,7 @@
         held.map(|id| self.end(id, ConnectionEnd::IoTimeout, timers));
     }
 
-    /// Takes a whole request out of what has been read; those that ask for no scan are answered here.
+    /// Takes a whole request out of what has been read; those that ask for no query are answered here.
     fn decode(&mut self, now: f64, id: usize, timers: &mut Timers) -> Option<ClientEvent> {
         loop {
             // At rest is only who has sent nothing: what was read together with the request before counts too.
@@ -172,7 +172,7 @@
                         return None;
                     }
                     Ok(Some(head)) if self.raw && !head.segments.is_empty() && !client.api => {
-                        let (keep, began) = (head.keep, client.began);
+                        let (keep, began) = (head.keep_alive, client.began);
                         client.keep = keep;
                         self.clear_timer(id, timers);
                         match self.validate_streamed(&head, began) {
@@ -187,7 +187,7 @@
                         Err(http::body_too_long())
                     }
                     Ok(Some(head)) => {
-                        client.keep = head.keep;
+                        client.keep = head.keep_alive;
                         if head.expects_continue {
                             client.out.put(b"HTTP/1.1 100 Continue\r\n\r\n");
                         }
--- a/crates/dunepond-broker/src/downstream/response.rs
+++ b/crates/dunepond-broker/src/downstream/response.rs
@@ -1,4 +1,4 @@
-//! Answers to clients: written, and the connection kept or closed after them.
+//! Writes responses, and keeps or closes the connection after them.
 
 use dunepond_routing::QueryId;
 use tracing::debug;
@@ -18,10 +18,10 @@
 const MAX_IDLE_DIVISOR: usize = 4;
 
 impl Downstream {
-    /// This client's scan is held under that number until it is answered.
+    /// This client's query is held under that number until it is answered.
     pub fn holds(&mut self, id: usize, query: QueryId) {
         match self.connections.get_mut(id).map(|c| &mut c.phase) {
-            // It is still sending what its scan passes on.
+            // It is still sending what its query passes on.
             Some(RequestPhase::StreamingBody(raw)) => raw.query = Some(query),
             Some(phase) => *phase = RequestPhase::InFlight(query),
             None => {}
@@ -68,7 +68,7 @@
     pub(super) fn write(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let Some(client) = self.connections.get_mut(id) else { return };
         if let Err(e) = client.out.flush(&*client.stream) {
-            // Whether a scan is still waiting shows when the end is read.
+            // Whether a query is still waiting shows when the end is read.
             debug!("client {id}: {e}");
             client.readable = true;
             return self.again.push(id);
@@ -77,7 +77,7 @@
         match client.phase {
             _ if !taken && timer.is_some() => {}
             _ if !taken => drop(self.set(id, now + self.max_delivery_seconds(), timers)),
-            // It has taken all: held against it later, its timer would end it while its next scan is held.
+            // It has taken all: held against it later, its timer would end it while its next query is held.
             RequestPhase::AwaitingAdmission | RequestPhase::InFlight(_) => self.clear_timer(id, timers),
             RequestPhase::ReadingHead if keep && self.close_when_idle => self.part(now, id, timers),
             RequestPhase::ReadingHead if keep => {
--- a/crates/dunepond-broker/src/downstream/streamed_body.rs
+++ b/crates/dunepond-broker/src/downstream/streamed_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of the raw form on their way in: when they may come, when their scan begins, and when they are lost.
+//! Bodies of streamed requests on their way in: when they may come, when their query begins, and when they fail.
 
 use std::rc::Rc;
 
@@ -10,7 +10,7 @@
 use crate::http::{Head, HttpError, Message};
 
 impl Downstream {
-    /// A body of the raw form may come in: into this.
+    /// A body of a streamed request may come in: into this.
     pub fn takes(
         &mut self,
         now: f64,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The scan of a body that is kept, or that passes, may begin.
+    /// The query of a body that is kept, or that passes, may begin.
     pub fn start_query(
         &mut self,
         id: usize,
--- a/crates/dunepond-broker/src/downstream/timeouts.rs
+++ b/crates/dunepond-broker/src/downstream/timeouts.rs
@@ -1,4 +1,4 @@
-//! The time that each client has, and the one way its connection goes.
+//! The timer of each client connection, and the one place where a connection is closed.
 
 use dunepond_routing::QueryId;
 use tracing::debug;
@@ -65,7 +65,7 @@
         None
     }
 
-    /// The one way a connection goes; names the scan that was held for it.
+    /// The one way a connection goes; names the query that was held for it.
     pub(super) fn end(&mut self, id: usize, ending: ConnectionEnd, timers: &mut Timers) -> Option<QueryId> {
         self.clear_timer(id, timers);
         let client = self.connections.try_remove(id)?;
--- a/crates/dunepond-broker/src/downstream/validation.rs
+++ b/crates/dunepond-broker/src/downstream/validation.rs
@@ -1,4 +1,4 @@
-//! What a request asks for, checked field by field, with the field at fault named.
+//! Validates a request field by field; an error names the field at fault.
 
 use std::collections::BTreeSet;
 
@@ -36,7 +36,7 @@
         asked(head, table_type, began, parts, Payload::Inline(text.into()), &self.bounds).map(Some)
     }
 
-    /// The table type in the path, and whether the request may ask for it so.
+    /// The query class in the path, and whether the request may ask for it so.
     fn table_type(&self, head: &Head) -> Result<usize, HttpError> {
         let path = head.path.split('?').next().unwrap_or_default();
         let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
@@ -45,13 +45,13 @@
         if head.method != "POST" {
             return Err(refusal(405, "path: only POST"));
         }
-        if !head.class.is_empty() && index(&head.class) != Some(table_type) {
+        if !head.query_class.is_empty() && index(&head.query_class) != Some(table_type) {
             return Err(refusal(400, "X-Call-Class: not the table type in the path"));
         }
         Ok(table_type)
     }
 
-    /// A scan in the raw form: its parts in `X-Buckets: 3=0.5,9=0.5`, checked as strictly as in the other.
+    /// A query in the streamed form: its parts in `X-Buckets: 3=0.5,9=0.5`, checked as strictly as in the other.
     pub(super) fn validate_streamed(&self, head: &Head, began: f64) -> Result<QueryRequest, HttpError> {
         let table_type = self.table_type(head)?;
         let plain = |text: &str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
@@ -64,7 +64,7 @@
     }
 }
 
-/// The parts of a scan, each a shard and its share of the answer; `from` is the field that names them.
+/// The parts of a query, each a shard and its share of the answer; `from` is the field that names them.
 fn parts(
     entries: impl Iterator<Item = (Option<u64>, Option<f64>)>,
     from: &str,
@@ -91,7 +91,7 @@
     Ok(parts)
 }
 
-/// Reads the rest of a scan out of a request's head, naming the field that will not do.
+/// Reads the rest of a query out of a request's head, naming the field that will not do.
 fn asked(
     head: &Head,
     table_type: usize,
@@ -112,14 +112,14 @@
     if time_budget <= 0.0 {
         return Err(bad("X-Budget: spent"));
     }
-    // A customer that the settings do not list is served as one more.
+    // A tenant that the settings do not list is served as one more.
     let customer = bounds.customers.iter().position(|c| *c == head.tenant);
     Ok(QueryRequest {
         request_id: id.clone(),
         table_type,
         customer: customer.unwrap_or(bounds.customers.len()),
         deadline: began + time_budget,
-        is_retry: head.again,
+        is_retry: head.is_retry,
         parts,
         text,
     })
--- a/crates/dunepond-broker/src/event_loop/background.rs
+++ b/crates/dunepond-broker/src/event_loop/background.rs
@@ -1,4 +1,4 @@
-//! The loop's part in background work, and its counters.
+//! The event loop's part in background jobs, and the counters in the log.
 
 use std::time::Instant;
 
--- a/crates/dunepond-broker/src/event_loop/disconnects.rs
+++ b/crates/dunepond-broker/src/event_loop/disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that have gone, taken before whatever may send something on for them.
+//! Disconnected clients, handled before any event that might send something for them.
 
 use dunepond_routing::QueryId;
 
@@ -6,7 +6,7 @@
 use crate::iteration::{Iteration, LoopEvent};
 
 impl EventLoop {
-    /// Hang-ups are taken before all else that a turn brings: what a node said may have come sooner, and what it would
+    /// Disconnects are taken before all else that a turn brings: what a node said may have come sooner, and what it would
     /// have sent again is not wanted any more.
     pub(super) fn detect_disconnects(&mut self, turn: &Iteration) {
         let now = self.router_host.now;
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -1,4 +1,4 @@
-//! The broker at work: hands what the loop and the clock bring to the module, one call at a time.
+//! The event loop: hands each event and timer to the router that it concerns, one call at a time, until nothing is left to do.
 
 mod background;
 mod disconnects;
@@ -24,13 +24,13 @@
 use crate::router::RouterHost;
 pub use startup::{Hooks, serve};
 
-/// All that a turn of the loop works on.
+/// All that an iteration works on.
 struct EventLoop {
     clock: Clock,
     router: Router,
     router_host: RouterHost,
     discovery: DiscoveryClient,
-    /// Two-phase scans; nothing where the operator's file does not ask for them.
+    /// Two-phase queries; nothing where the operator's file does not ask for them.
     prefilter: Option<PrefilterHost>,
     background: Background,
     /// What outlasts the process; nothing where the operator's file does not ask for it.
@@ -221,7 +221,7 @@
     }
 
     /// Carries on until nothing is left to tell: requests that have been read, orders to be written, and
-    /// ends that came while the module was in a call, as its calls never nest.
+    /// ends that came while the router was in a call, as its calls never nest.
     fn settle(&mut self) {
         loop {
             let now = self.router_host.now;
@@ -329,7 +329,7 @@
         }
     }
 
-    /// A scan's time is up.
+    /// A query's time is up.
     fn scan_ends(&mut self, query: QueryId) {
         if self.router_host.scan_ends(query) {
             self.settle();
--- a/crates/dunepond-broker/src/event_loop/reload.rs
+++ b/crates/dunepond-broker/src/event_loop/reload.rs
@@ -1,4 +1,4 @@
-//! What is told to change under way: the configuration and the operator's file, read again.
+//! Applies a reloaded configuration and operator's file: what may change in a running process does, the rest is named in the log.
 
 use dunepond_config::Bad;
 use dunepond_config::operator::Operator;
@@ -11,7 +11,7 @@
 
 impl EventLoop {
     /// The configuration is to be read again. What it says of discovery and of the log is in force at once; the
-    /// rest is checked as at the start and waits for one, as scans in hand go by it. One that will not do
+    /// rest is checked as at the start and waits for one, as queries in hand go by it. One that will not do
     /// changes nothing.
     pub(super) fn start_reload(&mut self) {
         match self.config_reloader.read() {
--- a/crates/dunepond-broker/src/event_loop/shutdown.rs
+++ b/crates/dunepond-broker/src/event_loop/shutdown.rs
@@ -1,4 +1,4 @@
-//! The way from SIGTERM to the end, during which whoever still comes is served or refused.
+//! Graceful shutdown from SIGTERM to the end, in the stages that the router set.
 
 use dunepond_routing::{Shutdown, ShutdownStage};
 use tracing::info;
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -1,4 +1,4 @@
-//! The start: all that a broker is made of is put together, and serves until it is told to end.
+//! Builds a broker from its configuration and runs it until it has shut down.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -39,7 +39,7 @@
 /// How long a new process waits for the list: for a call and for the one beside it. What the agent on its machine has
 /// counts as told from its first moment, and what it was left with may be old; but while discovery is down there is
 /// nothing else to go by. Who waits at the listener so long has a time of its own, which is not seen before its
-/// request is read: it waits for this share of the shortest query timeout at most, and is throttled then. Half, as the other
+/// request is read: it waits for this share of the shortest query timeout at most, and is rejected then. Half, as the other
 /// half is its client's, to ask elsewhere; the timeouts are the settings'.
 const FIRST_LIST_TIMEOUT_SECONDS: f64 = 2.0 * RESPONSE_OVERDUE_SECONDS;
 const MAX_ACCEPT_HOLD_RATIO: f64 = 0.5;
@@ -193,8 +193,8 @@
     let reread = reread.map_err(|e| failed("configuration", &e))?;
     let config_reloader = ConfigReloader::new(reread, hooks.operator.clone());
     let pool = operator.state.as_ref().map(|_| {
-        WorkPool::start("work", operator.background.at_once, move |on_job_finished| {
-            let _ = sender.send(on_job_finished);
+        WorkPool::start("work", operator.background.at_once, move |finished| {
+            let _ = sender.send(finished);
         })
     });
     let pool = pool.transpose().map_err(|e| failed("background", &e))?;
--- a/crates/dunepond-broker/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between broker and node: four bytes of length, one letter, the rest.
+//! The codec of the nodes' frame protocol: four bytes of length, one letter, the rest. Its field order appears here only.
 
 use std::fmt::Write;
 
--- a/crates/dunepond-broker/src/http.rs
+++ b/crates/dunepond-broker/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as both sides of the broker speak it: heads by httparse, bodies by length or in chunks.
+//! The HTTP/1.1 codec of both sides: heads by httparse, bodies by length or in chunks. Header names of the protocol appear here only.
 
 use std::io::Write;
 use std::rc::Rc;
@@ -41,13 +41,13 @@
     pub path: String,
     pub status: u16,
     pub request_id: String,
-    pub class: String,
+    pub query_class: String,
     pub time_budget: String,
-    pub again: bool,
+    pub is_retry: bool,
     pub tenant: String,
-    /// The parts of a scan in the raw form; empty in the other.
+    /// The parts of a query in the streamed form; empty in the other.
     pub segments: String,
-    pub keep: bool,
+    pub keep_alive: bool,
     pub expects_continue: bool,
     framing: Framing,
 }
@@ -56,22 +56,49 @@
 pub struct Message {
     pub head: Head,
     pub body: Option<Buffer>,
-    /// Where it goes in the raw form.
+    /// Where it goes in the streamed form.
     raw: Option<Rc<Body>>,
 }
 
+/// The value of a Content-Length header: digits alone, no sign.
+fn content_length(value: &str) -> Result<usize, HttpError> {
+    let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
+    let count = value.parse::<usize>().ok().filter(|_| digits);
+    count.ok_or_else(|| refusal(400, "Content-Length: not a length"))
+}
+
+/// Whether a Connection header keeps the connection, where it says so.
+fn keep_alive(value: &str) -> Option<bool> {
+    let value = value.to_ascii_lowercase();
+    let option = value.split(',').map(str::trim).find(|v| matches!(*v, "close" | "keep-alive"));
+    option.map(|option| option == "keep-alive")
+}
+
+/// How the body is framed, by its headers; `head` has what holds where none of them is given.
+fn framing(chunked: bool, length: Option<usize>, head: &Head) -> Result<Framing, HttpError> {
+    match (chunked, length) {
+        // Both together are how requests are smuggled past a front.
+        (true, Some(_)) => Err(refusal(400, "Content-Length: given beside Transfer-Encoding")),
+        (true, None) => Ok(Framing::ChunkSize),
+        // In the streamed form whoever takes it says how long it may be.
+        (false, Some(length)) if length > BUFFER_BYTES && head.segments.is_empty() => Err(body_too_long()),
+        (false, Some(length)) => Ok(Framing::Length(length)),
+        (false, None) => Ok(head.framing),
+    }
+}
+
 fn fields(headers: &[httparse::Header], version: u8, unstated: Framing) -> Result<Head, HttpError> {
     let mut head = Head {
         method: String::new(),
         path: String::new(),
         status: 0,
         request_id: String::new(),
-        class: String::new(),
+        query_class: String::new(),
         time_budget: String::new(),
-        again: false,
+        is_retry: false,
         tenant: String::new(),
         segments: String::new(),
-        keep: version == 1,
+        keep_alive: version == 1,
         expects_continue: false,
         framing: unstated,
     };
@@ -84,14 +111,11 @@
         };
         match header.name.to_ascii_lowercase().as_str() {
             "content-length" => {
-                let value = text()?;
-                let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
-                let count = value.parse::<usize>().ok().filter(|_| digits);
-                let count = count.ok_or_else(|| refusal(400, "Content-Length: not a length"))?;
-                if length.is_some_and(|before| before != count) {
+                let stated = content_length(&text()?)?;
+                if length.is_some_and(|before| before != stated) {
                     return Err(refusal(400, "Content-Length: given twice"));
                 }
-                length = Some(count);
+                length = Some(stated);
             }
             "transfer-encoding" => {
                 if !text()?.eq_ignore_ascii_case("chunked") {
@@ -99,19 +123,12 @@
                 }
                 chunked = true;
             }
-            "connection" => {
-                let value = text()?.to_ascii_lowercase();
-                match value.split(',').map(str::trim).find(|v| matches!(*v, "close" | "keep-alive")) {
-                    Some("close") => head.keep = false,
-                    Some(_) => head.keep = true,
-                    None => {}
-                }
-            }
+            "connection" => head.keep_alive = keep_alive(&text()?).unwrap_or(head.keep_alive),
             "expect" => head.expects_continue = text()?.eq_ignore_ascii_case("100-continue"),
             "x-call-id" | "x-opaque-id" => head.request_id = text()?,
-            "x-call-class" => head.class = text()?,
+            "x-call-class" => head.query_class = text()?,
             "x-budget" => head.time_budget = text()?,
-            "x-again" => head.again = text()? == "1",
+            "x-again" => head.is_retry = text()? == "1",
             "x-caller" => head.tenant = text()?,
             "x-buckets" => {
                 if !head.segments.is_empty() {
@@ -122,23 +139,13 @@
             _ => {}
         }
     }
-    head.framing = match (chunked, length) {
-        // Both together are how requests are smuggled past a front.
-        (true, Some(_)) => return Err(refusal(400, "Content-Length: given beside Transfer-Encoding")),
-        (true, None) => Framing::ChunkSize,
-        // In the raw form whoever takes it says how long it may be.
-        (false, Some(length)) if length > BUFFER_BYTES && head.segments.is_empty() => {
-            return Err(body_too_long());
-        }
-        (false, Some(length)) => Framing::Length(length),
-        (false, None) => head.framing,
-    };
+    head.framing = framing(chunked, length, &head)?;
     // Nothing can follow it.
-    head.keep &= head.framing != Framing::UntilClose;
+    head.keep_alive &= head.framing != Framing::UntilClose;
     Ok(head)
 }
 
-/// What a body of the ordinary form, or one that is not to be taken in the raw form, may not exceed.
+/// What a body of the ordinary form, or one that is not to be taken in the streamed form, may not exceed.
 pub fn body_too_long() -> HttpError {
     refusal(413, "body: over 64 KiB")
 }
@@ -369,7 +376,7 @@
         }
         let message = message.as_mut().filter(|_| finish_at_close)?;
         let whole =
-            message.finish_at_close() && !message.head.keep && message.take(&mut input, &pool).unwrap();
+            message.finish_at_close() && !message.head.keep_alive && message.take(&mut input, &pool).unwrap();
         whole.then(|| String::from_utf8_lossy(message.text()).into_owned())
     }
 
--- a/crates/dunepond-broker/src/iteration.rs
+++ b/crates/dunepond-broker/src/iteration.rs
@@ -1,5 +1,5 @@
-//! What one turn of the loop brings: the sockets' callbacks leave word here and do nothing else, so that no peer's
-//! file needs to know what the broker does with it.
+//! What one iteration of the event loop has to handle. Socket callbacks only queue an event here, so that no connection's module needs to
+//! know what the broker does with it.
 
 use std::collections::VecDeque;
 use std::net::TcpStream;
--- a/crates/dunepond-broker/src/lib.rs
+++ b/crates/dunepond-broker/src/lib.rs
@@ -1,4 +1,4 @@
-//! A dunepond broker, for the program of that name and for whoever hosts it among stand-ins.
+//! The broker process as a library: for the program `dunepond-broker`, and for the testkit, which runs it with stand-ins.
 
 mod background;
 mod body;
--- a/crates/dunepond-broker/src/logger.rs
+++ b/crates/dunepond-broker/src/logger.rs
@@ -1,4 +1,4 @@
-//! Structured logging to standard error, as text or JSON lines, held back where a peer could cause a flood.
+//! Structured logging to standard error, as text or JSON lines, rate-limited per call site so that no peer can flood it.
 
 use std::collections::HashMap;
 use std::fmt;
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `dunepond-broker`.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -76,7 +76,7 @@
         /// Where: the API's door, or with --shards the first door
         #[arg(long, value_name = "ADDRESS:PORT")]
         at: SocketAddr,
-        /// The index, which is a table type
+        /// The index, which is a query class
         index: String,
         /// The query in the API's simple form, or with --shards the text; everything without one
         text: Option<String>,
--- a/crates/dunepond-broker/src/migrate.rs
+++ b/crates/dunepond-broker/src/migrate.rs
@@ -1,4 +1,4 @@
-//! The files of a migration: the old one is read, the new one written whole or not at all.
+//! The files of `dunepond-broker migrate`: the old one is read, the new one written completely or not at all.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
--- a/crates/dunepond-broker/src/persistence.rs
+++ b/crates/dunepond-broker/src/persistence.rs
@@ -1,5 +1,5 @@
-//! What outlasts the process: beliefs in snapshots, debts in a journal, in a folder of the operator's. Nothing here
-//! waits for a disk but the start, and that not for long; service goes on without the folder.
+//! State that outlasts the process: learned state in snapshots, spent budgets in a journal, in the operator's folder. Only the start waits for
+//! the disk, and not for long; service goes on without the folder.
 
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/dunepond-broker/src/prefilter.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -1,4 +1,4 @@
-//! Two-phase scans at work: what the core orders goes to the nodes and to the module, what comes back goes to the core.
+//! The prefilter phase of queries: carries out what `dunepond-prefilter` orders, and reports answers back to it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{BuildHasher, RandomState};
@@ -19,7 +19,7 @@
 /// Texts that are kept for audits: as many as can wait, and some behind them.
 const MAX_AUDIT_TEXTS: usize = 64;
 
-/// The nodes as the module sees them.
+/// The nodes as the router sees them.
 struct RouterView<'a>(&'a Router);
 
 impl NodeView for RouterView<'_> {
@@ -36,7 +36,7 @@
     }
 }
 
-/// A scan that the core knows.
+/// A query that the core knows.
 struct KnownQuery {
     key: QueryKey,
     table_type: usize,
@@ -77,7 +77,7 @@
         self.phases.reconfigure(terms);
     }
 
-    /// A scan has been taken: the module admits it, and only then are its questions gathered.
+    /// A query has been taken: the router admits it, and only then are its questions gathered.
     pub fn begin(&mut self, router: &mut Router, router_host: &mut RouterHost, query: Query) {
         let Some((text, segs)) = router_host.prefilter_input(query.id) else {
             return router.on_query(router_host, query);
@@ -151,7 +151,7 @@
         self.carry_out(router, router_host, orders);
     }
 
-    /// A part is back, before the module hears of it: what it found may bear words out or fell them, and what was left
+    /// A part is back, before the router hears of it: what it found may bear words out or fell them, and what was left
     /// out on those that fell is to be searched before the answer can be whole.
     pub fn returned(&mut self, router: &mut Router, router_host: &mut RouterHost, back: &CompletedAttempt) {
         let (query, part) = (back.ended.query, back.ended.part);
@@ -179,7 +179,7 @@
         }
     }
 
-    /// A scan is over, answered or not.
+    /// A query is over, answered or not.
     pub fn over(&mut self, now: f64, query: QueryId, answered: bool) {
         if self.audits.remove(&query).is_none() && self.known.remove(&query).is_some() {
             self.phases.on_query_end(now, query, answered);
--- a/crates/dunepond-broker/src/prefilter_connections.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -1,5 +1,5 @@
-//! Questions to nodes, which of their shards can match: on a connection to each node that carries nothing else. A node
-//! that does not know the letter closes, and that must cost no part.
+//! Connections to nodes for prefilter requests (which of these shards can match) and nothing else: a node that does not know the frame closes
+//! the connection, and that must not cost an attempt.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
--- a/crates/dunepond-broker/src/query_command.rs
+++ b/crates/dunepond-broker/src/query_command.rs
@@ -1,5 +1,4 @@
-//! `dunepond-broker query`: asks a broker at either door and shows the answer. For people and scripts; nothing of the broker
-//! uses it.
+//! `dunepond-broker query`: queries a broker at either port and prints the answer. For people and scripts; the broker itself does not use it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,7 +11,7 @@
 
 /// Searches of a file that are sent in one `_msearch`.
 const MAX_SEARCHES_PER_REQUEST: usize = 20;
-/// Longer than any scan may take.
+/// Longer than any query may take.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// What is asked, and where.
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -1,4 +1,4 @@
-//! Scans on their way out of hand: dispatches booked, clients answered, and all let go.
+//! Completes queries: records attempts that ended, responds to clients and releases what the query held.
 
 use dunepond_routing::{AttemptEnded, AttemptOutcome, QueryId};
 use dunepond_search_api::ApiError;
@@ -11,7 +11,7 @@
 use crate::upstream::CompletedAttempt;
 
 impl RouterHost {
-    /// Books a dispatch that is back; `None` if the module has nothing to hear of it.
+    /// Books an attempt that is back; `None` if the router has nothing to hear of it.
     pub fn book(&mut self, back: CompletedAttempt) -> Option<AttemptEnded> {
         let CompletedAttempt { mut ended, mut value, .. } = back;
         let in_hand = self.queries.get_mut(&ended.query)?;
@@ -57,7 +57,7 @@
         Some(ended)
     }
 
-    /// Lets go of a scan once nothing can name it any more.
+    /// Lets go of a query once nothing can name it any more.
     pub fn release(&mut self, query: QueryId) {
         if self.queries.get(&query).is_some_and(|s| s.over && s.out == 0)
             && let Some(in_hand) = self.queries.remove(&query)
@@ -68,14 +68,14 @@
         }
     }
 
-    /// A whole answer only tells how long scans take that are asked about, or not.
+    /// A whole answer only tells how long queries take that are asked about, or not.
     pub(super) fn served(&mut self, query: QueryId, whole: bool) {
         if whole && let Some(last) = self.concluded.last_mut().filter(|last| last.0 == query) {
             last.1 = true;
         }
     }
 
-    /// Looks whether the client of this scan has gone; the next that lets go of hang-ups will hear of it.
+    /// Looks whether the client of this query has gone; the next that lets go of disconnects will hear of it.
     pub fn check_client(&mut self, query: QueryId) {
         let client = self.queries.get(&query).filter(|s| !s.over).and_then(|s| s.client);
         if let Some(client) = client {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The scan's client has gone.
+    /// The query's client has gone.
     pub fn left(&mut self, query: QueryId) {
         if let Some(in_hand) = self.queries.get(&query) {
             debug!("query {}: client disconnected", in_hand.request_id);
@@ -91,7 +91,7 @@
         self.conclude(query);
     }
 
-    /// A scan's time is up: what is out for it ends, as nobody waits for it. True if the module still owed
+    /// A query's time is up: what is out for it ends, as nobody waits for it. True if the router still owed
     /// an answer.
     pub fn scan_ends(&mut self, query: QueryId) -> bool {
         let Some(in_hand) = self.queries.get_mut(&query) else { return false };
@@ -109,7 +109,7 @@
         owed_answers
     }
 
-    /// The scans whose clients are still owed an answer.
+    /// The queries whose clients are still owed an answer.
     pub fn owed_answers(&self) -> Vec<QueryId> {
         let owed_answers =
             self.queries.iter().filter(|(_, in_hand)| !in_hand.over && in_hand.client.is_some());
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The scan is over; gives its client, unless it was over before.
+    /// The query is over; gives its client, unless it was over before.
     pub(super) fn conclude(&mut self, query: QueryId) -> Option<usize> {
         let in_hand = self.queries.get_mut(&query).filter(|s| !s.over)?;
         in_hand.over = true;
@@ -157,7 +157,7 @@
         client
     }
 
-    /// No dispatch of a scan that is about to be answered has gone out whole, or can any more: it is harmless to ask again.
+    /// No attempt of a query that is about to be answered has gone out whole, or can any more: it is harmless to ask again.
     pub(super) fn nothing_was_sent(&mut self, query: QueryId) -> bool {
         let Some(in_hand) =
             self.queries.get(&query).filter(|s| s.may_run_since.iter().all(|at| *at == f64::MAX))
@@ -189,7 +189,7 @@
         }
     }
 
-    /// A scan of the API has its outcome.
+    /// A query of the API has its outcome.
     pub(super) fn outcome(&mut self, query: QueryId, outcome: Result<Answer, ApiError>, wait: f64) {
         let Some(api) = self.queries.get(&query).and_then(|in_hand| in_hand.api.as_ref()) else { return };
         let (request, place) = (api.request, api.place());
@@ -206,7 +206,7 @@
         }
     }
 
-    /// All scans that were under way for whoever held this number.
+    /// All queries that were under way for whoever held this number.
     pub fn queries_of(&mut self, number: QueryId) -> Vec<QueryId> {
         match self.requests.remove(&number) {
             Some(open) => open.queries,
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -1,4 +1,4 @@
-//! Scans in a fleet that agrees: refused at once, held back, and not marked whole, where what is agreed asks for it.
+//! What the active configuration of a fleet means for a query: rejected at once, attempts not sent, an answer not marked complete.
 
 use std::rc::Rc;
 
@@ -10,12 +10,12 @@
 use crate::control_plane::{QueryStart, proved};
 use crate::upstream::AttemptRequest;
 
-/// What a scan goes by in a fleet that agrees.
+/// What a query goes by in a fleet that agrees.
 pub struct Coordination {
     began: Rc<QueryStart>,
-    /// Parts that were sent under other keys than those that the scan began on, with that map's epoch.
+    /// Parts that were sent under other keys than those that the query began on, with that map's epoch.
     moved: Vec<(usize, u64)>,
-    /// Of each part of a keyed scan, as only its repeats are judged: its dispatches that are out, and whether one may have
+    /// Of each part of a keyed query, as only its repeats are judged: its attempts that are out, and whether one may have
     /// run.
     keyed_attempts: Vec<(usize, bool)>,
 }
@@ -25,7 +25,7 @@
         self.began.clone()
     }
 
-    /// A dispatch is back.
+    /// An attempt is back.
     pub fn ended(&mut self, part: usize, end: AttemptOutcome) {
         if let Some((out, may_run_since)) = self.keyed_attempts.get_mut(part) {
             *out = out.saturating_sub(1);
@@ -35,7 +35,7 @@
 }
 
 impl RouterHost {
-    /// A scan is about to begin: false if it is refused at once by what is agreed, before the module hears of it.
+    /// A query is about to begin: false if it is refused at once by what is agreed, before the router hears of it.
     pub fn admit(&mut self, query: &mut Query) -> bool {
         let Some(fleet) = &mut self.control_plane else { return true };
         fleet.came(query.tenant);
@@ -58,7 +58,7 @@
         false
     }
 
-    /// Whether a part may go to a node now, and what that means for its scan.
+    /// Whether a part may go to a node now, and what that means for its query.
     pub(super) fn may_send(&mut self, node: NodeId, parcel: &AttemptRequest) -> bool {
         let Some(fleet) = &self.control_plane else { return true };
         let (gate, name) = (&fleet.gate, self.upstream.name(node));
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! The scans in hand: what each is, and what is held for all of them.
+//! Queries in flight: what each is, and what is held for all of them.
 
 mod admission;
 mod completion;
@@ -26,7 +26,7 @@
 use crate::upstream::Upstream;
 use coordination::Coordination;
 
-/// A scan from its request until it is answered and all its dispatches are back.
+/// A query from its request until it is answered and all its attempts are back.
 struct ActiveQuery {
     /// The search of the API that it is.
     api: Option<Box<ActiveSearch>>,
@@ -35,7 +35,7 @@
     table_type: usize,
     request_id: String,
     text: Payload,
-    /// The body it came with in the raw form, and why that is not there for retries.
+    /// The body it came with in the streamed form, and why that is not there for retries.
     body: Option<BodyId>,
     note: Option<Reason>,
     segs: Vec<usize>,
@@ -44,9 +44,9 @@
     values: Vec<Option<String>>,
     /// What was left out, and on whose word.
     left_out: Vec<PrunedSegment>,
-    /// The nodes of each part's dispatches.
+    /// The nodes of each part's attempts.
     shots: Vec<Vec<NodeId>>,
-    /// When the first of each part's dispatches was sent that may have run; never, as long as there is none.
+    /// When the first of each part's attempts was sent that may have run; never, as long as there is none.
     may_run_since: Vec<f64>,
     ends_at: f64,
     timer: Option<TimerKey>,
@@ -63,16 +63,16 @@
     pub timers: Timers,
     pub downstream: Downstream,
     pub upstream: Upstream,
-    /// Bodies of the raw form; nothing where the operator's file does not ask for them.
+    /// Bodies of a streamed request; nothing where the operator's file does not ask for them.
     pub body_store: Option<BodyStore>,
-    /// Where two phases are on: the nodes that are asked first, and scans that are over, answered or not.
+    /// Where two phases are on: the nodes that are asked first, and queries that are over, answered or not.
     pub prefilter_connections: Option<PrefilterConnections>,
     /// The fleet that this broker agrees with; none where the operator's file does not name it.
     pub control_plane: Option<ControlPlane>,
     pub concluded: Vec<(QueryId, bool)>,
     /// Requests of the API whose searches are under way, by the number that their clients hold.
     requests: HashMap<u64, ActiveRequest>,
-    /// What nodes have given for scans in hand, in bytes.
+    /// What nodes have given for queries in hand, in bytes.
     values: u64,
     /// Who brings each body.
     uploads: HashMap<BodyId, usize>,
@@ -82,14 +82,14 @@
     dispatch_cap: usize,
     /// The longest wait that a throttling reply may name.
     longest_wait: f64,
-    /// The query timeouts of the table types, and for how long after a dispatch that may have run another may go out: with
-    /// the margin that the module keeps.
+    /// The query timeouts of the query classes, and for how long after an attempt that may have run another may go out: with
+    /// the margin that the router keeps.
     timeouts: Vec<f64>,
     windows: Vec<f64>,
     queries: HashMap<QueryId, ActiveQuery>,
     request_ids: HashSet<String>,
     last: QueryId,
-    /// Scans and parts that are open.
+    /// Queries and parts that are open.
     held: usize,
 }
 
@@ -98,7 +98,7 @@
         self.values.iter().filter(|v| v.is_none()).count()
     }
 
-    /// Part, number and node of each dispatch so far.
+    /// Part, number and node of each attempt so far.
     fn all_attempts(&self) -> Vec<(usize, usize, NodeId)> {
         let parts = self.shots.iter().enumerate();
         parts.flat_map(|(part, s)| s.iter().enumerate().map(move |(shot, n)| (part, shot, *n))).collect()
@@ -160,7 +160,7 @@
         self.bounds.table_types.clone()
     }
 
-    /// Writes what was dispatched.
+    /// Writes what was sent.
     pub fn flush(&mut self) {
         self.upstream.flush(self.now, &mut self.timers);
         while self.upstream.is_awaiting_descriptor() {
@@ -184,7 +184,7 @@
         self.queries.get(&query).is_some_and(|in_hand| !in_hand.over)
     }
 
-    /// The text and shards of a scan, where it is one whose nodes may be asked first.
+    /// The text and shards of a query, where it is one whose nodes may be asked first.
     pub fn prefilter_input(&self, query: QueryId) -> Option<(Rc<str>, Vec<usize>)> {
         let in_hand = self.queries.get(&query)?;
         match &in_hand.text {
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -1,4 +1,4 @@
-//! Scans in the raw form, and the bodies that they come with.
+//! Queries whose body is streamed, and those bodies.
 
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 use crate::http::{Head, HttpError, refusal};
 
 impl RouterHost {
-    /// A scan in the raw form begins: its body is taken, or refused at once with the limit named.
+    /// A query in the streamed form begins: its body is taken, or refused at once with the limit named.
     pub fn open(&mut self, client: usize, asked: QueryRequest, head: Head) {
         let Some(bodies) = &mut self.body_store else { return };
         bodies.held_beside(self.pool.bytes(), self.values);
@@ -25,7 +25,7 @@
                     self.timers.set(self.now + bodies.terms().slowest / 4.0, TimerEvent::BodyCheck);
                 }
                 self.uploads.insert(body.id, client);
-                // No client waits longer than its scan may take, whatever it says.
+                // No client waits longer than its query may take, whatever it says.
                 let longest = self.now + self.timeouts[table_type];
                 let asked = QueryRequest { deadline: asked.deadline.min(longest), ..asked };
                 self.downstream.takes(self.now, client, asked, head, &body, &mut self.timers);
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The scan of a body that is kept, or passes, may begin.
+    /// The query of a body that is kept, or passes, may begin.
     pub fn begin(&mut self, body: BodyId, note: Option<Reason>) -> Option<(Query, Rc<Body>)> {
         let client = self.uploads.remove(&body)?;
         let (asked, body) = self.downstream.start_query(client, body, &mut self.timers)?;
@@ -57,7 +57,7 @@
         Some((query, body))
     }
 
-    /// A body can be had no more: its client is refused while it brings it, and afterwards its scan is named.
+    /// A body can be had no more: its client is refused while it brings it, and afterwards its query is named.
     pub fn lost(&mut self, body: BodyId, why: Reason) -> Option<QueryId> {
         if let Some(client) = self.uploads.remove(&body) {
             let (refusal, wait) = self.body_error(why);
@@ -68,7 +68,7 @@
         Some(*query)
     }
 
-    /// Lets go of a scan's body where no dispatch can need it again.
+    /// Lets go of a query's body where no attempt can need it again.
     pub fn release_body(&mut self, query: QueryId, needed: impl Fn(QueryId) -> bool) {
         if let Some(in_hand) = self.queries.get_mut(&query)
             && in_hand.text.body().is_some()
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -1,4 +1,4 @@
-//! The module's host: its orders go to the peers, and what comes back from them becomes its calls.
+//! Carries out the orders of the router (`Transport`): attempts, cancellations, responses and rejections.
 
 use dunepond_prefilter::PruningBasis;
 use dunepond_routing::{AttemptOutcome, NodeId, QueryId, Transport};
@@ -119,7 +119,7 @@
     }
 
     fn fail_unknown_outcome(&mut self, query: QueryId) {
-        // The module takes for sent what it has dispatched and not seen back; what still waits here has not left.
+        // The module takes for sent what it has sent and not seen back; what still waits here has not left.
         if self.nothing_was_sent(query) {
             return self.reject_retriable(query, 0.0);
         }
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -1,4 +1,4 @@
-//! The API's door: requests of which each search is a scan of its own under the same decisions, and their answers.
+//! The search API: each search of a request is one query under the same decisions; its answers are merged into one response.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -15,11 +15,11 @@
 use crate::downstream::QueryRequest;
 use crate::http::{Head, HttpError};
 
-/// What the door goes by; shared by the clients' connections, which read with it, and the desk.
+/// What the door goes by; shared by the clients' connections, which read with it, and the router host.
 pub struct SearchApi {
     pub limits: Limits,
     bounds: Rc<Bounds>,
-    /// Of each table type: whether its scans must never run twice, the share that makes them whole, its query timeout.
+    /// Of each query class: whether its queries must never run twice, the share that makes them whole, its query timeout.
     types: Vec<(bool, f64, f64)>,
 }
 
@@ -85,7 +85,7 @@
         Ok(SearchRequest {
             call,
             customer: customer.unwrap_or(self.bounds.customers.len()),
-            again: head.again,
+            again: head.is_retry,
             id: if plain { head.request_id.chars().take(64).collect() } else { String::new() },
             time_budget,
             came,
@@ -96,7 +96,7 @@
         &self.bounds.table_types[index]
     }
 
-    /// The scan that a search comes to. Its parts weigh the same: which holds more is told nowhere.
+    /// The query that a search comes to. Its parts weigh the same: which holds more is told nowhere.
     pub fn asked(&self, search: &Search, request: &SearchRequest, request_id: String) -> QueryRequest {
         let segs = routing::segments(&search.routing, self.bounds.segs);
         let weight = 1.0 / segs.len().max(1) as f64;
@@ -113,7 +113,7 @@
     }
 }
 
-/// One search of a request, from its scan's beginning on.
+/// One search of a request, from its query's beginning on.
 pub struct ActiveSearch {
     pub request: u64,
     /// Its place among the request's searches.
@@ -125,7 +125,7 @@
     updated: u64,
     count: bool,
     began: f64,
-    /// Why the last dispatch of a part brought nothing.
+    /// Why the last attempt of a part brought nothing.
     failures: HashMap<usize, String>,
 }
 
@@ -177,7 +177,7 @@
         Ok(())
     }
 
-    /// The answer, from the parts that are in. `segs` are all of them, with whether each is in; `left_out` those that were left out.
+    /// The answer, from the parts that are in. `segments` are all of them, with whether each is in; `left_out` those that were left out.
     pub fn answer(
         &mut self,
         now: f64,
--- a/crates/dunepond-broker/src/signals.rs
+++ b/crates/dunepond-broker/src/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that a broker is steered by, caught before anything else is done.
+//! The signals that control a broker, caught before anything else runs.
 
 use std::time::Instant;
 
--- a/crates/dunepond-broker/src/upstream/cancel.rs
+++ b/crates/dunepond-broker/src/upstream/cancel.rs
@@ -1,4 +1,4 @@
-//! Dispatches taken back: kept here where they have not gone out, given up at the node otherwise.
+//! Withdraws attempts: without a trace where nothing was sent, by a cancellation at the node otherwise.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
 use crate::frames;
 
 impl Upstream {
-    /// Gives one dispatch up: never sent if it still can be kept here, taken back at the node otherwise.
+    /// Gives one attempt up: never sent if it still can be kept here, taken back at the node otherwise.
     pub fn give_up(
         &mut self,
         now: f64,
@@ -30,7 +30,7 @@
             // The API knows no taking back: the connection is its request.
             self.end(now, id, ConnectionEnd::FrameAborted, timers);
         } else if end == AttemptOutcome::Cancelled {
-            // A dispatch that has timed out is known to the node by its frame.
+            // An attempt that has timed out is known to the node by its frame.
             connection.out.put(&frames::give_up(&out.parcel.id));
             self.write(now, id, timers);
         }
@@ -38,7 +38,7 @@
         self.rest(now, id, timers);
     }
 
-    /// The scans of which something waits on this connection for its last byte to be written.
+    /// The queries of which something waits on this connection for its last byte to be written.
     pub fn unsent(&self, id: usize) -> Vec<QueryId> {
         let Some(connection) = self.connections.get(id) else { return Vec::new() };
         let unsent =
@@ -46,12 +46,12 @@
         unsent.map(|o| o.parcel.query).collect()
     }
 
-    /// Whether some connection to a node carries a dispatch, sent or not.
+    /// Whether some connection to a node carries an attempt, sent or not.
     pub fn has_outstanding(&self, node: NodeId, key: (QueryId, usize, usize)) -> bool {
         self.find(node, key).is_some()
     }
 
-    /// The connection that carries a dispatch, and where on it.
+    /// The connection that carries an attempt, and where on it.
     fn find(&self, node: NodeId, key: (QueryId, usize, usize)) -> Option<(usize, usize)> {
         let connections = &self.nodes.get(node)?.connections;
         let at =
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Takes back what has not gone out whole, if it has not: once its scan is answered no part of it may.
+    /// Takes back what has not gone out whole, if it has not: once its query is answered no part of it may.
     pub fn withdraw(
         &mut self,
         now: f64,
--- a/crates/dunepond-broker/src/upstream/connection.rs
+++ b/crates/dunepond-broker/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to nodes: opened, used while they may be, and the one way they go.
+//! Connections to nodes: opened, reused, and the one place where they are closed.
 
 use std::collections::VecDeque;
 use std::io;
--- a/crates/dunepond-broker/src/upstream/endpoints.rs
+++ b/crates/dunepond-broker/src/upstream/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the list says of nodes, and what that means for the connections to them.
+//! What the endpoint list says of nodes, and what that means for the connections to them.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The nodes: their connections, the frames that go out on them and the ends that come back.
+//! The node side: connections, the attempts that go out on them and the attempts that ended.
 
 mod cancel;
 mod connection;
@@ -31,7 +31,7 @@
 /// What was given up is remembered beside that until its end comes, however many a connection carries.
 const MAX_FINISHED_REMEMBERED: usize = 512;
 
-/// A part on its way: which dispatch it is, and what its frame needs.
+/// A part on its way: which attempt it is, and what its frame needs.
 pub struct AttemptRequest {
     pub query: QueryId,
     pub part: usize,
@@ -40,13 +40,13 @@
     pub seg: usize,
     pub table_type: usize,
     pub until: f64,
-    /// From then on not a byte of it may go out: its scan's time is over, or the window in which a repeat is dropped is close
+    /// From then on not a byte of it may go out: its query's time is over, or the window in which a repeat is dropped is close
     /// to its end.
     pub send_by: f64,
     pub text: Payload,
-    /// Its own way through a body, from the beginning of its dispatch on.
+    /// Its own way through a body, from the beginning of its attempt on.
     pub reader: Option<BodyReader>,
-    /// What its scan began on, in a fleet that agrees.
+    /// What its query began on, in a fleet that agrees.
     pub began: Option<Rc<QueryStart>>,
 }
 
@@ -97,7 +97,7 @@
     unframed: Vec<AttemptRequest>,
 }
 
-/// A dispatch that is over, with the value that it brought.
+/// An attempt that is over, with the value that it brought.
 pub struct CompletedAttempt {
     pub ended: AttemptEnded,
     pub value: Option<String>,
@@ -122,7 +122,7 @@
     gone: Vec<NodeId>,
     /// What is agreed on, in a fleet.
     pub gate: Option<Rc<Gate>>,
-    /// Nodes that speak the API, and of each table type whether it must not run twice.
+    /// Nodes that speak the API, and of each query class whether it must not run twice.
     api: Option<(Vec<IpNet>, Vec<bool>)>,
     /// Connections that wait for the next piece of a body.
     starved: Vec<usize>,
@@ -130,11 +130,11 @@
     paces: HashMap<usize, (u64, f64)>,
     /// Nodes that moved, or are to get nothing new, or (true) are other processes now.
     pub changed: Vec<(NodeId, bool)>,
-    /// Frames of bodies of which the last byte has gone out, and that the module has not been told of.
+    /// Frames of bodies of which the last byte has gone out, and that the router has not been told of.
     pub framed: VecDeque<(NodeId, (QueryId, usize, usize))>,
     /// Bytes copied into frames.
     pub copied: u64,
-    /// Ends that the module has not been told yet: it may be in the middle of the call that caused them.
+    /// Ends that the router has not been told yet: it may be in the middle of the call that caused them.
     pub back: VecDeque<CompletedAttempt>,
 }
 
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Nodes of these addresses speak the API. `once` says of each table type whether it must not run twice.
+    /// Nodes of these addresses speak the API. `once` says of each query class whether it must not run twice.
     pub fn set_search_api_nodes(&mut self, addresses: Vec<IpNet>, once: Vec<bool>) {
         self.api = Some((addresses, once));
     }
--- a/crates/dunepond-broker/src/upstream/ownership_check.rs
+++ b/crates/dunepond-broker/src/upstream/ownership_check.rs
@@ -1,4 +1,4 @@
-//! Frames in a fleet that agrees: looked at once more as they go out, and noted as they have.
+//! In a fleet: checks each attempt against the active configuration once more as its frame is written, and audits it.
 
 use std::collections::VecDeque;
 
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -1,4 +1,4 @@
-//! Frames on their way out: parts put together to calls, and written as far as the connection takes them.
+//! Writes attempts: frames several parts together, as far as the connection takes them.
 
 use std::io;
 
@@ -17,7 +17,7 @@
 /// A text up to so long is copied into its frames: a piece of its own for it would cost more.
 const MAX_COPIED_TEXT_BYTES: usize = 2048;
 
-/// Names of the table types, which of them must not run twice, and the node's name.
+/// Names of the query classes, which of them must not run twice, and the node's name.
 type Spoken<'a> = (&'a [String], &'a [bool], &'a str);
 
 impl NodeConnection {
@@ -99,7 +99,7 @@
     }
 
     /// Takes back the frames of which not a byte has gone out: by the time that they can, the time that they tell is
-    /// no longer what is left, their scans may be over and their node may be due nothing new.
+    /// no longer what is left, their queries may be over and their node may be due nothing new.
     fn take_back_unsent(&mut self) {
         let begun = self.out.written();
         let unbegun = |o: &&mut OutstandingRequest| o.to.is_some() && o.from >= begun;
@@ -115,7 +115,7 @@
 }
 
 impl Upstream {
-    /// Frames what the last call dispatched and writes it.
+    /// Frames what the last call sent and writes it.
     pub fn flush(&mut self, now: f64, timers: &mut Timers) {
         for node in std::mem::take(&mut self.nodes_to_flush) {
             let mut unframed = std::mem::take(&mut self.nodes[node].unframed).into_iter().peekable();
@@ -206,7 +206,7 @@
         };
         // Half a frame may be all that ever comes on it; and one that is due to be closed may be closed over there.
         let sound = |l: &NodeConnection| !l.retired && l.api == api && l.input.is_none() && !l.is_over(now);
-        // Both of a part's dispatches would have one name there: an end that came twice would be taken for the other's.
+        // Both of a part's attempts would have one name there: an end that came twice would be taken for the other's.
         let again = |l: &NodeConnection| parcels.iter().any(|p| p.shot > 0 && l.knows(&p.id));
         self.nodes[node].connections.iter().copied().find(|id| {
             let connection = &self.connections[*id];
--- a/crates/dunepond-broker/src/upstream/response.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! What nodes send back: the ends of dispatches, in frames or as answers of the API.
+//! Reads what nodes send: the ends of attempts, in frames or as search API responses.
 
 use std::io;
 
@@ -113,7 +113,7 @@
             keys: None,
             untracked: true,
         };
-        let (status, keep) = (message.head.status, message.head.keep);
+        let (status, keep) = (message.head.status, message.head.keep_alive);
         let (end, value) = match meaning(status, message.text(), (!once).then_some(&expected)) {
             Meaning::Found(_) | Meaning::Updated(_) => {
                 (AttemptOutcome::Served, std::str::from_utf8(message.text()).ok().map(str::to_string))
--- a/crates/dunepond-broker/src/upstream/streaming.rs
+++ b/crates/dunepond-broker/src/upstream/streaming.rs
@@ -1,4 +1,4 @@
-//! Frames of bodies, which go on as their bodies do, and are cut where these are lost.
+//! Frames of streamed bodies: continued as their bodies arrive, aborted where a body is lost.
 
 use std::collections::HashMap;
 
