--- a/crates/dunepond-routing/tests/endpoint_list.rs
+++ b/crates/dunepond-routing/tests/endpoint_list.rs
@@ -22,7 +22,7 @@
 
 const WITHIN: f64 = 10.0;
 
-fn asked_for() -> Cluster {
+fn polled_cluster() -> Cluster {
     Cluster::new(Deployment { list_poll_deadline: Some(WITHIN), ..site() })
 }
 
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_list_that_is_pushed_is_never_asked_for() {
+fn a_list_that_is_pushed_is_never_polled() {
     let mut cluster = Cluster::new(site());
     cluster.router.on_list_poll_failed(&mut cluster.transport);
     cluster.traffic(FULL, 5.0, 0.05);
@@ -70,8 +70,8 @@
 #[case::calls_are_swallowed(Discovery { swallows: true, ..Discovery::default() }, 8)]
 #[case::it_breaks_off(Discovery { breaks: Some(4.0), ..Discovery::default() }, 17)]
 #[case::changes_come(Discovery { changes: Some(2.0), ..Discovery::default() }, 1)]
-fn the_list_is_asked_for_in_time_and_not_too_often(#[case] list: Discovery, #[case] most: usize) {
-    let mut cluster = asked_for();
+fn the_list_is_polled_in_time_and_not_too_often(#[case] list: Discovery, #[case] most: usize) {
+    let mut cluster = polled_cluster();
     let polled = play(&mut cluster, list, 60.0);
     assert_eq!(polled[0], 100.0, "at the start, on what it knows from before");
     assert!(polled.len() <= most, "{} calls", polled.len());
@@ -84,8 +84,8 @@
 /// The case reported: a node drains, and a broker that never polled went on sending to it once it was taken to
 /// know. The list speaks only to those who ask.
 #[test]
-fn a_node_that_drains_gets_nothing_once_the_list_would_have_told() {
-    let mut cluster = asked_for();
+fn a_draining_node_gets_nothing_once_the_list_would_have_told() {
+    let mut cluster = polled_cluster();
     let mut told = false;
     for turn in 0..200 {
         cluster.query(FULL, &[turn % 6]);
@@ -101,7 +101,7 @@
 /// A retry soon after the first failure, and later ones less often: many brokers that start at once have
 /// filled the list's queue themselves.
 #[test]
-fn calls_that_fail_are_spread_out() {
+fn polls_that_fail_are_spread_out() {
     let first = |seed| {
         let mut cluster = Cluster::new(Deployment { list_poll_deadline: Some(WITHIN), seed, ..site() });
         play(&mut cluster, Discovery { refuses: usize::MAX, ..Discovery::default() }, 3.0)[1]
@@ -114,11 +114,11 @@
 
 /// A wake for the list and one for queries do not beget one another.
 #[test]
-fn asking_wakes_a_busy_broker_hardly_more_often() {
+fn polling_wakes_a_busy_broker_hardly_more_often() {
     let wakes = |mut cluster: Cluster| {
         cluster.traffic(FULL, 30.0, 0.05);
         cluster.transport.woken
     };
-    let (pushed, polled) = (wakes(Cluster::new(site())), wakes(asked_for()));
+    let (pushed, polled) = (wakes(Cluster::new(site())), wakes(polled_cluster()));
     assert!(polled <= pushed + 10, "{polled} against {pushed}");
 }
--- a/crates/dunepond-routing/tests/fleet.rs
+++ b/crates/dunepond-routing/tests/fleet.rs
@@ -39,7 +39,7 @@
     closed: Vec<(f64, NodeId)>,
 }
 
-struct Desk {
+struct FleetTransport {
     now: f64,
     nodes: Rc<RefCell<Nodes>>,
     due: Vec<(f64, AttemptEnded)>,
@@ -49,20 +49,20 @@
     wakes: Vec<f64>,
     /// The start of each node that this broker has heard of.
     heard: Vec<f64>,
-    /// The work of a part, by scan.
+    /// The work of a part, by query.
     works: Vec<f64>,
 }
 
-impl Transport for Desk {
+impl Transport for FleetTransport {
     fn now(&self) -> f64 {
         self.now
     }
-    fn send_attempt(&mut self, scan: QueryId, part: usize, node: NodeId) {
-        assert!(!self.finals.contains(&scan), "sent after the final answer");
-        let shot = self.shots.iter().filter(|s| (s.0, s.1) == (scan, part)).count();
-        self.shots.push((scan, part, node, self.now));
+    fn send_attempt(&mut self, query: QueryId, part: usize, node: NodeId) {
+        assert!(!self.finals.contains(&query), "sent after the final answer");
+        let shot = self.shots.iter().filter(|s| (s.0, s.1) == (query, part)).count();
+        self.shots.push((query, part, node, self.now));
         let mut nodes = self.nodes.borrow_mut();
-        let (work, told) = (self.works[scan as usize - 1], self.heard[node] >= nodes.started[node]);
+        let (work, told) = (self.works[query as usize - 1], self.heard[node] >= nodes.started[node]);
         nodes.sent.push(Sent { at: self.now, node, work, told });
         if nodes.natures[node] == Nature::Sound {
             let warmth = (0.2 + 0.8 * (self.now - nodes.started[node]) / 15.0).min(1.0);
@@ -71,7 +71,7 @@
             busy[worker] = busy[worker].max(self.now) + 0.02 * work / warmth;
             let took = busy[worker] - self.now;
             let ended = AttemptEnded {
-                query: scan,
+                query,
                 part,
                 attempt: shot,
                 node,
@@ -81,12 +81,12 @@
             self.due.push((busy[worker], ended));
         }
     }
-    fn cancel_attempt(&mut self, scan: QueryId, part: usize, shot: usize) {
-        let sent = self.shots.iter().filter(|s| (s.0, s.1) == (scan, part)).nth(shot);
+    fn cancel_attempt(&mut self, query: QueryId, part: usize, shot: usize) {
+        let sent = self.shots.iter().filter(|s| (s.0, s.1) == (query, part)).nth(shot);
         let (node, at) = sent.map(|s| (s.2, s.3)).expect("cancelled what was sent");
-        self.due.retain(|(_, e)| (e.query, e.part, e.attempt) != (scan, part, shot));
+        self.due.retain(|(_, e)| (e.query, e.part, e.attempt) != (query, part, shot));
         let ended = AttemptEnded {
-            query: scan,
+            query,
             part,
             attempt: shot,
             node,
@@ -95,14 +95,14 @@
         };
         self.due.push((self.now, ended));
     }
-    fn answer(&mut self, scan: QueryId, _: bool) {
-        self.finals.push(scan);
+    fn answer(&mut self, query: QueryId, _: bool) {
+        self.finals.push(query);
     }
-    fn reject_retriable(&mut self, scan: QueryId, _: f64) {
-        self.finals.push(scan);
+    fn reject_retriable(&mut self, query: QueryId, _: f64) {
+        self.finals.push(query);
     }
-    fn fail_unknown_outcome(&mut self, scan: QueryId) {
-        self.finals.push(scan);
+    fn fail_unknown_outcome(&mut self, query: QueryId) {
+        self.finals.push(query);
     }
     fn schedule_wake(&mut self, at: f64) {
         self.wakes.push(at);
@@ -126,13 +126,13 @@
 
 struct Fleet {
     now: f64,
-    brokers: Vec<(Router, Desk)>,
+    brokers: Vec<(Router, FleetTransport)>,
     nodes: Rc<RefCell<Nodes>>,
     rng: Pcg64Mcg,
     asked: Vec<QueryId>,
-    /// How many of the scans come to each broker, against the others.
+    /// How many of the queries come to each broker, against the others.
     shares: Vec<f64>,
-    /// How many scans have parts of more than mean work, and how much these and the others have: 1 in the mean.
+    /// How many queries have parts of more than mean work, and how much these and the others have: 1 in the mean.
     works: (f64, f64, f64),
 }
 
@@ -180,9 +180,9 @@
     brokers: usize,
     shared: &Rc<RefCell<Nodes>>,
     budget: &Option<RetryBudget>,
-) -> (Router, Desk) {
+) -> (Router, FleetTransport) {
     let nodes = shared.borrow().natures.len();
-    let desk = Desk {
+    let transport = FleetTransport {
         now,
         nodes: shared.clone(),
         due: Vec::new(),
@@ -192,7 +192,7 @@
         heard: vec![0.0; nodes],
         works: Vec::new(),
     };
-    (Router::new(site(seed, brokers, nodes, budget.clone())), desk)
+    (Router::new(site(seed, brokers, nodes, budget.clone())), transport)
 }
 
 impl Fleet {
@@ -238,10 +238,10 @@
             started_at: started,
         };
         let rows: Vec<_> = started.iter().map(row).collect();
-        let (broker, desk) = &mut self.brokers[id];
-        desk.now = self.now;
-        started.iter().for_each(|(node, at)| desk.heard[*node] = *at);
-        broker.update_endpoints(desk, false, &rows);
+        let (broker, transport) = &mut self.brokers[id];
+        transport.now = self.now;
+        started.iter().for_each(|(node, at)| transport.heard[*node] = *at);
+        broker.update_endpoints(transport, false, &rows);
     }
 
     /// Other processes take the places of these brokers and hear the whole list; what the old ones held has gone.
@@ -255,29 +255,29 @@
         }
     }
 
-    /// Lets the clock run; so many scans a second come to the fleet, each at some broker and of some segments
+    /// Lets the clock run; so many queries a second come to the fleet, each at some broker and of some segments
     /// that lie side by side.
-    fn run(&mut self, seconds: f64, scans: f64, parts: usize) {
+    fn run(&mut self, seconds: f64, queries: f64, parts: usize) {
         let end = self.now + seconds;
         while self.now < end {
             self.now += TICK;
             let mut comes = vec![0; self.brokers.len()];
-            let mut left = scans * TICK;
+            let mut left = queries * TICK;
             while left > 0.0 {
                 if self.rng.random::<f64>() < left.min(1.0) {
                     comes[self.whose()] += 1;
                 }
                 left -= 1.0;
             }
-            for (id, (broker, desk)) in self.brokers.iter_mut().enumerate() {
-                desk.now = self.now;
-                while let Some(at) = desk.due.iter().position(|d| d.0 <= self.now) {
-                    let (_, ended) = desk.due.swap_remove(at);
-                    broker.on_attempt_ended(desk, ended);
+            for (id, (broker, transport)) in self.brokers.iter_mut().enumerate() {
+                transport.now = self.now;
+                while let Some(at) = transport.due.iter().position(|d| d.0 <= self.now) {
+                    let (_, ended) = transport.due.swap_remove(at);
+                    broker.on_attempt_ended(transport, ended);
                 }
-                if desk.wakes.iter().any(|at| *at <= self.now) {
-                    desk.wakes.retain(|at| *at > self.now);
-                    broker.on_wake(desk);
+                if transport.wakes.iter().any(|at| *at <= self.now) {
+                    transport.wakes.retain(|at| *at > self.now);
+                    broker.on_wake(transport);
                 }
                 for _ in 0..comes[id] {
                     self.asked[id] += 1;
@@ -285,13 +285,13 @@
                     let first = self.rng.random_range(0..cells);
                     let (heavy, more, less) = self.works;
                     let work = if heavy > 0.0 && self.rng.random::<f64>() < heavy { more } else { less };
-                    desk.works.push(work);
+                    transport.works.push(work);
                     let part = |j| Part {
                         segment: (first + j) % cells,
                         weight: 1.0 / parts as f64,
                         required_node: None,
                     };
-                    let scan = Query {
+                    let query = Query {
                         id: self.asked[id],
                         class: 0,
                         tenant: 0,
@@ -303,13 +303,13 @@
                         audit: false,
                         parts: (0..parts).map(part).collect(),
                     };
-                    broker.on_query(desk, scan);
+                    broker.on_query(transport, query);
                 }
             }
         }
     }
 
-    /// The broker that the next scan comes to.
+    /// The broker that the next query comes to.
     fn whose(&mut self) -> usize {
         if self.shares.iter().all(|s| *s == 1.0) {
             return self.rng.random_range(0..self.shares.len());
@@ -343,8 +343,8 @@
     }
 
     fn each_scan_was_answered_once(&self) {
-        for (id, (_, desk)) in self.brokers.iter().enumerate() {
-            let mut finals = desk.finals.clone();
+        for (id, (_, transport)) in self.brokers.iter().enumerate() {
+            let mut finals = transport.finals.clone();
             finals.sort_unstable();
             assert_eq!(finals, (1..=self.asked[id]).collect::<Vec<_>>(), "broker {id}");
         }
@@ -357,23 +357,23 @@
 }
 
 /// Half of the nodes start anew, side by side, so that some segments have cold holders only. The brokers know their
-/// nodes for six seconds or for less than a scan each.
+/// nodes for six seconds or for less than a query each.
 #[rstest]
 #[case::few_brokers_and_six_tenths_of_the_capacity(6, 90.0, 6.0)]
 #[case::many_brokers_and_four_tenths(150, 60.0, 6.0)]
 #[case::many_brokers_and_six_tenths(150, 90.0, 6.0)]
 #[case::brokers_just_started(150, 90.0, 0.8)]
 #[case::very_many_just_started(300, 90.0, 0.8)]
-fn all_brokers_together_keep_a_cold_node_under_the_multiple(
+fn all_brokers_together_keep_a_node_in_slow_start_under_the_multiple(
     #[case] brokers: usize,
-    #[case] scans: f64,
+    #[case] queries: f64,
     #[case] known: f64,
 ) {
     let mut fleet = Fleet::new(brokers, 12, None);
-    fleet.run(known, scans, 8);
+    fleet.run(known, queries, 8);
     let now = fleet.now;
     fleet.list(&(0..6).map(|n| (n, now)).collect::<Vec<_>>());
-    fleet.run(4.0, scans, 8);
+    fleet.run(4.0, queries, 8);
     for node in 0..6 {
         let Second { got, n, .. } = fleet.fullest_second(node, now, f64::MAX);
         assert!(got > 0.0 && got <= falls_above(n), "node {node} falls: {got}, {n} allowed");
@@ -384,13 +384,13 @@
     fleet.each_scan_was_answered_once();
 }
 
-/// How scans and their work come to the brokers.
+/// How queries and their work come to the brokers.
 #[derive(Clone, Copy, Debug)]
 enum Load {
     Even,
     /// One broker in six sees over three times the mean.
     Uneven,
-    /// A quarter of the scans have parts of 2.2 times mean work, the others of 0.6.
+    /// A quarter of the queries have parts of 2.2 times mean work, the others of 0.6.
     Work,
 }
 
@@ -406,7 +406,7 @@
     ToldLate,
     /// The nodes start again under the same ids, eight seconds later.
     SameIds,
-    /// Fifteen times the scans come three seconds after the start.
+    /// Fifteen times the queries come three seconds after the start.
     Burst,
     /// Two of three holders are gone four seconds after the start.
     HoldersLost,
@@ -473,7 +473,7 @@
 
 /// Counted in mean work. A fall is the brokers' where over two thirds of it came from those that had been told.
 #[rstest]
-fn a_cold_node_does_not_fall(
+fn a_node_in_slow_start_does_not_fall(
     #[values(6, 20, 30, 150, 300)] brokers: usize,
     #[values(Load::Even, Load::Uneven, Load::Work)] load: Load,
     #[values(
@@ -488,7 +488,7 @@
     story: Story,
 ) {
     let mut fleet = Fleet::new(brokers, 12, None);
-    // Of sixteen draws of the scans the one at which rates and turns, which this replaced, fell most often.
+    // Of sixteen draws of the queries the one at which rates and turns, which this replaced, fell most often.
     fleet.rng = Pcg64Mcg::seed_from_u64(9);
     if matches!(load, Load::Uneven) {
         fleet.shares = (0..brokers).map(|id| if id % 6 == 0 { 5.0 } else { 0.6 }).collect();
@@ -515,17 +515,17 @@
 #[rstest]
 #[case::many_brokers_beyond_the_capacity(150, 180.0, 1.12)]
 #[case::very_many_brokers(300, 120.0, 0.84)]
-fn warm_nodes_are_not_full_while_cold_ones_have_tokens(
+fn warm_nodes_are_not_full_while_slow_start_has_tokens(
     #[case] brokers: usize,
-    #[case] scans: f64,
+    #[case] queries: f64,
     #[case] most: f64,
 ) {
     let mut fleet = Fleet::new(brokers, 24, None);
-    fleet.run(4.0, scans, 8);
+    fleet.run(4.0, queries, 8);
     let now = fleet.now;
     let cold: Vec<_> = (0..24).filter(|n| n * 14 % 24 < 14).collect();
     fleet.list(&cold.iter().map(|n| (*n, now)).collect::<Vec<_>>());
-    fleet.run(4.0, scans, 8);
+    fleet.run(4.0, queries, 8);
     let of_warm = |s: &&Sent| s.at >= now && !cold.contains(&s.node);
     let share = fleet.nodes.borrow().sent.iter().filter(of_warm).count() as f64 / 10.0 / 100.0 / 4.0;
     assert!(share < most, "{share:.2} of what warm nodes can do was sent to them");
@@ -542,15 +542,15 @@
 #[rstest]
 #[case::few_brokers(20, 60.0)]
 #[case::many_brokers(150, 80.0)]
-fn a_zone_that_comes_back_cold_is_not_flooded(#[case] brokers: usize, #[case] scans: f64) {
+fn a_zone_that_comes_back_cold_is_not_flooded(#[case] brokers: usize, #[case] queries: f64) {
     let mut fleet = Fleet::new(brokers, 12, None);
-    fleet.run(4.0, scans, 8);
+    fleet.run(4.0, queries, 8);
     (0..12).step_by(3).for_each(|n| fleet.nodes.borrow_mut().natures[n] = Nature::Silent);
-    fleet.run(3.0, scans, 8);
+    fleet.run(3.0, queries, 8);
     let now = fleet.now;
     (0..12).step_by(3).for_each(|n| fleet.nodes.borrow_mut().natures[n] = Nature::Sound);
     fleet.list(&(0..12).step_by(3).map(|n| (n, now)).collect::<Vec<_>>());
-    fleet.run(5.0, scans, 8);
+    fleet.run(5.0, queries, 8);
     for node in (0..12).step_by(3) {
         let Second { got, n, .. } = fleet.fullest_second(node, now, f64::MAX);
         assert!(got > 0.0 && got <= n, "node {node}: {got}, {n} allowed");
@@ -560,9 +560,9 @@
 }
 
 /// A third of the nodes falls silent. Each broker finds that out by itself; what all of them send there once they
-/// know is trials, and every scan has its one answer.
+/// know is trials, and every query has its one answer.
 #[test]
-fn a_lost_zone_gets_few_trials_from_all_brokers_together_and_each_scan_one_answer() {
+fn a_lost_zone_gets_few_probation_attempts_from_all_brokers_and_each_query_one_answer() {
     let mut fleet = Fleet::new(100, 12, Some(RetryBudget { window: 2.0, min_retries: 0.0, ratio: 0.05 }));
     fleet.run(4.0, 60.0, 4);
     (0..12).step_by(3).for_each(|n| fleet.nodes.borrow_mut().natures[n] = Nature::Silent);
@@ -581,9 +581,9 @@
     fleet.each_scan_was_answered_once();
     // Over any window, all brokers together stay within what all of theirs allow.
     let mut further: Vec<(f64, bool)> = Vec::new();
-    for (_, desk) in &fleet.brokers {
-        for (i, shot) in desk.shots.iter().enumerate() {
-            let again = desk.shots[..i].iter().any(|s| (s.0, s.1) == (shot.0, shot.1));
+    for (_, transport) in &fleet.brokers {
+        for (i, shot) in transport.shots.iter().enumerate() {
+            let again = transport.shots[..i].iter().any(|s| (s.0, s.1) == (shot.0, shot.1));
             further.push((shot.3, again));
         }
     }
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -1,5 +1,5 @@
 //! Golden record of the decisions. A seeded driver plays some ten thousand events of several deployments against one
-//! broker and folds each call to its host, with all arguments, into a digest: one decision, random draw or float sum that
+//! router and folds each call to its transport, with all arguments, into a digest: one decision, random draw or float sum that
 //! changes is seen. Log lines are left out, since their words may change.
 //!
 //! The driver has a random source of its own and uses no float function that differs between machines. A digest that
@@ -20,14 +20,14 @@
 const START: f64 = 1000.0;
 const CELLS: usize = 9;
 const ZONES: usize = 3;
-/// Events between two looks at the broker's plain values, and between two at all that it has learned and spent.
+/// Events between two looks at the router's plain values, and between two at all that it has learned and spent.
 const LOOK_EVERY_EVENTS: usize = 40;
 const DEEP_LOOK_EVERY_EVENTS: usize = 600;
 const CHECKPOINTS: usize = 4;
 
 const QUICK: usize = 0;
 const FULL: usize = 1;
-const FIX: usize = 2;
+const NON_IDEMPOTENT: usize = 2;
 const KEYED: usize = 3;
 const TWO_STEP: usize = 4;
 const PARTIAL: usize = 5;
@@ -55,17 +55,17 @@
     }
 }
 
-/// A kind of call to the host; its number goes into the digest.
+/// A kind of call to the transport; its number goes into the digest.
 #[derive(Clone, Copy)]
 enum Call {
     Dispatch,
     CloseIdle,
     Cancel,
     Probe,
-    AnswerWhole,
-    AnswerPart,
-    Throttle,
-    Abandon,
+    AnswerComplete,
+    AnswerPartial,
+    Reject,
+    FailUnknownOutcome,
     Forget,
     WakeAt,
     AskList,
@@ -114,7 +114,7 @@
 }
 
 struct Tracked {
-    table_type: usize,
+    class: usize,
     expires_at: f64,
     long: bool,
     answers: usize,
@@ -125,11 +125,11 @@
 #[derive(Clone)]
 enum Event {
     Arrival,
-    Ended { scan: QueryId, part: usize, shot: usize, end: AttemptOutcome },
-    Framed { scan: QueryId, part: usize, shot: usize },
-    TextGone(QueryId),
-    Search(QueryId),
-    Restore(QueryId, Vec<usize>),
+    Ended { query: QueryId, part: usize, index: usize, end: AttemptOutcome },
+    Framed { query: QueryId, part: usize, index: usize },
+    BodyDiscarded(QueryId),
+    PrefilterResult(QueryId),
+    PrefilterRevoked(QueryId, Vec<usize>),
     SecondStep(QueryId),
     ClientLeft(QueryId),
     Probed(NodeId, Option<f64>),
@@ -145,7 +145,7 @@
     Shutdown,
 }
 
-/// The host: records what it is told and plays the nodes.
+/// The transport: records what it is told and plays the nodes.
 struct Recorder {
     now: f64,
     digest: Digest,
@@ -156,7 +156,7 @@
     queue: BTreeMap<(u64, u64), Event>,
     sequence: u64,
     nodes: Vec<NodeState>,
-    scans: BTreeMap<QueryId, Tracked>,
+    queries: BTreeMap<QueryId, Tracked>,
     live: BTreeSet<QueryId>,
     service: f64,
     two_step: bool,
@@ -175,7 +175,7 @@
     }
 
     /// How a dispatch that reaches a node now will end, and when.
-    fn outcome(&mut self, id: NodeId, table_type: usize) -> (AttemptOutcome, f64) {
+    fn outcome(&mut self, id: NodeId, class: usize) -> (AttemptOutcome, f64) {
         let chance: f64 = self.rng.random();
         let work = self.service * self.rng.random_range(0.3..1.7);
         let node = &mut self.nodes[id];
@@ -189,7 +189,7 @@
             Mode::Silent => return (AttemptOutcome::Served, f64::MAX),
             Mode::Swallowing if chance < 0.4 => return (AttemptOutcome::Served, f64::MAX),
             Mode::Failing if chance < 0.8 => return (AttemptOutcome::Error, soon),
-            Mode::FailingQuick if table_type == QUICK => return (AttemptOutcome::Error, soon),
+            Mode::FailingQuick if class == QUICK => return (AttemptOutcome::Error, soon),
             Mode::Full if chance < 0.6 => return (AttemptOutcome::Rejected, soon),
             Mode::Reaped if idle > 0.6 => return (AttemptOutcome::ConnectionLost, soon),
             _ => {}
@@ -203,8 +203,8 @@
 
     fn crash(&mut self, id: NodeId) {
         let out = self.nodes[id].out.clone();
-        for (scan, part, shot) in out {
-            self.schedule(self.now, Event::Ended { scan, part, shot, end: AttemptOutcome::ConnectionLost });
+        for (query, part, index) in out {
+            self.schedule(self.now, Event::Ended { query, part, index, end: AttemptOutcome::ConnectionLost });
         }
         self.nodes[id].busy = [self.now; 2];
     }
@@ -238,24 +238,24 @@
         self.now
     }
 
-    fn send_attempt(&mut self, scan: QueryId, part: usize, node: NodeId) {
-        self.record(Call::Dispatch, &[scan, part as u64, node as u64]);
-        let (table_type, expires_at, long) = {
-            let tracked = &self.scans[&scan];
-            (tracked.table_type, tracked.expires_at, tracked.long)
+    fn send_attempt(&mut self, query: QueryId, part: usize, node: NodeId) {
+        self.record(Call::Dispatch, &[query, part as u64, node as u64]);
+        let (class, expires_at, long) = {
+            let tracked = &self.queries[&query];
+            (tracked.class, tracked.expires_at, tracked.long)
         };
-        let (end, at) = self.outcome(node, table_type);
+        let (end, at) = self.outcome(node, class);
         let frame = if long { self.rng.random_range(0.0..0.3) } else { 0.0 };
         let (end, at) =
             if at + frame < expires_at { (end, at + frame) } else { (AttemptOutcome::TimedOut, expires_at) };
-        let tracked = self.scans.get_mut(&scan).expect("it is a scan of ours");
-        let shot = tracked.parts[part].len();
+        let tracked = self.queries.get_mut(&query).expect("it is a query of ours");
+        let index = tracked.parts[part].len();
         tracked.parts[part].push(Sent { node, at: self.now, ended: false });
-        self.nodes[node].out.insert((scan, part, shot));
+        self.nodes[node].out.insert((query, part, index));
         if long {
-            self.schedule(self.now + 0.9 * frame, Event::Framed { scan, part, shot });
+            self.schedule(self.now + 0.9 * frame, Event::Framed { query, part, index });
         }
-        self.schedule(at, Event::Ended { scan, part, shot, end });
+        self.schedule(at, Event::Ended { query, part, index, end });
     }
 
     fn close_idle_connections(&mut self, node: NodeId) {
@@ -263,10 +263,10 @@
         self.nodes[node].used = self.now;
     }
 
-    fn cancel_attempt(&mut self, scan: QueryId, part: usize, shot: usize) {
-        self.record(Call::Cancel, &[scan, part as u64, shot as u64]);
+    fn cancel_attempt(&mut self, query: QueryId, part: usize, index: usize) {
+        self.record(Call::Cancel, &[query, part as u64, index as u64]);
         let at = self.now + self.rng.random_range(0.0..2.0) * TICK;
-        self.schedule(at, Event::Ended { scan, part, shot, end: AttemptOutcome::Cancelled });
+        self.schedule(at, Event::Ended { query, part, index, end: AttemptOutcome::Cancelled });
     }
 
     fn probe(&mut self, node: NodeId) {
@@ -278,28 +278,28 @@
         self.schedule(at, Event::Probed(node, answered.then_some(took)));
     }
 
-    fn answer(&mut self, scan: QueryId, whole: bool) {
-        self.record(if whole { Call::AnswerWhole } else { Call::AnswerPart }, &[scan]);
-        let tracked = self.scans.get_mut(&scan).expect("it is a scan of ours");
+    fn answer(&mut self, query: QueryId, whole: bool) {
+        self.record(if whole { Call::AnswerComplete } else { Call::AnswerPartial }, &[query]);
+        let tracked = self.queries.get_mut(&query).expect("it is a query of ours");
         tracked.answers += 1;
-        if whole && tracked.answers == 1 && tracked.table_type == TWO_STEP && self.two_step {
+        if whole && tracked.answers == 1 && tracked.class == TWO_STEP && self.two_step {
             let at = self.now + self.rng.random_range(0.0..0.05);
-            self.schedule(at, Event::SecondStep(scan));
+            self.schedule(at, Event::SecondStep(query));
         }
     }
 
-    fn reject_retriable(&mut self, scan: QueryId, wait: f64) {
-        self.record(Call::Throttle, &[scan, wait.to_bits()]);
+    fn reject_retriable(&mut self, query: QueryId, wait: f64) {
+        self.record(Call::Reject, &[query, wait.to_bits()]);
     }
 
-    fn fail_unknown_outcome(&mut self, scan: QueryId) {
-        self.record(Call::Abandon, &[scan]);
+    fn fail_unknown_outcome(&mut self, query: QueryId) {
+        self.record(Call::FailUnknownOutcome, &[query]);
     }
 
-    fn finish(&mut self, scan: QueryId) {
-        self.record(Call::Forget, &[scan]);
-        self.scans.get_mut(&scan).expect("it is a scan of ours").over = true;
-        self.live.remove(&scan);
+    fn finish(&mut self, query: QueryId) {
+        self.record(Call::Forget, &[query]);
+        self.queries.get_mut(&query).expect("it is a query of ours").over = true;
+        self.live.remove(&query);
     }
 
     fn schedule_wake(&mut self, at: f64) {
@@ -328,12 +328,12 @@
     site: Deployment,
     nodes: usize,
     seconds: f64,
-    /// Mean seconds between two scans; every third ten seconds bring `rush` times as many.
+    /// Mean seconds between two queries; every third ten seconds bring `rush` times as many.
     gap: f64,
     rush: f64,
     /// Mean seconds that one of a node's two workers takes for a part.
     service: f64,
-    table_types: &'static [usize],
+    query_classes: &'static [usize],
     most_parts: usize,
     bodies: bool,
     prefilter: bool,
@@ -347,7 +347,7 @@
     shutdown_after: f64,
 }
 
-fn table_types() -> Vec<QueryClass> {
+fn query_classes() -> Vec<QueryClass> {
     let full = QueryClass {
         latency_objective: 0.8,
         timeout: 2.5,
@@ -381,7 +381,7 @@
         seed,
         broker_count: 3.0,
         zone: 1,
-        query_classes: table_types(),
+        query_classes: query_classes(),
         quotas: Vec::new(),
         weight_by_work: false,
         replica_groups: CELLS,
@@ -414,7 +414,7 @@
         gap: 0.025,
         rush: 2.0,
         service: 0.05,
-        table_types: &[QUICK, FULL, FULL, FIX, KEYED, TWO_STEP, PARTIAL],
+        query_classes: &[QUICK, FULL, FULL, NON_IDEMPOTENT, KEYED, TWO_STEP, PARTIAL],
         most_parts: 6,
         bodies: false,
         prefilter: false,
@@ -486,7 +486,7 @@
     Scenario { bodies: true, prefilter: true, owners: true, churn_every: 4.0, ..ordinary(5) }
 }
 
-/// Rules and our parts of fleet-wide bounds change while scans are held; budgets and cold nodes.
+/// Rules and our parts of fleet-wide bounds change while queries are held; budgets and cold nodes.
 fn changing_rules() -> Scenario {
     let budget = Some(RetryBudget { window: 8.0, min_retries: 10.0, ratio: 0.2 });
     let stated = Deployment { quotas: vec![20.0, 10.0, 5.0], retry_budget: budget, ..site(6) };
@@ -507,10 +507,10 @@
 
 struct Driver {
     scenario: Scenario,
-    broker: Router,
-    host: Recorder,
+    router: Router,
+    transport: Recorder,
     rng: Pcg64Mcg,
-    scans: QueryId,
+    queries: QueryId,
     shutdown: Option<Shutdown>,
     checkpoints: Vec<u64>,
 }
@@ -527,7 +527,7 @@
             used: START,
             out: BTreeSet::new(),
         });
-        let host = Recorder {
+        let transport = Recorder {
             now: START,
             digest: Digest(0xcbf2_9ce4_8422_2325),
             calls: [0; CALL_KINDS],
@@ -535,20 +535,20 @@
             queue: BTreeMap::new(),
             sequence: 0,
             nodes: nodes.collect(),
-            scans: BTreeMap::new(),
+            queries: BTreeMap::new(),
             live: BTreeSet::new(),
             service: scenario.service,
             two_step: true,
         };
-        let broker = Router::new(scenario.site.clone());
+        let router = Router::new(scenario.site.clone());
         let rng = Pcg64Mcg::seed_from_u64(scenario.seed + 200);
-        Self { scenario, broker, host, rng, scans: 0, shutdown: None, checkpoints: Vec::new() }
+        Self { scenario, router, transport, rng, queries: 0, shutdown: None, checkpoints: Vec::new() }
     }
 
     fn play(mut self) -> (Vec<u64>, [usize; CALL_KINDS]) {
-        let rows = self.host.rows();
-        self.broker.update_endpoints(&mut self.host, true, &rows);
-        self.host.schedule(START + 0.01, Event::Arrival);
+        let rows = self.transport.rows();
+        self.router.update_endpoints(&mut self.transport, true, &rows);
+        self.transport.schedule(START + 0.01, Event::Arrival);
         let s = &self.scenario;
         let recurring = [
             (s.faults_every, Event::Fault),
@@ -561,19 +561,19 @@
         ];
         for (every, event) in recurring {
             if every > 0.0 {
-                self.host.schedule(START + every, event);
+                self.transport.schedule(START + every, event);
             }
         }
         let (end, part) = (START + s.seconds, s.seconds / CHECKPOINTS as f64);
         let mut events = 0;
-        while let Some(((at, _), event)) = self.host.queue.pop_first() {
+        while let Some(((at, _), event)) = self.transport.queue.pop_first() {
             let at = f64::from_bits(at);
             if at > end {
                 break;
             }
-            self.host.now = self.host.now.max(at);
-            if self.host.now > START + part * (self.checkpoints.len() + 1) as f64 {
-                self.checkpoints.push(self.host.digest.0);
+            self.transport.now = self.transport.now.max(at);
+            if self.transport.now > START + part * (self.checkpoints.len() + 1) as f64 {
+                self.checkpoints.push(self.transport.digest.0);
             }
             self.happen(event);
             events += 1;
@@ -586,80 +586,78 @@
         }
         self.look();
         self.look_deeply();
-        self.host.digest.index(events);
-        self.checkpoints.push(self.host.digest.0);
-        (self.checkpoints, self.host.calls)
+        self.transport.digest.index(events);
+        self.checkpoints.push(self.transport.digest.0);
+        (self.checkpoints, self.transport.calls)
     }
 
     fn again(&mut self, every: f64, event: Event) {
-        let at = self.host.now + every * self.rng.random_range(0.5..1.5);
-        self.host.schedule(at, event);
+        let at = self.transport.now + every * self.rng.random_range(0.5..1.5);
+        self.transport.schedule(at, event);
     }
 
     fn happen(&mut self, event: Event) {
         match event {
             Event::Arrival => self.arrival(),
-            Event::Ended { scan, part, shot, end } => self.ended(scan, part, shot, end),
-            Event::Framed { scan, part, shot } => {
-                let node = self.host.scans[&scan].parts[part][shot].node;
-                self.broker.on_frame_written(
-                    &mut self.host,
-                    node,
-                    AttemptId { query: scan, part, index: shot },
-                );
+            Event::Ended { query, part, index, end } => self.ended(query, part, index, end),
+            Event::Framed { query, part, index } => {
+                let node = self.transport.queries[&query].parts[part][index].node;
+                self.router.on_frame_written(&mut self.transport, node, AttemptId { query, part, index });
             }
-            Event::TextGone(scan) => self.broker.on_body_discarded(&mut self.host, scan),
-            Event::Search(scan) => self.search(scan),
-            Event::Restore(scan, parts) => self.broker.on_prefilter_revoked(&mut self.host, scan, &parts),
-            Event::SecondStep(scan) => self.second_step(scan),
-            Event::ClientLeft(scan) => {
-                if !self.host.scans[&scan].over {
-                    self.broker.on_client_disconnect(&mut self.host, scan);
+            Event::BodyDiscarded(query) => self.router.on_body_discarded(&mut self.transport, query),
+            Event::PrefilterResult(query) => self.search(query),
+            Event::PrefilterRevoked(query, parts) => {
+                self.router.on_prefilter_revoked(&mut self.transport, query, &parts)
+            }
+            Event::SecondStep(query) => self.second_step(query),
+            Event::ClientLeft(query) => {
+                if !self.transport.queries[&query].over {
+                    self.router.on_client_disconnect(&mut self.transport, query);
                 }
             }
-            Event::Probed(node, answered) => self.broker.on_probe_result(&mut self.host, node, answered),
-            Event::Wake => self.broker.on_wake(&mut self.host),
+            Event::Probed(node, answered) => self.router.on_probe_result(&mut self.transport, node, answered),
+            Event::Wake => self.router.on_wake(&mut self.transport),
             Event::ListAnswered => {
-                let rows = self.host.rows();
-                self.broker.update_endpoints(&mut self.host, true, &rows);
+                let rows = self.transport.rows();
+                self.router.update_endpoints(&mut self.transport, true, &rows);
             }
-            Event::ListRefused => self.broker.on_list_poll_failed(&mut self.host),
+            Event::ListRefused => self.router.on_list_poll_failed(&mut self.transport),
             Event::Fault => self.fault(),
             Event::Churn => self.churn(),
             Event::Stall => {
-                self.host.now += self.rng.random_range(0.03..0.4);
+                self.transport.now += self.rng.random_range(0.03..0.4);
                 self.again(self.scenario.stalls_every, Event::Stall);
             }
             Event::ChangeRules => self.change_rules(),
             Event::ChangeLimits => self.change_limits(),
             Event::Restart => self.restart(),
             Event::Shutdown => {
-                let shutdown = Shutdown::new(self.host.now, 2.5);
+                let shutdown = Shutdown::new(self.transport.now, 2.5);
                 self.shutdown = Some(shutdown);
-                self.broker.begin_shutdown(shutdown);
+                self.router.begin_shutdown(shutdown);
             }
         }
     }
 
     fn arrival(&mut self) {
-        let rushes = (self.host.now - START) as u64 / 10 % 3 == 2;
+        let rushes = (self.transport.now - START) as u64 / 10 % 3 == 2;
         let gap = self.scenario.gap / if rushes { self.scenario.rush } else { 1.0 };
         self.again(gap, Event::Arrival);
-        self.scans += 1;
-        let id = self.scans;
-        let kinds = self.scenario.table_types;
-        let table_type = kinds[self.rng.random_range(0..kinds.len())];
-        let timeout = self.scenario.site.query_classes[table_type].timeout;
+        self.queries += 1;
+        let id = self.queries;
+        let kinds = self.scenario.query_classes;
+        let class = kinds[self.rng.random_range(0..kinds.len())];
+        let timeout = self.scenario.site.query_classes[class].timeout;
         let hasty = self.rng.random_bool(0.15);
         let expires_in = timeout * if hasty { self.rng.random_range(0.02..0.6) } else { 1.0 };
         let kept = !self.scenario.bodies || self.rng.random_bool(0.6);
         let long = self.scenario.bodies && self.rng.random_bool(0.3);
         let waits = self.scenario.prefilter && kept && self.rng.random_bool(0.3);
         let audit = self.scenario.prefilter && kept && !waits && self.rng.random_bool(0.05);
-        let parts = self.parts(table_type);
-        let scan = Query {
+        let parts = self.parts(class);
+        let query = Query {
             id,
-            class: table_type,
+            class,
             tenant: self.rng.random_range(0..4),
             expires_in,
             is_retry: self.rng.random_bool(0.1),
@@ -669,36 +667,36 @@
             audit,
             parts,
         };
-        let expires_at = self.host.now + expires_in;
+        let expires_at = self.transport.now + expires_in;
         let tracked = Tracked {
-            table_type,
+            class,
             expires_at,
             long,
             answers: 0,
             over: false,
-            parts: scan.parts.iter().map(|_| Vec::new()).collect(),
+            parts: query.parts.iter().map(|_| Vec::new()).collect(),
         };
-        self.host.scans.insert(id, tracked);
-        self.host.live.insert(id);
-        self.host.schedule(expires_at + TICK, Event::ClientLeft(id));
+        self.transport.queries.insert(id, tracked);
+        self.transport.live.insert(id);
+        self.transport.schedule(expires_at + TICK, Event::ClientLeft(id));
         if self.rng.random_bool(0.02) {
-            let at = self.host.now + self.rng.random_range(0.0..0.3);
-            self.host.schedule(at, Event::ClientLeft(id));
+            let at = self.transport.now + self.rng.random_range(0.0..0.3);
+            self.transport.schedule(at, Event::ClientLeft(id));
         }
         if self.scenario.bodies && self.rng.random_bool(0.1) {
-            let at = self.host.now + self.rng.random_range(0.0..0.5);
-            self.host.schedule(at, Event::TextGone(id));
+            let at = self.transport.now + self.rng.random_range(0.0..0.5);
+            self.transport.schedule(at, Event::BodyDiscarded(id));
         }
         if waits {
-            let at = self.host.now + self.rng.random_range(0.005..0.3);
-            self.host.schedule(at, Event::Search(id));
+            let at = self.transport.now + self.rng.random_range(0.005..0.3);
+            self.transport.schedule(at, Event::PrefilterResult(id));
         }
-        self.broker.on_query(&mut self.host, scan);
+        self.router.on_query(&mut self.transport, query);
     }
 
-    fn parts(&mut self, table_type: usize) -> Vec<Part> {
+    fn parts(&mut self, class: usize) -> Vec<Part> {
         let count = self.rng.random_range(1..=self.scenario.most_parts);
-        let owned = self.scenario.owners && table_type == FIX;
+        let owned = self.scenario.owners && class == NON_IDEMPOTENT;
         let cells = self.scenario.site.replica_groups;
         let part = |rng: &mut Pcg64Mcg| Part {
             segment: rng.random_range(0..3 * cells),
@@ -708,41 +706,41 @@
         (0..count).map(|_| part(&mut self.rng)).collect()
     }
 
-    fn second_step(&mut self, scan: QueryId) {
-        if self.host.scans[&scan].over {
+    fn second_step(&mut self, query: QueryId) {
+        if self.transport.queries[&query].over {
             return;
         }
         let parts = self.parts(FULL);
-        let tracked = self.host.scans.get_mut(&scan).expect("it is a scan of ours");
+        let tracked = self.transport.queries.get_mut(&query).expect("it is a query of ours");
         tracked.parts.extend(parts.iter().map(|_| Vec::new()));
-        self.broker.on_second_step(&mut self.host, scan, parts);
+        self.router.on_second_step(&mut self.transport, query, parts);
     }
 
-    fn ended(&mut self, scan: QueryId, part: usize, shot: usize, end: AttemptOutcome) {
-        let tracked = self.host.scans.get_mut(&scan).expect("it is a scan of ours");
-        let sent = &mut tracked.parts[part][shot];
+    fn ended(&mut self, query: QueryId, part: usize, index: usize, end: AttemptOutcome) {
+        let tracked = self.transport.queries.get_mut(&query).expect("it is a query of ours");
+        let sent = &mut tracked.parts[part][index];
         if std::mem::replace(&mut sent.ended, true) {
             return;
         }
-        let (node, took) = (sent.node, self.host.now - sent.at);
-        self.host.nodes[node].out.remove(&(scan, part, shot));
-        self.host.nodes[node].used = self.host.now;
-        self.broker.on_attempt_ended(
-            &mut self.host,
-            AttemptEnded { query: scan, part, attempt: shot, node, outcome: end, elapsed: took },
+        let (node, took) = (sent.node, self.transport.now - sent.at);
+        self.transport.nodes[node].out.remove(&(query, part, index));
+        self.transport.nodes[node].used = self.transport.now;
+        self.router.on_attempt_ended(
+            &mut self.transport,
+            AttemptEnded { query, part, attempt: index, node, outcome: end, elapsed: took },
         );
     }
 
-    fn search(&mut self, scan: QueryId) {
-        if self.host.scans[&scan].over {
+    fn search(&mut self, query: QueryId) {
+        if self.transport.queries[&query].over {
             return;
         }
-        let count = self.host.scans[&scan].parts.len();
+        let count = self.transport.queries[&query].parts.len();
         let left_out: Vec<usize> = (0..count).filter(|_| self.rng.random_bool(0.3)).collect();
-        self.broker.on_prefilter_result(&mut self.host, scan, &left_out);
+        self.router.on_prefilter_result(&mut self.transport, query, &left_out);
         if !left_out.is_empty() && self.rng.random_bool(0.3) {
-            let at = self.host.now + self.rng.random_range(0.0..0.1);
-            self.host.schedule(at, Event::Restore(scan, left_out));
+            let at = self.transport.now + self.rng.random_range(0.0..0.1);
+            self.transport.schedule(at, Event::PrefilterRevoked(query, left_out));
         }
     }
 
@@ -758,17 +756,17 @@
             Mode::Reaped,
         ];
         let id = self.rng.random_range(0..self.scenario.nodes);
-        let sick = self.host.nodes.iter().filter(|n| n.mode != Mode::Sound).count();
+        let sick = self.transport.nodes.iter().filter(|n| n.mode != Mode::Sound).count();
         // At most a third is sick at a time: the oldest faults end as new ones begin.
-        if self.host.nodes[id].mode != Mode::Sound || 3 * sick > self.scenario.nodes {
-            let first = self.host.nodes.iter().position(|n| n.mode != Mode::Sound).unwrap_or(id);
-            let mended = if self.host.nodes[id].mode == Mode::Sound { first } else { id };
-            self.host.nodes[mended].mode = Mode::Sound;
+        if self.transport.nodes[id].mode != Mode::Sound || 3 * sick > self.scenario.nodes {
+            let first = self.transport.nodes.iter().position(|n| n.mode != Mode::Sound).unwrap_or(id);
+            let mended = if self.transport.nodes[id].mode == Mode::Sound { first } else { id };
+            self.transport.nodes[mended].mode = Mode::Sound;
         } else {
             let mode = modes[self.rng.random_range(0..modes.len())];
-            self.host.nodes[id].mode = mode;
+            self.transport.nodes[id].mode = mode;
             if mode == Mode::Down {
-                self.host.crash(id);
+                self.transport.crash(id);
             }
         }
         self.again(self.scenario.faults_every, Event::Fault);
@@ -776,35 +774,36 @@
 
     fn churn(&mut self) {
         let id = self.rng.random_range(0..self.scenario.nodes);
-        let now = self.host.now;
-        let active = self.host.nodes.iter().filter(|n| n.presence == Presence::Active).count();
-        let presence = match self.host.nodes[id].presence {
+        let now = self.transport.now;
+        let active = self.transport.nodes.iter().filter(|n| n.presence == Presence::Active).count();
+        let presence = match self.transport.nodes[id].presence {
             Presence::Active if 3 * active < 2 * self.scenario.nodes || self.rng.random_bool(0.4) => {
-                self.host.crash(id);
-                self.host.nodes[id].started = now;
+                self.transport.crash(id);
+                self.transport.nodes[id].started = now;
                 Presence::Active
             }
             Presence::Active => Presence::Draining,
             Presence::Draining => {
-                self.host.crash(id);
+                self.transport.crash(id);
                 Presence::Gone
             }
-            Presence::Gone if self.host.nodes[id].out.is_empty() && self.broker.outstanding(id) == 0 => {
-                self.broker.remove_node(id);
-                self.host.nodes[id].cell = self.rng.random_range(0..self.scenario.site.replica_groups);
+            Presence::Gone if self.transport.nodes[id].out.is_empty() && self.router.outstanding(id) == 0 => {
+                self.router.remove_node(id);
+                self.transport.nodes[id].cell = self.rng.random_range(0..self.scenario.site.replica_groups);
                 Presence::Forgotten
             }
             Presence::Gone => Presence::Gone,
             Presence::Forgotten => {
-                self.host.nodes[id].started = now;
+                self.transport.nodes[id].started = now;
                 Presence::Active
             }
         };
-        self.host.nodes[id].presence = presence;
+        self.transport.nodes[id].presence = presence;
         if self.scenario.site.list_poll_deadline.is_none() || self.rng.random_bool(0.1) {
             let complete = self.rng.random_bool(0.3);
-            let rows = if complete { self.host.rows() } else { self.host.row(id).into_iter().collect() };
-            self.broker.update_endpoints(&mut self.host, complete, &rows);
+            let rows =
+                if complete { self.transport.rows() } else { self.transport.row(id).into_iter().collect() };
+            self.router.update_endpoints(&mut self.transport, complete, &rows);
         }
         self.again(self.scenario.churn_every, Event::Churn);
     }
@@ -831,7 +830,7 @@
         rules.hedging_enabled = self.rng.random_bool(0.7);
         rules.slow_start_multiple = self.rng.random_range(0.5..4.0);
         rules.max_retry_after = self.rng.random_range(0.0..3.0);
-        self.broker.set_rules(&rules);
+        self.router.set_rules(&rules);
         self.again(self.scenario.rules_every, Event::ChangeRules);
     }
 
@@ -842,47 +841,47 @@
         };
         let limits =
             QuotaShares { slow_start: part(20.0), retries: part(1.0), quotas: vec![part(1.0), part(1.0)] };
-        self.broker.set_quota_shares(limits);
+        self.router.set_quota_shares(limits);
         self.again(self.scenario.limits_every, Event::ChangeLimits);
     }
 
     /// Another process in this one's place: after an orderly end with all that was learned and spent, or after a crash.
     fn restart(&mut self) {
-        let beliefs = self.broker.learned_state(&self.host);
-        let ledger = self.broker.spent_budgets(&self.host);
-        self.broker = Router::new(self.scenario.site.clone());
-        for scan in std::mem::take(&mut self.host.live) {
-            self.host.scans.get_mut(&scan).expect("it is a scan of ours").over = true;
+        let learned = self.router.learned_state(&self.transport);
+        let spent = self.router.spent_budgets(&self.transport);
+        self.router = Router::new(self.scenario.site.clone());
+        for query in std::mem::take(&mut self.transport.live) {
+            self.transport.queries.get_mut(&query).expect("it is a query of ours").over = true;
         }
-        let rows: Vec<_> = (0..self.scenario.nodes).filter_map(|id| self.host.row(id)).collect();
-        self.host.now += 0.2;
-        self.broker.update_endpoints(&mut self.host, true, &rows);
+        let rows: Vec<_> = (0..self.scenario.nodes).filter_map(|id| self.transport.row(id)).collect();
+        self.transport.now += 0.2;
+        self.router.update_endpoints(&mut self.transport, true, &rows);
         if self.rng.random_bool(0.7) {
-            self.broker.restore_learned(&mut self.host, &beliefs);
+            self.router.restore_learned(&mut self.transport, &learned);
         }
         let orderly = self.rng.random_bool(0.6);
-        self.broker.restore_spent(&mut self.host, orderly.then_some(&ledger));
+        self.router.restore_spent(&mut self.transport, orderly.then_some(&spent));
         self.again(self.scenario.restart_every, Event::Restart);
     }
 
-    /// What the broker tells when asked, as it is on the way.
+    /// What the router tells when asked, as it is on the way.
     fn look(&mut self) {
-        let demand = self.broker.quota_demand(10.0);
-        let digest = &mut self.host.digest;
+        let demand = self.router.quota_demand(10.0);
+        let digest = &mut self.transport.digest;
         digest.number(demand.slow_start);
         digest.number(demand.retries);
         digest.number(demand.retries_denied);
-        digest.flag(self.broker.is_overloaded());
-        for id in 0..=self.host.nodes.iter().rposition(|n| n.presence == Presence::Active).unwrap_or(0) {
-            digest.index(self.broker.outstanding(id));
+        digest.flag(self.router.is_overloaded());
+        for id in 0..=self.transport.nodes.iter().rposition(|n| n.presence == Presence::Active).unwrap_or(0) {
+            digest.index(self.router.outstanding(id));
         }
-        let seg = (self.scans as usize) % self.scenario.site.replica_groups;
-        self.broker.prefilter_candidates(seg).for_each(|id| digest.index(id));
-        for scan in &self.host.live {
-            digest.flag(self.broker.needs_body(*scan));
+        let segment = (self.queries as usize) % self.scenario.site.replica_groups;
+        self.router.prefilter_candidates(segment).for_each(|id| digest.index(id));
+        for query in &self.transport.live {
+            digest.flag(self.router.needs_body(*query));
         }
         if let Some(shutdown) = &self.shutdown {
-            let now = self.host.now;
+            let now = self.transport.now;
             digest.index(match shutdown.stage(now) {
                 ShutdownStage::Serving => 0,
                 ShutdownStage::ClosingAfterAnswers => 1,
@@ -897,10 +896,10 @@
 
     /// What it has learned and spent.
     fn look_deeply(&mut self) {
-        let beliefs = self.broker.learned_state(&self.host);
-        let ledger = self.broker.spent_budgets(&self.host);
-        let digest = &mut self.host.digest;
-        for node in &beliefs.nodes {
+        let learned = self.router.learned_state(&self.transport);
+        let spent = self.router.spent_budgets(&self.transport);
+        let digest = &mut self.transport.digest;
+        for node in &learned.nodes {
             digest.index(node.node);
             digest.flag(node.ejected);
             for sample in &node.samples {
@@ -912,21 +911,21 @@
                 digest.flag(sample.fault);
             }
         }
-        for LatencyRecord { latency: took, ago, node_share: part } in &beliefs.latency_samples {
+        for LatencyRecord { latency: took, ago, node_share: part } in &learned.latency_samples {
             [*took, *ago, *part].into_iter().for_each(|n| digest.number(n));
         }
-        for IdleResetRecord { ago, idle_seconds: idle, broke } in &beliefs.idle_resets {
+        for IdleResetRecord { ago, idle_seconds: idle, broke } in &learned.idle_resets {
             digest.number(*ago);
             digest.number(*idle);
             digest.flag(*broke);
         }
-        digest.number(beliefs.baseline_latency.unwrap_or(-1.0));
-        ledger.retries.iter().for_each(|ago| digest.number(*ago));
-        for AdmissionRecord { ago, count } in &ledger.admissions {
+        digest.number(learned.baseline_latency.unwrap_or(-1.0));
+        spent.retries.iter().for_each(|ago| digest.number(*ago));
+        for AdmissionRecord { ago, count } in &spent.admissions {
             digest.number(*ago);
             digest.number(*count);
         }
-        for SlowStartRecord { node, sent_ago: times } in &ledger.slow_start_sends {
+        for SlowStartRecord { node, sent_ago: times } in &spent.slow_start_sends {
             digest.index(*node);
             times.iter().for_each(|ago| digest.number(*ago));
         }
--- a/crates/dunepond-routing/tests/quota_shares.rs
+++ b/crates/dunepond-routing/tests/quota_shares.rs
@@ -16,7 +16,7 @@
 #[case::all(10.0, 10)]
 #[case::half(5.0, 5)]
 #[case::none(0.0, 0)]
-fn a_cold_node_is_sent_what_our_part_allows(#[case] rate: f64, #[case] most: usize) {
+fn a_node_in_slow_start_is_sent_what_our_share_allows(#[case] rate: f64, #[case] most: usize) {
     let mut cluster = Cluster::new(Deployment { replicas: 1, ..site() });
     let now = cluster.transport.now;
     cluster.list(false, &[row(0, EndpointState::Active, now - 3.0)]);
@@ -35,7 +35,7 @@
 #[case::even(Some(1.0 / 3.0), 4)]
 #[case::most(Some(0.75), 9)]
 #[case::none(Some(0.0), 0)]
-fn further_dispatches_keep_to_our_part(#[case] part: Option<f64>, #[case] most: usize) {
+fn retries_keep_to_our_share(#[case] part: Option<f64>, #[case] most: usize) {
     let budget = Some(RetryBudget { window: 60.0, min_retries: 4.0, ratio: 0.0 });
     let mut cluster = Cluster::new(Deployment { retry_budget: budget, max_attempts: 20, ..site() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
@@ -51,7 +51,7 @@
 
 /// What was spent under a larger part fills the window under a smaller one.
 #[test]
-fn a_part_that_goes_down_counts_what_was_spent_before() {
+fn a_share_that_shrinks_counts_what_was_spent_before() {
     let budget = Some(RetryBudget { window: 60.0, min_retries: 4.0, ratio: 0.0 });
     let mut cluster = Cluster::new(Deployment { retry_budget: budget, ..site() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
@@ -70,7 +70,7 @@
 
 /// Pressed, what is beyond a customer's share goes first: with all of its quota here more of it stays.
 #[test]
-fn a_customer_is_inside_its_share_as_long_as_our_part_of_it_lasts() {
+fn a_tenant_is_within_its_quota_as_long_as_our_share_of_it_lasts() {
     let served = |part: Option<f64>| {
         let mut cluster = Cluster::new(Deployment { quotas: vec![3.0], ..site() });
         cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 1.75)); 6];
--- a/crates/dunepond-routing/tests/rules.rs
+++ b/crates/dunepond-routing/tests/rules.rs
@@ -7,9 +7,9 @@
 use support::*;
 
 const COMPLETE: FinalAnswer = FinalAnswer::Answer { complete: true };
-const PART: FinalAnswer = FinalAnswer::Answer { complete: false };
+const PARTIAL_ANSWER: FinalAnswer = FinalAnswer::Answer { complete: false };
 
-fn throttled(cluster: &Cluster, query: QueryId) -> bool {
+fn is_rejected(cluster: &Cluster, query: QueryId) -> bool {
     matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }])
 }
 
@@ -18,7 +18,7 @@
 #[rstest]
 #[case::non_replayable(NON_IDEMPOTENT)]
 #[case::replayable(FULL)]
-fn a_part_with_an_owner_goes_to_no_other(#[case] kind: usize, #[values(0, 1, 2)] owner: NodeId) {
+fn a_part_with_a_required_node_goes_to_no_other(#[case] kind: usize, #[values(0, 1, 2)] owner: NodeId) {
     let mut cluster = Cluster::new(site());
     let queries: Vec<_> = (0..20).map(|_| cluster.with_required_node(kind, 0, owner)).collect();
     cluster.run(3.0);
@@ -31,7 +31,7 @@
 #[case::silent(None)]
 #[case::failing(Some((AttemptOutcome::Error, 0.01)))]
 #[case::full(Some((AttemptOutcome::Rejected, 0.01)))]
-fn what_its_owner_does_not_serve_goes_nowhere_else(
+fn what_its_required_node_does_not_serve_goes_nowhere_else(
     #[case] owner: Option<(AttemptOutcome, f64)>,
     #[values(NON_IDEMPOTENT, FULL)] kind: usize,
 ) {
@@ -49,11 +49,14 @@
 #[case::gone(1, EndpointState::Removed)]
 #[case::no_holder_of_that_segment(4, EndpointState::Active)]
 #[case::unknown(99, EndpointState::Active)]
-fn a_part_whose_owner_cannot_have_it_is_throttled_at_once(#[case] owner: NodeId, #[case] is: EndpointState) {
+fn a_part_whose_required_node_cannot_have_it_is_rejected_at_once(
+    #[case] owner: NodeId,
+    #[case] is: EndpointState,
+) {
     let mut cluster = Cluster::new(site());
     cluster.list(false, &[row(owner.min(5), is, 0.0)]);
     let query = cluster.with_required_node(NON_IDEMPOTENT, 0, owner);
-    assert!(throttled(&cluster, query));
+    assert!(is_rejected(&cluster, query));
     assert!(cluster.sent(query).is_empty());
 }
 
@@ -61,7 +64,7 @@
 #[rstest]
 #[case::drains(false)]
 #[case::its_index_is_given_to_another(true)]
-fn a_part_whose_owner_leaves_while_it_waits_is_throttled_soon(#[case] another: bool) {
+fn a_part_whose_required_node_leaves_while_it_waits_is_rejected_soon(#[case] another: bool) {
     let mut cluster = Cluster::new(site());
     cluster.list(false, &[row(1, EndpointState::Active, cluster.transport.now)]);
     cluster.router.restore_spent(&mut cluster.transport, None);
@@ -74,7 +77,7 @@
         cluster.list(false, &[row(1, EndpointState::Active, 0.0)]);
     }
     cluster.run(0.1);
-    assert!(throttled(&cluster, query));
+    assert!(is_rejected(&cluster, query));
     assert!(cluster.sent(query).is_empty());
 }
 
@@ -93,20 +96,20 @@
 
 /// Two of four parts are in when its time is up; one share asks for half, the other for all.
 #[rstest]
-fn a_partial_answer_needs_the_greater_of_then_and_now(#[values(true, false)] tighter_now: bool) {
+fn a_partial_answer_needs_the_greater_minimum_share(#[values(true, false)] tighter_now: bool) {
     let (mut cluster, now) = changed(site(), |r| r.minimum_share[PARTIAL] = 1.0, tighter_now);
     (2..6).for_each(|n| cluster.transport.nodes[n] = None);
     let begun = cluster.with_required_nodes(PARTIAL, &[(0, 0), (1, 1), (2, 2), (3, 3)]);
     cluster.router.set_rules(&now);
     let after = cluster.with_required_nodes(PARTIAL, &[(0, 0), (1, 1), (2, 2), (3, 3)]);
     cluster.run(4.0);
-    assert!(throttled(&cluster, begun));
-    assert_eq!(cluster.answers(after) == [PART], !tighter_now);
+    assert!(is_rejected(&cluster, begun));
+    assert_eq!(cluster.answers(after) == [PARTIAL_ANSWER], !tighter_now);
 }
 
 /// Three of five parts are in at once; one share asks for 0.6, the other for all.
 #[rstest]
-fn a_whole_answer_needs_the_greater_of_then_and_now(#[values(true, false)] tighter_now: bool) {
+fn a_complete_answer_needs_the_greater_share(#[values(true, false)] tighter_now: bool) {
     let (mut cluster, now) = changed(site(), |r| r.complete_at[QUICK] = 1.0, tighter_now);
     cluster.transport.nodes = vec![None; 6];
     let begun = cluster.query(QUICK, &[0, 1, 2, 3, 4]);
@@ -121,7 +124,7 @@
 }
 
 #[rstest]
-fn a_part_goes_no_further_than_the_smaller_cap(#[values(true, false)] tighter_now: bool) {
+fn a_part_is_not_sent_beyond_the_smaller_attempt_cap(#[values(true, false)] tighter_now: bool) {
     let (mut cluster, now) = changed(site(), |r| r.max_attempts = 2, tighter_now);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.01)); 6];
     let begun = cluster.query(FULL, &[0]);
@@ -131,7 +134,7 @@
 }
 
 #[rstest]
-fn a_copy_is_made_only_where_then_and_now_allow_one(#[values(true, false)] tighter_now: bool) {
+fn a_hedge_is_sent_only_where_both_rules_allow_one(#[values(true, false)] tighter_now: bool) {
     let (mut cluster, now) = changed(site(), |r| r.hedging_enabled = false, tighter_now);
     cluster.traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes = vec![None; 6];
@@ -145,7 +148,7 @@
 #[rstest]
 #[case::tighter_now(true, Some(RetryBudget { window: 2.0, min_retries: 1.0, ratio: 0.0 }))]
 #[case::tighter_then(false, Some(RetryBudget { window: 2.0, min_retries: 1.0, ratio: 0.0 }))]
-fn further_dispatches_stay_in_both_budgets(#[case] tighter_now: bool, #[case] tight: Option<RetryBudget>) {
+fn retries_stay_within_both_budgets(#[case] tighter_now: bool, #[case] tight: Option<RetryBudget>) {
     let wide = Some(RetryBudget { window: 2.0, min_retries: 50.0, ratio: 0.0 });
     let site = Deployment { retry_budget: wide, ..site() };
     let (mut cluster, now) = changed(site, |r| r.retry_budget = tight.clone(), tighter_now);
@@ -160,7 +163,7 @@
 #[rstest]
 #[case::none(None)]
 #[case::shorter(Some(RetryBudget { window: 0.5, min_retries: 50.0, ratio: 0.0 }))]
-fn a_longer_window_takes_all_that_came_before_for_spent(#[case] before: Option<RetryBudget>) {
+fn a_longer_window_counts_everything_before_as_spent(#[case] before: Option<RetryBudget>) {
     let mut cluster = Cluster::new(Deployment { retry_budget: before, ..site() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.1)); 6];
     cluster.query(FULL, &[0]);
@@ -176,7 +179,7 @@
 
 /// One node with room for five parts a second, or for none for a long time.
 #[rstest]
-fn a_cold_node_gets_what_the_smaller_multiple_allows(#[values(true, false)] tighter_now: bool) {
+fn a_node_in_slow_start_gets_what_the_smaller_multiple_allows(#[values(true, false)] tighter_now: bool) {
     let (mut cluster, now) = changed(site(), |r| r.slow_start_multiple = 0.01, tighter_now);
     cluster.traffic(FULL, 3.0, 0.05);
     let start = cluster.transport.now;
@@ -189,7 +192,7 @@
 }
 
 #[rstest]
-fn a_reply_names_no_longer_wait_than_then_and_now(#[values(true, false)] tighter_now: bool) {
+fn a_rejection_names_no_longer_wait_than_both_rules_allow(#[values(true, false)] tighter_now: bool) {
     let (mut cluster, now) = changed(site(), |r| r.max_retry_after = 0.0, tighter_now);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Rejected, 0.01)); 6];
     let begun = cluster.query(FULL, &[0]);
@@ -200,7 +203,7 @@
 
 /// A share that the rules leave out is all there is; nothing panics.
 #[test]
-fn a_share_that_is_missing_is_the_strictest() {
+fn a_missing_share_is_the_strictest() {
     let mut cluster = Cluster::new(site());
     cluster.router.set_rules(&Rules { minimum_share: vec![], complete_at: vec![], ..Rules::of(&site()) });
     cluster.transport.nodes = vec![None; 6];
--- a/crates/dunepond-routing/tests/shutdown.rs
+++ b/crates/dunepond-routing/tests/shutdown.rs
@@ -28,7 +28,7 @@
 
 /// Between a look at the clock and the last answer a broker may be held up for 0.15 s; and 3 s of a longer timeout count.
 #[rstest]
-fn the_last_answers_leave_time_to_the_kill(#[values(0.05, 0.3, 2.0, 3.0, 60.0)] timeout: f64) {
+fn the_last_answers_leave_a_margin_to_the_kill(#[values(0.05, 0.3, 2.0, 3.0, 60.0)] timeout: f64) {
     let left = timeout.min(3.0) + 0.7 - (Shutdown::new(100.0, timeout).last_answers_at() - 100.0);
     assert!(left > 0.2 && left < 0.3, "{left}");
     assert!(Shutdown::new(100.0, timeout).next_stage_at(100.0).is_some());
@@ -38,7 +38,7 @@
 #[rstest]
 #[case::there_is_time(2.0, None)]
 #[case::it_outlasts_the_process(5.0, Some(FinalAnswer::Rejected { retry_after: 0.0 }))]
-fn what_comes_late_is_refused_if_it_outlasts_the_process(
+fn a_late_query_is_rejected_if_it_outlasts_the_process(
     #[case] client_waits: f64,
     #[case] answer: Option<FinalAnswer>,
 ) {
@@ -54,7 +54,7 @@
 /// A body that was coming in as the broker was told to end has until the last answers. How long that is from now on and when
 /// it ends are rounded, one against the other.
 #[test]
-fn what_has_until_the_last_answers_is_taken_however_that_is_rounded() {
+fn a_query_with_time_until_the_last_answers_is_served_however_that_is_rounded() {
     for step in 0..200 {
         let mut cluster = Cluster::new(site());
         cluster.transport.now = 1_764_700_000.0 + 0.001_7 * f64::from(step);
@@ -73,7 +73,7 @@
 
 /// It came before the signal, and its client has more time than the process.
 #[test]
-fn what_is_in_hand_ends_by_the_last_answers() {
+fn queries_in_flight_end_by_the_last_answers() {
     let mut cluster = Cluster::new(site());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(NON_IDEMPOTENT, &[0]);
--- a/crates/dunepond-routing/tests/stalls.rs
+++ b/crates/dunepond-routing/tests/stalls.rs
@@ -12,7 +12,7 @@
 #[rstest]
 #[case::in_time(0.8, 2)]
 #[case::too_close_to_the_end_of_the_window(0.9, 1)]
-fn a_repeat_leaves_time_to_the_end_of_its_window(#[case] fails_after: f64, #[case] attempts: usize) {
+fn a_repeat_leaves_a_margin_to_the_end_of_its_window(#[case] fails_after: f64, #[case] attempts: usize) {
     let mut cluster = Cluster::new(site());
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, fails_after)); 6];
     let query = cluster.query(KEYED, &[0]);
@@ -23,7 +23,7 @@
 #[rstest]
 #[case::in_time(1.9, 2)]
 #[case::too_close_to_the_end_of_its_clients_time(1.97, 1)]
-fn a_retry_begins_before_the_last_call(#[case] fails_after: f64, #[case] attempts: usize) {
+fn a_retry_begins_before_the_decision_deadline(#[case] fails_after: f64, #[case] attempts: usize) {
     let mut cluster = Cluster::new(Deployment { hedging_enabled: false, ..site() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, fails_after)); 6];
     let query = cluster.query_with(FULL, &[0], 0, 2.0, false);
@@ -36,7 +36,7 @@
 #[rstest]
 #[case::enough(0.1, true)]
 #[case::less_than_nodes_take(0.02, false)]
-fn what_comes_with_little_time_is_sent_on_if_nodes_are_quick_enough(#[case] left: f64, #[case] sent: bool) {
+fn a_query_with_little_time_is_sent_if_nodes_are_quick_enough(#[case] left: f64, #[case] sent: bool) {
     let mut cluster = Cluster::new(site());
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.02)); 6];
     cluster.traffic(FULL, 2.0, 0.02);
