--- a/crates/dunepond-settlement/src/counts.rs
+++ b/crates/dunepond-settlement/src/counts.rs
@@ -238,7 +238,7 @@
 impl LocalCounts {
     /// At a start, with what the folder had. Finished incarnations are folded into one sum: only by the broker itself, once,
     /// and only those that its own folder saw from beginning to end. Incarnations that it knows from peers alone (its folder
-    /// was lost) may be incomplete: they stay unfolded, and with them the later ones, up to [`MAX_LIVE_COUNT`]. Beyond that
+    /// was lost) may be incomplete: they stay unfolded, and with them the later ones, up to a limit. Beyond that
     /// they are folded as known; what was still in flight is lost, never counted twice.
     ///
     /// # Errors
