--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -8,7 +8,9 @@
 
 use dunepond_body_buffer::{BodyId, Done};
 use dunepond_config::operator::Operator;
-use dunepond_routing::{AttemptId, NOTICEABLE_PAUSE_SECONDS, Query, QueryId, Router, Shutdown, ShutdownStage};
+use dunepond_routing::{
+    AttemptId, NOTICEABLE_PAUSE_SECONDS, Query, QueryId, Router, Shutdown, ShutdownStage,
+};
 use tracing::{info, warn};
 
 use crate::background::Background;
--- a/crates/dunepond-rebalance/src/book.rs
+++ b/crates/dunepond-rebalance/src/book.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::layout::Wave;
-use crate::{Act, MoveError, PASTS, Pace, Plan, Step, TRIES, prove};
+use crate::{Act, MAX_ENDED_PLANS, MAX_STEP_ATTEMPTS, MoveError, Pace, Plan, Step, prove};
 
 /// On whose word.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -334,7 +334,7 @@
             Some(_) if running.paused.is_some() || (running.undoing.is_some() && running.back.is_none()) => {}
             Some(why) => {
                 running.tries += 1;
-                if running.tries >= TRIES {
+                if running.tries >= MAX_STEP_ATTEMPTS {
                     running.paused = Some(Pause::Failed { why: why.to_string() });
                 }
             }
@@ -350,7 +350,7 @@
             return;
         }
         let Some(running) = self.running.take() else { return };
-        if self.ended.len() == PASTS {
+        if self.ended.len() == MAX_ENDED_PLANS {
             self.ended.pop_front();
         }
         let how = match running.undoing {
--- a/crates/dunepond-rebalance/src/layout.rs
+++ b/crates/dunepond-rebalance/src/layout.rs
@@ -218,156 +218,190 @@
         holders.iter().find(|holder| holder.node == node).map(|holder| holder.partner.clone())
     }
 
-    /// Does the act, or says why it is not possible as things stand. `taken`: ids of segments that are not among these.
+    /// Applies the act, or says why it is not possible as things stand. `taken`: ids of segments outside this layout.
     pub fn apply(
         &mut self,
         operation: usize,
         act: &Act,
         taken: impl Fn(u64) -> bool,
     ) -> Result<Applied, MoveError> {
-        let free = |layout: &Self, id: u64, going: &[u64]| {
-            let there = layout.segments.contains_key(&id) || taken(id);
-            if there && !going.contains(&id) { Err(MoveError::IdTaken { operation, id }) } else { Ok(()) }
-        };
-        let no_holder = |segment: &Segment, node: &str| MoveError::NoHolder {
-            operation,
-            segment: segment.id,
-            node: node.to_string(),
+        self.check_not_pending(operation, act)?;
+        let check_free = |layout: &Self, id: u64| {
+            let exists = layout.segments.contains_key(&id) || taken(id);
+            if exists && !act.takes().contains(&id) {
+                return Err(MoveError::IdTaken { operation, id });
+            }
+            Ok(())
         };
-        // A segment under a fill waits for its own switch.
-        if !matches!(act, Act::Switch { .. } | Act::Drop { .. })
-            && let Some(segment) = act.takes().iter().find(|id| self.is_pending(**id))
-        {
-            let to = self.segment(operation, *segment)?.replicas.last();
-            let node = to.map_or(String::new(), |holder| holder.node.clone());
-            return Err(MoveError::Unfilled { operation, segment: *segment, node });
-        }
-        let (put, mut pending) = match act {
+        // Segments that the act puts, and the one whose fill becomes pending or is over.
+        let (put, pending) = match act {
             Act::Split { segment, at, into } => {
-                let old = self.segment(operation, *segment)?.clone();
-                for id in into {
-                    free(self, *id, act.takes())?;
-                }
-                let inside = |at: &&u64| old.keys.contains(**at) && **at != old.keys.from;
-                if let Some(at) = at.iter().find(|at| !inside(at)) {
-                    return Err(MoveError::SplitOutside { operation, segment: *segment, at: *at });
-                }
-                filled(operation, &old)?;
-                let froms = [old.keys.from].into_iter().chain(at.iter().copied());
-                let ends = at.iter().map(|at| Some(*at)).chain([old.keys.to]);
-                let parts = froms.zip(ends).zip(into).map(|((from, to), id)| Segment {
-                    id: *id,
-                    keys: KeyRange { from, to },
-                    ..Segment::clone(&old)
-                });
-                (parts.collect(), None)
+                self.segment(operation, *segment)?;
+                into.iter().try_for_each(|id| check_free(self, *id))?;
+                (self.split(operation, *segment, at, into)?, None)
             }
             Act::Merge { segments, into } => {
-                free(self, *into, segments)?;
-                let olds: Vec<_> = segments
-                    .iter()
-                    .map(|id| self.segment(operation, *id).cloned())
-                    .collect::<Result<_, _>>()?;
-                for two in olds.windows(2) {
-                    let (first, second) = (two[0].id, two[1].id);
-                    if two[0].keys.to != Some(two[1].keys.from) {
-                        return Err(MoveError::Apart { operation, first, second });
-                    }
-                    let names = |segment: &Segment| {
-                        segment.replicas.iter().map(|holder| holder.node.clone()).collect::<BTreeSet<_>>()
-                    };
-                    if two[0].owner != two[1].owner || names(&two[0]) != names(&two[1]) {
-                        return Err(MoveError::HeldOtherwise { operation, first, second });
-                    }
-                }
-                olds.iter().try_for_each(|old| filled(operation, old))?;
-                let mut new = Segment::clone(&olds[0]);
-                (new.id, new.keys.to) = (*into, olds[olds.len() - 1].keys.to);
-                // Reads of a holder: what it had of all of them.
-                for holder in &mut new.replicas {
-                    let of = |old: &Arc<Segment>| {
-                        old.replicas.iter().find(|h| h.node == holder.node).map_or(0.0, |h| h.share)
-                    };
-                    holder.share = olds.iter().map(of).sum::<f64>() / olds.len() as f64;
-                }
-                (vec![new], None)
+                check_free(self, *into)?;
+                (vec![self.merge(operation, segments, *into)?], None)
             }
             Act::Fill { segment, to, partner } => {
-                let mut new = Segment::clone(self.segment(operation, *segment)?);
-                if new.replicas.iter().any(|holder| holder.node == *to) {
-                    return Err(MoveError::HoldsAlready { operation, segment: *segment, node: to.clone() });
-                }
-                filled(operation, &new)?;
-                let (node, partner) = (to.clone(), partner.clone());
-                new.replicas.push(Replica { node, partner, filled: false, share: 0.0 });
-                (vec![new], Some((*segment, true)))
-            }
-            Act::Switch { segment, from, to } if from == to => {
-                return Err(MoveError::Nowhere { operation, segment: *segment, node: to.clone() });
+                (vec![self.fill(operation, *segment, to, partner)?], Some((*segment, true)))
             }
             Act::Switch { segment, from, to } => {
-                let mut new = Segment::clone(self.segment(operation, *segment)?);
-                let place = |new: &Segment, node: &str| {
-                    new.replicas.iter().position(|h| h.node == node).ok_or_else(|| no_holder(new, node))
-                };
-                let (to_at, from_at) = (place(&new, to)?, place(&new, from)?);
-                let mut holder = new.replicas.remove(to_at);
-                let from_at = from_at - usize::from(to_at < from_at);
-                (holder.filled, holder.share) = (true, holder.share + new.replicas[from_at].share);
-                new.replicas[from_at] = holder;
-                if new.owner == *from {
-                    new.owner = to.clone();
-                }
-                (vec![new], Some((*segment, false)))
-            }
-            Act::Own { segment, to } => {
-                let mut new = Segment::clone(self.segment(operation, *segment)?);
-                if new.owner == *to {
-                    return Err(MoveError::Nowhere { operation, segment: *segment, node: to.clone() });
-                }
-                match new.replicas.iter().find(|holder| holder.node == *to) {
-                    None => return Err(no_holder(&new, to)),
-                    Some(_) => filled(operation, &new)?,
-                }
-                new.owner = to.clone();
-                (vec![new], None)
+                (vec![self.switch(operation, *segment, from, to)?], Some((*segment, false)))
             }
+            Act::Own { segment, to } => (vec![self.own(operation, *segment, to)?], None),
             Act::Drop { segment, to } => {
-                let mut new = Segment::clone(self.segment(operation, *segment)?);
-                let at = new.replicas.iter().position(|holder| holder.node == *to);
-                let at = at.ok_or_else(|| no_holder(&new, to))?;
-                new.replicas.remove(at);
-                (vec![new], Some((*segment, false)))
+                (vec![self.drop_replica(operation, *segment, to)?], Some((*segment, false)))
             }
         };
-        let gone = act.takes().iter().filter_map(|id| self.segments.remove(id)).collect();
-        if let Some((id, now)) = pending {
-            let was = self.pending.contains(&id);
-            if now {
-                self.pending.insert(id)
-            } else {
-                self.pending.remove(&id)
+        Ok(self.replace(act, put, pending))
+    }
+
+    /// A segment that is being filled waits for its own switch.
+    fn check_not_pending(&self, operation: usize, act: &Act) -> Result<(), MoveError> {
+        if matches!(act, Act::Switch { .. } | Act::Drop { .. }) {
+            return Ok(());
+        }
+        let Some(segment) = act.takes().iter().find(|id| self.is_pending(**id)) else { return Ok(()) };
+        let to = self.segment(operation, *segment)?.replicas.last();
+        let node = to.map_or(String::new(), |holder| holder.node.clone());
+        Err(MoveError::Unfilled { operation, segment: *segment, node })
+    }
+
+    fn split(
+        &self,
+        operation: usize,
+        segment: u64,
+        at: &[u64],
+        into: &[u64],
+    ) -> Result<Vec<Segment>, MoveError> {
+        let old = self.segment(operation, segment)?;
+        let is_inside = |key: u64| old.keys.contains(key) && key != old.keys.from;
+        if let Some(at) = at.iter().find(|at| !is_inside(**at)) {
+            return Err(MoveError::SplitOutside { operation, segment, at: *at });
+        }
+        filled(operation, old)?;
+        let froms = [old.keys.from].into_iter().chain(at.iter().copied());
+        let ends = at.iter().map(|at| Some(*at)).chain([old.keys.to]);
+        let parts = froms.zip(ends).zip(into).map(|((from, to), id)| Segment {
+            id: *id,
+            keys: KeyRange { from, to },
+            ..Segment::clone(old)
+        });
+        Ok(parts.collect())
+    }
+
+    fn merge(&self, operation: usize, segments: &[u64], into: u64) -> Result<Segment, MoveError> {
+        let olds = segments.iter().map(|id| self.segment(operation, *id).cloned());
+        let olds: Vec<Arc<Segment>> = olds.collect::<Result<_, _>>()?;
+        for two in olds.windows(2) {
+            check_mergeable(operation, &two[0], &two[1])?;
+        }
+        olds.iter().try_for_each(|old| filled(operation, old))?;
+        let mut new = Segment::clone(&olds[0]);
+        (new.id, new.keys.to) = (into, olds[olds.len() - 1].keys.to);
+        // A replica's share of the reads: the mean of its shares so far.
+        for holder in &mut new.replicas {
+            let share_of = |old: &Arc<Segment>| {
+                old.replicas.iter().find(|h| h.node == holder.node).map_or(0.0, |h| h.share)
             };
-            pending = Some((id, was));
+            holder.share = olds.iter().map(share_of).sum::<f64>() / olds.len() as f64;
         }
-        let ids = put.iter().map(|segment: &Segment| segment.id).collect();
+        Ok(new)
+    }
+
+    fn fill(&self, operation: usize, segment: u64, to: &str, partner: &str) -> Result<Segment, MoveError> {
+        let mut new = Segment::clone(self.segment(operation, segment)?);
+        if new.replicas.iter().any(|holder| holder.node == to) {
+            return Err(MoveError::HoldsAlready { operation, segment, node: to.to_string() });
+        }
+        filled(operation, &new)?;
+        let (node, partner) = (to.to_string(), partner.to_string());
+        new.replicas.push(Replica { node, partner, filled: false, share: 0.0 });
+        Ok(new)
+    }
+
+    fn switch(&self, operation: usize, segment: u64, from: &str, to: &str) -> Result<Segment, MoveError> {
+        if from == to {
+            return Err(MoveError::Nowhere { operation, segment, node: to.to_string() });
+        }
+        let mut new = Segment::clone(self.segment(operation, segment)?);
+        let (to_at, from_at) = (position(operation, &new, to)?, position(operation, &new, from)?);
+        let mut holder = new.replicas.remove(to_at);
+        let from_at = from_at - usize::from(to_at < from_at);
+        (holder.filled, holder.share) = (true, holder.share + new.replicas[from_at].share);
+        new.replicas[from_at] = holder;
+        if new.owner == from {
+            new.owner = to.to_string();
+        }
+        Ok(new)
+    }
+
+    fn own(&self, operation: usize, segment: u64, to: &str) -> Result<Segment, MoveError> {
+        let mut new = Segment::clone(self.segment(operation, segment)?);
+        if new.owner == to {
+            return Err(MoveError::Nowhere { operation, segment, node: to.to_string() });
+        }
+        position(operation, &new, to)?;
+        filled(operation, &new)?;
+        new.owner = to.to_string();
+        Ok(new)
+    }
+
+    fn drop_replica(&self, operation: usize, segment: u64, to: &str) -> Result<Segment, MoveError> {
+        let mut new = Segment::clone(self.segment(operation, segment)?);
+        let at = position(operation, &new, to)?;
+        new.replicas.remove(at);
+        Ok(new)
+    }
+
+    /// Puts segments in the place of those that the act takes.
+    fn replace(&mut self, act: &Act, put: Vec<Segment>, pending: Option<(u64, bool)>) -> Applied {
+        let gone = act.takes().iter().filter_map(|id| self.segments.remove(id)).collect();
+        let pending_before = pending.map(|(id, is_pending)| {
+            let was_pending = self.set_pending(id, is_pending);
+            (id, was_pending)
+        });
+        let ids = put.iter().map(|segment| segment.id).collect();
         self.segments.extend(put.into_iter().map(|segment| (segment.id, Arc::new(segment))));
-        Ok(Applied { gone, put: ids, pending })
+        Applied { gone, put: ids, pending: pending_before }
+    }
+
+    /// Whether it was pending before.
+    fn set_pending(&mut self, id: u64, is_pending: bool) -> bool {
+        if is_pending { !self.pending.insert(id) } else { self.pending.remove(&id) }
     }
 
     pub fn revert(&mut self, applied: Applied) {
         applied.put.iter().for_each(|id| drop(self.segments.remove(id)));
         self.segments.extend(applied.gone.into_iter().map(|segment| (segment.id, segment)));
-        if let Some((id, was)) = applied.pending {
-            if was {
-                self.pending.insert(id)
-            } else {
-                self.pending.remove(&id)
-            };
+        if let Some((id, was_pending)) = applied.pending {
+            self.set_pending(id, was_pending);
         }
     }
 }
 
+/// Place of the node among the segment's replicas.
+fn position(operation: usize, segment: &Segment, node: &str) -> Result<usize, MoveError> {
+    let at = segment.replicas.iter().position(|holder| holder.node == node);
+    at.ok_or_else(|| MoveError::NoHolder { operation, segment: segment.id, node: node.to_string() })
+}
+
+/// Neighbours with the same owner and replicas.
+fn check_mergeable(operation: usize, first: &Segment, second: &Segment) -> Result<(), MoveError> {
+    if first.keys.to != Some(second.keys.from) {
+        return Err(MoveError::Apart { operation, first: first.id, second: second.id });
+    }
+    let names = |segment: &Segment| {
+        segment.replicas.iter().map(|holder| holder.node.clone()).collect::<BTreeSet<_>>()
+    };
+    if first.owner != second.owner || names(first) != names(second) {
+        return Err(MoveError::HeldOtherwise { operation, first: first.id, second: second.id });
+    }
+    Ok(())
+}
+
 fn filled(operation: usize, segment: &Segment) -> Result<(), MoveError> {
     match segment.replicas.iter().find(|holder| !holder.filled) {
         Some(holder) => {
--- a/crates/dunepond-rebalance/src/lib.rs
+++ b/crates/dunepond-rebalance/src/lib.rs
@@ -20,14 +20,11 @@
 pub use plan::{Node, Operation, Plan, Room, Sizes, Word};
 pub use pressure::Pressure;
 
-/// Operations of one plan, at most: the order of more is the operator's to cut into plans.
-pub const MOST_OPERATIONS: usize = 256;
-/// Layouts that the search looks at, at most. Plans in which room is ample need about one for each act.
-pub const MOST_LOOKS: usize = 20_000;
-/// Times that a step's version may be withdrawn before the plan pauses and asks for a person.
-pub const TRIES: u32 = 3;
-/// Plans that are over and remembered by id.
-pub const PASTS: usize = 64;
-/// Share of the brokers that have to be pressed for a pause, and of those up to which it ends; seconds for each.
-pub const PRESSED: (f64, f64) = (0.3, 1.0);
-pub const AT_EASE: (f64, f64) = (0.1, 5.0);
+/// Operations of one plan, at most; the operator splits larger ones.
+pub const MAX_OPERATION_COUNT: usize = 256;
+/// Layouts that the search for an order visits, at most. With ample capacity a plan needs about one for each act.
+pub const MAX_SEARCH_LAYOUTS: usize = 20_000;
+/// Withdrawals of a step's version after which the plan pauses and waits for an operator.
+pub const MAX_STEP_ATTEMPTS: u32 = 3;
+/// Ended plans that are remembered by id.
+pub const MAX_ENDED_PLANS: usize = 64;
--- a/crates/dunepond-rebalance/src/order.rs
+++ b/crates/dunepond-rebalance/src/order.rs
@@ -8,7 +8,7 @@
 
 use crate::layout::{Applied, Layout, Wave};
 use crate::room::{Bytes, Load, Loads, Rooms};
-use crate::{Act, Kind, MOST_LOOKS, MoveError, Operation, Plan, Short, Step};
+use crate::{Act, Kind, MAX_SEARCH_LAYOUTS, MoveError, Operation, Plan, Short, Step};
 
 /// How much may be under way at once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -304,7 +304,7 @@
         }
         let looks = self.looks;
         Err(match self.furthest.take() {
-            Some((_, _, MoveError::OutOfRoom { step, operation, short })) if looks > MOST_LOOKS => {
+            Some((_, _, MoveError::OutOfRoom { step, operation, short })) if looks > MAX_SEARCH_LAYOUTS => {
                 MoveError::TooHard { looks, step, operation, short }
             }
             Some((_, _, why)) => why,
@@ -318,7 +318,7 @@
         }
         self.looks += 1;
         let key = self.key();
-        if self.looks > MOST_LOOKS || self.dead.contains(&key) {
+        if self.looks > MAX_SEARCH_LAYOUTS || self.dead.contains(&key) {
             return false;
         }
         let mut left = self.left();
@@ -349,7 +349,7 @@
                 Err(why) => self.broke(why),
             }
         }
-        if self.looks <= MOST_LOOKS {
+        if self.looks <= MAX_SEARCH_LAYOUTS {
             self.dead.insert(key);
         }
         false
--- a/crates/dunepond-rebalance/src/plan.rs
+++ b/crates/dunepond-rebalance/src/plan.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{MOST_OPERATIONS, MoveError};
+use crate::{MAX_OPERATION_COUNT, MoveError};
 
 /// One operation. Ids that come are never to have been any segment's before.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -117,8 +117,8 @@
             return Err(MoveError::NoId);
         }
         let count = self.operations.len();
-        if count == 0 || count > MOST_OPERATIONS {
-            return Err(MoveError::Count { count, most: MOST_OPERATIONS });
+        if count == 0 || count > MAX_OPERATION_COUNT {
+            return Err(MoveError::Count { count, most: MAX_OPERATION_COUNT });
         }
         let mut coming = BTreeSet::new();
         for (at, operation) in self.operations.iter().enumerate() {
--- a/crates/dunepond-rebalance/tests/properties.rs
+++ b/crates/dunepond-rebalance/tests/properties.rs
@@ -7,7 +7,8 @@
 
 use common::*;
 use dunepond_rebalance::{
-    Agreed, Book, MoveError, Next, Operation, PASTS, Pace, Plan, Room, Seen, Step, Wave, order, prove,
+    Agreed, Book, MAX_ENDED_PLANS, MoveError, Next, Operation, Pace, Plan, Room, Seen, Step, Wave, order,
+    prove,
 };
 use dunepond_shard_map::{MapConstraints, ShardMap, VerifiedMap, verify, verify_transition};
 use proptest::prelude::*;
@@ -270,7 +271,7 @@
             };
             proof.segments().map(one).collect()
         };
-        prop_assert!(book.ended.len() == 1 && book.ended.len() <= PASTS);
+        prop_assert!(book.ended.len() == 1 && book.ended.len() <= MAX_ENDED_PLANS);
         if stop < steps.len() {
             prop_assert_eq!(held(&proof), held(from), "after {} of {:?}", stop, steps);
         }
