--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 use dunepond_quota::QuotaLedger;
-use dunepond_rebalance::Book;
+use dunepond_rebalance::PlanProgress;
 use dunepond_shard_map::{self as maps, VerifiedMap};
 use serde::{Deserialize, Serialize};
 
@@ -74,7 +74,7 @@
     #[serde(rename = "limits")]
     pub quota: QuotaLedger,
     #[serde(rename = "moves")]
-    rebalance: Book,
+    rebalance: PlanProgress,
     /// Parts that a voter has to know, or else must not take part; none so far.
     #[serde(rename = "must")]
     required_parts: BTreeSet<String>,
@@ -107,7 +107,7 @@
             settlements: SettlementLog::default(),
             voter_slots,
             quota: QuotaLedger::default(),
-            rebalance: Book::default(),
+            rebalance: PlanProgress::default(),
             required_parts: BTreeSet::new(),
             unknown_parts: BTreeMap::new(),
             proof: None,
--- a/crates/dunepond-consensus/src/replicated_state/rebalance.rs
+++ b/crates/dunepond-consensus/src/replicated_state/rebalance.rs
@@ -1,13 +1,13 @@
 //! Rebalancing plans, and the versions that carry out their steps.
 
-use dunepond_rebalance::{Agreed, Book, Seen};
+use dunepond_rebalance::{Agreed, PlanProgress, Seen};
 
 use super::{ReplicatedState, StateChange};
 use crate::{ConfigVersion, Rejection};
 
 impl ReplicatedState {
     /// Progress of the running plan, and the plans that ended.
-    pub fn rebalance(&self) -> &Book {
+    pub fn rebalance(&self) -> &PlanProgress {
         &self.rebalance
     }
 
--- a/crates/dunepond-rebalance/src/lib.rs
+++ b/crates/dunepond-rebalance/src/lib.rs
@@ -1,23 +1,24 @@
-//! Plans of many splits, merges and moves of segments: put in an order of steps in which no node, cell or partner runs
-//! out of room in between, and carried out step by step, each a version's map. Pure: no clock, no chance, no input.
+//! Rebalancing plans: many splits, merges and migrations of segments, ordered into steps in which no node, replica group or
+//! partner exceeds its capacity, and carried out step by step, each as a version's map. Pure: no clock, no randomness, no
+//! input.
 //!
-//! [`order`] makes steps of a [`Plan`], or says at which step it breaks and what is short; [`prove`] is what each voter
-//! does with steps that somebody else ordered. A [`Book`] is how far the plan has come, as it is agreed on: it takes
+//! [`order`] makes steps of a [`Plan`], or says at which step it fails and which capacity is short. [`prove`] is how each
+//! voter checks steps that another broker ordered. [`PlanProgress`] is the replicated state of the plan: it takes
 //! [`Agreed`] entries and the ends of versions, and says what the leader does next.
 
-mod book;
 mod error;
 mod layout;
 mod order;
 mod plan;
+mod plan_progress;
 mod pressure;
 mod room;
 
-pub use book::{Agreed, Begun, Book, By, Ended, Finish, Held, Next, Pause, Running, Seen};
 pub use error::{MoveError, Short, Where};
 pub use layout::{Act, Kind, Step, Wave};
 pub use order::{Pace, order, prove};
 pub use plan::{Node, Operation, Plan, Room, Sizes, Word};
+pub use plan_progress::{Agreed, Begun, By, Ended, Finish, Held, Next, Pause, PlanProgress, Running, Seen};
 pub use pressure::Pressure;
 
 /// Operations of one plan, at most; the operator splits larger ones.
--- a/crates/dunepond-rebalance/src/book.rs
+++ b/crates/dunepond-rebalance/src/plan_progress.rs
@@ -1,6 +1,6 @@
 //! How far a plan has come, as all voters agree: entries in, the ends of versions in, what the leader does next out.
 //!
-//! A step is *prepared* (the book's next wave), *begun* (its number and its map's digest stand in the log), proposed (its
+//! A step is *prepared* (the next wave of the plan's progress), *begun* (its number and its map's digest stand in the log), proposed (its
 //! holders are *filled* while it is *joint*; where owners change this is the *fence*), in force (*switched*) and *done*
 //! by the same entry. Undone is: begun, by taking the number back; joint, by withdrawing the version; in force, by
 //! versions that lead back. There is one version for one turn, and a turn counts once, whoever leads.
@@ -162,7 +162,7 @@
 
 /// Kept in the agreed state and its snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Book {
+pub struct PlanProgress {
     pub running: Option<Running>,
     pub ended: VecDeque<Ended>,
     /// Steps that were begun and given up before they were proposed: their versions may still be on the way.
@@ -203,7 +203,7 @@
     }
 }
 
-impl Book {
+impl PlanProgress {
     fn running(&self, id: &str) -> Result<&Running, MoveError> {
         let running = self.running.as_ref().filter(|running| running.plan.id == id);
         running.ok_or(MoveError::NotRunning { id: id.to_string() })
--- a/crates/dunepond-rebalance/tests/model.rs
+++ b/crates/dunepond-rebalance/tests/model.rs
@@ -9,7 +9,9 @@
 use std::sync::Arc;
 
 use common::*;
-use dunepond_rebalance::{Agreed, Book, By, Finish, MoveError, Next, Pace, Pause, Plan, Seen, Step, order};
+use dunepond_rebalance::{
+    Agreed, By, Finish, MoveError, Next, Pace, Pause, Plan, PlanProgress, Seen, Step, order,
+};
 use dunepond_shard_map::{MapTransition, VerifiedMap, verify_transition};
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -53,7 +55,7 @@
 
 #[derive(Clone, Debug)]
 struct World {
-    book: Book,
+    book: PlanProgress,
     proof: VerifiedMap,
     open: Option<Open>,
     highest: u64,
@@ -233,7 +235,7 @@
 
     fn init_states(&self) -> Vec<World> {
         let world = World {
-            book: Book::default(),
+            book: PlanProgress::default(),
             proof: self.first.clone(),
             open: None,
             highest: 1,
--- a/crates/dunepond-rebalance/tests/properties.rs
+++ b/crates/dunepond-rebalance/tests/properties.rs
@@ -7,8 +7,8 @@
 
 use common::*;
 use dunepond_rebalance::{
-    Agreed, Book, MAX_ENDED_PLANS, MoveError, Next, Operation, Pace, Plan, Room, Seen, Step, Wave, order,
-    prove,
+    Agreed, MAX_ENDED_PLANS, MoveError, Next, Operation, Pace, Plan, PlanProgress, Room, Seen, Step, Wave,
+    order, prove,
 };
 use dunepond_shard_map::{MapConstraints, ShardMap, VerifiedMap, verify, verify_transition};
 use proptest::prelude::*;
@@ -227,10 +227,10 @@
     pace: Pace,
 ) -> Result<(), TestCaseError> {
     for stop in 0..=steps.len() {
-        let (mut book, mut proof, mut highest) = (Book::default(), from.clone(), 1);
+        let (mut book, mut proof, mut highest) = (PlanProgress::default(), from.clone(), 1);
         let taken =
             Agreed::Taken { plan: Box::new(plan.clone()), steps: steps.to_vec(), at_once: pace.at_once };
-        let enter = |book: &mut Book, entry, highest, proof: &VerifiedMap| {
+        let enter = |book: &mut PlanProgress, entry, highest, proof: &VerifiedMap| {
             book.apply(entry, &Seen { open: None, highest, proof: Some(proof), most_changed: 1.0 }).unwrap();
         };
         enter(&mut book, taken, highest, &proof);
