--- a/crates/dunepond-routing/src/deployment.rs
+++ b/crates/dunepond-routing/src/deployment.rs
@@ -1,13 +1,15 @@
-//! What a deployment states about itself, what of it may change while a broker runs, and the bounds that all its brokers share.
+//! What a deployment states about itself, what of it may change while a broker runs, and the bounds shared by
+//! all brokers.
 
 /// Whether a part may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// As often as one likes.
+    /// Safe to run any number of times.
     Idempotent,
-    /// A repeat is dropped for so many seconds after the first attempt that may have run.
+    /// Idempotent by key: a repeat is dropped for this many seconds after the first attempt that may have
+    /// run.
     Keyed(f64),
-    /// Once.
+    /// Must not run twice.
     NonIdempotent,
 }
 
@@ -43,7 +45,7 @@
     pub ratio: f64,
 }
 
-/// How a node that has just started must be spared.
+/// How a node that has just started is spared.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     /// Share of its capacity that a node has at its start, at least.
@@ -133,8 +135,9 @@
     }
 }
 
-/// Our parts of bounds that hold for all brokers together, in place of an even one;
-/// [`Router::set_quota_shares`](crate::Router::set_quota_shares) puts them in force. `None`: as the deployment states.
+/// This broker's shares of the bounds of all brokers, in place of even ones;
+/// [`Router::set_quota_shares`](crate::Router::set_quota_shares) puts them in force. `None`: as the
+/// deployment states.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuotaShares {
     /// Parts a second of ours that a warm node is known to take: a node in slow start is sent by it.
--- a/crates/dunepond-routing/src/learned.rs
+++ b/crates/dunepond-routing/src/learned.rs
@@ -1,5 +1,5 @@
-//! What a process learned and spent, for the one that comes after it. All times are ages in seconds, as each process has a
-//! clock of its own. These types are stored: the order of their fields is part of the format.
+//! What a process learned and spent, for its successor. All times are ages in seconds, as each process has
+//! its own clock. These types are stored: the order of their fields is part of the format.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/dunepond-routing/src/lib.rs
+++ b/crates/dunepond-routing/src/lib.rs
@@ -1,15 +1,17 @@
-//! The routing decisions of a dunepond broker: admission, placement, retries and hedging, outlier detection, slow start and
-//! shutdown. This layer exists so that the same decisions run on real sockets and in the simulator: it opens no socket, reads
-//! no clock and keeps no thread.
+//! The routing decisions of a dunepond broker: admission, placement, retries and hedging, outlier detection,
+//! slow start and shutdown. This layer exists so that the same decisions run on real sockets and in the
+//! simulator: it opens no socket, reads no clock and starts no thread.
 //!
-//! A host makes one [`Router`] for each broker that it carries and calls its methods as things happen; within each call the
-//! router gives its orders through [`Transport`]. First comes [`Router::update_endpoints`] with the endpoint list, then
-//! [`Router::on_query`] for each query with its parts, [`Router::on_second_step`] for parts that an answer brought,
-//! [`Router::on_attempt_ended`] once for each attempt, [`Router::on_probe_result`] for each probe, [`Router::on_wake`] when
-//! asked for, and [`Router::on_client_disconnect`] when the client has gone.
+//! A host makes one [`Router`] for each broker and calls its methods as things happen; within each call the
+//! router gives its orders through [`Transport`]. First comes [`Router::update_endpoints`] with the endpoint
+//! list, then [`Router::on_query`] for each query with its parts, [`Router::on_second_step`] for the parts
+//! that a first answer has brought, [`Router::on_attempt_ended`] once for each attempt,
+//! [`Router::on_probe_result`] for each probe, [`Router::on_wake`] when requested, and
+//! [`Router::on_client_disconnect`] when the client has gone.
 //!
-//! Instants are seconds on the host's own clock, durations are seconds; ids are small indices that the host hands out. All
-//! decisions stand under `policy`, a file for each rule; `state` holds what they go by.
+//! Instants are seconds on the host's own clock, durations are seconds; ids are small indices that the host
+//! assigns. All decisions are in `policy`, a file for each rule; `state` holds what they depend on. A router
+//! is deterministic: the same calls lead to the same orders.
 
 #![warn(missing_docs)]
 
--- a/crates/dunepond-routing/src/query.rs
+++ b/crates/dunepond-routing/src/query.rs
@@ -5,10 +5,11 @@
 /// A query, by a number that the host never uses twice for one router.
 pub type QueryId = u64;
 
-/// A part of a query: what one replica is asked.
+/// A part of a query: what is sent to one replica.
 #[derive(Clone, Debug, Default)]
 pub struct Part {
-    /// The segment that it reads or writes; its replicas are those of the group of that number and of the next ones.
+    /// The segment that it reads or writes. Its replicas are in the replica group of this number and the
+    /// following ones.
     pub segment: usize,
     /// Its share of the query's result.
     pub weight: f64,
@@ -25,17 +26,19 @@
     pub class: usize,
     /// Index into [`Deployment::quotas`](crate::Deployment::quotas); a tenant that is not there has no quota.
     pub tenant: usize,
-    /// Seconds left before the client gives this try up.
+    /// Seconds until its client gives up.
     pub expires_in: f64,
     /// Its client marked it as a retry.
     pub is_retry: bool,
-    /// Its body can be had again for retries; if not, its parts go out at its arrival or never.
+    /// Its body is kept for retries; if not, its parts are sent on arrival or never.
     pub body_retained: bool,
-    /// Its frames may take long to go out: [`Router::on_frame_written`](crate::Router::on_frame_written) tells of each that has.
+    /// Its frames may take long to send; [`Router::on_frame_written`](crate::Router::on_frame_written)
+    /// reports the end of each.
     pub streamed: bool,
-    /// Nothing goes out before [`Router::on_prefilter_result`](crate::Router::on_prefilter_result) has told which parts are pruned.
+    /// Nothing is sent before [`Router::on_prefilter_result`](crate::Router::on_prefilter_result) has told
+    /// which parts are pruned.
     pub awaits_prefilter: bool,
-    /// No client waits for it: it goes out once, if there is no overload, and its parts earn no retry budget.
+    /// No client waits for it: it is sent once, only without overload, and earns no retry budget.
     pub audit: bool,
     /// The parts of its first step.
     pub parts: Vec<Part>,
