--- a/crates/dunepond-control-plane/src/control_loop/fills.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills.rs
@@ -1,28 +1,22 @@
 //! Fills, on two lanes. The leader plans those that a proposed map needs, has them carried out, and enters what is done;
-//! each broker plans those of cold holders that fall to it ([`super::warm`]). A fill has the same id whoever plans it and
+//! each broker plans those of cold holders that fall to it ([`super::own_fills`]). A fill has the same id whoever plans it and
 //! however often, so that one that was done before a crash is answered at once, and one that was settled before settles no
 //! second time. What a leader begins stands in the log first, so that the next one knows of it.
 
-use std::collections::{BTreeMap, BTreeSet};
-use std::sync::Arc;
-use std::time::Duration;
+use std::collections::BTreeSet;
 
-use crossbeam_channel::Sender;
 use dunepond_consensus::{Command, Rejection, Voter};
 use dunepond_settlement::{
-    Fill, FillAction, FillDemand, FillEvent, FillPlanner, FillProgress, FillRetryPolicy, LinkCapacities,
-    Settlement, SettlementEntry, SettlementLedger, StartedFill,
+    Fill, FillAction, FillDemand, FillEvent, Settlement, SettlementEntry, SettlementLedger, StartedFill,
 };
-use rand_pcg::Pcg64Mcg;
 use tracing::{info, warn};
 
 use super::ControlLoop;
-use super::fill_sources::AvoidedSources;
+use super::fill_lane::{ActiveFill, FillEnded, FillLane, Lane};
 use crate::audit_log::AuditEvent;
 use crate::clock::{monotonic_seconds, unix_seconds};
-use crate::error::FillError;
 use crate::explain::Explanation;
-use crate::fill_client::{self, FillClient, FillResult};
+use crate::fill_client::FillResult;
 use crate::handle::increment;
 
 /// Seconds between two looks at what is to be filled.
@@ -32,154 +26,6 @@
 /// In whose name settlements of versions' fills are planned: the same at each leader, or one fill would settle once under
 /// each. Where debts are split it has a share of its own, which only the log spends.
 pub const LOG_SHARE_HOLDER: &str = "fleet";
-/// What one try may take; a filler that is slower is asked again and goes on where it was.
-const MAX_ATTEMPT_SECONDS: f64 = 600.0;
-
-/// Whose fills they are.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lane {
-    /// Of the proposed version, where this broker leads.
-    Version,
-    /// Of cold holders that fall to this broker, with a lease or without.
-    Own,
-}
-
-/// The end of one try.
-pub struct FillEnded {
-    lane: Lane,
-    id: String,
-    outcome: Result<FillResult, FillError>,
-}
-
-/// A fill under way, and what its filler said once it is done.
-struct ActiveFill {
-    progress: FillProgress,
-    attempt_running: bool,
-    result: Option<FillResult>,
-    /// When it is entered again, as begun and as done, unless the log has it by then.
-    enter_begun_at: f64,
-    enter_done_at: f64,
-    /// The log takes no settlement of it: all of it is a new debt.
-    settlement_refused: bool,
-}
-
-impl ActiveFill {
-    fn new(fill: Fill, patience: FillRetryPolicy, now: f64) -> Self {
-        let progress = FillProgress::new(fill, patience, now);
-        Self {
-            progress,
-            attempt_running: false,
-            result: None,
-            enter_begun_at: 0.0,
-            enter_done_at: 0.0,
-            settlement_refused: false,
-        }
-    }
-}
-
-pub struct FillLane {
-    lane: Lane,
-    pub client: Option<Arc<dyn FillClient>>,
-    pub ended: Sender<FillEnded>,
-    pub planner: FillPlanner,
-    pub links: LinkCapacities,
-    pub patience: FillRetryPolicy,
-    /// Bytes of a segment.
-    pub segment_bytes: u64,
-    pub max_concurrent: usize,
-    pub rng: Pcg64Mcg,
-    /// For which version, and by id.
-    version: u64,
-    active: BTreeMap<String, ActiveFill>,
-    avoided: AvoidedSources,
-    next_review_at: f64,
-    is_leading: bool,
-    /// When this broker first saw that a leader began a fill, by id and the source's partner.
-    begun_at: BTreeMap<(String, String), f64>,
-}
-
-impl FillLane {
-    #[allow(clippy::too_many_arguments)]
-    pub fn new(
-        lane: Lane,
-        client: Option<Arc<dyn FillClient>>,
-        ended: Sender<FillEnded>,
-        planner: FillPlanner,
-        links: LinkCapacities,
-        patience: FillRetryPolicy,
-        segment_bytes: u64,
-        max_concurrent: usize,
-        rng: Pcg64Mcg,
-    ) -> Self {
-        let (version, active, next_review_at, is_leading) = (0, BTreeMap::new(), 0.0, false);
-        let (begun_at, avoided) = (BTreeMap::new(), AvoidedSources::default());
-        Self {
-            lane,
-            client,
-            ended,
-            planner,
-            links,
-            patience,
-            segment_bytes,
-            max_concurrent,
-            rng,
-            version,
-            active,
-            avoided,
-            next_review_at,
-            is_leading,
-            begun_at,
-        }
-    }
-
-    /// Another version, or another leader: what is under way is not ours any more.
-    fn abandon_all(&mut self) {
-        for (id, _) in std::mem::take(&mut self.active) {
-            self.planner.fill_ended(&id, false);
-        }
-        self.is_leading = false;
-    }
-
-    /// Fills of before the start, or of the leader before, that may be under way: they begin again under the same id.
-    pub fn resume(&mut self, fills: impl IntoIterator<Item = Fill>, now: f64) {
-        for fill in fills {
-            self.planner.resume(&fill, now, true);
-            let under = ActiveFill::new(fill, self.patience.clone(), now);
-            self.active.entry(under.progress.fill.id.clone()).or_insert(under);
-        }
-    }
-
-    /// Whether a fill under way is to settle of this debt.
-    pub fn settles(&self, debtor: &str, creditor: &str) -> bool {
-        let planned = self.active.values().filter_map(|under| under.progress.fill.settles.as_ref());
-        planned.into_iter().any(|it| it.debtor == debtor && it.creditor == creditor)
-    }
-
-    fn start_attempt(&self, fill: &Fill) {
-        let Some(filler) = self.client.clone() else { return };
-        let order = fill_client::FillRequest {
-            id: fill.id.clone(),
-            segment: fill.segment,
-            holder: fill.holder.clone(),
-            source: fill.source.clone(),
-            bytes: fill.bytes,
-            rate: fill.rate as u64,
-        };
-        let (ended, lane) = (self.ended.clone(), self.lane);
-        let within = Duration::from_secs_f64(
-            (fill.duration_seconds() * self.patience.factor).clamp(5.0, MAX_ATTEMPT_SECONDS),
-        );
-        let run = move || {
-            let outcome = filler.fill(&order, within);
-            let _ = ended.send(FillEnded { lane, id: order.id, outcome });
-        };
-        if let Err(e) = std::thread::Builder::new().name("fill".to_string()).spawn(run) {
-            let why = e.to_string();
-            let outcome = Err(FillError::Unreachable { at: "a thread of ours".to_string(), why });
-            let _ = self.ended.send(FillEnded { lane, id: fill.id.clone(), outcome });
-        }
-    }
-}
 
 impl ControlLoop {
     pub(super) fn lane(&mut self, lane: Lane) -> &mut FillLane {
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -1,10 +1,15 @@
-//! The fleet's thread: it owns the voter, the member, the folder and the links, and hands the loop what it may act on.
+//! The control loop: the thread that owns the voter, the lease client, the data directory and the links.
+//!
+//! Each pass handles what came from peers, then runs the periodic duties in a fixed order ([`ControlLoop::run`]). What a voter
+//! promises is on the disk before anybody hears of it.
 
+mod fill_lane;
 mod fill_sources;
 mod fills;
 mod leases;
 mod own_fills;
 mod proposals;
+mod publish;
 mod quotas;
 mod rebalancing;
 mod settlements;
@@ -23,14 +28,15 @@
 use dunepond_membership::{Counters, Event, Peers, RefusalReason, RequestKind, Responder};
 use tracing::{debug, error, info, warn};
 
-use crate::audit_log::{AuditEvent, AuditPhase, AuditSender};
+use crate::audit_log::{AuditPhase, AuditSender};
 use crate::clock::monotonic_seconds;
 use crate::config::CrashPoints;
 use crate::data_directory::DataDirectory;
 use crate::explain::{Explanation, ProposedEntry};
-use crate::handle::{ActivityCounters, LoopRequest, audit_phase, increment};
+use crate::handle::{ActivityCounters, LoopRequest, increment};
 use crate::slow_start::{SlowStartPolicy, StartedNode};
-pub use fills::{FillEnded, FillLane, LOG_SHARE_HOLDER, Lane};
+pub use fill_lane::{FillEnded, FillLane, Lane};
+pub use fills::LOG_SHARE_HOLDER;
 pub use proposals::Proposals;
 pub use quotas::QuotaSharing;
 pub use rebalancing::{DEFAULT_SETTLE_SECONDS, Rebalancing};
@@ -387,87 +393,4 @@
             self.state.last_refusal = Some(why);
         }
     }
-
-    /// Hands the loop what it may act on now, and notes what has changed in it. `leased`: with a new lease.
-    fn publish(&mut self, leased: bool) {
-        let (acting, now) = (self.member.active_config(), monotonic_seconds());
-        let (word, numbers) = audit_phase(&acting, now);
-        let shown = &mut self.state.published;
-        let changed = shown.phase != Some(word) || shown.versions != numbers;
-        if !leased && !changed {
-            return;
-        }
-        let until = acting.lease_expires_at().max(0.0);
-        let (from, to) = (numbers.first().copied().unwrap_or(0), numbers.last().copied().unwrap_or(0));
-        let (in_force, proposed) = acting.versions();
-        let mut acts = Vec::new();
-        // A digest is as much work as its map is long: only where it is another version.
-        if shown.in_force != acting.active_number()
-            && let Some(version) = in_force
-        {
-            acts.push(AuditEvent::Confirmed { number: version.number, digest: version.digest() });
-        }
-        if shown.proposed.as_ref().map(|before| before.0) != acting.proposed_number() {
-            // Given up, unless it is what is in force now or later.
-            let before = shown.proposed.take();
-            if let Some((number, digest)) = before.filter(|(number, _)| *number > acting.active_number()) {
-                acts.push(AuditEvent::Withdrawn { number, digest });
-            }
-            shown.proposed = proposed.map(|version| (version.number, version.digest()));
-            if let Some((number, digest)) = &shown.proposed {
-                acts.push(AuditEvent::Proposed { number: *number, digest: digest.clone() });
-            }
-        }
-        if changed {
-            info!("fleet: {word:?} {numbers:?}, until {until:.3}");
-        }
-        (shown.phase, shown.versions, shown.in_force) = (Some(word), numbers, acting.active_number());
-        self.active_config.store(Arc::new(acting));
-        if let Some(recorder) = &self.audit_log {
-            acts.into_iter().for_each(|act| recorder.record_at(now, act));
-            recorder.record_at(now, AuditEvent::Phase { phase: word, from, to, until });
-            if let Some(limiting) = &self.quotas {
-                recorder.record_at(now, limiting.audit_event(&self.active_config.load(), until));
-            }
-        }
-        if changed {
-            (self.wake)();
-        }
-    }
-
-    fn on_lease(&mut self) {
-        self.counters.leases.fetch_add(1, Relaxed);
-        // Before the loop acts on it: a restart has to know the strictest of what was heard.
-        let versions = self.member.persisted_revision();
-        if self.state.saved_config != Some(versions) {
-            match self.data.save_config(&self.member.persisted_state()) {
-                Ok(()) => self.state.saved_config = Some(versions),
-                Err(e) => {
-                    warn!("fleet: folder: {e}; a restart would not know the versions: look at the disk")
-                }
-            }
-        }
-        self.publish(true);
-        self.compare_voters();
-    }
-
-    /// Says once for each list that the file names other voters than those agreed.
-    fn compare_voters(&mut self) {
-        let voting = self.member.voters_number();
-        if self.state.reported_voters == Some(voting) {
-            return;
-        }
-        self.state.reported_voters = Some(voting);
-        if let Some(voters) = self.member.voters_unlike_file() {
-            let named = voters.iter().map(|voter| match &voter.address {
-                Some(at) => format!("voter \"{}\" at=\"{at}\"", voter.name),
-                None => format!("voter \"{}\"", voter.name),
-            });
-            let named: Vec<_> = named.collect();
-            warn!(
-                "fleet: the agreed voters (list {voting}) are not those of the file: they go before it; write into it: {}",
-                named.join(", ")
-            );
-        }
-    }
 }
--- a/crates/dunepond-control-plane/src/control_loop/own_fills.rs
+++ b/crates/dunepond-control-plane/src/control_loop/own_fills.rs
@@ -6,7 +6,7 @@
 use dunepond_settlement::{Fill, FillDemand, SlowStartCapacity};
 
 use super::ControlLoop;
-use super::fills::Lane;
+use super::fill_lane::Lane;
 use crate::slow_start::{COUNTING_UNIT_BYTES, StartedNode};
 
 /// Of the time that a node takes to be warm: for so long the broker that it falls to is waited for, where it is not to be
--- a/crates/dunepond-control-plane/src/explain.rs
+++ b/crates/dunepond-control-plane/src/explain.rs
@@ -1,7 +1,7 @@
-//! Why: one line for each version, refused proposal, fill, settlement, limit and step of a plan: on whose word, against which limit, and what
-//! else was weighed. Pure: from what was decided to a line; how it is told is at the end.
+//! Explanations: one log line for each decision of the control plane, naming on whose authority it was taken, against which
+//! limit it was held, and which alternatives there were. Pure: from what was decided to a line.
 //!
-//! Names and reasons come from others' files, so each field is cut: no line is longer than [`LONGEST`] bytes, and none
+//! Names and reasons come from others' files, so each field is cut: no line is longer than [`MAX_LINE_BYTES`] bytes, and none
 //! has a line break in it.
 
 use std::fmt;
@@ -14,6 +14,7 @@
 
 /// Bytes of one field, and of a whole line.
 const MAX_FIELD_BYTES: usize = 160;
+/// Bytes of a whole line at most.
 pub const MAX_LINE_BYTES: usize = 4 * MAX_FIELD_BYTES + 64;
 /// Of others that were weighed, so many are named.
 const MAX_NAMED_COUNT: usize = 3;
@@ -21,18 +22,26 @@
 /// What a line is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
+    /// A version: proposed, staged, rolled back, in force, withdrawn.
     Version,
+    /// What was offered and not taken.
     Refused,
+    /// A fill that is planned or done.
     Fill,
+    /// A settlement that was applied.
     Settlement,
+    /// Shared quotas were divided anew.
     Limit,
+    /// A step of a rebalancing plan.
     Move,
+    /// A change of voters.
     Voters,
     /// Any other entry of the agreed log.
     Entry,
 }
 
 impl Subject {
+    /// Name in the log's field `about`.
     pub fn name(self) -> &'static str {
         match self {
             Self::Version => "version",
--- a/crates/dunepond-control-plane/src/handle.rs
+++ b/crates/dunepond-control-plane/src/handle.rs
@@ -1,4 +1,5 @@
-//! What the broker's loop holds of the fleet: nothing in it waits for anything.
+//! The control plane as the broker's event loop sees it. No call blocks: the loop reads snapshots and bumps atomics, and the
+//! control loop's thread takes them from there.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -15,8 +16,7 @@
 use crate::clock::monotonic_seconds;
 use crate::slow_start::StartedNode;
 
-/// Bytes that each partner carried for each, as this broker saw it since its start: the loop adds, the fleet's thread
-/// takes what is new.
+/// Bytes that each partner's nodes answered for each other's tenants. The event loop adds, the control loop takes.
 pub struct CarriedBytes {
     partners: usize,
     bytes: Vec<AtomicU64>,
@@ -45,16 +45,16 @@
     }
 }
 
-/// What the loop tells the thread, seldom.
+/// Requests of the event loop to the control loop.
 pub enum LoopRequest {
-    /// The files are to be read again; the version file may have another name.
+    /// Read the version file again, from this path.
     Reread(Option<PathBuf>),
-    /// The same of the file of plans.
+    /// Read the plan file again, from this path.
     Moves(Option<PathBuf>),
     Stop,
 }
 
-/// Counted by loop and thread alike, never decreasing.
+/// Counters for operators, raised by both threads; they never decrease.
 #[derive(Default)]
 pub struct ActivityCounters {
     pub rejected: AtomicU64,
@@ -74,17 +74,17 @@
     counter.fetch_add(1, Relaxed);
 }
 
-/// What this broker may act on, as one thread sees it: while nothing new has come, a look is one read.
+/// The active configuration, cached for one thread: a look costs one atomic read while nothing has changed.
 pub struct ActiveConfigWatch(Cache<Arc<ArcSwap<ActiveConfig>>, Arc<ActiveConfig>>);
 
 impl ActiveConfigWatch {
-    /// At this moment, as [`ControlHandle::active_config`] gives it.
+    /// As of now; the same as [`ControlHandle::active_config`] gives it.
     pub fn current(&mut self) -> &Arc<ActiveConfig> {
         self.0.load()
     }
 }
 
-/// Cheap to clone.
+/// The event loop's access to the control plane; cheap to clone.
 #[derive(Clone)]
 pub struct ControlHandle {
     pub(crate) active_config: Arc<ArcSwap<ActiveConfig>>,
@@ -117,18 +117,19 @@
         self.carried_bytes.add(carrier, owed_by, bytes);
     }
 
+    /// Whether there is an audit log.
     pub fn is_audited(&self) -> bool {
         self.audit_log.is_some()
     }
 
-    /// Notes an act, made only where acts are recorded.
+    /// Records an event; it is built only where there is an audit log.
     pub fn audit(&self, act: impl FnOnce() -> AuditEvent) {
         if let Some(recorder) = &self.audit_log {
             recorder.record(act());
         }
     }
 
-    /// The same of an act that was judged at this moment, on the steady clock.
+    /// Records an event of this moment on the monotonic clock.
     pub fn audit_at(&self, at: f64, act: impl FnOnce() -> AuditEvent) {
         if let Some(recorder) = &self.audit_log {
             recorder.record_at(at, act());
@@ -150,11 +151,13 @@
         self.demand.store(Arc::new(needs));
     }
 
+    /// Reads the version file again, from this path.
     pub fn reload_version(&self, version: Option<PathBuf>) {
         // Full only if as many are waiting already.
         let _ = self.commands.try_send(LoopRequest::Reread(version));
     }
 
+    /// Reads the plan file again, from this path.
     pub fn reload_plan(&self, plan: Option<PathBuf>) {
         let _ = self.commands.try_send(LoopRequest::Moves(plan));
     }
@@ -164,14 +167,17 @@
         self.counters.overloaded.store(pressed, Relaxed);
     }
 
+    /// Counts a query that was rejected because of the agreed configuration.
     pub fn count_rejected(&self) {
         increment(&self.counters.rejected);
     }
 
+    /// Counts a part that was withheld just before it would have been sent.
     pub fn count_withheld(&self) {
         increment(&self.counters.withheld);
     }
 
+    /// Counts an answer that does not cover all keys under one map.
     pub fn count_incomplete(&self) {
         increment(&self.counters.incomplete);
     }
