--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -8,12 +8,14 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use calloop::signals::Signal;
+use calloop::signals::{Signal, Signals};
 use dunepond_background::{Pool as WorkPool, Scheduler};
 use dunepond_body_buffer::{Disk, Folder, Spool};
-use dunepond_config::Bad;
-use dunepond_config::operator;
-use dunepond_routing::{Idempotency, MAX_SHUTDOWN_SECONDS, Router, SIGNAL_POLL_INTERVAL, ShutdownStage};
+use dunepond_config::operator::{self, Operator};
+use dunepond_config::{Bad, Bounds};
+use dunepond_routing::{
+    Deployment, Idempotency, MAX_SHUTDOWN_SECONDS, Router, SIGNAL_POLL_INTERVAL, ShutdownStage,
+};
 use dunepond_storage::FileStore;
 use tracing::{info, warn};
 
@@ -109,22 +111,58 @@
     }
 }
 
+/// A fault of the start: what could not be set up, and why.
+fn failed(what: &str, why: &dyn std::fmt::Display) -> Bad {
+    Bad(format!("{what}: {why}"))
+}
+
+/// Turns signals into events of the loop.
+fn watch_signals(handle: &EventLoopHandle, signals: Signals) -> Result<(), Bad> {
+    let inserted = handle.insert_source(signals, |event, _, iteration: &mut Iteration| {
+        iteration.ready.push_back(match event.signal() {
+            Signal::SIGHUP => LoopEvent::ReloadRequested,
+            _ => LoopEvent::ShutdownRequested,
+        });
+    });
+    inserted.map(drop).map_err(|e| failed("signals", &e.error))
+}
+
+/// Listens for the search API, where the operator's file asks for it.
+fn open_search_api(
+    router_host: &mut RouterHost,
+    told: &operator::Search,
+    bounds: Rc<Bounds>,
+    deployment: &Deployment,
+) -> Result<(), Bad> {
+    let listener = listen("search: listen", told.listen).map_err(|e| failed("search: listen", &e))?;
+    let address = listener.local_addr().map_err(|e| failed("search: listen", &e))?;
+    router_host.downstream.open(listener, true).map_err(|e| failed("search: listen", &e))?;
+    router_host.downstream.api = Some(Rc::new(SearchApi::new(told.limits.clone(), bounds, deployment)));
+    info!("the API listening at {address}");
+    Ok(())
+}
+
+/// The thread pool for background jobs, where there are any that may block.
+fn start_job_pool(operator: &Operator, handle: &EventLoopHandle) -> Result<Option<WorkPool>, Bad> {
+    let sender = event_channel(handle, LoopEvent::JobFinished).map_err(|e| failed("background", &e))?;
+    if operator.state.is_none() {
+        return Ok(None);
+    }
+    let pool = WorkPool::start("work", operator.background.at_once, move |finished| {
+        let _ = sender.send(finished);
+    });
+    pool.map(Some).map_err(|e| failed("background", &e))
+}
+
 /// Serves until it is told to end.
 pub fn serve(start: StartupConfig, mut hooks: Hooks) -> Result<(), Bad> {
-    let failed = |what: &str, why: &dyn std::fmt::Display| Bad(format!("{what}: {why}"));
     if start.operator.bodies.is_some() {
         buffers::use_single_malloc_arena();
     }
     let mut event_loop = calloop::EventLoop::try_new().map_err(|e| failed("loop", &e))?;
     let handle = event_loop.handle();
     let CaughtSignals { signals, since } = hooks.signals.take().map_or_else(catch_signals, Ok)?;
-    let signals = handle.insert_source(signals, |event, _, turn: &mut Iteration| {
-        turn.ready.push_back(match event.signal() {
-            Signal::SIGHUP => LoopEvent::ReloadRequested,
-            _ => LoopEvent::ShutdownRequested,
-        });
-    });
-    signals.map_err(|e| failed("signals", &e.error))?;
+    watch_signals(&handle, signals)?;
     let (pool, bounds) = (Pool::default(), Rc::new(start.bounds));
     let mut discovery = DiscoveryClient::new(handle.clone(), &pool, start.discovery, &bounds);
     // A list that cannot be read is none: discovery will bring another.
@@ -151,12 +189,7 @@
     }
     let mut router_host = RouterHost::new(&start.deployment, bounds, &pool, downstream, upstream);
     if let Some(told) = &start.operator.search {
-        let listener = listen("search: listen", told.listen).map_err(|e| failed("search: listen", &e))?;
-        let api = listener.local_addr().map_err(|e| failed("search: listen", &e))?;
-        router_host.downstream.open(listener, true).map_err(|e| failed("search: listen", &e))?;
-        let door = SearchApi::new(told.limits.clone(), table_bounds, &start.deployment);
-        router_host.downstream.api = Some(Rc::new(door));
-        info!("the API listening at {api}");
+        open_search_api(&mut router_host, told, table_bounds, &start.deployment)?;
     }
     let mut folder = None;
     if let Some(bodies) = &start.operator.bodies {
@@ -187,17 +220,10 @@
     }
     let router = Router::new(start.deployment);
     let (clock, operator) = (Clock::start(), start.operator);
-    let sender =
-        event_channel(&event_loop.handle(), LoopEvent::JobFinished).map_err(|e| failed("background", &e))?;
+    let pool = start_job_pool(&operator, &event_loop.handle())?;
     let reread = event_channel(&event_loop.handle(), LoopEvent::ConfigLoaded);
     let reread = reread.map_err(|e| failed("configuration", &e))?;
     let config_reloader = ConfigReloader::new(reread, hooks.operator.clone());
-    let pool = operator.state.as_ref().map(|_| {
-        WorkPool::start("work", operator.background.at_once, move |finished| {
-            let _ = sender.send(finished);
-        })
-    });
-    let pool = pool.transpose().map_err(|e| failed("background", &e))?;
     let mut background = Background::new(Scheduler::new(operator.background.clone(), seed), pool);
     let files = hooks.files.clone();
     let persistence = operator.state.clone();
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -152,14 +152,7 @@
     fn back(self, node: NodeId, end: AttemptOutcome, now: f64, value: Option<String>) -> CompletedAttempt {
         let AttemptRequest { query, part, shot, .. } = self.parcel;
         CompletedAttempt {
-            ended: AttemptEnded {
-                query: query,
-                part,
-                attempt: shot,
-                node,
-                outcome: end,
-                elapsed: now - self.sent,
-            },
+            ended: AttemptEnded { query, part, attempt: shot, node, outcome: end, elapsed: now - self.sent },
             value,
             searched: None,
         }
