--- a/crates/dunepond-control-plane/src/documents/tests.rs
+++ b/crates/dunepond-control-plane/src/documents/tests/mod.rs
@@ -13,7 +13,7 @@
 
 /// The version that the operators' page shows.
 fn documented() -> Value {
-    let page = include_str!("../../../../docs/operators/fleet.md");
+    let page = include_str!("../../../../../docs/operators/fleet.md");
     let section = page.split("## A version").nth(1).unwrap();
     let lines = section.lines().skip_while(|line| !line.starts_with("    {"));
     let text: String = lines.take_while(|line| line.starts_with("    ")).collect();
