--- a/crates/dunepond-rebalance/src/order.rs
+++ b/crates/dunepond-rebalance/src/order.rs
@@ -208,7 +208,7 @@
         there
     }
 
-    /// Does the next act of an operation, or says why not. `grown`: what acts of the same step brought before; it has to
+    /// Does the next act of an operation, or says why not. `beside`: what acts of the same step brought before; it has to
     /// fit beside them, as nothing is freed before the step is over.
     fn apply(&mut self, operation: usize, step: usize, beside: &Loads) -> Result<(Trace, Loads), MoveError> {
         let act = self.act(operation).expect("only what is left is tried");
--- a/crates/dunepond-routing/src/policy/shutdown.rs
+++ b/crates/dunepond-routing/src/policy/shutdown.rs
@@ -106,7 +106,8 @@
         self.queries = queries;
     }
 
-    /// QuotaShares a query that arrives during a shutdown to the last answers.
+    /// Limits the deadline of a query that arrives during a shutdown to the last answers, and marks one that would
+    /// outlast them.
     pub(super) fn limit_to_shutdown(&self, query: &mut InFlightQuery) {
         let Some(shutdown) = self.shutdown else { return };
         query.exceeds_shutdown = shutdown.refuses(self.now, query.deadline_at);
