--- a/crates/dunepond-control-plane/src/audit_log.rs
+++ b/crates/dunepond-control-plane/src/audit_log.rs
@@ -17,7 +17,7 @@
 use crate::clock::monotonic_seconds;
 use crate::error::ControlPlaneError;
 
-/// Records that wait for the disk at most.
+/// Records that may wait for the disk.
 const MAX_QUEUED_EVENTS: usize = 65_536;
 
 /// One line of the audit log. The JSON names are a stored form.
--- a/crates/dunepond-control-plane/src/control_loop/fill_lane.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fill_lane.rs
@@ -24,14 +24,14 @@
     Own,
 }
 
-/// The end of one try.
+/// The end of one attempt.
 pub struct FillEnded {
     pub(super) lane: Lane,
     pub(super) id: String,
     pub(super) outcome: Result<FillResult, FillError>,
 }
 
-/// A fill under way, and what its filler said once it is done.
+/// A fill under way, with the fill service's result once it is done.
 pub(super) struct ActiveFill {
     pub(super) progress: FillProgress,
     pub(super) attempt_running: bool,
@@ -64,7 +64,7 @@
     pub planner: FillPlanner,
     pub links: LinkCapacities,
     pub patience: FillRetryPolicy,
-    /// Bytes of a segment.
+    /// Size of a segment in bytes.
     pub segment_bytes: u64,
     pub max_concurrent: usize,
     pub rng: Pcg64Mcg,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Another version, or another leader: what is under way is not ours any more.
+    /// The version or the leader has changed: the fills under way are not this broker's any more.
     pub(super) fn abandon_all(&mut self) {
         for (id, _) in std::mem::take(&mut self.active) {
             self.planner.fill_ended(&id, false);
@@ -120,7 +120,7 @@
         self.is_leading = false;
     }
 
-    /// Fills of before the start, or of the leader before, that may be under way: they begin again under the same id.
+    /// Resumes fills that may be under way from before the start or under the previous leader, with the same ids.
     pub fn resume(&mut self, fills: impl IntoIterator<Item = Fill>, now: f64) {
         for fill in fills {
             self.planner.resume(&fill, now, true);
--- a/crates/dunepond-control-plane/src/control_loop/fill_sources.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fill_sources.rs
@@ -1,5 +1,5 @@
-//! From where a fill is not to be taken: a source from which a try has failed, or that discovery says is to be left, as
-//! long as there is another. Without this a fill asks the same dead source until its version is withdrawn.
+//! Sources that a fill avoids as long as there is another: those from which an attempt has failed, and those that
+//! discovery lists as draining or removed. Without this a fill asks the same dead source until its version is withdrawn.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,8 @@
         self.0.retain(|id, _| wanted(id));
     }
 
-    /// Of a need's sources, node and partner, those that are left to try. Where none is, all of those that stay, else all.
+    /// The sources (node and partner) that are left to try. If all that stay have failed, all that stay; if none stays, the
+    /// same among those that leave.
     pub fn usable(
         &self,
         id: &str,
--- a/crates/dunepond-control-plane/src/control_loop/fills.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills.rs
@@ -248,7 +248,7 @@
                 }
                 // The filler knows no stopping: it is asked again under the same id.
                 FillAction::Stop(fill) => info!("fleet: fill {}: no answer in time", fill.id),
-                // Its place is free once the log has it; see `plan_fills`.
+                // Its place is free once the log has it; see `plan_version_fills`.
                 FillAction::Free(_) | FillAction::Propose(_) => {}
             }
         }
--- a/crates/dunepond-control-plane/src/control_loop/leases.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leases.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// A question for this voter, ours or another's.
+    /// A lease request for this broker's voter, its own or a peer's.
     fn ask_own_voter(&mut self, ask: LeaseRequest) {
         if self.state.storage_failed_until.is_some() {
             return;
@@ -50,7 +50,8 @@
         self.ask_own_voter(ask);
     }
 
-    /// An answer of this voter: to whoever waits for it here, to ourselves, or to one who asked another voter.
+    /// Sends a reply of this broker's voter: to this broker itself, as the response to a peer's open request, or as a push to a
+    /// broker that had asked another voter.
     pub(super) fn send_lease_reply(&mut self, broker: String, told: LeaseReply) {
         if broker == self.name {
             return self.adopt_reply(&broker, told);
@@ -75,9 +76,9 @@
         }
     }
 
-    /// The answer of a leader to whom another voter passed our question on.
+    /// A reply pushed by the leader, to which another voter had forwarded this broker's request.
     pub(super) fn on_pushed_reply(&mut self, from: &str, body: &[u8]) {
-        // Nobody else has a word in it.
+        // Only voters may send one.
         if !self.member.voters().iter().any(|voter| voter == from) {
             return warn!("fleet: {from} is no voter, and tells what is agreed: not believed");
         }
@@ -97,7 +98,7 @@
                 self.on_lease();
                 self.apply_leased_entries();
             }
-            // Answered twice, or too late; and a voter without a leader: both pass.
+            // A second or late reply, or a voter without a leader: nothing to report.
             Err(
                 why @ (Rejection::UnexpectedReply(_)
                 | Rejection::NoLeader
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -43,16 +43,17 @@
 pub use settlements::Settlements;
 pub use traffic_counts::TrafficCounts;
 
-/// Between two turns at most: so many in a lease, as leases and elections are counted by them, and seconds.
+/// Ticks per lease: leases and elections are timed by ticks.
 const TICKS_PER_LEASE: f64 = 40.0;
+/// Shortest and longest time between two ticks, in seconds.
 const TICK: (f64, f64) = (0.005, 0.025);
-/// A folder that cannot be written is tried again after so long. Meanwhile the voter is silent: what it has not on the
-/// disk it must not count on.
+/// A data directory that cannot be written is tried again after this time. Meanwhile the voter is silent: it must not rely
+/// on what is not on the disk.
 const STORAGE_RETRY_SECONDS: f64 = 0.5;
-/// A message between voters that takes longer is worth nothing any more.
+/// A message between voters that takes longer is of no use any more.
 const CONSENSUS_TIMEOUT_SECONDS: f64 = 1.0;
 
-/// What an ask of ours was for.
+/// What a request of this broker was for.
 enum SentRequest {
     Consensus,
     PushedLease,
@@ -63,7 +64,7 @@
     SettlementEntries,
 }
 
-/// One who waits for our answer to his question.
+/// A peer's request that has not been responded to.
 struct UnansweredRequest {
     token: Responder,
     until: f64,
@@ -82,13 +83,13 @@
     pub(crate) link_counters: Arc<ArcSwap<Counters>>,
     pub(crate) counters: Arc<ActivityCounters>,
     pub(crate) audit_log: Option<AuditSender>,
-    /// Tells the loop that what it may act on is another.
+    /// Wakes the event loop after the active configuration has changed.
     pub(crate) wake: Box<dyn Fn() + Send>,
     pub(crate) proposals: Proposals,
     pub(crate) rebalancing: Rebalancing,
     pub(crate) traffic: TrafficCounts,
     pub(crate) settlement: Settlements,
-    /// Those of the proposed version, where this broker leads; and its own, of cold holders that fall to it.
+    /// Fills of the proposed version, while this broker leads; and this broker's own fills of cold holders.
     pub(crate) version_fills: FillLane,
     pub(crate) own_fills: FillLane,
     pub(crate) quotas: Option<QuotaSharing>,
@@ -108,7 +109,7 @@
 #[derive(Default)]
 pub struct LoopState {
     sent_requests: HashMap<u64, SentRequest>,
-    /// By broker and the number of its question.
+    /// By broker and the id of its request.
     unanswered: HashMap<(String, u64), UnansweredRequest>,
     last_tick: f64,
     /// Who leads, as the log has it.
@@ -121,7 +122,7 @@
     reported_voters: Option<u64>,
     /// The last refusal that was told.
     last_refusal: Option<Explanation>,
-    /// What the record and the loop were last told.
+    /// What was last published to the audit log and the event loop.
     published: Published,
     crashed: bool,
 }
@@ -154,7 +155,7 @@
                 recv(self.finished_fills) -> done => self.on_fill_ended(done.ok()),
                 recv(after(wait)) -> _ => {}
             }
-            // What waits, as far as the next turn is not due: each message may wait for the disk.
+            // Waiting messages, until the next tick is due: each of them may wait for the disk.
             while monotonic_seconds() < self.state.last_tick + tick
                 && let Ok(event) = self.events.try_recv()
             {
@@ -193,11 +194,11 @@
         self.review_settlements();
         self.plan_quotas(now);
         self.exchange_counts();
-        // Dropped unanswered: whoever asked has asked anew.
+        // Dropped without a response: the peer has sent a new request by now.
         self.state.unanswered.retain(|_, waiting| now < waiting.until);
     }
 
-    /// After a failure of the folder all is written anew; only then does the voter speak again.
+    /// After a failed write the whole journal is rewritten; only then does the voter send messages again.
     fn retry_storage(&mut self, now: f64) {
         if self.state.storage_failed_until.is_some_and(|until| now >= until)
             && let Some(voter) = &self.voter
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Does what the voter orders: first the disk, and only then what others hear.
+    /// Carries out the voter's effects: writes to the disk first, and only then sends to others.
     fn execute(&mut self, orders: Effects) {
         if !orders.write_batch.is_empty() {
             increment(&self.counters.syncs);
@@ -319,7 +320,7 @@
             RequestKind::RebalancePlan => self.handle_offer(&from, body, token),
             RequestKind::TransferCounts => {
                 self.merge_counts(&from, body);
-                // What is told has to be kept first.
+                // Counts must be stored before they are sent.
                 let counts = self.save_traffic().then(|| self.traffic.message_to(&from).ok()).flatten();
                 self.peers.respond(token, counts.ok_or(RefusalReason::Busy));
             }
@@ -353,7 +354,7 @@
         self.enter_on_behalf_of(&by, entry)
     }
 
-    /// The same on the word of `by`.
+    /// The same on behalf of `by`.
     fn enter_on_behalf_of(&mut self, by: &str, entry: Command) -> Result<(), Rejection> {
         let silent = self.state.storage_failed_until.is_some();
         let Some(voter) = self.voter.as_mut().filter(|_| !silent) else {
@@ -370,7 +371,7 @@
         Ok(())
     }
 
-    /// Says why, once each.
+    /// Logs the explanation of a committed entry.
     fn explain_outcome(&self, outcome: &EntryOutcome) {
         let Some(state) = self.voter.as_ref().map(Voter::state) else { return };
         let why = match &outcome.result {
@@ -380,7 +381,7 @@
         why.iter().for_each(Explanation::log);
     }
 
-    /// What is offered again and again, and refused for the same reason, is told once.
+    /// A refusal that repeats with the same reason is logged once.
     fn explain_refusal(&mut self, offer: &ProposedEntry, why: &Rejection) {
         let routine = matches!(
             why,
--- a/crates/dunepond-control-plane/src/control_loop/own_fills.rs
+++ b/crates/dunepond-control-plane/src/control_loop/own_fills.rs
@@ -9,8 +9,7 @@
 use super::fill_lane::Lane;
 use crate::slow_start::{COUNTING_UNIT_BYTES, StartedNode};
 
-/// Of the time that a node takes to be warm: for so long the broker that it falls to is waited for, where it is not to be
-/// seen.
+/// Share of a node's warm-up time after which its fill passes to the next broker, if the responsible one is not alive.
 const TAKEOVER_RATIO: f64 = 1.0 / 3.0;
 
 impl ControlLoop {
@@ -20,7 +19,8 @@
         all.iter().filter(|it| now < it.started_at + warming.warm_up_seconds).cloned().collect()
     }
 
-    /// Rule 4 over all brokers together, and by the stricter of the deployment and the versions.
+    /// What fills may send to nodes in slow start: the bound holds for all brokers together, by the stricter of the
+    /// deployment and the agreed versions.
     pub(super) fn warming_capacity(&self, now: f64, lane: Lane) -> SlowStartCapacity {
         let window = self.slow_start.map_or(1.0, |warming| warming.window_seconds);
         let part = self.capacity_part(lane);
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Whom a holder falls to: one of its partner's brokers, or of all if that has none; the same for all that ask.
+    /// Whether this broker is responsible for filling a holder: one broker of the holder's partner is, or one of all brokers
+    /// if the partner has none. Every broker computes the same one.
     fn is_responsible_for(
         &self,
         holder: &str,
@@ -67,12 +68,12 @@
         of.sort_by_key(|broker| rendezvous_hash(holder, broker));
         let waited =
             self.slow_start.is_some_and(|it| now >= cold.started_at + TAKEOVER_RATIO * it.warm_up_seconds);
-        // Cut off from the first it may be filled by both: under the same id, which settles once.
+        // A broker that cannot see the first may fill it too: the fill has the same id and settles once.
         let first = if waited { of.iter().find(|broker| self.is_alive(broker)) } else { of.first() };
         first.is_some_and(|broker| **broker == self.name)
     }
 
-    /// SlowStartCapacity holders of the map in force that fall to this broker, whether it has a lease or not.
+    /// Cold holders of the map in force that fall to this broker, whether it has a lease or not.
     pub(super) fn own_fill_needs(&self, now: f64) -> Vec<FillDemand> {
         let cold = self.warming_nodes(now);
         let acting = self.member.active_config();
@@ -132,7 +133,7 @@
         true
     }
 
-    /// It came to nothing. Written later: until then a restart goes on with it.
+    /// The fill has failed for good. The record is written later; until then a restart resumes the fill.
     pub(super) fn abandon_commitment(&mut self, fill: &str) {
         self.settlement.commitments.shares.cancel(fill);
         self.settlement.commitments.fills.remove(fill);
@@ -144,7 +145,7 @@
     }
 }
 
-/// Some number of both names, spread evenly.
+/// Hash of both names, evenly distributed.
 fn rendezvous_hash(holder: &str, broker: &str) -> u64 {
     let mut sum = crate::startup::name_hash(holder) ^ crate::startup::name_hash(broker).rotate_left(31);
     for _ in 0..2 {
--- a/crates/dunepond-control-plane/src/control_loop/publish.rs
+++ b/crates/dunepond-control-plane/src/control_loop/publish.rs
@@ -11,7 +11,7 @@
 use crate::handle::audit_phase;
 
 impl ControlLoop {
-    /// Hands the loop what it may act on now, and notes what has changed in it. `leased`: with a new lease.
+    /// Hands the event loop the active configuration and audits what has changed in it. `leased`: there is a new lease.
     pub(super) fn publish(&mut self, leased: bool) {
         let (acting, now) = (self.member.active_config(), monotonic_seconds());
         let (word, numbers) = audit_phase(&acting, now);
@@ -24,14 +24,14 @@
         let (from, to) = (numbers.first().copied().unwrap_or(0), numbers.last().copied().unwrap_or(0));
         let (in_force, proposed) = acting.versions();
         let mut acts = Vec::new();
-        // A digest is as much work as its map is long: only where it is another version.
+        // The cost of a digest grows with the map, so it is computed only for another version.
         if shown.in_force != acting.active_number()
             && let Some(version) = in_force
         {
             acts.push(AuditEvent::Confirmed { number: version.number, digest: version.digest() });
         }
         if shown.proposed.as_ref().map(|before| before.0) != acting.proposed_number() {
-            // Given up, unless it is what is in force now or later.
+            // Withdrawn, unless this version or a later one is in force now.
             let before = shown.proposed.take();
             if let Some((number, digest)) = before.filter(|(number, _)| *number > acting.active_number()) {
                 acts.push(AuditEvent::Withdrawn { number, digest });
@@ -60,7 +60,7 @@
 
     pub(super) fn on_lease(&mut self) {
         self.counters.leases.fetch_add(1, Relaxed);
-        // Before the loop acts on it: a restart has to know the strictest of what was heard.
+        // Before the event loop acts on it: after a restart the broker must know the strictest version it has heard of.
         let versions = self.member.persisted_revision();
         if self.state.saved_config != Some(versions) {
             match self.data.save_config(&self.member.persisted_state()) {
--- a/crates/dunepond-control-plane/src/documents.rs
+++ b/crates/dunepond-control-plane/src/documents.rs
@@ -12,8 +12,8 @@
 
 use crate::error::VersionError;
 
-/// Bytes of a version at most: what is agreed, two versions and all settlements that are remembered, has to go to a voter
-/// in one message ([`crate::LONGEST_MESSAGE`]).
+/// Largest version, in bytes: the replicated state (two versions and all remembered settlements) has to fit one message to
+/// a voter (`MAX_MESSAGE_BYTES` in `link_limits`).
 pub const MAX_DOCUMENT_BYTES: usize = 3 << 20;
 
 /// What an operator's file asks for.
--- a/crates/dunepond-control-plane/src/explain.rs
+++ b/crates/dunepond-control-plane/src/explain.rs
@@ -12,11 +12,11 @@
 use dunepond_settlement::{Balances, Fill, FillDemand, Settlement, SettlementEntry};
 use dunepond_shard_map::MapTransition;
 
-/// Bytes of one field, and of a whole line.
+/// Bytes of one field at most.
 const MAX_FIELD_BYTES: usize = 160;
 /// Bytes of a whole line at most.
 pub const MAX_LINE_BYTES: usize = 4 * MAX_FIELD_BYTES + 64;
-/// Of others that were weighed, so many are named.
+/// Alternatives that a line names at most.
 const MAX_NAMED_COUNT: usize = 3;
 
 /// What a line is about.
@@ -60,9 +60,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
     pub subject: Subject,
-    /// Which, and what became of it.
+    /// What was decided on, and the outcome.
     pub what: String,
-    /// On whose word.
+    /// On whose authority.
     pub authority: String,
     /// Against which limit it was held.
     pub limit: String,
