--- a/crates/dunepond-broker/src/discovery.rs
+++ b/crates/dunepond-broker/src/discovery.rs
@@ -19,26 +19,26 @@
 use crate::iteration::{EventLoopHandle, LoopEvent, watch};
 use crate::upstream::{self, EndpointInfo};
 
-/// What a silent agent does not tell counts as told so long after it fell silent: the page's one clock for silence, the same
-/// for all deployments. What follows are shares of it.
+/// By the protocol page a change that a silent agent has not reported counts as known this long after the agent fell silent,
+/// in all deployments. The other times here are fractions of this one.
 const STALE_AFTER_SECONDS: f64 = 6.0;
-/// How long a watch may wait: a quarter of that, so that several calls can follow a silent one before it is over.
+/// How long a watch may wait: a quarter of that, so that several calls can follow one without an answer before it is over.
 const WATCH_TIMEOUT_MILLISECONDS: u64 = (STALE_AFTER_SECONDS / 4.0 * 1000.0) as u64;
 /// How long after its time an answer is missed: another call goes out beside the one that is silent, as what is
 /// broken may be that one connection, and is itself missed so soon, as it asks for what can be had at once. At this pace
 /// there is one soon after an agent's return too: what it gets then counts at once. A twelfth is as many calls at once as
-/// our own descriptors are reckoned for (`config.rs`); each is given all of `TOLD`, however slow the agent.
+/// our own descriptors are reckoned for (`config.rs`); each is given all of `STALE_AFTER_SECONDS`, however slow the agent.
 pub const RESPONSE_OVERDUE_SECONDS: f64 = STALE_AFTER_SECONDS / 12.0;
 /// By the protocol page a watch goes on if the next call comes so soon after the last answer.
 const WATCH_CONTINUATION_SECONDS: f64 = 0.2;
-/// Between two calls at least, far inside of that: an agent that answers a watch at once, whatever it is asked, must not make
-/// us ask it in circles. A quarter, so that an iteration that comes late still finds the watch alive.
+/// Shortest time between two requests, well below that: an agent that answers each watch at once must not be polled in a busy
+/// loop. A quarter, so that a late iteration still finds the watch alive.
 const MIN_REQUEST_INTERVAL_SECONDS: f64 = WATCH_CONTINUATION_SECONDS / 4.0;
-/// Before a call to an agent that is down is made again: at first, inside of what keeps a watch alive, and at most, which is
-/// the pace of the silent.
+/// First and longest backoff before an agent that is down is called again: the first is short enough to keep a watch alive,
+/// the longest is the interval at which a silent agent is called.
 const BACKOFF_RANGE_SECONDS: (f64, f64) = (WATCH_CONTINUATION_SECONDS / 2.0, RESPONSE_OVERDUE_SECONDS);
 
-/// A list, or what changed in it.
+/// A complete endpoint list (`whole`), or only the rows that changed.
 pub struct EndpointUpdate {
     pub whole: bool,
     pub endpoints: Vec<(Endpoint, EndpointInfo)>,
@@ -79,11 +79,11 @@
     /// none that crossed it is ever taken for newer.
     calls: Vec<DiscoveryCall>,
     timer: Option<TimerKey>,
-    /// The version to watch from; none before a whole list has come, and after each break.
+    /// The version of the list to watch from; `None` before a complete list has come, and after each break.
     seq: Option<u64>,
-    /// The last list had a line that would not do.
+    /// The last list had an invalid row.
     had_invalid_row: bool,
-    /// There was no descriptor for a call: it can be made again once somebody has made room.
+    /// A call found no free file descriptor; it is repeated once one has been freed.
     pub short: bool,
     asked: f64,
     pause: f64,
@@ -173,11 +173,11 @@
         self.write(now, at, timers);
     }
 
-    /// False once that has ended it.
+    /// `false` if the call ended by it.
     fn write(&mut self, now: f64, at: usize, timers: &mut Timers) -> bool {
         let call = &mut self.calls[at];
         match call.out.flush(&*call.stream) {
-            // Not up yet.
+            // Still connecting.
             Err(e) if e.kind() == io::ErrorKind::NotConnected => true,
             Err(e) => {
                 self.end(now, at, ConnectionEnd::of(&e), timers);
@@ -187,7 +187,7 @@
         }
     }
 
-    /// The agent's time is up: its answer's, or that of a pause.
+    /// The timer has fired: an answer is overdue, or a pause between two requests is over.
     pub fn due(&mut self, now: f64, timers: &mut Timers) {
         self.timer = None;
         match self.calls.first() {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// The one way a call goes that was not answered.
+    /// Ends a call that was not answered; every such call ends here.
     fn end(&mut self, now: f64, at: usize, ending: ConnectionEnd, timers: &mut Timers) {
         let call = self.calls.remove(at);
         self.handle.remove(call.token);
@@ -226,7 +226,7 @@
         if self.calls.is_empty() || self.timer.is_none() {
             timers.unset(self.timer.take());
             self.timer = Some(timers.set(now + self.pause, TimerEvent::Discovery));
-            // Our own lack says nothing of the agent.
+            // Our own lack of descriptors says nothing about the agent.
             if ending != ConnectionEnd::DescriptorsExhausted {
                 self.pause = (2.0 * self.pause).min(BACKOFF_RANGE_SECONDS.1);
             }
@@ -304,7 +304,7 @@
             call.message = http::response(input).map_err(|refusal| refusal.why)?.map(Message::after);
         }
         let Some(message) = &mut call.message else { return Ok(None) };
-        // What it says beside that need not be waited for.
+        // The body of an error need not be awaited.
         if message.head.status != 200 {
             return Err(format!("answered {}", message.head.status));
         }
@@ -318,15 +318,15 @@
         if !news.whole && self.seq.is_none_or(|before| seq < before) {
             return Err(format!("changes up to version {seq}, which do not follow what is known"));
         }
-        // What a spoilt line wanted to tell no watch tells again: all of it is asked for. A whole list may be spoilt for
-        // good: it is asked for once more, and then lived with.
+        // A watch does not repeat the change of an invalid row, so the complete list is requested. A complete list may stay
+        // invalid: it is requested once more and then accepted without that row.
         let again = had_invalid_row && !(news.whole && self.had_invalid_row);
         self.had_invalid_row = had_invalid_row;
         self.seq = Some(seq).filter(|_| !again);
         Ok(Some((news, keep)))
     }
 
-    /// Ends all other calls, and asks on soon.
+    /// Ends all other calls, and schedules the next request.
     fn heard(
         &mut self,
         now: f64,
@@ -345,7 +345,7 @@
         if keep {
             self.calls.push(answered);
         } else {
-            // Its way to end a connection; the watch goes on over another one.
+            // The agent closes this connection; the watch continues on another one.
             self.handle.remove(answered.token);
         }
         timers.unset(self.timer.take());
@@ -366,7 +366,7 @@
         }
     }
 
-    /// Reads a list; a line that will not do is named and skipped. Gives the version too, and whether there was such a line.
+    /// Reads a list; an invalid row is logged and skipped. Returns the list's version, its rows, and whether a row was invalid.
     pub fn read(&mut self, list: &Value) -> Result<(u64, EndpointUpdate, bool), Bad> {
         let list = Fields::of("list", list)?;
         let (seq, whole) = (list.count("seq")?, list.mark("whole")?);
