--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -21,7 +21,7 @@
 /// How long a client may take to close its side once it has been told of ours and has the whole of its last answer. A
 /// bound of the program: some round trips, however long a query may take.
 const LINGER_SECONDS: f64 = 1.0;
-/// On the way to the end who lingers may stay for so long after all is answered: the 50 ms by which the protocol page
+/// In a shutdown a lingering connection may stay this long after the last answers: the 50 ms by which the protocol page
 /// makes every time limit longer. The kill comes later.
 const SHUTDOWN_LINGER_SECONDS: f64 = 0.05;
 
@@ -33,8 +33,7 @@
     Disconnected(ConnectionEnd),
 }
 
-/// Whether the system still holds something that the peer's has not acknowledged. Where it cannot tell, there is
-/// nothing.
+/// Whether the system still holds bytes that the peer has not acknowledged; `false` where it cannot tell.
 fn has_unacknowledged(stream: &TcpStream) -> bool {
     let mut count: libc::c_int = 0;
     // SAFETY: the descriptor is open as long as the stream is borrowed, and the call writes one whole number.
@@ -63,7 +62,7 @@
         self.closing = true;
     }
 
-    /// Closes the connections at rest, those of now and of later.
+    /// Closes the idle connections, and from now on each one that becomes idle.
     pub fn close_resting(&mut self, now: f64, timers: &mut Timers) {
         self.close_when_idle = true;
         for id in self.unasked(true) {
@@ -78,26 +77,26 @@
         }
     }
 
-    /// What has come from those that are over a request is to be read before `close_asking`.
+    /// Clients that are sending a request: what has come from them is read before `expire_pending_requests`.
     pub fn read_pending_requests(&mut self) {
         for id in self.awaiting_request.values().copied().collect::<Vec<_>>() {
             self.read_before_timeout(id);
         }
     }
 
-    /// Nobody may be over a request any longer.
+    /// Ends every request that has not come completely.
     pub fn expire_pending_requests(&mut self, now: f64, timers: &mut Timers) {
         for id in self.awaiting_request.values().copied().collect::<Vec<_>>() {
             self.slow(now, id, timers);
         }
     }
 
-    fn unasked(&self, start_idle_timer: bool) -> Vec<usize> {
+    fn unasked(&self, only_idle: bool) -> Vec<usize> {
         let idle = |c: &ClientConnection| c.timer.is_some_and(|key| self.idle.contains_key(&key));
         let unasked = self
             .connections
             .iter()
-            .filter(|(_, c)| c.is_between_requests() && (!start_idle_timer || idle(c)));
+            .filter(|(_, c)| c.is_between_requests() && (!only_idle || idle(c)));
         unasked.map(|(id, _)| id).collect()
     }
 
@@ -207,9 +206,9 @@
         let late = ((now + REQUEST_TIMEOUT_SECONDS - EVICTABLE_AFTER_SECONDS) * 1e6) as u64;
         loop {
             let many = 2 * self.awaiting_request.len() > self.most;
-            let fail_overdue = self.awaiting_request.iter().filter(|(key, _)| key.0 < late || many);
+            let overdue = self.awaiting_request.iter().filter(|(key, _)| key.0 < late || many);
             let in_order =
-                fail_overdue.chain(&self.lingering).chain(&self.idle).chain(&self.awaiting_request);
+                overdue.chain(&self.lingering).chain(&self.idle).chain(&self.awaiting_request);
             // Its turn to be read comes before its turn to go.
             let Some(id) = in_order.map(|(_, id)| *id).find(|id| !self.again.contains(id)) else { break };
             if !matches!(self.final_read(now, id), FinalRead::ReceivedData) {
--- a/crates/dunepond-broker/src/downstream/disconnect.rs
+++ b/crates/dunepond-broker/src/downstream/disconnect.rs
@@ -18,7 +18,7 @@
 const CHECK_VALID_SECONDS: f64 = 0.05;
 
 impl Downstream {
-    /// Whether it has gone, by a look that is not old and since which nothing was told of it. `next_hung_up` names it
+    /// Whether it has gone, by a look that is not old and since which nothing was told of it. `next_disconnected` names it
     /// then.
     pub fn is_disconnected(&mut self, now: f64, id: usize) -> bool {
         let Some(client) = self.connections.get_mut(id) else { return false };
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -120,10 +120,10 @@
     most: usize,
     max_buffers: usize,
     bounds: Rc<Bounds>,
-    /// What comes to either door is bounded together.
+    /// Of the clients' port and of the search API's port; their connections are bounded together.
     listeners: Vec<Listener>,
     paused: bool,
-    /// What the API's door goes by, where there is one.
+    /// The search API, where it is turned on.
     pub api: Option<Rc<search_api::SearchApi>>,
     /// By their timers, so the longest first: who has connected or begun and not asked yet, and who waits for
     /// nothing. At the cap these make room.
@@ -145,12 +145,13 @@
     pub has_endpoints: bool,
     /// Since when what is read may have come, where the process stood still; what is read came just now otherwise.
     pub received_since: Option<f64>,
-    /// After SIGTERM: not ready; then also: each connection closes after its answer.
+    /// SIGTERM has come: `/ready` answers 503.
     pub leaving: bool,
+    /// A later stage of the shutdown: each connection closes after its answer.
     pub closing: bool,
-    /// And then: none is kept on which nothing is asked.
+    /// A still later stage: idle connections close.
     close_when_idle: bool,
-    /// By then every request has its answer, whatever time its client leaves.
+    /// When the last answers of a shutdown are due, however long clients would wait; `f64::MAX` before SIGTERM.
     pub until: f64,
 }
 
