--- a/crates/dunepond-broker/src/control_plane/fence.rs
+++ b/crates/dunepond-broker/src/control_plane/fence.rs
@@ -5,12 +5,12 @@
 
 use dunepond_routing::{AttemptOutcome, Idempotency};
 
-/// How far the part had come.
+/// How far an attempt had come when the fence fell, that is, when the joint phase began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStage {
     /// Its query has begun, and it is not sent.
     NotSent,
-    /// It waits for a connection, or in the line of one.
+    /// It waits for a connection, or in a connection's queue.
     Queued,
     /// Its frame is put on its connection, and not all of it written.
     PartlyWritten,
@@ -24,35 +24,35 @@
     Rejected,
 }
 
-/// Whose node it was sent, or would be sent to.
+/// Whether its node is the owner by the old map or by the new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerSide {
     Old,
     New,
 }
 
-/// What becomes of it.
+/// What is done with the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceAction {
-    /// As if there were no fence: it may be sent, and what is out may be sent once more as its effect allows.
+    /// As without a fence: it may be sent, and sent again as its idempotency allows.
     Allowed,
-    /// Given back unsent: its query is rejected, with when to return, if nothing of it has run.
+    /// Returned unsent: its query is rejected as retriable if none of its parts has run.
     Returned,
-    /// Its connection ends before the frame does, so that the node cannot have read it; then as held.
+    /// Its connection is closed before the frame is complete, so that the node cannot have read it; then as `Returned`.
     Aborted,
-    /// Its own answer alone ends it, until its query timeout; it is sent nowhere else.
+    /// Only its own answer or the query's timeout ends it; it is not sent again.
     AwaitOwnAnswer,
     /// Its answer counts, once, under the map that its query began on.
     Accepted,
 }
 
 impl FenceAction {
-    /// Known not to have run and not to run any more: it may be asked for again, at whoever owns it then.
+    /// Whether it is certain that it has not run and will not: its query may be sent again, to the owner of that time.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Returned | Self::Aborted)
     }
 
-    /// How the router hears of it; nothing where it goes on.
+    /// The outcome reported to the router; `None` if the attempt continues.
     pub fn end(self) -> Option<AttemptOutcome> {
         match self {
             Self::Returned => Some(AttemptOutcome::NotSent),
@@ -62,7 +62,7 @@
     }
 }
 
-/// The table. Both sides stand in it, as the new owner is no better while some broker may still act on the old map.
+/// The action for each case. The new owner is treated like the old one: some broker may still act on the old map.
 pub fn fence_action(stage: AttemptStage, effect: Idempotency, side: OwnerSide) -> FenceAction {
     use AttemptStage::{Answered, AnsweredLate, AwaitingAnswer, NotSent, PartlyWritten, Queued, Rejected};
     use FenceAction::{Aborted, Accepted, Allowed, AwaitOwnAnswer, Returned};
@@ -73,7 +73,7 @@
         (NotSent | Queued | PartlyWritten | AwaitingAnswer | Rejected, Idempotent | Keyed(_), _) => Allowed,
         (NotSent | Queued | Rejected, NonIdempotent, OwnerSide::Old | OwnerSide::New) => Returned,
         (PartlyWritten, NonIdempotent, OwnerSide::Old | OwnerSide::New) => Aborted,
-        // It may be running: neither the other side nor this one may get it again.
+        // It may be running: neither owner may get it again.
         (AwaitingAnswer, NonIdempotent, OwnerSide::Old | OwnerSide::New) => AwaitOwnAnswer,
     }
 }
--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -1,4 +1,4 @@
-//! The active configuration as it is asked at the moment of each act: may this be sent, is this answer complete.
+//! Checks against the active configuration, at the moment of each action: may this attempt be sent, is this answer complete.
 
 use std::cell::RefCell;
 use std::io::{self, IoSlice, Write};
@@ -14,10 +14,10 @@
 
 use super::fence::{self, AttemptStage, FenceAction, OwnerSide};
 
-/// What a query began on; it keeps that to its end.
+/// The active configuration at a query's start; the query keeps to it until its end.
 pub struct QueryStart {
     acting: Arc<ActiveConfig>,
-    /// On the steady clock.
+    /// Seconds on the monotonic clock.
     at: f64,
 }
 
@@ -31,26 +31,26 @@
         self.acting.map(self.at)
     }
 
-    /// Seconds that a throttling reply may name.
+    /// Longest Retry-After of a rejection, in seconds.
     pub fn longest_wait(&self) -> f64 {
         self.acting.rules(self.at).map_or(f64::INFINITY, |rules| rules.max_retry_after_seconds)
     }
 }
 
-/// What was in force at one moment: an act is judged by it, done at once and noted by the same.
+/// The active configuration at one moment: an action is checked by it, carried out at once and audited by it.
 pub struct CheckedConfig {
     acting: Arc<ActiveConfig>,
     at: f64,
 }
 
-/// A stream to which nothing is written any more once the look that allowed it is too old: a process that stood still in
-/// between looks again.
+/// A stream that refuses writes once the check that allowed them is older than [`MAX_ACTION_DELAY_SECONDS`]: a process that
+/// stalled in between has to check again.
 pub struct FreshWriter<'a, S> {
     pub stream: S,
     pub look: Option<&'a CheckedConfig>,
 }
 
-/// It stood still between the look and the writing.
+/// The process stalled between the check and the write.
 #[derive(Debug, thiserror::Error)]
 #[error("this process stood still before it could write")]
 pub struct StaleCheck;
@@ -78,7 +78,7 @@
     }
 }
 
-/// Shared by desk and connections.
+/// Decides whether an attempt may be sent; shared by the router host and the connections to nodes.
 pub struct Gate {
     pub hand: ControlHandle,
     watch: RefCell<ActiveConfigWatch>,
@@ -90,7 +90,7 @@
         Self { watch: hand.watch().into(), hand, repeats }
     }
 
-    /// What may be acted on at this moment.
+    /// The active configuration now.
     pub fn acting(&self) -> Arc<ActiveConfig> {
         self.watch.borrow_mut().current().clone()
     }
@@ -100,7 +100,7 @@
     }
 
     pub fn begin(&self) -> Rc<QueryStart> {
-        // The acting first: read the other way round, a lease that came in between would be younger than its query.
+        // The configuration is read before the clock: otherwise a lease that came in between would be later than its query.
         let acting = self.acting();
         Rc::new(QueryStart { acting, at: monotonic_seconds() })
     }
@@ -131,7 +131,7 @@
     }
 
     pub fn look(&self) -> CheckedConfig {
-        // The clock last: a process that stood still in here must not act on the time before.
+        // The clock is read last: after a stall in here the earlier time must not be used.
         let acting = self.acting();
         CheckedConfig { acting, at: monotonic_seconds() }
     }
@@ -157,7 +157,7 @@
             SegmentOwner::Node(only) => only == node,
             SegmentOwner::Unavailable(_) => false,
         };
-        // What it began on would say the same once more, but for a lease that came or ran out since.
+        // The same configuration gives the same verdict, unless a lease began or expired in between.
         let same = |began: &QueryStart| {
             Arc::ptr_eq(&began.acting, &look.acting)
                 && began.acting.lease_valid(began.at) == look.acting.lease_valid(look.at)
@@ -187,8 +187,8 @@
         (keys(then) != keys(now)).then_some(now.epoch())
     }
 
-    /// A part's frame has been handed to its connection. `id`: the call and the segment. `look`: what it was let go by; what
-    /// has come since is another act's.
+    /// Audits a part whose frame has been handed to its connection. `id`: call id and segment. `look`: the check that allowed
+    /// it.
     pub fn sent(
         &self,
         look: &CheckedConfig,
