--- a/crates/dunepond-broker/src/event_loop/disconnects.rs
+++ b/crates/dunepond-broker/src/event_loop/disconnects.rs
@@ -6,8 +6,8 @@
 use crate::iteration::{Iteration, LoopEvent};
 
 impl EventLoop {
-    /// Disconnects are taken before all else that a turn brings: what a node said may have come sooner, and what it would
-    /// have sent again is not wanted any more.
+    /// Detects disconnects before any other event of the iteration is handled: a node's failure that came earlier would cause
+    /// retries that nobody waits for any more.
     pub(super) fn detect_disconnects(&mut self, turn: &Iteration) {
         let now = self.router_host.now;
         for ready in &turn.ready {
@@ -18,7 +18,7 @@
         self.let_go();
     }
 
-    /// Lets go of those that were seen to have gone.
+    /// Ends the queries of clients that were found disconnected.
     pub(super) fn let_go(&mut self) {
         while let Some(held) = self.router_host.downstream.next_disconnected(&mut self.router_host.timers) {
             held.into_iter().for_each(|query| self.client_disconnected(query));
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -37,20 +37,21 @@
     background: Background,
     /// What outlasts the process; nothing where the operator's file does not ask for it.
     persistence: Option<Persistence>,
-    /// An audit waits for its turn.
+    /// A background job for a prefilter audit is scheduled.
     audit: bool,
     config_reloader: ConfigReloader,
     operator: Operator,
     /// The list of the configuration, until discovery speaks or has been silent for too long.
     known: Option<EndpointUpdate>,
-    /// When this turn of the loop began, and the one before it: what a turn finds came after that.
+    /// When this iteration began, and the one before it: what an iteration finds came after the latter.
     iteration_began_at: f64,
     previous_iteration_at: f64,
-    /// The longest query timeout, or a shorter one that a configuration read since has told.
+    /// The longest query timeout in seconds, or that of a configuration reloaded since, if shorter.
     longest_timeout: f64,
     shutdown: Option<Shutdown>,
-    /// The last stage of it that was taken.
+    /// The last stage of the shutdown that was carried out.
     stage: ShutdownStage,
+    /// The listeners are closed; the loop ends once no client connection is left.
     over: bool,
 }
 
@@ -66,7 +67,7 @@
         self.router_host.now
     }
 
-    /// The loop has come round with something to do, or to look for signals.
+    /// An iteration begins: an event or a timer has come, or signals are to be checked.
     fn begin_iteration(&mut self) {
         self.previous_iteration_at = std::mem::replace(&mut self.iteration_began_at, self.clock.now());
         let now = self.tick();
@@ -77,7 +78,7 @@
         self.advance_shutdown();
     }
 
-    /// Each act begins with what is agreed on at that moment.
+    /// Brings rules, quotas and drained nodes up to the active configuration of this moment; called before each event is handled.
     fn apply_control_plane(&mut self) {
         if let Some(fleet) = &mut self.router_host.control_plane {
             fleet.needs(|seconds| self.router.quota_demand(seconds));
@@ -88,7 +89,7 @@
         let Some(changed) = self.router_host.control_plane.as_mut().and_then(ControlPlane::changed) else {
             return;
         };
-        // With each new lease, so that the next question tells it.
+        // With each new lease, so that the next lease request carries it.
         self.router_host.control_plane.iter().for_each(|fleet| fleet.press(self.router.is_overloaded()));
         if let Some(rules) = changed.rules {
             self.router.set_rules(&rules);
@@ -98,7 +99,7 @@
         }
     }
 
-    /// One of the things that the loop has told of.
+    /// Handles one event.
     fn turn(&mut self, ready: LoopEvent) {
         match ready {
             LoopEvent::Accept(api) => self.accept(api),
@@ -124,8 +125,8 @@
         self.settle();
     }
 
-    /// Nobody was taken in for a while: who waits at the listeners is looked for at once, so that it is known who of those
-    /// that come has waited.
+    /// Accepts at once the connections that have waited at the listeners while accepting was paused, so that they can be told from
+    /// those that come later.
     fn accept_backlog(&mut self) {
         self.router_host.downstream.resume();
         for api in [false, true] {
@@ -169,7 +170,7 @@
         self.settle();
     }
 
-    /// Makes a call to discovery after all that found no descriptor: a list that is not asked for counts as told too.
+    /// Repeats a call to discovery that found no file descriptor: without it the list would go stale.
     fn retry_discovery(&mut self) {
         if std::mem::take(&mut self.discovery.short) && self.router_host.make_room() {
             self.discovery.call(self.router_host.now, &mut self.router_host.timers);
@@ -222,8 +223,8 @@
         }
     }
 
-    /// Carries on until nothing is left to tell: requests that have been read, orders to be written, and
-    /// ends that came while the router was in a call, as its calls never nest.
+    /// Works until nothing is left to report: requests that have been read, orders to be written, and attempts that ended while
+    /// the router was in a call, as its calls never nest.
     fn settle(&mut self) {
         loop {
             let now = self.router_host.now;
@@ -299,7 +300,7 @@
         }
     }
 
-    /// All that this turn of the loop has brought has been told.
+    /// All events and timers of this iteration have been handled.
     fn end_iteration(&mut self, idle: bool) {
         if let Some(prefilter) = &mut self.prefilter {
             prefilter.end_iteration(&mut self.router, &mut self.router_host);
--- a/crates/dunepond-broker/src/event_loop/shutdown.rs
+++ b/crates/dunepond-broker/src/event_loop/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown from SIGTERM to the end, in the stages that the router set.
+//! Graceful shutdown from SIGTERM to the end of the process, in the stages of `dunepond_routing::Shutdown`.
 
 use dunepond_routing::{Shutdown, ShutdownStage};
 use tracing::info;
@@ -7,8 +7,9 @@
 use crate::clock::TimerEvent;
 
 impl EventLoop {
-    /// The signal was found in this turn, so that it came after the turn before had begun: a process that was held up
-    /// meanwhile has less time to the kill than the moment of finding it would say.
+    /// SIGTERM or SIGINT was found in this iteration, so it may have come at any time since the previous one began. The stages
+    /// count from that time: after a stall the kill comes sooner than the time of finding suggests. A second signal changes
+    /// nothing.
     pub(super) fn told_to_end(&mut self) {
         let now = self.tick();
         if self.shutdown.is_none() {
@@ -28,15 +29,15 @@
         }
     }
 
-    /// A stage that has come is taken before anything that this turn brings: requests in it are treated by that stage.
+    /// Enters a stage that is due before the events of this iteration, so that its requests are treated by that stage.
     pub(super) fn advance_shutdown(&mut self) {
         if self.shutdown.is_some_and(|shutdown| shutdown.stage(self.router_host.now) > self.stage) {
             self.drain();
         }
     }
 
-    /// Does what belongs to the stage that the shutdown has reached, and has the next one called. Several stages may come at
-    /// once, as the process may have stood still.
+    /// Carries out the stage that the shutdown has reached, with all stages before it, and sets a timer for the next one. After a
+    /// stall several stages may come at once.
     pub(super) fn drain(&mut self) {
         let Some(shutdown) = self.shutdown else { return };
         let now = self.router_host.now;
@@ -52,7 +53,8 @@
             self.router_host.downstream.close_after_responses();
         }
         if stage >= ShutdownStage::Refusing {
-            // Where there is no room for those who wait at a listener, it closes once somebody has made room.
+            // While there is no room to accept all that wait at the listeners, they stay open; see
+            // `retry_closing_listeners`.
             self.over =
                 self.over || self.router_host.downstream.close_listeners(now, &mut self.router_host.timers);
             self.router_host.downstream.close_resting(now, &mut self.router_host.timers);
@@ -68,7 +70,8 @@
         }
     }
 
-    /// What was taken before SIGTERM may have more time than the process, where query timeouts are longer than is counted.
+    /// Ends queries that are still unanswered: their timers may be later than the kill, where query timeouts are longer than the
+    /// longest counted one.
     fn expire_queries(&mut self) {
         for query in self.router_host.owed_answers() {
             self.scan_ends(query);
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Who waited at a listener may be taken in, and the listener closed.
+    /// Tries again to accept all that wait at the listeners, and to close them.
     pub(super) fn retry_closing_listeners(&mut self) {
         let refuses = self.shutdown.is_some_and(|shutdown| shutdown.is_refusing(self.router_host.now));
         if refuses && !self.over {
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -45,11 +45,10 @@
 /// half is its client's, to ask elsewhere; the timeouts are the settings'.
 const FIRST_LIST_TIMEOUT_SECONDS: f64 = 2.0 * RESPONSE_OVERDUE_SECONDS;
 const MAX_ACCEPT_HOLD_RATIO: f64 = 0.5;
-/// How soon an address that is still held is tried again. No term asks for it: a bound of ours on how often a process that can do
-/// nothing else runs, far below the seconds in which one has to be ready.
+/// How soon binding an address that is still in use is tried again: well below the seconds in which a process has to be ready.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What its program lends a broker.
+/// What the caller of [`serve`] may replace or add.
 #[derive(Default)]
 pub struct Hooks {
     /// The signals, where they were caught before.
@@ -60,14 +59,14 @@
     pub folder: Option<Arc<dyn Folder>>,
     /// The same for the state's.
     pub files: Option<Arc<dyn FileStore>>,
-    /// And for the fleet's, and for its filler.
+    /// The same for the fleet's data directory and fill service.
     pub fleet: dunepond_control_plane::TestDoubles,
 }
 
-/// The files tier's threads, and the folder that they work on.
+/// The threads of the disk spill for bodies, and the folder that they work on.
 type BodyFiles = (Spool, Arc<dyn Folder>);
 
-/// The files tier, where the operator's file names a folder. Its threads leave word as the sockets do.
+/// Starts the disk spill for bodies, where the operator's file names a folder. Its threads report to the event loop.
 fn spool(
     bodies: &operator::Bodies,
     hooks: &Hooks,
@@ -279,7 +278,7 @@
         self.discovery.call(now, &mut self.router_host.timers);
     }
 
-    /// Turn by turn, until the listeners are closed and no client is left.
+    /// Runs iterations until the listeners are closed and no client connection is left.
     fn run(&mut self, event_loop: &mut calloop::EventLoop<'static, Iteration>) -> calloop::Result<()> {
         let mut turn = Iteration::default();
         while !(self.over && self.router_host.downstream.count() == 0) {
@@ -299,7 +298,7 @@
         Ok(())
     }
 
-    /// Keeps what outlasts the process, and ends its threads.
+    /// Writes the state that outlasts the process, and stops the control plane's thread.
     fn finish(&mut self) {
         let now = self.tick();
         if let (Some(persistence), Some(pool)) = (&mut self.persistence, self.background.pool()) {
--- a/crates/dunepond-broker/src/signals.rs
+++ b/crates/dunepond-broker/src/signals.rs
@@ -12,7 +12,7 @@
 }
 
 /// Catches the signals and keeps them until the broker serves: one that came before would kill the process. To be called
-/// before anything else is done, and before any thread is started. Dropped, it gives them back their way.
+/// before anything else is done, and before any thread is started. Dropping the result restores their default handling.
 pub fn catch_signals() -> Result<CaughtSignals, Bad> {
     let since = Instant::now();
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]);
