--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -13,7 +13,7 @@
 use crate::search_api::{ActiveRequest, ActiveSearch, SearchRequest};
 
 impl RouterHost {
-    /// Takes a query in hand; one too many is turned away before the router hears of it.
+    /// Registers a query. If too much is in flight, it is rejected (503) before the router hears of it.
     pub fn take(&mut self, client: usize, asked: QueryRequest) -> Option<Query> {
         if self.is_full() {
             debug!("query {}: rejected, {} queries and parts in flight", asked.request_id, self.held);
@@ -30,7 +30,8 @@
         Some(query)
     }
 
-    /// Takes a request of the API in hand: a query for each of its searches; what has none has its outcome at once.
+    /// Registers a request of the search API: a query for each of its searches. A search that is invalid or over the limit has its
+    /// outcome at once.
     pub fn request(&mut self, client: usize, request: &SearchRequest) -> Vec<Query> {
         let Some(door) = self.downstream.api.clone() else { return Vec::new() };
         let (now, call) = (self.now, &request.call);
@@ -129,7 +130,7 @@
         }
     }
 
-    /// A query of one shard that no client waits for, as the router takes it; none where too much is held.
+    /// A query of one segment that no client waits for; `None` if too much is in flight.
     pub fn audit(&mut self, table_type: usize, seg: usize, text: Rc<str>) -> Option<Query> {
         let request_id = format!("audit-{}", self.last + 1);
         let room = self.bounds.most_held.is_none_or(|most| self.held + 2 <= most);
@@ -165,7 +166,7 @@
         Some(Query {
             id: query,
             class: table_type,
-            // Of no tenant's share, and of no tries that the router compares with each other.
+            // An index behind all tenants: it has no quota, and its first tries are not compared with a tenant's.
             tenant: self.bounds.customers.len() + 1,
             expires_in: ends_at - self.now,
             is_retry: false,
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -68,14 +68,14 @@
         }
     }
 
-    /// A whole answer only tells how long queries take that are asked about, or not.
+    /// Notes that a query got a complete answer; only those count in the prefilter's comparison of query times.
     pub(super) fn served(&mut self, query: QueryId, whole: bool) {
         if whole && let Some(last) = self.concluded.last_mut().filter(|last| last.0 == query) {
             last.1 = true;
         }
     }
 
-    /// Looks whether the client of this query has gone; the next that lets go of disconnects will hear of it.
+    /// Checks whether the client of this query has disconnected; `let_go` then ends the query.
     pub fn check_client(&mut self, query: QueryId) {
         let client = self.queries.get(&query).filter(|s| !s.over).and_then(|s| s.client);
         if let Some(client) = client {
@@ -96,7 +96,7 @@
     pub fn scan_ends(&mut self, query: QueryId) -> bool {
         let Some(in_hand) = self.queries.get_mut(&query) else { return false };
         in_hand.timer = None;
-        let owed_answers = !in_hand.over;
+        let is_owed = !in_hand.over;
         for (part, shot, node) in in_hand.all_attempts() {
             self.upstream.give_up(
                 self.now,
@@ -106,7 +106,7 @@
                 &mut self.timers,
             );
         }
-        owed_answers
+        is_owed
     }
 
     /// The queries whose clients are still owed an answer.
@@ -132,11 +132,11 @@
         }
     }
 
-    /// The query is over; gives its client, unless it was over before.
+    /// Marks the query as over; returns its client, unless it was over before.
     pub(super) fn conclude(&mut self, query: QueryId) -> Option<usize> {
         let in_hand = self.queries.get_mut(&query).filter(|s| !s.over)?;
         in_hand.over = true;
-        // What frames still carry of it they hold themselves.
+        // Frames that still carry the body hold their own reference.
         if in_hand.body.is_some() {
             in_hand.text = Payload::Released;
         }
@@ -157,7 +157,7 @@
         client
     }
 
-    /// No attempt of a query that is about to be answered has gone out whole, or can any more: it is harmless to ask again.
+    /// Whether no attempt of a query has been sent completely, after withdrawing what can be: then a repeat does no harm.
     pub(super) fn nothing_was_sent(&mut self, query: QueryId) -> bool {
         let Some(in_hand) =
             self.queries.get(&query).filter(|s| s.may_run_since.iter().all(|at| *at == f64::MAX))
@@ -181,7 +181,7 @@
             if status != 200 {
                 self.note(query, status, false);
             }
-            // Whoever could not be served for want of his body hears why it was not there.
+            // If the body was not kept for retries, the error says why.
             let note = in_hand.note.filter(|_| status != 200);
             let note = note.map(|why| error_body(&format!("body: not kept for retries: {why}")));
             let body = note.as_deref().unwrap_or(body);
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -10,7 +10,7 @@
 use crate::control_plane::{QueryStart, proved};
 use crate::upstream::AttemptRequest;
 
-/// What a query goes by in a fleet that agrees.
+/// The active configuration that a query in a fleet is held to.
 pub struct Coordination {
     began: Rc<QueryStart>,
     /// Parts that were sent under other keys than those that the query began on, with that map's epoch.
@@ -35,7 +35,7 @@
 }
 
 impl RouterHost {
-    /// A query is about to begin: false if it is refused at once by what is agreed, before the router hears of it.
+    /// Checks a query against the active configuration before the router hears of it; `false` if it was rejected at once.
     pub fn admit(&mut self, query: &mut Query) -> bool {
         let Some(fleet) = &mut self.control_plane else { return true };
         fleet.came(query.tenant);
@@ -69,7 +69,7 @@
         if let Some(agreed) = agreed {
             if let Some((out, may_run_since)) = agreed.keyed_attempts.get_mut(part) {
                 may_send &= (*out == 0 && !*may_run_since) || gate.may_retry_keyed(&agreed.began);
-                // Its end will be told, sent or not.
+                // Its end will be reported, sent or not.
                 *out += 1;
             }
             if may_send && let Some(epoch) = gate.moved(&agreed.began, seg) {
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -28,9 +28,9 @@
 
 /// A query from its request until it is answered and all its attempts are back.
 struct ActiveQuery {
-    /// The search of the API that it is.
+    /// The search API's search that it carries out, if any.
     api: Option<Box<ActiveSearch>>,
-    /// Nobody waits for an audit.
+    /// `None` for an audit, for which no client waits.
     client: Option<usize>,
     table_type: usize,
     request_id: String,
@@ -42,7 +42,7 @@
     part_ids: Vec<Rc<str>>,
     /// The value of each part that is in.
     values: Vec<Option<String>>,
-    /// What was left out, and on whose word.
+    /// Segments that the prefilter left out, and on whose answer.
     left_out: Vec<PrunedSegment>,
     /// The nodes of each part's attempts.
     shots: Vec<Vec<NodeId>>,
@@ -53,7 +53,7 @@
     customer: usize,
     agreed: Option<Coordination>,
     out: usize,
-    /// Answered or given up by its client: nothing more goes out for it.
+    /// It has its final answer, or its client has gone: nothing more is sent for it.
     over: bool,
 }
 
@@ -67,20 +67,20 @@
     pub body_store: Option<BodyStore>,
     /// Where two phases are on: the nodes that are asked first, and queries that are over, answered or not.
     pub prefilter_connections: Option<PrefilterConnections>,
-    /// The fleet that this broker agrees with; none where the operator's file does not name it.
+    /// `None` where the operator's file names no fleet.
     pub control_plane: Option<ControlPlane>,
     pub concluded: Vec<(QueryId, bool)>,
     /// Requests of the API whose searches are under way, by the number that their clients hold.
     requests: HashMap<u64, ActiveRequest>,
-    /// What nodes have given for queries in hand, in bytes.
+    /// Size of the values received for queries in hand, in bytes.
     values: u64,
-    /// Who brings each body.
+    /// The client that uploads each body.
     uploads: HashMap<BodyId, usize>,
     bounds: Rc<Bounds>,
     cells: usize,
     holders: usize,
     dispatch_cap: usize,
-    /// The longest wait that a throttling reply may name.
+    /// Longest Retry-After of a rejection, in seconds; 0 where none may be named.
     longest_wait: f64,
     /// The query timeouts of the query classes, and for how long after an attempt that may have run another may go out: with
     /// the margin that the router keeps.
@@ -89,7 +89,7 @@
     queries: HashMap<QueryId, ActiveQuery>,
     request_ids: HashSet<String>,
     last: QueryId,
-    /// Queries and parts that are open.
+    /// Open queries plus their parts without a value; bounded by `Bounds::most_held`.
     held: usize,
 }
 
@@ -160,7 +160,7 @@
         self.bounds.table_types.clone()
     }
 
-    /// Writes what was sent.
+    /// Writes queued frames to the nodes.
     pub fn flush(&mut self) {
         self.upstream.flush(self.now, &mut self.timers);
         while self.upstream.is_awaiting_descriptor() {
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The frames know no probe, and the settings are read so that none is asked for.
+    /// Never called: the frames have no probe, and the deployment is read with `may_probe` off.
     fn probe(&mut self, _: NodeId) {}
 
     fn answer(&mut self, query: QueryId, whole: bool) {
@@ -119,7 +119,7 @@
     }
 
     fn fail_unknown_outcome(&mut self, query: QueryId) {
-        // The module takes for sent what it has sent and not seen back; what still waits here has not left.
+        // The router counts every attempt without an outcome as sent; one that still waits in a queue here has not left.
         if self.nothing_was_sent(query) {
             return self.reject_retriable(query, 0.0);
         }
