--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -93,10 +93,8 @@
 
     fn unasked(&self, only_idle: bool) -> Vec<usize> {
         let idle = |c: &ClientConnection| c.timer.is_some_and(|key| self.idle.contains_key(&key));
-        let unasked = self
-            .connections
-            .iter()
-            .filter(|(_, c)| c.is_between_requests() && (!only_idle || idle(c)));
+        let unasked =
+            self.connections.iter().filter(|(_, c)| c.is_between_requests() && (!only_idle || idle(c)));
         unasked.map(|(id, _)| id).collect()
     }
 
@@ -207,8 +205,7 @@
         loop {
             let many = 2 * self.awaiting_request.len() > self.most;
             let overdue = self.awaiting_request.iter().filter(|(key, _)| key.0 < late || many);
-            let in_order =
-                overdue.chain(&self.lingering).chain(&self.idle).chain(&self.awaiting_request);
+            let in_order = overdue.chain(&self.lingering).chain(&self.idle).chain(&self.awaiting_request);
             // Its turn to be read comes before its turn to go.
             let Some(id) = in_order.map(|(_, id)| *id).find(|id| !self.again.contains(id)) else { break };
             if !matches!(self.final_read(now, id), FinalRead::ReceivedData) {
