--- a/crates/dunepond-control-plane/src/control_loop/fills.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills.rs
@@ -216,7 +216,7 @@
         self.enter_finished_fills();
     }
 
-    /// Into the log, before it begins: the next leader has to know of it.
+    /// Enters a fill into the log before it begins: the next leader has to know of it.
     fn enter_begun_fills(&mut self, now: f64) {
         let ledger = self.traffic.balances.ledger();
         let mut new = Vec::new();
@@ -246,7 +246,7 @@
                     self.audit_fill(&fill, "begun");
                     self.lane(lane).start_attempt(&fill);
                 }
-                // The filler knows no stopping: it is asked again under the same id.
+                // The fill service cannot stop a fill: it is asked again with the same id.
                 FillAction::Stop(fill) => info!("fleet: fill {}: no answer in time", fill.id),
                 // Its place is free once the log has it; see `plan_version_fills`.
                 FillAction::Free(_) | FillAction::Propose(_) => {}
@@ -265,7 +265,7 @@
         }
     }
 
-    /// A try has ended.
+    /// An attempt has ended.
     pub(super) fn on_fill_ended(&mut self, done: Option<FillEnded>) {
         let Some(FillEnded { lane, id, outcome }) = done else { return };
         let now = monotonic_seconds();
@@ -343,8 +343,8 @@
         self.crash_point("done");
     }
 
-    /// A try has failed: the next is from another source, if there is one, and at once; else this one is asked again
-    /// after its pause.
+    /// An attempt has failed: the next one follows at once from another source if there is one, else from the same source
+    /// after the backoff.
     fn avoid_source(&mut self, fill: &Fill) {
         self.version_fills.avoided.note_failure(&fill.id, &fill.source);
         let Some(needs) = self.version_fill_needs() else { return };
--- a/crates/dunepond-control-plane/src/control_loop/quotas.rs
+++ b/crates/dunepond-control-plane/src/control_loop/quotas.rs
@@ -1,4 +1,4 @@
-//! Bounds that the fleet shares: what this broker needs of them goes out with its questions, and the leader plans.
+//! Fleet-wide quotas: this broker's demand goes out with its lease requests, and the leader plans the shares.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use super::ControlLoop;
 use crate::audit_log::AuditEvent;
 
-/// In leases: between two looks at what is needed; and after an entry that only says who is there, before the next.
+/// Interval, in leases, between two demand reports and between two plans.
 const REVIEW_INTERVAL_LEASES: f64 = 0.1;
 
 pub struct QuotaSharing {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// For the record.
+    /// The event for the audit log.
     pub fn audit_event(&self, acting: &ActiveConfig, until: f64) -> AuditEvent {
         let told = acting.quota(until).allocation;
         AuditEvent::QuotaShare {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// At the leader: who gets how much from now on.
+    /// At the leader: proposes the next change of shares.
     pub(super) fn plan_quotas(&mut self, now: f64) {
         let (Some(limiting), Some(voter)) = (&mut self.quotas, &self.voter) else { return };
         if now < limiting.next_plan_at {
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing.rs
@@ -18,7 +18,7 @@
 
 /// Leases that an offer may take to be answered, and between two offers.
 const OFFER_TIMEOUT_LEASES: f64 = 1.0;
-/// Part of a lease after which what was entered and is not agreed on is entered again.
+/// Leases after which an entry that is not committed is entered again.
 const RETRY_LEASES: f64 = 0.25;
 /// Leases for which what a broker said of its nodes counts.
 const LOAD_REPORT_LEASES: f64 = 2.0;
@@ -37,7 +37,7 @@
     next_offer_at: f64,
     next_voter: Option<String>,
     voters_tried: usize,
-    /// Of the leader: plan and turn, and since when they are so.
+    /// At the leader: the plan, its turn, and since when that turn has been current.
     current_turn: Option<(String, u64, f64)>,
     entered_at: f64,
     pressure: Pressure,
@@ -49,7 +49,7 @@
 struct PlanOffer {
     plan: Plan,
     max_concurrent_acts: usize,
-    /// It was offered before: its word counts once.
+    /// It was offered before: the operator's command in it counts once.
     is_repeat: bool,
 }
 
@@ -421,7 +421,7 @@
             return;
         }
         warn!("fleet: plan {}: {why} ({})", self.plan_id(), why.help());
-        // A person has to look: what the voters will not have now they will not have in a moment.
+        // An operator has to look: what the voters reject now they will reject again.
         let fails = self.voter.as_ref().map(|voter| voter.state().rebalance().fails(&why));
         if let Some(Next::Enter(entry)) = fails {
             let _ = self.enter(Command::Rebalance(entry));
--- a/crates/dunepond-control-plane/src/control_loop/settlements.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements.rs
@@ -1,5 +1,5 @@
-//! The agreed part of debts at this broker: entries as the log has them, shares that are allot_evenly in advance, and what this
-//! broker promised out of its own while it was cut off.
+//! The agreed part of debts at this broker: entries as the log has them, shares that are allotted in advance, and what this
+//! broker promised out of its own shares while it was partitioned.
 
 use dunepond_consensus::{Command, Rejection, SettlementUpdate, Voter};
 use dunepond_membership::{PeerState, RefusalReason, RequestKind, Responder};
@@ -13,21 +13,21 @@
 use crate::explain::Explanation;
 use crate::handle::increment;
 
-/// Seconds after which what is promised is brought to the leader again, and debts are looked through for what is to be
-/// allot_evenly or given back.
+/// Seconds after which promises are sent to the leader again, and debts are reviewed for what is to be allotted or
+/// released.
 const REVIEW_INTERVAL_SECONDS: f64 = 0.5;
 const ENTRIES_TIMEOUT_SECONDS: f64 = 1.0;
-/// What is allot_evenly or given back at once is at least this part of a segment: an entry for every few bytes would be dear.
+/// Least amount that is allotted or released at once, as a ratio of a segment: an entry for every few bytes would be costly.
 const MIN_PART_OF_SEGMENT: u64 = 8;
 
 /// Settlement at this broker: what it has committed to, and how much of the log it has applied.
 pub struct Settlements {
     pub commitments: Commitments,
-    /// Holders are kept warm by fills of each broker's own: debts are allot_evenly in advance.
+    /// Holders are kept warm by fills of each broker's own: debts are allotted in advance.
     pub fill_started_nodes: bool,
-    /// Entries of the log that the book has.
+    /// Entries of the log that the ledger has applied.
     pub applied_entries: u64,
-    /// What the folder has is not what is promised now.
+    /// Commitments have changed since they were last stored.
     pub unsaved: bool,
     next_review_at: f64,
 }
@@ -240,14 +240,14 @@
         (self.version_fills.segment_bytes / MIN_PART_OF_SEGMENT).max(1)
     }
 
-    /// Splits what is owed and not allot_evenly yet evenly: over all brokers that are known, and the log itself, out of which
+    /// Allots what is owed and not allotted yet evenly: over all brokers that are known, and the log itself, out of which
     /// whoever leads settles the fills of versions. Nobody knows which of them will be cut off.
     fn split_debts(&mut self) {
         let mut brokers = self.all_brokers();
         brokers.push(LOG_SHARE_HOLDER.to_string());
         for debt in self.traffic.balances.net_debts() {
             let (debtor, creditor) = (debt.debtor, debt.creditor);
-            // What is planned before the first allot_evenly has no share to be taken from: it comes into the log first.
+            // What is planned before the first allotment has no share to be taken from: it comes into the log first.
             if !self.traffic.balances.ledger().is_split(&debtor, &creditor)
                 && self.version_fills.settles(&debtor, &creditor)
             {
@@ -277,7 +277,7 @@
             || self.peers.members().iter().any(|peer| peer.name == broker && peer.state == PeerState::Alive)
     }
 
-    /// Gives back what this broker will not spend: all of it if it carries out no fills, and its part of what is allot_evenly
+    /// Gives back what this broker will not spend: all of it if it carries out no fills, and its part of what is allotted
     /// beyond the debt as it stands now, when the other side has carried in the meantime.
     fn release_surplus(&mut self) {
         let ledger = self.traffic.balances.ledger();
--- a/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
@@ -1,5 +1,5 @@
-//! Bytes that partners carried for each other: counted here, what changed told to a peer every second, merged from what
-//! peers tell.
+//! Bytes that partners carried for each other: counted here; changes are sent to one peer about every second, and those of
+//! peers are merged.
 
 use std::sync::Arc;
 
@@ -106,7 +106,7 @@
     }
 
     pub(super) fn merge_counts(&mut self, from: &str, body: &[u8]) {
-        // A program of before tells the counts alone.
+        // An older build sends the counts alone.
         let word = postcard::from_bytes::<CountsMessage>(body);
         let Ok(word) =
             word.or_else(|_| postcard::from_bytes::<CarriedCounts>(body).map(CountsMessage::counts_only))
--- a/crates/dunepond-control-plane/src/handle.rs
+++ b/crates/dunepond-control-plane/src/handle.rs
@@ -66,7 +66,7 @@
     pub fills_failed: AtomicU64,
     pub settled: AtomicU64,
     pub syncs: AtomicU64,
-    /// As the loop saw its nodes last.
+    /// Whether the nodes were overloaded when the event loop last looked.
     pub overloaded: AtomicBool,
 }
 
@@ -162,7 +162,7 @@
         let _ = self.commands.try_send(LoopRequest::Moves(plan));
     }
 
-    /// Whether this broker's nodes are pressed now: plans of moves pause where many brokers say so.
+    /// Whether this broker's nodes are overloaded now: plans of moves pause where many brokers say so.
     pub fn set_overloaded(&self, pressed: bool) {
         self.counters.overloaded.store(pressed, Relaxed);
     }
@@ -206,8 +206,8 @@
     }
 }
 
-/// A phase as the record names it, and the versions that are obeyed in it. With a lease and no version yet it is alone
-/// on none.
+/// The phase as the audit log names it, and the versions obeyed in it. With a lease and no version yet it is `Alone` without
+/// versions.
 pub fn audit_phase(acting: &ActiveConfig, now: f64) -> (AuditPhase, Vec<u64>) {
     match acting.phase(now) {
         ConfigPhase::Unconfigured if now < acting.lease_expires_at() => (AuditPhase::Alone, Vec::new()),
--- a/crates/dunepond-control-plane/src/link_limits.rs
+++ b/crates/dunepond-control-plane/src/link_limits.rs
@@ -8,7 +8,7 @@
 
 /// Bytes of one message between brokers.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
-/// An ask that comes, and what comes back to one of ours.
+/// Events that may wait for each connection: a peer's request, and the response to one of this broker's.
 const EVENTS_PER_CONNECTION: usize = 2;
 
 /// Never under what the links have of themselves. Each broker may ask one leader over all its connections at the same
--- a/crates/dunepond-control-plane/src/lost_majority.rs
+++ b/crates/dunepond-control-plane/src/lost_majority.rs
@@ -1,4 +1,4 @@
-//! An operator's word on a majority that is lost, put into the folder of one that is left; see `docs/operators/fleet.md`.
+//! An operator's order to continue after a majority is lost, put into the data directory of a remaining voter; see `docs/operators/fleet.md`.
 
 use std::io::ErrorKind;
 use std::path::Path;
@@ -9,11 +9,12 @@
 use crate::data_directory::DataDirectory;
 use crate::error::ControlPlaneError;
 
-/// In the fleet's folder; and its name once it has been done.
+/// Name of the order in the data directory, and its name once it has been carried out.
 const STATEMENT_FILE: &str = "majority-lost.json";
 const DONE_FILE: &str = "majority-lost.done";
 
-/// Goes on by the word, if one is there. A word that does not fit ends the start: whoever wrote it expects it to be done.
+/// Recovers the voter by the order, if there is one. An order that does not fit ends the start: its author expects it to be
+/// carried out.
 pub fn recover(
     path: &Path,
     folder: &mut DataDirectory,
--- a/crates/dunepond-control-plane/src/slow_start.rs
+++ b/crates/dunepond-control-plane/src/slow_start.rs
@@ -12,7 +12,7 @@
     pub node: String,
     /// From the endpoint list, so the same at each broker; another one with each start.
     pub incarnation: u64,
-    /// Seconds on the monotonic clock.
+    /// When it was started, in seconds on the monotonic clock.
     pub started_at: f64,
 }
 
