--- a/crates/dunepond-testkit/tests/restart.rs
+++ b/crates/dunepond-testkit/tests/restart.rs
@@ -141,7 +141,7 @@
     };
     let late = Duration::from_secs(2);
     let broker = informed(&town, KDL);
-    assert!(said(&broker, "nodes believed"));
+    assert!(said(&broker, "nodes restored"));
     let with = slowest(&broker, "c", 0);
     drop(broker);
     assert!(with < late, "{with:?}");
@@ -183,7 +183,7 @@
     town.each(1, Manner::Serve);
     change(&mut town);
     let broker = informed(&town, KDL);
-    assert!(said(&broker, "nodes believed"));
+    assert!(said(&broker, "nodes restored"));
     assert_eq!(ask(&broker, "c", 40), 40);
 }
 
@@ -196,7 +196,7 @@
     std::fs::remove_dir_all(&second.folder).unwrap();
     std::fs::rename(&first.folder, &second.folder).unwrap();
     let broker = informed(&second, KDL);
-    assert!(said(&broker, "0 of 12 nodes believed"));
+    assert!(said(&broker, "0 of 12 nodes restored"));
     assert_eq!(ask(&broker, "c", 40), 40);
 }
 
