--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -205,7 +205,7 @@
                 let (then, before) = audit_phase(&began.acting, began.at);
                 numbers.extend(before);
                 // The stricter of both is obeyed.
-                if then == AuditPhase::Joint && word == AuditPhase::Alone {
+                if then == AuditPhase::Joint && word == AuditPhase::Active {
                     word = then;
                 }
             }
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -14,7 +14,8 @@
 use dunepond_config::operator::{self, Known};
 use dunepond_consensus::{ActiveConfig, SegmentOwner};
 use dunepond_control_plane::{
-    ControlPlaneConfig, ControlPlaneError, SlowStartPolicy, StartedNode, monotonic_seconds,
+    ControlPlaneConfig, ControlPlaneError, LinkRate, QuotaConfig, SlowStartPolicy, StartedNode,
+    monotonic_seconds,
 };
 use dunepond_routing::{
     Deployment, Endpoint, EndpointState, NodeId, Query, QuotaDemand, QuotaShares, RetryBudget, Rules,
@@ -86,6 +87,11 @@
             brokers: p.brokers.clone(),
             metered: p.metered,
         };
+        let link_rate = |link: &operator::Link| LinkRate {
+            from: link.from.clone(),
+            to: link.to.clone(),
+            bytes_per_second: link.bytes,
+        };
         let sharing = told.limits.as_ref().map(|limits| Quotas::new(limits, site, customers));
         let sharing = sharing.transpose()?;
         let start = ControlPlaneConfig {
@@ -97,7 +103,7 @@
             version_file: told.version.clone(),
             audit_log_file: told.record.clone(),
             partners: told.partners.iter().map(partner).collect(),
-            link_rates: told.links.iter().map(|l| (l.from.clone(), l.to.clone(), l.bytes)).collect(),
+            link_rates: told.links.iter().map(link_rate).collect(),
             fills: told.fills.as_ref().map(|fills| dunepond_control_plane::FillConfig {
                 fill_service: fills.at,
                 segment_bytes: fills.segment,
@@ -106,7 +112,10 @@
                 fill_started_nodes: fills.warm,
             }),
             slow_start: Some(warming(&site.slow_start)),
-            quotas: sharing.as_ref().map(|sharing| (sharing.bounds().clone(), sharing.every())),
+            quotas: sharing.as_ref().map(|sharing| QuotaConfig {
+                shared: sharing.bounds().clone(),
+                plan_interval_seconds: sharing.every(),
+            }),
             rebalancing: told.moves.as_ref().map(|moves| dunepond_control_plane::RebalanceConfig {
                 plan_file: moves.plan.clone(),
                 max_concurrent_acts: moves.at_once,
--- a/crates/dunepond-broker/tests/fleet.rs
+++ b/crates/dunepond-broker/tests/fleet.rs
@@ -119,7 +119,7 @@
         self.wait(
             at,
             &format!("alone on {number}"),
-            |line| matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Alone, to, .. } if to == number),
+            |line| matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Active, to, .. } if to == number),
         );
     }
 }
@@ -186,7 +186,7 @@
 }
 
 fn is_cut(line: &AuditRecord) -> bool {
-    matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Cut | AuditPhase::None, .. })
+    matches!(line.event, AuditEvent::Phase { phase: AuditPhase::LeaseExpired | AuditPhase::Unconfigured, .. })
 }
 
 /// Non-replayable parts that were sent: to which node, on which versions.
@@ -320,7 +320,7 @@
     let _other = fleet.start(1);
     fleet.wait(0, "a lease", |line| {
         let later = fleet.acts(0).iter().rev().find(|line| is_cut(line)).map_or(0.0, |cut| cut.at);
-        line.at > later && matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Alone, .. })
+        line.at > later && matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Active, .. })
     });
     assert_eq!(ask(&broker, "fix", "c", &[0]).status, 200);
 }
--- a/crates/dunepond-control-plane/src/audit_log.rs
+++ b/crates/dunepond-control-plane/src/audit_log.rs
@@ -3,6 +3,7 @@
 //! Whoever acts never waits for the disk: records that find the queue full are dropped, and counted in the file.
 
 use std::collections::BTreeMap;
+use std::fmt;
 use std::fs::{File, OpenOptions};
 use std::io::{BufWriter, Write};
 use std::path::Path;
@@ -180,16 +181,31 @@
 
 /// A phase of the agreed configuration, as the audit log names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
 pub enum AuditPhase {
     /// Neither a lease nor a version is known.
-    None,
-    /// One version is obeyed.
-    Alone,
-    /// Two versions are obeyed, by the stricter of both.
+    #[serde(rename = "none")]
+    Unconfigured,
+    /// The lease is valid, and one version applies.
+    #[serde(rename = "alone")]
+    Active,
+    /// The lease is valid, and two versions apply: the stricter of both rules.
+    #[serde(rename = "joint")]
     Joint,
-    /// The lease ran out: the strictest of what is known is obeyed.
-    Cut,
+    /// The lease has expired: the strictest of all rules that are known applies.
+    #[serde(rename = "cut")]
+    LeaseExpired,
+}
+
+/// The name in the program's log and counters, which operators and tests search for.
+impl fmt::Display for AuditPhase {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Unconfigured => "None",
+            Self::Active => "Alone",
+            Self::Joint => "Joint",
+            Self::LeaseExpired => "Cut",
+        })
+    }
 }
 
 /// Queues records; cheap to clone.
@@ -220,7 +236,7 @@
 
 impl AuditLog {
     pub fn start(path: &Path, brk: &str, run: u64) -> Result<(AuditSender, Self), ControlPlaneError> {
-        let failed = |why: &dyn std::fmt::Display| ControlPlaneError::AuditLog {
+        let failed = |why: &dyn fmt::Display| ControlPlaneError::AuditLog {
             path: path.to_path_buf(),
             why: why.to_string(),
         };
--- a/crates/dunepond-control-plane/src/config.rs
+++ b/crates/dunepond-control-plane/src/config.rs
@@ -5,6 +5,7 @@
 use std::sync::Arc;
 
 use dunepond_consensus::ConsensusConfig;
+use dunepond_quota::SharedQuotas;
 use dunepond_storage::FileStore;
 
 use crate::fill_client::FillClient;
@@ -29,14 +30,14 @@
     pub audit_log_file: Option<PathBuf>,
     /// Who owns which brokers.
     pub partners: Vec<Partner>,
-    /// From partner, to partner, bytes a second that fills may take.
-    pub link_rates: Vec<(String, String, u64)>,
+    /// Rates that fills may take between partners.
+    pub link_rates: Vec<LinkRate>,
     /// How replicas are filled; `None`: not at all.
     pub fills: Option<FillConfig>,
     /// How nodes that were just started are spared by fills; `None`: not at all.
     pub slow_start: Option<SlowStartPolicy>,
-    /// Quotas that all brokers share, and the seconds between two plans of their division.
-    pub quotas: Option<(dunepond_quota::SharedQuotas, f64)>,
+    /// Quotas that all brokers share; `None`: each broker keeps its own.
+    pub quotas: Option<QuotaConfig>,
     /// Plans of splits, merges and migrations.
     pub rebalancing: Option<RebalanceConfig>,
     /// Entries that lists by query class must have in a version.
@@ -56,6 +57,26 @@
     pub metered: bool,
 }
 
+/// What fills may take of the link from one partner to another.
+#[derive(Clone, Debug)]
+pub struct LinkRate {
+    /// Partner that the data come from.
+    pub from: String,
+    /// Partner that the data go to.
+    pub to: String,
+    /// All fills together, in bytes a second.
+    pub bytes_per_second: u64,
+}
+
+/// Configuration of the quotas that all brokers share.
+#[derive(Clone, Debug)]
+pub struct QuotaConfig {
+    /// The quotas and the floor of each broker.
+    pub shared: SharedQuotas,
+    /// Least time between two changes of the brokers' shares, in seconds.
+    pub plan_interval_seconds: f64,
+}
+
 /// Configuration of rebalancing plans.
 #[derive(Clone, Debug)]
 pub struct RebalanceConfig {
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -148,8 +148,8 @@
                     Err(_) => return error!("fleet: the links have ended; this broker is cut off from now on"),
                 },
                 recv(self.commands) -> command => match command {
-                    Ok(LoopRequest::Reread(path)) => self.proposals.reload(path),
-                    Ok(LoopRequest::Moves(path)) => self.rebalancing.reload(path),
+                    Ok(LoopRequest::ReloadVersion(path)) => self.proposals.reload(path),
+                    Ok(LoopRequest::ReloadPlan(path)) => self.rebalancing.reload(path),
                     Ok(LoopRequest::Stop) | Err(_) => break,
                 },
                 recv(self.finished_fills) -> done => self.on_fill_ended(done.ok()),
--- a/crates/dunepond-control-plane/src/control_loop/publish.rs
+++ b/crates/dunepond-control-plane/src/control_loop/publish.rs
@@ -42,7 +42,7 @@
             }
         }
         if changed {
-            info!("fleet: {word:?} {numbers:?}, until {until:.3}");
+            info!("fleet: {word} {numbers:?}, until {until:.3}");
         }
         (shown.phase, shown.versions, shown.in_force) = (Some(word), numbers, acting.active_number());
         self.active_config.store(Arc::new(acting));
--- a/crates/dunepond-control-plane/src/control_loop/quotas.rs
+++ b/crates/dunepond-control-plane/src/control_loop/quotas.rs
@@ -10,15 +10,16 @@
 
 use super::ControlLoop;
 use crate::audit_log::AuditEvent;
+use crate::config::QuotaConfig;
 
 /// Interval, in leases, between two demand reports and between two plans.
 const REVIEW_INTERVAL_LEASES: f64 = 0.1;
 
 pub struct QuotaSharing {
-    bounds: SharedQuotas,
+    shared: SharedQuotas,
     local: LocalQuota,
     planning: PlannerConfig,
-    interval_seconds: f64,
+    plan_interval_seconds: f64,
     lease_seconds: f64,
     demand: Arc<ArcSwap<BTreeMap<String, u32>>>,
     reported_at: f64,
@@ -27,18 +28,16 @@
 
 impl QuotaSharing {
     pub fn new(
-        bounds: SharedQuotas,
-        interval_seconds: f64,
+        config: QuotaConfig,
         lease_seconds: f64,
         demand: Arc<ArcSwap<BTreeMap<String, u32>>>,
         now: f64,
     ) -> Self {
-        let (local, planning) = (LocalQuota::new(&bounds, now), PlannerConfig::for_lease(lease_seconds));
         Self {
-            bounds,
-            local,
-            planning,
-            interval_seconds,
+            local: LocalQuota::new(&config.shared, now),
+            shared: config.shared,
+            planning: PlannerConfig::for_lease(lease_seconds),
+            plan_interval_seconds: config.plan_interval_seconds,
             lease_seconds,
             demand,
             reported_at: f64::NEG_INFINITY,
@@ -69,7 +68,7 @@
             let needs = (**limiting.demand.load()).clone();
             self.member.set_demand_report(Some(DemandReport {
                 shrunk_generation: 0,
-                shared: limiting.bounds.clone(),
+                shared: limiting.shared.clone(),
                 demand_units: needs,
             }));
         }
@@ -84,12 +83,12 @@
         limiting.next_plan_at = now + REVIEW_INTERVAL_LEASES * limiting.lease_seconds;
         let Some((heard, led)) = voter.demand_reports(now) else { return };
         let ledger = &voter.state().quota;
-        let Some(entry) = next_entry(ledger, &limiting.bounds, &heard, led, &limiting.planning) else {
+        let Some(entry) = next_entry(ledger, &limiting.shared, &heard, led, &limiting.planning) else {
             return;
         };
         match &entry {
             QuotaEntry::SetShares { shares } => {
-                limiting.next_plan_at = now + limiting.interval_seconds;
+                limiting.next_plan_at = now + limiting.plan_interval_seconds;
                 for part in shares {
                     let before =
                         ledger.brokers.get(&part.broker).map_or(0, |seat| seat.granted_units(&part.quota));
--- a/crates/dunepond-control-plane/src/handle.rs
+++ b/crates/dunepond-control-plane/src/handle.rs
@@ -48,9 +48,10 @@
 /// Requests of the event loop to the control loop.
 pub enum LoopRequest {
     /// Read the version file again, from this path.
-    Reread(Option<PathBuf>),
+    ReloadVersion(Option<PathBuf>),
     /// Read the plan file again, from this path.
-    Moves(Option<PathBuf>),
+    ReloadPlan(Option<PathBuf>),
+    /// Store the traffic counts and end.
     Stop,
 }
 
@@ -154,12 +155,12 @@
     /// Reads the version file again, from this path.
     pub fn reload_version(&self, version: Option<PathBuf>) {
         // Full only if as many are waiting already.
-        let _ = self.commands.try_send(LoopRequest::Reread(version));
+        let _ = self.commands.try_send(LoopRequest::ReloadVersion(version));
     }
 
     /// Reads the plan file again, from this path.
     pub fn reload_plan(&self, plan: Option<PathBuf>) {
-        let _ = self.commands.try_send(LoopRequest::Moves(plan));
+        let _ = self.commands.try_send(LoopRequest::ReloadPlan(plan));
     }
 
     /// Whether this broker's nodes are overloaded now: plans of moves pause where many brokers say so.
@@ -202,22 +203,22 @@
         let links = self.link_counters.load().list();
         let links = links.into_iter().filter(|(_, count)| *count > 0);
         let links: Vec<_> = links.map(|(name, count)| format!("{name} {count}")).collect();
-        format!("{phase:?} {numbers:?}; {}; links: {}", counted.join(", "), links.join(", "))
+        format!("{phase} {numbers:?}; {}; links: {}", counted.join(", "), links.join(", "))
     }
 }
 
-/// The phase as the audit log names it, and the versions obeyed in it. With a lease and no version yet it is `Alone` without
-/// versions.
+/// The phase at `now` (seconds on the monotonic clock) as the audit log names it, and the versions that apply in it. With
+/// a lease and no version yet it is `Active` without versions.
 pub fn audit_phase(acting: &ActiveConfig, now: f64) -> (AuditPhase, Vec<u64>) {
     match acting.phase(now) {
-        ConfigPhase::Unconfigured if now < acting.lease_expires_at() => (AuditPhase::Alone, Vec::new()),
-        ConfigPhase::Unconfigured => (AuditPhase::None, Vec::new()),
-        ConfigPhase::Active(number) => (AuditPhase::Alone, vec![number]),
+        ConfigPhase::Unconfigured if now < acting.lease_expires_at() => (AuditPhase::Active, Vec::new()),
+        ConfigPhase::Unconfigured => (AuditPhase::Unconfigured, Vec::new()),
+        ConfigPhase::Active(number) => (AuditPhase::Active, vec![number]),
         ConfigPhase::Joint(0, new) => (AuditPhase::Joint, vec![new]),
         ConfigPhase::Joint(old, new) => (AuditPhase::Joint, vec![old, new]),
         ConfigPhase::LeaseExpired(number) => {
             let known = (number > 0).then_some(number).into_iter().chain(acting.proposed_number());
-            (AuditPhase::Cut, known.collect())
+            (AuditPhase::LeaseExpired, known.collect())
         }
     }
 }
--- a/crates/dunepond-control-plane/src/lib.rs
+++ b/crates/dunepond-control-plane/src/lib.rs
@@ -26,7 +26,9 @@
 
 pub use audit_log::{AuditEvent, AuditPhase, AuditRecord};
 pub use clock::monotonic_seconds;
-pub use config::{ControlPlaneConfig, CrashPoints, FillConfig, Partner, RebalanceConfig, TestDoubles};
+pub use config::{
+    ControlPlaneConfig, CrashPoints, FillConfig, LinkRate, Partner, QuotaConfig, RebalanceConfig, TestDoubles,
+};
 pub use error::{ControlPlaneError, FillError, PlanError, VersionError};
 pub use fill_client::{FillClient, FillRequest, FillResult, HttpFillClient};
 pub use handle::{ActiveConfigWatch, ControlHandle, audit_phase};
--- a/crates/dunepond-control-plane/src/startup.rs
+++ b/crates/dunepond-control-plane/src/startup.rs
@@ -135,8 +135,10 @@
         let fills = config.fills.as_ref();
         let http_client =
             |fills: &FillConfig| -> Arc<dyn FillClient> { Arc::new(HttpFillClient::new(fills.fill_service)) };
-        let rates =
-            config.link_rates.iter().map(|(from, to, rate)| ((from.clone(), to.clone()), *rate as f64));
+        let rates = config
+            .link_rates
+            .iter()
+            .map(|link| ((link.from.clone(), link.to.clone()), link.bytes_per_second as f64));
         let default_rate = config.rebalancing.as_ref().and_then(|it| it.default_link_rate);
         Self {
             client: client.or(fills.map(http_client)),
@@ -219,9 +221,10 @@
         counters: Arc::new(ActivityCounters::default()),
         link_counters: Arc::default(),
     };
-    let quotas = config.quotas.take().map(|(quotas, interval_seconds)| {
-        QuotaSharing::new(quotas, interval_seconds, config.terms.lease_seconds, handle.demand.clone(), now)
-    });
+    let quotas = config
+        .quotas
+        .take()
+        .map(|quotas| QuotaSharing::new(quotas, config.terms.lease_seconds, handle.demand.clone(), now));
 
     let counts = open_counts(counts, &name, incarnation)?;
     let sides = partner_sides(&config.partners);
--- a/crates/dunepond-control-plane/tests/golden.rs
+++ b/crates/dunepond-control-plane/tests/golden.rs
@@ -41,17 +41,17 @@
         state: text(state),
     };
     let acts = vec![
-        AuditEvent::Phase { phase: AuditPhase::None, from: 0, to: 0, until: 0.0 },
-        AuditEvent::Phase { phase: AuditPhase::Alone, from: 6, to: 6, until: 9.5 },
+        AuditEvent::Phase { phase: AuditPhase::Unconfigured, from: 0, to: 0, until: 0.0 },
+        AuditEvent::Phase { phase: AuditPhase::Active, from: 6, to: 6, until: 9.5 },
         AuditEvent::Phase { phase: AuditPhase::Joint, from: 6, to: 7, until: 9.5 },
-        AuditEvent::Phase { phase: AuditPhase::Cut, from: 6, to: 7, until: 9.5 },
+        AuditEvent::Phase { phase: AuditPhase::LeaseExpired, from: 6, to: 7, until: 9.5 },
         AuditEvent::AttemptSent {
             request_id: call.clone(),
             segment_id: 1,
             node: node.clone(),
             attempt: 2,
             non_idempotent: true,
-            phase: AuditPhase::Alone,
+            phase: AuditPhase::Active,
             versions: vec![6, 7],
         },
         AuditEvent::Answer {
--- a/crates/dunepond-control-plane/tests/host.rs
+++ b/crates/dunepond-control-plane/tests/host.rs
@@ -11,7 +11,8 @@
 
 use dunepond_consensus::{ConfigPhase, ConsensusConfig};
 use dunepond_control_plane::{
-    ControlPlane, ControlPlaneConfig, ControlPlaneError, Partner, TestDoubles, monotonic_seconds, start,
+    ControlPlane, ControlPlaneConfig, ControlPlaneError, Partner, QuotaConfig, TestDoubles,
+    monotonic_seconds, start,
 };
 use dunepond_quota::{LocalQuota, SharedQuotas};
 use dunepond_testkit::files::{Mem, Plan};
@@ -148,7 +149,10 @@
 #[test]
 fn what_is_spare_is_leased_to_who_needs_it_and_is_gone_with_the_lease() {
     let bounds = SharedQuotas::new(vec!["cold".to_string()], 3, 0.3, 100).unwrap();
-    let shares = || ControlPlaneConfig { quotas: Some((bounds.clone(), 0.1)), ..told(None) };
+    let shares = || ControlPlaneConfig {
+        quotas: Some(QuotaConfig { shared: bounds.clone(), plan_interval_seconds: 0.1 }),
+        ..told(None)
+    };
     let files = Mem::default();
     let (fleet, _) = begin_with(&files, shares());
     fleet.handle().set_demand(BTreeMap::from([("cold".to_string(), 900_000)]));
--- a/crates/dunepond-testkit/src/auditor/mod.rs
+++ b/crates/dunepond-testkit/src/auditor/mod.rs
@@ -174,7 +174,7 @@
         if let Some((_, place)) = last {
             plain[place].to = plain[place].to.min(line.at);
         }
-        let AuditEvent::Phase { phase: AuditPhase::Alone, to, until, from } = line.event else { continue };
+        let AuditEvent::Phase { phase: AuditPhase::Active, to, until, from } = line.event else { continue };
         let number = if to > 0 { to } else { from };
         match last {
             // Renewed: it goes on, unless it stood still in between.
@@ -213,12 +213,12 @@
             continue;
         }
         match phase {
-            AuditPhase::Alone | AuditPhase::Joint => found.push(Finding::PastLease { brk, call, seg, late }),
+            AuditPhase::Active | AuditPhase::Joint => found.push(Finding::PastLease { brk, call, seg, late }),
             // Cut off without any map known, a broker goes on by its last rules.
-            AuditPhase::Cut if once && mapped.contains(&life) => {
+            AuditPhase::LeaseExpired if once && mapped.contains(&life) => {
                 found.push(Finding::WithoutLease { brk, call, seg })
             }
-            AuditPhase::None if once => found.push(Finding::WithoutLease { brk, call, seg }),
+            AuditPhase::Unconfigured if once => found.push(Finding::WithoutLease { brk, call, seg }),
             _ => {}
         }
     }
@@ -227,7 +227,7 @@
 /// Non-replayable parts sent on one version alone while another broker might act on another alone.
 fn contradictions(records: &Records, known: &Known, dispatches: &[Sent], found: &mut Vec<Finding>) {
     let plain = plains(records);
-    for one in dispatches.iter().filter(|one| one.once && one.phase == AuditPhase::Alone) {
+    for one in dispatches.iter().filter(|one| one.once && one.phase == AuditPhase::Active) {
         let (at, Some(&on)) = (one.line.at, one.numbers.last()) else { continue };
         let beside = plain.iter().find(|other| {
             let (from, to) = (other.from + known.slack, other.to - known.slack);
@@ -302,7 +302,7 @@
         let until = held.iter().filter(|line| line.at <= *at).filter_map(|line| match &line.event {
             AuditEvent::Phase { phase, from, to, until } => {
                 let joint = *phase == AuditPhase::Joint && sent.numbers.contains(from);
-                let on = *phase == AuditPhase::Alone || *phase == AuditPhase::Joint;
+                let on = *phase == AuditPhase::Active || *phase == AuditPhase::Joint;
                 (joint || on && sent.numbers.contains(to)).then_some(*until)
             }
             _ => None,
--- a/crates/dunepond-testkit/src/experiments/moves.rs
+++ b/crates/dunepond-testkit/src/experiments/moves.rs
@@ -40,7 +40,7 @@
     fn moves(&mut self, id: &str) -> bool {
         self.fleet.plan_moves(1, &self.plan(id));
         let (brokers, number) = (self.fleet.plan.brokers, self.number + 2);
-        let there = |i| matches!(self.fleet.phase(i), Some((AuditPhase::Alone, _, to)) if to == number);
+        let there = |i| matches!(self.fleet.phase(i), Some((AuditPhase::Active, _, to)) if to == number);
         if !wait(|| (0..brokers).all(there)) {
             return false;
         }
--- a/crates/dunepond-testkit/src/fleet/mod.rs
+++ b/crates/dunepond-testkit/src/fleet/mod.rs
@@ -304,7 +304,7 @@
 
     /// Waits until these brokers all act on this version alone.
     pub fn wait_alone(&self, brokers: impl IntoIterator<Item = usize> + Clone, number: u64) {
-        let alone = |i| matches!(self.phase(i), Some((AuditPhase::Alone, _, to)) if to == number);
+        let alone = |i| matches!(self.phase(i), Some((AuditPhase::Active, _, to)) if to == number);
         let there = wait(|| brokers.clone().into_iter().all(alone));
         let phases: Vec<_> = brokers.into_iter().map(|i| (name(i), self.phase(i))).collect();
         assert!(there, "version {number} is not in force at all of {phases:?}");
--- a/crates/dunepond-testkit/tests/agree.rs
+++ b/crates/dunepond-testkit/tests/agree.rs
@@ -113,7 +113,7 @@
     fleet.part(groups);
     fleet.filler.hold(false);
     for minority in groups.iter().filter(|group| group.len() < 3).copied().flatten() {
-        fleet.wait_phase(*minority, AuditPhase::Cut);
+        fleet.wait_phase(*minority, AuditPhase::LeaseExpired);
     }
     fleet.wait_alone([2, 3, 4], 2);
     thread::sleep(Duration::from_secs(1));
@@ -137,7 +137,7 @@
     let next = fleet.version(2, &[1], &[]);
     fleet.propose(rest[0], &next);
     fleet.wait_alone(rest, 2);
-    fleet.wait_phase(leader, AuditPhase::Cut);
+    fleet.wait_phase(leader, AuditPhase::LeaseExpired);
     fleet.links.set_all(&WHOLE);
     fleet.wait_alone(0..5, 2);
     answered(&clients.stop(), &[0, 1, 2, 3, 4]);
@@ -189,7 +189,7 @@
         thread::sleep(Duration::from_secs_f64(fleet.plan.lease));
     }
     fleet.links.set_around(&["n3"], &CUT);
-    fleet.wait_phase(2, AuditPhase::Cut);
+    fleet.wait_phase(2, AuditPhase::LeaseExpired);
     let next = fleet.version(2, &[0, 3], &[]);
     fleet.propose(0, &next);
     fleet.wait_alone([0, 1, 3, 4], 2);
@@ -210,7 +210,11 @@
     let clients = fleet.clients([1, 2, 3, 4], GAP);
     thread::sleep(Duration::from_secs_f64(3.0 * fleet.plan.lease));
     let phase = fleet.phase(2).unwrap();
-    assert_eq!(phase.0, AuditPhase::Cut, "n3 has a lease of a majority that has forgotten: {phase:?}");
+    assert_eq!(
+        phase.0,
+        AuditPhase::LeaseExpired,
+        "n3 has a lease of a majority that has forgotten: {phase:?}"
+    );
     fleet.brokers[0].start();
     fleet.wait_alone(0..5, 2);
     clients.stop();
@@ -347,7 +351,7 @@
 fn cut_from_each_other_all_serve_what_may_be_repeated_and_refuse_the_rest_at_once() {
     let fleet = Fleet::agreed(plan(3, 6));
     fleet.part(&[]);
-    (0..6).for_each(|i| fleet.wait_phase(i, AuditPhase::Cut));
+    (0..6).for_each(|i| fleet.wait_phase(i, AuditPhase::LeaseExpired));
     let clients = fleet.clients(0..6, GAP);
     thread::sleep(Duration::from_secs(2));
     let went = clients.stop();
--- a/crates/dunepond-testkit/tests/agree/debts.rs
+++ b/crates/dunepond-testkit/tests/agree/debts.rs
@@ -176,8 +176,8 @@
     let split = |i: &usize| fleet.said(*i, "are split in advance");
     assert!(wait(|| (0..5).all(|i| split(&i))), "nothing is split");
     fleet.part(&[&majority[..], &rest[..]]);
-    fleet.wait_phase(3, AuditPhase::Cut);
-    fleet.wait_phase(4, AuditPhase::Cut);
+    fleet.wait_phase(3, AuditPhase::LeaseExpired);
+    fleet.wait_phase(4, AuditPhase::LeaseExpired);
     // The creditor's holders have all just started; they are filled from the debtor's nodes.
     fleet.restarted(&[1, 3, 5, 7, 9, 11]);
     let begun = |by: &[usize]| {
--- a/crates/dunepond-testkit/tests/agree/hard.rs
+++ b/crates/dunepond-testkit/tests/agree/hard.rs
@@ -82,7 +82,7 @@
     fleet.brokers[0].reread();
     fleet.brokers[3].reread();
     fleet.wait_alone([2, 3, 4], 2);
-    fleet.wait_phase(0, AuditPhase::Cut);
+    fleet.wait_phase(0, AuditPhase::LeaseExpired);
     fleet.links.set_all(&WHOLE);
     fleet.wait_alone(0..5, 2);
     assert!(wait(|| fleet.said(0, "is not what was agreed on")), "its operator is told nothing");
@@ -139,7 +139,7 @@
     assert!(brought > 0, "nothing was kept");
     thread::sleep(Duration::from_secs_f64(fleet.plan.lease));
     let late: Vec<_> = all.clone().map(|i| fleet.phase(i)).collect();
-    assert!(late.iter().all(|phase| matches!(phase, Some((AuditPhase::Alone, _, 3)))), "{late:?}");
+    assert!(late.iter().all(|phase| matches!(phase, Some((AuditPhase::Active, _, 3)))), "{late:?}");
     // The second version's file is known under its number, and stays over.
     let fourth = fleet.version(4, &[0], &[]);
     fleet.propose(4, &fourth);
--- a/crates/dunepond-testkit/tests/agree/limits.rs
+++ b/crates/dunepond-testkit/tests/agree/limits.rs
@@ -50,7 +50,7 @@
     let (left, rest) = (4, [0, 1, 2, 3]);
     gathered(&fleet, left);
     rest.iter().for_each(|i| fleet.brokers[*i].stop());
-    fleet.wait_phase(left, AuditPhase::Cut);
+    fleet.wait_phase(left, AuditPhase::LeaseExpired);
     fleet.starts_cold("s-5");
     let (clients, lasted) = (fleet.clients([left], BUSY), 3.0);
     let before = fleet.nodes[5].times().len();
--- a/crates/dunepond-testkit/tests/agree/moves.rs
+++ b/crates/dunepond-testkit/tests/agree/moves.rs
@@ -71,7 +71,7 @@
 fn plans_of_both_sides_of_a_partition_move_a_segment_once() {
     let mut fleet = Fleet::agreed(Plan { voters: 5, ..moving() });
     fleet.part(&[&[0, 1], &[2, 3, 4]]);
-    fleet.wait_phase(0, AuditPhase::Cut);
+    fleet.wait_phase(0, AuditPhase::LeaseExpired);
     let clients = fleet.clients(0..5, GAP);
     fleet.plan_moves(0, &move_of("few", 0, "s-0", "s-2"));
     fleet.plan_moves(3, &move_of("many", 0, "s-0", "s-3"));
