--- a/crates/dunepond-broker/examples/toy_store.rs
+++ b/crates/dunepond-broker/examples/toy_store.rs
@@ -1,6 +1,6 @@
-//! A toy store to try the broker with: a list at 127.0.0.1:8500, and three nodes that hold four shards.
+//! A toy store to try the broker with: a discovery agent at 127.0.0.1:8500, and three nodes that hold four segments.
 //!
-//! `cargo run --example toy_store` starts it; `-- hang 1` lets node 1 take parts and answer none.
+//! `cargo run --example toy_store` starts it; `-- hang 1` lets node 1 accept attempts and answer none.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -13,8 +13,8 @@
     format!("127.0.0.1:{}", 9001 + node)
 }
 
-/// Answers each part with a value made of its id and its text.
-fn node(mut stream: TcpStream, name: &str, hangs: bool) -> io::Result<()> {
+/// Answers each attempt with a value made of its payload and segment.
+fn run_node(mut stream: TcpStream, name: &str, hangs: bool) -> io::Result<()> {
     loop {
         let mut length = [0; 4];
         stream.read_exact(&mut length)?;
@@ -23,28 +23,28 @@
         let Some((b'A', mut rest)) = frame.split_first() else { continue };
         while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
             let line = String::from_utf8_lossy(&rest[..end]).into_owned();
-            let words: Vec<_> = line.split(' ').collect();
-            let [id, shard, _, text] = words[..] else { return Ok(()) };
-            let Some(after) = text.parse::<usize>().ok().and_then(|length| rest.get(end + 1 + length..))
+            let fields: Vec<_> = line.split(' ').collect();
+            let [id, segment, _, length] = fields[..] else { return Ok(()) };
+            let Some(after) = length.parse::<usize>().ok().and_then(|length| rest.get(end + 1 + length..))
             else {
                 return Ok(());
             };
             let text = String::from_utf8_lossy(&rest[end + 1..rest.len() - after.len()]).into_owned();
             rest = after;
-            println!("{name}: part {id} of shard {shard}");
+            println!("{name}: part {id} of shard {segment}");
             if hangs {
                 continue;
             }
             thread::sleep(Duration::from_millis(5));
-            let answer = format!("E{id} hit 1 -\n{text} in shard {shard}, says {name}");
-            // In one go: in two the second would wait for the broker's acknowledgement of the first.
+            let answer = format!("E{id} hit 1 -\n{text} in shard {segment}, says {name}");
+            // One write: a second one would wait for the broker's acknowledgement of the first.
             stream.write_all(&[&(answer.len() as u32).to_be_bytes(), answer.as_bytes()].concat())?;
         }
     }
 }
 
-/// Answers with the whole list at once, and a watch, as nothing ever changes, after its wait.
-fn list(stream: TcpStream) -> io::Result<()> {
+/// Answers a request for the list at once, and a watch after its wait, as nothing ever changes.
+fn run_discovery(stream: TcpStream) -> io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut stream = stream;
     let line = |n: usize| {
@@ -71,28 +71,31 @@
 
 fn serve(
     address: &str,
-    attend: impl Fn(TcpStream) -> io::Result<()> + Clone + Send + 'static,
+    handler: impl Fn(TcpStream) -> io::Result<()> + Clone + Send + 'static,
 ) -> io::Result<()> {
     let listener = TcpListener::bind(address)?;
     println!("listening on {address}");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            // Small frames one by one, as a store writes them, must not wait for each other's acknowledgement.
+            // Small frames must not wait for each other's acknowledgement.
             let _ = stream.set_nodelay(true);
-            let attend = attend.clone();
-            thread::spawn(move || attend(stream));
+            let handler = handler.clone();
+            thread::spawn(move || handler(stream));
         }
     });
     Ok(())
 }
 
 fn main() -> io::Result<()> {
-    let words: Vec<_> = std::env::args().skip(1).collect();
-    let hangs = words.first().filter(|w| *w == "hang").and_then(|_| words.get(1)?.parse::<usize>().ok());
+    let arguments: Vec<_> = std::env::args().skip(1).collect();
+    let hangs = match arguments.first().map(String::as_str) {
+        Some("hang") => arguments.get(1).and_then(|node| node.parse::<usize>().ok()),
+        _ => None,
+    };
     for n in 0..NODES {
-        serve(&address(n), move |stream| node(stream, &format!("node-{n}"), hangs == Some(n)))?;
+        serve(&address(n), move |stream| run_node(stream, &format!("node-{n}"), hangs == Some(n)))?;
     }
-    serve("127.0.0.1:8500", list)?;
+    serve("127.0.0.1:8500", run_discovery)?;
     loop {
         thread::park();
     }
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -201,7 +201,7 @@
                 None if shards.is_empty() => query_command::search(&ask, text.as_deref(), size),
                 None => query_command::scan(&ask, text.as_deref().unwrap_or_default(), &shards, seconds),
             };
-            told.map(|told| print!("{told}")).map_err(Bad)
+            told.map(|told| print!("{told}")).map_err(|e| Bad(e.to_string()))
         }
         Some(Command::Completions { shell }) => {
             clap_complete::generate(shell, &mut Line::command(), "dunepond", &mut std::io::stdout());
--- a/crates/dunepond-broker/src/query_command.rs
+++ b/crates/dunepond-broker/src/query_command.rs
@@ -1,8 +1,9 @@
-//! `dunepond-broker query`: queries a broker at either port and prints the answer. For people and scripts; the broker itself does not use it.
+//! `dunepond-broker query`: queries a broker at either port and prints the response. For people and scripts; the broker itself does not use
+//! it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use comfy_table::Table;
@@ -14,68 +15,113 @@
 /// Longer than any query may take.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What is asked, and where.
+/// Where to send a query, and how to print the response.
 pub struct Target<'a> {
+    /// The broker's address.
     pub at: SocketAddr,
+    /// The query class.
     pub index: &'a str,
+    /// Prints JSON instead of a table.
     pub json: bool,
 }
 
-fn exchange(at: SocketAddr, request: &str) -> Result<(u16, Vec<u8>), String> {
-    let failed = |e: std::io::Error| format!("{at}: {e}");
-    let mut stream = TcpStream::connect(at).map_err(failed)?;
+/// Why a query has no result to be printed.
+#[derive(Debug, thiserror::Error)]
+pub enum QueryError {
+    /// The broker can't be reached, or the connection failed.
+    #[error("{address}: {source}")]
+    Connection {
+        /// The broker's address.
+        address: SocketAddr,
+        /// What the system reports.
+        source: std::io::Error,
+    },
+    /// The connection was closed before a whole head had arrived.
+    #[error("{0}: closed without an answer")]
+    NoResponse(SocketAddr),
+    /// Something else listens at the address.
+    #[error("{0}: does not speak HTTP")]
+    NotHttp(SocketAddr),
+    /// The broker answered with an error.
+    #[error("answered {status}: {reason}")]
+    Rejected {
+        /// The HTTP status.
+        status: u16,
+        /// The reason in the response.
+        reason: String,
+    },
+    /// The file of searches can't be read.
+    #[error("{}: {source}", path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// What the system reports.
+        source: std::io::Error,
+    },
+    /// The file ends with the first line of a pair.
+    #[error("{}: a head without its search at the end", .0.display())]
+    IncompletePair(PathBuf),
+}
+
+/// A response of the broker.
+struct Response {
+    status: u16,
+    body: Vec<u8>,
+}
+
+fn exchange(address: SocketAddr, request: &str) -> Result<Response, QueryError> {
+    let failed = |source| QueryError::Connection { address, source };
+    let mut stream = TcpStream::connect(address).map_err(failed)?;
     stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(failed)?;
     stream.write_all(request.as_bytes()).map_err(failed)?;
     let mut reader = BufReader::new(stream);
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if reader.read_line(&mut head).map_err(failed)? == 0 {
-            return Err(format!("{at}: closed without an answer"));
+            return Err(QueryError::NoResponse(address));
         }
     }
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
-    let status = status.ok_or_else(|| format!("{at}: does not speak HTTP"))?;
+    let status = status.ok_or(QueryError::NotHttp(address))?;
     let lower = head.to_ascii_lowercase();
     let length =
         lower.split_once("content-length: ").and_then(|(_, rest)| rest.split('\r').next()?.parse().ok());
     let mut body = vec![0; length.unwrap_or(0)];
     reader.read_exact(&mut body).map_err(failed)?;
-    Ok((status, body))
+    Ok(Response { status, body })
 }
 
-fn post(path: &str, heads: &str, body: &str) -> String {
-    format!("POST {path} HTTP/1.1\r\nHost: dunepond\r\n{heads}Content-Length: {}\r\n\r\n{body}", body.len())
+fn post(path: &str, headers: &str, body: &str) -> String {
+    format!("POST {path} HTTP/1.1\r\nHost: dunepond\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-fn read(status: u16, body: &[u8]) -> Result<Value, String> {
-    let value: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-    match status {
-        200 => Ok(value),
-        _ => {
-            let why = value.pointer("/error/reason").or(value.get("error")).and_then(Value::as_str);
-            Err(format!("answered {status}: {}", why.unwrap_or("no reason given")))
-        }
+/// The JSON of a response, if its status is 200.
+fn read(response: &Response) -> Result<Value, QueryError> {
+    let value: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
+    if response.status == 200 {
+        return Ok(value);
     }
+    let reason = value.pointer("/error/reason").or(value.get("error")).and_then(Value::as_str);
+    let reason = reason.unwrap_or("no reason given").to_string();
+    Err(QueryError::Rejected { status: response.status, reason })
 }
 
-/// Asks the API's door with a query string, or everything without one.
-pub fn search(ask: &Target, query: Option<&str>, size: u64) -> Result<String, String> {
+/// Searches at the search API's port by a query string, or for everything without one.
+pub fn search(target: &Target, query: Option<&str>, size: u64) -> Result<String, QueryError> {
     let query = query.map_or(json!({"match_all": {}}), |q| json!({"query_string": {"query": q}}));
     let body = json!({"query": query, "size": size}).to_string();
-    let (status, body) = exchange(ask.at, &post(&format!("/{}/_search", ask.index), "", &body))?;
-    let answer = read(status, &body)?;
-    Ok(if ask.json { pretty(&answer) } else { format_hits(&answer) })
+    let answer = read(&exchange(target.at, &post(&format!("/{}/_search", target.index), "", &body))?)?;
+    Ok(if target.json { pretty(&answer) } else { format_hits(&answer) })
 }
 
-/// Asks the first door for some shards with a text.
-pub fn scan(ask: &Target, text: &str, shards: &[u64], seconds: f64) -> Result<String, String> {
+/// Queries some segments at the first port with a text, within this many seconds.
+pub fn scan(target: &Target, text: &str, shards: &[u64], seconds: f64) -> Result<String, QueryError> {
     let share = 1.0 / shards.len().max(1) as f64;
     let segments: Vec<_> = shards.iter().map(|shard| json!({"bucket": shard, "part": share})).collect();
     let body = json!({"buckets": segments, "body": text}).to_string();
-    let heads = format!("X-Call-Id: query-{}\r\nX-Budget: {seconds}\r\n", std::process::id());
-    let (status, body) = exchange(ask.at, &post(&format!("/{}", ask.index), &heads, &body))?;
-    let answer = read(status, &body)?;
-    if ask.json {
+    let headers = format!("X-Call-Id: query-{}\r\nX-Budget: {seconds}\r\n", std::process::id());
+    let answer = read(&exchange(target.at, &post(&format!("/{}", target.index), &headers, &body))?)?;
+    if target.json {
         return Ok(pretty(&answer));
     }
     let mut table = Table::new();
@@ -87,12 +133,13 @@
     Ok(format!("{table}\n{whole}\n"))
 }
 
-/// Sends a file of searches, line by line in pairs, some of them together; a line of progress on standard error.
-pub fn many(ask: &Target, path: &Path) -> Result<String, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
+/// Sends a file of searches in the format of `_msearch`, several per request, with a progress bar on standard error.
+pub fn many(target: &Target, path: &Path) -> Result<String, QueryError> {
+    let unreadable = |source| QueryError::File { path: path.to_path_buf(), source };
+    let text = std::fs::read_to_string(path).map_err(unreadable)?;
     let lines: Vec<&str> = text.lines().collect();
     if lines.len() % 2 == 1 {
-        return Err(format!("{}: a head without its search at the end", path.display()));
+        return Err(QueryError::IncompletePair(path.to_path_buf()));
     }
     let bar = ProgressBar::new(lines.len() as u64 / 2);
     if let Ok(style) = ProgressStyle::with_template("{pos}/{len} searches, {per_sec}, {elapsed}") {
@@ -104,8 +151,8 @@
     let (mut all, mut number) = (Vec::new(), 0);
     for pairs in lines.chunks(2 * MAX_SEARCHES_PER_REQUEST) {
         let body = pairs.join("\n") + "\n";
-        let (status, body) = exchange(ask.at, &post(&format!("/{}/_msearch", ask.index), "", &body))?;
-        let answer = read(status, &body)?;
+        let request = post(&format!("/{}/_msearch", target.index), "", &body);
+        let answer = read(&exchange(target.at, &request)?)?;
         for one in answer["responses"].as_array().into_iter().flatten() {
             number += 1;
             table.add_row(row(number, one));
@@ -114,7 +161,7 @@
         bar.set_position(number);
     }
     bar.finish_and_clear();
-    Ok(if ask.json { pretty(&json!(all)) } else { format!("{table}\n") })
+    Ok(if target.json { pretty(&json!(all)) } else { format!("{table}\n") })
 }
 
 fn row(number: u64, one: &Value) -> [String; 5] {
