--- /dev/null
+++ b/crates/dunepond-broker/src/body/reader.rs
@@ -0,0 +1,74 @@
+//! Read positions in a body.
+
+use std::rc::Rc;
+
+use bytes::Bytes;
+
+use super::{BLOCK_BYTES, Body};
+
+/// The read position of one frame in a body.
+pub struct BodyReader {
+    /// The body that it reads.
+    pub body: Rc<Body>,
+    key: usize,
+}
+
+impl BodyReader {
+    /// A reader at the start of a body.
+    pub fn new(body: &Rc<Body>) -> Self {
+        let key = body.inner.borrow_mut().readers.insert(0);
+        Self { body: body.clone(), key }
+    }
+
+    /// How many bytes it has consumed.
+    pub fn place(&self) -> u64 {
+        self.body.inner.borrow().readers[self.key]
+    }
+
+    /// How many bytes are left.
+    pub fn left(&self) -> u64 {
+        self.body.length() - self.place()
+    }
+
+    /// Appends up to `most` blocks to `into` that can be written now; none where the next one is not in memory.
+    pub fn pieces(&self, most: usize, into: &mut Vec<Bytes>) {
+        let mut inner = self.body.inner.borrow_mut();
+        let place = inner.readers[self.key];
+        let (mut number, mut skip) = (place / BLOCK_BYTES as u64, (place % BLOCK_BYTES as u64) as usize);
+        for _ in 0..most {
+            let Some(block) = inner.block(number).filter(|block| skip < block.length) else { return };
+            match &block.bytes {
+                Some(bytes) => into.push(bytes.slice(skip..)),
+                None => {
+                    // Only the next block: reading ahead for one reader could evict the block of another.
+                    if skip > 0 || number == place / BLOCK_BYTES as u64 {
+                        inner.wanted.insert(number);
+                    }
+                    return;
+                }
+            }
+            (number, skip) = (number + 1, 0);
+        }
+    }
+
+    /// Consumes `count` bytes.
+    pub fn advance(&self, count: u64) {
+        let mut inner = self.body.inner.borrow_mut();
+        let from = inner.readers[self.key] / BLOCK_BYTES as u64;
+        inner.readers[self.key] += count;
+        let to = inner.readers[self.key] / BLOCK_BYTES as u64;
+        for number in from..to {
+            inner.leave(number);
+        }
+        inner.trim();
+    }
+}
+
+impl Drop for BodyReader {
+    fn drop(&mut self) {
+        let mut inner = self.body.inner.borrow_mut();
+        let place = inner.readers.remove(self.key);
+        inner.leave(place / BLOCK_BYTES as u64);
+        inner.trim();
+    }
+}
--- a/crates/dunepond-broker/src/connection_end.rs
+++ b/crates/dunepond-broker/src/connection_end.rs
@@ -1,4 +1,4 @@
-//! Every way in which a connection can end, and the outcome of each attempt that was on it.
+//! How a connection can end, and the outcome of the attempts that were on it.
 
 use std::fmt;
 use std::io;
@@ -6,37 +6,41 @@
 use dunepond_prefilter::RequestFailure;
 use dunepond_routing::AttemptOutcome;
 
+/// Why a connection ended, or could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionEnd {
-    /// There is no address or room in the loop for it.
+    /// It has no address, or the process no room for it.
     LocalResources,
     /// The process has no descriptor left for it.
     DescriptorsExhausted,
+    /// The peer refused it.
     Refused,
-    /// Not up within the connect limit.
+    /// It was not established within the connect timeout.
     ConnectTimeout,
+    /// The peer reset it, or the network failed.
     Reset,
-    /// The peer closed it in order.
+    /// The peer closed it.
     Closed,
-    /// The peer sent what cannot be read.
+    /// The peer sent a malformed message.
     ProtocolError,
     /// The node could not use a frame of ours.
     RejectedByPeer,
-    /// A frame of which a part was written had to be taken back.
+    /// A partly written frame had to be withdrawn.
     FrameAborted,
     /// The process behind it is known to have been replaced.
     Replaced,
-    /// We closed it while nothing was out.
+    /// We closed it while it carried nothing.
     IdleClosed,
-    /// The peer did not send or take the rest within its time.
+    /// The peer did not send or read the rest in time.
     IoTimeout,
-    /// It took too little of a body that passes, and the others wait for it.
+    /// It read too little of a pass-through body while the other readers waited.
     SlowConsumer,
-    /// The body of a frame that was half written can be had no more.
+    /// The body of a partly written frame was lost.
     BodyLost,
 }
 
 impl ConnectionEnd {
+    /// How an error of the system ends a connection.
     pub fn of(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::ConnectionRefused => Self::Refused,
@@ -47,19 +51,19 @@
         }
     }
 
-    /// How a part ends that was out when its connection did: whether it may have run goes by whether the
-    /// last byte of its frame had been written, however the end came; the system reports a long silence or
-    /// a lost way on a connection that was up with the same errors as on one that never was.
+    /// The outcome of an attempt on this connection. Whether it may have run depends only on whether the last byte of its
+    /// frame had been written: the system reports the same errors for a broken connection as for one that was never
+    /// established.
     pub fn end(self, written: bool) -> AttemptOutcome {
         match (self, written) {
-            // Our own lack must not be held against the node.
+            // A local shortage must not count against the node.
             (Self::LocalResources | Self::DescriptorsExhausted, _) => AttemptOutcome::NotSent,
             (_, false) => AttemptOutcome::ConnectFailed,
             (_, true) => AttemptOutcome::ConnectionLost,
         }
     }
 
-    /// Why a question is not answered that was out when its connection ended.
+    /// Why a prefilter request on this connection has no answer.
     pub fn unanswered(self) -> RequestFailure {
         match self {
             Self::RejectedByPeer | Self::Closed => RequestFailure::Unsupported,
@@ -93,43 +97,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use rstest::rstest;
-
-    use super::*;
-
-    #[rstest]
-    #[case(ConnectionEnd::LocalResources, AttemptOutcome::NotSent, AttemptOutcome::NotSent)]
-    #[case(ConnectionEnd::DescriptorsExhausted, AttemptOutcome::NotSent, AttemptOutcome::NotSent)]
-    #[case(ConnectionEnd::Refused, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(ConnectionEnd::ConnectTimeout, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(ConnectionEnd::Reset, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(ConnectionEnd::Closed, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(ConnectionEnd::ProtocolError, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(ConnectionEnd::RejectedByPeer, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(ConnectionEnd::FrameAborted, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(ConnectionEnd::Replaced, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(ConnectionEnd::IdleClosed, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(ConnectionEnd::IoTimeout, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(ConnectionEnd::SlowConsumer, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    #[case(ConnectionEnd::BodyLost, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
-    fn only_the_last_byte_of_its_frame_makes_a_part_one_that_may_have_run(
-        #[case] ending: ConnectionEnd,
-        #[case] unwritten_bytes: AttemptOutcome,
-        #[case] written: AttemptOutcome,
-    ) {
-        assert_eq!((ending.end(false), ending.end(true)), (unwritten_bytes, written));
-    }
-
-    #[rstest]
-    #[case(io::ErrorKind::ConnectionRefused, ConnectionEnd::Refused)]
-    #[case(io::ErrorKind::TimedOut, ConnectionEnd::ConnectTimeout)]
-    #[case(io::ErrorKind::ConnectionReset, ConnectionEnd::Reset)]
-    #[case(io::ErrorKind::BrokenPipe, ConnectionEnd::Reset)]
-    fn an_error_of_the_system_is_one_of_the_endings(
-        #[case] kind: io::ErrorKind,
-        #[case] ending: ConnectionEnd,
-    ) {
-        assert_eq!(ConnectionEnd::of(&kind.into()), ending);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/dunepond-broker/src/http/encode.rs
@@ -0,0 +1,38 @@
+//! Encodes whole responses and requests.
+
+use std::io::Write;
+
+/// A whole response; `wait` in seconds becomes `Retry-After` if it is above 0.
+pub fn answer(status: u16, body: &str, wait: f64, keep: bool) -> Vec<u8> {
+    let words = match status {
+        200 => "OK",
+        400 => "Bad Request",
+        404 => "Not Found",
+        405 => "Method Not Allowed",
+        408 => "Request Timeout",
+        413 => "Content Too Large",
+        429 => "Too Many Requests",
+        431 => "Request Header Fields Too Large",
+        501 => "Not Implemented",
+        503 => "Service Unavailable",
+        507 => "Insufficient Storage",
+        504 => "Gateway Timeout",
+        _ => "Failed",
+    };
+    let mut out = Vec::with_capacity(160 + body.len());
+    let length = body.len();
+    let _ = write!(out, "HTTP/1.1 {status} {words}\r\nContent-Type: application/json\r\n");
+    if wait > 0.0 {
+        let _ = write!(out, "Retry-After: {wait:.3}\r\n");
+    }
+    if !keep {
+        let _ = write!(out, "Connection: close\r\n");
+    }
+    let _ = write!(out, "Content-Length: {length}\r\n\r\n{body}");
+    out
+}
+
+/// A whole GET request.
+pub fn get(path: &str, host: &str) -> Vec<u8> {
+    format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
+}
