--- a/crates/dunepond-control-plane/src/audit_log.rs
+++ b/crates/dunepond-control-plane/src/audit_log.rs
@@ -1,6 +1,6 @@
 //! The audit log: what this broker did, one JSON object a line, written by a thread of its own.
 //!
-//! Whoever acts never waits for the disk: records that find the queue full are dropped, and counted in the file.
+//! No caller waits for the disk: records that find the queue full are dropped, and their number is recorded.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -18,10 +18,10 @@
 use crate::clock::monotonic_seconds;
 use crate::error::ControlPlaneError;
 
-/// Records that may wait for the disk.
+/// Events that may wait for the disk.
 const MAX_QUEUED_EVENTS: usize = 65_536;
 
-/// One line of the audit log. The JSON names are a stored form.
+/// One line of the audit log. Auditors read its JSON names, in files of earlier builds too.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AuditRecord {
     /// Seconds on the monotonic clock.
@@ -41,27 +41,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "lowercase")]
 pub enum AuditEvent {
-    /// What it may act on from now on; once more with each lease.
+    /// What the broker may act on from now on; recorded again with each lease.
     Phase {
         /// The phase.
         phase: AuditPhase,
-        /// First version obeyed in it, 0 if none.
+        /// Lowest number of the versions that apply, 0 if none does.
         from: u64,
-        /// Last version obeyed in it, 0 if none.
+        /// Highest number of the versions that apply, 0 if none does.
         to: u64,
-        /// End of the lease.
+        /// End of the lease, in seconds on the monotonic clock.
         until: f64,
     },
     /// A part's frame was handed to its connection.
     #[serde(rename = "dispatch")]
     AttemptSent {
-        /// Of the query.
+        /// Id of the query.
         #[serde(rename = "call")]
         request_id: String,
-        /// Of the part.
+        /// Segment of the part.
         #[serde(rename = "seg")]
         segment_id: u64,
-        /// To which node.
+        /// Node that it was sent to.
         node: String,
         /// Number of the attempt within its part.
         #[serde(rename = "shot")]
@@ -69,15 +69,15 @@
         /// The part must not run twice.
         #[serde(rename = "once")]
         non_idempotent: bool,
-        /// In which phase it was judged.
+        /// Phase in which it was allowed.
         phase: AuditPhase,
-        /// Versions obeyed in that phase.
+        /// Versions that applied.
         #[serde(rename = "numbers")]
         versions: Vec<u64>,
     },
     /// A query was answered.
     Answer {
-        /// Of the query.
+        /// Id of the query.
         #[serde(rename = "call")]
         request_id: String,
         /// HTTP status.
@@ -88,14 +88,14 @@
         /// Segments whose parts are in it.
         #[serde(rename = "segs")]
         segments: Vec<u64>,
-        /// Of the one map under which they cover all keys asked for.
+        /// Epoch of the one map under which they cover all keys asked for.
         #[serde(rename = "epoch")]
         map_epoch: Option<u64>,
     },
     /// A query was rejected, or a part withheld, because of the agreed configuration.
     #[serde(rename = "refused")]
     Rejected {
-        /// Of the query.
+        /// Id of the query.
         #[serde(rename = "call")]
         request_id: String,
         /// Reason, for people.
@@ -106,18 +106,18 @@
     Settled {
         /// `FILL@BROKER`.
         id: String,
-        /// Whose debt shrank.
+        /// Partner whose debt shrank.
         debtor: String,
-        /// Towards whom.
+        /// Partner to whom it owes less.
         creditor: String,
-        /// By how many bytes.
+        /// Amount that was paid off.
         bytes: u64,
-        /// Version that the fill was for.
+        /// Number of the version that the fill was for.
         number: u64,
     },
     /// A fill changed its state.
     Fill {
-        /// `VERSION/SEGMENT/NODE`, with `+START` for fills of a broker's own.
+        /// `VERSION/SEGMENT/NODE`, with `+INCARNATION` of the node for fills of a broker's own.
         id: String,
         /// Segment to be filled.
         segment: u64,
@@ -151,22 +151,22 @@
         /// Its digest.
         digest: String,
     },
-    /// What it may use of shared quotas, in millionths of the whole: from this line on `floor` and, before `until`, `parts`
-    /// beside it. Nothing before `from`, when what an earlier run used has left every window, nor where it is not
-    /// `counted`. Once more with each lease.
+    /// What the broker may use of shared quotas, in units (millionths of the whole): from this record on the floor and, until
+    /// the lease ends, the leased parts. Nothing before `from`, when what an earlier run used has left every window, nor
+    /// where it is not `counted`. Recorded again with each lease.
     #[serde(rename = "share")]
     QuotaShare {
-        /// Generation of the agreed division.
+        /// Generation of the agreed allocation.
         generation: u64,
-        /// The division counts this broker.
+        /// The allocation counts this broker.
         counted: bool,
-        /// Part that needs no lease.
+        /// Units that need no lease.
         floor: u32,
-        /// Leased parts by quota.
+        /// Leased units by quota.
         parts: BTreeMap<String, u32>,
-        /// When use may begin.
+        /// When use may begin, in seconds on the monotonic clock.
         from: f64,
-        /// End of the lease.
+        /// End of the lease, in seconds on the monotonic clock.
         until: f64,
         /// Seconds over which use is counted.
         window: f64,
@@ -174,7 +174,7 @@
     /// Records were dropped, as the queue to the disk was full.
     #[serde(rename = "lost")]
     RecordsLost {
-        /// How many since the last such record.
+        /// Records dropped since the last such event.
         count: u64,
     },
 }
@@ -208,55 +208,66 @@
     }
 }
 
-/// Queues records; cheap to clone.
+/// A message to the writer's thread.
+enum WriterMessage {
+    Record { at: f64, event: AuditEvent },
+    Finish,
+}
+
+/// Queues events for the audit log; cheap to clone.
 #[derive(Clone)]
 pub struct AuditSender {
-    sender: Sender<Option<(f64, AuditEvent)>>,
+    messages: Sender<WriterMessage>,
+    /// Events that found the queue full or the disk failing, and are not recorded as lost yet.
     lost: Arc<AtomicU64>,
 }
 
 impl AuditSender {
-    /// Notes an act of this moment.
-    pub fn record(&self, act: AuditEvent) {
-        self.record_at(monotonic_seconds(), act);
+    /// Records an event of this moment.
+    pub fn record(&self, event: AuditEvent) {
+        self.record_at(monotonic_seconds(), event);
     }
 
-    pub fn record_at(&self, at: f64, act: AuditEvent) {
-        if self.sender.try_send(Some((at, act))).is_err() {
+    /// Records an event at `at`, in seconds on the monotonic clock.
+    pub fn record_at(&self, at: f64, event: AuditEvent) {
+        if self.messages.try_send(WriterMessage::Record { at, event }).is_err() {
             self.lost.fetch_add(1, Relaxed);
         }
     }
 }
 
-/// The file's thread; it ends when told to, or once all senders are dropped.
+/// The writer's thread; it ends with [`AuditLog::finish`], or once all senders are dropped.
 pub struct AuditLog {
-    sender: Sender<Option<(f64, AuditEvent)>>,
+    messages: Sender<WriterMessage>,
     thread: JoinHandle<()>,
 }
 
 impl AuditLog {
-    pub fn start(path: &Path, brk: &str, run: u64) -> Result<(AuditSender, Self), ControlPlaneError> {
-        let failed = |why: &dyn fmt::Display| ControlPlaneError::AuditLog {
-            path: path.to_path_buf(),
-            why: why.to_string(),
-        };
-        let file = OpenOptions::new().create(true).append(true).open(path).map_err(|e| failed(&e))?;
-        let (sender, acts) = bounded(MAX_QUEUED_EVENTS);
+    /// Opens the file, to append to it, and starts the thread.
+    pub fn start(
+        path: &Path,
+        broker: &str,
+        incarnation: u64,
+    ) -> Result<(AuditSender, Self), ControlPlaneError> {
+        let failed =
+            |e: std::io::Error| ControlPlaneError::AuditLog { path: path.to_path_buf(), why: e.to_string() };
+        let file = OpenOptions::new().create(true).append(true).open(path).map_err(failed)?;
+        let (messages, queue) = bounded(MAX_QUEUED_EVENTS);
         let lost = Arc::new(AtomicU64::new(0));
-        let writing = AuditWriter {
+        let writer = AuditWriter {
             file: BufWriter::new(file),
-            broker: brk.to_string(),
-            incarnation: run,
+            broker: broker.to_string(),
+            incarnation,
             lost: lost.clone(),
         };
         let thread = std::thread::Builder::new().name("record".to_string());
-        let thread = thread.spawn(move || writing.run(&acts)).map_err(|e| failed(&e))?;
-        Ok((AuditSender { sender: sender.clone(), lost }, Self { sender, thread }))
+        let thread = thread.spawn(move || writer.run(&queue)).map_err(failed)?;
+        Ok((AuditSender { messages: messages.clone(), lost }, Self { messages, thread }))
     }
 
-    /// Waits until all that was noted so far is in the file; what is noted later is lost.
+    /// Waits until everything recorded so far is in the file; later events are lost.
     pub fn finish(self) {
-        let _ = self.sender.send_timeout(None, crate::startup::SHUTDOWN_TIMEOUT);
+        let _ = self.messages.send_timeout(WriterMessage::Finish, crate::startup::SHUTDOWN_TIMEOUT);
         crate::startup::join_with_timeout(self.thread);
     }
 }
@@ -269,23 +280,25 @@
 }
 
 impl AuditWriter {
-    fn run(mut self, acts: &Receiver<Option<(f64, AuditEvent)>>) {
-        let (mut failing, mut ends) = (false, false);
-        while !ends && let Ok(first) = acts.recv() {
+    fn run(mut self, queue: &Receiver<WriterMessage>) {
+        let (mut failing, mut finished) = (false, false);
+        while !finished && let Ok(first) = queue.recv() {
             let mut next = Some(first);
             let mut outcome = Ok(());
-            // All that waits, and then the disk.
-            while let Some(act) = next.take() {
-                match act {
-                    Some(act) if outcome.is_ok() => outcome = self.write_record(act),
-                    Some(_) => drop(self.lost.fetch_add(1, Relaxed)),
-                    None => ends = true,
+            // Everything that is waiting is written before one flush.
+            while let Some(message) = next.take() {
+                match message {
+                    WriterMessage::Record { at, event } if outcome.is_ok() => {
+                        outcome = self.write_record(at, event);
+                    }
+                    WriterMessage::Record { .. } => drop(self.lost.fetch_add(1, Relaxed)),
+                    WriterMessage::Finish => finished = true,
                 }
-                next = acts.try_recv().ok();
+                next = queue.try_recv().ok();
             }
-            let lost = self.lost.swap(0, Relaxed);
-            if lost > 0 && outcome.is_ok() {
-                outcome = self.write_record((monotonic_seconds(), AuditEvent::RecordsLost { count: lost }));
+            let count = self.lost.swap(0, Relaxed);
+            if count > 0 && outcome.is_ok() {
+                outcome = self.write_record(monotonic_seconds(), AuditEvent::RecordsLost { count });
             }
             let outcome = outcome.and_then(|()| self.file.flush());
             if let Err(e) = &outcome
@@ -297,9 +310,9 @@
         }
     }
 
-    fn write_record(&mut self, (at, act): (f64, AuditEvent)) -> std::io::Result<()> {
-        let line = AuditRecord { at, broker: self.broker.clone(), incarnation: self.incarnation, event: act };
-        serde_json::to_writer(&mut self.file, &line)?;
+    fn write_record(&mut self, at: f64, event: AuditEvent) -> std::io::Result<()> {
+        let record = AuditRecord { at, broker: self.broker.clone(), incarnation: self.incarnation, event };
+        serde_json::to_writer(&mut self.file, &record)?;
         self.file.write_all(b"\n")
     }
 }
--- a/crates/dunepond-control-plane/src/audit_log/tests.rs
+++ b/crates/dunepond-control-plane/src/audit_log/tests/mod.rs
@@ -3,16 +3,16 @@
 use super::{AuditEvent, AuditLog, AuditPhase, AuditRecord};
 
 #[test]
-fn acts_come_into_the_file_in_their_order_and_behind_what_stood_there() {
+fn records_are_appended_in_order() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("acts.jsonl");
     std::fs::write(&path, "{\"old\":1}\n").unwrap();
-    let (recorder, recording) = AuditLog::start(&path, "n1", 3).unwrap();
-    recorder.record_at(1.5, AuditEvent::Phase { phase: AuditPhase::Joint, from: 1, to: 2, until: 9.0 });
-    recorder
+    let (sender, audit_log) = AuditLog::start(&path, "n1", 3).unwrap();
+    sender.record_at(1.5, AuditEvent::Phase { phase: AuditPhase::Joint, from: 1, to: 2, until: 9.0 });
+    sender
         .clone()
         .record_at(2.0, AuditEvent::Rejected { request_id: "c".to_string(), why: "cut".to_string() });
-    recording.finish();
+    audit_log.finish();
     let text = std::fs::read_to_string(&path).unwrap();
     let lines: Vec<_> = text.lines().collect();
     assert_eq!(lines.len(), 3, "{text}");
--- a/crates/dunepond-control-plane/src/config.rs
+++ b/crates/dunepond-control-plane/src/config.rs
@@ -1,4 +1,4 @@
-//! What a broker's part in the control plane is configured with.
+//! Configuration of a broker's control plane.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,38 +11,38 @@
 use crate::fill_client::FillClient;
 use crate::slow_start::SlowStartPolicy;
 
-/// Configuration of one broker's part.
+/// Configuration of one broker's control plane.
 #[derive(Clone, Debug)]
 pub struct ControlPlaneConfig {
-    /// Of consensus and leases; names this broker and the voters.
+    /// Terms of consensus and leases, with the names of this broker and the voters.
     pub terms: ConsensusConfig,
     /// Where other brokers reach this one, over UDP and TCP.
     pub listen_address: SocketAddr,
-    /// An existing directory of this broker alone.
+    /// An existing directory that no other broker uses.
     pub data_directory: PathBuf,
-    /// Brokers known from the start by name and address, this one among them or not.
+    /// Names and addresses of brokers that are known from the start, this one among them or not.
     pub known_brokers: Vec<(String, SocketAddr)>,
-    /// Holds the secret that all brokers share.
+    /// File with the secret that all brokers share; `None`: brokers are known by their addresses.
     pub key_file: Option<PathBuf>,
-    /// The version or list of voters to propose.
+    /// The operator's document, a version or a list of voters, to propose.
     pub version_file: Option<PathBuf>,
-    /// Where to append the audit log.
+    /// File to which the audit log is appended; `None`: no audit log.
     pub audit_log_file: Option<PathBuf>,
-    /// Who owns which brokers.
+    /// Partners and their brokers; without any, nothing is counted or settled.
     pub partners: Vec<Partner>,
     /// Rates that fills may take between partners.
     pub link_rates: Vec<LinkRate>,
     /// How replicas are filled; `None`: not at all.
     pub fills: Option<FillConfig>,
-    /// How nodes that were just started are spared by fills; `None`: not at all.
+    /// What fills may send to nodes in slow start; `None`: no limit.
     pub slow_start: Option<SlowStartPolicy>,
     /// Quotas that all brokers share; `None`: each broker keeps its own.
     pub quotas: Option<QuotaConfig>,
-    /// Plans of splits, merges and migrations.
+    /// Plans of splits, merges and migrations; `None`: none is read here.
     pub rebalancing: Option<RebalanceConfig>,
-    /// Entries that lists by query class must have in a version.
+    /// Number of query classes, and so of entries in a version's lists by query class.
     pub query_class_count: usize,
-    /// Of all random draws, mixed with the broker's name and incarnation.
+    /// Seed of all random numbers, mixed with the broker's name and incarnation.
     pub seed: u64,
 }
 
@@ -51,9 +51,9 @@
 pub struct Partner {
     /// Its name.
     pub name: String,
-    /// Its brokers: what they count speaks for its side.
+    /// Its brokers: their counts speak for its side.
     pub brokers: Vec<String>,
-    /// They also count what its own nodes carry: the lesser of both sides' counts is owed.
+    /// Its brokers also count what its own nodes carry: the lesser of both sides' counts is owed.
     pub metered: bool,
 }
 
@@ -80,11 +80,11 @@
 /// Configuration of rebalancing plans.
 #[derive(Clone, Debug)]
 pub struct RebalanceConfig {
-    /// The operator's document.
+    /// The operator's plan.
     pub plan_file: PathBuf,
-    /// Acts of one step at most.
+    /// Most acts of one step.
     pub max_concurrent_acts: usize,
-    /// Pause between two steps.
+    /// Pause between two steps, in seconds.
     pub settle_seconds: f64,
     /// Bytes a second that fills may take between two partners that no link rate names.
     pub default_link_rate: Option<u64>,
@@ -95,21 +95,20 @@
 pub struct FillConfig {
     /// The operator's service that carries fills out.
     pub fill_service: SocketAddr,
-    /// Bytes that a segment is taken to have.
+    /// Size that each segment is taken to have.
     pub segment_bytes: u64,
-    /// Rate of one fill at most.
+    /// Highest rate of one fill.
     pub bytes_per_second: u64,
-    /// Fills under way at most, in each lane.
+    /// Most attempts that run at once, for fills of versions and for the broker's own each.
     pub max_concurrent_fills: usize,
-    /// Each broker also fills replicas on nodes that were just started, as far as they fall to it, and settles them out of
-    /// its own share.
+    /// Each broker also fills nodes in slow start that it is responsible for, and settles these fills from its own share.
     pub fill_started_nodes: bool,
 }
 
 /// Called with the name of a point that a crash test may choose; true ends the control plane there.
 pub type CrashPoints = Arc<dyn Fn(&str) -> bool + Send + Sync>;
 
-/// Replacements of the outside in tests.
+/// Replacements of what is outside the process, for tests.
 #[derive(Default)]
 pub struct TestDoubles {
     /// In place of the data directory.
--- a/crates/dunepond-control-plane/src/data_directory.rs
+++ b/crates/dunepond-control-plane/src/data_directory.rs
@@ -1,7 +1,7 @@
 //! The control plane's data directory: the voter's journal, and snapshots of the agreed configuration, the traffic counts,
 //! the commitments and the number of starts.
 //!
-//! All calls block on the disk; the control loop's thread makes them.
+//! All calls block on the disk, so only the control loop's thread makes them.
 
 mod origin;
 
@@ -10,19 +10,19 @@
 
 use dunepond_consensus::{PersistedState, StoredVoter};
 use dunepond_settlement as settlement;
-use dunepond_storage::{DiskStore, FileFault, FileStore, Journal, SnapshotStore};
+use dunepond_storage::{DiskStore, FileFault, FileStore, Journal, RecoveredJournal, SnapshotStore};
 use serde::de::DeserializeOwned;
 use tracing::{error, info, warn};
 
 use crate::commitments::Commitments;
 use crate::error::ControlPlaneError;
 
-/// Of all files here; those of a later version are left alone.
+/// Format of all files; files of a later format are ignored.
 const FORMAT_VERSION: u32 = 1;
 /// A journal longer than this is rewritten as one record.
 const MAX_JOURNAL_BYTES: u64 = 1 << 20;
 
-// File names, which are stored forms: snapshots end in `-N.snapshot`, the journal in `.journal`.
+// File names, which earlier builds use as well: snapshots end in `-N.snapshot`, the journal in `.journal`.
 const STARTS: &str = "starts";
 const CONFIG: &str = "kept";
 const COUNTS: &str = "counts";
@@ -40,10 +40,11 @@
     last_counts: Vec<u8>,
 }
 
-/// What the directory held when it was opened.
+/// Content of the directory when it was opened.
 pub struct StoredState {
     /// Number of this start: greater than that of any earlier one.
     pub incarnation: u64,
+    /// What the voter's journal held; empty at a broker that is no voter.
     pub voter_records: StoredVoter,
     pub config: Option<PersistedState>,
     pub counts: Option<settlement::LocalCounts>,
@@ -67,7 +68,7 @@
         SnapshotStore::new(self.files.clone(), name, FORMAT_VERSION)
     }
 
-    /// Payload of the newest valid snapshot; files that are not used are logged.
+    /// Payload of the newest valid snapshot; files that cannot be used are logged.
     fn load(&self, name: &str) -> Result<Option<Vec<u8>>, ControlPlaneError> {
         let loaded = self.snapshots(name).load().map_err(|e| self.error(e))?;
         for (file, fault) in &loaded.faults {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Counts this start. `now` (Unix milliseconds) takes the place of a count that was lost.
+    /// Stores and returns the number of this start. `now` (Unix milliseconds) takes the place of a count that was lost.
     fn next_incarnation(&self, now: u64) -> Result<u64, ControlPlaneError> {
         let last = self.load(STARTS)?.and_then(|bytes| postcard::from_bytes::<u64>(&bytes).ok());
         let incarnation = last.map_or(now, |last| now.max(last + 1));
@@ -111,56 +112,63 @@
         }
     }
 
-    /// Opens the voter's journal. One that is damaged, or stands in a copied directory, is emptied: promises may be missing
-    /// from it, and an empty voter is what the others allow for.
+    /// Opens the voter's journal. One that is damaged, or is in a copied directory, is emptied: promises may be missing from
+    /// it, and the other voters allow for an empty voter.
     fn open_journal(&self) -> Result<(Journal, StoredVoter), ControlPlaneError> {
         let opened = Journal::open(self.files.clone(), VOTER, FORMAT_VERSION);
         let (mut journal, recovered) = opened.map_err(|e| self.error(e))?;
-        let (mut stored, mut lost) = (StoredVoter::new(), false);
-        match &recovered.fault {
-            // The process ended while it wrote; nobody was told of the record.
-            Some(FileFault::Truncated) => {
-                info!("fleet: the journal's last record is torn; it was never promised");
-            }
-            Some(fault) => {
-                error!(
-                    "fleet: voter.journal: {fault}; this voter begins anew, as after the loss of its folder"
-                );
-                lost = true;
-            }
-            None => {}
-        }
-        for record in &recovered.records {
-            if let Err(e) = stored.apply_record(&record.bytes) {
-                error!("fleet: voter.journal: {e} ({}); this voter begins anew", e.help());
-                lost = true;
-            }
-        }
-        if self.is_copy(recovered.records.is_empty())? {
+        let stored = stored_voter(&recovered);
+        let is_copy = self.is_copy(recovered.records.is_empty())?;
+        if is_copy {
             error!(
                 "fleet: the folder is a copy, and what was promised since it was made is not in it; \
                  this voter begins anew, as after the loss of its folder"
             );
-            lost = true;
         }
-        if lost {
-            stored = StoredVoter::new();
-            journal.rewrite(&[]).map_err(|e| self.error(e))?;
-            self.is_copy(true)?;
+        if let Some(stored) = stored.filter(|_| !is_copy) {
+            return Ok((journal, stored));
         }
-        Ok((journal, stored))
+        journal.rewrite(&[]).map_err(|e| self.error(e))?;
+        self.is_copy(true)?;
+        Ok((journal, StoredVoter::new()))
     }
 
-    /// `is_new`: nothing stands in the directory, and it is marked now.
+    /// `is_new`: the directory is empty, and is marked as the original now.
     fn is_copy(&self, is_new: bool) -> Result<bool, ControlPlaneError> {
         let checked = if self.is_real { origin::is_copy(self.path, is_new) } else { Ok(false) };
         checked.map_err(|e| self.error(format!("origin: {e}")))
     }
 }
 
+/// The voter of a journal's records; `None` if one of them is damaged, and promises may be missing.
+fn stored_voter(recovered: &RecoveredJournal) -> Option<StoredVoter> {
+    let (mut stored, mut damaged) = (StoredVoter::new(), false);
+    match &recovered.fault {
+        // The process ended while it wrote; nobody was told of the record.
+        Some(FileFault::Truncated) => {
+            info!("fleet: the journal's last record is torn; it was never promised");
+        }
+        Some(fault) => {
+            error!("fleet: voter.journal: {fault}; this voter begins anew, as after the loss of its folder");
+            damaged = true;
+        }
+        None => {}
+    }
+    for record in &recovered.records {
+        if let Err(e) = stored.apply_record(&record.bytes) {
+            error!("fleet: voter.journal: {e} ({}); this voter begins anew", e.help());
+            damaged = true;
+        }
+    }
+    (!damaged).then_some(stored)
+}
+
 impl DataDirectory {
     /// Opens the directory. `files` replaces it in tests; `now`, in Unix milliseconds, is this start's number where none is
     /// stored.
+    ///
+    /// # Errors
+    /// If the directory does not exist, is in use or cannot be written. Damaged files are no error: they are ignored.
     pub fn open(
         path: &Path,
         files: Option<Arc<dyn FileStore>>,
@@ -202,19 +210,22 @@
         journal.sync()
     }
 
-    /// The journal should be rewritten.
+    /// Whether the journal should be rewritten as one record.
     pub fn journal_is_long(&self) -> bool {
         self.journal.as_ref().is_some_and(|journal| journal.length() > MAX_JOURNAL_BYTES)
     }
 
     /// Replaces the journal by one record of the voter's whole state.
-    pub fn rewrite_journal(&mut self, whole: Vec<u8>) -> std::io::Result<()> {
-        self.journal.as_mut().map_or(Ok(()), |journal| journal.rewrite(&[whole]))
+    pub fn rewrite_journal(&mut self, record: Vec<u8>) -> std::io::Result<()> {
+        match &mut self.journal {
+            Some(journal) => journal.rewrite(&[record]),
+            None => Ok(()),
+        }
     }
 
     /// Stores the agreed configuration, unless it is stored already.
-    pub fn save_config(&mut self, kept: &PersistedState) -> std::io::Result<()> {
-        let bytes = kept.encode();
+    pub fn save_config(&mut self, config: &PersistedState) -> std::io::Result<()> {
+        let bytes = config.encode();
         if bytes != self.last_config {
             self.config.write(&bytes)?;
             self.last_config = bytes;
@@ -222,13 +233,13 @@
         Ok(())
     }
 
-    /// Stores commitments; before anything rests on them.
-    pub fn save_commitments(&mut self, promises: &Commitments) -> std::io::Result<()> {
-        let bytes = postcard::to_stdvec(promises).map_err(std::io::Error::other)?;
+    /// Stores commitments; to be called before anything rests on them.
+    pub fn save_commitments(&mut self, commitments: &Commitments) -> std::io::Result<()> {
+        let bytes = postcard::to_stdvec(commitments).map_err(std::io::Error::other)?;
         self.commitments.write(&bytes).map(drop)
     }
 
-    /// Stores traffic counts, unless they are stored already; before any peer is told of them.
+    /// Stores traffic counts, unless they are stored already; to be called before they are sent to any peer.
     pub fn save_counts(&mut self, counts: &settlement::LocalCounts) -> std::io::Result<()> {
         let bytes = postcard::to_stdvec(counts).map_err(std::io::Error::other)?;
         if bytes != self.last_counts {
--- a/crates/dunepond-control-plane/src/data_directory/origin/tests.rs
+++ b/crates/dunepond-control-plane/src/data_directory/origin/tests/mod.rs
@@ -3,7 +3,7 @@
 use super::is_copy;
 
 #[test]
-fn a_folder_is_itself_over_restarts_and_a_copy_of_it_is_not() {
+fn copies_are_detected_and_renames_are_not_copies() {
     let folder = tempfile::tempdir().unwrap();
     let (own, copy) = (folder.path().join("own"), folder.path().join("copy"));
     std::fs::create_dir(&own).unwrap();
@@ -12,7 +12,7 @@
     assert!(!is_copy(&own, false).unwrap());
     std::fs::copy(own.join("origin"), copy.join("origin")).unwrap();
     assert!(is_copy(&copy, false).unwrap());
-    // Back in its place, and the folder itself under another name.
+    // A restored file is a copy; the directory under another name is not.
     std::fs::remove_file(own.join("origin")).unwrap();
     std::fs::copy(copy.join("origin"), own.join("origin")).unwrap();
     assert!(is_copy(&own, false).unwrap());
--- a/crates/dunepond-control-plane/src/error.rs
+++ b/crates/dunepond-control-plane/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a broker's part in the fleet, where, and what an operator can do about it.
+//! Errors of the control plane, each with its place and with what an operator can do about it.
 
 use std::path::PathBuf;
 
@@ -6,24 +6,63 @@
 use dunepond_membership::PeerError;
 use thiserror::Error;
 
+/// Why the control plane does not start.
 #[derive(Debug, Error)]
 pub enum ControlPlaneError {
+    /// The terms of consensus contradict each other.
     #[error("{0}")]
     Terms(#[from] ConsensusConfigError),
+    /// The links to other brokers cannot be opened.
     #[error("links: {0}")]
     Links(#[from] PeerError),
+    /// The data directory is missing, in use or cannot be written.
     #[error("folder {path}: {why}")]
-    DataDirectory { path: PathBuf, why: String },
+    DataDirectory {
+        /// The directory.
+        path: PathBuf,
+        /// Reason, for people.
+        why: String,
+    },
+    /// The shared secret cannot be read.
     #[error("key {path}: {why}")]
-    Key { path: PathBuf, why: String },
+    Key {
+        /// The key file.
+        path: PathBuf,
+        /// Reason, for people.
+        why: String,
+    },
+    /// The audit log cannot be opened.
     #[error("record {path}: {why}")]
-    AuditLog { path: PathBuf, why: String },
+    AuditLog {
+        /// The audit log's file.
+        path: PathBuf,
+        /// Reason, for people.
+        why: String,
+    },
+    /// The operating system refuses a thread.
     #[error("the thread cannot be started: {why}")]
-    Thread { why: String },
+    Thread {
+        /// Reason, for people.
+        why: String,
+    },
+    /// An operator's order on a lost majority does not fit.
     #[error("word on a lost majority {path}: {why}")]
-    LostMajority { path: PathBuf, why: String, help: String },
+    LostMajority {
+        /// The order's file.
+        path: PathBuf,
+        /// Reason, for people.
+        why: String,
+        /// What an operator can do.
+        help: String,
+    },
+    /// The voter, the counts or the commitments cannot be opened.
     #[error("agreement: {why}")]
-    Consensus { why: String, help: String },
+    Consensus {
+        /// Reason, for people.
+        why: String,
+        /// What an operator can do.
+        help: String,
+    },
 }
 
 impl ControlPlaneError {
@@ -50,29 +89,102 @@
 /// Why a version file is not proposed.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum VersionError {
+    /// There is no such file.
     #[error("{path}: is not there")]
-    NotFound { path: PathBuf },
+    NotFound {
+        /// The file.
+        path: PathBuf,
+    },
+    /// The file cannot be read.
     #[error("{path}: {why}")]
-    Unreadable { path: PathBuf, why: String },
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// Reason, for people.
+        why: String,
+    },
+    /// The file is no JSON of the documented form.
     #[error("{path}:{line}:{column}: {why}")]
-    Invalid { path: PathBuf, line: usize, column: usize, why: String },
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// Line, from 1.
+        line: usize,
+        /// Column, from 1.
+        column: usize,
+        /// Reason, for people.
+        why: String,
+    },
+    /// A list by query class has another length than the deployment's.
     #[error("{path}: rules: {key} has {found} entries, this deployment has {expected} table types")]
-    QueryClassCount { path: PathBuf, key: &'static str, found: usize, expected: usize },
+    QueryClassCount {
+        /// The file.
+        path: PathBuf,
+        /// Key of the list.
+        key: &'static str,
+        /// Entries of the list.
+        found: usize,
+        /// Query classes of the deployment.
+        expected: usize,
+    },
+    /// A rule's value is out of range.
     #[error("{path}: rules: {key} is {value}, not {expected}")]
-    Rule { path: PathBuf, key: &'static str, value: f64, expected: &'static str },
+    Rule {
+        /// The file.
+        path: PathBuf,
+        /// Key of the rule.
+        key: &'static str,
+        /// Its value.
+        value: f64,
+        /// The range, for people.
+        expected: &'static str,
+    },
+    /// The version is too large for a message.
     #[error("{path}: it comes to {bytes} bytes, more than the {most} that a version may have")]
-    TooLarge { path: PathBuf, bytes: usize, most: usize },
+    TooLarge {
+        /// The file.
+        path: PathBuf,
+        /// Size of the version.
+        bytes: usize,
+        /// Largest size, in bytes.
+        most: usize,
+    },
+    /// A voter's address has no IP address and port.
     #[error("{path}: voter {name}: at is {at:?}, not an address and port")]
-    VoterAddress { path: PathBuf, name: String, at: String },
+    VoterAddress {
+        /// The file.
+        path: PathBuf,
+        /// Name of the voter.
+        name: String,
+        /// The address as given.
+        at: String,
+    },
+    /// A key that has to be known to each broker is not known to this build.
     #[error(
         "{path}: `{key}` is not known to this program, and a version's rules, standings and maps must be"
     )]
-    UnknownKey { path: PathBuf, key: String },
+    UnknownKey {
+        /// The file.
+        path: PathBuf,
+        /// Path of the key.
+        key: String,
+    },
+    /// The shard map is not valid.
     #[error("{path}: map: {faults} faults; the first: {first} ({help})")]
-    Map { path: PathBuf, faults: usize, first: String, help: String },
+    Map {
+        /// The file.
+        path: PathBuf,
+        /// Number of faults.
+        faults: usize,
+        /// The first fault.
+        first: String,
+        /// What an operator can do about the first.
+        help: String,
+    },
 }
 
 impl VersionError {
+    /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
             Self::NotFound { .. } => "nothing to do; to propose a version put it there and send SIGHUP",
@@ -94,18 +206,35 @@
     }
 }
 
-/// Why a plan of moves is not offered.
+/// Why a rebalancing plan is not offered.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PlanError {
+    /// There is no such file.
     #[error("{path}: is not there")]
-    NotFound { path: PathBuf },
+    NotFound {
+        /// The file.
+        path: PathBuf,
+    },
+    /// The file cannot be read.
     #[error("{path}: {why}")]
-    Unreadable { path: PathBuf, why: String },
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// Reason, for people.
+        why: String,
+    },
+    /// The file holds no valid plan.
     #[error("{path}: {why}")]
-    Invalid { path: PathBuf, why: Box<dunepond_rebalance::MoveError> },
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// The fault.
+        why: Box<dunepond_rebalance::MoveError>,
+    },
 }
 
 impl PlanError {
+    /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
             Self::NotFound { .. } => "nothing to do; to move segments put a plan there and send SIGHUP",
@@ -115,18 +244,41 @@
     }
 }
 
-/// Why a fill came to nothing. It is tried again until the version's deadline.
+/// Why an attempt to fill a node has failed. The fill is retried until the version's deadline.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum FillError {
+    /// No connection, or no answer in time.
     #[error("the filler at {at} cannot be reached: {why}")]
-    Unreachable { at: String, why: String },
+    Unreachable {
+        /// Address of the fill service.
+        at: String,
+        /// Reason, for people.
+        why: String,
+    },
+    /// An answer other than 200.
     #[error("the filler at {at} answered {status} for {id}")]
-    Rejected { at: String, status: u16, id: String },
+    Rejected {
+        /// Address of the fill service.
+        at: String,
+        /// HTTP status.
+        status: u16,
+        /// Id of the fill.
+        id: String,
+    },
+    /// A body that is neither empty nor the documented JSON.
     #[error("the filler at {at} says of {id} what cannot be read: {why}")]
-    InvalidResponse { at: String, id: String, why: String },
+    InvalidResponse {
+        /// Address of the fill service.
+        at: String,
+        /// Id of the fill.
+        id: String,
+        /// Reason, for people.
+        why: String,
+    },
 }
 
 impl FillError {
+    /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
             Self::Unreachable { .. } => "look whether the filler runs at the address of 'fills at='",
--- a/crates/dunepond-control-plane/src/error/tests.rs
+++ b/crates/dunepond-control-plane/src/error/tests/mod.rs
@@ -1,12 +1,14 @@
 //! Each error names its place and a remedy.
 
-use super::{ControlPlaneError, FillError, PlanError, VersionError};
+use std::path::PathBuf;
+
 use dunepond_consensus::ConsensusConfigError;
 use dunepond_membership::PeerError;
-use std::path::PathBuf;
+
+use super::{ControlPlaneError, FillError, PlanError, VersionError};
 
 #[test]
-fn every_error_says_where_it_is_and_what_can_be_done() {
+fn errors_name_place_and_remedy() {
     let (path, why) = (PathBuf::from("/a/b"), "no".to_string());
     let at = || "127.0.0.1:1".to_string();
     let fleet = [
--- a/crates/dunepond-control-plane/src/explain.rs
+++ b/crates/dunepond-control-plane/src/explain.rs
@@ -1,8 +1,8 @@
-//! Explanations: one log line for each decision of the control plane, naming on whose authority it was taken, against which
-//! limit it was held, and which alternatives there were. Pure: from what was decided to a line.
+//! Explanations: one log line for each decision of the control plane, with the authority on which it was taken, the limit
+//! that applied, and the alternatives. Pure: a line is made of the decision alone.
 //!
-//! Names and reasons come from others' files, so each field is cut: no line is longer than [`MAX_LINE_BYTES`] bytes, and none
-//! has a line break in it.
+//! Names and reasons come from operators' files and other brokers, so each field is truncated: no line is longer than
+//! [`MAX_LINE_BYTES`], and none contains a line break.
 
 use std::fmt;
 
@@ -12,31 +12,33 @@
 use dunepond_settlement::{Balances, Fill, FillDemand, Settlement, SettlementEntry};
 use dunepond_shard_map::MapTransition;
 
-/// Bytes of one field at most.
+/// Longest field.
 const MAX_FIELD_BYTES: usize = 160;
-/// Bytes of a whole line at most.
+/// Longest line.
 pub const MAX_LINE_BYTES: usize = 4 * MAX_FIELD_BYTES + 64;
-/// Alternatives that a line names at most.
+/// Longest name or reason inside a field, in characters.
+const MAX_NAME_CHARS: usize = 40;
+/// Most alternatives that a line names.
 const MAX_NAMED_COUNT: usize = 3;
 
 /// What a line is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
-    /// A version: proposed, staged, rolled back, in force, withdrawn.
+    /// A version that is proposed, staged, rolled back, in force or withdrawn.
     Version,
-    /// What was offered and not taken.
+    /// A command that was refused, or is ignored in the log.
     Refused,
     /// A fill that is planned or done.
     Fill,
     /// A settlement that was applied.
     Settlement,
-    /// Shared quotas were divided anew.
+    /// The shares of quotas have changed.
     Limit,
     /// A step of a rebalancing plan.
     Move,
     /// A change of voters.
     Voters,
-    /// Any other entry of the agreed log.
+    /// Any other entry of the log.
     Entry,
 }
 
@@ -59,18 +61,19 @@
 /// One decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
+    /// What it is about.
     pub subject: Subject,
-    /// What was decided on, and the outcome.
+    /// The decision and its outcome.
     pub what: String,
-    /// On whose authority.
+    /// Who decided it or asked for it, and why; `word` in the log.
     pub authority: String,
-    /// Against which limit it was held.
+    /// Limits that applied.
     pub limit: String,
-    /// What else there was to choose from, or stood beside it.
+    /// Other choices, or the state it was weighed against; `weighed` in the log.
     pub alternatives: String,
 }
 
-/// An entry on its way, as far as a line names it.
+/// A proposed command, as far as a line names it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProposedEntry {
     what: String,
@@ -78,9 +81,9 @@
 }
 
 impl ProposedEntry {
-    /// `by`: the broker that offers it.
-    pub fn of(entry: &Command, by: &str) -> Self {
-        let what = match entry {
+    /// `by`: the broker that proposes it.
+    pub fn of(command: &Command, by: &str) -> Self {
+        let what = match command {
             Command::Propose(version) => format!("version {}", version.number),
             Command::FillCompleted { number, segment, holder } => {
                 format!("fill {number}/{segment}/{}", shortened(holder))
@@ -89,7 +92,7 @@
             Command::Withdraw { number, .. } => format!("withdraw {number}"),
             _ => String::from("another entry"),
         };
-        let authority = match entry {
+        let authority = match command {
             Command::Propose(version) => format!("{}, by {}", proposer_and_reason(version), shortened(by)),
             Command::Withdraw { why, .. } => format!("{}, by {}", shortened(why), shortened(by)),
             _ => shortened(by),
@@ -97,13 +100,13 @@
         Self { what, authority }
     }
 
-    /// One that stands in the log.
+    /// An entry that is in the log.
     pub fn logged(index: u64) -> Self {
         Self { what: format!("entry {index} is ignored"), authority: String::from("the agreed log") }
     }
 }
 
-/// Cut to so many bytes, in one line.
+/// A field in one line, no longer than [`MAX_FIELD_BYTES`].
 fn truncated(text: &str) -> String {
     let mut short = String::new();
     for c in text.chars().map(|c| if c.is_control() { ' ' } else { c }) {
@@ -116,47 +119,48 @@
     short
 }
 
-/// Names and reasons of others, each with its share of a field.
+/// A name or reason, no longer than [`MAX_NAME_CHARS`].
 fn shortened(text: &str) -> String {
-    match text.char_indices().nth(40) {
+    match text.char_indices().nth(MAX_NAME_CHARS) {
         Some((end, _)) => format!("{}...", &text[..end]),
         None => text.to_string(),
     }
 }
 
-fn first_few(all: impl Iterator<Item = String>) -> String {
-    let all: Vec<String> = all.collect();
-    let more = all.len().saturating_sub(MAX_NAMED_COUNT);
-    let first = all.into_iter().take(MAX_NAMED_COUNT).collect::<Vec<_>>().join(", ");
-    if more > 0 { format!("{first} and {more} more") } else { first }
+/// The first [`MAX_NAMED_COUNT`] names, and the number of the rest.
+fn abbreviated_list(names: impl Iterator<Item = String>) -> String {
+    let names: Vec<String> = names.collect();
+    let more = names.len().saturating_sub(MAX_NAMED_COUNT);
+    let named = names.into_iter().take(MAX_NAMED_COUNT).collect::<Vec<_>>().join(", ");
+    if more > 0 { format!("{named} and {more} more") } else { named }
 }
 
 impl Explanation {
-    fn new(subject: Subject, what: &str, word: &str, limit: &str, weighed: &str) -> Self {
+    fn new(subject: Subject, what: &str, authority: &str, limit: &str, alternatives: &str) -> Self {
         Self {
             subject,
             what: truncated(what),
-            authority: truncated(word),
+            authority: truncated(authority),
             limit: truncated(limit),
-            alternatives: truncated(weighed),
+            alternatives: truncated(alternatives),
         }
     }
 
-    /// Explains an entry of the agreed log that changed something; `state` as it is after the entry. `None` for what is
-    /// explained elsewhere ([`Explanation::for_settlement`]) and for what nobody chose.
+    /// Explains an entry of the log that changed something; `state` is the state after the entry. `None` for settlements, which
+    /// each broker explains as it applies them ([`Explanation::for_settlement`]), and for what nobody decided.
     pub fn for_change(index: u64, change: &StateChange, state: &ReplicatedState) -> Option<Self> {
         match change {
             StateChange::Proposed(number) => Self::for_proposed(index, *number, state),
             StateChange::Staged(number) => Self::for_staged(index, *number, state),
             StateChange::RollingBack(number) => Self::for_rollback(index, *number, state),
             StateChange::Activated(number) | StateChange::Withdrawn(number) => {
-                Self::for_ended(index, *number, state)
+                Self::for_version_end(index, *number, state)
             }
             StateChange::FillCompleted { number, segment, holder } => {
                 let what = format!("{number}/{segment}/{} is filled, entry {index}", shortened(holder));
-                let weighed = format!("{} fills are left", state.missing_fills());
+                let alternatives = format!("{} fills are left", state.missing_fills());
                 let limit = format!("within {} s", state.config.fill_deadline_seconds);
-                Some(Self::new(Subject::Fill, &what, "the leader's filler", &limit, &weighed))
+                Some(Self::new(Subject::Fill, &what, "the leader's filler", &limit, &alternatives))
             }
             StateChange::Settlement(SettlementEntry::Settle(_)) | StateChange::VoterSlot(_) => None,
             StateChange::Quota(generation) => Some(Self::for_quota(index, *generation, state)),
@@ -171,28 +175,28 @@
     }
 
     fn for_proposed(index: u64, number: u64, state: &ReplicatedState) -> Option<Self> {
-        let terms = &state.config;
+        let config = &state.config;
         let Some(open) = state.open.as_ref().filter(|open| open.version.number == number) else {
             // Entries applied with it have ended it already.
-            let past = state.history.iter().rev().find(|past| past.number == number)?;
-            let word = format!("{}: {}", shortened(&past.proposed_by), shortened(&past.reason));
+            let ended = state.history.iter().rev().find(|ended| ended.number == number)?;
+            let authority = format!("{}: {}", shortened(&ended.proposed_by), shortened(&ended.reason));
             let what = format!("{number} was proposed, entry {index}");
-            return Some(Self::new(Subject::Version, &what, &word, "", "it is over"));
+            return Some(Self::new(Subject::Version, &what, &authority, "", "it is over"));
         };
         let what = format!("{number} is proposed, entry {index}");
         let limit = format!(
             "in force no sooner than all have heard, at most {:.2} s on; {} of the segments at once; fills within {} s",
-            state.quiescence_seconds(terms),
-            terms.max_changed_ratio,
-            terms.fill_deadline_seconds
+            state.quiescence_seconds(config),
+            config.max_changed_ratio,
+            config.fill_deadline_seconds
         );
-        let weighed = format!(
+        let alternatives = format!(
             "follows {}, {}, {} fills",
             state.active_number(),
             open_transition(state),
             state.missing_fills()
         );
-        Some(Self::new(Subject::Version, &what, &proposer_and_reason(&open.version), &limit, &weighed))
+        Some(Self::new(Subject::Version, &what, &proposer_and_reason(&open.version), &limit, &alternatives))
     }
 
     fn for_staged(index: u64, number: u64, state: &ReplicatedState) -> Option<Self> {
@@ -200,21 +204,21 @@
         let RolloutStep::Staged(share) = open.step else { return None };
         let what = format!("{number} goes to {share} of the brokers first, entry {index}");
         let limit = "the others stay joint until it is confirmed or withdrawn";
-        let word = proposer_and_reason(&open.version);
-        Some(Self::new(Subject::Version, &what, &word, limit, &open_transition(state)))
+        let authority = proposer_and_reason(&open.version);
+        Some(Self::new(Subject::Version, &what, &authority, limit, &open_transition(state)))
     }
 
     fn for_rollback(index: u64, number: u64, state: &ReplicatedState) -> Option<Self> {
         let open = state.open.as_ref()?;
         let what = format!("{number} is taken back, entry {index}");
         let limit = format!("all are joint for {:.2} s more", state.quiescence_seconds(&state.config));
-        let weighed = format!("because: {}", shortened(open.withdraw_reason.as_deref().unwrap_or("")));
-        Some(Self::new(Subject::Version, &what, &proposer_and_reason(&open.version), &limit, &weighed))
+        let alternatives = format!("because: {}", shortened(open.withdraw_reason.as_deref().unwrap_or("")));
+        Some(Self::new(Subject::Version, &what, &proposer_and_reason(&open.version), &limit, &alternatives))
     }
 
-    fn for_ended(index: u64, number: u64, state: &ReplicatedState) -> Option<Self> {
-        let past = state.history.iter().rev().find(|past| past.number == number)?;
-        let (what, weighed) = match &past.end {
+    fn for_version_end(index: u64, number: u64, state: &ReplicatedState) -> Option<Self> {
+        let ended = state.history.iter().rev().find(|ended| ended.number == number)?;
+        let (what, alternatives) = match &ended.end {
             ChangeEnd::Activated => {
                 (format!("{number} is in force, entry {index}"), String::from("all fills are done"))
             }
@@ -222,10 +226,10 @@
                 (format!("{number} is withdrawn, entry {index}"), format!("because: {}", shortened(why)))
             }
         };
-        let word = format!("{}: {}", shortened(&past.proposed_by), shortened(&past.reason));
+        let authority = format!("{}: {}", shortened(&ended.proposed_by), shortened(&ended.reason));
         let limit =
             format!("{} is in force, the next number is {}", state.active_number(), state.highest_number + 1);
-        Some(Self::new(Subject::Version, &what, &word, &limit, &weighed))
+        Some(Self::new(Subject::Version, &what, &authority, &limit, &alternatives))
     }
 
     fn for_quota(index: u64, generation: u64, state: &ReplicatedState) -> Self {
@@ -234,61 +238,63 @@
         let limit = format!("{} units in each bound, all brokers together", dunepond_quota::TOTAL_UNITS);
         let names = quota.shared.iter().flat_map(|shared| &shared.names);
         let free = |name: &String| format!("{} free of {}", quota.free_units(name), shortened(name));
-        let weighed = format!("{}; {} brokers share", first_few(names.map(free)), quota.brokers.len());
-        Self::new(Subject::Limit, &what, "the leader, by what brokers need", &limit, &weighed)
+        let alternatives =
+            format!("{}; {} brokers share", abbreviated_list(names.map(free)), quota.brokers.len());
+        Self::new(Subject::Limit, &what, "the leader, by what brokers need", &limit, &alternatives)
     }
 
     fn for_plan(index: u64, plan: &str, status: &str, state: &ReplicatedState) -> Self {
         let what = format!("plan {}, entry {index}: {}", shortened(plan), truncated(status));
         let limit = format!("{} of the segments at once", state.config.max_changed_ratio);
         let running = state.rebalance().running.as_ref().filter(|running| running.plan.id == *plan);
-        let word = running.map_or(String::from("as its beginning said"), |running| {
+        let authority = running.map_or(String::from("as its beginning said"), |running| {
             format!("{}: {}", shortened(&running.plan.who), shortened(&running.plan.why))
         });
-        Self::new(Subject::Move, &what, &word, &limit, &open_transition(state))
+        Self::new(Subject::Move, &what, &authority, &limit, &open_transition(state))
     }
 
-    fn for_voters(index: u64, number: u64, ends: &str, state: &ReplicatedState) -> Self {
-        let what = format!("change of voters {number} {ends}, entry {index}");
+    fn for_voters(index: u64, number: u64, status: &str, state: &ReplicatedState) -> Self {
+        let what = format!("change of voters {number} {status}, entry {index}");
         let limit = "one voter at a time, each majority with one of before";
         let next = state.voters.pending.as_ref().filter(|next| next.number == number);
-        let word = next.map_or(String::from("as its beginning said"), |next| {
+        let authority = next.map_or(String::from("as its beginning said"), |next| {
             format!("{}: {}", shortened(&next.proposed_by), shortened(&next.reason))
         });
-        let weighed = first_few(state.voters.voters.iter().map(|voter| shortened(&voter.name)));
-        Self::new(Subject::Voters, &what, &word, limit, &format!("voters: {weighed}"))
+        let alternatives = abbreviated_list(state.voters.voters.iter().map(|voter| shortened(&voter.name)));
+        Self::new(Subject::Voters, &what, &authority, limit, &format!("voters: {alternatives}"))
     }
 
-    /// What was asked for was not taken, or stands in the log and is ignored by all.
-    pub fn for_refusal(offer: &ProposedEntry, why: &Rejection, state: &ReplicatedState) -> Self {
+    /// Explains a command that was refused, or an entry of the log that is ignored by all.
+    pub fn for_refusal(entry: &ProposedEntry, why: &Rejection, state: &ReplicatedState) -> Self {
         let open = state.open.as_ref().map_or(0, |open| open.version.number);
-        let weighed =
+        let alternatives =
             format!("in force {}, proposed {open}, next {}", state.active_number(), state.highest_number + 1);
-        Self::new(Subject::Refused, &offer.what, &offer.authority, &why.to_string(), &weighed)
+        Self::new(Subject::Refused, &entry.what, &entry.authority, &why.to_string(), &alternatives)
     }
 
-    /// A fill as it is planned: why this source, among those of its need.
-    pub fn for_fill(fill: &Fill, need: Option<&FillDemand>, book: &Balances) -> Self {
+    /// Explains a planned fill: why this source, among those of its demand.
+    pub fn for_fill(fill: &Fill, demand: Option<&FillDemand>, balances: &Balances) -> Self {
         let settles = fill.settles.as_ref().map_or(0, |settlement| settlement.bytes);
         let what =
             format!("{} from {} of {}", shortened(&fill.id), shortened(&fill.source), shortened(&fill.from));
-        let word = format!("version {}, planned by the leader", fill.id.split('/').next().unwrap_or(""));
-        let terms = book.terms();
+        let authority = format!("version {}, planned by the leader", fill.id.split('/').next().unwrap_or(""));
+        let terms = balances.terms();
         let limit = format!(
             "{:.0} bytes a second of {:.0} at most; {settles} of {} bytes paid off, {} a fill at most",
             fill.rate, terms.most_rate, fill.bytes, terms.most_move
         );
-        let others = need.into_iter().flat_map(|need| &need.sources).filter(|source| source.0 != fill.source);
+        let others =
+            demand.into_iter().flat_map(|demand| &demand.sources).filter(|source| source.0 != fill.source);
         let other = |(node, partner): &(String, String)| {
-            format!("{} owed {}", shortened(node), book.net_debt(partner, &fill.to))
+            format!("{} owed {}", shortened(node), balances.net_debt(partner, &fill.to))
         };
-        let others = first_few(others.map(other));
-        let weighed = if others.is_empty() { String::from("no other source") } else { others };
-        Self::new(Subject::Fill, &what, &word, &limit, &weighed)
+        let others = abbreviated_list(others.map(other));
+        let alternatives = if others.is_empty() { String::from("no other source") } else { others };
+        Self::new(Subject::Fill, &what, &authority, &limit, &alternatives)
     }
 
-    /// A settlement as this broker's book takes it.
-    pub fn for_settlement(settlement: &Settlement, book: &Balances) -> Self {
+    /// Explains a settlement that this broker's balances have applied.
+    pub fn for_settlement(settlement: &Settlement, balances: &Balances) -> Self {
         let Settlement { id, debtor, creditor, bytes, source, .. } = settlement;
         let what = format!(
             "{}: {bytes} bytes that {} owed {}",
@@ -296,30 +302,32 @@
             shortened(debtor),
             shortened(creditor)
         );
-        let word = format!("{}, for a fill from {}", shortened(settlement.by()), shortened(source));
-        let gross = book.gross(creditor, debtor);
+        let authority = format!("{}, for a fill from {}", shortened(settlement.by()), shortened(source));
+        let gross = balances.gross(creditor, debtor);
         let limit =
-            format!("{gross} bytes were seen, {} of them are settled", book.settled(debtor, creditor));
-        let weighed = format!(
+            format!("{gross} bytes were seen, {} of them are settled", balances.settled(debtor, creditor));
+        let alternatives = format!(
             "{} still open, {} the other way",
-            book.net_debt(debtor, creditor),
-            book.net_debt(creditor, debtor)
+            balances.net_debt(debtor, creditor),
+            balances.net_debt(creditor, debtor)
         );
-        Self::new(Subject::Settlement, &what, &word, &limit, &weighed)
+        Self::new(Subject::Settlement, &what, &authority, &limit, &alternatives)
     }
 
-    /// Into the program's log.
+    /// Writes the line to the program's log.
     pub fn log(&self) {
-        let Self { subject: about, what, authority: word, limit, alternatives: weighed } = self;
-        let about = about.name();
+        // The names of the fields are documented for operators.
+        let Self { subject, what, authority: word, limit, alternatives: weighed } = self;
+        let about = subject.name();
         tracing::info!(target: "dunepond::why", about, what, word, limit, weighed, "why");
     }
 }
 
 impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { subject: about, what, authority: word, limit, alternatives: weighed } = self;
-        write!(f, "why {} {what} | word: {word} | limit: {limit} | weighed: {weighed}", about.name())
+        let Self { subject, what, authority, limit, alternatives } = self;
+        let about = subject.name();
+        write!(f, "why {about} {what} | word: {authority} | limit: {limit} | weighed: {alternatives}")
     }
 }
 
@@ -327,8 +335,8 @@
     format!("{}: {}", shortened(&version.proposed_by), shortened(&version.reason))
 }
 
-fn changed_segments(moving: &MapTransition) -> String {
-    format!("{} of {} segments change", moving.changed_segments(), moving.to().len())
+fn changed_segments(transition: &MapTransition) -> String {
+    format!("{} of {} segments change", transition.changed_segments(), transition.to().len())
 }
 
 /// How many segments the open transition changes.
--- a/crates/dunepond-control-plane/src/slow_start.rs
+++ b/crates/dunepond-control-plane/src/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start of nodes: how much fills may bring to a node that was started not long ago.
+//! Slow start of nodes: how much fills may send to a node that was started not long ago.
 
 use dunepond_settlement::{NodeCapacity, max_units};
 
@@ -16,7 +16,7 @@
     pub started_at: f64,
 }
 
-/// How a node that was just started is spared, as the deployment states it.
+/// How a deployment limits what is sent to nodes in slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartPolicy {
     /// Ratio of its capacity that it has at its start.
@@ -25,18 +25,19 @@
     pub warm_up_seconds: f64,
     /// Multiple of its present capacity that it is sent at most.
     pub capacity_multiple: f64,
-    /// Seconds over which that is counted.
+    /// Window over which that is counted, in seconds.
     pub window_seconds: f64,
 }
 
 impl SlowStartPolicy {
-    /// What fills may bring to a node of this age in seconds: from all brokers together at most `multiple` times its
-    /// present part of `rate` (bytes a second of a warm node). `part` is the ratio of that which is ours. The allowance for
-    /// chance above it is left to queries.
-    pub fn fill_capacity(&self, age: f64, multiple: f64, rate: f64, part: f64) -> NodeCapacity {
-        let share =
-            self.initial_share + (1.0 - self.initial_share) * (age / self.warm_up_seconds).clamp(0.0, 1.0);
-        let expected = multiple * share * rate * self.window_seconds / COUNTING_UNIT_BYTES as f64 * part;
+    /// What fills may send to a node of this age in seconds: from all brokers together at most `multiple` times its present
+    /// share of `rate` (bytes a second of a warm node). `capacity_ratio` is the part of it that the caller may use. The margin
+    /// for random variation above it is left to queries.
+    pub fn fill_capacity(&self, age: f64, multiple: f64, rate: f64, capacity_ratio: f64) -> NodeCapacity {
+        let warmth = (age / self.warm_up_seconds).clamp(0.0, 1.0);
+        let share = self.initial_share + (1.0 - self.initial_share) * warmth;
+        let expected =
+            multiple * share * rate * self.window_seconds / COUNTING_UNIT_BYTES as f64 * capacity_ratio;
         NodeCapacity { expected, taken: max_units(expected) - expected }
     }
 }
--- a/crates/dunepond-control-plane/src/slow_start/tests.rs
+++ b/crates/dunepond-control-plane/src/slow_start/tests/mod.rs
@@ -1,20 +1,20 @@
-//! The capacity that fills may use of a node that warms up.
+//! The capacity that fills may use of a node in slow start: its parts add up to no more than the limit.
 
 use dunepond_settlement::SlowStartCapacity;
 
 use super::{COUNTING_UNIT_BYTES, SlowStartPolicy};
 
 #[test]
-fn a_cold_node_bears_the_multiple_of_what_it_has_by_now_and_parts_add_up_to_it() {
-    let warming = SlowStartPolicy {
+fn fill_capacity_grows_with_age() {
+    let policy = SlowStartPolicy {
         initial_share: 0.25,
         warm_up_seconds: 10.0,
         capacity_multiple: 2.0,
         window_seconds: 2.0,
     };
     let rate = (64 * COUNTING_UNIT_BYTES) as f64;
-    let cap = |age: f64, part: f64| {
-        let rooms = [("s".to_string(), warming.fill_capacity(age, 1.5, rate, part))].into();
+    let cap = |age: f64, capacity_ratio: f64| {
+        let rooms = [("s".to_string(), policy.fill_capacity(age, 1.5, rate, capacity_ratio))].into();
         SlowStartCapacity { window: 2.0, unit: COUNTING_UNIT_BYTES, rooms }.rate_cap("s")
     };
     for (age, share) in [(0.0, 0.25), (5.0, 0.625), (10.0, 1.0), (99.0, 1.0)] {
