--- a/crates/dunepond-control-plane/src/commitments.rs
+++ b/crates/dunepond-control-plane/src/commitments.rs
@@ -11,14 +11,23 @@
 /// Entries that one broker sends to the leader at once.
 pub const MAX_ENTRIES_PER_MESSAGE: usize = 256;
 
-/// A fill of this broker's own that has begun.
+/// A fill of this broker's own that has started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommittedFill {
     pub fill: Fill,
-    /// Only the log's entry is still awaited.
+    /// The fill is done, and the log does not have its settlement yet.
     pub done: bool,
 }
 
+/// A fill of this broker's own that is done: the same start of a node is not filled again under a later version.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct FinishedFill {
+    pub segment: u64,
+    pub node: String,
+    /// The start of the node, as the endpoint list has it.
+    pub incarnation: u64,
+}
+
 /// Everything committed to. The ledger is stored with it: after a restart neither may be older than the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Commitments {
@@ -28,22 +37,28 @@
     pub applied_entries: u64,
     /// By fill id.
     pub fills: BTreeMap<String, CommittedFill>,
-    /// Own fills that are done, of nodes that may still be warming up: segment, node, and the node's incarnation.
-    pub finished: BTreeSet<(u64, String, u64)>,
+    /// Own fills that are done, of nodes that may still be in slow start.
+    pub finished: BTreeSet<FinishedFill>,
 }
 
 impl Commitments {
-    /// None yet, of this broker.
+    /// No commitments yet, of this broker. Fails for a name that cannot be told from the fill's id in a settlement.
     pub fn new(broker: &str) -> Result<Self, SettlementError> {
-        let (shares, ledger, fills) =
-            (SharePromises::new(broker)?, SettlementLedger::default(), BTreeMap::new());
-        Ok(Self { shares, ledger, applied_entries: 0, fills, finished: BTreeSet::new() })
+        Ok(Self {
+            shares: SharePromises::new(broker)?,
+            ledger: SettlementLedger::default(),
+            applied_entries: 0,
+            fills: BTreeMap::new(),
+            finished: BTreeSet::new(),
+        })
     }
 
-    /// Entries to be brought into the log: settlements of fills that are done, and released shares.
+    /// Entries to be sent to the leader: settlements of fills that are done, and released shares.
     pub fn due_entries(&self) -> Vec<SettlementEntry> {
         let is_due = |entry: &SettlementEntry| match entry {
-            SettlementEntry::Settle(settlement) => self.fills.get(settlement.fill()).is_none_or(|it| it.done),
+            SettlementEntry::Settle(settlement) => {
+                self.fills.get(settlement.fill()).is_none_or(|committed| committed.done)
+            }
             _ => true,
         };
         self.shares.pending_entries().filter(is_due).take(MAX_ENTRIES_PER_MESSAGE).collect()
--- /dev/null
+++ b/crates/dunepond-control-plane/src/control_loop/fills/demands.rs
@@ -0,0 +1,59 @@
+//! The fills that the proposed version still requires.
+
+use dunepond_consensus::Voter;
+use dunepond_settlement::FillDemand;
+use dunepond_shard_map::{MapTransition, RequiredFill};
+
+use super::ControlLoop;
+
+impl ControlLoop {
+    /// What the proposed version's map requires and the log has not as completed; `None` where this broker does not lead, or
+    /// no version with a map is proposed.
+    pub(super) fn version_fill_demands(&mut self) -> Option<Vec<FillDemand>> {
+        if !self.is_leading() {
+            return None;
+        }
+        let state = self.voter.as_ref().map(Voter::state)?;
+        let (proposed, transition) = (state.open.as_ref()?, state.map_transition()?);
+        let number = proposed.version.number;
+        if self.version_fills.version != number {
+            self.version_fills.abandon_all();
+            self.version_fills.version = number;
+        }
+        let listed = self.proposals.listed_nodes.load();
+        let is_draining = |node: &str| listed.iter().any(|listed| listed.name == node && listed.draining);
+        let fills = &self.version_fills;
+        let mut demands = Vec::new();
+        for required in transition.required_fills() {
+            if proposed.completed_fills.contains(&(required.segment, required.replica.clone())) {
+                continue;
+            }
+            let mut demand = fill_demand(transition, required, number, fills.limits.segment_bytes);
+            let sources = std::mem::take(&mut demand.sources);
+            demand.sources = fills.avoided_sources.usable(&demand.id(), sources, is_draining);
+            demands.push(demand);
+        }
+        Some(demands)
+    }
+}
+
+/// The demand for one required fill, with all possible sources.
+fn fill_demand(transition: &MapTransition, required: &RequiredFill, version: u64, bytes: u64) -> FillDemand {
+    let segment = transition.to().segment(required.segment);
+    let replica = segment.and_then(|segment| segment.replicas.iter().find(|it| it.node == required.replica));
+    let source_partner = |node: &String| {
+        let old_segments =
+            segment.into_iter().flat_map(|segment| transition.from().overlapping(segment.keys));
+        let mut old_replicas = old_segments.flat_map(|old| &old.replicas);
+        old_replicas.find(|it| it.node == *node).map_or(String::new(), |it| it.partner.clone())
+    };
+    FillDemand {
+        version,
+        segment: required.segment,
+        holder: required.replica.clone(),
+        holder_partner: replica.map_or(String::new(), |replica| replica.partner.clone()),
+        sources: required.sources.iter().map(|node| (node.clone(), source_partner(node))).collect(),
+        bytes,
+        start: 0,
+    }
+}
--- /dev/null
+++ b/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
@@ -0,0 +1,157 @@
+//! Fills of versions in the agreed log: entered before they start, and with their settlement when they are done.
+
+use dunepond_consensus::{Command, Rejection};
+use dunepond_settlement::{
+    Fill, FillDemand, Settlement, SettlementEntry, SettlementError, SettlementLedger, StartedFill,
+};
+use tracing::{info, warn};
+
+use super::ControlLoop;
+use crate::clock::{monotonic_seconds, unix_seconds};
+use crate::fill_client::FillResult;
+
+/// Seconds after which an entry that the log does not have is entered again.
+const ENTRY_RETRY_SECONDS: f64 = 1.0;
+/// Name in which fills of versions are settled: the same at each leader, or one fill would be settled once under each.
+/// Where debts are split, it has a share of its own that only the log spends.
+pub const LOG_SHARE_HOLDER: &str = "fleet";
+
+impl ControlLoop {
+    /// Notes when each started fill of the log was first seen here: no sooner than it started. For fills that are in the log
+    /// when this broker starts, the age by the leader's clock counts.
+    pub(in crate::control_loop) fn note_started_fills(&mut self) {
+        let (now, fills) = (monotonic_seconds(), &mut self.version_fills);
+        let ledger = self.traffic.balances.ledger();
+        let at_start = fills.first_seen_at.is_empty();
+        for started in ledger.begun() {
+            let age = if at_start { (unix_seconds() - started.at as f64).max(0.0) } else { 0.0 };
+            let key = (started.id.clone(), started.from.clone());
+            fills.first_seen_at.entry(key).or_insert(now - age);
+        }
+        fills.first_seen_at.retain(|(id, from), _| ledger.has_started(id, from));
+    }
+
+    /// A new leader resumes the fills that the previous one started, and counts them against the planner's windows.
+    pub(super) fn resume_started_fills(&mut self, demands: &[FillDemand], now: f64) {
+        let fills = &mut self.version_fills;
+        if std::mem::replace(&mut fills.is_leading, true) {
+            return;
+        }
+        let mut resumed = Vec::new();
+        for started in self.traffic.balances.ledger().begun() {
+            let key = (started.id.clone(), started.from.clone());
+            let started_at = fills.first_seen_at.get(&key).copied().unwrap_or(now);
+            let fill = started.fill();
+            fills.planner.resume(&fill, started_at, false);
+            // One that is not required any more counts in the windows only.
+            if demands.iter().any(|demand| demand.id() == started.id) {
+                resumed.push(fill);
+            }
+        }
+        if !resumed.is_empty() {
+            info!("fleet: {} fills of the leader before go on", resumed.len());
+        }
+        fills.resume(resumed, now);
+    }
+
+    /// Enters a fill into the log before it starts: the next leader has to know of it.
+    pub(super) fn enter_started_fills(&mut self, now: f64) {
+        let ledger = self.traffic.balances.ledger();
+        let mut due = Vec::new();
+        for active in self.version_fills.active.values_mut().filter(|active| active.result.is_none()) {
+            if has_started(ledger, &active.progress.fill) {
+                continue;
+            }
+            // The entry may be committed at any moment now: the fill starts in the next pass after that.
+            self.version_fills.next_review_at = now;
+            if now >= active.next_start_entry_at {
+                active.next_start_entry_at = now + ENTRY_RETRY_SECONDS;
+                due.push(active.progress.fill.clone());
+            }
+        }
+        for fill in due {
+            let started = StartedFill::new(&fill, unix_seconds() as u64);
+            let _ = self.enter_settlement(SettlementEntry::Begin(started));
+        }
+        self.apply_voter_entries();
+    }
+
+    /// Enters finished fills until the log has them. The settlement goes first: a crash between both leaves the fill open, and
+    /// the fill service answers the next leader at once.
+    pub(super) fn enter_finished_fills(&mut self) {
+        for (fill, result) in self.due_finished_fills() {
+            let settled = match self.settlement_of(&fill, &result) {
+                Some(settlement) => self.enter_settlement(SettlementEntry::Settle(settlement)),
+                None => Ok(()),
+            };
+            if self.crash_point("settled") {
+                return;
+            }
+            let completed = match settled {
+                Ok(()) | Err(Rejection::AlreadySettled(_)) => self.enter_completed_fill(&fill),
+                Err(Rejection::Settlement(why)) => {
+                    self.on_settlement_refused(&fill, &why);
+                    self.enter_completed_fill(&fill)
+                }
+                Err(e) => Err(e),
+            };
+            if let Err(why) = completed
+                && !matches!(why, Rejection::FillNotNeeded { .. } | Rejection::NotLeader(_))
+            {
+                warn!("fleet: fill {}: {why} ({})", fill.id, why.help());
+            }
+        }
+    }
+
+    /// Finished fills whose completion is to be entered now.
+    fn due_finished_fills(&mut self) -> Vec<(Fill, FillResult)> {
+        let now = monotonic_seconds();
+        let mut due = Vec::new();
+        for active in self.version_fills.active.values_mut() {
+            if now >= active.next_completion_entry_at
+                && let Some(result) = active.result.clone()
+            {
+                active.next_completion_entry_at = now + ENTRY_RETRY_SECONDS;
+                due.push((active.progress.fill.clone(), result));
+            }
+        }
+        due
+    }
+
+    fn enter_completed_fill(&mut self, fill: &Fill) -> Result<(), Rejection> {
+        let (segment, holder) = (fill.segment, fill.holder.clone());
+        self.enter(Command::FillCompleted { number: self.version_fills.version, segment, holder })
+    }
+
+    /// The log never takes the settlement, as the share is spent or another has settled the fill: the replica is filled all
+    /// the same.
+    fn on_settlement_refused(&mut self, fill: &Fill, why: &SettlementError) {
+        info!("fleet: fill {}: not settled: {why} ({})", fill.id, why.help());
+        self.version_fills.planner.settlement_rejected(&fill.id);
+        if let Some(active) = self.version_fills.active.get_mut(&fill.id) {
+            active.settlement_refused = !self.traffic.balances.ledger().is_settled(&fill.id);
+        }
+    }
+
+    /// What the fill pays off, by the source that it was really taken from.
+    fn settlement_of(&self, fill: &Fill, result: &FillResult) -> Option<Settlement> {
+        if result.source == fill.source {
+            return fill.settles.clone();
+        }
+        let transition = self.voter.as_ref()?.state().map_transition()?;
+        let keys = transition.to().segment(fill.segment)?.keys;
+        let mut old_replicas = transition.from().overlapping(keys).flat_map(|old| &old.replicas);
+        let from = old_replicas.find(|replica| replica.node == result.source)?.partner.clone();
+        let fill = Fill { source: result.source.clone(), from, bytes: result.bytes, ..fill.clone() };
+        let bytes = fill.bytes.min(self.traffic.balances.net_debt(&fill.from, &fill.to));
+        if bytes == 0 {
+            return None;
+        }
+        Settlement::new(&fill, LOG_SHARE_HOLDER, &fill.from, &fill.to, bytes).ok()
+    }
+}
+
+/// Whether the log has the fill as started.
+pub(super) fn has_started(ledger: &SettlementLedger, fill: &Fill) -> bool {
+    ledger.has_started(&fill.id, &fill.from)
+}
--- /dev/null
+++ b/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
@@ -0,0 +1,114 @@
+//! Replica fills, by two schedulers. The leader plans the fills that the proposed map requires; each broker plans those of
+//! nodes in slow start that it is responsible for ([`own`]). Attempts run on threads of their own ([`scheduler`]).
+//!
+//! A fill has the same id whoever plans it and however often, so the fill service answers at once for one that was done
+//! before a crash, and a fill is settled only once. A leader enters a fill into the log before it starts ([`log_entries`]), so
+//! that the next leader continues it and counts it against its limits.
+
+mod attempts;
+mod demands;
+mod log_entries;
+mod own;
+mod scheduler;
+mod sources;
+
+use std::collections::BTreeSet;
+
+use dunepond_settlement::{FillDemand, FillPlan};
+
+use super::ControlLoop;
+use crate::clock::monotonic_seconds;
+use crate::explain::Explanation;
+pub use log_entries::LOG_SHARE_HOLDER;
+pub use scheduler::{AttemptResult, FillKind, FillLimits, FillScheduler, FillService};
+
+impl ControlLoop {
+    fn scheduler(&mut self, kind: FillKind) -> &mut FillScheduler {
+        match kind {
+            FillKind::Version => &mut self.version_fills,
+            FillKind::Own => &mut self.own_fills,
+        }
+    }
+
+    /// Advances the fills of the proposed version, where this broker leads.
+    pub(super) fn plan_version_fills(&mut self) {
+        let now = monotonic_seconds();
+        if !self.version_fills.start_review(now) {
+            return;
+        }
+        let Some(demands) = self.version_fill_demands() else { return self.version_fills.abandon_all() };
+        self.resume_started_fills(&demands, now);
+        if demands.is_empty() && self.version_fills.active.is_empty() {
+            return;
+        }
+        self.remove_unneeded_fills(&demands);
+        self.plan_new_fills(FillKind::Version, demands, now);
+        self.advance_fills(FillKind::Version, now);
+    }
+
+    /// Advances this broker's own fills of nodes in slow start.
+    pub(super) fn plan_own_fills(&mut self) {
+        let now = monotonic_seconds();
+        if !self.own_fills.start_review(now) {
+            return;
+        }
+        let demands = self.own_fill_demands(now);
+        if demands.is_empty() && self.own_fills.active.is_empty() {
+            return;
+        }
+        self.plan_new_fills(FillKind::Own, demands, now);
+        self.advance_fills(FillKind::Own, now);
+    }
+
+    /// Removes the fills of the proposed version that are in the log as completed, or not required any more.
+    fn remove_unneeded_fills(&mut self, demands: &[FillDemand]) {
+        let required: BTreeSet<_> = demands.iter().map(FillDemand::id).collect();
+        let fills = &mut self.version_fills;
+        let unneeded: Vec<_> = fills.active.keys().filter(|id| !required.contains(*id)).cloned().collect();
+        for id in unneeded {
+            let completed = fills.active.remove(&id).filter(|active| active.result.is_some());
+            fills.planner.fill_ended(&id, completed.is_some());
+            let Some(active) = completed else { continue };
+            // What the fill settled is paid off; the rest is a new debt of the filled node's partner.
+            let fill = active.progress.fill;
+            let bytes = if active.settlement_refused { fill.bytes } else { fill.unsettled_bytes() };
+            self.traffic.counts.record(&fill.from, &fill.to, bytes);
+        }
+    }
+
+    /// Plans fills for the demands that have none yet.
+    fn plan_new_fills(&mut self, kind: FillKind, demands: Vec<FillDemand>, now: f64) {
+        let active = &self.scheduler(kind).active;
+        let new: Vec<_> = demands.into_iter().filter(|demand| !active.contains_key(&demand.id())).collect();
+        if new.is_empty() {
+            return;
+        }
+        for fill in self.run_planner(kind, &new, now).fills {
+            if kind == FillKind::Own && !self.commit_fill(&fill) {
+                self.own_fills.planner.fill_ended(&fill.id, false);
+                continue;
+            }
+            let demand = new.iter().find(|demand| demand.id() == fill.id);
+            Explanation::for_fill(&fill, demand, &self.traffic.balances).log();
+            self.scheduler(kind).activate(fill, now);
+        }
+    }
+
+    fn run_planner(&mut self, kind: FillKind, demands: &[FillDemand], now: f64) -> FillPlan {
+        let capacity_ratio = self.capacity_ratio(kind);
+        let slow_start = self.slow_start_capacity(now, kind);
+        let balances = &self.traffic.balances;
+        // Fills of versions are settled from the log's own share, which the planner takes from the ledger.
+        let shares = (kind == FillKind::Own).then_some(&self.settlement.commitments.shares);
+        let fills = match kind {
+            FillKind::Version => &mut self.version_fills,
+            FillKind::Own => &mut self.own_fills,
+        };
+        let links = &fills.limits.links;
+        if capacity_ratio < 1.0 {
+            let (balances, links) = (balances.fraction(capacity_ratio), links.fraction(capacity_ratio));
+            return fills.planner.plan(&balances, demands, &links, &slow_start, shares, now);
+        }
+        fills.planner.plan(balances, demands, links, &slow_start, shares, now)
+    }
+}
--- /dev/null
+++ b/crates/dunepond-control-plane/src/control_loop/fills/own.rs
@@ -0,0 +1,224 @@
+//! This broker's own fills, of replicas on nodes in slow start that it is responsible for, and the commitments behind them.
+
+use dunepond_consensus::ActiveConfig;
+use dunepond_settlement::{Fill, FillDemand, SlowStartCapacity};
+use dunepond_shard_map::{Replica, Segment, VerifiedMap};
+
+use super::{ControlLoop, FillKind};
+use crate::clock::monotonic_seconds;
+use crate::commitments::{CommittedFill, FinishedFill};
+use crate::fill_client::FillResult;
+use crate::slow_start::{COUNTING_UNIT_BYTES, StartedNode};
+
+/// Ratio of a node's warm-up time after which its fill passes to the next broker, if the responsible one is not alive.
+const TAKEOVER_RATIO: f64 = 1.0 / 3.0;
+
+impl ControlLoop {
+    /// Nodes that are in slow start.
+    fn warming_nodes(&self, now: f64) -> Vec<StartedNode> {
+        let Some(policy) = self.slow_start else { return Vec::new() };
+        let started = self.started_nodes.load();
+        started.iter().filter(|node| now < node.started_at + policy.warm_up_seconds).cloned().collect()
+    }
+
+    /// What fills may send to nodes in slow start: the limit holds for all brokers together, by the stricter of the deployment
+    /// and the agreed versions.
+    pub(super) fn slow_start_capacity(&self, now: f64, kind: FillKind) -> SlowStartCapacity {
+        let rules_multiple =
+            self.member.active_config().rules(now).map_or(f64::INFINITY, |rules| rules.slow_start_multiple);
+        let capacity_ratio = self.capacity_ratio(kind);
+        let capacity_of = |node: &StartedNode| {
+            let policy = self.slow_start?;
+            let multiple = policy.capacity_multiple.min(rules_multiple);
+            let age = now - node.started_at;
+            let capacity = policy.fill_capacity(age, multiple, self.fill_bytes_per_second, capacity_ratio);
+            Some((node.node.clone(), capacity))
+        };
+        SlowStartCapacity {
+            window: self.slow_start.map_or(1.0, |policy| policy.window_seconds),
+            unit: COUNTING_UNIT_BYTES,
+            rooms: self.warming_nodes(now).iter().filter_map(capacity_of).collect(),
+        }
+    }
+
+    /// Ratio of what all brokers may use together that a scheduler here may use: half is the leader's and half the brokers',
+    /// where brokers have fills of their own.
+    pub(super) fn capacity_ratio(&self, kind: FillKind) -> f64 {
+        match kind {
+            FillKind::Version if self.settlement.fill_started_nodes => 0.5,
+            FillKind::Version => 1.0,
+            FillKind::Own => 0.5 / self.all_brokers().len() as f64,
+        }
+    }
+
+    /// Whether this broker is responsible for filling a replica: one broker of the replica's partner is, or one of all brokers
+    /// if the partner has none. Every broker computes the same one.
+    fn is_responsible_for(
+        &self,
+        replica: &Replica,
+        brokers: &[String],
+        started: &StartedNode,
+        now: f64,
+    ) -> bool {
+        let partners = &self.traffic.sides;
+        let is_partners = |broker: &&String| partners.partner(broker) == Some(replica.partner.as_str());
+        let mut candidates: Vec<&String> = brokers.iter().filter(is_partners).collect();
+        if candidates.is_empty() {
+            candidates = brokers.iter().collect();
+        }
+        candidates.sort_by_key(|broker| rendezvous_hash(&replica.node, broker));
+        let takeover =
+            self.slow_start.is_some_and(|it| now >= started.started_at + TAKEOVER_RATIO * it.warm_up_seconds);
+        // If two brokers cannot see each other both may fill it: the fill has the same id and is settled once.
+        let responsible = if takeover {
+            candidates.iter().find(|broker| self.is_alive(broker))
+        } else {
+            candidates.first()
+        };
+        responsible.is_some_and(|broker| **broker == self.name)
+    }
+
+    /// Replicas of the active map on nodes in slow start that this broker is responsible for, whether it has a lease or not.
+    pub(super) fn own_fill_demands(&self, now: f64) -> Vec<FillDemand> {
+        let warming = self.warming_nodes(now);
+        if !self.settlement.fill_started_nodes || warming.is_empty() {
+            return Vec::new();
+        }
+        let config = self.member.active_config();
+        let Some(map) = config.map(now) else { return Vec::new() };
+        let brokers = self.all_brokers();
+        let mut demands = Vec::new();
+        for segment in map.segments() {
+            for replica in segment.replicas.iter().filter(|replica| map.is_filled(segment, &replica.node)) {
+                let Some(started) = warming.iter().find(|it| it.node == replica.node) else { continue };
+                let is_finished = self.is_own_fill_finished(segment.id, started);
+                if is_finished
+                    || config.is_excluded(&replica.node)
+                    || !self.is_responsible_for(replica, &brokers, started, now)
+                {
+                    continue;
+                }
+                demands.push(FillDemand {
+                    version: config.active_number(),
+                    segment: segment.id,
+                    holder: replica.node.clone(),
+                    holder_partner: replica.partner.clone(),
+                    sources: warm_sources(&config, map, segment, &warming),
+                    bytes: self.own_fills.limits.segment_bytes,
+                    start: started.incarnation,
+                });
+            }
+        }
+        demands
+    }
+
+    /// The fill of one start of a node is the same under a later version.
+    fn is_own_fill_finished(&self, segment: u64, started: &StartedNode) -> bool {
+        self.settlement.commitments.finished.contains(&FinishedFill {
+            segment,
+            node: started.node.clone(),
+            incarnation: started.incarnation,
+        })
+    }
+
+    /// Stores the commitment to a fill of this broker before it starts. False if it could not be stored.
+    pub(super) fn commit_fill(&mut self, fill: &Fill) -> bool {
+        let ledger = self.traffic.balances.ledger().clone();
+        if let Some(settlement) = &fill.settles
+            && let Err(e) = self.settlement.commitments.shares.promise(&ledger, settlement.clone())
+        {
+            tracing::warn!("fleet: fill {}: {e} ({})", fill.id, e.help());
+            return false;
+        }
+        let committed = CommittedFill { fill: fill.clone(), done: false };
+        self.settlement.commitments.fills.insert(fill.id.clone(), committed);
+        if !self.save_commitments() {
+            self.abandon_commitment(&fill.id);
+            return false;
+        }
+        true
+    }
+
+    /// The fill has failed for good. The change is stored later; until then a restart resumes the fill.
+    pub(super) fn abandon_commitment(&mut self, id: &str) {
+        self.settlement.commitments.shares.cancel(id);
+        self.settlement.commitments.fills.remove(id);
+        self.settlement.unsaved = true;
+    }
+
+    /// A fill of this broker's own is done: from now on its settlement is sent to the leader until the log has it. Carried
+    /// bytes are counted after that is stored: a crash in between makes a debt smaller, never greater.
+    pub(super) fn finish_own_fill(&mut self, id: &str) {
+        let result = self.own_fills.active.get(id).and_then(|active| active.result.clone());
+        let Some(result) = result else { return };
+        let Some(active) = self.own_fills.active.remove(id) else { return };
+        let fill = active.progress.fill;
+        self.own_fills.planner.fill_ended(id, true);
+        self.remember_finished_fill(&fill);
+        let (from, bytes) = if result.source == fill.source {
+            match (&fill.settles, self.settlement.commitments.fills.get_mut(id)) {
+                (None, _) => self.abandon_commitment(id),
+                (Some(_), Some(committed)) => committed.done = true,
+                (Some(_), None) => {}
+            }
+            (fill.from.clone(), fill.unsettled_bytes())
+        } else {
+            // Another broker had this fill done from elsewhere: what was promised was not paid.
+            self.own_fills.planner.settlement_rejected(id);
+            self.abandon_commitment(id);
+            (self.source_partner(&fill, &result), result.bytes)
+        };
+        self.save_commitments();
+        self.traffic.counts.record(&from, &fill.to, bytes);
+        self.crash_point("done");
+    }
+
+    /// Partner of the node that a fill was really taken from; the filled node's own if that is not known.
+    fn source_partner(&self, fill: &Fill, result: &FillResult) -> String {
+        let config = self.member.active_config();
+        let segment = config.map(monotonic_seconds()).and_then(|map| map.segment(fill.segment));
+        let replica = segment.and_then(|segment| segment.replicas.iter().find(|it| it.node == result.source));
+        replica.map_or(fill.to.clone(), |replica| replica.partner.clone())
+    }
+
+    /// Remembers that a start's fill is done, for as long as discovery lists that start.
+    fn remember_finished_fill(&mut self, fill: &Fill) {
+        let incarnation = fill.id.rsplit_once('+').and_then(|(_, start)| start.parse().ok()).unwrap_or(0);
+        let started = self.started_nodes.load();
+        let finished = &mut self.settlement.commitments.finished;
+        let is_listed = |fill: &FinishedFill| {
+            started.iter().any(|it| it.node == fill.node && it.incarnation == fill.incarnation)
+        };
+        finished.retain(is_listed);
+        finished.insert(FinishedFill { segment: fill.segment, node: fill.holder.clone(), incarnation });
+    }
+}
+
+/// Filled replicas of a segment that are neither in slow start nor excluded, with their partners.
+fn warm_sources(
+    config: &ActiveConfig,
+    map: &VerifiedMap,
+    segment: &Segment,
+    warming: &[StartedNode],
+) -> Vec<(String, String)> {
+    let mut sources = Vec::new();
+    for replica in &segment.replicas {
+        let is_warming = warming.iter().any(|it| it.node == replica.node);
+        if map.is_filled(segment, &replica.node) && !is_warming && !config.is_excluded(&replica.node) {
+            sources.push((replica.node.clone(), replica.partner.clone()));
+        }
+    }
+    sources
+}
+
+/// Hash of both names, evenly distributed.
+fn rendezvous_hash(node: &str, broker: &str) -> u64 {
+    let mut sum = crate::startup::name_hash(node) ^ crate::startup::name_hash(broker).rotate_left(31);
+    for _ in 0..2 {
+        sum = (sum ^ (sum >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
+    }
+    sum ^ (sum >> 32)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/dunepond-control-plane/src/control_loop/leases.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leases.rs
@@ -1,77 +1,76 @@
-//! Leases: asked for by this broker, and answered where it votes.
+//! Leases: requested by this broker, and granted where its voter leads.
 
 use dunepond_consensus::{LeaseReply, LeaseRequest, Rejection};
 use dunepond_membership::{RefusalReason, RequestKind, Responder};
 use tracing::{debug, info, warn};
 
-use super::{ControlLoop, SentRequest, UnansweredRequest};
+use super::ControlLoop;
+use super::messages::{PendingRequest, SentRequest};
 use crate::clock::monotonic_seconds;
 use crate::handle::increment;
 
 impl ControlLoop {
+    /// Requests a lease if one is due.
     pub(super) fn request_lease(&mut self) {
         let now = monotonic_seconds();
-        let Some((voter, ask)) = self.member.tick(now) else { return };
+        let Some((voter, request)) = self.member.tick(now) else { return };
         if voter == self.name {
-            return self.ask_own_voter(ask);
+            return self.pass_to_own_voter(request);
         }
-        let body = ask.encode();
-        let asked = SentRequest::Lease { voter: voter.clone() };
-        if !self.send_request(&voter, RequestKind::Lease, body, self.lease_seconds, asked) {
+        let body = request.encode();
+        let sent = SentRequest::Lease { voter: voter.clone() };
+        if !self.send_request(&voter, RequestKind::Lease, body, self.lease_seconds, sent) {
             self.member.request_failed(now, &voter);
         }
     }
 
     /// A lease request for this broker's voter, its own or a peer's.
-    fn ask_own_voter(&mut self, ask: LeaseRequest) {
-        if self.state.storage_failed_until.is_some() {
+    fn pass_to_own_voter(&mut self, request: LeaseRequest) {
+        if self.is_voter_silent() {
             return;
         }
-        let from = ask.broker.clone();
+        let from = request.broker.clone();
         if let Some(voter) = &mut self.voter {
-            let orders = voter.handle_lease_request(monotonic_seconds(), &from, ask);
-            self.execute(orders);
+            let effects = voter.handle_lease_request(monotonic_seconds(), &from, request);
+            self.execute(effects);
         }
     }
 
-    pub(super) fn handle_lease_request(&mut self, from: String, body: &[u8], token: Responder) {
-        let Some(ask) = LeaseRequest::decode(body) else {
-            return self.peers.respond(token, Err(RefusalReason::Malformed));
+    pub(super) fn handle_lease_request(&mut self, from: String, body: &[u8], responder: Responder) {
+        let Some(request) = LeaseRequest::decode(body) else {
+            return self.peers.respond(responder, Err(RefusalReason::Malformed));
         };
-        if ask.broker != from {
-            let name = ask.broker;
-            return self.peers.respond(token, Err(RefusalReason::UnverifiedSender { name }));
+        if request.broker != from {
+            let name = request.broker;
+            return self.peers.respond(responder, Err(RefusalReason::UnverifiedSender { name }));
         }
         if self.voter.is_none() {
-            return self.peers.respond(token, Err(RefusalReason::Declined("not a voter".to_string())));
+            let reason = RefusalReason::Declined("not a voter".to_string());
+            return self.peers.respond(responder, Err(reason));
         }
-        let waiting = UnansweredRequest { token, until: monotonic_seconds() + self.lease_seconds };
-        self.state.unanswered.insert((from, ask.id), waiting);
-        self.ask_own_voter(ask);
+        let expires_at = monotonic_seconds() + self.lease_seconds;
+        let pending = PendingRequest { responder, expires_at };
+        self.state.messages.pending.insert((from, request.id), pending);
+        self.pass_to_own_voter(request);
     }
 
-    /// Sends a reply of this broker's voter: to this broker itself, as the response to a peer's open request, or as a push to a
-    /// broker that had asked another voter.
-    pub(super) fn send_lease_reply(&mut self, broker: String, told: LeaseReply) {
+    /// Sends a reply of this broker's voter: to this broker itself, as the response to a peer's pending request, or as a push
+    /// to a broker that had asked another voter.
+    pub(super) fn send_lease_reply(&mut self, broker: String, reply: LeaseReply) {
         if broker == self.name {
-            return self.adopt_reply(&broker, told);
+            return self.adopt_reply(&broker, reply);
         }
-        let body = told.encode();
-        match self.state.unanswered.remove(&(broker.clone(), told.id)) {
-            Some(waiting) => self.peers.respond(waiting.token, Ok(body)),
-            None => drop(self.send_request(
-                &broker,
-                RequestKind::State,
-                body,
-                self.lease_seconds,
-                SentRequest::PushedLease,
-            )),
+        let body = reply.encode();
+        if let Some(pending) = self.state.messages.pending.remove(&(broker.clone(), reply.id)) {
+            return self.peers.respond(pending.responder, Ok(body));
         }
+        self.send_request(&broker, RequestKind::State, body, self.lease_seconds, SentRequest::PushedLease);
     }
 
+    /// `body` is `None` if the request has failed.
     pub(super) fn on_lease_reply(&mut self, voter: &str, body: Option<Vec<u8>>) {
         match body.and_then(|body| LeaseReply::decode(&body)) {
-            Some(told) => self.adopt_reply(voter, told),
+            Some(reply) => self.adopt_reply(voter, reply),
             None => self.member.request_failed(monotonic_seconds(), voter),
         }
     }
@@ -82,19 +81,15 @@
         if !self.member.voters().iter().any(|voter| voter == from) {
             return warn!("fleet: {from} is no voter, and tells what is agreed: not believed");
         }
-        if let Some(told) = LeaseReply::decode(body) {
-            self.adopt_reply(from, told);
+        if let Some(reply) = LeaseReply::decode(body) {
+            self.adopt_reply(from, reply);
         }
     }
 
-    fn adopt_reply(&mut self, from: &str, told: LeaseReply) {
-        match self.member.handle_reply(monotonic_seconds(), from, told) {
+    fn adopt_reply(&mut self, from: &str, reply: LeaseReply) {
+        match self.member.handle_reply(monotonic_seconds(), from, reply) {
             Ok(()) => {
-                let leader = self.member.leader().map(str::to_string);
-                if leader != self.state.leader {
-                    info!("fleet: led by {}", leader.as_deref().unwrap_or("nobody"));
-                    self.state.leader = leader;
-                }
+                self.log_leader();
                 self.on_lease();
                 self.apply_leased_entries();
             }
@@ -114,4 +109,13 @@
             }
         }
     }
+
+    /// Logs the leader if it has changed.
+    fn log_leader(&mut self) {
+        let leader = self.member.leader().map(str::to_string);
+        if leader != self.state.leader {
+            info!("fleet: led by {}", leader.as_deref().unwrap_or("nobody"));
+            self.state.leader = leader;
+        }
+    }
 }
--- /dev/null
+++ b/crates/dunepond-control-plane/src/control_loop/messages.rs
@@ -0,0 +1,120 @@
+//! Messages between brokers: requests of peers to their handlers, and responses to what they answer.
+
+use std::collections::HashMap;
+
+use dunepond_membership::{Event, PeerError, RefusalReason, RequestKind, Responder};
+use tracing::{debug, info};
+
+use super::ControlLoop;
+
+/// What a request of this broker was for.
+pub(super) enum SentRequest {
+    Consensus,
+    PushedLease,
+    Lease { voter: String },
+    Proposal { voter: String },
+    Plan { voter: String },
+    Counts,
+    SettlementEntries,
+}
+
+/// A peer's request that has not been responded to.
+pub(super) struct PendingRequest {
+    pub(super) responder: Responder,
+    pub(super) expires_at: f64,
+}
+
+/// Requests in both directions that are waiting.
+#[derive(Default)]
+pub(super) struct MessageState {
+    /// By the id of the request.
+    sent: HashMap<u64, SentRequest>,
+    /// Peers' lease requests, by broker and the id of its request.
+    pub(super) pending: HashMap<(String, u64), PendingRequest>,
+}
+
+impl ControlLoop {
+    /// Sends a request. False if it could not be queued.
+    pub(super) fn send_request(
+        &mut self,
+        to: &str,
+        kind: RequestKind,
+        body: Vec<u8>,
+        timeout_seconds: f64,
+        request: SentRequest,
+    ) -> bool {
+        match self.peers.request(to, kind, body, timeout_seconds) {
+            Ok(id) => {
+                self.state.messages.sent.insert(id, request);
+                true
+            }
+            Err(e) => {
+                debug!("fleet: {e}");
+                false
+            }
+        }
+    }
+
+    /// Drops requests without a response: the peers have sent new ones by now.
+    pub(super) fn drop_expired_requests(&mut self, now: f64) {
+        self.state.messages.pending.retain(|_, request| now < request.expires_at);
+    }
+
+    pub(super) fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Request { from, kind, body, responder } => {
+                self.handle_request(from, kind, &body, responder);
+            }
+            Event::Response { id, to, result } => self.handle_response(id, &to, result),
+            Event::PeerUp(peer) => info!("fleet: {} is there, at {}", peer.name, peer.listen_address),
+            Event::PeerSuspected(name) => info!("fleet: {name} gives no sign"),
+            Event::PeerDown(name) => info!("fleet: {name} has gone"),
+        }
+    }
+
+    fn handle_response(&mut self, id: u64, from: &str, result: Result<Vec<u8>, PeerError>) {
+        let Some(request) = self.state.messages.sent.remove(&id) else { return };
+        if let Err(e) = &result {
+            debug!("fleet: {e}");
+        }
+        let body = result.ok();
+        match request {
+            SentRequest::Consensus | SentRequest::PushedLease | SentRequest::SettlementEntries => {}
+            SentRequest::Lease { voter } => self.on_lease_reply(&voter, body),
+            SentRequest::Proposal { voter } => self.on_proposal_reply(&voter, body),
+            SentRequest::Plan { voter } => self.on_offer_reply(&voter, body),
+            SentRequest::Counts => {
+                if let Some(body) = body {
+                    self.merge_counts(from, &body);
+                }
+            }
+        }
+    }
+
+    fn handle_request(&mut self, from: String, kind: RequestKind, body: &[u8], responder: Responder) {
+        match kind {
+            RequestKind::Raft => {
+                self.peers.respond(responder, Ok(Vec::new()));
+                self.handle_consensus_message(&from, body);
+            }
+            RequestKind::Lease => self.handle_lease_request(from, body, responder),
+            RequestKind::State => {
+                self.peers.respond(responder, Ok(Vec::new()));
+                self.on_pushed_reply(&from, body);
+            }
+            RequestKind::Propose => self.handle_proposal(&from, body, responder),
+            RequestKind::RebalancePlan => self.handle_offer(&from, body, responder),
+            RequestKind::TransferCounts => self.handle_counts(&from, body, responder),
+            RequestKind::Fill => self.handle_entries(&from, body, responder),
+            // The links answer these themselves.
+            RequestKind::LivenessCheck => drop(responder),
+        }
+    }
+
+    fn handle_counts(&mut self, from: &str, body: &[u8], responder: Responder) {
+        self.merge_counts(from, body);
+        // Counts must be stored before they are sent.
+        let message = if self.save_traffic() { self.traffic.message_to(from).ok() } else { None };
+        self.peers.respond(responder, message.ok_or(RefusalReason::Busy));
+    }
+}
--- a/crates/dunepond-control-plane/src/control_loop/proposals.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals.rs
@@ -1,50 +1,55 @@
-//! The operator's version file on its way into the log.
+//! The operator's version file on its way into the log: read, and proposed to the leader until the log has it.
 
 use std::path::PathBuf;
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use dunepond_consensus::Rejection;
+use dunepond_consensus::{ActiveConfig, Rejection};
 use dunepond_membership::{RefusalReason, RequestKind, Responder};
 use dunepond_shard_map::{MapConstraints, Node};
 use serde::{Deserialize, Serialize};
 use tracing::{error, info, warn};
 
-use super::{ControlLoop, SentRequest};
+use super::ControlLoop;
+use super::messages::SentRequest;
 use crate::clock::monotonic_seconds;
 use crate::documents::{self, Document, MAX_DOCUMENT_BYTES};
 use crate::error::VersionError;
 use crate::handle::increment;
 
-/// The longest that a proposal may take to be answered, in leases.
+/// Timeout of a proposal, in leases.
 const PROPOSAL_TIMEOUT_LEASES: f64 = 1.0;
+/// Time between two proposals of a document that was not answered, in leases.
+const PROPOSAL_INTERVAL_LEASES: f64 = 0.25;
+/// Leases after which a version would be known if it were in force or proposed.
+const NUMBER_USED_LEASES: f64 = 2.0;
 
-/// A version that is to be proposed, and how far that has come.
+/// The document that is to be proposed, and how far that has come.
 pub struct Proposals {
-    pub path: Option<PathBuf>,
-    pub query_class_count: usize,
-    pub listed_nodes: Arc<ArcSwap<Vec<Node>>>,
-    pub map_terms: MapConstraints,
+    path: Option<PathBuf>,
+    query_class_count: usize,
+    pub(super) listed_nodes: Arc<ArcSwap<Vec<Node>>>,
+    constraints: MapConstraints,
     /// The file is to be read.
     must_read: bool,
     document: Option<Document>,
-    /// When it is proposed next, and by whom: as whoever was asked last said.
     next_proposal_at: f64,
+    /// The leader that the last voter has named.
     next_voter: Option<String>,
     voters_tried: usize,
-    /// Since when its number is known to have been used.
+    /// Since when a voter has reported the number as used.
     number_used_since: Option<f64>,
 }
 
-/// What a voter says of a proposal.
+/// A voter's response to a proposal.
 #[derive(Debug, Serialize, Deserialize)]
 enum ProposalReply {
+    /// It is in the leader's log.
     Accepted,
-    /// Somebody else leads.
+    /// The leader, if the voter knows it.
     NotLeader(Option<String>),
-    /// Not now.
     RetryLater(String),
-    /// The number was proposed before, by this file perhaps: what is known next tells.
+    /// The number was proposed before, perhaps by this file: the next leases will tell.
     NumberUsed {
         expected: u64,
     },
@@ -76,41 +81,40 @@
         path: Option<PathBuf>,
         query_class_count: usize,
         listed_nodes: Arc<ArcSwap<Vec<Node>>>,
-        map_terms: MapConstraints,
+        constraints: MapConstraints,
     ) -> Self {
-        let (must_read, document, next_proposal_at, next_voter) = (path.is_some(), None, 0.0, None);
         Self {
+            must_read: path.is_some(),
             path,
             query_class_count,
             listed_nodes,
-            map_terms,
-            must_read,
-            document,
-            next_proposal_at,
-            next_voter,
+            constraints,
+            document: None,
+            next_proposal_at: 0.0,
+            next_voter: None,
             voters_tried: 0,
             number_used_since: None,
         }
     }
 
+    /// Has the file read again, from this path.
     pub fn reload(&mut self, path: Option<PathBuf>) {
-        (self.path, self.must_read, self.next_proposal_at) = (path, true, 0.0);
+        self.path = path;
+        self.must_read = true;
+        self.next_proposal_at = 0.0;
     }
 
-    /// Reads the file if that is due; a version that will not do changes nothing.
+    /// Reads the file if that is due; an invalid document is logged and not proposed.
     fn read(&mut self) {
         if !std::mem::take(&mut self.must_read) {
             return;
         }
-        (self.document, self.number_used_since) = (None, None);
+        self.document = None;
+        self.number_used_since = None;
         let Some(path) = &self.path else { return };
-        match documents::read_document(
-            path,
-            self.query_class_count,
-            &self.listed_nodes.load(),
-            &self.map_terms,
-        ) {
-            Ok(word) => self.document = Some(word),
+        let nodes = self.listed_nodes.load();
+        match documents::read_document(path, self.query_class_count, &nodes, &self.constraints) {
+            Ok(document) => self.document = Some(document),
             Err(e @ VersionError::NotFound { .. }) => info!("fleet: version: {e} ({})", e.help()),
             Err(e) => error!("fleet: version: {e} ({})", e.help()),
         }
@@ -118,113 +122,119 @@
 }
 
 impl ControlLoop {
-    /// Proposes the file's version where it is above what is known, at whoever leads; again until it stands in the log.
+    /// Proposes the file's document to the leader if it is above what is known; again until the log has it.
     pub(super) fn propose_document(&mut self) {
         let now = monotonic_seconds();
-        let acting = self.member.active_config();
-        // Without a lease we know too little, and nobody who could take it may be in reach.
-        if now < self.proposals.next_proposal_at || now >= acting.lease_expires_at() {
+        let config = self.member.active_config();
+        // Without a lease this broker knows too little, and the leader may not be reachable.
+        if now < self.proposals.next_proposal_at || now >= config.lease_expires_at() {
             return;
         }
         self.proposals.read();
-        let Some(word) = &self.proposals.document else { return };
-        let (in_force, open) = acting.versions();
-        let known = match word {
-            Document::Version(version) => {
-                let highest = in_force.map_or(0, |v| v.number).max(open.map_or(0, |v| v.number));
-                let same =
-                    [in_force, open].into_iter().flatten().find(|known| known.number == version.number);
-                if same.is_some_and(|known| known.digest() != version.digest()) {
-                    warn!(
-                        "fleet: version {}: the file is not what was agreed on under this number; give it the next",
-                        version.number
-                    );
-                }
-                version.number <= highest
-            }
-            Document::Voters(voting) => voting.number <= self.member.voters_number(),
-        };
-        if known {
-            info!("fleet: {} is known", word.name());
+        let Some(document) = self.proposals.document.clone() else { return };
+        if self.is_known(&document, &config) {
+            info!("fleet: {} is known", document.name());
             self.proposals.document = None;
             return;
         }
-        // A change is under way, and this one would be refused.
-        self.proposals.next_proposal_at = now + self.lease_seconds / 4.0;
-        if open.is_some() && matches!(word, Document::Version(_)) {
+        self.proposals.next_proposal_at = now + self.lease_seconds * PROPOSAL_INTERVAL_LEASES;
+        // Another change is open, and this one would be refused.
+        if config.proposed_number().is_some() && matches!(document, Document::Version(_)) {
             return;
         }
-        let word = word.clone();
-        let to = self.proposals.next_voter.take().or(self.member.leader().map(str::to_string));
-        let to = to.unwrap_or_else(|| {
-            self.proposals.voters_tried += 1;
-            let voters = self.member.voters();
-            voters[self.proposals.voters_tried % voters.len()].clone()
-        });
+        let to = self.next_proposal_voter();
         if to == self.name {
-            let answer = ProposalReply::of(self.enter_on_behalf_of(&to, word.entry()));
-            return self.apply_proposal_reply(&to, answer);
+            let reply = ProposalReply::of(self.enter_on_behalf_of(&to, document.command()));
+            return self.apply_proposal_reply(&to, reply);
         }
-        let Ok(body) = postcard::to_stdvec(&word) else { return };
-        info!("fleet: {}: proposed to {to}", word.name());
-        self.send_request(
-            &to.clone(),
-            RequestKind::Propose,
-            body,
-            self.lease_seconds * PROPOSAL_TIMEOUT_LEASES,
-            SentRequest::Proposal { voter: to },
-        );
+        let Ok(body) = postcard::to_stdvec(&document) else { return };
+        info!("fleet: {}: proposed to {to}", document.name());
+        let timeout_seconds = self.lease_seconds * PROPOSAL_TIMEOUT_LEASES;
+        let sent = SentRequest::Proposal { voter: to.clone() };
+        self.send_request(&to, RequestKind::Propose, body, timeout_seconds, sent);
     }
 
-    pub(super) fn handle_proposal(&mut self, from: &str, body: &[u8], token: Responder) {
+    /// Whether the document's number, or a higher one, is in force or proposed.
+    fn is_known(&self, document: &Document, config: &ActiveConfig) -> bool {
+        let version = match document {
+            Document::Version(version) => version,
+            Document::Voters(voters) => return voters.number <= self.member.voters_number(),
+        };
+        let (in_force, proposed) = config.versions();
+        let known = [in_force, proposed].into_iter().flatten();
+        if let Some(same) = known.clone().find(|known| known.number == version.number)
+            && same.digest() != version.digest()
+        {
+            warn!(
+                "fleet: version {}: the file is not what was agreed on under this number; give it the next",
+                version.number
+            );
+        }
+        version.number <= known.map(|known| known.number).max().unwrap_or(0)
+    }
+
+    /// The leader as the last voter has named it or as the leases have it, else one voter after the other.
+    fn next_proposal_voter(&mut self) -> String {
+        if let Some(voter) = self.proposals.next_voter.take() {
+            return voter;
+        }
+        if let Some(leader) = self.member.leader() {
+            return leader.to_string();
+        }
+        self.proposals.voters_tried += 1;
+        let voters = self.member.voters();
+        voters[self.proposals.voters_tried % voters.len()].clone()
+    }
+
+    pub(super) fn handle_proposal(&mut self, from: &str, body: &[u8], responder: Responder) {
         if body.len() > MAX_DOCUMENT_BYTES {
-            return self
-                .peers
-                .respond(token, Err(RefusalReason::TooLarge { max_bytes: MAX_DOCUMENT_BYTES as u64 }));
+            let reason = RefusalReason::TooLarge { max_bytes: MAX_DOCUMENT_BYTES as u64 };
+            return self.peers.respond(responder, Err(reason));
         }
-        let Ok(word) = postcard::from_bytes::<Document>(body) else {
-            return self.peers.respond(token, Err(RefusalReason::Malformed));
+        let Ok(document) = postcard::from_bytes::<Document>(body) else {
+            return self.peers.respond(responder, Err(RefusalReason::Malformed));
         };
-        let answer = ProposalReply::of(self.enter_on_behalf_of(from, word.entry()));
-        info!("fleet: {}, proposed by {from}: {answer:?}", word.name());
-        let body = postcard::to_stdvec(&answer).map_err(|_| RefusalReason::Malformed);
-        self.peers.respond(token, body);
+        let reply = ProposalReply::of(self.enter_on_behalf_of(from, document.command()));
+        info!("fleet: {}, proposed by {from}: {reply:?}", document.name());
+        let body = postcard::to_stdvec(&reply).map_err(|_| RefusalReason::Malformed);
+        self.peers.respond(responder, body);
     }
 
+    /// `body` is `None` if the request has failed: the document is proposed again.
     pub(super) fn on_proposal_reply(&mut self, voter: &str, body: Option<Vec<u8>>) {
-        if let Some(answer) = body.and_then(|body| postcard::from_bytes(&body).ok()) {
-            self.apply_proposal_reply(voter, answer);
+        if let Some(reply) = body.and_then(|body| postcard::from_bytes(&body).ok()) {
+            self.apply_proposal_reply(voter, reply);
         }
     }
 
-    fn apply_proposal_reply(&mut self, voter: &str, answer: ProposalReply) {
-        let proposing = &mut self.proposals;
-        let named = proposing.document.as_ref().map_or(String::from("what was proposed"), Document::name);
-        if !matches!(answer, ProposalReply::NotLeader(_)) {
-            // It stands in a log, or waits for another: we hear of that with the next leases.
-            proposing.next_proposal_at = monotonic_seconds() + self.lease_seconds;
+    fn apply_proposal_reply(&mut self, voter: &str, reply: ProposalReply) {
+        let now = monotonic_seconds();
+        let proposals = &mut self.proposals;
+        let name = proposals.document.as_ref().map_or(String::from("what was proposed"), Document::name);
+        if !matches!(reply, ProposalReply::NotLeader(_)) {
+            // What has become of it comes with the next leases.
+            proposals.next_proposal_at = now + self.lease_seconds;
         }
-        match answer {
-            ProposalReply::Accepted => info!("fleet: {named}: taken by {voter}"),
-            ProposalReply::NotLeader(leader) => proposing.next_voter = leader,
-            ProposalReply::RetryLater(why) => info!("fleet: {named}: {voter}: not now: {why}"),
+        match reply {
+            ProposalReply::Accepted => info!("fleet: {name}: taken by {voter}"),
+            ProposalReply::NotLeader(leader) => proposals.next_voter = leader,
+            ProposalReply::RetryLater(why) => info!("fleet: {name}: {voter}: not now: {why}"),
             ProposalReply::NumberUsed { expected } => {
-                // With two leases from now on we would have heard of it, if it were in force or open.
-                let since = *proposing.number_used_since.get_or_insert(monotonic_seconds());
-                if monotonic_seconds() > since + 2.0 * self.lease_seconds {
+                let since = *proposals.number_used_since.get_or_insert(now);
+                if now > since + NUMBER_USED_LEASES * self.lease_seconds {
                     increment(&self.counters.refused);
-                    error!("fleet: {named}: this number was used before; give the file {expected}");
-                    proposing.document = None;
+                    error!("fleet: {name}: this number was used before; give the file {expected}");
+                    proposals.document = None;
                 }
             }
             ProposalReply::Refused { why, help } => {
                 increment(&self.counters.refused);
-                error!("fleet: {named}: refused by {voter}: {why} ({help})");
-                proposing.document = None;
+                error!("fleet: {name}: refused by {voter}: {why} ({help})");
+                proposals.document = None;
             }
         }
     }
 }
 
 #[cfg(test)]
-mod golden;
+mod tests;
--- a/crates/dunepond-control-plane/src/control_loop/proposals/golden.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals/tests/mod.rs
@@ -1,12 +1,12 @@
-//! Stored forms: what a voter answers to a proposal.
+//! Format of the reply to a proposal, which brokers of other builds read.
 
 use super::ProposalReply;
-use crate::golden::{assert_same, golden};
+use crate::tests::golden::{assert_same, golden};
 
 #[test]
-fn answers_to_proposals_are_as_before() {
+fn proposal_reply_format() {
     let text = str::to_string;
-    let answers = [
+    let replies = [
         ProposalReply::Accepted,
         ProposalReply::NotLeader(Some(text("n2"))),
         ProposalReply::NotLeader(None),
@@ -14,12 +14,12 @@
         ProposalReply::NumberUsed { expected: 9 },
         ProposalReply::Refused { why: text("no map"), help: text("bring one") },
     ];
-    let bytes: Vec<u8> = answers.iter().flat_map(|answer| postcard::to_stdvec(answer).unwrap()).collect();
+    let bytes: Vec<u8> = replies.iter().flat_map(|reply| postcard::to_stdvec(reply).unwrap()).collect();
     assert_same("proposal-answers.bin", &bytes);
     let mut rest = &golden("proposal-answers.bin")[..];
-    for answer in answers {
+    for reply in replies {
         let (read, behind) = postcard::take_from_bytes::<ProposalReply>(rest).unwrap();
-        assert_eq!(format!("{read:?}"), format!("{answer:?}"));
+        assert_eq!(format!("{read:?}"), format!("{reply:?}"));
         rest = behind;
     }
     assert!(rest.is_empty());
--- a/crates/dunepond-control-plane/src/control_loop/publish.rs
+++ b/crates/dunepond-control-plane/src/control_loop/publish.rs
@@ -1,70 +1,105 @@
-//! Publishing: what the event loop may act on now, into the handle, the audit log and the data directory.
+//! Publishing: the active configuration into the event loop's handle, the audit log and the data directory.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 
+use dunepond_consensus::ActiveConfig;
 use tracing::{info, warn};
 
 use super::ControlLoop;
-use crate::audit_log::AuditEvent;
+use crate::audit_log::{AuditEvent, AuditPhase};
 use crate::clock::monotonic_seconds;
 use crate::handle::audit_phase;
 
+/// What was last published.
+#[derive(Default)]
+pub(super) struct Published {
+    phase: Option<AuditPhase>,
+    /// Numbers of the versions that applied in the phase.
+    versions: Vec<u64>,
+    /// Number of the version in force.
+    in_force: u64,
+    proposed: Option<ProposedVersion>,
+}
+
+struct ProposedVersion {
+    number: u64,
+    digest: String,
+}
+
+impl Published {
+    /// Events for versions that were proposed, confirmed or withdrawn since the last call.
+    fn version_events(&mut self, config: &ActiveConfig) -> Vec<AuditEvent> {
+        let (in_force, proposed) = config.versions();
+        let mut events = Vec::new();
+        // The cost of a digest grows with the map, so it is computed only for another version.
+        if self.in_force != config.active_number()
+            && let Some(version) = in_force
+        {
+            events.push(AuditEvent::Confirmed { number: version.number, digest: version.digest() });
+        }
+        self.in_force = config.active_number();
+        if self.proposed.as_ref().map(|last| last.number) == config.proposed_number() {
+            return events;
+        }
+        // Withdrawn, unless this version or a later one is in force now.
+        if let Some(ProposedVersion { number, digest }) = self.proposed.take()
+            && number > config.active_number()
+        {
+            events.push(AuditEvent::Withdrawn { number, digest });
+        }
+        if let Some(version) = proposed {
+            let (number, digest) = (version.number, version.digest());
+            self.proposed = Some(ProposedVersion { number, digest: digest.clone() });
+            events.push(AuditEvent::Proposed { number, digest });
+        }
+        events
+    }
+}
+
 impl ControlLoop {
     /// Hands the event loop the active configuration and audits what has changed in it. `leased`: there is a new lease.
     pub(super) fn publish(&mut self, leased: bool) {
-        let (acting, now) = (self.member.active_config(), monotonic_seconds());
-        let (word, numbers) = audit_phase(&acting, now);
-        let shown = &mut self.state.published;
-        let changed = shown.phase != Some(word) || shown.versions != numbers;
+        let (config, now) = (self.member.active_config(), monotonic_seconds());
+        let (phase, versions) = audit_phase(&config, now);
+        let published = &mut self.state.published;
+        let changed = published.phase != Some(phase) || published.versions != versions;
         if !leased && !changed {
             return;
         }
-        let until = acting.lease_expires_at().max(0.0);
-        let (from, to) = (numbers.first().copied().unwrap_or(0), numbers.last().copied().unwrap_or(0));
-        let (in_force, proposed) = acting.versions();
-        let mut acts = Vec::new();
-        // The cost of a digest grows with the map, so it is computed only for another version.
-        if shown.in_force != acting.active_number()
-            && let Some(version) = in_force
-        {
-            acts.push(AuditEvent::Confirmed { number: version.number, digest: version.digest() });
-        }
-        if shown.proposed.as_ref().map(|before| before.0) != acting.proposed_number() {
-            // Withdrawn, unless this version or a later one is in force now.
-            let before = shown.proposed.take();
-            if let Some((number, digest)) = before.filter(|(number, _)| *number > acting.active_number()) {
-                acts.push(AuditEvent::Withdrawn { number, digest });
-            }
-            shown.proposed = proposed.map(|version| (version.number, version.digest()));
-            if let Some((number, digest)) = &shown.proposed {
-                acts.push(AuditEvent::Proposed { number: *number, digest: digest.clone() });
-            }
-        }
+        let lease_expires_at = config.lease_expires_at().max(0.0);
         if changed {
-            info!("fleet: {word} {numbers:?}, until {until:.3}");
+            info!("fleet: {phase} {versions:?}, until {lease_expires_at:.3}");
         }
-        (shown.phase, shown.versions, shown.in_force) = (Some(word), numbers, acting.active_number());
-        self.active_config.store(Arc::new(acting));
-        if let Some(recorder) = &self.audit_log {
-            acts.into_iter().for_each(|act| recorder.record_at(now, act));
-            recorder.record_at(now, AuditEvent::Phase { phase: word, from, to, until });
-            if let Some(limiting) = &self.quotas {
-                recorder.record_at(now, limiting.audit_event(&self.active_config.load(), until));
-            }
+        let mut events = published.version_events(&config);
+        events.push(AuditEvent::Phase {
+            phase,
+            from: versions.first().copied().unwrap_or(0),
+            to: versions.last().copied().unwrap_or(0),
+            until: lease_expires_at,
+        });
+        if let Some(quotas) = &self.quotas {
+            events.push(quotas.audit_event(&config, lease_expires_at));
+        }
+        published.phase = Some(phase);
+        published.versions = versions;
+        self.active_config.store(Arc::new(config));
+        if let Some(audit_log) = &self.audit_log {
+            events.into_iter().for_each(|event| audit_log.record_at(now, event));
         }
         if changed {
             (self.wake)();
         }
     }
 
+    /// A lease was granted.
     pub(super) fn on_lease(&mut self) {
         self.counters.leases.fetch_add(1, Relaxed);
-        // Before the event loop acts on it: after a restart the broker must know the strictest version it has heard of.
-        let versions = self.member.persisted_revision();
-        if self.state.saved_config != Some(versions) {
+        // Stored before the event loop acts on it: after a restart the broker must know the strictest version it has heard of.
+        let revision = self.member.persisted_revision();
+        if self.state.saved_config != Some(revision) {
             match self.data.save_config(&self.member.persisted_state()) {
-                Ok(()) => self.state.saved_config = Some(versions),
+                Ok(()) => self.state.saved_config = Some(revision),
                 Err(e) => {
                     warn!("fleet: folder: {e}; a restart would not know the versions: look at the disk")
                 }
@@ -74,23 +109,23 @@
         self.compare_voters();
     }
 
-    /// Says once for each list that the file names other voters than those agreed.
-    pub(super) fn compare_voters(&mut self) {
-        let voting = self.member.voters_number();
-        if self.state.reported_voters == Some(voting) {
+    /// Logs once for each list of voters that the operator's file names others.
+    fn compare_voters(&mut self) {
+        let number = self.member.voters_number();
+        if self.state.compared_voters.replace(number) == Some(number) {
             return;
         }
-        self.state.reported_voters = Some(voting);
-        if let Some(voters) = self.member.voters_unlike_file() {
-            let named = voters.iter().map(|voter| match &voter.address {
-                Some(at) => format!("voter \"{}\" at=\"{at}\"", voter.name),
+        let Some(voters) = self.member.voters_unlike_file() else { return };
+        let mut lines = Vec::new();
+        for voter in voters {
+            lines.push(match &voter.address {
+                Some(address) => format!("voter \"{}\" at=\"{address}\"", voter.name),
                 None => format!("voter \"{}\"", voter.name),
             });
-            let named: Vec<_> = named.collect();
-            warn!(
-                "fleet: the agreed voters (list {voting}) are not those of the file: they go before it; write into it: {}",
-                named.join(", ")
-            );
         }
+        warn!(
+            "fleet: the agreed voters (list {number}) are not those of the file: they go before it; write into it: {}",
+            lines.join(", ")
+        );
     }
 }
--- a/crates/dunepond-control-plane/src/control_loop/quotas.rs
+++ b/crates/dunepond-control-plane/src/control_loop/quotas.rs
@@ -12,17 +12,19 @@
 use crate::audit_log::AuditEvent;
 use crate::config::QuotaConfig;
 
-/// Interval, in leases, between two demand reports and between two plans.
+/// Interval between two demand reports and between two reviews of the shares, in leases.
 const REVIEW_INTERVAL_LEASES: f64 = 0.1;
 
+/// What this broker knows of the shared quotas.
 pub struct QuotaSharing {
     shared: SharedQuotas,
     local: LocalQuota,
-    planning: PlannerConfig,
+    planner: PlannerConfig,
     plan_interval_seconds: f64,
-    lease_seconds: f64,
+    review_interval_seconds: f64,
+    /// Units that the event loop would use, by quota.
     demand: Arc<ArcSwap<BTreeMap<String, u32>>>,
-    reported_at: f64,
+    next_report_at: f64,
     next_plan_at: f64,
 }
 
@@ -36,76 +38,82 @@
         Self {
             local: LocalQuota::new(&config.shared, now),
             shared: config.shared,
-            planning: PlannerConfig::for_lease(lease_seconds),
+            planner: PlannerConfig::for_lease(lease_seconds),
             plan_interval_seconds: config.plan_interval_seconds,
-            lease_seconds,
+            review_interval_seconds: REVIEW_INTERVAL_LEASES * lease_seconds,
             demand,
-            reported_at: f64::NEG_INFINITY,
+            next_report_at: f64::NEG_INFINITY,
             next_plan_at: 0.0,
         }
     }
 
-    /// The event for the audit log.
-    pub fn audit_event(&self, acting: &ActiveConfig, until: f64) -> AuditEvent {
-        let told = acting.quota(until).allocation;
+    /// What this broker may use from now on, for the audit log.
+    pub fn audit_event(&self, config: &ActiveConfig, lease_expires_at: f64) -> AuditEvent {
+        let (floor_units, usable_from) =
+            (self.local.floor_units, self.local.started_at + self.local.window_seconds);
+        let allocation = config.quota(lease_expires_at).allocation;
         AuditEvent::QuotaShare {
-            generation: told.map_or(0, |told| told.generation),
-            counted: told.is_none_or(|told| told.admitted),
-            floor: told.map_or(self.local.floor_units, |told| told.floor_units.min(self.local.floor_units)),
-            parts: told.map(|told| told.leased_units.clone()).unwrap_or_default(),
-            from: self.local.started_at + self.local.window_seconds,
-            until,
+            generation: allocation.map_or(0, |it| it.generation),
+            counted: allocation.is_none_or(|it| it.admitted),
+            floor: allocation.map_or(floor_units, |it| it.floor_units.min(floor_units)),
+            parts: allocation.map(|it| it.leased_units.clone()).unwrap_or_default(),
+            from: usable_from,
+            until: lease_expires_at,
             window: self.local.window_seconds,
         }
     }
 }
 
 impl ControlLoop {
+    /// Hands this broker's demand to the lease client, which sends it with the next request.
     pub(super) fn report_demand(&mut self, now: f64) {
-        let Some(limiting) = &mut self.quotas else { return };
-        if now >= limiting.reported_at + REVIEW_INTERVAL_LEASES * limiting.lease_seconds {
-            limiting.reported_at = now;
-            let needs = (**limiting.demand.load()).clone();
-            self.member.set_demand_report(Some(DemandReport {
-                shrunk_generation: 0,
-                shared: limiting.shared.clone(),
-                demand_units: needs,
-            }));
+        let Some(quotas) = &mut self.quotas else { return };
+        if now < quotas.next_report_at {
+            return;
         }
+        quotas.next_report_at = now + quotas.review_interval_seconds;
+        self.member.set_demand_report(Some(DemandReport {
+            shrunk_generation: 0,
+            shared: quotas.shared.clone(),
+            demand_units: (**quotas.demand.load()).clone(),
+        }));
     }
 
-    /// At the leader: proposes the next change of shares.
+    /// At the leader: enters the next change of shares.
     pub(super) fn plan_quotas(&mut self, now: f64) {
-        let (Some(limiting), Some(voter)) = (&mut self.quotas, &self.voter) else { return };
-        if now < limiting.next_plan_at {
+        let (Some(quotas), Some(voter)) = (&mut self.quotas, &self.voter) else { return };
+        if now < quotas.next_plan_at {
             return;
         }
-        limiting.next_plan_at = now + REVIEW_INTERVAL_LEASES * limiting.lease_seconds;
-        let Some((heard, led)) = voter.demand_reports(now) else { return };
+        quotas.next_plan_at = now + quotas.review_interval_seconds;
+        let Some((reports, led)) = voter.demand_reports(now) else { return };
         let ledger = &voter.state().quota;
-        let Some(entry) = next_entry(ledger, &limiting.shared, &heard, led, &limiting.planning) else {
+        let Some(entry) = next_entry(ledger, &quotas.shared, &reports, led, &quotas.planner) else {
             return;
         };
-        match &entry {
-            QuotaEntry::SetShares { shares } => {
-                limiting.next_plan_at = now + limiting.plan_interval_seconds;
-                for part in shares {
-                    let before =
-                        ledger.brokers.get(&part.broker).map_or(0, |seat| seat.granted_units(&part.quota));
-                    let need =
-                        heard.get(&part.broker).and_then(|heard| heard.report.demand_units.get(&part.quota));
-                    info!(
-                        "fleet: limits: {} of {}: {} for {before} beyond the floor; it needs {}, {} are free",
-                        part.quota,
-                        part.broker,
-                        part.units,
-                        need.map_or("what is not known".to_string(), u32::to_string),
-                        ledger.free_units(&part.quota)
-                    );
-                }
-            }
-            other => info!("fleet: limits: {other:?}"),
+        let QuotaEntry::SetShares { shares } = &entry else {
+            info!("fleet: limits: {entry:?}");
+            return self.enter_quota(entry);
+        };
+        quotas.next_plan_at = now + quotas.plan_interval_seconds;
+        for share in shares {
+            let broker = ledger.brokers.get(&share.broker);
+            let before = broker.map_or(0, |broker| broker.granted_units(&share.quota));
+            let report = reports.get(&share.broker);
+            let demand = report.and_then(|report| report.report.demand_units.get(&share.quota));
+            info!(
+                "fleet: limits: {} of {}: {} for {before} beyond the floor; it needs {}, {} are free",
+                share.quota,
+                share.broker,
+                share.units,
+                demand.map_or("what is not known".to_string(), u32::to_string),
+                ledger.free_units(&share.quota)
+            );
         }
+        self.enter_quota(entry);
+    }
+
+    fn enter_quota(&mut self, entry: QuotaEntry) {
         if let Err(why) = self.enter(Command::Quota(entry)) {
             debug!("fleet: limits: {why} ({})", why.help());
         }
--- /dev/null
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -0,0 +1,209 @@
+//! Offers: the operator's plan on its way to the leader, and the leader's response.
+
+use dunepond_consensus::{Command, Rejection, ReplicatedState};
+use dunepond_membership::{RefusalReason, RequestKind, Responder};
+use dunepond_rebalance::{Agreed, By, MoveError, Pace, Pause, Plan, PlanProgress, Word, order};
+use serde::{Deserialize, Serialize};
+use tracing::{error, info};
+
+use super::RETRY_LEASES;
+use crate::clock::monotonic_seconds;
+use crate::control_loop::ControlLoop;
+use crate::control_loop::messages::SentRequest;
+use crate::documents::MAX_DOCUMENT_BYTES;
+use crate::handle::increment;
+
+/// Timeout of an offer, and the time between two offers, in leases.
+const OFFER_TIMEOUT_LEASES: f64 = 1.0;
+
+/// A plan on its way to the leader.
+#[derive(Serialize, Deserialize)]
+pub(super) struct PlanOffer {
+    pub(super) plan: Plan,
+    pub(super) max_concurrent_acts: usize,
+    /// It was accepted before: the operator's command in it counts once.
+    pub(super) is_repeat: bool,
+}
+
+/// A voter's response to an offer.
+#[derive(Debug, Serialize, Deserialize)]
+pub(super) enum OfferReply {
+    /// It is in the leader's log; to be offered again until it is known.
+    Accepted,
+    /// The plan's status, as the log has it.
+    Known(String),
+    /// The leader, if the voter knows it.
+    NotLeader(Option<String>),
+    RetryLater(String),
+    Refused {
+        why: String,
+        help: String,
+    },
+}
+
+impl OfferReply {
+    fn of(why: &Rejection) -> Self {
+        match why {
+            Rejection::NotLeader(leader) => Self::NotLeader(leader.clone()),
+            Rejection::Rebalance(e) if e.passes() => Self::RetryLater(why.to_string()),
+            Rejection::Busy | Rejection::NoLeader => Self::RetryLater(why.to_string()),
+            _ => Self::Refused { why: why.to_string(), help: why.help().to_string() },
+        }
+    }
+}
+
+impl ControlLoop {
+    pub(super) fn offer_plan(&mut self) {
+        let now = monotonic_seconds();
+        if now < self.rebalancing.next_offer_at || now >= self.member.active_config().lease_expires_at() {
+            return;
+        }
+        self.rebalancing.read();
+        let Some(plan) = self.rebalancing.plan.clone() else { return };
+        let timeout_seconds = self.lease_seconds * OFFER_TIMEOUT_LEASES;
+        self.rebalancing.next_offer_at = now + timeout_seconds;
+        let to = self.next_offer_voter();
+        let offer = PlanOffer {
+            plan,
+            max_concurrent_acts: self.rebalancing.max_concurrent_acts,
+            is_repeat: self.rebalancing.offered,
+        };
+        if to == self.name {
+            let reply = self.accept_offer(offer);
+            return self.apply_offer_reply(&to, reply);
+        }
+        let Ok(body) = postcard::to_stdvec(&offer) else { return };
+        let sent = SentRequest::Plan { voter: to.clone() };
+        self.send_request(&to, RequestKind::RebalancePlan, body, timeout_seconds, sent);
+    }
+
+    /// The leader as the last voter has named it or as the leases have it, else one voter after the other.
+    fn next_offer_voter(&mut self) -> String {
+        if let Some(voter) = self.rebalancing.next_voter.take() {
+            return voter;
+        }
+        if let Some(leader) = self.member.leader() {
+            return leader.to_string();
+        }
+        self.rebalancing.voters_tried += 1;
+        let voters = self.member.voters();
+        voters[self.rebalancing.voters_tried % voters.len()].clone()
+    }
+
+    pub(in crate::control_loop) fn handle_offer(&mut self, from: &str, body: &[u8], responder: Responder) {
+        if body.len() > MAX_DOCUMENT_BYTES {
+            let reason = RefusalReason::TooLarge { max_bytes: MAX_DOCUMENT_BYTES as u64 };
+            return self.peers.respond(responder, Err(reason));
+        }
+        let Ok(offer) = postcard::from_bytes::<PlanOffer>(body) else {
+            return self.peers.respond(responder, Err(RefusalReason::Malformed));
+        };
+        let id = offer.plan.id.clone();
+        let reply = self.accept_offer(offer);
+        if !matches!(reply, OfferReply::RetryLater(_)) {
+            info!("fleet: plan {id}, offered by {from}: {reply:?}");
+        }
+        let body = postcard::to_stdvec(&reply).map_err(|_| RefusalReason::Malformed);
+        self.peers.respond(responder, body);
+    }
+
+    /// `body` is `None` if the request has failed: the plan is offered again.
+    pub(in crate::control_loop) fn on_offer_reply(&mut self, voter: &str, body: Option<Vec<u8>>) {
+        if let Some(reply) = body.and_then(|body| postcard::from_bytes(&body).ok()) {
+            self.apply_offer_reply(voter, reply);
+        }
+    }
+
+    fn apply_offer_reply(&mut self, voter: &str, reply: OfferReply) {
+        let rebalancing = &mut self.rebalancing;
+        let id = rebalancing.plan.as_ref().map_or(String::new(), |plan| plan.id.clone());
+        match reply {
+            OfferReply::Accepted => rebalancing.offered = true,
+            OfferReply::Known(status) => {
+                info!("fleet: plan {id}: {status}");
+                rebalancing.plan = None;
+            }
+            OfferReply::NotLeader(leader) => {
+                rebalancing.next_voter = leader;
+                rebalancing.next_offer_at = monotonic_seconds() + self.lease_seconds * RETRY_LEASES;
+            }
+            OfferReply::RetryLater(why) => info!("fleet: plan {id}: {voter}: not now: {why}"),
+            OfferReply::Refused { why, help } => {
+                error!("fleet: plan {id}: refused by {voter}: {why} ({help})");
+                increment(&self.counters.refused);
+                rebalancing.plan = None;
+            }
+        }
+    }
+
+    /// At the leader: enters a new plan, or the operator's command for a known one.
+    fn accept_offer(&mut self, offer: PlanOffer) -> OfferReply {
+        let Some(voter) = self.voter.as_ref().filter(|voter| voter.is_leader()) else {
+            let leader = self.voter.as_ref().and_then(|voter| voter.leader());
+            return OfferReply::NotLeader(leader.filter(|leader| *leader != self.name));
+        };
+        let state = voter.state();
+        if let Some(status) = state.rebalance().told(&offer.plan.id) {
+            return match operator_entry(state.rebalance(), offer) {
+                Some(entry) => self.enter_offered(entry),
+                None => OfferReply::Known(status),
+            };
+        }
+        if offer.plan.word == Word::Withdraw {
+            return OfferReply::Known("it was never taken, so nothing is to be undone".to_string());
+        }
+        match ordered_plan(state, offer.plan, offer.max_concurrent_acts) {
+            Ok(entry) => self.enter_offered(entry),
+            Err(why) => OfferReply::of(&why),
+        }
+    }
+
+    fn enter_offered(&mut self, entry: Agreed) -> OfferReply {
+        match self.enter(Command::Rebalance(entry)) {
+            Ok(()) => OfferReply::Accepted,
+            Err(why) => OfferReply::of(&why),
+        }
+    }
+}
+
+/// The entry that the operator's command asks for, for a plan that the log knows; `None` if it changes nothing.
+fn operator_entry(progress: &PlanProgress, offer: PlanOffer) -> Option<Agreed> {
+    let PlanOffer { plan: Plan { id, who, why, word, .. }, is_repeat, .. } = offer;
+    let running = progress.running.as_ref().filter(|running| running.plan.id == id)?;
+    let is_paused_by_load = matches!(running.paused, Some(Pause::Pressed { .. }));
+    let is_paused = running.paused.is_some() && !is_paused_by_load;
+    match word {
+        Word::Pause if !is_paused => Some(Agreed::Paused { plan: id, why: Pause::Word { who } }),
+        // A repeated offer must not resume a plan that was paused after the first one.
+        Word::Go if is_paused && !is_repeat => Some(Agreed::Resumed { plan: id, by: By::Operator(who) }),
+        Word::Withdraw if running.undoing.is_none() => Some(Agreed::Withdrawn { plan: id, who, why }),
+        _ => None,
+    }
+}
+
+/// The entry of a new plan, with its steps in order. Refused while another plan runs or a version is proposed.
+fn ordered_plan(
+    state: &ReplicatedState,
+    plan: Plan,
+    max_concurrent_acts: usize,
+) -> Result<Agreed, Rejection> {
+    let map = state.map_proof().ok_or(MoveError::NoMap)?;
+    if let Some(running) = &state.rebalance().running {
+        return Err(MoveError::Runs { running: running.plan.id.clone() }.into());
+    }
+    if let Some(open) = &state.open {
+        return Err(MoveError::Open { open: open.version.number }.into());
+    }
+    let pace = Pace { at_once: max_concurrent_acts, most_changed: state.config.max_changed_ratio };
+    let steps = order(&plan, map, pace, |node| state.is_excluded(node))?;
+    info!(
+        "fleet: plan {} by {}: {} operations in {} steps, at most {max_concurrent_acts} at once \
+         and a share of {} of the segments",
+        plan.id,
+        plan.who,
+        plan.operations.len(),
+        steps.len(),
+        pace.most_changed
+    );
+    Ok(Agreed::Taken { plan: Box::new(plan), steps, at_once: max_concurrent_acts })
+}
--- /dev/null
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
@@ -0,0 +1,166 @@
+//! Steps: at the leader, the next entry or version of the agreed plan.
+
+use dunepond_consensus::{Command, ConfigVersion, Rejection};
+use dunepond_rebalance::{Act, Agreed, By, Held, Next, Operation, Pause, Running};
+use dunepond_shard_map::ShardMap;
+use tracing::{info, warn};
+
+use super::RETRY_LEASES;
+use crate::clock::{monotonic_seconds, unix_seconds};
+use crate::control_loop::ControlLoop;
+
+/// Leases for which a broker's report that its nodes are overloaded counts.
+const LOAD_REPORT_LEASES: f64 = 2.0;
+
+impl ControlLoop {
+    pub(super) fn advance_plan(&mut self) {
+        let now = monotonic_seconds();
+        let Some(next) = self.next_step(now) else { return };
+        self.rebalancing.entered_at = now;
+        match next {
+            Next::Nothing(wait) => {
+                self.rebalancing.entered_at = f64::NEG_INFINITY;
+                self.log_wait(wait);
+            }
+            Next::Enter(entry) => {
+                self.log_step(&entry);
+                self.enter_step(Command::Rebalance(entry));
+            }
+            Next::Propose { number, moving } => {
+                let Some(version) = self.step_version(number, moving.to().map().clone()) else { return };
+                self.enter_step(Command::Propose(Box::new(version)));
+            }
+            Next::Withdraw { number, why } => {
+                info!("fleet: version {number} is taken back: {why}");
+                self.enter_step(Command::Withdraw { number, why });
+            }
+        }
+    }
+
+    /// What is to be done now: a pause or the end of one by the brokers' load, else what the plan's progress says. `None`
+    /// without a plan, and while the last entry may still be committed.
+    fn next_step(&mut self, now: f64) -> Option<Next> {
+        let voter = self.voter.as_ref()?;
+        let (state, rebalancing) = (voter.state(), &mut self.rebalancing);
+        for (broker, is_overloaded) in voter.broker_overloads() {
+            rebalancing.pressure.heard(now, broker, is_overloaded);
+        }
+        let is_overloaded = rebalancing.pressure.pressed(now, LOAD_REPORT_LEASES * self.lease_seconds);
+        let Some(running) = &state.rebalance().running else {
+            rebalancing.current_turn = None;
+            rebalancing.reported_wait = None;
+            return None;
+        };
+        let since = rebalancing.turn_since(&running.plan.id, running.turn, now);
+        if now < rebalancing.entered_at + RETRY_LEASES * self.lease_seconds {
+            return None;
+        }
+        let hundredths = (100.0 * rebalancing.pressure.share()).round() as u32;
+        let plan = running.plan.id.clone();
+        Some(match (&running.paused, is_overloaded) {
+            (None, true) => Next::Enter(Agreed::Paused { plan, why: Pause::Pressed { hundredths } }),
+            (Some(Pause::Pressed { .. }), false) => {
+                Next::Enter(Agreed::Resumed { plan, by: By::Pressure(hundredths) })
+            }
+            _ => {
+                let has_settled = now >= since + rebalancing.settle_seconds;
+                state.rebalance().next(&state.rebalance_context(), has_settled)
+            }
+        })
+    }
+
+    /// Logs the reason to wait once.
+    fn log_wait(&mut self, wait: Held) {
+        if self.rebalancing.reported_wait.as_ref() == Some(&wait) {
+            return;
+        }
+        match &wait {
+            Held::Paused(why) => info!("fleet: plan {}: waits: {why}", self.plan_id()),
+            Held::Other(open) => {
+                info!("fleet: plan {}: waits for version {open}, which is no step", self.plan_id());
+            }
+            Held::NoPlan | Held::UnderWay(_) => {}
+        }
+        self.rebalancing.reported_wait = Some(wait);
+    }
+
+    fn running_plan(&self) -> Option<&Running> {
+        self.voter.as_ref()?.state().rebalance().running.as_ref()
+    }
+
+    fn plan_id(&self) -> String {
+        self.running_plan().map_or(String::new(), |running| running.plan.id.clone())
+    }
+
+    /// One line for each step: on whose authority, within which limits, and what is left.
+    fn log_step(&self, entry: &Agreed) {
+        let Some(running) = self.running_plan() else { return };
+        let (id, who, why) = (&running.plan.id, &running.plan.who, &running.plan.why);
+        let (Agreed::Begun { turn, number, .. }, Some(wave)) = (entry, running.wave()) else {
+            return info!("fleet: plan {id}: {entry:?}");
+        };
+        let map = self.voter.as_ref().and_then(|voter| voter.state().map_proof());
+        let (changed, segments) = wave.changed(map.map_or(0, |map| map.len()));
+        let direction = if running.undoing.is_some() { "back" } else { "on" };
+        let is_move = |operation: &&Operation| matches!(operation, Operation::Move { .. });
+        info!(
+            "fleet: plan {id}, turn {turn}, version {number}, {direction}: {wave}; {} at once, {changed} of {segments} \
+             segments; {} operations left, {} moves in all; {who}: {why}",
+            wave.acts.len(),
+            remaining_operations(running),
+            running.plan.operations.iter().filter(is_move).count(),
+        );
+    }
+
+    /// The version that carries out the current step: the map is the step's, all else stays as it is in force.
+    fn step_version(&self, number: u64, map: ShardMap) -> Option<ConfigVersion> {
+        let state = self.voter.as_ref()?.state();
+        let running = state.rebalance().running.as_ref()?;
+        let (in_force, _) = state.active.as_ref()?;
+        let plan = &running.plan;
+        let wave = running.wave().map_or(String::new(), ToString::to_string);
+        let direction = if running.undoing.is_some() { ", back" } else { "" };
+        Some(ConfigVersion {
+            number,
+            based_on: Some(in_force.number),
+            first_stage_ratio: None,
+            map: Some(map),
+            proposed_by: plan.who.clone(),
+            reason: format!("plan {}, turn {}{direction}: {wave}; {}", plan.id, running.turn, plan.why),
+            proposed_at_unix_seconds: unix_seconds(),
+            ..ConfigVersion::clone(in_force)
+        })
+    }
+
+    /// Enters a step's command. A refusal that will not pass pauses the plan: an operator has to look, as what the voters
+    /// reject now they will reject again.
+    fn enter_step(&mut self, command: Command) {
+        let is_proposal = matches!(command, Command::Propose(_));
+        let Err(why) = self.enter(command) else { return };
+        let passes = match &why {
+            Rejection::Rebalance(why) => why.passes() || !is_proposal,
+            Rejection::NotLeader(_)
+            | Rejection::Busy
+            | Rejection::ChangeOpen { .. }
+            | Rejection::NotProposed(_)
+            | Rejection::RollingBack(_) => true,
+            _ => false,
+        };
+        if passes {
+            return;
+        }
+        warn!("fleet: plan {}: {why} ({})", self.plan_id(), why.help());
+        let failure = self.voter.as_ref().map(|voter| voter.state().rebalance().fails(&why));
+        if let Some(Next::Enter(entry)) = failure {
+            let _ = self.enter(Command::Rebalance(entry));
+        }
+    }
+}
+
+/// Operations of a plan that no finished step has carried out.
+fn remaining_operations(running: &Running) -> usize {
+    let finished = &running.steps[..running.done];
+    let acts = finished.iter().flat_map(|step| &step.wave.acts);
+    let done = acts.filter(|(_, act)| !matches!(act, Act::Fill { .. })).count();
+    running.plan.operations.len().saturating_sub(done)
+}
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/golden.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/tests/mod.rs
@@ -1,11 +1,12 @@
-//! Stored forms: the operator's plan, and what brokers tell each other of one.
+//! Formats of the operator's plan file, and of the messages about it, which brokers of other builds read.
 
 use std::collections::BTreeMap;
 
-use dunepond_rebalance::{Node, Room, Sizes};
+use dunepond_rebalance::{Node, Operation, Plan, Room, Sizes, Word};
 
-use super::*;
-use crate::golden::{assert_same, golden, golden_path};
+use super::offers::{OfferReply, PlanOffer};
+use super::read_plan;
+use crate::tests::golden::{assert_same, golden, golden_path};
 
 fn plan() -> Plan {
     let text = str::to_string;
@@ -37,24 +38,24 @@
 }
 
 #[test]
-fn a_stored_plan_file_is_read_as_before() {
-    assert_eq!(read(&golden_path("plan.json")).unwrap(), plan());
+fn plan_file_format() {
+    assert_eq!(read_plan(&golden_path("plan.json")).unwrap(), plan());
     assert_same("plan-compact.json", serde_json::to_string(&plan()).unwrap().as_bytes());
-    assert_eq!(read(&golden_path("plan-compact.json")).unwrap(), plan());
+    assert_eq!(read_plan(&golden_path("plan-compact.json")).unwrap(), plan());
     for (name, word) in [("go", Word::Go), ("pause", Word::Pause), ("withdraw", Word::Withdraw)] {
         assert_eq!(serde_json::to_value(word).unwrap(), name);
     }
 }
 
 #[test]
-fn offers_and_their_answers_are_as_before() {
+fn plan_offer_and_reply_formats() {
     let offer = PlanOffer { plan: plan(), max_concurrent_acts: 4, is_repeat: true };
     assert_same("offer.bin", &postcard::to_stdvec(&offer).unwrap());
     let read: PlanOffer = postcard::from_bytes(&golden("offer.bin")).unwrap();
     assert_eq!((read.plan, read.max_concurrent_acts, read.is_repeat), (plan(), 4, true));
 
     let text = str::to_string;
-    let answers = [
+    let replies = [
         OfferReply::Accepted,
         OfferReply::Known(text("ended: Done")),
         OfferReply::NotLeader(Some(text("n2"))),
@@ -62,12 +63,12 @@
         OfferReply::RetryLater(text("another plan runs")),
         OfferReply::Refused { why: text("no room"), help: text("give it room") },
     ];
-    let bytes: Vec<u8> = answers.iter().flat_map(|answer| postcard::to_stdvec(answer).unwrap()).collect();
+    let bytes: Vec<u8> = replies.iter().flat_map(|reply| postcard::to_stdvec(reply).unwrap()).collect();
     assert_same("offer-answers.bin", &bytes);
     let mut rest = &golden("offer-answers.bin")[..];
-    for answer in answers {
+    for reply in replies {
         let (read, behind) = postcard::take_from_bytes::<OfferReply>(rest).unwrap();
-        assert_eq!(format!("{read:?}"), format!("{answer:?}"));
+        assert_eq!(format!("{read:?}"), format!("{reply:?}"));
         rest = behind;
     }
     assert!(rest.is_empty());
--- a/crates/dunepond-control-plane/src/control_loop/settlements.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements.rs
@@ -1,29 +1,30 @@
-//! The agreed part of debts at this broker: entries as the log has them, shares that are allotted in advance, and what this
-//! broker promised out of its own shares while it was partitioned.
+//! Settlement at this broker: entries as the log has them, shares that are allotted in advance, and commitments that are
+//! sent to the leader until the log has them.
 
 use dunepond_consensus::{Command, Rejection, SettlementUpdate, Voter};
 use dunepond_membership::{PeerState, RefusalReason, RequestKind, Responder};
 use dunepond_settlement::{ApplyOutcome, Settlement, SettlementEntry, allot_evenly};
 use tracing::{debug, info, warn};
 
-use super::{ControlLoop, LOG_SHARE_HOLDER, SentRequest};
+use super::messages::SentRequest;
+use super::{ControlLoop, LOG_SHARE_HOLDER};
 use crate::audit_log::AuditEvent;
 use crate::clock::monotonic_seconds;
 use crate::commitments::{Commitments, MAX_ENTRIES_PER_MESSAGE};
 use crate::explain::Explanation;
 use crate::handle::increment;
 
-/// Seconds after which promises are sent to the leader again, and debts are reviewed for what is to be allotted or
-/// released.
+/// Seconds between two reviews: of commitments to be sent to the leader, and of debts to be allotted or released.
 const REVIEW_INTERVAL_SECONDS: f64 = 0.5;
 const ENTRIES_TIMEOUT_SECONDS: f64 = 1.0;
-/// Least amount that is allotted or released at once, as a ratio of a segment: an entry for every few bytes would be costly.
-const MIN_PART_OF_SEGMENT: u64 = 8;
+/// Smallest amount that is allotted or released at once, as a divisor of a segment's size: an entry for every few bytes
+/// would be costly.
+const SEGMENT_PARTS: u64 = 8;
 
-/// Settlement at this broker: what it has committed to, and how much of the log it has applied.
+/// What this broker has committed to, and how much of the log it has applied.
 pub struct Settlements {
     pub commitments: Commitments,
-    /// Holders are kept warm by fills of each broker's own: debts are allotted in advance.
+    /// Each broker fills nodes in slow start, and debts are allotted in advance.
     pub fill_started_nodes: bool,
     /// Entries of the log that the ledger has applied.
     pub applied_entries: u64,
@@ -44,35 +45,42 @@
     }
 }
 
-/// Whether `from` may propose it: only a broker itself knows what it promised and what it has left.
-fn may_propose(entry: &SettlementEntry, from: &str) -> bool {
+/// A part of this broker's share that it will not spend.
+struct Surplus {
+    debtor: String,
+    creditor: String,
+    bytes: u64,
+}
+
+/// Whether a broker may propose the entry: only it knows what it promised and what it has left.
+fn may_propose(broker: &str, entry: &SettlementEntry) -> bool {
     match entry {
-        SettlementEntry::Settle(settlement) => settlement.by() == from,
-        SettlementEntry::Release(release) => release.by == from,
+        SettlementEntry::Settle(settlement) => settlement.by() == broker,
+        SettlementEntry::Release(release) => release.by == broker,
         SettlementEntry::Allot(_) | SettlementEntry::Begin(_) => false,
     }
 }
 
 impl ControlLoop {
-    /// A voter hears of debts from its own log, others with their leases.
+    /// A voter applies the entries of its own log.
     pub(super) fn apply_voter_entries(&mut self) {
         while let Some(state) = self.voter.as_ref().map(Voter::state) {
             // A voter that was just started may have applied less of the log than this broker knew before.
-            if state.settlements.count == self.settlement.applied_entries
-                || self.settlement.applied_entries > state.settlements.count
-            {
+            if state.settlements.count <= self.settlement.applied_entries {
                 break;
             }
-            let told = state.settlements.updates_after(self.settlement.applied_entries);
-            self.apply_entries(told);
+            let update = state.settlements.updates_after(self.settlement.applied_entries);
+            self.apply_entries(update);
         }
     }
 
+    /// Other brokers apply the entries that come with their leases.
     pub(super) fn apply_leased_entries(&mut self) {
-        for told in self.member.take_settlement_updates() {
-            // A voter's own log has them; an answer that has less than we know is of another fleet, and replaces all.
-            if self.voter.is_none() || told.ledger.is_some() && told.count < self.settlement.applied_entries {
-                self.apply_entries(told);
+        for update in self.member.take_settlement_updates() {
+            // A ledger with fewer entries than this broker has applied is of another fleet, and replaces its own.
+            let is_behind = update.ledger.is_some() && update.count < self.settlement.applied_entries;
+            if self.voter.is_none() || is_behind {
+                self.apply_entries(update);
             }
         }
         if self.voter.is_some() {
@@ -80,86 +88,83 @@
         }
     }
 
-    fn apply_entries(&mut self, told: SettlementUpdate) {
-        let book = &mut self.traffic.balances;
-        if let Some(ledger) = told.ledger {
-            book.replace(*ledger);
-            self.settlement.applied_entries = told.from;
+    fn apply_entries(&mut self, update: SettlementUpdate) {
+        if let Some(ledger) = update.ledger {
+            self.traffic.balances.replace(*ledger);
+            self.settlement.applied_entries = update.from;
         }
-        if told.from != self.settlement.applied_entries {
+        if update.from != self.settlement.applied_entries {
             return;
         }
-        for noted in told.entries {
+        for logged in update.entries {
             self.settlement.applied_entries += 1;
-            let book = &mut self.traffic.balances;
-            book.close(noted.floor);
-            match book.apply(&noted.entry) {
-                Ok(ApplyOutcome::New) => {}
-                Ok(ApplyOutcome::Duplicate) => continue,
-                Err(e) => {
-                    warn!("fleet: an entry about a debt: {e} ({})", e.help());
-                    continue;
-                }
-            }
-            match noted.entry {
-                SettlementEntry::Settle(settlement) => self.on_settled(settlement),
-                SettlementEntry::Allot(allot) => {
-                    let sum: u64 = allot.parts.iter().map(|part| part.1).sum();
-                    let (debtor, creditor) = (allot.debtor, allot.creditor);
-                    info!("fleet: {sum} bytes that {debtor} owes {creditor} are split in advance");
-                }
-                SettlementEntry::Release(release) => {
-                    debug!("fleet: {} gives back {} bytes of its share", release.by, release.bytes);
-                }
-                SettlementEntry::Begin(_) => {}
+            let balances = &mut self.traffic.balances;
+            balances.close(logged.floor);
+            match balances.apply(&logged.entry) {
+                Ok(ApplyOutcome::New) => self.on_applied(logged.entry),
+                Ok(ApplyOutcome::Duplicate) => {}
+                Err(e) => warn!("fleet: an entry about a debt: {e} ({})", e.help()),
             }
         }
-        self.note_begun_fills();
+        self.note_started_fills();
         self.release_logged_commitments();
     }
 
+    fn on_applied(&mut self, entry: SettlementEntry) {
+        match entry {
+            SettlementEntry::Settle(settlement) => self.on_settled(settlement),
+            SettlementEntry::Allot(allotment) => {
+                let bytes: u64 = allotment.parts.iter().map(|part| part.1).sum();
+                let (debtor, creditor) = (allotment.debtor, allotment.creditor);
+                info!("fleet: {bytes} bytes that {debtor} owes {creditor} are split in advance");
+            }
+            SettlementEntry::Release(release) => {
+                debug!("fleet: {} gives back {} bytes of its share", release.by, release.bytes);
+            }
+            SettlementEntry::Begin(_) => {}
+        }
+    }
+
     fn on_settled(&mut self, settlement: Settlement) {
         increment(&self.counters.settled);
         Explanation::for_settlement(&settlement, &self.traffic.balances).log();
         let number = settlement.version().unwrap_or(0);
         let Settlement { id, debtor, creditor, bytes, .. } = settlement;
         info!("fleet: settled {id}: {bytes} bytes that {debtor} owed {creditor}");
-        if let Some(recorder) = &self.audit_log {
-            recorder.record(AuditEvent::Settled { id, debtor, creditor, bytes, number });
+        if let Some(audit_log) = &self.audit_log {
+            audit_log.record(AuditEvent::Settled { id, debtor, creditor, bytes, number });
         }
     }
 
-    /// The log has moved: what it shows is promised no more.
+    /// Drops the commitments that the log has by now.
     fn release_logged_commitments(&mut self) {
-        let (promises, ledger) = (&mut self.settlement.commitments, self.traffic.balances.ledger());
-        let (open, giving) = (promises.due_entries().len(), promises.shares.releasing().is_some());
-        promises.shares.reconcile(ledger, &[]);
-        let shares = &promises.shares;
-        promises.fills.retain(|id, pledged| !pledged.done || shares.promised(id).is_some());
-        if open != promises.due_entries().len() || giving != promises.shares.releasing().is_some() {
+        let (commitments, ledger) = (&mut self.settlement.commitments, self.traffic.balances.ledger());
+        let due_before = commitments.due_entries().len();
+        let releasing_before = commitments.shares.releasing().is_some();
+        commitments.shares.reconcile(ledger, &[]);
+        let shares = &commitments.shares;
+        commitments.fills.retain(|id, committed| !committed.done || shares.promised(id).is_some());
+        if due_before != commitments.due_entries().len()
+            || releasing_before != commitments.shares.releasing().is_some()
+        {
             self.settlement.unsaved = true;
         }
     }
 
-    /// Into the folder, with the ledger that it rests on. False if it could not be written: nothing may rest on it.
+    /// Stores the commitments together with the ledger. False if they could not be stored: nothing may rest on them.
     pub(super) fn save_commitments(&mut self) -> bool {
-        let promises = &mut self.settlement.commitments;
-        (promises.ledger, promises.applied_entries) =
-            (self.traffic.balances.ledger().clone(), self.settlement.applied_entries);
-        match self.data.save_commitments(promises) {
-            Ok(()) => {
-                self.settlement.unsaved = false;
-                true
-            }
-            Err(e) => {
-                self.settlement.unsaved = true;
-                debug!("fleet: folder: promises: {e}");
-                false
-            }
+        let commitments = &mut self.settlement.commitments;
+        commitments.ledger = self.traffic.balances.ledger().clone();
+        commitments.applied_entries = self.settlement.applied_entries;
+        let saved = self.data.save_commitments(commitments);
+        self.settlement.unsaved = saved.is_err();
+        if let Err(e) = &saved {
+            debug!("fleet: folder: promises: {e}");
         }
+        saved.is_ok()
     }
 
-    /// Brings what is due into the log, splits what is owed, gives back what is not needed.
+    /// Sends due entries to the leader, releases surplus shares, and at the leader splits debts.
     pub(super) fn review_settlements(&mut self) {
         let now = monotonic_seconds();
         if now < self.settlement.next_review_at || self.traffic.partners.is_empty() {
@@ -169,57 +174,58 @@
         if self.settlement.unsaved && !self.save_commitments() {
             return;
         }
-        let leads =
-            self.state.storage_failed_until.is_none() && self.voter.as_ref().is_some_and(Voter::is_leader);
-        if now < self.member.active_config().lease_expires_at() || leads {
+        let is_leading = self.is_leading();
+        if is_leading || now < self.member.active_config().lease_expires_at() {
             self.release_surplus();
-            self.send_due_entries(leads);
+            self.send_due_entries(is_leading);
         }
-        if leads && self.settlement.fill_started_nodes {
+        if is_leading && self.settlement.fill_started_nodes {
             self.split_debts();
         }
     }
 
-    fn send_due_entries(&mut self, leads: bool) {
+    fn send_due_entries(&mut self, is_leading: bool) {
         let due = self.settlement.commitments.due_entries();
         if due.is_empty() {
             return;
         }
-        if leads {
-            return due.into_iter().for_each(|entry| drop(self.enter_settlement(entry)));
+        if is_leading {
+            for entry in due {
+                let _ = self.enter_settlement(entry);
+            }
+            return;
         }
-        let Some(leader) = self.member.leader().map(str::to_string).filter(|it| *it != self.name) else {
+        let Some(leader) = self.member.leader().map(str::to_string) else { return };
+        if leader == self.name {
             return;
-        };
+        }
         if let Ok(body) = postcard::to_stdvec(&due) {
-            self.send_request(
-                &leader,
-                RequestKind::Fill,
-                body,
-                ENTRIES_TIMEOUT_SECONDS,
-                SentRequest::SettlementEntries,
-            );
+            let (kind, timeout) = (RequestKind::Fill, ENTRIES_TIMEOUT_SECONDS);
+            self.send_request(&leader, kind, body, timeout, SentRequest::SettlementEntries);
         }
     }
 
-    /// What another broker brings, where this one leads. The answer says only that it came: the log tells the rest.
-    pub(super) fn handle_entries(&mut self, from: &str, body: &[u8], token: Responder) {
-        if self.state.storage_failed_until.is_some() || !self.voter.as_ref().is_some_and(Voter::is_leader) {
-            return self.peers.respond(token, Err(RefusalReason::Declined("another leads".to_string())));
+    /// At the leader: enters what another broker sends. The response says only that it was received; what became of it, the
+    /// log tells.
+    pub(super) fn handle_entries(&mut self, from: &str, body: &[u8], responder: Responder) {
+        if !self.is_leading() {
+            let reason = RefusalReason::Declined("another leads".to_string());
+            return self.peers.respond(responder, Err(reason));
         }
         let Ok(entries) = postcard::from_bytes::<Vec<SettlementEntry>>(body) else {
-            return self.peers.respond(token, Err(RefusalReason::Malformed));
+            return self.peers.respond(responder, Err(RefusalReason::Malformed));
         };
         for entry in entries.into_iter().take(MAX_ENTRIES_PER_MESSAGE) {
-            if !may_propose(&entry, from) {
+            if !may_propose(from, &entry) {
                 warn!("fleet: {from} brings what is not its own to promise: left out");
                 continue;
             }
             let _ = self.enter_settlement(entry);
         }
-        self.peers.respond(token, Ok(Vec::new()));
+        self.peers.respond(responder, Ok(Vec::new()));
     }
 
+    /// Enters an entry, where this broker leads.
     pub(super) fn enter_settlement(&mut self, entry: SettlementEntry) -> Result<(), Rejection> {
         let entered = self.enter(Command::Settlement(entry));
         if let Err(why) = &entered
@@ -236,73 +242,86 @@
         entered
     }
 
+    /// Smallest amount that is allotted or released at once.
     fn min_split_bytes(&self) -> u64 {
-        (self.version_fills.segment_bytes / MIN_PART_OF_SEGMENT).max(1)
+        (self.version_fills.limits.segment_bytes / SEGMENT_PARTS).max(1)
     }
 
-    /// Allots what is owed and not allotted yet evenly: over all brokers that are known, and the log itself, out of which
-    /// whoever leads settles the fills of versions. Nobody knows which of them will be cut off.
+    /// Allots debts that are not allotted yet evenly to all known brokers and to the log itself, from whose share the leader
+    /// settles fills of versions. Any of them may be partitioned later, and settles from its share then.
     fn split_debts(&mut self) {
-        let mut brokers = self.all_brokers();
-        brokers.push(LOG_SHARE_HOLDER.to_string());
+        let mut holders = self.all_brokers();
+        holders.push(LOG_SHARE_HOLDER.to_string());
         for debt in self.traffic.balances.net_debts() {
             let (debtor, creditor) = (debt.debtor, debt.creditor);
-            // What is planned before the first allotment has no share to be taken from: it comes into the log first.
-            if !self.traffic.balances.ledger().is_split(&debtor, &creditor)
-                && self.version_fills.settles(&debtor, &creditor)
-            {
+            // A fill that was planned before the first allotment has no share to be taken from: it is settled first.
+            let is_split = self.traffic.balances.ledger().is_split(&debtor, &creditor);
+            if !is_split && self.version_fills.settles(&debtor, &creditor) {
                 continue;
             }
-            let Some(allot) = allot_evenly(&self.traffic.balances, &debtor, &creditor, &brokers) else {
+            let Some(allotment) = allot_evenly(&self.traffic.balances, &debtor, &creditor, &holders) else {
                 continue;
             };
-            if allot.parts.iter().map(|part| part.1).sum::<u64>() >= self.min_split_bytes() {
-                let _ = self.enter_settlement(SettlementEntry::Allot(allot));
+            if allotment.parts.iter().map(|part| part.1).sum::<u64>() >= self.min_split_bytes() {
+                let _ = self.enter_settlement(SettlementEntry::Allot(allotment));
             }
         }
     }
 
-    /// All brokers that are known, this one among them; those that are away too.
+    /// All known brokers in the order of their names, this one among them, alive or not.
     pub(super) fn all_brokers(&self) -> Vec<String> {
-        let mut all: Vec<String> = self.peers.members().into_iter().map(|peer| peer.name).collect();
-        all.push(self.name.clone());
-        all.extend(self.configured_brokers.iter().cloned());
-        all.sort();
-        all.dedup();
-        all
+        let mut brokers: Vec<String> = self.peers.members().into_iter().map(|peer| peer.name).collect();
+        brokers.push(self.name.clone());
+        brokers.extend(self.configured_brokers.iter().cloned());
+        brokers.sort();
+        brokers.dedup();
+        brokers
     }
 
     pub(super) fn is_alive(&self, broker: &str) -> bool {
-        broker == self.name
-            || self.peers.members().iter().any(|peer| peer.name == broker && peer.state == PeerState::Alive)
+        if broker == self.name {
+            return true;
+        }
+        let members = self.peers.members();
+        members.iter().any(|peer| peer.name == broker && peer.state == PeerState::Alive)
     }
 
-    /// Gives back what this broker will not spend: all of it if it carries out no fills, and its part of what is allotted
-    /// beyond the debt as it stands now, when the other side has carried in the meantime.
+    /// Releases what this broker will not spend, of one pair of partners at a time.
     fn release_surplus(&mut self) {
-        let ledger = self.traffic.balances.ledger();
         if self.settlement.commitments.shares.releasing().is_some() {
             return;
         }
-        let pairs: Vec<(String, String)> =
-            ledger.pairs().map(|(debtor, creditor)| (debtor.to_string(), creditor.to_string())).collect();
-        for (debtor, creditor) in pairs {
-            let ledger = self.traffic.balances.ledger();
-            let left = self.settlement.commitments.shares.remaining(ledger, &debtor, &creditor);
-            let unspent = ledger.allotted(&debtor, &creditor) - ledger.settled(&debtor, &creditor);
-            let beyond = unspent.saturating_sub(self.traffic.balances.net_debt(&debtor, &creditor));
-            let part = (beyond as f64 * left as f64 / unspent.max(1) as f64) as u64;
-            let back = if self.settlement.fill_started_nodes { part.min(left) } else { left };
-            if back < self.min_split_bytes() {
-                continue;
-            }
-            let ledger = self.traffic.balances.ledger().clone();
-            if let Err(e) = self.settlement.commitments.shares.release(&ledger, &debtor, &creditor, back) {
-                debug!("fleet: {e} ({})", e.help());
+        let Some(Surplus { debtor, creditor, bytes }) = self.first_surplus() else { return };
+        let ledger = self.traffic.balances.ledger().clone();
+        if let Err(e) = self.settlement.commitments.shares.release(&ledger, &debtor, &creditor, bytes) {
+            debug!("fleet: {e} ({})", e.help());
+        }
+        // Stored before it is sent: from here on it is not promised to anybody.
+        self.save_commitments();
+    }
+
+    fn first_surplus(&self) -> Option<Surplus> {
+        for (debtor, creditor) in self.traffic.balances.ledger().pairs() {
+            let bytes = self.surplus_bytes(debtor, creditor);
+            if bytes >= self.min_split_bytes() {
+                let (debtor, creditor) = (debtor.to_string(), creditor.to_string());
+                return Some(Surplus { debtor, creditor, bytes });
             }
-            // From here on it is not promised to anybody; the log hears of it once the folder has it.
-            self.save_commitments();
-            return;
         }
+        None
+    }
+
+    /// Bytes of this broker's share that it will not spend: all of it if it has no fills of its own, else its part of what is
+    /// allotted beyond the present debt, which shrinks when the other partner carries in turn.
+    fn surplus_bytes(&self, debtor: &str, creditor: &str) -> u64 {
+        let ledger = self.traffic.balances.ledger();
+        let remaining = self.settlement.commitments.shares.remaining(ledger, debtor, creditor);
+        if !self.settlement.fill_started_nodes {
+            return remaining;
+        }
+        let unspent = ledger.allotted(debtor, creditor) - ledger.settled(debtor, creditor);
+        let excess = unspent.saturating_sub(self.traffic.balances.net_debt(debtor, creditor));
+        let part = (excess as f64 * remaining as f64 / unspent.max(1) as f64) as u64;
+        part.min(remaining)
     }
 }
--- a/crates/dunepond-control-plane/src/handle/tests.rs
+++ b/crates/dunepond-control-plane/src/handle/tests/mod.rs
@@ -1,13 +1,18 @@
-//! What the event loop sees and hands over without waiting.
+//! What the event loop reads and counts.
 
-use super::{ActiveConfigWatch, CarriedBytes};
-use arc_swap::ArcSwap;
-use arc_swap::Cache;
-use dunepond_consensus::ActiveConfig;
 use std::sync::Arc;
 
+use arc_swap::{ArcSwap, Cache};
+use dunepond_consensus::ActiveConfig;
+
+use super::{ActiveConfigWatch, CarriedAmount, CarriedBytes};
+
+fn amount(carrier: usize, owed_by: usize, bytes: u64) -> CarriedAmount {
+    CarriedAmount { carrier, owed_by, bytes }
+}
+
 #[test]
-fn a_watch_sees_what_is_new_at_once() {
+fn watch_sees_a_new_config() {
     let acting = Arc::new(ArcSwap::from_pointee(ActiveConfig::unleased()));
     let mut watch = ActiveConfigWatch(Cache::new(acting.clone()));
     let before = watch.current().clone();
@@ -18,16 +23,16 @@
 }
 
 #[test]
-fn bytes_are_taken_once_by_carrier_and_who_owes_them() {
+fn carried_bytes_are_drained_once() {
     let carried = CarriedBytes::new(3);
     carried.add(0, 2, 10);
     carried.add(0, 2, 5);
     carried.add(2, 1, 7);
-    // A partner that is none changes nothing.
+    // An index that is out of range changes nothing.
     carried.add(3, 0, 1);
     carried.add(0, 3, 1);
-    assert_eq!(carried.take(), [(0, 2, 15), (2, 1, 7)]);
-    assert_eq!(carried.take(), []);
+    assert_eq!(carried.drain(), [amount(0, 2, 15), amount(2, 1, 7)]);
+    assert_eq!(carried.drain(), []);
     carried.add(0, 2, 1);
-    assert_eq!(carried.take(), [(0, 2, 1)]);
+    assert_eq!(carried.drain(), [amount(0, 2, 1)]);
 }
--- a/crates/dunepond-control-plane/src/lib.rs
+++ b/crates/dunepond-control-plane/src/lib.rs
@@ -2,9 +2,10 @@
 //! between the other brokers, the data directory and the broker's event loop.
 //!
 //! It has a thread of its own because consensus waits for the disk, and the event loop must not. The event loop holds a
-//! [`ControlHandle`], which tells at each act what is allowed; none of its calls blocks.
+//! [`ControlHandle`], which returns at any moment what the broker may act on; none of its calls blocks.
 //!
 //! Times are seconds on the monotonic clock ([`monotonic_seconds`]) unless stated.
+#![warn(missing_docs)]
 
 mod audit_log;
 mod clock;
@@ -16,13 +17,13 @@
 mod error;
 pub mod explain;
 mod fill_client;
-#[cfg(test)]
-mod golden;
 mod handle;
 mod link_limits;
 mod lost_majority;
 mod slow_start;
 mod startup;
+#[cfg(test)]
+mod tests;
 
 pub use audit_log::{AuditEvent, AuditPhase, AuditRecord};
 pub use clock::monotonic_seconds;
--- a/crates/dunepond-control-plane/src/startup.rs
+++ b/crates/dunepond-control-plane/src/startup.rs
@@ -10,31 +10,31 @@
 
 use arc_swap::ArcSwap;
 use crossbeam_channel::{Sender, bounded, unbounded};
-use dunepond_consensus::{ConsensusConfig, ConsensusError, LeaseClient, StoredVoter, Voter};
+use dunepond_consensus::{ActiveConfig, ConsensusConfig, ConsensusError, LeaseClient, StoredVoter, Voter};
 use dunepond_membership::MembershipOptions;
 use dunepond_settlement as settlement;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tracing::{error, info};
 
-use crate::audit_log::AuditLog;
+use crate::audit_log::{AuditLog, AuditSender};
 use crate::clock::{monotonic_seconds, unix_seconds};
 use crate::commitments::Commitments;
-use crate::config::{ControlPlaneConfig, FillConfig, Partner, TestDoubles};
+use crate::config::{ControlPlaneConfig, FillConfig, Partner, RebalanceConfig, TestDoubles};
 use crate::control_loop::{
-    ControlLoop, DEFAULT_SETTLE_SECONDS, FillEnded, FillLane, LOG_SHARE_HOLDER, Lane, LoopState, Proposals,
-    QuotaSharing, Rebalancing, Settlements, TrafficCounts,
+    AttemptResult, ControlLoop, DEFAULT_SETTLE_SECONDS, FillKind, FillLimits, FillScheduler, FillService,
+    LOG_SHARE_HOLDER, LoopState, Proposals, QuotaSharing, Rebalancing, Settlements, TrafficCounts,
 };
-use crate::data_directory::{DataDirectory, StoredState};
+use crate::data_directory::DataDirectory;
 use crate::error::ControlPlaneError;
 use crate::fill_client::{FillClient, HttpFillClient};
-use crate::handle::{ActivityCounters, CarriedBytes, ControlHandle, LoopRequest};
+use crate::handle::{CarriedBytes, ControlHandle, LoopRequest};
 use crate::{link_limits, lost_majority};
 
 /// Longest that a shutdown waits for each thread.
 pub(crate) const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Requests of the event loop that may wait.
-const MAX_QUEUED_COMMANDS: usize = 16;
+/// Requests of the event loop that may wait for the control loop.
+const MAX_QUEUED_REQUESTS: usize = 16;
 
 /// A running control plane.
 pub struct ControlPlane {
@@ -76,7 +76,7 @@
     let voter = match recovered {
         Some(voter) => voter,
         None => match Voter::open(terms.clone(), stored, now, rng.random()) {
-            // As good as a lost directory, which the other voters allow for.
+            // The same as a lost data directory, which the other voters allow for.
             Err(e @ (ConsensusError::CorruptRecord(_) | ConsensusError::CorruptLog(_))) => {
                 error!("fleet: {e} ({}); this voter begins anew", e.help());
                 Voter::open(terms.clone(), StoredVoter::new(), now, rng.random())
@@ -95,7 +95,7 @@
     incarnation: u64,
 ) -> Result<settlement::LocalCounts, ControlPlaneError> {
     let opened = match settlement::LocalCounts::open(stored.clone(), broker, incarnation) {
-        // The clock went back, and the number of starts was lost.
+        // The clock was set back, and the number of starts was lost.
         Err(settlement::SettlementError::OldIncarnation { kept, .. }) => {
             settlement::LocalCounts::open(stored, broker, kept + 1)
         }
@@ -104,21 +104,54 @@
     opened.map_err(settlement_error)
 }
 
-fn partner_sides(partners: &[Partner]) -> settlement::BrokerPartners {
-    let brokers = |p: &Partner| {
-        let name = p.name.clone();
-        p.brokers.clone().into_iter().map(move |broker| (broker, name.clone()))
+fn broker_partners(partners: &[Partner]) -> settlement::BrokerPartners {
+    let mut sides = settlement::BrokerPartners::default();
+    for partner in partners {
+        for broker in &partner.brokers {
+            sides.partner_of.insert(broker.clone(), partner.name.clone());
+        }
+        if partner.metered {
+            sides.metered.insert(partner.name.clone());
+        }
+    }
+    sides
+}
+
+fn new_balances(
+    config: &ControlPlaneConfig,
+    commitments: &Commitments,
+) -> Result<settlement::Balances, ControlPlaneError> {
+    let terms = settlement::SettlementTerms {
+        most_rate: fill_rate(config),
+        ..settlement::SettlementTerms::default()
     };
-    settlement::BrokerPartners {
-        partner_of: partners.iter().flat_map(brokers).collect(),
-        metered: partners.iter().filter(|p| p.metered).map(|p| p.name.clone()).collect(),
+    let (sides, ledger) = (broker_partners(&config.partners), commitments.ledger.clone());
+    settlement::Balances::new(terms, sides, ledger).map_err(settlement_error)
+}
+
+fn new_rebalancing(config: Option<&RebalanceConfig>) -> Rebalancing {
+    match config {
+        Some(config) => Rebalancing::new(
+            Some(config.plan_file.clone()),
+            config.max_concurrent_acts,
+            config.settle_seconds,
+        ),
+        None => Rebalancing::new(None, 1, DEFAULT_SETTLE_SECONDS),
     }
 }
 
-/// What both lanes of fills are made of.
+/// Fill rate that a warm node bears, in bytes a second.
+fn fill_rate(config: &ControlPlaneConfig) -> f64 {
+    config.fills.as_ref().map_or(f64::MAX, |fills| fills.bytes_per_second as f64)
+}
+
+fn fills_started_nodes(config: &ControlPlaneConfig) -> bool {
+    config.fills.as_ref().is_some_and(|fills| fills.fill_started_nodes)
+}
+
+/// What both schedulers of fills are made from.
 struct FillSetup {
-    client: Option<Arc<dyn FillClient>>,
-    ended: Sender<FillEnded>,
+    service: FillService,
     link_rates: BTreeMap<(String, String), f64>,
     default_link_rate: f64,
     deadline_seconds: f64,
@@ -127,23 +160,23 @@
 }
 
 impl FillSetup {
+    /// `client` takes the place of the fill service.
     fn new(
         config: &ControlPlaneConfig,
         client: Option<Arc<dyn FillClient>>,
-        ended: Sender<FillEnded>,
+        results: Sender<AttemptResult>,
     ) -> Self {
         let fills = config.fills.as_ref();
         let http_client =
             |fills: &FillConfig| -> Arc<dyn FillClient> { Arc::new(HttpFillClient::new(fills.fill_service)) };
-        let rates = config
-            .link_rates
-            .iter()
-            .map(|link| ((link.from.clone(), link.to.clone()), link.bytes_per_second as f64));
+        let mut link_rates = BTreeMap::new();
+        for link in &config.link_rates {
+            link_rates.insert((link.from.clone(), link.to.clone()), link.bytes_per_second as f64);
+        }
         let default_rate = config.rebalancing.as_ref().and_then(|it| it.default_link_rate);
         Self {
-            client: client.or(fills.map(http_client)),
-            ended,
-            link_rates: rates.collect(),
+            service: FillService { client: client.or(fills.map(http_client)), results },
+            link_rates,
             default_link_rate: default_rate.map_or(f64::INFINITY, |rate| rate as f64),
             deadline_seconds: config.terms.fill_deadline_seconds,
             segment_bytes: fills.map_or(1, |fills| fills.segment_bytes),
@@ -151,25 +184,24 @@
         }
     }
 
-    fn lane(&self, lane: Lane, by: &str, rng: &mut Pcg64Mcg) -> FillLane {
-        FillLane::new(
-            lane,
-            self.client.clone(),
-            self.ended.clone(),
-            settlement::FillPlanner::new(by, settlement::PlanningRule::MaxMin, rng.random()),
-            settlement::LinkCapacities {
+    /// `by`: the name in which the fills are settled.
+    fn scheduler(&self, kind: FillKind, by: &str, rng: &mut Pcg64Mcg) -> FillScheduler {
+        let limits = FillLimits {
+            links: settlement::LinkCapacities {
                 caps: self.link_rates.clone(),
                 unstated: self.default_link_rate,
                 inside: f64::INFINITY,
             },
-            settlement::FillRetryPolicy {
-                deadline: self.deadline_seconds,
-                ..settlement::FillRetryPolicy::default()
-            },
-            self.segment_bytes,
-            self.max_concurrent,
-            Pcg64Mcg::seed_from_u64(rng.random()),
-        )
+            segment_bytes: self.segment_bytes,
+            max_concurrent: self.max_concurrent,
+        };
+        let retry_policy = settlement::FillRetryPolicy {
+            deadline: self.deadline_seconds,
+            ..settlement::FillRetryPolicy::default()
+        };
+        let planner = settlement::FillPlanner::new(by, settlement::PlanningRule::MaxMin, rng.random());
+        let fill_rng = Pcg64Mcg::seed_from_u64(rng.random());
+        FillScheduler::new(kind, self.service.clone(), retry_policy, limits, planner, fill_rng)
     }
 }
 
@@ -177,76 +209,82 @@
     if terms.voters.contains(&terms.name) { "voter" } else { "no voter" }
 }
 
+/// The handle of the event loop, with nothing published yet.
+fn new_handle(
+    active_config: ActiveConfig,
+    partner_count: usize,
+    audit_log: Option<AuditSender>,
+    requests: Sender<LoopRequest>,
+) -> ControlHandle {
+    ControlHandle {
+        active_config: Arc::new(ArcSwap::from_pointee(active_config)),
+        carried_bytes: Arc::new(CarriedBytes::new(partner_count)),
+        audit_log,
+        requests,
+        listed_nodes: Arc::default(),
+        started_nodes: Arc::default(),
+        counters: Arc::default(),
+        demand: Arc::default(),
+        link_counters: Arc::default(),
+    }
+}
+
 /// Starts the control plane. `wake` is called on its thread whenever what the broker may act on has changed; it must not
 /// block.
+///
+/// # Errors
+/// If the terms contradict each other, the key or the data directory cannot be read, an operator's order on a lost
+/// majority does not fit, the address cannot be bound, or the audit log or the thread cannot be started.
 pub fn start(
     mut config: ControlPlaneConfig,
     doubles: TestDoubles,
     wake: impl Fn() + Send + 'static,
 ) -> Result<ControlPlane, ControlPlaneError> {
-    let link_limits = link_limits::bounds(&config);
+    let link_limits = link_limits::limits_for(&config);
     config.terms.check()?;
     let name = config.terms.name.clone();
     let key = config.key_file.take().map(read_key).transpose()?;
-    let votes = config.terms.voters.contains(&name);
+    let is_voter = config.terms.voters.contains(&name);
     let unix_millis = (unix_seconds() * 1000.0) as u64;
     let (mut data, stored) =
-        DataDirectory::open(&config.data_directory, doubles.storage, votes, unix_millis)?;
-    let StoredState { incarnation, voter_records, config: stored_config, counts, commitments } = stored;
+        DataDirectory::open(&config.data_directory, doubles.storage, is_voter, unix_millis)?;
+    let incarnation = stored.incarnation;
     // Differs at each start and at each broker.
     let mut rng = Pcg64Mcg::seed_from_u64(config.seed ^ incarnation ^ name_hash(&name));
     let now = monotonic_seconds();
-    let voter = open_voter(&config, &mut data, voter_records, now, &mut rng)?;
-    let mut member = LeaseClient::new(config.terms.clone(), stored_config, now, rng.random());
+    let voter = open_voter(&config, &mut data, stored.voter_records, now, &mut rng)?;
+    let mut member = LeaseClient::new(config.terms.clone(), stored.config, now, rng.random());
     let audit_log = config.audit_log_file.take().map(|path| AuditLog::start(&path, &name, incarnation));
     let (audit_sender, audit_log) = audit_log.transpose()?.unzip();
     let configured_brokers = config.known_brokers.iter().map(|known| known.0.clone()).collect();
     let known_brokers = std::mem::take(&mut config.known_brokers);
-    let mut links =
+    let mut options =
         MembershipOptions::new(&name, incarnation, config.listen_address, known_brokers, rng.random());
-    (links.key, links.limits) = (key, link_limits);
-    let (peers, events) = dunepond_membership::start(links)?;
+    (options.key, options.limits) = (key, link_limits);
+    let (peers, events) = dunepond_membership::start(options)?;
     let listen_address = peers.local_addr();
 
-    let (commands, command_queue) = bounded(MAX_QUEUED_COMMANDS);
-    let partners: Vec<_> = config.partners.iter().map(|partner| partner.name.clone()).collect();
-    let handle = ControlHandle {
-        demand: Arc::default(),
-        active_config: Arc::new(ArcSwap::from_pointee(member.active_config())),
-        carried_bytes: Arc::new(CarriedBytes::new(partners.len())),
-        audit_log: audit_sender.clone(),
-        commands,
-        listed_nodes: Arc::new(ArcSwap::from_pointee(Vec::new())),
-        started_nodes: Arc::new(ArcSwap::from_pointee(Vec::new())),
-        counters: Arc::new(ActivityCounters::default()),
-        link_counters: Arc::default(),
-    };
+    let (request_sender, requests) = bounded(MAX_QUEUED_REQUESTS);
+    let active_config = member.active_config();
+    let handle = new_handle(active_config, config.partners.len(), audit_sender.clone(), request_sender);
     let quotas = config
         .quotas
         .take()
         .map(|quotas| QuotaSharing::new(quotas, config.terms.lease_seconds, handle.demand.clone(), now));
-
-    let counts = open_counts(counts, &name, incarnation)?;
-    let sides = partner_sides(&config.partners);
-    let commitments = match commitments {
+    let commitments = match stored.commitments {
         Some(commitments) => commitments,
         None => Commitments::new(&name).map_err(settlement_error)?,
     };
     member.set_known_settlements(commitments.applied_entries);
-    let fill_rate = config.fills.as_ref().map_or(f64::MAX, |fills| fills.bytes_per_second as f64);
-    let balance_terms =
-        settlement::SettlementTerms { most_rate: fill_rate, ..settlement::SettlementTerms::default() };
-    let balances = settlement::Balances::new(balance_terms, sides.clone(), commitments.ledger.clone())
-        .map_err(settlement_error)?;
-    let (fill_ended, finished_fills) = unbounded();
-    let setup = FillSetup::new(&config, doubles.fill_client, fill_ended);
-    let version_fills = setup.lane(Lane::Version, LOG_SHARE_HOLDER, &mut rng);
-    let mut own_fills = setup.lane(Lane::Own, &name, &mut rng);
-    // Committed before the restart: whether it is done, the fill service knows.
+    let counts = open_counts(stored.counts, &name, incarnation)?;
+    let balances = new_balances(&config, &commitments)?;
+    let (result_sender, attempt_results) = unbounded();
+    let setup = FillSetup::new(&config, doubles.fill_client, result_sender);
+    let version_fills = setup.scheduler(FillKind::Version, LOG_SHARE_HOLDER, &mut rng);
+    let mut own_fills = setup.scheduler(FillKind::Own, &name, &mut rng);
+    // Committed before the restart: the fill service knows whether they are done.
     let unfinished = commitments.fills.values().filter(|fill| !fill.done);
     own_fills.resume(unfinished.map(|committed| committed.fill.clone()), now);
-    let fills_started_nodes = config.fills.as_ref().is_some_and(|fills| fills.fill_started_nodes);
-    let rebalancing = config.rebalancing.as_ref();
     info!("fleet: {name} listening at {listen_address}, start {incarnation}, {}", role(&config.terms));
     let control_loop = ControlLoop {
         name,
@@ -256,7 +294,7 @@
         data,
         peers,
         events,
-        commands: command_queue,
+        requests,
         active_config: handle.active_config.clone(),
         link_counters: handle.link_counters.clone(),
         counters: handle.counters.clone(),
@@ -268,25 +306,21 @@
             handle.listed_nodes.clone(),
             config.terms.map_requirements.clone(),
         ),
-        rebalancing: Rebalancing::new(
-            rebalancing.map(|it| it.plan_file.clone()),
-            rebalancing.map_or(1, |it| it.max_concurrent_acts),
-            rebalancing.map_or(DEFAULT_SETTLE_SECONDS, |it| it.settle_seconds),
-        ),
+        rebalancing: new_rebalancing(config.rebalancing.as_ref()),
         traffic: TrafficCounts::new(
-            partners,
+            config.partners.iter().map(|partner| partner.name.clone()).collect(),
             handle.carried_bytes.clone(),
             counts,
             balances,
-            sides,
+            broker_partners(&config.partners),
             Pcg64Mcg::seed_from_u64(rng.random()),
         ),
-        settlement: Settlements::new(commitments, fills_started_nodes),
+        settlement: Settlements::new(commitments, fills_started_nodes(&config)),
         version_fills,
         own_fills,
         quotas,
-        finished_fills,
-        fill_bytes_per_second: fill_rate,
+        attempt_results,
+        fill_bytes_per_second: fill_rate(&config),
         slow_start: config.slow_start,
         started_nodes: handle.started_nodes.clone(),
         configured_brokers,
@@ -317,19 +351,19 @@
 }
 
 impl ControlPlane {
-    /// What the event loop holds; cheap to clone.
+    /// The event loop's access; cheap to clone.
     pub fn handle(&self) -> ControlHandle {
         self.handle.clone()
     }
 
-    /// Where other brokers reach this one.
+    /// The bound address at which other brokers reach this one.
     pub fn listen_address(&self) -> SocketAddr {
         self.listen_address
     }
 
     /// Shuts down gracefully: counts are stored and the audit log is flushed. A disk that does not answer is not waited for.
     pub fn stop(self) {
-        let _ = self.handle.commands.send_timeout(LoopRequest::Stop, SHUTDOWN_TIMEOUT);
+        let _ = self.handle.requests.send_timeout(LoopRequest::Stop, SHUTDOWN_TIMEOUT);
         join_with_timeout(self.thread);
         if let Some(audit_log) = self.audit_log {
             audit_log.finish();
--- a/crates/dunepond-control-plane/src/golden.rs
+++ b/crates/dunepond-control-plane/src/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Stored forms of the folder, of the operator's files and of the messages that are private to this crate: what earlier
-//! builds wrote is read as it was meant, and the same values give the same bytes.
+//! Formats of the data directory, of the operator's files and of the messages that are private to this crate: files of
+//! earlier builds are read, and the same values are written as the same bytes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::os::unix::fs::MetadataExt;
@@ -19,13 +19,13 @@
 use dunepond_simulation::fleet::terms;
 use dunepond_storage::{DiskStore as Directory, Journal, SnapshotStore};
 
-use crate::commitments::{Commitments, CommittedFill};
+use crate::commitments::{Commitments, CommittedFill, FinishedFill};
 use crate::data_directory::{DataDirectory, StoredState};
 use crate::documents::{self, Document};
 use crate::lost_majority;
 
-/// Unix milliseconds at which the stored folder was opened.
-const OPENED: u64 = 1_790_000_000_000;
+/// Unix milliseconds at which the stored directory was opened.
+const OPENED_UNIX_MILLIS: u64 = 1_790_000_000_000;
 const SNAPSHOTS: [&str; 4] = ["counts", "kept", "promises", "starts"];
 const JOURNAL: &str = "voter.journal";
 
@@ -38,7 +38,7 @@
     std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// `written` is what stands in the golden file `name`.
+/// Checks that `written` equals the golden file `name`.
 pub(crate) fn assert_same(name: &str, written: &[u8]) {
     assert_eq!(written, golden(name), "{name}");
 }
@@ -77,17 +77,17 @@
     }
 }
 
-fn tally() -> LocalCounts {
-    let mut tally = LocalCounts::open(None, "n1", 5).unwrap();
-    tally.record("north", "south", 700);
-    tally.record("south", "north", 300);
-    // What was counted before the last start is one sum.
-    let mut tally = LocalCounts::open(Some(tally), "n1", 6).unwrap();
-    tally.record("north", "south", 50);
+fn local_counts() -> LocalCounts {
+    let mut counts = LocalCounts::open(None, "n1", 5).unwrap();
+    counts.record("north", "south", 700);
+    counts.record("south", "north", 300);
+    // Counts of earlier starts are merged into one sum.
+    let mut counts = LocalCounts::open(Some(counts), "n1", 6).unwrap();
+    counts.record("north", "south", 50);
     let mut others = CarriedCounts::new();
     others.record("n2", 1_790_000_000_000, "south", "north", 1 << 40);
-    tally.merge_from_peer("n2", &others, &BrokerPartners::default()).unwrap();
-    tally
+    counts.merge_from_peer("n2", &others, &BrokerPartners::default()).unwrap();
+    counts
 }
 
 fn ledger() -> SettlementLedger {
@@ -104,18 +104,19 @@
     ledger
 }
 
-fn promises() -> Commitments {
+fn commitments() -> Commitments {
     let ledger = ledger();
     let mut shares = SharePromises::new("n1").unwrap();
     let promised = settlement("7/1/s-3+1790", "n1", 400);
     shares.promise(&ledger, promised.clone()).unwrap();
-    let pledged = |fill, done| CommittedFill { fill, done };
+    let committed = |fill, done| CommittedFill { fill, done };
     let fills = BTreeMap::from([
-        (text("7/1/s-3+1790"), pledged(fill("7/1/s-3+1790", Some(promised)), false)),
-        (text("7/2/s-3+1790"), pledged(fill("7/2/s-3+1790", None), true)),
+        (text("7/1/s-3+1790"), committed(fill("7/1/s-3+1790", Some(promised)), false)),
+        (text("7/2/s-3+1790"), committed(fill("7/2/s-3+1790", None), true)),
     ]);
-    let warmed = BTreeSet::from([(2, text("s-3"), 1790), (4, text("s-2"), 12)]);
-    Commitments { shares, ledger, applied_entries: 3, fills, finished: warmed }
+    let finished = |segment, node, incarnation| FinishedFill { segment, node: text(node), incarnation };
+    let finished = BTreeSet::from([finished(2, "s-3", 1790), finished(4, "s-2", 12)]);
+    Commitments { shares, ledger, applied_entries: 3, fills, finished }
 }
 
 /// The records of a voter of three, with version 1 in force.
@@ -126,14 +127,14 @@
     recovered.records.into_iter().map(|record| record.bytes).collect()
 }
 
-/// What a broker of that fleet knew.
-fn kept() -> PersistedState {
+/// The stored configuration of a broker of the same fleet.
+fn stored_config() -> PersistedState {
     let files = Directory::open_read_only(&golden_path("folder")).unwrap();
     let newest = SnapshotStore::new(Arc::new(files), "kept", 1).load().unwrap().newest.unwrap();
     PersistedState::decode(&newest.bytes).unwrap()
 }
 
-/// The stored folder in a place of its own. A stand-in for the directory: a real one knows a copy of itself.
+/// A copy of the stored directory, through a test double of the storage: a real one would be detected as a copy.
 fn copied() -> (tempfile::TempDir, Arc<Directory>) {
     let folder = tempfile::tempdir().unwrap();
     for name in SNAPSHOTS.map(|name| snapshot(name, 1)).iter().map(String::as_str).chain([JOURNAL]) {
@@ -151,16 +152,17 @@
 }
 
 #[test]
-fn a_folder_is_written_as_before() {
+fn directory_is_written() {
     let directory = tempfile::tempdir().unwrap();
     let files = Arc::new(Directory::open(directory.path()).unwrap());
-    let (mut folder, held) = DataDirectory::open(directory.path(), Some(files), true, OPENED).unwrap();
-    assert_eq!(held.incarnation, OPENED);
-    assert!(held.config.is_none() && held.counts.is_none() && held.commitments.is_none());
+    let (mut folder, stored) =
+        DataDirectory::open(directory.path(), Some(files), true, OPENED_UNIX_MILLIS).unwrap();
+    assert_eq!(stored.incarnation, OPENED_UNIX_MILLIS);
+    assert!(stored.config.is_none() && stored.counts.is_none() && stored.commitments.is_none());
     records().iter().for_each(|record| folder.append_to_journal(record).unwrap());
-    folder.save_config(&kept()).unwrap();
-    folder.save_counts(&tally()).unwrap();
-    folder.save_commitments(&promises()).unwrap();
+    folder.save_config(&stored_config()).unwrap();
+    folder.save_counts(&local_counts()).unwrap();
+    folder.save_commitments(&commitments()).unwrap();
 
     let mut expected: Vec<_> = SNAPSHOTS.map(|name| snapshot(name, 1)).into();
     expected.extend([text("dunepond.lock"), text(JOURNAL)]);
@@ -172,22 +174,22 @@
 }
 
 #[test]
-fn a_stored_folder_is_read_and_continued() {
+fn stored_directory_is_read() {
     let (directory, files) = copied();
-    let (mut folder, held) = DataDirectory::open(directory.path(), Some(files), true, 0).unwrap();
-    let StoredState { incarnation, voter_records: saved, config: was_kept, counts, commitments: promised } =
-        held;
-    // A clock that was set back does not bring an earlier start's number back.
-    assert_eq!(incarnation, OPENED + 1);
-    let (was_kept, counts, promised) = (was_kept.unwrap(), counts.unwrap(), promised.unwrap());
-    assert_eq!((&counts, &promised), (&tally(), &promises()));
-    let voter = Voter::open(terms("n1", 3), saved, 0.0, 1).unwrap();
+    let (mut folder, stored) = DataDirectory::open(directory.path(), Some(files), true, 0).unwrap();
+    let StoredState { incarnation, voter_records, config, counts, commitments: stored_commitments } = stored;
+    // The incarnation grows although the clock was set back.
+    assert_eq!(incarnation, OPENED_UNIX_MILLIS + 1);
+    let (config, counts, stored_commitments) =
+        (config.unwrap(), counts.unwrap(), stored_commitments.unwrap());
+    assert_eq!((&counts, &stored_commitments), (&local_counts(), &commitments()));
+    let voter = Voter::open(terms("n1", 3), voter_records, 0.0, 1).unwrap();
     let document: RecoveryOrder = serde_json::from_slice(&golden("majority-lost.json")).unwrap();
     assert_eq!(voter.recovery_position(), (document.folder_id, document.last_index));
 
-    folder.save_config(&was_kept).unwrap();
+    folder.save_config(&config).unwrap();
     folder.save_counts(&counts).unwrap();
-    folder.save_commitments(&promised).unwrap();
+    folder.save_commitments(&stored_commitments).unwrap();
     let files: Arc<Directory> = Arc::new(Directory::open_read_only(directory.path()).unwrap());
     for name in ["counts", "kept", "promises"] {
         let newest = SnapshotStore::new(files.clone(), name, 1).load().unwrap().newest.unwrap();
@@ -198,38 +200,39 @@
     }
 }
 
-/// Inode and time of making, as decimal numbers: read by any later build in the same place.
+/// Inode and creation time as decimal numbers, which later builds read in the same directory.
 #[test]
-fn a_real_folder_marks_its_place_on_the_disk_as_before() {
+fn origin_file_format() {
     let directory = tempfile::tempdir().unwrap();
-    let (mut folder, _) = DataDirectory::open(directory.path(), None, true, OPENED).unwrap();
+    let (mut folder, _) = DataDirectory::open(directory.path(), None, true, OPENED_UNIX_MILLIS).unwrap();
     folder.append_to_journal(&records()[0]).unwrap();
     drop(folder);
     let origin = directory.path().join("origin");
     let about = std::fs::metadata(&origin).unwrap();
     let made = about.created().unwrap().duration_since(UNIX_EPOCH).unwrap().as_nanos();
     assert_eq!(std::fs::read_to_string(&origin).unwrap(), format!("{} {made}", about.ino()));
-    let (_, held) = DataDirectory::open(directory.path(), None, true, OPENED).unwrap();
+    let (_, stored) = DataDirectory::open(directory.path(), None, true, OPENED_UNIX_MILLIS).unwrap();
     let mut expected = StoredVoter::new();
     expected.apply_record(&records()[0]).unwrap();
     assert_eq!(
-        format!("{:?}", held.voter_records),
+        format!("{:?}", stored.voter_records),
         format!("{expected:?}"),
-        "the records of this very folder"
+        "the records of the same directory"
     );
 }
 
 #[test]
-fn a_stored_word_on_a_lost_majority_is_obeyed_once() {
+fn stored_recovery_order_is_carried_out_once() {
     let (directory, files) = copied();
-    let (mut folder, held) = DataDirectory::open(directory.path(), Some(files), true, OPENED).unwrap();
+    let (mut folder, stored) =
+        DataDirectory::open(directory.path(), Some(files), true, OPENED_UNIX_MILLIS).unwrap();
     let document = golden("majority-lost.json");
     let (file, done) =
         (directory.path().join("majority-lost.json"), directory.path().join("majority-lost.done"));
     std::fs::write(&file, &document).unwrap();
     let voter =
-        lost_majority::recover(directory.path(), &mut folder, &terms("n1", 3), &held.voter_records, 0.0, 1);
-    let voter = voter.unwrap().expect("goes on by the word");
+        lost_majority::recover(directory.path(), &mut folder, &terms("n1", 3), &stored.voter_records, 0.0, 1);
+    let voter = voter.unwrap().expect("recovers by the order");
     assert_eq!(voter.state().active_number(), 1);
     assert!(!file.exists());
     assert_eq!(std::fs::read(&done).unwrap(), document);
@@ -293,7 +296,7 @@
     }
 }
 
-fn voting() -> VoterChange {
+fn voters() -> VoterChange {
     VoterChange {
         number: 1,
         voters: vec![
@@ -306,43 +309,43 @@
     }
 }
 
-fn read_word(name: &str) -> Document {
+fn read_golden(name: &str) -> Document {
     documents::read_document(&golden_path(name), 2, &[], &MapTerms { min_replicas: 2, min_zones: 1 }).unwrap()
 }
 
-/// The operator's documents mean what they meant, and go to the leader in the same bytes.
+/// The operator's documents are read, and sent to the leader in the same bytes.
 #[test]
-fn stored_version_and_voter_files_are_read_and_proposed_as_before() {
-    let words =
-        [("version", Document::Version(Box::new(version_7()))), ("voters", Document::Voters(voting()))];
-    for (name, word) in words {
-        assert_eq!(read_word(&format!("{name}.json")), word, "{name}");
+fn version_and_voter_file_formats() {
+    let documents =
+        [("version", Document::Version(Box::new(version_7()))), ("voters", Document::Voters(voters()))];
+    for (name, document) in documents {
+        assert_eq!(read_golden(&format!("{name}.json")), document, "{name}");
         let message = format!("propose-{name}.bin");
-        assert_same(&message, &postcard::to_stdvec(&word).unwrap());
-        assert_eq!(postcard::from_bytes::<Document>(&golden(&message)).unwrap(), word, "{name}");
+        assert_same(&message, &postcard::to_stdvec(&document).unwrap());
+        assert_eq!(postcard::from_bytes::<Document>(&golden(&message)).unwrap(), document, "{name}");
     }
 }
 
-/// What brokers bring to the leader, and what they tell each other of what they counted.
+/// Settlement entries that brokers send to the leader, and the counts that they exchange.
 #[test]
-fn messages_about_debts_are_as_before() {
-    let mut shares = promises().shares;
+fn settlement_message_formats() {
+    let mut shares = commitments().shares;
     shares.release(&ledger(), "north", "south", 250).unwrap();
     let due: Vec<SettlementEntry> = shares.pending_entries().collect();
     assert_eq!(due.len(), 2);
     assert_same("bring.bin", &postcard::to_stdvec(&due).unwrap());
     assert_eq!(postcard::from_bytes::<Vec<SettlementEntry>>(&golden("bring.bin")).unwrap(), due);
 
-    let word = dunepond_settlement::CountsMessage::counts_only(tally().counts().clone());
-    assert_same("counts-word.bin", &postcard::to_stdvec(&word).unwrap());
+    let message = dunepond_settlement::CountsMessage::counts_only(local_counts().counts().clone());
+    assert_same("counts-word.bin", &postcard::to_stdvec(&message).unwrap());
     assert_eq!(
         postcard::from_bytes::<dunepond_settlement::CountsMessage>(&golden("counts-word.bin")).unwrap(),
-        word
+        message
     );
-    // One of a build that tells the counts alone.
-    assert_same("counts-alone.bin", &postcard::to_stdvec(tally().counts()).unwrap());
+    // An older build sends the counts without the acknowledgements.
+    assert_same("counts-alone.bin", &postcard::to_stdvec(local_counts().counts()).unwrap());
     assert_eq!(
         &postcard::from_bytes::<CarriedCounts>(&golden("counts-alone.bin")).unwrap(),
-        tally().counts()
+        local_counts().counts()
     );
 }
--- /dev/null
+++ b/crates/dunepond-control-plane/src/tests/mod.rs
@@ -0,0 +1,3 @@
+//! Tests of what several modules of this crate share.
+
+pub(crate) mod golden;
