--- a/crates/dunepond-consensus/src/command.rs
+++ b/crates/dunepond-consensus/src/command.rs
@@ -42,7 +42,7 @@
     Quota(dunepond_quota::QuotaEntry),
     /// A rebalancing plan; its steps are versions.
     #[serde(rename = "Move")]
-    Rebalance(dunepond_rebalance::Agreed),
+    Rebalance(dunepond_rebalance::CommittedEntry),
     /// Replaces the list of voters.
     #[serde(rename = "Vote")]
     ChangeVoters(Box<VoterChange>),
--- a/crates/dunepond-consensus/src/rejection.rs
+++ b/crates/dunepond-consensus/src/rejection.rs
@@ -1,7 +1,7 @@
 //! Why a command, a version or a lease reply is not accepted.
 
 use dunepond_quota::QuotaError;
-use dunepond_rebalance::MoveError;
+use dunepond_rebalance::RebalanceError;
 use dunepond_settlement::SettlementError;
 use dunepond_shard_map::MapFault;
 
@@ -117,7 +117,7 @@
     Quota(QuotaError),
     /// By the rebalancing plan.
     #[error("{0}")]
-    Rebalance(Box<MoveError>),
+    Rebalance(Box<RebalanceError>),
     /// Too many entries are uncommitted.
     #[error("too many entries are proposed and not yet committed")]
     Busy,
@@ -249,8 +249,8 @@
     },
 }
 
-impl From<MoveError> for Rejection {
-    fn from(error: MoveError) -> Self {
+impl From<RebalanceError> for Rejection {
+    fn from(error: RebalanceError) -> Self {
         Self::Rebalance(Box::new(error))
     }
 }
--- a/crates/dunepond-consensus/src/replicated_state/rebalance.rs
+++ b/crates/dunepond-consensus/src/replicated_state/rebalance.rs
@@ -1,6 +1,6 @@
 //! Rebalancing plans, and the versions that carry out their steps.
 
-use dunepond_rebalance::{Agreed, PlanProgress, Seen};
+use dunepond_rebalance::{CommittedEntry, PlanProgress, RebalanceContext};
 
 use super::{ReplicatedState, StateChange};
 use crate::{ConfigVersion, Rejection};
@@ -12,12 +12,12 @@
     }
 
     /// The state in which an entry of a plan is judged.
-    pub fn rebalance_context(&self) -> Seen<'_> {
-        Seen {
-            open: self.open.as_ref().map(|open| open.version.number),
-            highest: self.highest_number,
-            proof: self.proof.as_ref(),
-            most_changed: self.config.max_changed_ratio,
+    pub fn rebalance_context(&self) -> RebalanceContext<'_> {
+        RebalanceContext {
+            open_version: self.open.as_ref().map(|open| open.version.number),
+            highest_version: self.highest_number,
+            active_map: self.proof.as_ref(),
+            max_changed_ratio: self.config.max_changed_ratio,
         }
     }
 
@@ -26,23 +26,17 @@
         self.active.as_ref().is_some_and(|(version, _)| version.excluded_nodes.contains(node))
     }
 
-    pub(super) fn check_rebalance(&self, entry: &Agreed) -> Result<(), Rejection> {
+    pub(super) fn check_rebalance(&self, entry: &CommittedEntry) -> Result<(), Rejection> {
         Ok(self.rebalance.check(entry, &self.rebalance_context())?)
     }
 
-    pub(super) fn apply_rebalance(&mut self, entry: Agreed) -> Result<StateChange, Rejection> {
-        let plan = match &entry {
-            Agreed::Taken { plan, .. } => plan.id.clone(),
-            Agreed::Begun { plan, .. }
-            | Agreed::Paused { plan, .. }
-            | Agreed::Resumed { plan, .. }
-            | Agreed::Withdrawn { plan, .. } => plan.clone(),
-        };
+    pub(super) fn apply_rebalance(&mut self, entry: CommittedEntry) -> Result<StateChange, Rejection> {
+        let plan = entry.plan_id().to_string();
         let mut progress = std::mem::take(&mut self.rebalance);
         let applied = progress.apply(entry, &self.rebalance_context());
         self.rebalance = progress;
         applied?;
-        let status = self.rebalance.told(&plan).unwrap_or_default();
+        let status = self.rebalance.status(&plan).unwrap_or_default();
         Ok(StateChange::Rebalance { plan, status })
     }
 
@@ -51,6 +45,6 @@
         let digest = version.map.as_ref().map(|map| map.digest.as_str());
         let active = self.proof.as_ref().map(|proof| proof.digest());
         let other_map = digest.filter(|digest| active != Some(*digest));
-        Ok(self.rebalance.allows(version.number, other_map)?)
+        Ok(self.rebalance.check_version(version.number, other_map)?)
     }
 }
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
+use dunepond_rebalance::VersionEnd;
 use dunepond_shard_map::{self as maps, MapTransition, VerifiedMap};
 use serde::{Deserialize, Serialize};
 
@@ -251,7 +252,7 @@
         }
         self.active = Some((open.version, open.digest));
         self.settlements.close_old_versions(number);
-        self.rebalance.ended(number, None);
+        self.rebalance.on_version_ended(number, VersionEnd::Activated);
         StateChange::Activated(number)
     }
 
@@ -274,7 +275,7 @@
     fn withdraw(&mut self, number: u64, why: String) -> StateChange {
         let open = self.open.take().expect("checked");
         self.proposal = None;
-        self.rebalance.ended(number, Some(&why));
+        self.rebalance.on_version_ended(number, VersionEnd::Withdrawn(&why));
         self.record_end(&open.version, ChangeEnd::Withdrawn(why));
         StateChange::Withdrawn(number)
     }
--- a/crates/dunepond-consensus/tests/golden/runs.rs
+++ b/crates/dunepond-consensus/tests/golden/runs.rs
@@ -6,7 +6,8 @@
 use dunepond_consensus::*;
 use dunepond_quota::{QuotaEntry as Limit, QuotaShare};
 use dunepond_rebalance::{
-    Act, Agreed as Move, By, Kind, Operation, Pace, Pause, Plan, Step as PlanStep, Wave, order,
+    Action, ActionBatch, CommittedEntry as Move, Operation, PauseReason, Plan, ResumeTrigger,
+    Step as PlanStep, StepKind, StepLimits, order_steps,
 };
 use dunepond_settlement::{Release, SettlementEntry as Debt, StartedFill};
 use dunepond_simulation::fleet::{map, settlement, terms, version};
@@ -198,17 +199,17 @@
 fn plan(id: &str) -> Plan {
     Plan {
         id: text(id),
-        who: text("ann"),
-        why: text("a test"),
-        word: Default::default(),
+        proposed_by: text("ann"),
+        reason: text("a test"),
+        desired_state: Default::default(),
         ordered: false,
         operations: vec![
-            Operation::Split { segment: 0, at: vec![1 << 40], into: vec![100, 101] },
+            Operation::Split { segment: 0, split_keys: vec![1 << 40], into: vec![100, 101] },
             Operation::Move { segment: 1, from: text("s1a"), to: text("s2a") },
-            Operation::Own { segment: 3, to: text("s3a") },
+            Operation::ChangeOwner { segment: 3, to: text("s3a") },
         ],
         nodes: BTreeMap::new(),
-        cells: BTreeMap::new(),
+        replica_groups: BTreeMap::new(),
         partners: BTreeMap::new(),
         sizes: Default::default(),
     }
@@ -221,36 +222,48 @@
     let owner = |segment: u64| proof.segment(segment).unwrap().owner.clone();
     let other = if owner(3) == "s3a" { "s3b" } else { "s3a" };
     plan.operations[1] = Operation::Move { segment: 1, from: owner(1), to: text("s2a") };
-    plan.operations[2] = Operation::Own { segment: 3, to: text(other) };
-    let steps = order(&plan, &proof, Pace { at_once: 2, most_changed: 1.0 }, |_| false).unwrap();
+    plan.operations[2] = Operation::ChangeOwner { segment: 3, to: text(other) };
+    let steps =
+        order_steps(&plan, &proof, StepLimits { max_actions: 2, max_changed_ratio: 1.0 }, |_| false).unwrap();
     (plan, steps)
 }
 
 fn enter_moves(alone: &mut Alone) {
     let (taken, steps) = fitting(alone, "p1");
     let plan = || text("p1");
-    let waves: Vec<&Wave> = steps.iter().flat_map(|step| step.back.iter().chain([&step.wave])).collect();
-    assert!(waves.iter().any(|wave| wave.kind == Kind::Fence));
-    assert!(waves.iter().flat_map(|wave| &wave.acts).any(|(_, act)| matches!(act, Act::Switch { .. })));
-    alone.enter(Command::Rebalance(Move::Taken { plan: Box::new(taken), steps, at_once: 2 }));
-    for why in [Pause::Pressed { hundredths: 40 }, Pause::Word { who: text("ann") }] {
-        alone.enter(Command::Rebalance(Move::Paused { plan: plan(), why }));
+    let batches: Vec<&ActionBatch> =
+        steps.iter().flat_map(|step| step.rollback.iter().chain([&step.forward])).collect();
+    assert!(batches.iter().any(|batch| batch.kind == StepKind::Fence));
+    let mut actions = batches.iter().flat_map(|batch| &batch.actions);
+    assert!(actions.any(|planned| matches!(planned.action, Action::Switch { .. })));
+    alone.enter(Command::Rebalance(Move::Accepted { plan: Box::new(taken), steps, max_actions: 2 }));
+    for reason in
+        [PauseReason::Overload { overloaded_percent: 40 }, PauseReason::Operator { name: text("ann") }]
+    {
+        alone.enter(Command::Rebalance(Move::Paused { plan: plan(), reason }));
     }
-    alone.enter(Command::Rebalance(Move::Resumed { plan: plan(), by: By::Operator(text("ann")) }));
-    let pressed = Pause::Pressed { hundredths: 40 };
-    alone.enter(Command::Rebalance(Move::Paused { plan: plan(), why: pressed }));
-    alone.enter(Command::Rebalance(Move::Resumed { plan: plan(), by: By::Pressure(5) }));
-    let failed = Pause::Failed { why: text("a test") };
-    alone.enter(Command::Rebalance(Move::Paused { plan: plan(), why: failed }));
-    alone.enter(Command::Rebalance(Move::Resumed { plan: plan(), by: By::Operator(text("ann")) }));
+    alone.enter(Command::Rebalance(Move::Resumed {
+        plan: plan(),
+        trigger: ResumeTrigger::Operator(text("ann")),
+    }));
+    let overload = PauseReason::Overload { overloaded_percent: 40 };
+    alone.enter(Command::Rebalance(Move::Paused { plan: plan(), reason: overload }));
+    alone.enter(Command::Rebalance(Move::Resumed { plan: plan(), trigger: ResumeTrigger::LoadNormal(5) }));
+    let failed = PauseReason::StepFailed { reason: text("a test") };
+    alone.enter(Command::Rebalance(Move::Paused { plan: plan(), reason: failed }));
+    alone.enter(Command::Rebalance(Move::Resumed {
+        plan: plan(),
+        trigger: ResumeTrigger::Operator(text("ann")),
+    }));
     let state = alone.voter.state();
     let running = state.rebalance().running.as_ref().unwrap();
-    let moving = running.wave().unwrap().moving(state.map_proof().unwrap(), running.done).unwrap();
-    let (number, digest) = (state.highest_number + 1, text(moving.to().digest()));
-    alone.enter(Command::Rebalance(Move::Begun { plan: plan(), turn: 0, number, digest }));
+    let batch = running.current_batch().unwrap();
+    let transition = batch.transition(state.map_proof().unwrap(), running.steps_done).unwrap();
+    let (number, digest) = (state.highest_number + 1, text(transition.to().digest()));
+    alone.enter(Command::Rebalance(Move::StepStarted { plan: plan(), turn: 0, number, digest }));
     states(alone, "state-plan");
-    let (who, why) = (text("ann"), text("a test"));
-    alone.enter(Command::Rebalance(Move::Withdrawn { plan: plan(), who, why }));
+    let (withdrawn_by, reason) = (text("ann"), text("a test"));
+    alone.enter(Command::Rebalance(Move::Withdrawn { plan: plan(), withdrawn_by, reason }));
 }
 
 fn enter_votes(alone: &mut Alone) {
--- a/crates/dunepond-consensus/tests/parts.rs
+++ b/crates/dunepond-consensus/tests/parts.rs
@@ -371,7 +371,7 @@
         Settlement(SettlementError::Name { name: text() }),
         Quota(dunepond_quota::QuotaError::NoChange),
         Busy,
-        Rebalance(Box::new(dunepond_rebalance::MoveError::NoMap)),
+        Rebalance(Box::new(dunepond_rebalance::RebalanceError::NoMap)),
         ConfigWhileOpen(1),
         StaleEpoch { said: 1, known: 2 },
         OtherFleet,
--- a/crates/dunepond-control-plane/src/control_loop/proposals.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals.rs
@@ -67,7 +67,7 @@
             Err(why @ (Rejection::ChangeOpen { .. } | Rejection::NoLeader | Rejection::RollingBack(_))) => {
                 Self::RetryLater(why.to_string())
             }
-            Err(Rejection::Rebalance(why)) if why.passes() => Self::RetryLater(why.to_string()),
+            Err(Rejection::Rebalance(why)) if why.is_transient() => Self::RetryLater(why.to_string()),
             Err(
                 Rejection::WrongNumber { given, expected } | Rejection::WrongVotersNumber { given, expected },
             ) if given < expected => Self::NumberUsed { expected },
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
@@ -8,7 +8,7 @@
 
 use std::path::{Path, PathBuf};
 
-use dunepond_rebalance::{Held, Plan, Pressure};
+use dunepond_rebalance::{OverloadMonitor, Plan, PlanWait};
 use tracing::{error, info};
 
 use super::ControlLoop;
@@ -36,9 +36,9 @@
     current_turn: Option<CurrentTurn>,
     /// When the last entry was entered, while it may still be committed.
     entered_at: f64,
-    pressure: Pressure,
+    overload_monitor: OverloadMonitor,
     /// The reason to wait that was last logged.
-    reported_wait: Option<Held>,
+    reported_wait: Option<PlanWait>,
 }
 
 /// The turn that the leader works on.
@@ -63,7 +63,7 @@
             voters_tried: 0,
             current_turn: None,
             entered_at: f64::NEG_INFINITY,
-            pressure: Pressure::default(),
+            overload_monitor: OverloadMonitor::default(),
             reported_wait: None,
         }
     }
@@ -105,7 +105,7 @@
 fn read_plan(path: &Path) -> Result<Plan, PlanError> {
     let path = path.to_path_buf();
     match std::fs::read_to_string(&path) {
-        Ok(text) => Plan::read(&text).map_err(|why| PlanError::Invalid { path, why: Box::new(why) }),
+        Ok(text) => Plan::parse(&text).map_err(|why| PlanError::Invalid { path, why: Box::new(why) }),
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => Err(PlanError::NotFound { path }),
         Err(e) => Err(PlanError::Unreadable { path, why: e.to_string() }),
     }
@@ -116,7 +116,7 @@
     pub(super) fn fills_are_paused(&self) -> bool {
         let state = self.voter.as_ref().map(|voter| voter.state());
         let running = state.and_then(|state| state.rebalance().running.as_ref());
-        running.is_some_and(|running| running.paused.is_some() && running.begun.is_some())
+        running.is_some_and(|running| running.pause.is_some() && running.started.is_some())
     }
 
     /// Offers the file's plan to the leader until it is known, and carries out the agreed plan where this broker leads.
@@ -127,7 +127,7 @@
         }
         self.rebalancing.current_turn = None;
         self.rebalancing.reported_wait = None;
-        self.rebalancing.pressure = Pressure::default();
+        self.rebalancing.overload_monitor = OverloadMonitor::default();
     }
 }
 
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -2,7 +2,10 @@
 
 use dunepond_consensus::{Command, Rejection, ReplicatedState};
 use dunepond_membership::{RefusalReason, RequestKind, Responder};
-use dunepond_rebalance::{Agreed, By, MoveError, Pace, Pause, Plan, PlanProgress, Word, order};
+use dunepond_rebalance::{
+    CommittedEntry, DesiredState, PauseReason, Plan, PlanProgress, RebalanceError, ResumeTrigger, StepLimits,
+    order_steps,
+};
 use serde::{Deserialize, Serialize};
 use tracing::{error, info};
 
@@ -45,7 +48,7 @@
     fn of(why: &Rejection) -> Self {
         match why {
             Rejection::NotLeader(leader) => Self::NotLeader(leader.clone()),
-            Rejection::Rebalance(e) if e.passes() => Self::RetryLater(why.to_string()),
+            Rejection::Rebalance(e) if e.is_transient() => Self::RetryLater(why.to_string()),
             Rejection::Busy | Rejection::NoLeader => Self::RetryLater(why.to_string()),
             _ => Self::Refused { why: why.to_string(), help: why.help().to_string() },
         }
@@ -143,13 +146,13 @@
             return OfferReply::NotLeader(leader.filter(|leader| *leader != self.name));
         };
         let state = voter.state();
-        if let Some(status) = state.rebalance().told(&offer.plan.id) {
+        if let Some(status) = state.rebalance().status(&offer.plan.id) {
             return match operator_entry(state.rebalance(), offer) {
                 Some(entry) => self.enter_offered(entry),
                 None => OfferReply::Known(status),
             };
         }
-        if offer.plan.word == Word::Withdraw {
+        if offer.plan.desired_state == DesiredState::Withdraw {
             return OfferReply::Known("it was never taken, so nothing is to be undone".to_string());
         }
         match ordered_plan(state, offer.plan, offer.max_concurrent_acts) {
@@ -158,7 +161,7 @@
         }
     }
 
-    fn enter_offered(&mut self, entry: Agreed) -> OfferReply {
+    fn enter_offered(&mut self, entry: CommittedEntry) -> OfferReply {
         match self.enter(Command::Rebalance(entry)) {
             Ok(()) => OfferReply::Accepted,
             Err(why) => OfferReply::of(&why),
@@ -167,16 +170,23 @@
 }
 
 /// The entry that the operator's command asks for, for a plan that the log knows; `None` if it changes nothing.
-fn operator_entry(progress: &PlanProgress, offer: PlanOffer) -> Option<Agreed> {
-    let PlanOffer { plan: Plan { id, who, why, word, .. }, is_repeat, .. } = offer;
+fn operator_entry(progress: &PlanProgress, offer: PlanOffer) -> Option<CommittedEntry> {
+    let PlanOffer { plan: Plan { id, proposed_by, reason, desired_state, .. }, is_repeat, .. } = offer;
     let running = progress.running.as_ref().filter(|running| running.plan.id == id)?;
-    let is_paused_by_load = matches!(running.paused, Some(Pause::Pressed { .. }));
-    let is_paused = running.paused.is_some() && !is_paused_by_load;
-    match word {
-        Word::Pause if !is_paused => Some(Agreed::Paused { plan: id, why: Pause::Word { who } }),
+    let is_paused_by_load = matches!(running.pause, Some(PauseReason::Overload { .. }));
+    let is_paused = running.pause.is_some() && !is_paused_by_load;
+    match desired_state {
+        DesiredState::Pause if !is_paused => {
+            let reason = PauseReason::Operator { name: proposed_by };
+            Some(CommittedEntry::Paused { plan: id, reason })
+        }
         // A repeated offer must not resume a plan that was paused after the first one.
-        Word::Go if is_paused && !is_repeat => Some(Agreed::Resumed { plan: id, by: By::Operator(who) }),
-        Word::Withdraw if running.undoing.is_none() => Some(Agreed::Withdrawn { plan: id, who, why }),
+        DesiredState::Run if is_paused && !is_repeat => {
+            Some(CommittedEntry::Resumed { plan: id, trigger: ResumeTrigger::Operator(proposed_by) })
+        }
+        DesiredState::Withdraw if running.withdrawal.is_none() => {
+            Some(CommittedEntry::Withdrawn { plan: id, withdrawn_by: proposed_by, reason })
+        }
         _ => None,
     }
 }
@@ -186,24 +196,25 @@
     state: &ReplicatedState,
     plan: Plan,
     max_concurrent_acts: usize,
-) -> Result<Agreed, Rejection> {
-    let map = state.map_proof().ok_or(MoveError::NoMap)?;
+) -> Result<CommittedEntry, Rejection> {
+    let map = state.map_proof().ok_or(RebalanceError::NoMap)?;
     if let Some(running) = &state.rebalance().running {
-        return Err(MoveError::Runs { running: running.plan.id.clone() }.into());
+        return Err(RebalanceError::OtherPlanRunning { running: running.plan.id.clone() }.into());
     }
     if let Some(open) = &state.open {
-        return Err(MoveError::Open { open: open.version.number }.into());
+        return Err(RebalanceError::VersionOpen { open: open.version.number }.into());
     }
-    let pace = Pace { at_once: max_concurrent_acts, most_changed: state.config.max_changed_ratio };
-    let steps = order(&plan, map, pace, |node| state.is_excluded(node))?;
+    let limits =
+        StepLimits { max_actions: max_concurrent_acts, max_changed_ratio: state.config.max_changed_ratio };
+    let steps = order_steps(&plan, map, limits, |node| state.is_excluded(node))?;
     info!(
         "fleet: plan {} by {}: {} operations in {} steps, at most {max_concurrent_acts} at once \
          and a share of {} of the segments",
         plan.id,
-        plan.who,
+        plan.proposed_by,
         plan.operations.len(),
         steps.len(),
-        pace.most_changed
+        limits.max_changed_ratio
     );
-    Ok(Agreed::Taken { plan: Box::new(plan), steps, at_once: max_concurrent_acts })
+    Ok(CommittedEntry::Accepted { plan: Box::new(plan), steps, max_actions: max_concurrent_acts })
 }
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
@@ -1,7 +1,9 @@
 //! Steps: at the leader, the next entry or version of the agreed plan.
 
 use dunepond_consensus::{Command, ConfigVersion, Rejection};
-use dunepond_rebalance::{Act, Agreed, By, Held, Next, Operation, Pause, Running};
+use dunepond_rebalance::{
+    Action, CommittedEntry, LeaderAction, Operation, PauseReason, PlanWait, ResumeTrigger, RunningPlan,
+};
 use dunepond_shard_map::ShardMap;
 use tracing::{info, warn};
 
@@ -18,34 +20,34 @@
         let Some(next) = self.next_step(now) else { return };
         self.rebalancing.entered_at = now;
         match next {
-            Next::Nothing(wait) => {
+            LeaderAction::Wait(wait) => {
                 self.rebalancing.entered_at = f64::NEG_INFINITY;
                 self.log_wait(wait);
             }
-            Next::Enter(entry) => {
+            LeaderAction::Enter(entry) => {
                 self.log_step(&entry);
                 self.enter_step(Command::Rebalance(entry));
             }
-            Next::Propose { number, moving } => {
-                let Some(version) = self.step_version(number, moving.to().map().clone()) else { return };
+            LeaderAction::Propose { number, transition } => {
+                let Some(version) = self.step_version(number, transition.to().map().clone()) else { return };
                 self.enter_step(Command::Propose(Box::new(version)));
             }
-            Next::Withdraw { number, why } => {
-                info!("fleet: version {number} is taken back: {why}");
-                self.enter_step(Command::Withdraw { number, why });
+            LeaderAction::Withdraw { number, reason } => {
+                info!("fleet: version {number} is taken back: {reason}");
+                self.enter_step(Command::Withdraw { number, why: reason });
             }
         }
     }
 
     /// What is to be done now: a pause or the end of one by the brokers' load, else what the plan's progress says. `None`
     /// without a plan, and while the last entry may still be committed.
-    fn next_step(&mut self, now: f64) -> Option<Next> {
+    fn next_step(&mut self, now: f64) -> Option<LeaderAction> {
         let voter = self.voter.as_ref()?;
         let (state, rebalancing) = (voter.state(), &mut self.rebalancing);
         for (broker, is_overloaded) in voter.broker_overloads() {
-            rebalancing.pressure.heard(now, broker, is_overloaded);
+            rebalancing.overload_monitor.record_report(now, broker, is_overloaded);
         }
-        let is_overloaded = rebalancing.pressure.pressed(now, LOAD_REPORT_LEASES * self.lease_seconds);
+        let is_overloaded = rebalancing.overload_monitor.update(now, LOAD_REPORT_LEASES * self.lease_seconds);
         let Some(running) = &state.rebalance().running else {
             rebalancing.current_turn = None;
             rebalancing.reported_wait = None;
@@ -55,36 +57,40 @@
         if now < rebalancing.entered_at + RETRY_LEASES * self.lease_seconds {
             return None;
         }
-        let hundredths = (100.0 * rebalancing.pressure.share()).round() as u32;
+        let overloaded_percent = (100.0 * rebalancing.overload_monitor.overloaded_ratio()).round() as u32;
         let plan = running.plan.id.clone();
-        Some(match (&running.paused, is_overloaded) {
-            (None, true) => Next::Enter(Agreed::Paused { plan, why: Pause::Pressed { hundredths } }),
-            (Some(Pause::Pressed { .. }), false) => {
-                Next::Enter(Agreed::Resumed { plan, by: By::Pressure(hundredths) })
+        Some(match (&running.pause, is_overloaded) {
+            (None, true) => {
+                let reason = PauseReason::Overload { overloaded_percent };
+                LeaderAction::Enter(CommittedEntry::Paused { plan, reason })
             }
+            (Some(PauseReason::Overload { .. }), false) => LeaderAction::Enter(CommittedEntry::Resumed {
+                plan,
+                trigger: ResumeTrigger::LoadNormal(overloaded_percent),
+            }),
             _ => {
                 let has_settled = now >= since + rebalancing.settle_seconds;
-                state.rebalance().next(&state.rebalance_context(), has_settled)
+                state.rebalance().next_action(&state.rebalance_context(), has_settled)
             }
         })
     }
 
     /// Logs the reason to wait once.
-    fn log_wait(&mut self, wait: Held) {
+    fn log_wait(&mut self, wait: PlanWait) {
         if self.rebalancing.reported_wait.as_ref() == Some(&wait) {
             return;
         }
         match &wait {
-            Held::Paused(why) => info!("fleet: plan {}: waits: {why}", self.plan_id()),
-            Held::Other(open) => {
+            PlanWait::Paused(why) => info!("fleet: plan {}: waits: {why}", self.plan_id()),
+            PlanWait::OtherVersion(open) => {
                 info!("fleet: plan {}: waits for version {open}, which is no step", self.plan_id());
             }
-            Held::NoPlan | Held::UnderWay(_) => {}
+            PlanWait::NoPlan | PlanWait::StepInProgress(_) => {}
         }
         self.rebalancing.reported_wait = Some(wait);
     }
 
-    fn running_plan(&self) -> Option<&Running> {
+    fn running_plan(&self) -> Option<&RunningPlan> {
         self.voter.as_ref()?.state().rebalance().running.as_ref()
     }
 
@@ -93,20 +99,24 @@
     }
 
     /// One line for each step: on whose authority, within which limits, and what is left.
-    fn log_step(&self, entry: &Agreed) {
+    fn log_step(&self, entry: &CommittedEntry) {
         let Some(running) = self.running_plan() else { return };
-        let (id, who, why) = (&running.plan.id, &running.plan.who, &running.plan.why);
-        let (Agreed::Begun { turn, number, .. }, Some(wave)) = (entry, running.wave()) else {
+        let (id, who, why) = (&running.plan.id, &running.plan.proposed_by, &running.plan.reason);
+        let (CommittedEntry::StepStarted { turn, number, .. }, Some(batch)) =
+            (entry, running.current_batch())
+        else {
             return info!("fleet: plan {id}: {entry:?}");
         };
         let map = self.voter.as_ref().and_then(|voter| voter.state().map_proof());
-        let (changed, segments) = wave.changed(map.map_or(0, |map| map.len()));
-        let direction = if running.undoing.is_some() { "back" } else { "on" };
+        let changes = batch.changed_segments(map.map_or(0, |map| map.len()));
+        let direction = if running.withdrawal.is_some() { "back" } else { "on" };
         let is_move = |operation: &&Operation| matches!(operation, Operation::Move { .. });
         info!(
-            "fleet: plan {id}, turn {turn}, version {number}, {direction}: {wave}; {} at once, {changed} of {segments} \
+            "fleet: plan {id}, turn {turn}, version {number}, {direction}: {batch}; {} at once, {} of {} \
              segments; {} operations left, {} moves in all; {who}: {why}",
-            wave.acts.len(),
+            batch.actions.len(),
+            changes.changed,
+            changes.of,
             remaining_operations(running),
             running.plan.operations.iter().filter(is_move).count(),
         );
@@ -118,15 +128,15 @@
         let running = state.rebalance().running.as_ref()?;
         let (in_force, _) = state.active.as_ref()?;
         let plan = &running.plan;
-        let wave = running.wave().map_or(String::new(), ToString::to_string);
-        let direction = if running.undoing.is_some() { ", back" } else { "" };
+        let batch = running.current_batch().map_or(String::new(), ToString::to_string);
+        let direction = if running.withdrawal.is_some() { ", back" } else { "" };
         Some(ConfigVersion {
             number,
             based_on: Some(in_force.number),
             first_stage_ratio: None,
             map: Some(map),
-            proposed_by: plan.who.clone(),
-            reason: format!("plan {}, turn {}{direction}: {wave}; {}", plan.id, running.turn, plan.why),
+            proposed_by: plan.proposed_by.clone(),
+            reason: format!("plan {}, turn {}{direction}: {batch}; {}", plan.id, running.turn, plan.reason),
             proposed_at_unix_seconds: unix_seconds(),
             ..ConfigVersion::clone(in_force)
         })
@@ -138,7 +148,7 @@
         let is_proposal = matches!(command, Command::Propose(_));
         let Err(why) = self.enter(command) else { return };
         let passes = match &why {
-            Rejection::Rebalance(why) => why.passes() || !is_proposal,
+            Rejection::Rebalance(why) => why.is_transient() || !is_proposal,
             Rejection::NotLeader(_)
             | Rejection::Busy
             | Rejection::ChangeOpen { .. }
@@ -150,17 +160,17 @@
             return;
         }
         warn!("fleet: plan {}: {why} ({})", self.plan_id(), why.help());
-        let failure = self.voter.as_ref().map(|voter| voter.state().rebalance().fails(&why));
-        if let Some(Next::Enter(entry)) = failure {
+        let failure = self.voter.as_ref().map(|voter| voter.state().rebalance().pause_after_failure(&why));
+        if let Some(LeaderAction::Enter(entry)) = failure {
             let _ = self.enter(Command::Rebalance(entry));
         }
     }
 }
 
 /// Operations of a plan that no finished step has carried out.
-fn remaining_operations(running: &Running) -> usize {
-    let finished = &running.steps[..running.done];
-    let acts = finished.iter().flat_map(|step| &step.wave.acts);
-    let done = acts.filter(|(_, act)| !matches!(act, Act::Fill { .. })).count();
+fn remaining_operations(running: &RunningPlan) -> usize {
+    let finished = &running.steps[..running.steps_done];
+    let actions = finished.iter().flat_map(|step| &step.forward.actions);
+    let done = actions.filter(|planned| !matches!(planned.action, Action::Fill { .. })).count();
     running.plan.operations.len().saturating_sub(done)
 }
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/tests/mod.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_rebalance::{Node, Operation, Plan, Room, Sizes, Word};
+use dunepond_rebalance::{Capacity, DesiredState, NodeSpec, Operation, Plan, SegmentSizes};
 
 use super::offers::{OfferReply, PlanOffer};
 use super::read_plan;
@@ -10,30 +10,30 @@
 
 fn plan() -> Plan {
     let text = str::to_string;
-    let room = |bytes, segments| Room { bytes, segments };
+    let capacity = |bytes, segments| Capacity { bytes, segments };
     Plan {
         id: text("2026-12-s3"),
-        who: text("mara"),
-        why: text("s-3 takes over from s-1"),
-        word: Word::Pause,
+        proposed_by: text("mara"),
+        reason: text("s-3 takes over from s-1"),
+        desired_state: DesiredState::Pause,
         ordered: true,
         operations: vec![
-            Operation::Split { segment: 0, at: vec![1 << 62], into: vec![10, 11] },
+            Operation::Split { segment: 0, split_keys: vec![1 << 62], into: vec![10, 11] },
             Operation::Move { segment: 11, from: text("s-1"), to: text("s-3") },
             Operation::Merge { segments: vec![4, 5], into: 12 },
-            Operation::Own { segment: 7, to: text("s-2") },
+            Operation::ChangeOwner { segment: 7, to: text("s-2") },
         ],
         nodes: BTreeMap::from([(
             text("s-3"),
-            Node {
+            NodeSpec {
                 partner: Some(text("south")),
-                cell: Some(text("left")),
-                room: room(Some(500_000_000), Some(40)),
+                replica_group: Some(text("left")),
+                capacity: capacity(Some(500_000_000), Some(40)),
             },
         )]),
-        cells: BTreeMap::from([(text("left"), room(Some(2_000_000_000), None))]),
-        partners: BTreeMap::from([(text("south"), room(None, Some(100)))]),
-        sizes: Sizes { unless: 67_108_864, segments: BTreeMap::from([(11, 33_554_432)]) },
+        replica_groups: BTreeMap::from([(text("left"), capacity(Some(2_000_000_000), None))]),
+        partners: BTreeMap::from([(text("south"), capacity(None, Some(100)))]),
+        sizes: SegmentSizes { default_bytes: 67_108_864, segment_bytes: BTreeMap::from([(11, 33_554_432)]) },
     }
 }
 
@@ -42,8 +42,10 @@
     assert_eq!(read_plan(&golden_path("plan.json")).unwrap(), plan());
     assert_same("plan-compact.json", serde_json::to_string(&plan()).unwrap().as_bytes());
     assert_eq!(read_plan(&golden_path("plan-compact.json")).unwrap(), plan());
-    for (name, word) in [("go", Word::Go), ("pause", Word::Pause), ("withdraw", Word::Withdraw)] {
-        assert_eq!(serde_json::to_value(word).unwrap(), name);
+    for (name, state) in
+        [("go", DesiredState::Run), ("pause", DesiredState::Pause), ("withdraw", DesiredState::Withdraw)]
+    {
+        assert_eq!(serde_json::to_value(state).unwrap(), name);
     }
 }
 
--- a/crates/dunepond-control-plane/src/error.rs
+++ b/crates/dunepond-control-plane/src/error.rs
@@ -229,7 +229,7 @@
         /// The file.
         path: PathBuf,
         /// The fault.
-        why: Box<dunepond_rebalance::MoveError>,
+        why: Box<dunepond_rebalance::RebalanceError>,
     },
 }
 
--- a/crates/dunepond-control-plane/src/error/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/error/tests/mod.rs
@@ -37,7 +37,10 @@
     let plans = [
         PlanError::NotFound { path: PathBuf::from("/a/b") },
         PlanError::Unreadable { path: PathBuf::from("/a/b"), why: "no".to_string() },
-        PlanError::Invalid { path: PathBuf::from("/a/b"), why: dunepond_rebalance::MoveError::NoId.into() },
+        PlanError::Invalid {
+            path: PathBuf::from("/a/b"),
+            why: dunepond_rebalance::RebalanceError::MissingId.into(),
+        },
     ];
     assert!(plans.iter().all(|e| e.to_string().starts_with("/a/b") && !e.help().is_empty()));
     let fills = [
--- a/crates/dunepond-control-plane/src/explain.rs
+++ b/crates/dunepond-control-plane/src/explain.rs
@@ -248,7 +248,7 @@
         let limit = format!("{} of the segments at once", state.config.max_changed_ratio);
         let running = state.rebalance().running.as_ref().filter(|running| running.plan.id == *plan);
         let authority = running.map_or(String::from("as its beginning said"), |running| {
-            format!("{}: {}", shortened(&running.plan.who), shortened(&running.plan.why))
+            format!("{}: {}", shortened(&running.plan.proposed_by), shortened(&running.plan.reason))
         });
         Self::new(Subject::Move, &what, &authority, &limit, &open_transition(state))
     }
--- /dev/null
+++ b/crates/dunepond-rebalance/src/transition.rs
@@ -0,0 +1,34 @@
+//! The map transition of a batch of actions.
+
+use dunepond_shard_map::{MapDelta, MapTransition, Segment, VerifiedMap, verify_delta};
+
+use crate::layout::Layout;
+use crate::{ActionBatch, RebalanceError};
+
+impl ActionBatch {
+    /// The verified transition from the active map to the one of this batch. `step` is for the error alone.
+    ///
+    /// # Errors
+    /// An action is not possible on this map, or [`RebalanceError::InvalidMap`].
+    pub fn transition(&self, map: &VerifiedMap, step: usize) -> Result<MapTransition, RebalanceError> {
+        let mut layout = Layout::of(map, self.segments());
+        // Replicas that the plan itself had filled are taken as such by the documents.
+        for planned in &self.actions {
+            layout.apply(planned.operation, &planned.action, |id| map.contains_segment(id))?;
+        }
+        let upserted: Vec<Segment> = layout.iter().map(|segment| Segment::clone(segment)).collect();
+        let mut removed: Vec<u64> =
+            self.segments().filter(|id| layout.get(*id).is_none() && map.contains_segment(*id)).collect();
+        removed.sort_unstable();
+        removed.dedup();
+        let delta = MapDelta {
+            epoch: map.epoch() + 1,
+            base_digest: String::new(),
+            removed,
+            upserted,
+            digest: String::new(),
+        };
+        verify_delta(map, &delta.with_digests(map))
+            .map_err(|faults| RebalanceError::InvalidMap { step, faults })
+    }
+}
--- a/crates/dunepond-rebalance/tests/common/mod.rs
+++ b/crates/dunepond-rebalance/tests/common/mod.rs
@@ -1,13 +1,13 @@
 //! Maps and plans for tests.
 #![allow(dead_code)]
 
-use dunepond_rebalance::{Node, Operation, Pace, Plan, Room, Sizes, Word};
+use dunepond_rebalance::{Capacity, DesiredState, NodeSpec, Operation, Plan, SegmentSizes, StepLimits};
 use dunepond_shard_map::{KeyRange, MapConstraints, Replica, Segment, ShardMap, VerifiedMap, verify};
 
-pub const PACE: Pace = Pace { at_once: 3, most_changed: 1.0 };
+pub const LIMITS: StepLimits = StepLimits { max_actions: 3, max_changed_ratio: 1.0 };
 
 /// Segments of the same width; of each the holders, the first of which owns it.
-pub fn proof(held: &[&[&str]]) -> VerifiedMap {
+pub fn map_of(held: &[&[&str]]) -> VerifiedMap {
     let width = ((1_u128 << 64) / held.len() as u128) as u64;
     let segments = held.iter().enumerate().map(|(at, nodes)| {
         let holder = |node: &&str| Replica {
@@ -36,35 +36,43 @@
 pub fn plan(operations: Vec<Operation>) -> Plan {
     Plan {
         id: "p".to_string(),
-        who: "a test".to_string(),
-        why: "to see".to_string(),
-        word: Word::Go,
+        proposed_by: "a test".to_string(),
+        reason: "to see".to_string(),
+        desired_state: DesiredState::Run,
         ordered: false,
         operations,
         nodes: ["a", "b", "c", "d"].map(|name| (name.to_string(), node(name, None, None))).into(),
-        cells: [("left".to_string(), Room::default()), ("right".to_string(), Room::default())].into(),
+        replica_groups: [
+            ("left".to_string(), Capacity::default()),
+            ("right".to_string(), Capacity::default()),
+        ]
+        .into(),
         partners: Default::default(),
-        sizes: Sizes { unless: 10, segments: Default::default() },
+        sizes: SegmentSizes { default_bytes: 10, segment_bytes: Default::default() },
     }
 }
 
-pub fn node(name: &str, bytes: Option<u64>, segments: Option<u64>) -> Node {
-    let cell = if ["a", "c"].contains(&name) { "left" } else { "right" };
-    Node { partner: Some(partner(name)), cell: Some(cell.to_string()), room: Room { bytes, segments } }
+pub fn node(name: &str, bytes: Option<u64>, segments: Option<u64>) -> NodeSpec {
+    let group = if ["a", "c"].contains(&name) { "left" } else { "right" };
+    NodeSpec {
+        partner: Some(partner(name)),
+        replica_group: Some(group.to_string()),
+        capacity: Capacity { bytes, segments },
+    }
 }
 
 pub fn moves(segment: u64, from: &str, to: &str) -> Operation {
     Operation::Move { segment, from: from.to_string(), to: to.to_string() }
 }
 
-pub fn split(segment: u64, at: u64, into: [u64; 2]) -> Operation {
-    Operation::Split { segment, at: vec![at], into: into.to_vec() }
+pub fn split(segment: u64, key: u64, into: [u64; 2]) -> Operation {
+    Operation::Split { segment, split_keys: vec![key], into: into.to_vec() }
 }
 
 pub fn merge(segments: [u64; 2], into: u64) -> Operation {
     Operation::Merge { segments: segments.to_vec(), into }
 }
 
-pub fn own(segment: u64, to: &str) -> Operation {
-    Operation::Own { segment, to: to.to_string() }
+pub fn change_owner(segment: u64, to: &str) -> Operation {
+    Operation::ChangeOwner { segment, to: to.to_string() }
 }
