--- a/crates/dunepond-testkit/tests/agree.rs
+++ b/crates/dunepond-testkit/tests/agree.rs
@@ -286,8 +286,10 @@
 fn a_crash_between_a_fills_end_and_its_entry_settles_it_once() {
     let mut fleet = Fleet::agreed(plan(3, 5));
     let clients = fleet.clients(but(&fleet, fleet.leader()), GAP);
-    // Long enough for a debt to be counted and told.
-    thread::sleep(Duration::from_secs(2));
+    // Counts go to one random peer about every second. A leader that knows of no debt plans fills from the holder's own
+    // partner, which settle nothing.
+    let known = wait(|| (0..5).all(|i| debts::known_debt(&fleet, i) > 0));
+    assert!(known, "not all brokers heard that the partners carry for each other");
     fleet.filler.hold(true);
     let next = fleet.version(2, &[], &[1, 3]);
     let leader = fleet.leader();
--- a/crates/dunepond-testkit/tests/agree/debts.rs
+++ b/crates/dunepond-testkit/tests/agree/debts.rs
@@ -31,6 +31,11 @@
     tally(fleet, at).map_or(0, |tally| tally.counts().total_of(CREDITOR, DEBTOR, |broker| broker == of))
 }
 
+/// Bytes that `at` knows the creditor to have carried for the debtor, whichever broker counted them.
+pub(super) fn known_debt(fleet: &Fleet, at: usize) -> u64 {
+    tally(fleet, at).map_or(0, |tally| tally.counts().total_of(CREDITOR, DEBTOR, |_| true))
+}
+
 /// Some traffic through this broker alone; what it counted of it, once all of it is known at these others.
 fn carry(fleet: &Fleet, broker: usize, others: &[usize]) -> u64 {
     let clients = fleet.clients([broker], Duration::from_millis(20));
