--- a/crates/dunepond-testkit/src/shutdown/verdict.rs
+++ b/crates/dunepond-testkit/src/shutdown/verdict.rs
@@ -38,8 +38,11 @@
     pub request: Request,
     /// After the first SIGTERM to its broker, when its last byte was written.
     pub written_after: f64,
-    /// The same for the first attempt, where there was one.
+    /// The same for the first attempt and the last, where there was one.
     pub forwarded_after: Option<f64>,
+    pub last_attempt_after: Option<f64>,
+    /// The same for the answer.
+    pub answered_after: Option<f64>,
 }
 
 /// What a play came to.
@@ -86,12 +89,15 @@
             let mine = |(id, _): &(&String, &Vec<Instant>)| id.starts_with(&format!("{}.", request.id));
             let parts: Vec<_> = attempts.iter().filter(mine).map(|(_, at)| at).collect();
             let first = parts.iter().flat_map(|at| at.iter()).min().copied();
+            let last = parts.iter().flat_map(|at| at.iter()).max().copied();
             for breach in breaches(&request, &parts, circumstances) {
                 let after = |at: Instant| seconds_after(at, times.told);
                 self.faults.push(Fault {
                     breach,
                     written_after: after(request.written),
                     forwarded_after: first.map(after),
+                    last_attempt_after: last.map(after),
+                    answered_after: request.answered.map(|(at, _)| after(at)),
                     request: request.clone(),
                 });
             }
