--- a/crates/dunepond-broker/src/background.rs
+++ b/crates/dunepond-broker/src/background.rs
@@ -4,46 +4,51 @@
 
 use crate::clock::{self, TimerEvent, Timers};
 
+/// Schedules background jobs and passes blocking ones to a thread pool.
 pub struct Background {
     scheduler: Scheduler,
-    /// Where nothing may block, there is none.
+    /// `None` if there are no blocking jobs.
     pool: Option<Pool>,
     timer: Option<(f64, clock::TimerKey)>,
 }
 
 impl Background {
+    /// Without a pool no blocking job may be added.
     pub fn new(scheduler: Scheduler, pool: Option<Pool>) -> Self {
         Self { scheduler, pool, timer: None }
     }
 
+    /// The thread pool for blocking jobs, if there is one.
     pub fn pool(&self) -> Option<&Pool> {
         self.pool.as_ref()
     }
 
+    /// Adds a job; `now` in Unix seconds.
     pub fn add(&mut self, now: f64, spec: Spec) -> JobId {
         self.scheduler.add(now, spec)
     }
 
-    /// The next job that may run; `calm` where the loop has nothing else to do at this moment.
+    /// The next job that may run; `idle` if the loop has nothing else to do.
     pub fn next(&mut self, now: f64, idle: bool) -> Option<Given> {
         self.scheduler.next(now, idle)
     }
 
-    /// A step has run for so long.
+    /// A step has run, for so many seconds.
     pub fn on_step_done(&mut self, now: f64, id: JobId, outcome: Outcome, seconds: f64) {
         self.scheduler.ended(now, id, outcome, Used { seconds, bytes: 0 });
     }
 
+    /// A job on the thread pool has ended.
     pub fn on_job_finished(&mut self, now: f64, on_job_finished: Finished) {
         self.scheduler.ended(now, on_job_finished.id, on_job_finished.outcome, on_job_finished.used);
     }
 
-    /// Jobs that will not be done any more.
+    /// Takes the jobs that were dropped and will not run.
     pub fn dropped(&mut self) -> Vec<(JobId, &'static str)> {
         self.scheduler.take_dropped()
     }
 
-    /// Sets the timer at which the next may run.
+    /// Schedules the timer for the next job.
     pub fn arm(&mut self, now: f64, timers: &mut Timers) {
         let due = self.scheduler.next_due(now).map(|due| due.max(now + 0.001));
         let sooner = match (due, self.timer) {
@@ -57,12 +62,12 @@
         }
     }
 
-    /// The timer has rung.
+    /// The timer has fired.
     pub fn on_timer(&mut self) {
         self.timer = None;
     }
 
-    /// A line for the counters: each name with what became of its jobs.
+    /// A log line with the counters of each kind of job.
     pub fn report(&self) -> String {
         let each = self.scheduler.counts().map(|(name, c)| {
             format!(
--- a/crates/dunepond-broker/src/clock.rs
+++ b/crates/dunepond-broker/src/clock.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time, read once at the start and carried on by a clock that is never set back.
+/// Unix time, read once at the start and continued by a monotonic clock.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -11,11 +11,13 @@
 }
 
 impl Clock {
+    /// Reads the system's clock, once.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
         Self { start: Instant::now(), unix }
     }
 
+    /// Unix time in seconds; never goes back.
     pub fn now(&self) -> f64 {
         self.at(Instant::now())
     }
@@ -27,35 +29,45 @@
     }
 }
 
-/// What is due at some time, each naming whom it concerns.
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TimerEvent {
+    /// The time that the router asked to be called at.
     RouterWake,
+    /// A query's deadline, by the query's id.
     QueryDeadline(u64),
+    /// A connection to a node, by its index.
     UpstreamConnection(usize),
+    /// A prefilter connection to a node, by its index.
     PrefilterConnection(usize),
-    /// Phase one is over for some query.
+    /// The prefilter's time is up for some query.
     Prefilter,
-    /// Another snapshot of what was learned.
+    /// A snapshot of the learned state is due.
     Snapshot,
-    /// Background work may go on.
+    /// A background job may run.
     BackgroundJob,
+    /// A time limit of a client connection, by its index.
     ClientTimeout(usize),
+    /// A client connection whose reading was paused goes on, by its index.
     ClientResume(usize),
+    /// A discovery response is overdue, or the pause between two requests is over.
     Discovery,
+    /// Accepting connections goes on after a pause.
     ResumeAccept,
-    /// Discovery has not spoken since the start.
+    /// Discovery has not answered since the start.
     FirstListTimeout,
+    /// The next stage of the shutdown is due.
     ShutdownStage,
-    /// What passes and what the disk does is looked over.
+    /// Streamed bodies and their disk spill are checked.
     BodyCheck,
+    /// The counters are to be logged.
     Counters,
 }
 
-/// A timer that is set; good for taking it back.
+/// Identifies a scheduled timer: its time in Unix microseconds, and a sequence number.
 pub type TimerKey = (u64, u64);
 
-/// Kept in order of time: calloop's own timers pass all of them to take one back.
+/// The event loop's timers in order of time. In calloop's own, cancelling one scans all of them.
 #[derive(Default)]
 pub struct Timers {
     set: BTreeMap<TimerKey, TimerEvent>,
@@ -63,6 +75,7 @@
 }
 
 impl Timers {
+    /// Schedules an event for a Unix time in seconds; events at the same time are due in the order in which they were scheduled.
     pub fn set(&mut self, at: f64, due: TimerEvent) -> TimerKey {
         self.count += 1;
         let key = ((at.max(0.0) * 1e6) as u64, self.count);
@@ -70,45 +83,30 @@
         key
     }
 
+    /// Cancels a timer; one that has fired, or none, is ignored.
     pub fn unset(&mut self, key: Option<TimerKey>) {
         if let Some(key) = key {
             self.set.remove(&key);
         }
     }
 
+    /// Time until the earliest timer; `None` if there is none.
     pub fn until_next(&self, now: f64) -> Option<Duration> {
         let (micros, _) = self.set.first_key_value()?.0;
         Some(Duration::from_micros(micros.saturating_sub((now * 1e6) as u64)))
     }
 
+    /// Removes and returns the earliest event if its time has come.
     pub fn pop_due(&mut self, now: f64) -> Option<TimerEvent> {
         let first = self.set.first_entry()?;
         if is_due(*first.key(), now) { Some(first.remove()) } else { None }
     }
 }
 
-/// Whether a timer's time has come, rung or not.
+/// Whether a timer's time has come.
 pub fn is_due(key: TimerKey, now: f64) -> bool {
     key.0 <= (now * 1e6) as u64
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn alarms_ring_in_order_of_time_and_not_once_they_are_taken_back() {
-        let mut timers = Timers::default();
-        timers.set(3.0, TimerEvent::Discovery);
-        let taken_back = timers.set(1.0, TimerEvent::RouterWake);
-        timers.set(2.0, TimerEvent::ResumeAccept);
-        timers.unset(Some(taken_back));
-        assert_eq!(timers.until_next(1.5), Some(Duration::from_millis(500)));
-        assert_eq!(timers.pop_due(1.9), None);
-        assert_eq!(
-            (timers.pop_due(9.0), timers.pop_due(9.0)),
-            (Some(TimerEvent::ResumeAccept), Some(TimerEvent::Discovery))
-        );
-        assert_eq!(timers.until_next(9.0), None);
-    }
-}
+mod tests;
--- a/crates/dunepond-broker/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -11,33 +11,42 @@
 
 use crate::buffers::BUFFER_BYTES;
 
-/// Descriptors for what is neither a client nor a node: standard streams, loop, signals and listener take eleven, calls to a
-/// silent discovery twelve at most, and one goes to a client that is taken in before another makes room.
+/// Descriptors for what is neither a client nor a node: eleven for standard streams, loop, signals and listener, twelve for calls
+/// to a silent discovery agent, and one for a client that is accepted before another is closed.
 const RESERVED_DESCRIPTORS: u64 = 24;
 const DEFAULT_MEMORY_MIB: f64 = 192.0;
 const DEFAULT_DESCRIPTORS: u64 = 1024;
 
+/// All that the broker is started with.
 #[derive(Debug)]
 pub struct StartupConfig {
+    /// The broker's name, in its log lines and in a fleet.
     pub name: String,
+    /// Address of the listener for clients.
     pub listen: SocketAddr,
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
+    /// Least severe level that is logged.
     pub level: LevelFilter,
+    /// Client connections that may be open at once.
     pub max_clients: usize,
-    /// Buffers that may be in use before one more is taken for a request.
+    /// Buffers that may be in use when one more is requested.
     pub max_buffers: usize,
+    /// Connections to nodes that may be open at once.
     pub most_links: usize,
+    /// The settings of the deployment.
     pub deployment: Deployment,
-    /// A setting that allows what sockets do not serve, and that the broker does without.
+    /// Key of a setting that is valid but not supported on sockets, and ignored.
     pub unsupported_setting: Option<&'static str>,
+    /// Bounds on requests, and the names of the deployment's parts.
     pub bounds: Bounds,
-    /// The list as this broker last held it, in discovery's form.
+    /// The configured endpoint list, in discovery's form; null without one.
     pub known: Value,
-    /// What the operator's file turns on; nothing without one.
+    /// What the operator's file enables; the default without a file.
     pub operator: Operator,
 }
 
-/// The operator's file, whole or with all that is wrong in it, a line each.
+/// Reads the operator's file. The error has a line for each fault.
 pub fn operator(path: &Path) -> Result<Operator, Bad> {
     let text = std::fs::read_to_string(path).map_err(|e| Bad(format!("{}: {e}", path.display())))?;
     dunepond_config::operator::operator(&text).map_err(|faults| {
@@ -46,6 +55,7 @@
     })
 }
 
+/// Reads the configuration at startup: the environment goes before the file that `GW_CONFIG` names.
 pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, Bad> {
     let path = variable("GW_CONFIG").ok_or_else(|| Bad("GW_CONFIG: not set".to_string()))?;
     let text = std::fs::read_to_string(&path).map_err(|e| Bad(format!("GW_CONFIG: {path}: {e}")))?;
@@ -54,20 +64,20 @@
     start(&file, variable)
 }
 
-/// Reads it all again, under way. The environment still says what was so at the start, so that the file goes
-/// before it: a file with another address of discovery would otherwise change nothing.
+/// Reloads the configuration of a running process. The file goes before the environment, which is that of the start: otherwise
+/// another address of discovery in the file would change nothing.
 pub fn reread(variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, Bad> {
     read(|name| Some(name).filter(|name| matches!(*name, "GW_CONFIG" | "GW_LOG")).and_then(&variable))
 }
 
-/// A whole file, as the broker would read it where the environment says nothing.
+/// Checks a configuration file as the broker would read it with an empty environment.
 pub fn check(file: &Value) -> Result<(), Bad> {
     start(file, |_| None).map(drop)
 }
 
 fn start(file: &Value, variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, Bad> {
     let config = Fields::of("config", file)?;
-    // At the start, what the environment says goes before the file.
+    // At the start the environment goes before the file.
     let told = |name: &str, key: &str| match variable(name) {
         Some(value) => Ok((value, name.to_string())),
         None => Ok::<_, Bad>((config.text(key)?.to_string(), format!("config: {key}"))),
@@ -95,16 +105,13 @@
             None => LevelFilter::INFO,
         },
     };
-    // Connections hold buffers only while something is in them. A quarter of the memory is for those; the rest
-    // for queries in hand, queued frames and the program itself.
+    // A quarter of the memory is for connections' buffers; the rest is for queries in flight, queued frames and the program.
     let most = sockets.saturating_sub(RESERVED_DESCRIPTORS);
     let max_buffers = (memory * 1024.0 * 1024.0 / 4.0 / BUFFER_BYTES as f64) as usize;
     if most < 16 || max_buffers < 16 {
         return Err(config.bad("limits", "too little memory or sockets for any connections"));
     }
-    // Each node is sent to on few connections, by however many clients: no term says how many, and this share is ours. It is of
-    // the settings' descriptors, and what is idle makes room for what is wanted; where a connection carries few parts and a
-    // query has many, it bounds how many queries are out at once.
+    // A quarter of the descriptors is for connections to nodes, which many clients share; idle ones are closed for new ones.
     let most_links = (most / 4) as usize;
     Ok(StartupConfig {
         name: told("GW_NAME", "name")?.0,
--- a/crates/dunepond-broker/src/config_reload.rs
+++ b/crates/dunepond-broker/src/config_reload.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration again on a thread of its own, as a file may lie on a disk that does not answer.
+//! Reloads the configuration on a thread of its own, so that a disk that does not answer cannot block the event loop.
 
 use std::path::PathBuf;
 use std::{io, thread};
@@ -9,28 +9,30 @@
 
 use crate::config::{self, StartupConfig};
 
-/// What was read, or why it will not do.
+/// A reloaded configuration, or why it is invalid.
 pub struct LoadedConfig {
+    /// The configuration.
     pub start: Result<StartupConfig, Bad>,
     /// The operator's file, where there is one.
     pub operator: Option<Result<Operator, Bad>>,
 }
 
-/// Reads the configuration on a thread of its own, one reading at a time.
+/// Reloads the configuration, one reload at a time.
 pub struct ConfigReloader {
     sender: Sender<Box<LoadedConfig>>,
     operator: Option<PathBuf>,
     is_reading: bool,
-    /// It was asked for again meanwhile: what is being read may be old.
+    /// Another reload was requested while one ran, which may have read the old files.
     again: bool,
 }
 
 impl ConfigReloader {
+    /// `operator`: path of the operator's file, if there is one. What was read goes to `sender`.
     pub fn new(sender: Sender<Box<LoadedConfig>>, operator: Option<PathBuf>) -> Self {
         Self { sender, operator, is_reading: false, again: false }
     }
 
-    /// Begins to read, or has it read once more after what is being read; false where it must wait for that.
+    /// Starts a reload and returns `true`; if one is running, another follows it and this returns `false`.
     pub fn read(&mut self) -> io::Result<bool> {
         if self.is_reading {
             self.again = true;
@@ -40,7 +42,7 @@
         let read = move || {
             let start = config::reread(|name| std::env::var(name).ok());
             let operator = operator.as_deref().map(config::operator);
-            // The broker may have ended meanwhile.
+            // The send fails only if the broker has ended.
             let _ = sender.send(Box::new(LoadedConfig { start, operator }));
         };
         thread::Builder::new().name("reread".to_string()).spawn(read)?;
@@ -48,7 +50,7 @@
         Ok(true)
     }
 
-    /// What was read has come; true if it is to be read once more.
+    /// A reload has ended; returns whether another one is to be started.
     pub fn take_read_again(&mut self) -> bool {
         self.is_reading = false;
         std::mem::take(&mut self.again)
--- a/crates/dunepond-broker/src/control_plane/fence.rs
+++ b/crates/dunepond-broker/src/control_plane/fence.rs
@@ -20,14 +20,16 @@
     Answered,
     /// Its answer came while the fence was down, or after.
     AnsweredLate,
-    /// The node turned it away unseen.
+    /// The node rejected it without running it.
     Rejected,
 }
 
 /// Whether its node is the owner by the old map or by the new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerSide {
+    /// Owner by the old map.
     Old,
+    /// Owner by the new map.
     New,
 }
 
@@ -69,7 +71,7 @@
     use Idempotency::{Idempotent, Keyed, NonIdempotent};
     match (stage, effect, side) {
         (Answered | AnsweredLate, _, _) => Accepted,
-        // Whoever holds the keys may run it, as often as it takes; of keyed ones the node drops what it has run.
+        // Any replica may run it repeatedly; a node drops keyed parts that it has run.
         (NotSent | Queued | PartlyWritten | AwaitingAnswer | Rejected, Idempotent | Keyed(_), _) => Allowed,
         (NotSent | Queued | Rejected, NonIdempotent, OwnerSide::Old | OwnerSide::New) => Returned,
         (PartlyWritten, NonIdempotent, OwnerSide::Old | OwnerSide::New) => Aborted,
@@ -79,49 +81,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use rstest::rstest;
-
-    use super::*;
-
-    const STAGES: [AttemptStage; 7] = [
-        AttemptStage::NotSent,
-        AttemptStage::Queued,
-        AttemptStage::PartlyWritten,
-        AttemptStage::AwaitingAnswer,
-        AttemptStage::Answered,
-        AttemptStage::AnsweredLate,
-        AttemptStage::Rejected,
-    ];
-    const SIDES: [OwnerSide; 2] = [OwnerSide::Old, OwnerSide::New];
-
-    /// Whether a node may have run a part that was so far when the fence fell.
-    fn may_have_run(stage: AttemptStage) -> bool {
-        matches!(stage, AttemptStage::AwaitingAnswer | AttemptStage::Answered | AttemptStage::AnsweredLate)
-    }
-
-    #[rstest]
-    fn what_must_not_run_twice_is_asked_for_again_only_where_it_surely_never_ran(
-        #[values(0, 1, 2, 3, 4, 5, 6)] stage: usize,
-        #[values(OwnerSide::Old, OwnerSide::New)] side: OwnerSide,
-    ) {
-        let stage = STAGES[stage];
-        let fence_action = fence_action(stage, Idempotency::NonIdempotent, side);
-        assert_eq!(fence_action.never_ran(), !may_have_run(stage), "{stage:?}");
-        assert_ne!(fence_action, FenceAction::Allowed, "{stage:?}: nobody owns it while the fence is down");
-        assert_eq!(fence_action.end().is_some(), fence_action.never_ran());
-    }
-
-    #[test]
-    fn what_may_run_twice_is_never_held_up() {
-        for (stage, side) in STAGES.iter().flat_map(|stage| SIDES.map(|side| (*stage, side))) {
-            for effect in [Idempotency::Idempotent, Idempotency::Keyed(1.0)] {
-                let fence_action = fence_action(stage, effect, side);
-                assert!(
-                    matches!(fence_action, FenceAction::Allowed | FenceAction::Accepted),
-                    "{stage:?} {side:?}"
-                );
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -22,6 +22,7 @@
 }
 
 impl QueryStart {
+    /// The node that may run non-idempotent parts of a segment.
     pub fn owner(&self, seg: usize) -> SegmentOwner<'_> {
         self.acting.owner(seg as u64, self.at)
     }
@@ -31,7 +32,7 @@
         self.acting.map(self.at)
     }
 
-    /// Longest Retry-After of a rejection, in seconds.
+    /// Longest Retry-After that a rejection may name, in seconds.
     pub fn longest_wait(&self) -> f64 {
         self.acting.rules(self.at).map_or(f64::INFINITY, |rules| rules.max_retry_after_seconds)
     }
@@ -46,7 +47,9 @@
 /// A stream that refuses writes once the check that allowed them is older than [`MAX_ACTION_DELAY_SECONDS`]: a process that
 /// stalled in between has to check again.
 pub struct FreshWriter<'a, S> {
+    /// What is written to.
     pub stream: S,
+    /// The check that allowed the write; `None` where none is needed.
     pub look: Option<&'a CheckedConfig>,
 }
 
@@ -80,12 +83,14 @@
 
 /// Decides whether an attempt may be sent; shared by the router host and the connections to nodes.
 pub struct Gate {
+    /// The control plane's thread.
     pub hand: ControlHandle,
     watch: RefCell<ActiveConfigWatch>,
     repeats: Vec<Idempotency>,
 }
 
 impl Gate {
+    /// `repeats`: the idempotency of each query class.
     pub fn new(hand: ControlHandle, repeats: Vec<Idempotency>) -> Self {
         Self { watch: hand.watch().into(), hand, repeats }
     }
@@ -95,10 +100,12 @@
         self.watch.borrow_mut().current().clone()
     }
 
+    /// Whether this is the active configuration still.
     pub fn is_current(&self, acting: &Arc<ActiveConfig>) -> bool {
         Arc::ptr_eq(self.watch.borrow_mut().current(), acting)
     }
 
+    /// Records the active configuration for a query that begins now.
     pub fn begin(&self) -> Rc<QueryStart> {
         // The configuration is read before the clock: otherwise a lease that came in between would be later than its query.
         let acting = self.acting();
@@ -110,7 +117,7 @@
         self.repeats.get(table_type) == Some(&Idempotency::NonIdempotent)
     }
 
-    /// What becomes of a part that may not go to a node any more, by how far it had come.
+    /// What becomes of an attempt at a node that may not run it any more, by how far it had come.
     pub fn fence_action(
         &self,
         look: &CheckedConfig,
@@ -130,17 +137,19 @@
         matches!(self.repeats.get(table_type), Some(Idempotency::Keyed(_)))
     }
 
+    /// The active configuration with the time of this check, for an action that follows at once.
     pub fn look(&self) -> CheckedConfig {
-        // The clock is read last: after a stall in here the earlier time must not be used.
+        // The clock is read last, so that a lease that expires during a stall in between counts as expired.
         let acting = self.acting();
         CheckedConfig { acting, at: monotonic_seconds() }
     }
 
-    /// Whether a part may be sent to a node at this moment, by what its query began on and by what is in force now.
+    /// Whether a part may be sent to a node now, by the configuration at its query's start and by the active one.
     pub fn may_send(&self, began: Option<&QueryStart>, table_type: usize, seg: usize, node: &str) -> bool {
         !self.once(table_type) || self.may_send_under(&self.look(), began, table_type, seg, node)
     }
 
+    /// As `may_send`, by a check that was made before.
     pub fn may_send_under(
         &self,
         look: &CheckedConfig,
@@ -166,14 +175,14 @@
             && began.is_none_or(|began| same(began) || allows(began.owner(seg)))
     }
 
-    /// Whether a keyed part may be sent once more although it may have run.
+    /// Whether a keyed part may be retried although it may have run.
     pub fn may_retry_keyed(&self, began: &QueryStart) -> bool {
         let allows =
             |acting: &ActiveConfig, at| acting.rules(at).is_none_or(|rules| rules.keyed_retries_enabled);
         allows(&began.acting, began.at) && allows(&self.acting(), monotonic_seconds())
     }
 
-    /// The epoch of the map that is acted on now, where that has other keys for a segment than the one its query began on.
+    /// The active map's epoch, if that map has other keys for a segment than the one at the query's start.
     pub fn moved(&self, began: &QueryStart, seg: usize) -> Option<u64> {
         if self.is_current(&began.acting) {
             return None;
@@ -187,8 +196,8 @@
         (keys(then) != keys(now)).then_some(now.epoch())
     }
 
-    /// Audits a part whose frame has been handed to its connection. `id`: call id and segment. `look`: the check that allowed
-    /// it.
+    /// Audits an attempt whose frame has been handed to its connection. `id`: request id and segment; `look`: the check that
+    /// allowed it.
     pub fn sent(
         &self,
         look: &CheckedConfig,
@@ -204,7 +213,7 @@
             if let Some(began) = began {
                 let (then, before) = audit_phase(&began.acting, began.at);
                 numbers.extend(before);
-                // The stricter of both is obeyed.
+                // The stricter phase is obeyed.
                 if then == AuditPhase::Joint && word == AuditPhase::Active {
                     word = then;
                 }
@@ -225,16 +234,16 @@
     }
 }
 
-/// Whether the parts that are in have the keys of all that was asked for, each exactly once and under one map. `moved`:
-/// parts that were sent under another map's keys, with its epoch. The epoch, or why not.
+/// Verifies that the answered parts cover all keys of a query, each exactly once and under one map. `moved`: parts that were sent under
+/// another map's keys, with its epoch. Returns the map's epoch, or why the answer is incomplete.
 pub fn proved(
     proof: &VerifiedMap,
     segs: &[usize],
     is_in: impl Fn(usize) -> bool,
     moved: &[(usize, u64)],
 ) -> Result<u64, String> {
-    // Segments of a proved map have each key once between them: different ones of it that are all in are what was asked
-    // for. So it is with nearly all answers, and it costs no list.
+    // Fast path without allocation: segments of a verified map do not overlap, so distinct ones that are all answered cover the
+    // query.
     let different = segs.windows(2).all(|two| two[0] < two[1]);
     if different
         && moved.is_empty()
@@ -266,62 +275,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use dunepond_shard_map::{MapConstraints, Replica, Segment, ShardMap, verify};
-    use rstest::rstest;
-
-    use super::*;
-
-    #[test]
-    fn nothing_is_written_by_a_look_that_is_too_old() {
-        let acting = Arc::new(ActiveConfig::unleased());
-        let look = |ago| CheckedConfig { acting: acting.clone(), at: monotonic_seconds() - ago };
-        let (fresh, old) = (look(0.0), look(2.0 * MAX_ACTION_DELAY_SECONDS));
-        let write = |look| FreshWriter { stream: Vec::new(), look }.write(b"x");
-        assert_eq!(write(Some(&fresh)).unwrap(), 1);
-        assert_eq!(write(None).unwrap(), 1);
-        assert!(write(Some(&old)).unwrap_err().get_ref().is_some_and(|e| e.is::<StaleCheck>()));
-    }
-
-    fn proof() -> VerifiedMap {
-        let holder = |node: &str| Replica {
-            node: node.to_string(),
-            partner: "north".to_string(),
-            filled: true,
-            share: 1.0,
-        };
-        let segment = |id, keys, node: &str| Segment {
-            id,
-            keys,
-            owner: node.to_string(),
-            replicas: vec![holder(node)],
-        };
-        let half = 1 << 63;
-        let segments = vec![
-            segment(0, KeyRange { from: 0, to: Some(half) }, "a"),
-            segment(1, KeyRange { from: half, to: None }, "b"),
-        ];
-        let map = ShardMap { epoch: 4, hash: "xxh3-64".to_string(), segments, digest: String::new() };
-        verify(&map.with_digest(), &[], &MapConstraints { min_replicas: 1, min_zones: 1 }).unwrap()
-    }
-
-    #[rstest]
-    #[case::all(&[0, 1], &[true, true], &[], Some(4))]
-    #[case::one_of_one(&[1], &[true], &[], Some(4))]
-    #[case::one_is_missing(&[0, 1], &[true, false], &[], None)]
-    #[case::not_in_the_map(&[0, 7], &[true, true], &[], None)]
-    #[case::asked_for_twice(&[0, 0], &[true, true], &[], None)]
-    #[case::in_another_order(&[1, 0], &[true, true], &[], Some(4))]
-    #[case::the_later_is_missing(&[1, 0], &[true, false], &[], None)]
-    #[case::under_another_map(&[0, 1], &[true, true], &[(1, 5)], None)]
-    fn an_answer_is_whole_only_where_the_parts_cover_under_one_map(
-        #[case] segs: &[usize],
-        #[case] is_in: &[bool],
-        #[case] moved: &[(usize, u64)],
-        #[case] epoch: Option<u64>,
-    ) {
-        assert_eq!(proved(&proof(), segs, |at| is_in[at], moved).ok(), epoch);
-        // The short way says what the long one would.
-        assert_eq!(prove_by_keys(&proof(), segs, is_in, moved).ok(), epoch);
-    }
-}
+mod tests;
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop's side of the control plane: what it asks and tells the thread that hosts consensus, membership and quotas. Absent where
-//! the operator's file names no fleet.
+//! The event loop's side of the control plane, a thread that hosts consensus, membership and quotas. Absent if the operator's file names
+//! no fleet.
 
 pub mod fence;
 mod gate;
@@ -31,38 +31,42 @@
 use crate::iteration::{EventLoopHandle, Iteration, LoopEvent};
 use crate::upstream::EndpointInfo;
 
-/// The span of a budget of further attempts where the deployment states none, in seconds.
+/// Window of the agreed retry budget if the deployment has none, in seconds.
 const DEFAULT_RETRY_WINDOW_SECONDS: f64 = 10.0;
 
-/// What discovery says, before anything that is agreed on.
+/// A row of the endpoint list, before the active configuration is applied.
 type EndpointRow = (Endpoint, EndpointInfo);
 
+/// The event loop's side of the control plane's thread.
 pub struct ControlPlane {
+    /// Checks against the active configuration.
     pub gate: Rc<Gate>,
     fleet: Option<dunepond_control_plane::ControlPlane>,
     told: operator::Fleet,
     endpoints: HashMap<NodeId, EndpointRow>,
     nodes: HashMap<String, NodeId>,
     zones: HashMap<NodeId, String>,
-    /// Places among the partners.
+    /// Indices of the partners.
     partner_by_zone: HashMap<String, usize>,
     partner_by_tenant: Vec<Option<usize>>,
     by_node: Vec<Option<usize>>,
-    /// Seconds after its start in which a node may be cold.
+    /// Seconds of slow start after a node's start.
     warm_after: f64,
-    /// What the deployment states; what is agreed on only tightens it.
+    /// The deployment's rules; agreed rules only tighten them.
     own: Rules,
-    /// What was looked at last, with a lease or without, and what the router was told by it.
+    /// The configuration that was applied last, and whether its lease was valid.
     last_applied: Option<(Arc<ActiveConfig>, bool)>,
     applied_rules: Rules,
-    /// Bounds that all brokers share.
+    /// Fleet-wide quotas, if the operator's file asks for them.
     sharing: Option<Quotas>,
 }
 
-/// What changed in what is agreed on, for the router.
+/// What changed with the active configuration, for the router.
 #[derive(Default)]
 pub struct Changes {
+    /// The rules, where they changed.
     pub rules: Option<Rules>,
+    /// Endpoints whose state changed.
     pub endpoints: Vec<EndpointRow>,
 }
 
@@ -71,7 +75,7 @@
 }
 
 impl ControlPlane {
-    /// Takes part in a fleet under this name.
+    /// Starts the control plane's thread under this broker's name.
     pub fn start(
         told: &operator::Fleet,
         name: &str,
@@ -132,7 +136,7 @@
             }
         });
         inserted.map_err(|e| Bad(format!("fleet: {}", e.error)))?;
-        // Once nobody listens the broker has ended.
+        // A send fails only once the event loop has ended.
         let wake = move || {
             let _ = sender.send(());
         };
@@ -160,13 +164,13 @@
         })
     }
 
-    /// Whether the nodes are pressed, as the router says: others hear of it with the next question for a lease.
+    /// Reports whether the nodes are overloaded, with the next lease request.
     pub fn press(&self, pressed: bool) {
         self.gate.hand.set_overloaded(pressed);
     }
 
-    /// What is agreed on now, where it differs from what was told last. A look costs next to nothing, so that each turn
-    /// begins with one: a process that stood still must not act on what was so before.
+    /// What the active configuration changed since the last call. Called before each event: a process that stalled must not act on
+    /// a configuration whose lease has expired meanwhile.
     pub fn changed(&mut self) -> Option<Changes> {
         let gate = &self.gate;
         if self.last_applied.as_ref().is_some_and(|(acting, live)| {
@@ -183,7 +187,7 @@
             self.applied_rules = rules.clone();
             changed.rules = Some(rules);
         }
-        // The first look comes before any list.
+        // The first call comes before any list.
         let before = self.last_applied.replace((acting.clone(), live)).map(|(before, _)| before);
         if let Some(before) = before {
             let moved = |row: &&EndpointRow| {
@@ -196,26 +200,26 @@
         Some(changed)
     }
 
-    /// Our parts of bounds that all brokers share, where they are others than at the last look.
+    /// This broker's shares of the fleet-wide quotas, if they changed since the last call.
     pub fn changed_limits(&mut self) -> Option<QuotaShares> {
         self.sharing.as_mut()?.look(&self.gate, monotonic_seconds())
     }
 
-    /// A query of this tenant has come: what is needed of its quota.
+    /// Counts a query in the demand for its tenant's quota.
     pub fn came(&mut self, customer: usize) {
         if let Some(sharing) = &mut self.sharing {
             sharing.came(customer);
         }
     }
 
-    /// From time to time tells what is needed of bounds that all brokers share.
+    /// Reports demand for the fleet-wide quotas, from time to time.
     pub fn needs(&mut self, demand: impl FnOnce(f64) -> QuotaDemand) {
         if let Some(sharing) = &mut self.sharing {
             sharing.sample(&self.gate, monotonic_seconds(), demand);
         }
     }
 
-    /// A row as it stands beside what is agreed on: a node that is to be left alone drains, whatever discovery says.
+    /// Applies the active configuration to a row: an excluded node drains, whatever discovery says.
     fn seen(&self, (mut listed, mut listing): EndpointRow) -> EndpointRow {
         let leaves = self.last_applied.as_ref().is_some_and(|(acting, _)| acting.is_excluded(&listing.host));
         if leaves && listing.standing == EndpointState::Active {
@@ -225,7 +229,7 @@
         (listed, listing)
     }
 
-    /// Takes what discovery says, and gives it as it stands beside what is agreed on.
+    /// Takes rows of the endpoint list and applies the active configuration to them. `zone` gives a zone's name.
     pub fn listed(
         &mut self,
         now: f64,
@@ -258,7 +262,7 @@
         endpoints.into_iter().map(|row| self.seen(row)).collect()
     }
 
-    /// Nodes that are not long since warm, on the fleet's clock; `now` on the list's.
+    /// Nodes in slow start. `now` is Unix time; the start of each is returned on the monotonic clock.
     fn started(&self, now: f64) -> Vec<StartedNode> {
         let here = self.endpoints.values().filter(|row| row.1.standing != EndpointState::Removed);
         let cold = here.filter(|row| row.1.started > 0.0 && now < row.1.started + self.warm_after);
@@ -270,7 +274,7 @@
         started.collect()
     }
 
-    /// Nothing names this node any more.
+    /// Removes a node that nothing refers to any more.
     pub fn forget(&mut self, node: NodeId, host: &str) {
         self.nodes.remove(host);
         self.endpoints.remove(&node);
@@ -280,8 +284,8 @@
         }
     }
 
-    /// What a query begins on; of a non-idempotent one each part gets the one node that may have it, or (`Err`) all of it
-    /// is refused for so many seconds.
+    /// The active configuration at the start of a query. Each part of a non-idempotent query is assigned to its owner; if one has
+    /// none, the query is to be rejected (`Err`).
     pub fn admit(&self, query: &mut Query) -> Result<Rc<QueryStart>, (Rc<QueryStart>, f64, &'static str)> {
         let began = self.gate.begin();
         if !self.gate.once(query.class) {
@@ -311,7 +315,7 @@
         self.by_node.get(node).copied().flatten()
     }
 
-    /// So many bytes came from a node for a tenant.
+    /// Counts bytes that a node sent for a tenant's query, for the settlement between partners.
     pub fn carried(&self, node: NodeId, customer: usize, bytes: usize) {
         let owed_by = self.partner_by_tenant.get(customer).copied().flatten();
         if let (Some(carrier), Some(owed_by)) = (self.partner(node), owed_by) {
@@ -319,13 +323,13 @@
         }
     }
 
-    /// The operator's file was read again; true if what it says of the fleet waits for a start.
+    /// Applies a reloaded operator's file. Returns whether it changed anything that takes effect only after a restart.
     pub fn reread(&mut self, told: Option<&operator::Fleet>) -> bool {
         let version = told.and_then(|told| told.version.clone());
         self.gate.hand.reload_version(version.clone());
         let plan = |told: &operator::Fleet| told.moves.as_ref().map(|moves| moves.plan.clone());
         self.gate.hand.reload_plan(told.and_then(plan));
-        // Where the files are may change under way; all else waits for a start.
+        // Only the paths of version and plan can change in a running process.
         let rest = |told: &operator::Fleet| {
             let mut rest = operator::Fleet { version: None, ..told.clone() };
             rest.moves.iter_mut().for_each(|moves| moves.plan = Default::default());
@@ -336,10 +340,12 @@
         !same
     }
 
+    /// Logs the counters.
     pub fn report(&self) {
         info!(fleet = self.gate.hand.summary(), "fleet counters");
     }
 
+    /// Stops the thread, and waits for its end.
     pub fn stop(&mut self) {
         if let Some(fleet) = self.fleet.take() {
             fleet.stop();
@@ -362,8 +368,7 @@
     }
 }
 
-/// What is agreed on beside what the deployment states: the stricter of both, as the deployment's limits are not the
-/// fleet's to widen.
+/// The stricter of the deployment's and the agreed rules: a fleet must not widen a deployment's limits.
 fn strictest(own: &Rules, agreed: &dunepond_consensus::RoutingRules) -> Rules {
     let greater = |own: &[f64], agreed: &[f64]| {
         own.iter()
@@ -394,48 +399,11 @@
     }
 }
 
-/// What the file says beside a deployment: its name and its query timeouts.
+/// Checks the fleet section of an operator's file against the broker's name and the deployment's query timeouts.
 pub fn check(told: &operator::Fleet, name: &str, site: &Deployment) -> Result<(), Bad> {
     let longest = site.query_classes.iter().map(|t| t.timeout).fold(0.0, f64::max);
     told.terms(name, longest).check().map_err(|e| Bad(format!("fleet: {e} ({})", e.help())))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_agreed_on_tightens_what_the_deployment_states_and_widens_nothing() {
-        let own = Rules {
-            minimum_share: vec![0.5, 1.0],
-            complete_at: vec![0.9, 1.0],
-            retry_budget: Some(RetryBudget { window: 4.0, min_retries: 10.0, ratio: 0.1 }),
-            max_attempts: 3,
-            hedging_enabled: true,
-            slow_start_multiple: 2.0,
-            max_retry_after: 1.0,
-        };
-        let mut agreed = dunepond_consensus::RoutingRules {
-            minimum_shares: vec![0.7, 0.2],
-            complete_at: vec![0.95, 0.5],
-            retry_budget_ratio: 0.2,
-            retry_budget_min: 5.0,
-            drain_grace_seconds: 1.0,
-            slow_start_multiple: 1.5,
-            max_attempts: 8,
-            hedging_enabled: false,
-            keyed_retries_enabled: true,
-            max_retry_after_seconds: 9.0,
-        };
-        let both = strictest(&own, &agreed);
-        assert_eq!((both.minimum_share, both.complete_at), (vec![0.7, 1.0], vec![0.95, 1.0]));
-        let time_budget = both.retry_budget.unwrap();
-        assert_eq!((time_budget.window, time_budget.min_retries, time_budget.ratio), (4.0, 5.0, 0.1));
-        assert_eq!((both.max_attempts, both.hedging_enabled), (3, false));
-        assert_eq!((both.slow_start_multiple, both.max_retry_after), (1.5, 1.0));
-        // Where the deployment states no budget, what is agreed on is one.
-        agreed.retry_budget_min = 7.0;
-        let time_budget = strictest(&Rules { retry_budget: None, ..own }, &agreed).retry_budget.unwrap();
-        assert_eq!((time_budget.min_retries, time_budget.ratio), (7.0, 0.2));
-    }
-}
+mod tests;
--- a/crates/dunepond-broker/src/control_plane/quotas.rs
+++ b/crates/dunepond-broker/src/control_plane/quotas.rs
@@ -14,23 +14,24 @@
 
 const SLOW_START_QUOTA: &str = "cold";
 const RETRY_QUOTA: &str = "further";
-/// Seconds between two samples of what is needed.
+/// Seconds between two samples of demand.
 const SAMPLE_INTERVAL_SECONDS: f64 = 0.25;
 
+/// This broker's part in the fleet-wide quotas.
 pub struct Quotas {
     every: f64,
     bounds: SharedQuotas,
     own: LocalQuota,
-    /// Parts a second that a warm node takes.
+    /// Parts a second that a warm node takes, if slow start is shared.
     cold: Option<f64>,
     further: bool,
-    /// By tenant: the bound's name, queries a second of the whole, and those that came since the last sample.
+    /// By tenant index; `None` if the tenant's quota is not shared.
     customers: Vec<Option<TenantQuota>>,
-    /// Free further attempts a second, all brokers together.
+    /// Retries a second that the budget's minimum allows, all brokers together.
     free: f64,
     needs: BTreeMap<String, Demand>,
     last_sample_at: f64,
-    /// What was looked at last: the acting, with a lease or without, and whether an earlier run's use still counts.
+    /// The configuration that was applied last, whether its lease was valid, and whether an earlier incarnation's use still counted.
     last_applied: Option<(Arc<ActiveConfig>, bool, bool)>,
 }
 
@@ -41,6 +42,7 @@
 }
 
 impl Quotas {
+    /// Fails if the operator's file names a tenant that the settings do not have.
     pub fn new(told: &Shared, site: &Deployment, customers: &[String]) -> Result<Self, Bad> {
         if let Some(name) = told.customers.iter().find(|name| !customers.contains(name)) {
             return Err(Bad(format!("fleet: limits: the settings have no customer '{name}'")));
@@ -56,7 +58,7 @@
         let mut names: Vec<String> = told.cold.map(|_| SLOW_START_QUOTA.to_string()).into_iter().collect();
         names.extend(told.further.then(|| RETRY_QUOTA.to_string()));
         names.extend(customers.iter().flatten().map(|customer| customer.bound.clone()));
-        // The longest span over which the router counts any of them.
+        // The longest window over which the router counts any of them.
         let longest = site.query_classes.iter().map(|t| t.latency_objective).fold(0.0, f64::max);
         let time_budget = site.retry_budget.as_ref();
         let window = time_budget.map_or(DEFAULT_RETRY_WINDOW_SECONDS, |time_budget| time_budget.window);
@@ -78,16 +80,17 @@
         })
     }
 
+    /// The quotas that the fleet shares.
     pub fn bounds(&self) -> &SharedQuotas {
         &self.bounds
     }
 
+    /// Seconds between two reports of demand to the fleet.
     pub fn every(&self) -> f64 {
         self.every
     }
 
-    /// Our parts as of this moment, where they are others than at the last look: without a lease, too, and where the one
-    /// that there was has run out while this process stood still.
+    /// This broker's shares, if they changed since the last call, be it that a lease expired while the process stalled.
     pub fn look(&mut self, gate: &Gate, now: f64) -> Option<QuotaShares> {
         let acting = gate.acting();
         let (live, held) = (acting.lease_valid(now), now < self.own.started_at + self.own.window_seconds);
@@ -108,19 +111,21 @@
         Some(limits)
     }
 
-    /// Of the whole.
+    /// This broker's share of a quota, from 0 to 1.
     fn share(&self, acting: &ActiveConfig, bound: &str, now: f64) -> f64 {
         let heard = acting.quota(now);
         f64::from(self.own.available_units(heard.allocation, heard.lease_valid, bound, now))
             / f64::from(TOTAL_UNITS)
     }
 
+    /// A query of this tenant has come.
     pub fn came(&mut self, customer: usize) {
         if let Some(Some(customer)) = self.customers.get_mut(customer) {
             customer.came += 1.0;
         }
     }
 
+    /// Reports demand since the last sample, if that is long enough ago. `demand` is called with the seconds that it covers.
     pub fn sample(&mut self, gate: &Gate, now: f64, demand: impl FnOnce(f64) -> QuotaDemand) {
         let seconds = now - self.last_sample_at;
         if seconds < SAMPLE_INTERVAL_SECONDS {
--- a/crates/dunepond-broker/src/discovery.rs
+++ b/crates/dunepond-broker/src/discovery.rs
@@ -19,28 +19,26 @@
 use crate::iteration::{EventLoopHandle, LoopEvent, watch};
 use crate::upstream::{self, EndpointInfo};
 
-/// By the protocol page a change that a silent agent has not reported counts as known this long after the agent fell silent,
-/// in all deployments. The other times here are fractions of this one.
+/// A change that the agent has not reported counts as known this long after the agent fell silent. The other times here are
+/// fractions of this one.
 const STALE_AFTER_SECONDS: f64 = 6.0;
-/// How long a watch may wait: a quarter of that, so that several calls can follow one without an answer before it is over.
+/// How long the agent may hold a watch open: short enough for several calls after an unanswered one before the list is stale.
 const WATCH_TIMEOUT_MILLISECONDS: u64 = (STALE_AFTER_SECONDS / 4.0 * 1000.0) as u64;
-/// How long after its time an answer is missed: another call goes out beside the one that is silent, as what is
-/// broken may be that one connection, and is itself missed so soon, as it asks for what can be had at once. At this pace
-/// there is one soon after an agent's return too: what it gets then counts at once. A twelfth is as many calls at once as
-/// our own descriptors are reckoned for (`config.rs`); each is given all of `STALE_AFTER_SECONDS`, however slow the agent.
+/// How long after it was due a response counts as overdue; another call is then made beside the silent one, whose connection
+/// may be broken. Bounds the calls at once to twelve, which `RESERVED_DESCRIPTORS` in `config.rs` allows for.
 pub const RESPONSE_OVERDUE_SECONDS: f64 = STALE_AFTER_SECONDS / 12.0;
-/// By the protocol page a watch goes on if the next call comes so soon after the last answer.
+/// The agent keeps a watch alive if the next request comes within this time after its response.
 const WATCH_CONTINUATION_SECONDS: f64 = 0.2;
-/// Shortest time between two requests, well below that: an agent that answers each watch at once must not be polled in a busy
-/// loop. A quarter, so that a late iteration still finds the watch alive.
+/// Shortest time between two requests. Guards against polling in a busy loop an agent that answers each watch at once.
 const MIN_REQUEST_INTERVAL_SECONDS: f64 = WATCH_CONTINUATION_SECONDS / 4.0;
-/// First and longest backoff before an agent that is down is called again: the first is short enough to keep a watch alive,
-/// the longest is the interval at which a silent agent is called.
+/// First and longest backoff before an agent that is down is called again.
 const BACKOFF_RANGE_SECONDS: (f64, f64) = (WATCH_CONTINUATION_SECONDS / 2.0, RESPONSE_OVERDUE_SECONDS);
 
 /// A complete endpoint list (`whole`), or only the rows that changed.
 pub struct EndpointUpdate {
+    /// Rows that are not in it are no longer listed.
     pub whole: bool,
+    /// The rows, in the list's order.
     pub endpoints: Vec<(Endpoint, EndpointInfo)>,
 }
 
@@ -51,32 +49,34 @@
     input: Option<Buffer>,
     message: Option<Message>,
     out: WriteQueue,
-    /// An answer is awaited; to a watch, or to a call for the whole list.
+    /// A request is out; `is_watch` tells whether it is a watch or asks for a complete list.
     awaiting_response: bool,
     is_watch: bool,
-    /// When its answer could be there.
+    /// When the agent should have answered, in Unix seconds.
     due: f64,
 }
 
-/// What reading a connection on has come to.
+/// The outcome of reading from a connection.
 enum ReadResult {
+    /// A complete response.
     Update(EndpointUpdate),
+    /// No complete response yet.
     Nothing,
-    /// The connection is gone, and another has its place.
+    /// The connection is closed and removed; the next call has taken its index.
     Closed,
 }
 
-/// The client of discovery: what it asks the agent on this machine, and what it has heard.
+/// The client of the discovery agent.
 pub struct DiscoveryClient {
     handle: EventLoopHandle,
     pool: Pool,
     address: SocketAddr,
     nodes: HashMap<String, NodeId>,
-    /// Which indices the nodes have.
+    /// The node ids in use; a free one is reused.
     taken: Slab<()>,
     zones: Vec<String>,
-    /// The oldest first. More than one only while an agent is silent; the first answer ends all others, so that
-    /// none that crossed it is ever taken for newer.
+    /// Oldest first; more than one only while the agent is silent. The first response closes all others, so that an older one
+    /// is never taken for newer.
     calls: Vec<DiscoveryCall>,
     timer: Option<TimerKey>,
     /// The version of the list to watch from; `None` before a complete list has come, and after each break.
@@ -90,6 +90,7 @@
 }
 
 impl DiscoveryClient {
+    /// Makes no call yet.
     pub fn new(handle: EventLoopHandle, pool: &Pool, address: SocketAddr, bounds: &Bounds) -> Self {
         let (pool, zones, nodes) = (pool.clone(), bounds.zones.clone(), HashMap::new());
         let (calls, timer, seq, pause) = (Vec::new(), None, None, BACKOFF_RANGE_SECONDS.0);
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Calls the agent on a new connection: to watch on from where it was, or for the whole list.
+    /// Calls the agent on a new connection: to continue the watch, or for a complete list.
     pub fn call(&mut self, now: f64, timers: &mut Timers) {
         let open = || -> Result<DiscoveryCall, ConnectionEnd> {
             let stream = Rc::new(upstream::open(self.address)?);
@@ -141,8 +142,7 @@
         }
     }
 
-    /// Calls another agent in place of this one. Its versions are its own, so that its whole list comes first;
-    /// until then the last list holds.
+    /// Changes to another agent. Its versions are unrelated, so a complete list is requested first; until then the last one holds.
     pub fn move_to(&mut self, now: f64, address: SocketAddr, timers: &mut Timers) {
         if address != self.address {
             info!("discovery: agent changed from {} to {address}", self.address);
@@ -153,8 +153,8 @@
         }
     }
 
-    /// A watch if it is the only call. One beside a silent watch asks for the whole list: that is answered at once,
-    /// and the agent may have begun anew and count its versions from 1.
+    /// Sends a watch if this is the only call. Beside a silent watch a complete list is requested: the agent answers that at once,
+    /// and may have restarted and count its versions from 1.
     fn ask(&mut self, now: f64, at: usize, timers: &mut Timers) {
         let from = self.seq.filter(|_| self.calls.len() == 1);
         let (path, wait) = match from {
@@ -173,7 +173,7 @@
         self.write(now, at, timers);
     }
 
-    /// `false` if the call ended by it.
+    /// Returns `false` if the call has ended.
     fn write(&mut self, now: f64, at: usize, timers: &mut Timers) -> bool {
         let call = &mut self.calls[at];
         match call.out.flush(&*call.stream) {
@@ -193,9 +193,8 @@
         match self.calls.first() {
             Some(call) if call.awaiting_response => {
                 warn!("discovery {}: no answer for {:.1} s; calling again", self.address, now - self.asked);
-                // Each has all the time in which its answer is of use. Ended sooner to make room, an answer that
-                // is slow to come, or comes in pieces, would never be heard; and one that drips for ever ends here.
-                // To half a pace: whether the twelfth rings a moment early must not decide on a thirteenth.
+                // Closes calls whose response would be stale by now, no sooner, or a slow agent would never be heard. Half an
+                // interval of tolerance, so that a timer that fires early does not allow a thirteenth call.
                 let old = |call: &&DiscoveryCall| {
                     now - call.due > STALE_AFTER_SECONDS - RESPONSE_OVERDUE_SECONDS / 2.0
                 };
@@ -211,44 +210,44 @@
         }
     }
 
-    /// Ends a call that was not answered; every such call ends here.
+    /// Closes a call that was not answered.
     fn end(&mut self, now: f64, at: usize, ending: ConnectionEnd, timers: &mut Timers) {
         let call = self.calls.remove(at);
         self.handle.remove(call.token);
         self.ended(now, ending, timers);
     }
 
-    /// The last list holds until the next one; that is asked for after a pause, or when the calls that are still
-    /// out have been silent for long enough.
+    /// Schedules another call after a backoff, unless calls that are still out have a timer. The last list holds meanwhile.
     fn ended(&mut self, now: f64, ending: ConnectionEnd, timers: &mut Timers) {
         warn!("discovery {}: connection {ending}; keeping the last endpoint list", self.address);
         self.reset_index_without_watch();
         if self.calls.is_empty() || self.timer.is_none() {
             timers.unset(self.timer.take());
             self.timer = Some(timers.set(now + self.pause, TimerEvent::Discovery));
-            // Our own lack of descriptors says nothing about the agent.
+            // A local lack of descriptors is no failure of the agent.
             if ending != ConnectionEnd::DescriptorsExhausted {
                 self.pause = (2.0 * self.pause).min(BACKOFF_RANGE_SECONDS.1);
             }
         }
     }
 
-    /// Without a watch that is out, what comes next is a whole list.
+    /// Without an open watch the next request is for a complete list.
     fn reset_index_without_watch(&mut self) {
         if !self.calls.iter().any(|call| call.is_watch) {
             self.seq = None;
         }
     }
 
+    /// Reads and writes on all connections; returns the updates that arrived, in their order.
     pub fn ready(&mut self, now: f64, readable: bool, timers: &mut Timers) -> Vec<EndpointUpdate> {
         let (mut news, mut at) = (Vec::new(), 0);
-        // Which connection it was is not told: they are few, and mostly one.
+        // The event does not say which connection is ready; there are few.
         while at < self.calls.len() {
             if !self.write(now, at, timers) {
                 continue;
             }
             match if readable { self.hear(now, at, timers) } else { ReadResult::Nothing } {
-                // All others are gone.
+                // All other calls have been closed.
                 ReadResult::Update(one) => {
                     news.push(one);
                     at = 0;
@@ -260,7 +259,7 @@
         news
     }
 
-    /// Reads one connection on.
+    /// Reads from one connection until it has a complete response or nothing more to read.
     fn hear(&mut self, now: f64, at: usize, timers: &mut Timers) -> ReadResult {
         loop {
             match self.answer(at) {
@@ -275,7 +274,7 @@
             let call = &mut self.calls[at];
             let input = call.input.get_or_insert_with(|| self.pool.take());
             let ending = match input.read_from(&*call.stream) {
-                // A list that states no length ends so.
+                // A response without a length ends at the close.
                 Ok(0) if call.message.as_mut().is_some_and(Message::finish_at_close) => continue,
                 Ok(0) => ConnectionEnd::Closed,
                 Ok(_) => continue,
@@ -293,7 +292,7 @@
         }
     }
 
-    /// Takes one whole answer out of what has come, or says why it will not do.
+    /// Parses a complete response from the bytes received, if there is one.
     fn answer(&mut self, at: usize) -> Result<Option<(EndpointUpdate, bool)>, String> {
         let call = &mut self.calls[at];
         let Some(input) = &mut call.input else { return Ok(None) };
@@ -304,7 +303,7 @@
             call.message = http::response(input).map_err(|refusal| refusal.why)?.map(Message::after);
         }
         let Some(message) = &mut call.message else { return Ok(None) };
-        // The body of an error need not be awaited.
+        // An error's body is not awaited.
         if message.head.status != 200 {
             return Err(format!("answered {}", message.head.status));
         }
@@ -326,7 +325,7 @@
         Ok(Some((news, keep)))
     }
 
-    /// Ends all other calls, and schedules the next request.
+    /// Closes all other calls, and schedules the next request.
     fn heard(
         &mut self,
         now: f64,
@@ -359,7 +358,7 @@
         self.zones.get(zone).cloned().unwrap_or_default()
     }
 
-    /// Nothing names this node any more: its index may be given to another.
+    /// Frees the id of a node that nothing refers to any more.
     pub fn forget(&mut self, node: NodeId, host: &str) {
         if self.nodes.remove(host).is_some() {
             self.taken.remove(node);
--- a/crates/dunepond-broker/src/event_loop/background.rs
+++ b/crates/dunepond-broker/src/event_loop/background.rs
@@ -10,7 +10,7 @@
 use crate::control_plane::ControlPlane;
 use crate::prefilter::PrefilterHost;
 
-/// The name of audits among background work; one that has waited so long has met its end, as the content will have moved.
+/// Name of the background job for prefilter audits. One that waited longer is dropped, as the content will have changed.
 const AUDIT_JOB: &str = "audit";
 const AUDIT_EXPIRY_SECONDS: f64 = 5.0;
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Background work: blocking jobs go to the pool, and a step runs where the loop has nothing else to do.
+    /// Runs background jobs: blocking ones on the thread pool, steps if the loop has nothing else to do.
     pub(super) fn work(&mut self, idle: bool) {
         let now = self.router_host.now;
         if !self.audit && self.prefilter.as_ref().is_some_and(PrefilterHost::has_audits) {
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop: hands each event and timer to the router that it concerns, one call at a time, until nothing is left to do.
+//! The event loop: handles each event and timer in turn, and after each one all work that follows from it.
 
 mod background;
 mod disconnects;
@@ -24,24 +24,24 @@
 use crate::router::RouterHost;
 pub use startup::{Hooks, serve};
 
-/// All that an iteration works on.
+/// The broker: all state that the event loop works on.
 struct EventLoop {
     clock: Clock,
     router: Router,
     router_host: RouterHost,
     discovery: DiscoveryClient,
-    /// Two-phase queries; nothing where the operator's file does not ask for them.
+    /// `None` if the operator's file does not enable the prefilter.
     prefilter: Option<PrefilterHost>,
     background: Background,
-    /// What outlasts the process; nothing where the operator's file does not ask for it.
+    /// `None` if the operator's file names no state folder.
     persistence: Option<Persistence>,
     /// A background job for a prefilter audit is scheduled.
     audit: bool,
     config_reloader: ConfigReloader,
     operator: Operator,
-    /// The list of the configuration, until discovery speaks or has been silent for too long.
+    /// The configured endpoint list, until discovery answers or has been silent for too long.
     known: Option<EndpointUpdate>,
-    /// When this iteration began, and the one before it: what an iteration finds came after the latter.
+    /// When this iteration began, and the previous one; the events of this iteration came after the latter.
     iteration_began_at: f64,
     previous_iteration_at: f64,
     /// The longest query timeout in seconds, or that of a configuration reloaded since, if shorter.
@@ -54,7 +54,7 @@
 }
 
 impl EventLoop {
-    /// The clock stands still during a call.
+    /// Reads the clock, which stands still until the next call, and applies the active configuration.
     fn tick(&mut self) -> f64 {
         self.router_host.now = self.clock.now();
         let apart = (self.iteration_began_at - self.previous_iteration_at)
@@ -306,7 +306,7 @@
         self.work(idle);
     }
 
-    /// What has become of a body.
+    /// A streamed body has been buffered, is passed through, or was lost.
     fn body(&mut self, body: BodyId, event: BodyEvent) {
         let note = match event {
             BodyEvent::Buffered => None,
@@ -329,7 +329,7 @@
         }
     }
 
-    /// A query's time is up.
+    /// A query's deadline has passed.
     fn scan_ends(&mut self, query: QueryId) {
         if self.router_host.scan_ends(query) {
             self.settle();
@@ -338,7 +338,7 @@
         }
     }
 
-    /// Does what has come due.
+    /// Handles all timers that are due.
     fn run_timers(&mut self) {
         let now = self.tick();
         while let Some(due) = self.router_host.timers.pop_due(now) {
@@ -366,7 +366,7 @@
                     self.router_host.upstream.due(now, id, &mut self.router_host.timers)
                 }
                 TimerEvent::ClientTimeout(id) => {
-                    // What it has sent may be behind this in the same turn.
+                    // Its bytes may have arrived in this iteration without having been read.
                     let time = self.router_host.downstream.read_before_timeout(id);
                     self.settle();
                     if self.router_host.downstream.is_still_timed_out(id, time)
--- a/crates/dunepond-broker/src/event_loop/reload.rs
+++ b/crates/dunepond-broker/src/event_loop/reload.rs
@@ -10,9 +10,8 @@
 use crate::logger;
 
 impl EventLoop {
-    /// The configuration is to be read again. What it says of discovery and of the log is in force at once; the
-    /// rest is checked as at the start and waits for one, as queries in hand go by it. One that will not do
-    /// changes nothing.
+    /// Starts a reload of the configuration. Discovery's address and the log level take effect at once; the rest is checked, and
+    /// takes effect after a restart. An invalid configuration changes nothing.
     pub(super) fn start_reload(&mut self) {
         match self.config_reloader.read() {
             Ok(true) => {}
@@ -21,14 +20,14 @@
         }
     }
 
-    /// The configuration has been read.
+    /// Applies a configuration that has been reloaded.
     pub(super) fn reread(&mut self, configuration: LoadedConfig) {
         let now = self.tick();
         match configuration.start {
             Ok(start) => {
                 info!("configuration reloaded");
                 logger::set_level(start.level);
-                // Settings wait for a start; but whoever starts and kills the process may go by these already.
+                // Settings take effect after a restart, but the process's supervisor may use these timeouts already.
                 let timeouts = start.deployment.query_classes.iter().map(|t| t.timeout);
                 self.longest_timeout = self.longest_timeout.min(timeouts.fold(0.0, f64::max));
                 self.discovery.move_to(now, start.discovery, &mut self.router_host.timers);
@@ -51,7 +50,7 @@
         self.settle();
     }
 
-    /// What may change under way does; the rest is named and waits for a start.
+    /// Applies what can change in a running process; the rest is logged and takes effect after a restart.
     fn apply_operator_file(&mut self, operator: Operator) {
         let waits = |what: &str| warn!("operator's file: {what} takes effect after a restart");
         if operator.log_form != self.operator.log_form {
--- a/crates/dunepond-broker/src/event_loop/shutdown.rs
+++ b/crates/dunepond-broker/src/event_loop/shutdown.rs
@@ -7,9 +7,8 @@
 use crate::clock::TimerEvent;
 
 impl EventLoop {
-    /// SIGTERM or SIGINT was found in this iteration, so it may have come at any time since the previous one began. The stages
-    /// count from that time: after a stall the kill comes sooner than the time of finding suggests. A second signal changes
-    /// nothing.
+    /// Handles SIGTERM or SIGINT, which may have come at any time since the previous iteration began. The stages count from then:
+    /// after a stall the kill comes sooner than the time of finding suggests. A second signal changes nothing.
     pub(super) fn told_to_end(&mut self) {
         let now = self.tick();
         if self.shutdown.is_none() {
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -38,28 +38,26 @@
 use crate::signals::{CaughtSignals, catch_signals};
 use crate::upstream::Upstream;
 
-/// How long a new process waits for the list: for a call and for the one beside it. What the agent on its machine has
-/// counts as told from its first moment, and what it was left with may be old; but while discovery is down there is
-/// nothing else to go by. Who waits at the listener so long has a time of its own, which is not seen before its
-/// request is read: it waits for this share of the shortest query timeout at most, and is rejected then. Half, as the other
-/// half is its client's, to ask elsewhere; the timeouts are the settings'.
+/// How long a new process waits for discovery, one call and a second one beside it, before it uses the configured endpoint list.
 const FIRST_LIST_TIMEOUT_SECONDS: f64 = 2.0 * RESPONSE_OVERDUE_SECONDS;
+/// Share of the shortest query timeout for which accepting may wait for the first list. Guards against a client that learns of a
+/// rejection too late to ask another broker.
 const MAX_ACCEPT_HOLD_RATIO: f64 = 0.5;
-/// How soon binding an address that is still in use is tried again: well below the seconds in which a process has to be ready.
+/// How soon binding an address that is still in use is tried again.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What the caller of [`serve`] may replace or add.
 #[derive(Default)]
 pub struct Hooks {
-    /// The signals, where they were caught before.
+    /// The signals, if they have been caught already.
     pub signals: Option<CaughtSignals>,
-    /// The operator's file, to be read again at SIGHUP.
+    /// Path of the operator's file, which SIGHUP reloads.
     pub operator: Option<PathBuf>,
-    /// Stands in for the folder that the operator's file names for bodies.
+    /// Replaces the folder that the operator's file names for bodies.
     pub folder: Option<Arc<dyn Folder>>,
-    /// The same for the state's.
+    /// Replaces the folder that the operator's file names for state.
     pub files: Option<Arc<dyn FileStore>>,
-    /// The same for the fleet's data directory and fill service.
+    /// Replaces the fleet's data directory and fill service.
     pub fleet: dunepond_control_plane::TestDoubles,
 }
 
@@ -77,21 +75,21 @@
     let folder = match &hooks.folder {
         Some(folder) => folder.clone(),
         None => {
-            // New with each start, so that what an earlier one left is told from ours.
+            // Unique to this start, so that files of an earlier one are recognised.
             let since = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos());
             let mark = format!("{}-{since:x}", std::process::id());
             Arc::new(Disk::open(&told.path, &mark).map_err(|e| failed(&e))?)
         }
     };
     let sender = event_channel(handle, LoopEvent::DiskDone).map_err(|e| failed(&e))?;
-    // Once nobody listens the broker has ended, and its files go with it.
+    // A send fails only once the event loop has ended.
     let tell = move |done| drop(sender.send(done));
     let spool = Spool::start(folder.clone(), told.threads, told.waiting, tell).map_err(|e| failed(&e))?;
     Ok(Some((spool, folder)))
 }
 
-/// Listens at an address. An old process may hold it still, which has been told to end: by the time at which that one
-/// may be killed it has let go. Whoever ended at once here would never be ready.
+/// Listens at an address. While an old process that is shutting down still holds it, binding is retried until that process must
+/// have been killed: a start that failed at once would never succeed.
 fn listen(what: &str, address: SocketAddr) -> io::Result<TcpListener> {
     let (since, mut waits) = (Instant::now(), false);
     loop {
@@ -153,7 +151,7 @@
     pool.map(Some).map_err(|e| failed("background", &e))
 }
 
-/// Serves until it is told to end.
+/// Runs a broker until a signal has shut it down. Fails if something that it needs cannot be set up.
 pub fn serve(start: StartupConfig, mut hooks: Hooks) -> Result<(), Bad> {
     if start.operator.bodies.is_some() {
         buffers::use_single_malloc_arena();
@@ -164,7 +162,7 @@
     watch_signals(&handle, signals)?;
     let (pool, bounds) = (Pool::default(), Rc::new(start.bounds));
     let mut discovery = DiscoveryClient::new(handle.clone(), &pool, start.discovery, &bounds);
-    // A list that cannot be read is none: discovery will bring another.
+    // An invalid list is ignored: discovery will send another.
     let known = discovery.read(&start.known).ok().map(|(_, news, _)| news);
     let listener = listen("GW_LISTEN", start.listen).map_err(|e| failed("GW_LISTEN", &e))?;
     let local = listener.local_addr().map_err(|e| failed("GW_LISTEN", &e))?;
@@ -259,7 +257,7 @@
 }
 
 impl EventLoop {
-    /// What is due from the first moment on. Nobody is taken in before the first list, for so long at most.
+    /// Schedules what is due from the start. Accepting waits for the first endpoint list, `held_at_most` seconds at most.
     fn schedule_first(&mut self, held_at_most: f64) {
         let now = self.tick();
         self.report();
@@ -267,7 +265,7 @@
             self.router_host.timers.set(now + persistence.every(), TimerEvent::Snapshot);
         }
         if self.known.is_some() {
-            // The list comes into force before who waited for it is taken in.
+            // Scheduled first, so that the list is in force before waiting connections are accepted.
             self.router_host.timers.set(now + FIRST_LIST_TIMEOUT_SECONDS, TimerEvent::FirstListTimeout);
             self.router_host.downstream.hold(
                 now,
@@ -285,7 +283,7 @@
             let next = self.router_host.timers.until_next(self.clock.now());
             let wait = next.map_or(SIGNAL_POLL_INTERVAL, |next| next.min(SIGNAL_POLL_INTERVAL));
             event_loop.dispatch(wait, &mut turn)?;
-            // Nothing came but a time: whatever runs now delays nobody who is already there.
+            // No event came, only a timer: idle work delays nobody.
             let idle = turn.ready.is_empty();
             self.begin_iteration();
             self.detect_disconnects(&turn);
--- a/crates/dunepond-broker/src/iteration.rs
+++ b/crates/dunepond-broker/src/iteration.rs
@@ -13,38 +13,44 @@
 
 use crate::config_reload::LoadedConfig;
 
-/// What has happened, to whom; `true` where it can be read. The id may have gone to another within the turn: that
-/// one is then told of a readiness too many, which costs it a read for nothing.
+/// An event of the loop. The flag of a ready connection tells whether it can be read. An index may have been reused within the
+/// iteration; the other connection then reads once in vain.
 pub enum LoopEvent {
-    /// At the first door, or (true) at the API's.
+    /// Connections wait at the listener for clients or, if `true`, at the search API's.
     Accept(bool),
+    /// A client connection, by its index.
     ClientReady(usize, bool),
+    /// A connection to a node, by its index.
     UpstreamReady(usize, bool),
-    /// A connection for questions.
+    /// A prefilter connection to a node, by its index.
     PrefilterReady(usize, bool),
     /// A connection to discovery.
     DiscoveryReady(bool),
-    /// The files tier has done something.
+    /// The disk spill for bodies has completed an operation.
     DiskDone(Done),
-    /// A background job that could block has ended.
+    /// A blocking background job has ended.
     JobFinished(Finished),
-    /// What the fleet has agreed on has changed.
+    /// The active configuration or a quota has changed.
     ControlPlaneChanged,
+    /// SIGHUP.
     ReloadRequested,
-    /// The configuration has been read again.
+    /// The configuration has been reloaded.
     ConfigLoaded(Box<LoadedConfig>),
+    /// SIGTERM or SIGINT.
     ShutdownRequested,
 }
 
-/// All that the loop's callbacks work on.
+/// What the event loop's callbacks collect in one iteration.
 #[derive(Default)]
 pub struct Iteration {
+    /// Events to be handled, oldest first.
     pub ready: VecDeque<LoopEvent>,
 }
 
+/// Registers sources with the event loop.
 pub type EventLoopHandle = LoopHandle<'static, Iteration>;
 
-/// A channel by which other threads leave word: what comes on it is one thing of a turn.
+/// A channel from other threads; each message becomes an event of the loop.
 pub fn event_channel<T: 'static>(
     handle: &EventLoopHandle,
     ready: impl Fn(T) -> LoopEvent + 'static,
@@ -59,7 +65,7 @@
     Ok(sender)
 }
 
-/// Has the loop tell of each new readiness of a stream, once, and whether it can be read.
+/// Registers a stream, edge-triggered; `told` makes the event from whether it can be read.
 pub fn watch(
     handle: &EventLoopHandle,
     stream: &Rc<TcpStream>,
--- a/crates/dunepond-broker/src/logger.rs
+++ b/crates/dunepond-broker/src/logger.rs
@@ -18,7 +18,7 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::{Layer, Registry, reload};
 
-/// Lines of one place in the code per second.
+/// Lines per second that one call site may write.
 const MAX_LINES_PER_SECOND: u32 = 20;
 
 /// A pipe that is ready for writing takes a page at least without waiting (pipe(7), PIPE_BUF); a line end is left of it.
@@ -27,8 +27,10 @@
 /// How a line is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LogFormat {
+    /// One line of text for an event.
     #[default]
     Text,
+    /// One JSON object for an event.
     Json,
 }
 
@@ -107,7 +109,7 @@
     }
 }
 
-/// The lines that each place in the code wrote in the present second.
+/// Lines that each call site wrote in the current second.
 #[derive(Default)]
 struct LinesThisSecond {
     second: u64,
@@ -121,7 +123,7 @@
 }
 
 impl RateLimit {
-    /// Whether this line is one too many, and how many were held back in the second that is over.
+    /// Counts a line. Returns whether it is over the limit, and how many were suppressed in the previous second.
     fn held_back(&self, metadata: &Metadata) -> (bool, u32) {
         let second = self.start.elapsed().as_secs();
         let Ok(mut seen) = self.seen.lock() else { return (false, 0) };
@@ -142,7 +144,7 @@
     }
 
     fn event_enabled(&self, event: &Event, _: &Context<S>) -> bool {
-        // Who asks for debugging wants all of it.
+        // Debug lines are not limited.
         if *event.metadata().level() > Level::INFO {
             return true;
         }
@@ -159,6 +161,7 @@
 
 static LEVEL: OnceLock<reload::Handle<LevelFilter, Registry>> = OnceLock::new();
 
+/// Installs the logger for the whole process. `name`: the broker's name in each line.
 pub fn start(name: &str, level: LevelFilter, form: LogFormat) {
     let (level, handle) = reload::Layer::new(level);
     let start = Instant::now();
@@ -169,12 +172,13 @@
         LogFormat::Json => lines.json().flatten_event(true).with_current_span(false).boxed(),
     };
     let subscriber = Registry::default().with(level).with(lines.with_filter(guard));
-    // A second start can only happen in tests, and the first one serves them as well.
+    // Only tests install it twice; the first logger serves them as well.
     if tracing::subscriber::set_global_default(subscriber).is_ok() {
         let _ = LEVEL.set(handle);
     }
 }
 
+/// Changes the level of the installed logger.
 pub fn set_level(level: LevelFilter) {
     if let Some(handle) = LEVEL.get() {
         let _ = handle.reload(level);
--- a/crates/dunepond-broker/src/migrate.rs
+++ b/crates/dunepond-broker/src/migrate.rs
@@ -8,14 +8,14 @@
 
 use crate::config;
 
-/// Reads a file, and gives its counterpart; the fault names the file.
+/// Converts a configuration file to the new format; the error names the file.
 pub fn read(old: &Path, ask: &Ask) -> Result<Counterpart, Bad> {
     let named = |line: String| Bad(format!("{}: {line}", old.display()));
     let text = std::fs::read_to_string(old).map_err(|e| named(e.to_string()))?;
     counterpart(&text, ask, config::check).map_err(|Bad(line)| named(line))
 }
 
-/// Writes the new file whole or not at all; one that is there is replaced only where that was asked.
+/// Writes the new file completely or not at all. An existing file is replaced only with `overwrite`.
 pub fn write(new: &Path, text: &str, overwrite: bool) -> Result<(), Bad> {
     let named = |e: std::io::Error| Bad(format!("{}: {e}", new.display()));
     let folder = new.parent().filter(|p| !p.as_os_str().is_empty()).map_or(PathBuf::from("."), PathBuf::from);
--- a/crates/dunepond-broker/src/persistence.rs
+++ b/crates/dunepond-broker/src/persistence.rs
@@ -1,5 +1,5 @@
-//! State that outlasts the process: learned state in snapshots, spent budgets in a journal, in the operator's folder. Only the start waits for
-//! the disk, and not for long; service goes on without the folder.
+//! State that outlasts the process: learned state in snapshots and spent budgets in a journal, in the operator's folder. Only startup and
+//! shutdown wait for the disk, for a bounded time; the broker serves without the folder.
 
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,18 +18,20 @@
 use crate::background::Background;
 use crate::router::RouterHost;
 
+/// Name of the background job that writes a snapshot.
 pub const SNAPSHOT_JOB: &str = "snapshot";
+/// Name of the background job that opens the folder again after a failure.
 pub const OPEN_JOB: &str = "open the state's folder";
 const LEARNED_STATE_FILE: &str = "beliefs";
 const LEDGER_FILE: &str = "debts";
-/// Longest that the start waits for what the folder holds, and the end for what goes into it.
+/// Longest time that startup waits for the folder to be read, and shutdown for it to be written.
 const STARTUP_READ_TIMEOUT: Duration = Duration::from_millis(250);
 const SHUTDOWN_WRITE_TIMEOUT: Duration = Duration::from_millis(300);
-/// A folder that fails is tried again after so many seconds, doubled up to the second.
+/// First and longest backoff before a folder that failed is opened again, in seconds.
 const OPEN_RETRY_SECONDS: (f64, f64) = (1.0, 60.0);
-/// A snapshot is worth nothing once so many others could have been made.
+/// A snapshot job that has waited for so many snapshot intervals is dropped.
 const MAX_SNAPSHOT_DELAY_INTERVALS: f64 = 5.0;
-/// A journal longer than this begins anew with its last record.
+/// A longer journal is rewritten with its last record alone.
 const MAX_JOURNAL_BYTES: u64 = 64 * 1024;
 
 /// The folder in use.
@@ -48,11 +50,12 @@
 
 type Shared = Arc<Mutex<Option<StateStorage>>>;
 
+/// The broker's state folder, and the background jobs that use it.
 pub struct Persistence {
     told: State,
     files: Option<Arc<dyn FileStore>>,
     storage: Shared,
-    /// Not believed yet: the list is not there.
+    /// Read at startup, not restored yet: there is no endpoint list.
     held: Option<Recovered>,
     snapshot: Option<JobId>,
     opening: Option<JobId>,
@@ -61,7 +64,7 @@
     restored: bool,
 }
 
-/// This moment by both clocks.
+/// A Unix time together with the machine's boot id and uptime at this moment.
 pub fn timestamp(unix: f64) -> Timestamp {
     let read = |path: &str| std::fs::read_to_string(path).unwrap_or_default();
     let uptime = read("/proc/uptime").split(' ').next().and_then(|seconds| seconds.parse().ok());
@@ -73,7 +76,7 @@
     }
 }
 
-/// Opens a folder, reads what it holds and says in it that we have begun.
+/// Opens a folder, reads what it holds and appends a record of this start.
 fn open(files: Arc<dyn FileStore>, at: Timestamp) -> Result<(StateStorage, Recovered), String> {
     let plain = |e: std::io::Error| e.to_string();
     let snapshots = SnapshotStore::new(files.clone(), LEARNED_STATE_FILE, FORMAT_VERSION);
@@ -96,7 +99,7 @@
         recovered.records.iter().map(|record| BudgetRecord::decode(&record.bytes)).collect();
     let whole = entries.iter().all(Result::is_ok)
         && recovered.fault.as_ref().is_none_or(|f| *f == FileFault::Truncated);
-    // A record that is cut off was being written when its writer went: it is one of an end that was not reached.
+    // A truncated record was being written when the process ended, so that its shutdown was not completed.
     let whole = whole && recovered.fault.is_none();
     if journal.length() > MAX_JOURNAL_BYTES {
         let last = recovered.records.last().map(|record| record.bytes.clone());
@@ -112,7 +115,7 @@
 }
 
 impl Persistence {
-    /// Takes the folder into use, if it answers soon. `files` stands in for it in the laboratory.
+    /// Opens the folder and reads it, waiting a bounded time. `files` replaces the folder in tests.
     pub fn start(
         now: f64,
         told: State,
@@ -158,7 +161,7 @@
         persistence
     }
 
-    /// What opens the folder, on the pool. What it held is of use at the start only: later we know better.
+    /// The work that opens the folder, for the thread pool. `tell` gets what the folder held.
     fn opening(
         &self,
         now: f64,
@@ -200,15 +203,15 @@
         self.opening = Some(background.add(now, spec));
     }
 
+    /// Seconds between two snapshots.
     pub fn every(&self) -> f64 {
         self.told.every
     }
 
-    /// The list is there for the first time: what was learned before is believed as far as it still holds, and what may
-    /// have been spent counts.
+    /// Restores learned state and spent budgets once the first endpoint list is in force, as far as they still hold.
     pub fn believe(&mut self, now: f64, router: &mut Router, router_host: &mut RouterHost) {
         let present = router_host.upstream.identities();
-        // Once: later lists find a process that knows better.
+        // Only once: later this process has learned more than the folder holds.
         if present.is_empty() || std::mem::replace(&mut self.restored, !present.is_empty()) {
             return;
         }
@@ -240,7 +243,7 @@
         }
     }
 
-    /// It is time for another snapshot, if the last one is not still under way.
+    /// Adds the job of another snapshot, unless one is pending.
     pub fn due(&mut self, now: f64, background: &mut Background) {
         if self.snapshot.is_some() || lock(&self.storage).is_none() {
             return;
@@ -268,7 +271,7 @@
         .encode()
     }
 
-    /// A job of ours is to run.
+    /// Runs a job that the scheduler has started.
     pub fn run(
         &mut self,
         id: JobId,
@@ -305,11 +308,11 @@
         });
     }
 
-    /// A job of ours has ended, or will not be done.
+    /// A job has ended or was dropped; one of others is ignored.
     pub fn ended(&mut self, now: f64, id: JobId, failed: bool, background: &mut Background) {
         if self.snapshot == Some(id) {
             self.snapshot = None;
-            // The folder is opened anew, with its back-off, before anything is written again.
+            // The folder is reopened, with backoff, before anything is written again.
             if failed && self.opening.is_none() {
                 *lock(&self.storage) = None;
                 self.retry_open(now, background);
@@ -319,7 +322,7 @@
         }
     }
 
-    /// The broker ends in order: what it has learned and spent is written, if the folder takes it soon.
+    /// Writes learned state and spent budgets at a graceful shutdown, waiting a bounded time.
     pub fn finish(&mut self, now: f64, router: &mut Router, router_host: &RouterHost, pool: &Pool) {
         let bytes = self.saved(now, router, router_host);
         let entry = BudgetRecord::stopped(
@@ -344,15 +347,17 @@
     }
 }
 
-/// A folder as it stands, without a broker.
+/// The contents of a state folder, read without a broker.
 pub struct Inspection {
+    /// The newest snapshot that can be read.
     pub beliefs: Option<LearnedSnapshot>,
+    /// The journal's records that can be read, oldest first.
     pub entries: Vec<BudgetRecord>,
-    /// Every file or record that is not believed, with why.
+    /// Every file or record that cannot be used, and why.
     pub faults: Vec<String>,
 }
 
-/// Reads a folder without taking it into use.
+/// Reads a state folder without changing it.
 pub fn look(path: &std::path::Path) -> Result<Inspection, String> {
     let files: Arc<dyn FileStore> =
         Arc::new(DiskStore::open_read_only(path).map_err(|e| format!("{}: {e}", path.display()))?);
@@ -379,7 +384,7 @@
     Ok(Inspection { beliefs, entries, faults })
 }
 
-/// What a folder holds and how it would be believed now, before an unchanged list.
+/// Describes what a state folder holds and what a broker would restore from it now, if the endpoint list had not changed.
 pub fn show(path: &std::path::Path, now: f64) -> Result<String, String> {
     use std::fmt::Write;
     let look = look(path)?;
--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -14,7 +14,7 @@
 use crate::search_api::{ActiveRequest, ActiveSearch, SearchRequest};
 
 impl RouterHost {
-    /// Registers a query. If too much is in flight, it is rejected (503) before the router hears of it.
+    /// Registers a client's query. If too much is in flight it is rejected (503) without the router.
     pub fn take(&mut self, client: usize, asked: QueryRequest) -> Option<Query> {
         if self.is_full() {
             debug!("query {}: rejected, {} queries and parts in flight", asked.request_id, self.held);
@@ -31,7 +31,7 @@
         Some(query)
     }
 
-    /// Registers a request of the search API: a query for each of its searches. A search that is invalid or over the limit has its
+    /// Registers a search API request: a query for each of its searches. A search that is invalid or over the limit gets its
     /// outcome at once.
     pub fn request(&mut self, client: usize, request: &SearchRequest) -> Vec<Query> {
         let Some(door) = self.downstream.api.clone() else { return Vec::new() };
@@ -85,7 +85,7 @@
         self.request_ids.insert(asked.request_id.clone());
         self.last += 1;
         let query = self.last;
-        // No client waits longer, whatever it says, and nothing is held for longer.
+        // A client's deadline is capped by the query class's timeout.
         let client_until = asked.deadline.min(self.now + self.timeouts[asked.table_type]);
         let ends_at = client_until.min(self.downstream.until);
         let segs: Vec<_> = asked.parts.iter().map(|p| p.segment).collect();
@@ -131,7 +131,7 @@
         }
     }
 
-    /// A query of one segment that no client waits for; `None` if too much is in flight.
+    /// Registers an audit of the prefilter: a query of one segment without a client. `None` if too much is in flight.
     pub fn audit(&mut self, table_type: usize, seg: usize, text: Rc<str>) -> Option<Query> {
         let request_id = format!("audit-{}", self.last + 1);
         let room = self.bounds.most_held.is_none_or(|most| self.held + 2 <= most);
@@ -167,7 +167,7 @@
         Some(Query {
             id: query,
             class: table_type,
-            // An index behind all tenants: it has no quota, and its first tries are not compared with a tenant's.
+            // No tenant's index: it has no quota and counts in no tenant's statistics.
             tenant: self.bounds.customers.len() + 1,
             expires_in: ends_at - self.now,
             is_retry: false,
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -1,4 +1,4 @@
-//! Completes queries: records attempts that ended, responds to clients and releases what the query held.
+//! Completes queries: records attempts that ended, responds to clients and releases resources.
 
 use dunepond_routing::{AttemptEnded, AttemptId, AttemptOutcome, QueryId};
 use dunepond_search_api::ApiError;
@@ -12,7 +12,7 @@
 use crate::upstream::CompletedAttempt;
 
 impl RouterHost {
-    /// Books an attempt that is back; `None` if the router has nothing to hear of it.
+    /// Records an attempt that ended; `None` if the router need not be told.
     pub fn book(&mut self, back: CompletedAttempt) -> Option<AttemptEnded> {
         let CompletedAttempt { mut ended, mut value, .. } = back;
         let in_hand = self.queries.get_mut(&ended.query)?;
@@ -27,7 +27,7 @@
         if let (Some(fleet), Some(text)) = (&self.control_plane, &value) {
             fleet.carried(ended.node, in_hand.customer, text.len());
         }
-        // What a node found is taken as it comes: one that is spoilt is a part that failed, and a part counts once.
+        // An invalid answer is a failed attempt; only a part's first answer counts.
         if let (Some(text), Some(api)) = (&value, &mut in_hand.api)
             && in_hand.values[ended.part].is_none()
             && !in_hand.over
@@ -58,7 +58,7 @@
         Some(ended)
     }
 
-    /// Lets go of a query once nothing can name it any more.
+    /// Removes a finished query once all its attempts have ended.
     pub fn release(&mut self, query: QueryId) {
         if self.queries.get(&query).is_some_and(|s| s.over && s.out == 0)
             && let Some(in_hand) = self.queries.remove(&query)
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Notes that a query got a complete answer; only those count in the prefilter's comparison of query times.
+    /// Marks a finished query as completely answered; only those count in the prefilter's comparison of query times.
     pub(super) fn served(&mut self, query: QueryId, whole: bool) {
         if whole && let Some(last) = self.concluded.last_mut().filter(|last| last.0 == query) {
             last.1 = true;
         }
     }
 
-    /// Checks whether the client of this query has disconnected; `let_go` then ends the query.
+    /// Checks whether the query's client has disconnected; the event loop then ends the query.
     pub fn check_client(&mut self, query: QueryId) {
         let client = self.queries.get(&query).filter(|s| !s.over).and_then(|s| s.client);
         if let Some(client) = client {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The query's client has gone.
+    /// Finishes a query whose client has disconnected.
     pub fn left(&mut self, query: QueryId) {
         if let Some(in_hand) = self.queries.get(&query) {
             debug!("query {}: client disconnected", in_hand.request_id);
@@ -92,8 +92,7 @@
         self.conclude(query);
     }
 
-    /// A query's time is up: what is out for it ends, as nobody waits for it. True if the router still owed
-    /// an answer.
+    /// Ends all attempts of a query whose deadline has passed. Returns whether it is still unanswered.
     pub fn scan_ends(&mut self, query: QueryId) -> bool {
         let Some(in_hand) = self.queries.get_mut(&query) else { return false };
         in_hand.timer = None;
@@ -110,7 +109,7 @@
         is_owed
     }
 
-    /// The queries whose clients are still owed an answer.
+    /// Queries that clients still wait for, by id.
     pub fn owed_answers(&self) -> Vec<QueryId> {
         let owed_answers =
             self.queries.iter().filter(|(_, in_hand)| !in_hand.over && in_hand.client.is_some());
@@ -119,7 +118,7 @@
         owed_answers
     }
 
-    /// Answers late rather than never; no decision is left at this point.
+    /// Answers 504 if the router has not answered by the deadline.
     pub fn fail_overdue(&mut self, query: QueryId) {
         if let Some(client) = self.conclude(query) {
             error!("query {query}: deadline passed without an answer");
@@ -133,7 +132,7 @@
         }
     }
 
-    /// Marks the query as over; returns its client, unless it was over before.
+    /// Marks a query as finished; returns its client, unless it was finished already.
     pub(super) fn conclude(&mut self, query: QueryId) -> Option<usize> {
         let in_hand = self.queries.get_mut(&query).filter(|s| !s.over)?;
         in_hand.over = true;
@@ -158,7 +157,7 @@
         client
     }
 
-    /// Whether no attempt of a query has been sent completely, after withdrawing what can be: then a repeat does no harm.
+    /// Withdraws attempts that are not sent yet; returns whether none has been sent completely, so that a retry is safe.
     pub(super) fn nothing_was_sent(&mut self, query: QueryId) -> bool {
         let Some(in_hand) =
             self.queries.get(&query).filter(|s| s.may_run_since.iter().all(|at| *at == f64::MAX))
@@ -182,7 +181,7 @@
             if status != 200 {
                 self.note(query, status, false);
             }
-            // If the body was not kept for retries, the error says why.
+            // If the body was not retained for retries, the error says why.
             let note = in_hand.note.filter(|_| status != 200);
             let note = note.map(|why| error_body(&format!("body: not kept for retries: {why}")));
             let body = note.as_deref().unwrap_or(body);
@@ -190,14 +189,14 @@
         }
     }
 
-    /// A query of the API has its outcome.
+    /// Records the outcome of a search API query.
     pub(super) fn outcome(&mut self, query: QueryId, outcome: Result<Answer, ApiError>, wait: f64) {
         let Some(api) = self.queries.get(&query).and_then(|in_hand| in_hand.api.as_ref()) else { return };
         let (request, place) = (api.request, api.place());
         self.done(request, place, outcome, wait);
     }
 
-    /// A search of a request is through; with the last of them its client is answered.
+    /// Records the outcome of one search of a request; the last one answers the client.
     pub(super) fn done(&mut self, number: u64, place: usize, outcome: Result<Answer, ApiError>, wait: f64) {
         let Some(open) = self.requests.get_mut(&number) else { return };
         let client = open.client;
@@ -208,7 +207,7 @@
         }
     }
 
-    /// All queries that were under way for whoever held this number.
+    /// All queries of the request with this id: a query, or a search API request.
     pub fn queries_of(&mut self, number: QueryId) -> Vec<QueryId> {
         match self.requests.remove(&number) {
             Some(open) => open.queries,
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -13,19 +13,19 @@
 /// The active configuration that a query in a fleet is held to.
 pub struct Coordination {
     began: Rc<QueryStart>,
-    /// Parts that were sent under other keys than those that the query began on, with that map's epoch.
+    /// Parts that were sent under another map's keys than the one at the query's start, with that map's epoch.
     moved: Vec<(usize, u64)>,
-    /// Of each part of a keyed query, as only its repeats are judged: its attempts that are out, and whether one may have
-    /// run.
+    /// By part, for a keyed query only.
     keyed_attempts: Vec<(usize, bool)>,
 }
 
 impl Coordination {
+    /// The active configuration at the query's start.
     pub fn began(&self) -> Rc<QueryStart> {
         self.began.clone()
     }
 
-    /// An attempt is back.
+    /// An attempt of a part has ended.
     pub fn ended(&mut self, part: usize, end: AttemptOutcome) {
         if let Some((out, may_run_since)) = self.keyed_attempts.get_mut(part) {
             *out = out.saturating_sub(1);
@@ -35,7 +35,7 @@
 }
 
 impl RouterHost {
-    /// Checks a query against the active configuration before the router hears of it; `false` if it was rejected at once.
+    /// Checks a query against the active configuration; returns `false` if it was rejected without the router.
     pub fn admit(&mut self, query: &mut Query) -> bool {
         let Some(fleet) = &mut self.control_plane else { return true };
         fleet.came(query.tenant);
@@ -58,7 +58,7 @@
         false
     }
 
-    /// Whether a part may go to a node now, and what that means for its query.
+    /// Whether an attempt may be sent to a node now; records it for its query.
     pub(super) fn may_send(&mut self, node: NodeId, parcel: &AttemptRequest) -> bool {
         let Some(fleet) = &self.control_plane else { return true };
         let (gate, name) = (&fleet.gate, self.upstream.name(node));
@@ -69,7 +69,7 @@
         if let Some(agreed) = agreed {
             if let Some((out, may_run_since)) = agreed.keyed_attempts.get_mut(part) {
                 may_send &= (*out == 0 && !*may_run_since) || gate.may_retry_keyed(&agreed.began);
-                // Its end will be reported, sent or not.
+                // Its end will be reported whether or not it is sent.
                 *out += 1;
             }
             if may_send && let Some(epoch) = gate.moved(&agreed.began, seg) {
@@ -83,8 +83,8 @@
         may_send
     }
 
-    /// Whether an answer may be marked whole: only if the parts that are in cover what was asked for under one map, where
-    /// there is one. Parts that two nodes said cannot match count as in.
+    /// Whether an answer may be marked complete: only if the answered parts cover the query under one map, if there is one. Pruned
+    /// parts count as answered.
     pub(super) fn is_provably_complete(&mut self, query: QueryId, whole: bool) -> bool {
         let (Some(fleet), Some(in_hand)) = (&self.control_plane, self.queries.get(&query)) else {
             return whole;
@@ -113,6 +113,7 @@
         whole
     }
 
+    /// Audits the final answer of a query without values.
     pub(super) fn note(&self, query: QueryId, status: u16, whole: bool) {
         if let (Some(fleet), Some(in_hand)) = (&self.control_plane, self.queries.get(&query)) {
             fleet.gate.hand.audit(|| AuditEvent::Answer {
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! Queries in flight: what each is, and what is held for all of them.
+//! Hosts the router: queries in flight, and the connections and timers that its orders use.
 
 mod admission;
 mod completion;
@@ -26,53 +26,59 @@
 use crate::upstream::Upstream;
 use coordination::Coordination;
 
-/// A query from its request until it is answered and all its attempts are back.
+/// A query from its request until it is answered and all its attempts have ended.
 struct ActiveQuery {
-    /// The search API's search that it carries out, if any.
+    /// The search API's search that it runs for, if any.
     api: Option<Box<ActiveSearch>>,
-    /// `None` for an audit, for which no client waits.
+    /// Index of the client connection; `None` for an audit.
     client: Option<usize>,
     table_type: usize,
     request_id: String,
     text: Payload,
-    /// The body it came with in the streamed form, and why that is not there for retries.
+    /// Its streamed body, and why that is not available for retries.
     body: Option<BodyId>,
     note: Option<Reason>,
     segs: Vec<usize>,
     part_ids: Vec<Rc<str>>,
-    /// The value of each part that is in.
+    /// The value of each part that has been answered.
     values: Vec<Option<String>>,
-    /// Segments that the prefilter left out, and on whose answer.
+    /// Segments that the prefilter pruned, and on whose answer.
     left_out: Vec<PrunedSegment>,
     /// The nodes of each part's attempts.
     shots: Vec<Vec<NodeId>>,
-    /// When the first of each part's attempts was sent that may have run; never, as long as there is none.
+    /// When the first attempt of each part that may have run was sent; `f64::MAX` if there is none.
     may_run_since: Vec<f64>,
     ends_at: f64,
     timer: Option<TimerKey>,
     customer: usize,
     agreed: Option<Coordination>,
     out: usize,
-    /// It has its final answer, or its client has gone: nothing more is sent for it.
+    /// It has its final answer, or its client has disconnected: nothing more is sent for it.
     over: bool,
 }
 
+/// Hosts the router: what it orders is done here, on connections, timers and queries in flight.
 pub struct RouterHost {
+    /// Unix time in seconds; stands still during a call of the router.
     pub now: f64,
     pool: Pool,
+    /// Timers of the whole event loop.
     pub timers: Timers,
+    /// Connections of clients.
     pub downstream: Downstream,
+    /// Connections to nodes.
     pub upstream: Upstream,
-    /// Bodies of a streamed request; nothing where the operator's file does not ask for them.
+    /// Bodies of streamed requests, if the operator's file enables them.
     pub body_store: Option<BodyStore>,
-    /// Where two phases are on: the nodes that are asked first, and queries that are over, answered or not.
+    /// Prefilter connections to nodes, if the operator's file enables the prefilter.
     pub prefilter_connections: Option<PrefilterConnections>,
-    /// `None` where the operator's file names no fleet.
+    /// `None` if the operator's file names no fleet.
     pub control_plane: Option<ControlPlane>,
+    /// Queries that are finished, for the prefilter; `true` if completely answered.
     pub concluded: Vec<(QueryId, bool)>,
-    /// Requests of the API whose searches are under way, by the number that their clients hold.
+    /// Search API requests in flight, by the id that their client connections hold.
     requests: HashMap<u64, ActiveRequest>,
-    /// Size of the values received for queries in hand, in bytes.
+    /// Size of the values held for queries in flight.
     values: u64,
     /// The client that uploads each body.
     uploads: HashMap<BodyId, usize>,
@@ -80,16 +86,15 @@
     cells: usize,
     holders: usize,
     dispatch_cap: usize,
-    /// Longest Retry-After of a rejection, in seconds; 0 where none may be named.
+    /// Longest Retry-After of a rejection, in seconds; 0 if none may be named.
     longest_wait: f64,
-    /// The query timeouts of the query classes, and for how long after an attempt that may have run another may go out: with
-    /// the margin that the router keeps.
+    /// By query class: its timeout, and for how long after an attempt that may have run a retry may be sent. Both in seconds.
     timeouts: Vec<f64>,
     windows: Vec<f64>,
     queries: HashMap<QueryId, ActiveQuery>,
     request_ids: HashSet<String>,
     last: QueryId,
-    /// Open queries plus their parts without a value; bounded by `Bounds::most_held`.
+    /// Unfinished queries plus their parts without a value; bounded by `Bounds::most_held`.
     held: usize,
 }
 
@@ -98,7 +103,7 @@
         self.values.iter().filter(|v| v.is_none()).count()
     }
 
-    /// Part, number and node of each attempt so far.
+    /// Every attempt so far.
     fn all_attempts(&self) -> Vec<(usize, usize, NodeId)> {
         let parts = self.shots.iter().enumerate();
         parts.flat_map(|(part, s)| s.iter().enumerate().map(move |(shot, n)| (part, shot, *n))).collect()
@@ -118,6 +123,7 @@
 }
 
 impl RouterHost {
+    /// Hosts the router of this deployment, with nothing in flight.
     pub fn new(
         site: &Deployment,
         bounds: Rc<Bounds>,
@@ -152,10 +158,12 @@
         }
     }
 
+    /// The tenants' names, by index.
     pub fn customers(&self) -> Vec<String> {
         self.bounds.customers.clone()
     }
 
+    /// The query classes' names, by index.
     pub fn table_types(&self) -> Vec<String> {
         self.bounds.table_types.clone()
     }
@@ -169,8 +177,8 @@
         }
     }
 
-    /// Where descriptors have run out, a client that waits for nothing gives up its own, or else a connection to some
-    /// node that is idle: clients that fill all there is must cut off neither the nodes nor discovery.
+    /// Frees a file descriptor by closing an idle client connection, or else an idle connection to a node. Guards against clients
+    /// that use up all descriptors and so cut off nodes and discovery.
     pub fn make_room(&mut self) -> bool {
         let (now, timers) = (self.now, &mut self.timers);
         self.downstream.give_way(now, timers) || self.upstream.give_way(now, timers)
@@ -180,11 +188,12 @@
         self.bounds.most_held.is_some_and(|most| self.held >= most)
     }
 
+    /// Whether the query is in flight and not finished.
     pub fn is_open(&self, query: QueryId) -> bool {
         self.queries.get(&query).is_some_and(|in_hand| !in_hand.over)
     }
 
-    /// The text and shards of a query, where it is one whose nodes may be asked first.
+    /// The text and segments of a query that can be prefiltered.
     pub fn prefilter_input(&self, query: QueryId) -> Option<(Rc<str>, Vec<usize>)> {
         let in_hand = self.queries.get(&query)?;
         match &in_hand.text {
@@ -193,7 +202,7 @@
         }
     }
 
-    /// Asks a node which shards can match; nothing new goes to one that drains or has gone.
+    /// Asks a node which segments can match. A node that is draining or removed is not asked.
     pub fn ask(&mut self, node: NodeId, question: u64, text: &str, segs: &[usize]) {
         let Some(prefilter_connections) = &mut self.prefilter_connections else { return };
         let frame = frames::question(question, text, segs);
@@ -203,10 +212,12 @@
         }
     }
 
+    /// Records the segments that the prefilter left out of a query.
     pub fn prune(&mut self, query: QueryId, left: Vec<PrunedSegment>) {
         self.queries.get_mut(&query).into_iter().for_each(|in_hand| in_hand.left_out = left.clone());
     }
 
+    /// Segments that the prefilter had left out are searched after all.
     pub fn restore_pruned(&mut self, query: QueryId, segs: &[usize]) {
         let in_hand = self.queries.get_mut(&query).into_iter();
         in_hand.for_each(|in_hand| in_hand.left_out.retain(|left| !segs.contains(&left.segment)));
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -1,4 +1,4 @@
-//! Queries whose body is streamed, and those bodies.
+//! Queries with streamed bodies.
 
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 use crate::query_request::QueryRequest;
 
 impl RouterHost {
-    /// A query in the streamed form begins: its body is taken, or refused at once with the limit named.
+    /// Registers a query whose body is streamed, or rejects it at once and names the limit.
     pub fn open(&mut self, client: usize, asked: QueryRequest, head: Head) {
         let Some(bodies) = &mut self.body_store else { return };
         bodies.held_beside(self.pool.bytes(), self.values);
@@ -25,7 +25,7 @@
                     self.timers.set(self.now + bodies.terms().slowest / 4.0, TimerEvent::BodyCheck);
                 }
                 self.uploads.insert(body.id, client);
-                // No client waits longer than its query may take, whatever it says.
+                // A client's deadline is capped by the query class's timeout.
                 let longest = self.now + self.timeouts[table_type];
                 let asked = QueryRequest { deadline: asked.deadline.min(longest), ..asked };
                 self.downstream.takes(self.now, client, asked, head, &body, &mut self.timers);
@@ -39,7 +39,7 @@
         self.downstream.refuse(self.now, client, refusal, wait, &mut self.timers);
     }
 
-    /// What is too long is so at any time; for all else trying again is harmless, as nothing was sent.
+    /// The response and Retry-After (seconds) for a rejected body. A body that is too long is not retriable.
     fn body_error(&self, why: Reason) -> (HttpError, f64) {
         match why {
             Reason::TooLong | Reason::LengthUnknown => (refusal(413, format!("body: {why}")), 0.0),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The query of a body that is kept, or passes, may begin.
+    /// Starts the query of a body that is buffered, or passed through for the reason in `note`.
     pub fn begin(&mut self, body: BodyId, note: Option<Reason>) -> Option<(Query, Rc<Body>)> {
         let client = self.uploads.remove(&body)?;
         let (asked, body) = self.downstream.start_query(client, body, &mut self.timers)?;
@@ -57,7 +57,7 @@
         Some((query, body))
     }
 
-    /// A body can be had no more: its client is refused while it brings it, and afterwards its query is named.
+    /// A body was lost. While it is being uploaded its client is refused; afterwards its query is returned.
     pub fn lost(&mut self, body: BodyId, why: Reason) -> Option<QueryId> {
         if let Some(client) = self.uploads.remove(&body) {
             let (refusal, wait) = self.body_error(why);
@@ -68,7 +68,7 @@
         Some(*query)
     }
 
-    /// Lets go of a query's body where no attempt can need it again.
+    /// Releases a query's body once no attempt can need it again.
     pub fn release_body(&mut self, query: QueryId, needed: impl Fn(QueryId) -> bool) {
         if let Some(in_hand) = self.queries.get_mut(&query)
             && in_hand.text.body().is_some()
@@ -78,7 +78,7 @@
         }
     }
 
-    /// What bodies have brought about: frames go on, clients send on, files are read.
+    /// Moves bodies on: submits reads of spilled blocks, writes frames, resumes clients.
     pub fn feed(&mut self) {
         let Some(bodies) = &mut self.body_store else { return };
         let moved = std::mem::take(&mut self.downstream.moved);
@@ -100,6 +100,7 @@
         self.downstream.resume_unblocked();
     }
 
+    /// Logs the body store's counters. `copied`: bytes copied for connections to nodes.
     pub fn report(&mut self, copied: u64) {
         if let Some(bodies) = &mut self.body_store {
             bodies.held_beside(self.pool.bytes(), self.values);
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Looks over what passes and what the disk does, and again as long as there is something.
+    /// Checks the progress of bodies, and schedules the next check while there are any.
     pub fn check_bodies(&mut self) {
         let Some(bodies) = &mut self.body_store else { return };
         bodies.slow(self.now);
--- a/crates/dunepond-broker/src/signals.rs
+++ b/crates/dunepond-broker/src/signals.rs
@@ -5,14 +5,14 @@
 use calloop::signals::{Signal, Signals};
 use dunepond_config::Bad;
 
-/// Signals that wait until the broker serves, and since when they have been caught: none that it finds came before that.
+/// Signals that are blocked until the broker serves, and since when: none of them came earlier.
 pub struct CaughtSignals {
     pub(crate) signals: Signals,
     pub(crate) since: Instant,
 }
 
-/// Catches the signals and keeps them until the broker serves: one that came before would kill the process. To be called
-/// before anything else is done, and before any thread is started. Dropping the result restores their default handling.
+/// Blocks the signals and keeps them until the broker serves; one that came earlier would kill the process. Call it before
+/// anything else, and before any thread is started. Dropping the result restores the default handling.
 pub fn catch_signals() -> Result<CaughtSignals, Bad> {
     let since = Instant::now();
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]);
--- a/crates/dunepond-broker/tests/discovery.rs
+++ b/crates/dunepond-broker/tests/discovery.rs
@@ -21,7 +21,7 @@
 #[case::late(0)]
 #[case::in_its_head(20)]
 #[case::in_its_list(120)]
-fn an_answer_that_needs_longer_than_the_calls_beside_it_is_heard(#[case] at_first: usize) {
+fn slow_answer_accepted_beside_later_calls(#[case] at_first: usize) {
     let nodes = nodes();
     let (broker, agent, mut slow) = calling(&nodes);
     let text = answer(&drained(2, &nodes).to_string());
@@ -34,7 +34,7 @@
 
 /// One that drips for ever keeps no call from going out, and has to make room itself.
 #[test]
-fn answers_that_never_end_make_room_and_calls_go_on() {
+fn endless_answers_are_replaced_by_new_calls() {
     let nodes = nodes();
     let (broker, agent, mut call) = calling(&nodes);
     let mut dripping = Vec::new();
@@ -65,7 +65,7 @@
 #[case::spoilt("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"seq\":2;", false)]
 #[case::no_list("HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"seq\":2,\"whole\":true}", false)]
 #[case::no_http("what is this\r\n\r\n", false)]
-fn a_call_that_breaks_and_those_after_it_are_made_again_in_time(#[case] said: &str, #[case] reset: bool) {
+fn broken_calls_are_retried_in_time(#[case] said: &str, #[case] reset: bool) {
     let nodes = nodes();
     let (broker, agent, mut call) = watching(1, &nodes);
     let since = Instant::now();
@@ -88,7 +88,7 @@
 
 /// Nobody listens at its address for a while; its versions begin anew with it.
 #[test]
-fn an_agent_that_was_down_is_heard_in_time_and_from_its_first_version_on() {
+fn restarted_agent_is_followed_from_first_version() {
     let nodes = nodes();
     let (broker, agent, call) = watching(41, &nodes);
     let address = agent.address();
@@ -108,7 +108,7 @@
 
 /// Its old watch stays open and says nothing: a list that is older by its number is the newer one.
 #[test]
-fn an_agent_begun_anew_behind_a_silent_watch_is_heard_with_its_lower_versions() {
+fn restarted_agent_with_lower_versions_is_followed() {
     let nodes = nodes();
     let (broker, agent, _silent) = watching(41, &nodes);
     let (mut call, path) = agent.asked();
@@ -120,7 +120,7 @@
 
 /// It answers as it always did, but has begun anew: changes below what is held follow nothing, whatever they say.
 #[test]
-fn changes_of_a_lower_version_have_the_whole_list_asked_for() {
+fn lower_version_change_triggers_full_list() {
     let nodes = nodes();
     let (broker, agent, mut call) = watching(41, &nodes);
     call.answer(&json!({"seq": 3, "whole": false, "hosts": []}));
@@ -136,7 +136,7 @@
 #[case::word("health", json!("drain"))]
 #[case::type_of("block", json!("0"))]
 #[case::address("dial", json!("here"))]
-fn a_spoilt_line_among_changes_has_the_whole_list_asked_for(#[case] key: &str, #[case] value: Value) {
+fn invalid_row_in_change_triggers_full_list(#[case] key: &str, #[case] value: Value) {
     let nodes = nodes();
     let (broker, _agent, mut call) = watching(1, &nodes);
     let mut spoilt = nodes[0].line("draining");
@@ -150,7 +150,7 @@
 
 /// The whole list may be spoilt for good in that line: it is asked for once more, and then lived with.
 #[test]
-fn a_whole_list_with_a_spoilt_line_is_asked_for_once_more_and_then_watched() {
+fn full_list_with_invalid_row_requested_once_more() {
     let nodes = nodes();
     let (broker, _agent, mut call) = calling(&nodes);
     let mut spoilt = nodes[0].line("ready");
@@ -165,7 +165,7 @@
 
 /// Both are there when the broker gets to run again: the answer of the agent that it leaves is not the new one's.
 #[test]
-fn an_answer_that_comes_with_the_word_to_leave_its_agent_holds_only_until_the_new_one_speaks() {
+fn old_agent_answer_holds_until_new_agent_answers() {
     let nodes = nodes();
     let (broker, _old, mut call) = watching(41, &nodes);
     broker.signal("STOP");
@@ -200,7 +200,7 @@
 /// What a whole list does not name has gone, also where its connection is only coming up: what waits for that goes
 /// elsewhere, and nothing is written once it is up.
 #[test]
-fn parts_that_wait_for_a_connection_leave_a_node_that_a_whole_list_does_not_name() {
+fn connecting_parts_leave_unlisted_node() {
     let (full, address, fill) = vanished();
     let nodes = nodes();
     let mut late = nodes[0].line("ready");
@@ -246,7 +246,7 @@
 
 /// Discovery goes down while clients that ask nothing hold all descriptors, and more of them wait to be taken in.
 #[test]
-fn without_descriptors_a_call_to_discovery_still_finds_one() {
+fn discovery_call_frees_descriptor() {
     let nodes = nodes();
     let (broker, agent, call, first, crowd) = crowded(&nodes);
     let since = Instant::now();
@@ -262,7 +262,7 @@
 
 /// Nor may the nodes be out of reach for them.
 #[test]
-fn without_descriptors_a_part_still_finds_a_connection_to_its_node() {
+fn node_connection_frees_descriptor() {
     let nodes = nodes();
     let (_broker, _agent, _call, mut first, _crowd) = crowded(&nodes);
     assert_eq!(first.ask(&scan("fix", "c1", &[0], "2.0")).status, 200);
@@ -285,7 +285,7 @@
 
 /// An old process may still be on its way to its end when the new one begins: until it is killed at the latest.
 #[test]
-fn a_port_that_an_old_process_still_holds_is_waited_for() {
+fn waits_for_port_held_by_old_process() {
     let nodes = nodes();
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = held.local_addr().unwrap();
@@ -319,7 +319,7 @@
 
 /// A queue full of connections that ask nothing is before whoever asks.
 #[test]
-fn who_asks_behind_a_full_queue_hears_in_time_that_it_is_ready() {
+fn ready_in_time_behind_full_accept_queue() {
     let nodes = nodes();
     let (broker, _agent, _call) = watching(1, &nodes);
     broker.signal("STOP");
@@ -337,7 +337,7 @@
 
 /// The queue is that of the old process, which still holds the port.
 #[test]
-fn who_asks_at_a_full_queue_of_the_old_process_hears_in_time_that_the_new_one_is_ready() {
+fn ready_in_time_behind_old_process_accept_queue() {
     let nodes = nodes();
     let held = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     held.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn a_port_that_stays_held_is_named_and_ends_the_start() {
+fn port_never_freed_fails_startup() {
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = config("127.0.0.1:1".parse().unwrap(), vec![]);
     config["listen"] = json!(held.local_addr().unwrap().to_string());
@@ -373,7 +373,7 @@
 #[rstest]
 #[case::no_list(Value::Null)]
 #[case::no_nodes(json!({"seq": 1, "whole": true, "hosts": []}))]
-fn with_nothing_known_it_is_ready_once_discovery_speaks(#[case] known: Value) {
+fn ready_after_first_list_without_configured_one(#[case] known: Value) {
     let nodes = nodes();
     let agent = Agent::start();
     let mut config = config(agent.address(), vec![]);
@@ -393,7 +393,7 @@
 /// Its port takes connections in from its first moment, whoever is told of it: who asks there has a time of its own, and
 /// is told to come again before that is up, by an agent that stays silent or not.
 #[test]
-fn a_scan_before_the_first_list_is_throttled_in_its_time() {
+fn query_before_first_list_rejected_in_time() {
     let nodes = nodes();
     let agent = Agent::start();
     let mut config = config(agent.address(), vec![nodes[0].line("ready")]);
--- a/crates/dunepond-broker/tests/ending.rs
+++ b/crates/dunepond-broker/tests/ending.rs
@@ -52,7 +52,7 @@
 #[rstest]
 #[case::just_before_the_first_step(0.35, 0.55)]
 #[case::just_before_the_listener_goes(0.55, 0.8)]
-fn who_has_just_connected_may_still_ask(#[case] connects: f64, #[case] asks: f64) {
+fn new_connection_may_send_request(#[case] connects: f64, #[case] asks: f64) {
     let told = Told::before(|_| {});
     told.wait_until(connects);
     let mut client = Client::to(&told.broker);
@@ -64,7 +64,7 @@
 
 /// It says nothing more, and nobody waits for it.
 #[test]
-fn who_has_connected_and_never_asks_is_let_go_before_the_process_may_be_killed() {
+fn silent_connection_closed_before_kill() {
     let told = Told::before(|_| {});
     told.wait_until(0.55);
     let client = Client::to(&told.broker);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_connection_at_rest_is_asked_on_until_no_new_one_comes() {
+fn idle_connection_served_until_listener_closes() {
     let mut client = None;
     let told = Told::before(|broker| {
         let resting = client.insert(Client::to(broker));
@@ -91,7 +91,7 @@
 
 /// Asked while the process stood still: on an old connection, and on one that it had not accepted.
 #[rstest]
-fn what_came_while_it_stood_still_is_answered(#[values(false, true)] accepted: bool) {
+fn requests_received_during_stall_are_answered(#[values(false, true)] accepted: bool) {
     let mut client = None;
     let told = Told::before(|broker| {
         let first = client.insert(Client::to(broker));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_request_of_which_half_had_come_is_answered_once_the_rest_has() {
+fn partial_request_answered_once_complete() {
     let told = Told::before(|_| {});
     told.wait_until(0.3);
     let mut client = Client::to(&told.broker);
@@ -124,7 +124,7 @@
 
 /// It waits at the listener until one of those that are owed an answer has it: closed with it, it would be reset.
 #[test]
-fn who_came_when_there_was_no_room_is_taken_in_later() {
+fn backlog_accepted_once_room_is_free() {
     let nodes = vec![Node::start("s-0")];
     nodes[0].behave(Manner::Hang);
     let (broker, list) = Broker::before_with(&nodes, "/limits/sockets", json!(48));
@@ -146,7 +146,7 @@
 
 /// Its client would wait for longer than the process has.
 #[test]
-fn a_late_request_is_answered_before_the_process_may_be_killed() {
+fn late_request_answered_before_kill() {
     let told = Told::before(|_| {});
     told.nodes[0].behave(Manner::Hang);
     told.wait_until(0.5);
--- a/crates/dunepond-broker/tests/fleet.rs
+++ b/crates/dunepond-broker/tests/fleet.rs
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn three_brokers_agree_on_a_version_and_send_non_replayable_parts_to_its_owners_alone() {
+fn non_idempotent_parts_go_to_agreed_owners() {
     let fleet = Fleet::new(3, "");
     fleet.offer(1, &version(1, &["s-1"]));
     let brokers: Vec<_> = (0..3).map(|at| fleet.start(at)).collect();
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn an_owner_moves_at_sighup_and_between_the_two_nobody_has_its_parts() {
+fn owner_change_fences_non_idempotent_parts() {
     let fleet = Fleet::new(1, "");
     fleet.offer(0, &version(1, &["s-0"]));
     let broker = fleet.start(0);
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn a_broker_that_stood_still_past_its_lease_sends_no_non_replayable_part_and_serves_the_others() {
+fn stalled_broker_without_lease_sends_no_non_idempotent_part() {
     let fleet = Fleet::new(2, "");
     fleet.offer(0, &version(1, &["s-0"]));
     let (broker, other) = (fleet.start(0), fleet.start(1));
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn an_answer_is_not_whole_where_the_map_does_not_have_its_keys() {
+fn answer_incomplete_for_keys_outside_map() {
     let fleet = Fleet::new(1, "");
     let mut first = version(1, &["s-0"]);
     first["map"]["segments"][5]["id"] = json!(9);
@@ -350,7 +350,7 @@
 #[rstest]
 #[case::as_the_settings_say(true, 2)]
 #[case::as_the_version_says(false, 1)]
-fn a_keyed_part_is_sent_again_only_where_the_version_lets_it(#[case] repeats: bool, #[case] least: usize) {
+fn keyed_retry_obeys_active_version(#[case] repeats: bool, #[case] least: usize) {
     let mut fleet = Fleet::new(1, "");
     fleet.find = "token";
     let mut first = version(1, &["s-0"]);
@@ -386,7 +386,7 @@
 /// A busy machine may let the connection time out before there is room for it: then nothing was there to hold back,
 /// and it is tried once more.
 #[test]
-fn a_part_that_waited_for_its_connection_past_the_lease_is_not_sent() {
+fn connecting_part_past_lease_not_sent() {
     assert!((0..4).any(|_| waits_for_its_connection_past_the_lease()), "never held back");
 }
 
@@ -427,7 +427,7 @@
 }
 
 #[test]
-fn a_fill_that_a_crash_cut_off_is_asked_for_again_and_settles_once() {
+fn interrupted_fill_retried_and_settled_once() {
     let filler = Filler::start();
     let more = format!(
         "partner \"north\" zones=\"a\" customers=\"mill\" brokers=\"n0\"\npartner \"south\" zones=\"b\"\n\
--- a/crates/dunepond-broker/tests/handover.rs
+++ b/crates/dunepond-broker/tests/handover.rs
@@ -321,7 +321,7 @@
 
 /// Framed together with the one before it, it told its node of time that had passed in the queue.
 #[test]
-fn what_has_waited_behind_another_tells_the_time_that_is_left_as_it_goes_out() {
+fn queued_part_carries_remaining_budget() {
     let mut stuck = Stuck::before("find", &[("/settings/ceilings/secondCopies", json!(false))]);
     let waits = Duration::from_millis(500);
     std::thread::sleep(waits);
@@ -334,7 +334,7 @@
 
 /// The last byte of no frame has gone out: neither has run, and both may go elsewhere.
 #[test]
-fn parts_half_written_and_behind_it_are_known_not_to_have_run_at_a_reset() {
+fn partly_written_and_queued_parts_never_ran_at_reset() {
     let mut stuck = Stuck::before("fix", &[]);
     let node = stuck.joined("ready");
     stuck.wire.reset();
@@ -344,7 +344,7 @@
 
 /// One byte more, and it may have run.
 #[test]
-fn a_part_whose_last_byte_has_gone_out_is_not_sent_again_after_a_reset() {
+fn fully_written_part_not_resent_after_reset() {
     let (hand, node) = (Hand::start(), Node::start("s-1"));
     let (broker, list) = before(vec![hand.line("s-0", "ready")], &[]);
     list.wait_read();
@@ -361,7 +361,7 @@
 
 /// What has begun goes on; what waits behind it would be something new to the node.
 #[test]
-fn a_part_behind_a_half_written_one_leaves_a_node_that_drains() {
+fn queued_part_leaves_draining_node() {
     let mut stuck = Stuck::before("fix", &[]);
     let node = stuck.joined("draining");
     assert_eq!(stuck.second.answer().unwrap().status, 200);
@@ -376,7 +376,7 @@
 
 /// It was cut out of the stream by closing it, with the part before it.
 #[test]
-fn a_client_that_goes_while_its_part_is_behind_a_half_written_one_costs_that_one_nothing() {
+fn queued_part_of_disconnected_client_spares_frame_ahead() {
     let mut stuck = Stuck::before("fix", &[]);
     gone([stuck.second]);
     let first = stuck.wire.call();
@@ -388,7 +388,7 @@
 
 /// Sent in time, and out of it only once the window in which a repeat is dropped was over: run twice.
 #[test]
-fn a_keyed_repeat_that_waits_for_its_connection_past_the_window_never_goes_out() {
+fn keyed_retry_past_window_not_sent() {
     let (hand, (late, fill)) = (Hand::start(), Hand::full());
     let keys = [
         ("/settings/services/1/semantics", json!("token")),
@@ -428,7 +428,7 @@
 
 /// Its client has its answer, or has gone, by the time that the connection is up.
 #[test]
-fn nothing_goes_out_for_a_scan_whose_time_is_over_when_its_connection_comes_up() {
+fn expired_query_not_sent_on_late_connect() {
     let (broker, _list, late, fill, mut client) = waits_for_its_connection("0.5");
     stopped(&broker);
     let asked = Instant::now();
@@ -443,7 +443,7 @@
 
 /// By its last call no byte of it has left, whatever it waits for: asking again is harmless, which the answer says.
 #[test]
-fn a_part_that_still_waits_for_its_connection_at_the_last_call_is_refused() {
+fn connecting_part_refused_at_last_answers() {
     let (broker, _list, late, fill, mut client) = waits_for_its_connection("0.6");
     assert_eq!(client.answer().unwrap().status, 429);
     let wire = late.accepted_late(fill);
@@ -453,7 +453,7 @@
 
 /// Nor has the last byte left of one that is half written, or of what waits behind that.
 #[test]
-fn parts_half_written_and_behind_it_at_the_last_call_are_refused() {
+fn partly_written_and_queued_parts_refused_at_last_answers() {
     let mut stuck = Stuck::before("fix", &[]);
     assert_eq!((stuck.first.answer().unwrap().status, stuck.second.answer().unwrap().status), (429, 429));
     let mut length = [0; 4];
@@ -463,7 +463,7 @@
 
 /// One part has gone out whole: it may have run, whatever became of the one that waits.
 #[test]
-fn a_scan_of_which_one_part_has_left_at_the_last_call_has_failed() {
+fn query_with_sent_part_fails_at_last_answers() {
     let (hand, (late, _fill)) = (Hand::start(), Hand::full());
     let keys =
         [("/settings/ceilings/connectTimeoutMs", json!(5000.0)), ("/settings/familyInfo/cells", json!(2))];
@@ -481,7 +481,7 @@
 
 /// Opened before the new process began, and up only since: what is out there is out at the new one.
 #[test]
-fn a_connection_that_came_up_after_its_node_was_replaced_is_the_new_processs() {
+fn late_connection_belongs_to_replacement_node() {
     let (late, fill) = Hand::full();
     let keys = [("/settings/ceilings/connectTimeoutMs", json!(5000.0))];
     let (broker, list) = before(vec![late.line("s-0", "ready")], &keys);
@@ -503,7 +503,7 @@
 
 /// What the old process took with it is no fault of the new one: its first natural error sets nothing aside.
 #[test]
-fn a_part_that_went_with_its_nodes_old_process_is_no_fault_of_the_new_one() {
+fn part_lost_with_replaced_node_not_blamed_on_new_one() {
     let hand = Hand::start();
     let keys = [("/settings/ceilings/secondCopies", json!(false))];
     let (broker, list) = before(vec![hand.line("s-0", "ready")], &keys);
@@ -530,7 +530,7 @@
 
 /// A new process bears less than the old one did: what waits for it is asked about again.
 #[test]
-fn a_part_that_waits_for_its_connection_leaves_a_node_that_was_replaced() {
+fn connecting_part_leaves_replaced_node() {
     let (late, _fill) = Hand::full();
     let keys = [("/settings/ceilings/connectTimeoutMs", json!(5000.0))];
     let (broker, list) = before(vec![late.line("s-0", "ready")], &keys);
@@ -548,7 +548,7 @@
 
 /// Asked and closed while the broker stood still, so that it meets both at once, and the request first.
 #[rstest]
-fn an_idle_connection_that_its_node_has_closed_takes_no_part(#[values(false, true)] resets: bool) {
+fn closed_idle_connection_not_reused(#[values(false, true)] resets: bool) {
     let hand = Hand::start();
     let (broker, list) = before(vec![hand.line("s-0", "ready")], &[]);
     list.wait_read();
@@ -565,7 +565,7 @@
 
 /// Its time is up, but the request comes before that is noticed: the node has closed it, or is about to.
 #[test]
-fn a_connection_that_has_been_idle_for_too_long_takes_no_part() {
+fn stale_idle_connection_not_reused() {
     let hand = Hand::start();
     let (broker, list) =
         before(vec![hand.line("s-0", "ready")], &[("/settings/ceilings/idleCloseMs", json!(400.0))]);
@@ -586,7 +586,7 @@
 #[rstest]
 #[case::in_reading(false)]
 #[case::in_writing_the_next_part(true)]
-fn an_answer_that_came_before_a_reset_is_used(#[case] writes: bool) {
+fn answer_before_reset_is_used(#[case] writes: bool) {
     let hand = Hand::start();
     let (broker, list) = before(vec![hand.line("s-0", "ready")], &[]);
     list.wait_read();
@@ -610,7 +610,7 @@
 
 /// The half of an answer that came before it says nothing.
 #[test]
-fn half_an_answer_before_a_reset_is_none() {
+fn partial_answer_before_reset_is_dropped() {
     let hand = Hand::start();
     let (broker, list) = before(vec![hand.line("s-0", "ready")], &[]);
     list.wait_read();
@@ -626,7 +626,7 @@
 
 /// The first dispatch's end comes twice, and the second time after the next dispatch is out: that one is still out then.
 #[test]
-fn an_end_that_comes_twice_ends_one_dispatch() {
+fn duplicate_answer_ends_one_attempt() {
     let hand = Hand::start();
     let keys = [("/settings/ceilings/secondCopies", json!(false))];
     let (broker, list) = before(vec![hand.line("s-0", "ready")], &keys);
@@ -652,7 +652,7 @@
 #[rstest]
 #[case::still_at_it(false)]
 #[case::through_with_it(true)]
-fn a_part_that_was_given_up_takes_its_place_until_it_has_ended(#[case] ended: bool) {
+fn cancelled_part_holds_slot_until_ended(#[case] ended: bool) {
     let hand = Hand::start();
     let keys = [
         ("/settings/ceilings/streamsPerConn", json!(2)),
@@ -681,7 +681,7 @@
 
 /// More of them than a connection remembers of parts that have ended: each of their ends is one that was owed.
 #[test]
-fn ends_of_many_parts_that_were_given_up_spoil_nothing_for_who_is_beside_them() {
+fn cancelled_parts_do_not_affect_others() {
     let hand = Hand::start();
     let keys = [
         ("/settings/ceilings/streamsPerConn", json!(1000)),
@@ -708,7 +708,7 @@
 
 /// And one on which all places are taken so is of no more use.
 #[test]
-fn a_connection_of_given_up_parts_alone_is_closed() {
+fn connection_with_only_cancelled_parts_is_closed() {
     let hand = Hand::start();
     let (broker, list) =
         before(vec![hand.line("s-0", "ready")], &[("/settings/ceilings/streamsPerConn", json!(1))]);
@@ -724,7 +724,7 @@
 
 /// Without leave to cancel nothing is taken back at a node; but its last byte would go out for nobody.
 #[test]
-fn a_half_written_part_goes_no_further_once_its_client_has_gone() {
+fn partly_written_part_aborted_on_client_disconnect() {
     let mut stuck = Stuck::before("fix", &[("/settings/ceilings/cancel", json!(false))]);
     gone([stuck.first, stuck.second]);
     let mut length = [0; 4];
@@ -734,7 +734,7 @@
 
 /// Each read leaves the half of an answer, and each answer is whole in its time.
 #[test]
-fn answers_that_come_in_pieces_have_their_time_one_by_one() {
+fn fragmented_answers_are_timed_individually() {
     let hand = Hand::start();
     let keys = [("/settings/ceilings/connectTimeoutMs", json!(1000.0))];
     let (broker, list) = before(vec![hand.line("s-0", "ready")], &keys);
--- a/crates/dunepond-broker/tests/held_up.rs
+++ b/crates/dunepond-broker/tests/held_up.rs
@@ -23,7 +23,7 @@
 
 /// Its file is a pipe that nobody writes to.
 #[test]
-fn a_configuration_that_cannot_be_read_holds_nobody_up() {
+fn unreadable_config_does_not_block() {
     let nodes = [Node::start("s-0")];
     let (mut broker, _list) = Broker::before_changed(&nodes, |_| {});
     let mut client = Client::to(&broker);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_log_that_nobody_reads_holds_nobody_up() {
+fn unread_log_does_not_block() {
     let nodes = [Node::start("s-0")];
     let list = List::start(vec![nodes[0].line("ready")]);
     let broker = Unread::start(&list, &nodes);
--- a/crates/dunepond-broker/tests/kill.rs
+++ b/crates/dunepond-broker/tests/kill.rs
@@ -77,7 +77,7 @@
 #[rstest]
 #[case::stopped_across_the_signal(1000, 800, 0)]
 #[case::held_up_at_the_signal_and_at_the_last_answers(600, 150, 150)]
-fn who_asks_late_in_a_shutdown_is_answered_before_the_kill(
+fn late_requests_answered_before_kill(
     #[case] timeout_ms: u64,
     #[case] stopped_ms: u64,
     #[case] stopped_at_the_kill_ms: u64,
@@ -108,7 +108,7 @@
 
 /// All places are taken by such as wait for a silent node with more time than the process has, and more wait at the listener.
 #[test]
-fn without_room_for_those_who_wait_what_is_in_hand_is_answered_before_the_kill() {
+fn in_flight_answered_before_kill_when_accept_queue_is_full() {
     let node = [Node::start("s-0")];
     node[0].behave(Manner::Hang);
     let (mut broker, _list) = Broker::before_changed(&node, |config| {
@@ -140,7 +140,7 @@
 
 /// Its client would wait for longer than the process is there. Nothing can hold an answer up to the kill that is given at once.
 #[test]
-fn what_comes_late_in_a_shutdown_is_refused_at_once() {
+fn late_requests_refused_at_once() {
     let node = [Node::start("s-0")];
     node[0].behave(Manner::Hang);
     let (mut broker, _list) = Broker::before_changed(&node, |config| set_timeouts(config, 2000.0));
@@ -160,7 +160,7 @@
 
 /// Whoever kills the process may go by deadlines that its configuration has told meanwhile.
 #[test]
-fn shorter_deadlines_that_were_read_again_bring_the_last_answers_forward() {
+fn reloaded_shorter_deadlines_advance_last_answers() {
     let node = [Node::start("s-0")];
     node[0].behave(Manner::Hang);
     let mut shorter = None;
--- a/crates/dunepond-broker/tests/list.rs
+++ b/crates/dunepond-broker/tests/list.rs
@@ -15,7 +15,7 @@
 #[case::wholly("")]
 #[case::after_half_a_head("HTTP/1.1 200 OK\r\nContent-")]
 #[case::after_half_a_list("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\n{\"seq\":2,")]
-fn a_watch_that_falls_silent_has_another_call_beside_it_in_time(#[case] said: &str) {
+fn silent_watch_gets_second_call(#[case] said: &str) {
     let nodes = nodes();
     let (broker, agent, mut silent) = watching(1, &nodes);
     let since = Instant::now();
@@ -33,7 +33,7 @@
 
 /// An answer that states no length is over where the agent closes in order.
 #[test]
-fn a_list_without_a_length_ends_where_its_connection_does() {
+fn list_without_length_ends_at_close() {
     let nodes = nodes();
     let (broker, agent, mut call) = watching(1, &nodes);
     call.say(&format!("HTTP/1.1 200 OK\r\n\r\n{}", drained(2, &nodes)));
@@ -47,7 +47,7 @@
 #[rstest]
 #[case::reset(true)]
 #[case::cut_short(false)]
-fn a_list_without_a_length_that_is_cut_off_is_asked_for_anew(#[case] reset: bool) {
+fn truncated_list_without_length_requested_again(#[case] reset: bool) {
     let nodes = nodes();
     let (broker, agent, mut call) = watching(1, &nodes);
     let text = list(2, vec![nodes[0].line("ready")]).to_string();
@@ -66,7 +66,7 @@
 
 /// Its answer crosses our next call: whichever of the two comes first, the other is not taken for newer.
 #[rstest]
-fn of_two_answers_that_cross_only_the_first_counts(#[values(false, true)] late_first: bool) {
+fn first_of_crossed_answers_wins(#[values(false, true)] late_first: bool) {
     let nodes = nodes();
     let (broker, agent, mut late) = watching(1, &nodes);
     let (mut beside, _) = agent.asked();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn changes_that_do_not_follow_what_is_known_have_the_whole_list_asked_for() {
+fn non_contiguous_changes_trigger_full_list() {
     let nodes = nodes();
     let (broker, agent, mut call) = watching(1, &nodes);
     let since = Instant::now();
@@ -97,7 +97,7 @@
 #[rstest]
 #[case::late(false)]
 #[case::silent_on_its_first_call(true)]
-fn a_new_process_serves_nobody_before_its_first_list(#[case] silent_first: bool) {
+fn no_service_before_first_list(#[case] silent_first: bool) {
     let nodes = nodes();
     let agent = Agent::start();
     let broker = Broker::start(&config(agent.address(), vec![nodes[0].line("ready")]));
@@ -113,7 +113,7 @@
 
 /// While discovery is down there is nothing else to go by.
 #[test]
-fn a_new_process_goes_by_the_list_it_was_left_with_once_discovery_stays_silent() {
+fn configured_list_used_when_discovery_is_silent() {
     let nodes = nodes();
     let agent = Agent::start();
     let broker = Broker::start(&config(agent.address(), vec![nodes[0].line("ready")]));
@@ -127,7 +127,7 @@
 
 /// At SIGHUP the agent that it is told to leave is silent, and so is the new one at first.
 #[test]
-fn a_new_agent_that_is_silent_at_first_is_called_again_in_time() {
+fn silent_new_agent_called_again() {
     let nodes = nodes();
     let (broker, _old, _silent) = watching(1, &nodes);
     let new = Agent::start();
@@ -146,7 +146,7 @@
 
 /// Two hundred nodes, and as much white space as their list has room for.
 #[test]
-fn a_list_may_come_indented() {
+fn list_may_be_indented() {
     let nodes = nodes();
     let (broker, _agent, mut call) = watching(1, &nodes);
     let mut lines: Vec<_> = (2..200)
--- a/crates/dunepond-broker/tests/migrate.rs
+++ b/crates/dunepond-broker/tests/migrate.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_counterpart_of_an_old_file_serves_before_nodes_in_sets() {
+fn migrated_config_serves_nodes_in_sets() {
     let (old, new) = (file(&old_shape().to_string()), store::scratch("json"));
     let (good, _, said) = migrate(&[at(&old), "--out", at(&new), "--one-at-a-time"]);
     assert!(good, "{said}");
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_dry_run_prints_and_writes_nothing() {
+fn dry_run_writes_nothing() {
     let (old, new) = (file(&old_shape().to_string()), store::scratch("json"));
     let (good, printed, said) = migrate(&[at(&old), "--out", at(&new), "--dry-run"]);
     assert!(good && !new.exists(), "{said}");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_file_that_is_there_is_replaced_only_where_that_is_asked() {
+fn existing_file_replaced_only_with_overwrite() {
     let (old, new) = (file(&old_shape().to_string()), file("precious"));
     let (good, _, said) = migrate(&[at(&old), "--out", at(&new)]);
     assert!(!good && said.contains("--overwrite") && said.contains(at(&new)), "{said}");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_file_of_the_new_shape_comes_out_as_it_was() {
+fn new_format_is_unchanged() {
     let (old, first, second) =
         (file(&old_shape().to_string()), store::scratch("json"), store::scratch("json"));
     assert!(migrate(&[at(&old), "--out", at(&first)]).0);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn what_nobody_knows_is_listed_with_its_place_and_left_out() {
+fn unknown_keys_are_listed_and_dropped() {
     let mut old = old_shape();
     old["colour"] = json!("blue");
     old["settings"]["ceilings"]["maxHeld"] = json!(7);
@@ -153,7 +153,7 @@
     settings
 }), "penalties.crossZone: not a number from 0 up")]
 #[case::two_steps(with("/settings/familyInfo/secondStep", json!([2, 0])), "familyInfo.secondStep: second steps")]
-fn a_faulty_file_is_named_with_its_key_and_nothing_is_written(#[case] text: String, #[case] named: &str) {
+fn invalid_file_is_named_and_not_migrated(#[case] text: String, #[case] named: &str) {
     let (old, new) = (file(&text), store::scratch("json"));
     let (good, printed, said) = migrate(&[at(&old), "--out", at(&new)]);
     assert!(!good && !new.exists() && printed.is_empty());
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn paths_that_cannot_be_read_or_written_are_named() {
+fn unusable_paths_are_named() {
     let (good, _, said) = migrate(&["/nowhere/old.json", "--dry-run"]);
     assert!(!good && said.contains("/nowhere/old.json"), "{said}");
     let old = file(&old_shape().to_string());
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn what_is_allowed_and_not_done_on_sockets_is_said_at_the_start() {
+fn unsupported_setting_warned_at_startup() {
     let node = Node::start("s-0");
     let list = List::start(vec![node.line("ready")]);
     let mut config = store::config(list.address, vec![]);
--- a/crates/dunepond-broker/tests/shutdown.rs
+++ b/crates/dunepond-broker/tests/shutdown.rs
@@ -25,7 +25,7 @@
     }
 }
 
-fn told_to_end(broker: &Broker) {
+fn wait_for_shutdown_request(broker: &Broker) {
     broker.signal("TERM");
     until(broker, "told to end", |answer| answer.status == 503);
 }
@@ -70,7 +70,7 @@
 
 /// By default SIGHUP kills: a new configuration that crosses a start would be a crash.
 #[test]
-fn sighup_at_the_first_moment_is_heard_and_kills_nobody() {
+fn sighup_at_startup_is_handled() {
     let nodes = [Node::start("s-0")];
     let list = List::start(vec![nodes[0].line("ready")]);
     let broker = signalled_at_its_first_moment(&config(list.address, vec![]), "HUP");
@@ -79,7 +79,7 @@
 }
 
 #[rstest]
-fn sigterm_at_the_first_moment_ends_it_in_order(#[values("TERM", "INT")] signal: &str) {
+fn sigterm_at_startup_shuts_down_gracefully(#[values("TERM", "INT")] signal: &str) {
     let nodes = [Node::start("s-0")];
     let list = List::start(vec![nodes[0].line("ready")]);
     let mut broker = signalled_at_its_first_moment(&config(list.address, vec![]), signal);
@@ -91,10 +91,7 @@
 #[rstest]
 #[case::hup(libc::SIGHUP, None)]
 #[case::term(libc::SIGTERM, Some(0))]
-fn a_signal_that_was_pending_before_the_program_began_is_heard(
-    #[case] signal: i32,
-    #[case] code: Option<i32>,
-) {
+fn pending_signal_is_handled_after_exec(#[case] signal: i32, #[case] code: Option<i32>) {
     let nodes = [Node::start("s-0")];
     let list = List::start(vec![nodes[0].line("ready")]);
     let mut command = Command::new(program());
@@ -121,7 +118,7 @@
 
 /// They were written whole to a connection that stays open: all are taken.
 #[test]
-fn requests_that_were_pipelined_into_a_shutdown_are_all_answered() {
+fn pipelined_requests_answered_during_shutdown() {
     let nodes = [Node::start("s-0")];
     nodes[0].behave(Manner::After(1500));
     // With time for what waits behind it.
@@ -129,7 +126,7 @@
     let mut client = Client::to(&broker);
     client.send(&["c1", "c2", "c3"].map(|id| scan("find", id, &[1], "3.0")).concat());
     nodes[0].wait_for('A', 1);
-    told_to_end(&broker);
+    wait_for_shutdown_request(&broker);
     closing(&broker);
     nodes[0].behave(Manner::Serve);
     let answers: Vec<_> = (0..3).map_while(|_| client.answer()).collect();
@@ -144,7 +141,7 @@
 
 /// More than the connection takes was answered or asked when it was told to end.
 #[test]
-fn who_takes_answers_late_gets_all_of_them_past_a_shutdown() {
+fn slow_reader_gets_all_answers_after_shutdown() {
     let nodes = [Node::start("s-0")];
     let (mut broker, _list) = Broker::before_changed(&nodes, |_| {});
     let mut client = Client::to(&broker);
@@ -159,7 +156,7 @@
     let mut sender = client.stream.try_clone().unwrap();
     let sending = thread::spawn(move || sender.write_all(requests.concat().as_bytes()).is_ok());
     nodes[0].wait_for('A', 20);
-    told_to_end(&broker);
+    wait_for_shutdown_request(&broker);
     closing(&broker);
     let mut taken = 0;
     while let Some(answer) = client.answer() {
@@ -176,13 +173,13 @@
 
 /// It missed the first step of the way to its end.
 #[test]
-fn what_stood_still_past_the_first_step_closes_with_its_answers_all_the_same() {
+fn stall_past_first_stage_still_closes_with_answers() {
     let nodes = [Node::start("s-0")];
     let (mut broker, _list) = Broker::before_changed(&nodes, |_| {});
     let mut client = Client::to(&broker);
     assert_eq!(client.ask(&scan("find", "c1", &[1], "2.0")).status, 200);
     let start = Instant::now();
-    told_to_end(&broker);
+    wait_for_shutdown_request(&broker);
     broker.signal("STOP");
     client.send(&scan("find", "c2", &[1], "2.0"));
     thread::sleep(Duration::from_millis(800).saturating_sub(start.elapsed()));
@@ -199,16 +196,12 @@
 #[case::connected("", 0.1, 0.85)]
 #[case::resting(READY, 0.1, 0.85)]
 #[case::half("POST /find HTTP/1.1\r\nX-Call-Id: c0\r\nContent-Length: 9\r\n\r\nhalf", 0.5, 1.8)]
-fn it_ends_before_the_kill_where_query_timeouts_are_short(
-    #[case] said: &str,
-    #[case] timeout: f64,
-    #[case] ended: f64,
-) {
+fn exits_before_kill_with_short_timeouts(#[case] said: &str, #[case] timeout: f64, #[case] ended: f64) {
     let nodes = [Node::start("s-0")];
     let (mut broker, _list) = Broker::before_changed(&nodes, |config| set_timeouts(config, 1000.0 * timeout));
     let mut client = Client::to(&broker);
     client.send(said);
-    told_to_end(&broker);
+    wait_for_shutdown_request(&broker);
     let start = Instant::now();
     assert!(end_of(&mut client).is_ok());
     drop(client);
@@ -218,7 +211,7 @@
 
 /// By the page no more than three seconds of them count towards the kill.
 #[test]
-fn what_was_taken_is_answered_before_the_kill_where_query_timeouts_are_long() {
+fn in_flight_answered_before_kill_with_long_timeouts() {
     let nodes = [Node::start("s-0")];
     nodes[0].behave(Manner::Hang);
     let (mut broker, _list) = Broker::before_changed(&nodes, |config| set_timeouts(config, 60_000.0));
@@ -226,7 +219,7 @@
     let ask = |client: &mut Client, id| client.send(&scan("fix", id, &[1], "59.0"));
     ask(&mut clients[0], "c1");
     nodes[0].wait_for('A', 1);
-    told_to_end(&broker);
+    wait_for_shutdown_request(&broker);
     let start = Instant::now();
     ask(&mut clients[1], "c2");
     let answers: Vec<_> =
@@ -240,7 +233,7 @@
 /// Several brokers before the same nodes, each with requests out at nodes that answer and at such that do not, and more that
 /// come in the moment of the signal.
 #[test]
-fn brokers_told_to_end_at_once_while_half_of_the_nodes_hang_answer_all_they_took() {
+fn simultaneous_shutdown_with_hung_nodes_answers_all() {
     let nodes: Vec<_> = (0..4).map(|i| Node::start(&format!("s-{i}"))).collect();
     nodes.iter().take(2).for_each(|node| node.behave(Manner::Hang));
     let lines: Vec<_> = nodes.iter().map(|n| n.line("ready")).collect();
@@ -272,12 +265,12 @@
 
 /// All it took is answered: there is nothing to wait for up to the kill.
 #[test]
-fn who_stays_after_its_last_answer_does_not_hold_the_end_up() {
+fn lingering_client_does_not_delay_exit() {
     let nodes = [Node::start("s-0")];
     nodes[0].behave(Manner::Hang);
     let (mut broker, _list) = Broker::before_changed(&nodes, |config| set_timeouts(config, 500.0));
     let mut client = Client::to(&broker);
-    told_to_end(&broker);
+    wait_for_shutdown_request(&broker);
     let start = Instant::now();
     closing(&broker);
     assert!(client.ask(&scan("fix", "c1", &[1], "3.0")).status >= 429);
@@ -286,14 +279,14 @@
 }
 
 #[test]
-fn a_second_sigterm_changes_nothing() {
+fn second_sigterm_is_ignored() {
     let nodes = [Node::start("s-0")];
     nodes[0].behave(Manner::After(700));
     let (mut broker, _list) = Broker::before_changed(&nodes, |_| {});
     let mut client = Client::to(&broker);
     client.send(&scan("find", "c1", &[1], "3.0"));
     nodes[0].wait_for('A', 1);
-    told_to_end(&broker);
+    wait_for_shutdown_request(&broker);
     closing(&broker);
     broker.signal("TERM");
     broker.signal("INT");
@@ -304,7 +297,7 @@
 
 /// Accepting is held until the list has come: who waits meanwhile is answered before the end.
 #[test]
-fn who_waits_for_the_first_list_is_answered_past_a_sigterm() {
+fn request_awaiting_first_list_answered_after_sigterm() {
     let nodes = [Node::start("s-0")];
     let lines = vec![nodes[0].line("ready")];
     let list = List::start(lines.clone());
@@ -322,7 +315,7 @@
 
 /// They came all at once, while it stood still: with no room for them, none has to go that has asked.
 #[test]
-fn a_burst_over_the_cap_is_answered() {
+fn burst_over_limit_is_answered() {
     let nodes = [Node::start("s-0")];
     let (broker, _list) = Broker::before_changed(&nodes, |config| config["limits"]["sockets"] = json!(48));
     assert_eq!(Client::to(&broker).ask(&scan("find", "c0", &[1], "2.0")).status, 200);
@@ -338,7 +331,7 @@
 
 /// Signalled before the writer was done: the pipe holds the broker in its reading.
 #[rstest]
-fn a_configuration_half_written_changes_nothing(#[values(false, true)] ends: bool) {
+fn partly_written_config_is_ignored(#[values(false, true)] ends: bool) {
     let nodes = [Node::start("s-0"), Node::start("s-1")];
     nodes[0].behave(Manner::After(300));
     let (mut broker, list) = Broker::before_changed(&nodes[..1], |_| {});
@@ -377,7 +370,7 @@
 #[case::reading(Manner::Serve, Manner::Serve)]
 #[case::out(Manner::After(1500), Manner::After(1500))]
 #[case::repeating(Manner::Say("fault"), Manner::After(1500))]
-fn a_scan_under_way_is_answered_past_a_sigterm(#[case] one: Manner, #[case] other: Manner) {
+fn in_flight_query_answered_after_sigterm(#[case] one: Manner, #[case] other: Manner) {
     let nodes = [Node::start("s-0"), Node::start("s-1")];
     nodes[0].behave(one);
     nodes[1].behave(other);
@@ -390,7 +383,7 @@
         nodes[0].wait_for('A', 1);
         nodes[1].wait_for('A', if one == other { 1 } else { 4 });
     }
-    told_to_end(&broker);
+    wait_for_shutdown_request(&broker);
     closing(&broker);
     clients.iter_mut().zip(&requests).for_each(|(c, request)| c.send(&request[sent(request)..]));
     for client in &mut clients {
--- a/crates/dunepond-broker/tests/state.rs
+++ b/crates/dunepond-broker/tests/state.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_folder_is_shown_and_checked_beside_its_broker_and_after_it() {
+fn show_and_check_with_and_without_broker() {
     let folder = store::scratch("state");
     std::fs::create_dir(&folder).unwrap();
     let path = folder.to_str().unwrap();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_folder_that_is_not_there_is_named() {
+fn missing_folder_is_named() {
     let (good, said) = dunepond(&["state", "show", "/nowhere/at/all"]);
     assert!(!good && said.contains("/nowhere/at/all"), "{said}");
 }
