--- /dev/null
+++ b/crates/dunepond-broker/src/control_plane/endpoints.rs
@@ -0,0 +1,101 @@
+//! The endpoint list as the active configuration changes it, and what the control plane's thread is told of the nodes.
+
+use dunepond_control_plane::{StartedNode, monotonic_seconds};
+use dunepond_routing::{EndpointState, NodeId};
+use dunepond_shard_map::Node;
+use tracing::info;
+
+use super::ControlPlaneClient;
+use crate::endpoint::{EndpointInfo, EndpointRow};
+
+impl ControlPlaneClient {
+    /// Takes rows of the endpoint list and applies the active configuration to them. `zone_name` gives a zone's name.
+    pub fn on_endpoint_update(
+        &mut self,
+        now: f64,
+        complete: bool,
+        endpoints: Vec<EndpointRow>,
+        zone_name: impl Fn(usize) -> String,
+    ) -> Vec<EndpointRow> {
+        if complete {
+            self.endpoints.clear();
+        }
+        for row in &endpoints {
+            self.insert(row, zone_name(row.endpoint.zone));
+        }
+        self.gate.hand.set_listed_nodes(self.listed_nodes());
+        self.gate.hand.set_started_nodes(self.started_nodes(now));
+        endpoints.into_iter().map(|row| self.apply_exclusion(row)).collect()
+    }
+
+    fn insert(&mut self, row: &EndpointRow, zone: String) {
+        let node = row.endpoint.node;
+        self.node_by_name.insert(row.info.host.clone(), node);
+        if self.partner_by_node.len() <= node {
+            self.partner_by_node.resize(node + 1, None);
+        }
+        self.partner_by_node[node] = self.partner_by_zone.get(&zone).copied();
+        self.zone_by_node.insert(node, zone);
+        self.endpoints.insert(node, row.clone());
+    }
+
+    /// Nodes that are active or draining.
+    fn present(&self) -> impl Iterator<Item = &EndpointRow> {
+        self.endpoints.values().filter(|row| row.info.standing != EndpointState::Removed)
+    }
+
+    fn listed_nodes(&self) -> Vec<Node> {
+        let nodes = self.present().map(|row| Node {
+            name: row.info.host.clone(),
+            zone: self.zone_by_node.get(&row.endpoint.node).cloned().unwrap_or_default(),
+            partner: self.partner_name(row.endpoint.node),
+            draining: row.info.standing == EndpointState::Draining,
+        });
+        nodes.collect()
+    }
+
+    /// Nodes in slow start. `now` is Unix time; the start of each is returned on the monotonic clock.
+    fn started_nodes(&self, now: f64) -> Vec<StartedNode> {
+        let is_cold =
+            |info: &EndpointInfo| info.started > 0.0 && now < info.started + self.slow_start_seconds;
+        let cold = self.present().map(|row| &row.info).filter(|info| is_cold(info));
+        let started = cold.map(|info| StartedNode {
+            node: info.host.clone(),
+            incarnation: (info.started * 1000.0).round() as u64,
+            started_at: monotonic_seconds() - (now - info.started),
+        });
+        started.collect()
+    }
+
+    /// Applies the active configuration to a row: an excluded node drains, whatever discovery says.
+    pub(super) fn apply_exclusion(&self, mut row: EndpointRow) -> EndpointRow {
+        let is_excluded =
+            self.last_applied.as_ref().is_some_and(|applied| applied.config.is_excluded(&row.info.host));
+        if is_excluded && row.info.standing == EndpointState::Active {
+            info!("fleet: node {} is drained by the active configuration", row.info.host);
+            row.endpoint.state = EndpointState::Draining;
+            row.info.standing = EndpointState::Draining;
+        }
+        row
+    }
+
+    /// Removes a node that nothing refers to any more.
+    pub fn forget(&mut self, node: NodeId, host: &str) {
+        self.node_by_name.remove(host);
+        self.endpoints.remove(&node);
+        self.zone_by_node.remove(&node);
+        if let Some(partner) = self.partner_by_node.get_mut(node) {
+            *partner = None;
+        }
+    }
+
+    /// The index of the partner that a node belongs to.
+    pub(super) fn partner_of(&self, node: NodeId) -> Option<usize> {
+        self.partner_by_node.get(node).copied().flatten()
+    }
+
+    /// The name of the partner that a node belongs to; empty without one.
+    fn partner_name(&self, node: NodeId) -> String {
+        self.partner_of(node).map_or(String::new(), |partner| self.config.partners[partner].name.clone())
+    }
+}
--- a/crates/dunepond-broker/src/control_plane/quotas.rs
+++ b/crates/dunepond-broker/src/control_plane/quotas.rs
@@ -19,62 +19,79 @@
 
 /// This broker's part in the fleet-wide quotas.
 pub struct Quotas {
-    every: f64,
+    /// Seconds between two reports of demand to the fleet.
+    report_interval: f64,
     bounds: SharedQuotas,
-    own: LocalQuota,
+    local: LocalQuota,
     /// Parts a second that a warm node takes, if slow start is shared.
-    cold: Option<f64>,
-    further: bool,
+    slow_start_rate: Option<f64>,
+    /// Whether retries are shared.
+    shares_retries: bool,
     /// By tenant index; `None` if the tenant's quota is not shared.
-    customers: Vec<Option<TenantQuota>>,
+    tenants: Vec<Option<TenantQuota>>,
     /// Retries a second that the budget's minimum allows, all brokers together.
-    free: f64,
-    needs: BTreeMap<String, Demand>,
+    min_retries_per_second: f64,
+    demand: BTreeMap<String, Demand>,
     last_sample_at: f64,
-    /// The configuration that was applied last, whether its lease was valid, and whether an earlier incarnation's use still counted.
-    last_applied: Option<(Arc<ActiveConfig>, bool, bool)>,
+    last_applied: Option<AppliedQuotas>,
 }
 
 struct TenantQuota {
-    bound: String,
-    quota: f64,
-    came: f64,
+    name: String,
+    /// Of the whole fleet.
+    queries_per_second: f64,
+    /// Queries since the last sample.
+    arrivals: f64,
+}
+
+/// What shares were computed from last.
+struct AppliedQuotas {
+    config: Arc<ActiveConfig>,
+    lease_was_valid: bool,
+    /// An earlier incarnation's use still counted.
+    was_settling: bool,
+}
+
+/// Use of one quota since the last sample, as shares of the whole.
+struct Sample {
+    quota: String,
+    used: f64,
+    refused: f64,
 }
 
 impl Quotas {
     /// Fails if the operator's file names a tenant that the settings do not have.
-    pub fn new(told: &Shared, site: &Deployment, customers: &[String]) -> Result<Self, Bad> {
-        if let Some(name) = told.customers.iter().find(|name| !customers.contains(name)) {
+    pub fn new(config: &Shared, deployment: &Deployment, tenants: &[String]) -> Result<Self, Bad> {
+        if let Some(name) = config.customers.iter().find(|name| !tenants.contains(name)) {
             return Err(Bad(format!("fleet: limits: the settings have no customer '{name}'")));
         }
-        let named = customers.iter().zip(&site.quotas).map(|(name, quota)| {
-            told.customers.contains(name).then(|| TenantQuota {
-                bound: format!("customer/{name}"),
-                quota: *quota,
-                came: 0.0,
+        let quotas = tenants.iter().zip(&deployment.quotas).map(|(name, quota)| {
+            config.customers.contains(name).then(|| TenantQuota {
+                name: format!("customer/{name}"),
+                queries_per_second: *quota,
+                arrivals: 0.0,
             })
         });
-        let customers: Vec<Option<TenantQuota>> = named.collect();
-        let mut names: Vec<String> = told.cold.map(|_| SLOW_START_QUOTA.to_string()).into_iter().collect();
-        names.extend(told.further.then(|| RETRY_QUOTA.to_string()));
-        names.extend(customers.iter().flatten().map(|customer| customer.bound.clone()));
-        // The longest window over which the router counts any of them.
-        let longest = site.query_classes.iter().map(|t| t.latency_objective).fold(0.0, f64::max);
-        let time_budget = site.retry_budget.as_ref();
-        let window = time_budget.map_or(DEFAULT_RETRY_WINDOW_SECONDS, |time_budget| time_budget.window);
-        let span = window.max(site.slow_start.window).max(longest) + site.tick;
-        let bounds =
-            SharedQuotas::new(names, site.broker_count as u32, told.floor, (span * 1e3).ceil() as u64);
+        let tenants: Vec<Option<TenantQuota>> = quotas.collect();
+        let retry_budget = deployment.retry_budget.as_ref();
+        let retry_window = retry_budget.map_or(DEFAULT_RETRY_WINDOW_SECONDS, |budget| budget.window);
+        let min_retries = retry_budget.map_or(0.0, |budget| budget.min_retries);
+        let bounds = SharedQuotas::new(
+            quota_names(config, &tenants),
+            deployment.broker_count as u32,
+            config.floor,
+            (longest_window_seconds(deployment, retry_window) * 1e3).ceil() as u64,
+        );
         let bounds = bounds.map_err(|e| Bad(format!("fleet: {e} ({})", e.help())))?;
         Ok(Self {
-            every: told.every,
-            own: LocalQuota::new(&bounds, monotonic_seconds()),
+            report_interval: config.every,
+            local: LocalQuota::new(&bounds, monotonic_seconds()),
             bounds,
-            cold: told.cold,
-            further: told.further,
-            customers,
-            free: time_budget.map_or(0.0, |time_budget| time_budget.min_retries) * site.broker_count / window,
-            needs: BTreeMap::new(),
+            slow_start_rate: config.cold,
+            shares_retries: config.further,
+            tenants,
+            min_retries_per_second: min_retries * deployment.broker_count / retry_window,
+            demand: BTreeMap::new(),
             last_sample_at: monotonic_seconds(),
             last_applied: None,
         })
@@ -86,70 +103,112 @@
     }
 
     /// Seconds between two reports of demand to the fleet.
-    pub fn every(&self) -> f64 {
-        self.every
+    pub fn report_interval(&self) -> f64 {
+        self.report_interval
     }
 
     /// This broker's shares, if they changed since the last call, be it that a lease expired while the process stalled.
-    pub fn look(&mut self, gate: &Gate, now: f64) -> Option<QuotaShares> {
-        let acting = gate.acting();
-        let (live, held) = (acting.lease_valid(now), now < self.own.started_at + self.own.window_seconds);
-        let same = |(before, was_live, was_held): &(Arc<ActiveConfig>, bool, bool)| {
-            Arc::ptr_eq(before, &acting) && (*was_live, *was_held) == (live, held)
+    pub fn poll_shares(&mut self, gate: &Gate, now: f64) -> Option<QuotaShares> {
+        let config = gate.acting();
+        let applied = AppliedQuotas {
+            lease_was_valid: config.lease_valid(now),
+            was_settling: now < self.local.started_at + self.local.window_seconds,
+            config: config.clone(),
         };
-        if self.last_applied.as_ref().is_some_and(same) {
+        if self.last_applied.as_ref().is_some_and(|before| before.is_same(&applied)) {
             return None;
         }
-        let limits = QuotaShares {
-            slow_start: self.cold.map(|rate| rate * self.share(&acting, SLOW_START_QUOTA, now)),
-            retries: self.further.then(|| self.share(&acting, RETRY_QUOTA, now)),
-            quotas: (self.customers.iter())
-                .map(|customer| customer.as_ref().map(|c| self.share(&acting, &c.bound, now)))
-                .collect(),
+        let share_of = |tenant: &Option<TenantQuota>| {
+            tenant.as_ref().map(|tenant| self.share(&config, &tenant.name, now))
         };
-        self.last_applied = Some((acting, live, held));
-        Some(limits)
+        let shares = QuotaShares {
+            slow_start: self.slow_start_rate.map(|rate| rate * self.share(&config, SLOW_START_QUOTA, now)),
+            retries: self.shares_retries.then(|| self.share(&config, RETRY_QUOTA, now)),
+            quotas: self.tenants.iter().map(share_of).collect(),
+        };
+        self.last_applied = Some(applied);
+        Some(shares)
     }
 
     /// This broker's share of a quota, from 0 to 1.
-    fn share(&self, acting: &ActiveConfig, bound: &str, now: f64) -> f64 {
-        let heard = acting.quota(now);
-        f64::from(self.own.available_units(heard.allocation, heard.lease_valid, bound, now))
-            / f64::from(TOTAL_UNITS)
+    fn share(&self, config: &ActiveConfig, quota: &str, now: f64) -> f64 {
+        let active = config.quota(now);
+        let units = self.local.available_units(active.allocation, active.lease_valid, quota, now);
+        f64::from(units) / f64::from(TOTAL_UNITS)
     }
 
     /// A query of this tenant has come.
-    pub fn came(&mut self, customer: usize) {
-        if let Some(Some(customer)) = self.customers.get_mut(customer) {
-            customer.came += 1.0;
+    pub fn record_arrival(&mut self, tenant: usize) {
+        if let Some(Some(tenant)) = self.tenants.get_mut(tenant) {
+            tenant.arrivals += 1.0;
         }
     }
 
     /// Reports demand since the last sample, if that is long enough ago. `demand` is called with the seconds that it covers.
-    pub fn sample(&mut self, gate: &Gate, now: f64, demand: impl FnOnce(f64) -> QuotaDemand) {
+    pub fn record_sample(&mut self, gate: &Gate, now: f64, demand: impl FnOnce(f64) -> QuotaDemand) {
         let seconds = now - self.last_sample_at;
         if seconds < SAMPLE_INTERVAL_SECONDS {
             return;
         }
         self.last_sample_at = now;
-        let demand = demand(seconds);
-        let mut samples: Vec<(String, f64, f64)> = Vec::new();
-        if let Some(rate) = self.cold {
-            samples.push((SLOW_START_QUOTA.to_string(), demand.slow_start / rate, 0.0));
+        let samples = self.take_samples(seconds, &demand(seconds));
+        let config = gate.acting();
+        for Sample { quota, used, refused } in samples {
+            let share = self.share(&config, &quota, now);
+            self.demand.entry(quota).or_default().record_sample(used, refused, share);
         }
-        if self.further {
-            let whole = (self.free * seconds).max(f64::MIN_POSITIVE);
-            samples.push((RETRY_QUOTA.to_string(), demand.retries / whole, demand.retries_denied / whole));
+        let units = self.demand.iter().map(|(quota, demand)| (quota.clone(), demand.units()));
+        gate.hand.set_demand(units.collect());
+    }
+
+    /// What was used in so many seconds of each shared quota; tenants' arrivals are counted anew.
+    fn take_samples(&mut self, seconds: f64, demand: &QuotaDemand) -> Vec<Sample> {
+        let mut samples = Vec::new();
+        if let Some(rate) = self.slow_start_rate {
+            let used = demand.slow_start / rate;
+            samples.push(Sample { quota: SLOW_START_QUOTA.to_string(), used, refused: 0.0 });
         }
-        for customer in self.customers.iter_mut().flatten() {
-            let whole = (customer.quota * seconds).max(f64::MIN_POSITIVE);
-            samples.push((customer.bound.clone(), std::mem::take(&mut customer.came) / whole, 0.0));
+        if self.shares_retries {
+            let whole = (self.min_retries_per_second * seconds).max(f64::MIN_POSITIVE);
+            samples.push(Sample {
+                quota: RETRY_QUOTA.to_string(),
+                used: demand.retries / whole,
+                refused: demand.retries_denied / whole,
+            });
         }
-        let acting = gate.acting();
-        for (bound, used, refused) in samples {
-            let has = self.share(&acting, &bound, now);
-            self.needs.entry(bound).or_default().record_sample(used, refused, has);
+        for tenant in self.tenants.iter_mut().flatten() {
+            let whole = (tenant.queries_per_second * seconds).max(f64::MIN_POSITIVE);
+            let used = std::mem::take(&mut tenant.arrivals) / whole;
+            samples.push(Sample { quota: tenant.name.clone(), used, refused: 0.0 });
         }
-        gate.hand.set_demand(self.needs.iter().map(|(bound, need)| (bound.clone(), need.units())).collect());
+        samples
     }
 }
+
+impl AppliedQuotas {
+    fn is_same(&self, other: &Self) -> bool {
+        Arc::ptr_eq(&self.config, &other.config)
+            && self.lease_was_valid == other.lease_was_valid
+            && self.was_settling == other.was_settling
+    }
+}
+
+/// Names of the quotas that the operator's file shares.
+fn quota_names(config: &Shared, tenants: &[Option<TenantQuota>]) -> Vec<String> {
+    let mut names = Vec::new();
+    if config.cold.is_some() {
+        names.push(SLOW_START_QUOTA.to_string());
+    }
+    if config.further {
+        names.push(RETRY_QUOTA.to_string());
+    }
+    names.extend(tenants.iter().flatten().map(|tenant| tenant.name.clone()));
+    names
+}
+
+/// The longest window over which the router counts any quota, in seconds.
+fn longest_window_seconds(deployment: &Deployment, retry_window: f64) -> f64 {
+    let objectives = deployment.query_classes.iter().map(|class| class.latency_objective);
+    let longest_objective = objectives.fold(0.0, f64::max);
+    retry_window.max(deployment.slow_start.window).max(longest_objective) + deployment.tick
+}
--- /dev/null
+++ b/crates/dunepond-broker/src/control_plane/rules.rs
@@ -0,0 +1,41 @@
+//! Routing rules of a fleet: the stricter of what the deployment has and what the fleet has agreed on.
+
+use dunepond_routing::{RetryBudget, Rules};
+
+use super::DEFAULT_RETRY_WINDOW_SECONDS;
+
+/// The stricter of the deployment's and the agreed rules: a fleet must not widen a deployment's limits.
+pub(super) fn strictest_rules(own: &Rules, agreed: &dunepond_consensus::RoutingRules) -> Rules {
+    let own_budget = own.retry_budget.as_ref();
+    let retry_budget = own_budget.map_or(
+        RetryBudget {
+            window: DEFAULT_RETRY_WINDOW_SECONDS,
+            min_retries: agreed.retry_budget_min,
+            ratio: agreed.retry_budget_ratio,
+        },
+        |own| RetryBudget {
+            window: own.window,
+            min_retries: own.min_retries.min(agreed.retry_budget_min),
+            ratio: own.ratio.min(agreed.retry_budget_ratio),
+        },
+    );
+    Rules {
+        minimum_share: greater_shares(&own.minimum_share, &agreed.minimum_shares),
+        complete_at: greater_shares(&own.complete_at, &agreed.complete_at),
+        retry_budget: Some(retry_budget),
+        max_attempts: own.max_attempts.min(agreed.max_attempts),
+        hedging_enabled: own.hedging_enabled && agreed.hedging_enabled,
+        slow_start_multiple: own.slow_start_multiple.min(agreed.slow_start_multiple),
+        max_retry_after: own.max_retry_after.min(agreed.max_retry_after_seconds),
+    }
+}
+
+/// The greater share of each query class; agreed shares may be fewer.
+fn greater_shares(own: &[f64], agreed: &[f64]) -> Vec<f64> {
+    let greater =
+        |(class, share): (usize, &f64)| agreed.get(class).map_or(*share, |agreed| share.max(*agreed));
+    own.iter().enumerate().map(greater).collect()
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/dunepond-broker/src/control_plane/tests/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/rules/tests/mod.rs
@@ -23,7 +23,7 @@
         keyed_retries_enabled: true,
         max_retry_after_seconds: 9.0,
     };
-    let both = strictest(&own, &agreed);
+    let both = strictest_rules(&own, &agreed);
     assert_eq!((both.minimum_share, both.complete_at), (vec![0.7, 1.0], vec![0.95, 1.0]));
     let time_budget = both.retry_budget.unwrap();
     assert_eq!((time_budget.window, time_budget.min_retries, time_budget.ratio), (4.0, 5.0, 0.1));
@@ -31,6 +31,6 @@
     assert_eq!((both.slow_start_multiple, both.max_retry_after), (1.5, 1.0));
     // Where the deployment states no budget, what is agreed on is one.
     agreed.retry_budget_min = 7.0;
-    let time_budget = strictest(&Rules { retry_budget: None, ..own }, &agreed).retry_budget.unwrap();
+    let time_budget = strictest_rules(&Rules { retry_budget: None, ..own }, &agreed).retry_budget.unwrap();
     assert_eq!((time_budget.min_retries, time_budget.ratio), (7.0, 0.2));
 }
--- /dev/null
+++ b/crates/dunepond-broker/src/control_plane/startup.rs
@@ -0,0 +1,155 @@
+//! Starts the control plane's thread from the operator's file and the deployment.
+
+use std::collections::HashMap;
+use std::rc::Rc;
+
+use calloop::channel::{self, channel};
+use dunepond_config::Bad;
+use dunepond_config::operator::{self, Known};
+use dunepond_control_plane::{
+    ControlPlaneConfig, ControlPlaneError, FillConfig, LinkRate, Partner, QuotaConfig, RebalanceConfig,
+    SlowStartPolicy, TestDoubles,
+};
+use dunepond_routing::{Deployment, Rules, SlowStart};
+
+use super::quotas::Quotas;
+use super::{ControlPlaneClient, Gate};
+use crate::iteration::{EventLoopHandle, Iteration, LoopEvent};
+
+impl ControlPlaneClient {
+    /// Starts the control plane's thread under this broker's name.
+    pub fn start(
+        config: &operator::Fleet,
+        name: &str,
+        deployment: &Deployment,
+        tenants: &[String],
+        test_doubles: TestDoubles,
+        handle: &EventLoopHandle,
+    ) -> Result<Self, Bad> {
+        let quotas = config.limits.as_ref().map(|limits| Quotas::new(limits, deployment, tenants));
+        let quotas = quotas.transpose()?;
+        let thread_config = control_plane_config(config, name, deployment, quotas.as_ref());
+        let on_change = register_change_events(handle)?;
+        let thread = dunepond_control_plane::start(thread_config, test_doubles, on_change)
+            .map_err(|e| to_config_error(&e))?;
+        let idempotency = deployment.query_classes.iter().map(|class| class.idempotency).collect();
+        let partner_of =
+            |tenant: &String| config.partners.iter().position(|partner| partner.customers.contains(tenant));
+        Ok(Self {
+            gate: Rc::new(Gate::new(thread.handle(), idempotency)),
+            thread: Some(thread),
+            config: config.clone(),
+            endpoints: HashMap::new(),
+            node_by_name: HashMap::new(),
+            zone_by_node: HashMap::new(),
+            partner_by_zone: partner_by_zone(&config.partners),
+            partner_by_tenant: tenants.iter().map(partner_of).collect(),
+            partner_by_node: Vec::new(),
+            slow_start_seconds: deployment.slow_start.duration,
+            deployment_rules: Rules::of(deployment),
+            last_applied: None,
+            applied_rules: Rules::of(deployment),
+            quotas,
+        })
+    }
+}
+
+/// Checks the fleet section of an operator's file against the broker's name and the deployment's query timeouts.
+pub fn check(config: &operator::Fleet, name: &str, deployment: &Deployment) -> Result<(), Bad> {
+    config
+        .terms(name, longest_timeout(deployment))
+        .check()
+        .map_err(|e| Bad(format!("fleet: {e} ({})", e.help())))
+}
+
+fn to_config_error(e: &ControlPlaneError) -> Bad {
+    Bad(format!("fleet: {e} ({})", e.help()))
+}
+
+/// The longest query timeout, in seconds.
+fn longest_timeout(deployment: &Deployment) -> f64 {
+    deployment.query_classes.iter().map(|class| class.timeout).fold(0.0, f64::max)
+}
+
+fn control_plane_config(
+    config: &operator::Fleet,
+    name: &str,
+    deployment: &Deployment,
+    quotas: Option<&Quotas>,
+) -> ControlPlaneConfig {
+    let known = config.voters.iter().chain(&config.peers).map(|Known { name, at }| (name.clone(), *at));
+    ControlPlaneConfig {
+        terms: config.terms(name, longest_timeout(deployment)),
+        listen_address: config.listen,
+        data_directory: config.folder.clone(),
+        known_brokers: known.collect(),
+        key_file: config.key.clone(),
+        version_file: config.version.clone(),
+        audit_log_file: config.record.clone(),
+        partners: config.partners.iter().map(to_partner).collect(),
+        link_rates: config.links.iter().map(to_link_rate).collect(),
+        fills: config.fills.as_ref().map(|fills| FillConfig {
+            fill_service: fills.at,
+            segment_bytes: fills.segment,
+            bytes_per_second: fills.rate,
+            max_concurrent_fills: fills.at_once,
+            fill_started_nodes: fills.warm,
+        }),
+        slow_start: Some(slow_start_policy(&deployment.slow_start)),
+        quotas: quotas.map(|quotas| QuotaConfig {
+            shared: quotas.bounds().clone(),
+            plan_interval_seconds: quotas.report_interval(),
+        }),
+        rebalancing: config.moves.as_ref().map(|moves| RebalanceConfig {
+            plan_file: moves.plan.clone(),
+            max_concurrent_acts: moves.at_once,
+            settle_seconds: moves.settle,
+            default_link_rate: moves.link_bytes,
+        }),
+        query_class_count: deployment.query_classes.len(),
+        seed: deployment.seed,
+    }
+}
+
+fn to_partner(partner: &operator::Partner) -> Partner {
+    Partner { name: partner.name.clone(), brokers: partner.brokers.clone(), metered: partner.metered }
+}
+
+fn to_link_rate(link: &operator::Link) -> LinkRate {
+    LinkRate { from: link.from.clone(), to: link.to.clone(), bytes_per_second: link.bytes }
+}
+
+fn slow_start_policy(slow_start: &SlowStart) -> SlowStartPolicy {
+    SlowStartPolicy {
+        initial_share: slow_start.initial_capacity_ratio,
+        warm_up_seconds: slow_start.duration,
+        capacity_multiple: slow_start.rate_multiple,
+        window_seconds: slow_start.window,
+    }
+}
+
+/// The index of the partner that each zone belongs to.
+fn partner_by_zone(partners: &[operator::Partner]) -> HashMap<String, usize> {
+    let mut by_zone = HashMap::new();
+    for (index, partner) in partners.iter().enumerate() {
+        for zone in &partner.zones {
+            by_zone.insert(zone.clone(), index);
+        }
+    }
+    by_zone
+}
+
+/// Makes each change that the control plane's thread reports an event of the loop.
+fn register_change_events(handle: &EventLoopHandle) -> Result<impl Fn() + Send + 'static, Bad> {
+    let (sender, changes) = channel();
+    let inserted = handle.insert_source(changes, |event, _, iteration: &mut Iteration| {
+        if let channel::Event::Msg(()) = event {
+            iteration.ready.push_back(LoopEvent::ControlPlaneChanged);
+        }
+    });
+    inserted.map_err(|e| Bad(format!("fleet: {}", e.error)))?;
+    // A send fails only once the event loop has ended.
+    Ok(move || {
+        let _ = sender.send(());
+    })
+}
--- /dev/null
+++ b/crates/dunepond-broker/src/discovery/list.rs
@@ -0,0 +1,119 @@
+//! Parses endpoint lists, and keeps the ids of nodes and zones.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+
+use dunepond_config::{Bad, Fields};
+use dunepond_routing::{Endpoint, EndpointState, NodeId};
+use serde_json::Value;
+use slab::Slab;
+use tracing::{info, warn};
+
+use crate::endpoint::{EndpointInfo, EndpointRow};
+
+/// A complete endpoint list, or only the rows that changed.
+pub struct EndpointUpdate {
+    /// Rows that are not in it are no longer listed.
+    pub complete: bool,
+    /// The rows, in the list's order.
+    pub endpoints: Vec<EndpointRow>,
+}
+
+/// A list that has been parsed.
+pub(super) struct ParsedList {
+    pub(super) version: u64,
+    pub(super) update: EndpointUpdate,
+    /// A row was invalid and has been skipped.
+    pub(super) had_invalid_row: bool,
+}
+
+/// The ids of nodes and zones that a list has named.
+pub(super) struct Directory {
+    node_ids: HashMap<String, NodeId>,
+    /// The node ids in use; a free one is reused.
+    allocated_ids: Slab<()>,
+    zones: Vec<String>,
+}
+
+impl Directory {
+    /// Begins with the zones of the settings.
+    pub(super) fn new(zones: Vec<String>) -> Self {
+        Self { node_ids: HashMap::new(), allocated_ids: Slab::new(), zones }
+    }
+
+    /// A zone's name, by its index.
+    pub(super) fn zone_name(&self, zone: usize) -> String {
+        self.zones.get(zone).cloned().unwrap_or_default()
+    }
+
+    /// Frees the id of a node that nothing refers to any more.
+    pub(super) fn forget(&mut self, node: NodeId, host: &str) {
+        if self.node_ids.remove(host).is_some() {
+            self.allocated_ids.remove(node);
+        }
+    }
+
+    /// Parses a list; an invalid row is logged and skipped.
+    pub(super) fn parse_list(&mut self, list: &Value) -> Result<ParsedList, Bad> {
+        let list = Fields::of("list", list)?;
+        let (version, complete) = (list.count("seq")?, list.mark("whole")?);
+        let (mut endpoints, mut had_invalid_row) = (Vec::new(), false);
+        for row in list.list("hosts")? {
+            match self.parse_row(row) {
+                Ok(row) => endpoints.push(row),
+                Err(Bad(why)) => {
+                    warn!("discovery: endpoint skipped: {why}");
+                    had_invalid_row = true;
+                }
+            }
+        }
+        Ok(ParsedList { version, update: EndpointUpdate { complete, endpoints }, had_invalid_row })
+    }
+
+    fn parse_row(&mut self, row: &Value) -> Result<EndpointRow, Bad> {
+        let row = Fields::of("hosts", row)?;
+        let host = row.text("host")?;
+        let standing = match row.text("health")? {
+            "ready" => EndpointState::Active,
+            "draining" => EndpointState::Draining,
+            "gone" => EndpointState::Removed,
+            _ => return Err(row.bad("health", "unknown word")),
+        };
+        let dial: Option<SocketAddr> = match row.optional_text("dial")? {
+            Some(dial) => Some(dial.parse().map_err(|_| row.bad("dial", "not an address:port"))?),
+            None if standing == EndpointState::Removed => None,
+            None => return Err(row.bad("dial", "missing")),
+        };
+        let cell = row.count("block")? as usize;
+        let zone_name = row.optional_text("site")?.unwrap_or_default();
+        let started = row.number_or("born_ms", 0.0)? / 1000.0;
+        let zone = self.zone_index(zone_name);
+        let node = self.node_id(host, dial);
+        let host = host.to_string();
+        Ok(EndpointRow {
+            endpoint: Endpoint { node, replica_group: cell, zone, state: standing, started_at: started },
+            info: EndpointInfo { host, dial, cell, started, standing },
+        })
+    }
+
+    /// The index of a zone, which is added if it is new.
+    fn zone_index(&mut self, name: &str) -> usize {
+        if let Some(zone) = self.zones.iter().position(|zone| zone == name) {
+            return zone;
+        }
+        self.zones.push(name.to_string());
+        self.zones.len() - 1
+    }
+
+    /// The id of a node, which is allocated if it is new.
+    fn node_id(&mut self, host: &str, address: Option<SocketAddr>) -> NodeId {
+        if let Some(node) = self.node_ids.get(host) {
+            return *node;
+        }
+        let node = self.allocated_ids.insert(());
+        let address = address.map_or("?".to_string(), |address| address.to_string());
+        info!("discovery: node {node} is {host} at {address}");
+        self.node_ids.insert(host.to_string(), node);
+        node
+    }
+}
--- /dev/null
+++ b/crates/dunepond-broker/src/discovery/mod.rs
@@ -0,0 +1,314 @@
+//! The client of the discovery agent: a complete endpoint list at first and after each break, then a watch for changes.
+
+mod call;
+mod list;
+
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use dunepond_config::{Bad, Bounds};
+use dunepond_routing::NodeId;
+use serde_json::Value;
+use tracing::{debug, info, warn};
+
+pub use list::EndpointUpdate;
+
+use crate::buffers::{Pool, WriteQueue};
+use crate::clock::{TimerEvent, TimerKey, Timers};
+use crate::connection_end::ConnectionEnd;
+use crate::http::{self, Message};
+use crate::iteration::{EventLoopHandle, LoopEvent, watch};
+use crate::upstream;
+use call::{DiscoveryCall, ListState, Response};
+use list::Directory;
+
+/// A change that the agent has not reported counts as known this long after the agent fell silent. The other times here are
+/// fractions of this one.
+const STALE_AFTER_SECONDS: f64 = 6.0;
+/// How long the agent may hold a watch open: short enough for several calls after an unanswered one before the list is stale.
+const WATCH_TIMEOUT_MILLISECONDS: u64 = (STALE_AFTER_SECONDS / 4.0 * 1000.0) as u64;
+/// How long after it was due a response counts as overdue; another call is then made beside the silent one, whose connection
+/// may be broken. Bounds the calls at once to twelve, which `RESERVED_DESCRIPTORS` in `config.rs` allows for.
+pub const RESPONSE_OVERDUE_SECONDS: f64 = STALE_AFTER_SECONDS / 12.0;
+/// The agent keeps a watch alive if the next request comes within this time after its response.
+const WATCH_CONTINUATION_SECONDS: f64 = 0.2;
+/// Shortest time between two requests. Guards against polling in a busy loop an agent that answers each watch at once.
+const MIN_REQUEST_INTERVAL_SECONDS: f64 = WATCH_CONTINUATION_SECONDS / 4.0;
+/// First and longest backoff before an agent that is down is called again.
+const BACKOFF_RANGE_SECONDS: (f64, f64) = (WATCH_CONTINUATION_SECONDS / 2.0, RESPONSE_OVERDUE_SECONDS);
+
+/// The outcome of reading from a connection.
+enum ReadResult {
+    /// A complete response.
+    Update(EndpointUpdate),
+    /// No complete response yet.
+    Nothing,
+    /// The connection is closed and removed; the next call has taken its index.
+    Closed,
+}
+
+/// The client of the discovery agent.
+pub struct DiscoveryClient {
+    handle: EventLoopHandle,
+    pool: Pool,
+    address: SocketAddr,
+    /// Oldest first; more than one only while the agent is silent. The first response closes all others, so that an older one
+    /// is never taken for newer.
+    calls: Vec<DiscoveryCall>,
+    timer: Option<TimerKey>,
+    list: ListState,
+    /// A call found no free file descriptor; it is repeated once one has been freed.
+    pub out_of_descriptors: bool,
+    last_request_at: f64,
+    /// Seconds before the next call after a failed one.
+    backoff: f64,
+}
+
+impl DiscoveryClient {
+    /// Makes no call yet.
+    pub fn new(handle: EventLoopHandle, pool: &Pool, address: SocketAddr, bounds: &Bounds) -> Self {
+        let directory = Directory::new(bounds.zones.clone());
+        Self {
+            handle,
+            pool: pool.clone(),
+            address,
+            calls: Vec::new(),
+            timer: None,
+            list: ListState { version: None, had_invalid_row: false, directory },
+            out_of_descriptors: false,
+            last_request_at: f64::MIN,
+            backoff: BACKOFF_RANGE_SECONDS.0,
+        }
+    }
+
+    /// Calls the agent on a new connection: to continue the watch, or for a complete list.
+    pub fn start_call(&mut self, now: f64, timers: &mut Timers) {
+        match self.connect(now) {
+            Ok(call) => {
+                self.calls.push(call);
+                self.send_request(now, self.calls.len() - 1, timers);
+            }
+            Err(reason) => {
+                self.out_of_descriptors = reason == ConnectionEnd::DescriptorsExhausted;
+                self.on_call_ended(now, reason, timers);
+            }
+        }
+    }
+
+    fn connect(&self, now: f64) -> Result<DiscoveryCall, ConnectionEnd> {
+        let stream = Rc::new(upstream::open(self.address)?);
+        let token = watch(&self.handle, &stream, LoopEvent::DiscoveryReady)
+            .map_err(|_| ConnectionEnd::LocalResources)?;
+        Ok(DiscoveryCall {
+            stream,
+            token,
+            input: None,
+            message: None,
+            write_queue: WriteQueue::new(&self.pool),
+            awaiting_response: true,
+            is_watch: false,
+            response_due_at: now,
+        })
+    }
+
+    /// Changes to another agent. Its versions are unrelated, so a complete list is requested first; until then the last one holds.
+    pub fn change_agent(&mut self, now: f64, address: SocketAddr, timers: &mut Timers) {
+        if address != self.address {
+            info!("discovery: agent changed from {} to {address}", self.address);
+            self.calls.drain(..).for_each(|call| self.handle.remove(call.token));
+            timers.unset(self.timer.take());
+            self.address = address;
+            self.list.version = None;
+            self.backoff = BACKOFF_RANGE_SECONDS.0;
+            self.start_call(now, timers);
+        }
+    }
+
+    /// Sends a watch if this is the only call. Beside a silent watch a complete list is requested: the agent answers that at once,
+    /// and may have restarted and count its versions from 1.
+    fn send_request(&mut self, now: f64, at: usize, timers: &mut Timers) {
+        let watch_from = self.list.version.filter(|_| self.calls.len() == 1);
+        let (path, wait_milliseconds) = match watch_from {
+            None => ("/v1/endpoints".to_string(), 0),
+            Some(version) => (
+                format!("/v1/endpoints?index={version}&wait={WATCH_TIMEOUT_MILLISECONDS}"),
+                WATCH_TIMEOUT_MILLISECONDS,
+            ),
+        };
+        self.last_request_at = now;
+        let call = &mut self.calls[at];
+        call.awaiting_response = true;
+        call.is_watch = watch_from.is_some();
+        call.response_due_at = now + wait_milliseconds as f64 / 1000.0;
+        call.write_queue.put(&http::get(&path, &self.address.to_string()));
+        timers.unset(self.timer.take());
+        let overdue_at = call.response_due_at + RESPONSE_OVERDUE_SECONDS;
+        self.timer = Some(timers.set(overdue_at, TimerEvent::Discovery));
+        self.write(now, at, timers);
+    }
+
+    /// Returns `false` if the call has ended.
+    fn write(&mut self, now: f64, at: usize, timers: &mut Timers) -> bool {
+        let call = &mut self.calls[at];
+        match call.write_queue.flush(&*call.stream) {
+            // Still connecting.
+            Err(e) if e.kind() == io::ErrorKind::NotConnected => true,
+            Err(e) => {
+                self.end_call(now, at, ConnectionEnd::of(&e), timers);
+                false
+            }
+            Ok(()) => true,
+        }
+    }
+
+    /// The timer has fired: an answer is overdue, or a pause between two requests is over.
+    pub fn on_timer(&mut self, now: f64, timers: &mut Timers) {
+        self.timer = None;
+        match self.calls.first() {
+            Some(call) if call.awaiting_response => {
+                let silence = now - self.last_request_at;
+                warn!("discovery {}: no answer for {silence:.1} s; calling again", self.address);
+                // Closes calls whose response would be stale by now, no sooner, or a slow agent would never be heard. Half an
+                // interval of tolerance, so that a timer that fires early does not allow a thirteenth call.
+                let is_stale = |call: &&DiscoveryCall| {
+                    now - call.response_due_at > STALE_AFTER_SECONDS - RESPONSE_OVERDUE_SECONDS / 2.0
+                };
+                while let Some(oldest) = self.calls.first().filter(is_stale) {
+                    self.handle.remove(oldest.token);
+                    self.calls.remove(0);
+                    self.reset_index_without_watch();
+                }
+                self.start_call(now, timers);
+            }
+            Some(_) => self.send_request(now, 0, timers),
+            None => self.start_call(now, timers),
+        }
+    }
+
+    /// Closes a call that was not answered.
+    fn end_call(&mut self, now: f64, at: usize, reason: ConnectionEnd, timers: &mut Timers) {
+        let call = self.calls.remove(at);
+        self.handle.remove(call.token);
+        self.on_call_ended(now, reason, timers);
+    }
+
+    /// Schedules another call after a backoff, unless calls that are still out have a timer. The last list holds meanwhile.
+    fn on_call_ended(&mut self, now: f64, reason: ConnectionEnd, timers: &mut Timers) {
+        warn!("discovery {}: connection {reason}; keeping the last endpoint list", self.address);
+        self.reset_index_without_watch();
+        if self.calls.is_empty() || self.timer.is_none() {
+            timers.unset(self.timer.take());
+            self.timer = Some(timers.set(now + self.backoff, TimerEvent::Discovery));
+            // A local lack of descriptors is no failure of the agent.
+            if reason != ConnectionEnd::DescriptorsExhausted {
+                self.backoff = (2.0 * self.backoff).min(BACKOFF_RANGE_SECONDS.1);
+            }
+        }
+    }
+
+    /// Without an open watch the next request is for a complete list.
+    fn reset_index_without_watch(&mut self) {
+        if !self.calls.iter().any(|call| call.is_watch) {
+            self.list.version = None;
+        }
+    }
+
+    /// Reads and writes on all connections; returns the updates that arrived, in their order.
+    pub fn on_ready(&mut self, now: f64, readable: bool, timers: &mut Timers) -> Vec<EndpointUpdate> {
+        let (mut updates, mut at) = (Vec::new(), 0);
+        // The event does not say which connection is ready; there are few.
+        while at < self.calls.len() {
+            if !self.write(now, at, timers) {
+                continue;
+            }
+            let result = if readable { self.read_responses(now, at, timers) } else { ReadResult::Nothing };
+            match result {
+                // All other calls have been closed.
+                ReadResult::Update(update) => {
+                    updates.push(update);
+                    at = 0;
+                }
+                ReadResult::Nothing => at += 1,
+                ReadResult::Closed => {}
+            }
+        }
+        updates
+    }
+
+    /// Reads from one connection until it has a complete response or nothing more to read.
+    fn read_responses(&mut self, now: f64, at: usize, timers: &mut Timers) -> ReadResult {
+        loop {
+            match self.calls[at].parse_response(&self.pool, &mut self.list) {
+                Ok(Some(response)) => return ReadResult::Update(self.on_response(now, at, response, timers)),
+                Ok(None) => {}
+                Err(why) => {
+                    warn!("discovery: {why}");
+                    self.end_call(now, at, ConnectionEnd::ProtocolError, timers);
+                    return ReadResult::Closed;
+                }
+            }
+            let call = &mut self.calls[at];
+            let input = call.input.get_or_insert_with(|| self.pool.take());
+            let reason = match input.read_from(&*call.stream) {
+                // A response without a length ends at the close.
+                Ok(0) if call.message.as_mut().is_some_and(Message::finish_at_close) => continue,
+                Ok(0) => ConnectionEnd::Closed,
+                Ok(_) => continue,
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
+                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                    if input.is_empty() {
+                        call.input = None;
+                    }
+                    return ReadResult::Nothing;
+                }
+                Err(e) => ConnectionEnd::of(&e),
+            };
+            self.end_call(now, at, reason, timers);
+            return ReadResult::Closed;
+        }
+    }
+
+    /// Closes all other calls, and schedules the next request.
+    fn on_response(
+        &mut self,
+        now: f64,
+        at: usize,
+        response: Response,
+        timers: &mut Timers,
+    ) -> EndpointUpdate {
+        let Response { update, keep_alive } = response;
+        self.backoff = BACKOFF_RANGE_SECONDS.0;
+        if !update.endpoints.is_empty() {
+            debug!("discovery: {} endpoints, complete list: {}", update.endpoints.len(), update.complete);
+        }
+        let mut answered = self.calls.swap_remove(at);
+        answered.awaiting_response = false;
+        self.calls.drain(..).for_each(|call| self.handle.remove(call.token));
+        if keep_alive {
+            self.calls.push(answered);
+        } else {
+            // The agent closes this connection; the watch continues on another one.
+            self.handle.remove(answered.token);
+        }
+        timers.unset(self.timer.take());
+        let next_request_at = now.max(self.last_request_at + MIN_REQUEST_INTERVAL_SECONDS);
+        self.timer = Some(timers.set(next_request_at, TimerEvent::Discovery));
+        update
+    }
+
+    /// A zone's name, by its index.
+    pub fn zone_name(&self, zone: usize) -> String {
+        self.list.directory.zone_name(zone)
+    }
+
+    /// Frees the id of a node that nothing refers to any more.
+    pub fn forget(&mut self, node: NodeId, host: &str) {
+        self.list.directory.forget(node, host);
+    }
+
+    /// Parses the configured endpoint list; an invalid row is logged and skipped.
+    pub fn parse_configured_list(&mut self, list: &Value) -> Result<EndpointUpdate, Bad> {
+        self.list.directory.parse_list(list).map(|parsed| parsed.update)
+    }
+}
--- /dev/null
+++ b/crates/dunepond-broker/src/endpoint.rs
@@ -0,0 +1,29 @@
+//! A row of the endpoint list, as discovery reports it.
+
+use std::net::SocketAddr;
+
+use dunepond_routing::{Endpoint, EndpointState};
+
+/// A row of the endpoint list.
+#[derive(Clone)]
+pub struct EndpointRow {
+    /// What the router is told of the node.
+    pub endpoint: Endpoint,
+    /// What connections to the node need.
+    pub info: EndpointInfo,
+}
+
+/// A node as connections to it need it.
+#[derive(Clone)]
+pub struct EndpointInfo {
+    /// The node's name.
+    pub host: String,
+    /// Its address; `None` only if it is removed.
+    pub dial: Option<SocketAddr>,
+    /// Its replica group.
+    pub cell: usize,
+    /// When its process started, in Unix seconds; 0 if unknown.
+    pub started: f64,
+    /// Whether it is active, draining or removed.
+    pub standing: EndpointState,
+}
--- a/crates/dunepond-broker/src/event_loop/background.rs
+++ b/crates/dunepond-broker/src/event_loop/background.rs
@@ -7,7 +7,6 @@
 
 use super::EventLoop;
 use crate::clock::TimerEvent;
-use crate::control_plane::ControlPlane;
 use crate::prefilter::PrefilterHost;
 
 /// Name of the background job for prefilter audits. One that waited longer is dropped, as the content will have changed.
@@ -32,7 +31,7 @@
         self.background.on_job_finished(now, on_job_finished);
         let failed = on_job_finished.outcome == Outcome::Failed;
         if let Some(persistence) = &mut self.persistence {
-            persistence.ended(now, on_job_finished.id, failed, &mut self.background);
+            persistence.on_job_ended(now, on_job_finished.id, failed, &mut self.background);
         }
     }
 
@@ -46,7 +45,7 @@
         while let Some(submitted) = self.background.next(now, idle) {
             if submitted.kind == Kind::Blocking {
                 if let (Some(persistence), Some(pool)) = (&mut self.persistence, self.background.pool()) {
-                    persistence.run(
+                    persistence.run_job(
                         submitted.id,
                         submitted.name,
                         now,
@@ -73,7 +72,7 @@
             debug!("background job {name} dropped");
             self.audit &= name != AUDIT_JOB;
             if let Some(persistence) = &mut self.persistence {
-                persistence.ended(now, id, false, &mut self.background);
+                persistence.on_job_ended(now, id, false, &mut self.background);
             }
         }
         self.background.arm(now, &mut self.router_host.timers);
@@ -85,8 +84,12 @@
             self.router_host.timers.set(now + every, TimerEvent::Counters);
             let copied = self.router_host.upstream.copied;
             self.router_host.report(copied);
-            self.prefilter.iter().for_each(|prefilter| prefilter.report(now));
-            self.router_host.control_plane.iter().for_each(ControlPlane::report);
+            if let Some(prefilter) = &self.prefilter {
+                prefilter.report(now);
+            }
+            if let Some(control_plane) = &self.router_host.control_plane {
+                control_plane.report_counters();
+            }
             let work = self.background.report();
             if !work.is_empty() {
                 info!(work, "background counters");
--- /dev/null
+++ b/crates/dunepond-broker/src/event_loop/endpoints.rs
@@ -0,0 +1,86 @@
+//! Applies the endpoint list and the active configuration to the router and to connections.
+
+use super::EventLoop;
+use crate::discovery::EndpointUpdate;
+use crate::endpoint::EndpointRow;
+
+impl EventLoop {
+    /// Brings rules, quotas and drained nodes up to the active configuration of this moment; called before each event is handled.
+    pub(super) fn apply_control_plane(&mut self) {
+        let Some(control_plane) = &mut self.router_host.control_plane else { return };
+        control_plane.record_demand(|seconds| self.router.quota_demand(seconds));
+        if let Some(shares) = control_plane.poll_quota_shares() {
+            self.router.set_quota_shares(shares);
+        }
+        let Some(changes) = control_plane.poll_changes() else { return };
+        // With each new lease, so that the next lease request carries it.
+        control_plane.set_overloaded(self.router.is_overloaded());
+        if let Some(rules) = changes.rules {
+            self.router.set_rules(&rules);
+        }
+        if !changes.endpoints.is_empty() {
+            self.apply_endpoints(EndpointUpdate { complete: false, endpoints: changes.endpoints });
+        }
+    }
+
+    pub(super) fn discovery_ready(&mut self, readable: bool) {
+        let now = self.tick();
+        for update in self.discovery.on_ready(now, readable, &mut self.router_host.timers) {
+            if self.known.take().is_some() {
+                self.accept_backlog();
+            }
+            self.listed(update);
+        }
+        self.settle();
+    }
+
+    /// Repeats a call to discovery that found no file descriptor: without it the list would go stale.
+    pub(super) fn retry_discovery(&mut self) {
+        if std::mem::take(&mut self.discovery.out_of_descriptors) && self.router_host.make_room() {
+            self.discovery.start_call(self.router_host.now, &mut self.router_host.timers);
+        }
+    }
+
+    pub(super) fn listed(&mut self, mut update: EndpointUpdate) {
+        if let Some(control_plane) = &mut self.router_host.control_plane {
+            let zone_name = |zone| self.discovery.zone_name(zone);
+            update.endpoints = control_plane.on_endpoint_update(
+                self.router_host.now,
+                update.complete,
+                update.endpoints,
+                zone_name,
+            );
+        }
+        self.apply_endpoints(update);
+    }
+
+    fn apply_endpoints(&mut self, update: EndpointUpdate) {
+        let now = self.router_host.now;
+        let mut listed = Vec::with_capacity(update.endpoints.len());
+        if update.complete {
+            let named = update.endpoints.iter().map(|row| row.endpoint.node).collect();
+            self.router_host.upstream.remove_unlisted(
+                self.router_host.now,
+                &named,
+                &mut self.router_host.timers,
+            );
+        }
+        for EndpointRow { endpoint, info } in update.endpoints {
+            self.router_host.upstream.listed(now, endpoint.node, info, &mut self.router_host.timers);
+            listed.push(endpoint);
+        }
+        for (node, replaced) in std::mem::take(&mut self.router_host.upstream.changed) {
+            if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
+                prefilter_connections.leave(node, &mut self.router_host.timers);
+            }
+            if let Some(prefilter) = self.prefilter.as_mut().filter(|_| replaced) {
+                prefilter.forget(node);
+            }
+        }
+        self.router_host.downstream.has_endpoints = self.router_host.upstream.any_active();
+        self.router.update_endpoints(&mut self.router_host, update.complete, &listed);
+        if let Some(persistence) = &mut self.persistence {
+            persistence.restore(now, &mut self.router, &mut self.router_host);
+        }
+    }
+}
--- /dev/null
+++ b/crates/dunepond-broker/src/event_loop/pending.rs
@@ -0,0 +1,142 @@
+//! Handles what follows from an event: requests that have been read, attempts that have ended, bodies and prefilter responses.
+
+use dunepond_body_buffer::BodyId;
+use dunepond_routing::{NodeId, Query, QueryId};
+
+use super::EventLoop;
+use crate::body_store::BodyEvent;
+use crate::downstream::ClientEvent;
+use crate::upstream::CompletedAttempt;
+
+impl EventLoop {
+    /// Works until nothing is left to do: requests that have been read, orders to be written, and attempts that ended while
+    /// the router was in a call, as its calls never nest.
+    pub(super) fn settle(&mut self) {
+        loop {
+            self.let_go();
+            self.router_host.flush();
+            self.router_host.feed();
+            if !self.process_next() {
+                return;
+            }
+        }
+    }
+
+    /// Handles the next thing to do; returns `false` if there is none.
+    fn process_next(&mut self) -> bool {
+        let now = self.router_host.now;
+        if let Some((node, attempt)) = self.router_host.upstream.framed.pop_front() {
+            self.router.on_frame_written(&mut self.router_host, node, attempt);
+        } else if let Some(back) = self.router_host.upstream.back.pop_front() {
+            self.on_attempt_completed(back);
+        } else if let Some(client) = self.router_host.downstream.again.pop() {
+            self.read_client(now, client);
+        } else if let Some((body, event)) =
+            self.router_host.body_store.as_mut().and_then(|bodies| bodies.events.pop_front())
+        {
+            self.body(body, event);
+        } else if let Some((question, words)) = self
+            .router_host
+            .prefilter_connections
+            .as_mut()
+            .and_then(|connections| connections.told.pop_front())
+        {
+            if let Some(prefilter) = &mut self.prefilter {
+                prefilter.told(&mut self.router, &mut self.router_host, question, words);
+            }
+        } else if let Some(finished) = self.router_host.concluded.pop() {
+            if let Some(prefilter) = &mut self.prefilter {
+                prefilter.over(now, finished.query, finished.completely_answered);
+            }
+        } else if let Some((node, host)) = self.router_host.upstream.next_forgotten() {
+            self.forget_node(node, &host);
+        } else {
+            return false;
+        }
+        true
+    }
+
+    fn on_attempt_completed(&mut self, back: CompletedAttempt) {
+        let query = back.ended.query;
+        if let Some(prefilter) = &mut self.prefilter {
+            prefilter.returned(&mut self.router, &mut self.router_host, &back);
+        }
+        if let Some(ended) = self.router_host.book(back) {
+            self.router.on_attempt_ended(&mut self.router_host, ended);
+            self.router_host.release_body(query, |query| self.router.needs_body(query));
+            self.router_host.release(query);
+        }
+    }
+
+    fn read_client(&mut self, now: f64, client: usize) {
+        match self.router_host.downstream.next(now, client, &mut self.router_host.timers) {
+            ClientEvent::Query(request) => {
+                if let Some(query) = self.router_host.take(client, request) {
+                    self.begin(query);
+                }
+            }
+            ClientEvent::SearchRequest(request) => {
+                for query in self.router_host.request(client, &request) {
+                    self.begin(query);
+                }
+            }
+            ClientEvent::StreamedQuery(request, head) => self.router_host.open(client, request, *head),
+            ClientEvent::Disconnected(Some(query)) => self.client_disconnected(query),
+            ClientEvent::Disconnected(None) | ClientEvent::Nothing => {}
+        }
+    }
+
+    /// Removes a node that nothing refers to any more.
+    fn forget_node(&mut self, node: NodeId, host: &str) {
+        self.router.remove_node(node);
+        if let Some(control_plane) = &mut self.router_host.control_plane {
+            control_plane.forget(node, host);
+        }
+        if let Some(prefilter) = &mut self.prefilter {
+            prefilter.forget(node);
+        }
+        self.discovery.forget(node, host);
+    }
+
+    fn begin(&mut self, mut query: Query) {
+        if !self.router_host.admit(&mut query) {
+            return;
+        }
+        match &mut self.prefilter {
+            Some(prefilter) => prefilter.begin(&mut self.router, &mut self.router_host, query),
+            None => self.router.on_query(&mut self.router_host, query),
+        }
+    }
+
+    /// A streamed body has been buffered, is passed through, or was lost.
+    fn body(&mut self, body: BodyId, event: BodyEvent) {
+        let note = match event {
+            BodyEvent::Buffered => None,
+            BodyEvent::PassThrough(why) => Some(why),
+            BodyEvent::Lost(why) => {
+                if let Some(query) = self.router_host.lost(body, why) {
+                    self.router.on_body_discarded(&mut self.router_host, query);
+                }
+                let now = self.router_host.now;
+                return self.router_host.upstream.abort_lost_bodies(now, &mut self.router_host.timers);
+            }
+        };
+        if let Some((query, body)) = self.router_host.begin(body, note) {
+            let (id, mut query) = (query.id, query);
+            if self.router_host.admit(&mut query) {
+                self.router.on_query(&mut self.router_host, query);
+            }
+            body.begin();
+            self.router_host.release_body(id, |query| self.router.needs_body(query));
+        }
+    }
+
+    /// A query's deadline has passed.
+    pub(super) fn scan_ends(&mut self, query: QueryId) {
+        if self.router_host.scan_ends(query) {
+            self.settle();
+            self.router_host.fail_overdue(query);
+            self.router.on_client_disconnect(&mut self.router_host, query);
+        }
+    }
+}
--- a/crates/dunepond-broker/src/event_loop/reload.rs
+++ b/crates/dunepond-broker/src/event_loop/reload.rs
@@ -30,7 +30,7 @@
                 // Settings take effect after a restart, but the process's supervisor may use these timeouts already.
                 let timeouts = start.deployment.query_classes.iter().map(|t| t.timeout);
                 self.longest_timeout = self.longest_timeout.min(timeouts.fold(0.0, f64::max));
-                self.discovery.move_to(now, start.discovery, &mut self.router_host.timers);
+                self.discovery.change_agent(now, start.discovery, &mut self.router_host.timers);
                 self.retry_discovery();
             }
             Err(Bad(line)) => error!("configuration reload failed, the active one stays: {line}"),
@@ -71,9 +71,11 @@
             (None, None) => {}
             _ => waits("phases, turned on or off,"),
         }
-        let fleet =
-            self.router_host.control_plane.as_mut().map(|fleet| fleet.reread(operator.fleet.as_ref()));
-        if fleet.unwrap_or(operator.fleet.is_some()) {
+        let needs_restart = match &mut self.router_host.control_plane {
+            Some(control_plane) => control_plane.reload(operator.fleet.as_ref()),
+            None => operator.fleet.is_some(),
+        };
+        if needs_restart {
             waits("fleet, but for its version,");
         }
         if operator.state != self.operator.state {
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -1,35 +1,32 @@
 //! Builds a broker from its configuration and runs it until it has shut down.
 
-use std::io;
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::thread;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::Instant;
 
-use calloop::signals::{Signal, Signals};
-use dunepond_background::{Pool as WorkPool, Scheduler};
-use dunepond_body_buffer::{Disk, Folder, Spool};
-use dunepond_config::operator::{self, Operator};
+use dunepond_background::Scheduler;
+use dunepond_body_buffer::Folder;
+use dunepond_config::operator;
 use dunepond_config::{Bad, Bounds};
-use dunepond_routing::{
-    Deployment, Idempotency, MAX_SHUTDOWN_SECONDS, Router, SIGNAL_POLL_INTERVAL, ShutdownStage,
-};
+use dunepond_control_plane::TestDoubles;
+use dunepond_routing::{Deployment, Idempotency, Router, ShutdownStage};
 use dunepond_storage::FileStore;
-use tracing::{info, warn};
+use tracing::info;
 
 use super::EventLoop;
+use super::setup::{BodySpool, failed, listen_with_retry, start_body_spool, start_job_pool, watch_signals};
 use crate::background::Background;
 use crate::body_store::BodyStore;
 use crate::buffers::{self, Pool};
-use crate::clock::{Clock, TimerEvent};
+use crate::clock::Clock;
 use crate::config::StartupConfig;
 use crate::config_reload::ConfigReloader;
-use crate::control_plane::ControlPlane;
-use crate::discovery::{DiscoveryClient, RESPONSE_OVERDUE_SECONDS};
-use crate::downstream::{self, Downstream};
-use crate::iteration::{EventLoopHandle, Iteration, LoopEvent, event_channel};
+use crate::control_plane::ControlPlaneClient;
+use crate::discovery::DiscoveryClient;
+use crate::downstream::Downstream;
+use crate::iteration::{EventLoopHandle, LoopEvent, event_channel};
 use crate::persistence::Persistence;
 use crate::prefilter::PrefilterHost;
 use crate::prefilter_connections::PrefilterConnections;
@@ -38,13 +35,9 @@
 use crate::signals::{CaughtSignals, catch_signals};
 use crate::upstream::Upstream;
 
-/// How long a new process waits for discovery, one call and a second one beside it, before it uses the configured endpoint list.
-const FIRST_LIST_TIMEOUT_SECONDS: f64 = 2.0 * RESPONSE_OVERDUE_SECONDS;
 /// Share of the shortest query timeout for which accepting may wait for the first list. Guards against a client that learns of a
 /// rejection too late to ask another broker.
-const MAX_ACCEPT_HOLD_RATIO: f64 = 0.5;
-/// How soon binding an address that is still in use is tried again.
-const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_ACCEPT_DELAY_RATIO: f64 = 0.5;
 
 /// What the caller of [`serve`] may replace or add.
 #[derive(Default)]
@@ -58,175 +51,92 @@
     /// Replaces the folder that the operator's file names for state.
     pub files: Option<Arc<dyn FileStore>>,
     /// Replaces the fleet's data directory and fill service.
-    pub fleet: dunepond_control_plane::TestDoubles,
+    pub fleet: TestDoubles,
 }
 
-/// The threads of the disk spill for bodies, and the folder that they work on.
-type BodyFiles = (Spool, Arc<dyn Folder>);
-
-/// Starts the disk spill for bodies, where the operator's file names a folder. Its threads report to the event loop.
-fn spool(
-    bodies: &operator::Bodies,
-    hooks: &Hooks,
-    handle: &EventLoopHandle,
-) -> Result<Option<BodyFiles>, Bad> {
-    let Some(told) = &bodies.folder else { return Ok(None) };
-    let failed = |e: &dyn std::fmt::Display| Bad(format!("files: folder: {}: {e}", told.path.display()));
-    let folder = match &hooks.folder {
-        Some(folder) => folder.clone(),
-        None => {
-            // Unique to this start, so that files of an earlier one are recognised.
-            let since = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos());
-            let mark = format!("{}-{since:x}", std::process::id());
-            Arc::new(Disk::open(&told.path, &mark).map_err(|e| failed(&e))?)
-        }
-    };
-    let sender = event_channel(handle, LoopEvent::DiskDone).map_err(|e| failed(&e))?;
-    // A send fails only once the event loop has ended.
-    let tell = move |done| drop(sender.send(done));
-    let spool = Spool::start(folder.clone(), told.threads, told.waiting, tell).map_err(|e| failed(&e))?;
-    Ok(Some((spool, folder)))
-}
-
-/// Listens at an address. While an old process that is shutting down still holds it, binding is retried until that process must
-/// have been killed: a start that failed at once would never succeed.
-fn listen(what: &str, address: SocketAddr) -> io::Result<TcpListener> {
-    let (since, mut waits) = (Instant::now(), false);
-    loop {
-        match downstream::listen(address) {
-            Err(e)
-                if e.kind() == io::ErrorKind::AddrInUse
-                    && since.elapsed().as_secs_f64() < MAX_SHUTDOWN_SECONDS =>
-            {
-                if !std::mem::replace(&mut waits, true) {
-                    warn!("{what}: {address}: {e}; retrying until it is free");
-                }
-                thread::sleep(BIND_RETRY_INTERVAL);
-            }
-            outcome => return outcome,
-        }
-    }
-}
-
-/// A fault of the start: what could not be set up, and why.
-fn failed(what: &str, why: &dyn std::fmt::Display) -> Bad {
-    Bad(format!("{what}: {why}"))
-}
-
-/// Turns signals into events of the loop.
-fn watch_signals(handle: &EventLoopHandle, signals: Signals) -> Result<(), Bad> {
-    let inserted = handle.insert_source(signals, |event, _, iteration: &mut Iteration| {
-        iteration.ready.push_back(match event.signal() {
-            Signal::SIGHUP => LoopEvent::ReloadRequested,
-            _ => LoopEvent::ShutdownRequested,
-        });
-    });
-    inserted.map(drop).map_err(|e| failed("signals", &e.error))
-}
-
-/// Listens for the search API, where the operator's file asks for it.
-fn open_search_api(
-    router_host: &mut RouterHost,
-    told: &operator::Search,
-    bounds: Rc<Bounds>,
-    deployment: &Deployment,
-) -> Result<(), Bad> {
-    let listener = listen("search: listen", told.listen).map_err(|e| failed("search: listen", &e))?;
-    let address = listener.local_addr().map_err(|e| failed("search: listen", &e))?;
-    router_host.downstream.open(listener, true).map_err(|e| failed("search: listen", &e))?;
-    router_host.downstream.api = Some(Rc::new(SearchApi::new(told.limits.clone(), bounds, deployment)));
-    info!("the API listening at {address}");
-    Ok(())
+/// A broker that is ready to run.
+struct Broker {
+    event_loop: EventLoop,
+    /// Where it listens for clients.
+    address: SocketAddr,
+    /// The folder of the disk spill for bodies, if there is one.
+    body_folder: Option<Arc<dyn Folder>>,
+    /// Longest time that accepting may wait for the first endpoint list, in seconds.
+    max_accept_delay: f64,
 }
 
-/// The thread pool for background jobs, where there are any that may block.
-fn start_job_pool(operator: &Operator, handle: &EventLoopHandle) -> Result<Option<WorkPool>, Bad> {
-    let sender = event_channel(handle, LoopEvent::JobFinished).map_err(|e| failed("background", &e))?;
-    if operator.state.is_none() {
-        return Ok(None);
-    }
-    let pool = WorkPool::start("work", operator.background.at_once, move |finished| {
-        let _ = sender.send(finished);
-    });
-    pool.map(Some).map_err(|e| failed("background", &e))
+/// The router's host with its connections.
+struct Connections {
+    router_host: RouterHost,
+    prefilter_connections: PrefilterConnections,
+    address: SocketAddr,
 }
 
 /// Runs a broker until a signal has shut it down. Fails if something that it needs cannot be set up.
-pub fn serve(start: StartupConfig, mut hooks: Hooks) -> Result<(), Bad> {
-    if start.operator.bodies.is_some() {
+pub fn serve(startup: StartupConfig, mut hooks: Hooks) -> Result<(), Bad> {
+    if startup.operator.bodies.is_some() {
         buffers::use_single_malloc_arena();
     }
-    let mut event_loop = calloop::EventLoop::try_new().map_err(|e| failed("loop", &e))?;
-    let handle = event_loop.handle();
+    let mut sources = calloop::EventLoop::try_new().map_err(|e| failed("loop", &e))?;
+    let handle = sources.handle();
     let CaughtSignals { signals, since } = hooks.signals.take().map_or_else(catch_signals, Ok)?;
     watch_signals(&handle, signals)?;
-    let (pool, bounds) = (Pool::default(), Rc::new(start.bounds));
-    let mut discovery = DiscoveryClient::new(handle.clone(), &pool, start.discovery, &bounds);
-    // An invalid list is ignored: discovery will send another.
-    let known = discovery.read(&start.known).ok().map(|(_, news, _)| news);
-    let listener = listen("GW_LISTEN", start.listen).map_err(|e| failed("GW_LISTEN", &e))?;
-    let local = listener.local_addr().map_err(|e| failed("GW_LISTEN", &e))?;
-    let downstream = Downstream::new(
-        handle.clone(),
-        &pool,
-        bounds.clone(),
-        start.max_clients,
-        start.max_buffers,
-        listener,
-    );
-    let downstream = downstream.map_err(|e| failed("GW_LISTEN", &e))?;
-    let for_questions = if start.operator.phases.is_some() { start.most_links / 4 } else { 0 };
-    let prefilter_connections =
-        PrefilterConnections::new(handle.clone(), &pool, bounds.clone(), for_questions);
-    let mut upstream = Upstream::new(handle, &pool, bounds.clone(), start.most_links - for_questions);
-    let (table_types, table_bounds) = (bounds.table_types.clone(), bounds.clone());
-    if !start.operator.search_nodes.is_empty() {
-        let once = start.deployment.query_classes.iter().map(|t| t.idempotency == Idempotency::NonIdempotent);
-        upstream.set_search_api_nodes(start.operator.search_nodes.clone(), once.collect());
+    let Broker { mut event_loop, address, body_folder, max_accept_delay } =
+        build(startup, hooks, since, &handle)?;
+    event_loop.schedule_startup_timers(max_accept_delay);
+    info!("listening on {address}");
+    event_loop.run(&mut sources).map_err(|e| failed("loop", &e))?;
+    event_loop.finish();
+    if let Some(folder) = &body_folder {
+        folder.leave();
     }
-    let mut router_host = RouterHost::new(&start.deployment, bounds, &pool, downstream, upstream);
-    if let Some(told) = &start.operator.search {
-        open_search_api(&mut router_host, told, table_bounds, &start.deployment)?;
+    info!("stopped");
+    Ok(())
+}
+
+/// Builds a broker. `signals_since`: when its signals were caught.
+fn build(
+    startup: StartupConfig,
+    hooks: Hooks,
+    signals_since: Instant,
+    handle: &EventLoopHandle,
+) -> Result<Broker, Bad> {
+    let (pool, bounds) = (Pool::default(), Rc::new(startup.bounds.clone()));
+    let mut discovery = DiscoveryClient::new(handle.clone(), &pool, startup.discovery, &bounds);
+    // An invalid list is ignored: discovery will send another.
+    let known = discovery.parse_configured_list(&startup.known).ok();
+    let Connections { mut router_host, prefilter_connections, address } =
+        open_connections(&startup, &pool, &bounds, handle)?;
+    if let Some(search) = &startup.operator.search {
+        open_search_api(&mut router_host, search, bounds.clone(), &startup.deployment)?;
     }
-    let mut folder = None;
-    if let Some(bodies) = &start.operator.bodies {
-        router_host.downstream.raw = true;
-        let (spool, used) = spool(bodies, &hooks, &event_loop.handle())?.unzip();
-        folder = used;
-        router_host.body_store = Some(BodyStore::new(bodies.terms.clone(), spool, table_types));
+    let mut body_folder = None;
+    if let Some(bodies) = &startup.operator.bodies {
+        body_folder = open_body_store(&mut router_host, bodies, hooks.folder, &bounds, handle)?;
     }
-    let timeouts = start.deployment.query_classes.iter().map(|t| t.timeout);
-    let held_at_most = MAX_ACCEPT_HOLD_RATIO * timeouts.clone().fold(f64::MAX, f64::min);
+    let timeouts = startup.deployment.query_classes.iter().map(|class| class.timeout);
+    let max_accept_delay = MAX_ACCEPT_DELAY_RATIO * timeouts.clone().fold(f64::MAX, f64::min);
     let longest_timeout = timeouts.fold(0.0, f64::max);
-    let (terms, seed, types) =
-        (start.operator.phases.clone(), start.deployment.seed, router_host.table_types());
-    let prefilter = terms.map(|terms| PrefilterHost::new(terms, &start.deployment));
+    let phases = startup.operator.phases.clone();
+    let prefilter = phases.map(|phases| PrefilterHost::new(phases, &startup.deployment));
     router_host.prefilter_connections = prefilter.is_some().then_some(prefilter_connections);
-    if let Some(told) = &start.operator.fleet {
-        let (site, customers) = (&start.deployment, router_host.customers());
-        let fleet = ControlPlane::start(
-            told,
-            &start.name,
-            site,
-            &customers,
-            std::mem::take(&mut hooks.fleet),
-            &event_loop.handle(),
-        )?;
-        router_host.upstream.gate = Some(fleet.gate.clone());
-        router_host.control_plane = Some(fleet);
+    if let Some(fleet) = &startup.operator.fleet {
+        let name = &startup.name;
+        start_control_plane(&mut router_host, fleet, name, &startup.deployment, hooks.fleet, handle)?;
     }
-    let router = Router::new(start.deployment);
-    let (clock, operator) = (Clock::start(), start.operator);
-    let pool = start_job_pool(&operator, &event_loop.handle())?;
-    let reread = event_channel(&event_loop.handle(), LoopEvent::ConfigLoaded);
-    let reread = reread.map_err(|e| failed("configuration", &e))?;
-    let config_reloader = ConfigReloader::new(reread, hooks.operator.clone());
-    let mut background = Background::new(Scheduler::new(operator.background.clone(), seed), pool);
-    let files = hooks.files.clone();
-    let persistence = operator.state.clone();
-    let persistence =
-        persistence.map(|told| Persistence::start(clock.now(), told, files, types, &mut background));
-    let mut world = EventLoop {
+    let seed = startup.deployment.seed;
+    let router = Router::new(startup.deployment);
+    let (clock, operator) = (Clock::start(), startup.operator);
+    let job_pool = start_job_pool(&operator, handle)?;
+    let reloaded = event_channel(handle, LoopEvent::ConfigLoaded);
+    let reloaded = reloaded.map_err(|e| failed("configuration", &e))?;
+    let config_reloader = ConfigReloader::new(reloaded, hooks.operator);
+    let mut background = Background::new(Scheduler::new(operator.background.clone(), seed), job_pool);
+    let persistence = operator.state.clone().map(|state| {
+        let query_classes = bounds.table_types.clone();
+        Persistence::start(clock.now(), state, hooks.files, query_classes, &mut background)
+    });
+    let event_loop = EventLoop {
         clock,
         router,
         router_host,
@@ -238,70 +148,93 @@
         config_reloader,
         operator,
         known,
-        iteration_began_at: clock.at(since),
-        previous_iteration_at: clock.at(since),
+        iteration_began_at: clock.at(signals_since),
+        previous_iteration_at: clock.at(signals_since),
         longest_timeout,
         shutdown: None,
         stage: ShutdownStage::Serving,
         over: false,
     };
-    world.schedule_first(held_at_most);
-    info!("listening on {local}");
-    world.run(&mut event_loop).map_err(|e| failed("loop", &e))?;
-    world.finish();
-    if let Some(folder) = &folder {
-        folder.leave();
-    }
-    info!("stopped");
-    Ok(())
+    Ok(Broker { event_loop, address, body_folder, max_accept_delay })
 }
 
-impl EventLoop {
-    /// Schedules what is due from the start. Accepting waits for the first endpoint list, `held_at_most` seconds at most.
-    fn schedule_first(&mut self, held_at_most: f64) {
-        let now = self.tick();
-        self.report();
-        if let Some(persistence) = &self.persistence {
-            self.router_host.timers.set(now + persistence.every(), TimerEvent::Snapshot);
-        }
-        if self.known.is_some() {
-            // Scheduled first, so that the list is in force before waiting connections are accepted.
-            self.router_host.timers.set(now + FIRST_LIST_TIMEOUT_SECONDS, TimerEvent::FirstListTimeout);
-            self.router_host.downstream.hold(
-                now,
-                now + FIRST_LIST_TIMEOUT_SECONDS.min(held_at_most),
-                &mut self.router_host.timers,
-            );
-        }
-        self.discovery.call(now, &mut self.router_host.timers);
+/// Listens for clients, and prepares connections to nodes.
+fn open_connections(
+    startup: &StartupConfig,
+    pool: &Pool,
+    bounds: &Rc<Bounds>,
+    handle: &EventLoopHandle,
+) -> Result<Connections, Bad> {
+    let failed_to_listen = |e: &dyn std::fmt::Display| failed("GW_LISTEN", e);
+    let listener = listen_with_retry("GW_LISTEN", startup.listen).map_err(|e| failed_to_listen(&e))?;
+    let address = listener.local_addr().map_err(|e| failed_to_listen(&e))?;
+    let downstream = Downstream::new(
+        handle.clone(),
+        pool,
+        bounds.clone(),
+        startup.max_clients,
+        startup.max_buffers,
+        listener,
+    );
+    let downstream = downstream.map_err(|e| failed_to_listen(&e))?;
+    let max_prefilter = if startup.operator.phases.is_some() { startup.most_links / 4 } else { 0 };
+    let prefilter_connections =
+        PrefilterConnections::new(handle.clone(), pool, bounds.clone(), max_prefilter);
+    let max_upstream = startup.most_links - max_prefilter;
+    let mut upstream = Upstream::new(handle.clone(), pool, bounds.clone(), max_upstream);
+    if !startup.operator.search_nodes.is_empty() {
+        let classes = startup.deployment.query_classes.iter();
+        let is_non_idempotent = classes.map(|class| class.idempotency == Idempotency::NonIdempotent);
+        upstream.set_search_api_nodes(startup.operator.search_nodes.clone(), is_non_idempotent.collect());
     }
+    let router_host = RouterHost::new(&startup.deployment, bounds.clone(), pool, downstream, upstream);
+    Ok(Connections { router_host, prefilter_connections, address })
+}
 
-    /// Runs iterations until the listeners are closed and no client connection is left.
-    fn run(&mut self, event_loop: &mut calloop::EventLoop<'static, Iteration>) -> calloop::Result<()> {
-        let mut turn = Iteration::default();
-        while !(self.over && self.router_host.downstream.count() == 0) {
-            let next = self.router_host.timers.until_next(self.clock.now());
-            let wait = next.map_or(SIGNAL_POLL_INTERVAL, |next| next.min(SIGNAL_POLL_INTERVAL));
-            event_loop.dispatch(wait, &mut turn)?;
-            // No event came, only a timer: idle work delays nobody.
-            let idle = turn.ready.is_empty();
-            self.begin_iteration();
-            self.detect_disconnects(&turn);
-            while let Some(ready) = turn.ready.pop_front() {
-                self.turn(ready);
-            }
-            self.run_timers();
-            self.end_iteration(idle);
-        }
-        Ok(())
-    }
+/// Listens for the search API.
+fn open_search_api(
+    router_host: &mut RouterHost,
+    config: &operator::Search,
+    bounds: Rc<Bounds>,
+    deployment: &Deployment,
+) -> Result<(), Bad> {
+    let failed_to_listen = |e: &dyn std::fmt::Display| failed("search: listen", e);
+    let listener = listen_with_retry("search: listen", config.listen).map_err(|e| failed_to_listen(&e))?;
+    let address = listener.local_addr().map_err(|e| failed_to_listen(&e))?;
+    router_host.downstream.open(listener, true).map_err(|e| failed_to_listen(&e))?;
+    router_host.downstream.api = Some(Rc::new(SearchApi::new(config.limits.clone(), bounds, deployment)));
+    info!("the API listening at {address}");
+    Ok(())
+}
 
-    /// Writes the state that outlasts the process, and stops the control plane's thread.
-    fn finish(&mut self) {
-        let now = self.tick();
-        if let (Some(persistence), Some(pool)) = (&mut self.persistence, self.background.pool()) {
-            persistence.finish(now, &mut self.router, &self.router_host, pool);
-        }
-        self.router_host.control_plane.iter_mut().for_each(ControlPlane::stop);
-    }
+/// Enables streamed bodies; returns the folder of their disk spill, if the operator's file names one.
+fn open_body_store(
+    router_host: &mut RouterHost,
+    config: &operator::Bodies,
+    replacement: Option<Arc<dyn Folder>>,
+    bounds: &Bounds,
+    handle: &EventLoopHandle,
+) -> Result<Option<Arc<dyn Folder>>, Bad> {
+    router_host.downstream.raw = true;
+    let spool = start_body_spool(config, replacement, handle)?;
+    let (spool, folder) = spool.map(|BodySpool { spool, folder }| (spool, folder)).unzip();
+    let query_classes = bounds.table_types.clone();
+    router_host.body_store = Some(BodyStore::new(config.terms.clone(), spool, query_classes));
+    Ok(folder)
+}
+
+/// Starts the control plane's thread.
+fn start_control_plane(
+    router_host: &mut RouterHost,
+    config: &operator::Fleet,
+    name: &str,
+    deployment: &Deployment,
+    test_doubles: TestDoubles,
+    handle: &EventLoopHandle,
+) -> Result<(), Bad> {
+    let tenants = router_host.customers();
+    let control_plane = ControlPlaneClient::start(config, name, deployment, &tenants, test_doubles, handle)?;
+    router_host.upstream.gate = Some(control_plane.gate.clone());
+    router_host.control_plane = Some(control_plane);
+    Ok(())
 }
--- /dev/null
+++ b/crates/dunepond-broker/src/event_loop/timers.rs
@@ -0,0 +1,78 @@
+//! Handles the event loop's timers.
+
+use tracing::info;
+
+use super::EventLoop;
+use crate::clock::TimerEvent;
+
+impl EventLoop {
+    /// Handles all timers that are due.
+    pub(super) fn run_timers(&mut self) {
+        let now = self.tick();
+        while let Some(event) = self.router_host.timers.pop_due(now) {
+            self.on_timer(now, event);
+            self.settle();
+        }
+    }
+
+    fn on_timer(&mut self, now: f64, event: TimerEvent) {
+        match event {
+            TimerEvent::RouterWake => self.router.on_wake(&mut self.router_host),
+            TimerEvent::QueryDeadline(query) => self.scan_ends(query),
+            TimerEvent::PrefilterConnection(id) => {
+                if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
+                    prefilter_connections.due(id, &mut self.router_host.timers);
+                }
+            }
+            TimerEvent::Prefilter => {
+                if let Some(prefilter) = &mut self.prefilter {
+                    prefilter.due(&mut self.router, &mut self.router_host);
+                }
+            }
+            TimerEvent::Snapshot => {
+                if let Some(persistence) = &mut self.persistence {
+                    persistence.schedule_snapshot(now, &mut self.background);
+                    self.router_host.timers.set(now + persistence.snapshot_interval(), TimerEvent::Snapshot);
+                }
+            }
+            TimerEvent::BackgroundJob => self.background.on_timer(),
+            TimerEvent::UpstreamConnection(id) => {
+                self.router_host.upstream.due(now, id, &mut self.router_host.timers)
+            }
+            TimerEvent::ClientTimeout(id) => self.on_client_timeout(now, id),
+            TimerEvent::ClientResume(id) => self.router_host.downstream.go_on(id),
+            TimerEvent::Discovery => {
+                self.discovery.on_timer(now, &mut self.router_host.timers);
+                self.retry_discovery();
+            }
+            TimerEvent::ResumeAccept => {
+                self.accept_backlog();
+                self.retry_closing_listeners();
+            }
+            TimerEvent::FirstListTimeout => self.use_configured_endpoints(),
+            TimerEvent::ShutdownStage => self.drain(),
+            TimerEvent::BodyCheck => self.router_host.check_bodies(),
+            TimerEvent::Counters => self.report(),
+        }
+    }
+
+    fn on_client_timeout(&mut self, now: f64, id: usize) {
+        // Its bytes may have arrived in this iteration without having been read.
+        let time = self.router_host.downstream.read_before_timeout(id);
+        self.settle();
+        if self.router_host.downstream.is_still_timed_out(id, time)
+            && let Some(query) = self.router_host.downstream.slow(now, id, &mut self.router_host.timers)
+        {
+            self.client_disconnected(query);
+        }
+    }
+
+    /// Discovery has not answered in time since the start.
+    fn use_configured_endpoints(&mut self) {
+        if let Some(configured) = self.known.take() {
+            info!("discovery does not answer; the configured endpoint list is used until it does");
+            self.listed(configured);
+            self.accept_backlog();
+        }
+    }
+}
--- a/crates/dunepond-broker/src/lib.rs
+++ b/crates/dunepond-broker/src/lib.rs
@@ -11,6 +11,7 @@
 mod control_plane;
 mod discovery;
 pub mod downstream;
+mod endpoint;
 mod event_loop;
 mod frames;
 mod http;
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -19,7 +19,7 @@
 /// A query router (broker) before a sharded, replicated store. Without a command it runs.
 #[derive(Parser)]
 #[command(version, after_help = ENVIRONMENT)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -114,17 +114,18 @@
     },
 }
 
-fn state(command: StateCommand) -> Result<(), Bad> {
+fn run_state_command(command: StateCommand) -> Result<(), Bad> {
     match command {
         StateCommand::Show { folder } => {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
-            print!("{}", persistence::show(&folder, now).map_err(Bad)?);
+            let description = persistence::describe(&folder, now).map_err(|e| Bad(e.to_string()))?;
+            print!("{description}");
             Ok(())
         }
         StateCommand::Check { folder } => {
-            let look = persistence::look(&folder).map_err(Bad)?;
-            if !look.faults.is_empty() {
-                return Err(Bad(look.faults.join("\n")));
+            let inspection = persistence::inspect(&folder).map_err(|e| Bad(e.to_string()))?;
+            if !inspection.faults.is_empty() {
+                return Err(Bad(inspection.faults.join("\n")));
             }
             println!("{}: nothing is wrong with it", folder.display());
             Ok(())
@@ -132,7 +133,7 @@
     }
 }
 
-fn carry_over(old: &Path, out: Option<&Path>, ask: &Ask, overwrite: bool) -> Result<(), Bad> {
+fn migrate_config(old: &Path, out: Option<&Path>, ask: &Ask, overwrite: bool) -> Result<(), Bad> {
     let new = migrate::read(old, ask)?;
     if new.same {
         eprintln!("dunepond: {}: of the new shape already; it stands as it was", old.display());
@@ -180,7 +181,7 @@
 fn main() -> ExitCode {
     // Before all else: in a process that does not hear it yet, SIGHUP would be a crash.
     let signals = catch_signals();
-    let command = Line::parse().command;
+    let command = CommandLine::parse().command;
     // Nothing but a broker is steered by them.
     let signals = matches!(command, None | Some(Command::Run { .. })).then_some(signals);
     let outcome = match command {
@@ -191,9 +192,9 @@
         }
         Some(Command::Migrate { old, out, sets, one_at_a_time, overwrite, dry_run }) => {
             let out = out.as_deref().filter(|_| !dry_run);
-            carry_over(&old, out, &Ask { sets, one_at_a_time }, overwrite)
+            migrate_config(&old, out, &Ask { sets, one_at_a_time }, overwrite)
         }
-        Some(Command::State { command }) => state(command),
+        Some(Command::State { command }) => run_state_command(command),
         Some(Command::Query { at, index, text, size, shards, seconds, msearch, json }) => {
             let ask = query_command::Target { at, index: &index, json };
             let told = match msearch {
@@ -204,7 +205,7 @@
             told.map(|told| print!("{told}")).map_err(|e| Bad(e.to_string()))
         }
         Some(Command::Completions { shell }) => {
-            clap_complete::generate(shell, &mut Line::command(), "dunepond", &mut std::io::stdout());
+            clap_complete::generate(shell, &mut CommandLine::command(), "dunepond", &mut std::io::stdout());
             Ok(())
         }
     };
--- /dev/null
+++ b/crates/dunepond-broker/src/persistence/mod.rs
@@ -0,0 +1,293 @@
+//! State that outlasts the process: learned state in snapshots and spent budgets in a journal, in the operator's folder. Only startup and
+//! shutdown wait for the disk, for a bounded time; the broker serves without the folder.
+
+mod inspect;
+mod storage;
+
+use std::io;
+use std::sync::Arc;
+use std::sync::mpsc::channel;
+use std::time::{Duration, Instant};
+
+use dunepond_background::{Cost, JobId, Kind, Outcome, Pool, Priority, Retry, Spec};
+use dunepond_config::operator::State;
+use dunepond_recovery::{
+    BudgetRecord, LearnedSnapshot, OutstandingCharges, TrustDecision, TrustedState, spent_budgets,
+};
+use dunepond_routing::Router;
+use dunepond_storage::{DiskStore, FileStore};
+use tracing::{debug, info, warn};
+
+pub use inspect::{InspectError, Inspection, describe, inspect};
+pub use storage::timestamp;
+
+use crate::background::Background;
+use crate::router::RouterHost;
+use storage::{Recovered, SharedStorage, open_storage};
+
+/// Name of the background job that writes a snapshot.
+pub const SNAPSHOT_JOB: &str = "snapshot";
+/// Name of the background job that opens the folder again after a failure.
+pub const OPEN_JOB: &str = "open the state's folder";
+/// Longest time that startup waits for the folder to be read, and shutdown for it to be written.
+const STARTUP_READ_TIMEOUT: Duration = Duration::from_millis(250);
+const SHUTDOWN_WRITE_TIMEOUT: Duration = Duration::from_millis(300);
+/// First and longest backoff before a folder that failed is opened again, in seconds.
+const OPEN_RETRY_SECONDS: (f64, f64) = (1.0, 60.0);
+/// A snapshot job that has waited for so many snapshot intervals is dropped.
+const MAX_SNAPSHOT_DELAY_INTERVALS: f64 = 5.0;
+
+/// The broker's state folder, and the background jobs that use it.
+pub struct Persistence {
+    config: State,
+    /// Replaces the folder in tests.
+    files: Option<Arc<dyn FileStore>>,
+    storage: SharedStorage,
+    /// Read at startup, not restored yet: there is no endpoint list.
+    recovered: Option<Recovered>,
+    /// The pending job that writes a snapshot.
+    snapshot_job: Option<JobId>,
+    /// The pending job that opens the folder.
+    open_job: Option<JobId>,
+    last_snapshot_bytes: u64,
+    query_classes: Vec<String>,
+    restored: bool,
+}
+
+impl Persistence {
+    /// Opens the folder and reads it, waiting a bounded time. `files` replaces the folder in tests.
+    pub fn start(
+        now: f64,
+        config: State,
+        files: Option<Arc<dyn FileStore>>,
+        query_classes: Vec<String>,
+        background: &mut Background,
+    ) -> Self {
+        let mut persistence = Self {
+            config,
+            files,
+            storage: SharedStorage::default(),
+            recovered: None,
+            snapshot_job: None,
+            open_job: None,
+            last_snapshot_bytes: 0,
+            query_classes,
+            restored: false,
+        };
+        let (sender, opened) = channel();
+        let work = persistence.open_work(now, move |outcome| drop(sender.send(outcome)));
+        let began = Instant::now();
+        if let Some(pool) = background.pool() {
+            pool.run(0, move || (work(), 0));
+        }
+        match opened.recv_timeout(STARTUP_READ_TIMEOUT) {
+            Ok(Ok(recovered)) => {
+                let nodes = recovered.learned_state.as_ref().map_or(0, LearnedSnapshot::node_count);
+                info!(
+                    "state: read in {:.1} ms, learned state of {nodes} nodes",
+                    1e3 * began.elapsed().as_secs_f64()
+                );
+                persistence.recovered = Some(recovered);
+            }
+            Ok(Err(why)) => {
+                warn!("state: {}: {why}; running without it", persistence.config.folder.display());
+                persistence.schedule_reopen(now, background);
+            }
+            Err(_) => {
+                warn!("state: {} does not answer; running without it", persistence.config.folder.display())
+            }
+        }
+        persistence
+    }
+
+    /// The work that opens the folder, for the thread pool. `on_opened` gets what the folder held.
+    fn open_work(
+        &self,
+        now: f64,
+        on_opened: impl Fn(io::Result<Recovered>) + Send + 'static,
+    ) -> Box<dyn FnOnce() -> Outcome + Send> {
+        let storage = self.storage.clone();
+        let replacement = self.files.clone();
+        let path = self.config.folder.clone();
+        Box::new(move || {
+            let files = match replacement {
+                Some(files) => Ok(files),
+                None => DiskStore::open(&path).map(|folder| Arc::new(folder) as Arc<dyn FileStore>),
+            };
+            match files.and_then(|files| open_storage(files, timestamp(now))) {
+                Ok((opened, recovered)) => {
+                    *storage.lock() = Some(opened);
+                    on_opened(Ok(recovered));
+                    Outcome::Done
+                }
+                Err(e) => {
+                    on_opened(Err(e));
+                    Outcome::Failed
+                }
+            }
+        })
+    }
+
+    fn schedule_reopen(&mut self, now: f64, background: &mut Background) {
+        let spec = Spec {
+            name: OPEN_JOB,
+            priority: Priority::Usual,
+            kind: Kind::Blocking,
+            cost: Cost::default(),
+            not_before: now + OPEN_RETRY_SECONDS.0,
+            deadline: None,
+            retry: Some(Retry {
+                first: 2.0 * OPEN_RETRY_SECONDS.0,
+                longest: OPEN_RETRY_SECONDS.1,
+                tries: None,
+            }),
+        };
+        self.open_job = Some(background.add(now, spec));
+    }
+
+    /// Seconds between two snapshots.
+    pub fn snapshot_interval(&self) -> f64 {
+        self.config.every
+    }
+
+    /// Restores learned state and spent budgets once the first endpoint list is in force, as far as they still hold.
+    pub fn restore(&mut self, now: f64, router: &mut Router, router_host: &mut RouterHost) {
+        let present = router_host.upstream.identities();
+        // Only once: later this process has learned more than the folder holds.
+        if present.is_empty() || self.restored {
+            return;
+        }
+        self.restored = true;
+        let (recovered, now) = (self.recovered.take(), timestamp(now));
+        let charges = recovered.as_ref().map_or(OutstandingCharges::Unknown, |recovered| {
+            let Recovered { budget_records, is_journal_complete, .. } = recovered;
+            spent_budgets::outstanding_charges(budget_records, *is_journal_complete, &now, &present)
+        });
+        match &charges {
+            OutstandingCharges::Unknown => {
+                info!("state: budget use before the restart is unknown: all of it counts as spent");
+                router.restore_spent(router_host, None);
+            }
+            OutstandingCharges::Known(ledger) => router.restore_spent(router_host, Some(ledger)),
+        }
+        let Some(saved) = recovered.and_then(|recovered| recovered.learned_state) else { return };
+        let TrustedState { confidence, learned, nodes } = saved.restore(&now, &self.query_classes, &present);
+        let is_ejected =
+            |decision: &TrustDecision| matches!(decision, TrustDecision::Trusted { ejected: true, .. });
+        let ejected = nodes.iter().filter(|node| is_ejected(&node.1)).count();
+        let elapsed = confidence
+            .elapsed_seconds
+            .map_or("an unknown time".to_string(), |seconds| format!("{seconds:.1} s"));
+        let (count, all) = (learned.nodes.len(), nodes.len());
+        info!(
+            "state: from {elapsed} ago, confidence {:.2}: {count} of {all} nodes restored, {ejected} due a probation attempt",
+            confidence.weight
+        );
+        router.restore_learned(router_host, &learned);
+    }
+
+    /// Adds the job of another snapshot, unless one is pending.
+    pub fn schedule_snapshot(&mut self, now: f64, background: &mut Background) {
+        if self.snapshot_job.is_some() || self.storage.lock().is_none() {
+            return;
+        }
+        let spec = Spec {
+            name: SNAPSHOT_JOB,
+            priority: Priority::Usual,
+            kind: Kind::Blocking,
+            cost: Cost { bytes: self.last_snapshot_bytes },
+            not_before: now,
+            deadline: Some(now + MAX_SNAPSHOT_DELAY_INTERVALS * self.config.every),
+            retry: None,
+        };
+        self.snapshot_job = Some(background.add(now, spec));
+    }
+
+    fn encode_snapshot(&self, now: f64, router: &mut Router, router_host: &RouterHost) -> Vec<u8> {
+        let learned = router.learned_state(router_host);
+        let identities = router_host.upstream.identities();
+        LearnedSnapshot::capture(timestamp(now), &self.query_classes, &identities, &learned).encode()
+    }
+
+    /// Runs a job that the scheduler has started.
+    pub fn run_job(
+        &mut self,
+        id: JobId,
+        name: &str,
+        now: f64,
+        router: &mut Router,
+        router_host: &RouterHost,
+        pool: &Pool,
+    ) {
+        if name == OPEN_JOB {
+            let folder = self.config.folder.clone();
+            let work = self.open_work(now, move |outcome| match outcome {
+                Ok(_) => info!("state: {} is in use again", folder.display()),
+                Err(why) => warn!("state: {}: {why}", folder.display()),
+            });
+            return pool.run(id, move || (work(), 0));
+        }
+        let bytes = self.encode_snapshot(now, router, router_host);
+        self.last_snapshot_bytes = bytes.len() as u64;
+        let storage = self.storage.clone();
+        pool.run(id, move || {
+            let mut storage = storage.lock();
+            let Some(open) = storage.as_mut() else { return (Outcome::Failed, 0) };
+            match open.snapshots.write(&bytes) {
+                Ok(number) => {
+                    debug!("state: snapshot {number} of {} bytes", bytes.len());
+                    (Outcome::Done, bytes.len() as u64)
+                }
+                Err(e) => {
+                    warn!("state: a snapshot failed: {e}");
+                    (Outcome::Failed, 0)
+                }
+            }
+        });
+    }
+
+    /// A job has ended or was dropped; one of others is ignored.
+    pub fn on_job_ended(&mut self, now: f64, id: JobId, failed: bool, background: &mut Background) {
+        if self.snapshot_job == Some(id) {
+            self.snapshot_job = None;
+            // The folder is reopened, with backoff, before anything is written again.
+            if failed && self.open_job.is_none() {
+                *self.storage.lock() = None;
+                self.schedule_reopen(now, background);
+            }
+        } else if self.open_job == Some(id) && !failed {
+            self.open_job = None;
+        }
+    }
+
+    /// Writes learned state and spent budgets at a graceful shutdown, waiting a bounded time.
+    pub fn write_final_state(
+        &mut self,
+        now: f64,
+        router: &mut Router,
+        router_host: &RouterHost,
+        pool: &Pool,
+    ) {
+        let bytes = self.encode_snapshot(now, router, router_host);
+        let record = BudgetRecord::stopped(
+            timestamp(now),
+            &router_host.upstream.identities(),
+            &router.spent_budgets(router_host),
+        );
+        let (storage, (sender, done)) = (self.storage.clone(), channel());
+        pool.run(0, move || {
+            if let Some(open) = storage.lock().as_mut() {
+                let written = open.snapshots.write(&bytes).map(drop);
+                let written = written.and_then(|()| open.journal.append(&record.encode()).map(drop));
+                // The receiver has stopped waiting at its timeout.
+                let _ = sender.send(written);
+            }
+            (Outcome::Done, 0)
+        });
+        match done.recv_timeout(SHUTDOWN_WRITE_TIMEOUT) {
+            Ok(Ok(())) => info!("state: written"),
+            Ok(Err(e)) => warn!("state: not written at shutdown: {e}"),
+            Err(_) => warn!("state: not written at shutdown: the folder does not answer"),
+        }
+    }
+}
--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -95,26 +95,15 @@
         debug!("query {}: admitted as {query}, {count} parts, {left:.3} s left", asked.request_id);
         let body = asked.text.body().map(|body| body.id);
         let kept = !asked.text.body().is_some_and(|body| body.is_pass_through());
+        let timer = self.timers.set(ends_at, TimerEvent::QueryDeadline(query));
         let in_hand = ActiveQuery {
             api,
             client: Some(client),
-            table_type: asked.table_type,
-            text: asked.text,
             body,
-            note: None,
-            left_out: Vec::new(),
-            part_ids: segs.iter().map(|seg| format!("{}.{seg}", asked.request_id).into()).collect(),
-            segs,
-            values: vec![None; count],
-            shots: vec![Vec::new(); count],
-            may_run_since: vec![f64::MAX; count],
             ends_at,
-            timer: Some(self.timers.set(ends_at, TimerEvent::QueryDeadline(query))),
+            timer: Some(timer),
             customer: asked.customer,
-            agreed: None,
-            out: 0,
-            over: false,
-            request_id: asked.request_id,
+            ..ActiveQuery::new(asked.request_id, asked.table_type, asked.text, segs)
         };
         self.queries.insert(query, in_hand);
         Query {
@@ -142,26 +131,11 @@
         self.held += 2;
         let (query, ends_at) = (self.last, self.now + self.timeouts[table_type]);
         debug!("scan {request_id}: an audit of {seg}");
+        let timer = self.timers.set(ends_at, TimerEvent::QueryDeadline(query));
         let in_hand = ActiveQuery {
-            api: None,
-            client: None,
-            table_type,
-            text: Payload::Inline(text),
-            body: None,
-            note: None,
-            left_out: Vec::new(),
-            part_ids: vec![format!("{request_id}.{seg}").into()],
-            segs: vec![seg],
-            values: vec![None],
-            shots: vec![Vec::new()],
-            may_run_since: vec![f64::MAX],
             ends_at,
-            timer: Some(self.timers.set(ends_at, TimerEvent::QueryDeadline(query))),
-            customer: usize::MAX,
-            agreed: None,
-            out: 0,
-            over: false,
-            request_id,
+            timer: Some(timer),
+            ..ActiveQuery::new(request_id, table_type, Payload::Inline(text), vec![seg])
         };
         self.queries.insert(query, in_hand);
         Some(Query {
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -5,7 +5,7 @@
 use dunepond_search_api::answer::Answer;
 use tracing::{debug, error, warn};
 
-use super::{RouterHost, may_have_run};
+use super::{ActiveQuery, FinishedQuery, RouterHost, SentAttempt, may_have_run};
 use crate::body::Payload;
 use crate::downstream::error_body;
 use crate::search_api::SearchResponse;
@@ -25,7 +25,7 @@
                 in_hand.may_run_since[ended.part].min(self.now - ended.elapsed);
         }
         if let (Some(fleet), Some(text)) = (&self.control_plane, &value) {
-            fleet.carried(ended.node, in_hand.customer, text.len());
+            fleet.record_carried(ended.node, in_hand.customer, text.len());
         }
         // An invalid answer is a failed attempt; only a part's first answer counts.
         if let (Some(text), Some(api)) = (&value, &mut in_hand.api)
@@ -71,15 +71,17 @@
 
     /// Marks a finished query as completely answered; only those count in the prefilter's comparison of query times.
     pub(super) fn served(&mut self, query: QueryId, whole: bool) {
-        if whole && let Some(last) = self.concluded.last_mut().filter(|last| last.0 == query) {
-            last.1 = true;
+        if whole && let Some(last) = self.concluded.last_mut().filter(|last| last.query == query) {
+            last.completely_answered = true;
         }
     }
 
     /// Checks whether the query's client has disconnected; the event loop then ends the query.
     pub fn check_client(&mut self, query: QueryId) {
-        let client = self.queries.get(&query).filter(|s| !s.over).and_then(|s| s.client);
-        if let Some(client) = client {
+        if let Some(in_hand) = self.queries.get(&query)
+            && !in_hand.over
+            && let Some(client) = in_hand.client
+        {
             self.downstream.is_disconnected(self.now, client);
         }
     }
@@ -97,11 +99,11 @@
         let Some(in_hand) = self.queries.get_mut(&query) else { return false };
         in_hand.timer = None;
         let is_owed = !in_hand.over;
-        for (part, shot, node) in in_hand.all_attempts() {
+        for SentAttempt { part, index, node } in in_hand.all_attempts() {
             self.upstream.give_up(
                 self.now,
                 node,
-                AttemptId { query, part, index: shot },
+                AttemptId { query, part, index },
                 AttemptOutcome::TimedOut,
                 &mut self.timers,
             );
@@ -111,11 +113,11 @@
 
     /// Queries that clients still wait for, by id.
     pub fn owed_answers(&self) -> Vec<QueryId> {
-        let owed_answers =
-            self.queries.iter().filter(|(_, in_hand)| !in_hand.over && in_hand.client.is_some());
-        let mut owed_answers: Vec<_> = owed_answers.map(|(query, _)| *query).collect();
-        owed_answers.sort_unstable();
-        owed_answers
+        let is_unanswered = |in_hand: &ActiveQuery| !in_hand.over && in_hand.client.is_some();
+        let unanswered = self.queries.iter().filter(|(_, in_hand)| is_unanswered(in_hand));
+        let mut ids: Vec<_> = unanswered.map(|(query, _)| *query).collect();
+        ids.sort_unstable();
+        ids
     }
 
     /// Answers 504 if the router has not answered by the deadline.
@@ -142,31 +144,30 @@
         }
         self.held -= 1 + in_hand.open_parts();
         let client = in_hand.client;
-        for (part, shot, node) in in_hand.all_attempts() {
+        for SentAttempt { part, index, node } in in_hand.all_attempts() {
             self.upstream.withdraw(
                 self.now,
                 node,
-                AttemptId { query, part, index: shot },
+                AttemptId { query, part, index },
                 AttemptOutcome::NotSent,
                 &mut self.timers,
             );
         }
         if self.prefilter_connections.is_some() {
-            self.concluded.push((query, false));
+            self.concluded.push(FinishedQuery { query, completely_answered: false });
         }
         client
     }
 
     /// Withdraws attempts that are not sent yet; returns whether none has been sent completely, so that a retry is safe.
     pub(super) fn nothing_was_sent(&mut self, query: QueryId) -> bool {
-        let Some(in_hand) =
-            self.queries.get(&query).filter(|s| s.may_run_since.iter().all(|at| *at == f64::MAX))
-        else {
+        let Some(in_hand) = self.queries.get(&query) else { return false };
+        if in_hand.may_run_since.iter().any(|at| *at != f64::MAX) {
             return false;
-        };
+        }
         let mut left = false;
-        for (part, shot, node) in in_hand.all_attempts() {
-            let key = AttemptId { query, part, index: shot };
+        for SentAttempt { part, index, node } in in_hand.all_attempts() {
+            let key = AttemptId { query, part, index };
             self.upstream.withdraw(self.now, node, key, AttemptOutcome::NotSent, &mut self.timers);
             left |= self.upstream.has_outstanding(node, key);
         }
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -7,7 +7,7 @@
 use tracing::debug;
 
 use super::{RouterHost, may_have_run};
-use crate::control_plane::{QueryStart, proved};
+use crate::control_plane::{NoOwner, QueryStart, proved};
 use crate::upstream::AttemptRequest;
 
 /// The active configuration that a query in a fleet is held to.
@@ -16,7 +16,15 @@
     /// Parts that were sent under another map's keys than the one at the query's start, with that map's epoch.
     moved: Vec<(usize, u64)>,
     /// By part, for a keyed query only.
-    keyed_attempts: Vec<(usize, bool)>,
+    keyed_parts: Vec<KeyedPart>,
+}
+
+/// The attempts of a part of a keyed query.
+#[derive(Clone, Default)]
+struct KeyedPart {
+    outstanding: usize,
+    /// An attempt that ended may have run.
+    may_have_run: bool,
 }
 
 impl Coordination {
@@ -27,9 +35,9 @@
 
     /// An attempt of a part has ended.
     pub fn ended(&mut self, part: usize, end: AttemptOutcome) {
-        if let Some((out, may_run_since)) = self.keyed_attempts.get_mut(part) {
-            *out = out.saturating_sub(1);
-            *may_run_since |= may_have_run(end);
+        if let Some(part) = self.keyed_parts.get_mut(part) {
+            part.outstanding = part.outstanding.saturating_sub(1);
+            part.may_have_run |= may_have_run(end);
         }
     }
 }
@@ -37,23 +45,24 @@
 impl RouterHost {
     /// Checks a query against the active configuration; returns `false` if it was rejected without the router.
     pub fn admit(&mut self, query: &mut Query) -> bool {
-        let Some(fleet) = &mut self.control_plane else { return true };
-        fleet.came(query.tenant);
-        let admitted = fleet.admit(query);
-        let (began, refused) = match admitted {
+        let Some(control_plane) = &mut self.control_plane else { return true };
+        control_plane.record_arrival(query.tenant);
+        let (began, rejection) = match control_plane.assign_owners(query) {
             Ok(began) => (began, None),
-            Err((began, wait, why)) => (began, Some((wait, why))),
+            Err(NoOwner { began, retry_after, reason }) => (began, Some((retry_after, reason))),
         };
         let Some(in_hand) = self.queries.get_mut(&query.id) else { return false };
-        let is_keyed = fleet.gate.is_keyed(query.class);
-        let keyed_attempts = vec![(0, false); if is_keyed { in_hand.segs.len() } else { 0 }];
-        in_hand.agreed = Some(Coordination { began, moved: Vec::new(), keyed_attempts });
-        let Some((wait, why)) = refused else { return true };
-        let hand = &fleet.gate.hand;
-        hand.count_rejected();
-        hand.audit(|| AuditEvent::Rejected { request_id: in_hand.request_id.clone(), why: why.to_string() });
-        debug!("query {}: rejected: {why}", in_hand.request_id);
-        self.reject_retriable(query.id, wait.min(self.longest_wait));
+        let is_keyed = control_plane.gate.is_keyed(query.class);
+        let keyed_parts = vec![KeyedPart::default(); if is_keyed { in_hand.segs.len() } else { 0 }];
+        in_hand.agreed = Some(Coordination { began, moved: Vec::new(), keyed_parts });
+        let Some((retry_after, reason)) = rejection else { return true };
+        let control = &control_plane.gate.hand;
+        control.count_rejected();
+        let event =
+            || AuditEvent::Rejected { request_id: in_hand.request_id.clone(), why: reason.to_string() };
+        control.audit(event);
+        debug!("query {}: rejected: {reason}", in_hand.request_id);
+        self.reject_retriable(query.id, retry_after.min(self.longest_wait));
         self.release(query.id);
         false
     }
@@ -67,10 +76,11 @@
         let agreed = in_hand.and_then(|in_hand| in_hand.agreed.as_mut());
         let mut may_send = gate.may_send(parcel.began.as_deref(), table_type, seg, name);
         if let Some(agreed) = agreed {
-            if let Some((out, may_run_since)) = agreed.keyed_attempts.get_mut(part) {
-                may_send &= (*out == 0 && !*may_run_since) || gate.may_retry_keyed(&agreed.began);
+            if let Some(keyed) = agreed.keyed_parts.get_mut(part) {
+                let is_first = keyed.outstanding == 0 && !keyed.may_have_run;
+                may_send &= is_first || gate.may_retry_keyed(&agreed.began);
                 // Its end will be reported whether or not it is sent.
-                *out += 1;
+                keyed.outstanding += 1;
             }
             if may_send && let Some(epoch) = gate.moved(&agreed.began, seg) {
                 agreed.moved.push((part, epoch));
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -18,7 +18,7 @@
 use crate::body_store::BodyStore;
 use crate::buffers::Pool;
 use crate::clock::{TimerKey, Timers};
-use crate::control_plane::ControlPlane;
+use crate::control_plane::ControlPlaneClient;
 use crate::downstream::Downstream;
 use crate::frames;
 use crate::prefilter_connections::PrefilterConnections;
@@ -26,6 +26,9 @@
 use crate::upstream::Upstream;
 use coordination::Coordination;
 
+/// The tenant of an audit.
+const NO_TENANT: usize = usize::MAX;
+
 /// A query from its request until it is answered and all its attempts have ended.
 struct ActiveQuery {
     /// The search API's search that it runs for, if any.
@@ -57,6 +60,22 @@
     over: bool,
 }
 
+/// A query that has its final answer, or whose client has disconnected.
+pub struct FinishedQuery {
+    /// The query.
+    pub query: QueryId,
+    /// It was answered, and completely.
+    pub completely_answered: bool,
+}
+
+/// An attempt of a query, at its node.
+struct SentAttempt {
+    part: usize,
+    /// Which attempt of its part it is, from 0.
+    index: usize,
+    node: NodeId,
+}
+
 /// Hosts the router: what it orders is done here, on connections, timers and queries in flight.
 pub struct RouterHost {
     /// Unix time in seconds; stands still during a call of the router.
@@ -73,9 +92,9 @@
     /// Prefilter connections to nodes, if the operator's file enables the prefilter.
     pub prefilter_connections: Option<PrefilterConnections>,
     /// `None` if the operator's file names no fleet.
-    pub control_plane: Option<ControlPlane>,
-    /// Queries that are finished, for the prefilter; `true` if completely answered.
-    pub concluded: Vec<(QueryId, bool)>,
+    pub control_plane: Option<ControlPlaneClient>,
+    /// Queries that are finished, for the prefilter.
+    pub concluded: Vec<FinishedQuery>,
     /// Search API requests in flight, by the id that their client connections hold.
     requests: HashMap<u64, ActiveRequest>,
     /// Size of the values held for queries in flight.
@@ -99,14 +118,47 @@
 }
 
 impl ActiveQuery {
+    /// A query without client, tenant, deadline and attempts.
+    fn new(request_id: String, table_type: usize, text: Payload, segs: Vec<usize>) -> Self {
+        let count = segs.len();
+        Self {
+            api: None,
+            client: None,
+            table_type,
+            part_ids: segs.iter().map(|seg| format!("{request_id}.{seg}").into()).collect(),
+            request_id,
+            text,
+            body: None,
+            note: None,
+            segs,
+            values: vec![None; count],
+            left_out: Vec::new(),
+            shots: vec![Vec::new(); count],
+            may_run_since: vec![f64::MAX; count],
+            ends_at: f64::MAX,
+            timer: None,
+            customer: NO_TENANT,
+            agreed: None,
+            out: 0,
+            over: false,
+        }
+    }
+
     fn open_parts(&self) -> usize {
         self.values.iter().filter(|v| v.is_none()).count()
     }
 
     /// Every attempt so far.
-    fn all_attempts(&self) -> Vec<(usize, usize, NodeId)> {
-        let parts = self.shots.iter().enumerate();
-        parts.flat_map(|(part, s)| s.iter().enumerate().map(move |(shot, n)| (part, shot, *n))).collect()
+    fn all_attempts(&self) -> Vec<SentAttempt> {
+        let mut all = Vec::new();
+        for (part, nodes) in self.shots.iter().enumerate() {
+            all.extend(nodes.iter().enumerate().map(|(index, node)| SentAttempt {
+                part,
+                index,
+                node: *node,
+            }));
+        }
+        all
     }
 }
 
@@ -214,12 +266,15 @@
 
     /// Records the segments that the prefilter left out of a query.
     pub fn prune(&mut self, query: QueryId, left: Vec<PrunedSegment>) {
-        self.queries.get_mut(&query).into_iter().for_each(|in_hand| in_hand.left_out = left.clone());
+        if let Some(in_hand) = self.queries.get_mut(&query) {
+            in_hand.left_out = left;
+        }
     }
 
     /// Segments that the prefilter had left out are searched after all.
     pub fn restore_pruned(&mut self, query: QueryId, segs: &[usize]) {
-        let in_hand = self.queries.get_mut(&query).into_iter();
-        in_hand.for_each(|in_hand| in_hand.left_out.retain(|left| !segs.contains(&left.segment)));
+        if let Some(in_hand) = self.queries.get_mut(&query) {
+            in_hand.left_out.retain(|pruned| !segs.contains(&pruned.segment));
+        }
     }
 }
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -53,7 +53,9 @@
         let (asked, body) = self.downstream.start_query(client, body, &mut self.timers)?;
         let asked = QueryRequest { text: Payload::Streamed(body.clone()), ..asked };
         let query = self.take(client, asked)?;
-        self.queries.get_mut(&query.id).into_iter().for_each(|in_hand| in_hand.note = note);
+        if let Some(in_hand) = self.queries.get_mut(&query.id) {
+            in_hand.note = note;
+        }
         Some((query, body))
     }
 
--- a/crates/dunepond-broker/src/upstream/endpoints.rs
+++ b/crates/dunepond-broker/src/upstream/endpoints.rs
@@ -9,21 +9,7 @@
 use super::{NodeEntry, Upstream};
 use crate::clock::Timers;
 use crate::connection_end::ConnectionEnd;
-
-/// An entry of the endpoint list, as far as connections need it.
-#[derive(Clone)]
-pub struct EndpointInfo {
-    /// The node's name.
-    pub host: String,
-    /// Where to connect; `None` if the list gives no usable address.
-    pub dial: Option<SocketAddr>,
-    /// The replica group that the node belongs to.
-    pub cell: usize,
-    /// When its process started, Unix seconds; 0 if unknown.
-    pub started: f64,
-    /// Whether it may get new attempts.
-    pub standing: EndpointState,
-}
+use crate::endpoint::EndpointInfo;
 
 impl Upstream {
     /// Applies the list's entry of a node, which keeps its index until `next_forgotten` returns it.
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -25,10 +25,10 @@
 use crate::buffers::{Buffer, Pool, WriteQueue};
 use crate::clock::{self, TimerKey};
 use crate::control_plane::{Gate, QueryStart};
+use crate::endpoint::EndpointInfo;
 use crate::http::Message;
 use crate::iteration::EventLoopHandle;
 pub use connection::open;
-pub use endpoints::EndpointInfo;
 
 /// Finished attempts that a connection remembers, as a node may report an end twice; bounds the memory for them. Cancelled attempts are
 /// remembered besides until the node reports their end.
--- a/crates/dunepond-testkit/tests/restart.rs
+++ b/crates/dunepond-testkit/tests/restart.rs
@@ -92,7 +92,7 @@
 
 /// Whether the newest snapshot has all nodes that hang as set aside: killed before that, a life leaves less behind.
 fn kept(town: &Town) -> bool {
-    let Ok(shown) = dunepond_broker::persistence::show(&town.folder, unix_ms() as f64 / 1e3) else {
+    let Ok(shown) = dunepond_broker::persistence::describe(&town.folder, unix_ms() as f64 / 1e3) else {
         return false;
     };
     let aside = |i: usize| {
