--- a/crates/dunepond-broker/tests/fleet.rs
+++ b/crates/dunepond-broker/tests/fleet.rs
@@ -119,7 +119,7 @@
         self.wait(
             at,
             &format!("alone on {number}"),
-            |line| matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Active, to, .. } if to == number),
+            |line| matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Active, last_version, .. } if last_version == number),
         );
     }
 }
@@ -261,7 +261,10 @@
     fleet.offer(0, &next);
     broker.signal("HUP");
     fleet.wait(0, "joint", |line| {
-        matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Joint, from: 1, to: 2, .. })
+        matches!(
+            line.event,
+            AuditEvent::Phase { phase: AuditPhase::Joint, first_version: 1, last_version: 2, .. }
+        )
     });
     let between = ask(&broker, "fix", "b", &[0]);
     assert_eq!(between.status, 429, "{between:?}");
--- a/crates/dunepond-control-plane/src/audit_log.rs
+++ b/crates/dunepond-control-plane/src/audit_log.rs
@@ -46,11 +46,14 @@
         /// The phase.
         phase: AuditPhase,
         /// Lowest number of the versions that apply, 0 if none does.
-        from: u64,
+        #[serde(rename = "from")]
+        first_version: u64,
         /// Highest number of the versions that apply, 0 if none does.
-        to: u64,
-        /// End of the lease, in seconds on the monotonic clock.
-        until: f64,
+        #[serde(rename = "to")]
+        last_version: u64,
+        /// In seconds on the monotonic clock.
+        #[serde(rename = "until")]
+        lease_expires_at: f64,
     },
     /// A part's frame was handed to its connection.
     #[serde(rename = "dispatch")]
@@ -152,24 +155,30 @@
         digest: String,
     },
     /// What the broker may use of shared quotas, in units (millionths of the whole): from this record on the floor and, until
-    /// the lease ends, the leased parts. Nothing before `from`, when what an earlier run used has left every window, nor
-    /// where it is not `counted`. Recorded again with each lease.
+    /// the lease ends, the leased parts. Nothing before `usable_from`, when what an earlier run used has left every window,
+    /// nor where it is not `admitted`. Recorded again with each lease.
     #[serde(rename = "share")]
     QuotaShare {
         /// Generation of the agreed allocation.
         generation: u64,
         /// The allocation counts this broker.
-        counted: bool,
+        #[serde(rename = "counted")]
+        admitted: bool,
         /// Units that need no lease.
-        floor: u32,
+        #[serde(rename = "floor")]
+        floor_units: u32,
         /// Leased units by quota.
-        parts: BTreeMap<String, u32>,
+        #[serde(rename = "parts")]
+        leased_units: BTreeMap<String, u32>,
         /// When use may begin, in seconds on the monotonic clock.
-        from: f64,
-        /// End of the lease, in seconds on the monotonic clock.
-        until: f64,
+        #[serde(rename = "from")]
+        usable_from: f64,
+        /// In seconds on the monotonic clock.
+        #[serde(rename = "until")]
+        lease_expires_at: f64,
         /// Seconds over which use is counted.
-        window: f64,
+        #[serde(rename = "window")]
+        window_seconds: f64,
     },
     /// Records were dropped, as the queue to the disk was full.
     #[serde(rename = "lost")]
--- a/crates/dunepond-control-plane/src/audit_log/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/audit_log/tests/mod.rs
@@ -8,7 +8,15 @@
     let path = folder.path().join("acts.jsonl");
     std::fs::write(&path, "{\"old\":1}\n").unwrap();
     let (sender, audit_log) = AuditLog::start(&path, "n1", 3).unwrap();
-    sender.record_at(1.5, AuditEvent::Phase { phase: AuditPhase::Joint, from: 1, to: 2, until: 9.0 });
+    sender.record_at(
+        1.5,
+        AuditEvent::Phase {
+            phase: AuditPhase::Joint,
+            first_version: 1,
+            last_version: 2,
+            lease_expires_at: 9.0,
+        },
+    );
     sender
         .clone()
         .record_at(2.0, AuditEvent::Rejected { request_id: "c".to_string(), why: "cut".to_string() });
--- a/crates/dunepond-control-plane/src/config.rs
+++ b/crates/dunepond-control-plane/src/config.rs
@@ -105,8 +105,17 @@
     pub fill_started_nodes: bool,
 }
 
-/// Called with the name of a point that a crash test may choose; true ends the control plane there.
-pub type CrashPoints = Arc<dyn Fn(&str) -> bool + Send + Sync>;
+/// A point at which a crash test may end the control plane.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CrashPoint {
+    /// The settlement of a version's fill, if it has one, was entered into the log, and its completion was not.
+    SettlementEntered,
+    /// A fill of the broker's own is done and counted, and the leader was not told.
+    OwnFillDone,
+}
+
+/// Called when a point is reached; true ends the control plane there.
+pub type CrashPoints = Arc<dyn Fn(CrashPoint) -> bool + Send + Sync>;
 
 /// Replacements of what is outside the process, for tests.
 #[derive(Default)]
--- a/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
@@ -8,6 +8,7 @@
 
 use super::ControlLoop;
 use crate::clock::{monotonic_seconds, unix_seconds};
+use crate::config::CrashPoint;
 use crate::fill_client::FillResult;
 
 /// Seconds after which an entry that the log does not have is entered again.
@@ -84,7 +85,7 @@
                 Some(settlement) => self.enter_settlement(SettlementEntry::Settle(settlement)),
                 None => Ok(()),
             };
-            if self.crash_point("settled") {
+            if self.crash_point(CrashPoint::SettlementEntered) {
                 return;
             }
             let completed = match settled {
--- a/crates/dunepond-control-plane/src/control_loop/fills/own.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/own.rs
@@ -7,6 +7,7 @@
 use super::{ControlLoop, FillKind};
 use crate::clock::monotonic_seconds;
 use crate::commitments::{CommittedFill, FinishedFill};
+use crate::config::CrashPoint;
 use crate::fill_client::FillResult;
 use crate::slow_start::{COUNTING_UNIT_BYTES, StartedNode};
 
@@ -170,7 +171,7 @@
         };
         self.save_commitments();
         self.traffic.counts.record(&from, &fill.to, bytes);
-        self.crash_point("done");
+        self.crash_point(CrashPoint::OwnFillDone);
     }
 
     /// Partner of the node that a fill was really taken from; the filled node's own if that is not known.
--- a/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
@@ -188,7 +188,7 @@
             holder: fill.holder.clone(),
             source: fill.source.clone(),
             bytes: fill.bytes,
-            rate: fill.rate as u64,
+            bytes_per_second: fill.rate as u64,
         };
         let expected_seconds = fill.duration_seconds() * self.retry_policy.factor;
         let timeout =
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -25,7 +25,7 @@
 
 use crate::audit_log::AuditSender;
 use crate::clock::monotonic_seconds;
-use crate::config::CrashPoints;
+use crate::config::{CrashPoint, CrashPoints};
 use crate::data_directory::DataDirectory;
 use crate::handle::{ActivityCounters, LoopRequest};
 use crate::slow_start::{SlowStartPolicy, StartedNode};
@@ -158,7 +158,7 @@
     }
 
     /// Ends the control plane here, if a crash test says so.
-    fn crash_point(&mut self, point: &str) -> bool {
+    fn crash_point(&mut self, point: CrashPoint) -> bool {
         self.state.crashed |= self.crashes_at.as_ref().is_some_and(|crashes_at| crashes_at(point));
         self.state.crashed
     }
--- a/crates/dunepond-control-plane/src/control_loop/publish.rs
+++ b/crates/dunepond-control-plane/src/control_loop/publish.rs
@@ -74,9 +74,9 @@
         let mut events = published.version_events(&config);
         events.push(AuditEvent::Phase {
             phase,
-            from: versions.first().copied().unwrap_or(0),
-            to: versions.last().copied().unwrap_or(0),
-            until: lease_expires_at,
+            first_version: versions.first().copied().unwrap_or(0),
+            last_version: versions.last().copied().unwrap_or(0),
+            lease_expires_at,
         });
         if let Some(quotas) = &self.quotas {
             events.push(quotas.audit_event(&config, lease_expires_at));
--- a/crates/dunepond-control-plane/src/control_loop/quotas.rs
+++ b/crates/dunepond-control-plane/src/control_loop/quotas.rs
@@ -54,12 +54,12 @@
         let allocation = config.quota(lease_expires_at).allocation;
         AuditEvent::QuotaShare {
             generation: allocation.map_or(0, |it| it.generation),
-            counted: allocation.is_none_or(|it| it.admitted),
-            floor: allocation.map_or(floor_units, |it| it.floor_units.min(floor_units)),
-            parts: allocation.map(|it| it.leased_units.clone()).unwrap_or_default(),
-            from: usable_from,
-            until: lease_expires_at,
-            window: self.local.window_seconds,
+            admitted: allocation.is_none_or(|it| it.admitted),
+            floor_units: allocation.map_or(floor_units, |it| it.floor_units.min(floor_units)),
+            leased_units: allocation.map(|it| it.leased_units.clone()).unwrap_or_default(),
+            usable_from,
+            lease_expires_at,
+            window_seconds: self.local.window_seconds,
         }
     }
 }
--- a/crates/dunepond-control-plane/src/explain.rs
+++ b/crates/dunepond-control-plane/src/explain.rs
@@ -33,9 +33,9 @@
     /// A settlement that was applied.
     Settlement,
     /// The shares of quotas have changed.
-    Limit,
+    Quota,
     /// A step of a rebalancing plan.
-    Move,
+    Rebalance,
     /// A change of voters.
     Voters,
     /// Any other entry of the log.
@@ -50,8 +50,8 @@
             Self::Refused => "refused",
             Self::Fill => "fill",
             Self::Settlement => "settlement",
-            Self::Limit => "limit",
-            Self::Move => "move",
+            Self::Quota => "limit",
+            Self::Rebalance => "move",
             Self::Voters => "voters",
             Self::Entry => "entry",
         }
@@ -240,7 +240,7 @@
         let free = |name: &String| format!("{} free of {}", quota.free_units(name), shortened(name));
         let alternatives =
             format!("{}; {} brokers share", abbreviated_list(names.map(free)), quota.brokers.len());
-        Self::new(Subject::Limit, &what, "the leader, by what brokers need", &limit, &alternatives)
+        Self::new(Subject::Quota, &what, "the leader, by what brokers need", &limit, &alternatives)
     }
 
     fn for_plan(index: u64, plan: &str, status: &str, state: &ReplicatedState) -> Self {
@@ -250,7 +250,7 @@
         let authority = running.map_or(String::from("as its beginning said"), |running| {
             format!("{}: {}", shortened(&running.plan.proposed_by), shortened(&running.plan.reason))
         });
-        Self::new(Subject::Move, &what, &authority, &limit, &open_transition(state))
+        Self::new(Subject::Rebalance, &what, &authority, &limit, &open_transition(state))
     }
 
     fn for_voters(index: u64, number: u64, status: &str, state: &ReplicatedState) -> Self {
--- a/crates/dunepond-control-plane/src/fill_client.rs
+++ b/crates/dunepond-control-plane/src/fill_client.rs
@@ -21,8 +21,9 @@
     pub source: String,
     /// Size of the segment.
     pub bytes: u64,
-    /// Most bytes a second.
-    pub rate: u64,
+    /// Highest rate.
+    #[serde(rename = "rate")]
+    pub bytes_per_second: u64,
 }
 
 /// What was done. The source differs from the request's if an earlier request with the same id named another.
--- a/crates/dunepond-control-plane/src/lib.rs
+++ b/crates/dunepond-control-plane/src/lib.rs
@@ -28,7 +28,8 @@
 pub use audit_log::{AuditEvent, AuditPhase, AuditRecord};
 pub use clock::monotonic_seconds;
 pub use config::{
-    ControlPlaneConfig, CrashPoints, FillConfig, LinkRate, Partner, QuotaConfig, RebalanceConfig, TestDoubles,
+    ControlPlaneConfig, CrashPoint, CrashPoints, FillConfig, LinkRate, Partner, QuotaConfig, RebalanceConfig,
+    TestDoubles,
 };
 pub use error::{ControlPlaneError, FillError, PlanError, VersionError};
 pub use fill_client::{FillClient, FillRequest, FillResult, HttpFillClient};
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -11,8 +11,9 @@
 
 use dunepond_consensus::{ConfigPhase, ConsensusConfig};
 use dunepond_control_plane::{
-    AuditEvent, AuditRecord, ControlPlane, ControlPlaneConfig, FillClient, FillConfig, FillError,
-    FillRequest, FillResult, Partner, SlowStartPolicy, StartedNode, TestDoubles, monotonic_seconds, start,
+    AuditEvent, AuditRecord, ControlPlane, ControlPlaneConfig, CrashPoint, CrashPoints, FillClient,
+    FillConfig, FillError, FillRequest, FillResult, Partner, SlowStartPolicy, StartedNode, TestDoubles,
+    monotonic_seconds, start,
 };
 use dunepond_settlement::LocalCounts;
 use dunepond_shard_map::Node;
@@ -93,7 +94,7 @@
     }
 
     /// `crash`: the point at which the control plane ends.
-    fn start(&mut self, version: Option<PathBuf>, crash: Option<&'static str>) -> ControlPlane {
+    fn start(&mut self, version: Option<PathBuf>, crash: Option<CrashPoint>) -> ControlPlane {
         self.starts += 1;
         let terms = ConsensusConfig {
             name: "n1".to_string(),
@@ -139,8 +140,7 @@
         let doubles = TestDoubles {
             storage: Some(Arc::new(self.files.clone())),
             fill_client: Some(self.fill_service.clone()),
-            crashes_at: crash
-                .map(|point| Arc::new(move |at: &str| at == point) as dunepond_control_plane::CrashPoints),
+            crashes_at: crash.map(|point| Arc::new(move |reached| reached == point) as CrashPoints),
         };
         let control_plane = start(config, doubles, || ()).unwrap();
         let node = |i: usize| Node {
@@ -234,7 +234,7 @@
 #[test]
 fn crash_between_settlement_and_completion() {
     let mut broker = TestBroker::new(false);
-    let control_plane = broker.start(Some(broker.version(1, 1, false)), Some("settled"));
+    let control_plane = broker.start(Some(broker.version(1, 1, false)), Some(CrashPoint::SettlementEntered));
     wait_for_version(&control_plane, 1);
     control_plane.handle().reload_version(Some(broker.version(2, 1, true)));
     wait("the fill", || !broker.fill_service.done.lock().unwrap().is_empty());
@@ -276,7 +276,7 @@
     let bound = 1.5 * share * BYTES_PER_SECOND as f64;
     let rates = || {
         let running = broker.fill_service.running.lock().unwrap();
-        running.values().map(|request| request.rate as f64).sum::<f64>()
+        running.values().map(|request| request.bytes_per_second as f64).sum::<f64>()
     };
     wait("fills", || rates() > 0.0);
     thread::sleep(Duration::from_millis(400));
@@ -309,7 +309,7 @@
 fn commitment_outlasts_a_crash(#[case] done: bool) {
     let mut broker = TestBroker::new(true);
     broker.fill_service.blocked.store(!done, Ordering::Relaxed);
-    let control_plane = broker.start(Some(broker.version(1, 1, false)), Some("done"));
+    let control_plane = broker.start(Some(broker.version(1, 1, false)), Some(CrashPoint::OwnFillDone));
     wait_for_version(&control_plane, 1);
     thread::sleep(Duration::from_millis(1500));
     set_started(&control_plane, "s1", 0.0);
--- a/crates/dunepond-control-plane/tests/golden.rs
+++ b/crates/dunepond-control-plane/tests/golden.rs
@@ -41,10 +41,30 @@
         state: text(state),
     };
     let events = vec![
-        AuditEvent::Phase { phase: AuditPhase::Unconfigured, from: 0, to: 0, until: 0.0 },
-        AuditEvent::Phase { phase: AuditPhase::Active, from: 6, to: 6, until: 9.5 },
-        AuditEvent::Phase { phase: AuditPhase::Joint, from: 6, to: 7, until: 9.5 },
-        AuditEvent::Phase { phase: AuditPhase::LeaseExpired, from: 6, to: 7, until: 9.5 },
+        AuditEvent::Phase {
+            phase: AuditPhase::Unconfigured,
+            first_version: 0,
+            last_version: 0,
+            lease_expires_at: 0.0,
+        },
+        AuditEvent::Phase {
+            phase: AuditPhase::Active,
+            first_version: 6,
+            last_version: 6,
+            lease_expires_at: 9.5,
+        },
+        AuditEvent::Phase {
+            phase: AuditPhase::Joint,
+            first_version: 6,
+            last_version: 7,
+            lease_expires_at: 9.5,
+        },
+        AuditEvent::Phase {
+            phase: AuditPhase::LeaseExpired,
+            first_version: 6,
+            last_version: 7,
+            lease_expires_at: 9.5,
+        },
         AuditEvent::AttemptSent {
             request_id: call.clone(),
             segment_id: 1,
@@ -83,12 +103,12 @@
         AuditEvent::Withdrawn { number: 7, digest },
         AuditEvent::QuotaShare {
             generation: 3,
-            counted: true,
-            floor: 100_000,
-            parts: BTreeMap::from([(text("cold"), 800_000), (text("further"), 0)]),
-            from: 1.5,
-            until: 9.5,
-            window: 60.0,
+            admitted: true,
+            floor_units: 100_000,
+            leased_units: BTreeMap::from([(text("cold"), 800_000), (text("further"), 0)]),
+            usable_from: 1.5,
+            lease_expires_at: 9.5,
+            window_seconds: 60.0,
         },
         AuditEvent::RecordsLost { count: 12 },
     ];
@@ -115,7 +135,7 @@
         holder: text("s-3"),
         source: text("s-1"),
         bytes: 67_108_864,
-        rate: 33_554_432,
+        bytes_per_second: 33_554_432,
     }
 }
 
@@ -288,8 +308,8 @@
         (Subject::Refused, "refused"),
         (Subject::Fill, "fill"),
         (Subject::Settlement, "settlement"),
-        (Subject::Limit, "limit"),
-        (Subject::Move, "move"),
+        (Subject::Quota, "limit"),
+        (Subject::Rebalance, "move"),
         (Subject::Voters, "voters"),
         (Subject::Entry, "entry"),
     ];
--- a/crates/dunepond-testkit/src/auditor/limits.rs
+++ b/crates/dunepond-testkit/src/auditor/limits.rs
@@ -66,7 +66,7 @@
     let shares = || records.lines.iter().filter(|line| matches!(line.event, AuditEvent::QuotaShare { .. }));
     let names: BTreeSet<&String> = shares()
         .flat_map(|line| match &line.event {
-            AuditEvent::QuotaShare { parts, .. } => parts.keys().collect::<Vec<_>>(),
+            AuditEvent::QuotaShare { leased_units, .. } => leased_units.keys().collect::<Vec<_>>(),
             _ => Vec::new(),
         })
         .collect();
@@ -75,7 +75,15 @@
     let mut all = Vec::new();
     for (brk, lines) in by_broker {
         for (i, line) in lines.iter().enumerate() {
-            let AuditEvent::QuotaShare { counted: true, floor, parts, from, until, window, .. } = &line.event
+            let AuditEvent::QuotaShare {
+                admitted: true,
+                floor_units: floor,
+                leased_units: parts,
+                usable_from: from,
+                lease_expires_at: until,
+                window_seconds: window,
+                ..
+            } = &line.event
             else {
                 continue;
             };
--- a/crates/dunepond-testkit/src/auditor/mod.rs
+++ b/crates/dunepond-testkit/src/auditor/mod.rs
@@ -174,7 +174,15 @@
         if let Some((_, place)) = last {
             plain[place].to = plain[place].to.min(line.at);
         }
-        let AuditEvent::Phase { phase: AuditPhase::Active, to, until, from } = line.event else { continue };
+        let AuditEvent::Phase {
+            phase: AuditPhase::Active,
+            first_version: from,
+            last_version: to,
+            lease_expires_at: until,
+        } = line.event
+        else {
+            continue;
+        };
         let number = if to > 0 { to } else { from };
         match last {
             // Renewed: it goes on, unless it stood still in between.
@@ -200,7 +208,9 @@
     let mut mapped: BTreeSet<(&str, u64)> = BTreeSet::new();
     for line in &records.lines {
         let (brk, life) = (line.broker.clone(), (line.broker.as_str(), line.incarnation));
-        if let AuditEvent::Phase { until: end, from, to, .. } = &line.event {
+        if let AuditEvent::Phase { lease_expires_at: end, first_version: from, last_version: to, .. } =
+            &line.event
+        {
             until.insert(life, *end);
             if known.maps.contains_key(from) || known.maps.contains_key(to) {
                 mapped.insert(life);
@@ -300,7 +310,7 @@
         let Some(sent) = sent.get(&(call.as_str(), *seg)) else { continue };
         let held = phases.get(&(&sent.line.broker, sent.line.incarnation)).map_or(&[][..], Vec::as_slice);
         let until = held.iter().filter(|line| line.at <= *at).filter_map(|line| match &line.event {
-            AuditEvent::Phase { phase, from, to, until } => {
+            AuditEvent::Phase { phase, first_version: from, last_version: to, lease_expires_at: until } => {
                 let joint = *phase == AuditPhase::Joint && sent.numbers.contains(from);
                 let on = *phase == AuditPhase::Active || *phase == AuditPhase::Joint;
                 (joint || on && sent.numbers.contains(to)).then_some(*until)
--- a/crates/dunepond-testkit/src/fleet/mod.rs
+++ b/crates/dunepond-testkit/src/fleet/mod.rs
@@ -296,7 +296,9 @@
         let name = name(broker);
         self.seen(|records| {
             records.lines.iter().rev().filter(|line| line.broker == name).find_map(|line| match line.event {
-                AuditEvent::Phase { phase, from, to, .. } => Some((phase, from, to)),
+                AuditEvent::Phase { phase, first_version, last_version, .. } => {
+                    Some((phase, first_version, last_version))
+                }
                 _ => None,
             })
         })
@@ -386,7 +388,7 @@
                         | AuditEvent::Answer { .. }
                         | AuditEvent::Rejected { .. } => true,
                         // Once more with each lease.
-                        AuditEvent::Phase { phase, from, to, .. } => {
+                        AuditEvent::Phase { phase, first_version: from, last_version: to, .. } => {
                             let told = Some((run, *phase, *from, *to));
                             std::mem::replace(last.entry(brk).or_default(), told) == told
                         }
--- a/crates/dunepond-testkit/tests/agree/limits.rs
+++ b/crates/dunepond-testkit/tests/agree/limits.rs
@@ -22,7 +22,7 @@
 fn part(fleet: &Fleet, broker: usize) -> u32 {
     let lines = fleet.records().lines.into_iter().rev().filter(|line| line.broker == name(broker));
     let told = lines.filter_map(|line| match line.event {
-        AuditEvent::QuotaShare { parts, .. } => Some(parts.get(BOUND).copied().unwrap_or(0)),
+        AuditEvent::QuotaShare { leased_units, .. } => Some(leased_units.get(BOUND).copied().unwrap_or(0)),
         _ => None,
     });
     told.take(1).sum()
