--- a/crates/dunepond-broker/src/background.rs
+++ b/crates/dunepond-broker/src/background.rs
@@ -49,7 +49,7 @@
     }
 
     /// Schedules the timer for the next job.
-    pub fn arm(&mut self, now: f64, timers: &mut Timers) {
+    pub fn schedule_timer(&mut self, now: f64, timers: &mut Timers) {
         let due = self.scheduler.next_due(now).map(|due| due.max(now + 0.001));
         let sooner = match (due, self.timer) {
             (Some(due), Some((set, _))) => due < set - 1e-4,
@@ -57,8 +57,8 @@
             (None, _) => false,
         };
         if sooner && let Some(due) = due {
-            timers.unset(self.timer.map(|timer| timer.1));
-            self.timer = Some((due, timers.set(due, TimerEvent::BackgroundJob)));
+            timers.cancel(self.timer.map(|timer| timer.1));
+            self.timer = Some((due, timers.schedule(due, TimerEvent::BackgroundJob)));
         }
     }
 
--- a/crates/dunepond-broker/src/clock.rs
+++ b/crates/dunepond-broker/src/clock.rs
@@ -6,15 +6,16 @@
 /// Unix time, read once at the start and continued by a monotonic clock.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    start: Instant,
-    unix: f64,
+    started: Instant,
+    unix_at_start: f64,
 }
 
 impl Clock {
     /// Reads the system's clock, once.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
-        Self { start: Instant::now(), unix }
+        let unix_at_start =
+            SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
+        Self { started: Instant::now(), unix_at_start }
     }
 
     /// Unix time in seconds; never goes back.
@@ -24,8 +25,9 @@
 
     /// The time of a moment, which may lie before the start.
     pub fn at(&self, moment: Instant) -> f64 {
-        let before = self.start.saturating_duration_since(moment);
-        self.unix + moment.saturating_duration_since(self.start).as_secs_f64() - before.as_secs_f64()
+        let before = self.started.saturating_duration_since(moment);
+        self.unix_at_start + moment.saturating_duration_since(self.started).as_secs_f64()
+            - before.as_secs_f64()
     }
 }
 
@@ -70,35 +72,35 @@
 /// The event loop's timers in order of time. In calloop's own, cancelling one scans all of them.
 #[derive(Default)]
 pub struct Timers {
-    set: BTreeMap<TimerKey, TimerEvent>,
-    count: u64,
+    pending: BTreeMap<TimerKey, TimerEvent>,
+    last_sequence: u64,
 }
 
 impl Timers {
     /// Schedules an event for a Unix time in seconds; events at the same time are due in the order in which they were scheduled.
-    pub fn set(&mut self, at: f64, due: TimerEvent) -> TimerKey {
-        self.count += 1;
-        let key = ((at.max(0.0) * 1e6) as u64, self.count);
-        self.set.insert(key, due);
+    pub fn schedule(&mut self, at: f64, due: TimerEvent) -> TimerKey {
+        self.last_sequence += 1;
+        let key = ((at.max(0.0) * 1e6) as u64, self.last_sequence);
+        self.pending.insert(key, due);
         key
     }
 
     /// Cancels a timer; one that has fired, or none, is ignored.
-    pub fn unset(&mut self, key: Option<TimerKey>) {
+    pub fn cancel(&mut self, key: Option<TimerKey>) {
         if let Some(key) = key {
-            self.set.remove(&key);
+            self.pending.remove(&key);
         }
     }
 
     /// Time until the earliest timer; `None` if there is none.
     pub fn until_next(&self, now: f64) -> Option<Duration> {
-        let (micros, _) = self.set.first_key_value()?.0;
+        let (micros, _) = self.pending.first_key_value()?.0;
         Some(Duration::from_micros(micros.saturating_sub((now * 1e6) as u64)))
     }
 
     /// Removes and returns the earliest event if its time has come.
     pub fn pop_due(&mut self, now: f64) -> Option<TimerEvent> {
-        let first = self.set.first_entry()?;
+        let first = self.pending.first_entry()?;
         if is_due(*first.key(), now) { Some(first.remove()) } else { None }
     }
 }
--- a/crates/dunepond-broker/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -23,17 +23,17 @@
     /// The broker's name, in its log lines and in a fleet.
     pub name: String,
     /// Address of the listener for clients.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Address of the discovery agent.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// Least severe level that is logged.
-    pub level: LevelFilter,
+    pub log_level: LevelFilter,
     /// Client connections that may be open at once.
     pub max_clients: usize,
     /// Buffers that may be in use when one more is requested.
     pub max_buffers: usize,
     /// Connections to nodes that may be open at once.
-    pub most_links: usize,
+    pub max_node_connections: usize,
     /// The settings of the deployment.
     pub deployment: Deployment,
     /// Key of a setting that is valid but not supported on sockets, and ignored.
@@ -41,13 +41,13 @@
     /// Bounds on requests, and the names of the deployment's parts.
     pub bounds: Bounds,
     /// The configured endpoint list, in discovery's form; null without one.
-    pub known: Value,
+    pub configured_endpoints: Value,
     /// What the operator's file enables; the default without a file.
     pub operator: Operator,
 }
 
 /// Reads the operator's file. The error has a line for each fault.
-pub fn operator(path: &Path) -> Result<Operator, Bad> {
+pub fn read_operator_file(path: &Path) -> Result<Operator, Bad> {
     let text = std::fs::read_to_string(path).map_err(|e| Bad(format!("{}: {e}", path.display())))?;
     dunepond_config::operator::operator(&text).map_err(|faults| {
         let lines = faults.iter().map(|fault| format!("{}:{fault}", path.display()));
@@ -61,21 +61,21 @@
     let text = std::fs::read_to_string(&path).map_err(|e| Bad(format!("GW_CONFIG: {path}: {e}")))?;
     let file = dunepond_config::json(text.as_bytes());
     let file = file.map_err(|e| Bad(format!("GW_CONFIG: {path}: {e}")))?;
-    start(&file, variable)
+    parse(&file, variable)
 }
 
 /// Reloads the configuration of a running process. The file goes before the environment, which is that of the start: otherwise
 /// another address of discovery in the file would change nothing.
-pub fn reread(variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, Bad> {
+pub fn reload(variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, Bad> {
     read(|name| Some(name).filter(|name| matches!(*name, "GW_CONFIG" | "GW_LOG")).and_then(&variable))
 }
 
 /// Checks a configuration file as the broker would read it with an empty environment.
 pub fn check(file: &Value) -> Result<(), Bad> {
-    start(file, |_| None).map(drop)
+    parse(file, |_| None).map(drop)
 }
 
-fn start(file: &Value, variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, Bad> {
+fn parse(file: &Value, variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, Bad> {
     let config = Fields::of("config", file)?;
     // At the start the environment goes before the file.
     let told = |name: &str, key: &str| match variable(name) {
@@ -115,16 +115,16 @@
     let most_links = (most / 4) as usize;
     Ok(StartupConfig {
         name: told("GW_NAME", "name")?.0,
-        listen: address("GW_LISTEN", "listen")?,
-        discovery: address("GW_DISCOVERY", "discovery")?,
-        level,
+        listen_address: address("GW_LISTEN", "listen")?,
+        discovery_address: address("GW_DISCOVERY", "discovery")?,
+        log_level: level,
         max_clients: most as usize - most_links,
         max_buffers,
-        most_links,
+        max_node_connections: most_links,
         deployment,
         unsupported_setting,
         bounds: bounds(&settings)?,
-        known: config.maybe("known", "a list of nodes", Some)?.cloned().unwrap_or(Value::Null),
+        configured_endpoints: config.maybe("known", "a list of nodes", Some)?.cloned().unwrap_or(Value::Null),
         operator: Operator::default(),
     })
 }
--- a/crates/dunepond-broker/src/config_reload.rs
+++ b/crates/dunepond-broker/src/config_reload.rs
@@ -12,7 +12,7 @@
 /// A reloaded configuration, or why it is invalid.
 pub struct LoadedConfig {
     /// The configuration.
-    pub start: Result<StartupConfig, Bad>,
+    pub startup: Result<StartupConfig, Bad>,
     /// The operator's file, where there is one.
     pub operator: Option<Result<Operator, Bad>>,
 }
@@ -20,30 +20,30 @@
 /// Reloads the configuration, one reload at a time.
 pub struct ConfigReloader {
     sender: Sender<Box<LoadedConfig>>,
-    operator: Option<PathBuf>,
+    operator_file: Option<PathBuf>,
     is_reading: bool,
     /// Another reload was requested while one ran, which may have read the old files.
-    again: bool,
+    read_again: bool,
 }
 
 impl ConfigReloader {
     /// `operator`: path of the operator's file, if there is one. What was read goes to `sender`.
-    pub fn new(sender: Sender<Box<LoadedConfig>>, operator: Option<PathBuf>) -> Self {
-        Self { sender, operator, is_reading: false, again: false }
+    pub fn new(sender: Sender<Box<LoadedConfig>>, operator_file: Option<PathBuf>) -> Self {
+        Self { sender, operator_file, is_reading: false, read_again: false }
     }
 
     /// Starts a reload and returns `true`; if one is running, another follows it and this returns `false`.
-    pub fn read(&mut self) -> io::Result<bool> {
+    pub fn start_read(&mut self) -> io::Result<bool> {
         if self.is_reading {
-            self.again = true;
+            self.read_again = true;
             return Ok(false);
         }
-        let (sender, operator) = (self.sender.clone(), self.operator.clone());
+        let (sender, operator) = (self.sender.clone(), self.operator_file.clone());
         let read = move || {
-            let start = config::reread(|name| std::env::var(name).ok());
-            let operator = operator.as_deref().map(config::operator);
+            let start = config::reload(|name| std::env::var(name).ok());
+            let operator = operator.as_deref().map(config::read_operator_file);
             // The send fails only if the broker has ended.
-            let _ = sender.send(Box::new(LoadedConfig { start, operator }));
+            let _ = sender.send(Box::new(LoadedConfig { startup: start, operator }));
         };
         thread::Builder::new().name("reread".to_string()).spawn(read)?;
         self.is_reading = true;
@@ -53,6 +53,6 @@
     /// A reload has ended; returns whether another one is to be started.
     pub fn take_read_again(&mut self) -> bool {
         self.is_reading = false;
-        std::mem::take(&mut self.again)
+        std::mem::take(&mut self.read_again)
     }
 }
--- a/crates/dunepond-broker/src/control_plane/endpoints.rs
+++ b/crates/dunepond-broker/src/control_plane/endpoints.rs
@@ -23,14 +23,14 @@
         for row in &endpoints {
             self.insert(row, zone_name(row.endpoint.zone));
         }
-        self.gate.hand.set_listed_nodes(self.listed_nodes());
-        self.gate.hand.set_started_nodes(self.started_nodes(now));
+        self.gate.control.set_listed_nodes(self.listed_nodes());
+        self.gate.control.set_started_nodes(self.started_nodes(now));
         endpoints.into_iter().map(|row| self.apply_exclusion(row)).collect()
     }
 
     fn insert(&mut self, row: &EndpointRow, zone: String) {
         let node = row.endpoint.node;
-        self.node_by_name.insert(row.info.host.clone(), node);
+        self.node_by_name.insert(row.info.name.clone(), node);
         if self.partner_by_node.len() <= node {
             self.partner_by_node.resize(node + 1, None);
         }
@@ -41,15 +41,15 @@
 
     /// Nodes that are active or draining.
     fn present(&self) -> impl Iterator<Item = &EndpointRow> {
-        self.endpoints.values().filter(|row| row.info.standing != EndpointState::Removed)
+        self.endpoints.values().filter(|row| row.info.state != EndpointState::Removed)
     }
 
     fn listed_nodes(&self) -> Vec<Node> {
         let nodes = self.present().map(|row| Node {
-            name: row.info.host.clone(),
+            name: row.info.name.clone(),
             zone: self.zone_by_node.get(&row.endpoint.node).cloned().unwrap_or_default(),
             partner: self.partner_name(row.endpoint.node),
-            draining: row.info.standing == EndpointState::Draining,
+            draining: row.info.state == EndpointState::Draining,
         });
         nodes.collect()
     }
@@ -57,12 +57,12 @@
     /// Nodes in slow start. `now` is Unix time; the start of each is returned on the monotonic clock.
     fn started_nodes(&self, now: f64) -> Vec<StartedNode> {
         let is_cold =
-            |info: &EndpointInfo| info.started > 0.0 && now < info.started + self.slow_start_seconds;
+            |info: &EndpointInfo| info.started_at > 0.0 && now < info.started_at + self.slow_start_seconds;
         let cold = self.present().map(|row| &row.info).filter(|info| is_cold(info));
         let started = cold.map(|info| StartedNode {
-            node: info.host.clone(),
-            incarnation: (info.started * 1000.0).round() as u64,
-            started_at: monotonic_seconds() - (now - info.started),
+            node: info.name.clone(),
+            incarnation: (info.started_at * 1000.0).round() as u64,
+            started_at: monotonic_seconds() - (now - info.started_at),
         });
         started.collect()
     }
@@ -70,11 +70,11 @@
     /// Applies the active configuration to a row: an excluded node drains, whatever discovery says.
     pub(super) fn apply_exclusion(&self, mut row: EndpointRow) -> EndpointRow {
         let is_excluded =
-            self.last_applied.as_ref().is_some_and(|applied| applied.config.is_excluded(&row.info.host));
-        if is_excluded && row.info.standing == EndpointState::Active {
-            info!("fleet: node {} is drained by the active configuration", row.info.host);
+            self.last_applied.as_ref().is_some_and(|applied| applied.config.is_excluded(&row.info.name));
+        if is_excluded && row.info.state == EndpointState::Active {
+            info!("fleet: node {} is drained by the active configuration", row.info.name);
             row.endpoint.state = EndpointState::Draining;
-            row.info.standing = EndpointState::Draining;
+            row.info.state = EndpointState::Draining;
         }
         row
     }
--- a/crates/dunepond-broker/src/control_plane/fence.rs
+++ b/crates/dunepond-broker/src/control_plane/fence.rs
@@ -55,7 +55,7 @@
     }
 
     /// The outcome reported to the router; `None` if the attempt continues.
-    pub fn end(self) -> Option<AttemptOutcome> {
+    pub fn outcome(self) -> Option<AttemptOutcome> {
         match self {
             Self::Returned => Some(AttemptOutcome::NotSent),
             Self::Aborted => Some(AttemptOutcome::ConnectFailed),
--- a/crates/dunepond-broker/src/control_plane/fence/tests/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/fence/tests/mod.rs
@@ -27,7 +27,7 @@
     let fence_action = fence_action(stage, Idempotency::NonIdempotent, side);
     assert_eq!(fence_action.never_ran(), !may_have_run(stage), "{stage:?}");
     assert_ne!(fence_action, FenceAction::Allowed, "{stage:?}: nobody owns it while the fence is down");
-    assert_eq!(fence_action.end().is_some(), fence_action.never_ran());
+    assert_eq!(fence_action.outcome().is_some(), fence_action.never_ran());
 }
 
 #[test]
--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -16,32 +16,32 @@
 
 /// The active configuration at a query's start; the query keeps to it until its end.
 pub struct QueryStart {
-    acting: Arc<ActiveConfig>,
+    config: Arc<ActiveConfig>,
     /// Seconds on the monotonic clock.
-    at: f64,
+    began_at: f64,
 }
 
 impl QueryStart {
     /// The node that may run non-idempotent parts of a segment.
     pub fn owner(&self, seg: usize) -> SegmentOwner<'_> {
-        self.acting.owner(seg as u64, self.at)
+        self.config.owner(seg as u64, self.began_at)
     }
 
     /// The map under which its parts have to cover its keys.
     pub fn map(&self) -> Option<&VerifiedMap> {
-        self.acting.map(self.at)
+        self.config.map(self.began_at)
     }
 
     /// Longest Retry-After that a rejection may name, in seconds.
-    pub fn longest_wait(&self) -> f64 {
-        self.acting.rules(self.at).map_or(f64::INFINITY, |rules| rules.max_retry_after_seconds)
+    pub fn max_retry_after(&self) -> f64 {
+        self.config.rules(self.began_at).map_or(f64::INFINITY, |rules| rules.max_retry_after_seconds)
     }
 }
 
 /// The active configuration at one moment: an action is checked by it, carried out at once and audited by it.
 pub struct CheckedConfig {
-    acting: Arc<ActiveConfig>,
-    at: f64,
+    config: Arc<ActiveConfig>,
+    checked_at: f64,
 }
 
 /// A stream that refuses writes once the check that allowed them is older than [`MAX_ACTION_DELAY_SECONDS`]: a process that
@@ -50,7 +50,7 @@
     /// What is written to.
     pub stream: S,
     /// The check that allowed the write; `None` where none is needed.
-    pub look: Option<&'a CheckedConfig>,
+    pub checked: Option<&'a CheckedConfig>,
 }
 
 /// The process stalled between the check and the write.
@@ -59,20 +59,21 @@
 pub struct StaleCheck;
 
 impl<S: Write> FreshWriter<'_, S> {
-    fn check(&self) -> io::Result<()> {
-        let late = self.look.is_some_and(|look| monotonic_seconds() > look.at + MAX_ACTION_DELAY_SECONDS);
+    fn ensure_fresh(&self) -> io::Result<()> {
+        let late =
+            self.checked.is_some_and(|look| monotonic_seconds() > look.checked_at + MAX_ACTION_DELAY_SECONDS);
         if late { Err(io::Error::other(StaleCheck)) } else { Ok(()) }
     }
 }
 
 impl<S: Write> Write for FreshWriter<'_, S> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.check()?;
+        self.ensure_fresh()?;
         self.stream.write(bytes)
     }
 
     fn write_vectored(&mut self, slices: &[IoSlice<'_>]) -> io::Result<usize> {
-        self.check()?;
+        self.ensure_fresh()?;
         self.stream.write_vectored(slices)
     }
 
@@ -84,19 +85,19 @@
 /// Decides whether an attempt may be sent; shared by the router host and the connections to nodes.
 pub struct Gate {
     /// The control plane's thread.
-    pub hand: ControlHandle,
+    pub control: ControlHandle,
     watch: RefCell<ActiveConfigWatch>,
-    repeats: Vec<Idempotency>,
+    idempotency: Vec<Idempotency>,
 }
 
 impl Gate {
     /// `repeats`: the idempotency of each query class.
-    pub fn new(hand: ControlHandle, repeats: Vec<Idempotency>) -> Self {
-        Self { watch: hand.watch().into(), hand, repeats }
+    pub fn new(control: ControlHandle, idempotency: Vec<Idempotency>) -> Self {
+        Self { watch: control.watch().into(), control, idempotency }
     }
 
     /// The active configuration now.
-    pub fn acting(&self) -> Arc<ActiveConfig> {
+    pub fn active_config(&self) -> Arc<ActiveConfig> {
         self.watch.borrow_mut().current().clone()
     }
 
@@ -106,15 +107,15 @@
     }
 
     /// Records the active configuration for a query that begins now.
-    pub fn begin(&self) -> Rc<QueryStart> {
+    pub fn begin_query(&self) -> Rc<QueryStart> {
         // The configuration is read before the clock: otherwise a lease that came in between would be later than its query.
-        let acting = self.acting();
-        Rc::new(QueryStart { acting, at: monotonic_seconds() })
+        let acting = self.active_config();
+        Rc::new(QueryStart { config: acting, began_at: monotonic_seconds() })
     }
 
     /// Parts of this query class must not run twice.
-    pub fn once(&self, table_type: usize) -> bool {
-        self.repeats.get(table_type) == Some(&Idempotency::NonIdempotent)
+    pub fn is_non_idempotent(&self, table_type: usize) -> bool {
+        self.idempotency.get(table_type) == Some(&Idempotency::NonIdempotent)
     }
 
     /// What becomes of an attempt at a node that may not run it any more, by how far it had come.
@@ -126,27 +127,28 @@
         seg: usize,
         node: &str,
     ) -> FenceAction {
-        let to = look.acting.map_transition().map(|moving| moving.to());
+        let to = look.config.map_transition().map(|moving| moving.to());
         let new = to.and_then(|to| to.segment(seg as u64)).is_some_and(|segment| segment.owner == node);
-        let effect = self.repeats.get(table_type).copied().unwrap_or(Idempotency::Idempotent);
+        let effect = self.idempotency.get(table_type).copied().unwrap_or(Idempotency::Idempotent);
         fence::fence_action(stage, effect, if new { OwnerSide::New } else { OwnerSide::Old })
     }
 
     /// Parts of this query class may run twice inside a window.
     pub fn is_keyed(&self, table_type: usize) -> bool {
-        matches!(self.repeats.get(table_type), Some(Idempotency::Keyed(_)))
+        matches!(self.idempotency.get(table_type), Some(Idempotency::Keyed(_)))
     }
 
     /// The active configuration with the time of this check, for an action that follows at once.
-    pub fn look(&self) -> CheckedConfig {
+    pub fn check(&self) -> CheckedConfig {
         // The clock is read last, so that a lease that expires during a stall in between counts as expired.
-        let acting = self.acting();
-        CheckedConfig { acting, at: monotonic_seconds() }
+        let acting = self.active_config();
+        CheckedConfig { config: acting, checked_at: monotonic_seconds() }
     }
 
     /// Whether a part may be sent to a node now, by the configuration at its query's start and by the active one.
     pub fn may_send(&self, began: Option<&QueryStart>, table_type: usize, seg: usize, node: &str) -> bool {
-        !self.once(table_type) || self.may_send_under(&self.look(), began, table_type, seg, node)
+        !self.is_non_idempotent(table_type)
+            || self.may_send_under(&self.check(), began, table_type, seg, node)
     }
 
     /// As `may_send`, by a check that was made before.
@@ -158,7 +160,7 @@
         seg: usize,
         node: &str,
     ) -> bool {
-        if !self.once(table_type) {
+        if !self.is_non_idempotent(table_type) {
             return true;
         }
         let allows = |owner: SegmentOwner| match owner {
@@ -168,10 +170,10 @@
         };
         // The same configuration gives the same verdict, unless a lease began or expired in between.
         let same = |began: &QueryStart| {
-            Arc::ptr_eq(&began.acting, &look.acting)
-                && began.acting.lease_valid(began.at) == look.acting.lease_valid(look.at)
+            Arc::ptr_eq(&began.config, &look.config)
+                && began.config.lease_valid(began.began_at) == look.config.lease_valid(look.checked_at)
         };
-        allows(look.acting.owner(seg as u64, look.at))
+        allows(look.config.owner(seg as u64, look.checked_at))
             && began.is_none_or(|began| same(began) || allows(began.owner(seg)))
     }
 
@@ -179,15 +181,15 @@
     pub fn may_retry_keyed(&self, began: &QueryStart) -> bool {
         let allows =
             |acting: &ActiveConfig, at| acting.rules(at).is_none_or(|rules| rules.keyed_retries_enabled);
-        allows(&began.acting, began.at) && allows(&self.acting(), monotonic_seconds())
+        allows(&began.config, began.began_at) && allows(&self.active_config(), monotonic_seconds())
     }
 
     /// The active map's epoch, if that map has other keys for a segment than the one at the query's start.
-    pub fn moved(&self, began: &QueryStart, seg: usize) -> Option<u64> {
-        if self.is_current(&began.acting) {
+    pub fn moved_epoch(&self, began: &QueryStart, seg: usize) -> Option<u64> {
+        if self.is_current(&began.config) {
             return None;
         }
-        let acting = self.acting();
+        let acting = self.active_config();
         let (then, now) = (began.map()?, acting.map(monotonic_seconds())?);
         if then.epoch() == now.epoch() {
             return None;
@@ -198,7 +200,7 @@
 
     /// Audits an attempt whose frame has been handed to its connection. `id`: request id and segment; `look`: the check that
     /// allowed it.
-    pub fn sent(
+    pub fn audit_sent(
         &self,
         look: &CheckedConfig,
         began: Option<&QueryStart>,
@@ -209,9 +211,9 @@
     ) {
         let (seg, shot) = part;
         let act = || {
-            let (mut word, mut numbers) = audit_phase(&look.acting, look.at);
+            let (mut word, mut numbers) = audit_phase(&look.config, look.checked_at);
             if let Some(began) = began {
-                let (then, before) = audit_phase(&began.acting, began.at);
+                let (then, before) = audit_phase(&began.config, began.began_at);
                 numbers.extend(before);
                 // The stricter phase is obeyed.
                 if then == AuditPhase::Joint && word == AuditPhase::Active {
@@ -225,18 +227,18 @@
                 segment_id: seg as u64,
                 node: node.to_string(),
                 attempt: shot as u64,
-                non_idempotent: self.once(table_type),
+                non_idempotent: self.is_non_idempotent(table_type),
                 phase: word,
                 versions: numbers,
             }
         };
-        self.hand.audit_at(look.at, act);
+        self.control.audit_at(look.checked_at, act);
     }
 }
 
 /// Verifies that the answered parts cover all keys of a query, each exactly once and under one map. `moved`: parts that were sent under
 /// another map's keys, with its epoch. Returns the map's epoch, or why the answer is incomplete.
-pub fn proved(
+pub fn verify_answer(
     proof: &VerifiedMap,
     segs: &[usize],
     is_in: impl Fn(usize) -> bool,
--- a/crates/dunepond-broker/src/control_plane/gate/tests/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/gate/tests/mod.rs
@@ -6,9 +6,9 @@
 #[test]
 fn stale_check_blocks_write() {
     let acting = Arc::new(ActiveConfig::unleased());
-    let look = |ago| CheckedConfig { acting: acting.clone(), at: monotonic_seconds() - ago };
+    let look = |ago| CheckedConfig { config: acting.clone(), checked_at: monotonic_seconds() - ago };
     let (fresh, old) = (look(0.0), look(2.0 * MAX_ACTION_DELAY_SECONDS));
-    let write = |look| FreshWriter { stream: Vec::new(), look }.write(b"x");
+    let write = |look| FreshWriter { stream: Vec::new(), checked: look }.write(b"x");
     assert_eq!(write(Some(&fresh)).unwrap(), 1);
     assert_eq!(write(None).unwrap(), 1);
     assert!(write(Some(&old)).unwrap_err().get_ref().is_some_and(|e| e.is::<StaleCheck>()));
@@ -47,7 +47,7 @@
     #[case] moved: &[(usize, u64)],
     #[case] epoch: Option<u64>,
 ) {
-    assert_eq!(proved(&proof(), segs, |at| is_in[at], moved).ok(), epoch);
+    assert_eq!(verify_answer(&proof(), segs, |at| is_in[at], moved).ok(), epoch);
     // The short way says what the long one would.
     assert_eq!(prove_by_keys(&proof(), segs, is_in, moved).ok(), epoch);
 }
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -18,7 +18,7 @@
 use dunepond_routing::{EndpointState, NodeId, Query, QuotaDemand, QuotaShares, Rules};
 use tracing::info;
 
-pub use gate::{CheckedConfig, FreshWriter, Gate, QueryStart, StaleCheck, proved};
+pub use gate::{CheckedConfig, FreshWriter, Gate, QueryStart, StaleCheck, verify_answer};
 pub use startup::check;
 
 use crate::endpoint::EndpointRow;
@@ -82,7 +82,7 @@
 impl ControlPlaneClient {
     /// Reports whether the nodes are overloaded, with the next lease request.
     pub fn set_overloaded(&self, overloaded: bool) {
-        self.gate.hand.set_overloaded(overloaded);
+        self.gate.control.set_overloaded(overloaded);
     }
 
     /// What the active configuration changed since the last call. Called before each event: a process that stalled must not act on
@@ -91,7 +91,7 @@
         if self.last_applied.as_ref().is_some_and(|applied| self.is_unchanged(applied)) {
             return None;
         }
-        let config = self.gate.acting();
+        let config = self.gate.active_config();
         let now = monotonic_seconds();
         let lease_was_valid = config.lease_valid(now);
         let rules = config.rules(now).map_or_else(
@@ -119,8 +119,8 @@
     /// Rows of nodes that only one of the two configurations excludes.
     fn endpoints_changed_since(&self, before: &ActiveConfig, now: &ActiveConfig) -> Vec<EndpointRow> {
         let has_changed = |row: &&EndpointRow| {
-            let host = &row.info.host;
-            row.info.standing != EndpointState::Removed && before.is_excluded(host) != now.is_excluded(host)
+            let host = &row.info.name;
+            row.info.state != EndpointState::Removed && before.is_excluded(host) != now.is_excluded(host)
         };
         let changed = self.endpoints.values().filter(has_changed);
         changed.map(|row| self.apply_exclusion(row.clone())).collect()
@@ -148,8 +148,8 @@
     /// The active configuration at the start of a query. Each part of a non-idempotent query is assigned to its owner; if one has
     /// none, the query is to be rejected.
     pub fn assign_owners(&self, query: &mut Query) -> Result<Rc<QueryStart>, NoOwner> {
-        let began = self.gate.begin();
-        if !self.gate.once(query.class) {
+        let began = self.gate.begin_query();
+        if !self.gate.is_non_idempotent(query.class) {
             return Ok(began);
         }
         for part in &mut query.parts {
@@ -164,7 +164,7 @@
                 },
                 SegmentOwner::Unavailable(retry_after) => (retry_after, "nobody may have it for now"),
             };
-            let retry_after = retry_after.min(began.longest_wait());
+            let retry_after = retry_after.min(began.max_retry_after());
             return Err(NoOwner { began, retry_after, reason });
         }
         Ok(began)
@@ -174,16 +174,16 @@
     pub fn record_carried(&self, node: NodeId, tenant: usize, bytes: usize) {
         let debtor = self.partner_by_tenant.get(tenant).copied().flatten();
         if let (Some(carrier), Some(debtor)) = (self.partner_of(node), debtor) {
-            self.gate.hand.record_carried(carrier, debtor, bytes as u64);
+            self.gate.control.record_carried(carrier, debtor, bytes as u64);
         }
     }
 
     /// Applies a reloaded operator's file. Returns whether it changed anything that takes effect only after a restart.
     pub fn reload(&mut self, config: Option<&operator::Fleet>) -> bool {
         let version = config.and_then(|config| config.version.clone());
-        self.gate.hand.reload_version(version.clone());
+        self.gate.control.reload_version(version.clone());
         let plan = config.and_then(|config| config.moves.as_ref()).map(|moves| moves.plan.clone());
-        self.gate.hand.reload_plan(plan);
+        self.gate.control.reload_plan(plan);
         let is_same = config.is_some_and(|config| without_paths(config) == without_paths(&self.config));
         self.config.version = version;
         !is_same
@@ -191,7 +191,7 @@
 
     /// Logs the counters.
     pub fn report_counters(&self) {
-        info!(fleet = self.gate.hand.summary(), "fleet counters");
+        info!(fleet = self.gate.control.summary(), "fleet counters");
     }
 
     /// Stops the thread, and waits for its end.
--- a/crates/dunepond-broker/src/control_plane/quotas.rs
+++ b/crates/dunepond-broker/src/control_plane/quotas.rs
@@ -109,7 +109,7 @@
 
     /// This broker's shares, if they changed since the last call, be it that a lease expired while the process stalled.
     pub fn poll_shares(&mut self, gate: &Gate, now: f64) -> Option<QuotaShares> {
-        let config = gate.acting();
+        let config = gate.active_config();
         let applied = AppliedQuotas {
             lease_was_valid: config.lease_valid(now),
             was_settling: now < self.local.started_at + self.local.window_seconds,
@@ -152,13 +152,13 @@
         }
         self.last_sample_at = now;
         let samples = self.take_samples(seconds, &demand(seconds));
-        let config = gate.acting();
+        let config = gate.active_config();
         for Sample { quota, used, refused } in samples {
             let share = self.share(&config, &quota, now);
             self.demand.entry(quota).or_default().record_sample(used, refused, share);
         }
         let units = self.demand.iter().map(|(quota, demand)| (quota.clone(), demand.units()));
-        gate.hand.set_demand(units.collect());
+        gate.control.set_demand(units.collect());
     }
 
     /// What was used in so many seconds of each shared quota; tenants' arrivals are counted anew.
--- a/crates/dunepond-broker/src/control_plane/startup.rs
+++ b/crates/dunepond-broker/src/control_plane/startup.rs
@@ -144,7 +144,7 @@
     let (sender, changes) = channel();
     let inserted = handle.insert_source(changes, |event, _, iteration: &mut Iteration| {
         if let channel::Event::Msg(()) = event {
-            iteration.ready.push_back(LoopEvent::ControlPlaneChanged);
+            iteration.events.push_back(LoopEvent::ControlPlaneChanged);
         }
     });
     inserted.map_err(|e| Bad(format!("fleet: {}", e.error)))?;
--- a/crates/dunepond-broker/src/discovery/list.rs
+++ b/crates/dunepond-broker/src/discovery/list.rs
@@ -92,7 +92,13 @@
         let host = host.to_string();
         Ok(EndpointRow {
             endpoint: Endpoint { node, replica_group: cell, zone, state: standing, started_at: started },
-            info: EndpointInfo { host, dial, cell, started, standing },
+            info: EndpointInfo {
+                name: host,
+                address: dial,
+                replica_group: cell,
+                started_at: started,
+                state: standing,
+            },
         })
     }
 
--- a/crates/dunepond-broker/src/discovery/mod.rs
+++ b/crates/dunepond-broker/src/discovery/mod.rs
@@ -117,7 +117,7 @@
         if address != self.address {
             info!("discovery: agent changed from {} to {address}", self.address);
             self.calls.drain(..).for_each(|call| self.handle.remove(call.token));
-            timers.unset(self.timer.take());
+            timers.cancel(self.timer.take());
             self.address = address;
             self.list.version = None;
             self.backoff = BACKOFF_RANGE_SECONDS.0;
@@ -142,9 +142,9 @@
         call.is_watch = watch_from.is_some();
         call.response_due_at = now + wait_milliseconds as f64 / 1000.0;
         call.write_queue.put(&http::get(&path, &self.address.to_string()));
-        timers.unset(self.timer.take());
+        timers.cancel(self.timer.take());
         let overdue_at = call.response_due_at + RESPONSE_OVERDUE_SECONDS;
-        self.timer = Some(timers.set(overdue_at, TimerEvent::Discovery));
+        self.timer = Some(timers.schedule(overdue_at, TimerEvent::Discovery));
         self.write(now, at, timers);
     }
 
@@ -198,8 +198,8 @@
         warn!("discovery {}: connection {reason}; keeping the last endpoint list", self.address);
         self.reset_index_without_watch();
         if self.calls.is_empty() || self.timer.is_none() {
-            timers.unset(self.timer.take());
-            self.timer = Some(timers.set(now + self.backoff, TimerEvent::Discovery));
+            timers.cancel(self.timer.take());
+            self.timer = Some(timers.schedule(now + self.backoff, TimerEvent::Discovery));
             // A local lack of descriptors is no failure of the agent.
             if reason != ConnectionEnd::DescriptorsExhausted {
                 self.backoff = (2.0 * self.backoff).min(BACKOFF_RANGE_SECONDS.1);
@@ -291,9 +291,9 @@
             // The agent closes this connection; the watch continues on another one.
             self.handle.remove(answered.token);
         }
-        timers.unset(self.timer.take());
+        timers.cancel(self.timer.take());
         let next_request_at = now.max(self.last_request_at + MIN_REQUEST_INTERVAL_SECONDS);
-        self.timer = Some(timers.set(next_request_at, TimerEvent::Discovery));
+        self.timer = Some(timers.schedule(next_request_at, TimerEvent::Discovery));
         update
     }
 
--- a/crates/dunepond-broker/src/downstream/accept.rs
+++ b/crates/dunepond-broker/src/downstream/accept.rs
@@ -42,7 +42,7 @@
         let listener = Rc::new(listener);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
         let token = self.handle.insert_source(source, move |_, _, turn| {
-            turn.ready.push_back(LoopEvent::Accept(api));
+            turn.events.push_back(LoopEvent::Accept(api));
             Ok(PostAction::Continue)
         });
         self.listeners.push(Listener {
@@ -146,14 +146,14 @@
             self.paused = self.listeners.iter().all(|door| self.handle.disable(&door.token).is_ok());
         }
         if let Some(until) = until {
-            timers.set(until, TimerEvent::ResumeAccept);
+            timers.schedule(until, TimerEvent::ResumeAccept);
         }
     }
 
     /// Accepting may go on; not at once, as this may run in the listener's own callback.
     pub(super) fn make_room(&self, timers: &mut Timers) {
         if self.paused {
-            timers.set(0.0, TimerEvent::ResumeAccept);
+            timers.schedule(0.0, TimerEvent::ResumeAccept);
         }
     }
 
--- a/crates/dunepond-broker/src/downstream/read.rs
+++ b/crates/dunepond-broker/src/downstream/read.rs
@@ -73,7 +73,7 @@
             }
             if reads == MAX_READS_PER_TURN {
                 self.connections[id].more = true;
-                timers.set(now + RESUME_READING_SECONDS, TimerEvent::ClientResume(id));
+                timers.schedule(now + RESUME_READING_SECONDS, TimerEvent::ClientResume(id));
                 return ClientEvent::Nothing;
             }
             reads += 1;
@@ -137,7 +137,7 @@
         let client = &mut self.connections[id];
         if client.readable && !client.more && room {
             client.more = true;
-            timers.set(now + RESUME_READING_SECONDS, TimerEvent::ClientResume(id));
+            timers.schedule(now + RESUME_READING_SECONDS, TimerEvent::ClientResume(id));
         }
     }
 
--- a/crates/dunepond-broker/src/downstream/timeouts.rs
+++ b/crates/dunepond-broker/src/downstream/timeouts.rs
@@ -29,14 +29,14 @@
 
     pub(super) fn set(&mut self, id: usize, at: f64, timers: &mut Timers) -> TimerKey {
         self.clear_timer(id, timers);
-        let key = timers.set(at, TimerEvent::ClientTimeout(id));
+        let key = timers.schedule(at, TimerEvent::ClientTimeout(id));
         self.connections[id].timer = Some(key);
         key
     }
 
     pub(super) fn clear_timer(&mut self, id: usize, timers: &mut Timers) {
         if let Some(key) = self.connections.get_mut(id).and_then(|c| c.timer.take()) {
-            timers.unset(Some(key));
+            timers.cancel(Some(key));
             self.awaiting_request.remove(&key);
             self.idle.remove(&key);
             self.lingering.remove(&key);
--- a/crates/dunepond-broker/src/endpoint.rs
+++ b/crates/dunepond-broker/src/endpoint.rs
@@ -17,13 +17,13 @@
 #[derive(Clone)]
 pub struct EndpointInfo {
     /// The node's name.
-    pub host: String,
+    pub name: String,
     /// Its address; `None` only if it is removed.
-    pub dial: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// Its replica group.
-    pub cell: usize,
+    pub replica_group: usize,
     /// When its process started, in Unix seconds; 0 if unknown.
-    pub started: f64,
+    pub started_at: f64,
     /// Whether it is active, draining or removed.
-    pub standing: EndpointState,
+    pub state: EndpointState,
 }
--- a/crates/dunepond-broker/src/event_loop/background.rs
+++ b/crates/dunepond-broker/src/event_loop/background.rs
@@ -13,7 +13,7 @@
 const AUDIT_JOB: &str = "audit";
 const AUDIT_EXPIRY_SECONDS: f64 = 5.0;
 
-fn audit(now: f64) -> Spec {
+fn audit_job_spec(now: f64) -> Spec {
     Spec {
         name: AUDIT_JOB,
         priority: Priority::Idle,
@@ -36,11 +36,11 @@
     }
 
     /// Runs background jobs: blocking ones on the thread pool, steps if the loop has nothing else to do.
-    pub(super) fn work(&mut self, idle: bool) {
+    pub(super) fn run_background_jobs(&mut self, idle: bool) {
         let now = self.router_host.now;
-        if !self.audit && self.prefilter.as_ref().is_some_and(PrefilterHost::has_audits) {
-            self.audit = true;
-            self.background.add(now, audit(now));
+        if !self.audit_scheduled && self.prefilter.as_ref().is_some_and(PrefilterHost::has_audits) {
+            self.audit_scheduled = true;
+            self.background.add(now, audit_job_spec(now));
         }
         while let Some(submitted) = self.background.next(now, idle) {
             if submitted.kind == Kind::Blocking {
@@ -64,26 +64,26 @@
                     outcome = Outcome::More;
                 }
             }
-            self.audit = outcome == Outcome::More;
-            self.settle();
+            self.audit_scheduled = outcome == Outcome::More;
+            self.process_pending();
             self.background.on_step_done(now, submitted.id, outcome, began.elapsed().as_secs_f64());
         }
         for (id, name) in self.background.dropped() {
             debug!("background job {name} dropped");
-            self.audit &= name != AUDIT_JOB;
+            self.audit_scheduled &= name != AUDIT_JOB;
             if let Some(persistence) = &mut self.persistence {
                 persistence.on_job_ended(now, id, false, &mut self.background);
             }
         }
-        self.background.arm(now, &mut self.router_host.timers);
+        self.background.schedule_timer(now, &mut self.router_host.timers);
     }
 
-    pub(super) fn report(&mut self) {
+    pub(super) fn report_counters(&mut self) {
         let now = self.router_host.now;
         if let Some(every) = self.operator.counters_every {
-            self.router_host.timers.set(now + every, TimerEvent::Counters);
+            self.router_host.timers.schedule(now + every, TimerEvent::Counters);
             let copied = self.router_host.upstream.copied;
-            self.router_host.report(copied);
+            self.router_host.report_body_counters(copied);
             if let Some(prefilter) = &self.prefilter {
                 prefilter.report(now);
             }
--- a/crates/dunepond-broker/src/event_loop/disconnects.rs
+++ b/crates/dunepond-broker/src/event_loop/disconnects.rs
@@ -10,16 +10,16 @@
     /// retries that nobody waits for any more.
     pub(super) fn detect_disconnects(&mut self, turn: &Iteration) {
         let now = self.router_host.now;
-        for ready in &turn.ready {
+        for ready in &turn.events {
             if let LoopEvent::ClientReady(id, true) = ready {
                 self.router_host.downstream.check_while_waiting(now, *id);
             }
         }
-        self.let_go();
+        self.end_disconnected_queries();
     }
 
     /// Ends the queries of clients that were found disconnected.
-    pub(super) fn let_go(&mut self) {
+    pub(super) fn end_disconnected_queries(&mut self) {
         while let Some(held) = self.router_host.downstream.next_disconnected(&mut self.router_host.timers) {
             held.into_iter().for_each(|query| self.client_disconnected(query));
         }
@@ -27,7 +27,7 @@
 
     pub(super) fn client_disconnected(&mut self, held: QueryId) {
         for query in self.router_host.queries_of(held) {
-            self.router_host.left(query);
+            self.router_host.conclude_disconnected(query);
             self.router.on_client_disconnect(&mut self.router_host, query);
         }
     }
--- a/crates/dunepond-broker/src/event_loop/endpoints.rs
+++ b/crates/dunepond-broker/src/event_loop/endpoints.rs
@@ -26,22 +26,22 @@
     pub(super) fn discovery_ready(&mut self, readable: bool) {
         let now = self.tick();
         for update in self.discovery.on_ready(now, readable, &mut self.router_host.timers) {
-            if self.known.take().is_some() {
+            if self.configured_endpoints.take().is_some() {
                 self.accept_backlog();
             }
-            self.listed(update);
+            self.on_endpoint_update(update);
         }
-        self.settle();
+        self.process_pending();
     }
 
     /// Repeats a call to discovery that found no file descriptor: without it the list would go stale.
     pub(super) fn retry_discovery(&mut self) {
-        if std::mem::take(&mut self.discovery.out_of_descriptors) && self.router_host.make_room() {
+        if std::mem::take(&mut self.discovery.out_of_descriptors) && self.router_host.free_descriptor() {
             self.discovery.start_call(self.router_host.now, &mut self.router_host.timers);
         }
     }
 
-    pub(super) fn listed(&mut self, mut update: EndpointUpdate) {
+    pub(super) fn on_endpoint_update(&mut self, mut update: EndpointUpdate) {
         if let Some(control_plane) = &mut self.router_host.control_plane {
             let zone_name = |zone| self.discovery.zone_name(zone);
             update.endpoints = control_plane.on_endpoint_update(
--- a/crates/dunepond-broker/src/event_loop/lifecycle.rs
+++ b/crates/dunepond-broker/src/event_loop/lifecycle.rs
@@ -14,13 +14,13 @@
     /// Schedules what is due from the start. Accepting waits for the first endpoint list, `max_accept_delay` seconds at most.
     pub(super) fn schedule_startup_timers(&mut self, max_accept_delay: f64) {
         let now = self.tick();
-        self.report();
+        self.report_counters();
         if let Some(persistence) = &self.persistence {
-            self.router_host.timers.set(now + persistence.snapshot_interval(), TimerEvent::Snapshot);
+            self.router_host.timers.schedule(now + persistence.snapshot_interval(), TimerEvent::Snapshot);
         }
-        if self.known.is_some() {
+        if self.configured_endpoints.is_some() {
             // Scheduled first, so that the list is in force before waiting connections are accepted.
-            self.router_host.timers.set(now + FIRST_LIST_TIMEOUT_SECONDS, TimerEvent::FirstListTimeout);
+            self.router_host.timers.schedule(now + FIRST_LIST_TIMEOUT_SECONDS, TimerEvent::FirstListTimeout);
             self.router_host.downstream.hold(
                 now,
                 now + FIRST_LIST_TIMEOUT_SECONDS.min(max_accept_delay),
@@ -36,16 +36,16 @@
         sources: &mut calloop::EventLoop<'static, Iteration>,
     ) -> calloop::Result<()> {
         let mut iteration = Iteration::default();
-        while !(self.over && self.router_host.downstream.count() == 0) {
+        while !(self.listeners_closed && self.router_host.downstream.count() == 0) {
             let next = self.router_host.timers.until_next(self.clock.now());
             let wait = next.map_or(SIGNAL_POLL_INTERVAL, |next| next.min(SIGNAL_POLL_INTERVAL));
             sources.dispatch(wait, &mut iteration)?;
             // No event came, only a timer: idle work delays nobody.
-            let idle = iteration.ready.is_empty();
+            let idle = iteration.events.is_empty();
             self.begin_iteration();
             self.detect_disconnects(&iteration);
-            while let Some(event) = iteration.ready.pop_front() {
-                self.turn(event);
+            while let Some(event) = iteration.events.pop_front() {
+                self.handle_event(event);
             }
             self.run_timers();
             self.end_iteration(idle);
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -38,11 +38,11 @@
     /// `None` if the operator's file names no state folder.
     persistence: Option<Persistence>,
     /// A background job for a prefilter audit is scheduled.
-    audit: bool,
+    audit_scheduled: bool,
     config_reloader: ConfigReloader,
     operator: Operator,
     /// The configured endpoint list, until discovery answers or has been silent for too long.
-    known: Option<EndpointUpdate>,
+    configured_endpoints: Option<EndpointUpdate>,
     /// When this iteration began, and the previous one; the events of this iteration came after the latter.
     iteration_began_at: f64,
     previous_iteration_at: f64,
@@ -50,9 +50,9 @@
     longest_timeout: f64,
     shutdown: Option<Shutdown>,
     /// The last stage of the shutdown that was carried out.
-    stage: ShutdownStage,
+    shutdown_stage: ShutdownStage,
     /// The listeners are closed; the loop ends once no client connection is left.
-    over: bool,
+    listeners_closed: bool,
 }
 
 impl EventLoop {
@@ -79,7 +79,7 @@
     }
 
     /// Handles one event.
-    fn turn(&mut self, ready: LoopEvent) {
+    fn handle_event(&mut self, ready: LoopEvent) {
         match ready {
             LoopEvent::Accept(api) => self.accept(api),
             LoopEvent::ClientReady(id, readable) => self.client_ready(id, readable),
@@ -90,18 +90,18 @@
             LoopEvent::JobFinished(on_job_finished) => self.job_finished(on_job_finished),
             LoopEvent::ControlPlaneChanged => {
                 self.tick();
-                self.settle();
+                self.process_pending();
             }
             LoopEvent::ReloadRequested => self.start_reload(),
-            LoopEvent::ConfigLoaded(configuration) => self.reread(*configuration),
-            LoopEvent::ShutdownRequested => self.told_to_end(),
+            LoopEvent::ConfigLoaded(configuration) => self.apply_reloaded_config(*configuration),
+            LoopEvent::ShutdownRequested => self.begin_shutdown(),
         }
     }
 
     fn accept(&mut self, api: bool) {
         let now = self.tick();
         self.router_host.downstream.accept(now, api, &mut self.router_host.timers);
-        self.settle();
+        self.process_pending();
     }
 
     /// Accepts at once the connections that have waited at the listeners while accepting was paused, so that they can be told from
@@ -117,7 +117,7 @@
         let now = self.tick();
         self.router_host.downstream.ready(now, id, readable, &mut self.router_host.timers);
         self.router_host.downstream.again.push(id);
-        self.settle();
+        self.process_pending();
     }
 
     fn upstream_ready(&mut self, id: usize, readable: bool) {
@@ -125,9 +125,9 @@
         for query in self.router_host.upstream.unsent(id) {
             self.router_host.check_client(query);
         }
-        self.let_go();
+        self.end_disconnected_queries();
         self.router_host.upstream.ready(now, id, readable, &mut self.router_host.timers);
-        self.settle();
+        self.process_pending();
     }
 
     fn prefilter_ready(&mut self, id: usize, readable: bool) {
@@ -135,7 +135,7 @@
         if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
             prefilter_connections.ready(now, id, readable, &mut self.router_host.timers);
         }
-        self.settle();
+        self.process_pending();
     }
 
     fn disk_done(&mut self, done: Done) {
@@ -143,15 +143,15 @@
         if let Some(bodies) = &mut self.router_host.body_store {
             bodies.done(now, done);
         }
-        self.settle();
+        self.process_pending();
     }
 
     /// All events and timers of this iteration have been handled.
     fn end_iteration(&mut self, idle: bool) {
         if let Some(prefilter) = &mut self.prefilter {
             prefilter.end_iteration(&mut self.router, &mut self.router_host);
-            self.settle();
+            self.process_pending();
         }
-        self.work(idle);
+        self.run_background_jobs(idle);
     }
 }
--- a/crates/dunepond-broker/src/event_loop/pending.rs
+++ b/crates/dunepond-broker/src/event_loop/pending.rs
@@ -11,11 +11,11 @@
 impl EventLoop {
     /// Works until nothing is left to do: requests that have been read, orders to be written, and attempts that ended while
     /// the router was in a call, as its calls never nest.
-    pub(super) fn settle(&mut self) {
+    pub(super) fn process_pending(&mut self) {
         loop {
-            self.let_go();
+            self.end_disconnected_queries();
             self.router_host.flush();
-            self.router_host.feed();
+            self.router_host.pump_bodies();
             if !self.process_next() {
                 return;
             }
@@ -34,7 +34,7 @@
         } else if let Some((body, event)) =
             self.router_host.body_store.as_mut().and_then(|bodies| bodies.events.pop_front())
         {
-            self.body(body, event);
+            self.on_body_event(body, event);
         } else if let Some((question, words)) = self
             .router_host
             .prefilter_connections
@@ -44,7 +44,7 @@
             if let Some(prefilter) = &mut self.prefilter {
                 prefilter.told(&mut self.router, &mut self.router_host, question, words);
             }
-        } else if let Some(finished) = self.router_host.concluded.pop() {
+        } else if let Some(finished) = self.router_host.finished_queries.pop() {
             if let Some(prefilter) = &mut self.prefilter {
                 prefilter.over(now, finished.query, finished.completely_answered);
             }
@@ -61,7 +61,7 @@
         if let Some(prefilter) = &mut self.prefilter {
             prefilter.returned(&mut self.router, &mut self.router_host, &back);
         }
-        if let Some(ended) = self.router_host.book(back) {
+        if let Some(ended) = self.router_host.record_attempt_end(back) {
             self.router.on_attempt_ended(&mut self.router_host, ended);
             self.router_host.release_body(query, |query| self.router.needs_body(query));
             self.router_host.release(query);
@@ -71,16 +71,18 @@
     fn read_client(&mut self, now: f64, client: usize) {
         match self.router_host.downstream.next(now, client, &mut self.router_host.timers) {
             ClientEvent::Query(request) => {
-                if let Some(query) = self.router_host.take(client, request) {
-                    self.begin(query);
+                if let Some(query) = self.router_host.register_query(client, request) {
+                    self.start_query(query);
                 }
             }
             ClientEvent::SearchRequest(request) => {
-                for query in self.router_host.request(client, &request) {
-                    self.begin(query);
+                for query in self.router_host.register_search_request(client, &request) {
+                    self.start_query(query);
                 }
             }
-            ClientEvent::StreamedQuery(request, head) => self.router_host.open(client, request, *head),
+            ClientEvent::StreamedQuery(request, head) => {
+                self.router_host.register_streamed_query(client, request, *head)
+            }
             ClientEvent::Disconnected(Some(query)) => self.client_disconnected(query),
             ClientEvent::Disconnected(None) | ClientEvent::Nothing => {}
         }
@@ -98,8 +100,8 @@
         self.discovery.forget(node, host);
     }
 
-    fn begin(&mut self, mut query: Query) {
-        if !self.router_host.admit(&mut query) {
+    fn start_query(&mut self, mut query: Query) {
+        if !self.router_host.check_active_config(&mut query) {
             return;
         }
         match &mut self.prefilter {
@@ -109,21 +111,21 @@
     }
 
     /// A streamed body has been buffered, is passed through, or was lost.
-    fn body(&mut self, body: BodyId, event: BodyEvent) {
+    fn on_body_event(&mut self, body: BodyId, event: BodyEvent) {
         let note = match event {
             BodyEvent::Buffered => None,
             BodyEvent::PassThrough(why) => Some(why),
             BodyEvent::Lost(why) => {
-                if let Some(query) = self.router_host.lost(body, why) {
+                if let Some(query) = self.router_host.on_body_lost(body, why) {
                     self.router.on_body_discarded(&mut self.router_host, query);
                 }
                 let now = self.router_host.now;
                 return self.router_host.upstream.abort_lost_bodies(now, &mut self.router_host.timers);
             }
         };
-        if let Some((query, body)) = self.router_host.begin(body, note) {
+        if let Some((query, body)) = self.router_host.start_streamed_query(body, note) {
             let (id, mut query) = (query.id, query);
-            if self.router_host.admit(&mut query) {
+            if self.router_host.check_active_config(&mut query) {
                 self.router.on_query(&mut self.router_host, query);
             }
             body.begin();
@@ -132,9 +134,9 @@
     }
 
     /// A query's deadline has passed.
-    pub(super) fn scan_ends(&mut self, query: QueryId) {
-        if self.router_host.scan_ends(query) {
-            self.settle();
+    pub(super) fn expire_query(&mut self, query: QueryId) {
+        if self.router_host.expire_attempts(query) {
+            self.process_pending();
             self.router_host.fail_overdue(query);
             self.router.on_client_disconnect(&mut self.router_host, query);
         }
--- a/crates/dunepond-broker/src/event_loop/reload.rs
+++ b/crates/dunepond-broker/src/event_loop/reload.rs
@@ -13,7 +13,7 @@
     /// Starts a reload of the configuration. Discovery's address and the log level take effect at once; the rest is checked, and
     /// takes effect after a restart. An invalid configuration changes nothing.
     pub(super) fn start_reload(&mut self) {
-        match self.config_reloader.read() {
+        match self.config_reloader.start_read() {
             Ok(true) => {}
             Ok(false) => warn!("configuration reload still running; it is repeated afterwards"),
             Err(e) => error!("configuration reload failed, the active one stays: no thread to read it: {e}"),
@@ -21,16 +21,16 @@
     }
 
     /// Applies a configuration that has been reloaded.
-    pub(super) fn reread(&mut self, configuration: LoadedConfig) {
+    pub(super) fn apply_reloaded_config(&mut self, configuration: LoadedConfig) {
         let now = self.tick();
-        match configuration.start {
+        match configuration.startup {
             Ok(start) => {
                 info!("configuration reloaded");
-                logger::set_level(start.level);
+                logger::set_level(start.log_level);
                 // Settings take effect after a restart, but the process's supervisor may use these timeouts already.
                 let timeouts = start.deployment.query_classes.iter().map(|t| t.timeout);
                 self.longest_timeout = self.longest_timeout.min(timeouts.fold(0.0, f64::max));
-                self.discovery.change_agent(now, start.discovery, &mut self.router_host.timers);
+                self.discovery.change_agent(now, start.discovery_address, &mut self.router_host.timers);
                 self.retry_discovery();
             }
             Err(Bad(line)) => error!("configuration reload failed, the active one stays: {line}"),
@@ -47,7 +47,7 @@
         if self.config_reloader.take_read_again() {
             self.start_reload();
         }
-        self.settle();
+        self.process_pending();
     }
 
     /// Applies what can change in a running process; the rest is logged and takes effect after a restart.
@@ -91,7 +91,7 @@
             waits("background");
         }
         if operator.counters_every.is_some() && self.operator.counters_every.is_none() {
-            self.router_host.timers.set(self.router_host.now, TimerEvent::Counters);
+            self.router_host.timers.schedule(self.router_host.now, TimerEvent::Counters);
         }
         info!("operator's file reloaded");
         self.operator = operator;
--- a/crates/dunepond-broker/src/event_loop/setup.rs
+++ b/crates/dunepond-broker/src/event_loop/setup.rs
@@ -55,7 +55,7 @@
 /// Turns signals into events of the loop.
 pub(super) fn watch_signals(handle: &EventLoopHandle, signals: Signals) -> Result<(), Bad> {
     let inserted = handle.insert_source(signals, |event, _, iteration: &mut Iteration| {
-        iteration.ready.push_back(match event.signal() {
+        iteration.events.push_back(match event.signal() {
             Signal::SIGHUP => LoopEvent::ReloadRequested,
             _ => LoopEvent::ShutdownRequested,
         });
--- a/crates/dunepond-broker/src/event_loop/shutdown.rs
+++ b/crates/dunepond-broker/src/event_loop/shutdown.rs
@@ -9,7 +9,7 @@
 impl EventLoop {
     /// Handles SIGTERM or SIGINT, which may have come at any time since the previous iteration began. The stages count from then:
     /// after a stall the kill comes sooner than the time of finding suggests. A second signal changes nothing.
-    pub(super) fn told_to_end(&mut self) {
+    pub(super) fn begin_shutdown(&mut self) {
         let now = self.tick();
         if self.shutdown.is_none() {
             let shutdown = Shutdown::new(self.previous_iteration_at, self.longest_timeout);
@@ -17,36 +17,36 @@
                 "shutdown requested within the last {:.3} s: {} connections, {} queries in flight; last responses due in {:.3} s",
                 now - self.previous_iteration_at,
                 self.router_host.downstream.count(),
-                self.router_host.owed_answers().len(),
+                self.router_host.unanswered_queries().len(),
                 shutdown.last_answers_at() - now
             );
             self.shutdown = Some(shutdown);
             self.router.begin_shutdown(shutdown);
             self.router_host.downstream.leaving = true;
             self.router_host.downstream.until = shutdown.last_answers_at();
-            self.drain();
+            self.run_shutdown_stages();
         }
     }
 
     /// Enters a stage that is due before the events of this iteration, so that its requests are treated by that stage.
     pub(super) fn advance_shutdown(&mut self) {
-        if self.shutdown.is_some_and(|shutdown| shutdown.stage(self.router_host.now) > self.stage) {
-            self.drain();
+        if self.shutdown.is_some_and(|shutdown| shutdown.stage(self.router_host.now) > self.shutdown_stage) {
+            self.run_shutdown_stages();
         }
     }
 
     /// Carries out the stage that the shutdown has reached, with all stages before it, and sets a timer for the next one. After a
     /// stall several stages may come at once.
-    pub(super) fn drain(&mut self) {
+    pub(super) fn run_shutdown_stages(&mut self) {
         let Some(shutdown) = self.shutdown else { return };
         let now = self.router_host.now;
         let stage = shutdown.stage(now);
-        if stage > self.stage {
+        if stage > self.shutdown_stage {
             info!("shutdown: {stage:?}, {} connections", self.router_host.downstream.count());
-            self.stage = stage;
+            self.shutdown_stage = stage;
         }
         if let Some(next) = shutdown.next_stage_at(now) {
-            self.router_host.timers.set(next, TimerEvent::ShutdownStage);
+            self.router_host.timers.schedule(next, TimerEvent::ShutdownStage);
         }
         if stage >= ShutdownStage::ClosingAfterAnswers {
             self.router_host.downstream.close_after_responses();
@@ -54,8 +54,8 @@
         if stage >= ShutdownStage::Refusing {
             // While there is no room to accept all that wait at the listeners, they stay open; see
             // `retry_closing_listeners`.
-            self.over =
-                self.over || self.router_host.downstream.close_listeners(now, &mut self.router_host.timers);
+            self.listeners_closed = self.listeners_closed
+                || self.router_host.downstream.close_listeners(now, &mut self.router_host.timers);
             self.router_host.downstream.close_resting(now, &mut self.router_host.timers);
         }
         if stage >= ShutdownStage::ClosingWithoutRequest {
@@ -63,7 +63,7 @@
         }
         if stage >= ShutdownStage::LastAnswers {
             self.router_host.downstream.read_pending_requests();
-            self.settle();
+            self.process_pending();
             self.expire_queries();
             self.router_host.downstream.expire_pending_requests(now, &mut self.router_host.timers);
         }
@@ -72,17 +72,17 @@
     /// Ends queries that are still unanswered: their timers may be later than the kill, where query timeouts are longer than the
     /// longest counted one.
     fn expire_queries(&mut self) {
-        for query in self.router_host.owed_answers() {
-            self.scan_ends(query);
-            self.settle();
+        for query in self.router_host.unanswered_queries() {
+            self.expire_query(query);
+            self.process_pending();
         }
     }
 
     /// Tries again to accept all that wait at the listeners, and to close them.
     pub(super) fn retry_closing_listeners(&mut self) {
         let refuses = self.shutdown.is_some_and(|shutdown| shutdown.is_refusing(self.router_host.now));
-        if refuses && !self.over {
-            self.drain();
+        if refuses && !self.listeners_closed {
+            self.run_shutdown_stages();
         }
     }
 }
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -45,13 +45,13 @@
     /// The signals, if they have been caught already.
     pub signals: Option<CaughtSignals>,
     /// Path of the operator's file, which SIGHUP reloads.
-    pub operator: Option<PathBuf>,
+    pub operator_file: Option<PathBuf>,
     /// Replaces the folder that the operator's file names for bodies.
-    pub folder: Option<Arc<dyn Folder>>,
+    pub body_folder: Option<Arc<dyn Folder>>,
     /// Replaces the folder that the operator's file names for state.
-    pub files: Option<Arc<dyn FileStore>>,
+    pub state_files: Option<Arc<dyn FileStore>>,
     /// Replaces the fleet's data directory and fill service.
-    pub fleet: TestDoubles,
+    pub control_plane: TestDoubles,
 }
 
 /// A broker that is ready to run.
@@ -102,9 +102,9 @@
     handle: &EventLoopHandle,
 ) -> Result<Broker, Bad> {
     let (pool, bounds) = (Pool::default(), Rc::new(startup.bounds.clone()));
-    let mut discovery = DiscoveryClient::new(handle.clone(), &pool, startup.discovery, &bounds);
+    let mut discovery = DiscoveryClient::new(handle.clone(), &pool, startup.discovery_address, &bounds);
     // An invalid list is ignored: discovery will send another.
-    let known = discovery.parse_configured_list(&startup.known).ok();
+    let known = discovery.parse_configured_list(&startup.configured_endpoints).ok();
     let Connections { mut router_host, prefilter_connections, address } =
         open_connections(&startup, &pool, &bounds, handle)?;
     if let Some(search) = &startup.operator.search {
@@ -112,7 +112,7 @@
     }
     let mut body_folder = None;
     if let Some(bodies) = &startup.operator.bodies {
-        body_folder = open_body_store(&mut router_host, bodies, hooks.folder, &bounds, handle)?;
+        body_folder = open_body_store(&mut router_host, bodies, hooks.body_folder, &bounds, handle)?;
     }
     let timeouts = startup.deployment.query_classes.iter().map(|class| class.timeout);
     let max_accept_delay = MAX_ACCEPT_DELAY_RATIO * timeouts.clone().fold(f64::MAX, f64::min);
@@ -122,7 +122,7 @@
     router_host.prefilter_connections = prefilter.is_some().then_some(prefilter_connections);
     if let Some(fleet) = &startup.operator.fleet {
         let name = &startup.name;
-        start_control_plane(&mut router_host, fleet, name, &startup.deployment, hooks.fleet, handle)?;
+        start_control_plane(&mut router_host, fleet, name, &startup.deployment, hooks.control_plane, handle)?;
     }
     let seed = startup.deployment.seed;
     let router = Router::new(startup.deployment);
@@ -130,11 +130,11 @@
     let job_pool = start_job_pool(&operator, handle)?;
     let reloaded = event_channel(handle, LoopEvent::ConfigLoaded);
     let reloaded = reloaded.map_err(|e| failed("configuration", &e))?;
-    let config_reloader = ConfigReloader::new(reloaded, hooks.operator);
+    let config_reloader = ConfigReloader::new(reloaded, hooks.operator_file);
     let mut background = Background::new(Scheduler::new(operator.background.clone(), seed), job_pool);
     let persistence = operator.state.clone().map(|state| {
         let query_classes = bounds.table_types.clone();
-        Persistence::start(clock.now(), state, hooks.files, query_classes, &mut background)
+        Persistence::start(clock.now(), state, hooks.state_files, query_classes, &mut background)
     });
     let event_loop = EventLoop {
         clock,
@@ -144,16 +144,16 @@
         prefilter,
         background,
         persistence,
-        audit: false,
+        audit_scheduled: false,
         config_reloader,
         operator,
-        known,
+        configured_endpoints: known,
         iteration_began_at: clock.at(signals_since),
         previous_iteration_at: clock.at(signals_since),
         longest_timeout,
         shutdown: None,
-        stage: ShutdownStage::Serving,
-        over: false,
+        shutdown_stage: ShutdownStage::Serving,
+        listeners_closed: false,
     };
     Ok(Broker { event_loop, address, body_folder, max_accept_delay })
 }
@@ -166,7 +166,8 @@
     handle: &EventLoopHandle,
 ) -> Result<Connections, Bad> {
     let failed_to_listen = |e: &dyn std::fmt::Display| failed("GW_LISTEN", e);
-    let listener = listen_with_retry("GW_LISTEN", startup.listen).map_err(|e| failed_to_listen(&e))?;
+    let listener =
+        listen_with_retry("GW_LISTEN", startup.listen_address).map_err(|e| failed_to_listen(&e))?;
     let address = listener.local_addr().map_err(|e| failed_to_listen(&e))?;
     let downstream = Downstream::new(
         handle.clone(),
@@ -177,10 +178,10 @@
         listener,
     );
     let downstream = downstream.map_err(|e| failed_to_listen(&e))?;
-    let max_prefilter = if startup.operator.phases.is_some() { startup.most_links / 4 } else { 0 };
+    let max_prefilter = if startup.operator.phases.is_some() { startup.max_node_connections / 4 } else { 0 };
     let prefilter_connections =
         PrefilterConnections::new(handle.clone(), pool, bounds.clone(), max_prefilter);
-    let max_upstream = startup.most_links - max_prefilter;
+    let max_upstream = startup.max_node_connections - max_prefilter;
     let mut upstream = Upstream::new(handle.clone(), pool, bounds.clone(), max_upstream);
     if !startup.operator.search_nodes.is_empty() {
         let classes = startup.deployment.query_classes.iter();
@@ -232,7 +233,7 @@
     test_doubles: TestDoubles,
     handle: &EventLoopHandle,
 ) -> Result<(), Bad> {
-    let tenants = router_host.customers();
+    let tenants = router_host.tenants();
     let control_plane = ControlPlaneClient::start(config, name, deployment, &tenants, test_doubles, handle)?;
     router_host.upstream.gate = Some(control_plane.gate.clone());
     router_host.control_plane = Some(control_plane);
--- a/crates/dunepond-broker/src/event_loop/timers.rs
+++ b/crates/dunepond-broker/src/event_loop/timers.rs
@@ -11,14 +11,14 @@
         let now = self.tick();
         while let Some(event) = self.router_host.timers.pop_due(now) {
             self.on_timer(now, event);
-            self.settle();
+            self.process_pending();
         }
     }
 
     fn on_timer(&mut self, now: f64, event: TimerEvent) {
         match event {
             TimerEvent::RouterWake => self.router.on_wake(&mut self.router_host),
-            TimerEvent::QueryDeadline(query) => self.scan_ends(query),
+            TimerEvent::QueryDeadline(query) => self.expire_query(query),
             TimerEvent::PrefilterConnection(id) => {
                 if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
                     prefilter_connections.due(id, &mut self.router_host.timers);
@@ -32,7 +32,9 @@
             TimerEvent::Snapshot => {
                 if let Some(persistence) = &mut self.persistence {
                     persistence.schedule_snapshot(now, &mut self.background);
-                    self.router_host.timers.set(now + persistence.snapshot_interval(), TimerEvent::Snapshot);
+                    self.router_host
+                        .timers
+                        .schedule(now + persistence.snapshot_interval(), TimerEvent::Snapshot);
                 }
             }
             TimerEvent::BackgroundJob => self.background.on_timer(),
@@ -50,16 +52,16 @@
                 self.retry_closing_listeners();
             }
             TimerEvent::FirstListTimeout => self.use_configured_endpoints(),
-            TimerEvent::ShutdownStage => self.drain(),
+            TimerEvent::ShutdownStage => self.run_shutdown_stages(),
             TimerEvent::BodyCheck => self.router_host.check_bodies(),
-            TimerEvent::Counters => self.report(),
+            TimerEvent::Counters => self.report_counters(),
         }
     }
 
     fn on_client_timeout(&mut self, now: f64, id: usize) {
         // Its bytes may have arrived in this iteration without having been read.
         let time = self.router_host.downstream.read_before_timeout(id);
-        self.settle();
+        self.process_pending();
         if self.router_host.downstream.is_still_timed_out(id, time)
             && let Some(query) = self.router_host.downstream.slow(now, id, &mut self.router_host.timers)
         {
@@ -69,9 +71,9 @@
 
     /// Discovery has not answered in time since the start.
     fn use_configured_endpoints(&mut self) {
-        if let Some(configured) = self.known.take() {
+        if let Some(configured) = self.configured_endpoints.take() {
             info!("discovery does not answer; the configured endpoint list is used until it does");
-            self.listed(configured);
+            self.on_endpoint_update(configured);
             self.accept_backlog();
         }
     }
--- a/crates/dunepond-broker/src/iteration.rs
+++ b/crates/dunepond-broker/src/iteration.rs
@@ -44,7 +44,7 @@
 #[derive(Default)]
 pub struct Iteration {
     /// Events to be handled, oldest first.
-    pub ready: VecDeque<LoopEvent>,
+    pub events: VecDeque<LoopEvent>,
 }
 
 /// Registers sources with the event loop.
@@ -58,7 +58,7 @@
     let (sender, received) = channel();
     let inserted = handle.insert_source(received, move |event, _, turn| {
         if let Event::Msg(word) = event {
-            turn.ready.push_back(ready(word));
+            turn.events.push_back(ready(word));
         }
     });
     inserted.map_err(|e| e.error)?;
@@ -73,7 +73,7 @@
 ) -> calloop::Result<RegistrationToken> {
     let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
     let token = handle.insert_source(source, move |ready, _, turn| {
-        turn.ready.push_back(told(ready.readable));
+        turn.events.push_back(told(ready.readable));
         Ok(PostAction::Continue)
     });
     token.map_err(|e| e.error)
--- a/crates/dunepond-broker/src/logger.rs
+++ b/crates/dunepond-broker/src/logger.rs
@@ -124,7 +124,7 @@
 
 impl RateLimit {
     /// Counts a line. Returns whether it is over the limit, and how many were suppressed in the previous second.
-    fn held_back(&self, metadata: &Metadata) -> (bool, u32) {
+    fn count_line(&self, metadata: &Metadata) -> (bool, u32) {
         let second = self.start.elapsed().as_secs();
         let Ok(mut seen) = self.seen.lock() else { return (false, 0) };
         let mut over = 0;
@@ -148,7 +148,7 @@
         if *event.metadata().level() > Level::INFO {
             return true;
         }
-        let (held_back, over) = self.held_back(event.metadata());
+        let (held_back, over) = self.count_line(event.metadata());
         if over > 0 {
             let at = self.start.elapsed().as_secs_f64();
             let line =
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -150,16 +150,16 @@
 
 fn run(path: Option<PathBuf>, signals: Option<Result<CaughtSignals, Bad>>) -> Result<(), Bad> {
     let signals = signals.transpose()?;
-    let operator = path.as_deref().map_or(Ok(Operator::default()), config::operator)?;
+    let operator = path.as_deref().map_or(Ok(Operator::default()), config::read_operator_file)?;
     let mut start = config::read(|name| std::env::var(name).ok())?;
     start.operator = operator;
     let form = start.operator.log_form.as_deref().and_then(|form| form.parse().ok()).unwrap_or_default();
-    logger::start(&start.name, start.level, form);
+    logger::start(&start.name, start.log_level, form);
     if let Some(key) = start.unsupported_setting {
         warn!("settings: {key}: allowed, but not supported on sockets");
     }
     // From here on the log has what goes wrong.
-    serve(start, Hooks { operator: path, signals, ..Hooks::default() }).map_err(|Bad(line)| {
+    serve(start, Hooks { operator_file: path, signals, ..Hooks::default() }).map_err(|Bad(line)| {
         error!("{line}");
         Bad(String::new())
     })
@@ -168,7 +168,7 @@
 /// The operator's file, and where a deployment is named beside it, how its fleet goes with that.
 fn check(file: &Path) -> Result<(), Bad> {
     let variable = |name: &str| std::env::var(name).ok();
-    match config::operator(file)?.fleet {
+    match config::read_operator_file(file)?.fleet {
         Some(fleet) if variable("GW_CONFIG").is_some() => {
             let start = config::read(variable)?;
             check_fleet(&fleet, &start.name, &start.deployment)
--- a/crates/dunepond-broker/src/prefilter.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -111,7 +111,7 @@
         }
         self.known.insert(id, KnownQuery { key, table_type, text, segs });
         router.on_query(router_host, Query { awaits_prefilter: true, ..query });
-        if router_host.is_open(id) {
+        if router_host.is_active(id) {
             let orders = self.phases.open(router_host.now, &RouterView(router), wide);
             self.carry_out(router, router_host, orders);
         }
@@ -124,7 +124,12 @@
                     let Some(known) = self.known.values().find(|known| known.key == question.key) else {
                         continue;
                     };
-                    router_host.ask(question.node, question.id, &known.text, &question.segments);
+                    router_host.send_prefilter_request(
+                        question.node,
+                        question.id,
+                        &known.text,
+                        &question.segments,
+                    );
                 }
                 Action::Search(verdict) => self.search(router, router_host, &verdict),
             }
@@ -217,8 +222,8 @@
         self.carry_out(router, router_host, orders);
         let due = self.phases.next_deadline();
         if due != self.timer.map(|timer| timer.0) {
-            router_host.timers.unset(self.timer.map(|timer| timer.1));
-            self.timer = due.map(|due| (due, router_host.timers.set(due, TimerEvent::Prefilter)));
+            router_host.timers.cancel(self.timer.map(|timer| timer.1));
+            self.timer = due.map(|due| (due, router_host.timers.schedule(due, TimerEvent::Prefilter)));
         }
     }
 
@@ -232,7 +237,7 @@
         if let Some(audit) = self.phases.audit(&RouterView(router)) {
             let pruned = self.audit_texts.values().rev().find(|pruned| pruned.key == audit.key).cloned();
             if let Some(pruned) = pruned
-                && let Some(query) = router_host.audit(pruned.table_type, audit.segment, pruned.text)
+                && let Some(query) = router_host.register_audit(pruned.table_type, audit.segment, pruned.text)
             {
                 self.audits.insert(query.id, audit);
                 router.on_query(router_host, query);
--- a/crates/dunepond-broker/src/prefilter_connections.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -87,8 +87,9 @@
         }
         link.out.put(frame);
         if link.asked.is_empty() && link.up {
-            timers.unset(link.timer.take());
-            link.timer = Some(timers.set(now + ANSWER_TIMEOUT_SECONDS, TimerEvent::PrefilterConnection(id)));
+            timers.cancel(link.timer.take());
+            link.timer =
+                Some(timers.schedule(now + ANSWER_TIMEOUT_SECONDS, TimerEvent::PrefilterConnection(id)));
         }
         link.asked.push_back((question, now));
         self.write(id, timers);
@@ -109,7 +110,8 @@
         let id = entry.key();
         let token = watch(&self.handle, &stream, move |readable| LoopEvent::PrefilterReady(id, readable));
         let token = token.map_err(|_| ConnectionEnd::LocalResources)?;
-        let timer = Some(timers.set(now + self.bounds.connect_timeout, TimerEvent::PrefilterConnection(id)));
+        let timer =
+            Some(timers.schedule(now + self.bounds.connect_timeout, TimerEvent::PrefilterConnection(id)));
         entry.insert(PrefilterConnection {
             node,
             stream,
@@ -134,8 +136,9 @@
                 Ok(Some(e)) | Err(e) => return self.end(id, ConnectionEnd::of(&e), timers),
             }
             link.up = true;
-            timers.unset(link.timer.take());
-            link.timer = Some(timers.set(now + ANSWER_TIMEOUT_SECONDS, TimerEvent::PrefilterConnection(id)));
+            timers.cancel(link.timer.take());
+            link.timer =
+                Some(timers.schedule(now + ANSWER_TIMEOUT_SECONDS, TimerEvent::PrefilterConnection(id)));
         }
         if readable {
             self.read(now, id, timers);
@@ -172,12 +175,12 @@
         }
         // The oldest request times out from when it was queued; without any the connection is idle.
         let link = &mut self.links[id];
-        timers.unset(link.timer.take());
+        timers.cancel(link.timer.take());
         let until = match link.asked.front() {
             Some((_, at)) => at + ANSWER_TIMEOUT_SECONDS,
             None => now + IDLE_CLOSE_RATIO * self.bounds.idle_close,
         };
-        link.timer = Some(timers.set(until, TimerEvent::PrefilterConnection(id)));
+        link.timer = Some(timers.schedule(until, TimerEvent::PrefilterConnection(id)));
     }
 
     /// Handles each complete frame that has arrived.
@@ -242,7 +245,7 @@
     /// The one place where a connection is closed; its requests have no answer.
     fn end(&mut self, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
         let Some(link) = self.links.try_remove(id) else { return };
-        timers.unset(link.timer);
+        timers.cancel(link.timer);
         self.by_node.remove(&link.node);
         self.handle.remove(link.token);
         debug!(
--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -15,10 +15,10 @@
 
 impl RouterHost {
     /// Registers a client's query. If too much is in flight it is rejected (503) without the router.
-    pub fn take(&mut self, client: usize, asked: QueryRequest) -> Option<Query> {
+    pub fn register_query(&mut self, client: usize, asked: QueryRequest) -> Option<Query> {
         if self.is_full() {
-            debug!("query {}: rejected, {} queries and parts in flight", asked.request_id, self.held);
-            self.downstream.reply(self.now, client, 503, "", self.longest_wait, &mut self.timers);
+            debug!("query {}: rejected, {} queries and parts in flight", asked.request_id, self.in_flight);
+            self.downstream.reply(self.now, client, 503, "", self.max_retry_after, &mut self.timers);
             return None;
         }
         if self.request_ids.contains(&asked.request_id) {
@@ -26,14 +26,14 @@
             self.downstream.reply(self.now, client, 400, &body, 0.0, &mut self.timers);
             return None;
         }
-        let query = self.hold(client, asked, None);
+        let query = self.insert_query(client, asked, None);
         self.downstream.holds(client, query.id);
         Some(query)
     }
 
     /// Registers a search API request: a query for each of its searches. A search that is invalid or over the limit gets its
     /// outcome at once.
-    pub fn request(&mut self, client: usize, request: &SearchRequest) -> Vec<Query> {
+    pub fn register_search_request(&mut self, client: usize, request: &SearchRequest) -> Vec<Query> {
         let Some(door) = self.downstream.api.clone() else { return Vec::new() };
         let (now, call) = (self.now, &request.call);
         let searches: Vec<Result<&Search, ApiError>> = match call {
@@ -51,9 +51,9 @@
             Call::Search(search) | Call::Count(search) | Call::Update(search) => vec![Ok(&**search)],
             Call::Multi(searches) => searches.iter().map(|s| s.as_ref().map_err(Clone::clone)).collect(),
         };
-        self.last += 1;
-        let number = self.last;
-        self.requests.insert(number, ActiveRequest::new(client, now, call));
+        self.last_id += 1;
+        let number = self.last_id;
+        self.search_requests.insert(number, ActiveRequest::new(client, now, call));
         self.downstream.holds(client, number);
         let mut queries = Vec::new();
         for (place, search) in searches.into_iter().enumerate() {
@@ -66,8 +66,8 @@
                     let request_id = format!("{id}-{number}-{place}");
                     let asked = door.asked(search, request, request_id);
                     let searching = ActiveSearch::new(&door, number, place, search, call, now);
-                    let query = self.hold(client, asked, Some(Box::new(searching)));
-                    if let Some(open) = self.requests.get_mut(&number) {
+                    let query = self.insert_query(client, asked, Some(Box::new(searching)));
+                    if let Some(open) = self.search_requests.get_mut(&number) {
                         open.queries.push(query.id);
                     }
                     queries.push(query);
@@ -75,34 +75,35 @@
                 }
                 Err(e) => Err(e),
             };
-            let wait = if outcome.as_ref().is_err_and(|e| e.status == 429) { self.longest_wait } else { 0.0 };
-            self.done(number, place, outcome, wait);
+            let wait =
+                if outcome.as_ref().is_err_and(|e| e.status == 429) { self.max_retry_after } else { 0.0 };
+            self.complete_search(number, place, outcome, wait);
         }
         queries
     }
 
-    fn hold(&mut self, client: usize, asked: QueryRequest, api: Option<Box<ActiveSearch>>) -> Query {
+    fn insert_query(&mut self, client: usize, asked: QueryRequest, api: Option<Box<ActiveSearch>>) -> Query {
         self.request_ids.insert(asked.request_id.clone());
-        self.last += 1;
-        let query = self.last;
+        self.last_id += 1;
+        let query = self.last_id;
         // A client's deadline is capped by the query class's timeout.
         let client_until = asked.deadline.min(self.now + self.timeouts[asked.table_type]);
         let ends_at = client_until.min(self.downstream.until);
         let segs: Vec<_> = asked.parts.iter().map(|p| p.segment).collect();
         let count = segs.len();
-        self.held += 1 + count;
+        self.in_flight += 1 + count;
         let left = client_until - self.now;
         debug!("query {}: admitted as {query}, {count} parts, {left:.3} s left", asked.request_id);
         let body = asked.text.body().map(|body| body.id);
         let kept = !asked.text.body().is_some_and(|body| body.is_pass_through());
-        let timer = self.timers.set(ends_at, TimerEvent::QueryDeadline(query));
+        let timer = self.timers.schedule(ends_at, TimerEvent::QueryDeadline(query));
         let in_hand = ActiveQuery {
-            api,
+            search: api,
             client: Some(client),
             body,
-            ends_at,
+            expires_at: ends_at,
             timer: Some(timer),
-            customer: asked.customer,
+            tenant: asked.customer,
             ..ActiveQuery::new(asked.request_id, asked.table_type, asked.text, segs)
         };
         self.queries.insert(query, in_hand);
@@ -121,19 +122,19 @@
     }
 
     /// Registers an audit of the prefilter: a query of one segment without a client. `None` if too much is in flight.
-    pub fn audit(&mut self, table_type: usize, seg: usize, text: Rc<str>) -> Option<Query> {
-        let request_id = format!("audit-{}", self.last + 1);
-        let room = self.bounds.most_held.is_none_or(|most| self.held + 2 <= most);
+    pub fn register_audit(&mut self, table_type: usize, seg: usize, text: Rc<str>) -> Option<Query> {
+        let request_id = format!("audit-{}", self.last_id + 1);
+        let room = self.bounds.most_held.is_none_or(|most| self.in_flight + 2 <= most);
         if !room || !self.request_ids.insert(request_id.clone()) {
             return None;
         }
-        self.last += 1;
-        self.held += 2;
-        let (query, ends_at) = (self.last, self.now + self.timeouts[table_type]);
+        self.last_id += 1;
+        self.in_flight += 2;
+        let (query, ends_at) = (self.last_id, self.now + self.timeouts[table_type]);
         debug!("scan {request_id}: an audit of {seg}");
-        let timer = self.timers.set(ends_at, TimerEvent::QueryDeadline(query));
+        let timer = self.timers.schedule(ends_at, TimerEvent::QueryDeadline(query));
         let in_hand = ActiveQuery {
-            ends_at,
+            expires_at: ends_at,
             timer: Some(timer),
             ..ActiveQuery::new(request_id, table_type, Payload::Inline(text), vec![seg])
         };
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -7,14 +7,14 @@
 use tracing::debug;
 
 use super::{RouterHost, may_have_run};
-use crate::control_plane::{NoOwner, QueryStart, proved};
+use crate::control_plane::{NoOwner, QueryStart, verify_answer};
 use crate::upstream::AttemptRequest;
 
 /// The active configuration that a query in a fleet is held to.
 pub struct Coordination {
     began: Rc<QueryStart>,
     /// Parts that were sent under another map's keys than the one at the query's start, with that map's epoch.
-    moved: Vec<(usize, u64)>,
+    moved_parts: Vec<(usize, u64)>,
     /// By part, for a keyed query only.
     keyed_parts: Vec<KeyedPart>,
 }
@@ -34,7 +34,7 @@
     }
 
     /// An attempt of a part has ended.
-    pub fn ended(&mut self, part: usize, end: AttemptOutcome) {
+    pub fn on_attempt_ended(&mut self, part: usize, end: AttemptOutcome) {
         if let Some(part) = self.keyed_parts.get_mut(part) {
             part.outstanding = part.outstanding.saturating_sub(1);
             part.may_have_run |= may_have_run(end);
@@ -44,7 +44,7 @@
 
 impl RouterHost {
     /// Checks a query against the active configuration; returns `false` if it was rejected without the router.
-    pub fn admit(&mut self, query: &mut Query) -> bool {
+    pub fn check_active_config(&mut self, query: &mut Query) -> bool {
         let Some(control_plane) = &mut self.control_plane else { return true };
         control_plane.record_arrival(query.tenant);
         let (began, rejection) = match control_plane.assign_owners(query) {
@@ -53,16 +53,16 @@
         };
         let Some(in_hand) = self.queries.get_mut(&query.id) else { return false };
         let is_keyed = control_plane.gate.is_keyed(query.class);
-        let keyed_parts = vec![KeyedPart::default(); if is_keyed { in_hand.segs.len() } else { 0 }];
-        in_hand.agreed = Some(Coordination { began, moved: Vec::new(), keyed_parts });
+        let keyed_parts = vec![KeyedPart::default(); if is_keyed { in_hand.segments.len() } else { 0 }];
+        in_hand.coordination = Some(Coordination { began, moved_parts: Vec::new(), keyed_parts });
         let Some((retry_after, reason)) = rejection else { return true };
-        let control = &control_plane.gate.hand;
+        let control = &control_plane.gate.control;
         control.count_rejected();
         let event =
             || AuditEvent::Rejected { request_id: in_hand.request_id.clone(), why: reason.to_string() };
         control.audit(event);
         debug!("query {}: rejected: {reason}", in_hand.request_id);
-        self.reject_retriable(query.id, retry_after.min(self.longest_wait));
+        self.reject_retriable(query.id, retry_after.min(self.max_retry_after));
         self.release(query.id);
         false
     }
@@ -73,7 +73,7 @@
         let (gate, name) = (&fleet.gate, self.upstream.name(node));
         let AttemptRequest { part, seg, table_type, .. } = *parcel;
         let in_hand = self.queries.get_mut(&parcel.query);
-        let agreed = in_hand.and_then(|in_hand| in_hand.agreed.as_mut());
+        let agreed = in_hand.and_then(|in_hand| in_hand.coordination.as_mut());
         let mut may_send = gate.may_send(parcel.began.as_deref(), table_type, seg, name);
         if let Some(agreed) = agreed {
             if let Some(keyed) = agreed.keyed_parts.get_mut(part) {
@@ -82,12 +82,12 @@
                 // Its end will be reported whether or not it is sent.
                 keyed.outstanding += 1;
             }
-            if may_send && let Some(epoch) = gate.moved(&agreed.began, seg) {
-                agreed.moved.push((part, epoch));
+            if may_send && let Some(epoch) = gate.moved_epoch(&agreed.began, seg) {
+                agreed.moved_parts.push((part, epoch));
             }
         }
         if !may_send {
-            gate.hand.count_withheld();
+            gate.control.count_withheld();
             debug!("node {name}: {} is not sent: the active configuration forbids it", parcel.id);
         }
         may_send
@@ -99,21 +99,21 @@
         let (Some(fleet), Some(in_hand)) = (&self.control_plane, self.queries.get(&query)) else {
             return whole;
         };
-        let agreed = in_hand.agreed.as_ref();
-        let proof = agreed.and_then(|agreed| agreed.began.map().map(|proof| (proof, &agreed.moved)));
-        let left_out = |seg: &usize| in_hand.left_out.iter().any(|left| left.segment == *seg);
-        let is_in = |at: usize| in_hand.values[at].is_some() || left_out(&in_hand.segs[at]);
+        let agreed = in_hand.coordination.as_ref();
+        let proof = agreed.and_then(|agreed| agreed.began.map().map(|proof| (proof, &agreed.moved_parts)));
+        let left_out = |seg: &usize| in_hand.pruned.iter().any(|left| left.segment == *seg);
+        let is_in = |at: usize| in_hand.values[at].is_some() || left_out(&in_hand.segments[at]);
         let outcome = match proof.filter(|_| whole) {
-            Some((proof, moved)) => proved(proof, &in_hand.segs, is_in, moved).map(Some),
+            Some((proof, moved)) => verify_answer(proof, &in_hand.segments, is_in, moved).map(Some),
             None => Ok(None),
         };
         if let Err(why) = &outcome {
-            fleet.gate.hand.count_incomplete();
+            fleet.gate.control.count_incomplete();
             debug!("query {}: not complete: {why}", in_hand.request_id);
         }
         let whole = whole && outcome.is_ok();
-        let segs = in_hand.segs.iter().enumerate().filter(|(at, _)| is_in(*at));
-        fleet.gate.hand.audit(|| AuditEvent::Answer {
+        let segs = in_hand.segments.iter().enumerate().filter(|(at, _)| is_in(*at));
+        fleet.gate.control.audit(|| AuditEvent::Answer {
             request_id: in_hand.request_id.clone(),
             status: 200,
             complete: whole,
@@ -124,9 +124,9 @@
     }
 
     /// Audits the final answer of a query without values.
-    pub(super) fn note(&self, query: QueryId, status: u16, whole: bool) {
+    pub(super) fn audit_answer(&self, query: QueryId, status: u16, whole: bool) {
         if let (Some(fleet), Some(in_hand)) = (&self.control_plane, self.queries.get(&query)) {
-            fleet.gate.hand.audit(|| AuditEvent::Answer {
+            fleet.gate.control.audit(|| AuditEvent::Answer {
                 request_id: in_hand.request_id.clone(),
                 status,
                 complete: whole,
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -32,32 +32,32 @@
 /// A query from its request until it is answered and all its attempts have ended.
 struct ActiveQuery {
     /// The search API's search that it runs for, if any.
-    api: Option<Box<ActiveSearch>>,
+    search: Option<Box<ActiveSearch>>,
     /// Index of the client connection; `None` for an audit.
     client: Option<usize>,
-    table_type: usize,
+    query_class: usize,
     request_id: String,
-    text: Payload,
+    payload: Payload,
     /// Its streamed body, and why that is not available for retries.
     body: Option<BodyId>,
-    note: Option<Reason>,
-    segs: Vec<usize>,
+    body_failure: Option<Reason>,
+    segments: Vec<usize>,
     part_ids: Vec<Rc<str>>,
     /// The value of each part that has been answered.
     values: Vec<Option<String>>,
     /// Segments that the prefilter pruned, and on whose answer.
-    left_out: Vec<PrunedSegment>,
+    pruned: Vec<PrunedSegment>,
     /// The nodes of each part's attempts.
-    shots: Vec<Vec<NodeId>>,
+    attempts: Vec<Vec<NodeId>>,
     /// When the first attempt of each part that may have run was sent; `f64::MAX` if there is none.
     may_run_since: Vec<f64>,
-    ends_at: f64,
+    expires_at: f64,
     timer: Option<TimerKey>,
-    customer: usize,
-    agreed: Option<Coordination>,
-    out: usize,
+    tenant: usize,
+    coordination: Option<Coordination>,
+    outstanding: usize,
     /// It has its final answer, or its client has disconnected: nothing more is sent for it.
-    over: bool,
+    is_finished: bool,
 }
 
 /// A query that has its final answer, or whose client has disconnected.
@@ -94,53 +94,53 @@
     /// `None` if the operator's file names no fleet.
     pub control_plane: Option<ControlPlaneClient>,
     /// Queries that are finished, for the prefilter.
-    pub concluded: Vec<FinishedQuery>,
+    pub finished_queries: Vec<FinishedQuery>,
     /// Search API requests in flight, by the id that their client connections hold.
-    requests: HashMap<u64, ActiveRequest>,
+    search_requests: HashMap<u64, ActiveRequest>,
     /// Size of the values held for queries in flight.
-    values: u64,
+    value_bytes: u64,
     /// The client that uploads each body.
     uploads: HashMap<BodyId, usize>,
     bounds: Rc<Bounds>,
-    cells: usize,
-    holders: usize,
-    dispatch_cap: usize,
+    replica_groups: usize,
+    replicas: usize,
+    max_attempts: usize,
     /// Longest Retry-After of a rejection, in seconds; 0 if none may be named.
-    longest_wait: f64,
+    max_retry_after: f64,
     /// By query class: its timeout, and for how long after an attempt that may have run a retry may be sent. Both in seconds.
     timeouts: Vec<f64>,
-    windows: Vec<f64>,
+    retry_windows: Vec<f64>,
     queries: HashMap<QueryId, ActiveQuery>,
     request_ids: HashSet<String>,
-    last: QueryId,
+    last_id: QueryId,
     /// Unfinished queries plus their parts without a value; bounded by `Bounds::most_held`.
-    held: usize,
+    in_flight: usize,
 }
 
 impl ActiveQuery {
     /// A query without client, tenant, deadline and attempts.
-    fn new(request_id: String, table_type: usize, text: Payload, segs: Vec<usize>) -> Self {
-        let count = segs.len();
+    fn new(request_id: String, query_class: usize, payload: Payload, segments: Vec<usize>) -> Self {
+        let count = segments.len();
         Self {
-            api: None,
+            search: None,
             client: None,
-            table_type,
-            part_ids: segs.iter().map(|seg| format!("{request_id}.{seg}").into()).collect(),
+            query_class,
+            part_ids: segments.iter().map(|seg| format!("{request_id}.{seg}").into()).collect(),
             request_id,
-            text,
+            payload,
             body: None,
-            note: None,
-            segs,
+            body_failure: None,
+            segments,
             values: vec![None; count],
-            left_out: Vec::new(),
-            shots: vec![Vec::new(); count],
+            pruned: Vec::new(),
+            attempts: vec![Vec::new(); count],
             may_run_since: vec![f64::MAX; count],
-            ends_at: f64::MAX,
+            expires_at: f64::MAX,
             timer: None,
-            customer: NO_TENANT,
-            agreed: None,
-            out: 0,
-            over: false,
+            tenant: NO_TENANT,
+            coordination: None,
+            outstanding: 0,
+            is_finished: false,
         }
     }
 
@@ -151,7 +151,7 @@
     /// Every attempt so far.
     fn all_attempts(&self) -> Vec<SentAttempt> {
         let mut all = Vec::new();
-        for (part, nodes) in self.shots.iter().enumerate() {
+        for (part, nodes) in self.attempts.iter().enumerate() {
             all.extend(nodes.iter().enumerate().map(|(index, node)| SentAttempt {
                 part,
                 index,
@@ -166,7 +166,7 @@
     !matches!(end, AttemptOutcome::NotSent | AttemptOutcome::ConnectFailed | AttemptOutcome::Rejected)
 }
 
-fn window(repeat: Idempotency, margin: f64) -> f64 {
+fn retry_window(repeat: Idempotency, margin: f64) -> f64 {
     match repeat {
         Idempotency::Idempotent => f64::MAX,
         Idempotency::Keyed(window) => window - margin,
@@ -192,31 +192,35 @@
             body_store: None,
             prefilter_connections: None,
             control_plane: None,
-            requests: HashMap::new(),
-            concluded: Vec::new(),
-            values: 0,
+            search_requests: HashMap::new(),
+            finished_queries: Vec::new(),
+            value_bytes: 0,
             uploads: HashMap::new(),
             bounds,
-            cells: site.replica_groups,
-            holders: site.replicas,
-            dispatch_cap: site.max_attempts,
-            longest_wait: site.max_retry_after,
+            replica_groups: site.replica_groups,
+            replicas: site.replicas,
+            max_attempts: site.max_attempts,
+            max_retry_after: site.max_retry_after,
             timeouts: site.query_classes.iter().map(|t| t.timeout).collect(),
-            windows: site.query_classes.iter().map(|t| window(t.idempotency, MAX_STALL_SECONDS)).collect(),
+            retry_windows: site
+                .query_classes
+                .iter()
+                .map(|t| retry_window(t.idempotency, MAX_STALL_SECONDS))
+                .collect(),
             queries: HashMap::new(),
             request_ids: HashSet::new(),
-            last: 0,
-            held: 0,
+            last_id: 0,
+            in_flight: 0,
         }
     }
 
     /// The tenants' names, by index.
-    pub fn customers(&self) -> Vec<String> {
+    pub fn tenants(&self) -> Vec<String> {
         self.bounds.customers.clone()
     }
 
     /// The query classes' names, by index.
-    pub fn table_types(&self) -> Vec<String> {
+    pub fn query_classes(&self) -> Vec<String> {
         self.bounds.table_types.clone()
     }
 
@@ -224,38 +228,38 @@
     pub fn flush(&mut self) {
         self.upstream.flush(self.now, &mut self.timers);
         while self.upstream.is_awaiting_descriptor() {
-            let room = self.make_room();
+            let room = self.free_descriptor();
             self.upstream.retry_awaiting_descriptor(self.now, room, &mut self.timers);
         }
     }
 
     /// Frees a file descriptor by closing an idle client connection, or else an idle connection to a node. Guards against clients
     /// that use up all descriptors and so cut off nodes and discovery.
-    pub fn make_room(&mut self) -> bool {
+    pub fn free_descriptor(&mut self) -> bool {
         let (now, timers) = (self.now, &mut self.timers);
         self.downstream.give_way(now, timers) || self.upstream.give_way(now, timers)
     }
 
     fn is_full(&self) -> bool {
-        self.bounds.most_held.is_some_and(|most| self.held >= most)
+        self.bounds.most_held.is_some_and(|most| self.in_flight >= most)
     }
 
     /// Whether the query is in flight and not finished.
-    pub fn is_open(&self, query: QueryId) -> bool {
-        self.queries.get(&query).is_some_and(|in_hand| !in_hand.over)
+    pub fn is_active(&self, query: QueryId) -> bool {
+        self.queries.get(&query).is_some_and(|in_hand| !in_hand.is_finished)
     }
 
     /// The text and segments of a query that can be prefiltered.
     pub fn prefilter_input(&self, query: QueryId) -> Option<(Rc<str>, Vec<usize>)> {
         let in_hand = self.queries.get(&query)?;
-        match &in_hand.text {
-            Payload::Inline(text) => Some((text.clone(), in_hand.segs.clone())),
+        match &in_hand.payload {
+            Payload::Inline(text) => Some((text.clone(), in_hand.segments.clone())),
             _ => None,
         }
     }
 
     /// Asks a node which segments can match. A node that is draining or removed is not asked.
-    pub fn ask(&mut self, node: NodeId, question: u64, text: &str, segs: &[usize]) {
+    pub fn send_prefilter_request(&mut self, node: NodeId, question: u64, text: &str, segs: &[usize]) {
         let Some(prefilter_connections) = &mut self.prefilter_connections else { return };
         let frame = frames::question(question, text, segs);
         match self.upstream.dial(node) {
@@ -267,14 +271,14 @@
     /// Records the segments that the prefilter left out of a query.
     pub fn prune(&mut self, query: QueryId, left: Vec<PrunedSegment>) {
         if let Some(in_hand) = self.queries.get_mut(&query) {
-            in_hand.left_out = left;
+            in_hand.pruned = left;
         }
     }
 
     /// Segments that the prefilter had left out are searched after all.
     pub fn restore_pruned(&mut self, query: QueryId, segs: &[usize]) {
         if let Some(in_hand) = self.queries.get_mut(&query) {
-            in_hand.left_out.retain(|pruned| !segs.contains(&pruned.segment));
+            in_hand.pruned.retain(|pruned| !segs.contains(&pruned.segment));
         }
     }
 }
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -13,16 +13,16 @@
 
 impl RouterHost {
     /// Registers a query whose body is streamed, or rejects it at once and names the limit.
-    pub fn open(&mut self, client: usize, asked: QueryRequest, head: Head) {
+    pub fn register_streamed_query(&mut self, client: usize, asked: QueryRequest, head: Head) {
         let Some(bodies) = &mut self.body_store else { return };
-        bodies.held_beside(self.pool.bytes(), self.values);
+        bodies.held_beside(self.pool.bytes(), self.value_bytes);
         let (customer, table_type) = (asked.customer, asked.table_type);
         let arrival = Arrival { customer, table_type, length: head.length() };
         match bodies.arrive(self.now, arrival) {
             Ok(body) => {
                 if !bodies.check_scheduled {
                     bodies.check_scheduled = true;
-                    self.timers.set(self.now + bodies.terms().slowest / 4.0, TimerEvent::BodyCheck);
+                    self.timers.schedule(self.now + bodies.terms().slowest / 4.0, TimerEvent::BodyCheck);
                 }
                 self.uploads.insert(body.id, client);
                 // A client's deadline is capped by the query class's timeout.
@@ -43,49 +43,50 @@
     fn body_error(&self, why: Reason) -> (HttpError, f64) {
         match why {
             Reason::TooLong | Reason::LengthUnknown => (refusal(413, format!("body: {why}")), 0.0),
-            _ => (refusal(503, format!("body: {why}")), self.longest_wait),
+            _ => (refusal(503, format!("body: {why}")), self.max_retry_after),
         }
     }
 
     /// Starts the query of a body that is buffered, or passed through for the reason in `note`.
-    pub fn begin(&mut self, body: BodyId, note: Option<Reason>) -> Option<(Query, Rc<Body>)> {
+    pub fn start_streamed_query(&mut self, body: BodyId, note: Option<Reason>) -> Option<(Query, Rc<Body>)> {
         let client = self.uploads.remove(&body)?;
         let (asked, body) = self.downstream.start_query(client, body, &mut self.timers)?;
         let asked = QueryRequest { text: Payload::Streamed(body.clone()), ..asked };
-        let query = self.take(client, asked)?;
+        let query = self.register_query(client, asked)?;
         if let Some(in_hand) = self.queries.get_mut(&query.id) {
-            in_hand.note = note;
+            in_hand.body_failure = note;
         }
         Some((query, body))
     }
 
     /// A body was lost. While it is being uploaded its client is refused; afterwards its query is returned.
-    pub fn lost(&mut self, body: BodyId, why: Reason) -> Option<QueryId> {
+    pub fn on_body_lost(&mut self, body: BodyId, why: Reason) -> Option<QueryId> {
         if let Some(client) = self.uploads.remove(&body) {
             let (refusal, wait) = self.body_error(why);
             self.downstream.fail_body(self.now, client, body, refusal, wait, &mut self.timers);
         }
-        let (query, in_hand) = self.queries.iter_mut().find(|(_, s)| s.body == Some(body) && !s.over)?;
-        (in_hand.note, in_hand.text) = (Some(why), Payload::Released);
+        let (query, in_hand) =
+            self.queries.iter_mut().find(|(_, s)| s.body == Some(body) && !s.is_finished)?;
+        (in_hand.body_failure, in_hand.payload) = (Some(why), Payload::Released);
         Some(*query)
     }
 
     /// Releases a query's body once no attempt can need it again.
     pub fn release_body(&mut self, query: QueryId, needed: impl Fn(QueryId) -> bool) {
         if let Some(in_hand) = self.queries.get_mut(&query)
-            && in_hand.text.body().is_some()
+            && in_hand.payload.body().is_some()
             && !needed(query)
         {
-            in_hand.text = Payload::Released;
+            in_hand.payload = Payload::Released;
         }
     }
 
     /// Moves bodies on: submits reads of spilled blocks, writes frames, resumes clients.
-    pub fn feed(&mut self) {
+    pub fn pump_bodies(&mut self) {
         let Some(bodies) = &mut self.body_store else { return };
         let moved = std::mem::take(&mut self.downstream.moved);
         if !moved.is_empty() {
-            bodies.held_beside(self.pool.bytes(), self.values);
+            bodies.held_beside(self.pool.bytes(), self.value_bytes);
         }
         for id in moved {
             bodies.pump(self.now, id);
@@ -103,9 +104,9 @@
     }
 
     /// Logs the body store's counters. `copied`: bytes copied for connections to nodes.
-    pub fn report(&mut self, copied: u64) {
+    pub fn report_body_counters(&mut self, copied: u64) {
         if let Some(bodies) = &mut self.body_store {
-            bodies.held_beside(self.pool.bytes(), self.values);
+            bodies.held_beside(self.pool.bytes(), self.value_bytes);
             bodies.report(copied);
         }
     }
@@ -116,10 +117,10 @@
         bodies.slow(self.now);
         let slowest = bodies.terms().slowest;
         self.upstream.close_slow_consumers(self.now, slowest, &mut self.timers);
-        bodies.held_beside(self.pool.bytes(), self.values);
+        bodies.held_beside(self.pool.bytes(), self.value_bytes);
         bodies.check_scheduled = bodies.any();
         if bodies.check_scheduled {
-            self.timers.set(self.now + slowest / 4.0, TimerEvent::BodyCheck);
+            self.timers.schedule(self.now + slowest / 4.0, TimerEvent::BodyCheck);
         }
     }
 }
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -19,28 +19,28 @@
 
     fn send_attempt(&mut self, query: QueryId, part: usize, node: NodeId) {
         let Some(in_hand) = self.queries.get_mut(&query) else { return };
-        let shot = in_hand.shots[part].len();
-        in_hand.shots[part].push(node);
-        in_hand.out += 1;
-        let (id, text, until) = (in_hand.part_ids[part].clone(), in_hand.text.clone(), in_hand.ends_at);
-        let seg = in_hand.segs[part];
+        let shot = in_hand.attempts[part].len();
+        in_hand.attempts[part].push(node);
+        in_hand.outstanding += 1;
+        let (id, text, until) = (in_hand.part_ids[part].clone(), in_hand.payload.clone(), in_hand.expires_at);
+        let seg = in_hand.segments[part];
         let reader = text.body().map(BodyReader::new);
         if let (Some(body), Some(bodies)) = (in_hand.body, &mut self.body_store) {
             bodies.used(self.now, body);
         }
         let gone = matches!(text, Payload::Released);
-        let table_type = in_hand.table_type;
-        let began = in_hand.agreed.as_ref().map(Coordination::began);
-        let send_by = until.min(in_hand.may_run_since[part] + self.windows[table_type]);
+        let table_type = in_hand.query_class;
+        let began = in_hand.coordination.as_ref().map(Coordination::began);
+        let send_by = until.min(in_hand.may_run_since[part] + self.retry_windows[table_type]);
         let parcel =
             AttemptRequest { query, part, shot, id, seg, table_type, until, send_by, text, reader, began };
-        let late = in_hand.over || gone || shot >= self.dispatch_cap || send_by <= self.now;
+        let late = in_hand.is_finished || gone || shot >= self.max_attempts || send_by <= self.now;
         let late =
             late || in_hand.client.is_some_and(|client| self.downstream.is_disconnected(self.now, client));
         if !late && !self.may_send(node, &parcel) {
             return self.upstream.back.push_back(parcel.unsent(node, AttemptOutcome::NotSent));
         }
-        let holds = self.upstream.holds(node, seg, self.cells, self.holders);
+        let holds = self.upstream.holds(node, seg, self.replica_groups, self.replicas);
         if !late && !holds {
             error!("node {}: no replica of segment {seg}", self.upstream.name(node));
         }
@@ -56,7 +56,7 @@
     }
 
     fn cancel_attempt(&mut self, query: QueryId, part: usize, shot: usize) {
-        let node = self.queries.get(&query).and_then(|s| s.shots.get(part)?.get(shot).copied());
+        let node = self.queries.get(&query).and_then(|s| s.attempts.get(part)?.get(shot).copied());
         if let Some(node) = node {
             self.upstream.give_up(
                 self.now,
@@ -74,25 +74,25 @@
     fn answer(&mut self, query: QueryId, whole: bool) {
         let whole = self.is_provably_complete(query, whole);
         if let Some(in_hand) = self.queries.get_mut(&query)
-            && let Some(api) = &mut in_hand.api
+            && let Some(api) = &mut in_hand.search
         {
             let segs: Vec<_> =
-                in_hand.segs.iter().zip(&in_hand.values).map(|(s, v)| (*s, v.is_some())).collect();
-            let left_out: Vec<_> = in_hand.left_out.iter().map(|left| left.segment).collect();
+                in_hand.segments.iter().zip(&in_hand.values).map(|(s, v)| (*s, v.is_some())).collect();
+            let left_out: Vec<_> = in_hand.pruned.iter().map(|left| left.segment).collect();
             let outcome = api.answer(self.now, whole, &segs, &left_out);
             if self.conclude(query).is_some() {
-                self.outcome(query, outcome, 0.0);
-                self.served(query, whole);
+                self.finish_search(query, outcome, 0.0);
+                self.mark_served(query, whole);
             }
             return;
         }
         let Some(in_hand) = self.queries.get(&query) else { return };
-        let found = in_hand.segs.iter().zip(&in_hand.values);
+        let found = in_hand.segments.iter().zip(&in_hand.values);
         let found: Vec<_> =
             found.filter_map(|(seg, value)| Some(json!({"bucket": seg, "item": value.as_ref()?}))).collect();
         let mut body = json!({"finished": whole, "found": found});
-        if !in_hand.left_out.is_empty() {
-            let left_out = in_hand.left_out.iter().map(|left| {
+        if !in_hand.pruned.is_empty() {
+            let left_out = in_hand.pruned.iter().map(|left| {
                 let name = |node: NodeId| self.upstream.name(node);
                 let words = match left.basis {
                     PruningBasis::TwoReplicas(a, b) => [name(a), name(b)],
@@ -104,14 +104,18 @@
         }
         let body = body.to_string();
         self.reply(query, 200, &body, 0.0);
-        self.served(query, whole);
+        self.mark_served(query, whole);
     }
 
     fn reject_retriable(&mut self, query: QueryId, wait: f64) {
-        if self.queries.get(&query).is_some_and(|in_hand| in_hand.api.is_some()) {
+        if self.queries.get(&query).is_some_and(|in_hand| in_hand.search.is_some()) {
             if self.conclude(query).is_some() {
-                self.note(query, 429, false);
-                self.outcome(query, Err(ApiError::rejected("too much is asked for at this moment")), wait);
+                self.audit_answer(query, 429, false);
+                self.finish_search(
+                    query,
+                    Err(ApiError::rejected("too much is asked for at this moment")),
+                    wait,
+                );
             }
             return;
         }
@@ -123,10 +127,10 @@
         if self.nothing_was_sent(query) {
             return self.reject_retriable(query, 0.0);
         }
-        if self.queries.get(&query).is_some_and(|in_hand| in_hand.api.is_some()) {
+        if self.queries.get(&query).is_some_and(|in_hand| in_hand.search.is_some()) {
             if self.conclude(query).is_some() {
-                self.note(query, 502, false);
-                self.outcome(query, Err(ApiError::unknown_outcome()), 0.0);
+                self.audit_answer(query, 502, false);
+                self.finish_search(query, Err(ApiError::unknown_outcome()), 0.0);
             }
             return;
         }
@@ -138,7 +142,7 @@
     }
 
     fn schedule_wake(&mut self, at: f64) {
-        self.timers.set(at, TimerEvent::RouterWake);
+        self.timers.schedule(at, TimerEvent::RouterWake);
     }
 
     fn log(&mut self, line: &str) {
--- a/crates/dunepond-broker/src/upstream/connection.rs
+++ b/crates/dunepond-broker/src/upstream/connection.rs
@@ -50,7 +50,7 @@
         timers: &mut Timers,
     ) -> Result<usize, ConnectionEnd> {
         let dial =
-            self.nodes[node].row.as_ref().and_then(|row| row.dial).ok_or(ConnectionEnd::LocalResources)?;
+            self.nodes[node].row.as_ref().and_then(|row| row.address).ok_or(ConnectionEnd::LocalResources)?;
         if self.connections.len() >= self.most_links && !self.give_way(now, timers) {
             return Err(ConnectionEnd::LocalResources);
         }
@@ -66,7 +66,9 @@
             up: false,
             since: now,
             retired: false,
-            timer: Some(timers.set(now + self.bounds.connect_timeout, TimerEvent::UpstreamConnection(id))),
+            timer: Some(
+                timers.schedule(now + self.bounds.connect_timeout, TimerEvent::UpstreamConnection(id)),
+            ),
             input: None,
             out: WriteQueue::new(&self.pool),
             outstanding: VecDeque::new(),
@@ -98,7 +100,7 @@
                 Ok(None) => {}
             }
             (connection.up, connection.since) = (true, now);
-            timers.unset(connection.timer.take());
+            timers.cancel(connection.timer.take());
         }
         // Responses that arrived before a failure are read before writing meets the failure.
         if readable {
@@ -128,8 +130,10 @@
             return self.end(now, id, ConnectionEnd::IdleClosed, timers);
         }
         if connection.timer.is_none() {
-            let key = timers
-                .set(now + IDLE_CLOSE_RATIO * self.bounds.idle_close, TimerEvent::UpstreamConnection(id));
+            let key = timers.schedule(
+                now + IDLE_CLOSE_RATIO * self.bounds.idle_close,
+                TimerEvent::UpstreamConnection(id),
+            );
             connection.timer = Some(key);
             self.idle.insert(key, id);
         }
@@ -148,7 +152,7 @@
     /// The one place where a connection is closed; the outcome of its attempts follows from how it ended.
     pub(super) fn end(&mut self, now: f64, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
         let Some(connection) = self.connections.try_remove(id) else { return };
-        timers.unset(connection.timer);
+        timers.cancel(connection.timer);
         connection.timer.and_then(|key| self.idle.remove(&key));
         self.handle.remove(connection.token);
         let node_entry = &mut self.nodes[connection.node];
--- a/crates/dunepond-broker/src/upstream/endpoints.rs
+++ b/crates/dunepond-broker/src/upstream/endpoints.rs
@@ -18,13 +18,13 @@
             self.nodes.resize_with(node + 1, NodeEntry::default);
         }
         let node_entry = &mut self.nodes[node];
-        let (started, standing) = (row.started, row.standing);
+        let (started, standing) = (row.started_at, row.state);
         if standing == EndpointState::Removed && !node_entry.stands(EndpointState::Removed) {
             self.gone.push(node);
         }
         let before = node_entry.row.as_ref();
-        let moved = before.is_some_and(|b| b.dial.is_some() && b.dial != row.dial);
-        let replaced = started > before.map_or(0.0, |b| b.started);
+        let moved = before.is_some_and(|b| b.address.is_some() && b.address != row.address);
+        let replaced = started > before.map_or(0.0, |b| b.started_at);
         node_entry.row = Some(row);
         if moved || replaced || standing != EndpointState::Active {
             self.changed.push((node, replaced));
@@ -48,9 +48,9 @@
     /// Marks every node that a complete list does not name as removed.
     pub fn remove_unlisted(&mut self, now: f64, named: &HashSet<NodeId>, timers: &mut Timers) {
         for node in 0..self.nodes.len() {
-            let row = self.nodes[node].row.as_ref().filter(|row| row.standing != EndpointState::Removed);
+            let row = self.nodes[node].row.as_ref().filter(|row| row.state != EndpointState::Removed);
             if let Some(row) = row.filter(|_| !named.contains(&node)) {
-                let row = EndpointInfo { standing: EndpointState::Removed, ..row.clone() };
+                let row = EndpointInfo { state: EndpointState::Removed, ..row.clone() };
                 self.listed(now, node, row, timers);
             }
         }
@@ -65,7 +65,7 @@
         let at = self.gone.iter().position(idle)?;
         let node = self.gone.swap_remove(at);
         let row = std::mem::take(&mut self.nodes[node]).row?;
-        Some((node, row.host))
+        Some((node, row.name))
     }
 
     /// Whether any node may get new attempts.
@@ -75,7 +75,7 @@
 
     /// Whether a node has a replica of a segment, which is on `holders` of the `cells` replica groups, from its own on.
     pub fn holds(&self, node: NodeId, seg: usize, cells: usize, holders: usize) -> bool {
-        let cell = self.nodes.get(node).and_then(|s| s.row.as_ref()).map(|row| row.cell % cells);
+        let cell = self.nodes.get(node).and_then(|s| s.row.as_ref()).map(|row| row.replica_group % cells);
         (0..holders).any(|j| cell == Some((seg + j) % cells))
     }
 
@@ -89,9 +89,9 @@
     /// Every node that the list names, as it can be recognised after a restart.
     pub fn identities(&self) -> Vec<NodeIdentity> {
         let named = self.nodes.iter().enumerate().filter_map(|(node, node_entry)| {
-            let row = node_entry.row.as_ref().filter(|row| row.standing != EndpointState::Removed)?;
-            let dial = row.dial.map_or(String::new(), |dial| dial.to_string());
-            Some(NodeIdentity { node, name: row.host.clone(), address: dial, started_at: row.started })
+            let row = node_entry.row.as_ref().filter(|row| row.state != EndpointState::Removed)?;
+            let dial = row.address.map_or(String::new(), |dial| dial.to_string());
+            Some(NodeIdentity { node, name: row.name.clone(), address: dial, started_at: row.started_at })
         });
         named.collect()
     }
@@ -99,6 +99,6 @@
     /// The address of a node that may get new attempts.
     pub fn dial(&self, node: NodeId) -> Option<SocketAddr> {
         let row = self.nodes.get(node)?.row.as_ref()?;
-        row.dial.filter(|_| row.standing == EndpointState::Active)
+        row.address.filter(|_| row.state == EndpointState::Active)
     }
 }
--- a/crates/dunepond-broker/src/upstream/framing.rs
+++ b/crates/dunepond-broker/src/upstream/framing.rs
@@ -58,7 +58,7 @@
         look: Option<&CheckedConfig>,
     ) -> io::Result<()> {
         loop {
-            self.out.flush(FreshWriter { stream: &*self.stream, look })?;
+            self.out.flush(FreshWriter { stream: &*self.stream, checked: look })?;
             if !self.out.is_empty() {
                 self.take_back_unsent();
                 return Ok(());
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -163,11 +163,11 @@
 
 impl NodeEntry {
     fn name(&self) -> &str {
-        self.row.as_ref().map_or("?", |row| &row.host)
+        self.row.as_ref().map_or("?", |row| &row.name)
     }
 
     fn stands(&self, standing: EndpointState) -> bool {
-        self.row.as_ref().is_some_and(|row| row.standing == standing)
+        self.row.as_ref().is_some_and(|row| row.state == standing)
     }
 }
 
@@ -274,7 +274,7 @@
 
     fn speaks_api(&self, node: NodeId) -> bool {
         let Some(api) = &self.api else { return false };
-        let address = self.nodes.get(node).and_then(|entry| entry.row.as_ref()?.dial);
+        let address = self.nodes.get(node).and_then(|entry| entry.row.as_ref()?.address);
         address.is_some_and(|address| api.networks.iter().any(|network| network.contains(&address.ip())))
     }
 
--- a/crates/dunepond-broker/src/upstream/ownership_check.rs
+++ b/crates/dunepond-broker/src/upstream/ownership_check.rs
@@ -12,13 +12,13 @@
 
 /// Writes the attempts that were framed since the last call to the audit log.
 pub fn note(gate: &Gate, look: &CheckedConfig, host: &str, connection: &mut NodeConnection) {
-    if !gate.hand.is_audited() {
+    if !gate.control.is_audited() {
         return;
     }
     for out in connection.outstanding.iter_mut().filter(|o| o.to.is_some() && !o.noted) {
         let p = &out.parcel;
         out.noted = true;
-        gate.sent(look, p.began.as_deref(), p.table_type, &p.id, (p.seg, p.shot), host);
+        gate.audit_sent(look, p.began.as_deref(), p.table_type, &p.id, (p.seg, p.shot), host);
     }
 }
 
@@ -62,7 +62,7 @@
         connection.outstanding = outstanding;
         let (held, node): (VecDeque<OutstandingRequest>, _) = (held, connection.node);
         for out in held {
-            gate.hand.count_withheld();
+            gate.control.count_withheld();
             debug!("node {host}: {} is not sent: the active configuration forbids it", out.parcel.id);
             self.back.push_back(out.back(node, AttemptOutcome::NotSent, now, None));
         }
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -86,7 +86,7 @@
         }));
         if connection.up {
             let timer = connection.timer.take();
-            timers.unset(timer);
+            timers.cancel(timer);
             timer.and_then(|key| self.idle.remove(&key));
         }
     }
@@ -114,7 +114,7 @@
         let once = self.carries_non_idempotent(id);
         // Only non-idempotent attempts are checked; others are looked at only for the audit log.
         let gate = self.gate.as_ref();
-        let look = gate.filter(|gate| once || gate.hand.is_audited()).map(|gate| gate.look());
+        let look = gate.filter(|gate| once || gate.control.is_audited()).map(|gate| gate.check());
         if let Some(look) = &look
             && !self.withdraw_disallowed(look, now, id, timers)
         {
@@ -131,7 +131,7 @@
     /// Whether a connection carries an attempt that must not run twice, with a control plane.
     fn carries_non_idempotent(&self, id: usize) -> bool {
         let (Some(gate), Some(connection)) = (&self.gate, self.connections.get(id)) else { return false };
-        connection.outstanding.iter().any(|out| gate.once(out.parcel.table_type))
+        connection.outstanding.iter().any(|out| gate.is_non_idempotent(out.parcel.table_type))
     }
 
     /// Frames and writes attempts that have been checked, audits them, and handles a failed write.
--- a/crates/dunepond-broker/src/upstream/response.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -70,14 +70,14 @@
                     if input.is_empty() {
                         connection.input = None;
                         // No frame is incomplete; the timer of an idle connection stays.
-                        timers.unset(connection.timer.take_if(|key| !self.idle.contains_key(key)));
+                        timers.cancel(connection.timer.take_if(|key| !self.idle.contains_key(key)));
                     } else if connection.outstanding.is_empty() {
                         // A partial frame without an outstanding attempt: a later response would be read as its rest.
                         return self.end(now, id, ConnectionEnd::ProtocolError, timers);
                     } else if connection.timer.is_none() {
                         // The rest of a frame may never arrive: it has as long as establishing a connection.
                         let until = now + self.bounds.connect_timeout;
-                        connection.timer = Some(timers.set(until, TimerEvent::UpstreamConnection(id)));
+                        connection.timer = Some(timers.schedule(until, TimerEvent::UpstreamConnection(id)));
                     }
                     return;
                 }
@@ -175,7 +175,7 @@
             let connection = &mut self.connections[id];
             connection.input.as_mut()?.consume(decoded.frame_bytes);
             // The next frame has its own time limit.
-            timers.unset(connection.timer.take_if(|key| !self.idle.contains_key(key)));
+            timers.cancel(connection.timer.take_if(|key| !self.idle.contains_key(key)));
         }
     }
 
--- a/crates/dunepond-broker/tests/closing.rs
+++ b/crates/dunepond-broker/tests/closing.rs
@@ -51,7 +51,8 @@
     /// Waits for the readiness event of this client, and does not handle it.
     fn wait_readable(&mut self, id: usize) {
         let (mut turn, start) = (Iteration::default(), Instant::now());
-        while !turn.ready.iter().any(|ready| matches!(ready, LoopEvent::ClientReady(of, true) if *of == id)) {
+        while !turn.events.iter().any(|ready| matches!(ready, LoopEvent::ClientReady(of, true) if *of == id))
+        {
             self.event_loop.dispatch(Duration::from_millis(100), &mut turn).unwrap();
             assert!(start.elapsed() < Duration::from_secs(5), "nothing is told of it");
         }
--- a/crates/dunepond-broker/tests/hangup.rs
+++ b/crates/dunepond-broker/tests/hangup.rs
@@ -63,7 +63,7 @@
     /// Waits for the readiness event of the client.
     fn wait_readable(&mut self) {
         let (mut turn, start) = (Iteration::default(), Instant::now());
-        while !turn.ready.iter().any(|ready| matches!(ready, LoopEvent::ClientReady(_, true))) {
+        while !turn.events.iter().any(|ready| matches!(ready, LoopEvent::ClientReady(_, true))) {
             self.event_loop.dispatch(PATIENCE, &mut turn).unwrap();
             assert!(start.elapsed() < PATIENCE, "nothing is told");
         }
--- a/crates/dunepond-testkit/src/main.rs
+++ b/crates/dunepond-testkit/src/main.rs
@@ -62,9 +62,9 @@
 
 fn broker(file: PathBuf, disk: PathBuf, fleet_disk: Option<PathBuf>) -> anyhow::Result<()> {
     let plain = |Bad(line)| anyhow!(line);
-    let operator = config::operator(&file).map_err(plain)?;
+    let operator = config::read_operator_file(&file).map_err(plain)?;
     let mut start = config::read(|name| std::env::var(name).ok()).map_err(plain)?;
-    logger::start(&start.name, start.level, logger::LogFormat::Text);
+    logger::start(&start.name, start.log_level, logger::LogFormat::Text);
     let folder = operator.bodies.as_ref().and_then(|bodies| bodies.folder.as_ref());
     let folder =
         folder.map(|folder| Faulty::new(&folder.path, &disk)).transpose().context("files: folder")?;
@@ -80,7 +80,17 @@
         storage: fleet.map(|files| Arc::new(files) as Arc<dyn FileStore>),
         ..TestDoubles::default()
     };
-    serve(start, Hooks { operator: Some(file), folder, files, fleet, ..Hooks::default() }).map_err(plain)
+    serve(
+        start,
+        Hooks {
+            operator_file: Some(file),
+            body_folder: folder,
+            state_files: files,
+            control_plane: fleet,
+            ..Hooks::default()
+        },
+    )
+    .map_err(plain)
 }
 
 fn main() -> anyhow::Result<ExitCode> {
