--- a/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
@@ -23,7 +23,7 @@
 
 fn allot() -> SettlementEntry {
     let text = String::from;
-    let (debtor, creditor, parts) = (text("north"), text("south"), vec![(text("fleet"), 15_000)]);
+    let (debtor, creditor, parts) = (text("north"), text("south"), vec![(text("fleet"), 15_000).into()]);
     SettlementEntry::Allot(Allotment { number: 0, debtor, creditor, debt: 15_000, parts })
 }
 
@@ -91,11 +91,11 @@
     assert_eq!(log.check(&settle(50, 4999)), Err(Rejection::AlreadySettled("50/4999/h@fleet".to_string())));
     let late = log.check(&settle(41, 1));
     assert!(
-        matches!(late, Err(Rejection::Settlement(SettlementError::Closed { floor: 42, .. }))),
+        matches!(late, Err(Rejection::Settlement(SettlementError::VersionClosed { floor: 42, .. }))),
         "{late:?}"
     );
     let past = log.check(&settle(50, 5000));
-    assert!(matches!(past, Err(Rejection::Settlement(SettlementError::PastShare { .. }))), "{past:?}");
+    assert!(matches!(past, Err(Rejection::Settlement(SettlementError::ExceedsShare { .. }))), "{past:?}");
     let size = postcard::to_stdvec(&log.ledger).unwrap().len();
     assert!(size < 900 * 64, "{size} bytes for nine versions of a hundred fills");
 }
--- a/crates/dunepond-consensus/tests/golden/documents.rs
+++ b/crates/dunepond-consensus/tests/golden/documents.rs
@@ -75,7 +75,7 @@
 }
 
 pub fn allot() -> SettlementEntry {
-    let parts = vec![(text("fleet"), 900), (text("b1"), 100)];
+    let parts = vec![(text("fleet"), 900).into(), (text("b1"), 100).into()];
     SettlementEntry::Allot(Allotment {
         number: 0,
         debtor: text("north"),
--- a/crates/dunepond-consensus/tests/golden/runs.rs
+++ b/crates/dunepond-consensus/tests/golden/runs.rs
@@ -9,7 +9,7 @@
     Action, ActionBatch, CommittedEntry as Move, Operation, PauseReason, Plan, ResumeTrigger,
     Step as PlanStep, StepKind, StepLimits, order_steps,
 };
-use dunepond_settlement::{Release, SettlementEntry as Debt, StartedFill};
+use dunepond_settlement::{SettlementEntry as Debt, ShareRelease, StartedFill};
 use dunepond_simulation::fleet::{map, settlement, terms, version};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry as LogEntry, Message, Snapshot};
@@ -160,8 +160,8 @@
 
 fn enter_debts(alone: &mut Alone) {
     let (debtor, creditor) = (text("north"), text("south"));
-    let release = Release { number: 1, debtor, creditor, by: text("b1"), bytes: 40 };
-    let begun = StartedFill {
+    let release = ShareRelease { number: 1, debtor, creditor, broker: text("b1"), bytes: 40 };
+    let started = StartedFill {
         id: text("2/5/s0a"),
         segment: 5,
         holder: text("s0a"),
@@ -173,7 +173,7 @@
         settles: Some(settlement("5")),
         at: 1_700_000_000,
     };
-    for entry in [allot(), Debt::Release(release), Debt::Settle(settlement("6")), Debt::Begin(begun)] {
+    for entry in [allot(), Debt::Release(release), Debt::Settle(settlement("6")), Debt::StartFill(started)] {
         alone.enter(Command::Settlement(entry));
     }
 }
--- a/crates/dunepond-consensus/tests/parts.rs
+++ b/crates/dunepond-consensus/tests/parts.rs
@@ -368,7 +368,7 @@
         RollingBack(1),
         AlreadySettled(text()),
         AlreadyApplied,
-        Settlement(SettlementError::Name { name: text() }),
+        Settlement(SettlementError::InvalidName { name: text() }),
         Quota(dunepond_quota::QuotaError::NoChange),
         Busy,
         Rebalance(Box::new(dunepond_rebalance::RebalanceError::NoMap)),
--- a/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
@@ -37,7 +37,7 @@
                 continue;
             }
             let next = active.progress.tick(now, &mut fills.rng);
-            let starts = next.iter().any(|action| matches!(action, FillAction::Begin(_)));
+            let starts = next.iter().any(|action| matches!(action, FillAction::Start(_)));
             if starts && !active.attempt_running {
                 active.attempt_running = true;
                 running += 1;
@@ -51,7 +51,7 @@
     fn execute_fill_actions(&mut self, kind: FillKind, actions: Vec<FillAction>) {
         for action in actions {
             match action {
-                FillAction::Begin(fill) => {
+                FillAction::Start(fill) => {
                     info!("fleet: fill {}: from {} at {:.0} bytes a second", fill.id, fill.source, fill.rate);
                     self.audit_fill(&fill, AUDITED_START);
                     self.scheduler(kind).start_attempt(&fill);
@@ -59,7 +59,7 @@
                 // The fill service cannot stop a fill: it is asked again with the same id.
                 FillAction::Stop(fill) => info!("fleet: fill {}: no answer in time", fill.id),
                 // The capacity is free once the log has the fill; see `remove_unneeded_fills`.
-                FillAction::Free(_) | FillAction::Propose(_) => {}
+                FillAction::ReleaseCapacity(_) | FillAction::Propose(_) => {}
             }
         }
         self.remove_failed_fills(kind);
@@ -99,7 +99,7 @@
             Err(e) => {
                 increment(&counters.fills_failed);
                 warn!("fleet: fill {id}: {e} ({})", e.help());
-                FillEvent::Failed { why: e.to_string() }
+                FillEvent::Failed { reason: e.to_string() }
             }
         };
         let fill = active.progress.fill.clone();
@@ -127,7 +127,7 @@
         let Some(demands) = self.version_fill_demands() else { return };
         self.version_fills.avoided_sources.retain(|id| demands.iter().any(|demand| demand.id() == id));
         let Some(demand) = demands.iter().find(|demand| demand.id() == fill.id) else { return };
-        if demand.sources.iter().all(|(node, _)| *node != fill.source) {
+        if demand.sources.iter().all(|source| source.node != fill.source) {
             info!("fleet: fill {}: not from {} any more", fill.id, fill.source);
             self.version_fills.planner.fill_ended(&fill.id, false);
             self.version_fills.active.remove(&fill.id);
--- a/crates/dunepond-control-plane/src/control_loop/fills/demands.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/demands.rs
@@ -1,7 +1,7 @@
 //! The fills that the proposed version still requires.
 
 use dunepond_consensus::Voter;
-use dunepond_settlement::FillDemand;
+use dunepond_settlement::{FillDemand, FillSource};
 use dunepond_shard_map::{MapTransition, RequiredFill};
 
 use super::ControlLoop;
@@ -41,18 +41,19 @@
 fn fill_demand(transition: &MapTransition, required: &RequiredFill, version: u64, bytes: u64) -> FillDemand {
     let segment = transition.to().segment(required.segment);
     let replica = segment.and_then(|segment| segment.replicas.iter().find(|it| it.node == required.replica));
-    let source_partner = |node: &String| {
+    let source = |node: &String| {
         let old_segments =
             segment.into_iter().flat_map(|segment| transition.from().overlapping(segment.keys));
         let mut old_replicas = old_segments.flat_map(|old| &old.replicas);
-        old_replicas.find(|it| it.node == *node).map_or(String::new(), |it| it.partner.clone())
+        let partner = old_replicas.find(|it| it.node == *node).map_or(String::new(), |it| it.partner.clone());
+        FillSource { node: node.clone(), partner }
     };
     FillDemand {
         version,
         segment: required.segment,
         holder: required.replica.clone(),
         holder_partner: replica.map_or(String::new(), |replica| replica.partner.clone()),
-        sources: required.sources.iter().map(|node| (node.clone(), source_partner(node))).collect(),
+        sources: required.sources.iter().map(source).collect(),
         bytes,
         start: 0,
     }
--- a/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
@@ -24,7 +24,7 @@
         let (now, fills) = (monotonic_seconds(), &mut self.version_fills);
         let ledger = self.traffic.balances.ledger();
         let at_start = fills.first_seen_at.is_empty();
-        for started in ledger.begun() {
+        for started in ledger.started_fills() {
             let age = if at_start { (unix_seconds() - started.at as f64).max(0.0) } else { 0.0 };
             let key = (started.id.clone(), started.from.clone());
             fills.first_seen_at.entry(key).or_insert(now - age);
@@ -39,7 +39,7 @@
             return;
         }
         let mut resumed = Vec::new();
-        for started in self.traffic.balances.ledger().begun() {
+        for started in self.traffic.balances.ledger().started_fills() {
             let key = (started.id.clone(), started.from.clone());
             let started_at = fills.first_seen_at.get(&key).copied().unwrap_or(now);
             let fill = started.fill();
@@ -72,7 +72,7 @@
         }
         for fill in due {
             let started = StartedFill::new(&fill, unix_seconds() as u64);
-            let _ = self.enter_settlement(SettlementEntry::Begin(started));
+            let _ = self.enter_settlement(SettlementEntry::StartFill(started));
         }
         self.apply_voter_entries();
     }
--- a/crates/dunepond-control-plane/src/control_loop/fills/own.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/own.rs
@@ -1,7 +1,7 @@
 //! This broker's own fills, of replicas on nodes in slow start that it is responsible for, and the commitments behind them.
 
 use dunepond_consensus::ActiveConfig;
-use dunepond_settlement::{Fill, FillDemand, SlowStartCapacity};
+use dunepond_settlement::{Fill, FillDemand, FillSource, SlowStartCapacity};
 use dunepond_shard_map::{Replica, Segment, VerifiedMap};
 
 use super::{ControlLoop, FillKind};
@@ -36,9 +36,9 @@
             Some((node.node.clone(), capacity))
         };
         SlowStartCapacity {
-            window: self.slow_start.map_or(1.0, |policy| policy.window_seconds),
-            unit: COUNTING_UNIT_BYTES,
-            rooms: self.warming_nodes(now).iter().filter_map(capacity_of).collect(),
+            window_seconds: self.slow_start.map_or(1.0, |policy| policy.window_seconds),
+            unit_bytes: COUNTING_UNIT_BYTES,
+            nodes: self.warming_nodes(now).iter().filter_map(capacity_of).collect(),
         }
     }
 
@@ -201,12 +201,12 @@
     map: &VerifiedMap,
     segment: &Segment,
     warming: &[StartedNode],
-) -> Vec<(String, String)> {
+) -> Vec<FillSource> {
     let mut sources = Vec::new();
     for replica in &segment.replicas {
         let is_warming = warming.iter().any(|it| it.node == replica.node);
         if map.is_filled(segment, &replica.node) && !is_warming && !config.is_excluded(&replica.node) {
-            sources.push((replica.node.clone(), replica.partner.clone()));
+            sources.push(FillSource { node: replica.node.clone(), partner: replica.partner.clone() });
         }
     }
     sources
--- a/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
@@ -190,7 +190,7 @@
             bytes: fill.bytes,
             bytes_per_second: fill.rate as u64,
         };
-        let expected_seconds = fill.duration_seconds() * self.retry_policy.factor;
+        let expected_seconds = fill.duration_seconds() * self.retry_policy.timeout_factor;
         let timeout =
             Duration::from_secs_f64(expected_seconds.clamp(MIN_ATTEMPT_SECONDS, MAX_ATTEMPT_SECONDS));
         self.service.start_attempt(self.kind, request, timeout);
--- a/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
@@ -3,6 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use dunepond_settlement::FillSource;
+
 /// Sources from which attempts have failed, by a fill's id.
 #[derive(Default)]
 pub struct AvoidedSources(BTreeMap<String, BTreeSet<String>>);
@@ -17,19 +19,20 @@
         self.0.retain(|id, _| is_required(id));
     }
 
-    /// The sources (node and partner) to choose from. Draining nodes are used only if all are draining, and nodes from which
+    /// The sources to choose from. Draining nodes are used only if all are draining, and nodes from which
     /// an attempt has failed only if it has failed from each of the rest.
     pub fn usable(
         &self,
         id: &str,
-        sources: Vec<(String, String)>,
+        sources: Vec<FillSource>,
         is_draining: impl Fn(&str) -> bool,
-    ) -> Vec<(String, String)> {
+    ) -> Vec<FillSource> {
         let (draining, staying): (Vec<_>, Vec<_>) =
-            sources.into_iter().partition(|(node, _)| is_draining(node));
+            sources.into_iter().partition(|source| is_draining(&source.node));
         let candidates = if staying.is_empty() { draining } else { staying };
         let Some(failed) = self.0.get(id) else { return candidates };
-        let untried: Vec<_> = candidates.iter().filter(|(node, _)| !failed.contains(node)).cloned().collect();
+        let untried: Vec<_> =
+            candidates.iter().filter(|source| !failed.contains(&source.node)).cloned().collect();
         if untried.is_empty() { candidates } else { untried }
     }
 }
--- a/crates/dunepond-control-plane/src/control_loop/fills/sources/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/sources/tests/mod.rs
@@ -1,5 +1,6 @@
 //! Which sources may be used.
 
+use dunepond_settlement::FillSource;
 use rstest::rstest;
 
 use super::AvoidedSources;
@@ -19,9 +20,10 @@
 ) {
     let mut avoided = AvoidedSources::default();
     failed.iter().for_each(|source| avoided.note_failure("x", source));
-    let sources = ["a", "b", "c"].map(|node| (node.to_string(), String::new())).to_vec();
+    let sources =
+        ["a", "b", "c"].map(|node| FillSource { node: node.to_string(), partner: String::new() }).to_vec();
     let left = avoided.usable("x", sources.clone(), |node| draining.contains(&node));
-    assert_eq!(left.iter().map(|source| &*source.0).collect::<Vec<_>>(), expected);
+    assert_eq!(left.iter().map(|source| &*source.node).collect::<Vec<_>>(), expected);
     // Failures of one fill do not count for another.
     assert_eq!(avoided.usable("y", sources.clone(), |_| false), sources);
 }
--- a/crates/dunepond-control-plane/src/control_loop/settlements.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements.rs
@@ -55,9 +55,9 @@
 /// Whether a broker may propose the entry: only it knows what it promised and what it has left.
 fn may_propose(broker: &str, entry: &SettlementEntry) -> bool {
     match entry {
-        SettlementEntry::Settle(settlement) => settlement.by() == broker,
-        SettlementEntry::Release(release) => release.by == broker,
-        SettlementEntry::Allot(_) | SettlementEntry::Begin(_) => false,
+        SettlementEntry::Settle(settlement) => settlement.broker() == broker,
+        SettlementEntry::Release(release) => release.broker == broker,
+        SettlementEntry::Allot(_) | SettlementEntry::StartFill(_) => false,
     }
 }
 
@@ -114,14 +114,14 @@
         match entry {
             SettlementEntry::Settle(settlement) => self.on_settled(settlement),
             SettlementEntry::Allot(allotment) => {
-                let bytes: u64 = allotment.parts.iter().map(|part| part.1).sum();
+                let bytes: u64 = allotment.parts.iter().map(|share| share.bytes).sum();
                 let (debtor, creditor) = (allotment.debtor, allotment.creditor);
                 info!("fleet: {bytes} bytes that {debtor} owes {creditor} are split in advance");
             }
             SettlementEntry::Release(release) => {
-                debug!("fleet: {} gives back {} bytes of its share", release.by, release.bytes);
+                debug!("fleet: {} gives back {} bytes of its share", release.broker, release.bytes);
             }
-            SettlementEntry::Begin(_) => {}
+            SettlementEntry::StartFill(_) => {}
         }
     }
 
@@ -262,7 +262,7 @@
             let Some(allotment) = allot_evenly(&self.traffic.balances, &debtor, &creditor, &holders) else {
                 continue;
             };
-            if allotment.parts.iter().map(|part| part.1).sum::<u64>() >= self.min_split_bytes() {
+            if allotment.parts.iter().map(|share| share.bytes).sum::<u64>() >= self.min_split_bytes() {
                 let _ = self.enter_settlement(SettlementEntry::Allot(allotment));
             }
         }
--- a/crates/dunepond-control-plane/src/explain.rs
+++ b/crates/dunepond-control-plane/src/explain.rs
@@ -9,7 +9,7 @@
 use dunepond_consensus::{
     ChangeEnd, Command, ConfigVersion, Rejection, ReplicatedState, RolloutStep, StateChange,
 };
-use dunepond_settlement::{Balances, Fill, FillDemand, Settlement, SettlementEntry};
+use dunepond_settlement::{Balances, Fill, FillDemand, FillSource, Settlement, SettlementEntry};
 use dunepond_shard_map::MapTransition;
 
 /// Longest field.
@@ -281,12 +281,12 @@
         let terms = balances.terms();
         let limit = format!(
             "{:.0} bytes a second of {:.0} at most; {settles} of {} bytes paid off, {} a fill at most",
-            fill.rate, terms.most_rate, fill.bytes, terms.most_move
+            fill.rate, terms.max_fill_rate, fill.bytes, terms.max_fill_bytes
         );
         let others =
-            demand.into_iter().flat_map(|demand| &demand.sources).filter(|source| source.0 != fill.source);
-        let other = |(node, partner): &(String, String)| {
-            format!("{} owed {}", shortened(node), balances.net_debt(partner, &fill.to))
+            demand.into_iter().flat_map(|demand| &demand.sources).filter(|source| source.node != fill.source);
+        let other = |source: &FillSource| {
+            format!("{} owed {}", shortened(&source.node), balances.net_debt(&source.partner, &fill.to))
         };
         let others = abbreviated_list(others.map(other));
         let alternatives = if others.is_empty() { String::from("no other source") } else { others };
@@ -302,7 +302,7 @@
             shortened(debtor),
             shortened(creditor)
         );
-        let authority = format!("{}, for a fill from {}", shortened(settlement.by()), shortened(source));
+        let authority = format!("{}, for a fill from {}", shortened(settlement.broker()), shortened(source));
         let gross = balances.gross(creditor, debtor);
         let limit =
             format!("{gross} bytes were seen, {} of them are settled", balances.settled(debtor, creditor));
--- a/crates/dunepond-control-plane/src/slow_start.rs
+++ b/crates/dunepond-control-plane/src/slow_start.rs
@@ -36,9 +36,9 @@
     pub fn fill_capacity(&self, age: f64, multiple: f64, rate: f64, capacity_ratio: f64) -> NodeCapacity {
         let warmth = (age / self.warm_up_seconds).clamp(0.0, 1.0);
         let share = self.initial_share + (1.0 - self.initial_share) * warmth;
-        let expected =
+        let expected_units =
             multiple * share * rate * self.window_seconds / COUNTING_UNIT_BYTES as f64 * capacity_ratio;
-        NodeCapacity { expected, taken: max_units(expected) - expected }
+        NodeCapacity { expected_units, used_units: max_units(expected_units) - expected_units }
     }
 }
 
--- a/crates/dunepond-control-plane/src/slow_start/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/slow_start/tests/mod.rs
@@ -14,8 +14,8 @@
     };
     let rate = (64 * COUNTING_UNIT_BYTES) as f64;
     let cap = |age: f64, capacity_ratio: f64| {
-        let rooms = [("s".to_string(), policy.fill_capacity(age, 1.5, rate, capacity_ratio))].into();
-        SlowStartCapacity { window: 2.0, unit: COUNTING_UNIT_BYTES, rooms }.rate_cap("s")
+        let nodes = [("s".to_string(), policy.fill_capacity(age, 1.5, rate, capacity_ratio))].into();
+        SlowStartCapacity { window_seconds: 2.0, unit_bytes: COUNTING_UNIT_BYTES, nodes }.rate_cap("s")
     };
     for (age, share) in [(0.0, 0.25), (5.0, 0.625), (10.0, 1.0), (99.0, 1.0)] {
         let most = 1.5 * share * rate;
--- a/crates/dunepond-control-plane/src/startup.rs
+++ b/crates/dunepond-control-plane/src/startup.rs
@@ -96,8 +96,8 @@
 ) -> Result<settlement::LocalCounts, ControlPlaneError> {
     let opened = match settlement::LocalCounts::open(stored.clone(), broker, incarnation) {
         // The clock was set back, and the number of starts was lost.
-        Err(settlement::SettlementError::OldIncarnation { kept, .. }) => {
-            settlement::LocalCounts::open(stored, broker, kept + 1)
+        Err(settlement::SettlementError::StaleIncarnation { stored: newest, .. }) => {
+            settlement::LocalCounts::open(stored, broker, newest + 1)
         }
         other => other,
     };
@@ -122,7 +122,7 @@
     commitments: &Commitments,
 ) -> Result<settlement::Balances, ControlPlaneError> {
     let terms = settlement::SettlementTerms {
-        most_rate: fill_rate(config),
+        max_fill_rate: fill_rate(config),
         ..settlement::SettlementTerms::default()
     };
     let (sides, ledger) = (broker_partners(&config.partners), commitments.ledger.clone());
@@ -188,15 +188,15 @@
     fn scheduler(&self, kind: FillKind, by: &str, rng: &mut Pcg64Mcg) -> FillScheduler {
         let limits = FillLimits {
             links: settlement::LinkCapacities {
-                caps: self.link_rates.clone(),
-                unstated: self.default_link_rate,
-                inside: f64::INFINITY,
+                rate_caps: self.link_rates.clone(),
+                default_rate_cap: self.default_link_rate,
+                internal_rate_cap: f64::INFINITY,
             },
             segment_bytes: self.segment_bytes,
             max_concurrent: self.max_concurrent,
         };
         let retry_policy = settlement::FillRetryPolicy {
-            deadline: self.deadline_seconds,
+            deadline_seconds: self.deadline_seconds,
             ..settlement::FillRetryPolicy::default()
         };
         let planner = settlement::FillPlanner::new(by, settlement::PlanningRule::MaxMin, rng.random());
--- a/crates/dunepond-control-plane/src/tests/golden.rs
+++ b/crates/dunepond-control-plane/src/tests/golden.rs
@@ -92,12 +92,12 @@
 
 fn ledger() -> SettlementLedger {
     let mut ledger = SettlementLedger::default();
-    let parts = vec![(text("n1"), 5000), (text("fleet"), 5000)];
+    let parts = vec![(text("n1"), 5000).into(), (text("fleet"), 5000).into()];
     let allot = Allotment { number: 0, debtor: text("north"), creditor: text("south"), debt: 10_000, parts };
     let begun = StartedFill::new(&fill("7/1/s-3", Some(settlement("7/1/s-3", "fleet", 900))), 1_790_000_000);
     let settled = settlement("6/1/s-3", "fleet", 1000);
     for entry in
-        [SettlementEntry::Allot(allot), SettlementEntry::Settle(settled), SettlementEntry::Begin(begun)]
+        [SettlementEntry::Allot(allot), SettlementEntry::Settle(settled), SettlementEntry::StartFill(begun)]
     {
         ledger.apply(&entry).unwrap();
     }
--- a/crates/dunepond-control-plane/tests/explain.rs
+++ b/crates/dunepond-control-plane/tests/explain.rs
@@ -153,14 +153,14 @@
         settles: Some(settles),
     };
     let sources =
-        vec![(text("s1"), text("north")), (format!("{node}-2"), text("west")), (text("s3"), text("east"))];
+        [(text("s1"), text("north")), (format!("{node}-2"), text("west")), (text("s3"), text("east"))];
     let demand = FillDemand {
         version: 2,
         start: 0,
         segment: 0,
         holder: text(node),
         holder_partner: text("south"),
-        sources,
+        sources: sources.map(Into::into).into(),
         bytes: 1000,
     };
     (fill, demand)
--- a/crates/dunepond-settlement/src/balances.rs
+++ b/crates/dunepond-settlement/src/balances.rs
@@ -14,41 +14,51 @@
 /// Limits on which partners have agreed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SettlementTerms {
-    /// Ratio of the lesser count by which carrier and debtor may differ without a dispute.
-    pub tolerance: f64,
+    /// Ratio of the lesser count by which carrier and debtor may differ without a discrepancy.
+    #[serde(rename = "tolerance")]
+    pub tolerance_ratio: f64,
     /// Bytes by which they may differ on top of that.
-    pub slack: u64,
+    #[serde(rename = "slack")]
+    pub slack_bytes: u64,
     /// Seconds after which a byte weighs half as much in the order of service. The debt itself does not age.
-    pub half_life: f64,
+    #[serde(rename = "half_life")]
+    pub half_life_seconds: f64,
     /// Bytes by which one fill may change what two partners owe each other.
-    pub most_move: u64,
+    #[serde(rename = "most_move")]
+    pub max_fill_bytes: u64,
     /// Bytes a second by which it may change over a window.
-    pub most_speed: f64,
+    #[serde(rename = "most_speed")]
+    pub max_debt_speed: f64,
     /// No fill is taken from a partner that would be owed more than this by it.
-    pub most_debt: u64,
+    #[serde(rename = "most_debt")]
+    pub max_debt_bytes: u64,
     /// Seconds; a limit per window holds over each stretch of this length.
-    pub window: f64,
+    #[serde(rename = "window")]
+    pub window_seconds: f64,
     /// Bytes that one partner carries in fills for others per window.
-    pub carry: u64,
+    #[serde(rename = "carry")]
+    pub max_carried_bytes: u64,
     /// Bytes a second below which a fill is not started.
-    pub least_rate: f64,
+    #[serde(rename = "least_rate")]
+    pub min_fill_rate: f64,
     /// Bytes a second of a fill, at most.
-    pub most_rate: f64,
+    #[serde(rename = "most_rate")]
+    pub max_fill_rate: f64,
 }
 
 impl Default for SettlementTerms {
     fn default() -> SettlementTerms {
         SettlementTerms {
-            tolerance: 0.02,
-            slack: 1 << 20,
-            half_life: 86_400.0,
-            most_move: 16 << 30,
-            most_speed: (64 << 20) as f64,
-            most_debt: 256 << 30,
-            window: 3600.0,
-            carry: 128 << 30,
-            least_rate: 65_536.0,
-            most_rate: (32 << 20) as f64,
+            tolerance_ratio: 0.02,
+            slack_bytes: 1 << 20,
+            half_life_seconds: 86_400.0,
+            max_fill_bytes: 16 << 30,
+            max_debt_speed: (64 << 20) as f64,
+            max_debt_bytes: 256 << 30,
+            window_seconds: 3600.0,
+            max_carried_bytes: 128 << 30,
+            min_fill_rate: 65_536.0,
+            max_fill_rate: (32 << 20) as f64,
         }
     }
 }
@@ -57,24 +67,31 @@
     /// # Errors
     /// The first term that is out of range.
     pub fn check(&self) -> Result<(), SettlementError> {
-        let fault = |key, value, wanted| Err(SettlementError::Terms { key, value, wanted });
+        let fault = |key, value, expected| Err(SettlementError::InvalidTerm { key, value, expected });
         let above = |value: f64| value.is_finite() && value > 0.0;
-        if !(0.0..=1.0).contains(&self.tolerance) {
-            return fault("tolerance", self.tolerance, "0 to 1");
+        if !(0.0..=1.0).contains(&self.tolerance_ratio) {
+            return fault("tolerance", self.tolerance_ratio, "0 to 1");
         }
-        let seconds = [("half-life", self.half_life), ("window", self.window)];
+        let seconds = [("half-life", self.half_life_seconds), ("window", self.window_seconds)];
         if let Some((key, value)) = seconds.into_iter().find(|(_, value)| !above(*value)) {
             return fault(key, value, "seconds above 0");
         }
-        let speeds =
-            [("most-speed", self.most_speed), ("least-rate", self.least_rate), ("most-rate", self.most_rate)];
+        let speeds = [
+            ("most-speed", self.max_debt_speed),
+            ("least-rate", self.min_fill_rate),
+            ("most-rate", self.max_fill_rate),
+        ];
         if let Some((key, value)) = speeds.into_iter().find(|(_, value)| !above(*value)) {
             return fault(key, value, "bytes a second above 0");
         }
-        if self.most_rate < self.least_rate {
-            return fault("most-rate", self.most_rate, "no less than least-rate");
+        if self.max_fill_rate < self.min_fill_rate {
+            return fault("most-rate", self.max_fill_rate, "no less than least-rate");
         }
-        let bytes = [("most-move", self.most_move), ("most-debt", self.most_debt), ("carry", self.carry)];
+        let bytes = [
+            ("most-move", self.max_fill_bytes),
+            ("most-debt", self.max_debt_bytes),
+            ("carry", self.max_carried_bytes),
+        ];
         if let Some((key, value)) = bytes.into_iter().find(|(_, value)| *value == 0) {
             return fault(key, value as f64, "bytes above 0");
         }
@@ -93,44 +110,64 @@
     pub bytes: u64,
 }
 
-/// The two sides of a pair differ by more than the terms allow. The lesser count is used.
+/// The two sides of a pair differ by more than the terms allow; the lesser count is used.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Dispute {
+pub struct Discrepancy {
     /// Partner that carried.
     pub carrier: String,
     /// Partner that owes it.
-    pub owed_by: String,
+    #[serde(rename = "owed_by")]
+    pub debtor: String,
     /// Bytes that the carrier's brokers count.
-    pub said: u64,
-    /// Bytes that the other partner's brokers count.
-    pub seen: u64,
+    #[serde(rename = "said")]
+    pub carrier_bytes: u64,
+    /// Bytes that the debtor's brokers count.
+    #[serde(rename = "seen")]
+    pub debtor_bytes: u64,
 }
 
-impl Dispute {
+impl Discrepancy {
     /// Bytes that do not count.
     pub fn uncounted_bytes(&self) -> u64 {
-        self.said.abs_diff(self.seen)
+        self.carrier_bytes.abs_diff(self.debtor_bytes)
     }
 }
 
 /// Bytes of one pair, weighted by age.
 #[derive(Clone, Copy, Debug)]
-struct Aged {
-    at: f64,
+struct AgedBytes {
+    updated_at: f64,
     weight: f64,
-    known: u64,
+    known_bytes: u64,
+}
+
+impl AgedBytes {
+    fn new(now: f64) -> Self {
+        Self { updated_at: now, weight: 0.0, known_bytes: 0 }
+    }
+
+    fn decayed_weight(&self, now: f64, half_life_seconds: f64) -> f64 {
+        let age_seconds = (now - self.updated_at).max(0.0);
+        self.weight * (-age_seconds / half_life_seconds).exp2()
+    }
+
+    fn update(&mut self, now: f64, bytes: u64, half_life_seconds: f64) {
+        let new_bytes = (bytes - self.known_bytes) as f64;
+        self.weight = self.decayed_weight(now, half_life_seconds) + new_bytes;
+        (self.updated_at, self.known_bytes) = (now, bytes);
+    }
 }
 
 /// Counts and ledger together, as one broker sees them. Counts may lag behind those of others, but never lead.
 #[derive(Clone, Debug)]
 pub struct Balances {
     terms: SettlementTerms,
-    sides: BrokerPartners,
+    partners: BrokerPartners,
     ledger: SettlementLedger,
     /// Carrier and who owes it: bytes that count.
     gross: BTreeMap<(String, String), u64>,
-    aged: BTreeMap<(String, String), Aged>,
-    disputes: Vec<Dispute>,
+    aged: BTreeMap<(String, String), AgedBytes>,
+    discrepancies: Vec<Discrepancy>,
 }
 
 impl Balances {
@@ -138,12 +175,12 @@
     /// A term is out of range.
     pub fn new(
         terms: SettlementTerms,
-        sides: BrokerPartners,
+        partners: BrokerPartners,
         ledger: SettlementLedger,
     ) -> Result<Balances, SettlementError> {
         terms.check()?;
         let (gross, aged) = (BTreeMap::new(), BTreeMap::new());
-        Ok(Balances { terms, sides, ledger, gross, aged, disputes: Vec::new() })
+        Ok(Balances { terms, partners, ledger, gross, aged, discrepancies: Vec::new() })
     }
 
     /// As agreed.
@@ -162,11 +199,12 @@
     }
 
     /// With this fraction of what partners may carry and of how fast debts may change, for one of several planners.
-    pub fn fraction(&self, part: f64) -> Balances {
-        let mut book = self.clone();
-        book.terms.carry = (book.terms.carry as f64 * part) as u64;
-        book.terms.most_speed *= part;
-        book
+    pub fn fraction(&self, fraction: f64) -> Balances {
+        let mut balances = self.clone();
+        let max_carried_bytes = balances.terms.max_carried_bytes as f64;
+        balances.terms.max_carried_bytes = (max_carried_bytes * fraction) as u64;
+        balances.terms.max_debt_speed *= fraction;
+        balances
     }
 
     /// Applies an entry of the consensus log, in its order.
@@ -188,40 +226,44 @@
     /// of both does: a partner that claims ten times what it carried gets what the other side saw. Brokers of neither side
     /// count in full: each query passes one broker. All of these only grow, so the result only grows.
     pub fn update_counts(&mut self, now: f64, counts: &CarriedCounts) {
-        self.disputes.clear();
-        for (carrier, owed_by) in counts.pairs() {
-            let by = |partner: &str| {
-                counts.total_of(&carrier, &owed_by, |broker| self.sides.partner(broker) == Some(partner))
+        self.discrepancies.clear();
+        for (carrier, debtor) in counts.pairs() {
+            let by_partner = |partner: &str| {
+                counts.total_of(&carrier, &debtor, |broker| self.partners.partner(broker) == Some(partner))
+            };
+            let (carrier_bytes, debtor_bytes) = (by_partner(&carrier), by_partner(&debtor));
+            let is_witness = |broker: &str| {
+                self.partners.partner(broker).is_none_or(|partner| partner != carrier && partner != debtor)
             };
-            let (said, seen) = (by(&carrier), by(&owed_by));
-            let neither =
-                |broker: &str| self.sides.partner(broker).is_none_or(|it| it != carrier && it != owed_by);
-            let witnessed = counts.total_of(&carrier, &owed_by, neither);
-            let lesser = if self.sides.metered.contains(&carrier) { said.min(seen) } else { seen };
-            let near = lesser as f64 * (1.0 + self.terms.tolerance) + self.terms.slack as f64;
-            if said.max(seen) as f64 > near && lesser != said.max(seen) {
-                let (carrier, owed_by) = (carrier.clone(), owed_by.clone());
-                self.disputes.push(Dispute { carrier, owed_by, said, seen });
+            let witnessed = counts.total_of(&carrier, &debtor, is_witness);
+            let is_metered = self.partners.metered.contains(&carrier);
+            let counted = if is_metered { carrier_bytes.min(debtor_bytes) } else { debtor_bytes };
+            let claimed = carrier_bytes.max(debtor_bytes);
+            let (ratio, slack_bytes) = (self.terms.tolerance_ratio, self.terms.slack_bytes);
+            let tolerated = counted as f64 * (1.0 + ratio) + slack_bytes as f64;
+            if claimed as f64 > tolerated && counted != claimed {
+                let (carrier, debtor) = (carrier.clone(), debtor.clone());
+                self.discrepancies.push(Discrepancy { carrier, debtor, carrier_bytes, debtor_bytes });
             }
-            let bytes = lesser.saturating_add(witnessed);
-            let gross = self.gross.entry((carrier.clone(), owed_by.clone())).or_default();
-            *gross = bytes.max(*gross);
-            let fresh = Aged { at: now, weight: 0.0, known: 0 };
-            let aged = self.aged.entry((carrier, owed_by)).or_insert(fresh);
-            aged.weight =
-                aged.weight * half(now - aged.at, self.terms.half_life) + (*gross - aged.known) as f64;
-            (aged.at, aged.known) = (now, *gross);
+            self.raise_gross(now, carrier, debtor, counted.saturating_add(witnessed));
         }
     }
 
+    fn raise_gross(&mut self, now: f64, carrier: String, debtor: String, bytes: u64) {
+        let gross = self.gross.entry((carrier.clone(), debtor.clone())).or_default();
+        *gross = bytes.max(*gross);
+        let aged = self.aged.entry((carrier, debtor)).or_insert(AgedBytes::new(now));
+        aged.update(now, *gross, self.terms.half_life_seconds);
+    }
+
     /// As of the last counts.
-    pub fn disputes(&self) -> &[Dispute] {
-        &self.disputes
+    pub fn discrepancies(&self) -> &[Discrepancy] {
+        &self.discrepancies
     }
 
-    /// All that `owed_by` ever owed `carrier`, settled or not.
-    pub fn gross(&self, carrier: &str, owed_by: &str) -> u64 {
-        self.gross.get(&(carrier.to_string(), owed_by.to_string())).copied().unwrap_or(0)
+    /// All that `debtor` ever owed `carrier`, settled or not.
+    pub fn gross(&self, carrier: &str, debtor: &str) -> u64 {
+        self.gross.get(&(carrier.to_string(), debtor.to_string())).copied().unwrap_or(0)
     }
 
     /// Bytes settled, up to the debt; a settlement whose debt is not known yet counts once it is.
@@ -275,17 +317,13 @@
     /// Weight of a debt in the order of service: its recent bytes count fully, the others by age.
     pub fn service_weight(&self, debt: &NetDebt, now: f64) -> f64 {
         let key = (debt.creditor.clone(), debt.debtor.clone());
-        let young = self.aged.get(&key).map_or(1.0, |aged| {
-            aged.weight * half(now - aged.at, self.terms.half_life) / (aged.known.max(1)) as f64
+        let recent_ratio = self.aged.get(&key).map_or(1.0, |aged| {
+            aged.decayed_weight(now, self.terms.half_life_seconds) / aged.known_bytes.max(1) as f64
         });
-        debt.bytes as f64 * young.clamp(MIN_WEIGHT_RATIO, 1.0)
+        debt.bytes as f64 * recent_ratio.clamp(MIN_WEIGHT_RATIO, 1.0)
     }
 }
 
-fn half(seconds: f64, half_life: f64) -> f64 {
-    (-seconds.max(0.0) / half_life).exp2()
-}
-
 /// A cycle of debts, if there is one; the same for the same debts.
 fn cycle<'a>(open: &BTreeMap<(&'a str, &'a str), u64>) -> Option<Vec<(&'a str, &'a str)>> {
     let mut done: BTreeSet<&str> = BTreeSet::new();
--- a/crates/dunepond-settlement/src/counts.rs
+++ b/crates/dunepond-settlement/src/counts.rs
@@ -142,7 +142,7 @@
         let cells = other.cell_count();
         if cells > MAX_CELL_COUNT {
             let (from, brokers) = (from.to_string(), other.rows.len());
-            return Err(SettlementError::TooMany { from, brokers, cells, most: MAX_CELL_COUNT });
+            return Err(SettlementError::TooManyCells { from, brokers, cells, max: MAX_CELL_COUNT });
         }
         let mut left_out = 0;
         for (broker, row) in &other.rows {
@@ -248,25 +248,25 @@
         broker: &str,
         incarnation: u64,
     ) -> Result<LocalCounts, SettlementError> {
-        let Some(mut tally) = saved else {
+        let Some(mut local) = saved else {
             let (broker, counts) = (broker.to_string(), CarriedCounts::new());
             return Ok(LocalCounts { broker, incarnation, first: incarnation, counts });
         };
-        if tally.broker != broker {
-            return Err(SettlementError::OtherBroker { kept: tally.broker, broker: broker.to_string() });
+        if local.broker != broker {
+            return Err(SettlementError::OtherBroker { stored: local.broker, broker: broker.to_string() });
         }
-        if tally.incarnation >= incarnation {
-            let (broker, kept) = (tally.broker, tally.incarnation);
-            return Err(SettlementError::OldIncarnation { broker, incarnation, kept });
+        if local.incarnation >= incarnation {
+            let (broker, stored) = (local.broker, local.incarnation);
+            return Err(SettlementError::StaleIncarnation { broker, incarnation, stored });
         }
-        tally.incarnation = incarnation;
-        if let Some(row) = tally.counts.rows.get_mut(broker) {
-            let sure = row.live.keys().next().is_none_or(|oldest| *oldest >= tally.first);
+        local.incarnation = incarnation;
+        if let Some(row) = local.counts.rows.get_mut(broker) {
+            let sure = row.live.keys().next().is_none_or(|oldest| *oldest >= local.first);
             if sure || row.live.len() > MAX_LIVE_COUNT {
                 row.fold(incarnation);
             }
         }
-        Ok(tally)
+        Ok(local)
     }
 
     /// Counts traffic in this incarnation.
--- a/crates/dunepond-settlement/src/demand.rs
+++ b/crates/dunepond-settlement/src/demand.rs
@@ -6,8 +6,9 @@
 
 use crate::Fill;
 
-const MARGIN_DEVIATIONS: f64 = 3.0;
-const MARGIN_UNITS: f64 = 3.0;
+/// Margin above the expected units of a window.
+const MARGIN_STANDARD_DEVIATION_COUNT: f64 = 3.0;
+const MARGIN_UNIT_COUNT: f64 = 3.0;
 
 /// A replica that has to be filled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -20,14 +21,36 @@
     pub holder: String,
     /// Its partner.
     pub holder_partner: String,
-    /// Filled nodes and their partners.
-    pub sources: Vec<(String, String)>,
+    /// Filled replicas.
+    pub sources: Vec<FillSource>,
     /// Size of the segment.
     pub bytes: u64,
     /// The start of the node that emptied it; 0 for a replica that the version adds.
     pub start: u64,
 }
 
+/// A filled replica. Serialised as a pair.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(String, String)", into = "(String, String)")]
+pub struct FillSource {
+    /// Name of the node.
+    pub node: String,
+    /// Its partner.
+    pub partner: String,
+}
+
+impl From<(String, String)> for FillSource {
+    fn from((node, partner): (String, String)) -> Self {
+        Self { node, partner }
+    }
+}
+
+impl From<FillSource> for (String, String) {
+    fn from(source: FillSource) -> Self {
+        (source.node, source.partner)
+    }
+}
+
 impl FillDemand {
     /// `VERSION/SEGMENT/NODE`, with `+START` where a start of the node emptied it.
     pub fn id(&self) -> String {
@@ -40,60 +63,63 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkCapacities {
     /// By source partner and filled partner.
-    pub caps: BTreeMap<(String, String), f64>,
+    pub rate_caps: BTreeMap<(String, String), f64>,
     /// For a pair that is not listed.
-    pub unstated: f64,
+    pub default_rate_cap: f64,
     /// Inside one partner.
-    pub inside: f64,
+    pub internal_rate_cap: f64,
 }
 
 impl LinkCapacities {
     /// This fraction of every rate, for a planner that is one of several.
-    pub fn fraction(&self, part: f64) -> LinkCapacities {
-        let caps = self.caps.iter().map(|(pair, cap)| (pair.clone(), cap * part)).collect();
-        LinkCapacities { caps, unstated: self.unstated * part, inside: self.inside * part }
+    pub fn fraction(&self, fraction: f64) -> LinkCapacities {
+        LinkCapacities {
+            rate_caps: self.rate_caps.iter().map(|(pair, cap)| (pair.clone(), cap * fraction)).collect(),
+            default_rate_cap: self.default_rate_cap * fraction,
+            internal_rate_cap: self.internal_rate_cap * fraction,
+        }
     }
 
     /// Between two partners.
     pub fn rate_cap(&self, from: &str, to: &str) -> f64 {
-        let otherwise = if from == to { self.inside } else { self.unstated };
-        self.caps.get(&(from.to_string(), to.to_string())).copied().unwrap_or(otherwise)
+        let otherwise = if from == to { self.internal_rate_cap } else { self.default_rate_cap };
+        self.rate_caps.get(&(from.to_string(), to.to_string())).copied().unwrap_or(otherwise)
     }
 }
 
 /// What a node in slow start may be sent in each window, by all brokers together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStartCapacity {
-    /// Seconds.
-    pub window: f64,
-    /// Bytes of one unit.
-    pub unit: u64,
-    /// By node; a node that is not listed has no limit.
-    pub rooms: BTreeMap<String, NodeCapacity>,
+    /// Length of a window.
+    pub window_seconds: f64,
+    /// Size of one unit.
+    pub unit_bytes: u64,
+    /// By name; a node that is not listed has no limit.
+    pub nodes: BTreeMap<String, NodeCapacity>,
 }
 
 /// Units of one node in a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeCapacity {
     /// Units that it is expected to get.
-    pub expected: f64,
+    pub expected_units: f64,
     /// Units that queries use already.
-    pub taken: f64,
+    pub used_units: f64,
 }
 
-/// The most that a node in slow start may get where `expected` units are intended: a margin of three standard deviations
+/// The most that a node in slow start may get where `expected_units` are intended: a margin of three standard deviations
 /// of a Poisson count, and three units.
-pub fn max_units(expected: f64) -> f64 {
-    expected + MARGIN_DEVIATIONS * expected.sqrt() + MARGIN_UNITS
+pub fn max_units(expected_units: f64) -> f64 {
+    expected_units + MARGIN_STANDARD_DEVIATION_COUNT * expected_units.sqrt() + MARGIN_UNIT_COUNT
 }
 
 impl SlowStartCapacity {
     /// Bytes a second that fills may send to the node. A unit is counted when it starts, so a steady flow may put one more
     /// into a window than its rate says: that one stays free.
     pub fn rate_cap(&self, node: &str) -> f64 {
-        self.rooms.get(node).map_or(f64::INFINITY, |room| {
-            (max_units(room.expected) - room.taken - 1.0).max(0.0) * self.unit as f64 / self.window
-        })
+        let Some(capacity) = self.nodes.get(node) else { return f64::INFINITY };
+        let free_units = max_units(capacity.expected_units) - capacity.used_units - 1.0;
+        free_units.max(0.0) * self.unit_bytes as f64 / self.window_seconds
     }
 }
 
@@ -109,7 +135,7 @@
 }
 
 /// Why a demand has no fill now.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum WaitReason {
     /// Its fill is running.
     Running,
@@ -118,13 +144,17 @@
     /// No link from a source has the minimum rate free.
     Link,
     /// The node is in slow start and has no capacity.
-    Cold,
-    /// It would move a debt too far.
-    Far,
-    /// It would move a debt too fast.
-    Fast,
+    #[serde(rename = "Cold")]
+    SlowStart,
+    /// It would change a debt too much.
+    #[serde(rename = "Far")]
+    DebtSize,
+    /// It would change a debt too fast.
+    #[serde(rename = "Fast")]
+    DebtSpeed,
     /// The sources' partners have carried their limit in this window.
-    Carry,
+    #[serde(rename = "Carry")]
+    CarryLimit,
 }
 
 /// Result of one call of the planner.
@@ -132,6 +162,15 @@
 pub struct FillPlan {
     /// To be started now.
     pub fills: Vec<Fill>,
-    /// Ids of demands that have to wait, and why.
-    pub held: Vec<(String, WaitReason)>,
+    /// Demands that have to wait.
+    pub waiting: Vec<WaitingDemand>,
+}
+
+/// A demand that has no fill now.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WaitingDemand {
+    /// As [`FillDemand::id`].
+    pub id: String,
+    /// Why it waits.
+    pub reason: WaitReason,
 }
--- a/crates/dunepond-settlement/src/error.rs
+++ b/crates/dunepond-settlement/src/error.rs
@@ -7,31 +7,31 @@
 pub enum SettlementError {
     /// A name is not usable in ids.
     #[error("the name {name:?} is empty or holds '@'")]
-    Name {
+    InvalidName {
         /// As given.
         name: String,
     },
     /// The folder belongs to another broker.
-    #[error("the folder holds the counts of broker {kept}, this is {broker}")]
+    #[error("the folder holds the counts of broker {stored}, this is {broker}")]
     OtherBroker {
         /// In the folder.
-        kept: String,
+        stored: String,
         /// This broker.
         broker: String,
     },
     /// The folder is newer than this start.
-    #[error("broker {broker} starts as incarnation {incarnation}, its folder already holds {kept}")]
-    OldIncarnation {
+    #[error("broker {broker} starts as incarnation {incarnation}, its folder already holds {stored}")]
+    StaleIncarnation {
         /// This broker.
         broker: String,
         /// Of this start.
         incarnation: u64,
         /// In the folder.
-        kept: u64,
+        stored: u64,
     },
     /// A message has more cells than are accepted.
-    #[error("counts of {brokers} brokers and {cells} pairs came from {from}, at most {most} are taken")]
-    TooMany {
+    #[error("counts of {brokers} brokers and {cells} pairs came from {from}, at most {max} are taken")]
+    TooManyCells {
         /// Sender.
         from: String,
         /// In the message.
@@ -39,21 +39,21 @@
         /// In the message.
         cells: usize,
         /// Upper limit.
-        most: usize,
+        max: usize,
     },
     /// A term is out of range.
-    #[error("terms of debts: {key} is {value}, wanted is {wanted}")]
-    Terms {
+    #[error("terms of debts: {key} is {value}, wanted is {expected}")]
+    InvalidTerm {
         /// In the operator's file.
         key: &'static str,
         /// As configured.
         value: f64,
         /// Expected.
-        wanted: &'static str,
+        expected: &'static str,
     },
     /// The fill has settled otherwise.
     #[error("settlement {id}: fill {fill} has settled already, as {before}")]
-    Contradicts {
+    AlreadySettledOtherwise {
         /// Of the settlement.
         id: String,
         /// Its id.
@@ -63,7 +63,7 @@
     },
     /// The version is closed.
     #[error("settlement {id} belongs to version {version:?}, versions before {floor} are closed")]
-    Closed {
+    VersionClosed {
         /// Of the settlement.
         id: String,
         /// Of the settlement.
@@ -73,13 +73,13 @@
     },
     /// The settlement exceeds its broker's share.
     #[error(
-        "settlement {id} takes {bytes} off what {debtor} owes {creditor}; the share of {by} has {left} left"
+        "settlement {id} takes {bytes} off what {debtor} owes {creditor}; the share of {broker} has {left} left"
     )]
-    PastShare {
+    ExceedsShare {
         /// Of the settlement.
         id: String,
         /// Broker.
-        by: String,
+        broker: String,
         /// Partner that owes.
         debtor: String,
         /// Partner that is owed.
@@ -90,22 +90,22 @@
         left: u64,
     },
     /// Shares would exceed the debt.
-    #[error("shares of {wanted} in what {debtor} owes {creditor}, a debt of {debt}")]
-    PastDebt {
+    #[error("shares of {allotted} in what {debtor} owes {creditor}, a debt of {debt}")]
+    ExceedsDebt {
         /// Partner that owes.
         debtor: String,
         /// Partner that is owed.
         creditor: String,
-        /// Expected.
-        wanted: u64,
+        /// All shares together.
+        allotted: u64,
         /// Amount that is owed.
         debt: u64,
     },
     /// More would be returned than is left.
-    #[error("{by} gives back {bytes} of its share in what {debtor} owes {creditor}, and has {left}")]
-    PastRelease {
+    #[error("{broker} gives back {bytes} of its share in what {debtor} owes {creditor}, and has {left}")]
+    ExceedsRemaining {
         /// Broker.
-        by: String,
+        broker: String,
         /// Partner that owes.
         debtor: String,
         /// Partner that is owed.
@@ -116,8 +116,8 @@
         left: u64,
     },
     /// The proposer has skipped an entry.
-    #[error("an entry about {debtor} and {creditor} with the number {number}, {wanted} is next")]
-    Ahead {
+    #[error("an entry about {debtor} and {creditor} with the number {number}, {expected} is next")]
+    SkippedNumber {
         /// Partner that owes.
         debtor: String,
         /// Partner that is owed.
@@ -125,11 +125,11 @@
         /// Of the entry.
         number: u64,
         /// Expected.
-        wanted: u64,
+        expected: u64,
     },
     /// The entry moves nothing.
     #[error("an entry of {bytes} bytes between {debtor} and {creditor} moves nothing")]
-    Nothing {
+    EmptyEntry {
         /// Partner that owes.
         debtor: String,
         /// Partner that is owed.
@@ -139,7 +139,7 @@
     },
     /// The event is impossible in this state.
     #[error("fill {fill} is {state}, which cannot be followed by {event}")]
-    Step {
+    InvalidEvent {
         /// Its id.
         fill: String,
         /// Of the fill.
@@ -153,37 +153,39 @@
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            SettlementError::Name { .. } => "name every broker in `fleet` by letters, digits and dashes",
+            SettlementError::InvalidName { .. } => {
+                "name every broker in `fleet` by letters, digits and dashes"
+            }
             SettlementError::OtherBroker { .. } => "give each broker a folder of its own, or clear this one",
-            SettlementError::OldIncarnation { .. } => {
+            SettlementError::StaleIncarnation { .. } => {
                 "the folder is newer than the start counter: do not put back one without the other"
             }
-            SettlementError::TooMany { .. } => {
+            SettlementError::TooManyCells { .. } => {
                 "look at the peer named: a broker sends rows for brokers that exist"
             }
-            SettlementError::Terms { .. } => "put the key named right in the operator's file",
-            SettlementError::Contradicts { .. } => {
+            SettlementError::InvalidTerm { .. } => "put the key named right in the operator's file",
+            SettlementError::AlreadySettledOtherwise { .. } => {
                 "nothing is lost, the first settlement stands; a fill was carried out twice, look for a filler that is slow to answer"
             }
-            SettlementError::Closed { .. } => {
+            SettlementError::VersionClosed { .. } => {
                 "the broker was away for whole versions; its debt stays open and is paid by a later fill"
             }
-            SettlementError::PastShare { .. } => {
+            SettlementError::ExceedsShare { .. } => {
                 "split more of the debt (an `Allot` entry) before the next fill"
             }
-            SettlementError::PastDebt { .. } => {
+            SettlementError::ExceedsDebt { .. } => {
                 "let the counts merge first; who proposes sees a smaller debt than it splits"
             }
-            SettlementError::PastRelease { .. } => {
+            SettlementError::ExceedsRemaining { .. } => {
                 "only the broker itself may give back, and only what it has not spent"
             }
-            SettlementError::Ahead { .. } => {
+            SettlementError::SkippedNumber { .. } => {
                 "the proposer has not applied the log; it has to catch up and propose again"
             }
-            SettlementError::Nothing { .. } => {
+            SettlementError::EmptyEntry { .. } => {
                 "a fault of the proposer: it names one partner twice, or no bytes"
             }
-            SettlementError::Step { .. } => {
+            SettlementError::InvalidEvent { .. } => {
                 "a fault of the host, or a filler that answers twice: nothing was changed"
             }
         }
--- a/crates/dunepond-settlement/src/fill.rs
+++ b/crates/dunepond-settlement/src/fill.rs
@@ -52,22 +52,35 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FillRetryPolicy {
     /// Seconds from its plan after which the fill is withdrawn.
-    pub deadline: f64,
+    #[serde(rename = "deadline")]
+    pub deadline_seconds: f64,
     /// Timeout of an attempt, as a multiple of its duration at the planned rate.
-    pub factor: f64,
+    #[serde(rename = "factor")]
+    pub timeout_factor: f64,
     /// Minimum timeout of an attempt, in seconds.
-    pub least: f64,
+    #[serde(rename = "least")]
+    pub min_timeout_seconds: f64,
     /// Backoff before the second attempt, in seconds; doubled with each further one, half of it random.
-    pub pause: f64,
+    #[serde(rename = "pause")]
+    pub initial_backoff_seconds: f64,
     /// Maximum backoff, in seconds.
-    pub longest: f64,
+    #[serde(rename = "longest")]
+    pub max_backoff_seconds: f64,
     /// Maximum number of attempts.
-    pub tries: u32,
+    #[serde(rename = "tries")]
+    pub max_attempts: u32,
 }
 
 impl Default for FillRetryPolicy {
     fn default() -> FillRetryPolicy {
-        FillRetryPolicy { deadline: 3600.0, factor: 2.0, least: 5.0, pause: 1.0, longest: 60.0, tries: 8 }
+        FillRetryPolicy {
+            deadline_seconds: 3600.0,
+            timeout_factor: 2.0,
+            min_timeout_seconds: 5.0,
+            initial_backoff_seconds: 1.0,
+            max_backoff_seconds: 60.0,
+            max_attempts: 8,
+        }
     }
 }
 
@@ -80,7 +93,8 @@
         not_before: f64,
     },
     /// An attempt is running.
-    UnderWay {
+    #[serde(rename = "UnderWay")]
+    Running {
         /// The attempt times out then.
         until: f64,
     },
@@ -89,12 +103,14 @@
     /// All attempts failed; another source may be planned.
     Failed {
         /// Of the last attempt.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// The fill is not required any more.
     Withdrawn {
         /// For the log.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
@@ -103,7 +119,7 @@
     pub fn name(&self) -> &'static str {
         match self {
             FillState::Planned { .. } => "planned",
-            FillState::UnderWay { .. } => "under way",
+            FillState::Running { .. } => "under way",
             FillState::Done => "done",
             FillState::Failed { .. } => "failed",
             FillState::Withdrawn { .. } => "withdrawn",
@@ -112,7 +128,7 @@
 
     /// No event changes it any more.
     pub fn is_final(&self) -> bool {
-        !matches!(self, FillState::Planned { .. } | FillState::UnderWay { .. })
+        !matches!(self, FillState::Planned { .. } | FillState::Running { .. })
     }
 }
 
@@ -124,12 +140,14 @@
     /// The attempt failed.
     Failed {
         /// As the fill service reported.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// The version that requires it is withdrawn, or the fill planned again.
     Withdrawn {
         /// For the log.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
@@ -147,13 +165,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FillAction {
     /// Start an attempt.
-    Begin(Fill),
+    Start(Fill),
     /// Stop the attempt, if the fill service can.
     Stop(Fill),
     /// Propose that the node is filled, and the settlement if there is one; again until the log has both.
     Propose(Fill),
-    /// Its capacity at link and node is free ([`crate::FillPlanner::fill_ended`]).
-    Free(Fill),
+    /// Release its capacity at link and node ([`crate::FillPlanner::fill_ended`]).
+    ReleaseCapacity(Fill),
 }
 
 /// A fill and its progress. Stored as it is; after a crash [`FillProgress::resume`] continues from there.
@@ -172,7 +190,7 @@
 impl FillProgress {
     /// Planned at `now`.
     pub fn new(fill: Fill, retry_policy: FillRetryPolicy, now: f64) -> FillProgress {
-        let deadline = now + retry_policy.deadline;
+        let deadline = now + retry_policy.deadline_seconds;
         FillProgress {
             fill,
             retry_policy,
@@ -188,7 +206,7 @@
     }
 
     /// Attempts that were started.
-    pub fn tries(&self) -> u32 {
+    pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
@@ -196,7 +214,7 @@
     /// answers at once if the node is filled. A complete fill is proposed again; the ledger recognises its id.
     pub fn resume(&mut self, now: f64) -> Vec<FillAction> {
         match self.state {
-            FillState::UnderWay { .. } => {
+            FillState::Running { .. } => {
                 self.attempts = self.attempts.saturating_sub(1);
                 self.state = FillState::Planned { not_before: now };
                 Vec::new()
@@ -210,7 +228,7 @@
     pub fn next_tick_at(&self) -> Option<f64> {
         match self.state {
             FillState::Planned { not_before } => Some(not_before.min(self.deadline)),
-            FillState::UnderWay { until } => Some(until.min(self.deadline)),
+            FillState::Running { until } => Some(until.min(self.deadline)),
             _ => None,
         }
     }
@@ -224,11 +242,12 @@
             FillState::Planned { not_before } if now >= not_before => {
                 self.attempts += 1;
                 let policy = &self.retry_policy;
-                let timeout = (self.fill.duration_seconds() * policy.factor).max(policy.least);
-                self.state = FillState::UnderWay { until: now + timeout };
-                vec![FillAction::Begin(self.fill.clone())]
+                let timeout =
+                    (self.fill.duration_seconds() * policy.timeout_factor).max(policy.min_timeout_seconds);
+                self.state = FillState::Running { until: now + timeout };
+                vec![FillAction::Start(self.fill.clone())]
             }
-            FillState::UnderWay { until } if now >= until => {
+            FillState::Running { until } if now >= until => {
                 let mut actions = vec![FillAction::Stop(self.fill.clone())];
                 actions.extend(self.failed(now, "no answer in time".to_string(), rng));
                 actions
@@ -248,42 +267,44 @@
         rng: &mut impl Rng,
     ) -> Result<Vec<FillAction>, SettlementError> {
         match (&self.state, event) {
-            (FillState::Planned { .. } | FillState::UnderWay { .. }, FillEvent::Done)
-                if self.attempts > 0 =>
-            {
+            (FillState::Planned { .. } | FillState::Running { .. }, FillEvent::Done) if self.attempts > 0 => {
                 self.state = FillState::Done;
-                Ok(vec![FillAction::Free(self.fill.clone()), FillAction::Propose(self.fill.clone())])
+                Ok(vec![
+                    FillAction::ReleaseCapacity(self.fill.clone()),
+                    FillAction::Propose(self.fill.clone()),
+                ])
             }
-            (FillState::UnderWay { .. }, FillEvent::Failed { why }) => Ok(self.failed(now, why, rng)),
-            (FillState::Planned { .. } | FillState::UnderWay { .. }, FillEvent::Withdrawn { why }) => {
-                Ok(self.withdraw(why))
+            (FillState::Running { .. }, FillEvent::Failed { reason }) => Ok(self.failed(now, reason, rng)),
+            (FillState::Planned { .. } | FillState::Running { .. }, FillEvent::Withdrawn { reason }) => {
+                Ok(self.withdraw(reason))
             }
             // Duplicates.
             (FillState::Done, FillEvent::Done) => Ok(Vec::new()),
             (FillState::Withdrawn { .. }, FillEvent::Withdrawn { .. }) => Ok(Vec::new()),
             (state, event) => {
                 let (state, event) = (state.name(), event.name());
-                Err(SettlementError::Step { fill: self.fill.id.clone(), state, event })
+                Err(SettlementError::InvalidEvent { fill: self.fill.id.clone(), state, event })
             }
         }
     }
 
-    fn withdraw(&mut self, why: String) -> Vec<FillAction> {
-        let begun = matches!(self.state, FillState::UnderWay { .. });
-        self.state = FillState::Withdrawn { why };
-        let stop = begun.then(|| FillAction::Stop(self.fill.clone()));
-        stop.into_iter().chain([FillAction::Free(self.fill.clone())]).collect()
+    fn withdraw(&mut self, reason: String) -> Vec<FillAction> {
+        let is_running = matches!(self.state, FillState::Running { .. });
+        self.state = FillState::Withdrawn { reason };
+        let stop = is_running.then(|| FillAction::Stop(self.fill.clone()));
+        stop.into_iter().chain([FillAction::ReleaseCapacity(self.fill.clone())]).collect()
     }
 
-    fn failed(&mut self, now: f64, why: String, rng: &mut impl Rng) -> Vec<FillAction> {
-        if self.attempts >= self.retry_policy.tries {
-            self.state = FillState::Failed { why };
-            return vec![FillAction::Free(self.fill.clone())];
+    fn failed(&mut self, now: f64, reason: String, rng: &mut impl Rng) -> Vec<FillAction> {
+        if self.attempts >= self.retry_policy.max_attempts {
+            self.state = FillState::Failed { reason };
+            return vec![FillAction::ReleaseCapacity(self.fill.clone())];
         }
         let doublings = self.attempts.saturating_sub(1).min(MAX_DOUBLINGS) as i32;
-        let doubled = self.retry_policy.pause * 2f64.powi(doublings);
-        let backoff = doubled.min(self.retry_policy.longest) * (0.5 + 0.5 * rng.random::<f64>());
-        self.state = FillState::Planned { not_before: now + backoff };
+        let doubled = self.retry_policy.initial_backoff_seconds * 2f64.powi(doublings);
+        let jitter_ratio = 0.5 + 0.5 * rng.random::<f64>();
+        let backoff_seconds = doubled.min(self.retry_policy.max_backoff_seconds) * jitter_ratio;
+        self.state = FillState::Planned { not_before: now + backoff_seconds };
         Vec::new()
     }
 }
--- a/crates/dunepond-settlement/src/ledger.rs
+++ b/crates/dunepond-settlement/src/ledger.rs
@@ -13,11 +13,12 @@
     /// Splits a debt over brokers.
     Allot(Allotment),
     /// A broker returns a part of its share.
-    Release(Release),
+    Release(ShareRelease),
     /// A fill paid off a part of a debt.
     Settle(Settlement),
     /// A fill that a leader starts, so that the next one knows of it.
-    Begin(StartedFill),
+    #[serde(rename = "Begin")]
+    StartFill(StartedFill),
 }
 
 /// Splits a debt, or more of it, over brokers in advance.
@@ -31,14 +32,36 @@
     pub creditor: String,
     /// All that was ever owed, settled or not, as the proposer saw it; shares stay within the largest debt so stated.
     pub debt: u64,
-    /// Broker and bytes.
-    pub parts: Vec<(String, u64)>,
+    /// By broker.
+    pub parts: Vec<AllottedShare>,
+}
+
+/// What a broker gets. Stored as a pair.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(from = "(String, u64)", into = "(String, u64)")]
+pub struct AllottedShare {
+    /// Name of the broker.
+    pub broker: String,
+    /// On top of what it has.
+    pub bytes: u64,
+}
+
+impl From<(String, u64)> for AllottedShare {
+    fn from((broker, bytes): (String, u64)) -> Self {
+        Self { broker, bytes }
+    }
+}
+
+impl From<AllottedShare> for (String, u64) {
+    fn from(share: AllottedShare) -> Self {
+        (share.broker, share.bytes)
+    }
 }
 
 /// A broker returns what it has not spent, so that it can be split again. Only the broker itself may propose it:
 /// nobody else knows what it has promised while it was partitioned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Release {
+pub struct ShareRelease {
     /// As of an [`Allotment`].
     pub number: u64,
     /// Partner that owes.
@@ -46,7 +69,8 @@
     /// Partner that is owed.
     pub creditor: String,
     /// Broker that returns it.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub broker: String,
     /// Returned.
     pub bytes: u64,
 }
@@ -120,14 +144,14 @@
             SettlementEntry::Allot(allot) => {
                 let pair = self.pair_mut(&allot.debtor, &allot.creditor);
                 (pair.debt, pair.number) = (pair.debt.max(allot.debt), pair.number + 1);
-                for (by, bytes) in &allot.parts {
-                    pair.shares.entry(by.clone()).or_default().allotted += bytes;
+                for AllottedShare { broker, bytes } in &allot.parts {
+                    pair.shares.entry(broker.clone()).or_default().allotted += bytes;
                 }
             }
             SettlementEntry::Release(release) => {
                 let pair = self.pair_mut(&release.debtor, &release.creditor);
                 pair.number += 1;
-                pair.shares.entry(release.by.clone()).or_default().allotted -= release.bytes;
+                pair.shares.entry(release.broker.clone()).or_default().allotted -= release.bytes;
             }
             SettlementEntry::Settle(settlement) => {
                 let Settlement { id, debtor, creditor, bytes, .. } = settlement;
@@ -135,11 +159,11 @@
                 let pair = self.pair_mut(debtor, creditor);
                 pair.settled = pair.settled.saturating_add(*bytes);
                 if split {
-                    pair.shares.entry(settlement.by().to_string()).or_default().spent += bytes;
+                    pair.shares.entry(settlement.broker().to_string()).or_default().spent += bytes;
                 }
                 self.settled.insert(settlement.fill().to_string(), (id.clone(), *bytes));
             }
-            SettlementEntry::Begin(fill) => self.started.add(fill.clone()),
+            SettlementEntry::StartFill(fill) => self.started.add(fill.clone()),
         }
         Ok(ApplyOutcome::New)
     }
@@ -153,7 +177,7 @@
             SettlementEntry::Allot(allot) => self.check_allotment(allot),
             SettlementEntry::Release(release) => self.check_release(release),
             SettlementEntry::Settle(settlement) => self.check_settlement(settlement),
-            SettlementEntry::Begin(fill) => self.check_start(fill),
+            SettlementEntry::StartFill(fill) => self.check_start(fill),
         }
     }
 
@@ -165,18 +189,18 @@
         self.pairs.entry(debtor.to_string()).or_default().entry(creditor.to_string()).or_default()
     }
 
-    /// The number that the next [`Allotment`] or [`Release`] of the pair has to have.
+    /// The number that the next [`Allotment`] or [`ShareRelease`] of the pair has to have.
     pub fn next_number(&self, debtor: &str, creditor: &str) -> u64 {
         self.pair(debtor, creditor).map_or(0, |pair| pair.number)
     }
 
     fn is_next(&self, debtor: &str, creditor: &str, number: u64) -> Result<bool, SettlementError> {
-        let wanted = self.next_number(debtor, creditor);
-        if number > wanted {
+        let expected = self.next_number(debtor, creditor);
+        if number > expected {
             let (debtor, creditor) = (debtor.to_string(), creditor.to_string());
-            return Err(SettlementError::Ahead { debtor, creditor, number, wanted });
+            return Err(SettlementError::SkippedNumber { debtor, creditor, number, expected });
         }
-        Ok(number == wanted)
+        Ok(number == expected)
     }
 
     fn check_allotment(&self, allot: &Allotment) -> Result<ApplyOutcome, SettlementError> {
@@ -184,30 +208,30 @@
         if !self.is_next(&debtor, &creditor, allot.number)? {
             return Ok(ApplyOutcome::Duplicate);
         }
-        let more = allot.parts.iter().try_fold(0u64, |sum, (_, bytes)| sum.checked_add(*bytes));
+        let more = allot.parts.iter().try_fold(0u64, |sum, share| sum.checked_add(share.bytes));
         let more = more.unwrap_or(u64::MAX);
         if debtor == creditor || more == 0 {
-            return Err(SettlementError::Nothing { debtor, creditor, bytes: more });
+            return Err(SettlementError::EmptyEntry { debtor, creditor, bytes: more });
         }
         // What was settled before the first split has used its part of the debt.
         let allotted = self.allotted(&debtor, &creditor);
         let debt = self.pair(&debtor, &creditor).map_or(0, |pair| pair.debt).max(allot.debt);
-        let wanted = allotted.saturating_add(more);
-        if wanted > debt {
-            return Err(SettlementError::PastDebt { debtor, creditor, wanted, debt });
+        let allotted = allotted.saturating_add(more);
+        if allotted > debt {
+            return Err(SettlementError::ExceedsDebt { debtor, creditor, allotted, debt });
         }
         Ok(ApplyOutcome::New)
     }
 
-    fn check_release(&self, release: &Release) -> Result<ApplyOutcome, SettlementError> {
+    fn check_release(&self, release: &ShareRelease) -> Result<ApplyOutcome, SettlementError> {
         let (debtor, creditor) = (release.debtor.clone(), release.creditor.clone());
         if !self.is_next(&debtor, &creditor, release.number)? {
             return Ok(ApplyOutcome::Duplicate);
         }
-        let (by, bytes) = (release.by.clone(), release.bytes);
-        let left = self.share(&by, &debtor, &creditor).remaining();
+        let (broker, bytes) = (release.broker.clone(), release.bytes);
+        let left = self.share(&broker, &debtor, &creditor).remaining();
         if bytes > left {
-            return Err(SettlementError::PastRelease { by, debtor, creditor, bytes, left });
+            return Err(SettlementError::ExceedsRemaining { broker, debtor, creditor, bytes, left });
         }
         Ok(ApplyOutcome::New)
     }
@@ -215,23 +239,23 @@
     /// The first settlement of a fill counts; a duplicate does nothing, another one for the same fill is rejected.
     fn check_settlement(&self, settlement: &Settlement) -> Result<ApplyOutcome, SettlementError> {
         let Settlement { id, debtor, creditor, bytes, .. } = settlement.clone();
-        let (fill, by) = (settlement.fill().to_string(), settlement.by().to_string());
+        let (fill, broker) = (settlement.fill().to_string(), settlement.broker().to_string());
         if let Some((before, _)) = self.settled.get(&fill) {
             return match *before == id {
                 true => Ok(ApplyOutcome::Duplicate),
-                false => Err(SettlementError::Contradicts { id, fill, before: before.clone() }),
+                false => Err(SettlementError::AlreadySettledOtherwise { id, fill, before: before.clone() }),
             };
         }
         let version = settlement.version();
         if version.is_none_or(|version| version < self.floor) {
-            return Err(SettlementError::Closed { id, version, floor: self.floor });
+            return Err(SettlementError::VersionClosed { id, version, floor: self.floor });
         }
         if debtor == creditor || bytes == 0 {
-            return Err(SettlementError::Nothing { debtor, creditor, bytes });
+            return Err(SettlementError::EmptyEntry { debtor, creditor, bytes });
         }
-        let left = self.share(&by, &debtor, &creditor).remaining();
+        let left = self.share(&broker, &debtor, &creditor).remaining();
         if self.is_split(&debtor, &creditor) && bytes > left {
-            return Err(SettlementError::PastShare { id, by, debtor, creditor, bytes, left });
+            return Err(SettlementError::ExceedsShare { id, broker, debtor, creditor, bytes, left });
         }
         Ok(ApplyOutcome::New)
     }
@@ -239,13 +263,13 @@
     fn check_start(&self, fill: &StartedFill) -> Result<ApplyOutcome, SettlementError> {
         if fill.bytes == 0 {
             let (debtor, creditor) = (fill.from.clone(), fill.to.clone());
-            return Err(SettlementError::Nothing { debtor, creditor, bytes: 0 });
+            return Err(SettlementError::EmptyEntry { debtor, creditor, bytes: 0 });
         }
         Ok(if self.started.has(&fill.id, &fill.from) { ApplyOutcome::Duplicate } else { ApplyOutcome::New })
     }
 
     /// Fills that leaders started recently, from any partner.
-    pub fn begun(&self) -> impl Iterator<Item = &StartedFill> {
+    pub fn started_fills(&self) -> impl Iterator<Item = &StartedFill> {
         self.started.iter()
     }
 
@@ -289,9 +313,9 @@
         self.pair(debtor, creditor).map_or(0, Pair::allotted)
     }
 
-    /// Share of broker `by`.
-    pub fn share(&self, by: &str, debtor: &str, creditor: &str) -> DebtShare {
-        self.pair(debtor, creditor).and_then(|pair| pair.shares.get(by)).copied().unwrap_or_default()
+    /// Share of a broker.
+    pub fn share(&self, broker: &str, debtor: &str, creditor: &str) -> DebtShare {
+        self.pair(debtor, creditor).and_then(|pair| pair.shares.get(broker)).copied().unwrap_or_default()
     }
 
     /// Every pair (debtor, creditor) with an entry.
--- a/crates/dunepond-settlement/src/lib.rs
+++ b/crates/dunepond-settlement/src/lib.rs
@@ -16,23 +16,24 @@
 mod fill;
 mod ledger;
 mod planner;
-mod planning_round;
 mod promises;
 mod replication;
 mod started_fills;
 
 use serde::{Deserialize, Serialize};
 
-pub use balances::{Balances, Dispute, NetDebt, SettlementTerms};
+pub use balances::{Balances, Discrepancy, NetDebt, SettlementTerms};
 pub use counts::{BrokerPartners, CarriedCounts, LocalCounts};
 pub use demand::{
-    FillDemand, FillPlan, LinkCapacities, NodeCapacity, PlanningRule, SlowStartCapacity, WaitReason,
-    max_units,
+    FillDemand, FillPlan, FillSource, LinkCapacities, NodeCapacity, PlanningRule, SlowStartCapacity,
+    WaitReason, WaitingDemand, max_units,
 };
 pub use error::SettlementError;
 pub use fairness::{jain_index, max_min, max_min_rates};
 pub use fill::{Fill, FillAction, FillEvent, FillProgress, FillRetryPolicy, FillState};
-pub use ledger::{Allotment, ApplyOutcome, DebtShare, Release, SettlementEntry, SettlementLedger};
+pub use ledger::{
+    Allotment, AllottedShare, ApplyOutcome, DebtShare, SettlementEntry, SettlementLedger, ShareRelease,
+};
 pub use planner::{FillPlanner, plan};
 pub use promises::{SharePromises, allot_evenly};
 pub use replication::{CountsMessage, CountsReplication};
@@ -58,23 +59,23 @@
 }
 
 impl Settlement {
-    /// For a fill that broker `by` carried out, and that pays off `bytes`. The same fill has the same id at every broker and
+    /// For a fill that `broker` carried out, and that pays off `bytes`. The same fill has the same id at every broker and
     /// after every crash, so that it cannot settle twice.
     ///
     /// # Errors
     /// The name of the broker would make the id ambiguous.
     pub fn new(
         fill: &Fill,
-        by: &str,
+        broker: &str,
         debtor: &str,
         creditor: &str,
         bytes: u64,
     ) -> Result<Settlement, SettlementError> {
-        if by.is_empty() || by.contains('@') {
-            return Err(SettlementError::Name { name: by.to_string() });
+        if broker.is_empty() || broker.contains('@') {
+            return Err(SettlementError::InvalidName { name: broker.to_string() });
         }
         Ok(Settlement {
-            id: format!("{}@{by}", fill.id),
+            id: format!("{}@{broker}", fill.id),
             debtor: debtor.to_string(),
             creditor: creditor.to_string(),
             bytes,
@@ -90,8 +91,8 @@
     }
 
     /// Broker from whose share it is taken; empty where the id names none.
-    pub fn by(&self) -> &str {
-        self.id.rsplit_once('@').map_or("", |(_, by)| by)
+    pub fn broker(&self) -> &str {
+        self.id.rsplit_once('@').map_or("", |(_, broker)| broker)
     }
 
     /// Number of the version for whose map the fill was done.
--- /dev/null
+++ b/crates/dunepond-settlement/src/planner/service_order.rs
@@ -0,0 +1,80 @@
+//! Whose demand is served next.
+
+use super::FillPlanner;
+use super::round::{DemandQueues, PartnerPair, Round};
+use crate::{FillDemand, PlanningRule, WaitReason};
+
+/// A partner that has waited for this part of a window is served before all others.
+const MAX_WAIT_WINDOW_RATIO: f64 = 0.5;
+
+impl FillPlanner {
+    pub(super) fn track_waiting(&mut self, queues: &DemandQueues, now: f64) {
+        self.waiting_since.retain(|partner, _| queues.by_partner.contains_key(partner.as_str()));
+        self.deficits.retain(|partner, _| queues.by_partner.contains_key(partner.as_str()));
+        for partner in queues.by_partner.keys() {
+            self.waiting_since.entry(partner.to_string()).or_insert(now);
+        }
+    }
+
+    /// The partner that has waited too long, else the one by the rule.
+    pub(super) fn next_to_serve<'a>(&mut self, queues: &DemandQueues<'a>, round: &Round) -> Option<&'a str> {
+        let partners = || queues.by_partner.keys().copied();
+        let starved = partners().filter(|partner| self.is_starved(partner, round));
+        let since = |partner: &str| self.waiting_since.get(partner).copied().unwrap_or(round.now);
+        if let Some(partner) = starved.min_by(|a, b| since(a).total_cmp(&since(b))) {
+            return Some(partner);
+        }
+        if self.rule == PlanningRule::DeficitRoundRobin {
+            return self.next_by_deficit(queues, round);
+        }
+        partners().max_by(|a, b| {
+            let by_owed = round.owed_weight(a).total_cmp(&round.owed_weight(b));
+            let by_received = || self.received_bytes(b).cmp(&self.received_bytes(a));
+            by_owed.then_with(by_received).then_with(|| b.cmp(a))
+        })
+    }
+
+    /// Bytes that the partner was filled with in the window.
+    fn received_bytes(&self, partner: &str) -> u64 {
+        self.recent.iter().filter(|fill| fill.to == partner).map(|fill| fill.bytes).sum()
+    }
+
+    fn is_starved(&self, partner: &str, round: &Round) -> bool {
+        let max_wait_seconds = MAX_WAIT_WINDOW_RATIO * round.balances.terms().window_seconds;
+        let starved_since = round.now - max_wait_seconds;
+        self.rule != PlanningRule::Cheapest
+            && self.waiting_since.get(partner).is_some_and(|since| *since <= starved_since)
+    }
+
+    /// Deficit round robin: each turn adds a quantum, a demand is served once its bytes are covered.
+    fn next_by_deficit<'a>(&mut self, queues: &DemandQueues<'a>, round: &Round) -> Option<&'a str> {
+        let demands = queues.by_partner.values().flatten();
+        let largest_bytes = demands.map(|demand| demand.bytes).max()? as f64;
+        let total_weight: f64 = queues.by_partner.keys().map(|partner| round.owed_weight(partner)).sum();
+        loop {
+            let from_turn =
+                queues.by_partner.iter().find(|(partner, _)| **partner >= self.next_partner.as_str());
+            let (&partner, demands) = from_turn.or_else(|| queues.by_partner.first_key_value())?;
+            let head_bytes = demands.front()?.bytes as f64;
+            let deficit = self.deficits.entry(partner.to_string()).or_default();
+            if *deficit >= head_bytes {
+                self.next_partner = partner.to_string();
+                return Some(partner);
+            }
+            let ratio = if total_weight > 0.0 { round.owed_weight(partner) / total_weight } else { 0.0 };
+            *deficit += largest_bytes.max(1.0) * (1.0 + ratio * queues.by_partner.len() as f64);
+            // Right after this name.
+            self.next_partner = format!("{partner}\0");
+        }
+    }
+
+    /// Keeps the capacity of all sources for a partner that has waited too long.
+    pub(super) fn reserve(&self, demand: &FillDemand, reason: WaitReason, round: &mut Round) {
+        let may_wait_forever = matches!(reason, WaitReason::CarryLimit | WaitReason::DebtSpeed);
+        if may_wait_forever && self.is_starved(&demand.holder_partner, round) {
+            for source in &demand.sources {
+                round.reserved.insert(PartnerPair::new(&source.partner, &demand.holder_partner));
+            }
+        }
+    }
+}
--- a/crates/dunepond-settlement/src/promises.rs
+++ b/crates/dunepond-settlement/src/promises.rs
@@ -5,29 +5,31 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    Allotment, Balances, Release, Settlement, SettlementEntry, SettlementError, SettlementLedger, max_min,
+    Allotment, AllottedShare, Balances, Settlement, SettlementEntry, SettlementError, SettlementLedger,
+    ShareRelease, max_min,
 };
 
 /// Promises of one broker, to be stored before a promise is acted on. While partitioned a broker settles from this, and
 /// proposes its promises when it reaches the log again. Whatever is lost here, the ledger accepts nothing beyond a share.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SharePromises {
-    by: String,
+    #[serde(rename = "by")]
+    broker: String,
     /// Settlements by fill, until the log has them.
     promised: BTreeMap<String, Settlement>,
-    releasing: Option<Release>,
+    releasing: Option<ShareRelease>,
 }
 
 impl SharePromises {
-    /// Of broker `by`.
+    /// Of one broker.
     ///
     /// # Errors
     /// The name would make ids ambiguous.
-    pub fn new(by: &str) -> Result<SharePromises, SettlementError> {
-        if by.is_empty() || by.contains('@') {
-            return Err(SettlementError::Name { name: by.to_string() });
+    pub fn new(broker: &str) -> Result<SharePromises, SettlementError> {
+        if broker.is_empty() || broker.contains('@') {
+            return Err(SettlementError::InvalidName { name: broker.to_string() });
         }
-        Ok(SharePromises { by: by.to_string(), promised: BTreeMap::new(), releasing: None })
+        Ok(SharePromises { broker: broker.to_string(), promised: BTreeMap::new(), releasing: None })
     }
 
     /// Bytes that may still be promised: the share, less what is promised and what is being returned.
@@ -37,7 +39,7 @@
             self.promised.values().filter(|s| ours(&s.debtor, &s.creditor) && !ledger.is_settled(s.fill()));
         let promised: u64 = open.map(|settlement| settlement.bytes).sum();
         let back = self.releasing.as_ref().filter(|r| ours(&r.debtor, &r.creditor)).map_or(0, |r| r.bytes);
-        ledger.share(&self.by, debtor, creditor).remaining().saturating_sub(promised + back)
+        ledger.share(&self.broker, debtor, creditor).remaining().saturating_sub(promised + back)
     }
 
     /// Promises a settlement; the same fill again changes nothing.
@@ -54,18 +56,18 @@
             return Ok(());
         }
         let left = self.remaining(ledger, &settlement.debtor, &settlement.creditor);
-        if settlement.by() != self.by || settlement.bytes > left {
-            let by = settlement.by().to_string();
+        if settlement.broker() != self.broker || settlement.bytes > left {
+            let broker = settlement.broker().to_string();
             let Settlement { id, debtor, creditor, bytes, .. } = settlement;
-            return Err(SettlementError::PastShare { id, by, debtor, creditor, bytes, left });
+            return Err(SettlementError::ExceedsShare { id, broker, debtor, creditor, bytes, left });
         }
         self.promised.insert(fill, settlement);
         Ok(())
     }
 
     /// Name of the broker.
-    pub fn by(&self) -> &str {
-        &self.by
+    pub fn broker(&self) -> &str {
+        &self.broker
     }
 
     /// What was promised for this fill, until the log shows it.
@@ -74,7 +76,7 @@
     }
 
     /// What is being returned.
-    pub fn releasing(&self) -> Option<&Release> {
+    pub fn releasing(&self) -> Option<&ShareRelease> {
         self.releasing.as_ref()
     }
 
@@ -104,11 +106,12 @@
             return Ok(SettlementEntry::Release(release.clone()));
         }
         let left = self.remaining(ledger, debtor, creditor);
-        let (by, debtor, creditor) = (self.by.clone(), debtor.to_string(), creditor.to_string());
+        let (broker, debtor, creditor) = (self.broker.clone(), debtor.to_string(), creditor.to_string());
         if bytes == 0 || bytes > left {
-            return Err(SettlementError::PastRelease { by, debtor, creditor, bytes, left });
+            return Err(SettlementError::ExceedsRemaining { broker, debtor, creditor, bytes, left });
         }
-        let release = Release { number: ledger.next_number(&debtor, &creditor), debtor, creditor, by, bytes };
+        let number = ledger.next_number(&debtor, &creditor);
+        let release = ShareRelease { number, debtor, creditor, broker, bytes };
         self.releasing = Some(release.clone());
         Ok(SettlementEntry::Release(release))
     }
@@ -129,20 +132,26 @@
 
 /// The entry that splits what is owed and not split yet, if there is anything. Evenly, as nobody knows which broker will
 /// be partitioned.
-pub fn allot_evenly(book: &Balances, debtor: &str, creditor: &str, brokers: &[String]) -> Option<Allotment> {
-    let ledger = book.ledger();
+pub fn allot_evenly(
+    balances: &Balances,
+    debtor: &str,
+    creditor: &str,
+    brokers: &[String],
+) -> Option<Allotment> {
+    let ledger = balances.ledger();
     let unspent = ledger.allotted(debtor, creditor) - ledger.settled(debtor, creditor);
-    let more = book.net_debt(debtor, creditor).saturating_sub(unspent);
+    let more = balances.net_debt(debtor, creditor).saturating_sub(unspent);
     let all = ledger.allotted(debtor, creditor).saturating_add(more);
-    let debt = book.gross(creditor, debtor);
+    let debt = balances.gross(creditor, debtor);
     let more = more.saturating_sub(all.saturating_sub(debt));
-    let held: Vec<u64> = brokers.iter().map(|by| ledger.share(by, debtor, creditor).remaining()).collect();
+    let held: Vec<u64> =
+        brokers.iter().map(|broker| ledger.share(broker, debtor, creditor).remaining()).collect();
     // Who has the least remaining gets the most.
     let level = max_min(&held.iter().map(|_| u64::MAX / 2).collect::<Vec<_>>(), unspent.saturating_add(more));
     let wants: Vec<u64> = level.iter().zip(&held).map(|(level, held)| level.saturating_sub(*held)).collect();
     let given = max_min(&wants, more);
-    let parts = brokers.iter().cloned().zip(given).filter(|(_, bytes)| *bytes > 0);
-    let parts: Vec<_> = parts.collect();
+    let parts = brokers.iter().cloned().zip(given).map(AllottedShare::from);
+    let parts: Vec<_> = parts.filter(|share| share.bytes > 0).collect();
     if parts.is_empty() {
         return None;
     }
--- a/crates/dunepond-settlement/tests/book.rs
+++ b/crates/dunepond-settlement/tests/balances.rs
@@ -1,4 +1,4 @@
-//! Net debts, disputes, ages, settlements and shares.
+//! Net debts, discrepancies, ages, settlements and shares.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,12 @@
 }
 
 fn terms() -> SettlementTerms {
-    SettlementTerms { tolerance: 0.1, slack: 0, half_life: 100.0, ..SettlementTerms::default() }
+    SettlementTerms {
+        tolerance_ratio: 0.1,
+        slack_bytes: 0,
+        half_life_seconds: 100.0,
+        ..SettlementTerms::default()
+    }
 }
 
 /// `owes[i]`: debtor, creditor, bytes; counted by a witness.
@@ -37,7 +42,7 @@
 }
 
 fn allot(number: u64, debt: u64, parts: &[(&str, u64)]) -> Allotment {
-    let parts = parts.iter().map(|(by, bytes)| (by.to_string(), *bytes)).collect();
+    let parts = parts.iter().map(|(broker, bytes)| (broker.to_string(), *bytes).into()).collect();
     Allotment { number, debtor: "a".into(), creditor: "b".into(), debt, parts }
 }
 
@@ -50,19 +55,14 @@
 #[case::says_less(50, 100, 50, 50)]
 #[case::within_tolerance(105, 100, 100, 0)]
 #[case::seen_by_nobody(70, 0, 0, 70)]
-fn the_lesser_of_both_sides_counts(
-    #[case] said: u64,
-    #[case] seen: u64,
-    #[case] counts_as: u64,
-    #[case] rest: u64,
-) {
+fn lesser_count_applies(#[case] said: u64, #[case] seen: u64, #[case] counts_as: u64, #[case] rest: u64) {
     let mut counts = CarriedCounts::new();
     counts.record("b1", 1, "b", "a", said);
     counts.record("a1", 1, "b", "a", seen);
     let mut book = Balances::new(terms(), sides(), SettlementLedger::default()).unwrap();
     book.update_counts(0.0, &counts);
     assert_eq!(book.gross("b", "a"), counts_as);
-    assert_eq!(book.disputes().iter().map(Dispute::uncounted_bytes).sum::<u64>(), rest);
+    assert_eq!(book.discrepancies().iter().map(Discrepancy::uncounted_bytes).sum::<u64>(), rest);
     // Of c nobody counts what it carries: what the other side saw speaks against it, and counts.
     counts.record("a1", 1, "c", "a", 30);
     book.update_counts(1.0, &counts);
@@ -70,14 +70,14 @@
 }
 
 #[rstest]
-fn cycles_go_first() {
+fn cycles_cancel() {
     let book = book(&[("a", "b", 100), ("b", "c", 60), ("c", "a", 40), ("b", "a", 10)]);
     let debt = |d: &str, c: &str, bytes| NetDebt { debtor: d.into(), creditor: c.into(), bytes };
     assert_eq!(book.net_debts(), vec![debt("a", "b", 50), debt("b", "c", 20)]);
 }
 
 #[rstest]
-fn an_old_debt_weighs_less_and_is_owed_whole() {
+fn weight_decays_with_age() {
     let mut counts = CarriedCounts::new();
     counts.record("w", 1, "b", "a", 1000);
     let mut book = Balances::new(terms(), sides(), SettlementLedger::default()).unwrap();
@@ -90,20 +90,26 @@
 }
 
 #[rstest]
-fn a_settlement_is_applied_once_whoever_proposes_it() {
+fn settlement_applies_once() {
     let mut book = book(&[("a", "b", 100)]);
     assert_eq!(settle(&mut book, "1/7/h", "x", 40), Ok(ApplyOutcome::New));
     assert_eq!(settle(&mut book, "1/7/h", "x", 40), Ok(ApplyOutcome::Duplicate));
-    assert!(matches!(settle(&mut book, "1/7/h", "y", 40), Err(SettlementError::Contradicts { .. })));
+    assert!(matches!(
+        settle(&mut book, "1/7/h", "y", 40),
+        Err(SettlementError::AlreadySettledOtherwise { .. })
+    ));
     assert_eq!(book.net_debt("a", "b"), 60);
     book.close(2);
-    assert!(matches!(settle(&mut book, "1/7/h", "x", 40), Err(SettlementError::Closed { floor: 2, .. })));
+    assert!(matches!(
+        settle(&mut book, "1/7/h", "x", 40),
+        Err(SettlementError::VersionClosed { floor: 2, .. })
+    ));
     assert_eq!(book.net_debt("a", "b"), 60);
 }
 
 /// The dead broker's counts have not come yet; the settlement counts as far as the debt is known, and wholly later.
 #[rstest]
-fn a_settlement_ahead_of_its_debt_waits_for_it() {
+fn settlement_before_its_debt() {
     let mut book = book(&[("a", "b", 30)]);
     settle(&mut book, "1/7/h", "x", 100).unwrap();
     assert_eq!(
@@ -117,11 +123,12 @@
 }
 
 #[rstest]
-fn a_cut_off_side_stays_within_its_share() {
+fn partitioned_side_stays_within_share() {
     let mut book = book(&[("a", "b", 100)]);
     let brokers = ["x".to_string(), "y".to_string()];
     let entry = allot_evenly(&book, "a", "b", &brokers).unwrap();
-    assert_eq!(entry.parts, [("x".to_string(), 50), ("y".to_string(), 50)]);
+    let share = |broker: &str| AllottedShare { broker: broker.to_string(), bytes: 50 };
+    assert_eq!(entry.parts, [share("x"), share("y")]);
     assert_eq!(book.apply(&SettlementEntry::Allot(entry.clone())), Ok(ApplyOutcome::New));
     assert_eq!(book.apply(&SettlementEntry::Allot(entry)), Ok(ApplyOutcome::Duplicate));
     assert_eq!(allot_evenly(&book, "a", "b", &brokers), None);
@@ -130,10 +137,10 @@
     x.promise(book.ledger(), settlement("1/1/h", "x", 30)).unwrap();
     x.promise(book.ledger(), settlement("1/1/h", "x", 30)).unwrap();
     let past = x.promise(book.ledger(), settlement("1/2/h", "x", 30));
-    assert!(matches!(past, Err(SettlementError::PastShare { left: 20, .. })));
+    assert!(matches!(past, Err(SettlementError::ExceedsShare { left: 20, .. })));
     assert!(matches!(
         x.release(book.ledger(), "a", "b", 21),
-        Err(SettlementError::PastRelease { left: 20, .. })
+        Err(SettlementError::ExceedsRemaining { left: 20, .. })
     ));
     let back = y.release(book.ledger(), "a", "b", 45).unwrap();
     assert_eq!(y.remaining(book.ledger(), "a", "b"), 5);
@@ -149,53 +156,54 @@
     }
     x.reconcile(book.ledger(), &[]);
     assert_eq!((x.pending_entries().count(), x.remaining(book.ledger(), "a", "b")), (0, 20));
-    assert!(matches!(settle(&mut book, "1/9/h", "x", 21), Err(SettlementError::PastShare { .. })));
+    assert!(matches!(settle(&mut book, "1/9/h", "x", 21), Err(SettlementError::ExceedsShare { .. })));
     assert_eq!(book.net_debt("a", "b"), 70);
     // The ledger goes into snapshots, and promises into the folder.
-    let kept = postcard::to_stdvec(&(book.ledger(), &x)).unwrap();
+    let stored = postcard::to_stdvec(&(book.ledger(), &x)).unwrap();
     assert_eq!(
-        postcard::from_bytes::<(SettlementLedger, SharePromises)>(&kept).unwrap(),
+        postcard::from_bytes::<(SettlementLedger, SharePromises)>(&stored).unwrap(),
         (book.ledger().clone(), x)
     );
 }
 
 /// Every variant, as far as a story can cause it, tells what to do.
 #[rstest]
-fn each_error_says_what_to_do() {
+fn errors_have_help() {
     let mut ledger = SettlementLedger::default();
     let mut errors = vec![
         SharePromises::new("x@y").unwrap_err(),
         LocalCounts::open(Some(LocalCounts::open(None, "n1", 1).unwrap()), "n2", 2).unwrap_err(),
         LocalCounts::open(Some(LocalCounts::open(None, "n1", 1).unwrap()), "n1", 1).unwrap_err(),
-        SettlementError::TooMany { from: "e1".into(), brokers: 1, cells: 2, most: 1 },
-        SettlementTerms { window: 0.0, ..SettlementTerms::default() }.check().unwrap_err(),
+        SettlementError::TooManyCells { from: "e1".into(), brokers: 1, cells: 2, max: 1 },
+        SettlementTerms { window_seconds: 0.0, ..SettlementTerms::default() }.check().unwrap_err(),
         ledger.apply(&SettlementEntry::Allot(allot(0, 10, &[("x", 11)]))).unwrap_err(),
         ledger.apply(&SettlementEntry::Allot(allot(3, 10, &[("x", 1)]))).unwrap_err(),
         ledger.apply(&SettlementEntry::Allot(allot(0, 10, &[]))).unwrap_err(),
     ];
     ledger.apply(&SettlementEntry::Allot(allot(0, 10, &[("x", 10)]))).unwrap();
-    let release = Release { number: 1, debtor: "a".into(), creditor: "b".into(), by: "y".into(), bytes: 1 };
+    let release =
+        ShareRelease { number: 1, debtor: "a".into(), creditor: "b".into(), broker: "y".into(), bytes: 1 };
     errors.push(ledger.apply(&SettlementEntry::Release(release)).unwrap_err());
     errors.push(ledger.apply(&SettlementEntry::Settle(settlement("1/1/h", "x", 11))).unwrap_err());
     ledger.apply(&SettlementEntry::Settle(settlement("1/1/h", "x", 1))).unwrap();
     errors.push(ledger.apply(&SettlementEntry::Settle(settlement("1/1/h", "y", 1))).unwrap_err());
     errors.push(ledger.apply(&SettlementEntry::Settle(settlement("h", "y", 1))).unwrap_err());
-    errors.push(SettlementError::Step { fill: "1/1/h".into(), state: "done", event: "failed" });
+    errors.push(SettlementError::InvalidEvent { fill: "1/1/h".into(), state: "done", event: "failed" });
     // A new variant does not compile until it stands here.
     let place = |error: &SettlementError| match error {
-        SettlementError::Name { .. } => 0,
+        SettlementError::InvalidName { .. } => 0,
         SettlementError::OtherBroker { .. } => 1,
-        SettlementError::OldIncarnation { .. } => 2,
-        SettlementError::TooMany { .. } => 3,
-        SettlementError::Terms { .. } => 4,
-        SettlementError::PastDebt { .. } => 5,
-        SettlementError::Ahead { .. } => 6,
-        SettlementError::Nothing { .. } => 7,
-        SettlementError::PastRelease { .. } => 8,
-        SettlementError::PastShare { .. } => 9,
-        SettlementError::Contradicts { .. } => 10,
-        SettlementError::Closed { .. } => 11,
-        SettlementError::Step { .. } => 12,
+        SettlementError::StaleIncarnation { .. } => 2,
+        SettlementError::TooManyCells { .. } => 3,
+        SettlementError::InvalidTerm { .. } => 4,
+        SettlementError::ExceedsDebt { .. } => 5,
+        SettlementError::SkippedNumber { .. } => 6,
+        SettlementError::EmptyEntry { .. } => 7,
+        SettlementError::ExceedsRemaining { .. } => 8,
+        SettlementError::ExceedsShare { .. } => 9,
+        SettlementError::AlreadySettledOtherwise { .. } => 10,
+        SettlementError::VersionClosed { .. } => 11,
+        SettlementError::InvalidEvent { .. } => 12,
     };
     assert_eq!(errors.iter().map(place).collect::<Vec<_>>(), (0..13).collect::<Vec<_>>());
     let helps: BTreeSet<&str> = errors.iter().map(SettlementError::help).collect();
@@ -208,7 +216,7 @@
 
     /// Cancelling cycles leaves what each partner owes in sum as it was, and no cycle.
     #[test]
-    fn net_debts_keep_each_partners_position(owes in prop::collection::vec((0..5usize, 0..5usize, 1..100u64), 0..20)) {
+    fn net_debts_keep_positions(owes in prop::collection::vec((0..5usize, 0..5usize, 1..100u64), 0..20)) {
         let names = ["a", "b", "c", "d", "e"];
         let owes: Vec<_> = owes.into_iter().map(|(d, c, bytes)| (names[d], names[c], bytes)).collect();
         let book = book(&owes);
@@ -233,7 +241,7 @@
 
     /// Whatever comes into the log, in whatever order and how often: what is settled of a split debt stays within it.
     #[test]
-    fn settlements_never_go_past_the_debt(
+    fn settlements_stay_within_debt(
         entries in prop::collection::vec((0..4u8, 0..8u64, 0..3usize, 1..60u64), 1..60),
         doubles in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
     ) {
@@ -241,8 +249,8 @@
         let make = |&(kind, number, who, bytes): &(u8, u64, usize, u64)| match kind {
             0 => SettlementEntry::Allot(allot(number, bytes * 3, &[(by[who], bytes), (by[(who + 1) % 3], bytes)])),
             1 => {
-                let (debtor, creditor, by) = ("a".to_string(), "b".to_string(), by[who].to_string());
-                SettlementEntry::Release(Release { number, debtor, creditor, by, bytes: bytes / 4 })
+                let (debtor, creditor, broker) = ("a".to_string(), "b".to_string(), by[who].to_string());
+                SettlementEntry::Release(ShareRelease { number, debtor, creditor, broker, bytes: bytes / 4 })
             }
             _ => SettlementEntry::Settle(settlement(&format!("1/{number}/h"), by[who], bytes)),
         };
--- a/crates/dunepond-settlement/tests/counts.rs
+++ b/crates/dunepond-settlement/tests/counts.rs
@@ -39,7 +39,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(34), ..ProptestConfig::with_cases(256) })]
 
     #[test]
-    fn a_merge_is_a_join(a in some(), b in some(), c in some()) {
+    fn merge_is_a_join(a in some(), b in some(), c in some()) {
         prop_assert_eq!(joined(&a, &b), joined(&b, &a));
         prop_assert_eq!(joined(&joined(&a, &b), &c), joined(&a, &joined(&b, &c)));
         prop_assert_eq!(joined(&a, &a), a.clone());
@@ -49,7 +49,7 @@
     /// Brokers that count, save, tell, crash to what they saved, start anew and fold, with every message late, doubled
     /// and out of order: in the end all know the same, which is all that was ever saved, and nothing ever falls.
     #[test]
-    fn nothing_is_lost_or_doubled_over_restarts(acts in prop::collection::vec((0..6u8, 0..3usize, 0..3usize, 1..100u64, any::<prop::sample::Index>()), 1..80)) {
+    fn counts_survive_restarts(acts in prop::collection::vec((0..6u8, 0..3usize, 0..3usize, 1..100u64, any::<prop::sample::Index>()), 1..80)) {
         let none = BrokerPartners::default();
         let name = |b: usize| format!("b{b}");
         let mut tallies: Vec<LocalCounts> = (0..3).map(|b| LocalCounts::open(None, &name(b), 0).unwrap()).collect();
@@ -114,7 +114,7 @@
 
 /// Counts of before the folder was lost, heard from others, are not folded: a peer that was cut off may know more of them.
 #[rstest]
-fn a_lost_folder_waits_for_those_who_know_more() {
+fn lost_folder_delays_folding() {
     let (none, mut first) = (BrokerPartners::default(), LocalCounts::open(None, "n1", 1).unwrap());
     first.record("north", "south", 100);
     let early = first.counts().clone();
@@ -131,7 +131,7 @@
 
 /// An old folder put back: the number of the incarnation was used before, and what is counted under it must not hide.
 #[rstest]
-fn an_old_folder_goes_on_under_a_number_of_its_own() {
+fn old_folder_gets_new_incarnation() {
     let (none, mut old) = (BrokerPartners::default(), LocalCounts::open(None, "n1", 1).unwrap());
     let backup = old.clone();
     let mut used = LocalCounts::open(Some(old.clone()), "n1", 2).unwrap();
@@ -144,19 +144,19 @@
 }
 
 #[rstest]
-fn a_folder_of_another_or_of_later_is_refused() {
+fn foreign_or_newer_folder_is_rejected() {
     let kept = LocalCounts::open(None, "n1", 4).unwrap();
     let other = LocalCounts::open(Some(kept.clone()), "n2", 5);
-    assert_eq!(other, Err(SettlementError::OtherBroker { kept: "n1".into(), broker: "n2".into() }));
+    assert_eq!(other, Err(SettlementError::OtherBroker { stored: "n1".into(), broker: "n2".into() }));
     assert!(matches!(
         LocalCounts::open(Some(kept), "n1", 4),
-        Err(SettlementError::OldIncarnation { kept: 4, .. })
+        Err(SettlementError::StaleIncarnation { stored: 4, .. })
     ));
 }
 
 /// A creditor's broker tells its own rows, and none of what the debtor's brokers saw.
 #[rstest]
-fn nobody_writes_what_the_other_side_saw() {
+fn rows_of_other_partners_are_rejected() {
     let mut forged = CarriedCounts::new();
     forged.record("e1", 1, "east", "north", 1000);
     forged.record("n1", 1, "east", "north", 1000);
@@ -170,11 +170,11 @@
 }
 
 #[rstest]
-fn a_flood_of_rows_is_refused_whole() {
+fn too_many_rows_are_rejected() {
     let mut flood = CarriedCounts::new();
     (0..100_001).for_each(|i| flood.record(&format!("b{i}"), 1, "east", "north", 1));
     let mut counts = CarriedCounts::new();
     let refused = counts.merge_from("e1", &flood, &sides(&[]));
-    assert!(matches!(refused, Err(SettlementError::TooMany { cells: 100_001, .. })));
+    assert!(matches!(refused, Err(SettlementError::TooManyCells { cells: 100_001, .. })));
     assert_eq!(counts, CarriedCounts::new());
 }
--- a/crates/dunepond-settlement/tests/leaders.rs
+++ b/crates/dunepond-settlement/tests/leaders.rs
@@ -16,17 +16,17 @@
 /// carried at most in any stretch of a window, less what clocks differ by, and how many fills began.
 fn most_carried(life: f64, resumed: bool) -> (u64, usize) {
     let terms = SettlementTerms {
-        window: WINDOW,
-        carry: CARRY,
-        most_speed: SPEED,
-        most_move: CARRY,
-        least_rate: 1.0,
-        most_rate: 1e6,
+        window_seconds: WINDOW,
+        max_carried_bytes: CARRY,
+        max_debt_speed: SPEED,
+        max_fill_bytes: CARRY,
+        min_fill_rate: 1.0,
+        max_fill_rate: 1e6,
         ..SettlementTerms::default()
     };
     let mut book = Balances::new(terms, BrokerPartners::default(), SettlementLedger::default()).unwrap();
-    let links = LinkCapacities { caps: BTreeMap::new(), unstated: 1e9, inside: 1e9 };
-    let cold = SlowStartCapacity { window: 1.0, unit: 1, rooms: BTreeMap::new() };
+    let links = LinkCapacities { rate_caps: BTreeMap::new(), default_rate_cap: 1e9, internal_rate_cap: 1e9 };
+    let cold = SlowStartCapacity { window_seconds: 1.0, unit_bytes: 1, nodes: BTreeMap::new() };
     let mut planner = FillPlanner::new("fleet", PlanningRule::MaxMin, 1);
     let (mut began, mut born, mut segment) = (Vec::new(), 0.0, 0);
     let mut now = 0.0;
@@ -35,13 +35,13 @@
             (planner, born) = (FillPlanner::new("fleet", PlanningRule::MaxMin, now as u64), now);
             // By a clock of its own.
             let clock = now as u64 + if ((now / life) as u64).is_multiple_of(2) { CLOCKS } else { 0 };
-            for begun in book.ledger().begun().filter(|_| resumed) {
+            for begun in book.ledger().started_fills().filter(|_| resumed) {
                 let age = clock.saturating_sub(begun.at) as f64;
                 planner.resume(&begun.fill(), now - age, false);
                 planner.resume(&begun.fill(), now, false);
             }
         }
-        let sources = vec![("north-s".to_string(), "north".to_string())];
+        let sources = vec![FillSource { node: "north-s".to_string(), partner: "north".to_string() }];
         let need = |segment: u64| FillDemand {
             version: 1,
             segment,
@@ -54,7 +54,7 @@
         let needs: Vec<_> = (segment..segment + 3).map(need).collect();
         for fill in planner.plan(&book, &needs, &links, &cold, None, now).fills {
             // The log has it before it begins.
-            book.apply(&SettlementEntry::Begin(StartedFill::new(&fill, now as u64))).unwrap();
+            book.apply(&SettlementEntry::StartFill(StartedFill::new(&fill, now as u64))).unwrap();
             began.push(now);
             planner.fill_ended(&fill.id, false);
             segment = segment.max(fill.segment + 1);
@@ -72,7 +72,7 @@
 #[case::never(f64::INFINITY)]
 #[case::every_half_window(WINDOW / 2.0)]
 #[case::every_ten_seconds(10.0)]
-fn what_a_partner_carries_in_a_window_holds_across_leaders_that_die(#[case] life: f64) {
+fn carry_limit_holds_across_leaders(#[case] life: f64) {
     let (most, fills) = most_carried(life, true);
     // A clock that is ahead by twenty seconds lets a window be as much shorter.
     assert!(most <= CARRY, "{most} in a window");
@@ -81,13 +81,13 @@
 
 /// The guard that is not there: it is this that holds the bound.
 #[test]
-fn a_leader_that_knows_nothing_of_the_one_before_goes_past_it() {
+fn leader_without_history_exceeds_limit() {
     let (most, _) = most_carried(WINDOW / 2.0, false);
     assert!(most > CARRY, "{most} in a window");
 }
 
 #[test]
-fn what_leaders_began_is_forgotten_by_age_and_bounded_in_number() {
+fn started_fills_are_bounded() {
     let mut ledger = SettlementLedger::default();
     let fill = |id: u64, at: u64| {
         let fill = Fill {
@@ -101,16 +101,16 @@
             rate: 1.0,
             settles: None,
         };
-        SettlementEntry::Begin(StartedFill::new(&fill, at))
+        SettlementEntry::StartFill(StartedFill::new(&fill, at))
     };
     assert_eq!(ledger.apply(&fill(0, 1_000)), Ok(ApplyOutcome::New));
     assert_eq!(ledger.apply(&fill(0, 1_000)), Ok(ApplyOutcome::Duplicate));
     for id in 1..40_000 {
         ledger.apply(&fill(id, 1_000 + id / 100)).unwrap();
     }
-    let kept = ledger.begun().count();
+    let kept = ledger.started_fills().count();
     assert!((8_000..=16_400).contains(&kept), "{kept} are kept");
     assert!(ledger.has_started("1/39999/s", "north"));
     ledger.apply(&fill(99_999, 100_000)).unwrap();
-    assert_eq!(ledger.begun().count(), 1);
+    assert_eq!(ledger.started_fills().count(), 1);
 }
--- a/crates/dunepond-settlement/tests/model.rs
+++ b/crates/dunepond-settlement/tests/model.rs
@@ -236,7 +236,7 @@
 #[case::each_run(3)]
 #[ignore = "by hand: some minutes in a release build"]
 #[case::wide(4)]
-fn settlement_holds_in_every_interleaving(#[case] log: usize) {
+fn invariants_hold(#[case] log: usize) {
     let checker = Debtors { log, splits: Mutex::default() }.checker().threads(2).spawn_bfs().join();
     println!(
         "{} states, {} of them different, depth {}",
@@ -249,7 +249,7 @@
 
 /// Longer logs by chance, from a seed: paths that a whole search does not reach.
 #[rstest]
-fn settlement_holds_on_long_ways() {
+fn invariants_hold_on_long_paths() {
     let model = Debtors { log: 10, splits: Mutex::default() }.checker().target_state_count(40_000);
     let checker = model.spawn_simulation(34, UniformChooser).join();
     println!("{} states, depth {}", checker.state_count(), checker.max_depth());
--- a/crates/dunepond-settlement/tests/plan.rs
+++ b/crates/dunepond-settlement/tests/plan.rs
@@ -12,13 +12,13 @@
 
 fn terms() -> SettlementTerms {
     SettlementTerms {
-        window: 100.0,
-        most_speed: 1e6,
-        most_move: 10_000,
-        most_debt: 1_000_000,
-        carry: 40_000,
-        least_rate: 10.0,
-        most_rate: 1000.0,
+        window_seconds: 100.0,
+        max_debt_speed: 1e6,
+        max_fill_bytes: 10_000,
+        max_debt_bytes: 1_000_000,
+        max_carried_bytes: 40_000,
+        min_fill_rate: 10.0,
+        max_fill_rate: 1000.0,
         ..SettlementTerms::default()
     }
 }
@@ -34,25 +34,25 @@
 
 /// A holder of `to` that each of `from` could fill; sources are named like their partners.
 fn need(segment: u64, to: &str, from: &[&str], bytes: u64) -> FillDemand {
-    let sources = from.iter().map(|partner| (format!("{partner}-s"), partner.to_string())).collect();
+    let sources = from.iter().map(|partner| (format!("{partner}-s"), partner.to_string()).into()).collect();
     let holder = format!("{to}-{segment}");
     FillDemand { version: 1, segment, holder, holder_partner: to.to_string(), sources, bytes, start: 0 }
 }
 
 fn links(cap: f64) -> LinkCapacities {
-    LinkCapacities { caps: BTreeMap::new(), unstated: cap, inside: 1e9 }
+    LinkCapacities { rate_caps: BTreeMap::new(), default_rate_cap: cap, internal_rate_cap: 1e9 }
 }
 
 fn warm() -> SlowStartCapacity {
-    SlowStartCapacity { window: 1.0, unit: 1, rooms: BTreeMap::new() }
+    SlowStartCapacity { window_seconds: 1.0, unit_bytes: 1, nodes: BTreeMap::new() }
 }
 
-fn held(plan: &FillPlan) -> Vec<WaitReason> {
-    plan.held.iter().map(|(_, why)| why.clone()).collect()
+fn wait_reasons(plan: &FillPlan) -> Vec<WaitReason> {
+    plan.waiting.iter().map(|demand| demand.reason).collect()
 }
 
 #[rstest]
-fn the_partner_that_owes_most_is_the_source_and_pays() {
+fn largest_debtor_is_source() {
     let book = book(terms(), &[("b", "a", 300), ("c", "a", 5000)]);
     let needs = [need(1, "a", &["a", "b", "c", "d"], 4000), need(2, "a", &["a", "b", "c", "d"], 4000)];
     let fills = plan(&book, &needs, &links(1e4), &warm(), 0.0, 1);
@@ -66,7 +66,7 @@
 
 /// Nobody owes: what is at home costs no debt; else who has carried least.
 #[rstest]
-fn without_debts_the_burden_goes_round() {
+fn least_carried_is_source_without_debts() {
     let book = book(terms(), &[]);
     let home = plan(&book, &[need(1, "a", &["b", "a"], 100)], &links(1e4), &warm(), 0.0, 1);
     assert_eq!((home[0].from.as_str(), &home[0].settles), ("a", &None));
@@ -79,20 +79,20 @@
 #[rstest]
 #[case(PlanningRule::MaxMin, "b")]
 #[case(PlanningRule::Cheapest, "a")]
-fn the_largest_shortfall_is_served_first(#[case] rule: PlanningRule, #[case] first: &str) {
+fn largest_shortfall_first(#[case] rule: PlanningRule, #[case] first: &str) {
     // Only one more fill goes out of c in this window.
-    let terms = SettlementTerms { carry: 1000, ..terms() };
+    let terms = SettlementTerms { max_carried_bytes: 1000, ..terms() };
     let book = book(terms, &[("c", "a", 2000), ("c", "b", 9000)]);
     let needs = [need(1, "a", &["c"], 1000), need(2, "b", &["c"], 1000)];
     let plan = FillPlanner::new("x", rule, 1).plan(&book, &needs, &links(1e4), &warm(), None, 0.0);
     assert_eq!(
-        (plan.fills.len(), plan.fills[0].to.as_str(), held(&plan)),
-        (1, first, vec![WaitReason::Carry])
+        (plan.fills.len(), plan.fills[0].to.as_str(), wait_reasons(&plan)),
+        (1, first, vec![WaitReason::CarryLimit])
     );
 }
 
 #[rstest]
-fn a_link_and_a_cold_node_bear_no_more_than_they_may_over_calls() {
+fn links_and_slow_start_limit_rates() {
     let book = book(terms(), &[("b", "a", 1_000_000)]);
     let mut planner = FillPlanner::new("x", PlanningRule::MaxMin, 1);
     let needs: Vec<_> = (0..9).map(|i| need(i, "a", &["b"], 1000)).collect();
@@ -100,14 +100,15 @@
     assert_eq!(first.fills.iter().map(|fill| fill.rate).collect::<Vec<_>>(), [17.5, 17.5]);
     let second = planner.plan(&book, &needs, &links(35.0), &warm(), None, 1.0);
     assert_eq!(
-        (second.fills.len(), held(&second).iter().filter(|why| **why == WaitReason::Link).count()),
+        (second.fills.len(), wait_reasons(&second).iter().filter(|why| **why == WaitReason::Link).count()),
         (0, 7)
     );
     planner.fill_ended(&first.fills[0].id, true);
     assert_eq!(planner.plan(&book, &needs, &links(35.0), &warm(), None, 2.0).fills.len(), 1);
     // 4 expected: 4 + 3 * 2 + 3 = 13 units at most, 3 taken by scans, one left free: 9 units of 10 bytes in 2 seconds.
-    let room = NodeCapacity { expected: 4.0, taken: 3.0 };
-    let cold = SlowStartCapacity { window: 2.0, unit: 10, rooms: [("a-7".to_string(), room)].into() };
+    let room = NodeCapacity { expected_units: 4.0, used_units: 3.0 };
+    let cold =
+        SlowStartCapacity { window_seconds: 2.0, unit_bytes: 10, nodes: [("a-7".to_string(), room)].into() };
     let cooled = FillPlanner::new("x", PlanningRule::MaxMin, 1).plan(
         &book,
         &needs[7..8],
@@ -118,7 +119,7 @@
     );
     assert_eq!(cooled.fills[0].rate, 45.0);
     let full = SlowStartCapacity {
-        rooms: [("a-7".to_string(), NodeCapacity { taken: 12.0, ..room })].into(),
+        nodes: [("a-7".to_string(), NodeCapacity { used_units: 12.0, ..room })].into(),
         ..cold
     };
     let full = FillPlanner::new("x", PlanningRule::MaxMin, 1).plan(
@@ -129,18 +130,15 @@
         None,
         0.0,
     );
-    assert_eq!(held(&full), [WaitReason::Cold]);
+    assert_eq!(wait_reasons(&full), [WaitReason::SlowStart]);
 }
 
 #[rstest]
-#[case::too_large(SettlementTerms { most_move: 999, ..terms() }, WaitReason::Far)]
-#[case::owed_too_much(SettlementTerms { most_debt: 999, ..terms() }, WaitReason::Far)]
-#[case::more_than_a_window_bears(SettlementTerms { carry: 999, ..terms() }, WaitReason::Far)]
-#[case::never_so_fast(SettlementTerms { most_speed: 9.99, ..terms() }, WaitReason::Far)]
-fn a_debt_moves_no_further_and_no_faster_than_agreed(
-    #[case] terms: SettlementTerms,
-    #[case] why: WaitReason,
-) {
+#[case::too_large(SettlementTerms { max_fill_bytes: 999, ..terms() }, WaitReason::DebtSize)]
+#[case::owed_too_much(SettlementTerms { max_debt_bytes: 999, ..terms() }, WaitReason::DebtSize)]
+#[case::more_than_a_window_bears(SettlementTerms { max_carried_bytes: 999, ..terms() }, WaitReason::DebtSize)]
+#[case::never_so_fast(SettlementTerms { max_debt_speed: 9.99, ..terms() }, WaitReason::DebtSize)]
+fn debt_limits(#[case] terms: SettlementTerms, #[case] why: WaitReason) {
     let book = book(terms, &[]);
     let plan = FillPlanner::new("x", PlanningRule::MaxMin, 1).plan(
         &book,
@@ -150,20 +148,20 @@
         None,
         0.0,
     );
-    assert_eq!((plan.fills.len(), held(&plan)), (0, vec![why]));
+    assert_eq!((plan.fills.len(), wait_reasons(&plan)), (0, vec![why]));
 }
 
 /// Fills under way count as done: together they make a debt no greater than one alone may.
 #[rstest]
-fn fills_under_way_count_in_how_far_a_debt_may_go() {
-    let book = book(SettlementTerms { most_debt: 1500, ..terms() }, &[]);
+fn running_fills_count_towards_debt_limit() {
+    let book = book(SettlementTerms { max_debt_bytes: 1500, ..terms() }, &[]);
     let mut planner = FillPlanner::new("x", PlanningRule::MaxMin, 1);
     let needs = [need(1, "a", &["b"], 1000), need(2, "a", &["b"], 1000)];
     let plan = planner.plan(&book, &needs, &links(1e4), &warm(), None, 0.0);
-    assert_eq!((plan.fills.len(), held(&plan)), (1, vec![WaitReason::Far]));
+    assert_eq!((plan.fills.len(), wait_reasons(&plan)), (1, vec![WaitReason::DebtSize]));
     assert_eq!(
-        held(&planner.plan(&book, &needs, &links(1e4), &warm(), None, 1.0)),
-        [WaitReason::Running, WaitReason::Far]
+        wait_reasons(&planner.plan(&book, &needs, &links(1e4), &warm(), None, 1.0)),
+        [WaitReason::Running, WaitReason::DebtSize]
     );
     // One the other way makes room.
     let back = planner.plan(&book, &[need(3, "b", &["a"], 1000)], &links(1e4), &warm(), None, 2.0);
@@ -172,19 +170,22 @@
 }
 
 #[rstest]
-fn a_window_bears_so_much_between_two() {
-    let book = book(SettlementTerms { most_speed: 15.0, ..terms() }, &[]);
+fn debt_speed_per_window() {
+    let book = book(SettlementTerms { max_debt_speed: 15.0, ..terms() }, &[]);
     let mut planner = FillPlanner::new("x", PlanningRule::MaxMin, 1);
     let needs = [need(1, "a", &["b"], 1000), need(2, "a", &["b"], 1000)];
     let first = planner.plan(&book, &needs, &links(1e4), &warm(), None, 0.0);
-    assert_eq!((first.fills.len(), held(&first)), (1, vec![WaitReason::Fast]));
-    assert_eq!(held(&planner.plan(&book, &needs[1..], &links(1e4), &warm(), None, 99.0)), [WaitReason::Fast]);
+    assert_eq!((first.fills.len(), wait_reasons(&first)), (1, vec![WaitReason::DebtSpeed]));
+    assert_eq!(
+        wait_reasons(&planner.plan(&book, &needs[1..], &links(1e4), &warm(), None, 99.0)),
+        [WaitReason::DebtSpeed]
+    );
     assert_eq!(planner.plan(&book, &needs[1..], &links(1e4), &warm(), None, 100.0).fills.len(), 1);
 }
 
 /// Done, and its entry not in the log yet: the debt is not paid a second time.
 #[rstest]
-fn a_debt_is_not_paid_twice_between_the_end_and_the_entry() {
+fn unsettled_fills_count_as_paid() {
     let mut book = book(terms(), &[("b", "a", 1000)]);
     let mut planner = FillPlanner::new("x", PlanningRule::MaxMin, 1);
     let needs: Vec<_> = (0..3).map(|i| need(i, "a", &["b"], 1000)).collect();
@@ -199,8 +200,8 @@
 
 /// Another leads now: it knows what is under way and what the window has seen, and plans neither again.
 #[rstest]
-fn who_begins_to_lead_goes_on_from_what_is_under_way() {
-    let book = book(SettlementTerms { carry: 2000, ..terms() }, &[("b", "a", 1500)]);
+fn new_leader_resumes() {
+    let book = book(SettlementTerms { max_carried_bytes: 2000, ..terms() }, &[("b", "a", 1500)]);
     let needs: Vec<_> = (0..3).map(|i| need(i, "a", &["b"], 1000)).collect();
     let first = FillPlanner::new("x", PlanningRule::MaxMin, 1).plan(
         &book,
@@ -213,13 +214,13 @@
     let mut next = FillPlanner::new("y", PlanningRule::MaxMin, 2);
     next.resume(&first.fills[0], 0.0, true);
     let plan = next.plan(&book, &needs, &links(1e4), &warm(), None, 1.0);
-    assert_eq!(held(&plan), [WaitReason::Running, WaitReason::Carry]);
+    assert_eq!(wait_reasons(&plan), [WaitReason::Running, WaitReason::CarryLimit]);
     assert_eq!(plan.fills[0].settles.as_ref().map(|settlement| settlement.bytes), Some(500));
 }
 
 /// A debt that is split is paid from the planner's own share, less what it has promised.
 #[rstest]
-fn a_plan_stays_within_its_brokers_share() {
+fn plan_stays_within_share() {
     let mut book = book(terms(), &[("b", "a", 1000)]);
     let entry = allot_evenly(&book, "b", "a", &["x".to_string(), "y".to_string()]).unwrap();
     book.apply(&SettlementEntry::Allot(entry)).unwrap();
@@ -240,17 +241,17 @@
 }
 
 #[rstest]
-fn a_fill_is_tried_again_later_and_later_and_then_fails() {
-    let patience = FillRetryPolicy { tries: 3, deadline: 1e6, ..FillRetryPolicy::default() };
+fn retries_back_off() {
+    let patience = FillRetryPolicy { max_attempts: 3, deadline_seconds: 1e6, ..FillRetryPolicy::default() };
     let (mut filling, mut chance) = filling(patience);
     let (mut now, mut begun) = (0.0, Vec::new());
     while let Some(due) = filling.next_tick_at() {
         now = due;
         for order in filling.tick(now, &mut chance) {
             match order {
-                FillAction::Begin(_) => begun.push(now),
+                FillAction::Start(_) => begun.push(now),
                 FillAction::Stop(_) => assert!(now - begun.last().unwrap() >= 20.0),
-                order => assert!(matches!(order, FillAction::Free(_)) && begun.len() == 3),
+                order => assert!(matches!(order, FillAction::ReleaseCapacity(_)) && begun.len() == 3),
             }
         }
     }
@@ -259,34 +260,39 @@
     let pauses: Vec<f64> = begun.windows(2).map(|pair| pair[1] - pair[0] - 20.0).collect();
     assert!((0.5..=1.0).contains(&pauses[0]) && (1.0..=2.0).contains(&pauses[1]), "{pauses:?}");
     let late = filling.handle_event(now, FillEvent::Done, &mut chance);
-    assert!(matches!(late, Err(SettlementError::Step { state: "failed", event: "done", .. })));
+    assert!(matches!(late, Err(SettlementError::InvalidEvent { state: "failed", event: "done", .. })));
 }
 
 #[rstest]
-fn a_deadline_withdraws_and_a_late_end_still_counts_before_it() {
-    let (mut filling, mut chance) = filling(FillRetryPolicy { deadline: 30.0, ..FillRetryPolicy::default() });
+fn deadline_withdraws() {
+    let (mut filling, mut chance) =
+        filling(FillRetryPolicy { deadline_seconds: 30.0, ..FillRetryPolicy::default() });
     filling.tick(0.0, &mut chance);
     assert!(matches!(filling.tick(20.0, &mut chance)[..], [FillAction::Stop(_)]));
     let mut late = filling.clone();
     let done = late.handle_event(20.1, FillEvent::Done, &mut chance).unwrap();
-    assert!(matches!(done[..], [FillAction::Free(_), FillAction::Propose(_)]));
+    assert!(matches!(done[..], [FillAction::ReleaseCapacity(_), FillAction::Propose(_)]));
     assert_eq!(late.handle_event(20.2, FillEvent::Done, &mut chance), Ok(vec![]));
     // A crash between the end and the entry: proposed again.
     assert!(matches!(late.resume(21.0)[..], [FillAction::Propose(_)]));
     filling.tick(21.5, &mut chance);
-    assert!(matches!(filling.tick(30.0, &mut chance)[..], [FillAction::Stop(_), FillAction::Free(_)]));
+    assert!(matches!(
+        filling.tick(30.0, &mut chance)[..],
+        [FillAction::Stop(_), FillAction::ReleaseCapacity(_)]
+    ));
     assert!(matches!(filling.state(), FillState::Withdrawn { .. }) && filling.next_tick_at().is_none());
 }
 
 /// A crash while it is under way begins it again under the same id, and costs none of its tries.
 #[rstest]
-fn a_crash_begins_the_fill_again() {
-    let (mut filling, mut chance) = filling(FillRetryPolicy { tries: 1, ..FillRetryPolicy::default() });
+fn resume_after_crash() {
+    let (mut filling, mut chance) =
+        filling(FillRetryPolicy { max_attempts: 1, ..FillRetryPolicy::default() });
     filling.tick(0.0, &mut chance);
     let mut filling: FillProgress = postcard::from_bytes(&postcard::to_stdvec(&filling).unwrap()).unwrap();
     assert_eq!(filling.resume(5.0), vec![]);
-    assert!(matches!(&filling.tick(5.0, &mut chance)[..], [FillAction::Begin(fill)] if fill.id == "1/1/a-1"));
-    assert!(filling.handle_event(6.0, FillEvent::Failed { why: "full".into() }, &mut chance).is_ok());
+    assert!(matches!(&filling.tick(5.0, &mut chance)[..], [FillAction::Start(fill)] if fill.id == "1/1/a-1"));
+    assert!(filling.handle_event(6.0, FillEvent::Failed { reason: "full".into() }, &mut chance).is_ok());
     assert!(matches!(filling.state(), FillState::Failed { .. }));
 }
 
@@ -305,7 +311,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(34), ..ProptestConfig::with_cases(200) })]
 
     #[test]
-    fn max_min_is_what_handing_out_one_by_one_gives(demands in prop::collection::vec(0..40u64, 0..8), capacity in 0..200u64) {
+    fn max_min_matches_naive(demands in prop::collection::vec(0..40u64, 0..8), capacity in 0..200u64) {
         prop_assert_eq!(max_min(&demands, capacity), naive(&demands, capacity));
     }
 
@@ -332,17 +338,17 @@
     /// window and the pace of debts hold, no debt is paid past itself, and nobody waits longer than a window and
     /// a half and the longest fill.
     #[test]
-    fn bounds_hold_at_each_moment_and_nobody_is_starved(
+    fn limits_hold_without_starvation(
         seed in any::<u64>(), turns in any::<bool>(), flood in 0..4usize, cap in 60.0..200.0f64, sizes in prop::collection::vec(200..1800u64, 4),
     ) {
-        let terms = SettlementTerms { carry: 9000, most_speed: 60.0, window: 30.0, ..terms() };
+        let terms = SettlementTerms { max_carried_bytes: 9000, max_debt_speed: 60.0, window_seconds: 30.0, ..terms() };
         let owes: Vec<_> = (0..3).map(|i| (PARTNERS[i + 1], PARTNERS[flood], 900 * (i as u64 + 1))).collect();
         let mut book = book(terms.clone(), &owes);
         let rule = if turns { PlanningRule::DeficitRoundRobin } else { PlanningRule::MaxMin };
         let mut planner = FillPlanner::new("x", rule, seed);
-        let room = NodeCapacity { expected: 4.0, taken: 2.0 };
-        let rooms = PARTNERS.iter().flat_map(|p| (0..400).map(move |i| (format!("{p}-{i}"), room))).collect();
-        let cold = SlowStartCapacity { window: 1.0, unit: 20, rooms };
+        let room = NodeCapacity { expected_units: 4.0, used_units: 2.0 };
+        let nodes = PARTNERS.iter().flat_map(|p| (0..400).map(move |i| (format!("{p}-{i}"), room))).collect();
+        let cold = SlowStartCapacity { window_seconds: 1.0, unit_bytes: 20, nodes };
         let mut queues: Vec<VecDeque<FillDemand>> = vec![VecDeque::new(); 4];
         let mut under_way: Vec<(f64, Fill)> = Vec::new();
         let (mut log, mut waits, mut segment) = (Vec::new(), [0.0f64; 4], 0);
@@ -370,24 +376,24 @@
                 let before = queue.len();
                 queue.retain(|need| plan.fills.iter().all(|fill| fill.id != need.id()));
                 waits[p] = if queue.len() < before { 0.0 } else { waits[p] + 1.0 };
-                let longest = sizes[p] as f64 / terms.least_rate.max(20.0);
-                prop_assert!(waits[p] <= 1.5 * terms.window + longest.min(100.0) + 1.0, "{} waits {}", PARTNERS[p], waits[p]);
+                let longest = sizes[p] as f64 / terms.min_fill_rate.max(20.0);
+                prop_assert!(waits[p] <= 1.5 * terms.window_seconds + longest.min(100.0) + 1.0, "{} waits {}", PARTNERS[p], waits[p]);
             }
             for fill in plan.fills {
-                prop_assert!(fill.rate >= terms.least_rate * (1.0 - 1e-9) && fill.rate <= terms.most_rate);
+                prop_assert!(fill.rate >= terms.min_fill_rate * (1.0 - 1e-9) && fill.rate <= terms.max_fill_rate);
                 log.push((now, fill.from.clone(), fill.to.clone(), fill.bytes));
                 under_way.push((now + fill.duration_seconds(), fill));
             }
             for from in PARTNERS {
-                let recent = || log.iter().filter(|(at, ..)| *at > now - terms.window);
+                let recent = || log.iter().filter(|(at, ..)| *at > now - terms.window_seconds);
                 let carried: u64 = recent().filter(|(_, f, ..)| f == from).map(|(.., bytes)| bytes).sum();
-                prop_assert!(carried <= terms.carry);
+                prop_assert!(carried <= terms.max_carried_bytes);
                 for to in PARTNERS {
                     let on = |fill: &Fill| fill.from == from && fill.to == to;
                     let rate: f64 = under_way.iter().filter(|(_, fill)| on(fill)).map(|(_, fill)| fill.rate).sum();
                     prop_assert!(rate <= cap * (1.0 + 1e-9));
                     let pair = recent().filter(|(_, f, t, _)| (f == from && t == to) || (f == to && t == from));
-                    prop_assert!(pair.map(|(.., bytes)| *bytes).sum::<u64>() as f64 <= terms.most_speed * terms.window);
+                    prop_assert!(pair.map(|(.., bytes)| *bytes).sum::<u64>() as f64 <= terms.max_debt_speed * terms.window_seconds);
                     prop_assert_eq!(book.settled_beyond_debt(from, to), 0);
                 }
             }
--- a/crates/dunepond-settlement/tests/telling.rs
+++ b/crates/dunepond-settlement/tests/replication.rs
@@ -62,7 +62,7 @@
     /// with nothing. Then three exchanges between any two, cut off from the third, and these two know the same; and at
     /// last all three, which is all that anybody saved, if no folder was lost. No whole word by the clock is in it.
     #[test]
-    fn changed_rows_alone_come_to_the_same_join(acts in prop::collection::vec((0..8u8, 0..BROKERS, 1..BROKERS, 1..100u64, any::<prop::sample::Index>()), 1..60), first in 0..BROKERS, further in 1..BROKERS) {
+    fn changed_rows_converge(acts in prop::collection::vec((0..8u8, 0..BROKERS, 1..BROKERS, 1..100u64, any::<prop::sample::Index>()), 1..60), first in 0..BROKERS, further in 1..BROKERS) {
         let mut brokers: Vec<Broker> = (0..BROKERS).map(Broker::new).collect();
         let (mut all, mut lost) = (CarriedCounts::new(), false);
         // From, to, the word.
@@ -111,7 +111,7 @@
 
 /// A hundred brokers with thirty pairs each, as `fleet-at-size` has them: bytes of the two words of one exchange.
 #[rstest]
-fn a_quiet_fleet_tells_next_to_nothing() {
+fn idle_fleet_sends_little() {
     let partners: Vec<_> = (0..6).map(|partner| format!("partner{partner}")).collect();
     let mut rows = CarriedCounts::new();
     for broker in 0..100 {
@@ -140,7 +140,7 @@
 
 /// Each knows only counts of the other: a program of before, and one of now.
 #[rstest]
-fn programs_of_before_go_on_as_they_were() {
+fn counts_only_peers() {
     let mut brokers = [Broker::new(0), Broker::new(1)];
     brokers[0].tally.record("north", "south", 5);
     for _ in 0..3 {
@@ -156,7 +156,7 @@
 /// something between two words. Compared with all of the counts in each word, as it was.
 #[rstest]
 #[ignore = "a measurement, some minutes"]
-fn what_a_broker_tells_a_second(#[values(30, 100)] brokers: usize, #[values(0, 5, 100)] busy: u64) {
+fn bytes_per_second(#[values(30, 100)] brokers: usize, #[values(0, 5, 100)] busy: u64) {
     let partners: Vec<_> = (0..6).map(|partner| format!("partner{partner}")).collect();
     let mut all: Vec<Broker> = (0..brokers).map(Broker::new).collect();
     let mut seed = 7u64;
--- a/crates/dunepond-settlement/tests/week.rs
+++ b/crates/dunepond-settlement/tests/week.rs
@@ -116,7 +116,7 @@
                         settles: None,
                     };
                     if left > 0 {
-                        let by = broker.shares.by().to_string();
+                        let by = broker.shares.broker().to_string();
                         let pays = left.min(FILL);
                         let settles =
                             Settlement::new(&fill, &by, &debt.debtor, &debt.creditor, pays).unwrap();
@@ -125,7 +125,11 @@
                         broker.saved.1 = broker.shares.clone();
                     }
                     if !broker.cut {
-                        enter(&mut agreed, &mut told, SettlementEntry::Begin(StartedFill::new(&fill, at)));
+                        enter(
+                            &mut agreed,
+                            &mut told,
+                            SettlementEntry::StartFill(StartedFill::new(&fill, at)),
+                        );
                     }
                 }
             }
@@ -168,7 +172,7 @@
 }
 
 #[test]
-fn a_week_of_debts_leaves_documents_as_large_as_three_days_do() {
+fn documents_stop_growing() {
     let sizes = week(7);
     println!("bytes a day (ledger, counts, promises): {sizes:?}");
     for document in 0..3 {
--- a/crates/dunepond-simulation/src/size/fills.rs
+++ b/crates/dunepond-simulation/src/size/fills.rs
@@ -169,7 +169,7 @@
                 segment: need.segment,
                 holder: need.replica.clone(),
                 holder_partner: world.partner_of(&need.replica),
-                sources: need.sources.iter().map(|s| (s.clone(), world.partner_of(s))).collect(),
+                sources: need.sources.iter().map(|s| (s.clone(), world.partner_of(s)).into()).collect(),
                 bytes: SEGMENT,
                 start: 0,
             })
@@ -182,8 +182,9 @@
         }
         let new: Vec<FillDemand> =
             needs.into_iter().filter(|need| !desk.under.contains_key(&need.id())).collect();
-        let links = LinkCapacities { caps: BTreeMap::new(), unstated: 1e9, inside: 1e9 };
-        let cold = SlowStartCapacity { window: 1.0, unit: 1, rooms: BTreeMap::new() };
+        let links =
+            LinkCapacities { rate_caps: BTreeMap::new(), default_rate_cap: 1e9, internal_rate_cap: 1e9 };
+        let cold = SlowStartCapacity { window_seconds: 1.0, unit_bytes: 1, nodes: BTreeMap::new() };
         for fill in desk.planner.plan(&desk.book, &new, &links, &cold, None, now).fills {
             let ends = now + self.chance.random_range(LASTS.0..LASTS.1);
             let fails = self.chance.random::<f64>() < FAILS;
--- a/crates/dunepond-testkit/src/experiments/debts.rs
+++ b/crates/dunepond-testkit/src/experiments/debts.rs
@@ -52,7 +52,7 @@
     hold("load of a cold node, of its bound", most(|it| it.cold), 1.0, "");
     hold("carried in a window, of the most", most(|it| it.carried), 1.0, "");
     let waited = greatest(&all[2..], |it| it.waited);
-    hold("longest that a partner went without a fill", waited, 1.5 * terms().window, "s, simulated");
+    hold("longest that a partner went without a fill", waited, 1.5 * terms().window_seconds, "s, simulated");
     hold("book off the truth", most(|it| it.off), 0.0, "bytes");
     hold("the liar's counted, of what it carried", most(|it| it.counted), 1.0, "times");
     hold("cells of counts", most(|it| it.cells), 400.0, "");
--- a/crates/dunepond-testkit/src/experiments/debts/world.rs
+++ b/crates/dunepond-testkit/src/experiments/debts/world.rs
@@ -22,19 +22,19 @@
 /// What is left for settled: a share of what was open when the scans ended, or so many bytes, as fills go on.
 const SETTLED: f64 = 0.1;
 const FEW: f64 = 2.0 * NEED_BYTES as f64;
-const COLD: NodeCapacity = NodeCapacity { expected: 4.0, taken: 6.0 };
+const COLD: NodeCapacity = NodeCapacity { expected_units: 4.0, used_units: 6.0 };
 const UNIT: u64 = 256 << 10;
 
 pub fn terms() -> SettlementTerms {
     SettlementTerms {
-        window: 600.0,
-        half_life: 1800.0,
-        most_move: 128 << 20,
-        most_speed: 2.0 * LINK,
-        most_debt: 4 << 30,
-        carry: 640 << 20,
-        least_rate: 64.0 * KB,
-        most_rate: LINK,
+        window_seconds: 600.0,
+        half_life_seconds: 1800.0,
+        max_fill_bytes: 128 << 20,
+        max_debt_speed: 2.0 * LINK,
+        max_debt_bytes: 4 << 30,
+        max_carried_bytes: 640 << 20,
+        min_fill_rate: 64.0 * KB,
+        max_fill_rate: LINK,
         ..SettlementTerms::default()
     }
 }
@@ -202,7 +202,10 @@
             segment,
             holder: format!("{}-{segment}", PARTNERS[to]),
             holder_partner: PARTNERS[to].to_string(),
-            sources: from.iter().map(|p| (format!("{}-s", PARTNERS[*p]), PARTNERS[*p].to_string())).collect(),
+            sources: from
+                .iter()
+                .map(|p| (format!("{}-s", PARTNERS[*p]), PARTNERS[*p].to_string()).into())
+                .collect(),
             bytes,
             start: 0,
         };
@@ -211,9 +214,13 @@
     }
 
     fn plan(&mut self, links: &LinkCapacities) {
-        let rooms = self.needs.iter().map(|need| (need.holder.clone(), COLD));
+        let nodes = self.needs.iter().map(|need| (need.holder.clone(), COLD));
         let running = self.planner.running().map(|fill| (fill.holder.clone(), COLD));
-        let cold = SlowStartCapacity { window: 1.0, unit: UNIT, rooms: rooms.chain(running).collect() };
+        let cold = SlowStartCapacity {
+            window_seconds: 1.0,
+            unit_bytes: UNIT,
+            nodes: nodes.chain(running).collect(),
+        };
         let needs: Vec<FillDemand> = self.needs.iter().cloned().collect();
         let plan = self.planner.plan(&self.book, &needs, links, &cold, None, self.now);
         for fill in plan.fills {
@@ -224,18 +231,19 @@
             if fill.from != fill.to {
                 self.log.push((self.now, fill.from.clone(), fill.bytes));
             }
-            let patience = FillRetryPolicy { deadline: 1e9, tries: 100, ..FillRetryPolicy::default() };
+            let patience =
+                FillRetryPolicy { deadline_seconds: 1e9, max_attempts: 100, ..FillRetryPolicy::default() };
             self.fillings.push((0.0, FillProgress::new(fill, patience, self.now)));
         }
         let (now, needs) = (self.now, &self.needs);
         self.since.retain(|partner, _| needs.iter().any(|need| need.holder_partner == *partner));
         let waited = self.since.values().map(|since| now - since);
         self.played.waited = waited.fold(self.played.waited, f64::max);
-        let since = self.now - terms().window;
+        let since = self.now - terms().window_seconds;
         self.log.retain(|(at, ..)| *at > since);
         for partner in PARTNERS {
             let carried: u64 = self.log.iter().filter(|(_, from, _)| from == partner).map(|(.., b)| b).sum();
-            self.played.carried = self.played.carried.max(carried as f64 / terms().carry as f64);
+            self.played.carried = self.played.carried.max(carried as f64 / terms().max_carried_bytes as f64);
         }
     }
 
@@ -247,11 +255,11 @@
             if filling
                 .tick(self.now, &mut self.chance)
                 .iter()
-                .any(|order| matches!(order, FillAction::Begin(_)))
+                .any(|order| matches!(order, FillAction::Start(_)))
             {
                 *brought = 0.0;
             }
-            if !matches!(filling.state(), FillState::UnderWay { .. }) {
+            if !matches!(filling.state(), FillState::Running { .. }) {
                 continue;
             }
             let fill = filling.fill.clone();
@@ -263,7 +271,7 @@
             if end {
                 let failed = self.chance.random::<f64>() < 0.1;
                 let event =
-                    if failed { FillEvent::Failed { why: "told to".into() } } else { FillEvent::Done };
+                    if failed { FillEvent::Failed { reason: "told to".into() } } else { FillEvent::Done };
                 let orders =
                     filling.handle_event(self.now, event, &mut self.chance).expect("it is under way");
                 ended.extend(orders.into_iter().filter_map(|order| match order {
@@ -320,7 +328,8 @@
 pub fn play(mix: &str, rule: Option<PlanningRule>, seed: u64, seconds: f64) -> Played {
     let mut world = World::new(rule, seed);
     let slow = [("mid", "north"), ("north", "mid")].map(|(a, b)| ((a.to_string(), b.to_string()), SLOW));
-    let links = LinkCapacities { caps: slow.into(), unstated: LINK, inside: 4.0 * LINK };
+    let links =
+        LinkCapacities { rate_caps: slow.into(), default_rate_cap: LINK, internal_rate_cap: 4.0 * LINK };
     let (mut next, mut segment, mut at_end) = (0.0, 0, 0.0);
     let (mut sum, mut worst, mut samples) = (0.0, 0.0, 0.0);
     // Scans for so long, then fills alone until debts are settled, or as long again.
@@ -363,8 +372,8 @@
         }
         world.fill(&links);
         for holder in world.brought.values() {
-            let units = holder.front().copied().unwrap_or(0.0) / UNIT as f64 + COLD.taken;
-            world.played.cold = world.played.cold.max(units / max_units(COLD.expected));
+            let units = holder.front().copied().unwrap_or(0.0) / UNIT as f64 + COLD.used_units;
+            world.played.cold = world.played.cold.max(units / max_units(COLD.expected_units));
         }
         world.now += 1.0;
     }
@@ -379,8 +388,9 @@
         let off = world.book.balance(PARTNERS[o], PARTNERS[c]) - (truth(c, o) - truth(o, c));
         played.off += off.unsigned_abs() as f64;
     }
-    let said = world.book.disputes().iter().filter(|dispute| dispute.carrier == LIAR);
-    let (said, seen) = said.fold((0, 0), |(said, seen), it| (said + it.said, seen + it.seen));
+    let of_liar = world.book.discrepancies().iter().filter(|it| it.carrier == LIAR);
+    let (said, seen) =
+        of_liar.fold((0, 0), |(said, seen), it| (said + it.carrier_bytes, seen + it.debtor_bytes));
     let gross: u64 = PARTNERS.iter().map(|owed_by| world.book.gross(LIAR, owed_by)).sum();
     (played.counted, played.disputed) =
         (gross as f64 / seen.max(1) as f64, (said - seen) as f64 / seen.max(1) as f64);
