--- a/crates/dunepond-background/src/lib.rs
+++ b/crates/dunepond-background/src/lib.rs
@@ -1,10 +1,19 @@
-//! Background work that never delays the ordinary path: [`Scheduler`] decides what runs next and is free of threads and
-//! clocks; [`Pool`] is the few threads on which what may block runs.
+//! Background jobs that never delay queries.
+//!
+//! [`Scheduler`] decides which job runs next; it has no threads and no clock. [`Pool`] is a few threads for jobs that may
+//! block. Times are seconds on the caller's clock; sizes are bytes.
 
+#![warn(missing_docs)]
+
+mod budget;
+mod job;
 mod pool;
 mod scheduler;
 
-pub use pool::{Finished, Pool};
-pub use scheduler::{
-    Budget, Cost, Counts, Given, JobId, Kind, Outcome, Priority, Retry, Scheduler, Spec, Used,
+pub use budget::Budget;
+pub use job::{
+    DroppedJob, JobCost, JobCounters, JobId, JobKind, JobSpec, Outcome, Priority, ResourceUse, RetryPolicy,
+    StartedJob,
 };
+pub use pool::{FinishedJob, Pool};
+pub use scheduler::Scheduler;
--- a/crates/dunepond-background/src/pool.rs
+++ b/crates/dunepond-background/src/pool.rs
@@ -1,4 +1,4 @@
-//! A few threads, fixed in number, for what may wait for a disk.
+//! A fixed number of threads for jobs that may wait for a disk.
 
 use std::io;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -6,48 +6,65 @@
 
 use crossbeam_channel::{Sender, unbounded};
 
-use crate::scheduler::{JobId, Outcome, Used};
+use crate::job::{JobId, Outcome, ResourceUse};
 
 /// The end of a job on the pool.
 #[derive(Clone, Copy, Debug)]
-pub struct Finished {
+pub struct FinishedJob {
+    /// The job's number.
     pub id: JobId,
+    /// How it ended.
     pub outcome: Outcome,
-    pub used: Used,
+    /// What it has taken.
+    pub used: ResourceUse,
 }
 
 type Work = Box<dyn FnOnce() -> (Outcome, u64) + Send>;
 
+struct QueuedJob {
+    id: JobId,
+    work: Work,
+}
+
+impl QueuedJob {
+    fn run(self) -> FinishedJob {
+        // A job that panics has failed, and must not end its thread.
+        let (outcome, bytes) = catch_unwind(AssertUnwindSafe(self.work)).unwrap_or((Outcome::Failed, 0));
+        FinishedJob { id: self.id, outcome, used: ResourceUse { seconds: 0.0, bytes } }
+    }
+}
+
+/// The threads' queue; they end when it is dropped.
 pub struct Pool {
-    jobs: Sender<(JobId, Work)>,
+    queue: Sender<QueuedJob>,
 }
 
 impl Pool {
-    /// `tell` is called by the threads with the end of each job.
+    /// Starts the threads. They call `report` with the end of each job.
+    ///
+    /// # Errors
+    /// A thread cannot be started.
     pub fn start(
         name: &str,
         threads: usize,
-        tell: impl Fn(Finished) + Clone + Send + 'static,
+        report: impl Fn(FinishedJob) + Clone + Send + 'static,
     ) -> io::Result<Self> {
-        let (jobs, queue) = unbounded::<(JobId, Work)>();
+        let (queue, jobs) = unbounded::<QueuedJob>();
         for number in 0..threads.max(1) {
-            let (queue, tell) = (queue.clone(), tell.clone());
-            let work = move || {
-                for (id, work) in queue {
-                    // A job that panics has failed, and takes no thread with it.
-                    let (outcome, bytes) =
-                        catch_unwind(AssertUnwindSafe(work)).unwrap_or((Outcome::Failed, 0));
-                    tell(Finished { id, outcome, used: Used { seconds: 0.0, bytes } });
+            let (jobs, report) = (jobs.clone(), report.clone());
+            let run = move || {
+                for job in jobs {
+                    report(job.run());
                 }
             };
-            thread::Builder::new().name(format!("{name}-{number}")).spawn(work)?;
+            thread::Builder::new().name(format!("{name}-{number}")).spawn(run)?;
         }
-        Ok(Self { jobs })
+        Ok(Self { queue })
     }
 
-    /// Runs it, and tells its outcome and the bytes it wrote. The scheduler bounds how many there are.
+    /// Runs work that gives its outcome and the bytes it wrote. The scheduler limits how much is queued.
     pub fn run(&self, id: JobId, work: impl FnOnce() -> (Outcome, u64) + Send + 'static) {
         // The threads live as long as the queue does.
-        let _ = self.jobs.send((id, Box::new(work)));
+        let _ = self.queue.send(QueuedJob { id, work: Box::new(work) });
     }
 }
--- a/crates/dunepond-background/src/scheduler.rs
+++ b/crates/dunepond-background/src/scheduler.rs
@@ -1,191 +1,73 @@
-//! Which job runs next, and whether any may: by priority and age, within budgets of time and bytes, before its deadline,
-//! and after a failure not before its back-off is over.
+//! Which job runs next, and whether any may: by priority and age, within budgets, before its deadline, and after a failure
+//! not before its backoff is over.
 
 use std::collections::BTreeMap;
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Seconds of waiting that lift a job by one priority: the lowest gets its turn however much is above it.
-const LIFT: f64 = 2.0;
-/// Budgets save up so many seconds' worth: more would be a burst that the ordinary path feels.
-const SAVED_UP: f64 = 0.5;
-/// The part of its back-off by which a job's retry may come sooner: what failed together must not come back together.
-const JITTER: f64 = 0.5;
+use crate::budget::{Budget, TokenBucket};
+use crate::job::{
+    DroppedJob, JobCounters, JobId, JobKind, JobSpec, Outcome, ResourceUse, RetryPolicy, StartedJob,
+};
 
-/// A job, by a number that is never used twice.
-pub type JobId = u64;
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Priority {
-    /// Nobody minds when.
-    Idle,
-    /// Worth something soon.
-    Usual,
-    /// A rule rests on it.
-    Urgent,
-}
-
-/// Where a job runs.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// A short, bounded step on the caller's own thread, while nothing else waits there.
-    Step,
-    /// May wait for a disk: on the pool.
-    Blocking,
-}
-
-/// How a job that failed is tried again: seconds at first, doubled up to the longest; so many tries in all, or as many
-/// as it takes.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Retry {
-    pub first: f64,
-    pub longest: f64,
-    pub tries: Option<u32>,
-}
-
-/// What a run is expected to take of the budgets; what it did take is told with its end.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Cost {
-    pub bytes: u64,
-}
-
-/// A job as it is handed in.
-#[derive(Clone, Debug)]
-pub struct Spec {
-    pub name: &'static str,
-    pub priority: Priority,
-    pub kind: Kind,
-    pub cost: Cost,
-    /// Not begun before this time, nor at or after that one: it is worth nothing by then.
-    pub not_before: f64,
-    pub deadline: Option<f64>,
-    pub retry: Option<Retry>,
-}
-
-/// What all jobs together may take each second.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Budget {
-    /// Of the caller's thread, as a share.
-    pub time: f64,
-    /// To the disk.
-    pub bytes: f64,
-    /// Blocking jobs under way at once.
-    pub at_once: usize,
-}
-
-/// A job that is to run now. Its end must be told by [`Scheduler::ended`].
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Given {
-    pub id: JobId,
-    pub name: &'static str,
-    pub kind: Kind,
-    /// How often it has been tried before.
-    pub tries: u32,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    Done,
-    /// A step of more.
-    More,
-    Failed,
-}
-
-/// What a run has taken: seconds of the caller's thread (a blocking job takes none), bytes to the disk.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Used {
-    pub seconds: f64,
-    pub bytes: u64,
-}
-
-/// What has become of the jobs of one name.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
-    pub done: u64,
-    pub failed: u64,
-    /// Worthless by the time they could have run.
-    pub expired: u64,
-    /// Given up after all their tries.
-    pub given_up: u64,
-    pub seconds: f64,
-    pub bytes: u64,
-    /// The longest that a job of this name has waited, due, for its first step.
-    pub longest_wait: f64,
-}
+/// Waiting so long counts as much as one level of priority: the lowest runs in the end, however much is above it.
+const SECONDS_PER_PRIORITY: f64 = 2.0;
+/// Share of a backoff by which a retry may come sooner: jobs that failed together must not be retried together.
+const BACKOFF_JITTER_RATIO: f64 = 0.5;
+/// Keeps the doubling of backoffs finite.
+const MAX_BACKOFF_DOUBLINGS: u32 = 62;
 
 struct Job {
-    spec: Spec,
-    /// Since when it could run: for its age.
-    due: f64,
-    tries: u32,
+    spec: JobSpec,
+    /// Since when it could run.
+    due_at: f64,
+    failed_attempts: u32,
     running: bool,
-    begun: bool,
+    started: bool,
     cancelled: bool,
 }
 
-/// So much may be taken; below nothing, it waits.
-struct Bucket {
-    rate: f64,
-    level: f64,
-    at: f64,
-}
-
-impl Bucket {
-    fn new(rate: f64) -> Self {
-        Self { rate, level: rate * SAVED_UP, at: f64::MIN }
-    }
-
-    fn refill(&mut self, now: f64) {
-        if self.at != f64::MIN {
-            self.level = (self.level + self.rate * (now - self.at).max(0.0)).min(self.rate * SAVED_UP);
-        }
-        self.at = now;
-    }
-
-    /// When something may be taken again.
-    fn open_at(&self, now: f64) -> f64 {
-        if self.level > 0.0 { now } else { now - self.level / self.rate.max(1e-9) + 1e-6 }
-    }
-}
-
+/// Decides which job runs next.
 pub struct Scheduler {
     budget: Budget,
     rng: Pcg64Mcg,
     jobs: BTreeMap<JobId, Job>,
-    last: JobId,
-    time: Bucket,
-    bytes: Bucket,
-    blocking: usize,
-    counts: BTreeMap<&'static str, Counts>,
-    /// Jobs that ended without having been done, not told yet.
-    dropped: Vec<(JobId, &'static str)>,
+    last_id: JobId,
+    time: TokenBucket,
+    bytes: TokenBucket,
+    blocking_jobs: usize,
+    counters: BTreeMap<&'static str, JobCounters>,
+    /// Not reported yet.
+    dropped: Vec<DroppedJob>,
 }
 
 impl Scheduler {
+    /// A scheduler without jobs. The seed is for the jitter of backoffs.
     pub fn new(budget: Budget, seed: u64) -> Self {
         Self {
-            time: Bucket::new(budget.time),
-            bytes: Bucket::new(budget.bytes),
+            time: TokenBucket::new(budget.time_ratio),
+            bytes: TokenBucket::new(budget.bytes_per_second),
             budget,
             rng: Pcg64Mcg::seed_from_u64(seed),
             jobs: BTreeMap::new(),
-            last: 0,
-            blocking: 0,
-            counts: BTreeMap::new(),
+            last_id: 0,
+            blocking_jobs: 0,
+            counters: BTreeMap::new(),
             dropped: Vec::new(),
         }
     }
 
-    pub fn add(&mut self, now: f64, spec: Spec) -> JobId {
-        self.last += 1;
-        let due = spec.not_before.max(now);
-        let job = Job { spec, due, tries: 0, running: false, begun: false, cancelled: false };
-        self.jobs.insert(self.last, job);
-        self.last
+    /// Adds a job.
+    pub fn add(&mut self, now: f64, spec: JobSpec) -> JobId {
+        self.last_id += 1;
+        let due_at = spec.not_before.max(now);
+        let job = Job { spec, due_at, failed_attempts: 0, running: false, started: false, cancelled: false };
+        self.jobs.insert(self.last_id, job);
+        self.last_id
     }
 
-    /// Takes a job back. One that is running ends as it ends, and is not tried again.
+    /// Cancels a job. One that is running ends as it ends, and is not retried.
     pub fn cancel(&mut self, id: JobId) {
         match self.jobs.get_mut(&id) {
             Some(job) if job.running => job.cancelled = true,
@@ -193,111 +75,152 @@
         }
     }
 
-    /// The next job to run, if any may. `calm` says that nothing else waits on the caller's thread: no step is given out
-    /// otherwise.
-    pub fn next(&mut self, now: f64, calm: bool) -> Option<Given> {
+    /// Starts the next job, if any may run. `caller_idle` says that nothing else waits on the caller's thread: no step
+    /// starts otherwise.
+    pub fn next(&mut self, now: f64, caller_idle: bool) -> Option<StartedJob> {
         self.expire(now);
         self.time.refill(now);
         self.bytes.refill(now);
-        let may = |job: &Job| {
-            let spec = &job.spec;
-            let room = match spec.kind {
-                Kind::Step => calm && self.time.level > 0.0,
-                Kind::Blocking => self.blocking < self.budget.at_once,
-            };
-            !job.running && job.due <= now && room && (spec.cost.bytes == 0 || self.bytes.level > 0.0)
-        };
-        let rank = |job: &Job| job.spec.priority as u8 as f64 + (now - job.due) / LIFT;
-        let best = self.jobs.iter().filter(|(_, job)| may(job));
-        let (&id, _) = best.max_by(|(a, x), (b, y)| rank(x).total_cmp(&rank(y)).then(b.cmp(a)))?;
+        let id = self.best_runnable(now, caller_idle)?;
         let job = self.jobs.get_mut(&id)?;
         job.running = true;
-        if !std::mem::replace(&mut job.begun, true) {
-            let counts = self.counts.entry(job.spec.name).or_default();
-            counts.longest_wait = counts.longest_wait.max(now - job.due);
+        if !job.started {
+            job.started = true;
+            let counters = self.counters.entry(job.spec.name).or_default();
+            counters.longest_wait_seconds = counters.longest_wait_seconds.max(now - job.due_at);
         }
-        if job.spec.kind == Kind::Blocking {
-            self.blocking += 1;
+        if job.spec.kind == JobKind::Blocking {
+            self.blocking_jobs += 1;
         }
-        // Taken ahead, and made good with the end: several must not be begun on the same room.
-        self.bytes.level -= job.spec.cost.bytes as f64;
-        Some(Given { id, name: job.spec.name, kind: job.spec.kind, tries: job.tries })
+        // Taken ahead, and corrected at the end: several jobs must not start on the same budget.
+        self.bytes.take(job.spec.cost.bytes as f64);
+        Some(StartedJob {
+            id,
+            name: job.spec.name,
+            kind: job.spec.kind,
+            failed_attempts: job.failed_attempts,
+        })
     }
 
-    /// A run has ended.
-    pub fn ended(&mut self, now: f64, id: JobId, outcome: Outcome, used: Used) {
+    /// Of the jobs that may run, the one with the highest priority and age; of equals the one added first.
+    fn best_runnable(&self, now: f64, caller_idle: bool) -> Option<JobId> {
+        let rank = |job: &Job| job.spec.priority as u8 as f64 + (now - job.due_at) / SECONDS_PER_PRIORITY;
+        let mut best: Option<(f64, JobId)> = None;
+        for (&id, job) in &self.jobs {
+            let rank = rank(job);
+            let is_better = best.is_none_or(|(best_rank, _)| rank.total_cmp(&best_rank).is_gt());
+            if is_better && self.may_run(job, now, caller_idle) {
+                best = Some((rank, id));
+            }
+        }
+        best.map(|(_, id)| id)
+    }
+
+    fn may_run(&self, job: &Job, now: f64, caller_idle: bool) -> bool {
+        if job.running || job.due_at > now {
+            return false;
+        }
+        let has_room = match job.spec.kind {
+            JobKind::Step => caller_idle && self.time.is_open(),
+            JobKind::Blocking => self.blocking_jobs < self.budget.max_blocking_jobs,
+        };
+        has_room && (job.spec.cost.bytes == 0 || self.bytes.is_open())
+    }
+
+    /// Reports the end of a run.
+    pub fn finish(&mut self, now: f64, id: JobId, outcome: Outcome, used: ResourceUse) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.running) else { return };
         job.running = false;
-        if job.spec.kind == Kind::Blocking {
-            self.blocking -= 1;
+        if job.spec.kind == JobKind::Blocking {
+            self.blocking_jobs -= 1;
         }
-        self.time.level -= used.seconds;
-        self.bytes.level += job.spec.cost.bytes as f64 - used.bytes as f64;
-        let (name, cancelled) = (job.spec.name, job.cancelled);
-        let counts = self.counts.entry(name).or_default();
-        counts.seconds += used.seconds;
-        counts.bytes += used.bytes;
+        self.time.take(used.seconds);
+        self.bytes.give_back(job.spec.cost.bytes as f64 - used.bytes as f64);
+        let counters = self.counters.entry(job.spec.name).or_default();
+        counters.seconds += used.seconds;
+        counters.bytes += used.bytes;
         match outcome {
-            Outcome::Done => counts.done += 1,
-            // Its age counts anew from each step: what is endless must not come to stand above all else.
-            Outcome::More if !cancelled => return job.due = now,
-            Outcome::More => {}
-            Outcome::Failed => {
-                counts.failed += 1;
-                job.tries += 1;
-                let retry =
-                    job.spec.retry.filter(|r| !cancelled && r.tries.is_none_or(|most| job.tries < most));
-                if let Some(retry) = retry {
-                    let longer = 2f64.powi((job.tries - 1).min(62) as i32);
-                    let back_off = (retry.first * longer).min(retry.longest);
-                    let spread: f64 = self.rng.random_range(1.0 - JITTER..=1.0);
-                    return job.due = now + spread * back_off;
-                }
-                counts.given_up += 1;
-                self.dropped.push((id, name));
+            Outcome::Done => {
+                counters.done += 1;
+                self.jobs.remove(&id);
             }
+            // Its age counts anew from each step: an endless job must not rise above all others.
+            Outcome::Yielded if !job.cancelled => job.due_at = now,
+            Outcome::Yielded => drop(self.jobs.remove(&id)),
+            Outcome::Failed => self.retry_or_drop(now, id),
+        }
+    }
+
+    fn retry_or_drop(&mut self, now: f64, id: JobId) {
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let name = job.spec.name;
+        let counters = self.counters.entry(name).or_default();
+        counters.failed += 1;
+        job.failed_attempts += 1;
+        if let Some(retry) = job.spec.retry.filter(|retry| job.may_retry(retry)) {
+            let doublings = (job.failed_attempts - 1).min(MAX_BACKOFF_DOUBLINGS) as i32;
+            let backoff =
+                (retry.initial_backoff_seconds * 2f64.powi(doublings)).min(retry.max_backoff_seconds);
+            let jitter: f64 = self.rng.random_range(1.0 - BACKOFF_JITTER_RATIO..=1.0);
+            job.due_at = now + jitter * backoff;
+            return;
         }
+        counters.abandoned += 1;
+        self.dropped.push(DroppedJob { id, name });
         self.jobs.remove(&id);
     }
 
-    /// What is worthless by now goes, unless it is running.
+    /// Drops jobs whose deadline is over, unless they are running.
     fn expire(&mut self, now: f64) {
-        let late = |job: &Job| !job.running && job.spec.deadline.is_some_and(|deadline| now >= deadline);
-        let late: Vec<_> = self.jobs.iter().filter(|(_, job)| late(job)).map(|(id, _)| *id).collect();
-        for id in late {
+        let mut expired = Vec::new();
+        for (id, job) in &self.jobs {
+            if !job.running && job.spec.deadline.is_some_and(|deadline| now >= deadline) {
+                expired.push(*id);
+            }
+        }
+        for id in expired {
             if let Some(job) = self.jobs.remove(&id) {
-                self.counts.entry(job.spec.name).or_default().expired += 1;
-                self.dropped.push((id, job.spec.name));
+                let name = job.spec.name;
+                self.counters.entry(name).or_default().expired += 1;
+                self.dropped.push(DroppedJob { id, name });
             }
         }
     }
 
-    /// Jobs that will not be done any more: expired, or given up after all their tries.
-    pub fn take_dropped(&mut self) -> Vec<(JobId, &'static str)> {
+    /// Jobs dropped since the last call: expired, or failed for good.
+    pub fn drain_dropped(&mut self) -> Vec<DroppedJob> {
         std::mem::take(&mut self.dropped)
     }
 
-    /// When a job may be due that is not now: to ask again then.
-    pub fn next_due(&self, now: f64) -> Option<f64> {
-        let due = self.jobs.values().filter(|job| !job.running).filter_map(|job| {
-            let open = match job.spec.kind {
-                Kind::Step => self.time.open_at(now),
-                // The end of one under way asks again.
-                Kind::Blocking if self.blocking >= self.budget.at_once => return None,
-                Kind::Blocking => now,
-            };
-            let bytes = if job.spec.cost.bytes > 0 { self.bytes.open_at(now) } else { now };
-            Some(job.due.max(open).max(bytes))
-        });
-        due.min_by(f64::total_cmp)
+    /// When a job may run that may not now; none where only the end of a running one can change that.
+    pub fn next_wakeup(&self, now: f64) -> Option<f64> {
+        let waiting = self.jobs.values().filter(|job| !job.running);
+        waiting.filter_map(|job| self.may_run_at(job, now)).min_by(f64::total_cmp)
     }
 
-    /// Jobs that stand here, running or not.
-    pub fn count(&self) -> usize {
+    fn may_run_at(&self, job: &Job, now: f64) -> Option<f64> {
+        let room_at = match job.spec.kind {
+            JobKind::Step => self.time.opens_at(now),
+            JobKind::Blocking if self.blocking_jobs >= self.budget.max_blocking_jobs => return None,
+            JobKind::Blocking => now,
+        };
+        let bytes_at = if job.spec.cost.bytes > 0 { self.bytes.opens_at(now) } else { now };
+        Some(job.due_at.max(room_at).max(bytes_at))
+    }
+
+    /// How many jobs there are, running or not.
+    pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    pub fn counts(&self) -> impl Iterator<Item = (&'static str, Counts)> {
-        self.counts.iter().map(|(name, counts)| (*name, *counts))
+    /// Counters by name.
+    pub fn counters(&self) -> impl Iterator<Item = (&'static str, JobCounters)> {
+        self.counters.iter().map(|(name, counters)| (*name, *counters))
+    }
+}
+
+impl Job {
+    fn may_retry(&self, policy: &RetryPolicy) -> bool {
+        !self.cancelled && policy.max_attempts.is_none_or(|max| self.failed_attempts < max)
     }
 }
--- a/crates/dunepond-body-buffer/src/folder.rs
+++ b/crates/dunepond-body-buffer/src/folder.rs
@@ -1,124 +1,145 @@
-//! The folder that files are made in: one file a body, gone with the process however it ends.
+//! The folder that bodies are spilled to: one file for each body, gone with the process however it ends.
 
-use std::fs::{File, OpenOptions, TryLockError};
+use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::{FileExt, OpenOptionsExt};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Files are made here. A stand-in for it can fail any call.
-pub trait Folder: Send + Sync + 'static {
-    fn create(&self) -> io::Result<Box<dyn Volume>>;
+/// Makes files. A test double can fail any call.
+pub trait SpillFolder: Send + Sync + 'static {
+    /// Makes a file for one body.
+    fn create(&self) -> io::Result<Box<dyn SpillFile>>;
 
-    /// It is used no more, though a thread may still stand in a call to it.
-    fn leave(&self) {}
+    /// The folder is used no more, though a thread may still be in a call to it.
+    fn close(&self) {}
 }
 
-/// One file; gone when dropped.
-pub trait Volume: Send {
-    fn write_at(&mut self, at: u64, bytes: &[u8]) -> io::Result<usize>;
-    fn read_at(&mut self, at: u64, bytes: &mut [u8]) -> io::Result<usize>;
+/// One file; removed when dropped.
+pub trait SpillFile: Send {
+    /// Writes some of the bytes at an offset; how many.
+    fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<usize>;
+    /// Reads some bytes from an offset; how many, 0 at the end.
+    fn read_at(&mut self, offset: u64, bytes: &mut [u8]) -> io::Result<usize>;
 }
 
-/// What our names look like: prefix, the maker's mark, and for a body its number.
-const PREFIX: &str = "dunepond-";
-const OWNER: &str = ".owner";
-const BODY: &str = ".body";
+/// File names are the prefix, the owner's mark, a body's number, and one of these suffixes.
+const FILE_PREFIX: &str = "dunepond-";
+const OWNER_SUFFIX: &str = ".owner";
+const BODY_SUFFIX: &str = ".body";
+/// Only the broker's user may read bodies.
+const FILE_MODE: u32 = 0o600;
 
-/// A real folder. Whoever makes files in it holds a lock on a file with its mark, by which others know that it is
-/// still there: two brokers may share a folder, and neither takes the other's files for left ones.
-pub struct Disk {
+/// A real folder. Each process holds a lock on a file with its mark, which tells others that it is alive: brokers may
+/// share a folder, and none removes the files of another.
+pub struct DiskFolder {
     folder: PathBuf,
     mark: String,
-    count: AtomicU64,
-    /// Locked until the process has gone, however it goes.
+    next_number: AtomicU64,
+    /// Locked until the process has ended, however it ends.
     _owner: File,
     owner_path: PathBuf,
 }
 
-impl Disk {
-    /// Takes a folder into use, and removes what makers that have gone left in it. `mark` is the maker's own, plain
-    /// and new with each start.
+impl DiskFolder {
+    /// Opens an existing folder, and removes files of processes that have ended. `mark` is plain text, new with each
+    /// start of a process.
+    ///
+    /// # Errors
+    /// The folder cannot be read or written, or the mark is in use.
     pub fn open(folder: &Path, mark: &str) -> io::Result<Self> {
-        let owner_path = folder.join(format!("{PREFIX}{mark}{OWNER}"));
-        let owner = OpenOptions::new().write(true).create_new(true).mode(0o600).open(&owner_path)?;
+        let owner_path = folder.join(format!("{FILE_PREFIX}{mark}{OWNER_SUFFIX}"));
+        let owner = OpenOptions::new().write(true).create_new(true).mode(FILE_MODE).open(&owner_path)?;
         owner.try_lock().map_err(io::Error::from)?;
         let disk = Self {
             folder: folder.to_path_buf(),
             mark: mark.to_string(),
-            count: AtomicU64::new(0),
+            next_number: AtomicU64::new(0),
             _owner: owner,
             owner_path,
         };
-        disk.sweep()?;
+        disk.remove_abandoned()?;
         Ok(disk)
     }
 
-    /// Removes the files of makers whose lock nobody holds any more; never one whose name is not of our form.
-    fn sweep(&self) -> io::Result<()> {
+    /// Removes files of processes whose lock nobody holds any more; never one with a name of another form.
+    fn remove_abandoned(&self) -> io::Result<()> {
         for entry in std::fs::read_dir(&self.folder)? {
             let path = entry?.path();
-            let Some(mark) = marked(&path, OWNER).filter(|mark| *mark != self.mark) else { continue };
+            let Some(mark) = name_between(&path, OWNER_SUFFIX).filter(|mark| *mark != self.mark) else {
+                continue;
+            };
             let Ok(owner) = OpenOptions::new().write(true).open(&path) else { continue };
-            match owner.try_lock() {
-                Ok(()) => {}
-                Err(TryLockError::WouldBlock | TryLockError::Error(_)) => continue,
-            }
-            for entry in std::fs::read_dir(&self.folder)?.flatten() {
-                let left = entry.path();
-                if marked(&left, BODY).and_then(|name| name.rsplit_once('-')?.0.into()) == Some(mark) {
-                    let _ = std::fs::remove_file(&left);
-                }
+            if owner.try_lock().is_err() {
+                continue;
             }
+            self.remove_bodies_of(mark)?;
             let _ = std::fs::remove_file(&path);
         }
         Ok(())
     }
+
+    fn remove_bodies_of(&self, mark: &str) -> io::Result<()> {
+        for entry in std::fs::read_dir(&self.folder)?.flatten() {
+            let path = entry.path();
+            let name = name_between(&path, BODY_SUFFIX);
+            let owner = name.and_then(|name| name.rsplit_once('-')).map(|(owner, _)| owner);
+            if owner == Some(mark) {
+                let _ = std::fs::remove_file(&path);
+            }
+        }
+        Ok(())
+    }
 }
 
-/// What stands between our prefix and this ending.
-fn marked<'a>(path: &'a Path, ending: &str) -> Option<&'a str> {
-    path.file_name()?.to_str()?.strip_prefix(PREFIX)?.strip_suffix(ending)
+/// What stands between the prefix and a suffix of a file's name.
+fn name_between<'a>(path: &'a Path, suffix: &str) -> Option<&'a str> {
+    path.file_name()?.to_str()?.strip_prefix(FILE_PREFIX)?.strip_suffix(suffix)
 }
 
-impl Drop for Disk {
+impl Drop for DiskFolder {
     fn drop(&mut self) {
-        self.leave();
+        self.close();
     }
 }
 
-impl Folder for Disk {
-    fn create(&self) -> io::Result<Box<dyn Volume>> {
-        let number = self.count.fetch_add(1, Ordering::Relaxed);
-        let path = self.folder.join(format!("{PREFIX}{}-{number}{BODY}", self.mark));
-        let file = OpenOptions::new().read(true).write(true).create_new(true).mode(0o600).open(&path)?;
-        // Where an open file cannot be unlinked it goes with us, or is swept by whoever starts next.
-        let left = std::fs::remove_file(&path).is_err().then_some(path);
-        Ok(Box::new(Made { file, left }))
+impl SpillFolder for DiskFolder {
+    fn create(&self) -> io::Result<Box<dyn SpillFile>> {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let path = self.folder.join(format!("{FILE_PREFIX}{}-{number}{BODY_SUFFIX}", self.mark));
+        let mut options = OpenOptions::new();
+        let file = options.read(true).write(true).create_new(true).mode(FILE_MODE).open(&path)?;
+        // Where an open file cannot be unlinked, it is removed when dropped, or by the next process.
+        let linked_path = std::fs::remove_file(&path).is_err().then_some(path);
+        Ok(Box::new(UnlinkedFile { file, linked_path }))
     }
 
-    fn leave(&self) {
+    fn close(&self) {
         let _ = std::fs::remove_file(&self.owner_path);
     }
 }
 
-struct Made {
+/// An open file without a name.
+struct UnlinkedFile {
     file: File,
-    left: Option<PathBuf>,
+    /// Its name, where it could not be unlinked.
+    linked_path: Option<PathBuf>,
 }
 
-impl Volume for Made {
-    fn write_at(&mut self, at: u64, bytes: &[u8]) -> io::Result<usize> {
-        FileExt::write_at(&self.file, bytes, at)
+impl SpillFile for UnlinkedFile {
+    fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<usize> {
+        FileExt::write_at(&self.file, bytes, offset)
     }
 
-    fn read_at(&mut self, at: u64, bytes: &mut [u8]) -> io::Result<usize> {
-        FileExt::read_at(&self.file, bytes, at)
+    fn read_at(&mut self, offset: u64, bytes: &mut [u8]) -> io::Result<usize> {
+        FileExt::read_at(&self.file, bytes, offset)
     }
 }
 
-impl Drop for Made {
+impl Drop for UnlinkedFile {
     fn drop(&mut self) {
-        self.left.take().map(std::fs::remove_file);
+        if let Some(path) = self.linked_path.take() {
+            let _ = std::fs::remove_file(path);
+        }
     }
 }
--- a/crates/dunepond-body-buffer/tests/spool.rs
+++ b/crates/dunepond-body-buffer/tests/spool.rs
@@ -1,4 +1,4 @@
-//! The files tier on a real folder, and on one that fails.
+//! The spool on a real folder, and on one that fails.
 
 use std::io;
 use std::path::PathBuf;
@@ -19,105 +19,105 @@
     path
 }
 
-fn spool(folder: Arc<dyn Folder>, most: usize) -> (Spool, Receiver<Done>) {
+fn spool(folder: Arc<dyn SpillFolder>, most: usize) -> (Spool, Receiver<DiskEvent>) {
     let (tell, told) = channel();
     (Spool::start(folder, 2, most, move |done| drop(tell.send(done))).unwrap(), told)
 }
 
-fn next(told: &Receiver<Done>) -> Done {
+fn next(told: &Receiver<DiskEvent>) -> DiskEvent {
     told.recv_timeout(Duration::from_secs(10)).unwrap()
 }
 
-fn write(file: FileId, at: u64, bytes: &'static [u8]) -> Job {
-    Job::Write { file, at, bytes: Bytes::from_static(bytes) }
+fn write(file: FileId, at: u64, bytes: &'static [u8]) -> DiskJob {
+    DiskJob::Write { file, offset: at, bytes: Bytes::from_static(bytes) }
 }
 
 #[test]
-fn what_is_written_is_read_back_and_no_name_stands_in_the_folder() {
+fn reads_back_from_unlinked_files() {
     let path = folder();
-    let (spool, told) = spool(Arc::new(Disk::open(&path, "one").unwrap()), 8);
+    let (spool, told) = spool(Arc::new(DiskFolder::open(&path, "one").unwrap()), 8);
     spool.submit(write(7, 0, b"hello ")).unwrap();
     spool.submit(write(7, 6, b"world")).unwrap();
-    spool.submit(Job::Read { file: 7, at: 3, length: 5 }).unwrap();
-    assert!(matches!(next(&told), Done::Wrote { file: 7, at: 0, length: 6 }));
-    assert!(matches!(next(&told), Done::Wrote { file: 7, at: 6, length: 5 }));
-    assert!(matches!(next(&told), Done::Read { bytes, .. } if &bytes[..] == b"lo wo"));
+    spool.submit(DiskJob::Read { file: 7, offset: 3, length: 5 }).unwrap();
+    assert!(matches!(next(&told), DiskEvent::Written { file: 7, offset: 0, length: 6 }));
+    assert!(matches!(next(&told), DiskEvent::Written { file: 7, offset: 6, length: 5 }));
+    assert!(matches!(next(&told), DiskEvent::Read { bytes, .. } if &bytes[..] == b"lo wo"));
     let names: Vec<_> = std::fs::read_dir(&path).unwrap().flatten().map(|e| e.file_name()).collect();
     assert_eq!(names, ["dunepond-one.owner"]);
     std::fs::remove_dir_all(path).unwrap();
 }
 
 #[rstest]
-#[case::beyond_its_end(Job::Read { file: 7, at: 4, length: 9 })]
-#[case::closed(Job::Read { file: 8, at: 0, length: 1 })]
-fn what_is_not_there_cannot_be_read(#[case] job: Job) {
+#[case::beyond_its_end(DiskJob::Read { file: 7, offset: 4, length: 9 })]
+#[case::closed(DiskJob::Read { file: 8, offset: 0, length: 1 })]
+fn missing_bytes_are_unreadable(#[case] job: DiskJob) {
     let path = folder();
-    let (spool, told) = spool(Arc::new(Disk::open(&path, "one").unwrap()), 8);
+    let (spool, told) = spool(Arc::new(DiskFolder::open(&path, "one").unwrap()), 8);
     spool.submit(write(7, 0, b"hello ")).unwrap();
     spool.submit(write(8, 0, b"gone")).unwrap();
-    spool.submit_over(Job::Close { file: 8 });
+    spool.submit_unbounded(DiskJob::Close { file: 8 });
     next(&told);
     next(&told);
     spool.submit(job).unwrap();
-    assert!(matches!(next(&told), Done::Failed { fault: Fault::Unreadable, .. }));
+    assert!(matches!(next(&told), DiskEvent::Failed { fault: DiskFault::Unreadable, .. }));
     std::fs::remove_dir_all(path).unwrap();
 }
 
 #[test]
-fn a_folder_that_vanishes_is_named() {
+fn reports_removed_folder() {
     let path = folder();
-    let disk = Disk::open(&path, "one").unwrap();
+    let disk = DiskFolder::open(&path, "one").unwrap();
     std::fs::remove_dir_all(&path).unwrap();
     let (spool, told) = spool(Arc::new(disk), 8);
     spool.submit(write(7, 0, b"x")).unwrap();
-    assert!(matches!(next(&told), Done::Failed { fault: Fault::Gone, .. }));
+    assert!(matches!(next(&told), DiskEvent::Failed { fault: DiskFault::Gone, .. }));
 }
 
 #[rstest]
-#[case(libc::ENOSPC, Fault::Full)]
-#[case(libc::EDQUOT, Fault::Quota)]
-#[case(libc::EROFS, Fault::ReadOnly)]
-#[case(libc::EACCES, Fault::ReadOnly)]
-#[case(libc::EIO, Fault::InputOutput)]
-#[case(libc::ENOENT, Fault::Gone)]
-#[case(libc::EMFILE, Fault::Other)]
-fn every_error_of_a_disk_is_one_of_its_faults(#[case] code: i32, #[case] fault: Fault) {
-    assert_eq!(Fault::of(&io::Error::from_raw_os_error(code)), fault);
+#[case(libc::ENOSPC, DiskFault::Full)]
+#[case(libc::EDQUOT, DiskFault::Quota)]
+#[case(libc::EROFS, DiskFault::ReadOnly)]
+#[case(libc::EACCES, DiskFault::ReadOnly)]
+#[case(libc::EIO, DiskFault::InputOutput)]
+#[case(libc::ENOENT, DiskFault::Gone)]
+#[case(libc::EMFILE, DiskFault::Other)]
+fn maps_errors_to_faults(#[case] code: i32, #[case] fault: DiskFault) {
+    assert_eq!(DiskFault::from_io(&io::Error::from_raw_os_error(code)), fault);
 }
 
-/// Opens its doors only when it is told to.
+/// Makes no file until the test says so, and then fails.
 struct Stalled(Arc<(Mutex<bool>, Condvar)>);
 
-impl Folder for Stalled {
-    fn create(&self) -> io::Result<Box<dyn Volume>> {
+impl SpillFolder for Stalled {
+    fn create(&self) -> io::Result<Box<dyn SpillFile>> {
         let (open, changed) = &*self.0;
         drop(changed.wait_while(open.lock().unwrap(), |open| !*open).unwrap());
         Err(io::Error::from_raw_os_error(libc::ENOSPC))
     }
 }
 
-/// Whoever asks is told at once that too much waits; a file can be closed all the same.
+/// A full queue refuses at once, and a file can be closed all the same.
 #[test]
-fn a_disk_that_stalls_holds_up_nobody() {
+fn stalled_disk_does_not_block() {
     let door = Arc::new((Mutex::new(false), Condvar::new()));
     let (spool, told) = spool(Arc::new(Stalled(door.clone())), 3);
     (0..3).for_each(|file| spool.submit(write(file, 0, b"x")).unwrap());
     assert!(!spool.has_room() && spool.submit(write(3, 0, b"x")).is_err());
-    spool.submit_over(Job::Close { file: 0 });
+    spool.submit_unbounded(DiskJob::Close { file: 0 });
     *door.0.lock().unwrap() = true;
     door.1.notify_all();
-    (0..3).for_each(|_| assert!(matches!(next(&told), Done::Failed { fault: Fault::Full, .. })));
+    (0..3).for_each(|_| assert!(matches!(next(&told), DiskEvent::Failed { fault: DiskFault::Full, .. })));
 }
 
-/// Two makers in one folder: each sweeps what nobody owns any more, and nothing of the other.
+/// Two processes in one folder: each removes files that nobody owns any more, and none of the other.
 #[test]
-fn what_a_maker_left_is_swept_and_a_living_ones_files_are_not() {
+fn removes_files_of_ended_processes() {
     let path = folder();
-    let living = Disk::open(&path, "living").unwrap();
+    let living = DiskFolder::open(&path, "living").unwrap();
     for name in ["dunepond-living-0.body", "dunepond-dead-0.body", "dunepond-dead.owner", "mine.body"] {
         std::fs::write(path.join(name), "x").unwrap();
     }
-    let second = Disk::open(&path, "second").unwrap();
+    let second = DiskFolder::open(&path, "second").unwrap();
     let there = |name: &str| path.join(name).exists();
     assert!(there("dunepond-living-0.body") && there("mine.body") && there("dunepond-living.owner"));
     assert!(!there("dunepond-dead-0.body") && !there("dunepond-dead.owner"));
--- a/crates/dunepond-broker/src/background.rs
+++ b/crates/dunepond-broker/src/background.rs
@@ -1,6 +1,8 @@
 //! Background jobs of the broker: runs what the scheduler orders, between iterations or on the thread pool.
 
-use dunepond_background::{Finished, Given, JobId, Outcome, Pool, Scheduler, Spec, Used};
+use dunepond_background::{
+    DroppedJob, FinishedJob, JobId, JobSpec, Outcome, Pool, ResourceUse, Scheduler, StartedJob,
+};
 
 use crate::clock::{self, TimerEvent, Timers};
 
@@ -24,33 +26,33 @@
     }
 
     /// Adds a job; `now` in Unix seconds.
-    pub fn add(&mut self, now: f64, spec: Spec) -> JobId {
+    pub fn add(&mut self, now: f64, spec: JobSpec) -> JobId {
         self.scheduler.add(now, spec)
     }
 
     /// The next job that may run; `idle` if the loop has nothing else to do.
-    pub fn next(&mut self, now: f64, idle: bool) -> Option<Given> {
+    pub fn next(&mut self, now: f64, idle: bool) -> Option<StartedJob> {
         self.scheduler.next(now, idle)
     }
 
     /// A step has run, for so many seconds.
     pub fn on_step_done(&mut self, now: f64, id: JobId, outcome: Outcome, seconds: f64) {
-        self.scheduler.ended(now, id, outcome, Used { seconds, bytes: 0 });
+        self.scheduler.finish(now, id, outcome, ResourceUse { seconds, bytes: 0 });
     }
 
     /// A job on the thread pool has ended.
-    pub fn on_job_finished(&mut self, now: f64, on_job_finished: Finished) {
-        self.scheduler.ended(now, on_job_finished.id, on_job_finished.outcome, on_job_finished.used);
+    pub fn on_job_finished(&mut self, now: f64, on_job_finished: FinishedJob) {
+        self.scheduler.finish(now, on_job_finished.id, on_job_finished.outcome, on_job_finished.used);
     }
 
     /// Takes the jobs that were dropped and will not run.
-    pub fn dropped(&mut self) -> Vec<(JobId, &'static str)> {
-        self.scheduler.take_dropped()
+    pub fn dropped(&mut self) -> Vec<DroppedJob> {
+        self.scheduler.drain_dropped()
     }
 
     /// Schedules the timer for the next job.
     pub fn schedule_timer(&mut self, now: f64, timers: &mut Timers) {
-        let due = self.scheduler.next_due(now).map(|due| due.max(now + 0.001));
+        let due = self.scheduler.next_wakeup(now).map(|due| due.max(now + 0.001));
         let sooner = match (due, self.timer) {
             (Some(due), Some((set, _))) => due < set - 1e-4,
             (Some(_), None) => true,
@@ -69,10 +71,10 @@
 
     /// A log line with the counters of each kind of job.
     pub fn report(&self) -> String {
-        let each = self.scheduler.counts().map(|(name, c)| {
+        let each = self.scheduler.counters().map(|(name, c)| {
             format!(
                 "{name}: {} done, {} failed, {} expired, {} given up, {:.3} s, {} bytes, waited {:.3} s at most",
-                c.done, c.failed, c.expired, c.given_up, c.seconds, c.bytes, c.longest_wait
+                c.done, c.failed, c.expired, c.abandoned, c.seconds, c.bytes, c.longest_wait_seconds
             )
         });
         each.collect::<Vec<_>>().join("; ")
--- a/crates/dunepond-broker/src/body.rs
+++ b/crates/dunepond-broker/src/body.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 use bytes::{Bytes, BytesMut};
-use dunepond_body_buffer::{BodyId, Reason};
+use dunepond_body_buffer::{BodyId, FallbackReason};
 use slab::Slab;
 
 pub use payload::Payload;
@@ -52,7 +52,7 @@
     loaned: VecDeque<u64>,
     /// Those that are being read.
     loading: BTreeSet<u64>,
-    lost: Option<Reason>,
+    lost: Option<FallbackReason>,
 }
 
 /// Collects the ids of dropped bodies.
@@ -189,12 +189,12 @@
     }
 
     /// It cannot be read any more.
-    pub fn lose(&self, reason: Reason) {
+    pub fn lose(&self, reason: FallbackReason) {
         self.inner.borrow_mut().lost = Some(reason);
     }
 
     /// Why it cannot be read any more, if so.
-    pub fn lost(&self) -> Option<Reason> {
+    pub fn lost(&self) -> Option<FallbackReason> {
         self.inner.borrow().lost
     }
 
--- a/crates/dunepond-broker/src/body_store.rs
+++ b/crates/dunepond-broker/src/body_store.rs
@@ -4,7 +4,8 @@
 use std::rc::{Rc, Weak};
 
 use dunepond_body_buffer::{
-    Arrival, BodyId, Done, Fault, Given, Job, Keeper, Kind, Place, Reason, Spool, Terms,
+    BodyId, BufferLimits, BufferManager, DiskEvent, DiskFault, DiskJob, FallbackCount, FallbackReason,
+    IncomingBody, OtherUsage, Placement, Spool, Tier,
 };
 use tracing::info;
 
@@ -16,16 +17,16 @@
     /// All of it has arrived and is buffered: its query may start.
     Buffered,
     /// It is sent on as it arrives, and not buffered for the given reason.
-    PassThrough(Reason),
+    PassThrough(FallbackReason),
     /// It was rejected, or cannot be read any more.
-    Lost(Reason),
+    Lost(FallbackReason),
 }
 
 /// A body and the disk operations for it.
 struct TrackedBody {
     body: Weak<Body>,
     table_type: usize,
-    place: Place,
+    place: Tier,
     /// It is being moved from memory to its file.
     moving: bool,
     /// Its query waits until it is buffered.
@@ -42,7 +43,7 @@
 
 /// All bodies of streamed requests.
 pub struct BodyStore {
-    keeper: Keeper,
+    keeper: BufferManager,
     spool: Option<Spool>,
     held: HashMap<BodyId, TrackedBody>,
     dropped: Dropped,
@@ -59,9 +60,9 @@
 
 impl BodyStore {
     /// No bodies yet; without `spool` no body goes to a file.
-    pub fn new(terms: Terms, spool: Option<Spool>, table_types: Vec<String>) -> Self {
+    pub fn new(terms: BufferLimits, spool: Option<Spool>, table_types: Vec<String>) -> Self {
         Self {
-            keeper: Keeper::new(terms),
+            keeper: BufferManager::new(terms),
             spool,
             held: HashMap::new(),
             dropped: Dropped::default(),
@@ -74,16 +75,16 @@
     }
 
     /// The bounds in force.
-    pub fn terms(&self) -> &Terms {
-        self.keeper.terms()
+    pub fn terms(&self) -> &BufferLimits {
+        self.keeper.limits()
     }
 
     /// Changes the bounds; those for files need the disk threads.
-    pub fn change(&mut self, mut terms: Terms) {
+    pub fn change(&mut self, mut terms: BufferLimits) {
         if self.spool.is_none() {
-            terms.files = None;
+            terms.spill = None;
         }
-        self.keeper.change(terms);
+        self.keeper.set_limits(terms);
     }
 
     /// Whether there are any bodies.
@@ -92,19 +93,19 @@
     }
 
     /// Accepts a body that begins to arrive. One that is not buffered has its event at once; fails if it is rejected.
-    pub fn arrive(&mut self, now: f64, arrival: Arrival) -> Result<Rc<Body>, Reason> {
-        let submitted = self.keeper.arrive(now, arrival);
-        let Given { id, place, why } =
-            submitted.inspect_err(|why| self.tell("rejected", arrival.table_type, *why))?;
-        let reserved = place == Place::Memory && arrival.length.is_some();
-        let limit = (!reserved).then_some(self.terms().window);
-        let body = Body::new(id, arrival.length, limit, &self.dropped);
+    pub fn arrive(&mut self, now: f64, arrival: IncomingBody) -> Result<Rc<Body>, FallbackReason> {
+        let submitted = self.keeper.admit(now, arrival);
+        let Placement { id, tier: place, fallback_reason: why } =
+            submitted.inspect_err(|why| self.tell("rejected", arrival.query_class, *why))?;
+        let reserved = place == Tier::Memory && arrival.stated_length.is_some();
+        let limit = (!reserved).then_some(self.terms().window_bytes);
+        let body = Body::new(id, arrival.stated_length, limit, &self.dropped);
         let held = TrackedBody {
             body: Rc::downgrade(&body),
-            table_type: arrival.table_type,
+            table_type: arrival.query_class,
             place,
             moving: false,
-            awaiting_client: place != Place::Passing,
+            awaiting_client: place != Tier::PassThrough,
             writing_bytes: 0,
             pending_reads: 0,
             since: None,
@@ -113,11 +114,11 @@
         self.held.insert(id, held);
         if let Some(why) = why {
             self.tell(
-                if place == Place::File { "not in memory" } else { "not buffered" },
-                arrival.table_type,
+                if place == Tier::File { "not in memory" } else { "not buffered" },
+                arrival.query_class,
                 why,
             );
-            if place == Place::Passing {
+            if place == Tier::PassThrough {
                 body.pass();
                 self.events.push_back((id, BodyEvent::PassThrough(why)));
             }
@@ -126,7 +127,7 @@
     }
 
     /// Logs a body that is not in the preferred place; the logger limits the rate of such lines.
-    fn tell(&self, what: &str, table_type: usize, why: Reason) {
+    fn tell(&self, what: &str, table_type: usize, why: FallbackReason) {
         let name = self.table_types.get(table_type).map_or("?", String::as_str);
         info!(table_type = name, reason = %why, "body {what}");
     }
@@ -135,15 +136,15 @@
     pub fn pump(&mut self, now: f64, id: BodyId) {
         let Some(held) = self.held.get_mut(&id) else { return };
         let Some(body) = held.body.upgrade() else { return };
-        if !body.has_known_length() && held.place != Place::Passing && held.awaiting_client {
+        if !body.has_known_length() && held.place != Tier::PassThrough && held.awaiting_client {
             match self.keeper.grow(now, id, body.arrived()) {
                 Ok(place) if place != held.place => {
                     held.place = place;
-                    body.limit(self.keeper.terms().window);
+                    body.limit(self.keeper.limits().window_bytes);
                 }
                 // One block more than is reserved, or nothing would arrive that could grow the reservation.
-                Ok(Place::Memory) => {
-                    body.limit(self.keeper.reserved(id).max(body.arrived() + BLOCK_BYTES as u64))
+                Ok(Tier::Memory) => {
+                    body.limit(self.keeper.reserved_memory(id).max(body.arrived() + BLOCK_BYTES as u64))
                 }
                 Ok(_) => {}
                 Err(why) => {
@@ -154,34 +155,34 @@
                 }
             }
         }
-        if (held.place == Place::File || held.moving) && !self.write(now, id, &body) {
+        if (held.place == Tier::File || held.moving) && !self.write(now, id, &body) {
             return;
         }
         let Some(held) = self.held.get_mut(&id) else { return };
-        if held.awaiting_client && body.is_whole() && (held.place == Place::Memory || body.is_on_disk()) {
+        if held.awaiting_client && body.is_whole() && (held.place == Tier::Memory || body.is_on_disk()) {
             held.awaiting_client = false;
-            self.keeper.whole(now, id);
+            self.keeper.complete(now, id);
             self.events.push_back((id, BodyEvent::Buffered));
             self.spill_coldest(now);
         } else if held.moving && body.is_on_disk() {
-            (held.moving, held.place) = (false, Place::File);
-            self.keeper.spilled(id);
+            (held.moving, held.place) = (false, Tier::File);
+            self.keeper.finish_spill(id);
         }
     }
 
     /// Hands blocks to the disk threads, within the window; false if that has failed.
     fn write(&mut self, now: f64, id: BodyId, body: &Rc<Body>) -> bool {
-        let window = self.terms().window;
+        let window = self.terms().window_bytes;
         let (Some(spool), Some(held)) = (&self.spool, self.held.get_mut(&id)) else { return true };
         while held.writing_bytes < window
             && let Some((at, bytes)) = body.next_write()
         {
             let length = bytes.len() as u64;
-            if spool.submit(Job::Write { file: id, at, bytes }).is_err() {
+            if spool.submit(DiskJob::Write { file: id, offset: at, bytes }).is_err() {
                 body.give_back(at);
                 // With writes pending, or where it may stay in memory, it goes on after the next disk operation.
                 if held.writing_bytes == 0 && !held.moving {
-                    self.fault(now, id, Fault::Busy);
+                    self.fault(now, id, DiskFault::Busy);
                     return false;
                 }
                 self.waiting.push(id);
@@ -196,44 +197,45 @@
 
     /// Under memory pressure the coldest bodies go to files.
     fn spill_coldest(&mut self, now: f64) {
-        for order in self.keeper.pressed(now) {
-            if let Some(held) = self.held.get_mut(&order.0) {
+        for id in self.keeper.start_spills(now) {
+            if let Some(held) = self.held.get_mut(&id) {
                 held.moving = true;
-                self.pump(now, order.0);
+                self.pump(now, id);
             }
         }
     }
 
     /// A disk operation is done.
-    pub fn done(&mut self, now: f64, done: Done) {
+    pub fn done(&mut self, now: f64, done: DiskEvent) {
         self.made_progress = true;
         for id in std::mem::take(&mut self.waiting) {
             self.pump(now, id);
         }
-        let (Done::Wrote { file: id, .. } | Done::Read { file: id, .. } | Done::Failed { file: id, .. }) =
-            done;
+        let (DiskEvent::Written { file: id, .. }
+        | DiskEvent::Read { file: id, .. }
+        | DiskEvent::Failed { file: id, .. }) = done;
         let Some(held) = self.held.get_mut(&id) else { return };
         let Some(body) = held.body.upgrade() else { return };
         match done {
-            Done::Wrote { at, length, .. } => {
+            DiskEvent::Written { offset: at, length, .. } => {
                 held.writing_bytes = held.writing_bytes.saturating_sub(length as u64);
                 held.since = (held.writing_bytes > 0 || held.pending_reads > 0).then_some(now);
                 body.wrote(at);
                 self.pump(now, id);
             }
-            Done::Read { at, bytes, .. } => {
+            DiskEvent::Read { offset: at, bytes, .. } => {
                 held.pending_reads = held.pending_reads.saturating_sub(1);
                 held.since = (held.writing_bytes > 0 || held.pending_reads > 0).then_some(now);
                 body.read(at, bytes);
             }
             // Several pending writes may fail: only the first failure counts.
-            Done::Failed { fault, .. } if fault != Fault::Unreadable && held.writing_bytes == 0 => {}
-            Done::Failed { fault, .. } => self.fault(now, id, fault),
+            DiskEvent::Failed { fault, .. } if fault != DiskFault::Unreadable && held.writing_bytes == 0 => {}
+            DiskEvent::Failed { fault, .. } => self.fault(now, id, fault),
         }
     }
 
     /// A disk operation has failed: the body stays in memory, is passed through, or is lost.
-    fn fault(&mut self, now: f64, id: BodyId, fault: Fault) {
+    fn fault(&mut self, now: f64, id: BodyId, fault: DiskFault) {
         let Some(held) = self.held.get_mut(&id) else { return };
         let Some(body) = held.body.upgrade() else { return };
         if body.lost().is_some() {
@@ -241,24 +243,24 @@
         }
         (held.writing_bytes, held.pending_reads, held.since) = (0, 0, None);
         let table_type = held.table_type;
-        let outcome = self.keeper.failed(now, id, fault);
+        let outcome = self.keeper.on_disk_fault(now, id, fault);
         body.take_back();
         // A body that cannot be read from its file is lost, wherever it would go next.
-        match outcome
-            .and_then(|to| if fault == Fault::Unreadable { Err(Reason::Disk(fault)) } else { Ok(to) })
-        {
-            Ok(Place::Memory) => {
+        match outcome.and_then(|to| {
+            if fault == DiskFault::Unreadable { Err(FallbackReason::Disk(fault)) } else { Ok(to) }
+        }) {
+            Ok(Tier::Memory) => {
                 held.moving = false;
-                self.tell("stays in memory", table_type, Reason::Disk(fault));
+                self.tell("stays in memory", table_type, FallbackReason::Disk(fault));
             }
             Ok(place) => {
                 (held.place, held.awaiting_client) = (place, false);
                 body.pass();
-                self.tell("not buffered", table_type, Reason::Disk(fault));
-                self.events.push_back((id, BodyEvent::PassThrough(Reason::Disk(fault))));
+                self.tell("not buffered", table_type, FallbackReason::Disk(fault));
+                self.events.push_back((id, BodyEvent::PassThrough(FallbackReason::Disk(fault))));
             }
             Err(why) => {
-                (held.place, held.awaiting_client) = (Place::Passing, false);
+                (held.place, held.awaiting_client) = (Tier::PassThrough, false);
                 body.lose(why);
                 self.tell("lost", table_type, why);
                 self.events.push_back((id, BodyEvent::Lost(why)));
@@ -271,13 +273,13 @@
         let Some(spool) = &self.spool else { return };
         for (id, held) in &mut self.held {
             let Some(body) = held.body.upgrade().filter(|body| body.has_pending_reads()) else { continue };
-            let window = self.keeper.terms().window.saturating_sub(body.unwritten_bytes());
+            let window = self.keeper.limits().window_bytes.saturating_sub(body.unwritten_bytes());
             // With a full queue an operation is pending, after which this is called again.
             if !spool.has_room() {
                 return;
             }
             for (at, length) in body.next_reads(window as usize / BLOCK_BYTES) {
-                spool.submit_over(Job::Read { file: *id, at, length });
+                spool.submit_unbounded(DiskJob::Read { file: *id, offset: at, length });
                 held.pending_reads += 1;
                 held.since.get_or_insert(now);
             }
@@ -286,12 +288,12 @@
 
     /// Disk operations that are overdue count as failed.
     pub fn slow(&mut self, now: f64) {
-        let slowest = self.terms().slowest;
+        let slowest = self.terms().io_timeout_seconds;
         let late =
             self.held.iter().filter(|(_, held)| held.since.is_some_and(|since| now - since >= slowest));
         let late: Vec<_> = late.map(|(id, held)| (*id, held.writing_bytes > 0)).collect();
         for (id, writing_bytes) in late {
-            self.fault(now, id, if writing_bytes { Fault::Slow } else { Fault::Unreadable });
+            self.fault(now, id, if writing_bytes { DiskFault::Slow } else { DiskFault::Unreadable });
         }
     }
 
@@ -299,12 +301,12 @@
     pub fn let_go(&mut self) -> Vec<BodyId> {
         let dropped = self.dropped.take();
         for &id in &dropped {
-            self.keeper.let_go(id);
+            self.keeper.release(id);
             if let Some(held) = self.held.remove(&id)
                 && held.on_disk
                 && let Some(spool) = &self.spool
             {
-                spool.submit_over(Job::Close { file: id });
+                spool.submit_unbounded(DiskJob::Close { file: id });
             }
         }
         dropped
@@ -312,37 +314,38 @@
 
     /// An attempt reads a body: it counts as recently used.
     pub fn used(&mut self, now: f64, id: BodyId) {
-        self.keeper.used(now, id);
+        self.keeper.touch(now, id);
     }
 
     /// Records what else requests use of the memory, in bytes.
     pub fn held_beside(&mut self, buffers: u64, values: u64) {
-        self.keeper.held_beside(Kind::Buffers, buffers);
-        self.keeper.held_beside(Kind::Values, values);
-        let waiting = self.spool.as_ref().map_or(0, Spool::bytes);
+        self.keeper.set_other_usage(OtherUsage::Buffers, buffers);
+        self.keeper.set_other_usage(OtherUsage::NodeValues, values);
+        let waiting = self.spool.as_ref().map_or(0, Spool::pending_write_bytes);
         let counted = if waiting > 0 { self.held.values().map(|held| held.writing_bytes).sum() } else { 0 };
-        self.keeper.held_beside(Kind::Unwritten, waiting.saturating_sub(counted));
+        self.keeper.set_other_usage(OtherUsage::PendingWrites, waiting.saturating_sub(counted));
     }
 
     /// Logs counters: what is held, and how often a body was not buffered, by place, reason and query class.
     pub fn report(&self, copied: u64) {
-        let holding = self.keeper.holding();
-        let counts = self.keeper.counts().map(|(place, reason, table_type, count)| {
-            let name = self.table_types.get(table_type).map_or("?", String::as_str);
-            let place = match place {
-                Place::Memory => "memory",
-                Place::File => "file",
-                Place::Passing => "taken",
-            };
-            format!("not {place}, {name}, {reason}: {count}")
-        });
+        let holding = self.keeper.usage();
+        let counts =
+            self.keeper.fallback_counts().map(|FallbackCount { tier, reason, query_class, count }| {
+                let name = self.table_types.get(query_class).map_or("?", String::as_str);
+                let place = match tier {
+                    Tier::Memory => "memory",
+                    Tier::File => "file",
+                    Tier::PassThrough => "taken",
+                };
+                format!("not {place}, {name}, {reason}: {count}")
+            });
         let counts = counts.collect::<Vec<_>>().join("; ");
         info!(
             bodies = holding.bodies,
-            kept = holding.kept,
-            memory = holding.memory,
-            files = holding.files,
-            peak = holding.peak,
+            kept = holding.body_memory_bytes,
+            memory = holding.memory_bytes,
+            files = holding.spill_bytes,
+            peak = holding.peak_memory_bytes,
             copied_into_frames = copied,
             counts,
             "counters"
--- a/crates/dunepond-broker/src/config_reload.rs
+++ b/crates/dunepond-broker/src/config_reload.rs
@@ -4,17 +4,17 @@
 use std::{io, thread};
 
 use calloop::channel::Sender;
-use dunepond_config::Bad;
-use dunepond_config::operator::Operator;
+use dunepond_config::ConfigError;
+use dunepond_config::operator::OperatorConfig;
 
 use crate::config::{self, StartupConfig};
 
 /// A reloaded configuration, or why it is invalid.
 pub struct LoadedConfig {
     /// The configuration.
-    pub startup: Result<StartupConfig, Bad>,
+    pub startup: Result<StartupConfig, ConfigError>,
     /// The operator's file, where there is one.
-    pub operator: Option<Result<Operator, Bad>>,
+    pub operator: Option<Result<OperatorConfig, ConfigError>>,
 }
 
 /// Reloads the configuration, one reload at a time.
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -34,7 +34,7 @@
     pub gate: Rc<Gate>,
     /// `None` once it has been stopped.
     thread: Option<ControlPlane>,
-    config: operator::Fleet,
+    config: operator::FleetConfig,
     /// The endpoint list as discovery reports it.
     endpoints: HashMap<NodeId, EndpointRow>,
     node_by_name: HashMap<String, NodeId>,
@@ -160,7 +160,7 @@
                         part.required_node = Some(*node);
                         continue;
                     }
-                    None => (self.config.lease, "its owner is not listed"),
+                    None => (self.config.lease_seconds, "its owner is not listed"),
                 },
                 SegmentOwner::Unavailable(retry_after) => (retry_after, "nobody may have it for now"),
             };
@@ -179,13 +179,13 @@
     }
 
     /// Applies a reloaded operator's file. Returns whether it changed anything that takes effect only after a restart.
-    pub fn reload(&mut self, config: Option<&operator::Fleet>) -> bool {
-        let version = config.and_then(|config| config.version.clone());
+    pub fn reload(&mut self, config: Option<&operator::FleetConfig>) -> bool {
+        let version = config.and_then(|config| config.version_file.clone());
         self.gate.control.reload_version(version.clone());
-        let plan = config.and_then(|config| config.moves.as_ref()).map(|moves| moves.plan.clone());
+        let plan = config.and_then(|config| config.rebalancing.as_ref()).map(|moves| moves.plan_file.clone());
         self.gate.control.reload_plan(plan);
         let is_same = config.is_some_and(|config| without_paths(config) == without_paths(&self.config));
-        self.config.version = version;
+        self.config.version_file = version;
         !is_same
     }
 
@@ -203,10 +203,10 @@
 }
 
 /// The section without the paths of version and plan, which alone can change in a running process.
-fn without_paths(config: &operator::Fleet) -> operator::Fleet {
-    let mut rest = operator::Fleet { version: None, ..config.clone() };
-    if let Some(moves) = &mut rest.moves {
-        moves.plan = Default::default();
+fn without_paths(config: &operator::FleetConfig) -> operator::FleetConfig {
+    let mut rest = operator::FleetConfig { version_file: None, ..config.clone() };
+    if let Some(moves) = &mut rest.rebalancing {
+        moves.plan_file = Default::default();
     }
     rest
 }
--- a/crates/dunepond-broker/src/control_plane/quotas.rs
+++ b/crates/dunepond-broker/src/control_plane/quotas.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use dunepond_config::Bad;
-use dunepond_config::operator::Shared;
+use dunepond_config::ConfigError;
+use dunepond_config::operator::QuotaConfig;
 use dunepond_consensus::ActiveConfig;
 use dunepond_control_plane::monotonic_seconds;
 use dunepond_quota::{Demand, LocalQuota, SharedQuotas, TOTAL_UNITS};
@@ -61,12 +61,16 @@
 
 impl Quotas {
     /// Fails if the operator's file names a tenant that the settings do not have.
-    pub fn new(config: &Shared, deployment: &Deployment, tenants: &[String]) -> Result<Self, Bad> {
-        if let Some(name) = config.customers.iter().find(|name| !tenants.contains(name)) {
-            return Err(Bad(format!("fleet: limits: the settings have no customer '{name}'")));
+    pub fn new(
+        config: &QuotaConfig,
+        deployment: &Deployment,
+        tenants: &[String],
+    ) -> Result<Self, ConfigError> {
+        if let Some(name) = config.tenants.iter().find(|name| !tenants.contains(name)) {
+            return Err(ConfigError(format!("fleet: limits: the settings have no customer '{name}'")));
         }
         let quotas = tenants.iter().zip(&deployment.quotas).map(|(name, quota)| {
-            config.customers.contains(name).then(|| TenantQuota {
+            config.tenants.contains(name).then(|| TenantQuota {
                 name: format!("customer/{name}"),
                 queries_per_second: *quota,
                 arrivals: 0.0,
@@ -79,16 +83,16 @@
         let bounds = SharedQuotas::new(
             quota_names(config, &tenants),
             deployment.broker_count as u32,
-            config.floor,
+            config.reserved_ratio,
             (longest_window_seconds(deployment, retry_window) * 1e3).ceil() as u64,
         );
-        let bounds = bounds.map_err(|e| Bad(format!("fleet: {e} ({})", e.help())))?;
+        let bounds = bounds.map_err(|e| ConfigError(format!("fleet: {e} ({})", e.help())))?;
         Ok(Self {
-            report_interval: config.every,
+            report_interval: config.interval_seconds,
             local: LocalQuota::new(&bounds, monotonic_seconds()),
             bounds,
-            slow_start_rate: config.cold,
-            shares_retries: config.further,
+            slow_start_rate: config.slow_start_parts_per_second,
+            shares_retries: config.share_retries,
             tenants,
             min_retries_per_second: min_retries * deployment.broker_count / retry_window,
             demand: BTreeMap::new(),
@@ -194,12 +198,12 @@
 }
 
 /// Names of the quotas that the operator's file shares.
-fn quota_names(config: &Shared, tenants: &[Option<TenantQuota>]) -> Vec<String> {
+fn quota_names(config: &QuotaConfig, tenants: &[Option<TenantQuota>]) -> Vec<String> {
     let mut names = Vec::new();
-    if config.cold.is_some() {
+    if config.slow_start_parts_per_second.is_some() {
         names.push(SLOW_START_QUOTA.to_string());
     }
-    if config.further {
+    if config.share_retries {
         names.push(RETRY_QUOTA.to_string());
     }
     names.extend(tenants.iter().flatten().map(|tenant| tenant.name.clone()));
--- a/crates/dunepond-broker/src/control_plane/startup.rs
+++ b/crates/dunepond-broker/src/control_plane/startup.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use calloop::channel::{self, channel};
-use dunepond_config::Bad;
-use dunepond_config::operator::{self, Known};
+use dunepond_config::ConfigError;
+use dunepond_config::operator::{self, BrokerAddress};
 use dunepond_control_plane::{
     ControlPlaneConfig, ControlPlaneError, FillConfig, LinkRate, Partner, QuotaConfig, RebalanceConfig,
     SlowStartPolicy, TestDoubles,
@@ -19,14 +19,14 @@
 impl ControlPlaneClient {
     /// Starts the control plane's thread under this broker's name.
     pub fn start(
-        config: &operator::Fleet,
+        config: &operator::FleetConfig,
         name: &str,
         deployment: &Deployment,
         tenants: &[String],
         test_doubles: TestDoubles,
         handle: &EventLoopHandle,
-    ) -> Result<Self, Bad> {
-        let quotas = config.limits.as_ref().map(|limits| Quotas::new(limits, deployment, tenants));
+    ) -> Result<Self, ConfigError> {
+        let quotas = config.quotas.as_ref().map(|limits| Quotas::new(limits, deployment, tenants));
         let quotas = quotas.transpose()?;
         let thread_config = control_plane_config(config, name, deployment, quotas.as_ref());
         let on_change = register_change_events(handle)?;
@@ -34,7 +34,7 @@
             .map_err(|e| to_config_error(&e))?;
         let idempotency = deployment.query_classes.iter().map(|class| class.idempotency).collect();
         let partner_of =
-            |tenant: &String| config.partners.iter().position(|partner| partner.customers.contains(tenant));
+            |tenant: &String| config.partners.iter().position(|partner| partner.tenants.contains(tenant));
         Ok(Self {
             gate: Rc::new(Gate::new(thread.handle(), idempotency)),
             thread: Some(thread),
@@ -55,15 +55,15 @@
 }
 
 /// Checks the fleet section of an operator's file against the broker's name and the deployment's query timeouts.
-pub fn check(config: &operator::Fleet, name: &str, deployment: &Deployment) -> Result<(), Bad> {
+pub fn check(config: &operator::FleetConfig, name: &str, deployment: &Deployment) -> Result<(), ConfigError> {
     config
-        .terms(name, longest_timeout(deployment))
+        .consensus_config(name, longest_timeout(deployment))
         .check()
-        .map_err(|e| Bad(format!("fleet: {e} ({})", e.help())))
+        .map_err(|e| ConfigError(format!("fleet: {e} ({})", e.help())))
 }
 
-fn to_config_error(e: &ControlPlaneError) -> Bad {
-    Bad(format!("fleet: {e} ({})", e.help()))
+fn to_config_error(e: &ControlPlaneError) -> ConfigError {
+    ConfigError(format!("fleet: {e} ({})", e.help()))
 }
 
 /// The longest query timeout, in seconds.
@@ -72,51 +72,55 @@
 }
 
 fn control_plane_config(
-    config: &operator::Fleet,
+    config: &operator::FleetConfig,
     name: &str,
     deployment: &Deployment,
     quotas: Option<&Quotas>,
 ) -> ControlPlaneConfig {
-    let known = config.voters.iter().chain(&config.peers).map(|Known { name, at }| (name.clone(), *at));
+    let known = config
+        .voters
+        .iter()
+        .chain(&config.peers)
+        .map(|BrokerAddress { name, address }| (name.clone(), *address));
     ControlPlaneConfig {
-        terms: config.terms(name, longest_timeout(deployment)),
-        listen_address: config.listen,
+        terms: config.consensus_config(name, longest_timeout(deployment)),
+        listen_address: config.listen_address,
         data_directory: config.folder.clone(),
         known_brokers: known.collect(),
-        key_file: config.key.clone(),
-        version_file: config.version.clone(),
-        audit_log_file: config.record.clone(),
+        key_file: config.key_file.clone(),
+        version_file: config.version_file.clone(),
+        audit_log_file: config.audit_log_file.clone(),
         partners: config.partners.iter().map(to_partner).collect(),
         link_rates: config.links.iter().map(to_link_rate).collect(),
         fills: config.fills.as_ref().map(|fills| FillConfig {
-            fill_service: fills.at,
-            segment_bytes: fills.segment,
-            bytes_per_second: fills.rate,
-            max_concurrent_fills: fills.at_once,
-            fill_started_nodes: fills.warm,
+            fill_service: fills.address,
+            segment_bytes: fills.segment_bytes,
+            bytes_per_second: fills.bytes_per_second,
+            max_concurrent_fills: fills.max_concurrent_fills,
+            fill_started_nodes: fills.fill_started_nodes,
         }),
         slow_start: Some(slow_start_policy(&deployment.slow_start)),
         quotas: quotas.map(|quotas| QuotaConfig {
             shared: quotas.bounds().clone(),
             plan_interval_seconds: quotas.report_interval(),
         }),
-        rebalancing: config.moves.as_ref().map(|moves| RebalanceConfig {
-            plan_file: moves.plan.clone(),
-            max_concurrent_acts: moves.at_once,
-            settle_seconds: moves.settle,
-            default_link_rate: moves.link_bytes,
+        rebalancing: config.rebalancing.as_ref().map(|moves| RebalanceConfig {
+            plan_file: moves.plan_file.clone(),
+            max_concurrent_acts: moves.max_concurrent_acts,
+            settle_seconds: moves.settle_seconds,
+            default_link_rate: moves.default_link_bytes_per_second,
         }),
         query_class_count: deployment.query_classes.len(),
         seed: deployment.seed,
     }
 }
 
-fn to_partner(partner: &operator::Partner) -> Partner {
+fn to_partner(partner: &operator::PartnerConfig) -> Partner {
     Partner { name: partner.name.clone(), brokers: partner.brokers.clone(), metered: partner.metered }
 }
 
-fn to_link_rate(link: &operator::Link) -> LinkRate {
-    LinkRate { from: link.from.clone(), to: link.to.clone(), bytes_per_second: link.bytes }
+fn to_link_rate(link: &operator::LinkConfig) -> LinkRate {
+    LinkRate { from: link.from.clone(), to: link.to.clone(), bytes_per_second: link.bytes_per_second }
 }
 
 fn slow_start_policy(slow_start: &SlowStart) -> SlowStartPolicy {
@@ -129,7 +133,7 @@
 }
 
 /// The index of the partner that each zone belongs to.
-fn partner_by_zone(partners: &[operator::Partner]) -> HashMap<String, usize> {
+fn partner_by_zone(partners: &[operator::PartnerConfig]) -> HashMap<String, usize> {
     let mut by_zone = HashMap::new();
     for (index, partner) in partners.iter().enumerate() {
         for zone in &partner.zones {
@@ -140,14 +144,14 @@
 }
 
 /// Makes each change that the control plane's thread reports an event of the loop.
-fn register_change_events(handle: &EventLoopHandle) -> Result<impl Fn() + Send + 'static, Bad> {
+fn register_change_events(handle: &EventLoopHandle) -> Result<impl Fn() + Send + 'static, ConfigError> {
     let (sender, changes) = channel();
     let inserted = handle.insert_source(changes, |event, _, iteration: &mut Iteration| {
         if let channel::Event::Msg(()) = event {
             iteration.events.push_back(LoopEvent::ControlPlaneChanged);
         }
     });
-    inserted.map_err(|e| Bad(format!("fleet: {}", e.error)))?;
+    inserted.map_err(|e| ConfigError(format!("fleet: {}", e.error)))?;
     // A send fails only once the event loop has ended.
     Ok(move || {
         let _ = sender.send(());
--- a/crates/dunepond-broker/src/discovery/call.rs
+++ b/crates/dunepond-broker/src/discovery/call.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use calloop::RegistrationToken;
-use dunepond_config::Bad;
+use dunepond_config::ConfigError;
 
 use super::list::{Directory, EndpointUpdate, ParsedList};
 use crate::buffers::{Buffer, Pool, WriteQueue};
@@ -63,8 +63,8 @@
     }
 }
 
-impl From<Bad> for ResponseError {
-    fn from(Bad(why): Bad) -> Self {
+impl From<ConfigError> for ResponseError {
+    fn from(ConfigError(why): ConfigError) -> Self {
         Self::List(why)
     }
 }
@@ -92,7 +92,7 @@
             return Ok(None);
         }
         let keep_alive = message.head.keep_alive;
-        let list = dunepond_config::json(message.text()).map_err(ResponseError::Json)?;
+        let list = dunepond_config::parse_json(message.text()).map_err(ResponseError::Json)?;
         self.message = None;
         let parsed = state.directory.parse_list(&list)?;
         state.accept(parsed).map(|update| Some(Response { update, keep_alive }))
--- a/crates/dunepond-broker/src/discovery/list.rs
+++ b/crates/dunepond-broker/src/discovery/list.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use dunepond_config::{Bad, Fields};
+use dunepond_config::{ConfigError, Fields};
 use dunepond_routing::{Endpoint, EndpointState, NodeId};
 use serde_json::Value;
 use slab::Slab;
@@ -54,14 +54,14 @@
     }
 
     /// Parses a list; an invalid row is logged and skipped.
-    pub(super) fn parse_list(&mut self, list: &Value) -> Result<ParsedList, Bad> {
-        let list = Fields::of("list", list)?;
-        let (version, complete) = (list.count("seq")?, list.mark("whole")?);
+    pub(super) fn parse_list(&mut self, list: &Value) -> Result<ParsedList, ConfigError> {
+        let list = Fields::new("list", list)?;
+        let (version, complete) = (list.count("seq")?, list.flag("whole")?);
         let (mut endpoints, mut had_invalid_row) = (Vec::new(), false);
         for row in list.list("hosts")? {
             match self.parse_row(row) {
                 Ok(row) => endpoints.push(row),
-                Err(Bad(why)) => {
+                Err(ConfigError(why)) => {
                     warn!("discovery: endpoint skipped: {why}");
                     had_invalid_row = true;
                 }
@@ -70,19 +70,19 @@
         Ok(ParsedList { version, update: EndpointUpdate { complete, endpoints }, had_invalid_row })
     }
 
-    fn parse_row(&mut self, row: &Value) -> Result<EndpointRow, Bad> {
-        let row = Fields::of("hosts", row)?;
+    fn parse_row(&mut self, row: &Value) -> Result<EndpointRow, ConfigError> {
+        let row = Fields::new("hosts", row)?;
         let host = row.text("host")?;
         let standing = match row.text("health")? {
             "ready" => EndpointState::Active,
             "draining" => EndpointState::Draining,
             "gone" => EndpointState::Removed,
-            _ => return Err(row.bad("health", "unknown word")),
+            _ => return Err(row.error("health", "unknown word")),
         };
         let dial: Option<SocketAddr> = match row.optional_text("dial")? {
-            Some(dial) => Some(dial.parse().map_err(|_| row.bad("dial", "not an address:port"))?),
+            Some(dial) => Some(dial.parse().map_err(|_| row.error("dial", "not an address:port"))?),
             None if standing == EndpointState::Removed => None,
-            None => return Err(row.bad("dial", "missing")),
+            None => return Err(row.error("dial", "missing")),
         };
         let cell = row.count("block")? as usize;
         let zone_name = row.optional_text("site")?.unwrap_or_default();
--- a/crates/dunepond-broker/src/discovery/mod.rs
+++ b/crates/dunepond-broker/src/discovery/mod.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use dunepond_config::{Bad, Bounds};
+use dunepond_config::{ConfigError, HostSettings};
 use dunepond_routing::NodeId;
 use serde_json::Value;
 use tracing::{debug, info, warn};
@@ -67,7 +67,7 @@
 
 impl DiscoveryClient {
     /// Makes no call yet.
-    pub fn new(handle: EventLoopHandle, pool: &Pool, address: SocketAddr, bounds: &Bounds) -> Self {
+    pub fn new(handle: EventLoopHandle, pool: &Pool, address: SocketAddr, bounds: &HostSettings) -> Self {
         let directory = Directory::new(bounds.zones.clone());
         Self {
             handle,
@@ -308,7 +308,7 @@
     }
 
     /// Parses the configured endpoint list; an invalid row is logged and skipped.
-    pub fn parse_configured_list(&mut self, list: &Value) -> Result<EndpointUpdate, Bad> {
+    pub fn parse_configured_list(&mut self, list: &Value) -> Result<EndpointUpdate, ConfigError> {
         self.list.directory.parse_list(list).map(|parsed| parsed.update)
     }
 }
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -19,7 +19,7 @@
 
 use calloop::RegistrationToken;
 use dunepond_body_buffer::BodyId;
-use dunepond_config::Bounds;
+use dunepond_config::HostSettings;
 use dunepond_routing::QueryId;
 use serde_json::json;
 use slab::Slab;
@@ -117,7 +117,7 @@
     connections: Slab<ClientConnection>,
     most: usize,
     max_buffers: usize,
-    bounds: Rc<Bounds>,
+    bounds: Rc<HostSettings>,
     /// For the clients' port and for the search API's port; their connections are bounded together.
     listeners: Vec<Listener>,
     paused: bool,
@@ -159,7 +159,7 @@
     pub fn new(
         handle: EventLoopHandle,
         pool: &Pool,
-        bounds: Rc<Bounds>,
+        bounds: Rc<HostSettings>,
         most: usize,
         max_buffers: usize,
         listener: TcpListener,
--- a/crates/dunepond-broker/src/downstream/validation.rs
+++ b/crates/dunepond-broker/src/downstream/validation.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use dunepond_config::Bounds;
+use dunepond_config::HostSettings;
 use dunepond_routing::Part;
 use serde_json::Value;
 
@@ -28,7 +28,8 @@
             };
         }
         let table_type = self.table_type(head)?;
-        let body = dunepond_config::json(message.text()).map_err(|e| refusal(400, format!("body: {e}")))?;
+        let body =
+            dunepond_config::parse_json(message.text()).map_err(|e| refusal(400, format!("body: {e}")))?;
         let text = body.get("body").and_then(Value::as_str);
         let text = text.ok_or_else(|| refusal(400, "body: not a text"))?;
         let segments = body.get("buckets").and_then(Value::as_array).filter(|b| !b.is_empty());
@@ -42,7 +43,7 @@
     fn table_type(&self, head: &Head) -> Result<usize, HttpError> {
         let path = head.path.split('?').next().unwrap_or_default();
         let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
-        let index = |name: &str| self.bounds.table_types.iter().position(|t| t == name);
+        let index = |name: &str| self.bounds.query_classes.iter().position(|t| t == name);
         let table_type = index(first).ok_or_else(|| refusal(404, "path: nothing is served here"))?;
         if head.method != "POST" {
             return Err(refusal(405, "path: only POST"));
@@ -70,13 +71,13 @@
 fn parts(
     entries: impl Iterator<Item = (Option<u64>, Option<f64>)>,
     from: &str,
-    bounds: &Bounds,
+    bounds: &HostSettings,
 ) -> Result<Vec<Part>, HttpError> {
     let bad = |field: &str, why: &str| refusal(400, format!("{from}{field}: {why}"));
     let (bucket, share) = if from == "buckets" { (".bucket", ".part") } else { ("", "") };
     let (mut parts, mut seen) = (Vec::with_capacity(entries.size_hint().0), BTreeSet::new());
     for (seg, weight) in entries {
-        let seg = seg.filter(|seg| *seg < bounds.segs as u64);
+        let seg = seg.filter(|seg| *seg < bounds.segment_count as u64);
         let seg = seg.ok_or_else(|| bad(bucket, "no such shard"))? as usize;
         if !seen.insert(seg) {
             return Err(bad(bucket, &format!("{seg} is named twice")));
@@ -100,7 +101,7 @@
     began: f64,
     parts: Vec<Part>,
     text: Payload,
-    bounds: &Bounds,
+    bounds: &HostSettings,
 ) -> Result<QueryRequest, HttpError> {
     let bad = |why: &str| refusal(400, why);
     let id = &head.request_id;
@@ -115,11 +116,11 @@
         return Err(bad("X-Budget: spent"));
     }
     // An unlisted tenant has the index behind the listed ones.
-    let customer = bounds.customers.iter().position(|c| *c == head.tenant);
+    let customer = bounds.tenants.iter().position(|c| *c == head.tenant);
     Ok(QueryRequest {
         request_id: id.clone(),
         table_type,
-        customer: customer.unwrap_or(bounds.customers.len()),
+        customer: customer.unwrap_or(bounds.tenants.len()),
         deadline: began + time_budget,
         is_retry: head.is_retry,
         parts,
--- a/crates/dunepond-broker/src/event_loop/background.rs
+++ b/crates/dunepond-broker/src/event_loop/background.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use dunepond_background::{Cost, Finished, Kind, Outcome, Priority, Spec};
+use dunepond_background::{DroppedJob, FinishedJob, JobCost, JobKind, JobSpec, Outcome, Priority};
 use tracing::{debug, info};
 
 use super::EventLoop;
@@ -13,12 +13,12 @@
 const AUDIT_JOB: &str = "audit";
 const AUDIT_EXPIRY_SECONDS: f64 = 5.0;
 
-fn audit_job_spec(now: f64) -> Spec {
-    Spec {
+fn audit_job_spec(now: f64) -> JobSpec {
+    JobSpec {
         name: AUDIT_JOB,
         priority: Priority::Idle,
-        kind: Kind::Step,
-        cost: Cost::default(),
+        kind: JobKind::Step,
+        cost: JobCost::default(),
         not_before: now,
         deadline: Some(now + AUDIT_EXPIRY_SECONDS),
         retry: None,
@@ -26,7 +26,7 @@
 }
 
 impl EventLoop {
-    pub(super) fn job_finished(&mut self, on_job_finished: Finished) {
+    pub(super) fn job_finished(&mut self, on_job_finished: FinishedJob) {
         let now = self.tick();
         self.background.on_job_finished(now, on_job_finished);
         let failed = on_job_finished.outcome == Outcome::Failed;
@@ -43,7 +43,7 @@
             self.background.add(now, audit_job_spec(now));
         }
         while let Some(submitted) = self.background.next(now, idle) {
-            if submitted.kind == Kind::Blocking {
+            if submitted.kind == JobKind::Blocking {
                 if let (Some(persistence), Some(pool)) = (&mut self.persistence, self.background.pool()) {
                     persistence.run_job(
                         submitted.id,
@@ -61,14 +61,14 @@
             if let Some(prefilter) = &mut self.prefilter {
                 prefilter.audit(&mut self.router, &mut self.router_host);
                 if prefilter.has_audits() {
-                    outcome = Outcome::More;
+                    outcome = Outcome::Yielded;
                 }
             }
-            self.audit_scheduled = outcome == Outcome::More;
+            self.audit_scheduled = outcome == Outcome::Yielded;
             self.process_pending();
             self.background.on_step_done(now, submitted.id, outcome, began.elapsed().as_secs_f64());
         }
-        for (id, name) in self.background.dropped() {
+        for DroppedJob { id, name } in self.background.dropped() {
             debug!("background job {name} dropped");
             self.audit_scheduled &= name != AUDIT_JOB;
             if let Some(persistence) = &mut self.persistence {
@@ -80,7 +80,7 @@
 
     pub(super) fn report_counters(&mut self) {
         let now = self.router_host.now;
-        if let Some(every) = self.operator.counters_every {
+        if let Some(every) = self.operator.counters_interval_seconds {
             self.router_host.timers.schedule(now + every, TimerEvent::Counters);
             let copied = self.router_host.upstream.copied;
             self.router_host.report_body_counters(copied);
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -11,8 +11,8 @@
 mod startup;
 mod timers;
 
-use dunepond_body_buffer::Done;
-use dunepond_config::operator::Operator;
+use dunepond_body_buffer::DiskEvent;
+use dunepond_config::operator::OperatorConfig;
 use dunepond_routing::{NOTICEABLE_PAUSE_SECONDS, Router, Shutdown, ShutdownStage};
 use tracing::warn;
 
@@ -40,7 +40,7 @@
     /// A background job for a prefilter audit is scheduled.
     audit_scheduled: bool,
     config_reloader: ConfigReloader,
-    operator: Operator,
+    operator: OperatorConfig,
     /// The configured endpoint list, until discovery answers or has been silent for too long.
     configured_endpoints: Option<EndpointUpdate>,
     /// When this iteration began, and the previous one; the events of this iteration came after the latter.
@@ -138,7 +138,7 @@
         self.process_pending();
     }
 
-    fn disk_done(&mut self, done: Done) {
+    fn disk_done(&mut self, done: DiskEvent) {
         let now = self.tick();
         if let Some(bodies) = &mut self.router_host.body_store {
             bodies.done(now, done);
--- a/crates/dunepond-broker/src/event_loop/reload.rs
+++ b/crates/dunepond-broker/src/event_loop/reload.rs
@@ -1,7 +1,7 @@
 //! Applies a reloaded configuration and operator's file: what may change in a running process does, the rest is named in the log.
 
-use dunepond_config::Bad;
-use dunepond_config::operator::Operator;
+use dunepond_config::ConfigError;
+use dunepond_config::operator::OperatorConfig;
 use tracing::{error, info, warn};
 
 use super::EventLoop;
@@ -33,11 +33,11 @@
                 self.discovery.change_agent(now, start.discovery_address, &mut self.router_host.timers);
                 self.retry_discovery();
             }
-            Err(Bad(line)) => error!("configuration reload failed, the active one stays: {line}"),
+            Err(ConfigError(line)) => error!("configuration reload failed, the active one stays: {line}"),
         }
         match configuration.operator {
             Some(Ok(operator)) => self.apply_operator_file(operator),
-            Some(Err(Bad(lines))) => {
+            Some(Err(ConfigError(lines))) => {
                 lines
                     .lines()
                     .for_each(|line| error!("operator's file reload failed, the active one stays: {line}"));
@@ -51,22 +51,22 @@
     }
 
     /// Applies what can change in a running process; the rest is logged and takes effect after a restart.
-    fn apply_operator_file(&mut self, operator: Operator) {
+    fn apply_operator_file(&mut self, operator: OperatorConfig) {
         let waits = |what: &str| warn!("operator's file: {what} takes effect after a restart");
-        if operator.log_form != self.operator.log_form {
+        if operator.log_format != self.operator.log_format {
             waits("log form=");
         }
-        match (&operator.bodies, &mut self.router_host.body_store) {
+        match (&operator.body_buffer, &mut self.router_host.body_store) {
             (Some(told), Some(bodies)) => {
-                if self.operator.bodies.as_ref().map(|b| &b.folder) != Some(&told.folder) {
+                if self.operator.body_buffer.as_ref().map(|b| &b.spill) != Some(&told.spill) {
                     waits("bodies: files: folder=, threads= and waiting=");
                 }
-                bodies.change(told.terms.clone());
+                bodies.change(told.limits.clone());
             }
             (None, None) => {}
             _ => waits("bodies, turned on or off,"),
         }
-        match (&operator.phases, &mut self.prefilter) {
+        match (&operator.prefilter, &mut self.prefilter) {
             (Some(terms), Some(prefilter)) => prefilter.change(terms.clone()),
             (None, None) => {}
             _ => waits("phases, turned on or off,"),
@@ -78,19 +78,19 @@
         if needs_restart {
             waits("fleet, but for its version,");
         }
-        if operator.state != self.operator.state {
+        if operator.recovery != self.operator.recovery {
             waits("state");
         }
-        if operator.search != self.operator.search {
+        if operator.search_api != self.operator.search_api {
             waits("search");
         }
-        if operator.search_nodes != self.operator.search_nodes {
+        if operator.search_api_nodes != self.operator.search_api_nodes {
             waits("search-nodes");
         }
         if operator.background != self.operator.background {
             waits("background");
         }
-        if operator.counters_every.is_some() && self.operator.counters_every.is_none() {
+        if operator.counters_interval_seconds.is_some() && self.operator.counters_interval_seconds.is_none() {
             self.router_host.timers.schedule(self.router_host.now, TimerEvent::Counters);
         }
         info!("operator's file reloaded");
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -7,9 +7,9 @@
 use std::time::Instant;
 
 use dunepond_background::Scheduler;
-use dunepond_body_buffer::Folder;
+use dunepond_body_buffer::SpillFolder;
 use dunepond_config::operator;
-use dunepond_config::{Bad, Bounds};
+use dunepond_config::{ConfigError, HostSettings};
 use dunepond_control_plane::TestDoubles;
 use dunepond_routing::{Deployment, Idempotency, Router, ShutdownStage};
 use dunepond_storage::FileStore;
@@ -47,7 +47,7 @@
     /// Path of the operator's file, which SIGHUP reloads.
     pub operator_file: Option<PathBuf>,
     /// Replaces the folder that the operator's file names for bodies.
-    pub body_folder: Option<Arc<dyn Folder>>,
+    pub body_folder: Option<Arc<dyn SpillFolder>>,
     /// Replaces the folder that the operator's file names for state.
     pub state_files: Option<Arc<dyn FileStore>>,
     /// Replaces the fleet's data directory and fill service.
@@ -60,7 +60,7 @@
     /// Where it listens for clients.
     address: SocketAddr,
     /// The folder of the disk spill for bodies, if there is one.
-    body_folder: Option<Arc<dyn Folder>>,
+    body_folder: Option<Arc<dyn SpillFolder>>,
     /// Longest time that accepting may wait for the first endpoint list, in seconds.
     max_accept_delay: f64,
 }
@@ -73,8 +73,8 @@
 }
 
 /// Runs a broker until a signal has shut it down. Fails if something that it needs cannot be set up.
-pub fn serve(startup: StartupConfig, mut hooks: Hooks) -> Result<(), Bad> {
-    if startup.operator.bodies.is_some() {
+pub fn serve(startup: StartupConfig, mut hooks: Hooks) -> Result<(), ConfigError> {
+    if startup.operator.body_buffer.is_some() {
         buffers::use_single_malloc_arena();
     }
     let mut sources = calloop::EventLoop::try_new().map_err(|e| failed("loop", &e))?;
@@ -88,7 +88,7 @@
     event_loop.run(&mut sources).map_err(|e| failed("loop", &e))?;
     event_loop.finish();
     if let Some(folder) = &body_folder {
-        folder.leave();
+        folder.close();
     }
     info!("stopped");
     Ok(())
@@ -100,24 +100,24 @@
     hooks: Hooks,
     signals_since: Instant,
     handle: &EventLoopHandle,
-) -> Result<Broker, Bad> {
+) -> Result<Broker, ConfigError> {
     let (pool, bounds) = (Pool::default(), Rc::new(startup.bounds.clone()));
     let mut discovery = DiscoveryClient::new(handle.clone(), &pool, startup.discovery_address, &bounds);
     // An invalid list is ignored: discovery will send another.
     let known = discovery.parse_configured_list(&startup.configured_endpoints).ok();
     let Connections { mut router_host, prefilter_connections, address } =
         open_connections(&startup, &pool, &bounds, handle)?;
-    if let Some(search) = &startup.operator.search {
+    if let Some(search) = &startup.operator.search_api {
         open_search_api(&mut router_host, search, bounds.clone(), &startup.deployment)?;
     }
     let mut body_folder = None;
-    if let Some(bodies) = &startup.operator.bodies {
+    if let Some(bodies) = &startup.operator.body_buffer {
         body_folder = open_body_store(&mut router_host, bodies, hooks.body_folder, &bounds, handle)?;
     }
     let timeouts = startup.deployment.query_classes.iter().map(|class| class.timeout);
     let max_accept_delay = MAX_ACCEPT_DELAY_RATIO * timeouts.clone().fold(f64::MAX, f64::min);
     let longest_timeout = timeouts.fold(0.0, f64::max);
-    let phases = startup.operator.phases.clone();
+    let phases = startup.operator.prefilter.clone();
     let prefilter = phases.map(|phases| PrefilterHost::new(phases, &startup.deployment));
     router_host.prefilter_connections = prefilter.is_some().then_some(prefilter_connections);
     if let Some(fleet) = &startup.operator.fleet {
@@ -132,8 +132,8 @@
     let reloaded = reloaded.map_err(|e| failed("configuration", &e))?;
     let config_reloader = ConfigReloader::new(reloaded, hooks.operator_file);
     let mut background = Background::new(Scheduler::new(operator.background.clone(), seed), job_pool);
-    let persistence = operator.state.clone().map(|state| {
-        let query_classes = bounds.table_types.clone();
+    let persistence = operator.recovery.clone().map(|state| {
+        let query_classes = bounds.query_classes.clone();
         Persistence::start(clock.now(), state, hooks.state_files, query_classes, &mut background)
     });
     let event_loop = EventLoop {
@@ -162,9 +162,9 @@
 fn open_connections(
     startup: &StartupConfig,
     pool: &Pool,
-    bounds: &Rc<Bounds>,
+    bounds: &Rc<HostSettings>,
     handle: &EventLoopHandle,
-) -> Result<Connections, Bad> {
+) -> Result<Connections, ConfigError> {
     let failed_to_listen = |e: &dyn std::fmt::Display| failed("GW_LISTEN", e);
     let listener =
         listen_with_retry("GW_LISTEN", startup.listen_address).map_err(|e| failed_to_listen(&e))?;
@@ -178,15 +178,16 @@
         listener,
     );
     let downstream = downstream.map_err(|e| failed_to_listen(&e))?;
-    let max_prefilter = if startup.operator.phases.is_some() { startup.max_node_connections / 4 } else { 0 };
+    let max_prefilter =
+        if startup.operator.prefilter.is_some() { startup.max_node_connections / 4 } else { 0 };
     let prefilter_connections =
         PrefilterConnections::new(handle.clone(), pool, bounds.clone(), max_prefilter);
     let max_upstream = startup.max_node_connections - max_prefilter;
     let mut upstream = Upstream::new(handle.clone(), pool, bounds.clone(), max_upstream);
-    if !startup.operator.search_nodes.is_empty() {
+    if !startup.operator.search_api_nodes.is_empty() {
         let classes = startup.deployment.query_classes.iter();
         let is_non_idempotent = classes.map(|class| class.idempotency == Idempotency::NonIdempotent);
-        upstream.set_search_api_nodes(startup.operator.search_nodes.clone(), is_non_idempotent.collect());
+        upstream.set_search_api_nodes(startup.operator.search_api_nodes.clone(), is_non_idempotent.collect());
     }
     let router_host = RouterHost::new(&startup.deployment, bounds.clone(), pool, downstream, upstream);
     Ok(Connections { router_host, prefilter_connections, address })
@@ -195,12 +196,13 @@
 /// Listens for the search API.
 fn open_search_api(
     router_host: &mut RouterHost,
-    config: &operator::Search,
-    bounds: Rc<Bounds>,
+    config: &operator::SearchApiConfig,
+    bounds: Rc<HostSettings>,
     deployment: &Deployment,
-) -> Result<(), Bad> {
+) -> Result<(), ConfigError> {
     let failed_to_listen = |e: &dyn std::fmt::Display| failed("search: listen", e);
-    let listener = listen_with_retry("search: listen", config.listen).map_err(|e| failed_to_listen(&e))?;
+    let listener =
+        listen_with_retry("search: listen", config.listen_address).map_err(|e| failed_to_listen(&e))?;
     let address = listener.local_addr().map_err(|e| failed_to_listen(&e))?;
     router_host.downstream.open(listener, true).map_err(|e| failed_to_listen(&e))?;
     router_host.downstream.api = Some(Rc::new(SearchApi::new(config.limits.clone(), bounds, deployment)));
@@ -211,28 +213,28 @@
 /// Enables streamed bodies; returns the folder of their disk spill, if the operator's file names one.
 fn open_body_store(
     router_host: &mut RouterHost,
-    config: &operator::Bodies,
-    replacement: Option<Arc<dyn Folder>>,
-    bounds: &Bounds,
+    config: &operator::BodyBufferConfig,
+    replacement: Option<Arc<dyn SpillFolder>>,
+    bounds: &HostSettings,
     handle: &EventLoopHandle,
-) -> Result<Option<Arc<dyn Folder>>, Bad> {
+) -> Result<Option<Arc<dyn SpillFolder>>, ConfigError> {
     router_host.downstream.raw = true;
     let spool = start_body_spool(config, replacement, handle)?;
     let (spool, folder) = spool.map(|BodySpool { spool, folder }| (spool, folder)).unzip();
-    let query_classes = bounds.table_types.clone();
-    router_host.body_store = Some(BodyStore::new(config.terms.clone(), spool, query_classes));
+    let query_classes = bounds.query_classes.clone();
+    router_host.body_store = Some(BodyStore::new(config.limits.clone(), spool, query_classes));
     Ok(folder)
 }
 
 /// Starts the control plane's thread.
 fn start_control_plane(
     router_host: &mut RouterHost,
-    config: &operator::Fleet,
+    config: &operator::FleetConfig,
     name: &str,
     deployment: &Deployment,
     test_doubles: TestDoubles,
     handle: &EventLoopHandle,
-) -> Result<(), Bad> {
+) -> Result<(), ConfigError> {
     let tenants = router_host.tenants();
     let control_plane = ControlPlaneClient::start(config, name, deployment, &tenants, test_doubles, handle)?;
     router_host.upstream.gate = Some(control_plane.gate.clone());
--- a/crates/dunepond-broker/src/iteration.rs
+++ b/crates/dunepond-broker/src/iteration.rs
@@ -8,8 +8,8 @@
 use calloop::channel::{Event, Sender, channel};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-use dunepond_background::Finished;
-use dunepond_body_buffer::Done;
+use dunepond_background::FinishedJob;
+use dunepond_body_buffer::DiskEvent;
 
 use crate::config_reload::LoadedConfig;
 
@@ -27,9 +27,9 @@
     /// A connection to discovery.
     DiscoveryReady(bool),
     /// The disk spill for bodies has completed an operation.
-    DiskDone(Done),
+    DiskDone(DiskEvent),
     /// A blocking background job has ended.
-    JobFinished(Finished),
+    JobFinished(FinishedJob),
     /// The active configuration or a quota has changed.
     ControlPlaneChanged,
     /// SIGHUP.
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -11,9 +11,9 @@
     CaughtSignals, Hooks, catch_signals, check_fleet, config, logger, migrate, persistence, query_command,
     serve,
 };
-use dunepond_config::Bad;
-use dunepond_config::migrate::Ask;
-use dunepond_config::operator::Operator;
+use dunepond_config::ConfigError;
+use dunepond_config::migrate::MigrationOptions;
+use dunepond_config::operator::OperatorConfig;
 use tracing::{error, warn};
 
 /// A query router (broker) before a sharded, replicated store. Without a command it runs.
@@ -114,18 +114,18 @@
     },
 }
 
-fn run_state_command(command: StateCommand) -> Result<(), Bad> {
+fn run_state_command(command: StateCommand) -> Result<(), ConfigError> {
     match command {
         StateCommand::Show { folder } => {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
-            let description = persistence::describe(&folder, now).map_err(|e| Bad(e.to_string()))?;
+            let description = persistence::describe(&folder, now).map_err(|e| ConfigError(e.to_string()))?;
             print!("{description}");
             Ok(())
         }
         StateCommand::Check { folder } => {
-            let inspection = persistence::inspect(&folder).map_err(|e| Bad(e.to_string()))?;
+            let inspection = persistence::inspect(&folder).map_err(|e| ConfigError(e.to_string()))?;
             if !inspection.faults.is_empty() {
-                return Err(Bad(inspection.faults.join("\n")));
+                return Err(ConfigError(inspection.faults.join("\n")));
             }
             println!("{}: nothing is wrong with it", folder.display());
             Ok(())
@@ -133,12 +133,17 @@
     }
 }
 
-fn migrate_config(old: &Path, out: Option<&Path>, ask: &Ask, overwrite: bool) -> Result<(), Bad> {
+fn migrate_config(
+    old: &Path,
+    out: Option<&Path>,
+    ask: &MigrationOptions,
+    overwrite: bool,
+) -> Result<(), ConfigError> {
     let new = migrate::read(old, ask)?;
-    if new.same {
+    if new.unchanged {
         eprintln!("dunepond: {}: of the new shape already; it stands as it was", old.display());
     }
-    new.left.iter().for_each(|line| eprintln!("dunepond: {line}"));
+    new.changes.iter().for_each(|line| eprintln!("dunepond: {line}"));
     match out {
         Some(out) => migrate::write(out, &new.text, overwrite),
         None => {
@@ -148,31 +153,34 @@
     }
 }
 
-fn run(path: Option<PathBuf>, signals: Option<Result<CaughtSignals, Bad>>) -> Result<(), Bad> {
+fn run(
+    path: Option<PathBuf>,
+    signals: Option<Result<CaughtSignals, ConfigError>>,
+) -> Result<(), ConfigError> {
     let signals = signals.transpose()?;
-    let operator = path.as_deref().map_or(Ok(Operator::default()), config::read_operator_file)?;
+    let operator = path.as_deref().map_or(Ok(OperatorConfig::default()), config::read_operator_file)?;
     let mut start = config::read(|name| std::env::var(name).ok())?;
     start.operator = operator;
-    let form = start.operator.log_form.as_deref().and_then(|form| form.parse().ok()).unwrap_or_default();
+    let form = start.operator.log_format.as_deref().and_then(|form| form.parse().ok()).unwrap_or_default();
     logger::start(&start.name, start.log_level, form);
     if let Some(key) = start.unsupported_setting {
         warn!("settings: {key}: allowed, but not supported on sockets");
     }
     // From here on the log has what goes wrong.
-    serve(start, Hooks { operator_file: path, signals, ..Hooks::default() }).map_err(|Bad(line)| {
+    serve(start, Hooks { operator_file: path, signals, ..Hooks::default() }).map_err(|ConfigError(line)| {
         error!("{line}");
-        Bad(String::new())
+        ConfigError(String::new())
     })
 }
 
 /// The operator's file, and where a deployment is named beside it, how its fleet goes with that.
-fn check(file: &Path) -> Result<(), Bad> {
+fn check(file: &Path) -> Result<(), ConfigError> {
     let variable = |name: &str| std::env::var(name).ok();
     match config::read_operator_file(file)?.fleet {
         Some(fleet) if variable("GW_CONFIG").is_some() => {
             let start = config::read(variable)?;
             check_fleet(&fleet, &start.name, &start.deployment)
-                .map_err(|Bad(why)| Bad(format!("{}: {why}", file.display())))
+                .map_err(|ConfigError(why)| ConfigError(format!("{}: {why}", file.display())))
         }
         _ => Ok(()),
     }
@@ -192,7 +200,12 @@
         }
         Some(Command::Migrate { old, out, sets, one_at_a_time, overwrite, dry_run }) => {
             let out = out.as_deref().filter(|_| !dry_run);
-            migrate_config(&old, out, &Ask { sets, one_at_a_time }, overwrite)
+            migrate_config(
+                &old,
+                out,
+                &MigrationOptions { replica_groups: sets, disable_hedging: one_at_a_time },
+                overwrite,
+            )
         }
         Some(Command::State { command }) => run_state_command(command),
         Some(Command::Query { at, index, text, size, shards, seconds, msearch, json }) => {
@@ -202,7 +215,7 @@
                 None if shards.is_empty() => query_command::search(&ask, text.as_deref(), size),
                 None => query_command::scan(&ask, text.as_deref().unwrap_or_default(), &shards, seconds),
             };
-            told.map(|told| print!("{told}")).map_err(|e| Bad(e.to_string()))
+            told.map(|told| print!("{told}")).map_err(|e| ConfigError(e.to_string()))
         }
         Some(Command::Completions { shell }) => {
             clap_complete::generate(shell, &mut CommandLine::command(), "dunepond", &mut std::io::stdout());
@@ -211,7 +224,7 @@
     };
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Bad(lines)) => {
+        Err(ConfigError(lines)) => {
             lines.lines().for_each(|line| eprintln!("dunepond: {line}"));
             ExitCode::FAILURE
         }
--- a/crates/dunepond-broker/src/persistence/mod.rs
+++ b/crates/dunepond-broker/src/persistence/mod.rs
@@ -9,8 +9,8 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-use dunepond_background::{Cost, JobId, Kind, Outcome, Pool, Priority, Retry, Spec};
-use dunepond_config::operator::State;
+use dunepond_background::{JobCost, JobId, JobKind, JobSpec, Outcome, Pool, Priority, RetryPolicy};
+use dunepond_config::operator::RecoveryConfig;
 use dunepond_recovery::{
     BudgetRecord, LearnedSnapshot, OutstandingCharges, TrustDecision, TrustedState, spent_budgets,
 };
@@ -39,7 +39,7 @@
 
 /// The broker's state folder, and the background jobs that use it.
 pub struct Persistence {
-    config: State,
+    config: RecoveryConfig,
     /// Replaces the folder in tests.
     files: Option<Arc<dyn FileStore>>,
     storage: SharedStorage,
@@ -58,7 +58,7 @@
     /// Opens the folder and reads it, waiting a bounded time. `files` replaces the folder in tests.
     pub fn start(
         now: f64,
-        config: State,
+        config: RecoveryConfig,
         files: Option<Arc<dyn FileStore>>,
         query_classes: Vec<String>,
         background: &mut Background,
@@ -129,17 +129,17 @@
     }
 
     fn schedule_reopen(&mut self, now: f64, background: &mut Background) {
-        let spec = Spec {
+        let spec = JobSpec {
             name: OPEN_JOB,
-            priority: Priority::Usual,
-            kind: Kind::Blocking,
-            cost: Cost::default(),
+            priority: Priority::Normal,
+            kind: JobKind::Blocking,
+            cost: JobCost::default(),
             not_before: now + OPEN_RETRY_SECONDS.0,
             deadline: None,
-            retry: Some(Retry {
-                first: 2.0 * OPEN_RETRY_SECONDS.0,
-                longest: OPEN_RETRY_SECONDS.1,
-                tries: None,
+            retry: Some(RetryPolicy {
+                initial_backoff_seconds: 2.0 * OPEN_RETRY_SECONDS.0,
+                max_backoff_seconds: OPEN_RETRY_SECONDS.1,
+                max_attempts: None,
             }),
         };
         self.open_job = Some(background.add(now, spec));
@@ -147,7 +147,7 @@
 
     /// Seconds between two snapshots.
     pub fn snapshot_interval(&self) -> f64 {
-        self.config.every
+        self.config.snapshot_interval_seconds
     }
 
     /// Restores learned state and spent budgets once the first endpoint list is in force, as far as they still hold.
@@ -191,13 +191,13 @@
         if self.snapshot_job.is_some() || self.storage.lock().is_none() {
             return;
         }
-        let spec = Spec {
+        let spec = JobSpec {
             name: SNAPSHOT_JOB,
-            priority: Priority::Usual,
-            kind: Kind::Blocking,
-            cost: Cost { bytes: self.last_snapshot_bytes },
+            priority: Priority::Normal,
+            kind: JobKind::Blocking,
+            cost: JobCost { bytes: self.last_snapshot_bytes },
             not_before: now,
-            deadline: Some(now + MAX_SNAPSHOT_DELAY_INTERVALS * self.config.every),
+            deadline: Some(now + MAX_SNAPSHOT_DELAY_INTERVALS * self.config.snapshot_interval_seconds),
             retry: None,
         };
         self.snapshot_job = Some(background.add(now, spec));
--- a/crates/dunepond-broker/src/prefilter_connections.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use calloop::RegistrationToken;
-use dunepond_config::Bounds;
+use dunepond_config::HostSettings;
 use dunepond_prefilter::{CanMatch, RequestFailure, SegmentIndex, Version};
 use dunepond_routing::NodeId;
 use slab::Slab;
@@ -49,14 +49,14 @@
     links: Slab<PrefilterConnection>,
     by_node: HashMap<NodeId, usize>,
     most: usize,
-    bounds: Rc<Bounds>,
+    bounds: Rc<HostSettings>,
     /// Answers, and why requests have none, not yet reported to the prefilter.
     pub told: VecDeque<(u64, Result<PrefilterAnswers, RequestFailure>)>,
 }
 
 impl PrefilterConnections {
     /// No connections yet; `most` bounds them.
-    pub fn new(handle: EventLoopHandle, pool: &Pool, bounds: Rc<Bounds>, most: usize) -> Self {
+    pub fn new(handle: EventLoopHandle, pool: &Pool, bounds: Rc<HostSettings>, most: usize) -> Self {
         let (pool, links, by_node, told) = (pool.clone(), Slab::new(), HashMap::new(), VecDeque::new());
         Self { handle, pool, links, by_node, most, bounds, told }
     }
@@ -110,8 +110,9 @@
         let id = entry.key();
         let token = watch(&self.handle, &stream, move |readable| LoopEvent::PrefilterReady(id, readable));
         let token = token.map_err(|_| ConnectionEnd::LocalResources)?;
-        let timer =
-            Some(timers.schedule(now + self.bounds.connect_timeout, TimerEvent::PrefilterConnection(id)));
+        let timer = Some(
+            timers.schedule(now + self.bounds.connect_timeout_seconds, TimerEvent::PrefilterConnection(id)),
+        );
         entry.insert(PrefilterConnection {
             node,
             stream,
@@ -178,7 +179,7 @@
         timers.cancel(link.timer.take());
         let until = match link.asked.front() {
             Some((_, at)) => at + ANSWER_TIMEOUT_SECONDS,
-            None => now + IDLE_CLOSE_RATIO * self.bounds.idle_close,
+            None => now + IDLE_CLOSE_RATIO * self.bounds.idle_timeout_seconds,
         };
         link.timer = Some(timers.schedule(until, TimerEvent::PrefilterConnection(id)));
     }
--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use dunepond_routing::{Part, Query};
-use dunepond_search_api::{ApiError, Call, Search, answer};
+use dunepond_search_api::{ApiError, ApiRequest, Search, response};
 use tracing::debug;
 
 use super::{ActiveQuery, RouterHost};
@@ -22,7 +22,7 @@
             return None;
         }
         if self.request_ids.contains(&asked.request_id) {
-            let body = error_body("X-Call-Id: in use");
+            let body = error_body("X-ApiRequest-Id: in use");
             self.downstream.reply(self.now, client, 400, &body, 0.0, &mut self.timers);
             return None;
         }
@@ -37,19 +37,23 @@
         let Some(door) = self.downstream.api.clone() else { return Vec::new() };
         let (now, call) = (self.now, &request.call);
         let searches: Vec<Result<&Search, ApiError>> = match call {
-            Call::Info => {
-                let body = answer::info("dunepond", env!("CARGO_PKG_VERSION")).to_string();
+            ApiRequest::Info => {
+                let body = response::info_response("dunepond", env!("CARGO_PKG_VERSION")).to_string();
                 self.downstream.reply(now, client, 200, &body, 0.0, &mut self.timers);
                 return Vec::new();
             }
-            Call::Health => {
+            ApiRequest::Health => {
                 let (nodes, active) = self.upstream.count();
-                let body = answer::health(nodes, active, self.bounds.segs).to_string();
+                let body = response::health_response(nodes, active, self.bounds.segment_count).to_string();
                 self.downstream.reply(now, client, 200, &body, 0.0, &mut self.timers);
                 return Vec::new();
             }
-            Call::Search(search) | Call::Count(search) | Call::Update(search) => vec![Ok(&**search)],
-            Call::Multi(searches) => searches.iter().map(|s| s.as_ref().map_err(Clone::clone)).collect(),
+            ApiRequest::Search(search) | ApiRequest::Count(search) | ApiRequest::Update(search) => {
+                vec![Ok(&**search)]
+            }
+            ApiRequest::Multi(searches) => {
+                searches.iter().map(|s| s.as_ref().map_err(Clone::clone)).collect()
+            }
         };
         self.last_id += 1;
         let number = self.last_id;
@@ -124,7 +128,7 @@
     /// Registers an audit of the prefilter: a query of one segment without a client. `None` if too much is in flight.
     pub fn register_audit(&mut self, table_type: usize, seg: usize, text: Rc<str>) -> Option<Query> {
         let request_id = format!("audit-{}", self.last_id + 1);
-        let room = self.bounds.most_held.is_none_or(|most| self.in_flight + 2 <= most);
+        let room = self.bounds.max_in_flight.is_none_or(|most| self.in_flight + 2 <= most);
         if !room || !self.request_ids.insert(request_id.clone()) {
             return None;
         }
@@ -143,7 +147,7 @@
             id: query,
             class: table_type,
             // No tenant's index: it has no quota and counts in no tenant's statistics.
-            tenant: self.bounds.customers.len() + 1,
+            tenant: self.bounds.tenants.len() + 1,
             expires_in: ends_at - self.now,
             is_retry: false,
             body_retained: true,
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -2,7 +2,7 @@
 
 use dunepond_routing::{AttemptEnded, AttemptId, AttemptOutcome, QueryId};
 use dunepond_search_api::ApiError;
-use dunepond_search_api::answer::Answer;
+use dunepond_search_api::response::ResponseBody;
 use tracing::{debug, error, warn};
 
 use super::{ActiveQuery, FinishedQuery, RouterHost, SentAttempt, may_have_run};
@@ -191,7 +191,12 @@
     }
 
     /// Records the outcome of a search API query.
-    pub(super) fn finish_search(&mut self, query: QueryId, outcome: Result<Answer, ApiError>, wait: f64) {
+    pub(super) fn finish_search(
+        &mut self,
+        query: QueryId,
+        outcome: Result<ResponseBody, ApiError>,
+        wait: f64,
+    ) {
         let Some(api) = self.queries.get(&query).and_then(|in_hand| in_hand.search.as_ref()) else { return };
         let (request, place) = (api.request, api.place());
         self.complete_search(request, place, outcome, wait);
@@ -202,7 +207,7 @@
         &mut self,
         number: u64,
         place: usize,
-        outcome: Result<Answer, ApiError>,
+        outcome: Result<ResponseBody, ApiError>,
         wait: f64,
     ) {
         let Some(open) = self.search_requests.get_mut(&number) else { return };
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -9,8 +9,8 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-use dunepond_body_buffer::{BodyId, Reason};
-use dunepond_config::Bounds;
+use dunepond_body_buffer::{BodyId, FallbackReason};
+use dunepond_config::HostSettings;
 use dunepond_prefilter::{PrunedSegment, RequestFailure};
 use dunepond_routing::{AttemptOutcome, Deployment, Idempotency, MAX_STALL_SECONDS, NodeId, QueryId};
 
@@ -40,7 +40,7 @@
     payload: Payload,
     /// Its streamed body, and why that is not available for retries.
     body: Option<BodyId>,
-    body_failure: Option<Reason>,
+    body_failure: Option<FallbackReason>,
     segments: Vec<usize>,
     part_ids: Vec<Rc<str>>,
     /// The value of each part that has been answered.
@@ -101,7 +101,7 @@
     value_bytes: u64,
     /// The client that uploads each body.
     uploads: HashMap<BodyId, usize>,
-    bounds: Rc<Bounds>,
+    bounds: Rc<HostSettings>,
     replica_groups: usize,
     replicas: usize,
     max_attempts: usize,
@@ -178,7 +178,7 @@
     /// Hosts the router of this deployment, with nothing in flight.
     pub fn new(
         site: &Deployment,
-        bounds: Rc<Bounds>,
+        bounds: Rc<HostSettings>,
         pool: &Pool,
         downstream: Downstream,
         upstream: Upstream,
@@ -216,12 +216,12 @@
 
     /// The tenants' names, by index.
     pub fn tenants(&self) -> Vec<String> {
-        self.bounds.customers.clone()
+        self.bounds.tenants.clone()
     }
 
     /// The query classes' names, by index.
     pub fn query_classes(&self) -> Vec<String> {
-        self.bounds.table_types.clone()
+        self.bounds.query_classes.clone()
     }
 
     /// Writes queued frames to the nodes.
@@ -241,7 +241,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.bounds.most_held.is_some_and(|most| self.in_flight >= most)
+        self.bounds.max_in_flight.is_some_and(|most| self.in_flight >= most)
     }
 
     /// Whether the query is in flight and not finished.
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use dunepond_body_buffer::{Arrival, BodyId, Reason};
+use dunepond_body_buffer::{BodyId, FallbackReason, IncomingBody};
 use dunepond_routing::{Query, QueryId};
 
 use super::RouterHost;
@@ -17,12 +17,14 @@
         let Some(bodies) = &mut self.body_store else { return };
         bodies.held_beside(self.pool.bytes(), self.value_bytes);
         let (customer, table_type) = (asked.customer, asked.table_type);
-        let arrival = Arrival { customer, table_type, length: head.length() };
+        let arrival =
+            IncomingBody { tenant: customer, query_class: table_type, stated_length: head.length() };
         match bodies.arrive(self.now, arrival) {
             Ok(body) => {
                 if !bodies.check_scheduled {
                     bodies.check_scheduled = true;
-                    self.timers.schedule(self.now + bodies.terms().slowest / 4.0, TimerEvent::BodyCheck);
+                    self.timers
+                        .schedule(self.now + bodies.terms().io_timeout_seconds / 4.0, TimerEvent::BodyCheck);
                 }
                 self.uploads.insert(body.id, client);
                 // A client's deadline is capped by the query class's timeout.
@@ -34,21 +36,27 @@
         }
     }
 
-    fn reject_body(&mut self, client: usize, why: Reason) {
+    fn reject_body(&mut self, client: usize, why: FallbackReason) {
         let (refusal, wait) = self.body_error(why);
         self.downstream.refuse(self.now, client, refusal, wait, &mut self.timers);
     }
 
     /// The response and Retry-After (seconds) for a rejected body. A body that is too long is not retriable.
-    fn body_error(&self, why: Reason) -> (HttpError, f64) {
+    fn body_error(&self, why: FallbackReason) -> (HttpError, f64) {
         match why {
-            Reason::TooLong | Reason::LengthUnknown => (refusal(413, format!("body: {why}")), 0.0),
+            FallbackReason::TooLong | FallbackReason::LengthUnknown => {
+                (refusal(413, format!("body: {why}")), 0.0)
+            }
             _ => (refusal(503, format!("body: {why}")), self.max_retry_after),
         }
     }
 
     /// Starts the query of a body that is buffered, or passed through for the reason in `note`.
-    pub fn start_streamed_query(&mut self, body: BodyId, note: Option<Reason>) -> Option<(Query, Rc<Body>)> {
+    pub fn start_streamed_query(
+        &mut self,
+        body: BodyId,
+        note: Option<FallbackReason>,
+    ) -> Option<(Query, Rc<Body>)> {
         let client = self.uploads.remove(&body)?;
         let (asked, body) = self.downstream.start_query(client, body, &mut self.timers)?;
         let asked = QueryRequest { text: Payload::Streamed(body.clone()), ..asked };
@@ -60,7 +68,7 @@
     }
 
     /// A body was lost. While it is being uploaded its client is refused; afterwards its query is returned.
-    pub fn on_body_lost(&mut self, body: BodyId, why: Reason) -> Option<QueryId> {
+    pub fn on_body_lost(&mut self, body: BodyId, why: FallbackReason) -> Option<QueryId> {
         if let Some(client) = self.uploads.remove(&body) {
             let (refusal, wait) = self.body_error(why);
             self.downstream.fail_body(self.now, client, body, refusal, wait, &mut self.timers);
@@ -115,7 +123,7 @@
     pub fn check_bodies(&mut self) {
         let Some(bodies) = &mut self.body_store else { return };
         bodies.slow(self.now);
-        let slowest = bodies.terms().slowest;
+        let slowest = bodies.terms().io_timeout_seconds;
         self.upstream.close_slow_consumers(self.now, slowest, &mut self.timers);
         bodies.held_beside(self.pool.bytes(), self.value_bytes);
         bodies.check_scheduled = bodies.any();
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -3,13 +3,13 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use dunepond_config::Bounds;
+use dunepond_config::HostSettings;
 use dunepond_routing::{Deployment, Idempotency, Part, QueryId};
-use dunepond_search_api::answer::{self, Answer, Parts};
-use dunepond_search_api::hits::{Expected, Merge};
-use dunepond_search_api::node::{Meaning, meaning};
-use dunepond_search_api::request::{Track, read};
-use dunepond_search_api::{ApiError, Call, Limits, Search, routing};
+use dunepond_search_api::hits::{ExpectedResult, HitMerger};
+use dunepond_search_api::node::{NodeOutcome, read_response};
+use dunepond_search_api::request::{TrackTotalHits, parse};
+use dunepond_search_api::response::{self, MissingPart, PartOutcomes, ResponseBody};
+use dunepond_search_api::{ApiError, ApiRequest, RequestLimits, Search, routing};
 
 use crate::body::Payload;
 use crate::http::{Head, HttpError};
@@ -21,8 +21,8 @@
 /// The configuration of the search API; shared by the client connections, which parse with it, and the router host.
 pub struct SearchApi {
     /// Bounds on requests.
-    pub limits: Limits,
-    bounds: Rc<Bounds>,
+    pub limits: RequestLimits,
+    bounds: Rc<HostSettings>,
     types: Vec<QueryClass>,
 }
 
@@ -37,7 +37,7 @@
 /// A parsed request.
 pub struct SearchRequest {
     /// What is requested.
-    pub call: Call,
+    pub call: ApiRequest,
     /// Index into the configured tenants; one more than the last for an unlisted tenant.
     pub customer: usize,
     /// The client marks it as a retry.
@@ -52,7 +52,7 @@
 
 impl SearchApi {
     /// The API for these query classes and bounds.
-    pub fn new(limits: Limits, bounds: Rc<Bounds>, site: &Deployment) -> Self {
+    pub fn new(limits: RequestLimits, bounds: Rc<HostSettings>, site: &Deployment) -> Self {
         let types = site.query_classes.iter().map(|class| QueryClass {
             is_update: class.idempotency == Idempotency::NonIdempotent,
             timeout: class.timeout,
@@ -63,13 +63,13 @@
     /// Parses a request whose first byte arrived at `came`. Non-idempotent query classes are updated and not searched, all
     /// others are searched and not updated.
     pub fn read(&self, head: &Head, body: &[u8], came: f64) -> Result<SearchRequest, ApiError> {
-        let call = read(&head.method, &head.path, body, &self.bounds.table_types, &self.limits)?;
+        let call = parse(&head.method, &head.path, body, &self.bounds.query_classes, &self.limits)?;
         let call = self.check_use(call)?;
-        let customer = self.bounds.customers.iter().position(|c| *c == head.tenant);
+        let customer = self.bounds.tenants.iter().position(|c| *c == head.tenant);
         let is_plain = head.request_id.bytes().all(|b| b.is_ascii_graphic());
         Ok(SearchRequest {
             call,
-            customer: customer.unwrap_or(self.bounds.customers.len()),
+            customer: customer.unwrap_or(self.bounds.tenants.len()),
             again: head.is_retry,
             id: if is_plain {
                 head.request_id.chars().take(MAX_REQUEST_ID_CHARS).collect()
@@ -82,27 +82,27 @@
     }
 
     /// Checks that each index of a call may be used so. In a multi-search only the search at fault fails.
-    fn check_use(&self, call: Call) -> Result<Call, ApiError> {
+    fn check_use(&self, call: ApiRequest) -> Result<ApiRequest, ApiError> {
         match call {
-            Call::Search(search) => {
+            ApiRequest::Search(search) => {
                 self.check_index(&search, false)?;
-                Ok(Call::Search(search))
+                Ok(ApiRequest::Search(search))
             }
-            Call::Count(search) => {
+            ApiRequest::Count(search) => {
                 self.check_index(&search, false)?;
-                Ok(Call::Count(search))
+                Ok(ApiRequest::Count(search))
             }
-            Call::Update(search) => {
+            ApiRequest::Update(search) => {
                 self.check_index(&search, true)?;
-                Ok(Call::Update(search))
+                Ok(ApiRequest::Update(search))
             }
-            Call::Multi(searches) => {
+            ApiRequest::Multi(searches) => {
                 let checked = searches.into_iter().map(|search| {
                     let search = search?;
                     self.check_index(&search, false)?;
                     Ok(search)
                 });
-                Ok(Call::Multi(checked.collect()))
+                Ok(ApiRequest::Multi(checked.collect()))
             }
             call => Ok(call),
         }
@@ -124,14 +124,14 @@
 
     /// The name of an index, which is a query class.
     pub fn index(&self, index: usize) -> &str {
-        &self.bounds.table_types[index]
+        &self.bounds.query_classes[index]
     }
 
     /// The query of a search. Its parts have the same weight: the API does not say which segment holds more.
     pub fn asked(&self, search: &Search, request: &SearchRequest, request_id: String) -> QueryRequest {
-        let segs = routing::segments(&search.routing, self.bounds.segs);
+        let segs = routing::segments_of(&search.routing, self.bounds.segment_count);
         let weight = 1.0 / segs.len().max(1) as f64;
-        let wait = [search.timeout, request.time_budget, Some(self.types[search.index].timeout)];
+        let wait = [search.timeout_seconds, request.time_budget, Some(self.types[search.index].timeout)];
         QueryRequest {
             request_id,
             table_type: search.index,
@@ -139,7 +139,7 @@
             deadline: request.came + wait.into_iter().flatten().fold(f64::MAX, f64::min),
             is_retry: request.again,
             parts: segs.into_iter().map(|seg| Part { segment: seg, weight, required_node: None }).collect(),
-            text: Payload::Inline(search.text().into()),
+            text: Payload::Inline(search.node_request_body().into()),
         }
     }
 }
@@ -172,7 +172,7 @@
     place: usize,
     search: Search,
     index: String,
-    merge: Merge,
+    merge: HitMerger,
     is_update: bool,
     updated: u64,
     count: bool,
@@ -188,19 +188,19 @@
         request: u64,
         place: usize,
         search: &Search,
-        call: &Call,
+        call: &ApiRequest,
         began: f64,
     ) -> Self {
-        let most = search.window();
+        let most = search.result_window();
         Self {
             request,
             place,
             index: door.index(search.index).to_string(),
-            merge: Merge::new(&search.sort, most),
+            merge: HitMerger::new(&search.sort, most),
             search: search.clone(),
-            is_update: matches!(call, Call::Update(_)),
+            is_update: matches!(call, ApiRequest::Update(_)),
             updated: 0,
-            count: matches!(call, Call::Count(_)),
+            count: matches!(call, ApiRequest::Count(_)),
             began,
             failures: HashMap::new(),
         }
@@ -213,17 +213,17 @@
 
     /// Merges the value of a part.
     pub fn took(&mut self, seg: usize, value: &str) -> Result<(), ValueError> {
-        let expected = Expected {
+        let expected = ExpectedResult {
             index: &self.index,
-            most: self.search.window(),
-            keys: Some(self.search.sort.len()),
-            untracked: self.search.track == Track::No,
+            max_hits: self.search.result_window(),
+            sort_keys: Some(self.search.sort.len()),
+            total_untracked: self.search.track_total_hits == TrackTotalHits::No,
         };
-        match meaning(200, value.as_bytes(), (!self.is_update).then_some(&expected)) {
-            Meaning::Found(found) => self.merge.add(seg, *found),
-            Meaning::Updated(count) => self.updated = self.updated.saturating_add(count),
-            Meaning::Rejected => return Err(ValueError::Rejected),
-            Meaning::Failed(why) => {
+        match read_response(200, value.as_bytes(), (!self.is_update).then_some(&expected)) {
+            NodeOutcome::Found(found) => self.merge.add(seg, *found),
+            NodeOutcome::Updated(count) => self.updated = self.updated.saturating_add(count),
+            NodeOutcome::Rejected => return Err(ValueError::Rejected),
+            NodeOutcome::Failed(why) => {
                 self.failures.insert(seg, why.clone());
                 return Err(ValueError::Failed(why));
             }
@@ -239,11 +239,11 @@
         whole: bool,
         segs: &[(usize, bool)],
         left_out: &[usize],
-    ) -> Result<Answer, ApiError> {
+    ) -> Result<ResponseBody, ApiError> {
         let took = ((now - self.began).max(0.0) * 1000.0) as u64;
         if self.is_update {
             return if whole {
-                Ok(answer::updated(took, self.updated))
+                Ok(response::update_response(took, self.updated))
             } else {
                 Err(ApiError::unknown_outcome())
             };
@@ -252,17 +252,17 @@
         let why = |seg: &usize| {
             self.failures.get(seg).map_or("not in by the answer's time", String::as_str).to_string()
         };
-        let parts = Parts {
+        let parts = PartOutcomes {
             total: segs.len(),
             successful: segs.iter().filter(|(_, is_in)| *is_in).count(),
             skipped: left_out.len(),
-            missing: missing.map(|(seg, _)| (*seg, why(seg))).collect(),
+            missing: missing.map(|(seg, _)| MissingPart { segment: *seg, reason: why(seg) }).collect(),
             timed_out: !whole,
         };
-        let merge = std::mem::replace(&mut self.merge, Merge::new(&[], 0));
+        let merge = std::mem::replace(&mut self.merge, HitMerger::new(&[], 0));
         match self.count {
-            true => answer::count(&self.index, &parts, &merge),
-            false => answer::search(took, &self.index, &self.search, &parts, merge),
+            true => response::count_response(&self.index, &parts, &merge),
+            false => response::search_response(took, &self.index, &self.search, &parts, merge),
         }
     }
 }
@@ -274,7 +274,7 @@
     /// When it was accepted, Unix seconds.
     pub began: f64,
     many: bool,
-    outcomes: Vec<Option<Result<Answer, ApiError>>>,
+    outcomes: Vec<Option<Result<ResponseBody, ApiError>>>,
     /// The queries of its searches.
     pub queries: Vec<QueryId>,
     /// The longest Retry-After of its searches, in seconds.
@@ -283,9 +283,9 @@
 
 impl ActiveRequest {
     /// A request without outcomes yet.
-    pub fn new(client: usize, began: f64, call: &Call) -> Self {
+    pub fn new(client: usize, began: f64, call: &ApiRequest) -> Self {
         let (many, count) = match call {
-            Call::Multi(searches) => (true, searches.len()),
+            ApiRequest::Multi(searches) => (true, searches.len()),
             _ => (false, 1),
         };
         Self { client, began, many, outcomes: vec![None; count], queries: Vec::new(), wait: 0.0 }
@@ -296,7 +296,7 @@
         &mut self,
         now: f64,
         place: usize,
-        outcome: Result<Answer, ApiError>,
+        outcome: Result<ResponseBody, ApiError>,
         wait: f64,
     ) -> Option<SearchResponse> {
         self.wait = self.wait.max(wait);
@@ -307,7 +307,7 @@
         let outcomes: Vec<_> = std::mem::take(&mut self.outcomes).into_iter().flatten().collect();
         if self.many {
             let took = ((now - self.began).max(0.0) * 1000.0) as u64;
-            let body = answer::many(took, &outcomes);
+            let body = response::multi_search_response(took, &outcomes);
             return Some(SearchResponse { status: 200, body, retry_after: 0.0 });
         }
         Some(match outcomes.into_iter().next()? {
--- a/crates/dunepond-broker/src/upstream/connection.rs
+++ b/crates/dunepond-broker/src/upstream/connection.rs
@@ -67,7 +67,8 @@
             since: now,
             retired: false,
             timer: Some(
-                timers.schedule(now + self.bounds.connect_timeout, TimerEvent::UpstreamConnection(id)),
+                timers
+                    .schedule(now + self.bounds.connect_timeout_seconds, TimerEvent::UpstreamConnection(id)),
             ),
             input: None,
             out: WriteQueue::new(&self.pool),
@@ -125,13 +126,13 @@
             return;
         };
         // A node may still work on cancelled attempts until it reports their end.
-        let no_room = connection.cancelled.len() >= self.bounds.parts_a_connection;
+        let no_room = connection.cancelled.len() >= self.bounds.max_parts_per_connection;
         if connection.retired || connection.input.is_some() || no_room {
             return self.end(now, id, ConnectionEnd::IdleClosed, timers);
         }
         if connection.timer.is_none() {
             let key = timers.schedule(
-                now + IDLE_CLOSE_RATIO * self.bounds.idle_close,
+                now + IDLE_CLOSE_RATIO * self.bounds.idle_timeout_seconds,
                 TimerEvent::UpstreamConnection(id),
             );
             connection.timer = Some(key);
--- a/crates/dunepond-broker/src/upstream/framing.rs
+++ b/crates/dunepond-broker/src/upstream/framing.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::rc::Rc;
 
-use dunepond_search_api::node;
+use dunepond_search_api::node::RequestHead;
 
 use super::{AttemptRequest, NodeConnection, OutstandingRequest};
 use crate::body::Payload;
@@ -91,7 +91,16 @@
         let index = &search_api.indices[parcel.table_type];
         let (wait, length) = (parcel.time_left_ms(now), parcel.text.length());
         out.from = self.out.end();
-        self.out.put(&node::head(search_api.host, index, action, parcel.seg, &parcel.id, wait, length));
+        let head = RequestHead {
+            host: search_api.host,
+            index,
+            operation: action,
+            segment: parcel.seg,
+            id: &parcel.id,
+            timeout_ms: wait,
+            body_bytes: length,
+        };
+        self.out.put(&head.encode());
         if let Payload::Inline(text) = &parcel.text {
             self.out.queue_text(text);
         }
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 
 use calloop::RegistrationToken;
-use dunepond_config::Bounds;
+use dunepond_config::HostSettings;
 use dunepond_routing::{AttemptEnded, AttemptId, AttemptOutcome, EndpointState, NodeId, QueryId};
 use ipnet::IpNet;
 use slab::Slab;
@@ -136,7 +136,7 @@
     most_links: usize,
     /// Connections without attempts, by the timer that will close them: the first has been idle the longest.
     idle: BTreeMap<TimerKey, usize>,
-    bounds: Rc<Bounds>,
+    bounds: Rc<HostSettings>,
     /// Nodes with attempts that are not assigned to a connection.
     nodes_to_flush: Vec<NodeId>,
     /// Batches that found no descriptor for a connection, until one is freed or none can be.
@@ -241,7 +241,7 @@
 
 impl Upstream {
     /// No nodes yet; `most_links` bounds the connections.
-    pub fn new(handle: EventLoopHandle, pool: &Pool, bounds: Rc<Bounds>, most_links: usize) -> Self {
+    pub fn new(handle: EventLoopHandle, pool: &Pool, bounds: Rc<HostSettings>, most_links: usize) -> Self {
         let (pool, connections, idle) = (pool.clone(), Slab::new(), BTreeMap::new());
         let (nodes, nodes_to_flush, gone, back) = (Vec::new(), Vec::new(), Vec::new(), VecDeque::new());
         let (starved, paces, copied) = (Vec::new(), HashMap::new(), 0);
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -20,7 +20,8 @@
                 let mut parcels = vec![first];
                 // A streamed body goes alone on a connection of its own; so does each attempt of the search API.
                 if parcels[0].text.body().is_none() && !api {
-                    while parcels.len() < self.bounds.parts_a_call.min(self.bounds.parts_a_connection)
+                    while parcels.len()
+                        < self.bounds.max_parts_per_call.min(self.bounds.max_parts_per_connection)
                         && let Some(next) = unframed.next_if(|p| p.text.body().is_none())
                     {
                         parcels.push(next);
@@ -94,7 +95,7 @@
     /// A connection that can carry these attempts as one batch.
     fn find_connection(&self, now: f64, node: NodeId, parcels: &[AttemptRequest]) -> Option<usize> {
         // Attempts beyond this number would wait unread at the node, and their cancel frames behind them.
-        let (most, api) = (self.bounds.parts_a_connection, self.speaks_api(node));
+        let (most, api) = (self.bounds.max_parts_per_connection, self.speaks_api(node));
         let alone = api || parcels[0].text.body().is_some();
         let room = |l: &NodeConnection| {
             let free = if alone { l.outstanding.is_empty() } else { !l.is_reserved_for_body() };
@@ -146,7 +147,7 @@
         let connection = &mut self.connections[id];
         let host = self.nodes[connection.node].name();
         let search_api = self.api.as_ref().filter(|_| connection.api).map(|api| SearchApiFraming {
-            indices: &self.bounds.table_types,
+            indices: &self.bounds.query_classes,
             non_idempotent: &api.non_idempotent,
             host,
         });
--- a/crates/dunepond-broker/src/upstream/response.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -3,8 +3,8 @@
 use std::io;
 
 use dunepond_routing::{AttemptOutcome, NodeId};
-use dunepond_search_api::hits::Expected;
-use dunepond_search_api::node::{Meaning, meaning};
+use dunepond_search_api::hits::ExpectedResult;
+use dunepond_search_api::node::{NodeOutcome, read_response};
 use tracing::{debug, warn};
 
 use super::{CompletedAttempt, Upstream};
@@ -76,7 +76,7 @@
                         return self.end(now, id, ConnectionEnd::ProtocolError, timers);
                     } else if connection.timer.is_none() {
                         // The rest of a frame may never arrive: it has as long as establishing a connection.
-                        let until = now + self.bounds.connect_timeout;
+                        let until = now + self.bounds.connect_timeout_seconds;
                         connection.timer = Some(timers.schedule(until, TimerEvent::UpstreamConnection(id)));
                     }
                     return;
@@ -139,20 +139,20 @@
         query_class: usize,
         message: &Message,
     ) -> (AttemptOutcome, Option<String>) {
-        let expected = Expected {
-            index: &self.bounds.table_types[query_class],
+        let expected = ExpectedResult {
+            index: &self.bounds.query_classes[query_class],
             // Only the search API front end knows the limits in the payload, and checks the value against them.
-            most: usize::MAX,
-            keys: None,
-            untracked: true,
+            max_hits: usize::MAX,
+            sort_keys: None,
+            total_untracked: true,
         };
         let once = self.api.as_ref().is_some_and(|api| api.non_idempotent[query_class]);
-        match meaning(message.head.status, message.text(), (!once).then_some(&expected)) {
-            Meaning::Found(_) | Meaning::Updated(_) => {
+        match read_response(message.head.status, message.text(), (!once).then_some(&expected)) {
+            NodeOutcome::Found(_) | NodeOutcome::Updated(_) => {
                 (AttemptOutcome::Served, std::str::from_utf8(message.text()).ok().map(str::to_string))
             }
-            Meaning::Rejected => (AttemptOutcome::Rejected, None),
-            Meaning::Failed(why) => {
+            NodeOutcome::Rejected => (AttemptOutcome::Rejected, None),
+            NodeOutcome::Failed(why) => {
                 debug!("node {}: {why}", self.name(node));
                 (AttemptOutcome::Error, None)
             }
--- a/crates/dunepond-broker/tests/closing.rs
+++ b/crates/dunepond-broker/tests/closing.rs
@@ -11,7 +11,7 @@
 use dunepond_broker::clock::{TimerEvent, Timers};
 use dunepond_broker::downstream::{ClientEvent, Downstream, listen};
 use dunepond_broker::iteration::{Iteration, LoopEvent};
-use dunepond_config::{Fields, bounds};
+use dunepond_config::{Fields, host_settings};
 use dunepond_testkit::store::{Client, scan, settings};
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -42,7 +42,7 @@
         let event_loop = EventLoop::try_new().unwrap();
         let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
-        let bounds = Rc::new(bounds(&Fields::of("settings", &settings).unwrap()).unwrap());
+        let bounds = Rc::new(host_settings(&Fields::new("settings", &settings).unwrap()).unwrap());
         let clients =
             Downstream::new(event_loop.handle(), &Pool::default(), bounds, most, 64, listener).unwrap();
         Self { event_loop, clients, timers: Timers::default(), address, now: 100.0 }
--- a/crates/dunepond-broker/tests/hangup.rs
+++ b/crates/dunepond-broker/tests/hangup.rs
@@ -9,7 +9,7 @@
 use dunepond_broker::clock::Timers;
 use dunepond_broker::downstream::{ClientEvent, Downstream, listen};
 use dunepond_broker::iteration::{Iteration, LoopEvent};
-use dunepond_config::{Fields, bounds};
+use dunepond_config::{Fields, host_settings};
 use dunepond_testkit::store::{Client, scan, settings};
 
 /// Longest wait for an expected event.
@@ -37,7 +37,7 @@
         let address = listener.local_addr().unwrap();
         let client = Client::dial(address);
         let (settings, mut timers) = (settings(), Timers::default());
-        let bounds = Rc::new(bounds(&Fields::of("settings", &settings).unwrap()).unwrap());
+        let bounds = Rc::new(host_settings(&Fields::new("settings", &settings).unwrap()).unwrap());
         let mut clients =
             Downstream::new(event_loop.handle(), &Pool::default(), bounds, most, 64, listener).unwrap();
         event_loop.dispatch(PATIENCE, &mut Iteration::default()).unwrap();
--- a/crates/dunepond-broker/tests/migrate.rs
+++ b/crates/dunepond-broker/tests/migrate.rs
@@ -1,4 +1,4 @@
-//! `dunepond-broker migrate`: a file of the old shape, its counterpart, and a broker that serves by it.
+//! `dunepond-broker migrate`: a file of the old shape, its migrate, and a broker that serves by it.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- /dev/null
+++ b/crates/dunepond-config/src/error.rs
@@ -0,0 +1,15 @@
+//! The error of everything that is read at startup.
+
+use std::fmt;
+
+/// Why a configuration, or something it names, cannot be used: one line that begins with the key or the source.
+#[derive(Debug, PartialEq)]
+pub struct ConfigError(pub String);
+
+impl fmt::Display for ConfigError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(&self.0)
+    }
+}
+
+impl std::error::Error for ConfigError {}
--- /dev/null
+++ b/crates/dunepond-config/src/operator/body_buffer.rs
@@ -0,0 +1,133 @@
+//! Buffering of request bodies for retries (`bodies`).
+
+use std::path::PathBuf;
+
+use dunepond_body_buffer::{BufferLimits, MAX_BUFFERED_RATIO, SpillLimits};
+use kdl::{KdlDocument, KdlNode};
+
+use super::MIB;
+use super::reader::Reader;
+
+const DEFAULT_LIMITS: BufferLimits = BufferLimits {
+    max_body_bytes: MIB,
+    max_body_in_memory_bytes: MIB,
+    max_memory_bytes: 48 * MIB,
+    spill: None,
+    tenant_ratio: 0.5,
+    query_class_ratio: 0.75,
+    window_bytes: MIB / 4,
+    io_timeout_seconds: 2.0,
+};
+const MIN_MAX_BODY_BYTES: u64 = 64 * 1024;
+const MIN_WINDOW_BYTES: u64 = 128 * 1024;
+const KEYS: [&str; 6] = ["longest", "memory", "files", "share", "window", "slowest"];
+
+/// How request bodies are buffered.
+#[derive(Clone, Debug, PartialEq)]
+pub struct BodyBufferConfig {
+    /// How much, and for how long.
+    pub limits: BufferLimits,
+    /// Where bodies are spilled to; absent, they are held in memory only.
+    pub spill: Option<SpillConfig>,
+}
+
+/// The folder that bodies are spilled to, and the threads that write there.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SpillConfig {
+    /// An existing folder.
+    pub folder: PathBuf,
+    /// How many threads read and write.
+    pub threads: usize,
+    /// Jobs that may wait for the threads.
+    pub max_queued_jobs: usize,
+}
+
+impl Reader<'_> {
+    pub(super) fn body_buffer(&mut self, node: &KdlNode) -> BodyBufferConfig {
+        let at = node.name().span().offset();
+        if !node.entries().is_empty() {
+            self.fault(at, "bodies: takes no values of its own; its keys stand between braces");
+        }
+        let mut limits = DEFAULT_LIMITS;
+        let mut spill = None;
+        let children = node.children().map_or(&[][..], KdlDocument::nodes);
+        for child in self.children("bodies", children, &KEYS) {
+            match child.name().value() {
+                "longest" => {
+                    let size = self.argument(child).and_then(|entry| self.size(entry, MIN_MAX_BODY_BYTES));
+                    limits.max_body_bytes = size.unwrap_or(limits.max_body_bytes);
+                }
+                "memory" => self.body_memory(child, &mut limits),
+                "files" => spill = self.body_files(child, &mut limits),
+                "share" => {
+                    let [customer, table_type] = self.properties(child, ["customer", "table-type"]);
+                    limits.tenant_ratio = self.number_or(customer, 0.01..=1.0, limits.tenant_ratio);
+                    limits.query_class_ratio =
+                        self.number_or(table_type, 0.01..=1.0, limits.query_class_ratio);
+                }
+                "window" => {
+                    let size = self.argument(child).and_then(|entry| self.size(entry, MIN_WINDOW_BYTES));
+                    limits.window_bytes = size.unwrap_or(limits.window_bytes);
+                }
+                _ => {
+                    let slowest = self.argument(child);
+                    limits.io_timeout_seconds =
+                        self.number_or(slowest, 0.05..=60.0, limits.io_timeout_seconds);
+                }
+            }
+        }
+        self.check_body_limits(at, &limits);
+        BodyBufferConfig { limits, spill }
+    }
+
+    fn body_memory(&mut self, node: &KdlNode, limits: &mut BufferLimits) {
+        let [one, all] = self.properties(node, ["one", "all"]);
+        let one = one.and_then(|entry| self.size(entry, 0));
+        let all = all.and_then(|entry| self.size(entry, MIB));
+        limits.max_body_in_memory_bytes = one.unwrap_or(limits.max_body_in_memory_bytes);
+        limits.max_memory_bytes = all.unwrap_or(limits.max_memory_bytes);
+    }
+
+    fn body_files(&mut self, node: &KdlNode, limits: &mut BufferLimits) -> Option<SpillConfig> {
+        let known = ["folder", "one", "all", "threads", "waiting", "rest", "longest-rest"];
+        let [folder, one, all, threads, waiting, rest, longest_rest] = self.properties(node, known);
+        let folder = self.folder(node, folder);
+        let one = one.and_then(|entry| self.size(entry, 0)).unwrap_or(64 * MIB);
+        let all = all.and_then(|entry| self.size(entry, MIB)).unwrap_or(1024 * MIB);
+        let first = self.number_or(rest, 0.05..=600.0, 0.5);
+        let longest = self.number_or(longest_rest, first..=3600.0, 30.0_f64.max(first));
+        limits.spill = Some(SpillLimits {
+            max_body_bytes: one,
+            max_total_bytes: all,
+            initial_backoff_seconds: first,
+            max_backoff_seconds: longest,
+        });
+        let threads = self.count_or(threads, 1.0..=16.0, 2);
+        let max_queued_jobs = self.count_or(waiting, 4.0..=4096.0, 128);
+        Some(SpillConfig { folder: folder?, threads, max_queued_jobs })
+    }
+
+    /// A body as long as the limits allow must fit what one tenant, and one query class, may take.
+    fn check_body_limits(&mut self, at: usize, limits: &BufferLimits) {
+        let ratio = limits.tenant_ratio.min(limits.query_class_ratio);
+        let max_buffered = (MAX_BUFFERED_RATIO * ratio * limits.max_memory_bytes as f64) as u64;
+        if limits.max_body_in_memory_bytes > max_buffered {
+            self.fault(
+                at,
+                format!("bodies: memory one= is over the {max_buffered} bytes that a share of all= allows"),
+            );
+        }
+        if limits.window_bytes as f64 > ratio * limits.max_memory_bytes as f64 {
+            self.fault(at, "bodies: window is over what a share of memory all= allows");
+        }
+        if let Some(files) = &limits.spill
+            && files.max_body_bytes as f64 > ratio * files.max_total_bytes as f64
+        {
+            let max_spilled = (ratio * files.max_total_bytes as f64) as u64;
+            self.fault(
+                at,
+                format!("bodies: files one= is over the {max_spilled} bytes that a share of all= allows"),
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/dunepond-config/src/operator/fleet/parse.rs
@@ -0,0 +1,229 @@
+//! Reads the `fleet` node and checks what is given across its children.
+
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use dunepond_consensus::ConsensusConfigError;
+use kdl::{KdlDocument, KdlEntry, KdlNode};
+
+use super::{
+    BrokerAddress, DEFAULT_FILL_DEADLINE_SECONDS, DEFAULT_MAP, FillConfig, FleetConfig, LinkConfig,
+    MapConfig, PartnerConfig, RebalanceConfig,
+};
+use crate::operator::MIB;
+use crate::operator::reader::Reader;
+
+/// Stands for query timeouts, which this file need not state.
+const MIN_QUERY_SECONDS: f64 = 1e-6;
+const KEYS: [&str; 6] = ["listen", "folder", "lease", "drift", "bound", "longest-timeout"];
+const NODES: [&str; 11] =
+    ["voter", "peer", "key", "version", "record", "partner", "link", "fills", "moves", "map", "limits"];
+const REPEATABLE_NODES: [&str; 4] = ["voter", "peer", "partner", "link"];
+
+/// Where the fleet's terms stand, for faults that only show when all are known.
+struct TermEntries<'n> {
+    lease: Option<&'n KdlEntry>,
+    drift: Option<&'n KdlEntry>,
+    bound: Option<&'n KdlEntry>,
+    longest_timeout: Option<&'n KdlEntry>,
+}
+
+impl Reader<'_> {
+    pub(in crate::operator) fn fleet(&mut self, node: &KdlNode) -> Option<FleetConfig> {
+        let at = node.name().span().offset();
+        let [listen, folder, lease, drift, bound, longest_timeout] = self.keys(node, KEYS);
+        let listen_address = self.address("fleet: listen", listen, at);
+        let folder = self.folder(node, folder);
+        let mut fleet = FleetConfig {
+            listen_address: listen_address.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))),
+            folder: folder.clone().unwrap_or_default(),
+            lease_seconds: self.number_or(lease, 0.1..=300.0, 2.0),
+            clock_drift_ratio: self.number_or(drift, 0.0..=0.5, 0.01),
+            switch_bound_seconds: self.number_or(bound, 0.1..=3600.0, 8.0),
+            longest_query_seconds: longest_timeout.and_then(|entry| self.number(entry, 0.0, 3600.0)),
+            voters: Vec::new(),
+            peers: Vec::new(),
+            key_file: None,
+            version_file: None,
+            audit_log_file: None,
+            partners: Vec::new(),
+            links: Vec::new(),
+            fills: None,
+            rebalancing: None,
+            map: None,
+            quotas: None,
+        };
+        self.fleet_children(node, &mut fleet);
+        self.check_unique(node, &fleet);
+        self.check_terms(at, &fleet, &TermEntries { lease, drift, bound, longest_timeout });
+        (listen_address.is_some() && folder.is_some()).then_some(fleet)
+    }
+
+    fn fleet_children(&mut self, node: &KdlNode, fleet: &mut FleetConfig) {
+        let mut links = Vec::new();
+        let children = node.children().map_or(&[][..], KdlDocument::nodes);
+        for child in self.several("fleet", children, &NODES, &REPEATABLE_NODES) {
+            match child.name().value() {
+                "voter" => fleet.voters.extend(self.broker_address(child)),
+                "peer" => fleet.peers.extend(self.broker_address(child)),
+                "key" => fleet.key_file = self.path(child),
+                "version" => fleet.version_file = self.path(child),
+                "record" => fleet.audit_log_file = self.path(child),
+                "partner" => fleet.partners.extend(self.partner(child)),
+                "link" => links.extend(self.link(child).map(|link| (child, link))),
+                "fills" => fleet.fills = self.fills(child),
+                "limits" => fleet.quotas = self.quotas(child),
+                "moves" => fleet.rebalancing = self.rebalancing(child),
+                _ => fleet.map = Some(self.map_constraints(child)),
+            }
+        }
+        // A link may stand before the partners that it names.
+        for (child, link) in links {
+            self.check_link(child, &link, fleet);
+            fleet.links.push(link);
+        }
+    }
+
+    fn check_link(&mut self, node: &KdlNode, link: &LinkConfig, fleet: &FleetConfig) {
+        let at = node.name().span().offset();
+        for end in [&link.from, &link.to] {
+            if !fleet.partners.iter().any(|partner| partner.name == *end) {
+                self.fault(at, format!("link: '{end}' is no partner; name it by a node 'partner'"));
+            }
+        }
+        if fleet.links.iter().any(|other| other.from == link.from && other.to == link.to) {
+            self.fault(at, format!("link: from '{}' to '{}' is given twice", link.from, link.to));
+        }
+    }
+
+    fn check_terms(&mut self, at: usize, fleet: &FleetConfig, entries: &TermEntries) {
+        let Some(voter) = fleet.voters.first() else {
+            let message = "fleet: no voter; name each by a node 'voter \"NAME\" at=\"ADDRESS:PORT\"'";
+            return self.fault(at, message);
+        };
+        // What goes beyond this file, the broker's name and the longest query timeout, is checked at the start.
+        if let Err(error) = fleet.consensus_config(&voter.name, MIN_QUERY_SECONDS).check() {
+            let entry = match error {
+                ConsensusConfigError::Lease { .. } => entries.lease,
+                ConsensusConfigError::Drift { .. } => entries.drift,
+                ConsensusConfigError::Bound { .. } => entries.bound,
+                ConsensusConfigError::LongestTimeout(_) => entries.longest_timeout,
+                _ => None,
+            };
+            let at = entry.map_or(at, |entry| entry.span().offset());
+            self.fault(at, format!("fleet: {error}: {}", error.help()));
+        }
+    }
+
+    /// Names, addresses, zones and tenants are given once each.
+    fn check_unique(&mut self, node: &KdlNode, fleet: &FleetConfig) {
+        let brokers: Vec<_> = fleet.voters.iter().chain(&fleet.peers).collect();
+        let partners = &fleet.partners;
+        let names = brokers.iter().map(|broker| broker.name.clone()).collect();
+        let addresses = brokers.iter().map(|broker| broker.address.to_string()).collect();
+        let partner_names = partners.iter().map(|partner| partner.name.clone()).collect();
+        let zones = partners.iter().flat_map(|partner| partner.zones.clone()).collect();
+        let partner_brokers = partners.iter().flat_map(|partner| partner.brokers.clone()).collect();
+        let tenants = partners.iter().flat_map(|partner| partner.tenants.clone()).collect();
+        self.check_duplicates(node, "broker", names);
+        self.check_duplicates(node, "address", addresses);
+        self.check_duplicates(node, "partner", partner_names);
+        self.check_duplicates(node, "zone", zones);
+        self.check_duplicates(node, "partner's broker", partner_brokers);
+        self.check_duplicates(node, "customer", tenants);
+    }
+
+    fn check_duplicates(&mut self, node: &KdlNode, what: &str, values: Vec<String>) {
+        let mut seen = BTreeSet::new();
+        for value in values {
+            if !seen.insert(value.clone()) {
+                let at = node.name().span().offset();
+                self.fault(at, format!("fleet: the {what} '{value}' is given twice"));
+            }
+        }
+    }
+
+    fn broker_address(&mut self, node: &KdlNode) -> Option<BrokerAddress> {
+        let (name, [at]) = self.named(node, ["at"]);
+        let what = format!("{}: at", node.name().value());
+        let address = self.address(&what, at, node.name().span().offset());
+        Some(BrokerAddress { name: name?, address: address? })
+    }
+
+    fn partner(&mut self, node: &KdlNode) -> Option<PartnerConfig> {
+        let known = ["zones", "customers", "brokers", "metered"];
+        let (name, [zones, customers, brokers, metered]) = self.named(node, known);
+        let metered = self.is_on(metered);
+        let zones = self.names(zones);
+        let tenants = self.names(customers);
+        let brokers = self.names(brokers);
+        Some(PartnerConfig { name: name?, zones, tenants, brokers, metered })
+    }
+
+    /// Names with commas between them; none where there is no entry.
+    fn names(&mut self, entry: Option<&KdlEntry>) -> Vec<String> {
+        let text = entry.and_then(|entry| self.text(entry, "names with commas between them"));
+        let text = text.unwrap_or_default();
+        text.split(',').map(str::trim).filter(|name| !name.is_empty()).map(str::to_string).collect()
+    }
+
+    fn link(&mut self, node: &KdlNode) -> Option<LinkConfig> {
+        let [from, to, bytes] = self.properties(node, ["from", "to", "bytes"]);
+        if from.is_none() || to.is_none() || bytes.is_none() {
+            let at = node.name().span().offset();
+            self.fault(at, "link: expected from=, to= and bytes= (a second)");
+        }
+        let from = from.and_then(|entry| self.text(entry, "a partner's name"));
+        let to = to.and_then(|entry| self.text(entry, "a partner's name"));
+        let bytes_per_second = bytes.and_then(|entry| self.size(entry, 1024));
+        Some(LinkConfig { from: from?, to: to?, bytes_per_second: bytes_per_second? })
+    }
+
+    fn rebalancing(&mut self, node: &KdlNode) -> Option<RebalanceConfig> {
+        let (plan, [at_once, settle, link_bytes]) = self.named(node, ["at-once", "settle", "link-bytes"]);
+        let plan_file = plan.map(PathBuf::from);
+        if plan_file.as_ref().is_some_and(|plan| !plan.has_root()) {
+            let entry = node.entries().first().map_or(node.name().span(), |entry| entry.span());
+            self.fault(entry.offset(), "moves: expected the path of a file, from the root");
+        }
+        let max_concurrent_acts = self.count_or(at_once, 1.0..=64.0, 4);
+        let settle_seconds = self.number_or(settle, 0.0..=3600.0, 1.0);
+        let default_link_bytes_per_second = link_bytes.and_then(|entry| self.size(entry, 1024));
+        Some(RebalanceConfig {
+            plan_file: plan_file?,
+            max_concurrent_acts,
+            settle_seconds,
+            default_link_bytes_per_second,
+        })
+    }
+
+    fn fills(&mut self, node: &KdlNode) -> Option<FillConfig> {
+        let known = ["at", "deadline", "segment", "rate", "at-once", "warm"];
+        let [at, deadline, segment, rate, at_once, warm] = self.properties(node, known);
+        let fill_started_nodes = self.is_on(warm);
+        let address = self.address("fills: at", at, node.name().span().offset());
+        let deadline_seconds = self.number_or(deadline, 0.1..=86_400.0, DEFAULT_FILL_DEADLINE_SECONDS);
+        let segment_bytes = segment.and_then(|entry| self.size(entry, 1)).unwrap_or(64 * MIB);
+        let bytes_per_second = rate.and_then(|entry| self.size(entry, 64 * 1024)).unwrap_or(32 * MIB);
+        let max_concurrent_fills = self.count_or(at_once, 1.0..=64.0, 4);
+        Some(FillConfig {
+            address: address?,
+            deadline_seconds,
+            segment_bytes,
+            bytes_per_second,
+            max_concurrent_fills,
+            fill_started_nodes,
+        })
+    }
+
+    fn map_constraints(&mut self, node: &KdlNode) -> MapConfig {
+        let known = ["least-holders", "least-zones", "most-changed"];
+        let [holders, zones, changed] = self.properties(node, known);
+        MapConfig {
+            min_replicas: self.count_or(holders, 1.0..=100.0, DEFAULT_MAP.min_replicas),
+            min_zones: self.count_or(zones, 1.0..=100.0, DEFAULT_MAP.min_zones),
+            max_changed_ratio: self.number_or(changed, 0.001..=1.0, DEFAULT_MAP.max_changed_ratio),
+        }
+    }
+}
--- a/crates/dunepond-config/src/operator/mod.rs
+++ b/crates/dunepond-config/src/operator/mod.rs
@@ -1,128 +1,144 @@
-//! The operator's file: a KDL document in which each feature is off where it is silent. Every fault is named with the
-//! place where it stands and what was expected there.
+//! The operator's file: a KDL document that turns features on. A feature that it does not name is off.
 
-mod bodies;
-mod doors;
+mod body_buffer;
 mod fleet;
-mod limits;
+mod prefilter;
+mod quotas;
 mod reader;
+mod recovery;
+mod search_api;
 
 use std::fmt;
 
 use dunepond_background::Budget;
-use dunepond_prefilter as phases;
+use dunepond_prefilter::PrefilterConfig;
 use ipnet::IpNet;
-use kdl::KdlDocument;
+use kdl::{KdlDocument, KdlError, KdlNode};
+
+pub use body_buffer::{BodyBufferConfig, SpillConfig};
+pub use fleet::{
+    BrokerAddress, FillConfig, FleetConfig, LinkConfig, MapConfig, PartnerConfig, RebalanceConfig,
+};
+pub use quotas::QuotaConfig;
+pub use recovery::RecoveryConfig;
+pub use search_api::SearchApiConfig;
 
-pub use bodies::{Bodies, Folder};
-pub use doors::{Search, State};
-pub use fleet::{Fills, Fleet, Known, Link, Maps, Moves, Partner};
-pub use limits::Limits as Shared;
 use reader::Reader;
 
-/// What stands wrong, and where: line and column, each from 1.
+const MIB: u64 = 1024 * 1024;
+
+/// One fault of the file, and where it stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct Diagnostic {
+    /// From 1.
     pub line: usize,
+    /// In characters, from 1.
     pub column: usize,
-    pub words: String,
+    /// What is wrong, and what was expected.
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}:{}: {}", self.line, self.column, self.words)
+        write!(f, "{}:{}: {}", self.line, self.column, self.message)
     }
 }
 
 /// All that the operator's file says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Operator {
-    pub bodies: Option<Bodies>,
-    /// Two-phase scans: which can match is asked first; off where the file does not name them.
-    pub phases: Option<phases::PrefilterConfig>,
-    /// What outlasts the process; nothing does where the file does not name it.
-    pub state: Option<State>,
-    /// The API's door; there is none where the file does not name it.
-    pub search: Option<Search>,
-    /// Addresses of nodes that speak the API; all others speak frames.
-    pub search_nodes: Vec<IpNet>,
-    /// Brokers that agree on versions; nobody is talked with where the file does not name it.
-    pub fleet: Option<Fleet>,
-    /// What background work may take, all together.
+pub struct OperatorConfig {
+    /// Buffering of request bodies (`bodies`).
+    pub body_buffer: Option<BodyBufferConfig>,
+    /// The can-match phase before a query (`phases`).
+    pub prefilter: Option<PrefilterConfig>,
+    /// What outlasts the process (`state`).
+    pub recovery: Option<RecoveryConfig>,
+    /// The listener of the search API (`search`).
+    pub search_api: Option<SearchApiConfig>,
+    /// Networks of the nodes that speak the search API; all other nodes speak frames.
+    pub search_api_nodes: Vec<IpNet>,
+    /// Consensus and membership among brokers.
+    pub fleet: Option<FleetConfig>,
+    /// What background jobs may take, all together.
     pub background: Budget,
     /// `text` or `json`.
-    pub log_form: Option<String>,
-    /// Seconds between two lines of counters in the log.
-    pub counters_every: Option<f64>,
+    pub log_format: Option<String>,
+    /// Seconds between two lines of counters in the log; there are none where it is absent.
+    pub counters_interval_seconds: Option<f64>,
 }
 
-impl Default for Operator {
+impl Default for OperatorConfig {
     fn default() -> Self {
         Self {
-            bodies: None,
-            phases: None,
-            state: None,
-            search: None,
-            search_nodes: Vec::new(),
+            body_buffer: None,
+            prefilter: None,
+            recovery: None,
+            search_api: None,
+            search_api_nodes: Vec::new(),
             fleet: None,
-            background: Budget { time: 0.02, bytes: MIB as f64, at_once: 1 },
-            log_form: None,
-            counters_every: None,
+            background: Budget { time_ratio: 0.02, bytes_per_second: MIB as f64, max_blocking_jobs: 1 },
+            log_format: None,
+            counters_interval_seconds: None,
         }
     }
 }
 
-const MIB: u64 = 1024 * 1024;
+const FEATURES: [&str; 9] =
+    ["bodies", "phases", "state", "search", "search-nodes", "fleet", "background", "log", "counters"];
 
-/// Reads a whole file; all faults that it has, in their order.
-pub fn operator(text: &str) -> Result<Operator, Vec<Fault>> {
-    let mut reader = Reader { text, faults: Vec::new() };
+/// Parses a whole file.
+///
+/// # Errors
+/// All faults of the file, in their order.
+pub fn parse(text: &str) -> Result<OperatorConfig, Vec<Diagnostic>> {
+    let mut reader = Reader::new(text);
     let document = match KdlDocument::parse_v2(text) {
         Ok(document) => document,
-        Err(e) => {
-            for diagnostic in &e.diagnostics {
-                let words = diagnostic.message.clone().or(diagnostic.label.clone());
-                let words = words.unwrap_or_else(|| "cannot be read".to_string());
-                let help = diagnostic.help.as_ref().map_or(String::new(), |help| format!(" ({help})"));
-                reader.fault(diagnostic.span.offset(), format!("not KDL: {words}{help}"));
-            }
+        Err(error) => {
+            reader.report_syntax(&error);
             return Err(reader.faults);
         }
     };
-    let mut operator = Operator::default();
-    for node in reader.children(
-        "the file",
-        document.nodes(),
-        &["bodies", "phases", "state", "search", "search-nodes", "fleet", "background", "log", "counters"],
-    ) {
+    let mut config = OperatorConfig::default();
+    for node in reader.children("the file", document.nodes(), &FEATURES) {
         match node.name().value() {
-            "bodies" => operator.bodies = Some(reader.bodies(node)),
-            "phases" => operator.phases = Some(reader.phases(node)),
-            "state" => operator.state = reader.state(node),
-            "search" => operator.search = reader.search(node),
-            "search-nodes" => operator.search_nodes = reader.networks(node),
-            "fleet" => operator.fleet = reader.fleet(node),
-            "background" => {
-                let [time, bytes, at_once] = reader.properties(node, ["time", "bytes", "at-once"]);
-                let budget = &mut operator.background;
-                budget.time = time.and_then(|entry| reader.number(entry, 0.001, 0.5)).unwrap_or(budget.time);
-                let bytes = bytes.and_then(|entry| reader.size(entry, 1024));
-                budget.bytes = bytes.map_or(budget.bytes, |bytes| bytes as f64);
-                let at_once = at_once.and_then(|entry| reader.number(entry, 1.0, 16.0));
-                budget.at_once = at_once.map_or(budget.at_once, |count| count as usize);
-            }
+            "bodies" => config.body_buffer = Some(reader.body_buffer(node)),
+            "phases" => config.prefilter = Some(reader.prefilter(node)),
+            "state" => config.recovery = reader.recovery(node),
+            "search" => config.search_api = reader.search_api(node),
+            "search-nodes" => config.search_api_nodes = reader.networks(node),
+            "fleet" => config.fleet = reader.fleet(node),
+            "background" => reader.background(node, &mut config.background),
             "log" => {
                 let [form] = reader.properties(node, ["form"]);
-                operator.log_form = form.and_then(|form| reader.word(form, &["text", "json"]));
+                config.log_format = form.and_then(|form| reader.word(form, &["text", "json"]));
             }
             _ => {
                 let [every] = reader.properties(node, ["every"]);
-                operator.counters_every = every.and_then(|every| reader.number(every, 0.1, 86_400.0));
+                config.counters_interval_seconds =
+                    every.and_then(|every| reader.number(every, 0.1, 86_400.0));
             }
         }
     }
-    if reader.faults.is_empty() { Ok(operator) } else { Err(reader.faults) }
+    if reader.faults.is_empty() { Ok(config) } else { Err(reader.faults) }
 }
 
-#[cfg(test)]
-mod tests;
+impl Reader<'_> {
+    fn report_syntax(&mut self, error: &KdlError) {
+        for diagnostic in &error.diagnostics {
+            let message = diagnostic.message.clone().or(diagnostic.label.clone());
+            let message = message.unwrap_or_else(|| "cannot be read".to_string());
+            let help = diagnostic.help.as_ref().map_or(String::new(), |help| format!(" ({help})"));
+            self.fault(diagnostic.span.offset(), format!("not KDL: {message}{help}"));
+        }
+    }
+
+    fn background(&mut self, node: &KdlNode, budget: &mut Budget) {
+        let [time, bytes, at_once] = self.properties(node, ["time", "bytes", "at-once"]);
+        budget.time_ratio = self.number_or(time, 0.001..=0.5, budget.time_ratio);
+        if let Some(bytes) = bytes.and_then(|entry| self.size(entry, 1024)) {
+            budget.bytes_per_second = bytes as f64;
+        }
+        budget.max_blocking_jobs = self.count_or(at_once, 1.0..=16.0, budget.max_blocking_jobs);
+    }
+}
--- a/crates/dunepond-config/src/operator/reader.rs
+++ b/crates/dunepond-config/src/operator/reader.rs
@@ -1,28 +1,37 @@
-//! What is common to all nodes: their keys, their values, and the place of each fault.
+//! Readers of nodes, keys and values that all features use. Each notes its faults, and goes on.
 
 use std::net::{IpAddr, SocketAddr};
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
 use ipnet::IpNet;
 use kdl::{KdlEntry, KdlNode};
 
-use super::{Fault, MIB};
+use super::{Diagnostic, MIB};
 
+/// Reads one file, and collects its faults.
 pub(super) struct Reader<'a> {
-    pub(super) text: &'a str,
-    pub(super) faults: Vec<Fault>,
+    text: &'a str,
+    pub(super) faults: Vec<Diagnostic>,
+}
+
+impl<'a> Reader<'a> {
+    pub(super) fn new(text: &'a str) -> Self {
+        Self { text, faults: Vec::new() }
+    }
 }
 
 impl Reader<'_> {
-    pub(super) fn fault(&mut self, offset: usize, words: impl Into<String>) {
+    /// Notes a fault at this offset into the text, in bytes.
+    pub(super) fn fault(&mut self, offset: usize, message: impl Into<String>) {
         let before = &self.text.as_bytes()[..offset.min(self.text.len())];
         let line = 1 + before.iter().filter(|byte| **byte == b'\n').count();
         let start = before.iter().rposition(|byte| *byte == b'\n').map_or(0, |at| at + 1);
         let column = 1 + String::from_utf8_lossy(&before[start..]).chars().count();
-        self.faults.push(Fault { line, column, words: words.into() });
+        self.faults.push(Diagnostic { line, column, message: message.into() });
     }
 
-    /// The nodes that are known here, each once.
+    /// The nodes with a known name, each of which may stand there once.
     pub(super) fn children<'n>(
         &mut self,
         within: &str,
@@ -32,15 +41,15 @@
         self.several(within, nodes, known, &[])
     }
 
-    /// The nodes that are known here, each once unless it is one of those of which there may be `many`.
+    /// The nodes with a known name, each of which may stand there once unless its name is one of `repeatable`.
     pub(super) fn several<'n>(
         &mut self,
         within: &str,
         nodes: &'n [KdlNode],
         known: &[&str],
-        many: &[&str],
+        repeatable: &[&str],
     ) -> Vec<&'n KdlNode> {
-        let mut taken: Vec<&KdlNode> = Vec::new();
+        let mut accepted: Vec<&KdlNode> = Vec::new();
         for node in nodes {
             let (name, at) = (node.name().value(), node.name().span().offset());
             if !known.contains(&name) {
@@ -48,16 +57,18 @@
                     at,
                     format!("{within}: '{name}' is not known; expected one of {}", known.join(", ")),
                 );
-            } else if !many.contains(&name) && taken.iter().any(|before| before.name().value() == name) {
+            } else if !repeatable.contains(&name)
+                && accepted.iter().any(|before| before.name().value() == name)
+            {
                 self.fault(at, format!("{within}: '{name}' is given twice"));
             } else {
-                taken.push(node);
+                accepted.push(node);
             }
         }
-        taken
+        accepted
     }
 
-    /// A node's properties by their names; it may have no others, no arguments and no children.
+    /// A node's properties in the order of `known`; it may have no others, no arguments and no children.
     pub(super) fn properties<'n, const N: usize>(
         &mut self,
         node: &'n KdlNode,
@@ -65,22 +76,22 @@
     ) -> [Option<&'n KdlEntry>; N] {
         let found = self.keys(node, known);
         if let Some(children) = node.children() {
-            let words = format!("{}: has no children", node.name().value());
-            self.fault(children.span().offset(), words);
+            let message = format!("{}: has no children", node.name().value());
+            self.fault(children.span().offset(), message);
         }
         found
     }
 
-    /// The same for a node that may have children.
+    /// A node's properties in the order of `known`; it may have no others and no arguments, but children.
     pub(super) fn keys<'n, const N: usize>(
         &mut self,
         node: &'n KdlNode,
         known: [&str; N],
     ) -> [Option<&'n KdlEntry>; N] {
-        self.among(node, node.entries(), known)
+        self.known_properties(node, node.entries(), known)
     }
 
-    /// A node's name, which is the one value behind it, and its properties.
+    /// A node's name, which is its one argument, and its properties in the order of `known`; it may have no children.
     pub(super) fn named<'n, const N: usize>(
         &mut self,
         node: &'n KdlNode,
@@ -90,18 +101,19 @@
         let name = entries.first().filter(|entry| entry.name().is_none());
         let name = name.and_then(|entry| entry.value().as_string()).filter(|name| !name.is_empty());
         if name.is_none() {
-            let words = format!("{}: expected a name behind it", node.name().value());
-            self.fault(node.name().span().offset(), words);
+            let message = format!("{}: expected a name behind it", node.name().value());
+            self.fault(node.name().span().offset(), message);
         }
-        let found = self.among(node, &entries[usize::from(name.is_some())..], known);
+        let found = self.known_properties(node, &entries[usize::from(name.is_some())..], known);
         if let Some(children) = node.children() {
-            let words = format!("{}: has no children", node.name().value());
-            self.fault(children.span().offset(), words);
+            let message = format!("{}: has no children", node.name().value());
+            self.fault(children.span().offset(), message);
         }
         (name.map(str::to_string), found)
     }
 
-    fn among<'n, const N: usize>(
+    /// The entries that are properties with a known key, in the order of `known`.
+    fn known_properties<'n, const N: usize>(
         &mut self,
         node: &KdlNode,
         entries: &'n [KdlEntry],
@@ -123,10 +135,10 @@
                     let known = known.join(", ");
                     self.fault(at, format!("{name}: '{key}' is not known; expected one of {known}"));
                 }
-                Some(place) if found[place].is_some() => {
+                Some(index) if found[index].is_some() => {
                     self.fault(at, format!("{name}: '{key}' is given twice"));
                 }
-                Some(place) => found[place] = Some(entry),
+                Some(index) => found[index] = Some(entry),
             }
         }
         found
@@ -144,19 +156,21 @@
         }
     }
 
-    pub(super) fn key(entry: &KdlEntry) -> String {
+    /// What a message about a value begins with: its key, where it has one.
+    fn key_prefix(entry: &KdlEntry) -> String {
         entry.name().map_or(String::new(), |key| format!("{}: ", key.value()))
     }
 
+    /// Text that is not empty.
     pub(super) fn text(&mut self, entry: &KdlEntry, expected: &str) -> Option<String> {
         let text = entry.value().as_string().filter(|text| !text.is_empty());
         if text.is_none() {
-            self.fault(entry.span().offset(), format!("{}expected {expected}", Self::key(entry)));
+            self.fault(entry.span().offset(), format!("{}expected {expected}", Self::key_prefix(entry)));
         }
         text.map(str::to_string)
     }
 
-    /// An address and port; `at` is where its want is named.
+    /// An address and port; `at` is the offset of the fault where there is no entry.
     pub(super) fn address(&mut self, what: &str, entry: Option<&KdlEntry>, at: usize) -> Option<SocketAddr> {
         let address = entry.and_then(|entry| entry.value().as_string()).and_then(|text| text.parse().ok());
         if address.is_none() {
@@ -166,54 +180,84 @@
         address
     }
 
-    /// The path of a file, from the root, as a node's one value.
+    /// An absolute path, as a node's one argument.
     pub(super) fn path(&mut self, node: &KdlNode) -> Option<PathBuf> {
         let entry = self.argument(node)?;
         let path = entry.value().as_string().filter(|path| path.starts_with('/'));
         if path.is_none() {
-            let words = format!("{}: expected the path of a file, from the root", node.name().value());
-            self.fault(entry.span().offset(), words);
+            let message = format!("{}: expected the path of a file, from the root", node.name().value());
+            self.fault(entry.span().offset(), message);
         }
         path.map(PathBuf::from)
     }
 
+    /// One of the known words.
     pub(super) fn word(&mut self, entry: &KdlEntry, known: &[&str]) -> Option<String> {
         let word = entry.value().as_string().filter(|word| known.contains(word));
         if word.is_none() {
-            let words = format!("{}expected one of \"{}\"", Self::key(entry), known.join("\", \""));
-            self.fault(entry.span().offset(), words);
+            let message = format!("{}expected one of \"{}\"", Self::key_prefix(entry), known.join("\", \""));
+            self.fault(entry.span().offset(), message);
         }
         word.map(str::to_string)
     }
 
-    pub(super) fn number(&mut self, entry: &KdlEntry, least: f64, most: f64) -> Option<f64> {
+    /// A number from `min` to `max`.
+    pub(super) fn number(&mut self, entry: &KdlEntry, min: f64, max: f64) -> Option<f64> {
         let value = entry.value();
         let number = value.as_float().or(value.as_integer().map(|whole| whole as f64));
-        let number = number.filter(|number| (least..=most).contains(number));
+        let number = number.filter(|number| (min..=max).contains(number));
         if number.is_none() {
-            let words = format!("{}expected a number from {least} to {most}", Self::key(entry));
-            self.fault(entry.span().offset(), words);
+            let message = format!("{}expected a number from {min} to {max}", Self::key_prefix(entry));
+            self.fault(entry.span().offset(), message);
         }
         number
     }
 
-    /// A size: a whole number of bytes, or text such as "64MiB".
-    pub(super) fn size(&mut self, entry: &KdlEntry, least: u64) -> Option<u64> {
+    /// A number within `range`, or `default` where there is none.
+    pub(super) fn number_or(
+        &mut self,
+        entry: Option<&KdlEntry>,
+        range: RangeInclusive<f64>,
+        default: f64,
+    ) -> f64 {
+        entry.and_then(|entry| self.number(entry, *range.start(), *range.end())).unwrap_or(default)
+    }
+
+    /// A number within `range` without its fraction, or `default` where there is none.
+    pub(super) fn count_or(
+        &mut self,
+        entry: Option<&KdlEntry>,
+        range: RangeInclusive<f64>,
+        default: usize,
+    ) -> usize {
+        let number = entry.and_then(|entry| self.number(entry, *range.start(), *range.end()));
+        number.map_or(default, |number| number as usize)
+    }
+
+    /// Whether the value is `on`; off where there is none.
+    pub(super) fn is_on(&mut self, entry: Option<&KdlEntry>) -> bool {
+        entry.and_then(|entry| self.word(entry, &["on", "off"])).is_some_and(|word| word == "on")
+    }
+
+    /// A size in bytes, `min` or more: a whole number, or text such as "64MiB".
+    pub(super) fn size(&mut self, entry: &KdlEntry, min: u64) -> Option<u64> {
         let value = entry.value();
         let size = match value.as_string() {
-            Some(text) => sized(text),
+            Some(text) => parse_size(text),
             None => value.as_integer().and_then(|bytes| u64::try_from(bytes).ok()),
         };
-        let size = size.filter(|size| *size >= least);
+        let size = size.filter(|size| *size >= min);
         if size.is_none() {
-            let words =
-                format!("{}expected a size of {least} bytes or more, such as \"64MiB\"", Self::key(entry));
-            self.fault(entry.span().offset(), words);
+            let message = format!(
+                "{}expected a size of {min} bytes or more, such as \"64MiB\"",
+                Self::key_prefix(entry)
+            );
+            self.fault(entry.span().offset(), message);
         }
         size
     }
 
-    /// Networks or single addresses, each an argument.
+    /// Networks or single addresses, as a node's arguments.
     pub(super) fn networks(&mut self, node: &KdlNode) -> Vec<IpNet> {
         let mut found = Vec::new();
         for entry in node.entries() {
@@ -222,20 +266,20 @@
             match network {
                 Some(network) => found.push(network),
                 None => {
-                    let words =
+                    let message =
                         format!("{}: expected a network such as \"10.1.0.0/16\"", node.name().value());
-                    self.fault(entry.span().offset(), words);
+                    self.fault(entry.span().offset(), message);
                 }
             }
         }
         if node.entries().is_empty() || node.children().is_some() {
-            let words = format!("{}: expected networks behind it", node.name().value());
-            self.fault(node.name().span().offset(), words);
+            let message = format!("{}: expected networks behind it", node.name().value());
+            self.fault(node.name().span().offset(), message);
         }
         found
     }
 
-    /// A folder's path, which must be there.
+    /// An absolute path of a folder; it must be given.
     pub(super) fn folder(&mut self, node: &KdlNode, folder: Option<&KdlEntry>) -> Option<PathBuf> {
         let path = folder.and_then(|entry| entry.value().as_string()).filter(|path| path.starts_with('/'));
         if path.is_none() {
@@ -247,7 +291,8 @@
     }
 }
 
-fn sized(text: &str) -> Option<u64> {
+/// The bytes of a whole number with a unit.
+fn parse_size(text: &str) -> Option<u64> {
     let digits = text.len() - text.trim_start_matches(|c: char| c.is_ascii_digit()).len();
     let factor = match text[digits..].trim() {
         "" | "B" => 1,
--- /dev/null
+++ b/crates/dunepond-config/src/operator/recovery.rs
@@ -0,0 +1,25 @@
+//! What outlasts the process (`state`).
+
+use std::path::PathBuf;
+
+use kdl::KdlNode;
+
+use super::reader::Reader;
+
+/// Where learned state and spent budgets are stored.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RecoveryConfig {
+    /// An existing folder.
+    pub folder: PathBuf,
+    /// Seconds between two snapshots.
+    pub snapshot_interval_seconds: f64,
+}
+
+impl Reader<'_> {
+    pub(super) fn recovery(&mut self, node: &KdlNode) -> Option<RecoveryConfig> {
+        let [folder, every] = self.properties(node, ["folder", "every"]);
+        let folder = self.folder(node, folder);
+        let snapshot_interval_seconds = self.number_or(every, 0.1..=3600.0, 1.0);
+        Some(RecoveryConfig { folder: folder?, snapshot_interval_seconds })
+    }
+}
--- a/crates/dunepond-config/src/strict.rs
+++ b/crates/dunepond-config/src/strict_json.rs
@@ -1,27 +1,31 @@
-//! JSON in which no key may be given twice: which of the two was meant cannot be known, and a front that reads the
-//! first where we read the last would let something else through than it has checked.
+//! A JSON parser that rejects duplicate keys. A proxy that reads the first of two where this program reads the last
+//! would let another document through than it has checked.
 
 use std::fmt;
 
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 
-/// Reads a whole document; the fault names the place, and a key that is given twice.
-pub fn json(bytes: &[u8]) -> Result<Value, String> {
-    serde_json::from_slice::<Strict>(bytes).map(|strict| strict.0).map_err(|e| e.to_string())
+/// Parses a whole document.
+///
+/// # Errors
+/// Text with the line and column of the fault, and the key where it is one that is given twice.
+pub fn parse_json(bytes: &[u8]) -> Result<Value, String> {
+    serde_json::from_slice::<StrictValue>(bytes).map(|strict| strict.0).map_err(|e| e.to_string())
 }
 
-struct Strict(Value);
+/// A value that was read without duplicate keys.
+struct StrictValue(Value);
 
-impl<'de> Deserialize<'de> for Strict {
+impl<'de> Deserialize<'de> for StrictValue {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(Reads).map(Strict)
+        deserializer.deserialize_any(StrictVisitor).map(StrictValue)
     }
 }
 
-struct Reads;
+struct StrictVisitor;
 
-impl<'de> Visitor<'de> for Reads {
+impl<'de> Visitor<'de> for StrictVisitor {
     type Value = Value;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -58,7 +62,7 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Value, A::Error> {
         let mut list = Vec::new();
-        while let Some(Strict(value)) = seq.next_element()? {
+        while let Some(StrictValue(value)) = seq.next_element()? {
             list.push(value);
         }
         Ok(Value::Array(list))
@@ -70,7 +74,7 @@
             if map.contains_key(&key) {
                 return Err(A::Error::custom(format!("key '{}' is given twice", key.escape_debug())));
             }
-            let Strict(value) = entries.next_value()?;
+            let StrictValue(value) = entries.next_value()?;
             map.insert(key, value);
         }
         Ok(Value::Object(map))
@@ -78,24 +82,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use rstest::rstest;
-
-    use super::*;
-
-    #[rstest]
-    #[case::outside(r#"{"body":"a","body":"b"}"#, "'body'")]
-    #[case::inside(r#"{"buckets":[{"bucket":1,"part":1,"bucket":2}]}"#, "'bucket'")]
-    #[case::written_otherwise(r#"{"body":"a","b\u006fdy":"b"}"#, "'body'")]
-    fn a_key_given_twice_is_named(#[case] text: &str, #[case] named: &str) {
-        let why = json(text.as_bytes()).unwrap_err();
-        assert!(why.contains(named) && why.contains("given twice"), "{why}");
-    }
-
-    #[test]
-    fn all_else_reads_as_it_stands() {
-        let text = r#"{"a":[1,-2,3.5,true,null,"x\n"],"b":{"a":{}},"c":18446744073709551615}"#;
-        assert_eq!(json(text.as_bytes()).unwrap(), serde_json::from_str::<Value>(text).unwrap());
-        assert!(json(b"{}x").is_err() && json(b"").is_err());
-    }
-}
+mod tests;
--- a/crates/dunepond-search-api/src/error.rs
+++ b/crates/dunepond-search-api/src/error.rs
@@ -4,12 +4,14 @@
 
 use serde_json::{Value, json};
 
-/// Why a request is not taken, or a search has no answer. The words name the place in the document.
+/// Why a request is refused, or a search has no response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ApiError {
+    /// HTTP status.
     pub status: u16,
-    /// The API's name for this kind.
+    /// The API's name for this kind of error.
     pub kind: &'static str,
+    /// What is wrong, with its place in the document.
     pub reason: String,
 }
 
@@ -18,24 +20,27 @@
         Self { status, kind, reason: reason.into() }
     }
 
-    /// The document cannot be read, or says what is not known.
+    /// The document is malformed, or has an unknown key.
     pub fn parsing(reason: impl Into<String>) -> Self {
         Self::new(400, "parsing_exception", reason)
     }
 
-    /// It reads, and asks for what is not allowed or not supported.
+    /// The request asks for something that is not allowed or not supported.
     pub fn argument(reason: impl Into<String>) -> Self {
         Self::new(400, "illegal_argument_exception", reason)
     }
 
+    /// The request is longer than allowed.
     pub fn too_large(reason: impl Into<String>) -> Self {
         Self::new(413, "content_too_long_exception", reason)
     }
 
+    /// The index is not served.
     pub fn no_index(name: &str) -> Self {
         Self::new(404, "index_not_found_exception", format!("no such index [{name}]"))
     }
 
+    /// The API has no such path.
     pub fn no_handler(method: &str, path: &str) -> Self {
         Self::new(
             400,
@@ -44,23 +49,24 @@
         )
     }
 
+    /// The path has other methods; `allowed` lists them.
     pub fn method(method: &str, path: &str, allowed: &str) -> Self {
         let reason =
             format!("Incorrect HTTP method for uri [{path}] and method [{method}], allowed: [{allowed}]");
         Self::new(405, "method_not_allowed_exception", reason)
     }
 
-    /// Turned away: trying again is harmless.
+    /// Rejected before it ran: it may be retried.
     pub fn rejected(reason: impl Into<String>) -> Self {
         Self::new(429, "rejected_execution_exception", reason)
     }
 
-    /// Too few parts are in, and what ran is harmless to run again.
+    /// Too few parts have a result; the search may be retried.
     pub fn shards_failed(reason: impl Into<String>) -> Self {
         Self::new(503, "search_phase_execution_exception", reason)
     }
 
-    /// Parts that must not run twice may have run: nobody knows, and trying again may run them twice.
+    /// Non-idempotent parts may have run, and a retry may run them twice.
     pub fn unknown_outcome() -> Self {
         Self::new(
             502,
@@ -69,7 +75,7 @@
         )
     }
 
-    /// With the place in the document before the words.
+    /// Puts the place in the document before the reason.
     pub fn at(mut self, place: &str) -> Self {
         if !place.is_empty() {
             self.reason = format!("[{place}] {}", self.reason);
@@ -77,6 +83,7 @@
         self
     }
 
+    /// The JSON that the client is sent.
     pub fn body(&self) -> Value {
         let cause = json!({"type": self.kind, "reason": self.reason});
         json!({
