--- a/crates/dunepond-search-api/src/json.rs
+++ b/crates/dunepond-search-api/src/json.rs
@@ -1,5 +1,5 @@
-//! JSON as strictly as it can be read: no key twice, no deeper than allowed, no more values than allowed, nothing behind
-//! it. What is read is bounded before it is held.
+//! A strict JSON parser: no duplicate keys, a limit of depth and of values, and nothing behind the document. Limits are
+//! checked before anything is allocated.
 
 use std::cell::Cell;
 use std::fmt;
@@ -11,41 +11,50 @@
 
 /// How large a document may be.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct JsonLimits {
     /// Objects and lists within each other.
-    pub depth: usize,
-    /// Values in all, keys not counted.
-    pub values: usize,
+    pub max_depth: usize,
+    /// Values in all; keys don't count.
+    pub max_values: usize,
 }
 
-struct Strict<'a> {
-    bounds: Bounds,
+/// Reads one value at some depth.
+#[derive(Clone, Copy)]
+struct StrictValue<'a> {
+    limits: JsonLimits,
     depth: usize,
-    left: &'a Cell<usize>,
+    remaining_values: &'a Cell<usize>,
 }
 
-impl Strict<'_> {
-    fn deeper<E: Error>(&self) -> Result<Strict<'_>, E> {
-        if self.depth >= self.bounds.depth {
-            return Err(E::custom(format!("deeper than max_depth [{}]", self.bounds.depth)));
+impl StrictValue<'_> {
+    /// Reads the values in a list or an object.
+    fn nested<E: Error>(&self) -> Result<Self, E> {
+        let max_depth = self.limits.max_depth;
+        if self.depth >= max_depth {
+            return Err(E::custom(format!("deeper than max_depth [{max_depth}]")));
         }
-        Ok(Strict { bounds: self.bounds, depth: self.depth + 1, left: self.left })
+        Ok(Self { depth: self.depth + 1, ..*self })
+    }
+
+    fn count_value<E: Error>(&self) -> Result<(), E> {
+        let max_values = self.limits.max_values;
+        let remaining = self.remaining_values.get().checked_sub(1);
+        let remaining = remaining.ok_or_else(|| E::custom(format!("more than max_values [{max_values}]")))?;
+        self.remaining_values.set(remaining);
+        Ok(())
     }
 }
 
-impl<'de> DeserializeSeed<'de> for Strict<'_> {
+impl<'de> DeserializeSeed<'de> for StrictValue<'_> {
     type Value = Value;
 
-    fn deserialize<D: Deserializer<'de>>(self, from: D) -> Result<Value, D::Error> {
-        let left = self.left.get().checked_sub(1);
-        let left =
-            left.ok_or_else(|| D::Error::custom(format!("more than max_values [{}]", self.bounds.values)))?;
-        self.left.set(left);
-        from.deserialize_any(self)
+    fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Value, D::Error> {
+        self.count_value()?;
+        deserializer.deserialize_any(self)
     }
 }
 
-impl<'de> Visitor<'de> for Strict<'_> {
+impl<'de> Visitor<'de> for StrictValue<'_> {
     type Value = Value;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -77,40 +86,37 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Value, A::Error> {
-        let deeper = self.deeper()?;
+        let nested = self.nested()?;
         let mut list = Vec::new();
-        while let Some(value) =
-            seq.next_element_seed(Strict { bounds: deeper.bounds, depth: deeper.depth, left: deeper.left })?
-        {
+        while let Some(value) = seq.next_element_seed(nested)? {
             list.push(value);
         }
         Ok(Value::Array(list))
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut entries: A) -> Result<Value, A::Error> {
-        let deeper = self.deeper()?;
+        let nested = self.nested()?;
         let mut map = Map::new();
         while let Some(key) = entries.next_key::<String>()? {
             if map.contains_key(&key) {
                 return Err(A::Error::custom(format!("duplicate key [{}]", key.escape_debug())));
             }
-            let value = entries.next_value_seed(Strict {
-                bounds: deeper.bounds,
-                depth: deeper.depth,
-                left: deeper.left,
-            })?;
+            let value = entries.next_value_seed(nested)?;
             map.insert(key, value);
         }
         Ok(Value::Object(map))
     }
 }
 
-/// A whole document; the error has its line and column.
-pub fn read(bytes: &[u8], bounds: Bounds) -> Result<Value, ApiError> {
-    let left = Cell::new(bounds.values);
-    let mut from = serde_json::Deserializer::from_slice(bytes);
-    // Our own bound on depth is the one that is named; theirs would only come before it.
-    let value = Strict { bounds, depth: 0, left: &left }.deserialize(&mut from);
-    let value = value.and_then(|value| from.end().map(|()| value));
-    value.map_err(|e| ApiError::parsing(e.to_string()))
+/// Parses a whole document.
+///
+/// # Errors
+/// The first fault, with its line and column.
+pub fn parse(bytes: &[u8], limits: JsonLimits) -> Result<Value, ApiError> {
+    let remaining_values = Cell::new(limits.max_values);
+    let mut deserializer = serde_json::Deserializer::from_slice(bytes);
+    let root = StrictValue { limits, depth: 0, remaining_values: &remaining_values };
+    let value = root.deserialize(&mut deserializer);
+    let value = value.and_then(|value| deserializer.end().map(|()| value));
+    value.map_err(|error| ApiError::parsing(error.to_string()))
 }
--- a/crates/dunepond-search-api/src/node.rs
+++ b/crates/dunepond-search-api/src/node.rs
@@ -1,64 +1,94 @@
-//! What a node that speaks the API is sent, and what each of its answers means for the part that was sent.
+//! What a node that speaks the API is sent for one part, and what its response means for that part.
 
 use serde_json::Value;
 
-use crate::hits::{Expected, Found};
-use crate::json::{self, Bounds};
+use crate::hits::{ExpectedResult, PartResult};
+use crate::json::{self, JsonLimits};
 
-/// Of a node's words, so many characters go into a log.
-const SHOWN: usize = 120;
+/// How much of a node's response goes into a log.
+const MAX_LOGGED_BYTES: usize = 120;
+const MAX_RESPONSE_DEPTH: usize = 16;
+const MAX_ERROR_VALUES: usize = 1000;
+const MAX_UPDATE_VALUES: usize = 10_000;
 
-/// What an answer means. Whether a part may have run hangs on it alone.
+/// What a response means. It alone decides whether a part may have run.
 #[derive(Clone, Debug)]
-pub enum Meaning {
-    Found(Box<Found>),
-    /// Of an update: documents touched.
+pub enum NodeOutcome {
+    /// What a search found.
+    Found(Box<PartResult>),
+    /// How many documents an update has changed.
     Updated(u64),
-    /// Turned away unseen: it never ran.
+    /// Rejected before it ran.
     Rejected,
-    /// It failed, and may have run.
+    /// It failed, for this reason, and may have run.
     Failed(String),
 }
 
-/// The head of the request for one part, before so many bytes of text: `what` is `_search` or `_update_by_query`. The
-/// names in it are ours and plain.
-pub fn head(host: &str, index: &str, what: &str, seg: usize, id: &str, wait_ms: u64, length: u64) -> Vec<u8> {
-    format!(
-        "POST /{index}/{what}?preference=_shards:{seg}&timeout={wait_ms}ms HTTP/1.1\r\nHost: {host}\r\n\
-         X-Opaque-Id: {id}\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\r\n"
-    )
-    .into_bytes()
+/// The request for one part, as far as it stands before the body.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestHead<'a> {
+    /// Of the node.
+    pub host: &'a str,
+    /// Name of the index.
+    pub index: &'a str,
+    /// `_search` or `_update_by_query`.
+    pub operation: &'a str,
+    /// Which segment.
+    pub segment: usize,
+    /// The request's id, for the node's log.
+    pub id: &'a str,
+    /// How long the node may take.
+    pub timeout_ms: u64,
+    /// Length of the body.
+    pub body_bytes: u64,
 }
 
-fn words(body: &[u8]) -> String {
-    String::from_utf8_lossy(&body[..body.len().min(SHOWN)]).escape_debug().to_string()
-}
-
-/// The API's name for the kind of an error, where the answer has that form.
-fn kind(body: &[u8]) -> Option<String> {
-    let document = json::read(body, Bounds { depth: 16, values: 1000 }).ok()?;
-    document.pointer("/error/type").and_then(Value::as_str).map(str::to_string)
+impl RequestHead<'_> {
+    /// The bytes that are sent. Names are plain text.
+    pub fn encode(&self) -> Vec<u8> {
+        let Self { host, index, operation, segment, id, timeout_ms, body_bytes } = self;
+        format!(
+            "POST /{index}/{operation}?preference=_shards:{segment}&timeout={timeout_ms}ms HTTP/1.1\r\n\
+             Host: {host}\r\nX-Opaque-Id: {id}\r\nContent-Type: application/json\r\n\
+             Content-Length: {body_bytes}\r\n\r\n"
+        )
+        .into_bytes()
+    }
 }
 
-/// What an answer with this status and body means. `expected` is what a search was asked for; nothing for an update.
-pub fn meaning(status: u16, body: &[u8], expected: Option<&Expected>) -> Meaning {
+/// What a response with this status and body means. `expected` is what a search was asked for; absent for an update.
+pub fn read_response(status: u16, body: &[u8], expected: Option<&ExpectedResult>) -> NodeOutcome {
     match (status, expected) {
-        (200, Some(expected)) => match Found::read(body, expected) {
-            Ok(found) => Meaning::Found(Box::new(found)),
-            Err(why) => Meaning::Failed(why),
+        (200, Some(expected)) => match PartResult::parse(body, expected) {
+            Ok(result) => NodeOutcome::Found(Box::new(result)),
+            Err(why) => NodeOutcome::Failed(why),
         },
-        (200, None) => match updated(body) {
-            Ok(count) => Meaning::Updated(count),
-            Err(why) => Meaning::Failed(why),
+        (200, None) => match updated_documents(body) {
+            Ok(count) => NodeOutcome::Updated(count),
+            Err(why) => NodeOutcome::Failed(why),
         },
-        // Only where the node says that it was not begun: any other refusal may come from behind it.
-        (429 | 503, _) if kind(body).as_deref() == Some("rejected_execution_exception") => Meaning::Rejected,
-        _ => Meaning::Failed(format!("{status}: {}", words(body))),
+        // Only where the node says that it did not run: any other refusal may come from behind it.
+        (429 | 503, _) if is_rejected_execution(body) => NodeOutcome::Rejected,
+        _ => NodeOutcome::Failed(format!("{status}: {}", excerpt(body))),
     }
 }
 
-fn updated(body: &[u8]) -> Result<u64, String> {
-    let document = json::read(body, Bounds { depth: 16, values: 10_000 }).map_err(|e| e.reason)?;
+/// The start of a response, for a log.
+fn excerpt(body: &[u8]) -> String {
+    let start = &body[..body.len().min(MAX_LOGGED_BYTES)];
+    String::from_utf8_lossy(start).escape_debug().to_string()
+}
+
+fn is_rejected_execution(body: &[u8]) -> bool {
+    let limits = JsonLimits { max_depth: MAX_RESPONSE_DEPTH, max_values: MAX_ERROR_VALUES };
+    let Ok(document) = json::parse(body, limits) else { return false };
+    document.pointer("/error/type").and_then(Value::as_str) == Some("rejected_execution_exception")
+}
+
+/// How many documents a complete update has changed.
+fn updated_documents(body: &[u8]) -> Result<u64, String> {
+    let limits = JsonLimits { max_depth: MAX_RESPONSE_DEPTH, max_values: MAX_UPDATE_VALUES };
+    let document = json::parse(body, limits).map_err(|error| error.reason)?;
     if document.get("timed_out") != Some(&Value::Bool(false)) {
         return Err("timed_out".to_string());
     }
--- a/crates/dunepond-search-api/src/target.rs
+++ b/crates/dunepond-search-api/src/target.rs
@@ -1,45 +1,64 @@
-//! The path and parameters of a request, percent-decoded as strictly as they are written.
+//! The path and parameters of a request, strictly percent-decoded.
 
 use crate::error::ApiError;
 
+/// The target of a request line.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Target {
-    /// The path's names, decoded.
+pub struct RequestTarget {
+    /// The segments of the path, decoded.
     pub path: Vec<String>,
-    /// Each once.
+    /// Names and values, decoded; no name is there twice.
     pub params: Vec<(String, String)>,
 }
 
-fn decoded(text: &str, plus: bool) -> Result<String, ApiError> {
-    let bad = || ApiError::argument("the target is not percent-encoded text");
+/// How spaces may be written.
+#[derive(Clone, Copy, PartialEq)]
+enum Spaces {
+    /// As `%20` only.
+    Encoded,
+    /// As `+` too.
+    Plus,
+}
+
+fn decode(text: &str, spaces: Spaces) -> Result<String, ApiError> {
+    let invalid = || ApiError::argument("the target is not percent-encoded text");
     let mut bytes = text.bytes();
-    let mut out = Vec::with_capacity(text.len());
+    let mut decoded = Vec::with_capacity(text.len());
     while let Some(byte) = bytes.next() {
         match byte {
             b'%' => {
-                let digit = |b: Option<u8>| b.and_then(|b| (b as char).to_digit(16)).ok_or_else(bad);
-                let (high, low) = (digit(bytes.next())?, digit(bytes.next())?);
-                out.push((16 * high + low) as u8);
+                let high = hex_digit(bytes.next()).ok_or_else(invalid)?;
+                let low = hex_digit(bytes.next()).ok_or_else(invalid)?;
+                decoded.push(16 * high + low);
             }
-            b'+' if plus => out.push(b' '),
-            byte => out.push(byte),
+            b'+' if spaces == Spaces::Plus => decoded.push(b' '),
+            byte => decoded.push(byte),
         }
     }
-    let text = String::from_utf8(out).map_err(|_| bad())?;
-    // A control character in a name or a text would come out again in a line of the log or a frame.
-    if text.chars().any(char::is_control) { Err(bad()) } else { Ok(text) }
+    let text = String::from_utf8(decoded).map_err(|_| invalid())?;
+    // A control character would reach a line of the log or a frame.
+    if text.chars().any(char::is_control) { Err(invalid()) } else { Ok(text) }
+}
+
+fn hex_digit(byte: Option<u8>) -> Option<u8> {
+    let digit = (byte? as char).to_digit(16)?;
+    Some(digit as u8)
 }
 
-impl Target {
-    pub fn read(target: &str) -> Result<Self, ApiError> {
+impl RequestTarget {
+    /// Parses a target.
+    ///
+    /// # Errors
+    /// Text that is not percent-encoded, control characters, and parameters that are given twice.
+    pub fn parse(target: &str) -> Result<Self, ApiError> {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let names = path.split('/').filter(|name| !name.is_empty());
-        let path = names.map(|name| decoded(name, false)).collect::<Result<Vec<_>, _>>()?;
+        let path = names.map(|name| decode(name, Spaces::Encoded)).collect::<Result<Vec<_>, _>>()?;
         let mut params: Vec<(String, String)> = Vec::new();
         for entry in query.split('&').filter(|entry| !entry.is_empty()) {
             let (key, value) = entry.split_once('=').unwrap_or((entry, ""));
-            let (key, value) = (decoded(key, true)?, decoded(value, true)?);
-            if params.iter().any(|(k, _)| *k == key) {
+            let (key, value) = (decode(key, Spaces::Plus)?, decode(value, Spaces::Plus)?);
+            if params.iter().any(|(known, _)| *known == key) {
                 return Err(ApiError::argument(format!("parameter [{key}] is given twice")));
             }
             params.push((key, value));
@@ -47,12 +66,16 @@
         Ok(Self { path, params })
     }
 
+    /// The value of a parameter.
     pub fn param(&self, key: &str) -> Option<&str> {
-        self.params.iter().find(|(k, _)| k == key).map(|(_, value)| value.as_str())
+        self.params.iter().find(|(name, _)| name == key).map(|(_, value)| value.as_str())
     }
 
-    /// Whatever is not known would be ignored silently.
-    pub fn only(&self, known: &[&str]) -> Result<(), ApiError> {
+    /// Refuses parameters that are not known: they would be ignored otherwise.
+    ///
+    /// # Errors
+    /// The first unknown parameter.
+    pub fn reject_unknown(&self, known: &[&str]) -> Result<(), ApiError> {
         match self.params.iter().find(|(key, _)| !known.contains(&key.as_str())) {
             Some((key, _)) => {
                 let path = self.path.join("/");
--- a/crates/dunepond-search-api/tests/requests.rs
+++ b/crates/dunepond-search-api/tests/requests.rs
@@ -1,7 +1,7 @@
-//! Requests that do and that do not, each fault with its place; and texts that are the same whatever way they were written.
+//! Valid and invalid requests, each fault with its place; and equal bodies for equal searches.
 
-use dunepond_search_api::query::Query;
-use dunepond_search_api::request::{Source, Track, read};
+use dunepond_search_api::query::{Operator, Query};
+use dunepond_search_api::request::{SourceFilter, TrackTotalHits, parse};
 use dunepond_search_api::*;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -10,25 +10,33 @@
     ["quick-find", "full-search", "fix-request"].map(String::from).to_vec()
 }
 
-fn limits() -> Limits {
-    Limits { clauses: 8, bool_depth: 3, regexp: 10, text: 40, searches: 3, window: 100, ..Limits::default() }
+fn limits() -> RequestLimits {
+    RequestLimits {
+        max_clauses: 8,
+        max_bool_depth: 3,
+        max_regexp_chars: 10,
+        max_text_chars: 40,
+        max_searches: 3,
+        max_result_window: 100,
+        ..RequestLimits::default()
+    }
 }
 
-fn ask(method: &str, target: &str, body: &str) -> Result<Call, ApiError> {
-    read(method, target, body.as_bytes(), &indices(), &limits())
+fn request(method: &str, target: &str, body: &str) -> Result<ApiRequest, ApiError> {
+    parse(method, target, body.as_bytes(), &indices(), &limits())
 }
 
 fn search(target: &str, body: &str) -> Search {
-    match ask("POST", target, body) {
-        Ok(Call::Search(search)) => *search,
+    match request("POST", target, body) {
+        Ok(ApiRequest::Search(search)) => *search,
         other => panic!("{other:?}"),
     }
 }
 
 fn query(body: Value) -> Result<Value, ApiError> {
-    let call = ask("POST", "/full-search/_search", &json!({"query": body}).to_string())?;
-    let Call::Search(search) = call else { panic!("{call:?}") };
-    Ok(search.query.normal())
+    let call = request("POST", "/full-search/_search", &json!({"query": body}).to_string())?;
+    let ApiRequest::Search(search) = call else { panic!("{call:?}") };
+    Ok(search.query.normalized())
 }
 
 #[rstest]
@@ -48,9 +56,9 @@
     json!({"bool": {"must": [{"term": {"a": {"value": 1}}}], "should": [{"term": {"b": {"value": 2}}}], "minimum_should_match": 0}}))]
 #[case::should_alone(json!({"bool": {"should": [{"term": {"b": 2}}]}}),
     json!({"bool": {"should": [{"term": {"b": {"value": 2}}}], "minimum_should_match": 1}}))]
-fn a_query_is_put_into_its_one_form(#[case] written: Value, #[case] normal: Value) {
+fn normalizes_queries(#[case] written: Value, #[case] normal: Value) {
     assert_eq!(query(written).unwrap(), normal);
-    // Which is read again as itself.
+    // The normalized query parses to itself.
     assert_eq!(query(normal.clone()).unwrap(), normal);
 }
 
@@ -74,9 +82,9 @@
 #[case::closed(json!({"query_string": {"query": "a)"}}), "a [)] that closes nothing")]
 #[case::quote(json!({"query_string": {"query": "\"a"}}), "a [\"] is left open")]
 #[case::nothing(json!({"query_string": {"query": "  "}}), "is empty")]
-fn a_query_that_will_not_do_is_named_with_its_place(#[case] written: Value, #[case] words: &str) {
+fn refuses_invalid_query_with_place(#[case] written: Value, #[case] expected: &str) {
     let error = query(written).unwrap_err();
-    assert!(error.reason.contains(words), "{}", error.reason);
+    assert!(error.reason.contains(expected), "{}", error.reason);
     assert_eq!((error.status, error.body()["status"].clone()), (400, json!(400)));
     assert_eq!(error.body()["error"]["root_cause"][0]["reason"], json!(error.reason));
 }
@@ -96,22 +104,22 @@
 #[case::sort_missing(r#"{"sort":[{"a":{"missing":"x"}}]}"#, "[missing] is [_first] or [_last]")]
 #[case::source(r#"{"_source":["a*"]}"#, "[_source] not the name of a field")]
 #[case::not_an_object("[1]", "expected an object")]
-fn a_body_that_will_not_do_is_named(#[case] body: &str, #[case] words: &str) {
-    let error = ask("POST", "/full-search/_search", body).unwrap_err();
-    assert!(error.reason.contains(words), "{}", error.reason);
+fn refuses_invalid_body(#[case] body: &str, #[case] expected: &str) {
+    let error = request("POST", "/full-search/_search", body).unwrap_err();
+    assert!(error.reason.contains(expected), "{}", error.reason);
 }
 
 #[test]
-fn documents_too_deep_too_long_or_not_text_are_refused() {
+fn refuses_oversized_documents() {
     let deep = format!("{}{}", "[".repeat(40), "]".repeat(40));
-    assert!(ask("POST", "/full-search/_search", &deep).unwrap_err().reason.contains("max_depth [32]"));
+    assert!(request("POST", "/full-search/_search", &deep).unwrap_err().reason.contains("max_depth [32]"));
     let endless = "[".repeat(60_000);
-    assert!(ask("POST", "/full-search/_search", &endless).unwrap_err().reason.contains("max_depth [32]"));
+    assert!(request("POST", "/full-search/_search", &endless).unwrap_err().reason.contains("max_depth [32]"));
     let long = format!("{{\"query\":\"{}\"}}", "x".repeat(70_000));
-    assert_eq!(ask("POST", "/full-search/_search", &long).unwrap_err().status, 413);
+    assert_eq!(request("POST", "/full-search/_search", &long).unwrap_err().status, 413);
     let many = format!("[{}1]", "1,".repeat(20_000));
-    assert!(ask("POST", "/full-search/_search", &many).unwrap_err().reason.contains("max_values"));
-    assert!(read("POST", "/full-search/_search", b"{\"\xff\":1}", &indices(), &limits()).is_err());
+    assert!(request("POST", "/full-search/_search", &many).unwrap_err().reason.contains("max_values"));
+    assert!(parse("POST", "/full-search/_search", b"{\"\xff\":1}", &indices(), &limits()).is_err());
 }
 
 #[rstest]
@@ -127,51 +135,57 @@
 #[case::routing("/full-search/_search?routing=a,,b", "[routing]")]
 #[case::df("/full-search/_search?df=a", "[df] means nothing without [q]")]
 #[case::partial("/full-search/_search?allow_partial_search_results=maybe", "[allow_partial_search_results]")]
-fn a_target_that_will_not_do_is_named(#[case] target: &str, #[case] words: &str) {
-    let error = ask("GET", target, "").unwrap_err();
-    assert!(error.reason.contains(words), "{}", error.reason);
+fn refuses_invalid_target(#[case] target: &str, #[case] expected: &str) {
+    let error = request("GET", target, "").unwrap_err();
+    assert!(error.reason.contains(expected), "{}", error.reason);
 }
 
 #[test]
-fn what_is_said_in_body_and_parameters_is_honoured() {
+fn honours_body_and_parameters() {
     let body = json!({"query": {"match": {"a": "b"}}, "sort": ["_score", {"day": {"order": "desc", "missing": "_first"}}],
         "_source": {"includes": ["a"], "excludes": "b"}, "terminate_after": 5});
     let target = "/full-search/_search?from=2&size=3&timeout=1500ms&track_total_hits=true&routing=r1,r2&allow_partial_search_results=false";
     let search = search(target, &body.to_string());
-    assert_eq!((search.index, search.from, search.size, search.window()), (1, 2, 3, 5));
-    assert_eq!((search.timeout, search.track, search.allow_partial), (Some(1.5), Track::Exactly, false));
+    assert_eq!((search.index, search.from, search.size, search.result_window()), (1, 2, 3, 5));
+    assert_eq!(
+        (search.timeout_seconds, search.track_total_hits, search.allow_partial_results),
+        (Some(1.5), TrackTotalHits::Exactly, false)
+    );
     assert_eq!((search.routing.len(), search.terminate_after), (2, Some(5)));
     assert!(search.sort[0].descending && search.sort[1].missing_first);
-    let text: Value = serde_json::from_str(&search.text()).unwrap();
+    let text: Value = serde_json::from_str(&search.node_request_body()).unwrap();
     assert_eq!((text["from"].clone(), text["size"].clone()), (json!(0), json!(5)));
     assert_eq!(text["sort"][1], json!({"day": {"order": "desc", "missing": "_first"}}));
     assert_eq!(text["_source"], json!({"includes": ["a"], "excludes": ["b"]}));
-    assert!(matches!(search.source, Source::Only { .. }));
-    let doubled = ask("POST", "/full-search/_search?size=3", r#"{"size":4}"#).unwrap_err();
+    assert!(matches!(search.source, SourceFilter::Fields { .. }));
+    let doubled = request("POST", "/full-search/_search?size=3", r#"{"size":4}"#).unwrap_err();
     assert!(doubled.reason.contains("[size] is given in the body and as a parameter"));
 }
 
 #[test]
-fn a_query_string_may_come_as_a_parameter() {
+fn query_string_parameter() {
     let search = search("/full-search/_search?q=pump+AND%20valve&df=text&default_operator=AND", "");
-    let expected =
-        Query::QueryString { text: "pump AND valve".into(), field: Some("text".into()), all: true };
+    let expected = Query::QueryString {
+        text: "pump AND valve".into(),
+        field: Some("text".into()),
+        operator: Operator::And,
+    };
     assert_eq!(search.query, expected);
 }
 
-/// Two ways to write one search are one text: nodes may remember it, and two phases know it again.
+/// Nodes may cache by the text, and the prefilter identifies it by a hash.
 #[test]
-fn equal_searches_are_equal_texts() {
+fn equal_searches_have_equal_bodies() {
     let a = search("/full-search/_search?size=5", r#"{"query":{"match":{"a":"x"}},"track_total_hits":true}"#);
     let b = search(
         "/full-search/_search?track_total_hits=true",
         r#"{ "size" : 5, "query":{"match":{"a":{"operator":"or","query":"x"}}}}"#,
     );
-    assert_eq!(a.text(), b.text());
+    assert_eq!(a.node_request_body(), b.node_request_body());
 }
 
 #[test]
-fn many_searches_are_read_each_for_itself() {
+fn multi_search_parses_each() {
     let lines = [
         r#"{"index":"quick-find"}"#,
         r#"{"query":{"match_all":{}}}"#,
@@ -181,20 +195,20 @@
         r#"{}"#,
     ];
     let body = lines.join("\n") + "\n";
-    let Ok(Call::Multi(searches)) = ask("POST", "/full-search/_msearch", &body) else { panic!() };
+    let Ok(ApiRequest::Multi(searches)) = request("POST", "/full-search/_msearch", &body) else { panic!() };
     assert_eq!(searches[0].as_ref().unwrap().index, 0);
     assert_eq!(searches[1].as_ref().map(|s| (s.index, s.size)).unwrap(), (1, 1));
     assert_eq!(searches[2].as_ref().unwrap_err().status, 404);
-    // Without a default, one that names none is its own error too.
-    let Ok(Call::Multi(searches)) = ask("POST", "/_msearch", &body) else { panic!() };
+    // Without a default index, a search that names none has its own error too.
+    let Ok(ApiRequest::Multi(searches)) = request("POST", "/_msearch", &body) else { panic!() };
     assert!(searches[1].as_ref().unwrap_err().reason.contains("no [index]"));
     assert!(
-        ask("POST", "/_msearch", body.trim_end()).unwrap_err().reason.contains("terminated by a newline")
+        request("POST", "/_msearch", body.trim_end()).unwrap_err().reason.contains("terminated by a newline")
     );
-    assert!(ask("POST", "/_msearch", &body.repeat(2)).unwrap_err().reason.contains("max_searches [3]"));
-    assert!(ask("POST", "/_msearch", "{}\n").unwrap_err().reason.contains("without its search"));
-    let bad = ask("POST", "/_msearch", "{\"index\":\"quick-find\",\"preference\":\"x\"}\n{}\n");
-    assert!(matches!(bad, Ok(Call::Multi(searches)) if searches[0].is_err()));
+    assert!(request("POST", "/_msearch", &body.repeat(2)).unwrap_err().reason.contains("max_searches [3]"));
+    assert!(request("POST", "/_msearch", "{}\n").unwrap_err().reason.contains("without its search"));
+    let bad = request("POST", "/_msearch", "{\"index\":\"quick-find\",\"preference\":\"x\"}\n{}\n");
+    assert!(matches!(bad, Ok(ApiRequest::Multi(searches)) if searches[0].is_err()));
 }
 
 #[rstest]
@@ -206,8 +220,8 @@
 #[case("GET", "/fix-request/_update_by_query", false)]
 #[case("POST", "/fix-request/_update_by_query", true)]
 #[case("GET", "/full-search/_count", true)]
-fn methods_are_those_that_the_api_has(#[case] method: &str, #[case] target: &str, #[case] good: bool) {
-    let outcome = ask(method, target, "");
+fn methods_match_api(#[case] method: &str, #[case] target: &str, #[case] good: bool) {
+    let outcome = request(method, target, "");
     assert_eq!(outcome.is_ok(), good, "{outcome:?}");
     assert!(good || outcome.unwrap_err().status == 405);
 }
--- a/crates/dunepond-sim-adapter/src/main.rs
+++ b/crates/dunepond-sim-adapter/src/main.rs
@@ -12,14 +12,14 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use dunepond_config::Bad;
+use dunepond_config::ConfigError;
 use process::Process;
 
-fn serve() -> Result<(), Bad> {
+fn serve() -> Result<(), ConfigError> {
     let mut process = Process::default();
     let mut out = io::stdout().lock();
     for line in io::stdin().lock().lines() {
-        let line = line.map_err(|e| Bad(format!("batch: cannot be read: {e}")))?;
+        let line = line.map_err(|e| ConfigError(format!("batch: cannot be read: {e}")))?;
         if line.trim().is_empty() {
             continue;
         }
@@ -35,7 +35,7 @@
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Bad(line)) => {
+        Err(ConfigError(line)) => {
             eprintln!("dunepond-sim-adapter: {line}");
             ExitCode::FAILURE
         }
--- a/crates/dunepond-sim-adapter/src/process.rs
+++ b/crates/dunepond-sim-adapter/src/process.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_config::{Bad, Fields};
+use dunepond_config::{ConfigError, Fields};
 use serde_json::Value;
 
 use crate::session::Session;
@@ -16,8 +16,9 @@
 
 impl Process {
     /// Plays a batch of events, and gives the batch of orders that they led to.
-    pub fn handle_batch(&mut self, line: &str) -> Result<Value, Bad> {
-        let batch: Value = serde_json::from_str(line).map_err(|e| Bad(format!("batch: not JSON: {e}")))?;
+    pub fn handle_batch(&mut self, line: &str) -> Result<Value, ConfigError> {
+        let batch: Value =
+            serde_json::from_str(line).map_err(|e| ConfigError(format!("batch: not JSON: {e}")))?;
         let batch = wire::Batch::read(&batch)?;
         let mut replies = Vec::new();
         for part in batch.parts {
@@ -36,9 +37,9 @@
         Ok(wire::reply(batch.turn, replies))
     }
 
-    fn handle_event(&mut self, now: f64, broker: &str, event: &Value) -> Result<(), Bad> {
+    fn handle_event(&mut self, now: f64, broker: &str, event: &Value) -> Result<(), ConfigError> {
         let kind = wire::event_kind(event)?;
-        let event = Fields::of(kind, event)?;
+        let event = Fields::new(kind, event)?;
         match kind {
             event::REGISTER_LIST => {
                 let (number, rows) = wire::read_list(&event)?;
@@ -52,7 +53,7 @@
             }
             _ => match self.sessions.get_mut(broker) {
                 Some(session) => session.handle_event(now, kind, &event, &self.lists)?,
-                None => return Err(Bad(format!("{kind}: who: '{broker}' was never started"))),
+                None => return Err(ConfigError(format!("{kind}: who: '{broker}' was never started"))),
             },
         }
         Ok(())
--- a/crates/dunepond-sim-adapter/src/session.rs
+++ b/crates/dunepond-sim-adapter/src/session.rs
@@ -1,6 +1,6 @@
 //! One broker on the wire: its events become calls of its router.
 
-use dunepond_config::{Bad, Fields, deployment};
+use dunepond_config::{ConfigError, Fields, deployment};
 use dunepond_routing::{AttemptEnded, Endpoint, Part, Query, QueryId, Router};
 use serde_json::Value;
 
@@ -30,7 +30,7 @@
 }
 
 impl Session {
-    pub fn start(now: f64, init: &Fields) -> Result<Self, Bad> {
+    pub fn start(now: f64, init: &Fields) -> Result<Self, ConfigError> {
         let settings = wire::Settings::read(init)?;
         let deployment = deployment(settings.seed, &settings.parameters)?;
         Ok(Self {
@@ -51,7 +51,7 @@
         kind: &str,
         event: &Fields,
         lists: &EndpointLists,
-    ) -> Result<(), Bad> {
+    ) -> Result<(), ConfigError> {
         self.transport.now = now;
         if kind != event::ARRIVAL {
             self.flush_incoming()?;
@@ -79,7 +79,7 @@
     }
 
     /// Hands on the query whose rows were coming in, once no more of them can follow.
-    pub fn flush_incoming(&mut self) -> Result<(), Bad> {
+    pub fn flush_incoming(&mut self) -> Result<(), ConfigError> {
         let Some(incoming) = self.incoming.take() else { return Ok(()) };
         let Some(announced) = incoming.query else {
             self.router.on_second_step(&mut self.transport, incoming.id, incoming.parts);
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    fn on_arrival(&mut self, event: &Fields) -> Result<(), Bad> {
+    fn on_arrival(&mut self, event: &Fields) -> Result<(), ConfigError> {
         let arrival = Arrival::read(event)?;
         let begins_another = self
             .incoming
@@ -110,7 +110,7 @@
         }
     }
 
-    fn on_query_row(&mut self, event: &Fields, arrival: &Arrival) -> Result<(), Bad> {
+    fn on_query_row(&mut self, event: &Fields, arrival: &Arrival) -> Result<(), ConfigError> {
         let query = wire::read_query(event, arrival.query, self.query_class_count)?;
         self.transport.add_query(arrival.query, arrival.name.to_string());
         let announced = AnnouncedQuery { query, part_count: arrival.share_or_count as usize };
@@ -129,7 +129,7 @@
         }
     }
 
-    fn on_attempt_ended(&mut self, event: &Fields) -> Result<(), Bad> {
+    fn on_attempt_ended(&mut self, event: &Fields) -> Result<(), ConfigError> {
         let ended = wire::AttemptEnd::read(event)?;
         let Some(Named::Part(query, part)) = self.transport.named(ended.name()?) else { return Ok(()) };
         let ended = AttemptEnded {
@@ -145,7 +145,7 @@
         Ok(())
     }
 
-    fn on_endpoints(&mut self, event: &Fields, lists: &EndpointLists) -> Result<(), Bad> {
+    fn on_endpoints(&mut self, event: &Fields, lists: &EndpointLists) -> Result<(), ConfigError> {
         let is_complete = match wire::list_form(event)? {
             ListForm::Changes => false,
             ListForm::Complete => true,
--- a/crates/dunepond-sim-adapter/src/wire.rs
+++ b/crates/dunepond-sim-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_config::{Bad, Fields};
+use dunepond_config::{ConfigError, Fields};
 use dunepond_routing::{AttemptOutcome, EndpointState, Query, QueryId};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -110,44 +110,44 @@
 }
 
 impl<'a> Batch<'a> {
-    pub fn read(batch: &'a Value) -> Result<Self, Bad> {
-        let batch = Fields::of("batch", batch)?;
+    pub fn read(batch: &'a Value) -> Result<Self, ConfigError> {
+        let batch = Fields::new("batch", batch)?;
         Ok(Self {
             now: batch.number("clockMs")? / MS_PER_SECOND,
-            turn: batch.raw(field::TURN)?,
+            turn: batch.value(field::TURN)?,
             parts: batch.list(field::PARTS)?,
         })
     }
 }
 
 impl<'a> BatchPart<'a> {
-    pub fn read(part: &'a Value) -> Result<Self, Bad> {
-        let part = Fields::of("batch part", part)?;
+    pub fn read(part: &'a Value) -> Result<Self, ConfigError> {
+        let part = Fields::new("batch part", part)?;
         let broker = part.optional_text(field::BROKER)?.unwrap_or_default();
         Ok(Self { broker, events: part.list("input")? })
     }
 }
 
 impl<'a> Settings<'a> {
-    pub fn read(init: &Fields<'a>) -> Result<Self, Bad> {
-        let seed = init.whole("salt")?.cast_unsigned();
-        Ok(Self { seed, parameters: Fields::of("init params", init.raw("params")?)? })
+    pub fn read(init: &Fields<'a>) -> Result<Self, ConfigError> {
+        let seed = init.integer("salt")?.cast_unsigned();
+        Ok(Self { seed, parameters: Fields::new("init params", init.value("params")?)? })
     }
 }
 
 impl<'a> Arrival<'a> {
-    pub fn read(event: &Fields<'a>) -> Result<Self, Bad> {
+    pub fn read(event: &Fields<'a>) -> Result<Self, ConfigError> {
         Ok(Self {
             name: name(event)?,
             query: event.count("query")?,
-            segment: usize::try_from(event.whole("segmentNo")?).ok(),
+            segment: usize::try_from(event.integer("segmentNo")?).ok(),
             share_or_count: event.number("shareOrCount")?,
         })
     }
 }
 
 impl<'a> AttemptEnd<'a> {
-    pub fn read(event: &Fields<'a>) -> Result<Self, Bad> {
+    pub fn read(event: &Fields<'a>) -> Result<Self, ConfigError> {
         let outcome = match event.text(field::OUTCOME)? {
             GOOD => AttemptOutcome::Served,
             "BAD" => AttemptOutcome::Error,
@@ -157,32 +157,32 @@
             "RST" => AttemptOutcome::ConnectionLost,
             "CXL" => AttemptOutcome::Cancelled,
             "NOP" => AttemptOutcome::NotSent,
-            other => return Err(Bad(format!("answer: outcome: unknown word '{other}'"))),
+            other => return Err(ConfigError(format!("answer: outcome: unknown word '{other}'"))),
         };
         Ok(Self { outcome, event: *event })
     }
 
     /// The name of its part.
-    pub fn name(&self) -> Result<&'a str, Bad> {
+    pub fn name(&self) -> Result<&'a str, ConfigError> {
         name(&self.event)
     }
 
-    pub fn attempt(&self) -> Result<usize, Bad> {
+    pub fn attempt(&self) -> Result<usize, ConfigError> {
         Ok(self.event.count_or("shot", 0)? as usize)
     }
 
-    pub fn node(&self) -> Result<&'a str, Bad> {
+    pub fn node(&self) -> Result<&'a str, ConfigError> {
         self.event.text(field::NODE)
     }
 
     /// Seconds since it was sent.
-    pub fn elapsed(&self) -> Result<f64, Bad> {
+    pub fn elapsed(&self) -> Result<f64, ConfigError> {
         delay(&self.event)
     }
 }
 
 impl<'a> ProbeResult<'a> {
-    pub fn read(event: &Fields<'a>) -> Result<Self, Bad> {
+    pub fn read(event: &Fields<'a>) -> Result<Self, ConfigError> {
         let node = event.text(field::NODE)?;
         let is_good = event.text(field::OUTCOME)? == GOOD;
         let took = delay(event)?;
@@ -190,28 +190,28 @@
     }
 }
 
-pub fn event_kind(event: &Value) -> Result<&str, Bad> {
-    Fields::of("event", event)?.text(field::KIND)
+pub fn event_kind(event: &Value) -> Result<&str, ConfigError> {
+    Fields::new("event", event)?.text(field::KIND)
 }
 
 /// The name of the query or part that an event is about.
-pub fn name<'a>(event: &Fields<'a>) -> Result<&'a str, Bad> {
+pub fn name<'a>(event: &Fields<'a>) -> Result<&'a str, ConfigError> {
     event.text(field::NAME)
 }
 
-fn delay(event: &Fields) -> Result<f64, Bad> {
+fn delay(event: &Fields) -> Result<f64, ConfigError> {
     Ok(event.number_or(field::DELAY, 0.0)? / MS_PER_SECOND)
 }
 
 /// The query whose row has come in, without its parts. The wire names parts; what they carry is its own matter, so that a body
 /// can always be had again and no frame takes long.
-pub fn read_query(event: &Fields, id: QueryId, query_class_count: usize) -> Result<Query, Bad> {
+pub fn read_query(event: &Fields, id: QueryId, query_class_count: usize) -> Result<Query, ConfigError> {
     Ok(Query {
         id,
         class: event.index("cls", query_class_count)?,
         tenant: event.count_or("owner", 0)? as usize,
         expires_in: event.number("expiresInMs")? / MS_PER_SECOND,
-        is_retry: event.mark("resent")?,
+        is_retry: event.flag("resent")?,
         body_retained: true,
         streamed: false,
         awaits_prefilter: false,
@@ -220,41 +220,44 @@
     })
 }
 
-pub fn wrong_part_count(announced: usize, came: usize) -> Bad {
-    Bad(format!("arrival: shareOrCount: {announced} parts stated, {came} came"))
+pub fn wrong_part_count(announced: usize, came: usize) -> ConfigError {
+    ConfigError(format!("arrival: shareOrCount: {announced} parts stated, {came} came"))
 }
 
 /// The endpoint list that an event registers, and its number.
-pub fn read_list(event: &Fields) -> Result<(u64, Vec<EndpointRow>), Bad> {
+pub fn read_list(event: &Fields) -> Result<(u64, Vec<EndpointRow>), ConfigError> {
     let number = event.count(field::LIST_NUMBER)?;
     let rows = event.list("rowsIn")?.iter().map(EndpointRow::deserialize).collect::<Result<_, _>>();
-    Ok((number, rows.map_err(|e| event.bad("rowsIn", &e.to_string()))?))
+    Ok((number, rows.map_err(|e| event.error("rowsIn", &e.to_string()))?))
 }
 
-pub fn list_form(event: &Fields) -> Result<ListForm, Bad> {
+pub fn list_form(event: &Fields) -> Result<ListForm, ConfigError> {
     match event.text("form")? {
         "changes" => Ok(ListForm::Changes),
         "all" | "remembered" => Ok(ListForm::Complete),
         "refused" => Ok(ListForm::Refused),
-        other => Err(Bad(format!("directoryUpdate: form: unknown word '{other}'"))),
+        other => Err(ConfigError(format!("directoryUpdate: form: unknown word '{other}'"))),
     }
 }
 
 /// The registered list that an event names.
-pub fn registered_list<'a>(event: &Fields, lists: &'a EndpointLists) -> Result<&'a [EndpointRow], Bad> {
+pub fn registered_list<'a>(
+    event: &Fields,
+    lists: &'a EndpointLists,
+) -> Result<&'a [EndpointRow], ConfigError> {
     let number = event.count(field::LIST_NUMBER)?;
     match lists.get(&number) {
         Some(rows) => Ok(rows),
-        None => Err(Bad(format!("directoryUpdate: setId: no list {number} was registered"))),
+        None => Err(ConfigError(format!("directoryUpdate: setId: no list {number} was registered"))),
     }
 }
 
-pub fn endpoint_state(mode: &str) -> Result<EndpointState, Bad> {
+pub fn endpoint_state(mode: &str) -> Result<EndpointState, ConfigError> {
     match mode {
         "active" => Ok(EndpointState::Active),
         "leaving" => Ok(EndpointState::Draining),
         "left" => Ok(EndpointState::Removed),
-        other => Err(Bad(format!("register: mode: unknown word '{other}'"))),
+        other => Err(ConfigError(format!("register: mode: unknown word '{other}'"))),
     }
 }
 
--- a/crates/dunepond-testkit/src/disk.rs
+++ b/crates/dunepond-testkit/src/disk.rs
@@ -7,18 +7,18 @@
 use std::time::Duration;
 use std::{fs, thread};
 
-use dunepond_body_buffer::{Disk, Folder, Volume};
+use dunepond_body_buffer::{DiskFolder, SpillFile, SpillFolder};
 use dunepond_storage::{FileStore, WritableFile};
 
 pub struct Faulty {
-    disk: Disk,
+    disk: DiskFolder,
     told: PathBuf,
 }
 
 impl Faulty {
     pub fn new(folder: &Path, told: &Path) -> io::Result<Self> {
         Ok(Self {
-            disk: Disk::open(folder, &format!("lab{}", std::process::id()))?,
+            disk: DiskFolder::open(folder, &format!("lab{}", std::process::id()))?,
             told: told.to_path_buf(),
         })
     }
@@ -48,22 +48,22 @@
 }
 
 struct Told {
-    volume: Box<dyn Volume>,
+    volume: Box<dyn SpillFile>,
     told: PathBuf,
 }
 
-impl Folder for Faulty {
-    fn create(&self) -> io::Result<Box<dyn Volume>> {
+impl SpillFolder for Faulty {
+    fn create(&self) -> io::Result<Box<dyn SpillFile>> {
         obey(&self.told, false)?;
         Ok(Box::new(Told { volume: self.disk.create()?, told: self.told.clone() }))
     }
 
-    fn leave(&self) {
-        self.disk.leave();
+    fn close(&self) {
+        self.disk.close();
     }
 }
 
-impl Volume for Told {
+impl SpillFile for Told {
     fn write_at(&mut self, at: u64, bytes: &[u8]) -> io::Result<usize> {
         match obey(&self.told, false)? {
             Some(most) if most < bytes.len() => self.volume.write_at(at, &bytes[..most]),
--- a/crates/dunepond-testkit/src/experiments/search.rs
+++ b/crates/dunepond-testkit/src/experiments/search.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use dunepond_search_api::hits::{Found, Hit, Merge};
-use dunepond_search_api::{Call, Limits, Sort, request};
+use dunepond_search_api::hits::{Hit, HitMerger, PartResult};
+use dunepond_search_api::{ApiRequest, RequestLimits, SortKey, request};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
@@ -32,8 +32,8 @@
 /// The text of a search as nodes are sent it, so that both doors carry the same.
 fn text() -> String {
     let names = ["all".to_string()];
-    match request::read("GET", "/all/_search", b"", &names, &Limits::default()) {
-        Ok(Call::Search(search)) => search.text(),
+    match request::parse("GET", "/all/_search", b"", &names, &RequestLimits::default()) {
+        Ok(ApiRequest::Search(search)) => search.node_request_body(),
         _ => String::new(),
     }
 }
@@ -78,7 +78,7 @@
 /// The first 100 of ten parts of a thousand hits each, in milliseconds, without their reading.
 fn merging(seed: u64) -> f64 {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let sort = [Sort { field: "n".to_string(), descending: true, missing_first: false }];
+    let sort = [SortKey { field: "n".to_string(), descending: true, missing_first: false }];
     let mut took = Vec::new();
     for _ in 0..20 {
         let parts: Vec<_> = (0..10)
@@ -91,13 +91,19 @@
                     sort: vec![json!(key)],
                     source: RawValue::from_string(r#"{"path":"src/lib.rs"}"#.to_string()).ok(),
                 });
-                Found { total: 1000, exact: true, max_score: None, hits: hits.collect(), terminated: false }
+                PartResult {
+                    total: 1000,
+                    total_is_exact: true,
+                    max_score: None,
+                    hits: hits.collect(),
+                    terminated_early: false,
+                }
             })
             .collect();
         let began = Instant::now();
-        let mut merge = Merge::new(&sort, 1000);
+        let mut merge = HitMerger::new(&sort, 1000);
         parts.into_iter().enumerate().for_each(|(seg, found)| merge.add(seg, found));
-        let hits = merge.hits("all", 0);
+        let hits = merge.into_hits("all", 0);
         took.push(1e3 * began.elapsed().as_secs_f64());
         assert_eq!(hits.len(), 1000);
     }
--- a/crates/dunepond-testkit/src/experiments/work.rs
+++ b/crates/dunepond-testkit/src/experiments/work.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_background::{Budget, Cost, Kind, Outcome, Priority, Scheduler, Spec, Used};
+use dunepond_background::{Budget, JobCost, JobKind, JobSpec, Outcome, Priority, ResourceUse, Scheduler};
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -29,9 +29,9 @@
     added: u64,
 }
 
-fn spec(name: &'static str, priority: Priority, now: f64) -> Spec {
-    let kind = Kind::Step;
-    Spec { name, priority, kind, cost: Cost::default(), not_before: now, deadline: None, retry: None }
+fn spec(name: &'static str, priority: Priority, now: f64) -> JobSpec {
+    let kind = JobKind::Step;
+    JobSpec { name, priority, kind, cost: JobCost::default(), not_before: now, deadline: None, retry: None }
 }
 
 /// One core: requests that have come go first; where none is there, a step may run, and a request that comes in the
@@ -41,7 +41,7 @@
     let mut scheduler = background.map(|budget| {
         let mut scheduler = Scheduler::new(budget, seed);
         scheduler.add(0.0, spec("endless and urgent", Priority::Urgent, 0.0));
-        scheduler.add(0.0, spec("endless", Priority::Usual, 0.0));
+        scheduler.add(0.0, spec("endless", Priority::Normal, 0.0));
         scheduler
     });
     let mut draw = || -(1.0 - rng.random::<f64>()).ln() * SERVICE / BUSY;
@@ -68,8 +68,8 @@
                 scheduler.add(now, spec("idle", Priority::Idle, now));
             }
             let given = scheduler.next(now, true)?;
-            let outcome = if given.name == "idle" { Outcome::Done } else { Outcome::More };
-            scheduler.ended(now + STEP, given.id, outcome, Used { seconds: STEP, bytes: 0 });
+            let outcome = if given.name == "idle" { Outcome::Done } else { Outcome::Yielded };
+            scheduler.finish(now + STEP, given.id, outcome, ResourceUse { seconds: STEP, bytes: 0 });
             Some(given.name)
         });
         match step {
@@ -80,12 +80,13 @@
             }
             // Nothing may run before the next request, or the next time at which something is due.
             None => {
-                let due = scheduler.as_ref().and_then(|s| s.next_due(now)).unwrap_or(f64::MAX);
+                let due = scheduler.as_ref().and_then(|s| s.next_wakeup(now)).unwrap_or(f64::MAX);
                 now = next.min(due.max(now + 1e-6));
             }
         }
     }
-    let counts = scheduler.iter().flat_map(Scheduler::counts).map(|(_, counts)| counts.longest_wait);
+    let counts =
+        scheduler.iter().flat_map(Scheduler::counters).map(|(_, counts)| counts.longest_wait_seconds);
     ran.waited = counts.fold(0.0, f64::max);
     ran
 }
@@ -93,10 +94,10 @@
 pub fn run(way: &Way) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
     let seconds = if way.quick { 60.0 } else { 600.0 };
-    let budget = Budget { time: 0.02, bytes: 1e6, at_once: 1 };
+    let budget = Budget { time_ratio: 0.02, bytes_per_second: 1e6, max_blocking_jobs: 1 };
     let alone = play(way.seed, seconds, None);
     let beside = play(way.seed, seconds, Some(budget.clone()));
-    let unbounded = play(way.seed, seconds, Some(Budget { time: 1.0, ..budget }));
+    let unbounded = play(way.seed, seconds, Some(Budget { time_ratio: 1.0, ..budget }));
     let at = |ran: &Ran, q: f64| ran.times.value_at_quantile(q) as f64 / 1e3;
     figures.tell("foreground alone, p50", at(&alone, 0.5), "ms, simulated");
     figures.tell("foreground alone, p99", at(&alone, 0.99), "ms, simulated");
--- a/crates/dunepond-testkit/src/main.rs
+++ b/crates/dunepond-testkit/src/main.rs
@@ -6,9 +6,9 @@
 
 use anyhow::{Context, anyhow};
 use clap::{Parser, Subcommand};
-use dunepond_body_buffer::Folder;
+use dunepond_body_buffer::SpillFolder;
 use dunepond_broker::{Hooks, config, logger, serve};
-use dunepond_config::Bad;
+use dunepond_config::ConfigError;
 use dunepond_control_plane::TestDoubles;
 use dunepond_storage::FileStore;
 use dunepond_testkit::disk::{Faulty, ToldFiles};
@@ -61,15 +61,15 @@
 }
 
 fn broker(file: PathBuf, disk: PathBuf, fleet_disk: Option<PathBuf>) -> anyhow::Result<()> {
-    let plain = |Bad(line)| anyhow!(line);
+    let plain = |ConfigError(line)| anyhow!(line);
     let operator = config::read_operator_file(&file).map_err(plain)?;
     let mut start = config::read(|name| std::env::var(name).ok()).map_err(plain)?;
     logger::start(&start.name, start.log_level, logger::LogFormat::Text);
-    let folder = operator.bodies.as_ref().and_then(|bodies| bodies.folder.as_ref());
+    let folder = operator.body_buffer.as_ref().and_then(|bodies| bodies.spill.as_ref());
     let folder =
-        folder.map(|folder| Faulty::new(&folder.path, &disk)).transpose().context("files: folder")?;
-    let folder = folder.map(|faulty| Arc::new(faulty) as Arc<dyn Folder>);
-    let operator_state = operator.state.as_ref().map(|state| state.folder.clone());
+        folder.map(|folder| Faulty::new(&folder.folder, &disk)).transpose().context("files: folder")?;
+    let folder = folder.map(|faulty| Arc::new(faulty) as Arc<dyn SpillFolder>);
+    let operator_state = operator.recovery.as_ref().map(|state| state.folder.clone());
     start.operator = operator;
     let state =
         operator_state.map(|path| ToldFiles::new(&path, &disk)).transpose().context("state: folder")?;
