--- /dev/null
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
@@ -0,0 +1,101 @@
+//! Settlement entries of the agreed log, applied to this broker's balances and commitments.
+
+use dunepond_consensus::{SettlementUpdate, Voter};
+use dunepond_settlement::{ApplyOutcome, Settlement, SettlementEntry};
+use tracing::{debug, info, warn};
+
+use crate::audit_log::AuditEvent;
+use crate::control_loop::ControlLoop;
+use crate::explain::Explanation;
+use crate::handle::increment;
+
+impl ControlLoop {
+    /// A voter applies the entries of its own log.
+    pub(in crate::control_loop) fn apply_voter_entries(&mut self) {
+        while let Some(state) = self.voter.as_ref().map(Voter::state) {
+            // A voter that was just started may have applied less of the log than this broker knew before.
+            if state.settlements.count <= self.settlement.applied_entries {
+                break;
+            }
+            let update = state.settlements.updates_after(self.settlement.applied_entries);
+            self.apply_entries(update);
+        }
+    }
+
+    /// Other brokers apply the entries that come with their leases.
+    pub(in crate::control_loop) fn apply_leased_entries(&mut self) {
+        for update in self.member.take_settlement_updates() {
+            // A ledger with fewer entries than this broker has applied is of another fleet, and replaces its own.
+            let is_behind = update.ledger.is_some() && update.count < self.settlement.applied_entries;
+            if self.voter.is_none() || is_behind {
+                self.apply_entries(update);
+            }
+        }
+        if self.voter.is_some() {
+            self.member.set_known_settlements(self.settlement.applied_entries);
+        }
+    }
+
+    fn apply_entries(&mut self, update: SettlementUpdate) {
+        if let Some(ledger) = update.ledger {
+            self.traffic.balances.replace(*ledger);
+            self.settlement.applied_entries = update.from;
+        }
+        if update.from != self.settlement.applied_entries {
+            return;
+        }
+        for logged in update.entries {
+            self.settlement.applied_entries += 1;
+            let balances = &mut self.traffic.balances;
+            balances.close(logged.floor);
+            match balances.apply(&logged.entry) {
+                Ok(ApplyOutcome::New) => self.on_applied(logged.entry),
+                Ok(ApplyOutcome::Duplicate) => {}
+                Err(e) => warn!("fleet: an entry about a debt: {e} ({})", e.help()),
+            }
+        }
+        self.note_started_fills();
+        self.release_logged_commitments();
+    }
+
+    fn on_applied(&mut self, entry: SettlementEntry) {
+        match entry {
+            SettlementEntry::Settle(settlement) => self.on_settled(settlement),
+            SettlementEntry::Allot(allotment) => {
+                let bytes: u64 = allotment.parts.iter().map(|share| share.bytes).sum();
+                let (debtor, creditor) = (allotment.debtor, allotment.creditor);
+                info!("fleet: {bytes} bytes that {debtor} owes {creditor} are split in advance");
+            }
+            SettlementEntry::Release(release) => {
+                debug!("fleet: {} gives back {} bytes of its share", release.broker, release.bytes);
+            }
+            SettlementEntry::StartFill(_) => {}
+        }
+    }
+
+    fn on_settled(&mut self, settlement: Settlement) {
+        increment(&self.counters.settled);
+        Explanation::for_settlement(&settlement, &self.traffic.balances).log();
+        let number = settlement.version().unwrap_or(0);
+        let Settlement { id, debtor, creditor, bytes, .. } = settlement;
+        info!("fleet: settled {id}: {bytes} bytes that {debtor} owed {creditor}");
+        if let Some(audit_log) = &self.audit_log {
+            audit_log.record(AuditEvent::Settled { id, debtor, creditor, bytes, number });
+        }
+    }
+
+    /// Drops the commitments that the log has by now.
+    fn release_logged_commitments(&mut self) {
+        let (commitments, ledger) = (&mut self.settlement.commitments, self.traffic.balances.ledger());
+        let due_before = commitments.due_entries().len();
+        let releasing_before = commitments.shares.releasing().is_some();
+        commitments.shares.reconcile(ledger, &[]);
+        let shares = &commitments.shares;
+        commitments.fills.retain(|id, committed| !committed.done || shares.promised(id).is_some());
+        if due_before != commitments.due_entries().len()
+            || releasing_before != commitments.shares.releasing().is_some()
+        {
+            self.settlement.unsaved = true;
+        }
+    }
+}
--- /dev/null
+++ b/crates/dunepond-control-plane/src/explain/text.rs
@@ -0,0 +1,46 @@
+//! Fields of a line: names and reasons of others, truncated.
+
+use dunepond_consensus::ConfigVersion;
+
+/// Longest field.
+const MAX_FIELD_BYTES: usize = 160;
+/// Longest line.
+pub const MAX_LINE_BYTES: usize = 4 * MAX_FIELD_BYTES + 64;
+/// Longest name or reason inside a field, in characters.
+const MAX_NAME_CHARS: usize = 40;
+/// Most alternatives that a line names.
+const MAX_NAMED_COUNT: usize = 3;
+
+/// A field in one line, no longer than [`MAX_FIELD_BYTES`].
+pub(super) fn truncated(text: &str) -> String {
+    let mut short = String::new();
+    for c in text.chars().map(|c| if c.is_control() { ' ' } else { c }) {
+        if short.len() + c.len_utf8() > MAX_FIELD_BYTES - 3 {
+            short.push_str("...");
+            break;
+        }
+        short.push(c);
+    }
+    short
+}
+
+/// A name or reason, no longer than [`MAX_NAME_CHARS`].
+pub(super) fn shortened(text: &str) -> String {
+    match text.char_indices().nth(MAX_NAME_CHARS) {
+        Some((end, _)) => format!("{}...", &text[..end]),
+        None => text.to_string(),
+    }
+}
+
+/// The first [`MAX_NAMED_COUNT`] names, and the number of the rest.
+pub(super) fn abbreviated_list(names: impl Iterator<Item = String>) -> String {
+    let names: Vec<String> = names.collect();
+    let more = names.len().saturating_sub(MAX_NAMED_COUNT);
+    let named = names.into_iter().take(MAX_NAMED_COUNT).collect::<Vec<_>>().join(", ");
+    if more > 0 { format!("{named} and {more} more") } else { named }
+}
+
+/// Who proposed a version, and why.
+pub(super) fn proposer_and_reason(version: &ConfigVersion) -> String {
+    format!("{}: {}", shortened(&version.proposed_by), shortened(&version.reason))
+}
--- /dev/null
+++ b/crates/dunepond-control-plane/src/startup/fills.rs
@@ -0,0 +1,76 @@
+//! The schedulers of fills at the start.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use crossbeam_channel::Sender;
+use dunepond_settlement::{FillPlanner, FillRetryPolicy, LinkCapacities, PlanningRule};
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+use crate::config::{ControlPlaneConfig, FillConfig};
+use crate::control_loop::{AttemptResult, FillKind, FillLimits, FillScheduler, FillService};
+use crate::fill_client::{FillClient, HttpFillClient};
+
+/// Fill rate that a warm node bears, in bytes a second.
+pub(super) fn fill_rate(config: &ControlPlaneConfig) -> f64 {
+    config.fills.as_ref().map_or(f64::MAX, |fills| fills.bytes_per_second as f64)
+}
+
+pub(super) fn fills_started_nodes(config: &ControlPlaneConfig) -> bool {
+    config.fills.as_ref().is_some_and(|fills| fills.fill_started_nodes)
+}
+
+/// What both schedulers of fills are made from.
+pub(super) struct FillSetup {
+    service: FillService,
+    link_rates: BTreeMap<(String, String), f64>,
+    default_link_rate: f64,
+    deadline_seconds: f64,
+    segment_bytes: u64,
+    max_concurrent: usize,
+}
+
+impl FillSetup {
+    /// `client` takes the place of the fill service.
+    pub(super) fn new(
+        config: &ControlPlaneConfig,
+        client: Option<Arc<dyn FillClient>>,
+        results: Sender<AttemptResult>,
+    ) -> Self {
+        let fills = config.fills.as_ref();
+        let http_client =
+            |fills: &FillConfig| -> Arc<dyn FillClient> { Arc::new(HttpFillClient::new(fills.fill_service)) };
+        let mut link_rates = BTreeMap::new();
+        for link in &config.link_rates {
+            link_rates.insert((link.from.clone(), link.to.clone()), link.bytes_per_second as f64);
+        }
+        let default_rate = config.rebalancing.as_ref().and_then(|it| it.default_link_rate);
+        Self {
+            service: FillService { client: client.or(fills.map(http_client)), results },
+            link_rates,
+            default_link_rate: default_rate.map_or(f64::INFINITY, |rate| rate as f64),
+            deadline_seconds: config.terms.fill_deadline_seconds,
+            segment_bytes: fills.map_or(1, |fills| fills.segment_bytes),
+            max_concurrent: fills.map_or(1, |fills| fills.max_concurrent_fills),
+        }
+    }
+
+    /// `by`: the name in which the fills are settled.
+    pub(super) fn scheduler(&self, kind: FillKind, by: &str, rng: &mut Pcg64Mcg) -> FillScheduler {
+        let limits = FillLimits {
+            links: LinkCapacities {
+                rate_caps: self.link_rates.clone(),
+                default_rate_cap: self.default_link_rate,
+                internal_rate_cap: f64::INFINITY,
+            },
+            segment_bytes: self.segment_bytes,
+            max_concurrent: self.max_concurrent,
+        };
+        let retry_policy =
+            FillRetryPolicy { deadline_seconds: self.deadline_seconds, ..FillRetryPolicy::default() };
+        let planner = FillPlanner::new(by, PlanningRule::MaxMin, rng.random());
+        let fill_rng = Pcg64Mcg::seed_from_u64(rng.random());
+        FillScheduler::new(kind, self.service.clone(), retry_policy, limits, planner, fill_rng)
+    }
+}
--- a/crates/dunepond-control-plane/src/startup.rs
+++ b/crates/dunepond-control-plane/src/startup/mod.rs
@@ -1,7 +1,10 @@
 //! Assembly of the control plane: what is stored is opened, consensus and the links are started, and the control loop gets
 //! its thread.
 
-use std::collections::BTreeMap;
+mod fills;
+mod settlement;
+mod voter;
+
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -9,27 +12,27 @@
 use std::time::{Duration, Instant};
 
 use arc_swap::ArcSwap;
-use crossbeam_channel::{Sender, bounded, unbounded};
-use dunepond_consensus::{ActiveConfig, ConsensusConfig, ConsensusError, LeaseClient, StoredVoter, Voter};
-use dunepond_membership::MembershipOptions;
-use dunepond_settlement as settlement;
+use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
+use dunepond_consensus::{ActiveConfig, ConsensusConfig, LeaseClient};
+use dunepond_membership::{Event, MembershipOptions, Peers};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tracing::{error, info};
 
 use crate::audit_log::{AuditLog, AuditSender};
 use crate::clock::{monotonic_seconds, unix_seconds};
-use crate::commitments::Commitments;
-use crate::config::{ControlPlaneConfig, FillConfig, Partner, RebalanceConfig, TestDoubles};
+use crate::config::{ControlPlaneConfig, RebalanceConfig, TestDoubles};
 use crate::control_loop::{
-    AttemptResult, ControlLoop, DEFAULT_SETTLE_SECONDS, FillKind, FillLimits, FillScheduler, FillService,
-    LOG_SHARE_HOLDER, LoopState, Proposals, QuotaSharing, Rebalancing, Settlements, TrafficCounts,
+    ControlLoop, DEFAULT_SETTLE_SECONDS, FillKind, LOG_SHARE_HOLDER, LoopState, Proposals, QuotaSharing,
+    Rebalancing, Settlements, TrafficCounts,
 };
 use crate::data_directory::DataDirectory;
 use crate::error::ControlPlaneError;
-use crate::fill_client::{FillClient, HttpFillClient};
 use crate::handle::{CarriedBytes, ControlHandle, LoopRequest};
-use crate::{link_limits, lost_majority};
+use crate::link_limits;
+use fills::{FillSetup, fill_rate, fills_started_nodes};
+use settlement::{broker_partners, new_balances, open_commitments, open_counts};
+use voter::open_voter;
 
 /// Longest that a shutdown waits for each thread.
 pub(crate) const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
@@ -44,14 +47,6 @@
     audit_log: Option<AuditLog>,
 }
 
-fn settlement_error(e: settlement::SettlementError) -> ControlPlaneError {
-    ControlPlaneError::Consensus { why: e.to_string(), help: e.help().to_string() }
-}
-
-fn consensus_error(e: ConsensusError) -> ControlPlaneError {
-    ControlPlaneError::Consensus { why: e.to_string(), help: e.help().to_string() }
-}
-
 fn read_key(path: PathBuf) -> Result<String, ControlPlaneError> {
     match std::fs::read_to_string(&path) {
         Ok(text) => Ok(text.trim().to_string()),
@@ -59,152 +54,6 @@
     }
 }
 
-/// The voter, where this broker is one: by an operator's statement on a lost majority if there is one, else from its
-/// journal.
-fn open_voter(
-    config: &ControlPlaneConfig,
-    data: &mut DataDirectory,
-    stored: StoredVoter,
-    now: f64,
-    rng: &mut Pcg64Mcg,
-) -> Result<Option<Voter>, ControlPlaneError> {
-    let terms = &config.terms;
-    if !terms.voters.contains(&terms.name) {
-        return Ok(None);
-    }
-    let recovered = lost_majority::recover(&config.data_directory, data, terms, &stored, now, rng.random())?;
-    let voter = match recovered {
-        Some(voter) => voter,
-        None => match Voter::open(terms.clone(), stored, now, rng.random()) {
-            // The same as a lost data directory, which the other voters allow for.
-            Err(e @ (ConsensusError::CorruptRecord(_) | ConsensusError::CorruptLog(_))) => {
-                error!("fleet: {e} ({}); this voter begins anew", e.help());
-                Voter::open(terms.clone(), StoredVoter::new(), now, rng.random())
-            }
-            other => other,
-        }
-        .map_err(consensus_error)?,
-    };
-    lost_majority::log_recovery_facts(&voter);
-    Ok(Some(voter))
-}
-
-fn open_counts(
-    stored: Option<settlement::LocalCounts>,
-    broker: &str,
-    incarnation: u64,
-) -> Result<settlement::LocalCounts, ControlPlaneError> {
-    let opened = match settlement::LocalCounts::open(stored.clone(), broker, incarnation) {
-        // The clock was set back, and the number of starts was lost.
-        Err(settlement::SettlementError::StaleIncarnation { stored: newest, .. }) => {
-            settlement::LocalCounts::open(stored, broker, newest + 1)
-        }
-        other => other,
-    };
-    opened.map_err(settlement_error)
-}
-
-fn broker_partners(partners: &[Partner]) -> settlement::BrokerPartners {
-    let mut sides = settlement::BrokerPartners::default();
-    for partner in partners {
-        for broker in &partner.brokers {
-            sides.partner_of.insert(broker.clone(), partner.name.clone());
-        }
-        if partner.metered {
-            sides.metered.insert(partner.name.clone());
-        }
-    }
-    sides
-}
-
-fn new_balances(
-    config: &ControlPlaneConfig,
-    commitments: &Commitments,
-) -> Result<settlement::Balances, ControlPlaneError> {
-    let terms = settlement::SettlementTerms {
-        max_fill_rate: fill_rate(config),
-        ..settlement::SettlementTerms::default()
-    };
-    let (sides, ledger) = (broker_partners(&config.partners), commitments.ledger.clone());
-    settlement::Balances::new(terms, sides, ledger).map_err(settlement_error)
-}
-
-fn new_rebalancing(config: Option<&RebalanceConfig>) -> Rebalancing {
-    match config {
-        Some(config) => Rebalancing::new(
-            Some(config.plan_file.clone()),
-            config.max_concurrent_acts,
-            config.settle_seconds,
-        ),
-        None => Rebalancing::new(None, 1, DEFAULT_SETTLE_SECONDS),
-    }
-}
-
-/// Fill rate that a warm node bears, in bytes a second.
-fn fill_rate(config: &ControlPlaneConfig) -> f64 {
-    config.fills.as_ref().map_or(f64::MAX, |fills| fills.bytes_per_second as f64)
-}
-
-fn fills_started_nodes(config: &ControlPlaneConfig) -> bool {
-    config.fills.as_ref().is_some_and(|fills| fills.fill_started_nodes)
-}
-
-/// What both schedulers of fills are made from.
-struct FillSetup {
-    service: FillService,
-    link_rates: BTreeMap<(String, String), f64>,
-    default_link_rate: f64,
-    deadline_seconds: f64,
-    segment_bytes: u64,
-    max_concurrent: usize,
-}
-
-impl FillSetup {
-    /// `client` takes the place of the fill service.
-    fn new(
-        config: &ControlPlaneConfig,
-        client: Option<Arc<dyn FillClient>>,
-        results: Sender<AttemptResult>,
-    ) -> Self {
-        let fills = config.fills.as_ref();
-        let http_client =
-            |fills: &FillConfig| -> Arc<dyn FillClient> { Arc::new(HttpFillClient::new(fills.fill_service)) };
-        let mut link_rates = BTreeMap::new();
-        for link in &config.link_rates {
-            link_rates.insert((link.from.clone(), link.to.clone()), link.bytes_per_second as f64);
-        }
-        let default_rate = config.rebalancing.as_ref().and_then(|it| it.default_link_rate);
-        Self {
-            service: FillService { client: client.or(fills.map(http_client)), results },
-            link_rates,
-            default_link_rate: default_rate.map_or(f64::INFINITY, |rate| rate as f64),
-            deadline_seconds: config.terms.fill_deadline_seconds,
-            segment_bytes: fills.map_or(1, |fills| fills.segment_bytes),
-            max_concurrent: fills.map_or(1, |fills| fills.max_concurrent_fills),
-        }
-    }
-
-    /// `by`: the name in which the fills are settled.
-    fn scheduler(&self, kind: FillKind, by: &str, rng: &mut Pcg64Mcg) -> FillScheduler {
-        let limits = FillLimits {
-            links: settlement::LinkCapacities {
-                rate_caps: self.link_rates.clone(),
-                default_rate_cap: self.default_link_rate,
-                internal_rate_cap: f64::INFINITY,
-            },
-            segment_bytes: self.segment_bytes,
-            max_concurrent: self.max_concurrent,
-        };
-        let retry_policy = settlement::FillRetryPolicy {
-            deadline_seconds: self.deadline_seconds,
-            ..settlement::FillRetryPolicy::default()
-        };
-        let planner = settlement::FillPlanner::new(by, settlement::PlanningRule::MaxMin, rng.random());
-        let fill_rng = Pcg64Mcg::seed_from_u64(rng.random());
-        FillScheduler::new(kind, self.service.clone(), retry_policy, limits, planner, fill_rng)
-    }
-}
-
 fn role(terms: &ConsensusConfig) -> &'static str {
     if terms.voters.contains(&terms.name) { "voter" } else { "no voter" }
 }
@@ -229,6 +78,30 @@
     }
 }
 
+fn new_rebalancing(config: Option<&RebalanceConfig>) -> Rebalancing {
+    match config {
+        Some(config) => Rebalancing::new(
+            Some(config.plan_file.clone()),
+            config.max_concurrent_acts,
+            config.settle_seconds,
+        ),
+        None => Rebalancing::new(None, 1, DEFAULT_SETTLE_SECONDS),
+    }
+}
+
+fn start_links(
+    config: &ControlPlaneConfig,
+    incarnation: u64,
+    key: Option<String>,
+    seed: u64,
+) -> Result<(Peers, Receiver<Event>), ControlPlaneError> {
+    let (name, known_brokers) = (&config.terms.name, config.known_brokers.clone());
+    let mut options = MembershipOptions::new(name, incarnation, config.listen_address, known_brokers, seed);
+    options.key = key;
+    options.limits = link_limits::limits_for(config);
+    Ok(dunepond_membership::start(options)?)
+}
+
 /// Starts the control plane. `wake` is called on its thread whenever what the broker may act on has changed; it must not
 /// block.
 ///
@@ -240,7 +113,6 @@
     doubles: TestDoubles,
     wake: impl Fn() + Send + 'static,
 ) -> Result<ControlPlane, ControlPlaneError> {
-    let link_limits = link_limits::limits_for(&config);
     config.terms.check()?;
     let name = config.terms.name.clone();
     let key = config.key_file.take().map(read_key).transpose()?;
@@ -256,25 +128,16 @@
     let mut member = LeaseClient::new(config.terms.clone(), stored.config, now, rng.random());
     let audit_log = config.audit_log_file.take().map(|path| AuditLog::start(&path, &name, incarnation));
     let (audit_sender, audit_log) = audit_log.transpose()?.unzip();
-    let configured_brokers = config.known_brokers.iter().map(|known| known.0.clone()).collect();
-    let known_brokers = std::mem::take(&mut config.known_brokers);
-    let mut options =
-        MembershipOptions::new(&name, incarnation, config.listen_address, known_brokers, rng.random());
-    (options.key, options.limits) = (key, link_limits);
-    let (peers, events) = dunepond_membership::start(options)?;
+    let (peers, events) = start_links(&config, incarnation, key, rng.random())?;
     let listen_address = peers.local_addr();
 
     let (request_sender, requests) = bounded(MAX_QUEUED_REQUESTS);
     let active_config = member.active_config();
     let handle = new_handle(active_config, config.partners.len(), audit_sender.clone(), request_sender);
-    let quotas = config
-        .quotas
-        .take()
-        .map(|quotas| QuotaSharing::new(quotas, config.terms.lease_seconds, handle.demand.clone(), now));
-    let commitments = match stored.commitments {
-        Some(commitments) => commitments,
-        None => Commitments::new(&name).map_err(settlement_error)?,
-    };
+    let lease_seconds = config.terms.lease_seconds;
+    let quotas = config.quotas.take();
+    let quotas = quotas.map(|quotas| QuotaSharing::new(quotas, lease_seconds, handle.demand.clone(), now));
+    let commitments = open_commitments(stored.commitments, &name)?;
     member.set_known_settlements(commitments.applied_entries);
     let counts = open_counts(stored.counts, &name, incarnation)?;
     let balances = new_balances(&config, &commitments)?;
@@ -288,7 +151,7 @@
     info!("fleet: {name} listening at {listen_address}, start {incarnation}, {}", role(&config.terms));
     let control_loop = ControlLoop {
         name,
-        lease_seconds: config.terms.lease_seconds,
+        lease_seconds,
         voter,
         member,
         data,
@@ -323,7 +186,7 @@
         fill_bytes_per_second: fill_rate(&config),
         slow_start: config.slow_start,
         started_nodes: handle.started_nodes.clone(),
-        configured_brokers,
+        configured_brokers: config.known_brokers.into_iter().map(|known| known.0).collect(),
         crashes_at: doubles.crashes_at,
         state: LoopState::default(),
     };
