--- a/crates/dunepond-broker/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::{self, Write};
 
-use dunepond_prefilter::{CanMatch as Match, SegmentIndex, Version};
+use dunepond_prefilter::{CanMatch, SegmentAnswer, SegmentIndex, Version};
 
 use crate::buffers::BUFFER_BYTES;
 
@@ -25,7 +25,7 @@
         /// The number of the request.
         question: u64,
         /// Whether each segment can match, and the version that says so.
-        words: Vec<(SegmentIndex, Match, Version)>,
+        words: Vec<SegmentAnswer>,
     },
     /// The node could not use a frame of ours (`F`), and why.
     Rejected(&'a str),
@@ -89,17 +89,18 @@
 }
 
 /// The lines of a prefilter answer, `SEGMENT WORD VERSION` each.
-fn words(lines: &str) -> Option<Vec<(SegmentIndex, Match, Version)>> {
+fn words(lines: &str) -> Option<Vec<SegmentAnswer>> {
     let line = |line: &str| {
         let mut words = line.splitn(3, ' ');
-        let seg = words.next()?.parse().ok()?;
-        let word = match words.next()? {
-            "may" => Match::MayMatch,
-            "no" => Match::CannotMatch,
-            "unknown" => Match::Unknown,
+        let segment = words.next()?.parse().ok()?;
+        let answer = match words.next()? {
+            "may" => CanMatch::MayMatch,
+            "no" => CanMatch::CannotMatch,
+            "unknown" => CanMatch::Unknown,
             _ => return None,
         };
-        Some((seg, word, words.next()?.parse().ok()?))
+        let version = words.next()?.parse().ok()?;
+        Some(SegmentAnswer { segment, answer, version })
     };
     lines.lines().map(line).collect()
 }
--- a/crates/dunepond-broker/src/frames/tests/mod.rs
+++ b/crates/dunepond-broker/src/frames/tests/mod.rs
@@ -48,7 +48,11 @@
 fn prefilter_request_answer_and_report() {
     assert_eq!(question(7, "q 1", &[3, 9])[4..], *b"P7 3 3,9\nq 1");
     let bytes = frame(b'Q', b"7\n3 no 12\n9 may 4\n1 unknown 0");
-    let words = vec![(3, Match::CannotMatch, 12), (9, Match::MayMatch, 4), (1, Match::Unknown, 0)];
+    let words = vec![
+        SegmentAnswer { segment: 3, answer: CanMatch::CannotMatch, version: 12 },
+        SegmentAnswer { segment: 9, answer: CanMatch::MayMatch, version: 4 },
+        SegmentAnswer { segment: 1, answer: CanMatch::Unknown, version: 0 },
+    ];
     assert_eq!(read(&bytes), Ok(Some((NodeFrame::PrefilterAnswers { question: 7, words }, bytes.len()))));
     assert_eq!((searched("v=12,n=0"), searched("n=3,v=1")), (Some((12, false)), Some((1, true))));
     assert_eq!((searched("-"), searched("v=1"), searched("v=x,n=1")), (None, None, None));
--- a/crates/dunepond-broker/src/prefilter.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -206,7 +206,7 @@
 
     /// A node was replaced by another process, or removed.
     pub fn forget(&mut self, node: NodeId) {
-        self.phases.forget(node);
+        self.phases.remove_node(node);
     }
 
     /// The prefilter phase of some query is over.
@@ -247,7 +247,7 @@
 
     /// Logs counters.
     pub fn report(&self, now: f64) {
-        let counts = self.phases.counts();
+        let counts = self.phases.counters();
         info!(
             asked_first = counts.prefiltered,
             plain = counts.searched_directly,
--- a/crates/dunepond-broker/src/prefilter_connections.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -8,7 +8,7 @@
 
 use calloop::RegistrationToken;
 use dunepond_config::HostSettings;
-use dunepond_prefilter::{CanMatch, RequestFailure, SegmentIndex, Version};
+use dunepond_prefilter::{RequestFailure, SegmentAnswer};
 use dunepond_routing::NodeId;
 use slab::Slab;
 use tracing::{debug, warn};
@@ -28,7 +28,7 @@
 const MAX_QUEUED_BYTES: usize = 256 * 1024;
 
 /// For each requested segment, whether it can match and the version that says so.
-pub type PrefilterAnswers = Vec<(SegmentIndex, CanMatch, Version)>;
+pub type PrefilterAnswers = Vec<SegmentAnswer>;
 
 struct PrefilterConnection {
     node: NodeId,
--- a/crates/dunepond-prefilter/src/audit_budget/tests.rs
+++ b/crates/dunepond-prefilter/src/audit_budget/tests/mod.rs
@@ -1,7 +1,7 @@
 use super::AuditBudget;
 
 #[test]
-fn audits_stay_within_their_ratio_of_pruned_segments() {
+fn audits_stay_within_ratio() {
     let mut budget = AuditBudget::new(0.02, 4.0);
     let mut made = 0;
     for _ in 0..1000 {
--- a/crates/dunepond-prefilter/src/backoff/tests.rs
+++ b/crates/dunepond-prefilter/src/backoff/tests/mod.rs
@@ -1,7 +1,7 @@
 use super::{NodeBackoffs, RequestFailure};
 
 #[test]
-fn the_backoff_of_a_silent_node_doubles_and_ends_with_one_request() {
+fn backoff_doubles_and_ends_with_probe() {
     let (mut backoffs, mut now) = (NodeBackoffs::default(), 0.0);
     assert!(backoffs.is_available(now, 3));
     for (request, seconds) in [(1, 0.5), (2, 1.0), (3, 2.0)] {
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn requests_that_fail_together_count_once() {
+fn concurrent_failures_count_once() {
     let mut backoffs = NodeBackoffs::default();
     (1..9).for_each(|request| backoffs.on_failure(0.0, 3, request, RequestFailure::Timeout));
     assert!(backoffs.is_available(0.5, 3));
 }
 
 #[test]
-fn a_node_that_leaves_has_no_backoff() {
+fn removed_node_has_no_backoff() {
     let mut backoffs = NodeBackoffs::default();
     backoffs.on_failure(0.0, 3, 1, RequestFailure::Unsupported);
     assert!(!backoffs.is_available(3.9, 3) && backoffs.count(3.9) == 1);
--- a/crates/dunepond-prefilter/src/benefit.rs
+++ b/crates/dunepond-prefilter/src/benefit.rs
@@ -6,7 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Samples of each kind that are kept.
+/// Samples of each kind that count, the latest ones.
 const MAX_SAMPLES: usize = 32;
 /// Samples of each kind that are needed for a decision.
 const MIN_SAMPLES: usize = 4;
@@ -34,9 +34,9 @@
     pub total_seconds: f64,
 }
 
-/// What a prefiltered query usually takes.
+/// What a prefiltered query takes at the median.
 #[derive(Clone, Copy, Debug)]
-pub struct UsualTimes {
+pub struct MedianTimes {
     /// Asking.
     pub request_seconds: f64,
     /// The search after it.
@@ -141,10 +141,10 @@
     }
 
     /// What a prefiltered query takes at the median.
-    pub fn usual_times(&self) -> Option<UsualTimes> {
+    pub fn median_times(&self) -> Option<MedianTimes> {
         let request_seconds = median(self.prefiltered.iter().map(|sample| sample.request_seconds))?;
         let search = self.prefiltered.iter().map(|sample| sample.total_seconds - sample.request_seconds);
-        Some(UsualTimes { request_seconds, search_seconds: median(search)? })
+        Some(MedianTimes { request_seconds, search_seconds: median(search)? })
     }
 
     /// What a query takes at the median that is searched directly.
--- a/crates/dunepond-prefilter/src/benefit/tests.rs
+++ b/crates/dunepond-prefilter/src/benefit/tests/mod.rs
@@ -26,7 +26,7 @@
 #[case::prunes_much(0.9, 0.5, 0.9, 1.0)]
 #[case::prunes_nothing(0.0, 1.2, 0.0, 0.05)]
 #[case::takes_too_long(0.9, 3.0, 0.0, 0.05)]
-fn queries_are_prefiltered_where_it_is_beneficial_and_tried_now_and_then_elsewhere(
+fn prefilters_only_where_beneficial(
     #[case] pruned_ratio: f64,
     #[case] total_seconds: f64,
     #[case] min: f64,
@@ -41,7 +41,7 @@
 
 /// All of them come before the first has ended.
 #[test]
-fn a_burst_is_not_prefiltered_as_a_whole_before_anything_is_known() {
+fn one_trial_at_a_time_without_samples() {
     let mut benefit = Benefit::default();
     let mut prefiltered = 0;
     for _ in 0..500 {
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_change_is_noticed() {
+fn adapts_to_change() {
     let mut benefit = Benefit::default();
     run(&mut benefit, 1000, sample(0.0, 1.1), 1.0);
     assert!(!benefit.is_beneficial());
--- a/crates/dunepond-prefilter/src/evidence.rs
+++ b/crates/dunepond-prefilter/src/evidence.rs
@@ -78,7 +78,7 @@
     /// In the order of insertion.
     order: VecDeque<(QueryKey, SegmentIndex)>,
     max_entries: usize,
-    /// The latest version heard of each segment; entries of earlier ones do not count.
+    /// The latest version stated of each segment; entries of earlier ones do not count.
     versions: HashMap<SegmentIndex, Version>,
 }
 
--- a/crates/dunepond-prefilter/src/evidence/tests.rs
+++ b/crates/dunepond-prefilter/src/evidence/tests/mod.rs
@@ -14,7 +14,7 @@
 const ALL_TRUSTED: fn(NodeId) -> bool = |_| true;
 
 #[test]
-fn one_denial_is_no_evidence_and_two_are() {
+fn needs_two_denials() {
     let mut evidence = Evidence::new(10);
     evidence.record_answer(at(0.0), 1, 0, 7, CanMatch::CannotMatch, 3);
     evidence.record_answer(at(0.0), 1, 0, 7, CanMatch::CannotMatch, 3);
@@ -26,7 +26,7 @@
 
 /// The content may have changed since, and a faulty replica could state the old version.
 #[test]
-fn an_answer_to_a_request_sent_before_the_query_came_is_no_evidence_for_it() {
+fn stale_answers_do_not_count() {
     let mut evidence = Evidence::new(10);
     evidence.record_answer(at(1.0), 1, 0, 7, CanMatch::CannotMatch, 3);
     evidence.record_answer(at(2.0), 1, 0, 8, CanMatch::CannotMatch, 3);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn our_own_search_confirms_one_denial() {
+fn own_search_confirms_denial() {
     let mut evidence = Evidence::new(10);
     evidence.record_search(at(0.0), 1, 0, 3, false);
     assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), None);
@@ -51,7 +51,7 @@
 #[rstest]
 #[case::an_answer_shows_it(|e: &mut Evidence| e.record_answer(at(0.0), 2, 0, 9, CanMatch::Unknown, 4))]
 #[case::a_search_shows_it(|e: &mut Evidence| e.record_search(at(0.0), 2, 0, 4, true))]
-fn answers_about_another_version_are_dropped(#[case] change: fn(&mut Evidence)) {
+fn drops_other_versions(#[case] change: fn(&mut Evidence)) {
     let mut evidence = Evidence::new(10);
     evidence.record_answer(at(0.0), 1, 0, 7, CanMatch::CannotMatch, 3);
     evidence.record_answer(at(0.0), 1, 0, 8, CanMatch::CannotMatch, 3);
@@ -65,7 +65,7 @@
 #[rstest]
 #[case(CanMatch::MayMatch)]
 #[case(CanMatch::Unknown)]
-fn replicas_that_disagree_are_no_evidence(#[case] answer: CanMatch) {
+fn disagreement_cancels_denials(#[case] answer: CanMatch) {
     let mut evidence = Evidence::new(10);
     evidence.record_answer(at(0.0), 1, 0, 7, CanMatch::CannotMatch, 3);
     evidence.record_answer(at(0.0), 1, 0, 8, CanMatch::CannotMatch, 3);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn the_table_is_bounded_and_drops_the_oldest() {
+fn table_drops_oldest() {
     let mut evidence = Evidence::new(4);
     for segment in 0..20 {
         evidence.record_answer(at(0.0), 1, segment, 7, CanMatch::CannotMatch, 1);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn denials_of_a_removed_node_count_nowhere() {
+fn removed_node_loses_denials() {
     let mut evidence = Evidence::new(10);
     for segment in 0..3 {
         evidence.record_answer(at(0.0), 1, segment, 7, CanMatch::CannotMatch, 1);
--- a/crates/dunepond-prefilter/src/lib.rs
+++ b/crates/dunepond-prefilter/src/lib.rs
@@ -24,6 +24,6 @@
 pub use evidence::PruningBasis;
 pub use model::{
     Action, Audit, CanMatch, CanMatchRequest, Counters, InFlight, NodeId, NodeView, PrefilterConfig,
-    PrefilterQuery, PrunedSegment, QueryId, QueryKey, SearchPlan, SegmentIndex, Version,
+    PrefilterQuery, PrunedSegment, QueryId, QueryKey, SearchPlan, SegmentAnswer, SegmentIndex, Version,
 };
 pub use prefilter::Prefilter;
--- a/crates/dunepond-prefilter/src/model.rs
+++ b/crates/dunepond-prefilter/src/model.rs
@@ -24,6 +24,17 @@
     Unknown,
 }
 
+/// A node's answer about one segment.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SegmentAnswer {
+    /// The segment.
+    pub segment: SegmentIndex,
+    /// Whether it can match.
+    pub answer: CanMatch,
+    /// The version that the answer is about.
+    pub version: Version,
+}
+
 /// What the operator configures.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrefilterConfig {
--- a/crates/dunepond-prefilter/src/prefilter/mod.rs
+++ b/crates/dunepond-prefilter/src/prefilter/mod.rs
@@ -125,14 +125,14 @@
     }
 
     /// Drops what is known of a node: it left, or a new process stands under its number.
-    pub fn forget(&mut self, node: NodeId) {
+    pub fn remove_node(&mut self, node: NodeId) {
         self.trust.remove_node(node);
         self.backoffs.remove_node(node);
         self.evidence.remove_node(node);
     }
 
     /// What was counted so far.
-    pub fn counts(&self) -> Counters {
+    pub fn counters(&self) -> Counters {
         self.counters
     }
 
@@ -156,7 +156,7 @@
         self.benefits.get(&query_class).is_some_and(Benefit::is_beneficial)
     }
 
-    /// From when on answers count for a query that comes now.
+    /// From when on answers count for a query that arrives now.
     fn counts_since(&self, now: f64) -> CountsSince {
         CountsSince { sequence: self.requests_sent, time: now - self.config.max_age_seconds }
     }
--- a/crates/dunepond-prefilter/src/prefilter/requests.rs
+++ b/crates/dunepond-prefilter/src/prefilter/requests.rs
@@ -9,10 +9,10 @@
 use crate::evidence::SentAt;
 use crate::model::{
     Action, CanMatch, CanMatchRequest, NodeId, NodeView, PrefilterQuery, QueryId, QueryKey, SearchPlan,
-    SegmentIndex, Version,
+    SegmentAnswer, SegmentIndex,
 };
 
-/// The usual search must fit into the time that is left after asking, with this margin.
+/// The median search must fit into the time that is left after asking, with this margin.
 const SEARCH_TIME_MARGIN_RATIO: f64 = 1.5;
 /// How often a distrusted node is asked: its segments are searched, which shows whether it is right again.
 const PROBATION_RATIO: f64 = 1.0 / 16.0;
@@ -74,11 +74,11 @@
         let time_left = query.time_left_seconds;
         let mut max_seconds = self.config.time_ratio * time_left;
         let benefit = self.benefits.entry(query.query_class).or_default();
-        if let Some(usual) = benefit.usual_times() {
+        if let Some(median) = benefit.median_times() {
             // A direct search may take longer than one after pruning: if little is pruned, that must fit too.
-            let search_seconds = usual.search_seconds.max(benefit.direct_seconds().unwrap_or(0.0));
+            let search_seconds = median.search_seconds.max(benefit.direct_seconds().unwrap_or(0.0));
             max_seconds = max_seconds.min(time_left - SEARCH_TIME_MARGIN_RATIO * search_seconds);
-            if max_seconds < usual.request_seconds {
+            if max_seconds < median.request_seconds {
                 return None;
             }
         }
@@ -192,12 +192,12 @@
         now: f64,
         nodes: &dyn NodeView,
         request: u64,
-        answers: &[(SegmentIndex, CanMatch, Version)],
+        answers: &[SegmentAnswer],
     ) -> Vec<Action> {
         let Some(SentRequest { request, sent }) = self.sent.remove(&request) else { return Vec::new() };
         self.backoffs.on_response(request.node);
         let mut denied = BTreeSet::new();
-        for &(segment, answer, version) in answers {
+        for &SegmentAnswer { segment, answer, version } in answers {
             if !request.segments.contains(&segment) {
                 continue;
             }
--- a/crates/dunepond-prefilter/src/trust/tests.rs
+++ b/crates/dunepond-prefilter/src/trust/tests/mod.rs
@@ -1,7 +1,7 @@
 use super::Trust;
 
 #[test]
-fn each_false_denial_costs_twice_as_many_confirmations() {
+fn false_denials_double_confirmations() {
     let mut trust = Trust::default();
     assert!(trust.is_trusted(3));
     for needed in [4, 8, 16] {
--- a/crates/dunepond-prefilter/tests/prefilter.rs
+++ b/crates/dunepond-prefilter/tests/prefilter.rs
@@ -67,14 +67,24 @@
 }
 
 fn requests(actions: &[Action]) -> Vec<CanMatchRequest> {
-    let questions =
-        actions.iter().filter_map(|o| if let Action::Send(q) = o { Some(q.clone()) } else { None });
-    questions.collect()
+    let mut requests = Vec::new();
+    for action in actions {
+        if let Action::Send(request) = action {
+            requests.push(request.clone());
+        }
+    }
+    requests
 }
 
 fn plan(actions: &[Action], query_id: QueryId) -> Option<SearchPlan> {
-    let mut verdicts = actions.iter().filter_map(|o| if let Action::Search(v) = o { Some(v) } else { None });
-    verdicts.find(|v| v.query == query_id).cloned()
+    let mut plans =
+        actions.iter().filter_map(|action| if let Action::Search(plan) = action { Some(plan) } else { None });
+    plans.find(|plan| plan.query == query_id).cloned()
+}
+
+/// An answer about the first version.
+fn segment_answer(segment: SegmentIndex, answer: CanMatch) -> SegmentAnswer {
+    SegmentAnswer { segment, answer, version: 1 }
 }
 
 /// Answers all requests alike, until there is a plan.
@@ -87,33 +97,34 @@
 ) -> SearchPlan {
     let mut actions = actions;
     loop {
-        if let Some(verdict) = plan(&actions, query_id) {
-            return verdict;
+        if let Some(plan) = plan(&actions, query_id) {
+            return plan;
         }
-        let questions = requests(&actions);
-        assert!(!questions.is_empty(), "it waits for nothing and has no plan");
+        let requests = requests(&actions);
+        assert!(!requests.is_empty(), "it waits for nothing and has no plan");
         actions.clear();
-        for request in questions {
-            let words: Vec<_> = request.segments.iter().map(|segment| (*segment, answer, 1)).collect();
-            actions.extend(prefilter.on_response(0.1, world, request.id, &words));
+        for request in requests {
+            let answers: Vec<_> =
+                request.segments.iter().map(|segment| segment_answer(*segment, answer)).collect();
+            actions.extend(prefilter.on_response(0.1, world, request.id, &answers));
         }
         actions.extend(prefilter.flush(0.1));
     }
 }
 
 #[test]
-fn one_request_goes_to_a_node_for_all_its_segments() {
+fn one_request_per_node() {
     let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
-    let questions = requests(&opened(&mut prefilter, 0.0, &world, query(1, 0..24)));
-    let nodes: BTreeSet<_> = questions.iter().map(|q| q.node).collect();
-    assert_eq!(nodes.len(), questions.len());
-    assert_eq!(questions.iter().map(|q| q.segments.len()).sum::<usize>(), 24);
+    let requests = requests(&opened(&mut prefilter, 0.0, &world, query(1, 0..24)));
+    let nodes: BTreeSet<_> = requests.iter().map(|request| request.node).collect();
+    assert_eq!(nodes.len(), requests.len());
+    assert_eq!(requests.iter().map(|request| request.segments.len()).sum::<usize>(), 24);
 }
 
 /// Two queries of one text within an iteration share requests; one that comes when these were sent asks again, as an answer
 /// in flight may have been decided before it came.
 #[test]
-fn queries_within_an_iteration_share_requests_and_later_ones_do_not() {
+fn shares_requests_within_iteration() {
     let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
     // Shown to be beneficial, or only one at a time would be tried.
     for id in 100..120 {
@@ -127,47 +138,47 @@
     assert_eq!(prefilter.open(1.0, &world, same(1)), []);
     assert_eq!(prefilter.open(1.0, &world, same(2)), []);
     let first = requests(&prefilter.flush(1.0));
-    assert_eq!(first.iter().map(|q| q.segments.len()).sum::<usize>(), 8);
+    assert_eq!(first.iter().map(|request| request.segments.len()).sum::<usize>(), 8);
     let later = requests(&opened(&mut prefilter, 1.0, &world, same(3)));
-    assert_eq!(later.iter().map(|q| q.segments.len()).sum::<usize>(), 8);
+    assert_eq!(later.iter().map(|request| request.segments.len()).sum::<usize>(), 8);
 }
 
 #[test]
-fn pruning_everything_is_an_empty_search() {
+fn pruning_all_gives_empty_plan() {
     let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
     let actions = opened(&mut prefilter, 0.0, &world, query(1, 0..8));
-    let verdict = answer_all(&mut prefilter, &world, actions, 1, CanMatch::CannotMatch);
-    assert_eq!((verdict.search.len(), verdict.pruned.len()), (0, 8));
+    let plan = answer_all(&mut prefilter, &world, actions, 1, CanMatch::CannotMatch);
+    assert_eq!((plan.search.len(), plan.pruned.len()), (0, 8));
 }
 
 #[test]
-fn nodes_that_never_deny_leave_all_to_be_searched() {
+fn no_denials_search_all() {
     let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
     let actions = opened(&mut prefilter, 0.0, &world, query(1, 0..8));
-    let verdict = answer_all(&mut prefilter, &world, actions, 1, CanMatch::MayMatch);
-    assert_eq!((verdict.search.len(), verdict.pruned.len()), (8, 0));
+    let plan = answer_all(&mut prefilter, &world, actions, 1, CanMatch::MayMatch);
+    assert_eq!((plan.search.len(), plan.pruned.len()), (8, 0));
 }
 
 /// Whether one node stalls or all: what was not answered by the deadline is searched, and a late answer changes nothing.
 #[test]
-fn asking_ends_at_its_deadline_and_late_answers_do_not_count() {
+fn late_answers_do_not_count() {
     let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
-    let questions = requests(&opened(&mut prefilter, 0.0, &world, query(1, 0..8)));
+    let requests = requests(&opened(&mut prefilter, 0.0, &world, query(1, 0..8)));
     let due = prefilter.next_deadline().unwrap();
     assert!((due - 0.3 * 4.0).abs() < 1e-9);
     assert_eq!(prefilter.on_deadline(due - 0.01), []);
-    let verdict = plan(&prefilter.on_deadline(due), 1).unwrap();
-    assert_eq!(verdict.search.len(), 8);
-    for request in questions {
-        let words: Vec<_> =
-            request.segments.iter().map(|segment| (*segment, CanMatch::CannotMatch, 1)).collect();
-        assert_eq!(prefilter.on_response(due + 0.1, &world, request.id, &words), []);
+    let plan = plan(&prefilter.on_deadline(due), 1).unwrap();
+    assert_eq!(plan.search.len(), 8);
+    for request in requests {
+        let denials: Vec<_> =
+            request.segments.iter().map(|segment| segment_answer(*segment, CanMatch::CannotMatch)).collect();
+        assert_eq!(prefilter.on_response(due + 0.1, &world, request.id, &denials), []);
     }
     assert_eq!(prefilter.in_flight(), InFlight::default());
 }
 
 #[test]
-fn a_node_that_closes_on_the_request_leaves_its_segments_to_be_searched() {
+fn failed_requests_search_segments() {
     let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
     let mut actions = opened(&mut prefilter, 0.0, &world, query(1, 0..8));
     for request in requests(&actions) {
@@ -178,7 +189,7 @@
 }
 
 #[test]
-fn narrow_queries_unsafe_ones_and_all_in_overload_are_searched_directly() {
+fn ineligible_queries_search_directly() {
     let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
     let plain = |prefilter: &mut Prefilter, world: &World, wide: PrefilterQuery| {
         let id = wide.id;
@@ -194,7 +205,7 @@
 
 /// Its client has too little time for both: the search alone may still fit.
 #[test]
-fn a_client_with_too_little_time_for_both_gets_the_search_alone() {
+fn short_deadline_searches_directly() {
     let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
     for id in 0..20 {
         let actions = opened(&mut prefilter, 0.0, &world, query(id, 0..8));
@@ -209,7 +220,7 @@
 
 /// The content changed after the plan: what was pruned on the old version must be searched.
 #[test]
-fn content_that_changes_after_the_plan_is_searched_before_the_answer_is_complete() {
+fn changed_content_revokes_pruning() {
     let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
     let actions = opened(&mut prefilter, 0.0, &world, query(1, 0..8));
     answer_all(&mut prefilter, &world, actions, 1, CanMatch::CannotMatch);
@@ -221,20 +232,20 @@
 
 /// One refutation, and the node is distrusted until it has been confirmed again.
 #[test]
-fn a_node_refuted_by_an_audit_is_distrusted_at_once() {
+fn refuted_nodes_are_distrusted() {
     let (mut prefilter, world) =
         (Prefilter::new(PrefilterConfig { audit_ratio: 1.0, ..config() }, 1), World::default());
     let actions = opened(&mut prefilter, 0.0, &world, query(1, 0..8));
-    let verdict = answer_all(&mut prefilter, &world, actions, 1, CanMatch::CannotMatch);
+    let plan = answer_all(&mut prefilter, &world, actions, 1, CanMatch::CannotMatch);
     let audit = prefilter.audit(&world).unwrap();
-    assert!(verdict.pruned.iter().any(|left| left.segment == audit.segment));
+    assert!(plan.pruned.iter().any(|left| left.segment == audit.segment));
     assert!(prefilter.record_search(0.3, audit.key, audit.segment, 1, true));
     assert_eq!(prefilter.distrusted_nodes(), 2);
     assert!(prefilter.take_revoked(1).contains(&audit.segment));
 }
 
 #[test]
-fn no_audit_is_made_in_overload() {
+fn no_audit_under_overload() {
     let (mut prefilter, world) =
         (Prefilter::new(PrefilterConfig { audit_ratio: 1.0, ..config() }, 1), World::default());
     let actions = opened(&mut prefilter, 0.0, &world, query(1, 0..8));
@@ -288,16 +299,18 @@
 }
 
 /// What a node answers now. Each third one misstates, so at most one of any three neighbours.
-fn answers(world: &World, request: &CanMatchRequest, back: u64) -> Vec<(SegmentIndex, CanMatch, Version)> {
-    let answer = |segment: &SegmentIndex| {
-        let version = world.version(*segment);
+fn answers(world: &World, request: &CanMatchRequest, back: u64) -> Vec<SegmentAnswer> {
+    let answer = |segment: SegmentIndex| {
+        let version = world.version(segment);
         if request.node.is_multiple_of(3) {
-            return (*segment, CanMatch::CannotMatch, version.saturating_sub(back).max(1));
+            let version = version.saturating_sub(back).max(1);
+            return SegmentAnswer { segment, answer: CanMatch::CannotMatch, version };
         }
-        let matches = world.matches(request.key, *segment, version);
-        (*segment, if matches { CanMatch::MayMatch } else { CanMatch::CannotMatch }, version)
+        let matches = world.matches(request.key, segment, version);
+        let answer = if matches { CanMatch::MayMatch } else { CanMatch::CannotMatch };
+        SegmentAnswer { segment, answer, version }
     };
-    request.segments.iter().map(answer).collect()
+    request.segments.iter().copied().map(answer).collect()
 }
 
 fn fixed() -> ProptestConfig {
@@ -312,7 +325,7 @@
     /// matched in every version it had from the query's arrival to its plan; and each query has one plan, in time, over all
     /// its segments.
     #[test]
-    fn one_faulty_replica_a_segment_makes_no_answer_falsely_complete(
+    fn one_faulty_replica_is_tolerated(
         steps in prop::collection::vec(step(), 1..300),
         seed in 0..1000u64,
         back in 0..3u64,
@@ -320,7 +333,7 @@
         let (mut prefilter, mut world) = (Prefilter::new(PrefilterConfig { audit_ratio: 0.2, ..config() }, seed), World::default());
         let (mut now, mut last) = (0.0, 0);
         let mut out: Vec<CanMatchRequest> = Vec::new();
-        let mut formed: BTreeMap<u64, Vec<(SegmentIndex, CanMatch, Version)>> = BTreeMap::new();
+        let mut formed: BTreeMap<u64, Vec<SegmentAnswer>> = BTreeMap::new();
         // Queries without a plan, with their arrival and the versions of their segments since.
         type Waiting = (PrefilterQuery, f64, BTreeMap<SegmentIndex, BTreeSet<Version>>);
         let mut waiting: BTreeMap<QueryId, Waiting> = BTreeMap::new();
@@ -338,8 +351,8 @@
                 }
                 Step::Answer(at) if !out.is_empty() => {
                     let request = out.remove(at % out.len());
-                    let words = formed.remove(&request.id).unwrap_or_else(|| answers(&world, &request, back));
-                    actions = prefilter.on_response(now, &world, request.id, &words);
+                    let answers = formed.remove(&request.id).unwrap_or_else(|| answers(&world, &request, back));
+                    actions = prefilter.on_response(now, &world, request.id, &answers);
                 }
                 Step::Forms(at) if !out.is_empty() => {
                     let request = &out[at % out.len()];
@@ -392,20 +405,20 @@
                         prop_assert!(request.segments.iter().all(holders));
                         out.push(request);
                     }
-                    Action::Search(verdict) => {
-                        let (wide, came, had) = waiting.remove(&verdict.query).expect("one verdict a query_id");
+                    Action::Search(plan) => {
+                        let (wide, came, had) = waiting.remove(&plan.query).expect("one plan a query_id");
                         prop_assert!(now <= came + 0.3 * wide.time_left_seconds + 0.4 + 1e-9);
-                        let mut covered: Vec<SegmentIndex> = verdict.search.clone();
-                        covered.extend(verdict.pruned.iter().map(|left| left.segment));
+                        let mut covered: Vec<SegmentIndex> = plan.search.clone();
+                        covered.extend(plan.pruned.iter().map(|left| left.segment));
                         covered.sort_unstable();
                         let mut all = wide.segments.clone();
                         all.sort_unstable();
                         prop_assert_eq!(covered, all);
-                        for left in &verdict.pruned {
+                        for left in &plan.pruned {
                             let empty = had[&left.segment].iter().any(|v| !world.matches(wide.key, left.segment, *v));
                             prop_assert!(empty, "{left:?} matched all the time");
                         }
-                        judged.push(verdict.query);
+                        judged.push(plan.query);
                     }
                 }
             }
