--- a/crates/dunepond-consensus/tests/golden/documents.rs
+++ b/crates/dunepond-consensus/tests/golden/documents.rs
@@ -6,7 +6,7 @@
 use dunepond_consensus::*;
 use dunepond_quota::{Allocation as Parts, DemandReport, SharedQuotas};
 use dunepond_settlement::{Allotment, Settlement, SettlementEntry, SettlementLedger};
-use dunepond_simulation::fleet::{map, settlement, terms, version};
+use dunepond_simulation::fixtures::{config_version, consensus_config, settlement, shard_map};
 
 use super::{again_json, golden};
 
@@ -31,7 +31,7 @@
         },
         proposed_at_unix_seconds: 1_700_000_000.25,
         extensions: vec![more("omens", false), more("rules.least_brokers", true)],
-        ..version(number, Some(map(number, true)))
+        ..config_version(number, Some(shard_map(number, true)))
     }
 }
 
@@ -63,7 +63,7 @@
     LeaseRequest {
         id: u64::MAX,
         sent_at: 1234.0625,
-        known_versions: vec![(1, version(1, None).digest()), (2, full_version(2).digest())],
+        known_versions: vec![(1, config_version(1, None).digest()), (2, full_version(2).digest())],
         joint_version: Some(2),
         incarnation: 1 << 60,
         known_settlements: 70_000,
@@ -119,7 +119,7 @@
 }
 
 fn full_grant(step: RolloutStep) -> LeaseGrant {
-    let (one, two) = (version(1, Some(map(1, false))), full_version(2));
+    let (one, two) = (config_version(1, Some(shard_map(1, false))), full_version(2));
     let parts = BTreeMap::from([(text("cold"), 50_000)]);
     LeaseGrant {
         required_parts: vec![text("omens")],
@@ -152,10 +152,10 @@
 
 #[test]
 fn versions() {
-    let draft = ConfigVersion { based_on: None, first_stage_ratio: None, ..version(1, None) };
+    let draft = ConfigVersion { based_on: None, first_stage_ratio: None, ..config_version(1, None) };
     for (name, version) in [
         ("version-bare", draft),
-        ("version-map", version(3, Some(map(3, false)))),
+        ("version-map", config_version(3, Some(shard_map(3, false)))),
         ("version-full", full_version(2)),
     ] {
         let stored = golden(name, &version.packed());
@@ -223,7 +223,7 @@
 
 #[test]
 fn what_a_broker_keeps() {
-    let mut member = LeaseClient::new(terms("b1", 3), None, 0.0, 5);
+    let mut member = LeaseClient::new(consensus_config("b1", 3), None, 0.0, 5);
     let empty = golden("kept-empty", &member.persisted_state().encode());
     assert_eq!(PersistedState::decode(&empty).unwrap().encode(), empty);
     let (_, ask) = member.tick(0.0).unwrap();
@@ -231,7 +231,7 @@
     let grant = LeaseGrant {
         required_parts: Vec::new(),
         proposed: Some(ProposedVersion { number: 2, digest: two.digest(), step: RolloutStep::Joint }),
-        documents: vec![Arc::new(version(1, Some(map(1, false)))), Arc::new(two)],
+        documents: vec![Arc::new(config_version(1, Some(shard_map(1, false)))), Arc::new(two)],
         completed_fills: vec![(0, text("s0b"))],
         ..full_grant(RolloutStep::Joint)
     };
--- a/crates/dunepond-consensus/tests/golden/runs.rs
+++ b/crates/dunepond-consensus/tests/golden/runs.rs
@@ -10,7 +10,7 @@
     Step as PlanStep, StepKind, StepLimits, order_steps,
 };
 use dunepond_settlement::{SettlementEntry as Debt, ShareRelease, StartedFill};
-use dunepond_simulation::fleet::{map, settlement, terms, version};
+use dunepond_simulation::fixtures::{config_version, consensus_config, settlement, shard_map};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry as LogEntry, Message, Snapshot};
 use serde::{Deserialize, Serialize};
@@ -137,8 +137,8 @@
 }
 
 fn enter_versions(alone: &mut Alone) {
-    alone.propose(version(1, Some(map(1, false))), 3.0);
-    let two = ConfigVersion { first_stage_ratio: Some(0.5), ..version(2, Some(map(2, true))) };
+    alone.propose(config_version(1, Some(shard_map(1, false))), 3.0);
+    let two = ConfigVersion { first_stage_ratio: Some(0.5), ..config_version(2, Some(shard_map(2, true))) };
     alone.propose(two, 0.0);
     states(alone, "state-open");
     let fill = |number| Command::FillCompleted { number, segment: 0, holder: format!("cold{number}") };
@@ -148,13 +148,17 @@
     alone.enter(Command::Activate { number: 2 });
     let more = vec![full_version(3).extensions[0].clone()];
     alone.propose(
-        ConfigVersion { first_stage_ratio: Some(0.5), extensions: more, ..version(3, Some(map(3, false))) },
+        ConfigVersion {
+            first_stage_ratio: Some(0.5),
+            extensions: more,
+            ..config_version(3, Some(shard_map(3, false)))
+        },
         3.0,
     );
     alone.enter(Command::Withdraw { number: 3, why: text("a test") });
     states(alone, "state-returning");
     alone.run(3.0);
-    alone.propose(version(4, Some(map(4, true))), 0.0);
+    alone.propose(config_version(4, Some(shard_map(4, true))), 0.0);
     alone.enter(Command::Withdraw { number: 4, why: text("a test") });
 }
 
@@ -286,7 +290,7 @@
 fn a_voter_alone_writes_each_kind_of_entry() {
     let open =
         |terms: ConsensusConfig, saved: StoredVoter, now, seed| Voter::open(terms, saved, now, seed).unwrap();
-    let voter = open(terms("n1", 1), StoredVoter::new(), 0.0, 31);
+    let voter = open(consensus_config("n1", 1), StoredVoter::new(), 0.0, 31);
     let mut alone = Alone { voter, now: 0.0, records: Vec::new(), outcomes: Vec::new() };
     alone.run(3.0);
     enter_versions(&mut alone);
@@ -297,7 +301,8 @@
     // Another start, with other terms.
     let mut saved = StoredVoter::new();
     alone.records.iter().for_each(|record| saved.apply_record(record).unwrap());
-    alone.voter = open(ConsensusConfig { lease_seconds: 0.8, ..terms("n1", 1) }, saved, alone.now, 32);
+    alone.voter =
+        open(ConsensusConfig { lease_seconds: 0.8, ..consensus_config("n1", 1) }, saved, alone.now, 32);
     alone.run(3.0);
     states(&alone, "state-after");
     let stored = golden("alone.journal", &framed(&alone.records));
@@ -335,7 +340,7 @@
     // A later start of this program goes on from the file.
     let mut saved = StoredVoter::new();
     unframed(&stored).iter().for_each(|record| saved.apply_record(record).unwrap());
-    let voter = open(terms("n1", 1), saved, 0.0, 33);
+    let voter = open(consensus_config("n1", 1), saved, 0.0, 33);
     assert!(voter.has_state());
 }
 
@@ -425,7 +430,7 @@
 
     /// A broker asks each voter for a lease.
     fn ask(&mut self) {
-        let mut member = LeaseClient::new(terms("b1", 3), None, self.now, 9);
+        let mut member = LeaseClient::new(consensus_config("b1", 3), None, self.now, 9);
         let (_, ask) = member.tick(self.now).unwrap();
         for name in self.voters.keys().cloned().collect::<Vec<_>>() {
             let orders =
@@ -447,9 +452,9 @@
         kinds: BTreeMap::new(),
         told: Vec::new(),
     };
-    (1..=3).for_each(|n| few.start(terms(&format!("n{n}"), 3), n));
+    (1..=3).for_each(|n| few.start(consensus_config(&format!("n{n}"), 3), n));
     few.run(3.0);
-    few.propose(Command::Propose(Box::new(version(1, Some(map(1, false))))));
+    few.propose(Command::Propose(Box::new(config_version(1, Some(shard_map(1, false))))));
     few.run(3.0);
     few.ask();
     // One starts again, one comes back with an empty folder, one takes the place of another.
@@ -457,15 +462,18 @@
     let again = other(&few);
     few.voters.remove(&again);
     few.run(1.0);
-    few.start(terms(&again, 3), 11);
+    few.start(consensus_config(&again, 3), 11);
     few.run(3.0);
     let lost = other(&few);
     few.voters.remove(&lost);
     few.records.remove(&lost);
     few.run(1.0);
-    few.start(terms(&lost, 3), 12);
+    few.start(consensus_config(&lost, 3), 12);
     few.run(3.0);
-    few.start(ConsensusConfig { voters: ["n1", "n2", "n3", "n4"].map(text).into(), ..terms("n4", 3) }, 13);
+    few.start(
+        ConsensusConfig { voters: ["n1", "n2", "n3", "n4"].map(text).into(), ..consensus_config("n4", 3) },
+        13,
+    );
     let goes = other(&few);
     let stays = |n: &String| *n != goes;
     let voters = ["n1", "n2", "n3", "n4"].map(text).into_iter().filter(stays);
@@ -490,7 +498,8 @@
     few.flying.clear();
     let mut saved = StoredVoter::new();
     few.records[&stays].iter().for_each(|record| saved.apply_record(record).unwrap());
-    let own = ConsensusConfig { voters: ["n1", "n2", "n3", "n4"].map(text).into(), ..terms(&stays, 3) };
+    let own =
+        ConsensusConfig { voters: ["n1", "n2", "n3", "n4"].map(text).into(), ..consensus_config(&stays, 3) };
     let (folder, last) = Voter::open(own.clone(), saved.clone(), few.now, 21).unwrap().recovery_position();
     let word = RecoveryOrder {
         folder_id: folder,
--- a/crates/dunepond-consensus/tests/limits.rs
+++ b/crates/dunepond-consensus/tests/limits.rs
@@ -18,27 +18,27 @@
 
 /// Five voters and two others; all that is spare is leased to n7.
 fn leased(seed: u64) -> Fleet {
-    let mut fleet = Fleet::mapped(5, 2, seed);
+    let mut fleet = Fleet::with_map(5, 2, seed);
     let report = DemandReport { shared: bounds(), ..DemandReport::default() };
     for broker in &mut fleet.brokers {
-        broker.member.as_mut().unwrap().set_demand_report(Some(report.clone()));
+        broker.lease_client.as_mut().unwrap().set_demand_report(Some(report.clone()));
     }
-    fleet.run(3.0);
+    fleet.run_for(3.0);
     fleet.propose(Command::Quota(QuotaEntry::Configure(bounds()))).unwrap();
-    fleet.run(0.2);
+    fleet.run_for(0.2);
     for broker in ["n6", "n7"] {
         fleet.propose(Command::Quota(QuotaEntry::AddBroker { broker: broker.to_string() })).unwrap();
-        fleet.run(0.2);
+        fleet.run_for(0.2);
     }
     fleet.propose(parts("n7", 650_000)).unwrap();
-    fleet.run(1.0);
+    fleet.run_for(1.0);
     assert_eq!(part(&fleet, 6), 700_000);
     fleet
 }
 
 fn part(fleet: &Fleet, n: usize) -> u32 {
     let now = fleet.clock(n);
-    let acting = fleet.brokers[n].member.as_ref().unwrap().active_config();
+    let acting = fleet.brokers[n].lease_client.as_ref().unwrap().active_config();
     let heard = acting.quota(now);
     LocalQuota::new(&bounds(), f64::NEG_INFINITY).available_units(
         heard.allocation,
@@ -57,7 +57,7 @@
     fleet.propose(parts("n7", 0)).unwrap();
     let from = fleet.now;
     assert!(matches!(fleet.propose(parts("n6", 10)), Err(Rejection::Quota(QuotaError::ExceedsTotal { .. }))));
-    assert!(fleet.until(9.0, |fleet| fleet.leader().is_some() && counted(fleet) == 0));
+    assert!(fleet.run_until(9.0, |fleet| fleet.leader().is_some() && counted(fleet) == 0));
     fleet.now - from
 }
 
@@ -73,24 +73,24 @@
 ) {
     let mut fleet = leased(seed);
     if cut {
-        fleet.split(&[&[0, 1, 2, 3, 4, 5]]);
+        fleet.partition(&[&[0, 1, 2, 3, 4, 5]]);
     }
     let took = settles(&mut fleet);
     assert!((least..most).contains(&took), "{took:.2} s");
     if cut {
         assert_eq!(part(&fleet, 6), 50_000, "its floor");
-        let over = fleet.brokers[6].member.as_ref().unwrap().active_config().lease_expires_at();
+        let over = fleet.brokers[6].lease_client.as_ref().unwrap().active_config().lease_expires_at();
         assert!(fleet.clock(6) > over + 1.05, "acts under way and a window after its lease ran out");
     }
     fleet.propose(parts("n6", 650_000)).unwrap();
-    assert!(fleet.until(3.0, |fleet| part(fleet, 5) == 700_000));
+    assert!(fleet.run_until(3.0, |fleet| part(fleet, 5) == 700_000));
 }
 
 #[test]
 fn nobody_but_the_leaders_clock_says_that_a_broker_has_let_go() {
     let mut fleet = leased(3);
     fleet.propose(parts("n7", 0)).unwrap();
-    fleet.run(0.1);
+    fleet.run_for(0.1);
     let generation = fleet.state(fleet.leader().unwrap()).quota.brokers["n7"].shrunk_generation;
     let word = Command::Quota(QuotaEntry::Release { broker: String::from("n7"), generation });
     assert!(matches!(fleet.propose(word), Err(Rejection::Quota(QuotaError::LeaderOnly(_)))));
@@ -100,10 +100,10 @@
 fn a_part_outlasts_its_leader_and_a_new_one_takes_the_long_way() {
     let mut fleet = leased(4);
     fleet.propose(parts("n7", 0)).unwrap();
-    fleet.run(0.1);
+    fleet.run_for(0.1);
     let (from, leader) = (fleet.now, fleet.leader().unwrap());
     fleet.kill(leader);
-    assert!(fleet.until(9.0, |fleet| {
+    assert!(fleet.run_until(9.0, |fleet| {
         fleet.leader().is_some_and(|n| fleet.state(n).quota.reserved_units("cold") == 0)
     }));
     assert!(fleet.now - from > 1.9, "{:.2} s", fleet.now - from);
--- a/crates/dunepond-consensus/tests/long.rs
+++ b/crates/dunepond-consensus/tests/long.rs
@@ -1,7 +1,8 @@
 //! A long life and a bad disk: what is kept stays as large as it was, and what was promised is not lost.
 
 use dunepond_consensus::*;
-use dunepond_simulation::fleet::{Fleet, map, terms, version};
+use dunepond_simulation::fixtures::{config_version, consensus_config, shard_map};
+use dunepond_simulation::fleet::Fleet;
 
 /// Keeps a journal as the host does.
 fn keep(voter: &Voter, orders: &Effects, journal: &mut Vec<Vec<u8>>, longest: &mut usize) {
@@ -16,9 +17,13 @@
 
 #[test]
 fn ten_thousand_versions_and_a_thousand_members_leave_no_more_than_a_thousand_do() {
-    let mut voter =
-        Voter::open(ConsensusConfig { maps_enabled: false, ..terms("n1", 1) }, StoredVoter::new(), 0.0, 1)
-            .unwrap();
+    let mut voter = Voter::open(
+        ConsensusConfig { maps_enabled: false, ..consensus_config("n1", 1) },
+        StoredVoter::new(),
+        0.0,
+        1,
+    )
+    .unwrap();
     let (mut journal, mut longest, mut now, mut sizes) = (Vec::new(), 0, 0.0, Vec::new());
     let mut members = 0_u64;
     while sizes.len() < 2 {
@@ -30,7 +35,8 @@
             if [1_000, 10_000].contains(&number) {
                 sizes.push((voter.checkpoint().encode().len(), std::mem::take(&mut longest)));
             }
-            let orders = voter.propose(now, Command::Propose(Box::new(version(number + 1, None)))).unwrap();
+            let orders =
+                voter.propose(now, Command::Propose(Box::new(config_version(number + 1, None)))).unwrap();
             keep(&voter, &orders, &mut journal, &mut longest);
             members += 1;
         }
@@ -62,37 +68,46 @@
 
 #[test]
 fn a_leader_whose_disk_is_full_is_silent_another_leads_and_nothing_promised_is_lost() {
-    let mut fleet = Fleet::mapped(3, 2, 90);
+    let mut fleet = Fleet::with_map(3, 2, 90);
     let leader = fleet.leader().unwrap();
     // As its host does: no record is written, so nothing leaves it and nothing is heard, until it could write all.
     let voter = fleet.brokers[leader].voter.take();
-    assert!(fleet.until(5.0, |fleet| fleet.leader().is_some() && fleet.all_live()), "another leads");
-    fleet.propose(Command::Propose(Box::new(version(2, Some(map(2, false)))))).unwrap();
-    assert!(fleet.until(5.0, |fleet| fleet.all(&ConfigPhase::Active(2))));
+    assert!(
+        fleet.run_until(5.0, |fleet| fleet.leader().is_some() && fleet.all_have_leases()),
+        "another leads"
+    );
+    fleet.propose(Command::Propose(Box::new(config_version(2, Some(shard_map(2, false)))))).unwrap();
+    assert!(fleet.run_until(5.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(2))));
     let voter = voter.unwrap();
     assert_eq!((voter.is_leader(), voter.state().active_number()), (true, 1), "it has not heard");
     fleet.brokers[leader].disk = vec![voter.checkpoint().encode()];
     fleet.brokers[leader].voter = Some(voter);
     for _ in 0..300 {
         fleet.step();
-        assert!(fleet.all(&ConfigPhase::Active(2)), "its word counts for nothing");
+        assert!(fleet.all_in_phase(&ConfigPhase::Active(2)), "its word counts for nothing");
     }
-    assert!(fleet.until(3.0, |fleet| fleet.state(leader).active_number() == 2 && fleet.all_live()));
+    assert!(
+        fleet.run_until(3.0, |fleet| fleet.state(leader).active_number() == 2 && fleet.all_have_leases())
+    );
 }
 
 #[test]
 fn a_leader_whose_clock_jumps_forward_does_not_take_that_for_time_that_went_by() {
-    let mut voter =
-        Voter::open(ConsensusConfig { maps_enabled: false, ..terms("n1", 1) }, StoredVoter::new(), 0.0, 1)
-            .unwrap();
+    let mut voter = Voter::open(
+        ConsensusConfig { maps_enabled: false, ..consensus_config("n1", 1) },
+        StoredVoter::new(),
+        0.0,
+        1,
+    )
+    .unwrap();
     let ticks = |voter: &mut Voter, from: f64, seconds: f64| -> Vec<String> {
         let count = (seconds / 0.02) as u32;
         (0..count).flat_map(|n| voter.tick(from + 0.02 * f64::from(n)).log_lines).collect()
     };
     ticks(&mut voter, 0.0, 3.0);
-    voter.propose(3.0, Command::Propose(Box::new(version(1, None)))).unwrap();
+    voter.propose(3.0, Command::Propose(Box::new(config_version(1, None)))).unwrap();
     // Ten seconds at once: for the others next to nothing went by, and their leases run.
-    let wait = terms("n1", 1).quiescence_seconds();
+    let wait = consensus_config("n1", 1).quiescence_seconds();
     let log = ticks(&mut voter, 13.0, 0.5);
     assert!(log.iter().any(|line| line.contains("waits restart")) && voter.state().active_number() == 0);
     ticks(&mut voter, 13.5, wait);
--- a/crates/dunepond-consensus/tests/parts.rs
+++ b/crates/dunepond-consensus/tests/parts.rs
@@ -6,7 +6,7 @@
 
 use dunepond_consensus::*;
 use dunepond_settlement::SettlementError;
-use dunepond_simulation::fleet::{map, rules, terms, version};
+use dunepond_simulation::fixtures::{config_version, consensus_config, routing_rules, shard_map};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -88,7 +88,7 @@
 #[case(|terms: &mut ConsensusConfig| terms.fill_deadline_seconds = f64::INFINITY, ConsensusConfigError::FillsDeadline(f64::INFINITY))]
 #[case(|terms: &mut ConsensusConfig| terms.max_changed_ratio = 1.5, ConsensusConfigError::MostChanged(1.5))]
 fn terms_that_will_not_do(#[case] spoil: fn(&mut ConsensusConfig), #[case] why: ConsensusConfigError) {
-    let mut terms = terms("n1", 3);
+    let mut terms = consensus_config("n1", 3);
     assert_eq!(terms.check(), Ok(()));
     spoil(&mut terms);
     assert_eq!(terms.check(), Err(why.clone()));
@@ -97,7 +97,7 @@
 
 #[test]
 fn the_bound_is_checked_and_what_would_do_is_named() {
-    let mut terms = terms("n1", 3);
+    let mut terms = consensus_config("n1", 3);
     terms.switch_bound_seconds = 1.5;
     let Err(ConsensusConfigError::Bound { bound, wait, lease }) = terms.check() else {
         panic!("1.6 s and drift do not fit")
@@ -159,12 +159,12 @@
 }
 
 fn member() -> LeaseClient {
-    LeaseClient::new(terms("n1", 3), None, 100.0, 1)
+    LeaseClient::new(consensus_config("n1", 3), None, 100.0, 1)
 }
 
 #[test]
 fn a_lease_counts_from_the_question_and_its_end_is_seen_at_the_act() {
-    let (mut member, one) = (member(), version(1, Some(map(1, false))));
+    let (mut member, one) = (member(), config_version(1, Some(shard_map(1, false))));
     let before = member.active_config();
     assert_eq!(
         (before.phase(100.0), before.owner(0, 100.0)),
@@ -187,7 +187,8 @@
 
 #[test]
 fn an_answer_that_was_overtaken_or_not_asked_for_is_not_taken() {
-    let (one, two) = (version(1, Some(map(1, false))), version(2, Some(map(2, false))));
+    let (one, two) =
+        (config_version(1, Some(shard_map(1, false))), config_version(2, Some(shard_map(2, false))));
     let mut member = member();
     let first = asked(&mut member, 100.0);
     let second = asked(&mut member, 100.4);
@@ -210,16 +211,17 @@
 
 #[test]
 fn a_document_is_judged_by_each_adopter_and_a_faulty_one_lets_the_lease_run_out() {
-    let one = version(1, Some(map(1, false)));
+    let one = config_version(1, Some(shard_map(1, false)));
     let mut member = member();
     let ask = asked(&mut member, 100.0);
     answered(&mut member, 100.1, &ask, now(5, Some(&one), None)).unwrap();
     // Other rules under the digest that was agreed on; a map with a gap; none at all.
-    let (mut other, mut gap) = (version(2, Some(map(2, false))), version(2, Some(map(2, false))));
+    let (mut other, mut gap) =
+        (config_version(2, Some(shard_map(2, false))), config_version(2, Some(shard_map(2, false))));
     gap.map.as_mut().unwrap().segments.remove(1);
     gap.map = gap.map.map(dunepond_shard_map::ShardMap::with_digest);
     let mut stale = now(6, Some(&one), Some((&other, RolloutStep::Joint)));
-    other.rules = rules(8);
+    other.rules = routing_rules(8);
     stale.documents = vec![Arc::new(other)];
     let mut none = now(6, Some(&one), Some((&gap, RolloutStep::Joint)));
     none.documents.clear();
@@ -245,7 +247,7 @@
 
 #[test]
 fn a_clock_that_goes_back_or_runs_off_ends_all_trust_in_it() {
-    let one = version(1, Some(map(1, false)));
+    let one = config_version(1, Some(shard_map(1, false)));
     let mut back = member();
     let ask = asked(&mut back, 100.0);
     answered(&mut back, 100.1, &ask, now(5, Some(&one), None)).unwrap();
@@ -282,7 +284,7 @@
 
 #[test]
 fn an_answer_of_before_the_fleet_was_brought_back_or_of_another_fleet_is_not_believed() {
-    let one = version(1, Some(map(1, false)));
+    let one = config_version(1, Some(shard_map(1, false)));
     let of = |fleet, epoch, index| LeaseGrant { fleet_id: fleet, epoch, ..now(index, Some(&one), None) };
     let mut member = member();
     let ask = asked(&mut member, 100.0);
@@ -290,7 +292,7 @@
     let later = [(5, 1, Rejection::StaleEpoch { said: 1, known: 2 }), (6, 9, Rejection::OtherFleet)];
     // Also after a restart, which has it from the folder.
     let kept = PersistedState::decode(&member.persisted_state().encode()).unwrap();
-    let mut again = LeaseClient::new(terms("n1", 3), Some(kept), 100.2, 2);
+    let mut again = LeaseClient::new(consensus_config("n1", 3), Some(kept), 100.2, 2);
     for (n, (fleet, epoch, why)) in later.into_iter().enumerate() {
         let at = 100.4 + 0.4 * n as f64;
         let ask = asked(&mut member, at);
@@ -306,12 +308,13 @@
 
 #[test]
 fn what_is_kept_is_known_after_a_restart_without_a_lease() {
-    let (one, two) = (version(1, Some(map(1, false))), version(2, Some(map(2, false))));
+    let (one, two) =
+        (config_version(1, Some(shard_map(1, false))), config_version(2, Some(shard_map(2, false))));
     let mut member = member();
     let ask = asked(&mut member, 100.0);
     answered(&mut member, 100.1, &ask, now(6, Some(&one), Some((&two, RolloutStep::Joint)))).unwrap();
     let kept = PersistedState::decode(&member.persisted_state().encode()).unwrap();
-    let again = LeaseClient::new(terms("n1", 3), Some(kept), 100.2, 2).active_config();
+    let again = LeaseClient::new(consensus_config("n1", 3), Some(kept), 100.2, 2).active_config();
     assert_eq!(again.phase(100.2), ConfigPhase::LeaseExpired(1));
     assert_eq!(again.rules(100.2), Some(&strictest_rules(&one.rules, &two.rules)));
     assert_eq!(again.owner(0, 100.2), SegmentOwner::Unavailable(1.0));
@@ -323,7 +326,7 @@
 
 #[test]
 fn without_maps_in_the_terms_a_broker_that_is_cut_off_goes_on() {
-    let terms = ConsensusConfig { maps_enabled: false, ..terms("n1", 3) };
+    let terms = ConsensusConfig { maps_enabled: false, ..consensus_config("n1", 3) };
     let mut member = LeaseClient::new(terms, None, 100.0, 1);
     assert_eq!(
         member.active_config().owner(0, 100.0),
@@ -331,7 +334,7 @@
         "it may have been away for long"
     );
     let ask = asked(&mut member, 100.0);
-    let one = version(1, None);
+    let one = config_version(1, None);
     answered(&mut member, 100.1, &ask, LeaseGrant { maps_enabled: false, ..now(5, Some(&one), None) })
         .unwrap();
     assert_eq!(
@@ -469,21 +472,21 @@
 #[case::newer(&[3, 1], |e: &ConsensusError| matches!(e, ConsensusError::NewerProtocol { version: 3, ours: 2, .. }))]
 #[case::garbled(&[2, 255, 255, 255], |e: &ConsensusError| matches!(e, ConsensusError::MalformedMessage(_)))]
 fn messages_that_are_not_believed(#[case] bytes: &[u8], #[case] as_told: fn(&ConsensusError) -> bool) {
-    let mut voter = Voter::open(terms("n1", 3), StoredVoter::new(), 0.0, 1).unwrap();
+    let mut voter = Voter::open(consensus_config("n1", 3), StoredVoter::new(), 0.0, 1).unwrap();
     assert!(as_told(&voter.receive(0.0, "n2", bytes).unwrap_err()));
 }
 
 #[test]
 fn a_message_under_anothers_name_or_from_no_voter_is_not_believed() {
-    let mut n2 = Voter::open(terms("n2", 3), StoredVoter::new(), 0.0, 2).unwrap();
+    let mut n2 = Voter::open(consensus_config("n2", 3), StoredVoter::new(), 0.0, 2).unwrap();
     let hello = n2.tick(0.1).messages.into_iter().find(|(to, _)| to == "n1").unwrap().1;
-    let mut n1 = Voter::open(terms("n1", 3), StoredVoter::new(), 0.0, 1).unwrap();
+    let mut n1 = Voter::open(consensus_config("n1", 3), StoredVoter::new(), 0.0, 1).unwrap();
     assert_eq!(
         n1.receive(0.1, "n3", &hello).unwrap_err(),
         ConsensusError::SenderMismatch { from: String::from("n3"), says: String::from("n2") }
     );
     assert!(n1.receive(0.1, "n2", &hello).is_ok());
-    let mut alone = Voter::open(terms("n1", 1), StoredVoter::new(), 0.0, 1).unwrap();
+    let mut alone = Voter::open(consensus_config("n1", 1), StoredVoter::new(), 0.0, 1).unwrap();
     assert_eq!(alone.receive(0.1, "n2", &hello).unwrap_err(), ConsensusError::NotAVoter(String::from("n2")));
     // A question in another's name is not answered.
     let ask = LeaseRequest {
@@ -503,14 +506,14 @@
 
 #[test]
 fn a_folder_of_another_broker_or_that_does_not_read_is_not_opened() {
-    let mut voter = Voter::open(terms("n1", 1), StoredVoter::new(), 0.0, 1).unwrap();
+    let mut voter = Voter::open(consensus_config("n1", 1), StoredVoter::new(), 0.0, 1).unwrap();
     let record = voter.tick(0.1).write_batch.encode();
     let mut saved = StoredVoter::new();
     saved.apply_record(&record).unwrap();
-    let other = Voter::open(terms("n2", 2), saved.clone(), 0.0, 1).err().unwrap();
+    let other = Voter::open(consensus_config("n2", 2), saved.clone(), 0.0, 1).err().unwrap();
     assert_eq!(other, ConsensusError::ForeignFolder { is: String::from("n1"), name: String::from("n2") });
     assert_eq!(saved.apply_record(&[7]), Err(ConsensusError::CorruptRecord("a write batch")));
-    let nobody = ConsensusConfig { name: String::from("n7"), ..terms("n1", 3) };
+    let nobody = ConsensusConfig { name: String::from("n7"), ..consensus_config("n1", 3) };
     assert_eq!(
         Voter::open(nobody, StoredVoter::new(), 0.0, 1).err().unwrap(),
         ConsensusError::NotAVoter(String::from("n7"))
--- a/crates/dunepond-consensus/tests/seeds.rs
+++ b/crates/dunepond-consensus/tests/seeds.rs
@@ -2,8 +2,9 @@
 //! the next version comes into force. A seed that fails becomes a story.
 
 use dunepond_consensus::*;
-use dunepond_simulation::debts::settle;
-use dunepond_simulation::fleet::{Fleet, map, settlement, version};
+use dunepond_simulation::fixtures::{config_version, settlement, shard_map};
+use dunepond_simulation::fleet::{Fleet, LinkConditions};
+use dunepond_simulation::settlements::settle_command;
 use rand::RngExt;
 
 const VOTERS: usize = 5;
@@ -14,8 +15,8 @@
     let n = fleet.rng.random_range(0..ALL);
     let seats_whole = |fleet: &Fleet, n: usize| {
         fleet.leader().is_some_and(|leader| fleet.state(leader).voters.pending.is_none())
-            && fleet.voting().contains(&n)
-            && fleet.voting().into_iter().all(|n| {
+            && fleet.voter_indices().contains(&n)
+            && fleet.voter_indices().into_iter().all(|n| {
                 fleet.brokers[n].voter.as_ref().is_none_or(Voter::has_state)
                     && !fleet.brokers[n].disk.is_empty()
             })
@@ -26,34 +27,36 @@
             let mut order: Vec<usize> = (0..ALL).collect();
             order.sort_by_key(|_| fleet.rng.random::<u32>());
             let (a, b) = order.split_at(cut);
-            fleet.split(&[a, b]);
+            fleet.partition(&[a, b]);
         }
         1 => {
             let to = fleet.rng.random_range(0..ALL);
             if n != to {
-                fleet.cut.insert((n, to));
+                fleet.blocked_links.insert((n, to));
             }
         }
         2 | 3 => fleet.heal(),
         4 => fleet.kill(n),
-        5 => fleet.brokers[n].torn = fleet.up(n),
-        6 if !fleet.up(n) && seats_whole(fleet, n) && fleet.cut.is_empty() => {
+        5 => fleet.brokers[n].tears_next_record = fleet.is_running(n),
+        6 if !fleet.is_running(n) && seats_whole(fleet, n) && fleet.blocked_links.is_empty() => {
             // One folder at a time, and not before the last one is back in its place.
-            fleet.empty(n);
+            fleet.wipe_folder(n);
             fleet.start(n);
         }
-        6..=8 => {
-            (0..ALL).filter(|n| !fleet.up(*n)).collect::<Vec<_>>().into_iter().for_each(|n| fleet.start(n))
-        }
+        6..=8 => (0..ALL)
+            .filter(|n| !fleet.is_running(*n))
+            .collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|n| fleet.start(n)),
         9 => {
             let seconds = fleet.rng.random_range(0.05..4.0);
-            fleet.stop(n, seconds);
+            fleet.pause(n, seconds);
         }
         10..=12 => {
             let Some(leader) = fleet.leader() else { return };
             let next = fleet.state(leader).highest_number + 1;
             let cold = fleet.rng.random::<f64>() < 0.3;
-            let mut version = version(next, Some(map(next, cold)));
+            let mut version = config_version(next, Some(shard_map(next, cold)));
             version.first_stage_ratio = (fleet.rng.random::<f64>() < 0.3).then_some(0.5);
             let _ = fleet.propose(Command::Propose(Box::new(version)));
         }
@@ -83,7 +86,7 @@
         15 | 16 => change_voters(fleet, n),
         _ => {
             let id = format!("fill-{}", fleet.rng.random_range(0..20));
-            let _ = fleet.propose(settle(settlement(&id)));
+            let _ = fleet.propose(settle_command(settlement(&id)));
         }
     }
 }
@@ -91,10 +94,10 @@
 /// One joins, leaves or takes another's place; or the change that waits is carried out, or given up.
 fn change_voters(fleet: &mut Fleet, n: usize) {
     let Some(leader) = fleet.leader() else { return };
-    let mut list = fleet.voting();
+    let mut list = fleet.voter_indices();
     if fleet.state(leader).voters.pending.is_some() {
         return match fleet.rng.random::<f64>() < 0.3 {
-            true => drop(fleet.vote(&list)),
+            true => drop(fleet.change_voters(&list)),
             false => enlist(fleet),
         };
     }
@@ -105,9 +108,9 @@
         (false, ..5) if fleet.rng.random::<bool>() => list.push(n),
         (false, _) => list[at] = n,
     }
-    fleet.vote(&list).expect("one at a time");
+    fleet.change_voters(&list).expect("one at a time");
     if fleet.rng.random::<bool>() {
-        fleet.run(0.1);
+        fleet.run_for(0.1);
         enlist(fleet);
     }
 }
@@ -116,49 +119,54 @@
 /// by itself.
 fn enlist(fleet: &mut Fleet) {
     let Some(leader) = fleet.leader() else { return };
-    let list = fleet.voting();
+    let list = fleet.voter_indices();
     let voters = fleet.state(leader).voters.names_with_joining();
     let joins = (0..ALL).find(|n| voters.contains(&fleet.brokers[*n].name) && !list.contains(n));
     if let Some(n) = joins.filter(|n| fleet.brokers[*n].voter.is_none()) {
-        fleet.enlist(n, &voters);
+        fleet.start_as_voter(n, &voters);
     }
 }
 
 fn play(seed: u64) {
-    let mut fleet = Fleet::mapped(VOTERS, OTHERS, seed);
-    fleet.loss = [0.0, 0.05, 0.2][seed as usize % 3];
-    fleet.double = [0.0, 0.1][seed as usize % 2];
-    fleet.delay = [(0.001, 0.02), (0.001, 0.1)][seed as usize / 3 % 2];
+    let mut fleet = Fleet::with_map(VOTERS, OTHERS, seed);
+    fleet.links.loss_ratio = [0.0, 0.05, 0.2][seed as usize % 3];
+    fleet.links.duplicate_ratio = [0.0, 0.1][seed as usize % 2];
+    fleet.links.max_delay_seconds = [0.02, 0.1][seed as usize / 3 % 2];
     while fleet.now < 30.0 {
         trouble(&mut fleet);
         let pause = fleet.rng.random_range(0.0..0.6);
-        fleet.run(pause);
+        fleet.run_for(pause);
     }
     fleet.heal();
-    (fleet.loss, fleet.double, fleet.delay) = (0.0, 0.0, (0.001, 0.02));
+    fleet.links = LinkConditions::default();
     for n in 0..ALL {
-        fleet.brokers[n].torn = false;
-        if !fleet.up(n) {
+        fleet.brokers[n].tears_next_record = false;
+        if !fleet.is_running(n) {
             fleet.start(n);
         }
     }
-    assert!(fleet.until(20.0, |fleet| fleet.leader().is_some() && fleet.all_live()), "all act again");
+    assert!(
+        fleet.run_until(20.0, |fleet| fleet.leader().is_some() && fleet.all_have_leases()),
+        "all act again"
+    );
     enlist(&mut fleet);
     // What is open comes to an end by itself, unless it waits for the operator's word.
-    fleet.run(10.0);
+    fleet.run_for(10.0);
     let leader = fleet.leader().expect("a fleet without faults keeps its leader");
     let number = fleet.state(leader).highest_number;
     if fleet.state(leader).open.is_some() {
         fleet.propose(Command::Withdraw { number, why: String::from("by hand") }).unwrap();
-        assert!(fleet.until(10.0, |fleet| fleet.state(leader).open.is_none()), "taken back");
+        assert!(fleet.run_until(10.0, |fleet| fleet.state(leader).open.is_none()), "taken back");
     }
-    fleet.propose(Command::Propose(Box::new(version(number + 1, Some(map(number + 1, false)))))).unwrap();
+    fleet
+        .propose(Command::Propose(Box::new(config_version(number + 1, Some(shard_map(number + 1, false))))))
+        .unwrap();
     assert!(
-        fleet.until(10.0, |fleet| fleet.all(&ConfigPhase::Active(number + 1))),
+        fleet.run_until(10.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(number + 1))),
         "version {} everywhere",
         number + 1
     );
-    let staffed = fleet.until(10.0, Fleet::staffed);
+    let staffed = fleet.run_until(10.0, Fleet::are_voters_ready);
     let leader = fleet.leader().expect("a fleet without faults keeps its leader");
     assert!(staffed, "all that vote are in their places: {:?}", fleet.state(leader).voters);
 }
@@ -202,20 +210,20 @@
 fn figures() {
     let mut took: Vec<f64> = Vec::new();
     for seed in 0..100 {
-        let mut fleet = Fleet::mapped(VOTERS, OTHERS, seed);
-        fleet.run(3.0);
-        fleet.propose(Command::Propose(Box::new(version(2, Some(map(2, false)))))).unwrap();
-        assert!(fleet.until(10.0, |fleet| fleet.all(&ConfigPhase::Active(2))));
-        took.push(fleet.now - fleet.proposed_at[&2]);
+        let mut fleet = Fleet::with_map(VOTERS, OTHERS, seed);
+        fleet.run_for(3.0);
+        fleet.propose(Command::Propose(Box::new(config_version(2, Some(shard_map(2, false)))))).unwrap();
+        assert!(fleet.run_until(10.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(2))));
+        took.push(fleet.now - fleet.invariants.proposed_at[&2]);
     }
     took.sort_by(f64::total_cmp);
     println!("in force everywhere after: p50 {:.2}, p99 {:.2} s", took[50], took[99]);
     for others in [0, 2, 10, 25] {
-        let mut fleet = Fleet::mapped(VOTERS, others, 1);
-        fleet.run(5.0);
-        let sent = fleet.sent;
-        fleet.run(10.0);
-        let each = (fleet.sent - sent) as f64 / 10.0 / (VOTERS + others) as f64;
+        let mut fleet = Fleet::with_map(VOTERS, others, 1);
+        fleet.run_for(5.0);
+        let sent = fleet.messages_sent;
+        fleet.run_for(10.0);
+        let each = (fleet.messages_sent - sent) as f64 / 10.0 / (VOTERS + others) as f64;
         println!("{} brokers: {each:.1} messages a broker and second", VOTERS + others);
     }
 }
--- a/crates/dunepond-control-plane/src/tests/golden.rs
+++ b/crates/dunepond-control-plane/src/tests/golden.rs
@@ -16,7 +16,7 @@
     SettlementLedger, SharePromises, StartedFill,
 };
 use dunepond_shard_map::{KeyRange, MapConstraints as MapTerms, Replica, Segment, ShardMap};
-use dunepond_simulation::fleet::terms;
+use dunepond_simulation::fixtures::consensus_config;
 use dunepond_storage::{DiskStore as Directory, Journal, SnapshotStore};
 
 use crate::commitments::{Commitments, CommittedFill, FinishedFill};
@@ -183,7 +183,7 @@
     let (config, counts, stored_commitments) =
         (config.unwrap(), counts.unwrap(), stored_commitments.unwrap());
     assert_eq!((&counts, &stored_commitments), (&local_counts(), &commitments()));
-    let voter = Voter::open(terms("n1", 3), voter_records, 0.0, 1).unwrap();
+    let voter = Voter::open(consensus_config("n1", 3), voter_records, 0.0, 1).unwrap();
     let document: RecoveryOrder = serde_json::from_slice(&golden("majority-lost.json")).unwrap();
     assert_eq!(voter.recovery_position(), (document.folder_id, document.last_index));
 
@@ -230,8 +230,14 @@
     let (file, done) =
         (directory.path().join("majority-lost.json"), directory.path().join("majority-lost.done"));
     std::fs::write(&file, &document).unwrap();
-    let voter =
-        lost_majority::recover(directory.path(), &mut folder, &terms("n1", 3), &stored.voter_records, 0.0, 1);
+    let voter = lost_majority::recover(
+        directory.path(),
+        &mut folder,
+        &consensus_config("n1", 3),
+        &stored.voter_records,
+        0.0,
+        1,
+    );
     let voter = voter.unwrap().expect("recovers by the order");
     assert_eq!(voter.state().active_number(), 1);
     assert!(!file.exists());
--- a/crates/dunepond-control-plane/tests/explain.rs
+++ b/crates/dunepond-control-plane/tests/explain.rs
@@ -9,7 +9,7 @@
 use dunepond_settlement::{
     Balances, BrokerPartners, CarriedCounts, Fill, FillDemand, Settlement, SettlementLedger,
 };
-use dunepond_simulation::fleet::{map, terms, version};
+use dunepond_simulation::fixtures::{config_version, consensus_config, shard_map};
 
 /// A single voter, and the changes of its log by index.
 struct SingleVoter {
@@ -20,7 +20,7 @@
 
 impl SingleVoter {
     fn new() -> Self {
-        let terms = ConsensusConfig { lease_seconds: 0.5, ..terms("n1", 1) };
+        let terms = ConsensusConfig { lease_seconds: 0.5, ..consensus_config("n1", 1) };
         let mut single = Self {
             voter: Voter::open(terms, StoredVoter::new(), 0.0, 1).unwrap(),
             now: 0.0,
@@ -65,7 +65,7 @@
     Command::Propose(Box::new(ConfigVersion {
         proposed_by: who.to_string(),
         reason: who.to_string(),
-        ..version(number, Some(map(number, unfilled)))
+        ..config_version(number, Some(shard_map(number, unfilled)))
     }))
 }
 
--- a/crates/dunepond-control-plane/tests/golden.rs
+++ b/crates/dunepond-control-plane/tests/golden.rs
@@ -16,7 +16,7 @@
     AuditEvent, AuditPhase, AuditRecord, FillClient, FillRequest, FillResult, HttpFillClient,
 };
 use dunepond_settlement::{Balances, BrokerPartners, CarriedCounts, Fill, Settlement, SettlementLedger};
-use dunepond_simulation::fleet::{map, terms, version};
+use dunepond_simulation::fixtures::{config_version, consensus_config, shard_map};
 use tracing::field::{Field, Visit};
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Metadata, Subscriber};
@@ -230,7 +230,7 @@
 }
 
 fn explanations() -> Vec<Explanation> {
-    let terms = ConsensusConfig { lease_seconds: 0.5, ..terms("n1", 1) };
+    let terms = ConsensusConfig { lease_seconds: 0.5, ..consensus_config("n1", 1) };
     let mut voter = Voter::open(terms, StoredVoter::new(), 0.0, 1).unwrap();
     let mut explanations = Vec::new();
     let mut collect = |voter: &Voter, effects: Effects| {
@@ -253,8 +253,8 @@
         now += 0.02;
         let _ = voter.tick(now);
     }
-    propose(&mut voter, &mut now, Command::Propose(Box::new(version(1, Some(map(1, false))))));
-    propose(&mut voter, &mut now, Command::Propose(Box::new(version(2, Some(map(2, true))))));
+    propose(&mut voter, &mut now, Command::Propose(Box::new(config_version(1, Some(shard_map(1, false))))));
+    propose(&mut voter, &mut now, Command::Propose(Box::new(config_version(2, Some(shard_map(2, true))))));
     let filled = Command::FillCompleted { number: 2, segment: 0, holder: text("cold2") };
     propose(&mut voter, &mut now, filled);
 
--- /dev/null
+++ b/crates/dunepond-simulation/src/event_queue.rs
@@ -0,0 +1,73 @@
+//! What happens later, in simulated time.
+
+use std::cmp::Ordering;
+use std::collections::BinaryHeap;
+
+struct Scheduled<T> {
+    due_at: f64,
+    sequence: u64,
+    event: T,
+}
+
+impl<T> Ord for Scheduled<T> {
+    /// The heap gives the greatest: the earliest, and of those the one that was scheduled first.
+    fn cmp(&self, other: &Self) -> Ordering {
+        other.due_at.total_cmp(&self.due_at).then(other.sequence.cmp(&self.sequence))
+    }
+}
+
+impl<T> PartialOrd for Scheduled<T> {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl<T> PartialEq for Scheduled<T> {
+    fn eq(&self, other: &Self) -> bool {
+        self.cmp(other) == Ordering::Equal
+    }
+}
+
+impl<T> Eq for Scheduled<T> {}
+
+/// Events by the time at which they are due; those of one time in the order in which they were scheduled, so that a run can
+/// be repeated.
+pub struct EventQueue<T> {
+    heap: BinaryHeap<Scheduled<T>>,
+    last_sequence: u64,
+}
+
+impl<T> Default for EventQueue<T> {
+    fn default() -> Self {
+        Self { heap: BinaryHeap::new(), last_sequence: 0 }
+    }
+}
+
+impl<T> EventQueue<T> {
+    /// `due_at`: seconds of simulated time.
+    pub fn schedule(&mut self, due_at: f64, event: T) {
+        self.last_sequence += 1;
+        self.heap.push(Scheduled { due_at, sequence: self.last_sequence, event });
+    }
+
+    /// The next event that is due by `now`.
+    pub fn pop_due(&mut self, now: f64) -> Option<T> {
+        self.heap.peek().filter(|next| next.due_at <= now)?;
+        self.heap.pop().map(|next| next.event)
+    }
+
+    /// Drops the events for which `is_kept` says no.
+    pub fn retain(&mut self, is_kept: impl Fn(&T) -> bool) {
+        self.heap.retain(|scheduled| is_kept(&scheduled.event));
+    }
+
+    /// Number of scheduled events.
+    pub fn len(&self) -> usize {
+        self.heap.len()
+    }
+
+    /// Whether no event is scheduled.
+    pub fn is_empty(&self) -> bool {
+        self.heap.is_empty()
+    }
+}
--- /dev/null
+++ b/crates/dunepond-simulation/src/fixtures.rs
@@ -0,0 +1,95 @@
+//! Configurations, maps and versions of small fleets.
+
+use dunepond_consensus::{ConfigVersion, ConsensusConfig, ExcludedNodes, RoutingRules};
+use dunepond_settlement::Settlement;
+use dunepond_shard_map::{KeyRange, MapConstraints, Replica, Segment, ShardMap};
+
+/// By which a clock may run too fast or too slow.
+pub const DRIFT_RATIO: f64 = 0.01;
+/// Segments of the small map.
+pub const SEGMENT_COUNT: u64 = 4;
+
+/// Configuration of broker `name` in a fleet whose voters are `n1` and so on.
+pub fn consensus_config(name: &str, voter_count: usize) -> ConsensusConfig {
+    ConsensusConfig {
+        name: name.to_string(),
+        voters: (1..=voter_count).map(|number| format!("n{number}")).collect(),
+        lease_seconds: 1.0,
+        drift_ratio: DRIFT_RATIO,
+        switch_bound_seconds: 2.0,
+        longest_query_seconds: 0.5,
+        fill_deadline_seconds: 5.0,
+        max_changed_ratio: 1.0,
+        maps_enabled: true,
+        map_requirements: MapConstraints { min_replicas: 1, min_zones: 1 },
+    }
+}
+
+/// With this maximum number of attempts.
+pub fn routing_rules(max_attempts: usize) -> RoutingRules {
+    RoutingRules {
+        minimum_shares: vec![0.5],
+        complete_at: vec![1.0],
+        retry_budget_ratio: 0.1,
+        retry_budget_min: 10.0,
+        drain_grace_seconds: 1.0,
+        slow_start_multiple: 2.0,
+        max_attempts,
+        hedging_enabled: true,
+        keyed_retries_enabled: true,
+        max_retry_after_seconds: 5.0,
+    }
+}
+
+/// Each segment has two filled replicas; the owner of one segment changes with each epoch. `with_unfilled`: segment 0 has a
+/// third replica, which has to be filled first.
+pub fn shard_map(epoch: u64, with_unfilled: bool) -> ShardMap {
+    let width = (1u128 << 64) / u128::from(SEGMENT_COUNT);
+    let replica = |node: String, filled, share| {
+        let partner = String::from("north");
+        Replica { node, partner, filled, share }
+    };
+    let segments = (0..SEGMENT_COUNT).map(|id| {
+        // How often the owner of this one has changed by now.
+        let change_count = (epoch + SEGMENT_COUNT - 1 - id) / SEGMENT_COUNT;
+        let mut replicas = vec![replica(format!("s{id}a"), true, 0.5), replica(format!("s{id}b"), true, 0.5)];
+        if with_unfilled && id == 0 {
+            replicas.push(replica(format!("cold{epoch}"), false, 0.0));
+        }
+        let keys = KeyRange::between(u128::from(id) * width, u128::from(id + 1) * width);
+        let owner = format!("s{id}{}", ["a", "b"][change_count as usize % 2]);
+        Segment { id, keys, owner, replicas }
+    });
+    let segments = segments.collect();
+    ShardMap { epoch, hash: String::from("xxh3-64"), segments, digest: String::new() }.with_digest()
+}
+
+/// Versions differ in their number, their map and a rule.
+pub fn config_version(number: u64, map: Option<ShardMap>) -> ConfigVersion {
+    ConfigVersion {
+        number,
+        based_on: None,
+        first_stage_ratio: None,
+        rules: routing_rules(1 + number as usize % 8),
+        excluded_nodes: ExcludedNodes::default(),
+        map,
+        proposed_by: String::from("ann"),
+        reason: String::from("a test"),
+        proposed_at_unix_seconds: 0.0,
+        extensions: Vec::new(),
+    }
+}
+
+/// Of the fill of this name, for version 1.
+pub fn settlement(fill: &str) -> Settlement {
+    let text = String::from;
+    Settlement {
+        id: format!("1/{fill}/s0a@fleet"),
+        debtor: text("north"),
+        creditor: text("south"),
+        bytes: 10,
+        segment: 0,
+        holder: text("s0a"),
+        source: text("s0b"),
+    }
+}
--- a/crates/dunepond-simulation/src/lib.rs
+++ b/crates/dunepond-simulation/src/lib.rs
@@ -1,13 +1,14 @@
-//! The agreeing fleet in simulated time: the pure cores on a network, clocks and folders that fail by seed.
+//! The consensus of a fleet in simulated time: the pure cores on a network, clocks and folders that fail by seed.
 //!
-//! [`fleet::Fleet`] is the engine: voters and members on an event [`queue`] and a [`net`] that loses, doubles, delays,
-//! reorders and is cut, with clocks at the edges of the drift, folders with torn records, stops and kills; the
-//! [`judge`] looks at each moment. The same calls with the same seed give the same play, told by its trace.
+//! [`fleet::Fleet`] is the engine: voters and lease clients on an [`event_queue`] and a network that loses, duplicates,
+//! delays, reorders and partitions, with clocks at the limits of the drift, folders with torn records, pauses and crashes.
+//! [`invariants`] are checked at each step. [`scenario`] drives a fleet of any size through faults. The same calls with the
+//! same seed give the same run, which its trace shows. Times are in seconds.
+#![warn(missing_docs)]
 
-pub mod debts;
+pub mod event_queue;
+pub mod fixtures;
 pub mod fleet;
-pub mod judge;
-pub mod net;
-pub mod queue;
-pub mod size;
-mod voters;
+pub mod invariants;
+pub mod scenario;
+pub mod settlements;
--- /dev/null
+++ b/crates/dunepond-simulation/src/scenario/fill_service.rs
@@ -0,0 +1,270 @@
+//! What the leader's host does for fills and settlement: plans by its own balances, has fills carried out, proposes what is
+//! complete. A new leader starts from the committed log and the counts alone, as a host does.
+
+use std::collections::BTreeMap;
+
+use dunepond_consensus::{Command, Rejection};
+use dunepond_settlement::{
+    ApplyOutcome, Balances, BrokerPartners, CarriedCounts, Fill, FillDemand, FillPlanner, FillSource,
+    LinkCapacities, PlanningRule, Settlement, SettlementEntry, SettlementLedger, SettlementTerms,
+    SlowStartCapacity,
+};
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+use super::Topology;
+use crate::fleet::Fleet;
+use crate::settlements;
+
+/// Seconds between two calls of the planner, and after which a complete fill is proposed again.
+const PLAN_INTERVAL_SECONDS: f64 = 0.1;
+const PROPOSE_INTERVAL_SECONDS: f64 = 1.0;
+/// In whose name settlements are planned, at each leader.
+const PLANNER_NAME: &str = "fleet";
+const SEGMENT_BYTES: u64 = 1 << 20;
+/// Seconds that a fill takes, and the ratio of fills that fail.
+const MIN_FILL_SECONDS: f64 = 0.1;
+const MAX_FILL_SECONDS: f64 = 1.5;
+const FILL_FAILURE_RATIO: f64 = 0.1;
+/// Brokers that count.
+const COUNTING_BROKERS: usize = 8;
+/// Pairs of partners that carry for each other in a second, and up to how many bytes.
+const PAIRS_PER_SECOND: usize = 6;
+const MAX_CARRIED_BYTES: u64 = 1 << 20;
+const CARRY_INTERVAL_SECONDS: f64 = 1.0;
+/// Readings of the counts by which the leader is late, as gossip would bring them.
+const COUNTS_LAG: usize = 3;
+/// Bytes a second that a link carries.
+const LINK_RATE: f64 = 1e9;
+/// Distinguishes the random numbers here from those of the fleet.
+const SEED_MASK: u64 = 0xf111;
+
+struct RunningFill {
+    fill: Fill,
+    ends_at: f64,
+    fails: bool,
+    is_complete: bool,
+    next_proposal_at: f64,
+}
+
+/// What one leader knows.
+struct LeaderState {
+    leader: usize,
+    /// Of the open version, or 0.
+    version: u64,
+    balances: Balances,
+    planner: FillPlanner,
+    running: BTreeMap<String, RunningFill>,
+}
+
+/// Traffic between partners, and the fills of open versions.
+pub(super) struct FillService {
+    rng: Pcg64Mcg,
+    /// What was really carried.
+    carried: CarriedCounts,
+    /// As it was known at the last readings, oldest first.
+    earlier_counts: Vec<CarriedCounts>,
+    leader_state: Option<LeaderState>,
+    next_plan_at: f64,
+    next_carry_at: f64,
+    /// In the order of the log.
+    settled: Vec<Settlement>,
+    /// Entries of the log about settlement that are known.
+    known_entry_count: u64,
+    /// By debtor and creditor.
+    settled_bytes: BTreeMap<(String, String), u64>,
+    /// When a fill was complete, by its settlement's id.
+    pub filled_at: BTreeMap<String, f64>,
+}
+
+impl FillService {
+    pub fn new(seed: u64) -> Self {
+        Self {
+            rng: Pcg64Mcg::seed_from_u64(seed ^ SEED_MASK),
+            carried: CarriedCounts::new(),
+            earlier_counts: Vec::new(),
+            leader_state: None,
+            next_plan_at: 0.0,
+            next_carry_at: 0.0,
+            settled: Vec::new(),
+            known_entry_count: 0,
+            settled_bytes: BTreeMap::new(),
+            filled_at: BTreeMap::new(),
+        }
+    }
+
+    pub fn step(&mut self, fleet: &mut Fleet, topology: &Topology) {
+        if fleet.now >= self.next_carry_at {
+            self.next_carry_at = fleet.now + CARRY_INTERVAL_SECONDS;
+            self.carry_traffic(topology);
+        }
+        if fleet.now < self.next_plan_at {
+            return;
+        }
+        self.next_plan_at = fleet.now + PLAN_INTERVAL_SECONDS;
+        let Some(leader) = fleet.leader() else { return };
+        self.check_settlements(fleet, leader);
+        if self.leader_state.as_ref().is_none_or(|state| state.leader != leader) {
+            self.leader_state = Some(self.new_leader_state(leader));
+        }
+        self.plan(fleet, topology, leader);
+        self.end_fills(fleet);
+    }
+
+    /// Partners carry for each other; a few brokers see it.
+    fn carry_traffic(&mut self, topology: &Topology) {
+        let partner_count = topology.partner_count();
+        for _ in 0..PAIRS_PER_SECOND {
+            let carrier = self.rng.random_range(0..partner_count);
+            let debtor = self.rng.random_range(0..partner_count);
+            let broker = format!("n{}", self.rng.random_range(1..=COUNTING_BROKERS));
+            let bytes = self.rng.random_range(1..MAX_CARRIED_BYTES);
+            self.carried.record(&broker, 1, &topology.partner(carrier), &topology.partner(debtor), bytes);
+        }
+        self.earlier_counts.push(self.carried.clone());
+        if self.earlier_counts.len() > COUNTS_LAG {
+            self.earlier_counts.remove(0);
+        }
+    }
+
+    /// Settlements stay within what was really carried.
+    fn check_settlements(&mut self, fleet: &Fleet, leader: usize) {
+        let logged = settlements::settlements_after(fleet.state(leader), self.known_entry_count);
+        self.known_entry_count = logged.entry_count;
+        for settlement in logged.settlements {
+            let pair = (settlement.debtor.clone(), settlement.creditor.clone());
+            let settled = self.settled_bytes.entry(pair).or_default();
+            *settled += settlement.bytes;
+            let owed = self.carried.total(&settlement.creditor, &settlement.debtor);
+            assert!(*settled <= owed, "{:.2}: {settlement:?} settles {settled} of {owed}", fleet.now);
+            self.settled.push(settlement);
+        }
+    }
+
+    fn new_leader_state(&self, leader: usize) -> LeaderState {
+        let mut ledger = SettlementLedger::default();
+        for settlement in &self.settled {
+            let applied = ledger.apply(&SettlementEntry::Settle(settlement.clone()));
+            assert_eq!(applied, Ok(ApplyOutcome::New), "{settlement:?}");
+        }
+        let balances = Balances::new(SettlementTerms::default(), BrokerPartners::default(), ledger)
+            .expect("valid terms");
+        let planner = FillPlanner::new(PLANNER_NAME, PlanningRule::MaxMin, leader as u64);
+        LeaderState { leader, version: 0, balances, planner, running: BTreeMap::new() }
+    }
+
+    fn plan(&mut self, fleet: &Fleet, topology: &Topology, leader: usize) {
+        let Some(state) = &mut self.leader_state else { return };
+        for settlement in &self.settled {
+            let _ = state.balances.apply(&SettlementEntry::Settle(settlement.clone()));
+        }
+        if let Some(counts) = self.earlier_counts.first() {
+            state.balances.update_counts(fleet.now, counts);
+        }
+        let open_version = OpenVersion::of(fleet, topology, leader);
+        state.switch_version(open_version.as_ref().map_or(0, |open| open.number));
+        let Some(open_version) = open_version else { return };
+        for fill in state.plan(fleet.now, open_version.demands) {
+            let ends_at = fleet.now + self.rng.random_range(MIN_FILL_SECONDS..MAX_FILL_SECONDS);
+            let fails = self.rng.random::<f64>() < FILL_FAILURE_RATIO;
+            let running = RunningFill { fill, ends_at, fails, is_complete: false, next_proposal_at: 0.0 };
+            state.running.insert(running.fill.id.clone(), running);
+        }
+    }
+
+    /// The settlement is proposed first: a crash after it leaves the fill open.
+    fn end_fills(&mut self, fleet: &mut Fleet) {
+        let Some(state) = &mut self.leader_state else { return };
+        let now = fleet.now;
+        state.drop_failed(now);
+        let due = |fill: &&mut RunningFill| now >= fill.ends_at && now >= fill.next_proposal_at;
+        for running in state.running.values_mut().filter(due) {
+            running.is_complete = true;
+            running.next_proposal_at = now + PROPOSE_INTERVAL_SECONDS;
+            let settled = match &running.fill.settles {
+                None => Ok(()),
+                Some(settlement) => {
+                    self.filled_at.entry(settlement.id.clone()).or_insert(now);
+                    fleet.propose(settlements::settle_command(settlement.clone()))
+                }
+            };
+            if matches!(settled, Ok(()) | Err(Rejection::AlreadySettled(_))) {
+                let Fill { segment, holder, .. } = running.fill.clone();
+                let _ = fleet.propose(Command::FillCompleted { number: state.version, segment, holder });
+            }
+        }
+    }
+}
+
+impl LeaderState {
+    /// Another version's fills are not required any more.
+    fn switch_version(&mut self, version: u64) {
+        if self.version == version {
+            return;
+        }
+        for (id, _) in std::mem::take(&mut self.running) {
+            self.planner.fill_ended(&id, false);
+        }
+        self.version = version;
+    }
+
+    /// New fills; those that are not in demand any more end.
+    fn plan(&mut self, now: f64, mut demands: Vec<FillDemand>) -> Vec<Fill> {
+        let is_demanded = |id: &str| demands.iter().any(|demand| demand.id() == id);
+        let ended: Vec<String> = self.running.keys().filter(|id| !is_demanded(id)).cloned().collect();
+        for id in ended {
+            let is_complete = self.running.remove(&id).is_some_and(|running| running.is_complete);
+            self.planner.fill_ended(&id, is_complete);
+        }
+        demands.retain(|demand| !self.running.contains_key(&demand.id()));
+        let links = LinkCapacities {
+            rate_caps: BTreeMap::new(),
+            default_rate_cap: LINK_RATE,
+            internal_rate_cap: LINK_RATE,
+        };
+        let slow_start = SlowStartCapacity { window_seconds: 1.0, unit_bytes: 1, nodes: BTreeMap::new() };
+        self.planner.plan(&self.balances, &demands, &links, &slow_start, None, now).fills
+    }
+
+    fn drop_failed(&mut self, now: f64) {
+        let failed = self.running.values().filter(|running| now >= running.ends_at && running.fails);
+        let failed: Vec<String> = failed.map(|running| running.fill.id.clone()).collect();
+        for id in failed {
+            self.running.remove(&id);
+            self.planner.fill_ended(&id, false);
+        }
+    }
+}
+
+/// The version that is proposed at the leader, and what it still requires.
+struct OpenVersion {
+    number: u64,
+    demands: Vec<FillDemand>,
+}
+
+impl OpenVersion {
+    fn of(fleet: &Fleet, topology: &Topology, leader: usize) -> Option<Self> {
+        let state = fleet.state(leader);
+        let open = state.open.as_ref()?;
+        let transition = state.map_transition()?;
+        let number = open.version.number;
+        let mut demands = Vec::new();
+        for required in transition.required_fills() {
+            if open.completed_fills.contains(&(required.segment, required.replica.clone())) {
+                continue;
+            }
+            let source =
+                |node: &String| FillSource { node: node.clone(), partner: topology.partner_of(node) };
+            demands.push(FillDemand {
+                version: number,
+                segment: required.segment,
+                holder: required.replica.clone(),
+                holder_partner: topology.partner_of(&required.replica),
+                sources: required.sources.iter().map(source).collect(),
+                bytes: SEGMENT_BYTES,
+                start: 0,
+            });
+        }
+        Some(Self { number, demands })
+    }
+}
--- /dev/null
+++ b/crates/dunepond-simulation/src/scenario/mod.rs
@@ -0,0 +1,240 @@
+//! A fleet of any size, by seed: faults as they come in operation, alone and together, and figures of what the run cost.
+//! A run that ends has kept all invariants.
+
+mod config;
+mod faults;
+mod fill_service;
+mod report;
+mod topology;
+mod versions;
+
+use std::collections::BTreeSet;
+
+use dunepond_consensus::{Command, ConfigPhase, Voter};
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+use crate::event_queue::EventQueue;
+use crate::fleet::{BrokerLoad, Fleet};
+use faults::ScheduledEvent;
+use fill_service::FillService;
+use versions::PendingVersion;
+
+pub use config::ScenarioConfig;
+pub use report::{FaultCount, ScenarioReport};
+pub use topology::{Topology, config_version};
+
+/// Seconds between two faults, at most.
+const MAX_FAULT_PAUSE_SECONDS: f64 = 1.2;
+/// Seconds that a healed fleet may take to act again, and to activate a version.
+const MAX_RECOVERY_SECONDS: f64 = 30.0;
+/// Turns of each broker in a lease, as its host takes them.
+const TURNS_PER_LEASE: f64 = 100.0;
+/// Leases before the steady part is measured, and between two versions in it.
+const WARM_UP_LEASES: f64 = 2.0;
+const VERSION_INTERVAL_LEASES: f64 = 3.0;
+/// Ratio of versions with fills in the steady part.
+const STEADY_FILL_RATIO: f64 = 0.3;
+/// Seconds between two attempts to end an open version.
+const END_STAGE_INTERVAL_SECONDS: f64 = 0.5;
+
+/// A run of a fleet.
+pub struct Scenario {
+    /// Running from the beginning.
+    pub fleet: Fleet,
+    /// As given.
+    pub config: ScenarioConfig,
+    /// Filled while it runs.
+    pub report: ScenarioReport,
+    topology: Topology,
+    fill_service: FillService,
+    scheduled: EventQueue<ScheduledEvent>,
+    rng: Pcg64Mcg,
+    /// Versions that were proposed and that not all brokers act on yet.
+    pending: Vec<PendingVersion>,
+}
+
+impl Scenario {
+    /// Starts the fleet.
+    pub fn new(config: ScenarioConfig) -> Self {
+        let topology = Topology::new(config.node_count, config.partner_count, config.segment_count);
+        let consensus_config = config.consensus_config();
+        let mut fleet = Fleet::with_config(
+            &consensus_config,
+            config.broker_count,
+            topology.watched_segments(),
+            config.seed,
+        );
+        fleet.turn_seconds = config.lease_seconds / TURNS_PER_LEASE;
+        fleet.settlement_notices = Some(Vec::new());
+        let report = ScenarioReport {
+            switch_bound_seconds: consensus_config.switch_bound_seconds,
+            ..ScenarioReport::default()
+        };
+        Self {
+            fleet,
+            report,
+            topology,
+            fill_service: FillService::new(config.seed),
+            scheduled: EventQueue::default(),
+            rng: Pcg64Mcg::seed_from_u64(!config.seed),
+            pending: Vec::new(),
+            config,
+        }
+    }
+
+    /// Runs until all brokers act on version 1.
+    ///
+    /// # Panics
+    /// It takes too long.
+    pub fn activate_first_version(&mut self) {
+        let is_up = |fleet: &Fleet| fleet.leader().is_some() && fleet.all_have_leases();
+        assert!(self.run_until(MAX_RECOVERY_SECONDS, is_up), "no lease");
+        let first = config_version(1, self.topology.map(1));
+        self.propose(first).expect("the first version");
+        let is_active = |fleet: &Fleet| fleet.all_in_phase(&ConfigPhase::Active(1));
+        assert!(self.run_until(MAX_RECOVERY_SECONDS, is_active), "version 1 is active everywhere");
+    }
+
+    /// Runs all of it: the first version, the steady part, the faults and the recovery.
+    ///
+    /// # Panics
+    /// An invariant is broken, or the fleet does not recover.
+    pub fn run(mut self) -> ScenarioReport {
+        self.activate_first_version();
+        self.run_steadily();
+        let end = self.fleet.now + self.config.fault_seconds;
+        while self.fleet.now < end {
+            self.inject_fault();
+            let pause_seconds = self.rng.random_range(0.0..MAX_FAULT_PAUSE_SECONDS);
+            self.run_for(pause_seconds);
+        }
+        if self.config.fault_seconds > 0.0 {
+            self.recover();
+        }
+        self.finish()
+    }
+
+    /// A version every few leases, nothing fails; this is what is measured.
+    fn run_steadily(&mut self) {
+        if self.config.steady_seconds <= 0.0 {
+            return;
+        }
+        self.run_for(WARM_UP_LEASES * self.config.lease_seconds);
+        let (start, loads_before) = (self.fleet.now, self.loads());
+        let mut next_version_at = start;
+        while self.fleet.now < start + self.config.steady_seconds {
+            if self.fleet.now >= next_version_at {
+                self.propose_next_version(STEADY_FILL_RATIO, 0.0);
+                next_version_at += VERSION_INTERVAL_LEASES * self.config.lease_seconds;
+            }
+            self.step();
+        }
+        self.report.measured_seconds = self.fleet.now - start;
+        let loads = self.loads().into_iter().zip(loads_before);
+        self.report.loads = loads.map(|(load, before)| load.since(before)).collect();
+        self.report.leader = self.fleet.leader();
+    }
+
+    fn loads(&self) -> Vec<BrokerLoad> {
+        self.fleet.brokers.iter().map(|broker| broker.load).collect()
+    }
+
+    /// After all faults are healed, the open version ends, and the next one is activated everywhere.
+    fn recover(&mut self) {
+        self.scheduled = EventQueue::default();
+        self.heal();
+        let is_up = |fleet: &Fleet| fleet.leader().is_some() && fleet.all_have_leases();
+        assert!(self.run_until(MAX_RECOVERY_SECONDS, is_up), "{:.2}: all act again", self.fleet.now);
+        self.end_open_version();
+        let leader = self.fleet.leader().expect("it leads");
+        let next = self.fleet.state(leader).highest_number + 1;
+        let map = self.topology.changed_map(self.fleet.state(leader), next, 0, &mut self.rng);
+        self.propose(config_version(next, map)).expect("the next version");
+        let is_active = |fleet: &Fleet| fleet.all_in_phase(&ConfigPhase::Active(next));
+        let is_activated = self.run_until(MAX_RECOVERY_SECONDS, is_active);
+        let phases: Vec<_> = (0..self.config.broker_count).map(|n| self.fleet.phase(n)).collect();
+        assert!(is_activated, "{:.2}: version {next} everywhere: {phases:?}", self.fleet.now);
+        for n in 0..self.config.voter_count {
+            let has_state = self.fleet.brokers[n].voter.as_ref().is_some_and(Voter::has_state);
+            assert!(has_state, "n{} votes again", n + 1);
+        }
+    }
+
+    fn end_open_version(&mut self) {
+        let end = self.fleet.now + MAX_RECOVERY_SECONDS;
+        while self.fleet.leader().is_none_or(|leader| self.fleet.state(leader).open.is_some()) {
+            assert!(self.fleet.now < end, "{:.2}: the open version ends", self.fleet.now);
+            self.end_stage(false);
+            self.run_for(END_STAGE_INTERVAL_SECONDS);
+        }
+    }
+
+    fn finish(mut self) -> ScenarioReport {
+        self.report_notices();
+        let invariants = &self.fleet.invariants;
+        self.report.longest_alone_seconds = invariants.longest_alone_seconds;
+        self.report.activated = invariants.activated_at.len();
+        self.report.withdrawn = invariants.withdrawn.len();
+        self.report.settlements = invariants.settled_at.len();
+        for (id, settled_at) in &invariants.settled_at {
+            if let Some(filled_at) = self.fill_service.filled_at.get(id) {
+                self.report.settlement_seconds.push((settled_at - filled_at).max(0.0));
+            }
+        }
+        self.report.fills = self.fill_service.filled_at.len();
+        self.report.trace = self.fleet.trace;
+        self.report
+    }
+
+    fn report_notices(&mut self) {
+        let notices = self.fleet.settlement_notices.replace(Vec::new()).unwrap_or_default();
+        let mut known = BTreeSet::new();
+        for notice in notices {
+            // After a restart a broker learns of all again.
+            if let Some(settled_at) = self.fleet.invariants.settled_at.get(&notice.id)
+                && known.insert((notice.broker, notice.id))
+            {
+                self.report.notice_seconds.push((notice.at - settled_at).max(0.0));
+            }
+        }
+    }
+
+    /// Steps until `is_done`, for so many seconds at most; says whether it is.
+    pub fn run_until(&mut self, max_seconds: f64, is_done: impl Fn(&Fleet) -> bool) -> bool {
+        let end = self.fleet.now + max_seconds;
+        while self.fleet.now < end {
+            if is_done(&self.fleet) {
+                return true;
+            }
+            self.step();
+        }
+        is_done(&self.fleet)
+    }
+
+    /// Steps for so many seconds.
+    pub fn run_for(&mut self, seconds: f64) {
+        self.run_until(seconds, |_| false);
+    }
+
+    fn step(&mut self) {
+        while let Some(event) = self.scheduled.pop_due(self.fleet.now) {
+            self.handle_event(event);
+        }
+        self.fleet.step();
+        self.fill_service.step(&mut self.fleet, &self.topology);
+        self.track_rollouts();
+    }
+
+    /// Ends the version at the leader by an operator's command, if one is open.
+    fn end_stage(&mut self, activate: bool) {
+        let Some(leader) = self.fleet.leader() else { return };
+        let number = self.fleet.state(leader).highest_number;
+        let command = if activate {
+            Command::Activate { number }
+        } else {
+            Command::Withdraw { number, why: String::from("by hand") }
+        };
+        let _ = self.fleet.propose(command);
+    }
+}
--- /dev/null
+++ b/crates/dunepond-simulation/src/scenario/versions.rs
@@ -0,0 +1,67 @@
+//! Versions that are proposed during a run, and how long they take.
+
+use dunepond_consensus::{Command, ConfigVersion, Rejection};
+use rand::RngExt;
+
+use super::{Scenario, config_version};
+
+/// Fills of one version, if it has any, at most.
+const MAX_FILL_COUNT: usize = 3;
+/// Ratio of the brokers that act on a staged version first.
+const FIRST_STAGE_RATIO: f64 = 0.3;
+
+/// A version that was proposed and that not all brokers act on yet.
+pub(super) struct PendingVersion {
+    number: u64,
+    /// It has fills or a stage.
+    is_slow: bool,
+}
+
+impl Scenario {
+    pub(super) fn propose(&mut self, version: ConfigVersion) -> Result<(), Rejection> {
+        let is_slow = version.first_stage_ratio.is_some() || self.topology.requires_fills(&version);
+        let number = version.number;
+        let result = self.fleet.propose(Command::Propose(Box::new(version)));
+        match &result {
+            Ok(()) => self.pending.push(PendingVersion { number, is_slow }),
+            Err(_) => self.report.rejected += 1,
+        }
+        result
+    }
+
+    /// Made from the active one at the leader. `fill_ratio`, `stage_ratio`: probabilities of fills and of a stage.
+    pub(super) fn propose_next_version(&mut self, fill_ratio: f64, stage_ratio: f64) {
+        let Some(leader) = self.fleet.leader() else { return };
+        let state = self.fleet.state(leader);
+        let next = state.highest_number + 1;
+        let has_fills = self.rng.random::<f64>() < fill_ratio;
+        let fill_count = if has_fills { self.rng.random_range(1..MAX_FILL_COUNT + 1) } else { 0 };
+        let map = self.topology.changed_map(state, next, fill_count, &mut self.rng);
+        let mut version = config_version(next, map);
+        let has_stage = self.rng.random::<f64>() < stage_ratio;
+        version.first_stage_ratio = has_stage.then_some(FIRST_STAGE_RATIO);
+        let _ = self.propose(version);
+    }
+
+    /// Reports the pending versions that all brokers act on now, and drops withdrawn ones.
+    pub(super) fn track_rollouts(&mut self) {
+        let (now, invariants) = (self.fleet.now, &self.fleet.invariants);
+        let report = &mut self.report;
+        self.pending.retain(|version| {
+            let number = version.number;
+            let is_withdrawn = invariants.withdrawn.contains(&number);
+            let Some(proposed_at) = invariants.proposed_at.get(&number) else { return !is_withdrawn };
+            let is_active =
+                invariants.activated_at.contains_key(&number) && invariants.all_act_on_at_least(number);
+            if is_active {
+                let rollouts = if version.is_slow {
+                    &mut report.slow_rollout_seconds
+                } else {
+                    &mut report.rollout_seconds
+                };
+                rollouts.push(now - proposed_at);
+            }
+            !is_active && !is_withdrawn
+        });
+    }
+}
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/cost.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/cost.rs
@@ -1,8 +1,8 @@
 //! A fleet at rest that agrees on a version every few leases: what each broker, and the leader, has to do for it, by the
 //! number of brokers.
 
-use dunepond_simulation::fleet::Load;
-use dunepond_simulation::size::{Play, Report, Shape};
+use dunepond_simulation::fleet::BrokerLoad;
+use dunepond_simulation::scenario::{Scenario, ScenarioConfig, ScenarioReport};
 use nix::time::{ClockId, clock_gettime};
 
 use super::fit::fit;
@@ -23,41 +23,54 @@
     time.tv_sec() as u64 * 1_000_000_000 + time.tv_nsec() as u64
 }
 
-fn play(brokers: usize, seed: u64) -> Report {
-    let shape = Shape { trouble: 0.0, rest: REST, ..Shape::of(brokers, seed) };
-    let mut play = Play::new(shape);
-    play.fleet.meter = Some(meter);
-    play.run()
+fn play(brokers: usize, seed: u64) -> ScenarioReport {
+    let config = ScenarioConfig {
+        fault_seconds: 0.0,
+        steady_seconds: REST,
+        ..ScenarioConfig::with_brokers(brokers, seed)
+    };
+    let mut scenario = Scenario::new(config);
+    scenario.fleet.cpu_clock = Some(meter);
+    scenario.run()
 }
 
 /// A cost, a second, of a broker that does not vote at the median, and of the leader.
 struct Cost {
     name: &'static str,
     unit: &'static str,
-    of: fn(&Load) -> f64,
+    of: fn(&BrokerLoad) -> f64,
 }
 
 const COSTS: [Cost; 3] = [
-    Cost { name: "messages", unit: "a second", of: |load| (load.sent + load.received) as f64 },
+    Cost {
+        name: "messages",
+        unit: "a second",
+        of: |load| (load.messages_sent + load.messages_received) as f64,
+    },
     Cost { name: "bytes", unit: "a second", of: |load| (load.bytes_sent + load.bytes_received) as f64 },
-    Cost { name: "processor time", unit: "us a second", of: |load| load.spent as f64 / 1000.0 },
+    Cost { name: "processor time", unit: "us a second", of: |load| load.cpu_nanoseconds as f64 / 1000.0 },
 ];
 
 pub fn run(way: &Way, figures: &mut Figures) {
     let sizes = SIZES.into_iter().filter(|size| !way.quick || *size <= QUICK);
-    let plays: Vec<(usize, Report)> = sizes.map(|size| (size, play(size, way.seed))).collect();
+    let plays: Vec<(usize, ScenarioReport)> = sizes.map(|size| (size, play(size, way.seed))).collect();
     let mut times = Vec::new();
     for (size, report) in &plays {
-        let p = |q| at(report.agreed.clone(), q).unwrap_or(f64::NAN);
+        let p = |q| at(report.rollout_seconds.clone(), q).unwrap_or(f64::NAN);
         figures.tell(format!("{size} brokers, at rest: agreed everywhere, p50"), p(0.5), "s");
-        figures.hold(format!("{size} brokers, at rest: agreed everywhere, p99"), p(0.99), report.bound, "s");
+        figures.hold(
+            format!("{size} brokers, at rest: agreed everywhere, p99"),
+            p(0.99),
+            report.switch_bound_seconds,
+            "s",
+        );
         times.push((*size as f64, p(0.5)));
     }
     let time = fit(&times);
     figures.hold(format!("time to agree grows as N^x: {}", time.name), time.power, MOST, "x");
     let mut curves = Vec::new();
     for cost in &COSTS {
-        let of = |report: &Report, n: usize| (cost.of)(&report.loads[n]) / report.seconds;
+        let of = |report: &ScenarioReport, n: usize| (cost.of)(&report.loads[n]) / report.measured_seconds;
         let mut each = Vec::new();
         let mut leaders = Vec::new();
         for (size, report) in &plays {
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/mod.rs
@@ -4,7 +4,7 @@
 mod fit;
 mod parts;
 
-use dunepond_simulation::size::{Play, Report, Shape};
+use dunepond_simulation::scenario::{Scenario, ScenarioConfig, ScenarioReport};
 
 use super::Way;
 use crate::report::Figures;
@@ -20,9 +20,9 @@
 }
 
 /// A play; what broke it, with the command that plays it alone.
-fn play(shape: Shape) -> Result<Report, String> {
-    let (seed, brokers) = (shape.seed, shape.brokers);
-    let played = std::panic::catch_unwind(|| Play::new(shape).run());
+fn play(config: ScenarioConfig) -> Result<ScenarioReport, String> {
+    let (seed, brokers) = (config.seed, config.broker_count);
+    let played = std::panic::catch_unwind(|| Scenario::new(config).run());
     played.map_err(|why| {
         let why = why.downcast_ref::<String>().cloned().or(why.downcast_ref::<&str>().map(|s| s.to_string()));
         let why = why.unwrap_or_default();
@@ -32,8 +32,8 @@
     })
 }
 
-fn tell(figures: &mut Figures, brokers: usize, all: &[Report]) {
-    let mut quantiles = |what: &str, of: fn(&Report) -> &Vec<f64>| {
+fn tell(figures: &mut Figures, brokers: usize, all: &[ScenarioReport]) {
+    let mut quantiles = |what: &str, of: fn(&ScenarioReport) -> &Vec<f64>| {
         let of: Vec<f64> = all.iter().flat_map(of).copied().collect();
         for (name, q) in [("p50", 0.5), ("p99", 0.99)] {
             if let Some(value) = at(of.clone(), q) {
@@ -45,20 +45,20 @@
             }
         }
     };
-    quantiles("a version agreed on everywhere", |report| &report.agreed);
-    quantiles("the same with fills or a stage", |report| &report.agreed_with_fills);
-    quantiles("a fill done until settled", |report| &report.settled);
-    quantiles("settled until a broker has heard", |report| &report.heard);
-    let sum = |of: fn(&Report) -> usize| all.iter().map(of).sum::<usize>() as f64;
+    quantiles("a version agreed on everywhere", |report| &report.rollout_seconds);
+    quantiles("the same with fills or a stage", |report| &report.slow_rollout_seconds);
+    quantiles("a fill done until settled", |report| &report.settlement_seconds);
+    quantiles("settled until a broker has heard", |report| &report.notice_seconds);
+    let sum = |of: fn(&ScenarioReport) -> usize| all.iter().map(of).sum::<usize>() as f64;
     let mut told = |what: &str, value| figures.tell(format!("{brokers} brokers, faults: {what}"), value, "");
-    told("versions in force", sum(|report| report.in_force));
+    told("versions in force", sum(|report| report.activated));
     told("versions withdrawn", sum(|report| report.withdrawn));
-    told("proposals refused", sum(|report| report.refused));
+    told("proposals refused", sum(|report| report.rejected));
     told("fills done with a settlement", sum(|report| report.fills));
     told("settlements agreed on", sum(|report| report.settlements));
-    told("troubles", sum(|report| report.troubles.iter().map(|(_, count)| count).sum()));
-    let longest = all.iter().map(|report| report.longest_alone).fold(0.0, f64::max);
-    let bound = all.first().map_or(0.0, |report| report.bound);
+    told("troubles", sum(|report| report.faults.iter().map(|fault| fault.count).sum()));
+    let longest = all.iter().map(|report| report.longest_alone_seconds).fold(0.0, f64::max);
+    let bound = all.first().map_or(0.0, |report| report.switch_bound_seconds);
     figures.hold(format!("{brokers} brokers, faults: longest on an old version alone"), longest, bound, "s");
 }
 
@@ -67,7 +67,7 @@
     let mut broken = 0;
     let mut all = Vec::new();
     for seed in seeds {
-        match play(Shape::of(brokers, seed)) {
+        match play(ScenarioConfig::with_brokers(brokers, seed)) {
             Ok(report) => all.push(report),
             Err(why) => {
                 eprintln!("{why}");
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
@@ -7,7 +7,7 @@
 
 use dunepond_membership::{Actions, Core, MembershipOptions, PeerState};
 use dunepond_settlement::{Balances, BrokerPartners, CarriedCounts, SettlementLedger, SettlementTerms};
-use dunepond_simulation::size::{World, version};
+use dunepond_simulation::scenario::{Topology, config_version};
 
 use super::Way;
 use super::fit::fit;
@@ -31,8 +31,8 @@
     let terms = dunepond_shard_map::MapConstraints { min_replicas: 1, min_zones: 1 };
     let (mut bytes, mut proofs) = (Vec::new(), Vec::new());
     for size in sizes {
-        let world = World::new(NODES, PARTNERS, *size);
-        let version = version(1, world.map(1));
+        let topology = Topology::new(NODES, PARTNERS, *size);
+        let version = config_version(1, topology.map(1));
         let whole = postcard::to_stdvec(&version).map_or(f64::NAN, |bytes| bytes.len() as f64);
         let map = version.map.as_ref().expect("it has one");
         let proof =
