--- a/crates/dunepond-broker/src/background.rs
+++ b/crates/dunepond-broker/src/background.rs
@@ -41,8 +41,8 @@
     }
 
     /// A job on the thread pool has ended.
-    pub fn on_job_finished(&mut self, now: f64, on_job_finished: FinishedJob) {
-        self.scheduler.finish(now, on_job_finished.id, on_job_finished.outcome, on_job_finished.used);
+    pub fn on_job_finished(&mut self, now: f64, finished: FinishedJob) {
+        self.scheduler.finish(now, finished.id, finished.outcome, finished.used);
     }
 
     /// Takes the jobs that were dropped and will not run.
--- a/crates/dunepond-broker/src/clock.rs
+++ b/crates/dunepond-broker/src/clock.rs
@@ -78,10 +78,10 @@
 
 impl Timers {
     /// Schedules an event for a Unix time in seconds; events at the same time are due in the order in which they were scheduled.
-    pub fn schedule(&mut self, at: f64, due: TimerEvent) -> TimerKey {
+    pub fn schedule(&mut self, at: f64, event: TimerEvent) -> TimerKey {
         self.last_sequence += 1;
         let key = ((at.max(0.0) * 1e6) as u64, self.last_sequence);
-        self.pending.insert(key, due);
+        self.pending.insert(key, event);
         key
     }
 
--- a/crates/dunepond-broker/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -78,12 +78,12 @@
 fn parse(file: &Value, variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, ConfigError> {
     let config = Fields::new("config", file)?;
     // At the start the environment goes before the file.
-    let told = |name: &str, key: &str| match variable(name) {
+    let value_of = |name: &str, key: &str| match variable(name) {
         Some(value) => Ok((value, name.to_string())),
         None => Ok::<_, ConfigError>((config.text(key)?.to_string(), format!("config: {key}"))),
     };
     let address = |name: &str, key: &str| {
-        let (value, source) = told(name, key)?;
+        let (value, source) = value_of(name, key)?;
         value
             .parse::<SocketAddr>()
             .map_err(|_| ConfigError(format!("{source}: '{value}' is not an address:port")))
@@ -108,21 +108,21 @@
         },
     };
     // A quarter of the memory is for connections' buffers; the rest is for queries in flight, queued frames and the program.
-    let most = sockets.saturating_sub(RESERVED_DESCRIPTORS);
+    let max_connections = sockets.saturating_sub(RESERVED_DESCRIPTORS);
     let max_buffers = (memory * 1024.0 * 1024.0 / 4.0 / BUFFER_BYTES as f64) as usize;
-    if most < 16 || max_buffers < 16 {
+    if max_connections < 16 || max_buffers < 16 {
         return Err(config.error("limits", "too little memory or sockets for any connections"));
     }
     // A quarter of the descriptors is for connections to nodes, which many clients share; idle ones are closed for new ones.
-    let most_links = (most / 4) as usize;
+    let max_node_connections = (max_connections / 4) as usize;
     Ok(StartupConfig {
-        name: told("GW_NAME", "name")?.0,
+        name: value_of("GW_NAME", "name")?.0,
         listen_address: address("GW_LISTEN", "listen")?,
         discovery_address: address("GW_DISCOVERY", "discovery")?,
         log_level: level,
-        max_clients: most as usize - most_links,
+        max_clients: max_connections as usize - max_node_connections,
         max_buffers,
-        max_node_connections: most_links,
+        max_node_connections,
         deployment,
         unsupported_setting,
         bounds: host_settings(&settings)?,
--- a/crates/dunepond-broker/src/control_plane/fence.rs
+++ b/crates/dunepond-broker/src/control_plane/fence.rs
@@ -65,11 +65,11 @@
 }
 
 /// The action for each case. The new owner is treated like the old one: some broker may still act on the old map.
-pub fn fence_action(stage: AttemptStage, effect: Idempotency, side: OwnerSide) -> FenceAction {
+pub fn fence_action(stage: AttemptStage, idempotency: Idempotency, side: OwnerSide) -> FenceAction {
     use AttemptStage::{Answered, AnsweredLate, AwaitingAnswer, NotSent, PartlyWritten, Queued, Rejected};
     use FenceAction::{Aborted, Accepted, Allowed, AwaitOwnAnswer, Returned};
     use Idempotency::{Idempotent, Keyed, NonIdempotent};
-    match (stage, effect, side) {
+    match (stage, idempotency, side) {
         (Answered | AnsweredLate, _, _) => Accepted,
         // Any replica may run it repeatedly; a node drops keyed parts that it has run.
         (NotSent | Queued | PartlyWritten | AwaitingAnswer | Rejected, Idempotent | Keyed(_), _) => Allowed,
--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -23,8 +23,8 @@
 
 impl QueryStart {
     /// The node that may run non-idempotent parts of a segment.
-    pub fn owner(&self, seg: usize) -> SegmentOwner<'_> {
-        self.config.owner(seg as u64, self.began_at)
+    pub fn owner(&self, segment: usize) -> SegmentOwner<'_> {
+        self.config.owner(segment as u64, self.began_at)
     }
 
     /// The map under which its parts have to cover its keys.
@@ -60,8 +60,9 @@
 
 impl<S: Write> FreshWriter<'_, S> {
     fn ensure_fresh(&self) -> io::Result<()> {
-        let late =
-            self.checked.is_some_and(|look| monotonic_seconds() > look.checked_at + MAX_ACTION_DELAY_SECONDS);
+        let late = self
+            .checked
+            .is_some_and(|check| monotonic_seconds() > check.checked_at + MAX_ACTION_DELAY_SECONDS);
         if late { Err(io::Error::other(StaleCheck)) } else { Ok(()) }
     }
 }
@@ -102,65 +103,71 @@
     }
 
     /// Whether this is the active configuration still.
-    pub fn is_current(&self, acting: &Arc<ActiveConfig>) -> bool {
-        Arc::ptr_eq(self.watch.borrow_mut().current(), acting)
+    pub fn is_current(&self, config: &Arc<ActiveConfig>) -> bool {
+        Arc::ptr_eq(self.watch.borrow_mut().current(), config)
     }
 
     /// Records the active configuration for a query that begins now.
     pub fn begin_query(&self) -> Rc<QueryStart> {
         // The configuration is read before the clock: otherwise a lease that came in between would be later than its query.
-        let acting = self.active_config();
-        Rc::new(QueryStart { config: acting, began_at: monotonic_seconds() })
+        let config = self.active_config();
+        Rc::new(QueryStart { config, began_at: monotonic_seconds() })
     }
 
     /// Parts of this query class must not run twice.
-    pub fn is_non_idempotent(&self, table_type: usize) -> bool {
-        self.idempotency.get(table_type) == Some(&Idempotency::NonIdempotent)
+    pub fn is_non_idempotent(&self, query_class: usize) -> bool {
+        self.idempotency.get(query_class) == Some(&Idempotency::NonIdempotent)
     }
 
     /// What becomes of an attempt at a node that may not run it any more, by how far it had come.
     pub fn fence_action(
         &self,
-        look: &CheckedConfig,
+        check: &CheckedConfig,
         stage: AttemptStage,
-        table_type: usize,
-        seg: usize,
+        query_class: usize,
+        segment: usize,
         node: &str,
     ) -> FenceAction {
-        let to = look.config.map_transition().map(|moving| moving.to());
-        let new = to.and_then(|to| to.segment(seg as u64)).is_some_and(|segment| segment.owner == node);
-        let effect = self.idempotency.get(table_type).copied().unwrap_or(Idempotency::Idempotent);
-        fence::fence_action(stage, effect, if new { OwnerSide::New } else { OwnerSide::Old })
+        let to = check.config.map_transition().map(|moving| moving.to());
+        let new = to.and_then(|to| to.segment(segment as u64)).is_some_and(|segment| segment.owner == node);
+        let idempotency = self.idempotency.get(query_class).copied().unwrap_or(Idempotency::Idempotent);
+        fence::fence_action(stage, idempotency, if new { OwnerSide::New } else { OwnerSide::Old })
     }
 
     /// Parts of this query class may run twice inside a window.
-    pub fn is_keyed(&self, table_type: usize) -> bool {
-        matches!(self.idempotency.get(table_type), Some(Idempotency::Keyed(_)))
+    pub fn is_keyed(&self, query_class: usize) -> bool {
+        matches!(self.idempotency.get(query_class), Some(Idempotency::Keyed(_)))
     }
 
     /// The active configuration with the time of this check, for an action that follows at once.
     pub fn check(&self) -> CheckedConfig {
         // The clock is read last, so that a lease that expires during a stall in between counts as expired.
-        let acting = self.active_config();
-        CheckedConfig { config: acting, checked_at: monotonic_seconds() }
+        let config = self.active_config();
+        CheckedConfig { config, checked_at: monotonic_seconds() }
     }
 
     /// Whether a part may be sent to a node now, by the configuration at its query's start and by the active one.
-    pub fn may_send(&self, began: Option<&QueryStart>, table_type: usize, seg: usize, node: &str) -> bool {
-        !self.is_non_idempotent(table_type)
-            || self.may_send_under(&self.check(), began, table_type, seg, node)
+    pub fn may_send(
+        &self,
+        start: Option<&QueryStart>,
+        query_class: usize,
+        segment: usize,
+        node: &str,
+    ) -> bool {
+        !self.is_non_idempotent(query_class)
+            || self.may_send_under(&self.check(), start, query_class, segment, node)
     }
 
     /// As `may_send`, by a check that was made before.
     pub fn may_send_under(
         &self,
-        look: &CheckedConfig,
-        began: Option<&QueryStart>,
-        table_type: usize,
-        seg: usize,
+        check: &CheckedConfig,
+        start: Option<&QueryStart>,
+        query_class: usize,
+        segment: usize,
         node: &str,
     ) -> bool {
-        if !self.is_non_idempotent(table_type) {
+        if !self.is_non_idempotent(query_class) {
             return true;
         }
         let allows = |owner: SegmentOwner| match owner {
@@ -169,32 +176,32 @@
             SegmentOwner::Unavailable(_) => false,
         };
         // The same configuration gives the same verdict, unless a lease began or expired in between.
-        let same = |began: &QueryStart| {
-            Arc::ptr_eq(&began.config, &look.config)
-                && began.config.lease_valid(began.began_at) == look.config.lease_valid(look.checked_at)
+        let same = |start: &QueryStart| {
+            Arc::ptr_eq(&start.config, &check.config)
+                && start.config.lease_valid(start.began_at) == check.config.lease_valid(check.checked_at)
         };
-        allows(look.config.owner(seg as u64, look.checked_at))
-            && began.is_none_or(|began| same(began) || allows(began.owner(seg)))
+        allows(check.config.owner(segment as u64, check.checked_at))
+            && start.is_none_or(|start| same(start) || allows(start.owner(segment)))
     }
 
     /// Whether a keyed part may be retried although it may have run.
-    pub fn may_retry_keyed(&self, began: &QueryStart) -> bool {
+    pub fn may_retry_keyed(&self, start: &QueryStart) -> bool {
         let allows =
-            |acting: &ActiveConfig, at| acting.rules(at).is_none_or(|rules| rules.keyed_retries_enabled);
-        allows(&began.config, began.began_at) && allows(&self.active_config(), monotonic_seconds())
+            |config: &ActiveConfig, at| config.rules(at).is_none_or(|rules| rules.keyed_retries_enabled);
+        allows(&start.config, start.began_at) && allows(&self.active_config(), monotonic_seconds())
     }
 
     /// The active map's epoch, if that map has other keys for a segment than the one at the query's start.
-    pub fn moved_epoch(&self, began: &QueryStart, seg: usize) -> Option<u64> {
-        if self.is_current(&began.config) {
+    pub fn moved_epoch(&self, start: &QueryStart, segment: usize) -> Option<u64> {
+        if self.is_current(&start.config) {
             return None;
         }
-        let acting = self.active_config();
-        let (then, now) = (began.map()?, acting.map(monotonic_seconds())?);
+        let config = self.active_config();
+        let (then, now) = (start.map()?, config.map(monotonic_seconds())?);
         if then.epoch() == now.epoch() {
             return None;
         }
-        let keys = |proof: &VerifiedMap| proof.segment(seg as u64).map(|segment| segment.keys);
+        let keys = |map: &VerifiedMap| map.segment(segment as u64).map(|segment| segment.keys);
         (keys(then) != keys(now)).then_some(now.epoch())
     }
 
@@ -202,78 +209,78 @@
     /// allowed it.
     pub fn audit_sent(
         &self,
-        look: &CheckedConfig,
-        began: Option<&QueryStart>,
-        table_type: usize,
+        check: &CheckedConfig,
+        start: Option<&QueryStart>,
+        query_class: usize,
         id: &str,
         part: (usize, usize),
         node: &str,
     ) {
-        let (seg, shot) = part;
+        let (segment, attempt) = part;
         let act = || {
-            let (mut word, mut numbers) = audit_phase(&look.config, look.checked_at);
-            if let Some(began) = began {
-                let (then, before) = audit_phase(&began.config, began.began_at);
-                numbers.extend(before);
+            let (mut phase, mut versions) = audit_phase(&check.config, check.checked_at);
+            if let Some(start) = start {
+                let (then, before) = audit_phase(&start.config, start.began_at);
+                versions.extend(before);
                 // The stricter phase is obeyed.
-                if then == AuditPhase::Joint && word == AuditPhase::Active {
-                    word = then;
+                if then == AuditPhase::Joint && phase == AuditPhase::Active {
+                    phase = then;
                 }
             }
-            numbers.sort_unstable();
-            numbers.dedup();
+            versions.sort_unstable();
+            versions.dedup();
             AuditEvent::AttemptSent {
                 request_id: id.rsplit_once('.').map_or(id, |(call, _)| call).to_string(),
-                segment_id: seg as u64,
+                segment_id: segment as u64,
                 node: node.to_string(),
-                attempt: shot as u64,
-                non_idempotent: self.is_non_idempotent(table_type),
-                phase: word,
-                versions: numbers,
+                attempt: attempt as u64,
+                non_idempotent: self.is_non_idempotent(query_class),
+                phase,
+                versions,
             }
         };
-        self.control.audit_at(look.checked_at, act);
+        self.control.audit_at(check.checked_at, act);
     }
 }
 
 /// Verifies that the answered parts cover all keys of a query, each exactly once and under one map. `moved`: parts that were sent under
 /// another map's keys, with its epoch. Returns the map's epoch, or why the answer is incomplete.
 pub fn verify_answer(
-    proof: &VerifiedMap,
-    segs: &[usize],
+    map: &VerifiedMap,
+    segments: &[usize],
     is_in: impl Fn(usize) -> bool,
     moved: &[(usize, u64)],
 ) -> Result<u64, String> {
     // Fast path without allocation: segments of a verified map do not overlap, so distinct ones that are all answered cover the
     // query.
-    let different = segs.windows(2).all(|two| two[0] < two[1]);
+    let different = segments.windows(2).all(|two| two[0] < two[1]);
     if different
         && moved.is_empty()
-        && segs.iter().enumerate().all(|(at, seg)| is_in(at) && proof.contains_segment(*seg as u64))
+        && segments.iter().enumerate().all(|(at, segment)| is_in(at) && map.contains_segment(*segment as u64))
     {
-        return Ok(proof.epoch());
+        return Ok(map.epoch());
     }
-    let is_in: Vec<bool> = (0..segs.len()).map(is_in).collect();
-    prove_by_keys(proof, segs, &is_in, moved)
+    let is_in: Vec<bool> = (0..segments.len()).map(is_in).collect();
+    prove_by_keys(map, segments, &is_in, moved)
 }
 
 fn prove_by_keys(
-    proof: &VerifiedMap,
-    segs: &[usize],
+    map: &VerifiedMap,
+    segments: &[usize],
     is_in: &[bool],
     moved: &[(usize, u64)],
 ) -> Result<u64, String> {
-    let keys = |seg: &usize| proof.segment(*seg as u64).map(|segment| segment.keys);
-    let wanted: Option<Vec<KeyRange>> = segs.iter().map(keys).collect();
+    let keys = |segment: &usize| map.segment(*segment as u64).map(|segment| segment.keys);
+    let wanted: Option<Vec<KeyRange>> = segments.iter().map(keys).collect();
     let wanted = wanted.ok_or("a segment that the map does not have")?;
-    let pieces = segs.iter().zip(&wanted).enumerate().filter(|(part, _)| is_in[*part]);
-    let pieces = pieces.map(|(part, (seg, keys))| {
+    let answered = segments.iter().zip(&wanted).enumerate().filter(|(part, _)| is_in[*part]);
+    let answered = answered.map(|(part, (segment, keys))| {
         let other = moved.iter().find(|(moved, _)| *moved == part);
-        let epoch = other.map_or(proof.epoch(), |(_, epoch)| *epoch);
-        AnsweredPart { segment: *seg as u64, keys: *keys, epoch }
+        let epoch = other.map_or(map.epoch(), |(_, epoch)| *epoch);
+        AnsweredPart { segment: *segment as u64, keys: *keys, epoch }
     });
-    let pieces: Vec<_> = pieces.collect();
-    verify_coverage(proof, &wanted, &pieces).map(|()| proof.epoch()).map_err(|fault| fault.to_string())
+    let answered: Vec<_> = answered.collect();
+    verify_coverage(map, &wanted, &answered).map(|()| map.epoch()).map_err(|fault| fault.to_string())
 }
 
 #[cfg(test)]
--- a/crates/dunepond-broker/src/discovery/list.rs
+++ b/crates/dunepond-broker/src/discovery/list.rs
@@ -47,8 +47,8 @@
     }
 
     /// Frees the id of a node that nothing refers to any more.
-    pub(super) fn forget(&mut self, node: NodeId, host: &str) {
-        if self.node_ids.remove(host).is_some() {
+    pub(super) fn forget(&mut self, node: NodeId, name: &str) {
+        if self.node_ids.remove(name).is_some() {
             self.allocated_ids.remove(node);
         }
     }
@@ -72,33 +72,27 @@
 
     fn parse_row(&mut self, row: &Value) -> Result<EndpointRow, ConfigError> {
         let row = Fields::new("hosts", row)?;
-        let host = row.text("host")?;
-        let standing = match row.text("health")? {
+        let name = row.text("host")?;
+        let state = match row.text("health")? {
             "ready" => EndpointState::Active,
             "draining" => EndpointState::Draining,
             "gone" => EndpointState::Removed,
             _ => return Err(row.error("health", "unknown word")),
         };
-        let dial: Option<SocketAddr> = match row.optional_text("dial")? {
-            Some(dial) => Some(dial.parse().map_err(|_| row.error("dial", "not an address:port"))?),
-            None if standing == EndpointState::Removed => None,
+        let address: Option<SocketAddr> = match row.optional_text("dial")? {
+            Some(address) => Some(address.parse().map_err(|_| row.error("dial", "not an address:port"))?),
+            None if state == EndpointState::Removed => None,
             None => return Err(row.error("dial", "missing")),
         };
-        let cell = row.count("block")? as usize;
+        let replica_group = row.count("block")? as usize;
         let zone_name = row.optional_text("site")?.unwrap_or_default();
-        let started = row.number_or("born_ms", 0.0)? / 1000.0;
+        let started_at = row.number_or("born_ms", 0.0)? / 1000.0;
         let zone = self.zone_index(zone_name);
-        let node = self.node_id(host, dial);
-        let host = host.to_string();
+        let node = self.node_id(name, address);
+        let name = name.to_string();
         Ok(EndpointRow {
-            endpoint: Endpoint { node, replica_group: cell, zone, state: standing, started_at: started },
-            info: EndpointInfo {
-                name: host,
-                address: dial,
-                replica_group: cell,
-                started_at: started,
-                state: standing,
-            },
+            endpoint: Endpoint { node, replica_group, zone, state, started_at },
+            info: EndpointInfo { name, address, replica_group, started_at, state },
         })
     }
 
@@ -112,14 +106,14 @@
     }
 
     /// The id of a node, which is allocated if it is new.
-    fn node_id(&mut self, host: &str, address: Option<SocketAddr>) -> NodeId {
-        if let Some(node) = self.node_ids.get(host) {
+    fn node_id(&mut self, name: &str, address: Option<SocketAddr>) -> NodeId {
+        if let Some(node) = self.node_ids.get(name) {
             return *node;
         }
         let node = self.allocated_ids.insert(());
         let address = address.map_or("?".to_string(), |address| address.to_string());
-        info!("discovery: node {node} is {host} at {address}");
-        self.node_ids.insert(host.to_string(), node);
+        info!("discovery: node {node} is {name} at {address}");
+        self.node_ids.insert(name.to_string(), node);
         node
     }
 }
--- a/crates/dunepond-broker/src/event_loop/background.rs
+++ b/crates/dunepond-broker/src/event_loop/background.rs
@@ -26,12 +26,12 @@
 }
 
 impl EventLoop {
-    pub(super) fn job_finished(&mut self, on_job_finished: FinishedJob) {
+    pub(super) fn job_finished(&mut self, finished: FinishedJob) {
         let now = self.tick();
-        self.background.on_job_finished(now, on_job_finished);
-        let failed = on_job_finished.outcome == Outcome::Failed;
+        self.background.on_job_finished(now, finished);
+        let failed = finished.outcome == Outcome::Failed;
         if let Some(persistence) = &mut self.persistence {
-            persistence.on_job_ended(now, on_job_finished.id, failed, &mut self.background);
+            persistence.on_job_ended(now, finished.id, failed, &mut self.background);
         }
     }
 
@@ -42,17 +42,10 @@
             self.audit_scheduled = true;
             self.background.add(now, audit_job_spec(now));
         }
-        while let Some(submitted) = self.background.next(now, idle) {
-            if submitted.kind == JobKind::Blocking {
+        while let Some(job) = self.background.next(now, idle) {
+            if job.kind == JobKind::Blocking {
                 if let (Some(persistence), Some(pool)) = (&mut self.persistence, self.background.pool()) {
-                    persistence.run_job(
-                        submitted.id,
-                        submitted.name,
-                        now,
-                        &mut self.router,
-                        &self.router_host,
-                        pool,
-                    );
+                    persistence.run_job(job.id, job.name, now, &mut self.router, &self.router_host, pool);
                 }
                 continue;
             }
@@ -66,7 +59,7 @@
             }
             self.audit_scheduled = outcome == Outcome::Yielded;
             self.process_pending();
-            self.background.on_step_done(now, submitted.id, outcome, began.elapsed().as_secs_f64());
+            self.background.on_step_done(now, job.id, outcome, began.elapsed().as_secs_f64());
         }
         for DroppedJob { id, name } in self.background.dropped() {
             debug!("background job {name} dropped");
--- a/crates/dunepond-broker/src/event_loop/disconnects.rs
+++ b/crates/dunepond-broker/src/event_loop/disconnects.rs
@@ -8,10 +8,10 @@
 impl EventLoop {
     /// Detects disconnects before any other event of the iteration is handled: a node's failure that came earlier would cause
     /// retries that nobody waits for any more.
-    pub(super) fn detect_disconnects(&mut self, turn: &Iteration) {
+    pub(super) fn detect_disconnects(&mut self, iteration: &Iteration) {
         let now = self.router_host.now;
-        for ready in &turn.events {
-            if let LoopEvent::ClientReady(id, true) = ready {
+        for event in &iteration.events {
+            if let LoopEvent::ClientReady(id, true) = event {
                 self.router_host.downstream.check_while_waiting(now, *id);
             }
         }
@@ -20,13 +20,15 @@
 
     /// Ends the queries of clients that were found disconnected.
     pub(super) fn end_disconnected_queries(&mut self) {
-        while let Some(held) = self.router_host.downstream.next_disconnected(&mut self.router_host.timers) {
-            held.into_iter().for_each(|query| self.client_disconnected(query));
+        while let Some(id) = self.router_host.downstream.next_disconnected(&mut self.router_host.timers) {
+            if let Some(id) = id {
+                self.client_disconnected(id);
+            }
         }
     }
 
-    pub(super) fn client_disconnected(&mut self, held: QueryId) {
-        for query in self.router_host.queries_of(held) {
+    pub(super) fn client_disconnected(&mut self, id: QueryId) {
+        for query in self.router_host.queries_of(id) {
             self.router_host.conclude_disconnected(query);
             self.router.on_client_disconnect(&mut self.router_host, query);
         }
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -79,15 +79,15 @@
     }
 
     /// Handles one event.
-    fn handle_event(&mut self, ready: LoopEvent) {
-        match ready {
+    fn handle_event(&mut self, event: LoopEvent) {
+        match event {
             LoopEvent::Accept(api) => self.accept(api),
             LoopEvent::ClientReady(id, readable) => self.client_ready(id, readable),
             LoopEvent::UpstreamReady(id, readable) => self.upstream_ready(id, readable),
             LoopEvent::PrefilterReady(id, readable) => self.prefilter_ready(id, readable),
             LoopEvent::DiscoveryReady(readable) => self.discovery_ready(readable),
             LoopEvent::DiskDone(done) => self.disk_done(done),
-            LoopEvent::JobFinished(on_job_finished) => self.job_finished(on_job_finished),
+            LoopEvent::JobFinished(finished) => self.job_finished(finished),
             LoopEvent::ControlPlaneChanged => {
                 self.tick();
                 self.process_pending();
--- a/crates/dunepond-broker/src/event_loop/pending.rs
+++ b/crates/dunepond-broker/src/event_loop/pending.rs
@@ -27,8 +27,8 @@
         let now = self.router_host.now;
         if let Some((node, attempt)) = self.router_host.upstream.framed.pop_front() {
             self.router.on_frame_written(&mut self.router_host, node, attempt);
-        } else if let Some(back) = self.router_host.upstream.back.pop_front() {
-            self.on_attempt_completed(back);
+        } else if let Some(completed) = self.router_host.upstream.back.pop_front() {
+            self.on_attempt_completed(completed);
         } else if let Some(client) = self.router_host.downstream.again.pop() {
             self.read_client(now, client);
         } else if let Some((body, event)) =
@@ -56,12 +56,12 @@
         true
     }
 
-    fn on_attempt_completed(&mut self, back: CompletedAttempt) {
-        let query = back.ended.query;
+    fn on_attempt_completed(&mut self, completed: CompletedAttempt) {
+        let query = completed.ended.query;
         if let Some(prefilter) = &mut self.prefilter {
-            prefilter.returned(&mut self.router, &mut self.router_host, &back);
+            prefilter.returned(&mut self.router, &mut self.router_host, &completed);
         }
-        if let Some(ended) = self.router_host.record_attempt_end(back) {
+        if let Some(ended) = self.router_host.record_attempt_end(completed) {
             self.router.on_attempt_ended(&mut self.router_host, ended);
             self.router_host.release_body(query, |query| self.router.needs_body(query));
             self.router_host.release(query);
@@ -112,7 +112,7 @@
 
     /// A streamed body has been buffered, is passed through, or was lost.
     fn on_body_event(&mut self, body: BodyId, event: BodyEvent) {
-        let note = match event {
+        let reason = match event {
             BodyEvent::Buffered => None,
             BodyEvent::PassThrough(why) => Some(why),
             BodyEvent::Lost(why) => {
@@ -123,7 +123,7 @@
                 return self.router_host.upstream.abort_lost_bodies(now, &mut self.router_host.timers);
             }
         };
-        if let Some((query, body)) = self.router_host.start_streamed_query(body, note) {
+        if let Some((query, body)) = self.router_host.start_streamed_query(body, reason) {
             let (id, mut query) = (query.id, query);
             if self.router_host.check_active_config(&mut query) {
                 self.router.on_query(&mut self.router_host, query);
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -104,7 +104,7 @@
     let (pool, bounds) = (Pool::default(), Rc::new(startup.bounds.clone()));
     let mut discovery = DiscoveryClient::new(handle.clone(), &pool, startup.discovery_address, &bounds);
     // An invalid list is ignored: discovery will send another.
-    let known = discovery.parse_configured_list(&startup.configured_endpoints).ok();
+    let configured_endpoints = discovery.parse_configured_list(&startup.configured_endpoints).ok();
     let Connections { mut router_host, prefilter_connections, address } =
         open_connections(&startup, &pool, &bounds, handle)?;
     if let Some(search) = &startup.operator.search_api {
@@ -147,7 +147,7 @@
         audit_scheduled: false,
         config_reloader,
         operator,
-        configured_endpoints: known,
+        configured_endpoints,
         iteration_began_at: clock.at(signals_since),
         previous_iteration_at: clock.at(signals_since),
         longest_timeout,
--- a/crates/dunepond-broker/src/iteration.rs
+++ b/crates/dunepond-broker/src/iteration.rs
@@ -53,12 +53,12 @@
 /// A channel from other threads; each message becomes an event of the loop.
 pub fn event_channel<T: 'static>(
     handle: &EventLoopHandle,
-    ready: impl Fn(T) -> LoopEvent + 'static,
+    to_event: impl Fn(T) -> LoopEvent + 'static,
 ) -> calloop::Result<Sender<T>> {
     let (sender, received) = channel();
-    let inserted = handle.insert_source(received, move |event, _, turn| {
-        if let Event::Msg(word) = event {
-            turn.events.push_back(ready(word));
+    let inserted = handle.insert_source(received, move |event, _, iteration| {
+        if let Event::Msg(message) = event {
+            iteration.events.push_back(to_event(message));
         }
     });
     inserted.map_err(|e| e.error)?;
@@ -69,11 +69,11 @@
 pub fn watch(
     handle: &EventLoopHandle,
     stream: &Rc<TcpStream>,
-    told: impl Fn(bool) -> LoopEvent + 'static,
+    to_event: impl Fn(bool) -> LoopEvent + 'static,
 ) -> calloop::Result<RegistrationToken> {
     let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-    let token = handle.insert_source(source, move |ready, _, turn| {
-        turn.events.push_back(told(ready.readable));
+    let token = handle.insert_source(source, move |ready, _, iteration| {
+        iteration.events.push_back(to_event(ready.readable));
         Ok(PostAction::Continue)
     });
     token.map_err(|e| e.error)
--- a/crates/dunepond-broker/src/logger.rs
+++ b/crates/dunepond-broker/src/logger.rs
@@ -127,14 +127,15 @@
     fn count_line(&self, metadata: &Metadata) -> (bool, u32) {
         let second = self.start.elapsed().as_secs();
         let Ok(mut seen) = self.seen.lock() else { return (false, 0) };
-        let mut over = 0;
+        let mut suppressed_before = 0;
         if seen.second != second {
-            over = seen.lines.values().map(|lines| lines.saturating_sub(MAX_LINES_PER_SECOND)).sum();
+            suppressed_before =
+                seen.lines.values().map(|lines| lines.saturating_sub(MAX_LINES_PER_SECOND)).sum();
             *seen = LinesThisSecond { second, lines: HashMap::new() };
         }
         let lines = seen.lines.entry(metadata.callsite()).or_default();
         *lines += 1;
-        (*lines > MAX_LINES_PER_SECOND, over)
+        (*lines > MAX_LINES_PER_SECOND, suppressed_before)
     }
 }
 
@@ -148,14 +149,16 @@
         if *event.metadata().level() > Level::INFO {
             return true;
         }
-        let (held_back, over) = self.count_line(event.metadata());
-        if over > 0 {
+        let (is_suppressed, suppressed_before) = self.count_line(event.metadata());
+        if suppressed_before > 0 {
             let at = self.start.elapsed().as_secs_f64();
-            let line =
-                format!("{at:10.4} {} WARN {over} log lines suppressed by the rate limit\n", self.name);
+            let line = format!(
+                "{at:10.4} {} WARN {suppressed_before} log lines suppressed by the rate limit\n",
+                self.name
+            );
             let _ = NonBlockingStderr.write_all(line.as_bytes());
         }
-        !held_back
+        !is_suppressed
     }
 }
 
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -136,10 +136,10 @@
 fn migrate_config(
     old: &Path,
     out: Option<&Path>,
-    ask: &MigrationOptions,
+    target: &MigrationOptions,
     overwrite: bool,
 ) -> Result<(), ConfigError> {
-    let new = migrate::read(old, ask)?;
+    let new = migrate::read(old, target)?;
     if new.unchanged {
         eprintln!("dunepond: {}: of the new shape already; it stands as it was", old.display());
     }
@@ -209,13 +209,13 @@
         }
         Some(Command::State { command }) => run_state_command(command),
         Some(Command::Query { at, index, text, size, shards, seconds, msearch, json }) => {
-            let ask = query_command::Target { at, index: &index, json };
-            let told = match msearch {
-                Some(file) => query_command::many(&ask, &file),
-                None if shards.is_empty() => query_command::search(&ask, text.as_deref(), size),
-                None => query_command::scan(&ask, text.as_deref().unwrap_or_default(), &shards, seconds),
+            let target = query_command::Target { at, index: &index, json };
+            let response = match msearch {
+                Some(file) => query_command::many(&target, &file),
+                None if shards.is_empty() => query_command::search(&target, text.as_deref(), size),
+                None => query_command::scan(&target, text.as_deref().unwrap_or_default(), &shards, seconds),
             };
-            told.map(|told| print!("{told}")).map_err(|e| ConfigError(e.to_string()))
+            response.map(|response| print!("{response}")).map_err(|e| ConfigError(e.to_string()))
         }
         Some(Command::Completions { shell }) => {
             clap_complete::generate(shell, &mut CommandLine::command(), "dunepond", &mut std::io::stdout());
--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -15,18 +15,21 @@
 
 impl RouterHost {
     /// Registers a client's query. If too much is in flight it is rejected (503) without the router.
-    pub fn register_query(&mut self, client: usize, asked: QueryRequest) -> Option<Query> {
+    pub fn register_query(&mut self, client: usize, query_request: QueryRequest) -> Option<Query> {
         if self.is_full() {
-            debug!("query {}: rejected, {} queries and parts in flight", asked.request_id, self.in_flight);
+            debug!(
+                "query {}: rejected, {} queries and parts in flight",
+                query_request.request_id, self.in_flight
+            );
             self.downstream.reply(self.now, client, 503, "", self.max_retry_after, &mut self.timers);
             return None;
         }
-        if self.request_ids.contains(&asked.request_id) {
+        if self.request_ids.contains(&query_request.request_id) {
             let body = error_body("X-ApiRequest-Id: in use");
             self.downstream.reply(self.now, client, 400, &body, 0.0, &mut self.timers);
             return None;
         }
-        let query = self.insert_query(client, asked, None);
+        let query = self.insert_query(client, query_request, None);
         self.downstream.holds(client, query.id);
         Some(query)
     }
@@ -68,9 +71,9 @@
                 Ok(search) => {
                     let id = if request.id.is_empty() { "api" } else { &request.id };
                     let request_id = format!("{id}-{number}-{place}");
-                    let asked = door.asked(search, request, request_id);
+                    let query_request = door.asked(search, request, request_id);
                     let searching = ActiveSearch::new(&door, number, place, search, call, now);
-                    let query = self.insert_query(client, asked, Some(Box::new(searching)));
+                    let query = self.insert_query(client, query_request, Some(Box::new(searching)));
                     if let Some(open) = self.search_requests.get_mut(&number) {
                         open.queries.push(query.id);
                     }
@@ -86,42 +89,47 @@
         queries
     }
 
-    fn insert_query(&mut self, client: usize, asked: QueryRequest, api: Option<Box<ActiveSearch>>) -> Query {
-        self.request_ids.insert(asked.request_id.clone());
+    fn insert_query(
+        &mut self,
+        client: usize,
+        query_request: QueryRequest,
+        api: Option<Box<ActiveSearch>>,
+    ) -> Query {
+        self.request_ids.insert(query_request.request_id.clone());
         self.last_id += 1;
         let query = self.last_id;
         // A client's deadline is capped by the query class's timeout.
-        let client_until = asked.deadline.min(self.now + self.timeouts[asked.table_type]);
+        let client_until = query_request.deadline.min(self.now + self.timeouts[query_request.table_type]);
         let ends_at = client_until.min(self.downstream.until);
-        let segs: Vec<_> = asked.parts.iter().map(|p| p.segment).collect();
+        let segs: Vec<_> = query_request.parts.iter().map(|p| p.segment).collect();
         let count = segs.len();
         self.in_flight += 1 + count;
         let left = client_until - self.now;
-        debug!("query {}: admitted as {query}, {count} parts, {left:.3} s left", asked.request_id);
-        let body = asked.text.body().map(|body| body.id);
-        let kept = !asked.text.body().is_some_and(|body| body.is_pass_through());
+        debug!("query {}: admitted as {query}, {count} parts, {left:.3} s left", query_request.request_id);
+        let body = query_request.text.body().map(|body| body.id);
+        let kept = !query_request.text.body().is_some_and(|body| body.is_pass_through());
         let timer = self.timers.schedule(ends_at, TimerEvent::QueryDeadline(query));
-        let in_hand = ActiveQuery {
+        let active = ActiveQuery {
             search: api,
             client: Some(client),
             body,
             expires_at: ends_at,
             timer: Some(timer),
-            tenant: asked.customer,
-            ..ActiveQuery::new(asked.request_id, asked.table_type, asked.text, segs)
+            tenant: query_request.customer,
+            ..ActiveQuery::new(query_request.request_id, query_request.table_type, query_request.text, segs)
         };
-        self.queries.insert(query, in_hand);
+        self.queries.insert(query, active);
         Query {
             id: query,
-            class: asked.table_type,
-            tenant: asked.customer,
+            class: query_request.table_type,
+            tenant: query_request.customer,
             expires_in: client_until - self.now,
-            is_retry: asked.is_retry,
+            is_retry: query_request.is_retry,
             body_retained: kept,
             streamed: body.is_some(),
             awaits_prefilter: false,
             audit: false,
-            parts: asked.parts,
+            parts: query_request.parts,
         }
     }
 
@@ -137,12 +145,12 @@
         let (query, ends_at) = (self.last_id, self.now + self.timeouts[table_type]);
         debug!("scan {request_id}: an audit of {seg}");
         let timer = self.timers.schedule(ends_at, TimerEvent::QueryDeadline(query));
-        let in_hand = ActiveQuery {
+        let active = ActiveQuery {
             expires_at: ends_at,
             timer: Some(timer),
             ..ActiveQuery::new(request_id, table_type, Payload::Inline(text), vec![seg])
         };
-        self.queries.insert(query, in_hand);
+        self.queries.insert(query, active);
         Some(Query {
             id: query,
             class: table_type,
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -51,85 +51,87 @@
             Ok(began) => (began, None),
             Err(NoOwner { began, retry_after, reason }) => (began, Some((retry_after, reason))),
         };
-        let Some(in_hand) = self.queries.get_mut(&query.id) else { return false };
+        let Some(active) = self.queries.get_mut(&query.id) else { return false };
         let is_keyed = control_plane.gate.is_keyed(query.class);
-        let keyed_parts = vec![KeyedPart::default(); if is_keyed { in_hand.segments.len() } else { 0 }];
-        in_hand.coordination = Some(Coordination { began, moved_parts: Vec::new(), keyed_parts });
+        let keyed_parts = vec![KeyedPart::default(); if is_keyed { active.segments.len() } else { 0 }];
+        active.coordination = Some(Coordination { began, moved_parts: Vec::new(), keyed_parts });
         let Some((retry_after, reason)) = rejection else { return true };
         let control = &control_plane.gate.control;
         control.count_rejected();
         let event =
-            || AuditEvent::Rejected { request_id: in_hand.request_id.clone(), why: reason.to_string() };
+            || AuditEvent::Rejected { request_id: active.request_id.clone(), why: reason.to_string() };
         control.audit(event);
-        debug!("query {}: rejected: {reason}", in_hand.request_id);
+        debug!("query {}: rejected: {reason}", active.request_id);
         self.reject_retriable(query.id, retry_after.min(self.max_retry_after));
         self.release(query.id);
         false
     }
 
     /// Whether an attempt may be sent to a node now; records it for its query.
-    pub(super) fn may_send(&mut self, node: NodeId, parcel: &AttemptRequest) -> bool {
-        let Some(fleet) = &self.control_plane else { return true };
-        let (gate, name) = (&fleet.gate, self.upstream.name(node));
-        let AttemptRequest { part, seg, table_type, .. } = *parcel;
-        let in_hand = self.queries.get_mut(&parcel.query);
-        let agreed = in_hand.and_then(|in_hand| in_hand.coordination.as_mut());
-        let mut may_send = gate.may_send(parcel.began.as_deref(), table_type, seg, name);
-        if let Some(agreed) = agreed {
-            if let Some(keyed) = agreed.keyed_parts.get_mut(part) {
+    pub(super) fn may_send(&mut self, node: NodeId, attempt: &AttemptRequest) -> bool {
+        let Some(control_plane) = &self.control_plane else { return true };
+        let (gate, name) = (&control_plane.gate, self.upstream.name(node));
+        let AttemptRequest { part, seg, table_type, .. } = *attempt;
+        let active = self.queries.get_mut(&attempt.query);
+        let coordination = active.and_then(|active| active.coordination.as_mut());
+        let mut may_send = gate.may_send(attempt.began.as_deref(), table_type, seg, name);
+        if let Some(coordination) = coordination {
+            if let Some(keyed) = coordination.keyed_parts.get_mut(part) {
                 let is_first = keyed.outstanding == 0 && !keyed.may_have_run;
-                may_send &= is_first || gate.may_retry_keyed(&agreed.began);
+                may_send &= is_first || gate.may_retry_keyed(&coordination.began);
                 // Its end will be reported whether or not it is sent.
                 keyed.outstanding += 1;
             }
-            if may_send && let Some(epoch) = gate.moved_epoch(&agreed.began, seg) {
-                agreed.moved_parts.push((part, epoch));
+            if may_send && let Some(epoch) = gate.moved_epoch(&coordination.began, seg) {
+                coordination.moved_parts.push((part, epoch));
             }
         }
         if !may_send {
             gate.control.count_withheld();
-            debug!("node {name}: {} is not sent: the active configuration forbids it", parcel.id);
+            debug!("node {name}: {} is not sent: the active configuration forbids it", attempt.id);
         }
         may_send
     }
 
     /// Whether an answer may be marked complete: only if the answered parts cover the query under one map, if there is one. Pruned
     /// parts count as answered.
-    pub(super) fn is_provably_complete(&mut self, query: QueryId, whole: bool) -> bool {
-        let (Some(fleet), Some(in_hand)) = (&self.control_plane, self.queries.get(&query)) else {
-            return whole;
+    pub(super) fn is_provably_complete(&mut self, query: QueryId, complete: bool) -> bool {
+        let (Some(control_plane), Some(active)) = (&self.control_plane, self.queries.get(&query)) else {
+            return complete;
         };
-        let agreed = in_hand.coordination.as_ref();
-        let proof = agreed.and_then(|agreed| agreed.began.map().map(|proof| (proof, &agreed.moved_parts)));
-        let left_out = |seg: &usize| in_hand.pruned.iter().any(|left| left.segment == *seg);
-        let is_in = |at: usize| in_hand.values[at].is_some() || left_out(&in_hand.segments[at]);
-        let outcome = match proof.filter(|_| whole) {
-            Some((proof, moved)) => verify_answer(proof, &in_hand.segments, is_in, moved).map(Some),
+        let coordination = active.coordination.as_ref();
+        let proof = coordination.and_then(|coordination| {
+            coordination.began.map().map(|proof| (proof, &coordination.moved_parts))
+        });
+        let left_out = |seg: &usize| active.pruned.iter().any(|left| left.segment == *seg);
+        let is_in = |at: usize| active.values[at].is_some() || left_out(&active.segments[at]);
+        let outcome = match proof.filter(|_| complete) {
+            Some((proof, moved)) => verify_answer(proof, &active.segments, is_in, moved).map(Some),
             None => Ok(None),
         };
-        if let Err(why) = &outcome {
-            fleet.gate.control.count_incomplete();
-            debug!("query {}: not complete: {why}", in_hand.request_id);
+        if let Err(reason) = &outcome {
+            control_plane.gate.control.count_incomplete();
+            debug!("query {}: not complete: {reason}", active.request_id);
         }
-        let whole = whole && outcome.is_ok();
-        let segs = in_hand.segments.iter().enumerate().filter(|(at, _)| is_in(*at));
-        fleet.gate.control.audit(|| AuditEvent::Answer {
-            request_id: in_hand.request_id.clone(),
+        let complete = complete && outcome.is_ok();
+        let segs = active.segments.iter().enumerate().filter(|(at, _)| is_in(*at));
+        control_plane.gate.control.audit(|| AuditEvent::Answer {
+            request_id: active.request_id.clone(),
             status: 200,
-            complete: whole,
+            complete,
             segments: segs.map(|(_, seg)| *seg as u64).collect(),
             map_epoch: outcome.ok().flatten(),
         });
-        whole
+        complete
     }
 
     /// Audits the final answer of a query without values.
-    pub(super) fn audit_answer(&self, query: QueryId, status: u16, whole: bool) {
-        if let (Some(fleet), Some(in_hand)) = (&self.control_plane, self.queries.get(&query)) {
-            fleet.gate.control.audit(|| AuditEvent::Answer {
-                request_id: in_hand.request_id.clone(),
+    pub(super) fn audit_answer(&self, query: QueryId, status: u16, complete: bool) {
+        if let (Some(control_plane), Some(active)) = (&self.control_plane, self.queries.get(&query)) {
+            control_plane.gate.control.audit(|| AuditEvent::Answer {
+                request_id: active.request_id.clone(),
                 status,
-                complete: whole,
+                complete,
                 segments: Vec::new(),
                 map_epoch: None,
             });
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -246,14 +246,14 @@
 
     /// Whether the query is in flight and not finished.
     pub fn is_active(&self, query: QueryId) -> bool {
-        self.queries.get(&query).is_some_and(|in_hand| !in_hand.is_finished)
+        self.queries.get(&query).is_some_and(|active| !active.is_finished)
     }
 
     /// The text and segments of a query that can be prefiltered.
     pub fn prefilter_input(&self, query: QueryId) -> Option<(Rc<str>, Vec<usize>)> {
-        let in_hand = self.queries.get(&query)?;
-        match &in_hand.payload {
-            Payload::Inline(text) => Some((text.clone(), in_hand.segments.clone())),
+        let active = self.queries.get(&query)?;
+        match &active.payload {
+            Payload::Inline(text) => Some((text.clone(), active.segments.clone())),
             _ => None,
         }
     }
@@ -270,15 +270,15 @@
 
     /// Records the segments that the prefilter left out of a query.
     pub fn prune(&mut self, query: QueryId, left: Vec<PrunedSegment>) {
-        if let Some(in_hand) = self.queries.get_mut(&query) {
-            in_hand.pruned = left;
+        if let Some(active) = self.queries.get_mut(&query) {
+            active.pruned = left;
         }
     }
 
     /// Segments that the prefilter had left out are searched after all.
     pub fn restore_pruned(&mut self, query: QueryId, segs: &[usize]) {
-        if let Some(in_hand) = self.queries.get_mut(&query) {
-            in_hand.pruned.retain(|pruned| !segs.contains(&pruned.segment));
+        if let Some(active) = self.queries.get_mut(&query) {
+            active.pruned.retain(|pruned| !segs.contains(&pruned.segment));
         }
     }
 }
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -13,10 +13,10 @@
 
 impl RouterHost {
     /// Registers a query whose body is streamed, or rejects it at once and names the limit.
-    pub fn register_streamed_query(&mut self, client: usize, asked: QueryRequest, head: Head) {
+    pub fn register_streamed_query(&mut self, client: usize, query_request: QueryRequest, head: Head) {
         let Some(bodies) = &mut self.body_store else { return };
         bodies.held_beside(self.pool.bytes(), self.value_bytes);
-        let (customer, table_type) = (asked.customer, asked.table_type);
+        let (customer, table_type) = (query_request.customer, query_request.table_type);
         let arrival =
             IncomingBody { tenant: customer, query_class: table_type, stated_length: head.length() };
         match bodies.arrive(self.now, arrival) {
@@ -29,25 +29,26 @@
                 self.uploads.insert(body.id, client);
                 // A client's deadline is capped by the query class's timeout.
                 let longest = self.now + self.timeouts[table_type];
-                let asked = QueryRequest { deadline: asked.deadline.min(longest), ..asked };
-                self.downstream.takes(self.now, client, asked, head, &body, &mut self.timers);
+                let query_request =
+                    QueryRequest { deadline: query_request.deadline.min(longest), ..query_request };
+                self.downstream.takes(self.now, client, query_request, head, &body, &mut self.timers);
             }
-            Err(why) => self.reject_body(client, why),
+            Err(reason) => self.reject_body(client, reason),
         }
     }
 
-    fn reject_body(&mut self, client: usize, why: FallbackReason) {
-        let (refusal, wait) = self.body_error(why);
+    fn reject_body(&mut self, client: usize, reason: FallbackReason) {
+        let (refusal, wait) = self.body_error(reason);
         self.downstream.refuse(self.now, client, refusal, wait, &mut self.timers);
     }
 
     /// The response and Retry-After (seconds) for a rejected body. A body that is too long is not retriable.
-    fn body_error(&self, why: FallbackReason) -> (HttpError, f64) {
-        match why {
+    fn body_error(&self, reason: FallbackReason) -> (HttpError, f64) {
+        match reason {
             FallbackReason::TooLong | FallbackReason::LengthUnknown => {
-                (refusal(413, format!("body: {why}")), 0.0)
+                (refusal(413, format!("body: {reason}")), 0.0)
             }
-            _ => (refusal(503, format!("body: {why}")), self.max_retry_after),
+            _ => (refusal(503, format!("body: {reason}")), self.max_retry_after),
         }
     }
 
@@ -58,34 +59,34 @@
         note: Option<FallbackReason>,
     ) -> Option<(Query, Rc<Body>)> {
         let client = self.uploads.remove(&body)?;
-        let (asked, body) = self.downstream.start_query(client, body, &mut self.timers)?;
-        let asked = QueryRequest { text: Payload::Streamed(body.clone()), ..asked };
-        let query = self.register_query(client, asked)?;
-        if let Some(in_hand) = self.queries.get_mut(&query.id) {
-            in_hand.body_failure = note;
+        let (query_request, body) = self.downstream.start_query(client, body, &mut self.timers)?;
+        let query_request = QueryRequest { text: Payload::Streamed(body.clone()), ..query_request };
+        let query = self.register_query(client, query_request)?;
+        if let Some(active) = self.queries.get_mut(&query.id) {
+            active.body_failure = note;
         }
         Some((query, body))
     }
 
     /// A body was lost. While it is being uploaded its client is refused; afterwards its query is returned.
-    pub fn on_body_lost(&mut self, body: BodyId, why: FallbackReason) -> Option<QueryId> {
+    pub fn on_body_lost(&mut self, body: BodyId, reason: FallbackReason) -> Option<QueryId> {
         if let Some(client) = self.uploads.remove(&body) {
-            let (refusal, wait) = self.body_error(why);
+            let (refusal, wait) = self.body_error(reason);
             self.downstream.fail_body(self.now, client, body, refusal, wait, &mut self.timers);
         }
-        let (query, in_hand) =
+        let (query, active) =
             self.queries.iter_mut().find(|(_, s)| s.body == Some(body) && !s.is_finished)?;
-        (in_hand.body_failure, in_hand.payload) = (Some(why), Payload::Released);
+        (active.body_failure, active.payload) = (Some(reason), Payload::Released);
         Some(*query)
     }
 
     /// Releases a query's body once no attempt can need it again.
     pub fn release_body(&mut self, query: QueryId, needed: impl Fn(QueryId) -> bool) {
-        if let Some(in_hand) = self.queries.get_mut(&query)
-            && in_hand.payload.body().is_some()
+        if let Some(active) = self.queries.get_mut(&query)
+            && active.payload.body().is_some()
             && !needed(query)
         {
-            in_hand.payload = Payload::Released;
+            active.payload = Payload::Released;
         }
     }
 
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -18,37 +18,37 @@
     }
 
     fn send_attempt(&mut self, query: QueryId, part: usize, node: NodeId) {
-        let Some(in_hand) = self.queries.get_mut(&query) else { return };
-        let shot = in_hand.attempts[part].len();
-        in_hand.attempts[part].push(node);
-        in_hand.outstanding += 1;
-        let (id, text, until) = (in_hand.part_ids[part].clone(), in_hand.payload.clone(), in_hand.expires_at);
-        let seg = in_hand.segments[part];
+        let Some(active) = self.queries.get_mut(&query) else { return };
+        let shot = active.attempts[part].len();
+        active.attempts[part].push(node);
+        active.outstanding += 1;
+        let (id, text, until) = (active.part_ids[part].clone(), active.payload.clone(), active.expires_at);
+        let seg = active.segments[part];
         let reader = text.body().map(BodyReader::new);
-        if let (Some(body), Some(bodies)) = (in_hand.body, &mut self.body_store) {
+        if let (Some(body), Some(bodies)) = (active.body, &mut self.body_store) {
             bodies.used(self.now, body);
         }
         let gone = matches!(text, Payload::Released);
-        let table_type = in_hand.query_class;
-        let began = in_hand.coordination.as_ref().map(Coordination::began);
-        let send_by = until.min(in_hand.may_run_since[part] + self.retry_windows[table_type]);
-        let parcel =
+        let table_type = active.query_class;
+        let began = active.coordination.as_ref().map(Coordination::began);
+        let send_by = until.min(active.may_run_since[part] + self.retry_windows[table_type]);
+        let attempt =
             AttemptRequest { query, part, shot, id, seg, table_type, until, send_by, text, reader, began };
-        let late = in_hand.is_finished || gone || shot >= self.max_attempts || send_by <= self.now;
+        let late = active.is_finished || gone || shot >= self.max_attempts || send_by <= self.now;
         let late =
-            late || in_hand.client.is_some_and(|client| self.downstream.is_disconnected(self.now, client));
-        if !late && !self.may_send(node, &parcel) {
-            return self.upstream.back.push_back(parcel.unsent(node, AttemptOutcome::NotSent));
+            late || active.client.is_some_and(|client| self.downstream.is_disconnected(self.now, client));
+        if !late && !self.may_send(node, &attempt) {
+            return self.upstream.back.push_back(attempt.unsent(node, AttemptOutcome::NotSent));
         }
         let holds = self.upstream.holds(node, seg, self.replica_groups, self.replicas);
         if !late && !holds {
             error!("node {}: no replica of segment {seg}", self.upstream.name(node));
         }
         if late || !holds {
-            return self.upstream.back.push_back(parcel.unsent(node, AttemptOutcome::NotSent));
+            return self.upstream.back.push_back(attempt.unsent(node, AttemptOutcome::NotSent));
         }
         debug!("query {}: part {part} sent to {}", self.queries[&query].request_id, self.upstream.name(node));
-        self.upstream.dispatch(node, parcel);
+        self.upstream.dispatch(node, attempt);
     }
 
     fn close_idle_connections(&mut self, node: NodeId) {
@@ -71,28 +71,28 @@
     /// Never called: the frames have no probe, and the deployment is read with `may_probe` off.
     fn probe(&mut self, _: NodeId) {}
 
-    fn answer(&mut self, query: QueryId, whole: bool) {
-        let whole = self.is_provably_complete(query, whole);
-        if let Some(in_hand) = self.queries.get_mut(&query)
-            && let Some(api) = &mut in_hand.search
+    fn answer(&mut self, query: QueryId, complete: bool) {
+        let complete = self.is_provably_complete(query, complete);
+        if let Some(active) = self.queries.get_mut(&query)
+            && let Some(api) = &mut active.search
         {
             let segs: Vec<_> =
-                in_hand.segments.iter().zip(&in_hand.values).map(|(s, v)| (*s, v.is_some())).collect();
-            let left_out: Vec<_> = in_hand.pruned.iter().map(|left| left.segment).collect();
-            let outcome = api.answer(self.now, whole, &segs, &left_out);
+                active.segments.iter().zip(&active.values).map(|(s, v)| (*s, v.is_some())).collect();
+            let left_out: Vec<_> = active.pruned.iter().map(|left| left.segment).collect();
+            let outcome = api.answer(self.now, complete, &segs, &left_out);
             if self.conclude(query).is_some() {
                 self.finish_search(query, outcome, 0.0);
-                self.mark_served(query, whole);
+                self.mark_served(query, complete);
             }
             return;
         }
-        let Some(in_hand) = self.queries.get(&query) else { return };
-        let found = in_hand.segments.iter().zip(&in_hand.values);
+        let Some(active) = self.queries.get(&query) else { return };
+        let found = active.segments.iter().zip(&active.values);
         let found: Vec<_> =
             found.filter_map(|(seg, value)| Some(json!({"bucket": seg, "item": value.as_ref()?}))).collect();
-        let mut body = json!({"finished": whole, "found": found});
-        if !in_hand.pruned.is_empty() {
-            let left_out = in_hand.pruned.iter().map(|left| {
+        let mut body = json!({"finished": complete, "found": found});
+        if !active.pruned.is_empty() {
+            let left_out = active.pruned.iter().map(|left| {
                 let name = |node: NodeId| self.upstream.name(node);
                 let words = match left.basis {
                     PruningBasis::TwoReplicas(a, b) => [name(a), name(b)],
@@ -104,11 +104,11 @@
         }
         let body = body.to_string();
         self.reply(query, 200, &body, 0.0);
-        self.mark_served(query, whole);
+        self.mark_served(query, complete);
     }
 
     fn reject_retriable(&mut self, query: QueryId, wait: f64) {
-        if self.queries.get(&query).is_some_and(|in_hand| in_hand.search.is_some()) {
+        if self.queries.get(&query).is_some_and(|active| active.search.is_some()) {
             if self.conclude(query).is_some() {
                 self.audit_answer(query, 429, false);
                 self.finish_search(
@@ -127,7 +127,7 @@
         if self.nothing_was_sent(query) {
             return self.reject_retriable(query, 0.0);
         }
-        if self.queries.get(&query).is_some_and(|in_hand| in_hand.search.is_some()) {
+        if self.queries.get(&query).is_some_and(|active| active.search.is_some()) {
             if self.conclude(query).is_some() {
                 self.audit_answer(query, 502, false);
                 self.finish_search(query, Err(ApiError::unknown_outcome()), 0.0);
