--- a/crates/dunepond-control-plane/src/commitments.rs
+++ b/crates/dunepond-control-plane/src/commitments.rs
@@ -14,6 +14,7 @@
 /// A fill of this broker's own that has started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommittedFill {
+    /// As planned.
     pub fill: Fill,
     /// The fill is done, and the log does not have its settlement yet.
     pub done: bool,
@@ -22,7 +23,9 @@
 /// A fill of this broker's own that is done: the same start of a node is not filled again under a later version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FinishedFill {
+    /// Segment that was filled.
     pub segment: u64,
+    /// Node that was filled.
     pub node: String,
     /// The start of the node, as the endpoint list has it.
     pub incarnation: u64,
@@ -31,7 +34,9 @@
 /// Everything committed to. The ledger is stored with it: after a restart neither may be older than the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Commitments {
+    /// Settlements promised from this broker's own shares.
     pub shares: SharePromises,
+    /// The ledger that the promises rest on.
     pub ledger: SettlementLedger,
     /// Settlement entries of the log that the ledger has applied.
     pub applied_entries: u64,
--- a/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
@@ -33,12 +33,15 @@
     pub(super) kind: FillKind,
     /// Of the fill.
     pub(super) id: String,
+    /// What the fill service reported.
     pub(super) outcome: Result<FillResult, FillError>,
 }
 
 /// A fill that was planned and is not over.
 pub(super) struct ActiveFill {
+    /// State of the attempts and their backoff.
     pub(super) progress: FillProgress,
+    /// A thread is waiting for the fill service.
     pub(super) attempt_running: bool,
     /// What the fill service reported, once the fill is done.
     pub(super) result: Option<FillResult>,
@@ -68,6 +71,7 @@
 pub struct FillService {
     /// `None` where the deployment has no fill service: nothing is planned then.
     pub client: Option<Arc<dyn FillClient>>,
+    /// To the control loop.
     pub results: Sender<AttemptResult>,
 }
 
@@ -119,6 +123,7 @@
 }
 
 impl FillScheduler {
+    /// Without active fills.
     pub fn new(
         kind: FillKind,
         service: FillService,
@@ -160,6 +165,7 @@
         self.is_leading = false;
     }
 
+    /// Adds a planned fill.
     pub(super) fn activate(&mut self, fill: Fill, now: f64) {
         let id = fill.id.clone();
         self.active.insert(id, ActiveFill::new(fill, self.retry_policy.clone(), now));
@@ -181,6 +187,7 @@
         settlements.into_iter().any(|it| it.debtor == debtor && it.creditor == creditor)
     }
 
+    /// Starts an attempt; its timeout follows from the planned rate.
     pub(super) fn start_attempt(&self, fill: &Fill) {
         let request = FillRequest {
             id: fill.id.clone(),
--- a/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
@@ -10,6 +10,7 @@
 pub struct AvoidedSources(BTreeMap<String, BTreeSet<String>>);
 
 impl AvoidedSources {
+    /// An attempt from this source has failed.
     pub fn note_failure(&mut self, id: &str, source: &str) {
         self.0.entry(id.to_string()).or_default().insert(source.to_string());
     }
--- a/crates/dunepond-control-plane/src/control_loop/leases.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leases.rs
@@ -36,6 +36,7 @@
         }
     }
 
+    /// A peer's lease request to this voter.
     pub(super) fn handle_lease_request(&mut self, from: String, body: &[u8], responder: Responder) {
         let Some(request) = LeaseRequest::decode(body) else {
             return self.peers.respond(responder, Err(RefusalReason::Malformed));
--- a/crates/dunepond-control-plane/src/control_loop/messages.rs
+++ b/crates/dunepond-control-plane/src/control_loop/messages.rs
@@ -20,7 +20,9 @@
 
 /// A peer's request that has not been responded to.
 pub(super) struct PendingRequest {
+    /// Takes the response.
     pub(super) responder: Responder,
+    /// The peer has sent a new request by then.
     pub(super) expires_at: f64,
 }
 
@@ -60,6 +62,7 @@
         self.state.messages.pending.retain(|_, request| now < request.expires_at);
     }
 
+    /// Handles one event of the links.
     pub(super) fn handle_event(&mut self, event: Event) {
         match event {
             Event::Request { from, kind, body, responder } => {
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -51,11 +51,15 @@
     pub(crate) lease_seconds: f64,
     /// `None` at a broker that is no voter.
     pub(crate) voter: Option<Voter>,
+    /// This broker's leases and what they bring.
     pub(crate) member: LeaseClient,
     pub(crate) data: DataDirectory,
     pub(crate) peers: Peers,
+    /// What the links receive.
     pub(crate) events: Receiver<Event>,
+    /// From the event loop.
     pub(crate) requests: Receiver<LoopRequest>,
+    /// Published to the event loop, as are the counters and the link counters.
     pub(crate) active_config: Arc<ArcSwap<ActiveConfig>>,
     pub(crate) link_counters: Arc<ArcSwap<Counters>>,
     pub(crate) counters: Arc<ActivityCounters>,
@@ -71,10 +75,12 @@
     /// This broker's own fills of nodes in slow start.
     pub(crate) own_fills: FillScheduler,
     pub(crate) quotas: Option<QuotaSharing>,
+    /// From the threads of the fill attempts.
     pub(crate) attempt_results: Receiver<AttemptResult>,
     /// Fill rate that a warm node bears, in bytes a second.
     pub(crate) fill_bytes_per_second: f64,
     pub(crate) slow_start: Option<SlowStartPolicy>,
+    /// Nodes that started not long ago, from the event loop.
     pub(crate) started_nodes: Arc<ArcSwap<Vec<StartedNode>>>,
     /// Brokers that the operator's file names.
     pub(crate) configured_brokers: Vec<String>,
--- a/crates/dunepond-control-plane/src/control_loop/proposals.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals.rs
@@ -28,6 +28,7 @@
 pub struct Proposals {
     path: Option<PathBuf>,
     query_class_count: usize,
+    /// The nodes as discovery lists them, from the event loop.
     pub(super) listed_nodes: Arc<ArcSwap<Vec<Node>>>,
     constraints: MapConstraints,
     /// The file is to be read.
@@ -77,6 +78,7 @@
 }
 
 impl Proposals {
+    /// `path`: the operator's document; it is verified against the other arguments when it is read.
     pub fn new(
         path: Option<PathBuf>,
         query_class_count: usize,
@@ -186,6 +188,7 @@
         voters[self.proposals.voters_tried % voters.len()].clone()
     }
 
+    /// A peer's proposal to this voter.
     pub(super) fn handle_proposal(&mut self, from: &str, body: &[u8], responder: Responder) {
         if body.len() > MAX_DOCUMENT_BYTES {
             let reason = RefusalReason::TooLarge { max_bytes: MAX_DOCUMENT_BYTES as u64 };
--- a/crates/dunepond-control-plane/src/control_loop/quotas.rs
+++ b/crates/dunepond-control-plane/src/control_loop/quotas.rs
@@ -29,6 +29,7 @@
 }
 
 impl QuotaSharing {
+    /// `demand` is filled by the event loop.
     pub fn new(
         config: QuotaConfig,
         lease_seconds: f64,
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
@@ -50,6 +50,7 @@
 }
 
 impl Rebalancing {
+    /// `path`: the operator's plan file; the limits apply to plans that this broker offers.
     pub fn new(path: Option<PathBuf>, max_concurrent_acts: usize, settle_seconds: f64) -> Self {
         Self {
             must_read: path.is_some(),
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -56,6 +56,7 @@
 }
 
 impl ControlLoop {
+    /// Offers the file's plan, if there is one and it is due.
     pub(super) fn offer_plan(&mut self) {
         let now = monotonic_seconds();
         if now < self.rebalancing.next_offer_at || now >= self.member.active_config().lease_expires_at() {
@@ -93,6 +94,7 @@
         voters[self.rebalancing.voters_tried % voters.len()].clone()
     }
 
+    /// A peer's offer to this voter.
     pub(in crate::control_loop) fn handle_offer(&mut self, from: &str, body: &[u8], responder: Responder) {
         if body.len() > MAX_DOCUMENT_BYTES {
             let reason = RefusalReason::TooLarge { max_bytes: MAX_DOCUMENT_BYTES as u64 };
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
@@ -15,6 +15,7 @@
 const LOAD_REPORT_LEASES: f64 = 2.0;
 
 impl ControlLoop {
+    /// Enters the next entry or version of the running plan, if it is time.
     pub(super) fn advance_plan(&mut self) {
         let now = monotonic_seconds();
         let Some(next) = self.next_step(now) else { return };
--- a/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
@@ -19,6 +19,7 @@
 const ENTRIES_TIMEOUT_SECONDS: f64 = 1.0;
 /// What this broker has committed to, and how much of the log it has applied.
 pub struct Settlements {
+    /// What is stored before anything rests on it.
     pub commitments: Commitments,
     /// Each broker fills nodes in slow start, and debts are allotted in advance.
     pub fill_started_nodes: bool,
@@ -30,6 +31,7 @@
 }
 
 impl Settlements {
+    /// Continues from the stored commitments.
     pub fn new(commitments: Commitments, fill_started_nodes: bool) -> Self {
         Self {
             applied_entries: commitments.applied_entries,
@@ -155,6 +157,7 @@
         brokers
     }
 
+    /// Whether the membership has the broker as alive.
     pub(in crate::control_loop) fn is_alive(&self, broker: &str) -> bool {
         if broker == self.name {
             return true;
--- a/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
@@ -26,7 +26,9 @@
     pub partners: Vec<String>,
     /// Filled by the event loop.
     pub carried: Arc<CarriedBytes>,
+    /// What this broker has counted, and its peers' counts.
     pub counts: LocalCounts,
+    /// Debts that follow from all counts and settlements.
     pub balances: Balances,
     /// Which partner each broker's counts speak for.
     pub sides: BrokerPartners,
@@ -36,6 +38,7 @@
 }
 
 impl TrafficCounts {
+    /// `partners` in the order of the event loop's indexes; `counts` and `balances` as stored.
     pub fn new(
         partners: Vec<String>,
         carried: Arc<CarriedBytes>,
--- a/crates/dunepond-control-plane/src/control_loop/voter.rs
+++ b/crates/dunepond-control-plane/src/control_loop/voter.rs
@@ -38,6 +38,7 @@
         !self.is_voter_silent() && self.voter.as_ref().is_some_and(Voter::is_leader)
     }
 
+    /// Ticks the voter, after a failed write only once the journal is rewritten.
     pub(super) fn tick_voter(&mut self, now: f64) {
         self.retry_storage(now);
         if self.is_voter_silent() {
@@ -101,6 +102,7 @@
         }
     }
 
+    /// A message of another voter.
     pub(super) fn handle_consensus_message(&mut self, from: &str, bytes: &[u8]) {
         if self.is_voter_silent() {
             return;
--- a/crates/dunepond-control-plane/src/data_directory.rs
+++ b/crates/dunepond-control-plane/src/data_directory.rs
@@ -46,6 +46,7 @@
     pub incarnation: u64,
     /// What the voter's journal held; empty at a broker that is no voter.
     pub voter_records: StoredVoter,
+    /// `None` if it was never stored or is damaged, as are the next two.
     pub config: Option<PersistedState>,
     pub counts: Option<settlement::LocalCounts>,
     pub commitments: Option<Commitments>,
--- a/crates/dunepond-control-plane/src/handle.rs
+++ b/crates/dunepond-control-plane/src/handle.rs
@@ -26,12 +26,16 @@
 /// What the nodes of one partner answered for another's tenants. Partners are indexes into the configured list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CarriedAmount {
+    /// Whose nodes answered.
     pub carrier: usize,
+    /// Whose tenants asked.
     pub owed_by: usize,
+    /// Bytes of the answers.
     pub bytes: u64,
 }
 
 impl CarriedBytes {
+    /// All counters at zero.
     pub fn new(partner_count: usize) -> Self {
         Self {
             partner_count,
@@ -96,6 +100,7 @@
     pub overloaded: AtomicBool,
 }
 
+/// Adds one.
 pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Relaxed);
 }
--- a/crates/dunepond-control-plane/src/handle/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/handle/tests/mod.rs
@@ -13,12 +13,12 @@
 
 #[test]
 fn watch_sees_a_new_config() {
-    let acting = Arc::new(ArcSwap::from_pointee(ActiveConfig::unleased()));
-    let mut watch = ActiveConfigWatch(Cache::new(acting.clone()));
+    let active = Arc::new(ArcSwap::from_pointee(ActiveConfig::unleased()));
+    let mut watch = ActiveConfigWatch(Cache::new(active.clone()));
     let before = watch.current().clone();
     assert!(Arc::ptr_eq(watch.current(), &before));
     let next = Arc::new(ActiveConfig::unleased());
-    acting.store(next.clone());
+    active.store(next.clone());
     assert!(Arc::ptr_eq(watch.current(), &next));
 }
 
--- a/crates/dunepond-control-plane/src/startup/fills.rs
+++ b/crates/dunepond-control-plane/src/startup/fills.rs
@@ -17,6 +17,7 @@
     config.fills.as_ref().map_or(f64::MAX, |fills| fills.bytes_per_second as f64)
 }
 
+/// Whether each broker has fills of its own.
 pub(super) fn fills_started_nodes(config: &ControlPlaneConfig) -> bool {
     config.fills.as_ref().is_some_and(|fills| fills.fill_started_nodes)
 }
--- a/crates/dunepond-control-plane/src/startup/settlement.rs
+++ b/crates/dunepond-control-plane/src/startup/settlement.rs
@@ -11,6 +11,7 @@
     ControlPlaneError::Consensus { why: e.to_string(), help: e.help().to_string() }
 }
 
+/// The stored counts, continued by this incarnation.
 pub(super) fn open_counts(
     stored: Option<LocalCounts>,
     broker: &str,
@@ -26,6 +27,7 @@
     opened.map_err(settlement_error)
 }
 
+/// Which partner each broker belongs to.
 pub(super) fn broker_partners(partners: &[Partner]) -> BrokerPartners {
     let mut sides = BrokerPartners::default();
     for partner in partners {
@@ -39,6 +41,7 @@
     sides
 }
 
+/// Balances of the stored ledger; the control loop adds the counts.
 pub(super) fn new_balances(
     config: &ControlPlaneConfig,
     commitments: &Commitments,
--- a/crates/dunepond-control-plane/tests/rebalancing.rs
+++ b/crates/dunepond-control-plane/tests/rebalancing.rs
@@ -119,8 +119,9 @@
             {"id": 1, "keys": {"from": MIDDLE_KEY, "to": null}, "owner": "a", "holders": [holder("a")]}]}})
 }
 
-fn plan(word: &str) -> Value {
-    json!({"id": "p", "who": "a test", "why": "to see", "word": word, "operations": [
+/// The operator's plan with this command.
+fn plan(command: &str) -> Value {
+    json!({"id": "p", "who": "a test", "why": "to see", "word": command, "operations": [
             {"split": {"segment": 0, "at": [99], "into": [10, 11]}},
             {"move": {"segment": 10, "from": "a", "to": "b"}},
             {"merge": {"segments": [11, 1], "into": 12}}],
