--- a/crates/dunepond-control-plane/tests/golden.rs
+++ b/crates/dunepond-control-plane/tests/golden.rs
@@ -128,6 +128,13 @@
     assert_eq!(read, records());
 }
 
+/// Guards the names in the log and the counters, which operators search for.
+#[test]
+fn phase_names_in_the_log() {
+    let phases = [AuditPhase::Unconfigured, AuditPhase::Active, AuditPhase::Joint, AuditPhase::LeaseExpired];
+    assert_eq!(phases.map(|phase| phase.to_string()), ["None", "Alone", "Joint", "Cut"]);
+}
+
 fn request() -> FillRequest {
     FillRequest {
         id: text("7/1/s-3"),
