--- a/crates/dunepond-broker/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -16,6 +16,9 @@
 const RESERVED_DESCRIPTORS: u64 = 24;
 const DEFAULT_MEMORY_MIB: f64 = 192.0;
 const DEFAULT_DESCRIPTORS: u64 = 1024;
+/// With fewer connections or buffers the broker does not start.
+const MIN_CONNECTIONS: u64 = 16;
+const MIN_BUFFERS: usize = 16;
 
 /// All that the broker is started with.
 #[derive(Debug)]
@@ -75,54 +78,96 @@
     parse(file, |_| None).map(drop)
 }
 
+/// Where a value comes from: at the start the environment goes before the file.
+struct Source<'a, V> {
+    config: Fields<'a>,
+    variable: V,
+}
+
+impl<V: Fn(&str) -> Option<String>> Source<'_, V> {
+    /// The value of a variable, or else of a key of the file.
+    fn text(&self, variable: &str, key: &str) -> Result<String, ConfigError> {
+        match (self.variable)(variable) {
+            Some(value) => Ok(value),
+            None => Ok(self.config.text(key)?.to_string()),
+        }
+    }
+
+    fn address(&self, variable: &str, key: &str) -> Result<SocketAddr, ConfigError> {
+        let value = self.text(variable, key)?;
+        let is_set = (self.variable)(variable).is_some();
+        let source = if is_set { variable.to_string() } else { format!("config: {key}") };
+        let invalid = |_| ConfigError(format!("{source}: '{value}' is not an address:port"));
+        value.parse().map_err(invalid)
+    }
+
+    fn log_level(&self) -> Result<LevelFilter, ConfigError> {
+        if let Some(value) = (self.variable)("GW_LOG") {
+            return value.parse().map_err(|_| ConfigError(format!("GW_LOG: '{value}' is no level")));
+        }
+        match self.config.optional_text("log")? {
+            Some(value) => value.parse().map_err(|_| self.config.error("log", "not a level")),
+            None => Ok(LevelFilter::INFO),
+        }
+    }
+}
+
+/// What the limits on descriptors and memory leave for connections.
+struct ConnectionLimits {
+    max_connections: u64,
+    max_buffers: usize,
+}
+
+impl ConnectionLimits {
+    fn of(config: &Fields) -> Result<Self, ConfigError> {
+        let descriptors = config.count_or("limits.sockets", DEFAULT_DESCRIPTORS)?;
+        let memory_mib = config.number_or("limits.memory_mb", DEFAULT_MEMORY_MIB)?;
+        // A quarter of the memory is for connections' buffers; the rest is for queries in flight, queued frames and the program.
+        Ok(Self {
+            max_connections: descriptors.saturating_sub(RESERVED_DESCRIPTORS),
+            max_buffers: (memory_mib * 1024.0 * 1024.0 / 4.0 / BUFFER_BYTES as f64) as usize,
+        })
+    }
+
+    fn is_too_low(&self) -> bool {
+        self.max_connections < MIN_CONNECTIONS || self.max_buffers < MIN_BUFFERS
+    }
+
+    /// Connections to nodes, which many clients share: a quarter of all. Idle ones are closed for new ones.
+    fn max_node_connections(&self) -> usize {
+        (self.max_connections / 4) as usize
+    }
+
+    fn max_clients(&self) -> usize {
+        self.max_connections as usize - self.max_node_connections()
+    }
+}
+
 fn parse(file: &Value, variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, ConfigError> {
     let config = Fields::new("config", file)?;
-    // At the start the environment goes before the file.
-    let value_of = |name: &str, key: &str| match variable(name) {
-        Some(value) => Ok((value, name.to_string())),
-        None => Ok::<_, ConfigError>((config.text(key)?.to_string(), format!("config: {key}"))),
-    };
-    let address = |name: &str, key: &str| {
-        let (value, source) = value_of(name, key)?;
-        value
-            .parse::<SocketAddr>()
-            .map_err(|_| ConfigError(format!("{source}: '{value}' is not an address:port")))
-    };
-    let seed = config.text("seed")?;
-    let seed = u64::from_str_radix(seed, 16)
+    let source = Source { config, variable };
+    let seed = u64::from_str_radix(config.text("seed")?, 16)
         .map_err(|_| config.error("seed", "not a hexadecimal number of 64 bits"))?;
     let settings = Fields::new("settings", config.value("settings")?)?;
     let mut deployment = deployment(seed, &settings)?;
-    if deployment.query_classes.iter().any(|t| t.second_step) {
+    if deployment.query_classes.iter().any(|class| class.second_step) {
         return Err(settings.error("familyInfo.secondStep", "second steps are not served on sockets"));
     }
     // The frames have no probe.
     let unsupported_setting = std::mem::take(&mut deployment.may_probe).then_some("ceilings.mayProbe");
-    let sockets = config.count_or("limits.sockets", DEFAULT_DESCRIPTORS)?;
-    let memory = config.number_or("limits.memory_mb", DEFAULT_MEMORY_MIB)?;
-    let level = match variable("GW_LOG") {
-        Some(value) => value.parse().map_err(|_| ConfigError(format!("GW_LOG: '{value}' is no level")))?,
-        None => match config.optional_text("log")? {
-            Some(value) => value.parse().map_err(|_| config.error("log", "not a level"))?,
-            None => LevelFilter::INFO,
-        },
-    };
-    // A quarter of the memory is for connections' buffers; the rest is for queries in flight, queued frames and the program.
-    let max_connections = sockets.saturating_sub(RESERVED_DESCRIPTORS);
-    let max_buffers = (memory * 1024.0 * 1024.0 / 4.0 / BUFFER_BYTES as f64) as usize;
-    if max_connections < 16 || max_buffers < 16 {
+    let limits = ConnectionLimits::of(&config)?;
+    let log_level = source.log_level()?;
+    if limits.is_too_low() {
         return Err(config.error("limits", "too little memory or sockets for any connections"));
     }
-    // A quarter of the descriptors is for connections to nodes, which many clients share; idle ones are closed for new ones.
-    let max_node_connections = (max_connections / 4) as usize;
     Ok(StartupConfig {
-        name: value_of("GW_NAME", "name")?.0,
-        listen_address: address("GW_LISTEN", "listen")?,
-        discovery_address: address("GW_DISCOVERY", "discovery")?,
-        log_level: level,
-        max_clients: max_connections as usize - max_node_connections,
-        max_buffers,
-        max_node_connections,
+        name: source.text("GW_NAME", "name")?,
+        listen_address: source.address("GW_LISTEN", "listen")?,
+        discovery_address: source.address("GW_DISCOVERY", "discovery")?,
+        log_level,
+        max_clients: limits.max_clients(),
+        max_buffers: limits.max_buffers,
+        max_node_connections: limits.max_node_connections(),
         deployment,
         unsupported_setting,
         bounds: host_settings(&settings)?,
--- a/crates/dunepond-broker/src/control_plane/endpoints.rs
+++ b/crates/dunepond-broker/src/control_plane/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as the active configuration changes it, and what the control plane's thread is told of the nodes.
+//! The endpoint list as the active configuration changes it, and the nodes as they are reported to the control plane's thread.
 
 use dunepond_control_plane::{StartedNode, monotonic_seconds};
 use dunepond_routing::{EndpointState, NodeId};
--- a/crates/dunepond-broker/src/control_plane/fence.rs
+++ b/crates/dunepond-broker/src/control_plane/fence.rs
@@ -1,6 +1,6 @@
 //! Every state in which an attempt can be when a segment's owner changes, and the one action that follows.
 //!
-//! The fence is the joint phase of a configuration version that changes the owner: meanwhile nobody may get a non-idempotent attempt, and
+//! The fence is the joint phase of a configuration version that changes the owner: meanwhile no node may get a non-idempotent attempt, and
 //! what went out before must be known to be over before the new owner gets any.
 
 use dunepond_routing::{AttemptOutcome, Idempotency};
--- a/crates/dunepond-broker/src/control_plane/gate/tests/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/gate/tests/mod.rs
@@ -49,5 +49,5 @@
 ) {
     assert_eq!(verify_answer(&proof(), segs, |at| is_in[at], moved).ok(), epoch);
     // The short way says what the long one would.
-    assert_eq!(prove_by_keys(&proof(), segs, is_in, moved).ok(), epoch);
+    assert_eq!(verify_by_keys(&proof(), segs, is_in, moved).ok(), epoch);
 }
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -104,7 +104,7 @@
             changes.rules = Some(rules);
         }
         let applied = AppliedConfig { config: config.clone(), lease_was_valid };
-        // The first call comes before any list.
+        // The first call precedes any list.
         if let Some(before) = self.last_applied.replace(applied) {
             changes.endpoints = self.endpoints_changed_since(&before.config, &config);
         }
--- a/crates/dunepond-broker/src/control_plane/quotas.rs
+++ b/crates/dunepond-broker/src/control_plane/quotas.rs
@@ -165,7 +165,7 @@
         gate.control.set_demand(units.collect());
     }
 
-    /// What was used in so many seconds of each shared quota; tenants' arrivals are counted anew.
+    /// Use of each shared quota in the last `seconds`; resets the tenants' arrivals.
     fn take_samples(&mut self, seconds: f64, demand: &QuotaDemand) -> Vec<Sample> {
         let mut samples = Vec::new();
         if let Some(rate) = self.slow_start_rate {
--- a/crates/dunepond-broker/src/discovery/call.rs
+++ b/crates/dunepond-broker/src/discovery/call.rs
@@ -17,7 +17,7 @@
     pub(super) input: Option<Buffer>,
     pub(super) message: Option<Message>,
     pub(super) write_queue: WriteQueue,
-    /// A request is out; `is_watch` tells whether it is a watch or asks for a complete list.
+    /// A request is out; a watch or, unless `is_watch`, one for a complete list.
     pub(super) awaiting_response: bool,
     pub(super) is_watch: bool,
     /// When the agent should have answered, in Unix seconds.
--- a/crates/dunepond-broker/src/endpoint.rs
+++ b/crates/dunepond-broker/src/endpoint.rs
@@ -7,7 +7,7 @@
 /// A row of the endpoint list.
 #[derive(Clone)]
 pub struct EndpointRow {
-    /// What the router is told of the node.
+    /// The node as the router needs it.
     pub endpoint: Endpoint,
     /// What connections to the node need.
     pub info: EndpointInfo,
--- a/crates/dunepond-broker/src/event_loop/disconnects.rs
+++ b/crates/dunepond-broker/src/event_loop/disconnects.rs
@@ -7,7 +7,7 @@
 
 impl EventLoop {
     /// Detects disconnects before any other event of the iteration is handled: a node's failure that came earlier would cause
-    /// retries that nobody waits for any more.
+    /// retries without a client.
     pub(super) fn detect_disconnects(&mut self, iteration: &Iteration) {
         let now = self.router_host.now;
         for event in &iteration.events {
--- a/crates/dunepond-broker/src/event_loop/lifecycle.rs
+++ b/crates/dunepond-broker/src/event_loop/lifecycle.rs
@@ -40,7 +40,7 @@
             let next = self.router_host.timers.until_next(self.clock.now());
             let wait = next.map_or(SIGNAL_POLL_INTERVAL, |next| next.min(SIGNAL_POLL_INTERVAL));
             sources.dispatch(wait, &mut iteration)?;
-            // No event came, only a timer: idle work delays nobody.
+            // Only a timer is due: idle work delays no event.
             let idle = iteration.events.is_empty();
             self.begin_iteration();
             self.detect_disconnects(&iteration);
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -104,8 +104,7 @@
         self.process_pending();
     }
 
-    /// Accepts at once the connections that have waited at the listeners while accepting was paused, so that they can be told from
-    /// those that come later.
+    /// Accepts the backlog of the listeners after a pause, all at once, so that it is distinct from later connections.
     fn accept_backlog(&mut self) {
         self.router_host.downstream.resume();
         for api in [false, true] {
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -65,6 +65,14 @@
     max_accept_delay: f64,
 }
 
+/// The router's host with all that is enabled for it.
+struct Host {
+    router_host: RouterHost,
+    prefilter: Option<PrefilterHost>,
+    address: SocketAddr,
+    body_folder: Option<Arc<dyn SpillFolder>>,
+}
+
 /// The router's host with its connections.
 struct Connections {
     router_host: RouterHost,
@@ -97,7 +105,7 @@
 /// Builds a broker. `signals_since`: when its signals were caught.
 fn build(
     startup: StartupConfig,
-    hooks: Hooks,
+    mut hooks: Hooks,
     signals_since: Instant,
     handle: &EventLoopHandle,
 ) -> Result<Broker, ConfigError> {
@@ -105,25 +113,11 @@
     let mut discovery = DiscoveryClient::new(handle.clone(), &pool, startup.discovery_address, &bounds);
     // An invalid list is ignored: discovery will send another.
     let configured_endpoints = discovery.parse_configured_list(&startup.configured_endpoints).ok();
-    let Connections { mut router_host, prefilter_connections, address } =
-        open_connections(&startup, &pool, &bounds, handle)?;
-    if let Some(search) = &startup.operator.search_api {
-        open_search_api(&mut router_host, search, bounds.clone(), &startup.deployment)?;
-    }
-    let mut body_folder = None;
-    if let Some(bodies) = &startup.operator.body_buffer {
-        body_folder = open_body_store(&mut router_host, bodies, hooks.body_folder, &bounds, handle)?;
-    }
+    let Host { router_host, prefilter, address, body_folder } =
+        open_host(&startup, &mut hooks, &pool, &bounds, handle)?;
     let timeouts = startup.deployment.query_classes.iter().map(|class| class.timeout);
     let max_accept_delay = MAX_ACCEPT_DELAY_RATIO * timeouts.clone().fold(f64::MAX, f64::min);
     let longest_timeout = timeouts.fold(0.0, f64::max);
-    let phases = startup.operator.prefilter.clone();
-    let prefilter = phases.map(|phases| PrefilterHost::new(phases, &startup.deployment));
-    router_host.prefilter_connections = prefilter.is_some().then_some(prefilter_connections);
-    if let Some(fleet) = &startup.operator.fleet {
-        let name = &startup.name;
-        start_control_plane(&mut router_host, fleet, name, &startup.deployment, hooks.control_plane, handle)?;
-    }
     let seed = startup.deployment.seed;
     let router = Router::new(startup.deployment);
     let (clock, operator) = (Clock::start(), startup.operator);
@@ -158,6 +152,35 @@
     Ok(Broker { event_loop, address, body_folder, max_accept_delay })
 }
 
+/// Opens the router's host with all that the operator's file enables for it.
+fn open_host(
+    startup: &StartupConfig,
+    hooks: &mut Hooks,
+    pool: &Pool,
+    bounds: &Rc<HostSettings>,
+    handle: &EventLoopHandle,
+) -> Result<Host, ConfigError> {
+    let Connections { mut router_host, prefilter_connections, address } =
+        open_connections(startup, pool, bounds, handle)?;
+    if let Some(search) = &startup.operator.search_api {
+        open_search_api(&mut router_host, search, bounds.clone(), &startup.deployment)?;
+    }
+    let mut body_folder = None;
+    if let Some(bodies) = &startup.operator.body_buffer {
+        let replacement = hooks.body_folder.take();
+        body_folder = open_body_store(&mut router_host, bodies, replacement, bounds, handle)?;
+    }
+    let config = startup.operator.prefilter.clone();
+    let prefilter = config.map(|config| PrefilterHost::new(config, &startup.deployment));
+    router_host.prefilter_connections = prefilter.is_some().then_some(prefilter_connections);
+    if let Some(fleet) = &startup.operator.fleet {
+        let test_doubles = std::mem::take(&mut hooks.control_plane);
+        let name = &startup.name;
+        start_control_plane(&mut router_host, fleet, name, &startup.deployment, test_doubles, handle)?;
+    }
+    Ok(Host { router_host, prefilter, address, body_folder })
+}
+
 /// Listens for clients, and prepares connections to nodes.
 fn open_connections(
     startup: &StartupConfig,
--- a/crates/dunepond-broker/src/iteration.rs
+++ b/crates/dunepond-broker/src/iteration.rs
@@ -65,7 +65,7 @@
     Ok(sender)
 }
 
-/// Registers a stream, edge-triggered; `told` makes the event from whether it can be read.
+/// Registers a stream, edge-triggered; `to_event` makes the event from whether it can be read.
 pub fn watch(
     handle: &EventLoopHandle,
     stream: &Rc<TcpStream>,
--- a/crates/dunepond-broker/src/logger.rs
+++ b/crates/dunepond-broker/src/logger.rs
@@ -65,24 +65,24 @@
     }
 }
 
-/// Lines that were left out because there was no room for them, until the next one that is written tells of them.
+/// Lines that were dropped for lack of room; the next line that is written reports and resets it.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Standard error, to which no line waits to be written: it may be a pipe that nobody reads, and whoever waited there would
-/// answer nobody.
+/// Standard error without blocking: lines are dropped if it has no room. Guards against a pipe that nobody reads, which would stop the
+/// event loop.
 struct NonBlockingStderr;
 
 impl NonBlockingStderr {
-    /// Whether a line can be written at once; what cannot be asked is taken to have room, as a file has.
+    /// Whether a line can be written at once; a file, which cannot be polled, has room.
     fn has_room(stderr: &io::Stderr) -> bool {
-        let mut asked = [PollFd::new(stderr, PollFlags::OUT)];
+        let mut polled = [PollFd::new(stderr, PollFlags::OUT)];
         let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-        poll(&mut asked, Some(&at_once)).map_or(true, |count| count > 0)
+        poll(&mut polled, Some(&at_once)).map_or(true, |count| count > 0)
     }
 }
 
 impl Write for NonBlockingStderr {
-    /// A line at a time. A pipe that is told to have room has it for as much as is written to it in one piece.
+    /// Writes one line. A pipe that reports room has it for `PIPE_LINE_BYTES` in one write.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let stderr = io::stderr();
         if !Self::has_room(&stderr) {
@@ -90,15 +90,15 @@
             return Ok(line.len());
         }
         let mut out = stderr.lock();
-        let left_out = DROPPED_LINES.swap(0, Ordering::Relaxed);
-        if left_out > 0 {
-            let told = format!("{left_out} log lines dropped, as standard error was not read\n");
-            out.write_all(told.as_bytes())?;
+        let dropped = DROPPED_LINES.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            let report = format!("{dropped} log lines dropped, as standard error was not read\n");
+            out.write_all(report.as_bytes())?;
         }
-        // Longer than what a pipe surely takes, it could wait after all.
-        let most = if left_out > 0 { PIPE_LINE_BYTES / 2 } else { PIPE_LINE_BYTES };
-        out.write_all(&line[..line.len().min(most)])?;
-        if line.len() > most {
+        // A longer write could block.
+        let max_bytes = if dropped > 0 { PIPE_LINE_BYTES / 2 } else { PIPE_LINE_BYTES };
+        out.write_all(&line[..line.len().min(max_bytes)])?;
+        if line.len() > max_bytes {
             out.write_all(b"\n")?;
         }
         Ok(line.len())
@@ -116,6 +116,15 @@
     lines: HashMap<Identifier, u32>,
 }
 
+/// What counting a line has shown.
+#[derive(Default)]
+struct LineCount {
+    is_over_limit: bool,
+    /// Lines that were suppressed in the previous second, if this line is the first of a new one.
+    suppressed_before: u32,
+}
+
+/// Suppresses lines of a call site beyond the limit.
 struct RateLimit {
     name: String,
     start: Instant,
@@ -123,10 +132,10 @@
 }
 
 impl RateLimit {
-    /// Counts a line. Returns whether it is over the limit, and how many were suppressed in the previous second.
-    fn count_line(&self, metadata: &Metadata) -> (bool, u32) {
+    /// Counts a line of a call site.
+    fn count_line(&self, metadata: &Metadata) -> LineCount {
         let second = self.start.elapsed().as_secs();
-        let Ok(mut seen) = self.seen.lock() else { return (false, 0) };
+        let Ok(mut seen) = self.seen.lock() else { return LineCount::default() };
         let mut suppressed_before = 0;
         if seen.second != second {
             suppressed_before =
@@ -135,7 +144,7 @@
         }
         let lines = seen.lines.entry(metadata.callsite()).or_default();
         *lines += 1;
-        (*lines > MAX_LINES_PER_SECOND, suppressed_before)
+        LineCount { is_over_limit: *lines > MAX_LINES_PER_SECOND, suppressed_before }
     }
 }
 
@@ -149,7 +158,7 @@
         if *event.metadata().level() > Level::INFO {
             return true;
         }
-        let (is_suppressed, suppressed_before) = self.count_line(event.metadata());
+        let LineCount { is_over_limit, suppressed_before } = self.count_line(event.metadata());
         if suppressed_before > 0 {
             let at = self.start.elapsed().as_secs_f64();
             let line = format!(
@@ -158,7 +167,7 @@
             );
             let _ = NonBlockingStderr.write_all(line.as_bytes());
         }
-        !is_suppressed
+        !is_over_limit
     }
 }
 
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -12,7 +12,7 @@
 use crate::upstream::CompletedAttempt;
 
 impl RouterHost {
-    /// Records an attempt that ended; `None` if the router need not be told.
+    /// Records an attempt that ended; `None` if its query is unknown.
     pub fn record_attempt_end(&mut self, back: CompletedAttempt) -> Option<AttemptEnded> {
         let CompletedAttempt { mut ended, mut value, .. } = back;
         let active = self.queries.get_mut(&ended.query)?;
