--- a/crates/dunepond-settlement/src/balances.rs
+++ b/crates/dunepond-settlement/src/balances.rs
@@ -1,9 +1,10 @@
 //! What partners owe each other: counts as far as both sides confirm them, less what is settled, cycles cancelled.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
+use crate::netting::{DebtEdge, OpenDebts};
 use crate::{
     ApplyOutcome, BrokerPartners, CarriedCounts, SettlementEntry, SettlementError, SettlementLedger,
 };
@@ -64,6 +65,8 @@
 }
 
 impl SettlementTerms {
+    /// Checks that all terms are in range.
+    ///
     /// # Errors
     /// The first term that is out of range.
     pub fn check(&self) -> Result<(), SettlementError> {
@@ -171,6 +174,8 @@
 }
 
 impl Balances {
+    /// By these terms; counts come with [`Balances::update_counts`].
+    ///
     /// # Errors
     /// A term is out of range.
     pub fn new(
@@ -279,31 +284,34 @@
     /// What `debtor` owes `creditor` between the two of them; negative if it is owed. A settlement counts as a byte carried
     /// the other way.
     pub fn balance(&self, debtor: &str, creditor: &str) -> i128 {
-        let one = |d: &str, c: &str| i128::from(self.gross(c, d)) - i128::from(self.settled(d, c));
-        one(debtor, creditor) - one(creditor, debtor)
+        self.unsettled(debtor, creditor) - self.unsettled(creditor, debtor)
+    }
+
+    /// In this direction alone.
+    fn unsettled(&self, debtor: &str, creditor: &str) -> i128 {
+        i128::from(self.gross(creditor, debtor)) - i128::from(self.settled(debtor, creditor))
     }
 
     /// Open debts with cycles cancelled, by debtor and creditor.
     pub fn net_debts(&self) -> Vec<NetDebt> {
-        let pairs: BTreeSet<(&str, &str)> =
-            self.gross.keys().map(|(c, o)| (o.as_str(), c.as_str())).collect();
-        let both = pairs.iter().flat_map(|&(d, c)| [(d, c), (c, d)]);
-        let open = both
-            .filter_map(|(d, c)| Some(((d, c), u64::try_from(self.balance(d, c)).ok().filter(|b| *b > 0)?)));
-        let mut open: BTreeMap<(&str, &str), u64> = open.collect();
-        while let Some(cycle) = cycle(&open) {
-            let least = cycle.iter().map(|edge| open[edge]).min().unwrap_or(0);
-            for edge in cycle {
-                let left = open[&edge] - least;
-                match left {
-                    0 => drop(open.remove(&edge)),
-                    _ => drop(open.insert(edge, left)),
+        let mut open = OpenDebts::default();
+        for (carrier, owing) in self.gross.keys() {
+            for (debtor, creditor) in [(owing, carrier), (carrier, owing)] {
+                let balance = self.balance(debtor, creditor);
+                if let Ok(bytes) = u64::try_from(balance)
+                    && bytes > 0
+                {
+                    open.insert(DebtEdge { debtor, creditor }, bytes);
                 }
             }
         }
-        let debt =
-            |((d, c), bytes): ((&str, &str), u64)| NetDebt { debtor: d.into(), creditor: c.into(), bytes };
-        open.into_iter().map(debt).collect()
+        let net = open.without_cycles();
+        net.map(|(DebtEdge { debtor, creditor }, bytes)| NetDebt {
+            debtor: debtor.to_string(),
+            creditor: creditor.to_string(),
+            bytes,
+        })
+        .collect()
     }
 
     /// One of the net debts.
@@ -323,30 +331,3 @@
         debt.bytes as f64 * recent_ratio.clamp(MIN_WEIGHT_RATIO, 1.0)
     }
 }
-
-/// A cycle of debts, if there is one; the same for the same debts.
-fn cycle<'a>(open: &BTreeMap<(&'a str, &'a str), u64>) -> Option<Vec<(&'a str, &'a str)>> {
-    let mut done: BTreeSet<&str> = BTreeSet::new();
-    let starts: BTreeSet<&str> = open.keys().map(|(debtor, _)| *debtor).collect();
-    for start in starts {
-        // Depth first: the path, and at each node the edges that are still to be followed.
-        let edges =
-            |from: &'a str| open.range((from, "")..).take_while(move |(k, _)| k.0 == from).map(|(k, _)| *k);
-        let mut path = vec![(start, edges(start).collect::<Vec<_>>())];
-        while let Some((at, left)) = path.last_mut() {
-            let Some(edge) = left.pop() else {
-                done.insert(at);
-                path.pop();
-                continue;
-            };
-            if let Some(from) = path.iter().position(|(node, _)| *node == edge.1) {
-                let nodes: Vec<&str> = path[from..].iter().map(|(node, _)| *node).chain([edge.1]).collect();
-                return Some(nodes.windows(2).map(|pair| (pair[0], pair[1])).collect());
-            }
-            if !done.contains(edge.1) {
-                path.push((edge.1, edges(edge.1).collect()));
-            }
-        }
-    }
-    None
-}
--- a/crates/dunepond-settlement/src/ledger.rs
+++ b/crates/dunepond-settlement/src/ledger.rs
@@ -100,15 +100,39 @@
     }
 }
 
+/// What one partner owes another, in bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Pair {
-    number: u64,
+struct PairAccount {
+    #[serde(rename = "number")]
+    next_number: u64,
+    /// The largest that an [`Allotment`] has stated.
     debt: u64,
     settled: u64,
+    /// By broker.
     shares: BTreeMap<String, DebtShare>,
 }
 
-impl Pair {
+/// The settlement of a fill. Stored as a pair.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(from = "(String, u64)", into = "(String, u64)")]
+struct SettledFill {
+    settlement_id: String,
+    bytes: u64,
+}
+
+impl From<(String, u64)> for SettledFill {
+    fn from((settlement_id, bytes): (String, u64)) -> Self {
+        Self { settlement_id, bytes }
+    }
+}
+
+impl From<SettledFill> for (String, u64) {
+    fn from(settled: SettledFill) -> Self {
+        (settled.settlement_id, settled.bytes)
+    }
+}
+
+impl PairAccount {
     /// Shares, and what was settled before there were any. Once split, it stays within `debt`.
     fn allotted(&self) -> u64 {
         let spent: u64 = self.shares.values().map(|share| share.spent).sum();
@@ -122,10 +146,10 @@
 pub struct SettlementLedger {
     /// Settlements for versions before this one are neither retained nor accepted.
     floor: u64,
-    /// By fill: the id of its settlement, and the bytes.
-    settled: BTreeMap<String, (String, u64)>,
+    /// By fill.
+    settled: BTreeMap<String, SettledFill>,
     /// Debtor, then creditor.
-    pairs: BTreeMap<String, BTreeMap<String, Pair>>,
+    pairs: BTreeMap<String, BTreeMap<String, PairAccount>>,
     /// What leaders started recently.
     #[serde(rename = "begun")]
     started: StartedFills,
@@ -141,33 +165,41 @@
             return Ok(ApplyOutcome::Duplicate);
         }
         match entry {
-            SettlementEntry::Allot(allot) => {
-                let pair = self.pair_mut(&allot.debtor, &allot.creditor);
-                (pair.debt, pair.number) = (pair.debt.max(allot.debt), pair.number + 1);
-                for AllottedShare { broker, bytes } in &allot.parts {
-                    pair.shares.entry(broker.clone()).or_default().allotted += bytes;
-                }
-            }
-            SettlementEntry::Release(release) => {
-                let pair = self.pair_mut(&release.debtor, &release.creditor);
-                pair.number += 1;
-                pair.shares.entry(release.broker.clone()).or_default().allotted -= release.bytes;
-            }
-            SettlementEntry::Settle(settlement) => {
-                let Settlement { id, debtor, creditor, bytes, .. } = settlement;
-                let split = self.is_split(debtor, creditor);
-                let pair = self.pair_mut(debtor, creditor);
-                pair.settled = pair.settled.saturating_add(*bytes);
-                if split {
-                    pair.shares.entry(settlement.broker().to_string()).or_default().spent += bytes;
-                }
-                self.settled.insert(settlement.fill().to_string(), (id.clone(), *bytes));
-            }
+            SettlementEntry::Allot(allotment) => self.apply_allotment(allotment),
+            SettlementEntry::Release(release) => self.apply_release(release),
+            SettlementEntry::Settle(settlement) => self.apply_settlement(settlement),
             SettlementEntry::StartFill(fill) => self.started.add(fill.clone()),
         }
         Ok(ApplyOutcome::New)
     }
 
+    fn apply_allotment(&mut self, allotment: &Allotment) {
+        let pair = self.pair_mut(&allotment.debtor, &allotment.creditor);
+        pair.debt = pair.debt.max(allotment.debt);
+        pair.next_number += 1;
+        for AllottedShare { broker, bytes } in &allotment.parts {
+            pair.shares.entry(broker.clone()).or_default().allotted += bytes;
+        }
+    }
+
+    fn apply_release(&mut self, release: &ShareRelease) {
+        let pair = self.pair_mut(&release.debtor, &release.creditor);
+        pair.next_number += 1;
+        pair.shares.entry(release.broker.clone()).or_default().allotted -= release.bytes;
+    }
+
+    fn apply_settlement(&mut self, settlement: &Settlement) {
+        let Settlement { id, debtor, creditor, bytes, .. } = settlement;
+        let is_split = self.is_split(debtor, creditor);
+        let pair = self.pair_mut(debtor, creditor);
+        pair.settled = pair.settled.saturating_add(*bytes);
+        if is_split {
+            pair.shares.entry(settlement.broker().to_string()).or_default().spent += bytes;
+        }
+        let settled = SettledFill { settlement_id: id.clone(), bytes: *bytes };
+        self.settled.insert(settlement.fill().to_string(), settled);
+    }
+
     /// What [`SettlementLedger::apply`] would return; changes nothing.
     ///
     /// # Errors
@@ -181,17 +213,17 @@
         }
     }
 
-    fn pair(&self, debtor: &str, creditor: &str) -> Option<&Pair> {
+    fn pair(&self, debtor: &str, creditor: &str) -> Option<&PairAccount> {
         self.pairs.get(debtor)?.get(creditor)
     }
 
-    fn pair_mut(&mut self, debtor: &str, creditor: &str) -> &mut Pair {
+    fn pair_mut(&mut self, debtor: &str, creditor: &str) -> &mut PairAccount {
         self.pairs.entry(debtor.to_string()).or_default().entry(creditor.to_string()).or_default()
     }
 
     /// The number that the next [`Allotment`] or [`ShareRelease`] of the pair has to have.
     pub fn next_number(&self, debtor: &str, creditor: &str) -> u64 {
-        self.pair(debtor, creditor).map_or(0, |pair| pair.number)
+        self.pair(debtor, creditor).map_or(0, |pair| pair.next_number)
     }
 
     fn is_next(&self, debtor: &str, creditor: &str, number: u64) -> Result<bool, SettlementError> {
@@ -240,11 +272,12 @@
     fn check_settlement(&self, settlement: &Settlement) -> Result<ApplyOutcome, SettlementError> {
         let Settlement { id, debtor, creditor, bytes, .. } = settlement.clone();
         let (fill, broker) = (settlement.fill().to_string(), settlement.broker().to_string());
-        if let Some((before, _)) = self.settled.get(&fill) {
-            return match *before == id {
-                true => Ok(ApplyOutcome::Duplicate),
-                false => Err(SettlementError::AlreadySettledOtherwise { id, fill, before: before.clone() }),
-            };
+        if let Some(settled) = self.settled.get(&fill) {
+            let before = settled.settlement_id.clone();
+            if before == id {
+                return Ok(ApplyOutcome::Duplicate);
+            }
+            return Err(SettlementError::AlreadySettledOtherwise { id, fill, before });
         }
         let version = settlement.version();
         if version.is_none_or(|version| version < self.floor) {
@@ -310,7 +343,7 @@
 
     /// Bytes that were split over brokers so far, spent or not.
     pub fn allotted(&self, debtor: &str, creditor: &str) -> u64 {
-        self.pair(debtor, creditor).map_or(0, Pair::allotted)
+        self.pair(debtor, creditor).map_or(0, PairAccount::allotted)
     }
 
     /// Share of a broker.
--- a/crates/dunepond-settlement/src/lib.rs
+++ b/crates/dunepond-settlement/src/lib.rs
@@ -15,6 +15,7 @@
 mod fairness;
 mod fill;
 mod ledger;
+mod netting;
 mod planner;
 mod promises;
 mod replication;
--- a/crates/dunepond-settlement/src/promises.rs
+++ b/crates/dunepond-settlement/src/promises.rs
@@ -140,17 +140,19 @@
 ) -> Option<Allotment> {
     let ledger = balances.ledger();
     let unspent = ledger.allotted(debtor, creditor) - ledger.settled(debtor, creditor);
-    let more = balances.net_debt(debtor, creditor).saturating_sub(unspent);
-    let all = ledger.allotted(debtor, creditor).saturating_add(more);
     let debt = balances.gross(creditor, debtor);
-    let more = more.saturating_sub(all.saturating_sub(debt));
-    let held: Vec<u64> =
+    let wanted = balances.net_debt(debtor, creditor).saturating_sub(unspent);
+    let excess = ledger.allotted(debtor, creditor).saturating_add(wanted).saturating_sub(debt);
+    let new_bytes = wanted.saturating_sub(excess);
+    let remaining: Vec<u64> =
         brokers.iter().map(|broker| ledger.share(broker, debtor, creditor).remaining()).collect();
     // Who has the least remaining gets the most.
-    let level = max_min(&held.iter().map(|_| u64::MAX / 2).collect::<Vec<_>>(), unspent.saturating_add(more));
-    let wants: Vec<u64> = level.iter().zip(&held).map(|(level, held)| level.saturating_sub(*held)).collect();
-    let given = max_min(&wants, more);
-    let parts = brokers.iter().cloned().zip(given).map(AllottedShare::from);
+    let unbounded = vec![u64::MAX / 2; brokers.len()];
+    let targets = max_min(&unbounded, unspent.saturating_add(new_bytes));
+    let demands: Vec<u64> =
+        targets.iter().zip(&remaining).map(|(target, remaining)| target.saturating_sub(*remaining)).collect();
+    let shares = max_min(&demands, new_bytes);
+    let parts = brokers.iter().cloned().zip(shares).map(AllottedShare::from);
     let parts: Vec<_> = parts.filter(|share| share.bytes > 0).collect();
     if parts.is_empty() {
         return None;
--- a/crates/dunepond-settlement/src/replication.rs
+++ b/crates/dunepond-settlement/src/replication.rs
@@ -1,8 +1,8 @@
 //! Which counts a peer is sent: rows that changed since what it acknowledged, and all of them now and then.
 //!
 //! A row is sent whole or not at all, and rows join, so that any of them may be lost, duplicated or late. The only mistake
-//! would be to leave out a row that the peer lacks. So the peer acknowledges in each message how far it has heard us, and
-//! each process starts with having heard nothing: after a restart, a lost message or an old folder more is sent, never
+//! would be to leave out a row that the peer lacks. So the peer acknowledges in each message how far it has received ours,
+//! and each process starts with nothing received: after a restart, a lost message or an old folder more is sent, never
 //! less.
 
 use std::collections::BTreeMap;
@@ -28,13 +28,17 @@
 pub struct CountsMessage {
     /// Changed rows.
     pub counts: CarriedCounts,
-    /// A receiver that had the sender's rows up to `since` has them up to here.
-    upto: Position,
-    since: u64,
-    /// How far the sender has heard the receiver.
-    heard: Position,
+    /// A receiver that had the sender's rows up to `since_revision` has them up to here.
+    #[serde(rename = "upto")]
+    up_to: Position,
+    #[serde(rename = "since")]
+    since_revision: u64,
+    /// How far the sender has received the receiver's rows.
+    #[serde(rename = "heard")]
+    received: Position,
     /// Rows that came from this process are left out, so that the position counts only for it; 0: for all.
-    only: u64,
+    #[serde(rename = "only")]
+    only_for_process: u64,
 }
 
 impl CountsMessage {
@@ -46,19 +50,20 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
-    /// As last heard.
+    /// Of its last message.
     process: u64,
-    /// Our revision that it has acknowledged.
-    acknowledged: u64,
-    heard: Position,
+    /// This process's revision that it has acknowledged.
+    acknowledged_revision: u64,
+    /// How far its rows were received.
+    received: Position,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Row {
     height: Height,
-    /// Ours, of its last change.
+    /// This process's, at its last change.
     revision: u64,
-    /// The process that sent it in just this state; 0: nobody.
+    /// The process that sent it in just this state; 0: none.
     origin: u64,
 }
 
@@ -85,54 +90,58 @@
         }
     }
 
-    /// Notes the counts as they are now; `of`: the message that was joined just before.
-    fn note(&mut self, counts: &CarriedCounts, of: Option<&CountsMessage>) {
+    /// Notes which rows changed; `merged`: the message that was merged just before.
+    fn note_changes(&mut self, counts: &CarriedCounts, merged: Option<&CountsMessage>) {
         for (broker, height) in counts.heights() {
             if self.rows.get(broker).is_some_and(|row| row.height == height) {
                 continue;
             }
             self.revision += 1;
-            let of = of.filter(|word| word.counts.height(broker) == Some(height));
-            let row = Row { height, revision: self.revision, origin: of.map_or(0, |word| word.upto.process) };
-            self.rows.insert(broker.to_string(), row);
+            let source = merged.filter(|message| message.counts.height(broker) == Some(height));
+            let origin = source.map_or(0, |message| message.up_to.process);
+            self.rows.insert(broker.to_string(), Row { height, revision: self.revision, origin });
         }
     }
 
     /// The message to `to`, of counts that are stored.
     pub fn message_for(&mut self, to: &str, counts: &CarriedCounts) -> CountsMessage {
-        self.note(counts, None);
+        self.note_changes(counts, None);
         self.message_count += 1;
         let peer = self.peers.get(to).copied().unwrap_or_default();
-        let since =
-            if self.message_count.is_multiple_of(MESSAGES_PER_FULL_SYNC) { 0 } else { peer.acknowledged };
+        let is_full_sync = self.message_count.is_multiple_of(MESSAGES_PER_FULL_SYNC);
+        let since_revision = if is_full_sync { 0 } else { peer.acknowledged_revision };
+        let changed = |broker: &str| self.rows.get(broker).filter(|row| row.revision > since_revision);
         // Otherwise each row would be sent back to where it came from.
-        let its = |row: &Row| row.origin != 0 && row.origin == peer.process;
-        let changed = |broker: &str| self.rows.get(broker).filter(|row| row.revision > since);
-        let only = counts.heights().filter_map(|(broker, _)| changed(broker)).any(its);
+        let is_from_peer = |row: &Row| row.origin != 0 && row.origin == peer.process;
+        let leaves_out_rows = counts.heights().filter_map(|(broker, _)| changed(broker)).any(is_from_peer);
         CountsMessage {
-            counts: counts.rows_where(|broker| changed(broker).is_some_and(|row| !its(row))),
-            upto: Position { process: self.process, revision: self.revision },
-            since,
-            heard: peer.heard,
-            only: if only { peer.process } else { 0 },
+            counts: counts.rows_where(|broker| changed(broker).is_some_and(|row| !is_from_peer(row))),
+            up_to: Position { process: self.process, revision: self.revision },
+            since_revision,
+            received: peer.received,
+            only_for_process: if leaves_out_rows { peer.process } else { 0 },
         }
     }
 
-    /// Notes how far the peer is, after its message was joined into `counts`; not if that was rejected.
-    pub fn handle_message(&mut self, from: &str, word: &CountsMessage, counts: &CarriedCounts) {
-        self.note(counts, Some(word));
+    /// Notes how far the peer is, after its message was merged into `counts`; not if that was rejected.
+    pub fn handle_message(&mut self, from: &str, message: &CountsMessage, counts: &CarriedCounts) {
+        self.note_changes(counts, Some(message));
         if self.peers.len() >= MAX_PEER_COUNT && !self.peers.contains_key(from) {
             self.peers.clear();
         }
         let peer = self.peers.entry(from.to_string()).or_default();
-        peer.process = word.upto.process;
-        let ours = word.heard.process == self.process && word.heard.revision <= self.revision;
-        peer.acknowledged = if ours { word.heard.revision } else { 0 };
-        let same = peer.heard.process == word.upto.process;
-        let follows = word.since == 0 || (same && peer.heard.revision >= word.since);
-        if follows && (word.only == 0 || word.only == self.process) {
-            let before = if same { peer.heard.revision } else { 0 };
-            peer.heard = Position { revision: before.max(word.upto.revision), ..word.upto };
+        peer.process = message.up_to.process;
+        let acknowledged = message.received;
+        let is_ours = acknowledged.process == self.process && acknowledged.revision <= self.revision;
+        peer.acknowledged_revision = if is_ours { acknowledged.revision } else { 0 };
+        let is_same_process = peer.received.process == message.up_to.process;
+        let received_revision = if is_same_process { peer.received.revision } else { 0 };
+        let has_no_gap =
+            message.since_revision == 0 || (is_same_process && received_revision >= message.since_revision);
+        let is_for_us = message.only_for_process == 0 || message.only_for_process == self.process;
+        if has_no_gap && is_for_us {
+            let revision = received_revision.max(message.up_to.revision);
+            peer.received = Position { revision, ..message.up_to };
         }
     }
 }
--- a/crates/dunepond-settlement/src/started_fills.rs
+++ b/crates/dunepond-settlement/src/started_fills.rs
@@ -64,7 +64,7 @@
 
 impl StartedFills {
     pub fn has(&self, id: &str, from: &str) -> bool {
-        self.fills.get(id).is_some_and(|of| of.contains_key(from))
+        self.fills.get(id).is_some_and(|by_partner| by_partner.contains_key(from))
     }
 
     pub fn iter(&self) -> impl Iterator<Item = &StartedFill> {
@@ -76,29 +76,54 @@
         self.newest = self.newest.max(fill.at);
         self.fills.entry(fill.id.clone()).or_default().insert(fill.from.clone(), fill);
         self.count += 1;
-        if self.count <= MAX_FILL_COUNT && self.newest < self.swept + RETENTION_SECONDS / SWEEPS_PER_RETENTION
-        {
-            return;
+        let sweep_interval_seconds = RETENTION_SECONDS / SWEEPS_PER_RETENTION;
+        if self.count > MAX_FILL_COUNT || self.newest >= self.swept + sweep_interval_seconds {
+            self.sweep();
         }
-        let (mut oldest, mut of_oldest) = (self.newest.saturating_sub(RETENTION_SECONDS), 0);
-        if self.count > MAX_FILL_COUNT {
-            let mut ages: Vec<u64> = self.iter().map(|fill| fill.at).collect();
-            ages.sort_unstable();
-            let half = ages.len() / 2;
-            if ages[half] >= oldest {
-                // Of the fills in the median second only so many are dropped that half remain.
-                (oldest, of_oldest) = (ages[half], half - ages.partition_point(|at| *at < ages[half]));
-            }
-        }
-        self.fills.retain(|_, of| {
-            of.retain(|_, fill| {
-                let spared = fill.at != oldest || of_oldest == 0;
-                of_oldest -= usize::from(!spared);
-                fill.at >= oldest && spared
-            });
-            !of.is_empty()
+    }
+
+    fn sweep(&mut self) {
+        let mut excess = self.excess();
+        self.fills.retain(|_, by_partner| {
+            by_partner.retain(|_, fill| !excess.takes(fill));
+            !by_partner.is_empty()
         });
         self.count = self.fills.values().map(BTreeMap::len).sum();
         self.swept = self.newest;
     }
+
+    /// Fills past the retention; and the older half, if there are too many.
+    fn excess(&self) -> Excess {
+        let oldest_retained = self.newest.saturating_sub(RETENTION_SECONDS);
+        if self.count <= MAX_FILL_COUNT {
+            return Excess { before: oldest_retained, count_at: 0 };
+        }
+        let mut starts: Vec<u64> = self.iter().map(|fill| fill.at).collect();
+        starts.sort_unstable();
+        let half = starts.len() / 2;
+        let median = starts[half];
+        if median < oldest_retained {
+            return Excess { before: oldest_retained, count_at: 0 };
+        }
+        // Of the fills in the median second only so many are dropped that half remain.
+        Excess { before: median, count_at: half - starts.partition_point(|at| *at < median) }
+    }
+}
+
+/// Fills to drop.
+struct Excess {
+    /// All that started earlier, in Unix seconds.
+    before: u64,
+    /// So many of those that started in that second.
+    count_at: usize,
+}
+
+impl Excess {
+    fn takes(&mut self, fill: &StartedFill) -> bool {
+        if fill.at == self.before && self.count_at > 0 {
+            self.count_at -= 1;
+            return true;
+        }
+        fill.at < self.before
+    }
 }
