--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -25,7 +25,7 @@
             return None;
         }
         if self.request_ids.contains(&query_request.request_id) {
-            let body = error_body("X-ApiRequest-Id: in use");
+            let body = error_body("X-Call-Id: in use");
             self.downstream.reply(self.now, client, 400, &body, 0.0, &mut self.timers);
             return None;
         }
