--- a/crates/dunepond-settlement/src/counts.rs
+++ b/crates/dunepond-settlement/src/counts.rs
@@ -8,38 +8,38 @@
 use crate::SettlementError;
 
 /// Incarnations of one broker that are retained unfolded; more only come from starts without a folder.
-const MAX_LIVE_COUNT: usize = 16;
+const MAX_UNFOLDED_COUNT: usize = 16;
 /// Cells (broker, incarnation, pair) in one message from a peer.
 const MAX_CELL_COUNT: usize = 100_000;
 
-/// Carrier, then who owes it, then bytes. The library joins counters by their greater value.
+/// Bytes by carrier and debtor. The library merges counters by their greater value.
 type Carried = BTreeMap<String, VClock<String>>;
 
-fn join(into: &mut Carried, other: &Carried) {
-    for (carrier, owed) in other {
-        into.entry(carrier.clone()).or_default().merge(owed.clone());
+fn merge_carried(into: &mut Carried, other: &Carried) {
+    for (carrier, bytes_by_debtor) in other {
+        into.entry(carrier.clone()).or_default().merge(bytes_by_debtor.clone());
     }
 }
 
 /// Adds cell by cell; only for different incarnations, which count nothing twice.
-fn add(into: &mut Carried, other: &Carried) {
-    for (carrier, owed) in other {
+fn add_carried(into: &mut Carried, other: &Carried) {
+    for (carrier, bytes_by_debtor) in other {
         let into = into.entry(carrier.clone()).or_default();
-        for dot in owed.iter() {
-            raise(into, dot.actor, dot.counter);
+        for cell in bytes_by_debtor.iter() {
+            add_bytes(into, cell.actor, cell.counter);
         }
     }
 }
 
-fn raise(owed: &mut VClock<String>, owed_by: &str, bytes: u64) {
-    let sum = owed.dots.get(owed_by).copied().unwrap_or(0).saturating_add(bytes);
-    owed.apply(crdts::Dot::new(owed_by.to_string(), sum));
+fn add_bytes(bytes_by_debtor: &mut VClock<String>, debtor: &str, bytes: u64) {
+    let sum = bytes_by_debtor.dots.get(debtor).copied().unwrap_or(0).saturating_add(bytes);
+    bytes_by_debtor.apply(crdts::Dot::new(debtor.to_string(), sum));
 }
 
-/// Whether `other` has a cell that is higher.
-fn behind(mine: &Carried, other: &Carried) -> bool {
-    other.iter().any(|(carrier, owed)| {
-        owed.iter().any(|dot| mine.get(carrier).map_or(0, |mine| mine.get(dot.actor)) < dot.counter)
+fn has_higher_cell(carried: &Carried, than: &Carried) -> bool {
+    carried.iter().any(|(carrier, bytes_by_debtor)| {
+        let known = |debtor: &String| than.get(carrier).map_or(0, |clock| clock.get(debtor));
+        bytes_by_debtor.iter().any(|cell| cell.counter > known(cell.actor))
     })
 }
 
@@ -50,9 +50,12 @@
 /// only writer that folds; see [`LocalCounts::open`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Row {
+    /// The first incarnation that is not folded.
     through: u64,
     folded: Carried,
-    live: BTreeMap<u64, Carried>,
+    /// By incarnation.
+    #[serde(rename = "live")]
+    unfolded: BTreeMap<u64, Carried>,
 }
 
 impl Row {
@@ -60,40 +63,48 @@
         if other.through > self.through {
             (self.through, self.folded) = (other.through, other.folded.clone());
         } else if other.through == self.through {
-            join(&mut self.folded, &other.folded);
+            merge_carried(&mut self.folded, &other.folded);
         }
-        for (incarnation, carried) in &other.live {
-            join(self.live.entry(*incarnation).or_default(), carried);
+        for (incarnation, carried) in &other.unfolded {
+            merge_carried(self.unfolded.entry(*incarnation).or_default(), carried);
         }
-        self.live = self.live.split_off(&self.through);
+        self.unfolded = self.unfolded.split_off(&self.through);
     }
 
     fn fold(&mut self, through: u64) {
-        let live = self.live.split_off(&through);
-        for carried in std::mem::replace(&mut self.live, live).values() {
-            add(&mut self.folded, carried);
+        let unfolded = self.unfolded.split_off(&through);
+        for carried in std::mem::replace(&mut self.unfolded, unfolded).values() {
+            add_carried(&mut self.folded, carried);
         }
         self.through = self.through.max(through);
     }
 
     fn parts(&self) -> impl Iterator<Item = &Carried> {
-        std::iter::once(&self.folded).chain(self.live.values())
+        std::iter::once(&self.folded).chain(self.unfolded.values())
     }
 
     fn height(&self) -> Height {
-        let cells = self.parts().flat_map(|carried| carried.values()).flat_map(|owed| owed.dots.values());
-        Height(self.through, self.live.len(), cells.map(|bytes| u128::from(*bytes)).sum())
+        let clocks = self.parts().flat_map(|carried| carried.values());
+        let cells = clocks.flat_map(|clock| clock.dots.values());
+        Height {
+            through: self.through,
+            unfolded_count: self.unfolded.len(),
+            total_bytes: cells.map(|bytes| u128::from(*bytes)).sum(),
+        }
     }
 
-    fn newest(&self) -> Option<u64> {
-        self.live.keys().next_back().copied().max(self.through.checked_sub(1))
+    fn newest_incarnation(&self) -> Option<u64> {
+        self.unfolded.keys().next_back().copied().max(self.through.checked_sub(1))
     }
 }
 
-/// Of a row: first unfolded incarnation, number of incarnations, bytes. A join can only raise it, and raises it whenever
-/// the row changes, so comparing heights detects a change.
+/// Of a row. A merge can only raise it, and raises it whenever the row changes, so comparing heights detects a change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Height(u64, usize, u128);
+pub(crate) struct Height {
+    through: u64,
+    unfolded_count: usize,
+    total_bytes: u128,
+}
 
 /// Bytes that each partner carried for each other, as each broker saw it. Merging is commutative, associative and
 /// idempotent, so rows may come in any order, doubled and late.
@@ -108,58 +119,59 @@
         CarriedCounts::default()
     }
 
-    /// `carrier` carried so many bytes for a tenant of `owed_by`, as `broker` saw in its present incarnation.
-    pub fn record(&mut self, broker: &str, incarnation: u64, carrier: &str, owed_by: &str, bytes: u64) {
-        if carrier == owed_by || bytes == 0 {
+    /// `carrier` carried so many bytes for a tenant of `debtor`, as `broker` saw in its present incarnation.
+    pub fn record(&mut self, broker: &str, incarnation: u64, carrier: &str, debtor: &str, bytes: u64) {
+        if carrier == debtor || bytes == 0 {
             return;
         }
         let row = self.rows.entry(broker.to_string()).or_default();
         if incarnation < row.through {
             return;
         }
-        let carried = row.live.entry(incarnation).or_default();
-        raise(carried.entry(carrier.to_string()).or_default(), owed_by, bytes);
+        let carried = row.unfolded.entry(incarnation).or_default();
+        add_bytes(carried.entry(carrier.to_string()).or_default(), debtor, bytes);
     }
 
-    /// Joins counts of any origin.
+    /// Merges counts of any origin.
     pub fn merge(&mut self, other: &CarriedCounts) {
         for (broker, row) in &other.rows {
             self.rows.entry(broker.clone()).or_default().merge(row);
         }
     }
 
-    /// Joins what a peer sent. A row of one partner's broker is accepted from that partner, or from brokers of no partner,
-    /// and never from another one: nobody writes what its debtor saw. Returns how many rows were rejected.
+    /// Merges what a peer sent. A row of one partner's broker is accepted from that partner, or from brokers of no partner,
+    /// and never from another one: a creditor cannot write what its debtor saw. Returns how many rows were rejected.
     ///
     /// # Errors
-    /// The message has too many cells; nothing was joined.
+    /// The message has too many cells; nothing was merged.
     pub fn merge_from(
         &mut self,
         from: &str,
         other: &CarriedCounts,
-        sides: &BrokerPartners,
+        partners: &BrokerPartners,
     ) -> Result<usize, SettlementError> {
         let cells = other.cell_count();
         if cells > MAX_CELL_COUNT {
             let (from, brokers) = (from.to_string(), other.rows.len());
             return Err(SettlementError::TooManyCells { from, brokers, cells, max: MAX_CELL_COUNT });
         }
-        let mut left_out = 0;
+        let mut rejected_count = 0;
         for (broker, row) in &other.rows {
-            match sides.may_send(from, broker) {
-                true => self.rows.entry(broker.clone()).or_default().merge(row),
-                false => left_out += 1,
+            if partners.may_send(from, broker) {
+                self.rows.entry(broker.clone()).or_default().merge(row);
+            } else {
+                rejected_count += 1;
             }
         }
-        Ok(left_out)
+        Ok(rejected_count)
     }
 
     pub(crate) fn heights(&self) -> impl Iterator<Item = (&str, Height)> {
         self.rows.iter().map(|(broker, row)| (broker.as_str(), row.height()))
     }
 
-    pub(crate) fn rows_where(&self, is_so: impl Fn(&str) -> bool) -> CarriedCounts {
-        let rows = self.rows.iter().filter(|(broker, _)| is_so(broker));
+    pub(crate) fn rows_where(&self, is_included: impl Fn(&str) -> bool) -> CarriedCounts {
+        let rows = self.rows.iter().filter(|(broker, _)| is_included(broker));
         CarriedCounts { rows: rows.map(|(broker, row)| (broker.clone(), row.clone())).collect() }
     }
 
@@ -167,33 +179,32 @@
         self.rows.get(broker).map(Row::height)
     }
 
-    /// Bytes over all brokers, whoever counted them.
-    pub fn total(&self, carrier: &str, owed_by: &str) -> u64 {
-        self.total_of(carrier, owed_by, |_| true)
+    /// Bytes that all brokers saw.
+    pub fn total(&self, carrier: &str, debtor: &str) -> u64 {
+        self.total_of(carrier, debtor, |_| true)
     }
 
     /// Bytes that the selected brokers saw.
-    pub fn total_of(&self, carrier: &str, owed_by: &str, of: impl Fn(&str) -> bool) -> u64 {
-        let rows = self.rows.iter().filter(|(broker, _)| of(broker));
-        let cells = rows.flat_map(|(_, row)| row.parts()).filter_map(|carried| carried.get(carrier));
-        cells.fold(0u64, |sum, owed| sum.saturating_add(owed.dots.get(owed_by).copied().unwrap_or(0)))
+    pub fn total_of(&self, carrier: &str, debtor: &str, is_selected: impl Fn(&str) -> bool) -> u64 {
+        let rows = self.rows.iter().filter(|(broker, _)| is_selected(broker));
+        let clocks = rows.flat_map(|(_, row)| row.parts()).filter_map(|carried| carried.get(carrier));
+        let bytes = clocks.map(|clock| clock.dots.get(debtor).copied().unwrap_or(0));
+        bytes.fold(0, u64::saturating_add)
     }
 
-    /// Each ordered pair (carrier, owed by) with a count.
+    /// Each ordered pair (carrier, debtor) with a count.
     pub fn pairs(&self) -> Vec<(String, String)> {
-        let carried = self.rows.values().flat_map(Row::parts).flatten();
-        let pairs =
-            carried.flat_map(|(carrier, owed)| owed.iter().map(|dot| (carrier.clone(), dot.actor.clone())));
-        let mut pairs: Vec<_> = pairs.collect();
-        pairs.sort();
-        pairs.dedup();
-        pairs
+        let mut pairs = BTreeSet::new();
+        for (carrier, bytes_by_debtor) in self.rows.values().flat_map(Row::parts).flatten() {
+            pairs.extend(bytes_by_debtor.iter().map(|cell| (carrier.clone(), cell.actor.clone())));
+        }
+        pairs.into_iter().collect()
     }
 
     /// Cells of broker, incarnation and pair: the size in memory.
     pub fn cell_count(&self) -> usize {
         let carried = self.rows.values().flat_map(Row::parts).flatten();
-        carried.map(|(_, owed)| owed.dots.len()).sum()
+        carried.map(|(_, bytes_by_debtor)| bytes_by_debtor.dots.len()).sum()
     }
 }
 
@@ -216,7 +227,7 @@
     /// Whether `from` may send what `broker` saw.
     fn may_send(&self, from: &str, broker: &str) -> bool {
         match (self.partner(broker), self.partner(from)) {
-            (Some(side), Some(teller)) => side == teller,
+            (Some(partner), Some(sender)) => partner == sender,
             _ => true,
         }
     }
@@ -224,14 +235,15 @@
 
 /// One broker's own counts, as its folder holds them.
 ///
-/// Invariant of the host: *they are stored before they are sent to a peer*. Then nobody ever knows more of a finished
+/// Invariant of the host: *they are stored before they are sent to a peer*. Then no peer ever knows more of a finished
 /// incarnation than the folder does, and the fold at the next start loses nothing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LocalCounts {
     broker: String,
     incarnation: u64,
     /// Since this incarnation the folder has had no gap.
-    first: u64,
+    #[serde(rename = "first")]
+    first_complete: u64,
     counts: CarriedCounts,
 }
 
@@ -250,7 +262,7 @@
     ) -> Result<LocalCounts, SettlementError> {
         let Some(mut local) = saved else {
             let (broker, counts) = (broker.to_string(), CarriedCounts::new());
-            return Ok(LocalCounts { broker, incarnation, first: incarnation, counts });
+            return Ok(LocalCounts { broker, incarnation, first_complete: incarnation, counts });
         };
         if local.broker != broker {
             return Err(SettlementError::OtherBroker { stored: local.broker, broker: broker.to_string() });
@@ -261,8 +273,9 @@
         }
         local.incarnation = incarnation;
         if let Some(row) = local.counts.rows.get_mut(broker) {
-            let sure = row.live.keys().next().is_none_or(|oldest| *oldest >= local.first);
-            if sure || row.live.len() > MAX_LIVE_COUNT {
+            let oldest = row.unfolded.keys().next();
+            let is_complete = oldest.is_none_or(|oldest| *oldest >= local.first_complete);
+            if is_complete || row.unfolded.len() > MAX_UNFOLDED_COUNT {
                 row.fold(incarnation);
             }
         }
@@ -270,11 +283,11 @@
     }
 
     /// Counts traffic in this incarnation.
-    pub fn record(&mut self, carrier: &str, owed_by: &str, bytes: u64) {
-        self.counts.record(&self.broker, self.incarnation, carrier, owed_by, bytes);
+    pub fn record(&mut self, carrier: &str, debtor: &str, bytes: u64) {
+        self.counts.record(&self.broker, self.incarnation, carrier, debtor, bytes);
     }
 
-    /// Joins what a peer sent; see [`CarriedCounts::merge_from`]. Where peers know more of this very incarnation, the folder
+    /// Merges what a peer sent; see [`CarriedCounts::merge_from`]. Where peers know more of this very incarnation, the folder
     /// was an old copy: a new incarnation begins, so that no count hides below another.
     ///
     /// # Errors
@@ -283,22 +296,26 @@
         &mut self,
         from: &str,
         other: &CarriedCounts,
-        sides: &BrokerPartners,
+        partners: &BrokerPartners,
     ) -> Result<usize, SettlementError> {
-        let ours = other.rows.get(&self.broker).filter(|_| sides.may_send(from, &self.broker));
-        let newest = ours.and_then(|theirs| {
-            let newest = theirs.newest()?;
-            let none = Carried::new();
-            let mine = self.counts.rows.get(&self.broker).and_then(|row| row.live.get(&self.incarnation));
-            let more = theirs.live.get(&self.incarnation).is_some_and(|it| behind(mine.unwrap_or(&none), it));
-            (more || newest > self.incarnation).then_some(newest)
-        });
-        let left_out = self.counts.merge_from(from, other, sides)?;
-        if let Some(newest) = newest {
-            self.incarnation = newest.saturating_add(1);
-            self.first = self.incarnation;
+        let own_row = other.rows.get(&self.broker).filter(|_| partners.may_send(from, &self.broker));
+        let newer = own_row.and_then(|row| self.newer_incarnation(row));
+        let rejected_count = self.counts.merge_from(from, other, partners)?;
+        if let Some(newer) = newer {
+            self.incarnation = newer.saturating_add(1);
+            self.first_complete = self.incarnation;
         }
-        Ok(left_out)
+        Ok(rejected_count)
+    }
+
+    /// The newest incarnation of a peer's row of this broker, if the peer knows more than this broker.
+    fn newer_incarnation(&self, row: &Row) -> Option<u64> {
+        let newest = row.newest_incarnation()?;
+        let nothing = Carried::new();
+        let known = self.counts.rows.get(&self.broker).and_then(|row| row.unfolded.get(&self.incarnation));
+        let received = row.unfolded.get(&self.incarnation);
+        let has_more = received.is_some_and(|received| has_higher_cell(received, known.unwrap_or(&nothing)));
+        (has_more || newest > self.incarnation).then_some(newest)
     }
 
     /// Of all brokers, as far as known.
--- a/crates/dunepond-settlement/src/error.rs
+++ b/crates/dunepond-settlement/src/error.rs
@@ -73,7 +73,7 @@
     },
     /// The settlement exceeds its broker's share.
     #[error(
-        "settlement {id} takes {bytes} off what {debtor} owes {creditor}; the share of {broker} has {left} left"
+        "settlement {id} takes {bytes} off what {debtor} owes {creditor}; the share of {broker} has {remaining} left"
     )]
     ExceedsShare {
         /// Of the settlement.
@@ -87,7 +87,7 @@
         /// Amount.
         bytes: u64,
         /// Amount that is left.
-        left: u64,
+        remaining: u64,
     },
     /// Shares would exceed the debt.
     #[error("shares of {allotted} in what {debtor} owes {creditor}, a debt of {debt}")]
@@ -102,7 +102,7 @@
         debt: u64,
     },
     /// More would be returned than is left.
-    #[error("{broker} gives back {bytes} of its share in what {debtor} owes {creditor}, and has {left}")]
+    #[error("{broker} gives back {bytes} of its share in what {debtor} owes {creditor}, and has {remaining}")]
     ExceedsRemaining {
         /// Broker.
         broker: String,
@@ -113,7 +113,7 @@
         /// Amount.
         bytes: u64,
         /// Amount that is left.
-        left: u64,
+        remaining: u64,
     },
     /// The proposer has skipped an entry.
     #[error("an entry about {debtor} and {creditor} with the number {number}, {expected} is next")]
--- a/crates/dunepond-settlement/src/ledger.rs
+++ b/crates/dunepond-settlement/src/ledger.rs
@@ -261,9 +261,9 @@
             return Ok(ApplyOutcome::Duplicate);
         }
         let (broker, bytes) = (release.broker.clone(), release.bytes);
-        let left = self.share(&broker, &debtor, &creditor).remaining();
-        if bytes > left {
-            return Err(SettlementError::ExceedsRemaining { broker, debtor, creditor, bytes, left });
+        let remaining = self.share(&broker, &debtor, &creditor).remaining();
+        if bytes > remaining {
+            return Err(SettlementError::ExceedsRemaining { broker, debtor, creditor, bytes, remaining });
         }
         Ok(ApplyOutcome::New)
     }
@@ -286,9 +286,9 @@
         if debtor == creditor || bytes == 0 {
             return Err(SettlementError::EmptyEntry { debtor, creditor, bytes });
         }
-        let left = self.share(&broker, &debtor, &creditor).remaining();
-        if self.is_split(&debtor, &creditor) && bytes > left {
-            return Err(SettlementError::ExceedsShare { id, broker, debtor, creditor, bytes, left });
+        let remaining = self.share(&broker, &debtor, &creditor).remaining();
+        if self.is_split(&debtor, &creditor) && bytes > remaining {
+            return Err(SettlementError::ExceedsShare { id, broker, debtor, creditor, bytes, remaining });
         }
         Ok(ApplyOutcome::New)
     }
--- a/crates/dunepond-settlement/src/promises.rs
+++ b/crates/dunepond-settlement/src/promises.rs
@@ -55,11 +55,11 @@
         if self.promised.contains_key(&fill) || ledger.is_settled(&fill) {
             return Ok(());
         }
-        let left = self.remaining(ledger, &settlement.debtor, &settlement.creditor);
-        if settlement.broker() != self.broker || settlement.bytes > left {
+        let remaining = self.remaining(ledger, &settlement.debtor, &settlement.creditor);
+        if settlement.broker() != self.broker || settlement.bytes > remaining {
             let broker = settlement.broker().to_string();
             let Settlement { id, debtor, creditor, bytes, .. } = settlement;
-            return Err(SettlementError::ExceedsShare { id, broker, debtor, creditor, bytes, left });
+            return Err(SettlementError::ExceedsShare { id, broker, debtor, creditor, bytes, remaining });
         }
         self.promised.insert(fill, settlement);
         Ok(())
@@ -105,10 +105,10 @@
         if let Some(release) = &self.releasing {
             return Ok(SettlementEntry::Release(release.clone()));
         }
-        let left = self.remaining(ledger, debtor, creditor);
+        let remaining = self.remaining(ledger, debtor, creditor);
         let (broker, debtor, creditor) = (self.broker.clone(), debtor.to_string(), creditor.to_string());
-        if bytes == 0 || bytes > left {
-            return Err(SettlementError::ExceedsRemaining { broker, debtor, creditor, bytes, left });
+        if bytes == 0 || bytes > remaining {
+            return Err(SettlementError::ExceedsRemaining { broker, debtor, creditor, bytes, remaining });
         }
         let number = ledger.next_number(&debtor, &creditor);
         let release = ShareRelease { number, debtor, creditor, broker, bytes };
--- a/crates/dunepond-settlement/tests/balances.rs
+++ b/crates/dunepond-settlement/tests/balances.rs
@@ -137,10 +137,10 @@
     x.promise(book.ledger(), settlement("1/1/h", "x", 30)).unwrap();
     x.promise(book.ledger(), settlement("1/1/h", "x", 30)).unwrap();
     let past = x.promise(book.ledger(), settlement("1/2/h", "x", 30));
-    assert!(matches!(past, Err(SettlementError::ExceedsShare { left: 20, .. })));
+    assert!(matches!(past, Err(SettlementError::ExceedsShare { remaining: 20, .. })));
     assert!(matches!(
         x.release(book.ledger(), "a", "b", 21),
-        Err(SettlementError::ExceedsRemaining { left: 20, .. })
+        Err(SettlementError::ExceedsRemaining { remaining: 20, .. })
     ));
     let back = y.release(book.ledger(), "a", "b", 45).unwrap();
     assert_eq!(y.remaining(book.ledger(), "a", "b"), 5);
