--- a/crates/dunepond-broker/src/downstream/streamed_body.rs
+++ b/crates/dunepond-broker/src/downstream/streamed_body.rs
@@ -82,13 +82,14 @@
         }
     }
 
-    /// Reads on from clients whose body has room again.
+    /// Reads on from clients whose body has room again, or that have been answered: what these still send is discarded, and unread it
+    /// would keep them from their response.
     pub fn resume_unblocked(&mut self) {
         for id in std::mem::take(&mut self.blocked_on_body) {
             match self.connections.get(id).map(|c| &c.phase) {
                 Some(RequestPhase::StreamingBody(raw)) if raw.body.is_full() => self.blocked_on_body.push(id),
-                Some(RequestPhase::StreamingBody(_)) => self.go_on(id),
-                _ => {}
+                Some(_) => self.go_on(id),
+                None => {}
             }
         }
     }
--- a/crates/dunepond-testkit/tests/bodies.rs
+++ b/crates/dunepond-testkit/tests/bodies.rs
@@ -381,6 +381,31 @@
     assert!(site.broker.said().contains("read a streamed body too slowly"), "{}", site.broker.said());
 }
 
+/// A client that still sends its body when it is answered was not read any more if the body was full at that moment, and got its
+/// answer only when the broker gave up waiting for it, 30 s later.
+#[test]
+fn a_client_rejected_before_a_full_body_is_taken_gets_its_answer() {
+    let site = site(&[Manner::Stuck], NO_FILES);
+    let rejected_at_once = || {
+        let told = site.ask(&ask("find", "first", &[0], mib(1) + 1));
+        assert_eq!(told.status(), 429, "{told:?}");
+        site.broker.said().contains("is ejected")
+    };
+    assert!((0..10).any(|_| rejected_at_once()), "the node is never ejected");
+    for i in 0..4 {
+        // What arrives while the broker stands still is read at once when it goes on: more than the body may hold.
+        site.broker.signal("STOP");
+        let told = thread::scope(|scope| {
+            let asked = scope.spawn(|| site.ask(&ask("find", &format!("c{i}"), &[0], mib(15))));
+            thread::sleep(Duration::from_millis(100));
+            site.broker.signal("CONT");
+            asked.join().unwrap()
+        });
+        assert_eq!(told.status(), 429, "{told:?}");
+        assert!(told.took < 15.0, "{told:?}");
+    }
+}
+
 /// What does not fit is refused with the reason and when to come back, or passes; the bound holds.
 #[test]
 fn many_large_bodies_at_once_stay_within_the_bound() {
