--- a/crates/dunepond-broker/src/event_loop/lifecycle.rs
+++ b/crates/dunepond-broker/src/event_loop/lifecycle.rs
@@ -37,8 +37,10 @@
     ) -> calloop::Result<()> {
         let mut iteration = Iteration::default();
         while !(self.listeners_closed && self.router_host.downstream.count() == 0) {
-            let next = self.router_host.timers.until_next(self.clock.now());
+            let now = self.clock.now();
+            let next = self.router_host.timers.until_next(now);
             let wait = next.map_or(SIGNAL_POLL_INTERVAL, |next| next.min(SIGNAL_POLL_INTERVAL));
+            self.times.poll_begins(now);
             sources.dispatch(wait, &mut iteration)?;
             // Only a timer is due: idle work delays no event.
             let idle = iteration.events.is_empty();
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -3,6 +3,7 @@
 mod background;
 mod disconnects;
 mod endpoints;
+mod iteration_times;
 mod lifecycle;
 mod pending;
 mod reload;
@@ -24,6 +25,7 @@
 use crate::persistence::Persistence;
 use crate::prefilter::PrefilterHost;
 use crate::router::RouterHost;
+use iteration_times::IterationTimes;
 pub use startup::{Hooks, serve};
 
 /// The broker: all state that the event loop works on.
@@ -43,9 +45,7 @@
     operator: OperatorConfig,
     /// The configured endpoint list, until discovery answers or has been silent for too long.
     configured_endpoints: Option<EndpointUpdate>,
-    /// When this iteration began, and the previous one; the events of this iteration came after the latter.
-    iteration_began_at: f64,
-    previous_iteration_at: f64,
+    times: IterationTimes,
     /// The longest query timeout in seconds, or that of a configuration reloaded since, if shorter.
     longest_timeout: f64,
     shutdown: Option<Shutdown>,
@@ -59,19 +59,19 @@
     /// Reads the clock, which stands still until the next call, and applies the active configuration.
     fn tick(&mut self) -> f64 {
         self.router_host.now = self.clock.now();
-        let apart = (self.iteration_began_at - self.previous_iteration_at)
-            .max(self.router_host.now - self.iteration_began_at);
+        let began_at = self.times.began_at();
+        let apart = (began_at - self.times.events_since()).max(self.router_host.now - began_at);
         self.router_host.downstream.received_since =
-            (apart > NOTICEABLE_PAUSE_SECONDS).then_some(self.previous_iteration_at);
+            (apart > NOTICEABLE_PAUSE_SECONDS).then_some(self.times.events_since());
         self.apply_control_plane();
         self.router_host.now
     }
 
     /// An iteration begins: an event or a timer has come, or signals are to be checked.
     fn begin_iteration(&mut self) {
-        self.previous_iteration_at = std::mem::replace(&mut self.iteration_began_at, self.clock.now());
+        self.times.iteration_begins(self.clock.now());
         let now = self.tick();
-        let apart = now - self.previous_iteration_at;
+        let apart = now - self.times.previous_began_at();
         if apart > NOTICEABLE_PAUSE_SECONDS {
             warn!("event loop stalled for {apart:.3} s");
         }
--- a/crates/dunepond-broker/src/event_loop/shutdown.rs
+++ b/crates/dunepond-broker/src/event_loop/shutdown.rs
@@ -7,15 +7,15 @@
 use crate::clock::TimerEvent;
 
 impl EventLoop {
-    /// Handles SIGTERM or SIGINT, which may have come at any time since the previous iteration began. The stages count from then:
-    /// after a stall the kill comes sooner than the time of finding suggests. A second signal changes nothing.
+    /// Handles SIGTERM or SIGINT. The stages count from the earliest time at which it may have come: after a stall the kill comes sooner
+    /// than the time of finding suggests. A second signal changes nothing.
     pub(super) fn begin_shutdown(&mut self) {
         let now = self.tick();
         if self.shutdown.is_none() {
-            let shutdown = Shutdown::new(self.previous_iteration_at, self.longest_timeout);
+            let shutdown = Shutdown::new(self.times.events_since(), self.longest_timeout);
             info!(
                 "shutdown requested within the last {:.3} s: {} connections, {} queries in flight; last responses due in {:.3} s",
-                now - self.previous_iteration_at,
+                now - self.times.events_since(),
                 self.router_host.downstream.count(),
                 self.router_host.unanswered_queries().len(),
                 shutdown.last_answers_at() - now
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -16,6 +16,7 @@
 use tracing::info;
 
 use super::EventLoop;
+use super::iteration_times::IterationTimes;
 use super::setup::{BodySpool, failed, listen_with_retry, start_body_spool, start_job_pool, watch_signals};
 use crate::background::Background;
 use crate::body_store::BodyStore;
@@ -142,8 +143,7 @@
         config_reloader,
         operator,
         configured_endpoints,
-        iteration_began_at: clock.at(signals_since),
-        previous_iteration_at: clock.at(signals_since),
+        times: IterationTimes::new(clock.at(signals_since)),
         longest_timeout,
         shutdown: None,
         shutdown_stage: ShutdownStage::Serving,
