--- a/crates/dunepond-testkit/src/shutdown/mod.rs
+++ b/crates/dunepond-testkit/src/shutdown/mod.rs
@@ -24,7 +24,7 @@
 pub use client::{Habit, Request};
 pub use plan::{BrokerPlan, Hold, Plan};
 pub use verdict::{Attempts, Breach, Fault, Verdict};
-use verdict::{BrokerTimes, Circumstances};
+use verdict::{BrokerTimes, Circumstances, Stop};
 
 /// Clients work for so long before the first signal.
 const BEFORE: Duration = Duration::from_millis(700);
@@ -71,17 +71,27 @@
         signal(broker, Signal::SIGHUP);
         thread::sleep(before);
     }
+    let mut stopped_at = None;
+    let mut stops = Vec::new();
     if plan.holds.first().is_some_and(|hold| hold.from.is_zero()) {
         signal(broker, Signal::SIGSTOP);
+        stopped_at = Some(Instant::now());
     }
     let told = Instant::now();
     signal(broker, Signal::SIGTERM);
     let _ = site.told.set(told);
     for (after, what) in acts(plan, site.kill_after) {
         sleep_until(told + after);
+        match what {
+            Signal::SIGSTOP => stopped_at = Some(Instant::now()),
+            Signal::SIGCONT => {
+                stops.extend(stopped_at.take().map(|from| Stop { from, until: Instant::now() }))
+            }
+            _ => {}
+        }
         signal(broker, what);
     }
-    BrokerTimes { told, killed: Instant::now(), longest_hold: plan.longest_hold() }
+    BrokerTimes { told, killed: Instant::now(), longest_hold: plan.longest_hold(), stops }
 }
 
 /// All attempts that came to the nodes.
--- a/crates/dunepond-testkit/src/shutdown/verdict.rs
+++ b/crates/dunepond-testkit/src/shutdown/verdict.rs
@@ -5,6 +5,9 @@
 
 use super::client::Request;
 
+#[cfg(test)]
+mod tests;
+
 /// By the page of the standing test an answer later than this after the client's time counts as none.
 const LOST_AFTER: Duration = Duration::from_millis(500);
 /// By the page of the standing test an attempt may begin so long after the client's close.
@@ -15,6 +18,10 @@
 const SLACK: Duration = Duration::from_millis(50);
 const STAND_INS: Duration = Duration::from_millis(50);
 
+/// A process that is stopped right after it has taken up a request writes its attempts when it goes on: it can check nothing in
+/// between. So long before the stop the request may have been written, and so long after it the attempt may arrive.
+const AROUND_STOP: Duration = Duration::from_millis(50);
+
 /// A rule that a request shows broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Breach {
@@ -79,6 +86,24 @@
     pub killed: Instant,
     /// The longest stretch for which its process was stopped: it cannot act sooner.
     pub longest_hold: Duration,
+    pub stops: Vec<Stop>,
+}
+
+/// A stretch for which a broker's process was stopped.
+#[derive(Clone, Copy, Debug)]
+pub struct Stop {
+    pub from: Instant,
+    pub until: Instant,
+}
+
+impl Stop {
+    /// The first attempt of a part that was about to be written when the process was stopped, where the request's time or its client's
+    /// connection ended during the stop.
+    fn delays_attempt(&self, request: &Request, ended: Instant, attempt: Instant) -> bool {
+        let taken_up = request.written <= self.from && request.written + AROUND_STOP >= self.from;
+        let ended_meanwhile = self.from <= ended && ended <= self.until;
+        taken_up && ended_meanwhile && self.until <= attempt && attempt <= self.until + AROUND_STOP
+    }
 }
 
 impl Verdict {
@@ -160,12 +185,20 @@
         (None, None) => {}
     }
     let slack = STAND_INS + times.longest_hold.min(MAY_BE_HELD);
-    let began_after = |last: Instant| parts.iter().any(|at| at.iter().any(|at| *at > last));
+    let delayed =
+        |ended: Instant, at: Instant| times.stops.iter().any(|s| s.delays_attempt(request, ended, at));
+    // A retry is never excused: it is decided on after the stop.
+    let is_late = |ended: Instant, allowed: Duration, number: usize, at: Instant| {
+        at > ended + allowed + slack && !(number == 0 && delayed(ended, at))
+    };
+    let began_after = |ended: Instant, allowed: Duration| {
+        parts.iter().any(|at| at.iter().enumerate().any(|(number, at)| is_late(ended, allowed, number, *at)))
+    };
     let ended = request.answered.map_or(due, |(at, _)| at.min(due));
-    if began_after(ended + SLACK + slack) {
+    if began_after(ended, SLACK) {
         found.insert(Breach::AttemptAfterEnd);
     }
-    if request.left.is_some_and(|left| began_after(left + AFTER_LEAVE + slack)) {
+    if request.left.is_some_and(|left| began_after(left, AFTER_LEAVE)) {
         found.insert(Breach::AttemptAfterLeave);
     }
     let may_be_resent = request.replayable || circumstances.nodes_refuse;
