--- a/crates/dunepond-background/src/job.rs
+++ b/crates/dunepond-background/src/job.rs
@@ -3,7 +3,7 @@
 /// A job's number; none is used twice.
 pub type JobId = u64;
 
-/// Of two jobs that may run, the one of higher priority goes first, unless the other has waited much longer.
+/// Of two jobs that may run, the one of higher priority runs first, unless the other has waited much longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
     /// Whenever there is time.
@@ -46,7 +46,7 @@
 pub struct JobSpec {
     /// What it counts under.
     pub name: &'static str,
-    /// Which of several goes first.
+    /// Which of several runs first.
     pub priority: Priority,
     /// Where it runs.
     pub kind: JobKind,
--- a/crates/dunepond-background/src/scheduler.rs
+++ b/crates/dunepond-background/src/scheduler.rs
@@ -144,7 +144,7 @@
                 counters.done += 1;
                 self.jobs.remove(&id);
             }
-            // Its age counts anew from each step: an endless job must not rise above all others.
+            // Its age restarts with each step: an endless job must not rise above all others.
             Outcome::Yielded if !job.cancelled => job.due_at = now,
             Outcome::Yielded => drop(self.jobs.remove(&id)),
             Outcome::Failed => self.retry_or_drop(now, id),
--- a/crates/dunepond-body-buffer/src/manager/spilling.rs
+++ b/crates/dunepond-body-buffer/src/manager/spilling.rs
@@ -87,8 +87,8 @@
         self.spill_state.on_written(id);
     }
 
-    /// The disk has failed a body. One that was being spilled stays in memory; one that was arriving goes on in the tier
-    /// that this gives. What is in the file already stays readable, and counted.
+    /// The disk has failed a body. One that was being spilled stays in memory; one that was arriving continues in the tier
+    /// returned. What is in the file already stays readable, and counted.
     ///
     /// # Errors
     /// The body can be held no more.
--- a/crates/dunepond-config/src/operator/fleet/parse.rs
+++ b/crates/dunepond-config/src/operator/fleet/parse.rs
@@ -102,7 +102,7 @@
             let message = "fleet: no voter; name each by a node 'voter \"NAME\" at=\"ADDRESS:PORT\"'";
             return self.fault(at, message);
         };
-        // What goes beyond this file, the broker's name and the longest query timeout, is checked at the start.
+        // The broker's name and the longest query timeout are not in this file; they are checked at the start.
         if let Err(error) = fleet.consensus_config(&voter.name, MIN_QUERY_SECONDS).check() {
             let entry = match error {
                 ConsensusConfigError::Lease { .. } => entries.lease,
--- a/crates/dunepond-config/src/operator/quotas.rs
+++ b/crates/dunepond-config/src/operator/quotas.rs
@@ -7,7 +7,7 @@
 /// Which quotas are shared. Each one that the file does not name is not.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaConfig {
-    /// Share of each quota that is split evenly among the brokers without a lease; the rest goes by demand.
+    /// Share of each quota that is split evenly among the brokers without a lease; the rest is allocated by demand.
     pub reserved_ratio: f64,
     /// Seconds between two allocations.
     pub interval_seconds: f64,
--- a/crates/dunepond-config/src/operator/reader.rs
+++ b/crates/dunepond-config/src/operator/reader.rs
@@ -1,4 +1,4 @@
-//! Readers of nodes, keys and values that all features use. Each notes its faults, and goes on.
+//! Readers of nodes, keys and values that all features use. Each notes faults and continues.
 
 use std::net::{IpAddr, SocketAddr};
 use std::ops::RangeInclusive;
--- a/crates/dunepond-search-api/src/hits/merger.rs
+++ b/crates/dunepond-search-api/src/hits/merger.rs
@@ -22,7 +22,7 @@
     pub terminated_early: bool,
 }
 
-/// A hit and where it comes from. Among equals the lower segment goes first, and within a segment the earlier hit, so that
+/// A hit and its origin. Among equals the lower segment is first, and within a segment the earlier hit, so that
 /// the order in which parts arrive doesn't matter.
 #[derive(Clone, Debug)]
 struct MergedHit {
@@ -94,7 +94,7 @@
     order.then(a.segment.cmp(&b.segment)).then(a.position.cmp(&b.position))
 }
 
-/// The higher score goes first; a hit without one goes last.
+/// The higher score is first; a hit without one is last.
 fn compare_scores(a: &Hit, b: &Hit) -> Ordering {
     let score = |hit: &Hit| hit.score.unwrap_or(f64::NEG_INFINITY);
     score(b).total_cmp(&score(a))
--- a/crates/dunepond-search-api/src/hits/part_result.rs
+++ b/crates/dunepond-search-api/src/hits/part_result.rs
@@ -2,7 +2,7 @@
 //! that failed, not one that found less.
 
 use super::Hit;
-use super::raw::{RawHit, RawHits, RawResponse, Total};
+use super::raw::{OneHit, RawHits, RawResponse, Total};
 
 /// What one part found.
 #[derive(Clone, Debug)]
@@ -73,8 +73,8 @@
     }
 }
 
-fn check_hit(hit: RawHit, expected: &ExpectedResult) -> Result<Hit, String> {
-    let RawHit { index, id, score, sort, source } = hit;
+fn check_hit(hit: OneHit, expected: &ExpectedResult) -> Result<Hit, String> {
+    let OneHit { index, id, score, sort, source } = hit;
     if index.is_some_and(|index| index != expected.index) {
         return Err("hits.hits._index: of another index".to_string());
     }
--- a/crates/dunepond-search-api/src/hits/raw.rs
+++ b/crates/dunepond-search-api/src/hits/raw.rs
@@ -11,15 +11,14 @@
 #[derive(Default)]
 pub(super) struct RawResponse {
     pub(super) timed_out: Option<bool>,
-    pub(super) shards: Option<RawShards>,
+    pub(super) shards: Option<Shards>,
     pub(super) hits: Option<RawHits>,
     pub(super) terminated_early: Option<bool>,
 }
 
-/// Errors name this type, and those below, by their serde names.
+/// Errors of the deserializer, which stand in the log, have the names of this type and of the two below.
 #[derive(Deserialize)]
-#[serde(rename = "Shards")]
-pub(super) struct RawShards {
+pub(super) struct Shards {
     #[serde(default)]
     pub(super) failed: u64,
 }
@@ -27,7 +26,7 @@
 pub(super) struct RawHits {
     pub(super) total: Option<Total>,
     pub(super) max_score: Option<f64>,
-    pub(super) hits: Vec<RawHit>,
+    pub(super) hits: Vec<OneHit>,
 }
 
 #[derive(Deserialize)]
@@ -37,8 +36,7 @@
 }
 
 #[derive(Deserialize)]
-#[serde(rename = "OneHit")]
-pub(super) struct RawHit {
+pub(super) struct OneHit {
     #[serde(rename = "_index")]
     pub(super) index: Option<String>,
     #[serde(rename = "_id")]
@@ -141,21 +139,21 @@
 }
 
 impl<'de> DeserializeSeed<'de> for HitListVisitor {
-    type Value = Vec<RawHit>;
+    type Value = Vec<OneHit>;
 
-    fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Vec<RawHit>, D::Error> {
+    fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Vec<OneHit>, D::Error> {
         deserializer.deserialize_seq(self)
     }
 }
 
 impl<'de> Visitor<'de> for HitListVisitor {
-    type Value = Vec<RawHit>;
+    type Value = Vec<OneHit>;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("hits.hits: a list")
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Vec<RawHit>, A::Error> {
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Vec<OneHit>, A::Error> {
         let mut hits = Vec::new();
         while let Some(hit) = seq.next_element()? {
             if hits.len() == self.max_hits {
--- a/crates/dunepond-search-api/src/lib.rs
+++ b/crates/dunepond-search-api/src/lib.rs
@@ -1,6 +1,6 @@
 //! The OpenSearch-style query API, built from its public description, without input or output.
 //!
-//! [`request`] parses a request and names the place of each fault; [`routing`] says which segments a search goes to;
+//! [`request`] parses a request and names the place of each fault; [`routing`] selects the segments of a search;
 //! [`node`] is what a node that speaks the API is sent, and what its responses mean; [`hits`] merges what nodes found;
 //! [`response`] is what the client is sent, with partial results in the API's terms.
 
--- a/crates/dunepond-search-api/src/node.rs
+++ b/crates/dunepond-search-api/src/node.rs
@@ -5,7 +5,7 @@
 use crate::hits::{ExpectedResult, PartResult};
 use crate::json::{self, JsonLimits};
 
-/// How much of a node's response goes into a log.
+/// How much of a node's response is logged.
 const MAX_LOGGED_BYTES: usize = 120;
 const MAX_RESPONSE_DEPTH: usize = 16;
 const MAX_ERROR_VALUES: usize = 1000;
--- a/crates/dunepond-search-api/src/routing.rs
+++ b/crates/dunepond-search-api/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which segments a search goes to: all of them, or those that its routing values hash to, as the API documents it.
+//! Selects the segments of a search: all of them, or those that its routing values hash to, as the API documents it.
 
 /// MurmurHash3 of 32 bits with seed 0.
 fn murmur3(bytes: &[u8]) -> u32 {
--- a/crates/dunepond-search-api/tests/responses.rs
+++ b/crates/dunepond-search-api/tests/responses.rs
@@ -34,6 +34,9 @@
 #[case::twice(|d: Value| d.to_string().replacen("\"timed_out\"", "\"timed_out\":false,\"timed_out\"", 1), "duplicate field")]
 #[case::timed_out(|mut d: Value| { d["timed_out"] = json!(true); d.to_string() }, "timed_out")]
 #[case::shards(|mut d: Value| { d["_shards"]["failed"] = json!(1); d.to_string() }, "_shards.failed")]
+// The names of types stand in the node's log lines: renaming them must not change these.
+#[case::shards_type(|mut d: Value| { d["_shards"] = json!(false); d.to_string() }, "expected struct Shards")]
+#[case::hit_type(|mut d: Value| { d["hits"]["hits"][0] = json!([]); d.to_string() }, "struct OneHit with 5 elements")]
 #[case::no_hits(|mut d: Value| { d["hits"] = json!([]); d.to_string() }, "hits: an object")]
 #[case::another_index(|mut d: Value| { d["hits"]["hits"][0]["_index"] = json!("x"); d.to_string() }, "of another index")]
 #[case::no_id(|mut d: Value| { d["hits"]["hits"][0]["_id"] = json!(null); d.to_string() }, "expected a string")]
