--- a/crates/dunepond-body-buffer/tests/manager.rs
+++ b/crates/dunepond-body-buffer/tests/manager.rs
@@ -34,9 +34,9 @@
 #[case::file_exactly(8 * MIB, Tier::File, Some(FallbackReason::TooLongForMemory))]
 #[case::file_and_one(8 * MIB + 1, Tier::PassThrough, Some(FallbackReason::TooLongForSpill))]
 #[case::longest_exactly(64 * MIB, Tier::PassThrough, Some(FallbackReason::TooLongForSpill))]
-fn limits_are_inclusive(#[case] length: u64, #[case] place: Tier, #[case] why: Option<FallbackReason>) {
+fn limits_are_inclusive(#[case] length: u64, #[case] tier: Tier, #[case] reason: Option<FallbackReason>) {
     let placement = BufferManager::new(limits()).admit(0.0, body(0, length)).unwrap();
-    assert_eq!((placement.tier, placement.fallback_reason), (place, why));
+    assert_eq!((placement.tier, placement.fallback_reason), (tier, reason));
 }
 
 #[test]
@@ -86,18 +86,18 @@
         manager.admit(now, body(0, 4 * MIB)).map(|placement| (placement.id, placement.tier)).unwrap()
     };
     assert_eq!(at(0.9).1, Tier::PassThrough);
-    let (trial, place) = at(1.1);
-    assert_eq!(place, Tier::File);
+    let (probe, tier) = at(1.1);
+    assert_eq!(tier, Tier::File);
     // One body probes the disk; the others do not wait for the result.
     assert_eq!(at(1.2).1, Tier::PassThrough);
-    assert_eq!(manager.on_disk_fault(1.3, trial, DiskFault::Full), Ok(Tier::PassThrough));
+    assert_eq!(manager.on_disk_fault(1.3, probe, DiskFault::Full), Ok(Tier::PassThrough));
     let mut at = |now: f64| {
         manager.admit(now, body(0, 4 * MIB)).map(|placement| (placement.id, placement.tier)).unwrap()
     };
     assert_eq!(at(3.2).1, Tier::PassThrough);
-    let (trial, place) = at(3.4);
-    assert_eq!(place, Tier::File);
-    manager.complete(3.5, trial);
+    let (probe, tier) = at(3.4);
+    assert_eq!(tier, Tier::File);
+    manager.complete(3.5, probe);
     assert_eq!(manager.admit(3.5, body(0, 4 * MIB)).unwrap().tier, Tier::File);
 }
 
@@ -106,8 +106,8 @@
     let mut manager = BufferManager::new(limits());
     let first = manager.admit(0.0, body(0, 4 * MIB)).unwrap().id;
     let _ = manager.on_disk_fault(0.0, first, DiskFault::Gone);
-    let trial = manager.admit(2.0, body(0, 4 * MIB)).unwrap();
-    manager.release(trial.id);
+    let probe = manager.admit(2.0, body(0, 4 * MIB)).unwrap();
+    manager.release(probe.id);
     assert_eq!(manager.admit(2.1, body(0, 4 * MIB)).unwrap().tier, Tier::File);
 }
 
