--- a/crates/dunepond-broker/tests/agent/mod.rs
+++ b/crates/dunepond-broker/tests/agent/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery's agent as a stand-in that is led by hand, and what stories about the list have in common.
+//! A discovery agent that the test controls step by step, and helpers of the tests of the endpoint list.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,14 +8,13 @@
 use serde_json::{Value, json};
 use socket2::SockRef;
 
-/// What a silent agent does not tell, or what has changed whatever call has failed, counts as told after 6 s. Half of that
-/// is left for a machine that is busy with other tests.
-pub const IN_TIME: Duration = Duration::from_secs(3);
+/// Half of the 6 s after which a change counts as known although discovery is silent; the rest is tolerance for a busy machine.
+pub const MAX_UPDATE_DELAY: Duration = Duration::from_secs(3);
 
-/// Discovery's agent; it says what its story says.
+/// A discovery agent that answers as the test says.
 pub struct Agent(pub TcpListener);
 
-/// A connection of the broker's to it.
+/// A connection from the broker.
 pub struct Call(BufReader<TcpStream>);
 
 impl Agent {
@@ -27,23 +26,23 @@
         self.0.local_addr().unwrap()
     }
 
-    pub fn called(&self) -> Call {
+    pub fn accept(&self) -> Call {
         let stream = self.0.accept().unwrap().0;
         stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         Call(BufReader::new(stream))
     }
 
-    /// The next connection, with what is asked on it.
-    pub fn asked(&self) -> (Call, String) {
-        let mut call = self.called();
-        let path = call.asked();
+    /// The next connection, and the path of its first request.
+    pub fn accept_request(&self) -> (Call, String) {
+        let mut call = self.accept();
+        let path = call.read_request();
         (call, path)
     }
 }
 
 impl Call {
-    /// The path of the next question.
-    pub fn asked(&mut self) -> String {
+    /// The path of the next request.
+    pub fn read_request(&mut self) -> String {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
             assert!(self.0.read_line(&mut head).unwrap() > 0, "closed");
@@ -56,7 +55,7 @@
     }
 
     pub fn answer(&mut self, list: &Value) {
-        self.say(&answer(&list.to_string()));
+        self.say(&http_response(&list.to_string()));
     }
 
     pub fn reset(self) {
@@ -73,11 +72,11 @@
     }
 }
 
-pub fn answer(body: &str) -> String {
+pub fn http_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-pub fn list(seq: u64, lines: Vec<Value>) -> Value {
+pub fn full_list(seq: u64, lines: Vec<Value>) -> Value {
     json!({"seq": seq, "whole": true, "hosts": lines})
 }
 
@@ -85,30 +84,30 @@
     [Node::start("s-0"), Node::start("s-1")]
 }
 
-/// The first node drains, the other one is in service.
-pub fn drained(seq: u64, nodes: &[Node; 2]) -> Value {
-    list(seq, vec![nodes[0].line("draining"), nodes[1].line("ready")])
+/// A list in which the first node drains and the second is ready.
+pub fn first_node_draining(seq: u64, nodes: &[Node; 2]) -> Value {
+    full_list(seq, vec![nodes[0].line("draining"), nodes[1].line("ready")])
 }
 
-/// A broker that begins with the first node alone, and its first call.
-pub fn calling(nodes: &[Node; 2]) -> (Broker, Agent, Call) {
+/// A broker whose configured list has the first node only, and its first call.
+pub fn broker_awaiting_list(nodes: &[Node; 2]) -> (Broker, Agent, Call) {
     let agent = Agent::start();
     let broker = Broker::start(&config(agent.address(), vec![nodes[0].line("ready")]));
-    let (call, path) = agent.asked();
+    let (call, path) = agent.accept_request();
     assert_eq!(path, "/v1/endpoints");
     (broker, agent, call)
 }
 
-/// A broker whose agent has told it, as this version, that the first node alone is in service, and that watches now.
-pub fn watching(seq: u64, nodes: &[Node; 2]) -> (Broker, Agent, Call) {
-    let (broker, agent, mut call) = calling(nodes);
-    call.answer(&list(seq, vec![nodes[0].line("ready")]));
-    assert!(call.asked().starts_with(&format!("/v1/endpoints?index={seq}&wait=")));
+/// A broker that has received the first node alone as a list of this version, and now watches.
+pub fn broker_with_watch(seq: u64, nodes: &[Node; 2]) -> (Broker, Agent, Call) {
+    let (broker, agent, mut call) = broker_awaiting_list(nodes);
+    call.answer(&full_list(seq, vec![nodes[0].line("ready")]));
+    assert!(call.read_request().starts_with(&format!("/v1/endpoints?index={seq}&wait=")));
     (broker, agent, call)
 }
 
-/// Asks a few scans, all of which go to the second node and none to the first.
-pub fn only_the_second_serves(broker: &Broker, nodes: &[Node; 2]) {
+/// Sends a few queries; all parts go to the second node.
+pub fn assert_only_second_node_serves(broker: &Broker, nodes: &[Node; 2]) {
     let mut client = Client::to(broker);
     for i in 0..3 {
         assert_eq!(client.ask(&scan("find", &format!("c{i}"), &[0, 1], "2.0")).status, 200);
--- a/crates/dunepond-broker/tests/discovery.rs
+++ b/crates/dunepond-broker/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's calls broken at every moment, whole lists that leave nodes out, and a start without port or descriptors.
+//! Discovery calls that break at any point, nodes missing from complete lists, and startup without port or descriptors.
 
 mod agent;
 
@@ -13,45 +13,47 @@
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 
-use agent::{Agent, Call, IN_TIME, answer, calling, drained, list, nodes, only_the_second_serves, watching};
+use agent::{
+    Agent, Call, MAX_UPDATE_DELAY, assert_only_second_node_serves, broker_awaiting_list, broker_with_watch,
+    first_node_draining, full_list, http_response, nodes,
+};
 
-/// On a busy machine an answer may take longer than the next calls take to go out. Each of those would take just as
-/// long: were it ended for them, none would ever be heard.
+/// Guards against ending slow calls for newer ones, which would be just as slow.
 #[rstest]
 #[case::late(0)]
 #[case::in_its_head(20)]
 #[case::in_its_list(120)]
 fn slow_answer_accepted_beside_later_calls(#[case] at_first: usize) {
     let nodes = nodes();
-    let (broker, agent, mut slow) = calling(&nodes);
-    let text = answer(&drained(2, &nodes).to_string());
+    let (broker, agent, mut slow) = broker_awaiting_list(&nodes);
+    let text = http_response(&first_node_draining(2, &nodes).to_string());
     slow.say(&text[..at_first]);
-    let _beside: Vec<_> = (0..7).map(|_| agent.asked()).collect();
+    let _beside: Vec<_> = (0..7).map(|_| agent.accept_request()).collect();
     slow.say(&text[at_first..]);
-    assert!(slow.asked().contains("index=2&"));
-    only_the_second_serves(&broker, &nodes);
+    assert!(slow.read_request().contains("index=2&"));
+    assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// One that drips for ever keeps no call from going out, and has to make room itself.
+/// Guards against responses that drip for ever and take up all calls.
 #[test]
 fn endless_answers_are_replaced_by_new_calls() {
     let nodes = nodes();
-    let (broker, agent, mut call) = calling(&nodes);
+    let (broker, agent, mut call) = broker_awaiting_list(&nodes);
     let mut dripping = Vec::new();
     call.say("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n");
     for _ in 0..14 {
-        dripping.push(std::mem::replace(&mut call, agent.asked().0));
+        dripping.push(std::mem::replace(&mut call, agent.accept_request().0));
         call.say("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n");
         dripping.iter_mut().for_each(|call| call.say(" "));
     }
     dripping[..2].iter_mut().for_each(Call::wait_closed);
-    let (mut next, _) = agent.asked();
-    next.answer(&drained(2, &nodes));
-    assert!(next.asked().contains("index=2&"));
-    only_the_second_serves(&broker, &nodes);
+    let (mut next, _) = agent.accept_request();
+    next.answer(&first_node_draining(2, &nodes));
+    assert!(next.read_request().contains("index=2&"));
+    assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// However often the call that follows breaks in the same way, the list is had in time.
+/// The list is received in time although several calls in a row break in the same way.
 #[rstest]
 #[case::closed("", false)]
 #[case::reset("", true)]
@@ -62,35 +64,35 @@
 #[case::half_a_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\n{\"seq\":2,", false)]
 #[case::an_error("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", false)]
 #[case::an_empty_answer("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false)]
-#[case::spoilt("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"seq\":2;", false)]
+#[case::invalid_json("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"seq\":2;", false)]
 #[case::no_list("HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"seq\":2,\"whole\":true}", false)]
 #[case::no_http("what is this\r\n\r\n", false)]
-fn broken_calls_are_retried_in_time(#[case] said: &str, #[case] reset: bool) {
+fn broken_calls_are_retried_in_time(#[case] sent: &str, #[case] reset: bool) {
     let nodes = nodes();
-    let (broker, agent, mut call) = watching(1, &nodes);
+    let (broker, agent, mut call) = broker_with_watch(1, &nodes);
     let since = Instant::now();
     for _ in 0..4 {
-        call.say(said);
+        call.say(sent);
         if reset {
             call.reset();
         } else {
             drop(call);
         }
-        let (next, path) = agent.asked();
+        let (next, path) = agent.accept_request();
         assert_eq!(path, "/v1/endpoints");
         call = next;
     }
-    assert!(since.elapsed() < IN_TIME, "{:?}", since.elapsed());
-    call.answer(&drained(2, &nodes));
-    assert!(call.asked().contains("index=2&"));
-    only_the_second_serves(&broker, &nodes);
+    assert!(since.elapsed() < MAX_UPDATE_DELAY, "{:?}", since.elapsed());
+    call.answer(&first_node_draining(2, &nodes));
+    assert!(call.read_request().contains("index=2&"));
+    assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// Nobody listens at its address for a while; its versions begin anew with it.
+/// The agent is down for a while; its versions restart from 1.
 #[test]
 fn restarted_agent_is_followed_from_first_version() {
     let nodes = nodes();
-    let (broker, agent, call) = watching(41, &nodes);
+    let (broker, agent, call) = broker_with_watch(41, &nodes);
     let address = agent.address();
     drop((agent, call));
     while broker.said().matches("refused").count() < 4 {
@@ -98,110 +100,110 @@
     }
     let since = Instant::now();
     let agent = Agent(TcpListener::bind(address).unwrap());
-    let (mut call, path) = agent.asked();
+    let (mut call, path) = agent.accept_request();
     assert_eq!(path, "/v1/endpoints");
-    assert!(since.elapsed() < IN_TIME, "{:?}", since.elapsed());
-    call.answer(&drained(1, &nodes));
-    assert!(call.asked().contains("index=1&"));
-    only_the_second_serves(&broker, &nodes);
+    assert!(since.elapsed() < MAX_UPDATE_DELAY, "{:?}", since.elapsed());
+    call.answer(&first_node_draining(1, &nodes));
+    assert!(call.read_request().contains("index=1&"));
+    assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// Its old watch stays open and says nothing: a list that is older by its number is the newer one.
+/// The old watch stays open and silent; the list with the lower version is the newer one.
 #[test]
 fn restarted_agent_with_lower_versions_is_followed() {
     let nodes = nodes();
-    let (broker, agent, _silent) = watching(41, &nodes);
-    let (mut call, path) = agent.asked();
+    let (broker, agent, _silent) = broker_with_watch(41, &nodes);
+    let (mut call, path) = agent.accept_request();
     assert_eq!(path, "/v1/endpoints");
-    call.answer(&drained(1, &nodes));
-    assert!(call.asked().contains("index=1&"));
-    only_the_second_serves(&broker, &nodes);
+    call.answer(&first_node_draining(1, &nodes));
+    assert!(call.read_request().contains("index=1&"));
+    assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// It answers as it always did, but has begun anew: changes below what is held follow nothing, whatever they say.
+/// Changes of a lower version do not follow the list that is held.
 #[test]
 fn lower_version_change_triggers_full_list() {
     let nodes = nodes();
-    let (broker, agent, mut call) = watching(41, &nodes);
+    let (broker, agent, mut call) = broker_with_watch(41, &nodes);
     call.answer(&json!({"seq": 3, "whole": false, "hosts": []}));
-    let (mut call, path) = agent.asked();
+    let (mut call, path) = agent.accept_request();
     assert_eq!(path, "/v1/endpoints");
-    call.answer(&drained(3, &nodes));
-    assert!(call.asked().contains("index=3&"));
-    only_the_second_serves(&broker, &nodes);
+    call.answer(&first_node_draining(3, &nodes));
+    assert!(call.read_request().contains("index=3&"));
+    assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// What a line among changes wanted to tell is told by no watch again.
+/// A watch does not repeat the change of an invalid row.
 #[rstest]
 #[case::word("health", json!("drain"))]
 #[case::type_of("block", json!("0"))]
 #[case::address("dial", json!("here"))]
 fn invalid_row_in_change_triggers_full_list(#[case] key: &str, #[case] value: Value) {
     let nodes = nodes();
-    let (broker, _agent, mut call) = watching(1, &nodes);
-    let mut spoilt = nodes[0].line("draining");
-    spoilt[key] = value;
-    call.answer(&json!({"seq": 2, "whole": false, "hosts": [spoilt, nodes[1].line("ready")]}));
-    assert_eq!(call.asked(), "/v1/endpoints");
-    call.answer(&drained(2, &nodes));
-    assert!(call.asked().contains("index=2&"));
-    only_the_second_serves(&broker, &nodes);
+    let (broker, _agent, mut call) = broker_with_watch(1, &nodes);
+    let mut invalid = nodes[0].line("draining");
+    invalid[key] = value;
+    call.answer(&json!({"seq": 2, "whole": false, "hosts": [invalid, nodes[1].line("ready")]}));
+    assert_eq!(call.read_request(), "/v1/endpoints");
+    call.answer(&first_node_draining(2, &nodes));
+    assert!(call.read_request().contains("index=2&"));
+    assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// The whole list may be spoilt for good in that line: it is asked for once more, and then lived with.
+/// The row may stay invalid: the list is requested once more and then accepted without it.
 #[test]
 fn full_list_with_invalid_row_requested_once_more() {
     let nodes = nodes();
-    let (broker, _agent, mut call) = calling(&nodes);
-    let mut spoilt = nodes[0].line("ready");
-    spoilt["health"] = json!("asleep");
-    let all = list(5, vec![spoilt, nodes[1].line("ready")]);
+    let (broker, _agent, mut call) = broker_awaiting_list(&nodes);
+    let mut invalid = nodes[0].line("ready");
+    invalid["health"] = json!("asleep");
+    let all = full_list(5, vec![invalid, nodes[1].line("ready")]);
     call.answer(&all);
-    assert_eq!(call.asked(), "/v1/endpoints");
+    assert_eq!(call.read_request(), "/v1/endpoints");
     call.answer(&all);
-    assert!(call.asked().contains("index=5&"));
-    only_the_second_serves(&broker, &nodes);
+    assert!(call.read_request().contains("index=5&"));
+    assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// Both are there when the broker gets to run again: the answer of the agent that it leaves is not the new one's.
+/// Guards against taking a response of the old agent for one of the new, if both are ready after a stall.
 #[test]
 fn old_agent_answer_holds_until_new_agent_answers() {
     let nodes = nodes();
-    let (broker, _old, mut call) = watching(41, &nodes);
+    let (broker, _old, mut call) = broker_with_watch(41, &nodes);
     broker.signal("STOP");
     let stat = format!("/proc/{}/stat", broker.pid());
     while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
         std::thread::yield_now();
     }
-    call.answer(&list(42, vec![nodes[0].line("ready"), nodes[1].line("ready")]));
+    call.answer(&full_list(42, vec![nodes[0].line("ready"), nodes[1].line("ready")]));
     let new = Agent::start();
     broker.reread(&config(new.address(), vec![]));
     broker.signal("CONT");
-    let (mut at_new, path) = new.asked();
+    let (mut at_new, path) = new.accept_request();
     assert_eq!(path, "/v1/endpoints");
-    at_new.answer(&drained(1, &nodes));
-    assert!(at_new.asked().contains("index=1&"));
+    at_new.answer(&first_node_draining(1, &nodes));
+    assert!(at_new.read_request().contains("index=1&"));
     call.wait_closed();
-    only_the_second_serves(&broker, &nodes);
+    assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// Nothing answers the attempt to connect, as when a machine has vanished: its queue is full. Gives who fills it, too.
-fn vanished() -> (TcpListener, SocketAddr, Vec<SocketAddr>) {
+/// A listener with a full accept queue, so that connecting hangs, and the addresses of the connections that fill it.
+fn unreachable_listener() -> (TcpListener, SocketAddr, Vec<SocketAddr>) {
     let full = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     full.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     full.listen(0).unwrap();
     let address = full.local_addr().unwrap().as_socket().unwrap();
     let connect = |_| TcpStream::connect_timeout(&address, Duration::from_millis(50)).ok();
-    // Those that came up lie in the queue after their end, too.
+    // Closed connections stay in the queue.
     let fill = (0..3).filter_map(connect).map(|stream| stream.local_addr().unwrap()).collect();
     (full.into(), address, fill)
 }
 
-/// What a whole list does not name has gone, also where its connection is only coming up: what waits for that goes
-/// elsewhere, and nothing is written once it is up.
+/// A node that a complete list does not name is removed while its connection is being established: its parts go elsewhere, and nothing
+/// is written once it is up.
 #[test]
 fn connecting_parts_leave_unlisted_node() {
-    let (full, address, fill) = vanished();
+    let (full, address, fill) = unreachable_listener();
     let nodes = nodes();
     let mut late = nodes[0].line("ready");
     late["dial"] = json!(address.to_string());
@@ -216,27 +218,27 @@
     nodes[1].wait_for('A', 1);
     list.tell(vec![nodes[1].line("ready")]);
     assert!(clients.iter_mut().all(|client| client.answer().unwrap().status == 200));
-    // There is room in its queue now: the connection comes up with the system's next try, after a second.
+    // Once the queue has room the connection is established by the next SYN, after a second.
     let mut came =
         std::iter::repeat_with(|| full.accept().unwrap()).find(|(_, peer)| !fill.contains(peer)).unwrap().0;
     came.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     assert_eq!(came.read(&mut [0; 100]).unwrap(), 0);
 }
 
-/// So many descriptors as a broker may have here, and more idle clients than that: they fill it again and again.
+/// A broker's descriptors in these tests, and more idle clients than that.
 const DESCRIPTORS: usize = 40;
-const CROWD: usize = 300;
+const IDLE_CLIENTS: usize = 300;
 
-/// A broker that may have no more descriptors than it has, although it was told that it may have far more.
-fn crowded(nodes: &[Node; 2]) -> (Broker, Agent, Call, Client, Vec<TcpStream>) {
+/// A broker whose descriptors are used up by idle clients, although its configuration allows for more.
+fn broker_without_descriptors(nodes: &[Node; 2]) -> (Broker, Agent, Call, Client, Vec<TcpStream>) {
     let agent = Agent::start();
     let known = vec![nodes[0].line("ready")];
     let broker = Broker::start_with_descriptors(DESCRIPTORS, &config(agent.address(), known));
-    let (mut call, _) = agent.asked();
-    call.answer(&list(1, vec![nodes[0].line("ready")]));
-    call.asked();
+    let (mut call, _) = agent.accept_request();
+    call.answer(&full_list(1, vec![nodes[0].line("ready")]));
+    call.read_request();
     let first = Client::to(&broker);
-    let crowd = (0..CROWD).map(|_| TcpStream::connect(broker.address).unwrap()).collect();
+    let crowd = (0..IDLE_CLIENTS).map(|_| TcpStream::connect(broker.address).unwrap()).collect();
     let folder = format!("/proc/{}/fd", broker.pid());
     while std::fs::read_dir(&folder).unwrap().count() < DESCRIPTORS {
         std::thread::yield_now();
@@ -244,33 +246,32 @@
     (broker, agent, call, first, crowd)
 }
 
-/// Discovery goes down while clients that ask nothing hold all descriptors, and more of them wait to be taken in.
+/// Discovery's connection breaks while idle clients hold all descriptors and more wait to be accepted.
 #[test]
 fn discovery_call_frees_descriptor() {
     let nodes = nodes();
-    let (broker, agent, call, first, crowd) = crowded(&nodes);
+    let (broker, agent, call, first, crowd) = broker_without_descriptors(&nodes);
     let since = Instant::now();
     drop(call);
-    let (mut call, path) = agent.asked();
+    let (mut call, path) = agent.accept_request();
     assert_eq!(path, "/v1/endpoints");
     assert!(since.elapsed() < Duration::from_secs(1), "{:?}", since.elapsed());
-    call.answer(&drained(2, &nodes));
-    assert!(call.asked().contains("index=2&"));
+    call.answer(&first_node_draining(2, &nodes));
+    assert!(call.read_request().contains("index=2&"));
     drop((first, crowd));
-    only_the_second_serves(&broker, &nodes);
+    assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// Nor may the nodes be out of reach for them.
 #[test]
 fn node_connection_frees_descriptor() {
     let nodes = nodes();
-    let (_broker, _agent, _call, mut first, _crowd) = crowded(&nodes);
+    let (_broker, _agent, _call, mut first, _crowd) = broker_without_descriptors(&nodes);
     assert_eq!(first.ask(&scan("fix", "c1", &[0], "2.0")).status, 200);
     assert_eq!(nodes[0].frames('A').len(), 1);
 }
 
-/// A new process whose port is still held, and what it goes on to say.
-fn waits_for_its_port(
+/// A new process whose port is still held, and its further log lines.
+fn broker_awaiting_port(
     at: SocketAddr,
     nodes: &[Node; 2],
 ) -> (List, Child, PathBuf, impl Iterator<Item = String>) {
@@ -283,13 +284,13 @@
     (list, child, file, lines)
 }
 
-/// An old process may still be on its way to its end when the new one begins: until it is killed at the latest.
+/// The old process may still be shutting down.
 #[test]
 fn waits_for_port_held_by_old_process() {
     let nodes = nodes();
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = held.local_addr().unwrap();
-    let (_list, mut child, file, mut lines) = waits_for_its_port(at, &nodes);
+    let (_list, mut child, file, mut lines) = broker_awaiting_port(at, &nodes);
     drop(held);
     assert!(lines.any(|line| line.contains("listening on")));
     assert_eq!(Client::dial(at).ask("GET /ready HTTP/1.1\r\n\r\n").status, 200);
@@ -298,44 +299,42 @@
     std::fs::remove_file(file).unwrap();
 }
 
-/// Nine in ten restarted brokers are to be ready so soon, on the shortest of days.
-const READY: Duration = Duration::from_secs(6);
+/// Longest time until a restarted broker is ready.
+const MAX_STARTUP_TIME: Duration = Duration::from_secs(6);
 
-/// Asks whether it is ready, on a connection that finds the queue full and comes up once there is room.
-fn asks_at_a_full_queue(at: SocketAddr) -> std::thread::JoinHandle<u16> {
-    let asks = std::thread::spawn(move || Client::dial(at).ask("GET /ready HTTP/1.1\r\n\r\n").status);
+/// Sends a readiness request on a connection that is established once the accept queue has room.
+fn send_to_full_queue(at: SocketAddr) -> std::thread::JoinHandle<u16> {
+    let readiness = std::thread::spawn(move || Client::dial(at).ask("GET /ready HTTP/1.1\r\n\r\n").status);
     let remote = format!("{:08X}:{:04X} 02", u32::from_le_bytes([127, 0, 0, 1]), at.port());
     while !std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&remote) {
         std::thread::yield_now();
     }
-    asks
+    readiness
 }
 
-/// Connections that ask nothing, until one more does not come up.
-fn fill(at: SocketAddr) -> Vec<TcpStream> {
+/// Idle connections until the accept queue is full.
+fn fill_accept_queue(at: SocketAddr) -> Vec<TcpStream> {
     let open = || TcpStream::connect_timeout(&at, Duration::from_millis(200)).ok();
     std::iter::from_fn(open).collect()
 }
 
-/// A queue full of connections that ask nothing is before whoever asks.
 #[test]
 fn ready_in_time_behind_full_accept_queue() {
     let nodes = nodes();
-    let (broker, _agent, _call) = watching(1, &nodes);
+    let (broker, _agent, _call) = broker_with_watch(1, &nodes);
     broker.signal("STOP");
     let stat = format!("/proc/{}/stat", broker.pid());
     while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
         std::thread::yield_now();
     }
-    let _silent = fill(broker.address);
-    let asks = asks_at_a_full_queue(broker.address);
+    let _silent = fill_accept_queue(broker.address);
+    let readiness = send_to_full_queue(broker.address);
     broker.signal("CONT");
     let since = Instant::now();
-    assert_eq!(asks.join().unwrap(), 200);
-    assert!(since.elapsed() < READY, "{:?}", since.elapsed());
+    assert_eq!(readiness.join().unwrap(), 200);
+    assert!(since.elapsed() < MAX_STARTUP_TIME, "{:?}", since.elapsed());
 }
 
-/// The queue is that of the old process, which still holds the port.
 #[test]
 fn ready_in_time_behind_old_process_accept_queue() {
     let nodes = nodes();
@@ -343,14 +342,14 @@
     held.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     held.listen(8).unwrap();
     let at = held.local_addr().unwrap().as_socket().unwrap();
-    let (_list, mut child, file, mut lines) = waits_for_its_port(at, &nodes);
-    let _silent = fill(at);
-    let asks = asks_at_a_full_queue(at);
+    let (_list, mut child, file, mut lines) = broker_awaiting_port(at, &nodes);
+    let _silent = fill_accept_queue(at);
+    let readiness = send_to_full_queue(at);
     let since = Instant::now();
     drop(held);
     assert!(lines.any(|line| line.contains("listening on")));
-    assert_eq!(asks.join().unwrap(), 200);
-    assert!(since.elapsed() < READY, "{:?}", since.elapsed());
+    assert_eq!(readiness.join().unwrap(), 200);
+    assert!(since.elapsed() < MAX_STARTUP_TIME, "{:?}", since.elapsed());
     child.kill().unwrap();
     child.wait().unwrap();
     std::fs::remove_file(file).unwrap();
@@ -362,14 +361,14 @@
     let mut config = config("127.0.0.1:1".parse().unwrap(), vec![]);
     config["listen"] = json!(held.local_addr().unwrap().to_string());
     let (mut child, file) = launch(&config);
-    let mut said = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
+    let mut sent = String::new();
+    child.stderr.take().unwrap().read_to_string(&mut sent).unwrap();
     assert!(!child.wait().unwrap().success());
     std::fs::remove_file(file).unwrap();
-    assert!(said.lines().last().is_some_and(|line| line.contains("GW_LISTEN")), "{said}");
+    assert!(sent.lines().last().is_some_and(|line| line.contains("GW_LISTEN")), "{sent}");
 }
 
-/// Nothing known and nobody to ask: it says so, and is ready with the first list.
+/// Without any list readiness is refused until discovery answers.
 #[rstest]
 #[case::no_list(Value::Null)]
 #[case::no_nodes(json!({"seq": 1, "whole": true, "hosts": []}))]
@@ -379,19 +378,18 @@
     let mut config = config(agent.address(), vec![]);
     config["known"] = known;
     let broker = Broker::start(&config);
-    let _silent = agent.asked();
+    let _silent = agent.accept_request();
     let mut client = Client::to(&broker);
     assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").status, 503);
     let since = Instant::now();
-    let (mut call, _) = agent.asked();
-    call.answer(&drained(1, &nodes));
-    call.asked();
+    let (mut call, _) = agent.accept_request();
+    call.answer(&first_node_draining(1, &nodes));
+    call.read_request();
     assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").status, 200);
-    assert!(since.elapsed() < IN_TIME, "{:?}", since.elapsed());
+    assert!(since.elapsed() < MAX_UPDATE_DELAY, "{:?}", since.elapsed());
 }
 
-/// Its port takes connections in from its first moment, whoever is told of it: who asks there has a time of its own, and
-/// is told to come again before that is up, by an agent that stays silent or not.
+/// Connections are accepted by the system before the first list; their requests are rejected within their own deadlines.
 #[test]
 fn query_before_first_list_rejected_in_time() {
     let nodes = nodes();
@@ -400,11 +398,11 @@
     config["settings"]["services"][1]["deadlineMs"] = json!(600.0);
     config["settings"]["services"][1]["aimMs"] = json!(300.0);
     let broker = Broker::start(&config);
-    let (mut call, _) = agent.asked();
+    let (mut call, _) = agent.accept_request();
     let mut client = Client::to(&broker);
     assert_eq!(client.ask(&scan("fix", "c1", &[0], "0.6")).status, 429);
-    call.answer(&drained(2, &nodes));
-    assert!(call.asked().contains("index=2&"));
+    call.answer(&first_node_draining(2, &nodes));
+    assert!(call.read_request().contains("index=2&"));
     assert_eq!(client.ask(&scan("fix", "c2", &[0], "0.6")).status, 200);
     assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (0, 1));
 }
--- /dev/null
+++ b/crates/dunepond-broker/tests/handover/queued.rs
@@ -0,0 +1,96 @@
+//! Parts that are partly written, or queued behind such a frame.
+
+use std::io::Read;
+use std::time::Duration;
+
+use dunepond_testkit::store::{Client, Node, scan};
+use serde_json::json;
+
+use crate::harness::{BlockedNode, ManualNode, disconnect, start_broker};
+
+/// Guards against a budget that does not count the time in the queue.
+#[test]
+fn queued_part_carries_remaining_budget() {
+    let mut blocked = BlockedNode::start_broker("find", &[("/settings/ceilings/secondCopies", json!(false))]);
+    let waits = Duration::from_millis(500);
+    std::thread::sleep(waits);
+    let (first, second) = (blocked.connection.read_part(), blocked.connection.read_part());
+    assert!(second.wait + waits <= first.wait + Duration::from_millis(20), "{first:?} {second:?}");
+    blocked.connection.serve(&first);
+    blocked.connection.serve(&second);
+    assert_eq!((blocked.first.answer().unwrap().status, blocked.second.answer().unwrap().status), (200, 200));
+}
+
+/// The last byte of neither frame was written, so that both may be retried.
+#[test]
+fn partly_written_and_queued_parts_never_ran_at_reset() {
+    let mut blocked = BlockedNode::start_broker("fix", &[]);
+    let node = blocked.add_node("ready");
+    blocked.connection.reset();
+    assert_eq!((blocked.first.answer().unwrap().status, blocked.second.answer().unwrap().status), (200, 200));
+    assert_eq!(node.frames('A').len(), 2);
+}
+
+/// It may have run.
+#[test]
+fn fully_written_part_not_resent_after_reset() {
+    let (manual, node) = (ManualNode::start(), Node::start("s-1"));
+    let (broker, list) = start_broker(vec![manual.row("s-0", "ready")], &[]);
+    list.wait_read();
+    let mut client = Client::to(&broker);
+    client.send(&scan("fix", "c1", &[0], "2.5"));
+    let mut connection = manual.accept();
+    connection.read_part();
+    list.tell(vec![manual.row("s-0", "ready"), node.line("ready")]);
+    list.wait_read();
+    connection.reset();
+    assert_eq!(client.answer().unwrap().status, 502);
+    assert_eq!(node.frames('A').len(), 0);
+}
+
+/// A draining node gets the rest of a frame, and no new one.
+#[test]
+fn queued_part_leaves_draining_node() {
+    let mut blocked = BlockedNode::start_broker("fix", &[]);
+    let node = blocked.add_node("draining");
+    assert_eq!(blocked.second.answer().unwrap().status, 200);
+    assert_eq!(node.frames('A').len(), 1);
+    let first = blocked.connection.read_part();
+    assert_eq!(first.id, "c1.0");
+    blocked.connection.serve(&first);
+    assert_eq!(blocked.first.answer().unwrap().status, 200);
+    drop(blocked.broker);
+    assert!(blocked.connection.read_to_close().is_empty());
+}
+
+/// Guards against closing a connection, and losing the frame ahead, to withdraw a queued part.
+#[test]
+fn queued_part_of_disconnected_client_spares_frame_ahead() {
+    let mut blocked = BlockedNode::start_broker("fix", &[]);
+    disconnect([blocked.second]);
+    let first = blocked.connection.read_part();
+    blocked.connection.serve(&first);
+    assert_eq!(blocked.first.answer().unwrap().status, 200);
+    drop(blocked.broker);
+    assert!(blocked.connection.read_to_close().is_empty());
+}
+
+/// The last byte of neither frame was written: the clients may retry.
+#[test]
+fn partly_written_and_queued_parts_refused_at_last_answers() {
+    let mut blocked = BlockedNode::start_broker("fix", &[]);
+    assert_eq!((blocked.first.answer().unwrap().status, blocked.second.answer().unwrap().status), (429, 429));
+    let mut length = [0; 4];
+    blocked.connection.0.read_exact(&mut length).unwrap();
+    assert!(blocked.connection.read_to_close().len() < u32::from_be_bytes(length) as usize);
+}
+
+/// Without cancellation nothing is withdrawn at a node, but a frame without a client is not completed.
+#[test]
+fn partly_written_part_aborted_on_client_disconnect() {
+    let mut blocked = BlockedNode::start_broker("fix", &[("/settings/ceilings/cancel", json!(false))]);
+    disconnect([blocked.first, blocked.second]);
+    let mut length = [0; 4];
+    blocked.connection.0.read_exact(&mut length).unwrap();
+    assert!(blocked.connection.read_to_close().len() < u32::from_be_bytes(length) as usize);
+}
--- a/crates/dunepond-broker/tests/held_up.rs
+++ b/crates/dunepond-broker/tests/held_up.rs
@@ -1,7 +1,4 @@
-//! The search for what could hold a broker up across its shutdown, as in `kill.rs`, found two calls of the loop that wait
-//! for others without end: reading the configuration at SIGHUP, and writing a line of the log. A broker whose configuration
-//! lay in a file that could not be read answered nobody any more, and went on through SIGTERM up to the kill; so did one
-//! whose log nobody read, once 64 KiB of it were waiting.
+//! Guards against a blocked event loop: by a configuration file that cannot be read at SIGHUP, and by a log pipe that is not read.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -10,18 +7,18 @@
 
 use dunepond_testkit::store::{Broker, Client, List, Node, config, launch_by, program, scan};
 
-/// A request's time, and how long its answer is awaited.
-const BUDGET: &str = "1.0";
-const AWAITED: Duration = Duration::from_secs(2);
-/// Requests whose lines, with all that is logged, come to several times what a pipe holds.
+/// A request's deadline, and how long its answer is awaited.
+const BUDGET_SECONDS: &str = "1.0";
+const MAX_WAIT: Duration = Duration::from_secs(2);
+/// Requests whose log lines exceed the size of a pipe several times.
 const REQUESTS: usize = 2_000;
 
 fn status(client: &mut Client, id: &str) -> Option<u16> {
-    client.stream.set_read_timeout(Some(AWAITED)).unwrap();
-    client.try_ask(&scan("find", id, &[1], BUDGET)).map(|answer| answer.status)
+    client.stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
+    client.try_ask(&scan("find", id, &[1], BUDGET_SECONDS)).map(|answer| answer.status)
 }
 
-/// Its file is a pipe that nobody writes to.
+/// The file is a pipe without a writer.
 #[test]
 fn unreadable_config_does_not_block() {
     let nodes = [Node::start("s-0")];
@@ -33,7 +30,7 @@
     broker.signal("HUP");
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(status(&mut client, "c2"), Some(200));
-    // Another one while that is still being read, and the end.
+    // Another reload while the first is still reading, and the shutdown.
     broker.signal("HUP");
     broker.signal("TERM");
     assert_eq!(status(&mut client, "c3"), Some(200));
@@ -41,14 +38,14 @@
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-struct Unread {
+struct BrokerWithUnreadLog {
     child: Child,
     address: SocketAddr,
-    /// What it writes its log to; nothing more is read of it.
+    /// Its log, which is no longer read.
     _log: BufReader<std::process::ChildStderr>,
 }
 
-impl Unread {
+impl BrokerWithUnreadLog {
     fn start(list: &List, nodes: &[Node]) -> Self {
         let lines = nodes.iter().map(|node| node.line("ready")).collect();
         let (mut child, _file) = launch_by(Command::new(program()), &config(list.address, lines));
@@ -63,7 +60,7 @@
     }
 }
 
-impl Drop for Unread {
+impl Drop for BrokerWithUnreadLog {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -74,7 +71,7 @@
 fn unread_log_does_not_block() {
     let nodes = [Node::start("s-0")];
     let list = List::start(vec![nodes[0].line("ready")]);
-    let broker = Unread::start(&list, &nodes);
+    let broker = BrokerWithUnreadLog::start(&list, &nodes);
     let mut client = Client::dial(broker.address);
     for number in 0..REQUESTS {
         assert_eq!(status(&mut client, &format!("c{number}")), Some(200), "{number}");
--- a/crates/dunepond-broker/tests/shutdown.rs
+++ b/crates/dunepond-broker/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! What crosses the way from SIGTERM to the end, and signals that come at a bad moment.
+//! Graceful shutdown, and signals at unfavourable moments.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Write};
@@ -16,8 +16,8 @@
 
 const READY: &str = "GET /ready HTTP/1.1\r\n\r\n";
 
-/// Asks on new connections until an answer is as wanted: a step of the way to the end has been reached.
-fn until(broker: &Broker, what: &str, wanted: impl Fn(&dunepond_testkit::store::Answer) -> bool) {
+/// Sends requests on new connections until an answer shows that a stage of the shutdown has been reached.
+fn wait_for_answer(broker: &Broker, what: &str, wanted: impl Fn(&dunepond_testkit::store::Answer) -> bool) {
     let start = Instant::now();
     while !wanted(&Client::to(broker).ask(READY)) {
         assert!(start.elapsed() < Duration::from_secs(5), "never {what}");
@@ -25,41 +25,41 @@
     }
 }
 
-fn wait_for_shutdown_request(broker: &Broker) {
+fn signal_shutdown(broker: &Broker) {
     broker.signal("TERM");
-    until(broker, "told to end", |answer| answer.status == 503);
+    wait_for_answer(broker, "told to end", |answer| answer.status == 503);
 }
 
-fn closing(broker: &Broker) {
-    until(broker, "closing with answers", |answer| answer.head.contains("Connection: close"));
+fn wait_until_closing(broker: &Broker) {
+    wait_for_answer(broker, "closing with answers", |answer| answer.head.contains("Connection: close"));
 }
 
-/// Waits until the connection is at its end; how it ends.
-fn end_of(client: &mut Client) -> std::io::Result<usize> {
+/// Waits for the end of the connection.
+fn read_to_end(client: &mut Client) -> std::io::Result<usize> {
     client.stream.read_to_end(&mut Vec::new())
 }
 
-/// A pipe in place of a file: whoever opens it waits for the other side.
-fn fifo(path: &Path) {
+/// A pipe in place of a file: opening it blocks until the other side does.
+fn make_fifo(path: &Path) {
     let _ = std::fs::remove_file(path);
     assert!(Command::new("mkfifo").arg(path).status().unwrap().success());
 }
 
-fn writer(path: &Path) -> File {
+fn open_for_writing(path: &Path) -> File {
     OpenOptions::new().write(true).open(path).unwrap()
 }
 
-/// The program is at its first act, reading its configuration, and is held there while it is signalled.
-fn signalled_at_its_first_moment(config: &Value, signal: &str) -> Broker {
+/// Signals the program while it waits for its configuration, the first thing that it does.
+fn start_signalled(config: &Value, signal: &str) -> Broker {
     let path = scratch("json");
-    fifo(&path);
+    make_fifo(&path);
     let mut command = Command::new(program());
     command.env_clear().env("GW_CONFIG", &path).stdin(Stdio::null()).stderr(Stdio::piped());
     let child = command.spawn().unwrap();
-    let mut held = writer(&path);
+    let mut held = open_for_writing(&path);
     let kill = format!("kill -{signal} {}", child.id());
     assert!(Command::new("/bin/sh").args(["-c", &kill]).status().unwrap().success());
-    // Read again, it is a file like others.
+    // A reload finds a regular file.
     let file = scratch("json");
     std::fs::write(&file, config.to_string()).unwrap();
     std::fs::rename(&file, &path).unwrap();
@@ -68,12 +68,12 @@
     Broker::started((child, path))
 }
 
-/// By default SIGHUP kills: a new configuration that crosses a start would be a crash.
+/// Guards against the default handling of SIGHUP, which kills a process that is still starting.
 #[test]
 fn sighup_at_startup_is_handled() {
     let nodes = [Node::start("s-0")];
     let list = List::start(vec![nodes[0].line("ready")]);
-    let broker = signalled_at_its_first_moment(&config(list.address, vec![]), "HUP");
+    let broker = start_signalled(&config(list.address, vec![]), "HUP");
     list.wait_read();
     assert_eq!(Client::to(&broker).ask(&scan("find", "c1", &[1], "2.0")).status, 200);
 }
@@ -82,12 +82,11 @@
 fn sigterm_at_startup_shuts_down_gracefully(#[values("TERM", "INT")] signal: &str) {
     let nodes = [Node::start("s-0")];
     let list = List::start(vec![nodes[0].line("ready")]);
-    let mut broker = signalled_at_its_first_moment(&config(list.address, vec![]), signal);
+    let mut broker = start_signalled(&config(list.address, vec![]), signal);
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// It came while the program was still being loaded, when nothing of the program runs: who starts it closes this gap by
-/// blocking the signal, as a process hands its mask and what is pending down to the one that it becomes.
+/// A signal during exec. The supervisor blocks it, and mask and pending signals are inherited.
 #[rstest]
 #[case::hup(libc::SIGHUP, None)]
 #[case::term(libc::SIGTERM, Some(0))]
@@ -116,30 +115,30 @@
     assert!(broker.said().contains("configuration reloaded"));
 }
 
-/// They were written whole to a connection that stays open: all are taken.
+/// Requests that were completely received before the close are accepted.
 #[test]
 fn pipelined_requests_answered_during_shutdown() {
     let nodes = [Node::start("s-0")];
     nodes[0].behave(Manner::After(1500));
-    // With time for what waits behind it.
+    // With time for the queued requests.
     let (mut broker, _list) = Broker::before_changed(&nodes, |config| set_timeouts(config, 3000.0));
     let mut client = Client::to(&broker);
     client.send(&["c1", "c2", "c3"].map(|id| scan("find", id, &[1], "3.0")).concat());
     nodes[0].wait_for('A', 1);
-    wait_for_shutdown_request(&broker);
-    closing(&broker);
+    signal_shutdown(&broker);
+    wait_until_closing(&broker);
     nodes[0].behave(Manner::Serve);
     let answers: Vec<_> = (0..3).map_while(|_| client.answer()).collect();
     let closes: Vec<_> = answers.iter().map(|answer| answer.head.contains("Connection: close")).collect();
     assert_eq!(closes, [false, false, true]);
-    // What has little time left may be told to come again.
+    // With little time left a request may be rejected.
     assert!(answers.iter().all(|answer| matches!(answer.status, 200 | 429)), "{answers:?}");
-    assert_eq!(end_of(&mut client).unwrap(), 0);
+    assert_eq!(read_to_end(&mut client).unwrap(), 0);
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// More than the connection takes was answered or asked when it was told to end.
+/// Requests and answers exceed the connection's buffers at the signal.
 #[test]
 fn slow_reader_gets_all_answers_after_shutdown() {
     let nodes = [Node::start("s-0")];
@@ -156,8 +155,8 @@
     let mut sender = client.stream.try_clone().unwrap();
     let sending = thread::spawn(move || sender.write_all(requests.concat().as_bytes()).is_ok());
     nodes[0].wait_for('A', 20);
-    wait_for_shutdown_request(&broker);
-    closing(&broker);
+    signal_shutdown(&broker);
+    wait_until_closing(&broker);
     let mut taken = 0;
     while let Some(answer) = client.answer() {
         assert_eq!((answer.status, answer.body["finished"].clone()), (200, json!(true)));
@@ -171,7 +170,7 @@
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// It missed the first step of the way to its end.
+/// The process stalls through the first stage.
 #[test]
 fn stall_past_first_stage_still_closes_with_answers() {
     let nodes = [Node::start("s-0")];
@@ -179,7 +178,7 @@
     let mut client = Client::to(&broker);
     assert_eq!(client.ask(&scan("find", "c1", &[1], "2.0")).status, 200);
     let start = Instant::now();
-    wait_for_shutdown_request(&broker);
+    signal_shutdown(&broker);
     broker.signal("STOP");
     client.send(&scan("find", "c2", &[1], "2.0"));
     thread::sleep(Duration::from_millis(800).saturating_sub(start.elapsed()));
@@ -191,25 +190,25 @@
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// The kill comes by the longest query timeout, so sooner where that is short.
+/// The kill depends on the longest query timeout.
 #[rstest]
 #[case::connected("", 0.1, 0.85)]
-#[case::resting(READY, 0.1, 0.85)]
-#[case::half("POST /find HTTP/1.1\r\nX-Call-Id: c0\r\nContent-Length: 9\r\n\r\nhalf", 0.5, 1.8)]
-fn exits_before_kill_with_short_timeouts(#[case] said: &str, #[case] timeout: f64, #[case] ended: f64) {
+#[case::idle(READY, 0.1, 0.85)]
+#[case::partial_request("POST /find HTTP/1.1\r\nX-Call-Id: c0\r\nContent-Length: 9\r\n\r\nhalf", 0.5, 1.8)]
+fn exits_before_kill_with_short_timeouts(#[case] sent: &str, #[case] timeout: f64, #[case] max_seconds: f64) {
     let nodes = [Node::start("s-0")];
     let (mut broker, _list) = Broker::before_changed(&nodes, |config| set_timeouts(config, 1000.0 * timeout));
     let mut client = Client::to(&broker);
-    client.send(said);
-    wait_for_shutdown_request(&broker);
+    client.send(sent);
+    signal_shutdown(&broker);
     let start = Instant::now();
-    assert!(end_of(&mut client).is_ok());
+    assert!(read_to_end(&mut client).is_ok());
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
-    assert!(start.elapsed() < Duration::from_secs_f64(ended), "{:?}", start.elapsed());
+    assert!(start.elapsed() < Duration::from_secs_f64(max_seconds), "{:?}", start.elapsed());
 }
 
-/// By the page no more than three seconds of them count towards the kill.
+/// At most three seconds of the timeout count towards the kill.
 #[test]
 fn in_flight_answered_before_kill_with_long_timeouts() {
     let nodes = [Node::start("s-0")];
@@ -219,7 +218,7 @@
     let ask = |client: &mut Client, id| client.send(&scan("fix", id, &[1], "59.0"));
     ask(&mut clients[0], "c1");
     nodes[0].wait_for('A', 1);
-    wait_for_shutdown_request(&broker);
+    signal_shutdown(&broker);
     let start = Instant::now();
     ask(&mut clients[1], "c2");
     let answers: Vec<_> =
@@ -230,8 +229,7 @@
     assert!(start.elapsed() < Duration::from_secs_f64(3.7), "{:?}", start.elapsed());
 }
 
-/// Several brokers before the same nodes, each with requests out at nodes that answer and at such that do not, and more that
-/// come in the moment of the signal.
+/// Three brokers with attempts at nodes that answer and at nodes that hang, and requests that arrive at the signal.
 #[test]
 fn simultaneous_shutdown_with_hung_nodes_answers_all() {
     let nodes: Vec<_> = (0..4).map(|i| Node::start(&format!("s-{i}"))).collect();
@@ -263,16 +261,16 @@
     assert_eq!(brokers.iter_mut().map(Broker::exit_code).collect::<Vec<_>>(), [Some(0); 3]);
 }
 
-/// All it took is answered: there is nothing to wait for up to the kill.
+/// With all requests answered there is nothing to wait for.
 #[test]
 fn lingering_client_does_not_delay_exit() {
     let nodes = [Node::start("s-0")];
     nodes[0].behave(Manner::Hang);
     let (mut broker, _list) = Broker::before_changed(&nodes, |config| set_timeouts(config, 500.0));
     let mut client = Client::to(&broker);
-    wait_for_shutdown_request(&broker);
+    signal_shutdown(&broker);
     let start = Instant::now();
-    closing(&broker);
+    wait_until_closing(&broker);
     assert!(client.ask(&scan("fix", "c1", &[1], "3.0")).status >= 429);
     assert_eq!(broker.exit_code(), Some(0));
     assert!(start.elapsed() < Duration::from_secs_f64(1.7), "{:?}", start.elapsed());
@@ -286,8 +284,8 @@
     let mut client = Client::to(&broker);
     client.send(&scan("find", "c1", &[1], "3.0"));
     nodes[0].wait_for('A', 1);
-    wait_for_shutdown_request(&broker);
-    closing(&broker);
+    signal_shutdown(&broker);
+    wait_until_closing(&broker);
     broker.signal("TERM");
     broker.signal("INT");
     assert_eq!(client.answer().unwrap().status, 200);
@@ -295,7 +293,7 @@
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// Accepting is held until the list has come: who waits meanwhile is answered before the end.
+/// Accepting waits for the first list when the signal comes.
 #[test]
 fn request_awaiting_first_list_answered_after_sigterm() {
     let nodes = [Node::start("s-0")];
@@ -306,14 +304,14 @@
     let mut client = Client::to(&broker);
     client.send(&scan("find", "c1", &[1], "3.0"));
     broker.signal("TERM");
-    // No list is in force yet: it may be told to come again.
+    // No list is in force yet: it may be rejected.
     let answer = client.answer().expect("an answer");
     assert!(matches!(answer.status, 200 | 429) && answer.head.contains("Connection: close"), "{answer:?}");
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// They came all at once, while it stood still: with no room for them, none has to go that has asked.
+/// Guards against closing connections with unread requests to make room for a burst after a stall.
 #[test]
 fn burst_over_limit_is_answered() {
     let nodes = [Node::start("s-0")];
@@ -329,7 +327,7 @@
     assert_eq!(answered, 60);
 }
 
-/// Signalled before the writer was done: the pipe holds the broker in its reading.
+/// SIGHUP before the writer is done; the pipe blocks the reader.
 #[rstest]
 fn partly_written_config_is_ignored(#[values(false, true)] ends: bool) {
     let nodes = [Node::start("s-0"), Node::start("s-1")];
@@ -341,9 +339,9 @@
     nodes[0].wait_for('A', 1);
     let other = List::start(vec![nodes[1].line("ready")]);
     let whole = config(other.address, vec![]).to_string();
-    fifo(&broker.file);
+    make_fifo(&broker.file);
     broker.signal("HUP");
-    let mut half = writer(&broker.file);
+    let mut half = open_for_writing(&broker.file);
     half.write_all(&whole.as_bytes()[..whole.len() / 2]).unwrap();
     if ends {
         broker.signal("TERM");
@@ -352,7 +350,7 @@
     assert_eq!(client.answer().unwrap().status, 200);
     if ends {
         broker.signal("HUP");
-        drop(writer(&broker.file));
+        drop(open_for_writing(&broker.file));
         drop(client);
         assert_eq!(broker.exit_code(), Some(0));
         return;
@@ -365,11 +363,11 @@
     assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (1, 1));
 }
 
-/// Read in part, out at a node, and out again after a fault.
+/// A request that is partly read, at a node, or being retried.
 #[rstest]
-#[case::reading(Manner::Serve, Manner::Serve)]
-#[case::out(Manner::After(1500), Manner::After(1500))]
-#[case::repeating(Manner::Say("fault"), Manner::After(1500))]
+#[case::partly_read(Manner::Serve, Manner::Serve)]
+#[case::at_node(Manner::After(1500), Manner::After(1500))]
+#[case::retrying(Manner::Say("fault"), Manner::After(1500))]
 fn in_flight_query_answered_after_sigterm(#[case] one: Manner, #[case] other: Manner) {
     let nodes = [Node::start("s-0"), Node::start("s-1")];
     nodes[0].behave(one);
@@ -383,8 +381,8 @@
         nodes[0].wait_for('A', 1);
         nodes[1].wait_for('A', if one == other { 1 } else { 4 });
     }
-    wait_for_shutdown_request(&broker);
-    closing(&broker);
+    signal_shutdown(&broker);
+    wait_until_closing(&broker);
     clients.iter_mut().zip(&requests).for_each(|(c, request)| c.send(&request[sent(request)..]));
     for client in &mut clients {
         let answer = client.answer().expect("an answer");
--- a/crates/dunepond-broker/tests/state.rs
+++ b/crates/dunepond-broker/tests/state.rs
@@ -1,4 +1,4 @@
-//! `dunepond-broker state`: a folder is looked at without a broker, beside one, and after one.
+//! `dunepond-broker state`: inspects a state folder beside a running broker and after it.
 
 use std::path::Path;
 use std::process::Command;
@@ -12,8 +12,8 @@
     (out.status.success(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
 }
 
-/// A broker that keeps its state in this folder, asked a few times.
-fn life(folder: &Path, nodes: &[Node]) -> (Broker, List) {
+/// A broker with its state in this folder, after a few queries.
+fn broker_with_state(folder: &Path, nodes: &[Node]) -> (Broker, List) {
     let kdl = folder.join("operator.kdl");
     std::fs::write(&kdl, format!("state folder={folder:?} every=0.1")).unwrap();
     let lines: Vec<_> = nodes.iter().map(|node| node.line("ready")).collect();
@@ -32,7 +32,7 @@
     std::fs::create_dir(&folder).unwrap();
     let path = folder.to_str().unwrap();
     let nodes: Vec<_> = (0..3).map(|i| Node::start(&format!("s-{i}"))).collect();
-    let (mut broker, _list) = life(&folder, &nodes);
+    let (mut broker, _list) = broker_with_state(&folder, &nodes);
     let start = Instant::now();
     while !dunepond(&["state", "show", path]).1.contains("beliefs of 3 nodes") {
         assert!(start.elapsed() < Duration::from_secs(10));
@@ -48,19 +48,19 @@
     let shown = dunepond(&["state", "show", path]).1;
     assert!(shown.contains("debts: ended in order") && shown.contains("count 0 further"), "{shown}");
     assert!(shown.contains("s-1 at 127.0.0.1:") && shown.contains("samples"), "{shown}");
-    let (good, checked) = dunepond(&["state", "check", path]);
-    assert!(good && checked.contains("nothing is wrong"), "{checked}");
+    let (succeeded, checked) = dunepond(&["state", "check", path]);
+    assert!(succeeded && checked.contains("nothing is wrong"), "{checked}");
     let journal = folder.join("debts.journal");
     let mut bytes = std::fs::read(&journal).unwrap();
     *bytes.last_mut().unwrap() ^= 1;
     std::fs::write(&journal, bytes).unwrap();
-    let (good, checked) = dunepond(&["state", "check", path]);
-    assert!(!good && checked.contains("debts.journal: damaged"), "{checked}");
+    let (succeeded, checked) = dunepond(&["state", "check", path]);
+    assert!(!succeeded && checked.contains("debts.journal: damaged"), "{checked}");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
 fn missing_folder_is_named() {
-    let (good, said) = dunepond(&["state", "show", "/nowhere/at/all"]);
-    assert!(!good && said.contains("/nowhere/at/all"), "{said}");
+    let (succeeded, output) = dunepond(&["state", "show", "/nowhere/at/all"]);
+    assert!(!succeeded && output.contains("/nowhere/at/all"), "{output}");
 }
