--- a/crates/dunepond-settlement/tests/balances.rs
+++ b/crates/dunepond-settlement/tests/balances.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-fn sides() -> BrokerPartners {
+fn broker_partners() -> BrokerPartners {
     let partner_of = [("a1", "a"), ("b1", "b"), ("c1", "c")].map(|(b, p)| (b.to_string(), p.to_string()));
     BrokerPartners { partner_of: partner_of.into(), metered: BTreeSet::from(["b".to_string()]) }
 }
@@ -21,12 +21,12 @@
 }
 
 /// `owes[i]`: debtor, creditor, bytes; counted by a witness.
-fn book(owes: &[(&str, &str, u64)]) -> Balances {
+fn balances(owes: &[(&str, &str, u64)]) -> Balances {
     let mut counts = CarriedCounts::new();
     owes.iter().for_each(|(debtor, creditor, bytes)| counts.record("w", 1, creditor, debtor, *bytes));
-    let mut book = Balances::new(terms(), sides(), SettlementLedger::default()).unwrap();
-    book.update_counts(0.0, &counts);
-    book
+    let mut balances = Balances::new(terms(), broker_partners(), SettlementLedger::default()).unwrap();
+    balances.update_counts(0.0, &counts);
+    balances
 }
 
 fn settlement(fill: &str, by: &str, bytes: u64) -> Settlement {
@@ -41,13 +41,18 @@
     }
 }
 
-fn allot(number: u64, debt: u64, parts: &[(&str, u64)]) -> Allotment {
+fn allotment(number: u64, debt: u64, parts: &[(&str, u64)]) -> Allotment {
     let parts = parts.iter().map(|(broker, bytes)| (broker.to_string(), *bytes).into()).collect();
     Allotment { number, debtor: "a".into(), creditor: "b".into(), debt, parts }
 }
 
-fn settle(book: &mut Balances, fill: &str, by: &str, bytes: u64) -> Result<ApplyOutcome, SettlementError> {
-    book.apply(&SettlementEntry::Settle(settlement(fill, by, bytes)))
+fn settle(
+    balances: &mut Balances,
+    fill: &str,
+    by: &str,
+    bytes: u64,
+) -> Result<ApplyOutcome, SettlementError> {
+    balances.apply(&SettlementEntry::Settle(settlement(fill, by, bytes)))
 }
 
 #[rstest]
@@ -59,114 +64,116 @@
     let mut counts = CarriedCounts::new();
     counts.record("b1", 1, "b", "a", said);
     counts.record("a1", 1, "b", "a", seen);
-    let mut book = Balances::new(terms(), sides(), SettlementLedger::default()).unwrap();
-    book.update_counts(0.0, &counts);
-    assert_eq!(book.gross("b", "a"), counts_as);
-    assert_eq!(book.discrepancies().iter().map(Discrepancy::uncounted_bytes).sum::<u64>(), rest);
-    // Of c nobody counts what it carries: what the other side saw speaks against it, and counts.
+    let mut balances = Balances::new(terms(), broker_partners(), SettlementLedger::default()).unwrap();
+    balances.update_counts(0.0, &counts);
+    assert_eq!(balances.gross("b", "a"), counts_as);
+    assert_eq!(balances.discrepancies().iter().map(Discrepancy::uncounted_bytes).sum::<u64>(), rest);
+    // c's brokers do not meter what it carries: what the other side saw is against its interest, and counts.
     counts.record("a1", 1, "c", "a", 30);
-    book.update_counts(1.0, &counts);
-    assert_eq!(book.gross("c", "a"), 30);
+    balances.update_counts(1.0, &counts);
+    assert_eq!(balances.gross("c", "a"), 30);
 }
 
 #[rstest]
 fn cycles_cancel() {
-    let book = book(&[("a", "b", 100), ("b", "c", 60), ("c", "a", 40), ("b", "a", 10)]);
+    let balances = balances(&[("a", "b", 100), ("b", "c", 60), ("c", "a", 40), ("b", "a", 10)]);
     let debt = |d: &str, c: &str, bytes| NetDebt { debtor: d.into(), creditor: c.into(), bytes };
-    assert_eq!(book.net_debts(), vec![debt("a", "b", 50), debt("b", "c", 20)]);
+    assert_eq!(balances.net_debts(), vec![debt("a", "b", 50), debt("b", "c", 20)]);
 }
 
 #[rstest]
 fn weight_decays_with_age() {
     let mut counts = CarriedCounts::new();
     counts.record("w", 1, "b", "a", 1000);
-    let mut book = Balances::new(terms(), sides(), SettlementLedger::default()).unwrap();
-    book.update_counts(0.0, &counts);
-    let debt = book.net_debts().remove(0);
-    assert_eq!(book.service_weight(&debt, 0.0), 1000.0);
-    assert!((book.service_weight(&debt, 100.0) - 500.0).abs() < 1e-6);
-    assert!((book.service_weight(&debt, 1e6) - 100.0).abs() < 1e-6);
-    assert_eq!(book.net_debt("a", "b"), 1000);
+    let mut balances = Balances::new(terms(), broker_partners(), SettlementLedger::default()).unwrap();
+    balances.update_counts(0.0, &counts);
+    let debt = balances.net_debts().remove(0);
+    assert_eq!(balances.service_weight(&debt, 0.0), 1000.0);
+    assert!((balances.service_weight(&debt, 100.0) - 500.0).abs() < 1e-6);
+    assert!((balances.service_weight(&debt, 1e6) - 100.0).abs() < 1e-6);
+    assert_eq!(balances.net_debt("a", "b"), 1000);
 }
 
 #[rstest]
 fn settlement_applies_once() {
-    let mut book = book(&[("a", "b", 100)]);
-    assert_eq!(settle(&mut book, "1/7/h", "x", 40), Ok(ApplyOutcome::New));
-    assert_eq!(settle(&mut book, "1/7/h", "x", 40), Ok(ApplyOutcome::Duplicate));
+    let mut balances = balances(&[("a", "b", 100)]);
+    assert_eq!(settle(&mut balances, "1/7/h", "x", 40), Ok(ApplyOutcome::New));
+    assert_eq!(settle(&mut balances, "1/7/h", "x", 40), Ok(ApplyOutcome::Duplicate));
     assert!(matches!(
-        settle(&mut book, "1/7/h", "y", 40),
+        settle(&mut balances, "1/7/h", "y", 40),
         Err(SettlementError::AlreadySettledOtherwise { .. })
     ));
-    assert_eq!(book.net_debt("a", "b"), 60);
-    book.close(2);
+    assert_eq!(balances.net_debt("a", "b"), 60);
+    balances.close(2);
     assert!(matches!(
-        settle(&mut book, "1/7/h", "x", 40),
+        settle(&mut balances, "1/7/h", "x", 40),
         Err(SettlementError::VersionClosed { floor: 2, .. })
     ));
-    assert_eq!(book.net_debt("a", "b"), 60);
+    assert_eq!(balances.net_debt("a", "b"), 60);
 }
 
-/// The dead broker's counts have not come yet; the settlement counts as far as the debt is known, and wholly later.
+/// The failed broker's counts have not arrived yet; the settlement counts as far as the debt is known, and fully later.
 #[rstest]
 fn settlement_before_its_debt() {
-    let mut book = book(&[("a", "b", 30)]);
-    settle(&mut book, "1/7/h", "x", 100).unwrap();
+    let mut balances = balances(&[("a", "b", 30)]);
+    settle(&mut balances, "1/7/h", "x", 100).unwrap();
     assert_eq!(
-        (book.net_debt("a", "b"), book.net_debt("b", "a"), book.settled_beyond_debt("a", "b")),
+        (balances.net_debt("a", "b"), balances.net_debt("b", "a"), balances.settled_beyond_debt("a", "b")),
         (0, 0, 70)
     );
     let mut counts = CarriedCounts::new();
     counts.record("w", 1, "b", "a", 120);
-    book.update_counts(1.0, &counts);
-    assert_eq!((book.net_debt("a", "b"), book.settled_beyond_debt("a", "b")), (20, 0));
+    balances.update_counts(1.0, &counts);
+    assert_eq!((balances.net_debt("a", "b"), balances.settled_beyond_debt("a", "b")), (20, 0));
 }
 
 #[rstest]
 fn partitioned_side_stays_within_share() {
-    let mut book = book(&[("a", "b", 100)]);
+    let mut balances = balances(&[("a", "b", 100)]);
     let brokers = ["x".to_string(), "y".to_string()];
-    let entry = allot_evenly(&book, "a", "b", &brokers).unwrap();
+    let entry = allot_evenly(&balances, "a", "b", &brokers).unwrap();
     let share = |broker: &str| AllottedShare { broker: broker.to_string(), bytes: 50 };
     assert_eq!(entry.parts, [share("x"), share("y")]);
-    assert_eq!(book.apply(&SettlementEntry::Allot(entry.clone())), Ok(ApplyOutcome::New));
-    assert_eq!(book.apply(&SettlementEntry::Allot(entry)), Ok(ApplyOutcome::Duplicate));
-    assert_eq!(allot_evenly(&book, "a", "b", &brokers), None);
-    // x is cut off and promises; y gives back what it does not need, and the rest goes to z.
+    assert_eq!(balances.apply(&SettlementEntry::Allot(entry.clone())), Ok(ApplyOutcome::New));
+    assert_eq!(balances.apply(&SettlementEntry::Allot(entry)), Ok(ApplyOutcome::Duplicate));
+    assert_eq!(allot_evenly(&balances, "a", "b", &brokers), None);
+    // x is partitioned and promises; y returns what it does not need, which is allotted to z.
     let (mut x, mut y) = (SharePromises::new("x").unwrap(), SharePromises::new("y").unwrap());
-    x.promise(book.ledger(), settlement("1/1/h", "x", 30)).unwrap();
-    x.promise(book.ledger(), settlement("1/1/h", "x", 30)).unwrap();
-    let past = x.promise(book.ledger(), settlement("1/2/h", "x", 30));
-    assert!(matches!(past, Err(SettlementError::ExceedsShare { remaining: 20, .. })));
+    x.promise(balances.ledger(), settlement("1/1/h", "x", 30)).unwrap();
+    x.promise(balances.ledger(), settlement("1/1/h", "x", 30)).unwrap();
+    let beyond = x.promise(balances.ledger(), settlement("1/2/h", "x", 30));
+    assert!(matches!(beyond, Err(SettlementError::ExceedsShare { remaining: 20, .. })));
     assert!(matches!(
-        x.release(book.ledger(), "a", "b", 21),
+        x.release(balances.ledger(), "a", "b", 21),
         Err(SettlementError::ExceedsRemaining { remaining: 20, .. })
     ));
-    let back = y.release(book.ledger(), "a", "b", 45).unwrap();
-    assert_eq!(y.remaining(book.ledger(), "a", "b"), 5);
-    assert_eq!(book.apply(&back), Ok(ApplyOutcome::New));
-    assert_eq!(book.apply(&back), Ok(ApplyOutcome::Duplicate));
-    y.reconcile(book.ledger(), &[]);
-    assert_eq!(y.remaining(book.ledger(), "a", "b"), 5);
-    book.apply(&SettlementEntry::Allot(allot_evenly(&book, "a", "b", &["z".to_string()]).unwrap())).unwrap();
-    assert_eq!(book.ledger().share("z", "a", "b").remaining(), 45);
-    // Back again, x brings what it promised; no more than the debt is ever settled.
+    let back = y.release(balances.ledger(), "a", "b", 45).unwrap();
+    assert_eq!(y.remaining(balances.ledger(), "a", "b"), 5);
+    assert_eq!(balances.apply(&back), Ok(ApplyOutcome::New));
+    assert_eq!(balances.apply(&back), Ok(ApplyOutcome::Duplicate));
+    y.reconcile(balances.ledger(), &[]);
+    assert_eq!(y.remaining(balances.ledger(), "a", "b"), 5);
+    balances
+        .apply(&SettlementEntry::Allot(allot_evenly(&balances, "a", "b", &["z".to_string()]).unwrap()))
+        .unwrap();
+    assert_eq!(balances.ledger().share("z", "a", "b").remaining(), 45);
+    // x reaches the log again and proposes its promises; no more than the debt is ever settled.
     for entry in x.pending_entries().collect::<Vec<_>>() {
-        assert_eq!(book.apply(&entry), Ok(ApplyOutcome::New));
+        assert_eq!(balances.apply(&entry), Ok(ApplyOutcome::New));
     }
-    x.reconcile(book.ledger(), &[]);
-    assert_eq!((x.pending_entries().count(), x.remaining(book.ledger(), "a", "b")), (0, 20));
-    assert!(matches!(settle(&mut book, "1/9/h", "x", 21), Err(SettlementError::ExceedsShare { .. })));
-    assert_eq!(book.net_debt("a", "b"), 70);
-    // The ledger goes into snapshots, and promises into the folder.
-    let stored = postcard::to_stdvec(&(book.ledger(), &x)).unwrap();
+    x.reconcile(balances.ledger(), &[]);
+    assert_eq!((x.pending_entries().count(), x.remaining(balances.ledger(), "a", "b")), (0, 20));
+    assert!(matches!(settle(&mut balances, "1/9/h", "x", 21), Err(SettlementError::ExceedsShare { .. })));
+    assert_eq!(balances.net_debt("a", "b"), 70);
+    // The ledger is stored in snapshots, promises in the folder.
+    let stored = postcard::to_stdvec(&(balances.ledger(), &x)).unwrap();
     assert_eq!(
         postcard::from_bytes::<(SettlementLedger, SharePromises)>(&stored).unwrap(),
-        (book.ledger().clone(), x)
+        (balances.ledger().clone(), x)
     );
 }
 
-/// Every variant, as far as a story can cause it, tells what to do.
+/// Each variant, caused where a test can do so, has a help text.
 #[rstest]
 fn errors_have_help() {
     let mut ledger = SettlementLedger::default();
@@ -176,11 +183,11 @@
         LocalCounts::open(Some(LocalCounts::open(None, "n1", 1).unwrap()), "n1", 1).unwrap_err(),
         SettlementError::TooManyCells { from: "e1".into(), brokers: 1, cells: 2, max: 1 },
         SettlementTerms { window_seconds: 0.0, ..SettlementTerms::default() }.check().unwrap_err(),
-        ledger.apply(&SettlementEntry::Allot(allot(0, 10, &[("x", 11)]))).unwrap_err(),
-        ledger.apply(&SettlementEntry::Allot(allot(3, 10, &[("x", 1)]))).unwrap_err(),
-        ledger.apply(&SettlementEntry::Allot(allot(0, 10, &[]))).unwrap_err(),
+        ledger.apply(&SettlementEntry::Allot(allotment(0, 10, &[("x", 11)]))).unwrap_err(),
+        ledger.apply(&SettlementEntry::Allot(allotment(3, 10, &[("x", 1)]))).unwrap_err(),
+        ledger.apply(&SettlementEntry::Allot(allotment(0, 10, &[]))).unwrap_err(),
     ];
-    ledger.apply(&SettlementEntry::Allot(allot(0, 10, &[("x", 10)]))).unwrap();
+    ledger.apply(&SettlementEntry::Allot(allotment(0, 10, &[("x", 10)]))).unwrap();
     let release =
         ShareRelease { number: 1, debtor: "a".into(), creditor: "b".into(), broker: "y".into(), bytes: 1 };
     errors.push(ledger.apply(&SettlementEntry::Release(release)).unwrap_err());
@@ -189,7 +196,7 @@
     errors.push(ledger.apply(&SettlementEntry::Settle(settlement("1/1/h", "y", 1))).unwrap_err());
     errors.push(ledger.apply(&SettlementEntry::Settle(settlement("h", "y", 1))).unwrap_err());
     errors.push(SettlementError::InvalidEvent { fill: "1/1/h".into(), state: "done", event: "failed" });
-    // A new variant does not compile until it stands here.
+    // A new variant does not compile until it is listed here.
     let place = |error: &SettlementError| match error {
         SettlementError::InvalidName { .. } => 0,
         SettlementError::OtherBroker { .. } => 1,
@@ -214,13 +221,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(34), ..ProptestConfig::with_cases(256) })]
 
-    /// Cancelling cycles leaves what each partner owes in sum as it was, and no cycle.
+    /// Cancelling cycles keeps each partner's total position, and leaves no cycle.
     #[test]
     fn net_debts_keep_positions(owes in prop::collection::vec((0..5usize, 0..5usize, 1..100u64), 0..20)) {
         let names = ["a", "b", "c", "d", "e"];
         let owes: Vec<_> = owes.into_iter().map(|(d, c, bytes)| (names[d], names[c], bytes)).collect();
-        let book = book(&owes);
-        let net = book.net_debts();
+        let balances = balances(&owes);
+        let net = balances.net_debts();
         for name in names {
             let of = |all: &[(String, String, u64)]| -> i64 {
                 all.iter().map(|(d, c, b)| (i64::from(d == name) - i64::from(c == name)) * *b as i64).sum()
@@ -229,7 +236,7 @@
             let left: Vec<_> = net.iter().map(|debt| (debt.debtor.clone(), debt.creditor.clone(), debt.bytes)).collect();
             prop_assert_eq!(of(&given), of(&left));
         }
-        // Whoever owes nobody is taken out, again and again: with a cycle, somebody would stay.
+        // Partners without debts are removed repeatedly: with a cycle, some would remain.
         let mut left: Vec<_> = net.clone();
         while !left.is_empty() {
             let before = left.len();
@@ -239,7 +246,7 @@
         }
     }
 
-    /// Whatever comes into the log, in whatever order and how often: what is settled of a split debt stays within it.
+    /// Whatever entries are logged, in any order and any number of times: what is settled of a split debt stays within it.
     #[test]
     fn settlements_stay_within_debt(
         entries in prop::collection::vec((0..4u8, 0..8u64, 0..3usize, 1..60u64), 1..60),
@@ -247,7 +254,7 @@
     ) {
         let by = ["x", "y", "z"];
         let make = |&(kind, number, who, bytes): &(u8, u64, usize, u64)| match kind {
-            0 => SettlementEntry::Allot(allot(number, bytes * 3, &[(by[who], bytes), (by[(who + 1) % 3], bytes)])),
+            0 => SettlementEntry::Allot(allotment(number, bytes * 3, &[(by[who], bytes), (by[(who + 1) % 3], bytes)])),
             1 => {
                 let (debtor, creditor, broker) = ("a".to_string(), "b".to_string(), by[who].to_string());
                 SettlementEntry::Release(ShareRelease { number, debtor, creditor, broker, bytes: bytes / 4 })
@@ -256,15 +263,15 @@
         };
         let entries: Vec<SettlementEntry> = entries.iter().map(make).collect();
         let mut ledger = SettlementLedger::default();
-        ledger.apply(&SettlementEntry::Allot(allot(0, 30, &[("x", 10), ("y", 10)]))).unwrap();
-        let (mut debt, mut once) = (30, BTreeSet::new());
+        ledger.apply(&SettlementEntry::Allot(allotment(0, 30, &[("x", 10), ("y", 10)]))).unwrap();
+        let (mut debt, mut settled_fills) = (30, BTreeSet::new());
         let mut sum = 0;
         for entry in entries.iter().chain(doubles.iter().map(|at| &entries[at.index(entries.len())])) {
             let before = ledger.clone();
             match (ledger.apply(entry), entry) {
                 (Ok(ApplyOutcome::New), SettlementEntry::Allot(allot)) => debt = debt.max(allot.debt),
                 (Ok(ApplyOutcome::New), SettlementEntry::Settle(settlement)) => {
-                    prop_assert!(once.insert(settlement.fill().to_string()));
+                    prop_assert!(settled_fills.insert(settlement.fill().to_string()));
                     sum += settlement.bytes;
                 }
                 (Ok(ApplyOutcome::New), SettlementEntry::Release(_)) => {}
--- a/crates/dunepond-settlement/tests/counts.rs
+++ b/crates/dunepond-settlement/tests/counts.rs
@@ -8,7 +8,7 @@
 
 const PARTNERS: [&str; 3] = ["east", "north", "south"];
 
-fn sides(metered: &[&str]) -> BrokerPartners {
+fn broker_partners(metered: &[&str]) -> BrokerPartners {
     let partner_of = [("e1", "east"), ("n1", "north"), ("n2", "north")];
     BrokerPartners {
         partner_of: partner_of.map(|(b, p)| (b.to_string(), p.to_string())).into(),
@@ -24,7 +24,7 @@
     counts
 }
 
-fn joined(a: &CarriedCounts, b: &CarriedCounts) -> CarriedCounts {
+fn merged(a: &CarriedCounts, b: &CarriedCounts) -> CarriedCounts {
     let mut both = a.clone();
     both.merge(b);
     both
@@ -40,56 +40,56 @@
 
     #[test]
     fn merge_is_a_join(a in some(), b in some(), c in some()) {
-        prop_assert_eq!(joined(&a, &b), joined(&b, &a));
-        prop_assert_eq!(joined(&joined(&a, &b), &c), joined(&a, &joined(&b, &c)));
-        prop_assert_eq!(joined(&a, &a), a.clone());
-        prop_assert_eq!(joined(&joined(&a, &b), &b), joined(&a, &b));
+        prop_assert_eq!(merged(&a, &b), merged(&b, &a));
+        prop_assert_eq!(merged(&merged(&a, &b), &c), merged(&a, &merged(&b, &c)));
+        prop_assert_eq!(merged(&a, &a), a.clone());
+        prop_assert_eq!(merged(&merged(&a, &b), &b), merged(&a, &b));
     }
 
-    /// Brokers that count, save, tell, crash to what they saved, start anew and fold, with every message late, doubled
-    /// and out of order: in the end all know the same, which is all that was ever saved, and nothing ever falls.
+    /// Brokers that count, store, send, crash back to what they stored, restart and fold, with every message late, duplicated
+    /// and out of order: in the end all know the same, which is all that was ever stored, and no count decreases.
     #[test]
     fn counts_survive_restarts(acts in prop::collection::vec((0..6u8, 0..3usize, 0..3usize, 1..100u64, any::<prop::sample::Index>()), 1..80)) {
         let none = BrokerPartners::default();
         let name = |b: usize| format!("b{b}");
-        let mut tallies: Vec<LocalCounts> = (0..3).map(|b| LocalCounts::open(None, &name(b), 0).unwrap()).collect();
-        let mut saved = tallies.clone();
+        let mut locals: Vec<LocalCounts> = (0..3).map(|b| LocalCounts::open(None, &name(b), 0).unwrap()).collect();
+        let mut stored = locals.clone();
         let mut truth: BTreeMap<usize, u64> = BTreeMap::new();
         let mut kept = truth.clone();
         let mut sent: Vec<(usize, CarriedCounts)> = Vec::new();
         for (act, b, other, bytes, any) in acts {
             match act {
                 0 | 1 => {
-                    tallies[b].record("north", "south", bytes);
+                    locals[b].record("north", "south", bytes);
                     *truth.entry(b).or_default() += bytes;
                 }
                 2 => {
-                    saved[b] = tallies[b].clone();
+                    stored[b] = locals[b].clone();
                     kept.insert(b, truth.get(&b).copied().unwrap_or(0));
-                    sent.push((b, tallies[b].counts().clone()));
+                    sent.push((b, locals[b].counts().clone()));
                 }
                 3 if !sent.is_empty() => {
                     let (from, counts) = &sent[any.index(sent.len())];
-                    let before = tallies[other].counts().total("north", "south");
-                    tallies[other].merge_from_peer(&name(*from), counts, &none).unwrap();
-                    let after = tallies[other].counts().total("north", "south");
+                    let before = locals[other].counts().total("north", "south");
+                    locals[other].merge_from_peer(&name(*from), counts, &none).unwrap();
+                    let after = locals[other].counts().total("north", "south");
                     prop_assert!(after >= before, "{} fell to {}", before, after);
                 }
                 4 => {
-                    let incarnation = tallies[b].incarnation() + 1;
-                    tallies[b] = LocalCounts::open(Some(saved[b].clone()), &name(b), incarnation).unwrap();
-                    saved[b] = tallies[b].clone();
+                    let incarnation = locals[b].incarnation() + 1;
+                    locals[b] = LocalCounts::open(Some(stored[b].clone()), &name(b), incarnation).unwrap();
+                    stored[b] = locals[b].clone();
                     truth.insert(b, kept.get(&b).copied().unwrap_or(0));
                 }
                 _ => {}
             }
         }
-        sent.extend(tallies.iter().enumerate().map(|(b, tally)| (b, tally.counts().clone())));
-        for tally in &mut tallies {
+        sent.extend(locals.iter().enumerate().map(|(b, local)| (b, local.counts().clone())));
+        for local in &mut locals {
             for (from, counts) in sent.iter().rev().chain(&sent) {
-                tally.merge_from_peer(&name(*from), counts, &none).unwrap();
+                local.merge_from_peer(&name(*from), counts, &none).unwrap();
             }
-            prop_assert_eq!(tally.counts().total("north", "south"), truth.values().sum::<u64>());
+            prop_assert_eq!(local.counts().total("north", "south"), truth.values().sum::<u64>());
         }
     }
 }
@@ -97,19 +97,19 @@
 /// A thousand restarts leave one sum and one incarnation, not a thousand.
 #[rstest]
 fn restarts_do_not_grow_the_counts() {
-    let mut tally = LocalCounts::open(None, "n1", 0).unwrap();
+    let mut local = LocalCounts::open(None, "n1", 0).unwrap();
     for incarnation in 1..=1000 {
-        tally.record("north", "south", 10);
-        tally = LocalCounts::open(Some(tally), "n1", incarnation).unwrap();
+        local.record("north", "south", 10);
+        local = LocalCounts::open(Some(local), "n1", incarnation).unwrap();
     }
-    assert_eq!((tally.counts().total("north", "south"), tally.counts().cell_count()), (10_000, 1));
-    let bytes = postcard::to_stdvec(&tally).unwrap();
+    assert_eq!((local.counts().total("north", "south"), local.counts().cell_count()), (10_000, 1));
+    let bytes = postcard::to_stdvec(&local).unwrap();
     assert!(bytes.len() < 100, "{}", bytes.len());
-    assert_eq!(postcard::from_bytes::<LocalCounts>(&bytes).unwrap(), tally);
+    assert_eq!(postcard::from_bytes::<LocalCounts>(&bytes).unwrap(), local);
     // What is counted under a number that was folded would fall away with the next merge: it never shows.
-    let mut late = tally.counts().clone();
+    let mut late = local.counts().clone();
     late.record("n1", 999, "north", "south", 5);
-    assert_eq!(&late, tally.counts());
+    assert_eq!(&late, local.counts());
 }
 
 /// Counts of before the folder was lost, heard from others, are not folded: a peer that was cut off may know more of them.
@@ -162,10 +162,10 @@
     forged.record("n1", 1, "east", "north", 1000);
     forged.record("w9", 1, "east", "north", 5);
     let mut counts = CarriedCounts::new();
-    assert_eq!(counts.merge_from("e1", &forged, &sides(&["east"])), Ok(1));
+    assert_eq!(counts.merge_from("e1", &forged, &broker_partners(&["east"])), Ok(1));
     assert_eq!(counts.total("east", "north"), 1005);
     // The dead n1's row comes from its own side.
-    assert_eq!(counts.merge_from("n2", &forged, &sides(&[])), Ok(1));
+    assert_eq!(counts.merge_from("n2", &forged, &broker_partners(&[])), Ok(1));
     assert_eq!(counts.total("east", "north"), 2005);
 }
 
@@ -174,7 +174,7 @@
     let mut flood = CarriedCounts::new();
     (0..100_001).for_each(|i| flood.record(&format!("b{i}"), 1, "east", "north", 1));
     let mut counts = CarriedCounts::new();
-    let refused = counts.merge_from("e1", &flood, &sides(&[]));
+    let refused = counts.merge_from("e1", &flood, &broker_partners(&[]));
     assert!(matches!(refused, Err(SettlementError::TooManyCells { cells: 100_001, .. })));
     assert_eq!(counts, CarriedCounts::new());
 }
--- a/crates/dunepond-settlement/tests/plan.rs
+++ b/crates/dunepond-settlement/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: who is served first, from whom, within which bounds; fills from plan to end.
+//! Plans: which partner is served first, from which source, within which limits; fills from plan to end.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -24,16 +24,16 @@
 }
 
 /// Debtor, creditor, bytes.
-fn book(terms: SettlementTerms, owes: &[(&str, &str, u64)]) -> Balances {
+fn balances(terms: SettlementTerms, owes: &[(&str, &str, u64)]) -> Balances {
     let mut counts = CarriedCounts::new();
     owes.iter().for_each(|(debtor, creditor, bytes)| counts.record("w", 1, creditor, debtor, *bytes));
-    let mut book = Balances::new(terms, BrokerPartners::default(), SettlementLedger::default()).unwrap();
-    book.update_counts(0.0, &counts);
-    book
+    let mut balances = Balances::new(terms, BrokerPartners::default(), SettlementLedger::default()).unwrap();
+    balances.update_counts(0.0, &counts);
+    balances
 }
 
-/// A holder of `to` that each of `from` could fill; sources are named like their partners.
-fn need(segment: u64, to: &str, from: &[&str], bytes: u64) -> FillDemand {
+/// A node of `to` that each of `from` could fill; sources are named like their partners.
+fn demand(segment: u64, to: &str, from: &[&str], bytes: u64) -> FillDemand {
     let sources = from.iter().map(|partner| (format!("{partner}-s"), partner.to_string()).into()).collect();
     let holder = format!("{to}-{segment}");
     FillDemand { version: 1, segment, holder, holder_partner: to.to_string(), sources, bytes, start: 0 }
@@ -43,7 +43,7 @@
     LinkCapacities { rate_caps: BTreeMap::new(), default_rate_cap: cap, internal_rate_cap: 1e9 }
 }
 
-fn warm() -> SlowStartCapacity {
+fn no_slow_start() -> SlowStartCapacity {
     SlowStartCapacity { window_seconds: 1.0, unit_bytes: 1, nodes: BTreeMap::new() }
 }
 
@@ -53,25 +53,25 @@
 
 #[rstest]
 fn largest_debtor_is_source() {
-    let book = book(terms(), &[("b", "a", 300), ("c", "a", 5000)]);
-    let needs = [need(1, "a", &["a", "b", "c", "d"], 4000), need(2, "a", &["a", "b", "c", "d"], 4000)];
-    let fills = plan(&book, &needs, &links(1e4), &warm(), 0.0, 1);
+    let balances = balances(terms(), &[("b", "a", 300), ("c", "a", 5000)]);
+    let demands = [demand(1, "a", &["a", "b", "c", "d"], 4000), demand(2, "a", &["a", "b", "c", "d"], 4000)];
+    let fills = plan(&balances, &demands, &links(1e4), &no_slow_start(), 0.0, 1);
     let seen: Vec<_> = fills
         .iter()
         .map(|f| (f.from.as_str(), f.settles.as_ref().unwrap().bytes, f.unsettled_bytes()))
         .collect();
-    // The second takes what is left of the same debt, as it is still the greatest.
+    // The second one is paid from the rest of the same debt, which is still the greatest.
     assert_eq!(seen, [("c", 4000, 0), ("c", 1000, 3000)]);
 }
 
-/// Nobody owes: what is at home costs no debt; else who has carried least.
+/// Without debts: the same partner first, as that makes no debt; else the one that has carried least.
 #[rstest]
 fn least_carried_is_source_without_debts() {
-    let book = book(terms(), &[]);
-    let home = plan(&book, &[need(1, "a", &["b", "a"], 100)], &links(1e4), &warm(), 0.0, 1);
+    let balances = balances(terms(), &[]);
+    let home = plan(&balances, &[demand(1, "a", &["b", "a"], 100)], &links(1e4), &no_slow_start(), 0.0, 1);
     assert_eq!((home[0].from.as_str(), &home[0].settles), ("a", &None));
-    let needs: Vec<_> = (0..6).map(|i| need(i, "a", &["b", "c", "d"], 100)).collect();
-    let away = plan(&book, &needs, &links(1e4), &warm(), 0.0, 1);
+    let demands: Vec<_> = (0..6).map(|i| demand(i, "a", &["b", "c", "d"], 100)).collect();
+    let away = plan(&balances, &demands, &links(1e4), &no_slow_start(), 0.0, 1);
     let from = |partner| away.iter().filter(|fill| fill.from == partner).count();
     assert_eq!((from("b"), from("c"), from("d")), (2, 2, 2));
 }
@@ -82,9 +82,10 @@
 fn largest_shortfall_first(#[case] rule: PlanningRule, #[case] first: &str) {
     // Only one more fill goes out of c in this window.
     let terms = SettlementTerms { max_carried_bytes: 1000, ..terms() };
-    let book = book(terms, &[("c", "a", 2000), ("c", "b", 9000)]);
-    let needs = [need(1, "a", &["c"], 1000), need(2, "b", &["c"], 1000)];
-    let plan = FillPlanner::new("x", rule, 1).plan(&book, &needs, &links(1e4), &warm(), None, 0.0);
+    let balances = balances(terms, &[("c", "a", 2000), ("c", "b", 9000)]);
+    let demands = [demand(1, "a", &["c"], 1000), demand(2, "b", &["c"], 1000)];
+    let plan =
+        FillPlanner::new("x", rule, 1).plan(&balances, &demands, &links(1e4), &no_slow_start(), None, 0.0);
     assert_eq!(
         (plan.fills.len(), plan.fills[0].to.as_str(), wait_reasons(&plan)),
         (1, first, vec![WaitReason::CarryLimit])
@@ -93,38 +94,38 @@
 
 #[rstest]
 fn links_and_slow_start_limit_rates() {
-    let book = book(terms(), &[("b", "a", 1_000_000)]);
+    let balances = balances(terms(), &[("b", "a", 1_000_000)]);
     let mut planner = FillPlanner::new("x", PlanningRule::MaxMin, 1);
-    let needs: Vec<_> = (0..9).map(|i| need(i, "a", &["b"], 1000)).collect();
-    let first = planner.plan(&book, &needs[..2], &links(35.0), &warm(), None, 0.0);
+    let demands: Vec<_> = (0..9).map(|i| demand(i, "a", &["b"], 1000)).collect();
+    let first = planner.plan(&balances, &demands[..2], &links(35.0), &no_slow_start(), None, 0.0);
     assert_eq!(first.fills.iter().map(|fill| fill.rate).collect::<Vec<_>>(), [17.5, 17.5]);
-    let second = planner.plan(&book, &needs, &links(35.0), &warm(), None, 1.0);
+    let second = planner.plan(&balances, &demands, &links(35.0), &no_slow_start(), None, 1.0);
     assert_eq!(
         (second.fills.len(), wait_reasons(&second).iter().filter(|why| **why == WaitReason::Link).count()),
         (0, 7)
     );
     planner.fill_ended(&first.fills[0].id, true);
-    assert_eq!(planner.plan(&book, &needs, &links(35.0), &warm(), None, 2.0).fills.len(), 1);
+    assert_eq!(planner.plan(&balances, &demands, &links(35.0), &no_slow_start(), None, 2.0).fills.len(), 1);
     // 4 expected: 4 + 3 * 2 + 3 = 13 units at most, 3 taken by scans, one left free: 9 units of 10 bytes in 2 seconds.
     let room = NodeCapacity { expected_units: 4.0, used_units: 3.0 };
-    let cold =
+    let slow_start =
         SlowStartCapacity { window_seconds: 2.0, unit_bytes: 10, nodes: [("a-7".to_string(), room)].into() };
     let cooled = FillPlanner::new("x", PlanningRule::MaxMin, 1).plan(
-        &book,
-        &needs[7..8],
+        &balances,
+        &demands[7..8],
         &links(1e4),
-        &cold,
+        &slow_start,
         None,
         0.0,
     );
     assert_eq!(cooled.fills[0].rate, 45.0);
     let full = SlowStartCapacity {
         nodes: [("a-7".to_string(), NodeCapacity { used_units: 12.0, ..room })].into(),
-        ..cold
+        ..slow_start
     };
     let full = FillPlanner::new("x", PlanningRule::MaxMin, 1).plan(
-        &book,
-        &needs[7..8],
+        &balances,
+        &demands[7..8],
         &links(1e4),
         &full,
         None,
@@ -139,81 +140,95 @@
 #[case::more_than_a_window_bears(SettlementTerms { max_carried_bytes: 999, ..terms() }, WaitReason::DebtSize)]
 #[case::never_so_fast(SettlementTerms { max_debt_speed: 9.99, ..terms() }, WaitReason::DebtSize)]
 fn debt_limits(#[case] terms: SettlementTerms, #[case] why: WaitReason) {
-    let book = book(terms, &[]);
+    let balances = balances(terms, &[]);
     let plan = FillPlanner::new("x", PlanningRule::MaxMin, 1).plan(
-        &book,
-        &[need(1, "a", &["b"], 1000)],
+        &balances,
+        &[demand(1, "a", &["b"], 1000)],
         &links(1e4),
-        &warm(),
+        &no_slow_start(),
         None,
         0.0,
     );
     assert_eq!((plan.fills.len(), wait_reasons(&plan)), (0, vec![why]));
 }
 
-/// Fills under way count as done: together they make a debt no greater than one alone may.
+/// Running fills count as complete: together they make a debt no greater than one may.
 #[rstest]
 fn running_fills_count_towards_debt_limit() {
-    let book = book(SettlementTerms { max_debt_bytes: 1500, ..terms() }, &[]);
+    let balances = balances(SettlementTerms { max_debt_bytes: 1500, ..terms() }, &[]);
     let mut planner = FillPlanner::new("x", PlanningRule::MaxMin, 1);
-    let needs = [need(1, "a", &["b"], 1000), need(2, "a", &["b"], 1000)];
-    let plan = planner.plan(&book, &needs, &links(1e4), &warm(), None, 0.0);
+    let demands = [demand(1, "a", &["b"], 1000), demand(2, "a", &["b"], 1000)];
+    let plan = planner.plan(&balances, &demands, &links(1e4), &no_slow_start(), None, 0.0);
     assert_eq!((plan.fills.len(), wait_reasons(&plan)), (1, vec![WaitReason::DebtSize]));
     assert_eq!(
-        wait_reasons(&planner.plan(&book, &needs, &links(1e4), &warm(), None, 1.0)),
+        wait_reasons(&planner.plan(&balances, &demands, &links(1e4), &no_slow_start(), None, 1.0)),
         [WaitReason::Running, WaitReason::DebtSize]
     );
-    // One the other way makes room.
-    let back = planner.plan(&book, &[need(3, "b", &["a"], 1000)], &links(1e4), &warm(), None, 2.0);
+    // One in the other direction reduces the debt.
+    let back =
+        planner.plan(&balances, &[demand(3, "b", &["a"], 1000)], &links(1e4), &no_slow_start(), None, 2.0);
     assert_eq!(back.fills.len(), 1);
-    assert_eq!(planner.plan(&book, &needs[1..], &links(1e4), &warm(), None, 3.0).fills.len(), 1);
+    assert_eq!(
+        planner.plan(&balances, &demands[1..], &links(1e4), &no_slow_start(), None, 3.0).fills.len(),
+        1
+    );
 }
 
 #[rstest]
 fn debt_speed_per_window() {
-    let book = book(SettlementTerms { max_debt_speed: 15.0, ..terms() }, &[]);
+    let balances = balances(SettlementTerms { max_debt_speed: 15.0, ..terms() }, &[]);
     let mut planner = FillPlanner::new("x", PlanningRule::MaxMin, 1);
-    let needs = [need(1, "a", &["b"], 1000), need(2, "a", &["b"], 1000)];
-    let first = planner.plan(&book, &needs, &links(1e4), &warm(), None, 0.0);
+    let demands = [demand(1, "a", &["b"], 1000), demand(2, "a", &["b"], 1000)];
+    let first = planner.plan(&balances, &demands, &links(1e4), &no_slow_start(), None, 0.0);
     assert_eq!((first.fills.len(), wait_reasons(&first)), (1, vec![WaitReason::DebtSpeed]));
     assert_eq!(
-        wait_reasons(&planner.plan(&book, &needs[1..], &links(1e4), &warm(), None, 99.0)),
+        wait_reasons(&planner.plan(&balances, &demands[1..], &links(1e4), &no_slow_start(), None, 99.0)),
         [WaitReason::DebtSpeed]
     );
-    assert_eq!(planner.plan(&book, &needs[1..], &links(1e4), &warm(), None, 100.0).fills.len(), 1);
+    assert_eq!(
+        planner.plan(&balances, &demands[1..], &links(1e4), &no_slow_start(), None, 100.0).fills.len(),
+        1
+    );
 }
 
-/// Done, and its entry not in the log yet: the debt is not paid a second time.
+/// A complete fill whose entry is not in the log yet: the debt is not paid twice.
 #[rstest]
 fn unsettled_fills_count_as_paid() {
-    let mut book = book(terms(), &[("b", "a", 1000)]);
+    let mut balances = balances(terms(), &[("b", "a", 1000)]);
     let mut planner = FillPlanner::new("x", PlanningRule::MaxMin, 1);
-    let needs: Vec<_> = (0..3).map(|i| need(i, "a", &["b"], 1000)).collect();
-    let first = planner.plan(&book, &needs[..1], &links(1e4), &warm(), None, 0.0).fills.remove(0);
+    let demands: Vec<_> = (0..3).map(|i| demand(i, "a", &["b"], 1000)).collect();
+    let first =
+        planner.plan(&balances, &demands[..1], &links(1e4), &no_slow_start(), None, 0.0).fills.remove(0);
     let settles = |plan: &FillPlan| plan.fills[0].settles.clone();
-    assert_eq!(settles(&planner.plan(&book, &needs[..2], &links(1e4), &warm(), None, 1.0)), None);
+    assert_eq!(
+        settles(&planner.plan(&balances, &demands[..2], &links(1e4), &no_slow_start(), None, 1.0)),
+        None
+    );
     planner.fill_ended(&first.id, true);
-    assert_eq!(settles(&planner.plan(&book, &needs[2..], &links(1e4), &warm(), None, 2.0)), None);
-    assert_eq!(book.apply(&SettlementEntry::Settle(first.settles.unwrap())), Ok(ApplyOutcome::New));
-    assert_eq!(book.net_debt("a", "b") + book.net_debt("b", "a"), 0);
+    assert_eq!(
+        settles(&planner.plan(&balances, &demands[2..], &links(1e4), &no_slow_start(), None, 2.0)),
+        None
+    );
+    assert_eq!(balances.apply(&SettlementEntry::Settle(first.settles.unwrap())), Ok(ApplyOutcome::New));
+    assert_eq!(balances.net_debt("a", "b") + balances.net_debt("b", "a"), 0);
 }
 
-/// Another leads now: it knows what is under way and what the window has seen, and plans neither again.
+/// A new leader knows the running fills and those of the window, and does not plan them again.
 #[rstest]
 fn new_leader_resumes() {
-    let book = book(SettlementTerms { max_carried_bytes: 2000, ..terms() }, &[("b", "a", 1500)]);
-    let needs: Vec<_> = (0..3).map(|i| need(i, "a", &["b"], 1000)).collect();
+    let balances = balances(SettlementTerms { max_carried_bytes: 2000, ..terms() }, &[("b", "a", 1500)]);
+    let demands: Vec<_> = (0..3).map(|i| demand(i, "a", &["b"], 1000)).collect();
     let first = FillPlanner::new("x", PlanningRule::MaxMin, 1).plan(
-        &book,
-        &needs[..1],
+        &balances,
+        &demands[..1],
         &links(1e4),
-        &warm(),
+        &no_slow_start(),
         None,
         0.0,
     );
     let mut next = FillPlanner::new("y", PlanningRule::MaxMin, 2);
     next.resume(&first.fills[0], 0.0, true);
-    let plan = next.plan(&book, &needs, &links(1e4), &warm(), None, 1.0);
+    let plan = next.plan(&balances, &demands, &links(1e4), &no_slow_start(), None, 1.0);
     assert_eq!(wait_reasons(&plan), [WaitReason::Running, WaitReason::CarryLimit]);
     assert_eq!(plan.fills[0].settles.as_ref().map(|settlement| settlement.bytes), Some(500));
 }
@@ -221,33 +236,34 @@
 /// A debt that is split is paid from the planner's own share, less what it has promised.
 #[rstest]
 fn plan_stays_within_share() {
-    let mut book = book(terms(), &[("b", "a", 1000)]);
-    let entry = allot_evenly(&book, "b", "a", &["x".to_string(), "y".to_string()]).unwrap();
-    book.apply(&SettlementEntry::Allot(entry)).unwrap();
+    let mut balances = balances(terms(), &[("b", "a", 1000)]);
+    let entry = allot_evenly(&balances, "b", "a", &["x".to_string(), "y".to_string()]).unwrap();
+    balances.apply(&SettlementEntry::Allot(entry)).unwrap();
     let (mut planner, mut shares) =
         (FillPlanner::new("x", PlanningRule::MaxMin, 1), SharePromises::new("x").unwrap());
-    let needs = [need(1, "a", &["b"], 300), need(2, "a", &["b"], 300), need(3, "a", &["b"], 300)];
-    let first = planner.plan(&book, &needs[..1], &links(1e4), &warm(), Some(&shares), 0.0);
-    shares.promise(book.ledger(), first.fills[0].settles.clone().unwrap()).unwrap();
-    let rest = planner.plan(&book, &needs, &links(1e4), &warm(), Some(&shares), 1.0);
+    let demands = [demand(1, "a", &["b"], 300), demand(2, "a", &["b"], 300), demand(3, "a", &["b"], 300)];
+    let first = planner.plan(&balances, &demands[..1], &links(1e4), &no_slow_start(), Some(&shares), 0.0);
+    shares.promise(balances.ledger(), first.fills[0].settles.clone().unwrap()).unwrap();
+    let rest = planner.plan(&balances, &demands, &links(1e4), &no_slow_start(), Some(&shares), 1.0);
     let pays: Vec<_> = rest.fills.iter().map(|fill| fill.settles.as_ref().map(|s| s.bytes)).collect();
     assert_eq!(pays, [Some(200), None]);
 }
 
-fn filling(patience: FillRetryPolicy) -> (FillProgress, Pcg64Mcg) {
-    let book = book(terms(), &[]);
-    let fill = plan(&book, &[need(1, "a", &["b"], 1000)], &links(100.0), &warm(), 0.0, 1).remove(0);
-    (FillProgress::new(fill, patience, 0.0), Pcg64Mcg::seed_from_u64(1))
+fn progress(policy: FillRetryPolicy) -> (FillProgress, Pcg64Mcg) {
+    let balances = balances(terms(), &[]);
+    let fill =
+        plan(&balances, &[demand(1, "a", &["b"], 1000)], &links(100.0), &no_slow_start(), 0.0, 1).remove(0);
+    (FillProgress::new(fill, policy, 0.0), Pcg64Mcg::seed_from_u64(1))
 }
 
 #[rstest]
 fn retries_back_off() {
-    let patience = FillRetryPolicy { max_attempts: 3, deadline_seconds: 1e6, ..FillRetryPolicy::default() };
-    let (mut filling, mut chance) = filling(patience);
+    let policy = FillRetryPolicy { max_attempts: 3, deadline_seconds: 1e6, ..FillRetryPolicy::default() };
+    let (mut progress, mut rng) = progress(policy);
     let (mut now, mut begun) = (0.0, Vec::new());
-    while let Some(due) = filling.next_tick_at() {
+    while let Some(due) = progress.next_tick_at() {
         now = due;
-        for order in filling.tick(now, &mut chance) {
+        for order in progress.tick(now, &mut rng) {
             match order {
                 FillAction::Start(_) => begun.push(now),
                 FillAction::Stop(_) => assert!(now - begun.last().unwrap() >= 20.0),
@@ -255,48 +271,47 @@
             }
         }
     }
-    assert!(matches!(filling.state(), FillState::Failed { .. }));
-    // 10 s at its rate, twice that waited for, then 0.5 to 1 s, and 1 to 2 s.
+    assert!(matches!(progress.state(), FillState::Failed { .. }));
+    // 10 s at its rate, a timeout of twice that, then backoffs of 0.5 to 1 s and of 1 to 2 s.
     let pauses: Vec<f64> = begun.windows(2).map(|pair| pair[1] - pair[0] - 20.0).collect();
     assert!((0.5..=1.0).contains(&pauses[0]) && (1.0..=2.0).contains(&pauses[1]), "{pauses:?}");
-    let late = filling.handle_event(now, FillEvent::Done, &mut chance);
+    let late = progress.handle_event(now, FillEvent::Done, &mut rng);
     assert!(matches!(late, Err(SettlementError::InvalidEvent { state: "failed", event: "done", .. })));
 }
 
 #[rstest]
 fn deadline_withdraws() {
-    let (mut filling, mut chance) =
-        filling(FillRetryPolicy { deadline_seconds: 30.0, ..FillRetryPolicy::default() });
-    filling.tick(0.0, &mut chance);
-    assert!(matches!(filling.tick(20.0, &mut chance)[..], [FillAction::Stop(_)]));
-    let mut late = filling.clone();
-    let done = late.handle_event(20.1, FillEvent::Done, &mut chance).unwrap();
+    let (mut progress, mut rng) =
+        progress(FillRetryPolicy { deadline_seconds: 30.0, ..FillRetryPolicy::default() });
+    progress.tick(0.0, &mut rng);
+    assert!(matches!(progress.tick(20.0, &mut rng)[..], [FillAction::Stop(_)]));
+    let mut late = progress.clone();
+    let done = late.handle_event(20.1, FillEvent::Done, &mut rng).unwrap();
     assert!(matches!(done[..], [FillAction::ReleaseCapacity(_), FillAction::Propose(_)]));
-    assert_eq!(late.handle_event(20.2, FillEvent::Done, &mut chance), Ok(vec![]));
-    // A crash between the end and the entry: proposed again.
+    assert_eq!(late.handle_event(20.2, FillEvent::Done, &mut rng), Ok(vec![]));
+    // After a crash between the end and the entry it is proposed again.
     assert!(matches!(late.resume(21.0)[..], [FillAction::Propose(_)]));
-    filling.tick(21.5, &mut chance);
+    progress.tick(21.5, &mut rng);
     assert!(matches!(
-        filling.tick(30.0, &mut chance)[..],
+        progress.tick(30.0, &mut rng)[..],
         [FillAction::Stop(_), FillAction::ReleaseCapacity(_)]
     ));
-    assert!(matches!(filling.state(), FillState::Withdrawn { .. }) && filling.next_tick_at().is_none());
+    assert!(matches!(progress.state(), FillState::Withdrawn { .. }) && progress.next_tick_at().is_none());
 }
 
-/// A crash while it is under way begins it again under the same id, and costs none of its tries.
+/// After a crash a running fill starts again under the same id, and no attempt is counted for it.
 #[rstest]
 fn resume_after_crash() {
-    let (mut filling, mut chance) =
-        filling(FillRetryPolicy { max_attempts: 1, ..FillRetryPolicy::default() });
-    filling.tick(0.0, &mut chance);
-    let mut filling: FillProgress = postcard::from_bytes(&postcard::to_stdvec(&filling).unwrap()).unwrap();
-    assert_eq!(filling.resume(5.0), vec![]);
-    assert!(matches!(&filling.tick(5.0, &mut chance)[..], [FillAction::Start(fill)] if fill.id == "1/1/a-1"));
-    assert!(filling.handle_event(6.0, FillEvent::Failed { reason: "full".into() }, &mut chance).is_ok());
-    assert!(matches!(filling.state(), FillState::Failed { .. }));
+    let (mut progress, mut rng) = progress(FillRetryPolicy { max_attempts: 1, ..FillRetryPolicy::default() });
+    progress.tick(0.0, &mut rng);
+    let mut progress: FillProgress = postcard::from_bytes(&postcard::to_stdvec(&progress).unwrap()).unwrap();
+    assert_eq!(progress.resume(5.0), vec![]);
+    assert!(matches!(&progress.tick(5.0, &mut rng)[..], [FillAction::Start(fill)] if fill.id == "1/1/a-1"));
+    assert!(progress.handle_event(6.0, FillEvent::Failed { reason: "full".into() }, &mut rng).is_ok());
+    assert!(matches!(progress.state(), FillState::Failed { .. }));
 }
 
-/// One by one to whoever has least of those that want more.
+/// One unit at a time to the one that has least among those that demand more.
 fn naive(demands: &[u64], capacity: u64) -> Vec<u64> {
     let mut given = vec![0; demands.len()];
     for _ in 0..capacity {
@@ -334,21 +349,21 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(34), ..ProptestConfig::with_cases(60) })]
 
-    /// Needs that come without end, for three minutes of simulated time: at each moment links, cold nodes, carrying in any
-    /// window and the pace of debts hold, no debt is paid past itself, and nobody waits longer than a window and
-    /// a half and the longest fill.
+    /// Endless demands for three minutes of simulated time: at each moment the limits on links, slow start, carrying in any
+    /// window and the speed of debts hold, no debt is overpaid, and no partner waits longer than a window and a half and the
+    /// longest fill.
     #[test]
     fn limits_hold_without_starvation(
         seed in any::<u64>(), turns in any::<bool>(), flood in 0..4usize, cap in 60.0..200.0f64, sizes in prop::collection::vec(200..1800u64, 4),
     ) {
         let terms = SettlementTerms { max_carried_bytes: 9000, max_debt_speed: 60.0, window_seconds: 30.0, ..terms() };
         let owes: Vec<_> = (0..3).map(|i| (PARTNERS[i + 1], PARTNERS[flood], 900 * (i as u64 + 1))).collect();
-        let mut book = book(terms.clone(), &owes);
+        let mut balances = balances(terms.clone(), &owes);
         let rule = if turns { PlanningRule::DeficitRoundRobin } else { PlanningRule::MaxMin };
         let mut planner = FillPlanner::new("x", rule, seed);
         let room = NodeCapacity { expected_units: 4.0, used_units: 2.0 };
         let nodes = PARTNERS.iter().flat_map(|p| (0..400).map(move |i| (format!("{p}-{i}"), room))).collect();
-        let cold = SlowStartCapacity { window_seconds: 1.0, unit_bytes: 20, nodes };
+        let slow_start = SlowStartCapacity { window_seconds: 1.0, unit_bytes: 20, nodes };
         let mut queues: Vec<VecDeque<FillDemand>> = vec![VecDeque::new(); 4];
         let mut under_way: Vec<(f64, Fill)> = Vec::new();
         let (mut log, mut waits, mut segment) = (Vec::new(), [0.0f64; 4], 0);
@@ -359,22 +374,22 @@
             for (_, fill) in ended {
                 planner.fill_ended(&fill.id, true);
                 if let Some(settlement) = fill.settles {
-                    prop_assert_eq!(book.apply(&SettlementEntry::Settle(settlement)), Ok(ApplyOutcome::New));
+                    prop_assert_eq!(balances.apply(&SettlementEntry::Settle(settlement)), Ok(ApplyOutcome::New));
                 }
             }
             for (p, queue) in queues.iter_mut().enumerate() {
-                // One of them floods, the others have one need at a time.
+                // One partner has many demands, the others one at a time.
                 while queue.len() < if p == flood { 8 } else { 1 } {
                     let from: Vec<&str> = PARTNERS.into_iter().filter(|it| *it != PARTNERS[p]).collect();
-                    queue.push_back(need(segment, PARTNERS[p], &from, sizes[p]));
+                    queue.push_back(demand(segment, PARTNERS[p], &from, sizes[p]));
                     segment = (segment + 1) % 400;
                 }
             }
-            let needs: Vec<FillDemand> = queues.iter().flatten().cloned().collect();
-            let plan = planner.plan(&book, &needs, &links(cap), &cold, None, now);
+            let demands: Vec<FillDemand> = queues.iter().flatten().cloned().collect();
+            let plan = planner.plan(&balances, &demands, &links(cap), &slow_start, None, now);
             for (p, queue) in queues.iter_mut().enumerate() {
                 let before = queue.len();
-                queue.retain(|need| plan.fills.iter().all(|fill| fill.id != need.id()));
+                queue.retain(|demand| plan.fills.iter().all(|fill| fill.id != demand.id()));
                 waits[p] = if queue.len() < before { 0.0 } else { waits[p] + 1.0 };
                 let longest = sizes[p] as f64 / terms.min_fill_rate.max(20.0);
                 prop_assert!(waits[p] <= 1.5 * terms.window_seconds + longest.min(100.0) + 1.0, "{} waits {}", PARTNERS[p], waits[p]);
@@ -394,7 +409,7 @@
                     prop_assert!(rate <= cap * (1.0 + 1e-9));
                     let pair = recent().filter(|(_, f, t, _)| (f == from && t == to) || (f == to && t == from));
                     prop_assert!(pair.map(|(.., bytes)| *bytes).sum::<u64>() as f64 <= terms.max_debt_speed * terms.window_seconds);
-                    prop_assert_eq!(book.settled_beyond_debt(from, to), 0);
+                    prop_assert_eq!(balances.settled_beyond_debt(from, to), 0);
                 }
             }
             for (_, fill) in &under_way {
--- a/crates/dunepond-settlement/tests/replication.rs
+++ b/crates/dunepond-settlement/tests/replication.rs
@@ -1,4 +1,4 @@
-//! What of the counts a peer is told: nobody is left behind, and those who have all hear next to nothing.
+//! Which counts a peer is sent: all converge, and peers that have everything are sent next to nothing.
 
 use dunepond_settlement::{BrokerPartners, CarriedCounts, CountsMessage, CountsReplication, LocalCounts};
 use proptest::prelude::*;
@@ -10,84 +10,90 @@
     format!("b{broker}")
 }
 
-/// A broker with its folder, as the host has it: saved before it tells, and merged before it notes what it heard.
+/// A broker with its folder, as in its host: stored before it sends, and merged before it notes what it received.
 struct Broker {
     at: usize,
-    tally: LocalCounts,
-    telling: CountsReplication,
+    counts: LocalCounts,
+    replication: CountsReplication,
     folder: LocalCounts,
 }
 
 impl Broker {
     fn new(at: usize) -> Broker {
-        let tally = LocalCounts::open(None, &name(at), 1).unwrap();
-        Broker { at, folder: tally.clone(), tally, telling: CountsReplication::new(u64::MAX - at as u64) }
+        let counts = LocalCounts::open(None, &name(at), 1).unwrap();
+        Broker {
+            at,
+            folder: counts.clone(),
+            counts,
+            replication: CountsReplication::new(u64::MAX - at as u64),
+        }
     }
 
-    fn tell(&mut self, to: usize) -> CountsMessage {
-        self.folder = self.tally.clone();
-        self.telling.message_for(&name(to), self.tally.counts())
+    fn send(&mut self, to: usize) -> CountsMessage {
+        self.folder = self.counts.clone();
+        self.replication.message_for(&name(to), self.counts.counts())
     }
 
-    fn hear(&mut self, from: usize, word: &CountsMessage) {
-        self.tally.merge_from_peer(&name(from), &word.counts, &BrokerPartners::default()).unwrap();
-        self.telling.handle_message(&name(from), word, self.tally.counts());
+    fn receive(&mut self, from: usize, message: &CountsMessage) {
+        self.counts.merge_from_peer(&name(from), &message.counts, &BrokerPartners::default()).unwrap();
+        self.replication.handle_message(&name(from), message, self.counts.counts());
     }
 
-    fn restart(&mut self, process: u64, lost: bool) {
-        let incarnation = self.tally.incarnation() + 1;
-        let folder = (!lost).then(|| self.folder.clone());
-        self.tally = LocalCounts::open(folder, &name(self.at), incarnation).unwrap();
-        self.telling = CountsReplication::new(process);
+    fn restart(&mut self, process: u64, folder_lost: bool) {
+        let incarnation = self.counts.incarnation() + 1;
+        let folder = (!folder_lost).then(|| self.folder.clone());
+        self.counts = LocalCounts::open(folder, &name(self.at), incarnation).unwrap();
+        self.replication = CountsReplication::new(process);
     }
 }
 
-/// One asks, the other answers; both come.
+/// A message and its answer, both delivered.
 fn exchange(brokers: &mut [Broker], from: usize, to: usize) -> [CountsMessage; 2] {
-    let asked = brokers[from].tell(to);
-    brokers[to].hear(from, &asked);
-    let answer = brokers[to].tell(from);
-    brokers[from].hear(to, &answer);
+    let asked = brokers[from].send(to);
+    brokers[to].receive(from, &asked);
+    let answer = brokers[to].send(from);
+    brokers[from].receive(to, &answer);
     [asked, answer]
 }
 
-fn length(word: &CountsMessage) -> usize {
-    postcard::to_stdvec(word).unwrap().len()
+fn length(message: &CountsMessage) -> usize {
+    postcard::to_stdvec(message).unwrap().len()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(36), ..ProptestConfig::with_cases(512) })]
 
-    /// Words and answers are lost, come twice, late, in any order, also after either side began anew from what it saved, or
-    /// with nothing. Then three exchanges between any two, cut off from the third, and these two know the same; and at
-    /// last all three, which is all that anybody saved, if no folder was lost. No whole word by the clock is in it.
+    /// Messages and answers are lost, duplicated, late and in any order, also after either side restarted from its folder, or
+    /// with an empty one. Then after three exchanges between any two, partitioned from the third, these two know the same;
+    /// and in the end all three, which is all that was ever stored if no folder was lost. The run is too short for the
+    /// regular complete messages.
     #[test]
-    fn changed_rows_converge(acts in prop::collection::vec((0..8u8, 0..BROKERS, 1..BROKERS, 1..100u64, any::<prop::sample::Index>()), 1..60), first in 0..BROKERS, further in 1..BROKERS) {
+    fn changed_rows_converge(actions in prop::collection::vec((0..8u8, 0..BROKERS, 1..BROKERS, 1..100u64, any::<prop::sample::Index>()), 1..60), first in 0..BROKERS, further in 1..BROKERS) {
         let mut brokers: Vec<Broker> = (0..BROKERS).map(Broker::new).collect();
         let (mut all, mut lost) = (CarriedCounts::new(), false);
-        // From, to, the word.
+        // From, to.
         let mut sent: Vec<(usize, usize, CountsMessage)> = Vec::new();
-        for (number, (act, at, further, bytes, any)) in acts.into_iter().enumerate() {
+        for (number, (action, at, further, bytes, any)) in actions.into_iter().enumerate() {
             let to = (at + further) % BROKERS;
-            match act {
-                0 | 1 => brokers[at].tally.record("north", ["south", "west"][bytes as usize % 2], bytes),
+            match action {
+                0 | 1 => brokers[at].counts.record("north", ["south", "west"][bytes as usize % 2], bytes),
                 2 => {
-                    let word = brokers[at].tell(to);
-                    sent.push((at, to, word));
+                    let message = brokers[at].send(to);
+                    sent.push((at, to, message));
                 }
-                // Comes, and is answered.
+                // Delivered, and answered.
                 3 | 4 if !sent.is_empty() => {
-                    let (from, to, word) = sent[any.index(sent.len())].clone();
-                    brokers[to].hear(from, &word);
-                    if act == 3 {
-                        let answer = brokers[to].tell(from);
+                    let (from, to, message) = sent[any.index(sent.len())].clone();
+                    brokers[to].receive(from, &message);
+                    if action == 3 {
+                        let answer = brokers[to].send(from);
                         sent.push((to, from, answer));
                     }
                 }
-                5 => sent.extend(exchange(&mut brokers, at, to).into_iter().zip([(at, to), (to, at)]).map(|(word, way)| (way.0, way.1, word))),
+                5 => sent.extend(exchange(&mut brokers, at, to).into_iter().zip([(at, to), (to, at)]).map(|(message, way)| (way.0, way.1, message))),
                 6 | 7 => {
-                    lost |= act == 7;
-                    brokers[at].restart(100 + number as u64, act == 7);
+                    lost |= action == 7;
+                    brokers[at].restart(100 + number as u64, action == 7);
                 }
                 _ => {}
             }
@@ -95,21 +101,21 @@
         }
         let second = (first + further) % BROKERS;
         (0..3).for_each(|_| drop(exchange(&mut brokers, first, second)));
-        prop_assert_eq!(brokers[first].tally.counts(), brokers[second].tally.counts());
+        prop_assert_eq!(brokers[first].counts.counts(), brokers[second].counts.counts());
         for _ in 0..3 {
             for (from, to) in [(0, 1), (1, 2), (2, 0)] {
                 exchange(&mut brokers, from, to);
             }
         }
-        brokers.iter().for_each(|broker| all.merge(broker.tally.counts()));
+        brokers.iter().for_each(|broker| all.merge(broker.counts.counts()));
         for broker in &brokers {
-            let wanted = if lost { brokers[0].tally.counts() } else { &all };
-            prop_assert_eq!(broker.tally.counts(), wanted);
+            let wanted = if lost { brokers[0].counts.counts() } else { &all };
+            prop_assert_eq!(broker.counts.counts(), wanted);
         }
     }
 }
 
-/// A hundred brokers with thirty pairs each, as `fleet-at-size` has them: bytes of the two words of one exchange.
+/// A hundred brokers with thirty pairs each, as `fleet-at-size` has them: bytes of the two messages of one exchange.
 #[rstest]
 fn idle_fleet_sends_little() {
     let partners: Vec<_> = (0..6).map(|partner| format!("partner{partner}")).collect();
@@ -120,68 +126,73 @@
         }
     }
     let mut brokers = [Broker::new(0), Broker::new(1)];
-    brokers[0].tally.merge_from_peer("b2", &rows, &BrokerPartners::default()).unwrap();
-    let whole = postcard::to_stdvec(brokers[0].tally.counts()).unwrap().len();
-    let [first, answer] = exchange(&mut brokers, 0, 1).map(|word| length(&word));
-    assert!(first > whole && answer < 100, "{first} of {whole}, answered with {answer}");
-    let quiet = exchange(&mut brokers, 1, 0).map(|word| length(&word));
-    assert!(quiet.iter().all(|bytes| *bytes < 100), "{quiet:?} of {whole}");
-    // One row of the hundred changes: it alone is told.
-    brokers[0].tally.record("partner0", "partner1", 5);
-    let one = exchange(&mut brokers, 0, 1).map(|word| length(&word));
+    brokers[0].counts.merge_from_peer("b2", &rows, &BrokerPartners::default()).unwrap();
+    let complete = postcard::to_stdvec(brokers[0].counts.counts()).unwrap().len();
+    let [first, answer] = exchange(&mut brokers, 0, 1).map(|message| length(&message));
+    assert!(first > complete && answer < 100, "{first} of {complete}, answered with {answer}");
+    let idle = exchange(&mut brokers, 1, 0).map(|message| length(&message));
+    assert!(idle.iter().all(|bytes| *bytes < 100), "{idle:?} of {complete}");
+    // One row of the hundred changes: it alone is sent.
+    brokers[0].counts.record("partner0", "partner1", 5);
+    let one = exchange(&mut brokers, 0, 1).map(|message| length(&message));
     assert!(one[0] < 150 && one[1] < 100, "{one:?}");
-    assert_eq!(brokers[0].tally.counts(), brokers[1].tally.counts());
-    // Over a long time, whole words among them.
-    let long = (0..610).flat_map(|at| exchange(&mut brokers, at % 2, 1 - at % 2)).map(|word| length(&word));
+    assert_eq!(brokers[0].counts.counts(), brokers[1].counts.counts());
+    // Over a long time, with some complete messages.
+    let long =
+        (0..610).flat_map(|at| exchange(&mut brokers, at % 2, 1 - at % 2)).map(|message| length(&message));
     let mean = long.sum::<usize>() / 1220;
-    println!("whole {whole}, quiet {quiet:?}, one row {one:?}, mean of a word {mean}");
-    assert!(mean > quiet[0] && mean < 200, "{mean}: whole ones now and then, and seldom");
+    println!("complete {complete}, idle {idle:?}, one row {one:?}, mean of a message {mean}");
+    assert!(mean > idle[0] && mean < 200, "{mean}: complete ones are rare");
 }
 
-/// Each knows only counts of the other: a program of before, and one of now.
+/// A build that knows only counts, and the present one.
 #[rstest]
 fn counts_only_peers() {
     let mut brokers = [Broker::new(0), Broker::new(1)];
-    brokers[0].tally.record("north", "south", 5);
+    brokers[0].counts.record("north", "south", 5);
     for _ in 0..3 {
-        let told = postcard::to_stdvec(&brokers[0].tell(1)).unwrap();
-        assert_eq!(&postcard::from_bytes::<CarriedCounts>(&told).unwrap(), brokers[0].tally.counts());
-        let bare = postcard::to_stdvec(brokers[1].tally.counts()).unwrap();
+        let sent_bytes = postcard::to_stdvec(&brokers[0].send(1)).unwrap();
+        assert_eq!(&postcard::from_bytes::<CarriedCounts>(&sent_bytes).unwrap(), brokers[0].counts.counts());
+        let bare = postcard::to_stdvec(brokers[1].counts.counts()).unwrap();
         assert!(postcard::from_bytes::<CountsMessage>(&bare).is_err());
-        brokers[0].hear(1, &CountsMessage::counts_only(postcard::from_bytes(&bare).unwrap()));
+        brokers[0].receive(1, &CountsMessage::counts_only(postcard::from_bytes(&bare).unwrap()));
     }
 }
 
-/// By hand: bytes that a broker tells a second, each asking one other by chance, where so many of a hundred count
-/// something between two words. Compared with all of the counts in each word, as it was.
+/// By hand: bytes that a broker sends a second, each to a random one, where so many of a hundred count something between two
+/// messages. Compared with complete counts in each message.
 #[rstest]
 #[ignore = "a measurement, some minutes"]
 fn bytes_per_second(#[values(30, 100)] brokers: usize, #[values(0, 5, 100)] busy: u64) {
     let partners: Vec<_> = (0..6).map(|partner| format!("partner{partner}")).collect();
     let mut all: Vec<Broker> = (0..brokers).map(Broker::new).collect();
     let mut seed = 7u64;
-    let mut chance = |below: usize| {
+    let mut random = |below: usize| {
         seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         (seed >> 33) as usize % below
     };
-    let (mut told, mut whole) = (0, 0);
+    let (mut sent_bytes, mut complete) = (0, 0);
     for second in 0..160 {
         for broker in &mut all {
             for pair in 0..36 {
-                if second == 0 || (chance(100) as u64) < busy {
-                    broker.tally.record(&partners[pair / 6], &partners[pair % 6], 1 << 20);
+                if second == 0 || (random(100) as u64) < busy {
+                    broker.counts.record(&partners[pair / 6], &partners[pair % 6], 1 << 20);
                 }
             }
         }
         for at in 0..brokers {
-            let to = (at + 1 + chance(brokers - 1)) % brokers;
-            let words = exchange(&mut all, at, to);
-            // After the rows have come to all.
+            let to = (at + 1 + random(brokers - 1)) % brokers;
+            let messages = exchange(&mut all, at, to);
+            // Once all have all rows.
             if second >= 100 {
-                told += words.iter().map(length).sum::<usize>();
-                whole += 2 * postcard::to_stdvec(all[at].tally.counts()).unwrap().len();
+                sent_bytes += messages.iter().map(length).sum::<usize>();
+                complete += 2 * postcard::to_stdvec(all[at].counts.counts()).unwrap().len();
             }
         }
     }
-    println!("{brokers} brokers, {busy} %: {} of {} bytes", told / 60 / brokers, whole / 60 / brokers);
+    println!(
+        "{brokers} brokers, {busy} %: {} of {} bytes",
+        sent_bytes / 60 / brokers,
+        complete / 60 / brokers
+    );
 }
