--- a/crates/dunepond-broker/src/discovery/call.rs
+++ b/crates/dunepond-broker/src/discovery/call.rs
@@ -43,16 +43,22 @@
 /// Why a response is not used.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResponseError {
+    /// Bytes arrived without a request.
     #[error("an answer to no question")]
     Unrequested,
+    /// The response is not valid HTTP.
     #[error("{0}")]
     Http(String),
+    /// The agent answered with another status than 200.
     #[error("answered {0}")]
     Status(u16),
+    /// The list is not valid JSON.
     #[error("list: {0}")]
     Json(String),
+    /// The list has an invalid field.
     #[error("{0}")]
     List(String),
+    /// Changes do not follow the version that is held.
     #[error("changes up to version {0}, which do not follow what is known")]
     NotContiguous(u64),
 }
--- a/crates/dunepond-broker/src/lib.rs
+++ b/crates/dunepond-broker/src/lib.rs
@@ -1,4 +1,6 @@
-//! The broker process as a library: for the program `dunepond-broker`, and for the testkit, which runs it with stand-ins.
+//! The broker process as a library: for the program `dunepond-broker`, and for the testkit, which runs it with test doubles.
+
+#![warn(missing_docs)]
 
 mod background;
 mod body;
