--- a/crates/dunepond-rebalance/tests/model.rs
+++ b/crates/dunepond-rebalance/tests/model.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    fn printed(mut self) -> Self {
+    fn with_print(mut self) -> Self {
         let Self { map, highest, operator_entries, expired, steps, .. } = &self;
         let open = self.open.as_ref().map(|o| (o.number, o.transition.to().digest(), o.filled));
         let in_flight: Vec<String> = self
@@ -131,7 +131,7 @@
     Lose(usize),
 }
 
-struct Moves {
+struct PlanModel {
     rule: Rule,
     plan: Plan,
     steps: Vec<Step>,
@@ -140,7 +140,7 @@
     first: VerifiedMap,
 }
 
-impl Moves {
+impl PlanModel {
     fn new(rule: Rule) -> Self {
         let first = map_of(&[&["a"], &["b"]]);
         // The second has capacity only once the first has left.
@@ -218,16 +218,16 @@
 
     /// Segments that `a` has at once at most: by either map.
     fn segments_at_a(world: &World) -> usize {
-        let held = |map: &VerifiedMap| -> BTreeSet<u64> {
+        let held_by_a = |map: &VerifiedMap| -> BTreeSet<u64> {
             let of_a = map.segments().filter(|s| s.replicas.iter().any(|h| h.node == "a"));
             of_a.map(|s| s.keys.from).collect()
         };
-        let mut all = held(&world.map);
-        all.extend(world.open.iter().flat_map(|open| held(open.transition.to())));
+        let mut all = held_by_a(&world.map);
+        all.extend(world.open.iter().flat_map(|open| held_by_a(open.transition.to())));
         all.len()
     }
 
-    fn held(map: &VerifiedMap) -> Vec<(u64, String, Vec<String>)> {
+    fn replicas(map: &VerifiedMap) -> Vec<(u64, String, Vec<String>)> {
         let one = |s: &dunepond_shard_map::Segment| {
             (s.id, s.owner.clone(), s.replicas.iter().map(|h| h.node.clone()).collect())
         };
@@ -235,7 +235,7 @@
     }
 }
 
-impl Model for Moves {
+impl Model for PlanModel {
     type State = World;
     type Action = Act;
 
@@ -252,7 +252,7 @@
             foreign: false,
             print: String::new(),
         };
-        vec![world.printed()]
+        vec![world.with_print()]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Act>) {
@@ -309,7 +309,7 @@
                 };
                 world.in_flight.push(item);
             }
-            // Late ones are refused by their number, which the model of consensus covers.
+            // Late ones are rejected by their number, which the model of consensus covers.
             Act::Confirm => {
                 let number = world.open.as_ref()?.number;
                 self.commit(&mut world, Item::Filled(number)).ok()?;
@@ -329,16 +329,16 @@
                 world.operator_entries += 1;
             }
         }
-        Some(world.printed())
+        Some(world.with_print())
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        fn ends_once(_: &Moves, world: &World) -> bool {
+        fn ends_once(_: &PlanModel, world: &World) -> bool {
             let mut ids: Vec<_> = world.progress.ended.iter().map(|ended| &ended.id).collect();
             ids.extend(world.progress.running.iter().map(|running| &running.plan.id));
             ids.iter().collect::<BTreeSet<_>>().len() == ids.len()
         }
-        fn in_order(model: &Moves, world: &World) -> bool {
+        fn in_order(model: &PlanModel, world: &World) -> bool {
             let of = |id: &str, steps: &[Step]| {
                 let on: Vec<_> = world.steps.iter().filter(|(p, _, back)| p == id && !back).collect();
                 let planned = steps.iter().map(|step| step.forward.to_string());
@@ -347,14 +347,14 @@
             };
             of("p", &model.steps) && of("q", &model.other_steps)
         }
-        fn done_is_active(_: &Moves, world: &World) -> bool {
+        fn done_is_active(_: &PlanModel, world: &World) -> bool {
             let Some(running) = world.progress.running.as_ref().filter(|r| r.rollback.is_none()) else {
                 return true;
             };
             let on = world.steps.iter().filter(|(plan, _, back)| *plan == running.plan.id && !back);
             on.count() == running.steps_done
         }
-        fn ended_as_recorded(model: &Moves, world: &World) -> bool {
+        fn ended_as_recorded(model: &PlanModel, world: &World) -> bool {
             // Only where nothing else came in between.
             let [ended] = world.progress.ended.iter().collect::<Vec<_>>()[..] else { return true };
             if world.progress.running.is_some() || ended.id != "p" {
@@ -367,7 +367,7 @@
                 PlanOutcome::Undone { .. } => {
                     let others = world.steps.iter().any(|step| step.0 != "p");
                     let others = others || world.steps.len() as u64 != world.highest - 1;
-                    others || Moves::held(&world.map) == Moves::held(&model.first)
+                    others || PlanModel::replicas(&world.map) == PlanModel::replicas(&model.first)
                 }
             }
         }
@@ -375,16 +375,16 @@
             world.progress.ended.iter().any(|ended| ended.id == "p" && is(&ended.outcome))
         }
         vec![
-            Property::always("room", |_: &Moves, world: &World| Moves::segments_at_a(world) <= 1),
+            Property::always("capacity", |_: &PlanModel, world: &World| PlanModel::segments_at_a(world) <= 1),
             Property::always("a plan ends once", ends_once),
             Property::always("no step twice, none left out", in_order),
             Property::always("a step counts when it is in force", done_is_active),
             Property::always("an end is what it says", ended_as_recorded),
-            Property::always("nothing foreign", |_: &Moves, world: &World| !world.foreign),
-            Property::sometimes("done", |_: &Moves, world: &World| {
+            Property::always("nothing foreign", |_: &PlanModel, world: &World| !world.foreign),
+            Property::sometimes("done", |_: &PlanModel, world: &World| {
                 ended(world, |how| *how == PlanOutcome::Done)
             }),
-            Property::sometimes("undone after a step", |_: &Moves, world: &World| {
+            Property::sometimes("undone after a step", |_: &PlanModel, world: &World| {
                 let undone = ended(world, |how| matches!(how, PlanOutcome::Undone { .. }));
                 undone && world.steps.iter().any(|step| step.2)
             }),
@@ -393,8 +393,9 @@
 }
 
 /// All states up to this depth.
-fn checked(rule: Rule, depth: usize, states: usize) -> impl Checker<Moves> {
-    let checker = Moves::new(rule).checker().threads(4).target_max_depth(depth).target_state_count(states);
+fn checked(rule: Rule, depth: usize, states: usize) -> impl Checker<PlanModel> {
+    let checker =
+        PlanModel::new(rule).checker().threads(4).target_max_depth(depth).target_state_count(states);
     let checker =
         if rule == Rule::Unchanged { checker } else { checker.finish_when(HasDiscoveries::AnyFailures) };
     checker.spawn_bfs().join()
--- a/crates/dunepond-rebalance/tests/properties.rs
+++ b/crates/dunepond-rebalance/tests/properties.rs
@@ -14,10 +14,10 @@
 use proptest::prelude::*;
 
 const NODES: [&str; 4] = ["a", "b", "c", "d"];
-/// Of four segments; each holds 8 bytes, so that quarters are full.
-const SEGMENT: u64 = 1 << 62;
+/// Keys of one of four segments; each holds 8 bytes, so that quarters are whole numbers.
+const SEGMENT_WIDTH: u64 = 1 << 62;
 
-fn held() -> impl Strategy<Value = Vec<Vec<&'static str>>> {
+fn replica_nodes() -> impl Strategy<Value = Vec<Vec<&'static str>>> {
     let one = (prop::sample::select(&NODES[..]), prop::option::of(prop::sample::select(&NODES[..])));
     let one = one.prop_map(|(owner, other)| {
         [Some(owner), other.filter(|other| *other != owner)].into_iter().flatten().collect()
@@ -25,24 +25,24 @@
     prop::collection::vec(one, 4)
 }
 
-/// Operations that mostly name what is there; `n` keeps the ids that come apart.
-fn operation(held: &[Vec<&'static str>], n: u64, drawn: (u8, u64, usize)) -> Operation {
+/// An operation that mostly names existing segments and replicas; `n` keeps new ids distinct.
+fn operation(nodes: &[Vec<&'static str>], n: u64, drawn: (u8, u64, usize)) -> Operation {
     let (kind, segment, other) = drawn;
-    let there = &held[segment as usize];
-    let (from, not) = (there[other % there.len()], |node: &&&str| !there.contains(*node));
-    let apart: Vec<_> = NODES.iter().filter(not).collect();
+    let replicas = &nodes[segment as usize];
+    let from = replicas[other % replicas.len()];
+    let others: Vec<_> = NODES.iter().filter(|node| !replicas.contains(*node)).collect();
     match kind {
-        0..7 => moves(segment, from, apart[other % apart.len()]),
+        0..7 => moves(segment, from, others[other % others.len()]),
         7 | 8 => split(
             segment,
-            segment * SEGMENT + (1 + other as u64 % 3) * (SEGMENT / 4),
+            segment * SEGMENT_WIDTH + (1 + other as u64 % 3) * (SEGMENT_WIDTH / 4),
             [10 + 2 * n, 11 + 2 * n],
         ),
         9 => merge([segment.min(2), segment.min(2) + 1], 20 + n),
         10 => merge([10, 11], 30 + n),
         11 => change_owner(segment, from),
-        // What another operation makes, perhaps.
-        12 => moves(10 + segment, from, apart[0]),
+        // A segment that another operation may make.
+        12 => moves(10 + segment, from, others[0]),
         _ => moves(20 + segment, NODES[other % 4], NODES[(other + 1) % 4]),
     }
 }
@@ -52,17 +52,17 @@
     let drawn = prop::collection::vec((kind, 0..4_u64, 0..12_usize), 2..=4);
     let bytes = || prop::option::weighted(0.6, 8..40_u64);
     let capacities = prop::collection::vec((bytes(), prop::option::weighted(0.2, 1..5_u64)), 4);
-    (held(), drawn, capacities, bytes(), bytes(), any::<bool>()).prop_map(
-        |(held, drawn, capacities, cell, partner, ordered)| {
+    (replica_nodes(), drawn, capacities, bytes(), bytes(), any::<bool>()).prop_map(
+        |(nodes, drawn, capacities, group, partner, ordered)| {
             let drawn = drawn.into_iter().enumerate();
-            let mut plan = plan(drawn.map(|(n, drawn)| operation(&held, n as u64, drawn)).collect());
+            let mut plan = plan(drawn.map(|(n, drawn)| operation(&nodes, n as u64, drawn)).collect());
             (plan.sizes.default_bytes, plan.ordered) = (8, ordered);
             for (name, (bytes, segments)) in NODES.iter().zip(capacities) {
                 plan.nodes.insert(name.to_string(), node(name, bytes, segments));
             }
-            plan.replica_groups.insert("left".to_string(), Capacity { bytes: cell, segments: None });
+            plan.replica_groups.insert("left".to_string(), Capacity { bytes: group, segments: None });
             plan.partners.insert("south".to_string(), Capacity { bytes: partner, segments: None });
-            (held, plan)
+            (nodes, plan)
         },
     )
 }
@@ -70,14 +70,14 @@
 /// Bytes and segments by scope, counted independently of the code under test.
 type Loads = BTreeMap<String, (u64, u64)>;
 
-/// By node, replica group and partner: bytes and segments of all that stands in either map, keys that are in both counted once.
+/// By node, replica group and partner: bytes and segments of either map, keys that are in both counted once.
 fn loads(plan: &Plan, maps: &[&ShardMap]) -> Loads {
     let mut loads = Loads::new();
     for name in NODES {
         let quarters =
             maps.iter().flat_map(|map| &map.segments).filter(|s| s.replicas.iter().any(|h| h.node == name));
         let quarters: BTreeSet<u64> =
-            quarters.flat_map(|s| (0..16_u64).filter(|q| s.keys.contains(q * (SEGMENT / 4)))).collect();
+            quarters.flat_map(|s| (0..16_u64).filter(|q| s.keys.contains(q * (SEGMENT_WIDTH / 4)))).collect();
         let segments = |map: &&ShardMap| {
             map.segments.iter().filter(|s| s.replicas.iter().any(|h| h.node == name)).count() as u64
         };
@@ -199,9 +199,9 @@
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn orders_are_valid_and_complete((held, plan) in plans(), max_actions in 1..4_usize) {
-        let held: Vec<&[&str]> = held.iter().map(|nodes| &nodes[..]).collect();
-        let from = map_of(&held);
+    fn orders_are_valid_and_complete((nodes, plan) in plans(), max_actions in 1..4_usize) {
+        let nodes: Vec<&[&str]> = nodes.iter().map(|nodes| &nodes[..]).collect();
+        let from = map_of(&nodes);
         let limits = StepLimits { max_actions, ..LIMITS };
         let ordered = order_steps(&plan, &from, limits, |_| false);
         let found = plan.validate().is_ok()
@@ -275,7 +275,7 @@
                 other => prop_assert!(false, "{:?}", other),
             }
         }
-        let held = |map: &VerifiedMap| -> Vec<_> {
+        let replicas = |map: &VerifiedMap| -> Vec<_> {
             let one = |s: &dunepond_shard_map::Segment| {
                 let nodes: BTreeSet<_> = s.replicas.iter().map(|h| h.node.clone()).collect();
                 (s.id, s.keys, s.owner.clone(), nodes)
@@ -284,7 +284,7 @@
         };
         prop_assert!(progress.ended.len() == 1 && progress.ended.len() <= MAX_ENDED_PLANS);
         if stop < steps.len() {
-            prop_assert_eq!(held(&map), held(from), "after {} of {:?}", stop, steps);
+            prop_assert_eq!(replicas(&map), replicas(from), "after {} of {:?}", stop, steps);
         }
     }
     Ok(())
--- a/crates/dunepond-rebalance/tests/stories.rs
+++ b/crates/dunepond-rebalance/tests/stories.rs
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use strum::EnumCount;
 
-/// Carries the steps out on maps, each by what a version's change is judged by.
+/// Carries out the steps on maps, each by the transition that a version is checked with. Counts fills and changed segments.
 fn carried_out<'a>(
     from: &VerifiedMap,
     batches: impl Iterator<Item = &'a dunepond_rebalance::ActionBatch>,
@@ -45,7 +45,7 @@
     let owners: Vec<_> = to.segments().map(|s| (s.id, s.owner.as_str(), s.keys.from)).collect();
     let width = 1 << 62;
     assert_eq!(owners, [(10, "a", 0), (11, "c", 99), (12, "a", width), (3, "c", 3 * width)]);
-    // In the joint step of the fence nobody owns what moves, everybody else goes on.
+    // In the joint phase of the fence the moved segment has no owner, the others keep theirs.
     let (before, _) = carried_out(&from, forward(&steps[..2]));
     let transition = steps[2].forward.transition(&before, 2).unwrap();
     assert_eq!(
@@ -56,7 +56,7 @@
 
 #[test]
 fn order_keeps_capacities() {
-    // a is full; what moves to it waits until something has left.
+    // a is full; what moves to it waits until a segment has left.
     let from = map_of(&[&["a"], &["a"], &["b"], &["b"]]);
     let mut plan = plan(vec![moves(2, "b", "a"), moves(3, "b", "a"), moves(0, "a", "c"), moves(1, "a", "c")]);
     plan.nodes.insert("a".to_string(), node("a", Some(20), None));
@@ -65,11 +65,11 @@
     assert_eq!(shown[0], "Fill: fill 0 at c, fill 1 at c");
     assert_eq!(shown[2], "Fill: fill 2 at a, fill 3 at a", "{shown:?}");
     assert_eq!(steps.len(), 4);
-    // One at a time where so few may be under way.
+    // One at a time with the lowest limits.
     let one =
         order_steps(&plan, &from, StepLimits { max_actions: 1, max_changed_ratio: 0.25 }, |_| false).unwrap();
     assert_eq!(one.len(), 8);
-    // In the order of the file it is not possible, and what is short is named.
+    // In the order of the file it is not possible, and the shortage is named.
     plan.ordered = true;
     let error = order_steps(&plan, &from, LIMITS, |_| false).unwrap_err();
     let RebalanceError::CapacityExceeded { step: 0, operation: 0, shortage } = error else {
@@ -93,7 +93,7 @@
         panic!("{error}")
     };
     assert_eq!((shortage.missing(), &shortage.freed_by[..]), (10, &[2][..]), "{error}");
-    // Half of each at a time needs half the room, and that is still not there; with it, it goes.
+    // With capacity for a second segment at one of them it is possible.
     swap.nodes.insert("b".to_string(), node("b", Some(20), None));
     assert!(order_steps(&swap, &from, LIMITS, |_| false).is_ok());
 }
@@ -119,8 +119,8 @@
 
 #[test]
 fn impossible_operation_is_named() {
-    let held: Vec<&[&str]> = (0..64).map(|_| &["a"][..]).collect();
-    let from = map_of(&held);
+    let nodes: Vec<&[&str]> = (0..64).map(|_| &["a"][..]).collect();
+    let from = map_of(&nodes);
     let mut many = plan((0..40).map(|n| moves(n, "a", "c")).collect());
     many.operations.push(moves(999, "a", "c"));
     many.nodes.insert("c".to_string(), node("c", Some(10_000), None));
@@ -136,22 +136,22 @@
     let steps = order_steps(&plan, &from, LIMITS, |_| false).unwrap();
     let verified = |steps: &[Step], limits| verify_steps(&plan, steps, &from, limits, |_| false);
     assert!(verified(&steps, LIMITS).is_ok());
-    let refused = |steps: &[Step]| assert!(verified(steps, LIMITS).is_err(), "{steps:?}");
-    // A step too few, two exchanged, one twice, one in another kind's name, one without its way back.
-    refused(&steps[..steps.len() - 1]);
+    let assert_rejected = |steps: &[Step]| assert!(verified(steps, LIMITS).is_err(), "{steps:?}");
+    // A step is missing, two are swapped, one comes twice, one has another kind, one has no rollback.
+    assert_rejected(&steps[..steps.len() - 1]);
     let mut other = steps.clone();
     other.swap(0, 1);
-    refused(&other);
+    assert_rejected(&other);
     let mut other = steps.clone();
     other.insert(1, steps[0].clone());
-    refused(&other);
+    assert_rejected(&other);
     let mut other = steps.clone();
     other[0].forward.kind = StepKind::MetadataOnly;
-    refused(&other);
+    assert_rejected(&other);
     let mut other = steps.clone();
     other[0].rollback.clear();
-    refused(&other);
-    // The move to `a` at once with those away from it: nothing is free before the step is over.
+    assert_rejected(&other);
+    // The move to `a` in the same step as those away from it: nothing is freed before the step is over.
     let mut other = steps.clone();
     let late = other
         .iter()
@@ -159,7 +159,7 @@
         .unwrap();
     let fill = other[late].forward.actions.remove(0);
     other[0].forward.actions.push(fill);
-    refused(&other);
+    assert_rejected(&other);
     assert!(verified(&steps, StepLimits { max_actions: 1, ..LIMITS }).is_err());
 }
 
