--- a/crates/dunepond-broker/src/body.rs
+++ b/crates/dunepond-broker/src/body.rs
@@ -31,39 +31,39 @@
 
 struct BodyState {
     length: Option<u64>,
-    stated: bool,
+    length_declared: bool,
     /// How much memory it may use while it arrives; `None` where all of it may stay in memory.
-    limit: Option<u64>,
-    arrived: u64,
-    whole: bool,
+    memory_limit: Option<u64>,
+    received_bytes: u64,
+    is_complete: bool,
     /// The blocks from number `first` on; earlier ones have been dropped.
     blocks: VecDeque<Block>,
-    first: u64,
+    first_block: u64,
     tail: BytesMut,
     /// The offset of each reader.
     readers: Slab<u64>,
     /// Blocks are dropped once all readers have consumed them.
     pass_through: bool,
     /// No further reader comes; before that nothing is dropped.
-    begun: bool,
+    all_readers_attached: bool,
     /// Blocks that a reader waits for and that are only in the file.
-    wanted: BTreeSet<u64>,
+    requested_blocks: BTreeSet<u64>,
     /// Blocks in the file that are in memory as well, or are being read into it, the oldest first.
-    loaned: VecDeque<u64>,
+    cached_blocks: VecDeque<u64>,
     /// Those that are being read.
-    loading: BTreeSet<u64>,
-    lost: Option<FallbackReason>,
+    loading_blocks: BTreeSet<u64>,
+    loss: Option<FallbackReason>,
 }
 
 /// Collects the ids of dropped bodies.
-pub type Dropped = Rc<RefCell<Vec<BodyId>>>;
+pub type DroppedBodies = Rc<RefCell<Vec<BodyId>>>;
 
 /// A request body; it lives as long as its client sends it or an attempt may need it.
 pub struct Body {
     /// Its number in the body store.
     pub id: BodyId,
-    inner: RefCell<BodyState>,
-    dropped: Dropped,
+    state: RefCell<BodyState>,
+    dropped: DroppedBodies,
 }
 
 impl Drop for Body {
@@ -74,98 +74,99 @@
 
 impl Body {
     /// An empty body. `length` is the declared one; `limit` bounds its memory in bytes.
-    pub fn new(id: BodyId, length: Option<u64>, limit: Option<u64>, dropped: &Dropped) -> Rc<Self> {
+    pub fn new(id: BodyId, length: Option<u64>, limit: Option<u64>, dropped: &DroppedBodies) -> Rc<Self> {
         let inner = BodyState {
             length,
-            stated: length.is_some(),
-            limit,
-            arrived: 0,
-            whole: false,
+            length_declared: length.is_some(),
+            memory_limit: limit,
+            received_bytes: 0,
+            is_complete: false,
             blocks: VecDeque::new(),
-            first: 0,
+            first_block: 0,
             tail: BytesMut::new(),
             readers: Slab::new(),
             pass_through: false,
-            begun: false,
-            wanted: BTreeSet::new(),
-            loaned: VecDeque::new(),
-            loading: BTreeSet::new(),
-            lost: None,
+            all_readers_attached: false,
+            requested_blocks: BTreeSet::new(),
+            cached_blocks: VecDeque::new(),
+            loading_blocks: BTreeSet::new(),
+            loss: None,
         };
-        Rc::new(Self { id, inner: RefCell::new(inner), dropped: dropped.clone() })
+        Rc::new(Self { id, state: RefCell::new(inner), dropped: dropped.clone() })
     }
 
     /// Its length; what has arrived so far if no length was declared.
     pub fn length(&self) -> u64 {
-        let inner = self.inner.borrow();
-        inner.length.unwrap_or(inner.arrived)
+        let inner = self.state.borrow();
+        inner.length.unwrap_or(inner.received_bytes)
     }
 
     /// How many bytes have arrived.
-    pub fn arrived(&self) -> u64 {
-        self.inner.borrow().arrived
+    pub fn received_bytes(&self) -> u64 {
+        self.state.borrow().received_bytes
     }
 
     /// Whether all of it has arrived.
-    pub fn is_whole(&self) -> bool {
-        self.inner.borrow().whole
+    pub fn is_complete(&self) -> bool {
+        self.state.borrow().is_complete
     }
 
     /// Whether its length was declared before it arrived.
     pub fn has_known_length(&self) -> bool {
-        self.inner.borrow().stated
+        self.state.borrow().length_declared
     }
 
     /// Bounds its memory, in bytes.
-    pub fn limit(&self, limit: u64) {
-        self.inner.borrow_mut().limit = Some(limit);
+    pub fn set_memory_limit(&self, limit: u64) {
+        self.state.borrow_mut().memory_limit = Some(limit);
     }
 
     /// Whether no more may be received before some of its memory is free.
     pub fn is_full(&self) -> bool {
-        let limit = self.inner.borrow().limit;
-        limit.is_some_and(|limit| self.in_memory() + BLOCK_BYTES as u64 > limit)
+        let limit = self.state.borrow().memory_limit;
+        limit.is_some_and(|limit| self.memory_bytes() + BLOCK_BYTES as u64 > limit)
     }
 
     /// From now on blocks are dropped once all readers have consumed them.
-    pub fn pass(&self) {
-        self.inner.borrow_mut().pass_through = true;
+    pub fn set_pass_through(&self) {
+        self.state.borrow_mut().pass_through = true;
     }
 
     /// Whether blocks are dropped once all readers have consumed them.
     pub fn is_pass_through(&self) -> bool {
-        self.inner.borrow().pass_through
+        self.state.borrow().pass_through
     }
 
     /// No further reader comes: a pass-through body may drop what its readers have consumed.
-    pub fn begin(&self) {
-        let mut inner = self.inner.borrow_mut();
-        inner.begun = true;
-        inner.trim();
+    pub fn set_all_readers_attached(&self) {
+        let mut inner = self.state.borrow_mut();
+        inner.all_readers_attached = true;
+        inner.drop_consumed();
     }
 
     /// How many bytes of it are in memory.
-    pub fn in_memory(&self) -> u64 {
-        let inner = self.inner.borrow();
+    pub fn memory_bytes(&self) -> u64 {
+        let inner = self.state.borrow();
         let blocks = inner.blocks.iter().filter_map(|b| b.bytes.as_ref());
         (blocks.map(Bytes::len).sum::<usize>() + inner.tail.len()) as u64
     }
 
     /// How many bytes of it are only in memory.
     pub fn unwritten_bytes(&self) -> u64 {
-        let inner = self.inner.borrow();
+        let inner = self.state.borrow();
         let blocks = inner.blocks.iter().filter(|b| !b.on_file).filter_map(|b| b.bytes.as_ref());
         (blocks.map(Bytes::len).sum::<usize>() + inner.tail.len()) as u64
     }
 
     /// Appends bytes that have arrived.
-    pub fn put(&self, mut bytes: &[u8]) {
-        let mut inner = self.inner.borrow_mut();
-        inner.arrived += bytes.len() as u64;
+    pub fn append(&self, mut bytes: &[u8]) {
+        let mut inner = self.state.borrow_mut();
+        inner.received_bytes += bytes.len() as u64;
         while !bytes.is_empty() {
             if inner.tail.capacity() == 0 {
-                let left =
-                    inner.length.map_or(BLOCK_BYTES as u64, |length| length - inner.arrived.min(length));
+                let left = inner
+                    .length
+                    .map_or(BLOCK_BYTES as u64, |length| length - inner.received_bytes.min(length));
                 let room = (left as usize + bytes.len()).min(BLOCK_BYTES);
                 inner.tail = BytesMut::with_capacity(room);
             }
@@ -173,35 +174,35 @@
             inner.tail.extend_from_slice(&bytes[..count]);
             bytes = &bytes[count..];
             if inner.tail.len() == BLOCK_BYTES {
-                inner.seal();
+                inner.seal_tail();
             }
         }
-        inner.trim();
+        inner.drop_consumed();
     }
 
     /// All of it has arrived.
-    pub fn end(&self) {
-        let mut inner = self.inner.borrow_mut();
-        inner.seal();
-        inner.whole = true;
-        inner.length = Some(inner.arrived);
-        inner.trim();
+    pub fn finish(&self) {
+        let mut inner = self.state.borrow_mut();
+        inner.seal_tail();
+        inner.is_complete = true;
+        inner.length = Some(inner.received_bytes);
+        inner.drop_consumed();
     }
 
     /// It cannot be read any more.
-    pub fn lose(&self, reason: FallbackReason) {
-        self.inner.borrow_mut().lost = Some(reason);
+    pub fn mark_lost(&self, reason: FallbackReason) {
+        self.state.borrow_mut().loss = Some(reason);
     }
 
     /// Why it cannot be read any more, if so.
-    pub fn lost(&self) -> Option<FallbackReason> {
-        self.inner.borrow().lost
+    pub fn loss(&self) -> Option<FallbackReason> {
+        self.state.borrow().loss
     }
 
     /// The next block to be written to its file, with its offset there.
     pub fn next_write(&self) -> Option<(u64, Bytes)> {
-        let mut inner = self.inner.borrow_mut();
-        let first = inner.first;
+        let mut inner = self.state.borrow_mut();
+        let first = inner.first_block;
         let (at, block) =
             inner.blocks.iter_mut().enumerate().find(|(_, b)| !b.submitted && b.bytes.is_some())?;
         block.submitted = true;
@@ -209,25 +210,25 @@
     }
 
     /// The block at this offset could not be handed to the disk threads.
-    pub fn give_back(&self, at: u64) {
-        if let Some(block) = self.inner.borrow_mut().block(at / BLOCK_BYTES as u64) {
+    pub fn unsubmit_block(&self, at: u64) {
+        if let Some(block) = self.state.borrow_mut().block(at / BLOCK_BYTES as u64) {
             block.submitted = false;
         }
     }
 
     /// No block is being written any more: those handed over and not written count as not handed over.
-    pub fn take_back(&self) {
-        let mut inner = self.inner.borrow_mut();
+    pub fn unsubmit_unwritten(&self) {
+        let mut inner = self.state.borrow_mut();
         inner.blocks.iter_mut().for_each(|b| b.submitted = b.on_file);
     }
 
     /// The block at this offset is in the file; its memory is freed unless a reader is inside it.
-    pub fn wrote(&self, at: u64) {
-        let mut inner = self.inner.borrow_mut();
+    pub fn on_block_written(&self, at: u64) {
+        let mut inner = self.state.borrow_mut();
         let number = at / BLOCK_BYTES as u64;
         let busy = inner.readers.iter().any(|(_, place)| place / BLOCK_BYTES as u64 == number);
         if busy {
-            inner.loaned.push_back(number);
+            inner.cached_blocks.push_back(number);
         }
         if let Some(block) = inner.block(number) {
             block.on_file = true;
@@ -239,36 +240,38 @@
 
     /// Whether all that has arrived is in the file.
     pub fn is_on_disk(&self) -> bool {
-        let inner = self.inner.borrow();
+        let inner = self.state.borrow();
         inner.tail.is_empty() && inner.blocks.iter().all(|b| b.on_file)
     }
 
     /// Blocks to be read from the file now, as offset and length; `most` bounds how many may be in memory as well.
     pub fn next_reads(&self, most: usize) -> Vec<(u64, usize)> {
-        let mut inner = self.inner.borrow_mut();
+        let mut inner = self.state.borrow_mut();
         let mut reads = Vec::new();
-        for number in std::mem::take(&mut inner.wanted) {
-            let block = number.checked_sub(inner.first).and_then(|at| inner.blocks.get(at as usize));
+        for number in std::mem::take(&mut inner.requested_blocks) {
+            let block = number.checked_sub(inner.first_block).and_then(|at| inner.blocks.get(at as usize));
             let there = block.is_none_or(|b| !b.on_file || b.bytes.is_some());
-            if there || inner.loading.contains(&number) {
+            if there || inner.loading_blocks.contains(&number) {
                 continue;
             }
             // Evicts the oldest: a reader that still needs it requests it again.
-            while inner.loaned.len() >= most.max(1) {
-                let Some(at) = inner.loaned.iter().position(|loaned| !inner.loading.contains(loaned)) else {
+            while inner.cached_blocks.len() >= most.max(1) {
+                let Some(at) =
+                    inner.cached_blocks.iter().position(|loaned| !inner.loading_blocks.contains(loaned))
+                else {
                     break;
                 };
-                let oldest = inner.loaned.remove(at).unwrap_or_default();
+                let oldest = inner.cached_blocks.remove(at).unwrap_or_default();
                 if let Some(block) = inner.block(oldest).filter(|b| b.on_file) {
                     block.bytes = None;
                 }
             }
-            if inner.loaned.len() >= most.max(1) {
-                inner.wanted.insert(number);
+            if inner.cached_blocks.len() >= most.max(1) {
+                inner.requested_blocks.insert(number);
                 continue;
             }
-            inner.loaned.push_back(number);
-            inner.loading.insert(number);
+            inner.cached_blocks.push_back(number);
+            inner.loading_blocks.insert(number);
             let length = inner.block(number).map_or(0, |b| b.length);
             reads.push((number * BLOCK_BYTES as u64, length));
         }
@@ -277,30 +280,30 @@
 
     /// Whether a reader waits for a block that is only in the file.
     pub fn has_pending_reads(&self) -> bool {
-        !self.inner.borrow().wanted.is_empty()
+        !self.state.borrow().requested_blocks.is_empty()
     }
 
     /// The block at this offset has been read from the file.
-    pub fn read(&self, at: u64, bytes: Bytes) {
-        let mut inner = self.inner.borrow_mut();
+    pub fn on_block_read(&self, at: u64, bytes: Bytes) {
+        let mut inner = self.state.borrow_mut();
         let number = at / BLOCK_BYTES as u64;
-        inner.loading.remove(&number);
-        let loaned = inner.loaned.contains(&number);
+        inner.loading_blocks.remove(&number);
+        let loaned = inner.cached_blocks.contains(&number);
         if let Some(block) = inner.block(number).filter(|_| loaned) {
             block.bytes = Some(bytes);
         }
         // The reader that requested it may be gone.
-        inner.leave(number);
+        inner.release_block(number);
     }
 }
 
 impl BodyState {
     fn block(&mut self, number: u64) -> Option<&mut Block> {
-        number.checked_sub(self.first).and_then(|at| self.blocks.get_mut(at as usize))
+        number.checked_sub(self.first_block).and_then(|at| self.blocks.get_mut(at as usize))
     }
 
     /// Makes a block of the bytes that arrived last.
-    fn seal(&mut self) {
+    fn seal_tail(&mut self) {
         if !self.tail.is_empty() {
             let bytes = std::mem::take(&mut self.tail).freeze();
             self.blocks.push_back(Block { length: bytes.len(), bytes: Some(bytes), ..Block::default() });
@@ -308,12 +311,12 @@
     }
 
     /// A reader has left a block: if it is in the file and no reader is inside it, its memory is freed.
-    fn leave(&mut self, number: u64) {
+    fn release_block(&mut self, number: u64) {
         if !self.readers.iter().any(|(_, place)| place / BLOCK_BYTES as u64 == number)
-            && !self.loading.contains(&number)
-            && let Some(at) = self.loaned.iter().position(|loaned| *loaned == number)
+            && !self.loading_blocks.contains(&number)
+            && let Some(at) = self.cached_blocks.iter().position(|loaned| *loaned == number)
         {
-            self.loaned.remove(at);
+            self.cached_blocks.remove(at);
             if let Some(block) = self.block(number).filter(|b| b.on_file) {
                 block.bytes = None;
             }
@@ -321,17 +324,17 @@
     }
 
     /// Drops the blocks that all readers of a pass-through body have consumed.
-    fn trim(&mut self) {
-        if !self.pass_through || !self.begun {
+    fn drop_consumed(&mut self) {
+        if !self.pass_through || !self.all_readers_attached {
             return;
         }
-        let arrived = self.arrived - self.tail.len() as u64;
+        let arrived = self.received_bytes - self.tail.len() as u64;
         let through = self.readers.iter().map(|(_, place)| *place).min().unwrap_or(arrived);
         while !self.blocks.is_empty()
-            && (self.first * BLOCK_BYTES as u64 + self.blocks[0].length as u64) <= through
+            && (self.first_block * BLOCK_BYTES as u64 + self.blocks[0].length as u64) <= through
         {
             self.blocks.pop_front();
-            self.first += 1;
+            self.first_block += 1;
         }
     }
 }
--- a/crates/dunepond-broker/src/body/reader.rs
+++ b/crates/dunepond-broker/src/body/reader.rs
@@ -16,23 +16,23 @@
 impl BodyReader {
     /// A reader at the start of a body.
     pub fn new(body: &Rc<Body>) -> Self {
-        let key = body.inner.borrow_mut().readers.insert(0);
+        let key = body.state.borrow_mut().readers.insert(0);
         Self { body: body.clone(), key }
     }
 
     /// How many bytes it has consumed.
-    pub fn place(&self) -> u64 {
-        self.body.inner.borrow().readers[self.key]
+    pub fn offset(&self) -> u64 {
+        self.body.state.borrow().readers[self.key]
     }
 
     /// How many bytes are left.
-    pub fn left(&self) -> u64 {
-        self.body.length() - self.place()
+    pub fn remaining(&self) -> u64 {
+        self.body.length() - self.offset()
     }
 
     /// Appends up to `most` blocks to `into` that can be written now; none where the next one is not in memory.
-    pub fn pieces(&self, most: usize, into: &mut Vec<Bytes>) {
-        let mut inner = self.body.inner.borrow_mut();
+    pub fn available_chunks(&self, most: usize, into: &mut Vec<Bytes>) {
+        let mut inner = self.body.state.borrow_mut();
         let place = inner.readers[self.key];
         let (mut number, mut skip) = (place / BLOCK_BYTES as u64, (place % BLOCK_BYTES as u64) as usize);
         for _ in 0..most {
@@ -42,7 +42,7 @@
                 None => {
                     // Only the next block: reading ahead for one reader could evict the block of another.
                     if skip > 0 || number == place / BLOCK_BYTES as u64 {
-                        inner.wanted.insert(number);
+                        inner.requested_blocks.insert(number);
                     }
                     return;
                 }
@@ -53,22 +53,22 @@
 
     /// Consumes `count` bytes.
     pub fn advance(&self, count: u64) {
-        let mut inner = self.body.inner.borrow_mut();
+        let mut inner = self.body.state.borrow_mut();
         let from = inner.readers[self.key] / BLOCK_BYTES as u64;
         inner.readers[self.key] += count;
         let to = inner.readers[self.key] / BLOCK_BYTES as u64;
         for number in from..to {
-            inner.leave(number);
+            inner.release_block(number);
         }
-        inner.trim();
+        inner.drop_consumed();
     }
 }
 
 impl Drop for BodyReader {
     fn drop(&mut self) {
-        let mut inner = self.body.inner.borrow_mut();
+        let mut inner = self.body.state.borrow_mut();
         let place = inner.readers.remove(self.key);
-        inner.leave(place / BLOCK_BYTES as u64);
-        inner.trim();
+        inner.release_block(place / BLOCK_BYTES as u64);
+        inner.drop_consumed();
     }
 }
--- a/crates/dunepond-broker/src/buffers.rs
+++ b/crates/dunepond-broker/src/buffers.rs
@@ -27,40 +27,40 @@
 #[derive(Clone, Default)]
 pub struct Pool {
     free: Rc<RefCell<Vec<Box<[u8]>>>>,
-    out: Rc<Cell<usize>>,
+    in_use: Rc<Cell<usize>>,
 }
 
 impl Pool {
     /// An empty buffer; it returns to the pool when it is dropped.
-    pub fn take(&self) -> Buffer {
+    pub fn acquire(&self) -> Buffer {
         let bytes = self.free.borrow_mut().pop();
         let bytes = bytes.unwrap_or_else(|| vec![0; BUFFER_BYTES].into_boxed_slice());
-        self.out.set(self.out.get() + 1);
-        Buffer { bytes, from: 0, to: 0, pool: self.clone() }
+        self.in_use.set(self.in_use.get() + 1);
+        Buffer { bytes, start: 0, end: 0, pool: self.clone() }
     }
 
     /// How many buffers are in use.
-    pub fn out(&self) -> usize {
-        self.out.get()
+    pub fn buffers_in_use(&self) -> usize {
+        self.in_use.get()
     }
 
     /// The memory of all buffers in bytes, the free ones included.
-    pub fn bytes(&self) -> u64 {
-        ((self.out.get() + self.free.borrow().len()) * BUFFER_BYTES) as u64
+    pub fn allocated_bytes(&self) -> u64 {
+        ((self.in_use.get() + self.free.borrow().len()) * BUFFER_BYTES) as u64
     }
 }
 
 /// Bytes that were read or wait to be written; returns to its pool when it is dropped.
 pub struct Buffer {
     bytes: Box<[u8]>,
-    from: usize,
-    to: usize,
+    start: usize,
+    end: usize,
     pool: Pool,
 }
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        self.pool.out.set(self.pool.out.get() - 1);
+        self.pool.in_use.set(self.pool.in_use.get() - 1);
         let mut free = self.pool.free.borrow_mut();
         if free.len() < MAX_FREE_BUFFERS {
             free.push(std::mem::take(&mut self.bytes));
@@ -70,49 +70,49 @@
 
 impl Buffer {
     /// The bytes that are not consumed yet.
-    pub fn held(&self) -> &[u8] {
-        &self.bytes[self.from..self.to]
+    pub fn filled(&self) -> &[u8] {
+        &self.bytes[self.start..self.end]
     }
 
     /// Whether no bytes are left.
     pub fn is_empty(&self) -> bool {
-        self.from == self.to
+        self.start == self.end
     }
 
     /// Whether not one more byte fits.
     pub fn is_full(&self) -> bool {
-        self.to - self.from == BUFFER_BYTES
+        self.end - self.start == BUFFER_BYTES
     }
 
     /// Discards the first `count` bytes.
     pub fn consume(&mut self, count: usize) {
-        self.from += count;
+        self.start += count;
         if self.is_empty() {
-            (self.from, self.to) = (0, 0);
+            (self.start, self.end) = (0, 0);
         }
     }
 
     /// Appends as much of `bytes` as there is room for; returns how much.
-    pub fn put(&mut self, bytes: &[u8]) -> usize {
-        let count = bytes.len().min(BUFFER_BYTES - self.to);
-        self.bytes[self.to..self.to + count].copy_from_slice(&bytes[..count]);
-        self.to += count;
+    pub fn append(&mut self, bytes: &[u8]) -> usize {
+        let count = bytes.len().min(BUFFER_BYTES - self.end);
+        self.bytes[self.end..self.end + count].copy_from_slice(&bytes[..count]);
+        self.end += count;
         count
     }
 
     /// Removes the last `count` bytes.
-    fn take_back(&mut self, count: usize) {
-        self.to -= count;
+    fn remove_last(&mut self, count: usize) {
+        self.end -= count;
     }
 
     /// Appends one read; `Ok(0)` is the end of the stream unless the buffer is full.
     pub fn read_from(&mut self, mut stream: impl Read) -> io::Result<usize> {
-        if self.to == BUFFER_BYTES {
-            self.bytes.copy_within(self.from..self.to, 0);
-            (self.from, self.to) = (0, self.to - self.from);
+        if self.end == BUFFER_BYTES {
+            self.bytes.copy_within(self.start..self.end, 0);
+            (self.start, self.end) = (0, self.end - self.start);
         }
-        let count = stream.read(&mut self.bytes[self.to..])?;
-        self.to += count;
+        let count = stream.read(&mut self.bytes[self.end..])?;
+        self.end += count;
         Ok(count)
     }
 }
--- a/crates/dunepond-broker/src/buffers/tests/mod.rs
+++ b/crates/dunepond-broker/src/buffers/tests/mod.rs
@@ -26,10 +26,10 @@
     let pool = Pool::default();
     let bytes: Vec<u8> = (0..3 * BUFFER_BYTES).map(|i| (i % 251) as u8).collect();
     let mut out = WriteQueue::new(&pool);
-    bytes.chunks(10_000).for_each(|piece| out.put(piece));
+    bytes.chunks(10_000).for_each(|piece| out.queue_bytes(piece));
     let mut stream = Narrow(Vec::new(), BUFFER_BYTES);
     out.flush(&mut stream).unwrap();
-    assert_eq!((out.written(), out.waiting()), (BUFFER_BYTES as u64, 2 * BUFFER_BYTES));
+    assert_eq!((out.written_offset(), out.pending_bytes()), (BUFFER_BYTES as u64, 2 * BUFFER_BYTES));
     stream.1 = bytes.len();
     out.flush(&mut stream).unwrap();
     assert!(out.is_empty() && stream.0 == bytes);
@@ -41,29 +41,29 @@
     let pool = Pool::default();
     let text: Rc<str> = "text".into();
     let body = Body::new(1, Some(6), None, &Default::default());
-    body.put(b"bo");
+    body.append(b"bo");
     let mut out = WriteQueue::new(&pool);
-    out.put(b"<");
+    out.queue_bytes(b"<");
     out.queue_text(&text);
     out.queue_body(BodyReader::new(&body));
-    out.put(b">");
-    assert_eq!((out.end(), out.take_copied()), (12, 2));
+    out.queue_bytes(b">");
+    assert_eq!((out.end_offset(), out.take_copied_bytes()), (12, 2));
     let mut stream = Narrow(Vec::new(), BUFFER_BYTES);
     out.flush(&mut stream).unwrap();
     assert!(out.is_awaiting_body() && stream.0 == b"<text");
-    body.put(b"dies");
-    body.end();
+    body.append(b"dies");
+    body.finish();
     out.flush(&mut stream).unwrap();
     assert!(out.is_empty() && !out.is_awaiting_body() && stream.0 == b"<textbodies>");
 }
 
 #[test]
 fn consumed_bytes_make_room_for_reads() {
-    let mut buffer = Pool::default().take();
+    let mut buffer = Pool::default().acquire();
     let mut stream = &vec![7; BUFFER_BYTES + 10][..];
     assert_eq!(buffer.read_from(&mut stream).unwrap(), BUFFER_BYTES);
     assert!(buffer.is_full());
     buffer.consume(100);
     assert_eq!(buffer.read_from(&mut stream).unwrap(), 10);
-    assert_eq!(buffer.held().len(), BUFFER_BYTES - 90);
+    assert_eq!(buffer.filled().len(), BUFFER_BYTES - 90);
 }
--- a/crates/dunepond-broker/src/connection_end.rs
+++ b/crates/dunepond-broker/src/connection_end.rs
@@ -41,7 +41,7 @@
 
 impl ConnectionEnd {
     /// How an error of the system ends a connection.
-    pub fn of(error: &io::Error) -> Self {
+    pub fn from_io_error(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::ConnectionRefused => Self::Refused,
             io::ErrorKind::TimedOut | io::ErrorKind::HostUnreachable | io::ErrorKind::NetworkUnreachable => {
@@ -54,7 +54,7 @@
     /// The outcome of an attempt on this connection. Whether it may have run depends only on whether the last byte of its
     /// frame had been written: the system reports the same errors for a broken connection as for one that was never
     /// established.
-    pub fn end(self, written: bool) -> AttemptOutcome {
+    pub fn attempt_outcome(self, written: bool) -> AttemptOutcome {
         match (self, written) {
             // A local shortage must not count against the node.
             (Self::LocalResources | Self::DescriptorsExhausted, _) => AttemptOutcome::NotSent,
@@ -64,7 +64,7 @@
     }
 
     /// Why a prefilter request on this connection has no answer.
-    pub fn unanswered(self) -> RequestFailure {
+    pub fn request_failure(self) -> RequestFailure {
         match self {
             Self::RejectedByPeer | Self::Closed => RequestFailure::Unsupported,
             Self::ProtocolError => RequestFailure::Malformed,
--- a/crates/dunepond-broker/src/connection_end/tests/mod.rs
+++ b/crates/dunepond-broker/src/connection_end/tests/mod.rs
@@ -22,7 +22,7 @@
     #[case] unwritten_bytes: AttemptOutcome,
     #[case] written: AttemptOutcome,
 ) {
-    assert_eq!((ending.end(false), ending.end(true)), (unwritten_bytes, written));
+    assert_eq!((ending.attempt_outcome(false), ending.attempt_outcome(true)), (unwritten_bytes, written));
 }
 
 #[rstest]
@@ -31,5 +31,5 @@
 #[case(io::ErrorKind::ConnectionReset, ConnectionEnd::Reset)]
 #[case(io::ErrorKind::BrokenPipe, ConnectionEnd::Reset)]
 fn io_error_maps_to_connection_end(#[case] kind: io::ErrorKind, #[case] ending: ConnectionEnd) {
-    assert_eq!(ConnectionEnd::of(&kind.into()), ending);
+    assert_eq!(ConnectionEnd::from_io_error(&kind.into()), ending);
 }
--- a/crates/dunepond-broker/src/discovery/call.rs
+++ b/crates/dunepond-broker/src/discovery/call.rs
@@ -65,7 +65,7 @@
 
 impl From<HttpError> for ResponseError {
     fn from(e: HttpError) -> Self {
-        Self::Http(e.why)
+        Self::Http(e.reason)
     }
 }
 
@@ -87,18 +87,18 @@
             return Err(ResponseError::Unrequested);
         }
         if self.message.is_none() {
-            self.message = http::response(input)?.map(Message::after);
+            self.message = http::parse_response(input)?.map(Message::new);
         }
         let Some(message) = &mut self.message else { return Ok(None) };
         // An error's body is not awaited.
         if message.head.status != 200 {
             return Err(ResponseError::Status(message.head.status));
         }
-        if !message.take(input, pool)? {
+        if !message.read_body(input, pool)? {
             return Ok(None);
         }
         let keep_alive = message.head.keep_alive;
-        let list = dunepond_config::parse_json(message.text()).map_err(ResponseError::Json)?;
+        let list = dunepond_config::parse_json(message.body_bytes()).map_err(ResponseError::Json)?;
         self.message = None;
         let parsed = state.directory.parse_list(&list)?;
         state.accept(parsed).map(|update| Some(Response { update, keep_alive }))
--- a/crates/dunepond-broker/src/discovery/mod.rs
+++ b/crates/dunepond-broker/src/discovery/mod.rs
@@ -141,7 +141,7 @@
         call.awaiting_response = true;
         call.is_watch = watch_from.is_some();
         call.response_due_at = now + wait_milliseconds as f64 / 1000.0;
-        call.write_queue.put(&http::get(&path, &self.address.to_string()));
+        call.write_queue.queue_bytes(&http::encode_get(&path, &self.address.to_string()));
         timers.cancel(self.timer.take());
         let overdue_at = call.response_due_at + RESPONSE_OVERDUE_SECONDS;
         self.timer = Some(timers.schedule(overdue_at, TimerEvent::Discovery));
@@ -155,7 +155,7 @@
             // Still connecting.
             Err(e) if e.kind() == io::ErrorKind::NotConnected => true,
             Err(e) => {
-                self.end_call(now, at, ConnectionEnd::of(&e), timers);
+                self.end_call(now, at, ConnectionEnd::from_io_error(&e), timers);
                 false
             }
             Ok(()) => true,
@@ -249,7 +249,7 @@
                 }
             }
             let call = &mut self.calls[at];
-            let input = call.input.get_or_insert_with(|| self.pool.take());
+            let input = call.input.get_or_insert_with(|| self.pool.acquire());
             let reason = match input.read_from(&*call.stream) {
                 // A response without a length ends at the close.
                 Ok(0) if call.message.as_mut().is_some_and(Message::finish_at_close) => continue,
@@ -262,7 +262,7 @@
                     }
                     return ReadResult::Nothing;
                 }
-                Err(e) => ConnectionEnd::of(&e),
+                Err(e) => ConnectionEnd::from_io_error(&e),
             };
             self.end_call(now, at, reason, timers);
             return ReadResult::Closed;
--- a/crates/dunepond-broker/src/downstream/accept.rs
+++ b/crates/dunepond-broker/src/downstream/accept.rs
@@ -38,7 +38,7 @@
     /// Accepts connections at one more listener; `api` marks the one of the search API.
     ///
     /// Fails where the event loop cannot watch the listener.
-    pub fn open(&mut self, listener: TcpListener, api: bool) -> calloop::Result<()> {
+    pub fn add_listener(&mut self, listener: TcpListener, api: bool) -> calloop::Result<()> {
         let listener = Rc::new(listener);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
         let token = self.handle.insert_source(source, move |_, _, turn| {
@@ -48,7 +48,7 @@
         self.listeners.push(Listener {
             listener,
             token: token.map_err(|e| e.error)?,
-            api,
+            is_search_api: api,
             paused_since: None,
         });
         Ok(())
@@ -57,22 +57,24 @@
     /// Accepts some of the connections in the backlog; true if there may be more.
     pub fn accept(&mut self, now: f64, api: bool, timers: &mut Timers) -> bool {
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
-            let Some(at) = self.listeners.iter().position(|door| door.api == api) else { return false };
-            let full = self.connections.len() >= self.most;
-            let least = if full { self.least(now) } else { None };
+            let Some(at) = self.listeners.iter().position(|door| door.is_search_api == api) else {
+                return false;
+            };
+            let full = self.connections.len() >= self.max_connections;
+            let least = if full { self.eviction_candidate(now) } else { None };
             if full && least.is_none() {
                 // A connection that is still to be read may turn out to be owed no response.
-                let soon = !self.again.is_empty();
-                self.pause(now, soon.then_some(now), timers);
+                let soon = !self.pending_clients.is_empty();
+                self.pause_accepting(now, soon.then_some(now), timers);
                 return false;
             }
             match self.listeners[at].listener.accept() {
                 Ok((stream, peer)) => {
                     // Not before accept(): the backlog may be empty.
-                    least.map(|id| self.end(id, ConnectionEnd::IdleClosed, timers));
+                    least.map(|id| self.close(id, ConnectionEnd::IdleClosed, timers));
                     let paused_since = self.listeners[at].paused_since;
-                    match self.enter(now, stream, api, paused_since, timers) {
-                        Ok(id) => self.again.push(id),
+                    match self.register(now, stream, api, paused_since, timers) {
+                        Ok(id) => self.pending_clients.push(id),
                         Err(e) => warn!("client {peer}: not accepted: {e}"),
                     }
                 }
@@ -84,7 +86,7 @@
                     if matches!(e.kind(), io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted) => {}
                 Err(e) => {
                     warn!("accepting paused: {e}");
-                    self.pause(now, Some(now + ACCEPT_RETRY_SECONDS), timers);
+                    self.pause_accepting(now, Some(now + ACCEPT_RETRY_SECONDS), timers);
                     return false;
                 }
             }
@@ -93,13 +95,13 @@
     }
 
     /// Closes one connection to free a descriptor; false if all connections are owed a response.
-    pub fn give_way(&mut self, now: f64, timers: &mut Timers) -> bool {
-        let least = self.least(now);
-        least.map(|id| self.end(id, ConnectionEnd::IdleClosed, timers));
+    pub fn evict_one(&mut self, now: f64, timers: &mut Timers) -> bool {
+        let least = self.eviction_candidate(now);
+        least.map(|id| self.close(id, ConnectionEnd::IdleClosed, timers));
         least.is_some()
     }
 
-    fn enter(
+    fn register(
         &mut self,
         now: f64,
         stream: TcpStream,
@@ -110,27 +112,27 @@
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
-        let came = self.came(now);
+        let came = self.received_at(now);
         let connected = paused_since.map_or(came, |since| since.min(came));
         let entry = self.connections.vacant_entry();
         let id = entry.key();
         let token = watch(&self.handle, &stream, move |readable| LoopEvent::ClientReady(id, readable));
         entry.insert(ClientConnection {
             stream,
-            api,
+            is_search_api: api,
             token: token?,
             input: None,
-            ahead: VecDeque::new(),
-            out: WriteQueue::new(&self.pool),
+            read_ahead: VecDeque::new(),
+            output: WriteQueue::new(&self.pool),
             phase: RequestPhase::ReadingHead,
             readable: true,
-            seen: f64::MIN,
+            last_checked_at: f64::MIN,
             disconnected: None,
-            arrivals: ArrivalTimes::since(connected),
-            began: now,
-            keep: true,
+            arrivals: ArrivalTimes::new(connected),
+            request_started_at: now,
+            keep_alive: true,
             responded_in_body: false,
-            more: false,
+            reading_paused: false,
             timer: None,
         });
         self.start_request_timer(now, id, timers);
@@ -138,12 +140,13 @@
     }
 
     /// Stops accepting until a connection has gone, or until a time.
-    fn pause(&mut self, now: f64, until: Option<f64>, timers: &mut Timers) {
-        if !self.paused {
+    fn pause_accepting(&mut self, now: f64, until: Option<f64>, timers: &mut Timers) {
+        if !self.accepting_paused {
             self.listeners.iter_mut().for_each(|door| {
                 door.paused_since.get_or_insert(now);
             });
-            self.paused = self.listeners.iter().all(|door| self.handle.disable(&door.token).is_ok());
+            self.accepting_paused =
+                self.listeners.iter().all(|door| self.handle.disable(&door.token).is_ok());
         }
         if let Some(until) = until {
             timers.schedule(until, TimerEvent::ResumeAccept);
@@ -151,21 +154,22 @@
     }
 
     /// Accepting may go on; not at once, as this may run in the listener's own callback.
-    pub(super) fn make_room(&self, timers: &mut Timers) {
-        if self.paused {
+    pub(super) fn schedule_resume_accepting(&self, timers: &mut Timers) {
+        if self.accepting_paused {
             timers.schedule(0.0, TimerEvent::ResumeAccept);
         }
     }
 
     /// Accepts connections again after a pause.
-    pub fn resume(&mut self) {
-        if self.paused {
-            self.paused = !self.listeners.iter().all(|door| self.handle.enable(&door.token).is_ok());
+    pub fn resume_accepting(&mut self) {
+        if self.accepting_paused {
+            self.accepting_paused =
+                !self.listeners.iter().all(|door| self.handle.enable(&door.token).is_ok());
         }
     }
 
     /// Accepts no connection before `until` (Unix seconds) or an explicit resume; clients wait in the backlog.
-    pub fn hold(&mut self, now: f64, until: f64, timers: &mut Timers) {
-        self.pause(now, Some(until), timers);
+    pub fn delay_accepting(&mut self, now: f64, until: f64, timers: &mut Timers) {
+        self.pause_accepting(now, Some(until), timers);
     }
 }
--- a/crates/dunepond-broker/src/downstream/arrivals.rs
+++ b/crates/dunepond-broker/src/downstream/arrivals.rs
@@ -11,38 +11,38 @@
 pub struct ArrivalTimes {
     /// The time of each read, and how many bytes had arrived in total with it.
     reads: VecDeque<(f64, u64)>,
-    all: u64,
+    total_bytes: u64,
     /// The bytes of the first read may have arrived at any time since then; `None` once the socket has been read empty.
     first_read_since: Option<f64>,
 }
 
 impl ArrivalTimes {
     /// For a connection that may have waited in the backlog since then.
-    pub fn since(connected: f64) -> Self {
-        Self { reads: VecDeque::new(), all: 0, first_read_since: Some(connected) }
+    pub fn new(connected: f64) -> Self {
+        Self { reads: VecDeque::new(), total_bytes: 0, first_read_since: Some(connected) }
     }
 
     /// Records a read of `count` bytes that arrived at `came` at the earliest.
-    pub fn read(&mut self, count: usize, came: f64) {
+    pub fn record(&mut self, count: usize, came: f64) {
         if count == 0 {
             return;
         }
         let came = self.first_read_since.map_or(came, |since| since.min(came));
-        self.all += count as u64;
+        self.total_bytes += count as u64;
         match self.reads.back_mut().filter(|(at, _)| came - *at < COALESCE_SECONDS) {
-            Some((_, end)) => *end = self.all,
-            None => self.reads.push_back((came, self.all)),
+            Some((_, end)) => *end = self.total_bytes,
+            None => self.reads.push_back((came, self.total_bytes)),
         }
     }
 
     /// The socket has been read empty: later bytes have not waited.
-    pub fn drained(&mut self) {
+    pub fn mark_drained(&mut self) {
         self.first_read_since = None;
     }
 
     /// When the first of the last `unparsed_bytes` bytes arrived.
     pub fn first_unparsed_at(&mut self, unparsed_bytes: usize) -> Option<f64> {
-        let used = self.all.saturating_sub(unparsed_bytes as u64);
+        let used = self.total_bytes.saturating_sub(unparsed_bytes as u64);
         while self.reads.front().is_some_and(|(_, end)| *end <= used) {
             self.reads.pop_front();
         }
--- a/crates/dunepond-broker/src/downstream/arrivals/tests/mod.rs
+++ b/crates/dunepond-broker/src/downstream/arrivals/tests/mod.rs
@@ -2,23 +2,23 @@
 
 #[test]
 fn request_time_is_that_of_its_first_byte() {
-    let mut arrivals = ArrivalTimes::since(1.0);
-    arrivals.drained();
-    arrivals.read(100, 2.0);
-    arrivals.read(50, 2.001);
-    arrivals.read(30, 3.0);
+    let mut arrivals = ArrivalTimes::new(1.0);
+    arrivals.mark_drained();
+    arrivals.record(100, 2.0);
+    arrivals.record(50, 2.001);
+    arrivals.record(30, 3.0);
     let first = [180, 31, 30, 1, 0].map(|unparsed_bytes| arrivals.first_unparsed_at(unparsed_bytes));
     assert_eq!(first, [Some(2.0), Some(2.0), Some(3.0), Some(3.0), None]);
-    arrivals.read(10, 4.0);
+    arrivals.record(10, 4.0);
     assert_eq!(arrivals.first_unparsed_at(10), Some(4.0));
 }
 
 #[test]
 fn backlog_wait_counts_from_the_connect() {
-    let mut arrivals = ArrivalTimes::since(1.0);
-    arrivals.read(100, 2.0);
+    let mut arrivals = ArrivalTimes::new(1.0);
+    arrivals.record(100, 2.0);
     assert_eq!(arrivals.first_unparsed_at(100), Some(1.0));
-    arrivals.drained();
-    arrivals.read(10, 3.0);
+    arrivals.mark_drained();
+    arrivals.record(10, 3.0);
     assert_eq!(arrivals.first_unparsed_at(10), Some(3.0));
 }
--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -42,11 +42,11 @@
     /// Accepts the whole backlog and closes the listeners. False, and nothing is closed, while there is no room for all of
     /// it: closing a listener resets the connections in its backlog.
     pub fn close_listeners(&mut self, now: f64, timers: &mut Timers) -> bool {
-        self.resume();
+        self.resume_accepting();
         for api in [false, true] {
             while self.accept(now, api, timers) {}
         }
-        if self.paused {
+        if self.accepting_paused {
             return false;
         }
         for door in std::mem::take(&mut self.listeners) {
@@ -57,21 +57,21 @@
 
     /// From now on each connection closes after its response.
     pub fn close_after_responses(&mut self) {
-        self.closing = true;
+        self.closes_after_response = true;
     }
 
     /// Closes the idle connections, and from now on each one that becomes idle.
-    pub fn close_resting(&mut self, now: f64, timers: &mut Timers) {
+    pub fn close_idle(&mut self, now: f64, timers: &mut Timers) {
         self.close_when_idle = true;
-        for id in self.unasked(true) {
-            self.part(now, id, timers);
+        for id in self.connections_without_request(true) {
+            self.close_if_quiet(now, id, timers);
         }
     }
 
     /// Closes the connections without a pending request, also those that have not sent any.
     pub fn close_without_request(&mut self, now: f64, timers: &mut Timers) {
-        for id in self.unasked(false) {
-            self.part(now, id, timers);
+        for id in self.connections_without_request(false) {
+            self.close_if_quiet(now, id, timers);
         }
     }
 
@@ -85,11 +85,11 @@
     /// Times out every request that has not arrived completely.
     pub fn expire_pending_requests(&mut self, now: f64, timers: &mut Timers) {
         for id in self.awaiting_request.values().copied().collect::<Vec<_>>() {
-            self.slow(now, id, timers);
+            self.on_timeout(now, id, timers);
         }
     }
 
-    fn unasked(&self, only_idle: bool) -> Vec<usize> {
+    fn connections_without_request(&self, only_idle: bool) -> Vec<usize> {
         let idle = |c: &ClientConnection| c.timer.is_some_and(|key| self.idle.contains_key(&key));
         let unasked =
             self.connections.iter().filter(|(_, c)| c.is_between_requests() && (!only_idle || idle(c)));
@@ -100,7 +100,7 @@
     pub fn read_before_timeout(&mut self, id: usize) -> Option<TimerKey> {
         let client = self.connections.get_mut(id)?;
         client.readable = true;
-        self.again.push(id);
+        self.pending_clients.push(id);
         client.timer
     }
 
@@ -111,16 +111,16 @@
 
     /// Reads once more, whether a readiness event has been reported or not.
     pub(super) fn final_read(&mut self, now: f64, id: usize) -> FinalRead {
-        let came = self.came(now);
+        let came = self.received_at(now);
         let Some(client) = self.connections.get_mut(id) else {
             return FinalRead::Disconnected(ConnectionEnd::Closed);
         };
-        if !client.ahead.is_empty() {
-            self.again.push(id);
+        if !client.read_ahead.is_empty() {
+            self.pending_clients.push(id);
             return FinalRead::ReceivedData;
         }
-        let mut input = client.input.take().unwrap_or_else(|| self.pool.take());
-        let before = input.held().len();
+        let mut input = client.input.take().unwrap_or_else(|| self.pool.acquire());
+        let before = input.filled().len();
         let read = loop {
             match input.read_from(&*client.stream) {
                 _ if input.is_full() => break Ok(1),
@@ -128,31 +128,31 @@
                 read => break read,
             }
         };
-        client.arrivals.read(input.held().len() - before, came);
+        client.arrivals.record(input.filled().len() - before, came);
         client.input =
             Some(input).filter(|input| !input.is_empty() && !matches!(client.phase, RequestPhase::Lingering));
         match read {
             Ok(0) => FinalRead::Disconnected(ConnectionEnd::Closed),
             Ok(_) => {
                 client.readable = true;
-                self.again.push(id);
+                self.pending_clients.push(id);
                 FinalRead::ReceivedData
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => FinalRead::Quiet,
-            Err(e) => FinalRead::Disconnected(ConnectionEnd::of(&e)),
+            Err(e) => FinalRead::Disconnected(ConnectionEnd::from_io_error(&e)),
         }
     }
 
     /// Closes a connection without a pending request; if something has just arrived, it stays open for that.
-    pub(super) fn part(&mut self, now: f64, id: usize, timers: &mut Timers) {
+    pub(super) fn close_if_quiet(&mut self, now: f64, id: usize, timers: &mut Timers) {
         // What was read together with the previous request is a request, too.
-        if self.connections.get(id).is_some_and(|c| c.input.is_some() || !c.ahead.is_empty()) {
+        if self.connections.get(id).is_some_and(|c| c.input.is_some() || !c.read_ahead.is_empty()) {
             return self.start_request_timer(now, id, timers);
         }
         match self.final_read(now, id) {
             FinalRead::ReceivedData => self.start_request_timer(now, id, timers),
             FinalRead::Quiet => self.start_lingering(now, id, timers),
-            FinalRead::Disconnected(ending) => drop(self.end(id, ending, timers)),
+            FinalRead::Disconnected(ending) => drop(self.close(id, ending, timers)),
         }
     }
 
@@ -161,9 +161,9 @@
         let Some(client) = self.connections.get_mut(id) else { return };
         let _ = client.stream.shutdown(Shutdown::Write);
         client.phase = RequestPhase::Lingering;
-        client.began = now;
+        client.request_started_at = now;
         client.input = None;
-        client.ahead.clear();
+        client.read_ahead.clear();
         // A client that is still sending its body reads the response later; a close before that would reset it.
         let time = if client.responded_in_body {
             self.max_delivery_seconds().max(REQUEST_TIMEOUT_SECONDS)
@@ -171,21 +171,21 @@
             LINGER_SECONDS
         };
         self.set_linger_timer(id, now + time, timers);
-        self.make_room(timers);
+        self.schedule_resume_accepting(timers);
     }
 
     /// Awaits the client's close until then, but in a shutdown not beyond the last responses.
     fn set_linger_timer(&mut self, id: usize, until: f64, timers: &mut Timers) {
-        let key = self.set(id, until.min(self.until + SHUTDOWN_LINGER_SECONDS), timers);
+        let key = self.set_timer(id, until.min(self.shutdown_deadline + SHUTDOWN_LINGER_SECONDS), timers);
         self.lingering.insert(key, id);
     }
 
     /// Waits on for a lingering client that has not acknowledged all of its last response: a close now could reset the
     /// connection and lose it. False if there is nothing more to wait for.
     pub(super) fn extend_linger(&mut self, now: f64, id: usize, timers: &mut Timers) -> bool {
-        let until = self.until + SHUTDOWN_LINGER_SECONDS;
+        let until = self.shutdown_deadline + SHUTDOWN_LINGER_SECONDS;
         let Some(client) = self.connections.get(id) else { return false };
-        let lost = client.began + self.max_delivery_seconds();
+        let lost = client.request_started_at + self.max_delivery_seconds();
         let on = matches!(client.phase, RequestPhase::Lingering)
             && now < lost.min(until)
             && has_unacknowledged(&client.stream);
@@ -198,14 +198,16 @@
     /// The connection to evict: never one that is owed a response or has sent something that is not read yet. One that has
     /// only just connected is spared as long as such connections are not half of all. `None`, too, if all candidates have
     /// just been found to have sent something.
-    pub(super) fn least(&mut self, now: f64) -> Option<usize> {
+    pub(super) fn eviction_candidate(&mut self, now: f64) -> Option<usize> {
         let late = ((now + REQUEST_TIMEOUT_SECONDS - EVICTABLE_AFTER_SECONDS) * 1e6) as u64;
         loop {
-            let many = 2 * self.awaiting_request.len() > self.most;
+            let many = 2 * self.awaiting_request.len() > self.max_connections;
             let overdue = self.awaiting_request.iter().filter(|(key, _)| key.0 < late || many);
             let in_order = overdue.chain(&self.lingering).chain(&self.idle).chain(&self.awaiting_request);
             // A connection that is to be read is not evicted before that.
-            let Some(id) = in_order.map(|(_, id)| *id).find(|id| !self.again.contains(id)) else { break };
+            let Some(id) = in_order.map(|(_, id)| *id).find(|id| !self.pending_clients.contains(id)) else {
+                break;
+            };
             if !matches!(self.final_read(now, id), FinalRead::ReceivedData) {
                 return Some(id);
             }
--- a/crates/dunepond-broker/src/downstream/decode.rs
+++ b/crates/dunepond-broker/src/downstream/decode.rs
@@ -52,13 +52,13 @@
         }
         let client = &mut self.connections[id];
         // A client that keeps sending requests and reads no responses waits until it does.
-        if client.out.waiting() > BUFFER_BYTES {
+        if client.output.pending_bytes() > BUFFER_BYTES {
             return false;
         }
         if matches!(client.phase, RequestPhase::ReadingHead)
             && let Some(came) = client.arrivals.first_unparsed_at(client.unparsed_bytes())
         {
-            client.began = came;
+            client.request_started_at = came;
         }
         true
     }
@@ -72,7 +72,7 @@
         match std::mem::replace(&mut client.phase, RequestPhase::AwaitingAdmission) {
             RequestPhase::ReadingHead => self.parse_head(now, id, timers),
             RequestPhase::ReadingBody(message) => self.parse_body(id, message),
-            RequestPhase::StreamingBody(raw) if !raw.all => self.parse_streamed_body(id, raw),
+            RequestPhase::StreamingBody(raw) if !raw.body_complete => self.parse_streamed_body(id, raw),
             other => {
                 client.phase = other;
                 Parsed::Incomplete
@@ -83,7 +83,7 @@
     fn parse_head(&mut self, now: f64, id: usize, timers: &mut Timers) -> Parsed {
         let client = &mut self.connections[id];
         let Some(input) = client.input.as_mut() else { return Parsed::Incomplete };
-        let head = match http::request(input) {
+        let head = match http::parse_request(input) {
             Ok(Some(head)) => head,
             Ok(None) => {
                 client.phase = RequestPhase::ReadingHead;
@@ -91,25 +91,25 @@
             }
             Err(error) => return Parsed::Request(Err(error)),
         };
-        if self.raw && !head.segments.is_empty() && !client.api {
+        if self.accepts_streamed && !head.segments.is_empty() && !client.is_search_api {
             return self.begin_streamed_request(now, id, head, timers);
         }
-        if head.length().is_some_and(|length| length > BUFFER_BYTES as u64) {
+        if head.declared_length().is_some_and(|length| length > BUFFER_BYTES as u64) {
             return Parsed::Request(Err(http::body_too_long()));
         }
-        client.keep = head.keep_alive;
+        client.keep_alive = head.keep_alive;
         if head.expects_continue {
-            client.out.put(CONTINUE_RESPONSE);
+            client.output.queue_bytes(CONTINUE_RESPONSE);
         }
-        client.phase = RequestPhase::ReadingBody(Box::new(Message::after(head)));
+        client.phase = RequestPhase::ReadingBody(Box::new(Message::new(head)));
         self.write(now, id, timers);
         Parsed::HeadDone
     }
 
     fn begin_streamed_request(&mut self, now: f64, id: usize, head: Head, timers: &mut Timers) -> Parsed {
         let client = &mut self.connections[id];
-        client.keep = head.keep_alive;
-        let began = client.began;
+        client.keep_alive = head.keep_alive;
+        let began = client.request_started_at;
         self.clear_timer(id, timers);
         match self.validate_streamed(&head, began) {
             Ok(asked) => Parsed::Event(ClientEvent::StreamedQuery(asked, Box::new(head))),
@@ -123,7 +123,7 @@
     fn parse_body(&mut self, id: usize, mut message: Box<Message>) -> Parsed {
         let client = &mut self.connections[id];
         let Some(input) = client.input.as_mut() else { return Parsed::Incomplete };
-        match message.take(input, &self.pool) {
+        match message.read_body(input, &self.pool) {
             Ok(false) => {
                 client.phase = RequestPhase::ReadingBody(message);
                 Parsed::Incomplete
@@ -134,14 +134,14 @@
     }
 
     fn parse_streamed_body(&mut self, id: usize, mut raw: Box<StreamedRequest>) -> Parsed {
-        self.moved.push(raw.body.id);
+        self.bodies_received.push(raw.body.id);
         let client = &mut self.connections[id];
         let Some(input) = client.input.as_mut() else { return Parsed::Incomplete };
-        match raw.message.take(input, &self.pool) {
+        match raw.message.read_body(input, &self.pool) {
             Ok(false) => client.phase = RequestPhase::StreamingBody(raw),
             Ok(true) => {
-                raw.all = true;
-                raw.body.end();
+                raw.body_complete = true;
+                raw.body.finish();
                 client.phase = match raw.query {
                     Some(query) => RequestPhase::InFlight(query),
                     None => RequestPhase::StreamingBody(raw),
@@ -165,9 +165,9 @@
         self.clear_timer(id, timers);
         let client = &mut self.connections[id];
         // After a malformed request it is unknown where the next one begins.
-        client.keep &= outcome.is_ok();
-        let is_search_api = client.api;
-        match self.api.clone().filter(|_| is_search_api) {
+        client.keep_alive &= outcome.is_ok();
+        let is_search_api = client.is_search_api;
+        match self.search_api.clone().filter(|_| is_search_api) {
             Some(api) => self.finish_search_request(now, id, &api, outcome, timers),
             None => self.finish_query_request(now, id, outcome, timers),
         }
@@ -181,9 +181,9 @@
         outcome: Result<Box<Message>, HttpError>,
         timers: &mut Timers,
     ) -> Option<ClientEvent> {
-        let began = self.connections[id].began;
-        let read = outcome.map_err(|why| search_api::refused(&why));
-        match read.and_then(|message| api.read(&message.head, message.text(), began)) {
+        let began = self.connections[id].request_started_at;
+        let read = outcome.map_err(|why| search_api::error_response(&why));
+        match read.and_then(|message| api.parse_request(&message.head, message.body_bytes(), began)) {
             Ok(request) => Some(ClientEvent::SearchRequest(Box::new(request))),
             Err(error) => {
                 debug!("client {id}: {error}");
@@ -200,11 +200,11 @@
         outcome: Result<Box<Message>, HttpError>,
         timers: &mut Timers,
     ) -> Option<ClientEvent> {
-        let began = self.connections[id].began;
+        let began = self.connections[id].request_started_at;
         let (status, body) = match outcome.and_then(|message| self.validate(&message, began)) {
             Ok(Some(asked)) => return Some(ClientEvent::Query(asked)),
             Ok(None) => (200, String::new()),
-            Err(HttpError { status, why }) => (status, error_body(&why)),
+            Err(HttpError { status, reason: why }) => (status, error_body(&why)),
         };
         if status == 400 || status == 413 {
             debug!("client {id}: answered {status}: {body}");
--- a/crates/dunepond-broker/src/downstream/disconnect.rs
+++ b/crates/dunepond-broker/src/downstream/disconnect.rs
@@ -22,11 +22,13 @@
     /// `next_disconnected` returns it.
     pub fn is_disconnected(&mut self, now: f64, id: usize) -> bool {
         let Some(client) = self.connections.get_mut(id) else { return false };
-        if client.disconnected.is_none() && (client.readable || now - client.seen >= CHECK_VALID_SECONDS) {
-            client.seen = now;
-            let ending = self.look(now, id);
+        if client.disconnected.is_none()
+            && (client.readable || now - client.last_checked_at >= CHECK_VALID_SECONDS)
+        {
+            client.last_checked_at = now;
+            let ending = self.probe_disconnect(now, id);
             self.connections[id].disconnected = ending;
-            self.disconnected.extend(ending.map(|_| id));
+            self.disconnected_clients.extend(ending.map(|_| id));
         }
         self.connections[id].disconnected.is_some()
     }
@@ -46,60 +48,62 @@
 
     /// Closes one disconnected client; the inner value is its query in flight.
     pub fn next_disconnected(&mut self, timers: &mut Timers) -> Option<Option<QueryId>> {
-        let id = self.disconnected.pop()?;
+        let id = self.disconnected_clients.pop()?;
         // It may be closed already, and its id reused.
         let ending = self.connections.get(id).and_then(|client| client.disconnected);
-        Some(ending.and_then(|ending| self.end(id, ending, timers)))
+        Some(ending.and_then(|ending| self.close(id, ending, timers)))
     }
 
     /// Whether what a client sends while it waits may be read ahead: its disconnect stands behind all of that, and is seen
     /// only once the socket's receive buffer has been read. Half of the buffers are kept for new requests.
     pub(super) fn has_read_ahead_capacity(&self) -> bool {
-        2 * self.pool.out() < self.max_buffers
+        2 * self.pool.buffers_in_use() < self.max_buffers
     }
 
     /// Reads ahead what has arrived, as a disconnect stands behind that. Where this may not be read yet, or there is no
     /// buffer for it, the socket is polled for the peer's close.
-    fn look(&mut self, now: f64, id: usize) -> Option<ConnectionEnd> {
-        let came = self.came(now);
-        let (room, ahead_room) = (self.pool.out() < self.max_buffers, self.has_read_ahead_capacity());
+    fn probe_disconnect(&mut self, now: f64, id: usize) -> Option<ConnectionEnd> {
+        let came = self.received_at(now);
+        let (room, ahead_room) =
+            (self.pool.buffers_in_use() < self.max_buffers, self.has_read_ahead_capacity());
         let client = &mut self.connections[id];
-        let paced = client.more || matches!(&client.phase, RequestPhase::StreamingBody(raw) if !raw.all);
+        let paced = client.reading_paused
+            || matches!(&client.phase, RequestPhase::StreamingBody(raw) if !raw.body_complete);
         // An empty body is parsed from a buffer that exists and is empty: such a buffer is kept.
         let had = client.input.is_some();
         for _ in 0..MAX_READS_PER_TURN {
             if paced || client.input.is_none() && !room {
                 break;
             }
-            let input = client.input.get_or_insert_with(|| self.pool.take());
-            let behind = input.is_full() || !client.ahead.is_empty();
+            let input = client.input.get_or_insert_with(|| self.pool.acquire());
+            let behind = input.is_full() || !client.read_ahead.is_empty();
             if behind && !ahead_room {
                 break;
             }
-            if behind && client.ahead.back().is_none_or(Buffer::is_full) {
-                client.ahead.push_back(self.pool.take());
+            if behind && client.read_ahead.back().is_none_or(Buffer::is_full) {
+                client.read_ahead.push_back(self.pool.acquire());
             }
-            let last = if behind { client.ahead.back_mut() } else { None };
+            let last = if behind { client.read_ahead.back_mut() } else { None };
             match last.unwrap_or(input).read_from(&*client.stream) {
                 Ok(0) => return Some(ConnectionEnd::Closed),
-                Ok(count) => client.arrivals.read(count, came),
+                Ok(count) => client.arrivals.record(count, came),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     client.readable = false;
-                    client.arrivals.drained();
+                    client.arrivals.mark_drained();
                     if !had && client.input.as_ref().is_some_and(Buffer::is_empty) {
                         client.input = None;
                     }
-                    if client.ahead.back().is_some_and(Buffer::is_empty) {
-                        client.ahead.pop_back();
+                    if client.read_ahead.back().is_some_and(Buffer::is_empty) {
+                        client.read_ahead.pop_back();
                     }
                     return None;
                 }
-                Err(e) => return Some(ConnectionEnd::of(&e)),
+                Err(e) => return Some(ConnectionEnd::from_io_error(&e)),
             }
         }
-        if client.ahead.back().is_some_and(Buffer::is_empty) {
-            client.ahead.pop_back();
+        if client.read_ahead.back().is_some_and(Buffer::is_empty) {
+            client.read_ahead.pop_back();
         }
         peer_has_closed(&client.stream).then_some(ConnectionEnd::Closed)
     }
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -66,37 +66,37 @@
     message: Message,
     body: Rc<Body>,
     /// The request until its query starts; from then on `query`.
-    asked: Option<QueryRequest>,
+    request: Option<QueryRequest>,
     query: Option<QueryId>,
     /// The whole body has arrived.
-    all: bool,
+    body_complete: bool,
 }
 
 struct ClientConnection {
     stream: Rc<TcpStream>,
     /// It was accepted at the listener of the search API.
-    api: bool,
+    is_search_api: bool,
     token: RegistrationToken,
     input: Option<Buffer>,
     /// What was read ahead while `input` was full, in order.
-    ahead: VecDeque<Buffer>,
-    out: WriteQueue,
+    read_ahead: VecDeque<Buffer>,
+    output: WriteQueue,
     phase: RequestPhase,
     /// There may be something to read: readiness events are edge-triggered.
     readable: bool,
     /// When it was last found connected.
-    seen: f64,
+    last_checked_at: f64,
     /// How it ended, once it was found disconnected.
     disconnected: Option<ConnectionEnd>,
     arrivals: ArrivalTimes,
     /// When the first byte of the current request arrived; or when lingering began.
-    began: f64,
+    request_started_at: f64,
     /// The connection stays open after the response.
-    keep: bool,
+    keep_alive: bool,
     /// The response was sent before the body of a streamed request was complete.
     responded_in_body: bool,
     /// It sends faster than it may be read; a timer or the progress of its body resumes it.
-    more: bool,
+    reading_paused: bool,
     timer: Option<TimerKey>,
 }
 
@@ -105,7 +105,7 @@
     listener: Rc<TcpListener>,
     token: RegistrationToken,
     /// It is the one of the search API.
-    api: bool,
+    is_search_api: bool,
     /// Since when accepting has been paused; `None` once the backlog of that pause has been accepted.
     paused_since: Option<f64>,
 }
@@ -115,41 +115,41 @@
     handle: EventLoopHandle,
     pool: Pool,
     connections: Slab<ClientConnection>,
-    most: usize,
+    max_connections: usize,
     max_buffers: usize,
     bounds: Rc<HostSettings>,
     /// For the clients' port and for the search API's port; their connections are bounded together.
     listeners: Vec<Listener>,
-    paused: bool,
+    accepting_paused: bool,
     /// The search API, where it is enabled.
-    pub api: Option<Rc<search_api::SearchApi>>,
+    pub search_api: Option<Rc<search_api::SearchApi>>,
     /// Connections that may be evicted at the bound, ordered by timer, so the longest first: those that have not sent a
     /// whole request yet, those that are idle, and those that are shut down on our side only.
     awaiting_request: BTreeMap<TimerKey, usize>,
     idle: BTreeMap<TimerKey, usize>,
     lingering: BTreeMap<TimerKey, usize>,
     /// Whether streamed requests are accepted.
-    pub raw: bool,
+    pub accepts_streamed: bool,
     /// Streamed bodies of which more has arrived.
-    pub moved: Vec<BodyId>,
+    pub bodies_received: Vec<BodyId>,
     /// Clients that are read no further until something of their body has been sent on.
     blocked_on_body: Vec<usize>,
     /// Connections with something left to read for which no further readiness event comes.
-    pub again: Vec<usize>,
+    pub pending_clients: Vec<usize>,
     /// Clients found disconnected whose connections are still to be closed.
-    disconnected: Vec<usize>,
+    disconnected_clients: Vec<usize>,
     /// The endpoint list has an active node.
     pub has_endpoints: bool,
     /// Since when the bytes that are read now may have arrived, after a stall of the process; `None` without a stall.
     pub received_since: Option<f64>,
     /// The shutdown has begun: `/ready` answers 503.
-    pub leaving: bool,
+    pub is_draining: bool,
     /// A later stage of the shutdown: each connection closes after its response.
-    pub closing: bool,
+    pub closes_after_response: bool,
     /// A still later stage: idle connections close.
     close_when_idle: bool,
     /// When the last responses of a shutdown are due, however long clients would wait; `f64::MAX` before a shutdown.
-    pub until: f64,
+    pub shutdown_deadline: f64,
 }
 
 impl Downstream {
@@ -168,28 +168,28 @@
             handle,
             pool: pool.clone(),
             connections: Slab::new(),
-            most,
+            max_connections: most,
             max_buffers,
             bounds,
             listeners: Vec::new(),
-            paused: false,
-            api: None,
+            accepting_paused: false,
+            search_api: None,
             awaiting_request: BTreeMap::new(),
             idle: BTreeMap::new(),
             lingering: BTreeMap::new(),
-            raw: false,
-            moved: Vec::new(),
+            accepts_streamed: false,
+            bodies_received: Vec::new(),
             blocked_on_body: Vec::new(),
-            again: Vec::new(),
-            disconnected: Vec::new(),
+            pending_clients: Vec::new(),
+            disconnected_clients: Vec::new(),
             has_endpoints: false,
             received_since: None,
-            leaving: false,
-            closing: false,
+            is_draining: false,
+            closes_after_response: false,
             close_when_idle: false,
-            until: f64::MAX,
+            shutdown_deadline: f64::MAX,
         };
-        connections.open(listener, false)?;
+        connections.add_listener(listener, false)?;
         Ok(connections)
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// When the bytes that are read now arrived, at the earliest.
-    fn came(&self, now: f64) -> f64 {
+    fn received_at(&self, now: f64) -> f64 {
         self.received_since.map_or(now, |since| since.min(now))
     }
 }
@@ -215,8 +215,8 @@
 
     /// How many bytes have been read from it and not parsed yet.
     fn unparsed_bytes(&self) -> usize {
-        let held = self.input.iter().chain(&self.ahead);
-        held.map(|buffer| buffer.held().len()).sum()
+        let held = self.input.iter().chain(&self.read_ahead);
+        held.map(|buffer| buffer.filled().len()).sum()
     }
 
     fn has_unparsed(&self) -> bool {
@@ -226,7 +226,7 @@
     /// Something can be read and there is room for it.
     fn may_be_read(&self) -> bool {
         let full = self.input.as_ref().is_some_and(Buffer::is_full);
-        !full && !self.more && (self.readable || !self.ahead.is_empty())
+        !full && !self.reading_paused && (self.readable || !self.read_ahead.is_empty())
     }
 
     /// Returns the read buffer to its pool if nothing is left in it.
@@ -239,8 +239,8 @@
     fn is_between_requests(&self) -> bool {
         matches!(self.phase, RequestPhase::ReadingHead)
             && self.input.is_none()
-            && self.ahead.is_empty()
-            && self.out.is_empty()
+            && self.read_ahead.is_empty()
+            && self.output.is_empty()
     }
 }
 
--- a/crates/dunepond-broker/src/downstream/read.rs
+++ b/crates/dunepond-broker/src/downstream/read.rs
@@ -25,10 +25,10 @@
 ) -> io::Result<usize> {
     let Some(first) = ahead.front_mut() else {
         let count = input.read_from(stream)?;
-        arrivals.read(count, came);
+        arrivals.record(count, came);
         return Ok(count);
     };
-    let count = input.read_from(first.held())?;
+    let count = input.read_from(first.filled())?;
     first.consume(count);
     if first.is_empty() {
         ahead.pop_front();
@@ -38,24 +38,24 @@
 
 impl Downstream {
     /// A readiness event: writes what is queued; reading is left to its turn.
-    pub fn ready(&mut self, now: f64, id: usize, readable: bool, timers: &mut Timers) {
+    pub fn on_ready(&mut self, now: f64, id: usize, readable: bool, timers: &mut Timers) {
         let Some(client) = self.connections.get_mut(id) else { return };
         client.readable |= readable;
-        if !client.out.is_empty() {
+        if !client.output.is_empty() {
             self.write(now, id, timers);
         }
     }
 
     /// A client that was paused may be read again.
-    pub fn go_on(&mut self, id: usize) {
+    pub fn resume_reading(&mut self, id: usize) {
         if let Some(client) = self.connections.get_mut(id) {
-            client.more = false;
-            self.again.push(id);
+            client.reading_paused = false;
+            self.pending_clients.push(id);
         }
     }
 
     /// Reads until there is a query, or nothing more for now.
-    pub fn next(&mut self, now: f64, id: usize, timers: &mut Timers) -> ClientEvent {
+    pub fn next_event(&mut self, now: f64, id: usize, timers: &mut Timers) -> ClientEvent {
         let mut reads = 0;
         loop {
             if let Some(event) = self.decode(now, id, timers) {
@@ -72,16 +72,16 @@
                 return ClientEvent::Nothing;
             }
             if reads == MAX_READS_PER_TURN {
-                self.connections[id].more = true;
+                self.connections[id].reading_paused = true;
                 timers.schedule(now + RESUME_READING_SECONDS, TimerEvent::ClientResume(id));
                 return ClientEvent::Nothing;
             }
             reads += 1;
-            if self.connections[id].input.is_none() && self.pool.out() >= self.max_buffers {
+            if self.connections[id].input.is_none() && self.pool.buffers_in_use() >= self.max_buffers {
                 self.evict_for_buffer(id, timers);
             }
             if let Some(ending) = self.read_once(now, id) {
-                return ClientEvent::Disconnected(self.end(id, ending, timers));
+                return ClientEvent::Disconnected(self.close(id, ending, timers));
             }
         }
     }
@@ -93,40 +93,40 @@
             return ClientEvent::Nothing;
         }
         if self.connections.get(id).is_some_and(|client| client.readable) {
-            self.again.push(id);
+            self.pending_clients.push(id);
         }
-        self.in_time(event)
+        self.cap_streamed_deadline(event)
     }
 
     /// Pauses a client whose streamed body has no room. Before reading, so that no buffer is held while the body waits.
     fn pause_for_full_body(&mut self, id: usize) {
         let client = &mut self.connections[id];
         if let RequestPhase::StreamingBody(raw) = &client.phase
-            && !raw.all
-            && !client.more
+            && !raw.body_complete
+            && !client.reading_paused
             && raw.body.is_full()
         {
-            client.more = true;
+            client.reading_paused = true;
             self.blocked_on_body.push(id);
         }
     }
 
     /// Reads once; returns how the connection ended, if it did.
     fn read_once(&mut self, now: f64, id: usize) -> Option<ConnectionEnd> {
-        let came = self.came(now);
+        let came = self.received_at(now);
         let client = &mut self.connections[id];
-        let input = client.input.get_or_insert_with(|| self.pool.take());
-        match read(input, &mut client.ahead, &mut client.arrivals, &client.stream, came) {
+        let input = client.input.get_or_insert_with(|| self.pool.acquire());
+        match read(input, &mut client.read_ahead, &mut client.arrivals, &client.stream, came) {
             Ok(0) => return Some(ConnectionEnd::Closed),
             Ok(_) if matches!(client.phase, RequestPhase::Lingering) => client.input = None,
             Ok(_) => {}
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                (client.readable, client.seen) = (false, now);
-                client.arrivals.drained();
+                (client.readable, client.last_checked_at) = (false, now);
+                client.arrivals.mark_drained();
                 client.release_empty_input();
             }
-            Err(e) => return Some(ConnectionEnd::of(&e)),
+            Err(e) => return Some(ConnectionEnd::from_io_error(&e)),
         }
         None
     }
@@ -135,17 +135,17 @@
     fn schedule_resume_reading(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let room = self.has_read_ahead_capacity();
         let client = &mut self.connections[id];
-        if client.readable && !client.more && room {
-            client.more = true;
+        if client.readable && !client.reading_paused && room {
+            client.reading_paused = true;
             timers.schedule(now + RESUME_READING_SECONDS, TimerEvent::ClientResume(id));
         }
     }
 
     /// In a shutdown a streamed body has until the last responses are due. A query without one keeps its deadline: the
     /// router rejects it if it would outlast the process.
-    fn in_time(&self, mut came: ClientEvent) -> ClientEvent {
+    fn cap_streamed_deadline(&self, mut came: ClientEvent) -> ClientEvent {
         if let ClientEvent::StreamedQuery(asked, _) = &mut came {
-            asked.deadline = asked.deadline.min(self.until);
+            asked.deadline = asked.deadline.min(self.shutdown_deadline);
         }
         came
     }
@@ -156,6 +156,6 @@
             |c: &ClientConnection| c.input.is_some() || matches!(c.phase, RequestPhase::ReadingBody(_));
         let held =
             self.awaiting_request.values().copied().find(|id| *id != but && holds(&self.connections[*id]));
-        held.map(|id| self.end(id, ConnectionEnd::IoTimeout, timers));
+        held.map(|id| self.close(id, ConnectionEnd::IoTimeout, timers));
     }
 }
--- a/crates/dunepond-broker/src/downstream/response.rs
+++ b/crates/dunepond-broker/src/downstream/response.rs
@@ -18,7 +18,7 @@
 
 impl Downstream {
     /// The client's request is in flight under this id until its response.
-    pub fn holds(&mut self, id: usize, query: QueryId) {
+    pub fn assign_query(&mut self, id: usize, query: QueryId) {
         match self.connections.get_mut(id).map(|c| &mut c.phase) {
             // It is still sending a body that passes through.
             Some(RequestPhase::StreamingBody(raw)) => raw.query = Some(query),
@@ -31,10 +31,10 @@
     /// becomes `Retry-After`.
     pub fn refuse(&mut self, now: f64, id: usize, why: HttpError, wait: f64, timers: &mut Timers) {
         if let Some(client) = self.connections.get_mut(id) {
-            (client.keep, client.responded_in_body) = (false, true);
+            (client.keep_alive, client.responded_in_body) = (false, true);
         }
-        debug!("client {id}: answered {}: {}", why.status, why.why);
-        self.reply(now, id, why.status, &error_body(&why.why), wait, timers);
+        debug!("client {id}: answered {}: {}", why.status, why.reason);
+        self.reply(now, id, why.status, &error_body(&why.reason), wait, timers);
     }
 
     /// Sends the one final response to a client's request. `wait` in seconds becomes `Retry-After`.
@@ -42,14 +42,14 @@
         let Some(client) = self.connections.get_mut(id) else { return };
         // The rest of a body would be parsed as the next request.
         client.responded_in_body |= matches!(client.phase, RequestPhase::StreamingBody(_));
-        client.keep &= !client.responded_in_body;
+        client.keep_alive &= !client.responded_in_body;
         // In a shutdown the last response closes the connection; it is not the last where another request has arrived.
-        let closes = self.closing && client.keep && !self.has_next_request(now, id);
+        let closes = self.closes_after_response && client.keep_alive && !self.has_next_request(now, id);
         let client = &mut self.connections[id];
-        client.keep &= !closes;
-        client.out.put(&http::answer(status, body, wait, client.keep));
+        client.keep_alive &= !closes;
+        client.output.queue_bytes(&http::encode_response(status, body, wait, client.keep_alive));
         client.phase = RequestPhase::ReadingHead;
-        self.again.push(id);
+        self.pending_clients.push(id);
         self.write(now, id, timers);
     }
 
@@ -61,31 +61,31 @@
     /// Whether another request, or a part of one, has arrived.
     fn has_next_request(&mut self, now: f64, id: usize) -> bool {
         let read = self.connections.get(id).is_some_and(ClientConnection::has_unparsed);
-        read || now < self.until && matches!(self.final_read(now, id), FinalRead::ReceivedData)
+        read || now < self.shutdown_deadline && matches!(self.final_read(now, id), FinalRead::ReceivedData)
     }
 
     pub(super) fn write(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let Some(client) = self.connections.get_mut(id) else { return };
-        if let Err(e) = client.out.flush(&*client.stream) {
+        if let Err(e) = client.output.flush(&*client.stream) {
             // Its query in flight, if any, is handled when the end of the stream is read.
             debug!("client {id}: {e}");
             client.readable = true;
-            return self.again.push(id);
+            return self.pending_clients.push(id);
         }
-        let (taken, keep, timer) = (client.out.is_empty(), client.keep, client.timer);
+        let (taken, keep, timer) = (client.output.is_empty(), client.keep_alive, client.timer);
         match client.phase {
             _ if !taken && timer.is_some() => {}
-            _ if !taken => drop(self.set(id, now + self.max_delivery_seconds(), timers)),
+            _ if !taken => drop(self.set_timer(id, now + self.max_delivery_seconds(), timers)),
             // All is written: if its timer stayed set, it would close the connection while its next query is in flight.
             RequestPhase::AwaitingAdmission | RequestPhase::InFlight(_) => self.clear_timer(id, timers),
-            RequestPhase::ReadingHead if keep && self.close_when_idle => self.part(now, id, timers),
+            RequestPhase::ReadingHead if keep && self.close_when_idle => self.close_if_quiet(now, id, timers),
             RequestPhase::ReadingHead if keep => {
                 self.start_idle_timer(id, now + IDLE_TIMEOUT_SECONDS, timers);
-                self.make_room(timers);
-                if self.idle.len() > self.most / MAX_IDLE_DIVISOR
+                self.schedule_resume_accepting(timers);
+                if self.idle.len() > self.max_connections / MAX_IDLE_DIVISOR
                     && let Some(longest) = self.idle.first_key_value().map(|(_, id)| *id)
                 {
-                    self.part(now, longest, timers);
+                    self.close_if_quiet(now, longest, timers);
                 }
             }
             RequestPhase::ReadingHead => self.start_lingering(now, id, timers),
--- a/crates/dunepond-broker/src/downstream/streamed_body.rs
+++ b/crates/dunepond-broker/src/downstream/streamed_body.rs
@@ -13,7 +13,7 @@
 
 impl Downstream {
     /// Receives the body of a streamed request into `body`.
-    pub fn takes(
+    pub fn receive_body(
         &mut self,
         now: f64,
         id: usize,
@@ -24,7 +24,7 @@
     ) {
         let Some(client) = self.connections.get_mut(id) else { return };
         if head.expects_continue {
-            client.out.put(CONTINUE_RESPONSE);
+            client.output.queue_bytes(CONTINUE_RESPONSE);
         }
         let until = asked.deadline;
         let message = Message::streaming_into(head, body);
@@ -32,15 +32,15 @@
         client.phase = RequestPhase::StreamingBody(Box::new(StreamedRequest {
             message,
             body,
-            asked,
+            request: asked,
             query: None,
-            all: false,
+            body_complete: false,
         }));
-        self.again.push(id);
+        self.pending_clients.push(id);
         self.write(now, id, timers);
         // The body may take as long as the client would wait for the response.
         if self.connections.contains(id) {
-            self.set(id, until, timers);
+            self.set_timer(id, until, timers);
         }
     }
 
@@ -55,9 +55,9 @@
         else {
             return None;
         };
-        let asked = raw.asked.take_if(|_| raw.body.id == body)?;
+        let asked = raw.request.take_if(|_| raw.body.id == body)?;
         let body = raw.body.clone();
-        if raw.all {
+        if raw.body_complete {
             self.connections[id].phase = RequestPhase::AwaitingAdmission;
         }
         self.clear_timer(id, timers);
@@ -88,7 +88,7 @@
         for id in std::mem::take(&mut self.blocked_on_body) {
             match self.connections.get(id).map(|c| &c.phase) {
                 Some(RequestPhase::StreamingBody(raw)) if raw.body.is_full() => self.blocked_on_body.push(id),
-                Some(_) => self.go_on(id),
+                Some(_) => self.resume_reading(id),
                 None => {}
             }
         }
--- a/crates/dunepond-broker/src/downstream/timeouts.rs
+++ b/crates/dunepond-broker/src/downstream/timeouts.rs
@@ -17,17 +17,17 @@
     /// Its request timeout counts from now on.
     pub(super) fn start_request_timer(&mut self, now: f64, id: usize, timers: &mut Timers) {
         // In a shutdown there may be less time.
-        let key = self.set(id, (now + REQUEST_TIMEOUT_SECONDS).min(self.until), timers);
+        let key = self.set_timer(id, (now + REQUEST_TIMEOUT_SECONDS).min(self.shutdown_deadline), timers);
         self.awaiting_request.insert(key, id);
     }
 
     /// It is idle, and stays open until then at most.
     pub(super) fn start_idle_timer(&mut self, id: usize, until: f64, timers: &mut Timers) {
-        let key = self.set(id, until, timers);
+        let key = self.set_timer(id, until, timers);
         self.idle.insert(key, id);
     }
 
-    pub(super) fn set(&mut self, id: usize, at: f64, timers: &mut Timers) -> TimerKey {
+    pub(super) fn set_timer(&mut self, id: usize, at: f64, timers: &mut Timers) -> TimerKey {
         self.clear_timer(id, timers);
         let key = timers.schedule(at, TimerEvent::ClientTimeout(id));
         self.connections[id].timer = Some(key);
@@ -44,34 +44,37 @@
     }
 
     /// A client's timer has fired. Returns its query in flight if the connection was closed.
-    pub fn slow(&mut self, now: f64, id: usize, timers: &mut Timers) -> Option<QueryId> {
+    pub fn on_timeout(&mut self, now: f64, id: usize, timers: &mut Timers) -> Option<QueryId> {
         self.clear_timer(id, timers);
         if self.extend_linger(now, id, timers) {
             return None;
         }
         let client = self.connections.get_mut(id)?;
-        if !client.out.is_empty() || !client.awaiting_request() {
-            return self.end(id, ConnectionEnd::IoTimeout, timers);
+        if !client.output.is_empty() || !client.awaiting_request() {
+            return self.close(id, ConnectionEnd::IoTimeout, timers);
         }
         if client.is_between_requests() {
-            self.part(now, id, timers);
+            self.close_if_quiet(now, id, timers);
             return None;
         }
-        client.keep = false;
+        client.keep_alive = false;
         let why = refusal(408, "request: not whole in time");
-        let body =
-            if client.api { search_api::refused(&why).body().to_string() } else { error_body(&why.why) };
+        let body = if client.is_search_api {
+            search_api::error_response(&why).body().to_string()
+        } else {
+            error_body(&why.reason)
+        };
         self.reply(now, id, 408, &body, 0.0, timers);
         None
     }
 
     /// The one place where a connection is closed; returns its query in flight.
-    pub(super) fn end(&mut self, id: usize, ending: ConnectionEnd, timers: &mut Timers) -> Option<QueryId> {
+    pub(super) fn close(&mut self, id: usize, ending: ConnectionEnd, timers: &mut Timers) -> Option<QueryId> {
         self.clear_timer(id, timers);
         let client = self.connections.try_remove(id)?;
         self.handle.remove(client.token);
         debug!("client {id}: connection {ending}");
-        self.make_room(timers);
+        self.schedule_resume_accepting(timers);
         match client.phase {
             RequestPhase::InFlight(query) => Some(query),
             RequestPhase::StreamingBody(raw) => raw.query,
--- a/crates/dunepond-broker/src/downstream/validation.rs
+++ b/crates/dunepond-broker/src/downstream/validation.rs
@@ -21,26 +21,26 @@
         let head = &message.head;
         let path = head.path.split('?').next().unwrap_or_default();
         if path == "/ready" {
-            return match (head.method.as_str(), self.has_endpoints && !self.leaving) {
+            return match (head.method.as_str(), self.has_endpoints && !self.is_draining) {
                 ("GET", true) => Ok(None),
                 ("GET", false) => Err(refusal(503, "not ready")),
                 _ => Err(refusal(405, "/ready: only GET")),
             };
         }
-        let table_type = self.table_type(head)?;
-        let body =
-            dunepond_config::parse_json(message.text()).map_err(|e| refusal(400, format!("body: {e}")))?;
+        let table_type = self.query_class_in_path(head)?;
+        let body = dunepond_config::parse_json(message.body_bytes())
+            .map_err(|e| refusal(400, format!("body: {e}")))?;
         let text = body.get("body").and_then(Value::as_str);
         let text = text.ok_or_else(|| refusal(400, "body: not a text"))?;
         let segments = body.get("buckets").and_then(Value::as_array).filter(|b| !b.is_empty());
         let segments = segments.ok_or_else(|| refusal(400, "buckets: not a list of parts"))?;
         let of = |b: &Value| (b.get("bucket").and_then(Value::as_u64), b.get("part").and_then(Value::as_f64));
         let parts = parts(segments.iter().map(of), "buckets", &self.bounds)?;
-        asked(head, table_type, began, parts, Payload::Inline(text.into()), &self.bounds).map(Some)
+        query_request(head, table_type, began, parts, Payload::Inline(text.into()), &self.bounds).map(Some)
     }
 
     /// The query class in the path, if the method and the class header agree with it.
-    fn table_type(&self, head: &Head) -> Result<usize, HttpError> {
+    fn query_class_in_path(&self, head: &Head) -> Result<usize, HttpError> {
         let path = head.path.split('?').next().unwrap_or_default();
         let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
         let index = |name: &str| self.bounds.query_classes.iter().position(|t| t == name);
@@ -56,14 +56,14 @@
 
     /// A streamed query: its parts in `X-Buckets: 3=0.5,9=0.5`, checked as strictly as those of a JSON body.
     pub(super) fn validate_streamed(&self, head: &Head, began: f64) -> Result<QueryRequest, HttpError> {
-        let table_type = self.table_type(head)?;
+        let table_type = self.query_class_in_path(head)?;
         let plain = |text: &str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
         let of = |entry: &str| match entry.split_once('=') {
             Some((seg, weight)) if plain(seg) && plain(weight) => (seg.parse().ok(), weight.parse().ok()),
             _ => (None, None),
         };
         let parts = parts(head.segments.split(',').map(of), "X-Buckets", &self.bounds)?;
-        asked(head, table_type, began, parts, Payload::Released, &self.bounds)
+        query_request(head, table_type, began, parts, Payload::Released, &self.bounds)
     }
 }
 
@@ -95,7 +95,7 @@
 }
 
 /// Builds a query from its parts and the fields of the request's head.
-fn asked(
+fn query_request(
     head: &Head,
     table_type: usize,
     began: f64,
@@ -119,11 +119,11 @@
     let customer = bounds.tenants.iter().position(|c| *c == head.tenant);
     Ok(QueryRequest {
         request_id: id.clone(),
-        table_type,
-        customer: customer.unwrap_or(bounds.tenants.len()),
+        query_class: table_type,
+        tenant: customer.unwrap_or(bounds.tenants.len()),
         deadline: began + time_budget,
         is_retry: head.is_retry,
         parts,
-        text,
+        payload: text,
     })
 }
--- a/crates/dunepond-broker/src/event_loop/background.rs
+++ b/crates/dunepond-broker/src/event_loop/background.rs
@@ -52,7 +52,7 @@
             let began = Instant::now();
             let mut outcome = Outcome::Done;
             if let Some(prefilter) = &mut self.prefilter {
-                prefilter.audit(&mut self.router, &mut self.router_host);
+                prefilter.start_audit(&mut self.router, &mut self.router_host);
                 if prefilter.has_audits() {
                     outcome = Outcome::Yielded;
                 }
@@ -75,10 +75,10 @@
         let now = self.router_host.now;
         if let Some(every) = self.operator.counters_interval_seconds {
             self.router_host.timers.schedule(now + every, TimerEvent::Counters);
-            let copied = self.router_host.upstream.copied;
+            let copied = self.router_host.upstream.copied_bytes;
             self.router_host.report_body_counters(copied);
             if let Some(prefilter) = &self.prefilter {
-                prefilter.report(now);
+                prefilter.log_counters(now);
             }
             if let Some(control_plane) = &self.router_host.control_plane {
                 control_plane.report_counters();
--- a/crates/dunepond-broker/src/event_loop/endpoints.rs
+++ b/crates/dunepond-broker/src/event_loop/endpoints.rs
@@ -66,12 +66,12 @@
             );
         }
         for EndpointRow { endpoint, info } in update.endpoints {
-            self.router_host.upstream.listed(now, endpoint.node, info, &mut self.router_host.timers);
+            self.router_host.upstream.update_endpoint(now, endpoint.node, info, &mut self.router_host.timers);
             listed.push(endpoint);
         }
-        for (node, replaced) in std::mem::take(&mut self.router_host.upstream.changed) {
+        for (node, replaced) in std::mem::take(&mut self.router_host.upstream.changed_nodes) {
             if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
-                prefilter_connections.leave(node, &mut self.router_host.timers);
+                prefilter_connections.close_node(node, &mut self.router_host.timers);
             }
             if let Some(prefilter) = self.prefilter.as_mut().filter(|_| replaced) {
                 prefilter.forget(node);
--- a/crates/dunepond-broker/src/event_loop/lifecycle.rs
+++ b/crates/dunepond-broker/src/event_loop/lifecycle.rs
@@ -21,7 +21,7 @@
         if self.configured_endpoints.is_some() {
             // Scheduled first, so that the list is in force before waiting connections are accepted.
             self.router_host.timers.schedule(now + FIRST_LIST_TIMEOUT_SECONDS, TimerEvent::FirstListTimeout);
-            self.router_host.downstream.hold(
+            self.router_host.downstream.delay_accepting(
                 now,
                 now + FIRST_LIST_TIMEOUT_SECONDS.min(max_accept_delay),
                 &mut self.router_host.timers,
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -106,7 +106,7 @@
 
     /// Accepts the backlog of the listeners after a pause, all at once, so that it is distinct from later connections.
     fn accept_backlog(&mut self) {
-        self.router_host.downstream.resume();
+        self.router_host.downstream.resume_accepting();
         for api in [false, true] {
             self.router_host.downstream.accept(self.router_host.now, api, &mut self.router_host.timers);
         }
@@ -114,25 +114,25 @@
 
     fn client_ready(&mut self, id: usize, readable: bool) {
         let now = self.tick();
-        self.router_host.downstream.ready(now, id, readable, &mut self.router_host.timers);
-        self.router_host.downstream.again.push(id);
+        self.router_host.downstream.on_ready(now, id, readable, &mut self.router_host.timers);
+        self.router_host.downstream.pending_clients.push(id);
         self.process_pending();
     }
 
     fn upstream_ready(&mut self, id: usize, readable: bool) {
         let now = self.tick();
-        for query in self.router_host.upstream.unsent(id) {
+        for query in self.router_host.upstream.queries_awaiting_write(id) {
             self.router_host.check_client(query);
         }
         self.end_disconnected_queries();
-        self.router_host.upstream.ready(now, id, readable, &mut self.router_host.timers);
+        self.router_host.upstream.on_ready(now, id, readable, &mut self.router_host.timers);
         self.process_pending();
     }
 
     fn prefilter_ready(&mut self, id: usize, readable: bool) {
         let now = self.tick();
         if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
-            prefilter_connections.ready(now, id, readable, &mut self.router_host.timers);
+            prefilter_connections.on_ready(now, id, readable, &mut self.router_host.timers);
         }
         self.process_pending();
     }
@@ -140,7 +140,7 @@
     fn disk_done(&mut self, done: DiskEvent) {
         let now = self.tick();
         if let Some(bodies) = &mut self.router_host.body_store {
-            bodies.done(now, done);
+            bodies.on_disk_done(now, done);
         }
         self.process_pending();
     }
--- a/crates/dunepond-broker/src/event_loop/pending.rs
+++ b/crates/dunepond-broker/src/event_loop/pending.rs
@@ -25,11 +25,11 @@
     /// Handles the next thing to do; returns `false` if there is none.
     fn process_next(&mut self) -> bool {
         let now = self.router_host.now;
-        if let Some((node, attempt)) = self.router_host.upstream.framed.pop_front() {
+        if let Some((node, attempt)) = self.router_host.upstream.written_bodies.pop_front() {
             self.router.on_frame_written(&mut self.router_host, node, attempt);
-        } else if let Some(completed) = self.router_host.upstream.back.pop_front() {
+        } else if let Some(completed) = self.router_host.upstream.completed.pop_front() {
             self.on_attempt_completed(completed);
-        } else if let Some(client) = self.router_host.downstream.again.pop() {
+        } else if let Some(client) = self.router_host.downstream.pending_clients.pop() {
             self.read_client(now, client);
         } else if let Some((body, event)) =
             self.router_host.body_store.as_mut().and_then(|bodies| bodies.events.pop_front())
@@ -39,14 +39,14 @@
             .router_host
             .prefilter_connections
             .as_mut()
-            .and_then(|connections| connections.told.pop_front())
+            .and_then(|connections| connections.responses.pop_front())
         {
             if let Some(prefilter) = &mut self.prefilter {
-                prefilter.told(&mut self.router, &mut self.router_host, question, words);
+                prefilter.on_response(&mut self.router, &mut self.router_host, question, words);
             }
         } else if let Some(finished) = self.router_host.finished_queries.pop() {
             if let Some(prefilter) = &mut self.prefilter {
-                prefilter.over(now, finished.query, finished.completely_answered);
+                prefilter.on_query_ended(now, finished.query, finished.completely_answered);
             }
         } else if let Some((node, host)) = self.router_host.upstream.next_forgotten() {
             self.forget_node(node, &host);
@@ -59,7 +59,7 @@
     fn on_attempt_completed(&mut self, completed: CompletedAttempt) {
         let query = completed.ended.query;
         if let Some(prefilter) = &mut self.prefilter {
-            prefilter.returned(&mut self.router, &mut self.router_host, &completed);
+            prefilter.on_attempt_ended(&mut self.router, &mut self.router_host, &completed);
         }
         if let Some(ended) = self.router_host.record_attempt_end(completed) {
             self.router.on_attempt_ended(&mut self.router_host, ended);
@@ -69,7 +69,7 @@
     }
 
     fn read_client(&mut self, now: f64, client: usize) {
-        match self.router_host.downstream.next(now, client, &mut self.router_host.timers) {
+        match self.router_host.downstream.next_event(now, client, &mut self.router_host.timers) {
             ClientEvent::Query(request) => {
                 if let Some(query) = self.router_host.register_query(client, request) {
                     self.start_query(query);
@@ -105,7 +105,7 @@
             return;
         }
         match &mut self.prefilter {
-            Some(prefilter) => prefilter.begin(&mut self.router, &mut self.router_host, query),
+            Some(prefilter) => prefilter.start_query(&mut self.router, &mut self.router_host, query),
             None => self.router.on_query(&mut self.router_host, query),
         }
     }
@@ -128,7 +128,7 @@
             if self.router_host.check_active_config(&mut query) {
                 self.router.on_query(&mut self.router_host, query);
             }
-            body.begin();
+            body.set_all_readers_attached();
             self.router_host.release_body(id, |query| self.router.needs_body(query));
         }
     }
--- a/crates/dunepond-broker/src/event_loop/reload.rs
+++ b/crates/dunepond-broker/src/event_loop/reload.rs
@@ -61,13 +61,13 @@
                 if self.operator.body_buffer.as_ref().map(|b| &b.spill) != Some(&told.spill) {
                     waits("bodies: files: folder=, threads= and waiting=");
                 }
-                bodies.change(told.limits.clone());
+                bodies.reconfigure(told.limits.clone());
             }
             (None, None) => {}
             _ => waits("bodies, turned on or off,"),
         }
         match (&operator.prefilter, &mut self.prefilter) {
-            (Some(terms), Some(prefilter)) => prefilter.change(terms.clone()),
+            (Some(terms), Some(prefilter)) => prefilter.reconfigure(terms.clone()),
             (None, None) => {}
             _ => waits("phases, turned on or off,"),
         }
--- a/crates/dunepond-broker/src/event_loop/shutdown.rs
+++ b/crates/dunepond-broker/src/event_loop/shutdown.rs
@@ -22,8 +22,8 @@
             );
             self.shutdown = Some(shutdown);
             self.router.begin_shutdown(shutdown);
-            self.router_host.downstream.leaving = true;
-            self.router_host.downstream.until = shutdown.last_answers_at();
+            self.router_host.downstream.is_draining = true;
+            self.router_host.downstream.shutdown_deadline = shutdown.last_answers_at();
             self.run_shutdown_stages();
         }
     }
@@ -56,7 +56,7 @@
             // `retry_closing_listeners`.
             self.listeners_closed = self.listeners_closed
                 || self.router_host.downstream.close_listeners(now, &mut self.router_host.timers);
-            self.router_host.downstream.close_resting(now, &mut self.router_host.timers);
+            self.router_host.downstream.close_idle(now, &mut self.router_host.timers);
         }
         if stage >= ShutdownStage::ClosingWithoutRequest {
             self.router_host.downstream.close_without_request(now, &mut self.router_host.timers);
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -227,8 +227,9 @@
     let listener =
         listen_with_retry("search: listen", config.listen_address).map_err(|e| failed_to_listen(&e))?;
     let address = listener.local_addr().map_err(|e| failed_to_listen(&e))?;
-    router_host.downstream.open(listener, true).map_err(|e| failed_to_listen(&e))?;
-    router_host.downstream.api = Some(Rc::new(SearchApi::new(config.limits.clone(), bounds, deployment)));
+    router_host.downstream.add_listener(listener, true).map_err(|e| failed_to_listen(&e))?;
+    router_host.downstream.search_api =
+        Some(Rc::new(SearchApi::new(config.limits.clone(), bounds, deployment)));
     info!("the API listening at {address}");
     Ok(())
 }
@@ -241,7 +242,7 @@
     bounds: &HostSettings,
     handle: &EventLoopHandle,
 ) -> Result<Option<Arc<dyn SpillFolder>>, ConfigError> {
-    router_host.downstream.raw = true;
+    router_host.downstream.accepts_streamed = true;
     let spool = start_body_spool(config, replacement, handle)?;
     let (spool, folder) = spool.map(|BodySpool { spool, folder }| (spool, folder)).unzip();
     let query_classes = bounds.query_classes.clone();
--- a/crates/dunepond-broker/src/event_loop/timers.rs
+++ b/crates/dunepond-broker/src/event_loop/timers.rs
@@ -21,12 +21,12 @@
             TimerEvent::QueryDeadline(query) => self.expire_query(query),
             TimerEvent::PrefilterConnection(id) => {
                 if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
-                    prefilter_connections.due(id, &mut self.router_host.timers);
+                    prefilter_connections.on_timeout(id, &mut self.router_host.timers);
                 }
             }
             TimerEvent::Prefilter => {
                 if let Some(prefilter) = &mut self.prefilter {
-                    prefilter.due(&mut self.router, &mut self.router_host);
+                    prefilter.on_deadline(&mut self.router, &mut self.router_host);
                 }
             }
             TimerEvent::Snapshot => {
@@ -39,10 +39,10 @@
             }
             TimerEvent::BackgroundJob => self.background.on_timer(),
             TimerEvent::UpstreamConnection(id) => {
-                self.router_host.upstream.due(now, id, &mut self.router_host.timers)
+                self.router_host.upstream.on_timeout(now, id, &mut self.router_host.timers)
             }
             TimerEvent::ClientTimeout(id) => self.on_client_timeout(now, id),
-            TimerEvent::ClientResume(id) => self.router_host.downstream.go_on(id),
+            TimerEvent::ClientResume(id) => self.router_host.downstream.resume_reading(id),
             TimerEvent::Discovery => {
                 self.discovery.on_timer(now, &mut self.router_host.timers);
                 self.retry_discovery();
@@ -63,7 +63,7 @@
         let time = self.router_host.downstream.read_before_timeout(id);
         self.process_pending();
         if self.router_host.downstream.is_still_timed_out(id, time)
-            && let Some(query) = self.router_host.downstream.slow(now, id, &mut self.router_host.timers)
+            && let Some(query) = self.router_host.downstream.on_timeout(now, id, &mut self.router_host.timers)
         {
             self.client_disconnected(query);
         }
--- a/crates/dunepond-broker/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -14,7 +14,7 @@
         /// The attempt's id, as it was sent.
         id: &'a str,
         /// How it ended.
-        word: ReplicaOutcome,
+        outcome: ReplicaOutcome,
         /// What it found.
         value: &'a str,
         /// The node's report on it; see `searched`.
@@ -23,9 +23,9 @@
     /// The answer to a prefilter request (`Q`).
     PrefilterAnswers {
         /// The number of the request.
-        question: u64,
+        request: u64,
         /// Whether each segment can match, and the version that says so.
-        words: Vec<SegmentAnswer>,
+        answers: Vec<SegmentAnswer>,
     },
     /// The node could not use a frame of ours (`F`), and why.
     Rejected(&'a str),
@@ -61,13 +61,13 @@
 }
 
 /// One frame of attempts: for each a line and its payload.
-pub fn call<'a>(attempts: impl Iterator<Item = (AttemptLine<'a>, &'a str)>) -> Vec<u8> {
+pub fn encode_attempts<'a>(attempts: impl Iterator<Item = (AttemptLine<'a>, &'a str)>) -> Vec<u8> {
     let mut rest = String::new();
     for (line, payload) in attempts {
         let _ = write!(rest, "{line}");
         rest.push_str(payload);
     }
-    frame(b'A', rest.as_bytes())
+    encode_frame(b'A', rest.as_bytes())
 }
 
 /// The start of a frame of attempts whose lines and payloads, `length` bytes, are queued one by one.
@@ -77,19 +77,19 @@
 }
 
 /// A prefilter request: which of these segments can match a query.
-pub fn question(id: u64, text: &str, segs: &[SegmentIndex]) -> Vec<u8> {
+pub fn encode_prefilter_request(id: u64, text: &str, segs: &[SegmentIndex]) -> Vec<u8> {
     let segs: Vec<_> = segs.iter().map(SegmentIndex::to_string).collect();
-    frame(b'P', format!("{id} {} {}\n{text}", text.len(), segs.join(",")).as_bytes())
+    encode_frame(b'P', format!("{id} {} {}\n{text}", text.len(), segs.join(",")).as_bytes())
 }
 
 /// The version that was searched and whether anything was found, if the report of an attempt has both.
-pub fn searched(report: &str) -> Option<(Version, bool)> {
+pub fn parse_search_report(report: &str) -> Option<(Version, bool)> {
     let of = |key: &str| report.split(',').find_map(|entry| entry.strip_prefix(key)?.parse::<u64>().ok());
     Some((of("v=")?, of("n=")? > 0))
 }
 
 /// The lines of a prefilter answer, `SEGMENT WORD VERSION` each.
-fn words(lines: &str) -> Option<Vec<SegmentAnswer>> {
+fn parse_prefilter_answers(lines: &str) -> Option<Vec<SegmentAnswer>> {
     let line = |line: &str| {
         let mut words = line.splitn(3, ' ');
         let segment = words.next()?.parse().ok()?;
@@ -106,12 +106,12 @@
 }
 
 /// Cancels an attempt.
-pub fn give_up(id: &str) -> Vec<u8> {
-    frame(b'B', id.as_bytes())
+pub fn encode_cancel(id: &str) -> Vec<u8> {
+    encode_frame(b'B', id.as_bytes())
 }
 
 /// A frame of any type.
-pub fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
+pub fn encode_frame(letter: u8, rest: &[u8]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(5 + rest.len());
     frame.extend_from_slice(&(rest.len() as u32 + 1).to_be_bytes());
     frame.push(letter);
@@ -158,7 +158,7 @@
 }
 
 /// The first frame in `bytes` and its length; `None` until all of it has arrived.
-pub fn read(bytes: &[u8]) -> Result<Option<(NodeFrame<'_>, usize)>, FrameError> {
+pub fn decode_frame(bytes: &[u8]) -> Result<Option<(NodeFrame<'_>, usize)>, FrameError> {
     let Some((head, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
     if length == 0 || length > BUFFER_BYTES - 4 {
@@ -167,15 +167,15 @@
     let Some(content) = rest.get(..length) else { return Ok(None) };
     let text = std::str::from_utf8(&content[1..]).map_err(|_| FrameError::NotUtf8)?;
     let decoded = match content[0] {
-        b'E' => attempt_ended(text)?,
-        b'Q' => prefilter_answers(text)?,
+        b'E' => decode_attempt_ended(text)?,
+        b'Q' => decode_prefilter_answers(text)?,
         b'F' => NodeFrame::Rejected(text),
         _ => return Err(FrameError::UnknownType),
     };
     Ok(Some((decoded, 4 + length)))
 }
 
-fn attempt_ended(text: &str) -> Result<NodeFrame<'_>, FrameError> {
+fn decode_attempt_ended(text: &str) -> Result<NodeFrame<'_>, FrameError> {
     let (line, value) = text.split_once('\n').ok_or(FrameError::EndWithoutLine)?;
     let mut fields = line.splitn(4, ' ');
     let id = fields.next().filter(|id| !id.is_empty()).ok_or(FrameError::EndWithoutId)?;
@@ -189,14 +189,14 @@
     score.ok_or(FrameError::EndWithoutScore)?;
     // The report may say anything, but must be present.
     let report = fields.next().ok_or(FrameError::EndWithoutReport)?;
-    Ok(NodeFrame::AttemptEnded { id, word, value, report })
+    Ok(NodeFrame::AttemptEnded { id, outcome: word, value, report })
 }
 
-fn prefilter_answers(text: &str) -> Result<NodeFrame<'_>, FrameError> {
+fn decode_prefilter_answers(text: &str) -> Result<NodeFrame<'_>, FrameError> {
     let (id, lines) = text.split_once('\n').ok_or(FrameError::AnswerWithoutLine)?;
     let question = id.parse().map_err(|_| FrameError::AnswerWithoutNumber)?;
-    let words = words(lines).ok_or(FrameError::MalformedAnswer)?;
-    Ok(NodeFrame::PrefilterAnswers { question, words })
+    let words = parse_prefilter_answers(lines).ok_or(FrameError::MalformedAnswer)?;
+    Ok(NodeFrame::PrefilterAnswers { request: question, answers: words })
 }
 
 #[cfg(test)]
--- a/crates/dunepond-broker/src/frames/tests/mod.rs
+++ b/crates/dunepond-broker/src/frames/tests/mod.rs
@@ -4,40 +4,44 @@
 
 #[test]
 fn frame_is_decoded_when_complete() {
-    let bytes = [frame(b'E', b"c1.3 hit 7 -\nva\nlue"), frame(b'F', b"no")].concat();
+    let bytes = [encode_frame(b'E', b"c1.3 hit 7 -\nva\nlue"), encode_frame(b'F', b"no")].concat();
     let first = bytes.len() - 7;
-    (0..first).for_each(|count| assert_eq!(read(&bytes[..count]), Ok(None)));
-    let said =
-        NodeFrame::AttemptEnded { id: "c1.3", word: ReplicaOutcome::Served, value: "va\nlue", report: "-" };
-    assert_eq!(read(&bytes), Ok(Some((said, first))));
-    assert_eq!(read(&bytes[first..]), Ok(Some((NodeFrame::Rejected("no"), 7))));
+    (0..first).for_each(|count| assert_eq!(decode_frame(&bytes[..count]), Ok(None)));
+    let said = NodeFrame::AttemptEnded {
+        id: "c1.3",
+        outcome: ReplicaOutcome::Served,
+        value: "va\nlue",
+        report: "-",
+    };
+    assert_eq!(decode_frame(&bytes), Ok(Some((said, first))));
+    assert_eq!(decode_frame(&bytes[first..]), Ok(Some((NodeFrame::Rejected("no"), 7))));
 }
 
 #[rstest]
 #[case::no_letter(&[0, 0, 0, 0])]
 #[case::longer_than_any(&[0, 1, 0, 0])]
-#[case::unknown_letter(&frame(b'Z', b""))]
-#[case::no_line(&frame(b'E', b"c1.3 hit 7 -"))]
-#[case::no_id(&frame(b'E', b" hit 7 -\n"))]
-#[case::unknown_end(&frame(b'E', b"c1.3 perhaps 7 -\n"))]
-#[case::no_score(&frame(b'E', b"c1.3 hit  -\nvalue"))]
-#[case::no_report(&frame(b'E', b"c1.3 hit 7\nvalue"))]
-#[case::no_number(&frame(b'Q', b"x\n1 no 3"))]
-#[case::no_such_word(&frame(b'Q', b"7\n1 perhaps 3"))]
-#[case::no_version(&frame(b'Q', b"7\n1 no"))]
-#[case::not_text(&frame(b'E', b"c1.3 hit 7 -\n\xff"))]
+#[case::unknown_letter(&encode_frame(b'Z', b""))]
+#[case::no_line(&encode_frame(b'E', b"c1.3 hit 7 -"))]
+#[case::no_id(&encode_frame(b'E', b" hit 7 -\n"))]
+#[case::unknown_end(&encode_frame(b'E', b"c1.3 perhaps 7 -\n"))]
+#[case::no_score(&encode_frame(b'E', b"c1.3 hit  -\nvalue"))]
+#[case::no_report(&encode_frame(b'E', b"c1.3 hit 7\nvalue"))]
+#[case::no_number(&encode_frame(b'Q', b"x\n1 no 3"))]
+#[case::no_such_word(&encode_frame(b'Q', b"7\n1 perhaps 3"))]
+#[case::no_version(&encode_frame(b'Q', b"7\n1 no"))]
+#[case::not_text(&encode_frame(b'E', b"c1.3 hit 7 -\n\xff"))]
 fn malformed_frame_is_rejected(#[case] bytes: &[u8]) {
-    assert!(read(bytes).is_err());
+    assert!(decode_frame(bytes).is_err());
 }
 
 #[test]
 fn mangled_frame_is_decoded_or_rejected() {
-    let whole = frame(b'E', b"c1.3 hit 7 -\nvalue");
+    let whole = encode_frame(b'E', b"c1.3 hit 7 -\nvalue");
     for at in 0..whole.len() {
         for byte in [0, b' ', b'\n', b'E', 0x7f, 0xff] {
             let mut mangled = whole.clone();
             mangled[at] = byte;
-            if let Ok(Some((_, used))) = read(&mangled) {
+            if let Ok(Some((_, used))) = decode_frame(&mangled) {
                 assert!(used <= whole.len());
             }
         }
@@ -46,16 +50,25 @@
 
 #[test]
 fn prefilter_request_answer_and_report() {
-    assert_eq!(question(7, "q 1", &[3, 9])[4..], *b"P7 3 3,9\nq 1");
-    let bytes = frame(b'Q', b"7\n3 no 12\n9 may 4\n1 unknown 0");
-    let words = vec![
+    assert_eq!(encode_prefilter_request(7, "q 1", &[3, 9])[4..], *b"P7 3 3,9\nq 1");
+    let bytes = encode_frame(b'Q', b"7\n3 no 12\n9 may 4\n1 unknown 0");
+    let answers = vec![
         SegmentAnswer { segment: 3, answer: CanMatch::CannotMatch, version: 12 },
         SegmentAnswer { segment: 9, answer: CanMatch::MayMatch, version: 4 },
         SegmentAnswer { segment: 1, answer: CanMatch::Unknown, version: 0 },
     ];
-    assert_eq!(read(&bytes), Ok(Some((NodeFrame::PrefilterAnswers { question: 7, words }, bytes.len()))));
-    assert_eq!((searched("v=12,n=0"), searched("n=3,v=1")), (Some((12, false)), Some((1, true))));
-    assert_eq!((searched("-"), searched("v=1"), searched("v=x,n=1")), (None, None, None));
+    assert_eq!(
+        decode_frame(&bytes),
+        Ok(Some((NodeFrame::PrefilterAnswers { request: 7, answers }, bytes.len())))
+    );
+    assert_eq!(
+        (parse_search_report("v=12,n=0"), parse_search_report("n=3,v=1")),
+        (Some((12, false)), Some((1, true)))
+    );
+    assert_eq!(
+        (parse_search_report("-"), parse_search_report("v=1"), parse_search_report("v=x,n=1")),
+        (None, None, None)
+    );
 }
 
 #[test]
@@ -65,10 +78,10 @@
     };
     let attempts = || [attempt("c1.3", 3, "q\u{e4}"), attempt("c1.4", 4, "")].into_iter();
     let text = "Ac1.3 3 d=240 3\nq\u{e4}c1.4 4 d=240 0\n";
-    assert_eq!(call(attempts())[4..], *text.as_bytes());
+    assert_eq!(encode_attempts(attempts())[4..], *text.as_bytes());
     // Queued one by one it is the same frame.
     let (line, body) = attempt("c1.3", 3, "q\u{e4}");
     let line = line.to_string();
     let head = attempts_head((line.len() + body.len()) as u64);
-    assert_eq!([&head[..], line.as_bytes(), body.as_bytes()].concat(), call(attempts().take(1)));
+    assert_eq!([&head[..], line.as_bytes(), body.as_bytes()].concat(), encode_attempts(attempts().take(1)));
 }
--- a/crates/dunepond-broker/src/http.rs
+++ b/crates/dunepond-broker/src/http.rs
@@ -4,8 +4,8 @@
 mod head;
 mod message;
 
-pub use encode::{answer, get};
-pub use head::{Head, request, response};
+pub use encode::{encode_get, encode_response};
+pub use head::{Head, parse_request, parse_response};
 pub use message::Message;
 
 /// Why a message is rejected.
@@ -14,12 +14,12 @@
     /// The status of the error response.
     pub status: u16,
     /// The field at fault and what is wrong with it.
-    pub why: String,
+    pub reason: String,
 }
 
 /// An error with a status and the reason for it.
 pub fn refusal(status: u16, why: impl Into<String>) -> HttpError {
-    HttpError { status, why: why.into() }
+    HttpError { status, reason: why.into() }
 }
 
 /// The rejection of a body that is longer than a buffer and not streamed.
--- a/crates/dunepond-broker/src/http/encode.rs
+++ b/crates/dunepond-broker/src/http/encode.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 
 /// A whole response; `wait` in seconds becomes `Retry-After` if it is above 0.
-pub fn answer(status: u16, body: &str, wait: f64, keep: bool) -> Vec<u8> {
+pub fn encode_response(status: u16, body: &str, wait: f64, keep: bool) -> Vec<u8> {
     let words = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -33,6 +33,6 @@
 }
 
 /// A whole GET request.
-pub fn get(path: &str, host: &str) -> Vec<u8> {
+pub fn encode_get(path: &str, host: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
--- a/crates/dunepond-broker/src/http/head.rs
+++ b/crates/dunepond-broker/src/http/head.rs
@@ -76,7 +76,7 @@
 }
 
 /// Reads the headers that either side needs; `unstated` is the framing without a length.
-fn fields(headers: &[httparse::Header], version: u8, unstated: Framing) -> Result<Head, HttpError> {
+fn parse_headers(headers: &[httparse::Header], version: u8, unstated: Framing) -> Result<Head, HttpError> {
     let mut head = Head {
         method: String::new(),
         path: String::new(),
@@ -136,24 +136,24 @@
 
 impl Head {
     /// The length in the Content-Length header, as long as no byte of the body has been read.
-    pub fn length(&self) -> Option<u64> {
+    pub fn declared_length(&self) -> Option<u64> {
         if let Framing::Length(length) = self.framing { Some(length as u64) } else { None }
     }
 }
 
 fn incomplete_head(input: &Buffer) -> Result<Option<Head>, HttpError> {
-    if input.held().len() > MAX_HEAD_BYTES { Err(refusal(431, "head: over 16 KiB")) } else { Ok(None) }
+    if input.filled().len() > MAX_HEAD_BYTES { Err(refusal(431, "head: over 16 KiB")) } else { Ok(None) }
 }
 
 /// Parses a request's head out of `input`; `None` until all of it has arrived.
-pub fn request(input: &mut Buffer) -> Result<Option<Head>, HttpError> {
+pub fn parse_request(input: &mut Buffer) -> Result<Option<Head>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_COUNT];
     let mut request = httparse::Request::new(&mut headers);
-    match request.parse(input.held()) {
+    match request.parse(input.filled()) {
         Err(e) => Err(refusal(400, format!("head: {e}"))),
         Ok(httparse::Status::Partial) => incomplete_head(input),
         Ok(httparse::Status::Complete(used)) => {
-            let mut head = fields(request.headers, request.version.unwrap_or(0), Framing::Length(0))?;
+            let mut head = parse_headers(request.headers, request.version.unwrap_or(0), Framing::Length(0))?;
             head.method = request.method.unwrap_or_default().to_string();
             head.path = request.path.unwrap_or_default().to_string();
             input.consume(used);
@@ -163,17 +163,17 @@
 }
 
 /// Parses a response's head out of `input`; `None` until all of it has arrived.
-pub fn response(input: &mut Buffer) -> Result<Option<Head>, HttpError> {
+pub fn parse_response(input: &mut Buffer) -> Result<Option<Head>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_COUNT];
     let mut response = httparse::Response::new(&mut headers);
-    match response.parse(input.held()) {
+    match response.parse(input.filled()) {
         Err(e) => Err(refusal(400, format!("head: {e}"))),
         Ok(httparse::Status::Partial) => incomplete_head(input),
         Ok(httparse::Status::Complete(used)) => {
             let status = response.code.unwrap_or(0);
             let bare = matches!(status, 100..=199 | 204 | 304);
             let unstated = if bare { Framing::Done } else { Framing::UntilClose };
-            let mut head = fields(response.headers, response.version.unwrap_or(0), unstated)?;
+            let mut head = parse_headers(response.headers, response.version.unwrap_or(0), unstated)?;
             head.status = status;
             input.consume(used);
             Ok(Some(head))
--- a/crates/dunepond-broker/src/http/tests/mod.rs
+++ b/crates/dunepond-broker/src/http/tests/mod.rs
@@ -7,16 +7,16 @@
 /// Feeds a request in pieces of this size; gives what its body came to, or why it was refused.
 fn fed(bytes: &[u8], pieces: usize) -> Result<Option<String>, u16> {
     let pool = Pool::default();
-    let (mut input, mut message) = (pool.take(), None);
+    let (mut input, mut message) = (pool.acquire(), None);
     for piece in bytes.chunks(pieces) {
         assert_eq!(input.read_from(piece).unwrap(), piece.len());
         if message.is_none() {
-            message = request(&mut input).map_err(|r| r.status)?.map(Message::after);
+            message = parse_request(&mut input).map_err(|r| r.status)?.map(Message::new);
         }
         if let Some(message) = &mut message
-            && message.take(&mut input, &pool).map_err(|r| r.status)?
+            && message.read_body(&mut input, &pool).map_err(|r| r.status)?
         {
-            return Ok(Some(String::from_utf8_lossy(message.text()).into_owned()));
+            return Ok(Some(String::from_utf8_lossy(message.body_bytes()).into_owned()));
         }
     }
     Ok(None)
@@ -25,22 +25,23 @@
 /// Feeds an answer in pieces of this size, and then its sender's close or reset; gives what its body came to.
 fn told(bytes: &str, pieces: usize, finish_at_close: bool) -> Option<String> {
     let pool = Pool::default();
-    let (mut input, mut message) = (pool.take(), None);
+    let (mut input, mut message) = (pool.acquire(), None);
     for piece in bytes.as_bytes().chunks(pieces) {
         assert_eq!(input.read_from(piece).unwrap(), piece.len());
         if message.is_none() {
-            message = response(&mut input).unwrap().map(Message::after);
+            message = parse_response(&mut input).unwrap().map(Message::new);
         }
         if let Some(message) = &mut message
-            && message.take(&mut input, &pool).unwrap()
+            && message.read_body(&mut input, &pool).unwrap()
         {
-            return Some(String::from_utf8_lossy(message.text()).into_owned());
+            return Some(String::from_utf8_lossy(message.body_bytes()).into_owned());
         }
     }
     let message = message.as_mut().filter(|_| finish_at_close)?;
-    let whole =
-        message.finish_at_close() && !message.head.keep_alive && message.take(&mut input, &pool).unwrap();
-    whole.then(|| String::from_utf8_lossy(message.text()).into_owned())
+    let whole = message.finish_at_close()
+        && !message.head.keep_alive
+        && message.read_body(&mut input, &pool).unwrap();
+    whole.then(|| String::from_utf8_lossy(message.body_bytes()).into_owned())
 }
 
 #[rstest]
@@ -105,7 +106,7 @@
 
 #[test]
 fn response_has_retry_after_and_close() {
-    let text = String::from_utf8(answer(429, "", 0.25, false)).unwrap();
+    let text = String::from_utf8(encode_response(429, "", 0.25, false)).unwrap();
     assert!(text.starts_with("HTTP/1.1 429 "));
     assert!(text.contains("\r\nRetry-After: 0.250\r\n") && text.contains("\r\nConnection: close\r\n"));
 }
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -209,11 +209,11 @@
         }
         Some(Command::State { command }) => run_state_command(command),
         Some(Command::Query { at, index, text, size, shards, seconds, msearch, json }) => {
-            let target = query_command::Target { at, index: &index, json };
+            let target = query_command::Target { address: at, index: &index, json };
             let response = match msearch {
-                Some(file) => query_command::many(&target, &file),
+                Some(file) => query_command::search_file(&target, &file),
                 None if shards.is_empty() => query_command::search(&target, text.as_deref(), size),
-                None => query_command::scan(&target, text.as_deref().unwrap_or_default(), &shards, seconds),
+                None => query_command::query(&target, text.as_deref().unwrap_or_default(), &shards, seconds),
             };
             response.map(|response| print!("{response}")).map_err(|e| ConfigError(e.to_string()))
         }
--- a/crates/dunepond-broker/src/prefilter.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -39,9 +39,9 @@
 /// A query in the prefilter phase, or searched after it.
 struct KnownQuery {
     key: QueryKey,
-    table_type: usize,
+    query_class: usize,
     text: Rc<str>,
-    segs: Vec<SegmentIndex>,
+    segments: Vec<SegmentIndex>,
 }
 
 /// What an audit needs of a pruned query.
@@ -54,12 +54,12 @@
 
 /// Hosts the prefilter on the broker's event loop.
 pub struct PrefilterHost {
-    phases: Prefilter,
+    prefilter: Prefilter,
     /// Keyed, so that no client can construct two texts with one hash: their answers would be taken for each other's.
     hashes: RandomState,
     /// Of each query class: whether it is idempotent, and the share that makes it complete.
-    repeats: Vec<(bool, f64)>,
-    known: HashMap<QueryId, KnownQuery>,
+    class_rules: Vec<(bool, f64)>,
+    queries: HashMap<QueryId, KnownQuery>,
     /// The queries that were pruned last, for audits, numbered from the oldest.
     audit_texts: BTreeMap<u64, AuditText>,
     last_text: u64,
@@ -73,10 +73,10 @@
         let repeats =
             site.query_classes.iter().map(|t| (t.idempotency == Idempotency::Idempotent, t.complete_at));
         Self {
-            phases: Prefilter::new(terms, site.seed),
+            prefilter: Prefilter::new(terms, site.seed),
             hashes: RandomState::new(),
-            repeats: repeats.collect(),
-            known: HashMap::new(),
+            class_rules: repeats.collect(),
+            queries: HashMap::new(),
             audit_texts: BTreeMap::new(),
             last_text: 0,
             audits: HashMap::new(),
@@ -85,16 +85,16 @@
     }
 
     /// Changes the configuration; learned state stays.
-    pub fn change(&mut self, terms: PrefilterConfig) {
-        self.phases.reconfigure(terms);
+    pub fn reconfigure(&mut self, terms: PrefilterConfig) {
+        self.prefilter.reconfigure(terms);
     }
 
     /// Starts a query: the router admits it, and only then are prefilter requests collected for it.
-    pub fn begin(&mut self, router: &mut Router, router_host: &mut RouterHost, query: Query) {
+    pub fn start_query(&mut self, router: &mut Router, router_host: &mut RouterHost, query: Query) {
         let Some((text, segs)) = router_host.prefilter_input(query.id) else {
             return router.on_query(router_host, query);
         };
-        let (replayable, whole_at) = self.repeats[query.class];
+        let (replayable, whole_at) = self.class_rules[query.class];
         let key = self.hashes.hash_one((query.class, &*text));
         let (id, table_type, left) = (query.id, query.class, query.expires_in);
         let wide = PrefilterQuery {
@@ -106,22 +106,22 @@
             time_left_seconds: left,
             segments: segs.clone(),
         };
-        if !self.phases.is_eligible(&wide) {
+        if !self.prefilter.is_eligible(&wide) {
             return router.on_query(router_host, query);
         }
-        self.known.insert(id, KnownQuery { key, table_type, text, segs });
+        self.queries.insert(id, KnownQuery { key, query_class: table_type, text, segments: segs });
         router.on_query(router_host, Query { awaits_prefilter: true, ..query });
         if router_host.is_active(id) {
-            let orders = self.phases.open(router_host.now, &RouterView(router), wide);
-            self.carry_out(router, router_host, orders);
+            let orders = self.prefilter.open(router_host.now, &RouterView(router), wide);
+            self.execute(router, router_host, orders);
         }
     }
 
-    fn carry_out(&mut self, router: &mut Router, router_host: &mut RouterHost, orders: Vec<Action>) {
+    fn execute(&mut self, router: &mut Router, router_host: &mut RouterHost, orders: Vec<Action>) {
         for order in orders {
             match order {
                 Action::Send(question) => {
-                    let Some(known) = self.known.values().find(|known| known.key == question.key) else {
+                    let Some(known) = self.queries.values().find(|known| known.key == question.key) else {
                         continue;
                     };
                     router_host.send_prefilter_request(
@@ -131,30 +131,30 @@
                         &question.segments,
                     );
                 }
-                Action::Search(verdict) => self.search(router, router_host, &verdict),
+                Action::Search(verdict) => self.start_search(router, router_host, &verdict),
             }
         }
     }
 
-    fn search(&mut self, router: &mut Router, router_host: &mut RouterHost, verdict: &SearchPlan) {
-        let Some(known) = self.known.get(&verdict.query) else { return };
+    fn start_search(&mut self, router: &mut Router, router_host: &mut RouterHost, verdict: &SearchPlan) {
+        let Some(known) = self.queries.get(&verdict.query) else { return };
         if !verdict.pruned.is_empty() {
             debug!("query {}: {} shards pruned by the prefilter", verdict.query, verdict.pruned.len());
             self.last_text += 1;
-            let (key, table_type, text) = (known.key, known.table_type, known.text.clone());
+            let (key, table_type, text) = (known.key, known.query_class, known.text.clone());
             self.audit_texts.insert(self.last_text, AuditText { key, table_type, text });
             while self.audit_texts.len() > MAX_AUDIT_TEXTS {
                 self.audit_texts.pop_first();
             }
         }
-        let place = |left: &PrunedSegment| known.segs.iter().position(|seg| *seg == left.segment);
+        let place = |left: &PrunedSegment| known.segments.iter().position(|seg| *seg == left.segment);
         let parts: Vec<_> = verdict.pruned.iter().filter_map(place).collect();
         router_host.prune(verdict.query, verdict.pruned.clone());
         router.on_prefilter_result(router_host, verdict.query, &parts);
     }
 
     /// A node has answered a prefilter request, or will not.
-    pub fn told(
+    pub fn on_response(
         &mut self,
         router: &mut Router,
         router_host: &mut RouterHost,
@@ -163,22 +163,27 @@
     ) {
         let fleet = RouterView(router);
         let orders = match words {
-            Ok(words) => self.phases.on_response(router_host.now, &fleet, question, &words),
-            Err(why) => self.phases.on_failure(router_host.now, &fleet, question, why),
+            Ok(words) => self.prefilter.on_response(router_host.now, &fleet, question, &words),
+            Err(why) => self.prefilter.on_failure(router_host.now, &fleet, question, why),
         };
-        self.carry_out(router, router_host, orders);
+        self.execute(router, router_host, orders);
     }
 
     /// An attempt has ended, before the router learns of it: what it found may confirm or refute answers, and segments that
     /// were pruned on refuted answers have to be searched before the response is complete.
-    pub fn returned(&mut self, router: &mut Router, router_host: &mut RouterHost, back: &CompletedAttempt) {
+    pub fn on_attempt_ended(
+        &mut self,
+        router: &mut Router,
+        router_host: &mut RouterHost,
+        back: &CompletedAttempt,
+    ) {
         let (query, part) = (back.ended.query, back.ended.part);
-        if let Some((version, found)) = back.searched {
+        if let Some((version, found)) = back.search_report {
             let began = router_host.now - back.ended.elapsed;
             let audited = self.audits.get(&query).map(|audit| (audit.key, audit.segment));
-            let known = || self.known.get(&query).map(|known| (known.key, known.segs[part]));
+            let known = || self.queries.get(&query).map(|known| (known.key, known.segments[part]));
             if let Some((key, seg)) = audited.or_else(known)
-                && self.phases.record_search(began, key, seg, version, found)
+                && self.prefilter.record_search(began, key, seg, version, found)
             {
                 info!(
                     "node {}: shard {seg} matched although a trusted prefilter answer excluded it",
@@ -186,11 +191,11 @@
                 );
             }
         }
-        let Some(known) = self.known.get(&query) else { return };
-        let fallen = self.phases.take_revoked(query);
+        let Some(known) = self.queries.get(&query) else { return };
+        let fallen = self.prefilter.take_revoked(query);
         if !fallen.is_empty() {
             debug!("query {query}: {} pruned shards are searched after all", fallen.len());
-            let place = |seg: &SegmentIndex| known.segs.iter().position(|s| s == seg);
+            let place = |seg: &SegmentIndex| known.segments.iter().position(|s| s == seg);
             let parts: Vec<_> = fallen.iter().filter_map(place).collect();
             router_host.restore_pruned(query, &fallen);
             router.on_prefilter_revoked(router_host, query, &parts);
@@ -198,29 +203,29 @@
     }
 
     /// A query has ended, with a response or without.
-    pub fn over(&mut self, now: f64, query: QueryId, answered: bool) {
-        if self.audits.remove(&query).is_none() && self.known.remove(&query).is_some() {
-            self.phases.on_query_end(now, query, answered);
+    pub fn on_query_ended(&mut self, now: f64, query: QueryId, answered: bool) {
+        if self.audits.remove(&query).is_none() && self.queries.remove(&query).is_some() {
+            self.prefilter.on_query_end(now, query, answered);
         }
     }
 
     /// A node was replaced by another process, or removed.
     pub fn forget(&mut self, node: NodeId) {
-        self.phases.remove_node(node);
+        self.prefilter.remove_node(node);
     }
 
     /// The prefilter phase of some query is over.
-    pub fn due(&mut self, router: &mut Router, router_host: &mut RouterHost) {
+    pub fn on_deadline(&mut self, router: &mut Router, router_host: &mut RouterHost) {
         self.timer = None;
-        let orders = self.phases.on_deadline(router_host.now);
-        self.carry_out(router, router_host, orders);
+        let orders = self.prefilter.on_deadline(router_host.now);
+        self.execute(router, router_host, orders);
     }
 
     /// The end of an iteration: sends the collected requests, and sets the next timer.
     pub fn end_iteration(&mut self, router: &mut Router, router_host: &mut RouterHost) {
-        let orders = self.phases.flush(router_host.now);
-        self.carry_out(router, router_host, orders);
-        let due = self.phases.next_deadline();
+        let orders = self.prefilter.flush(router_host.now);
+        self.execute(router, router_host, orders);
+        let due = self.prefilter.next_deadline();
         if due != self.timer.map(|timer| timer.0) {
             router_host.timers.cancel(self.timer.map(|timer| timer.1));
             self.timer = due.map(|due| (due, router_host.timers.schedule(due, TimerEvent::Prefilter)));
@@ -229,12 +234,12 @@
 
     /// Whether a pruned segment waits to be searched as an audit.
     pub fn has_audits(&self) -> bool {
-        self.phases.has_audits()
+        self.prefilter.has_audits()
     }
 
     /// Starts one audit, if the nodes are not congested.
-    pub fn audit(&mut self, router: &mut Router, router_host: &mut RouterHost) {
-        if let Some(audit) = self.phases.audit(&RouterView(router)) {
+    pub fn start_audit(&mut self, router: &mut Router, router_host: &mut RouterHost) {
+        if let Some(audit) = self.prefilter.audit(&RouterView(router)) {
             let pruned = self.audit_texts.values().rev().find(|pruned| pruned.key == audit.key).cloned();
             if let Some(pruned) = pruned
                 && let Some(query) = router_host.register_audit(pruned.table_type, audit.segment, pruned.text)
@@ -246,8 +251,8 @@
     }
 
     /// Logs counters.
-    pub fn report(&self, now: f64) {
-        let counts = self.phases.counters();
+    pub fn log_counters(&self, now: f64) {
+        let counts = self.prefilter.counters();
         info!(
             asked_first = counts.prefiltered,
             plain = counts.searched_directly,
@@ -258,8 +263,8 @@
             audits = counts.audits,
             lies = counts.false_denials,
             fallen = counts.revoked,
-            doubted = self.phases.distrusted_nodes(),
-            resting = self.phases.nodes_in_backoff(now),
+            doubted = self.prefilter.distrusted_nodes(),
+            resting = self.prefilter.nodes_in_backoff(now),
             "two-phase counters"
         );
     }
--- a/crates/dunepond-broker/src/prefilter_connections.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -34,11 +34,11 @@
     node: NodeId,
     stream: Rc<TcpStream>,
     token: RegistrationToken,
-    up: bool,
+    connected: bool,
     input: Option<Buffer>,
-    out: WriteQueue,
+    output: WriteQueue,
     /// The requests without an answer, and when each was queued.
-    asked: VecDeque<(u64, f64)>,
+    outstanding: VecDeque<(u64, f64)>,
     timer: Option<TimerKey>,
 }
 
@@ -46,23 +46,29 @@
 pub struct PrefilterConnections {
     handle: EventLoopHandle,
     pool: Pool,
-    links: Slab<PrefilterConnection>,
+    connections: Slab<PrefilterConnection>,
     by_node: HashMap<NodeId, usize>,
-    most: usize,
+    max_connections: usize,
     bounds: Rc<HostSettings>,
     /// Answers, and why requests have none, not yet reported to the prefilter.
-    pub told: VecDeque<(u64, Result<PrefilterAnswers, RequestFailure>)>,
+    pub responses: VecDeque<(u64, Result<PrefilterAnswers, RequestFailure>)>,
 }
 
 impl PrefilterConnections {
     /// No connections yet; `most` bounds them.
-    pub fn new(handle: EventLoopHandle, pool: &Pool, bounds: Rc<HostSettings>, most: usize) -> Self {
-        let (pool, links, by_node, told) = (pool.clone(), Slab::new(), HashMap::new(), VecDeque::new());
-        Self { handle, pool, links, by_node, most, bounds, told }
+    pub fn new(
+        handle: EventLoopHandle,
+        pool: &Pool,
+        bounds: Rc<HostSettings>,
+        max_connections: usize,
+    ) -> Self {
+        let (pool, connections, by_node, responses) =
+            (pool.clone(), Slab::new(), HashMap::new(), VecDeque::new());
+        Self { handle, pool, connections, by_node, max_connections, bounds, responses }
     }
 
     /// Sends the frame of a request to a node at its address. A failure is reported among the answers.
-    pub fn ask(
+    pub fn send(
         &mut self,
         now: f64,
         node: NodeId,
@@ -77,21 +83,21 @@
                 Ok(id) => id,
                 Err(ending) => {
                     debug!("node {node}: prefilter connection {ending}");
-                    return self.told.push_back((question, Err(RequestFailure::NoConnection)));
+                    return self.responses.push_back((question, Err(RequestFailure::NoConnection)));
                 }
             },
         };
-        let link = &mut self.links[id];
-        if link.out.waiting() > MAX_QUEUED_BYTES {
-            return self.told.push_back((question, Err(RequestFailure::Timeout)));
+        let link = &mut self.connections[id];
+        if link.output.pending_bytes() > MAX_QUEUED_BYTES {
+            return self.responses.push_back((question, Err(RequestFailure::Timeout)));
         }
-        link.out.put(frame);
-        if link.asked.is_empty() && link.up {
+        link.output.queue_bytes(frame);
+        if link.outstanding.is_empty() && link.connected {
             timers.cancel(link.timer.take());
             link.timer =
                 Some(timers.schedule(now + ANSWER_TIMEOUT_SECONDS, TimerEvent::PrefilterConnection(id)));
         }
-        link.asked.push_back((question, now));
+        link.outstanding.push_back((question, now));
         self.write(id, timers);
     }
 
@@ -102,11 +108,11 @@
         dial: SocketAddr,
         timers: &mut Timers,
     ) -> Result<usize, ConnectionEnd> {
-        if self.links.len() >= self.most {
+        if self.connections.len() >= self.max_connections {
             return Err(ConnectionEnd::LocalResources);
         }
         let stream = Rc::new(open(dial)?);
-        let entry = self.links.vacant_entry();
+        let entry = self.connections.vacant_entry();
         let id = entry.key();
         let token = watch(&self.handle, &stream, move |readable| LoopEvent::PrefilterReady(id, readable));
         let token = token.map_err(|_| ConnectionEnd::LocalResources)?;
@@ -117,10 +123,10 @@
             node,
             stream,
             token,
-            up: false,
+            connected: false,
             input: None,
-            out: WriteQueue::new(&self.pool),
-            asked: VecDeque::new(),
+            output: WriteQueue::new(&self.pool),
+            outstanding: VecDeque::new(),
             timer,
         });
         self.by_node.insert(node, id);
@@ -128,15 +134,15 @@
     }
 
     /// A readiness event: the connection is readable or writable, established, or failed.
-    pub fn ready(&mut self, now: f64, id: usize, readable: bool, timers: &mut Timers) {
-        let Some(link) = self.links.get_mut(id) else { return };
-        if !link.up {
+    pub fn on_ready(&mut self, now: f64, id: usize, readable: bool, timers: &mut Timers) {
+        let Some(link) = self.connections.get_mut(id) else { return };
+        if !link.connected {
             match link.stream.take_error() {
                 Ok(None) if link.stream.peer_addr().is_ok() => {}
                 Ok(None) => return,
-                Ok(Some(e)) | Err(e) => return self.end(id, ConnectionEnd::of(&e), timers),
+                Ok(Some(e)) | Err(e) => return self.close(id, ConnectionEnd::from_io_error(&e), timers),
             }
-            link.up = true;
+            link.connected = true;
             timers.cancel(link.timer.take());
             link.timer =
                 Some(timers.schedule(now + ANSWER_TIMEOUT_SECONDS, TimerEvent::PrefilterConnection(id)));
@@ -148,19 +154,19 @@
     }
 
     fn write(&mut self, id: usize, timers: &mut Timers) {
-        let Some(link) = self.links.get_mut(id).filter(|link| link.up) else { return };
-        if let Err(e) = link.out.flush(&*link.stream) {
-            self.end(id, ConnectionEnd::of(&e), timers);
+        let Some(link) = self.connections.get_mut(id).filter(|link| link.connected) else { return };
+        if let Err(e) = link.output.flush(&*link.stream) {
+            self.close(id, ConnectionEnd::from_io_error(&e), timers);
         }
     }
 
     fn read(&mut self, now: f64, id: usize, timers: &mut Timers) {
         loop {
-            let link = &mut self.links[id];
-            let input = link.input.get_or_insert_with(|| self.pool.take());
+            let link = &mut self.connections[id];
+            let input = link.input.get_or_insert_with(|| self.pool.acquire());
             let ending = match input.read_from(&*link.stream) {
                 Ok(0) => Some(ConnectionEnd::Closed),
-                Ok(_) => self.frames(now, id),
+                Ok(_) => self.receive_frames(now, id),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => None,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     if input.is_empty() {
@@ -168,16 +174,16 @@
                     }
                     break;
                 }
-                Err(e) => Some(ConnectionEnd::of(&e)),
+                Err(e) => Some(ConnectionEnd::from_io_error(&e)),
             };
             if let Some(ending) = ending {
-                return self.end(id, ending, timers);
+                return self.close(id, ending, timers);
             }
         }
         // The oldest request times out from when it was queued; without any the connection is idle.
-        let link = &mut self.links[id];
+        let link = &mut self.connections[id];
         timers.cancel(link.timer.take());
-        let until = match link.asked.front() {
+        let until = match link.outstanding.front() {
             Some((_, at)) => at + ANSWER_TIMEOUT_SECONDS,
             None => now + IDLE_CLOSE_RATIO * self.bounds.idle_timeout_seconds,
         };
@@ -185,13 +191,15 @@
     }
 
     /// Handles each complete frame that has arrived.
-    fn frames(&mut self, now: f64, id: usize) -> Option<ConnectionEnd> {
+    fn receive_frames(&mut self, now: f64, id: usize) -> Option<ConnectionEnd> {
         loop {
-            let link = &mut self.links[id];
+            let link = &mut self.connections[id];
             let input = link.input.as_mut()?;
-            let (used, question, words) = match frames::read(input.held()) {
+            let (used, question, words) = match frames::decode_frame(input.filled()) {
                 Ok(None) => return None,
-                Ok(Some((NodeFrame::PrefilterAnswers { question, words }, used))) => (used, question, words),
+                Ok(Some((NodeFrame::PrefilterAnswers { request: question, answers: words }, used))) => {
+                    (used, question, words)
+                }
                 Ok(Some((NodeFrame::Rejected(why), _))) => {
                     debug!("node {}: {}", link.node, why.escape_debug());
                     return Some(ConnectionEnd::RejectedByPeer);
@@ -206,15 +214,15 @@
                 }
             };
             input.consume(used);
-            match link.asked.iter().position(|(asked, _)| *asked == question) {
+            match link.outstanding.iter().position(|(asked, _)| *asked == question) {
                 Some(at) => {
-                    let (_, asked) = link.asked.remove(at)?;
+                    let (_, asked) = link.outstanding.remove(at)?;
                     debug!(
                         "node {}: prefilter request {question} answered after {:.4} s",
                         link.node,
                         now - asked
                     );
-                    self.told.push_back((question, Ok(words)));
+                    self.responses.push_back((question, Ok(words)));
                 }
                 None => {
                     warn!("node {}: an answer to an unknown prefilter request", link.node);
@@ -225,36 +233,36 @@
     }
 
     /// A connection's timer has fired: it did not connect, did not answer, or was idle.
-    pub fn due(&mut self, id: usize, timers: &mut Timers) {
-        let Some(link) = self.links.get_mut(id) else { return };
+    pub fn on_timeout(&mut self, id: usize, timers: &mut Timers) {
+        let Some(link) = self.connections.get_mut(id) else { return };
         link.timer = None;
-        let ending = match (link.up, link.asked.is_empty()) {
+        let ending = match (link.connected, link.outstanding.is_empty()) {
             (false, _) => ConnectionEnd::ConnectTimeout,
             (true, true) => ConnectionEnd::IdleClosed,
             (true, false) => ConnectionEnd::IoTimeout,
         };
-        self.end(id, ending, timers);
+        self.close(id, ending, timers);
     }
 
     /// A node drains, was removed or was replaced by another process: closes the connection to it.
-    pub fn leave(&mut self, node: NodeId, timers: &mut Timers) {
+    pub fn close_node(&mut self, node: NodeId, timers: &mut Timers) {
         if let Some(id) = self.by_node.get(&node) {
-            self.end(*id, ConnectionEnd::Replaced, timers);
+            self.close(*id, ConnectionEnd::Replaced, timers);
         }
     }
 
     /// The one place where a connection is closed; its requests have no answer.
-    fn end(&mut self, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
-        let Some(link) = self.links.try_remove(id) else { return };
+    fn close(&mut self, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
+        let Some(link) = self.connections.try_remove(id) else { return };
         timers.cancel(link.timer);
         self.by_node.remove(&link.node);
         self.handle.remove(link.token);
         debug!(
             "node {}: prefilter connection {ending}, {} requests outstanding",
             link.node,
-            link.asked.len()
+            link.outstanding.len()
         );
-        let why = ending.unanswered();
-        self.told.extend(link.asked.iter().map(|(question, _)| (*question, Err(why))));
+        let why = ending.request_failure();
+        self.responses.extend(link.outstanding.iter().map(|(question, _)| (*question, Err(why))));
     }
 }
--- a/crates/dunepond-broker/src/query_command.rs
+++ b/crates/dunepond-broker/src/query_command.rs
@@ -18,7 +18,7 @@
 /// Where to send a query, and how to print the response.
 pub struct Target<'a> {
     /// The broker's address.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// The query class.
     pub index: &'a str,
     /// Prints JSON instead of a table.
@@ -96,7 +96,7 @@
 }
 
 /// The JSON of a response, if its status is 200.
-fn read(response: &Response) -> Result<Value, QueryError> {
+fn parse_response(response: &Response) -> Result<Value, QueryError> {
     let value: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
     if response.status == 200 {
         return Ok(value);
@@ -110,17 +110,19 @@
 pub fn search(target: &Target, query: Option<&str>, size: u64) -> Result<String, QueryError> {
     let query = query.map_or(json!({"match_all": {}}), |q| json!({"query_string": {"query": q}}));
     let body = json!({"query": query, "size": size}).to_string();
-    let answer = read(&exchange(target.at, &post(&format!("/{}/_search", target.index), "", &body))?)?;
+    let answer =
+        parse_response(&exchange(target.address, &post(&format!("/{}/_search", target.index), "", &body))?)?;
     Ok(if target.json { pretty(&answer) } else { format_hits(&answer) })
 }
 
 /// Queries some segments at the first port with a text, within this many seconds.
-pub fn scan(target: &Target, text: &str, shards: &[u64], seconds: f64) -> Result<String, QueryError> {
+pub fn query(target: &Target, text: &str, shards: &[u64], seconds: f64) -> Result<String, QueryError> {
     let share = 1.0 / shards.len().max(1) as f64;
     let segments: Vec<_> = shards.iter().map(|shard| json!({"bucket": shard, "part": share})).collect();
     let body = json!({"buckets": segments, "body": text}).to_string();
     let headers = format!("X-Call-Id: query-{}\r\nX-Budget: {seconds}\r\n", std::process::id());
-    let answer = read(&exchange(target.at, &post(&format!("/{}", target.index), &headers, &body))?)?;
+    let answer =
+        parse_response(&exchange(target.address, &post(&format!("/{}", target.index), &headers, &body))?)?;
     if target.json {
         return Ok(pretty(&answer));
     }
@@ -134,7 +136,7 @@
 }
 
 /// Sends a file of searches in the format of `_msearch`, several per request, with a progress bar on standard error.
-pub fn many(target: &Target, path: &Path) -> Result<String, QueryError> {
+pub fn search_file(target: &Target, path: &Path) -> Result<String, QueryError> {
     let unreadable = |source| QueryError::File { path: path.to_path_buf(), source };
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
     let lines: Vec<&str> = text.lines().collect();
@@ -152,10 +154,10 @@
     for pairs in lines.chunks(2 * MAX_SEARCHES_PER_REQUEST) {
         let body = pairs.join("\n") + "\n";
         let request = post(&format!("/{}/_msearch", target.index), "", &body);
-        let answer = read(&exchange(target.at, &request)?)?;
+        let answer = parse_response(&exchange(target.address, &request)?)?;
         for one in answer["responses"].as_array().into_iter().flatten() {
             number += 1;
-            table.add_row(row(number, one));
+            table.add_row(summary_row(number, one));
             all.push(one.clone());
         }
         bar.set_position(number);
@@ -164,7 +166,7 @@
     Ok(if target.json { pretty(&json!(all)) } else { format!("{table}\n") })
 }
 
-fn row(number: u64, one: &Value) -> [String; 5] {
+fn summary_row(number: u64, one: &Value) -> [String; 5] {
     let shards = &one["_shards"];
     let why = one.pointer("/error/reason").and_then(Value::as_str).unwrap_or_default();
     let partial = if shards["failed"].as_u64().unwrap_or(0) > 0 { "NOT WHOLE" } else { why };
--- a/crates/dunepond-broker/src/query_request.rs
+++ b/crates/dunepond-broker/src/query_request.rs
@@ -9,9 +9,9 @@
     /// Unique among the queries in flight; part of the ids of its attempts.
     pub request_id: String,
     /// Index into the configured query classes.
-    pub table_type: usize,
+    pub query_class: usize,
     /// Index into the configured tenants; one more than the last for an unlisted tenant.
-    pub customer: usize,
+    pub tenant: usize,
     /// Until when the client waits.
     pub deadline: f64,
     /// The client marks it as a retry.
@@ -19,5 +19,5 @@
     /// The segments it searches, each with its weight.
     pub parts: Vec<Part>,
     /// What each part carries.
-    pub text: Payload,
+    pub payload: Payload,
 }
--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -30,14 +30,14 @@
             return None;
         }
         let query = self.insert_query(client, query_request, None);
-        self.downstream.holds(client, query.id);
+        self.downstream.assign_query(client, query.id);
         Some(query)
     }
 
     /// Registers a search API request: a query for each of its searches. A search that is invalid or over the limit gets its
     /// outcome at once.
     pub fn register_search_request(&mut self, client: usize, request: &SearchRequest) -> Vec<Query> {
-        let Some(door) = self.downstream.api.clone() else { return Vec::new() };
+        let Some(door) = self.downstream.search_api.clone() else { return Vec::new() };
         let (now, call) = (self.now, &request.call);
         let searches: Vec<Result<&Search, ApiError>> = match call {
             ApiRequest::Info => {
@@ -61,7 +61,7 @@
         self.last_id += 1;
         let number = self.last_id;
         self.search_requests.insert(number, ActiveRequest::new(client, now, call));
-        self.downstream.holds(client, number);
+        self.downstream.assign_query(client, number);
         let mut queries = Vec::new();
         for (place, search) in searches.into_iter().enumerate() {
             let outcome = match search {
@@ -69,9 +69,9 @@
                     Err(ApiError::rejected("as many scans and parts are held as may be"))
                 }
                 Ok(search) => {
-                    let id = if request.id.is_empty() { "api" } else { &request.id };
+                    let id = if request.request_id.is_empty() { "api" } else { &request.request_id };
                     let request_id = format!("{id}-{number}-{place}");
-                    let query_request = door.asked(search, request, request_id);
+                    let query_request = door.query_request(search, request, request_id);
                     let searching = ActiveSearch::new(&door, number, place, search, call, now);
                     let query = self.insert_query(client, query_request, Some(Box::new(searching)));
                     if let Some(open) = self.search_requests.get_mut(&number) {
@@ -99,15 +99,15 @@
         self.last_id += 1;
         let query = self.last_id;
         // A client's deadline is capped by the query class's timeout.
-        let client_until = query_request.deadline.min(self.now + self.timeouts[query_request.table_type]);
-        let ends_at = client_until.min(self.downstream.until);
+        let client_until = query_request.deadline.min(self.now + self.timeouts[query_request.query_class]);
+        let ends_at = client_until.min(self.downstream.shutdown_deadline);
         let segs: Vec<_> = query_request.parts.iter().map(|p| p.segment).collect();
         let count = segs.len();
         self.in_flight += 1 + count;
         let left = client_until - self.now;
         debug!("query {}: admitted as {query}, {count} parts, {left:.3} s left", query_request.request_id);
-        let body = query_request.text.body().map(|body| body.id);
-        let kept = !query_request.text.body().is_some_and(|body| body.is_pass_through());
+        let body = query_request.payload.body().map(|body| body.id);
+        let kept = !query_request.payload.body().is_some_and(|body| body.is_pass_through());
         let timer = self.timers.schedule(ends_at, TimerEvent::QueryDeadline(query));
         let active = ActiveQuery {
             search: api,
@@ -115,14 +115,19 @@
             body,
             expires_at: ends_at,
             timer: Some(timer),
-            tenant: query_request.customer,
-            ..ActiveQuery::new(query_request.request_id, query_request.table_type, query_request.text, segs)
+            tenant: query_request.tenant,
+            ..ActiveQuery::new(
+                query_request.request_id,
+                query_request.query_class,
+                query_request.payload,
+                segs,
+            )
         };
         self.queries.insert(query, active);
         Query {
             id: query,
-            class: query_request.table_type,
-            tenant: query_request.customer,
+            class: query_request.query_class,
+            tenant: query_request.tenant,
             expires_in: client_until - self.now,
             is_retry: query_request.is_retry,
             body_retained: kept,
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -31,7 +31,7 @@
             && active.values[ended.part].is_none()
             && !active.is_finished
         {
-            match api.took(active.segments[ended.part], text) {
+            match api.record_value(active.segments[ended.part], text) {
                 Ok(()) => value = Some(String::new()),
                 Err(reason) => {
                     warn!("node {}: invalid answer: {reason}", self.upstream.name(ended.node));
@@ -99,7 +99,7 @@
         active.timer = None;
         let is_owed = !active.is_finished;
         for SentAttempt { part, index, node } in active.all_attempts() {
-            self.upstream.give_up(
+            self.upstream.cancel(
                 self.now,
                 node,
                 AttemptId { query, part, index },
@@ -170,7 +170,8 @@
             self.upstream.withdraw(self.now, node, key, AttemptOutcome::NotSent, &mut self.timers);
             left |= self.upstream.has_outstanding(node, key);
         }
-        let mut ends = self.upstream.back.iter().map(|back| &back.ended).filter(|ended| ended.query == query);
+        let mut ends =
+            self.upstream.completed.iter().map(|back| &back.ended).filter(|ended| ended.query == query);
         !left && !ends.any(|ended| may_have_run(ended.outcome))
     }
 
@@ -197,7 +198,7 @@
         wait: f64,
     ) {
         let Some(api) = self.queries.get(&query).and_then(|active| active.search.as_ref()) else { return };
-        let (request, place) = (api.request, api.place());
+        let (request, place) = (api.request, api.position());
         self.complete_search(request, place, outcome, wait);
     }
 
@@ -211,7 +212,7 @@
     ) {
         let Some(open) = self.search_requests.get_mut(&number) else { return };
         let client = open.client;
-        if let Some(response) = open.done(self.now, place, outcome, wait) {
+        if let Some(response) = open.record_outcome(self.now, place, outcome, wait) {
             self.search_requests.remove(&number);
             let SearchResponse { status, body, retry_after } = response;
             self.downstream.reply(self.now, client, status, &body, retry_after, &mut self.timers);
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -71,10 +71,10 @@
     pub(super) fn may_send(&mut self, node: NodeId, attempt: &AttemptRequest) -> bool {
         let Some(control_plane) = &self.control_plane else { return true };
         let (gate, name) = (&control_plane.gate, self.upstream.name(node));
-        let AttemptRequest { part, seg, table_type, .. } = *attempt;
+        let AttemptRequest { part, segment: seg, query_class: table_type, .. } = *attempt;
         let active = self.queries.get_mut(&attempt.query);
         let coordination = active.and_then(|active| active.coordination.as_mut());
-        let mut may_send = gate.may_send(attempt.began.as_deref(), table_type, seg, name);
+        let mut may_send = gate.may_send(attempt.query_start.as_deref(), table_type, seg, name);
         if let Some(coordination) = coordination {
             if let Some(keyed) = coordination.keyed_parts.get_mut(part) {
                 let is_first = keyed.outstanding == 0 && !keyed.may_have_run;
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -237,7 +237,7 @@
     /// that use up all descriptors and so cut off nodes and discovery.
     pub fn free_descriptor(&mut self) -> bool {
         let (now, timers) = (self.now, &mut self.timers);
-        self.downstream.give_way(now, timers) || self.upstream.give_way(now, timers)
+        self.downstream.evict_one(now, timers) || self.upstream.close_longest_idle(now, timers)
     }
 
     fn is_full(&self) -> bool {
@@ -261,10 +261,12 @@
     /// Asks a node which segments can match. A node that is draining or removed is not asked.
     pub fn send_prefilter_request(&mut self, node: NodeId, question: u64, text: &str, segs: &[usize]) {
         let Some(prefilter_connections) = &mut self.prefilter_connections else { return };
-        let frame = frames::question(question, text, segs);
-        match self.upstream.dial(node) {
-            Some(dial) => prefilter_connections.ask(self.now, node, dial, question, &frame, &mut self.timers),
-            None => prefilter_connections.told.push_back((question, Err(RequestFailure::NodeGone))),
+        let frame = frames::encode_prefilter_request(question, text, segs);
+        match self.upstream.active_address(node) {
+            Some(dial) => {
+                prefilter_connections.send(self.now, node, dial, question, &frame, &mut self.timers)
+            }
+            None => prefilter_connections.responses.push_back((question, Err(RequestFailure::NodeGone))),
         }
     }
 
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -15,11 +15,11 @@
     /// Registers a query whose body is streamed, or rejects it at once and names the limit.
     pub fn register_streamed_query(&mut self, client: usize, query_request: QueryRequest, head: Head) {
         let Some(bodies) = &mut self.body_store else { return };
-        bodies.held_beside(self.pool.bytes(), self.value_bytes);
-        let (customer, table_type) = (query_request.customer, query_request.table_type);
+        bodies.record_other_memory(self.pool.allocated_bytes(), self.value_bytes);
+        let (customer, table_type) = (query_request.tenant, query_request.query_class);
         let arrival =
-            IncomingBody { tenant: customer, query_class: table_type, stated_length: head.length() };
-        match bodies.arrive(self.now, arrival) {
+            IncomingBody { tenant: customer, query_class: table_type, stated_length: head.declared_length() };
+        match bodies.accept(self.now, arrival) {
             Ok(body) => {
                 if !bodies.check_scheduled {
                     bodies.check_scheduled = true;
@@ -31,7 +31,7 @@
                 let longest = self.now + self.timeouts[table_type];
                 let query_request =
                     QueryRequest { deadline: query_request.deadline.min(longest), ..query_request };
-                self.downstream.takes(self.now, client, query_request, head, &body, &mut self.timers);
+                self.downstream.receive_body(self.now, client, query_request, head, &body, &mut self.timers);
             }
             Err(reason) => self.reject_body(client, reason),
         }
@@ -60,7 +60,7 @@
     ) -> Option<(Query, Rc<Body>)> {
         let client = self.uploads.remove(&body)?;
         let (query_request, body) = self.downstream.start_query(client, body, &mut self.timers)?;
-        let query_request = QueryRequest { text: Payload::Streamed(body.clone()), ..query_request };
+        let query_request = QueryRequest { payload: Payload::Streamed(body.clone()), ..query_request };
         let query = self.register_query(client, query_request)?;
         if let Some(active) = self.queries.get_mut(&query.id) {
             active.body_failure = note;
@@ -93,20 +93,20 @@
     /// Moves bodies on: submits reads of spilled blocks, writes frames, resumes clients.
     pub fn pump_bodies(&mut self) {
         let Some(bodies) = &mut self.body_store else { return };
-        let moved = std::mem::take(&mut self.downstream.moved);
+        let moved = std::mem::take(&mut self.downstream.bodies_received);
         if !moved.is_empty() {
-            bodies.held_beside(self.pool.bytes(), self.value_bytes);
+            bodies.record_other_memory(self.pool.allocated_bytes(), self.value_bytes);
         }
         for id in moved {
-            bodies.pump(self.now, id);
+            bodies.advance(self.now, id);
             bodies.made_progress = true;
         }
         bodies.submit_reads(self.now);
         if std::mem::take(&mut bodies.made_progress) {
-            self.upstream.feed(self.now, &mut self.timers);
+            self.upstream.resume_bodies(self.now, &mut self.timers);
             bodies.submit_reads(self.now);
         }
-        for id in bodies.let_go() {
+        for id in bodies.release_dropped() {
             self.uploads.remove(&id);
         }
         self.downstream.resume_unblocked();
@@ -115,19 +115,19 @@
     /// Logs the body store's counters. `copied`: bytes copied for connections to nodes.
     pub fn report_body_counters(&mut self, copied: u64) {
         if let Some(bodies) = &mut self.body_store {
-            bodies.held_beside(self.pool.bytes(), self.value_bytes);
-            bodies.report(copied);
+            bodies.record_other_memory(self.pool.allocated_bytes(), self.value_bytes);
+            bodies.log_counters(copied);
         }
     }
 
     /// Checks the progress of bodies, and schedules the next check while there are any.
     pub fn check_bodies(&mut self) {
         let Some(bodies) = &mut self.body_store else { return };
-        bodies.slow(self.now);
+        bodies.fail_overdue(self.now);
         let slowest = bodies.terms().io_timeout_seconds;
         self.upstream.close_slow_consumers(self.now, slowest, &mut self.timers);
-        bodies.held_beside(self.pool.bytes(), self.value_bytes);
-        bodies.check_scheduled = bodies.any();
+        bodies.record_other_memory(self.pool.allocated_bytes(), self.value_bytes);
+        bodies.check_scheduled = bodies.is_tracking_any();
         if bodies.check_scheduled {
             self.timers.schedule(self.now + slowest / 4.0, TimerEvent::BodyCheck);
         }
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -26,26 +26,43 @@
         let seg = active.segments[part];
         let reader = text.body().map(BodyReader::new);
         if let (Some(body), Some(bodies)) = (active.body, &mut self.body_store) {
-            bodies.used(self.now, body);
+            bodies.mark_used(self.now, body);
         }
         let gone = matches!(text, Payload::Released);
         let table_type = active.query_class;
         let began = active.coordination.as_ref().map(Coordination::began);
         let send_by = until.min(active.may_run_since[part] + self.retry_windows[table_type]);
-        let attempt =
-            AttemptRequest { query, part, shot, id, seg, table_type, until, send_by, text, reader, began };
+        let attempt = AttemptRequest {
+            query,
+            part,
+            attempt: shot,
+            id,
+            segment: seg,
+            query_class: table_type,
+            deadline: until,
+            send_by,
+            payload: text,
+            body_reader: reader,
+            query_start: began,
+        };
         let late = active.is_finished || gone || shot >= self.max_attempts || send_by <= self.now;
         let late =
             late || active.client.is_some_and(|client| self.downstream.is_disconnected(self.now, client));
         if !late && !self.may_send(node, &attempt) {
-            return self.upstream.back.push_back(attempt.unsent(node, AttemptOutcome::NotSent));
+            return self
+                .upstream
+                .completed
+                .push_back(attempt.completed_unsent(node, AttemptOutcome::NotSent));
         }
-        let holds = self.upstream.holds(node, seg, self.replica_groups, self.replicas);
+        let holds = self.upstream.is_replica(node, seg, self.replica_groups, self.replicas);
         if !late && !holds {
             error!("node {}: no replica of segment {seg}", self.upstream.name(node));
         }
         if late || !holds {
-            return self.upstream.back.push_back(attempt.unsent(node, AttemptOutcome::NotSent));
+            return self
+                .upstream
+                .completed
+                .push_back(attempt.completed_unsent(node, AttemptOutcome::NotSent));
         }
         debug!("query {}: part {part} sent to {}", self.queries[&query].request_id, self.upstream.name(node));
         self.upstream.dispatch(node, attempt);
@@ -58,7 +75,7 @@
     fn cancel_attempt(&mut self, query: QueryId, part: usize, shot: usize) {
         let node = self.queries.get(&query).and_then(|s| s.attempts.get(part)?.get(shot).copied());
         if let Some(node) = node {
-            self.upstream.give_up(
+            self.upstream.cancel(
                 self.now,
                 node,
                 AttemptId { query, part, index: shot },
@@ -79,7 +96,7 @@
             let segs: Vec<_> =
                 active.segments.iter().zip(&active.values).map(|(s, v)| (*s, v.is_some())).collect();
             let left_out: Vec<_> = active.pruned.iter().map(|left| left.segment).collect();
-            let outcome = api.answer(self.now, complete, &segs, &left_out);
+            let outcome = api.response(self.now, complete, &segs, &left_out);
             if self.conclude(query).is_some() {
                 self.finish_search(query, outcome, 0.0);
                 self.mark_served(query, complete);
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -23,7 +23,7 @@
     /// Bounds on requests.
     pub limits: RequestLimits,
     bounds: Rc<HostSettings>,
-    types: Vec<QueryClass>,
+    query_classes: Vec<QueryClass>,
 }
 
 /// What the API needs to know of a query class.
@@ -39,15 +39,15 @@
     /// What is requested.
     pub call: ApiRequest,
     /// Index into the configured tenants; one more than the last for an unlisted tenant.
-    pub customer: usize,
+    pub tenant: usize,
     /// The client marks it as a retry.
-    pub again: bool,
+    pub is_retry: bool,
     /// The client's id for it, empty if it has none that can be used.
-    pub id: String,
+    pub request_id: String,
     /// How long the client says it waits, in seconds.
     pub time_budget: Option<f64>,
     /// When its first byte arrived, Unix seconds.
-    pub came: f64,
+    pub received_at: f64,
 }
 
 impl SearchApi {
@@ -57,27 +57,27 @@
             is_update: class.idempotency == Idempotency::NonIdempotent,
             timeout: class.timeout,
         });
-        Self { limits, bounds, types: types.collect() }
+        Self { limits, bounds, query_classes: types.collect() }
     }
 
     /// Parses a request whose first byte arrived at `came`. Non-idempotent query classes are updated and not searched, all
     /// others are searched and not updated.
-    pub fn read(&self, head: &Head, body: &[u8], came: f64) -> Result<SearchRequest, ApiError> {
+    pub fn parse_request(&self, head: &Head, body: &[u8], came: f64) -> Result<SearchRequest, ApiError> {
         let call = parse(&head.method, &head.path, body, &self.bounds.query_classes, &self.limits)?;
         let call = self.check_use(call)?;
         let customer = self.bounds.tenants.iter().position(|c| *c == head.tenant);
         let is_plain = head.request_id.bytes().all(|b| b.is_ascii_graphic());
         Ok(SearchRequest {
             call,
-            customer: customer.unwrap_or(self.bounds.tenants.len()),
-            again: head.is_retry,
-            id: if is_plain {
+            tenant: customer.unwrap_or(self.bounds.tenants.len()),
+            is_retry: head.is_retry,
+            request_id: if is_plain {
                 head.request_id.chars().take(MAX_REQUEST_ID_CHARS).collect()
             } else {
                 String::new()
             },
             time_budget: time_budget(&head.time_budget)?,
-            came,
+            received_at: came,
         })
     }
 
@@ -110,8 +110,8 @@
 
     /// Checks that the index of a search may be updated, or searched.
     fn check_index(&self, search: &Search, update: bool) -> Result<(), ApiError> {
-        let name = self.index(search.index);
-        match (self.types[search.index].is_update, update) {
+        let name = self.index_name(search.index);
+        match (self.query_classes[search.index].is_update, update) {
             (true, false) => {
                 Err(ApiError::argument(format!("index [{name}] is updated by query, not searched")))
             }
@@ -123,23 +123,29 @@
     }
 
     /// The name of an index, which is a query class.
-    pub fn index(&self, index: usize) -> &str {
+    pub fn index_name(&self, index: usize) -> &str {
         &self.bounds.query_classes[index]
     }
 
     /// The query of a search. Its parts have the same weight: the API does not say which segment holds more.
-    pub fn asked(&self, search: &Search, request: &SearchRequest, request_id: String) -> QueryRequest {
+    pub fn query_request(
+        &self,
+        search: &Search,
+        request: &SearchRequest,
+        request_id: String,
+    ) -> QueryRequest {
         let segs = routing::segments_of(&search.routing, self.bounds.segment_count);
         let weight = 1.0 / segs.len().max(1) as f64;
-        let wait = [search.timeout_seconds, request.time_budget, Some(self.types[search.index].timeout)];
+        let wait =
+            [search.timeout_seconds, request.time_budget, Some(self.query_classes[search.index].timeout)];
         QueryRequest {
             request_id,
-            table_type: search.index,
-            customer: request.customer,
-            deadline: request.came + wait.into_iter().flatten().fold(f64::MAX, f64::min),
-            is_retry: request.again,
+            query_class: search.index,
+            tenant: request.tenant,
+            deadline: request.received_at + wait.into_iter().flatten().fold(f64::MAX, f64::min),
+            is_retry: request.is_retry,
             parts: segs.into_iter().map(|seg| Part { segment: seg, weight, required_node: None }).collect(),
-            text: Payload::Inline(search.node_request_body().into()),
+            payload: Payload::Inline(search.node_request_body().into()),
         }
     }
 }
@@ -169,14 +175,14 @@
     /// The number of its request.
     pub request: u64,
     /// Its position among the request's searches.
-    place: usize,
+    position: usize,
     search: Search,
     index: String,
     merge: HitMerger,
     is_update: bool,
     updated: u64,
-    count: bool,
-    began: f64,
+    is_count: bool,
+    started_at: f64,
     /// Why the last attempt of each segment failed.
     failures: HashMap<usize, String>,
 }
@@ -186,33 +192,33 @@
     pub fn new(
         door: &SearchApi,
         request: u64,
-        place: usize,
+        position: usize,
         search: &Search,
         call: &ApiRequest,
-        began: f64,
+        started_at: f64,
     ) -> Self {
         let most = search.result_window();
         Self {
             request,
-            place,
-            index: door.index(search.index).to_string(),
+            position,
+            index: door.index_name(search.index).to_string(),
             merge: HitMerger::new(&search.sort, most),
             search: search.clone(),
             is_update: matches!(call, ApiRequest::Update(_)),
             updated: 0,
-            count: matches!(call, ApiRequest::Count(_)),
-            began,
+            is_count: matches!(call, ApiRequest::Count(_)),
+            started_at,
             failures: HashMap::new(),
         }
     }
 
     /// Its position among the request's searches.
-    pub fn place(&self) -> usize {
-        self.place
+    pub fn position(&self) -> usize {
+        self.position
     }
 
     /// Merges the value of a part.
-    pub fn took(&mut self, seg: usize, value: &str) -> Result<(), ValueError> {
+    pub fn record_value(&mut self, seg: usize, value: &str) -> Result<(), ValueError> {
         let expected = ExpectedResult {
             index: &self.index,
             max_hits: self.search.result_window(),
@@ -233,14 +239,14 @@
 
     /// The response from the parts that were served. `segs` are all segments, with whether each was served; `left_out` those that
     /// were pruned.
-    pub fn answer(
+    pub fn response(
         &mut self,
         now: f64,
         whole: bool,
         segs: &[(usize, bool)],
         left_out: &[usize],
     ) -> Result<ResponseBody, ApiError> {
-        let took = ((now - self.began).max(0.0) * 1000.0) as u64;
+        let took = ((now - self.started_at).max(0.0) * 1000.0) as u64;
         if self.is_update {
             return if whole {
                 Ok(response::update_response(took, self.updated))
@@ -260,7 +266,7 @@
             timed_out: !whole,
         };
         let merge = std::mem::replace(&mut self.merge, HitMerger::new(&[], 0));
-        match self.count {
+        match self.is_count {
             true => response::count_response(&self.index, &parts, &merge),
             false => response::search_response(took, &self.index, &self.search, &parts, merge),
         }
@@ -272,47 +278,56 @@
     /// The client connection that waits for the response.
     pub client: usize,
     /// When it was accepted, Unix seconds.
-    pub began: f64,
-    many: bool,
+    pub started_at: f64,
+    is_multi: bool,
     outcomes: Vec<Option<Result<ResponseBody, ApiError>>>,
     /// The queries of its searches.
     pub queries: Vec<QueryId>,
     /// The longest Retry-After of its searches, in seconds.
-    wait: f64,
+    retry_after: f64,
 }
 
 impl ActiveRequest {
     /// A request without outcomes yet.
-    pub fn new(client: usize, began: f64, call: &ApiRequest) -> Self {
-        let (many, count) = match call {
+    pub fn new(client: usize, started_at: f64, call: &ApiRequest) -> Self {
+        let (is_multi, count) = match call {
             ApiRequest::Multi(searches) => (true, searches.len()),
             _ => (false, 1),
         };
-        Self { client, began, many, outcomes: vec![None; count], queries: Vec::new(), wait: 0.0 }
+        Self {
+            client,
+            started_at,
+            is_multi,
+            outcomes: vec![None; count],
+            queries: Vec::new(),
+            retry_after: 0.0,
+        }
     }
 
     /// Records the outcome of one search. With the last one, returns the response.
-    pub fn done(
+    pub fn record_outcome(
         &mut self,
         now: f64,
         place: usize,
         outcome: Result<ResponseBody, ApiError>,
         wait: f64,
     ) -> Option<SearchResponse> {
-        self.wait = self.wait.max(wait);
+        self.retry_after = self.retry_after.max(wait);
         self.outcomes[place].get_or_insert(outcome);
         if self.outcomes.iter().any(Option::is_none) {
             return None;
         }
         let outcomes: Vec<_> = std::mem::take(&mut self.outcomes).into_iter().flatten().collect();
-        if self.many {
-            let took = ((now - self.began).max(0.0) * 1000.0) as u64;
+        if self.is_multi {
+            let took = ((now - self.started_at).max(0.0) * 1000.0) as u64;
             let body = response::multi_search_response(took, &outcomes);
             return Some(SearchResponse { status: 200, body, retry_after: 0.0 });
         }
         Some(match outcomes.into_iter().next()? {
             Ok(answer) => SearchResponse { status: 200, body: answer.into_text(), retry_after: 0.0 },
-            Err(e) => SearchResponse { status: e.status, body: e.body().to_string(), retry_after: self.wait },
+            Err(e) => {
+                SearchResponse { status: e.status, body: e.body().to_string(), retry_after: self.retry_after }
+            }
         })
     }
 }
@@ -328,11 +343,11 @@
 }
 
 /// An HTTP error in the form of the API.
-pub fn refused(why: &HttpError) -> ApiError {
+pub fn error_response(why: &HttpError) -> ApiError {
     let error = match why.status {
-        413 => ApiError::too_large(&why.why),
-        429 | 503 => ApiError::rejected(&why.why),
-        _ => ApiError::argument(&why.why),
+        413 => ApiError::too_large(&why.reason),
+        429 | 503 => ApiError::rejected(&why.reason),
+        _ => ApiError::argument(&why.reason),
     };
     ApiError { status: why.status, ..error }
 }
--- a/crates/dunepond-broker/src/upstream/cancel.rs
+++ b/crates/dunepond-broker/src/upstream/cancel.rs
@@ -11,7 +11,7 @@
 
 impl Upstream {
     /// Cancels one attempt: withdraws it where it is not fully sent, and cancels it at the node otherwise.
-    pub fn give_up(
+    pub fn cancel(
         &mut self,
         now: f64,
         node: NodeId,
@@ -22,39 +22,39 @@
         if self.withdraw(now, node, key, end, timers) {
             return;
         }
-        let Some((id, at)) = self.find(node, key) else { return };
+        let Some((id, at)) = self.find_outstanding(node, key) else { return };
         let connection = &mut self.connections[id];
-        let Some(out) = connection.take(at) else { return };
-        connection.cancelled.push(out.parcel.id.clone());
-        if connection.api {
+        let Some(out) = connection.finish_request(at) else { return };
+        connection.cancelled.push(out.request.id.clone());
+        if connection.uses_search_api {
             // The search API has no cancellation: closing the connection aborts its one request.
-            self.end(now, id, ConnectionEnd::FrameAborted, timers);
+            self.close(now, id, ConnectionEnd::FrameAborted, timers);
         } else if end == AttemptOutcome::Cancelled {
             // An attempt that has timed out needs no cancel frame: its own frame carries its time limit.
-            connection.out.put(&frames::give_up(&out.parcel.id));
+            connection.output.queue_bytes(&frames::encode_cancel(&out.request.id));
             self.write(now, id, timers);
         }
-        self.back.push_back(out.back(node, end, now, None));
-        self.rest(now, id, timers);
+        self.completed.push_back(out.into_completed(node, end, now, None));
+        self.close_or_keep_idle(now, id, timers);
     }
 
     /// The queries with an attempt on this connection that is not fully written.
-    pub fn unsent(&self, id: usize) -> Vec<QueryId> {
+    pub fn queries_awaiting_write(&self, id: usize) -> Vec<QueryId> {
         let Some(connection) = self.connections.get(id) else { return Vec::new() };
-        let unwritten = connection.outstanding.iter().filter(|out| !out.is_written(&connection.out));
-        unwritten.map(|out| out.parcel.query).collect()
+        let unwritten = connection.outstanding.iter().filter(|out| !out.is_written(&connection.output));
+        unwritten.map(|out| out.request.query).collect()
     }
 
     /// Whether some connection to a node carries an attempt, written or not.
     pub fn has_outstanding(&self, node: NodeId, key: AttemptId) -> bool {
-        self.find(node, key).is_some()
+        self.find_outstanding(node, key).is_some()
     }
 
     /// The connection that carries an attempt, and the attempt's position among those on it.
-    fn find(&self, node: NodeId, key: AttemptId) -> Option<(usize, usize)> {
+    fn find_outstanding(&self, node: NodeId, key: AttemptId) -> Option<(usize, usize)> {
         let connections = &self.nodes.get(node)?.connections;
         let at =
-            |connection: &NodeConnection| connection.outstanding.iter().position(|o| o.parcel.key() == key);
+            |connection: &NodeConnection| connection.outstanding.iter().position(|o| o.request.key() == key);
         connections.iter().find_map(|id| Some((*id, at(&self.connections[*id])?)))
     }
 
@@ -62,25 +62,31 @@
     /// arrive too late, and cannot be removed from the stream.
     pub(super) fn withdraw_expired(&mut self, now: f64, id: usize) -> bool {
         let Some(connection) = self.connections.get_mut(id) else { return true };
-        let written = connection.out.written();
-        let lapsed = |o: &OutstandingRequest| now >= o.parcel.send_by;
-        if connection.outstanding.iter().any(|o| lapsed(o) && o.to.is_some_and(|to| to > written)) {
+        let written = connection.output.written_offset();
+        let lapsed = |o: &OutstandingRequest| now >= o.request.send_by;
+        if connection.outstanding.iter().any(|o| lapsed(o) && o.frame_end.is_some_and(|to| to > written)) {
             return false;
         }
-        self.hold(now, id, lapsed);
+        self.withdraw_unframed(now, id, lapsed);
         true
     }
 
     /// Withdraws the attempts on a connection that are not framed yet and that `which` selects.
-    pub(super) fn hold(&mut self, now: f64, id: usize, which: impl Fn(&OutstandingRequest) -> bool) {
+    pub(super) fn withdraw_unframed(
+        &mut self,
+        now: f64,
+        id: usize,
+        which: impl Fn(&OutstandingRequest) -> bool,
+    ) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let held = |o: &OutstandingRequest| o.to.is_none() && which(o);
+        let held = |o: &OutstandingRequest| o.frame_end.is_none() && which(o);
         if connection.outstanding.iter().any(held) {
             let (held, outstanding): (VecDeque<OutstandingRequest>, _) =
                 connection.outstanding.drain(..).partition(held);
             connection.outstanding = outstanding;
             let node = connection.node;
-            self.back.extend(held.into_iter().map(|o| o.back(node, AttemptOutcome::NotSent, now, None)));
+            self.completed
+                .extend(held.into_iter().map(|o| o.into_completed(node, AttemptOutcome::NotSent, now, None)));
         }
     }
 
@@ -95,20 +101,20 @@
     ) -> bool {
         let Some(node_entry) = self.nodes.get_mut(node) else { return false };
         if let Some(at) = node_entry.unframed.iter().position(|p| p.key() == key) {
-            self.back.push_back(node_entry.unframed.remove(at).unsent(node, end));
+            self.completed.push_back(node_entry.unframed.remove(at).completed_unsent(node, end));
             return true;
         }
-        let Some((id, at)) = self.find(node, key) else { return false };
+        let Some((id, at)) = self.find_outstanding(node, key) else { return false };
         let connection = &mut self.connections[id];
-        let half = match connection.outstanding[at].to {
-            Some(to) if to <= connection.out.written() => return false,
+        let half = match connection.outstanding[at].frame_end {
+            Some(to) if to <= connection.output.written_offset() => return false,
             to => to.is_some(),
         };
-        let out = if half { connection.take(at) } else { connection.outstanding.remove(at) };
-        self.back.extend(out.map(|out| out.back(node, end, now, None)));
+        let out = if half { connection.finish_request(at) } else { connection.outstanding.remove(at) };
+        self.completed.extend(out.map(|out| out.into_completed(node, end, now, None)));
         if half {
             // A partly written frame cannot be removed from the stream.
-            self.end(now, id, ConnectionEnd::FrameAborted, timers);
+            self.close(now, id, ConnectionEnd::FrameAborted, timers);
         }
         true
     }
--- a/crates/dunepond-broker/src/upstream/connection.rs
+++ b/crates/dunepond-broker/src/upstream/connection.rs
@@ -49,12 +49,15 @@
         node: NodeId,
         timers: &mut Timers,
     ) -> Result<usize, ConnectionEnd> {
-        let dial =
-            self.nodes[node].row.as_ref().and_then(|row| row.address).ok_or(ConnectionEnd::LocalResources)?;
-        if self.connections.len() >= self.most_links && !self.give_way(now, timers) {
+        let dial = self.nodes[node]
+            .endpoint
+            .as_ref()
+            .and_then(|row| row.address)
+            .ok_or(ConnectionEnd::LocalResources)?;
+        if self.connections.len() >= self.max_connections && !self.close_longest_idle(now, timers) {
             return Err(ConnectionEnd::LocalResources);
         }
-        let (stream, api) = (Rc::new(open(dial)?), self.speaks_api(node));
+        let (stream, api) = (Rc::new(open(dial)?), self.uses_search_api(node));
         let entry = self.connections.vacant_entry();
         let id = entry.key();
         let token = watch(&self.handle, &stream, move |readable| LoopEvent::UpstreamReady(id, readable));
@@ -63,7 +66,7 @@
             node,
             stream,
             token,
-            up: false,
+            connected: false,
             since: now,
             retired: false,
             timer: Some(
@@ -71,11 +74,11 @@
                     .schedule(now + self.bounds.connect_timeout_seconds, TimerEvent::UpstreamConnection(id)),
             ),
             input: None,
-            out: WriteQueue::new(&self.pool),
+            output: WriteQueue::new(&self.pool),
             outstanding: VecDeque::new(),
             cancelled: Vec::new(),
-            calls: 0,
-            api,
+            last_batch: 0,
+            uses_search_api: api,
             message: None,
             finished: VecDeque::new(),
         });
@@ -85,22 +88,22 @@
     }
 
     /// Closes the connection that has been idle the longest to free a descriptor; false if none is idle.
-    pub fn give_way(&mut self, now: f64, timers: &mut Timers) -> bool {
+    pub fn close_longest_idle(&mut self, now: f64, timers: &mut Timers) -> bool {
         let idle = self.idle.first_key_value().map(|(_, id)| *id);
-        idle.into_iter().for_each(|id| self.end(now, id, ConnectionEnd::IdleClosed, timers));
+        idle.into_iter().for_each(|id| self.close(now, id, ConnectionEnd::IdleClosed, timers));
         idle.is_some()
     }
 
     /// A readiness event: the connection is readable or writable, established, or failed.
-    pub fn ready(&mut self, now: f64, id: usize, readable: bool, timers: &mut Timers) {
+    pub fn on_ready(&mut self, now: f64, id: usize, readable: bool, timers: &mut Timers) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        if !connection.up {
+        if !connection.connected {
             match connection.stream.take_error() {
-                Ok(Some(e)) | Err(e) => return self.end(now, id, ConnectionEnd::of(&e), timers),
+                Ok(Some(e)) | Err(e) => return self.close(now, id, ConnectionEnd::from_io_error(&e), timers),
                 Ok(None) if connection.stream.peer_addr().is_err() => return,
                 Ok(None) => {}
             }
-            (connection.up, connection.since) = (true, now);
+            (connection.connected, connection.since) = (true, now);
             timers.cancel(connection.timer.take());
         }
         // Responses that arrived before a failure are read before writing meets the failure.
@@ -108,27 +111,28 @@
             self.read(now, id, timers);
         }
         self.write(now, id, timers);
-        self.rest(now, id, timers);
+        self.close_or_keep_idle(now, id, timers);
     }
 
     /// Sends nothing new on the connections to a node, and closes each once it carries no attempt.
     pub fn close_idle(&mut self, now: f64, node: NodeId, timers: &mut Timers) {
         for id in self.nodes.get(node).map(|s| s.connections.clone()).unwrap_or_default() {
             self.connections[id].retired = true;
-            self.rest(now, id, timers);
+            self.close_or_keep_idle(now, id, timers);
         }
     }
 
     /// For a connection that carries no attempt: closes it if it must not be used again, or else sets its idle timer.
-    pub(super) fn rest(&mut self, now: f64, id: usize, timers: &mut Timers) {
-        let Some(connection) = self.connections.get_mut(id).filter(|l| l.up && l.outstanding.is_empty())
+    pub(super) fn close_or_keep_idle(&mut self, now: f64, id: usize, timers: &mut Timers) {
+        let Some(connection) =
+            self.connections.get_mut(id).filter(|l| l.connected && l.outstanding.is_empty())
         else {
             return;
         };
         // A node may still work on cancelled attempts until it reports their end.
         let no_room = connection.cancelled.len() >= self.bounds.max_parts_per_connection;
         if connection.retired || connection.input.is_some() || no_room {
-            return self.end(now, id, ConnectionEnd::IdleClosed, timers);
+            return self.close(now, id, ConnectionEnd::IdleClosed, timers);
         }
         if connection.timer.is_none() {
             let key = timers.schedule(
@@ -141,17 +145,17 @@
     }
 
     /// A connection's timer has fired: it did not connect, was idle, or did not deliver the rest of a frame in time.
-    pub fn due(&mut self, now: f64, id: usize, timers: &mut Timers) {
+    pub fn on_timeout(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let ending = match self.connections.get(id) {
-            Some(connection) if !connection.up => ConnectionEnd::ConnectTimeout,
+            Some(connection) if !connection.connected => ConnectionEnd::ConnectTimeout,
             Some(connection) if !connection.outstanding.is_empty() => ConnectionEnd::IoTimeout,
             _ => ConnectionEnd::IdleClosed,
         };
-        self.end(now, id, ending, timers);
+        self.close(now, id, ending, timers);
     }
 
     /// The one place where a connection is closed; the outcome of its attempts follows from how it ended.
-    pub(super) fn end(&mut self, now: f64, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
+    pub(super) fn close(&mut self, now: f64, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
         let Some(connection) = self.connections.try_remove(id) else { return };
         timers.cancel(connection.timer);
         connection.timer.and_then(|key| self.idle.remove(&key));
@@ -163,8 +167,9 @@
             out => info!("node {}: connection {ending} with {out} attempts outstanding", node_entry.name()),
         }
         for out in connection.outstanding {
-            let end = ending.end(out.to.is_some_and(|to| to <= connection.out.written()));
-            self.back.push_back(out.back(connection.node, end, now, None));
+            let end = ending
+                .attempt_outcome(out.frame_end.is_some_and(|to| to <= connection.output.written_offset()));
+            self.completed.push_back(out.into_completed(connection.node, end, now, None));
         }
     }
 }
