--- a/crates/dunepond-broker/src/upstream/endpoints.rs
+++ b/crates/dunepond-broker/src/upstream/endpoints.rs
@@ -13,34 +13,34 @@
 
 impl Upstream {
     /// Applies the list's entry of a node, which keeps its index until `next_forgotten` returns it.
-    pub fn listed(&mut self, now: f64, node: NodeId, row: EndpointInfo, timers: &mut Timers) {
+    pub fn update_endpoint(&mut self, now: f64, node: NodeId, row: EndpointInfo, timers: &mut Timers) {
         if node >= self.nodes.len() {
             self.nodes.resize_with(node + 1, NodeEntry::default);
         }
         let node_entry = &mut self.nodes[node];
         let (started, standing) = (row.started_at, row.state);
-        if standing == EndpointState::Removed && !node_entry.stands(EndpointState::Removed) {
-            self.gone.push(node);
+        if standing == EndpointState::Removed && !node_entry.has_state(EndpointState::Removed) {
+            self.removed_nodes.push(node);
         }
-        let before = node_entry.row.as_ref();
+        let before = node_entry.endpoint.as_ref();
         let moved = before.is_some_and(|b| b.address.is_some() && b.address != row.address);
         let replaced = started > before.map_or(0.0, |b| b.started_at);
-        node_entry.row = Some(row);
+        node_entry.endpoint = Some(row);
         if moved || replaced || standing != EndpointState::Active {
-            self.changed.push((node, replaced));
+            self.changed_nodes.push((node, replaced));
         }
         for id in node_entry.connections.clone() {
             let connection = &mut self.connections[id];
             // A connection that is still being established, or was since the restart, is one to the new process.
-            if replaced && connection.up && connection.since < started {
-                self.end(now, id, ConnectionEnd::Replaced, timers);
+            if replaced && connection.connected && connection.since < started {
+                self.close(now, id, ConnectionEnd::Replaced, timers);
                 continue;
             }
             connection.retired |= moved || standing == EndpointState::Removed;
             // Attempts that wait here might be written long after the node began to drain, or to a new process in slow start.
             if connection.retired || replaced || standing != EndpointState::Active {
-                self.hold(now, id, |_| true);
-                self.rest(now, id, timers);
+                self.withdraw_unframed(now, id, |_| true);
+                self.close_or_keep_idle(now, id, timers);
             }
         }
     }
@@ -48,10 +48,10 @@
     /// Marks every node that a complete list does not name as removed.
     pub fn remove_unlisted(&mut self, now: f64, named: &HashSet<NodeId>, timers: &mut Timers) {
         for node in 0..self.nodes.len() {
-            let row = self.nodes[node].row.as_ref().filter(|row| row.state != EndpointState::Removed);
+            let row = self.nodes[node].endpoint.as_ref().filter(|row| row.state != EndpointState::Removed);
             if let Some(row) = row.filter(|_| !named.contains(&node)) {
                 let row = EndpointInfo { state: EndpointState::Removed, ..row.clone() };
-                self.listed(now, node, row, timers);
+                self.update_endpoint(now, node, row, timers);
             }
         }
     }
@@ -60,36 +60,40 @@
     /// unbounded growth where nodes keep returning under new names.
     pub fn next_forgotten(&mut self) -> Option<(NodeId, String)> {
         let nodes = &self.nodes;
-        self.gone.retain(|node| nodes[*node].stands(EndpointState::Removed));
+        self.removed_nodes.retain(|node| nodes[*node].has_state(EndpointState::Removed));
         let idle = |node: &NodeId| nodes[*node].connections.is_empty() && nodes[*node].unframed.is_empty();
-        let at = self.gone.iter().position(idle)?;
-        let node = self.gone.swap_remove(at);
-        let row = std::mem::take(&mut self.nodes[node]).row?;
+        let at = self.removed_nodes.iter().position(idle)?;
+        let node = self.removed_nodes.swap_remove(at);
+        let row = std::mem::take(&mut self.nodes[node]).endpoint?;
         Some((node, row.name))
     }
 
     /// Whether any node may get new attempts.
     pub fn any_active(&self) -> bool {
-        self.nodes.iter().any(|s| s.stands(EndpointState::Active))
+        self.nodes.iter().any(|s| s.has_state(EndpointState::Active))
     }
 
     /// Whether a node has a replica of a segment, which is on `holders` of the `cells` replica groups, from its own on.
-    pub fn holds(&self, node: NodeId, seg: usize, cells: usize, holders: usize) -> bool {
-        let cell = self.nodes.get(node).and_then(|s| s.row.as_ref()).map(|row| row.replica_group % cells);
+    pub fn is_replica(&self, node: NodeId, seg: usize, cells: usize, holders: usize) -> bool {
+        let cell =
+            self.nodes.get(node).and_then(|s| s.endpoint.as_ref()).map(|row| row.replica_group % cells);
         (0..holders).any(|j| cell == Some((seg + j) % cells))
     }
 
     /// How many nodes the list names, and how many of them may get new attempts.
     pub fn count(&self) -> (usize, usize) {
-        let named =
-            self.nodes.iter().filter(|s| s.row.is_some() && !s.stands(EndpointState::Removed)).count();
-        (named, self.nodes.iter().filter(|s| s.stands(EndpointState::Active)).count())
+        let named = self
+            .nodes
+            .iter()
+            .filter(|s| s.endpoint.is_some() && !s.has_state(EndpointState::Removed))
+            .count();
+        (named, self.nodes.iter().filter(|s| s.has_state(EndpointState::Active)).count())
     }
 
     /// Every node that the list names, as it can be recognised after a restart.
     pub fn identities(&self) -> Vec<NodeIdentity> {
         let named = self.nodes.iter().enumerate().filter_map(|(node, node_entry)| {
-            let row = node_entry.row.as_ref().filter(|row| row.state != EndpointState::Removed)?;
+            let row = node_entry.endpoint.as_ref().filter(|row| row.state != EndpointState::Removed)?;
             let dial = row.address.map_or(String::new(), |dial| dial.to_string());
             Some(NodeIdentity { node, name: row.name.clone(), address: dial, started_at: row.started_at })
         });
@@ -97,8 +101,8 @@
     }
 
     /// The address of a node that may get new attempts.
-    pub fn dial(&self, node: NodeId) -> Option<SocketAddr> {
-        let row = self.nodes.get(node)?.row.as_ref()?;
+    pub fn active_address(&self, node: NodeId) -> Option<SocketAddr> {
+        let row = self.nodes.get(node)?.endpoint.as_ref()?;
         row.address.filter(|_| row.state == EndpointState::Active)
     }
 }
--- a/crates/dunepond-broker/src/upstream/framing.rs
+++ b/crates/dunepond-broker/src/upstream/framing.rs
@@ -27,12 +27,12 @@
 impl AttemptRequest {
     /// The time that is left for it, at least 1 ms.
     fn time_left_ms(&self, now: f64) -> u64 {
-        ((self.until - now).max(0.001) * 1000.0) as u64
+        ((self.deadline - now).max(0.001) * 1000.0) as u64
     }
 
     /// Its payload, if that is short enough to be copied.
     fn copied_text(&self) -> Option<Rc<str>> {
-        match &self.text {
+        match &self.payload {
             Payload::Inline(text) if text.len() <= MAX_COPIED_TEXT_BYTES => Some(text.clone()),
             _ => None,
         }
@@ -41,9 +41,9 @@
     fn line(&self, now: f64) -> AttemptLine<'_> {
         AttemptLine {
             id: &self.id,
-            segment: self.seg,
+            segment: self.segment,
             time_limit_ms: self.time_left_ms(now),
-            length: self.text.length(),
+            length: self.payload.length(),
         }
     }
 }
@@ -58,16 +58,16 @@
         look: Option<&CheckedConfig>,
     ) -> io::Result<()> {
         loop {
-            self.out.flush(FreshWriter { stream: &*self.stream, checked: look })?;
-            if !self.out.is_empty() {
-                self.take_back_unsent();
+            self.output.flush(FreshWriter { stream: &*self.stream, checked: look })?;
+            if !self.output.is_empty() {
+                self.unframe_unsent();
                 return Ok(());
             }
-            if self.next_batch().is_none() {
+            if self.next_unframed_batch().is_none() {
                 return Ok(());
             }
-            while self.out.waiting() < BUFFER_BYTES
-                && let Some(batch) = self.next_batch()
+            while self.output.pending_bytes() < BUFFER_BYTES
+                && let Some(batch) = self.next_unframed_batch()
             {
                 match search_api {
                     Some(search_api) => self.frame_search_request(now, batch, search_api),
@@ -78,88 +78,89 @@
     }
 
     /// The first batch that is not framed yet.
-    fn next_batch(&self) -> Option<u64> {
-        self.outstanding.iter().find(|out| out.to.is_none()).map(|out| out.call)
+    fn next_unframed_batch(&self) -> Option<u64> {
+        self.outstanding.iter().find(|out| out.frame_end.is_none()).map(|out| out.batch)
     }
 
     /// Queues a request of the search API; such a batch is one attempt.
     fn frame_search_request(&mut self, now: f64, batch: u64, search_api: &SearchApiFraming) {
-        let Some(out) = self.outstanding.iter_mut().find(|out| out.call == batch) else { return };
-        let parcel = &mut out.parcel;
+        let Some(out) = self.outstanding.iter_mut().find(|out| out.batch == batch) else { return };
+        let parcel = &mut out.request;
         let action =
-            if search_api.non_idempotent[parcel.table_type] { "_update_by_query" } else { "_search" };
-        let index = &search_api.indices[parcel.table_type];
-        let (wait, length) = (parcel.time_left_ms(now), parcel.text.length());
-        out.from = self.out.end();
+            if search_api.non_idempotent[parcel.query_class] { "_update_by_query" } else { "_search" };
+        let index = &search_api.indices[parcel.query_class];
+        let (wait, length) = (parcel.time_left_ms(now), parcel.payload.length());
+        out.frame_start = self.output.end_offset();
         let head = RequestHead {
             host: search_api.host,
             index,
             operation: action,
-            segment: parcel.seg,
+            segment: parcel.segment,
             id: &parcel.id,
             timeout_ms: wait,
             body_bytes: length,
         };
-        self.out.put(&head.encode());
-        if let Payload::Inline(text) = &parcel.text {
-            self.out.queue_text(text);
+        self.output.queue_bytes(&head.encode());
+        if let Payload::Inline(text) = &parcel.payload {
+            self.output.queue_text(text);
         }
-        if let Some(reader) = parcel.reader.take() {
-            self.out.queue_body(reader);
+        if let Some(reader) = parcel.body_reader.take() {
+            self.output.queue_body(reader);
         }
-        out.to = Some(self.out.end());
+        out.frame_end = Some(self.output.end_offset());
     }
 
     /// Queues one frame with all attempts of a batch.
     fn frame_batch(&mut self, now: f64, batch: u64) {
-        let from = self.out.end();
-        let parcels = self.outstanding.iter().filter(|out| out.call == batch).map(|out| &out.parcel);
+        let from = self.output.end_offset();
+        let parcels = self.outstanding.iter().filter(|out| out.batch == batch).map(|out| &out.request);
         match parcels.clone().map(AttemptRequest::copied_text).collect::<Option<Vec<_>>>() {
             Some(texts) => {
                 let attempts = parcels.zip(&texts).map(|(parcel, text)| (parcel.line(now), &**text));
-                self.out.put(&frames::call(attempts));
+                self.output.queue_bytes(&frames::encode_attempts(attempts));
             }
             None => self.queue_shared(now, batch),
         }
-        let to = Some(self.out.end());
-        for out in self.outstanding.iter_mut().filter(|out| out.call == batch) {
-            (out.from, out.to) = (from, to);
+        let to = Some(self.output.end_offset());
+        for out in self.outstanding.iter_mut().filter(|out| out.batch == batch) {
+            (out.frame_start, out.frame_end) = (from, to);
         }
     }
 
     /// Queues the lines of a batch with payloads that are too long to be copied, or are streamed.
     fn queue_shared(&mut self, now: f64, batch: u64) {
-        let parcels = self.outstanding.iter().filter(|out| out.call == batch).map(|out| &out.parcel);
+        let parcels = self.outstanding.iter().filter(|out| out.batch == batch).map(|out| &out.request);
         let lines: Vec<_> = parcels.clone().map(|parcel| parcel.line(now).to_string()).collect();
-        let payload_bytes: u64 = parcels.map(|parcel| parcel.text.length()).sum();
+        let payload_bytes: u64 = parcels.map(|parcel| parcel.payload.length()).sum();
         let line_bytes = lines.iter().map(|line| line.len() as u64).sum::<u64>();
         let mut head = frames::attempts_head(line_bytes + payload_bytes).to_vec();
-        let parcels = self.outstanding.iter_mut().filter(|out| out.call == batch).map(|out| &mut out.parcel);
+        let parcels =
+            self.outstanding.iter_mut().filter(|out| out.batch == batch).map(|out| &mut out.request);
         for (line, parcel) in lines.iter().zip(parcels) {
             head.extend_from_slice(line.as_bytes());
-            self.out.queue_small(std::mem::take(&mut head));
-            if let Payload::Inline(text) = &parcel.text {
-                self.out.queue_text(text);
+            self.output.queue_small(std::mem::take(&mut head));
+            if let Payload::Inline(text) = &parcel.payload {
+                self.output.queue_text(text);
             }
-            if let Some(reader) = parcel.reader.take() {
-                self.out.queue_body(reader);
+            if let Some(reader) = parcel.body_reader.take() {
+                self.output.queue_body(reader);
             }
         }
     }
 
     /// Removes the frames of which no byte is written: by the time that they could be, the time limit in them would be
     /// stale, their queries may have ended and their node may be draining.
-    fn take_back_unsent(&mut self) {
-        let begun = self.out.written();
-        let unbegun = |out: &&mut OutstandingRequest| out.to.is_some() && out.from >= begun;
-        let Some(from) = self.outstanding.iter_mut().filter(unbegun).map(|out| out.from).min() else {
+    fn unframe_unsent(&mut self) {
+        let begun = self.output.written_offset();
+        let unbegun = |out: &&mut OutstandingRequest| out.frame_end.is_some() && out.frame_start >= begun;
+        let Some(from) = self.outstanding.iter_mut().filter(unbegun).map(|out| out.frame_start).min() else {
             return;
         };
-        let mut reader = self.out.take_back(from);
+        let mut reader = self.output.withdraw_from(from);
         for out in self.outstanding.iter_mut().filter(unbegun) {
-            out.to = None;
-            if out.parcel.text.body().is_some() {
-                out.parcel.reader = reader.take();
+            out.frame_end = None;
+            if out.request.payload.body().is_some() {
+                out.request.body_reader = reader.take();
             }
         }
     }
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -41,59 +41,59 @@
     /// Index of the part among the query's parts.
     pub part: usize,
     /// Index of the attempt among the part's attempts.
-    pub shot: usize,
+    pub attempt: usize,
     /// The part's id on the wire; all attempts of a part share it.
     pub id: Rc<str>,
     /// The segment to be searched.
-    pub seg: usize,
+    pub segment: usize,
     /// Index into the configured query classes.
-    pub table_type: usize,
+    pub query_class: usize,
     /// When the query's response is due.
-    pub until: f64,
+    pub deadline: f64,
     /// From then on no byte of it may go out: its query's time is over, or the window in which a node drops a repeat is
     /// close to its end.
     pub send_by: f64,
     /// What the part carries.
-    pub text: Payload,
+    pub payload: Payload,
     /// Its own read position in a streamed body.
-    pub reader: Option<BodyReader>,
+    pub body_reader: Option<BodyReader>,
     /// The configuration under which its query started, with a control plane.
-    pub began: Option<Rc<QueryStart>>,
+    pub query_start: Option<Rc<QueryStart>>,
 }
 
 /// An attempt that a connection carries.
 struct OutstandingRequest {
-    parcel: AttemptRequest,
-    sent: f64,
+    request: AttemptRequest,
+    queued_at: f64,
     /// Attempts with the same batch number share a frame.
-    call: u64,
+    batch: u64,
     /// Where its frame begins and ends in the connection's write queue, once it is framed. A connection that is not
     /// established, or is blocked, holds no frame that it has not begun to write: its attempts can be withdrawn without the
     /// node's knowledge, and their frames carry the time that is left once they are written.
-    from: u64,
-    to: Option<u64>,
+    frame_start: u64,
+    frame_end: Option<u64>,
     /// It is in the audit log.
-    noted: bool,
+    audited: bool,
 }
 
 struct NodeConnection {
     node: NodeId,
     stream: Rc<TcpStream>,
     token: RegistrationToken,
-    up: bool,
+    connected: bool,
     /// When it was established, or before that when it was opened.
     since: f64,
     /// It carries no new attempts, and is closed once it carries none.
     retired: bool,
     timer: Option<TimerKey>,
     input: Option<Buffer>,
-    out: WriteQueue,
+    output: WriteQueue,
     outstanding: VecDeque<OutstandingRequest>,
     /// Cancelled attempts whose end the node has not reported: it may still work on them, so each counts as a stream.
     cancelled: Vec<Rc<str>>,
-    calls: u64,
+    last_batch: u64,
     /// It speaks the search API: one request at a time.
-    api: bool,
+    uses_search_api: bool,
     /// The search API response that is being read.
     message: Option<Message>,
     /// The last attempts that ended or were cancelled on it.
@@ -103,7 +103,7 @@
 #[derive(Default)]
 struct NodeEntry {
     /// The list's last entry; `None` where the index is free.
-    row: Option<EndpointInfo>,
+    endpoint: Option<EndpointInfo>,
     connections: Vec<usize>,
     /// Dispatched in this call of the router, and not yet assigned to a connection.
     unframed: Vec<AttemptRequest>,
@@ -116,7 +116,7 @@
     /// The value that it returned, if it was served.
     pub value: Option<String>,
     /// The version that was searched, and whether anything was found, where its node reports that.
-    pub searched: Option<(u64, bool)>,
+    pub search_report: Option<(u64, bool)>,
 }
 
 /// The nodes that speak the search API.
@@ -133,84 +133,97 @@
     pool: Pool,
     nodes: Vec<NodeEntry>,
     connections: Slab<NodeConnection>,
-    most_links: usize,
+    max_connections: usize,
     /// Connections without attempts, by the timer that will close them: the first has been idle the longest.
     idle: BTreeMap<TimerKey, usize>,
     bounds: Rc<HostSettings>,
     /// Nodes with attempts that are not assigned to a connection.
     nodes_to_flush: Vec<NodeId>,
     /// Batches that found no descriptor for a connection, until one is freed or none can be.
-    short: Vec<(NodeId, Vec<AttemptRequest>)>,
+    awaiting_descriptor: Vec<(NodeId, Vec<AttemptRequest>)>,
     /// Removed nodes whose index is not free yet.
-    gone: Vec<NodeId>,
+    removed_nodes: Vec<NodeId>,
     /// The check against the active configuration, with a control plane.
     pub gate: Option<Rc<Gate>>,
     /// Which nodes speak the search API, if any do.
-    api: Option<SearchApiNodes>,
+    search_api: Option<SearchApiNodes>,
     /// Connections that wait for the next piece of a body.
-    starved: Vec<usize>,
+    awaiting_body: Vec<usize>,
     /// The offset at which each frame of a pass-through body last advanced, and when.
-    paces: HashMap<usize, (u64, f64)>,
+    body_progress: HashMap<usize, (u64, f64)>,
     /// Nodes that moved, drain or are removed; `true` where another process has replaced the node's.
-    pub changed: Vec<(NodeId, bool)>,
+    pub changed_nodes: Vec<(NodeId, bool)>,
     /// Attempts with a streamed body whose frames are fully written, not yet reported to the router.
-    pub framed: VecDeque<(NodeId, AttemptId)>,
+    pub written_bodies: VecDeque<(NodeId, AttemptId)>,
     /// Payload bytes copied into frames since the start.
-    pub copied: u64,
+    pub copied_bytes: u64,
     /// Attempts that ended, not yet reported to the router: it may be inside the call that ended them.
-    pub back: VecDeque<CompletedAttempt>,
+    pub completed: VecDeque<CompletedAttempt>,
 }
 
 impl NodeEntry {
     fn name(&self) -> &str {
-        self.row.as_ref().map_or("?", |row| &row.name)
+        self.endpoint.as_ref().map_or("?", |row| &row.name)
     }
 
-    fn stands(&self, standing: EndpointState) -> bool {
-        self.row.as_ref().is_some_and(|row| row.state == standing)
+    fn has_state(&self, standing: EndpointState) -> bool {
+        self.endpoint.as_ref().is_some_and(|row| row.state == standing)
     }
 }
 
 impl OutstandingRequest {
     /// Whether the last byte of its frame has been written.
     fn is_written(&self, output: &WriteQueue) -> bool {
-        self.to.is_some_and(|to| to <= output.written())
+        self.frame_end.is_some_and(|to| to <= output.written_offset())
     }
 
-    fn back(self, node: NodeId, end: AttemptOutcome, now: f64, value: Option<String>) -> CompletedAttempt {
-        let AttemptRequest { query, part, shot, .. } = self.parcel;
+    fn into_completed(
+        self,
+        node: NodeId,
+        end: AttemptOutcome,
+        now: f64,
+        value: Option<String>,
+    ) -> CompletedAttempt {
+        let AttemptRequest { query, part, attempt: shot, .. } = self.request;
         CompletedAttempt {
-            ended: AttemptEnded { query, part, attempt: shot, node, outcome: end, elapsed: now - self.sent },
+            ended: AttemptEnded {
+                query,
+                part,
+                attempt: shot,
+                node,
+                outcome: end,
+                elapsed: now - self.queued_at,
+            },
             value,
-            searched: None,
+            search_report: None,
         }
     }
 }
 
 impl AttemptRequest {
     fn key(&self) -> AttemptId {
-        AttemptId { query: self.query, part: self.part, index: self.shot }
+        AttemptId { query: self.query, part: self.part, index: self.attempt }
     }
 
     /// The end of this attempt if it was never sent.
-    pub fn unsent(&self, node: NodeId, end: AttemptOutcome) -> CompletedAttempt {
+    pub fn completed_unsent(&self, node: NodeId, end: AttemptOutcome) -> CompletedAttempt {
         let ended = AttemptEnded {
             query: self.query,
             part: self.part,
-            attempt: self.shot,
+            attempt: self.attempt,
             node,
             outcome: end,
             elapsed: 0.0,
         };
-        CompletedAttempt { ended, value: None, searched: None }
+        CompletedAttempt { ended, value: None, search_report: None }
     }
 }
 
 impl NodeConnection {
     /// Removes an attempt from the outstanding ones, and remembers it as finished.
-    fn take(&mut self, at: usize) -> Option<OutstandingRequest> {
+    fn finish_request(&mut self, at: usize) -> Option<OutstandingRequest> {
         let out = self.outstanding.remove(at)?;
-        self.finished.push_back(out.parcel.id.clone());
+        self.finished.push_back(out.request.id.clone());
         if self.finished.len() > MAX_FINISHED_REMEMBERED {
             self.finished.pop_front();
         }
@@ -218,63 +231,69 @@
     }
 
     /// Whether it carries an attempt with this id, or has.
-    fn knows(&self, id: &str) -> bool {
+    fn has_carried(&self, id: &str) -> bool {
         let cancelled = self.cancelled.iter().chain(&self.finished).any(|finished| **finished == *id);
-        cancelled || self.outstanding.iter().any(|o| *o.parcel.id == *id)
+        cancelled || self.outstanding.iter().any(|o| *o.request.id == *id)
     }
 
     fn is_idle(&self) -> bool {
-        self.up && self.outstanding.is_empty()
+        self.connected && self.outstanding.is_empty()
     }
 
     /// Whether it has been idle for as long as it may.
-    fn is_over(&self, now: f64) -> bool {
+    fn is_idle_expired(&self, now: f64) -> bool {
         self.is_idle() && self.timer.is_some_and(|key| clock::is_due(key, now))
     }
 
     /// The frame of a streamed body is being written, or is next: a frame behind it would wait for the whole body.
     fn is_reserved_for_body(&self) -> bool {
-        self.out.body().is_some()
-            || self.outstanding.iter().any(|o| o.to.is_none() && o.parcel.text.body().is_some())
+        self.output.next_body().is_some()
+            || self.outstanding.iter().any(|o| o.frame_end.is_none() && o.request.payload.body().is_some())
     }
 }
 
 impl Upstream {
     /// No nodes yet; `most_links` bounds the connections.
-    pub fn new(handle: EventLoopHandle, pool: &Pool, bounds: Rc<HostSettings>, most_links: usize) -> Self {
+    pub fn new(
+        handle: EventLoopHandle,
+        pool: &Pool,
+        bounds: Rc<HostSettings>,
+        max_connections: usize,
+    ) -> Self {
         let (pool, connections, idle) = (pool.clone(), Slab::new(), BTreeMap::new());
-        let (nodes, nodes_to_flush, gone, back) = (Vec::new(), Vec::new(), Vec::new(), VecDeque::new());
-        let (starved, paces, copied) = (Vec::new(), HashMap::new(), 0);
+        let (nodes, nodes_to_flush, removed_nodes, completed) =
+            (Vec::new(), Vec::new(), Vec::new(), VecDeque::new());
+        let (awaiting_body, body_progress, copied_bytes) = (Vec::new(), HashMap::new(), 0);
         Self {
             handle,
             pool,
             nodes,
             connections,
-            most_links,
+            max_connections,
             idle,
             bounds,
             nodes_to_flush,
-            short: Vec::new(),
-            gone,
+            awaiting_descriptor: Vec::new(),
+            removed_nodes,
             gate: None,
-            api: None,
-            starved,
-            paces,
-            changed: Vec::new(),
-            framed: VecDeque::new(),
-            copied,
-            back,
+            search_api: None,
+            awaiting_body,
+            body_progress,
+            changed_nodes: Vec::new(),
+            written_bodies: VecDeque::new(),
+            copied_bytes,
+            completed,
         }
     }
 
     /// Nodes in these networks speak the search API. `non_idempotent` says of each query class whether it must not run twice.
     pub fn set_search_api_nodes(&mut self, networks: Vec<IpNet>, non_idempotent: Vec<bool>) {
-        self.api = Some(SearchApiNodes { networks, non_idempotent });
+        self.search_api = Some(SearchApiNodes { networks, non_idempotent });
     }
 
-    fn speaks_api(&self, node: NodeId) -> bool {
-        let Some(api) = &self.api else { return false };
-        let address = self.nodes.get(node).and_then(|entry| entry.row.as_ref()?.address);
+    fn uses_search_api(&self, node: NodeId) -> bool {
+        let Some(api) = &self.search_api else { return false };
+        let address = self.nodes.get(node).and_then(|entry| entry.endpoint.as_ref()?.address);
         address.is_some_and(|address| api.networks.iter().any(|network| network.contains(&address.ip())))
     }
 
--- a/crates/dunepond-broker/src/upstream/ownership_check.rs
+++ b/crates/dunepond-broker/src/upstream/ownership_check.rs
@@ -11,14 +11,14 @@
 use crate::control_plane::{CheckedConfig, Gate};
 
 /// Writes the attempts that were framed since the last call to the audit log.
-pub fn note(gate: &Gate, look: &CheckedConfig, host: &str, connection: &mut NodeConnection) {
+pub fn audit_sent(gate: &Gate, look: &CheckedConfig, host: &str, connection: &mut NodeConnection) {
     if !gate.control.is_audited() {
         return;
     }
-    for out in connection.outstanding.iter_mut().filter(|o| o.to.is_some() && !o.noted) {
-        let p = &out.parcel;
-        out.noted = true;
-        gate.audit_sent(look, p.began.as_deref(), p.table_type, &p.id, (p.seg, p.shot), host);
+    for out in connection.outstanding.iter_mut().filter(|o| o.frame_end.is_some() && !o.audited) {
+        let p = &out.request;
+        out.audited = true;
+        gate.audit_sent(look, p.query_start.as_deref(), p.query_class, &p.id, (p.segment, p.attempt), host);
     }
 }
 
@@ -33,22 +33,23 @@
         timers: &mut Timers,
     ) -> bool {
         let Some(gate) = &self.gate else { return true };
-        let Some(connection) = self.connections.get_mut(id).filter(|l| l.up) else { return true };
+        let Some(connection) = self.connections.get_mut(id).filter(|l| l.connected) else { return true };
         let host = self.nodes[connection.node].name();
-        let may_send =
-            |p: &AttemptRequest| gate.may_send_under(look, p.began.as_deref(), p.table_type, p.seg, host);
-        let written = connection.out.written();
-        let stage = |o: &OutstandingRequest| match o.to {
+        let may_send = |p: &AttemptRequest| {
+            gate.may_send_under(look, p.query_start.as_deref(), p.query_class, p.segment, host)
+        };
+        let written = connection.output.written_offset();
+        let stage = |o: &OutstandingRequest| match o.frame_end {
             None => AttemptStage::Queued,
             Some(to) if to > written => AttemptStage::PartlyWritten,
             Some(_) => AttemptStage::AwaitingAnswer,
         };
         let fence_action = |o: &OutstandingRequest| {
-            let p = &o.parcel;
+            let p = &o.request;
             if may_send(p) {
                 FenceAction::Allowed
             } else {
-                gate.fence_action(look, stage(o), p.table_type, p.seg, host)
+                gate.fence_action(look, stage(o), p.query_class, p.segment, host)
             }
         };
         if connection.outstanding.iter().any(|o| fence_action(o) == FenceAction::Aborted) {
@@ -63,10 +64,10 @@
         let (held, node): (VecDeque<OutstandingRequest>, _) = (held, connection.node);
         for out in held {
             gate.control.count_withheld();
-            debug!("node {host}: {} is not sent: the active configuration forbids it", out.parcel.id);
-            self.back.push_back(out.back(node, AttemptOutcome::NotSent, now, None));
+            debug!("node {host}: {} is not sent: the active configuration forbids it", out.request.id);
+            self.completed.push_back(out.into_completed(node, AttemptOutcome::NotSent, now, None));
         }
-        self.rest(now, id, timers);
+        self.close_or_keep_idle(now, id, timers);
         true
     }
 }
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -15,47 +15,47 @@
     pub fn flush(&mut self, now: f64, timers: &mut Timers) {
         for node in std::mem::take(&mut self.nodes_to_flush) {
             let mut unframed = std::mem::take(&mut self.nodes[node].unframed).into_iter().peekable();
-            let api = self.speaks_api(node);
+            let api = self.uses_search_api(node);
             while let Some(first) = unframed.next() {
                 let mut parcels = vec![first];
                 // A streamed body goes alone on a connection of its own; so does each attempt of the search API.
-                if parcels[0].text.body().is_none() && !api {
+                if parcels[0].payload.body().is_none() && !api {
                     while parcels.len()
                         < self.bounds.max_parts_per_call.min(self.bounds.max_parts_per_connection)
-                        && let Some(next) = unframed.next_if(|p| p.text.body().is_none())
+                        && let Some(next) = unframed.next_if(|p| p.payload.body().is_none())
                     {
                         parcels.push(next);
                     }
                 }
-                self.call(now, node, parcels, timers);
+                self.queue_batch(now, node, parcels, timers);
             }
             for id in self.nodes[node].connections.clone() {
                 self.write(now, id, timers);
-                self.rest(now, id, timers);
+                self.close_or_keep_idle(now, id, timers);
             }
         }
     }
 
     /// Whether a batch has found no descriptor for a connection.
     pub fn is_awaiting_descriptor(&self) -> bool {
-        !self.short.is_empty()
+        !self.awaiting_descriptor.is_empty()
     }
 
     /// Queues such a batch again if there is room now; otherwise its attempts end as not sent.
     pub fn retry_awaiting_descriptor(&mut self, now: f64, room: bool, timers: &mut Timers) {
-        let Some((node, parcels)) = self.short.pop() else { return };
+        let Some((node, parcels)) = self.awaiting_descriptor.pop() else { return };
         if room {
-            self.call(now, node, parcels, timers);
+            self.queue_batch(now, node, parcels, timers);
             self.nodes[node].connections.clone().into_iter().for_each(|id| self.write(now, id, timers));
         } else {
             debug!("node {}: connection {}", self.name(node), ConnectionEnd::DescriptorsExhausted);
-            self.back.extend(
-                parcels.iter().map(|p| p.unsent(node, ConnectionEnd::DescriptorsExhausted.end(false))),
-            );
+            self.completed.extend(parcels.iter().map(|p| {
+                p.completed_unsent(node, ConnectionEnd::DescriptorsExhausted.attempt_outcome(false))
+            }));
         }
     }
 
-    fn call(&mut self, now: f64, node: NodeId, parcels: Vec<AttemptRequest>, timers: &mut Timers) {
+    fn queue_batch(&mut self, now: f64, node: NodeId, parcels: Vec<AttemptRequest>, timers: &mut Timers) {
         let mut open = self.find_connection(now, node, &parcels);
         // The node may just have closed an idle connection, and an attempt written to it would have an unknown outcome: it is
         // read once more before it is used.
@@ -68,24 +68,28 @@
         }
         let id = match open.map_or_else(|| self.connect(now, node, timers), Ok) {
             Ok(id) => id,
-            Err(ConnectionEnd::DescriptorsExhausted) => return self.short.push((node, parcels)),
+            Err(ConnectionEnd::DescriptorsExhausted) => {
+                return self.awaiting_descriptor.push((node, parcels));
+            }
             Err(ending) => {
                 debug!("node {}: connection {ending}", self.name(node));
-                return self.back.extend(parcels.iter().map(|p| p.unsent(node, ending.end(false))));
+                return self
+                    .completed
+                    .extend(parcels.iter().map(|p| p.completed_unsent(node, ending.attempt_outcome(false))));
             }
         };
         let connection = &mut self.connections[id];
-        connection.calls += 1;
-        let call = connection.calls;
+        connection.last_batch += 1;
+        let call = connection.last_batch;
         connection.outstanding.extend(parcels.into_iter().map(|parcel| OutstandingRequest {
-            parcel,
-            sent: now,
-            call,
-            from: 0,
-            to: None,
-            noted: false,
+            request: parcel,
+            queued_at: now,
+            batch: call,
+            frame_start: 0,
+            frame_end: None,
+            audited: false,
         }));
-        if connection.up {
+        if connection.connected {
             let timer = connection.timer.take();
             timers.cancel(timer);
             timer.and_then(|key| self.idle.remove(&key));
@@ -95,16 +99,18 @@
     /// A connection that can carry these attempts as one batch.
     fn find_connection(&self, now: f64, node: NodeId, parcels: &[AttemptRequest]) -> Option<usize> {
         // Attempts beyond this number would wait unread at the node, and their cancel frames behind them.
-        let (most, api) = (self.bounds.max_parts_per_connection, self.speaks_api(node));
-        let alone = api || parcels[0].text.body().is_some();
+        let (most, api) = (self.bounds.max_parts_per_connection, self.uses_search_api(node));
+        let alone = api || parcels[0].payload.body().is_some();
         let room = |l: &NodeConnection| {
             let free = if alone { l.outstanding.is_empty() } else { !l.is_reserved_for_body() };
             free && l.outstanding.len() + l.cancelled.len() + parcels.len() <= most
         };
         // A connection inside a frame may be broken, and one past its idle time may be closed by the node.
-        let sound = |l: &NodeConnection| !l.retired && l.api == api && l.input.is_none() && !l.is_over(now);
+        let sound = |l: &NodeConnection| {
+            !l.retired && l.uses_search_api == api && l.input.is_none() && !l.is_idle_expired(now)
+        };
         // Two attempts of a part share an id: on one connection a repeated end could be taken for the other's.
-        let again = |l: &NodeConnection| parcels.iter().any(|p| p.shot > 0 && l.knows(&p.id));
+        let again = |l: &NodeConnection| parcels.iter().any(|p| p.attempt > 0 && l.has_carried(&p.id));
         self.nodes[node].connections.iter().copied().find(|id| {
             let connection = &self.connections[*id];
             sound(connection) && room(connection) && !again(connection)
@@ -119,12 +125,12 @@
         if let Some(look) = &look
             && !self.withdraw_disallowed(look, now, id, timers)
         {
-            return self.end(now, id, ConnectionEnd::FrameAborted, timers);
+            return self.close(now, id, ConnectionEnd::FrameAborted, timers);
         }
         if !self.withdraw_expired(now, id) {
-            return self.end(now, id, ConnectionEnd::FrameAborted, timers);
+            return self.close(now, id, ConnectionEnd::FrameAborted, timers);
         }
-        if self.connections.get(id).is_some_and(|connection| connection.up) {
+        if self.connections.get(id).is_some_and(|connection| connection.connected) {
             self.write_checked(now, id, look.as_ref(), once, timers);
         }
     }
@@ -132,7 +138,7 @@
     /// Whether a connection carries an attempt that must not run twice, with a control plane.
     fn carries_non_idempotent(&self, id: usize) -> bool {
         let (Some(gate), Some(connection)) = (&self.gate, self.connections.get(id)) else { return false };
-        connection.outstanding.iter().any(|out| gate.is_non_idempotent(out.parcel.table_type))
+        connection.outstanding.iter().any(|out| gate.is_non_idempotent(out.request.query_class))
     }
 
     /// Frames and writes attempts that have been checked, audits them, and handles a failed write.
@@ -146,25 +152,26 @@
     ) {
         let connection = &mut self.connections[id];
         let host = self.nodes[connection.node].name();
-        let search_api = self.api.as_ref().filter(|_| connection.api).map(|api| SearchApiFraming {
-            indices: &self.bounds.query_classes,
-            non_idempotent: &api.non_idempotent,
-            host,
-        });
+        let search_api =
+            self.search_api.as_ref().filter(|_| connection.uses_search_api).map(|api| SearchApiFraming {
+                indices: &self.bounds.query_classes,
+                non_idempotent: &api.non_idempotent,
+                host,
+            });
         let outcome = connection.write(now, search_api.as_ref(), look.filter(|_| once));
-        self.copied += connection.out.take_copied();
+        self.copied_bytes += connection.output.take_copied_bytes();
         if let (Some(gate), Some(look)) = (&self.gate, look) {
-            ownership_check::note(gate, look, host, connection);
+            ownership_check::audit_sent(gate, look, host, connection);
         }
-        if connection.out.is_awaiting_body() {
-            self.starved.push(id);
+        if connection.output.is_awaiting_body() {
+            self.awaiting_body.push(id);
         }
         self.release_written_body(id);
         if let Err(e) = outcome {
             if e.get_ref().is_some_and(|e| e.is::<StaleCheck>()) {
-                return self.end(now, id, ConnectionEnd::FrameAborted, timers);
+                return self.close(now, id, ConnectionEnd::FrameAborted, timers);
             }
-            self.receive_before_close(now, id, ConnectionEnd::of(&e), timers);
+            self.receive_before_close(now, id, ConnectionEnd::from_io_error(&e), timers);
         }
     }
 
@@ -173,11 +180,11 @@
         let connection = &mut self.connections[id];
         // A streamed body has its connection for itself, so it is the first attempt there.
         if let Some(out) = connection.outstanding.front_mut()
-            && out.parcel.text.body().is_some()
-            && out.to.is_some_and(|to| to <= connection.out.written())
+            && out.request.payload.body().is_some()
+            && out.frame_end.is_some_and(|to| to <= connection.output.written_offset())
         {
-            out.parcel.text = Payload::Released;
-            self.framed.push_back((connection.node, out.parcel.key()));
+            out.request.payload = Payload::Released;
+            self.written_bodies.push_back((connection.node, out.request.key()));
         }
     }
 }
--- a/crates/dunepond-broker/src/upstream/response.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -23,7 +23,7 @@
     position: usize,
     outcome: AttemptOutcome,
     value: Option<String>,
-    searched: Option<(u64, bool)>,
+    search_report: Option<(u64, bool)>,
 }
 
 /// A frame that reports the end of an attempt.
@@ -52,7 +52,7 @@
     fn receive_until(&mut self, now: f64, id: usize, broken: Option<ConnectionEnd>, timers: &mut Timers) {
         loop {
             let connection = &mut self.connections[id];
-            let input = connection.input.get_or_insert_with(|| self.pool.take());
+            let input = connection.input.get_or_insert_with(|| self.pool.acquire());
             let ending = match input.read_from(&*connection.stream) {
                 // The close ends a search API response without a length; but after a reset, later reads report a mere close.
                 Ok(0)
@@ -62,8 +62,8 @@
                     self.receive_search_response(now, id)
                 }
                 Ok(0) => broken.or(Some(ConnectionEnd::Closed)),
-                Ok(_) if connection.api => self.receive_search_response(now, id),
-                Ok(_) => self.frames(now, id, timers),
+                Ok(_) if connection.uses_search_api => self.receive_search_response(now, id),
+                Ok(_) => self.receive_frames(now, id, timers),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => None,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock && broken.is_some() => broken,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
@@ -73,7 +73,7 @@
                         timers.cancel(connection.timer.take_if(|key| !self.idle.contains_key(key)));
                     } else if connection.outstanding.is_empty() {
                         // A partial frame without an outstanding attempt: a later response would be read as its rest.
-                        return self.end(now, id, ConnectionEnd::ProtocolError, timers);
+                        return self.close(now, id, ConnectionEnd::ProtocolError, timers);
                     } else if connection.timer.is_none() {
                         // The rest of a frame may never arrive: it has as long as establishing a connection.
                         let until = now + self.bounds.connect_timeout_seconds;
@@ -81,10 +81,10 @@
                     }
                     return;
                 }
-                Err(e) => Some(ConnectionEnd::of(&e)),
+                Err(e) => Some(ConnectionEnd::from_io_error(&e)),
             };
             if let Some(ending) = ending {
-                return self.end(now, id, ending, timers);
+                return self.close(now, id, ending, timers);
             }
         }
     }
@@ -107,7 +107,7 @@
             Ok(true) if !input.is_empty() => Err(ConnectionEnd::ProtocolError),
             Ok(true) => Ok(connection.message.take()),
             Err(error) => {
-                warn!("node {}: {}", self.nodes[connection.node].name(), error.why);
+                warn!("node {}: {}", self.nodes[connection.node].name(), error.reason);
                 Err(ConnectionEnd::ProtocolError)
             }
         }
@@ -117,11 +117,11 @@
     fn finish_search_attempt(&mut self, now: f64, id: usize, message: &Message) -> Option<ConnectionEnd> {
         let connection = &mut self.connections[id];
         let Some(out) = connection.outstanding.pop_front() else { return Some(ConnectionEnd::ProtocolError) };
-        let is_written = out.is_written(&connection.out);
+        let is_written = out.is_written(&connection.output);
         let node = connection.node;
-        let (outcome, value) = self.search_outcome(node, out.parcel.table_type, message);
+        let (outcome, value) = self.search_outcome(node, out.request.query_class, message);
         // Answered before it was fully written, the request may still have run; only a rejection excludes that.
-        self.back.push_back(out.back(node, outcome, now, value));
+        self.completed.push_back(out.into_completed(node, outcome, now, value));
         let connection = &mut self.connections[id];
         if !is_written || !message.head.keep_alive {
             return Some(ConnectionEnd::FrameAborted);
@@ -146,10 +146,10 @@
             sort_keys: None,
             total_untracked: true,
         };
-        let once = self.api.as_ref().is_some_and(|api| api.non_idempotent[query_class]);
-        match read_response(message.head.status, message.text(), (!once).then_some(&expected)) {
+        let once = self.search_api.as_ref().is_some_and(|api| api.non_idempotent[query_class]);
+        match read_response(message.head.status, message.body_bytes(), (!once).then_some(&expected)) {
             NodeOutcome::Found(_) | NodeOutcome::Updated(_) => {
-                (AttemptOutcome::Served, std::str::from_utf8(message.text()).ok().map(str::to_string))
+                (AttemptOutcome::Served, std::str::from_utf8(message.body_bytes()).ok().map(str::to_string))
             }
             NodeOutcome::Rejected => (AttemptOutcome::Rejected, None),
             NodeOutcome::Failed(why) => {
@@ -160,7 +160,7 @@
     }
 
     /// Handles each complete frame that has arrived.
-    fn frames(&mut self, now: f64, id: usize, timers: &mut Timers) -> Option<ConnectionEnd> {
+    fn receive_frames(&mut self, now: f64, id: usize, timers: &mut Timers) -> Option<ConnectionEnd> {
         loop {
             let decoded = match self.next_ended(id) {
                 Ok(Some(decoded)) => decoded,
@@ -183,15 +183,15 @@
     fn next_ended(&mut self, id: usize) -> Result<Option<DecodedEnd>, ConnectionEnd> {
         let connection = &self.connections[id];
         let Some(input) = connection.input.as_ref() else { return Ok(None) };
-        let (frame, used) = match frames::read(input.held()) {
+        let (frame, used) = match frames::decode_frame(input.filled()) {
             Ok(Some(decoded)) => decoded,
             Ok(None) => return Ok(None),
             Err(error) => return Err(self.malformed(id, &error.to_string())),
         };
-        let NodeFrame::AttemptEnded { id: attempt, word, value, report } = frame else {
+        let NodeFrame::AttemptEnded { id: attempt, outcome: word, value, report } = frame else {
             return Err(self.not_an_end(id, &frame));
         };
-        let Some(position) = connection.outstanding.iter().position(|out| *out.parcel.id == *attempt) else {
+        let Some(position) = connection.outstanding.iter().position(|out| *out.request.id == *attempt) else {
             // The end of a cancelled or finished attempt is ignored; an unknown id could belong to any attempt here.
             let cancelled = connection.cancelled.iter().position(|cancelled| **cancelled == *attempt);
             if cancelled.is_none() && !connection.finished.iter().any(|finished| **finished == *attempt) {
@@ -207,7 +207,12 @@
             ReplicaOutcome::Failed => (AttemptOutcome::Error, None),
             ReplicaOutcome::Overloaded => (AttemptOutcome::Rejected, None),
         };
-        let ended = EndedOnConnection { position, outcome, value, searched: frames::searched(report) };
+        let ended = EndedOnConnection {
+            position,
+            outcome,
+            value,
+            search_report: frames::parse_search_report(report),
+        };
         Ok(Some(DecodedEnd { ended: Some(ended), frame_bytes: used }))
     }
 
@@ -223,7 +228,7 @@
     /// Logs a malformed frame with its first bytes.
     fn malformed(&self, id: usize, why: &str) -> ConnectionEnd {
         let connection = &self.connections[id];
-        let bytes = connection.input.as_ref().map_or(&[][..], Buffer::held);
+        let bytes = connection.input.as_ref().map_or(&[][..], Buffer::filled);
         let bytes = &bytes[..bytes.len().min(MAX_LOGGED_BYTES)];
         warn!("node {}: {why}: {}", self.name(connection.node), bytes.escape_ascii());
         ConnectionEnd::ProtocolError
@@ -232,8 +237,8 @@
     /// A node has reported the end of an outstanding attempt.
     fn finish_attempt(&mut self, now: f64, id: usize, ended: EndedOnConnection) -> Option<ConnectionEnd> {
         let connection = &mut self.connections[id];
-        let out = connection.take(ended.position)?;
-        let is_written = out.is_written(&connection.out);
+        let out = connection.finish_request(ended.position)?;
+        let is_written = out.is_written(&connection.output);
         if !is_written && ended.outcome != AttemptOutcome::Rejected {
             connection.outstanding.push_front(out);
             warn!(
@@ -242,8 +247,8 @@
             );
             return Some(ConnectionEnd::ProtocolError);
         }
-        let completed = out.back(connection.node, ended.outcome, now, ended.value);
-        self.back.push_back(CompletedAttempt { searched: ended.searched, ..completed });
+        let completed = out.into_completed(connection.node, ended.outcome, now, ended.value);
+        self.completed.push_back(CompletedAttempt { search_report: ended.search_report, ..completed });
         // Rejected before it was fully written, it never ran; the rest of its frame must not be written.
         (!is_written).then_some(ConnectionEnd::FrameAborted)
     }
@@ -252,7 +257,7 @@
 /// Reads on a response whose head may be parsed already; true once it is complete.
 fn read_message(message: &mut Option<Message>, input: &mut Buffer, pool: &Pool) -> Result<bool, HttpError> {
     if message.is_none() {
-        *message = http::response(input)?.map(Message::after);
+        *message = http::parse_response(input)?.map(Message::new);
     }
-    message.as_mut().map_or(Ok(false), |message| message.take(input, pool))
+    message.as_mut().map_or(Ok(false), |message| message.read_body(input, pool))
 }
--- a/crates/dunepond-broker/tests/closing.rs
+++ b/crates/dunepond-broker/tests/closing.rs
@@ -63,7 +63,7 @@
         let mut turn = Iteration::default();
         self.event_loop.dispatch(Duration::from_secs(5), &mut turn).unwrap();
         self.clients.accept(self.now, false, &mut self.timers);
-        (client, self.clients.again.pop().unwrap())
+        (client, self.clients.pending_clients.pop().unwrap())
     }
 
     /// The same for a client whose receive buffer is tiny.
@@ -75,25 +75,25 @@
         let mut turn = Iteration::default();
         self.event_loop.dispatch(Duration::from_secs(5), &mut turn).unwrap();
         self.clients.accept(self.now, false, &mut self.timers);
-        (Client::on(socket.into()), self.clients.again.pop().unwrap())
+        (Client::on(socket.into()), self.clients.pending_clients.pop().unwrap())
     }
 
     fn send_query(&mut self, client: &mut Client, id: usize) {
         client.send(&scan("find", "c1", &[1], "2.0"));
         self.wait_readable(id);
-        self.clients.ready(self.now, id, true, &mut self.timers);
+        self.clients.on_ready(self.now, id, true, &mut self.timers);
         assert!(self.reads_query(id));
     }
 
     /// Whether reading from the client returns a query.
     fn reads_query(&mut self, id: usize) -> bool {
-        matches!(self.clients.next(self.now, id, &mut self.timers), ClientEvent::Query(_))
+        matches!(self.clients.next_event(self.now, id, &mut self.timers), ClientEvent::Query(_))
     }
 
     fn respond(&mut self, client: &mut Client, id: usize) {
         self.clients.reply(self.now, id, 200, "{}", 0.0, &mut self.timers);
         assert_eq!(client.answer().unwrap().status, 200);
-        self.clients.again.clear();
+        self.clients.pending_clients.clear();
     }
 
     fn idle_client(&mut self) -> (Client, usize) {
@@ -112,13 +112,13 @@
 
     fn time_out(&mut self, id: usize) {
         self.now += 4.0;
-        assert_eq!(self.clients.slow(self.now, id, &mut self.timers), None);
+        assert_eq!(self.clients.on_timeout(self.now, id, &mut self.timers), None);
     }
 
     /// Reads from the pending clients; returns those with a query.
     fn read_pending(&mut self) -> Vec<usize> {
         let mut queries = Vec::new();
-        while let Some(id) = self.clients.again.pop() {
+        while let Some(id) = self.clients.pending_clients.pop() {
             if self.reads_query(id) {
                 queries.push(id);
             }
@@ -158,7 +158,7 @@
     let request = request();
     let (half, rest) = request.split_at(request.len() / 2);
     harness.send(&mut client, id, half);
-    harness.clients.ready(harness.now, id, true, &mut harness.timers);
+    harness.clients.on_ready(harness.now, id, true, &mut harness.timers);
     assert!(!harness.reads_query(id));
     harness.send(&mut client, id, rest);
     let time = harness.clients.read_before_timeout(id);
@@ -177,7 +177,7 @@
     harness.time_out(id);
     assert!(harness.read_pending().is_empty());
     harness.send(&mut client, id, rest);
-    harness.clients.ready(harness.now, id, true, &mut harness.timers);
+    harness.clients.on_ready(harness.now, id, true, &mut harness.timers);
     assert!(harness.reads_query(id));
     harness.respond(&mut client, id);
 }
@@ -190,14 +190,14 @@
     harness.time_out(id);
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
     harness.send(&mut client, id, &request());
-    harness.clients.ready(harness.now, id, true, &mut harness.timers);
+    harness.clients.on_ready(harness.now, id, true, &mut harness.timers);
     assert!(!harness.reads_query(id));
     assert_eq!(harness.clients.count(), 1);
     client.stream.write_all(b"x").unwrap();
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
     drop(client);
     harness.wait_readable(id);
-    harness.clients.ready(harness.now, id, true, &mut harness.timers);
+    harness.clients.on_ready(harness.now, id, true, &mut harness.timers);
     assert!(!harness.reads_query(id));
     assert_eq!(harness.clients.count(), 0);
 }
@@ -240,10 +240,10 @@
     let (mut client, id) = harness.connect();
     if responded_in_body {
         // Answered before its body has arrived: it reads the response once the body is sent.
-        harness.clients.raw = true;
+        harness.clients.accepts_streamed = true;
         let head = "POST /nowhere HTTP/1.1\r\nX-Buckets: 1=1.0\r\nContent-Length: 9000000\r\n\r\n";
         harness.send(&mut client, id, head);
-        harness.clients.ready(harness.now, id, true, &mut harness.timers);
+        harness.clients.on_ready(harness.now, id, true, &mut harness.timers);
         assert!(!harness.reads_query(id));
     } else {
         harness.send_query(&mut client, id);
@@ -269,7 +269,7 @@
     harness.clients.reply(harness.now, id, 200, &format!("\"{answer}\""), 0.0, &mut harness.timers);
     // All is written: only the client's close is awaited.
     let times = [1.1, 2.2, 3.3].map(|after| {
-        harness.clients.slow(harness.now + after, id, &mut harness.timers);
+        harness.clients.on_timeout(harness.now + after, id, &mut harness.timers);
         client.stream.write_all(b"x").unwrap();
         harness.clients.count()
     });
@@ -278,7 +278,7 @@
         assert_eq!(client.answer().unwrap().body, json!(answer));
     }
     // Once the response is read or too late, the connection is closed.
-    harness.clients.slow(harness.now + 3.6, id, &mut harness.timers);
+    harness.clients.on_timeout(harness.now + 3.6, id, &mut harness.timers);
     assert_eq!(harness.clients.count(), 0);
 }
 
@@ -291,7 +291,7 @@
     harness.clients.close_after_responses();
     harness.send(&mut client, id, &request());
     match rests {
-        true => harness.clients.close_resting(harness.now, &mut harness.timers),
+        true => harness.clients.close_idle(harness.now, &mut harness.timers),
         false => harness.clients.close_without_request(harness.now, &mut harness.timers),
     }
     assert_eq!(silent.stream.read(&mut [0]).unwrap(), 0);
--- a/crates/dunepond-broker/tests/hangup.rs
+++ b/crates/dunepond-broker/tests/hangup.rs
@@ -42,11 +42,11 @@
             Downstream::new(event_loop.handle(), &Pool::default(), bounds, most, 64, listener).unwrap();
         event_loop.dispatch(PATIENCE, &mut Iteration::default()).unwrap();
         clients.accept(at, false, &mut timers);
-        let id = clients.again.pop().unwrap();
+        let id = clients.pending_clients.pop().unwrap();
         let mut harness = Self { event_loop, clients, timers, address, client, id };
         harness.send(&scan("find", "c1", &[1], "2.0"));
-        assert!(matches!(harness.clients.next(at, id, &mut harness.timers), ClientEvent::Query(_)));
-        harness.clients.holds(id, 7);
+        assert!(matches!(harness.clients.next_event(at, id, &mut harness.timers), ClientEvent::Query(_)));
+        harness.clients.assign_query(id, 7);
         harness
     }
 
@@ -96,12 +96,15 @@
     let mut harness = Harness::with_query(100.0);
     harness.clients.reply(100.0, harness.id, 200, "{}", 0.0, &mut harness.timers);
     assert_eq!(harness.client.answer().unwrap().status, 200);
-    harness.clients.again.clear();
+    harness.clients.pending_clients.clear();
     harness.send(&scan("find", "c2", &[1], "2.0"));
     harness.hang_up();
-    harness.clients.slow(100.01, harness.id, &mut harness.timers);
-    assert_eq!(harness.clients.again, [harness.id]);
-    assert!(matches!(harness.clients.next(100.01, harness.id, &mut harness.timers), ClientEvent::Nothing));
+    harness.clients.on_timeout(100.01, harness.id, &mut harness.timers);
+    assert_eq!(harness.clients.pending_clients, [harness.id]);
+    assert!(matches!(
+        harness.clients.next_event(100.01, harness.id, &mut harness.timers),
+        ClientEvent::Nothing
+    ));
     assert_eq!(harness.clients.next_disconnected(&mut harness.timers), Some(None));
 }
 
@@ -111,14 +114,17 @@
     let mut harness = Harness::with_bound(1, 100.0);
     let mut waits = Client::dial(harness.address);
     waits.send(&scan("find", "c2", &[1], "2.0"));
-    assert!(!harness.clients.accept(100.1, false, &mut harness.timers) && harness.clients.again.is_empty());
+    assert!(
+        !harness.clients.accept(100.1, false, &mut harness.timers)
+            && harness.clients.pending_clients.is_empty()
+    );
     waits.stream.shutdown(Shutdown::Both).unwrap();
     harness.clients.reply(100.2, harness.id, 200, "{}", 0.0, &mut harness.timers);
-    harness.clients.again.clear();
-    harness.clients.resume();
+    harness.clients.pending_clients.clear();
+    harness.clients.resume_accepting();
     harness.clients.accept(100.2, false, &mut harness.timers);
-    let id = harness.clients.again.pop().unwrap();
-    assert!(matches!(harness.clients.next(100.2, id, &mut harness.timers), ClientEvent::Nothing));
+    let id = harness.clients.pending_clients.pop().unwrap();
+    assert!(matches!(harness.clients.next_event(100.2, id, &mut harness.timers), ClientEvent::Nothing));
     assert_eq!(
         (harness.clients.next_disconnected(&mut harness.timers), harness.clients.count()),
         (Some(None), 0)
