--- a/crates/dunepond-broker/tests/agent/mod.rs
+++ b/crates/dunepond-broker/tests/agent/mod.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-use dunepond_testkit::store::{Broker, Client, Node, config, scan};
+use dunepond_testkit::stand_ins::{Broker, Client, Node, config, query_request};
 use serde_json::{Value, json};
 use socket2::SockRef;
 
@@ -86,13 +86,13 @@
 
 /// A list in which the first node drains and the second is ready.
 pub fn first_node_draining(seq: u64, nodes: &[Node; 2]) -> Value {
-    full_list(seq, vec![nodes[0].line("draining"), nodes[1].line("ready")])
+    full_list(seq, vec![nodes[0].endpoint("draining"), nodes[1].endpoint("ready")])
 }
 
 /// A broker whose configured list has the first node only, and its first call.
 pub fn broker_awaiting_list(nodes: &[Node; 2]) -> (Broker, Agent, Call) {
     let agent = Agent::start();
-    let broker = Broker::start(&config(agent.address(), vec![nodes[0].line("ready")]));
+    let broker = Broker::start(&config(agent.address(), vec![nodes[0].endpoint("ready")]));
     let (call, path) = agent.accept_request();
     assert_eq!(path, "/v1/endpoints");
     (broker, agent, call)
@@ -101,16 +101,16 @@
 /// A broker that has received the first node alone as a list of this version, and now watches.
 pub fn broker_with_watch(seq: u64, nodes: &[Node; 2]) -> (Broker, Agent, Call) {
     let (broker, agent, mut call) = broker_awaiting_list(nodes);
-    call.answer(&full_list(seq, vec![nodes[0].line("ready")]));
+    call.answer(&full_list(seq, vec![nodes[0].endpoint("ready")]));
     assert!(call.read_request().starts_with(&format!("/v1/endpoints?index={seq}&wait=")));
     (broker, agent, call)
 }
 
 /// Sends a few queries; all parts go to the second node.
 pub fn assert_only_second_node_serves(broker: &Broker, nodes: &[Node; 2]) {
-    let mut client = Client::to(broker);
+    let mut client = Client::connect(broker);
     for i in 0..3 {
-        assert_eq!(client.ask(&scan("find", &format!("c{i}"), &[0, 1], "2.0")).status, 200);
+        assert_eq!(client.request(&query_request("find", &format!("c{i}"), &[0, 1], "2.0")).status, 200);
     }
     assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (0, 6));
 }
--- a/crates/dunepond-broker/tests/closing.rs
+++ b/crates/dunepond-broker/tests/closing.rs
@@ -12,7 +12,7 @@
 use dunepond_broker::downstream::{ClientEvent, Downstream, listen};
 use dunepond_broker::iteration::{Iteration, LoopEvent};
 use dunepond_config::{Fields, host_settings};
-use dunepond_testkit::store::{Client, scan, settings};
+use dunepond_testkit::stand_ins::{Client, query_request, settings};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
@@ -59,7 +59,7 @@
     }
 
     fn connect(&mut self) -> (Client, usize) {
-        let client = Client::dial(self.address);
+        let client = Client::connect_to(self.address);
         let mut turn = Iteration::default();
         self.event_loop.dispatch(Duration::from_secs(5), &mut turn).unwrap();
         self.clients.accept(self.now, false, &mut self.timers);
@@ -75,11 +75,11 @@
         let mut turn = Iteration::default();
         self.event_loop.dispatch(Duration::from_secs(5), &mut turn).unwrap();
         self.clients.accept(self.now, false, &mut self.timers);
-        (Client::on(socket.into()), self.clients.pending_clients.pop().unwrap())
+        (Client::from_stream(socket.into()), self.clients.pending_clients.pop().unwrap())
     }
 
     fn send_query(&mut self, client: &mut Client, id: usize) {
-        client.send(&scan("find", "c1", &[1], "2.0"));
+        client.send(&query_request("find", "c1", &[1], "2.0"));
         self.wait_readable(id);
         self.clients.on_ready(self.now, id, true, &mut self.timers);
         assert!(self.reads_query(id));
@@ -92,7 +92,7 @@
 
     fn respond(&mut self, client: &mut Client, id: usize) {
         self.clients.reply(self.now, id, 200, "{}", 0.0, &mut self.timers);
-        assert_eq!(client.answer().unwrap().status, 200);
+        assert_eq!(client.read_answer().unwrap().status, 200);
         self.clients.pending_clients.clear();
     }
 
@@ -128,7 +128,7 @@
 }
 
 fn request() -> String {
-    scan("find", "c2", &[1], "2.0")
+    query_request("find", "c2", &[1], "2.0")
 }
 
 #[test]
@@ -275,7 +275,7 @@
     });
     assert_eq!(times, [1; 3]);
     if takes {
-        assert_eq!(client.answer().unwrap().body, json!(answer));
+        assert_eq!(client.read_answer().unwrap().body, json!(answer));
     }
     // Once the response is read or too late, the connection is closed.
     harness.clients.on_timeout(harness.now + 3.6, id, &mut harness.timers);
@@ -309,9 +309,9 @@
     harness.clients.close_after_responses();
     harness.send(&mut client, id, &request());
     harness.clients.reply(harness.now, id, 200, "{}", 0.0, &mut harness.timers);
-    assert!(!client.answer().unwrap().head.contains("Connection: close"));
+    assert!(!client.read_answer().unwrap().head.contains("Connection: close"));
     assert_eq!(harness.read_pending(), [id]);
     harness.clients.reply(harness.now, id, 200, "{}", 0.0, &mut harness.timers);
-    assert!(client.answer().unwrap().head.contains("Connection: close"));
+    assert!(client.read_answer().unwrap().head.contains("Connection: close"));
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
 }
--- a/crates/dunepond-broker/tests/discovery.rs
+++ b/crates/dunepond-broker/tests/discovery.rs
@@ -8,7 +8,7 @@
 use std::process::Child;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{Broker, Client, List, Node, config, launch, scan};
+use dunepond_testkit::stand_ins::{Broker, Client, DiscoveryServer, Node, config, launch, query_request};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
@@ -95,7 +95,7 @@
     let (broker, agent, call) = broker_with_watch(41, &nodes);
     let address = agent.address();
     drop((agent, call));
-    while broker.said().matches("refused").count() < 4 {
+    while broker.log_text().matches("refused").count() < 4 {
         std::thread::yield_now();
     }
     let since = Instant::now();
@@ -141,9 +141,9 @@
 fn invalid_row_in_change_triggers_full_list(#[case] key: &str, #[case] value: Value) {
     let nodes = nodes();
     let (broker, _agent, mut call) = broker_with_watch(1, &nodes);
-    let mut invalid = nodes[0].line("draining");
+    let mut invalid = nodes[0].endpoint("draining");
     invalid[key] = value;
-    call.answer(&json!({"seq": 2, "whole": false, "hosts": [invalid, nodes[1].line("ready")]}));
+    call.answer(&json!({"seq": 2, "whole": false, "hosts": [invalid, nodes[1].endpoint("ready")]}));
     assert_eq!(call.read_request(), "/v1/endpoints");
     call.answer(&first_node_draining(2, &nodes));
     assert!(call.read_request().contains("index=2&"));
@@ -155,9 +155,9 @@
 fn full_list_with_invalid_row_requested_once_more() {
     let nodes = nodes();
     let (broker, _agent, mut call) = broker_awaiting_list(&nodes);
-    let mut invalid = nodes[0].line("ready");
+    let mut invalid = nodes[0].endpoint("ready");
     invalid["health"] = json!("asleep");
-    let all = full_list(5, vec![invalid, nodes[1].line("ready")]);
+    let all = full_list(5, vec![invalid, nodes[1].endpoint("ready")]);
     call.answer(&all);
     assert_eq!(call.read_request(), "/v1/endpoints");
     call.answer(&all);
@@ -175,9 +175,9 @@
     while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
         std::thread::yield_now();
     }
-    call.answer(&full_list(42, vec![nodes[0].line("ready"), nodes[1].line("ready")]));
+    call.answer(&full_list(42, vec![nodes[0].endpoint("ready"), nodes[1].endpoint("ready")]));
     let new = Agent::start();
-    broker.reread(&config(new.address(), vec![]));
+    broker.reload_config(&config(new.address(), vec![]));
     broker.signal("CONT");
     let (mut at_new, path) = new.accept_request();
     assert_eq!(path, "/v1/endpoints");
@@ -205,19 +205,19 @@
 fn connecting_parts_leave_unlisted_node() {
     let (full, address, fill) = unreachable_listener();
     let nodes = nodes();
-    let mut late = nodes[0].line("ready");
+    let mut late = nodes[0].endpoint("ready");
     late["dial"] = json!(address.to_string());
-    let list = List::start(vec![late.clone(), nodes[1].line("ready")]);
-    let mut config = config(list.address, vec![late, nodes[1].line("ready")]);
+    let list = DiscoveryServer::start(vec![late.clone(), nodes[1].endpoint("ready")]);
+    let mut config = config(list.address, vec![late, nodes[1].endpoint("ready")]);
     config["settings"]["ceilings"]["connectTimeoutMs"] = json!(5000.0);
     let broker = Broker::start(&config);
-    let mut clients: Vec<_> = (0..6).map(|_| Client::to(&broker)).collect();
+    let mut clients: Vec<_> = (0..6).map(|_| Client::connect(&broker)).collect();
     for (i, client) in clients.iter_mut().enumerate() {
-        client.send(&scan("fix", &format!("c{i}"), &[i], "2.5"));
+        client.send(&query_request("fix", &format!("c{i}"), &[i], "2.5"));
     }
-    nodes[1].wait_for('A', 1);
-    list.tell(vec![nodes[1].line("ready")]);
-    assert!(clients.iter_mut().all(|client| client.answer().unwrap().status == 200));
+    nodes[1].wait_for_frames('A', 1);
+    list.publish(vec![nodes[1].endpoint("ready")]);
+    assert!(clients.iter_mut().all(|client| client.read_answer().unwrap().status == 200));
     // Once the queue has room the connection is established by the next SYN, after a second.
     let mut came =
         std::iter::repeat_with(|| full.accept().unwrap()).find(|(_, peer)| !fill.contains(peer)).unwrap().0;
@@ -232,12 +232,12 @@
 /// A broker whose descriptors are used up by idle clients, although its configuration allows for more.
 fn broker_without_descriptors(nodes: &[Node; 2]) -> (Broker, Agent, Call, Client, Vec<TcpStream>) {
     let agent = Agent::start();
-    let known = vec![nodes[0].line("ready")];
-    let broker = Broker::start_with_descriptors(DESCRIPTORS, &config(agent.address(), known));
+    let known = vec![nodes[0].endpoint("ready")];
+    let broker = Broker::start_with_descriptor_limit(DESCRIPTORS, &config(agent.address(), known));
     let (mut call, _) = agent.accept_request();
-    call.answer(&full_list(1, vec![nodes[0].line("ready")]));
+    call.answer(&full_list(1, vec![nodes[0].endpoint("ready")]));
     call.read_request();
-    let first = Client::to(&broker);
+    let first = Client::connect(&broker);
     let crowd = (0..IDLE_CLIENTS).map(|_| TcpStream::connect(broker.address).unwrap()).collect();
     let folder = format!("/proc/{}/fd", broker.pid());
     while std::fs::read_dir(&folder).unwrap().count() < DESCRIPTORS {
@@ -266,7 +266,7 @@
 fn node_connection_frees_descriptor() {
     let nodes = nodes();
     let (_broker, _agent, _call, mut first, _crowd) = broker_without_descriptors(&nodes);
-    assert_eq!(first.ask(&scan("fix", "c1", &[0], "2.0")).status, 200);
+    assert_eq!(first.request(&query_request("fix", "c1", &[0], "2.0")).status, 200);
     assert_eq!(nodes[0].frames('A').len(), 1);
 }
 
@@ -274,9 +274,9 @@
 fn broker_awaiting_port(
     at: SocketAddr,
     nodes: &[Node; 2],
-) -> (List, Child, PathBuf, impl Iterator<Item = String>) {
-    let list = List::start(vec![nodes[0].line("ready")]);
-    let mut config = config(list.address, vec![nodes[0].line("ready")]);
+) -> (DiscoveryServer, Child, PathBuf, impl Iterator<Item = String>) {
+    let list = DiscoveryServer::start(vec![nodes[0].endpoint("ready")]);
+    let mut config = config(list.address, vec![nodes[0].endpoint("ready")]);
     config["listen"] = json!(at.to_string());
     let (mut child, file) = launch(&config);
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
@@ -293,7 +293,7 @@
     let (_list, mut child, file, mut lines) = broker_awaiting_port(at, &nodes);
     drop(held);
     assert!(lines.any(|line| line.contains("listening on")));
-    assert_eq!(Client::dial(at).ask("GET /ready HTTP/1.1\r\n\r\n").status, 200);
+    assert_eq!(Client::connect_to(at).request("GET /ready HTTP/1.1\r\n\r\n").status, 200);
     child.kill().unwrap();
     child.wait().unwrap();
     std::fs::remove_file(file).unwrap();
@@ -304,7 +304,8 @@
 
 /// Sends a readiness request on a connection that is established once the accept queue has room.
 fn send_to_full_queue(at: SocketAddr) -> std::thread::JoinHandle<u16> {
-    let readiness = std::thread::spawn(move || Client::dial(at).ask("GET /ready HTTP/1.1\r\n\r\n").status);
+    let readiness =
+        std::thread::spawn(move || Client::connect_to(at).request("GET /ready HTTP/1.1\r\n\r\n").status);
     let remote = format!("{:08X}:{:04X} 02", u32::from_le_bytes([127, 0, 0, 1]), at.port());
     while !std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&remote) {
         std::thread::yield_now();
@@ -379,13 +380,13 @@
     config["known"] = known;
     let broker = Broker::start(&config);
     let _silent = agent.accept_request();
-    let mut client = Client::to(&broker);
-    assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").status, 503);
+    let mut client = Client::connect(&broker);
+    assert_eq!(client.request("GET /ready HTTP/1.1\r\n\r\n").status, 503);
     let since = Instant::now();
     let (mut call, _) = agent.accept_request();
     call.answer(&first_node_draining(1, &nodes));
     call.read_request();
-    assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").status, 200);
+    assert_eq!(client.request("GET /ready HTTP/1.1\r\n\r\n").status, 200);
     assert!(since.elapsed() < MAX_UPDATE_DELAY, "{:?}", since.elapsed());
 }
 
@@ -394,15 +395,15 @@
 fn query_before_first_list_rejected_in_time() {
     let nodes = nodes();
     let agent = Agent::start();
-    let mut config = config(agent.address(), vec![nodes[0].line("ready")]);
+    let mut config = config(agent.address(), vec![nodes[0].endpoint("ready")]);
     config["settings"]["services"][1]["deadlineMs"] = json!(600.0);
     config["settings"]["services"][1]["aimMs"] = json!(300.0);
     let broker = Broker::start(&config);
     let (mut call, _) = agent.accept_request();
-    let mut client = Client::to(&broker);
-    assert_eq!(client.ask(&scan("fix", "c1", &[0], "0.6")).status, 429);
+    let mut client = Client::connect(&broker);
+    assert_eq!(client.request(&query_request("fix", "c1", &[0], "0.6")).status, 429);
     call.answer(&first_node_draining(2, &nodes));
     assert!(call.read_request().contains("index=2&"));
-    assert_eq!(client.ask(&scan("fix", "c2", &[0], "0.6")).status, 200);
+    assert_eq!(client.request(&query_request("fix", "c2", &[0], "0.6")).status, 200);
     assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (0, 1));
 }
--- a/crates/dunepond-broker/tests/ending.rs
+++ b/crates/dunepond-broker/tests/ending.rs
@@ -3,7 +3,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{Broker, Client, List, Manner, Node, scan};
+use dunepond_testkit::stand_ins::{Broker, Client, DiscoveryServer, Node, NodeBehavior, query_request};
 use rstest::rstest;
 use serde_json::json;
 
@@ -11,14 +11,14 @@
 struct ShuttingDown {
     at: Instant,
     broker: Broker,
-    _list: List,
+    _list: DiscoveryServer,
     nodes: Vec<Node>,
 }
 
 impl ShuttingDown {
     fn start(before_signal: impl FnOnce(&Broker)) -> Self {
         let nodes = vec![Node::start("s-0")];
-        let (broker, list) = Broker::before(&nodes);
+        let (broker, list) = Broker::start_for(&nodes);
         before_signal(&broker);
         broker.signal("TERM");
         Self { at: Instant::now(), broker, _list: list, nodes }
@@ -45,7 +45,7 @@
 }
 
 fn is_served(client: &mut Client, id: &str) -> bool {
-    client.try_ask(&scan("find", id, &[1], "2.0")).is_some_and(|answer| answer.status == 200)
+    client.try_request(&query_request("find", id, &[1], "2.0")).is_some_and(|answer| answer.status == 200)
 }
 
 /// The listener stays open for a while, and first requests may come later.
@@ -55,10 +55,10 @@
 fn new_connection_may_send_request(#[case] connects: f64, #[case] asks: f64) {
     let broker = ShuttingDown::start(|_| {});
     broker.wait_until(connects);
-    let mut client = Client::to(&broker.broker);
+    let mut client = Client::connect(&broker.broker);
     broker.wait_until(asks);
     assert!(is_served(&mut client, "c1"));
-    assert!(client.answer().is_none());
+    assert!(client.read_answer().is_none());
     broker.assert_exits_in_time(client);
 }
 
@@ -66,7 +66,7 @@
 fn silent_connection_closed_before_kill() {
     let broker = ShuttingDown::start(|_| {});
     broker.wait_until(0.55);
-    let client = Client::to(&broker.broker);
+    let client = Client::connect(&broker.broker);
     let mut waits = client.stream.try_clone().unwrap();
     assert_eq!(std::io::Read::read(&mut waits, &mut [0]).unwrap(), 0);
     assert!(broker.at.elapsed() < Duration::from_secs_f64(1.6), "{:?}", broker.at.elapsed());
@@ -77,14 +77,14 @@
 fn idle_connection_served_until_listener_closes() {
     let mut client = None;
     let broker = ShuttingDown::start(|broker| {
-        let resting = client.insert(Client::to(broker));
+        let resting = client.insert(Client::connect(broker));
         assert!(is_served(resting, "c1"));
     });
     let mut client = client.unwrap();
     broker.wait_until(0.55);
-    let answer = client.ask(&scan("find", "c2", &[1], "2.0"));
+    let answer = client.request(&query_request("find", "c2", &[1], "2.0"));
     assert_eq!((answer.status, answer.head.contains("Connection: close")), (200, true));
-    assert!(client.answer().is_none());
+    assert!(client.read_answer().is_none());
     broker.assert_exits_in_time(client);
 }
 
@@ -93,17 +93,17 @@
 fn requests_received_during_stall_are_answered(#[values(false, true)] accepted: bool) {
     let mut client = None;
     let broker = ShuttingDown::start(|broker| {
-        let first = client.insert(Client::to(broker));
+        let first = client.insert(Client::connect(broker));
         assert!(is_served(first, "c1"));
     });
     let mut client = client.unwrap();
     broker.stop_while(0.3, 0.9, || {
         if !accepted {
-            client = Client::to(&broker.broker);
+            client = Client::connect(&broker.broker);
         }
-        client.send(&scan("find", "c2", &[1], "2.0"));
+        client.send(&query_request("find", "c2", &[1], "2.0"));
     });
-    assert_eq!(client.answer().unwrap().status, 200);
+    assert_eq!(client.read_answer().unwrap().status, 200);
     broker.assert_exits_in_time(client);
 }
 
@@ -111,13 +111,13 @@
 fn partial_request_answered_once_complete() {
     let broker = ShuttingDown::start(|_| {});
     broker.wait_until(0.3);
-    let mut client = Client::to(&broker.broker);
-    let request = scan("find", "c1", &[1], "2.0");
+    let mut client = Client::connect(&broker.broker);
+    let request = query_request("find", "c1", &[1], "2.0");
     let (half, rest) = request.split_at(request.len() - 20);
     client.send(half);
     broker.wait_until(0.9);
     client.send(rest);
-    assert_eq!(client.answer().unwrap().status, 200);
+    assert_eq!(client.read_answer().unwrap().status, 200);
     broker.assert_exits_in_time(client);
 }
 
@@ -125,20 +125,22 @@
 #[test]
 fn backlog_accepted_once_room_is_free() {
     let nodes = vec![Node::start("s-0")];
-    nodes[0].behave(Manner::Hang);
-    let (broker, list) = Broker::before_with(&nodes, "/limits/sockets", json!(48));
-    let mut held: Vec<_> = (0..18).map(|_| Client::to(&broker)).collect();
-    held.iter_mut().enumerate().for_each(|(i, c)| c.send(&scan("find", &format!("h{i}"), &[1], "1.5")));
-    nodes[0].wait_for('A', 1);
+    nodes[0].set_behavior(NodeBehavior::Hang);
+    let (broker, list) = Broker::start_for_with(&nodes, "/limits/sockets", json!(48));
+    let mut held: Vec<_> = (0..18).map(|_| Client::connect(&broker)).collect();
+    held.iter_mut()
+        .enumerate()
+        .for_each(|(i, c)| c.send(&query_request("find", &format!("h{i}"), &[1], "1.5")));
+    nodes[0].wait_for_frames('A', 1);
     broker.signal("TERM");
     let broker = ShuttingDown { at: Instant::now(), broker, _list: list, nodes };
     broker.wait_until(0.3);
-    let mut client = Client::to(&broker.broker);
-    client.send(&scan("find", "c1", &[1], "1.5"));
+    let mut client = Client::connect(&broker.broker);
+    client.send(&query_request("find", "c1", &[1], "1.5"));
     broker.wait_until(0.8);
-    broker.nodes[0].behave(Manner::Serve);
-    assert!(client.answer().is_some());
-    assert!(held.iter_mut().all(|client| client.answer().is_some()));
+    broker.nodes[0].set_behavior(NodeBehavior::Serve);
+    assert!(client.read_answer().is_some());
+    assert!(held.iter_mut().all(|client| client.read_answer().is_some()));
     drop(held);
     broker.assert_exits_in_time(client);
 }
@@ -147,10 +149,10 @@
 #[test]
 fn late_request_answered_before_kill() {
     let broker = ShuttingDown::start(|_| {});
-    broker.nodes[0].behave(Manner::Hang);
+    broker.nodes[0].set_behavior(NodeBehavior::Hang);
     broker.wait_until(0.5);
-    let mut client = Client::to(&broker.broker);
+    let mut client = Client::connect(&broker.broker);
     broker.wait_until(0.85);
-    assert!(matches!(client.ask(&scan("fix", "c1", &[1], "3.0")).status, 429 | 502));
+    assert!(matches!(client.request(&query_request("fix", "c1", &[1], "3.0")).status, 429 | 502));
     broker.assert_exits_in_time(client);
 }
--- a/crates/dunepond-broker/tests/fleet/harness.rs
+++ b/crates/dunepond-broker/tests/fleet/harness.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use dunepond_control_plane::{AuditEvent, AuditPhase, AuditRecord};
-use dunepond_testkit::store::{self, Answer, Broker, Client, List, Node, scan};
+use dunepond_testkit::stand_ins::{self, Answer, Broker, Client, DiscoveryServer, Node, query_request};
 use serde_json::{Value, json};
 
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
@@ -29,7 +29,7 @@
     pub folder: PathBuf,
     pub addresses: Vec<SocketAddr>,
     pub nodes: Vec<Node>,
-    pub list: List,
+    pub list: DiscoveryServer,
     /// Further nodes of the operator's file.
     pub more: String,
     /// The queries' deadline in milliseconds.
@@ -40,10 +40,10 @@
 
 impl Fleet {
     pub fn new(brokers: usize, more: &str) -> Self {
-        let folder = store::scratch("fleet");
+        let folder = stand_ins::scratch_path("fleet");
         fs::create_dir(&folder).unwrap();
         let nodes: Vec<_> = (0..3).map(|i| Node::start(&format!("s-{i}"))).collect();
-        let list = List::start(nodes.iter().map(|node| node.line("ready")).collect());
+        let list = DiscoveryServer::start(nodes.iter().map(|node| node.endpoint("ready")).collect());
         let addresses = (0..brokers).map(|_| address()).collect();
         Self { folder, addresses, nodes, list, more: more.to_string(), deadline_ms: 800.0, find: "pure" }
     }
@@ -68,8 +68,10 @@
         );
         let kdl = self.path(&format!("{name}.kdl"));
         fs::write(&kdl, text).unwrap();
-        let mut config =
-            store::config(self.list.address, self.nodes.iter().map(|node| node.line("ready")).collect());
+        let mut config = stand_ins::config(
+            self.list.address,
+            self.nodes.iter().map(|node| node.endpoint("ready")).collect(),
+        );
         config["name"] = json!(name);
         config["settings"]["services"].as_array_mut().unwrap().iter_mut().for_each(|service| {
             service["deadlineMs"] = json!(self.deadline_ms);
@@ -81,7 +83,7 @@
         config["settings"]["ceilings"]["connectTimeoutMs"] = json!(2500.0);
         let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
         command.arg("run").arg("--operator").arg(&kdl);
-        Broker::started(store::launch_by(command, &config))
+        Broker::from_child(stand_ins::launch_command(command, &config))
     }
 
     pub fn offer(&self, at: usize, version: &Value) {
@@ -187,7 +189,7 @@
 }
 
 pub fn ask(broker: &Broker, query_class: &str, id: &str, segments: &[usize]) -> Answer {
-    Client::to(broker).ask(&scan(query_class, id, segments, "2.5"))
+    Client::connect(broker).request(&query_request(query_class, id, segments, "2.5"))
 }
 
 pub fn is_without_lease(line: &AuditRecord) -> bool {
--- a/crates/dunepond-broker/tests/fleet/main.rs
+++ b/crates/dunepond-broker/tests/fleet/main.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use dunepond_control_plane::{AuditEvent, AuditPhase, AuditRecord};
-use dunepond_testkit::store::{Client, List, Manner, scan};
+use dunepond_testkit::stand_ins::{Client, DiscoveryServer, NodeBehavior, query_request};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
@@ -100,12 +100,12 @@
     fleet.wait_active(0, 1);
     drop(other);
     broker.signal("STOP");
-    let mut clients = [Client::to(&broker), Client::to(&broker)];
-    clients[0].send(&scan("fix", "a", &[0], "2.5"));
-    clients[1].send(&scan("find", "b", &[0, 1], "2.5"));
+    let mut clients = [Client::connect(&broker), Client::connect(&broker)];
+    clients[0].send(&query_request("fix", "a", &[0], "2.5"));
+    clients[1].send(&query_request("find", "b", &[0, 1], "2.5"));
     thread::sleep(Duration::from_millis(800));
     broker.signal("CONT");
-    let answers = clients.map(|mut client| client.answer().unwrap());
+    let answers = clients.map(|mut client| client.read_answer().unwrap());
     assert_eq!(answers.each_ref().map(|answer| answer.status), [429, 200], "{answers:?}");
     fleet.wait_lease_expired(0);
     assert_eq!(non_idempotent_sent(fleet.audit_log(0)), []);
@@ -154,7 +154,7 @@
     fleet.wait_active(0, 1);
     // Samples for the usual latency, then a query whose attempts all fail.
     (0..20).for_each(|i| drop(ask(&broker, "find", &format!("a{i}"), &[0])));
-    fleet.nodes.iter().for_each(|node| node.behave(Manner::Say("fault")));
+    fleet.nodes.iter().for_each(|node| node.set_behavior(NodeBehavior::ReplyStatus("fault")));
     let sent = || fleet.nodes.iter().map(|node| node.frames('A').len()).sum::<usize>();
     let before = sent();
     assert_ne!(ask(&broker, "find", "b", &[0]).status, 200);
@@ -189,13 +189,13 @@
     let (listener, address, filling) = full_listener();
     let line = json!({"host": "s-0", "dial": address.to_string(), "site": "a", "class": "m", "block": 0,
         "health": "ready", "share": 1.0, "born_ms": 0});
-    fleet.list = List::start(vec![line.clone()]);
+    fleet.list = DiscoveryServer::start(vec![line.clone()]);
     fleet.nodes = Vec::new();
     let (broker, other) = (fleet.start(0), fleet.start(1));
     // With a lease, without a version.
     fleet.wait_active(0, 0);
-    let mut client = Client::to(&broker);
-    client.send(&scan("fix", "a", &[0], "2.9"));
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("fix", "a", &[0], "2.9"));
     drop(other);
     fleet.wait_lease_expired(0);
     // Only now can the connection be established.
@@ -213,9 +213,9 @@
         thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(String::from_utf8_lossy(&came), "");
-    assert_ne!(client.answer().unwrap().status, 200);
+    assert_ne!(client.read_answer().unwrap().status, 200);
     assert_eq!(non_idempotent_sent(fleet.audit_log(0)), []);
-    broker.said().contains("the active configuration forbids it")
+    broker.log_text().contains("the active configuration forbids it")
 }
 
 #[test]
@@ -227,9 +227,9 @@
         fill_service.address
     );
     let mut fleet = Fleet::new(1, &more);
-    let mut rows: Vec<_> = fleet.nodes.iter().map(|node| node.line("ready")).collect();
+    let mut rows: Vec<_> = fleet.nodes.iter().map(|node| node.endpoint("ready")).collect();
     rows[2]["site"] = json!("b");
-    fleet.list = List::start(rows);
+    fleet.list = DiscoveryServer::start(rows);
     let holder = |node: &str, partner: &str, filled: bool, share: f64| json!({"node": node, "partner": partner, "filled": filled, "share": share});
     let with_holders = |number: u64, segment: u64, third: Option<Value>| {
         let mut version = version(number, &["s-0"]);
@@ -245,10 +245,10 @@
     fleet.wait_active(0, 1);
     // Answers of south's node for north's tenant are north's debt.
     let mill = |i: usize| {
-        let scan = scan("find", &format!("m{i}"), &[0, 1, 2, 3, 4, 5], "0.7");
+        let scan = query_request("find", &format!("m{i}"), &[0, 1, 2, 3, 4, 5], "0.7");
         scan.replacen("X-Call-Id", "X-Caller: mill\r\nX-Call-Id", 1)
     };
-    (0..10).for_each(|i| drop(Client::to(&broker).ask(&mill(i))));
+    (0..10).for_each(|i| drop(Client::connect(&broker).request(&mill(i))));
     let max_bytes = fleet.nodes[2].frames('A').len() as u64 * "v-q1".len() as u64;
     assert!(max_bytes > 0, "south's node was never asked");
     thread::sleep(Duration::from_millis(1700));
@@ -260,7 +260,7 @@
         (&first[0]["segment"], &first[0]["holder"], &first[0]["id"]),
         (&json!(3), &json!("s-2"), &json!("2/3/s-2"))
     );
-    broker.quiet = true;
+    broker.suppress_log = true;
     broker.signal("KILL");
     drop(broker);
     let broker = fleet.start(0);
@@ -281,5 +281,5 @@
     assert_eq!((id.as_str(), debtor.as_str()), ("2/3/s-2@fleet", "north"));
     // Answers that were cancelled before they were complete do not count.
     assert!((1..=max_bytes).contains(bytes), "{bytes} of {max_bytes}");
-    assert!(broker.said().contains("settled 2/3/s-2@fleet"));
+    assert!(broker.log_text().contains("settled 2/3/s-2@fleet"));
 }
--- a/crates/dunepond-broker/tests/golden.rs
+++ b/crates/dunepond-broker/tests/golden.rs
@@ -9,8 +9,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::pages::{self, Site, Speech, request};
-use dunepond_testkit::store::{self, Broker, Client, List, Manner, Node, config, scan};
+use dunepond_testkit::search_cluster::{self, NodeProtocol, SearchCluster, http_request};
+use dunepond_testkit::stand_ins::{
+    self, Broker, Client, DiscoveryServer, Node, NodeBehavior, config, query_request,
+};
 use serde_json::{Value, json};
 
 /// Longest that anything here waits for what must come.
@@ -124,15 +126,15 @@
 }
 
 /// A broker with an operator's file, before nodes at these addresses.
-fn broker_by(kdl: &str, lines: Vec<Value>, change: impl FnOnce(&mut Value)) -> (Broker, List) {
-    let list = List::start(lines.clone());
+fn broker_by(kdl: &str, lines: Vec<Value>, change: impl FnOnce(&mut Value)) -> (Broker, DiscoveryServer) {
+    let list = DiscoveryServer::start(lines.clone());
     let mut config = config(list.address, lines);
     change(&mut config);
-    let file = store::scratch("kdl");
+    let file = stand_ins::scratch_path("kdl");
     std::fs::write(&file, kdl).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
     command.arg("run").arg("--operator").arg(&file);
-    let broker = Broker::started(store::launch_by(command, &config));
+    let broker = Broker::from_child(stand_ins::launch_command(command, &config));
     std::fs::remove_file(&file).unwrap();
     (broker, list)
 }
@@ -145,45 +147,45 @@
 #[test]
 fn answers_that_serve() {
     let nodes = nodes(2);
-    let (broker, _list) = Broker::before(&nodes);
+    let (broker, _list) = Broker::start_for(&nodes);
     let (at, mut seen) = (broker.address, Transcript::default());
-    seen.ask("whole", at, &scan("find", "c1", &[3, 5], "2.0"));
+    seen.ask("whole", at, &query_request("find", "c1", &[3, 5], "2.0"));
     seen.ask(
         "whole, without the table type's header",
         at,
-        &scan("find", "c2", &[3], "2").replace("X-Call-Class: find\r\n", ""),
+        &query_request("find", "c2", &[3], "2").replace("X-Call-Class: find\r\n", ""),
     );
     seen.ask(
         "whole, of a client that the settings do not list",
         at,
-        &scan("find", "c3", &[3], "2").replace("X-Budget", "X-Caller: p9\r\nX-Budget"),
+        &query_request("find", "c3", &[3], "2").replace("X-Budget", "X-Caller: p9\r\nX-Budget"),
     );
     seen.ask(
         "whole, sent again",
         at,
-        &scan("find", "c4", &[3], "2").replace("X-Budget", "X-Again: 1\r\nX-Budget"),
+        &query_request("find", "c4", &[3], "2").replace("X-Budget", "X-Again: 1\r\nX-Budget"),
     );
     seen.ask(
         "whole, to be closed",
         at,
-        &scan("find", "c5", &[3], "2").replace("X-Budget", "Connection: close\r\nX-Budget"),
+        &query_request("find", "c5", &[3], "2").replace("X-Budget", "Connection: close\r\nX-Budget"),
     );
-    seen.ask("whole, HTTP/1.0", at, &scan("find", "c6", &[3], "2").replace("HTTP/1.1", "HTTP/1.0"));
+    seen.ask("whole, HTTP/1.0", at, &query_request("find", "c6", &[3], "2").replace("HTTP/1.1", "HTTP/1.0"));
     seen.ask(
         "whole, HTTP/1.0, kept",
         at,
-        &scan("find", "c7", &[3], "2")
+        &query_request("find", "c7", &[3], "2")
             .replace("HTTP/1.1", "HTTP/1.0")
             .replace("X-Budget", "Connection: keep-alive\r\nX-Budget"),
     );
     seen.ask(
         "whole, expecting to go on",
         at,
-        &scan("find", "c8", &[3], "2").replace("X-Budget", "Expect: 100-continue\r\nX-Budget"),
+        &query_request("find", "c8", &[3], "2").replace("X-Budget", "Expect: 100-continue\r\nX-Budget"),
     );
     seen.ask("ready", at, "GET /ready HTTP/1.1\r\n\r\n");
-    nodes.iter().for_each(|node| node.behave(Manner::HangFor(1)));
-    seen.ask("partial", at, &scan("find", "c9", &[0, 1], "0.8"));
+    nodes.iter().for_each(|node| node.set_behavior(NodeBehavior::HangForShard(1)));
+    seen.ask("partial", at, &query_request("find", "c9", &[0, 1], "0.8"));
     check("answers-served.txt", &seen.0);
 }
 
@@ -196,30 +198,33 @@
 fn answers_that_reject_or_fail() {
     let mut seen = Transcript::default();
     for (label, manner, table_type) in [
-        ("rejected by the nodes' overload, idempotent", Manner::Say("overload"), "find"),
-        ("rejected by the nodes' overload, not idempotent", Manner::Say("overload"), "fix"),
-        ("failed, outcome unknown, by a fault", Manner::Say("fault"), "fix"),
-        ("failed, outcome unknown, by a break", Manner::DieMidFrame, "fix"),
-        ("failed, outcome unknown, by silence", Manner::Hang, "fix"),
+        ("rejected by the nodes' overload, idempotent", NodeBehavior::ReplyStatus("overload"), "find"),
+        ("rejected by the nodes' overload, not idempotent", NodeBehavior::ReplyStatus("overload"), "fix"),
+        ("failed, outcome unknown, by a fault", NodeBehavior::ReplyStatus("fault"), "fix"),
+        ("failed, outcome unknown, by a break", NodeBehavior::CloseMidFrame, "fix"),
+        ("failed, outcome unknown, by silence", NodeBehavior::Hang, "fix"),
     ] {
         let nodes = nodes(1);
-        nodes[0].behave(manner);
-        let (broker, _list) = Broker::before(&nodes);
-        seen.put(label, &without_wait(&exchange(broker.address, &scan(table_type, "c1", &[2], "1.0"))));
+        nodes[0].set_behavior(manner);
+        let (broker, _list) = Broker::start_for(&nodes);
+        seen.put(
+            label,
+            &without_wait(&exchange(broker.address, &query_request(table_type, "c1", &[2], "1.0"))),
+        );
     }
-    let (broker, _list) = Broker::before(&[]);
+    let (broker, _list) = Broker::start_for(&[]);
     seen.put(
         "rejected without nodes",
-        &without_wait(&exchange(broker.address, &scan("find", "c1", &[0], "2.0"))),
+        &without_wait(&exchange(broker.address, &query_request("find", "c1", &[0], "2.0"))),
     );
     seen.ask("not ready", broker.address, "GET /ready HTTP/1.1\r\n\r\n");
     let nodes = nodes(1);
-    nodes[0].behave(Manner::Hang);
-    let (broker, _list) = Broker::before_with(&nodes, "/settings/ceilings/mostHeld", json!(4));
-    let mut first = Client::to(&broker);
-    first.send(&scan("find", "c1", &[0, 1, 2], "2.0"));
-    nodes[0].wait_for('A', 3);
-    seen.ask("rejected, as too much is held", broker.address, &scan("find", "c2", &[0], "2.0"));
+    nodes[0].set_behavior(NodeBehavior::Hang);
+    let (broker, _list) = Broker::start_for_with(&nodes, "/settings/ceilings/mostHeld", json!(4));
+    let mut first = Client::connect(&broker);
+    first.send(&query_request("find", "c1", &[0, 1, 2], "2.0"));
+    nodes[0].wait_for_frames('A', 3);
+    seen.ask("rejected, as too much is held", broker.address, &query_request("find", "c2", &[0], "2.0"));
     broker.signal("TERM");
     let start = Instant::now();
     let ready = loop {
@@ -236,19 +241,19 @@
 #[test]
 fn answers_to_what_is_malformed() {
     let nodes = nodes(1);
-    let (broker, _list) = Broker::before(&nodes);
+    let (broker, _list) = Broker::start_for(&nodes);
     let (at, mut seen) = (broker.address, Transcript::default());
-    let good = |id: &str| scan("find", id, &[1], "2");
-    let three = scan("find", "c1", &[1, 2, 3], "2");
+    let good = |id: &str| query_request("find", id, &[1], "2");
+    let three = query_request("find", "c1", &[1, 2, 3], "2");
     let chunked = "POST /find HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
     for (label, request) in [
-        ("path", scan("lost", "c1", &[0], "2")),
-        ("shard", scan("find", "c1", &[6], "2")),
-        ("shard twice", scan("find", "c1", &[1, 1], "2")),
-        ("no parts", scan("find", "c1", &[], "2")),
-        ("budget", scan("find", "c1", &[1], "soon")),
-        ("budget spent", scan("find", "c1", &[1], "0")),
-        ("budget infinite", scan("find", "c1", &[1], "inf")),
+        ("path", query_request("lost", "c1", &[0], "2")),
+        ("shard", query_request("find", "c1", &[6], "2")),
+        ("shard twice", query_request("find", "c1", &[1, 1], "2")),
+        ("no parts", query_request("find", "c1", &[], "2")),
+        ("budget", query_request("find", "c1", &[1], "soon")),
+        ("budget spent", query_request("find", "c1", &[1], "0")),
+        ("budget infinite", query_request("find", "c1", &[1], "inf")),
         ("share", good("c1").replace("1.0}", "1.5}")),
         ("shares do not add up", three.replace("0.33", "0.43")),
         ("call id", good("")),
@@ -275,10 +280,10 @@
     ] {
         seen.ask(label, at, &request);
     }
-    nodes[0].behave(Manner::Hang);
-    let mut first = Client::to(&broker);
-    first.send(&scan("find", "c9", &[1], "2"));
-    nodes[0].wait_for('A', 1);
+    nodes[0].set_behavior(NodeBehavior::Hang);
+    let mut first = Client::connect(&broker);
+    first.send(&query_request("find", "c9", &[1], "2"));
+    nodes[0].wait_for_frames('A', 1);
     seen.ask("call id in use", at, &good("c9"));
     check("answers-malformed.txt", &seen.0);
 }
@@ -287,7 +292,7 @@
 fn answers_in_the_raw_form() {
     let nodes = nodes(1);
     let kdl = "bodies {\n    longest \"128KiB\"\n    memory one=\"64KiB\" all=\"4MiB\"\n    window \"128KiB\"\n    slowest 1.0\n}\n";
-    let (broker, _list) = broker_by(kdl, vec![nodes[0].line("ready")], |_| {});
+    let (broker, _list) = broker_by(kdl, vec![nodes[0].endpoint("ready")], |_| {});
     let (at, mut seen) = (broker.address, Transcript::default());
     let raw = |buckets: &str, body: &str| {
         format!(
@@ -304,7 +309,7 @@
     seen.ask("no share", at, &raw("1", "q1"));
     seen.ask("shares do not add up", at, &raw("1=0.5", "q1"));
     seen.ask("given twice", at, &raw("1=1.0\r\nX-Buckets: 2=1.0", "q1"));
-    nodes[0].behave(Manner::Say("fault"));
+    nodes[0].set_behavior(NodeBehavior::ReplyStatus("fault"));
     seen.put("failed", &without_wait(&exchange(at, &raw("1=1.0", "q1").replace("/find", "/fix"))));
     check("answers-raw.txt", &seen.0);
 }
@@ -370,8 +375,8 @@
     let mut seen = Transcript::default();
     let node = Shown::start(false);
     let (broker, _list) = broker_by("", vec![line("s-0", node.address)], |_| {});
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c1", &[4], "2.5"));
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c1", &[4], "2.5"));
     seen.put("a part", &node.next());
     drop(client);
     seen.put("given up", &node.next());
@@ -379,7 +384,7 @@
     let (broker, _list) = broker_by("", vec![line("s-0", node.address)], |config| {
         config["settings"]["familyInfo"]["partsACall"] = json!(1);
     });
-    seen.ask("answer", broker.address, &scan("find", "c2", &[2], "2.5"));
+    seen.ask("answer", broker.address, &query_request("find", "c2", &[2], "2.5"));
     seen.put("its part", &node.next());
     check("frames.txt", &seen.0);
 }
@@ -390,7 +395,7 @@
     let nodes = [Shown::start(true), Shown::start(true), Shown::start(true)];
     let lines = nodes.iter().enumerate().map(|(i, node)| line(&format!("s-{i}"), node.address)).collect();
     let (broker, _list) = broker_by("phases least-segments=6 share=0.9 audits=0\n", lines, |_| {});
-    let answer = exchange(broker.address, &scan("find", "c1", &[0, 1, 2, 3, 4, 5], "2.5"));
+    let answer = exchange(broker.address, &query_request("find", "c1", &[0, 1, 2, 3, 4, 5], "2.5"));
     // Which two nodes are asked is drawn.
     let answer = ["s-0", "s-1", "s-2"].iter().fold(answer, |answer, name| answer.replace(name, "s-?"));
     seen.put("answer", &answer);
@@ -443,7 +448,8 @@
     });
     let kdl = "search listen=\"127.0.0.1:0\" searches=20\nsearch-nodes \"127.0.0.2\"\n";
     let (broker, _list) = broker_by(kdl, vec![line("s-0", address)], |config| config["log"] = json!("info"));
-    let api = broker.before.lines().find_map(|line| line.split_once("the API listening at ")?.1.parse().ok());
+    let api =
+        broker.startup_log.lines().find_map(|line| line.split_once("the API listening at ")?.1.parse().ok());
     let api: SocketAddr = api.expect("the API's address in the log");
     let mut seen = Transcript::default();
     let next = || {
@@ -452,15 +458,15 @@
     };
     let body =
         "{\"query\":{\"match\":{\"text\":\"a\"}},\"size\":3,\"sort\":[{\"n\":\"desc\"}],\"_source\":[\"b\"]}";
-    seen.ask("answer to a search", api, &request("POST", "/find/_search?routing=a", body));
+    seen.ask("answer to a search", api, &http_request("POST", "/find/_search?routing=a", body));
     seen.put("its request", &next());
     seen.ask(
         "answer to an update",
         api,
-        &request("POST", "/fix/_update_by_query?routing=a", "{\"query\":{\"match_all\":{}}}"),
+        &http_request("POST", "/fix/_update_by_query?routing=a", "{\"query\":{\"match_all\":{}}}"),
     );
     seen.put("its request", &next());
-    seen.ask("answer to a scan", broker.address, &scan("find", "c1", &[2], "2.5"));
+    seen.ask("answer to a scan", broker.address, &query_request("find", "c1", &[2], "2.5"));
     seen.put("its request", &next());
     check("requests-to-api-nodes.txt", &seen.0);
 }
@@ -470,7 +476,7 @@
     let node = Node::start("s-0");
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let broker = Broker::start(&config(address, vec![node.line("ready")]));
+    let broker = Broker::start(&config(address, vec![node.endpoint("ready")]));
     let stream = listener.accept().unwrap().0;
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     let mut call = BufReader::new(stream);
@@ -484,19 +490,19 @@
         call.get_mut().write_all(answer.as_bytes()).unwrap();
     };
     next("the whole list", &mut call);
-    say(&mut call, json!({"seq": 7, "whole": true, "hosts": [node.line("ready")]}));
+    say(&mut call, json!({"seq": 7, "whole": true, "hosts": [node.endpoint("ready")]}));
     next("a watch", &mut call);
     say(
         &mut call,
         json!({"seq": 9, "whole": false, "hosts": [{"host": "s-1", "health": "gone", "block": 0}]}),
     );
     next("the next watch", &mut call);
-    assert_eq!(Client::to(&broker).ask(&scan("find", "c1", &[0], "2.0")).status, 200);
+    assert_eq!(Client::connect(&broker).request(&query_request("find", "c1", &[0], "2.0")).status, 200);
     check("discovery.txt", &seen.0);
 }
 
-fn site(speech: &[Speech]) -> Site {
-    Site::start_by(speech, "", |kdl| {
+fn site(speech: &[NodeProtocol]) -> SearchCluster {
+    SearchCluster::start_with_command(speech, "", |kdl| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
         command.arg("run").arg("--operator").arg(kdl);
         command
@@ -505,7 +511,7 @@
 
 #[test]
 fn answers_at_the_api() {
-    let site = site(&[Speech::Frames, Speech::Frames]);
+    let site = site(&[NodeProtocol::Frames, NodeProtocol::Frames]);
     let mut seen = Transcript::default();
     let all = "{\"query\":{\"match_all\":{}},\"size\":2}";
     let msearch = "{}\n{\"size\":1}\n{\"index\":\"none\"}\n{}\n";
@@ -526,16 +532,16 @@
         ("searched that is updated", "POST", "/fix/_search", "{}"),
         ("updated that is searched", "POST", "/all/_update_by_query", "{}"),
     ] {
-        seen.ask(label, site.api, &request(method, target, body));
+        seen.ask(label, site.api_address, &http_request(method, target, body));
     }
-    seen.ask("no HTTP", site.api, "lunch?\r\n\r\n");
-    seen.ask("too long", site.api, "POST /all/_search HTTP/1.1\r\nContent-Length: 65537\r\n\r\n");
+    seen.ask("no HTTP", site.api_address, "lunch?\r\n\r\n");
+    seen.ask("too long", site.api_address, "POST /all/_search HTTP/1.1\r\nContent-Length: 65537\r\n\r\n");
     seen.ask(
         "budget",
-        site.api,
-        &request("POST", "/all/_search", "{}").replace("Host: a", "Host: a\r\nX-Budget: soon"),
+        site.api_address,
+        &http_request("POST", "/all/_search", "{}").replace("Host: a", "Host: a\r\nX-Budget: soon"),
     );
-    seen.ask("half a request", site.api, "POST /all/_search HTTP/1.1\r\nContent-Length: 9\r\n\r\n{");
+    seen.ask("half a request", site.api_address, "POST /all/_search HTTP/1.1\r\nContent-Length: 9\r\n\r\n{");
     check("answers-api.txt", &seen.0);
 }
 
@@ -543,14 +549,18 @@
 fn answers_at_the_api_that_are_partial_rejected_or_fail() {
     let mut seen = Transcript::default();
     for (label, manner, target) in [
-        ("partial", pages::Manner::HangOdd, "/find/_search?timeout=800ms&size=1"),
-        ("rejected", pages::Manner::Refuse, "/all/_search?timeout=1s"),
-        ("rejected update", pages::Manner::Refuse, "/fix/_update_by_query?timeout=1s"),
-        ("failed update", pages::Manner::Fault, "/fix/_update_by_query?timeout=1s"),
+        (
+            "partial",
+            search_cluster::SearchNodeBehavior::HangOddSegments,
+            "/find/_search?timeout=800ms&size=1",
+        ),
+        ("rejected", search_cluster::SearchNodeBehavior::Refuse, "/all/_search?timeout=1s"),
+        ("rejected update", search_cluster::SearchNodeBehavior::Refuse, "/fix/_update_by_query?timeout=1s"),
+        ("failed update", search_cluster::SearchNodeBehavior::Fault, "/fix/_update_by_query?timeout=1s"),
     ] {
-        let site = site(&[Speech::Frames]);
-        site.nodes.iter().for_each(|node| node.behave(manner));
-        seen.put(label, &without_wait(&exchange(site.api, &request("POST", target, "{}"))));
+        let site = site(&[NodeProtocol::Frames]);
+        site.nodes.iter().for_each(|node| node.set_behavior(manner));
+        seen.put(label, &without_wait(&exchange(site.api_address, &http_request("POST", target, "{}"))));
     }
     check("answers-api-rejected.txt", &seen.0);
 }
@@ -578,7 +588,7 @@
 
 #[test]
 fn state_show_and_check() {
-    let folder = store::scratch("golden-state");
+    let folder = stand_ins::scratch_path("golden-state");
     std::fs::create_dir(&folder).unwrap();
     let path = folder.to_str().unwrap().to_string();
     let mut seen = Transcript::default();
@@ -586,10 +596,10 @@
     put("an empty folder", &dunepond(&["state", "show", &path]));
     put("an empty folder, checked", &dunepond(&["state", "check", &path]));
     let nodes = nodes(2);
-    let lines: Vec<_> = nodes.iter().map(|node| node.line("ready")).collect();
+    let lines: Vec<_> = nodes.iter().map(|node| node.endpoint("ready")).collect();
     let (mut broker, _list) = broker_by(&format!("state folder={folder:?} every=0.1\n"), lines, |_| {});
-    let mut client = Client::to(&broker);
-    (0..20).for_each(|i| drop(client.ask(&scan("find", &format!("c{i}"), &[i % 6], "2.0"))));
+    let mut client = Client::connect(&broker);
+    (0..20).for_each(|i| drop(client.request(&query_request("find", &format!("c{i}"), &[i % 6], "2.0"))));
     let start = Instant::now();
     while !dunepond(&["state", "show", &path]).contains("beliefs of 2 nodes") {
         assert!(start.elapsed() < PATIENCE);
@@ -619,7 +629,7 @@
 #[test]
 fn a_folder_of_an_earlier_build_is_read() {
     let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden/state");
-    let folder = store::scratch("golden-folder");
+    let folder = stand_ins::scratch_path("golden-folder");
     copied(&golden, &folder);
     let path = folder.to_str().unwrap().to_string();
     let checked = dunepond(&["state", "check", &path]).replace(&path, "FOLDER");
@@ -633,22 +643,22 @@
 /// The counters' names in the log, in their order.
 #[test]
 fn counters() {
-    let folder = store::scratch("golden-counters");
+    let folder = stand_ins::scratch_path("golden-counters");
     std::fs::create_dir(&folder).unwrap();
     let nodes = nodes(1);
     let kdl = format!(
         "bodies {{\n    longest \"128KiB\"\n    memory one=\"64KiB\" all=\"4MiB\"\n    window \"128KiB\"\n    slowest 1.0\n}}\n\
          phases least-segments=6 share=0.9 audits=0\nstate folder={folder:?} every=0.1\ncounters every=0.2\n"
     );
-    let (broker, _list) = broker_by(&kdl, vec![nodes[0].line("ready")], |_| {});
+    let (broker, _list) = broker_by(&kdl, vec![nodes[0].endpoint("ready")], |_| {});
     let kinds = [" INFO counters ", " INFO two-phase counters ", " INFO background counters "];
     let start = Instant::now();
     let line = |kind: &str| {
-        let said = broker.said();
+        let said = broker.log_text();
         said.lines().rfind(|line| line.contains(kind) && !line.contains("work=\"\"")).map(str::to_string)
     };
     while !kinds.iter().all(|kind| line(kind).is_some()) {
-        assert!(start.elapsed() < PATIENCE, "{}", broker.said());
+        assert!(start.elapsed() < PATIENCE, "{}", broker.log_text());
         thread::sleep(Duration::from_millis(20));
     }
     let mut seen = Transcript::default();
--- a/crates/dunepond-broker/tests/gone.rs
+++ b/crates/dunepond-broker/tests/gone.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{Broker, Client, List, config, scan};
+use dunepond_testkit::stand_ins::{Broker, Client, DiscoveryServer, config, query_request};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
@@ -119,14 +119,14 @@
 /// A broker and one node with a replica of every segment.
 struct Scenario {
     broker: Broker,
-    _list: List,
+    _list: DiscoveryServer,
     node: Node,
     marks: usize,
 }
 
 impl Scenario {
     fn before(node: Node, change: impl FnOnce(&mut Value)) -> Self {
-        let list = List::start(vec![node.line()]);
+        let list = DiscoveryServer::start(vec![node.line()]);
         let mut config = config(list.address, vec![node.line()]);
         change(&mut config);
         let mut scenario = Self { broker: Broker::start(&config), _list: list, node, marks: 0 };
@@ -144,8 +144,8 @@
         let since = Instant::now();
         loop {
             self.marks += 1;
-            let request = scan("find", &format!("mark{}", self.marks), &[5], "2.9");
-            let status = Client::to(&self.broker).ask(&request).status;
+            let request = query_request("find", &format!("mark{}", self.marks), &[5], "2.9");
+            let status = Client::connect(&self.broker).request(&request).status;
             if status == 200 {
                 return;
             }
@@ -172,13 +172,13 @@
 fn closed_before_read_is_not_dispatched(#[case] known: bool) {
     let mut scenario = Scenario::start();
     let resting = known.then(|| {
-        let mut client = Client::to(&scenario.broker);
-        assert_eq!(client.ask(&scan("find", "mark", &[0], "2.0")).status, 200);
+        let mut client = Client::connect(&scenario.broker);
+        assert_eq!(client.request(&query_request("find", "mark", &[0], "2.0")).status, 200);
         client
     });
     scenario.at_once(|scenario| {
-        let mut client = resting.unwrap_or_else(|| Client::to(&scenario.broker));
-        client.send(&scan("find", "c1", &[0], "2.0"));
+        let mut client = resting.unwrap_or_else(|| Client::connect(&scenario.broker));
+        client.send(&query_request("find", "c1", &[0], "2.0"));
         hang_up(client);
     });
     scenario.mark();
@@ -189,11 +189,11 @@
 #[test]
 fn closed_while_accepting_is_delayed_is_not_dispatched() {
     let node = Node::start();
-    let list = List::start(vec![]);
-    list.fall_silent();
+    let list = DiscoveryServer::start(vec![]);
+    list.stop_replying();
     let broker = Broker::start(&config(list.address, vec![node.line()]));
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c1", &[0], "2.9"));
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c1", &[0], "2.9"));
     hang_up(client);
     let mut scenario = Scenario { broker, _list: list, node, marks: 0 };
     scenario.mark();
@@ -205,10 +205,10 @@
 #[test]
 fn close_behind_a_full_buffer_is_detected() {
     let mut scenario = Scenario::start();
-    let mut client = Client::to(&scenario.broker);
-    client.send(&scan("find", "c1", &[0], "2.9"));
+    let mut client = Client::connect(&scenario.broker);
+    client.send(&query_request("find", "c1", &[0], "2.9"));
     scenario.node.wait_for('A', "c1.0");
-    let more: String = (0..400).map(|i| scan("find", &format!("more{i}"), &[0], "2.9")).collect();
+    let more: String = (0..400).map(|i| query_request("find", &format!("more{i}"), &[0], "2.9")).collect();
     assert!(more.len() > 64 * 1024, "{}", more.len());
     client.send(&more);
     hang_up(client);
@@ -231,8 +231,8 @@
 #[test]
 fn close_behind_full_socket_buffers_is_detected() {
     let mut scenario = Scenario::start();
-    let mut client = Client::to(&scenario.broker);
-    client.send(&scan("find", "c1", &[0], "2.9"));
+    let mut client = Client::connect(&scenario.broker);
+    client.send(&query_request("find", "c1", &[0], "2.9"));
     scenario.node.wait_for('A', "c1.0");
     client.stream.set_nonblocking(true).unwrap();
     scenario.at_once(|_| {
@@ -256,8 +256,8 @@
 #[test]
 fn failed_attempt_is_not_retried_after_close() {
     let mut scenario = Scenario::start();
-    let mut client = Client::to(&scenario.broker);
-    client.send(&scan("find", "c1", &[0], "2.9"));
+    let mut client = Client::connect(&scenario.broker);
+    client.send(&query_request("find", "c1", &[0], "2.9"));
     scenario.node.wait_for('A', "c1.0");
     scenario.at_once(|scenario| {
         scenario.node.say("c1.0", "fault");
@@ -271,21 +271,21 @@
 #[test]
 fn failed_attempt_is_retried_for_a_waiting_client() {
     let scenario = Scenario::start();
-    let mut client = Client::to(&scenario.broker);
-    client.send(&scan("find", "c1", &[0], "2.9"));
+    let mut client = Client::connect(&scenario.broker);
+    client.send(&query_request("find", "c1", &[0], "2.9"));
     scenario.node.wait_for('A', "c1.0");
     scenario.node.say("c1.0", "fault");
     scenario.node.wait(|seen| seen.frames.iter().filter(|f| f.0 == 'A' && is_of(&f.1, "c1.0")).count() == 2);
     scenario.node.say("c1.0", "hit");
-    assert_eq!(client.answer().unwrap().status, 200);
+    assert_eq!(client.read_answer().unwrap().status, 200);
 }
 
 /// It was read with the first request, and starts with the first's response.
 #[test]
 fn pipelined_request_is_not_started_after_close() {
     let mut scenario = Scenario::start();
-    let mut client = Client::to(&scenario.broker);
-    client.send(&(scan("find", "c1", &[0], "2.9") + &scan("find", "c2", &[0], "2.9")));
+    let mut client = Client::connect(&scenario.broker);
+    client.send(&(query_request("find", "c1", &[0], "2.9") + &query_request("find", "c2", &[0], "2.9")));
     scenario.node.wait_for('A', "c1.0");
     scenario.at_once(|scenario| {
         scenario.node.say("c1.0", "hit");
@@ -338,12 +338,12 @@
     let mut config = config(address, vec![]);
     config["settings"]["ceilings"]["connectTimeoutMs"] = json!(5000.0);
     let mut node = Node { address, seen: Arc::default() };
-    let list = List::start(vec![node.line()]);
+    let list = DiscoveryServer::start(vec![node.line()]);
     config["discovery"] = json!(list.address.to_string());
     let broker = Broker::start(&config);
-    list.wait_read();
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c1", &[0], "2.9"));
+    list.wait_until_read();
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c1", &[0], "2.9"));
     late.wait_asked();
     let mut client = Some(client);
     if closes == Closes::Before {
@@ -377,7 +377,7 @@
 
 impl Busy {
     fn before(scenario: &Scenario) -> Self {
-        Self((0..6).map(|_| Client::to(&scenario.broker)).collect())
+        Self((0..6).map(|_| Client::connect(&scenario.broker)).collect())
     }
 
     fn ask(&self) {
@@ -406,8 +406,8 @@
     let mut scenario = Scenario::start();
     let tells = |i| {
         let (id, part) = (format!("c{i}"), format!("c{i}.0"));
-        let mut client = Client::to(&scenario.broker);
-        client.send(&scan("find", &id, &[0], "2.9"));
+        let mut client = Client::connect(&scenario.broker);
+        client.send(&query_request("find", &id, &[0], "2.9"));
         scenario.node.wait_for('A', &part);
         // The longest that an attempt may begin after the close.
         thread::sleep(Duration::from_millis(100));
@@ -427,8 +427,8 @@
 #[test]
 fn response_at_the_close_disturbs_no_connection() {
     let mut scenario = Scenario::start();
-    let mut client = Client::to(&scenario.broker);
-    client.send(&scan("find", "c1", &[0, 1], "2.9"));
+    let mut client = Client::connect(&scenario.broker);
+    client.send(&query_request("find", "c1", &[0, 1], "2.9"));
     scenario.node.wait_for('A', "c1.0");
     scenario.node.wait_for('A', "c1.1");
     scenario.at_once(|scenario| {
@@ -448,8 +448,8 @@
 #[case::answered("GET /ready HTTP/1.1\r\n\r\n")]
 fn close_without_attempts_cancels_nothing(#[case] said: &str) {
     let mut scenario = Scenario::start();
-    let mut client = Client::to(&scenario.broker);
-    assert_eq!(client.ask(&scan("find", "mark", &[0], "2.9")).status, 200);
+    let mut client = Client::connect(&scenario.broker);
+    assert_eq!(client.request(&query_request("find", "mark", &[0], "2.9")).status, 200);
     client.send(said);
     scenario.at_once(|_| hang_up(client));
     scenario.mark();
--- a/crates/dunepond-broker/tests/handover/cancellation.rs
+++ b/crates/dunepond-broker/tests/handover/cancellation.rs
@@ -1,6 +1,6 @@
 //! Cancelled parts that a node may still be working on.
 
-use dunepond_testkit::store::{Client, scan};
+use dunepond_testkit::stand_ins::{Client, query_request};
 use rstest::rstest;
 use serde_json::json;
 
@@ -18,9 +18,9 @@
         ("/settings/ceilings/secondCopies", json!(false)),
     ];
     let (broker, list) = start_broker(vec![manual.row("s-0", "ready")], &keys);
-    list.wait_read();
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c1", &[0], "2.5"));
+    list.wait_until_read();
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c1", &[0], "2.5"));
     let mut connection = manual.accept();
     let call = connection.read_part();
     disconnect([client]);
@@ -29,12 +29,12 @@
         connection.serve(&call);
     }
     wait_until_processed(&broker);
-    let mut next = Client::to(&broker);
-    next.send(&scan("find", "c2", &[1, 2], "2.5"));
+    let mut next = Client::connect(&broker);
+    next.send(&query_request("find", "c2", &[1, 2], "2.5"));
     let mut on = if ended { connection } else { manual.accept() };
     assert_eq!(on.read_part().id, "c2.1");
     on.write(&[answer_frame("c2.1", "hit"), answer_frame("c2.2", "hit")].concat());
-    assert_eq!(next.answer().unwrap().status, 200);
+    assert_eq!(next.read_answer().unwrap().status, 200);
 }
 
 /// Guards against taking late answers of cancelled parts for protocol errors, if there are more than a connection remembers.
@@ -49,19 +49,19 @@
         ("/settings/ceilings/secondCopies", json!(false)),
     ];
     let (broker, list) = start_broker(vec![manual.row("s-0", "ready")], &keys);
-    list.wait_read();
-    let mut beside = Client::to(&broker);
-    beside.send(&scan("fix", "c1", &[0], "2.9"));
+    list.wait_until_read();
+    let mut beside = Client::connect(&broker);
+    beside.send(&query_request("fix", "c1", &[0], "2.9"));
     let mut connection = manual.accept();
     let call = connection.read_part();
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c2", &(0..800).collect::<Vec<_>>(), "2.8"));
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c2", &(0..800).collect::<Vec<_>>(), "2.8"));
     assert_eq!(connection.read_part().id, "c2.0");
     disconnect([client]);
     let ends: Vec<_> = (0..800).map(|_| answer_frame(&connection.read_frame().1, "hit")).collect();
     connection.write(&ends.concat());
     connection.serve(&call);
-    assert_eq!(beside.answer().unwrap().status, 200);
+    assert_eq!(beside.read_answer().unwrap().status, 200);
 }
 
 /// A connection whose streams are all taken by cancelled parts is of no more use.
@@ -70,9 +70,9 @@
     let manual = ManualNode::start();
     let (broker, list) =
         start_broker(vec![manual.row("s-0", "ready")], &[("/settings/ceilings/streamsPerConn", json!(1))]);
-    list.wait_read();
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c1", &[0], "2.5"));
+    list.wait_until_read();
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c1", &[0], "2.5"));
     let mut connection = manual.accept();
     let call = connection.read_part();
     disconnect([client]);
--- a/crates/dunepond-broker/tests/handover/harness.rs
+++ b/crates/dunepond-broker/tests/handover/harness.rs
@@ -5,7 +5,7 @@
 use std::os::fd::AsRawFd;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{Broker, Client, List, Node, config, scan};
+use dunepond_testkit::stand_ins::{Broker, Client, DiscoveryServer, Node, config, query_request};
 use serde_json::{Value, json};
 use socket2::{Domain, SockRef, Socket, Type};
 
@@ -244,7 +244,7 @@
 
 /// A query of one segment with a long text.
 pub fn long_query(table_type: &str, id: &str, budget: &str) -> String {
-    let request = scan(table_type, id, &[0], budget);
+    let request = query_request(table_type, id, &[0], budget);
     let (head, body) = request.split_once("\r\n\r\n").unwrap();
     let body = body.replace("q1", &"q".repeat(LONG));
     let head = head.split("Content-Length").next().unwrap();
@@ -252,8 +252,8 @@
 }
 
 /// A broker before nodes of these rows, with some keys of its configuration changed.
-pub fn start_broker(lines: Vec<Value>, keys: &[(&str, Value)]) -> (Broker, List) {
-    let list = List::start(lines.clone());
+pub fn start_broker(lines: Vec<Value>, keys: &[(&str, Value)]) -> (Broker, DiscoveryServer) {
+    let list = DiscoveryServer::start(lines.clone());
     let mut config = config(list.address, lines);
     // On a busy machine usual latencies would exceed the objective, and queries be rejected.
     for service in config["settings"]["services"].as_array_mut().unwrap() {
@@ -269,25 +269,25 @@
 /// in a row is not handled in the iteration of what came before the first.
 pub fn wait_until_processed(broker: &Broker) {
     for _ in 0..2 {
-        assert_eq!(Client::to(broker).ask("GET /ready HTTP/1.1\r\n\r\n").status, 200);
+        assert_eq!(Client::connect(broker).request("GET /ready HTTP/1.1\r\n\r\n").status, 200);
     }
 }
 
 /// Serves a first query, after which the node's connection is idle.
 pub fn serve_first_query(broker: &Broker, manual: &ManualNode) -> (Client, NodeConnection) {
-    let mut client = Client::to(broker);
-    client.send(&scan("fix", "c1", &[0], "2.5"));
+    let mut client = Client::connect(broker);
+    client.send(&query_request("fix", "c1", &[0], "2.5"));
     let mut connection = manual.accept();
     let call = connection.read_part();
     connection.serve(&call);
-    assert_eq!(client.answer().unwrap().status, 200);
+    assert_eq!(client.read_answer().unwrap().status, 200);
     (client, connection)
 }
 
 /// Two queries with long texts: the first is partly written to a node that does not read, the second queued behind it.
 pub struct BlockedNode {
     pub broker: Broker,
-    pub list: List,
+    pub list: DiscoveryServer,
     pub manual: ManualNode,
     pub connection: NodeConnection,
     pub first: Client,
@@ -298,8 +298,8 @@
     pub fn start_broker(table_type: &str, keys: &[(&str, Value)]) -> Self {
         let manual = ManualNode::narrow();
         let (broker, list) = start_broker(vec![manual.row("s-0", "ready")], keys);
-        list.wait_read();
-        let (mut first, mut second) = (Client::to(&broker), Client::to(&broker));
+        list.wait_until_read();
+        let (mut first, mut second) = (Client::connect(&broker), Client::connect(&broker));
         // Both wait for the connection.
         stop_when_idle(&broker);
         send_unread(&mut first, &long_query(table_type, "c1", "2.8"));
@@ -314,8 +314,8 @@
     /// Lists a node that serves, beside the blocked one.
     pub fn add_node(&self, health: &str) -> Node {
         let node = Node::start("s-1");
-        self.list.tell(vec![self.manual.row("s-0", health), node.line("ready")]);
-        self.list.wait_read();
+        self.list.publish(vec![self.manual.row("s-0", health), node.endpoint("ready")]);
+        self.list.wait_until_read();
         wait_until_processed(&self.broker);
         node
     }
--- a/crates/dunepond-broker/tests/handover/late_connect.rs
+++ b/crates/dunepond-broker/tests/handover/late_connect.rs
@@ -3,7 +3,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use dunepond_testkit::store::{Broker, Client, List, Node, scan};
+use dunepond_testkit::stand_ins::{Broker, Client, DiscoveryServer, Node, query_request};
 use serde_json::json;
 
 use crate::harness::{ManualNode, answer_frame, start_broker, stop_when_idle, wait_until_processed};
@@ -18,32 +18,32 @@
         ("/settings/ceilings/connectTimeoutMs", json!(5000.0)),
     ];
     let (broker, list) = start_broker(vec![manual.row("s-0", "ready")], &keys);
-    list.wait_read();
-    let mut client = Client::to(&broker);
-    client.send(&scan("fix", "c1", &[0], "2.5"));
+    list.wait_until_read();
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("fix", "c1", &[0], "2.5"));
     let mut connection = manual.accept();
     connection.read_part();
-    list.tell(vec![manual.row("s-0", "ready"), late.row("s-1", "ready")]);
-    list.wait_read();
+    list.publish(vec![manual.row("s-0", "ready"), late.row("s-1", "ready")]);
+    list.wait_until_read();
     connection.reset();
     late.wait_for_connect();
     let connection = late.accept_late(fill);
-    assert_eq!(client.answer().unwrap().status, 502);
+    assert_eq!(client.read_answer().unwrap().status, 502);
     drop(broker);
     assert!(connection.read_to_close().is_empty());
 }
 
 /// A query with this budget whose only part waits for a connection that is established late.
-fn connecting_query(time: &str) -> (Broker, List, ManualNode, Vec<TcpStream>, Client) {
+fn connecting_query(time: &str) -> (Broker, DiscoveryServer, ManualNode, Vec<TcpStream>, Client) {
     let (late, fill) = ManualNode::full();
     let keys = [
         ("/settings/ceilings/connectTimeoutMs", json!(5000.0)),
         ("/settings/services/1/aimMs", json!(400.0)),
     ];
     let (broker, list) = start_broker(vec![late.row("s-0", "ready")], &keys);
-    list.wait_read();
-    let mut client = Client::to(&broker);
-    client.send(&scan("fix", "c1", &[0], time));
+    list.wait_until_read();
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("fix", "c1", &[0], time));
     late.wait_for_connect();
     (broker, list, late, fill, client)
 }
@@ -58,7 +58,7 @@
     std::thread::sleep(Duration::from_millis(600).saturating_sub(asked.elapsed()));
     broker.signal("CONT");
     // Rejected or failed, depending on the order of events; nothing must be written.
-    assert_ne!(client.answer().unwrap().status, 200);
+    assert_ne!(client.read_answer().unwrap().status, 200);
     drop(broker);
     assert!(connection.read_to_close().is_empty());
 }
@@ -67,7 +67,7 @@
 #[test]
 fn connecting_part_refused_at_last_answers() {
     let (broker, _list, late, fill, mut client) = connecting_query("0.6");
-    assert_eq!(client.answer().unwrap().status, 429);
+    assert_eq!(client.read_answer().unwrap().status, 429);
     let connection = late.accept_late(fill);
     drop(broker);
     assert!(connection.read_to_close().is_empty());
@@ -82,13 +82,13 @@
     let mut other = late.row("s-1", "ready");
     other["block"] = json!(1);
     let (broker, list) = start_broker(vec![manual.row("s-0", "ready"), other], &keys);
-    list.wait_read();
-    let mut client = Client::to(&broker);
-    client.send(&scan("fix", "c1", &[0, 1], "0.9"));
+    list.wait_until_read();
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("fix", "c1", &[0, 1], "0.9"));
     let mut connection = manual.accept();
     connection.read_part();
     late.wait_for_connect();
-    assert_eq!(client.answer().unwrap().status, 502);
+    assert_eq!(client.read_answer().unwrap().status, 502);
 }
 
 /// The connection was opened before the node's restart and established after it: its attempt is at the new process.
@@ -97,20 +97,20 @@
     let (late, fill) = ManualNode::full();
     let keys = [("/settings/ceilings/connectTimeoutMs", json!(5000.0))];
     let (broker, list) = start_broker(vec![late.row("s-0", "ready")], &keys);
-    list.wait_read();
-    let mut client = Client::to(&broker);
-    client.send(&scan("fix", "c1", &[0], "2.8"));
+    list.wait_until_read();
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("fix", "c1", &[0], "2.8"));
     late.wait_for_connect();
     let mut line = late.row("s-0", "ready");
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     line["born_ms"] = json!(now.as_millis() as u64 + 1);
     let mut connection = late.accept_late(fill);
     let call = connection.read_part();
-    list.tell(vec![line]);
-    list.wait_read();
+    list.publish(vec![line]);
+    list.wait_until_read();
     wait_until_processed(&broker);
     connection.serve(&call);
-    assert_eq!(client.answer().unwrap().status, 200);
+    assert_eq!(client.read_answer().unwrap().status, 200);
 }
 
 /// Guards against ejecting a restarted node at its first error for attempts that its old process lost.
@@ -119,25 +119,25 @@
     let manual = ManualNode::start();
     let keys = [("/settings/ceilings/secondCopies", json!(false))];
     let (broker, list) = start_broker(vec![manual.row("s-0", "ready")], &keys);
-    list.wait_read();
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c1", &[0], "2.8"));
+    list.wait_until_read();
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c1", &[0], "2.8"));
     let mut old = manual.accept();
     old.read_part();
     let mut line = manual.row("s-0", "ready");
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     line["born_ms"] = json!(now.as_millis() as u64 + 1);
-    list.tell(vec![line]);
+    list.publish(vec![line]);
     let mut connection = manual.accept();
     let again = connection.read_part();
     connection.serve(&again);
-    assert_eq!(client.answer().unwrap().status, 200);
-    client.send(&scan("fix", "c2", &[0], "2.8"));
+    assert_eq!(client.read_answer().unwrap().status, 200);
+    client.send(&query_request("fix", "c2", &[0], "2.8"));
     let call = connection.read_part();
     connection.write(&answer_frame(&call.id, "fault"));
-    assert_eq!(client.answer().unwrap().status, 502);
+    assert_eq!(client.read_answer().unwrap().status, 502);
     wait_until_processed(&broker);
-    assert!(!broker.said().contains("is ejected"), "is ejected");
+    assert!(!broker.log_text().contains("is ejected"), "is ejected");
 }
 
 /// A restarted node may take less: a waiting part is routed anew.
@@ -146,14 +146,14 @@
     let (late, _fill) = ManualNode::full();
     let keys = [("/settings/ceilings/connectTimeoutMs", json!(5000.0))];
     let (broker, list) = start_broker(vec![late.row("s-0", "ready")], &keys);
-    list.wait_read();
-    let mut client = Client::to(&broker);
-    client.send(&scan("fix", "c1", &[0], "2.8"));
+    list.wait_until_read();
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("fix", "c1", &[0], "2.8"));
     late.wait_for_connect();
     let (mut line, node) = (late.row("s-0", "ready"), Node::start("s-1"));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     line["born_ms"] = json!(now.as_millis() as u64 + 1);
-    list.tell(vec![line, node.line("ready")]);
-    assert_eq!(client.answer().unwrap().status, 200);
+    list.publish(vec![line, node.endpoint("ready")]);
+    assert_eq!(client.read_answer().unwrap().status, 200);
     assert_eq!(node.frames('A').len(), 1);
 }
--- a/crates/dunepond-broker/tests/handover/queued.rs
+++ b/crates/dunepond-broker/tests/handover/queued.rs
@@ -3,7 +3,7 @@
 use std::io::Read;
 use std::time::Duration;
 
-use dunepond_testkit::store::{Client, Node, scan};
+use dunepond_testkit::stand_ins::{Client, Node, query_request};
 use serde_json::json;
 
 use crate::harness::{BlockedNode, ManualNode, disconnect, start_broker};
@@ -18,7 +18,10 @@
     assert!(second.wait + waits <= first.wait + Duration::from_millis(20), "{first:?} {second:?}");
     blocked.connection.serve(&first);
     blocked.connection.serve(&second);
-    assert_eq!((blocked.first.answer().unwrap().status, blocked.second.answer().unwrap().status), (200, 200));
+    assert_eq!(
+        (blocked.first.read_answer().unwrap().status, blocked.second.read_answer().unwrap().status),
+        (200, 200)
+    );
 }
 
 /// The last byte of neither frame was written, so that both may be retried.
@@ -27,7 +30,10 @@
     let mut blocked = BlockedNode::start_broker("fix", &[]);
     let node = blocked.add_node("ready");
     blocked.connection.reset();
-    assert_eq!((blocked.first.answer().unwrap().status, blocked.second.answer().unwrap().status), (200, 200));
+    assert_eq!(
+        (blocked.first.read_answer().unwrap().status, blocked.second.read_answer().unwrap().status),
+        (200, 200)
+    );
     assert_eq!(node.frames('A').len(), 2);
 }
 
@@ -36,15 +42,15 @@
 fn fully_written_part_not_resent_after_reset() {
     let (manual, node) = (ManualNode::start(), Node::start("s-1"));
     let (broker, list) = start_broker(vec![manual.row("s-0", "ready")], &[]);
-    list.wait_read();
-    let mut client = Client::to(&broker);
-    client.send(&scan("fix", "c1", &[0], "2.5"));
+    list.wait_until_read();
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("fix", "c1", &[0], "2.5"));
     let mut connection = manual.accept();
     connection.read_part();
-    list.tell(vec![manual.row("s-0", "ready"), node.line("ready")]);
-    list.wait_read();
+    list.publish(vec![manual.row("s-0", "ready"), node.endpoint("ready")]);
+    list.wait_until_read();
     connection.reset();
-    assert_eq!(client.answer().unwrap().status, 502);
+    assert_eq!(client.read_answer().unwrap().status, 502);
     assert_eq!(node.frames('A').len(), 0);
 }
 
@@ -53,12 +59,12 @@
 fn queued_part_leaves_draining_node() {
     let mut blocked = BlockedNode::start_broker("fix", &[]);
     let node = blocked.add_node("draining");
-    assert_eq!(blocked.second.answer().unwrap().status, 200);
+    assert_eq!(blocked.second.read_answer().unwrap().status, 200);
     assert_eq!(node.frames('A').len(), 1);
     let first = blocked.connection.read_part();
     assert_eq!(first.id, "c1.0");
     blocked.connection.serve(&first);
-    assert_eq!(blocked.first.answer().unwrap().status, 200);
+    assert_eq!(blocked.first.read_answer().unwrap().status, 200);
     drop(blocked.broker);
     assert!(blocked.connection.read_to_close().is_empty());
 }
@@ -70,7 +76,7 @@
     disconnect([blocked.second]);
     let first = blocked.connection.read_part();
     blocked.connection.serve(&first);
-    assert_eq!(blocked.first.answer().unwrap().status, 200);
+    assert_eq!(blocked.first.read_answer().unwrap().status, 200);
     drop(blocked.broker);
     assert!(blocked.connection.read_to_close().is_empty());
 }
@@ -79,7 +85,10 @@
 #[test]
 fn partly_written_and_queued_parts_refused_at_last_answers() {
     let mut blocked = BlockedNode::start_broker("fix", &[]);
-    assert_eq!((blocked.first.answer().unwrap().status, blocked.second.answer().unwrap().status), (429, 429));
+    assert_eq!(
+        (blocked.first.read_answer().unwrap().status, blocked.second.read_answer().unwrap().status),
+        (429, 429)
+    );
     let mut length = [0; 4];
     blocked.connection.0.read_exact(&mut length).unwrap();
     assert!(blocked.connection.read_to_close().len() < u32::from_be_bytes(length) as usize);
--- a/crates/dunepond-broker/tests/hangup.rs
+++ b/crates/dunepond-broker/tests/hangup.rs
@@ -10,7 +10,7 @@
 use dunepond_broker::downstream::{ClientEvent, Downstream, listen};
 use dunepond_broker::iteration::{Iteration, LoopEvent};
 use dunepond_config::{Fields, host_settings};
-use dunepond_testkit::store::{Client, scan, settings};
+use dunepond_testkit::stand_ins::{Client, query_request, settings};
 
 /// Longest wait for an expected event.
 const PATIENCE: Duration = Duration::from_secs(10);
@@ -35,7 +35,7 @@
         let mut event_loop = EventLoop::try_new().unwrap();
         let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
-        let client = Client::dial(address);
+        let client = Client::connect_to(address);
         let (settings, mut timers) = (settings(), Timers::default());
         let bounds = Rc::new(host_settings(&Fields::new("settings", &settings).unwrap()).unwrap());
         let mut clients =
@@ -44,7 +44,7 @@
         clients.accept(at, false, &mut timers);
         let id = clients.pending_clients.pop().unwrap();
         let mut harness = Self { event_loop, clients, timers, address, client, id };
-        harness.send(&scan("find", "c1", &[1], "2.0"));
+        harness.send(&query_request("find", "c1", &[1], "2.0"));
         assert!(matches!(harness.clients.next_event(at, id, &mut harness.timers), ClientEvent::Query(_)));
         harness.clients.assign_query(id, 7);
         harness
@@ -95,9 +95,9 @@
 fn request_and_close_at_idle_timeout_are_not_dispatched() {
     let mut harness = Harness::with_query(100.0);
     harness.clients.reply(100.0, harness.id, 200, "{}", 0.0, &mut harness.timers);
-    assert_eq!(harness.client.answer().unwrap().status, 200);
+    assert_eq!(harness.client.read_answer().unwrap().status, 200);
     harness.clients.pending_clients.clear();
-    harness.send(&scan("find", "c2", &[1], "2.0"));
+    harness.send(&query_request("find", "c2", &[1], "2.0"));
     harness.hang_up();
     harness.clients.on_timeout(100.01, harness.id, &mut harness.timers);
     assert_eq!(harness.clients.pending_clients, [harness.id]);
@@ -112,8 +112,8 @@
 #[test]
 fn request_and_close_while_accepting_is_paused_are_not_dispatched() {
     let mut harness = Harness::with_bound(1, 100.0);
-    let mut waits = Client::dial(harness.address);
-    waits.send(&scan("find", "c2", &[1], "2.0"));
+    let mut waits = Client::connect_to(harness.address);
+    waits.send(&query_request("find", "c2", &[1], "2.0"));
     assert!(
         !harness.clients.accept(100.1, false, &mut harness.timers)
             && harness.clients.pending_clients.is_empty()
--- a/crates/dunepond-broker/tests/held_up.rs
+++ b/crates/dunepond-broker/tests/held_up.rs
@@ -5,7 +5,9 @@
 use std::process::{Child, Command};
 use std::time::Duration;
 
-use dunepond_testkit::store::{Broker, Client, List, Node, config, launch_by, program, scan};
+use dunepond_testkit::stand_ins::{
+    Broker, Client, DiscoveryServer, Node, broker_program, config, launch_command, query_request,
+};
 
 /// A request's deadline, and how long its answer is awaited.
 const BUDGET_SECONDS: &str = "1.0";
@@ -15,18 +17,18 @@
 
 fn status(client: &mut Client, id: &str) -> Option<u16> {
     client.stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
-    client.try_ask(&scan("find", id, &[1], BUDGET_SECONDS)).map(|answer| answer.status)
+    client.try_request(&query_request("find", id, &[1], BUDGET_SECONDS)).map(|answer| answer.status)
 }
 
 /// The file is a pipe without a writer.
 #[test]
 fn unreadable_config_does_not_block() {
     let nodes = [Node::start("s-0")];
-    let (mut broker, _list) = Broker::before_changed(&nodes, |_| {});
-    let mut client = Client::to(&broker);
+    let (mut broker, _list) = Broker::start_for_changed(&nodes, |_| {});
+    let mut client = Client::connect(&broker);
     assert_eq!(status(&mut client, "c1"), Some(200));
-    std::fs::remove_file(&broker.file).unwrap();
-    assert!(Command::new("mkfifo").arg(&broker.file).status().unwrap().success());
+    std::fs::remove_file(&broker.config_file).unwrap();
+    assert!(Command::new("mkfifo").arg(&broker.config_file).status().unwrap().success());
     broker.signal("HUP");
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(status(&mut client, "c2"), Some(200));
@@ -46,9 +48,9 @@
 }
 
 impl BrokerWithUnreadLog {
-    fn start(list: &List, nodes: &[Node]) -> Self {
-        let lines = nodes.iter().map(|node| node.line("ready")).collect();
-        let (mut child, _file) = launch_by(Command::new(program()), &config(list.address, lines));
+    fn start(list: &DiscoveryServer, nodes: &[Node]) -> Self {
+        let lines = nodes.iter().map(|node| node.endpoint("ready")).collect();
+        let (mut child, _file) = launch_command(Command::new(broker_program()), &config(list.address, lines));
         let mut log = BufReader::with_capacity(1, child.stderr.take().unwrap());
         let mut line = String::new();
         while !line.contains("listening on") {
@@ -70,9 +72,9 @@
 #[test]
 fn unread_log_does_not_block() {
     let nodes = [Node::start("s-0")];
-    let list = List::start(vec![nodes[0].line("ready")]);
+    let list = DiscoveryServer::start(vec![nodes[0].endpoint("ready")]);
     let broker = BrokerWithUnreadLog::start(&list, &nodes);
-    let mut client = Client::dial(broker.address);
+    let mut client = Client::connect_to(broker.address);
     for number in 0..REQUESTS {
         assert_eq!(status(&mut client, &format!("c{number}")), Some(200), "{number}");
     }
--- a/crates/dunepond-broker/tests/kill.rs
+++ b/crates/dunepond-broker/tests/kill.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{Broker, Client, Manner, Node, scan, set_timeouts};
+use dunepond_testkit::stand_ins::{Broker, Client, Node, NodeBehavior, query_request, set_timeouts};
 use rstest::rstest;
 use serde_json::json;
 
@@ -26,9 +26,12 @@
 
 impl Clients {
     fn connect(broker: &Broker, count: usize) -> Self {
-        let mut clients: Vec<_> = (0..count).map(|_| Client::to(broker)).collect();
+        let mut clients: Vec<_> = (0..count).map(|_| Client::connect(broker)).collect();
         for (i, client) in clients.iter_mut().enumerate() {
-            assert_eq!(client.ask(&scan("find", &format!("before{i}"), &[1], "1.0")).status, 200);
+            assert_eq!(
+                client.request(&query_request("find", &format!("before{i}"), &[1], "1.0")).status,
+                200
+            );
         }
         Self { clients, sent_ids: Vec::new() }
     }
@@ -37,7 +40,7 @@
     fn send_next(&mut self, budget: &str) {
         let next = self.sent_ids.len();
         let id = format!("late{next}");
-        let request = scan("fix", &id, &[next % 6], budget);
+        let request = query_request("fix", &id, &[next % 6], budget);
         let _ = std::io::Write::write_all(&mut self.clients[next].stream, request.as_bytes());
         self.sent_ids.push(id);
     }
@@ -47,12 +50,12 @@
         sleep_until(kill);
         broker.signal("KILL");
         broker.exit_code();
-        let sent: Vec<_> = node.times().into_iter().map(|(_, id)| id).collect();
+        let sent: Vec<_> = node.part_arrivals().into_iter().map(|(_, id)| id).collect();
         let was_sent = |id: &str| sent.iter().any(|part| part.starts_with(&format!("{id}.")));
         let sent_ids = self.sent_ids.iter().zip(&mut self.clients);
         sent_ids
             .filter(|(id, _)| was_sent(id))
-            .filter_map(|(id, client)| client.answer().is_none().then(|| id.clone()))
+            .filter_map(|(id, client)| client.read_answer().is_none().then(|| id.clone()))
             .collect()
     }
 }
@@ -69,9 +72,9 @@
     let timeout = Duration::from_millis(timeout_ms);
     let budget = format!("{:.1}", timeout.as_secs_f64());
     let node = [Node::start("s-0")];
-    let (mut broker, _list) = Broker::before_changed(&node, |c| set_timeouts(c, timeout_ms as f64));
+    let (mut broker, _list) = Broker::start_for_changed(&node, |c| set_timeouts(c, timeout_ms as f64));
     let mut crowd = Clients::connect(&broker, 24);
-    node[0].behave(Manner::Hang);
+    node[0].set_behavior(NodeBehavior::Hang);
     broker.signal("STOP");
     let signalled_at = Instant::now();
     broker.signal("TERM");
@@ -94,24 +97,24 @@
 #[test]
 fn in_flight_answered_before_kill_when_accept_queue_is_full() {
     let node = [Node::start("s-0")];
-    node[0].behave(Manner::Hang);
-    let (mut broker, _list) = Broker::before_changed(&node, |config| {
+    node[0].set_behavior(NodeBehavior::Hang);
+    let (mut broker, _list) = Broker::start_for_changed(&node, |config| {
         set_timeouts(config, 60_000.0);
         config["limits"]["sockets"] = json!(48);
     });
     let ask = |i: usize| {
-        let mut client = Client::to(&broker);
-        client.send(&scan("fix", &format!("c{i}"), &[i % 6], "59.0"));
+        let mut client = Client::connect(&broker);
+        client.send(&query_request("fix", &format!("c{i}"), &[i % 6], "59.0"));
         client
     };
     let mut clients: Vec<_> = (0..18).map(ask).collect();
-    node[0].wait_for('A', 1);
+    node[0].wait_for_frames('A', 1);
     thread::sleep(Duration::from_millis(100));
     let mut waiting: Vec<_> = (18..24).map(ask).collect();
     let signalled_at = Instant::now();
     broker.signal("TERM");
     let kill = signalled_at + Duration::from_secs(3) + KILL_DELAY;
-    let answered = |client: &mut Client| client.answer().map(|answer| answer.status);
+    let answered = |client: &mut Client| client.read_answer().map(|answer| answer.status);
     let answers: Vec<_> = clients.iter_mut().map(answered).collect();
     assert!(Instant::now() < kill, "{:?}", signalled_at.elapsed());
     assert!(answers.iter().all(Option::is_some), "{answers:?}");
@@ -126,15 +129,15 @@
 #[test]
 fn late_requests_refused_at_once() {
     let node = [Node::start("s-0")];
-    node[0].behave(Manner::Hang);
-    let (mut broker, _list) = Broker::before_changed(&node, |config| set_timeouts(config, 2000.0));
+    node[0].set_behavior(NodeBehavior::Hang);
+    let (mut broker, _list) = Broker::start_for_changed(&node, |config| set_timeouts(config, 2000.0));
     // Connected without a request: its first one may still come.
-    let mut client = Client::to(&broker);
+    let mut client = Client::connect(&broker);
     let signalled_at = Instant::now();
     broker.signal("TERM");
     sleep_until(signalled_at + Duration::from_millis(750));
     let sent_ids = Instant::now();
-    let answer = client.ask(&scan("fix", "late", &[1], "2.0"));
+    let answer = client.request(&query_request("fix", "late", &[1], "2.0"));
     assert!(sent_ids.elapsed() < Duration::from_millis(300), "{:?}", sent_ids.elapsed());
     assert!(matches!(answer.status, 429 | 503) && answer.head.contains("Connection: close"), "{answer:?}");
     assert!(node[0].frames('A').is_empty());
@@ -146,23 +149,23 @@
 #[test]
 fn reloaded_shorter_deadlines_advance_last_answers() {
     let node = [Node::start("s-0")];
-    node[0].behave(Manner::Hang);
+    node[0].set_behavior(NodeBehavior::Hang);
     let mut shorter = None;
-    let (mut broker, _list) = Broker::before_changed(&node, |config| {
+    let (mut broker, _list) = Broker::start_for_changed(&node, |config| {
         set_timeouts(config, 3000.0);
         let signalled_at = shorter.insert(config.clone());
         set_timeouts(signalled_at, 500.0);
     });
-    let mut client = Client::to(&broker);
-    client.send(&scan("fix", "c1", &[1], "3.0"));
-    node[0].wait_for('A', 1);
-    broker.reread(&shorter.unwrap());
-    while !broker.said().contains("configuration reloaded") {
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("fix", "c1", &[1], "3.0"));
+    node[0].wait_for_frames('A', 1);
+    broker.reload_config(&shorter.unwrap());
+    while !broker.log_text().contains("configuration reloaded") {
         thread::sleep(Duration::from_millis(5));
     }
     let signalled_at = Instant::now();
     broker.signal("TERM");
-    assert!(client.answer().is_some());
+    assert!(client.read_answer().is_some());
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
     assert!(signalled_at.elapsed() < Duration::from_millis(500) + KILL_DELAY, "{:?}", signalled_at.elapsed());
--- a/crates/dunepond-broker/tests/list.rs
+++ b/crates/dunepond-broker/tests/list.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{Broker, Client, config, scan};
+use dunepond_testkit::stand_ins::{Broker, Client, config, query_request};
 use rstest::rstest;
 use serde_json::json;
 
@@ -53,7 +53,7 @@
 fn truncated_list_without_length_requested_again(#[case] reset: bool) {
     let nodes = nodes();
     let (broker, agent, mut call) = broker_with_watch(1, &nodes);
-    let text = full_list(2, vec![nodes[0].line("ready")]).to_string();
+    let text = full_list(2, vec![nodes[0].endpoint("ready")]).to_string();
     call.say(&format!("HTTP/1.1 200 OK\r\n\r\n{}", if reset { &text } else { &text[..text.len() / 2] }));
     if reset {
         call.reset();
@@ -76,7 +76,7 @@
     let (first, second) = if late_first { (&mut late, &mut beside) } else { (&mut beside, &mut late) };
     first.answer(&first_node_draining(3, &nodes));
     assert!(first.read_request().contains("index=3&"));
-    second.answer(&full_list(2, vec![nodes[0].line("ready")]));
+    second.answer(&full_list(2, vec![nodes[0].endpoint("ready")]));
     second.wait_closed();
     assert_only_second_node_serves(&broker, &nodes);
 }
@@ -86,7 +86,7 @@
     let nodes = nodes();
     let (broker, agent, mut call) = broker_with_watch(1, &nodes);
     let since = Instant::now();
-    call.answer(&json!({"seq": 0, "whole": false, "hosts": [nodes[0].line("ready")]}));
+    call.answer(&json!({"seq": 0, "whole": false, "hosts": [nodes[0].endpoint("ready")]}));
     let (mut call, path) = agent.accept_request();
     assert_eq!(path, "/v1/endpoints");
     // At once, not after the time of a watch.
@@ -103,14 +103,14 @@
 fn no_service_before_first_list(#[case] silent_first: bool) {
     let nodes = nodes();
     let agent = Agent::start();
-    let broker = Broker::start(&config(agent.address(), vec![nodes[0].line("ready")]));
+    let broker = Broker::start(&config(agent.address(), vec![nodes[0].endpoint("ready")]));
     let (mut call, _) = agent.accept_request();
-    let mut client = Client::to(&broker);
-    client.send(&scan("fix", "c9", &[0], "2.0"));
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("fix", "c9", &[0], "2.0"));
     std::thread::sleep(Duration::from_millis(200));
     let _silent = silent_first.then(|| std::mem::replace(&mut call, agent.accept_request().0));
     call.answer(&first_node_draining(2, &nodes));
-    assert_eq!(client.answer().unwrap().status, 200);
+    assert_eq!(client.read_answer().unwrap().status, 200);
     assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (0, 1));
 }
 
@@ -118,12 +118,12 @@
 fn configured_list_used_when_discovery_is_silent() {
     let nodes = nodes();
     let agent = Agent::start();
-    let broker = Broker::start(&config(agent.address(), vec![nodes[0].line("ready")]));
+    let broker = Broker::start(&config(agent.address(), vec![nodes[0].endpoint("ready")]));
     let since = Instant::now();
-    let mut client = Client::to(&broker);
-    assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").status, 200);
+    let mut client = Client::connect(&broker);
+    assert_eq!(client.request("GET /ready HTTP/1.1\r\n\r\n").status, 200);
     assert!(since.elapsed() > Duration::from_millis(500), "{:?}", since.elapsed());
-    assert_eq!(client.ask(&scan("find", "c1", &[0], "2.0")).status, 200);
+    assert_eq!(client.request(&query_request("find", "c1", &[0], "2.0")).status, 200);
     assert!(since.elapsed() < MAX_UPDATE_DELAY, "{:?}", since.elapsed());
 }
 
@@ -134,7 +134,7 @@
     let (broker, _old, _silent) = broker_with_watch(1, &nodes);
     let new = Agent::start();
     let since = Instant::now();
-    broker.reread(&config(new.address(), vec![]));
+    broker.reload_config(&config(new.address(), vec![]));
     // One connection is closed without a response, one stays silent.
     drop(new.accept());
     let (_silent_too, path) = new.accept_request();
@@ -154,7 +154,7 @@
     let mut lines: Vec<_> = (2..200)
         .map(|i| json!({"host": format!("s-{i}"), "dial": "127.0.0.1:1", "block": 0, "health": "draining"}))
         .collect();
-    lines.extend([nodes[0].line("draining"), nodes[1].line("ready")]);
+    lines.extend([nodes[0].endpoint("draining"), nodes[1].endpoint("ready")]);
     let mut text = serde_json::to_string_pretty(&full_list(2, lines)).unwrap().replace('\n', "\r\n\t");
     assert!(text.len() < 65536, "{}", text.len());
     text += &" ".repeat(65536 - text.len());
--- a/crates/dunepond-broker/tests/migrate.rs
+++ b/crates/dunepond-broker/tests/migrate.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{self, Broker, Client, List, Node, scan};
+use dunepond_testkit::stand_ins::{self, Broker, Client, DiscoveryServer, Node, query_request};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -21,14 +21,14 @@
 fn old_format() -> Value {
     let host = json!({"host": "old-1", "dial": "127.0.0.1:1", "site": "a", "class": "m", "block": 5,
         "health": "ready", "share": 1.0, "born_ms": 0});
-    let mut config = store::config("127.0.0.1:9".parse().unwrap(), vec![host]);
+    let mut config = stand_ins::config("127.0.0.1:9".parse().unwrap(), vec![host]);
     config["settings"]["familyInfo"]["cells"] = json!(6);
     config["settings"]["familyInfo"]["span"] = json!(2);
     config
 }
 
 fn write_file(text: &str) -> PathBuf {
-    let path = store::scratch("json");
+    let path = stand_ins::scratch_path("json");
     std::fs::write(&path, text).unwrap();
     path
 }
@@ -39,7 +39,7 @@
 
 #[test]
 fn migrated_config_serves_nodes_in_sets() {
-    let (old, new) = (write_file(&old_format().to_string()), store::scratch("json"));
+    let (old, new) = (write_file(&old_format().to_string()), stand_ins::scratch_path("json"));
     let (succeeded, _, errors) = migrate(&[as_str(&old), "--out", as_str(&new), "--one-at-a-time"]);
     assert!(succeeded, "{errors}");
     for key in ["known.hosts: 1 nodes", "familyInfo.cells, span: 6 cells and 2", "retryAfter", "secondCopies"]
@@ -54,22 +54,22 @@
     // Three sets of two nodes each; segments 1 and 4 belong to set 1 alone.
     let nodes: Vec<_> = (0..6).map(|i| Node::start(&format!("s-{i}"))).collect();
     let line = |(i, node): (usize, &Node)| {
-        let mut line = node.line("ready");
+        let mut line = node.endpoint("ready");
         line["block"] = json!(i % 3);
         line
     };
-    let list = List::start(nodes.iter().enumerate().map(line).collect());
+    let list = DiscoveryServer::start(nodes.iter().enumerate().map(line).collect());
     config["discovery"] = json!(list.address.to_string());
     let broker = Broker::start(&config);
-    let mut client = Client::to(&broker);
+    let mut client = Client::connect(&broker);
     // It knows no node before the first list.
     let start = Instant::now();
-    while client.ask("GET /ready HTTP/1.1\r\nHost: b\r\n\r\n").status != 200 {
+    while client.request("GET /ready HTTP/1.1\r\nHost: b\r\n\r\n").status != 200 {
         assert!(start.elapsed() < Duration::from_secs(30));
         thread::sleep(Duration::from_millis(10));
     }
     for i in 0..20 {
-        let answer = client.ask(&scan("find", &format!("c{i}"), &[1, 4], "2.0"));
+        let answer = client.request(&query_request("find", &format!("c{i}"), &[1, 4], "2.0"));
         assert_eq!(answer.status, 200);
     }
     let asked: Vec<_> = nodes.iter().map(|node| node.frames('A').len()).collect();
@@ -80,7 +80,7 @@
 
 #[test]
 fn dry_run_writes_nothing() {
-    let (old, new) = (write_file(&old_format().to_string()), store::scratch("json"));
+    let (old, new) = (write_file(&old_format().to_string()), stand_ins::scratch_path("json"));
     let (succeeded, printed, errors) = migrate(&[as_str(&old), "--out", as_str(&new), "--dry-run"]);
     assert!(succeeded && !new.exists(), "{errors}");
     let printed: Value = serde_json::from_str(&printed).unwrap();
@@ -102,8 +102,11 @@
 
 #[test]
 fn new_format_is_unchanged() {
-    let (old, first, second) =
-        (write_file(&old_format().to_string()), store::scratch("json"), store::scratch("json"));
+    let (old, first, second) = (
+        write_file(&old_format().to_string()),
+        stand_ins::scratch_path("json"),
+        stand_ins::scratch_path("json"),
+    );
     assert!(migrate(&[as_str(&old), "--out", as_str(&first)]).0);
     let (succeeded, _, errors) = migrate(&[as_str(&first), "--out", as_str(&second)]);
     assert!(succeeded && errors.contains("of the new shape already"), "{errors}");
@@ -154,7 +157,7 @@
 }), "penalties.crossZone: not a number from 0 up")]
 #[case::two_steps(old_format_with("/settings/familyInfo/secondStep", json!([2, 0])), "familyInfo.secondStep: second steps")]
 fn invalid_file_is_named_and_not_migrated(#[case] text: String, #[case] named: &str) {
-    let (old, new) = (write_file(&text), store::scratch("json"));
+    let (old, new) = (write_file(&text), stand_ins::scratch_path("json"));
     let (succeeded, printed, errors) = migrate(&[as_str(&old), "--out", as_str(&new)]);
     assert!(!succeeded && !new.exists() && printed.is_empty());
     assert!(
@@ -175,9 +178,13 @@
 #[test]
 fn unsupported_setting_warned_at_startup() {
     let node = Node::start("s-0");
-    let list = List::start(vec![node.line("ready")]);
-    let mut config = store::config(list.address, vec![]);
+    let list = DiscoveryServer::start(vec![node.endpoint("ready")]);
+    let mut config = stand_ins::config(list.address, vec![]);
     config["settings"]["ceilings"]["mayProbe"] = json!(true);
     let broker = Broker::start(&config);
-    assert!(broker.before.contains("ceilings.mayProbe: allowed, but not supported"), "{}", broker.before);
+    assert!(
+        broker.startup_log.contains("ceilings.mayProbe: allowed, but not supported"),
+        "{}",
+        broker.startup_log
+    );
 }
--- a/crates/dunepond-broker/tests/query.rs
+++ b/crates/dunepond-broker/tests/query.rs
@@ -2,10 +2,10 @@
 
 use std::process::Command;
 
-use dunepond_testkit::pages::{Manner, Site, Speech, best};
+use dunepond_testkit::search_cluster::{NodeProtocol, SearchCluster, SearchNodeBehavior, ranked_documents};
 
-fn site() -> Site {
-    Site::start_by(&[Speech::Frames, Speech::Api], "", |kdl| {
+fn site() -> SearchCluster {
+    SearchCluster::start_with_command(&[NodeProtocol::Frames, NodeProtocol::Api], "", |kdl| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
         command.arg("run").arg("--operator").arg(kdl);
         command
@@ -20,9 +20,12 @@
 #[test]
 fn response_is_printed_as_table_or_json() {
     let site = site();
-    let (api, first) = (site.api.to_string(), site.broker.address.to_string());
+    let (api, first) = (site.api_address.to_string(), site.broker.address.to_string());
     let (good, shown) = query(&["--at", &api, "all", "pump AND valve", "--size", "3"]);
-    assert!(good && shown.contains(&best()[0]) && shown.contains("30 found, 6 of 6 shards"), "{shown}");
+    assert!(
+        good && shown.contains(&ranked_documents()[0]) && shown.contains("30 found, 6 of 6 shards"),
+        "{shown}"
+    );
     let (good, shown) = query(&["--at", &api, "all", "--json", "--size", "1"]);
     assert!(good && shown.contains("\"_shards\""), "{shown}");
     let (good, shown) = query(&["--at", &first, "all", "{}", "--shards", "1,2"]);
@@ -36,10 +39,11 @@
 #[test]
 fn searches_of_a_file_have_separate_results() {
     let site = site();
-    let file = dunepond_testkit::store::scratch("ndjson");
+    let file = dunepond_testkit::stand_ins::scratch_path("ndjson");
     let searches = "{}\n{\"size\":1}\n{\"index\":\"none\"}\n{}\n".repeat(15);
     std::fs::write(&file, searches).unwrap();
-    let (good, shown) = query(&["--at", &site.api.to_string(), "all", "--msearch", file.to_str().unwrap()]);
+    let (good, shown) =
+        query(&["--at", &site.api_address.to_string(), "all", "--msearch", file.to_str().unwrap()]);
     assert!(good && shown.contains("6 of 6") && shown.contains("no such index [none]"), "{shown}");
     assert!(shown.contains(" 30 "), "{shown}");
     std::fs::remove_file(&file).unwrap();
@@ -48,8 +52,8 @@
 #[test]
 fn partial_result_is_marked() {
     let site = site();
-    site.nodes.iter().for_each(|node| node.behave(Manner::HangOdd));
-    let (good, shown) = query(&["--at", &site.api.to_string(), "find"]);
+    site.nodes.iter().for_each(|node| node.set_behavior(SearchNodeBehavior::HangOddSegments));
+    let (good, shown) = query(&["--at", &site.api_address.to_string(), "find"]);
     assert!(good && shown.contains("at least 15 found, 3 of 6 shards"), "{shown}");
     assert!(shown.contains("NOT WHOLE: shard 1:"), "{shown}");
 }
--- a/crates/dunepond-broker/tests/scenarios/attempts.rs
+++ b/crates/dunepond-broker/tests/scenarios/attempts.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{Broker, Client, List, Manner, config, scan};
+use dunepond_testkit::stand_ins::{Broker, Client, DiscoveryServer, NodeBehavior, config, query_request};
 use rstest::rstest;
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
@@ -12,20 +12,20 @@
 
 /// A node that breaks, garbles or rejects costs an idempotent query another attempt, and no more.
 #[rstest]
-#[case(Manner::DieMidFrame)]
-#[case(Manner::Complain)]
-#[case(Manner::Garble)]
-#[case(Manner::Hang)]
-#[case(Manner::Say("fault"))]
-#[case(Manner::Say("overload"))]
-#[case(Manner::Say("hm"))]
-fn idempotent_query_survives_a_bad_node(#[case] manner: Manner) {
+#[case(NodeBehavior::CloseMidFrame)]
+#[case(NodeBehavior::ReportProtocolError)]
+#[case(NodeBehavior::UnknownFrame)]
+#[case(NodeBehavior::Hang)]
+#[case(NodeBehavior::ReplyStatus("fault"))]
+#[case(NodeBehavior::ReplyStatus("overload"))]
+#[case(NodeBehavior::ReplyStatus("hm"))]
+fn idempotent_query_survives_a_bad_node(#[case] manner: NodeBehavior) {
     let nodes = nodes(2);
-    nodes[0].behave(manner);
-    let (broker, _list) = Broker::before(&nodes);
-    let mut client = Client::to(&broker);
+    nodes[0].set_behavior(manner);
+    let (broker, _list) = Broker::start_for(&nodes);
+    let mut client = Client::connect(&broker);
     for i in 0..4 {
-        let answer = client.ask(&scan("find", &format!("c{i}"), &[0, 1, 2], "2.5"));
+        let answer = client.request(&query_request("find", &format!("c{i}"), &[0, 1, 2], "2.5"));
         assert_eq!((answer.status, &answer.body["finished"]), (200, &json!(true)));
     }
     assert!(!nodes[0].frames('A').is_empty());
@@ -35,61 +35,61 @@
 #[test]
 fn silent_connection_is_replaced() {
     let nodes = nodes(1);
-    nodes[0].behave(Manner::HangFirst);
-    let (broker, _list) = Broker::before(&nodes);
-    let mut client = Client::to(&broker);
+    nodes[0].set_behavior(NodeBehavior::HangFirst);
+    let (broker, _list) = Broker::start_for(&nodes);
+    let mut client = Client::connect(&broker);
     let served = |i| {
         std::thread::sleep(Duration::from_millis(50));
-        client.ask(&scan("find", &format!("c{i}"), &[2], "0.5")).status == 200
+        client.request(&query_request("find", &format!("c{i}"), &[2], "0.5")).status == 200
     };
     assert!((0..50).any(served));
 }
 
 /// The value is valid: surplus bytes must not lose it, or the next one.
 #[rstest]
-#[case::copy(Manner::ServeAnd(b"\0\0\0\x11Ec0.2 hit 7 -\nv-q1"))]
-#[case::noise(Manner::ServeAnd(b"?!?!?!?!"))]
-#[case::half_a_frame(Manner::ServeAnd(b"\0\0\0\x30E"))]
-#[case::report(Manner::ServeLine("hit 7 {\"load\": zz, "))]
-fn surplus_bytes_do_not_spoil_a_response(#[case] manner: Manner) {
+#[case::copy(NodeBehavior::ServeThenRaw(b"\0\0\0\x11Ec0.2 hit 7 -\nv-q1"))]
+#[case::noise(NodeBehavior::ServeThenRaw(b"?!?!?!?!"))]
+#[case::half_a_frame(NodeBehavior::ServeThenRaw(b"\0\0\0\x30E"))]
+#[case::report(NodeBehavior::ServeWithHead("hit 7 {\"load\": zz, "))]
+fn surplus_bytes_do_not_spoil_a_response(#[case] manner: NodeBehavior) {
     let nodes = nodes(1);
-    nodes[0].behave(manner);
-    let (broker, _list) = Broker::before(&nodes);
-    let mut client = Client::to(&broker);
+    nodes[0].set_behavior(manner);
+    let (broker, _list) = Broker::start_for(&nodes);
+    let mut client = Client::connect(&broker);
     for i in 0..3 {
-        let answer = client.ask(&scan("fix", &format!("c{i}"), &[2], "2.0"));
+        let answer = client.request(&query_request("fix", &format!("c{i}"), &[2], "2.0"));
         assert_eq!((answer.status, &answer.body["found"][0]["item"]), (200, &json!("v-q1")));
     }
 }
 
 /// It may have run, and nothing more can be read from its connection: it fails at once.
 #[rstest]
-#[case::another_id(Manner::Spoil(b"\0\0\0\x10Ec9.2 hit 7 -\nv-q"))]
-#[case::the_rest_never_comes(Manner::Spoil(b"\0\0\0\x30Ec0.2 hit 7 -\nv-"))]
-#[case::three_gigabytes(Manner::Spoil(b"\xb2\xd0\x5e\0Ec0.2 hit 7 -\nv-"))]
-#[case::no_score(Manner::ServeLine("hit x -"))]
-#[case::no_end(Manner::ServeLine("hitt 7 -"))]
-fn malformed_response_fails_its_attempt_at_once(#[case] manner: Manner) {
+#[case::another_id(NodeBehavior::ReplyRaw(b"\0\0\0\x10Ec9.2 hit 7 -\nv-q"))]
+#[case::the_rest_never_comes(NodeBehavior::ReplyRaw(b"\0\0\0\x30Ec0.2 hit 7 -\nv-"))]
+#[case::three_gigabytes(NodeBehavior::ReplyRaw(b"\xb2\xd0\x5e\0Ec0.2 hit 7 -\nv-"))]
+#[case::no_score(NodeBehavior::ServeWithHead("hit x -"))]
+#[case::no_end(NodeBehavior::ServeWithHead("hitt 7 -"))]
+fn malformed_response_fails_its_attempt_at_once(#[case] manner: NodeBehavior) {
     let nodes = nodes(1);
-    nodes[0].behave(manner);
-    let (broker, _list) = Broker::before(&nodes);
-    let (mut client, start) = (Client::to(&broker), Instant::now());
-    assert_eq!(client.ask(&scan("fix", "c0", &[2], "2.9")).status, 502);
+    nodes[0].set_behavior(manner);
+    let (broker, _list) = Broker::start_for(&nodes);
+    let (mut client, start) = (Client::connect(&broker), Instant::now());
+    assert_eq!(client.request(&query_request("fix", "c0", &[2], "2.9")).status, 502);
     assert!(start.elapsed() < Duration::from_millis(1500));
-    nodes[0].behave(Manner::Serve);
-    assert_eq!(client.ask(&scan("fix", "c1", &[2], "2.0")).status, 200);
+    nodes[0].set_behavior(NodeBehavior::Serve);
+    assert_eq!(client.request(&query_request("fix", "c1", &[2], "2.0")).status, 200);
 }
 
 /// Once the last byte of the frame is written it may have run: a retriable rejection would be wrong.
 #[rstest]
-#[case(Manner::DieMidFrame, 502)]
-#[case(Manner::Say("fault"), 502)]
-#[case(Manner::Say("overload"), 429)]
-fn non_idempotent_query_is_retriable_only_if_it_never_ran(#[case] manner: Manner, #[case] status: u16) {
+#[case(NodeBehavior::CloseMidFrame, 502)]
+#[case(NodeBehavior::ReplyStatus("fault"), 502)]
+#[case(NodeBehavior::ReplyStatus("overload"), 429)]
+fn non_idempotent_query_is_retriable_only_if_it_never_ran(#[case] manner: NodeBehavior, #[case] status: u16) {
     let nodes = nodes(1);
-    nodes[0].behave(manner);
-    let (broker, _list) = Broker::before(&nodes);
-    let answer = Client::to(&broker).ask(&scan("fix", "c1", &[2], "1.0"));
+    nodes[0].set_behavior(manner);
+    let (broker, _list) = Broker::start_for(&nodes);
+    let answer = Client::connect(&broker).request(&query_request("fix", "c1", &[2], "1.0"));
     assert_eq!(answer.status, status);
     assert_eq!(answer.head.contains("Retry-After: "), status == 429);
     assert_eq!(nodes[0].frames('A').len(), 1);
@@ -98,29 +98,29 @@
 #[test]
 fn refused_connection_is_retriable() {
     let nodes = nodes(1);
-    let mut gone = nodes[0].line("ready");
+    let mut gone = nodes[0].endpoint("ready");
     // Bound, so that no other process gets the port, and not listening.
     let closed = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     closed.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     gone["dial"] = json!(closed.local_addr().unwrap().as_socket().unwrap().to_string());
-    let list = List::start(vec![gone.clone()]);
+    let list = DiscoveryServer::start(vec![gone.clone()]);
     let broker = Broker::start(&config(list.address, vec![gone]));
-    assert_eq!(Client::to(&broker).ask(&scan("fix", "c1", &[2], "1.0")).status, 429);
+    assert_eq!(Client::connect(&broker).request(&query_request("fix", "c1", &[2], "1.0")).status, 429);
 }
 
 #[test]
 fn client_close_cancels_its_attempts() {
     let nodes = nodes(1);
-    nodes[0].behave(Manner::Hang);
-    let (broker, _list) = Broker::before(&nodes);
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c1", &[2], "2.0"));
-    nodes[0].wait_for('A', 1);
+    nodes[0].set_behavior(NodeBehavior::Hang);
+    let (broker, _list) = Broker::start_for(&nodes);
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c1", &[2], "2.0"));
+    nodes[0].wait_for_frames('A', 1);
     drop(client);
-    nodes[0].wait_for('B', 1);
+    nodes[0].wait_for_frames('B', 1);
     assert_eq!(nodes[0].frames('B'), ["c1.2"]);
-    nodes[0].behave(Manner::ServeWithAnOldEnd);
-    let answer = Client::to(&broker).ask(&scan("find", "c2", &[2], "2.0"));
+    nodes[0].set_behavior(NodeBehavior::ServeAfterStaleReply);
+    let answer = Client::connect(&broker).request(&query_request("find", "c2", &[2], "2.0"));
     assert_eq!((answer.status, &answer.body["found"][0]["item"]), (200, &json!("v-q1")));
     assert_eq!(nodes[0].connections(), 1);
 }
@@ -128,13 +128,13 @@
 #[test]
 fn disabled_cancellation_sends_no_cancel_frames() {
     let nodes = nodes(2);
-    nodes.iter().for_each(|n| n.behave(Manner::Hang));
-    let (broker, _list) = Broker::before_with(&nodes, "/settings/ceilings/cancel", json!(false));
-    let mut client = Client::to(&broker);
-    assert_eq!(client.ask(&scan("fix", "c1", &[0], "0.3")).status, 502);
-    nodes.iter().for_each(|n| n.behave(Manner::Serve));
+    nodes.iter().for_each(|n| n.set_behavior(NodeBehavior::Hang));
+    let (broker, _list) = Broker::start_for_with(&nodes, "/settings/ceilings/cancel", json!(false));
+    let mut client = Client::connect(&broker);
+    assert_eq!(client.request(&query_request("fix", "c1", &[0], "0.3")).status, 502);
+    nodes.iter().for_each(|n| n.set_behavior(NodeBehavior::Serve));
     // The client's time ends shortly after the response.
     std::thread::sleep(Duration::from_millis(100));
-    assert_eq!(client.ask(&scan("find", "c2", &[1, 2], "2.0")).status, 200);
+    assert_eq!(client.request(&query_request("find", "c2", &[1, 2], "2.0")).status, 200);
     assert!(nodes.iter().all(|n| n.frames('B').is_empty()));
 }
--- a/crates/dunepond-broker/tests/scenarios/command_line.rs
+++ b/crates/dunepond-broker/tests/scenarios/command_line.rs
@@ -2,7 +2,7 @@
 
 use std::io::Read;
 
-use dunepond_testkit::store::{config, launch};
+use dunepond_testkit::stand_ins::{config, launch};
 use rstest::rstest;
 use serde_json::{Value, json};
 
--- a/crates/dunepond-broker/tests/scenarios/connections.rs
+++ b/crates/dunepond-broker/tests/scenarios/connections.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-use dunepond_testkit::store::{Broker, Client, List, Manner, config, scan};
+use dunepond_testkit::stand_ins::{Broker, Client, DiscoveryServer, NodeBehavior, config, query_request};
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
 
@@ -13,22 +13,22 @@
 #[test]
 fn excess_attempts_open_another_connection() {
     let nodes = nodes(1);
-    nodes[0].behave(Manner::Hang);
-    let (broker, _list) = Broker::before_with(&nodes, "/settings/ceilings/streamsPerConn", json!(2));
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c1", &[0, 1, 2, 3, 4], "2.0"));
-    nodes[0].wait_for('A', 5);
+    nodes[0].set_behavior(NodeBehavior::Hang);
+    let (broker, _list) = Broker::start_for_with(&nodes, "/settings/ceilings/streamsPerConn", json!(2));
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c1", &[0, 1, 2, 3, 4], "2.0"));
+    nodes[0].wait_for_frames('A', 5);
     assert_eq!(nodes[0].connections(), 3);
 }
 
 #[test]
 fn attempts_of_one_batch_share_a_frame() {
     let nodes = nodes(1);
-    nodes[0].behave(Manner::Hang);
-    let (broker, _list) = Broker::before_with(&nodes, "/settings/familyInfo/partsACall", json!(2));
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c1", &[0, 1, 2], "2.0"));
-    nodes[0].wait_for('A', 2);
+    nodes[0].set_behavior(NodeBehavior::Hang);
+    let (broker, _list) = Broker::start_for_with(&nodes, "/settings/familyInfo/partsACall", json!(2));
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c1", &[0, 1, 2], "2.0"));
+    nodes[0].wait_for_frames('A', 2);
     let parts: Vec<_> = nodes[0].frames('A').iter().map(|f| f.matches(" d=").count()).collect();
     assert_eq!(parts, [2, 1]);
 }
@@ -36,11 +36,11 @@
 #[test]
 fn idle_connection_is_closed_before_the_node_closes_it() {
     let nodes = nodes(1);
-    let (broker, _list) = Broker::before_with(&nodes, "/settings/ceilings/idleCloseMs", json!(100.0));
-    let mut client = Client::to(&broker);
+    let (broker, _list) = Broker::start_for_with(&nodes, "/settings/ceilings/idleCloseMs", json!(100.0));
+    let mut client = Client::connect(&broker);
     for count in 1..3 {
-        assert_eq!(client.ask(&scan("find", &format!("c{count}"), &[0], "2.0")).status, 200);
-        nodes[0].wait_closed(count);
+        assert_eq!(client.request(&query_request("find", &format!("c{count}"), &[0], "2.0")).status, 200);
+        nodes[0].wait_for_closed(count);
     }
 }
 
@@ -48,15 +48,15 @@
 #[test]
 fn connections_to_a_replaced_process_are_closed() {
     let nodes = nodes(1);
-    let (broker, list) = Broker::before(&nodes);
-    let mut client = Client::to(&broker);
-    assert_eq!(client.ask(&scan("find", "c1", &[0], "2.0")).status, 200);
-    let mut line = nodes[0].line("ready");
+    let (broker, list) = Broker::start_for(&nodes);
+    let mut client = Client::connect(&broker);
+    assert_eq!(client.request(&query_request("find", "c1", &[0], "2.0")).status, 200);
+    let mut line = nodes[0].endpoint("ready");
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     line["born_ms"] = json!(now.as_millis() as u64 + 1);
-    list.tell(vec![line]);
-    nodes[0].wait_closed(1);
-    assert_eq!(client.ask(&scan("find", "c2", &[0], "2.0")).status, 200);
+    list.publish(vec![line]);
+    nodes[0].wait_for_closed(1);
+    assert_eq!(client.request(&query_request("find", "c2", &[0], "2.0")).status, 200);
     assert_eq!(nodes[0].connections(), 2);
 }
 
@@ -76,14 +76,14 @@
 fn connect_timeout_is_retriable() {
     let (_full, address) = vanished();
     let nodes = nodes(2);
-    let mut vanished = nodes[0].line("ready");
+    let mut vanished = nodes[0].endpoint("ready");
     vanished["dial"] = json!(address.to_string());
-    let lines = vec![vanished, nodes[1].line("ready")];
-    let list = List::start(lines.clone());
+    let lines = vec![vanished, nodes[1].endpoint("ready")];
+    let list = DiscoveryServer::start(lines.clone());
     let broker = Broker::start(&config(list.address, lines));
-    let mut client = Client::to(&broker);
+    let mut client = Client::connect(&broker);
     for i in 0..4 {
-        assert_eq!(client.ask(&scan("fix", &format!("c{i}"), &[2], "2.5")).status, 200);
+        assert_eq!(client.request(&query_request("fix", &format!("c{i}"), &[2], "2.5")).status, 200);
     }
 }
 
@@ -92,20 +92,20 @@
 fn attempts_awaiting_a_connection_leave_a_draining_node() {
     let (_full, address) = vanished();
     let nodes = nodes(2);
-    let mut late = nodes[0].line("ready");
+    let mut late = nodes[0].endpoint("ready");
     late["dial"] = json!(address.to_string());
-    let list = List::start(vec![late.clone(), nodes[1].line("ready")]);
-    let mut config = config(list.address, vec![late.clone(), nodes[1].line("ready")]);
+    let list = DiscoveryServer::start(vec![late.clone(), nodes[1].endpoint("ready")]);
+    let mut config = config(list.address, vec![late.clone(), nodes[1].endpoint("ready")]);
     config["settings"]["ceilings"]["connectTimeoutMs"] = json!(5000.0);
     let broker = Broker::start(&config);
-    let mut clients: Vec<_> = (0..6).map(|_| Client::to(&broker)).collect();
+    let mut clients: Vec<_> = (0..6).map(|_| Client::connect(&broker)).collect();
     for (i, client) in clients.iter_mut().enumerate() {
-        client.send(&scan("fix", &format!("c{i}"), &[i], "2.5"));
+        client.send(&query_request("fix", &format!("c{i}"), &[i], "2.5"));
     }
-    nodes[1].wait_for('A', 1);
+    nodes[1].wait_for_frames('A', 1);
     late["health"] = json!("draining");
-    list.tell(vec![late, nodes[1].line("ready")]);
-    assert!(clients.iter_mut().all(|client| client.answer().unwrap().status == 200));
+    list.publish(vec![late, nodes[1].endpoint("ready")]);
+    assert!(clients.iter_mut().all(|client| client.read_answer().unwrap().status == 200));
 }
 
 /// With cancellation disabled, nothing else would keep them from being sent after their query's response.
@@ -113,17 +113,20 @@
 fn attempts_awaiting_a_connection_end_with_their_query() {
     let (full, address) = vanished();
     let nodes = nodes(2);
-    let mut late = nodes[0].line("ready");
+    let mut late = nodes[0].endpoint("ready");
     late["dial"] = json!(address.to_string());
-    let lines = vec![late, nodes[1].line("ready")];
-    let list = List::start(lines.clone());
+    let lines = vec![late, nodes[1].endpoint("ready")];
+    let list = DiscoveryServer::start(lines.clone());
     let mut config = config(list.address, lines);
     config["settings"]["ceilings"]["cancel"] = json!(false);
     config["settings"]["ceilings"]["connectTimeoutMs"] = json!(5000.0);
     config["settings"]["familyInfo"]["wholeAt"] = json!([0.2, 1.0]);
     config["settings"]["familyInfo"]["leastShare"] = json!([0.2, 1.0]);
     let broker = Broker::start(&config);
-    assert_eq!(Client::to(&broker).ask(&scan("find", "c1", &[0, 1, 2, 3], "2.5")).status, 200);
+    assert_eq!(
+        Client::connect(&broker).request(&query_request("find", "c1", &[0, 1, 2, 3], "2.5")).status,
+        200
+    );
     // Makes room in the backlog: the connection is established when the connect is retried, after a second.
     let mut last = (0..9).map_while(|_| full.accept().ok()).find(|(stream, _)| {
         stream.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
--- a/crates/dunepond-broker/tests/scenarios/discovery.rs
+++ b/crates/dunepond-broker/tests/scenarios/discovery.rs
@@ -1,6 +1,6 @@
 //! Endpoint lists: nodes that come, go, drain and move, and discovery agents that fall silent or restart.
 
-use dunepond_testkit::store::{Broker, Client, List, Node, config, scan};
+use dunepond_testkit::stand_ins::{Broker, Client, DiscoveryServer, Node, config, query_request};
 use rstest::rstest;
 use serde_json::json;
 
@@ -10,74 +10,74 @@
 #[test]
 fn removed_nodes_free_their_indices() {
     let nodes = nodes(9);
-    let (broker, list) = Broker::before(&nodes[..2]);
-    let mut client = Client::to(&broker);
+    let (broker, list) = Broker::start_for(&nodes[..2]);
+    let mut client = Client::connect(&broker);
     for i in 0..8 {
-        list.tell(vec![nodes[i].line("ready"), nodes[i + 1].line("ready")]);
-        list.wait_read();
+        list.publish(vec![nodes[i].endpoint("ready"), nodes[i + 1].endpoint("ready")]);
+        list.wait_until_read();
         for j in 0..4 {
-            let answer = client.ask(&scan("find", &format!("c{i}-{j}"), &[0, 1], "2.0"));
+            let answer = client.request(&query_request("find", &format!("c{i}-{j}"), &[0, 1], "2.0"));
             assert_eq!((answer.status, &answer.body["finished"]), (200, &json!(true)));
         }
     }
-    let said = broker.said();
+    let said = broker.log_text();
     assert!(said.contains("node 2 is ") && !said.contains("node 3 is "));
     // Each has only the connections that were opened to it; on a slow machine a late attempt can cost one more.
     let opened = |node: &Node| said.matches(&format!("node {}: opening", node.name)).count();
     assert!(nodes.iter().all(|n| n.connections() <= opened(n)));
-    (0..7).for_each(|i| nodes[i].wait_closed(nodes[i].connections()));
+    (0..7).for_each(|i| nodes[i].wait_for_closed(nodes[i].connections()));
 }
 
 #[test]
 fn last_list_is_used_while_discovery_is_silent() {
     let nodes = nodes(2);
-    let list = List::start(vec![]);
-    list.fall_silent();
-    let broker = Broker::start(&config(list.address, vec![nodes[0].line("ready")]));
-    let mut client = Client::to(&broker);
-    assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").status, 200);
-    assert_eq!(client.ask(&scan("find", "c1", &[0], "2.0")).status, 200);
-    list.tell(vec![nodes[1].line("ready")]);
-    list.wait_read();
-    assert_eq!(client.ask(&scan("find", "c2", &[0], "2.0")).status, 200);
+    let list = DiscoveryServer::start(vec![]);
+    list.stop_replying();
+    let broker = Broker::start(&config(list.address, vec![nodes[0].endpoint("ready")]));
+    let mut client = Client::connect(&broker);
+    assert_eq!(client.request("GET /ready HTTP/1.1\r\n\r\n").status, 200);
+    assert_eq!(client.request(&query_request("find", "c1", &[0], "2.0")).status, 200);
+    list.publish(vec![nodes[1].endpoint("ready")]);
+    list.wait_until_read();
+    assert_eq!(client.request(&query_request("find", "c2", &[0], "2.0")).status, 200);
     assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (1, 1));
 }
 
 #[test]
 fn draining_node_gets_nothing_new() {
     let nodes = nodes(2);
-    let (broker, list) = Broker::before(&nodes);
-    list.wait_read();
+    let (broker, list) = Broker::start_for(&nodes);
+    list.wait_until_read();
     let nonsense = json!({"host": "s-9", "dial": "nowhere", "block": 0, "health": "ready"});
-    list.tell(vec![nonsense, nodes[0].line("draining"), nodes[1].line("ready")]);
-    list.wait_read();
-    let mut client = Client::to(&broker);
+    list.publish(vec![nonsense, nodes[0].endpoint("draining"), nodes[1].endpoint("ready")]);
+    list.wait_until_read();
+    let mut client = Client::connect(&broker);
     for i in 0..5 {
-        assert_eq!(client.ask(&scan("find", &format!("c{i}"), &[0, 1], "2.0")).status, 200);
+        assert_eq!(client.request(&query_request("find", &format!("c{i}"), &[0, 1], "2.0")).status, 200);
     }
     assert_eq!(nodes[0].frames('A').len(), 0);
 }
 
 #[test]
 fn broker_without_a_list_is_not_ready() {
-    let list = List::start(vec![]);
+    let list = DiscoveryServer::start(vec![]);
     let broker = Broker::start(&config(list.address, vec![]));
-    let mut client = Client::to(&broker);
-    assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").status, 503);
-    assert_eq!(client.ask(&scan("find", "c1", &[0], "2.0")).status, 429);
+    let mut client = Client::connect(&broker);
+    assert_eq!(client.request("GET /ready HTTP/1.1\r\n\r\n").status, 503);
+    assert_eq!(client.request(&query_request("find", "c1", &[0], "2.0")).status, 429);
 }
 
 #[test]
 fn restarted_discovery_agent_is_followed() {
     let nodes = nodes(2);
-    let (broker, list) = Broker::before(&nodes[..1]);
+    let (broker, list) = Broker::start_for(&nodes[..1]);
     for _ in 0..3 {
-        list.tell(vec![nodes[0].line("ready")]);
-        list.wait_read();
+        list.publish(vec![nodes[0].endpoint("ready")]);
+        list.wait_until_read();
     }
-    list.restart(vec![nodes[1].line("ready")]);
-    list.wait_read();
-    assert_eq!(Client::to(&broker).ask(&scan("find", "c1", &[0], "2.0")).status, 200);
+    list.restart(vec![nodes[1].endpoint("ready")]);
+    list.wait_until_read();
+    assert_eq!(Client::connect(&broker).request(&query_request("find", "c1", &[0], "2.0")).status, 200);
     assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (0, 1));
 }
 
@@ -85,26 +85,26 @@
 #[rstest]
 fn hasty_discovery_agent_is_not_polled_in_a_loop(#[values(false, true)] closes: bool) {
     let nodes = nodes(2);
-    let (broker, list) = Broker::before(&nodes[..1]);
-    let asked = list.be_hasty(closes);
+    let (broker, list) = Broker::start_for(&nodes[..1]);
+    let asked = list.reply_immediately(closes);
     assert!((1.0..30.0).contains(&asked), "{asked}");
-    list.tell(vec![nodes[1].line("ready")]);
-    list.wait_read();
-    assert_eq!(Client::to(&broker).ask(&scan("find", "c1", &[0], "2.0")).status, 200);
+    list.publish(vec![nodes[1].endpoint("ready")]);
+    list.wait_until_read();
+    assert_eq!(Client::connect(&broker).request(&query_request("find", "c1", &[0], "2.0")).status, 200);
     assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (0, 1));
 }
 
 #[test]
 fn moved_node_is_used_at_its_new_address() {
     let nodes = nodes(2);
-    let (broker, list) = Broker::before(&nodes[..1]);
-    let mut client = Client::to(&broker);
-    assert_eq!(client.ask(&scan("find", "c1", &[0], "2.0")).status, 200);
-    let mut line = nodes[0].line("ready");
+    let (broker, list) = Broker::start_for(&nodes[..1]);
+    let mut client = Client::connect(&broker);
+    assert_eq!(client.request(&query_request("find", "c1", &[0], "2.0")).status, 200);
+    let mut line = nodes[0].endpoint("ready");
     line["dial"] = json!(nodes[1].address.to_string());
-    list.tell(vec![line]);
-    list.wait_read();
-    assert_eq!(client.ask(&scan("find", "c2", &[0], "2.0")).status, 200);
+    list.publish(vec![line]);
+    list.wait_until_read();
+    assert_eq!(client.request(&query_request("find", "c2", &[0], "2.0")).status, 200);
     assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (1, 1));
-    nodes[0].wait_closed(1);
+    nodes[0].wait_for_closed(1);
 }
--- a/crates/dunepond-broker/tests/scenarios/limits.rs
+++ b/crates/dunepond-broker/tests/scenarios/limits.rs
@@ -3,7 +3,7 @@
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{Broker, Client, List, Manner, config, scan};
+use dunepond_testkit::stand_ins::{Broker, Client, DiscoveryServer, NodeBehavior, config, query_request};
 use rstest::rstest;
 use serde_json::json;
 
@@ -12,27 +12,27 @@
 #[test]
 fn bound_on_queries_in_flight_is_enforced() {
     let nodes = nodes(1);
-    nodes[0].behave(Manner::Hang);
-    let (broker, _list) = Broker::before_with(&nodes, "/settings/ceilings/mostHeld", json!(4));
-    let mut first = Client::to(&broker);
-    first.send(&scan("find", "c1", &[0, 1, 2], "2.0"));
-    nodes[0].wait_for('A', 3);
-    let away = Client::to(&broker).ask(&scan("find", "c2", &[0], "2.0"));
+    nodes[0].set_behavior(NodeBehavior::Hang);
+    let (broker, _list) = Broker::start_for_with(&nodes, "/settings/ceilings/mostHeld", json!(4));
+    let mut first = Client::connect(&broker);
+    first.send(&query_request("find", "c1", &[0, 1, 2], "2.0"));
+    nodes[0].wait_for_frames('A', 3);
+    let away = Client::connect(&broker).request(&query_request("find", "c2", &[0], "2.0"));
     assert!(away.status == 503 && away.head.contains("Retry-After: 2.000"), "{away:?}");
     drop(first);
-    nodes[0].wait_for('B', 3);
-    nodes[0].behave(Manner::Serve);
-    assert_eq!(Client::to(&broker).ask(&scan("find", "c3", &[0], "2.0")).status, 200);
+    nodes[0].wait_for_frames('B', 3);
+    nodes[0].set_behavior(NodeBehavior::Serve);
+    assert_eq!(Client::connect(&broker).request(&query_request("find", "c3", &[0], "2.0")).status, 200);
 }
 
 #[test]
 fn clients_beyond_the_bound_are_served_in_turn() {
     let nodes = nodes(1);
-    let (broker, _list) = Broker::before_with(&nodes, "/limits/sockets", json!(56));
+    let (broker, _list) = Broker::start_for_with(&nodes, "/limits/sockets", json!(56));
     let mut clients = Vec::new();
     for i in 0..40 {
-        let mut client = Client::to(&broker);
-        assert_eq!(client.ask(&scan("find", &format!("c{i}"), &[0], "5.0")).status, 200);
+        let mut client = Client::connect(&broker);
+        assert_eq!(client.request(&query_request("find", &format!("c{i}"), &[0], "5.0")).status, 200);
         clients.push(client);
     }
 }
@@ -41,11 +41,11 @@
 #[test]
 fn no_eviction_without_a_waiting_client() {
     let nodes = nodes(1);
-    let (broker, _list) = Broker::before_with(&nodes, "/limits/sockets", json!(48));
-    let mut clients: Vec<_> = (0..18).map(|_| Client::to(&broker)).collect();
+    let (broker, _list) = Broker::start_for_with(&nodes, "/limits/sockets", json!(48));
+    let mut clients: Vec<_> = (0..18).map(|_| Client::connect(&broker)).collect();
     std::thread::sleep(Duration::from_millis(50));
     for (i, client) in clients.iter_mut().enumerate() {
-        assert_eq!(client.ask(&scan("find", &format!("c{i}"), &[0], "2.0")).status, 200);
+        assert_eq!(client.request(&query_request("find", &format!("c{i}"), &[0], "2.0")).status, 200);
     }
 }
 
@@ -53,18 +53,18 @@
 #[test]
 fn waiting_client_is_not_evicted() {
     let nodes = nodes(1);
-    nodes[0].behave(Manner::SlowFor(1));
-    let (broker, _list) = Broker::before_with(&nodes, "/limits/sockets", json!(48));
-    let mut first = Client::to(&broker);
-    first.send(&(scan("find", "c1", &[0], "2.0") + &scan("find", "c2", &[1], "2.0")));
-    assert_eq!(first.answer().unwrap().status, 200);
+    nodes[0].set_behavior(NodeBehavior::SlowForShard(1));
+    let (broker, _list) = Broker::start_for_with(&nodes, "/limits/sockets", json!(48));
+    let mut first = Client::connect(&broker);
+    first.send(&(query_request("find", "c1", &[0], "2.0") + &query_request("find", "c2", &[1], "2.0")));
+    assert_eq!(first.read_answer().unwrap().status, 200);
     let ready = |_| {
-        let mut other = Client::to(&broker);
-        assert_eq!(other.ask("GET /ready HTTP/1.1\r\n\r\n").status, 200);
+        let mut other = Client::connect(&broker);
+        assert_eq!(other.request("GET /ready HTTP/1.1\r\n\r\n").status, 200);
         other
     };
     let _others: Vec<_> = (0..20).map(ready).collect();
-    assert_eq!(first.answer().unwrap().status, 200);
+    assert_eq!(first.read_answer().unwrap().status, 200);
 }
 
 /// Guards against hundreds of silent clients that would use up all connections.
@@ -77,16 +77,16 @@
     #[case] sockets: usize,
 ) {
     let nodes = nodes(1);
-    let list = List::start(vec![nodes[0].line("ready")]);
-    let mut config = config(list.address, vec![nodes[0].line("ready")]);
+    let list = DiscoveryServer::start(vec![nodes[0].endpoint("ready")]);
+    let mut config = config(list.address, vec![nodes[0].endpoint("ready")]);
     config["limits"] = json!({"memory_mb": 4, "sockets": sockets});
     let broker = Broker::start(&config);
     let start = Instant::now();
-    let mut idlers: Vec<_> = (0..100).map(|_| Client::to(&broker)).collect();
+    let mut idlers: Vec<_> = (0..100).map(|_| Client::connect(&broker)).collect();
     // Some are evicted at once.
     idlers.iter_mut().for_each(|idler| drop(idler.stream.write_all(said.as_bytes())));
-    let mut client = Client::to(&broker);
-    assert_eq!(client.ask(&scan("find", "c1", &[0], "2.0")).status, 200);
+    let mut client = Client::connect(&broker);
+    assert_eq!(client.request(&query_request("find", "c1", &[0], "2.0")).status, 200);
     let mut last = String::new();
     let _ = idlers.pop().unwrap().stream.read_to_string(&mut last);
     assert!(last.starts_with(told), "{last}");
@@ -97,24 +97,24 @@
 /// Some clients send one request and keep their connection.
 #[test]
 fn idle_client_is_closed() {
-    let (broker, _list) = Broker::before(&nodes(1));
-    let mut client = Client::to(&broker);
-    assert_eq!(client.ask(&scan("find", "c1", &[0], "2.0")).status, 200);
+    let (broker, _list) = Broker::start_for(&nodes(1));
+    let mut client = Client::connect(&broker);
+    assert_eq!(client.request(&query_request("find", "c1", &[0], "2.0")).status, 200);
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
 }
 
 /// Idle connections must not use up those that are allowed.
 #[test]
 fn idle_clients_beyond_their_share_are_closed() {
-    let (broker, _list) = Broker::before_with(&nodes(1), "/limits/sockets", json!(88));
+    let (broker, _list) = Broker::start_for_with(&nodes(1), "/limits/sockets", json!(88));
     let start = Instant::now();
     let ask = |i| {
-        let mut client = Client::to(&broker);
-        assert_eq!(client.ask(&scan("find", &format!("c{i}"), &[0], "2.0")).status, 200);
+        let mut client = Client::connect(&broker);
+        assert_eq!(client.request(&query_request("find", &format!("c{i}"), &[0], "2.0")).status, 200);
         client
     };
     let mut clients: Vec<_> = (0..40).map(ask).collect();
-    assert_eq!(clients[39].ask(&scan("find", "last", &[0], "2.0")).status, 200);
+    assert_eq!(clients[39].request(&query_request("find", "last", &[0], "2.0")).status, 200);
     assert!(clients[..28].iter_mut().all(|client| client.stream.read(&mut [0]).unwrap() == 0));
     assert!(start.elapsed() < Duration::from_secs(3));
 }
@@ -122,10 +122,10 @@
 #[test]
 fn nodes_beyond_the_connection_bound_are_used_in_turn() {
     let nodes = nodes(20);
-    let (broker, _list) = Broker::before_with(&nodes, "/limits/sockets", json!(48));
-    let mut client = Client::to(&broker);
+    let (broker, _list) = Broker::start_for_with(&nodes, "/limits/sockets", json!(48));
+    let mut client = Client::connect(&broker);
     for i in 0..40 {
-        let answer = client.ask(&scan("find", &format!("c{i}"), &[0, 1, 2, 3], "2.0"));
+        let answer = client.request(&query_request("find", &format!("c{i}"), &[0, 1, 2, 3], "2.0"));
         assert_eq!((answer.status, &answer.body["finished"]), (200, &json!(true)));
     }
     assert!(nodes.iter().filter(|n| n.connections() > 0).count() > 12);
@@ -135,26 +135,27 @@
 #[test]
 fn exhausted_descriptors_pause_accepting() {
     let nodes = nodes(1);
-    let list = List::start(vec![nodes[0].line("ready")]);
-    let broker = Broker::start_with_descriptors(16, &config(list.address, vec![nodes[0].line("ready")]));
-    let mut first = Client::to(&broker);
-    assert_eq!(first.ask(&scan("find", "c1", &[0], "5.0")).status, 200);
-    let mut many: Vec<_> = (0..30).map(|_| Client::to(&broker)).collect();
-    assert_eq!(first.ask(&scan("find", "c2", &[0], "5.0")).status, 200);
+    let list = DiscoveryServer::start(vec![nodes[0].endpoint("ready")]);
+    let broker =
+        Broker::start_with_descriptor_limit(16, &config(list.address, vec![nodes[0].endpoint("ready")]));
+    let mut first = Client::connect(&broker);
+    assert_eq!(first.request(&query_request("find", "c1", &[0], "5.0")).status, 200);
+    let mut many: Vec<_> = (0..30).map(|_| Client::connect(&broker)).collect();
+    assert_eq!(first.request(&query_request("find", "c2", &[0], "5.0")).status, 200);
     let mut last = many.pop().unwrap();
     drop(many);
-    assert_eq!(last.ask(&scan("find", "c3", &[0], "5.0")).status, 200);
+    assert_eq!(last.request(&query_request("find", "c3", &[0], "5.0")).status, 200);
 }
 
 /// Guards against responses that pile up in memory.
 #[test]
 fn client_that_reads_no_responses_is_not_read_further() {
-    let (broker, _list) = Broker::before(&nodes(1));
-    let mut greedy = Client::to(&broker);
+    let (broker, _list) = Broker::start_for(&nodes(1));
+    let mut greedy = Client::connect(&broker);
     greedy.stream.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
     let ready = "GET /ready HTTP/1.1\r\n\r\n".repeat(1000);
     // The sockets' buffers take some MiB; far beyond that the broker must have stopped reading.
     let sent = (0..5000).take_while(|_| greedy.stream.write_all(ready.as_bytes()).is_ok()).count();
     assert!(sent < 5000, "all of it was read");
-    assert_eq!(Client::to(&broker).ask(&scan("find", "c1", &[0], "2.0")).status, 200);
+    assert_eq!(Client::connect(&broker).request(&query_request("find", "c1", &[0], "2.0")).status, 200);
 }
--- a/crates/dunepond-broker/tests/scenarios/main.rs
+++ b/crates/dunepond-broker/tests/scenarios/main.rs
@@ -8,7 +8,7 @@
 mod limits;
 mod requests;
 
-use dunepond_testkit::store::Node;
+use dunepond_testkit::stand_ins::Node;
 
 fn nodes(count: usize) -> Vec<Node> {
     (0..count).map(|i| Node::start(&format!("s-{i}"))).collect()
--- a/crates/dunepond-broker/tests/scenarios/requests.rs
+++ b/crates/dunepond-broker/tests/scenarios/requests.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{Broker, Client, Manner, scan};
+use dunepond_testkit::stand_ins::{Broker, Client, NodeBehavior, query_request};
 use rstest::rstest;
 use serde_json::json;
 
@@ -11,9 +11,9 @@
 
 #[test]
 fn query_returns_the_values_of_its_nodes() {
-    let (broker, _list) = Broker::before(&nodes(2));
-    let mut client = Client::to(&broker);
-    let answer = client.ask(&scan("find", "c1", &[3, 5], "2.0"));
+    let (broker, _list) = Broker::start_for(&nodes(2));
+    let mut client = Client::connect(&broker);
+    let answer = client.request(&query_request("find", "c1", &[3, 5], "2.0"));
     assert_eq!(answer.status, 200);
     let found = json!([{"bucket": 3, "item": "v-q1"}, {"bucket": 5, "item": "v-q1"}]);
     assert_eq!(answer.body, json!({"finished": true, "found": found}));
@@ -22,8 +22,8 @@
 #[test]
 fn attempt_frame_has_segment_time_limit_and_payload() {
     let nodes = nodes(1);
-    let (broker, _list) = Broker::before(&nodes);
-    Client::to(&broker).ask(&scan("find", "c1", &[4], "1.5"));
+    let (broker, _list) = Broker::start_for(&nodes);
+    Client::connect(&broker).request(&query_request("find", "c1", &[4], "1.5"));
     let calls = nodes[0].frames('A');
     let (line, text) = calls[0].split_once('\n').unwrap();
     let words: Vec<_> = line.split(' ').collect();
@@ -34,82 +34,82 @@
 
 #[test]
 fn request_in_single_bytes_and_pipelined() {
-    let (broker, _list) = Broker::before(&nodes(1));
-    let mut client = Client::to(&broker);
+    let (broker, _list) = Broker::start_for(&nodes(1));
+    let mut client = Client::connect(&broker);
     let chunked = "POST /find HTTP/1.1\r\nX-Call-Id: c2\r\nX-Budget: 2\r\nTransfer-Encoding: chunked\r\n\r\n\
         1a\r\n{\"buckets\":[{\"bucket\":1,\"p\r\n12\r\nart\":1}],\"body\":\"q\r\n2\r\n\"}\r\n0\r\n\r\n";
-    let both = scan("find", "c1", &[0], "2") + chunked;
+    let both = query_request("find", "c1", &[0], "2") + chunked;
     for byte in both.as_bytes() {
         client.stream.write_all(&[*byte]).unwrap();
     }
     for shard in [0, 1] {
-        let answer = client.answer().unwrap();
+        let answer = client.read_answer().unwrap();
         assert_eq!((answer.status, &answer.body["found"][0]["bucket"]), (200, &json!(shard)));
     }
 }
 
 #[rstest]
-#[case::path(scan("lost", "c1", &[0], "2"), 404, "path")]
-#[case::shard(scan("find", "c1", &[6], "2"), 400, "buckets.bucket")]
-#[case::twice(scan("find", "c1", &[1, 1], "2"), 400, "named twice")]
-#[case::no_parts(scan("find", "c1", &[], "2"), 400, "buckets")]
-#[case::budget(scan("find", "c1", &[1], "soon"), 400, "X-Budget")]
-#[case::spent(scan("find", "c1", &[1], "0"), 400, "X-Budget: spent")]
-#[case::infinite(scan("find", "c1", &[1], "inf"), 400, "X-Budget")]
-#[case::exponent(scan("find", "c1", &[1], "1e9"), 400, "X-Budget")]
-#[case::too_much(scan("find", "c1", &[1], "2").replace("1.0}", "1.5}"), 400, "buckets.part: not a share")]
-#[case::too_little(scan("find", "c1", &[1], "2").replace("1.0}", "0.7}"), 400, "add up to 1")]
-#[case::too_many(scan("find", "c1", &[1, 2, 3], "2").replace("0.33", "0.43"), 400, "add up to 1")]
-#[case::id(scan("find", "", &[1], "2"), 400, "X-Call-Id")]
-#[case::class(scan("find", "c1", &[1], "2").replace("Class: find", "Class: fix"), 400, "X-Call-Class")]
-#[case::weight(scan("find", "c1", &[1], "2").replace("1.0}", "[5]}"), 400, "buckets.part")]
-#[case::not_json(scan("find", "c1", &[1], "2").replace("{\"b", "<\"b"), 400, "body")]
-#[case::key_twice(scan("find", "c1", &[1], "2").replace("\"body\":\"q1\"", "\"body\":1,\"body\":2"), 400, "'body' is given twice")]
+#[case::path(query_request("lost", "c1", &[0], "2"), 404, "path")]
+#[case::shard(query_request("find", "c1", &[6], "2"), 400, "buckets.bucket")]
+#[case::twice(query_request("find", "c1", &[1, 1], "2"), 400, "named twice")]
+#[case::no_parts(query_request("find", "c1", &[], "2"), 400, "buckets")]
+#[case::budget(query_request("find", "c1", &[1], "soon"), 400, "X-Budget")]
+#[case::spent(query_request("find", "c1", &[1], "0"), 400, "X-Budget: spent")]
+#[case::infinite(query_request("find", "c1", &[1], "inf"), 400, "X-Budget")]
+#[case::exponent(query_request("find", "c1", &[1], "1e9"), 400, "X-Budget")]
+#[case::too_much(query_request("find", "c1", &[1], "2").replace("1.0}", "1.5}"), 400, "buckets.part: not a share")]
+#[case::too_little(query_request("find", "c1", &[1], "2").replace("1.0}", "0.7}"), 400, "add up to 1")]
+#[case::too_many(query_request("find", "c1", &[1, 2, 3], "2").replace("0.33", "0.43"), 400, "add up to 1")]
+#[case::id(query_request("find", "", &[1], "2"), 400, "X-Call-Id")]
+#[case::class(query_request("find", "c1", &[1], "2").replace("Class: find", "Class: fix"), 400, "X-Call-Class")]
+#[case::weight(query_request("find", "c1", &[1], "2").replace("1.0}", "[5]}"), 400, "buckets.part")]
+#[case::not_json(query_request("find", "c1", &[1], "2").replace("{\"b", "<\"b"), 400, "body")]
+#[case::key_twice(query_request("find", "c1", &[1], "2").replace("\"body\":\"q1\"", "\"body\":1,\"body\":2"), 400, "'body' is given twice")]
 #[case::method("GET /find HTTP/1.1\r\n\r\n".to_string(), 405, "POST")]
 #[case::no_http("lunch?\r\n\r\n".to_string(), 400, "head")]
 #[case::too_long("POST /find HTTP/1.1\r\nContent-Length: 65537\r\n\r\n".to_string(), 413, "64 KiB")]
 #[case::smuggled("POST /find HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n".to_string(), 400, "Content-Length")]
 fn invalid_request_names_its_fault(#[case] request: String, #[case] status: u16, #[case] named: &str) {
     let nodes = nodes(1);
-    let (broker, _list) = Broker::before(&nodes);
-    let answer = Client::to(&broker).ask(&request);
+    let (broker, _list) = Broker::start_for(&nodes);
+    let answer = Client::connect(&broker).request(&request);
     assert_eq!(answer.status, status);
     assert!(answer.body["error"].as_str().unwrap().contains(named), "{answer:?}");
-    assert_eq!(Client::to(&broker).ask(&scan("find", "c9", &[0], "2")).status, 200);
+    assert_eq!(Client::connect(&broker).request(&query_request("find", "c9", &[0], "2")).status, 200);
     assert_eq!(nodes[0].frames('A').len(), 1);
 }
 
 #[test]
 fn burst_gets_one_response_per_query() {
-    let (broker, _list) = Broker::before(&nodes(3));
-    let mut clients: Vec<_> = (0..100).map(|_| Client::to(&broker)).collect();
+    let (broker, _list) = Broker::start_for(&nodes(3));
+    let mut clients: Vec<_> = (0..100).map(|_| Client::connect(&broker)).collect();
     for (i, client) in clients.iter_mut().enumerate() {
-        client.send(&scan("find", &format!("c{i}"), &[i % 6, (i + 1) % 6], "2.0"));
+        client.send(&query_request("find", &format!("c{i}"), &[i % 6, (i + 1) % 6], "2.0"));
     }
     for client in &mut clients {
-        let status = client.answer().unwrap().status;
+        let status = client.read_answer().unwrap().status;
         assert!(matches!(status, 200 | 429 | 503), "{status}");
-        assert_eq!(client.ask("GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n").status, 200);
-        assert!(client.answer().is_none());
+        assert_eq!(client.request("GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n").status, 200);
+        assert!(client.read_answer().is_none());
     }
 }
 
 #[test]
 fn query_timeout_bounds_the_time_budget() {
     let nodes = nodes(1);
-    nodes[0].behave(Manner::Hang);
-    let (broker, _list) = Broker::before_with(&nodes, "/settings/services/1/deadlineMs", json!(500.0));
+    nodes[0].set_behavior(NodeBehavior::Hang);
+    let (broker, _list) = Broker::start_for_with(&nodes, "/settings/services/1/deadlineMs", json!(500.0));
     let start = Instant::now();
-    assert_eq!(Client::to(&broker).ask(&scan("fix", "c1", &[0], "9.0")).status, 502);
+    assert_eq!(Client::connect(&broker).request(&query_request("fix", "c1", &[0], "9.0")).status, 502);
     assert!(start.elapsed() < Duration::from_secs(5));
 }
 
 #[test]
 fn partial_response_is_marked() {
     let nodes = nodes(1);
-    nodes[0].behave(Manner::HangFor(1));
-    let (broker, _list) = Broker::before(&nodes);
-    let answer = Client::to(&broker).ask(&scan("find", "c1", &[0, 1], "0.8"));
+    nodes[0].set_behavior(NodeBehavior::HangForShard(1));
+    let (broker, _list) = Broker::start_for(&nodes);
+    let answer = Client::connect(&broker).request(&query_request("find", "c1", &[0, 1], "0.8"));
     let found = json!([{"bucket": 0, "item": "v-q1"}]);
     assert_eq!((answer.status, answer.body), (200, json!({"finished": false, "found": found})));
 }
@@ -124,11 +124,13 @@
     #[case] attempts: usize,
 ) {
     let nodes = nodes(1);
-    nodes[0].behave(Manner::SlowFor(1));
-    let (broker, _list) = Broker::before(&nodes);
-    let mut client = Client::to(&broker);
-    client.send(&(scan("find", "c1", &[1], "2.0") + &scan("find", "c2", &[0], &budget.to_string())));
-    assert_eq!((client.answer().unwrap().status, client.answer().unwrap().status), (200, status));
+    nodes[0].set_behavior(NodeBehavior::SlowForShard(1));
+    let (broker, _list) = Broker::start_for(&nodes);
+    let mut client = Client::connect(&broker);
+    client.send(
+        &(query_request("find", "c1", &[1], "2.0") + &query_request("find", "c2", &[0], &budget.to_string())),
+    );
+    assert_eq!((client.read_answer().unwrap().status, client.read_answer().unwrap().status), (200, status));
     let of_the_second = nodes[0].frames('A').iter().filter(|frame| frame.starts_with("c2.")).count();
     assert_eq!(of_the_second, attempts);
 }
--- a/crates/dunepond-broker/tests/shutdown.rs
+++ b/crates/dunepond-broker/tests/shutdown.rs
@@ -8,8 +8,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{
-    Broker, Client, List, Manner, Node, config, launch_by, program, scan, scratch, set_timeouts,
+use dunepond_testkit::stand_ins::{
+    Broker, Client, DiscoveryServer, Node, NodeBehavior, broker_program, config, launch_command,
+    query_request, scratch_path, set_timeouts,
 };
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -17,9 +18,13 @@
 const READY: &str = "GET /ready HTTP/1.1\r\n\r\n";
 
 /// Sends requests on new connections until an answer shows that a stage of the shutdown has been reached.
-fn wait_for_answer(broker: &Broker, what: &str, wanted: impl Fn(&dunepond_testkit::store::Answer) -> bool) {
+fn wait_for_answer(
+    broker: &Broker,
+    what: &str,
+    wanted: impl Fn(&dunepond_testkit::stand_ins::Answer) -> bool,
+) {
     let start = Instant::now();
-    while !wanted(&Client::to(broker).ask(READY)) {
+    while !wanted(&Client::connect(broker).request(READY)) {
         assert!(start.elapsed() < Duration::from_secs(5), "never {what}");
         thread::sleep(Duration::from_millis(5));
     }
@@ -51,37 +56,37 @@
 
 /// Signals the program while it waits for its configuration, the first thing that it does.
 fn start_signalled(config: &Value, signal: &str) -> Broker {
-    let path = scratch("json");
+    let path = scratch_path("json");
     make_fifo(&path);
-    let mut command = Command::new(program());
+    let mut command = Command::new(broker_program());
     command.env_clear().env("GW_CONFIG", &path).stdin(Stdio::null()).stderr(Stdio::piped());
     let child = command.spawn().unwrap();
     let mut held = open_for_writing(&path);
     let kill = format!("kill -{signal} {}", child.id());
     assert!(Command::new("/bin/sh").args(["-c", &kill]).status().unwrap().success());
     // A reload finds a regular file.
-    let file = scratch("json");
+    let file = scratch_path("json");
     std::fs::write(&file, config.to_string()).unwrap();
     std::fs::rename(&file, &path).unwrap();
     held.write_all(config.to_string().as_bytes()).unwrap();
     drop(held);
-    Broker::started((child, path))
+    Broker::from_child((child, path))
 }
 
 /// Guards against the default handling of SIGHUP, which kills a process that is still starting.
 #[test]
 fn sighup_at_startup_is_handled() {
     let nodes = [Node::start("s-0")];
-    let list = List::start(vec![nodes[0].line("ready")]);
+    let list = DiscoveryServer::start(vec![nodes[0].endpoint("ready")]);
     let broker = start_signalled(&config(list.address, vec![]), "HUP");
-    list.wait_read();
-    assert_eq!(Client::to(&broker).ask(&scan("find", "c1", &[1], "2.0")).status, 200);
+    list.wait_until_read();
+    assert_eq!(Client::connect(&broker).request(&query_request("find", "c1", &[1], "2.0")).status, 200);
 }
 
 #[rstest]
 fn sigterm_at_startup_shuts_down_gracefully(#[values("TERM", "INT")] signal: &str) {
     let nodes = [Node::start("s-0")];
-    let list = List::start(vec![nodes[0].line("ready")]);
+    let list = DiscoveryServer::start(vec![nodes[0].endpoint("ready")]);
     let mut broker = start_signalled(&config(list.address, vec![]), signal);
     assert_eq!(broker.exit_code(), Some(0));
 }
@@ -92,8 +97,8 @@
 #[case::term(libc::SIGTERM, Some(0))]
 fn pending_signal_is_handled_after_exec(#[case] signal: i32, #[case] code: Option<i32>) {
     let nodes = [Node::start("s-0")];
-    let list = List::start(vec![nodes[0].line("ready")]);
-    let mut command = Command::new(program());
+    let list = DiscoveryServer::start(vec![nodes[0].endpoint("ready")]);
+    let mut command = Command::new(broker_program());
     let pend = move || {
         // SAFETY: all three calls may be made between fork and exec, and the set is written before it is read.
         unsafe {
@@ -106,29 +111,29 @@
     };
     // SAFETY: see there.
     unsafe { command.pre_exec(pend) };
-    let mut broker = Broker::started(launch_by(command, &config(list.address, vec![])));
+    let mut broker = Broker::from_child(launch_command(command, &config(list.address, vec![])));
     if code.is_some() {
         return assert_eq!(broker.exit_code(), code);
     }
-    list.wait_read();
-    assert_eq!(Client::to(&broker).ask(&scan("find", "c1", &[1], "2.0")).status, 200);
-    assert!(broker.said().contains("configuration reloaded"));
+    list.wait_until_read();
+    assert_eq!(Client::connect(&broker).request(&query_request("find", "c1", &[1], "2.0")).status, 200);
+    assert!(broker.log_text().contains("configuration reloaded"));
 }
 
 /// Requests that were completely received before the close are accepted.
 #[test]
 fn pipelined_requests_answered_during_shutdown() {
     let nodes = [Node::start("s-0")];
-    nodes[0].behave(Manner::After(1500));
+    nodes[0].set_behavior(NodeBehavior::DelayMillis(1500));
     // With time for the queued requests.
-    let (mut broker, _list) = Broker::before_changed(&nodes, |config| set_timeouts(config, 3000.0));
-    let mut client = Client::to(&broker);
-    client.send(&["c1", "c2", "c3"].map(|id| scan("find", id, &[1], "3.0")).concat());
-    nodes[0].wait_for('A', 1);
+    let (mut broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 3000.0));
+    let mut client = Client::connect(&broker);
+    client.send(&["c1", "c2", "c3"].map(|id| query_request("find", id, &[1], "3.0")).concat());
+    nodes[0].wait_for_frames('A', 1);
     signal_shutdown(&broker);
     wait_until_closing(&broker);
-    nodes[0].behave(Manner::Serve);
-    let answers: Vec<_> = (0..3).map_while(|_| client.answer()).collect();
+    nodes[0].set_behavior(NodeBehavior::Serve);
+    let answers: Vec<_> = (0..3).map_while(|_| client.read_answer()).collect();
     let closes: Vec<_> = answers.iter().map(|answer| answer.head.contains("Connection: close")).collect();
     assert_eq!(closes, [false, false, true]);
     // With little time left a request may be rejected.
@@ -142,8 +147,8 @@
 #[test]
 fn slow_reader_gets_all_answers_after_shutdown() {
     let nodes = [Node::start("s-0")];
-    let (mut broker, _list) = Broker::before_changed(&nodes, |_| {});
-    let mut client = Client::to(&broker);
+    let (mut broker, _list) = Broker::start_for_changed(&nodes, |_| {});
+    let mut client = Client::connect(&broker);
     let text = "x".repeat(40_000);
     let requests: Vec<_> = (0..120)
         .map(|i| {
@@ -154,11 +159,11 @@
         .collect();
     let mut sender = client.stream.try_clone().unwrap();
     let sending = thread::spawn(move || sender.write_all(requests.concat().as_bytes()).is_ok());
-    nodes[0].wait_for('A', 20);
+    nodes[0].wait_for_frames('A', 20);
     signal_shutdown(&broker);
     wait_until_closing(&broker);
     let mut taken = 0;
-    while let Some(answer) = client.answer() {
+    while let Some(answer) = client.read_answer() {
         assert_eq!((answer.status, answer.body["finished"].clone()), (200, json!(true)));
         taken += 1;
         if answer.head.contains("Connection: close") {
@@ -174,18 +179,18 @@
 #[test]
 fn stall_past_first_stage_still_closes_with_answers() {
     let nodes = [Node::start("s-0")];
-    let (mut broker, _list) = Broker::before_changed(&nodes, |_| {});
-    let mut client = Client::to(&broker);
-    assert_eq!(client.ask(&scan("find", "c1", &[1], "2.0")).status, 200);
+    let (mut broker, _list) = Broker::start_for_changed(&nodes, |_| {});
+    let mut client = Client::connect(&broker);
+    assert_eq!(client.request(&query_request("find", "c1", &[1], "2.0")).status, 200);
     let start = Instant::now();
     signal_shutdown(&broker);
     broker.signal("STOP");
-    client.send(&scan("find", "c2", &[1], "2.0"));
+    client.send(&query_request("find", "c2", &[1], "2.0"));
     thread::sleep(Duration::from_millis(800).saturating_sub(start.elapsed()));
     broker.signal("CONT");
-    let answer = client.answer().unwrap();
+    let answer = client.read_answer().unwrap();
     assert_eq!((answer.status, answer.head.contains("Connection: close")), (200, true));
-    assert!(client.answer().is_none());
+    assert!(client.read_answer().is_none());
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
 }
@@ -197,8 +202,9 @@
 #[case::partial_request("POST /find HTTP/1.1\r\nX-Call-Id: c0\r\nContent-Length: 9\r\n\r\nhalf", 0.5, 1.8)]
 fn exits_before_kill_with_short_timeouts(#[case] sent: &str, #[case] timeout: f64, #[case] max_seconds: f64) {
     let nodes = [Node::start("s-0")];
-    let (mut broker, _list) = Broker::before_changed(&nodes, |config| set_timeouts(config, 1000.0 * timeout));
-    let mut client = Client::to(&broker);
+    let (mut broker, _list) =
+        Broker::start_for_changed(&nodes, |config| set_timeouts(config, 1000.0 * timeout));
+    let mut client = Client::connect(&broker);
     client.send(sent);
     signal_shutdown(&broker);
     let start = Instant::now();
@@ -212,17 +218,17 @@
 #[test]
 fn in_flight_answered_before_kill_with_long_timeouts() {
     let nodes = [Node::start("s-0")];
-    nodes[0].behave(Manner::Hang);
-    let (mut broker, _list) = Broker::before_changed(&nodes, |config| set_timeouts(config, 60_000.0));
-    let mut clients: Vec<_> = (0..2).map(|_| Client::to(&broker)).collect();
-    let ask = |client: &mut Client, id| client.send(&scan("fix", id, &[1], "59.0"));
+    nodes[0].set_behavior(NodeBehavior::Hang);
+    let (mut broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 60_000.0));
+    let mut clients: Vec<_> = (0..2).map(|_| Client::connect(&broker)).collect();
+    let ask = |client: &mut Client, id| client.send(&query_request("fix", id, &[1], "59.0"));
     ask(&mut clients[0], "c1");
-    nodes[0].wait_for('A', 1);
+    nodes[0].wait_for_frames('A', 1);
     signal_shutdown(&broker);
     let start = Instant::now();
     ask(&mut clients[1], "c2");
     let answers: Vec<_> =
-        clients.iter_mut().map(|client| client.answer().expect("an answer").status).collect();
+        clients.iter_mut().map(|client| client.read_answer().expect("an answer").status).collect();
     assert!(answers.iter().all(|status| *status >= 429), "{answers:?}");
     drop(clients);
     assert_eq!(broker.exit_code(), Some(0));
@@ -233,21 +239,21 @@
 #[test]
 fn simultaneous_shutdown_with_hung_nodes_answers_all() {
     let nodes: Vec<_> = (0..4).map(|i| Node::start(&format!("s-{i}"))).collect();
-    nodes.iter().take(2).for_each(|node| node.behave(Manner::Hang));
-    let lines: Vec<_> = nodes.iter().map(|n| n.line("ready")).collect();
-    let list = List::start(lines.clone());
+    nodes.iter().take(2).for_each(|node| node.set_behavior(NodeBehavior::Hang));
+    let lines: Vec<_> = nodes.iter().map(|n| n.endpoint("ready")).collect();
+    let list = DiscoveryServer::start(lines.clone());
     let mut config = config(list.address, lines);
     set_timeouts(&mut config, 800.0);
     let mut brokers: Vec<_> = (0..3).map(|_| Broker::start(&config)).collect();
     let ask = |broker: &Broker, i: usize, when: &str| {
-        let mut client = Client::to(broker);
-        client.send(&scan(["find", "fix"][i % 2], &format!("{when}{i}"), &[i % 6], "0.8"));
+        let mut client = Client::connect(broker);
+        client.send(&query_request(["find", "fix"][i % 2], &format!("{when}{i}"), &[i % 6], "0.8"));
         client
     };
     let each = |when: &str, broker: &Broker| (0..12).map(|i| ask(broker, i, when)).collect::<Vec<_>>();
     let mut clients: Vec<_> = brokers.iter().flat_map(|broker| each("a", broker)).collect();
-    nodes[0].wait_for('A', 1);
-    nodes[1].wait_for('A', 1);
+    nodes[0].wait_for_frames('A', 1);
+    nodes[1].wait_for_frames('A', 1);
     for broker in &brokers {
         broker.signal("STOP");
         broker.signal("TERM");
@@ -255,7 +261,7 @@
     }
     brokers.iter().for_each(|broker| broker.signal("CONT"));
     let answers: Vec<_> =
-        clients.iter_mut().map(|client| client.answer().map(|answer| answer.status)).collect();
+        clients.iter_mut().map(|client| client.read_answer().map(|answer| answer.status)).collect();
     assert!(answers.iter().all(|status| matches!(status, Some(200 | 429 | 502))), "{answers:?}");
     drop(clients);
     assert_eq!(brokers.iter_mut().map(Broker::exit_code).collect::<Vec<_>>(), [Some(0); 3]);
@@ -265,13 +271,13 @@
 #[test]
 fn lingering_client_does_not_delay_exit() {
     let nodes = [Node::start("s-0")];
-    nodes[0].behave(Manner::Hang);
-    let (mut broker, _list) = Broker::before_changed(&nodes, |config| set_timeouts(config, 500.0));
-    let mut client = Client::to(&broker);
+    nodes[0].set_behavior(NodeBehavior::Hang);
+    let (mut broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 500.0));
+    let mut client = Client::connect(&broker);
     signal_shutdown(&broker);
     let start = Instant::now();
     wait_until_closing(&broker);
-    assert!(client.ask(&scan("fix", "c1", &[1], "3.0")).status >= 429);
+    assert!(client.request(&query_request("fix", "c1", &[1], "3.0")).status >= 429);
     assert_eq!(broker.exit_code(), Some(0));
     assert!(start.elapsed() < Duration::from_secs_f64(1.7), "{:?}", start.elapsed());
 }
@@ -279,16 +285,16 @@
 #[test]
 fn second_sigterm_is_ignored() {
     let nodes = [Node::start("s-0")];
-    nodes[0].behave(Manner::After(700));
-    let (mut broker, _list) = Broker::before_changed(&nodes, |_| {});
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c1", &[1], "3.0"));
-    nodes[0].wait_for('A', 1);
+    nodes[0].set_behavior(NodeBehavior::DelayMillis(700));
+    let (mut broker, _list) = Broker::start_for_changed(&nodes, |_| {});
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c1", &[1], "3.0"));
+    nodes[0].wait_for_frames('A', 1);
     signal_shutdown(&broker);
     wait_until_closing(&broker);
     broker.signal("TERM");
     broker.signal("INT");
-    assert_eq!(client.answer().unwrap().status, 200);
+    assert_eq!(client.read_answer().unwrap().status, 200);
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
 }
@@ -297,15 +303,15 @@
 #[test]
 fn request_awaiting_first_list_answered_after_sigterm() {
     let nodes = [Node::start("s-0")];
-    let lines = vec![nodes[0].line("ready")];
-    let list = List::start(lines.clone());
-    list.fall_silent();
+    let lines = vec![nodes[0].endpoint("ready")];
+    let list = DiscoveryServer::start(lines.clone());
+    list.stop_replying();
     let mut broker = Broker::start(&config(list.address, lines));
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c1", &[1], "3.0"));
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c1", &[1], "3.0"));
     broker.signal("TERM");
     // No list is in force yet: it may be rejected.
-    let answer = client.answer().expect("an answer");
+    let answer = client.read_answer().expect("an answer");
     assert!(matches!(answer.status, 200 | 429) && answer.head.contains("Connection: close"), "{answer:?}");
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
@@ -315,15 +321,15 @@
 #[test]
 fn burst_over_limit_is_answered() {
     let nodes = [Node::start("s-0")];
-    let (broker, _list) = Broker::before_changed(&nodes, |config| config["limits"]["sockets"] = json!(48));
-    assert_eq!(Client::to(&broker).ask(&scan("find", "c0", &[1], "2.0")).status, 200);
+    let (broker, _list) = Broker::start_for_changed(&nodes, |config| config["limits"]["sockets"] = json!(48));
+    assert_eq!(Client::connect(&broker).request(&query_request("find", "c0", &[1], "2.0")).status, 200);
     broker.signal("STOP");
-    let mut clients: Vec<_> = (0..60).map(|_| Client::to(&broker)).collect();
+    let mut clients: Vec<_> = (0..60).map(|_| Client::connect(&broker)).collect();
     for (i, client) in clients.iter_mut().enumerate() {
-        client.send(&scan("find", &format!("b{i}"), &[1], "2.5"));
+        client.send(&query_request("find", &format!("b{i}"), &[1], "2.5"));
     }
     broker.signal("CONT");
-    let answered = clients.iter_mut().filter_map(Client::answer).filter(|a| a.status == 200).count();
+    let answered = clients.iter_mut().filter_map(Client::read_answer).filter(|a| a.status == 200).count();
     assert_eq!(answered, 60);
 }
 
@@ -331,63 +337,63 @@
 #[rstest]
 fn partly_written_config_is_ignored(#[values(false, true)] ends: bool) {
     let nodes = [Node::start("s-0"), Node::start("s-1")];
-    nodes[0].behave(Manner::After(300));
-    let (mut broker, list) = Broker::before_changed(&nodes[..1], |_| {});
-    list.wait_read();
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c1", &[1], "3.0"));
-    nodes[0].wait_for('A', 1);
-    let other = List::start(vec![nodes[1].line("ready")]);
+    nodes[0].set_behavior(NodeBehavior::DelayMillis(300));
+    let (mut broker, list) = Broker::start_for_changed(&nodes[..1], |_| {});
+    list.wait_until_read();
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c1", &[1], "3.0"));
+    nodes[0].wait_for_frames('A', 1);
+    let other = DiscoveryServer::start(vec![nodes[1].endpoint("ready")]);
     let whole = config(other.address, vec![]).to_string();
-    make_fifo(&broker.file);
+    make_fifo(&broker.config_file);
     broker.signal("HUP");
-    let mut half = open_for_writing(&broker.file);
+    let mut half = open_for_writing(&broker.config_file);
     half.write_all(&whole.as_bytes()[..whole.len() / 2]).unwrap();
     if ends {
         broker.signal("TERM");
     }
     drop(half);
-    assert_eq!(client.answer().unwrap().status, 200);
+    assert_eq!(client.read_answer().unwrap().status, 200);
     if ends {
         broker.signal("HUP");
-        drop(open_for_writing(&broker.file));
+        drop(open_for_writing(&broker.config_file));
         drop(client);
         assert_eq!(broker.exit_code(), Some(0));
         return;
     }
-    std::fs::remove_file(&broker.file).unwrap();
-    broker.reread(&config(other.address, vec![]));
-    other.wait_read();
-    nodes[0].behave(Manner::Serve);
-    assert_eq!(client.ask(&scan("find", "c2", &[1], "3.0")).status, 200);
+    std::fs::remove_file(&broker.config_file).unwrap();
+    broker.reload_config(&config(other.address, vec![]));
+    other.wait_until_read();
+    nodes[0].set_behavior(NodeBehavior::Serve);
+    assert_eq!(client.request(&query_request("find", "c2", &[1], "3.0")).status, 200);
     assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (1, 1));
 }
 
 /// A request that is partly read, at a node, or being retried.
 #[rstest]
-#[case::partly_read(Manner::Serve, Manner::Serve)]
-#[case::at_node(Manner::After(1500), Manner::After(1500))]
-#[case::retrying(Manner::Say("fault"), Manner::After(1500))]
-fn in_flight_query_answered_after_sigterm(#[case] one: Manner, #[case] other: Manner) {
+#[case::partly_read(NodeBehavior::Serve, NodeBehavior::Serve)]
+#[case::at_node(NodeBehavior::DelayMillis(1500), NodeBehavior::DelayMillis(1500))]
+#[case::retrying(NodeBehavior::ReplyStatus("fault"), NodeBehavior::DelayMillis(1500))]
+fn in_flight_query_answered_after_sigterm(#[case] one: NodeBehavior, #[case] other: NodeBehavior) {
     let nodes = [Node::start("s-0"), Node::start("s-1")];
-    nodes[0].behave(one);
-    nodes[1].behave(other);
-    let (mut broker, _list) = Broker::before_changed(&nodes, |config| set_timeouts(config, 3000.0));
-    let requests: Vec<_> = (0..4).map(|i| scan("find", &format!("c{i}"), &[1], "3.0")).collect();
-    let mut clients: Vec<_> = requests.iter().map(|_| Client::to(&broker)).collect();
-    let sent = |request: &str| if one == Manner::Serve { request.len() / 2 } else { request.len() };
+    nodes[0].set_behavior(one);
+    nodes[1].set_behavior(other);
+    let (mut broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 3000.0));
+    let requests: Vec<_> = (0..4).map(|i| query_request("find", &format!("c{i}"), &[1], "3.0")).collect();
+    let mut clients: Vec<_> = requests.iter().map(|_| Client::connect(&broker)).collect();
+    let sent = |request: &str| if one == NodeBehavior::Serve { request.len() / 2 } else { request.len() };
     clients.iter_mut().zip(&requests).for_each(|(c, request)| c.send(&request[..sent(request)]));
-    if one != Manner::Serve {
-        nodes[0].wait_for('A', 1);
-        nodes[1].wait_for('A', if one == other { 1 } else { 4 });
+    if one != NodeBehavior::Serve {
+        nodes[0].wait_for_frames('A', 1);
+        nodes[1].wait_for_frames('A', if one == other { 1 } else { 4 });
     }
     signal_shutdown(&broker);
     wait_until_closing(&broker);
     clients.iter_mut().zip(&requests).for_each(|(c, request)| c.send(&request[sent(request)..]));
     for client in &mut clients {
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_answer().expect("an answer");
         assert_eq!((answer.status, answer.head.contains("Connection: close")), (200, true));
-        assert!(client.answer().is_none());
+        assert!(client.read_answer().is_none());
     }
     drop(clients);
     assert_eq!(broker.exit_code(), Some(0));
--- a/crates/dunepond-broker/tests/state.rs
+++ b/crates/dunepond-broker/tests/state.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{self, Broker, Client, List, Node, scan};
+use dunepond_testkit::stand_ins::{self, Broker, Client, DiscoveryServer, Node, query_request};
 
 fn dunepond(args: &[&str]) -> (bool, String) {
     let out = Command::new(env!("CARGO_BIN_EXE_dunepond-broker")).args(args).output().unwrap();
@@ -13,22 +13,23 @@
 }
 
 /// A broker with its state in this folder, after a few queries.
-fn broker_with_state(folder: &Path, nodes: &[Node]) -> (Broker, List) {
+fn broker_with_state(folder: &Path, nodes: &[Node]) -> (Broker, DiscoveryServer) {
     let kdl = folder.join("operator.kdl");
     std::fs::write(&kdl, format!("state folder={folder:?} every=0.1")).unwrap();
-    let lines: Vec<_> = nodes.iter().map(|node| node.line("ready")).collect();
-    let list = List::start(lines.clone());
+    let lines: Vec<_> = nodes.iter().map(|node| node.endpoint("ready")).collect();
+    let list = DiscoveryServer::start(lines.clone());
     let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
     command.arg("run").arg("--operator").arg(&kdl);
-    let broker = Broker::started(store::launch_by(command, &store::config(list.address, lines)));
-    let mut client = Client::to(&broker);
-    (0..20).for_each(|i| drop(client.ask(&scan("find", &format!("c{i}"), &[i % 6], "2.0"))));
+    let broker =
+        Broker::from_child(stand_ins::launch_command(command, &stand_ins::config(list.address, lines)));
+    let mut client = Client::connect(&broker);
+    (0..20).for_each(|i| drop(client.request(&query_request("find", &format!("c{i}"), &[i % 6], "2.0"))));
     (broker, list)
 }
 
 #[test]
 fn show_and_check_with_and_without_broker() {
-    let folder = store::scratch("state");
+    let folder = stand_ins::scratch_path("state");
     std::fs::create_dir(&folder).unwrap();
     let path = folder.to_str().unwrap();
     let nodes: Vec<_> = (0..3).map(|i| Node::start(&format!("s-{i}"))).collect();
--- a/crates/dunepond-broker/tests/streams.rs
+++ b/crates/dunepond-broker/tests/streams.rs
@@ -1,6 +1,6 @@
 //! How many attempts a connection to a node carries at once, however many share a frame.
 
-use dunepond_testkit::store::{Broker, Client, Manner, Node, config, scan};
+use dunepond_testkit::stand_ins::{Broker, Client, Node, NodeBehavior, config, query_request};
 use rstest::rstest;
 use serde_json::json;
 
@@ -16,15 +16,15 @@
     #[case] on_each: &[usize],
 ) {
     let node = Node::start("n0");
-    node.behave(Manner::Hang);
-    let list = dunepond_testkit::store::List::start(vec![node.line("ready")]);
-    let mut told = config(list.address, vec![node.line("ready")]);
+    node.set_behavior(NodeBehavior::Hang);
+    let list = dunepond_testkit::stand_ins::DiscoveryServer::start(vec![node.endpoint("ready")]);
+    let mut told = config(list.address, vec![node.endpoint("ready")]);
     *told.pointer_mut("/settings/ceilings/streamsPerConn").unwrap() = json!(streams);
     *told.pointer_mut("/settings/familyInfo/partsACall").unwrap() = json!(a_call);
     let broker = Broker::start(&told);
-    let mut client = Client::to(&broker);
-    client.send(&scan("find", "c1", &[0, 1, 2, 3, 4, 5], "2.0"));
-    node.wait_for('A', 3);
+    let mut client = Client::connect(&broker);
+    client.send(&query_request("find", "c1", &[0, 1, 2, 3, 4, 5], "2.0"));
+    node.wait_for_frames('A', 3);
     let parts: Vec<_> = node.frames('A').iter().map(|f| f.matches(" d=").count()).collect();
     assert_eq!((parts, node.connections()), (vec![2, 2, 2], on_each.len()));
 }
--- a/crates/dunepond-broker/tests/time_left.rs
+++ b/crates/dunepond-broker/tests/time_left.rs
@@ -4,7 +4,9 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{Broker, Client, List, Manner, Node, config, scan, set_timeouts};
+use dunepond_testkit::stand_ins::{
+    Broker, Client, DiscoveryServer, Node, NodeBehavior, config, query_request, set_timeouts,
+};
 use rstest::rstest;
 
 /// The time limit in an attempt's frame may exceed the client's remaining time by so much.
@@ -15,7 +17,7 @@
 /// When a node got this part, and the time limit in its frame, in ms.
 fn time_limit(nodes: &[Node], id: &str) -> Option<(Instant, f64)> {
     let of = |node: &Node| {
-        let at = node.times().into_iter().find(|(_, part)| part.starts_with(id))?.0;
+        let at = node.part_arrivals().into_iter().find(|(_, part)| part.starts_with(id))?.0;
         let frame = node.frames('A').into_iter().find(|frame| frame.starts_with(id))?;
         let wait = frame.split([' ', '\n']).find_map(|word| word.strip_prefix("d=")?.parse().ok())?;
         Some((at, wait))
@@ -35,17 +37,17 @@
 #[test]
 fn pipelined_request_has_its_remaining_time() {
     let nodes = [Node::start("s-0"), Node::start("s-1")];
-    nodes.iter().for_each(|node| node.behave(Manner::Hang));
-    let (broker, _list) = Broker::before_changed(&nodes, |config| set_timeouts(config, 1000.0));
-    let mut client = Client::to(&broker);
+    nodes.iter().for_each(|node| node.set_behavior(NodeBehavior::Hang));
+    let (broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 1000.0));
+    let mut client = Client::connect(&broker);
     let sent = Instant::now();
-    client.send(&["c1", "c2"].map(|id| scan("fix", id, &[1], "1.0")).concat());
+    client.send(&["c1", "c2"].map(|id| query_request("fix", id, &[1], "1.0")).concat());
     while time_limit(&nodes, "c1.").is_none() {
         sleep(Duration::from_millis(5));
     }
-    nodes.iter().for_each(|node| node.behave(Manner::Serve));
-    assert_eq!(client.answer().unwrap().status, 502);
-    assert!(client.answer().is_some());
+    nodes.iter().for_each(|node| node.set_behavior(NodeBehavior::Serve));
+    assert_eq!(client.read_answer().unwrap().status, 502);
+    assert!(client.read_answer().is_some());
     assert_within(&nodes, "c2.", sent, 1000.0);
 }
 
@@ -53,18 +55,18 @@
 #[rstest]
 fn request_during_a_stall_has_its_remaining_time(#[values(true, false)] accepted: bool) {
     let nodes = [Node::start("s-0")];
-    let (broker, _list) = Broker::before_changed(&nodes, |config| set_timeouts(config, 1500.0));
-    let mut client = Client::to(&broker);
-    assert_eq!(client.ask(&scan("find", "c1", &[1], "1.0")).status, 200);
+    let (broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 1500.0));
+    let mut client = Client::connect(&broker);
+    assert_eq!(client.request(&query_request("find", "c1", &[1], "1.0")).status, 200);
     broker.signal("STOP");
     if !accepted {
-        client = Client::to(&broker);
+        client = Client::connect(&broker);
     }
     let sent = Instant::now();
-    client.send(&scan("find", "c2", &[1], "1.0"));
+    client.send(&query_request("find", "c2", &[1], "1.0"));
     sleep(Duration::from_millis(600));
     broker.signal("CONT");
-    assert!(client.answer().is_some());
+    assert!(client.read_answer().is_some());
     assert_within(&nodes, "c2.", sent, 1000.0);
 }
 
@@ -72,13 +74,13 @@
 #[test]
 fn request_before_the_first_list_has_its_remaining_time() {
     let nodes = [Node::start("s-0")];
-    let lines = vec![nodes[0].line("ready")];
-    let list = List::start(lines.clone());
-    list.fall_silent();
+    let lines = vec![nodes[0].endpoint("ready")];
+    let list = DiscoveryServer::start(lines.clone());
+    list.stop_replying();
     let broker = Broker::start(&config(list.address, lines));
-    let mut client = Client::to(&broker);
+    let mut client = Client::connect(&broker);
     let sent = Instant::now();
-    client.send(&scan("find", "c1", &[1], "2.0"));
-    assert!(client.answer().is_some());
+    client.send(&query_request("find", "c1", &[1], "2.0"));
+    assert!(client.read_answer().is_some());
     assert_within(&nodes, "c1.", sent, 2000.0);
 }
--- a/crates/dunepond-control-plane/tests/control_loop.rs
+++ b/crates/dunepond-control-plane/tests/control_loop.rs
@@ -15,7 +15,7 @@
     monotonic_seconds, start,
 };
 use dunepond_quota::{LocalQuota, SharedQuotas};
-use dunepond_testkit::files::{Mem, Plan};
+use dunepond_testkit::memory_store::{FaultPlan, MemoryStore};
 use rstest::rstest;
 
 const TIMEOUT: Duration = Duration::from_secs(20);
@@ -53,7 +53,7 @@
 }
 
 /// A control plane, and how often it woke the event loop.
-fn start_on(files: &Mem, config: ControlPlaneConfig) -> (ControlPlane, Arc<AtomicUsize>) {
+fn start_on(files: &MemoryStore, config: ControlPlaneConfig) -> (ControlPlane, Arc<AtomicUsize>) {
     let wake_count = Arc::new(AtomicUsize::new(0));
     let counter = wake_count.clone();
     let wake = move || {
@@ -62,7 +62,7 @@
     (start(config, doubles(files), wake).unwrap(), wake_count)
 }
 
-fn doubles(files: &Mem) -> TestDoubles {
+fn doubles(files: &MemoryStore) -> TestDoubles {
     TestDoubles { storage: Some(Arc::new(files.clone())), ..TestDoubles::default() }
 }
 
@@ -88,15 +88,15 @@
 
 #[test]
 fn voter_is_silent_while_the_disk_fails() {
-    let files = Mem::default();
+    let files = MemoryStore::default();
     let (control_plane, wake_count) = start_on(&files, config(None));
     wait(&control_plane, "a lease", |_, leased| leased);
     let folder = tempfile::tempdir().unwrap();
-    files.plan(Plan::Full);
+    files.set_plan(FaultPlan::Full);
     // A version that is proposed now cannot be committed.
     control_plane.handle().reload_version(Some(version(&folder, 1)));
     wait(&control_plane, "no lease", |phase, leased| !leased && phase == ConfigPhase::Unconfigured);
-    files.plan(Plan::Serve);
+    files.set_plan(FaultPlan::Serve);
     wait(&control_plane, "the version", |phase, _| phase == ConfigPhase::Active(1));
     assert!(wake_count.load(Ordering::Relaxed) >= 3);
     control_plane.stop();
@@ -107,13 +107,13 @@
 #[case::torn_last_record(&[9, 0, 0, 0, 1])]
 fn active_version_outlasts_a_restart(#[case] torn: &[u8]) {
     let folder = tempfile::tempdir().unwrap();
-    let files = Mem::default();
+    let files = MemoryStore::default();
     let (control_plane, _) = start_on(&files, config(Some(version(&folder, 1))));
     wait(&control_plane, "the version", |phase, _| phase == ConfigPhase::Active(1));
     control_plane.stop();
-    let mut journal = files.peek("voter.journal").unwrap();
+    let mut journal = files.contents("voter.journal").unwrap();
     journal.extend_from_slice(torn);
-    files.poke("voter.journal", journal);
+    files.overwrite("voter.journal", journal);
     let (control_plane, _) = start_on(&files, config(None));
     // Before the first lease the strictest known rules apply.
     assert!(matches!(
@@ -154,7 +154,7 @@
         quotas: Some(QuotaConfig { shared: shared.clone(), plan_interval_seconds: 0.1 }),
         ..config(None)
     };
-    let files = Mem::default();
+    let files = MemoryStore::default();
     let (control_plane, _) = start_on(&files, with_quotas());
     control_plane.handle().set_demand(BTreeMap::from([("cold".to_string(), 900_000)]));
     let available_units = |control_plane: &ControlPlane, now: f64| {
@@ -178,7 +178,7 @@
 #[test]
 fn mismatched_recovery_order_ends_the_start() {
     let folder = tempfile::tempdir().unwrap();
-    let files = Mem::default();
+    let files = MemoryStore::default();
     let (control_plane, _) = start_on(&files, config(None));
     wait(&control_plane, "a lease", |_, leased| leased);
     control_plane.stop();
@@ -200,7 +200,7 @@
     let mut config = config(None);
     let brokers = (0..200).map(|broker| format!("b{broker}")).collect();
     config.partners = vec![Partner { name: "north".to_string(), brokers, metered: false }];
-    let (control_plane, _) = start_on(&Mem::default(), config);
+    let (control_plane, _) = start_on(&MemoryStore::default(), config);
     let answered = || {
         let mut connections: Vec<_> =
             (0..200).map(|_| TcpStream::connect(control_plane.listen_address()).unwrap()).collect();
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -18,7 +18,7 @@
 use dunepond_settlement::LocalCounts;
 use dunepond_shard_map::Node;
 use dunepond_storage::{FileStore, SnapshotStore};
-use dunepond_testkit::files::{Mem, Plan};
+use dunepond_testkit::memory_store::{FaultPlan, MemoryStore};
 use rstest::rstest;
 
 const TIMEOUT: Duration = Duration::from_secs(20);
@@ -62,7 +62,7 @@
 
 /// One broker over its restarts.
 struct TestBroker {
-    files: Mem,
+    files: MemoryStore,
     fill_service: Arc<FakeFillService>,
     folder: tempfile::TempDir,
     fill_started_nodes: bool,
@@ -73,7 +73,7 @@
     /// With a stored debt of north.
     fn new(fill_started_nodes: bool) -> Self {
         let broker = Self {
-            files: Mem::default(),
+            files: MemoryStore::default(),
             fill_service: Arc::default(),
             folder: tempfile::tempdir().unwrap(),
             fill_started_nodes,
@@ -337,7 +337,7 @@
     let control_plane = broker.start(Some(broker.version(1, 1, false)), None);
     wait_for_version(&control_plane, 1);
     thread::sleep(Duration::from_millis(1500));
-    broker.files.plan(Plan::Full);
+    broker.files.set_plan(FaultPlan::Full);
     set_started(&control_plane, "s1", 0.0);
     thread::sleep(Duration::from_millis(500));
     assert_eq!(
@@ -345,7 +345,7 @@
         0,
         "it started without a stored commitment"
     );
-    broker.files.plan(Plan::Serve);
+    broker.files.set_plan(FaultPlan::Serve);
     wait("a settlement", || broker.settled().len() == 1);
     control_plane.stop();
     assert_eq!(broker.settled(), [("1/0/s1+77@n1".to_string(), SEGMENT_BYTES)]);
@@ -386,7 +386,7 @@
     let control_plane = broker.start(Some(broker.version(1, 1, false)), None);
     wait_for_version(&control_plane, 1);
     thread::sleep(Duration::from_millis(1200));
-    broker.files.plan(Plan::FailAt(call));
+    broker.files.set_plan(FaultPlan::FailAt(call));
     set_started(&control_plane, "s1", 0.0);
     wait("a settlement", || broker.settled().len() == 1);
     thread::sleep(Duration::from_millis(300));
--- a/crates/dunepond-control-plane/tests/rebalancing.rs
+++ b/crates/dunepond-control-plane/tests/rebalancing.rs
@@ -13,7 +13,7 @@
     ControlPlane, ControlPlaneConfig, FillClient, FillConfig, FillError, FillRequest, FillResult,
     RebalanceConfig, TestDoubles, monotonic_seconds, start,
 };
-use dunepond_testkit::files::Mem;
+use dunepond_testkit::memory_store::MemoryStore;
 use serde_json::{Value, json};
 
 const TIMEOUT: Duration = Duration::from_secs(20);
@@ -40,13 +40,17 @@
 /// One broker over its restarts, and the operator's files.
 struct TestBroker {
     folder: tempfile::TempDir,
-    files: Mem,
+    files: MemoryStore,
     fill_service: Arc<FakeFillService>,
 }
 
 impl TestBroker {
     fn new() -> Self {
-        Self { folder: tempfile::tempdir().unwrap(), files: Mem::default(), fill_service: Arc::default() }
+        Self {
+            folder: tempfile::tempdir().unwrap(),
+            files: MemoryStore::default(),
+            fill_service: Arc::default(),
+        }
     }
 
     fn path(&self, name: &str) -> PathBuf {
--- a/crates/dunepond-storage/tests/crashes.rs
+++ b/crates/dunepond-storage/tests/crashes.rs
@@ -4,17 +4,17 @@
 use std::sync::Arc;
 
 use dunepond_storage::*;
-use dunepond_testkit::files::{Mem, Plan};
+use dunepond_testkit::memory_store::{FaultPlan, MemoryStore};
 use proptest::prelude::*;
 use rstest::rstest;
 
 const VERSION: u32 = 3;
 
-fn snapshots(mem: &Mem) -> SnapshotStore {
+fn snapshots(mem: &MemoryStore) -> SnapshotStore {
     SnapshotStore::new(Arc::new(mem.clone()), "beliefs", VERSION)
 }
 
-fn newest(mem: &Mem) -> Option<Vec<u8>> {
+fn newest(mem: &MemoryStore) -> Option<Vec<u8>> {
     snapshots(mem).load().unwrap().newest.map(|snapshot| snapshot.bytes)
 }
 
@@ -23,9 +23,9 @@
 }
 
 /// How many calls a fresh run of `work` makes.
-fn calls(work: impl Fn(&Mem)) -> usize {
-    let mem = Mem::default();
-    mem.plan(Plan::Serve);
+fn calls(work: impl Fn(&MemoryStore)) -> usize {
+    let mem = MemoryStore::default();
+    mem.set_plan(FaultPlan::Serve);
     work(&mem);
     mem.calls()
 }
@@ -34,7 +34,7 @@
 #[case::the_process(false)]
 #[case::the_machine(true)]
 fn a_snapshot_is_the_old_one_or_the_new_one_wherever_its_writer_was_killed(#[case] machine: bool) {
-    let four = |mem: &Mem| {
+    let four = |mem: &MemoryStore| {
         let mut snapshots = snapshots(mem);
         let wrote = (1..5u8).take_while(|n| snapshots.write(&body(*n)).is_ok()).last();
         wrote.unwrap_or(0)
@@ -44,8 +44,8 @@
     });
     assert!(all > 20);
     for (at, seed) in (1..=all).flat_map(|at| (0..40).map(move |seed| (at, seed))) {
-        let mem = Mem::default();
-        mem.plan(Plan::StopAt(at));
+        let mem = MemoryStore::default();
+        mem.set_plan(FaultPlan::StopAt(at));
         let wrote = four(&mem);
         mem.crash(machine, seed);
         let found = newest(&mem);
@@ -59,7 +59,7 @@
 }
 
 /// Records are appended, some synced, and the journal is written anew in between.
-fn journal(mem: &Mem) -> (Vec<Vec<u8>>, usize) {
+fn journal(mem: &MemoryStore) -> (Vec<Vec<u8>>, usize) {
     let (mut done, mut synced) = (Vec::new(), 0);
     let mut run = || -> std::io::Result<()> {
         let (mut journal, _) = Journal::open(Arc::new(mem.clone()), "ledger", VERSION)?;
@@ -87,8 +87,8 @@
 fn a_journal_recovers_to_its_last_whole_record_wherever_its_writer_was_killed(#[case] machine: bool) {
     let all = calls(|mem| drop(journal(mem)));
     for (at, seed) in (1..=all).flat_map(|at| (0..40).map(move |seed| (at, seed))) {
-        let mem = Mem::default();
-        mem.plan(Plan::StopAt(at));
+        let mem = MemoryStore::default();
+        mem.set_plan(FaultPlan::StopAt(at));
         let (done, synced) = journal(&mem);
         mem.crash(machine, seed);
         let (mut journal, recovered) = Journal::open(Arc::new(mem.clone()), "ledger", VERSION).unwrap();
@@ -109,16 +109,16 @@
 /// Any one call fails: nothing that was written before is lost, and the next write is whole again.
 #[test]
 fn any_call_that_fails_leaves_the_old_or_the_new_and_the_next_write_succeeds() {
-    let three = |mem: &Mem| {
+    let three = |mem: &MemoryStore| {
         let mut snapshots = snapshots(mem);
         (1..4u8).map(|n| snapshots.write(&body(n)).is_ok()).collect::<Vec<_>>()
     };
     for at in 1..=calls(|mem| drop(three(mem))) {
-        let mem = Mem::default();
-        mem.plan(Plan::FailAt(at));
+        let mem = MemoryStore::default();
+        mem.set_plan(FaultPlan::FailAt(at));
         let wrote = three(&mem);
         assert!(wrote.iter().filter(|ok| !**ok).count() <= 1);
-        mem.plan(Plan::Serve);
+        mem.set_plan(FaultPlan::Serve);
         // One that failed after it had taken its name is there all the same.
         let last = 1 + wrote.iter().rposition(|ok| *ok).unwrap() as u8;
         let expected = [Some(body(last)), Some(body(3))];
@@ -130,15 +130,15 @@
 
 #[test]
 fn a_full_disk_leaves_what_was_there_and_is_written_again_once_there_is_room() {
-    let mem = Mem::default();
+    let mem = MemoryStore::default();
     let mut snapshots = snapshots(&mem);
     snapshots.write(&body(1)).unwrap();
     let (mut journal, _) = Journal::open(Arc::new(mem.clone()), "ledger", VERSION).unwrap();
     journal.append(&body(1)).unwrap();
-    mem.plan(Plan::Full);
+    mem.set_plan(FaultPlan::Full);
     assert!(snapshots.write(&body(2)).is_err() && journal.append(&body(2)).is_err());
     assert_eq!(newest(&mem), Some(body(1)));
-    mem.plan(Plan::Serve);
+    mem.set_plan(FaultPlan::Serve);
     snapshots.write(&body(3)).unwrap();
     // After a failed record nothing is put behind it, until the journal has been written anew.
     assert!(journal.append(&body(3)).is_err());
@@ -150,12 +150,12 @@
 
 #[test]
 fn every_byte_flipped_and_every_length_cut_is_ignored_or_read_right() {
-    let mem = Mem::default();
+    let mem = MemoryStore::default();
     snapshots(&mem).write(&body(1)).unwrap();
     snapshots(&mem).write(&body(2)).unwrap();
     journal(&mem);
     for name in mem.names() {
-        let whole = mem.peek(&name).unwrap();
+        let whole = mem.contents(&name).unwrap();
         let flipped = (0..whole.len()).flat_map(|at| {
             let whole = &whole;
             [1u8, 0x80, 0xff].into_iter().map(move |bits| {
@@ -166,27 +166,27 @@
         });
         let cut = (0..whole.len()).map(|length| whole[..length].to_vec());
         for bytes in flipped.chain(cut) {
-            mem.poke(&name, bytes);
+            mem.overwrite(&name, bytes);
             let found = newest(&mem);
             assert!(found.is_none() || [body(1), body(2)].contains(found.as_ref().unwrap()), "{name}");
             let records = Journal::read(&mem, "ledger", VERSION).records;
             assert!(records.iter().zip(1..).all(|(record, n)| record.bytes == body(n)), "{name}");
         }
-        mem.poke(&name, whole);
+        mem.overwrite(&name, whole);
     }
 }
 
 /// A length that a damaged head makes up must not be asked of the memory.
 #[test]
 fn a_length_beyond_the_file_is_a_fault_and_takes_no_memory() {
-    let mem = Mem::default();
+    let mem = MemoryStore::default();
     let mut bytes = b"dunepondSNAP".to_vec();
     bytes.extend_from_slice(&VERSION.to_le_bytes());
     bytes.extend_from_slice(&7u64.to_le_bytes());
     bytes.extend_from_slice(&u64::MAX.to_le_bytes());
     let sum = crc32fast_of(&bytes);
     bytes.extend_from_slice(&sum.to_le_bytes());
-    mem.poke("beliefs-7.snapshot", bytes);
+    mem.overwrite("beliefs-7.snapshot", bytes);
     let found = snapshots(&mem).load().unwrap();
     assert_eq!((found.newest, found.faults[0].1.clone()), (None, FileFault::Truncated));
 }
@@ -199,11 +199,11 @@
 
 #[test]
 fn files_of_a_later_version_are_left_alone() {
-    let mem = Mem::default();
+    let mem = MemoryStore::default();
     let files = Arc::new(mem.clone());
     SnapshotStore::new(files.clone(), "beliefs", VERSION + 1).write(&body(9)).unwrap();
     Journal::open(files.clone(), "ledger", VERSION + 1).unwrap().0.append(&body(9)).unwrap();
-    let before: Vec<_> = mem.names().into_iter().map(|name| (mem.peek(&name), name)).collect();
+    let before: Vec<_> = mem.names().into_iter().map(|name| (mem.contents(&name), name)).collect();
     assert!(Journal::open(files.clone(), "ledger", VERSION).is_err());
     let mut ours = snapshots(&mem);
     for n in 1..6 {
@@ -212,14 +212,14 @@
     let found = ours.load().unwrap();
     assert_eq!(found.newest.unwrap().bytes, body(5));
     assert!(found.faults.iter().any(|(_, fault)| *fault == FileFault::NewerVersion(VERSION + 1)));
-    assert!(before.iter().all(|(bytes, name)| mem.peek(name) == *bytes));
+    assert!(before.iter().all(|(bytes, name)| mem.contents(name) == *bytes));
     // Ours before the last two have gone.
     assert_eq!(mem.names().iter().filter(|name| name.ends_with(".snapshot")).count(), 3);
 }
 
 #[test]
 fn an_earlier_versions_journal_is_read_and_goes_on_in_ours() {
-    let mem = Mem::default();
+    let mem = MemoryStore::default();
     let files = Arc::new(mem.clone());
     Journal::open(files.clone(), "ledger", VERSION - 1).unwrap().0.append(&body(1)).unwrap();
     let (mut journal, recovered) = Journal::open(files.clone(), "ledger", VERSION).unwrap();
@@ -235,8 +235,8 @@
 #[case::anothers(b"#!/bin/sh\necho hello\n".to_vec(), FileFault::UnknownFormat)]
 #[case::another_kind(b"dunepondJRNL000000000000000000000000".to_vec(), FileFault::UnknownFormat)]
 fn what_is_not_ours_is_named_so(#[case] bytes: Vec<u8>, #[case] fault: FileFault) {
-    let mem = Mem::default();
-    mem.poke("beliefs-1.snapshot", bytes);
+    let mem = MemoryStore::default();
+    mem.overwrite("beliefs-1.snapshot", bytes);
     assert_eq!(snapshots(&mem).load().unwrap().faults, [("beliefs-1.snapshot".to_string(), fault)]);
 }
 
@@ -265,12 +265,12 @@
     /// Whatever bytes stand in whatever file: no panic, no more memory than the file has, and nothing made up.
     #[test]
     fn any_bytes_are_a_fault_or_a_file(bytes in prop::collection::vec(any::<u8>(), 0..400), keep in 0..60usize) {
-        let mem = Mem::default();
+        let mem = MemoryStore::default();
         snapshots(&mem).write(&body(1)).unwrap();
         Journal::open(Arc::new(mem.clone()), "ledger", VERSION).unwrap().0.append(&body(1)).unwrap();
         for name in mem.names() {
-            let whole = mem.peek(&name).unwrap();
-            mem.poke(&name, [&whole[..keep.min(whole.len())], &bytes].concat());
+            let whole = mem.contents(&name).unwrap();
+            mem.overwrite(&name, [&whole[..keep.min(whole.len())], &bytes].concat());
         }
         let read = snapshots(&mem).load().unwrap();
         prop_assert!(read.newest.is_none() || read.newest.unwrap().bytes == body(1));
--- a/crates/dunepond-storage/tests/golden.rs
+++ b/crates/dunepond-storage/tests/golden.rs
@@ -9,7 +9,7 @@
     DiskStore, FileFault, FileStore, Journal, JournalRecord, LoadedSnapshots, RecoveredJournal, Snapshot,
     SnapshotStore, WritableFile,
 };
-use dunepond_testkit::files::Mem;
+use dunepond_testkit::memory_store::MemoryStore;
 
 const FORMAT: u32 = 7;
 const FIRST: &[u8] = b"the first one";
@@ -26,8 +26,8 @@
 }
 
 /// The bytes of `name` in `files` are those of the golden file `stored`.
-fn assert_same(files: &Mem, name: &str, stored: &str) {
-    let written = files.peek(name).unwrap_or_else(|| panic!("{name} is missing: {:?}", files.names()));
+fn assert_same(files: &MemoryStore, name: &str, stored: &str) {
+    let written = files.contents(name).unwrap_or_else(|| panic!("{name} is missing: {:?}", files.names()));
     assert_eq!(written, golden(stored), "{name}");
 }
 
@@ -37,7 +37,7 @@
 
 #[test]
 fn snapshots_are_written_as_before() {
-    let files = Mem::default();
+    let files = MemoryStore::default();
     let mut snapshots = SnapshotStore::new(Arc::new(files.clone()), "beliefs", FORMAT);
     assert_eq!(snapshots.write(FIRST).unwrap(), 1);
     assert_eq!(snapshots.write(SECOND).unwrap(), 2);
@@ -49,8 +49,8 @@
 
 #[test]
 fn stored_snapshots_are_read() {
-    let files = Mem::default();
-    SNAPSHOTS.iter().for_each(|name| files.poke(name, golden(name)));
+    let files = MemoryStore::default();
+    SNAPSHOTS.iter().for_each(|name| files.overwrite(name, golden(name)));
     let snapshots = SnapshotStore::new(Arc::new(files.clone()), "beliefs", FORMAT);
     let newest = Snapshot { number: 2, format_version: FORMAT, bytes: SECOND.to_vec() };
     assert_eq!(snapshots.load().unwrap(), LoadedSnapshots { newest: Some(newest), faults: Vec::new() });
@@ -58,7 +58,7 @@
     // The first stays of use when the second is damaged.
     let mut damaged = golden(SNAPSHOTS[1]);
     *damaged.last_mut().unwrap() ^= 1;
-    files.poke(SNAPSHOTS[1], damaged);
+    files.overwrite(SNAPSHOTS[1], damaged);
     let first = Snapshot { number: 1, format_version: FORMAT, bytes: FIRST.to_vec() };
     let faults = vec![(SNAPSHOTS[1].to_string(), FileFault::Corrupted)];
     assert_eq!(snapshots.load().unwrap(), LoadedSnapshots { newest: Some(first), faults });
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_journal_is_written_as_before() {
-    let files = Mem::default();
+    let files = MemoryStore::default();
     let (mut journal, recovered) = Journal::open(Arc::new(files.clone()), "voter", FORMAT).unwrap();
     assert_eq!(recovered, RecoveredJournal::default());
     assert_eq!(journal.append(FIRST).unwrap(), 1);
@@ -88,8 +88,8 @@
 
 #[test]
 fn a_stored_journal_is_read_and_continued() {
-    let files = Mem::default();
-    files.poke(JOURNAL, golden(JOURNAL));
+    let files = MemoryStore::default();
+    files.overwrite(JOURNAL, golden(JOURNAL));
     let records = vec![record(1, FIRST), record(2, SECOND)];
     assert_eq!(
         Journal::read(&files, "voter", FORMAT),
@@ -109,7 +109,7 @@
 /// A folder in memory that notes the names under which files are begun.
 #[derive(Default)]
 struct Begun {
-    files: Mem,
+    files: MemoryStore,
     names: Mutex<Vec<String>>,
 }
 
--- a/crates/dunepond-testkit/src/experiments/bodies.rs
+++ b/crates/dunepond-testkit/src/experiments/bodies.rs
@@ -41,7 +41,7 @@
 fn site(way: &Way, manners: &[Manner], files: bool, memory_one: &str) -> Site {
     let nodes = manners.iter().enumerate().map(|(i, manner)| Node::start(&format!("s-{i}"), *manner));
     let mut site = Site::start(&way.program, nodes.collect(), &kdl(files, memory_one));
-    site.broker.quiet = true;
+    site.broker.suppress_log = true;
     site
 }
 
@@ -228,7 +228,7 @@
     let asks: Vec<_> = (0..8).map(|i| ask("find", &format!("c{i}"), &[0, 1, 2, 3, 4, 5], mib(4))).collect();
     let told: Vec<_> = asks.iter().map(|ask| site.ask(ask)).collect();
     thread::sleep(Duration::from_millis(500));
-    let said = site.broker.said();
+    let said = site.broker.log_text();
     let last =
         said.lines().rev().find_map(|line| line.split_once("copied_into_frames=")?.1.split(' ').next());
     let copied = last.and_then(|count| count.parse::<f64>().ok()).unwrap_or(f64::MAX);
