--- a/crates/dunepond-testkit/src/experiments/leases.rs
+++ b/crates/dunepond-testkit/src/experiments/leases.rs
@@ -10,7 +10,7 @@
 use crate::links::CUT;
 use crate::processes::wait;
 use crate::report::{Curve, Figures};
-use crate::store::Manner;
+use crate::stand_ins::NodeBehavior;
 
 const BROKERS: usize = 5;
 /// Of the one customer, scans a second at all brokers together.
@@ -63,8 +63,9 @@
     let [leased, _] = &fleets;
     let stretch = if way.quick { Duration::from_secs(4) } else { Duration::from_secs(20) };
     let mut all: [Vec<Went>; 2] = Default::default();
-    let faults = |manner| fleets.iter().for_each(|f| f.nodes.iter().for_each(|node| node.behave(manner)));
-    faults(Manner::FaultEvery(FAULTS));
+    let faults =
+        |manner| fleets.iter().for_each(|f| f.nodes.iter().for_each(|node| node.set_behavior(manner)));
+    faults(NodeBehavior::FailEveryNth(FAULTS));
     // Where the traffic is first, and where it goes.
     for place in [4, 3] {
         eprintln!("traffic at n{} ...", place + 1);
@@ -92,9 +93,9 @@
             all.extend(went);
         }
     }
-    faults(Manner::Serve);
+    faults(NodeBehavior::Serve);
     // A node that has just started, under traffic at one broker: what it takes while it is cold.
-    let parts = |fleet: &Fleet| fleet.nodes[5].times().len();
+    let parts = |fleet: &Fleet| fleet.nodes[5].part_arrivals().len();
     let loads = fleets.each_ref().map(|fleet| fleet.clients([3], GAP));
     fleets.iter().for_each(|fleet| fleet.starts_cold("s-5"));
     let before = fleets.each_ref().map(parts);
--- a/crates/dunepond-testkit/src/experiments/restart.rs
+++ b/crates/dunepond-testkit/src/experiments/restart.rs
@@ -11,7 +11,7 @@
 use crate::lives::{SEGS, Town, unix_ms};
 use crate::load::{Load, Went};
 use crate::report::{Curve, Figures};
-use crate::store::{Broker, Client, Manner, scan};
+use crate::stand_ins::{Broker, Client, NodeBehavior, query_request};
 
 const NODES: usize = 24;
 const HANG: usize = 4;
@@ -35,7 +35,7 @@
     load.run_with(
         move |i| {
             let segs: Vec<_> = (0..4).map(|j| (i * 7 + j * 11) % SEGS).collect();
-            scan("find", &format!("{prefix}{i}"), &segs, "2.0")
+            query_request("find", &format!("{prefix}{i}"), &segs, "2.0")
         },
         |_, _, _| {},
     )
@@ -55,10 +55,10 @@
         let rules = &mut config["settings"]["rules"];
         (rules["freeResends"], rules["repeatRatio"]) = (json!(5.0), json!(0.02));
     };
-    town.each(1, Manner::After(TAKES));
+    town.each(1, NodeBehavior::DelayMillis(TAKES));
     let mut first = town.life(kdl);
     load(&first, 2.0, seed, "a");
-    town.each(HANG, Manner::Hang);
+    town.each(HANG, NodeBehavior::Hang);
     load(&first, 3.0, seed + 1, "b");
     first.signal("KILL");
     first.exit_code();
@@ -78,7 +78,7 @@
     broker.exit_code();
     let began = Instant::now();
     let broker = town.life(kdl);
-    let answer = Client::to(&broker).ask(&scan("find", "first", &[0, 1], "2.0"));
+    let answer = Client::connect(&broker).request(&query_request("find", "first", &[0, 1], "2.0"));
     let took = began.elapsed().as_secs_f64();
     if answer.status == 200 { took } else { f64::MAX }
 }
@@ -103,7 +103,7 @@
 /// What the last snapshot came to, in bytes for each second of a life of which so many have passed.
 fn wrote(broker: &Broker, seconds: f64) -> f64 {
     thread::sleep(Duration::from_millis(600));
-    let said = broker.said();
+    let said = broker.log_text();
     let line = said.lines().rev().find(|line| line.contains("snapshot: "));
     let bytes = line.and_then(|line| line.split(" s, ").nth(1)?.split(' ').next()?.parse::<f64>().ok());
     bytes.unwrap_or(f64::MAX) / seconds
@@ -120,19 +120,24 @@
     let mut town = Town::new(&way.program, NODES);
     town.starts(1, unix_ms());
     // All but the cold one fail, so that every part would need its further dispatches.
-    town.each(1, Manner::Say("fault"));
-    town.nodes[1].behave(Manner::Serve);
+    town.each(1, NodeBehavior::ReplyStatus("fault"));
+    town.nodes[1].set_behavior(NodeBehavior::Serve);
     let began = Instant::now();
     let (mut life, mut taken) = (0, Vec::new());
     while began.elapsed().as_secs_f64() < seconds {
         let mut broker = town.life(kdl);
         let asking = Instant::now();
-        let mut client = Client::to(&broker);
+        let mut client = Client::connect(&broker);
         let mut i = 0;
         while asking.elapsed() < Duration::from_millis(260) {
             i += 1;
             taken.push(Instant::now());
-            client.try_ask(&scan("find", &format!("l{life}-{i}"), &[i % SEGS, (i + 7) % SEGS], "0.3"));
+            client.try_request(&query_request(
+                "find",
+                &format!("l{life}-{i}"),
+                &[i % SEGS, (i + 7) % SEGS],
+                "0.3",
+            ));
             thread::sleep(Duration::from_millis(15));
         }
         broker.signal("KILL");
@@ -140,7 +145,7 @@
         life += 1;
     }
     let mut most = 0;
-    let times: Vec<_> = town.nodes[1].times().into_iter().map(|(at, _)| at).collect();
+    let times: Vec<_> = town.nodes[1].part_arrivals().into_iter().map(|(at, _)| at).collect();
     for (i, at) in times.iter().enumerate() {
         let within = times[..=i].iter().filter(|then| *at - **then <= Duration::from_secs(1)).count();
         most = most.max(within);
--- a/crates/dunepond-testkit/src/experiments/search.rs
+++ b/crates/dunepond-testkit/src/experiments/search.rs
@@ -13,8 +13,8 @@
 
 use super::Way;
 use crate::load::{Load, Went};
-use crate::pages::{Manner, Site, Speech, request as http};
 use crate::report::Figures;
+use crate::search_cluster::{NodeProtocol, SearchCluster, SearchNodeBehavior, http_request as http};
 
 const RATE: f64 = 300.0;
 /// The API's door, against the first, for equal texts.
@@ -55,10 +55,16 @@
 }
 
 /// So many seconds of scans at one door, before nodes of one kind that behave as told.
-fn ran(way: &Way, api: bool, speech: Speech, manners: &[(usize, Manner)], seconds: f64) -> Ran {
-    let site = Site::start(&way.program, &[speech; 4], "");
-    manners.iter().for_each(|(node, manner)| site.nodes[*node].behave(*manner));
-    let to = if api { site.api } else { site.broker.address };
+fn ran(
+    way: &Way,
+    api: bool,
+    speech: NodeProtocol,
+    manners: &[(usize, SearchNodeBehavior)],
+    seconds: f64,
+) -> Ran {
+    let site = SearchCluster::start(&way.program, &[speech; 4], "");
+    manners.iter().for_each(|(node, manner)| site.nodes[*node].set_behavior(*manner));
+    let to = if api { site.api_address } else { site.broker.address };
     let load = |prefix: &'static str, seconds: f64| {
         let load = Load { to, rate: RATE, seconds, seed: way.seed, prefix };
         load.run_with(
@@ -72,7 +78,7 @@
     let before = cpu(site.broker.pid());
     let went = load("c", seconds);
     let cost = (cpu(site.broker.pid()) - before) / went.times.len().max(1) as f64;
-    Ran { went, cost, twice: site.twice() }
+    Ran { went, cost, twice: site.repeated_parts() }
 }
 
 /// The first 100 of ten parts of a thousand hits each, in milliseconds, without their reading.
@@ -116,11 +122,14 @@
     let seconds = if way.quick { 1.5 } else { 8.0 };
     let mut costs = BTreeMap::new();
     let mut different = 0u64;
-    let troubles: [(&str, &[(usize, Manner)]); 3] =
-        [("all serve", &[]), ("one faults", &[(0, Manner::Fault)]), ("one hangs", &[(0, Manner::Hang)])];
+    let troubles: [(&str, &[(usize, SearchNodeBehavior)]); 3] = [
+        ("all serve", &[]),
+        ("one faults", &[(0, SearchNodeBehavior::Fault)]),
+        ("one hangs", &[(0, SearchNodeBehavior::Hang)]),
+    ];
     for (name, manners) in troubles {
         for (door, api) in [("first door", false), ("API", true)] {
-            for (kind, speech) in [("frames", Speech::Frames), ("API nodes", Speech::Api)] {
+            for (kind, speech) in [("frames", NodeProtocol::Frames), ("API nodes", NodeProtocol::Api)] {
                 eprintln!("{name}, {door}, {kind} ...");
                 let ran = ran(way, api, speech, manners, seconds);
                 let all = ran.went.times.len();
--- a/crates/dunepond-testkit/src/experiments/shutdown.rs
+++ b/crates/dunepond-testkit/src/experiments/shutdown.rs
@@ -3,7 +3,7 @@
 use super::Way;
 use crate::report::Figures;
 use crate::shutdown::{Breach, Plan, Verdict, play_all};
-use crate::store::program;
+use crate::stand_ins::broker_program;
 
 /// Seeds of a full run and of a quick one, where none are asked for.
 const SEEDS: u64 = 50;
@@ -52,7 +52,7 @@
         (plays, _) => plays,
     };
     let (mut all, mut bad_seeds) = (Verdict::default(), 0);
-    for (plan, verdict) in play_all(&program(), way.seed..way.seed + seeds) {
+    for (plan, verdict) in play_all(&broker_program(), way.seed..way.seed + seeds) {
         bad_seeds += usize::from(!verdict.faults.is_empty() || verdict.failed > 0);
         show(&plan, &verdict);
         all.add(verdict);
--- a/crates/dunepond-testkit/src/fleet/clients.rs
+++ b/crates/dunepond-testkit/src/fleet/clients.rs
@@ -10,7 +10,7 @@
 use super::{CUSTOMERS, FIX, Fleet, TYPES, name};
 use crate::auditor::{AuditEvent, Finding, Known, Ran, audit};
 use crate::processes::PATIENCE;
-use crate::store::{Client, Node, scan};
+use crate::stand_ins::{Client, Node, query_request};
 
 /// What two readings of the clock around one act may be apart on a machine that is busy.
 const SLACK: f64 = 0.1;
@@ -26,7 +26,7 @@
                 let (call, node) = (call.to_string(), node.name.clone());
                 Some(Ran { call, seg: seg.parse().ok()?, at: came(at), node })
             };
-            node.times().into_iter().filter_map(ran).collect::<Vec<_>>()
+            node.part_arrivals().into_iter().filter_map(ran).collect::<Vec<_>>()
         };
         self.nodes.iter().flat_map(fix).collect()
     }
@@ -128,9 +128,9 @@
         let answer = dialled.and_then(|mut dialled| {
             // All for one customer, so that its partner comes to owe the other.
             let caller = format!("X-Caller: {}\r\nX-Budget", CUSTOMERS[0]);
-            let scan =
-                scan(kind, &call, &segs, &format!("{:.3}", self.timeout)).replacen("X-Budget", &caller, 1);
-            let answer = dialled.try_ask(&scan)?;
+            let scan = query_request(kind, &call, &segs, &format!("{:.3}", self.timeout))
+                .replacen("X-Budget", &caller, 1);
+            let answer = dialled.try_request(&scan)?;
             let closes = answer.head.to_ascii_lowercase().contains("connection: close");
             *client = (!closes).then_some(dialled);
             Some(answer.status)
@@ -152,7 +152,7 @@
     let stream = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(PATIENCE)).ok()?;
     stream.set_nodelay(true).ok()?;
-    Some(Client::on(stream))
+    Some(Client::from_stream(stream))
 }
 
 pub struct Clients {
--- a/crates/dunepond-testkit/src/fleet/mod.rs
+++ b/crates/dunepond-testkit/src/fleet/mod.rs
@@ -19,7 +19,7 @@
 use crate::links::Links;
 use crate::lives::unix_ms;
 use crate::processes::{Process, wait};
-use crate::store::{List, Node};
+use crate::stand_ins::{DiscoveryServer, Node};
 pub use clients::{Clients, Went, quantile, served, share};
 pub use filler::Filler;
 
@@ -107,7 +107,7 @@
     pub links: Links,
     pub brokers: Vec<Process>,
     pub nodes: Vec<Node>,
-    pub list: List,
+    pub list: DiscoveryServer,
     pub filler: Filler,
     /// What the second partner is owed by the first at most, where a test knows.
     pub owed: Option<u64>,
@@ -253,14 +253,14 @@
     /// The list says that these nodes have just started.
     pub fn restarted(&self, nodes: &[usize]) {
         let line = |(i, node): (usize, &Node)| {
-            let mut line = node.line("ready");
+            let mut line = node.endpoint("ready");
             line["site"] = json!(ZONES[i % 2]);
             if nodes.contains(&i) {
                 line["born_ms"] = json!(unix_ms());
             }
             line
         };
-        self.list.tell(self.nodes.iter().enumerate().map(line).collect());
+        self.list.publish(self.nodes.iter().enumerate().map(line).collect());
     }
 
     /// All that is in the records so far.
@@ -325,7 +325,7 @@
 
     /// Discovery says from now on that these nodes are to be left.
     pub fn drain(&self, nodes: &[&str]) {
-        self.list.tell(start::lines(&self.nodes, nodes));
+        self.list.publish(start::lines(&self.nodes, nodes));
     }
 
     /// Discovery says from now on that this node has just started.
@@ -333,7 +333,7 @@
         let mut lines = start::lines(&self.nodes, &[]);
         let line = lines.iter_mut().find(|line| line["host"] == node).expect("a node of the fleet");
         line["born_ms"] = json!(crate::lives::unix_ms());
-        self.list.tell(lines);
+        self.list.publish(lines);
     }
 
     /// Cut apart into groups; who is in none is alone.
--- a/crates/dunepond-testkit/src/fleet/start.rs
+++ b/crates/dunepond-testkit/src/fleet/start.rs
@@ -11,16 +11,16 @@
 use crate::auditor::Records;
 use crate::links::Links;
 use crate::processes::{Process, own_address};
-use crate::store::{self, List, Node};
+use crate::stand_ins::{self, DiscoveryServer, Node};
 
 impl Fleet {
     pub fn prepared(plan: Plan) -> Self {
-        let folder = store::scratch("fleet");
+        let folder = stand_ins::scratch_path("fleet");
         fs::create_dir(&folder).unwrap();
         fs::write(folder.join("key"), KEY).unwrap();
         let nodes: Vec<_> = (0..plan.nodes).map(|i| Node::start(&format!("s-{i}"))).collect();
         let lines = lines(&nodes, &[]);
-        let list = List::start(lines.clone());
+        let list = DiscoveryServer::start(lines.clone());
         let peers: Vec<_> = (0..plan.brokers).map(|i| (name(i), own_address())).collect();
         let links = Links::between(&peers, plan.seed).unwrap();
         let filler = Filler::start();
@@ -71,7 +71,7 @@
                 writeln!(text, "  map least-holders=2 least-zones=1 most-changed=1.0\n}}").unwrap();
             }
             fs::write(&kdl, text).unwrap();
-            let mut told = store::config(list.address, lines.clone());
+            let mut told = stand_ins::config(list.address, lines.clone());
             told["settings"] = settings(&plan);
             (told["name"], told["listen"], told["log"]) =
                 (json!(own), json!(door.to_string()), json!("info"));
@@ -97,7 +97,8 @@
 /// The list's, where these nodes are to be left.
 pub(super) fn lines(nodes: &[Node], draining: &[&str]) -> Vec<Value> {
     let line = |(i, node): (usize, &Node)| {
-        let mut line = node.line(if draining.contains(&node.name.as_str()) { "draining" } else { "ready" });
+        let mut line =
+            node.endpoint(if draining.contains(&node.name.as_str()) { "draining" } else { "ready" });
         line["site"] = json!(ZONES[i % 2]);
         line
     };
@@ -105,7 +106,7 @@
 }
 
 fn settings(plan: &Plan) -> Value {
-    let mut settings = store::settings();
+    let mut settings = stand_ins::settings();
     let mut service = settings["services"][0].clone();
     let services = TYPES.map(|name| {
         (service["name"], service["aimMs"]) = (json!(name), json!(1000.0 * plan.timeout / 2.0));
--- a/crates/dunepond-testkit/src/lives.rs
+++ b/crates/dunepond-testkit/src/lives.rs
@@ -7,7 +7,7 @@
 
 use serde_json::{Value, json};
 
-use crate::store::{self, Broker, List, Manner, Node};
+use crate::stand_ins::{self, Broker, DiscoveryServer, Node, NodeBehavior};
 
 const CELLS: usize = 12;
 const SPAN: usize = 4;
@@ -17,7 +17,7 @@
 pub struct Town {
     program: PathBuf,
     pub nodes: Vec<Node>,
-    pub list: List,
+    pub list: DiscoveryServer,
     pub folder: PathBuf,
     pub disk: PathBuf,
     kdl: PathBuf,
@@ -32,25 +32,25 @@
 impl Town {
     pub fn new(program: &Path, count: usize) -> Self {
         let nodes: Vec<_> = (0..count).map(|i| Node::start(&format!("s-{i}"))).collect();
-        let folder = store::scratch("state");
+        let folder = stand_ins::scratch_path("state");
         std::fs::create_dir(&folder).unwrap();
         let mut town = Self {
             program: program.to_path_buf(),
             born: vec![0; nodes.len()],
             nodes,
-            list: List::start(Vec::new()),
+            list: DiscoveryServer::start(Vec::new()),
             folder,
-            disk: store::scratch("disk"),
-            kdl: store::scratch("kdl"),
+            disk: stand_ins::scratch_path("disk"),
+            kdl: stand_ins::scratch_path("kdl"),
             mend: |_| {},
         };
-        town.list = List::start(town.lines());
+        town.list = DiscoveryServer::start(town.lines());
         town
     }
 
     pub fn lines(&self) -> Vec<Value> {
         let line = |(i, node): (usize, &Node)| {
-            let mut line = node.line("ready");
+            let mut line = node.endpoint("ready");
             (line["block"], line["born_ms"]) = (json!(i % CELLS), json!(self.born[i]));
             line
         };
@@ -60,13 +60,13 @@
     /// A node's process starts anew, at this time.
     pub fn starts(&mut self, node: usize, born: u64) {
         self.born[node] = born;
-        self.list.tell(self.lines());
+        self.list.publish(self.lines());
     }
 
     /// Begins a life with this operator's file; `FOLDER` in it is the folder that outlasts it.
     pub fn life(&self, kdl: &str) -> Broker {
         std::fs::write(&self.kdl, kdl.replace("FOLDER", self.folder.to_str().unwrap())).unwrap();
-        let mut config = store::config(self.list.address, self.lines());
+        let mut config = stand_ins::config(self.list.address, self.lines());
         let family = &mut config["settings"]["familyInfo"];
         (family["cells"], family["span"], family["slabs"]) = (json!(CELLS), json!(SPAN), json!(SEGS));
         config["settings"]["ceilings"]["mostHeld"] = json!(8000);
@@ -74,8 +74,8 @@
         (self.mend)(&mut config);
         let mut command = Command::new(&self.program);
         command.arg("broker").arg("--operator").arg(&self.kdl).arg("--disk").arg(&self.disk);
-        let mut broker = Broker::started(store::launch_by(command, &config));
-        broker.quiet = true;
+        let mut broker = Broker::from_child(stand_ins::launch_command(command, &config));
+        broker.suppress_log = true;
         broker
     }
 
@@ -87,14 +87,14 @@
     }
 
     /// Every `n`th node behaves so.
-    pub fn each(&self, n: usize, manner: Manner) {
-        self.nodes.iter().step_by(n).for_each(|node| node.behave(manner));
+    pub fn each(&self, n: usize, manner: NodeBehavior) {
+        self.nodes.iter().step_by(n).for_each(|node| node.set_behavior(manner));
     }
 
     /// All parts that came to nodes, in their order: when, which, and at which node.
     pub fn dispatches(&self) -> Vec<(Instant, String, usize)> {
         let of = |(i, node): (usize, &Node)| {
-            node.times().into_iter().map(move |(at, id)| (at, id, i)).collect::<Vec<_>>()
+            node.part_arrivals().into_iter().map(move |(at, id)| (at, id, i)).collect::<Vec<_>>()
         };
         let mut all: Vec<_> = self.nodes.iter().enumerate().flat_map(of).collect();
         all.sort_by_key(|dispatch| dispatch.0);
--- a/crates/dunepond-testkit/src/load.rs
+++ b/crates/dunepond-testkit/src/load.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::store::{Answer, Client, scan};
+use crate::stand_ins::{Answer, Client, query_request};
 
 /// Small scans of the ordinary form, so many a second, for so long.
 pub struct Load {
@@ -41,7 +41,8 @@
 impl Load {
     pub fn run(&self) -> Went {
         let prefix = self.prefix;
-        let request = move |number: usize| scan("find", &format!("{prefix}{number}"), &[number % 6], "20.0");
+        let request =
+            move |number: usize| query_request("find", &format!("{prefix}{number}"), &[number % 6], "20.0");
         self.run_with(request, |_, _, _| {})
     }
 
@@ -69,7 +70,7 @@
             let (due, next, went) = (due.clone(), next.clone(), went.clone());
             let (request, told) = (request.clone(), told.clone());
             thread::spawn(move || {
-                let mut client = Client::dial(to);
+                let mut client = Client::connect_to(to);
                 loop {
                     let number = next.fetch_add(1, Ordering::Relaxed) as usize;
                     let Some(at) = due.get(number).map(|at| start + Duration::from_secs_f64(*at)) else {
@@ -77,11 +78,11 @@
                     };
                     thread::sleep(at.saturating_duration_since(Instant::now()));
                     let (request, sent) = (request(number), Instant::now());
-                    let answer = client.try_ask(&request);
+                    let answer = client.try_request(&request);
                     told(number, sent, answer.as_ref());
                     let status = answer.map(|answer| answer.status);
                     if status.is_none() {
-                        client = Client::dial(to);
+                        client = Client::connect_to(to);
                     }
                     let mut went = went.lock().unwrap();
                     let _ = went.times.record(at.elapsed().as_micros() as u64);
--- a/crates/dunepond-testkit/src/files.rs
+++ b/crates/dunepond-testkit/src/memory_store.rs
@@ -9,7 +9,7 @@
 
 /// What is to become of the calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Plan {
+pub enum FaultPlan {
     Serve,
     /// The process stops at this call, of which a part may be done.
     StopAt(usize),
@@ -28,7 +28,7 @@
 
 #[derive(Debug)]
 struct State {
-    plan: Plan,
+    plan: FaultPlan,
     calls: usize,
     stopped: bool,
     inodes: Vec<Inode>,
@@ -41,12 +41,12 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Mem(Arc<Mutex<State>>);
+pub struct MemoryStore(Arc<Mutex<State>>);
 
-impl Default for Mem {
+impl Default for MemoryStore {
     fn default() -> Self {
         Self(Arc::new(Mutex::new(State {
-            plan: Plan::Serve,
+            plan: FaultPlan::Serve,
             calls: 0,
             stopped: false,
             inodes: Vec::new(),
@@ -72,12 +72,12 @@
         }
         self.calls += 1;
         match self.plan {
-            Plan::StopAt(call) if call == self.calls => {
+            FaultPlan::StopAt(call) if call == self.calls => {
                 self.stopped = true;
                 Ok(true)
             }
-            Plan::FailAt(call) if call == self.calls => Err(io::Error::from_raw_os_error(libc::EIO)),
-            Plan::Full if writes => Err(io::Error::from_raw_os_error(libc::ENOSPC)),
+            FaultPlan::FailAt(call) if call == self.calls => Err(io::Error::from_raw_os_error(libc::EIO)),
+            FaultPlan::Full if writes => Err(io::Error::from_raw_os_error(libc::ENOSPC)),
             _ => Ok(false),
         }
     }
@@ -95,8 +95,8 @@
     }
 }
 
-impl Mem {
-    pub fn plan(&self, plan: Plan) {
+impl MemoryStore {
+    pub fn set_plan(&self, plan: FaultPlan) {
         let mut state = self.0.lock().unwrap();
         (state.plan, state.calls) = (plan, 0);
     }
@@ -113,7 +113,7 @@
     /// The process has gone, and with `machine` the machine: what was not synced is kept or lost as `seed` has it.
     pub fn crash(&self, machine: bool, mut seed: u64) {
         let mut state = self.0.lock().unwrap();
-        (state.stopped, state.plan, state.calls) = (false, Plan::Serve, 0);
+        (state.stopped, state.plan, state.calls) = (false, FaultPlan::Serve, 0);
         if !machine {
             return;
         }
@@ -152,12 +152,12 @@
     }
 
     /// The bytes of a file, to be looked at or changed behind everybody's back.
-    pub fn peek(&self, name: &str) -> Option<Vec<u8>> {
+    pub fn contents(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.0.lock().unwrap();
         state.now.get(name).map(|inode| state.inodes[*inode].now.clone())
     }
 
-    pub fn poke(&self, name: &str, bytes: Vec<u8>) {
+    pub fn overwrite(&self, name: &str, bytes: Vec<u8>) {
         let mut state = self.0.lock().unwrap();
         let inode = state.inodes.len();
         state.inodes.push(Inode { now: bytes.clone(), synced: bytes });
@@ -171,11 +171,11 @@
 }
 
 struct Open {
-    files: Mem,
+    files: MemoryStore,
     inode: usize,
 }
 
-impl FileStore for Mem {
+impl FileStore for MemoryStore {
     fn create(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let mut state = self.0.lock().unwrap();
         let stops = state.call(true)?;
--- a/crates/dunepond-testkit/src/processes.rs
+++ b/crates/dunepond-testkit/src/processes.rs
@@ -12,7 +12,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-use crate::store;
+use crate::stand_ins;
 
 /// Longest that anything here waits for what must come; a busy machine needs more than one would think.
 pub const PATIENCE: Duration = Duration::from_secs(20);
@@ -59,7 +59,7 @@
             environment: Vec::new(),
             address,
             folder: folder.to_path_buf(),
-            log: store::scratch("log"),
+            log: stand_ins::scratch_path("log"),
             child: None,
         }
     }
@@ -154,7 +154,7 @@
 
     /// A copy of its folder as it is, for [`Process::put_back`].
     pub fn copy(&self) -> PathBuf {
-        let copy = store::scratch("copy");
+        let copy = stand_ins::scratch_path("copy");
         copy_folder(&self.folder, &copy).unwrap();
         copy
     }
--- a/crates/dunepond-testkit/src/pages.rs
+++ b/crates/dunepond-testkit/src/search_cluster.rs
@@ -10,42 +10,42 @@
 
 use serde_json::{Value, json};
 
-use crate::store::{self, Answer, Broker, Client, List};
+use crate::stand_ins::{self, Answer, Broker, Client, DiscoveryServer};
 
-pub const SEGS: usize = 6;
+pub const SEGMENT_COUNT: usize = 6;
 /// Documents of each shard.
-pub const DOCUMENTS: usize = 5;
+pub const DOCUMENTS_PER_SEGMENT: usize = 5;
 
 /// What a node does with the parts that it is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum SearchNodeBehavior {
     Serve,
     Hang,
     /// Answers the even shards alone.
-    HangOdd,
+    HangOddSegments,
     Fault,
     Refuse,
     /// Closes, the whole frame read.
     Close,
     /// Closes in the middle of an answer's head; or behind each answer, without having said so.
-    CloseInHead,
-    CloseBehind,
+    CloseInHeader,
+    CloseAfterReply,
     /// States no length in the API: its answer ends with the connection.
-    Unstated,
+    NoContentLength,
     /// Says half of a document.
-    Broken,
-    OtherIndex,
-    TooMany,
+    TruncatedDocument,
+    WrongIndex,
+    TooManyHits,
     TimedOut,
     /// Says that it has found fewer than it names.
-    FalseTotal,
+    WrongTotal,
 }
 
 #[derive(Clone)]
 pub struct Node {
     name: String,
     address: SocketAddr,
-    manner: Arc<Mutex<Manner>>,
+    manner: Arc<Mutex<SearchNodeBehavior>>,
     runs: Arc<Mutex<HashMap<String, u32>>>,
 }
 
@@ -62,9 +62,10 @@
 }
 
 /// All documents' names, the best first.
-pub fn best() -> Vec<String> {
-    let mut all: Vec<_> =
-        (0..SEGS).flat_map(|seg| (0..DOCUMENTS).map(move |at| (score(seg, at), seg, at))).collect();
+pub fn ranked_documents() -> Vec<String> {
+    let mut all: Vec<_> = (0..SEGMENT_COUNT)
+        .flat_map(|seg| (0..DOCUMENTS_PER_SEGMENT).map(move |at| (score(seg, at), seg, at)))
+        .collect();
     all.sort_by(|a, b| b.0.total_cmp(&a.0));
     all.into_iter().map(|(_, seg, at)| format!("{seg}-{at}")).collect()
 }
@@ -74,19 +75,19 @@
 
 /// What a node speaks.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Speech {
+pub enum NodeProtocol {
     Frames,
     Api,
 }
 
 impl Node {
-    pub fn start(name: &str, speech: Speech) -> Self {
-        let api = speech == Speech::Api;
+    pub fn start(name: &str, speech: NodeProtocol) -> Self {
+        let api = speech == NodeProtocol::Api;
         let listener = TcpListener::bind(if api { API } else { "127.0.0.1:0" }).unwrap();
         let node = Self {
             name: name.to_string(),
             address: listener.local_addr().unwrap(),
-            manner: Arc::new(Mutex::new(Manner::Serve)),
+            manner: Arc::new(Mutex::new(SearchNodeBehavior::Serve)),
             runs: Arc::default(),
         };
         let shared = node.clone();
@@ -114,15 +115,15 @@
             let words: Vec<_> = line.split(' ').collect();
             let (id, seg) = (words[0], words[1].parse::<usize>().unwrap());
             let manner = *self.manner.lock().unwrap();
-            if manner != Manner::Refuse {
+            if manner != SearchNodeBehavior::Refuse {
                 *self.runs.lock().unwrap().entry(id.to_string()).or_default() += 1;
             }
             match manner {
-                Manner::Hang => {}
-                Manner::HangOdd if seg % 2 == 1 => {}
-                Manner::Fault => stream.write_all(&frame(&format!("{id} fault 0 -\n")))?,
-                Manner::Refuse => stream.write_all(&frame(&format!("{id} overload 0 -\n")))?,
-                Manner::Close | Manner::CloseInHead => return Ok(()),
+                SearchNodeBehavior::Hang => {}
+                SearchNodeBehavior::HangOddSegments if seg % 2 == 1 => {}
+                SearchNodeBehavior::Fault => stream.write_all(&frame(&format!("{id} fault 0 -\n")))?,
+                SearchNodeBehavior::Refuse => stream.write_all(&frame(&format!("{id} overload 0 -\n")))?,
+                SearchNodeBehavior::Close | SearchNodeBehavior::CloseInHeader => return Ok(()),
                 manner => {
                     let value = found(seg, text, manner);
                     stream.write_all(&frame(&format!("{id} hit 1 -\n{value}")))?;
@@ -151,7 +152,7 @@
             let mut body = vec![0; length];
             reader.read_exact(&mut body)?;
             let manner = *self.manner.lock().unwrap();
-            if manner != Manner::Refuse {
+            if manner != SearchNodeBehavior::Refuse {
                 *self.runs.lock().unwrap().entry(id.to_string()).or_default() += 1;
             }
             let error = |status: u16, kind: &str| {
@@ -160,12 +161,16 @@
                 format!("HTTP/1.1 {status} No\r\nContent-Length: {}\r\n\r\n{body}", body.len())
             };
             match manner {
-                Manner::Hang => {}
-                Manner::HangOdd if seg % 2 == 1 => {}
-                Manner::Fault => out.write_all(error(500, "search_phase_execution_exception").as_bytes())?,
-                Manner::Refuse => out.write_all(error(429, "rejected_execution_exception").as_bytes())?,
-                Manner::Close => return Ok(()),
-                Manner::CloseInHead => {
+                SearchNodeBehavior::Hang => {}
+                SearchNodeBehavior::HangOddSegments if seg % 2 == 1 => {}
+                SearchNodeBehavior::Fault => {
+                    out.write_all(error(500, "search_phase_execution_exception").as_bytes())?
+                }
+                SearchNodeBehavior::Refuse => {
+                    out.write_all(error(429, "rejected_execution_exception").as_bytes())?
+                }
+                SearchNodeBehavior::Close => return Ok(()),
+                SearchNodeBehavior::CloseInHeader => {
                     out.write_all(b"HTTP/1.1 200 OK\r\nContent-Le")?;
                     return Ok(());
                 }
@@ -174,7 +179,9 @@
                     let (half, rest) = value.split_at(value.len() / 2);
                     // In chunks where the shard's number is odd: both forms of a body come.
                     let text = match seg % 2 {
-                        _ if manner == Manner::Unstated => format!("HTTP/1.1 200 OK\r\n\r\n{value}"),
+                        _ if manner == SearchNodeBehavior::NoContentLength => {
+                            format!("HTTP/1.1 200 OK\r\n\r\n{value}")
+                        }
                         0 => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{value}", value.len()),
                         _ => format!(
                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{half}\r\n{:x}\r\n{rest}\r\n0\r\n\r\n",
@@ -183,7 +190,10 @@
                         ),
                     };
                     out.write_all(text.as_bytes())?;
-                    if matches!(manner, Manner::CloseBehind | Manner::Unstated) {
+                    if matches!(
+                        manner,
+                        SearchNodeBehavior::CloseAfterReply | SearchNodeBehavior::NoContentLength
+                    ) {
                         return Ok(());
                     }
                 }
@@ -195,29 +205,29 @@
         self.runs.lock().unwrap().values().sum()
     }
 
-    pub fn behave(&self, manner: Manner) {
+    pub fn set_behavior(&self, manner: SearchNodeBehavior) {
         *self.manner.lock().unwrap() = manner;
     }
 }
 
 /// A node's document: hits as they were asked for, and beside them what an update answers.
-fn found(seg: usize, text: &str, manner: Manner) -> String {
+fn found(seg: usize, text: &str, manner: SearchNodeBehavior) -> String {
     let asked: Value = serde_json::from_str(text).unwrap_or(Value::Null);
     let size = asked["size"].as_u64().unwrap_or(10) as usize;
-    let mut hits: Vec<_> = (0..DOCUMENTS).map(|at| (score(seg, at), at)).collect();
+    let mut hits: Vec<_> = (0..DOCUMENTS_PER_SEGMENT).map(|at| (score(seg, at), at)).collect();
     hits.sort_by(|a, b| b.0.total_cmp(&a.0));
     // The one order that is asked for beside the usual is the other way round.
     if asked.get("sort").is_some() {
         hits.reverse();
     }
     hits.truncate(size);
-    if manner == Manner::TooMany {
+    if manner == SearchNodeBehavior::TooManyHits {
         hits = hits.into_iter().cycle().take(size + 1).collect();
     }
     let sorted = asked.get("sort").is_some();
     let hits = hits.into_iter().map(|(score, at)| {
         let mut hit = json!({"_id": format!("{seg}-{at}"), "_score": score, "_source": {"seg": seg}});
-        if manner == Manner::OtherIndex {
+        if manner == SearchNodeBehavior::WrongIndex {
             hit["_index"] = json!("another");
         }
         if sorted {
@@ -225,35 +235,35 @@
         }
         hit
     });
-    let total = if manner == Manner::FalseTotal { 0 } else { DOCUMENTS };
+    let total = if manner == SearchNodeBehavior::WrongTotal { 0 } else { DOCUMENTS_PER_SEGMENT };
     let document = json!({
-        "timed_out": manner == Manner::TimedOut,
+        "timed_out": manner == SearchNodeBehavior::TimedOut,
         "hits": {"total": {"value": total, "relation": "eq"}, "max_score": 31.0, "hits": hits.collect::<Vec<_>>()},
         "updated": 1,
         "failures": [],
     });
     let text = document.to_string();
-    if manner == Manner::Broken { text[..text.len() / 2].to_string() } else { text }
+    if manner == SearchNodeBehavior::TruncatedDocument { text[..text.len() / 2].to_string() } else { text }
 }
 
 /// A broker with both doors, before nodes that all hold all shards.
-pub struct Site {
+pub struct SearchCluster {
     pub broker: Broker,
-    pub api: SocketAddr,
+    pub api_address: SocketAddr,
     pub nodes: Vec<Node>,
-    _list: List,
+    _list: DiscoveryServer,
     kdl: std::path::PathBuf,
 }
 
-impl Site {
+impl SearchCluster {
     /// `program` is the laboratory's own.
-    pub fn start(program: &Path, speech: &[Speech], more: &str) -> Self {
-        Self::start_by(speech, more, Self::by(program))
+    pub fn start(program: &Path, speech: &[NodeProtocol], more: &str) -> Self {
+        Self::start_with_command(speech, more, Self::by(program))
     }
 
     /// The same, for stories about who is asked and how often: a target time of 10 s and a query timeout of 15, so that a
     /// machine that is busy with others does not decide them.
-    pub fn patient(program: &Path, speech: &[Speech]) -> Self {
+    pub fn start_with_long_timeouts(program: &Path, speech: &[NodeProtocol]) -> Self {
         let patience = |config: &mut Value| {
             for service in config["settings"]["services"].as_array_mut().unwrap() {
                 (service["aimMs"], service["deadlineMs"]) = (json!(10_000.0), json!(15_000.0));
@@ -271,12 +281,16 @@
     }
 
     /// The same by whatever command runs a broker with this operator's file.
-    pub fn start_by(speech: &[Speech], more: &str, command: impl Fn(&Path) -> Command) -> Self {
+    pub fn start_with_command(
+        speech: &[NodeProtocol],
+        more: &str,
+        command: impl Fn(&Path) -> Command,
+    ) -> Self {
         Self::start_with(speech, more, |_| {}, command)
     }
 
     fn start_with(
-        speech: &[Speech],
+        speech: &[NodeProtocol],
         more: &str,
         change: impl Fn(&mut Value),
         command: impl Fn(&Path) -> Command,
@@ -290,8 +304,8 @@
                     "health": "ready", "share": 1.0, "born_ms": 0})
             })
             .collect();
-        let list = List::start(lines.clone());
-        let mut config = store::config(list.address, lines);
+        let list = DiscoveryServer::start(lines.clone());
+        let mut config = stand_ins::config(list.address, lines);
         // `find` may be answered from half of its parts, `all` needs each, `fix` must not run twice.
         let services = config["settings"]["services"].as_array_mut().unwrap();
         let mut all = services[0].clone();
@@ -304,25 +318,27 @@
         config["settings"]["ceilings"]["mostHeld"] = json!(4000);
         config["log"] = json!("info");
         change(&mut config);
-        let kdl = store::scratch("kdl");
+        let kdl = stand_ins::scratch_path("kdl");
         // A port of the system's choosing: the broker names it in its log, before it listens at the first door.
         std::fs::write(
             &kdl,
             format!("search listen=\"127.0.0.1:0\" searches=20\nsearch-nodes \"127.0.0.2\"\n{more}"),
         )
         .unwrap();
-        let broker = Broker::started(store::launch_by(command(&kdl), &config));
-        let api =
-            broker.before.lines().find_map(|line| line.split_once("the API listening at ")?.1.parse().ok());
-        Self { api: api.expect("the API's address in the log"), broker, nodes, _list: list, kdl }
+        let broker = Broker::from_child(stand_ins::launch_command(command(&kdl), &config));
+        let api = broker
+            .startup_log
+            .lines()
+            .find_map(|line| line.split_once("the API listening at ")?.1.parse().ok());
+        Self { api_address: api.expect("the API's address in the log"), broker, nodes, _list: list, kdl }
     }
 
-    pub fn ask(&self, method: &str, target: &str, body: &str) -> Answer {
-        Client::dial(self.api).ask(&request(method, target, body))
+    pub fn request(&self, method: &str, target: &str, body: &str) -> Answer {
+        Client::connect_to(self.api_address).request(&http_request(method, target, body))
     }
 
     /// Parts that ran more than once.
-    pub fn twice(&self) -> usize {
+    pub fn repeated_parts(&self) -> usize {
         let mut runs: HashMap<String, u32> = HashMap::new();
         for node in &self.nodes {
             for (id, count) in &*node.runs.lock().unwrap() {
@@ -337,12 +353,12 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for SearchCluster {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.kdl);
     }
 }
 
-pub fn request(method: &str, target: &str, body: &str) -> String {
+pub fn http_request(method: &str, target: &str, body: &str) -> String {
     format!("{method} {target} HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/crates/dunepond-testkit/src/shutdown/client.rs
+++ b/crates/dunepond-testkit/src/shutdown/client.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::store::scan;
+use crate::stand_ins::query_request;
 
 /// How long one look at a connection waits for something to read.
 const LOOK: Duration = Duration::from_millis(3);
@@ -244,7 +244,7 @@
         let segments = [segment, (segment + 1) % SEGMENTS];
         let segments = if replayable { &segments[..] } else { &segments[..1] };
         let budget = format!("{:.3}", self.site.timeout.as_secs_f64());
-        let text = scan(table_type, &id, segments, &budget);
+        let text = query_request(table_type, &id, segments, &budget);
         let began = Instant::now();
         let (first, second) = text.as_bytes().split_at(text.len() / 2);
         let mut whole = connection.write(first);
--- a/crates/dunepond-testkit/src/shutdown/mod.rs
+++ b/crates/dunepond-testkit/src/shutdown/mod.rs
@@ -19,7 +19,7 @@
 use nix::unistd::Pid;
 use serde_json::{Value, json};
 
-use crate::store::{self, Broker, List, Node};
+use crate::stand_ins::{self, Broker, DiscoveryServer, Node};
 use client::{Client, Site};
 pub use client::{Habit, Request};
 pub use plan::{BrokerPlan, Hold, Plan};
@@ -31,12 +31,12 @@
 /// Scans and parts that a broker may hold.
 const MOST_HELD: usize = 600;
 
-fn config(plan: &Plan, list: &List, lines: Vec<Value>) -> Value {
-    let mut config = store::config(list.address, lines);
+fn config(plan: &Plan, list: &DiscoveryServer, lines: Vec<Value>) -> Value {
+    let mut config = stand_ins::config(list.address, lines);
     config["log"] = json!("info");
     config["limits"]["sockets"] = json!(plan.sockets);
     config["settings"]["ceilings"]["mostHeld"] = json!(MOST_HELD);
-    store::set_timeouts(&mut config, 1000.0 * plan.timeout.as_secs_f64());
+    stand_ins::set_timeouts(&mut config, 1000.0 * plan.timeout.as_secs_f64());
     config
 }
 
@@ -97,15 +97,15 @@
 /// All attempts that came to the nodes.
 fn attempts(nodes: &[Node]) -> Attempts {
     let mut attempts = BTreeMap::new();
-    for (at, id) in nodes.iter().flat_map(Node::times) {
+    for (at, id) in nodes.iter().flat_map(Node::part_arrivals) {
         attempts.entry(id).or_insert_with(Vec::new).push(at);
     }
     attempts
 }
 
 fn launch(program: &Path, config: &Value) -> Broker {
-    let mut broker = Broker::started(store::launch_by(Command::new(program), config));
-    broker.quiet = true;
+    let mut broker = Broker::from_child(stand_ins::launch_command(Command::new(program), config));
+    broker.suppress_log = true;
     broker
 }
 
@@ -132,8 +132,8 @@
 /// Plays one plan against this program.
 pub fn play(program: &Path, plan: &Plan) -> Verdict {
     let nodes: Vec<_> = (0..plan.nodes).map(|i| Node::start(&format!("s-{i}"))).collect();
-    let lines: Vec<_> = nodes.iter().map(|node| node.line("ready")).collect();
-    let list = List::start(lines.clone());
+    let lines: Vec<_> = nodes.iter().map(|node| node.endpoint("ready")).collect();
+    let list = DiscoveryServer::start(lines.clone());
     let config = config(plan, &list, lines);
     let mut brokers: Vec<_> = plan.brokers.iter().map(|_| launch(program, &config)).collect();
     let site = |(broker, (process, told)): (usize, (&Broker, &BrokerPlan))| {
@@ -163,9 +163,9 @@
     let turns_bad = |plan: &Plan| {
         sleep_until(begin - Duration::from_secs_f64((-plan.bad_at).max(0.0)));
         thread::sleep(Duration::from_secs_f64(plan.bad_at.max(0.0)));
-        nodes.iter().take(plan.bad).for_each(|node| node.behave(plan.manner));
+        nodes.iter().take(plan.bad).for_each(|node| node.set_behavior(plan.manner));
         if plan.list_falls_silent {
-            list.fall_silent();
+            list.stop_replying();
         }
     };
     let times: Vec<_> = thread::scope(|scope| {
--- a/crates/dunepond-testkit/src/shutdown/plan.rs
+++ b/crates/dunepond-testkit/src/shutdown/plan.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::client::Habit;
-use crate::store::Manner;
+use crate::stand_ins::NodeBehavior;
 
 /// The protocol page counts deadlines beyond this towards the kill no further.
 const LONGEST_COUNTED: Duration = Duration::from_secs(3);
@@ -53,7 +53,7 @@
     pub nodes: usize,
     /// The first so many nodes behave so, from this long before (negative) or after the first SIGTERM of all.
     pub bad: usize,
-    pub manner: Manner,
+    pub manner: NodeBehavior,
     pub bad_at: f64,
     /// Discovery falls silent at the same time.
     pub list_falls_silent: bool,
@@ -74,11 +74,11 @@
         let nodes = rng.random_range(4..=8);
         let bad = [nodes / 4, nodes / 2, nodes][rng.random_range(0..3)];
         let manner = match rng.random_range(0..10) {
-            0..6 => Manner::Hang,
-            6 => Manner::After(timeout.as_millis() as u64 * 4 / 5),
-            7 => Manner::Say("fault"),
-            8 => Manner::Say("overload"),
-            _ => Manner::DieMidFrame,
+            0..6 => NodeBehavior::Hang,
+            6 => NodeBehavior::DelayMillis(timeout.as_millis() as u64 * 4 / 5),
+            7 => NodeBehavior::ReplyStatus("fault"),
+            8 => NodeBehavior::ReplyStatus("overload"),
+            _ => NodeBehavior::CloseMidFrame,
         };
         Self {
             seed,
@@ -97,7 +97,7 @@
 
     /// Nodes turn parts away, so that one which must not run twice may be sent again.
     pub fn nodes_refuse(&self) -> bool {
-        self.manner == Manner::Say("overload")
+        self.manner == NodeBehavior::ReplyStatus("overload")
     }
 
     /// How long after the first SIGTERM the kill comes, at the page's earliest.
--- a/crates/dunepond-testkit/src/store.rs
+++ b/crates/dunepond-testkit/src/stand_ins.rs
@@ -16,33 +16,33 @@
 
 /// What a node does with the parts that it is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum NodeBehavior {
     Serve,
     Hang,
     /// Its first connection stays open and silent for good; the others serve.
     HangFirst,
     /// Takes the parts of this shard and answers none of them.
-    HangFor(usize),
+    HangForShard(usize),
     /// Takes a quarter of a second over the parts of this shard.
-    SlowFor(usize),
+    SlowForShard(usize),
     /// Serves each part so many milliseconds after it came, however many are there.
-    After(u64),
+    DelayMillis(u64),
     /// Sends the half of an end and breaks the connection.
-    DieMidFrame,
-    Say(&'static str),
+    CloseMidFrame,
+    ReplyStatus(&'static str),
     /// Of so many parts the last fails, the others are served.
-    FaultEvery(usize),
+    FailEveryNth(usize),
     /// Answers with a frame that says it could not use the last one.
-    Complain,
-    Garble,
+    ReportProtocolError,
+    UnknownFrame,
     /// Answers, and sends this right behind.
-    ServeAnd(&'static [u8]),
+    ServeThenRaw(&'static [u8]),
     /// Answers, with this in place of the line's words behind the id.
-    ServeLine(&'static str),
+    ServeWithHead(&'static str),
     /// Answers with this, whatever it is.
-    Spoil(&'static [u8]),
+    ReplyRaw(&'static [u8]),
     /// Sends an end that nobody waits for before the one that is asked.
-    ServeWithAnOldEnd,
+    ServeAfterStaleReply,
 }
 
 #[derive(Default)]
@@ -57,7 +57,7 @@
 pub struct Node {
     pub name: String,
     pub address: SocketAddr,
-    manner: Arc<Mutex<Manner>>,
+    manner: Arc<Mutex<NodeBehavior>>,
     seen: Arc<(Mutex<Seen>, Condvar)>,
 }
 
@@ -74,7 +74,7 @@
         let node = Self {
             name: name.to_string(),
             address: listener.local_addr().unwrap(),
-            manner: Arc::new(Mutex::new(Manner::Serve)),
+            manner: Arc::new(Mutex::new(NodeBehavior::Serve)),
             seen: Arc::default(),
         };
         let (manner, seen) = (node.manner.clone(), node.seen.clone());
@@ -99,7 +99,7 @@
     fn attend(
         mut stream: TcpStream,
         number: usize,
-        manner: &Mutex<Manner>,
+        manner: &Mutex<NodeBehavior>,
         seen: &(Mutex<Seen>, Condvar),
     ) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
@@ -119,14 +119,14 @@
             seen.0.lock().unwrap().times.push((Instant::now(), id.to_string()));
             let manner = *manner.lock().unwrap();
             match manner {
-                Manner::Hang => {}
-                Manner::HangFirst if number == 1 => {}
-                Manner::HangFor(shard) if line.split(' ').nth(1) == Some(&shard.to_string()) => {}
-                Manner::SlowFor(shard) if line.split(' ').nth(1) == Some(&shard.to_string()) => {
+                NodeBehavior::Hang => {}
+                NodeBehavior::HangFirst if number == 1 => {}
+                NodeBehavior::HangForShard(shard) if line.split(' ').nth(1) == Some(&shard.to_string()) => {}
+                NodeBehavior::SlowForShard(shard) if line.split(' ').nth(1) == Some(&shard.to_string()) => {
                     thread::sleep(Duration::from_millis(250));
                     stream.write_all(&frame(b'E', &format!("{id} hit 7 -\nv-{value}")))?;
                 }
-                Manner::After(ms) => {
+                NodeBehavior::DelayMillis(ms) => {
                     let (mut stream, answer) =
                         (stream.try_clone()?, frame(b'E', &format!("{id} hit 7 -\nv-{value}")));
                     thread::spawn(move || {
@@ -134,10 +134,13 @@
                         let _ = stream.write_all(&answer);
                     });
                 }
-                Manner::Serve | Manner::HangFirst | Manner::HangFor(_) | Manner::SlowFor(_) => {
+                NodeBehavior::Serve
+                | NodeBehavior::HangFirst
+                | NodeBehavior::HangForShard(_)
+                | NodeBehavior::SlowForShard(_) => {
                     stream.write_all(&frame(b'E', &format!("{id} hit 7 -\nv-{value}")))?
                 }
-                Manner::FaultEvery(count) => {
+                NodeBehavior::FailEveryNth(count) => {
                     let number = seen.0.lock().unwrap().times.len();
                     let answer = match number.is_multiple_of(count) {
                         true => format!("{id} fault 7 -\n"),
@@ -145,23 +148,25 @@
                     };
                     stream.write_all(&frame(b'E', &answer))?;
                 }
-                Manner::Say(word) => stream.write_all(&frame(b'E', &format!("{id} {word} 7 -\n")))?,
-                Manner::Complain => stream.write_all(&frame(b'F', "what is this"))?,
-                Manner::Garble => stream.write_all(&frame(b'X', "?"))?,
-                Manner::ServeAnd(more) => {
+                NodeBehavior::ReplyStatus(word) => {
+                    stream.write_all(&frame(b'E', &format!("{id} {word} 7 -\n")))?
+                }
+                NodeBehavior::ReportProtocolError => stream.write_all(&frame(b'F', "what is this"))?,
+                NodeBehavior::UnknownFrame => stream.write_all(&frame(b'X', "?"))?,
+                NodeBehavior::ServeThenRaw(more) => {
                     let good = frame(b'E', &format!("{id} hit 7 -\nv-{value}"));
                     stream.write_all(&[&good, more].concat())?;
                 }
-                Manner::ServeLine(words) => {
+                NodeBehavior::ServeWithHead(words) => {
                     stream.write_all(&frame(b'E', &format!("{id} {words}\nv-{value}")))?
                 }
-                Manner::Spoil(bytes) => stream.write_all(bytes)?,
-                Manner::ServeWithAnOldEnd => {
+                NodeBehavior::ReplyRaw(bytes) => stream.write_all(bytes)?,
+                NodeBehavior::ServeAfterStaleReply => {
                     let frames =
                         [frame(b'E', "c1.2 hit 7 -\nold"), frame(b'E', &format!("{id} hit 7 -\nv-{value}"))];
                     stream.write_all(&frames.concat())?;
                 }
-                Manner::DieMidFrame => {
+                NodeBehavior::CloseMidFrame => {
                     stream.write_all(&frame(b'E', &format!("{id} hit 7 -\nv"))[..9])?;
                     return Ok(());
                 }
@@ -169,11 +174,11 @@
         }
     }
 
-    pub fn behave(&self, manner: Manner) {
+    pub fn set_behavior(&self, manner: NodeBehavior) {
         *self.manner.lock().unwrap() = manner;
     }
 
-    pub fn line(&self, health: &str) -> Value {
+    pub fn endpoint(&self, health: &str) -> Value {
         json!({"host": self.name, "dial": self.address.to_string(), "site": "a", "class": "m", "block": 0,
             "health": health, "share": 1.0, "born_ms": 0})
     }
@@ -188,16 +193,16 @@
     }
 
     /// When each part came, and its id.
-    pub fn times(&self) -> Vec<(Instant, String)> {
+    pub fn part_arrivals(&self) -> Vec<(Instant, String)> {
         self.seen.0.lock().unwrap().times.clone()
     }
 
     /// Waits until so many frames with this letter have come.
-    pub fn wait_for(&self, letter: char, count: usize) {
+    pub fn wait_for_frames(&self, letter: char, count: usize) {
         self.wait(|seen| seen.frames.iter().filter(|f| f.0 == letter).count() >= count);
     }
 
-    pub fn wait_closed(&self, count: usize) {
+    pub fn wait_for_closed(&self, count: usize) {
         self.wait(|seen| seen.closed >= count);
     }
 
@@ -225,12 +230,12 @@
 }
 
 /// Discovery's agent.
-pub struct List {
+pub struct DiscoveryServer {
     pub address: SocketAddr,
     state: Arc<(Mutex<Lines>, Condvar)>,
 }
 
-impl List {
+impl DiscoveryServer {
     pub fn start(lines: Vec<Value>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -290,14 +295,14 @@
         }
     }
 
-    pub fn tell(&self, lines: Vec<Value>) {
+    pub fn publish(&self, lines: Vec<Value>) {
         let mut state = self.state.0.lock().unwrap();
         *state = Lines { seq: state.seq + 1, lines, silent: false, read: 0, ..std::mem::take(&mut state) };
         self.state.1.notify_all();
     }
 
     /// From now on it answers at once, and closes or not; gives how often a second it is asked then.
-    pub fn be_hasty(&self, closes: bool) -> f64 {
+    pub fn reply_immediately(&self, closes: bool) -> f64 {
         let asked = || {
             let mut state = self.state.0.lock().unwrap();
             (state.hasty, state.closes) = (true, closes);
@@ -316,13 +321,13 @@
         self.state.1.notify_all();
     }
 
-    pub fn fall_silent(&self) {
+    pub fn stop_replying(&self) {
         self.state.0.lock().unwrap().silent = true;
         self.state.1.notify_all();
     }
 
     /// Waits until the broker asks what comes after what it was told last.
-    pub fn wait_read(&self) {
+    pub fn wait_until_read(&self) {
         let (lock, changed) = &*self.state;
         let state = lock.lock().unwrap();
         let late = changed.wait_timeout_while(state, PATIENCE, |l| l.read < l.seq).unwrap().1;
@@ -368,14 +373,14 @@
     pub address: SocketAddr,
     log: Arc<Mutex<String>>,
     /// What it logged until it listened.
-    pub before: String,
-    pub file: PathBuf,
+    pub startup_log: String,
+    pub config_file: PathBuf,
     /// Its log is not printed at its end, as a failing test wants it.
-    pub quiet: bool,
+    pub suppress_log: bool,
 }
 
 /// The broker's program: beside ours, or one folder up where ours is a test.
-pub fn program() -> PathBuf {
+pub fn broker_program() -> PathBuf {
     let ours = std::env::current_exe().unwrap();
     let folders = ours.ancestors().skip(1).take(2);
     folders
@@ -386,11 +391,11 @@
 
 /// Runs the program on a configuration; not started yet, it tells on its standard error why.
 pub fn launch(config: &Value) -> (Child, PathBuf) {
-    launch_by(Command::new(program()), config)
+    launch_command(Command::new(broker_program()), config)
 }
 
-pub fn launch_by(mut command: Command, config: &Value) -> (Child, PathBuf) {
-    let file = scratch("json");
+pub fn launch_command(mut command: Command, config: &Value) -> (Child, PathBuf) {
+    let file = scratch_path("json");
     std::fs::write(&file, config.to_string()).unwrap();
     command.env_clear().env("GW_CONFIG", &file).stdin(Stdio::null()).stderr(Stdio::piped());
     command.env("GW_DISCOVERY", config["discovery"].as_str().unwrap());
@@ -398,7 +403,7 @@
 }
 
 /// A path of our own among the temporary files.
-pub fn scratch(ending: &str) -> PathBuf {
+pub fn scratch_path(ending: &str) -> PathBuf {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let name = format!("dunepond-{}-{}.{ending}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
     // A disk that others write to takes seconds for a sync, which is no matter of ours; memory takes none.
@@ -409,22 +414,22 @@
 
 impl Broker {
     pub fn start(config: &Value) -> Self {
-        Self::started(launch(config))
+        Self::from_child(launch(config))
     }
 
     /// One that may not have as many descriptors as it was told.
-    pub fn start_with_descriptors(most: usize, config: &Value) -> Self {
+    pub fn start_with_descriptor_limit(most: usize, config: &Value) -> Self {
         let mut command = Command::new("/bin/sh");
-        let line = format!("ulimit -n {most}; exec {}", program().display());
+        let line = format!("ulimit -n {most}; exec {}", broker_program().display());
         command.args(["-c", &line]);
-        Self::started(launch_by(command, config))
+        Self::from_child(launch_command(command, config))
     }
 
-    pub fn started((mut child, file): (Child, PathBuf)) -> Self {
+    pub fn from_child((mut child, config_file): (Child, PathBuf)) -> Self {
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        let mut before = String::new();
+        let mut startup_log = String::new();
         let line = lines.by_ref().map_while(Result::ok).find(|line| {
-            before += &format!("{line}\n");
+            startup_log += &format!("{line}\n");
             line.contains("listening on")
         });
         let address = line.unwrap().split(' ').next_back().unwrap().parse().unwrap();
@@ -434,31 +439,31 @@
         thread::spawn(move || {
             lines.map_while(Result::ok).for_each(|line| *shared.lock().unwrap() += &format!("{line}\n"))
         });
-        Self { child, address, log, before, file, quiet: false }
+        Self { child, address, log, startup_log, config_file, suppress_log: false }
     }
 
     /// A broker before these nodes, with a list that names them.
-    pub fn before(nodes: &[Node]) -> (Self, List) {
-        Self::before_with(nodes, "/name", json!("n1"))
+    pub fn start_for(nodes: &[Node]) -> (Self, DiscoveryServer) {
+        Self::start_for_with(nodes, "/name", json!("n1"))
     }
 
     /// The same with one key of its configuration told otherwise.
-    pub fn before_with(nodes: &[Node], key: &str, value: Value) -> (Self, List) {
-        Self::before_changed(nodes, |config| *config.pointer_mut(key).unwrap() = value)
+    pub fn start_for_with(nodes: &[Node], key: &str, value: Value) -> (Self, DiscoveryServer) {
+        Self::start_for_changed(nodes, |config| *config.pointer_mut(key).unwrap() = value)
     }
 
     /// A broker before these nodes, its configuration changed; and the list that names them.
-    pub fn before_changed(nodes: &[Node], change: impl FnOnce(&mut Value)) -> (Self, List) {
-        let lines: Vec<_> = nodes.iter().map(|n| n.line("ready")).collect();
-        let list = List::start(lines.clone());
+    pub fn start_for_changed(nodes: &[Node], change: impl FnOnce(&mut Value)) -> (Self, DiscoveryServer) {
+        let lines: Vec<_> = nodes.iter().map(|n| n.endpoint("ready")).collect();
+        let list = DiscoveryServer::start(lines.clone());
         let mut config = config(list.address, lines);
         change(&mut config);
         (Self::start(&config), list)
     }
 
     /// Replaces its file and has it read again.
-    pub fn reread(&self, config: &Value) {
-        std::fs::write(&self.file, config.to_string()).unwrap();
+    pub fn reload_config(&self, config: &Value) {
+        std::fs::write(&self.config_file, config.to_string()).unwrap();
         self.signal("HUP");
     }
 
@@ -473,8 +478,8 @@
     }
 
     /// What it has logged.
-    pub fn said(&self) -> String {
-        self.before.clone() + &self.log.lock().unwrap()
+    pub fn log_text(&self) -> String {
+        self.startup_log.clone() + &self.log.lock().unwrap()
     }
 
     pub fn exit_code(&mut self) -> Option<i32> {
@@ -491,12 +496,12 @@
 
 impl Drop for Broker {
     fn drop(&mut self) {
-        if !self.quiet {
-            println!("{}", self.said());
+        if !self.suppress_log {
+            println!("{}", self.log_text());
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_file);
     }
 }
 
@@ -514,7 +519,7 @@
 }
 
 /// A request for a scan of these shards.
-pub fn scan(table_type: &str, id: &str, shards: &[usize], budget: &str) -> String {
+pub fn query_request(table_type: &str, id: &str, shards: &[usize], budget: &str) -> String {
     let part = 1.0 / shards.len() as f64;
     let buckets: Vec<_> = shards.iter().map(|s| json!({"bucket": s, "part": part})).collect();
     let body = json!({"buckets": buckets, "body": "q1"}).to_string();
@@ -526,18 +531,18 @@
 }
 
 impl Client {
-    pub fn to(broker: &Broker) -> Self {
-        Self::dial(broker.address)
+    pub fn connect(broker: &Broker) -> Self {
+        Self::connect_to(broker.address)
     }
 
-    pub fn dial(address: SocketAddr) -> Self {
+    pub fn connect_to(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Self::on(stream)
+        Self::from_stream(stream)
     }
 
-    pub fn on(stream: TcpStream) -> Self {
+    pub fn from_stream(stream: TcpStream) -> Self {
         Self { reader: BufReader::new(stream.try_clone().unwrap()), stream }
     }
 
@@ -546,18 +551,18 @@
     }
 
     /// `None` where the connection ends first.
-    pub fn try_ask(&mut self, request: &str) -> Option<Answer> {
+    pub fn try_request(&mut self, request: &str) -> Option<Answer> {
         self.stream.write_all(request.as_bytes()).ok()?;
-        self.answer()
+        self.read_answer()
     }
 
-    pub fn ask(&mut self, request: &str) -> Answer {
+    pub fn request(&mut self, request: &str) -> Answer {
         self.send(request);
-        self.answer().expect("an answer")
+        self.read_answer().expect("an answer")
     }
 
     /// The next answer; `None` if the connection ends first.
-    pub fn answer(&mut self) -> Option<Answer> {
+    pub fn read_answer(&mut self) -> Option<Answer> {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
             if self.reader.read_line(&mut head).ok()? == 0 {
--- a/crates/dunepond-testkit/src/texts.rs
+++ b/crates/dunepond-testkit/src/texts.rs
@@ -13,7 +13,7 @@
 
 use serde_json::{Value, json};
 
-use crate::store::{self, Answer, List};
+use crate::stand_ins::{self, Answer, DiscoveryServer};
 
 pub const CELLS: usize = 12;
 pub const SEGS: usize = 48;
@@ -286,10 +286,10 @@
 
 /// A broker before one node a cell, and the truth.
 pub struct Site {
-    pub broker: store::Broker,
+    pub broker: stand_ins::Broker,
     pub nodes: Vec<Node>,
     pub texts: Arc<Texts>,
-    pub list: List,
+    pub list: DiscoveryServer,
     pub kdl: PathBuf,
 }
 
@@ -306,19 +306,19 @@
         let texts = Texts::new();
         let nodes: Vec<_> = (0..CELLS).map(|i| Node::start(i, &texts, manner(i), work)).collect();
         let lines: Vec<_> = nodes.iter().map(|node| node.line("ready")).collect();
-        let list = List::start(lines.clone());
-        let mut config = store::config(list.address, lines);
+        let list = DiscoveryServer::start(lines.clone());
+        let mut config = stand_ins::config(list.address, lines);
         config["settings"]["familyInfo"]["cells"] = json!(CELLS);
         config["settings"]["familyInfo"]["span"] = json!(SPAN);
         config["settings"]["familyInfo"]["slabs"] = json!(SEGS);
         config["settings"]["ceilings"]["mostHeld"] = json!(8000);
         config["settings"]["ceilings"]["secondCopies"] = json!(copies);
         config["log"] = json!("info");
-        let kdl_file = store::scratch("kdl");
+        let kdl_file = stand_ins::scratch_path("kdl");
         std::fs::write(&kdl_file, kdl).unwrap();
         let mut command = Command::new(program);
         command.arg("broker").arg("--operator").arg(&kdl_file).arg("--disk").arg("/dev/null");
-        let broker = store::Broker::started(store::launch_by(command, &config));
+        let broker = stand_ins::Broker::from_child(stand_ins::launch_command(command, &config));
         Self { broker, nodes, texts, list, kdl: kdl_file }
     }
 
--- a/crates/dunepond-testkit/src/wide.rs
+++ b/crates/dunepond-testkit/src/wide.rs
@@ -12,7 +12,7 @@
 
 use serde_json::{Value, json};
 
-use crate::store::{self, Answer, List};
+use crate::stand_ins::{self, Answer, DiscoveryServer};
 
 const MIB: u64 = 1024 * 1024;
 
@@ -192,17 +192,17 @@
 
 /// A broker before these nodes, its operator's file, and a folder that obeys `disk`'s words.
 pub struct Site {
-    pub broker: store::Broker,
+    pub broker: stand_ins::Broker,
     pub nodes: Vec<Node>,
     pub folder: PathBuf,
     pub kdl: PathBuf,
     disk: PathBuf,
-    _list: List,
+    _list: DiscoveryServer,
 }
 
 /// Settings for bodies: a minute of patience, or the largest ones would end by their time on a slow machine.
 pub fn config(list: SocketAddr, lines: Vec<Value>) -> Value {
-    let mut config = store::config(list, lines);
+    let mut config = stand_ins::config(list, lines);
     for service in config["settings"]["services"].as_array_mut().unwrap() {
         service["aimMs"] = json!(20_000.0);
         service["deadlineMs"] = json!(30_000.0);
@@ -222,15 +222,19 @@
 
     pub fn start_with(program: &Path, nodes: Vec<Node>, kdl: &str, change: impl Fn(&mut Value)) -> Self {
         let lines: Vec<_> = nodes.iter().map(Node::line).collect();
-        let list = List::start(lines.clone());
+        let list = DiscoveryServer::start(lines.clone());
         let mut config = config(list.address, lines);
         change(&mut config);
-        let (folder, disk, file) = (store::scratch("folder"), store::scratch("disk"), store::scratch("kdl"));
+        let (folder, disk, file) = (
+            stand_ins::scratch_path("folder"),
+            stand_ins::scratch_path("disk"),
+            stand_ins::scratch_path("kdl"),
+        );
         std::fs::create_dir(&folder).unwrap();
         std::fs::write(&file, kdl.replace("FOLDER", folder.to_str().unwrap())).unwrap();
         let mut command = Command::new(program);
         command.arg("broker").arg("--operator").arg(&file).arg("--disk").arg(&disk);
-        let broker = store::Broker::started(store::launch_by(command, &config));
+        let broker = stand_ins::Broker::from_child(stand_ins::launch_command(command, &config));
         Self { broker, nodes, folder, kdl: file, disk, _list: list }
     }
 
@@ -416,7 +420,7 @@
         if self.leave_after.is_some() {
             return None;
         }
-        store::Client::on(stream).answer()
+        stand_ins::Client::from_stream(stream).read_answer()
     }
 }
 
--- a/crates/dunepond-testkit/tests/agree/limits.rs
+++ b/crates/dunepond-testkit/tests/agree/limits.rs
@@ -53,9 +53,9 @@
     fleet.wait_phase(left, AuditPhase::LeaseExpired);
     fleet.starts_cold("s-5");
     let (clients, lasted) = (fleet.clients([left], BUSY), 3.0);
-    let before = fleet.nodes[5].times().len();
+    let before = fleet.nodes[5].part_arrivals().len();
     thread::sleep(Duration::from_secs_f64(lasted));
-    let came = (fleet.nodes[5].times().len() - before) as f64;
+    let came = (fleet.nodes[5].part_arrivals().len() - before) as f64;
     let went = clients.stop();
     // Before the list's word has come it is taken for warm for a moment.
     let (floor, told) = (MULTIPLE * FLOOR * RATE * lasted, 12.0);
--- a/crates/dunepond-testkit/tests/bodies.rs
+++ b/crates/dunepond-testkit/tests/bodies.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{Client, scan};
+use dunepond_testkit::stand_ins::{Client, query_request};
 use dunepond_testkit::wide::{Ask, Manner, Node, Site, Told, ask, mib, twice};
 use rstest::rstest;
 use serde_json::json;
@@ -61,7 +61,7 @@
 fn logged(site: &Site, words: &str) -> bool {
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(10) {
-        if site.broker.said().contains(words) {
+        if site.broker.log_text().contains(words) {
             return true;
         }
         thread::sleep(Duration::from_millis(20));
@@ -119,9 +119,9 @@
 fn parts_in_the_head_are_checked_as_strictly_as_in_a_body(#[case] buckets: &str, #[case] named: &str) {
     let site = site(&[Manner::Serve], KDL);
     let head = ask("find", "c1", &[0], 4).head().replace("0=1.000000", buckets);
-    let mut client = Client::to(&site.broker);
+    let mut client = Client::connect(&site.broker);
     client.send(&(head + "text"));
-    let answer = client.answer().unwrap();
+    let answer = client.read_answer().unwrap();
     let why = answer.body["error"].as_str().unwrap();
     assert!(answer.status == 400 && why.starts_with("X-Buckets") && why.contains(named), "{answer:?}");
     assert_eq!(site.nodes[0].frames().0, 0);
@@ -131,12 +131,12 @@
 #[test]
 fn a_file_that_is_silent_leaves_the_raw_form_off() {
     let site = site(&[Manner::Serve], "log form=\"text\"");
-    let mut client = Client::to(&site.broker);
+    let mut client = Client::connect(&site.broker);
     client.send(&(ask("find", "c1", &[0], 4).head() + "text"));
-    assert_eq!(client.answer().unwrap().status, 400);
-    client = Client::to(&site.broker);
+    assert_eq!(client.read_answer().unwrap().status, 400);
+    client = Client::connect(&site.broker);
     client.send(&ask("find", "c1", &[0], 100_000).head());
-    assert_eq!(client.answer().unwrap().status, 413);
+    assert_eq!(client.read_answer().unwrap().status, 413);
 }
 
 // ---- retries
@@ -227,7 +227,7 @@
     site.disk(words);
     let first = ask("find", "c1", &[0, 1], mib(4));
     served(&site.ask(&first), &first);
-    assert!(logged(&site, &format!("not file, find, {reason}: 1")), "{}", site.broker.said());
+    assert!(logged(&site, &format!("not file, find, {reason}: 1")), "{}", site.broker.log_text());
     // Meanwhile it rests, and nobody waits for it.
     let second = ask("find", "c2", &[0, 1], mib(4));
     let told = site.ask(&second);
@@ -236,7 +236,7 @@
     thread::sleep(Duration::from_secs_f64(if words.starts_with("stall") { 4.0 } else { 1.2 }));
     let third = ask("find", "c3", &[0, 1], mib(4));
     served(&site.ask(&third), &third);
-    assert!(logged(&site, "files=0 "), "{}", site.broker.said());
+    assert!(logged(&site, "files=0 "), "{}", site.broker.log_text());
 }
 
 #[test]
@@ -259,7 +259,7 @@
         (asking.join().unwrap(), &ask)
     });
     served(&told, asked);
-    assert!(logged(&site, "not file, find, the disk is full: 1"), "{}", site.broker.said());
+    assert!(logged(&site, "not file, find, the disk is full: 1"), "{}", site.broker.log_text());
 }
 
 /// The first dispatch reads the file; when that fails there is nothing to send, and nothing hangs.
@@ -285,7 +285,11 @@
     let asks: Vec<_> = (0..4).map(|i| ask("find", &format!("c{i}"), &[0], mib(4) - 1)).collect();
     thread::scope(|scope| {
         let asking: Vec<_> = asks.iter().map(|ask| scope.spawn(|| site.ask(ask))).collect();
-        assert!(logged(&site, "files=4194303") || logged(&site, "files=8388606"), "{}", site.broker.said());
+        assert!(
+            logged(&site, "files=4194303") || logged(&site, "files=8388606"),
+            "{}",
+            site.broker.log_text()
+        );
         site.nodes.iter().for_each(|node| node.behave(Manner::Serve));
         for (asking, ask) in asking.into_iter().zip(&asks) {
             served(&asking.join().unwrap(), ask);
@@ -305,7 +309,7 @@
         site.ask(&Ask { leave_after: Some(length / 2), ..ask("find", &format!("c{i}"), &[0, 1], length) });
     }
     thread::sleep(Duration::from_millis(300));
-    assert!(logged(&site, "bodies=0 kept=0 "), "{}", site.broker.said());
+    assert!(logged(&site, "bodies=0 kept=0 "), "{}", site.broker.log_text());
     assert_eq!(site.nodes.iter().map(|node| node.frames().0).sum::<usize>(), 0);
     assert_eq!(site.files(), 0);
     let ask = ask("find", "after", &[0, 1], length);
@@ -323,7 +327,7 @@
     thread::sleep(Duration::from_millis(600));
     drop(stream);
     thread::sleep(Duration::from_millis(500));
-    let said = site.broker.said();
+    let said = site.broker.log_text();
     assert!(said.trim_end().lines().last().unwrap().contains("bodies=0 kept=0"), "{said}");
 }
 
@@ -334,9 +338,9 @@
     thread::scope(|scope| {
         let slow = scope
             .spawn(|| site.ask(&Ask { pace: Some(20), budget: 1.5, ..ask("find", "slow", &[0], mib(1)) }));
-        let mut client = Client::to(&site.broker);
+        let mut client = Client::connect(&site.broker);
         for i in 0..20 {
-            let answer = client.ask(&scan("find", &format!("c{i}"), &[0], "20.0"));
+            let answer = client.request(&query_request("find", &format!("c{i}"), &[0], "20.0"));
             assert_eq!(answer.status, 200);
         }
         let told = slow.join().unwrap();
@@ -354,9 +358,9 @@
         let site = &site;
         let asking = scope.spawn(move || served(&site.ask(&slow), &slow));
         thread::sleep(Duration::from_millis(300));
-        let mut client = Client::to(&site.broker);
+        let mut client = Client::connect(&site.broker);
         for i in 0..50 {
-            let answer = client.ask(&scan("find", &format!("c{i}"), &[0, 1], "20.0"));
+            let answer = client.request(&query_request("find", &format!("c{i}"), &[0, 1], "20.0"));
             assert_eq!(answer.status, 200);
             // Whoever is held up is answered behind it; how soon else is the machine's.
             assert!(i > 2 || !asking.is_finished(), "answered behind the slow one");
@@ -378,7 +382,7 @@
         assert!(matches!(told.status(), 200 | 429), "{told:?}");
     }
     assert!(cut > 0, "none met the node that is stuck");
-    assert!(site.broker.said().contains("read a streamed body too slowly"), "{}", site.broker.said());
+    assert!(site.broker.log_text().contains("read a streamed body too slowly"), "{}", site.broker.log_text());
 }
 
 /// A client that still sends its body when it is answered was not read any more if the body was full at that moment, and got its
@@ -389,7 +393,7 @@
     let rejected_at_once = || {
         let told = site.ask(&ask("find", "first", &[0], mib(1) + 1));
         assert_eq!(told.status(), 429, "{told:?}");
-        site.broker.said().contains("is ejected")
+        site.broker.log_text().contains("is ejected")
     };
     assert!((0..10).any(|_| rejected_at_once()), "the node is never ejected");
     for i in 0..4 {
@@ -512,7 +516,7 @@
     let kept = ask("find", "c1", &[0], mib(4));
     thread::scope(|scope| {
         let asking = scope.spawn(|| site.ask(&kept));
-        assert!(logged(&site, "files=4194304"), "{}", site.broker.said());
+        assert!(logged(&site, "files=4194304"), "{}", site.broker.log_text());
         site.reread(&KDL.replace("longest \"16MiB\"", "longest \"1MiB\""));
         assert!(logged(&site, "operator's file reloaded"));
         let told = site.ask(&ask("find", "c2", &[0], mib(4)));
@@ -522,8 +526,8 @@
         assert!(matches!(told.status(), 200 | 429), "{told:?}");
     });
     site.reread("bodies {\n  longst \"1MiB\"\n}");
-    assert!(logged(&site, "operator's file reload failed"), "{}", site.broker.said());
-    assert!(logged(&site, ":2:3: bodies: 'longst' is not known"), "{}", site.broker.said());
+    assert!(logged(&site, "operator's file reload failed"), "{}", site.broker.log_text());
+    assert!(logged(&site, ":2:3: bodies: 'longst' is not known"), "{}", site.broker.log_text());
 }
 
 #[test]
--- a/crates/dunepond-testkit/tests/known_red.rs
+++ b/crates/dunepond-testkit/tests/known_red.rs
@@ -3,12 +3,12 @@
 use std::path::Path;
 use std::process::Command;
 
-use dunepond_testkit::store::scratch;
+use dunepond_testkit::stand_ins::scratch_path;
 use rstest::rstest;
 
 /// What `.ci/known-red` says of a list: whether it did what was asked, and its words.
 fn known_red(command: &str, list: &str) -> (bool, String) {
-    let file = scratch("txt");
+    let file = scratch_path("txt");
     std::fs::write(&file, list).unwrap();
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let mut script = Command::new("bash");
--- a/crates/dunepond-testkit/tests/links.rs
+++ b/crates/dunepond-testkit/tests/links.rs
@@ -169,7 +169,8 @@
 
 #[test]
 fn a_process_is_stopped_woken_ended_and_reaped() {
-    let (program, folder) = (std::path::Path::new("/bin/sh"), dunepond_testkit::store::scratch("none"));
+    let (program, folder) =
+        (std::path::Path::new("/bin/sh"), dunepond_testkit::stand_ins::scratch_path("none"));
     let mut shell = Process::new(program, "sh", "127.0.0.1:9".parse().unwrap(), &folder)
         .arguments(&["-c", "trap 'exit 3' TERM; echo up; while :; do sleep 0.01; done"]);
     shell.start();
--- a/crates/dunepond-testkit/tests/phases.rs
+++ b/crates/dunepond-testkit/tests/phases.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::store::{Answer, Client};
+use dunepond_testkit::stand_ins::{Answer, Client};
 use dunepond_testkit::texts::{Manner, Said, Site, request, said, word};
 use rstest::rstest;
 
@@ -30,7 +30,7 @@
 /// Asks for all of `segs`; whatever comes is never falsely whole, in time, and covers no shard twice.
 fn ask(site: &Site, id: &str, segs: &[usize], budget: f64, word: &str) -> Asked {
     let from = Instant::now();
-    let answer = Client::to(&site.broker).ask(&request("find", id, segs, budget, word));
+    let answer = Client::connect(&site.broker).request(&request("find", id, segs, budget, word));
     let (said, took) = (said(&answer), from.elapsed().as_secs_f64());
     assert!(took <= budget + 0.05, "late: {took}");
     assert!(!said.falsely_whole(&site.texts, word, segs, from, Instant::now()), "falsely whole: {answer:?}");
@@ -164,7 +164,8 @@
     let mut told = Vec::new();
     for i in 0..40 {
         let from = Instant::now();
-        let answer = Client::to(&site.broker).ask(&request("find", &format!("c{i}"), &segs, 2.0, &word));
+        let answer =
+            Client::connect(&site.broker).request(&request("find", &format!("c{i}"), &segs, 2.0, &word));
         let said = said(&answer);
         told.push(said.falsely_whole(&site.texts, &word, &segs, from, Instant::now()));
         thread::sleep(Duration::from_millis(20));
@@ -172,7 +173,7 @@
     // All nodes lie, which no evidence can stand: the audits stop it.
     assert!(told[0], "nothing was denied");
     assert!(told[20..].iter().all(|falsely| !falsely), "{told:?}");
-    assert!(site.broker.said().contains("a trusted prefilter answer excluded it"));
+    assert!(site.broker.log_text().contains("a trusted prefilter answer excluded it"));
 }
 
 /// The content moves while phase one is under way, and again between the phases.
@@ -204,8 +205,8 @@
         let asking = scope.spawn(|| ask(&site, "c1", &wide(), 3.0, &word(50, 1)));
         until("the node was not asked", || site.nodes[0].questions() > 0);
         let lines = site.nodes.iter().map(|n| n.line(if n.number == 0 { "draining" } else { "ready" }));
-        site.list.tell(lines.collect());
-        site.list.wait_read();
+        site.list.publish(lines.collect());
+        site.list.wait_until_read();
         asking.join().unwrap()
     });
     assert!(asked.said.whole && site.nodes[0].searches() == 0, "{:?}", asked.said);
@@ -219,7 +220,8 @@
     let site = site(KDL, |_| Manner::Honest);
     let narrow = ask(&site, "c1", &[0, 1, 2, 3, 4], 2.0, "nobody-has-this");
     assert!(narrow.said.whole && narrow.said.searched.len() == 5);
-    let answer = Client::to(&site.broker).ask(&request("fix", "c2", &wide(), 2.0, "nobody-has-this"));
+    let answer =
+        Client::connect(&site.broker).request(&request("fix", "c2", &wide(), 2.0, "nobody-has-this"));
     assert_eq!((said(&answer).searched.len(), site.questions(), site.twice()), (24, 0, 0));
 }
 
@@ -240,7 +242,7 @@
 #[test]
 fn a_client_that_leaves_in_phase_one_has_nothing_searched() {
     let site = site(KDL, |_| Manner::Slow(200));
-    let mut client = Client::to(&site.broker);
+    let mut client = Client::connect(&site.broker);
     client.send(&request("find", "c1", &wide(), 2.0, "nobody-has-this"));
     until("no question came", || site.questions() > 0);
     drop(client);
@@ -274,11 +276,11 @@
 #[test]
 fn scans_that_come_together_share_their_questions() {
     let site = site(KDL, |_| Manner::Honest);
-    let mut clients: Vec<_> = (0..6).map(|_| Client::to(&site.broker)).collect();
+    let mut clients: Vec<_> = (0..6).map(|_| Client::connect(&site.broker)).collect();
     for (i, client) in clients.iter_mut().enumerate() {
         client.send(&request("find", &format!("c{i}"), &wide(), 2.0, "nobody-has-this"));
     }
-    let answers: Vec<_> = clients.iter_mut().map(|client| client.answer().unwrap()).collect();
+    let answers: Vec<_> = clients.iter_mut().map(|client| client.read_answer().unwrap()).collect();
     assert!(answers.iter().all(|answer| said(answer).whole));
     // Twelve nodes, two words a shard: unshared they would be 24 for each that is asked about.
     assert!(site.questions() <= 3 * 24, "{}", site.questions());
@@ -297,12 +299,12 @@
     let site = site(KDL, |_| Manner::Honest);
     first(&site, "nobody-has-this");
     site.reread("phases least-segments=40 audits=0\n");
-    until("the file was not read", || site.broker.said().contains("operator's file reloaded"));
+    until("the file was not read", || site.broker.log_text().contains("operator's file reloaded"));
     let before = site.questions();
     (2..8).for_each(|i| drop(ask(&site, &format!("c{i}"), &wide(), 2.0, "nobody-has-this")));
     assert_eq!(site.questions(), before);
     site.reread("");
     until("it was not named", || {
-        site.broker.said().contains("phases, turned on or off, takes effect after a restart")
+        site.broker.log_text().contains("phases, turned on or off, takes effect after a restart")
     });
 }
--- a/crates/dunepond-testkit/tests/restart.rs
+++ b/crates/dunepond-testkit/tests/restart.rs
@@ -6,7 +6,7 @@
 
 use dunepond_testkit::lives::{Town, unix_ms};
 use dunepond_testkit::processes::{PATIENCE, wait};
-use dunepond_testkit::store::{Answer, Broker, Client, Manner, scan};
+use dunepond_testkit::stand_ins::{Answer, Broker, Client, NodeBehavior, query_request};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -37,12 +37,12 @@
 fn one(client: &mut Client, table_type: &str, id: &str, i: usize, budget: &str) -> (Answer, Duration) {
     let segs: Vec<_> = (0..4).map(|j| (i * 7 + j * 5) % 48).collect();
     let began = Instant::now();
-    (client.ask(&scan(table_type, id, &segs, budget)), began.elapsed())
+    (client.request(&query_request(table_type, id, &segs, budget)), began.elapsed())
 }
 
 /// Asks for so many scans one after the other; how many were served whole before their query timeout.
 fn ask(broker: &Broker, prefix: &str, count: usize) -> usize {
-    let mut client = Client::to(broker);
+    let mut client = Client::connect(broker);
     let served = (0..count).filter(|i| {
         let start = Instant::now();
         for again in 0.. {
@@ -56,7 +56,8 @@
             }
             // All holders of a shard may fall silent together on a busy machine, and then it is refused unsent. The
             // log has to have named them in this life: at rest, where it names none, a refusal is a failure.
-            if answer.status != 429 || !broker.said().contains("is ejected") || start.elapsed() > PATIENCE {
+            if answer.status != 429 || !broker.log_text().contains("is ejected") || start.elapsed() > PATIENCE
+            {
                 println!("{prefix}{i}: {} {}", answer.status, answer.body);
                 break;
             }
@@ -68,9 +69,9 @@
 }
 
 fn said(broker: &Broker, words: &str) -> bool {
-    let heard = wait(|| broker.said().contains(words));
+    let heard = wait(|| broker.log_text().contains(words));
     if !heard {
-        println!("{}", broker.said());
+        println!("{}", broker.log_text());
     }
     heard
 }
@@ -81,10 +82,10 @@
     let start = Instant::now();
     loop {
         let mut broker = town.life(kdl);
-        if !broker.said().contains("does not answer") {
+        if !broker.log_text().contains("does not answer") {
             return broker;
         }
-        assert!(start.elapsed() < PATIENCE, "{}", broker.said());
+        assert!(start.elapsed() < PATIENCE, "{}", broker.log_text());
         broker.signal("KILL");
         broker.exit_code();
     }
@@ -105,9 +106,9 @@
 /// A life in which a quarter of the nodes hang and are set aside, and which is killed once that is written.
 fn outage(town: &Town) -> Vec<usize> {
     let mut broker = informed(town, KDL);
-    let mut client = Client::to(&broker);
+    let mut client = Client::connect(&broker);
     (0..60).for_each(|i| drop(one(&mut client, "find", &format!("a{i}"), i, "2.0")));
-    town.each(HANG, Manner::Hang);
+    town.each(HANG, NodeBehavior::Hang);
     let mut i = 0;
     let written = wait(|| {
         // On a slow machine 60 scans may not be enough to tell a node that hangs from one that is slow.
@@ -115,7 +116,7 @@
         i += 1;
         i >= 60 && kept(town)
     });
-    assert!(written, "{}", broker.said());
+    assert!(written, "{}", broker.log_text());
     broker.signal("KILL");
     broker.exit_code();
     (0..town.nodes.len()).step_by(HANG).collect()
@@ -123,7 +124,7 @@
 
 /// The longest that any of 60 scans took, begun with this one.
 fn slowest(broker: &Broker, prefix: &str, first: usize) -> Duration {
-    let mut client = Client::to(broker);
+    let mut client = Client::connect(broker);
     let took = (first..first + 60).map(|i| one(&mut client, "calm", &format!("{prefix}{i}"), i, "15.0").1);
     took.max().unwrap()
 }
@@ -157,21 +158,21 @@
     let mut town = town(12);
     town.mend = |_| {};
     let hung = outage(&town);
-    town.each(HANG, Manner::Serve);
+    town.each(HANG, NodeBehavior::Serve);
     let given = |node: &usize| town.nodes[*node].frames('A').len();
     let before: Vec<_> = hung.iter().map(given).collect();
     let broker = informed(&town, KDL);
-    let mut client = Client::to(&broker);
+    let mut client = Client::connect(&broker);
     // After the crash all counts as spent: trials, which may need a copy, wait until it does not.
     let mut i = 0;
     let back = wait(|| {
         let answer = one(&mut client, "find", &format!("c{i}"), i, "2.0").0;
         assert!(matches!(answer.status, 200 | 429), "{answer:?}");
         i += 1;
-        broker.said().matches("is back in service").count() >= 2
+        broker.log_text().matches("is back in service").count() >= 2
             && hung.iter().zip(&before).all(|(node, before)| given(node) > before + 5)
     });
-    assert!(back, "{:?} of {before:?}\n{}", hung.iter().map(given).collect::<Vec<_>>(), broker.said());
+    assert!(back, "{:?} of {before:?}\n{}", hung.iter().map(given).collect::<Vec<_>>(), broker.log_text());
 }
 
 #[rstest]
@@ -180,7 +181,7 @@
 fn a_new_process_under_an_old_name_is_believed_nothing_of(#[case] change: fn(&mut Town)) {
     let mut town = town(12);
     outage(&town);
-    town.each(1, Manner::Serve);
+    town.each(1, NodeBehavior::Serve);
     change(&mut town);
     let broker = informed(&town, KDL);
     assert!(said(&broker, "nodes restored"));
@@ -210,7 +211,7 @@
 fn a_folder_in_which_every_file_is_damaged_does_no_harm(#[case] damage: fn(&mut Vec<u8>)) {
     let town = town(12);
     outage(&town);
-    town.each(4, Manner::Serve);
+    town.each(4, NodeBehavior::Serve);
     for entry in std::fs::read_dir(&town.folder).unwrap().flatten() {
         let mut bytes = std::fs::read(entry.path()).unwrap();
         if !bytes.is_empty() {
@@ -235,12 +236,12 @@
         assert_eq!(first.exit_code(), Some(0));
         assert!(said(&first, "written"));
         let mut second = town.life(KDL);
-        if [&first, &second].iter().any(|broker| broker.said().contains("does not answer")) {
+        if [&first, &second].iter().any(|broker| broker.log_text().contains("does not answer")) {
             return false;
         }
         assert!(said(&first, "state: written"));
         ask(&second, "b", 20);
-        assert!(!second.said().contains("counts as spent"), "{}", second.said());
+        assert!(!second.log_text().contains("counts as spent"), "{}", second.log_text());
         second.signal("KILL");
         second.exit_code();
         let third = informed(&town, KDL);
@@ -259,14 +260,19 @@
         let mut town = town(12);
         town.mend = |config| config["settings"]["rules"]["budgetWindowMs"] = json!(60_000.0);
         // All fail, so that every part would need its further dispatches.
-        town.each(1, Manner::Say("fault"));
+        town.each(1, NodeBehavior::ReplyStatus("fault"));
         let mut taken = Vec::new();
         for life in 0..4 {
             let mut broker = town.life(kdl);
-            let mut client = Client::to(&broker);
+            let mut client = Client::connect(&broker);
             for i in 0..5 {
                 taken.push(Instant::now());
-                client.try_ask(&scan("find", &format!("l{life}-{i}"), &[i % 48, (i + 7) % 48], "0.2"));
+                client.try_request(&query_request(
+                    "find",
+                    &format!("l{life}-{i}"),
+                    &[i % 48, (i + 7) % 48],
+                    "0.2",
+                ));
                 thread::sleep(Duration::from_millis(5));
             }
             broker.signal("KILL");
@@ -293,9 +299,9 @@
     // All shards at once: one part after the other would always find a warm node that is idle.
     let all: Vec<_> = (0..48).collect();
     let more = |broker: &Broker, prefix: &str| {
-        let (mut client, before) = (Client::to(broker), given());
+        let (mut client, before) = (Client::connect(broker), given());
         for i in 0..30 {
-            client.ask(&scan("calm", &format!("{prefix}{i}"), &all, "15.0"));
+            client.request(&query_request("calm", &format!("{prefix}{i}"), &all, "15.0"));
         }
         given() - before
     };
--- a/crates/dunepond-testkit/tests/search.rs
+++ b/crates/dunepond-testkit/tests/search.rs
@@ -6,18 +6,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::pages::{Manner, Site, Speech, best, request};
 use dunepond_testkit::processes::PATIENCE;
-use dunepond_testkit::store::{Client, scan};
+use dunepond_testkit::search_cluster::{
+    NodeProtocol, SearchCluster, SearchNodeBehavior, http_request, ranked_documents,
+};
+use dunepond_testkit::stand_ins::{Client, query_request};
 use rstest::rstest;
 use serde_json::{Value, json};
 
-fn site(nodes: usize) -> Site {
-    speaking(&vec![Speech::Frames; nodes])
+fn site(nodes: usize) -> SearchCluster {
+    speaking(&vec![NodeProtocol::Frames; nodes])
 }
 
-fn speaking(speech: &[Speech]) -> Site {
-    Site::start(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), speech, "")
+fn speaking(speech: &[NodeProtocol]) -> SearchCluster {
+    SearchCluster::start(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), speech, "")
 }
 
 fn ids(answer: &Value) -> Vec<String> {
@@ -45,10 +47,15 @@
 
 impl Door {
     /// Asks for all shards of a table type.
-    fn ask(self, site: &Site, table_type: &str, id: &str) -> Outcome {
+    fn ask(self, site: &SearchCluster, table_type: &str, id: &str) -> Outcome {
         match self {
             Self::First => {
-                let answer = Client::to(&site.broker).ask(&scan(table_type, id, &[0, 1, 2, 3, 4, 5], "1.0"));
+                let answer = Client::connect(&site.broker).request(&query_request(
+                    table_type,
+                    id,
+                    &[0, 1, 2, 3, 4, 5],
+                    "1.0",
+                ));
                 match answer.status {
                     200 if answer.body["finished"] == json!(true) => Outcome::Whole,
                     200 => Outcome::Partial,
@@ -58,7 +65,7 @@
             }
             Self::Api => {
                 let what = if table_type == "fix" { "_update_by_query" } else { "_search" };
-                let answer = site.ask("POST", &format!("/{table_type}/{what}?timeout=1s"), "{}");
+                let answer = site.request("POST", &format!("/{table_type}/{what}?timeout=1s"), "{}");
                 match (answer.status, answer.body["error"]["type"].as_str()) {
                     (200, _) if answer.body["timed_out"] == json!(false) => Outcome::Whole,
                     (200, _) => Outcome::Partial,
@@ -73,27 +80,27 @@
 
 #[rstest]
 #[case::all_serve("all", &[], Outcome::Whole)]
-#[case::one_hangs("all", &[(0, Manner::Hang)], Outcome::Whole)]
-#[case::one_faults("all", &[(0, Manner::Fault)], Outcome::Whole)]
-#[case::one_refuses("all", &[(0, Manner::Refuse)], Outcome::Whole)]
-#[case::one_closes("all", &[(0, Manner::Close)], Outcome::Whole)]
-#[case::all_hang("all", &[(0, Manner::Hang), (1, Manner::Hang), (2, Manner::Hang)], Outcome::Refused)]
-#[case::all_refuse("all", &[(0, Manner::Refuse), (1, Manner::Refuse), (2, Manner::Refuse)], Outcome::Refused)]
+#[case::one_hangs("all", &[(0, SearchNodeBehavior::Hang)], Outcome::Whole)]
+#[case::one_faults("all", &[(0, SearchNodeBehavior::Fault)], Outcome::Whole)]
+#[case::one_refuses("all", &[(0, SearchNodeBehavior::Refuse)], Outcome::Whole)]
+#[case::one_closes("all", &[(0, SearchNodeBehavior::Close)], Outcome::Whole)]
+#[case::all_hang("all", &[(0, SearchNodeBehavior::Hang), (1, SearchNodeBehavior::Hang), (2, SearchNodeBehavior::Hang)], Outcome::Refused)]
+#[case::all_refuse("all", &[(0, SearchNodeBehavior::Refuse), (1, SearchNodeBehavior::Refuse), (2, SearchNodeBehavior::Refuse)], Outcome::Refused)]
 #[case::fix_served("fix", &[], Outcome::Whole)]
-#[case::fix_refused_by_one("fix", &[(0, Manner::Refuse)], Outcome::Whole)]
-#[case::fix_refused_by_all("fix", &[(0, Manner::Refuse), (1, Manner::Refuse), (2, Manner::Refuse)], Outcome::Refused)]
-#[case::fix_closed_on("fix", &[(0, Manner::Close), (1, Manner::Close), (2, Manner::Close)], Outcome::Unknown)]
-#[case::fix_failed("fix", &[(0, Manner::Fault), (1, Manner::Fault), (2, Manner::Fault)], Outcome::Unknown)]
-#[case::fix_unanswered("fix", &[(0, Manner::Hang), (1, Manner::Hang), (2, Manner::Hang)], Outcome::Unknown)]
+#[case::fix_refused_by_one("fix", &[(0, SearchNodeBehavior::Refuse)], Outcome::Whole)]
+#[case::fix_refused_by_all("fix", &[(0, SearchNodeBehavior::Refuse), (1, SearchNodeBehavior::Refuse), (2, SearchNodeBehavior::Refuse)], Outcome::Refused)]
+#[case::fix_closed_on("fix", &[(0, SearchNodeBehavior::Close), (1, SearchNodeBehavior::Close), (2, SearchNodeBehavior::Close)], Outcome::Unknown)]
+#[case::fix_failed("fix", &[(0, SearchNodeBehavior::Fault), (1, SearchNodeBehavior::Fault), (2, SearchNodeBehavior::Fault)], Outcome::Unknown)]
+#[case::fix_unanswered("fix", &[(0, SearchNodeBehavior::Hang), (1, SearchNodeBehavior::Hang), (2, SearchNodeBehavior::Hang)], Outcome::Unknown)]
 fn the_same_rules_hold_at_each_door(
     #[case] table_type: &str,
-    #[case] manners: &[(usize, Manner)],
+    #[case] manners: &[(usize, SearchNodeBehavior)],
     #[case] expected: Outcome,
     #[values(Door::First, Door::Api)] door: Door,
-    #[values(Speech::Frames, Speech::Api)] speech: Speech,
+    #[values(NodeProtocol::Frames, NodeProtocol::Api)] speech: NodeProtocol,
 ) {
     let site = speaking(&[speech; 3]);
-    manners.iter().for_each(|(node, manner)| site.nodes[*node].behave(*manner));
+    manners.iter().for_each(|(node, manner)| site.nodes[*node].set_behavior(*manner));
     for i in 0..3 {
         let began = Instant::now();
         let outcome = door.ask(&site, table_type, &format!("c{i}"));
@@ -103,15 +110,15 @@
         assert!(outcome == expected || unsent, "{door:?} {i}: {outcome:?}");
     }
     if table_type == "fix" {
-        assert_eq!(site.twice(), 0);
+        assert_eq!(site.repeated_parts(), 0);
     }
 }
 
 #[test]
 fn the_first_of_all_documents_come_in_their_order_and_pages_follow_each_other() {
     let site = site(3);
-    let best = best();
-    let page = |from: usize| site.ask("GET", &format!("/all/_search?from={from}&size=7"), "").body;
+    let best = ranked_documents();
+    let page = |from: usize| site.request("GET", &format!("/all/_search?from={from}&size=7"), "").body;
     for from in [0, 7, 14] {
         assert_eq!(ids(&page(from)), best[from..from + 7]);
     }
@@ -121,61 +128,71 @@
         (2, json!({"value": 30, "relation": "eq"}))
     );
     assert_eq!(last["_shards"], json!({"total": 6, "successful": 6, "skipped": 0, "failed": 0}));
-    let sorted = site.ask("POST", "/all/_search", r#"{"sort":[{"n":"asc"}],"size":30}"#).body;
+    let sorted = site.request("POST", "/all/_search", r#"{"sort":[{"n":"asc"}],"size":30}"#).body;
     assert_eq!(ids(&sorted), best.iter().rev().cloned().collect::<Vec<_>>());
-    let none = site.ask("GET", "/all/_search?size=0", "").body;
+    let none = site.request("GET", "/all/_search?size=0", "").body;
     assert_eq!((ids(&none).len(), none["hits"]["total"]["value"].clone()), (0, json!(30)));
 }
 
 #[test]
 fn routing_goes_to_its_shard_alone_and_a_count_counts_all() {
     let site = site(3);
-    let one = site.ask("GET", "/all/_search?routing=r1", "").body;
+    let one = site.request("GET", "/all/_search?routing=r1", "").body;
     assert_eq!((one["_shards"]["total"].clone(), ids(&one).len()), (json!(1), 5));
-    assert_eq!(site.ask("GET", "/all/_count", "").body["count"], json!(30));
-    let info = site.ask("GET", "/", "").body;
+    assert_eq!(site.request("GET", "/all/_count", "").body["count"], json!(30));
+    let info = site.request("GET", "/", "").body;
     assert_eq!(info["version"]["distribution"], json!("dunepond"));
-    let health = site.ask("GET", "/_cluster/health", "").body;
+    let health = site.request("GET", "/_cluster/health", "").body;
     assert_eq!((health["status"].clone(), health["number_of_nodes"].clone()), (json!("green"), json!(3)));
 }
 
 /// A node's document is broken, of another index, too long, out of time: its parts failed and are asked elsewhere.
 #[rstest]
-#[case(Manner::Broken, "EOF")]
-#[case(Manner::OtherIndex, "of another index")]
-#[case(Manner::TooMany, "asked for")]
-#[case(Manner::TimedOut, "timed_out")]
-#[case(Manner::FalseTotal, "less than there are hits")]
+#[case(SearchNodeBehavior::TruncatedDocument, "EOF")]
+#[case(SearchNodeBehavior::WrongIndex, "of another index")]
+#[case(SearchNodeBehavior::TooManyHits, "asked for")]
+#[case(SearchNodeBehavior::TimedOut, "timed_out")]
+#[case(SearchNodeBehavior::WrongTotal, "less than there are hits")]
 fn what_a_node_spoils_is_asked_elsewhere_and_never_counts(
-    #[case] manner: Manner,
+    #[case] manner: SearchNodeBehavior,
     #[case] why: &str,
-    #[values(Speech::Frames, Speech::Api)] speech: Speech,
+    #[values(NodeProtocol::Frames, NodeProtocol::Api)] speech: NodeProtocol,
 ) {
     let site = speaking(&[speech; 3]);
-    site.nodes[0].behave(manner);
+    site.nodes[0].set_behavior(manner);
     for _ in 0..4 {
-        let answer = site.ask("GET", "/all/_search?size=3", "");
-        assert_eq!((answer.status, ids(&answer.body)), (200, best()[..3].to_vec()), "{}", answer.body);
+        let answer = site.request("GET", "/all/_search?size=3", "");
+        assert_eq!(
+            (answer.status, ids(&answer.body)),
+            (200, ranked_documents()[..3].to_vec()),
+            "{}",
+            answer.body
+        );
     }
-    assert!(speech == Speech::Api || site.broker.said().contains(why), "{}", site.broker.said());
+    assert!(
+        speech == NodeProtocol::Api || site.broker.log_text().contains(why),
+        "{}",
+        site.broker.log_text()
+    );
     // Nobody is left: then it is refused, and no less is told.
-    site.nodes.iter().for_each(|node| node.behave(manner));
-    assert!([429, 503].contains(&site.ask("GET", "/all/_search?size=3&timeout=1s", "").status));
+    site.nodes.iter().for_each(|node| node.set_behavior(manner));
+    assert!([429, 503].contains(&site.request("GET", "/all/_search?size=3&timeout=1s", "").status));
 }
 
 /// Half of the shards never answer: that is enough for `find`, and the answer says in every place that it is not whole.
 #[rstest]
 fn a_partial_answer_says_so_and_who_wants_all_gets_an_error(
-    #[values(Speech::Frames, Speech::Api)] speech: Speech,
+    #[values(NodeProtocol::Frames, NodeProtocol::Api)] speech: NodeProtocol,
 ) {
     // Each time a broker that knows nothing yet: one that does refuses at once.
-    let fresh = |manner: Manner| {
+    let fresh = |manner: SearchNodeBehavior| {
         let site = speaking(&[speech; 2]);
-        site.nodes.iter().for_each(|node| node.behave(manner));
+        site.nodes.iter().for_each(|node| node.set_behavior(manner));
         site
     };
-    assert_eq!(Door::First.ask(&fresh(Manner::HangOdd), "find", "c1"), Outcome::Partial);
-    let partial = fresh(Manner::HangOdd).ask("GET", "/find/_search?timeout=900ms", "");
+    assert_eq!(Door::First.ask(&fresh(SearchNodeBehavior::HangOddSegments), "find", "c1"), Outcome::Partial);
+    let partial =
+        fresh(SearchNodeBehavior::HangOddSegments).request("GET", "/find/_search?timeout=900ms", "");
     assert_eq!((partial.status, partial.body["timed_out"].clone()), (200, json!(true)), "{}", partial.body);
     let shards = &partial.body["_shards"];
     assert_eq!((shards["successful"].clone(), shards["failed"].clone()), (json!(3), json!(3)));
@@ -183,14 +200,17 @@
     assert_eq!(failed, [json!(1), json!(3), json!(5)]);
     assert_eq!(partial.body["hits"]["total"], json!({"value": 15, "relation": "gte"}));
     let target = "/find/_search?timeout=900ms&allow_partial_search_results=false";
-    let all = fresh(Manner::HangOdd).ask("GET", target, "");
+    let all = fresh(SearchNodeBehavior::HangOddSegments).request("GET", target, "");
     assert_eq!(
         (all.status, all.body["error"]["type"].clone()),
         (503, json!("search_phase_execution_exception"))
     );
-    assert_eq!(fresh(Manner::HangOdd).ask("GET", "/find/_count?timeout=900ms", "").status, 503);
+    assert_eq!(
+        fresh(SearchNodeBehavior::HangOddSegments).request("GET", "/find/_count?timeout=900ms", "").status,
+        503
+    );
     // Nothing at all is refused, not empty, and says when to return.
-    let none = fresh(Manner::Hang).ask("GET", "/find/_search?timeout=900ms", "");
+    let none = fresh(SearchNodeBehavior::Hang).request("GET", "/find/_search?timeout=900ms", "");
     assert_eq!(none.body["error"]["type"], json!("rejected_execution_exception"), "{}", none.body);
     assert!(none.head.contains("Retry-After"), "{}", none.head);
 }
@@ -208,20 +228,23 @@
         r#"{"index":"fix"}"#,
         r#"{}"#,
     ];
-    let answer = site.ask("POST", "/_msearch", &(lines.join("\n") + "\n"));
+    let answer = site.request("POST", "/_msearch", &(lines.join("\n") + "\n"));
     let responses = answer.body["responses"].as_array().unwrap();
     let statuses: Vec<_> = responses.iter().map(|r| r["status"].as_u64().unwrap()).collect();
     assert_eq!(statuses, [200, 404, 200, 400]);
-    assert_eq!((ids(&responses[0]), ids(&responses[2])), (best()[..1].to_vec(), best()[1..3].to_vec()));
+    assert_eq!(
+        (ids(&responses[0]), ids(&responses[2])),
+        (ranked_documents()[..1].to_vec(), ranked_documents()[1..3].to_vec())
+    );
 }
 
 #[test]
 fn a_client_that_gives_up_in_the_middle_of_many_leaves_nothing_behind() {
     let site = site(3);
-    site.nodes.iter().for_each(|node| node.behave(Manner::Hang));
+    site.nodes.iter().for_each(|node| node.set_behavior(SearchNodeBehavior::Hang));
     let body = "{\"index\":\"all\"}\n{}\n".repeat(10);
-    let mut client = Client::dial(site.api);
-    client.send(&request("POST", "/_msearch", &body));
+    let mut client = Client::connect_to(site.api_address);
+    client.send(&http_request("POST", "/_msearch", &body));
     let start = Instant::now();
     while site.runs() < 30 {
         assert!(start.elapsed() < Duration::from_secs(10));
@@ -229,10 +252,10 @@
     }
     drop(client);
     thread::sleep(Duration::from_millis(100));
-    site.nodes.iter().for_each(|node| node.behave(Manner::Serve));
+    site.nodes.iter().for_each(|node| node.set_behavior(SearchNodeBehavior::Serve));
     let start = Instant::now();
-    while site.ask("GET", "/all/_search", "").status != 200 {
-        assert!(start.elapsed() < Duration::from_secs(10), "{}", site.broker.said());
+    while site.request("GET", "/all/_search", "").status != 200 {
+        assert!(start.elapsed() < Duration::from_secs(10), "{}", site.broker.log_text());
         thread::sleep(Duration::from_millis(50));
     }
 }
@@ -253,9 +276,9 @@
 #[case::budget("GET /all/_search HTTP/1.1\r\nX-Budget: soon\r\n\r\n", 400)]
 fn what_will_not_do_is_refused_in_the_apis_form(#[case] bytes: &str, #[case] status: u16) {
     let site = site(1);
-    let mut client = Client::dial(site.api);
+    let mut client = Client::connect_to(site.api_address);
     client.send(bytes);
-    let answer = client.answer().unwrap();
+    let answer = client.read_answer().unwrap();
     assert_eq!(answer.status, status, "{}", answer.body);
     assert_eq!(answer.body["status"], json!(status));
     assert!(answer.body["error"]["root_cause"][0]["reason"].is_string(), "{}", answer.body);
@@ -266,26 +289,30 @@
 #[test]
 fn a_slow_client_is_ended_by_the_bounds_of_both_doors() {
     let site = site(1);
-    let mut slow = Client::dial(site.api);
+    let mut slow = Client::connect_to(site.api_address);
     slow.stream.write_all(b"POST /all/_search HTTP/1.1\r\nContent-Length: 9\r\n\r\n{").unwrap();
     let began = Instant::now();
-    assert_eq!(site.ask("GET", "/all/_search", "").status, 200);
-    let answer = slow.answer().unwrap();
+    assert_eq!(site.request("GET", "/all/_search", "").status, 200);
+    let answer = slow.read_answer().unwrap();
     assert_eq!((answer.status, answer.body["status"].clone()), (408, json!(408)));
     assert!(began.elapsed() < Duration::from_secs(4));
 }
 
 /// Asks until it is served. On a busy machine all nodes may fall silent together, and then it is refused unsent, as it
 /// should be; the log has to have named them: at rest, where it names none, a refusal is a failure.
-fn served<T>(site: &Site, ask: impl Fn() -> Result<T, u16>) -> T {
+fn served<T>(site: &SearchCluster, ask: impl Fn() -> Result<T, u16>) -> T {
     let start = Instant::now();
     loop {
         match ask() {
             Ok(answer) => return answer,
             Err(status) => {
-                let silent = site.broker.said().contains("is ejected");
+                let silent = site.broker.log_text().contains("is ejected");
                 let refused = matches!(status, 429 | 503);
-                assert!(refused && silent && start.elapsed() < PATIENCE, "{status}: {}", site.broker.said());
+                assert!(
+                    refused && silent && start.elapsed() < PATIENCE,
+                    "{status}: {}",
+                    site.broker.log_text()
+                );
             }
         }
         thread::sleep(Duration::from_millis(20));
@@ -295,42 +322,43 @@
 /// One fleet of both kinds: the answer is the same, and each kind has been asked.
 #[test]
 fn one_fleet_may_mix_both_kinds() {
-    let mixed = [Speech::Frames, Speech::Api, Speech::Api, Speech::Frames];
-    let site = Site::patient(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), &mixed);
+    let mixed = [NodeProtocol::Frames, NodeProtocol::Api, NodeProtocol::Api, NodeProtocol::Frames];
+    let site =
+        SearchCluster::start_with_long_timeouts(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), &mixed);
     for i in 0..20 {
         let found = served(&site, || {
-            let answer = site.ask("GET", "/all/_search?size=30", "");
+            let answer = site.request("GET", "/all/_search?size=30", "");
             if answer.status == 200 { Ok(ids(&answer.body)) } else { Err(answer.status) }
         });
-        assert_eq!(found, best());
-        let fix = scan("fix", &format!("c{i}"), &[0, 1, 2, 3, 4, 5], "15.0");
+        assert_eq!(found, ranked_documents());
+        let fix = query_request("fix", &format!("c{i}"), &[0, 1, 2, 3, 4, 5], "15.0");
         let finished = served(&site, || {
-            let answer = Client::to(&site.broker).ask(&fix);
+            let answer = Client::connect(&site.broker).request(&fix);
             if answer.status == 200 { Ok(answer.body["finished"].clone()) } else { Err(answer.status) }
         });
         assert_eq!(finished, json!(true));
     }
     assert!(site.nodes.iter().all(|node| node.runs() > 10));
-    assert_eq!(site.twice(), 0);
+    assert_eq!(site.repeated_parts(), 0);
 }
 
 /// It closes between two requests, without having said so: what crosses that may have run, and is not sent again.
 #[rstest]
-#[case::behind_each_answer(Manner::CloseBehind)]
-#[case::in_the_middle_of_a_head(Manner::CloseInHead)]
-#[case::after_the_request(Manner::Close)]
-fn a_node_that_closes_never_has_an_update_run_twice(#[case] manner: Manner) {
-    let site = speaking(&[Speech::Api; 3]);
-    site.nodes.iter().for_each(|node| node.behave(manner));
+#[case::behind_each_answer(SearchNodeBehavior::CloseAfterReply)]
+#[case::in_the_middle_of_a_head(SearchNodeBehavior::CloseInHeader)]
+#[case::after_the_request(SearchNodeBehavior::Close)]
+fn a_node_that_closes_never_has_an_update_run_twice(#[case] manner: SearchNodeBehavior) {
+    let site = speaking(&[NodeProtocol::Api; 3]);
+    site.nodes.iter().for_each(|node| node.set_behavior(manner));
     for i in 0..20 {
         let outcome = Door::Api.ask(&site, "fix", &format!("c{i}"));
-        assert!(manner == Manner::CloseBehind || outcome != Outcome::Whole, "{outcome:?}");
+        assert!(manner == SearchNodeBehavior::CloseAfterReply || outcome != Outcome::Whole, "{outcome:?}");
         thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(site.twice(), 0);
+    assert_eq!(site.repeated_parts(), 0);
     // What may run again is asked elsewhere, and served.
-    site.nodes[1].behave(Manner::Serve);
-    site.nodes[2].behave(Manner::Serve);
+    site.nodes[1].set_behavior(SearchNodeBehavior::Serve);
+    site.nodes[2].set_behavior(SearchNodeBehavior::Serve);
     let start = Instant::now();
     while Door::Api.ask(&site, "all", "x") != Outcome::Whole {
         assert!(start.elapsed() < Duration::from_secs(10));
@@ -339,20 +367,20 @@
 
 #[test]
 fn an_answer_without_a_length_ends_with_its_connection() {
-    let site = speaking(&[Speech::Api; 3]);
-    site.nodes.iter().for_each(|node| node.behave(Manner::Unstated));
+    let site = speaking(&[NodeProtocol::Api; 3]);
+    site.nodes.iter().for_each(|node| node.set_behavior(SearchNodeBehavior::NoContentLength));
     for i in 0..5 {
         assert_eq!(Door::Api.ask(&site, "fix", &format!("c{i}")), Outcome::Whole);
     }
-    assert_eq!(site.twice(), 0);
+    assert_eq!(site.repeated_parts(), 0);
 }
 
 #[test]
 fn a_connection_is_kept_from_search_to_search() {
     let site = site(1);
-    let mut client = Client::dial(site.api);
+    let mut client = Client::connect_to(site.api_address);
     for _ in 0..5 {
-        assert_eq!(client.ask(&request("POST", "/all/_search", r#"{"size":1}"#)).status, 200);
-        assert_eq!(client.ask(&request("POST", "/all/_search", r#"{"sise":1}"#)).status, 400);
+        assert_eq!(client.request(&http_request("POST", "/all/_search", r#"{"size":1}"#)).status, 200);
+        assert_eq!(client.request(&http_request("POST", "/all/_search", r#"{"sise":1}"#)).status, 400);
     }
 }
--- a/crates/dunepond-testkit/tests/shutdown.rs
+++ b/crates/dunepond-testkit/tests/shutdown.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dunepond_testkit::shutdown::{Breach, Fault, Verdict, play_all};
-use dunepond_testkit::store::program;
+use dunepond_testkit::stand_ins::broker_program;
 
 /// The seeds that CI plays; more by hand, with `dunepond-testkit run shutdown`.
 const SEEDS: std::ops::Range<u64> = 1..13;
@@ -12,7 +12,7 @@
 fn no_request_is_lost_in_a_shutdown() {
     let mut all = Verdict::default();
     let mut bad: Vec<(u64, Vec<Fault>)> = Vec::new();
-    for (plan, verdict) in play_all(&program(), SEEDS) {
+    for (plan, verdict) in play_all(&broker_program(), SEEDS) {
         if !verdict.faults.is_empty() {
             bad.push((plan.seed, verdict.faults.clone()));
         }
