--- a/crates/dunepond-broker/src/body.rs
+++ b/crates/dunepond-broker/src/body.rs
@@ -75,7 +75,7 @@
 impl Body {
     /// An empty body. `length` is the declared one; `limit` bounds its memory in bytes.
     pub fn new(id: BodyId, length: Option<u64>, limit: Option<u64>, dropped: &DroppedBodies) -> Rc<Self> {
-        let inner = BodyState {
+        let state = BodyState {
             length,
             length_declared: length.is_some(),
             memory_limit: limit,
@@ -92,13 +92,13 @@
             loading_blocks: BTreeSet::new(),
             loss: None,
         };
-        Rc::new(Self { id, state: RefCell::new(inner), dropped: dropped.clone() })
+        Rc::new(Self { id, state: RefCell::new(state), dropped: dropped.clone() })
     }
 
     /// Its length; what has arrived so far if no length was declared.
     pub fn length(&self) -> u64 {
-        let inner = self.state.borrow();
-        inner.length.unwrap_or(inner.received_bytes)
+        let state = self.state.borrow();
+        state.length.unwrap_or(state.received_bytes)
     }
 
     /// How many bytes have arrived.
@@ -139,54 +139,54 @@
 
     /// No further reader comes: a pass-through body may drop what its readers have consumed.
     pub fn set_all_readers_attached(&self) {
-        let mut inner = self.state.borrow_mut();
-        inner.all_readers_attached = true;
-        inner.drop_consumed();
+        let mut state = self.state.borrow_mut();
+        state.all_readers_attached = true;
+        state.drop_consumed();
     }
 
     /// How many bytes of it are in memory.
     pub fn memory_bytes(&self) -> u64 {
-        let inner = self.state.borrow();
-        let blocks = inner.blocks.iter().filter_map(|b| b.bytes.as_ref());
-        (blocks.map(Bytes::len).sum::<usize>() + inner.tail.len()) as u64
+        let state = self.state.borrow();
+        let blocks = state.blocks.iter().filter_map(|b| b.bytes.as_ref());
+        (blocks.map(Bytes::len).sum::<usize>() + state.tail.len()) as u64
     }
 
     /// How many bytes of it are only in memory.
     pub fn unwritten_bytes(&self) -> u64 {
-        let inner = self.state.borrow();
-        let blocks = inner.blocks.iter().filter(|b| !b.on_file).filter_map(|b| b.bytes.as_ref());
-        (blocks.map(Bytes::len).sum::<usize>() + inner.tail.len()) as u64
+        let state = self.state.borrow();
+        let blocks = state.blocks.iter().filter(|b| !b.on_file).filter_map(|b| b.bytes.as_ref());
+        (blocks.map(Bytes::len).sum::<usize>() + state.tail.len()) as u64
     }
 
     /// Appends bytes that have arrived.
     pub fn append(&self, mut bytes: &[u8]) {
-        let mut inner = self.state.borrow_mut();
-        inner.received_bytes += bytes.len() as u64;
+        let mut state = self.state.borrow_mut();
+        state.received_bytes += bytes.len() as u64;
         while !bytes.is_empty() {
-            if inner.tail.capacity() == 0 {
-                let left = inner
+            if state.tail.capacity() == 0 {
+                let left = state
                     .length
-                    .map_or(BLOCK_BYTES as u64, |length| length - inner.received_bytes.min(length));
+                    .map_or(BLOCK_BYTES as u64, |length| length - state.received_bytes.min(length));
                 let room = (left as usize + bytes.len()).min(BLOCK_BYTES);
-                inner.tail = BytesMut::with_capacity(room);
+                state.tail = BytesMut::with_capacity(room);
             }
-            let count = bytes.len().min(BLOCK_BYTES - inner.tail.len());
-            inner.tail.extend_from_slice(&bytes[..count]);
+            let count = bytes.len().min(BLOCK_BYTES - state.tail.len());
+            state.tail.extend_from_slice(&bytes[..count]);
             bytes = &bytes[count..];
-            if inner.tail.len() == BLOCK_BYTES {
-                inner.seal_tail();
+            if state.tail.len() == BLOCK_BYTES {
+                state.seal_tail();
             }
         }
-        inner.drop_consumed();
+        state.drop_consumed();
     }
 
     /// All of it has arrived.
     pub fn finish(&self) {
-        let mut inner = self.state.borrow_mut();
-        inner.seal_tail();
-        inner.is_complete = true;
-        inner.length = Some(inner.received_bytes);
-        inner.drop_consumed();
+        let mut state = self.state.borrow_mut();
+        state.seal_tail();
+        state.is_complete = true;
+        state.length = Some(state.received_bytes);
+        state.drop_consumed();
     }
 
     /// It cannot be read any more.
@@ -201,10 +201,10 @@
 
     /// The next block to be written to its file, with its offset there.
     pub fn next_write(&self) -> Option<(u64, Bytes)> {
-        let mut inner = self.state.borrow_mut();
-        let first = inner.first_block;
+        let mut state = self.state.borrow_mut();
+        let first = state.first_block;
         let (at, block) =
-            inner.blocks.iter_mut().enumerate().find(|(_, b)| !b.submitted && b.bytes.is_some())?;
+            state.blocks.iter_mut().enumerate().find(|(_, b)| !b.submitted && b.bytes.is_some())?;
         block.submitted = true;
         Some(((first + at as u64) * BLOCK_BYTES as u64, block.bytes.clone()?))
     }
@@ -218,19 +218,19 @@
 
     /// No block is being written any more: those handed over and not written count as not handed over.
     pub fn unsubmit_unwritten(&self) {
-        let mut inner = self.state.borrow_mut();
-        inner.blocks.iter_mut().for_each(|b| b.submitted = b.on_file);
+        let mut state = self.state.borrow_mut();
+        state.blocks.iter_mut().for_each(|b| b.submitted = b.on_file);
     }
 
     /// The block at this offset is in the file; its memory is freed unless a reader is inside it.
     pub fn on_block_written(&self, at: u64) {
-        let mut inner = self.state.borrow_mut();
+        let mut state = self.state.borrow_mut();
         let number = at / BLOCK_BYTES as u64;
-        let busy = inner.readers.iter().any(|(_, place)| place / BLOCK_BYTES as u64 == number);
+        let busy = state.readers.iter().any(|(_, place)| place / BLOCK_BYTES as u64 == number);
         if busy {
-            inner.cached_blocks.push_back(number);
+            state.cached_blocks.push_back(number);
         }
-        if let Some(block) = inner.block(number) {
+        if let Some(block) = state.block(number) {
             block.on_file = true;
             if !busy {
                 block.bytes = None;
@@ -240,39 +240,39 @@
 
     /// Whether all that has arrived is in the file.
     pub fn is_on_disk(&self) -> bool {
-        let inner = self.state.borrow();
-        inner.tail.is_empty() && inner.blocks.iter().all(|b| b.on_file)
+        let state = self.state.borrow();
+        state.tail.is_empty() && state.blocks.iter().all(|b| b.on_file)
     }
 
     /// Blocks to be read from the file now, as offset and length; `most` bounds how many may be in memory as well.
     pub fn next_reads(&self, most: usize) -> Vec<(u64, usize)> {
-        let mut inner = self.state.borrow_mut();
+        let mut state = self.state.borrow_mut();
         let mut reads = Vec::new();
-        for number in std::mem::take(&mut inner.requested_blocks) {
-            let block = number.checked_sub(inner.first_block).and_then(|at| inner.blocks.get(at as usize));
+        for number in std::mem::take(&mut state.requested_blocks) {
+            let block = number.checked_sub(state.first_block).and_then(|at| state.blocks.get(at as usize));
             let there = block.is_none_or(|b| !b.on_file || b.bytes.is_some());
-            if there || inner.loading_blocks.contains(&number) {
+            if there || state.loading_blocks.contains(&number) {
                 continue;
             }
             // Evicts the oldest: a reader that still needs it requests it again.
-            while inner.cached_blocks.len() >= most.max(1) {
+            while state.cached_blocks.len() >= most.max(1) {
                 let Some(at) =
-                    inner.cached_blocks.iter().position(|loaned| !inner.loading_blocks.contains(loaned))
+                    state.cached_blocks.iter().position(|loaned| !state.loading_blocks.contains(loaned))
                 else {
                     break;
                 };
-                let oldest = inner.cached_blocks.remove(at).unwrap_or_default();
-                if let Some(block) = inner.block(oldest).filter(|b| b.on_file) {
+                let oldest = state.cached_blocks.remove(at).unwrap_or_default();
+                if let Some(block) = state.block(oldest).filter(|b| b.on_file) {
                     block.bytes = None;
                 }
             }
-            if inner.cached_blocks.len() >= most.max(1) {
-                inner.requested_blocks.insert(number);
+            if state.cached_blocks.len() >= most.max(1) {
+                state.requested_blocks.insert(number);
                 continue;
             }
-            inner.cached_blocks.push_back(number);
-            inner.loading_blocks.insert(number);
-            let length = inner.block(number).map_or(0, |b| b.length);
+            state.cached_blocks.push_back(number);
+            state.loading_blocks.insert(number);
+            let length = state.block(number).map_or(0, |b| b.length);
             reads.push((number * BLOCK_BYTES as u64, length));
         }
         reads
@@ -285,15 +285,15 @@
 
     /// The block at this offset has been read from the file.
     pub fn on_block_read(&self, at: u64, bytes: Bytes) {
-        let mut inner = self.state.borrow_mut();
+        let mut state = self.state.borrow_mut();
         let number = at / BLOCK_BYTES as u64;
-        inner.loading_blocks.remove(&number);
-        let loaned = inner.cached_blocks.contains(&number);
-        if let Some(block) = inner.block(number).filter(|_| loaned) {
+        state.loading_blocks.remove(&number);
+        let loaned = state.cached_blocks.contains(&number);
+        if let Some(block) = state.block(number).filter(|_| loaned) {
             block.bytes = Some(bytes);
         }
         // The reader that requested it may be gone.
-        inner.release_block(number);
+        state.release_block(number);
     }
 }
 
--- a/crates/dunepond-broker/src/body/reader.rs
+++ b/crates/dunepond-broker/src/body/reader.rs
@@ -32,17 +32,17 @@
 
     /// Appends up to `most` blocks to `into` that can be written now; none where the next one is not in memory.
     pub fn available_chunks(&self, most: usize, into: &mut Vec<Bytes>) {
-        let mut inner = self.body.state.borrow_mut();
-        let place = inner.readers[self.key];
+        let mut state = self.body.state.borrow_mut();
+        let place = state.readers[self.key];
         let (mut number, mut skip) = (place / BLOCK_BYTES as u64, (place % BLOCK_BYTES as u64) as usize);
         for _ in 0..most {
-            let Some(block) = inner.block(number).filter(|block| skip < block.length) else { return };
+            let Some(block) = state.block(number).filter(|block| skip < block.length) else { return };
             match &block.bytes {
                 Some(bytes) => into.push(bytes.slice(skip..)),
                 None => {
                     // Only the next block: reading ahead for one reader could evict the block of another.
                     if skip > 0 || number == place / BLOCK_BYTES as u64 {
-                        inner.requested_blocks.insert(number);
+                        state.requested_blocks.insert(number);
                     }
                     return;
                 }
@@ -53,22 +53,22 @@
 
     /// Consumes `count` bytes.
     pub fn advance(&self, count: u64) {
-        let mut inner = self.body.state.borrow_mut();
-        let from = inner.readers[self.key] / BLOCK_BYTES as u64;
-        inner.readers[self.key] += count;
-        let to = inner.readers[self.key] / BLOCK_BYTES as u64;
+        let mut state = self.body.state.borrow_mut();
+        let from = state.readers[self.key] / BLOCK_BYTES as u64;
+        state.readers[self.key] += count;
+        let to = state.readers[self.key] / BLOCK_BYTES as u64;
         for number in from..to {
-            inner.release_block(number);
+            state.release_block(number);
         }
-        inner.drop_consumed();
+        state.drop_consumed();
     }
 }
 
 impl Drop for BodyReader {
     fn drop(&mut self) {
-        let mut inner = self.body.state.borrow_mut();
-        let place = inner.readers.remove(self.key);
-        inner.release_block(place / BLOCK_BYTES as u64);
-        inner.drop_consumed();
+        let mut state = self.body.state.borrow_mut();
+        let place = state.readers.remove(self.key);
+        state.release_block(place / BLOCK_BYTES as u64);
+        state.drop_consumed();
     }
 }
--- a/crates/dunepond-broker/src/body_store.rs
+++ b/crates/dunepond-broker/src/body_store.rs
@@ -100,7 +100,7 @@
         let reserved = place == Tier::Memory && arrival.stated_length.is_some();
         let limit = (!reserved).then_some(self.terms().window_bytes);
         let body = Body::new(id, arrival.stated_length, limit, &self.dropped);
-        let held = TrackedBody {
+        let tracked = TrackedBody {
             body: Rc::downgrade(&body),
             query_class: arrival.query_class,
             place,
@@ -111,7 +111,7 @@
             io_pending_since: None,
             has_file: false,
         };
-        self.tracked.insert(id, held);
+        self.tracked.insert(id, tracked);
         if let Some(why) = why {
             self.log_placement(
                 if place == Tier::File { "not in memory" } else { "not buffered" },
@@ -127,19 +127,19 @@
     }
 
     /// Logs a body that is not in the preferred place; the logger limits the rate of such lines.
-    fn log_placement(&self, what: &str, table_type: usize, why: FallbackReason) {
-        let name = self.query_classes.get(table_type).map_or("?", String::as_str);
+    fn log_placement(&self, what: &str, query_class: usize, why: FallbackReason) {
+        let name = self.query_classes.get(query_class).map_or("?", String::as_str);
         info!(table_type = name, reason = %why, "body {what}");
     }
 
     /// More of a body has arrived, or something of it has been written: takes its next step.
     pub fn advance(&mut self, now: f64, id: BodyId) {
-        let Some(held) = self.tracked.get_mut(&id) else { return };
-        let Some(body) = held.body.upgrade() else { return };
-        if !body.has_known_length() && held.place != Tier::PassThrough && held.awaiting_client {
+        let Some(tracked) = self.tracked.get_mut(&id) else { return };
+        let Some(body) = tracked.body.upgrade() else { return };
+        if !body.has_known_length() && tracked.place != Tier::PassThrough && tracked.awaiting_client {
             match self.keeper.grow(now, id, body.received_bytes()) {
-                Ok(place) if place != held.place => {
-                    held.place = place;
+                Ok(place) if place != tracked.place => {
+                    tracked.place = place;
                     body.set_memory_limit(self.keeper.limits().window_bytes);
                 }
                 // One block more than is reserved, or nothing would arrive that could grow the reservation.
@@ -148,24 +148,27 @@
                 ),
                 Ok(_) => {}
                 Err(why) => {
-                    held.awaiting_client = false;
-                    let table_type = held.query_class;
-                    self.log_placement("rejected", table_type, why);
+                    tracked.awaiting_client = false;
+                    let query_class = tracked.query_class;
+                    self.log_placement("rejected", query_class, why);
                     return self.events.push_back((id, BodyEvent::Lost(why)));
                 }
             }
         }
-        if (held.place == Tier::File || held.is_spilling) && !self.submit_writes(now, id, &body) {
+        if (tracked.place == Tier::File || tracked.is_spilling) && !self.submit_writes(now, id, &body) {
             return;
         }
-        let Some(held) = self.tracked.get_mut(&id) else { return };
-        if held.awaiting_client && body.is_complete() && (held.place == Tier::Memory || body.is_on_disk()) {
-            held.awaiting_client = false;
+        let Some(tracked) = self.tracked.get_mut(&id) else { return };
+        if tracked.awaiting_client
+            && body.is_complete()
+            && (tracked.place == Tier::Memory || body.is_on_disk())
+        {
+            tracked.awaiting_client = false;
             self.keeper.complete(now, id);
             self.events.push_back((id, BodyEvent::Buffered));
             self.spill_coldest(now);
-        } else if held.is_spilling && body.is_on_disk() {
-            (held.is_spilling, held.place) = (false, Tier::File);
+        } else if tracked.is_spilling && body.is_on_disk() {
+            (tracked.is_spilling, tracked.place) = (false, Tier::File);
             self.keeper.finish_spill(id);
         }
     }
@@ -173,24 +176,24 @@
     /// Hands blocks to the disk threads, within the window; false if that has failed.
     fn submit_writes(&mut self, now: f64, id: BodyId, body: &Rc<Body>) -> bool {
         let window = self.terms().window_bytes;
-        let (Some(spool), Some(held)) = (&self.spool, self.tracked.get_mut(&id)) else { return true };
-        while held.writing_bytes < window
+        let (Some(spool), Some(tracked)) = (&self.spool, self.tracked.get_mut(&id)) else { return true };
+        while tracked.writing_bytes < window
             && let Some((at, bytes)) = body.next_write()
         {
             let length = bytes.len() as u64;
             if spool.submit(DiskJob::Write { file: id, offset: at, bytes }).is_err() {
                 body.unsubmit_block(at);
                 // With writes pending, or where it may stay in memory, it goes on after the next disk operation.
-                if held.writing_bytes == 0 && !held.is_spilling {
+                if tracked.writing_bytes == 0 && !tracked.is_spilling {
                     self.on_disk_fault(now, id, DiskFault::Busy);
                     return false;
                 }
                 self.awaiting_disk.push(id);
                 return true;
             }
-            held.has_file = true;
-            held.writing_bytes += length;
-            held.io_pending_since.get_or_insert(now);
+            tracked.has_file = true;
+            tracked.writing_bytes += length;
+            tracked.io_pending_since.get_or_insert(now);
         }
         true
     }
@@ -198,8 +201,8 @@
     /// Under memory pressure the coldest bodies go to files.
     fn spill_coldest(&mut self, now: f64) {
         for id in self.keeper.start_spills(now) {
-            if let Some(held) = self.tracked.get_mut(&id) {
-                held.is_spilling = true;
+            if let Some(tracked) = self.tracked.get_mut(&id) {
+                tracked.is_spilling = true;
                 self.advance(now, id);
             }
         }
@@ -214,35 +217,38 @@
         let (DiskEvent::Written { file: id, .. }
         | DiskEvent::Read { file: id, .. }
         | DiskEvent::Failed { file: id, .. }) = done;
-        let Some(held) = self.tracked.get_mut(&id) else { return };
-        let Some(body) = held.body.upgrade() else { return };
+        let Some(tracked) = self.tracked.get_mut(&id) else { return };
+        let Some(body) = tracked.body.upgrade() else { return };
         match done {
             DiskEvent::Written { offset: at, length, .. } => {
-                held.writing_bytes = held.writing_bytes.saturating_sub(length as u64);
-                held.io_pending_since = (held.writing_bytes > 0 || held.pending_reads > 0).then_some(now);
+                tracked.writing_bytes = tracked.writing_bytes.saturating_sub(length as u64);
+                tracked.io_pending_since =
+                    (tracked.writing_bytes > 0 || tracked.pending_reads > 0).then_some(now);
                 body.on_block_written(at);
                 self.advance(now, id);
             }
             DiskEvent::Read { offset: at, bytes, .. } => {
-                held.pending_reads = held.pending_reads.saturating_sub(1);
-                held.io_pending_since = (held.writing_bytes > 0 || held.pending_reads > 0).then_some(now);
+                tracked.pending_reads = tracked.pending_reads.saturating_sub(1);
+                tracked.io_pending_since =
+                    (tracked.writing_bytes > 0 || tracked.pending_reads > 0).then_some(now);
                 body.on_block_read(at, bytes);
             }
             // Several pending writes may fail: only the first failure counts.
-            DiskEvent::Failed { fault, .. } if fault != DiskFault::Unreadable && held.writing_bytes == 0 => {}
+            DiskEvent::Failed { fault, .. }
+                if fault != DiskFault::Unreadable && tracked.writing_bytes == 0 => {}
             DiskEvent::Failed { fault, .. } => self.on_disk_fault(now, id, fault),
         }
     }
 
     /// A disk operation has failed: the body stays in memory, is passed through, or is lost.
     fn on_disk_fault(&mut self, now: f64, id: BodyId, fault: DiskFault) {
-        let Some(held) = self.tracked.get_mut(&id) else { return };
-        let Some(body) = held.body.upgrade() else { return };
+        let Some(tracked) = self.tracked.get_mut(&id) else { return };
+        let Some(body) = tracked.body.upgrade() else { return };
         if body.loss().is_some() {
             return;
         }
-        (held.writing_bytes, held.pending_reads, held.io_pending_since) = (0, 0, None);
-        let table_type = held.query_class;
+        (tracked.writing_bytes, tracked.pending_reads, tracked.io_pending_since) = (0, 0, None);
+        let query_class = tracked.query_class;
         let outcome = self.keeper.on_disk_fault(now, id, fault);
         body.unsubmit_unwritten();
         // A body that cannot be read from its file is lost, wherever it would go next.
@@ -250,19 +256,19 @@
             if fault == DiskFault::Unreadable { Err(FallbackReason::Disk(fault)) } else { Ok(to) }
         }) {
             Ok(Tier::Memory) => {
-                held.is_spilling = false;
-                self.log_placement("stays in memory", table_type, FallbackReason::Disk(fault));
+                tracked.is_spilling = false;
+                self.log_placement("stays in memory", query_class, FallbackReason::Disk(fault));
             }
             Ok(place) => {
-                (held.place, held.awaiting_client) = (place, false);
+                (tracked.place, tracked.awaiting_client) = (place, false);
                 body.set_pass_through();
-                self.log_placement("not buffered", table_type, FallbackReason::Disk(fault));
+                self.log_placement("not buffered", query_class, FallbackReason::Disk(fault));
                 self.events.push_back((id, BodyEvent::PassThrough(FallbackReason::Disk(fault))));
             }
             Err(why) => {
-                (held.place, held.awaiting_client) = (Tier::PassThrough, false);
+                (tracked.place, tracked.awaiting_client) = (Tier::PassThrough, false);
                 body.mark_lost(why);
-                self.log_placement("lost", table_type, why);
+                self.log_placement("lost", query_class, why);
                 self.events.push_back((id, BodyEvent::Lost(why)));
             }
         }
@@ -271,8 +277,8 @@
     /// Has the disk threads read the blocks that readers wait for.
     pub fn submit_reads(&mut self, now: f64) {
         let Some(spool) = &self.spool else { return };
-        for (id, held) in &mut self.tracked {
-            let Some(body) = held.body.upgrade().filter(|body| body.has_pending_reads()) else { continue };
+        for (id, tracked) in &mut self.tracked {
+            let Some(body) = tracked.body.upgrade().filter(|body| body.has_pending_reads()) else { continue };
             let window = self.keeper.limits().window_bytes.saturating_sub(body.unwritten_bytes());
             // With a full queue an operation is pending, after which this is called again.
             if !spool.has_room() {
@@ -280,8 +286,8 @@
             }
             for (at, length) in body.next_reads(window as usize / BLOCK_BYTES) {
                 spool.submit_unbounded(DiskJob::Read { file: *id, offset: at, length });
-                held.pending_reads += 1;
-                held.io_pending_since.get_or_insert(now);
+                tracked.pending_reads += 1;
+                tracked.io_pending_since.get_or_insert(now);
             }
         }
     }
@@ -292,8 +298,8 @@
         let late = self
             .tracked
             .iter()
-            .filter(|(_, held)| held.io_pending_since.is_some_and(|since| now - since >= slowest));
-        let late: Vec<_> = late.map(|(id, held)| (*id, held.writing_bytes > 0)).collect();
+            .filter(|(_, tracked)| tracked.io_pending_since.is_some_and(|since| now - since >= slowest));
+        let late: Vec<_> = late.map(|(id, tracked)| (*id, tracked.writing_bytes > 0)).collect();
         for (id, writing_bytes) in late {
             self.on_disk_fault(now, id, if writing_bytes { DiskFault::Slow } else { DiskFault::Unreadable });
         }
@@ -304,8 +310,8 @@
         let dropped = self.dropped.take();
         for &id in &dropped {
             self.keeper.release(id);
-            if let Some(held) = self.tracked.remove(&id)
-                && held.has_file
+            if let Some(tracked) = self.tracked.remove(&id)
+                && tracked.has_file
                 && let Some(spool) = &self.spool
             {
                 spool.submit_unbounded(DiskJob::Close { file: id });
@@ -325,7 +331,7 @@
         self.keeper.set_other_usage(OtherUsage::NodeValues, values);
         let waiting = self.spool.as_ref().map_or(0, Spool::pending_write_bytes);
         let counted =
-            if waiting > 0 { self.tracked.values().map(|held| held.writing_bytes).sum() } else { 0 };
+            if waiting > 0 { self.tracked.values().map(|tracked| tracked.writing_bytes).sum() } else { 0 };
         self.keeper.set_other_usage(OtherUsage::PendingWrites, waiting.saturating_sub(counted));
     }
 
--- a/crates/dunepond-broker/src/buffers/write_queue.rs
+++ b/crates/dunepond-broker/src/buffers/write_queue.rs
@@ -12,7 +12,7 @@
 /// Chunks of a write queue that are written with one system call.
 const MAX_SLICES_PER_WRITE: usize = 16;
 
-/// A piece of a write queue: bytes of its own, or a position in bytes that other queues share.
+/// A chunk of a write queue: bytes of its own, or a position in bytes that other queues share.
 enum Chunk {
     Owned(Buffer),
     SharedText(Rc<str>, usize),
@@ -75,7 +75,7 @@
     written_offset: u64,
     /// How many chunks are streamed bodies: without any, all chunks are available.
     streamed_chunks: usize,
-    /// The next piece of a streamed body is not available yet.
+    /// The next chunk of a streamed body is not available yet.
     awaiting_body: bool,
     copied_bytes: u64,
 }
@@ -178,7 +178,7 @@
         (self.end_offset - self.written_offset) as usize
     }
 
-    /// Whether the last flush stopped because the next piece of a body is not available.
+    /// Whether the last flush stopped because the next chunk of a body is not available.
     pub fn is_awaiting_body(&self) -> bool {
         self.awaiting_body
     }
@@ -193,7 +193,7 @@
         std::mem::take(&mut self.copied_bytes)
     }
 
-    /// Writes until all is written, the stream would block, or the next piece is not available.
+    /// Writes until all is written, the stream would block, or the next chunk is not available.
     ///
     /// Fails with the stream's error, or with `WriteZero` where it accepts no byte.
     pub fn flush(&mut self, mut stream: impl Write) -> io::Result<()> {
@@ -214,7 +214,7 @@
         Ok(())
     }
 
-    /// Writes the first chunks with one system call; `None` if the next piece of a body is not available.
+    /// Writes the first chunks with one system call; `None` if the next chunk of a body is not available.
     fn write_once(&self, stream: &mut impl Write) -> io::Result<Option<usize>> {
         let first = || self.chunks.iter().take(MAX_SLICES_PER_WRITE);
         // Keeps the blocks of the first body alive that the slices point into.
@@ -246,8 +246,8 @@
 }
 
 /// The bytes of a chunk other than a streamed body.
-fn memory_slice(piece: &Chunk) -> Option<IoSlice<'_>> {
-    match piece {
+fn memory_slice(chunk: &Chunk) -> Option<IoSlice<'_>> {
+    match chunk {
         Chunk::Owned(buffer) => Some(IoSlice::new(buffer.filled())),
         Chunk::SharedText(text, at) => Some(IoSlice::new(&text.as_bytes()[*at..])),
         Chunk::Small(bytes) => Some(IoSlice::new(bytes)),
--- a/crates/dunepond-broker/src/downstream/decode.rs
+++ b/crates/dunepond-broker/src/downstream/decode.rs
@@ -72,7 +72,9 @@
         match std::mem::replace(&mut client.phase, RequestPhase::AwaitingAdmission) {
             RequestPhase::ReadingHead => self.parse_head(now, id, timers),
             RequestPhase::ReadingBody(message) => self.parse_body(id, message),
-            RequestPhase::StreamingBody(raw) if !raw.body_complete => self.parse_streamed_body(id, raw),
+            RequestPhase::StreamingBody(streamed) if !streamed.body_complete => {
+                self.parse_streamed_body(id, streamed)
+            }
             other => {
                 client.phase = other;
                 Parsed::Incomplete
@@ -112,7 +114,7 @@
         let began = client.request_started_at;
         self.clear_timer(id, timers);
         match self.validate_streamed(&head, began) {
-            Ok(asked) => Parsed::Event(ClientEvent::StreamedQuery(asked, Box::new(head))),
+            Ok(request) => Parsed::Event(ClientEvent::StreamedQuery(request, Box::new(head))),
             Err(error) => {
                 self.refuse(now, id, error, 0.0, timers);
                 Parsed::HeadDone
@@ -133,18 +135,18 @@
         }
     }
 
-    fn parse_streamed_body(&mut self, id: usize, mut raw: Box<StreamedRequest>) -> Parsed {
-        self.bodies_received.push(raw.body.id);
+    fn parse_streamed_body(&mut self, id: usize, mut streamed: Box<StreamedRequest>) -> Parsed {
+        self.bodies_received.push(streamed.body.id);
         let client = &mut self.connections[id];
         let Some(input) = client.input.as_mut() else { return Parsed::Incomplete };
-        match raw.message.read_body(input, &self.pool) {
-            Ok(false) => client.phase = RequestPhase::StreamingBody(raw),
+        match streamed.message.read_body(input, &self.pool) {
+            Ok(false) => client.phase = RequestPhase::StreamingBody(streamed),
             Ok(true) => {
-                raw.body_complete = true;
-                raw.body.finish();
-                client.phase = match raw.query {
+                streamed.body_complete = true;
+                streamed.body.finish();
+                client.phase = match streamed.query {
                     Some(query) => RequestPhase::InFlight(query),
-                    None => RequestPhase::StreamingBody(raw),
+                    None => RequestPhase::StreamingBody(streamed),
                 };
             }
             Err(error) => return Parsed::Request(Err(error)),
@@ -182,7 +184,7 @@
         timers: &mut Timers,
     ) -> Option<ClientEvent> {
         let began = self.connections[id].request_started_at;
-        let read = outcome.map_err(|why| search_api::error_response(&why));
+        let read = outcome.map_err(|reason| search_api::error_response(&reason));
         match read.and_then(|message| api.parse_request(&message.head, message.body_bytes(), began)) {
             Ok(request) => Some(ClientEvent::SearchRequest(Box::new(request))),
             Err(error) => {
@@ -202,9 +204,9 @@
     ) -> Option<ClientEvent> {
         let began = self.connections[id].request_started_at;
         let (status, body) = match outcome.and_then(|message| self.validate(&message, began)) {
-            Ok(Some(asked)) => return Some(ClientEvent::Query(asked)),
+            Ok(Some(request)) => return Some(ClientEvent::Query(request)),
             Ok(None) => (200, String::new()),
-            Err(HttpError { status, reason: why }) => (status, error_body(&why)),
+            Err(HttpError { status, reason }) => (status, error_body(&reason)),
         };
         if status == 400 || status == 413 {
             debug!("client {id}: answered {status}: {body}");
--- a/crates/dunepond-broker/src/downstream/disconnect.rs
+++ b/crates/dunepond-broker/src/downstream/disconnect.rs
@@ -37,7 +37,7 @@
     pub fn check_while_waiting(&mut self, now: f64, id: usize) {
         let Some(client) = self.connections.get_mut(id) else { return };
         let waits = match &client.phase {
-            RequestPhase::StreamingBody(raw) => raw.query.is_some(),
+            RequestPhase::StreamingBody(streamed) => streamed.query.is_some(),
             phase => matches!(phase, RequestPhase::AwaitingAdmission | RequestPhase::InFlight(_)),
         };
         if waits {
@@ -68,7 +68,7 @@
             (self.pool.buffers_in_use() < self.max_buffers, self.has_read_ahead_capacity());
         let client = &mut self.connections[id];
         let paced = client.reading_paused
-            || matches!(&client.phase, RequestPhase::StreamingBody(raw) if !raw.body_complete);
+            || matches!(&client.phase, RequestPhase::StreamingBody(streamed) if !streamed.body_complete);
         // An empty body is parsed from a buffer that exists and is empty: such a buffer is kept.
         let had = client.input.is_some();
         for _ in 0..MAX_READS_PER_TURN {
@@ -111,9 +111,9 @@
 
 /// Whether the peer has closed, whatever unread bytes stand before that.
 fn peer_has_closed(stream: &TcpStream) -> bool {
-    let mut asked = [PollFd::new(stream, PollFlags::RDHUP)];
+    let mut request = [PollFd::new(stream, PollFlags::RDHUP)];
     let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-    let told = poll(&mut asked, Some(&at_once));
+    let told = poll(&mut request, Some(&at_once));
     told.is_ok_and(|count| count > 0)
-        && asked[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
+        && request[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
 }
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -208,7 +208,7 @@
     /// It has not sent a whole request yet.
     fn awaiting_request(&self) -> bool {
         match &self.phase {
-            RequestPhase::StreamingBody(raw) => raw.query.is_none(),
+            RequestPhase::StreamingBody(streamed) => streamed.query.is_none(),
             phase => matches!(phase, RequestPhase::ReadingHead | RequestPhase::ReadingBody(_)),
         }
     }
@@ -245,6 +245,6 @@
 }
 
 /// The JSON body of an error response.
-pub fn error_body(why: &str) -> String {
-    json!({ "error": why }).to_string()
+pub fn error_body(reason: &str) -> String {
+    json!({ "error": reason }).to_string()
 }
--- a/crates/dunepond-broker/src/downstream/read.rs
+++ b/crates/dunepond-broker/src/downstream/read.rs
@@ -101,10 +101,10 @@
     /// Pauses a client whose streamed body has no room. Before reading, so that no buffer is held while the body waits.
     fn pause_for_full_body(&mut self, id: usize) {
         let client = &mut self.connections[id];
-        if let RequestPhase::StreamingBody(raw) = &client.phase
-            && !raw.body_complete
+        if let RequestPhase::StreamingBody(streamed) = &client.phase
+            && !streamed.body_complete
             && !client.reading_paused
-            && raw.body.is_full()
+            && streamed.body.is_full()
         {
             client.reading_paused = true;
             self.blocked_on_body.push(id);
@@ -144,8 +144,8 @@
     /// In a shutdown a streamed body has until the last responses are due. A query without one keeps its deadline: the
     /// router rejects it if it would outlast the process.
     fn cap_streamed_deadline(&self, mut came: ClientEvent) -> ClientEvent {
-        if let ClientEvent::StreamedQuery(asked, _) = &mut came {
-            asked.deadline = asked.deadline.min(self.shutdown_deadline);
+        if let ClientEvent::StreamedQuery(request, _) = &mut came {
+            request.deadline = request.deadline.min(self.shutdown_deadline);
         }
         came
     }
--- a/crates/dunepond-broker/src/downstream/response.rs
+++ b/crates/dunepond-broker/src/downstream/response.rs
@@ -21,24 +21,32 @@
     pub fn assign_query(&mut self, id: usize, query: QueryId) {
         match self.connections.get_mut(id).map(|c| &mut c.phase) {
             // It is still sending a body that passes through.
-            Some(RequestPhase::StreamingBody(raw)) => raw.query = Some(query),
+            Some(RequestPhase::StreamingBody(streamed)) => streamed.query = Some(query),
             Some(phase) => *phase = RequestPhase::InFlight(query),
             None => {}
         }
     }
 
-    /// Sends an error response to a request that was not read to its end; the connection closes after it. `wait` in seconds
+    /// Sends an error response to a request that was not read to its end; the connection closes after it. `retry_after` in seconds
     /// becomes `Retry-After`.
-    pub fn refuse(&mut self, now: f64, id: usize, why: HttpError, wait: f64, timers: &mut Timers) {
+    pub fn refuse(&mut self, now: f64, id: usize, reason: HttpError, retry_after: f64, timers: &mut Timers) {
         if let Some(client) = self.connections.get_mut(id) {
             (client.keep_alive, client.responded_in_body) = (false, true);
         }
-        debug!("client {id}: answered {}: {}", why.status, why.reason);
-        self.reply(now, id, why.status, &error_body(&why.reason), wait, timers);
+        debug!("client {id}: answered {}: {}", reason.status, reason.reason);
+        self.reply(now, id, reason.status, &error_body(&reason.reason), retry_after, timers);
     }
 
-    /// Sends the one final response to a client's request. `wait` in seconds becomes `Retry-After`.
-    pub fn reply(&mut self, now: f64, id: usize, status: u16, body: &str, wait: f64, timers: &mut Timers) {
+    /// Sends the one final response to a client's request. `retry_after` in seconds becomes `Retry-After`.
+    pub fn reply(
+        &mut self,
+        now: f64,
+        id: usize,
+        status: u16,
+        body: &str,
+        retry_after: f64,
+        timers: &mut Timers,
+    ) {
         let Some(client) = self.connections.get_mut(id) else { return };
         // The rest of a body would be parsed as the next request.
         client.responded_in_body |= matches!(client.phase, RequestPhase::StreamingBody(_));
@@ -47,7 +55,7 @@
         let closes = self.closes_after_response && client.keep_alive && !self.has_next_request(now, id);
         let client = &mut self.connections[id];
         client.keep_alive &= !closes;
-        client.output.queue_bytes(&http::encode_response(status, body, wait, client.keep_alive));
+        client.output.queue_bytes(&http::encode_response(status, body, retry_after, client.keep_alive));
         client.phase = RequestPhase::ReadingHead;
         self.pending_clients.push(id);
         self.write(now, id, timers);
--- a/crates/dunepond-broker/src/downstream/streamed_body.rs
+++ b/crates/dunepond-broker/src/downstream/streamed_body.rs
@@ -17,7 +17,7 @@
         &mut self,
         now: f64,
         id: usize,
-        asked: QueryRequest,
+        request: QueryRequest,
         head: Head,
         body: &Rc<Body>,
         timers: &mut Timers,
@@ -26,13 +26,13 @@
         if head.expects_continue {
             client.output.queue_bytes(CONTINUE_RESPONSE);
         }
-        let until = asked.deadline;
+        let until = request.deadline;
         let message = Message::streaming_into(head, body);
-        let (body, asked) = (body.clone(), Some(asked));
+        let (body, request) = (body.clone(), Some(request));
         client.phase = RequestPhase::StreamingBody(Box::new(StreamedRequest {
             message,
             body,
-            request: asked,
+            request,
             query: None,
             body_complete: false,
         }));
@@ -51,34 +51,34 @@
         body: BodyId,
         timers: &mut Timers,
     ) -> Option<(QueryRequest, Rc<Body>)> {
-        let Some(RequestPhase::StreamingBody(raw)) = self.connections.get_mut(id).map(|c| &mut c.phase)
+        let Some(RequestPhase::StreamingBody(streamed)) = self.connections.get_mut(id).map(|c| &mut c.phase)
         else {
             return None;
         };
-        let asked = raw.request.take_if(|_| raw.body.id == body)?;
-        let body = raw.body.clone();
-        if raw.body_complete {
+        let request = streamed.request.take_if(|_| streamed.body.id == body)?;
+        let body = streamed.body.clone();
+        if streamed.body_complete {
             self.connections[id].phase = RequestPhase::AwaitingAdmission;
         }
         self.clear_timer(id, timers);
-        Some((asked, body))
+        Some((request, body))
     }
 
-    /// Answers a client whose body cannot be received, unless its query has started. `wait` in seconds becomes `Retry-After`.
+    /// Answers a client whose body cannot be received, unless its query has started. `retry_after` in seconds becomes `Retry-After`.
     pub fn fail_body(
         &mut self,
         now: f64,
         id: usize,
         body: BodyId,
-        why: HttpError,
-        wait: f64,
+        reason: HttpError,
+        retry_after: f64,
         timers: &mut Timers,
     ) {
         let client = self.connections.get(id).map(|c| &c.phase);
-        if matches!(client, Some(RequestPhase::StreamingBody(raw)) if raw.body.id == body && raw.query.is_none())
+        if matches!(client, Some(RequestPhase::StreamingBody(streamed)) if streamed.body.id == body && streamed.query.is_none())
         {
             self.clear_timer(id, timers);
-            self.refuse(now, id, why, wait, timers);
+            self.refuse(now, id, reason, retry_after, timers);
         }
     }
 
@@ -87,7 +87,9 @@
     pub fn resume_unblocked(&mut self) {
         for id in std::mem::take(&mut self.blocked_on_body) {
             match self.connections.get(id).map(|c| &c.phase) {
-                Some(RequestPhase::StreamingBody(raw)) if raw.body.is_full() => self.blocked_on_body.push(id),
+                Some(RequestPhase::StreamingBody(streamed)) if streamed.body.is_full() => {
+                    self.blocked_on_body.push(id)
+                }
                 Some(_) => self.resume_reading(id),
                 None => {}
             }
--- a/crates/dunepond-broker/src/downstream/timeouts.rs
+++ b/crates/dunepond-broker/src/downstream/timeouts.rs
@@ -6,7 +6,7 @@
 use super::{Downstream, RequestPhase, error_body};
 use crate::clock::{TimerEvent, TimerKey, Timers};
 use crate::connection_end::ConnectionEnd;
-use crate::http::refusal;
+use crate::http::HttpError;
 use crate::search_api;
 
 /// Longest that a client may take to send a request, from its connection on or from the first byte of a later request.
@@ -58,11 +58,11 @@
             return None;
         }
         client.keep_alive = false;
-        let why = refusal(408, "request: not whole in time");
+        let reason = HttpError::new(408, "request: not whole in time");
         let body = if client.is_search_api {
-            search_api::error_response(&why).body().to_string()
+            search_api::error_response(&reason).body().to_string()
         } else {
-            error_body(&why.reason)
+            error_body(&reason.reason)
         };
         self.reply(now, id, 408, &body, 0.0, timers);
         None
@@ -77,7 +77,7 @@
         self.schedule_resume_accepting(timers);
         match client.phase {
             RequestPhase::InFlight(query) => Some(query),
-            RequestPhase::StreamingBody(raw) => raw.query,
+            RequestPhase::StreamingBody(streamed) => streamed.query,
             _ => None,
         }
     }
--- a/crates/dunepond-broker/src/downstream/validation.rs
+++ b/crates/dunepond-broker/src/downstream/validation.rs
@@ -8,7 +8,7 @@
 
 use super::Downstream;
 use crate::body::Payload;
-use crate::http::{Head, HttpError, Message, refusal};
+use crate::http::{Head, HttpError, Message};
 use crate::query_request::QueryRequest;
 
 const MAX_REQUEST_ID_BYTES: usize = 200;
@@ -16,27 +16,32 @@
 const SHARE_ROUNDING_TOLERANCE: f64 = 0.002;
 
 impl Downstream {
-    /// The query of a request whose first byte arrived at `began`; `None` for a readiness check that is answered with 200.
-    pub(super) fn validate(&self, message: &Message, began: f64) -> Result<Option<QueryRequest>, HttpError> {
+    /// The query of a request whose first byte arrived at `received_at`; `None` for a readiness check that is answered with 200.
+    pub(super) fn validate(
+        &self,
+        message: &Message,
+        received_at: f64,
+    ) -> Result<Option<QueryRequest>, HttpError> {
         let head = &message.head;
         let path = head.path.split('?').next().unwrap_or_default();
         if path == "/ready" {
             return match (head.method.as_str(), self.has_endpoints && !self.is_draining) {
                 ("GET", true) => Ok(None),
-                ("GET", false) => Err(refusal(503, "not ready")),
-                _ => Err(refusal(405, "/ready: only GET")),
+                ("GET", false) => Err(HttpError::new(503, "not ready")),
+                _ => Err(HttpError::new(405, "/ready: only GET")),
             };
         }
-        let table_type = self.query_class_in_path(head)?;
+        let query_class = self.query_class_in_path(head)?;
         let body = dunepond_config::parse_json(message.body_bytes())
-            .map_err(|e| refusal(400, format!("body: {e}")))?;
+            .map_err(|e| HttpError::new(400, format!("body: {e}")))?;
         let text = body.get("body").and_then(Value::as_str);
-        let text = text.ok_or_else(|| refusal(400, "body: not a text"))?;
+        let text = text.ok_or_else(|| HttpError::new(400, "body: not a text"))?;
         let segments = body.get("buckets").and_then(Value::as_array).filter(|b| !b.is_empty());
-        let segments = segments.ok_or_else(|| refusal(400, "buckets: not a list of parts"))?;
+        let segments = segments.ok_or_else(|| HttpError::new(400, "buckets: not a list of parts"))?;
         let of = |b: &Value| (b.get("bucket").and_then(Value::as_u64), b.get("part").and_then(Value::as_f64));
         let parts = parts(segments.iter().map(of), "buckets", &self.bounds)?;
-        query_request(head, table_type, began, parts, Payload::Inline(text.into()), &self.bounds).map(Some)
+        query_request(head, query_class, received_at, parts, Payload::Inline(text.into()), &self.bounds)
+            .map(Some)
     }
 
     /// The query class in the path, if the method and the class header agree with it.
@@ -44,26 +49,28 @@
         let path = head.path.split('?').next().unwrap_or_default();
         let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
         let index = |name: &str| self.bounds.query_classes.iter().position(|t| t == name);
-        let table_type = index(first).ok_or_else(|| refusal(404, "path: nothing is served here"))?;
+        let query_class = index(first).ok_or_else(|| HttpError::new(404, "path: nothing is served here"))?;
         if head.method != "POST" {
-            return Err(refusal(405, "path: only POST"));
+            return Err(HttpError::new(405, "path: only POST"));
         }
-        if !head.query_class.is_empty() && index(&head.query_class) != Some(table_type) {
-            return Err(refusal(400, "X-Call-Class: not the table type in the path"));
+        if !head.query_class.is_empty() && index(&head.query_class) != Some(query_class) {
+            return Err(HttpError::new(400, "X-Call-Class: not the table type in the path"));
         }
-        Ok(table_type)
+        Ok(query_class)
     }
 
     /// A streamed query: its parts in `X-Buckets: 3=0.5,9=0.5`, checked as strictly as those of a JSON body.
-    pub(super) fn validate_streamed(&self, head: &Head, began: f64) -> Result<QueryRequest, HttpError> {
-        let table_type = self.query_class_in_path(head)?;
+    pub(super) fn validate_streamed(&self, head: &Head, received_at: f64) -> Result<QueryRequest, HttpError> {
+        let query_class = self.query_class_in_path(head)?;
         let plain = |text: &str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
         let of = |entry: &str| match entry.split_once('=') {
-            Some((seg, weight)) if plain(seg) && plain(weight) => (seg.parse().ok(), weight.parse().ok()),
+            Some((segment, weight)) if plain(segment) && plain(weight) => {
+                (segment.parse().ok(), weight.parse().ok())
+            }
             _ => (None, None),
         };
         let parts = parts(head.segments.split(',').map(of), "X-Buckets", &self.bounds)?;
-        query_request(head, table_type, began, parts, Payload::Released, &self.bounds)
+        query_request(head, query_class, received_at, parts, Payload::Released, &self.bounds)
     }
 }
 
@@ -73,17 +80,17 @@
     from: &str,
     bounds: &HostSettings,
 ) -> Result<Vec<Part>, HttpError> {
-    let bad = |field: &str, why: &str| refusal(400, format!("{from}{field}: {why}"));
+    let bad = |field: &str, why: &str| HttpError::new(400, format!("{from}{field}: {why}"));
     let (bucket, share) = if from == "buckets" { (".bucket", ".part") } else { ("", "") };
     let (mut parts, mut seen) = (Vec::with_capacity(entries.size_hint().0), BTreeSet::new());
-    for (seg, weight) in entries {
-        let seg = seg.filter(|seg| *seg < bounds.segment_count as u64);
-        let seg = seg.ok_or_else(|| bad(bucket, "no such shard"))? as usize;
-        if !seen.insert(seg) {
-            return Err(bad(bucket, &format!("{seg} is named twice")));
+    for (segment, weight) in entries {
+        let segment = segment.filter(|segment| *segment < bounds.segment_count as u64);
+        let segment = segment.ok_or_else(|| bad(bucket, "no such shard"))? as usize;
+        if !seen.insert(segment) {
+            return Err(bad(bucket, &format!("{segment} is named twice")));
         }
         let weight = weight.filter(|w| (0.0..=1.0).contains(w)).ok_or_else(|| bad(share, "not a share"))?;
-        parts.push(Part { segment: seg, weight, required_node: None });
+        parts.push(Part { segment, weight, required_node: None });
     }
     // Each weight may be rounded. Further off, the configured shares of an answer would lose their meaning.
     if (parts.iter().map(|p| p.weight).sum::<f64>() - 1.0).abs()
@@ -97,13 +104,13 @@
 /// Builds a query from its parts and the fields of the request's head.
 fn query_request(
     head: &Head,
-    table_type: usize,
-    began: f64,
+    query_class: usize,
+    received_at: f64,
     parts: Vec<Part>,
     text: Payload,
     bounds: &HostSettings,
 ) -> Result<QueryRequest, HttpError> {
-    let bad = |why: &str| refusal(400, why);
+    let bad = |why: &str| HttpError::new(400, why);
     let id = &head.request_id;
     if id.is_empty() || id.len() > MAX_REQUEST_ID_BYTES || !id.bytes().all(|b| b.is_ascii_graphic()) {
         return Err(bad("X-Call-Id: missing, too long or not in plain characters"));
@@ -116,12 +123,12 @@
         return Err(bad("X-Budget: spent"));
     }
     // An unlisted tenant has the index behind the listed ones.
-    let customer = bounds.tenants.iter().position(|c| *c == head.tenant);
+    let tenant = bounds.tenants.iter().position(|c| *c == head.tenant);
     Ok(QueryRequest {
         request_id: id.clone(),
-        query_class: table_type,
-        tenant: customer.unwrap_or(bounds.tenants.len()),
-        deadline: began + time_budget,
+        query_class,
+        tenant: tenant.unwrap_or(bounds.tenants.len()),
+        deadline: received_at + time_budget,
         is_retry: head.is_retry,
         parts,
         payload: text,
--- a/crates/dunepond-broker/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -77,9 +77,9 @@
 }
 
 /// A prefilter request: which of these segments can match a query.
-pub fn encode_prefilter_request(id: u64, text: &str, segs: &[SegmentIndex]) -> Vec<u8> {
-    let segs: Vec<_> = segs.iter().map(SegmentIndex::to_string).collect();
-    encode_frame(b'P', format!("{id} {} {}\n{text}", text.len(), segs.join(",")).as_bytes())
+pub fn encode_prefilter_request(id: u64, text: &str, segments: &[SegmentIndex]) -> Vec<u8> {
+    let segments: Vec<_> = segments.iter().map(SegmentIndex::to_string).collect();
+    encode_frame(b'P', format!("{id} {} {}\n{text}", text.len(), segments.join(",")).as_bytes())
 }
 
 /// The version that was searched and whether anything was found, if the report of an attempt has both.
--- a/crates/dunepond-broker/src/http.rs
+++ b/crates/dunepond-broker/src/http.rs
@@ -17,14 +17,16 @@
     pub reason: String,
 }
 
-/// An error with a status and the reason for it.
-pub fn refusal(status: u16, why: impl Into<String>) -> HttpError {
-    HttpError { status, reason: why.into() }
+impl HttpError {
+    /// An error with a status and the reason for it.
+    pub fn new(status: u16, reason: impl Into<String>) -> Self {
+        Self { status, reason: reason.into() }
+    }
 }
 
 /// The rejection of a body that is longer than a buffer and not streamed.
 pub fn body_too_long() -> HttpError {
-    refusal(413, "body: over 64 KiB")
+    HttpError::new(413, "body: over 64 KiB")
 }
 
 #[cfg(test)]
--- a/crates/dunepond-broker/src/http/encode.rs
+++ b/crates/dunepond-broker/src/http/encode.rs
@@ -2,8 +2,8 @@
 
 use std::io::Write;
 
-/// A whole response; `wait` in seconds becomes `Retry-After` if it is above 0.
-pub fn encode_response(status: u16, body: &str, wait: f64, keep: bool) -> Vec<u8> {
+/// A whole response; `retry_after` in seconds becomes `Retry-After` if it is above 0.
+pub fn encode_response(status: u16, body: &str, retry_after: f64, keep: bool) -> Vec<u8> {
     let words = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -22,8 +22,8 @@
     let mut out = Vec::with_capacity(160 + body.len());
     let length = body.len();
     let _ = write!(out, "HTTP/1.1 {status} {words}\r\nContent-Type: application/json\r\n");
-    if wait > 0.0 {
-        let _ = write!(out, "Retry-After: {wait:.3}\r\n");
+    if retry_after > 0.0 {
+        let _ = write!(out, "Retry-After: {retry_after:.3}\r\n");
     }
     if !keep {
         let _ = write!(out, "Connection: close\r\n");
--- a/crates/dunepond-broker/src/http/head.rs
+++ b/crates/dunepond-broker/src/http/head.rs
@@ -1,6 +1,6 @@
 //! Heads of requests and responses.
 
-use super::{HttpError, body_too_long, refusal};
+use super::{HttpError, body_too_long};
 use crate::buffers::{BUFFER_BYTES, Buffer};
 
 /// Longest head, including the start line.
@@ -52,7 +52,7 @@
 fn content_length(value: &str) -> Result<usize, HttpError> {
     let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
     let count = value.parse::<usize>().ok().filter(|_| digits);
-    count.ok_or_else(|| refusal(400, "Content-Length: not a length"))
+    count.ok_or_else(|| HttpError::new(400, "Content-Length: not a length"))
 }
 
 /// Whether a Connection header keeps the connection open; `None` if it names neither option.
@@ -66,7 +66,7 @@
 fn framing(chunked: bool, length: Option<usize>, head: &Head) -> Result<Framing, HttpError> {
     match (chunked, length) {
         // Guards against request smuggling.
-        (true, Some(_)) => Err(refusal(400, "Content-Length: given beside Transfer-Encoding")),
+        (true, Some(_)) => Err(HttpError::new(400, "Content-Length: given beside Transfer-Encoding")),
         (true, None) => Ok(Framing::ChunkSize),
         // The length of a streamed body is bounded by the body store.
         (false, Some(length)) if length > BUFFER_BYTES && head.segments.is_empty() => Err(body_too_long()),
@@ -75,8 +75,12 @@
     }
 }
 
-/// Reads the headers that either side needs; `unstated` is the framing without a length.
-fn parse_headers(headers: &[httparse::Header], version: u8, unstated: Framing) -> Result<Head, HttpError> {
+/// Reads the headers that either side needs; `default_framing` is the framing without a length.
+fn parse_headers(
+    headers: &[httparse::Header],
+    version: u8,
+    default_framing: Framing,
+) -> Result<Head, HttpError> {
     let mut head = Head {
         method: String::new(),
         path: String::new(),
@@ -89,26 +93,26 @@
         segments: String::new(),
         keep_alive: version == 1,
         expects_continue: false,
-        framing: unstated,
+        framing: default_framing,
     };
     let mut length = None;
     let mut chunked = false;
     for header in headers {
         let text = || {
             let text = std::str::from_utf8(header.value).map_err(|_| format!("{}: not UTF-8", header.name));
-            text.map(|t| t.trim().to_string()).map_err(|why| refusal(400, why))
+            text.map(|t| t.trim().to_string()).map_err(|reason| HttpError::new(400, reason))
         };
         match header.name.to_ascii_lowercase().as_str() {
             "content-length" => {
                 let stated = content_length(&text()?)?;
                 if length.is_some_and(|before| before != stated) {
-                    return Err(refusal(400, "Content-Length: given twice"));
+                    return Err(HttpError::new(400, "Content-Length: given twice"));
                 }
                 length = Some(stated);
             }
             "transfer-encoding" => {
                 if !text()?.eq_ignore_ascii_case("chunked") {
-                    return Err(refusal(501, "Transfer-Encoding: only chunked is known"));
+                    return Err(HttpError::new(501, "Transfer-Encoding: only chunked is known"));
                 }
                 chunked = true;
             }
@@ -121,7 +125,7 @@
             "x-caller" => head.tenant = text()?,
             "x-buckets" => {
                 if !head.segments.is_empty() {
-                    return Err(refusal(400, "X-Buckets: given twice"));
+                    return Err(HttpError::new(400, "X-Buckets: given twice"));
                 }
                 head.segments = text()?;
             }
@@ -142,7 +146,11 @@
 }
 
 fn incomplete_head(input: &Buffer) -> Result<Option<Head>, HttpError> {
-    if input.filled().len() > MAX_HEAD_BYTES { Err(refusal(431, "head: over 16 KiB")) } else { Ok(None) }
+    if input.filled().len() > MAX_HEAD_BYTES {
+        Err(HttpError::new(431, "head: over 16 KiB"))
+    } else {
+        Ok(None)
+    }
 }
 
 /// Parses a request's head out of `input`; `None` until all of it has arrived.
@@ -150,7 +158,7 @@
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_COUNT];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(input.filled()) {
-        Err(e) => Err(refusal(400, format!("head: {e}"))),
+        Err(e) => Err(HttpError::new(400, format!("head: {e}"))),
         Ok(httparse::Status::Partial) => incomplete_head(input),
         Ok(httparse::Status::Complete(used)) => {
             let mut head = parse_headers(request.headers, request.version.unwrap_or(0), Framing::Length(0))?;
@@ -167,13 +175,13 @@
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_COUNT];
     let mut response = httparse::Response::new(&mut headers);
     match response.parse(input.filled()) {
-        Err(e) => Err(refusal(400, format!("head: {e}"))),
+        Err(e) => Err(HttpError::new(400, format!("head: {e}"))),
         Ok(httparse::Status::Partial) => incomplete_head(input),
         Ok(httparse::Status::Complete(used)) => {
             let status = response.code.unwrap_or(0);
             let bare = matches!(status, 100..=199 | 204 | 304);
-            let unstated = if bare { Framing::Done } else { Framing::UntilClose };
-            let mut head = parse_headers(response.headers, response.version.unwrap_or(0), unstated)?;
+            let default_framing = if bare { Framing::Done } else { Framing::UntilClose };
+            let mut head = parse_headers(response.headers, response.version.unwrap_or(0), default_framing)?;
             head.status = status;
             input.consume(used);
             Ok(Some(head))
--- a/crates/dunepond-broker/src/http/message.rs
+++ b/crates/dunepond-broker/src/http/message.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use super::head::{Framing, Head, MAX_HEAD_BYTES};
-use super::{HttpError, body_too_long, refusal};
+use super::{HttpError, body_too_long};
 use crate::body::Body;
 use crate::buffers::{BUFFER_BYTES, Buffer, Pool};
 
@@ -54,7 +54,7 @@
                     moved => Framing::Chunk(left - moved),
                 },
                 Framing::ChunkSize => match httparse::parse_chunk_size(input.filled()) {
-                    Err(_) => return Err(refusal(400, "body: not a chunk")),
+                    Err(_) => return Err(HttpError::new(400, "body: not a chunk")),
                     Ok(httparse::Status::Partial) => return self.await_more(input),
                     Ok(httparse::Status::Complete((used, size))) => {
                         input.consume(used);
@@ -73,7 +73,7 @@
                         Framing::ChunkSize
                     }
                     [] | [b'\r'] => return Ok(false),
-                    _ => return Err(refusal(400, "body: a chunk longer than it says")),
+                    _ => return Err(HttpError::new(400, "body: a chunk longer than it says")),
                 },
                 Framing::Trailer => match input.filled().windows(2).position(|w| w == b"\r\n") {
                     None => return self.await_more(input),
@@ -98,7 +98,7 @@
     /// A chunk's size or a trailer is incomplete; bounds how long it may get.
     fn await_more(&self, input: &Buffer) -> Result<bool, HttpError> {
         if input.filled().len() > MAX_HEAD_BYTES {
-            Err(refusal(400, "body: a chunk without an end"))
+            Err(HttpError::new(400, "body: a chunk without an end"))
         } else {
             Ok(false)
         }
--- a/crates/dunepond-broker/src/prefilter.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -1,4 +1,4 @@
-//! The prefilter phase of queries: carries out the orders of `dunepond-prefilter`, and reports answers to it.
+//! The prefilter phase of queries: carries out the actions of `dunepond-prefilter`, and reports answers to it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{BuildHasher, RandomState};
@@ -23,8 +23,8 @@
 struct RouterView<'a>(&'a Router);
 
 impl NodeView for RouterView<'_> {
-    fn replicas(&self, seg: SegmentIndex) -> Vec<NodeId> {
-        self.0.prefilter_candidates(seg).collect()
+    fn replicas(&self, segment: SegmentIndex) -> Vec<NodeId> {
+        self.0.prefilter_candidates(segment).collect()
     }
 
     fn outstanding(&self, node: NodeId) -> usize {
@@ -48,7 +48,7 @@
 #[derive(Clone)]
 struct AuditText {
     key: QueryKey,
-    table_type: usize,
+    query_class: usize,
     text: Rc<str>,
 }
 
@@ -69,11 +69,11 @@
 
 impl PrefilterHost {
     /// Without any state.
-    pub fn new(terms: PrefilterConfig, site: &Deployment) -> Self {
+    pub fn new(config: PrefilterConfig, site: &Deployment) -> Self {
         let repeats =
             site.query_classes.iter().map(|t| (t.idempotency == Idempotency::Idempotent, t.complete_at));
         Self {
-            prefilter: Prefilter::new(terms, site.seed),
+            prefilter: Prefilter::new(config, site.seed),
             hashes: RandomState::new(),
             class_rules: repeats.collect(),
             queries: HashMap::new(),
@@ -85,72 +85,73 @@
     }
 
     /// Changes the configuration; learned state stays.
-    pub fn reconfigure(&mut self, terms: PrefilterConfig) {
-        self.prefilter.reconfigure(terms);
+    pub fn reconfigure(&mut self, config: PrefilterConfig) {
+        self.prefilter.reconfigure(config);
     }
 
     /// Starts a query: the router admits it, and only then are prefilter requests collected for it.
     pub fn start_query(&mut self, router: &mut Router, router_host: &mut RouterHost, query: Query) {
-        let Some((text, segs)) = router_host.prefilter_input(query.id) else {
+        let Some((text, segments)) = router_host.prefilter_input(query.id) else {
             return router.on_query(router_host, query);
         };
-        let (replayable, whole_at) = self.class_rules[query.class];
+        let (idempotent, complete_at) = self.class_rules[query.class];
         let key = self.hashes.hash_one((query.class, &*text));
-        let (id, table_type, left) = (query.id, query.class, query.expires_in);
-        let wide = PrefilterQuery {
+        let (id, query_class, time_left) = (query.id, query.class, query.expires_in);
+        let candidate = PrefilterQuery {
             id,
-            query_class: table_type,
+            query_class,
             key,
-            idempotent: replayable,
-            complete_at: whole_at,
-            time_left_seconds: left,
-            segments: segs.clone(),
+            idempotent,
+            complete_at,
+            time_left_seconds: time_left,
+            segments: segments.clone(),
         };
-        if !self.prefilter.is_eligible(&wide) {
+        if !self.prefilter.is_eligible(&candidate) {
             return router.on_query(router_host, query);
         }
-        self.queries.insert(id, KnownQuery { key, query_class: table_type, text, segments: segs });
+        self.queries.insert(id, KnownQuery { key, query_class, text, segments });
         router.on_query(router_host, Query { awaits_prefilter: true, ..query });
         if router_host.is_active(id) {
-            let orders = self.prefilter.open(router_host.now, &RouterView(router), wide);
-            self.execute(router, router_host, orders);
+            let actions = self.prefilter.open(router_host.now, &RouterView(router), candidate);
+            self.execute(router, router_host, actions);
         }
     }
 
-    fn execute(&mut self, router: &mut Router, router_host: &mut RouterHost, orders: Vec<Action>) {
-        for order in orders {
-            match order {
-                Action::Send(question) => {
-                    let Some(known) = self.queries.values().find(|known| known.key == question.key) else {
+    fn execute(&mut self, router: &mut Router, router_host: &mut RouterHost, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Send(request) => {
+                    let Some(known) = self.queries.values().find(|known| known.key == request.key) else {
                         continue;
                     };
                     router_host.send_prefilter_request(
-                        question.node,
-                        question.id,
+                        request.node,
+                        request.id,
                         &known.text,
-                        &question.segments,
+                        &request.segments,
                     );
                 }
-                Action::Search(verdict) => self.start_search(router, router_host, &verdict),
+                Action::Search(plan) => self.start_search(router, router_host, &plan),
             }
         }
     }
 
-    fn start_search(&mut self, router: &mut Router, router_host: &mut RouterHost, verdict: &SearchPlan) {
-        let Some(known) = self.queries.get(&verdict.query) else { return };
-        if !verdict.pruned.is_empty() {
-            debug!("query {}: {} shards pruned by the prefilter", verdict.query, verdict.pruned.len());
+    fn start_search(&mut self, router: &mut Router, router_host: &mut RouterHost, plan: &SearchPlan) {
+        let Some(known) = self.queries.get(&plan.query) else { return };
+        if !plan.pruned.is_empty() {
+            debug!("query {}: {} shards pruned by the prefilter", plan.query, plan.pruned.len());
             self.last_text += 1;
-            let (key, table_type, text) = (known.key, known.query_class, known.text.clone());
-            self.audit_texts.insert(self.last_text, AuditText { key, table_type, text });
+            let (key, query_class, text) = (known.key, known.query_class, known.text.clone());
+            self.audit_texts.insert(self.last_text, AuditText { key, query_class, text });
             while self.audit_texts.len() > MAX_AUDIT_TEXTS {
                 self.audit_texts.pop_first();
             }
         }
-        let place = |left: &PrunedSegment| known.segments.iter().position(|seg| *seg == left.segment);
-        let parts: Vec<_> = verdict.pruned.iter().filter_map(place).collect();
-        router_host.prune(verdict.query, verdict.pruned.clone());
-        router.on_prefilter_result(router_host, verdict.query, &parts);
+        let position =
+            |pruned: &PrunedSegment| known.segments.iter().position(|segment| *segment == pruned.segment);
+        let parts: Vec<_> = plan.pruned.iter().filter_map(position).collect();
+        router_host.prune(plan.query, plan.pruned.clone());
+        router.on_prefilter_result(router_host, plan.query, &parts);
     }
 
     /// A node has answered a prefilter request, or will not.
@@ -158,15 +159,15 @@
         &mut self,
         router: &mut Router,
         router_host: &mut RouterHost,
-        question: u64,
-        words: Result<PrefilterAnswers, dunepond_prefilter::RequestFailure>,
+        request: u64,
+        answers: Result<PrefilterAnswers, dunepond_prefilter::RequestFailure>,
     ) {
-        let fleet = RouterView(router);
-        let orders = match words {
-            Ok(words) => self.prefilter.on_response(router_host.now, &fleet, question, &words),
-            Err(why) => self.prefilter.on_failure(router_host.now, &fleet, question, why),
+        let nodes = RouterView(router);
+        let actions = match answers {
+            Ok(answers) => self.prefilter.on_response(router_host.now, &nodes, request, &answers),
+            Err(why) => self.prefilter.on_failure(router_host.now, &nodes, request, why),
         };
-        self.execute(router, router_host, orders);
+        self.execute(router, router_host, actions);
     }
 
     /// An attempt has ended, before the router learns of it: what it found may confirm or refute answers, and segments that
@@ -175,29 +176,29 @@
         &mut self,
         router: &mut Router,
         router_host: &mut RouterHost,
-        back: &CompletedAttempt,
+        completed: &CompletedAttempt,
     ) {
-        let (query, part) = (back.ended.query, back.ended.part);
-        if let Some((version, found)) = back.search_report {
-            let began = router_host.now - back.ended.elapsed;
+        let (query, part) = (completed.ended.query, completed.ended.part);
+        if let Some((version, found)) = completed.search_report {
+            let began = router_host.now - completed.ended.elapsed;
             let audited = self.audits.get(&query).map(|audit| (audit.key, audit.segment));
             let known = || self.queries.get(&query).map(|known| (known.key, known.segments[part]));
-            if let Some((key, seg)) = audited.or_else(known)
-                && self.prefilter.record_search(began, key, seg, version, found)
+            if let Some((key, segment)) = audited.or_else(known)
+                && self.prefilter.record_search(began, key, segment, version, found)
             {
                 info!(
-                    "node {}: shard {seg} matched although a trusted prefilter answer excluded it",
-                    back.ended.node
+                    "node {}: shard {segment} matched although a trusted prefilter answer excluded it",
+                    completed.ended.node
                 );
             }
         }
         let Some(known) = self.queries.get(&query) else { return };
-        let fallen = self.prefilter.take_revoked(query);
-        if !fallen.is_empty() {
-            debug!("query {query}: {} pruned shards are searched after all", fallen.len());
-            let place = |seg: &SegmentIndex| known.segments.iter().position(|s| s == seg);
-            let parts: Vec<_> = fallen.iter().filter_map(place).collect();
-            router_host.restore_pruned(query, &fallen);
+        let revoked = self.prefilter.take_revoked(query);
+        if !revoked.is_empty() {
+            debug!("query {query}: {} pruned shards are searched after all", revoked.len());
+            let position = |segment: &SegmentIndex| known.segments.iter().position(|s| s == segment);
+            let parts: Vec<_> = revoked.iter().filter_map(position).collect();
+            router_host.restore_pruned(query, &revoked);
             router.on_prefilter_revoked(router_host, query, &parts);
         }
     }
@@ -217,14 +218,14 @@
     /// The prefilter phase of some query is over.
     pub fn on_deadline(&mut self, router: &mut Router, router_host: &mut RouterHost) {
         self.timer = None;
-        let orders = self.prefilter.on_deadline(router_host.now);
-        self.execute(router, router_host, orders);
+        let actions = self.prefilter.on_deadline(router_host.now);
+        self.execute(router, router_host, actions);
     }
 
     /// The end of an iteration: sends the collected requests, and sets the next timer.
     pub fn end_iteration(&mut self, router: &mut Router, router_host: &mut RouterHost) {
-        let orders = self.prefilter.flush(router_host.now);
-        self.execute(router, router_host, orders);
+        let actions = self.prefilter.flush(router_host.now);
+        self.execute(router, router_host, actions);
         let due = self.prefilter.next_deadline();
         if due != self.timer.map(|timer| timer.0) {
             router_host.timers.cancel(self.timer.map(|timer| timer.1));
@@ -242,7 +243,8 @@
         if let Some(audit) = self.prefilter.audit(&RouterView(router)) {
             let pruned = self.audit_texts.values().rev().find(|pruned| pruned.key == audit.key).cloned();
             if let Some(pruned) = pruned
-                && let Some(query) = router_host.register_audit(pruned.table_type, audit.segment, pruned.text)
+                && let Some(query) =
+                    router_host.register_audit(pruned.query_class, audit.segment, pruned.text)
             {
                 self.audits.insert(query.id, audit);
                 router.on_query(router_host, query);
@@ -262,7 +264,7 @@
             left_out = counts.pruned,
             audits = counts.audits,
             lies = counts.false_denials,
-            fallen = counts.revoked,
+            revoked = counts.revoked,
             doubted = self.prefilter.distrusted_nodes(),
             resting = self.prefilter.nodes_in_backoff(now),
             "two-phase counters"
--- a/crates/dunepond-broker/src/prefilter_connections.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -55,7 +55,7 @@
 }
 
 impl PrefilterConnections {
-    /// No connections yet; `most` bounds them.
+    /// No connections yet; `max_connections` bounds them.
     pub fn new(
         handle: EventLoopHandle,
         pool: &Pool,
@@ -72,32 +72,32 @@
         &mut self,
         now: f64,
         node: NodeId,
-        dial: SocketAddr,
-        question: u64,
+        address: SocketAddr,
+        request: u64,
         frame: &[u8],
         timers: &mut Timers,
     ) {
         let id = match self.by_node.get(&node) {
             Some(id) => *id,
-            None => match self.connect(now, node, dial, timers) {
+            None => match self.connect(now, node, address, timers) {
                 Ok(id) => id,
                 Err(ending) => {
                     debug!("node {node}: prefilter connection {ending}");
-                    return self.responses.push_back((question, Err(RequestFailure::NoConnection)));
+                    return self.responses.push_back((request, Err(RequestFailure::NoConnection)));
                 }
             },
         };
-        let link = &mut self.connections[id];
-        if link.output.pending_bytes() > MAX_QUEUED_BYTES {
-            return self.responses.push_back((question, Err(RequestFailure::Timeout)));
+        let connection = &mut self.connections[id];
+        if connection.output.pending_bytes() > MAX_QUEUED_BYTES {
+            return self.responses.push_back((request, Err(RequestFailure::Timeout)));
         }
-        link.output.queue_bytes(frame);
-        if link.outstanding.is_empty() && link.connected {
-            timers.cancel(link.timer.take());
-            link.timer =
+        connection.output.queue_bytes(frame);
+        if connection.outstanding.is_empty() && connection.connected {
+            timers.cancel(connection.timer.take());
+            connection.timer =
                 Some(timers.schedule(now + ANSWER_TIMEOUT_SECONDS, TimerEvent::PrefilterConnection(id)));
         }
-        link.outstanding.push_back((question, now));
+        connection.outstanding.push_back((request, now));
         self.write(id, timers);
     }
 
@@ -105,13 +105,13 @@
         &mut self,
         now: f64,
         node: NodeId,
-        dial: SocketAddr,
+        address: SocketAddr,
         timers: &mut Timers,
     ) -> Result<usize, ConnectionEnd> {
         if self.connections.len() >= self.max_connections {
             return Err(ConnectionEnd::LocalResources);
         }
-        let stream = Rc::new(open(dial)?);
+        let stream = Rc::new(open(address)?);
         let entry = self.connections.vacant_entry();
         let id = entry.key();
         let token = watch(&self.handle, &stream, move |readable| LoopEvent::PrefilterReady(id, readable));
@@ -135,16 +135,16 @@
 
     /// A readiness event: the connection is readable or writable, established, or failed.
     pub fn on_ready(&mut self, now: f64, id: usize, readable: bool, timers: &mut Timers) {
-        let Some(link) = self.connections.get_mut(id) else { return };
-        if !link.connected {
-            match link.stream.take_error() {
-                Ok(None) if link.stream.peer_addr().is_ok() => {}
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        if !connection.connected {
+            match connection.stream.take_error() {
+                Ok(None) if connection.stream.peer_addr().is_ok() => {}
                 Ok(None) => return,
                 Ok(Some(e)) | Err(e) => return self.close(id, ConnectionEnd::from_io_error(&e), timers),
             }
-            link.connected = true;
-            timers.cancel(link.timer.take());
-            link.timer =
+            connection.connected = true;
+            timers.cancel(connection.timer.take());
+            connection.timer =
                 Some(timers.schedule(now + ANSWER_TIMEOUT_SECONDS, TimerEvent::PrefilterConnection(id)));
         }
         if readable {
@@ -154,23 +154,25 @@
     }
 
     fn write(&mut self, id: usize, timers: &mut Timers) {
-        let Some(link) = self.connections.get_mut(id).filter(|link| link.connected) else { return };
-        if let Err(e) = link.output.flush(&*link.stream) {
+        let Some(connection) = self.connections.get_mut(id).filter(|connection| connection.connected) else {
+            return;
+        };
+        if let Err(e) = connection.output.flush(&*connection.stream) {
             self.close(id, ConnectionEnd::from_io_error(&e), timers);
         }
     }
 
     fn read(&mut self, now: f64, id: usize, timers: &mut Timers) {
         loop {
-            let link = &mut self.connections[id];
-            let input = link.input.get_or_insert_with(|| self.pool.acquire());
-            let ending = match input.read_from(&*link.stream) {
+            let connection = &mut self.connections[id];
+            let input = connection.input.get_or_insert_with(|| self.pool.acquire());
+            let ending = match input.read_from(&*connection.stream) {
                 Ok(0) => Some(ConnectionEnd::Closed),
                 Ok(_) => self.receive_frames(now, id),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => None,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     if input.is_empty() {
-                        link.input = None;
+                        connection.input = None;
                     }
                     break;
                 }
@@ -181,51 +183,51 @@
             }
         }
         // The oldest request times out from when it was queued; without any the connection is idle.
-        let link = &mut self.connections[id];
-        timers.cancel(link.timer.take());
-        let until = match link.outstanding.front() {
+        let connection = &mut self.connections[id];
+        timers.cancel(connection.timer.take());
+        let until = match connection.outstanding.front() {
             Some((_, at)) => at + ANSWER_TIMEOUT_SECONDS,
             None => now + IDLE_CLOSE_RATIO * self.bounds.idle_timeout_seconds,
         };
-        link.timer = Some(timers.schedule(until, TimerEvent::PrefilterConnection(id)));
+        connection.timer = Some(timers.schedule(until, TimerEvent::PrefilterConnection(id)));
     }
 
     /// Handles each complete frame that has arrived.
     fn receive_frames(&mut self, now: f64, id: usize) -> Option<ConnectionEnd> {
         loop {
-            let link = &mut self.connections[id];
-            let input = link.input.as_mut()?;
-            let (used, question, words) = match frames::decode_frame(input.filled()) {
+            let connection = &mut self.connections[id];
+            let input = connection.input.as_mut()?;
+            let (used, request, answers) = match frames::decode_frame(input.filled()) {
                 Ok(None) => return None,
-                Ok(Some((NodeFrame::PrefilterAnswers { request: question, answers: words }, used))) => {
-                    (used, question, words)
+                Ok(Some((NodeFrame::PrefilterAnswers { request, answers }, used))) => {
+                    (used, request, answers)
                 }
                 Ok(Some((NodeFrame::Rejected(why), _))) => {
-                    debug!("node {}: {}", link.node, why.escape_debug());
+                    debug!("node {}: {}", connection.node, why.escape_debug());
                     return Some(ConnectionEnd::RejectedByPeer);
                 }
                 Ok(Some((NodeFrame::AttemptEnded { .. }, _))) => {
-                    warn!("node {}: an E frame on a prefilter connection", link.node);
+                    warn!("node {}: an E frame on a prefilter connection", connection.node);
                     return Some(ConnectionEnd::ProtocolError);
                 }
                 Err(why) => {
-                    warn!("node {}: on a prefilter connection: {why}", link.node);
+                    warn!("node {}: on a prefilter connection: {why}", connection.node);
                     return Some(ConnectionEnd::ProtocolError);
                 }
             };
             input.consume(used);
-            match link.outstanding.iter().position(|(asked, _)| *asked == question) {
+            match connection.outstanding.iter().position(|(queued_at, _)| *queued_at == request) {
                 Some(at) => {
-                    let (_, asked) = link.outstanding.remove(at)?;
+                    let (_, queued_at) = connection.outstanding.remove(at)?;
                     debug!(
-                        "node {}: prefilter request {question} answered after {:.4} s",
-                        link.node,
-                        now - asked
+                        "node {}: prefilter request {request} answered after {:.4} s",
+                        connection.node,
+                        now - queued_at
                     );
-                    self.responses.push_back((question, Ok(words)));
+                    self.responses.push_back((request, Ok(answers)));
                 }
                 None => {
-                    warn!("node {}: an answer to an unknown prefilter request", link.node);
+                    warn!("node {}: an answer to an unknown prefilter request", connection.node);
                     return Some(ConnectionEnd::ProtocolError);
                 }
             }
@@ -234,9 +236,9 @@
 
     /// A connection's timer has fired: it did not connect, did not answer, or was idle.
     pub fn on_timeout(&mut self, id: usize, timers: &mut Timers) {
-        let Some(link) = self.connections.get_mut(id) else { return };
-        link.timer = None;
-        let ending = match (link.connected, link.outstanding.is_empty()) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        connection.timer = None;
+        let ending = match (connection.connected, connection.outstanding.is_empty()) {
             (false, _) => ConnectionEnd::ConnectTimeout,
             (true, true) => ConnectionEnd::IdleClosed,
             (true, false) => ConnectionEnd::IoTimeout,
@@ -253,16 +255,16 @@
 
     /// The one place where a connection is closed; its requests have no answer.
     fn close(&mut self, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
-        let Some(link) = self.connections.try_remove(id) else { return };
-        timers.cancel(link.timer);
-        self.by_node.remove(&link.node);
-        self.handle.remove(link.token);
+        let Some(connection) = self.connections.try_remove(id) else { return };
+        timers.cancel(connection.timer);
+        self.by_node.remove(&connection.node);
+        self.handle.remove(connection.token);
         debug!(
             "node {}: prefilter connection {ending}, {} requests outstanding",
-            link.node,
-            link.outstanding.len()
+            connection.node,
+            connection.outstanding.len()
         );
         let why = ending.request_failure();
-        self.responses.extend(link.outstanding.iter().map(|(question, _)| (*question, Err(why))));
+        self.responses.extend(connection.outstanding.iter().map(|(request, _)| (*request, Err(why))));
     }
 }
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -8,7 +8,7 @@
 use super::RouterHost;
 use crate::body::{Body, Payload};
 use crate::clock::TimerEvent;
-use crate::http::{Head, HttpError, refusal};
+use crate::http::{Head, HttpError};
 use crate::query_request::QueryRequest;
 
 impl RouterHost {
@@ -38,17 +38,17 @@
     }
 
     fn reject_body(&mut self, client: usize, reason: FallbackReason) {
-        let (refusal, wait) = self.body_error(reason);
-        self.downstream.refuse(self.now, client, refusal, wait, &mut self.timers);
+        let (error, retry_after) = self.body_error(reason);
+        self.downstream.refuse(self.now, client, error, retry_after, &mut self.timers);
     }
 
     /// The response and Retry-After (seconds) for a rejected body. A body that is too long is not retriable.
     fn body_error(&self, reason: FallbackReason) -> (HttpError, f64) {
         match reason {
             FallbackReason::TooLong | FallbackReason::LengthUnknown => {
-                (refusal(413, format!("body: {reason}")), 0.0)
+                (HttpError::new(413, format!("body: {reason}")), 0.0)
             }
-            _ => (refusal(503, format!("body: {reason}")), self.max_retry_after),
+            _ => (HttpError::new(503, format!("body: {reason}")), self.max_retry_after),
         }
     }
 
@@ -71,8 +71,8 @@
     /// A body was lost. While it is being uploaded its client is refused; afterwards its query is returned.
     pub fn on_body_lost(&mut self, body: BodyId, reason: FallbackReason) -> Option<QueryId> {
         if let Some(client) = self.uploads.remove(&body) {
-            let (refusal, wait) = self.body_error(reason);
-            self.downstream.fail_body(self.now, client, body, refusal, wait, &mut self.timers);
+            let (error, retry_after) = self.body_error(reason);
+            self.downstream.fail_body(self.now, client, body, error, retry_after, &mut self.timers);
         }
         let (query, active) =
             self.queries.iter_mut().find(|(_, s)| s.body == Some(body) && !s.is_finished)?;
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -60,16 +60,21 @@
         Self { limits, bounds, query_classes: types.collect() }
     }
 
-    /// Parses a request whose first byte arrived at `came`. Non-idempotent query classes are updated and not searched, all
+    /// Parses a request whose first byte arrived at `received_at`. Non-idempotent query classes are updated and not searched, all
     /// others are searched and not updated.
-    pub fn parse_request(&self, head: &Head, body: &[u8], came: f64) -> Result<SearchRequest, ApiError> {
+    pub fn parse_request(
+        &self,
+        head: &Head,
+        body: &[u8],
+        received_at: f64,
+    ) -> Result<SearchRequest, ApiError> {
         let call = parse(&head.method, &head.path, body, &self.bounds.query_classes, &self.limits)?;
         let call = self.check_use(call)?;
-        let customer = self.bounds.tenants.iter().position(|c| *c == head.tenant);
+        let tenant = self.bounds.tenants.iter().position(|c| *c == head.tenant);
         let is_plain = head.request_id.bytes().all(|b| b.is_ascii_graphic());
         Ok(SearchRequest {
             call,
-            tenant: customer.unwrap_or(self.bounds.tenants.len()),
+            tenant: tenant.unwrap_or(self.bounds.tenants.len()),
             is_retry: head.is_retry,
             request_id: if is_plain {
                 head.request_id.chars().take(MAX_REQUEST_ID_CHARS).collect()
@@ -77,7 +82,7 @@
                 String::new()
             },
             time_budget: time_budget(&head.time_budget)?,
-            received_at: came,
+            received_at,
         })
     }
 
@@ -134,17 +139,20 @@
         request: &SearchRequest,
         request_id: String,
     ) -> QueryRequest {
-        let segs = routing::segments_of(&search.routing, self.bounds.segment_count);
-        let weight = 1.0 / segs.len().max(1) as f64;
-        let wait =
+        let segments = routing::segments_of(&search.routing, self.bounds.segment_count);
+        let weight = 1.0 / segments.len().max(1) as f64;
+        let limits_seconds =
             [search.timeout_seconds, request.time_budget, Some(self.query_classes[search.index].timeout)];
         QueryRequest {
             request_id,
             query_class: search.index,
             tenant: request.tenant,
-            deadline: request.received_at + wait.into_iter().flatten().fold(f64::MAX, f64::min),
+            deadline: request.received_at + limits_seconds.into_iter().flatten().fold(f64::MAX, f64::min),
             is_retry: request.is_retry,
-            parts: segs.into_iter().map(|seg| Part { segment: seg, weight, required_node: None }).collect(),
+            parts: segments
+                .into_iter()
+                .map(|segment| Part { segment, weight, required_node: None })
+                .collect(),
             payload: Payload::Inline(search.node_request_body().into()),
         }
     }
@@ -188,21 +196,21 @@
 }
 
 impl ActiveSearch {
-    /// A search without results yet, which began at `began`.
+    /// A search without results yet, which began at `started_at`.
     pub fn new(
-        door: &SearchApi,
+        api: &SearchApi,
         request: u64,
         position: usize,
         search: &Search,
         call: &ApiRequest,
         started_at: f64,
     ) -> Self {
-        let most = search.result_window();
+        let max_hits = search.result_window();
         Self {
             request,
             position,
-            index: door.index_name(search.index).to_string(),
-            merge: HitMerger::new(&search.sort, most),
+            index: api.index_name(search.index).to_string(),
+            merge: HitMerger::new(&search.sort, max_hits),
             search: search.clone(),
             is_update: matches!(call, ApiRequest::Update(_)),
             updated: 0,
@@ -218,7 +226,7 @@
     }
 
     /// Merges the value of a part.
-    pub fn record_value(&mut self, seg: usize, value: &str) -> Result<(), ValueError> {
+    pub fn record_value(&mut self, segment: usize, value: &str) -> Result<(), ValueError> {
         let expected = ExpectedResult {
             index: &self.index,
             max_hits: self.search.result_window(),
@@ -226,44 +234,46 @@
             total_untracked: self.search.track_total_hits == TrackTotalHits::No,
         };
         match read_response(200, value.as_bytes(), (!self.is_update).then_some(&expected)) {
-            NodeOutcome::Found(found) => self.merge.add(seg, *found),
+            NodeOutcome::Found(found) => self.merge.add(segment, *found),
             NodeOutcome::Updated(count) => self.updated = self.updated.saturating_add(count),
             NodeOutcome::Rejected => return Err(ValueError::Rejected),
             NodeOutcome::Failed(why) => {
-                self.failures.insert(seg, why.clone());
+                self.failures.insert(segment, why.clone());
                 return Err(ValueError::Failed(why));
             }
         }
         Ok(())
     }
 
-    /// The response from the parts that were served. `segs` are all segments, with whether each was served; `left_out` those that
+    /// The response from the parts that were served. `segments` are all segments, with whether each was served; `pruned` those that
     /// were pruned.
     pub fn response(
         &mut self,
         now: f64,
-        whole: bool,
-        segs: &[(usize, bool)],
-        left_out: &[usize],
+        is_complete: bool,
+        segments: &[(usize, bool)],
+        pruned: &[usize],
     ) -> Result<ResponseBody, ApiError> {
         let took = ((now - self.started_at).max(0.0) * 1000.0) as u64;
         if self.is_update {
-            return if whole {
+            return if is_complete {
                 Ok(response::update_response(took, self.updated))
             } else {
                 Err(ApiError::unknown_outcome())
             };
         }
-        let missing = segs.iter().filter(|(seg, is_in)| !is_in && !left_out.contains(seg));
-        let why = |seg: &usize| {
-            self.failures.get(seg).map_or("not in by the answer's time", String::as_str).to_string()
+        let missing = segments.iter().filter(|(segment, is_in)| !is_in && !pruned.contains(segment));
+        let why = |segment: &usize| {
+            self.failures.get(segment).map_or("not in by the answer's time", String::as_str).to_string()
         };
         let parts = PartOutcomes {
-            total: segs.len(),
-            successful: segs.iter().filter(|(_, is_in)| *is_in).count(),
-            skipped: left_out.len(),
-            missing: missing.map(|(seg, _)| MissingPart { segment: *seg, reason: why(seg) }).collect(),
-            timed_out: !whole,
+            total: segments.len(),
+            successful: segments.iter().filter(|(_, is_in)| *is_in).count(),
+            skipped: pruned.len(),
+            missing: missing
+                .map(|(segment, _)| MissingPart { segment: *segment, reason: why(segment) })
+                .collect(),
+            timed_out: !is_complete,
         };
         let merge = std::mem::replace(&mut self.merge, HitMerger::new(&[], 0));
         match self.is_count {
@@ -308,12 +318,12 @@
     pub fn record_outcome(
         &mut self,
         now: f64,
-        place: usize,
+        position: usize,
         outcome: Result<ResponseBody, ApiError>,
-        wait: f64,
+        retry_after: f64,
     ) -> Option<SearchResponse> {
-        self.retry_after = self.retry_after.max(wait);
-        self.outcomes[place].get_or_insert(outcome);
+        self.retry_after = self.retry_after.max(retry_after);
+        self.outcomes[position].get_or_insert(outcome);
         if self.outcomes.iter().any(Option::is_none) {
             return None;
         }
--- a/crates/dunepond-broker/src/upstream/cancel.rs
+++ b/crates/dunepond-broker/src/upstream/cancel.rs
@@ -16,10 +16,10 @@
         now: f64,
         node: NodeId,
         key: AttemptId,
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
         timers: &mut Timers,
     ) {
-        if self.withdraw(now, node, key, end, timers) {
+        if self.withdraw(now, node, key, outcome, timers) {
             return;
         }
         let Some((id, at)) = self.find_outstanding(node, key) else { return };
@@ -29,12 +29,12 @@
         if connection.uses_search_api {
             // The search API has no cancellation: closing the connection aborts its one request.
             self.close(now, id, ConnectionEnd::FrameAborted, timers);
-        } else if end == AttemptOutcome::Cancelled {
+        } else if outcome == AttemptOutcome::Cancelled {
             // An attempt that has timed out needs no cancel frame: its own frame carries its time limit.
             connection.output.queue_bytes(&frames::encode_cancel(&out.request.id));
             self.write(now, id, timers);
         }
-        self.completed.push_back(out.into_completed(node, end, now, None));
+        self.completed.push_back(out.into_completed(node, outcome, now, None));
         self.close_or_keep_idle(now, id, timers);
     }
 
@@ -96,12 +96,12 @@
         now: f64,
         node: NodeId,
         key: AttemptId,
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
         timers: &mut Timers,
     ) -> bool {
         let Some(node_entry) = self.nodes.get_mut(node) else { return false };
         if let Some(at) = node_entry.unframed.iter().position(|p| p.key() == key) {
-            self.completed.push_back(node_entry.unframed.remove(at).completed_unsent(node, end));
+            self.completed.push_back(node_entry.unframed.remove(at).completed_unsent(node, outcome));
             return true;
         }
         let Some((id, at)) = self.find_outstanding(node, key) else { return false };
@@ -111,7 +111,7 @@
             to => to.is_some(),
         };
         let out = if half { connection.finish_request(at) } else { connection.outstanding.remove(at) };
-        self.completed.extend(out.map(|out| out.into_completed(node, end, now, None)));
+        self.completed.extend(out.map(|out| out.into_completed(node, outcome, now, None)));
         if half {
             // A partly written frame cannot be removed from the stream.
             self.close(now, id, ConnectionEnd::FrameAborted, timers);
--- a/crates/dunepond-broker/src/upstream/connection.rs
+++ b/crates/dunepond-broker/src/upstream/connection.rs
@@ -22,9 +22,9 @@
 /// Starts to connect; whether that succeeds is reported by the event loop.
 ///
 /// Fails where the process lacks a descriptor or a local resource, or where the peer refuses at once.
-pub fn open(dial: SocketAddr) -> Result<TcpStream, ConnectionEnd> {
+pub fn open(address: SocketAddr) -> Result<TcpStream, ConnectionEnd> {
     let start = || -> io::Result<Socket> {
-        let socket = Socket::new(Domain::for_address(dial), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
         Ok(socket)
@@ -34,7 +34,7 @@
         _ => ConnectionEnd::LocalResources,
     };
     let socket = start().map_err(lacking)?;
-    match socket.connect(&dial.into()) {
+    match socket.connect(&address.into()) {
         Ok(()) => Ok(socket.into()),
         Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) => Ok(socket.into()),
         Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => Err(ConnectionEnd::Refused),
@@ -49,15 +49,15 @@
         node: NodeId,
         timers: &mut Timers,
     ) -> Result<usize, ConnectionEnd> {
-        let dial = self.nodes[node]
+        let address = self.nodes[node]
             .endpoint
             .as_ref()
-            .and_then(|row| row.address)
+            .and_then(|endpoint| endpoint.address)
             .ok_or(ConnectionEnd::LocalResources)?;
         if self.connections.len() >= self.max_connections && !self.close_longest_idle(now, timers) {
             return Err(ConnectionEnd::LocalResources);
         }
-        let (stream, api) = (Rc::new(open(dial)?), self.uses_search_api(node));
+        let (stream, api) = (Rc::new(open(address)?), self.uses_search_api(node));
         let entry = self.connections.vacant_entry();
         let id = entry.key();
         let token = watch(&self.handle, &stream, move |readable| LoopEvent::UpstreamReady(id, readable));
--- a/crates/dunepond-broker/src/upstream/endpoints.rs
+++ b/crates/dunepond-broker/src/upstream/endpoints.rs
@@ -13,19 +13,19 @@
 
 impl Upstream {
     /// Applies the list's entry of a node, which keeps its index until `next_forgotten` returns it.
-    pub fn update_endpoint(&mut self, now: f64, node: NodeId, row: EndpointInfo, timers: &mut Timers) {
+    pub fn update_endpoint(&mut self, now: f64, node: NodeId, endpoint: EndpointInfo, timers: &mut Timers) {
         if node >= self.nodes.len() {
             self.nodes.resize_with(node + 1, NodeEntry::default);
         }
         let node_entry = &mut self.nodes[node];
-        let (started, standing) = (row.started_at, row.state);
+        let (started, standing) = (endpoint.started_at, endpoint.state);
         if standing == EndpointState::Removed && !node_entry.has_state(EndpointState::Removed) {
             self.removed_nodes.push(node);
         }
         let before = node_entry.endpoint.as_ref();
-        let moved = before.is_some_and(|b| b.address.is_some() && b.address != row.address);
+        let moved = before.is_some_and(|b| b.address.is_some() && b.address != endpoint.address);
         let replaced = started > before.map_or(0.0, |b| b.started_at);
-        node_entry.endpoint = Some(row);
+        node_entry.endpoint = Some(endpoint);
         if moved || replaced || standing != EndpointState::Active {
             self.changed_nodes.push((node, replaced));
         }
@@ -48,10 +48,13 @@
     /// Marks every node that a complete list does not name as removed.
     pub fn remove_unlisted(&mut self, now: f64, named: &HashSet<NodeId>, timers: &mut Timers) {
         for node in 0..self.nodes.len() {
-            let row = self.nodes[node].endpoint.as_ref().filter(|row| row.state != EndpointState::Removed);
-            if let Some(row) = row.filter(|_| !named.contains(&node)) {
-                let row = EndpointInfo { state: EndpointState::Removed, ..row.clone() };
-                self.update_endpoint(now, node, row, timers);
+            let endpoint = self.nodes[node]
+                .endpoint
+                .as_ref()
+                .filter(|endpoint| endpoint.state != EndpointState::Removed);
+            if let Some(endpoint) = endpoint.filter(|_| !named.contains(&node)) {
+                let endpoint = EndpointInfo { state: EndpointState::Removed, ..endpoint.clone() };
+                self.update_endpoint(now, node, endpoint, timers);
             }
         }
     }
@@ -64,8 +67,8 @@
         let idle = |node: &NodeId| nodes[*node].connections.is_empty() && nodes[*node].unframed.is_empty();
         let at = self.removed_nodes.iter().position(idle)?;
         let node = self.removed_nodes.swap_remove(at);
-        let row = std::mem::take(&mut self.nodes[node]).endpoint?;
-        Some((node, row.name))
+        let endpoint = std::mem::take(&mut self.nodes[node]).endpoint?;
+        Some((node, endpoint.name))
     }
 
     /// Whether any node may get new attempts.
@@ -73,11 +76,14 @@
         self.nodes.iter().any(|s| s.has_state(EndpointState::Active))
     }
 
-    /// Whether a node has a replica of a segment, which is on `holders` of the `cells` replica groups, from its own on.
-    pub fn is_replica(&self, node: NodeId, seg: usize, cells: usize, holders: usize) -> bool {
-        let cell =
-            self.nodes.get(node).and_then(|s| s.endpoint.as_ref()).map(|row| row.replica_group % cells);
-        (0..holders).any(|j| cell == Some((seg + j) % cells))
+    /// Whether a node has a replica of a segment, which is on `replica_count` of the `group_count` replica groups, from its own on.
+    pub fn is_replica(&self, node: NodeId, segment: usize, group_count: usize, replica_count: usize) -> bool {
+        let group = self
+            .nodes
+            .get(node)
+            .and_then(|s| s.endpoint.as_ref())
+            .map(|endpoint| endpoint.replica_group % group_count);
+        (0..replica_count).any(|j| group == Some((segment + j) % group_count))
     }
 
     /// How many nodes the list names, and how many of them may get new attempts.
@@ -93,16 +99,17 @@
     /// Every node that the list names, as it can be recognised after a restart.
     pub fn identities(&self) -> Vec<NodeIdentity> {
         let named = self.nodes.iter().enumerate().filter_map(|(node, node_entry)| {
-            let row = node_entry.endpoint.as_ref().filter(|row| row.state != EndpointState::Removed)?;
-            let dial = row.address.map_or(String::new(), |dial| dial.to_string());
-            Some(NodeIdentity { node, name: row.name.clone(), address: dial, started_at: row.started_at })
+            let endpoint =
+                node_entry.endpoint.as_ref().filter(|endpoint| endpoint.state != EndpointState::Removed)?;
+            let address = endpoint.address.map_or(String::new(), |address| address.to_string());
+            Some(NodeIdentity { node, name: endpoint.name.clone(), address, started_at: endpoint.started_at })
         });
         named.collect()
     }
 
     /// The address of a node that may get new attempts.
     pub fn active_address(&self, node: NodeId) -> Option<SocketAddr> {
-        let row = self.nodes.get(node)?.endpoint.as_ref()?;
-        row.address.filter(|_| row.state == EndpointState::Active)
+        let endpoint = self.nodes.get(node)?.endpoint.as_ref()?;
+        endpoint.address.filter(|_| endpoint.state == EndpointState::Active)
     }
 }
--- a/crates/dunepond-broker/src/upstream/framing.rs
+++ b/crates/dunepond-broker/src/upstream/framing.rs
@@ -85,26 +85,26 @@
     /// Queues a request of the search API; such a batch is one attempt.
     fn frame_search_request(&mut self, now: f64, batch: u64, search_api: &SearchApiFraming) {
         let Some(out) = self.outstanding.iter_mut().find(|out| out.batch == batch) else { return };
-        let parcel = &mut out.request;
+        let request = &mut out.request;
         let action =
-            if search_api.non_idempotent[parcel.query_class] { "_update_by_query" } else { "_search" };
-        let index = &search_api.indices[parcel.query_class];
-        let (wait, length) = (parcel.time_left_ms(now), parcel.payload.length());
+            if search_api.non_idempotent[request.query_class] { "_update_by_query" } else { "_search" };
+        let index = &search_api.indices[request.query_class];
+        let (wait, length) = (request.time_left_ms(now), request.payload.length());
         out.frame_start = self.output.end_offset();
         let head = RequestHead {
             host: search_api.host,
             index,
             operation: action,
-            segment: parcel.segment,
-            id: &parcel.id,
+            segment: request.segment,
+            id: &request.id,
             timeout_ms: wait,
             body_bytes: length,
         };
         self.output.queue_bytes(&head.encode());
-        if let Payload::Inline(text) = &parcel.payload {
+        if let Payload::Inline(text) = &request.payload {
             self.output.queue_text(text);
         }
-        if let Some(reader) = parcel.body_reader.take() {
+        if let Some(reader) = request.body_reader.take() {
             self.output.queue_body(reader);
         }
         out.frame_end = Some(self.output.end_offset());
@@ -113,10 +113,10 @@
     /// Queues one frame with all attempts of a batch.
     fn frame_batch(&mut self, now: f64, batch: u64) {
         let from = self.output.end_offset();
-        let parcels = self.outstanding.iter().filter(|out| out.batch == batch).map(|out| &out.request);
-        match parcels.clone().map(AttemptRequest::copied_text).collect::<Option<Vec<_>>>() {
+        let requests = self.outstanding.iter().filter(|out| out.batch == batch).map(|out| &out.request);
+        match requests.clone().map(AttemptRequest::copied_text).collect::<Option<Vec<_>>>() {
             Some(texts) => {
-                let attempts = parcels.zip(&texts).map(|(parcel, text)| (parcel.line(now), &**text));
+                let attempts = requests.zip(&texts).map(|(request, text)| (request.line(now), &**text));
                 self.output.queue_bytes(&frames::encode_attempts(attempts));
             }
             None => self.queue_shared(now, batch),
@@ -129,20 +129,20 @@
 
     /// Queues the lines of a batch with payloads that are too long to be copied, or are streamed.
     fn queue_shared(&mut self, now: f64, batch: u64) {
-        let parcels = self.outstanding.iter().filter(|out| out.batch == batch).map(|out| &out.request);
-        let lines: Vec<_> = parcels.clone().map(|parcel| parcel.line(now).to_string()).collect();
-        let payload_bytes: u64 = parcels.map(|parcel| parcel.payload.length()).sum();
+        let requests = self.outstanding.iter().filter(|out| out.batch == batch).map(|out| &out.request);
+        let lines: Vec<_> = requests.clone().map(|request| request.line(now).to_string()).collect();
+        let payload_bytes: u64 = requests.map(|request| request.payload.length()).sum();
         let line_bytes = lines.iter().map(|line| line.len() as u64).sum::<u64>();
         let mut head = frames::attempts_head(line_bytes + payload_bytes).to_vec();
-        let parcels =
+        let requests =
             self.outstanding.iter_mut().filter(|out| out.batch == batch).map(|out| &mut out.request);
-        for (line, parcel) in lines.iter().zip(parcels) {
+        for (line, request) in lines.iter().zip(requests) {
             head.extend_from_slice(line.as_bytes());
             self.output.queue_small(std::mem::take(&mut head));
-            if let Payload::Inline(text) = &parcel.payload {
+            if let Payload::Inline(text) = &request.payload {
                 self.output.queue_text(text);
             }
-            if let Some(reader) = parcel.body_reader.take() {
+            if let Some(reader) = request.body_reader.take() {
                 self.output.queue_body(reader);
             }
         }
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -163,11 +163,11 @@
 
 impl NodeEntry {
     fn name(&self) -> &str {
-        self.endpoint.as_ref().map_or("?", |row| &row.name)
+        self.endpoint.as_ref().map_or("?", |endpoint| &endpoint.name)
     }
 
     fn has_state(&self, standing: EndpointState) -> bool {
-        self.endpoint.as_ref().is_some_and(|row| row.state == standing)
+        self.endpoint.as_ref().is_some_and(|endpoint| endpoint.state == standing)
     }
 }
 
@@ -180,20 +180,13 @@
     fn into_completed(
         self,
         node: NodeId,
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
         now: f64,
         value: Option<String>,
     ) -> CompletedAttempt {
-        let AttemptRequest { query, part, attempt: shot, .. } = self.request;
+        let AttemptRequest { query, part, attempt, .. } = self.request;
         CompletedAttempt {
-            ended: AttemptEnded {
-                query,
-                part,
-                attempt: shot,
-                node,
-                outcome: end,
-                elapsed: now - self.queued_at,
-            },
+            ended: AttemptEnded { query, part, attempt, node, outcome, elapsed: now - self.queued_at },
             value,
             search_report: None,
         }
@@ -206,13 +199,13 @@
     }
 
     /// The end of this attempt if it was never sent.
-    pub fn completed_unsent(&self, node: NodeId, end: AttemptOutcome) -> CompletedAttempt {
+    pub fn completed_unsent(&self, node: NodeId, outcome: AttemptOutcome) -> CompletedAttempt {
         let ended = AttemptEnded {
             query: self.query,
             part: self.part,
             attempt: self.attempt,
             node,
-            outcome: end,
+            outcome,
             elapsed: 0.0,
         };
         CompletedAttempt { ended, value: None, search_report: None }
@@ -303,8 +296,8 @@
     }
 
     /// Queues an attempt; `flush` assigns it to a connection and writes it.
-    pub fn dispatch(&mut self, node: NodeId, parcel: AttemptRequest) {
-        self.nodes[node].unframed.push(parcel);
+    pub fn dispatch(&mut self, node: NodeId, request: AttemptRequest) {
+        self.nodes[node].unframed.push(request);
         self.nodes_to_flush.push(node);
     }
 }
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -17,17 +17,17 @@
             let mut unframed = std::mem::take(&mut self.nodes[node].unframed).into_iter().peekable();
             let api = self.uses_search_api(node);
             while let Some(first) = unframed.next() {
-                let mut parcels = vec![first];
+                let mut requests = vec![first];
                 // A streamed body goes alone on a connection of its own; so does each attempt of the search API.
-                if parcels[0].payload.body().is_none() && !api {
-                    while parcels.len()
+                if requests[0].payload.body().is_none() && !api {
+                    while requests.len()
                         < self.bounds.max_parts_per_call.min(self.bounds.max_parts_per_connection)
                         && let Some(next) = unframed.next_if(|p| p.payload.body().is_none())
                     {
-                        parcels.push(next);
+                        requests.push(next);
                     }
                 }
-                self.queue_batch(now, node, parcels, timers);
+                self.queue_batch(now, node, requests, timers);
             }
             for id in self.nodes[node].connections.clone() {
                 self.write(now, id, timers);
@@ -43,20 +43,20 @@
 
     /// Queues such a batch again if there is room now; otherwise its attempts end as not sent.
     pub fn retry_awaiting_descriptor(&mut self, now: f64, room: bool, timers: &mut Timers) {
-        let Some((node, parcels)) = self.awaiting_descriptor.pop() else { return };
+        let Some((node, requests)) = self.awaiting_descriptor.pop() else { return };
         if room {
-            self.queue_batch(now, node, parcels, timers);
+            self.queue_batch(now, node, requests, timers);
             self.nodes[node].connections.clone().into_iter().for_each(|id| self.write(now, id, timers));
         } else {
             debug!("node {}: connection {}", self.name(node), ConnectionEnd::DescriptorsExhausted);
-            self.completed.extend(parcels.iter().map(|p| {
+            self.completed.extend(requests.iter().map(|p| {
                 p.completed_unsent(node, ConnectionEnd::DescriptorsExhausted.attempt_outcome(false))
             }));
         }
     }
 
-    fn queue_batch(&mut self, now: f64, node: NodeId, parcels: Vec<AttemptRequest>, timers: &mut Timers) {
-        let mut open = self.find_connection(now, node, &parcels);
+    fn queue_batch(&mut self, now: f64, node: NodeId, requests: Vec<AttemptRequest>, timers: &mut Timers) {
+        let mut open = self.find_connection(now, node, &requests);
         // The node may just have closed an idle connection, and an attempt written to it would have an unknown outcome: it is
         // read once more before it is used.
         while let Some(id) = open.filter(|id| self.connections[*id].is_idle()) {
@@ -64,25 +64,25 @@
             if self.connections.contains(id) {
                 break;
             }
-            open = self.find_connection(now, node, &parcels);
+            open = self.find_connection(now, node, &requests);
         }
         let id = match open.map_or_else(|| self.connect(now, node, timers), Ok) {
             Ok(id) => id,
             Err(ConnectionEnd::DescriptorsExhausted) => {
-                return self.awaiting_descriptor.push((node, parcels));
+                return self.awaiting_descriptor.push((node, requests));
             }
             Err(ending) => {
                 debug!("node {}: connection {ending}", self.name(node));
-                return self
-                    .completed
-                    .extend(parcels.iter().map(|p| p.completed_unsent(node, ending.attempt_outcome(false))));
+                return self.completed.extend(
+                    requests.iter().map(|p| p.completed_unsent(node, ending.attempt_outcome(false))),
+                );
             }
         };
         let connection = &mut self.connections[id];
         connection.last_batch += 1;
         let call = connection.last_batch;
-        connection.outstanding.extend(parcels.into_iter().map(|parcel| OutstandingRequest {
-            request: parcel,
+        connection.outstanding.extend(requests.into_iter().map(|request| OutstandingRequest {
+            request,
             queued_at: now,
             batch: call,
             frame_start: 0,
@@ -97,20 +97,20 @@
     }
 
     /// A connection that can carry these attempts as one batch.
-    fn find_connection(&self, now: f64, node: NodeId, parcels: &[AttemptRequest]) -> Option<usize> {
+    fn find_connection(&self, now: f64, node: NodeId, requests: &[AttemptRequest]) -> Option<usize> {
         // Attempts beyond this number would wait unread at the node, and their cancel frames behind them.
         let (most, api) = (self.bounds.max_parts_per_connection, self.uses_search_api(node));
-        let alone = api || parcels[0].payload.body().is_some();
+        let alone = api || requests[0].payload.body().is_some();
         let room = |l: &NodeConnection| {
             let free = if alone { l.outstanding.is_empty() } else { !l.is_reserved_for_body() };
-            free && l.outstanding.len() + l.cancelled.len() + parcels.len() <= most
+            free && l.outstanding.len() + l.cancelled.len() + requests.len() <= most
         };
         // A connection inside a frame may be broken, and one past its idle time may be closed by the node.
         let sound = |l: &NodeConnection| {
             !l.retired && l.uses_search_api == api && l.input.is_none() && !l.is_idle_expired(now)
         };
         // Two attempts of a part share an id: on one connection a repeated end could be taken for the other's.
-        let again = |l: &NodeConnection| parcels.iter().any(|p| p.attempt > 0 && l.has_carried(&p.id));
+        let again = |l: &NodeConnection| requests.iter().any(|p| p.attempt > 0 && l.has_carried(&p.id));
         self.nodes[node].connections.iter().copied().find(|id| {
             let connection = &self.connections[*id];
             sound(connection) && room(connection) && !again(connection)
--- a/crates/dunepond-broker/src/upstream/response.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -152,8 +152,8 @@
                 (AttemptOutcome::Served, std::str::from_utf8(message.body_bytes()).ok().map(str::to_string))
             }
             NodeOutcome::Rejected => (AttemptOutcome::Rejected, None),
-            NodeOutcome::Failed(why) => {
-                debug!("node {}: {why}", self.name(node));
+            NodeOutcome::Failed(reason) => {
+                debug!("node {}: {reason}", self.name(node));
                 (AttemptOutcome::Error, None)
             }
         }
@@ -218,19 +218,19 @@
 
     /// Logs a frame other than the end of an attempt.
     fn not_an_end(&self, id: usize, frame: &NodeFrame) -> ConnectionEnd {
-        let NodeFrame::Rejected(why) = frame else {
+        let NodeFrame::Rejected(reason) = frame else {
             return self.malformed(id, "a Q frame on a connection for attempts");
         };
-        warn!("node {}: {}", self.name(self.connections[id].node), why.escape_debug());
+        warn!("node {}: {}", self.name(self.connections[id].node), reason.escape_debug());
         ConnectionEnd::RejectedByPeer
     }
 
     /// Logs a malformed frame with its first bytes.
-    fn malformed(&self, id: usize, why: &str) -> ConnectionEnd {
+    fn malformed(&self, id: usize, reason: &str) -> ConnectionEnd {
         let connection = &self.connections[id];
         let bytes = connection.input.as_ref().map_or(&[][..], Buffer::filled);
         let bytes = &bytes[..bytes.len().min(MAX_LOGGED_BYTES)];
-        warn!("node {}: {why}: {}", self.name(connection.node), bytes.escape_ascii());
+        warn!("node {}: {reason}: {}", self.name(connection.node), bytes.escape_ascii());
         ConnectionEnd::ProtocolError
     }
 
