--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -11,25 +11,22 @@
 use crate::clock::TimerEvent;
 use crate::downstream::error_body;
 use crate::query_request::QueryRequest;
-use crate::search_api::{ActiveRequest, ActiveSearch, SearchRequest};
+use crate::search_api::{ActiveRequest, ActiveSearch, SearchApi, SearchRequest};
 
 impl RouterHost {
     /// Registers a client's query. If too much is in flight it is rejected (503) without the router.
-    pub fn register_query(&mut self, client: usize, query_request: QueryRequest) -> Option<Query> {
+    pub fn register_query(&mut self, client: usize, request: QueryRequest) -> Option<Query> {
         if self.is_full() {
-            debug!(
-                "query {}: rejected, {} queries and parts in flight",
-                query_request.request_id, self.in_flight
-            );
+            debug!("query {}: rejected, {} queries and parts in flight", request.request_id, self.in_flight);
             self.downstream.reply(self.now, client, 503, "", self.max_retry_after, &mut self.timers);
             return None;
         }
-        if self.request_ids.contains(&query_request.request_id) {
+        if self.request_ids.contains(&request.request_id) {
             let body = error_body("X-Call-Id: in use");
             self.downstream.reply(self.now, client, 400, &body, 0.0, &mut self.timers);
             return None;
         }
-        let query = self.insert_query(client, query_request, None);
+        let query = self.insert_query(client, request, None);
         self.downstream.assign_query(client, query.id);
         Some(query)
     }
@@ -37,7 +34,7 @@
     /// Registers a search API request: a query for each of its searches. A search that is invalid or over the limit gets its
     /// outcome at once.
     pub fn register_search_request(&mut self, client: usize, request: &SearchRequest) -> Vec<Query> {
-        let Some(door) = self.downstream.search_api.clone() else { return Vec::new() };
+        let Some(search_api) = self.downstream.search_api.clone() else { return Vec::new() };
         let (now, call) = (self.now, &request.call);
         let searches: Vec<Result<&Search, ApiError>> = match call {
             ApiRequest::Info => {
@@ -55,119 +52,131 @@
                 vec![Ok(&**search)]
             }
             ApiRequest::Multi(searches) => {
-                searches.iter().map(|s| s.as_ref().map_err(Clone::clone)).collect()
+                searches.iter().map(|search| search.as_ref().map_err(Clone::clone)).collect()
             }
         };
         self.last_id += 1;
-        let number = self.last_id;
-        self.search_requests.insert(number, ActiveRequest::new(client, now, call));
-        self.downstream.assign_query(client, number);
+        let id = self.last_id;
+        self.search_requests.insert(id, ActiveRequest::new(client, now, call));
+        self.downstream.assign_query(client, id);
         let mut queries = Vec::new();
-        for (place, search) in searches.into_iter().enumerate() {
-            let outcome = match search {
+        for (position, search) in searches.into_iter().enumerate() {
+            match search {
                 Ok(_) if self.is_full() => {
-                    Err(ApiError::rejected("as many scans and parts are held as may be"))
+                    let error = ApiError::rejected("as many scans and parts are held as may be");
+                    self.fail_search(id, position, error);
                 }
                 Ok(search) => {
-                    let id = if request.request_id.is_empty() { "api" } else { &request.request_id };
-                    let request_id = format!("{id}-{number}-{place}");
-                    let query_request = door.query_request(search, request, request_id);
-                    let searching = ActiveSearch::new(&door, number, place, search, call, now);
-                    let query = self.insert_query(client, query_request, Some(Box::new(searching)));
-                    if let Some(open) = self.search_requests.get_mut(&number) {
-                        open.queries.push(query.id);
-                    }
-                    queries.push(query);
-                    continue;
+                    queries.push(self.register_search(client, &search_api, request, id, position, search));
                 }
-                Err(e) => Err(e),
-            };
-            let wait =
-                if outcome.as_ref().is_err_and(|e| e.status == 429) { self.max_retry_after } else { 0.0 };
-            self.complete_search(number, place, outcome, wait);
+                Err(error) => self.fail_search(id, position, error),
+            }
         }
         queries
     }
 
+    /// Registers one search of a search API request.
+    fn register_search(
+        &mut self,
+        client: usize,
+        search_api: &Rc<SearchApi>,
+        request: &SearchRequest,
+        id: u64,
+        position: usize,
+        search: &Search,
+    ) -> Query {
+        let client_id = if request.request_id.is_empty() { "api" } else { &request.request_id };
+        let request_id = format!("{client_id}-{id}-{position}");
+        let query_request = search_api.query_request(search, request, request_id);
+        let active = ActiveSearch::new(search_api, id, position, search, &request.call, self.now);
+        let query = self.insert_query(client, query_request, Some(Box::new(active)));
+        if let Some(request) = self.search_requests.get_mut(&id) {
+            request.queries.push(query.id);
+        }
+        query
+    }
+
+    fn fail_search(&mut self, id: u64, position: usize, error: ApiError) {
+        let retry_after = if error.status == 429 { self.max_retry_after } else { 0.0 };
+        self.complete_search(id, position, Err(error), retry_after);
+    }
+
     fn insert_query(
         &mut self,
         client: usize,
-        query_request: QueryRequest,
-        api: Option<Box<ActiveSearch>>,
+        request: QueryRequest,
+        search: Option<Box<ActiveSearch>>,
     ) -> Query {
-        self.request_ids.insert(query_request.request_id.clone());
+        self.request_ids.insert(request.request_id.clone());
         self.last_id += 1;
         let query = self.last_id;
         // A client's deadline is capped by the query class's timeout.
-        let client_until = query_request.deadline.min(self.now + self.timeouts[query_request.query_class]);
-        let ends_at = client_until.min(self.downstream.shutdown_deadline);
-        let segs: Vec<_> = query_request.parts.iter().map(|p| p.segment).collect();
-        let count = segs.len();
+        let deadline = request.deadline.min(self.now + self.timeouts[request.query_class]);
+        let expires_at = deadline.min(self.downstream.shutdown_deadline);
+        let segments: Vec<_> = request.parts.iter().map(|part| part.segment).collect();
+        let count = segments.len();
         self.in_flight += 1 + count;
-        let left = client_until - self.now;
-        debug!("query {}: admitted as {query}, {count} parts, {left:.3} s left", query_request.request_id);
-        let body = query_request.payload.body().map(|body| body.id);
-        let kept = !query_request.payload.body().is_some_and(|body| body.is_pass_through());
-        let timer = self.timers.schedule(ends_at, TimerEvent::QueryDeadline(query));
+        let expires_in = deadline - self.now;
+        debug!("query {}: admitted as {query}, {count} parts, {expires_in:.3} s left", request.request_id);
+        let body = request.payload.body();
+        let body_retained = !body.is_some_and(|body| body.is_pass_through());
+        let body = body.map(|body| body.id);
+        let timer = self.timers.schedule(expires_at, TimerEvent::QueryDeadline(query));
         let active = ActiveQuery {
-            search: api,
+            search,
             client: Some(client),
             body,
-            expires_at: ends_at,
+            expires_at,
             timer: Some(timer),
-            tenant: query_request.tenant,
-            ..ActiveQuery::new(
-                query_request.request_id,
-                query_request.query_class,
-                query_request.payload,
-                segs,
-            )
+            tenant: request.tenant,
+            ..ActiveQuery::new(request.request_id, request.query_class, request.payload, segments)
         };
         self.queries.insert(query, active);
         Query {
             id: query,
-            class: query_request.query_class,
-            tenant: query_request.tenant,
-            expires_in: client_until - self.now,
-            is_retry: query_request.is_retry,
-            body_retained: kept,
+            class: request.query_class,
+            tenant: request.tenant,
+            expires_in,
+            is_retry: request.is_retry,
+            body_retained,
             streamed: body.is_some(),
             awaits_prefilter: false,
             audit: false,
-            parts: query_request.parts,
+            parts: request.parts,
         }
     }
 
     /// Registers an audit of the prefilter: a query of one segment without a client. `None` if too much is in flight.
-    pub fn register_audit(&mut self, table_type: usize, seg: usize, text: Rc<str>) -> Option<Query> {
+    pub fn register_audit(&mut self, query_class: usize, segment: usize, text: Rc<str>) -> Option<Query> {
         let request_id = format!("audit-{}", self.last_id + 1);
-        let room = self.bounds.max_in_flight.is_none_or(|most| self.in_flight + 2 <= most);
-        if !room || !self.request_ids.insert(request_id.clone()) {
+        let has_room = self.bounds.max_in_flight.is_none_or(|max| self.in_flight + 2 <= max);
+        if !has_room || !self.request_ids.insert(request_id.clone()) {
             return None;
         }
         self.last_id += 1;
         self.in_flight += 2;
-        let (query, ends_at) = (self.last_id, self.now + self.timeouts[table_type]);
-        debug!("scan {request_id}: an audit of {seg}");
-        let timer = self.timers.schedule(ends_at, TimerEvent::QueryDeadline(query));
+        let query = self.last_id;
+        let expires_at = self.now + self.timeouts[query_class];
+        debug!("scan {request_id}: an audit of {segment}");
+        let timer = self.timers.schedule(expires_at, TimerEvent::QueryDeadline(query));
         let active = ActiveQuery {
-            expires_at: ends_at,
+            expires_at,
             timer: Some(timer),
-            ..ActiveQuery::new(request_id, table_type, Payload::Inline(text), vec![seg])
+            ..ActiveQuery::new(request_id, query_class, Payload::Inline(text), vec![segment])
         };
         self.queries.insert(query, active);
         Some(Query {
             id: query,
-            class: table_type,
+            class: query_class,
             // No tenant's index: it has no quota and counts in no tenant's statistics.
             tenant: self.bounds.tenants.len() + 1,
-            expires_in: ends_at - self.now,
+            expires_in: expires_at - self.now,
             is_retry: false,
             body_retained: true,
             streamed: false,
             awaits_prefilter: false,
             audit: true,
-            parts: vec![Part { segment: seg, weight: 1.0, required_node: None }],
+            parts: vec![Part { segment, weight: 1.0, required_node: None }],
         })
     }
 }
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -13,8 +13,8 @@
 
 impl RouterHost {
     /// Records an attempt that ended; `None` if its query is unknown.
-    pub fn record_attempt_end(&mut self, back: CompletedAttempt) -> Option<AttemptEnded> {
-        let CompletedAttempt { mut ended, mut value, .. } = back;
+    pub fn record_attempt_end(&mut self, completed: CompletedAttempt) -> Option<AttemptEnded> {
+        let CompletedAttempt { mut ended, mut value, .. } = completed;
         let active = self.queries.get_mut(&ended.query)?;
         active.outstanding = active.outstanding.saturating_sub(1);
         if let Some(coordination) = &mut active.coordination {
@@ -27,11 +27,11 @@
             control_plane.record_carried(ended.node, active.tenant, text.len());
         }
         // An invalid answer is a failed attempt; only a part's first answer counts.
-        if let (Some(text), Some(api)) = (&value, &mut active.search)
+        if let (Some(text), Some(search)) = (&value, &mut active.search)
             && active.values[ended.part].is_none()
             && !active.is_finished
         {
-            match api.record_value(active.segments[ended.part], text) {
+            match search.record_value(active.segments[ended.part], text) {
                 Ok(()) => value = Some(String::new()),
                 Err(reason) => {
                     warn!("node {}: invalid answer: {reason}", self.upstream.name(ended.node));
@@ -59,7 +59,7 @@
 
     /// Removes a finished query once all its attempts have ended.
     pub fn release(&mut self, query: QueryId) {
-        if self.queries.get(&query).is_some_and(|s| s.is_finished && s.outstanding == 0)
+        if self.queries.get(&query).is_some_and(|active| active.is_finished && active.outstanding == 0)
             && let Some(active) = self.queries.remove(&query)
         {
             self.timers.cancel(active.timer);
@@ -135,7 +135,7 @@
 
     /// Marks a query as finished; returns its client, unless it was finished already.
     pub(super) fn conclude(&mut self, query: QueryId) -> Option<usize> {
-        let active = self.queries.get_mut(&query).filter(|s| !s.is_finished)?;
+        let active = self.queries.get_mut(&query).filter(|active| !active.is_finished)?;
         active.is_finished = true;
         // Frames that still carry the body hold their own reference.
         if active.body.is_some() {
@@ -164,18 +164,19 @@
         if active.may_run_since.iter().any(|at| *at != f64::MAX) {
             return false;
         }
-        let mut left = false;
+        let mut is_outstanding = false;
         for SentAttempt { part, index, node } in active.all_attempts() {
             let key = AttemptId { query, part, index };
             self.upstream.withdraw(self.now, node, key, AttemptOutcome::NotSent, &mut self.timers);
-            left |= self.upstream.has_outstanding(node, key);
+            is_outstanding |= self.upstream.has_outstanding(node, key);
         }
-        let mut ends =
-            self.upstream.completed.iter().map(|back| &back.ended).filter(|ended| ended.query == query);
-        !left && !ends.any(|ended| may_have_run(ended.outcome))
+        let completed = self.upstream.completed.iter().map(|completed| &completed.ended);
+        let may_have_run_since =
+            completed.filter(|ended| ended.query == query).any(|ended| may_have_run(ended.outcome));
+        !is_outstanding && !may_have_run_since
     }
 
-    pub(super) fn reply(&mut self, query: QueryId, status: u16, body: &str, wait: f64) {
+    pub(super) fn reply(&mut self, query: QueryId, status: u16, body: &str, retry_after: f64) {
         if let Some(client) = self.conclude(query) {
             let active = &self.queries[&query];
             debug!("query {}: answered {status}", active.request_id);
@@ -183,10 +184,10 @@
                 self.audit_answer(query, status, false);
             }
             // If the body was not retained for retries, the error says why.
-            let note = active.body_failure.filter(|_| status != 200);
-            let note = note.map(|reason| error_body(&format!("body: not kept for retries: {reason}")));
-            let body = note.as_deref().unwrap_or(body);
-            self.downstream.reply(self.now, client, status, body, wait, &mut self.timers);
+            let failure = active.body_failure.filter(|_| status != 200);
+            let failure = failure.map(|reason| error_body(&format!("body: not kept for retries: {reason}")));
+            let body = failure.as_deref().unwrap_or(body);
+            self.downstream.reply(self.now, client, status, body, retry_after, &mut self.timers);
         }
     }
 
@@ -195,35 +196,35 @@
         &mut self,
         query: QueryId,
         outcome: Result<ResponseBody, ApiError>,
-        wait: f64,
+        retry_after: f64,
     ) {
-        let Some(api) = self.queries.get(&query).and_then(|active| active.search.as_ref()) else { return };
-        let (request, place) = (api.request, api.position());
-        self.complete_search(request, place, outcome, wait);
+        let Some(search) = self.queries.get(&query).and_then(|active| active.search.as_ref()) else { return };
+        let (request, position) = (search.request, search.position());
+        self.complete_search(request, position, outcome, retry_after);
     }
 
     /// Records the outcome of one search of a request; the last one answers the client.
     pub(super) fn complete_search(
         &mut self,
-        number: u64,
-        place: usize,
+        request: u64,
+        position: usize,
         outcome: Result<ResponseBody, ApiError>,
-        wait: f64,
+        retry_after: f64,
     ) {
-        let Some(open) = self.search_requests.get_mut(&number) else { return };
-        let client = open.client;
-        if let Some(response) = open.record_outcome(self.now, place, outcome, wait) {
-            self.search_requests.remove(&number);
+        let Some(active) = self.search_requests.get_mut(&request) else { return };
+        let client = active.client;
+        if let Some(response) = active.record_outcome(self.now, position, outcome, retry_after) {
+            self.search_requests.remove(&request);
             let SearchResponse { status, body, retry_after } = response;
             self.downstream.reply(self.now, client, status, &body, retry_after, &mut self.timers);
         }
     }
 
     /// All queries of the request with this id: a query, or a search API request.
-    pub fn queries_of(&mut self, number: QueryId) -> Vec<QueryId> {
-        match self.search_requests.remove(&number) {
-            Some(open) => open.queries,
-            None => vec![number],
+    pub fn queries_of(&mut self, request: QueryId) -> Vec<QueryId> {
+        match self.search_requests.remove(&request) {
+            Some(active) => active.queries,
+            None => vec![request],
         }
     }
 }
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -71,10 +71,10 @@
     pub(super) fn may_send(&mut self, node: NodeId, attempt: &AttemptRequest) -> bool {
         let Some(control_plane) = &self.control_plane else { return true };
         let (gate, name) = (&control_plane.gate, self.upstream.name(node));
-        let AttemptRequest { part, segment: seg, query_class: table_type, .. } = *attempt;
+        let AttemptRequest { part, segment, query_class, .. } = *attempt;
         let active = self.queries.get_mut(&attempt.query);
         let coordination = active.and_then(|active| active.coordination.as_mut());
-        let mut may_send = gate.may_send(attempt.query_start.as_deref(), table_type, seg, name);
+        let mut may_send = gate.may_send(attempt.query_start.as_deref(), query_class, segment, name);
         if let Some(coordination) = coordination {
             if let Some(keyed) = coordination.keyed_parts.get_mut(part) {
                 let is_first = keyed.outstanding == 0 && !keyed.may_have_run;
@@ -82,7 +82,7 @@
                 // Its end will be reported whether or not it is sent.
                 keyed.outstanding += 1;
             }
-            if may_send && let Some(epoch) = gate.moved_epoch(&coordination.began, seg) {
+            if may_send && let Some(epoch) = gate.moved_epoch(&coordination.began, segment) {
                 coordination.moved_parts.push((part, epoch));
             }
         }
@@ -100,13 +100,12 @@
             return complete;
         };
         let coordination = active.coordination.as_ref();
-        let proof = coordination.and_then(|coordination| {
-            coordination.began.map().map(|proof| (proof, &coordination.moved_parts))
-        });
-        let left_out = |seg: &usize| active.pruned.iter().any(|left| left.segment == *seg);
-        let is_in = |at: usize| active.values[at].is_some() || left_out(&active.segments[at]);
-        let outcome = match proof.filter(|_| complete) {
-            Some((proof, moved)) => verify_answer(proof, &active.segments, is_in, moved).map(Some),
+        let map = coordination
+            .and_then(|coordination| coordination.began.map().map(|map| (map, &coordination.moved_parts)));
+        let is_pruned = |segment: usize| active.pruned.iter().any(|pruned| pruned.segment == segment);
+        let is_answered = |part: usize| active.values[part].is_some() || is_pruned(active.segments[part]);
+        let outcome = match map.filter(|_| complete) {
+            Some((map, moved)) => verify_answer(map, &active.segments, is_answered, moved).map(Some),
             None => Ok(None),
         };
         if let Err(reason) = &outcome {
@@ -114,12 +113,12 @@
             debug!("query {}: not complete: {reason}", active.request_id);
         }
         let complete = complete && outcome.is_ok();
-        let segs = active.segments.iter().enumerate().filter(|(at, _)| is_in(*at));
+        let answered = active.segments.iter().enumerate().filter(|(part, _)| is_answered(*part));
         control_plane.gate.control.audit(|| AuditEvent::Answer {
             request_id: active.request_id.clone(),
             status: 200,
             complete,
-            segments: segs.map(|(_, seg)| *seg as u64).collect(),
+            segments: answered.map(|(_, segment)| *segment as u64).collect(),
             map_epoch: outcome.ok().flatten(),
         });
         complete
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -113,7 +113,7 @@
     queries: HashMap<QueryId, ActiveQuery>,
     request_ids: HashSet<String>,
     last_id: QueryId,
-    /// Unfinished queries plus their parts without a value; bounded by `Bounds::most_held`.
+    /// Unfinished queries plus their parts without a value; bounded by `HostSettings::max_in_flight`.
     in_flight: usize,
 }
 
@@ -125,7 +125,7 @@
             search: None,
             client: None,
             query_class,
-            part_ids: segments.iter().map(|seg| format!("{request_id}.{seg}").into()).collect(),
+            part_ids: segments.iter().map(|segment| format!("{request_id}.{segment}").into()).collect(),
             request_id,
             payload,
             body: None,
@@ -145,7 +145,7 @@
     }
 
     fn open_parts(&self) -> usize {
-        self.values.iter().filter(|v| v.is_none()).count()
+        self.values.iter().filter(|value| value.is_none()).count()
     }
 
     /// Every attempt so far.
@@ -162,12 +162,13 @@
     }
 }
 
-fn may_have_run(end: AttemptOutcome) -> bool {
-    !matches!(end, AttemptOutcome::NotSent | AttemptOutcome::ConnectFailed | AttemptOutcome::Rejected)
+fn may_have_run(outcome: AttemptOutcome) -> bool {
+    !matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::ConnectFailed | AttemptOutcome::Rejected)
 }
 
-fn retry_window(repeat: Idempotency, margin: f64) -> f64 {
-    match repeat {
+/// How long after an attempt that may have run a retry may be sent, in seconds.
+fn retry_window(idempotency: Idempotency, margin: f64) -> f64 {
+    match idempotency {
         Idempotency::Idempotent => f64::MAX,
         Idempotency::Keyed(window) => window - margin,
         Idempotency::NonIdempotent => 0.0,
@@ -177,7 +178,7 @@
 impl RouterHost {
     /// Hosts the router of this deployment, with nothing in flight.
     pub fn new(
-        site: &Deployment,
+        deployment: &Deployment,
         bounds: Rc<HostSettings>,
         pool: &Pool,
         downstream: Downstream,
@@ -197,15 +198,15 @@
             value_bytes: 0,
             uploads: HashMap::new(),
             bounds,
-            replica_groups: site.replica_groups,
-            replicas: site.replicas,
-            max_attempts: site.max_attempts,
-            max_retry_after: site.max_retry_after,
-            timeouts: site.query_classes.iter().map(|t| t.timeout).collect(),
-            retry_windows: site
+            replica_groups: deployment.replica_groups,
+            replicas: deployment.replicas,
+            max_attempts: deployment.max_attempts,
+            max_retry_after: deployment.max_retry_after,
+            timeouts: deployment.query_classes.iter().map(|class| class.timeout).collect(),
+            retry_windows: deployment
                 .query_classes
                 .iter()
-                .map(|t| retry_window(t.idempotency, MAX_STALL_SECONDS))
+                .map(|class| retry_window(class.idempotency, MAX_STALL_SECONDS))
                 .collect(),
             queries: HashMap::new(),
             request_ids: HashSet::new(),
@@ -241,7 +242,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.bounds.max_in_flight.is_some_and(|most| self.in_flight >= most)
+        self.bounds.max_in_flight.is_some_and(|max| self.in_flight >= max)
     }
 
     /// Whether the query is in flight and not finished.
@@ -259,28 +260,28 @@
     }
 
     /// Asks a node which segments can match. A node that is draining or removed is not asked.
-    pub fn send_prefilter_request(&mut self, node: NodeId, question: u64, text: &str, segs: &[usize]) {
+    pub fn send_prefilter_request(&mut self, node: NodeId, question: u64, text: &str, segments: &[usize]) {
         let Some(prefilter_connections) = &mut self.prefilter_connections else { return };
-        let frame = frames::encode_prefilter_request(question, text, segs);
+        let frame = frames::encode_prefilter_request(question, text, segments);
         match self.upstream.active_address(node) {
-            Some(dial) => {
-                prefilter_connections.send(self.now, node, dial, question, &frame, &mut self.timers)
+            Some(address) => {
+                prefilter_connections.send(self.now, node, address, question, &frame, &mut self.timers)
             }
             None => prefilter_connections.responses.push_back((question, Err(RequestFailure::NodeGone))),
         }
     }
 
     /// Records the segments that the prefilter left out of a query.
-    pub fn prune(&mut self, query: QueryId, left: Vec<PrunedSegment>) {
+    pub fn prune(&mut self, query: QueryId, pruned: Vec<PrunedSegment>) {
         if let Some(active) = self.queries.get_mut(&query) {
-            active.pruned = left;
+            active.pruned = pruned;
         }
     }
 
     /// Segments that the prefilter had left out are searched after all.
-    pub fn restore_pruned(&mut self, query: QueryId, segs: &[usize]) {
+    pub fn restore_pruned(&mut self, query: QueryId, segments: &[usize]) {
         if let Some(active) = self.queries.get_mut(&query) {
-            active.pruned.retain(|pruned| !segs.contains(&pruned.segment));
+            active.pruned.retain(|pruned| !segments.contains(&pruned.segment));
         }
     }
 }
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -13,12 +13,11 @@
 
 impl RouterHost {
     /// Registers a query whose body is streamed, or rejects it at once and names the limit.
-    pub fn register_streamed_query(&mut self, client: usize, query_request: QueryRequest, head: Head) {
+    pub fn register_streamed_query(&mut self, client: usize, request: QueryRequest, head: Head) {
         let Some(bodies) = &mut self.body_store else { return };
         bodies.record_other_memory(self.pool.allocated_bytes(), self.value_bytes);
-        let (customer, table_type) = (query_request.tenant, query_request.query_class);
-        let arrival =
-            IncomingBody { tenant: customer, query_class: table_type, stated_length: head.declared_length() };
+        let QueryRequest { tenant, query_class, .. } = request;
+        let arrival = IncomingBody { tenant, query_class, stated_length: head.declared_length() };
         match bodies.accept(self.now, arrival) {
             Ok(body) => {
                 if !bodies.check_scheduled {
@@ -28,10 +27,9 @@
                 }
                 self.uploads.insert(body.id, client);
                 // A client's deadline is capped by the query class's timeout.
-                let longest = self.now + self.timeouts[table_type];
-                let query_request =
-                    QueryRequest { deadline: query_request.deadline.min(longest), ..query_request };
-                self.downstream.receive_body(self.now, client, query_request, head, &body, &mut self.timers);
+                let longest = self.now + self.timeouts[query_class];
+                let request = QueryRequest { deadline: request.deadline.min(longest), ..request };
+                self.downstream.receive_body(self.now, client, request, head, &body, &mut self.timers);
             }
             Err(reason) => self.reject_body(client, reason),
         }
@@ -52,18 +50,18 @@
         }
     }
 
-    /// Starts the query of a body that is buffered, or passed through for the reason in `note`.
+    /// Starts the query of a body that is buffered, or passed through for the reason in `failure`.
     pub fn start_streamed_query(
         &mut self,
         body: BodyId,
-        note: Option<FallbackReason>,
+        failure: Option<FallbackReason>,
     ) -> Option<(Query, Rc<Body>)> {
         let client = self.uploads.remove(&body)?;
-        let (query_request, body) = self.downstream.start_query(client, body, &mut self.timers)?;
-        let query_request = QueryRequest { payload: Payload::Streamed(body.clone()), ..query_request };
-        let query = self.register_query(client, query_request)?;
+        let (request, body) = self.downstream.start_query(client, body, &mut self.timers)?;
+        let request = QueryRequest { payload: Payload::Streamed(body.clone()), ..request };
+        let query = self.register_query(client, request)?;
         if let Some(active) = self.queries.get_mut(&query.id) {
-            active.body_failure = note;
+            active.body_failure = failure;
         }
         Some((query, body))
     }
@@ -75,7 +73,7 @@
             self.downstream.fail_body(self.now, client, body, error, retry_after, &mut self.timers);
         }
         let (query, active) =
-            self.queries.iter_mut().find(|(_, s)| s.body == Some(body) && !s.is_finished)?;
+            self.queries.iter_mut().find(|(_, active)| active.body == Some(body) && !active.is_finished)?;
         (active.body_failure, active.payload) = (Some(reason), Payload::Released);
         Some(*query)
     }
@@ -124,12 +122,12 @@
     pub fn check_bodies(&mut self) {
         let Some(bodies) = &mut self.body_store else { return };
         bodies.fail_overdue(self.now);
-        let slowest = bodies.terms().io_timeout_seconds;
-        self.upstream.close_slow_consumers(self.now, slowest, &mut self.timers);
+        let io_timeout = bodies.terms().io_timeout_seconds;
+        self.upstream.close_slow_consumers(self.now, io_timeout, &mut self.timers);
         bodies.record_other_memory(self.pool.allocated_bytes(), self.value_bytes);
         bodies.check_scheduled = bodies.is_tracking_any();
         if bodies.check_scheduled {
-            self.timers.schedule(self.now + slowest / 4.0, TimerEvent::BodyCheck);
+            self.timers.schedule(self.now + io_timeout / 4.0, TimerEvent::BodyCheck);
         }
     }
 }
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -6,8 +6,8 @@
 use serde_json::json;
 use tracing::{debug, error, info};
 
-use super::RouterHost;
 use super::coordination::Coordination;
+use super::{ActiveQuery, RouterHost};
 use crate::body::{BodyReader, Payload};
 use crate::clock::TimerEvent;
 use crate::upstream::AttemptRequest;
@@ -18,51 +18,17 @@
     }
 
     fn send_attempt(&mut self, query: QueryId, part: usize, node: NodeId) {
-        let Some(active) = self.queries.get_mut(&query) else { return };
-        let shot = active.attempts[part].len();
-        active.attempts[part].push(node);
-        active.outstanding += 1;
-        let (id, text, until) = (active.part_ids[part].clone(), active.payload.clone(), active.expires_at);
-        let seg = active.segments[part];
-        let reader = text.body().map(BodyReader::new);
-        if let (Some(body), Some(bodies)) = (active.body, &mut self.body_store) {
-            bodies.mark_used(self.now, body);
-        }
-        let gone = matches!(text, Payload::Released);
-        let table_type = active.query_class;
-        let began = active.coordination.as_ref().map(Coordination::began);
-        let send_by = until.min(active.may_run_since[part] + self.retry_windows[table_type]);
-        let attempt = AttemptRequest {
-            query,
-            part,
-            attempt: shot,
-            id,
-            segment: seg,
-            query_class: table_type,
-            deadline: until,
-            send_by,
-            payload: text,
-            body_reader: reader,
-            query_start: began,
-        };
-        let late = active.is_finished || gone || shot >= self.max_attempts || send_by <= self.now;
-        let late =
-            late || active.client.is_some_and(|client| self.downstream.is_disconnected(self.now, client));
-        if !late && !self.may_send(node, &attempt) {
-            return self
-                .upstream
-                .completed
-                .push_back(attempt.completed_unsent(node, AttemptOutcome::NotSent));
+        let Some(attempt) = self.start_attempt(query, part, node) else { return };
+        let is_late = self.is_too_late(&attempt);
+        if !is_late && !self.may_send(node, &attempt) {
+            return self.complete_unsent(node, attempt);
         }
-        let holds = self.upstream.is_replica(node, seg, self.replica_groups, self.replicas);
-        if !late && !holds {
-            error!("node {}: no replica of segment {seg}", self.upstream.name(node));
+        let is_replica = self.upstream.is_replica(node, attempt.segment, self.replica_groups, self.replicas);
+        if !is_late && !is_replica {
+            error!("node {}: no replica of segment {}", self.upstream.name(node), attempt.segment);
         }
-        if late || !holds {
-            return self
-                .upstream
-                .completed
-                .push_back(attempt.completed_unsent(node, AttemptOutcome::NotSent));
+        if is_late || !is_replica {
+            return self.complete_unsent(node, attempt);
         }
         debug!("query {}: part {part} sent to {}", self.queries[&query].request_id, self.upstream.name(node));
         self.upstream.dispatch(node, attempt);
@@ -72,17 +38,13 @@
         self.upstream.close_idle(self.now, node, &mut self.timers);
     }
 
-    fn cancel_attempt(&mut self, query: QueryId, part: usize, shot: usize) {
-        let node = self.queries.get(&query).and_then(|s| s.attempts.get(part)?.get(shot).copied());
-        if let Some(node) = node {
-            self.upstream.cancel(
-                self.now,
-                node,
-                AttemptId { query, part, index: shot },
-                AttemptOutcome::Cancelled,
-                &mut self.timers,
-            );
-        }
+    fn cancel_attempt(&mut self, query: QueryId, part: usize, index: usize) {
+        let Some(active) = self.queries.get(&query) else { return };
+        let Some(node) = active.attempts.get(part).and_then(|nodes| nodes.get(index)).copied() else {
+            return;
+        };
+        let attempt = AttemptId { query, part, index };
+        self.upstream.cancel(self.now, node, attempt, AttemptOutcome::Cancelled, &mut self.timers);
     }
 
     /// Never called: the frames have no probe, and the deployment is read with `may_probe` off.
@@ -90,36 +52,19 @@
 
     fn answer(&mut self, query: QueryId, complete: bool) {
         let complete = self.is_provably_complete(query, complete);
-        if let Some(active) = self.queries.get_mut(&query)
-            && let Some(api) = &mut active.search
-        {
-            let segs: Vec<_> =
-                active.segments.iter().zip(&active.values).map(|(s, v)| (*s, v.is_some())).collect();
-            let left_out: Vec<_> = active.pruned.iter().map(|left| left.segment).collect();
-            let outcome = api.response(self.now, complete, &segs, &left_out);
+        let Some(active) = self.queries.get_mut(&query) else { return };
+        if let Some(search) = &mut active.search {
+            let segments = active.segments.iter().zip(&active.values);
+            let segments: Vec<_> = segments.map(|(segment, value)| (*segment, value.is_some())).collect();
+            let pruned: Vec<_> = active.pruned.iter().map(|pruned| pruned.segment).collect();
+            let outcome = search.response(self.now, complete, &segments, &pruned);
             if self.conclude(query).is_some() {
                 self.finish_search(query, outcome, 0.0);
                 self.mark_served(query, complete);
             }
             return;
         }
-        let Some(active) = self.queries.get(&query) else { return };
-        let found = active.segments.iter().zip(&active.values);
-        let found: Vec<_> =
-            found.filter_map(|(seg, value)| Some(json!({"bucket": seg, "item": value.as_ref()?}))).collect();
-        let mut body = json!({"finished": complete, "found": found});
-        if !active.pruned.is_empty() {
-            let left_out = active.pruned.iter().map(|left| {
-                let name = |node: NodeId| self.upstream.name(node);
-                let words = match left.basis {
-                    PruningBasis::TwoReplicas(a, b) => [name(a), name(b)],
-                    PruningBasis::OwnSearch(a) => [name(a), "our own search"],
-                };
-                json!({"bucket": left.segment, "words": words})
-            });
-            body["left_out"] = left_out.collect();
-        }
-        let body = body.to_string();
+        let body = answer_body(active, complete, |node| self.upstream.name(node));
         self.reply(query, 200, &body, 0.0);
         self.mark_served(query, complete);
     }
@@ -166,3 +111,68 @@
         info!("{line}");
     }
 }
+
+impl RouterHost {
+    /// Records an attempt of a part, and what its frame needs.
+    fn start_attempt(&mut self, query: QueryId, part: usize, node: NodeId) -> Option<AttemptRequest> {
+        let active = self.queries.get_mut(&query)?;
+        let index = active.attempts[part].len();
+        active.attempts[part].push(node);
+        active.outstanding += 1;
+        if let (Some(body), Some(bodies)) = (active.body, &mut self.body_store) {
+            bodies.mark_used(self.now, body);
+        }
+        let payload = active.payload.clone();
+        let retry_until = active.may_run_since[part] + self.retry_windows[active.query_class];
+        Some(AttemptRequest {
+            query,
+            part,
+            attempt: index,
+            id: active.part_ids[part].clone(),
+            segment: active.segments[part],
+            query_class: active.query_class,
+            deadline: active.expires_at,
+            send_by: active.expires_at.min(retry_until),
+            body_reader: payload.body().map(BodyReader::new),
+            payload,
+            query_start: active.coordination.as_ref().map(Coordination::began),
+        })
+    }
+
+    /// Whether nobody waits for an attempt any more, or it must not be sent any more.
+    fn is_too_late(&mut self, attempt: &AttemptRequest) -> bool {
+        let Some(active) = self.queries.get(&attempt.query) else { return true };
+        active.is_finished
+            || matches!(attempt.payload, Payload::Released)
+            || attempt.attempt >= self.max_attempts
+            || attempt.send_by <= self.now
+            || active.client.is_some_and(|client| self.downstream.is_disconnected(self.now, client))
+    }
+
+    fn complete_unsent(&mut self, node: NodeId, attempt: AttemptRequest) {
+        let completed = attempt.completed_unsent(node, AttemptOutcome::NotSent);
+        self.upstream.completed.push_back(completed);
+    }
+}
+
+/// The body of an answer on the port for clients.
+fn answer_body<'a>(query: &ActiveQuery, complete: bool, name: impl Fn(NodeId) -> &'a str) -> String {
+    let mut found = Vec::new();
+    for (segment, value) in query.segments.iter().zip(&query.values) {
+        if let Some(value) = value {
+            found.push(json!({"bucket": segment, "item": value}));
+        }
+    }
+    let mut body = json!({"finished": complete, "found": found});
+    if !query.pruned.is_empty() {
+        let pruned = query.pruned.iter().map(|pruned| {
+            let basis = match pruned.basis {
+                PruningBasis::TwoReplicas(first, second) => [name(first), name(second)],
+                PruningBasis::OwnSearch(node) => [name(node), "our own search"],
+            };
+            json!({"bucket": pruned.segment, "words": basis})
+        });
+        body["left_out"] = pruned.collect();
+    }
+    body.to_string()
+}
