--- a/crates/dunepond-broker/src/prefilter.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -264,7 +264,7 @@
             left_out = counts.pruned,
             audits = counts.audits,
             lies = counts.false_denials,
-            revoked = counts.revoked,
+            fallen = counts.revoked,
             doubted = self.prefilter.distrusted_nodes(),
             resting = self.prefilter.nodes_in_backoff(now),
             "two-phase counters"
