--- /dev/null
+++ b/crates/dunepond-broker/src/control_plane/completeness.rs
@@ -0,0 +1,61 @@
+//! Verifies that an answer covers all keys of its query under one shard map.
+
+use dunepond_shard_map::{AnsweredPart, KeyRange, MapFault, VerifiedMap, verify_coverage};
+
+/// Why an answer is not complete.
+#[derive(Debug, thiserror::Error)]
+pub enum IncompleteAnswer {
+    /// A segment of the query is not in the map.
+    #[error("a segment that the map does not have")]
+    UnknownSegment,
+    /// The answered parts do not cover the query's keys.
+    #[error("{0}")]
+    NotCovered(#[from] MapFault),
+}
+
+/// Verifies that the answered parts cover all keys of a query, each exactly once and under one map. `moved`: parts that were sent under
+/// another map's keys, with its epoch. Returns the map's epoch, or why the answer is incomplete.
+pub fn verify_answer(
+    map: &VerifiedMap,
+    segments: &[usize],
+    is_answered: impl Fn(usize) -> bool,
+    moved: &[(usize, u64)],
+) -> Result<u64, IncompleteAnswer> {
+    // Fast path without allocation: segments of a verified map do not overlap, so distinct ones that are all answered cover the
+    // query.
+    let are_distinct = segments.windows(2).all(|two| two[0] < two[1]);
+    if are_distinct
+        && moved.is_empty()
+        && segments
+            .iter()
+            .enumerate()
+            .all(|(at, segment)| is_answered(at) && map.contains_segment(*segment as u64))
+    {
+        return Ok(map.epoch());
+    }
+    let is_answered: Vec<bool> = (0..segments.len()).map(is_answered).collect();
+    verify_by_keys(map, segments, &is_answered, moved)
+}
+
+fn verify_by_keys(
+    map: &VerifiedMap,
+    segments: &[usize],
+    is_answered: &[bool],
+    moved: &[(usize, u64)],
+) -> Result<u64, IncompleteAnswer> {
+    let keys = |segment: &usize| map.segment(*segment as u64).map(|segment| segment.keys);
+    let wanted: Option<Vec<KeyRange>> = segments.iter().map(keys).collect();
+    let wanted = wanted.ok_or(IncompleteAnswer::UnknownSegment)?;
+    let answered = segments.iter().zip(&wanted).enumerate().filter(|(part, _)| is_answered[*part]);
+    let answered = answered.map(|(part, (segment, keys))| {
+        let sent_under = moved.iter().find(|(moved, _)| *moved == part);
+        let epoch = sent_under.map_or(map.epoch(), |(_, epoch)| *epoch);
+        AnsweredPart { segment: *segment as u64, keys: *keys, epoch }
+    });
+    let answered: Vec<_> = answered.collect();
+    verify_coverage(map, &wanted, &answered)?;
+    Ok(map.epoch())
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -1,4 +1,4 @@
-//! Checks against the active configuration, at the moment of each action: may this attempt be sent, is this answer complete.
+//! Checks against the active configuration, at the moment of each action: whether an attempt may be sent to a node.
 
 use std::cell::RefCell;
 use std::io::{self, IoSlice, Write};
@@ -10,7 +10,7 @@
     ActiveConfigWatch, AuditEvent, AuditPhase, ControlHandle, audit_phase, monotonic_seconds,
 };
 use dunepond_routing::Idempotency;
-use dunepond_shard_map::{AnsweredPart, KeyRange, MapFault, VerifiedMap, verify_coverage};
+use dunepond_shard_map::VerifiedMap;
 
 use super::fence::{self, AttemptStage, FenceAction, OwnerSide};
 
@@ -83,6 +83,18 @@
     }
 }
 
+/// A part that is to be sent to a node.
+pub struct PartTarget<'a> {
+    /// The active configuration at its query's start, if known.
+    pub start: Option<&'a QueryStart>,
+    /// Index of its query class.
+    pub query_class: usize,
+    /// Its segment.
+    pub segment: usize,
+    /// The node's name.
+    pub node: &'a str,
+}
+
 /// Decides whether an attempt may be sent; shared by the router host and the connections to nodes.
 pub struct Gate {
     /// The control plane's thread.
@@ -92,7 +104,7 @@
 }
 
 impl Gate {
-    /// `repeats`: the idempotency of each query class.
+    /// `idempotency`: of each query class.
     pub fn new(control: ControlHandle, idempotency: Vec<Idempotency>) -> Self {
         Self { watch: control.watch().into(), control, idempotency }
     }
@@ -124,14 +136,14 @@
         &self,
         check: &CheckedConfig,
         stage: AttemptStage,
-        query_class: usize,
-        segment: usize,
-        node: &str,
+        target: &PartTarget,
     ) -> FenceAction {
-        let to = check.config.map_transition().map(|moving| moving.to());
-        let new = to.and_then(|to| to.segment(segment as u64)).is_some_and(|segment| segment.owner == node);
-        let idempotency = self.idempotency.get(query_class).copied().unwrap_or(Idempotency::Idempotent);
-        fence::fence_action(stage, idempotency, if new { OwnerSide::New } else { OwnerSide::Old })
+        let new_map = check.config.map_transition().map(|transition| transition.to());
+        let segment = new_map.and_then(|map| map.segment(target.segment as u64));
+        let is_new_owner = segment.is_some_and(|segment| segment.owner == target.node);
+        let side = if is_new_owner { OwnerSide::New } else { OwnerSide::Old };
+        let idempotency = self.idempotency.get(target.query_class).copied();
+        fence::fence_action(stage, idempotency.unwrap_or(Idempotency::Idempotent), side)
     }
 
     /// Parts of this query class may run twice inside a window.
@@ -147,41 +159,27 @@
     }
 
     /// Whether a part may be sent to a node now, by the configuration at its query's start and by the active one.
-    pub fn may_send(
-        &self,
-        start: Option<&QueryStart>,
-        query_class: usize,
-        segment: usize,
-        node: &str,
-    ) -> bool {
-        !self.is_non_idempotent(query_class)
-            || self.may_send_under(&self.check(), start, query_class, segment, node)
+    pub fn may_send(&self, target: &PartTarget) -> bool {
+        !self.is_non_idempotent(target.query_class) || self.may_send_under(&self.check(), target)
     }
 
     /// As `may_send`, by a check that was made before.
-    pub fn may_send_under(
-        &self,
-        check: &CheckedConfig,
-        start: Option<&QueryStart>,
-        query_class: usize,
-        segment: usize,
-        node: &str,
-    ) -> bool {
-        if !self.is_non_idempotent(query_class) {
+    pub fn may_send_under(&self, check: &CheckedConfig, target: &PartTarget) -> bool {
+        if !self.is_non_idempotent(target.query_class) {
             return true;
         }
         let allows = |owner: SegmentOwner| match owner {
             SegmentOwner::AnyReplica => true,
-            SegmentOwner::Node(only) => only == node,
+            SegmentOwner::Node(owner) => owner == target.node,
             SegmentOwner::Unavailable(_) => false,
         };
         // The same configuration gives the same verdict, unless a lease began or expired in between.
-        let same = |start: &QueryStart| {
+        let is_same = |start: &QueryStart| {
             Arc::ptr_eq(&start.config, &check.config)
                 && start.config.lease_valid(start.began_at) == check.config.lease_valid(check.checked_at)
         };
-        allows(check.config.owner(segment as u64, check.checked_at))
-            && start.is_none_or(|start| same(start) || allows(start.owner(segment)))
+        allows(check.config.owner(target.segment as u64, check.checked_at))
+            && target.start.is_none_or(|start| is_same(start) || allows(start.owner(target.segment)))
     }
 
     /// Whether a keyed part may be retried although it may have run.
@@ -205,98 +203,33 @@
         (keys(then) != keys(now)).then_some(now.epoch())
     }
 
-    /// Audits an attempt whose frame has been handed to its connection. `id`: request id and segment; `look`: the check that
-    /// allowed it.
-    pub fn audit_sent(
-        &self,
-        check: &CheckedConfig,
-        start: Option<&QueryStart>,
-        query_class: usize,
-        id: &str,
-        part: (usize, usize),
-        node: &str,
-    ) {
-        let (segment, attempt) = part;
-        let act = || {
+    /// Audits an attempt whose frame has been handed to its connection. `part_id`: request id and segment; `check` allowed it.
+    pub fn audit_sent(&self, check: &CheckedConfig, target: &PartTarget, part_id: &str, attempt: usize) {
+        let event = || {
             let (mut phase, mut versions) = audit_phase(&check.config, check.checked_at);
-            if let Some(start) = start {
-                let (then, before) = audit_phase(&start.config, start.began_at);
-                versions.extend(before);
+            if let Some(start) = target.start {
+                let (start_phase, start_versions) = audit_phase(&start.config, start.began_at);
+                versions.extend(start_versions);
                 // The stricter phase is obeyed.
-                if then == AuditPhase::Joint && phase == AuditPhase::Active {
-                    phase = then;
+                if start_phase == AuditPhase::Joint && phase == AuditPhase::Active {
+                    phase = start_phase;
                 }
             }
             versions.sort_unstable();
             versions.dedup();
             AuditEvent::AttemptSent {
-                request_id: id.rsplit_once('.').map_or(id, |(call, _)| call).to_string(),
-                segment_id: segment as u64,
-                node: node.to_string(),
+                request_id: part_id.rsplit_once('.').map_or(part_id, |(request, _)| request).to_string(),
+                segment_id: target.segment as u64,
+                node: target.node.to_string(),
                 attempt: attempt as u64,
-                non_idempotent: self.is_non_idempotent(query_class),
+                non_idempotent: self.is_non_idempotent(target.query_class),
                 phase,
                 versions,
             }
         };
-        self.control.audit_at(check.checked_at, act);
+        self.control.audit_at(check.checked_at, event);
     }
 }
 
-/// Why an answer is not complete.
-#[derive(Debug, thiserror::Error)]
-pub enum IncompleteAnswer {
-    /// A segment of the query is not in the map.
-    #[error("a segment that the map does not have")]
-    UnknownSegment,
-    /// The answered parts do not cover the query's keys.
-    #[error("{0}")]
-    NotCovered(#[from] MapFault),
-}
-
-/// Verifies that the answered parts cover all keys of a query, each exactly once and under one map. `moved`: parts that were sent under
-/// another map's keys, with its epoch. Returns the map's epoch, or why the answer is incomplete.
-pub fn verify_answer(
-    map: &VerifiedMap,
-    segments: &[usize],
-    is_answered: impl Fn(usize) -> bool,
-    moved: &[(usize, u64)],
-) -> Result<u64, IncompleteAnswer> {
-    // Fast path without allocation: segments of a verified map do not overlap, so distinct ones that are all answered cover the
-    // query.
-    let are_distinct = segments.windows(2).all(|two| two[0] < two[1]);
-    if are_distinct
-        && moved.is_empty()
-        && segments
-            .iter()
-            .enumerate()
-            .all(|(at, segment)| is_answered(at) && map.contains_segment(*segment as u64))
-    {
-        return Ok(map.epoch());
-    }
-    let is_answered: Vec<bool> = (0..segments.len()).map(is_answered).collect();
-    verify_by_keys(map, segments, &is_answered, moved)
-}
-
-fn verify_by_keys(
-    map: &VerifiedMap,
-    segments: &[usize],
-    is_answered: &[bool],
-    moved: &[(usize, u64)],
-) -> Result<u64, IncompleteAnswer> {
-    let keys = |segment: &usize| map.segment(*segment as u64).map(|segment| segment.keys);
-    let wanted: Option<Vec<KeyRange>> = segments.iter().map(keys).collect();
-    let wanted = wanted.ok_or(IncompleteAnswer::UnknownSegment)?;
-    let answered = segments.iter().zip(&wanted).enumerate().filter(|(part, _)| is_answered[*part]);
-    let answered = answered.map(|(part, (segment, keys))| {
-        let sent_under = moved.iter().find(|(moved, _)| *moved == part);
-        let epoch = sent_under.map_or(map.epoch(), |(_, epoch)| *epoch);
-        AnsweredPart { segment: *segment as u64, keys: *keys, epoch }
-    });
-    let answered: Vec<_> = answered.collect();
-    verify_coverage(map, &wanted, &answered)?;
-    Ok(map.epoch())
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -1,6 +1,7 @@
 //! The event loop's side of the control plane, a thread that hosts consensus, membership and quotas. Absent if the operator's file names
 //! no fleet.
 
+mod completeness;
 mod endpoints;
 pub mod fence;
 mod gate;
@@ -18,7 +19,8 @@
 use dunepond_routing::{EndpointState, NodeId, Query, QuotaDemand, QuotaShares, Rules};
 use tracing::info;
 
-pub use gate::{CheckedConfig, FreshWriter, Gate, QueryStart, StaleCheck, verify_answer};
+pub use completeness::verify_answer;
+pub use gate::{CheckedConfig, FreshWriter, Gate, PartTarget, QueryStart, StaleCheck};
 pub use startup::check;
 
 use crate::endpoint::EndpointRow;
--- a/crates/dunepond-broker/src/event_loop/reload.rs
+++ b/crates/dunepond-broker/src/event_loop/reload.rs
@@ -28,7 +28,7 @@
                 info!("configuration reloaded");
                 logger::set_level(start.log_level);
                 // Settings take effect after a restart, but the process's supervisor may use these timeouts already.
-                let timeouts = start.deployment.query_classes.iter().map(|t| t.timeout);
+                let timeouts = start.deployment.query_classes.iter().map(|class| class.timeout);
                 self.longest_timeout = self.longest_timeout.min(timeouts.fold(0.0, f64::max));
                 self.discovery.change_agent(now, start.discovery_address, &mut self.router_host.timers);
                 self.retry_discovery();
@@ -38,9 +38,9 @@
         match configuration.operator {
             Some(Ok(operator)) => self.apply_operator_file(operator),
             Some(Err(ConfigError(lines))) => {
-                lines
-                    .lines()
-                    .for_each(|line| error!("operator's file reload failed, the active one stays: {line}"));
+                for line in lines.lines() {
+                    error!("operator's file reload failed, the active one stays: {line}");
+                }
             }
             None => {}
         }
@@ -52,43 +52,43 @@
 
     /// Applies what can change in a running process; the rest is logged and takes effect after a restart.
     fn apply_operator_file(&mut self, operator: OperatorConfig) {
-        let waits = |what: &str| warn!("operator's file: {what} takes effect after a restart");
+        let warn_of_restart = |what: &str| warn!("operator's file: {what} takes effect after a restart");
         if operator.log_format != self.operator.log_format {
-            waits("log form=");
+            warn_of_restart("log form=");
         }
         match (&operator.body_buffer, &mut self.router_host.body_store) {
-            (Some(told), Some(bodies)) => {
-                if self.operator.body_buffer.as_ref().map(|b| &b.spill) != Some(&told.spill) {
-                    waits("bodies: files: folder=, threads= and waiting=");
+            (Some(config), Some(bodies)) => {
+                if self.operator.body_buffer.as_ref().map(|active| &active.spill) != Some(&config.spill) {
+                    warn_of_restart("bodies: files: folder=, threads= and waiting=");
                 }
-                bodies.reconfigure(told.limits.clone());
+                bodies.reconfigure(config.limits.clone());
             }
             (None, None) => {}
-            _ => waits("bodies, turned on or off,"),
+            _ => warn_of_restart("bodies, turned on or off,"),
         }
         match (&operator.prefilter, &mut self.prefilter) {
-            (Some(terms), Some(prefilter)) => prefilter.reconfigure(terms.clone()),
+            (Some(config), Some(prefilter)) => prefilter.reconfigure(config.clone()),
             (None, None) => {}
-            _ => waits("phases, turned on or off,"),
+            _ => warn_of_restart("phases, turned on or off,"),
         }
         let needs_restart = match &mut self.router_host.control_plane {
             Some(control_plane) => control_plane.reload(operator.fleet.as_ref()),
             None => operator.fleet.is_some(),
         };
         if needs_restart {
-            waits("fleet, but for its version,");
+            warn_of_restart("fleet, but for its version,");
         }
         if operator.recovery != self.operator.recovery {
-            waits("state");
+            warn_of_restart("state");
         }
         if operator.search_api != self.operator.search_api {
-            waits("search");
+            warn_of_restart("search");
         }
         if operator.search_api_nodes != self.operator.search_api_nodes {
-            waits("search-nodes");
+            warn_of_restart("search-nodes");
         }
         if operator.background != self.operator.background {
-            waits("background");
+            warn_of_restart("background");
         }
         if operator.counters_interval_seconds.is_some() && self.operator.counters_interval_seconds.is_none() {
             self.router_host.timers.schedule(self.router_host.now, TimerEvent::Counters);
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -71,10 +71,10 @@
     pub(super) fn may_send(&mut self, node: NodeId, attempt: &AttemptRequest) -> bool {
         let Some(control_plane) = &self.control_plane else { return true };
         let (gate, name) = (&control_plane.gate, self.upstream.name(node));
-        let AttemptRequest { part, segment, query_class, .. } = *attempt;
+        let AttemptRequest { part, segment, .. } = *attempt;
         let active = self.queries.get_mut(&attempt.query);
         let coordination = active.and_then(|active| active.coordination.as_mut());
-        let mut may_send = gate.may_send(attempt.query_start.as_deref(), query_class, segment, name);
+        let mut may_send = gate.may_send(&attempt.target(name));
         if let Some(coordination) = coordination {
             if let Some(keyed) = coordination.keyed_parts.get_mut(part) {
                 let is_first = keyed.outstanding == 0 && !keyed.may_have_run;
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -24,7 +24,7 @@
 use crate::body::{BodyReader, Payload};
 use crate::buffers::{Buffer, Pool, WriteQueue};
 use crate::clock::{self, TimerKey};
-use crate::control_plane::{Gate, QueryStart};
+use crate::control_plane::{Gate, PartTarget, QueryStart};
 use crate::endpoint::EndpointInfo;
 use crate::http::Message;
 use crate::iteration::EventLoopHandle;
@@ -194,6 +194,16 @@
 }
 
 impl AttemptRequest {
+    /// The part and the node with this name, for checks against the active configuration.
+    pub fn target<'a>(&'a self, node: &'a str) -> PartTarget<'a> {
+        PartTarget {
+            start: self.query_start.as_deref(),
+            query_class: self.query_class,
+            segment: self.segment,
+            node,
+        }
+    }
+
     fn key(&self) -> AttemptId {
         AttemptId { query: self.query, part: self.part, index: self.attempt }
     }
--- a/crates/dunepond-broker/src/upstream/ownership_check.rs
+++ b/crates/dunepond-broker/src/upstream/ownership_check.rs
@@ -5,20 +5,20 @@
 use dunepond_routing::AttemptOutcome;
 use tracing::debug;
 
-use super::{AttemptRequest, NodeConnection, OutstandingRequest, Upstream};
+use super::{NodeConnection, OutstandingRequest, Upstream};
 use crate::clock::Timers;
 use crate::control_plane::fence::{AttemptStage, FenceAction};
 use crate::control_plane::{CheckedConfig, Gate};
 
 /// Writes the attempts that were framed since the last call to the audit log.
-pub fn audit_sent(gate: &Gate, look: &CheckedConfig, host: &str, connection: &mut NodeConnection) {
+pub fn audit_sent(gate: &Gate, check: &CheckedConfig, host: &str, connection: &mut NodeConnection) {
     if !gate.control.is_audited() {
         return;
     }
     for out in connection.outstanding.iter_mut().filter(|o| o.frame_end.is_some() && !o.audited) {
-        let p = &out.request;
         out.audited = true;
-        gate.audit_sent(look, p.query_start.as_deref(), p.query_class, &p.id, (p.segment, p.attempt), host);
+        let request = &out.request;
+        gate.audit_sent(check, &request.target(host), &request.id, request.attempt);
     }
 }
 
@@ -27,7 +27,7 @@
     /// such an attempt is partly written.
     pub(super) fn withdraw_disallowed(
         &mut self,
-        look: &CheckedConfig,
+        check: &CheckedConfig,
         now: f64,
         id: usize,
         timers: &mut Timers,
@@ -35,9 +35,6 @@
         let Some(gate) = &self.gate else { return true };
         let Some(connection) = self.connections.get_mut(id).filter(|l| l.connected) else { return true };
         let host = self.nodes[connection.node].name();
-        let may_send = |p: &AttemptRequest| {
-            gate.may_send_under(look, p.query_start.as_deref(), p.query_class, p.segment, host)
-        };
         let written = connection.output.written_offset();
         let stage = |o: &OutstandingRequest| match o.frame_end {
             None => AttemptStage::Queued,
@@ -45,11 +42,11 @@
             Some(_) => AttemptStage::AwaitingAnswer,
         };
         let fence_action = |o: &OutstandingRequest| {
-            let p = &o.request;
-            if may_send(p) {
+            let target = o.request.target(host);
+            if gate.may_send_under(check, &target) {
                 FenceAction::Allowed
             } else {
-                gate.fence_action(look, stage(o), p.query_class, p.segment, host)
+                gate.fence_action(check, stage(o), &target)
             }
         };
         if connection.outstanding.iter().any(|o| fence_action(o) == FenceAction::Aborted) {
