--- a/crates/dunepond-testkit/src/auditor/limits.rs
+++ b/crates/dunepond-testkit/src/auditor/limits.rs
@@ -5,11 +5,11 @@
 use super::{AuditEvent, AuditRecord, Finding, Records};
 
 /// Units in the whole of each bound.
-pub const WHOLE: u64 = 1_000_000;
+pub const QUOTA_UNITS: u64 = 1_000_000;
 
 /// What one broker might use of one bound for a while. What it used still counts until the window behind it is over.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stretch {
+pub struct QuotaInterval {
     pub brk: String,
     pub bound: String,
     pub units: u64,
@@ -18,7 +18,7 @@
 }
 
 /// Sums at each moment at which one changes: time, bound, units, and who has how many of them.
-pub fn sums<'a>(stretches: &'a [Stretch], bound: &str) -> Vec<(f64, u64, BTreeMap<&'a str, u64>)> {
+pub fn sums<'a>(stretches: &'a [QuotaInterval], bound: &str) -> Vec<(f64, u64, BTreeMap<&'a str, u64>)> {
     let of: Vec<_> = stretches.iter().filter(|one| one.bound == bound && one.to > one.from).collect();
     let mut edges: Vec<(f64, bool, usize)> = Vec::new();
     for (i, one) in of.iter().enumerate() {
@@ -42,27 +42,27 @@
 }
 
 /// The most that all together might use of each bound over any window, in units.
-pub fn largest(records: &Records) -> BTreeMap<String, u64> {
-    let stretches = stretches(records);
+pub fn peak_units(records: &Records) -> BTreeMap<String, u64> {
+    let stretches = quota_intervals(records);
     let bounds: BTreeSet<_> = stretches.iter().map(|one| one.bound.clone()).collect();
     let most = |bound: &String| sums(&stretches, bound).into_iter().map(|sum| sum.1).max().unwrap_or(0);
     bounds.iter().map(|bound| (bound.clone(), most(bound))).collect()
 }
 
-pub fn limits(records: &Records, found: &mut Vec<Finding>) {
-    let stretches = stretches(records);
+pub fn check_quotas(records: &Records, found: &mut Vec<Finding>) {
+    let stretches = quota_intervals(records);
     let bounds: BTreeSet<_> = stretches.iter().map(|one| &one.bound).collect();
     for bound in bounds {
-        let over = sums(&stretches, bound).into_iter().find(|sum| sum.1 > WHOLE);
+        let over = sums(&stretches, bound).into_iter().find(|sum| sum.1 > QUOTA_UNITS);
         if let Some((at, units, each)) = over {
             let brokers = format!("{each:?}");
-            found.push(Finding::PastWhole { bound: bound.clone(), units, whole: WHOLE, at, brokers });
+            found.push(Finding::PastWhole { bound: bound.clone(), units, whole: QUOTA_UNITS, at, brokers });
         }
     }
 }
 
 /// By what brokers were told they may, each line up to the next of any life of the same broker.
-pub fn stretches(records: &Records) -> Vec<Stretch> {
+pub fn quota_intervals(records: &Records) -> Vec<QuotaInterval> {
     let shares = || records.lines.iter().filter(|line| matches!(line.event, AuditEvent::QuotaShare { .. }));
     let names: BTreeSet<&String> = shares()
         .flat_map(|line| match &line.event {
@@ -95,7 +95,7 @@
                 for (units, to) in [(floor + part, until.min(next)), (*floor, next)] {
                     if to > begins && units > 0 {
                         let (brk, bound, units) = (brk.to_string(), name.to_string(), u64::from(units));
-                        all.push(Stretch { brk, bound, units, from: begins, to: to + window });
+                        all.push(QuotaInterval { brk, bound, units, from: begins, to: to + window });
                     }
                 }
             }
--- a/crates/dunepond-testkit/src/auditor/mod.rs
+++ b/crates/dunepond-testkit/src/auditor/mod.rs
@@ -11,26 +11,26 @@
 
 /// What the records are judged by, seconds each.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct GroundTruth {
     /// What two clock readings of one act may be apart.
-    pub slack: f64,
+    pub clock_slack_seconds: f64,
     /// For so long after a part was sent to one owner it may still run there: the longest query timeout.
-    pub longest: f64,
+    pub max_query_seconds: f64,
     /// Of each version that has a map: its epoch, and each segment's owner.
     pub maps: BTreeMap<u64, (u64, BTreeMap<u64, String>)>,
     /// What each scan asked for, where the clients tell; from its dispatches otherwise.
-    pub asked: BTreeMap<String, BTreeSet<u64>>,
+    pub requested: BTreeMap<String, BTreeSet<u64>>,
     /// What nodes ran of non-replayable parts, once for each run.
-    pub ran: Vec<Ran>,
+    pub runs: Vec<NodeRun>,
     /// What there is to be settled between any two partners at most, if that is known.
-    pub owed: Option<u64>,
+    pub max_debt_bytes: Option<u64>,
 }
 
 /// A non-replayable part that came to a node, as the node counted it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ran {
-    pub call: String,
-    pub seg: u64,
+pub struct NodeRun {
+    pub request_id: String,
+    pub segment_id: u64,
     pub at: f64,
     pub node: String,
 }
@@ -90,14 +90,14 @@
 
 /// A stretch in which a broker might act on one version alone.
 #[derive(Clone, Debug, PartialEq)]
-struct Plain {
+struct ActiveInterval {
     brk: String,
     number: u64,
     from: f64,
     to: f64,
 }
 
-struct Sent<'a> {
+struct SentAttempt<'a> {
     line: &'a AuditRecord,
     call: &'a str,
     seg: u64,
@@ -108,7 +108,7 @@
     numbers: &'a [u64],
 }
 
-fn sent(line: &AuditRecord) -> Option<Sent<'_>> {
+fn sent(line: &AuditRecord) -> Option<SentAttempt<'_>> {
     let AuditEvent::AttemptSent {
         request_id: call,
         segment_id: seg,
@@ -122,11 +122,11 @@
         return None;
     };
     let (seg, shot, once, phase) = (*seg, *shot, *once, *phase);
-    Some(Sent { line, call, seg, node, shot, once, phase, numbers })
+    Some(SentAttempt { line, call, seg, node, shot, once, phase, numbers })
 }
 
 /// All that is wrong, each thing once.
-pub fn audit(records: &Records, known: &Known) -> Vec<Finding> {
+pub fn audit(records: &Records, known: &GroundTruth) -> Vec<Finding> {
     let mut found: Vec<_> = records
         .unreadable
         .iter()
@@ -135,20 +135,20 @@
     let dispatches: Vec<_> = records.lines.iter().filter_map(sent).collect();
     leases(records, known, &mut found);
     contradictions(records, known, &dispatches, &mut found);
-    owners(known, &dispatches, &mut found);
-    doubled(known, &dispatches, &mut found);
-    arrivals(records, known, &dispatches, &mut found);
-    at_work(known, &mut found);
-    limits::limits(records, &mut found);
+    ownership(known, &dispatches, &mut found);
+    duplicate_attempts(known, &dispatches, &mut found);
+    late_arrivals(records, known, &dispatches, &mut found);
+    overlapping_runs(known, &mut found);
+    limits::check_quotas(records, &mut found);
     settlements(records, known, &mut found);
-    wholes(records, known, &dispatches, &mut found);
+    complete_answers(records, known, &dispatches, &mut found);
     versions(records, &mut found);
     found
 }
 
 /// The longest that any two brokers might act on different versions alone, in seconds.
 pub fn longest_contradiction(records: &Records) -> f64 {
-    let plain = plains(records);
+    let plain = active_intervals(records);
     let mut longest: f64 = 0.0;
     for (i, a) in plain.iter().enumerate() {
         for b in &plain[i + 1..] {
@@ -160,8 +160,8 @@
     longest
 }
 
-fn plains(records: &Records) -> Vec<Plain> {
-    let mut plain: Vec<Plain> = Vec::new();
+fn active_intervals(records: &Records) -> Vec<ActiveInterval> {
+    let mut plain: Vec<ActiveInterval> = Vec::new();
     let mut open: BTreeMap<&str, (u64, usize)> = BTreeMap::new();
     for line in &records.lines {
         // A new life, even if it says nothing of its phase yet, has ended what the last one might do.
@@ -194,7 +194,7 @@
             }
             _ => {
                 open.insert(&line.broker, (line.incarnation, plain.len()));
-                plain.push(Plain { brk: line.broker.clone(), number, from: line.at, to: until });
+                plain.push(ActiveInterval { brk: line.broker.clone(), number, from: line.at, to: until });
             }
         }
     }
@@ -203,7 +203,7 @@
 }
 
 /// Acts on a version after the end of the lease that was in force, and non-replayable parts sent without one.
-fn leases(records: &Records, known: &Known, found: &mut Vec<Finding>) {
+fn leases(records: &Records, known: &GroundTruth, found: &mut Vec<Finding>) {
     let mut until: BTreeMap<(&str, u64), f64> = BTreeMap::new();
     let mut mapped: BTreeSet<(&str, u64)> = BTreeSet::new();
     for line in &records.lines {
@@ -216,10 +216,10 @@
                 mapped.insert(life);
             }
         }
-        let Some(Sent { call, seg, once, phase, .. }) = sent(line) else { continue };
+        let Some(SentAttempt { call, seg, once, phase, .. }) = sent(line) else { continue };
         let call = call.to_string();
         let late = line.at - until.get(&life).copied().unwrap_or(0.0);
-        if late <= known.slack {
+        if late <= known.clock_slack_seconds {
             continue;
         }
         match phase {
@@ -235,12 +235,17 @@
 }
 
 /// Non-replayable parts sent on one version alone while another broker might act on another alone.
-fn contradictions(records: &Records, known: &Known, dispatches: &[Sent], found: &mut Vec<Finding>) {
-    let plain = plains(records);
+fn contradictions(
+    records: &Records,
+    known: &GroundTruth,
+    dispatches: &[SentAttempt],
+    found: &mut Vec<Finding>,
+) {
+    let plain = active_intervals(records);
     for one in dispatches.iter().filter(|one| one.once && one.phase == AuditPhase::Active) {
         let (at, Some(&on)) = (one.line.at, one.numbers.last()) else { continue };
         let beside = plain.iter().find(|other| {
-            let (from, to) = (other.from + known.slack, other.to - known.slack);
+            let (from, to) = (other.from + known.clock_slack_seconds, other.to - known.clock_slack_seconds);
             other.brk != one.line.broker && other.number != on && from < at && at < to
         });
         if let Some(other) = beside {
@@ -252,8 +257,8 @@
 }
 
 /// Non-replayable parts beside the one owner, or at two owners while the first might still be at work.
-fn owners(known: &Known, dispatches: &[Sent], found: &mut Vec<Finding>) {
-    let mut last: BTreeMap<u64, &Sent> = BTreeMap::new();
+fn ownership(known: &GroundTruth, dispatches: &[SentAttempt], found: &mut Vec<Finding>) {
+    let mut last: BTreeMap<u64, &SentAttempt> = BTreeMap::new();
     for one in dispatches.iter().filter(|one| one.once) {
         let maps: Vec<_> = one.numbers.iter().filter_map(|number| known.maps.get(number)).collect();
         if maps.is_empty() {
@@ -266,7 +271,7 @@
         }
         if let Some(before) = last.insert(seg, one) {
             let apart = one.line.at - before.line.at;
-            if before.node != one.node && apart < known.longest - known.slack {
+            if before.node != one.node && apart < known.max_query_seconds - known.clock_slack_seconds {
                 found.push(Finding::TwoOwners { seg, first: before.node.to_string(), second: node, apart });
             }
         }
@@ -274,8 +279,8 @@
 }
 
 /// Sent again in one of the ways in which nothing can have told that the first never ran; and what nodes counted.
-fn doubled(known: &Known, dispatches: &[Sent], found: &mut Vec<Finding>) {
-    let mut sent: BTreeMap<(&str, u64), Vec<&Sent>> = BTreeMap::new();
+fn duplicate_attempts(known: &GroundTruth, dispatches: &[SentAttempt], found: &mut Vec<Finding>) {
+    let mut sent: BTreeMap<(&str, u64), Vec<&SentAttempt>> = BTreeMap::new();
     for one in dispatches.iter().filter(|one| one.once) {
         sent.entry((one.call, one.seg)).or_default().push(one);
     }
@@ -291,7 +296,7 @@
         }
     }
     let mut ran: BTreeMap<(&String, u64), usize> = BTreeMap::new();
-    known.ran.iter().for_each(|one| *ran.entry((&one.call, one.seg)).or_default() += 1);
+    known.runs.iter().for_each(|one| *ran.entry((&one.request_id, one.segment_id)).or_default() += 1);
     for ((call, seg), times) in ran.into_iter().filter(|(_, times)| *times > 1) {
         found.push(Finding::RanAgain { call: call.clone(), seg, times });
     }
@@ -299,14 +304,19 @@
 
 /// Parts that came to a node when all that their broker ever held of the versions they were sent on was long over: it wrote
 /// them later than it says.
-fn arrivals(records: &Records, known: &Known, dispatches: &[Sent], found: &mut Vec<Finding>) {
+fn late_arrivals(
+    records: &Records,
+    known: &GroundTruth,
+    dispatches: &[SentAttempt],
+    found: &mut Vec<Finding>,
+) {
     let once = dispatches.iter().filter(|one| one.once && !one.numbers.is_empty());
     let sent: BTreeMap<_, _> = once.map(|one| ((one.call, one.seg), one)).collect();
     let mut phases: BTreeMap<_, Vec<&AuditRecord>> = BTreeMap::new();
     for line in records.lines.iter().filter(|line| matches!(line.event, AuditEvent::Phase { .. })) {
         phases.entry((&line.broker, line.incarnation)).or_default().push(line);
     }
-    for Ran { call, seg, at, .. } in &known.ran {
+    for NodeRun { request_id: call, segment_id: seg, at, .. } in &known.runs {
         let Some(sent) = sent.get(&(call.as_str(), *seg)) else { continue };
         let held = phases.get(&(&sent.line.broker, sent.line.incarnation)).map_or(&[][..], Vec::as_slice);
         let until = held.iter().filter(|line| line.at <= *at).filter_map(|line| match &line.event {
@@ -318,7 +328,7 @@
             _ => None,
         });
         let late = at - until.fold(sent.line.at, f64::max);
-        if late > known.longest + known.slack {
+        if late > known.max_query_seconds + known.clock_slack_seconds {
             let (brk, numbers) = (sent.line.broker.clone(), sent.numbers.to_vec());
             found.push(Finding::RanLate { brk, call: call.clone(), seg: *seg, numbers, late });
         }
@@ -326,24 +336,24 @@
 }
 
 /// Whatever brokers wrote, and under whichever maps: two nodes that both may have been at work on one segment.
-fn at_work(known: &Known, found: &mut Vec<Finding>) {
+fn overlapping_runs(known: &GroundTruth, found: &mut Vec<Finding>) {
     if known.maps.is_empty() {
         return;
     }
-    let mut by_seg: BTreeMap<u64, Vec<&Ran>> = BTreeMap::new();
-    known.ran.iter().for_each(|one| by_seg.entry(one.seg).or_default().push(one));
+    let mut by_seg: BTreeMap<u64, Vec<&NodeRun>> = BTreeMap::new();
+    known.runs.iter().for_each(|one| by_seg.entry(one.segment_id).or_default().push(one));
     for (seg, mut all) in by_seg {
         all.sort_by(|a, b| a.at.total_cmp(&b.at));
         let two = all.windows(2).map(|two| (two[0], two[1], two[1].at - two[0].at));
         // Both readings are a node's, of when it came and not when it was sent.
-        let close = |apart: f64| apart < known.longest - 2.0 * known.slack;
+        let close = |apart: f64| apart < known.max_query_seconds - 2.0 * known.clock_slack_seconds;
         if let Some((a, b, apart)) = two.into_iter().find(|(a, b, apart)| a.node != b.node && close(*apart)) {
             found.push(Finding::TwoAtWork { seg, first: a.node.clone(), second: b.node.clone(), apart });
         }
     }
 }
 
-fn settlements(records: &Records, known: &Known, found: &mut Vec<Finding>) {
+fn settlements(records: &Records, known: &GroundTruth, found: &mut Vec<Finding>) {
     let mut applied = BTreeSet::new();
     let mut by_fill: BTreeMap<&str, &str> = BTreeMap::new();
     let mut sums: BTreeMap<_, u64> = BTreeMap::new();
@@ -366,7 +376,7 @@
         *sums.entry((&line.broker, line.incarnation, debtor, creditor)).or_default() += bytes;
     }
     for ((brk, _, debtor, creditor), settled) in sums {
-        if let Some(owed) = known.owed.filter(|owed| settled > *owed) {
+        if let Some(owed) = known.max_debt_bytes.filter(|owed| settled > *owed) {
             let (brk, debtor, creditor) = (brk.clone(), debtor.clone(), creditor.clone());
             found.push(Finding::SettledPast { brk, debtor, creditor, settled, owed });
         }
@@ -374,8 +384,13 @@
 }
 
 /// Answers called whole that miss what was asked for, or put parts of two maps together.
-fn wholes(records: &Records, known: &Known, dispatches: &[Sent], found: &mut Vec<Finding>) {
-    let mut by_call: BTreeMap<(&str, &str), Vec<&Sent>> = BTreeMap::new();
+fn complete_answers(
+    records: &Records,
+    known: &GroundTruth,
+    dispatches: &[SentAttempt],
+    found: &mut Vec<Finding>,
+) {
+    let mut by_call: BTreeMap<(&str, &str), Vec<&SentAttempt>> = BTreeMap::new();
     for one in dispatches {
         by_call.entry((&one.line.broker, one.call)).or_default().push(one);
     }
@@ -387,7 +402,7 @@
         };
         let parts = by_call.get(&(line.broker.as_str(), call.as_str())).map_or(&[][..], Vec::as_slice);
         let of_parts = || parts.iter().map(|one| one.seg).collect();
-        let asked = known.asked.get(call).cloned().unwrap_or_else(of_parts);
+        let asked = known.requested.get(call).cloned().unwrap_or_else(of_parts);
         let missing: Vec<_> = asked.into_iter().filter(|seg| !segs.contains(seg)).collect();
         let (brk, call) = (line.broker.clone(), call.clone());
         if !missing.is_empty() {
@@ -395,7 +410,7 @@
             continue;
         }
         let Some(epoch) = *epoch else { continue };
-        let epochs = |one: &Sent| -> Vec<u64> {
+        let epochs = |one: &SentAttempt| -> Vec<u64> {
             one.numbers.iter().filter_map(|number| known.maps.get(number)).map(|map| map.0).collect()
         };
         // A segment that was sent more than once came in under one of these.
--- a/crates/dunepond-testkit/src/auditor/records.rs
+++ b/crates/dunepond-testkit/src/auditor/records.rs
@@ -14,13 +14,13 @@
 
 impl Records {
     /// Lines of one file, in their place among all.
-    pub fn add(&mut self, name: &str, text: &str) {
-        self.take(name, text);
+    pub fn append_sorted(&mut self, name: &str, text: &str) {
+        self.append_unsorted(name, text);
         self.sort();
     }
 
     /// Lines of one file, to be sorted once all files are in. The last of each life may be torn by a crash: the next life's first then stands right behind it.
-    pub fn take(&mut self, name: &str, text: &str) {
+    pub fn append_unsorted(&mut self, name: &str, text: &str) {
         let lines: Vec<_> = text.split('\n').enumerate().filter(|(_, line)| !line.is_empty()).collect();
         let whole = text.ends_with('\n');
         for (place, &(number, line)) in lines.iter().enumerate() {
@@ -38,7 +38,7 @@
         self.lines.sort_by(|a, b| a.at.total_cmp(&b.at));
     }
 
-    pub fn read<'a>(files: impl IntoIterator<Item = &'a Path>) -> std::io::Result<Self> {
+    pub fn read_files<'a>(files: impl IntoIterator<Item = &'a Path>) -> std::io::Result<Self> {
         let mut records = Self::default();
         for file in files {
             // Named for its readers; a broker that has done nothing has written none.
@@ -46,7 +46,7 @@
                 std::io::ErrorKind::NotFound => Ok(Vec::new()),
                 _ => Err(e),
             })?;
-            records.add(&file.display().to_string(), &String::from_utf8_lossy(&bytes));
+            records.append_sorted(&file.display().to_string(), &String::from_utf8_lossy(&bytes));
         }
         Ok(records)
     }
--- a/crates/dunepond-testkit/src/experiments/work.rs
+++ b/crates/dunepond-testkit/src/experiments/background.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::Way;
+use super::RunOptions;
 use crate::report::{Curve, Figures};
 
 const BUSY: f64 = 0.8;
@@ -91,7 +91,7 @@
     ran
 }
 
-pub fn run(way: &Way) -> anyhow::Result<Figures> {
+pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
     let seconds = if way.quick { 60.0 } else { 600.0 };
     let budget = Budget { time_ratio: 0.02, bytes_per_second: 1e6, max_blocking_jobs: 1 };
@@ -99,24 +99,28 @@
     let beside = play(way.seed, seconds, Some(budget.clone()));
     let unbounded = play(way.seed, seconds, Some(Budget { time_ratio: 1.0, ..budget }));
     let at = |ran: &Ran, q: f64| ran.times.value_at_quantile(q) as f64 / 1e3;
-    figures.tell("foreground alone, p50", at(&alone, 0.5), "ms, simulated");
-    figures.tell("foreground alone, p99", at(&alone, 0.99), "ms, simulated");
-    figures.tell("beside endless work, p99", at(&beside, 0.99), "ms, simulated");
-    figures.tell("beside endless work without a budget of time, p99", at(&unbounded, 0.99), "ms, simulated");
-    figures.hold(
+    figures.report("foreground alone, p50", at(&alone, 0.5), "ms, simulated");
+    figures.report("foreground alone, p99", at(&alone, 0.99), "ms, simulated");
+    figures.report("beside endless work, p99", at(&beside, 0.99), "ms, simulated");
+    figures.report(
+        "beside endless work without a budget of time, p99",
+        at(&unbounded, 0.99),
+        "ms, simulated",
+    );
+    figures.report_bounded(
         "p99 beside endless work, against alone",
         at(&beside, 0.99) / at(&alone, 0.99),
         RATIO,
         "times",
     );
-    figures.hold("share of the core for background work", beside.share, 0.021, "");
-    figures.hold("longest wait for a first step", beside.waited, STARVED, "s, simulated");
+    figures.report_bounded("share of the core for background work", beside.share, 0.021, "");
+    figures.report_bounded("longest wait for a first step", beside.waited, STARVED, "s, simulated");
     for name in ["endless and urgent", "endless", "idle"] {
-        figures.tell(format!("steps: {name}"), beside.steps.get(name).copied().unwrap_or(0) as f64, "");
+        figures.report(format!("steps: {name}"), beside.steps.get(name).copied().unwrap_or(0) as f64, "");
     }
     let jobs = beside.added as f64;
     let done = beside.steps.get("idle").copied().unwrap_or(0) as f64;
-    figures.hold("idle jobs not done", (jobs - done).max(0.0), STARVED / 0.5, "");
+    figures.report_bounded("idle jobs not done", (jobs - done).max(0.0), STARVED / 0.5, "");
     let curve = |name: &str, ran: &Ran| {
         let points = (0..=100).map(|i| (i as f64, at(ran, i as f64 / 100.0)));
         Curve { name: name.to_string(), points: points.collect() }
--- a/crates/dunepond-testkit/src/experiments/bodies.rs
+++ b/crates/dunepond-testkit/src/experiments/bodies.rs
@@ -8,8 +8,8 @@
 
 use anyhow::ensure;
 
-use super::Way;
-use crate::load::{Load, Went};
+use super::RunOptions;
+use crate::load::{Load, LoadReport};
 use crate::report::{Curve, Figures};
 use crate::wide::{Ask, Manner, Node, Site, Told, ask, mib, twice};
 
@@ -38,7 +38,7 @@
     )
 }
 
-fn site(way: &Way, manners: &[Manner], files: bool, memory_one: &str) -> Site {
+fn site(way: &RunOptions, manners: &[Manner], files: bool, memory_one: &str) -> Site {
     let nodes = manners.iter().enumerate().map(|(i, manner)| Node::start(&format!("s-{i}"), *manner));
     let mut site = Site::start(&way.program, nodes.collect(), &kdl(files, memory_one));
     site.broker.suppress_log = true;
@@ -143,7 +143,7 @@
     }
 }
 
-fn beside(way: &Way, figures: &mut Figures) -> anyhow::Result<()> {
+fn beside(way: &RunOptions, figures: &mut Figures) -> anyhow::Result<()> {
     // In rounds, of which the middle one counts: a hiccup of the machine in one stretch is not the broker's.
     let (rounds, seconds) = if way.quick { (3, 1.0) } else { (7, 2.0) };
     let site = site(way, &[Manner::Serve; 3], true, "1MiB");
@@ -154,10 +154,17 @@
             *number += 1;
             &*Box::leak(format!("s{number}-").into_boxed_str())
         };
-        Load { to: site.broker.address, rate: 400.0, seconds, seed, prefix }.run()
+        Load {
+            to: site.broker.address,
+            requests_per_second: 400.0,
+            duration_seconds: seconds,
+            seed,
+            id_prefix: prefix,
+        }
+        .run()
     };
     load(way.seed);
-    let with = |disk: &str, seed: u64| -> (Went, u64) {
+    let with = |disk: &str, seed: u64| -> (LoadReport, u64) {
         let (stop, served) = (AtomicBool::new(false), AtomicU64::new(0));
         site.disk(disk);
         let went = thread::scope(|scope| {
@@ -194,26 +201,26 @@
         served += count;
     }
     ensure!(served > 0, "no body of 64 MiB was served beside the small scans");
-    let middle = |all: &[Went]| {
-        let mut at: Vec<_> = all.iter().map(|went| went.at(0.99)).collect();
+    let middle = |all: &[LoadReport]| {
+        let mut at: Vec<_> = all.iter().map(|went| went.latency_seconds(0.99)).collect();
         at.sort_by(f64::total_cmp);
         (at[at.len() / 2], at[at.len() - 1])
     };
     let ((base, _), (beside, worst), (stalled, worst_stalled)) =
         (middle(&alone), middle(&files), middle(&stalls));
-    figures.tell("small scans alone, p99, median of rounds", 1e3 * base, "ms");
-    figures.tell("beside 64 MiB bodies in files, p99, median of rounds", 1e3 * beside, "ms");
-    figures.tell("the same, worst round", 1e3 * worst, "ms");
-    figures.tell("the same with a disk that stalls, p99, median of rounds", 1e3 * stalled, "ms");
-    figures.tell("the same, worst round", 1e3 * worst_stalled, "ms");
-    figures.tell("64 MiB bodies served meanwhile", served as f64, "");
-    figures.hold("p99 beside files, against alone", beside / base, RATIO, "times");
-    figures.hold("p99 beside a stalling disk, against alone", stalled / base, RATIO, "times");
+    figures.report("small scans alone, p99, median of rounds", 1e3 * base, "ms");
+    figures.report("beside 64 MiB bodies in files, p99, median of rounds", 1e3 * beside, "ms");
+    figures.report("the same, worst round", 1e3 * worst, "ms");
+    figures.report("the same with a disk that stalls, p99, median of rounds", 1e3 * stalled, "ms");
+    figures.report("the same, worst round", 1e3 * worst_stalled, "ms");
+    figures.report("64 MiB bodies served meanwhile", served as f64, "");
+    figures.report_bounded("p99 beside files, against alone", beside / base, RATIO, "times");
+    figures.report_bounded("p99 beside a stalling disk, against alone", stalled / base, RATIO, "times");
     let all = || alone.iter().chain(&files).chain(&stalls);
-    let lost: u64 = all().map(|went| went.lost + went.refused).sum();
-    figures.hold("small scans lost or refused", lost as f64, 0.0, "");
-    let curve = |name: &str, went: &Went| {
-        let points = (0..=100).map(|i| (i as f64, 1e3 * went.at(i as f64 / 100.0)));
+    let lost: u64 = all().map(|went| went.failed + went.rejected).sum();
+    figures.report_bounded("small scans lost or refused", lost as f64, 0.0, "");
+    let curve = |name: &str, went: &LoadReport| {
+        let points = (0..=100).map(|i| (i as f64, 1e3 * went.latency_seconds(i as f64 / 100.0)));
         Curve { name: name.to_string(), points: points.collect() }
     };
     let curves =
@@ -223,7 +230,7 @@
 }
 
 /// Bytes copied into frames for each part of a kept body, by the broker's own counter.
-fn copies(way: &Way, figures: &mut Figures) {
+fn copies(way: &RunOptions, figures: &mut Figures) {
     let site = site(way, &[Manner::Serve; 3], true, "8MiB");
     let asks: Vec<_> = (0..8).map(|i| ask("find", &format!("c{i}"), &[0, 1, 2, 3, 4, 5], mib(4))).collect();
     let told: Vec<_> = asks.iter().map(|ask| site.ask(ask)).collect();
@@ -233,7 +240,7 @@
         said.lines().rev().find_map(|line| line.split_once("copied_into_frames=")?.1.split(' ').next());
     let copied = last.and_then(|count| count.parse::<f64>().ok()).unwrap_or(f64::MAX);
     let parts = told.iter().filter(|told| told.status() == 200).count() * 6;
-    figures.hold(
+    figures.report_bounded(
         "bytes copied for each part of a kept body of 4 MiB",
         copied / parts.max(1) as f64,
         FRAME,
@@ -241,31 +248,31 @@
     );
 }
 
-pub fn run(way: &Way) -> anyhow::Result<Figures> {
+pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
     let (mut ended_wrong, mut ran_twice, mut scans) = (0, 0, 0);
-    for case in cases(way.quick).into_iter().filter(|case| way.wants(case.name)) {
+    for case in cases(way.quick).into_iter().filter(|case| way.includes(case.name)) {
         eprintln!("{} ...", case.name);
         let site = site(way, &case.manners, case.files, case.memory_one);
         site.disk(case.disk);
         let told = together(&site, &case.asks);
         let served = told.iter().filter(|told| told.status() == 200).count();
-        figures.tell(format!("{}: served of {}", case.name, told.len()), served as f64, "");
+        figures.report(format!("{}: served of {}", case.name, told.len()), served as f64, "");
         let over = site.peak() as f64 / mib(1) as f64 - BOUND as f64;
-        figures.hold(format!("{}: peak over the bound", case.name), over, BESIDE, "MiB");
+        figures.report_bounded(format!("{}: peak over the bound", case.name), over, BESIDE, "MiB");
         ended_wrong += broken(&case.asks, &told);
         // Replayable parts may run again; none of a fix-request may.
         let unsafe_ids = case.asks.first().is_some_and(|ask| ask.table_type == "fix");
         ran_twice += if unsafe_ids { twice(&site.nodes, |_| true).len() } else { 0 };
         scans += told.len();
     }
-    figures.tell("large scans asked", scans as f64, "");
-    figures.hold("large scans without one answer in time", ended_wrong as f64, 0.0, "");
-    figures.hold("fix-request parts that ran twice", ran_twice as f64, 0.0, "");
-    if way.wants("copies") {
+    figures.report("large scans asked", scans as f64, "");
+    figures.report_bounded("large scans without one answer in time", ended_wrong as f64, 0.0, "");
+    figures.report_bounded("fix-request parts that ran twice", ran_twice as f64, 0.0, "");
+    if way.includes("copies") {
         copies(way, &mut figures);
     }
-    if way.wants("beside") {
+    if way.includes("beside") {
         beside(way, &mut figures)?;
     }
     Ok(figures)
--- a/crates/dunepond-testkit/src/experiments/agree.rs
+++ b/crates/dunepond-testkit/src/experiments/consensus.rs
@@ -4,11 +4,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::Way;
+use super::RunOptions;
 use crate::auditor::{AuditEvent, AuditPhase, longest_contradiction};
-use crate::fleet::{Fleet, Plan, served};
-use crate::links::{Manner, WHOLE};
-use crate::processes::{Process, wait};
+use crate::fleet::{Fleet, FleetOptions, served_ratio};
+use crate::links::{HEALTHY, LinkConditions};
+use crate::processes::{BrokerProcess, wait_until};
 use crate::report::{Curve, Figures};
 
 const GAP: Duration = Duration::from_millis(20);
@@ -18,8 +18,8 @@
 /// Of messages a broker sends while nothing changes, in the largest fleet against one of three.
 const TALK: f64 = 1.1;
 
-fn plan(way: &Way, voters: usize, brokers: usize) -> Plan {
-    Plan { seed: way.seed, ..Plan::new(&way.program, voters, brokers) }
+fn plan(way: &RunOptions, voters: usize, brokers: usize) -> FleetOptions {
+    FleetOptions { seed: way.seed, ..FleetOptions::new(&way.program, voters, brokers) }
 }
 
 fn median(mut samples: Vec<f64>) -> f64 {
@@ -28,74 +28,89 @@
 }
 
 /// Changes and cuts in turn, under load.
-fn changes(way: &Way, figures: &mut Figures) {
+fn changes(way: &RunOptions, figures: &mut Figures) {
     let (brokers, rounds, gap) = if way.quick { (5, 3, GAP) } else { (30, 8, 10 * GAP) };
-    let mut fleet = Fleet::agreed(plan(way, 5, brokers));
-    let (bound, target) = (fleet.plan.bound, fleet.plan.timeout / 2.0);
+    let mut fleet = Fleet::start_with_version(plan(way, 5, brokers));
+    let (bound, target) = (fleet.options.lease_bound_seconds, fleet.options.query_timeout_seconds / 2.0);
     let clients = fleet.clients(0..brokers, gap);
     thread::sleep(Duration::from_secs(2));
-    let whole = served(&clients.stop(), target, &[]);
+    let whole = served_ratio(&clients.stop(), target, &[]);
     let (mut took, mut late) = (Vec::new(), 0);
     let clients = fleet.clients(0..brokers, gap);
     for number in 2..2 + rounds {
-        let segs = fleet.plan.segs as u64;
+        let segs = fleet.options.segment_count as u64;
         let (moved, filled) = ([number % segs, (number + 2) % segs], [(number + 4) % segs]);
-        let next = fleet.version(number, &moved, if number % 2 == 0 { &filled } else { &[] });
+        let next = fleet.config_version(number, &moved, if number % 2 == 0 { &filled } else { &[] });
         let began = Instant::now();
         fleet.propose(number as usize % brokers, &next);
-        fleet.wait_alone(0..brokers, number);
+        fleet.wait_active(0..brokers, number);
         took.push(began.elapsed().as_secs_f64());
-        late += u64::from(took[took.len() - 1] > bound + 3.0 * fleet.plan.lease);
+        late += u64::from(took[took.len() - 1] > bound + 3.0 * fleet.options.lease_seconds);
     }
     clients.stop();
     took.sort_by(f64::total_cmp);
     let at = |share: f64| took[((took.len() - 1) as f64 * share).round() as usize];
-    figures.tell("time to agree, p50", at(0.5), "s");
-    figures.tell("time to agree, p99", at(0.99), "s");
-    figures.hold("changes in force later than the bound and three leases", late as f64, 0.0, "");
+    figures.report("time to agree, p50", at(0.5), "s");
+    figures.report("time to agree, p99", at(0.99), "s");
+    figures.report_bounded("changes in force later than the bound and three leases", late as f64, 0.0, "");
     eprintln!("cut in two ...");
     let minority: Vec<_> = (0..brokers).filter(|i| *i < 2 || *i >= 5 && i % 2 == 0).collect();
     let majority: Vec<_> = (0..brokers).filter(|i| !minority.contains(i)).collect();
     // Fixes of what moves are refused in the joint step, cut or not.
-    let next = fleet.version(2 + rounds, &[0], &[]);
+    let next = fleet.config_version(2 + rounds, &[0], &[]);
     fleet.propose(majority[0], &next);
     let joint = |i: &usize| matches!(fleet.phase(*i), Some((AuditPhase::Joint, ..)));
-    wait(|| majority.iter().any(joint));
-    fleet.part(&[&minority, &majority]);
+    wait_until(|| majority.iter().any(joint));
+    fleet.partition(&[&minority, &majority]);
     let clients = fleet.clients(0..brokers, gap);
-    fleet.wait_alone(majority.iter().copied(), 2 + rounds);
+    fleet.wait_active(majority.iter().copied(), 2 + rounds);
     thread::sleep(Duration::from_secs(2));
-    let cut = served(&clients.stop(), target, &minority);
-    fleet.links.set_all(&Manner { delay: 0.01, jitter: 0.01, loss: 0.02, ..WHOLE });
-    fleet.wait_alone(0..brokers, 2 + rounds);
-    figures.tell("scans served within the target time, undisturbed", whole, "");
-    figures.tell("scans served within the target time, cut in two", cut, "");
-    figures.hold("missed by the cut, of those served undisturbed", 1.0 - cut / whole, MISSED, "");
+    let cut = served_ratio(&clients.stop(), target, &minority);
+    fleet.links.set_all(&LinkConditions {
+        delay_seconds: 0.01,
+        jitter_seconds: 0.01,
+        loss_ratio: 0.02,
+        ..HEALTHY
+    });
+    fleet.wait_active(0..brokers, 2 + rounds);
+    figures.report("scans served within the target time, undisturbed", whole, "");
+    figures.report("scans served within the target time, cut in two", cut, "");
+    figures.report_bounded("missed by the cut, of those served undisturbed", 1.0 - cut / whole, MISSED, "");
     let records = fleet.records();
-    figures.hold("longest contradiction, against the bound T", longest_contradiction(&records), bound, "s");
+    figures.report_bounded(
+        "longest contradiction, against the bound T",
+        longest_contradiction(&records),
+        bound,
+        "s",
+    );
     let found = fleet.audit();
     found.iter().take(5).for_each(|finding| eprintln!("{finding}"));
-    figures.hold("findings of the auditor", found.len() as f64, 0.0, "");
+    figures.report_bounded("findings of the auditor", found.len() as f64, 0.0, "");
     let acts =
         records.lines.iter().filter(|line| matches!(line.event, AuditEvent::AttemptSent { .. })).count();
-    figures.tell("dispatches that it judged", acts as f64, "");
+    figures.report("dispatches that it judged", acts as f64, "");
 }
 
 /// Messages that a broker sends in a second while nothing changes, by how many brokers there are.
-fn talk(way: &Way, figures: &mut Figures) {
+fn talk(way: &RunOptions, figures: &mut Figures) {
     let sizes: &[usize] = if way.quick { &[3, 7] } else { &[3, 7, 15, 30] };
     let mut points = Vec::new();
     for &size in sizes {
-        let fleet = Fleet::agreed(plan(way, 3, size));
-        let (before, began) = (fleet.links.carried_by_all(), Instant::now());
+        let fleet = Fleet::start_with_version(plan(way, 3, size));
+        let (before, began) = (fleet.links.total_delivered(), Instant::now());
         thread::sleep(Duration::from_secs(2));
-        let sent = (fleet.links.carried_by_all() - before) as f64;
+        let sent = (fleet.links.total_delivered() - before) as f64;
         let each = sent / size as f64 / began.elapsed().as_secs_f64();
-        figures.tell(format!("messages a broker and second, {size} brokers"), each, "");
+        figures.report(format!("messages a broker and second, {size} brokers"), each, "");
         points.push((size as f64, each));
     }
     let growth = points[points.len() - 1].1 / points[0].1;
-    figures.hold("messages a broker, in the largest fleet against the least", growth, TALK, "times");
+    figures.report_bounded(
+        "messages a broker, in the largest fleet against the least",
+        growth,
+        TALK,
+        "times",
+    );
     let curve = Curve { name: "messages".to_string(), points };
     figures.plots.push(("talk".to_string(), ["brokers", "messages a broker and second"], vec![curve]));
 }
@@ -103,13 +118,19 @@
 /// Processor time of the loop for each scan, with the fleet off, on without any version, and on with a map in force, each
 /// under the same load at the same time. On a busy machine rounds differ by a tenth either way, so that the median of some
 /// comes out on either side of the bound: it is told, and the lower quartile is held, which only a real cost lifts over it.
-fn cpu(way: &Way, figures: &mut Figures) {
-    let quiet = |on| Fleet::ready(Plan { on, record: false, ..plan(way, 3, 3) });
+fn cpu(way: &RunOptions, figures: &mut Figures) {
+    let quiet = |on| {
+        Fleet::start_ready(FleetOptions {
+            control_plane_enabled: on,
+            audit_enabled: false,
+            ..plan(way, 3, 3)
+        })
+    };
     let mut fleets = [quiet(false), quiet(true), quiet(true)];
-    let cpu = |fleet: &Fleet| fleet.brokers.iter().map(Process::loop_cpu).sum::<f64>();
-    let first = fleets[2].version(1, &[], &[]);
+    let cpu = |fleet: &Fleet| fleet.brokers.iter().map(BrokerProcess::loop_cpu_seconds).sum::<f64>();
+    let first = fleets[2].config_version(1, &[], &[]);
     fleets[2].propose(0, &first);
-    assert!(wait(|| fleets[1].said(0, "Alone []") && fleets[2].said(0, "Alone [1]")));
+    assert!(wait_until(|| fleets[1].log_contains(0, "Alone []") && fleets[2].log_contains(0, "Alone [1]")));
     let rounds = if way.quick { 31 } else { 151 };
     let (mut each, mut against) = (Vec::new(), [Vec::new(), Vec::new()]);
     for _ in 0..rounds {
@@ -121,19 +142,29 @@
         each.push(took[0]);
         (0..2).for_each(|i| against[i].push(took[i + 1] / took[0]));
     }
-    figures.tell("processor time of the loop a scan, fleet off", 1e6 * median(each), "us");
+    figures.report("processor time of the loop a scan, fleet off", 1e6 * median(each), "us");
     for (case, mut against) in ["with nothing agreed on", "with a map in force"].into_iter().zip(against) {
         against.sort_by(f64::total_cmp);
-        figures.tell(format!("the same, on {case} against off, median"), against[against.len() / 2], "times");
+        figures.report(
+            format!("the same, on {case} against off, median"),
+            against[against.len() / 2],
+            "times",
+        );
         let quarter = against[against.len() / 4];
-        figures.hold(format!("the same, on {case} against off, lower quartile"), quarter, DEARER, "times");
+        figures.report_bounded(
+            format!("the same, on {case} against off, lower quartile"),
+            quarter,
+            DEARER,
+            "times",
+        );
     }
 }
 
-pub fn run(way: &Way) -> anyhow::Result<Figures> {
+pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
-    for (case, play) in [("changes", changes as fn(&Way, &mut Figures)), ("talk", talk), ("cpu", cpu)] {
-        if way.wants(case) {
+    for (case, play) in [("changes", changes as fn(&RunOptions, &mut Figures)), ("talk", talk), ("cpu", cpu)]
+    {
+        if way.includes(case) {
             eprintln!("{case} ...");
             play(way, &mut figures);
         }
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/cost.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/cost.rs
@@ -6,7 +6,7 @@
 use nix::time::{ClockId, clock_gettime};
 
 use super::fit::fit;
-use super::{Way, at};
+use super::{RunOptions, at};
 use crate::report::{Curve, Figures};
 
 const SIZES: [usize; 6] = [10, 30, 100, 300, 1000, 3000];
@@ -51,14 +51,14 @@
     Cost { name: "processor time", unit: "us a second", of: |load| load.cpu_nanoseconds as f64 / 1000.0 },
 ];
 
-pub fn run(way: &Way, figures: &mut Figures) {
+pub fn run(way: &RunOptions, figures: &mut Figures) {
     let sizes = SIZES.into_iter().filter(|size| !way.quick || *size <= QUICK);
     let plays: Vec<(usize, ScenarioReport)> = sizes.map(|size| (size, play(size, way.seed))).collect();
     let mut times = Vec::new();
     for (size, report) in &plays {
         let p = |q| at(report.rollout_seconds.clone(), q).unwrap_or(f64::NAN);
-        figures.tell(format!("{size} brokers, at rest: agreed everywhere, p50"), p(0.5), "s");
-        figures.hold(
+        figures.report(format!("{size} brokers, at rest: agreed everywhere, p50"), p(0.5), "s");
+        figures.report_bounded(
             format!("{size} brokers, at rest: agreed everywhere, p99"),
             p(0.99),
             report.switch_bound_seconds,
@@ -67,7 +67,7 @@
         times.push((*size as f64, p(0.5)));
     }
     let time = fit(&times);
-    figures.hold(format!("time to agree grows as N^x: {}", time.name), time.power, MOST, "x");
+    figures.report_bounded(format!("time to agree grows as N^x: {}", time.name), time.power, MOST, "x");
     let mut curves = Vec::new();
     for cost in &COSTS {
         let of = |report: &ScenarioReport, n: usize| (cost.of)(&report.loads[n]) / report.measured_seconds;
@@ -77,23 +77,27 @@
             let voters = 5.min(*size);
             let broker = at((voters..*size).map(|n| of(report, n)).collect(), 0.5).unwrap_or(f64::NAN);
             let leader = report.leader.map_or(f64::NAN, |n| of(report, n));
-            figures.tell(format!("{size} brokers: {} of a broker", cost.name), broker, cost.unit);
-            figures.tell(format!("{size} brokers: {} of the leader", cost.name), leader, cost.unit);
+            figures.report(format!("{size} brokers: {} of a broker", cost.name), broker, cost.unit);
+            figures.report(format!("{size} brokers: {} of the leader", cost.name), leader, cost.unit);
             each.push((*size as f64, broker));
             leaders.push((*size as f64, leader));
         }
         let (broker, leader) = (fit(&each), fit(&leaders));
-        figures.hold(
+        figures.report_bounded(
             format!("{} of a broker grow as N^x: {}", cost.name, broker.name),
             broker.power,
             MOST,
             "x",
         );
-        figures.tell(format!("{} of the leader grow as N^x: {}", cost.name, leader.name), leader.power, "x");
+        figures.report(
+            format!("{} of the leader grow as N^x: {}", cost.name, leader.name),
+            leader.power,
+            "x",
+        );
         if cost.name == "messages"
             && let Some((_, most)) = leaders.last()
         {
-            figures.hold("the leader's messages in the largest fleet", *most, LEADER, "a second");
+            figures.report_bounded("the leader's messages in the largest fleet", *most, LEADER, "a second");
         }
         let logs =
             |points: Vec<(f64, f64)>| points.into_iter().map(|(n, c)| (n.log10(), c.log10())).collect();
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/mod.rs
@@ -6,7 +6,7 @@
 
 use dunepond_simulation::scenario::{Scenario, ScenarioConfig, ScenarioReport};
 
-use super::Way;
+use super::RunOptions;
 use crate::report::Figures;
 
 /// Brokers of the plays with faults, and seeds of each.
@@ -37,7 +37,7 @@
         let of: Vec<f64> = all.iter().flat_map(of).copied().collect();
         for (name, q) in [("p50", 0.5), ("p99", 0.99)] {
             if let Some(value) = at(of.clone(), q) {
-                figures.tell(
+                figures.report(
                     format!("{brokers} brokers, faults: {what}, {name} of {}", of.len()),
                     value,
                     "s",
@@ -50,7 +50,8 @@
     quantiles("a fill done until settled", |report| &report.settlement_seconds);
     quantiles("settled until a broker has heard", |report| &report.notice_seconds);
     let sum = |of: fn(&ScenarioReport) -> usize| all.iter().map(of).sum::<usize>() as f64;
-    let mut told = |what: &str, value| figures.tell(format!("{brokers} brokers, faults: {what}"), value, "");
+    let mut told =
+        |what: &str, value| figures.report(format!("{brokers} brokers, faults: {what}"), value, "");
     told("versions in force", sum(|report| report.activated));
     told("versions withdrawn", sum(|report| report.withdrawn));
     told("proposals refused", sum(|report| report.rejected));
@@ -59,7 +60,12 @@
     told("troubles", sum(|report| report.faults.iter().map(|fault| fault.count).sum()));
     let longest = all.iter().map(|report| report.longest_alone_seconds).fold(0.0, f64::max);
     let bound = all.first().map_or(0.0, |report| report.switch_bound_seconds);
-    figures.hold(format!("{brokers} brokers, faults: longest on an old version alone"), longest, bound, "s");
+    figures.report_bounded(
+        format!("{brokers} brokers, faults: longest on an old version alone"),
+        longest,
+        bound,
+        "s",
+    );
 }
 
 /// Seeds in a row at one size. A broken one is printed with the command that plays it alone.
@@ -75,7 +81,7 @@
             }
         }
     }
-    figures.hold(
+    figures.report_bounded(
         format!("{brokers} brokers, faults: plays that broke, of {}", all.len() + broken),
         broken as f64,
         0.0,
@@ -84,19 +90,19 @@
     tell(figures, brokers, &all);
 }
 
-pub fn run(way: &Way) -> anyhow::Result<Figures> {
+pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
     if let Some(brokers) = way.brokers {
-        faults(&mut figures, brokers, way.seed..way.seed + way.plays);
+        faults(&mut figures, brokers, way.seed..way.seed + way.seed_count);
         return Ok(figures);
     }
-    if way.wants("cost") {
+    if way.includes("cost") {
         cost::run(way, &mut figures);
     }
-    if way.wants("parts") {
+    if way.includes("parts") {
         parts::run(way, &mut figures);
     }
-    if way.wants("faults") {
+    if way.includes("faults") {
         let sizes: &[(usize, u64)] = if way.quick { &QUICK } else { &FULL };
         for (brokers, seeds) in sizes {
             faults(&mut figures, *brokers, way.seed..way.seed + seeds);
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
@@ -9,7 +9,7 @@
 use dunepond_settlement::{Balances, BrokerPartners, CarriedCounts, SettlementLedger, SettlementTerms};
 use dunepond_simulation::scenario::{Topology, config_version};
 
-use super::Way;
+use super::RunOptions;
 use super::fit::fit;
 use crate::report::{Curve, Figures};
 
@@ -26,7 +26,7 @@
     from.elapsed().as_secs_f64() * 1e3
 }
 
-fn maps(way: &Way, figures: &mut Figures) {
+fn maps(way: &RunOptions, figures: &mut Figures) {
     let sizes: &[u64] = if way.quick { &[100, 1000, 10_000] } else { &[100, 1000, 10_000, 30_000, 100_000] };
     let terms = dunepond_shard_map::MapConstraints { min_replicas: 1, min_zones: 1 };
     let (mut bytes, mut proofs) = (Vec::new(), Vec::new());
@@ -38,23 +38,28 @@
         let proof =
             ms(|| drop(black_box(dunepond_shard_map::verify(map, &[], &terms).expect("a sound map"))));
         let digest = ms(|| drop(black_box(version.digest())));
-        figures.tell(format!("{size} segments: a version"), whole, "bytes to each broker");
-        figures.tell(format!("{size} segments: its proof, at each broker"), proof, "ms");
-        figures.tell(format!("{size} segments: its digest"), digest, "ms");
+        figures.report(format!("{size} segments: a version"), whole, "bytes to each broker");
+        figures.report(format!("{size} segments: its proof, at each broker"), proof, "ms");
+        figures.report(format!("{size} segments: its digest"), digest, "ms");
         bytes.push((*size as f64, whole));
         proofs.push((*size as f64, proof));
         if *size <= 30_000 {
-            figures.hold(format!("{size} segments: within what a host takes"), whole, LONGEST, "bytes");
+            figures.report_bounded(
+                format!("{size} segments: within what a host takes"),
+                whole,
+                LONGEST,
+                "bytes",
+            );
         }
     }
     for (name, points) in [("bytes of a version", bytes), ("proof of a map", proofs)] {
         let fit = fit(&points);
-        figures.tell(format!("{name} grow with segments as S^x: {}", fit.name), fit.power, "x");
+        figures.report(format!("{name} grow with segments as S^x: {}", fit.name), fit.power, "x");
     }
 }
 
 /// As each broker tells them to one other a second: the whole of what it knows.
-fn counts(way: &Way, figures: &mut Figures) {
+fn counts(way: &RunOptions, figures: &mut Figures) {
     let sizes: &[usize] = if way.quick { &[10, 30, 100] } else { &[10, 30, 100, 300, 1000, 3000] };
     let (mut bytes, mut looks) = (Vec::new(), Vec::new());
     for size in sizes {
@@ -79,11 +84,11 @@
         // Looked at each second; a sample of the pairs would not do, so large fleets are left out.
         if *size <= 300 {
             let look = ms(|| book.update_counts(0.0, &counts));
-            figures.tell(format!("{size} brokers, {PARTNERS} partners: a look at the counts"), look, "ms");
+            figures.report(format!("{size} brokers, {PARTNERS} partners: a look at the counts"), look, "ms");
             looks.push((*size as f64, look));
         }
-        figures.tell(format!("{size} brokers: counts as told each second"), whole, "bytes");
-        figures.tell(
+        figures.report(format!("{size} brokers: counts as told each second"), whole, "bytes");
+        figures.report(
             format!("{size} brokers: cells of counts"),
             counts.cell_count() as f64,
             "of 100,000 taken",
@@ -92,7 +97,7 @@
     }
     for (name, points) in [("counts told", bytes), ("a look at the counts", looks)] {
         let fit = fit(&points);
-        figures.tell(format!("{name} grow as N^x: {}", fit.name), fit.power, "x");
+        figures.report(format!("{name} grow as N^x: {}", fit.name), fit.power, "x");
     }
 }
 
@@ -158,17 +163,26 @@
     None
 }
 
-fn membership(way: &Way, figures: &mut Figures) {
+fn membership(way: &RunOptions, figures: &mut Figures) {
     let sizes: &[usize] = if way.quick { &[10, 30] } else { &[10, 30, 100, 300] };
     let (mut messages, mut bytes, mut us) = (Vec::new(), Vec::new(), Vec::new());
     for size in sizes {
         let Some(cost) = members(*size, way.seed) else {
-            figures.hold(format!("{size} brokers: members that never found each other"), 1.0, 0.0, "");
+            figures.report_bounded(
+                format!("{size} brokers: members that never found each other"),
+                1.0,
+                0.0,
+                "",
+            );
             continue;
         };
-        figures.tell(format!("{size} brokers: membership, messages of a broker"), cost.messages, "a second");
-        figures.tell(format!("{size} brokers: membership, bytes of a broker"), cost.bytes, "a second");
-        figures.tell(format!("{size} brokers: membership, time of a broker"), cost.us, "us a second");
+        figures.report(
+            format!("{size} brokers: membership, messages of a broker"),
+            cost.messages,
+            "a second",
+        );
+        figures.report(format!("{size} brokers: membership, bytes of a broker"), cost.bytes, "a second");
+        figures.report(format!("{size} brokers: membership, time of a broker"), cost.us, "us a second");
         messages.push((*size as f64, cost.messages));
         bytes.push((*size as f64, cost.bytes));
         us.push((*size as f64, cost.us));
@@ -177,14 +191,14 @@
     let mut curves = Vec::new();
     for (name, points) in [("messages", &messages), ("bytes", &bytes), ("time", &us)] {
         let fit = fit(points);
-        figures.tell(format!("membership's {name} of a broker grow as N^x: {}", fit.name), fit.power, "x");
+        figures.report(format!("membership's {name} of a broker grow as N^x: {}", fit.name), fit.power, "x");
         curves.push(Curve { name: name.to_string(), points: log(points) });
     }
     let axes = ["brokers, powers of ten", "a second, powers of ten"];
     figures.plots.push(("membership".to_string(), axes, curves));
 }
 
-pub fn run(way: &Way, figures: &mut Figures) {
+pub fn run(way: &RunOptions, figures: &mut Figures) {
     maps(way, figures);
     counts(way, figures);
     membership(way, figures);
--- a/crates/dunepond-testkit/src/experiments/phases.rs
+++ b/crates/dunepond-testkit/src/experiments/prefilter.rs
@@ -8,10 +8,12 @@
 
 use hdrhistogram::Histogram;
 
-use super::Way;
-use crate::load::{Load, Went};
+use super::RunOptions;
+use crate::load::{Load, LoadReport};
+use crate::prefilter_cluster::{
+    PrefilterCluster, ProbeBehavior, REPLICA_GROUP_COUNT, SEGMENT_COUNT, parse_answer, query_request, term,
+};
 use crate::report::{Curve, Figures};
-use crate::texts::{CELLS, Manner, SEGS, Site, request, said, word};
 
 /// Shards of one scan; how long a node works on one part, one at a time.
 const WIDE: usize = 24;
@@ -38,12 +40,12 @@
 const RATES: [u64; 4] = [1, 10, 50, 100];
 
 /// How each node behaves, by its number.
-type Manners = Box<dyn Fn(usize) -> Manner + Sync>;
+type Manners = Box<dyn Fn(usize) -> ProbeBehavior + Sync>;
 
 /// What a stretch of scans came to.
 struct Stretch {
     /// Each round's, and all together.
-    rounds: Vec<Went>,
+    rounds: Vec<LoadReport>,
     times: Histogram<u64>,
     refused: u64,
     /// Parts searched and questions asked, and bytes of questions and answers, for each scan.
@@ -67,7 +69,9 @@
 
     /// The rounds' p50 against the other's in the same round: the least, and the middle one.
     fn against(&self, other: &Self) -> [f64; 2] {
-        let ratio = |(ours, others): (&Went, &Went)| ours.at(0.5) / others.at(0.5);
+        let ratio = |(ours, others): (&LoadReport, &LoadReport)| {
+            ours.latency_seconds(0.5) / others.latency_seconds(0.5)
+        };
         let mut ratios: Vec<_> = self.rounds.iter().zip(&other.rounds).map(ratio).collect();
         ratios.sort_by(f64::total_cmp);
         [ratios[0], ratios[ratios.len() / 2]]
@@ -77,11 +81,11 @@
 /// One side of a comparison: its operator's file, how its nodes behave, and whether content moves.
 struct Side<'a> {
     kdl: &'a str,
-    manner: &'a (dyn Fn(usize) -> Manner + Sync),
+    manner: &'a (dyn Fn(usize) -> ProbeBehavior + Sync),
     moves: bool,
 }
 
-fn both(way: &Way, kind: u64, scans: f64, sides: [Side; 2]) -> [Stretch; 2] {
+fn both(way: &RunOptions, kind: u64, scans: f64, sides: [Side; 2]) -> [Stretch; 2] {
     let together = Barrier::new(2);
     thread::scope(|scope| {
         let side = |side| scope.spawn(|| stretch(way, kind, scans, side, &together));
@@ -89,23 +93,29 @@
     })
 }
 
-fn stretch(way: &Way, kind: u64, scans: f64, side: Side, together: &Barrier) -> Stretch {
-    let site = Site::start(&way.program, side.kdl, WORK, true, side.manner);
+fn stretch(way: &RunOptions, kind: u64, scans: f64, side: Side, together: &Barrier) -> Stretch {
+    let site = PrefilterCluster::start(&way.program, side.kdl, WORK, true, side.manner);
     let (falsely_whole, late, all) =
         (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-    let segs = |number: usize| (0..WIDE).map(|i| (number * 5 + i) % SEGS).collect::<Vec<_>>();
+    let segs = |number: usize| (0..WIDE).map(|i| (number * 5 + i) % SEGMENT_COUNT).collect::<Vec<_>>();
     let seconds = scans / RATE / ROUNDS as f64;
     let stop = AtomicU64::new(0);
     let mut searched_at_least = f64::MAX;
     let mut round = |round: u64| {
-        let load = Load { to: site.broker.address, rate: RATE, seconds, seed: way.seed + round, prefix: "" };
+        let load = Load {
+            to: site.broker.address,
+            requests_per_second: RATE,
+            duration_seconds: seconds,
+            seed: way.seed + round,
+            id_prefix: "",
+        };
         let (texts, told_false, told_late, told_all) =
-            (site.texts.clone(), falsely_whole.clone(), late.clone(), all.clone());
+            (site.corpus.clone(), falsely_whole.clone(), late.clone(), all.clone());
         together.wait();
         let before = site.searches();
         let went = load.run_with(
             move |number| {
-                request("find", &format!("c{round}-{number}"), &segs(number), 2.0, &word(kind, number))
+                query_request("find", &format!("c{round}-{number}"), &segs(number), 2.0, &term(kind, number))
             },
             move |number, sent, answer| {
                 let now = Instant::now();
@@ -114,23 +124,28 @@
                     told_late.fetch_add(1, Ordering::Relaxed);
                     return;
                 };
-                let falsely =
-                    said(answer).falsely_whole(&texts, &word(kind, number), &segs(number), sent, now);
+                let falsely = parse_answer(answer).is_falsely_complete(
+                    &texts,
+                    &term(kind, number),
+                    &segs(number),
+                    sent,
+                    now,
+                );
                 told_false.fetch_add(u64::from(falsely), Ordering::Relaxed);
                 told_late.fetch_add(u64::from(now - sent > Duration::from_millis(2050)), Ordering::Relaxed);
             },
         );
-        let searched = (site.searches() - before) as f64 / went.times.len().max(1) as f64;
+        let searched = (site.searches() - before) as f64 / went.latencies.len().max(1) as f64;
         searched_at_least = searched_at_least.min(searched);
         went
     };
-    let rounds: Vec<Went> = thread::scope(|scope| {
+    let rounds: Vec<LoadReport> = thread::scope(|scope| {
         scope.spawn(|| {
             for seg in 0.. {
                 if stop.load(Ordering::Relaxed) > 0 || !side.moves {
                     return;
                 }
-                site.texts.moves(seg % SEGS);
+                site.corpus.advance_version(seg % SEGMENT_COUNT);
                 thread::sleep(Duration::from_millis(2));
             }
         });
@@ -138,23 +153,23 @@
         stop.store(1, Ordering::Relaxed);
         rounds
     });
-    let mut times = rounds[0].times.clone();
-    rounds[1..].iter().for_each(|round| times.add(&round.times).expect("all have the same bounds"));
+    let mut times = rounds[0].latencies.clone();
+    rounds[1..].iter().for_each(|round| times.add(&round.latencies).expect("all have the same bounds"));
     let all = all.load(Ordering::Relaxed).max(1) as f64;
     Stretch {
         searched: site.searches() as f64 / all,
         searched_at_least,
         questions: site.questions() as f64 / all,
-        talked: site.talked() as f64 / all,
+        talked: site.probe_bytes() as f64 / all,
         falsely_whole: falsely_whole.load(Ordering::Relaxed),
-        late: late.load(Ordering::Relaxed) + rounds.iter().map(|round| round.lost).sum::<u64>(),
-        refused: rounds.iter().map(|round| round.refused).sum(),
+        late: late.load(Ordering::Relaxed) + rounds.iter().map(|round| round.failed).sum::<u64>(),
+        refused: rounds.iter().map(|round| round.rejected).sum(),
         times,
         rounds,
     }
 }
 
-pub fn run(way: &Way) -> anyhow::Result<Figures> {
+pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
     let scans = if way.quick { 400.0 } else { 1500.0 };
     let (mut falsely_whole, mut late, mut all) = (0, 0, 0);
@@ -166,7 +181,7 @@
     let (mut work, mut times) = (Vec::new(), Vec::new());
     for kind in RATES {
         eprintln!("{kind}% match ...");
-        let side = |kdl| Side { kdl, manner: &|_| Manner::Honest, moves: false };
+        let side = |kdl| Side { kdl, manner: &|_| ProbeBehavior::Honest, moves: false };
         let mut play = || {
             let [off, on] = both(way, kind, scans, [side(""), side(KDL)]);
             tally(&off);
@@ -180,28 +195,33 @@
             }
         }
         let name = |what: &str| format!("{kind}% match: {what}");
-        figures.tell(name("parts searched a scan, off"), off.searched, "");
-        figures.tell(name("parts searched a scan, on"), on.searched, "");
-        figures.tell(name("questions a scan"), on.questions, "");
-        figures.tell(name("bytes of questions and answers a scan"), on.talked, "");
+        figures.report(name("parts searched a scan, off"), off.searched, "");
+        figures.report(name("parts searched a scan, on"), on.searched, "");
+        figures.report(name("questions a scan"), on.questions, "");
+        figures.report(name("bytes of questions and answers a scan"), on.talked, "");
         for (what, quantile) in [("p50", 0.5), ("p99", 0.99)] {
-            figures.tell(name(&format!("{what}, off")), 1e3 * off.at(quantile), "ms");
-            figures.tell(name(&format!("{what}, on")), 1e3 * on.at(quantile), "ms");
+            figures.report(name(&format!("{what}, off")), 1e3 * off.at(quantile), "ms");
+            figures.report(name(&format!("{what}, on")), 1e3 * on.at(quantile), "ms");
         }
         let ratio = on.searched / off.searched;
         match kind {
             1 => {
-                figures.tell(name("parts searched, on against off"), ratio, "times");
+                figures.report(name("parts searched, on against off"), ratio, "times");
                 let least = on.searched_at_least / off.searched;
-                figures.hold(name("parts searched, on against off, best round"), least, LEFT, "times");
+                figures.report_bounded(
+                    name("parts searched, on against off, best round"),
+                    least,
+                    LEFT,
+                    "times",
+                );
             }
             100 => {
-                figures.hold(name("parts searched, on against off"), ratio, DEARER, "times");
+                figures.report_bounded(name("parts searched, on against off"), ratio, DEARER, "times");
                 let [least, middle] = on.against(&off);
-                figures.tell(name("p50, on against off, middle of rounds"), middle, "times");
-                figures.hold(name("p50, on against off, best round"), least, SLOWER, "times");
+                figures.report(name("p50, on against off, middle of rounds"), middle, "times");
+                figures.report_bounded(name("p50, on against off, best round"), least, SLOWER, "times");
             }
-            _ => figures.tell(name("parts searched, on against off"), ratio, "times"),
+            _ => figures.report(name("parts searched, on against off"), ratio, "times"),
         }
         work.push((kind as f64, 100.0 * (1.0 - ratio)));
         times.push((kind as f64, 100.0 * on.against(&off)[1]));
@@ -212,39 +232,55 @@
     ];
     figures.plots.push(("work-saved".to_string(), ["percent of shards that match", "percent"], curves));
     // Each trouble at a match rate at which much is left out.
-    let third = |manner: Manner| move |i: usize| if i.is_multiple_of(3) { manner } else { Manner::Honest };
+    let third = |manner: ProbeBehavior| {
+        move |i: usize| if i.is_multiple_of(3) { manner } else { ProbeBehavior::Honest }
+    };
     let troubles: [(&str, Manners, bool); 11] = [
-        ("one node stalls", Box::new(|i| if i == 0 { Manner::Stall } else { Manner::Honest }), false),
-        ("a third stall", Box::new(third(Manner::Stall)), false),
-        ("all stall", Box::new(|_| Manner::Stall), false),
-        ("a third deny all", Box::new(third(Manner::DenyAll)), false),
-        ("a third say the old truth, content moves", Box::new(third(Manner::Stale)), true),
-        ("a third lag, content moves", Box::new(third(Manner::Lag)), true),
-        ("a third speak of a version to come", Box::new(third(Manner::Ahead)), false),
-        ("a third do not know the letter", Box::new(third(Manner::Unknown)), false),
-        ("all answer after 40 ms, content moves", Box::new(|_| Manner::Slow(40)), true),
-        ("a third garble", Box::new(third(Manner::Garble)), false),
-        ("content moves", Box::new(|_| Manner::Honest), true),
+        (
+            "one node stalls",
+            Box::new(|i| if i == 0 { ProbeBehavior::Stall } else { ProbeBehavior::Honest }),
+            false,
+        ),
+        ("a third stall", Box::new(third(ProbeBehavior::Stall)), false),
+        ("all stall", Box::new(|_| ProbeBehavior::Stall), false),
+        ("a third deny all", Box::new(third(ProbeBehavior::DenyAll)), false),
+        ("a third say the old truth, content moves", Box::new(third(ProbeBehavior::StaleContent)), true),
+        ("a third lag, content moves", Box::new(third(ProbeBehavior::PreviousVersion)), true),
+        ("a third speak of a version to come", Box::new(third(ProbeBehavior::FutureVersion)), false),
+        ("a third do not know the letter", Box::new(third(ProbeBehavior::RejectProbe)), false),
+        ("all answer after 40 ms, content moves", Box::new(|_| ProbeBehavior::ReplyAfterMillis(40)), true),
+        ("a third garble", Box::new(third(ProbeBehavior::Malformed)), false),
+        ("content moves", Box::new(|_| ProbeBehavior::Honest), true),
     ];
     for (name, manner, moves) in troubles {
         eprintln!("{name} ...");
-        let plainly = Side { kdl: "", manner: &|_| Manner::Honest, moves: false };
+        let plainly = Side { kdl: "", manner: &|_| ProbeBehavior::Honest, moves: false };
         let troubled = Side { kdl: KDL, manner: &*manner, moves };
         let [plain, stretch] = both(way, 10, scans / 1.5, [plainly, troubled]);
         tally(&stretch);
-        figures.tell(format!("{name}: parts searched a scan"), stretch.searched, "");
-        figures.tell(format!("{name}: p50"), 1e3 * stretch.at(0.5), "ms");
+        figures.report(format!("{name}: parts searched a scan"), stretch.searched, "");
+        figures.report(format!("{name}: p50"), 1e3 * stretch.at(0.5), "ms");
         let [least, middle] = stretch.against(&plain);
-        figures.tell(format!("{name}: p50 against searched plainly, middle of rounds"), middle, "times");
-        figures.hold(format!("{name}: p50 against searched plainly, best round"), least, SLOWER, "times");
+        figures.report(format!("{name}: p50 against searched plainly, middle of rounds"), middle, "times");
+        figures.report_bounded(
+            format!("{name}: p50 against searched plainly, best round"),
+            least,
+            SLOWER,
+            "times",
+        );
         let waited = (stretch.long() - plain.long()).max(0.0);
-        figures.hold(format!("{name}: share over the target time, beyond plainly"), waited, WAITED, "");
-        figures.tell(format!("{name}: p99"), 1e3 * stretch.at(0.99), "ms");
-        figures.tell(format!("{name}: refused"), stretch.refused as f64, "");
+        figures.report_bounded(
+            format!("{name}: share over the target time, beyond plainly"),
+            waited,
+            WAITED,
+            "",
+        );
+        figures.report(format!("{name}: p99"), 1e3 * stretch.at(0.99), "ms");
+        figures.report(format!("{name}: refused"), stretch.refused as f64, "");
     }
-    figures.tell("nodes, one a cell", CELLS as f64, "");
-    figures.tell("scans asked", all as f64, "");
-    figures.hold("answers falsely whole", falsely_whole as f64, 0.0, "");
-    figures.hold("scans without an answer in time", late as f64, 0.0, "");
+    figures.report("nodes, one a cell", REPLICA_GROUP_COUNT as f64, "");
+    figures.report("scans asked", all as f64, "");
+    figures.report_bounded("answers falsely whole", falsely_whole as f64, 0.0, "");
+    figures.report_bounded("scans without an answer in time", late as f64, 0.0, "");
     Ok(figures)
 }
--- a/crates/dunepond-testkit/src/experiments/leases.rs
+++ b/crates/dunepond-testkit/src/experiments/quota.rs
@@ -4,11 +4,11 @@
 use std::thread;
 use std::time::Duration;
 
-use super::Way;
-use crate::auditor::limits::{WHOLE, largest};
-use crate::fleet::{Fleet, Plan, Went, share};
+use super::RunOptions;
+use crate::auditor::limits::{QUOTA_UNITS, peak_units};
+use crate::fleet::{Fleet, FleetOptions, QueryOutcome, outcome_ratio};
 use crate::links::CUT;
-use crate::processes::wait;
+use crate::processes::wait_until;
 use crate::report::{Curve, Figures};
 use crate::stand_ins::NodeBehavior;
 
@@ -29,15 +29,15 @@
 
 const LIMITS: &str = "limits floor=0.25 every=0.3 { further; customer \"mill\"; cold rate=40.0; }";
 
-fn missed(went: &[Went]) -> f64 {
-    1.0 - share(went, |one| one.replayable(), |one| one.status == Some(200))
+fn missed(went: &[QueryOutcome]) -> f64 {
+    1.0 - outcome_ratio(went, |one| one.is_idempotent(), |one| one.status == Some(200))
 }
 
 /// The most that was served in any window, against the quota.
-fn most_served(went: &[Went]) -> f64 {
-    let Some(first) = went.iter().map(|one| one.began).min() else { return 0.0 };
+fn most_served(went: &[QueryOutcome]) -> f64 {
+    let Some(first) = went.iter().map(|one| one.started_at).min() else { return 0.0 };
     let served = went.iter().filter(|one| one.status == Some(200));
-    let mut at: Vec<f64> = served.map(|one| one.began.duration_since(first).as_secs_f64()).collect();
+    let mut at: Vec<f64> = served.map(|one| one.started_at.duration_since(first).as_secs_f64()).collect();
     at.sort_by(f64::total_cmp);
     let (mut from, mut most) = (0, 0);
     for to in 0..at.len() {
@@ -49,20 +49,20 @@
     most as f64 / (QUOTA * WINDOW)
 }
 
-pub fn run(way: &Way) -> anyhow::Result<Figures> {
+pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
-    let plan = |more: Vec<String>| Plan {
+    let plan = |more: Vec<String>| FleetOptions {
         seed: way.seed,
         balancers: BROKERS,
-        quota: QUOTA,
-        budget: (SHARE, 20.0),
-        more,
-        ..Plan::new(&way.program, 3, BROKERS)
+        tenant_quota: QUOTA,
+        retry_budget: (SHARE, 20.0),
+        extra_lines: more,
+        ..FleetOptions::new(&way.program, 3, BROKERS)
     };
-    let fleets = [plan(vec![LIMITS.to_string()]), plan(Vec::new())].map(Fleet::agreed);
+    let fleets = [plan(vec![LIMITS.to_string()]), plan(Vec::new())].map(Fleet::start_with_version);
     let [leased, _] = &fleets;
     let stretch = if way.quick { Duration::from_secs(4) } else { Duration::from_secs(20) };
-    let mut all: [Vec<Went>; 2] = Default::default();
+    let mut all: [Vec<QueryOutcome>; 2] = Default::default();
     let faults =
         |manner| fleets.iter().for_each(|f| f.nodes.iter().for_each(|node| node.set_behavior(manner)));
     faults(NodeBehavior::FailEveryNth(FAULTS));
@@ -78,16 +78,16 @@
         let went = loads.map(|load| load.stop());
         let shares = went.each_ref().map(|went| missed(went));
         let name = if place == 4 { "at one broker" } else { "moved on to another" };
-        figures.tell(
+        figures.report(
             format!("traffic {name}: scans a second, offered"),
             went[0].len() as f64 / stretch.as_secs_f64(),
             "",
         );
-        figures.tell(format!("traffic {name}: not served, even parts"), shares[1], "share");
-        figures.tell(format!("traffic {name}: not served, leases"), shares[0], "share");
+        figures.report(format!("traffic {name}: not served, even parts"), shares[1], "share");
+        figures.report(format!("traffic {name}: not served, leases"), shares[0], "share");
         let ratio = shares[0] / shares[1].max(1e-9);
         // Told and not held: clients that wait for each answer ask less where more fails, so that few are counted.
-        figures.tell(format!("traffic {name}: not served, leases against even parts"), ratio, "times");
+        figures.report(format!("traffic {name}: not served, leases against even parts"), ratio, "times");
         for ((all, before), went) in all.iter_mut().zip(before).zip(went) {
             all.extend(before);
             all.extend(went);
@@ -97,52 +97,62 @@
     // A node that has just started, under traffic at one broker: what it takes while it is cold.
     let parts = |fleet: &Fleet| fleet.nodes[5].part_arrivals().len();
     let loads = fleets.each_ref().map(|fleet| fleet.clients([3], GAP));
-    fleets.iter().for_each(|fleet| fleet.starts_cold("s-5"));
+    fleets.iter().for_each(|fleet| fleet.report_cold("s-5"));
     let before = fleets.each_ref().map(parts);
     thread::sleep(Duration::from_secs(4));
     let took: [f64; 2] = std::array::from_fn(|i| (parts(&fleets[i]) - before[i]) as f64 / 4.0);
-    figures.tell("parts a second at a node that has just started, even parts", took[1], "");
-    figures.tell("parts a second at a node that has just started, leases", took[0], "");
+    figures.report("parts a second at a node that has just started, even parts", took[1], "");
+    figures.report("parts a second at a node that has just started, leases", took[0], "");
     for (all, load) in all.iter_mut().zip(loads) {
         all.extend(load.stop());
     }
     // A quota ranks scans under pressure; this traffic is below it.
-    figures.hold("served in any window against the quota, leases", most_served(&all[0]), OVER, "times");
+    figures.report_bounded(
+        "served in any window against the quota, leases",
+        most_served(&all[0]),
+        OVER,
+        "times",
+    );
     eprintln!("cut off, killed, started again ...");
     // Who has most is cut off, and killed, while the others ask for it.
     let load = leased.clients(0..BROKERS, GAP);
     leased.links.set_around(&["n4"], &CUT);
     thread::sleep(Duration::from_secs(3));
-    leased.links.set_all(&crate::links::WHOLE);
+    leased.links.set_all(&crate::links::HEALTHY);
     thread::sleep(Duration::from_secs(1));
     let [mut leased, _] = fleets;
     leased.brokers[4].kill();
     leased.brokers[4].start();
-    let back = wait(|| leased.brokers[4].ready());
+    let back = wait_until(|| leased.brokers[4].ready());
     thread::sleep(Duration::from_secs(2));
     load.stop();
-    figures.hold("brokers that did not come back", f64::from(u8::from(!back)), 0.0, "");
+    figures.report_bounded("brokers that did not come back", f64::from(u8::from(!back)), 0.0, "");
     let records = leased.records();
-    let largest = largest(&records);
+    let largest = peak_units(&records);
     anyhow::ensure!(!largest.is_empty(), "no part of any bound was ever leased");
     for (bound, units) in &largest {
-        let sum = *units as f64 / WHOLE as f64;
-        figures.hold(format!("largest sum of all parts of '{bound}', over its window"), sum, 1.0, "wholes");
+        let sum = *units as f64 / QUOTA_UNITS as f64;
+        figures.report_bounded(
+            format!("largest sum of all parts of '{bound}', over its window"),
+            sum,
+            1.0,
+            "wholes",
+        );
     }
     let found = leased.audit();
     found.iter().take(5).for_each(|finding| eprintln!("{finding}"));
-    figures.hold("findings of the auditor", found.len() as f64, 0.0, "");
+    figures.report_bounded("findings of the auditor", found.len() as f64, 0.0, "");
     figures.plots.push(("sums".to_string(), ["seconds", "share of the whole"], curves(&records)));
     Ok(figures)
 }
 
 fn curves(records: &crate::auditor::Records) -> Vec<Curve> {
-    let stretches = crate::auditor::limits::stretches(records);
+    let stretches = crate::auditor::limits::quota_intervals(records);
     let names: std::collections::BTreeSet<_> = stretches.iter().map(|one| one.bound.clone()).collect();
     let start = stretches.iter().map(|one| one.from).fold(f64::INFINITY, f64::min);
     let curve = |name: &String| {
         let sums = crate::auditor::limits::sums(&stretches, name);
-        let points = sums.into_iter().map(|(at, units, _)| (at - start, units as f64 / WHOLE as f64));
+        let points = sums.into_iter().map(|(at, units, _)| (at - start, units as f64 / QUOTA_UNITS as f64));
         Curve { name: name.clone(), points: points.collect() }
     };
     names.iter().map(curve).collect()
--- a/crates/dunepond-testkit/src/experiments/restart.rs
+++ b/crates/dunepond-testkit/src/experiments/restart.rs
@@ -7,10 +7,10 @@
 
 use serde_json::json;
 
-use super::Way;
-use crate::lives::{SEGS, Town, unix_ms};
-use crate::load::{Load, Went};
+use super::RunOptions;
+use crate::load::{Load, LoadReport};
 use crate::report::{Curve, Figures};
+use crate::restart_cluster::{RestartCluster, SEGMENT_COUNT, unix_ms};
 use crate::stand_ins::{Broker, Client, NodeBehavior, query_request};
 
 const NODES: usize = 24;
@@ -30,11 +30,17 @@
 const DEARER: f64 = 1.2;
 const START: f64 = 20.0;
 
-fn load(broker: &Broker, seconds: f64, seed: u64, prefix: &'static str) -> Went {
-    let load = Load { to: broker.address, rate: RATE, seconds, seed, prefix };
+fn load(broker: &Broker, seconds: f64, seed: u64, prefix: &'static str) -> LoadReport {
+    let load = Load {
+        to: broker.address,
+        requests_per_second: RATE,
+        duration_seconds: seconds,
+        seed,
+        id_prefix: prefix,
+    };
     load.run_with(
         move |i| {
-            let segs: Vec<_> = (0..4).map(|j| (i * 7 + j * 11) % SEGS).collect();
+            let segs: Vec<_> = (0..4).map(|j| (i * 7 + j * 11) % SEGMENT_COUNT).collect();
             query_request("find", &format!("{prefix}{i}"), &segs, "2.0")
         },
         |_, _, _| {},
@@ -42,42 +48,42 @@
 }
 
 /// Late, refused or lost.
-fn bad(went: &Went) -> f64 {
-    let late = went.times.len() - went.times.count_between(0, (1e6 * TARGET) as u64);
-    (late + went.refused + went.lost) as f64
+fn bad(went: &LoadReport) -> f64 {
+    let late = went.latencies.len() - went.latencies.count_between(0, (1e6 * TARGET) as u64);
+    (late + went.rejected + went.failed) as f64
 }
 
 /// An outage in which the broker is killed and started again; how its first seconds went.
-fn outage(way: &Way, kdl: &str, seconds: f64, seed: u64) -> (Went, usize) {
-    let mut town = Town::new(&way.program, NODES);
+fn outage(way: &RunOptions, kdl: &str, seconds: f64, seed: u64) -> (LoadReport, usize) {
+    let mut town = RestartCluster::new(&way.program, NODES);
     // Copies are few, as on a deployment that has just spent them: what goes to nodes that hang is late.
-    town.mend = |config| {
+    town.adjust_config = |config| {
         let rules = &mut config["settings"]["rules"];
         (rules["freeResends"], rules["repeatRatio"]) = (json!(5.0), json!(0.02));
     };
-    town.each(1, NodeBehavior::DelayMillis(TAKES));
-    let mut first = town.life(kdl);
+    town.set_behavior_of_every(1, NodeBehavior::DelayMillis(TAKES));
+    let mut first = town.start_broker(kdl);
     load(&first, 2.0, seed, "a");
-    town.each(HANG, NodeBehavior::Hang);
+    town.set_behavior_of_every(HANG, NodeBehavior::Hang);
     load(&first, 3.0, seed + 1, "b");
     first.signal("KILL");
     first.exit_code();
     let hung = || town.nodes.iter().step_by(HANG).map(|node| node.frames('A').len()).sum::<usize>();
     let before = hung();
-    let second = town.life(kdl);
+    let second = town.start_broker(kdl);
     let went = load(&second, seconds, seed + 2, "c");
     (went, hung() - before)
 }
 
 /// Seconds from the beginning of a life to its first scan served, after one that was killed.
-fn first_scan(town: &Town, kdl: &str) -> f64 {
-    let mut broker = town.life(kdl);
+fn first_scan(town: &RestartCluster, kdl: &str) -> f64 {
+    let mut broker = town.start_broker(kdl);
     load(&broker, 0.5, 5, "w");
     thread::sleep(Duration::from_millis(200));
     broker.signal("KILL");
     broker.exit_code();
     let began = Instant::now();
-    let broker = town.life(kdl);
+    let broker = town.start_broker(kdl);
     let answer = Client::connect(&broker).request(&query_request("find", "first", &[0, 1], "2.0"));
     let took = began.elapsed().as_secs_f64();
     if answer.status == 200 { took } else { f64::MAX }
@@ -91,12 +97,12 @@
 }
 
 /// A round of the ordinary path: how it went, and what each scan cost the loop.
-fn ordinary(broker: &Broker, seconds: f64, seed: u64, together: &Barrier) -> (Went, f64) {
+fn ordinary(broker: &Broker, seconds: f64, seed: u64, together: &Barrier) -> (LoadReport, f64) {
     load(broker, 0.5, 3, "w");
     together.wait();
     let before = loop_time(broker);
     let went = load(broker, seconds, seed, "o");
-    let cost = (loop_time(broker) - before) / went.times.len() as f64;
+    let cost = (loop_time(broker) - before) / went.latencies.len() as f64;
     (went, cost)
 }
 
@@ -116,16 +122,16 @@
 
 /// Killed and started every 300 ms while all nodes but a cold one fail what they are given: the least margin of
 /// the budget of further dispatches over all lives, and what the cold node got.
-fn loops(way: &Way, kdl: &str, seconds: f64) -> (f64, f64) {
-    let mut town = Town::new(&way.program, NODES);
-    town.starts(1, unix_ms());
+fn loops(way: &RunOptions, kdl: &str, seconds: f64) -> (f64, f64) {
+    let mut town = RestartCluster::new(&way.program, NODES);
+    town.restart_node(1, unix_ms());
     // All but the cold one fail, so that every part would need its further dispatches.
-    town.each(1, NodeBehavior::ReplyStatus("fault"));
+    town.set_behavior_of_every(1, NodeBehavior::ReplyStatus("fault"));
     town.nodes[1].set_behavior(NodeBehavior::Serve);
     let began = Instant::now();
     let (mut life, mut taken) = (0, Vec::new());
     while began.elapsed().as_secs_f64() < seconds {
-        let mut broker = town.life(kdl);
+        let mut broker = town.start_broker(kdl);
         let asking = Instant::now();
         let mut client = Client::connect(&broker);
         let mut i = 0;
@@ -135,7 +141,7 @@
             client.try_request(&query_request(
                 "find",
                 &format!("l{life}-{i}"),
-                &[i % SEGS, (i + 7) % SEGS],
+                &[i % SEGMENT_COUNT, (i + 7) % SEGMENT_COUNT],
                 "0.3",
             ));
             thread::sleep(Duration::from_millis(15));
@@ -150,10 +156,10 @@
         let within = times[..=i].iter().filter(|then| *at - **then <= Duration::from_secs(1)).count();
         most = most.max(within);
     }
-    (town.margin(&taken, 20.0, 0.1, 2.0), most as f64)
+    (town.retry_budget_margin(&taken, 20.0, 0.1, 2.0), most as f64)
 }
 
-pub fn run(way: &Way) -> anyhow::Result<Figures> {
+pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
     let seconds = if way.quick { 3.0 } else { 10.0 };
     let (mut with, mut without, mut left, mut sent) = (0.0, 0.0, Vec::new(), [0, 0]);
@@ -169,31 +175,36 @@
         left.push(bad(&kept) / bad(&forgot).max(1.0));
         sent = [sent[0] + to_hung, sent[1] + to_hung_forgot];
         if round == 0 {
-            let curve = |name: &str, went: &Went| {
-                let points = (0..=100).map(|i| (i as f64, 1e3 * went.at(i as f64 / 100.0)));
+            let curve = |name: &str, went: &LoadReport| {
+                let points = (0..=100).map(|i| (i as f64, 1e3 * went.latency_seconds(i as f64 / 100.0)));
                 Curve { name: name.to_string(), points: points.collect() }
             };
             let curves = vec![curve("with the folder", &kept), curve("without", &forgot)];
             figures.plots.push(("first-seconds".to_string(), ["percent of scans", "ms"], curves));
         }
     }
-    figures.tell("scans a run after the start", RATE * seconds, "");
-    figures.tell("late or lost without the folder, all runs", without, "");
-    figures.tell("late or lost with the folder, all runs", with, "");
-    figures.hold("late or lost, with against without, middle of runs", median(left), HALVED, "times");
-    figures.tell("parts sent to nodes that hang, without", sent[1] as f64, "");
-    figures.tell("parts sent to nodes that hang, with", sent[0] as f64, "");
+    figures.report("scans a run after the start", RATE * seconds, "");
+    figures.report("late or lost without the folder, all runs", without, "");
+    figures.report("late or lost with the folder, all runs", with, "");
+    figures.report_bounded(
+        "late or lost, with against without, middle of runs",
+        median(left),
+        HALVED,
+        "times",
+    );
+    figures.report("parts sent to nodes that hang, without", sent[1] as f64, "");
+    figures.report("parts sent to nodes that hang, with", sent[0] as f64, "");
     eprintln!("ordinary path ...");
     let (seconds, rounds, starts) = if way.quick { (0.8, 11, 5) } else { (2.0, 15, 9) };
     // Two towns, so that neither side's work at the nodes is the other's.
-    let (town, other) = (Town::new(&way.program, NODES), Town::new(&way.program, NODES));
+    let (town, other) = (RestartCluster::new(&way.program, NODES), RestartCluster::new(&way.program, NODES));
     // In each round both sides are asked at the same time: what else the machine does weighs on both.
     let (mut went, mut bytes) = ([Vec::new(), Vec::new()], 0.0);
     for round in 0..rounds {
         // What the last round learned would spare this one's copies.
         std::fs::remove_dir_all(&town.folder)?;
         std::fs::create_dir(&town.folder)?;
-        let lives = [town.life(&format!("{KEPT}counters every=0.5\n")), other.life("")];
+        let lives = [town.start_broker(&format!("{KEPT}counters every=0.5\n")), other.start_broker("")];
         let (together, seed) = (Barrier::new(2), way.seed + round);
         thread::scope(|scope| {
             let together = &together;
@@ -208,28 +219,50 @@
         }
     }
     let [on, off] = &went;
-    let p99 = |side: &[(Went, f64)]| 1e3 * median(side.iter().map(|(went, _)| went.at(0.99)).collect());
-    figures.tell("p99 without snapshots, middle of rounds", p99(off), "ms");
-    figures.tell("p99 with a snapshot a second, middle of rounds", p99(on), "ms");
+    let p99 = |side: &[(LoadReport, f64)]| {
+        1e3 * median(side.iter().map(|(went, _)| went.latency_seconds(0.99)).collect())
+    };
+    figures.report("p99 without snapshots, middle of rounds", p99(off), "ms");
+    figures.report("p99 with a snapshot a second, middle of rounds", p99(on), "ms");
     let cost =
-        |side: &[(Went, f64)]| 1e6 * side.iter().map(|(_, cost)| cost).sum::<f64>() / side.len() as f64;
-    figures.tell("core time of the loop a scan, without", cost(off), "us");
-    figures.tell("core time of the loop a scan, with", cost(on), "us");
-    figures.hold("core time of the loop, with against without", cost(on) / cost(off), DEARER, "times");
-    figures.tell("bytes written an hour", bytes, "bytes");
+        |side: &[(LoadReport, f64)]| 1e6 * side.iter().map(|(_, cost)| cost).sum::<f64>() / side.len() as f64;
+    figures.report("core time of the loop a scan, without", cost(off), "us");
+    figures.report("core time of the loop a scan, with", cost(on), "us");
+    figures.report_bounded(
+        "core time of the loop, with against without",
+        cost(on) / cost(off),
+        DEARER,
+        "times",
+    );
+    figures.report("bytes written an hour", bytes, "bytes");
     // By turns, so that what else the machine does falls on both.
     let starts: Vec<_> = (0..starts).map(|_| (first_scan(&town, KEPT), first_scan(&town, ""))).collect();
     let forgot = median(starts.iter().map(|start| start.1).collect());
     let more = median(starts.iter().map(|(kept, forgot)| kept - forgot).collect());
-    figures.tell("start to first scan served, without, middle of starts", 1e3 * forgot, "ms");
-    figures.hold("start to first scan served, with less without, middle of starts", 1e3 * more, START, "ms");
+    figures.report("start to first scan served, without, middle of starts", 1e3 * forgot, "ms");
+    figures.report_bounded(
+        "start to first scan served, with less without, middle of starts",
+        1e3 * more,
+        START,
+        "ms",
+    );
     eprintln!("crash loops ...");
     let seconds = if way.quick { 3.0 } else { 20.0 };
     let (margin, cold) = loops(way, KEPT, seconds);
     let (margin_forgot, cold_forgot) = loops(way, "", seconds);
-    figures.hold("crash loop: further dispatches over the budget, with", (-margin).max(0.0), 0.0, "");
-    figures.tell("crash loop: further dispatches over the budget, without", (-margin_forgot).max(0.0), "");
-    figures.tell("crash loop: parts to a cold node in a second, without", cold_forgot, "");
-    figures.hold("crash loop: parts to a cold node in a second, with", cold, cold_forgot.max(1.0), "");
+    figures.report_bounded(
+        "crash loop: further dispatches over the budget, with",
+        (-margin).max(0.0),
+        0.0,
+        "",
+    );
+    figures.report("crash loop: further dispatches over the budget, without", (-margin_forgot).max(0.0), "");
+    figures.report("crash loop: parts to a cold node in a second, without", cold_forgot, "");
+    figures.report_bounded(
+        "crash loop: parts to a cold node in a second, with",
+        cold,
+        cold_forgot.max(1.0),
+        "",
+    );
     Ok(figures)
 }
--- a/crates/dunepond-testkit/src/experiments/search.rs
+++ b/crates/dunepond-testkit/src/experiments/search.rs
@@ -11,8 +11,8 @@
 use serde_json::json;
 use serde_json::value::RawValue;
 
-use super::Way;
-use crate::load::{Load, Went};
+use super::RunOptions;
+use crate::load::{Load, LoadReport};
 use crate::report::Figures;
 use crate::search_cluster::{NodeProtocol, SearchCluster, SearchNodeBehavior, http_request as http};
 
@@ -48,7 +48,7 @@
 }
 
 struct Ran {
-    went: Went,
+    went: LoadReport,
     /// Seconds of the broker's core for each scan.
     cost: f64,
     twice: usize,
@@ -56,7 +56,7 @@
 
 /// So many seconds of scans at one door, before nodes of one kind that behave as told.
 fn ran(
-    way: &Way,
+    way: &RunOptions,
     api: bool,
     speech: NodeProtocol,
     manners: &[(usize, SearchNodeBehavior)],
@@ -66,7 +66,13 @@
     manners.iter().for_each(|(node, manner)| site.nodes[*node].set_behavior(*manner));
     let to = if api { site.api_address } else { site.broker.address };
     let load = |prefix: &'static str, seconds: f64| {
-        let load = Load { to, rate: RATE, seconds, seed: way.seed, prefix };
+        let load = Load {
+            to,
+            requests_per_second: RATE,
+            duration_seconds: seconds,
+            seed: way.seed,
+            id_prefix: prefix,
+        };
         load.run_with(
             move |i| {
                 if api { http("GET", "/all/_search?timeout=2s", "") } else { first(&format!("{prefix}{i}")) }
@@ -77,7 +83,7 @@
     load("w", 0.5);
     let before = cpu(site.broker.pid());
     let went = load("c", seconds);
-    let cost = (cpu(site.broker.pid()) - before) / went.times.len().max(1) as f64;
+    let cost = (cpu(site.broker.pid()) - before) / went.latencies.len().max(1) as f64;
     Ran { went, cost, twice: site.repeated_parts() }
 }
 
@@ -117,7 +123,7 @@
     took[took.len() / 2]
 }
 
-pub fn run(way: &Way) -> anyhow::Result<Figures> {
+pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
     let seconds = if way.quick { 1.5 } else { 8.0 };
     let mut costs = BTreeMap::new();
@@ -132,32 +138,32 @@
             for (kind, speech) in [("frames", NodeProtocol::Frames), ("API nodes", NodeProtocol::Api)] {
                 eprintln!("{name}, {door}, {kind} ...");
                 let ran = ran(way, api, speech, manners, seconds);
-                let all = ran.went.times.len();
+                let all = ran.went.latencies.len();
                 // Whatever the door and the nodes: all of them are served.
-                different += all - ran.went.whole;
+                different += all - ran.went.served;
                 let label = format!("{name}, {door}, {kind}");
-                figures.tell(format!("{label}: served of {all}"), ran.went.whole as f64, "");
-                figures.tell(format!("{label}: p50"), 1e3 * ran.went.at(0.5), "ms");
-                figures.tell(format!("{label}: p99"), 1e3 * ran.went.at(0.99), "ms");
-                figures.tell(format!("{label}: core a scan"), 1e6 * ran.cost, "us");
-                figures.tell(format!("{label}: parts that ran twice (copies)"), ran.twice as f64, "");
+                figures.report(format!("{label}: served of {all}"), ran.went.served as f64, "");
+                figures.report(format!("{label}: p50"), 1e3 * ran.went.latency_seconds(0.5), "ms");
+                figures.report(format!("{label}: p99"), 1e3 * ran.went.latency_seconds(0.99), "ms");
+                figures.report(format!("{label}: core a scan"), 1e6 * ran.cost, "us");
+                figures.report(format!("{label}: parts that ran twice (copies)"), ran.twice as f64, "");
                 costs.insert((name, door, kind), ran.cost);
             }
         }
     }
-    figures.hold("scans not served whole, all combinations", different as f64, 0.0, "");
+    figures.report_bounded("scans not served whole, all combinations", different as f64, 0.0, "");
     let cost = |door, kind| costs.get(&("all serve", door, kind)).copied().unwrap_or(f64::MAX);
-    figures.hold(
+    figures.report_bounded(
         "core a scan, API against first door, frames",
         cost("API", "frames") / cost("first door", "frames"),
         DEARER,
         "times",
     );
-    figures.tell(
+    figures.report(
         "core a scan, API against first door, API nodes",
         cost("API", "API nodes") / cost("first door", "API nodes"),
         "times",
     );
-    figures.hold("merging 10 parts of 1,000 hits, median", merging(way.seed), MERGE_MS, "ms");
+    figures.report_bounded("merging 10 parts of 1,000 hits, median", merging(way.seed), MERGE_MS, "ms");
     Ok(figures)
 }
--- a/crates/dunepond-testkit/src/experiments/debts.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/mod.rs
@@ -1,13 +1,13 @@
 //! Partners that carry for each other, and holders that have to be filled: what is left open by the rule that picks
 //! sources, in simulated time. Counts come late and doubled, brokers restart, fills fail, one partner claims ten times.
 
-mod world;
+mod simulation;
 
 use dunepond_settlement::PlanningRule;
 
-use super::Way;
+use super::RunOptions;
 use crate::report::{Curve, Figures};
-use world::{FLOOD, PARTNERS, Played, play, terms};
+use simulation::{FLOOD, PARTNERS, Played, play, terms};
 
 const MIXES: [&str; 3] = ["even", "lopsided", "ring with bursts"];
 /// Nobody looks at debts: each need has one source, by chance.
@@ -28,7 +28,7 @@
 }
 
 impl Plays {
-    fn of(mix: &str, way: &Way, seconds: f64) -> Vec<Plays> {
+    fn of(mix: &str, way: &RunOptions, seconds: f64) -> Vec<Plays> {
         let one = |(rule, kind): &(&'static str, Option<PlanningRule>)| {
             let seeds = (0..GAMES).map(|game| way.seed * GAMES + game);
             Plays { rule, plays: seeds.map(|seed| play(mix, *kind, seed, seconds)).collect() }
@@ -47,7 +47,8 @@
         some.iter().flat_map(|plays| &plays.plays).map(of).fold(0.0, f64::max)
     };
     let most = |of| greatest(all, of);
-    let mut hold = |what: &str, value, most, unit| figures.hold(format!("{mix}: {what}"), value, most, unit);
+    let mut hold =
+        |what: &str, value, most, unit| figures.report_bounded(format!("{mix}: {what}"), value, most, unit);
     hold("load of a link, of its cap", most(|it| it.link), 1.0 + 1e-9, "");
     hold("load of a cold node, of its bound", most(|it| it.cold), 1.0, "");
     hold("carried in a window, of the most", most(|it| it.carried), 1.0, "");
@@ -56,19 +57,23 @@
     hold("book off the truth", most(|it| it.off), 0.0, "bytes");
     hold("the liar's counted, of what it carried", most(|it| it.counted), 1.0, "times");
     hold("cells of counts", most(|it| it.cells), 400.0, "");
-    figures.tell(format!("{mix}: the liar's disputed, of what it carried"), most(|it| it.disputed), "times");
-    figures.tell(format!("{mix}: fills of a play"), most(|it| it.fills), "");
+    figures.report(
+        format!("{mix}: the liar's disputed, of what it carried"),
+        most(|it| it.disputed),
+        "times",
+    );
+    figures.report(format!("{mix}: fills of a play"), most(|it| it.fills), "");
 }
 
-pub fn run(way: &Way) -> anyhow::Result<Figures> {
+pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
     let seconds = if way.quick { 3600.0 } else { 14_400.0 };
     let mut curves = Vec::new();
-    for mix in MIXES.into_iter().filter(|mix| way.wants(mix)) {
+    for mix in MIXES.into_iter().filter(|mix| way.includes(mix)) {
         let all = Plays::of(mix, way, seconds);
         for plays in &all {
             let mut tell = |what: &str, of: fn(&Played) -> f64, unit| {
-                figures.tell(format!("{mix}, {}: {what}", plays.rule), plays.mean(of), unit);
+                figures.report(format!("{mix}, {}: {what}", plays.rule), plays.mean(of), unit);
             };
             tell("open debts, mean", |it| it.spread / 1e6, "MB");
             tell("owed to one partner, mean", |it| it.worst / 1e6, "MB");
@@ -79,12 +84,12 @@
             for other in &all[..2] {
                 let ratio = plays.mean(|it| it.spread) / other.mean(|it| it.spread);
                 let what = format!("{mix}, {}: open debts, against {}", plays.rule, other.rule);
-                figures.hold(what, ratio, AGAINST, "times");
+                figures.report_bounded(what, ratio, AGAINST, "times");
             }
             let short = |plays: &Plays| 1.0 - plays.mean(|it| it.jain);
             let ratio = short(plays) / short(&all[0]);
             let what = format!("{mix}, {}: Jain's index, short of 1, against none", plays.rule);
-            figures.hold(what, ratio, AGAINST, "times");
+            figures.report_bounded(what, ratio, AGAINST, "times");
         }
         bounds(&mut figures, mix, &all);
         if mix == "lopsided" {
@@ -92,11 +97,11 @@
             curves = all.iter().map(curve).collect();
         }
     }
-    if way.wants(FLOOD) {
+    if way.includes(FLOOD) {
         let all = Plays::of(FLOOD, way, seconds);
         for plays in &all {
             let mut tell = |what: &str, of: fn(&Played) -> f64, unit| {
-                figures.tell(format!("{FLOOD}, {}: {what}", plays.rule), plays.mean(of), unit);
+                figures.report(format!("{FLOOD}, {}: {what}", plays.rule), plays.mean(of), unit);
             };
             let least = |it: &Played| {
                 let others = (1..PARTNERS.len()).map(|at| it.served[at] / it.asked[at].max(1.0));
--- a/crates/dunepond-testkit/src/experiments/map.rs
+++ b/crates/dunepond-testkit/src/experiments/shard_map.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::Way;
+use super::RunOptions;
 use crate::report::{Curve, Figures};
 
 const TERMS: MapConstraints = MapConstraints { min_replicas: 2, min_zones: 2 };
@@ -414,7 +414,7 @@
     [whole / count as f64 * 1e9, moved / count as f64 * 1e9, few / CHANGED as f64 * 1e9]
 }
 
-pub fn run(way: &Way) -> anyhow::Result<Figures> {
+pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
     let mut rng = Pcg64Mcg::seed_from_u64(way.seed);
     let rounds = if way.quick { 10 } else { 200 };
@@ -422,32 +422,52 @@
         [("maps", maps(&mut rng, rounds)), ("moves and scans", moves_and_scans(&mut rng, rounds))]
     {
         for kind in &found.missed {
-            figures.tell(format!("{what}: not all named: {kind}"), 1.0, "");
+            figures.report(format!("{what}: not all named: {kind}"), 1.0, "");
         }
-        figures.tell(format!("{what}: faults planted"), found.planted as f64, "");
-        figures.tell(format!("{what}: named to the letter"), found.named as f64, "");
-        figures.hold(format!("{what}: planted and not named"), (found.planted - found.named) as f64, 0.0, "");
-        figures.hold(format!("{what}: named and not planted"), found.beside as f64, 0.0, "");
+        figures.report(format!("{what}: faults planted"), found.planted as f64, "");
+        figures.report(format!("{what}: named to the letter"), found.named as f64, "");
+        figures.report_bounded(
+            format!("{what}: planted and not named"),
+            (found.planted - found.named) as f64,
+            0.0,
+            "",
+        );
+        figures.report_bounded(format!("{what}: named and not planted"), found.beside as f64, 0.0, "");
     }
     let moves = moves(&mut rng, rounds * 20);
-    figures.tell("moves proved", moves.sound as f64, "");
-    figures.tell("moves refused", moves.refused as f64, "");
-    figures.hold("changes judged otherwise than the whole", moves.otherwise as f64, 0.0, "");
-    figures.tell("keys looked at in joint steps", moves.looked_at as f64, "");
-    figures.tell("of these without an owner", moves.no_owner as f64, "");
-    figures.hold("of these with two owners", moves.two_owners as f64, 0.0, "");
+    figures.report("moves proved", moves.sound as f64, "");
+    figures.report("moves refused", moves.refused as f64, "");
+    figures.report_bounded("changes judged otherwise than the whole", moves.otherwise as f64, 0.0, "");
+    figures.report("keys looked at in joint steps", moves.looked_at as f64, "");
+    figures.report("of these without an owner", moves.no_owner as f64, "");
+    figures.report_bounded("of these with two owners", moves.two_owners as f64, 0.0, "");
     let sizes: &[usize] = if way.quick { &[10_000, 100_000] } else { &[10_000, 100_000, 1_000_000] };
     let costs: Vec<_> = sizes.iter().map(|count| (*count, costs(&mut rng, *count, 5))).collect();
     for (count, [whole, moved, few]) in &costs {
-        figures.tell(format!("{count} segments: proof"), *whole, "ns a segment");
-        figures.tell(format!("{count} segments: move"), *moved, "ns a segment");
-        figures.tell(format!("{count} segments: change of {CHANGED}"), *few, "ns a changed segment");
+        figures.report(format!("{count} segments: proof"), *whole, "ns a segment");
+        figures.report(format!("{count} segments: move"), *moved, "ns a segment");
+        figures.report(format!("{count} segments: change of {CHANGED}"), *few, "ns a changed segment");
     }
     if let [(_, small), .., (count, large)] = costs[..] {
-        figures.hold("a segment's proof, largest map against smallest", large[0] / small[0], LINEAR, "times");
-        figures.hold("a changed segment, largest map against smallest", large[2] / small[2], LINEAR, "times");
+        figures.report_bounded(
+            "a segment's proof, largest map against smallest",
+            large[0] / small[0],
+            LINEAR,
+            "times",
+        );
+        figures.report_bounded(
+            "a changed segment, largest map against smallest",
+            large[2] / small[2],
+            LINEAR,
+            "times",
+        );
         let whole = large[2] * CHANGED as f64 / (large[0] * count as f64);
-        figures.hold("a change against the whole proof, largest map", whole, AGAINST_WHOLE, "times");
+        figures.report_bounded(
+            "a change against the whole proof, largest map",
+            whole,
+            AGAINST_WHOLE,
+            "times",
+        );
     }
     let curve = |name: &str, which: usize| {
         let points = costs.iter().map(|(count, costs)| ((*count as f64).log10(), costs[which] / 1e3));
--- a/crates/dunepond-testkit/src/experiments/shutdown.rs
+++ b/crates/dunepond-testkit/src/experiments/shutdown.rs
@@ -1,6 +1,6 @@
 //! Brokers told to end under clients that keep using their connections, by seed: what was lost, and by whom.
 
-use super::Way;
+use super::RunOptions;
 use crate::report::Figures;
 use crate::shutdown::{Breach, Plan, Verdict, play_all};
 use crate::stand_ins::broker_program;
@@ -45,8 +45,8 @@
     }
 }
 
-pub fn run(way: &Way) -> anyhow::Result<Figures> {
-    let seeds = match (way.plays, way.quick) {
+pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
+    let seeds = match (way.seed_count, way.quick) {
         (1, true) => QUICK_SEEDS,
         (1, false) => SEEDS,
         (plays, _) => plays,
@@ -58,17 +58,17 @@
         all.add(verdict);
     }
     let mut figures = Figures::default();
-    figures.tell("seeds", seeds as f64, "");
-    figures.tell("requests", all.requests as f64, "");
-    figures.tell("requests after SIGTERM", all.after_signal as f64, "");
-    figures.tell("requests more than 0.7 s after SIGTERM", all.late as f64, "");
+    figures.report("seeds", seeds as f64, "");
+    figures.report("requests", all.requests as f64, "");
+    figures.report("requests after SIGTERM", all.after_signal as f64, "");
+    figures.report("requests more than 0.7 s after SIGTERM", all.late as f64, "");
     for (status, count) in &all.answered {
-        figures.tell(format!("answers {status}"), *count as f64, "");
+        figures.report(format!("answers {status}"), *count as f64, "");
     }
-    figures.tell("crossed by a close, never forwarded", all.crossed as f64, "");
-    figures.tell("brokers still there at the kill", all.killed as f64, "");
+    figures.report("crossed by a close, never forwarded", all.crossed as f64, "");
+    figures.report("brokers still there at the kill", all.killed as f64, "");
     let left = all.least_left.map_or(0.0, |left| 1000.0 * left.as_secs_f64());
-    figures.tell("least time from an answer to the kill", left, "ms");
+    figures.report("least time from an answer to the kill", left, "ms");
     let breaches = [
         ("forwarded and never answered", Breach::ForwardedUnanswered),
         ("unanswered at the kill", Breach::TakenUnanswered),
@@ -78,9 +78,9 @@
         ("ran twice", Breach::RanTwice),
     ];
     for (name, breach) in breaches {
-        figures.hold(name, all.count_of(breach) as f64, 0.0, "requests");
+        figures.report_bounded(name, all.count_of(breach) as f64, 0.0, "requests");
     }
-    figures.hold("brokers that failed", all.failed as f64, 0.0, "");
-    figures.hold("seeds with a fault", bad_seeds as f64, 0.0, "");
+    figures.report_bounded("brokers that failed", all.failed as f64, 0.0, "");
+    figures.report_bounded("seeds with a fault", bad_seeds as f64, 0.0, "");
     Ok(figures)
 }
--- a/crates/dunepond-testkit/src/disk.rs
+++ b/crates/dunepond-testkit/src/faulty_disk.rs
@@ -10,22 +10,22 @@
 use dunepond_body_buffer::{DiskFolder, SpillFile, SpillFolder};
 use dunepond_storage::{FileStore, WritableFile};
 
-pub struct Faulty {
+pub struct FaultySpillFolder {
     disk: DiskFolder,
-    told: PathBuf,
+    faults_file: PathBuf,
 }
 
-impl Faulty {
+impl FaultySpillFolder {
     pub fn new(folder: &Path, told: &Path) -> io::Result<Self> {
         Ok(Self {
             disk: DiskFolder::open(folder, &format!("lab{}", std::process::id()))?,
-            told: told.to_path_buf(),
+            faults_file: told.to_path_buf(),
         })
     }
 }
 
 /// What a call is to do, by the words of the file: nothing special where there are none.
-fn obey(told: &Path, reading: bool) -> io::Result<Option<usize>> {
+fn apply_fault(told: &Path, reading: bool) -> io::Result<Option<usize>> {
     let words = fs::read_to_string(told).unwrap_or_default();
     let (word, rest) = words.trim().split_once(' ').unwrap_or((words.trim(), ""));
     let error = |code| Err(io::Error::from_raw_os_error(code));
@@ -47,15 +47,15 @@
     }
 }
 
-struct Told {
+struct FaultySpillFile {
     volume: Box<dyn SpillFile>,
     told: PathBuf,
 }
 
-impl SpillFolder for Faulty {
+impl SpillFolder for FaultySpillFolder {
     fn create(&self) -> io::Result<Box<dyn SpillFile>> {
-        obey(&self.told, false)?;
-        Ok(Box::new(Told { volume: self.disk.create()?, told: self.told.clone() }))
+        apply_fault(&self.faults_file, false)?;
+        Ok(Box::new(FaultySpillFile { volume: self.disk.create()?, told: self.faults_file.clone() }))
     }
 
     fn close(&self) {
@@ -63,16 +63,16 @@
     }
 }
 
-impl SpillFile for Told {
+impl SpillFile for FaultySpillFile {
     fn write_at(&mut self, at: u64, bytes: &[u8]) -> io::Result<usize> {
-        match obey(&self.told, false)? {
+        match apply_fault(&self.told, false)? {
             Some(most) if most < bytes.len() => self.volume.write_at(at, &bytes[..most]),
             _ => self.volume.write_at(at, bytes),
         }
     }
 
     fn read_at(&mut self, at: u64, bytes: &mut [u8]) -> io::Result<usize> {
-        match obey(&self.told, true)? {
+        match apply_fault(&self.told, true)? {
             Some(most) if most < bytes.len() => self.volume.read_at(at, &mut bytes[..most]),
             _ => self.volume.read_at(at, bytes),
         }
@@ -80,20 +80,20 @@
 }
 
 /// The state's folder, by the same words.
-pub struct ToldFiles {
+pub struct FaultyFileStore {
     path: PathBuf,
     told: PathBuf,
     folder: std::sync::Mutex<Option<Arc<dunepond_storage::DiskStore>>>,
 }
 
-impl ToldFiles {
+impl FaultyFileStore {
     pub fn new(path: &Path, told: &Path) -> io::Result<Self> {
         Ok(Self { path: path.to_path_buf(), told: told.to_path_buf(), folder: std::sync::Mutex::new(None) })
     }
 
     /// Opened at the first call, so that a folder which another has is found out as the broker finds it out.
     fn folder(&self, reading: bool) -> io::Result<Arc<dunepond_storage::DiskStore>> {
-        obey(&self.told, reading)?;
+        apply_fault(&self.told, reading)?;
         let mut folder = self.folder.lock().unwrap();
         match &*folder {
             Some(folder) => Ok(folder.clone()),
@@ -102,15 +102,15 @@
     }
 }
 
-impl FileStore for ToldFiles {
+impl FileStore for FaultyFileStore {
     fn create(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let file = self.folder(false)?.create(name)?;
-        Ok(Box::new(ToldWriting { file, told: self.told.clone() }))
+        Ok(Box::new(FaultyWritableFile { file, told: self.told.clone() }))
     }
 
     fn open_append(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let file = self.folder(false)?.open_append(name)?;
-        Ok(Box::new(ToldWriting { file, told: self.told.clone() }))
+        Ok(Box::new(FaultyWritableFile { file, told: self.told.clone() }))
     }
 
     fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
@@ -134,14 +134,14 @@
     }
 }
 
-struct ToldWriting {
+struct FaultyWritableFile {
     file: Box<dyn WritableFile>,
     told: PathBuf,
 }
 
-impl WritableFile for ToldWriting {
+impl WritableFile for FaultyWritableFile {
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let may = obey(&self.told, false);
+        let may = apply_fault(&self.told, false);
         if may.is_err() && fs::read_to_string(&self.told).is_ok_and(|word| word.trim() == "brim") {
             // As far as there was room.
             self.file.write_all(&bytes[..bytes.len() / 2])?;
@@ -151,12 +151,12 @@
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
-        obey(&self.told, false)?;
+        apply_fault(&self.told, false)?;
         self.file.truncate(length)
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        obey(&self.told, false)?;
+        apply_fault(&self.told, false)?;
         self.file.sync()
     }
 }
--- a/crates/dunepond-testkit/src/fleet/clients.rs
+++ b/crates/dunepond-testkit/src/fleet/clients.rs
@@ -7,9 +7,9 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use super::{CUSTOMERS, FIX, Fleet, TYPES, name};
-use crate::auditor::{AuditEvent, Finding, Known, Ran, audit};
-use crate::processes::PATIENCE;
+use super::{Fleet, NON_IDEMPOTENT_CLASS, QUERY_CLASSES, TENANTS, broker_name};
+use crate::auditor::{AuditEvent, Finding, GroundTruth, NodeRun, audit};
+use crate::processes::WAIT_TIMEOUT;
 use crate::stand_ins::{Client, Node, query_request};
 
 /// What two readings of the clock around one act may be apart on a machine that is busy.
@@ -17,14 +17,15 @@
 
 impl Fleet {
     /// Fixes that came to nodes, as these counted them.
-    pub fn ran(&self) -> Vec<Ran> {
+    pub fn non_idempotent_runs(&self) -> Vec<NodeRun> {
         let (now, steady) = (Instant::now(), dunepond_control_plane::monotonic_seconds());
         let fix = |node: &Node| {
             let came = |at: Instant| steady - now.saturating_duration_since(at).as_secs_f64();
             let ran = |(at, id): (Instant, String)| {
-                let (call, seg) = id.rsplit_once('.').filter(|(call, _)| call.starts_with(FIX))?;
+                let (call, seg) =
+                    id.rsplit_once('.').filter(|(call, _)| call.starts_with(NON_IDEMPOTENT_CLASS))?;
                 let (call, node) = (call.to_string(), node.name.clone());
-                Some(Ran { call, seg: seg.parse().ok()?, at: came(at), node })
+                Some(NodeRun { request_id: call, segment_id: seg.parse().ok()?, at: came(at), node })
             };
             node.part_arrivals().into_iter().filter_map(ran).collect::<Vec<_>>()
         };
@@ -33,23 +34,23 @@
 
     /// What an auditor has to say, who knows from the lab what brokers do not tell.
     pub fn audit(&self) -> Vec<Finding> {
-        let known = Known {
-            slack: SLACK,
-            longest: self.plan.timeout,
+        let known = GroundTruth {
+            clock_slack_seconds: SLACK,
+            max_query_seconds: self.options.query_timeout_seconds,
             maps: self.maps.clone(),
-            asked: self.asked.lock().unwrap().clone(),
-            ran: self.ran(),
-            owed: self.owed,
+            requested: self.asked.lock().unwrap().clone(),
+            runs: self.non_idempotent_runs(),
+            max_debt_bytes: self.known_debt_bytes,
         };
-        self.seen(|records| audit(records, &known))
+        self.with_records(|records| audit(records, &known))
     }
 
     /// Asserts that nothing was found, and that there was something to look at.
-    pub fn clean(&self) {
+    pub fn assert_audit_clean(&self) {
         let found = self.audit();
         assert!(found.is_empty(), "{} findings, the first: {:#?}", found.len(), &found[..found.len().min(5)]);
         assert!(
-            self.did(|act| matches!(act, AuditEvent::AttemptSent { non_idempotent: true, .. })),
+            self.any_event(|act| matches!(act, AuditEvent::AttemptSent { non_idempotent: true, .. })),
             "no fix was ever sent"
         );
     }
@@ -57,15 +58,16 @@
     /// Clients that ask each of these brokers for all kinds of scans, one after the other, `gap` apart.
     pub fn clients(&self, brokers: impl IntoIterator<Item = usize>, gap: Duration) -> Clients {
         let (stop, asked) = (Arc::new(AtomicBool::new(false)), self.asked.clone());
-        let threads = brokers.into_iter().flat_map(|broker| (0..TYPES.len()).map(move |kind| (broker, kind)));
-        let segs = self.plan.segs;
+        let threads =
+            brokers.into_iter().flat_map(|broker| (0..QUERY_CLASSES.len()).map(move |kind| (broker, kind)));
+        let segs = self.options.segment_count;
         let threads = threads.map(|(broker, kind)| {
             let (to, stop, asked) = (self.brokers[broker].address, stop.clone(), asked.clone());
-            let (timeout, own) = (self.plan.timeout, name(broker));
+            let (timeout, own) = (self.options.query_timeout_seconds, broker_name(broker));
             thread::spawn(move || {
                 let (mut went, mut client) = (Vec::new(), None);
                 while !stop.load(Ordering::Relaxed) {
-                    let asking = Asking { broker, kind, own: &own, segs, timeout };
+                    let asking = QueryClient { broker, kind, own: &own, segs, timeout };
                     went.push(asking.ask(to, &mut client, &asked));
                     thread::sleep(gap);
                 }
@@ -79,26 +81,26 @@
 
 /// What became of one scan.
 #[derive(Clone, Debug)]
-pub struct Went {
+pub struct QueryOutcome {
     pub broker: usize,
     pub kind: usize,
     /// The first that it asked for.
-    pub seg: u64,
-    pub began: Instant,
-    pub took: f64,
+    pub segment: u64,
+    pub started_at: Instant,
+    pub latency_seconds: f64,
     /// None where nobody listened, or the connection ended without an answer.
     pub status: Option<u16>,
     /// It was sent.
-    pub taken: bool,
+    pub sent: bool,
 }
 
-impl Went {
-    pub fn replayable(&self) -> bool {
-        TYPES[self.kind] != FIX
+impl QueryOutcome {
+    pub fn is_idempotent(&self) -> bool {
+        QUERY_CLASSES[self.kind] != NON_IDEMPOTENT_CLASS
     }
 }
 
-struct Asking<'a> {
+struct QueryClient<'a> {
     broker: usize,
     kind: usize,
     own: &'a str,
@@ -106,16 +108,16 @@
     timeout: f64,
 }
 
-impl Asking<'_> {
+impl QueryClient<'_> {
     fn ask(
         &self,
         to: SocketAddr,
         client: &mut Option<Client>,
         asked: &Mutex<BTreeMap<String, BTreeSet<u64>>>,
-    ) -> Went {
+    ) -> QueryOutcome {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let kind = TYPES[self.kind];
+        let kind = QUERY_CLASSES[self.kind];
         let segs: Vec<usize> = match self.kind {
             0 => vec![number % self.segs, (number + 1) % self.segs],
             1 => (0..self.segs).collect(),
@@ -123,11 +125,11 @@
         };
         let call = format!("{kind}-{}-{number}", self.own);
         asked.lock().unwrap().insert(call.clone(), segs.iter().map(|seg| *seg as u64).collect());
-        let (began, dialled) = (Instant::now(), client.take().or_else(|| dial(to)));
+        let (began, dialled) = (Instant::now(), client.take().or_else(|| connect(to)));
         let taken = dialled.is_some();
         let answer = dialled.and_then(|mut dialled| {
             // All for one customer, so that its partner comes to owe the other.
-            let caller = format!("X-Caller: {}\r\nX-Budget", CUSTOMERS[0]);
+            let caller = format!("X-Caller: {}\r\nX-Budget", TENANTS[0]);
             let scan = query_request(kind, &call, &segs, &format!("{:.3}", self.timeout))
                 .replacen("X-Budget", &caller, 1);
             let answer = dialled.try_request(&scan)?;
@@ -136,37 +138,37 @@
             Some(answer.status)
         });
         let (broker, kind) = (self.broker, self.kind);
-        Went {
+        QueryOutcome {
             broker,
             kind,
-            seg: segs[0] as u64,
-            began,
-            took: began.elapsed().as_secs_f64(),
+            segment: segs[0] as u64,
+            started_at: began,
+            latency_seconds: began.elapsed().as_secs_f64(),
             status: answer,
-            taken,
+            sent: taken,
         }
     }
 }
 
-fn dial(to: SocketAddr) -> Option<Client> {
+fn connect(to: SocketAddr) -> Option<Client> {
     let stream = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     stream.set_nodelay(true).ok()?;
     Some(Client::from_stream(stream))
 }
 
 pub struct Clients {
     stop: Arc<AtomicBool>,
-    threads: Vec<JoinHandle<Vec<Went>>>,
+    threads: Vec<JoinHandle<Vec<QueryOutcome>>>,
 }
 
 impl Clients {
     /// Ends them; what became of each scan, by its beginning.
-    pub fn stop(mut self) -> Vec<Went> {
+    pub fn stop(mut self) -> Vec<QueryOutcome> {
         self.stop.store(true, Ordering::Relaxed);
         let threads = std::mem::take(&mut self.threads);
         let mut went: Vec<_> = threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect();
-        went.sort_by_key(|went| went.began);
+        went.sort_by_key(|went| went.started_at);
         went
     }
 }
@@ -179,22 +181,26 @@
 }
 
 /// Of those that it is about, the share of which it is so.
-pub fn share(went: &[Went], of: impl Fn(&Went) -> bool, is: impl Fn(&Went) -> bool) -> f64 {
+pub fn outcome_ratio(
+    went: &[QueryOutcome],
+    of: impl Fn(&QueryOutcome) -> bool,
+    is: impl Fn(&QueryOutcome) -> bool,
+) -> f64 {
     let all: Vec<_> = went.iter().filter(|one| of(one)).collect();
     assert!(all.len() > 10, "only {} scans", all.len());
     all.iter().filter(|one| is(one)).count() as f64 / all.len() as f64
 }
 
 /// Share of all that was served within the target time; fixes do not count at brokers that are cut off.
-pub fn served(went: &[Went], target: f64, cut_off: &[usize]) -> f64 {
-    let counts = |one: &Went| one.replayable() || !cut_off.contains(&one.broker);
-    share(went, counts, |one| one.status == Some(200) && one.took <= target)
+pub fn served_ratio(went: &[QueryOutcome], target: f64, cut_off: &[usize]) -> f64 {
+    let counts = |one: &QueryOutcome| one.is_idempotent() || !cut_off.contains(&one.broker);
+    outcome_ratio(went, counts, |one| one.status == Some(200) && one.latency_seconds <= target)
 }
 
 /// Seconds below which so much of what was answered with 200 was answered.
-pub fn quantile(went: &[Went], of: impl Fn(&Went) -> bool, share: f64) -> f64 {
+pub fn latency_quantile(went: &[QueryOutcome], of: impl Fn(&QueryOutcome) -> bool, share: f64) -> f64 {
     let mut took: Vec<f64> =
-        went.iter().filter(|one| of(one) && one.status == Some(200)).map(|one| one.took).collect();
+        went.iter().filter(|one| of(one) && one.status == Some(200)).map(|one| one.latency_seconds).collect();
     took.sort_by(f64::total_cmp);
     let place = ((took.len() as f64 * share) as usize).min(took.len().saturating_sub(1));
     took.get(place).copied().unwrap_or(f64::NAN)
--- a/crates/dunepond-testkit/src/fleet/filler.rs
+++ b/crates/dunepond-testkit/src/fleet/filler.rs
@@ -9,7 +9,7 @@
 
 use serde_json::Value;
 
-use crate::processes::PATIENCE;
+use crate::processes::WAIT_TIMEOUT;
 
 /// Between two looks at whether an order may go on, and two steps of one.
 const STEP: Duration = Duration::from_millis(5);
@@ -17,7 +17,7 @@
 const STEPS: u64 = 20;
 
 #[derive(Default)]
-struct Told {
+struct FillState {
     orders: Vec<Value>,
     held: bool,
     /// Seconds that a fill takes.
@@ -30,12 +30,12 @@
     done: BTreeMap<String, (u64, u64)>,
 }
 
-pub struct Filler {
+pub struct FillService {
     pub address: SocketAddr,
-    told: Arc<Mutex<Told>>,
+    told: Arc<Mutex<FillState>>,
 }
 
-impl Filler {
+impl FillService {
     pub(super) fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let filler = Self { address: listener.local_addr().unwrap(), told: Arc::default() };
@@ -50,26 +50,26 @@
     }
 
     /// Orders are taken, and not answered as long as this is so.
-    pub fn hold(&self, so: bool) {
+    pub fn set_paused(&self, so: bool) {
         self.told.lock().unwrap().held = so;
     }
 
-    pub fn lasts(&self, seconds: f64) {
+    pub fn set_fill_seconds(&self, seconds: f64) {
         self.told.lock().unwrap().lasts = seconds;
     }
 
     /// So many of the next orders break off half way, and keep what they have.
-    pub fn break_off(&self, count: usize) {
+    pub fn fail_next(&self, count: usize) {
         self.told.lock().unwrap().breaks = count;
     }
 
     /// Orders for this node, or from it, come to nothing half way from now on.
-    pub fn dies(&self, node: Option<&str>) {
+    pub fn fail_node(&self, node: Option<&str>) {
         self.told.lock().unwrap().dead = node.map(str::to_string);
     }
 
     /// How many orders have come.
-    pub fn asked(&self) -> usize {
+    pub fn order_count(&self) -> usize {
         self.told.lock().unwrap().orders.len()
     }
 
@@ -78,12 +78,12 @@
     }
 
     /// Bytes that were moved, of all ids.
-    pub fn moved(&self) -> u64 {
+    pub fn moved_bytes(&self) -> u64 {
         self.told.lock().unwrap().done.values().map(|(_, moved)| moved).sum()
     }
 }
 
-fn attend(mut stream: TcpStream, told: &Mutex<Told>) -> std::io::Result<()> {
+fn attend(mut stream: TcpStream, told: &Mutex<FillState>) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     loop {
         let (mut head, mut line) = (String::new(), String::new());
@@ -107,9 +107,9 @@
 }
 
 /// Whether it was done.
-fn fill(order: &Value, told: &Mutex<Told>) -> bool {
+fn fill(order: &Value, told: &Mutex<FillState>) -> bool {
     let began = Instant::now();
-    while told.lock().unwrap().held && began.elapsed() < PATIENCE {
+    while told.lock().unwrap().held && began.elapsed() < WAIT_TIMEOUT {
         thread::sleep(STEP);
     }
     let word = |key: &str| order[key].as_str().unwrap_or_default().to_string();
--- a/crates/dunepond-testkit/src/lib.rs
+++ b/crates/dunepond-testkit/src/lib.rs
@@ -1,17 +1,17 @@
 //! The laboratory: stand-ins for a broker's peers that tests and experiments share, faults, load and reports.
 
 pub mod auditor;
-pub mod disk;
 pub mod experiments;
+pub mod faulty_disk;
 pub mod fleet;
 pub mod links;
-pub mod lives;
 pub mod load;
 pub mod memory_store;
+pub mod prefilter_cluster;
 pub mod processes;
 pub mod report;
+pub mod restart_cluster;
 pub mod search_cluster;
 pub mod shutdown;
 pub mod stand_ins;
-pub mod texts;
 pub mod wide;
--- a/crates/dunepond-testkit/src/links/mod.rs
+++ b/crates/dunepond-testkit/src/links/mod.rs
@@ -2,7 +2,7 @@
 //! `a` to `b` carries there is bent by how the link `a` to `b` is, and what comes back on it by how `b` to `a` is, as
 //! on a wire. All is changed at run time and drawn from one seed; it ends with the value.
 
-mod kept;
+mod recording;
 mod tcp;
 mod udp;
 
@@ -19,65 +19,65 @@
 
 /// How a link carries what goes one way. Times in seconds, shares from 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Manner {
-    /// Share of messages that are lost. A stream loses nothing, but what is lost comes `RESENT` later, and all behind it.
-    pub loss: f64,
-    pub delay: f64,
+pub struct LinkConditions {
+    /// Share of messages that are lost. A stream loses nothing, but what is lost comes `RETRANSMIT_DELAY_SECONDS` later, and all behind it.
+    pub loss_ratio: f64,
+    pub delay_seconds: f64,
     /// Up to so much more, drawn for each message.
-    pub jitter: f64,
-    /// Share of datagrams that come `OVERTAKEN` later, behind others, and share that come twice.
-    pub reorder: f64,
-    pub double: f64,
+    pub jitter_seconds: f64,
+    /// Share of datagrams that come `REORDER_DELAY_SECONDS` later, behind others, and share that come twice.
+    pub reorder_ratio: f64,
+    pub duplicate_ratio: f64,
     /// Bytes a second.
-    pub rate: Option<f64>,
+    pub bytes_per_second: Option<f64>,
     /// Datagrams are lost; a stream holds what it has until the link is whole again, and then brings it late.
     pub cut: bool,
     /// Connections are accepted, and what comes on them is thrown away.
     pub half_open: bool,
 }
 
-pub const WHOLE: Manner = Manner {
-    loss: 0.0,
-    delay: 0.0,
-    jitter: 0.0,
-    reorder: 0.0,
-    double: 0.0,
-    rate: None,
+pub const HEALTHY: LinkConditions = LinkConditions {
+    loss_ratio: 0.0,
+    delay_seconds: 0.0,
+    jitter_seconds: 0.0,
+    reorder_ratio: 0.0,
+    duplicate_ratio: 0.0,
+    bytes_per_second: None,
     cut: false,
     half_open: false,
 };
-pub const CUT: Manner = Manner { cut: true, ..WHOLE };
+pub const CUT: LinkConditions = LinkConditions { cut: true, ..HEALTHY };
 /// What a system waits at least before it sends a lost segment again.
-const RESENT: f64 = 0.2;
-const OVERTAKEN: f64 = 0.05;
+const RETRANSMIT_DELAY_SECONDS: f64 = 0.2;
+const REORDER_DELAY_SECONDS: f64 = 0.05;
 
 /// One way between two processes.
-struct Way {
-    manner: watch::Sender<Manner>,
+struct Direction {
+    conditions: watch::Sender<LinkConditions>,
     /// Raised to break all connections that are open.
     resets: watch::Sender<u64>,
-    carried: AtomicU64,
-    kept: kept::Kept,
+    delivered: AtomicU64,
+    recording: recording::Recording,
 }
 
 /// What a relay works on: the way there, the way back, and where it leads.
 struct Relay {
-    there: Arc<Way>,
-    back: Arc<Way>,
-    to: SocketAddr,
+    forward: Arc<Direction>,
+    backward: Arc<Direction>,
+    target: SocketAddr,
     seed: u64,
 }
 
 impl Relay {
     /// Chance of its own for each thing that passes, whatever the others draw.
-    fn chance(&self, number: u64) -> Pcg64Mcg {
+    fn rng(&self, number: u64) -> Pcg64Mcg {
         Pcg64Mcg::seed_from_u64(self.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15))
     }
 }
 
 pub struct Links {
     names: Vec<String>,
-    ways: BTreeMap<(String, String), Arc<Way>>,
+    ways: BTreeMap<(String, String), Arc<Direction>>,
     at: BTreeMap<(String, String), SocketAddr>,
     real: BTreeMap<String, SocketAddr>,
     runtime: Option<Runtime>,
@@ -91,15 +91,25 @@
         let pairs: Vec<_> = peers.iter().flat_map(|a| peers.iter().map(move |b| (a, b))).collect();
         let pairs: Vec<_> = pairs.into_iter().filter(|(a, b)| a.0 != b.0).collect();
         let way = |_| {
-            let (manner, resets) = (watch::Sender::new(WHOLE), watch::Sender::new(0));
-            Arc::new(Way { manner, resets, carried: AtomicU64::new(0), kept: Default::default() })
+            let (manner, resets) = (watch::Sender::new(HEALTHY), watch::Sender::new(0));
+            Arc::new(Direction {
+                conditions: manner,
+                resets,
+                delivered: AtomicU64::new(0),
+                recording: Default::default(),
+            })
         };
         let key = |a: &str, b: &str| (a.to_string(), b.to_string());
         let ways: BTreeMap<_, _> = pairs.iter().map(|(a, b)| (key(&a.0, &b.0), way(()))).collect();
         let mut at = BTreeMap::new();
         for (i, (a, b)) in pairs.iter().enumerate() {
             let (there, back) = (ways[&key(&a.0, &b.0)].clone(), ways[&key(&b.0, &a.0)].clone());
-            let relay = Arc::new(Relay { there, back, to: b.1, seed: seed ^ ((i as u64) << 32) });
+            let relay = Arc::new(Relay {
+                forward: there,
+                backward: back,
+                target: b.1,
+                seed: seed ^ ((i as u64) << 32),
+            });
             let (listener, socket) = runtime.block_on(pair_of_sockets())?;
             at.insert(key(&a.0, &b.0), listener.local_addr()?);
             runtime.spawn(tcp::run(relay.clone(), listener));
@@ -110,22 +120,22 @@
     }
 
     /// Where `from` has to send what is for `to`.
-    pub fn at(&self, from: &str, to: &str) -> SocketAddr {
+    pub fn relay_address(&self, from: &str, to: &str) -> SocketAddr {
         self.at[&(from.to_string(), to.to_string())]
     }
 
-    pub fn set(&self, from: &str, to: &str, manner: &Manner) {
-        self.ways[&(from.to_string(), to.to_string())].manner.send_replace(manner.clone());
+    pub fn set(&self, from: &str, to: &str, manner: &LinkConditions) {
+        self.ways[&(from.to_string(), to.to_string())].conditions.send_replace(manner.clone());
     }
 
-    pub fn set_all(&self, manner: &Manner) {
+    pub fn set_all(&self, manner: &LinkConditions) {
         for way in self.ways.values() {
-            way.manner.send_replace(manner.clone());
+            way.conditions.send_replace(manner.clone());
         }
     }
 
     /// Both ways between each of `some` and all others.
-    pub fn set_around(&self, some: &[&str], manner: &Manner) {
+    pub fn set_around(&self, some: &[&str], manner: &LinkConditions) {
         for (from, to) in self.ways.keys() {
             if some.contains(&from.as_str()) || some.contains(&to.as_str()) {
                 self.set(from, to, manner);
@@ -134,11 +144,11 @@
     }
 
     /// Cut apart into these groups, whole within each; who is in none is alone.
-    pub fn part(&self, groups: &[&[&str]]) {
+    pub fn partition(&self, groups: &[&[&str]]) {
         let of = |name: &str| groups.iter().position(|group| group.contains(&name));
         for (from, to) in self.ways.keys() {
             let together = of(from).is_some() && of(from) == of(to);
-            self.set(from, to, if together { &WHOLE } else { &CUT });
+            self.set(from, to, if together { &HEALTHY } else { &CUT });
         }
     }
 
@@ -150,25 +160,25 @@
     }
 
     /// From now on all that goes from the one to the other is kept, on connections of its own that begin now.
-    pub fn keep(&self, from: &str, to: &str) {
-        self.ways[&(from.to_string(), to.to_string())].kept.begin();
+    pub fn record(&self, from: &str, to: &str) {
+        self.ways[&(from.to_string(), to.to_string())].recording.start();
         self.reset(from, to);
     }
 
     /// Brings what was kept a second time; how many streams and datagrams.
-    pub fn deliver(&self, from: &str, to: &str) -> (usize, usize) {
+    pub fn replay(&self, from: &str, to: &str) -> (usize, usize) {
         let way = &self.ways[&(from.to_string(), to.to_string())];
         let runtime = self.runtime.as_ref().expect("until the end");
-        runtime.block_on(way.kept.deliver(self.real[to])).unwrap()
+        runtime.block_on(way.recording.replay(self.real[to])).unwrap()
     }
 
     /// Chunks of streams and datagrams that came out at `to`'s end.
-    pub fn carried(&self, from: &str, to: &str) -> u64 {
-        self.ways[&(from.to_string(), to.to_string())].carried.load(Ordering::Relaxed)
+    pub fn delivered(&self, from: &str, to: &str) -> u64 {
+        self.ways[&(from.to_string(), to.to_string())].delivered.load(Ordering::Relaxed)
     }
 
-    pub fn carried_by_all(&self) -> u64 {
-        self.ways.values().map(|way| way.carried.load(Ordering::Relaxed)).sum()
+    pub fn total_delivered(&self) -> u64 {
+        self.ways.values().map(|way| way.delivered.load(Ordering::Relaxed)).sum()
     }
 
     pub fn names(&self) -> &[String] {
--- a/crates/dunepond-testkit/src/links/kept.rs
+++ b/crates/dunepond-testkit/src/links/recording.rs
@@ -9,42 +9,44 @@
 use tokio::time::{Duration, timeout};
 
 /// Of one stream, in bytes, and of datagrams.
-const MOST: usize = 1 << 20;
-const DATAGRAMS: usize = 256;
+const MAX_STREAM_BYTES: usize = 1 << 20;
+const MAX_DATAGRAMS: usize = 256;
 /// For the answers to one stream that is brought again.
-const PATIENCE: Duration = Duration::from_millis(300);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
 
 #[derive(Default)]
-struct Pile {
+struct Recorded {
     streams: BTreeMap<u64, Vec<u8>>,
     datagrams: Vec<Vec<u8>>,
 }
 
 /// Nothing is kept before that is asked for.
 #[derive(Default)]
-pub struct Kept(Mutex<Option<Pile>>);
+pub struct Recording(Mutex<Option<Recorded>>);
 
-impl Kept {
-    pub fn begin(&self) {
-        *self.0.lock().unwrap() = Some(Pile::default());
+impl Recording {
+    pub fn start(&self) {
+        *self.0.lock().unwrap() = Some(Recorded::default());
     }
 
-    pub fn stream(&self, number: u64, bytes: &[u8]) {
+    pub fn record_stream(&self, number: u64, bytes: &[u8]) {
         if let Some(pile) = &mut *self.0.lock().unwrap() {
             let stream = pile.streams.entry(number).or_default();
-            let room = MOST - stream.len();
+            let room = MAX_STREAM_BYTES - stream.len();
             stream.extend_from_slice(&bytes[..bytes.len().min(room)]);
         }
     }
 
-    pub fn datagram(&self, bytes: &[u8]) {
-        if let Some(pile) = self.0.lock().unwrap().as_mut().filter(|pile| pile.datagrams.len() < DATAGRAMS) {
+    pub fn record_datagram(&self, bytes: &[u8]) {
+        if let Some(pile) =
+            self.0.lock().unwrap().as_mut().filter(|pile| pile.datagrams.len() < MAX_DATAGRAMS)
+        {
             pile.datagrams.push(bytes.to_vec());
         }
     }
 
     /// Brings all of it to where it was meant for; how many streams and datagrams.
-    pub async fn deliver(&self, to: SocketAddr) -> std::io::Result<(usize, usize)> {
+    pub async fn replay(&self, to: SocketAddr) -> std::io::Result<(usize, usize)> {
         let Some(pile) = self.0.lock().unwrap().take() else { return Ok((0, 0)) };
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
         for datagram in &pile.datagrams {
@@ -55,7 +57,7 @@
             // A door that hangs up in the middle has heard enough.
             if out.write_all(stream).await.is_ok() {
                 let mut answers = Vec::new();
-                let _ = timeout(PATIENCE, out.read_to_end(&mut answers)).await;
+                let _ = timeout(REPLY_TIMEOUT, out.read_to_end(&mut answers)).await;
             }
         }
         Ok((pile.streams.len(), pile.datagrams.len()))
--- a/crates/dunepond-testkit/src/links/tcp.rs
+++ b/crates/dunepond-testkit/src/links/tcp.rs
@@ -12,28 +12,28 @@
 use tokio::sync::mpsc;
 use tokio::time::{Duration, Instant, sleep_until};
 
-use super::{Manner, RESENT, Relay, Way};
+use super::{Direction, LinkConditions, RETRANSMIT_DELAY_SECONDS, Relay};
 
 /// Chunks on their way, each of so many bytes at most: behind that the sender is held up.
-const UNDER_WAY: usize = 64;
-const CHUNK: usize = 16 * 1024;
+const MAX_CHUNKS_IN_FLIGHT: usize = 64;
+const CHUNK_BYTES: usize = 16 * 1024;
 
 pub async fn run(relay: Arc<Relay>, listener: TcpListener) {
     for number in 1.. {
         let Ok((stream, _)) = listener.accept().await else { return };
         let relay = relay.clone();
-        tokio::spawn(async move { join(&relay, stream, number).await });
+        tokio::spawn(async move { relay_connection(&relay, stream, number).await });
     }
 }
 
 /// Carries both ways until both have ended; where that goes wrong, both ends see a reset.
-async fn join(relay: &Relay, near: TcpStream, number: u64) -> io::Result<()> {
-    let (mut there, mut back) = (relay.there.resets.subscribe(), relay.back.resets.subscribe());
+async fn relay_connection(relay: &Relay, near: TcpStream, number: u64) -> io::Result<()> {
+    let (mut there, mut back) = (relay.forward.resets.subscribe(), relay.backward.resets.subscribe());
     // A connection that crosses a cut link is not made before the link is whole both ways.
     let reached = async {
-        whole(&relay.there, |manner| manner.cut || manner.half_open).await;
-        whole(&relay.back, |manner| manner.cut).await;
-        TcpStream::connect(relay.to).await
+        wait_until_clear(&relay.forward, |manner| manner.cut || manner.half_open).await;
+        wait_until_clear(&relay.backward, |manner| manner.cut).await;
+        TcpStream::connect(relay.target).await
     };
     let far = tokio::select! {
         far = reached => far.ok(),
@@ -44,8 +44,10 @@
     near.set_nodelay(true)?;
     far.set_nodelay(true)?;
     let ((mut near_in, mut near_out), (mut far_in, mut far_out)) = (near.into_split(), far.into_split());
-    let onward = carry(&relay.there, &mut near_in, &mut far_out, relay.chance(2 * number), Some(number));
-    let backward = carry(&relay.back, &mut far_in, &mut near_out, relay.chance(2 * number + 1), None);
+    let onward =
+        relay_direction(&relay.forward, &mut near_in, &mut far_out, relay.rng(2 * number), Some(number));
+    let backward =
+        relay_direction(&relay.backward, &mut far_in, &mut near_out, relay.rng(2 * number + 1), None);
     let in_order = tokio::select! {
         ended = async { tokio::try_join!(onward, backward) } => ended.is_ok(),
         _ = there.changed() => false,
@@ -58,63 +60,67 @@
     Ok(())
 }
 
-async fn whole(way: &Way, not: impl Fn(&Manner) -> bool) {
-    let _ = way.manner.subscribe().wait_for(|manner| !not(manner)).await;
+async fn wait_until_clear(way: &Direction, not: impl Fn(&LinkConditions) -> bool) {
+    let _ = way.conditions.subscribe().wait_for(|manner| !not(manner)).await;
 }
 
-async fn carry(
-    way: &Way,
+async fn relay_direction(
+    way: &Direction,
     from: &mut OwnedReadHalf,
     to: &mut OwnedWriteHalf,
     chance: Pcg64Mcg,
     number: Option<u64>,
 ) -> io::Result<()> {
-    let (sender, receiver) = mpsc::channel(UNDER_WAY);
-    tokio::try_join!(take(way, from, sender, chance, number), bring(way, to, receiver)).map(drop)
+    let (sender, receiver) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
+    tokio::try_join!(receive(way, from, sender, chance, number), deliver(way, to, receiver)).map(drop)
 }
 
 type Chunk = (Instant, Vec<u8>);
 
-async fn take(
-    way: &Way,
+async fn receive(
+    way: &Direction,
     from: &mut OwnedReadHalf,
     out: mpsc::Sender<Chunk>,
     mut chance: Pcg64Mcg,
     number: Option<u64>,
 ) -> io::Result<()> {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; CHUNK_BYTES];
     let mut due = Instant::now();
     loop {
         let count = from.read(&mut buffer).await?;
-        let manner = way.manner.borrow().clone();
+        let manner = way.conditions.borrow().clone();
         if let Some(number) = number {
-            way.kept.stream(number, &buffer[..count]);
+            way.recording.record_stream(number, &buffer[..count]);
         }
         if count > 0 && manner.half_open {
             continue;
         }
-        let mut late = manner.delay + manner.jitter * chance.random::<f64>();
-        if chance.random::<f64>() < manner.loss {
-            late += RESENT;
+        let mut late = manner.delay_seconds + manner.jitter_seconds * chance.random::<f64>();
+        if chance.random::<f64>() < manner.loss_ratio {
+            late += RETRANSMIT_DELAY_SECONDS;
         }
         // In order: nothing comes before what was sent before it.
         due = due.max(Instant::now() + Duration::from_secs_f64(late));
-        due += Duration::from_secs_f64(manner.rate.map_or(0.0, |rate| count as f64 / rate));
+        due += Duration::from_secs_f64(manner.bytes_per_second.map_or(0.0, |rate| count as f64 / rate));
         if out.send((due, buffer[..count].to_vec())).await.is_err() || count == 0 {
             return Ok(());
         }
     }
 }
 
-async fn bring(way: &Way, to: &mut OwnedWriteHalf, mut chunks: mpsc::Receiver<Chunk>) -> io::Result<()> {
+async fn deliver(
+    way: &Direction,
+    to: &mut OwnedWriteHalf,
+    mut chunks: mpsc::Receiver<Chunk>,
+) -> io::Result<()> {
     while let Some((due, bytes)) = chunks.recv().await {
         sleep_until(due).await;
-        whole(way, |manner| manner.cut).await;
+        wait_until_clear(way, |manner| manner.cut).await;
         if bytes.is_empty() {
             return to.shutdown().await;
         }
         to.write_all(&bytes).await?;
-        way.carried.fetch_add(1, Ordering::Relaxed);
+        way.delivered.fetch_add(1, Ordering::Relaxed);
     }
     Ok(())
 }
--- a/crates/dunepond-testkit/src/load.rs
+++ b/crates/dunepond-testkit/src/load.rs
@@ -15,32 +15,32 @@
 /// Small scans of the ordinary form, so many a second, for so long.
 pub struct Load {
     pub to: SocketAddr,
-    pub rate: f64,
-    pub seconds: f64,
+    pub requests_per_second: f64,
+    pub duration_seconds: f64,
     pub seed: u64,
-    pub prefix: &'static str,
+    pub id_prefix: &'static str,
 }
 
 /// How they went: times in microseconds from when each was due, and how each ended.
-pub struct Went {
-    pub times: Histogram<u64>,
-    pub whole: u64,
-    pub refused: u64,
-    pub lost: u64,
+pub struct LoadReport {
+    pub latencies: Histogram<u64>,
+    pub served: u64,
+    pub rejected: u64,
+    pub failed: u64,
 }
 
-impl Went {
-    pub fn at(&self, quantile: f64) -> f64 {
-        self.times.value_at_quantile(quantile) as f64 / 1e6
+impl LoadReport {
+    pub fn latency_seconds(&self, quantile: f64) -> f64 {
+        self.latencies.value_at_quantile(quantile) as f64 / 1e6
     }
 }
 
 /// Clients that share the arrivals; each has one request out at a time, and more of them than ever are out.
-const CLIENTS: usize = 48;
+const CLIENT_COUNT: usize = 48;
 
 impl Load {
-    pub fn run(&self) -> Went {
-        let prefix = self.prefix;
+    pub fn run(&self) -> LoadReport {
+        let prefix = self.id_prefix;
         let request =
             move |number: usize| query_request("find", &format!("{prefix}{number}"), &[number % 6], "20.0");
         self.run_with(request, |_, _, _| {})
@@ -52,21 +52,21 @@
         &self,
         request: impl Fn(usize) -> String + Send + Sync + 'static,
         told: impl Fn(usize, Instant, Option<&Answer>) + Send + Sync + 'static,
-    ) -> Went {
+    ) -> LoadReport {
         let (request, told) = (Arc::new(request), Arc::new(told));
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
         let mut due = Vec::new();
         let mut at = 0.0;
-        while at < self.seconds {
+        while at < self.duration_seconds {
             // Poisson arrivals, drawn ahead: the same whatever becomes of each.
-            at += -(1.0 - rng.random::<f64>()).ln() / self.rate;
+            at += -(1.0 - rng.random::<f64>()).ln() / self.requests_per_second;
             due.push(at);
         }
         let (due, next) = (Arc::new(due), Arc::new(AtomicU64::new(0)));
         let (start, to) = (Instant::now(), self.to);
         let times = Histogram::new_with_bounds(1, 120_000_000, 3).expect("bounds are in order");
-        let went = Arc::new(Mutex::new(Went { times, whole: 0, refused: 0, lost: 0 }));
-        let workers = (0..CLIENTS).map(|_| {
+        let went = Arc::new(Mutex::new(LoadReport { latencies: times, served: 0, rejected: 0, failed: 0 }));
+        let workers = (0..CLIENT_COUNT).map(|_| {
             let (due, next, went) = (due.clone(), next.clone(), went.clone());
             let (request, told) = (request.clone(), told.clone());
             thread::spawn(move || {
@@ -85,11 +85,11 @@
                         client = Client::connect_to(to);
                     }
                     let mut went = went.lock().unwrap();
-                    let _ = went.times.record(at.elapsed().as_micros() as u64);
+                    let _ = went.latencies.record(at.elapsed().as_micros() as u64);
                     match status {
-                        Some(200) => went.whole += 1,
-                        Some(429 | 503) => went.refused += 1,
-                        _ => went.lost += 1,
+                        Some(200) => went.served += 1,
+                        Some(429 | 503) => went.rejected += 1,
+                        _ => went.failed += 1,
                     }
                 }
             })
--- a/crates/dunepond-testkit/src/main.rs
+++ b/crates/dunepond-testkit/src/main.rs
@@ -11,8 +11,8 @@
 use dunepond_config::ConfigError;
 use dunepond_control_plane::TestDoubles;
 use dunepond_storage::FileStore;
-use dunepond_testkit::disk::{Faulty, ToldFiles};
-use dunepond_testkit::experiments::{self, Way};
+use dunepond_testkit::experiments::{self, RunOptions};
+use dunepond_testkit::faulty_disk::{FaultyFileStore, FaultySpillFolder};
 
 /// Experiments on the real broker among stand-ins on loopback.
 #[derive(Parser)]
@@ -66,16 +66,18 @@
     let mut start = config::read(|name| std::env::var(name).ok()).map_err(plain)?;
     logger::start(&start.name, start.log_level, logger::LogFormat::Text);
     let folder = operator.body_buffer.as_ref().and_then(|bodies| bodies.spill.as_ref());
-    let folder =
-        folder.map(|folder| Faulty::new(&folder.folder, &disk)).transpose().context("files: folder")?;
+    let folder = folder
+        .map(|folder| FaultySpillFolder::new(&folder.folder, &disk))
+        .transpose()
+        .context("files: folder")?;
     let folder = folder.map(|faulty| Arc::new(faulty) as Arc<dyn SpillFolder>);
     let operator_state = operator.recovery.as_ref().map(|state| state.folder.clone());
     start.operator = operator;
     let state =
-        operator_state.map(|path| ToldFiles::new(&path, &disk)).transpose().context("state: folder")?;
+        operator_state.map(|path| FaultyFileStore::new(&path, &disk)).transpose().context("state: folder")?;
     let files = state.map(|files| Arc::new(files) as Arc<dyn FileStore>);
     let fleet = start.operator.fleet.as_ref().zip(fleet_disk);
-    let fleet = fleet.map(|(fleet, told)| ToldFiles::new(&fleet.folder, &told)).transpose()?;
+    let fleet = fleet.map(|(fleet, told)| FaultyFileStore::new(&fleet.folder, &told)).transpose()?;
     let fleet = TestDoubles {
         storage: fleet.map(|files| Arc::new(files) as Arc<dyn FileStore>),
         ..TestDoubles::default()
@@ -96,13 +98,20 @@
 fn main() -> anyhow::Result<ExitCode> {
     match Line::parse().command {
         Command::Broker { operator, disk, fleet_disk } => broker(operator, disk, fleet_disk)?,
-        Command::List => experiments::ALL.iter().for_each(|e| println!("{:12} {}", e.name, e.what)),
+        Command::List => experiments::ALL.iter().for_each(|e| println!("{:12} {}", e.name, e.summary)),
         Command::Run { name, quick, seed, only, brokers, plays, out } => {
             let experiment = experiments::ALL.iter().find(|e| e.name == name);
             let experiment = experiment.with_context(|| format!("no experiment '{name}'; see `list`"))?;
             let program = std::env::current_exe()?;
-            let figures = (experiment.run)(&Way { program, quick, seed, only, brokers, plays })?;
-            if !figures.conclude(experiment.name, out.as_deref())? {
+            let figures = (experiment.run)(&RunOptions {
+                program,
+                quick,
+                seed,
+                case_filter: only,
+                brokers,
+                seed_count: plays,
+            })?;
+            if !figures.finish(experiment.name, out.as_deref())? {
                 return Ok(ExitCode::FAILURE);
             }
         }
--- a/crates/dunepond-testkit/src/texts.rs
+++ b/crates/dunepond-testkit/src/prefilter_cluster.rs
@@ -15,9 +15,9 @@
 
 use crate::stand_ins::{self, Answer, DiscoveryServer};
 
-pub const CELLS: usize = 12;
-pub const SEGS: usize = 48;
-const SPAN: usize = 3;
+pub const REPLICA_GROUP_COUNT: usize = 12;
+pub const SEGMENT_COUNT: usize = 48;
+const REPLICAS_PER_SEGMENT: usize = 3;
 /// Words of each kind; a kind is how many of a hundred shards hold a word of it.
 const WORDS: usize = 40;
 const KINDS: [u64; 4] = [1, 10, 50, 100];
@@ -25,7 +25,7 @@
 const HASHES: u64 = 4;
 
 /// A word that so many of a hundred shards hold.
-pub fn word(kind: u64, number: usize) -> String {
+pub fn term(kind: u64, number: usize) -> String {
     format!("r{kind}-{}", number % WORDS)
 }
 
@@ -64,21 +64,21 @@
     fn new(seg: usize, version: usize) -> Self {
         let drawn = |kind: u64, n: usize| hash((seg, version, kind, n)) % 100 < kind;
         let all = KINDS.iter().flat_map(|kind| (0..WORDS).map(move |n| (*kind, n)));
-        let words: HashSet<_> = all.filter(|(kind, n)| drawn(*kind, *n)).map(|(k, n)| word(k, n)).collect();
+        let words: HashSet<_> = all.filter(|(kind, n)| drawn(*kind, *n)).map(|(k, n)| term(k, n)).collect();
         Self { since: Instant::now(), summary: Summary::of(&words), words }
     }
 }
 
 /// What each shard holds and has held: version 1 first.
-pub struct Texts(Mutex<Vec<Vec<Content>>>);
+pub struct Corpus(Mutex<Vec<Vec<Content>>>);
 
-impl Texts {
+impl Corpus {
     pub fn new() -> Arc<Self> {
-        Arc::new(Self(Mutex::new((0..SEGS).map(|seg| vec![Content::new(seg, 1)]).collect())))
+        Arc::new(Self(Mutex::new((0..SEGMENT_COUNT).map(|seg| vec![Content::new(seg, 1)]).collect())))
     }
 
     /// A shard's content changes.
-    pub fn moves(&self, seg: usize) {
+    pub fn advance_version(&self, seg: usize) {
         let mut all = self.0.lock().unwrap();
         let next = Content::new(seg, all[seg].len() + 1);
         all[seg].push(next);
@@ -99,34 +99,34 @@
     }
 
     /// Shards that match a word, and those that do not.
-    pub fn split(&self, word: &str, segs: &[usize]) -> (Vec<usize>, Vec<usize>) {
+    pub fn partition_by_match(&self, word: &str, segs: &[usize]) -> (Vec<usize>, Vec<usize>) {
         segs.iter().partition(|seg| self.matches(**seg, word))
     }
 }
 
 /// What a node does with questions.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum ProbeBehavior {
     Honest,
     Stall,
-    Slow(u64),
+    ReplyAfterMillis(u64),
     DenyAll,
-    MayAll,
-    DontKnow,
+    MatchAll,
+    UnknownAll,
     /// Denies one shard, whatever it holds.
-    Deny(usize),
+    DenySegment(usize),
     /// Speaks of the version before, by its name.
-    Lag,
+    PreviousVersion,
     /// Says what the version before held, and that it is the present one.
-    Stale,
+    StaleContent,
     /// Denies all, in a version that there is not yet.
-    Ahead,
+    FutureVersion,
     /// Does not know the letter: says so and closes.
-    Unknown,
-    Closes,
-    Garble,
+    RejectProbe,
+    Close,
+    Malformed,
     /// Answers about shards that it was not asked about.
-    Others,
+    OtherSegments,
 }
 
 #[derive(Default)]
@@ -142,12 +142,12 @@
 pub struct Node {
     pub number: usize,
     address: SocketAddr,
-    texts: Arc<Texts>,
-    manner: Arc<Mutex<Manner>>,
+    texts: Arc<Corpus>,
+    manner: Arc<Mutex<ProbeBehavior>>,
     /// One search at a time, each for so long.
     work: Arc<Mutex<Duration>>,
     /// Searches are lied about too: nothing is found.
-    pub blind: Arc<Mutex<bool>>,
+    pub hides_matches: Arc<Mutex<bool>>,
     seen: Arc<Seen>,
 }
 
@@ -159,7 +159,7 @@
 }
 
 impl Node {
-    pub fn start(number: usize, texts: &Arc<Texts>, manner: Manner, work: Duration) -> Self {
+    pub fn start(number: usize, texts: &Arc<Corpus>, manner: ProbeBehavior, work: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let node = Self {
             number,
@@ -167,7 +167,7 @@
             texts: texts.clone(),
             manner: Arc::new(Mutex::new(manner)),
             work: Arc::new(Mutex::new(work)),
-            blind: Arc::default(),
+            hides_matches: Arc::default(),
             seen: Arc::default(),
         };
         let shared = node.clone();
@@ -216,7 +216,7 @@
             let all = self.texts.0.lock().unwrap();
             (all[seg].len(), all[seg].last().is_some_and(|content| content.words.contains(word)))
         };
-        let found = found && !*self.blind.lock().unwrap();
+        let found = found && !*self.hides_matches.lock().unwrap();
         let value = if found { word } else { "" };
         stream.write_all(&frame(b'E', &format!("{id} hit 1 v={version},n={}\n{value}", u8::from(found))))
     }
@@ -225,14 +225,14 @@
     fn answer(&self, stream: &mut TcpStream, id: &str, segs: &[usize], word: &str) -> std::io::Result<bool> {
         let manner = *self.manner.lock().unwrap();
         match manner {
-            Manner::Stall => return Ok(true),
-            Manner::Slow(ms) => thread::sleep(Duration::from_millis(ms)),
-            Manner::Unknown => {
+            ProbeBehavior::Stall => return Ok(true),
+            ProbeBehavior::ReplyAfterMillis(ms) => thread::sleep(Duration::from_millis(ms)),
+            ProbeBehavior::RejectProbe => {
                 stream.write_all(&frame(b'F', "an unknown letter"))?;
                 return Ok(false);
             }
-            Manner::Closes => return Ok(false),
-            Manner::Garble => {
+            ProbeBehavior::Close => return Ok(false),
+            ProbeBehavior::Malformed => {
                 stream.write_all(&frame(b'Q', &format!("{id}\n1 perhaps 2")))?;
                 return Ok(true);
             }
@@ -244,14 +244,14 @@
             let (now, before) = (versions.len(), versions.len().saturating_sub(1).max(1));
             let said = |at: usize| if versions[at - 1].summary.may_match(word) { "may" } else { "no" };
             match manner {
-                Manner::DenyAll => format!("{seg} no {now}"),
-                Manner::MayAll => format!("{seg} may {now}"),
-                Manner::DontKnow => format!("{seg} unknown {now}"),
-                Manner::Deny(one) if one == *seg => format!("{seg} no {now}"),
-                Manner::Lag => format!("{seg} {} {before}", said(before)),
-                Manner::Stale => format!("{seg} {} {now}", said(before)),
-                Manner::Ahead => format!("{seg} no {}", now + 5),
-                Manner::Others => format!("{} no {now}", (seg + 7) % SEGS),
+                ProbeBehavior::DenyAll => format!("{seg} no {now}"),
+                ProbeBehavior::MatchAll => format!("{seg} may {now}"),
+                ProbeBehavior::UnknownAll => format!("{seg} unknown {now}"),
+                ProbeBehavior::DenySegment(one) if one == *seg => format!("{seg} no {now}"),
+                ProbeBehavior::PreviousVersion => format!("{seg} {} {before}", said(before)),
+                ProbeBehavior::StaleContent => format!("{seg} {} {now}", said(before)),
+                ProbeBehavior::FutureVersion => format!("{seg} no {}", now + 5),
+                ProbeBehavior::OtherSegments => format!("{} no {now}", (seg + 7) % SEGMENT_COUNT),
                 _ => format!("{seg} {} {now}", said(now)),
             }
         });
@@ -262,15 +262,16 @@
         Ok(true)
     }
 
-    pub fn behave(&self, manner: Manner) {
+    pub fn set_behavior(&self, manner: ProbeBehavior) {
         *self.manner.lock().unwrap() = manner;
     }
 
-    pub fn holds(&self, seg: usize) -> bool {
-        (0..SPAN).any(|j| (seg + j) % CELLS == self.number % CELLS)
+    pub fn holds_segment(&self, seg: usize) -> bool {
+        (0..REPLICAS_PER_SEGMENT)
+            .any(|j| (seg + j) % REPLICA_GROUP_COUNT == self.number % REPLICA_GROUP_COUNT)
     }
 
-    pub fn questions(&self) -> usize {
+    pub fn probes(&self) -> usize {
         self.seen.questions.load(Ordering::Relaxed)
     }
 
@@ -278,22 +279,22 @@
         self.seen.searches.load(Ordering::Relaxed)
     }
 
-    pub fn line(&self, health: &str) -> Value {
+    pub fn endpoint(&self, health: &str) -> Value {
         json!({"host": format!("s-{}", self.number), "dial": self.address.to_string(), "site": "a", "class": "m",
-            "block": self.number % CELLS, "health": health, "share": 1.0, "born_ms": 0})
+            "block": self.number % REPLICA_GROUP_COUNT, "health": health, "share": 1.0, "born_ms": 0})
     }
 }
 
 /// A broker before one node a cell, and the truth.
-pub struct Site {
+pub struct PrefilterCluster {
     pub broker: stand_ins::Broker,
     pub nodes: Vec<Node>,
-    pub texts: Arc<Texts>,
-    pub list: DiscoveryServer,
-    pub kdl: PathBuf,
+    pub corpus: Arc<Corpus>,
+    pub discovery: DiscoveryServer,
+    pub operator_file: PathBuf,
 }
 
-impl Site {
+impl PrefilterCluster {
     /// `program` is the laboratory's own; `manner` says how each node begins.
     /// Without `copies` no part is ever sent twice for being late, so that counts do not hang on the machine's speed.
     pub fn start(
@@ -301,16 +302,17 @@
         kdl: &str,
         work: Duration,
         copies: bool,
-        manner: impl Fn(usize) -> Manner,
+        manner: impl Fn(usize) -> ProbeBehavior,
     ) -> Self {
-        let texts = Texts::new();
-        let nodes: Vec<_> = (0..CELLS).map(|i| Node::start(i, &texts, manner(i), work)).collect();
-        let lines: Vec<_> = nodes.iter().map(|node| node.line("ready")).collect();
-        let list = DiscoveryServer::start(lines.clone());
-        let mut config = stand_ins::config(list.address, lines);
-        config["settings"]["familyInfo"]["cells"] = json!(CELLS);
-        config["settings"]["familyInfo"]["span"] = json!(SPAN);
-        config["settings"]["familyInfo"]["slabs"] = json!(SEGS);
+        let corpus = Corpus::new();
+        let nodes: Vec<_> =
+            (0..REPLICA_GROUP_COUNT).map(|i| Node::start(i, &corpus, manner(i), work)).collect();
+        let lines: Vec<_> = nodes.iter().map(|node| node.endpoint("ready")).collect();
+        let discovery = DiscoveryServer::start(lines.clone());
+        let mut config = stand_ins::config(discovery.address, lines);
+        config["settings"]["familyInfo"]["cells"] = json!(REPLICA_GROUP_COUNT);
+        config["settings"]["familyInfo"]["span"] = json!(REPLICAS_PER_SEGMENT);
+        config["settings"]["familyInfo"]["slabs"] = json!(SEGMENT_COUNT);
         config["settings"]["ceilings"]["mostHeld"] = json!(8000);
         config["settings"]["ceilings"]["secondCopies"] = json!(copies);
         config["log"] = json!("info");
@@ -319,7 +321,7 @@
         let mut command = Command::new(program);
         command.arg("broker").arg("--operator").arg(&kdl_file).arg("--disk").arg("/dev/null");
         let broker = stand_ins::Broker::from_child(stand_ins::launch_command(command, &config));
-        Self { broker, nodes, texts, list, kdl: kdl_file }
+        Self { broker, nodes, corpus, discovery, operator_file: kdl_file }
     }
 
     pub fn searches(&self) -> usize {
@@ -327,16 +329,16 @@
     }
 
     pub fn questions(&self) -> usize {
-        self.nodes.iter().map(Node::questions).sum()
+        self.nodes.iter().map(Node::probes).sum()
     }
 
     /// Bytes of questions and answers so far.
-    pub fn talked(&self) -> u64 {
+    pub fn probe_bytes(&self) -> u64 {
         self.nodes.iter().map(|node| node.seen.talked.load(Ordering::Relaxed)).sum()
     }
 
     /// Parts that ran more than once, over all nodes.
-    pub fn twice(&self) -> usize {
+    pub fn repeated_parts(&self) -> usize {
         let mut runs: BTreeMap<String, u32> = BTreeMap::new();
         for node in &self.nodes {
             for (id, count) in &*node.seen.runs.lock().unwrap() {
@@ -347,20 +349,20 @@
     }
 
     /// Another operator's file, and a signal to read it.
-    pub fn reread(&self, kdl: &str) {
-        std::fs::write(&self.kdl, kdl).unwrap();
+    pub fn reload_config(&self, kdl: &str) {
+        std::fs::write(&self.operator_file, kdl).unwrap();
         self.broker.signal("HUP");
     }
 }
 
-impl Drop for Site {
+impl Drop for PrefilterCluster {
     fn drop(&mut self) {
-        let _ = std::fs::remove_file(&self.kdl);
+        let _ = std::fs::remove_file(&self.operator_file);
     }
 }
 
 /// A request for these shards with a word to search for.
-pub fn request(table_type: &str, id: &str, segs: &[usize], budget: f64, word: &str) -> String {
+pub fn query_request(table_type: &str, id: &str, segs: &[usize], budget: f64, word: &str) -> String {
     let share = 1.0 / segs.len() as f64;
     let buckets: Vec<_> = segs.iter().map(|seg| json!({"bucket": seg, "part": share})).collect();
     let body = json!({"buckets": buckets, "body": word}).to_string();
@@ -372,43 +374,43 @@
 
 /// What an answer says, shard by shard.
 #[derive(Debug, Default)]
-pub struct Said {
+pub struct SegmentResults {
     pub status: u16,
-    pub whole: bool,
+    pub complete: bool,
     /// Shards that were searched, and those in which something was found.
     pub searched: Vec<usize>,
     pub found: Vec<usize>,
-    pub left_out: Vec<usize>,
+    pub pruned: Vec<usize>,
 }
 
-pub fn said(answer: &Answer) -> Said {
+pub fn parse_answer(answer: &Answer) -> SegmentResults {
     let bucket = |entry: &Value| entry["bucket"].as_u64().unwrap_or(u64::MAX) as usize;
     let list = |key: &str| answer.body[key].as_array().cloned().unwrap_or_default();
     let found = list("found");
-    Said {
+    SegmentResults {
         status: answer.status,
-        whole: answer.body["finished"] == json!(true),
+        complete: answer.body["finished"] == json!(true),
         searched: found.iter().map(bucket).collect(),
         found: found.iter().filter(|entry| entry["item"] != json!("")).map(bucket).collect(),
-        left_out: list("left_out").iter().map(bucket).collect(),
+        pruned: list("left_out").iter().map(bucket).collect(),
     }
 }
 
-impl Said {
+impl SegmentResults {
     /// It says whole and is not: a shard is missing, counted twice, or left out though it matched all the while.
-    pub fn falsely_whole(
+    pub fn is_falsely_complete(
         &self,
-        texts: &Texts,
+        texts: &Corpus,
         word: &str,
         segs: &[usize],
         from: Instant,
         to: Instant,
     ) -> bool {
-        let mut covered = [&self.searched[..], &self.left_out[..]].concat();
+        let mut covered = [&self.searched[..], &self.pruned[..]].concat();
         covered.sort_unstable();
         let mut all = segs.to_vec();
         all.sort_unstable();
         let wrong = |seg: &usize| texts.matched_throughout(*seg, word, from, to);
-        self.status == 200 && self.whole && (covered != all || self.left_out.iter().any(wrong))
+        self.status == 200 && self.complete && (covered != all || self.pruned.iter().any(wrong))
     }
 }
--- a/crates/dunepond-testkit/src/processes.rs
+++ b/crates/dunepond-testkit/src/processes.rs
@@ -15,16 +15,16 @@
 use crate::stand_ins;
 
 /// Longest that anything here waits for what must come; a busy machine needs more than one would think.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Of the log of a broker whose test fails.
-const SHOWN: usize = 6_000;
+const MAX_LOG_BYTES_SHOWN: usize = 6_000;
 
 /// Waits until it is so; false where it has not come in time.
-pub fn wait(until: impl FnMut() -> bool) -> bool {
-    wait_for(PATIENCE, until)
+pub fn wait_until(until: impl FnMut() -> bool) -> bool {
+    wait_until_within(WAIT_TIMEOUT, until)
 }
 
-pub fn wait_for(longest: Duration, mut until: impl FnMut() -> bool) -> bool {
+pub fn wait_until_within(longest: Duration, mut until: impl FnMut() -> bool) -> bool {
     let start = Instant::now();
     while !until() {
         if start.elapsed() > longest {
@@ -36,7 +36,7 @@
 }
 
 /// One broker through all of its lives.
-pub struct Process {
+pub struct BrokerProcess {
     pub name: String,
     program: PathBuf,
     arguments: Vec<String>,
@@ -49,7 +49,7 @@
     child: Option<Child>,
 }
 
-impl Process {
+impl BrokerProcess {
     /// Not started yet. Its listening address is its own, so that it is the same in each of its lives.
     pub fn new(program: &Path, name: &str, address: SocketAddr, folder: &Path) -> Self {
         Self {
@@ -102,7 +102,7 @@
         self.child.as_ref().expect("it runs").id()
     }
 
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
@@ -119,11 +119,11 @@
     }
 
     /// Ends it in order; its exit code, or none where it had to be killed.
-    pub fn end(&mut self) -> Option<i32> {
+    pub fn terminate(&mut self) -> Option<i32> {
         self.signal(Signal::SIGTERM);
         let child = self.child.as_mut().expect("it runs");
         let mut code = None;
-        wait(|| {
+        wait_until(|| {
             code = child.try_wait().ok().flatten();
             code.is_some()
         });
@@ -131,43 +131,43 @@
         code.and_then(|code| code.code())
     }
 
-    /// Stands still until [`Process::wake`]; returns once it does.
-    pub fn stop(&self) {
+    /// Stands still until [`BrokerProcess::resume`]; returns once it does.
+    pub fn suspend(&self) {
         self.signal(Signal::SIGSTOP);
         let stat = format!("/proc/{}/stat", self.pid());
         let still = || fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T ") || s.contains(") t "));
-        assert!(wait(still), "{} does not stand still", self.name);
+        assert!(wait_until(still), "{} does not stand still", self.name);
     }
 
-    pub fn wake(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
     /// Has its files read again.
-    pub fn reread(&self) {
+    pub fn reload_config(&self) {
         self.signal(Signal::SIGHUP);
     }
 
-    pub fn said(&self) -> String {
+    pub fn log_text(&self) -> String {
         fs::read(&self.log).map_or(String::new(), |bytes| String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    /// A copy of its folder as it is, for [`Process::put_back`].
-    pub fn copy(&self) -> PathBuf {
+    /// A copy of its folder as it is, for [`BrokerProcess::restore_folder`].
+    pub fn copy_folder_to_scratch(&self) -> PathBuf {
         let copy = stand_ins::scratch_path("copy");
         copy_folder(&self.folder, &copy).unwrap();
         copy
     }
 
     /// In place of its folder as it is comes an old copy, as from a backup.
-    pub fn put_back(&self, copy: &Path) {
+    pub fn restore_folder(&self, copy: &Path) {
         assert!(self.child.is_none(), "{} runs on its folder", self.name);
-        self.lose_folder();
+        self.remove_folder();
         fs::rename(copy, &self.folder).unwrap();
     }
 
     /// The same as by an image of the whole disk: the files stay where they are, and only what is in them is old.
-    pub fn put_back_image(&self, copy: &Path) {
+    pub fn restore_image(&self, copy: &Path) {
         assert!(self.child.is_none(), "{} runs on its folder", self.name);
         let names = |folder: &Path| -> Vec<_> {
             fs::read_dir(folder).unwrap().flatten().map(|entry| entry.file_name()).collect()
@@ -183,13 +183,13 @@
         let _ = fs::remove_dir_all(copy);
     }
 
-    pub fn lose_folder(&self) {
+    pub fn remove_folder(&self) {
         assert!(self.child.is_none(), "{} runs on its folder", self.name);
         let _ = fs::remove_dir_all(&self.folder);
     }
 
     /// Takes the last bytes off its journals, as a crash in the middle of a write does; how many were torn.
-    pub fn tear(&self) -> usize {
+    pub fn truncate_journals(&self) -> usize {
         assert!(self.child.is_none(), "{} runs on its folder", self.name);
         let entries = fs::read_dir(&self.folder).unwrap().flatten().map(|entry| entry.path());
         let journals = entries.filter(|path| path.extension().is_some_and(|ending| ending == "journal"));
@@ -202,19 +202,19 @@
     }
 
     /// Seconds of processor time that its loop, the first thread, has used in this life.
-    pub fn loop_cpu(&self) -> f64 {
+    pub fn loop_cpu_seconds(&self) -> f64 {
         let path = format!("/proc/{0}/task/{0}/schedstat", self.pid());
         let text = fs::read_to_string(path).unwrap_or_default();
         text.split(' ').next().and_then(|ns| ns.parse::<f64>().ok()).unwrap_or(f64::NAN) / 1e9
     }
 }
 
-impl Drop for Process {
+impl Drop for BrokerProcess {
     fn drop(&mut self) {
         self.kill();
         if thread::panicking() {
-            let said = self.said();
-            let from = said.floor_char_boundary(said.len().saturating_sub(SHOWN));
+            let said = self.log_text();
+            let from = said.floor_char_boundary(said.len().saturating_sub(MAX_LOG_BYTES_SHOWN));
             println!(
                 "---- {} ({} of {} bytes of its log)\n{}",
                 self.name,
@@ -243,7 +243,7 @@
 
 /// An address on loopback that only this process uses: of the network 127.0.0.0/8 by our own number, so that a broker
 /// finds it free in each of its lives, which port 0 cannot promise.
-pub fn own_address() -> SocketAddr {
+pub fn unique_loopback_address() -> SocketAddr {
     use std::sync::atomic::{AtomicU16, Ordering};
     static PORT: AtomicU16 = AtomicU16::new(7_400);
     let [_, b, c, d] = std::process::id().to_be_bytes();
--- a/crates/dunepond-testkit/src/report.rs
+++ b/crates/dunepond-testkit/src/report.rs
@@ -11,7 +11,7 @@
     pub name: String,
     pub value: f64,
     /// At most so much, where there is a bound.
-    pub most: Option<f64>,
+    pub upper_bound: Option<f64>,
     pub unit: &'static str,
 }
 
@@ -28,24 +28,24 @@
 }
 
 impl Figures {
-    pub fn tell(&mut self, name: impl Into<String>, value: f64, unit: &'static str) {
-        self.figures.push(Figure { name: name.into(), value, most: None, unit });
+    pub fn report(&mut self, name: impl Into<String>, value: f64, unit: &'static str) {
+        self.figures.push(Figure { name: name.into(), value, upper_bound: None, unit });
     }
 
-    pub fn hold(&mut self, name: impl Into<String>, value: f64, most: f64, unit: &'static str) {
-        self.figures.push(Figure { name: name.into(), value, most: Some(most), unit });
+    pub fn report_bounded(&mut self, name: impl Into<String>, value: f64, most: f64, unit: &'static str) {
+        self.figures.push(Figure { name: name.into(), value, upper_bound: Some(most), unit });
     }
 
     /// Prints all, and the verdict last; true if every bound held.
-    pub fn conclude(&self, experiment: &str, out: Option<&Path>) -> anyhow::Result<bool> {
+    pub fn finish(&self, experiment: &str, out: Option<&Path>) -> anyhow::Result<bool> {
         let mut table = Table::new();
         table.load_preset(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
         table.set_header(["figure", "value", "at most", "", ""]);
         for figure in &self.figures {
-            let most = figure.most.map_or(String::new(), |most| format!("{most:.3}"));
-            let kept = if figure.most.is_none() {
+            let most = figure.upper_bound.map_or(String::new(), |most| format!("{most:.3}"));
+            let kept = if figure.upper_bound.is_none() {
                 ""
-            } else if figure.held() {
+            } else if figure.within_bound() {
                 "held"
             } else {
                 "FELL SHORT"
@@ -56,7 +56,7 @@
         if let Some(out) = out {
             std::fs::create_dir_all(out).with_context(|| format!("{}", out.display()))?;
             let figures = self.figures.iter().map(|f| {
-                json!({"name": f.name, "value": f.value, "most": f.most, "unit": f.unit, "held": f.held()})
+                json!({"name": f.name, "value": f.value, "most": f.upper_bound, "unit": f.unit, "held": f.within_bound()})
             });
             let figures: Vec<_> = figures.collect();
             let text = serde_json::to_string_pretty(&json!({"experiment": experiment, "figures": figures}))?;
@@ -65,7 +65,8 @@
                 plot(&out.join(format!("{experiment}-{name}.svg")), name, *axes, curves)?;
             }
         }
-        let short: Vec<_> = self.figures.iter().filter(|f| !f.held()).map(|f| f.name.as_str()).collect();
+        let short: Vec<_> =
+            self.figures.iter().filter(|f| !f.within_bound()).map(|f| f.name.as_str()).collect();
         match short.is_empty() {
             true => println!("{experiment}: held"),
             false => println!("{experiment}: fell short: {}", short.join("; ")),
@@ -75,8 +76,8 @@
 }
 
 impl Figure {
-    fn held(&self) -> bool {
-        self.most.is_none_or(|most| self.value <= most)
+    fn within_bound(&self) -> bool {
+        self.upper_bound.is_none_or(|most| self.value <= most)
     }
 }
 
--- a/crates/dunepond-testkit/src/lives.rs
+++ b/crates/dunepond-testkit/src/restart_cluster.rs
@@ -9,90 +9,91 @@
 
 use crate::stand_ins::{self, Broker, DiscoveryServer, Node, NodeBehavior};
 
-const CELLS: usize = 12;
-const SPAN: usize = 4;
-pub const SEGS: usize = 48;
+const REPLICA_GROUP_COUNT: usize = 12;
+const REPLICAS_PER_SEGMENT: usize = 4;
+pub const SEGMENT_COUNT: usize = 48;
 
 /// Nodes, the list of them, and the folder that outlasts the broker.
-pub struct Town {
+pub struct RestartCluster {
     program: PathBuf,
     pub nodes: Vec<Node>,
-    pub list: DiscoveryServer,
+    pub discovery: DiscoveryServer,
     pub folder: PathBuf,
-    pub disk: PathBuf,
-    kdl: PathBuf,
-    born: Vec<u64>,
-    pub mend: fn(&mut Value),
+    pub faults_file: PathBuf,
+    operator_file: PathBuf,
+    started_at_ms: Vec<u64>,
+    pub adjust_config: fn(&mut Value),
 }
 
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-impl Town {
+impl RestartCluster {
     pub fn new(program: &Path, count: usize) -> Self {
         let nodes: Vec<_> = (0..count).map(|i| Node::start(&format!("s-{i}"))).collect();
         let folder = stand_ins::scratch_path("state");
         std::fs::create_dir(&folder).unwrap();
         let mut town = Self {
             program: program.to_path_buf(),
-            born: vec![0; nodes.len()],
+            started_at_ms: vec![0; nodes.len()],
             nodes,
-            list: DiscoveryServer::start(Vec::new()),
+            discovery: DiscoveryServer::start(Vec::new()),
             folder,
-            disk: stand_ins::scratch_path("disk"),
-            kdl: stand_ins::scratch_path("kdl"),
-            mend: |_| {},
+            faults_file: stand_ins::scratch_path("disk"),
+            operator_file: stand_ins::scratch_path("kdl"),
+            adjust_config: |_| {},
         };
-        town.list = DiscoveryServer::start(town.lines());
+        town.discovery = DiscoveryServer::start(town.endpoints());
         town
     }
 
-    pub fn lines(&self) -> Vec<Value> {
+    pub fn endpoints(&self) -> Vec<Value> {
         let line = |(i, node): (usize, &Node)| {
             let mut line = node.endpoint("ready");
-            (line["block"], line["born_ms"]) = (json!(i % CELLS), json!(self.born[i]));
+            (line["block"], line["born_ms"]) = (json!(i % REPLICA_GROUP_COUNT), json!(self.started_at_ms[i]));
             line
         };
         self.nodes.iter().enumerate().map(line).collect()
     }
 
     /// A node's process starts anew, at this time.
-    pub fn starts(&mut self, node: usize, born: u64) {
-        self.born[node] = born;
-        self.list.publish(self.lines());
+    pub fn restart_node(&mut self, node: usize, born: u64) {
+        self.started_at_ms[node] = born;
+        self.discovery.publish(self.endpoints());
     }
 
     /// Begins a life with this operator's file; `FOLDER` in it is the folder that outlasts it.
-    pub fn life(&self, kdl: &str) -> Broker {
-        std::fs::write(&self.kdl, kdl.replace("FOLDER", self.folder.to_str().unwrap())).unwrap();
-        let mut config = stand_ins::config(self.list.address, self.lines());
+    pub fn start_broker(&self, kdl: &str) -> Broker {
+        std::fs::write(&self.operator_file, kdl.replace("FOLDER", self.folder.to_str().unwrap())).unwrap();
+        let mut config = stand_ins::config(self.discovery.address, self.endpoints());
         let family = &mut config["settings"]["familyInfo"];
-        (family["cells"], family["span"], family["slabs"]) = (json!(CELLS), json!(SPAN), json!(SEGS));
+        (family["cells"], family["span"], family["slabs"]) =
+            (json!(REPLICA_GROUP_COUNT), json!(REPLICAS_PER_SEGMENT), json!(SEGMENT_COUNT));
         config["settings"]["ceilings"]["mostHeld"] = json!(8000);
         config["log"] = json!("info");
-        (self.mend)(&mut config);
+        (self.adjust_config)(&mut config);
         let mut command = Command::new(&self.program);
-        command.arg("broker").arg("--operator").arg(&self.kdl).arg("--disk").arg(&self.disk);
+        command.arg("broker").arg("--operator").arg(&self.operator_file).arg("--disk").arg(&self.faults_file);
         let mut broker = Broker::from_child(stand_ins::launch_command(command, &config));
         broker.suppress_log = true;
         broker
     }
 
-    /// From now on the folder does as these words say; see `disk`.
-    pub fn disk(&self, words: &str) {
-        let aside = self.disk.with_extension("aside");
+    /// From now on the folder does as these words say; see [`crate::faulty_disk`].
+    pub fn set_disk_fault(&self, words: &str) {
+        let aside = self.faults_file.with_extension("aside");
         std::fs::write(&aside, words).unwrap();
-        std::fs::rename(&aside, &self.disk).unwrap();
+        std::fs::rename(&aside, &self.faults_file).unwrap();
     }
 
     /// Every `n`th node behaves so.
-    pub fn each(&self, n: usize, manner: NodeBehavior) {
+    pub fn set_behavior_of_every(&self, n: usize, manner: NodeBehavior) {
         self.nodes.iter().step_by(n).for_each(|node| node.set_behavior(manner));
     }
 
     /// All parts that came to nodes, in their order: when, which, and at which node.
-    pub fn dispatches(&self) -> Vec<(Instant, String, usize)> {
+    pub fn attempts(&self) -> Vec<(Instant, String, usize)> {
         let of = |(i, node): (usize, &Node)| {
             node.part_arrivals().into_iter().map(move |(at, id)| (at, id, i)).collect::<Vec<_>>()
         };
@@ -104,9 +105,9 @@
     /// The least by which the budget of further dispatches was kept in any window that ends with one of them; `free` and
     /// `share` as the settings state it, the window in seconds. `taken` are the times at which scans of two parts were
     /// asked for. Below 0 it was broken.
-    pub fn margin(&self, taken: &[Instant], free: f64, share: f64, window: f64) -> f64 {
+    pub fn retry_budget_margin(&self, taken: &[Instant], free: f64, share: f64, window: f64) -> f64 {
         let (mut seen, mut further, mut least) = (BTreeSet::new(), Vec::new(), free);
-        for (at, id, _) in self.dispatches() {
+        for (at, id, _) in self.attempts() {
             if seen.insert(id) {
                 continue;
             }
@@ -120,10 +121,10 @@
     }
 }
 
-impl Drop for Town {
+impl Drop for RestartCluster {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
-        let _ = std::fs::remove_file(&self.disk);
-        let _ = std::fs::remove_file(&self.kdl);
+        let _ = std::fs::remove_file(&self.faults_file);
+        let _ = std::fs::remove_file(&self.operator_file);
     }
 }
--- a/crates/dunepond-testkit/src/wide.rs
+++ b/crates/dunepond-testkit/src/wide.rs
@@ -238,7 +238,7 @@
         Self { broker, nodes, folder, kdl: file, disk, _list: list }
     }
 
-    /// From now on the disk does as these words say; see `disk`.
+    /// From now on the disk does as these words say; see [`crate::faulty_disk`].
     pub fn disk(&self, words: &str) {
         // Written aside and moved: a call must not read the half of it.
         let aside = self.disk.with_extension("aside");
--- a/crates/dunepond-testkit/tests/agree/debts.rs
+++ b/crates/dunepond-testkit/tests/agree/debts.rs
@@ -27,7 +27,7 @@
 
 /// Bytes that `at` knows `of` to have seen the creditor carry for the debtor.
 fn seen(fleet: &Fleet, at: usize, of: usize) -> u64 {
-    let of = name(of);
+    let of = broker_name(of);
     tally(fleet, at).map_or(0, |tally| tally.counts().total_of(CREDITOR, DEBTOR, |broker| broker == of))
 }
 
@@ -45,7 +45,7 @@
     thread::sleep(Duration::from_secs(2));
     let counted = seen(fleet, broker, broker);
     assert!(counted > 0, "nothing was carried");
-    let told = wait(|| others.iter().all(|at| seen(fleet, *at, broker) == counted));
+    let told = wait_until(|| others.iter().all(|at| seen(fleet, *at, broker) == counted));
     assert!(told, "not all of {others:?} heard of {counted} bytes");
     counted
 }
@@ -53,18 +53,18 @@
 /// Waits until these brokers have all written down as many settlements, by id and bytes; and these alone, each once.
 fn settled(fleet: &Fleet, brokers: &[usize], expected: &[(&str, u64)]) {
     let by = |broker: usize| {
-        let lines = fleet.records().lines.into_iter().filter(|line| line.broker == name(broker));
+        let lines = fleet.records().lines.into_iter().filter(|line| line.broker == broker_name(broker));
         let settled = lines.filter_map(|line| match line.event {
             AuditEvent::Settled { id, debtor, creditor, bytes, .. } => Some((id, debtor, creditor, bytes)),
             _ => None,
         });
         settled.collect::<Vec<_>>()
     };
-    let there = wait(|| brokers.iter().all(|i| by(*i).len() >= expected.len()));
+    let there = wait_until(|| brokers.iter().all(|i| by(*i).len() >= expected.len()));
     let whole = |(id, bytes): &(&str, u64)| (id.to_string(), DEBTOR.into(), CREDITOR.into(), *bytes);
     let expected: Vec<(String, String, String, u64)> = expected.iter().map(whole).collect();
     for broker in brokers {
-        assert_eq!(by(*broker), expected, "at {}; all there: {there}", name(*broker));
+        assert_eq!(by(*broker), expected, "at {}; all there: {there}", broker_name(*broker));
     }
 }
 
@@ -78,33 +78,33 @@
 /// settled has to be known when the second is planned.
 #[test]
 fn a_debt_that_a_dead_broker_counted_is_settled_by_later_fills_once() {
-    let mut fleet = Fleet::agreed(plan(3, 5));
+    let mut fleet = Fleet::start_with_version(plan(3, 5));
     let (dead, rest) = (4, [0, 1, 2, 3]);
     let carried = carry(&fleet, dead, &rest);
     // The clients' scans bring hundreds of bytes: the rest of its traffic is put into its folder.
-    let counted = SEGMENT + SEGMENT / 2;
+    let counted = SEGMENT_BYTES + SEGMENT_BYTES / 2;
     fleet.brokers[dead].kill();
     let mut more = tally(&fleet, dead).expect("it kept its counts");
     more.record(CREDITOR, DEBTOR, counted - carried);
     put(&fleet, dead, &more);
     fleet.brokers[dead].start();
-    let told = wait(|| rest.iter().all(|at| seen(&fleet, *at, dead) == counted));
+    let told = wait_until(|| rest.iter().all(|at| seen(&fleet, *at, dead) == counted));
     assert!(told, "its counts are not told to all");
     fleet.brokers[dead].kill();
     // The leader's own memory of it goes too: it has to come back from its folder, or from the others.
     let leader = fleet.leader();
     fleet.brokers[leader].kill();
     fleet.brokers[leader].start();
-    assert!(wait(|| fleet.brokers[leader].ready()));
+    assert!(wait_until(|| fleet.brokers[leader].ready()));
     let by = rest.into_iter().find(|i| *i != leader).unwrap();
-    let second = fleet.version(2, &[], &[1]);
+    let second = fleet.config_version(2, &[], &[1]);
     fleet.propose(by, &second);
-    fleet.wait_alone(rest, 2);
-    settled(&fleet, &rest, &[("2/1/s-3@fleet", SEGMENT)]);
-    let third = fleet.version(3, &[], &[3]);
+    fleet.wait_active(rest, 2);
+    settled(&fleet, &rest, &[("2/1/s-3@fleet", SEGMENT_BYTES)]);
+    let third = fleet.config_version(3, &[], &[3]);
     fleet.propose(by, &third);
-    fleet.wait_alone(rest, 3);
-    settled(&fleet, &rest, &[("2/1/s-3@fleet", SEGMENT), ("3/3/s-5@fleet", counted - SEGMENT)]);
+    fleet.wait_active(rest, 3);
+    settled(&fleet, &rest, &[("2/1/s-3@fleet", SEGMENT_BYTES), ("3/3/s-5@fleet", counted - SEGMENT_BYTES)]);
     clean(&fleet);
 }
 
@@ -116,26 +116,29 @@
     #[case] in_its_name: bool,
 ) {
     let (witness, liar) = (3, 4);
-    let mut fleet = Fleet::agreed(Plan { sides: [vec![witness], vec![liar]], ..plan(3, 5) });
+    let mut fleet = Fleet::start_with_version(FleetOptions {
+        partner_brokers: [vec![witness], vec![liar]],
+        ..plan(3, 5)
+    });
     let counted = carry(&fleet, witness, &[0, 1, 2]);
     let claim = 10 * counted;
-    assert!(claim < SEGMENT, "{claim} bytes are more than one fill settles");
+    assert!(claim < SEGMENT_BYTES, "{claim} bytes are more than one fill settles");
     fleet.brokers[liar].kill();
     let mut lie = tally(&fleet, liar).expect("it kept its counts");
     lie.record(CREDITOR, DEBTOR, claim);
     if in_its_name {
         let mut counts = CarriedCounts::new();
         let incarnation = tally(&fleet, witness).unwrap().incarnation();
-        counts.record(&name(witness), incarnation, CREDITOR, DEBTOR, claim);
-        lie.merge_from_peer(&name(liar), &counts, &BrokerPartners::default()).unwrap();
+        counts.record(&broker_name(witness), incarnation, CREDITOR, DEBTOR, claim);
+        lie.merge_from_peer(&broker_name(liar), &counts, &BrokerPartners::default()).unwrap();
     }
     put(&fleet, liar, &lie);
     fleet.brokers[liar].start();
-    let told = wait(|| (0..3).all(|at| seen(&fleet, at, liar) == claim));
+    let told = wait_until(|| (0..3).all(|at| seen(&fleet, at, liar) == claim));
     assert!(told, "the claim of {claim} bytes is not told to all");
-    let next = fleet.version(2, &[], &[1]);
+    let next = fleet.config_version(2, &[], &[1]);
     fleet.propose(0, &next);
-    fleet.wait_alone(0..5, 2);
+    fleet.wait_active(0..5, 2);
     settled(&fleet, &[0, 1, 2, 3, 4], &[("2/1/s-3@fleet", counted)]);
     clean(&fleet);
 }
@@ -143,17 +146,18 @@
 /// Has `broker` know that the creditor carried so many bytes in all, as its folder says; once these others know it too.
 fn owes(fleet: &mut Fleet, broker: usize, bytes: u64, others: &[usize]) {
     fleet.brokers[broker].kill();
-    let mut more = tally(fleet, broker).unwrap_or_else(|| LocalCounts::open(None, &name(broker), 1).unwrap());
+    let mut more =
+        tally(fleet, broker).unwrap_or_else(|| LocalCounts::open(None, &broker_name(broker), 1).unwrap());
     more.record(CREDITOR, DEBTOR, bytes);
     put(fleet, broker, &more);
     fleet.brokers[broker].start();
-    let told = wait(|| others.iter().all(|at| seen(fleet, *at, broker) == bytes));
-    assert!(told, "{bytes} bytes that {} counted are not told to all", name(broker));
+    let told = wait_until(|| others.iter().all(|at| seen(fleet, *at, broker) == bytes));
+    assert!(told, "{bytes} bytes that {} counted are not told to all", broker_name(broker));
 }
 
 /// What `broker` applied: settlements by id.
 fn applied(fleet: &Fleet, broker: usize) -> Vec<(String, u64)> {
-    let lines = fleet.records().lines.into_iter().filter(|line| line.broker == name(broker));
+    let lines = fleet.records().lines.into_iter().filter(|line| line.broker == broker_name(broker));
     let settled = lines.filter_map(|line| match line.event {
         AuditEvent::Settled { id, bytes, .. } => Some((id, bytes)),
         _ => None,
@@ -172,41 +176,48 @@
     #[case] fills: usize,
     #[case] orders: usize,
 ) {
-    let mut fleet = Fleet::agreed(Plan { warm: Some(cold), nodes: 12, segs: 12, ..plan(3, 5) });
+    let mut fleet = Fleet::start_with_version(FleetOptions {
+        slow_start_seconds: Some(cold),
+        nodes: 12,
+        segment_count: 12,
+        ..plan(3, 5)
+    });
     let (majority, rest) = ([0, 1, 2], [3, 4]);
     // Less than there is to fill: shares run out.
-    let owed = 9 * SEGMENT;
-    fleet.owed = Some(owed);
+    let owed = 9 * SEGMENT_BYTES;
+    fleet.known_debt_bytes = Some(owed);
     owes(&mut fleet, 4, owed, &[0, 1, 2, 3]);
-    let split = |i: &usize| fleet.said(*i, "are split in advance");
-    assert!(wait(|| (0..5).all(|i| split(&i))), "nothing is split");
-    fleet.part(&[&majority[..], &rest[..]]);
-    fleet.wait_phase(3, AuditPhase::LeaseExpired);
-    fleet.wait_phase(4, AuditPhase::LeaseExpired);
+    let split = |i: &usize| fleet.log_contains(*i, "are split in advance");
+    assert!(wait_until(|| (0..5).all(|i| split(&i))), "nothing is split");
+    fleet.partition(&[&majority[..], &rest[..]]);
+    fleet.wait_for_phase(3, AuditPhase::LeaseExpired);
+    fleet.wait_for_phase(4, AuditPhase::LeaseExpired);
     // The creditor's holders have all just started; they are filled from the debtor's nodes.
-    fleet.restarted(&[1, 3, 5, 7, 9, 11]);
+    fleet.report_restarted(&[1, 3, 5, 7, 9, 11]);
     let begun = |by: &[usize]| {
-        let by: Vec<_> = by.iter().map(|i| name(*i)).collect();
+        let by: Vec<_> = by.iter().map(|i| broker_name(*i)).collect();
         let lines = fleet.records().lines.into_iter().filter(|line| by.contains(&line.broker));
         lines.filter(|line| matches!(&line.event, AuditEvent::Fill { state, .. } if state == "done")).count()
     };
-    assert!(wait(|| begun(&majority) > 0 && begun(&rest) > 0 && begun(&majority) + begun(&rest) >= fills));
-    assert!(wait(|| majority.iter().all(|i| !applied(&fleet, *i).is_empty())));
+    assert!(wait_until(|| begun(&majority) > 0
+        && begun(&rest) > 0
+        && begun(&majority) + begun(&rest) >= fills));
+    assert!(wait_until(|| majority.iter().all(|i| !applied(&fleet, *i).is_empty())));
     assert_eq!(applied(&fleet, 3), [], "settled without a majority");
     fleet.brokers[3].kill();
     fleet.brokers[3].start();
-    fleet.part(&[&[0, 1, 2, 3, 4]]);
+    fleet.partition(&[&[0, 1, 2, 3, 4]]);
     let of_rest = |i: &usize| {
-        let by = |id: &str| rest.iter().any(|other| id.ends_with(&format!("@{}", name(*other))));
+        let by = |id: &str| rest.iter().any(|other| id.ends_with(&format!("@{}", broker_name(*other))));
         applied(&fleet, *i).iter().any(|(id, _)| by(id))
     };
-    assert!(wait(|| (0..5).all(|i| of_rest(&i))), "what the cut side promised is not settled");
+    assert!(wait_until(|| (0..5).all(|i| of_rest(&i))), "what the cut side promised is not settled");
     thread::sleep(Duration::from_secs(2));
-    let (first, all) = (applied(&fleet, 0), fleet.filler.asked());
+    let (first, all) = (applied(&fleet, 0), fleet.filler.order_count());
     let sum: u64 = first.iter().map(|(_, bytes)| bytes).sum();
     assert!(sum > 0 && sum <= owed, "{sum} of {owed}");
     for i in [1, 2, 4] {
-        assert_eq!(applied(&fleet, i).len(), first.len(), "at {}", name(i));
+        assert_eq!(applied(&fleet, i).len(), first.len(), "at {}", broker_name(i));
     }
     let ids = |line: AuditRecord| match line.event {
         AuditEvent::Fill { id, .. } => Some(id),
@@ -224,13 +235,16 @@
 #[case::the_debtor_says_more(9_000, 3_000, 3_000)]
 fn of_what_both_sides_count_the_lesser_is_settled(#[case] seen: u64, #[case] said: u64, #[case] paid: u64) {
     let (debtors, creditors) = (3, 4);
-    let mut fleet =
-        Fleet::agreed(Plan { sides: [vec![debtors], vec![creditors]], metered: true, ..plan(3, 5) });
+    let mut fleet = Fleet::start_with_version(FleetOptions {
+        partner_brokers: [vec![debtors], vec![creditors]],
+        metered: true,
+        ..plan(3, 5)
+    });
     owes(&mut fleet, debtors, seen, &[0, 1, 2]);
     owes(&mut fleet, creditors, said, &[0, 1, 2]);
-    let next = fleet.version(2, &[], &[1]);
+    let next = fleet.config_version(2, &[], &[1]);
     fleet.propose(0, &next);
-    fleet.wait_alone(0..5, 2);
+    fleet.wait_active(0..5, 2);
     settled(&fleet, &[0, 1, 2, 3, 4], &[("2/1/s-3@fleet", paid)]);
     assert_eq!(fleet.audit(), []);
 }
