--- a/crates/dunepond-testkit/tests/agree/hard.rs
+++ b/crates/dunepond-testkit/tests/agree/hard.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn number_of(fleet: &Fleet, number: u64, is: fn(&AuditEvent, u64) -> bool) -> bool {
-    fleet.did(|act| is(act, number))
+    fleet.any_event(|act| is(act, number))
 }
 
 fn withdrawn(act: &AuditEvent, number: u64) -> bool {
@@ -17,15 +17,15 @@
 /// Half of the bytes are there when its connection ends. What is there is not moved again.
 #[test]
 fn a_target_that_dies_half_filled_and_comes_back_is_filled_to_its_end() {
-    let mut fleet = Fleet::agreed(plan(3, 5));
+    let mut fleet = Fleet::start_with_version(plan(3, 5));
     let clients = fleet.clients(0..5, GAP);
-    fleet.filler.lasts(0.2);
-    fleet.filler.break_off(1);
-    let next = fleet.version(2, &[0], &[2]);
+    fleet.filler.set_fill_seconds(0.2);
+    fleet.filler.fail_next(1);
+    let next = fleet.config_version(2, &[0], &[2]);
     fleet.propose(0, &next);
-    fleet.wait_alone(0..5, 2);
-    assert!(fleet.filler.asked() >= 2, "it never broke off");
-    assert_eq!(fleet.filler.moved(), SEGMENT);
+    fleet.wait_active(0..5, 2);
+    assert!(fleet.filler.order_count() >= 2, "it never broke off");
+    assert_eq!(fleet.filler.moved_bytes(), SEGMENT_BYTES);
     answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     clean(&fleet);
 }
@@ -34,17 +34,17 @@
 /// without it goes through.
 #[test]
 fn a_target_that_dies_half_filled_for_good_leaves_the_old_map_in_force() {
-    let mut fleet = Fleet::agreed(Plan { deadline: 5.0, ..plan(3, 5) });
+    let mut fleet = Fleet::start_with_version(FleetOptions { fill_deadline_seconds: 5.0, ..plan(3, 5) });
     let clients = fleet.clients(0..5, GAP);
-    fleet.filler.dies(Some("s-4"));
-    let next = fleet.version(2, &[0], &[2]);
+    fleet.filler.fail_node(Some("s-4"));
+    let next = fleet.config_version(2, &[0], &[2]);
     fleet.propose(0, &next);
-    assert!(wait(|| number_of(&fleet, 2, withdrawn)), "it is not given up");
-    fleet.wait_alone(0..5, 1);
+    assert!(wait_until(|| number_of(&fleet, 2, withdrawn)), "it is not given up");
+    fleet.wait_active(0..5, 1);
     assert!(!number_of(&fleet, 2, confirmed), "in force with a holder that is half filled");
-    let without = fleet.version(3, &[0], &[]);
+    let without = fleet.config_version(3, &[0], &[]);
     fleet.propose(0, &without);
-    fleet.wait_alone(0..5, 3);
+    fleet.wait_active(0..5, 3);
     answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     clean(&fleet);
 }
@@ -52,17 +52,17 @@
 /// Where one source is gone in the middle of the fill another one takes over.
 #[test]
 fn a_source_that_leaves_during_the_fill_is_replaced_by_another() {
-    let mut fleet = Fleet::agreed(plan(3, 5));
+    let mut fleet = Fleet::start_with_version(plan(3, 5));
     let clients = fleet.clients(0..5, GAP);
-    fleet.filler.hold(true);
-    let next = fleet.version(2, &[0], &[2]);
+    fleet.filler.set_paused(true);
+    let next = fleet.config_version(2, &[0], &[2]);
     fleet.propose(0, &next);
-    assert!(wait(|| fleet.filler.asked() > 0), "nothing is filled");
+    assert!(wait_until(|| fleet.filler.order_count() > 0), "nothing is filled");
     let first = fleet.filler.orders()[0]["source"].as_str().unwrap().to_string();
-    fleet.filler.dies(Some(&first));
-    fleet.drain(&[&first]);
-    fleet.filler.hold(false);
-    fleet.wait_alone(0..5, 2);
+    fleet.filler.fail_node(Some(&first));
+    fleet.drain_nodes(&[&first]);
+    fleet.filler.set_paused(false);
+    fleet.wait_active(0..5, 2);
     let orders = fleet.filler.orders();
     assert_ne!(orders[orders.len() - 1]["source"], first, "{orders:?}");
     // A fix of what the drained node owns is refused by now, and not sent to it.
@@ -73,19 +73,22 @@
 /// The two sides want the same segment at different owners. One side has no majority, and its word is void for good.
 #[test]
 fn both_sides_of_a_partition_move_the_same_segment_and_one_owner_comes_of_it() {
-    let mut fleet = Fleet::agreed(plan(5, 5));
-    fleet.part(&[&[0, 1], &[2, 3, 4]]);
+    let mut fleet = Fleet::start_with_version(plan(5, 5));
+    fleet.partition(&[&[0, 1], &[2, 3, 4]]);
     let clients = fleet.clients(0..5, GAP);
-    let (few, many) = (fleet.version(2, &[0], &[0]), fleet.version(2, &[1], &[0]));
-    fleet.put(0, &few);
-    fleet.put(3, &many);
-    fleet.brokers[0].reread();
-    fleet.brokers[3].reread();
-    fleet.wait_alone([2, 3, 4], 2);
-    fleet.wait_phase(0, AuditPhase::LeaseExpired);
-    fleet.links.set_all(&WHOLE);
-    fleet.wait_alone(0..5, 2);
-    assert!(wait(|| fleet.said(0, "is not what was agreed on")), "its operator is told nothing");
+    let (few, many) = (fleet.config_version(2, &[0], &[0]), fleet.config_version(2, &[1], &[0]));
+    fleet.place_version(0, &few);
+    fleet.place_version(3, &many);
+    fleet.brokers[0].reload_config();
+    fleet.brokers[3].reload_config();
+    fleet.wait_active([2, 3, 4], 2);
+    fleet.wait_for_phase(0, AuditPhase::LeaseExpired);
+    fleet.links.set_all(&HEALTHY);
+    fleet.wait_active(0..5, 2);
+    assert!(
+        wait_until(|| fleet.log_contains(0, "is not what was agreed on")),
+        "its operator is told nothing"
+    );
     answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     clean(&fleet);
 }
@@ -93,24 +96,27 @@
 /// No promise reaches its disk, one record is torn in the middle. Others lead on; with room again it votes as before.
 #[test]
 fn a_full_disk_at_the_voter_that_leads_costs_no_agreement() {
-    let mut fleet = Fleet::agreed(Plan { disks: true, ..plan(3, 5) });
+    let mut fleet = Fleet::start_with_version(FleetOptions { faulty_disks: true, ..plan(3, 5) });
     let leader = fleet.leader();
     let rest = but(&fleet, leader);
     let clients = fleet.clients(0..5, GAP);
-    fleet.disk(leader, "brim");
-    let next = fleet.version(2, &[0, 3], &[2]);
+    fleet.set_disk_fault(leader, "brim");
+    let next = fleet.config_version(2, &[0, 3], &[2]);
     fleet.propose(rest[0], &next);
-    fleet.wait_alone(rest.clone(), 2);
-    assert!(wait(|| fleet.said(leader, "this voter is silent")), "its operator is told nothing");
+    fleet.wait_active(rest.clone(), 2);
+    assert!(
+        wait_until(|| fleet.log_contains(leader, "this voter is silent")),
+        "its operator is told nothing"
+    );
     assert_ne!(fleet.leader_of(&rest), leader, "it leads without a disk");
-    fleet.disk(leader, "");
-    fleet.wait_alone(0..5, 2);
+    fleet.set_disk_fault(leader, "");
+    fleet.wait_active(0..5, 2);
     // What it promised since stands on its disk.
     fleet.brokers[leader].kill();
     fleet.brokers[leader].start();
-    let third = fleet.version(3, &[0], &[]);
+    let third = fleet.config_version(3, &[0], &[]);
     fleet.propose(rest[0], &third);
-    fleet.wait_alone(0..5, 3);
+    fleet.wait_active(0..5, 3);
     clients.stop();
     clean(&fleet);
 }
@@ -118,32 +124,32 @@
 /// All that a leader and another broker told a third in an earlier version comes once more, after two changes.
 #[test]
 fn messages_of_long_ago_change_nothing() {
-    let mut fleet = Fleet::agreed(plan(3, 5));
-    let (leader, all) = (name(fleet.leader()), 0..5);
-    let pairs: Vec<_> = all.clone().map(name).filter(|of| *of != leader).collect();
+    let mut fleet = Fleet::start_with_version(plan(3, 5));
+    let (leader, all) = (broker_name(fleet.leader()), 0..5);
+    let pairs: Vec<_> = all.clone().map(broker_name).filter(|of| *of != leader).collect();
     for peer in &pairs {
-        fleet.links.keep(&leader, peer);
-        fleet.links.keep(peer, &leader);
+        fleet.links.record(&leader, peer);
+        fleet.links.record(peer, &leader);
     }
     let clients = fleet.clients(all.clone(), GAP);
-    let second = fleet.version(2, &[0, 3], &[]);
+    let second = fleet.config_version(2, &[0, 3], &[]);
     fleet.propose(4, &second);
-    fleet.wait_alone(all.clone(), 2);
-    let third = fleet.version(3, &[], &[]);
+    fleet.wait_active(all.clone(), 2);
+    let third = fleet.config_version(3, &[], &[]);
     fleet.propose(4, &third);
-    fleet.wait_alone(all.clone(), 3);
+    fleet.wait_active(all.clone(), 3);
     let mut brought = 0;
     for peer in &pairs {
-        brought += fleet.links.deliver(&leader, peer).0 + fleet.links.deliver(peer, &leader).0;
+        brought += fleet.links.replay(&leader, peer).0 + fleet.links.replay(peer, &leader).0;
     }
     assert!(brought > 0, "nothing was kept");
-    thread::sleep(Duration::from_secs_f64(fleet.plan.lease));
+    thread::sleep(Duration::from_secs_f64(fleet.options.lease_seconds));
     let late: Vec<_> = all.clone().map(|i| fleet.phase(i)).collect();
     assert!(late.iter().all(|phase| matches!(phase, Some((AuditPhase::Active, _, 3)))), "{late:?}");
     // The second version's file is known under its number, and stays over.
-    let fourth = fleet.version(4, &[0], &[]);
+    let fourth = fleet.config_version(4, &[0], &[]);
     fleet.propose(4, &fourth);
-    fleet.wait_alone(all, 4);
+    fleet.wait_active(all, 4);
     answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     clean(&fleet);
 }
@@ -153,24 +159,24 @@
 #[case::a_voter(2)]
 #[case::no_voter(4)]
 fn a_broker_with_yesterdays_folder_sends_no_fix_before_it_hears_of_today(#[case] broker: usize) {
-    let mut fleet = Fleet::agreed(plan(3, 5));
-    let old = fleet.brokers[broker].copy();
-    let next = fleet.version(2, &[0, 1, 2, 3, 4, 5], &[]);
+    let mut fleet = Fleet::start_with_version(plan(3, 5));
+    let old = fleet.brokers[broker].copy_folder_to_scratch();
+    let next = fleet.config_version(2, &[0, 1, 2, 3, 4, 5], &[]);
     fleet.propose(0, &next);
-    fleet.wait_alone(0..5, 2);
+    fleet.wait_active(0..5, 2);
     fleet.brokers[broker].kill();
-    fleet.brokers[broker].put_back(&old);
-    fleet.links.set_around(&[&name(broker)], &CUT);
+    fleet.brokers[broker].restore_folder(&old);
+    fleet.links.set_around(&[&broker_name(broker)], &CUT);
     fleet.brokers[broker].start();
-    assert!(wait(|| fleet.brokers[broker].ready()));
+    assert!(wait_until(|| fleet.brokers[broker].ready()));
     let clients = fleet.clients([broker], GAP);
-    thread::sleep(Duration::from_secs_f64(fleet.plan.lease));
+    thread::sleep(Duration::from_secs_f64(fleet.options.lease_seconds));
     let went = clients.stop();
-    let fixes = |one: &Went| !one.replayable();
-    assert_eq!(share(&went, fixes, |one| one.status == Some(200)), 0.0, "fixes by yesterday's map");
-    assert!(share(&went, Went::replayable, |one| one.status == Some(200)) > 0.95);
-    fleet.links.set_all(&WHOLE);
-    fleet.wait_alone(0..5, 2);
+    let fixes = |one: &QueryOutcome| !one.is_idempotent();
+    assert_eq!(outcome_ratio(&went, fixes, |one| one.status == Some(200)), 0.0, "fixes by yesterday's map");
+    assert!(outcome_ratio(&went, QueryOutcome::is_idempotent, |one| one.status == Some(200)) > 0.95);
+    fleet.links.set_all(&HEALTHY);
+    fleet.wait_active(0..5, 2);
     let clients = fleet.clients(0..5, GAP);
     thread::sleep(Duration::from_millis(500));
     answered(&clients.stop(), &[0, 1, 2, 3, 4]);
--- a/crates/dunepond-testkit/tests/agree/limits.rs
+++ b/crates/dunepond-testkit/tests/agree/limits.rs
@@ -1,6 +1,6 @@
 //! Bounds that the fleet shares, while who has a part is alone, dead, cut off or stopped.
 
-use dunepond_testkit::auditor::limits::{WHOLE as UNITS, largest};
+use dunepond_testkit::auditor::limits::{QUOTA_UNITS as UNITS, peak_units};
 
 use super::*;
 
@@ -13,14 +13,14 @@
 /// As traffic that comes in at one broker.
 const BUSY: Duration = Duration::from_millis(15);
 
-fn sharing() -> Plan {
+fn sharing() -> FleetOptions {
     let more = vec![format!("limits floor=0.25 every=0.3 {{ cold rate={RATE:?}; }}")];
-    Plan { balancers: BROKERS, more, ..plan(3, BROKERS) }
+    FleetOptions { balancers: BROKERS, extra_lines: more, ..plan(3, BROKERS) }
 }
 
 /// Units that a broker was last told, floor left out.
 fn part(fleet: &Fleet, broker: usize) -> u32 {
-    let lines = fleet.records().lines.into_iter().rev().filter(|line| line.broker == name(broker));
+    let lines = fleet.records().lines.into_iter().rev().filter(|line| line.broker == broker_name(broker));
     let told = lines.filter_map(|line| match line.event {
         AuditEvent::QuotaShare { leased_units, .. } => Some(leased_units.get(BOUND).copied().unwrap_or(0)),
         _ => None,
@@ -31,13 +31,13 @@
 /// Traffic at one broker until most of the spare units are its own.
 fn gathered(fleet: &Fleet, broker: usize) {
     let clients = fleet.clients([broker], BUSY);
-    let there = wait(|| part(fleet, broker) > 150_000);
-    assert!(there, "{} has {} units", name(broker), part(fleet, broker));
+    let there = wait_until(|| part(fleet, broker) > 150_000);
+    assert!(there, "{} has {} units", broker_name(broker), part(fleet, broker));
     clients.stop();
 }
 
 fn within_the_whole(fleet: &Fleet) {
-    let largest = largest(&fleet.records());
+    let largest = peak_units(&fleet.records());
     assert!(largest[BOUND] <= UNITS, "{largest:?}");
     assert!(largest[BOUND] > UNITS / 3, "hardly anything was ever leased: {largest:?}");
     clean(fleet);
@@ -46,12 +46,12 @@
 /// Who is left has no majority, and its lease runs out: from then on its floor is all that it has, and it serves by that.
 #[test]
 fn with_all_others_stopped_a_broker_goes_by_its_floor_and_serves_on() {
-    let fleet = Fleet::agreed(sharing());
+    let fleet = Fleet::start_with_version(sharing());
     let (left, rest) = (4, [0, 1, 2, 3]);
     gathered(&fleet, left);
-    rest.iter().for_each(|i| fleet.brokers[*i].stop());
-    fleet.wait_phase(left, AuditPhase::LeaseExpired);
-    fleet.starts_cold("s-5");
+    rest.iter().for_each(|i| fleet.brokers[*i].suspend());
+    fleet.wait_for_phase(left, AuditPhase::LeaseExpired);
+    fleet.report_cold("s-5");
     let (clients, lasted) = (fleet.clients([left], BUSY), 3.0);
     let before = fleet.nodes[5].part_arrivals().len();
     thread::sleep(Duration::from_secs_f64(lasted));
@@ -60,11 +60,11 @@
     // Before the list's word has come it is taken for warm for a moment.
     let (floor, told) = (MULTIPLE * FLOOR * RATE * lasted, 12.0);
     assert!(came < floor + told, "{came} parts came to the cold node, {floor} are the floor's");
-    let served = share(&went, Went::replayable, |one| one.status == Some(200));
+    let served = outcome_ratio(&went, QueryOutcome::is_idempotent, |one| one.status == Some(200));
     assert!(served > 0.9, "{served} of replayable scans served");
     answered(&went, &[left]);
-    rest.iter().for_each(|i| fleet.brokers[*i].wake());
-    fleet.wait_alone(0..BROKERS, 1);
+    rest.iter().for_each(|i| fleet.brokers[*i].resume());
+    fleet.wait_active(0..BROKERS, 1);
     gathered(&fleet, 0);
     within_the_whole(&fleet);
 }
@@ -81,7 +81,7 @@
 fn the_part_of_a_broker_that_goes_is_anothers_after_its_last_use(
     #[values(How::Killed, How::CutOff, How::StartedAnew)] how: How,
 ) {
-    let mut fleet = Fleet::agreed(sharing());
+    let mut fleet = Fleet::start_with_version(sharing());
     gathered(&fleet, 4);
     let clients = fleet.clients([3, 4], BUSY);
     match how {
@@ -92,13 +92,13 @@
             fleet.brokers[4].start();
         }
     }
-    let there = wait(|| part(&fleet, 3) > 100_000);
+    let there = wait_until(|| part(&fleet, 3) > 100_000);
     assert!(there, "n4 has {} units", part(&fleet, 3));
-    fleet.links.set_all(&WHOLE);
+    fleet.links.set_all(&HEALTHY);
     if matches!(how, How::Killed) {
         fleet.brokers[4].start();
     }
-    fleet.wait_alone(0..BROKERS, 1);
+    fleet.wait_active(0..BROKERS, 1);
     clients.stop();
     within_the_whole(&fleet);
 }
--- a/crates/dunepond-testkit/tests/agree/moves.rs
+++ b/crates/dunepond-testkit/tests/agree/moves.rs
@@ -4,8 +4,8 @@
 use super::*;
 
 /// One act a step: filled by version 2, switched by version 3.
-fn moving() -> Plan {
-    Plan { more: vec!["moves \"OWN.plan\" at-once=1 settle=0.1".to_string()], ..plan(3, 5) }
+fn moving() -> FleetOptions {
+    FleetOptions { extra_lines: vec!["moves \"OWN.plan\" at-once=1 settle=0.1".to_string()], ..plan(3, 5) }
 }
 
 fn move_of(id: &str, segment: u64, from: &str, to: &str) -> Value {
@@ -15,8 +15,8 @@
 
 /// Waits until fixes of this segment come to this node.
 fn wait_at(fleet: &Fleet, segment: u64, node: &str) {
-    let there = wait(|| fleet.last_at(segment).as_deref() == Some(node));
-    assert!(there, "fixes of {segment} come to {:?}, not to {node}", fleet.last_at(segment));
+    let there = wait_until(|| fleet.last_non_idempotent_node(segment).as_deref() == Some(node));
+    assert!(there, "fixes of {segment} come to {:?}, not to {node}", fleet.last_non_idempotent_node(segment));
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -32,19 +32,21 @@
 fn a_leader_that_dies_at_any_step_of_a_move_leaves_it_to_the_next(
     #[values(At::Taken, At::Filling, At::Filled, At::Fence, At::Switched)] at: At,
 ) {
-    let mut fleet = Fleet::agreed(moving());
-    let (leader, all) = (fleet.leader(), 0..fleet.plan.brokers);
+    let mut fleet = Fleet::start_with_version(moving());
+    let (leader, all) = (fleet.leader(), 0..fleet.options.brokers);
     let rest = but(&fleet, leader);
     let clients = fleet.clients(rest.clone(), GAP);
-    fleet.filler.hold(true);
-    fleet.plan_moves(rest[0], &move_of("one", 0, "s-0", "s-2"));
+    fleet.filler.set_paused(true);
+    fleet.propose_plan(rest[0], &move_of("one", 0, "s-0", "s-2"));
     let confirmed = |fleet: &Fleet, number| {
-        wait(|| fleet.did(|act| matches!(act, AuditEvent::Confirmed { number: of, .. } if *of == number)))
+        wait_until(|| {
+            fleet.any_event(|act| matches!(act, AuditEvent::Confirmed { number: of, .. } if *of == number))
+        })
     };
     match at {
-        At::Taken => assert!(wait(|| fleet.said(rest[0], "plan one: "))),
-        At::Filling => assert!(wait(|| fleet.filler.asked() > 0), "nothing is filled"),
-        At::Filled | At::Fence | At::Switched => fleet.filler.hold(false),
+        At::Taken => assert!(wait_until(|| fleet.log_contains(rest[0], "plan one: "))),
+        At::Filling => assert!(wait_until(|| fleet.filler.order_count() > 0), "nothing is filled"),
+        At::Filled | At::Fence | At::Switched => fleet.filler.set_paused(false),
     }
     match at {
         At::Filled => assert!(confirmed(&fleet, 2)),
@@ -53,15 +55,15 @@
         _ => {}
     }
     fleet.brokers[leader].kill();
-    fleet.filler.hold(false);
-    fleet.wait_alone(rest.clone(), 3);
+    fleet.filler.set_paused(false);
+    fleet.wait_active(rest.clone(), 3);
     wait_at(&fleet, 0, "s-2");
     fleet.brokers[leader].start();
-    fleet.wait_alone(all, 3);
+    fleet.wait_active(all, 3);
     answered(&clients.stop(), &rest);
-    assert_eq!(fleet.filler.moved(), SEGMENT, "more was moved than had to be");
-    fleet.step(2, &[]);
-    fleet.step(3, &[(0, "s-2")]);
+    assert_eq!(fleet.filler.moved_bytes(), SEGMENT_BYTES, "more was moved than had to be");
+    fleet.expect_plan_step(2, &[]);
+    fleet.expect_plan_step(3, &[(0, "s-2")]);
     clean(&fleet);
 }
 
@@ -69,20 +71,20 @@
 /// other's is done.
 #[test]
 fn plans_of_both_sides_of_a_partition_move_a_segment_once() {
-    let mut fleet = Fleet::agreed(Plan { voters: 5, ..moving() });
-    fleet.part(&[&[0, 1], &[2, 3, 4]]);
-    fleet.wait_phase(0, AuditPhase::LeaseExpired);
+    let mut fleet = Fleet::start_with_version(FleetOptions { voters: 5, ..moving() });
+    fleet.partition(&[&[0, 1], &[2, 3, 4]]);
+    fleet.wait_for_phase(0, AuditPhase::LeaseExpired);
     let clients = fleet.clients(0..5, GAP);
-    fleet.plan_moves(0, &move_of("few", 0, "s-0", "s-2"));
-    fleet.plan_moves(3, &move_of("many", 0, "s-0", "s-3"));
-    fleet.wait_alone([2, 3, 4], 3);
-    fleet.links.set_all(&WHOLE);
-    fleet.wait_alone(0..5, 3);
-    assert!(wait(|| fleet.said(0, "plan few: refused")), "its operator is told nothing");
+    fleet.propose_plan(0, &move_of("few", 0, "s-0", "s-2"));
+    fleet.propose_plan(3, &move_of("many", 0, "s-0", "s-3"));
+    fleet.wait_active([2, 3, 4], 3);
+    fleet.links.set_all(&HEALTHY);
+    fleet.wait_active(0..5, 3);
+    assert!(wait_until(|| fleet.log_contains(0, "plan few: refused")), "its operator is told nothing");
     wait_at(&fleet, 0, "s-3");
     answered(&clients.stop(), &[0, 1, 2, 3, 4]);
-    fleet.step(2, &[]);
-    fleet.step(3, &[(0, "s-3")]);
+    fleet.expect_plan_step(2, &[]);
+    fleet.expect_plan_step(3, &[(0, "s-3")]);
     clean(&fleet);
 }
 
@@ -90,26 +92,26 @@
 /// lead back, and no fix runs at both.
 #[test]
 fn a_move_withdrawn_after_the_switch_is_undone() {
-    let fleet = Fleet::agreed(moving());
+    let fleet = Fleet::start_with_version(moving());
     let clients = fleet.clients(0..5, GAP);
     let mut plan = move_of("back", 0, "s-0", "s-2");
     let second = json!({"move": {"segment": 3, "from": "s-3", "to": "s-5"}});
     plan["operations"].as_array_mut().unwrap().push(second);
     plan["ordered"] = json!(true);
-    fleet.plan_moves(1, &plan);
+    fleet.propose_plan(1, &plan);
     wait_at(&fleet, 0, "s-2");
-    fleet.filler.hold(true);
+    fleet.filler.set_paused(true);
     plan["word"] = json!("withdraw");
-    fleet.plan_moves(2, &plan);
-    assert!(wait(|| (0..3).any(|i| fleet.said(i, ", back: "))), "nobody turns round");
-    fleet.filler.hold(false);
+    fleet.propose_plan(2, &plan);
+    assert!(wait_until(|| (0..3).any(|i| fleet.log_contains(i, ", back: "))), "nobody turns round");
+    fleet.filler.set_paused(false);
     wait_at(&fleet, 0, "s-0");
     thread::sleep(Duration::from_secs(1));
-    assert_eq!(fleet.last_at(3).as_deref(), Some("s-3"));
+    assert_eq!(fleet.last_non_idempotent_node(3).as_deref(), Some("s-3"));
     answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     // Another plan may follow.
     let clients = fleet.clients(0..5, GAP);
-    fleet.plan_moves(1, &move_of("again", 0, "s-0", "s-4"));
+    fleet.propose_plan(1, &move_of("again", 0, "s-0", "s-4"));
     wait_at(&fleet, 0, "s-4");
     clients.stop();
     clean(&fleet);
--- a/crates/dunepond-testkit/tests/agree/voters.rs
+++ b/crates/dunepond-testkit/tests/agree/voters.rs
@@ -11,30 +11,30 @@
 /// not needed any more.
 #[test]
 fn voters_are_replaced_one_by_one_until_none_of_the_first_is_left() {
-    let mut fleet = Fleet::agreed(plan(3, 7));
+    let mut fleet = Fleet::start_with_version(plan(3, 7));
     let (new, rest) = ([3, 4, 5], [3, 4, 5, 6]);
     let clients = fleet.clients([6], GAP);
     let lists = [["n4", "n2", "n3"], ["n4", "n5", "n3"], ["n4", "n5", "n6"]];
     for (out, list) in lists.iter().enumerate() {
         let (number, joins) = (out as u64 + 1, new[out]);
-        fleet.brokers[joins].end();
-        fleet.names_voters(joins, list);
+        fleet.brokers[joins].terminate();
+        fleet.set_voters(joins, list);
         fleet.brokers[joins].start();
-        assert!(wait(|| fleet.brokers[joins].ready()));
-        fleet.word(6, &voters(number, list));
+        assert!(wait_until(|| fleet.brokers[joins].ready()));
+        fleet.send_operator_request(6, &voters(number, list));
         // Who joins finds in its file what is agreed; the others say that theirs differ.
-        let told = |i: &usize| *i == joins || fleet.said(*i, &format!("(list {number})"));
-        assert!(wait(|| rest.iter().all(told)), "not all heard of list {number}");
+        let told = |i: &usize| *i == joins || fleet.log_contains(*i, &format!("(list {number})"));
+        assert!(wait_until(|| rest.iter().all(told)), "not all heard of list {number}");
         fleet.brokers[out].kill();
     }
-    let next = fleet.version(2, &[0, 3], &[2]);
+    let next = fleet.config_version(2, &[0, 3], &[2]);
     fleet.propose(6, &next);
-    fleet.wait_alone(rest, 2);
+    fleet.wait_active(rest, 2);
     // Back again, they go by what the new ones say.
     (0..3).for_each(|i| fleet.brokers[i].start());
-    fleet.wait_alone(0..7, 2);
+    fleet.wait_active(0..7, 2);
     let went = clients.stop();
-    let served = share(&went, Went::replayable, |one| one.status == Some(200));
+    let served = outcome_ratio(&went, QueryOutcome::is_idempotent, |one| one.status == Some(200));
     assert!(served > 0.95, "{served} of replayable scans served");
     answered(&went, &[6]);
     clean(&fleet);
--- a/crates/dunepond-testkit/tests/auditor.rs
+++ b/crates/dunepond-testkit/tests/auditor.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunepond_testkit::auditor::{Finding, Known, Ran, Records, audit, limits, longest_contradiction};
+use dunepond_testkit::auditor::{
+    Finding, GroundTruth, NodeRun, Records, audit, limits, longest_contradiction,
+};
 use rstest::rstest;
 
 /// Three brokers over a change from version 1 to 2, in which segment 5 goes from s-0 to s-1: joint from 10.0, the new
@@ -38,26 +40,26 @@
 {"at":17.0,"brk":"n2","run":2,"act":"settle","id":"x","debtor":"north","creditor":"south","bytes":10,"number":2}
 "#;
 
-fn known() -> Known {
+fn known() -> GroundTruth {
     let owners = |five: &str| BTreeMap::from([(5, five.to_string()), (6, "s-0".to_string())]);
-    Known {
-        slack: 0.05,
-        longest: 3.0,
+    GroundTruth {
+        clock_slack_seconds: 0.05,
+        max_query_seconds: 3.0,
         maps: BTreeMap::from([(1, (1, owners("s-0"))), (2, (2, owners("s-1")))]),
-        asked: BTreeMap::from([("e".to_string(), BTreeSet::from([5, 6]))]),
-        ran: vec![ran("a", 8.1, "s-0"), ran("b", 10.9, "s-0")],
-        owed: Some(1000),
+        requested: BTreeMap::from([("e".to_string(), BTreeSet::from([5, 6]))]),
+        runs: vec![ran("a", 8.1, "s-0"), ran("b", 10.9, "s-0")],
+        max_debt_bytes: Some(1000),
     }
 }
 
-fn ran(call: &str, at: f64, node: &str) -> Ran {
-    Ran { call: call.to_string(), seg: 5, at, node: node.to_string() }
+fn ran(call: &str, at: f64, node: &str) -> NodeRun {
+    NodeRun { request_id: call.to_string(), segment_id: 5, at, node: node.to_string() }
 }
 
-fn found(more: &str, known: &Known) -> Vec<Finding> {
+fn found(more: &str, known: &GroundTruth) -> Vec<Finding> {
     let mut records = Records::default();
-    records.add("acts", CLEAN);
-    records.add("more", more);
+    records.append_sorted("acts", CLEAN);
+    records.append_sorted("more", more);
     audit(&records, known)
 }
 
@@ -65,7 +67,7 @@
 fn records_without_a_fault_give_no_finding() {
     assert_eq!(found("", &known()), []);
     let mut records = Records::default();
-    records.add("acts", CLEAN);
+    records.append_sorted("acts", CLEAN);
     assert_eq!(longest_contradiction(&records), 0.0);
 }
 
@@ -144,7 +146,7 @@
 #[test]
 fn what_nodes_ran_twice_is_found_whatever_brokers_wrote() {
     let mut known = known();
-    known.ran.push(ran("a", 8.2, "s-0"));
+    known.runs.push(ran("a", 8.2, "s-0"));
     assert_eq!(found("", &known), [Finding::RanAgain { call: "a".to_string(), seg: 5, times: 2 }]);
 }
 
@@ -152,9 +154,9 @@
 fn two_nodes_at_work_on_one_segment_are_found_whatever_brokers_wrote() {
     let mut known = known();
     // As long apart as a part may last: in order.
-    known.ran.push(ran("y", 14.0, "s-1"));
+    known.runs.push(ran("y", 14.0, "s-1"));
     assert_eq!(found("", &known), []);
-    known.ran.push(ran("z", 15.5, "s-0"));
+    known.runs.push(ran("z", 15.5, "s-0"));
     let found = found("", &known);
     assert!(
         matches!(&found[..], [Finding::TwoAtWork { apart, .. }] if (apart - 1.5).abs() < 1e-9),
@@ -166,7 +168,7 @@
 #[test]
 fn what_came_to_a_node_long_after_the_last_lease_on_its_version_is_found() {
     let mut known = known();
-    known.ran[0].at = 40.0;
+    known.runs[0].at = 40.0;
     let found = found("", &known);
     assert!(matches!(&found[..], [Finding::RanLate { late, .. }] if (late - 10.0).abs() < 1e-9), "{found:?}");
 }
@@ -187,8 +189,8 @@
         + &share(9.2, "n3", 2, 300_000, 22.0, 30.0);
     assert_eq!(found(&lines, &known()), []);
     let mut records = Records::default();
-    records.add("shares", &lines);
-    assert_eq!(limits::largest(&records)["cold"], 700_000);
+    records.append_sorted("shares", &lines);
+    assert_eq!(limits::peak_units(&records)["cold"], 700_000);
 }
 
 #[test]
@@ -202,9 +204,9 @@
 #[test]
 fn the_longest_contradiction_is_as_long_as_both_might_act_alone() {
     let mut records = Records::default();
-    records.add("acts", CLEAN);
+    records.append_sorted("acts", CLEAN);
     let late =
         r#"{"at":14.0,"brk":"n4","run":1,"act":"phase","phase":"alone","from":0,"to":1,"until":16.25}"#;
-    records.add("late", late);
+    records.append_sorted("late", late);
     assert!((longest_contradiction(&records) - 1.25).abs() < 1e-9);
 }
--- a/crates/dunepond-testkit/tests/links.rs
+++ b/crates/dunepond-testkit/tests/links.rs
@@ -5,8 +5,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::links::{CUT, Links, Manner, WHOLE};
-use dunepond_testkit::processes::{Process, wait};
+use dunepond_testkit::links::{CUT, HEALTHY, LinkConditions, Links};
+use dunepond_testkit::processes::{BrokerProcess, wait_until};
 
 /// Two peers: `a` sends, at `b` something echoes what comes, by stream and by datagram.
 struct Pair {
@@ -37,7 +37,7 @@
 
 impl Pair {
     fn at(&self) -> SocketAddr {
-        self.links.at("a", "b")
+        self.links.relay_address("a", "b")
     }
 
     fn dial(&self) -> TcpStream {
@@ -73,7 +73,7 @@
     stream.read_exact(&mut got).unwrap();
     assert!(got == expected);
     assert_eq!(pair.echoes(50), (0..50).collect::<Vec<_>>());
-    assert!(pair.links.carried("a", "b") > 50 && pair.links.carried("b", "a") > 50);
+    assert!(pair.links.delivered("a", "b") > 50 && pair.links.delivered("b", "a") > 50);
 }
 
 #[test]
@@ -81,12 +81,12 @@
     let pair = pair(2);
     let mut stream = pair.dial();
     echo(&mut stream).unwrap();
-    pair.links.part(&[&["a"], &["b"]]);
+    pair.links.partition(&[&["a"], &["b"]]);
     assert!(echo(&mut stream).is_err());
     assert!(pair.echoes(5).is_empty());
     let mut second = pair.dial();
     assert!(echo(&mut second).is_err());
-    pair.links.set_all(&WHOLE);
+    pair.links.set_all(&HEALTHY);
     stream.read_exact(&mut [0]).unwrap();
     second.read_exact(&mut [0]).unwrap();
     assert_eq!(pair.echoes(5).len(), 5);
@@ -97,19 +97,19 @@
     let pair = pair(3);
     let mut stream = pair.dial();
     echo(&mut stream).unwrap();
-    let before = (pair.links.carried("a", "b"), pair.links.carried("b", "a"));
+    let before = (pair.links.delivered("a", "b"), pair.links.delivered("b", "a"));
     pair.links.set("b", "a", &CUT);
     assert!(echo(&mut stream).is_err());
     assert!(pair.echoes(3).is_empty());
-    assert_eq!((pair.links.carried("a", "b"), pair.links.carried("b", "a")), (before.0 + 4, before.1));
+    assert_eq!((pair.links.delivered("a", "b"), pair.links.delivered("b", "a")), (before.0 + 4, before.1));
 }
 
 #[test]
 fn a_half_open_link_accepts_and_passes_nothing() {
     let pair = pair(4);
-    pair.links.set("a", "b", &Manner { half_open: true, ..WHOLE });
+    pair.links.set("a", "b", &LinkConditions { half_open: true, ..HEALTHY });
     assert!(echo(&mut pair.dial()).is_err());
-    assert_eq!(pair.links.carried("a", "b"), 0);
+    assert_eq!(pair.links.delivered("a", "b"), 0);
 }
 
 #[test]
@@ -118,7 +118,7 @@
     let mut stream = pair.dial();
     echo(&mut stream).unwrap();
     pair.links.reset("a", "b");
-    let broken = wait(|| echo(&mut stream).is_err_and(|e| e.kind() != std::io::ErrorKind::WouldBlock));
+    let broken = wait_until(|| echo(&mut stream).is_err_and(|e| e.kind() != std::io::ErrorKind::WouldBlock));
     assert!(broken);
     echo(&mut pair.dial()).unwrap();
 }
@@ -126,7 +126,7 @@
 #[test]
 fn a_slow_link_delays_there_and_back() {
     let pair = pair(6);
-    pair.links.set_all(&Manner { delay: 0.06, jitter: 0.01, ..WHOLE });
+    pair.links.set_all(&LinkConditions { delay_seconds: 0.06, jitter_seconds: 0.01, ..HEALTHY });
     let (mut stream, began) = (pair.dial(), Instant::now());
     echo(&mut stream).unwrap();
     assert!(began.elapsed() >= Duration::from_millis(120));
@@ -139,7 +139,7 @@
 #[test]
 fn a_narrow_link_takes_its_time_for_bytes() {
     let pair = pair(7);
-    pair.links.set("a", "b", &Manner { rate: Some(100_000.0), ..WHOLE });
+    pair.links.set("a", "b", &LinkConditions { bytes_per_second: Some(100_000.0), ..HEALTHY });
     let (mut stream, began) = (pair.dial(), Instant::now());
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     stream.write_all(&[7; 30_000]).unwrap();
@@ -150,7 +150,7 @@
 /// The same seed draws the same; so what is lost, doubled and overtaken can be counted exactly.
 #[test]
 fn datagrams_are_lost_doubled_and_overtaken_as_the_seed_draws() {
-    let manner = Manner { loss: 0.2, double: 0.2, reorder: 0.2, ..WHOLE };
+    let manner = LinkConditions { loss_ratio: 0.2, duplicate_ratio: 0.2, reorder_ratio: 0.2, ..HEALTHY };
     let run = |seed| {
         let pair = pair(seed);
         pair.links.set("a", "b", &manner);
@@ -171,14 +171,14 @@
 fn a_process_is_stopped_woken_ended_and_reaped() {
     let (program, folder) =
         (std::path::Path::new("/bin/sh"), dunepond_testkit::stand_ins::scratch_path("none"));
-    let mut shell = Process::new(program, "sh", "127.0.0.1:9".parse().unwrap(), &folder)
+    let mut shell = BrokerProcess::new(program, "sh", "127.0.0.1:9".parse().unwrap(), &folder)
         .arguments(&["-c", "trap 'exit 3' TERM; echo up; while :; do sleep 0.01; done"]);
     shell.start();
-    assert!(wait(|| shell.said().contains("up")));
-    shell.stop();
-    shell.wake();
-    assert_eq!(shell.end(), Some(3));
-    assert!(!shell.runs());
+    assert!(wait_until(|| shell.log_text().contains("up")));
+    shell.suspend();
+    shell.resume();
+    assert_eq!(shell.terminate(), Some(3));
+    assert!(!shell.is_running());
     shell.start();
     let pid = shell.pid();
     drop(shell);
--- a/crates/dunepond-testkit/tests/phases.rs
+++ b/crates/dunepond-testkit/tests/phases.rs
@@ -4,15 +4,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use dunepond_testkit::prefilter_cluster::{
+    PrefilterCluster, ProbeBehavior, SegmentResults, parse_answer, query_request, term,
+};
 use dunepond_testkit::stand_ins::{Answer, Client};
-use dunepond_testkit::texts::{Manner, Said, Site, request, said, word};
 use rstest::rstest;
 
 const KDL: &str = "phases least-segments=6 share=0.3 audits=0\ncounters every=0.2\n";
 const WIDE: std::ops::Range<usize> = 0..24;
 
-fn site(kdl: &str, manner: impl Fn(usize) -> Manner) -> Site {
-    Site::start(
+fn site(kdl: &str, manner: impl Fn(usize) -> ProbeBehavior) -> PrefilterCluster {
+    PrefilterCluster::start(
         Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")),
         kdl,
         Duration::from_micros(200),
@@ -22,18 +24,21 @@
 }
 
 struct Asked {
-    said: Said,
+    said: SegmentResults,
     answer: Answer,
     took: f64,
 }
 
 /// Asks for all of `segs`; whatever comes is never falsely whole, in time, and covers no shard twice.
-fn ask(site: &Site, id: &str, segs: &[usize], budget: f64, word: &str) -> Asked {
+fn ask(site: &PrefilterCluster, id: &str, segs: &[usize], budget: f64, word: &str) -> Asked {
     let from = Instant::now();
-    let answer = Client::connect(&site.broker).request(&request("find", id, segs, budget, word));
-    let (said, took) = (said(&answer), from.elapsed().as_secs_f64());
+    let answer = Client::connect(&site.broker).request(&query_request("find", id, segs, budget, word));
+    let (said, took) = (parse_answer(&answer), from.elapsed().as_secs_f64());
     assert!(took <= budget + 0.05, "late: {took}");
-    assert!(!said.falsely_whole(&site.texts, word, segs, from, Instant::now()), "falsely whole: {answer:?}");
+    assert!(
+        !said.is_falsely_complete(&site.corpus, word, segs, from, Instant::now()),
+        "falsely whole: {answer:?}"
+    );
     Asked { said, answer, took }
 }
 
@@ -42,7 +47,7 @@
 }
 
 /// The first scan of a table type is asked about first; until there is something to go by, each second one is.
-fn first(site: &Site, word: &str) -> Asked {
+fn first(site: &PrefilterCluster, word: &str) -> Asked {
     ask(site, "c1", &wide(), 2.0, word)
 }
 
@@ -56,19 +61,19 @@
 
 #[test]
 fn only_what_can_match_is_searched_and_the_answer_says_what_was_left_out_and_on_whose_word() {
-    let site = site(KDL, |_| Manner::Honest);
-    let (word, segs) = (word(10, 3), wide());
+    let site = site(KDL, |_| ProbeBehavior::Honest);
+    let (word, segs) = (term(10, 3), wide());
     let asked = first(&site, &word);
-    let (matching, _) = site.texts.split(&word, &segs);
-    assert!(asked.said.whole && asked.said.found == matching, "{:?}", asked.said);
-    assert!(asked.said.left_out.len() > 12, "{:?}", asked.said);
-    assert_eq!(site.searches(), segs.len() - asked.said.left_out.len());
+    let (matching, _) = site.corpus.partition_by_match(&word, &segs);
+    assert!(asked.said.complete && asked.said.found == matching, "{:?}", asked.said);
+    assert!(asked.said.pruned.len() > 12, "{:?}", asked.said);
+    assert_eq!(site.searches(), segs.len() - asked.said.pruned.len());
     for left in asked.answer.body["left_out"].as_array().unwrap() {
         let seg = left["bucket"].as_u64().unwrap() as usize;
         let by: Vec<_> = left["words"].as_array().unwrap().iter().map(|w| w.as_str().unwrap()).collect();
         let holders = by.iter().filter(|name| {
             let number: usize = name.strip_prefix("s-").unwrap().parse().unwrap();
-            site.nodes[number].holds(seg)
+            site.nodes[number].holds_segment(seg)
         });
         assert!(holders.count() == 2 && by[0] != by[1], "{left}");
     }
@@ -76,26 +81,26 @@
 
 #[test]
 fn nothing_left_after_pruning_is_an_empty_whole_answer_without_a_search() {
-    let site = site(KDL, |_| Manner::Honest);
+    let site = site(KDL, |_| ProbeBehavior::Honest);
     let asked = first(&site, "nobody-has-this");
-    assert!(asked.said.whole && asked.said.searched.is_empty(), "{:?}", asked.said);
-    assert_eq!((asked.said.left_out.len(), site.searches()), (24, 0));
+    assert!(asked.said.complete && asked.said.searched.is_empty(), "{:?}", asked.said);
+    assert_eq!((asked.said.pruned.len(), site.searches()), (24, 0));
 }
 
 #[rstest]
-#[case::all_may(|_: usize| Manner::MayAll)]
-#[case::nobody_knows(|_: usize| Manner::DontKnow)]
-#[case::all_speak_of_a_version_to_come_alone(|i: usize| if i.is_multiple_of(3) { Manner::Ahead } else { Manner::MayAll })]
-#[case::none_knows_the_letter(|_: usize| Manner::Unknown)]
-#[case::all_close(|_: usize| Manner::Closes)]
-#[case::all_garble(|_: usize| Manner::Garble)]
-#[case::all_speak_of_others(|_: usize| Manner::Others)]
-#[case::all_stall(|_: usize| Manner::Stall)]
-fn without_two_words_all_is_searched(#[case] manner: fn(usize) -> Manner) {
+#[case::all_may(|_: usize| ProbeBehavior::MatchAll)]
+#[case::nobody_knows(|_: usize| ProbeBehavior::UnknownAll)]
+#[case::all_speak_of_a_version_to_come_alone(|i: usize| if i.is_multiple_of(3) { ProbeBehavior::FutureVersion } else { ProbeBehavior::MatchAll })]
+#[case::none_knows_the_letter(|_: usize| ProbeBehavior::RejectProbe)]
+#[case::all_close(|_: usize| ProbeBehavior::Close)]
+#[case::all_garble(|_: usize| ProbeBehavior::Malformed)]
+#[case::all_speak_of_others(|_: usize| ProbeBehavior::OtherSegments)]
+#[case::all_stall(|_: usize| ProbeBehavior::Stall)]
+fn without_two_words_all_is_searched(#[case] manner: fn(usize) -> ProbeBehavior) {
     let site = site(KDL, manner);
     let asked = first(&site, "nobody-has-this");
-    assert!(asked.said.whole && asked.said.searched.len() == 24, "{:?}", asked.said);
-    assert_eq!((site.searches(), site.twice()), (24, 0));
+    assert!(asked.said.complete && asked.said.searched.len() == 24, "{:?}", asked.said);
+    assert_eq!((site.searches(), site.repeated_parts()), (24, 0));
 }
 
 /// What stalls costs phase one's share of the time at most, and what did answer is still left out.
@@ -103,71 +108,80 @@
 #[case::one(1)]
 #[case::a_third(4)]
 fn nodes_that_stall_hold_a_scan_for_phase_ones_share_at_most(#[case] stalled: usize) {
-    let site = site(KDL, |i| if i < stalled { Manner::Stall } else { Manner::Honest });
+    let site = site(KDL, |i| if i < stalled { ProbeBehavior::Stall } else { ProbeBehavior::Honest });
     let asked = first(&site, "nobody-has-this");
-    assert!(asked.said.whole && asked.took < 0.3 * 2.0 + 0.3, "{} {:?}", asked.took, asked.said);
-    assert!(!asked.said.left_out.is_empty(), "{:?}", asked.said);
+    assert!(asked.said.complete && asked.took < 0.3 * 2.0 + 0.3, "{} {:?}", asked.took, asked.said);
+    assert!(!asked.said.pruned.is_empty(), "{:?}", asked.said);
     // They rest meanwhile: the next that is asked about does not wait for them all over again.
-    let before: usize = site.nodes[..stalled].iter().map(|node| node.questions()).sum();
+    let before: usize = site.nodes[..stalled].iter().map(|node| node.probes()).sum();
     ask(&site, "c2", &wide(), 2.0, "nobody-has-this");
     ask(&site, "c3", &wide(), 2.0, "nobody-has-this");
-    let after: usize = site.nodes[..stalled].iter().map(|node| node.questions()).sum();
+    let after: usize = site.nodes[..stalled].iter().map(|node| node.probes()).sum();
     assert!(after <= before + stalled, "{before} {after}");
 }
 
 /// A node that closes on the letter is on a connection for questions alone: no part is lost with it.
 #[test]
 fn a_node_that_does_not_know_the_letter_loses_no_part_and_is_not_asked_again_at_once() {
-    let site = site(KDL, |_| Manner::Unknown);
+    let site = site(KDL, |_| ProbeBehavior::RejectProbe);
     for i in 0..10 {
-        let asked = ask(&site, &format!("c{i}"), &wide(), 2.0, &word(50, i));
-        assert!(asked.said.whole && asked.said.searched.len() == 24, "{:?}", asked.said);
+        let asked = ask(&site, &format!("c{i}"), &wide(), 2.0, &term(50, i));
+        assert!(asked.said.complete && asked.said.searched.len() == 24, "{:?}", asked.said);
     }
-    assert_eq!((site.searches(), site.twice()), (240, 0));
+    assert_eq!((site.searches(), site.repeated_parts()), (240, 0));
     assert!(site.questions() <= 24, "{}", site.questions());
 }
 
 /// It denies one shard that matches, as one of three holders.
 #[rstest]
-#[case::denies_one(Manner::Deny(4))]
-#[case::denies_all(Manner::DenyAll)]
-#[case::says_the_old_truth(Manner::Stale)]
-fn one_liar_takes_nothing_out_of_an_answer(#[case] lie: Manner) {
-    let site = site(KDL, |i| if i.is_multiple_of(3) { lie } else { Manner::Honest });
+#[case::denies_one(ProbeBehavior::DenySegment(4))]
+#[case::denies_all(ProbeBehavior::DenyAll)]
+#[case::says_the_old_truth(ProbeBehavior::StaleContent)]
+fn one_liar_takes_nothing_out_of_an_answer(#[case] lie: ProbeBehavior) {
+    let site = site(KDL, |i| if i.is_multiple_of(3) { lie } else { ProbeBehavior::Honest });
     let segs = wide();
-    segs.iter().for_each(|seg| site.texts.moves(*seg));
+    segs.iter().for_each(|seg| site.corpus.advance_version(*seg));
     for i in 0..20 {
-        let word = word(50, i);
+        let word = term(50, i);
         let asked = ask(&site, &format!("c{i}"), &segs, 2.0, &word);
-        let (matching, _) = site.texts.split(&word, &segs);
-        assert!(asked.said.whole && asked.said.found == matching, "{:?}", asked.said);
+        let (matching, _) = site.corpus.partition_by_match(&word, &segs);
+        assert!(asked.said.complete && asked.said.found == matching, "{:?}", asked.said);
     }
 }
 
 #[test]
 fn two_holders_of_different_versions_are_no_evidence() {
-    let site = site(KDL, |i| if i.is_multiple_of(2) { Manner::Lag } else { Manner::Honest });
+    let site =
+        site(
+            KDL,
+            |i| if i.is_multiple_of(2) { ProbeBehavior::PreviousVersion } else { ProbeBehavior::Honest },
+        );
     let segs = wide();
-    segs.iter().for_each(|seg| site.texts.moves(*seg));
+    segs.iter().for_each(|seg| site.corpus.advance_version(*seg));
     // Of any three holders that follow each other one or two lag: they may agree on the old version only where both do.
     let asked = first(&site, "nobody-has-this");
-    assert!(asked.said.whole, "{:?}", asked.said);
-    assert!(asked.said.left_out.len() < 24, "{:?}", asked.said);
+    assert!(asked.said.complete, "{:?}", asked.said);
+    assert!(asked.said.pruned.len() < 24, "{:?}", asked.said);
 }
 
 /// Two that agree on a lie are found out by audits, and then nothing rests on their words.
 #[test]
 fn two_liars_that_agree_are_found_out_by_audits() {
     let kdl = "phases least-segments=6 share=0.3 audits=1.0\ncounters every=0.2\n";
-    let site = site(kdl, |_| Manner::DenyAll);
-    let (word, segs) = (word(100, 1), wide());
+    let site = site(kdl, |_| ProbeBehavior::DenyAll);
+    let (word, segs) = (term(100, 1), wide());
     let mut told = Vec::new();
     for i in 0..40 {
         let from = Instant::now();
-        let answer =
-            Client::connect(&site.broker).request(&request("find", &format!("c{i}"), &segs, 2.0, &word));
-        let said = said(&answer);
-        told.push(said.falsely_whole(&site.texts, &word, &segs, from, Instant::now()));
+        let answer = Client::connect(&site.broker).request(&query_request(
+            "find",
+            &format!("c{i}"),
+            &segs,
+            2.0,
+            &word,
+        ));
+        let said = parse_answer(&answer);
+        told.push(said.is_falsely_complete(&site.corpus, &word, &segs, from, Instant::now()));
         thread::sleep(Duration::from_millis(20));
     }
     // All nodes lie, which no evidence can stand: the audits stop it.
@@ -179,19 +193,19 @@
 /// The content moves while phase one is under way, and again between the phases.
 #[test]
 fn content_that_moves_in_the_middle_is_never_left_out_on_the_old_word() {
-    let site = site(KDL, |_| Manner::Slow(30));
+    let site = site(KDL, |_| ProbeBehavior::ReplyAfterMillis(30));
     let segs = wide();
     for i in 0..12 {
         thread::scope(|scope| {
-            let texts = site.texts.clone();
+            let texts = site.corpus.clone();
             scope.spawn(move || {
                 for seg in WIDE {
-                    texts.moves(seg);
+                    texts.advance_version(seg);
                     thread::sleep(Duration::from_millis(3));
                 }
             });
-            let asked = ask(&site, &format!("c{i}"), &segs, 2.0, &word(50, i));
-            assert!(asked.said.whole, "{:?}", asked.said);
+            let asked = ask(&site, &format!("c{i}"), &segs, 2.0, &term(50, i));
+            assert!(asked.said.complete, "{:?}", asked.said);
         });
     }
 }
@@ -200,63 +214,63 @@
 fn a_node_that_drains_between_the_phases_gets_neither_questions_nor_parts() {
     // Phase one lasts its whole time of 1.8 s, as the node never answers; by then the broker has read that it drains.
     let kdl = KDL.replace("share=0.3", "share=0.6");
-    let site = site(&kdl, |i| if i == 0 { Manner::Stall } else { Manner::Honest });
+    let site = site(&kdl, |i| if i == 0 { ProbeBehavior::Stall } else { ProbeBehavior::Honest });
     let asked = thread::scope(|scope| {
-        let asking = scope.spawn(|| ask(&site, "c1", &wide(), 3.0, &word(50, 1)));
-        until("the node was not asked", || site.nodes[0].questions() > 0);
-        let lines = site.nodes.iter().map(|n| n.line(if n.number == 0 { "draining" } else { "ready" }));
-        site.list.publish(lines.collect());
-        site.list.wait_until_read();
+        let asking = scope.spawn(|| ask(&site, "c1", &wide(), 3.0, &term(50, 1)));
+        until("the node was not asked", || site.nodes[0].probes() > 0);
+        let lines = site.nodes.iter().map(|n| n.endpoint(if n.number == 0 { "draining" } else { "ready" }));
+        site.discovery.publish(lines.collect());
+        site.discovery.wait_until_read();
         asking.join().unwrap()
     });
-    assert!(asked.said.whole && site.nodes[0].searches() == 0, "{:?}", asked.said);
-    let before = site.nodes[0].questions();
-    (2..8).for_each(|i| drop(ask(&site, &format!("c{i}"), &wide(), 2.0, &word(50, 1))));
-    assert_eq!((site.nodes[0].questions(), site.nodes[0].searches()), (before, 0));
+    assert!(asked.said.complete && site.nodes[0].searches() == 0, "{:?}", asked.said);
+    let before = site.nodes[0].probes();
+    (2..8).for_each(|i| drop(ask(&site, &format!("c{i}"), &wide(), 2.0, &term(50, 1))));
+    assert_eq!((site.nodes[0].probes(), site.nodes[0].searches()), (before, 0));
 }
 
 #[test]
 fn narrow_scans_and_those_that_must_not_run_twice_are_searched_at_once() {
-    let site = site(KDL, |_| Manner::Honest);
+    let site = site(KDL, |_| ProbeBehavior::Honest);
     let narrow = ask(&site, "c1", &[0, 1, 2, 3, 4], 2.0, "nobody-has-this");
-    assert!(narrow.said.whole && narrow.said.searched.len() == 5);
+    assert!(narrow.said.complete && narrow.said.searched.len() == 5);
     let answer =
-        Client::connect(&site.broker).request(&request("fix", "c2", &wide(), 2.0, "nobody-has-this"));
-    assert_eq!((said(&answer).searched.len(), site.questions(), site.twice()), (24, 0, 0));
+        Client::connect(&site.broker).request(&query_request("fix", "c2", &wide(), 2.0, "nobody-has-this"));
+    assert_eq!((parse_answer(&answer).searched.len(), site.questions(), site.repeated_parts()), (24, 0, 0));
 }
 
 /// Phase one has been seen to take 0.15 s, and the search behind it its time: a client that has less gets the search.
 #[test]
 fn a_client_with_too_little_time_for_both_gets_the_search_alone() {
-    let site = site(KDL, |_| Manner::Slow(75));
+    let site = site(KDL, |_| ProbeBehavior::ReplyAfterMillis(75));
     for i in 0..10 {
         ask(&site, &format!("c{i}"), &wide(), 2.0, "nobody-has-this");
     }
     let before = site.questions();
     let asked = ask(&site, "hasty", &wide(), 0.4, "nobody-has-this");
-    assert!(asked.said.whole && asked.said.searched.len() == 24 && asked.took < 0.3, "{:?}", asked.said);
+    assert!(asked.said.complete && asked.said.searched.len() == 24 && asked.took < 0.3, "{:?}", asked.said);
     assert_eq!(site.questions(), before);
 }
 
 /// It leaves while its questions are out: nothing is searched for it, and nothing is left behind.
 #[test]
 fn a_client_that_leaves_in_phase_one_has_nothing_searched() {
-    let site = site(KDL, |_| Manner::Slow(200));
+    let site = site(KDL, |_| ProbeBehavior::ReplyAfterMillis(200));
     let mut client = Client::connect(&site.broker);
-    client.send(&request("find", "c1", &wide(), 2.0, "nobody-has-this"));
+    client.send(&query_request("find", "c1", &wide(), 2.0, "nobody-has-this"));
     until("no question came", || site.questions() > 0);
     drop(client);
     thread::sleep(Duration::from_millis(600));
     assert_eq!(site.searches(), 0);
-    assert!(ask(&site, "c1", &wide(), 2.0, "nobody-has-this").said.whole);
+    assert!(ask(&site, "c1", &wide(), 2.0, "nobody-has-this").said.complete);
 }
 
 /// The same client asks again with another id while its first try is in phase one: each has its own answer.
 #[test]
 fn a_further_try_in_the_middle_has_an_answer_of_its_own() {
-    let site = site(KDL, |_| Manner::Slow(60));
-    let word = word(50, 2);
-    let (matching, _) = site.texts.split(&word, &wide());
+    let site = site(KDL, |_| ProbeBehavior::ReplyAfterMillis(60));
+    let word = term(50, 2);
+    let (matching, _) = site.corpus.partition_by_match(&word, &wide());
     thread::scope(|scope| {
         let tries = (0..4).map(|i| {
             let (site, word) = (&site, &word);
@@ -267,28 +281,28 @@
         });
         for asked in tries.collect::<Vec<_>>() {
             let asked = asked.join().unwrap();
-            assert!(asked.said.whole && asked.said.found == matching, "{:?}", asked.said);
+            assert!(asked.said.complete && asked.said.found == matching, "{:?}", asked.said);
         }
     });
-    assert_eq!(site.twice(), 0);
+    assert_eq!(site.repeated_parts(), 0);
 }
 
 #[test]
 fn scans_that_come_together_share_their_questions() {
-    let site = site(KDL, |_| Manner::Honest);
+    let site = site(KDL, |_| ProbeBehavior::Honest);
     let mut clients: Vec<_> = (0..6).map(|_| Client::connect(&site.broker)).collect();
     for (i, client) in clients.iter_mut().enumerate() {
-        client.send(&request("find", &format!("c{i}"), &wide(), 2.0, "nobody-has-this"));
+        client.send(&query_request("find", &format!("c{i}"), &wide(), 2.0, "nobody-has-this"));
     }
     let answers: Vec<_> = clients.iter_mut().map(|client| client.read_answer().unwrap()).collect();
-    assert!(answers.iter().all(|answer| said(answer).whole));
+    assert!(answers.iter().all(|answer| parse_answer(answer).complete));
     // Twelve nodes, two words a shard: unshared they would be 24 for each that is asked about.
     assert!(site.questions() <= 3 * 24, "{}", site.questions());
 }
 
 #[test]
 fn turned_off_nothing_is_asked_and_no_answer_has_a_new_field() {
-    let site = site("", |_| Manner::Honest);
+    let site = site("", |_| ProbeBehavior::Honest);
     let asked = first(&site, "nobody-has-this");
     assert_eq!((asked.said.searched.len(), site.questions()), (24, 0));
     assert!(asked.answer.body.get("left_out").is_none());
@@ -296,14 +310,14 @@
 
 #[test]
 fn terms_change_under_way_and_turning_it_off_waits_for_a_start() {
-    let site = site(KDL, |_| Manner::Honest);
+    let site = site(KDL, |_| ProbeBehavior::Honest);
     first(&site, "nobody-has-this");
-    site.reread("phases least-segments=40 audits=0\n");
+    site.reload_config("phases least-segments=40 audits=0\n");
     until("the file was not read", || site.broker.log_text().contains("operator's file reloaded"));
     let before = site.questions();
     (2..8).for_each(|i| drop(ask(&site, &format!("c{i}"), &wide(), 2.0, "nobody-has-this")));
     assert_eq!(site.questions(), before);
-    site.reread("");
+    site.reload_config("");
     until("it was not named", || {
         site.broker.log_text().contains("phases, turned on or off, takes effect after a restart")
     });
--- a/crates/dunepond-testkit/tests/restart.rs
+++ b/crates/dunepond-testkit/tests/restart.rs
@@ -4,8 +4,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::lives::{Town, unix_ms};
-use dunepond_testkit::processes::{PATIENCE, wait};
+use dunepond_testkit::processes::{WAIT_TIMEOUT, wait_until};
+use dunepond_testkit::restart_cluster::{RestartCluster, unix_ms};
 use dunepond_testkit::stand_ins::{Answer, Broker, Client, NodeBehavior, query_request};
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -15,9 +15,9 @@
 /// Every `HANG`th node hangs in an outage.
 const HANG: usize = 4;
 
-fn town(nodes: usize) -> Town {
-    let mut town = Town::new(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes);
-    town.mend = patient;
+fn town(nodes: usize) -> RestartCluster {
+    let mut town = RestartCluster::new(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes);
+    town.adjust_config = patient;
     town
 }
 
@@ -56,7 +56,9 @@
             }
             // All holders of a shard may fall silent together on a busy machine, and then it is refused unsent. The
             // log has to have named them in this life: at rest, where it names none, a refusal is a failure.
-            if answer.status != 429 || !broker.log_text().contains("is ejected") || start.elapsed() > PATIENCE
+            if answer.status != 429
+                || !broker.log_text().contains("is ejected")
+                || start.elapsed() > WAIT_TIMEOUT
             {
                 println!("{prefix}{i}: {} {}", answer.status, answer.body);
                 break;
@@ -69,7 +71,7 @@
 }
 
 fn said(broker: &Broker, words: &str) -> bool {
-    let heard = wait(|| broker.log_text().contains(words));
+    let heard = wait_until(|| broker.log_text().contains(words));
     if !heard {
         println!("{}", broker.log_text());
     }
@@ -78,21 +80,21 @@
 
 /// A life that has read its folder: the start waits 0.25 s for that, which is little on a busy machine, and one that
 /// went on without it tells nothing of what stood there.
-fn informed(town: &Town, kdl: &str) -> Broker {
+fn informed(town: &RestartCluster, kdl: &str) -> Broker {
     let start = Instant::now();
     loop {
-        let mut broker = town.life(kdl);
+        let mut broker = town.start_broker(kdl);
         if !broker.log_text().contains("does not answer") {
             return broker;
         }
-        assert!(start.elapsed() < PATIENCE, "{}", broker.log_text());
+        assert!(start.elapsed() < WAIT_TIMEOUT, "{}", broker.log_text());
         broker.signal("KILL");
         broker.exit_code();
     }
 }
 
 /// Whether the newest snapshot has all nodes that hang as set aside: killed before that, a life leaves less behind.
-fn kept(town: &Town) -> bool {
+fn kept(town: &RestartCluster) -> bool {
     let Ok(shown) = dunepond_broker::persistence::describe(&town.folder, unix_ms() as f64 / 1e3) else {
         return false;
     };
@@ -104,13 +106,13 @@
 }
 
 /// A life in which a quarter of the nodes hang and are set aside, and which is killed once that is written.
-fn outage(town: &Town) -> Vec<usize> {
+fn outage(town: &RestartCluster) -> Vec<usize> {
     let mut broker = informed(town, KDL);
     let mut client = Client::connect(&broker);
     (0..60).for_each(|i| drop(one(&mut client, "find", &format!("a{i}"), i, "2.0")));
-    town.each(HANG, NodeBehavior::Hang);
+    town.set_behavior_of_every(HANG, NodeBehavior::Hang);
     let mut i = 0;
-    let written = wait(|| {
+    let written = wait_until(|| {
         // On a slow machine 60 scans may not be enough to tell a node that hangs from one that is slow.
         one(&mut client, "find", &format!("b{i}"), i, "2.0");
         i += 1;
@@ -135,7 +137,7 @@
 fn no_scan_waits_for_nodes_that_were_known_to_hang_before_the_crash() {
     let mut town = town(12);
     outage(&town);
-    town.mend = |config| {
+    town.adjust_config = |config| {
         patient(config);
         let services = config["settings"]["services"].as_array_mut().unwrap();
         services.iter_mut().for_each(|service| service["aimMs"] = json!(5_000.0));
@@ -147,7 +149,7 @@
     drop(broker);
     assert!(with < late, "{with:?}");
     // One that knows nothing meets such a node before it has learned how quick the others are, if not in each life.
-    let waits = (0..5).any(|life| slowest(&town.life(""), &format!("d{life}-"), life) >= late);
+    let waits = (0..5).any(|life| slowest(&town.start_broker(""), &format!("d{life}-"), life) >= late);
     assert!(waits, "a broker that forgets waits for no node either: the test shows nothing");
 }
 
@@ -156,16 +158,16 @@
 #[test]
 fn a_node_that_has_mended_meanwhile_is_back_in_service_by_its_trials() {
     let mut town = town(12);
-    town.mend = |_| {};
+    town.adjust_config = |_| {};
     let hung = outage(&town);
-    town.each(HANG, NodeBehavior::Serve);
+    town.set_behavior_of_every(HANG, NodeBehavior::Serve);
     let given = |node: &usize| town.nodes[*node].frames('A').len();
     let before: Vec<_> = hung.iter().map(given).collect();
     let broker = informed(&town, KDL);
     let mut client = Client::connect(&broker);
     // After the crash all counts as spent: trials, which may need a copy, wait until it does not.
     let mut i = 0;
-    let back = wait(|| {
+    let back = wait_until(|| {
         let answer = one(&mut client, "find", &format!("c{i}"), i, "2.0").0;
         assert!(matches!(answer.status, 200 | 429), "{answer:?}");
         i += 1;
@@ -176,12 +178,12 @@
 }
 
 #[rstest]
-#[case::started_since(|town: &mut Town| town.starts(0, 1_000))]
-#[case::long_ago(|town: &mut Town| drop(std::fs::remove_dir_all(town.folder.join("none"))))]
-fn a_new_process_under_an_old_name_is_believed_nothing_of(#[case] change: fn(&mut Town)) {
+#[case::started_since(|town: &mut RestartCluster| town.restart_node(0, 1_000))]
+#[case::long_ago(|town: &mut RestartCluster| drop(std::fs::remove_dir_all(town.folder.join("none"))))]
+fn a_new_process_under_an_old_name_is_believed_nothing_of(#[case] change: fn(&mut RestartCluster)) {
     let mut town = town(12);
     outage(&town);
-    town.each(1, NodeBehavior::Serve);
+    town.set_behavior_of_every(1, NodeBehavior::Serve);
     change(&mut town);
     let broker = informed(&town, KDL);
     assert!(said(&broker, "nodes restored"));
@@ -211,7 +213,7 @@
 fn a_folder_in_which_every_file_is_damaged_does_no_harm(#[case] damage: fn(&mut Vec<u8>)) {
     let town = town(12);
     outage(&town);
-    town.each(4, NodeBehavior::Serve);
+    town.set_behavior_of_every(4, NodeBehavior::Serve);
     for entry in std::fs::read_dir(&town.folder).unwrap().flatten() {
         let mut bytes = std::fs::read(entry.path()).unwrap();
         if !bytes.is_empty() {
@@ -219,7 +221,7 @@
             std::fs::write(entry.path(), bytes).unwrap();
         }
     }
-    let broker = town.life(KDL);
+    let broker = town.start_broker(KDL);
     assert_eq!(ask(&broker, "c", 40), 40);
 }
 
@@ -235,7 +237,7 @@
         first.signal("TERM");
         assert_eq!(first.exit_code(), Some(0));
         assert!(said(&first, "written"));
-        let mut second = town.life(KDL);
+        let mut second = town.start_broker(KDL);
         if [&first, &second].iter().any(|broker| broker.log_text().contains("does not answer")) {
             return false;
         }
@@ -248,7 +250,7 @@
         assert!(said(&third, "all of it counts as spent"));
         true
     };
-    assert!(wait(story), "the folder has never answered in time");
+    assert!(wait_until(story), "the folder has never answered in time");
 }
 
 /// Killed and started again and again while nodes fail what they are given: over all lives together the budget of
@@ -258,12 +260,12 @@
 fn a_crash_loop_keeps_the_budget_of_further_dispatches() {
     let lives = |kdl: &str| {
         let mut town = town(12);
-        town.mend = |config| config["settings"]["rules"]["budgetWindowMs"] = json!(60_000.0);
+        town.adjust_config = |config| config["settings"]["rules"]["budgetWindowMs"] = json!(60_000.0);
         // All fail, so that every part would need its further dispatches.
-        town.each(1, NodeBehavior::ReplyStatus("fault"));
+        town.set_behavior_of_every(1, NodeBehavior::ReplyStatus("fault"));
         let mut taken = Vec::new();
         for life in 0..4 {
-            let mut broker = town.life(kdl);
+            let mut broker = town.start_broker(kdl);
             let mut client = Client::connect(&broker);
             for i in 0..5 {
                 taken.push(Instant::now());
@@ -278,7 +280,7 @@
             broker.signal("KILL");
             broker.exit_code();
         }
-        town.margin(&taken, 20.0, 0.1, 60.0)
+        town.retry_budget_margin(&taken, 20.0, 0.1, 60.0)
     };
     let (with, without) = (lives(KDL), lives(""));
     assert!(with >= 0.0, "{with}");
@@ -289,12 +291,12 @@
 fn a_cold_node_gets_nothing_while_it_is_not_known_what_it_was_given() {
     let mut town = town(12);
     // What is counted of a cold node is counted for longer than the second life lasts.
-    town.mend = |config| {
+    town.adjust_config = |config| {
         patient(config);
         let rules = &mut config["settings"]["rules"];
         (rules["fallMs"], rules["coldMs"]) = (json!(60_000.0), json!(120_000.0));
     };
-    town.starts(0, unix_ms());
+    town.restart_node(0, unix_ms());
     let given = || town.nodes[0].frames('A').len();
     // All shards at once: one part after the other would always find a warm node that is idle.
     let all: Vec<_> = (0..48).collect();
@@ -309,8 +311,8 @@
     assert!(more(&first, "a") > 0, "the first life gives it nothing: the test shows nothing");
     first.signal("KILL");
     first.exit_code();
-    assert_eq!(more(&town.life(KDL), "b"), 0);
-    assert!(more(&town.life(""), "c") > 0, "a broker that forgets gives it nothing either");
+    assert_eq!(more(&town.start_broker(KDL), "b"), 0);
+    assert!(more(&town.start_broker(""), "c") > 0, "a broker that forgets gives it nothing either");
 }
 
 #[test]
@@ -318,7 +320,7 @@
     let town = town(12);
     let first = informed(&town, KDL);
     assert!(said(&first, "state: read"));
-    let second = town.life(KDL);
+    let second = town.start_broker(KDL);
     assert!(said(&second, "another broker uses it"));
     assert_eq!((ask(&first, "a", 20), ask(&second, "b", 20)), (20, 20));
 }
@@ -329,11 +331,11 @@
 #[case::broken("broken")]
 fn a_folder_that_fails_costs_no_scan_and_is_used_again_once_it_is_mended(#[case] words: &str) {
     let town = town(12);
-    town.disk(words);
-    let broker = town.life(KDL);
+    town.set_disk_fault(words);
+    let broker = town.start_broker(KDL);
     assert!(said(&broker, "running without it"));
     assert_eq!(ask(&broker, "a", 40), 40);
-    town.disk("");
+    town.set_disk_fault("");
     assert!(said(&broker, "is in use again"));
     let snapshots = || {
         std::fs::read_dir(&town.folder)
@@ -341,7 +343,7 @@
             .flatten()
             .any(|e| e.file_name().to_string_lossy().ends_with(".snapshot"))
     };
-    assert!(wait(snapshots), "no snapshot");
+    assert!(wait_until(snapshots), "no snapshot");
 }
 
 /// Full in the middle of service: each failure is named, and the folder is opened anew after its rest.
@@ -350,10 +352,10 @@
     let town = town(12);
     let broker = informed(&town, KDL);
     ask(&broker, "a", 40);
-    town.disk("full");
+    town.set_disk_fault("full");
     assert!(said(&broker, "a snapshot failed"));
     assert_eq!(ask(&broker, "b", 40), 40);
-    town.disk("");
+    town.set_disk_fault("");
     assert!(said(&broker, "is in use again"));
 }
 
@@ -361,9 +363,9 @@
 #[test]
 fn a_disk_that_stalls_delays_neither_the_start_nor_scans_nor_the_end() {
     let town = town(12);
-    town.disk("stall 60");
+    town.set_disk_fault("stall 60");
     let began = Instant::now();
-    let mut broker = town.life(KDL);
+    let mut broker = town.start_broker(KDL);
     assert!(said(&broker, "does not answer; running without it"));
     assert_eq!(ask(&broker, "a", 60), 60);
     broker.signal("TERM");
--- a/crates/dunepond-testkit/tests/search.rs
+++ b/crates/dunepond-testkit/tests/search.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::processes::PATIENCE;
+use dunepond_testkit::processes::WAIT_TIMEOUT;
 use dunepond_testkit::search_cluster::{
     NodeProtocol, SearchCluster, SearchNodeBehavior, http_request, ranked_documents,
 };
@@ -309,7 +309,7 @@
                 let silent = site.broker.log_text().contains("is ejected");
                 let refused = matches!(status, 429 | 503);
                 assert!(
-                    refused && silent && start.elapsed() < PATIENCE,
+                    refused && silent && start.elapsed() < WAIT_TIMEOUT,
                     "{status}: {}",
                     site.broker.log_text()
                 );
