--- a/crates/dunepond-consensus/src/active_config.rs
+++ b/crates/dunepond-consensus/src/active_config.rs
@@ -1,4 +1,4 @@
-//! What a broker may act on, asked before each action.
+//! What a broker may act on; the broker asks before each action.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,31 +17,32 @@
 pub enum ConfigPhase {
     /// No version is known.
     Unconfigured,
-    /// On this version alone.
+    /// The broker acts on this version alone.
     Active(u64),
-    /// On the stricter of the active and the proposed version, field by field.
+    /// The broker acts on the stricter of the active and the proposed version, field by field.
     Joint(u64, u64),
-    /// Without a lease: on the strictest of what is known, and without non-idempotent parts.
+    /// The broker has no lease: it acts on the strictest of the versions that it knows, and rejects non-idempotent
+    /// parts.
     LeaseExpired(u64),
 }
 
 /// Which node may be sent the non-idempotent parts of a segment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SegmentOwner<'a> {
-    /// There is no map: any replica.
+    /// There is no map, so any replica may be sent them.
     AnyReplica,
-    /// Only this one.
+    /// Only the node of this name may be sent them.
     Node(&'a str),
-    /// Nobody for now; Retry-After in seconds.
+    /// No node may be sent them for now; the value is the Retry-After in seconds.
     Unavailable(f64),
 }
 
-/// What is known of this broker's shares of fleet-wide quotas, at one moment.
+/// What is known of this broker's shares of fleet-wide quotas at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaView<'a> {
-    /// As last heard in this run.
+    /// The allocation that the last grant of this run carried.
     pub allocation: Option<&'a Allocation>,
-    /// The lease covers the moment; without it only the floor is left.
+    /// Whether a lease covers the moment; without a lease only the floor of each quota is left.
     pub lease_valid: bool,
 }
 
@@ -53,12 +54,12 @@
     Proposed,
 }
 
-/// What a broker may act on. Cheap to clone; a new one is made at each change and each lease. Every answer is for the
-/// moment that is handed in, so that a process that was suspended does not act on an expired lease.
+/// What a broker may act on. It is cheap to clone; a new one is made at each change and for each lease. Every answer is
+/// for the moment that the caller passes in, so that a process that was suspended does not act on an expired lease.
 #[derive(Clone, Debug)]
 pub struct ActiveConfig {
     snapshot: Arc<ConfigSnapshot>,
-    /// What the clock showed as this was taken from the lease client; no later moment is before that.
+    /// Clock reading when this was taken from the lease client; an earlier reading means that the clock went back.
     taken_at: f64,
 }
 
@@ -71,12 +72,13 @@
     pub proposed_proof: Option<VerifiedMap>,
     pub transition: Option<MapTransition>,
     pub side: RolloutSide,
-    /// The lease covers own times from `lease_from`, when its request was sent, up to `lease_until`, this excluded.
+    /// The lease covers times on the broker's own clock from `lease_from`, when its request was sent, until just before
+    /// `lease_until`.
     pub lease_from: f64,
     pub lease_until: f64,
-    /// Versions may have a map.
+    /// Whether versions may have a map.
     pub maps_enabled: bool,
-    /// A lease was granted in this run.
+    /// Whether a lease was granted in this run.
     pub had_lease: bool,
     pub allocation: Option<Allocation>,
     pub retry_after_seconds: f64,
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Derives what follows from the versions.
+    /// Computes the rules and the excluded nodes from the versions.
     pub fn into_active_config(mut self) -> ActiveConfig {
         let rules = |version: &Option<Arc<ConfigVersion>>| version.as_ref().map(|it| it.rules.clone());
         let (active, proposed) = (rules(&self.active), rules(&self.proposed));
@@ -131,7 +133,7 @@
 }
 
 impl ActiveConfig {
-    /// Of a broker that has had no lease and knows nothing: non-idempotent parts are rejected.
+    /// The configuration of a broker that has had no lease and knows no version: non-idempotent parts are rejected.
     pub fn unleased() -> Self {
         ConfigSnapshot::unleased(true, UNLEASED_RETRY_AFTER_SECONDS).into_active_config()
     }
@@ -140,26 +142,27 @@
         Self { snapshot: self.snapshot.clone(), taken_at }
     }
 
-    /// Whether a lease covers `now`. All other answers are the same at any two moments for which this one is.
-    // A reading before `taken_at` means that the clock went back, and says nothing about the end of the lease: also in the
-    // first action after a suspension, before the lease client has looked at the clock.
+    /// Whether a lease covers `now`. All other answers are the same at any two moments for which this answer is the
+    /// same.
+    // A reading before `taken_at` means that the clock went back, so it does not show whether the lease has ended. This
+    // also protects the first action after a suspension, before the lease client has read the clock.
     pub fn lease_valid(&self, now: f64) -> bool {
         let snapshot = &self.snapshot;
         let covers_now = snapshot.lease_from <= now && now < snapshot.lease_until;
         snapshot.had_lease && covers_now && self.taken_at <= now
     }
 
-    /// When the request for the lease was sent, on the own clock.
+    /// When the request for the lease was sent, in seconds on the broker's own clock.
     pub fn lease_started_at(&self) -> f64 {
         self.snapshot.lease_from
     }
 
-    /// End of the lease on the own clock; in the past if there was none.
+    /// When the lease ends, in seconds on the broker's own clock; a time in the past if there was no lease.
     pub fn lease_expires_at(&self) -> f64 {
         self.snapshot.lease_until
     }
 
-    /// Which versions apply.
+    /// The versions that apply at `now`.
     pub fn phase(&self, now: f64) -> ConfigPhase {
         let (active, proposed) = (self.active_number(), self.proposed_number().unwrap_or(0));
         if active == 0 && proposed == 0 {
@@ -176,24 +179,25 @@
         }
     }
 
-    /// The rules that apply, without a lease the strictest of all known ones; `None`: the broker's own settings.
+    /// The rules that apply at `now`. Without a lease they are the strictest of all known rules; `None` means that the
+    /// broker's own settings apply.
     pub fn rules(&self, now: f64) -> Option<&RoutingRules> {
         let snapshot = &self.snapshot;
         if self.lease_valid(now) { snapshot.leased_rules.as_ref() } else { snapshot.strictest_rules.as_ref() }
     }
 
-    /// This broker's shares of fleet-wide quotas, for [`dunepond_quota::LocalQuota::available_units`].
+    /// This broker's shares of fleet-wide quotas at `now`, for [`dunepond_quota::LocalQuota::available_units`].
     pub fn quota(&self, now: f64) -> QuotaView<'_> {
         QuotaView { allocation: self.snapshot.allocation.as_ref(), lease_valid: self.lease_valid(now) }
     }
 
-    /// Which node may be sent the non-idempotent parts of `segment`.
+    /// Which node may be sent the non-idempotent parts of `segment` at `now`.
     pub fn owner(&self, segment: u64, now: f64) -> SegmentOwner<'_> {
         let snapshot = &self.snapshot;
         let unavailable = SegmentOwner::Unavailable(snapshot.retry_after_seconds);
         let (active, proposed) = (snapshot.active_proof.as_ref(), snapshot.proposed_proof.as_ref());
         if !self.lease_valid(now) {
-            // Unheard, another node may be the owner by now, or the first map may be active.
+            // Another node may have become the owner, or the first map active, without this broker's knowledge.
             let maps_impossible = snapshot.had_lease && !snapshot.maps_enabled;
             let has_no_map = active.is_none() && proposed.is_none();
             return if maps_impossible && has_no_map { SegmentOwner::AnyReplica } else { unavailable };
@@ -202,7 +206,7 @@
             (RolloutSide::Active, None, _) | (_, None, None) => return SegmentOwner::AnyReplica,
             (RolloutSide::Active, Some(active), _) => owner_of(active, segment),
             (RolloutSide::Proposed, _, Some(proposed)) => owner_of(proposed, segment),
-            // Where only one version has a map, both allow its owner.
+            // Where only one version has a map, its owner is allowed under both.
             (RolloutSide::Joint, None, Some(map)) => owner_of(map, segment),
             (RolloutSide::Joint | RolloutSide::Proposed, Some(map), None) => owner_of(map, segment),
             (RolloutSide::Joint, Some(active), Some(proposed)) => match &snapshot.transition {
@@ -217,13 +221,13 @@
         owner.map_or(unavailable, SegmentOwner::Node)
     }
 
-    /// Whether any known version excludes the node: no new attempt may go there.
+    /// Whether any known version excludes the node, so that no new attempt may go there.
     pub fn is_excluded(&self, node: &str) -> bool {
         self.snapshot.excluded_nodes.contains(node)
     }
 
-    /// The map under which the parts of a query have to cover its keys: that of the active version, until the proposed one
-    /// is acted on alone; `None` if there is none.
+    /// The map under which the parts of a query have to cover its keys. This is the active version's map until the
+    /// broker acts on the proposed version alone; `None` if there is no map.
     pub fn map(&self, now: f64) -> Option<&VerifiedMap> {
         let snapshot = &self.snapshot;
         if snapshot.side == RolloutSide::Proposed && self.lease_valid(now) {
@@ -232,22 +236,22 @@
         snapshot.active_proof.as_ref().or(snapshot.proposed_proof.as_ref())
     }
 
-    /// Number of the active version, as far as heard; 0 if there is none.
+    /// Number of the active version as of the last adopted grant; 0 if there is none.
     pub fn active_number(&self) -> u64 {
         self.snapshot.active.as_ref().map_or(0, |version| version.number)
     }
 
-    /// Number of the proposed version.
+    /// Number of the proposed version, if there is one.
     pub fn proposed_number(&self) -> Option<u64> {
         self.snapshot.proposed.as_ref().map(|version| version.number)
     }
 
-    /// The active and the proposed version.
+    /// The active and the proposed version, each if there is one.
     pub fn versions(&self) -> (Option<&ConfigVersion>, Option<&ConfigVersion>) {
         (self.snapshot.active.as_deref(), self.snapshot.proposed.as_deref())
     }
 
-    /// From the active map to the proposed one: what has to be filled first, and from where.
+    /// The transition from the active map to the proposed one: what has to be filled first, and from which nodes.
     pub fn map_transition(&self) -> Option<&MapTransition> {
         self.snapshot.transition.as_ref()
     }
--- a/crates/dunepond-consensus/src/command.rs
+++ b/crates/dunepond-consensus/src/command.rs
@@ -1,20 +1,20 @@
-//! What hosts propose to the log. The serialised names are those of the log's format.
+//! Commands that hosts propose to the log. The serialised names are those of the log's format.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{ConfigVersion, VoterChange};
 
-/// A command to the replicated state.
-// One stands in memory at a time; in the log it is bytes.
+/// A command to the replicated state machine.
+// Only one is in memory at a time, and the log holds it encoded, so the size of the largest variant does not matter.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// Opens the joint step from the active version to this one.
     Propose(Box<ConfigVersion>),
-    /// A replica that the proposed map requires has been filled.
+    /// Reports that a replica that the proposed map requires has been filled.
     #[serde(rename = "Filled")]
     FillCompleted {
-        /// Of the proposed version.
+        /// Number of the proposed version.
         number: u64,
         /// Id of the segment.
         segment: u64,
@@ -24,23 +24,23 @@
     /// Makes the proposed version the only active one.
     #[serde(rename = "Confirm")]
     Activate {
-        /// Of the proposed version.
+        /// Number of the proposed version.
         number: u64,
     },
-    /// Withdraws the proposed version; the one before stays the only active one.
+    /// Withdraws the proposed version; the previous version stays the only active one.
     Withdraw {
-        /// Of the proposed version.
+        /// Number of the proposed version.
         number: u64,
-        /// Shown to people.
+        /// The reason, shown to people.
         why: String,
     },
-    /// Accounts between partners: allotments, settlements, fills that start.
+    /// Changes the accounts between partners: allotments, settlements, and fills that start.
     #[serde(rename = "Debt")]
     Settlement(dunepond_settlement::SettlementEntry),
-    /// Shares of fleet-wide quotas.
+    /// Changes shares of fleet-wide quotas.
     #[serde(rename = "Limit")]
     Quota(dunepond_quota::QuotaEntry),
-    /// A rebalancing plan; its steps are versions.
+    /// Changes a rebalancing plan, whose steps are versions.
     #[serde(rename = "Move")]
     Rebalance(dunepond_rebalance::CommittedEntry),
     /// Replaces the list of voters.
--- a/crates/dunepond-consensus/src/config_version.rs
+++ b/crates/dunepond-consensus/src/config_version.rs
@@ -1,4 +1,5 @@
-//! A version of the fleet's configuration, and its encoding: by names for people (JSON), packed for programs.
+//! A version of the fleet's configuration and its two encodings: JSON with field names for people, and a packed form
+//! for programs.
 
 use dunepond_shard_map::ShardMap;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -6,14 +7,14 @@
 use crate::codec::Blob;
 use crate::{Rejection, RoutingRules};
 
-/// Keys of [`Extension`]s that this build implements; none so far.
+/// Keys of [`Extension`]s that this build implements; there are none so far.
 const KNOWN_KEYS: &[&str] = &[];
 
 pub(crate) fn known_keys() -> Vec<String> {
     KNOWN_KEYS.iter().map(ToString::to_string).collect()
 }
 
-/// Nodes that every broker has to exclude, whatever its own endpoint list says.
+/// Nodes that every broker has to exclude, whatever the broker's own endpoint list says.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ExcludedNodes {
     /// Names of nodes that are draining.
@@ -30,49 +31,52 @@
     }
 }
 
-/// One key of a version beyond the fields that format 1 had, as JSON text. Fields are only ever added this way, so that a
+/// One key of a version beyond the fields of format 1, as JSON text. Fields are only ever added this way, so that a
 /// version's bytes and digest are the same in every build.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Extension {
-    /// With the keys above it: `rules.least_brokers`.
+    /// Path of the key, with the keys above it, such as `rules.least_brokers`.
     pub key: String,
-    /// The value.
+    /// The value as JSON text.
     pub json: String,
-    /// A build that does not know the key must not act on the version.
+    /// Whether a build that does not know the key must not act on the version.
     pub required: bool,
 }
 
-/// The whole configuration on which brokers agree. Fields of later builds go to `extensions`, never beside the others.
+/// The whole configuration on which brokers agree. Fields of later builds are added as `extensions`, never beside the
+/// other fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(remote = "Self")]
 pub struct ConfigVersion {
-    /// One more than the highest number ever proposed, withdrawn ones included.
+    /// Number of the version: one more than the highest number ever proposed, including withdrawn versions.
     pub number: u64,
-    /// The active version that it was made from (0: none); `None`: whichever is active.
+    /// Number of the active version that this one was made from, 0 if there was none; `None` accepts whichever version
+    /// is active.
     #[serde(default)]
     #[serde(rename = "follows")]
     pub based_on: Option<u64>,
-    /// Ratio of the brokers that act on it first, while the others stay joint until it is activated or withdrawn.
+    /// Ratio of the brokers that act on the version first, while the others stay joint until it is activated or
+    /// withdrawn.
     #[serde(default)]
     #[serde(rename = "stage")]
     pub first_stage_ratio: Option<f64>,
-    /// How queries are routed.
+    /// Rules by which queries are routed.
     pub rules: RoutingRules,
-    /// Nodes that nobody may use.
+    /// Nodes that no broker may use.
     #[serde(rename = "standings")]
     pub excluded_nodes: ExcludedNodes,
-    /// Owners and replicas of segments; `None`: no shard map.
+    /// Owners and replicas of segments; `None` if the version has no shard map.
     pub map: Option<ShardMap>,
-    /// Who proposed it.
+    /// Who proposed the version.
     #[serde(rename = "who")]
     pub proposed_by: String,
-    /// Why, in the proposer's words.
+    /// The reason, in the proposer's words.
     #[serde(rename = "why")]
     pub reason: String,
-    /// When, in Unix seconds; shown to people only.
+    /// When the version was proposed, in Unix seconds; only shown to people.
     #[serde(rename = "at")]
     pub proposed_at_unix_seconds: f64,
-    /// Keys that format 1 did not have.
+    /// Keys that format 1 does not have.
     #[serde(skip)]
     pub extensions: Vec<Extension>,
 }
@@ -95,7 +99,7 @@
 }
 
 impl ConfigVersion {
-    /// The encoding that is agreed on: the same bytes in every build.
+    /// The encoding that is replicated; its bytes are the same in every build.
     pub fn packed(&self) -> Vec<u8> {
         let fields = postcard::to_stdvec(&Format1Fields(self)).expect("a version is plain data");
         if self.extensions.is_empty() {
@@ -113,12 +117,12 @@
         Some(version)
     }
 
-    /// Hash of the packed version, hexadecimal.
+    /// Hash of the packed version, in hexadecimal.
     pub fn digest(&self) -> String {
         blake3::hash(&self.packed()).to_hex()[..32].to_string()
     }
 
-    /// Whether a build that implements `known_keys` may act on the version.
+    /// Checks that a build that implements `known_keys` may act on the version.
     pub(crate) fn check_known_keys(&self, known_keys: &[String]) -> Result<(), Rejection> {
         let mut required = self.extensions.iter().filter(|extension| extension.required);
         match required.find(|extension| !known_keys.contains(&extension.key)) {
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Whether the rules and the first stage are valid.
+    /// Checks that the rules and the ratio of the first stage are valid.
     pub(crate) fn check_rules(&self) -> Result<(), Rejection> {
         self.rules.check()?;
         match self.first_stage_ratio {
--- a/crates/dunepond-consensus/src/consensus_config.rs
+++ b/crates/dunepond-consensus/src/consensus_config.rs
@@ -1,10 +1,10 @@
-//! Parameters of the consensus, from the operator's file, and the check that the switch bound T covers the quiescence
+//! Parameters of the consensus from the operator's file, and the check that the switch bound T covers the quiescence
 //! period.
 
 use serde::{Deserialize, Serialize};
 
-/// Seconds from the check of an action to the action itself, at most: what one turn of the event loop may take from
-/// reading the clock to writing the frame. Part of the quiescence period.
+/// Longest time in seconds from the check of an action to the action itself: what one iteration of the event loop may
+/// take from reading the clock to writing the frame. It is part of the quiescence period.
 pub const MAX_ACTION_DELAY_SECONDS: f64 = 0.1;
 
 const MIN_LEASE_SECONDS: f64 = 0.2;
@@ -16,31 +16,32 @@
 pub struct ConsensusConfig {
     /// This broker's name.
     pub name: String,
-    /// Names of the voters, the same list in each file; the first one founds the fleet.
+    /// Names of the voters, in the same order in each broker's file; the first one founds the fleet.
     pub voters: Vec<String>,
-    /// Duration of a lease, counted from the request.
+    /// Duration of a lease in seconds, counted from when the request was sent.
     #[serde(rename = "lease")]
     pub lease_seconds: f64,
-    /// How far any broker's monotonic clock may drift: 0.01 is 1%.
+    /// Largest relative drift of any broker's monotonic clock; 0.01 is 1%.
     #[serde(rename = "drift")]
     pub drift_ratio: f64,
-    /// T: so long after a change was committed nobody acts on the previous version alone any more.
+    /// The switch bound T in seconds: from then on after a change was committed no broker acts on the previous version
+    /// alone.
     #[serde(rename = "bound")]
     pub switch_bound_seconds: f64,
-    /// Longest timeout of a query.
+    /// Longest timeout of a query, in seconds.
     #[serde(rename = "longest_timeout")]
     pub longest_query_seconds: f64,
-    /// A change whose fills are not complete by then is withdrawn.
+    /// Seconds after which a change is withdrawn if its fills are not complete.
     #[serde(rename = "fills_deadline")]
     pub fill_deadline_seconds: f64,
-    /// Ratio of the segments that one change may touch.
+    /// Largest ratio of the segments that one change may touch.
     #[serde(rename = "most_changed")]
     pub max_changed_ratio: f64,
-    /// Versions may have a shard map. Then non-idempotent parts are rejected without a lease even if no map is known: the
-    /// first one may be active by now.
+    /// Whether versions may have a shard map. If so, non-idempotent parts are rejected without a lease even if no map
+    /// is known, since the first map may have become active.
     #[serde(rename = "maps")]
     pub maps_enabled: bool,
-    /// What each map has to satisfy.
+    /// Constraints that each map has to satisfy.
     #[serde(rename = "map")]
     pub map_requirements: dunepond_shard_map::MapConstraints,
 }
@@ -54,25 +55,25 @@
     /// The list of voters is empty.
     #[error("no voter is named")]
     NoVoters,
-    /// A voter stands in the list twice.
+    /// A voter is listed twice.
     #[error("voter `{0}` is named twice")]
     DuplicateVoter(String),
     /// The lease is out of range.
     #[error("lease {lease} s is not between {least} and {most}")]
     Lease {
-        /// Seconds.
+        /// The configured lease, in seconds.
         lease: f64,
-        /// Lower limit.
+        /// Lower limit, in seconds.
         least: f64,
-        /// Upper limit.
+        /// Upper limit, in seconds.
         most: f64,
     },
     /// The drift is out of range.
     #[error("drift {drift} is not between 0 and {most}")]
     Drift {
-        /// Ratio.
+        /// The configured drift, as a ratio.
         drift: f64,
-        /// Upper limit.
+        /// Upper limit, as a ratio.
         most: f64,
     },
     /// The longest query timeout is not positive and finite.
@@ -90,17 +91,17 @@
          raise bound to {wait:.3} at least, or lower lease to {lease:.3}"
     )]
     Bound {
-        /// Seconds, as configured.
+        /// The configured switch bound, in seconds.
         bound: f64,
-        /// The quiescence period.
+        /// The quiescence period, in seconds.
         wait: f64,
-        /// The longest lease that the bound allows.
+        /// The longest lease that the bound allows, in seconds.
         lease: f64,
     },
 }
 
 impl ConsensusConfigError {
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn help(&self) -> &'static str {
         match self {
             Self::NoName => "give the broker a name of its own in GW_NAME",
@@ -119,18 +120,18 @@
 }
 
 impl ConsensusConfig {
-    /// The quiescence period W, in seconds on the leader's own clock: for so long after it saw a change committed, actions
-    /// that were allowed before may still be in flight somewhere.
+    /// The quiescence period W, in seconds on the leader's own clock. Until it has passed since the leader saw a change
+    /// committed, actions that were allowed before the change may still be in flight.
     pub fn quiescence_seconds(&self) -> f64 {
         self.quiescence_seconds_for(self.lease_seconds)
     }
 
-    /// The same for another duration of leases.
+    /// The quiescence period for another lease duration.
     pub fn quiescence_seconds_for(&self, lease_seconds: f64) -> f64 {
         self.with_drift(lease_seconds + self.longest_query_seconds + MAX_ACTION_DELAY_SECONDS)
     }
 
-    /// What `seconds` on the slowest clock may come to on the fastest one.
+    /// The longest time that may pass on the fastest clock while `seconds` pass on the slowest one.
     pub fn with_drift(&self, seconds: f64) -> f64 {
         seconds * (1.0 + self.drift_ratio) / (1.0 - self.drift_ratio)
     }
--- a/crates/dunepond-consensus/src/effects.rs
+++ b/crates/dunepond-consensus/src/effects.rs
@@ -1,30 +1,30 @@
-//! What a voter asks of its host.
+//! The effects that a voter asks its host to carry out.
 
 use crate::{LeaseReply, Rejection, StateChange, WriteBatch};
 
-/// Effects of a call to a [`crate::Voter`]. The host has to append `write_batch` to the storage and sync it before it sends
-/// anything: otherwise a restart could forget a promise that others rely on.
+/// Effects of a call to a [`crate::Voter`]. The host has to append `write_batch` to the storage and sync it before it
+/// sends anything: otherwise a restart could forget a promise on which others rely.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// Voter and bytes, for [`crate::Voter::receive`] there.
+    /// Messages to other voters: the name of the voter, and the bytes for [`crate::Voter::receive`] there.
     pub messages: Vec<(String, Vec<u8>)>,
-    /// Broker and reply.
+    /// Replies to brokers: the name of the broker, and the reply.
     pub replies: Vec<(String, LeaseReply)>,
-    /// What has to be stored.
+    /// The changes that the host has to store.
     pub write_batch: WriteBatch,
-    /// [`crate::Voter::state`] changed.
+    /// Whether [`crate::Voter::state`] changed.
     pub state_changed: bool,
-    /// What became of the entries that were committed, in their order.
+    /// The outcomes of entries that were committed, in log order.
     pub outcomes: Vec<EntryOutcome>,
-    /// For the operator's log.
+    /// Lines for the operator's log.
     pub log_lines: Vec<String>,
 }
 
-/// What became of a committed entry; the same at each voter.
+/// The outcome of a committed entry, which is the same at each voter.
 #[derive(Clone, Debug)]
 pub struct EntryOutcome {
     /// Index in the log.
     pub index: u64,
-    /// What it changed, or why it was ignored.
+    /// What the entry changed, or why it was ignored.
     pub result: Result<StateChange, Rejection>,
 }
--- a/crates/dunepond-consensus/src/error.rs
+++ b/crates/dunepond-consensus/src/error.rs
@@ -1,4 +1,4 @@
-//! What stops a voter, and why a message is not accepted.
+//! Errors that stop a voter, and reasons for which it does not accept a message.
 
 use crate::{ConsensusConfigError, RecoveryError};
 
@@ -8,34 +8,34 @@
     /// The operator's file is invalid.
     #[error("configuration: {0}")]
     Config(#[from] ConsensusConfigError),
-    /// The broker, or the sender of a message, does not vote.
+    /// The broker, or the sender of a message, is not a voter.
     #[error("`{0}` is none of the voters of the file")]
     NotAVoter(String),
     /// The folder belongs to another broker.
-    #[error("the folder is of broker `{is}`, this is `{name}`")]
+    #[error("the folder is of broker `{owner}`, this is `{name}`")]
     ForeignFolder {
-        /// Owner of the folder.
-        is: String,
-        /// This broker.
+        /// Name of the broker that owns the folder.
+        owner: String,
+        /// Name of this broker.
         name: String,
     },
     /// The operator's order does not fit the folder.
     #[error("the operator's order on a lost majority: {0}")]
     Recovery(#[from] RecoveryError),
     /// A message from before the fleet was recovered.
-    #[error("a message of `{from}` is of epoch {said} of the fleet, this is {known}")]
+    #[error("a message of `{from}` is of epoch {stated} of the fleet, this is {known}")]
     StaleEpoch {
-        /// Sender.
+        /// Name of the sender.
         from: String,
-        /// Of the message.
-        said: u64,
-        /// Of this voter.
+        /// Epoch of the message.
+        stated: u64,
+        /// Epoch that this voter knows.
         known: u64,
     },
-    /// A message from a fleet with another founding.
+    /// A message is from a fleet that was founded separately.
     #[error("a message of `{from}` is of another fleet")]
     OtherFleet {
-        /// Sender.
+        /// Name of the sender.
         from: String,
     },
     /// A stored record is malformed.
@@ -47,28 +47,28 @@
     /// A message is malformed.
     #[error("a message of `{0}` cannot be decoded")]
     MalformedMessage(String),
-    /// A message has another protocol version.
-    #[error("a message of `{from}` has protocol version {version}, this broker speaks {ours}")]
+    /// A message has a protocol version that this build does not implement.
+    #[error("a message of `{from}` has protocol version {version}, this broker speaks {supported}")]
     NewerProtocol {
-        /// Sender.
+        /// Name of the sender.
         from: String,
-        /// Of the message.
+        /// Protocol version of the message.
         version: u8,
-        /// Of this build.
-        ours: u8,
+        /// Protocol version of this build.
+        supported: u8,
     },
-    /// A message names another sender than its link.
-    #[error("a message that came from `{from}` says that it is from `{says}`")]
+    /// A message names a sender that is not the peer at the other end of its link.
+    #[error("a message that came from `{from}` says that it is from `{stated}`")]
     SenderMismatch {
-        /// By the link.
+        /// Name of the peer by the link.
         from: String,
-        /// By the message.
-        says: String,
+        /// Name of the sender by the message.
+        stated: String,
     },
 }
 
 impl ConsensusError {
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn help(&self) -> &'static str {
         match self {
             Self::Config(error) => error.help(),
--- a/crates/dunepond-consensus/src/format1.rs
+++ b/crates/dunepond-consensus/src/format1.rs
@@ -1,5 +1,5 @@
-//! Documents of format 1, as folders of the first fleets hold them: read, never written. postcard: the order of fields and
-//! variants is the format.
+//! Documents of format 1, which folders of the first fleets hold. They are read and never written. The format is
+//! postcard, in which the order of fields and variants is significant.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
     RolloutStep, VoterSlot,
 };
 
-/// Its fields in place; later formats hold it packed.
+/// A version with its fields in place, where later formats hold it packed.
 struct Version1(ConfigVersion);
 
 impl<'de> Deserialize<'de> for Version1 {
@@ -85,7 +85,7 @@
     completed_fills: Vec<(u64, String)>,
 }
 
-/// `None` unless the document ends with the last byte.
+/// Decodes a document; `None` if it is malformed or does not end with the last byte.
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     let (document, rest) = postcard::take_from_bytes(bytes).ok()?;
     rest.is_empty().then_some(document)
@@ -118,8 +118,8 @@
     }
 }
 
-/// The voters are those of its configuration: format 1 had no others. A settlement whose id does not say of which fill it
-/// is cannot count again and is left out.
+/// Decodes the state of a snapshot. The voters are those of its configuration, since format 1 had no other list. A
+/// settlement whose id does not name its fill cannot be counted again and is left out.
 pub(crate) fn replicated_state(bytes: &[u8]) -> Option<ReplicatedState> {
     let old: ReplicatedState1 = decode(bytes)?;
     let mut state = ReplicatedState::new(old.config, old.voter_slots);
--- a/crates/dunepond-consensus/src/lease_client/adoption.rs
+++ b/crates/dunepond-consensus/src/lease_client/adoption.rs
@@ -1,4 +1,4 @@
-//! Adopts a grant: the versions are proved here again, whoever sent them.
+//! Adoption of grants. The versions are validated and proved here again, regardless of the sender.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
         if let Some(part) = grant.required_parts.first() {
             return Err(Rejection::UnknownPart(part.clone()));
         }
-        // That maps are possible counts even if the rest is not adopted.
+        // Whether maps are possible is recorded even if the rest of the grant is not adopted.
         self.snapshot.maps_enabled |= grant.maps_enabled;
         let active = grant.active.as_ref().map(|(number, digest)| self.document(grant, *number, digest));
         let active = active.transpose()?;
@@ -40,7 +40,7 @@
         Ok(())
     }
 
-    /// A version that is known already, or comes with the grant.
+    /// Finds a version that is already known, or that is part of the grant.
     fn document(&self, grant: &LeaseGrant, number: u64, agreed: &str) -> Result<KnownVersion, Rejection> {
         let mut known = self.active.iter().chain(&self.proposed);
         if let Some(known) = known.find(|known| known.version.number == number && known.digest == agreed) {
@@ -49,8 +49,8 @@
         let received = grant.documents.iter().find(|version| version.number == number);
         let received = KnownVersion::new(received.ok_or(Rejection::MissingDocument(number))?);
         if received.digest != agreed {
-            let (said, is) = (agreed.to_string(), received.digest);
-            return Err(Rejection::DigestMismatch { number, said, is });
+            let (stated, actual) = (agreed.to_string(), received.digest);
+            return Err(Rejection::DigestMismatch { number, stated, actual });
         }
         Ok(received)
     }
@@ -74,7 +74,8 @@
         Ok(())
     }
 
-    /// Validated by this broker's own terms, but for the ratio of segments that may change: that is the voters' to limit.
+    /// Validates a version by this broker's own configuration, except for the ratio of segments that may change, which
+    /// the voters limit.
     pub(super) fn validate(
         &self,
         active: Option<&KnownVersion>,
@@ -112,7 +113,8 @@
         }
     }
 
-    /// A reply to a request from before the last one that was adopted has nothing new, or everything.
+    /// Adopts settlement entries. A reply to a request from before the last adopted one contains nothing new, or the
+    /// whole ledger.
     fn adopt_settlements(&mut self, update: &SettlementUpdate) {
         let is_whole = update.ledger.is_some();
         if update.from != self.known_settlements && !is_whole {
@@ -129,7 +131,7 @@
     a.as_ref().map(|known| &known.digest) == b.as_ref().map(|known| &known.digest)
 }
 
-/// Whether the broker is of the ratio that acts on `number` first; another part of the fleet each time.
+/// Whether the broker belongs to the ratio that acts on `number` first; the selection differs from version to version.
 fn is_in_first_stage(broker: &str, number: u64, ratio: f64) -> bool {
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(broker.as_bytes(), number);
     (hash as f64) < ratio * u64::MAX as f64
--- a/crates/dunepond-consensus/src/lease_client/clock_guard.rs
+++ b/crates/dunepond-consensus/src/lease_client/clock_guard.rs
@@ -2,10 +2,10 @@
 
 use crate::{ConsensusConfig, LeaseGrant, Rejection};
 
-/// Leases between the two grants of one leader by which clocks are compared.
+/// Number of leases between the two grants of one leader by which clocks are compared.
 const SAMPLE_LEASES: f64 = 3.0;
 
-/// When a grant's request was sent by this clock, and received by the leader's.
+/// When a grant's request was sent by this broker's clock, and received by the leader's clock.
 #[derive(Clone)]
 pub(super) struct ClockSample {
     leader: String,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Of the same start of the same leader: its clock goes on from one sample to the next.
+    /// Whether both samples are from the same start of the same leader, so that one clock measured both.
     fn same_clock(&self, other: &Self) -> bool {
         self.leader == other.leader && self.leader_run == other.leader_run
     }
@@ -38,9 +38,9 @@
 pub(super) struct ClockGuard {
     last: f64,
     earlier: Option<ClockSample>,
-    /// Why nobody's lease is accepted in this run.
+    /// Why no lease of any leader is accepted in this run.
     own_distrust: Option<Rejection>,
-    /// Why the leases of one leader's run are not accepted.
+    /// Why leases of one leader's run are not accepted.
     leader_distrust: Option<LeaderDistrust>,
 }
 
@@ -49,12 +49,13 @@
         Self { last: now, earlier: None, own_distrust: None, leader_distrust: None }
     }
 
-    /// The latest reading.
+    /// The latest clock reading.
     pub fn last(&self) -> f64 {
         self.last
     }
 
-    /// Whether the clock went back for the first time, which ends all trust in it for this run.
+    /// Records a reading, and returns whether the clock went back for the first time. That ends all trust in it for
+    /// this run.
     pub fn observe(&mut self, now: f64) -> bool {
         let went_back = now < self.last && self.own_distrust.is_none();
         if went_back {
@@ -76,9 +77,10 @@
         !self.leader_distrust.as_ref().is_some_and(|distrust| distrust.sample.same_clock(sample))
     }
 
-    /// Two grants of one leader bound how far its clock and this one are apart. Only the dangerous direction is rejected:
-    /// this clock slow (leases last too long) or the leader's fast (its wait is too short). Which of the two is wrong cannot
-    /// be told here, so another leader is trusted until it differs, too.
+    /// Compares the clocks by two grants of one leader, which bound how far they are apart. Only the dangerous
+    /// direction is rejected: this clock is slow (leases last too long) or the leader's is fast (its wait is too
+    /// short). It is not possible to tell here which of the two is wrong, so another leader is trusted until it
+    /// differs, too.
     pub fn compare(
         &mut self,
         now: f64,
@@ -93,7 +95,8 @@
             self.earlier = Some(sample);
             return Ok(());
         };
-        // From before the first request until after the last reply: longer than what the leader measured.
+        // Measured from before the first request until after the last reply, so it covers more than the leader
+        // measured.
         let here = now - earlier.sent_at;
         let there = sample.received_at - earlier.received_at;
         if config.with_drift(here) < there {
--- a/crates/dunepond-consensus/src/lease_client/mod.rs
+++ b/crates/dunepond-consensus/src/lease_client/mod.rs
@@ -21,14 +21,14 @@
 use clock_guard::{ClockGuard, ClockSample};
 use voter_selection::VoterSelection;
 
-/// A lease is renewed after this part of it.
+/// Part of a lease after which it is renewed.
 const RENEWAL_LEASE_RATIO: f64 = 1.0 / 3.0;
-/// Without an answer another voter is asked after this part of a lease, up to twice as long.
+/// Part of a lease after which another voter is asked if there was no answer; the delay is up to twice as long.
 const RETRY_LEASE_RATIO: f64 = 1.0 / 12.0;
-/// Requests whose replies are accepted at the same time.
+/// Number of requests whose replies are accepted at the same time.
 const MAX_PENDING_COUNT: usize = 8;
 
-/// Changes whenever [`LeaseClient::persisted_state`] does.
+/// A revision that changes whenever [`LeaseClient::persisted_state`] does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PersistedRevision {
     active: u64,
@@ -43,7 +43,7 @@
     voter: String,
 }
 
-/// A version and its digest.
+/// A version with its digest.
 #[derive(Clone)]
 struct KnownVersion {
     version: Arc<ConfigVersion>,
@@ -62,7 +62,7 @@
     incarnation: u64,
     rng: Pcg64Mcg,
     next_id: u64,
-    /// In the order in which they were sent.
+    /// Pending requests in the order in which they were sent.
     pending: Vec<PendingRequest>,
     next_request_at: f64,
     voters: VoterSelection,
@@ -70,7 +70,7 @@
     epoch: u64,
     /// Keys of version extensions that this build implements.
     known_keys: Vec<String>,
-    /// Of the last grant that was adopted.
+    /// Index of the last grant that was adopted.
     index: u64,
     active: Option<KnownVersion>,
     proposed: Option<KnownVersion>,
@@ -85,7 +85,7 @@
 }
 
 impl LeaseClient {
-    /// `now`: own monotonic clock; `seed`: another one at each start of the process.
+    /// Creates a client. `now` is the broker's own monotonic clock; `seed` has to differ at each start of the process.
     pub fn new(config: ConsensusConfig, persisted: Option<PersistedState>, now: f64, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let incarnation = rng.random();
@@ -118,7 +118,7 @@
         client
     }
 
-    /// Adopts what was known before the restart, without a lease. Whatever does not prove any more is left out.
+    /// Adopts what was known before the restart, without a lease. Versions that no longer validate are left out.
     fn restore(&mut self, persisted: PersistedState) {
         self.voters.set_agreed(persisted.voters, persisted.voters_number);
         (self.fleet_id, self.epoch) = (persisted.fleet_id, persisted.epoch);
@@ -144,24 +144,25 @@
         self.snapshot.side = RolloutSide::Joint;
     }
 
-    /// Whether this broker's nodes are overloaded; sent with the next request.
+    /// Sets whether this broker's nodes are overloaded; the next request reports it.
     pub fn set_overloaded(&mut self, overloaded: bool) {
         self.overloaded = overloaded;
     }
 
-    /// Demand for fleet-wide quotas, sent with each request; `None` where the file shares none.
+    /// Sets the demand for fleet-wide quotas, which each request reports; `None` if the file shares no quota.
     pub fn set_demand_report(&mut self, demand: Option<DemandReport>) {
         self.demand = demand;
     }
 
-    /// Which voter to ask and what, when it is time. To be called at least ten times a lease.
+    /// Returns the voter to ask and the request when one is due. The caller has to call this at least ten times a
+    /// lease.
     pub fn tick(&mut self, now: f64) -> Option<(String, LeaseRequest)> {
         self.observe_clock(now);
         if now < self.next_request_at || self.config.voters.is_empty() {
             return None;
         }
         if let Some(last) = self.pending.last() {
-            // It has not replied in time; the next voter forwards the request if it does not lead.
+            // The voter has not replied in time; the next voter forwards the request if it does not lead.
             self.voters.mark_unresponsive(now, &last.voter);
         }
         let retry = RETRY_LEASE_RATIO * (1.0 + self.rng.random::<f64>());
@@ -203,7 +204,7 @@
         self.proposed.as_ref().map(|known| known.version.number)
     }
 
-    /// The request to `voter` could not be sent, or failed.
+    /// Records that the request to `voter` could not be sent, or failed.
     pub fn request_failed(&mut self, now: f64, voter: &str) {
         self.observe_clock(now);
         self.voters.mark_unresponsive(now, voter);
@@ -228,15 +229,15 @@
         self.refresh();
     }
 
-    /// Why no lease is accepted any more, if so: to be shown, and resolved by a person.
+    /// Why no lease is accepted any more, if that is so. It has to be shown, and resolved by a person.
     pub fn distrust_reason(&self) -> Option<&Rejection> {
         self.clock.distrust_reason()
     }
 
-    /// Takes a reply; nothing of it is adopted if any of it is not valid.
+    /// Handles a reply. Nothing of it is adopted if any part of it is invalid.
     ///
     /// # Errors
-    /// Why it is not adopted.
+    /// The reason for which the reply is not adopted.
     pub fn handle_reply(&mut self, now: f64, _from: &str, reply: LeaseReply) -> Result<(), Rejection> {
         self.observe_clock(now);
         let is_for_us = reply.incarnation == self.incarnation;
@@ -254,7 +255,7 @@
                 return Err(Rejection::NotAVoter(voter));
             }
         };
-        // Earlier requests are overtaken.
+        // This reply supersedes earlier requests.
         let Some(request) = self.pending.drain(..=position).next_back() else {
             return Err(Rejection::UnexpectedReply(reply.id));
         };
@@ -267,7 +268,7 @@
         self.voters.granted(now, &grant.leader, request.voter);
         let became_joint = self.joint_version().is_some() && self.joint_version() != joint_before;
         self.next_request_at = if became_joint {
-            // The leader waits to hear that this broker is joint.
+            // The leader waits for the report that this broker is joint.
             now
         } else {
             request.sent_at + self.config.lease_seconds * RENEWAL_LEASE_RATIO
@@ -276,7 +277,7 @@
         Ok(())
     }
 
-    /// The voter of a request that was not granted.
+    /// Drops a request that was not granted, and returns its voter.
     fn drop_refused(&mut self, now: f64, position: usize) -> String {
         let voter = self.pending.remove(position).voter;
         self.voters.forget_leader();
@@ -291,10 +292,10 @@
             return Err(Rejection::OtherFleet);
         }
         if grant.epoch < self.epoch {
-            return Err(Rejection::StaleEpoch { said: grant.epoch, known: self.epoch });
+            return Err(Rejection::StaleEpoch { stated: grant.epoch, known: self.epoch });
         }
         if grant.index < self.index {
-            return Err(Rejection::StaleReply { said: grant.index, known: self.index });
+            return Err(Rejection::StaleReply { stated: grant.index, known: self.index });
         }
         let sample = ClockSample::new(grant, sent_at);
         let was_trusted = self.clock.trusts(&sample);
@@ -305,7 +306,8 @@
         checked
     }
 
-    /// A lease counts from when its request was sent: only then is it certain to end before the leader's wait does.
+    /// Extends the lease. It counts from when its request was sent: only then is it certain to end before the leader's
+    /// wait does.
     fn extend_lease(&mut self, sent_at: f64, lease_seconds: f64) {
         let until = sent_at + lease_seconds.min(self.config.lease_seconds);
         if until > self.snapshot.lease_until {
@@ -321,12 +323,12 @@
         self.active_config = self.snapshot.clone().into_active_config();
     }
 
-    /// What this broker may act on; to be taken anew after each [`Self::handle_reply`] and [`Self::tick`].
+    /// What this broker may act on; it has to be called again after each [`Self::handle_reply`] and [`Self::tick`].
     pub fn active_config(&self) -> ActiveConfig {
         self.active_config.taken_at(self.clock.last())
     }
 
-    /// For the folder.
+    /// The state to be stored in the folder.
     pub fn persisted_state(&self) -> PersistedState {
         let known = self.active.iter().chain(&self.proposed);
         PersistedState {
@@ -340,7 +342,7 @@
         }
     }
 
-    /// Changes whenever [`Self::persisted_state`] does.
+    /// The revision of [`Self::persisted_state`], which changes whenever that does.
     pub fn persisted_revision(&self) -> PersistedRevision {
         PersistedRevision {
             active: self.active_config.active_number(),
@@ -350,42 +352,42 @@
         }
     }
 
-    /// Settlement entries that were committed and have not been taken from here yet, in their order.
+    /// Takes the committed settlement entries that have not been taken yet, in their order.
     pub fn take_settlement_updates(&mut self) -> Vec<SettlementUpdate> {
         std::mem::take(&mut self.settlement_updates)
     }
 
-    /// So many settlement entries are known from before, or from elsewhere.
+    /// Sets the number of settlement entries that are known from before, or from another source.
     pub fn set_known_settlements(&mut self, count: u64) {
         self.known_settlements = count;
     }
 
-    /// Names of the voters: as agreed, or as the file states while nothing is known of that.
+    /// Names of the voters: those of the committed list, or those of the file while no committed list is known.
     pub fn voters(&self) -> Vec<String> {
         self.voters.names()
     }
 
-    /// Number of the agreed list of voters.
+    /// Number of the committed list of voters.
     pub fn voters_number(&self) -> u64 {
         self.voters.number()
     }
 
-    /// The agreed voters, if this broker's file names others.
+    /// The committed voters, if this broker's file names others.
     pub fn voters_unlike_file(&self) -> Option<&[VoterInfo]> {
         self.voters.unlike_file()
     }
 
-    /// Who led at the last reply.
+    /// Name of the leader as of the last reply.
     pub fn leader(&self) -> Option<&str> {
         self.voters.leader()
     }
 
-    /// Drawn at the start of the process.
+    /// Random number drawn at the start of the process.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Makes this a later build for tests: it implements these keys, too.
+    /// Turns this into a later build for tests, which also implements these keys.
     #[doc(hidden)]
     pub fn add_known_keys(&mut self, keys: &[&str]) {
         self.known_keys.extend(keys.iter().map(ToString::to_string));
--- a/crates/dunepond-consensus/src/lease_client/voter_selection.rs
+++ b/crates/dunepond-consensus/src/lease_client/voter_selection.rs
@@ -1,35 +1,35 @@
-//! Which voter is asked next.
+//! Selection of the voter that is asked next.
 
 use std::collections::BTreeMap;
 
 use crate::{ConsensusConfig, VoterInfo};
 
-/// Leases for which a voter that did not reply is asked only if no other is left.
+/// Number of leases for which a voter that did not reply is asked only if no other is left.
 const AVOIDANCE_LEASES: f64 = 10.0;
-/// Voters that are remembered from the reply of a former voter.
+/// Largest number of voters that are remembered from the reply of a former voter.
 const MAX_HINT_COUNT: usize = 16;
 
 pub(super) struct VoterSelection {
-    /// Of the operator's file.
+    /// Voters in the operator's file.
     configured: Vec<String>,
-    /// As committed; empty while nothing is known of that.
+    /// Voters of the committed list; empty while none is known.
     agreed: Vec<VoterInfo>,
-    /// Of the agreed list.
+    /// Number of the committed list.
     number: u64,
-    /// Whom a former voter named.
+    /// Voters that a former voter named.
     hints: Vec<String>,
     /// The leader, or a voter that forwards to it.
     preferred: Option<String>,
     leader: Option<String>,
-    /// Voters that did not reply, and when.
+    /// Voters that did not reply, with the time of the request that failed.
     unresponsive: BTreeMap<String, f64>,
-    /// Rotates through the voters while none is preferred.
-    turn: usize,
+    /// Counter that rotates through the voters while none is preferred.
+    rotation: usize,
     avoidance_seconds: f64,
 }
 
 impl VoterSelection {
-    pub fn new(config: &ConsensusConfig, turn: usize) -> Self {
+    pub fn new(config: &ConsensusConfig, rotation: usize) -> Self {
         Self {
             configured: config.voters.clone(),
             agreed: Vec::new(),
@@ -38,7 +38,7 @@
             preferred: None,
             leader: None,
             unresponsive: BTreeMap::new(),
-            turn,
+            rotation,
             avoidance_seconds: AVOIDANCE_LEASES * config.lease_seconds,
         }
     }
@@ -47,7 +47,7 @@
         (self.agreed, self.number) = (agreed, number);
     }
 
-    /// Hints say where to ask, no more: a grant from there has to be valid by itself.
+    /// Sets voters to ask. A hint only says where to ask: a grant from there has to be valid by itself.
     pub fn set_hints(&mut self, voters: Vec<VoterInfo>) {
         self.hints = voters.into_iter().map(|voter| voter.name).take(MAX_HINT_COUNT).collect();
     }
@@ -56,17 +56,18 @@
         if let Some(voter) = &self.preferred {
             return voter.clone();
         }
-        // Those of the file only where no agreed one replies: the voters may have changed while this broker was cut off.
+        // Voters of the file are asked only if no committed voter replies: the voters may have changed while this
+        // broker was cut off.
         let agreed: Vec<&String> = self.agreed.iter().map(|voter| &voter.name).collect();
         let others = self.configured.iter().chain(&self.hints);
         let others: Vec<&String> = others.filter(|name| !agreed.contains(name)).collect();
         let responsive = |voters: &[&String]| {
-            let mut in_turn = (0..voters.len()).map(|n| voters[(self.turn + n) % voters.len()]);
+            let mut in_turn = (0..voters.len()).map(|n| voters[(self.rotation + n) % voters.len()]);
             in_turn.find(|voter| !self.is_unresponsive(now, voter)).cloned()
         };
         responsive(&agreed).or_else(|| responsive(&others)).unwrap_or_else(|| {
             let all: Vec<&String> = agreed.iter().chain(&others).copied().collect();
-            all[self.turn % all.len()].clone()
+            all[self.rotation % all.len()].clone()
         })
     }
 
@@ -79,10 +80,10 @@
         if self.preferred.as_deref() == Some(voter) {
             self.preferred = None;
         }
-        self.turn += 1;
+        self.rotation += 1;
     }
 
-    /// A lease of `leader` came by way of the voter `via`.
+    /// Records that a lease of `leader` was granted through the voter `via`.
     pub fn granted(&mut self, now: f64, leader: &str, via: String) {
         self.unresponsive.remove(&via);
         self.leader = Some(leader.to_string());
@@ -107,7 +108,7 @@
         self.number
     }
 
-    /// As agreed, or as the file states while nothing is known of that.
+    /// Names of the committed voters, or those of the file while no committed list is known.
     pub fn names(&self) -> Vec<String> {
         if self.agreed.is_empty() {
             return self.configured.clone();
@@ -115,7 +116,7 @@
         self.agreed.iter().map(|voter| voter.name.clone()).collect()
     }
 
-    /// The agreed voters, if the file names others.
+    /// The committed voters, if the file names others.
     pub fn unlike_file(&self) -> Option<&[VoterInfo]> {
         let same = self.agreed.len() == self.configured.len()
             && self.agreed.iter().all(|voter| self.configured.contains(&voter.name));
--- a/crates/dunepond-consensus/src/lease_messages.rs
+++ b/crates/dunepond-consensus/src/lease_messages.rs
@@ -10,31 +10,32 @@
 /// A broker's request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Counts the requests of a run.
+    /// Number of the request within the broker's run.
     pub id: u64,
     /// Name of the broker.
     pub broker: String,
-    /// On the broker's clock. Echoed, but not trusted when it comes back.
+    /// When the request was sent, in seconds on the broker's clock. The reply echoes it, and the broker does not trust
+    /// the echo.
     #[serde(rename = "sent")]
     pub sent_at: f64,
-    /// Number and digest of the versions whose documents it has.
+    /// Number and digest of each version whose document the broker has.
     #[serde(rename = "knows")]
     pub known_versions: Vec<(u64, String)>,
-    /// It acts on the joint step towards this version.
+    /// Number of the version towards which the broker acts on the joint step.
     #[serde(rename = "joint")]
     pub joint_version: Option<u64>,
-    /// Drawn at each start of the process.
+    /// Random number drawn at each start of the process.
     pub incarnation: u64,
-    /// How many settlement entries it has.
+    /// Number of settlement entries that the broker has.
     #[serde(rename = "debts")]
     pub known_settlements: u64,
-    /// Its demand for fleet-wide quotas; `None` where its file shares none.
+    /// The broker's demand for fleet-wide quotas; `None` if its file shares no quota.
     #[serde(rename = "limits")]
     pub demand: Option<DemandReport>,
-    /// A follower has forwarded it to the leader; that happens once.
+    /// Whether a follower has already forwarded the request to the leader; a request is forwarded only once.
     #[serde(rename = "passed")]
     pub forwarded: bool,
-    /// Its nodes are overloaded: rebalancing pauses where many brokers say so.
+    /// Whether the broker's nodes are overloaded; rebalancing pauses if many brokers report it.
     #[serde(rename = "pressed")]
     pub overloaded: bool,
 }
@@ -42,104 +43,104 @@
 /// The reply to a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseReply {
-    /// Of the request.
+    /// Id of the request.
     pub id: u64,
-    /// Of the request.
+    /// Incarnation in the request.
     pub incarnation: u64,
-    /// Of the request.
+    /// The `sent_at` of the request.
     #[serde(rename = "sent")]
     pub sent_at: f64,
-    /// What became of the request.
+    /// The outcome of the request.
     pub answer: LeaseAnswer,
 }
 
-/// What became of a [`LeaseRequest`].
+/// The outcome of a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LeaseAnswer {
-    /// A lease on the state that was committed when the request came.
+    /// A lease on the state that was committed when the request arrived.
     Granted(Box<LeaseGrant>),
-    /// The receiver does not vote any more; whom to ask instead, as far as it knows.
+    /// The receiver is no longer a voter; the list names the voters to ask instead, as far as it knows them.
     #[serde(rename = "NoVoter")]
     NotAVoter(Vec<VoterInfo>),
     /// The receiver knows no leader, or stopped leading while the request was pending.
     NoLeader,
 }
 
-/// The replicated state, as a quorum confirmed it after the request came.
+/// The replicated state as a quorum confirmed it after the request arrived.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// Duration, from when the request was sent, on the broker's clock.
+    /// Duration of the lease in seconds, counted on the broker's clock from when the request was sent.
     #[serde(rename = "lease")]
     pub lease_seconds: f64,
-    /// Parts of this reply that format 1 did not have and without which it must not be acted on.
+    /// Parts of this reply that format 1 does not have and without which a broker must not act on it.
     #[serde(default)]
     #[serde(rename = "must")]
     pub required_parts: Vec<String>,
-    /// Drawn as the fleet was founded; 0: by a build that drew none.
+    /// Random id drawn when the fleet was founded; 0 if the founding build drew none.
     #[serde(default)]
     #[serde(rename = "fleet")]
     pub fleet_id: u64,
-    /// How often the fleet was recovered without a majority.
+    /// Number of times that the fleet was recovered without a majority.
     #[serde(default)]
     pub epoch: u64,
-    /// Index in the log.
+    /// Index in the log up to which the state is applied.
     pub index: u64,
-    /// Number and digest of the active version.
+    /// Number and digest of the active version, if there is one.
     #[serde(rename = "in_force")]
     pub active: Option<(u64, String)>,
-    /// The proposed version.
+    /// The proposed version, if there is one.
     #[serde(rename = "open")]
     pub proposed: Option<ProposedVersion>,
-    /// Highest number ever proposed.
+    /// Highest version number ever proposed.
     #[serde(rename = "highest")]
     pub highest_number: u64,
-    /// Versions may have a map.
+    /// Whether versions may have a map.
     #[serde(rename = "maps")]
     pub maps_enabled: bool,
-    /// The voters in force.
+    /// The voters of the list in force.
     pub voters: Vec<VoterInfo>,
-    /// Number of their list.
+    /// Number of the list of voters in force.
     #[serde(rename = "voting")]
     pub voters_number: u64,
-    /// Documents that the request does not list.
+    /// Documents of versions that the request does not list.
     pub documents: Vec<Arc<ConfigVersion>>,
-    /// Fills that count for the active map: segment and node.
+    /// Completed fills that count for the active map, as segment and node.
     #[serde(rename = "done")]
     pub completed_fills: Vec<(u64, String)>,
-    /// Settlement entries that the broker lacks, some at a time.
+    /// Settlement entries that the broker lacks; a limited number in each reply.
     #[serde(rename = "debts")]
     pub settlements: SettlementUpdate,
-    /// Its shares of fleet-wide quotas.
+    /// The broker's shares of fleet-wide quotas, if it has any.
     #[serde(rename = "limits")]
     pub quota: Option<Allocation>,
     /// Name of the leader.
     pub leader: String,
-    /// Drawn at each start of the leader.
+    /// Random number drawn at each start of the leader.
     #[serde(rename = "run")]
     pub leader_run: u64,
-    /// When the request came, on the leader's clock.
+    /// When the request arrived, in seconds on the leader's clock.
     #[serde(rename = "heard")]
     pub received_at: f64,
 }
 
-/// The version that is proposed.
+/// The proposed version, as a grant names it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProposedVersion {
-    /// Its number.
+    /// Number of the version.
     pub number: u64,
-    /// Its digest.
+    /// Digest of the version.
     pub digest: String,
-    /// How far its rollout is.
+    /// Progress of its rollout.
     pub step: RolloutStep,
 }
 
 impl LeaseRequest {
-    /// Encodes it for another broker.
+    /// Encodes the request for another broker.
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
 
-    /// `None` if the bytes are malformed.
+    /// Decodes a request; `None` if the bytes are malformed.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         codec::decode(bytes)
     }
@@ -154,18 +155,18 @@
         Self { id: request.id, incarnation: request.incarnation, sent_at: request.sent_at, answer }
     }
 
-    /// Encodes it for another broker.
+    /// Encodes the reply for another broker.
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
 
-    /// `None` if the bytes are malformed.
+    /// Decodes a reply; `None` if the bytes are malformed.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         codec::decode(bytes)
     }
 }
 
-/// Who grants a lease, and when its request came.
+/// The voter that grants a lease, and when the request arrived there.
 pub(crate) struct Grantor {
     pub leader: String,
     pub leader_run: u64,
--- a/crates/dunepond-consensus/src/lib.rs
+++ b/crates/dunepond-consensus/src/lib.rs
@@ -1,5 +1,5 @@
-//! Consensus on the versioned configuration of a fleet: what a version is, which broker may act on which version until
-//! when. Pure: no socket, no file, no clock.
+//! Consensus on the versioned configuration of a fleet: which versions there are, and which broker may act on which
+//! version until when. The crate is pure: it uses no socket, file or clock.
 //!
 //! A [`Voter`] replicates log entries with the other voters through the `raft` library and grants leases. A
 //! [`LeaseClient`], one in every broker, requests leases and turns the replies into an [`ActiveConfig`], which is asked
--- a/crates/dunepond-consensus/src/log_entry.rs
+++ b/crates/dunepond-consensus/src/log_entry.rs
@@ -1,5 +1,5 @@
-//! What an entry of the log holds: a command, or something that voters settle among themselves. The serialised names are
-//! those of the log's format.
+//! Entries of the log: commands, and what voters record among themselves. The serialised names are those of the log's
+//! format.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
 pub(crate) enum LogEntry {
     #[serde(rename = "Entry")]
     Command(Command),
-    /// The new leader's file states other terms than those in force.
+    /// The configuration in the new leader's file differs from the one in force and replaces it.
     #[serde(rename = "Terms")]
     Config(ConsensusConfig),
     /// The first stage of the proposed version begins.
@@ -18,7 +18,7 @@
     /// The rollback of a staged version is complete.
     #[serde(rename = "Returned")]
     RollbackCompleted { number: u64 },
-    /// Identity of a voter's folder, as last seen.
+    /// Records the identity of a voter's folder as it was last seen.
     #[serde(rename = "Seat")]
     VoterSlot {
         voter: String,
@@ -33,13 +33,14 @@
     ResumeLeases { epoch: u64 },
 }
 
-/// What makes the pending list of voters take effect; committed together with the raft library's own membership change.
+/// The change by which the pending list of voters takes effect. It is committed together with the raft library's own
+/// membership change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct VoterReplacement {
     pub number: u64,
     #[serde(rename = "joins")]
     pub joining: Option<(String, VoterSlot)>,
-    /// With the id of its folder, if it has one.
+    /// Name of the leaving voter and the id of its folder, if it has one.
     #[serde(rename = "leaves")]
     pub leaving: Option<(String, Option<u64>)>,
 }
--- a/crates/dunepond-consensus/src/log_storage.rs
+++ b/crates/dunepond-consensus/src/log_storage.rs
@@ -1,4 +1,4 @@
-//! The log as the raft library reads it: in memory, each change also collected for the folder.
+//! The log as the raft library reads it. It is held in memory, and each change is also collected for the folder.
 
 use protobuf::Message;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
@@ -22,17 +22,17 @@
 pub(crate) struct LogStorage {
     hard_state: HardState,
     conf_state: ConfState,
-    /// Empty at index 0.
+    /// The last snapshot; it is empty at index 0.
     snapshot: Snapshot,
-    /// Without a gap, the first one right after `compacted`.
+    /// Entries without a gap; the first one directly follows `compacted`.
     entries: Vec<Entry>,
-    /// Position before the first entry; at the snapshot or earlier.
+    /// Position before the first entry, which is at the snapshot or earlier.
     compacted: LogPosition,
-    /// Changes since [`LogStorage::take_batch`].
+    /// Changes since the last [`LogStorage::take_batch`].
     batch: WriteBatch,
 }
 
-/// Whether a snapshot is taken whatever the length of the log.
+/// Whether a snapshot is taken regardless of the length of the log.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum SnapshotPolicy {
     WhenLong,
@@ -70,7 +70,7 @@
             }
             log.entries.push(entry);
         }
-        // Entries that this voter has acknowledged are gone: it must not vote as if it had never seen them.
+        // Entries that this voter has acknowledged are missing: it must not vote as if it had never seen them.
         if log.hard_state.commit > log.end() {
             return Err(ConsensusError::CorruptLog("lost entries that were committed"));
         }
@@ -88,7 +88,7 @@
         self.entries.last().map_or(self.compacted.index, |entry| entry.index)
     }
 
-    /// Index and data of the last snapshot; index 0 if there is none.
+    /// Index and data of the last snapshot; the index is 0 if there is none.
     pub fn last_snapshot(&self) -> (u64, &[u8]) {
         (self.snapshot.get_metadata().index, self.snapshot.get_data())
     }
@@ -107,7 +107,7 @@
         self.conf_state = conf_state;
     }
 
-    /// Replaces what stands from the first of `entries` on.
+    /// Replaces the log from the index of the first of `entries` on.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         self.entries.truncate(self.offset(first.index));
@@ -121,7 +121,7 @@
         (index - self.compacted.index - 1) as usize
     }
 
-    /// A snapshot from the leader replaces everything.
+    /// Replaces everything by a snapshot from the leader.
     pub fn restore(&mut self, snapshot: Snapshot) {
         let meta = snapshot.get_metadata();
         self.compacted = LogPosition { index: meta.index, term: meta.term };
@@ -136,8 +136,8 @@
         self.snapshot = snapshot;
     }
 
-    /// Takes a snapshot of the applied state if the log is long, or `Now`, as when the voters changed: a new voter accepts
-    /// no snapshot in which it is not listed.
+    /// Takes a snapshot of the applied state if the log is long, or in any case with `Now`. `Now` is for a change of
+    /// voters: a new voter accepts no snapshot in which it is not listed.
     pub fn compact(&mut self, applied: u64, policy: SnapshotPolicy, state: impl FnOnce() -> Vec<u8>) {
         let is_long = applied >= self.snapshot.get_metadata().index + SNAPSHOT_ENTRY_COUNT;
         if policy == SnapshotPolicy::WhenLong && !is_long {
@@ -153,7 +153,7 @@
         self.batch.hard_state = Some(encode(&self.hard_state));
     }
 
-    /// Everything, for a journal that is rewritten.
+    /// The whole content, for a journal that is rewritten.
     pub fn checkpoint(&self) -> WriteBatch {
         let after = self.snapshot.get_metadata().index;
         WriteBatch {
--- a/crates/dunepond-consensus/src/persistence.rs
+++ b/crates/dunepond-consensus/src/persistence.rs
@@ -1,4 +1,4 @@
-//! What voters and brokers store: journal records of a voter, and the state that each broker persists.
+//! Stored documents: journal records of a voter, and the state that each broker persists.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,17 +7,17 @@
 
 use crate::{ConfigVersion, ConsensusError, VoterInfo, codec};
 
-/// What a voter has to store: one record of a journal, read back by [`StoredVoter::apply_record`].
-// postcard: the order of fields is the format.
+/// Changes that a voter has to store as one record of a journal; [`StoredVoter::apply_record`] reads it back.
+// The encoding is postcard, so the order of fields must not change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WriteBatch {
     pub(crate) folder: Option<FolderIdentity>,
     /// The raft library's hard state, if it changed.
     pub(crate) hard_state: Option<Vec<u8>>,
-    /// An entry replaces what was stored from its index on.
+    /// Entries to store; each replaces everything that was stored from its index on.
     pub(crate) entries: Vec<StoredEntry>,
     pub(crate) snapshot: Option<Vec<u8>>,
-    /// The snapshot came from the leader and replaces all entries so far.
+    /// Whether the snapshot came from the leader and replaces all entries so far.
     pub(crate) replaces_entries: bool,
 }
 
@@ -29,38 +29,39 @@
     pub bytes: Vec<u8>,
 }
 
-/// Which folder a voter runs on.
+/// The folder that a voter runs on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FolderIdentity {
     /// Name of the broker.
     pub name: String,
-    /// Drawn when the folder was empty. It is the voter's id in the raft library, so that a voter with another folder is
-    /// another voter, which has promised nothing.
+    /// Random id drawn when the folder was empty. It is the voter's id in the raft library, so that a voter with
+    /// another folder is another voter, which has promised nothing.
     pub id: u64,
-    /// Starts on this folder, this one included.
+    /// Number of starts on this folder, including the present one.
     pub start_count: u64,
-    /// Drawn at this start.
+    /// Random number drawn at this start.
     pub run_id: u64,
 }
 
-/// The content of a voter's folder, put together from its records.
+/// The content of a voter's folder, assembled from its records.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredVoter {
     pub(crate) folder: Option<FolderIdentity>,
     pub(crate) hard_state: Option<Vec<u8>>,
-    /// Term and bytes, by index.
+    /// Term and bytes of each entry, by index.
     pub(crate) entries: BTreeMap<u64, (u64, Vec<u8>)>,
     pub(crate) snapshot: Option<Vec<u8>>,
 }
 
-/// What every broker persists, so that a restart without a reachable voter knows the strictest of it.
+/// The state that every broker persists, so that it can apply the strictest known rules after a restart without a
+/// reachable voter.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PersistedState {
-    /// Active and proposed.
+    /// The active and the proposed version, as far as known.
     pub(crate) versions: Vec<Arc<ConfigVersion>>,
     #[serde(rename = "in_force")]
     pub(crate) active_number: u64,
-    /// Segment and node.
+    /// Completed fills, as segment and node.
     #[serde(rename = "done")]
     pub(crate) completed_fills: Vec<(u64, String)>,
     pub(crate) voters: Vec<VoterInfo>,
@@ -74,29 +75,30 @@
 }
 
 impl WriteBatch {
-    /// Nothing has to be stored.
+    /// Whether there is nothing to store.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// A journal record.
+    /// Encodes the batch as a journal record.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("plain data")
     }
 
-    /// It holds a whole snapshot: the journal may be rewritten with [`crate::Voter::checkpoint`] as its only record.
+    /// Whether the batch holds a whole snapshot, so that the journal may be rewritten with [`crate::Voter::checkpoint`]
+    /// as its only record.
     pub fn is_checkpoint(&self) -> bool {
         self.snapshot.is_some()
     }
 }
 
 impl StoredVoter {
-    /// An empty folder.
+    /// The content of an empty folder.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds the next record of the journal.
+    /// Applies the next record of the journal.
     ///
     /// # Errors
     /// The record is malformed.
@@ -109,7 +111,7 @@
 
     fn apply(&mut self, batch: WriteBatch) {
         if let Some(folder) = batch.folder {
-            // Another folder is another voter: nothing of the previous one counts.
+            // A folder with another id is another voter, so nothing of the previous one counts.
             if self.folder.as_ref().is_some_and(|previous| previous.id != folder.id) {
                 *self = Self::default();
             }
@@ -132,7 +134,7 @@
 }
 
 impl PersistedState {
-    /// A document for the folder.
+    /// Encodes the state as a document for the folder.
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
--- a/crates/dunepond-consensus/src/recovery_order.rs
+++ b/crates/dunepond-consensus/src/recovery_order.rs
@@ -1,19 +1,19 @@
-//! An operator's order to continue without a majority that is lost for good, and why it may not fit.
+//! An operator's order to continue without a majority that is lost for good, and the reasons for which it is rejected.
 
 use serde::{Deserialize, Serialize};
 
-/// The sentence that an operator has to write, word by word.
+/// The sentence that an operator has to write word for word.
 pub const RECOVERY_CONFIRMATION: &str =
     "what the lost voters alone agreed on is gone, and they must never come back with their folders";
 
-/// The operator's order. It fits one folder at one position of its log and no other.
+/// The operator's order. It is valid for one folder at one position of its log and for no other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecoveryOrder {
-    /// As the log of the voter's start says.
+    /// Id of the folder, as the voter logs it at its start.
     #[serde(rename = "folder")]
     pub folder_id: u64,
-    /// As the log of the voter's start says.
+    /// Last index of the folder's log, as the voter logs it at its start.
     #[serde(rename = "last")]
     pub last_index: u64,
     /// Names of the voters that are given up.
@@ -22,7 +22,7 @@
     /// The highest version number that any broker's log names.
     #[serde(rename = "highest")]
     pub highest_number: u64,
-    /// [`RECOVERY_CONFIRMATION`].
+    /// Confirmation by the operator; it has to equal [`RECOVERY_CONFIRMATION`].
     #[serde(rename = "word")]
     pub confirmation: String,
 }
@@ -30,57 +30,57 @@
 /// Why a folder is not recovered by an operator's order.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RecoveryError {
-    /// There is nothing to continue from.
+    /// The folder holds no state from which a fleet could continue.
     #[error("the folder holds no state of a fleet")]
     NoState,
     /// The order names another folder.
-    #[error("the order is for folder {said}, this is {is}")]
+    #[error("the order is for folder {stated}, this is {actual}")]
     WrongFolder {
-        /// In the order.
-        said: u64,
-        /// In the folder.
-        is: u64,
+        /// Id in the order.
+        stated: u64,
+        /// Id of the folder.
+        actual: u64,
     },
-    /// The order names another last position.
-    #[error("the order is for a log up to {said}, the folder's goes up to {is}")]
+    /// The order names another last index.
+    #[error("the order is for a log up to {stated}, the folder's goes up to {actual}")]
     WrongPosition {
-        /// In the order.
-        said: u64,
-        /// In the folder.
-        is: u64,
+        /// Index in the order.
+        stated: u64,
+        /// Index in the folder.
+        actual: u64,
     },
-    /// A lost voter is none.
+    /// A voter that the order gives up is not a voter.
     #[error("`{0}` is no voter by the folder")]
     NotAVoter(String),
-    /// The order gives up the voter that would continue.
+    /// The order gives up the voter that would have to continue.
     #[error("the order gives up this voter itself")]
     OwnVoter,
-    /// A majority is left, which needs no order.
+    /// The remaining voters are a majority, which needs no order.
     #[error("the order gives up {lost} of {of} voters, and the others are a majority")]
     MajorityRemains {
-        /// Given up.
+        /// Number of voters that the order gives up.
         lost: usize,
-        /// All voters.
+        /// Number of all voters.
         of: usize,
     },
     /// The folder has seen a higher version.
-    #[error("the highest version is {said}, the folder has {is}")]
+    #[error("the highest version is {stated}, the folder has {actual}")]
     VersionTooLow {
-        /// In the order.
-        said: u64,
-        /// In the folder.
-        is: u64,
+        /// Number in the order.
+        stated: u64,
+        /// Number in the folder.
+        actual: u64,
     },
     /// The confirmation is not the required sentence.
     #[error("the word is not \"{RECOVERY_CONFIRMATION}\"")]
     WrongConfirmation,
-    /// The log has an entry of another build.
+    /// The log has an entry that this build does not know.
     #[error("the folder's log has an entry that this build does not know: {0}")]
     UnknownEntry(String),
 }
 
 impl RecoveryError {
-    /// What an operator can do, and what it risks.
+    /// What an operator can do, and which risk it carries.
     pub fn help(&self) -> &'static str {
         match self {
             Self::NoState => {
--- a/crates/dunepond-consensus/src/rejection.rs
+++ b/crates/dunepond-consensus/src/rejection.rs
@@ -1,49 +1,49 @@
-//! Why a command, a version or a lease reply is not accepted.
+//! Reasons for which a command, a version or a lease reply is not accepted.
 
 use dunepond_quota::QuotaError;
 use dunepond_rebalance::RebalanceError;
 use dunepond_settlement::SettlementError;
 use dunepond_shard_map::MapFault;
 
-/// Faults of a map that an error message shows.
+/// Number of faults of a map that an error message lists.
 const SHOWN_FAULT_COUNT: usize = 3;
 
-/// Something was not accepted; nothing changed by it.
+/// Why something was not accepted; nothing changed because of it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Rejection {
-    /// Proposed at a follower.
+    /// The command was proposed at a follower.
     #[error("this broker is not the leader; leader: {0:?}")]
     NotLeader(Option<String>),
-    /// One change at a time.
+    /// Another change is open; only one is allowed at a time.
     #[error("version {open} is proposed and not yet active or withdrawn")]
     ChangeOpen {
         /// Number of the proposed version.
         open: u64,
     },
-    /// Numbers are consecutive and never reused.
+    /// The version's number is not the next one; numbers are consecutive and never reused.
     #[error("version {given} was proposed, the next number is {expected}")]
     WrongNumber {
-        /// As proposed.
+        /// Number of the proposed version.
         given: u64,
-        /// The next one.
+        /// The next number.
         expected: u64,
     },
-    /// The version was made from another one than the active one.
+    /// The version is based on another version than the active one.
     #[error("the version is based on {given}, and {in_force} is active")]
     WrongBase {
-        /// As proposed.
+        /// Number on which the proposed version is based.
         given: u64,
-        /// The active one.
+        /// Number of the active version.
         in_force: u64,
     },
     /// A rule is out of range.
     #[error("rules: `{key}` is {value}, expected {expected}")]
     InvalidRule {
-        /// In the operator's file.
+        /// Key in the operator's file.
         key: &'static str,
-        /// As proposed.
+        /// Value that was proposed.
         value: f64,
-        /// Valid values.
+        /// Description of the valid values.
         expected: &'static str,
     },
     /// The ratio of the first stage is out of range.
@@ -52,16 +52,16 @@
     /// The shard map is invalid, or there is no safe transition to it.
     #[error("the map is invalid: {}", list(.0))]
     InvalidMap(Vec<MapFault>),
-    /// The fleet runs without maps.
+    /// The version has a map, and the fleet runs without maps.
     #[error("the version has a map, and the fleet's configuration has none")]
     MapsDisabled,
-    /// A map cannot be taken away.
+    /// The version has no map, and the active one has; a map cannot be taken away.
     #[error("version {0} has no map, the active one has")]
     MapDropped(u64),
-    /// An owner is excluded by the same version.
+    /// The same version excludes the owner of a segment.
     #[error("segment {segment}: owner `{owner}` is draining or removed by the same version")]
     OwnerExcluded {
-        /// Id.
+        /// Id of the segment.
         segment: u64,
         /// Name of the node.
         owner: String,
@@ -69,33 +69,33 @@
     /// The change touches too many segments.
     #[error("{changed} of {of} segments change, at most a ratio of {most} may at once")]
     TooManySegments {
-        /// By this change.
+        /// Number of segments that the change touches.
         changed: usize,
-        /// All segments.
+        /// Number of all segments.
         of: usize,
-        /// Ratio that is allowed.
+        /// Largest ratio of segments that one change may touch.
         most: f64,
     },
-    /// The command is about a version that is not proposed now.
+    /// The command refers to a version that is not the proposed one.
     #[error("version {0} is not the proposed one")]
     NotProposed(u64),
     /// Only the leader's clock decides when a version is activated.
     #[error("only the leader may activate version {0}")]
     LeaderOnly(u64),
     /// Required fills are missing.
-    #[error("{left} fills of version {number} are missing")]
+    #[error("{missing} fills of version {number} are missing")]
     FillsMissing {
-        /// Of the proposed version.
+        /// Number of the proposed version.
         number: u64,
-        /// Missing fills.
-        left: usize,
+        /// Number of missing fills.
+        missing: usize,
     },
-    /// The fill is not required, or completed before.
+    /// The fill is not required, or was already completed.
     #[error("version {number} requires no fill of segment {segment} at `{holder}`")]
     FillNotNeeded {
-        /// Of the proposed version.
+        /// Number of the proposed version.
         number: u64,
-        /// Id.
+        /// Id of the segment.
         segment: u64,
         /// Name of the node.
         holder: String,
@@ -103,71 +103,71 @@
     /// The version is being rolled back.
     #[error("version {0} is being rolled back")]
     RollingBack(u64),
-    /// The settlement was applied before.
+    /// The settlement was already applied.
     #[error("settlement `{0}` is applied already")]
     AlreadySettled(String),
-    /// The entry was applied before.
+    /// The entry was already applied.
     #[error("the entry is applied already")]
     AlreadyApplied,
-    /// By the ledger of accounts between partners.
+    /// The ledger of accounts between partners rejected the entry.
     #[error("{0}")]
     Settlement(SettlementError),
-    /// By the ledger of quotas.
+    /// The ledger of quotas rejected the entry.
     #[error("{0}")]
     Quota(QuotaError),
-    /// By the rebalancing plan.
+    /// The rebalancing plan rejected the entry.
     #[error("{0}")]
     Rebalance(Box<RebalanceError>),
-    /// Too many entries are uncommitted.
+    /// Too many entries are proposed and not yet committed.
     #[error("too many entries are proposed and not yet committed")]
     Busy,
-    /// The configuration of the consensus does not change during a change of version.
+    /// The configuration of the consensus cannot change while a version is proposed.
     #[error("another configuration of the consensus while version {0} is proposed")]
     ConfigWhileOpen(u64),
     /// The list of voters is empty.
     #[error("the list of voters is empty")]
     NoVoters,
-    /// A voter stands in the list twice.
+    /// A voter is listed twice.
     #[error("voter `{0}` is listed twice")]
     DuplicateVoter(String),
-    /// Numbers of lists are consecutive.
+    /// The number of the list is not the next one; numbers of lists are consecutive.
     #[error("the list of voters has number {given}, expected {expected}")]
     WrongVotersNumber {
-        /// As proposed.
+        /// Number of the proposed list.
         given: u64,
-        /// The next one.
+        /// The next number.
         expected: u64,
     },
-    /// The list repeats the one in force.
+    /// The list is the same as the one in force.
     #[error("the list of voters is the active one")]
     VotersUnchanged,
-    /// One change of voters at a time.
+    /// Another list of voters is pending; only one change of voters is allowed at a time.
     #[error("list {number} of voters is pending until its new voter is ready")]
     VotersPending {
-        /// Of the pending list.
+        /// Number of the pending list.
         number: u64,
     },
-    /// More than one voter would join, or leave.
+    /// More than one voter would join, or more than one would leave.
     #[error("voters join ({}) and leave ({}); one may join, one may leave, at once", joins.join(", "), leaves.join(", "))]
     TooManyVoterChanges {
-        /// Names of joining voters.
+        /// Names of the joining voters.
         joins: Vec<String>,
-        /// Names of leaving voters.
+        /// Names of the leaving voters.
         leaves: Vec<String>,
     },
-    /// The list is not the pending one any more.
+    /// The list is no longer the pending one.
     #[error("list {number} of voters is not the pending one")]
     VotersSuperseded {
-        /// Of the list.
+        /// Number of the list.
         number: u64,
     },
-    /// The broker does not vote.
+    /// The broker is not a voter.
     #[error("`{0}` is no voter by the committed list")]
     NotAVoter(String),
     /// This build does not know a required key.
     #[error("version {number}: `{key}` is not known to this build, and is required")]
     UnknownKey {
-        /// Of the version.
+        /// Number of the version.
         number: u64,
         /// Path of the key.
         key: String,
@@ -175,66 +175,66 @@
     /// Another voter's build does not know a required key.
     #[error("version {number}: `{key}` is not known to the build of voter `{voter}`, and is required")]
     UnknownKeyAtVoter {
-        /// Of the version.
+        /// Number of the version.
         number: u64,
         /// Path of the key.
         key: String,
         /// Name of the voter.
         voter: String,
     },
-    /// A log entry of another build.
+    /// A log entry was written by another build, or is malformed.
     #[error("an entry is of a later build, or malformed")]
     UnknownEntry,
     /// This build does not know a required part of a reply.
     #[error("the reply has `{0}`, which is not known to this build, and is required")]
     UnknownPart(String),
-    /// A document differs from the one that was agreed on.
-    #[error("version {number} has the digest {is}, {said} was committed")]
+    /// A document differs from the one that was committed.
+    #[error("version {number} has the digest {actual}, {stated} was committed")]
     DigestMismatch {
-        /// Of the version.
+        /// Number of the version.
         number: u64,
-        /// As agreed on.
-        said: String,
-        /// Of the document.
-        is: String,
+        /// Digest that was committed.
+        stated: String,
+        /// Digest of the document.
+        actual: String,
     },
-    /// The document of a version did not come with the reply.
+    /// The reply refers to a version whose document it does not contain.
     #[error("version {0} was committed, and its document did not come with the reply")]
     MissingDocument(u64),
-    /// The reply is older than one that was accepted.
-    #[error("the reply is about the log up to {said}, this broker knows it up to {known}")]
+    /// The reply is older than one that was already accepted.
+    #[error("the reply is about the log up to {stated}, this broker knows it up to {known}")]
     StaleReply {
-        /// Index in the reply.
-        said: u64,
-        /// Index of this broker.
+        /// Index of the reply.
+        stated: u64,
+        /// Index that this broker knows.
         known: u64,
     },
     /// The reply is from before the fleet was recovered.
-    #[error("the reply is of epoch {said} of the fleet, this broker has heard of {known}")]
+    #[error("the reply is of epoch {stated} of the fleet, this broker has heard of {known}")]
     StaleEpoch {
-        /// Of the reply.
-        said: u64,
-        /// Of this broker.
+        /// Epoch of the reply.
+        stated: u64,
+        /// Epoch that this broker knows.
         known: u64,
     },
-    /// The reply is from a fleet with another founding.
+    /// The reply is from a fleet that was founded separately.
     #[error("the reply is of another fleet")]
     OtherFleet,
     /// Leases from before a recovery may still run.
     #[error("the fleet was recovered by an operator's order, and earlier leases may still run")]
     LeasesSuspended,
-    /// No such request is pending.
+    /// The reply belongs to no pending request.
     #[error("the reply is to request {0}, which is not pending")]
     UnexpectedReply(u64),
-    /// No voter knows a leader.
+    /// No voter that replied knows a leader.
     #[error("no voter that replied knows a leader")]
     NoLeader,
     /// The monotonic clock of this broker went back.
     #[error("the monotonic clock went from {from} back to {to}")]
     ClockWentBack {
-        /// Seconds.
+        /// The earlier reading, in seconds.
         from: f64,
-        /// Seconds.
+        /// The later reading, in seconds.
         to: f64,
     },
     /// The clocks of leader and broker differ by more than the configured drift.
@@ -242,9 +242,9 @@
         "this clock runs too slow by the leader's, or the leader's too fast: {here:.3} s here at most, {there:.3} s there"
     )]
     ClockDrift {
-        /// Seconds that passed here, at most.
+        /// Longest time that may have passed on this broker's clock, in seconds.
         here: f64,
-        /// Seconds that passed at the leader.
+        /// Time that passed on the leader's clock, in seconds.
         there: f64,
     },
 }
@@ -262,7 +262,7 @@
 }
 
 impl Rejection {
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn help(&self) -> &'static str {
         match self {
             Self::NotLeader(_) => "propose at the leader; the broker does so by itself once it knows one",
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -1,6 +1,6 @@
-//! The state machine of the log. Each voter applies the same entries in the same order and judges each by itself, so that
-//! an entry that should not have been proposed is ignored by all alike. No clock is read here: what takes time is the
-//! leader's to wait for. The serialised names are those of the snapshot format.
+//! The state machine of the log. Each voter applies the same entries in the same order and checks each by itself, so
+//! that all voters ignore an entry that should not have been proposed. No clock is read here: waiting is the task of
+//! the leader. The serialised names are those of the snapshot format.
 
 mod quota;
 mod rebalance;
@@ -27,47 +27,47 @@
 pub(crate) use version_change::{ValidatedProposal, validate_proposal, with_completed_fills};
 pub use voter_list::VoterList;
 
-/// What the committed entries add up to.
+/// The state that results from all committed entries.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// Drawn as the fleet was founded; 0: by a build that drew none.
+    /// Random id drawn when the fleet was founded; 0 if the founding build drew none.
     #[serde(default)]
     #[serde(rename = "fleet")]
     pub fleet_id: u64,
-    /// How often the fleet was recovered without a majority.
+    /// Number of times that the fleet was recovered without a majority.
     #[serde(default)]
     pub epoch: u64,
-    /// Leases from before a recovery may still run, so none is granted.
+    /// Whether leases are suspended, because leases from before a recovery may still run.
     #[serde(default)]
     #[serde(rename = "quiet")]
     pub leases_suspended: bool,
-    /// Index in the log up to which everything is applied.
+    /// Index in the log up to which all entries are applied.
     pub index: u64,
-    /// By which all voters judge, whatever their files state.
+    /// The configuration by which all voters check entries, whatever their files state.
     #[serde(rename = "terms")]
     pub config: ConsensusConfig,
-    /// Of all leases that were ever allowed; the quiescence period is computed from it.
+    /// Longest lease that was ever allowed, in seconds; the quiescence period is computed from it.
     #[serde(rename = "longest_lease")]
     pub longest_lease_seconds: f64,
-    /// The active version and its digest.
+    /// The active version and its digest, if there is one.
     #[serde(rename = "in_force")]
     pub active: Option<(Arc<ConfigVersion>, String)>,
-    /// Fills that count for the active map: segment and node.
+    /// Completed fills that count for the active map, as segment and node.
     #[serde(rename = "done")]
     pub completed_fills: BTreeSet<(u64, String)>,
-    /// The proposed version and its progress.
+    /// The proposed version and its progress, if there is one.
     pub open: Option<OpenChange>,
-    /// Highest number ever proposed.
+    /// Highest version number ever proposed.
     #[serde(rename = "highest")]
     pub highest_number: u64,
-    /// The last changes that ended.
+    /// The most recent changes that ended.
     pub history: VecDeque<PastChange>,
-    /// Accounts between partners.
+    /// The log of accounts between partners.
     #[serde(rename = "debts")]
     pub settlements: SettlementLog,
-    /// Who votes.
+    /// The list of voters.
     pub voters: VoterList,
-    /// Identity of each voter's folder.
+    /// Identity of each voter's folder, by the voter's name.
     #[serde(rename = "seats")]
     pub voter_slots: BTreeMap<String, VoterSlot>,
     /// Each broker's shares of fleet-wide quotas.
@@ -75,16 +75,16 @@
     pub quota: QuotaLedger,
     #[serde(rename = "moves")]
     rebalance: PlanProgress,
-    /// Parts that a voter has to know, or else must not take part; none so far.
+    /// Parts that a voter must know to take part; there are none so far.
     #[serde(rename = "must")]
     required_parts: BTreeSet<String>,
-    /// Parts of a later build that need not be known; they stay in each snapshot.
+    /// Parts of a later build that a voter need not know; they stay in each snapshot.
     #[serde(flatten)]
     unknown_parts: BTreeMap<String, ciborium::Value>,
-    /// Of the active map; derived.
+    /// Proof of the active map; derived from it.
     #[serde(skip)]
     proof: Option<VerifiedMap>,
-    /// Of the proposed version; derived.
+    /// Proof of the proposed version's maps; derived from them.
     #[serde(skip)]
     proposal: Option<ValidatedProposal>,
 }
@@ -115,12 +115,12 @@
         }
     }
 
-    /// The data of a snapshot.
+    /// Encodes the state as the data of a snapshot.
     pub(crate) fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
 
-    /// Derives the proofs again. `None` if this build misses a required part, or something does not prove: such a state
+    /// Derives the proofs again. `None` if this build does not know a required part, or a proof fails: such a state
     /// must not be acted on.
     pub(crate) fn with_proofs(mut self) -> Option<Self> {
         if !self.required_parts.is_empty() {
@@ -141,14 +141,14 @@
         Some(self)
     }
 
-    /// The quiescence period, in seconds on the leader's clock from when it saw a change committed, see
-    /// [`ConsensusConfig::quiescence_seconds`]. `own`: the leader's file.
+    /// The quiescence period, in seconds on the leader's clock from when it saw a change committed; see
+    /// [`ConsensusConfig::quiescence_seconds`]. `own` is the configuration in the leader's file.
     pub fn quiescence_seconds(&self, own: &ConsensusConfig) -> f64 {
         let lease = self.longest_lease_seconds.max(own.lease_seconds);
         self.config.quiescence_seconds_for(lease).max(own.quiescence_seconds_for(lease))
     }
 
-    /// Whether the entry would change anything, as things stand.
+    /// Checks whether the entry would change anything in the present state.
     pub(crate) fn check(&self, entry: &LogEntry) -> Result<(), Rejection> {
         match entry {
             LogEntry::Command(command) => self.check_command(command),
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Applies the entry at `index`, or says why it is ignored.
+    /// Applies the entry at `index`, or returns why it is ignored.
     pub(crate) fn apply(&mut self, index: u64, entry: LogEntry) -> Result<StateChange, Rejection> {
         self.index = index;
         if let LogEntry::Command(Command::Propose(version)) = entry {
@@ -210,7 +210,7 @@
         }
     }
 
-    /// After [`Self::check`].
+    /// Applies a command that [`Self::check`] has accepted.
     fn apply_command(&mut self, command: Command) -> Result<StateChange, Rejection> {
         match command {
             Command::Propose(_) => unreachable!("applied by its caller"),
--- a/crates/dunepond-consensus/src/replicated_state/quota.rs
+++ b/crates/dunepond-consensus/src/replicated_state/quota.rs
@@ -1,4 +1,4 @@
-//! Shares of fleet-wide quotas: judged and applied by their ledger.
+//! Shares of fleet-wide quotas, which their ledger checks and applies.
 
 use dunepond_quota::QuotaEntry;
 
--- a/crates/dunepond-consensus/src/replicated_state/rebalance.rs
+++ b/crates/dunepond-consensus/src/replicated_state/rebalance.rs
@@ -6,12 +6,12 @@
 use crate::{ConfigVersion, Rejection};
 
 impl ReplicatedState {
-    /// Progress of the running plan, and the plans that ended.
+    /// Progress of the running plan, and the plans that have ended.
     pub fn rebalance(&self) -> &PlanProgress {
         &self.rebalance
     }
 
-    /// The state in which an entry of a plan is judged.
+    /// The context in which an entry of a plan is checked.
     pub fn rebalance_context(&self) -> RebalanceContext<'_> {
         RebalanceContext {
             open_version: self.open.as_ref().map(|open| open.version.number),
@@ -40,7 +40,7 @@
         Ok(StateChange::Rebalance { plan, status })
     }
 
-    /// While a plan runs only its own steps may change the map.
+    /// Checks that no other version changes the map while a plan runs.
     pub(super) fn check_beside_plan(&self, version: &ConfigVersion) -> Result<(), Rejection> {
         let digest = version.map.as_ref().map(|map| map.digest.as_str());
         let active = self.proof.as_ref().map(|proof| proof.digest());
--- a/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
@@ -1,4 +1,4 @@
-//! Accounts between partners: their ledger, and the last entries for brokers that have most of them.
+//! The ledger of accounts between partners, and its most recent entries for brokers that lack only those.
 
 #[cfg(test)]
 mod tests;
@@ -10,43 +10,44 @@
 
 use crate::Rejection;
 
-/// Entries that are retained for brokers that lag a little; one that lags more gets the whole ledger.
+/// Entries that are retained for brokers that lag a little; a broker that lags more gets the whole ledger.
 const RETAINED_ENTRY_COUNT: usize = 4096;
-/// Entries of one [`SettlementUpdate`].
+/// Largest number of entries in one [`SettlementUpdate`].
 const UPDATE_ENTRY_COUNT: usize = 256;
-/// Settlements of so many versions before the active one are still accepted. A broker that was cut off for longer cannot
-/// settle what it started before; that debt stays open.
+/// Number of versions before the active one whose settlements are still accepted. A broker that was cut off for longer
+/// cannot settle what it started before, and that debt stays open.
 const OPEN_VERSION_COUNT: u64 = 8;
 
-/// An entry as it was applied, and the ledger's floor at that time: whoever applies it after its floor has the same
-/// ledger.
+/// An entry as it was applied, with the ledger's floor at that time. Everyone who applies it after its floor gets the
+/// same ledger.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SettlementRecord {
-    /// Versions below it are closed.
+    /// The ledger's floor: versions below it are closed.
     pub floor: u64,
-    /// The entry.
+    /// The applied entry.
     pub entry: SettlementEntry,
 }
 
-/// A part of the [`SettlementLog`], for a broker that has the rest: first the ledger, if it comes, then the entries.
+/// An excerpt of the [`SettlementLog`] for a broker that has the rest: first the ledger, if it is included, then the
+/// entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SettlementUpdate {
-    /// Entries that were applied before the first one of `entries`.
+    /// Number of entries that were applied before the first one of `entries`.
     pub from: u64,
-    /// Entries that were applied by now.
+    /// Number of entries that have been applied so far.
     pub count: u64,
-    /// Everything before `from`.
+    /// The ledger with everything before `from`, if the broker lacks older entries.
     pub ledger: Option<Box<SettlementLedger>>,
-    /// In their order.
+    /// Entries in the order in which they were applied.
     pub entries: Vec<SettlementRecord>,
 }
 
-/// The ledger, and its last entries.
+/// The ledger, and its most recent entries.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SettlementLog {
-    /// Of all entries so far.
+    /// The ledger with all entries so far.
     pub ledger: SettlementLedger,
-    /// Entries that were ever applied.
+    /// Number of entries that were ever applied.
     pub count: u64,
     last: VecDeque<SettlementRecord>,
 }
@@ -63,7 +64,7 @@
         }
     }
 
-    /// After [`SettlementLog::check`].
+    /// Applies an entry that [`SettlementLog::check`] has accepted.
     pub(crate) fn apply(&mut self, entry: SettlementEntry) {
         let applied = self.ledger.apply(&entry);
         debug_assert_eq!(applied, Ok(ApplyOutcome::New));
@@ -74,12 +75,12 @@
         }
     }
 
-    /// Closes versions that are too old, as another one is active.
+    /// Closes versions that are too old, after another version became active.
     pub(crate) fn close_old_versions(&mut self, active_number: u64) {
         self.ledger.close(active_number.saturating_sub(OPEN_VERSION_COUNT));
     }
 
-    /// For a broker that has the first `known` entries, some at a time.
+    /// The update for a broker that has the first `known` entries; a limited number of entries at a time.
     pub fn updates_after(&self, known: u64) -> SettlementUpdate {
         let first_retained = self.count - self.last.len() as u64;
         // A broker that has more entries than exist had them from another fleet.
--- a/crates/dunepond-consensus/src/replicated_state/state_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/state_change.rs
@@ -1,8 +1,8 @@
-//! What an entry changed.
+//! The changes that applied entries make.
 
 use dunepond_settlement::SettlementEntry;
 
-/// What an applied entry changed.
+/// The change that an applied entry made.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateChange {
@@ -10,7 +10,7 @@
     Proposed(u64),
     /// A required fill is complete.
     FillCompleted {
-        /// Of the proposed version.
+        /// Number of the proposed version.
         number: u64,
         /// Id of the segment.
         segment: u64,
@@ -27,13 +27,13 @@
     Withdrawn(u64),
     /// Accounts between partners changed by this entry.
     Settlement(SettlementEntry),
-    /// Shares of quotas changed; the ledger's generation.
+    /// Shares of quotas changed; the value is the ledger's new generation.
     Quota(u64),
     /// A rebalancing plan changed.
     Rebalance {
-        /// Its id.
+        /// Id of the plan.
         plan: String,
-        /// How far it is, for people.
+        /// Progress of the plan, shown to people.
         status: String,
     },
     /// Another configuration of the consensus is in force.
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -1,4 +1,4 @@
-//! The active version and the proposed one: validated, opened, rolled out, ended.
+//! The life of a version: it is validated, proposed, rolled out, and activated or withdrawn.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,37 +10,37 @@
 use super::{ReplicatedState, StateChange};
 use crate::{ConfigVersion, ConsensusConfig, Rejection};
 
-/// Length of [`ReplicatedState::history`].
+/// Largest length of [`ReplicatedState::history`].
 const HISTORY_COUNT: usize = 64;
 
-/// How far the rollout of a proposed version is.
+/// Progress of the rollout of a proposed version.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RolloutStep {
     /// All brokers act on the stricter of both versions.
     Joint,
-    /// This ratio of the brokers acts on the new version alone, the others are joint.
+    /// This ratio of the brokers acts on the new version alone, and the others are joint.
     Staged(f64),
-    /// All brokers are joint again, until nobody acts on the new version alone.
+    /// All brokers become joint again, until no broker acts on the new version alone.
     #[serde(rename = "Returning")]
     RollingBack,
 }
 
-/// The version that is proposed, and its progress.
+/// The proposed version and its progress.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OpenChange {
-    /// The version.
+    /// The proposed version.
     pub version: Arc<ConfigVersion>,
-    /// Its digest.
+    /// Digest of the version.
     pub digest: String,
-    /// How far its rollout is.
+    /// Progress of its rollout.
     pub step: RolloutStep,
-    /// Fills without which it cannot be activated: segment and node.
+    /// Fills without which the version cannot be activated, as segment and node.
     #[serde(rename = "needs")]
     pub required_fills: BTreeSet<(u64, String)>,
-    /// Those of them that are complete.
+    /// Required fills that are complete.
     #[serde(rename = "filled")]
     pub completed_fills: BTreeSet<(u64, String)>,
-    /// Why it is being rolled back.
+    /// Why the version is being rolled back, if it is.
     #[serde(rename = "why")]
     pub withdraw_reason: Option<String>,
 }
@@ -51,37 +51,37 @@
     /// The version became the only active one.
     #[serde(rename = "InForce")]
     Activated,
-    /// The version was withdrawn; why.
+    /// The version was withdrawn; the value is the reason.
     Withdrawn(String),
 }
 
 /// A change that ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PastChange {
-    /// Of the version.
+    /// Number of the version.
     pub number: u64,
-    /// Who proposed it.
+    /// Who proposed the version.
     #[serde(rename = "who")]
     pub proposed_by: String,
-    /// Why, in the proposer's words.
+    /// The reason, in the proposer's words.
     #[serde(rename = "why")]
     pub reason: String,
-    /// Unix seconds, as the proposer stated.
+    /// When the version was proposed, in Unix seconds, as the proposer stated.
     #[serde(rename = "at")]
     pub proposed_at_unix_seconds: f64,
-    /// How it ended.
+    /// How the change ended.
     #[serde(rename = "ended")]
     pub end: ChangeEnd,
 }
 
-/// What is derived from the maps of a valid proposal.
+/// Proofs that are derived from the maps of a valid proposal.
 #[derive(Clone, Debug)]
 pub(crate) struct ValidatedProposal {
     pub proof: Option<VerifiedMap>,
     pub transition: Option<MapTransition>,
 }
 
-/// Validates `version` against the active one. Proposers, voters and lease clients all judge by this function.
+/// Validates `version` against the active one. Proposers, voters and lease clients all use this function.
 pub(crate) fn validate_proposal(
     active: Option<&ConfigVersion>,
     active_proof: Option<&VerifiedMap>,
@@ -124,22 +124,22 @@
 }
 
 impl ReplicatedState {
-    /// Number of the active version, 0 if there is none.
+    /// Number of the active version; 0 if there is none.
     pub fn active_number(&self) -> u64 {
         self.active.as_ref().map_or(0, |(version, _)| version.number)
     }
 
-    /// Of the active map.
+    /// Proof of the active map, if there is one.
     pub fn map_proof(&self) -> Option<&VerifiedMap> {
         self.proof.as_ref()
     }
 
-    /// From the active map to the proposed one: what has to be filled, and from where.
+    /// The transition from the active map to the proposed one: what has to be filled, and from which nodes.
     pub fn map_transition(&self) -> Option<&MapTransition> {
         self.proposal.as_ref()?.transition.as_ref()
     }
 
-    /// How many fills the proposed version still waits for.
+    /// Number of fills that the proposed version still requires.
     pub fn missing_fills(&self) -> usize {
         self.open.as_ref().map_or(0, |open| open.required_fills.difference(&open.completed_fills).count())
     }
@@ -183,14 +183,14 @@
         Err(Rejection::FillNotNeeded { number, segment, holder: fill.1 })
     }
 
-    /// Of a stage, or of the activation.
+    /// Checks whether a stage or the activation of the version may begin.
     pub(super) fn check_rollout(&self, number: u64) -> Result<(), Rejection> {
         if self.open_at(number)?.step == RolloutStep::RollingBack {
             return Err(Rejection::RollingBack(number));
         }
         match self.missing_fills() {
             0 => Ok(()),
-            left => Err(Rejection::FillsMissing { number, left }),
+            missing => Err(Rejection::FillsMissing { number, missing }),
         }
     }
 
@@ -256,7 +256,7 @@
         StateChange::Activated(number)
     }
 
-    /// Where some brokers act on the version alone already, it has to be rolled back first.
+    /// Withdraws the version. If some brokers already act on it alone, it has to be rolled back first.
     pub(super) fn withdraw_or_roll_back(&mut self, number: u64, why: String) -> StateChange {
         let open = self.checked_open();
         if matches!(open.step, RolloutStep::Staged(_)) {
--- a/crates/dunepond-consensus/src/replicated_state/voter_list.rs
+++ b/crates/dunepond-consensus/src/replicated_state/voter_list.rs
@@ -1,5 +1,5 @@
-//! Who votes. The list of the operator's file founds the fleet; from then on it is changed by an operator's document, one
-//! voter at a time.
+//! The list of voters. The list in the operator's file founds the fleet; from then on an operator's document changes
+//! it, one voter at a time.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,18 +7,19 @@
 use crate::log_entry::VoterReplacement;
 use crate::{Rejection, VoterChange, VoterInfo};
 
-/// The voters in force, and the change that waits until its new voter is ready.
+/// The voters in force, and the change that is pending until its new voter is ready.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct VoterList {
-    /// Of the last change that was committed; 0: the founding list.
+    /// Number of the list that was committed last; 0 for the founding list.
     pub number: u64,
-    /// In force.
+    /// The voters in force.
     #[serde(rename = "list")]
     pub voters: Vec<VoterInfo>,
-    /// Waits for its new voter.
+    /// The list that is pending until its new voter is ready.
     #[serde(rename = "next")]
     pub pending: Option<VoterChange>,
-    /// Who left last, with its folder's id: the raft library may need it until the membership change is complete.
+    /// Name and folder id of the voter that left last: the raft library may need it until the membership change is
+    /// complete.
     #[serde(rename = "left")]
     pub(crate) last_removed: Option<(String, u64)>,
 }
@@ -47,18 +48,18 @@
         Self { number: 0, voters, pending: None, last_removed: None }
     }
 
-    /// Whether the broker votes.
+    /// Whether the broker is a voter.
     pub fn contains(&self, name: &str) -> bool {
         self.voters.iter().any(|voter| voter.name == name)
     }
 
-    /// Whether the broker votes, or will by the pending list.
+    /// Whether the broker is a voter, or becomes one by the pending list.
     pub fn contains_or_joining(&self, name: &str) -> bool {
         let mut pending = self.pending.iter().flat_map(|pending| &pending.voters);
         self.contains(name) || pending.any(|voter| voter.name == name)
     }
 
-    /// Names of all voters, and of the one that joins by the pending list.
+    /// Names of all voters, including the one that joins by the pending list.
     pub fn names_with_joining(&self) -> Vec<String> {
         let joining = self.pending.iter().flat_map(|pending| added(&self.voters, &pending.voters));
         self.voters.iter().map(|voter| voter.name.clone()).chain(joining).collect()
@@ -86,7 +87,7 @@
         let (joins, leaves) = (added(&self.voters, &change.voters), added(&change.voters, &self.voters));
         let same_names = joins.is_empty() && leaves.is_empty();
         match &self.pending {
-            // Only the list in force may follow: it withdraws the pending one.
+            // Only the list in force is accepted, which withdraws the pending one.
             Some(pending) if !same_names => {
                 return Err(Rejection::VotersPending { number: pending.number });
             }
@@ -106,7 +107,8 @@
         self.voters.check(change)
     }
 
-    /// A change that somebody joins or leaves by is pending until the new voter is ready; any other takes effect at once.
+    /// Applies a change. It is pending until the new voter is ready if a voter joins or leaves; otherwise it takes
+    /// effect at once.
     pub(super) fn change_voters(&mut self, change: VoterChange) -> StateChange {
         let number = change.number;
         let same_names = added(&self.voters.voters, &change.voters).is_empty()
@@ -120,7 +122,7 @@
         StateChange::VotersChanged(number)
     }
 
-    /// The replacement has to be that of the pending list, with the folders that are recorded now.
+    /// Checks that the replacement is that of the pending list, with the folders that are recorded now.
     pub(super) fn check_replacement(&self, replacement: &VoterReplacement) -> Result<(), Rejection> {
         let is_pending =
             self.voters.pending.as_ref().is_some_and(|pending| pending.number == replacement.number);
--- a/crates/dunepond-consensus/src/routing_rules.rs
+++ b/crates/dunepond-consensus/src/routing_rules.rs
@@ -7,7 +7,7 @@
 /// Settings and operator limits that decide how queries are routed. Lists have one value for each query class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoutingRules {
-    /// Ratio of a query's value that has to be served at least, by class; the greater value is the stricter one.
+    /// Smallest ratio of a query's value that has to be served, by class; the greater value is the stricter one.
     #[serde(rename = "least")]
     pub minimum_shares: Vec<f64>,
     /// Ratio from which an answer counts as complete, by class; the greater value is the stricter one.
@@ -25,13 +25,14 @@
     /// Multiple of its completions that a node in slow start may be sent; the smaller value is the stricter one.
     #[serde(rename = "cold_multiple")]
     pub slow_start_multiple: f64,
-    /// Attempts of one part at most; the smaller value is the stricter one.
+    /// Largest number of attempts of one part; the smaller value is the stricter one.
     #[serde(rename = "dispatch_cap")]
     pub max_attempts: usize,
-    /// Hedged requests are allowed; only if both sets allow them.
+    /// Whether hedged requests are allowed; a combination allows them only if both sets do.
     #[serde(rename = "second_copies")]
     pub hedging_enabled: bool,
-    /// Parts with an idempotency key may be retried inside their window; only if both sets allow it.
+    /// Whether parts with an idempotency key may be retried inside their window; a combination allows it only if both
+    /// sets do.
     #[serde(rename = "repeats")]
     pub keyed_retries_enabled: bool,
     /// Largest Retry-After of a rejection, in seconds; the smaller value is the stricter one.
@@ -47,7 +48,7 @@
 const MAX_ATTEMPTS: usize = 64;
 
 impl RoutingRules {
-    /// The keys that an error names are those of the operator's file.
+    /// Checks that all values are in range. The keys that an error names are those of the operator's file.
     pub(crate) fn check(&self) -> Result<(), Rejection> {
         for &value in &self.minimum_shares {
             check(is_ratio(value), "least", value, RATIO)?;
@@ -83,10 +84,11 @@
     if valid { Ok(()) } else { Err(Rejection::InvalidRule { key, value, expected }) }
 }
 
-/// The strictest combination of two sets, field by field: whatever it allows both allow. Symmetric, and idempotent. Of two
-/// lists of unequal length the tail of the longer one stays, as the other one does not limit those classes.
+/// The strictest combination of two sets, field by field: both sets allow whatever it allows. The operation is
+/// symmetric and idempotent. Of two lists of unequal length the tail of the longer one stays, since the other one does
+/// not limit those classes.
 pub fn strictest_rules(a: &RoutingRules, b: &RoutingRules) -> RoutingRules {
-    // Destructured without `..`, so that no new field is forgotten here.
+    // Destructured without `..`, so that a new field cannot be forgotten here.
     let RoutingRules {
         minimum_shares,
         complete_at,
--- a/crates/dunepond-consensus/src/voter/envelope.rs
+++ b/crates/dunepond-consensus/src/voter/envelope.rs
@@ -5,22 +5,22 @@
 use crate::codec::{self, Blob};
 use crate::{ConsensusError, LeaseReply, LeaseRequest, VoterInfo, VoterSlot};
 
-/// First byte of each message.
+/// First byte of each message: the version of the protocol.
 const PROTOCOL_VERSION: u8 = 2;
 
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Envelope {
     pub from: String,
-    /// Of the sender.
+    /// Identity of the sender's folder.
     #[serde(rename = "seat")]
     pub slot: VoterSlot,
-    /// The fleet whose state the sender holds, if any.
+    /// Id of the fleet whose state the sender holds, if it holds one.
     #[serde(rename = "fleet")]
     pub fleet_id: u64,
     pub epoch: u64,
     #[serde(rename = "seated")]
     pub has_state: bool,
-    /// The addressee's folder; 0: not known yet.
+    /// Id of the addressee's folder; 0 if it is not known yet.
     #[serde(rename = "to")]
     pub to_folder: u64,
     pub body: Body,
@@ -48,18 +48,18 @@
     },
 }
 
-/// How things stand, for a voter that says hello.
+/// What the sender knows about a voter that says hello, and about the list of voters.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct HelloReply {
     #[serde(rename = "blank")]
     pub folder_empty: bool,
-    /// A later start of the addressee's folder than that of its hello.
+    /// The later start of the addressee's folder, if the sender knows of one after that of the hello.
     #[serde(rename = "seen")]
     pub seen_slot: Option<VoterSlot>,
-    /// The addressee's folder as committed at `index`.
+    /// The identity of the addressee's folder as committed at `index`.
     #[serde(rename = "agreed")]
     pub agreed_slot: Option<VoterSlot>,
-    /// The addressee votes, or will.
+    /// Whether the addressee votes, or will by the pending list.
     #[serde(rename = "wanted")]
     pub is_wanted: bool,
     pub voters: Vec<VoterInfo>,
@@ -74,18 +74,18 @@
         [&[PROTOCOL_VERSION], &codec::encode(self)[..]].concat()
     }
 
-    /// `from`: who the link says it is.
+    /// Decodes a message. `from` is the peer at the other end of the link.
     pub fn decode(from: &str, bytes: &[u8]) -> Result<Self, ConsensusError> {
         let malformed = || ConsensusError::MalformedMessage(from.to_string());
         let (&version, rest) = bytes.split_first().ok_or_else(malformed)?;
         if version != PROTOCOL_VERSION {
-            let (from, ours) = (from.to_string(), PROTOCOL_VERSION);
-            return Err(ConsensusError::NewerProtocol { from, version, ours });
+            let (from, supported) = (from.to_string(), PROTOCOL_VERSION);
+            return Err(ConsensusError::NewerProtocol { from, version, supported });
         }
         let envelope: Self = codec::decode(rest).ok_or_else(malformed)?;
         if envelope.from != from {
-            let (from, says) = (from.to_string(), envelope.from);
-            return Err(ConsensusError::SenderMismatch { from, says });
+            let (from, stated) = (from.to_string(), envelope.from);
+            return Err(ConsensusError::SenderMismatch { from, stated });
         }
         Ok(envelope)
     }
--- a/crates/dunepond-consensus/src/voter/handshake.rs
+++ b/crates/dunepond-consensus/src/voter/handshake.rs
@@ -1,8 +1,9 @@
-//! Greetings between voters: whose folder is the latest one, and who is a voter at all.
+//! Greetings between voters, which determine whose folder is the latest one and who is a voter.
 //!
-//! Each folder is a voter of its own to the raft library. A voter that comes back with an empty folder is a new one, whose
-//! votes do not count until the others have replaced the old one by a committed change. A folder that was restored from a
-//! copy has made promises that it does not know of: peers remember its starts, and it begins anew as if it had been lost.
+//! To the raft library each folder is a voter of its own. A voter that returns with an empty folder is a new one, whose
+//! votes do not count until the others have replaced the old one by a committed change. A folder that was restored from
+//! a copy has made promises that it does not know of: peers remember its starts, and the voter starts over with an
+//! empty folder.
 
 use std::collections::BTreeMap;
 
@@ -15,30 +16,30 @@
 use crate::log_storage::{LogStorage, snapshot};
 use crate::{ConsensusError, ReplicatedState, VoterInfo, VoterSlot};
 
-/// Folders of one voter whose starts are remembered.
+/// Number of folders of one voter whose starts are remembered.
 const MAX_FOLDER_COUNT: usize = 16;
-/// Election timeouts between greetings, once a majority has confirmed the folder, and before.
+/// Number of election timeouts between greetings once a majority has confirmed the folder, and before that.
 const SETTLED_GREETING_ELECTIONS: f64 = 8.0;
 const GREETING_ELECTIONS: f64 = 0.5;
-/// Terms from which a founder draws.
+/// Range from which a founder draws its first term.
 const FOUNDING_TERMS: std::ops::Range<u64> = 1..1 << 20;
 
-/// The folder of another voter, as it last said.
+/// The folder of another voter, as it last reported.
 #[derive(Clone, Copy)]
 pub(super) struct PeerFolder {
     pub slot: VoterSlot,
     pub empty: bool,
 }
 
-/// Another voter.
+/// What is known of another voter.
 #[derive(Default)]
 pub(super) struct PeerVoter {
     pub folder: Option<PeerFolder>,
-    /// It said to this very folder that its own is empty.
-    empty_to_us: bool,
+    /// Whether it has reported to this very folder that its own is empty.
+    reported_empty: bool,
     /// Keys of version extensions that its build implements.
     pub known_keys: Vec<String>,
-    /// The latest start of each of its folders.
+    /// The latest start of each of its folders, by the folder's id.
     latest_starts: BTreeMap<u64, VoterSlot>,
 }
 
@@ -55,7 +56,7 @@
         met.map(|(name, _)| name).or_else(agreed).or_else(removed).cloned()
     }
 
-    /// Says hello until a majority has replied; after that now and then, as others may have restarted.
+    /// Sends greetings until a majority has replied, and less often after that, since others may have restarted.
     pub(super) fn greet(&mut self, now: f64) {
         if now < self.next_greeting_at {
             return;
@@ -64,16 +65,16 @@
         let elections = if settled { SETTLED_GREETING_ELECTIONS } else { GREETING_ELECTIONS };
         self.next_greeting_at = now + elections_seconds(1.0, self.config.lease_seconds) * elections;
         let folder_empty = !self.has_state;
-        let partners = self.partners();
+        let greeted_voters = self.greeted_voters();
         self.strangers.clear();
-        for name in partners {
+        for name in greeted_voters {
             self.send(&name, 0, Body::Hello { folder_empty, known_keys: self.known_keys.clone() });
         }
         self.found_fleet(now);
     }
 
-    /// Voters to greet: by the committed list if there is one, else by the file.
-    fn partners(&self) -> Vec<String> {
+    /// Voters to greet: those of the committed list if there is one, otherwise those of the file.
+    fn greeted_voters(&self) -> Vec<String> {
         let mut names = match self.has_state {
             true => self.state.voters.names_with_joining(),
             false => self.config.voters.clone(),
@@ -81,7 +82,7 @@
         if let Some((name, folder)) = &self.state.voters.last_removed
             && self.is_member(*folder)
         {
-            // The library still counts on it.
+            // The raft library still counts this voter as a member.
             names.push(name.clone());
         }
         names.extend(self.strangers.iter().cloned());
@@ -91,17 +92,17 @@
         names
     }
 
-    /// Whether the raft library counts on the folder.
+    /// Whether the folder is a member of the raft group.
     pub(super) fn is_member(&self, folder_id: u64) -> bool {
         self.node.raft.prs().get(folder_id).is_some()
     }
 
-    /// Whether messages of the sender count.
+    /// Whether messages of the sender are accepted.
     pub(super) fn accepts_sender(&self, envelope: &Envelope) -> bool {
         let from = &envelope.from;
         let to_this_folder = envelope.to_folder == self.folder.id;
         let accepted = match &envelope.body {
-            // Whoever knows this very folder may say how things stand.
+            // A peer that knows this very folder may report what it knows.
             Body::HelloReply(_) if to_this_folder => true,
             _ if self.has_state => {
                 self.state.voters.contains_or_joining(from) || self.is_member(envelope.slot.folder_id)
@@ -112,7 +113,8 @@
         accepted && *from != self.config.name
     }
 
-    /// A recovered fleet is the same fleet in a later epoch, which overrides earlier ones.
+    /// Checks the fleet and the epoch. A recovered fleet is the same fleet in a later epoch, which overrides earlier
+    /// ones.
     pub(super) fn check_fleet(&mut self, envelope: &Envelope) -> Result<(), ConsensusError> {
         let from = envelope.from.clone();
         let both_have_state = self.has_state && envelope.has_state;
@@ -128,18 +130,18 @@
             if matches!(envelope.body, Body::Hello { .. }) {
                 self.send_hello_reply(&envelope.from, envelope.slot, None);
             }
-            let (said, known) = (envelope.epoch, self.state.epoch);
-            return Err(ConsensusError::StaleEpoch { from, said, known });
+            let (stated, known) = (envelope.epoch, self.state.epoch);
+            return Err(ConsensusError::StaleEpoch { from, stated, known });
         }
         Ok(())
     }
 
-    /// Whether its folder does not vote any more, by what is committed or what others said.
+    /// Whether this voter's folder is no longer a voter, by what is committed or what others reported.
     pub(super) fn is_removed(&self) -> bool {
         self.dismissed || (self.has_state && !self.is_member(self.folder.id))
     }
 
-    /// `seen`: a later start of the addressee's folder than that of its message.
+    /// Replies to a hello. `seen` is a later start of the addressee's folder than that of its message.
     pub(super) fn send_hello_reply(&mut self, to: &str, slot: VoterSlot, seen: Option<VoterSlot>) {
         let reply = HelloReply {
             folder_empty: !self.has_state,
@@ -153,7 +155,8 @@
         self.send(to, slot.folder_id, Body::HelloReply(reply));
     }
 
-    /// Remembers what a message says of its sender. `false`: the message is for another folder, or of an old start.
+    /// Records what a message reports about its sender. Returns `false` if the message is for another folder or from an
+    /// old start.
     pub(super) fn register_sender(&mut self, envelope: &Envelope) -> bool {
         if envelope.to_folder != 0 && envelope.to_folder != self.folder.id {
             return false;
@@ -201,7 +204,8 @@
             return;
         }
         if is_news && reply.agreed_slot.is_none() {
-            // While nobody wants it again the folder stays: a membership change in progress may need its vote.
+            // The folder stays while no list includes this voter again: a membership change in progress may need its
+            // vote.
             match reply.is_wanted {
                 true => self.discard_folder("it was removed as a voter, and is to be one again"),
                 false => self.dismiss(reply.voters),
@@ -209,14 +213,15 @@
             return;
         }
         if let Some(peer) = self.peers.get_mut(&from) {
-            peer.empty_to_us = reply.folder_empty;
+            peer.reported_empty = reply.folder_empty;
             peer.known_keys = reply.known_keys;
         }
         self.confirm_folder(from);
         self.found_fleet(now);
     }
 
-    /// Another voter knows of no later start of this folder. With this one it has to be a majority that does not.
+    /// Records that another voter knows of no later start of this folder. A majority, including this voter, has to
+    /// confirm it.
     fn confirm_folder(&mut self, by: String) {
         if !self.confirmed_by.contains(&by) {
             self.confirmed_by.push(by);
@@ -232,8 +237,8 @@
         }
     }
 
-    /// The first voter of the file founds the fleet once every other one has said to it that its folder is empty, too: so
-    /// none can have committed anything, and only one fleet is founded.
+    /// Founds the fleet, which the first voter of the file does once every other voter has reported that its folder is
+    /// empty, too. Then none can have committed anything, and only one fleet is founded.
     fn found_fleet(&mut self, now: f64) {
         if self.has_state || self.is_muted() || self.config.voters[0] != self.config.name {
             return;
@@ -244,7 +249,7 @@
         state.index = 1;
         state.fleet_id = self.rng.random::<u64>().max(1);
         state.epoch = 1;
-        // A random term: should a fleet be founded twice before it committed anything, their logs must not look alike.
+        // The term is random so that the logs differ if a fleet is founded twice before it has committed anything.
         let term = self.rng.random_range(FOUNDING_TERMS);
         let mut log = LogStorage::default();
         log.restore(snapshot(1, term, ConfState::from((folder_ids, Vec::new())), state.encode()));
@@ -254,18 +259,19 @@
         self.watch.restart(now, &self.state);
     }
 
-    /// Every voter's folder, if all are empty.
+    /// Identity of every voter's folder, if all folders are empty.
     fn empty_slots(&self) -> Option<BTreeMap<String, VoterSlot>> {
         let mut slots = BTreeMap::from([(self.config.name.clone(), self.slot())]);
         for name in self.config.voters.iter().filter(|name| **name != self.config.name) {
             let peer = self.peers.get(name)?;
-            let folder = peer.folder.filter(|folder| folder.empty && peer.empty_to_us)?;
+            let folder = peer.folder.filter(|folder| folder.empty && peer.reported_empty)?;
             slots.insert(name.clone(), folder.slot);
         }
         Some(slots)
     }
 
-    /// The folder must not be relied on: begins anew as another voter, which the others will put in its place.
+    /// Discards a folder that must not be relied on. The voter starts over as another voter, by which the others
+    /// replace this one.
     pub(super) fn discard_folder(&mut self, reason: &str) {
         if self.is_muted() {
             return;
@@ -280,14 +286,14 @@
         self.confirmed_by.clear();
         self.snapshots_sent.clear();
         self.lease_requests.drop_all(&mut self.effects);
-        self.peers.values_mut().for_each(|peer| peer.empty_to_us = false);
+        self.peers.values_mut().for_each(|peer| peer.reported_empty = false);
         self.next_greeting_at = self.last_now;
-        // What the old folder would have said has no basis any more.
+        // Messages that the old folder would have sent are no longer valid.
         self.effects.messages.clear();
         self.effects.state_changed = true;
     }
 
-    /// Others have committed a list without it: it says nothing that could count.
+    /// Stops voting because others have committed a list without this voter. Nothing that it sends counts any more.
     fn dismiss(&mut self, voters: Vec<VoterInfo>) {
         self.successors = voters;
         if self.dismissed {
@@ -304,7 +310,7 @@
     }
 }
 
-/// `slot` is an earlier start of its folder than `seen`, or a copy that started beside it.
+/// Whether `slot` is an earlier start of its folder than `seen`, or a copy that started beside it.
 fn is_earlier_start(slot: VoterSlot, seen: VoterSlot) -> bool {
     slot.start_count < seen.start_count
         || (slot.start_count == seen.start_count && slot.run_id != seen.run_id)
--- a/crates/dunepond-consensus/src/voter/housekeeping.rs
+++ b/crates/dunepond-consensus/src/voter/housekeeping.rs
@@ -1,12 +1,12 @@
-//! What the leader writes by its own clock: the end of a rollout step after its wait, overdue fills, changed configuration,
-//! changed folders.
+//! Entries that the leader writes by its own clock: the end of a rollout step after its wait, overdue fills, a changed
+//! configuration, and changed folders.
 
 use super::Voter;
 use super::raft_node::elections_seconds;
 use crate::log_entry::LogEntry;
 use crate::{Command, ConsensusConfig, OpenChange, Rejection, RolloutStep};
 
-/// Election timeouts after which an entry that was not committed is written again.
+/// Number of election timeouts after which an entry that was not committed is written again.
 const RETRY_ELECTIONS: f64 = 1.0;
 
 impl Voter {
@@ -29,12 +29,13 @@
         match entry {
             LogEntry::VoterSlot { voter, slot } => self.write_slot(voter, slot),
             LogEntry::VotersReplaced(replacement) => self.write_replacement(replacement),
-            // If the log is full it is tried again.
+            // If the log is full the leader tries again later.
             entry => drop(self.append(&entry)),
         }
     }
 
-    /// What an expired lease allowed may be in flight for a while, and fills the windows of shared quotas after that.
+    /// Forgets leases that ended long ago. Actions under an expired lease may be in flight for a while, and count in
+    /// the windows of shared quotas after that.
     fn forget_old_leases(&mut self, now: f64) {
         let (actions, window) = (self.action_seconds(), self.quota_window_seconds());
         self.lease_requests.granted.retain(|_, lease| lease.over_at + actions + window > now);
@@ -57,7 +58,7 @@
         }
     }
 
-    /// This leader's configuration, if it differs from the one in force. Who votes is agreed on separately.
+    /// This leader's configuration, if it differs from the one in force. The list of voters is replicated separately.
     fn changed_config(&self) -> Option<ConsensusConfig> {
         let agreed = &self.state.config;
         let (name, voters) = (agreed.name.clone(), agreed.voters.clone());
@@ -86,21 +87,22 @@
                 Some(_) => Some(LogEntry::StartStage { number }),
                 None => Some(activate),
             },
-            Err(Rejection::FillsMissing { left, .. })
+            Err(Rejection::FillsMissing { missing, .. })
                 if now - seen_at >= self.state.config.fill_deadline_seconds =>
             {
-                let why = format!("{left} fills were not completed in time");
+                let why = format!("{missing} fills were not completed in time");
                 Some(LogEntry::Command(Command::Withdraw { number, why }))
             }
             _ => None,
         }
     }
 
-    /// From when on, by this clock, nobody acts on the old version alone, and no action that did is in flight. The proposal
-    /// was seen committed at `seen_at`.
+    /// When, by this clock, no broker acts on the old version alone any more and no action of one that did is in
+    /// flight. The proposal was seen committed at `seen_at`.
     fn all_joint_from(&self, seen_at: f64, number: u64) -> f64 {
         let latest = seen_at + self.state.quiescence_seconds(&self.config);
-        // Earlier, if every lease that may run is this leader's own, and each broker has said that it is joint.
+        // The wait is shorter if every lease that may run is this leader's own and each broker has reported that it is
+        // joint.
         let lease = self.state.longest_lease_seconds.max(self.config.lease_seconds);
         let longest_lease = self.config.with_drift(lease).max(self.state.config.with_drift(lease));
         if self.watch.leading_since().is_none_or(|since| seen_at - since < longest_lease) {
--- a/crates/dunepond-consensus/src/voter/leader_watch.rs
+++ b/crates/dunepond-consensus/src/voter/leader_watch.rs
@@ -1,5 +1,5 @@
-//! What a voter has seen, by its own clock in this run. Nothing of it survives a restart or a clock that goes back: the
-//! waits that rely on it start again then.
+//! What a voter has observed, by its own clock, in this run. Nothing of it outlasts a restart or a clock that goes
+//! back: then the waits that rely on it start again.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use crate::{ReplicatedState, RolloutStep, StateChange};
 
-/// So long ago that everything may be tried at once.
+/// A time that is long enough ago for everything to be tried at once.
 const LONG_AGO_SECONDS: f64 = 1e9;
 
 #[derive(Clone, Copy)]
@@ -28,7 +28,7 @@
     number: u64,
 }
 
-/// A share of a quota that shrank.
+/// A shrink of a quota share that was seen committed.
 #[derive(Clone, Copy)]
 pub(super) struct SeenShrink {
     pub generation: u64,
@@ -36,15 +36,15 @@
 }
 
 pub(super) struct LeaderWatch {
-    /// The open change, and when it was first seen committed.
+    /// The proposed version, and when it was first seen committed.
     open: Option<SeenChange>,
     rollback_seen_at: Option<f64>,
-    /// It leads without interruption.
+    /// The term in which this voter leads without interruption, if it leads.
     leadership: Option<Leadership>,
     proposal: Option<UncommittedProposal>,
-    /// When an entry of the leader's own was last written.
+    /// When this leader last wrote an entry of its own.
     pub last_attempt_at: f64,
-    /// By broker: shrinks that await their release.
+    /// Shrinks that await their release, by broker.
     pub quota_shrinks: BTreeMap<String, SeenShrink>,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Nothing that was seen before counts any more; what is open is seen now.
+    /// Forgets all earlier observations; a version that is proposed counts as seen now.
     pub fn restart(&mut self, now: f64, state: &ReplicatedState) {
         let leadership = self.leadership.map(|it| Leadership { since: now, ..it });
         *self = Self { leadership, proposal: self.proposal, ..Self::new(now) };
@@ -85,7 +85,7 @@
         }
     }
 
-    /// When the open change was first seen committed.
+    /// When the proposed version was first seen committed.
     pub fn open_seen_at(&self, number: u64) -> Option<f64> {
         self.open.filter(|open| open.number == number).map(|open| open.seen_at)
     }
@@ -94,7 +94,7 @@
         self.rollback_seen_at
     }
 
-    /// Notes shrinks of shares that await their release, each from when it was first seen.
+    /// Records shrinks of shares that await their release, each from when it was first seen.
     pub fn observe_quota(&mut self, now: f64, ledger: &QuotaLedger) {
         let awaiting = ledger.brokers.iter().filter(|(_, shares)| shares.awaits_release());
         let seen = awaiting.map(|(broker, shares)| {
@@ -105,7 +105,7 @@
         self.quota_shrinks = seen.collect();
     }
 
-    /// `term`: in which it leads, `None` if it does not.
+    /// Records whether the voter leads: `term` is the term in which it leads, `None` if it does not.
     pub fn set_leading(&mut self, now: f64, term: Option<u64>) {
         if self.leadership.map(|leadership| leadership.term) != term {
             self.leadership = term.map(|term| Leadership { term, since: now });
@@ -113,17 +113,17 @@
         }
     }
 
-    /// Since when it leads without interruption.
+    /// Since when the voter has led without interruption.
     pub fn leading_since(&self) -> Option<f64> {
         self.leadership.map(|leadership| leadership.since)
     }
 
-    /// A version was written to the log at `index`.
+    /// Records that a version was written to the log at `index`.
     pub fn proposed(&mut self, index: u64, number: u64) {
         self.proposal = Some(UncommittedProposal { index, number });
     }
 
-    /// Number of a version that stands in the log and is not applied yet.
+    /// Number of a version that is in the log and not applied yet.
     pub fn uncommitted_proposal(&self, applied: u64) -> Option<u64> {
         self.proposal.filter(|proposal| proposal.index > applied).map(|proposal| proposal.number)
     }
--- a/crates/dunepond-consensus/src/voter/lease_requests.rs
+++ b/crates/dunepond-consensus/src/voter/lease_requests.rs
@@ -1,6 +1,6 @@
-//! Lease requests. None is granted before a quorum has confirmed, after the request came, that this voter leads: the grant
-//! is then at least as new as what was committed when the request was sent. Requests that come while one confirmation is in
-//! progress share the next one.
+//! Handling of lease requests. No lease is granted before a quorum has confirmed, after the request arrived, that this
+//! voter leads: the grant is then at least as new as what was committed when the request was sent. Requests that arrive
+//! while one confirmation is in progress share the next one.
 
 use std::collections::BTreeMap;
 
@@ -12,29 +12,29 @@
 use crate::lease_messages::Grantor;
 use crate::{Effects, LeaseAnswer, LeaseGrant, LeaseReply, LeaseRequest};
 
-/// Requests that wait at the same time; more are answered that there is no leader.
+/// Largest number of requests that wait at the same time; further requests are answered that there is no leader.
 const MAX_WAITING_COUNT: usize = 4096;
 
 #[derive(Default)]
 pub(super) struct LeaseRequests {
-    /// For the next confirmation.
+    /// Requests for the next confirmation.
     waiting: Vec<PendingRequest>,
-    /// For the confirmation in progress.
+    /// Requests for the confirmation in progress.
     confirming: Vec<PendingRequest>,
-    /// Identifies the confirmation in progress.
+    /// Identifier of the confirmation in progress.
     read_id: u64,
-    /// Log index that the quorum confirmed.
+    /// Log index that the quorum confirmed, if it has.
     confirmed_index: Option<u64>,
     confirming_since: f64,
-    /// By broker and incarnation.
+    /// The last lease of each run, by broker and incarnation.
     pub granted: BTreeMap<(String, u64), GrantedLease>,
-    /// Last demand of each broker.
+    /// The last demand report of each broker.
     pub reports: BTreeMap<String, TimedReport>,
 }
 
 struct PendingRequest {
     request: LeaseRequest,
-    /// The voter that forwarded it.
+    /// Name of the voter that forwarded the request, if one did.
     via: Option<String>,
     received_at: f64,
 }
@@ -44,7 +44,7 @@
     pub received_at: f64,
 }
 
-/// Something that a broker acknowledged, and when that was first heard.
+/// The number that a broker acknowledged, and when this voter first received it.
 #[derive(Clone, Copy)]
 pub(super) struct Acknowledged {
     pub number: u64,
@@ -53,17 +53,17 @@
 
 /// The last lease of a broker's run, by this voter's clock.
 pub(super) struct GrantedLease {
-    /// It is over by then, whatever the broker's clock does within the drift.
+    /// When the lease is over for certain, whatever the broker's clock does within the drift.
     pub over_at: f64,
-    /// The broker acts on the joint step to this version.
+    /// The version towards which the broker acts on the joint step, if it does.
     pub joint: Option<Acknowledged>,
-    /// Generation of the last shrink of its shares that the broker acts on.
+    /// Generation of the last shrink of the broker's shares on which it acts.
     pub shrink: Acknowledged,
     overloaded: bool,
 }
 
 impl LeaseRequests {
-    /// Answers all requests that there is no leader, and forgets all leases.
+    /// Replies to all requests that there is no leader, and forgets all leases.
     pub fn drop_all(&mut self, effects: &mut Effects) {
         for pending in self.take_all().into_iter().filter(|pending| pending.via.is_none()) {
             let reply = LeaseReply::to(&pending.request, LeaseAnswer::NoLeader);
@@ -82,7 +82,7 @@
         self.granted.iter().map(|((broker, _), lease)| (broker.as_str(), lease.overloaded))
     }
 
-    /// Notes the lease that is granted now until `over_at`. `open`: number of the proposed version.
+    /// Records the lease that is granted now until `over_at`. `open` is the number of the proposed version.
     fn record_lease(&mut self, now: f64, request: &LeaseRequest, over_at: f64, open: Option<u64>) {
         let first = GrantedLease {
             over_at,
@@ -108,7 +108,7 @@
 }
 
 impl Voter {
-    /// `via`: the voter that forwarded the request.
+    /// Accepts a lease request. `via` is the voter that forwarded it.
     pub(super) fn accept_lease_request(&mut self, now: f64, mut request: LeaseRequest, via: Option<String>) {
         if self.is_removed() {
             let others = match self.successors.is_empty() {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Replies to what is confirmed, and asks the other voters to confirm what waits.
+    /// Replies to the requests that are confirmed, and asks the other voters to confirm those that wait.
     pub(super) fn reply_to_lease_requests(&mut self, now: f64, reads: Vec<ReadState>) {
         if self.node.raft.state != StateRole::Leader || self.is_removed() {
             let all = self.lease_requests.take_all();
@@ -173,7 +173,7 @@
         }
     }
 
-    /// A confirmation that takes longer than a lease would grant nothing any more.
+    /// Drops a confirmation that took longer than a lease: the lease would already be over.
     fn expire_confirmation(&mut self, now: f64) {
         let requests = &mut self.lease_requests;
         if requests.confirming.is_empty() || now - requests.confirming_since <= self.config.lease_seconds {
--- a/crates/dunepond-consensus/src/voter/membership.rs
+++ b/crates/dunepond-consensus/src/voter/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of voters and of their folders, as the leader writes them: together with the raft library's membership change.
+//! Changes of voters and of their folders, which the leader writes together with the raft library's membership change.
 
 use raft::StateRole;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
@@ -8,7 +8,7 @@
 use crate::{VoterSlot, codec};
 
 impl Voter {
-    /// What the leader has to write about the voters; one thing at a time.
+    /// The next entry about the voters that the leader has to write; one at a time.
     pub(super) fn next_membership_entry(&self) -> Option<LogEntry> {
         let changed = self.changed_slot();
         let entry = changed.map(|(voter, slot)| LogEntry::VoterSlot { voter, slot });
@@ -25,13 +25,13 @@
         let mut all = std::iter::once(own).chain(others);
         let changed = all.find(|(name, slot, empty)| match self.state.voter_slots.get(*name) {
             Some(agreed) if agreed.folder_id == slot.folder_id => slot.start_count > agreed.start_count,
-            // A voter with an unknown folder that is not empty finds out by itself.
+            // A voter with an unknown folder that is not empty learns by its greetings that the folder does not count.
             _ => *empty,
         });
         changed.map(|(name, slot, _)| (name.clone(), slot))
     }
 
-    /// The pending list of voters, once the one that joins is there with an empty folder.
+    /// The replacement by the pending list of voters, once the joining voter has reported an empty folder.
     fn ready_replacement(&self) -> Option<VoterReplacement> {
         let pending = self.state.voters.pending_replacement()?;
         let joining = match pending.joining {
@@ -49,8 +49,8 @@
         Some(VoterReplacement { number, joining, leaving })
     }
 
-    /// A leader that leaves transfers the leadership first, so that nobody has to wait for an election. Whether it waits
-    /// for that.
+    /// Transfers the leadership before this leader leaves, so that nobody has to wait for an election. Returns whether
+    /// the leader has to wait for the transfer.
     fn hands_over_leadership(&mut self) -> bool {
         let own = self.folder.id;
         let is_fit = |id: u64| {
@@ -61,11 +61,11 @@
         if let Some(successor) = folders.find(|id| is_fit(*id)) {
             self.node.transfer_leader(successor);
         }
-        // Without the others nothing is committed, either; only the last voter does not wait.
+        // Without the others nothing is committed anyway; only the last voter does not wait.
         self.node.raft.prs().iter().any(|(id, _)| *id != own)
     }
 
-    /// Writes the pending list of voters, with the library's membership change.
+    /// Writes the pending list of voters together with the raft library's membership change.
     pub(super) fn write_replacement(&mut self, replacement: VoterReplacement) {
         if self.node.raft.state != StateRole::Leader {
             return;
@@ -92,7 +92,7 @@
     }
 
     fn write_membership(&mut self, joining: Option<u64>, leaving: Option<u64>, entry: &LogEntry) {
-        // The library takes one change at a time, and would write an empty entry in the place of another.
+        // The raft library accepts one change at a time, and would write an empty entry in place of a second one.
         let conf_state = self.node.raft.prs().conf().to_conf_state();
         if self.node.raft.has_pending_conf() || !conf_state.voters_outgoing.is_empty() {
             return;
--- a/crates/dunepond-consensus/src/voter/mod.rs
+++ b/crates/dunepond-consensus/src/voter/mod.rs
@@ -1,9 +1,10 @@
-//! A broker that votes: replicates entries with the other voters, applies them, grants leases.
+//! A broker that votes. It replicates entries with the other voters, applies them and grants leases.
 //!
-//! The raft library orders the entries. Here is decided which messages are accepted, what becomes of committed entries, and
-//! that nothing is sent before what it relies on is stored. The submodules: messages in (`receive`), what the library has
-//! ready (`ready`), who the other voters are (`handshake`, `membership`), leases (`lease_requests`), what the leader does by
-//! its own clock (`leader_watch`, `housekeeping`, `quota_release`), and the recovery of a lost majority (`recovery`).
+//! The raft library orders the entries. This module decides which messages are accepted and what becomes of committed
+//! entries, and it ensures that nothing is sent before what it relies on is stored. The submodules handle received
+//! messages (`receive`), what the library has ready (`ready`), the other voters (`handshake`, `membership`), leases
+//! (`lease_requests`), what the leader does by its own clock (`leader_watch`, `housekeeping`, `quota_release`), and the
+//! recovery of a lost majority (`recovery`).
 
 mod envelope;
 mod handshake;
@@ -41,34 +42,34 @@
 /// Whether the voter takes part in votes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Participation {
-    /// No majority has confirmed yet that its folder is the latest one.
+    /// No majority has confirmed yet that the voter's folder is the latest one.
     Unverified,
     Active,
-    /// Another build wrote what this one cannot follow, see [`Voter::mute`].
+    /// Another build wrote something that this one does not understand, see [`Voter::mute`].
     Muted,
 }
 
-/// One voter.
+/// A voter of the fleet.
 pub struct Voter {
     config: ConsensusConfig,
     folder: FolderIdentity,
     rng: Pcg64Mcg,
     node: RawNode<LogStorage>,
     state: ReplicatedState,
-    /// It founded the fleet, or got a snapshot.
+    /// Whether this voter founded the fleet or received a snapshot.
     has_state: bool,
     participation: Participation,
-    /// Who confirmed that the folder is the latest one.
+    /// Names of the voters that confirmed that the folder is the latest one.
     confirmed_by: Vec<String>,
-    /// Others said that it votes no more, see [`Voter::is_removed`].
+    /// Whether others reported that this voter does not vote any more, see [`Voter::is_removed`].
     dismissed: bool,
-    /// Who votes instead, as others said.
+    /// The voters in force instead, as others reported.
     successors: Vec<VoterInfo>,
-    /// Since when it leads a recovered fleet whose leases are suspended.
+    /// Since when this voter leads a recovered fleet whose leases are suspended.
     suspended_since: Option<f64>,
     /// Index before the entries for which it last withheld its vote.
     withheld_index: Option<u64>,
-    /// Senders that are no voters by what is known here: they are greeted next.
+    /// Senders that are not voters as far as this voter knows; they are greeted next.
     strangers: BTreeSet<String>,
     peers: BTreeMap<String, PeerVoter>,
     /// Keys of version extensions that this build implements.
@@ -76,20 +77,20 @@
     lease_requests: LeaseRequests,
     watch: LeaderWatch,
     last_now: f64,
-    /// Time for which the library has not been ticked yet.
+    /// Time in seconds for which the library has not been ticked yet.
     untimed_seconds: f64,
     next_greeting_at: f64,
-    /// Snapshots in flight: to which folder, since when.
+    /// Snapshots in flight: the time of sending, by the id of the receiving folder.
     snapshots_sent: BTreeMap<u64, f64>,
     effects: Effects,
 }
 
 impl Voter {
-    /// Starts with what the folder holds; nothing: an empty folder. `now`: own monotonic clock; `seed`: another one at each
-    /// start and broker.
+    /// Opens a voter with the content of its folder, which may be empty. `now` is the broker's own monotonic clock;
+    /// `seed` has to differ at each start and broker.
     ///
     /// # Errors
-    /// The configuration is invalid or names other voters, or the folder is not usable.
+    /// The configuration is invalid, or this broker is not one of its voters, or the folder is not usable.
     pub fn open(
         config: ConsensusConfig,
         stored: StoredVoter,
@@ -101,7 +102,7 @@
             return Err(ConsensusError::NotAVoter(config.name.clone()));
         }
         if let Some(folder) = stored.folder.as_ref().filter(|folder| folder.name != config.name) {
-            return Err(ConsensusError::ForeignFolder { is: folder.name.clone(), name: config.name });
+            return Err(ConsensusError::ForeignFolder { owner: folder.name.clone(), name: config.name });
         }
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut folder = stored.folder.clone().unwrap_or_else(|| new_folder(&config.name, &mut rng));
@@ -115,7 +116,7 @@
         } else {
             ReplicatedState::new(config.clone(), BTreeMap::new())
         };
-        // An empty folder has promised nothing, and a lone voter nothing to others.
+        // A voter with an empty folder has promised nothing, and a lone voter has promised nothing to others.
         let verified = !has_state || config.voters.len() == 1;
         let mut voter = Self {
             participation: if verified { Participation::Active } else { Participation::Unverified },
@@ -146,7 +147,8 @@
         Ok(voter)
     }
 
-    /// To be called some forty times a lease. The first effects record the start in the folder.
+    /// Advances the voter's clock. The host has to call this about forty times per lease. The first effects record the
+    /// start in the folder.
     pub fn tick(&mut self, now: f64) -> Effects {
         self.advance_clock(now);
         self.greet(now);
@@ -176,7 +178,8 @@
             self.watch.restart(now, &self.state);
             self.lease_requests.drop_all(&mut self.effects);
         }
-        // A clock that jumped ahead looks like a stall: neither is time that the other brokers are known to have had.
+        // A clock that jumped ahead looks like a stall: in both cases it is not known whether the other brokers had
+        // that time, too.
         let gap = now - self.last_now;
         let is_long = gap > elections_seconds(1.0, self.config.lease_seconds);
         if is_long && self.node.raft.state == StateRole::Leader {
@@ -188,7 +191,7 @@
         self.last_now = now;
     }
 
-    /// Offers a command. `Ok`: it stands in the leader's log; what becomes of it comes in [`Effects::outcomes`].
+    /// Proposes a command. `Ok` means that it is in the leader's log; [`Effects::outcomes`] reports the outcome later.
     ///
     /// # Errors
     /// This voter does not lead, or the command would be ignored.
@@ -223,11 +226,12 @@
         Ok(self.take_effects())
     }
 
-    /// What only the leader's own clock may decide.
+    /// Rejects commands that only the leader may write, by its own clock.
     fn check_leader_only(&self, command: &Command) -> Result<(), Rejection> {
         match command {
             Command::Activate { number } => {
-                // An operator may end a stage; before it, nobody can know that all brokers are joint.
+                // An operator may end a stage. Before a stage nobody but the leader can know that all brokers are
+                // joint.
                 let open = self.state.open.as_ref();
                 let staged = open.is_some_and(|open| matches!(open.step, RolloutStep::Staged(_)));
                 if staged { Ok(()) } else { Err(Rejection::LeaderOnly(*number)) }
@@ -239,7 +243,8 @@
         }
     }
 
-    /// All voters have to implement the version's required keys: otherwise it would be committed without some of them.
+    /// Checks that all voters implement the version's required keys: otherwise it would be committed without some of
+    /// them.
     fn check_keys_known_by_all(&self, version: &ConfigVersion) -> Result<(), Rejection> {
         version.check_known_keys(&self.known_keys)?;
         let others = self.state.voters.voters.iter().filter(|voter| voter.name != self.config.name);
@@ -252,7 +257,7 @@
         Ok(())
     }
 
-    /// As [`Self::propose`], without any check: a faulty proposer, for tests.
+    /// Proposes a command like [`Self::propose`], without any check: a faulty proposer, for tests.
     ///
     /// # Errors
     /// This voter does not lead.
@@ -271,11 +276,11 @@
         self.node.propose(Vec::new(), codec::encode(entry)).map_err(|_| Rejection::Busy)
     }
 
-    /// Takes a broker's request. The reply comes in the effects of this call or of a later one, or from another voter by
-    /// way of this one.
+    /// Handles a broker's request. The reply is in the effects of this call or of a later one, or another voter sends
+    /// it through this one.
     pub fn handle_lease_request(&mut self, now: f64, from: &str, request: LeaseRequest) -> Effects {
         self.advance_clock(now);
-        // A reply goes to nobody but the sender of the request.
+        // A reply only goes to the sender of the request.
         if request.broker == from && !request.forwarded {
             self.accept_lease_request(now, request, None);
         }
@@ -283,17 +288,17 @@
         self.take_effects()
     }
 
-    /// The committed state, as far as this voter has heard.
+    /// The committed state, as far as this voter has received it.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// Brokers that got a lease from this voter, and whether they said that their nodes are overloaded.
+    /// Brokers that were granted a lease by this voter, and whether they reported that their nodes are overloaded.
     pub fn broker_overloads(&self) -> impl Iterator<Item = (&str, bool)> {
         self.lease_requests.overloads()
     }
 
-    /// It leads, and has applied everything that was committed before.
+    /// Whether this voter leads and has applied everything that was committed before its term.
     pub fn is_leader(&self) -> bool {
         self.is_active()
             && !self.is_removed()
@@ -301,23 +306,24 @@
             && self.node.raft.commit_to_current_term()
     }
 
-    /// Name of the leader, as far as known.
+    /// Name of the leader, as far as it is known.
     pub fn leader(&self) -> Option<String> {
         let id = self.node.raft.leader_id;
         if id == self.folder.id { Some(self.config.name.clone()) } else { self.name_of(id) }
     }
 
-    /// Its folder holds a state: it founded the fleet, or was brought up by others.
+    /// Whether the folder holds a state, because the voter founded the fleet or received a snapshot.
     pub fn has_state(&self) -> bool {
         self.has_state
     }
 
-    /// The whole content of the folder in one record, for a journal that is rewritten, see [`WriteBatch::is_checkpoint`].
+    /// The whole content of the folder as one record, for a journal that is rewritten; see
+    /// [`WriteBatch::is_checkpoint`].
     pub fn checkpoint(&self) -> WriteBatch {
         WriteBatch { folder: Some(self.folder.clone()), ..self.node.store().checkpoint() }
     }
 
-    /// Makes this a later build for tests: it implements these keys, too.
+    /// Turns this into a later build for tests, which also implements these keys.
     #[doc(hidden)]
     pub fn add_known_keys(&mut self, keys: &[&str]) {
         self.known_keys.extend(keys.iter().map(ToString::to_string));
@@ -339,7 +345,7 @@
         }
     }
 
-    /// Continues as another voter, on a new folder.
+    /// Continues as another voter, with a new folder.
     fn begin_new_folder(&mut self) {
         self.folder = new_folder(&self.config.name, &mut self.rng);
         self.folder.start_count = 1;
@@ -352,9 +358,9 @@
     }
 }
 
-/// Identity of an empty folder.
+/// Creates the identity of an empty folder.
 fn new_folder(name: &str, rng: &mut Pcg64Mcg) -> FolderIdentity {
     let id = xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), rng.random());
-    // The raft library has no node 0.
+    // The raft library does not accept the id 0.
     FolderIdentity { name: name.to_string(), id: id.max(1), start_count: 0, run_id: 0 }
 }
--- a/crates/dunepond-consensus/src/voter/quota_release.rs
+++ b/crates/dunepond-consensus/src/voter/quota_release.rs
@@ -1,4 +1,4 @@
-//! When a share that shrank is used at its new size only: decided by the leader, by its clock.
+//! The leader's decision, by its clock, that a share that shrank is only used at its new size.
 
 use std::collections::BTreeMap;
 
@@ -9,12 +9,12 @@
 use crate::Command;
 
 impl Voter {
-    /// The larger of the two files' results: nobody may be waited for too briefly.
+    /// Applies the drift of the two configurations, and returns the larger result, so that no wait is too short.
     fn with_drift(&self, seconds: f64) -> f64 {
         self.config.with_drift(seconds).max(self.state.config.with_drift(seconds))
     }
 
-    /// Longest window of a shared quota, in seconds on this clock, drift included; 0 if none is shared.
+    /// Longest window of a shared quota, in seconds on this clock, including drift; 0 if no quota is shared.
     pub(super) fn quota_window_seconds(&self) -> f64 {
         let millis = self.state.quota.shared.as_ref().map_or(0, |shared| shared.window_millis);
         self.with_drift(millis as f64 / 1e3)
@@ -25,7 +25,7 @@
         self.state.config.quiescence_seconds_for(0.0).max(self.config.quiescence_seconds_for(0.0))
     }
 
-    /// The release of a share that its broker has stopped using.
+    /// The command that releases a share that its broker has stopped using, if there is one.
     pub(super) fn next_quota_release(&self, now: f64) -> Option<Command> {
         let lease = self.state.longest_lease_seconds.max(self.config.lease_seconds);
         let delays = ReuseDelays {
@@ -49,7 +49,8 @@
         reusable_from(shrink.seen_at, self.watch.leading_since(), runs, delays)
     }
 
-    /// What brokers reported to this leader, and for how many seconds it has led; `None` if it does not lead.
+    /// The demand that brokers reported to this leader, and for how many seconds it has led; `None` if this voter does
+    /// not lead.
     pub fn demand_reports(&self, now: f64) -> Option<(BTreeMap<String, ReceivedReport>, f64)> {
         let since = self.watch.leading_since().filter(|_| self.is_leader())?;
         let reports = self.lease_requests.reports.iter();
--- a/crates/dunepond-consensus/src/voter/raft_node.rs
+++ b/crates/dunepond-consensus/src/voter/raft_node.rs
@@ -1,22 +1,23 @@
-//! The raft library's node: its timing and its size limits.
+//! The raft library's node, with its timing and its size limits.
 
 use raft::{RawNode, ReadOnlyOption};
 
 use crate::log_storage::LogStorage;
 
-/// Ticks of the library in a lease. A round trip between voters has to be well under an election.
+/// Number of the library's ticks in a lease. A round trip between voters has to be well under an election timeout.
 pub(super) const TICKS_PER_LEASE: f64 = 40.0;
 pub(super) const ELECTION_TICKS: usize = 10;
 const HEARTBEAT_TICKS: usize = 2;
-/// After a stall at most so many ticks are made up for: enough for a leader to see that it heard nobody.
+/// Largest number of ticks that are made up for after a stall: enough for a leader to notice that it received no
+/// message.
 pub(super) const MAX_CATCH_UP_TICKS: usize = 2 * ELECTION_TICKS;
-/// Of entries in one message.
+/// Largest size of the entries in one message.
 const MAX_MESSAGE_BYTES: u64 = 1 << 20;
-/// Of proposed entries that are not committed yet.
+/// Largest size of proposed entries that are not committed yet.
 const MAX_UNCOMMITTED_BYTES: u64 = 64 << 20;
 const MAX_INFLIGHT_MESSAGE_COUNT: usize = 64;
 
-/// Duration of so many election timeouts.
+/// Duration of `count` election timeouts, in seconds.
 pub(super) fn elections_seconds(count: f64, lease_seconds: f64) -> f64 {
     count * ELECTION_TICKS as f64 * lease_seconds / TICKS_PER_LEASE
 }
--- a/crates/dunepond-consensus/src/voter/ready.rs
+++ b/crates/dunepond-consensus/src/voter/ready.rs
@@ -1,4 +1,5 @@
-//! Works off what the raft library has ready: messages out, entries into the log and, once committed, into the state.
+//! Processes what the raft library has ready: it sends messages, and stores entries and applies them once they are
+//! committed.
 
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChangeV2, Entry, EntryType, Message, MessageType};
@@ -11,13 +12,13 @@
 use crate::log_storage::SnapshotPolicy;
 use crate::{Effects, EntryOutcome, StateChange, WriteBatch, decode};
 
-/// Election timeouts after which a snapshot that was not acknowledged is sent again.
+/// Number of election timeouts after which a snapshot that was not acknowledged is sent again.
 const SNAPSHOT_RETRY_ELECTIONS: f64 = 4.0;
 
-/// What of a raft entry matters here.
+/// The parts of a raft entry that matter to the voter.
 struct CommittedEntry {
     index: u64,
-    /// An encoded [`crate::log_entry::LogEntry`].
+    /// The encoded [`crate::log_entry::LogEntry`], if there is one.
     bytes: Option<Vec<u8>>,
     membership_change: Option<ConfChangeV2>,
     is_membership_entry: bool,
@@ -31,7 +32,7 @@
                 let bytes = Some(entry.data.to_vec()).filter(|data| !data.is_empty());
                 Self { index, bytes, membership_change: None, is_membership_entry: false }
             }
-            // The old form of a membership change is never written here.
+            // This crate never writes the old form of a membership change.
             EntryType::EntryConfChange => {
                 Self { index, bytes: None, membership_change: None, is_membership_entry: true }
             }
@@ -46,7 +47,7 @@
 }
 
 impl Voter {
-    /// Works off everything that the library has ready.
+    /// Processes everything that the library has ready.
     pub(super) fn process_ready(&mut self, now: f64) {
         let mut reads = Vec::new();
         while !self.is_muted() && self.node.has_ready() {
@@ -84,8 +85,8 @@
         self.reply_to_lease_requests(now, reads);
     }
 
-    /// The library draws the election timeout at random; here it follows from folder and term, so that a run can be
-    /// replayed. Voters differ, and each differs from term to term.
+    /// Sets the election timeout. The library draws it at random; here it is a function of folder and term, so that a
+    /// run can be replayed. It differs between voters, and from term to term.
     pub(super) fn pin_election_timeout(&mut self) {
         let term = self.node.raft.term.to_be_bytes();
         let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&term, self.folder.id);
@@ -97,15 +98,16 @@
         self.node.mut_store().compact(index, policy, || state.encode());
     }
 
-    /// Another build wrote what this one cannot follow. The voter sends nothing any more, so that no state continues
-    /// without what the others have; the folder stays as it is, for a build that can follow.
+    /// Mutes the voter, because another build wrote something that this one does not understand. It sends nothing any
+    /// more, so that no state continues without what the others have; the folder stays as it is, for a build that
+    /// understands it.
     pub(super) fn mute(&mut self, reason: &str) {
         self.participation = Participation::Muted;
         self.log(format!("stopped voting: {reason}; start it with the build that the other voters run"));
         self.lease_requests.drop_all(&mut self.effects);
     }
 
-    /// `false`: the voter was muted by one of them.
+    /// Applies committed entries. Returns `false` if one of them muted the voter.
     fn commit_all(&mut self, now: f64, entries: Vec<Entry>) -> bool {
         entries.into_iter().all(|entry| self.commit(now, CommittedEntry::new(entry)))
     }
@@ -125,7 +127,7 @@
                 }
             }
         }
-        // An ignored entry changes no membership, either: all voters ignore it alike.
+        // An ignored entry does not change the membership, either: all voters ignore it alike.
         if let Some(change) = entry.membership_change.filter(|_| applied) {
             self.apply_membership_change(&change);
         }
@@ -161,7 +163,7 @@
     fn apply_membership_change(&mut self, change: &ConfChangeV2) {
         let Ok(conf_state) = self.node.apply_conf_change(change) else { return };
         self.node.mut_store().set_conf_state(conf_state);
-        // A leader that was removed by the change: the library would go on leading without being able to.
+        // The change removed this leader: the library would keep it as leader, although it could not commit anything.
         if self.is_removed() && self.node.raft.state == StateRole::Leader {
             let term = self.node.raft.term;
             self.node.raft.become_follower(term, 0);
@@ -169,7 +171,7 @@
         }
     }
 
-    /// A snapshot from the leader replaced the log.
+    /// Adopts a snapshot from the leader, which replaced the log.
     fn adopt_snapshot(&mut self, now: f64) {
         let (index, data) = self.node.store().last_snapshot();
         self.state = decode::replicated_state(data).expect("judged before it was taken");
@@ -191,7 +193,7 @@
         }
     }
 
-    /// The library would wait for the acknowledgement of a lost snapshot forever.
+    /// Sends late snapshots again. The library would wait forever for the acknowledgement of a lost one.
     pub(super) fn resend_snapshots(&mut self, now: f64) {
         let patience = elections_seconds(SNAPSHOT_RETRY_ELECTIONS, self.config.lease_seconds);
         let late = self.snapshots_sent.iter().filter(|(_, sent_at)| now - **sent_at > patience);
@@ -204,7 +206,7 @@
         }
     }
 
-    /// `to_folder`: 0 if it is not known.
+    /// Queues a message. `to_folder` is 0 if the addressee's folder is not known.
     pub(super) fn send(&mut self, name: &str, to_folder: u64, body: Body) {
         let envelope = Envelope {
             from: self.config.name.clone(),
--- a/crates/dunepond-consensus/src/voter/receive.rs
+++ b/crates/dunepond-consensus/src/voter/receive.rs
@@ -1,4 +1,4 @@
-//! Messages from other voters: which are accepted.
+//! Accepts or rejects messages from other voters.
 
 use protobuf::Message as _;
 use raft::eraftpb::{EntryType, Message, MessageType};
@@ -8,14 +8,15 @@
 use crate::codec::Blob;
 use crate::{ConsensusError, Effects, Rejection, VoterSlot, decode};
 
-/// Former or future voters that are remembered until the next greeting.
+/// Largest number of former or future voters that are remembered until the next greeting.
 const MAX_STRANGER_COUNT: usize = 16;
 
 impl Voter {
-    /// Takes what another voter's [`Effects::messages`] held for this one. `from` is who the link says it is.
+    /// Handles a message that another voter's [`Effects::messages`] contained for this one. `from` is the peer at the
+    /// other end of the link.
     ///
     /// # Errors
-    /// The message is malformed, or not accepted.
+    /// The message is malformed, or it is not accepted.
     pub fn receive(&mut self, now: f64, from: &str, bytes: &[u8]) -> Result<Effects, ConsensusError> {
         self.advance_clock(now);
         let envelope = Envelope::decode(from, bytes)?;
@@ -47,8 +48,8 @@
         Ok(())
     }
 
-    /// A sender that is no voter by what is known here. It may have started from an old folder, or this voter may be the one
-    /// that was removed: both find out by greetings.
+    /// Handles a sender that is not a voter as far as this voter knows. It may have started from an old folder, or this
+    /// voter may be the one that was removed: greetings tell both of them.
     fn note_stranger(&mut self, envelope: &Envelope) {
         let is_hello = matches!(envelope.body, Body::Hello { .. });
         if !self.has_state || envelope.from == self.config.name || !is_hello {
@@ -60,25 +61,25 @@
         }
     }
 
-    /// Hands a message to the raft library.
+    /// Passes a message on to the raft library.
     fn step(&mut self, slot: VoterSlot, message: Message) {
         if !self.is_active() || message.from != slot.folder_id || message.to != self.folder.id {
             return;
         }
         let kind = message.get_msg_type();
-        // The leader counts on entries of which this folder knows nothing: it is an old copy, whatever others confirmed.
+        // The leader counts on entries that this folder does not have: it is an old copy, whatever others confirmed.
         let last_index = self.node.raft.raft_log.last_index();
         if kind == MessageType::MsgHeartbeat && message.commit > last_index {
             self.discard_folder("the leader counts on more than the folder holds");
             return;
         }
-        // Judged before it replaces what is in the folder.
+        // Checked before it replaces the content of the folder.
         let is_snapshot = kind == MessageType::MsgSnapshot;
         if is_snapshot && decode::replicated_state(message.get_snapshot().get_data()).is_none() {
             self.mute("the leader's snapshot is invalid for this build");
             return;
         }
-        // Acknowledging what it cannot judge would help to commit it.
+        // Acknowledging an entry that this build cannot read would help to commit it.
         if kind == MessageType::MsgAppend
             && let Some(reason) = self.unreadable_entry(&message)
         {
@@ -92,7 +93,7 @@
         if kind == MessageType::MsgAppendResponse && !message.reject && message.index > last_index {
             return;
         }
-        // What the library rejects is of an earlier term or of a former voter; nothing is to be done about it.
+        // The library rejects messages of an earlier term or of a former voter; there is nothing to do about them.
         let _ = self.node.step(message);
     }
 
--- a/crates/dunepond-consensus/src/voter/recovery.rs
+++ b/crates/dunepond-consensus/src/voter/recovery.rs
@@ -1,6 +1,7 @@
-//! Recovery of a fleet whose majority is lost for good, by an operator's order, from one voter's folder. What the lost
-//! voters alone had committed is lost. What could go wrong by that is fenced: the fleet's epoch goes up, whoever has heard
-//! of it accepts nothing from before, and nobody has a lease until everything that the lost voters allowed has ended.
+//! Recovery of a fleet whose majority is lost for good, by an operator's order, from one voter's folder. Entries that
+//! only the lost voters had committed are lost. The consequences are fenced: the fleet's epoch is increased, brokers
+//! that know of it accept nothing from before, and no lease is granted until everything that the lost voters allowed
+//! has ended.
 
 use raft::eraftpb::{ConfState, EntryType};
 
@@ -9,15 +10,15 @@
 use crate::{ConsensusConfig, ConsensusError, RECOVERY_CONFIRMATION, RecoveryError, RecoveryOrder};
 use crate::{ReplicatedState, StoredVoter, decode};
 
-/// By so much index and term go up: no position of the log means two things.
+/// Increment of index and term, so that no position of the log has two meanings.
 const POSITION_GAP: u64 = 1 << 20;
 
 impl Voter {
-    /// As [`Voter::open`], and continues alone by an operator's order: it votes on a new folder, alone until the others that
-    /// are left have begun anew.
+    /// Opens a voter like [`Voter::open`], and lets it continue alone by an operator's order: it votes on a new folder,
+    /// alone until the remaining voters have started over.
     ///
     /// # Errors
-    /// As [`Voter::open`], or the order does not fit the folder.
+    /// The errors of [`Voter::open`], or the order does not fit the folder.
     pub fn recover(
         config: ConsensusConfig,
         stored: StoredVoter,
@@ -44,15 +45,16 @@
             return Err(RecoveryError::NoState);
         }
         if order.folder_id != folder_id {
-            return Err(RecoveryError::WrongFolder { said: order.folder_id, is: folder_id });
+            return Err(RecoveryError::WrongFolder { stated: order.folder_id, actual: folder_id });
         }
         if order.last_index != last_index {
-            return Err(RecoveryError::WrongPosition { said: order.last_index, is: last_index });
+            return Err(RecoveryError::WrongPosition { stated: order.last_index, actual: last_index });
         }
         Ok(())
     }
 
-    /// With entries of which this voter does not know that they were committed: the lost voters may have.
+    /// The state with all entries of the log, including those not known to be committed: the lost voters may have
+    /// committed them.
     fn state_with_all_entries(&self) -> Result<ReplicatedState, RecoveryError> {
         let mut state = self.state.clone();
         for entry in self.node.store().entries_after(state.index) {
@@ -61,7 +63,7 @@
             if !bytes.is_empty() {
                 let log_entry = decode::log_entry(bytes, &self.known_keys)
                     .map_err(|reason| RecoveryError::UnknownEntry(reason.to_string()))?;
-                // What is ignored here is ignored by every voter.
+                // An entry that is ignored here is ignored by every voter.
                 let _ = state.apply(entry.index, log_entry);
             }
         }
@@ -80,8 +82,8 @@
             return Err(RecoveryError::MajorityRemains { lost, of });
         }
         if order.highest_number < state.highest_number {
-            let (said, is) = (order.highest_number, state.highest_number);
-            return Err(RecoveryError::VersionTooLow { said, is });
+            let (stated, actual) = (order.highest_number, state.highest_number);
+            return Err(RecoveryError::VersionTooLow { stated, actual });
         }
         if order.confirmation != RECOVERY_CONFIRMATION {
             return Err(RecoveryError::WrongConfirmation);
--- a/crates/dunepond-consensus/src/voter_change.rs
+++ b/crates/dunepond-consensus/src/voter_change.rs
@@ -2,45 +2,45 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A voter, by name.
+/// A voter, identified by the name of its broker.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct VoterInfo {
-    /// Of the broker.
+    /// Name of the broker.
     pub name: String,
-    /// Where the others reach it; `None`: as their files state.
+    /// Address at which the others reach it; `None` means the address in their files.
     #[serde(default)]
     #[serde(rename = "at")]
     pub address: Option<String>,
 }
 
-/// An operator's document: the whole list of voters, which differs from the one in force by one voter at most.
+/// An operator's document with the whole list of voters, which differs from the list in force by at most one voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VoterChange {
-    /// One more than that of the list in force, or of the pending one.
+    /// Number of the list: one more than that of the list in force, or of the pending one.
     pub number: u64,
-    /// The list.
+    /// The voters of the new list.
     pub voters: Vec<VoterInfo>,
-    /// Who proposed it.
+    /// Who proposed the list.
     #[serde(rename = "who")]
     pub proposed_by: String,
-    /// Why, in the proposer's words.
+    /// The reason, in the proposer's words.
     #[serde(rename = "why")]
     pub reason: String,
-    /// When, in Unix seconds; shown to people only.
+    /// When the list was proposed, in Unix seconds; only shown to people.
     #[serde(rename = "at")]
     pub proposed_at_unix_seconds: f64,
 }
 
-/// A voter's folder as its peers saw it last.
+/// Identity of a voter's folder, as its peers last saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterSlot {
-    /// Drawn when the folder was empty.
+    /// Random id drawn when the folder was empty.
     #[serde(rename = "folder")]
     pub folder_id: u64,
-    /// Starts on the folder.
+    /// Number of starts on the folder.
     #[serde(rename = "starts")]
     pub start_count: u64,
-    /// Drawn at each start.
+    /// Random number drawn at each start.
     #[serde(rename = "run")]
     pub run_id: u64,
 }
--- /dev/null
+++ b/crates/dunepond-consensus/tests/lease_client.rs
@@ -0,0 +1,283 @@
+//! The lease client by itself: which replies it adopts, and what the broker may act on at a moment.
+
+use std::sync::Arc;
+
+use dunepond_consensus::*;
+use dunepond_simulation::fixtures::{config_version, consensus_config, routing_rules, shard_map};
+
+/// A grant of the state at `index` with these versions and all their documents.
+fn grant(
+    index: u64,
+    active: Option<&ConfigVersion>,
+    proposed: Option<(&ConfigVersion, RolloutStep)>,
+) -> LeaseGrant {
+    let documents = active.into_iter().chain(proposed.map(|(version, _)| version)).cloned().map(Arc::new);
+    LeaseGrant {
+        lease_seconds: 1.0,
+        required_parts: Vec::new(),
+        fleet_id: 0,
+        epoch: 0,
+        index,
+        active: active.map(|version| (version.number, version.digest())),
+        proposed: proposed.map(|(version, step)| ProposedVersion {
+            number: version.number,
+            digest: version.digest(),
+            step,
+        }),
+        highest_number: 9,
+        maps_enabled: true,
+        voters: Vec::new(),
+        voters_number: 0,
+        documents: documents.collect(),
+        completed_fills: Vec::new(),
+        settlements: SettlementUpdate::default(),
+        quota: None,
+        leader: String::from("n2"),
+        leader_run: 7,
+        received_at: 500.0,
+    }
+}
+
+fn next_request(client: &mut LeaseClient, at: f64) -> LeaseRequest {
+    client.tick(at).expect("a request is due").1
+}
+
+fn deliver_grant(
+    client: &mut LeaseClient,
+    at: f64,
+    request: &LeaseRequest,
+    grant: LeaseGrant,
+) -> Result<(), Rejection> {
+    let answer = LeaseAnswer::Granted(Box::new(grant));
+    client.handle_reply(
+        at,
+        "n2",
+        LeaseReply { id: request.id, incarnation: request.incarnation, sent_at: request.sent_at, answer },
+    )
+}
+
+fn lease_client() -> LeaseClient {
+    LeaseClient::new(consensus_config("n1", 3), None, 100.0, 1)
+}
+
+#[test]
+fn lease_counts_from_request_and_expires_at_time_of_use() {
+    let (mut client, first_version) = (lease_client(), config_version(1, Some(shard_map(1, false))));
+    let before = client.active_config();
+    assert_eq!(
+        (before.phase(100.0), before.owner(0, 100.0)),
+        (ConfigPhase::Unconfigured, SegmentOwner::Unavailable(1.0))
+    );
+    let request = next_request(&mut client, 100.0);
+    deliver_grant(&mut client, 100.9, &request, grant(5, Some(&first_version), None)).unwrap();
+    let active_config = client.active_config();
+    assert_eq!(active_config.phase(100.99), ConfigPhase::Active(1));
+    assert_eq!(active_config.owner(0, 100.99), SegmentOwner::Node("s0b"));
+    assert_eq!(
+        active_config.phase(101.0),
+        ConfigPhase::LeaseExpired(1),
+        "although the reply arrived a tenth of a second ago"
+    );
+    assert_eq!(active_config.owner(0, 106.0), SegmentOwner::Unavailable(1.0), "after a suspension");
+    assert_eq!(active_config.rules(106.0), Some(&first_version.rules));
+    assert_eq!(
+        active_config.phase(99.0),
+        ConfigPhase::LeaseExpired(1),
+        "an earlier reading does not extend the lease"
+    );
+}
+
+#[test]
+fn rejects_stale_and_unexpected_replies() {
+    let (first_version, second_version) =
+        (config_version(1, Some(shard_map(1, false))), config_version(2, Some(shard_map(2, false))));
+    let mut client = lease_client();
+    let first = next_request(&mut client, 100.0);
+    let second = next_request(&mut client, 100.4);
+    deliver_grant(
+        &mut client,
+        100.5,
+        &first,
+        grant(6, Some(&first_version), Some((&second_version, RolloutStep::Joint))),
+    )
+    .unwrap();
+    assert_eq!(client.active_config().phase(100.6), ConfigPhase::Joint(1, 2));
+    let late = deliver_grant(&mut client, 100.6, &second, grant(5, Some(&first_version), None));
+    assert_eq!(late, Err(Rejection::StaleReply { stated: 5, known: 6 }));
+    assert_eq!(client.active_config().phase(100.6), ConfigPhase::Joint(1, 2));
+    assert_eq!(
+        deliver_grant(&mut client, 100.7, &first, grant(7, Some(&second_version), None)),
+        Err(Rejection::UnexpectedReply(first.id))
+    );
+    // Another run of the same broker sent a request with the same id.
+    let third = LeaseRequest { incarnation: 1, ..next_request(&mut client, 100.6) };
+    assert_eq!(
+        deliver_grant(&mut client, 100.7, &third, grant(7, Some(&second_version), None)),
+        Err(Rejection::UnexpectedReply(third.id))
+    );
+}
+
+#[test]
+fn rejects_invalid_documents_and_lease_expires() {
+    let first_version = config_version(1, Some(shard_map(1, false)));
+    let mut client = lease_client();
+    let request = next_request(&mut client, 100.0);
+    deliver_grant(&mut client, 100.1, &request, grant(5, Some(&first_version), None)).unwrap();
+    // Other rules under the committed digest; a map with a gap; no document at all.
+    let (mut other, mut gap) =
+        (config_version(2, Some(shard_map(2, false))), config_version(2, Some(shard_map(2, false))));
+    gap.map.as_mut().unwrap().segments.remove(1);
+    gap.map = gap.map.map(dunepond_shard_map::ShardMap::with_digest);
+    let mut stale = grant(6, Some(&first_version), Some((&other, RolloutStep::Joint)));
+    other.rules = routing_rules(8);
+    stale.documents = vec![Arc::new(other)];
+    let mut none = grant(6, Some(&first_version), Some((&gap, RolloutStep::Joint)));
+    none.documents.clear();
+    let request = next_request(&mut client, 100.4);
+    assert!(matches!(
+        deliver_grant(&mut client, 100.5, &request, stale),
+        Err(Rejection::DigestMismatch { number: 2, .. })
+    ));
+    let request = next_request(&mut client, 100.8);
+    assert!(matches!(
+        deliver_grant(
+            &mut client,
+            100.9,
+            &request,
+            grant(6, Some(&first_version), Some((&gap, RolloutStep::Joint)))
+        ),
+        Err(Rejection::InvalidMap(_))
+    ));
+    assert_eq!(client.active_config().phase(100.95), ConfigPhase::Active(1));
+    let request = next_request(&mut client, 101.3);
+    assert_eq!(deliver_grant(&mut client, 101.4, &request, none), Err(Rejection::MissingDocument(2)));
+    assert_eq!(
+        client.active_config().phase(101.4),
+        ConfigPhase::LeaseExpired(1),
+        "none of the replies granted a lease"
+    );
+}
+
+#[test]
+fn backward_clock_and_drift_end_trust() {
+    let first_version = config_version(1, Some(shard_map(1, false)));
+    let mut back = lease_client();
+    let request = next_request(&mut back, 100.0);
+    deliver_grant(&mut back, 100.1, &request, grant(5, Some(&first_version), None)).unwrap();
+    back.tick(99.9);
+    assert_eq!(back.active_config().phase(100.2), ConfigPhase::LeaseExpired(1));
+    assert!(matches!(back.distrust_reason(), Some(Rejection::ClockWentBack { .. })));
+    // The client counts 10 s while the leader counts 11 s, which exceeds a drift of 1% each.
+    let mut slow = lease_client();
+    for n in 0..20 {
+        let at = 100.0 + 0.5 * f64::from(n);
+        let request = next_request(&mut slow, at);
+        let grant_of_leader =
+            LeaseGrant { received_at: 500.0 + 0.55 * f64::from(n), ..grant(5, Some(&first_version), None) };
+        let _ = deliver_grant(&mut slow, at + 0.01, &request, grant_of_leader);
+    }
+    assert!(
+        matches!(slow.distrust_reason(), Some(Rejection::ClockDrift { .. })),
+        "{:?}",
+        slow.distrust_reason()
+    );
+    assert_eq!(slow.active_config().phase(109.6), ConfigPhase::LeaseExpired(1));
+    // Another leader that counts the same is trusted: the clock of the first one may have been wrong.
+    let request = next_request(&mut slow, 110.0);
+    deliver_grant(
+        &mut slow,
+        110.01,
+        &request,
+        LeaseGrant { leader: String::from("n3"), ..grant(5, Some(&first_version), None) },
+    )
+    .unwrap();
+    assert_eq!((slow.active_config().phase(110.1), slow.distrust_reason()), (ConfigPhase::Active(1), None));
+    let mut fine = lease_client();
+    for n in 0..40 {
+        let at = 100.0 + 0.5 * f64::from(n);
+        let request = next_request(&mut fine, at);
+        let grant_of_leader =
+            LeaseGrant { received_at: 500.0 + 0.509 * f64::from(n), ..grant(5, Some(&first_version), None) };
+        deliver_grant(&mut fine, at + 0.01, &request, grant_of_leader).unwrap();
+    }
+}
+
+#[test]
+fn rejects_earlier_epoch_and_other_fleet() {
+    let first_version = config_version(1, Some(shard_map(1, false)));
+    let of = |fleet, epoch, index| LeaseGrant {
+        fleet_id: fleet,
+        epoch,
+        ..grant(index, Some(&first_version), None)
+    };
+    let mut client = lease_client();
+    let request = next_request(&mut client, 100.0);
+    deliver_grant(&mut client, 100.1, &request, of(5, 2, 100)).unwrap();
+    let later = [(5, 1, Rejection::StaleEpoch { stated: 1, known: 2 }), (6, 9, Rejection::OtherFleet)];
+    // The same applies after a restart, from the persisted state.
+    let persisted = PersistedState::decode(&client.persisted_state().encode()).unwrap();
+    let mut restarted = LeaseClient::new(consensus_config("n1", 3), Some(persisted), 100.2, 2);
+    for (n, (fleet, epoch, why)) in later.into_iter().enumerate() {
+        let at = 100.4 + 0.4 * n as f64;
+        let request = next_request(&mut client, at);
+        assert_eq!(deliver_grant(&mut client, at, &request, of(fleet, epoch, 200)), Err(why.clone()));
+        let request = next_request(&mut restarted, at);
+        assert_eq!(deliver_grant(&mut restarted, at, &request, of(fleet, epoch, 200)), Err(why));
+    }
+    assert_eq!(
+        (client.active_config().phase(101.0), restarted.active_config().phase(101.0)),
+        (ConfigPhase::LeaseExpired(1), ConfigPhase::LeaseExpired(1))
+    );
+}
+
+#[test]
+fn persisted_versions_apply_without_lease_after_restart() {
+    let (first_version, second_version) =
+        (config_version(1, Some(shard_map(1, false))), config_version(2, Some(shard_map(2, false))));
+    let mut client = lease_client();
+    let request = next_request(&mut client, 100.0);
+    deliver_grant(
+        &mut client,
+        100.1,
+        &request,
+        grant(6, Some(&first_version), Some((&second_version, RolloutStep::Joint))),
+    )
+    .unwrap();
+    let persisted = PersistedState::decode(&client.persisted_state().encode()).unwrap();
+    let restarted = LeaseClient::new(consensus_config("n1", 3), Some(persisted), 100.2, 2).active_config();
+    assert_eq!(restarted.phase(100.2), ConfigPhase::LeaseExpired(1));
+    assert_eq!(restarted.rules(100.2), Some(&strictest_rules(&first_version.rules, &second_version.rules)));
+    assert_eq!(restarted.owner(0, 100.2), SegmentOwner::Unavailable(1.0));
+    assert_eq!(
+        PersistedState::decode(&[9, 9]),
+        Err(ConsensusError::CorruptRecord("the persisted state of a broker"))
+    );
+}
+
+#[test]
+fn without_maps_expired_lease_allows_any_replica() {
+    let config = ConsensusConfig { maps_enabled: false, ..consensus_config("n1", 3) };
+    let mut client = LeaseClient::new(config, None, 100.0, 1);
+    assert_eq!(
+        client.active_config().owner(0, 100.0),
+        SegmentOwner::Unavailable(1.0),
+        "it may have been down for long"
+    );
+    let request = next_request(&mut client, 100.0);
+    let first_version = config_version(1, None);
+    deliver_grant(
+        &mut client,
+        100.1,
+        &request,
+        LeaseGrant { maps_enabled: false, ..grant(5, Some(&first_version), None) },
+    )
+    .unwrap();
+    assert_eq!(
+        (client.active_config().phase(102.0), client.active_config().owner(0, 102.0)),
+        (ConfigPhase::LeaseExpired(1), SegmentOwner::AnyReplica)
+    );
+    // Another voter's file allows maps, so a map may become active from now on.
+    let request = next_request(&mut client, 102.0);
+    deliver_grant(&mut client, 102.1, &request, grant(6, Some(&first_version), None)).unwrap();
+    assert_eq!(client.active_config().owner(0, 104.0), SegmentOwner::Unavailable(1.0));
+}
