--- a/crates/dunepond-background/src/budget.rs
+++ b/crates/dunepond-background/src/budget.rs
@@ -12,7 +12,7 @@
 pub struct Budget {
     /// Share of the time of the caller's thread.
     pub time_ratio: f64,
-    /// Written to the disk.
+    /// Bytes that may be written to the disk each second.
     pub bytes_per_second: f64,
     /// Blocking jobs under way at once.
     pub max_blocking_jobs: usize,
--- a/crates/dunepond-background/src/job.rs
+++ b/crates/dunepond-background/src/job.rs
@@ -26,25 +26,25 @@
 /// How a failed job is retried. The backoff doubles with each failure up to its maximum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryPolicy {
-    /// After the first failure.
+    /// Backoff after the first failure.
     pub initial_backoff_seconds: f64,
-    /// After any failure.
+    /// Longest backoff.
     pub max_backoff_seconds: f64,
-    /// In all; absent, as many as it takes.
+    /// Most attempts in all; absent, as many as it takes.
     pub max_attempts: Option<u32>,
 }
 
 /// What a run is expected to take; what it did take is reported with its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct JobCost {
-    /// Written to the disk.
+    /// Bytes written to the disk.
     pub bytes: u64,
 }
 
 /// A job as it is added.
 #[derive(Clone, Debug)]
 pub struct JobSpec {
-    /// What it counts under.
+    /// Name that its counters are kept under.
     pub name: &'static str,
     /// Which of several runs first.
     pub priority: Priority,
@@ -87,9 +87,9 @@
 /// What a run has taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceUse {
-    /// Of the caller's thread; a blocking job takes none.
+    /// Time of the caller's thread that was used; a blocking job takes none.
     pub seconds: f64,
-    /// Written to the disk.
+    /// Bytes written to the disk.
     pub bytes: u64,
 }
 
@@ -105,7 +105,7 @@
 /// Counters of all jobs of one name.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct JobCounters {
-    /// Completed.
+    /// Jobs that completed.
     pub done: u64,
     /// Runs that failed.
     pub failed: u64,
@@ -113,9 +113,9 @@
     pub expired: u64,
     /// Jobs that failed and were not retried.
     pub abandoned: u64,
-    /// Of the caller's thread.
+    /// Time of the caller's thread that was used.
     pub seconds: f64,
-    /// Written to the disk.
+    /// Bytes written to the disk.
     pub bytes: u64,
     /// The longest that a job has waited, due, for its first run.
     pub longest_wait_seconds: f64,
--- a/crates/dunepond-background/src/scheduler.rs
+++ b/crates/dunepond-background/src/scheduler.rs
@@ -38,7 +38,7 @@
     bytes: TokenBucket,
     blocking_jobs: usize,
     counters: BTreeMap<&'static str, JobCounters>,
-    /// Not reported yet.
+    /// Dropped jobs that are not reported yet.
     dropped: Vec<DroppedJob>,
 }
 
--- a/crates/dunepond-body-buffer/src/limits.rs
+++ b/crates/dunepond-body-buffer/src/limits.rs
@@ -7,9 +7,9 @@
 /// Limits of the files that bodies are spilled to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpillLimits {
-    /// Of one body.
+    /// Longest body.
     pub max_body_bytes: u64,
-    /// Of all bodies together.
+    /// Most bytes of all bodies together.
     pub max_total_bytes: u64,
     /// Seconds without spilling after a first failure; doubled with each further one in a row.
     pub initial_backoff_seconds: f64,
--- a/crates/dunepond-body-buffer/src/placement.rs
+++ b/crates/dunepond-body-buffer/src/placement.rs
@@ -43,7 +43,7 @@
     pub id: BodyId,
     /// Where it is held.
     pub tier: Tier,
-    /// Why it is not held in the tier before; none in memory.
+    /// Why it is not held in the better tier before this one; `None` in memory.
     pub fallback_reason: Option<FallbackReason>,
 }
 
@@ -72,7 +72,7 @@
     TenantSpillFull,
     /// The query class's share of the files is full.
     QueryClassSpillFull,
-    /// Its length was not stated, so that it cannot be passed through.
+    /// Its length was not stated, so it cannot be passed through, and there is no other room for it.
     LengthUnknown,
     /// The memory has no room for a window.
     NoWindow,
@@ -109,10 +109,10 @@
 pub struct FallbackCount {
     /// Where they were not held.
     pub tier: Tier,
-    /// Why.
+    /// Why they were not held there.
     pub reason: FallbackReason,
     /// Index of the query class.
     pub query_class: usize,
-    /// Since the start.
+    /// How often, since the start.
     pub count: u64,
 }
--- a/crates/dunepond-body-buffer/src/spool.rs
+++ b/crates/dunepond-body-buffer/src/spool.rs
@@ -33,7 +33,7 @@
         file: FileId,
         /// Where in the file.
         offset: u64,
-        /// How much.
+        /// How many bytes.
         length: usize,
     },
     /// Removes the file; nothing is reported.
@@ -60,7 +60,7 @@
         file: FileId,
         /// Where in the file.
         offset: u64,
-        /// How much.
+        /// How many bytes.
         length: usize,
     },
     /// All bytes were read.
@@ -78,7 +78,7 @@
         file: FileId,
         /// Where in the file.
         offset: u64,
-        /// Why.
+        /// Why it failed.
         fault: DiskFault,
     },
 }
@@ -145,7 +145,7 @@
 #[derive(Default)]
 struct SpoolLoad {
     jobs: AtomicUsize,
-    /// Of writes: releasing a body does not free them.
+    /// Bytes of queued writes: releasing a body does not free them.
     write_bytes: AtomicU64,
 }
 
--- a/crates/dunepond-config/src/migrate/mod.rs
+++ b/crates/dunepond-config/src/migrate/mod.rs
@@ -74,7 +74,7 @@
 
 /// A migration under way.
 struct Migration<'a> {
-    /// Of the old file.
+    /// Settings of the old file.
     settings: Fields<'a>,
     new: Value,
     changes: Vec<String>,
--- a/crates/dunepond-config/src/operator/fleet/mod.rs
+++ b/crates/dunepond-config/src/operator/fleet/mod.rs
@@ -34,11 +34,11 @@
     pub peers: Vec<BrokerAddress>,
     /// A file with the secret that all brokers share; needed where relays stand between them.
     pub key_file: Option<PathBuf>,
-    /// A configuration to propose, read at the start and at SIGHUP.
+    /// The version file: a configuration to propose, read at the start and at SIGHUP.
     pub version_file: Option<PathBuf>,
     /// Where decisions of this broker are logged, a line each.
     pub audit_log_file: Option<PathBuf>,
-    /// Owners of sites or links.
+    /// Owners of zones, with their nodes, tenants and brokers.
     pub partners: Vec<PartnerConfig>,
     /// What fills may take between partners.
     pub links: Vec<LinkConfig>,
@@ -57,11 +57,11 @@
 pub struct BrokerAddress {
     /// Unique in the fleet.
     pub name: String,
-    /// UDP and TCP.
+    /// Address at which it is reached, over UDP and TCP.
     pub address: SocketAddr,
 }
 
-/// An owner of sites or links. What its nodes carry for tenants of others is counted.
+/// An owner of zones. What its nodes carry for tenants of others is counted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartnerConfig {
     /// Unique in the fleet.
@@ -83,25 +83,25 @@
     pub from: String,
     /// A partner's name.
     pub to: String,
-    /// At most.
+    /// Highest rate of all fills together.
     pub bytes_per_second: u64,
 }
 
 /// The operator's service that fills replicas, and how it is used.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FillConfig {
-    /// TCP.
+    /// Address of the service, over TCP.
     pub address: SocketAddr,
     /// A configuration whose fills take longer is withdrawn.
     pub deadline_seconds: f64,
     /// The size of one segment's data.
     pub segment_bytes: u64,
-    /// Of one fill, at most.
+    /// Highest rate of one fill.
     pub bytes_per_second: u64,
     /// Fills under way at once, at most.
     pub max_concurrent_fills: usize,
-    /// Replicas that are cold after a start are filled too, by the broker that each is assigned to, even one that is
-    /// partitioned off; what partners owe for it is split in advance.
+    /// Replicas on nodes in slow start are filled too, each by the broker that is responsible for it, partitioned or not. For
+    /// this debts are split among all brokers in advance.
     pub fill_started_nodes: bool,
 }
 
@@ -112,7 +112,7 @@
     pub plan_file: PathBuf,
     /// Changes of one step, at most.
     pub max_concurrent_acts: usize,
-    /// Between two steps.
+    /// Pause between two steps.
     pub settle_seconds: f64,
     /// What fills may take between two partners that no `link` names.
     pub default_link_bytes_per_second: Option<u64>,
@@ -121,7 +121,7 @@
 /// What a new shard map must keep.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MapConfig {
-    /// Of each segment.
+    /// Least number of replicas of each segment.
     pub min_replicas: usize,
     /// Zones in which each segment has a replica.
     pub min_zones: usize,
--- a/crates/dunepond-config/src/operator/mod.rs
+++ b/crates/dunepond-config/src/operator/mod.rs
@@ -30,9 +30,9 @@
 /// One fault of the file, and where it stands.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Diagnostic {
-    /// From 1.
+    /// Line, from 1.
     pub line: usize,
-    /// In characters, from 1.
+    /// Column in characters, from 1.
     pub column: usize,
     /// What is wrong, and what was expected.
     pub message: String,
--- a/crates/dunepond-config/src/operator/search_api.rs
+++ b/crates/dunepond-config/src/operator/search_api.rs
@@ -10,9 +10,9 @@
 /// Where the search API listens, and the limits of its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SearchApiConfig {
-    /// TCP.
+    /// Address to listen at, over TCP.
     pub listen_address: SocketAddr,
-    /// RequestLimits of one request.
+    /// Limits of one request.
     pub limits: RequestLimits,
 }
 
--- a/crates/dunepond-prefilter/src/benefit.rs
+++ b/crates/dunepond-prefilter/src/benefit.rs
@@ -37,9 +37,9 @@
 /// What a prefiltered query takes at the median.
 #[derive(Clone, Copy, Debug)]
 pub struct MedianTimes {
-    /// Asking.
+    /// From the query's opening to its search plan.
     pub request_seconds: f64,
-    /// The search after it.
+    /// Time of the search after that.
     pub search_seconds: f64,
 }
 
--- a/crates/dunepond-prefilter/src/evidence.rs
+++ b/crates/dunepond-prefilter/src/evidence.rs
@@ -1,8 +1,8 @@
 //! What is known of which text in which segment, and from which node. Bounded; answers about another version are dropped.
 //!
-//! An answer is about a version, and only the replicas know which version a segment has now: one node that repeats an old version's answer
-//! could combine with an old, true one. So both answers must be fresh, and an answer is as old as its request: what was in flight when a
-//! query came may have been decided before.
+//! An answer is about one version of a segment, and only the replicas know which version is the latest. A replica that lags behind may deny
+//! a match that a later version has; together with a true denial from before that version it would look like two that agree. So both denials
+//! must be fresh. An answer is as old as its request: what was in flight when a query came may have been decided before it came.
 
 use std::collections::VecDeque;
 
@@ -27,7 +27,7 @@
 pub struct SentAt {
     /// The order among all requests.
     pub sequence: u64,
-    /// Seconds.
+    /// When, in seconds.
     pub time: f64,
 }
 
@@ -37,7 +37,7 @@
 pub struct CountsSince {
     /// The last request sent before.
     pub sequence: u64,
-    /// Seconds.
+    /// When, in seconds.
     pub time: f64,
 }
 
--- a/crates/dunepond-prefilter/src/model.rs
+++ b/crates/dunepond-prefilter/src/model.rs
@@ -108,9 +108,9 @@
 pub struct SearchPlan {
     /// The query.
     pub query: QueryId,
-    /// To search.
+    /// Segments to search.
     pub search: Vec<SegmentIndex>,
-    /// Not to search.
+    /// Segments not to search, and why.
     pub pruned: Vec<PrunedSegment>,
 }
 
--- a/crates/dunepond-prefilter/src/prefilter/mod.rs
+++ b/crates/dunepond-prefilter/src/prefilter/mod.rs
@@ -57,7 +57,7 @@
 pub struct Prefilter {
     config: PrefilterConfig,
     rng: Pcg64Mcg,
-    /// By query class.
+    /// What was learned of each query class.
     benefits: BTreeMap<usize, Benefit>,
     evidence: Evidence,
     trust: Trust,
--- a/crates/dunepond-rebalance/src/action.rs
+++ b/crates/dunepond-rebalance/src/action.rs
@@ -29,7 +29,7 @@
     },
     /// Adds a replica, which is to be filled; nobody reads from it yet.
     Fill {
-        /// Id.
+        /// Id of the segment.
         segment: u64,
         /// Name of the node.
         to: String,
@@ -38,7 +38,7 @@
     },
     /// The filled replica replaces another one: it takes over its reads, and the segment if the other owns it.
     Switch {
-        /// Id.
+        /// Id of the segment.
         segment: u64,
         /// Name of the node that is replaced.
         from: String,
@@ -48,7 +48,7 @@
     /// Another replica becomes the owner.
     #[serde(rename = "Own")]
     ChangeOwner {
-        /// Id.
+        /// Id of the segment.
         segment: u64,
         /// Name of the new owner.
         to: String,
@@ -56,7 +56,7 @@
     /// Removes the replica that was filled.
     #[serde(rename = "Drop")]
     RemoveReplica {
-        /// Id.
+        /// Id of the segment.
         segment: u64,
         /// Name of the node.
         to: String,
@@ -71,8 +71,8 @@
     /// No owner of any key changes, nothing is filled.
     #[serde(rename = "Quiet")]
     MetadataOnly,
-    /// Owners change: non-idempotent parts are throttled for these segments during the joint phase. Nothing is filled in
-    /// it, so that the phase is as short as the wait.
+    /// Owners change: during the joint phase non-idempotent parts of these segments are rejected. Nothing is filled in such a
+    /// step: the phase would last as long as the fills.
     Fence,
 }
 
@@ -89,7 +89,7 @@
 /// Actions of one version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ActionBatch {
-    /// The same for all actions.
+    /// Kind of all actions here.
     pub kind: StepKind,
     /// Each of a different segment.
     #[serde(rename = "acts")]
@@ -135,7 +135,7 @@
         Self { ended: self.ended + other.ended, begun: self.begun + other.begun }
     }
 
-    /// In a map of so many segments.
+    /// How many segments change, in a map of so many.
     pub fn changed_of(self, segment_count: usize) -> ChangedSegments {
         let after = (segment_count + self.begun).saturating_sub(self.ended);
         ChangedSegments { changed: self.ended.max(self.begun), of: segment_count.max(after) }
--- a/crates/dunepond-rebalance/src/capacity.rs
+++ b/crates/dunepond-rebalance/src/capacity.rs
@@ -51,13 +51,13 @@
 pub struct CapacityShortage {
     /// Whose capacity.
     pub scope: CapacityScope,
-    /// Of all numbers here.
+    /// Unit of all amounts here.
     pub unit: CapacityUnit,
-    /// At most so much, by the plan.
+    /// Most that the plan allows.
     pub capacity: u64,
-    /// Used now.
+    /// Amount in use now.
     pub used: u64,
-    /// What the step would add.
+    /// Amount that the step would add.
     pub added: u64,
     /// Operations of the plan (from 0) that would free some of it and are not possible before.
     pub freed_by: Vec<usize>,
--- a/crates/dunepond-rebalance/src/error.rs
+++ b/crates/dunepond-rebalance/src/error.rs
@@ -15,11 +15,11 @@
     /// The file is not valid JSON, or has another form.
     #[error("{line}:{column}: {reason}")]
     InvalidJson {
-        /// From 1.
+        /// Line, from 1.
         line: usize,
-        /// From 1.
+        /// Column, from 1.
         column: usize,
-        /// In words.
+        /// Reason, for people.
         reason: String,
     },
     /// The id is empty.
@@ -28,9 +28,9 @@
     /// No operations, or too many.
     #[error("the plan has {count} operations, expected 1 to {max}")]
     OperationCount {
-        /// In the plan.
+        /// Operations of the plan.
         count: usize,
-        /// Allowed.
+        /// Most operations of one plan.
         max: usize,
     },
     /// Keys of a split are not in order, or the number of ids does not fit.
@@ -40,7 +40,7 @@
     InvalidSplit {
         /// Place in the plan, from 0.
         operation: usize,
-        /// Id.
+        /// Id of the segment.
         segment: u64,
     },
     /// A merge of less than two segments.
@@ -54,17 +54,17 @@
     SameNode {
         /// Place in the plan, from 0.
         operation: usize,
-        /// Id.
+        /// Id of the segment.
         segment: u64,
-        /// Name.
+        /// Name of the node.
         node: String,
     },
     /// A node's replica group has no entry.
     #[error("node `{node}` is in cell `{group}`, which the plan does not name")]
     UnknownReplicaGroup {
-        /// Name.
+        /// Name of the node.
         node: String,
-        /// Name.
+        /// Name of the replica group.
         group: String,
     },
 
@@ -77,7 +77,7 @@
     DuplicateSegmentId {
         /// Place in the plan, from 0.
         operation: usize,
-        /// Of the segment.
+        /// Id of the segment.
         id: u64,
     },
     /// The segment does not exist.
@@ -87,7 +87,7 @@
     UnknownSegment {
         /// Place in the plan, from 0.
         operation: usize,
-        /// Id.
+        /// Id of the segment.
         segment: u64,
     },
     /// The key of a split is outside of the segment, or its first one.
@@ -95,9 +95,9 @@
     SplitKeyOutside {
         /// Place in the plan, from 0.
         operation: usize,
-        /// Id.
+        /// Id of the segment.
         segment: u64,
-        /// As the plan has it.
+        /// Key of the split, as the plan has it.
         key: u64,
     },
     /// A merge of segments that are no neighbours.
@@ -105,9 +105,9 @@
     NotAdjacent {
         /// Place in the plan, from 0.
         operation: usize,
-        /// Id.
+        /// Id of the first segment.
         first: u64,
-        /// Id.
+        /// Id of the second segment.
         second: u64,
     },
     /// A merge of segments with different replicas or owners.
@@ -115,9 +115,9 @@
     DifferentReplicas {
         /// Place in the plan, from 0.
         operation: usize,
-        /// Id.
+        /// Id of the first segment.
         first: u64,
-        /// Id.
+        /// Id of the second segment.
         second: u64,
     },
     /// The node has no replica of the segment.
@@ -125,9 +125,9 @@
     NotAReplica {
         /// Place in the plan, from 0.
         operation: usize,
-        /// Id.
+        /// Id of the segment.
         segment: u64,
-        /// Name.
+        /// Name of the node.
         node: String,
     },
     /// The node that is to be filled has a replica.
@@ -135,9 +135,9 @@
     AlreadyReplica {
         /// Place in the plan, from 0.
         operation: usize,
-        /// Id.
+        /// Id of the segment.
         segment: u64,
-        /// Name.
+        /// Name of the node.
         node: String,
     },
     /// The replica has not been filled yet.
@@ -145,9 +145,9 @@
     ReplicaNotFilled {
         /// Place in the plan, from 0.
         operation: usize,
-        /// Id.
+        /// Id of the segment.
         segment: u64,
-        /// Name.
+        /// Name of the node.
         node: String,
     },
     /// Neither the map nor the plan names the node's partner.
@@ -155,7 +155,7 @@
     UnknownPartner {
         /// Place in the plan, from 0.
         operation: usize,
-        /// Name.
+        /// Name of the node.
         node: String,
     },
     /// The active version excludes the node.
@@ -163,7 +163,7 @@
     NodeLeaving {
         /// Place in the plan, from 0.
         operation: usize,
-        /// Name.
+        /// Name of the node.
         node: String,
     },
     /// One version would change too many segments.
@@ -171,13 +171,13 @@
         "step {step}, operation {operation}: {changed} of {of} segments would change, at most a share of {max_ratio} may"
     )]
     TooManyChanges {
-        /// From 0.
+        /// Place of the step, from 0.
         step: usize,
         /// Place in the plan, from 0.
         operation: usize,
         /// Segments that end or begin.
         changed: usize,
-        /// All segments.
+        /// Segments of the map.
         of: usize,
         /// Ratio that is allowed.
         max_ratio: f64,
@@ -185,11 +185,11 @@
     /// A capacity would be exceeded, in whatever order.
     #[error("step {step}, operation {operation}: {shortage}")]
     CapacityExceeded {
-        /// From 0.
+        /// Place of the step, from 0.
         step: usize,
         /// Place in the plan, from 0.
         operation: usize,
-        /// What is missing where.
+        /// Whose capacity is short, and by how much.
         shortage: Box<CapacityShortage>,
     },
     /// The search ended before it found an order; there may be one.
@@ -199,19 +199,19 @@
     SearchExhausted {
         /// Layouts that the search visited.
         visited: usize,
-        /// From 0.
+        /// Place of the step, from 0.
         step: usize,
         /// Place in the plan, from 0.
         operation: usize,
-        /// What is missing where.
+        /// Whose capacity is short, and by how much.
         shortage: Box<CapacityShortage>,
     },
     /// The map of a step is invalid, or there is no safe transition to it.
     #[error("step {step}: the map does not prove: {}", first(.faults))]
     InvalidMap {
-        /// From 0.
+        /// Place of the step, from 0.
         step: usize,
-        /// Of the map.
+        /// Faults of the map, at least one.
         faults: Vec<MapFault>,
     },
 
@@ -219,9 +219,9 @@
     /// A step is not what this broker makes of the plan.
     #[error("step {step}: {reason}")]
     InvalidStep {
-        /// From 0.
+        /// Place of the step, from 0.
         step: usize,
-        /// In words.
+        /// Reason, for people.
         reason: String,
     },
 
@@ -235,7 +235,7 @@
     /// Ids of plans are never reused.
     #[error("plan `{id}` was there before, and ended: {outcome}")]
     PlanEnded {
-        /// Of the plan.
+        /// Id of the plan.
         id: String,
         /// As [`PlanOutcome`](crate::PlanOutcome) shows it.
         outcome: String,
@@ -243,7 +243,7 @@
     /// The entry is about a plan that does not run.
     #[error("no plan `{id}` is under way")]
     NotRunning {
-        /// Of the plan.
+        /// Id of the plan.
         id: String,
     },
     /// Some version is proposed now.
@@ -255,9 +255,9 @@
     /// A late or repeated entry.
     #[error("plan `{id}` is at turn {current}, not at {given}")]
     StaleTurn {
-        /// Of the plan.
+        /// Id of the plan.
         id: String,
-        /// As proposed.
+        /// What was proposed.
         given: u64,
         /// The current one.
         current: u64,
@@ -265,27 +265,27 @@
     /// No step starts during a pause.
     #[error("plan `{id}` is paused: {reason}")]
     Paused {
-        /// Of the plan.
+        /// Id of the plan.
         id: String,
-        /// In words.
+        /// Reason, for people.
         reason: String,
     },
     /// The plan is not paused, or for another reason.
     #[error("plan `{id}` is not paused by that")]
     NotPaused {
-        /// Of the plan.
+        /// Id of the plan.
         id: String,
     },
     /// The plan was withdrawn before.
     #[error("plan `{id}` is being undone already")]
     AlreadyWithdrawn {
-        /// Of the plan.
+        /// Id of the plan.
         id: String,
     },
     /// Numbers of versions are consecutive.
     #[error("the step was to be version {given}, the next number is {expected}")]
     WrongNumber {
-        /// As proposed.
+        /// What was proposed.
         given: u64,
         /// The next number.
         expected: u64,
@@ -293,23 +293,23 @@
     /// The version of a started step comes before any other.
     #[error("plan `{id}`, turn {turn} is version {number}: this one is not it, and waits")]
     StepPending {
-        /// Of the plan.
+        /// Id of the plan.
         id: String,
-        /// The plan's.
+        /// Current turn of the plan.
         turn: u64,
-        /// Of the version.
+        /// Number of the version.
         number: u64,
     },
     /// While a plan runs only its steps change the map.
     #[error("plan `{id}` is under way: a version that changes the map waits until it has ended")]
     MapLocked {
-        /// Of the plan.
+        /// Id of the plan.
         id: String,
     },
     /// The version of a step that was abandoned.
     #[error("version {number} was a step that was given up before it was proposed")]
     VersionAbandoned {
-        /// Of the version.
+        /// Number of the version.
         number: u64,
     },
 }
--- a/crates/dunepond-rebalance/src/load.rs
+++ b/crates/dunepond-rebalance/src/load.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Rising, each once.
+/// Keys at which any operation splits, rising, each once.
 fn all_split_keys(plan: &Plan) -> Vec<u64> {
     let mut keys = Vec::new();
     for operation in &plan.operations {
--- a/crates/dunepond-rebalance/src/ordering/search.rs
+++ b/crates/dunepond-rebalance/src/ordering/search.rs
@@ -6,7 +6,7 @@
 use crate::load::NodeLoads;
 use crate::{Action, MAX_SEARCH_LAYOUTS, RebalanceError};
 
-/// What tells layouts apart.
+/// Identifies a layout in the memory of dead ends.
 type LayoutKey = Vec<u8>;
 
 #[derive(Default)]
@@ -64,7 +64,8 @@
         self.search.dead_ends.clear();
     }
 
-    /// Whether all that is left can be carried out; `order` gets the way.
+    /// Starts a search of its own, with a new count of visited layouts: whether all that is left can be carried out. `order` gets
+    /// the operations in their order.
     pub fn search_anew(&mut self, step: usize, order: &mut Vec<usize>) -> bool {
         self.search.visited = 0;
         self.search_from(step, order)
@@ -91,7 +92,7 @@
                         return true;
                     }
                     order.pop();
-                    // Not to apply it opens no other way.
+                    // It took nothing that another order would need, so an order without it fails as well.
                     if is_harmless {
                         break;
                     }
@@ -116,7 +117,8 @@
         candidates
     }
 
-    /// Whether an action that was just applied takes no capacity, and no other operation names its segments.
+    /// Whether an action that was just applied cannot be in the way of another: it takes no capacity, and no other operation
+    /// names its segments.
     fn is_harmless(&self, applied: &AppliedAction) -> bool {
         let operation = applied.operation;
         let is_switch = self.actions[operation].len() == 2 && self.done[operation] == 2;
--- a/crates/dunepond-rebalance/src/ordering/simulation.rs
+++ b/crates/dunepond-rebalance/src/ordering/simulation.rs
@@ -15,7 +15,7 @@
     pub plan: &'a Plan,
     map: &'a VerifiedMap,
     pub limits: StepLimits,
-    /// By operation.
+    /// Actions of each operation, in their order.
     pub actions: Vec<Vec<Action>>,
     /// How many actions of each operation are done.
     pub done: Vec<u8>,
--- a/crates/dunepond-rebalance/src/overload.rs
+++ b/crates/dunepond-rebalance/src/overload.rs
@@ -5,10 +5,10 @@
 
 use std::collections::BTreeMap;
 
-/// From this ratio of overloaded brokers on, for so long, plans pause.
+/// Plans pause once this ratio of the brokers has been overloaded for this long.
 const PAUSE_RATIO: f64 = 0.3;
 const PAUSE_SECONDS: f64 = 1.0;
-/// Down to this ratio, for so long, they resume.
+/// They resume once no more than this ratio has been overloaded for this long.
 const RESUME_RATIO: f64 = 0.1;
 const RESUME_SECONDS: f64 = 5.0;
 
--- a/crates/dunepond-rebalance/src/plan.rs
+++ b/crates/dunepond-rebalance/src/plan.rs
@@ -33,7 +33,7 @@
     },
     /// Moves a replica, and the ownership if it has it, to another node.
     Move {
-        /// Id.
+        /// Id of the segment.
         segment: u64,
         /// Name of the node that has the replica.
         from: String,
@@ -43,7 +43,7 @@
     /// Another replica becomes the owner.
     #[serde(rename = "own")]
     ChangeOwner {
-        /// Id.
+        /// Id of the segment.
         segment: u64,
         /// Name of the new owner.
         to: String,
@@ -86,7 +86,7 @@
     /// Name of its replica group, if that has a capacity.
     #[serde(default, rename = "cell")]
     pub replica_group: Option<String>,
-    /// Of the node alone.
+    /// Capacity of this node, beside its replica group's and its partner's.
     #[serde(default, rename = "room")]
     pub capacity: Capacity,
 }
@@ -95,7 +95,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SegmentSizes {
-    /// Of segments that are not named, in bytes.
+    /// Bytes of a segment that is not named.
     #[serde(default = "default_segment_bytes", rename = "unless")]
     pub default_bytes: u64,
     /// Bytes, by id of the segment.
@@ -122,7 +122,7 @@
     /// Name of the operator.
     #[serde(rename = "who")]
     pub proposed_by: String,
-    /// For the log.
+    /// Reason, for people.
     #[serde(rename = "why")]
     pub reason: String,
     /// What the operator wants of it now.
@@ -131,9 +131,9 @@
     /// Whether operations are carried out in the order of the file; otherwise in any order that keeps the capacities.
     #[serde(default)]
     pub ordered: bool,
-    /// At least one.
+    /// What is to be done; at least one operation.
     pub operations: Vec<Operation>,
-    /// By name of the node.
+    /// Partner, replica group and capacity of nodes, by name of the node.
     #[serde(default)]
     pub nodes: BTreeMap<String, NodeSpec>,
     /// Capacities by name of the replica group.
--- a/crates/dunepond-rebalance/src/progress/entry.rs
+++ b/crates/dunepond-rebalance/src/progress/entry.rs
@@ -29,14 +29,14 @@
     /// An operator asked for it.
     #[serde(rename = "Word")]
     Operator {
-        /// Name.
+        /// Name of the operator.
         #[serde(rename = "who")]
         name: String,
     },
     /// A step's version was withdrawn too often, or its map is invalid.
     #[serde(rename = "Failed")]
     StepFailed {
-        /// The last error.
+        /// The last error, for people.
         #[serde(rename = "why")]
         reason: String,
     },
@@ -48,9 +48,9 @@
     /// A plan is accepted, as its proposer ordered it.
     #[serde(rename = "Taken")]
     Accepted {
-        /// As the operator wrote it.
+        /// The plan as the operator wrote it.
         plan: Box<Plan>,
-        /// In their order.
+        /// Steps in their order.
         steps: Vec<Step>,
         /// The limit that the steps keep.
         #[serde(rename = "at_once")]
@@ -59,18 +59,18 @@
     /// This turn's step is to be this version, with a map of this digest; no other may come before it.
     #[serde(rename = "Begun")]
     StepStarted {
-        /// Id.
+        /// Id of the plan.
         plan: String,
         /// The plan's turn at that time; a late entry has an earlier one.
         turn: u64,
-        /// Of the version.
+        /// Number of the version.
         number: u64,
-        /// Of the version's map.
+        /// Digest of the version's map.
         digest: String,
     },
     /// No further step starts.
     Paused {
-        /// Id.
+        /// Id of the plan.
         plan: String,
         /// For the log and the operator.
         #[serde(rename = "why")]
@@ -78,7 +78,7 @@
     },
     /// The plan continues.
     Resumed {
-        /// Id.
+        /// Id of the plan.
         plan: String,
         /// An operator, or the end of an overload.
         #[serde(rename = "by")]
@@ -86,12 +86,12 @@
     },
     /// All that is done is to be undone.
     Withdrawn {
-        /// Id.
+        /// Id of the plan.
         plan: String,
         /// Name of the operator.
         #[serde(rename = "who")]
         withdrawn_by: String,
-        /// For the log.
+        /// Reason, for people.
         #[serde(rename = "why")]
         reason: String,
     },
--- a/crates/dunepond-rebalance/src/progress/mod.rs
+++ b/crates/dunepond-rebalance/src/progress/mod.rs
@@ -27,9 +27,9 @@
 /// Progress of the running plan, and the plans that ended. Part of the replicated state and its snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlanProgress {
-    /// One at a time.
+    /// The plan that is under way; there is one at a time.
     pub running: Option<RunningPlan>,
-    /// The last ones, oldest first.
+    /// Plans that ended, the oldest first.
     pub ended: VecDeque<EndedPlan>,
     /// Steps that were started and abandoned before they were proposed: their versions may still be on the way.
     #[serde(rename = "given_up")]
--- a/crates/dunepond-rebalance/src/progress/next_action.rs
+++ b/crates/dunepond-rebalance/src/progress/next_action.rs
@@ -29,16 +29,16 @@
     Enter(CommittedEntry),
     /// Proposes the version of a step.
     Propose {
-        /// Of the version.
+        /// Number of the version.
         number: u64,
-        /// To the version's map.
+        /// Transition from the active map to the version's.
         transition: Box<MapTransition>,
     },
     /// Withdraws the version of a step.
     Withdraw {
-        /// Of the version.
+        /// Number of the version.
         number: u64,
-        /// For the log.
+        /// Reason, for people.
         reason: String,
     },
 }
--- a/crates/dunepond-rebalance/src/progress/running.rs
+++ b/crates/dunepond-rebalance/src/progress/running.rs
@@ -11,9 +11,9 @@
 /// A step whose version has its number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StartedStep {
-    /// Of the version.
+    /// Number of the version.
     pub number: u64,
-    /// Of the version's map.
+    /// Digest of the version's map.
     pub digest: String,
 }
 
@@ -23,7 +23,7 @@
 pub struct Withdrawal {
     /// Name of the operator.
     pub withdrawn_by: String,
-    /// For the log.
+    /// Reason, for people.
     pub reason: String,
 }
 
@@ -42,9 +42,9 @@
 /// The plan that is under way.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunningPlan {
-    /// As the operator wrote it.
+    /// The plan as the operator wrote it.
     pub plan: Plan,
-    /// In their order.
+    /// Steps in their order.
     pub steps: Vec<Step>,
     /// How many of `steps` are done.
     #[serde(rename = "done")]
@@ -78,7 +78,7 @@
         /// Name of the operator.
         #[serde(rename = "who")]
         withdrawn_by: String,
-        /// For the log.
+        /// Reason, for people.
         #[serde(rename = "why")]
         reason: String,
     },
@@ -99,7 +99,7 @@
 /// A plan that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedPlan {
-    /// Never used again.
+    /// Id of the plan, never used again.
     pub id: String,
     /// Name of the operator.
     #[serde(rename = "who")]
--- a/crates/dunepond-search-api/src/hits/mod.rs
+++ b/crates/dunepond-search-api/src/hits/mod.rs
@@ -14,7 +14,7 @@
 /// One hit, as a node returned it.
 #[derive(Clone, Debug)]
 pub struct Hit {
-    /// Of the document.
+    /// Id of the document.
     pub id: String,
     /// How well it matches, where that counts.
     pub score: Option<f64>,
@@ -30,7 +30,7 @@
     /// Name of the index.
     #[serde(rename = "_index")]
     pub index: &'a str,
-    /// Of the document.
+    /// Id of the document.
     #[serde(rename = "_id")]
     pub id: String,
     /// How well it matches, where that counts.
--- a/crates/dunepond-search-api/src/hits/part_result.rs
+++ b/crates/dunepond-search-api/src/hits/part_result.rs
@@ -24,7 +24,7 @@
 pub struct ExpectedResult<'a> {
     /// Name of the index.
     pub index: &'a str,
-    /// At most.
+    /// Most hits that it may have.
     pub max_hits: usize,
     /// How many sort keys each hit has, where that is known.
     pub sort_keys: Option<usize>,
--- a/crates/dunepond-search-api/src/node.rs
+++ b/crates/dunepond-search-api/src/node.rs
@@ -27,13 +27,13 @@
 /// The request for one part, as far as it stands before the body.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestHead<'a> {
-    /// Of the node.
+    /// The node, as the `Host` header names it.
     pub host: &'a str,
     /// Name of the index.
     pub index: &'a str,
     /// `_search` or `_update_by_query`.
     pub operation: &'a str,
-    /// Which segment.
+    /// Index of the segment.
     pub segment: usize,
     /// The request's id, for the node's log.
     pub id: &'a str,
--- a/crates/dunepond-simulation/src/fixtures.rs
+++ b/crates/dunepond-simulation/src/fixtures.rs
@@ -4,7 +4,7 @@
 use dunepond_settlement::Settlement;
 use dunepond_shard_map::{KeyRange, MapConstraints, Replica, Segment, ShardMap};
 
-/// By which a clock may run too fast or too slow.
+/// Ratio by which a clock may run too fast or too slow.
 pub const DRIFT_RATIO: f64 = 0.01;
 /// Segments of the small map.
 pub const SEGMENT_COUNT: u64 = 4;
@@ -25,7 +25,7 @@
     }
 }
 
-/// With this maximum number of attempts.
+/// Rules with this maximum number of attempts.
 pub fn routing_rules(max_attempts: usize) -> RoutingRules {
     RoutingRules {
         minimum_shares: vec![0.5],
@@ -80,7 +80,7 @@
     }
 }
 
-/// Of the fill of this name, for version 1.
+/// The settlement of the fill of this name, for version 1.
 pub fn settlement(fill: &str) -> Settlement {
     let text = String::from;
     Settlement {
--- a/crates/dunepond-simulation/src/fleet/broker.rs
+++ b/crates/dunepond-simulation/src/fleet/broker.rs
@@ -9,9 +9,9 @@
     pub messages_sent: u64,
     /// Messages of other brokers.
     pub messages_received: u64,
-    /// Of the messages sent, without the links' own overhead.
+    /// Bytes of the messages sent, without the links' own overhead.
     pub bytes_sent: u64,
-    /// Of the messages received.
+    /// Bytes of the messages received.
     pub bytes_received: u64,
     /// Processor time, if the fleet has a [`crate::fleet::Fleet::cpu_clock`].
     pub cpu_nanoseconds: u64,
@@ -63,7 +63,7 @@
     pub log: Vec<String>,
     /// Since the start of the fleet.
     pub load: BrokerLoad,
-    /// As its file says.
+    /// Configuration, as its file says.
     pub config: ConsensusConfig,
 }
 
--- a/crates/dunepond-simulation/src/fleet/mod.rs
+++ b/crates/dunepond-simulation/src/fleet/mod.rs
@@ -22,45 +22,45 @@
 pub use broker::{Broker, BrokerLoad};
 pub use network::LinkConditions;
 
-/// Between two turns of each broker, unless stated otherwise.
+/// Seconds between two turns of each broker, unless stated otherwise.
 pub const DEFAULT_TURN_SECONDS: f64 = 0.01;
-/// Until a new fleet has its leases, or its first version, at most.
+/// Longest that a new fleet may take to its leases, and to its first version.
 const MAX_SETUP_SECONDS: f64 = 10.0;
 
 /// A broker has learned of a settlement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettlementNotice {
-    /// True time.
+    /// True time of the notice.
     pub at: f64,
-    /// Index.
+    /// Index of the broker.
     pub broker: usize,
-    /// Of the settlement.
+    /// Id of the settlement.
     pub id: String,
 }
 
 /// The fleet, its network and its faults.
 pub struct Fleet {
-    /// True time.
+    /// True time of this moment.
     pub now: f64,
-    /// Between two turns of each broker; what arrives in between waits for the next, as in a host.
+    /// Seconds between two turns of each broker; what arrives in between waits for the next, as in a host.
     pub turn_seconds: f64,
-    /// Running or not.
+    /// All brokers, running or not, by index.
     pub brokers: Vec<Broker>,
-    /// For all that happens by chance.
+    /// Source of all randomness.
     pub rng: Pcg64Mcg,
     in_flight: EventQueue<InFlight>,
     index_by_name: HashMap<String, usize>,
     /// What must hold, and when what was committed and activated.
     pub invariants: InvariantChecker,
-    /// Of each broker: those of different partitions receive nothing of each other.
+    /// Partition of each broker: those of different partitions receive nothing of each other.
     pub partitions: Vec<u32>,
-    /// From, to: nothing passes.
+    /// Links over which nothing passes, from one broker to another.
     pub blocked_links: BTreeSet<(usize, usize)>,
-    /// Of all links.
+    /// Conditions of all links.
     pub links: LinkConditions,
     /// A broker all of whose links are slow and lose messages.
     pub slow_broker: Option<usize>,
-    /// In the files that a start reads.
+    /// Length of a lease in the files that a start reads.
     pub lease_seconds: f64,
     /// Segments whose non-idempotent parts are sent wherever they may be, at each step.
     pub watched_segments: Vec<u64>,
--- a/crates/dunepond-simulation/src/invariants.rs
+++ b/crates/dunepond-simulation/src/invariants.rs
@@ -8,7 +8,7 @@
 
 /// Non-idempotent parts that may be running at one owner.
 struct RunningParts {
-    /// True time.
+    /// True time until which they may run.
     until: f64,
     /// Who sent the last of them.
     sent_by: usize,
@@ -49,11 +49,11 @@
 
 /// What one broker does at a moment.
 pub struct BrokerActivity<'a> {
-    /// True time.
+    /// True time of this moment.
     pub now: f64,
-    /// Index.
+    /// Index of the broker.
     pub broker: usize,
-    /// What it acts by.
+    /// Configuration that it acts on.
     pub config: &'a ActiveConfig,
     /// What its clock shows.
     pub clock: f64,
@@ -72,7 +72,7 @@
     outcomes: BTreeMap<u64, String>,
     /// Index of each settlement by its id.
     settled_index: BTreeMap<String, u64>,
-    /// By segment and owner.
+    /// Parts that may be running, by segment and owner.
     running_parts: BTreeMap<u64, BTreeMap<String, RunningParts>>,
     /// When each version was first committed as proposed.
     pub proposed_at: BTreeMap<u64, f64>,
--- a/crates/dunepond-simulation/src/lib.rs
+++ b/crates/dunepond-simulation/src/lib.rs
@@ -1,4 +1,5 @@
-//! The consensus of a fleet in simulated time: the pure cores on a network, clocks and folders that fail by seed.
+//! The consensus of a fleet in simulated time: its *cores* (the voter and the lease client of `dunepond-consensus`, which know
+//! no socket, clock or file) on a network, clocks and folders that fail by seed.
 //!
 //! [`fleet::Fleet`] is the engine: voters and lease clients on an [`event_queue`] and a network that loses, duplicates,
 //! delays, reorders and partitions, with clocks at the limits of the drift, folders with torn records, pauses and crashes.
--- a/crates/dunepond-simulation/src/scenario/config.rs
+++ b/crates/dunepond-simulation/src/scenario/config.rs
@@ -6,9 +6,9 @@
 /// Size of a fleet, and for how long it runs.
 #[derive(Clone, Debug)]
 pub struct ScenarioConfig {
-    /// Brokers.
+    /// How many brokers there are.
     pub broker_count: usize,
-    /// The first brokers vote.
+    /// How many brokers vote: the first ones.
     pub voter_count: usize,
     /// Nodes of the store.
     pub node_count: usize,
--- a/crates/dunepond-simulation/src/scenario/faults.rs
+++ b/crates/dunepond-simulation/src/scenario/faults.rs
@@ -13,7 +13,7 @@
 const MIN_PAUSE_SECONDS: f64 = 0.05;
 /// Brokers of a mass crash are down for so long, at most.
 const MAX_MASS_CRASH_SECONDS: f64 = 3.0;
-/// Over which crashed brokers come back.
+/// Seconds over which crashed brokers come back.
 const RESTART_SPREAD_SECONDS: f64 = 1.0;
 /// Ratios of the brokers that a mass crash takes down at once, that are paused together, and that one step of a rolling
 /// restart restarts.
@@ -62,7 +62,7 @@
     OperatorEndsVersion,
 }
 
-/// In the order in which they are drawn.
+/// All kinds, in the order of the random number that draws them.
 const FAULT_KINDS: [FaultKind; 16] = [
     FaultKind::ZonePartition,
     FaultKind::ZoneCrash,
@@ -83,7 +83,7 @@
 ];
 
 impl FaultKind {
-    /// In reports.
+    /// Name of the fault in reports.
     fn name(self) -> &'static str {
         match self {
             Self::ZonePartition => "zone cut",
--- a/crates/dunepond-simulation/src/scenario/fill_service.rs
+++ b/crates/dunepond-simulation/src/scenario/fill_service.rs
@@ -50,7 +50,7 @@
 /// What one leader knows.
 struct LeaderState {
     leader: usize,
-    /// Of the open version, or 0.
+    /// Number of the open version, 0 if there is none.
     version: u64,
     balances: Balances,
     planner: FillPlanner,
@@ -67,11 +67,11 @@
     leader_state: Option<LeaderState>,
     next_plan_at: f64,
     next_carry_at: f64,
-    /// In the order of the log.
+    /// Settlements in the order of the log.
     settled: Vec<Settlement>,
     /// Entries of the log about settlement that are known.
     known_entry_count: u64,
-    /// By debtor and creditor.
+    /// Settled bytes by debtor and creditor.
     settled_bytes: BTreeMap<(String, String), u64>,
     /// When a fill was complete, by its settlement's id.
     pub filled_at: BTreeMap<String, f64>,
--- a/crates/dunepond-simulation/src/scenario/mod.rs
+++ b/crates/dunepond-simulation/src/scenario/mod.rs
@@ -40,11 +40,11 @@
 
 /// A run of a fleet.
 pub struct Scenario {
-    /// Running from the beginning.
+    /// The fleet, running from the beginning.
     pub fleet: Fleet,
-    /// As given.
+    /// The configuration, as given.
     pub config: ScenarioConfig,
-    /// Filled while it runs.
+    /// Figures, filled while it runs.
     pub report: ScenarioReport,
     topology: Topology,
     fill_service: FillService,
--- a/crates/dunepond-simulation/src/scenario/report.rs
+++ b/crates/dunepond-simulation/src/scenario/report.rs
@@ -7,7 +7,7 @@
 pub struct FaultCount {
     /// Name of the kind.
     pub kind: &'static str,
-    /// At least one.
+    /// How often it came; at least once.
     pub count: usize,
 }
 
@@ -16,15 +16,15 @@
 pub struct ScenarioReport {
     /// From the commit of a version until every broker that acts acts on it alone; versions without fills or stage.
     pub rollout_seconds: Vec<f64>,
-    /// The same of versions with fills or a stage.
+    /// As `rollout_seconds`, for versions with fills or a stage.
     pub slow_rollout_seconds: Vec<f64>,
     /// The longest that anybody acted on a version alone after the next was committed.
     pub longest_alone_seconds: f64,
-    /// Upper limit of that.
+    /// Upper limit of `longest_alone_seconds`, by the configuration.
     pub switch_bound_seconds: f64,
     /// From the end of each fill until its settlement was committed.
     pub settlement_seconds: Vec<f64>,
-    /// From then until a broker had learned of it, for each broker.
+    /// From the commit of a settlement until a broker learned of it, for each broker.
     pub notice_seconds: Vec<f64>,
     /// Versions that were activated.
     pub activated: usize,
@@ -36,15 +36,15 @@
     pub settlements: usize,
     /// Complete fills with a settlement.
     pub fills: usize,
-    /// By kind, in the order of their first.
+    /// Faults by kind, in the order in which the kinds first came.
     pub faults: Vec<FaultCount>,
     /// Length of the steady part, which is measured.
     pub measured_seconds: f64,
-    /// Load of each broker over that.
+    /// Load of each broker over the steady part.
     pub loads: Vec<BrokerLoad>,
-    /// The leader at its end.
+    /// The leader at the end of the steady part.
     pub leader: Option<usize>,
-    /// As [`crate::fleet::Fleet::trace`].
+    /// Hash of the run, as [`crate::fleet::Fleet::trace`].
     pub trace: u64,
 }
 
