--- a/crates/dunepond-control-plane/src/commitments.rs
+++ b/crates/dunepond-control-plane/src/commitments.rs
@@ -1,7 +1,7 @@
 //! What this broker has committed to outside the agreed log: settlements out of its own shares, and fills under way.
 //!
 //! A broker that is partitioned settles from its shares alone, so its commitments must survive a restart: they are stored
-//! before anything rests on them. The encoding is postcard, which carries the order of fields.
+//! before a fill starts and before a part of a share is given back. The encoding is postcard: fields must keep their order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
 /// A fill of this broker's own that has started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommittedFill {
-    /// As planned.
+    /// The fill, as planned.
     pub fill: Fill,
     /// The fill is done, and the log does not have its settlement yet.
     pub done: bool,
@@ -31,7 +31,8 @@
     pub incarnation: u64,
 }
 
-/// Everything committed to. The ledger is stored with it: after a restart neither may be older than the other.
+/// Everything committed to. The ledger is stored with it: if either were older than the other after a restart, a share would
+/// look larger than it is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Commitments {
     /// Settlements promised from this broker's own shares.
@@ -40,7 +41,7 @@
     pub ledger: SettlementLedger,
     /// Settlement entries of the log that the ledger has applied.
     pub applied_entries: u64,
-    /// By fill id.
+    /// Fills that have started, by id.
     pub fills: BTreeMap<String, CommittedFill>,
     /// Own fills that are done, of nodes that may still be in slow start.
     pub finished: BTreeSet<FinishedFill>,
--- a/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
@@ -116,12 +116,12 @@
                 }
                 self.enter_finished_fills();
             }
-            FillKind::Own => self.finish_own_fill(&id),
+            FillKind::Own => self.finish_own_fill_if_done(&id),
         }
     }
 
-    /// After a failed attempt the next one follows at once from another source if there is one, else from the same source
-    /// after the backoff.
+    /// After a failed attempt the fill is dropped if there is another source, and planned from that at the next review. Else it
+    /// stays, and the same source is tried again after the backoff.
     fn avoid_source(&mut self, fill: &Fill) {
         self.version_fills.avoided_sources.note_failure(&fill.id, &fill.source);
         let Some(demands) = self.version_fill_demands() else { return };
--- a/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
@@ -60,7 +60,8 @@
         self.advance_fills(FillKind::Own, now);
     }
 
-    /// Removes the fills of the proposed version that are in the log as completed, or not required any more.
+    /// Removes the fills of the proposed version that are in the log as completed, or not required any more. What a completed
+    /// fill did not settle is counted as carried.
     fn remove_unneeded_fills(&mut self, demands: &[FillDemand]) {
         let required: BTreeSet<_> = demands.iter().map(FillDemand::id).collect();
         let fills = &mut self.version_fills;
--- a/crates/dunepond-control-plane/src/control_loop/fills/own.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/own.rs
@@ -25,8 +25,11 @@
     /// What fills may send to nodes in slow start: the limit holds for all brokers together, by the stricter of the deployment
     /// and the agreed versions.
     pub(super) fn slow_start_capacity(&self, now: f64, kind: FillKind) -> SlowStartCapacity {
-        let rules_multiple =
-            self.member.active_config().rules(now).map_or(f64::INFINITY, |rules| rules.slow_start_multiple);
+        let rules_multiple = self
+            .lease_client
+            .active_config()
+            .rules(now)
+            .map_or(f64::INFINITY, |rules| rules.slow_start_multiple);
         let capacity_ratio = self.capacity_ratio(kind);
         let capacity_of = |node: &StartedNode| {
             let policy = self.slow_start?;
@@ -61,9 +64,9 @@
         started: &StartedNode,
         now: f64,
     ) -> bool {
-        let partners = &self.traffic.sides;
-        let is_partners = |broker: &&String| partners.partner(broker) == Some(replica.partner.as_str());
-        let mut candidates: Vec<&String> = brokers.iter().filter(is_partners).collect();
+        let broker_partners = &self.traffic.broker_partners;
+        let is_of_partner = |broker: &&String| broker_partners.partner(broker) == Some(&replica.partner);
+        let mut candidates: Vec<&String> = brokers.iter().filter(is_of_partner).collect();
         if candidates.is_empty() {
             candidates = brokers.iter().collect();
         }
@@ -85,7 +88,7 @@
         if !self.settlement.fill_started_nodes || warming.is_empty() {
             return Vec::new();
         }
-        let config = self.member.active_config();
+        let config = self.lease_client.active_config();
         let Some(map) = config.map(now) else { return Vec::new() };
         let brokers = self.all_brokers();
         let mut demands = Vec::new();
@@ -147,9 +150,9 @@
         self.settlement.unsaved = true;
     }
 
-    /// A fill of this broker's own is done: from now on its settlement is sent to the leader until the log has it. Carried
-    /// bytes are counted after that is stored: a crash in between makes a debt smaller, never greater.
-    pub(super) fn finish_own_fill(&mut self, id: &str) {
+    /// Ends a fill of this broker's own once it has a result: from now on its settlement is sent to the leader until the log has
+    /// it. Carried bytes are counted after that is stored: a crash in between makes a debt smaller, never greater.
+    pub(super) fn finish_own_fill_if_done(&mut self, id: &str) {
         let result = self.own_fills.active.get(id).and_then(|active| active.result.clone());
         let Some(result) = result else { return };
         let Some(active) = self.own_fills.active.remove(id) else { return };
@@ -176,7 +179,7 @@
 
     /// Partner of the node that a fill was really taken from; the filled node's own if that is not known.
     fn source_partner(&self, fill: &Fill, result: &FillResult) -> String {
-        let config = self.member.active_config();
+        let config = self.lease_client.active_config();
         let segment = config.map(monotonic_seconds()).and_then(|map| map.segment(fill.segment));
         let replica = segment.and_then(|segment| segment.replicas.iter().find(|it| it.node == result.source));
         replica.map_or(fill.to.clone(), |replica| replica.partner.clone())
--- a/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
@@ -31,7 +31,7 @@
 /// The end of one attempt, from its thread to the control loop.
 pub struct AttemptResult {
     pub(super) kind: FillKind,
-    /// Of the fill.
+    /// Id of the fill.
     pub(super) id: String,
     /// What the fill service reported.
     pub(super) outcome: Result<FillResult, FillError>,
@@ -112,7 +112,7 @@
     pub(super) rng: Pcg64Mcg,
     /// Number of the version that the active fills are for.
     pub(super) version: u64,
-    /// By id.
+    /// Fills that are planned and not over, by id.
     pub(super) active: BTreeMap<String, ActiveFill>,
     pub(super) avoided_sources: AvoidedSources,
     pub(super) next_review_at: f64,
@@ -123,7 +123,7 @@
 }
 
 impl FillScheduler {
-    /// Without active fills.
+    /// A scheduler without active fills.
     pub fn new(
         kind: FillKind,
         service: FillService,
--- a/crates/dunepond-control-plane/src/control_loop/leases.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leases.rs
@@ -13,14 +13,14 @@
     /// Requests a lease if one is due.
     pub(super) fn request_lease(&mut self) {
         let now = monotonic_seconds();
-        let Some((voter, request)) = self.member.tick(now) else { return };
+        let Some((voter, request)) = self.lease_client.tick(now) else { return };
         if voter == self.name {
             return self.pass_to_own_voter(request);
         }
         let body = request.encode();
         let sent = SentRequest::Lease { voter: voter.clone() };
         if !self.send_request(&voter, RequestKind::Lease, body, self.lease_seconds, sent) {
-            self.member.request_failed(now, &voter);
+            self.lease_client.request_failed(now, &voter);
         }
     }
 
@@ -72,14 +72,14 @@
     pub(super) fn on_lease_reply(&mut self, voter: &str, body: Option<Vec<u8>>) {
         match body.and_then(|body| LeaseReply::decode(&body)) {
             Some(reply) => self.adopt_reply(voter, reply),
-            None => self.member.request_failed(monotonic_seconds(), voter),
+            None => self.lease_client.request_failed(monotonic_seconds(), voter),
         }
     }
 
     /// A reply pushed by the leader, to which another voter had forwarded this broker's request.
     pub(super) fn on_pushed_reply(&mut self, from: &str, body: &[u8]) {
         // Only voters may send one.
-        if !self.member.voters().iter().any(|voter| voter == from) {
+        if !self.lease_client.voters().iter().any(|voter| voter == from) {
             return warn!("fleet: {from} is no voter, and tells what is agreed: not believed");
         }
         if let Some(reply) = LeaseReply::decode(body) {
@@ -88,7 +88,7 @@
     }
 
     fn adopt_reply(&mut self, from: &str, reply: LeaseReply) {
-        match self.member.handle_reply(monotonic_seconds(), from, reply) {
+        match self.lease_client.handle_reply(monotonic_seconds(), from, reply) {
             Ok(()) => {
                 self.log_leader();
                 self.on_lease();
@@ -113,7 +113,7 @@
 
     /// Logs the leader if it has changed.
     fn log_leader(&mut self) {
-        let leader = self.member.leader().map(str::to_string);
+        let leader = self.lease_client.leader().map(str::to_string);
         if leader != self.state.leader {
             info!("fleet: led by {}", leader.as_deref().unwrap_or("nobody"));
             self.state.leader = leader;
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -1,6 +1,6 @@
 //! The control loop: the thread that owns the voter, the lease client, the data directory and the links.
 //!
-//! Each pass handles the messages of peers, then runs the periodic duties in a fixed order ([`ControlLoop::run`]).
+//! Each pass handles the messages of peers, then runs the periodic duties in a fixed order ([`ControlLoop::tick`]).
 
 mod fills;
 mod leases;
@@ -51,13 +51,13 @@
     pub(crate) lease_seconds: f64,
     /// `None` at a broker that is no voter.
     pub(crate) voter: Option<Voter>,
-    /// This broker's leases and what they bring.
-    pub(crate) member: LeaseClient,
+    /// Requests this broker's leases, and holds the configuration that came with the last one.
+    pub(crate) lease_client: LeaseClient,
     pub(crate) data: DataDirectory,
     pub(crate) peers: Peers,
-    /// What the links receive.
+    /// Messages of peers, and changes of the membership.
     pub(crate) events: Receiver<Event>,
-    /// From the event loop.
+    /// Requests of the event loop.
     pub(crate) requests: Receiver<LoopRequest>,
     /// Published to the event loop, as are the counters and the link counters.
     pub(crate) active_config: Arc<ArcSwap<ActiveConfig>>,
@@ -75,7 +75,7 @@
     /// This broker's own fills of nodes in slow start.
     pub(crate) own_fills: FillScheduler,
     pub(crate) quotas: Option<QuotaSharing>,
-    /// From the threads of the fill attempts.
+    /// Ends of fill attempts, from their threads.
     pub(crate) attempt_results: Receiver<AttemptResult>,
     /// Fill rate that a warm node bears, in bytes a second.
     pub(crate) fill_bytes_per_second: f64,
@@ -144,11 +144,13 @@
         self.peers.stop();
     }
 
+    /// The periodic duties. The voter and the lease come first: the others go by whether this broker leads and what it may act
+    /// on.
     fn tick(&mut self) {
         let now = monotonic_seconds();
         self.state.last_tick = now;
         self.tick_voter(now);
-        self.member.set_overloaded(self.counters.overloaded.load(Relaxed));
+        self.lease_client.set_overloaded(self.counters.overloaded.load(Relaxed));
         self.report_demand(now);
         self.request_lease();
         self.publish(false);
--- a/crates/dunepond-control-plane/src/control_loop/proposals.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals.rs
@@ -35,10 +35,11 @@
     must_read: bool,
     document: Option<Document>,
     next_proposal_at: f64,
-    /// The leader that the last voter has named.
-    next_voter: Option<String>,
+    /// The leader, as the last voter that was asked has named it.
+    named_leader: Option<String>,
     voters_tried: usize,
-    /// Since when a voter has reported the number as used.
+    /// Since when voters have reported the number as used. It may be this very document, whose reply was lost: the next leases
+    /// show that.
     number_used_since: Option<f64>,
 }
 
@@ -93,7 +94,7 @@
             constraints,
             document: None,
             next_proposal_at: 0.0,
-            next_voter: None,
+            named_leader: None,
             voters_tried: 0,
             number_used_since: None,
         }
@@ -124,10 +125,11 @@
 }
 
 impl ControlLoop {
-    /// Proposes the file's document to the leader if it is above what is known; again until the log has it.
+    /// Proposes the file's document to the leader, again until a lease shows that the log has it. A document whose number is
+    /// known already is dropped.
     pub(super) fn propose_document(&mut self) {
         let now = monotonic_seconds();
-        let config = self.member.active_config();
+        let config = self.lease_client.active_config();
         // Without a lease this broker knows too little, and the leader may not be reachable.
         if now < self.proposals.next_proposal_at || now >= config.lease_expires_at() {
             return;
@@ -160,7 +162,7 @@
     fn is_known(&self, document: &Document, config: &ActiveConfig) -> bool {
         let version = match document {
             Document::Version(version) => version,
-            Document::Voters(voters) => return voters.number <= self.member.voters_number(),
+            Document::Voters(voters) => return voters.number <= self.lease_client.voters_number(),
         };
         let (in_force, proposed) = config.versions();
         let known = [in_force, proposed].into_iter().flatten();
@@ -177,14 +179,14 @@
 
     /// The leader as the last voter has named it or as the leases have it, else one voter after the other.
     fn next_proposal_voter(&mut self) -> String {
-        if let Some(voter) = self.proposals.next_voter.take() {
+        if let Some(voter) = self.proposals.named_leader.take() {
             return voter;
         }
-        if let Some(leader) = self.member.leader() {
+        if let Some(leader) = self.lease_client.leader() {
             return leader.to_string();
         }
         self.proposals.voters_tried += 1;
-        let voters = self.member.voters();
+        let voters = self.lease_client.voters();
         voters[self.proposals.voters_tried % voters.len()].clone()
     }
 
@@ -220,7 +222,7 @@
         }
         match reply {
             ProposalReply::Accepted => info!("fleet: {name}: taken by {voter}"),
-            ProposalReply::NotLeader(leader) => proposals.next_voter = leader,
+            ProposalReply::NotLeader(leader) => proposals.named_leader = leader,
             ProposalReply::RetryLater(why) => info!("fleet: {name}: {voter}: not now: {why}"),
             ProposalReply::NumberUsed { expected } => {
                 let since = *proposals.number_used_since.get_or_insert(now);
--- a/crates/dunepond-control-plane/src/control_loop/publish.rs
+++ b/crates/dunepond-control-plane/src/control_loop/publish.rs
@@ -60,7 +60,7 @@
 impl ControlLoop {
     /// Hands the event loop the active configuration and audits what has changed in it. `leased`: there is a new lease.
     pub(super) fn publish(&mut self, leased: bool) {
-        let (config, now) = (self.member.active_config(), monotonic_seconds());
+        let (config, now) = (self.lease_client.active_config(), monotonic_seconds());
         let (phase, versions) = audit_phase(&config, now);
         let published = &mut self.state.published;
         let changed = published.phase != Some(phase) || published.versions != versions;
@@ -96,9 +96,9 @@
     pub(super) fn on_lease(&mut self) {
         self.counters.leases.fetch_add(1, Relaxed);
         // Stored before the event loop acts on it: after a restart the broker must know the strictest version it has heard of.
-        let revision = self.member.persisted_revision();
+        let revision = self.lease_client.persisted_revision();
         if self.state.saved_config != Some(revision) {
-            match self.data.save_config(&self.member.persisted_state()) {
+            match self.data.save_config(&self.lease_client.persisted_state()) {
                 Ok(()) => self.state.saved_config = Some(revision),
                 Err(e) => {
                     warn!("fleet: folder: {e}; a restart would not know the versions: look at the disk")
@@ -111,11 +111,11 @@
 
     /// Logs once for each list of voters that the operator's file names others.
     fn compare_voters(&mut self) {
-        let number = self.member.voters_number();
+        let number = self.lease_client.voters_number();
         if self.state.compared_voters.replace(number) == Some(number) {
             return;
         }
-        let Some(voters) = self.member.voters_unlike_file() else { return };
+        let Some(voters) = self.lease_client.voters_unlike_file() else { return };
         let mut lines = Vec::new();
         for voter in voters {
             lines.push(match &voter.address {
--- a/crates/dunepond-control-plane/src/control_loop/quotas.rs
+++ b/crates/dunepond-control-plane/src/control_loop/quotas.rs
@@ -73,7 +73,7 @@
             return;
         }
         quotas.next_report_at = now + quotas.review_interval_seconds;
-        self.member.set_demand_report(Some(DemandReport {
+        self.lease_client.set_demand_report(Some(DemandReport {
             shrunk_generation: 0,
             shared: quotas.shared.clone(),
             demand_units: (**quotas.demand.load()).clone(),
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
@@ -30,8 +30,8 @@
     /// The plan was accepted once: the operator's command in it counts once.
     offered: bool,
     next_offer_at: f64,
-    /// The leader that the last voter has named.
-    next_voter: Option<String>,
+    /// The leader, as the last voter that was asked has named it.
+    named_leader: Option<String>,
     voters_tried: usize,
     current_turn: Option<CurrentTurn>,
     /// When the last entry was entered, while it may still be committed.
@@ -60,7 +60,7 @@
             plan: None,
             offered: false,
             next_offer_at: 0.0,
-            next_voter: None,
+            named_leader: None,
             voters_tried: 0,
             current_turn: None,
             entered_at: f64::NEG_INFINITY,
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -24,7 +24,7 @@
 pub(super) struct PlanOffer {
     pub(super) plan: Plan,
     pub(super) max_concurrent_acts: usize,
-    /// It was accepted before: the operator's command in it counts once.
+    /// It was accepted before: its `word` (go, pause, withdraw) counts once.
     pub(super) is_repeat: bool,
 }
 
@@ -59,7 +59,8 @@
     /// Offers the file's plan, if there is one and it is due.
     pub(super) fn offer_plan(&mut self) {
         let now = monotonic_seconds();
-        if now < self.rebalancing.next_offer_at || now >= self.member.active_config().lease_expires_at() {
+        if now < self.rebalancing.next_offer_at || now >= self.lease_client.active_config().lease_expires_at()
+        {
             return;
         }
         self.rebalancing.read();
@@ -83,14 +84,14 @@
 
     /// The leader as the last voter has named it or as the leases have it, else one voter after the other.
     fn next_offer_voter(&mut self) -> String {
-        if let Some(voter) = self.rebalancing.next_voter.take() {
+        if let Some(voter) = self.rebalancing.named_leader.take() {
             return voter;
         }
-        if let Some(leader) = self.member.leader() {
+        if let Some(leader) = self.lease_client.leader() {
             return leader.to_string();
         }
         self.rebalancing.voters_tried += 1;
-        let voters = self.member.voters();
+        let voters = self.lease_client.voters();
         voters[self.rebalancing.voters_tried % voters.len()].clone()
     }
 
@@ -129,7 +130,7 @@
                 rebalancing.plan = None;
             }
             OfferReply::NotLeader(leader) => {
-                rebalancing.next_voter = leader;
+                rebalancing.named_leader = leader;
                 rebalancing.next_offer_at = monotonic_seconds() + self.lease_seconds * RETRY_LEASES;
             }
             OfferReply::RetryLater(why) => info!("fleet: plan {id}: {voter}: not now: {why}"),
--- a/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
@@ -24,7 +24,7 @@
 
     /// Other brokers apply the entries that come with their leases.
     pub(in crate::control_loop) fn apply_leased_entries(&mut self) {
-        for update in self.member.take_settlement_updates() {
+        for update in self.lease_client.take_settlement_updates() {
             // A ledger with fewer entries than this broker has applied is of another fleet, and replaces its own.
             let is_behind = update.ledger.is_some() && update.count < self.settlement.applied_entries;
             if self.voter.is_none() || is_behind {
@@ -32,7 +32,7 @@
             }
         }
         if self.voter.is_some() {
-            self.member.set_known_settlements(self.settlement.applied_entries);
+            self.lease_client.set_known_settlements(self.settlement.applied_entries);
         }
     }
 
--- a/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
@@ -17,9 +17,10 @@
 /// Seconds between two reviews: of commitments to be sent to the leader, and of debts to be allotted or released.
 const REVIEW_INTERVAL_SECONDS: f64 = 0.5;
 const ENTRIES_TIMEOUT_SECONDS: f64 = 1.0;
+
 /// What this broker has committed to, and how much of the log it has applied.
 pub struct Settlements {
-    /// What is stored before anything rests on it.
+    /// Stored before a fill starts and before a part of a share is given back.
     pub commitments: Commitments,
     /// Each broker fills nodes in slow start, and debts are allotted in advance.
     pub fill_started_nodes: bool,
@@ -53,7 +54,7 @@
 }
 
 impl ControlLoop {
-    /// Stores the commitments together with the ledger. False if they could not be stored: nothing may rest on them.
+    /// Stores the commitments together with the ledger. False if they could not be stored: what follows from them must wait.
     pub(in crate::control_loop) fn save_commitments(&mut self) -> bool {
         let commitments = &mut self.settlement.commitments;
         commitments.ledger = self.traffic.balances.ledger().clone();
@@ -77,7 +78,7 @@
             return;
         }
         let is_leading = self.is_leading();
-        if is_leading || now < self.member.active_config().lease_expires_at() {
+        if is_leading || now < self.lease_client.active_config().lease_expires_at() {
             self.release_surplus();
             self.send_due_entries(is_leading);
         }
@@ -97,7 +98,7 @@
             }
             return;
         }
-        let Some(leader) = self.member.leader().map(str::to_string) else { return };
+        let Some(leader) = self.lease_client.leader().map(str::to_string) else { return };
         if leader == self.name {
             return;
         }
--- a/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
@@ -31,7 +31,7 @@
     /// Debts that follow from all counts and settlements.
     pub balances: Balances,
     /// Which partner each broker's counts speak for.
-    pub sides: BrokerPartners,
+    pub broker_partners: BrokerPartners,
     pub rng: Pcg64Mcg,
     replication: CountsReplication,
     next_exchange_at: f64,
@@ -44,12 +44,12 @@
         carried: Arc<CarriedBytes>,
         counts: LocalCounts,
         balances: Balances,
-        sides: BrokerPartners,
+        broker_partners: BrokerPartners,
         mut rng: Pcg64Mcg,
     ) -> Self {
         // With the time, as a data directory that was put back would give the same seed again.
         let replication = CountsReplication::new(rng.random::<u64>() ^ unix_seconds().to_bits());
-        Self { partners, carried, counts, balances, sides, rng, replication, next_exchange_at: 0.0 }
+        Self { partners, carried, counts, balances, broker_partners, rng, replication, next_exchange_at: 0.0 }
     }
 
     /// The counts for a peer; they have to be stored already.
@@ -112,7 +112,7 @@
             return debug!("fleet: counts of {from} cannot be read");
         };
         let traffic = &mut self.traffic;
-        match traffic.counts.merge_from_peer(from, &message.counts, &traffic.sides) {
+        match traffic.counts.merge_from_peer(from, &message.counts, &traffic.broker_partners) {
             Ok(left_out) => {
                 if left_out > 0 {
                     debug!("fleet: {left_out} rows that {from} told are not its to tell");
--- a/crates/dunepond-control-plane/src/documents.rs
+++ b/crates/dunepond-control-plane/src/documents.rs
@@ -26,7 +26,7 @@
 }
 
 impl Document {
-    /// For the log.
+    /// What the document is called in log lines.
     pub fn name(&self) -> String {
         match self {
             Self::Version(version) => format!("version {}", version.number),
--- a/crates/dunepond-control-plane/src/handle.rs
+++ b/crates/dunepond-control-plane/src/handle.rs
@@ -94,7 +94,7 @@
     pub fills_failed: AtomicU64,
     /// Settlements that were applied.
     pub settled: AtomicU64,
-    /// Waits for the disk.
+    /// Writes that waited for the disk.
     pub syncs: AtomicU64,
     /// Whether the nodes were overloaded when the event loop last looked.
     pub overloaded: AtomicBool,
--- a/crates/dunepond-control-plane/src/startup/mod.rs
+++ b/crates/dunepond-control-plane/src/startup/mod.rs
@@ -125,20 +125,20 @@
     let mut rng = Pcg64Mcg::seed_from_u64(config.seed ^ incarnation ^ name_hash(&name));
     let now = monotonic_seconds();
     let voter = open_voter(&config, &mut data, stored.voter_records, now, &mut rng)?;
-    let mut member = LeaseClient::new(config.terms.clone(), stored.config, now, rng.random());
+    let mut lease_client = LeaseClient::new(config.terms.clone(), stored.config, now, rng.random());
     let audit_log = config.audit_log_file.take().map(|path| AuditLog::start(&path, &name, incarnation));
     let (audit_sender, audit_log) = audit_log.transpose()?.unzip();
     let (peers, events) = start_links(&config, incarnation, key, rng.random())?;
     let listen_address = peers.local_addr();
 
     let (request_sender, requests) = bounded(MAX_QUEUED_REQUESTS);
-    let active_config = member.active_config();
+    let active_config = lease_client.active_config();
     let handle = new_handle(active_config, config.partners.len(), audit_sender.clone(), request_sender);
     let lease_seconds = config.terms.lease_seconds;
     let quotas = config.quotas.take();
     let quotas = quotas.map(|quotas| QuotaSharing::new(quotas, lease_seconds, handle.demand.clone(), now));
     let commitments = open_commitments(stored.commitments, &name)?;
-    member.set_known_settlements(commitments.applied_entries);
+    lease_client.set_known_settlements(commitments.applied_entries);
     let counts = open_counts(stored.counts, &name, incarnation)?;
     let balances = new_balances(&config, &commitments)?;
     let (result_sender, attempt_results) = unbounded();
@@ -153,7 +153,7 @@
         name,
         lease_seconds,
         voter,
-        member,
+        lease_client,
         data,
         peers,
         events,
--- a/crates/dunepond-control-plane/src/startup/settlement.rs
+++ b/crates/dunepond-control-plane/src/startup/settlement.rs
@@ -29,16 +29,16 @@
 
 /// Which partner each broker belongs to.
 pub(super) fn broker_partners(partners: &[Partner]) -> BrokerPartners {
-    let mut sides = BrokerPartners::default();
+    let mut broker_partners = BrokerPartners::default();
     for partner in partners {
         for broker in &partner.brokers {
-            sides.partner_of.insert(broker.clone(), partner.name.clone());
+            broker_partners.partner_of.insert(broker.clone(), partner.name.clone());
         }
         if partner.metered {
-            sides.metered.insert(partner.name.clone());
+            broker_partners.metered.insert(partner.name.clone());
         }
     }
-    sides
+    broker_partners
 }
 
 /// Balances of the stored ledger; the control loop adds the counts.
@@ -47,8 +47,8 @@
     commitments: &Commitments,
 ) -> Result<Balances, ControlPlaneError> {
     let terms = SettlementTerms { max_fill_rate: fill_rate(config), ..SettlementTerms::default() };
-    let (sides, ledger) = (broker_partners(&config.partners), commitments.ledger.clone());
-    Balances::new(terms, sides, ledger).map_err(settlement_error)
+    let (broker_partners, ledger) = (broker_partners(&config.partners), commitments.ledger.clone());
+    Balances::new(terms, broker_partners, ledger).map_err(settlement_error)
 }
 
 /// The stored commitments, or none yet.
--- a/crates/dunepond-settlement/src/balances.rs
+++ b/crates/dunepond-settlement/src/balances.rs
@@ -109,7 +109,7 @@
     pub debtor: String,
     /// Partner that is owed.
     pub creditor: String,
-    /// Amount.
+    /// Bytes of the debt.
     pub bytes: u64,
 }
 
@@ -174,7 +174,7 @@
 }
 
 impl Balances {
-    /// By these terms; counts come with [`Balances::update_counts`].
+    /// Balances without counts, which come with [`Balances::update_counts`].
     ///
     /// # Errors
     /// A term is out of range.
@@ -188,12 +188,12 @@
         Ok(Balances { terms, partners, ledger, gross, aged, discrepancies: Vec::new() })
     }
 
-    /// As agreed.
+    /// The terms that partners have agreed on.
     pub fn terms(&self) -> &SettlementTerms {
         &self.terms
     }
 
-    /// As applied so far.
+    /// The ledger, as far as the log was applied.
     pub fn ledger(&self) -> &SettlementLedger {
         &self.ledger
     }
@@ -261,7 +261,7 @@
         aged.update(now, *gross, self.terms.half_life_seconds);
     }
 
-    /// As of the last counts.
+    /// Pairs whose sides disagreed in the last counts.
     pub fn discrepancies(&self) -> &[Discrepancy] {
         &self.discrepancies
     }
@@ -287,7 +287,7 @@
         self.unsettled(debtor, creditor) - self.unsettled(creditor, debtor)
     }
 
-    /// In this direction alone.
+    /// What was carried for `debtor` and is not settled, whatever was carried the other way.
     fn unsettled(&self, debtor: &str, creditor: &str) -> i128 {
         i128::from(self.gross(creditor, debtor)) - i128::from(self.settled(debtor, creditor))
     }
--- a/crates/dunepond-settlement/src/counts.rs
+++ b/crates/dunepond-settlement/src/counts.rs
@@ -53,7 +53,7 @@
     /// The first incarnation that is not folded.
     through: u64,
     folded: Carried,
-    /// By incarnation.
+    /// Later counts, by the broker's incarnation.
     #[serde(rename = "live")]
     unfolded: BTreeMap<u64, Carried>,
 }
@@ -114,7 +114,7 @@
 }
 
 impl CarriedCounts {
-    /// Of nothing.
+    /// Counts without any traffic.
     pub fn new() -> CarriedCounts {
         CarriedCounts::default()
     }
@@ -211,7 +211,7 @@
 /// Which partner a broker belongs to. A broker of no partner serves tenants of all, and is a witness for both sides.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BrokerPartners {
-    /// By broker.
+    /// Name of the partner, by name of the broker.
     pub partner_of: BTreeMap<String, String>,
     /// Partners whose brokers also count what their own nodes carry. Configured, and not derived from the counts so far: a
     /// debt would shrink when a first count came late.
--- a/crates/dunepond-settlement/src/demand.rs
+++ b/crates/dunepond-settlement/src/demand.rs
@@ -62,11 +62,11 @@
 /// Bytes a second that fills may use from one partner to another, over all brokers together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkCapacities {
-    /// By source partner and filled partner.
+    /// Highest rate by the source's partner and the filled node's.
     pub rate_caps: BTreeMap<(String, String), f64>,
-    /// For a pair that is not listed.
+    /// Highest rate for a pair that is not listed.
     pub default_rate_cap: f64,
-    /// Inside one partner.
+    /// For fills between nodes of one partner.
     pub internal_rate_cap: f64,
 }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Between two partners.
+    /// Highest rate from one partner to another, or inside one.
     pub fn rate_cap(&self, from: &str, to: &str) -> f64 {
         let otherwise = if from == to { self.internal_rate_cap } else { self.default_rate_cap };
         self.rate_caps.get(&(from.to_string(), to.to_string())).copied().unwrap_or(otherwise)
@@ -160,7 +160,7 @@
 /// Result of one call of the planner.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FillPlan {
-    /// To be started now.
+    /// Fills to be started now.
     pub fills: Vec<Fill>,
     /// Demands that have to wait.
     pub waiting: Vec<WaitingDemand>,
@@ -169,7 +169,7 @@
 /// A demand that has no fill now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaitingDemand {
-    /// As [`FillDemand::id`].
+    /// Id of the demand, as [`FillDemand::id`].
     pub id: String,
     /// Why it waits.
     pub reason: WaitReason,
--- a/crates/dunepond-settlement/src/error.rs
+++ b/crates/dunepond-settlement/src/error.rs
@@ -8,13 +8,13 @@
     /// A name is not usable in ids.
     #[error("the name {name:?} is empty or holds '@'")]
     InvalidName {
-        /// As given.
+        /// The name that was given.
         name: String,
     },
     /// The folder belongs to another broker.
     #[error("the folder holds the counts of broker {stored}, this is {broker}")]
     OtherBroker {
-        /// In the folder.
+        /// What the folder holds.
         stored: String,
         /// This broker.
         broker: String,
@@ -24,9 +24,9 @@
     StaleIncarnation {
         /// This broker.
         broker: String,
-        /// Of this start.
+        /// Incarnation of this start.
         incarnation: u64,
-        /// In the folder.
+        /// What the folder holds.
         stored: u64,
     },
     /// A message has more cells than are accepted.
@@ -34,29 +34,29 @@
     TooManyCells {
         /// Sender.
         from: String,
-        /// In the message.
+        /// Brokers in the message.
         brokers: usize,
-        /// In the message.
+        /// Cells in the message.
         cells: usize,
-        /// Upper limit.
+        /// Most cells of a message.
         max: usize,
     },
     /// A term is out of range.
     #[error("terms of debts: {key} is {value}, wanted is {expected}")]
     InvalidTerm {
-        /// In the operator's file.
+        /// Name of the term.
         key: &'static str,
-        /// As configured.
+        /// Value of the term.
         value: f64,
-        /// Expected.
+        /// What was expected.
         expected: &'static str,
     },
     /// The fill has settled otherwise.
     #[error("settlement {id}: fill {fill} has settled already, as {before}")]
     AlreadySettledOtherwise {
-        /// Of the settlement.
+        /// Id of the settlement.
         id: String,
-        /// Its id.
+        /// Id of the fill.
         fill: String,
         /// The settlement that counts.
         before: String,
@@ -64,9 +64,9 @@
     /// The version is closed.
     #[error("settlement {id} belongs to version {version:?}, versions before {floor} are closed")]
     VersionClosed {
-        /// Of the settlement.
+        /// Id of the settlement.
         id: String,
-        /// Of the settlement.
+        /// Number of the settlement's version; none if its id has none.
         version: Option<u64>,
         /// The first open version.
         floor: u64,
@@ -76,15 +76,15 @@
         "settlement {id} takes {bytes} off what {debtor} owes {creditor}; the share of {broker} has {remaining} left"
     )]
     ExceedsShare {
-        /// Of the settlement.
+        /// Id of the settlement.
         id: String,
-        /// Broker.
+        /// Name of the broker.
         broker: String,
         /// Partner that owes.
         debtor: String,
         /// Partner that is owed.
         creditor: String,
-        /// Amount.
+        /// Bytes that the entry moves.
         bytes: u64,
         /// Amount that is left.
         remaining: u64,
@@ -96,7 +96,7 @@
         debtor: String,
         /// Partner that is owed.
         creditor: String,
-        /// All shares together.
+        /// Bytes of all shares together.
         allotted: u64,
         /// Amount that is owed.
         debt: u64,
@@ -104,13 +104,13 @@
     /// More would be returned than is left.
     #[error("{broker} gives back {bytes} of its share in what {debtor} owes {creditor}, and has {remaining}")]
     ExceedsRemaining {
-        /// Broker.
+        /// Name of the broker.
         broker: String,
         /// Partner that owes.
         debtor: String,
         /// Partner that is owed.
         creditor: String,
-        /// Amount.
+        /// Bytes that the entry moves.
         bytes: u64,
         /// Amount that is left.
         remaining: u64,
@@ -122,9 +122,9 @@
         debtor: String,
         /// Partner that is owed.
         creditor: String,
-        /// Of the entry.
+        /// Number of the entry.
         number: u64,
-        /// Expected.
+        /// What was expected.
         expected: u64,
     },
     /// The entry moves nothing.
@@ -134,17 +134,17 @@
         debtor: String,
         /// Partner that is owed.
         creditor: String,
-        /// Amount.
+        /// Bytes that the entry moves.
         bytes: u64,
     },
     /// The event is impossible in this state.
     #[error("fill {fill} is {state}, which cannot be followed by {event}")]
     InvalidEvent {
-        /// Its id.
+        /// Id of the fill.
         fill: String,
-        /// Of the fill.
+        /// State of the fill.
         state: &'static str,
-        /// That came.
+        /// Event that came.
         event: &'static str,
     },
 }
--- a/crates/dunepond-settlement/src/fill.rs
+++ b/crates/dunepond-settlement/src/fill.rs
@@ -25,7 +25,7 @@
     pub to: String,
     /// Size of the segment.
     pub bytes: u64,
-    /// Bytes a second, at most.
+    /// Highest rate, in bytes a second.
     pub rate: f64,
     /// What it pays off, to be proposed when it is complete. Only the rest of `bytes` counts as carried.
     pub settles: Option<Settlement>,
@@ -42,7 +42,7 @@
         self.bytes - self.settles.as_ref().map_or(0, |settlement| settlement.bytes.min(self.bytes))
     }
 
-    /// At its rate.
+    /// Seconds that it takes at its rate.
     pub fn duration_seconds(&self) -> f64 {
         self.bytes as f64 / self.rate
     }
@@ -84,7 +84,7 @@
     }
 }
 
-/// Where a fill is.
+/// State of a fill.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FillState {
     /// Waits for its next attempt.
@@ -102,20 +102,20 @@
     Done,
     /// All attempts failed; another source may be planned.
     Failed {
-        /// Of the last attempt.
+        /// Why the last attempt failed.
         #[serde(rename = "why")]
         reason: String,
     },
     /// The fill is not required any more.
     Withdrawn {
-        /// For the log.
+        /// Reason, for people.
         #[serde(rename = "why")]
         reason: String,
     },
 }
 
 impl FillState {
-    /// For messages.
+    /// Name of the state, for messages.
     pub fn name(&self) -> &'static str {
         match self {
             FillState::Planned { .. } => "planned",
@@ -139,13 +139,13 @@
     Done,
     /// The attempt failed.
     Failed {
-        /// As the fill service reported.
+        /// What the fill service reported.
         #[serde(rename = "why")]
         reason: String,
     },
     /// The version that requires it is withdrawn, or the fill planned again.
     Withdrawn {
-        /// For the log.
+        /// Reason, for people.
         #[serde(rename = "why")]
         reason: String,
     },
@@ -177,18 +177,18 @@
 /// A fill and its progress. Stored as it is; after a crash [`FillProgress::resume`] continues from there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FillProgress {
-    /// As planned.
+    /// The fill, as planned.
     pub fill: Fill,
     retry_policy: FillRetryPolicy,
     state: FillState,
     /// Attempts that were started.
     attempts: u32,
-    /// On the monotonic clock.
+    /// When the fill is withdrawn, on the monotonic clock.
     deadline: f64,
 }
 
 impl FillProgress {
-    /// Planned at `now`.
+    /// A fill that was planned at `now` and has had no attempt.
     pub fn new(fill: Fill, retry_policy: FillRetryPolicy, now: f64) -> FillProgress {
         let deadline = now + retry_policy.deadline_seconds;
         FillProgress {
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Where it is.
+    /// The state of the fill.
     pub fn state(&self) -> &FillState {
         &self.state
     }
@@ -249,7 +249,7 @@
             }
             FillState::Running { until } if now >= until => {
                 let mut actions = vec![FillAction::Stop(self.fill.clone())];
-                actions.extend(self.failed(now, "no answer in time".to_string(), rng));
+                actions.extend(self.on_attempt_failed(now, "no answer in time".to_string(), rng));
                 actions
             }
             _ => Vec::new(),
@@ -274,7 +274,9 @@
                     FillAction::Propose(self.fill.clone()),
                 ])
             }
-            (FillState::Running { .. }, FillEvent::Failed { reason }) => Ok(self.failed(now, reason, rng)),
+            (FillState::Running { .. }, FillEvent::Failed { reason }) => {
+                Ok(self.on_attempt_failed(now, reason, rng))
+            }
             (FillState::Planned { .. } | FillState::Running { .. }, FillEvent::Withdrawn { reason }) => {
                 Ok(self.withdraw(reason))
             }
@@ -295,7 +297,7 @@
         stop.into_iter().chain([FillAction::ReleaseCapacity(self.fill.clone())]).collect()
     }
 
-    fn failed(&mut self, now: f64, reason: String, rng: &mut impl Rng) -> Vec<FillAction> {
+    fn on_attempt_failed(&mut self, now: f64, reason: String, rng: &mut impl Rng) -> Vec<FillAction> {
         if self.attempts >= self.retry_policy.max_attempts {
             self.state = FillState::Failed { reason };
             return vec![FillAction::ReleaseCapacity(self.fill.clone())];
--- a/crates/dunepond-settlement/src/ledger.rs
+++ b/crates/dunepond-settlement/src/ledger.rs
@@ -32,7 +32,7 @@
     pub creditor: String,
     /// All that was ever owed, settled or not, as the proposer saw it; shares stay within the largest debt so stated.
     pub debt: u64,
-    /// By broker.
+    /// What each broker gets.
     pub parts: Vec<AllottedShare>,
 }
 
@@ -42,7 +42,7 @@
 pub struct AllottedShare {
     /// Name of the broker.
     pub broker: String,
-    /// On top of what it has.
+    /// Bytes that it gets on top of what it has.
     pub bytes: u64,
 }
 
@@ -62,7 +62,7 @@
 /// nobody else knows what it has promised while it was partitioned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShareRelease {
-    /// As of an [`Allotment`].
+    /// The pair's next number, as in [`Allotment::number`].
     pub number: u64,
     /// Partner that owes.
     pub debtor: String,
@@ -71,14 +71,14 @@
     /// Broker that returns it.
     #[serde(rename = "by")]
     pub broker: String,
-    /// Returned.
+    /// Bytes that are returned.
     pub bytes: u64,
 }
 
 /// Whether an entry changed anything.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It did.
+    /// The entry was applied.
     New,
     /// It was applied before: duplicated, or proposed again after a crash.
     Duplicate,
@@ -108,7 +108,7 @@
     /// The largest that an [`Allotment`] has stated.
     debt: u64,
     settled: u64,
-    /// By broker.
+    /// Shares by name of the broker.
     shares: BTreeMap<String, DebtShare>,
 }
 
@@ -146,11 +146,11 @@
 pub struct SettlementLedger {
     /// Settlements for versions before this one are neither retained nor accepted.
     floor: u64,
-    /// By fill.
+    /// Settled fills by id.
     settled: BTreeMap<String, SettledFill>,
-    /// Debtor, then creditor.
+    /// Accounts by debtor, then by creditor.
     pairs: BTreeMap<String, BTreeMap<String, PairAccount>>,
-    /// What leaders started recently.
+    /// Fills that leaders started recently.
     #[serde(rename = "begun")]
     started: StartedFills,
 }
--- a/crates/dunepond-settlement/src/lib.rs
+++ b/crates/dunepond-settlement/src/lib.rs
@@ -49,7 +49,7 @@
     pub debtor: String,
     /// Partner to whom it owes less.
     pub creditor: String,
-    /// Paid off.
+    /// Bytes that are paid off.
     pub bytes: u64,
     /// Id of the segment that was filled.
     pub segment: u64,
--- a/crates/dunepond-settlement/src/netting.rs
+++ b/crates/dunepond-settlement/src/netting.rs
@@ -50,7 +50,7 @@
         self.0.range(first..).map(|(edge, _)| *edge).take_while(|edge| edge.debtor == debtor).collect()
     }
 
-    /// Depth-first.
+    /// The first cycle that a depth-first search meets.
     fn find_cycle(&self) -> Option<Vec<DebtEdge<'a>>> {
         let mut without_cycle: BTreeSet<&str> = BTreeSet::new();
         let debtors: BTreeSet<&str> = self.0.keys().map(|edge| edge.debtor).collect();
--- a/crates/dunepond-settlement/src/planner/mod.rs
+++ b/crates/dunepond-settlement/src/planner/mod.rs
@@ -35,7 +35,7 @@
 }
 
 impl FillPlanner {
-    /// For the broker of this name.
+    /// A planner without fills. `broker`: in whose name its fills are settled.
     pub fn new(broker: &str, rule: PlanningRule, seed: u64) -> FillPlanner {
         FillPlanner {
             broker: broker.to_string(),
--- a/crates/dunepond-settlement/src/planner/rates.rs
+++ b/crates/dunepond-settlement/src/planner/rates.rs
@@ -6,7 +6,7 @@
 use super::round::Round;
 use crate::{Fill, max_min_rates};
 
-/// What fills share.
+/// A capacity that several fills share.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Resource<'a> {
     Link { from: &'a str, to: &'a str },
@@ -21,7 +21,7 @@
 }
 
 impl<'a> Resources<'a> {
-    /// Of one fill alone.
+    /// Adds a resource that one fill alone uses.
     fn add(&mut self, rate_cap: f64) -> usize {
         self.rate_caps.push(rate_cap);
         self.rate_caps.len() - 1
--- a/crates/dunepond-settlement/src/planner/round.rs
+++ b/crates/dunepond-settlement/src/planner/round.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OpenDebt {
     pub bytes: u64,
-    /// In the order of service.
+    /// Weight by which the creditor is served.
     pub weight: f64,
 }
 
--- a/crates/dunepond-settlement/src/planner/source.rs
+++ b/crates/dunepond-settlement/src/planner/source.rs
@@ -171,7 +171,7 @@
         self.free_rate(rate_cap, round, |fill| fill.from == from && fill.to == to)
     }
 
-    /// Of a resource that the given fills use.
+    /// Bytes a second that are free of a resource that the given fills use.
     fn free_rate(&self, rate_cap: f64, round: &Round, uses: impl Fn(&Fill) -> bool) -> f64 {
         let chosen = round.chosen.iter().filter(|fill| uses(fill)).count();
         rate_cap - self.running_rate(uses) - chosen as f64 * round.balances.terms().min_fill_rate
--- a/crates/dunepond-settlement/src/promises.rs
+++ b/crates/dunepond-settlement/src/promises.rs
@@ -21,7 +21,7 @@
 }
 
 impl SharePromises {
-    /// Of one broker.
+    /// No promises yet, of this broker.
     ///
     /// # Errors
     /// The name would make ids ambiguous.
--- a/crates/dunepond-settlement/src/replication.rs
+++ b/crates/dunepond-settlement/src/replication.rs
@@ -26,7 +26,7 @@
 /// A message with counts. The counts come first: a build that knows only counts reads them and stops there.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CountsMessage {
-    /// Changed rows.
+    /// The rows that changed.
     pub counts: CarriedCounts,
     /// A receiver that had the sender's rows up to `since_revision` has them up to here.
     #[serde(rename = "upto")]
@@ -50,7 +50,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
-    /// Of its last message.
+    /// Process that sent its last message.
     process: u64,
     /// This process's revision that it has acknowledged.
     acknowledged_revision: u64,
--- a/crates/dunepond-settlement/src/started_fills.rs
+++ b/crates/dunepond-settlement/src/started_fills.rs
@@ -16,7 +16,7 @@
 /// A [`Fill`] as it stands in the log, entered before it starts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StartedFill {
-    /// As of the fill.
+    /// Id of the fill.
     pub id: String,
     /// Id of the segment.
     pub segment: u64,
@@ -30,16 +30,16 @@
     pub to: String,
     /// Size of the fill.
     pub bytes: u64,
-    /// Bytes a second.
+    /// Rate in bytes a second.
     pub rate: u64,
-    /// What it pays off.
+    /// Debt that the fill pays off, if any.
     pub settles: Option<Settlement>,
     /// Unix seconds by the leader's clock; only the age of the entry is judged by it.
     pub at: u64,
 }
 
 impl StartedFill {
-    /// Of a fill that starts at `at`, in Unix seconds.
+    /// The log's form of a fill that starts at `at`, in Unix seconds.
     pub fn new(fill: &Fill, at: u64) -> StartedFill {
         let Fill { id, segment, holder, source, from, to, bytes, rate, settles } = fill.clone();
         StartedFill { id, segment, holder, source, from, to, bytes, rate: rate as u64, settles, at }
@@ -112,9 +112,9 @@
 
 /// Fills to drop.
 struct Excess {
-    /// All that started earlier, in Unix seconds.
+    /// All fills that started before this, in Unix seconds.
     before: u64,
-    /// So many of those that started in that second.
+    /// Fills that started in just that second: so many of them.
     count_at: usize,
 }
 
