--- a/crates/dunepond-quota/src/demand.rs
+++ b/crates/dunepond-quota/src/demand.rs
@@ -1,4 +1,4 @@
-//! How much of a quota a broker would use, estimated from what it used and what was rejected.
+//! Demand for a quota at one broker, estimated from what it used and what was rejected.
 
 use std::collections::BTreeMap;
 
@@ -8,19 +8,19 @@
 
 /// Weight of the newest sample in the moving average.
 const NEWEST_SAMPLE_RATIO: f64 = 0.25;
-/// Rejected demand counts up to this multiple of the use, since the same few requests retry again and again.
+/// Rejected demand counts up to this multiple of the use, since the same few requests are retried again and again.
 const MAX_REJECTED_RATIO: f64 = 1.0;
 
 /// Smoothed demand for one quota at one broker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Ratio of the total; `None` before the first sample.
+    /// Demand as a ratio of the total; `None` before the first sample.
     smoothed_ratio: Option<f64>,
 }
 
 impl Demand {
     /// Adds what was used and what was rejected beyond it since the last sample, as ratios of the total. `available` is
-    /// the ratio that this broker holds: with next to nothing it can use no more, whatever its demand.
+    /// the ratio that this broker holds: with almost no share it cannot use more, whatever its demand.
     pub fn record_sample(&mut self, used: f64, rejected: f64, available: f64) {
         let (used, available) = (non_negative(used), non_negative(available));
         let sample = used + non_negative(rejected).min(MAX_REJECTED_RATIO * used.max(available));
@@ -28,7 +28,7 @@
         self.smoothed_ratio = Some(before + NEWEST_SAMPLE_RATIO * (sample - before));
     }
 
-    /// In units of the quota, at most the total.
+    /// The demand in units of the quota, at most the total.
     pub fn units(&self) -> u32 {
         let total = f64::from(TOTAL_UNITS);
         (self.smoothed_ratio.unwrap_or(0.0) * total).clamp(0.0, total) as u32
@@ -39,13 +39,13 @@
     if ratio.is_finite() { ratio.max(0.0) } else { 0.0 }
 }
 
-/// What a broker reports with each lease request.
+/// The report that a broker sends with each lease request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DemandReport {
     /// Acknowledges [`crate::Allocation::shrunk_generation`] of the allocation in use; 0 if none came in this run.
     #[serde(rename = "shrunk")]
     pub shrunk_generation: u64,
-    /// What the broker's own file shares.
+    /// The quotas that the broker's own file shares.
     #[serde(rename = "bounds")]
     pub shared: SharedQuotas,
     /// Demand for each quota in units, floor included.
--- a/crates/dunepond-quota/src/entry.rs
+++ b/crates/dunepond-quota/src/entry.rs
@@ -1,4 +1,4 @@
-//! What the consensus log records about quotas. The serialised names are those of the log's format.
+//! Entries of the consensus log about quotas. The serialised names are those of the log's format.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,39 +7,39 @@
 /// A change of the [`crate::QuotaLedger`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum QuotaEntry {
-    /// Replaces what is shared. Valid only while no unit is leased or reserved.
+    /// Replaces the shared quotas. This is valid only while no unit is leased or reserved.
     #[serde(rename = "Bounds")]
     Configure(SharedQuotas),
-    /// The broker may hold shares from now on.
+    /// Allows the broker to hold shares from now on.
     #[serde(rename = "Seat")]
     AddBroker {
-        /// Its name.
+        /// Name of the broker.
         broker: String,
     },
-    /// The broker may hold no shares any more. Valid only while it holds none.
+    /// Ends the broker's right to hold shares. This is valid only while it holds none.
     #[serde(rename = "Free")]
     RemoveBroker {
-        /// Its name.
+        /// Name of the broker.
         broker: String,
     },
-    /// Units beyond the floor from now on; shares that are not listed stay as they are.
+    /// Sets units beyond the floor; shares that are not listed stay as they are.
     #[serde(rename = "Parts")]
     SetShares {
-        /// New sizes, one for each broker and quota at most.
+        /// New sizes, at most one for each broker and quota.
         #[serde(rename = "parts")]
         shares: Vec<QuotaShare>,
     },
-    /// The leader's clock says that the broker has stopped using what it held before this generation.
+    /// Releases reserved units: by the leader's clock the broker has stopped using what it held before this generation.
     #[serde(rename = "Settled")]
     Release {
-        /// Its name.
+        /// Name of the broker.
         broker: String,
-        /// Of the shrink that is waited for.
+        /// Generation of the shrink whose release is awaited.
         generation: u64,
     },
 }
 
-/// Size of one broker's share of one quota.
+/// The size of one broker's share of one quota.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaShare {
     /// Name of the broker.
--- a/crates/dunepond-quota/src/error.rs
+++ b/crates/dunepond-quota/src/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// An entry or a configuration that is rejected; nothing changes by it.
+/// Why an entry or a configuration is rejected; nothing changes because of it.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum QuotaError {
     /// The ratio of floors is out of range.
@@ -11,7 +11,7 @@
     /// The number of brokers is out of range.
     #[error("limits: {given} brokers, expected 1 to {max}")]
     BrokerCount {
-        /// As configured.
+        /// Configured number of brokers.
         given: u32,
         /// Upper limit.
         max: u32,
@@ -19,7 +19,7 @@
     /// The number of quotas is out of range.
     #[error("limits: {given} quotas, expected 1 to {max}")]
     QuotaCount {
-        /// As configured.
+        /// Configured number of quotas.
         given: usize,
         /// Upper limit.
         max: usize,
@@ -27,20 +27,20 @@
     /// A quota is named twice.
     #[error("limits: the quota `{0}` is named twice")]
     DuplicateQuota(String),
-    /// The floors of all brokers come to more than the total.
+    /// The floors of all brokers add up to more than the total.
     #[error("limits: floors of {floor_units} units for {brokers} brokers exceed the total")]
     FloorsExceedTotal {
-        /// Of each broker.
+        /// Floor of each broker, in units.
         floor_units: u32,
-        /// That may exist.
+        /// Number of brokers that may exist.
         brokers: u32,
     },
     /// The window is out of range.
     #[error("limits: a window of {given} ms, expected 1 to {max}")]
     Window {
-        /// Milliseconds.
+        /// Configured window, in milliseconds.
         given: u64,
-        /// Upper limit, milliseconds.
+        /// Upper limit, in milliseconds.
         max: u64,
     },
     /// No quota is configured.
@@ -49,23 +49,23 @@
     /// Quotas cannot be reconfigured while units are leased.
     #[error("limits: other quotas are proposed while {units} units of `{quota}` are reserved")]
     StillLeased {
-        /// With reserved units.
+        /// Name of a quota with reserved units.
         quota: String,
-        /// Reserved.
+        /// Number of reserved units.
         units: u32,
     },
     /// The configuration is the one in force.
     #[error("limits: these quotas are in force already")]
     AlreadyConfigured,
-    /// No broker may be added.
+    /// A broker joins, and no further broker may be added.
     #[error("limits: `{broker}` joins, and all {brokers} brokers that may exist are present")]
     TooManyBrokers {
-        /// That would join.
+        /// Name of the broker that would join.
         broker: String,
-        /// That may exist.
+        /// Number of brokers that may exist.
         brokers: u32,
     },
-    /// The broker was added before.
+    /// The broker was already added.
     #[error("limits: `{0}` shares already")]
     BrokerExists(String),
     /// The broker was never added.
@@ -74,11 +74,11 @@
     /// A broker with reserved units cannot be removed.
     #[error("limits: `{broker}` leaves while {units} units of `{quota}` are reserved for it")]
     BrokerHoldsUnits {
-        /// That would be removed.
+        /// Name of the broker that would be removed.
         broker: String,
-        /// With reserved units.
+        /// Name of a quota with reserved units.
         quota: String,
-        /// Reserved.
+        /// Number of reserved units.
         units: u32,
     },
     /// The quota is not configured.
@@ -89,31 +89,31 @@
         "limits: shares of `{quota}` would come to {units} units beyond the floors, and {spare} are spare"
     )]
     ExceedsTotal {
-        /// Whose shares would be too large.
+        /// Name of the quota whose shares would be too large.
         quota: String,
-        /// Reserved in total.
+        /// Number of units that would be reserved in total.
         units: u64,
-        /// Units that belong to no floor.
+        /// Number of units that belong to no floor.
         spare: u32,
     },
-    /// The entry repeats what is in force.
+    /// The entry repeats the state in force.
     #[error("limits: nothing would change")]
     NoChange,
-    /// The shrink was released before, or another one followed it.
+    /// The shrink was already released, or another one followed it.
     #[error("limits: `{broker}` is not waited for at generation {generation}")]
     NotAwaited {
-        /// That was said to have stopped.
+        /// Name of the broker.
         broker: String,
-        /// Of the shrink.
+        /// Generation of the shrink.
         generation: u64,
     },
-    /// A release was proposed by somebody other than the leader itself.
+    /// A release was proposed by another broker than the leader.
     #[error("limits: only the leader's clock may release the units of `{0}`")]
     LeaderOnly(String),
 }
 
 impl QuotaError {
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn help(&self) -> &'static str {
         match self {
             Self::FloorRatio(_) => "set `limits floor` to a share such as 0.25",
--- a/crates/dunepond-quota/src/ledger.rs
+++ b/crates/dunepond-quota/src/ledger.rs
@@ -1,5 +1,5 @@
-//! Who holds how many of the spare units, as the consensus log has it. Each voter applies the same entries and judges each
-//! by itself; no clock is read here, so that all voters come to the same result.
+//! The ledger of spare units in the consensus log, which records how many units each broker holds. Each voter applies
+//! the same entries and checks each by itself; no clock is read here, so that all voters get the same result.
 
 use std::collections::BTreeMap;
 
@@ -10,18 +10,18 @@
 /// A broker's units of one quota, beyond its floor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct UnitGrant {
-    /// What it is told.
+    /// Units that the broker is granted.
     #[serde(rename = "now")]
     pub granted: u32,
-    /// What it may still be using: at least `granted`.
+    /// Units that the broker may still be using; at least `granted`.
     #[serde(rename = "counted")]
     pub reserved: u32,
 }
 
-/// A broker that may hold shares.
+/// The shares of a broker that may hold shares.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BrokerShares {
-    /// By quota.
+    /// Units beyond the floor, by quota.
     #[serde(rename = "held")]
     pub grants: BTreeMap<String, UnitGrant>,
     /// Generation of the last entry that shrank one of its shares.
@@ -30,22 +30,22 @@
 }
 
 impl BrokerShares {
-    /// A share shrank, and its old size is still reserved.
+    /// Whether a share shrank and its old size is still reserved.
     pub fn awaits_release(&self) -> bool {
         self.grants.values().any(|grant| grant.reserved > grant.granted)
     }
 
-    /// Units that the broker is told.
+    /// Units of the quota that the broker is granted.
     pub fn granted_units(&self, quota: &str) -> u32 {
         self.grants.get(quota).map_or(0, |grant| grant.granted)
     }
 
-    /// Units that the broker may still be using.
+    /// Units of the quota that the broker may still be using.
     pub fn reserved_units(&self, quota: &str) -> u32 {
         self.grants.get(quota).map_or(0, |grant| grant.reserved)
     }
 
-    /// The quota of which most is reserved, if anything is.
+    /// The quota with the most reserved units and their number, if any units are reserved.
     fn largest_reservation(&self) -> Option<(&String, u32)> {
         let reserved = self.grants.iter().map(|(quota, grant)| (quota, grant.reserved));
         reserved.max_by_key(|(_, units)| *units).filter(|(_, units)| *units > 0)
@@ -55,10 +55,10 @@
 /// The replicated state of all quotas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaLedger {
-    /// `None` before the first configuration.
+    /// The shared quotas; `None` before the first configuration.
     #[serde(rename = "bounds")]
     pub shared: Option<SharedQuotas>,
-    /// Counts the entries that changed something.
+    /// Number of entries that changed something.
     pub generation: u64,
     /// Brokers that may hold shares, by name.
     #[serde(rename = "seats")]
@@ -77,10 +77,10 @@
         u64::from(spare).saturating_sub(self.reserved_units(quota)) as u32
     }
 
-    /// Whether the entry may be applied, and would change anything.
+    /// Checks that the entry may be applied and would change something.
     ///
     /// # Errors
-    /// Why it would be rejected.
+    /// The reason for which the entry would be rejected.
     pub fn check(&self, entry: &QuotaEntry) -> Result<(), QuotaError> {
         match entry {
             QuotaEntry::Configure(shared) => self.check_configure(shared),
@@ -134,8 +134,8 @@
         self.brokers.get(broker).ok_or_else(|| QuotaError::UnknownBroker(broker.to_string()))
     }
 
-    /// Each share counts at the largest size that its broker may be using, old or new, and all have to fit: a share cannot
-    /// grow before another one's shrink is released, whoever planned the entry.
+    /// Checks that all shares fit. Each counts at the largest size that its broker may be using, old or new: a share
+    /// cannot grow before another one's shrink is released, regardless of who planned the entry.
     fn check_shares(&self, shares: &[QuotaShare]) -> Result<(), QuotaError> {
         let shared = self.shared.as_ref().ok_or(QuotaError::NotConfigured)?;
         let mut changes = false;
@@ -169,14 +169,14 @@
     /// Applies an entry of the log.
     ///
     /// # Errors
-    /// As [`QuotaLedger::check`]; nothing changed then.
+    /// The errors of [`QuotaLedger::check`]; nothing has changed then.
     pub fn apply(&mut self, entry: &QuotaEntry) -> Result<(), QuotaError> {
         self.check(entry)?;
         self.generation += 1;
         match entry {
             QuotaEntry::Configure(shared) => {
                 self.shared = Some(shared.clone());
-                // Brokers are added again: fewer may be allowed now.
+                // The brokers have to be added again, because fewer may be allowed now.
                 self.brokers.clear();
             }
             QuotaEntry::AddBroker { broker } => {
@@ -206,7 +206,7 @@
         grants.for_each(|grant| grant.reserved = grant.granted);
     }
 
-    /// What a broker is told with its lease; `None` while nothing is shared.
+    /// The allocation that a broker receives with its lease; `None` while no quota is shared.
     pub fn allocation_for(&self, broker: &str) -> Option<Allocation> {
         let shared = self.shared.as_ref()?;
         let shares = self.brokers.get(broker);
--- a/crates/dunepond-quota/src/lib.rs
+++ b/crates/dunepond-quota/src/lib.rs
@@ -1,5 +1,6 @@
-//! Fleet-wide quotas, leased to brokers in shares: what all brokers together may send to a node in slow start, spend on
-//! retries and hedged requests, or admit within a tenant's quota. Pure: no clock, no socket, no randomness.
+//! Fleet-wide quotas that are leased to brokers in shares: what all brokers together may send to a node in slow start,
+//! spend on retries and hedged requests, or admit within a tenant's quota. The crate is pure: it uses no clock, socket
+//! or randomness.
 //!
 //! A quota has [`TOTAL_UNITS`]. Each broker that may exist owns a floor of it without any lease; the rest is spare and
 //! leased. A [`QuotaLedger`], replicated through the consensus log, records who holds how many of the spare units. A
--- a/crates/dunepond-quota/src/local_quota.rs
+++ b/crates/dunepond-quota/src/local_quota.rs
@@ -1,4 +1,4 @@
-//! How many units a broker may use, asked before each use.
+//! The units that a broker may use; the broker asks before each use.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +6,15 @@
 
 use crate::SharedQuotas;
 
-/// What a broker is told with its lease.
+/// The allocation that a broker receives with its lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Allocation {
-    /// Of the ledger; it only grows.
+    /// Generation of the ledger, which only grows.
     pub generation: u64,
-    /// Replicated floor, in units.
+    /// Floor by the replicated configuration, in units.
     #[serde(rename = "floor")]
     pub floor_units: u32,
-    /// The broker is one of those that may hold shares, or one more is still allowed. If not, it may use nothing, not even
+    /// Whether the broker may hold shares, or one more broker is still allowed. If not, it may use nothing, not even
     /// its floor.
     #[serde(rename = "counted")]
     pub admitted: bool,
@@ -26,25 +26,26 @@
     pub leased_units: BTreeMap<String, u32>,
 }
 
-/// What a broker's own file and start time allow. Times are seconds on its monotonic clock.
+/// What a broker's own file and start time allow. Times are in seconds on its monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LocalQuota {
-    /// Units that it owns without a lease.
+    /// Units that the broker owns without a lease.
     pub floor_units: u32,
-    /// Start of this run.
+    /// When this run started.
     pub started_at: f64,
-    /// For so long after the start nothing may be used: what the previous run used is unknown and still fills a window.
+    /// How long after the start nothing may be used: the use by the previous run is unknown and still counts in a
+    /// window.
     pub window_seconds: f64,
 }
 
 impl LocalQuota {
-    /// For a run that starts at `started_at`.
+    /// The local limits of a run that starts at `started_at`.
     pub fn new(shared: &SharedQuotas, started_at: f64) -> Self {
         let window_seconds = shared.window_millis as f64 / 1e3;
         Self { floor_units: shared.floor_units, started_at, window_seconds }
     }
 
-    /// Units of `quota` that may be used at `now`. `allocation` is the last one heard in this run; `lease_valid` says
+    /// Units of `quota` that may be used at `now`. `allocation` is the last one received in this run; `lease_valid` is
     /// whether its lease covers `now`.
     pub fn available_units(
         &self,
--- a/crates/dunepond-quota/src/planner.rs
+++ b/crates/dunepond-quota/src/planner.rs
@@ -1,4 +1,4 @@
-//! Who gets how many units: planned by the leader from what brokers report.
+//! The planner by which the leader splits spare units between brokers, from their reports.
 
 use std::collections::BTreeMap;
 
@@ -7,33 +7,33 @@
 /// How spare units are split; the choice is explained in `docs/notes/quota.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SplitRule {
-    /// The same for each broker.
+    /// Each broker gets the same number of units.
     Even,
-    /// In proportion to demand.
+    /// Each broker gets units in proportion to its demand.
     Proportional,
-    /// Max-min fairness: small demands are met, the others split the rest evenly; what nobody demands is split evenly on
-    /// top.
+    /// Max-min fairness: small demands are met, the others split the rest evenly, and what nobody demands is split
+    /// evenly in addition.
     MaxMin,
 }
 
 /// Parameters of the planner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannerConfig {
-    /// How spare units are split.
+    /// The rule by which spare units are split.
     pub rule: SplitRule,
-    /// Multiple of the demand that is planned for, as it may grow until the next plan.
+    /// Multiple of the demand that is planned for, since demand may grow until the next plan.
     pub headroom_ratio: f64,
-    /// Ratio of an even share: smaller shortages and surpluses are left alone.
+    /// Ratio of an even share below which shortages and surpluses are ignored.
     pub min_step_ratio: f64,
-    /// After so long without a report a broker has no demand. A leader that has led for less does not know yet which
-    /// brokers exist, and plans nothing.
+    /// Time in seconds without a report after which a broker counts as having no demand. A leader that has led for less
+    /// does not know yet which brokers exist, and plans nothing.
     pub silent_after_seconds: f64,
-    /// After so long without a report a broker is removed.
+    /// Time in seconds without a report after which a broker is removed.
     pub removed_after_seconds: f64,
 }
 
 impl PlannerConfig {
-    /// For leases of this length in seconds.
+    /// The parameters for leases of this length in seconds.
     pub fn for_lease(lease_seconds: f64) -> Self {
         Self {
             rule: SplitRule::MaxMin,
@@ -45,16 +45,16 @@
     }
 }
 
-/// What the leader last heard from a broker.
+/// The last report that the leader received from a broker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReceivedReport {
-    /// As the broker sent it.
+    /// The report as the broker sent it.
     pub report: DemandReport,
-    /// Seconds since it came.
+    /// Seconds since the leader received it.
     pub age_seconds: f64,
 }
 
-/// Splits `spare` units by demand, in the order of `demands`. Demands include the floor, the result does not.
+/// Splits `spare` units by demand, in the order of `demands`. The demands include the floor, and the result does not.
 pub fn target_units(rule: SplitRule, spare: u32, floor: u32, demands: &[u32]) -> Vec<u32> {
     let count = demands.len() as u32;
     if count == 0 {
@@ -88,8 +88,8 @@
     targets
 }
 
-/// The entry that the leader should propose next, if any. `own`: what its own file shares. `leading_seconds`: for how long
-/// it has led and received reports.
+/// The entry that the leader should propose next, if there is one. `own` is what its own file shares; `leading_seconds`
+/// is how long it has led and received reports.
 pub fn next_entry(
     ledger: &QuotaLedger,
     own: &SharedQuotas,
@@ -102,7 +102,7 @@
     }
     let Some(shared) = &ledger.shared else { return Some(QuotaEntry::Configure(own.clone())) };
     let planner = Planner { ledger, shared, own, reports, leading_seconds, config };
-    // While files differ only the floors hold: nothing may be leased that one of them does not reserve.
+    // While files differ only the floors apply: no unit may be leased that one of the files does not reserve.
     if planner.files_differ() {
         return planner.reclaim_all().or_else(|| planner.reconfigure());
     }
@@ -118,7 +118,7 @@
     config: &'a PlannerConfig,
 }
 
-/// A broker with a current report, while one quota is planned.
+/// A broker with a current report, in the plan for one quota.
 struct Candidate<'a> {
     broker: &'a String,
     shares: &'a BrokerShares,
@@ -135,8 +135,8 @@
 impl<'a> Planner<'a> {
     fn files_differ(&self) -> bool {
         let recent =
-            self.reports.values().filter(|heard| heard.age_seconds < self.config.removed_after_seconds);
-        self.shared != self.own || recent.into_iter().any(|heard| heard.report.shared != *self.shared)
+            self.reports.values().filter(|received| received.age_seconds < self.config.removed_after_seconds);
+        self.shared != self.own || recent.into_iter().any(|received| received.report.shared != *self.shared)
     }
 
     fn reclaim_all(&self) -> Option<QuotaEntry> {
@@ -159,10 +159,10 @@
         (self.shared != self.own && self.ledger.check(&entry).is_ok()).then_some(entry)
     }
 
-    /// A broker that is gone, unless something is still reserved for it.
+    /// Removes a broker that has been silent for too long, unless units are still reserved for it.
     fn remove_broker(&self) -> Option<QuotaEntry> {
         let age = |broker: &String| {
-            self.reports.get(broker).map_or(self.leading_seconds, |heard| heard.age_seconds)
+            self.reports.get(broker).map_or(self.leading_seconds, |received| received.age_seconds)
         };
         let gone =
             self.ledger.brokers.keys().find(|broker| age(broker) >= self.config.removed_after_seconds)?;
@@ -186,17 +186,17 @@
     }
 
     fn current_report(&self, broker: &str) -> Option<&'a DemandReport> {
-        let heard = self.reports.get(broker)?;
-        (heard.age_seconds < self.config.silent_after_seconds).then_some(&heard.report)
+        let received = self.reports.get(broker)?;
+        (received.age_seconds < self.config.silent_after_seconds).then_some(&received.report)
     }
 
-    /// Changes of one quota: shares shrink at once, and grow only by what is free now.
+    /// Plans the changes of one quota: shares shrink at once, and grow only by what is free now.
     fn plan_quota(&self, quota: &str) -> Vec<QuotaShare> {
         let share =
             |broker: &String, units| QuotaShare { broker: broker.clone(), quota: quota.to_string(), units };
         let (present, silent): (Vec<_>, Vec<_>) =
             self.ledger.brokers.iter().partition(|(broker, _)| self.current_report(broker).is_some());
-        // A silent broker may be unable to act at all; then losing its share costs it nothing.
+        // A silent broker may be unable to act at all, and then loses nothing by losing its share.
         let silent_holders = silent.iter().filter(|(_, shares)| shares.granted_units(quota) > 0);
         let mut changes: Vec<QuotaShare> = silent_holders.map(|(broker, _)| share(broker, 0)).collect();
         let candidates = self.candidates(quota, &present);
@@ -205,7 +205,7 @@
             return changes;
         }
         for Candidate { broker, shares, target, .. } in &candidates {
-            // While an earlier shrink awaits its release another one would only restart the wait.
+            // While an earlier shrink awaits its release, another one would only restart the wait.
             if shares.granted_units(quota) > target + min_step && !shares.awaits_release() {
                 changes.push(share(broker, *target));
             }
@@ -231,13 +231,13 @@
             .collect()
     }
 
-    /// Units below which a difference is left alone.
+    /// Number of units below which a difference is ignored.
     fn min_step(&self) -> u32 {
         let even = self.shared.spare_units() / self.shared.max_brokers;
         (f64::from(even) * self.config.min_step_ratio) as u32
     }
 
-    /// What it holds does not suffice, and it may hold more. Missing headroom is no shortage.
+    /// Whether the broker needs more than it holds and may hold more. Missing headroom is not a shortage.
     fn is_short(&self, candidate: &Candidate, quota: &str, min_step: u32) -> bool {
         let granted = candidate.shares.granted_units(quota);
         candidate.demand > self.shared.floor_units + granted && candidate.target > granted + min_step
@@ -252,7 +252,7 @@
         for candidate in growing {
             let granted = candidate.shares.granted_units(quota);
             let growth = candidate.growth(quota);
-            // What is still reserved for itself it may take back without using free units.
+            // Units that are still reserved for this broker can be granted to it again without using free units.
             let reserved =
                 u64::from(candidate.shares.reserved_units(quota).saturating_sub(granted)).min(growth);
             let from_free = (free * growth / wanted.max(1)).min(growth - reserved);
--- a/crates/dunepond-quota/src/reuse.rs
+++ b/crates/dunepond-quota/src/reuse.rs
@@ -1,27 +1,27 @@
-//! When units that a broker gave up may be leased to another one, by the leader's clock.
+//! The time from which units that a broker gave up may be leased to another one, by the leader's clock.
 
-/// Longest delays, in seconds on the leader's clock, drift included.
+/// Longest delays, in seconds on the leader's clock, including drift.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReuseDelays {
-    /// A lease may run for so long.
+    /// Longest duration of a lease.
     pub lease_seconds: f64,
-    /// An action may be in flight for so long after it was permitted.
+    /// Longest time that an action may be in flight after it was permitted.
     pub action_seconds: f64,
-    /// A quota is counted over so long: what was used just before still fills the window.
+    /// Longest window over which a quota is counted: recent use still counts in it.
     pub window_seconds: f64,
 }
 
-/// A run of the broker to which this leader granted a lease. Times are seconds on the leader's clock.
+/// A run of the broker to which this leader granted a lease. Times are in seconds on the leader's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BrokerRun {
-    /// Its last lease is over by then.
+    /// When its last lease is over for certain.
     pub lease_over_at: f64,
-    /// It was first heard to act on the smaller share; `None`: not yet.
+    /// When it first reported that it acts on the smaller share; `None` if it has not yet.
     pub acknowledged_at: Option<f64>,
 }
 
-/// From when on a share whose shrink this leader saw committed at `seen` is used at its new size only. `leading_since` is
-/// when the leader's term began, `None` if it does not know.
+/// The time from which a share, whose shrink this leader saw committed at `seen`, is only used at its new size.
+/// `leading_since` is when the leader's term began, `None` if it does not know.
 pub fn reusable_from(
     seen: f64,
     leading_since: Option<f64>,
@@ -30,7 +30,7 @@
 ) -> f64 {
     let ReuseDelays { lease_seconds, action_seconds, window_seconds } = delays;
     let latest = seen + lease_seconds + action_seconds + window_seconds;
-    // A lease of an earlier leader, unknown to this one, may still run.
+    // A lease of an earlier leader, which this one does not know, may still run.
     if leading_since.is_none_or(|since| seen - since < lease_seconds) {
         return latest;
     }
--- a/crates/dunepond-quota/src/shared_quotas.rs
+++ b/crates/dunepond-quota/src/shared_quotas.rs
@@ -1,10 +1,10 @@
-//! Which quotas the fleet shares, and between how many brokers.
+//! The quotas that the fleet shares, and the number of brokers that share them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::QuotaError;
 
-/// Units of each quota. Whole numbers, so that sums are exact.
+/// Units of each quota. They are whole numbers, so that sums are exact.
 pub const TOTAL_UNITS: u32 = 1_000_000;
 /// Upper limit of [`SharedQuotas::names`].
 pub const MAX_QUOTA_COUNT: usize = 256;
@@ -13,12 +13,12 @@
 /// Upper limit of [`SharedQuotas::window_millis`].
 pub const MAX_WINDOW_MILLIS: u64 = 3_600_000;
 
-/// The quotas that a fleet shares; every broker's file has to state the same.
+/// The quotas that a fleet shares. Every broker's file has to state the same ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SharedQuotas {
-    /// Names, each once.
+    /// Names of the quotas, each of them once.
     pub names: Vec<String>,
-    /// Brokers that may exist at the same time.
+    /// Number of brokers that may exist at the same time.
     #[serde(rename = "brokers")]
     pub max_brokers: u32,
     /// Units of each quota that every broker owns without a lease.
@@ -49,6 +49,8 @@
         Ok(shared)
     }
 
+    /// Checks that all values are in range.
+    ///
     /// # Errors
     /// The first limit that is not met.
     pub fn check(&self) -> Result<(), QuotaError> {
@@ -61,7 +63,7 @@
         if let Some(name) = self.first_duplicate() {
             return Err(QuotaError::DuplicateQuota(name.clone()));
         }
-        // In 64 bits: the product of two 32-bit values may not fit 32.
+        // The product is computed in 64 bits, since that of two 32-bit values may not fit in 32.
         if u64::from(self.floor_units) * u64::from(self.max_brokers) > u64::from(TOTAL_UNITS) {
             return Err(QuotaError::FloorsExceedTotal {
                 floor_units: self.floor_units,
--- a/crates/dunepond-quota/tests/model.rs
+++ b/crates/dunepond-quota/tests/model.rs
@@ -1,8 +1,8 @@
-//! All interleavings of leases, parts that go down and up, and the waits between, over a log taken for granted. The ledger,
-//! what a broker may use at an act, and the end of each wait are the crate's own. Time is whole: brokers' clocks show it, the
-//! leader's runs twice as fast, the worst for it. What is asked or answered is late, doubled or lost; brokers stand still
-//! for as long as they like, since none has to do anything; they crash; leaders change. What was really used over the last
-//! window is counted in every state.
+//! A model of all interleavings of leases, shares that shrink and grow, and the waits between, over a log that is taken for
+//! granted. The ledger, the units that a broker may use at an action, and the end of each wait are the crate's own code. Time
+//! is discrete: brokers' clocks show it, and the leader's clock runs twice as fast, which is the worst case. Requests and
+//! replies are late, duplicated or lost; brokers pause for any time, since no action is forced; they crash; leaders change.
+//! What was really used over the last window is counted in every state.
 
 use std::collections::BTreeMap;
 
@@ -10,51 +10,51 @@
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-/// On a broker's clock.
+/// Duration of a lease on a broker's clock.
 const LEASE: u8 = 2;
 const WINDOW: u8 = 2;
 const BROKERS: usize = 2;
-/// In units of a tenth of the whole.
+/// The floor of each broker, in tenths of the total.
 const FLOOR: u8 = 1;
 const SPARE: u8 = 8;
 const TENTH: u32 = TOTAL_UNITS / 10;
 
-/// How the rules are weakened, to see that the model notices.
+/// Which rules are weakened, to check that the model finds it, and the bounds of the search.
 #[derive(Clone, Copy, Debug)]
 struct Rules {
-    /// A part that went down counts at its new size at once.
-    grow_before_ack: bool,
-    /// A lease counts from the answer's arrival.
+    /// A share that shrank counts at its new size at once.
+    grow_before_release: bool,
+    /// A lease counts from the arrival of the reply.
     from_receipt: bool,
-    /// A new run uses its part at once.
+    /// A new run uses its share at once.
     no_hold: bool,
-    /// A broker acts on what it looked at before it stood still.
-    no_look: bool,
-    /// A new leader trusts its list of leases at once.
-    early: bool,
-    /// What was used just before a part went down does not count.
+    /// A broker acts on the lease that it checked before a pause.
+    no_clock_check: bool,
+    /// A new leader assumes at once that it knows all leases.
+    early_release: bool,
+    /// What was used just before a share shrank does not count.
     no_window: bool,
-    /// The leader's clock is taken for true.
+    /// The drift of the leader's clock is ignored.
     no_drift: bool,
-    /// What a broker without a lease has is not reserved: it goes on with what it had.
-    keeps_all: bool,
-    /// True time up to which all is visited.
+    /// A broker without a lease continues with the share that it had, which is not reserved.
+    keeps_share: bool,
+    /// True time up to which states are visited.
     until: u8,
-    /// How often parts are taken back, brokers crash and leaders change, at most.
+    /// Largest number of shrinks, crashes and changes of leader.
     moves: u8,
     crashes: u8,
     elections: u8,
 }
 
-const WHOLE_RULES: Rules = Rules {
-    grow_before_ack: false,
+const TRUE_RULES: Rules = Rules {
+    grow_before_release: false,
     from_receipt: false,
     no_hold: false,
-    no_look: false,
-    early: false,
+    no_clock_check: false,
+    early_release: false,
     no_window: false,
     no_drift: false,
-    keeps_all: false,
+    keeps_share: false,
     until: 7,
     moves: 1,
     crashes: 1,
@@ -65,65 +65,68 @@
 struct Broker {
     run: u8,
     started: u8,
-    /// Until when it has a lease, and what it heard.
+    /// End of its lease, and the last allocation that it received.
     until: u8,
-    told: Option<Tells>,
-    /// Used at each moment of the last window, the oldest first: by this run, and by all.
+    allocation: Option<AllocationReply>,
+    /// Units used at each moment of the last window, oldest first: by this run, and by all runs.
     used: [u8; WINDOW as usize],
-    really: [u8; WINDOW as usize],
-    /// Under way, the one before is lost then: run, when sent, and the acknowledgement or what is told.
-    ask: Option<(u8, u8, u8)>,
-    answer: Option<(u8, u8, Tells)>,
-    /// The ledger's: what it is told, what counts, and by which generation that went down.
+    used_by_all: [u8; WINDOW as usize],
+    /// Messages in flight, of which a later one replaces an earlier one: the run, the time of the request, and the
+    /// acknowledged generation or the allocation.
+    request: Option<(u8, u8, u8)>,
+    reply: Option<(u8, u8, AllocationReply)>,
+    /// In the ledger: the granted and the reserved size, and the generation of the last shrink.
     now: u8,
-    counted: u8,
+    reserved: u8,
     shrunk: u8,
-    /// The leader's, on its own clock: when it saw that; by run, the end of the last lease, what was acknowledged, and when.
+    /// At the leader, on its own clock: when it saw the shrink; by run, the end of the last lease, the acknowledged
+    /// generation, and the time of the acknowledgement.
     seen: u8,
     granted: [Option<(u8, u8, u8)>; 2],
 }
 
-/// What an answer says of a broker's one bound.
+/// The allocation that a reply carries for the one quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Tells {
+struct AllocationReply {
     generation: u8,
     shrunk: u8,
     units: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct FleetState {
     now: u8,
     generation: u8,
     brokers: [Broker; BROKERS],
-    /// Since when the leader leads, on its own clock.
-    led: Option<u8>,
+    /// When the leader's term began, on its own clock.
+    term_began: Option<u8>,
     crashes: u8,
     elections: u8,
     moves: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Act {
+enum Step {
     Time,
-    Ask(usize),
-    /// The question stays under way, too.
-    Answer(usize),
-    Take(usize),
+    Request(usize),
+    /// The request stays in flight, so that it may be answered again.
+    Reply(usize),
+    Receive(usize),
     Use(usize),
     Crash(usize),
     Elect,
-    /// All that a broker has is taken back; all that is free goes to one.
+    /// A broker's whole share is reclaimed.
     Shrink(usize),
+    /// All free units are granted to one broker.
     Grow(usize),
-    Settle(usize),
+    Release(usize),
 }
 
 fn name(broker: usize) -> String {
     format!("n{broker}")
 }
 
-fn bounds() -> SharedQuotas {
+fn shared_quotas() -> SharedQuotas {
     let window = u64::from(WINDOW) * 1000;
     SharedQuotas {
         names: vec![String::from("cold")],
@@ -141,68 +144,68 @@
 }
 
 impl Broker {
-    fn waits(&self) -> bool {
-        self.counted > self.now
+    fn awaits_release(&self) -> bool {
+        self.reserved > self.now
     }
 
-    fn seat(&self) -> BrokerShares {
+    fn shares(&self) -> BrokerShares {
         let units = |tenths: u8| u32::from(tenths) * TENTH;
-        let held = UnitGrant { granted: units(self.now), reserved: units(self.counted) };
+        let grant = UnitGrant { granted: units(self.now), reserved: units(self.reserved) };
         BrokerShares {
-            grants: BTreeMap::from([(String::from("cold"), held)]),
+            grants: BTreeMap::from([(String::from("cold"), grant)]),
             shrunk_generation: u64::from(self.shrunk),
         }
     }
 }
 
-use Act::*;
+use Step::*;
 
-impl World {
-    /// The leader's clock.
-    fn leaders(&self) -> u8 {
+impl FleetState {
+    /// Time on the leader's clock.
+    fn leader_clock(&self) -> u8 {
         2 * self.now
     }
 
-    /// The crate's own ledger takes the entry, or refuses it.
-    fn enter(&mut self, entry: &QuotaEntry) -> Option<()> {
-        let seats = self.brokers.iter().enumerate().map(|(n, broker)| (name(n), broker.seat()));
-        let (bounds, generation) = (Some(bounds()), u64::from(self.generation));
-        let mut ledger = QuotaLedger { shared: bounds, generation, brokers: seats.collect() };
+    /// Applies the entry with the crate's own ledger; `None` if the ledger rejects it.
+    fn apply(&mut self, entry: &QuotaEntry) -> Option<()> {
+        let shares = self.brokers.iter().enumerate().map(|(n, broker)| (name(n), broker.shares()));
+        let (shared_quotas, generation) = (Some(shared_quotas()), u64::from(self.generation));
+        let mut ledger = QuotaLedger { shared: shared_quotas, generation, brokers: shares.collect() };
         ledger.apply(entry).ok()?;
         self.generation = ledger.generation as u8;
         for (n, broker) in self.brokers.iter_mut().enumerate() {
-            let (seat, tenths) = (&ledger.brokers[&name(n)], |units: u32| (units / TENTH) as u8);
-            (broker.now, broker.counted) =
-                (tenths(seat.granted_units("cold")), tenths(seat.reserved_units("cold")));
-            broker.shrunk = seat.shrunk_generation as u8;
+            let (shares, tenths) = (&ledger.brokers[&name(n)], |units: u32| (units / TENTH) as u8);
+            (broker.now, broker.reserved) =
+                (tenths(shares.granted_units("cold")), tenths(shares.reserved_units("cold")));
+            broker.shrunk = shares.shrunk_generation as u8;
         }
         Some(())
     }
 
     fn free(&self) -> u8 {
-        SPARE.saturating_sub(self.brokers.iter().map(|broker| broker.counted).sum())
+        SPARE.saturating_sub(self.brokers.iter().map(|broker| broker.reserved).sum())
     }
 
-    /// What a broker may use now in all, by the crate's own rule.
-    fn part(&self, rules: &Rules, broker: usize) -> u8 {
+    /// Units that a broker may use now, by the crate's own rule.
+    fn available(&self, rules: &Rules, broker: usize) -> u8 {
         let b = &self.brokers[broker];
-        let mut own = LocalQuota::new(&bounds(), f64::from(b.started));
+        let mut own = LocalQuota::new(&shared_quotas(), f64::from(b.started));
         if rules.no_hold || b.run == 0 {
-            // The first run has none before it.
+            // No run precedes the first one.
             own.window_seconds = 0.0;
         }
-        let live = self.now < b.until || (rules.no_look || rules.keeps_all) && b.until > 0;
-        let told = b.told.map(|tells| Allocation {
-            generation: u64::from(tells.generation),
+        let lease_valid = self.now < b.until || (rules.no_clock_check || rules.keeps_share) && b.until > 0;
+        let allocation = b.allocation.map(|reply_allocation| Allocation {
+            generation: u64::from(reply_allocation.generation),
             floor_units: u32::from(FLOOR) * TENTH,
             admitted: true,
-            shrunk_generation: u64::from(tells.shrunk),
-            leased_units: BTreeMap::from([(String::from("cold"), u32::from(tells.units) * TENTH)]),
+            shrunk_generation: u64::from(reply_allocation.shrunk),
+            leased_units: BTreeMap::from([(String::from("cold"), u32::from(reply_allocation.units) * TENTH)]),
         });
-        (own.available_units(told.as_ref(), live, "cold", f64::from(self.now)) / TENTH) as u8
+        (own.available_units(allocation.as_ref(), lease_valid, "cold", f64::from(self.now)) / TENTH) as u8
     }
 
-    fn waits(rules: &Rules) -> ReuseDelays {
+    fn delays(rules: &Rules) -> ReuseDelays {
         let by = |time: u8| f64::from(time) * if rules.no_drift { 1.0 } else { 2.0 };
         ReuseDelays {
             lease_seconds: by(LEASE),
@@ -211,172 +214,180 @@
         }
     }
 
-    fn settled_from(&self, rules: &Rules, broker: usize) -> f64 {
+    fn reusable_from_now(&self, rules: &Rules, broker: usize) -> f64 {
         let b = &self.brokers[broker];
         let runs = b.granted.iter().flatten().map(|(over, shrunk, at)| BrokerRun {
             lease_over_at: f64::from(*over),
             acknowledged_at: (*shrunk >= b.shrunk).then_some(f64::from(*at)),
         });
-        let led = if rules.early { Some(-99.0) } else { self.led.map(f64::from) };
-        reusable_from(f64::from(b.seen), led, runs, Self::waits(rules))
+        let term_began = if rules.early_release { Some(-99.0) } else { self.term_began.map(f64::from) };
+        reusable_from(f64::from(b.seen), term_began, runs, Self::delays(rules))
     }
 
     fn used(&self) -> u8 {
-        self.brokers.iter().flat_map(|broker| broker.really).sum()
+        self.brokers.iter().flat_map(|broker| broker.used_by_all).sum()
     }
 }
 
 impl Model for Rules {
-    type State = World;
-    type Action = Act;
+    type State = FleetState;
+    type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        let mut world = World {
+    fn init_states(&self) -> Vec<FleetState> {
+        let mut state = FleetState {
             now: 0,
             generation: 3,
             brokers: [Broker::default(); BROKERS],
-            led: None,
+            term_began: None,
             crashes: 0,
             elections: 0,
             moves: 0,
         };
-        world.enter(&entry(0, SPARE)).unwrap();
-        vec![world]
+        state.apply(&entry(0, SPARE)).unwrap();
+        vec![state]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        if world.now < self.until {
-            acts.push(Act::Time);
+    fn actions(&self, state: &FleetState, steps: &mut Vec<Step>) {
+        if state.now < self.until {
+            steps.push(Step::Time);
         }
         for broker in 0..BROKERS {
-            let b = &world.brokers[broker];
-            if b.ask.is_none_or(|(run, sent, _)| (run, sent) != (b.run, world.now)) {
-                acts.push(Act::Ask(broker));
+            let b = &state.brokers[broker];
+            if b.request.is_none_or(|(run, sent, _)| (run, sent) != (b.run, state.now)) {
+                steps.push(Step::Request(broker));
             }
-            if b.ask.is_some() {
-                acts.push(Act::Answer(broker));
+            if b.request.is_some() {
+                steps.push(Step::Reply(broker));
             }
-            if b.answer.is_some_and(|(run, ..)| run == b.run) {
-                acts.push(Act::Take(broker));
+            if b.reply.is_some_and(|(run, ..)| run == b.run) {
+                steps.push(Step::Receive(broker));
             }
-            if b.used.iter().sum::<u8>() < world.part(self, broker) {
-                acts.push(Act::Use(broker));
+            if b.used.iter().sum::<u8>() < state.available(self, broker) {
+                steps.push(Step::Use(broker));
             }
-            if world.crashes < self.crashes {
-                acts.push(Act::Crash(broker));
+            if state.crashes < self.crashes {
+                steps.push(Step::Crash(broker));
             }
-            if b.now > 0 && !b.waits() && world.moves < self.moves {
-                acts.push(Act::Shrink(broker));
+            if b.now > 0 && !b.awaits_release() && state.moves < self.moves {
+                steps.push(Step::Shrink(broker));
             }
-            if world.free() > 0 && b.now == 0 {
-                acts.push(Act::Grow(broker));
+            if state.free() > 0 && b.now == 0 {
+                steps.push(Step::Grow(broker));
             }
-            if b.waits() && world.settled_from(self, broker) <= f64::from(world.leaders()) {
-                acts.push(Act::Settle(broker));
+            if b.awaits_release() && state.reusable_from_now(self, broker) <= f64::from(state.leader_clock())
+            {
+                steps.push(Step::Release(broker));
             }
         }
-        if world.elections < self.elections {
-            acts.push(Act::Elect);
+        if state.elections < self.elections {
+            steps.push(Step::Elect);
         }
     }
 
-    fn next_state(&self, last: &World, act: Act) -> Option<World> {
-        let mut world = *last;
-        match act {
-            Act::Time => {
-                world.now += 1;
-                for broker in &mut world.brokers {
-                    for used in [&mut broker.used, &mut broker.really] {
+    fn next_state(&self, last: &FleetState, step: Step) -> Option<FleetState> {
+        let mut state = *last;
+        match step {
+            Step::Time => {
+                state.now += 1;
+                for broker in &mut state.brokers {
+                    for used in [&mut broker.used, &mut broker.used_by_all] {
                         used.rotate_left(1);
                         used[WINDOW as usize - 1] = 0;
                     }
                 }
-                // What is a lease old is worth nothing, and lost.
-                let (now, kept) = (world.now, self.from_receipt);
-                for broker in &mut world.brokers {
-                    broker.ask = broker.ask.filter(|(_, sent, _)| kept || now < sent + LEASE);
-                    broker.answer = broker.answer.filter(|(_, sent, _)| kept || now < sent + LEASE);
+                // A message as old as a lease has no effect, so it is dropped.
+                let (now, keep_old) = (state.now, self.from_receipt);
+                for broker in &mut state.brokers {
+                    broker.request = broker.request.filter(|(_, sent, _)| keep_old || now < sent + LEASE);
+                    broker.reply = broker.reply.filter(|(_, sent, _)| keep_old || now < sent + LEASE);
                 }
             }
-            Act::Ask(broker) => {
-                let b = &mut world.brokers[broker];
-                b.ask = Some((b.run, world.now, b.told.map_or(0, |told| told.shrunk)));
+            Step::Request(broker) => {
+                let b = &mut state.brokers[broker];
+                b.request = Some((b.run, state.now, b.allocation.map_or(0, |allocation| allocation.shrunk)));
             }
-            Act::Answer(broker) => {
-                let (now, generation) = (world.leaders(), world.generation);
-                let b = &mut world.brokers[broker];
-                let (run, sent, shrunk) = b.ask?;
-                b.answer = Some((run, sent, Tells { generation, shrunk: b.shrunk, units: b.now }));
+            Step::Reply(broker) => {
+                let (now, generation) = (state.leader_clock(), state.generation);
+                let b = &mut state.brokers[broker];
+                let (run, sent, shrunk) = b.request?;
+                b.reply = Some((run, sent, AllocationReply { generation, shrunk: b.shrunk, units: b.now }));
                 let lease = if self.no_drift { LEASE } else { 2 * LEASE };
-                let (over, acked, at) = b.granted[run as usize].unwrap_or((0, shrunk, now));
-                let first = if shrunk > acked { now } else { at };
-                b.granted[run as usize] = Some((over.max(now + lease), acked.max(shrunk), first));
+                let (over, acknowledged, at) = b.granted[run as usize].unwrap_or((0, shrunk, now));
+                let first = if shrunk > acknowledged { now } else { at };
+                b.granted[run as usize] = Some((over.max(now + lease), acknowledged.max(shrunk), first));
             }
-            Act::Take(broker) => {
-                let now = world.now;
-                let b = &mut world.brokers[broker];
-                let (_, sent, tells) = b.answer.take()?;
-                if b.told.is_some_and(|known| tells.generation < known.generation) {
+            Step::Receive(broker) => {
+                let now = state.now;
+                let b = &mut state.brokers[broker];
+                let (_, sent, reply_allocation) = b.reply.take()?;
+                if b.allocation.is_some_and(|known| reply_allocation.generation < known.generation) {
                     return None;
                 }
-                b.told = Some(tells);
+                b.allocation = Some(reply_allocation);
                 b.until = b.until.max(LEASE + if self.from_receipt { now } else { sent });
             }
-            Act::Use(broker) => {
-                let part = world.part(self, broker);
-                let b = &mut world.brokers[broker];
-                let more = part - b.used.iter().sum::<u8>();
+            Step::Use(broker) => {
+                let available = state.available(self, broker);
+                let b = &mut state.brokers[broker];
+                let more = available - b.used.iter().sum::<u8>();
                 let last = WINDOW as usize - 1;
-                (b.used[last], b.really[last]) = (b.used[last] + more, b.really[last] + more);
+                (b.used[last], b.used_by_all[last]) = (b.used[last] + more, b.used_by_all[last] + more);
             }
-            Act::Crash(broker) => {
-                world.crashes += 1;
-                let b = &mut world.brokers[broker];
-                *b = Broker { run: b.run + 1, started: world.now, until: 0, told: None, used: [0; 2], ..*b };
+            Step::Crash(broker) => {
+                state.crashes += 1;
+                let b = &mut state.brokers[broker];
+                *b = Broker {
+                    run: b.run + 1,
+                    started: state.now,
+                    until: 0,
+                    allocation: None,
+                    used: [0; 2],
+                    ..*b
+                };
             }
-            Act::Elect => {
-                world.elections += 1;
-                // It has seen all that was agreed on, at the earliest as the one before did.
-                world.led = Some(world.leaders());
-                world.brokers.iter_mut().for_each(|broker| broker.granted = [None; 2]);
+            Step::Elect => {
+                state.elections += 1;
+                // The new leader has seen all committed entries, not earlier than the previous leader did.
+                state.term_began = Some(state.leader_clock());
+                state.brokers.iter_mut().for_each(|broker| broker.granted = [None; 2]);
             }
-            Act::Shrink(broker) => {
-                world.enter(&entry(broker, 0))?;
-                world.moves += 1;
-                world.brokers[broker].seen = world.leaders();
-                if self.grow_before_ack {
-                    let generation = u64::from(world.generation);
-                    world.enter(&QuotaEntry::Release { broker: name(broker), generation })?;
+            Step::Shrink(broker) => {
+                state.apply(&entry(broker, 0))?;
+                state.moves += 1;
+                state.brokers[broker].seen = state.leader_clock();
+                if self.grow_before_release {
+                    let generation = u64::from(state.generation);
+                    state.apply(&QuotaEntry::Release { broker: name(broker), generation })?;
                 }
             }
-            Act::Grow(broker) => {
-                let units = world.free();
-                world.enter(&entry(broker, units))?;
+            Step::Grow(broker) => {
+                let units = state.free();
+                state.apply(&entry(broker, units))?;
             }
-            Act::Settle(broker) => {
-                let generation = u64::from(world.brokers[broker].shrunk);
-                world.enter(&QuotaEntry::Release { broker: name(broker), generation })?;
+            Step::Release(broker) => {
+                let generation = u64::from(state.brokers[broker].shrunk);
+                state.apply(&QuotaEntry::Release { broker: name(broker), generation })?;
             }
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("within the whole", |_, world: &World| world.used() <= 10),
-            Property::always("on its floor without a lease", |rules: &Self, world: &World| {
-                let cut = |b: &Broker| world.now >= b.until;
-                let parts = (0..BROKERS).filter(|b| cut(&world.brokers[*b]));
-                parts.into_iter().all(|b| world.part(rules, b) <= FLOOR)
+            Property::always("within the total", |_, state: &FleetState| state.used() <= 10),
+            Property::always("floor without a lease", |rules: &Self, state: &FleetState| {
+                let without_lease = |b: &Broker| state.now >= b.until;
+                let brokers = (0..BROKERS).filter(|b| without_lease(&state.brokers[*b]));
+                brokers.into_iter().all(|b| state.available(rules, b) <= FLOOR)
             }),
-            Property::sometimes("the other has all", |_, world: &World| {
-                world.brokers[1].really.iter().sum::<u8>() == FLOOR + SPARE
+            Property::sometimes("other broker holds all spare units", |_, state: &FleetState| {
+                state.brokers[1].used_by_all.iter().sum::<u8>() == FLOOR + SPARE
             }),
         ]
     }
 }
 
-/// States, depth, and what does not hold or is never seen.
+/// Visits states to a depth. Returns the number of states, the depth reached, and the properties that fail.
 fn visit(rules: Rules, depth: usize) -> (usize, usize, Vec<String>) {
     let checker = rules
         .checker()
@@ -385,108 +396,107 @@
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
-    let broken = ["within the whole", "on its floor without a lease"].into_iter().filter_map(|name| {
+    let failures = ["within the total", "floor without a lease"].into_iter().filter_map(|name| {
         let path = checker.discovery(name)?;
-        let acts: Vec<String> = path.into_actions().iter().map(|act| format!("{act:?}")).collect();
-        Some(format!("{name}: {} acts: {}", acts.len(), acts.join(" ")))
+        let steps: Vec<String> = path.into_actions().iter().map(|step| format!("{step:?}")).collect();
+        Some(format!("{name}: {} steps: {}", steps.len(), steps.join(" ")))
     });
-    let mut broken: Vec<String> = broken.collect();
-    if checker.discovery("the other has all").is_none() {
-        broken.push(String::from("never moved"));
+    let mut failures: Vec<String> = failures.collect();
+    if checker.discovery("other broker holds all spare units").is_none() {
+        failures.push(String::from("shares never moved"));
     }
-    (checker.unique_state_count(), checker.max_depth(), broken)
+    (checker.unique_state_count(), checker.max_depth(), failures)
 }
 
 #[test]
-fn a_part_moves_in_every_order_and_the_sum_stays_within() {
-    let rules = Rules { crashes: 0, elections: 0, until: 6, ..WHOLE_RULES };
-    let (states, depth, broken) = visit(rules, 9);
+fn sum_stays_within_total_in_every_order() {
+    let rules = Rules { crashes: 0, elections: 0, until: 6, ..TRUE_RULES };
+    let (states, depth, failures) = visit(rules, 9);
     println!("{states} states, depth {depth}");
-    assert!(broken.iter().all(|why| why == "never moved"), "{broken:#?}");
+    assert!(failures.iter().all(|failure| failure == "shares never moved"), "{failures:#?}");
 }
 
 #[test]
 #[ignore = "minutes"]
-fn with_crashes_and_elections_too() {
-    for (rules, depth) in [(CALM, 13), (Rules { elections: 1, ..CALM }, 11), (WHOLE_RULES, 10)] {
-        let (states, depth, broken) = visit(rules, depth);
-        println!("{rules:?}: {states} states, depth {depth}: {broken:?}");
-        assert!(broken.iter().all(|why| why == "never moved"), "{broken:#?}");
+fn sum_stays_within_total_with_crashes_and_elections() {
+    for (rules, depth) in [(NO_FAILURES, 13), (Rules { elections: 1, ..NO_FAILURES }, 11), (TRUE_RULES, 10)] {
+        let (states, depth, failures) = visit(rules, depth);
+        println!("{rules:?}: {states} states, depth {depth}: {failures:?}");
+        assert!(failures.iter().all(|failure| failure == "shares never moved"), "{failures:#?}");
     }
 }
 
-fn is_missed(rules: Rules, depth: usize) {
-    let (states, depth, broken) = visit(rules, depth);
-    println!("{rules:?}: {states} states, depth {depth}: {broken:?}");
-    assert!(broken.iter().any(|why| why.contains(':')), "{rules:?} is not missed");
+fn assert_found(rules: Rules, depth: usize) {
+    let (states, depth, failures) = visit(rules, depth);
+    println!("{rules:?}: {states} states, depth {depth}: {failures:?}");
+    assert!(
+        failures.iter().any(|failure| failure.contains(':')),
+        "the weakened rule is not found: {rules:?}"
+    );
 }
 
-const CALM: Rules = Rules { crashes: 0, elections: 0, ..WHOLE_RULES };
+const NO_FAILURES: Rules = Rules { crashes: 0, elections: 0, ..TRUE_RULES };
 
 #[rstest]
-#[case::no_hold_after_a_restart(Rules { no_hold: true, crashes: 1, ..CALM })]
-#[case::no_look_at_the_clock(Rules { no_look: true, ..CALM })]
-#[case::keeps_what_it_had_when_cut(Rules { keeps_all: true, ..CALM })]
-fn a_rule_that_is_weakened_is_missed(#[case] rules: Rules) {
-    is_missed(rules, 16);
+#[case::no_hold_after_restart(Rules { no_hold: true, crashes: 1, ..NO_FAILURES })]
+#[case::clock_not_checked(Rules { no_clock_check: true, ..NO_FAILURES })]
+#[case::keeps_share_when_partitioned(Rules { keeps_share: true, ..NO_FAILURES })]
+fn search_finds_weakened_rule(#[case] rules: Rules) {
+    assert_found(rules, 16);
 }
 
-/// Where a search has to go deeper than CI may: the acts by which a weakened rule lets the sum past the whole. By the true
-/// rules one of them cannot be done.
+/// For failures deeper than a search in CI may go: the steps by which a weakened rule lets the sum exceed the total. By the
+/// true rules one of the steps is not possible.
 #[rstest]
-#[case::grows_before_the_other_has_shrunk(
-    Rules { grow_before_ack: true, ..CALM },
-    &[Ask(0), Answer(0), Take(0), Use(0), Shrink(0), Grow(1), Ask(1), Answer(1), Take(1), Use(1)],
+#[case::grows_before_release(
+    Rules { grow_before_release: true, ..NO_FAILURES },
+    &[Request(0), Reply(0), Receive(0), Use(0), Shrink(0), Grow(1), Request(1), Reply(1), Receive(1), Use(1)],
     Grow(1)
 )]
 #[case::lease_from_receipt(
-    Rules { from_receipt: true, ..CALM },
-    &[Ask(0), Answer(0), Shrink(0), Time, Time, Time, Time, Settle(0), Grow(1), Ask(1), Answer(1), Take(1), Use(1), Take(0),
+    Rules { from_receipt: true, ..NO_FAILURES },
+    &[Request(0), Reply(0), Shrink(0), Time, Time, Time, Time, Release(0), Grow(1), Request(1), Reply(1), Receive(1), Use(1), Receive(0),
       Use(0)],
-    Take(0)
+    Receive(0)
 )]
-#[case::the_window_before_is_forgotten(Rules { no_window: true, ..CALM }, &USED_LATE, Settle(0))]
-#[case::drift_is_forgotten(Rules { no_drift: true, ..CALM }, &USED_LATE, Settle(0))]
-#[case::early_word_of_a_new_leader(
-    Rules { early: true, elections: 1, ..CALM },
-    &[Ask(0), Answer(0), Take(0), Elect, Shrink(0), Time, Use(0), Time, Settle(0), Grow(1), Ask(1), Answer(1), Take(1),
+#[case::window_ignored(Rules { no_window: true, ..NO_FAILURES }, &LATE_USE, Release(0))]
+#[case::drift_ignored(Rules { no_drift: true, ..NO_FAILURES }, &LATE_USE, Release(0))]
+#[case::early_release_by_new_leader(
+    Rules { early_release: true, elections: 1, ..NO_FAILURES },
+    &[Request(0), Reply(0), Receive(0), Elect, Shrink(0), Time, Use(0), Time, Release(0), Grow(1), Request(1), Reply(1), Receive(1),
       Use(1)],
-    Settle(0)
+    Release(0)
 )]
-fn a_rule_that_is_weakened_lets_the_sum_past_the_whole(
-    #[case] weak: Rules,
-    #[case] path: &[Act],
-    #[case] refused: Act,
-) {
-    let walk = |rules: &Rules| {
-        let mut world = rules.init_states().remove(0);
-        for act in path {
-            let mut acts = Vec::new();
-            rules.actions(&world, &mut acts);
-            if !acts.contains(act) {
-                return Err(act.clone());
+fn walk_finds_weakened_rule(#[case] weakened: Rules, #[case] path: &[Step], #[case] impossible: Step) {
+    let run_path = |rules: &Rules| {
+        let mut state = rules.init_states().remove(0);
+        for step in path {
+            let mut steps = Vec::new();
+            rules.actions(&state, &mut steps);
+            if !steps.contains(step) {
+                return Err(step.clone());
             }
-            world = rules.next_state(&world, act.clone()).ok_or(act.clone())?;
+            state = rules.next_state(&state, step.clone()).ok_or(step.clone())?;
         }
-        Ok(world.used())
+        Ok(state.used())
     };
-    assert!(walk(&weak).is_ok_and(|used| used > 10), "{:?}", walk(&weak));
-    assert_eq!(walk(&Rules { elections: 1, ..CALM }), Err(refused));
+    assert!(run_path(&weakened).is_ok_and(|used| used > 10), "{:?}", run_path(&weakened));
+    assert_eq!(run_path(&Rules { elections: 1, ..NO_FAILURES }), Err(impossible));
 }
 
-/// A lease is used to its end, after the part went down.
-const USED_LATE: [Act; 13] = [
-    Ask(0),
-    Answer(0),
-    Take(0),
+/// A lease is used to its end after the share shrank.
+const LATE_USE: [Step; 13] = [
+    Request(0),
+    Reply(0),
+    Receive(0),
     Shrink(0),
     Time,
     Use(0),
     Time,
-    Settle(0),
+    Release(0),
     Grow(1),
-    Ask(1),
-    Answer(1),
-    Take(1),
+    Request(1),
+    Reply(1),
+    Receive(1),
     Use(1),
 ];
--- a/crates/dunepond-quota/tests/plan.rs
+++ b/crates/dunepond-quota/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Who gets how much, round after round.
+//! The planner: how shares follow demand, plan after plan.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const PLANNING: PlannerConfig = PlannerConfig {
+const CONFIG: PlannerConfig = PlannerConfig {
     rule: SplitRule::MaxMin,
     headroom_ratio: 1.25,
     min_step_ratio: 0.2,
@@ -14,45 +14,47 @@
     removed_after_seconds: 10.0,
 };
 
-fn bounds(brokers: u32) -> SharedQuotas {
+fn shared_quotas(brokers: u32) -> SharedQuotas {
     SharedQuotas::new(vec![String::from("cold")], brokers, 0.25, 1000).unwrap()
 }
 
-fn heard(needs: &[u32]) -> BTreeMap<String, ReceivedReport> {
-    let of = |need: &u32| DemandReport {
+fn reports(demands: &[u32]) -> BTreeMap<String, ReceivedReport> {
+    let report = |demand: &u32| DemandReport {
         shrunk_generation: 0,
-        shared: bounds(needs.len() as u32),
-        demand_units: BTreeMap::from([(String::from("cold"), *need)]),
+        shared: shared_quotas(demands.len() as u32),
+        demand_units: BTreeMap::from([(String::from("cold"), *demand)]),
     };
-    let named = needs.iter().enumerate();
-    named
-        .map(|(at, need)| (format!("n{at}"), ReceivedReport { report: of(need), age_seconds: 0.0 }))
+    let numbered = demands.iter().enumerate();
+    numbered
+        .map(|(at, demand)| (format!("n{at}"), ReceivedReport { report: report(demand), age_seconds: 0.0 }))
         .collect()
 }
 
-/// Plans until nothing is entered any more; all that goes down is let go at once. Entries of parts.
-fn settle(
+/// Plans until there is no further entry, and releases each shrink at once. Returns the number of entries that set shares.
+fn plan_until_stable(
     ledger: &mut QuotaLedger,
-    needs: &BTreeMap<String, ReceivedReport>,
+    received: &BTreeMap<String, ReceivedReport>,
     brokers: u32,
-    planning: &PlannerConfig,
+    config: &PlannerConfig,
 ) -> usize {
-    let mut moved = 0;
+    let mut set_count = 0;
     for _ in 0..200 {
-        let Some(entry) = next_entry(ledger, &bounds(brokers), needs, 99.0, planning) else { return moved };
-        moved += usize::from(matches!(entry, QuotaEntry::SetShares { .. }));
+        let Some(entry) = next_entry(ledger, &shared_quotas(brokers), received, 99.0, config) else {
+            return set_count;
+        };
+        set_count += usize::from(matches!(entry, QuotaEntry::SetShares { .. }));
         ledger.apply(&entry).unwrap();
-        let waiting = ledger.brokers.iter().filter(|(_, seat)| seat.awaits_release());
+        let waiting = ledger.brokers.iter().filter(|(_, shares)| shares.awaits_release());
         let waiting: Vec<_> =
-            waiting.map(|(broker, seat)| (broker.clone(), seat.shrunk_generation)).collect();
+            waiting.map(|(broker, shares)| (broker.clone(), shares.shrunk_generation)).collect();
         for (broker, generation) in waiting {
             ledger.apply(&QuotaEntry::Release { broker, generation }).unwrap();
         }
     }
-    panic!("it never comes to rest: {ledger:?}");
+    panic!("the plans do not become stable: {ledger:?}");
 }
 
-fn total(ledger: &QuotaLedger, broker: usize) -> u32 {
+fn held_units(ledger: &QuotaLedger, broker: usize) -> u32 {
     62_500 + ledger.brokers[&format!("n{broker}")].granted_units("cold")
 }
 
@@ -60,109 +62,109 @@
 #[case::even(SplitRule::Even, [187_500, 187_500, 187_500, 187_500])]
 #[case::proportional(SplitRule::Proportional, [675_000, 37_500, 37_500, 0])]
 #[case::max_min(SplitRule::MaxMin, [737_500, 0, 0, 0])]
-fn rules_split_what_is_spare(#[case] rule: SplitRule, #[case] parts: [u32; 4]) {
-    let needs = [900_000, 50_000, 50_000, 0];
-    let split = target_units(rule, 750_000, 62_500, &needs);
-    let near = split.iter().zip(&parts).all(|(a, b)| a.abs_diff(*b) <= 12_500);
+fn rules_split_spare_units(#[case] rule: SplitRule, #[case] expected: [u32; 4]) {
+    let demands = [900_000, 50_000, 50_000, 0];
+    let split = target_units(rule, 750_000, 62_500, &demands);
+    let near = split.iter().zip(&expected).all(|(a, b)| a.abs_diff(*b) <= 12_500);
     assert!(near && split.iter().sum::<u32>() <= 750_000, "{split:?}");
 }
 
 #[test]
-fn need_moves_parts_and_none_is_under_the_floor() {
+fn shares_follow_demand_above_floor() {
     let mut ledger = QuotaLedger::default();
-    let calm = heard(&[100_000; 4]);
-    settle(&mut ledger, &calm, 4, &PLANNING);
-    settle(&mut ledger, &heard(&[700_000, 20_000, 20_000, 0]), 4, &PLANNING);
-    assert!(total(&ledger, 0) >= 700_000, "{}", total(&ledger, 0));
-    assert!((1..4).all(|broker| total(&ledger, broker) >= 62_500));
-    settle(&mut ledger, &heard(&[0, 20_000, 700_000, 0]), 4, &PLANNING);
-    assert!(total(&ledger, 2) >= 700_000);
+    let even_demand = reports(&[100_000; 4]);
+    plan_until_stable(&mut ledger, &even_demand, 4, &CONFIG);
+    plan_until_stable(&mut ledger, &reports(&[700_000, 20_000, 20_000, 0]), 4, &CONFIG);
+    assert!(held_units(&ledger, 0) >= 700_000, "{}", held_units(&ledger, 0));
+    assert!((1..4).all(|broker| held_units(&ledger, broker) >= 62_500));
+    plan_until_stable(&mut ledger, &reports(&[0, 20_000, 700_000, 0]), 4, &CONFIG);
+    assert!(held_units(&ledger, 2) >= 700_000);
 }
 
 #[test]
-fn under_equal_pressure_all_have_the_same() {
+fn equal_demand_gets_equal_shares() {
     let mut ledger = QuotaLedger::default();
-    settle(&mut ledger, &heard(&[900_000, 0, 0, 0]), 4, &PLANNING);
-    settle(&mut ledger, &heard(&[1_000_000; 4]), 4, &PLANNING);
-    // The step that is left alone is a fifth of an even part.
-    assert!((0..4).all(|broker| total(&ledger, broker).abs_diff(250_000) <= 40_000), "{ledger:?}");
+    plan_until_stable(&mut ledger, &reports(&[900_000, 0, 0, 0]), 4, &CONFIG);
+    plan_until_stable(&mut ledger, &reports(&[1_000_000; 4]), 4, &CONFIG);
+    // Differences below a fifth of an even share are ignored.
+    assert!((0..4).all(|broker| held_units(&ledger, broker).abs_diff(250_000) <= 40_000), "{ledger:?}");
 }
 
 #[rstest]
 #[case::silent(3.0, false)]
-#[case::gone(11.0, true)]
-fn a_broker_that_says_nothing_gives_back_and_then_its_seat(#[case] ago: f64, #[case] freed: bool) {
+#[case::removed(11.0, true)]
+fn silent_broker_loses_shares_and_is_removed(#[case] age_seconds: f64, #[case] removed: bool) {
     let mut ledger = QuotaLedger::default();
-    settle(&mut ledger, &heard(&[300_000; 4]), 4, &PLANNING);
-    let mut needs = heard(&[300_000; 4]);
-    needs.get_mut("n3").unwrap().age_seconds = ago;
-    settle(&mut ledger, &needs, 4, &PLANNING);
-    assert_eq!(ledger.brokers.contains_key("n3"), !freed);
-    assert!(ledger.brokers.get("n3").is_none_or(|seat| seat.granted_units("cold") == 0));
+    plan_until_stable(&mut ledger, &reports(&[300_000; 4]), 4, &CONFIG);
+    let mut received = reports(&[300_000; 4]);
+    received.get_mut("n3").unwrap().age_seconds = age_seconds;
+    plan_until_stable(&mut ledger, &received, 4, &CONFIG);
+    assert_eq!(ledger.brokers.contains_key("n3"), !removed);
+    assert!(ledger.brokers.get("n3").is_none_or(|shares| shares.granted_units("cold") == 0));
 }
 
 #[test]
-fn a_new_leader_takes_nothing_back_before_it_knows_who_is_there() {
+fn new_leader_waits_before_reclaiming() {
     let mut ledger = QuotaLedger::default();
-    settle(&mut ledger, &heard(&[300_000; 4]), 4, &PLANNING);
-    assert_eq!(next_entry(&ledger, &bounds(4), &BTreeMap::new(), 2.9, &PLANNING), None);
-    assert!(next_entry(&ledger, &bounds(4), &BTreeMap::new(), 3.0, &PLANNING).is_some());
+    plan_until_stable(&mut ledger, &reports(&[300_000; 4]), 4, &CONFIG);
+    assert_eq!(next_entry(&ledger, &shared_quotas(4), &BTreeMap::new(), 2.9, &CONFIG), None);
+    assert!(next_entry(&ledger, &shared_quotas(4), &BTreeMap::new(), 3.0, &CONFIG).is_some());
 }
 
 #[test]
-fn while_one_file_states_other_bounds_only_the_floors_hold() {
+fn differing_files_leave_only_floors() {
     let mut ledger = QuotaLedger::default();
-    let mut needs = heard(&[300_000; 4]);
-    settle(&mut ledger, &needs, 4, &PLANNING);
-    needs.get_mut("n2").unwrap().report.shared = bounds(5);
-    settle(&mut ledger, &needs, 4, &PLANNING);
+    let mut received = reports(&[300_000; 4]);
+    plan_until_stable(&mut ledger, &received, 4, &CONFIG);
+    received.get_mut("n2").unwrap().report.shared = shared_quotas(5);
+    plan_until_stable(&mut ledger, &received, 4, &CONFIG);
     assert_eq!(ledger.reserved_units("cold"), 0);
-    // Once the leader's own file is the new one, and all say the same, it is agreed on.
-    needs.values_mut().for_each(|heard| heard.report.shared = bounds(5));
-    settle(&mut ledger, &needs, 5, &PLANNING);
-    assert_eq!(ledger.shared, Some(bounds(5)));
+    // Once the leader's own file has the new quotas and all reports agree, they are configured.
+    received.values_mut().for_each(|report| report.report.shared = shared_quotas(5));
+    plan_until_stable(&mut ledger, &received, 5, &CONFIG);
+    assert_eq!(ledger.shared, Some(shared_quotas(5)));
     assert!(ledger.reserved_units("cold") > 0);
 }
 
 #[test]
-fn a_fifth_broker_of_four_gets_no_seat() {
+fn excess_broker_is_not_added() {
     let mut ledger = QuotaLedger::default();
-    let mut needs = heard(&[100_000, 100_000, 100_000, 100_000, 900_000]);
-    needs.values_mut().for_each(|heard| heard.report.shared = bounds(4));
-    settle(&mut ledger, &needs, 4, &PLANNING);
+    let mut received = reports(&[100_000, 100_000, 100_000, 100_000, 900_000]);
+    received.values_mut().for_each(|report| report.report.shared = shared_quotas(4));
+    plan_until_stable(&mut ledger, &received, 4, &CONFIG);
     assert!(!ledger.brokers.contains_key("n4") && !ledger.allocation_for("n4").unwrap().admitted);
 }
 
 #[test]
-fn need_follows_use_and_refusals_but_not_one_sample() {
-    let mut need = Demand::default();
-    need.record_sample(0.1, 0.0, 0.25);
-    need.record_sample(0.9, 0.0, 0.25);
-    assert!((0.3..0.5).contains(&(f64::from(need.units()) / 1e6)));
-    // Refusals count up to what is had: asked again and again they are no greater need.
-    let mut pressed = Demand::default();
-    pressed.record_sample(0.25, 40.0, 0.25);
-    assert_eq!(pressed.units(), 500_000);
-    pressed.record_sample(f64::NAN, f64::INFINITY, 0.25);
-    assert!(pressed.units() < 500_000);
+fn demand_smooths_use_and_rejections() {
+    let mut demand = Demand::default();
+    demand.record_sample(0.1, 0.0, 0.25);
+    demand.record_sample(0.9, 0.0, 0.25);
+    assert!((0.3..0.5).contains(&(f64::from(demand.units()) / 1e6)));
+    // Rejections count up to what is held, since the same requests are retried.
+    let mut overloaded = Demand::default();
+    overloaded.record_sample(0.25, 40.0, 0.25);
+    assert_eq!(overloaded.units(), 500_000);
+    overloaded.record_sample(f64::NAN, f64::INFINITY, 0.25);
+    assert!(overloaded.units() < 500_000);
 }
 
 proptest! {
-    /// Whatever brokers say: it comes to rest, within the whole, and small changes after that move nothing.
+    /// Plans become stable within the total whatever brokers report, and small changes after that move almost nothing.
     #[test]
-    fn plans_come_to_rest_and_small_changes_move_nothing(
+    fn plans_become_stable_and_ignore_noise(
         rounds in prop::collection::vec(prop::collection::vec(0..1_200_000u32, 6), 1..5),
         noise in prop::collection::vec(0.97..1.03f64, 6),
     ) {
         let mut ledger = QuotaLedger::default();
-        for needs in &rounds {
-            let moves = settle(&mut ledger, &heard(needs), 6, &PLANNING);
+        for demands in &rounds {
+            let moves = plan_until_stable(&mut ledger, &reports(demands), 6, &CONFIG);
             prop_assert!(moves <= 8, "{} moves", moves);
-            prop_assert!(ledger.reserved_units("cold") <= u64::from(bounds(6).spare_units()));
+            prop_assert!(ledger.reserved_units("cold") <= u64::from(shared_quotas(6).spare_units()));
         }
         let last = rounds.last().unwrap();
-        let noisy: Vec<u32> = last.iter().zip(&noise).map(|(need, by)| (f64::from(*need) * by) as u32).collect();
-        let moves = settle(&mut ledger, &heard(&noisy), 6, &PLANNING);
+        let noisy: Vec<u32> = last.iter().zip(&noise).map(|(demand, by)| (f64::from(*demand) * by) as u32).collect();
+        let moves = plan_until_stable(&mut ledger, &reports(&noisy), 6, &CONFIG);
         prop_assert!(moves <= 2, "{} moves after noise", moves);
     }
 }
