--- a/crates/dunepond-config/src/operator/body_buffer.rs
+++ b/crates/dunepond-config/src/operator/body_buffer.rs
@@ -91,7 +91,7 @@
     fn body_files(&mut self, node: &KdlNode, limits: &mut BufferLimits) -> Option<SpillConfig> {
         let known = ["folder", "one", "all", "threads", "waiting", "rest", "longest-rest"];
         let [folder, one, all, threads, waiting, rest, longest_rest] = self.properties(node, known);
-        let folder = self.folder(node, folder);
+        let folder = self.absolute_folder(node, folder);
         let one = one.and_then(|entry| self.size(entry, 0)).unwrap_or(64 * MIB);
         let all = all.and_then(|entry| self.size(entry, MIB)).unwrap_or(1024 * MIB);
         let first = self.number_or(rest, 0.05..=600.0, 0.5);
--- a/crates/dunepond-config/src/operator/fleet/parse.rs
+++ b/crates/dunepond-config/src/operator/fleet/parse.rs
@@ -32,9 +32,10 @@
 impl Reader<'_> {
     pub(in crate::operator) fn fleet(&mut self, node: &KdlNode) -> Option<FleetConfig> {
         let at = node.name().span().offset();
-        let [listen, folder, lease, drift, bound, longest_timeout] = self.keys(node, KEYS);
+        let [listen, folder, lease, drift, bound, longest_timeout] =
+            self.properties_beside_children(node, KEYS);
         let listen_address = self.address("fleet: listen", listen, at);
-        let folder = self.folder(node, folder);
+        let folder = self.absolute_folder(node, folder);
         let mut fleet = FleetConfig {
             listen_address: listen_address.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))),
             folder: folder.clone().unwrap_or_default(),
@@ -63,13 +64,13 @@
     fn fleet_children(&mut self, node: &KdlNode, fleet: &mut FleetConfig) {
         let mut links = Vec::new();
         let children = node.children().map_or(&[][..], KdlDocument::nodes);
-        for child in self.several("fleet", children, &NODES, &REPEATABLE_NODES) {
+        for child in self.children_with_repeats("fleet", children, &NODES, &REPEATABLE_NODES) {
             match child.name().value() {
                 "voter" => fleet.voters.extend(self.broker_address(child)),
                 "peer" => fleet.peers.extend(self.broker_address(child)),
-                "key" => fleet.key_file = self.path(child),
-                "version" => fleet.version_file = self.path(child),
-                "record" => fleet.audit_log_file = self.path(child),
+                "key" => fleet.key_file = self.absolute_path(child),
+                "version" => fleet.version_file = self.absolute_path(child),
+                "record" => fleet.audit_log_file = self.absolute_path(child),
                 "partner" => fleet.partners.extend(self.partner(child)),
                 "link" => links.extend(self.link(child).map(|link| (child, link))),
                 "fills" => fleet.fills = self.fills(child),
@@ -145,7 +146,7 @@
     }
 
     fn broker_address(&mut self, node: &KdlNode) -> Option<BrokerAddress> {
-        let (name, [at]) = self.named(node, ["at"]);
+        let (name, [at]) = self.name_and_properties(node, ["at"]);
         let what = format!("{}: at", node.name().value());
         let address = self.address(&what, at, node.name().span().offset());
         Some(BrokerAddress { name: name?, address: address? })
@@ -153,7 +154,7 @@
 
     fn partner(&mut self, node: &KdlNode) -> Option<PartnerConfig> {
         let known = ["zones", "customers", "brokers", "metered"];
-        let (name, [zones, customers, brokers, metered]) = self.named(node, known);
+        let (name, [zones, customers, brokers, metered]) = self.name_and_properties(node, known);
         let metered = self.is_on(metered);
         let zones = self.names(zones);
         let tenants = self.names(customers);
@@ -181,7 +182,8 @@
     }
 
     fn rebalancing(&mut self, node: &KdlNode) -> Option<RebalanceConfig> {
-        let (plan, [at_once, settle, link_bytes]) = self.named(node, ["at-once", "settle", "link-bytes"]);
+        let (plan, [at_once, settle, link_bytes]) =
+            self.name_and_properties(node, ["at-once", "settle", "link-bytes"]);
         let plan_file = plan.map(PathBuf::from);
         if plan_file.as_ref().is_some_and(|plan| !plan.has_root()) {
             let entry = node.entries().first().map_or(node.name().span(), |entry| entry.span());
--- a/crates/dunepond-config/src/operator/quotas.rs
+++ b/crates/dunepond-config/src/operator/quotas.rs
@@ -21,7 +21,7 @@
 
 impl Reader<'_> {
     pub(super) fn quotas(&mut self, node: &KdlNode) -> Option<QuotaConfig> {
-        let [floor, every] = self.keys(node, ["floor", "every"]);
+        let [floor, every] = self.properties_beside_children(node, ["floor", "every"]);
         let mut quotas = QuotaConfig {
             reserved_ratio: self.number_or(floor, 0.05..=1.0, 0.25),
             interval_seconds: self.number_or(every, 0.1..=60.0, 1.0),
@@ -30,7 +30,9 @@
             tenants: Vec::new(),
         };
         let children = node.children().map_or(&[][..], KdlDocument::nodes);
-        for child in self.several("limits", children, &["cold", "further", "customer"], &["customer"]) {
+        for child in
+            self.children_with_repeats("limits", children, &["cold", "further", "customer"], &["customer"])
+        {
             match child.name().value() {
                 "cold" => quotas.slow_start_parts_per_second = self.slow_start_rate(child),
                 "further" => {
@@ -57,7 +59,7 @@
     }
 
     fn quota_tenant(&mut self, node: &KdlNode, tenants: &mut Vec<String>) {
-        let (name, []) = self.named(node, []);
+        let (name, []) = self.name_and_properties(node, []);
         if let Some(name) = name.as_ref().filter(|name| tenants.contains(name)) {
             let message = format!("limits: the customer '{name}' is given twice");
             self.fault(node.name().span().offset(), message);
--- a/crates/dunepond-config/src/operator/reader.rs
+++ b/crates/dunepond-config/src/operator/reader.rs
@@ -38,11 +38,11 @@
         nodes: &'n [KdlNode],
         known: &[&str],
     ) -> Vec<&'n KdlNode> {
-        self.several(within, nodes, known, &[])
+        self.children_with_repeats(within, nodes, known, &[])
     }
 
     /// The nodes with a known name, each of which may stand there once unless its name is one of `repeatable`.
-    pub(super) fn several<'n>(
+    pub(super) fn children_with_repeats<'n>(
         &mut self,
         within: &str,
         nodes: &'n [KdlNode],
@@ -74,7 +74,7 @@
         node: &'n KdlNode,
         known: [&str; N],
     ) -> [Option<&'n KdlEntry>; N] {
-        let found = self.keys(node, known);
+        let found = self.properties_beside_children(node, known);
         if let Some(children) = node.children() {
             let message = format!("{}: has no children", node.name().value());
             self.fault(children.span().offset(), message);
@@ -83,7 +83,7 @@
     }
 
     /// A node's properties in the order of `known`; it may have no others and no arguments, but children.
-    pub(super) fn keys<'n, const N: usize>(
+    pub(super) fn properties_beside_children<'n, const N: usize>(
         &mut self,
         node: &'n KdlNode,
         known: [&str; N],
@@ -92,7 +92,7 @@
     }
 
     /// A node's name, which is its one argument, and its properties in the order of `known`; it may have no children.
-    pub(super) fn named<'n, const N: usize>(
+    pub(super) fn name_and_properties<'n, const N: usize>(
         &mut self,
         node: &'n KdlNode,
         known: [&str; N],
@@ -181,7 +181,7 @@
     }
 
     /// An absolute path, as a node's one argument.
-    pub(super) fn path(&mut self, node: &KdlNode) -> Option<PathBuf> {
+    pub(super) fn absolute_path(&mut self, node: &KdlNode) -> Option<PathBuf> {
         let entry = self.argument(node)?;
         let path = entry.value().as_string().filter(|path| path.starts_with('/'));
         if path.is_none() {
@@ -280,7 +280,7 @@
     }
 
     /// An absolute path of a folder; it must be given.
-    pub(super) fn folder(&mut self, node: &KdlNode, folder: Option<&KdlEntry>) -> Option<PathBuf> {
+    pub(super) fn absolute_folder(&mut self, node: &KdlNode, folder: Option<&KdlEntry>) -> Option<PathBuf> {
         let path = folder.and_then(|entry| entry.value().as_string()).filter(|path| path.starts_with('/'));
         if path.is_none() {
             let at = folder.map_or(node.name().span().offset(), |entry| entry.span().offset());
--- a/crates/dunepond-config/src/operator/recovery.rs
+++ b/crates/dunepond-config/src/operator/recovery.rs
@@ -18,7 +18,7 @@
 impl Reader<'_> {
     pub(super) fn recovery(&mut self, node: &KdlNode) -> Option<RecoveryConfig> {
         let [folder, every] = self.properties(node, ["folder", "every"]);
-        let folder = self.folder(node, folder);
+        let folder = self.absolute_folder(node, folder);
         let snapshot_interval_seconds = self.number_or(every, 0.1..=3600.0, 1.0);
         Some(RecoveryConfig { folder: folder?, snapshot_interval_seconds })
     }
--- a/crates/dunepond-simulation/src/scenario/fill_service.rs
+++ b/crates/dunepond-simulation/src/scenario/fill_simulation.rs
@@ -58,7 +58,7 @@
 }
 
 /// Traffic between partners, and the fills of open versions.
-pub(super) struct FillService {
+pub(super) struct FillSimulation {
     rng: Pcg64Mcg,
     /// What was really carried.
     carried: CarriedCounts,
@@ -77,7 +77,7 @@
     pub filled_at: BTreeMap<String, f64>,
 }
 
-impl FillService {
+impl FillSimulation {
     pub fn new(seed: u64) -> Self {
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed ^ SEED_MASK),
--- a/crates/dunepond-simulation/src/scenario/mod.rs
+++ b/crates/dunepond-simulation/src/scenario/mod.rs
@@ -3,7 +3,7 @@
 
 mod config;
 mod faults;
-mod fill_service;
+mod fill_simulation;
 mod report;
 mod topology;
 mod versions;
@@ -17,7 +17,7 @@
 use crate::event_queue::EventQueue;
 use crate::fleet::{BrokerLoad, Fleet};
 use faults::ScheduledEvent;
-use fill_service::FillService;
+use fill_simulation::FillSimulation;
 use versions::PendingVersion;
 
 pub use config::ScenarioConfig;
@@ -47,7 +47,7 @@
     /// Figures, filled while it runs.
     pub report: ScenarioReport,
     topology: Topology,
-    fill_service: FillService,
+    fill_simulation: FillSimulation,
     scheduled: EventQueue<ScheduledEvent>,
     rng: Pcg64Mcg,
     /// Versions that were proposed and that not all brokers act on yet.
@@ -75,7 +75,7 @@
             fleet,
             report,
             topology,
-            fill_service: FillService::new(config.seed),
+            fill_simulation: FillSimulation::new(config.seed),
             scheduled: EventQueue::default(),
             rng: Pcg64Mcg::seed_from_u64(!config.seed),
             pending: Vec::new(),
@@ -178,11 +178,11 @@
         self.report.withdrawn = invariants.withdrawn.len();
         self.report.settlements = invariants.settled_at.len();
         for (id, settled_at) in &invariants.settled_at {
-            if let Some(filled_at) = self.fill_service.filled_at.get(id) {
+            if let Some(filled_at) = self.fill_simulation.filled_at.get(id) {
                 self.report.settlement_seconds.push((settled_at - filled_at).max(0.0));
             }
         }
-        self.report.fills = self.fill_service.filled_at.len();
+        self.report.fills = self.fill_simulation.filled_at.len();
         self.report.trace = self.fleet.trace;
         self.report
     }
@@ -222,7 +222,7 @@
             self.handle_event(event);
         }
         self.fleet.step();
-        self.fill_service.step(&mut self.fleet, &self.topology);
+        self.fill_simulation.step(&mut self.fleet, &self.topology);
         self.track_rollouts();
     }
 
