--- a/crates/dunepond-broker/src/downstream/accept.rs
+++ b/crates/dunepond-broker/src/downstream/accept.rs
@@ -57,12 +57,12 @@
     /// Accepts some of the connections in the backlog; true if there may be more.
     pub fn accept(&mut self, now: f64, api: bool, timers: &mut Timers) -> bool {
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
-            let Some(at) = self.listeners.iter().position(|door| door.is_search_api == api) else {
+            let Some(at) = self.listeners.iter().position(|entry| entry.is_search_api == api) else {
                 return false;
             };
             let full = self.connections.len() >= self.max_connections;
-            let least = if full { self.eviction_candidate(now) } else { None };
-            if full && least.is_none() {
+            let candidate = if full { self.eviction_candidate(now) } else { None };
+            if full && candidate.is_none() {
                 // A connection that is still to be read may turn out to be owed no response.
                 let soon = !self.pending_clients.is_empty();
                 self.pause_accepting(now, soon.then_some(now), timers);
@@ -71,7 +71,7 @@
             match self.listeners[at].listener.accept() {
                 Ok((stream, peer)) => {
                     // Not before accept(): the backlog may be empty.
-                    least.map(|id| self.close(id, ConnectionEnd::IdleClosed, timers));
+                    candidate.map(|id| self.close(id, ConnectionEnd::IdleClosed, timers));
                     let paused_since = self.listeners[at].paused_since;
                     match self.register(now, stream, api, paused_since, timers) {
                         Ok(id) => self.pending_clients.push(id),
@@ -96,9 +96,9 @@
 
     /// Closes one connection to free a descriptor; false if all connections are owed a response.
     pub fn evict_one(&mut self, now: f64, timers: &mut Timers) -> bool {
-        let least = self.eviction_candidate(now);
-        least.map(|id| self.close(id, ConnectionEnd::IdleClosed, timers));
-        least.is_some()
+        let candidate = self.eviction_candidate(now);
+        candidate.map(|id| self.close(id, ConnectionEnd::IdleClosed, timers));
+        candidate.is_some()
     }
 
     fn register(
@@ -112,8 +112,8 @@
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
-        let came = self.received_at(now);
-        let connected = paused_since.map_or(came, |since| since.min(came));
+        let received_at = self.received_at(now);
+        let connected = paused_since.map_or(received_at, |since| since.min(received_at));
         let entry = self.connections.vacant_entry();
         let id = entry.key();
         let token = watch(&self.handle, &stream, move |readable| LoopEvent::ClientReady(id, readable));
@@ -142,11 +142,11 @@
     /// Stops accepting until a connection has gone, or until a time.
     fn pause_accepting(&mut self, now: f64, until: Option<f64>, timers: &mut Timers) {
         if !self.accepting_paused {
-            self.listeners.iter_mut().for_each(|door| {
-                door.paused_since.get_or_insert(now);
+            self.listeners.iter_mut().for_each(|entry| {
+                entry.paused_since.get_or_insert(now);
             });
             self.accepting_paused =
-                self.listeners.iter().all(|door| self.handle.disable(&door.token).is_ok());
+                self.listeners.iter().all(|entry| self.handle.disable(&entry.token).is_ok());
         }
         if let Some(until) = until {
             timers.schedule(until, TimerEvent::ResumeAccept);
@@ -164,7 +164,7 @@
     pub fn resume_accepting(&mut self) {
         if self.accepting_paused {
             self.accepting_paused =
-                !self.listeners.iter().all(|door| self.handle.enable(&door.token).is_ok());
+                !self.listeners.iter().all(|entry| self.handle.enable(&entry.token).is_ok());
         }
     }
 
--- a/crates/dunepond-broker/src/downstream/arrivals.rs
+++ b/crates/dunepond-broker/src/downstream/arrivals.rs
@@ -22,16 +22,16 @@
         Self { reads: VecDeque::new(), total_bytes: 0, first_read_since: Some(connected) }
     }
 
-    /// Records a read of `count` bytes that arrived at `came` at the earliest.
-    pub fn record(&mut self, count: usize, came: f64) {
+    /// Records a read of `count` bytes that arrived at `received_at` at the earliest.
+    pub fn record(&mut self, count: usize, received_at: f64) {
         if count == 0 {
             return;
         }
-        let came = self.first_read_since.map_or(came, |since| since.min(came));
+        let received_at = self.first_read_since.map_or(received_at, |since| since.min(received_at));
         self.total_bytes += count as u64;
-        match self.reads.back_mut().filter(|(at, _)| came - *at < COALESCE_SECONDS) {
+        match self.reads.back_mut().filter(|(at, _)| received_at - *at < COALESCE_SECONDS) {
             Some((_, end)) => *end = self.total_bytes,
-            None => self.reads.push_back((came, self.total_bytes)),
+            None => self.reads.push_back((received_at, self.total_bytes)),
         }
     }
 
--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -49,8 +49,8 @@
         if self.accepting_paused {
             return false;
         }
-        for door in std::mem::take(&mut self.listeners) {
-            self.handle.remove(door.token);
+        for listener in std::mem::take(&mut self.listeners) {
+            self.handle.remove(listener.token);
         }
         true
     }
@@ -111,7 +111,7 @@
 
     /// Reads once more, whether a readiness event has been reported or not.
     pub(super) fn final_read(&mut self, now: f64, id: usize) -> FinalRead {
-        let came = self.received_at(now);
+        let received_at = self.received_at(now);
         let Some(client) = self.connections.get_mut(id) else {
             return FinalRead::Disconnected(ConnectionEnd::Closed);
         };
@@ -128,7 +128,7 @@
                 read => break read,
             }
         };
-        client.arrivals.record(input.filled().len() - before, came);
+        client.arrivals.record(input.filled().len() - before, received_at);
         client.input =
             Some(input).filter(|input| !input.is_empty() && !matches!(client.phase, RequestPhase::Lingering));
         match read {
@@ -185,24 +185,24 @@
     pub(super) fn extend_linger(&mut self, now: f64, id: usize, timers: &mut Timers) -> bool {
         let until = self.shutdown_deadline + SHUTDOWN_LINGER_SECONDS;
         let Some(client) = self.connections.get(id) else { return false };
-        let lost = client.request_started_at + self.max_delivery_seconds();
-        let on = matches!(client.phase, RequestPhase::Lingering)
-            && now < lost.min(until)
+        let deadline = client.request_started_at + self.max_delivery_seconds();
+        let wait_on = matches!(client.phase, RequestPhase::Lingering)
+            && now < deadline.min(until)
             && has_unacknowledged(&client.stream);
-        if on {
-            self.set_linger_timer(id, lost.min(now + LINGER_SECONDS), timers);
+        if wait_on {
+            self.set_linger_timer(id, deadline.min(now + LINGER_SECONDS), timers);
         }
-        on
+        wait_on
     }
 
     /// The connection to evict: never one that is owed a response or has sent something that is not read yet. One that has
     /// only just connected is spared as long as such connections are not half of all. `None`, too, if all candidates have
     /// just been found to have sent something.
     pub(super) fn eviction_candidate(&mut self, now: f64) -> Option<usize> {
-        let late = ((now + REQUEST_TIMEOUT_SECONDS - EVICTABLE_AFTER_SECONDS) * 1e6) as u64;
+        let evictable_until = ((now + REQUEST_TIMEOUT_SECONDS - EVICTABLE_AFTER_SECONDS) * 1e6) as u64;
         loop {
-            let many = 2 * self.awaiting_request.len() > self.max_connections;
-            let overdue = self.awaiting_request.iter().filter(|(key, _)| key.0 < late || many);
+            let too_many = 2 * self.awaiting_request.len() > self.max_connections;
+            let overdue = self.awaiting_request.iter().filter(|(key, _)| key.0 < evictable_until || too_many);
             let in_order = overdue.chain(&self.lingering).chain(&self.idle).chain(&self.awaiting_request);
             // A connection that is to be read is not evicted before that.
             let Some(id) = in_order.map(|(_, id)| *id).find(|id| !self.pending_clients.contains(id)) else {
--- a/crates/dunepond-broker/src/downstream/decode.rs
+++ b/crates/dunepond-broker/src/downstream/decode.rs
@@ -56,9 +56,9 @@
             return false;
         }
         if matches!(client.phase, RequestPhase::ReadingHead)
-            && let Some(came) = client.arrivals.first_unparsed_at(client.unparsed_bytes())
+            && let Some(received_at) = client.arrivals.first_unparsed_at(client.unparsed_bytes())
         {
-            client.request_started_at = came;
+            client.request_started_at = received_at;
         }
         true
     }
@@ -111,9 +111,9 @@
     fn begin_streamed_request(&mut self, now: f64, id: usize, head: Head, timers: &mut Timers) -> Parsed {
         let client = &mut self.connections[id];
         client.keep_alive = head.keep_alive;
-        let began = client.request_started_at;
+        let received_at = client.request_started_at;
         self.clear_timer(id, timers);
-        match self.validate_streamed(&head, began) {
+        match self.validate_streamed(&head, received_at) {
             Ok(request) => Parsed::Event(ClientEvent::StreamedQuery(request, Box::new(head))),
             Err(error) => {
                 self.refuse(now, id, error, 0.0, timers);
@@ -183,9 +183,9 @@
         outcome: Result<Box<Message>, HttpError>,
         timers: &mut Timers,
     ) -> Option<ClientEvent> {
-        let began = self.connections[id].request_started_at;
+        let received_at = self.connections[id].request_started_at;
         let read = outcome.map_err(|reason| search_api::error_response(&reason));
-        match read.and_then(|message| api.parse_request(&message.head, message.body_bytes(), began)) {
+        match read.and_then(|message| api.parse_request(&message.head, message.body_bytes(), received_at)) {
             Ok(request) => Some(ClientEvent::SearchRequest(Box::new(request))),
             Err(error) => {
                 debug!("client {id}: {error}");
@@ -202,8 +202,8 @@
         outcome: Result<Box<Message>, HttpError>,
         timers: &mut Timers,
     ) -> Option<ClientEvent> {
-        let began = self.connections[id].request_started_at;
-        let (status, body) = match outcome.and_then(|message| self.validate(&message, began)) {
+        let received_at = self.connections[id].request_started_at;
+        let (status, body) = match outcome.and_then(|message| self.validate(&message, received_at)) {
             Ok(Some(request)) => return Some(ClientEvent::Query(request)),
             Ok(None) => (200, String::new()),
             Err(HttpError { status, reason }) => (status, error_body(&reason)),
--- a/crates/dunepond-broker/src/downstream/disconnect.rs
+++ b/crates/dunepond-broker/src/downstream/disconnect.rs
@@ -1,6 +1,7 @@
 //! Detects disconnected clients, for which no further attempt is sent. The end of the stream may stand behind requests that are not read
 //! yet, and no further readiness event reports it.
 
+use std::collections::VecDeque;
 use std::io;
 use std::net::TcpStream;
 
@@ -9,7 +10,7 @@
 
 use super::read::MAX_READS_PER_TURN;
 use super::{Downstream, RequestPhase};
-use crate::buffers::Buffer;
+use crate::buffers::{Buffer, Pool};
 use crate::clock::Timers;
 use crate::connection_end::ConnectionEnd;
 
@@ -63,57 +64,67 @@
     /// Reads ahead what has arrived, as a disconnect stands behind that. Where this may not be read yet, or there is no
     /// buffer for it, the socket is polled for the peer's close.
     fn probe_disconnect(&mut self, now: f64, id: usize) -> Option<ConnectionEnd> {
-        let came = self.received_at(now);
-        let (room, ahead_room) =
-            (self.pool.buffers_in_use() < self.max_buffers, self.has_read_ahead_capacity());
+        let received_at = self.received_at(now);
+        let has_buffer = self.pool.buffers_in_use() < self.max_buffers;
+        let may_read_ahead = self.has_read_ahead_capacity();
         let client = &mut self.connections[id];
-        let paced = client.reading_paused
+        let is_paced = client.reading_paused
             || matches!(&client.phase, RequestPhase::StreamingBody(streamed) if !streamed.body_complete);
         // An empty body is parsed from a buffer that exists and is empty: such a buffer is kept.
-        let had = client.input.is_some();
+        let had_input = client.input.is_some();
         for _ in 0..MAX_READS_PER_TURN {
-            if paced || client.input.is_none() && !room {
+            if is_paced || client.input.is_none() && !has_buffer {
                 break;
             }
-            let input = client.input.get_or_insert_with(|| self.pool.acquire());
-            let behind = input.is_full() || !client.read_ahead.is_empty();
-            if behind && !ahead_room {
-                break;
-            }
-            if behind && client.read_ahead.back().is_none_or(Buffer::is_full) {
-                client.read_ahead.push_back(self.pool.acquire());
-            }
-            let last = if behind { client.read_ahead.back_mut() } else { None };
-            match last.unwrap_or(input).read_from(&*client.stream) {
+            let buffer =
+                buffer_to_fill(&mut client.input, &mut client.read_ahead, &self.pool, may_read_ahead);
+            let Some(buffer) = buffer else { break };
+            match buffer.read_from(&*client.stream) {
                 Ok(0) => return Some(ConnectionEnd::Closed),
-                Ok(count) => client.arrivals.record(count, came),
+                Ok(count) => client.arrivals.record(count, received_at),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     client.readable = false;
                     client.arrivals.mark_drained();
-                    if !had && client.input.as_ref().is_some_and(Buffer::is_empty) {
-                        client.input = None;
-                    }
-                    if client.read_ahead.back().is_some_and(Buffer::is_empty) {
-                        client.read_ahead.pop_back();
+                    if !had_input {
+                        client.release_empty_input();
                     }
+                    client.release_empty_read_ahead();
                     return None;
                 }
                 Err(e) => return Some(ConnectionEnd::from_io_error(&e)),
             }
         }
-        if client.read_ahead.back().is_some_and(Buffer::is_empty) {
-            client.read_ahead.pop_back();
-        }
+        client.release_empty_read_ahead();
         peer_has_closed(&client.stream).then_some(ConnectionEnd::Closed)
     }
 }
 
+/// The buffer for the next read: the input, or one behind it if that is full and reading ahead is allowed.
+fn buffer_to_fill<'a>(
+    input: &'a mut Option<Buffer>,
+    read_ahead: &'a mut VecDeque<Buffer>,
+    pool: &Pool,
+    may_read_ahead: bool,
+) -> Option<&'a mut Buffer> {
+    let input = input.get_or_insert_with(|| pool.acquire());
+    if !input.is_full() && read_ahead.is_empty() {
+        return Some(input);
+    }
+    if !may_read_ahead {
+        return None;
+    }
+    if read_ahead.back().is_none_or(Buffer::is_full) {
+        read_ahead.push_back(pool.acquire());
+    }
+    read_ahead.back_mut()
+}
+
 /// Whether the peer has closed, whatever unread bytes stand before that.
 fn peer_has_closed(stream: &TcpStream) -> bool {
-    let mut request = [PollFd::new(stream, PollFlags::RDHUP)];
-    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-    let told = poll(&mut request, Some(&at_once));
-    told.is_ok_and(|count| count > 0)
-        && request[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
+    let mut watched = [PollFd::new(stream, PollFlags::RDHUP)];
+    let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+    let polled = poll(&mut watched, Some(&no_wait));
+    polled.is_ok_and(|count| count > 0)
+        && watched[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
 }
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -215,8 +215,8 @@
 
     /// How many bytes have been read from it and not parsed yet.
     fn unparsed_bytes(&self) -> usize {
-        let held = self.input.iter().chain(&self.read_ahead);
-        held.map(|buffer| buffer.filled().len()).sum()
+        let buffers = self.input.iter().chain(&self.read_ahead);
+        buffers.map(|buffer| buffer.filled().len()).sum()
     }
 
     fn has_unparsed(&self) -> bool {
@@ -229,6 +229,13 @@
         !full && !self.reading_paused && (self.readable || !self.read_ahead.is_empty())
     }
 
+    /// Returns the last buffer that was read ahead to its pool if nothing was read into it.
+    fn release_empty_read_ahead(&mut self) {
+        if self.read_ahead.back().is_some_and(Buffer::is_empty) {
+            self.read_ahead.pop_back();
+        }
+    }
+
     /// Returns the read buffer to its pool if nothing is left in it.
     fn release_empty_input(&mut self) {
         if self.input.as_ref().is_some_and(Buffer::is_empty) {
--- a/crates/dunepond-broker/src/downstream/read.rs
+++ b/crates/dunepond-broker/src/downstream/read.rs
@@ -15,17 +15,17 @@
 const RESUME_READING_SECONDS: f64 = 0.001;
 
 /// Appends one read to the input: from what was read ahead, as long as there is some, or else from the socket, whose bytes
-/// arrived at `came` at the earliest.
+/// arrived at `received_at` at the earliest.
 fn read(
     input: &mut Buffer,
     ahead: &mut VecDeque<Buffer>,
     arrivals: &mut ArrivalTimes,
     stream: &TcpStream,
-    came: f64,
+    received_at: f64,
 ) -> io::Result<usize> {
     let Some(first) = ahead.front_mut() else {
         let count = input.read_from(stream)?;
-        arrivals.record(count, came);
+        arrivals.record(count, received_at);
         return Ok(count);
     };
     let count = input.read_from(first.filled())?;
@@ -113,10 +113,10 @@
 
     /// Reads once; returns how the connection ended, if it did.
     fn read_once(&mut self, now: f64, id: usize) -> Option<ConnectionEnd> {
-        let came = self.received_at(now);
+        let received_at = self.received_at(now);
         let client = &mut self.connections[id];
         let input = client.input.get_or_insert_with(|| self.pool.acquire());
-        match read(input, &mut client.read_ahead, &mut client.arrivals, &client.stream, came) {
+        match read(input, &mut client.read_ahead, &mut client.arrivals, &client.stream, received_at) {
             Ok(0) => return Some(ConnectionEnd::Closed),
             Ok(_) if matches!(client.phase, RequestPhase::Lingering) => client.input = None,
             Ok(_) => {}
@@ -143,19 +143,22 @@
 
     /// In a shutdown a streamed body has until the last responses are due. A query without one keeps its deadline: the
     /// router rejects it if it would outlast the process.
-    fn cap_streamed_deadline(&self, mut came: ClientEvent) -> ClientEvent {
-        if let ClientEvent::StreamedQuery(request, _) = &mut came {
+    fn cap_streamed_deadline(&self, mut event: ClientEvent) -> ClientEvent {
+        if let ClientEvent::StreamedQuery(request, _) = &mut event {
             request.deadline = request.deadline.min(self.shutdown_deadline);
         }
-        came
+        event
     }
 
     /// Closes the client that has been sending a request the longest and holds a buffer for it.
-    fn evict_for_buffer(&mut self, but: usize, timers: &mut Timers) {
-        let holds =
-            |c: &ClientConnection| c.input.is_some() || matches!(c.phase, RequestPhase::ReadingBody(_));
-        let held =
-            self.awaiting_request.values().copied().find(|id| *id != but && holds(&self.connections[*id]));
-        held.map(|id| self.close(id, ConnectionEnd::IoTimeout, timers));
+    fn evict_for_buffer(&mut self, except: usize, timers: &mut Timers) {
+        let holds_buffer = |client: &ClientConnection| {
+            client.input.is_some() || matches!(client.phase, RequestPhase::ReadingBody(_))
+        };
+        let mut candidates = self.awaiting_request.values().copied();
+        let evicted = candidates.find(|id| *id != except && holds_buffer(&self.connections[*id]));
+        if let Some(id) = evicted {
+            self.close(id, ConnectionEnd::IoTimeout, timers);
+        }
     }
 }
--- a/crates/dunepond-broker/src/http/head.rs
+++ b/crates/dunepond-broker/src/http/head.rs
@@ -63,8 +63,8 @@
 }
 
 /// How the body is framed, by its headers; `head` has the default.
-fn framing(chunked: bool, length: Option<usize>, head: &Head) -> Result<Framing, HttpError> {
-    match (chunked, length) {
+fn framing(body: &BodyHeaders, head: &Head) -> Result<Framing, HttpError> {
+    match (body.chunked, body.length) {
         // Guards against request smuggling.
         (true, Some(_)) => Err(HttpError::new(400, "Content-Length: given beside Transfer-Encoding")),
         (true, None) => Ok(Framing::ChunkSize),
@@ -75,64 +75,86 @@
     }
 }
 
-/// Reads the headers that either side needs; `default_framing` is the framing without a length.
-fn parse_headers(
-    headers: &[httparse::Header],
-    version: u8,
-    default_framing: Framing,
-) -> Result<Head, HttpError> {
-    let mut head = Head {
-        method: String::new(),
-        path: String::new(),
-        status: 0,
-        request_id: String::new(),
-        query_class: String::new(),
-        time_budget: String::new(),
-        is_retry: false,
-        tenant: String::new(),
-        segments: String::new(),
-        keep_alive: version == 1,
-        expects_continue: false,
-        framing: default_framing,
-    };
-    let mut length = None;
-    let mut chunked = false;
-    for header in headers {
-        let text = || {
-            let text = std::str::from_utf8(header.value).map_err(|_| format!("{}: not UTF-8", header.name));
-            text.map(|t| t.trim().to_string()).map_err(|reason| HttpError::new(400, reason))
-        };
+/// The headers that frame the body.
+#[derive(Default)]
+struct BodyHeaders {
+    length: Option<usize>,
+    chunked: bool,
+}
+
+impl Head {
+    fn empty(version: u8, framing: Framing) -> Self {
+        Self {
+            method: String::new(),
+            path: String::new(),
+            status: 0,
+            request_id: String::new(),
+            query_class: String::new(),
+            time_budget: String::new(),
+            is_retry: false,
+            tenant: String::new(),
+            segments: String::new(),
+            keep_alive: version == 1,
+            expects_continue: false,
+            framing,
+        }
+    }
+
+    /// Takes over a header, if it is one that either side needs.
+    fn apply(&mut self, header: &httparse::Header, body: &mut BodyHeaders) -> Result<(), HttpError> {
         match header.name.to_ascii_lowercase().as_str() {
             "content-length" => {
-                let stated = content_length(&text()?)?;
-                if length.is_some_and(|before| before != stated) {
+                let length = content_length(&text(header)?)?;
+                if body.length.is_some_and(|before| before != length) {
                     return Err(HttpError::new(400, "Content-Length: given twice"));
                 }
-                length = Some(stated);
+                body.length = Some(length);
             }
             "transfer-encoding" => {
-                if !text()?.eq_ignore_ascii_case("chunked") {
+                if !text(header)?.eq_ignore_ascii_case("chunked") {
                     return Err(HttpError::new(501, "Transfer-Encoding: only chunked is known"));
                 }
-                chunked = true;
+                body.chunked = true;
             }
-            "connection" => head.keep_alive = keep_alive(&text()?).unwrap_or(head.keep_alive),
-            "expect" => head.expects_continue = text()?.eq_ignore_ascii_case("100-continue"),
-            "x-call-id" | "x-opaque-id" => head.request_id = text()?,
-            "x-call-class" => head.query_class = text()?,
-            "x-budget" => head.time_budget = text()?,
-            "x-again" => head.is_retry = text()? == "1",
-            "x-caller" => head.tenant = text()?,
+            "connection" => self.keep_alive = keep_alive(&text(header)?).unwrap_or(self.keep_alive),
+            "expect" => self.expects_continue = text(header)?.eq_ignore_ascii_case("100-continue"),
+            "x-call-id" | "x-opaque-id" => self.request_id = text(header)?,
+            "x-call-class" => self.query_class = text(header)?,
+            "x-budget" => self.time_budget = text(header)?,
+            "x-again" => self.is_retry = text(header)? == "1",
+            "x-caller" => self.tenant = text(header)?,
             "x-buckets" => {
-                if !head.segments.is_empty() {
+                if !self.segments.is_empty() {
                     return Err(HttpError::new(400, "X-Buckets: given twice"));
                 }
-                head.segments = text()?;
+                self.segments = text(header)?;
             }
             _ => {}
         }
+        Ok(())
+    }
+}
+
+/// The value of a header, without white space around it.
+fn text(header: &httparse::Header) -> Result<String, HttpError> {
+    match std::str::from_utf8(header.value) {
+        Ok(text) => Ok(text.trim().to_string()),
+        Err(_) => Err(HttpError::new(400, format!("{}: not UTF-8", header.name))),
+    }
+}
+
+/// Reads the headers that either side needs; `default_framing` is the framing without a length.
+fn parse_headers(
+    headers: &[httparse::Header],
+    version: u8,
+    default_framing: Framing,
+) -> Result<Head, HttpError> {
+    let mut head = Head::empty(version, default_framing);
+    let mut body = BodyHeaders::default();
+    for header in headers {
+        head.apply(header, &mut body)?;
     }
-    head.framing = framing(chunked, length, &head)?;
+    head.framing = framing(&body, &head)?;
     // No message can follow a body that ends with the connection.
     head.keep_alive &= head.framing != Framing::UntilClose;
     Ok(head)
--- a/crates/dunepond-broker/src/http/message.rs
+++ b/crates/dunepond-broker/src/http/message.rs
@@ -38,50 +38,40 @@
     /// Fails where the framing is malformed, or where a body that is not streamed exceeds a buffer.
     pub fn read_body(&mut self, input: &mut Buffer, pool: &Pool) -> Result<bool, HttpError> {
         loop {
-            self.head.framing = match self.head.framing {
+            let next = match self.head.framing {
                 Framing::Done | Framing::Length(0) => return Ok(true),
-                Framing::Length(left) => match self.move_body(input, left, pool)? {
-                    0 => return Ok(false),
-                    moved => Framing::Length(left - moved),
-                },
-                Framing::UntilClose => match self.move_body(input, usize::MAX, pool)? {
-                    0 => return Ok(false),
-                    _ => Framing::UntilClose,
-                },
-                Framing::Chunk(0) => Framing::ChunkTerminator,
-                Framing::Chunk(left) => match self.move_body(input, left, pool)? {
-                    0 => return Ok(false),
-                    moved => Framing::Chunk(left - moved),
-                },
-                Framing::ChunkSize => match httparse::parse_chunk_size(input.filled()) {
-                    Err(_) => return Err(HttpError::new(400, "body: not a chunk")),
-                    Ok(httparse::Status::Partial) => return self.await_more(input),
-                    Ok(httparse::Status::Complete((used, size))) => {
-                        input.consume(used);
-                        match size {
-                            0 => Framing::Trailer,
-                            size if size > BUFFER_BYTES as u64 && self.streamed_body.is_none() => {
-                                return Err(body_too_long());
-                            }
-                            size => Framing::Chunk(size as usize),
-                        }
-                    }
-                },
-                Framing::ChunkTerminator => match input.filled() {
-                    [b'\r', b'\n', ..] => {
-                        input.consume(2);
-                        Framing::ChunkSize
-                    }
-                    [] | [b'\r'] => return Ok(false),
-                    _ => return Err(HttpError::new(400, "body: a chunk longer than it says")),
-                },
-                Framing::Trailer => match input.filled().windows(2).position(|w| w == b"\r\n") {
-                    None => return self.await_more(input),
-                    Some(at) => {
-                        input.consume(at + 2);
-                        if at == 0 { Framing::Done } else { Framing::Trailer }
+                Framing::Length(left) => {
+                    self.move_body(input, left, pool)?.map(|moved| Framing::Length(left - moved))
+                }
+                Framing::UntilClose => self.move_body(input, usize::MAX, pool)?.map(|_| Framing::UntilClose),
+                Framing::Chunk(0) => Some(Framing::ChunkTerminator),
+                Framing::Chunk(left) => {
+                    self.move_body(input, left, pool)?.map(|moved| Framing::Chunk(left - moved))
+                }
+                Framing::ChunkSize => self.parse_chunk_size(input)?,
+                Framing::ChunkTerminator => parse_chunk_terminator(input)?,
+                Framing::Trailer => parse_trailer_line(input)?,
+            };
+            match next {
+                Some(framing) => self.head.framing = framing,
+                None => return Ok(false),
+            }
+        }
+    }
+
+    fn parse_chunk_size(&self, input: &mut Buffer) -> Result<Option<Framing>, HttpError> {
+        match httparse::parse_chunk_size(input.filled()) {
+            Err(_) => Err(HttpError::new(400, "body: not a chunk")),
+            Ok(httparse::Status::Partial) => await_more(input),
+            Ok(httparse::Status::Complete((used, size))) => {
+                input.consume(used);
+                match size {
+                    0 => Ok(Some(Framing::Trailer)),
+                    size if size > BUFFER_BYTES as u64 && self.streamed_body.is_none() => {
+                        Err(body_too_long())
                     }
-                },
+                    size => Ok(Some(Framing::Chunk(size as usize))),
+                }
             }
         }
     }
@@ -95,21 +85,17 @@
         ends
     }
 
-    /// A chunk's size or a trailer is incomplete; bounds how long it may get.
-    fn await_more(&self, input: &Buffer) -> Result<bool, HttpError> {
-        if input.filled().len() > MAX_HEAD_BYTES {
-            Err(HttpError::new(400, "body: a chunk without an end"))
-        } else {
-            Ok(false)
-        }
-    }
-
-    /// Moves up to `left` bytes of the body out of `input`; returns how many.
-    fn move_body(&mut self, input: &mut Buffer, left: usize, pool: &Pool) -> Result<usize, HttpError> {
+    /// Moves up to `left` bytes of the body out of `input`; returns how many, `None` if there are none.
+    fn move_body(
+        &mut self,
+        input: &mut Buffer,
+        left: usize,
+        pool: &Pool,
+    ) -> Result<Option<usize>, HttpError> {
         let held = input.filled();
         let held = &held[..held.len().min(left)];
         if held.is_empty() {
-            return Ok(0);
+            return Ok(None);
         }
         let moved = match &self.streamed_body {
             Some(body) => {
@@ -122,6 +108,34 @@
             return Err(body_too_long());
         }
         input.consume(moved);
-        Ok(moved)
+        Ok(Some(moved))
+    }
+}
+
+fn parse_chunk_terminator(input: &mut Buffer) -> Result<Option<Framing>, HttpError> {
+    match input.filled() {
+        [b'\r', b'\n', ..] => {
+            input.consume(2);
+            Ok(Some(Framing::ChunkSize))
+        }
+        [] | [b'\r'] => Ok(None),
+        _ => Err(HttpError::new(400, "body: a chunk longer than it says")),
+    }
+}
+
+fn parse_trailer_line(input: &mut Buffer) -> Result<Option<Framing>, HttpError> {
+    let Some(length) = input.filled().windows(2).position(|bytes| bytes == b"\r\n") else {
+        return await_more(input);
+    };
+    input.consume(length + 2);
+    Ok(Some(if length == 0 { Framing::Done } else { Framing::Trailer }))
+}
+
+/// A chunk's size or a trailer is incomplete; bounds how long it may get.
+fn await_more(input: &Buffer) -> Result<Option<Framing>, HttpError> {
+    if input.filled().len() > MAX_HEAD_BYTES {
+        Err(HttpError::new(400, "body: a chunk without an end"))
+    } else {
+        Ok(None)
     }
 }
--- a/crates/dunepond-broker/src/upstream/cancel.rs
+++ b/crates/dunepond-broker/src/upstream/cancel.rs
@@ -79,14 +79,15 @@
         which: impl Fn(&OutstandingRequest) -> bool,
     ) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let held = |o: &OutstandingRequest| o.frame_end.is_none() && which(o);
-        if connection.outstanding.iter().any(held) {
-            let (held, outstanding): (VecDeque<OutstandingRequest>, _) =
-                connection.outstanding.drain(..).partition(held);
+        let is_withdrawn = |out: &OutstandingRequest| out.frame_end.is_none() && which(out);
+        if connection.outstanding.iter().any(is_withdrawn) {
+            let (withdrawn, outstanding): (VecDeque<OutstandingRequest>, _) =
+                connection.outstanding.drain(..).partition(is_withdrawn);
             connection.outstanding = outstanding;
             let node = connection.node;
-            self.completed
-                .extend(held.into_iter().map(|o| o.into_completed(node, AttemptOutcome::NotSent, now, None)));
+            self.completed.extend(
+                withdrawn.into_iter().map(|out| out.into_completed(node, AttemptOutcome::NotSent, now, None)),
+            );
         }
     }
 
--- a/crates/dunepond-broker/src/upstream/endpoints.rs
+++ b/crates/dunepond-broker/src/upstream/endpoints.rs
@@ -18,27 +18,27 @@
             self.nodes.resize_with(node + 1, NodeEntry::default);
         }
         let node_entry = &mut self.nodes[node];
-        let (started, standing) = (endpoint.started_at, endpoint.state);
-        if standing == EndpointState::Removed && !node_entry.has_state(EndpointState::Removed) {
+        let (started_at, state) = (endpoint.started_at, endpoint.state);
+        if state == EndpointState::Removed && !node_entry.has_state(EndpointState::Removed) {
             self.removed_nodes.push(node);
         }
         let before = node_entry.endpoint.as_ref();
         let moved = before.is_some_and(|b| b.address.is_some() && b.address != endpoint.address);
-        let replaced = started > before.map_or(0.0, |b| b.started_at);
+        let replaced = started_at > before.map_or(0.0, |b| b.started_at);
         node_entry.endpoint = Some(endpoint);
-        if moved || replaced || standing != EndpointState::Active {
+        if moved || replaced || state != EndpointState::Active {
             self.changed_nodes.push((node, replaced));
         }
         for id in node_entry.connections.clone() {
             let connection = &mut self.connections[id];
             // A connection that is still being established, or was since the restart, is one to the new process.
-            if replaced && connection.connected && connection.since < started {
+            if replaced && connection.connected && connection.since < started_at {
                 self.close(now, id, ConnectionEnd::Replaced, timers);
                 continue;
             }
-            connection.retired |= moved || standing == EndpointState::Removed;
+            connection.retired |= moved || state == EndpointState::Removed;
             // Attempts that wait here might be written long after the node began to drain, or to a new process in slow start.
-            if connection.retired || replaced || standing != EndpointState::Active {
+            if connection.retired || replaced || state != EndpointState::Active {
                 self.withdraw_unframed(now, id, |_| true);
                 self.close_or_keep_idle(now, id, timers);
             }
--- a/crates/dunepond-broker/src/upstream/framing.rs
+++ b/crates/dunepond-broker/src/upstream/framing.rs
@@ -50,15 +50,15 @@
 
 impl NodeConnection {
     /// Frames the waiting attempts once the earlier frames are written; as search API requests where the node speaks it.
-    /// `look` is the check under which the attempts may be sent, where it must not be stale when bytes are written.
+    /// `check` is the one under which the attempts may be sent, where it must not be stale when bytes are written.
     pub(super) fn write(
         &mut self,
         now: f64,
         search_api: Option<&SearchApiFraming>,
-        look: Option<&CheckedConfig>,
+        check: Option<&CheckedConfig>,
     ) -> io::Result<()> {
         loop {
-            self.output.flush(FreshWriter { stream: &*self.stream, checked: look })?;
+            self.output.flush(FreshWriter { stream: &*self.stream, checked: check })?;
             if !self.output.is_empty() {
                 self.unframe_unsent();
                 return Ok(());
--- a/crates/dunepond-broker/src/upstream/ownership_check.rs
+++ b/crates/dunepond-broker/src/upstream/ownership_check.rs
@@ -6,6 +6,7 @@
 use tracing::debug;
 
 use super::{NodeConnection, OutstandingRequest, Upstream};
+use crate::buffers::WriteQueue;
 use crate::clock::Timers;
 use crate::control_plane::fence::{AttemptStage, FenceAction};
 use crate::control_plane::{CheckedConfig, Gate};
@@ -33,38 +34,45 @@
         timers: &mut Timers,
     ) -> bool {
         let Some(gate) = &self.gate else { return true };
-        let Some(connection) = self.connections.get_mut(id).filter(|l| l.connected) else { return true };
+        let Some(connection) = self.connections.get_mut(id).filter(|c| c.connected) else { return true };
         let host = self.nodes[connection.node].name();
-        let written = connection.output.written_offset();
-        let stage = |o: &OutstandingRequest| match o.frame_end {
-            None => AttemptStage::Queued,
-            Some(to) if to > written => AttemptStage::PartlyWritten,
-            Some(_) => AttemptStage::AwaitingAnswer,
-        };
-        let fence_action = |o: &OutstandingRequest| {
-            let target = o.request.target(host);
-            if gate.may_send_under(check, &target) {
-                FenceAction::Allowed
-            } else {
-                gate.fence_action(check, stage(o), &target)
-            }
-        };
-        if connection.outstanding.iter().any(|o| fence_action(o) == FenceAction::Aborted) {
+        let action = |out: &OutstandingRequest| action_for(gate, check, out, &connection.output, host);
+        if connection.outstanding.iter().any(|out| action(out) == FenceAction::Aborted) {
             return false;
         }
-        let held = |o: &OutstandingRequest| fence_action(o) == FenceAction::Returned;
-        if !connection.outstanding.iter().any(held) {
+        let is_returned = |out: &OutstandingRequest| action(out) == FenceAction::Returned;
+        if !connection.outstanding.iter().any(is_returned) {
             return true;
         }
-        let (held, outstanding) = connection.outstanding.drain(..).partition(held);
+        let (returned, outstanding): (VecDeque<_>, VecDeque<_>) =
+            connection.outstanding.drain(..).partition(is_returned);
         connection.outstanding = outstanding;
-        let (held, node): (VecDeque<OutstandingRequest>, _) = (held, connection.node);
-        for out in held {
+        for out in returned {
             gate.control.count_withheld();
             debug!("node {host}: {} is not sent: the active configuration forbids it", out.request.id);
-            self.completed.push_back(out.into_completed(node, AttemptOutcome::NotSent, now, None));
+            self.completed.push_back(out.into_completed(connection.node, AttemptOutcome::NotSent, now, None));
         }
         self.close_or_keep_idle(now, id, timers);
         true
     }
 }
+
+/// What becomes of an attempt under the active configuration.
+fn action_for(
+    gate: &Gate,
+    check: &CheckedConfig,
+    out: &OutstandingRequest,
+    output: &WriteQueue,
+    host: &str,
+) -> FenceAction {
+    let target = out.request.target(host);
+    if gate.may_send_under(check, &target) {
+        return FenceAction::Allowed;
+    }
+    let stage = match out.frame_end {
+        None => AttemptStage::Queued,
+        Some(_) if out.is_written(output) => AttemptStage::AwaitingAnswer,
+        Some(_) => AttemptStage::PartlyWritten,
+    };
+    gate.fence_action(check, stage, &target)
+}
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -118,12 +118,12 @@
     }
 
     pub(super) fn write(&mut self, now: f64, id: usize, timers: &mut Timers) {
-        let once = self.carries_non_idempotent(id);
+        let non_idempotent = self.carries_non_idempotent(id);
         // Only non-idempotent attempts are checked; others are looked at only for the audit log.
         let gate = self.gate.as_ref();
-        let look = gate.filter(|gate| once || gate.control.is_audited()).map(|gate| gate.check());
-        if let Some(look) = &look
-            && !self.withdraw_disallowed(look, now, id, timers)
+        let check = gate.filter(|gate| non_idempotent || gate.control.is_audited()).map(|gate| gate.check());
+        if let Some(check) = &check
+            && !self.withdraw_disallowed(check, now, id, timers)
         {
             return self.close(now, id, ConnectionEnd::FrameAborted, timers);
         }
@@ -131,7 +131,7 @@
             return self.close(now, id, ConnectionEnd::FrameAborted, timers);
         }
         if self.connections.get(id).is_some_and(|connection| connection.connected) {
-            self.write_checked(now, id, look.as_ref(), once, timers);
+            self.write_checked(now, id, check.as_ref(), non_idempotent, timers);
         }
     }
 
@@ -146,8 +146,8 @@
         &mut self,
         now: f64,
         id: usize,
-        look: Option<&CheckedConfig>,
-        once: bool,
+        check: Option<&CheckedConfig>,
+        non_idempotent: bool,
         timers: &mut Timers,
     ) {
         let connection = &mut self.connections[id];
@@ -158,10 +158,10 @@
                 non_idempotent: &api.non_idempotent,
                 host,
             });
-        let outcome = connection.write(now, search_api.as_ref(), look.filter(|_| once));
+        let outcome = connection.write(now, search_api.as_ref(), check.filter(|_| non_idempotent));
         self.copied_bytes += connection.output.take_copied_bytes();
-        if let (Some(gate), Some(look)) = (&self.gate, look) {
-            ownership_check::audit_sent(gate, look, host, connection);
+        if let (Some(gate), Some(check)) = (&self.gate, check) {
+            ownership_check::audit_sent(gate, check, host, connection);
         }
         if connection.output.is_awaiting_body() {
             self.awaiting_body.push(id);
