--- a/crates/dunepond-background/src/budget.rs
+++ b/crates/dunepond-background/src/budget.rs
@@ -1,10 +1,10 @@
 //! What jobs may take, and the buckets that enforce it.
 
-/// Budgets accumulate so many seconds' worth: more would be a burst that queries feel.
+/// Longest time for which unused budget accumulates: more would be a burst that delays queries.
 const MAX_ACCUMULATED_SECONDS: f64 = 0.5;
 /// Keeps a budget of nothing from dividing by 0.
 const MIN_RATE: f64 = 1e-9;
-/// By which a bucket is surely above 0 when it opens.
+/// Added to the computed time at which a bucket opens, as rounding could leave its level at 0.
 const OPENING_MARGIN_SECONDS: f64 = 1e-6;
 
 /// What all jobs together may take.
--- a/crates/dunepond-background/src/scheduler.rs
+++ b/crates/dunepond-background/src/scheduler.rs
@@ -11,7 +11,7 @@
     DroppedJob, JobCounters, JobId, JobKind, JobSpec, Outcome, ResourceUse, RetryPolicy, StartedJob,
 };
 
-/// Waiting so long counts as much as one level of priority: the lowest runs in the end, however much is above it.
+/// Time of waiting that counts as much as one level of priority, so that the lowest priority is not starved.
 const SECONDS_PER_PRIORITY: f64 = 2.0;
 /// Share of a backoff by which a retry may come sooner: jobs that failed together must not be retried together.
 const BACKOFF_JITTER_RATIO: f64 = 0.5;
--- a/crates/dunepond-body-buffer/src/manager/admission.rs
+++ b/crates/dunepond-body-buffer/src/manager/admission.rs
@@ -90,7 +90,8 @@
         })
     }
 
-    /// More of a body of unknown length has arrived, `received_bytes` in all: gives the tier that it is in now.
+    /// More of a body of unknown length has arrived, `received_bytes` in all. Returns the tier that it is in now: a body that the
+    /// memory has no more room for moves to a file.
     ///
     /// # Errors
     /// Why it can be held no more.
@@ -128,8 +129,8 @@
         let Some(body) = self.bodies.get(&id) else { return Err(FallbackReason::LengthUnknown) };
         let (owner, memory_bytes, file_bytes) = (body.owner, body.memory_bytes, body.file_bytes);
         let window = self.limits.window_bytes.min(received_bytes);
-        let more = received_bytes.saturating_sub(file_bytes);
-        if let Err(reason) = self.check_spill(now, id, owner, received_bytes, more) {
+        let additional_bytes = received_bytes.saturating_sub(file_bytes);
+        if let Err(reason) = self.check_spill(now, id, owner, received_bytes, additional_bytes) {
             self.count_fallback(Tier::File, reason, owner.query_class);
             return Err(self.refuse(FallbackReason::LengthUnknown, owner.query_class));
         }
@@ -143,7 +144,7 @@
         Ok(Tier::File)
     }
 
-    /// All of a body has arrived and, where it is in a file, been written.
+    /// All of a body has arrived and, where it is in a file, been written. Gives back what was reserved beyond its length.
     pub fn complete(&mut self, now: f64, id: BodyId) {
         let Some(body) = self.bodies.get_mut(&id) else { return };
         body.complete = true;
--- a/crates/dunepond-body-buffer/src/manager/mod.rs
+++ b/crates/dunepond-body-buffer/src/manager/mod.rs
@@ -167,37 +167,38 @@
         self.update_peak();
     }
 
-    /// Whether a body of this length may be buffered in memory, which takes so much more.
-    fn check_buffered(&self, owner: Owner, length: u64, more: u64) -> Result<(), FallbackReason> {
+    /// Whether a body of this length may be buffered in memory, which takes `additional_bytes` beside what it has already.
+    fn check_buffered(&self, owner: Owner, length: u64, additional_bytes: u64) -> Result<(), FallbackReason> {
         if length > self.limits.max_body_in_memory_bytes {
             return Err(FallbackReason::TooLongForMemory);
         }
-        self.check_memory(MAX_BUFFERED_RATIO, owner, more)
+        self.check_memory(MAX_BUFFERED_RATIO, owner, additional_bytes)
     }
 
-    /// Whether so much more fits a window, which may take all of the memory.
-    fn check_window(&self, owner: Owner, more: u64) -> Result<(), FallbackReason> {
-        self.check_memory(1.0, owner, more)
+    /// Whether there is room for a window. Windows may take all of the memory, so that bodies can pass when it is full of
+    /// buffered ones.
+    fn check_window(&self, owner: Owner, additional_bytes: u64) -> Result<(), FallbackReason> {
+        self.check_memory(1.0, owner, additional_bytes)
     }
 
-    fn check_memory(&self, ratio: f64, owner: Owner, more: u64) -> Result<(), FallbackReason> {
+    fn check_memory(&self, ratio: f64, owner: Owner, additional_bytes: u64) -> Result<(), FallbackReason> {
         let load = TierLoad {
             usage: &self.memory,
             used_bytes: self.used_memory(),
             max_bytes: (ratio * self.limits.max_memory_bytes as f64) as u64,
             reasons: &MEMORY_FULL,
         };
-        self.check_load(&load, owner, more)
+        self.check_load(&load, owner, additional_bytes)
     }
 
-    /// Whether a body of this length may be in a file now, which takes so much more.
+    /// Whether a body of this length may be in a file now, which takes `additional_bytes` beside what it has already.
     fn check_spill(
         &self,
         now: f64,
         id: BodyId,
         owner: Owner,
         length: u64,
-        more: u64,
+        additional_bytes: u64,
     ) -> Result<(), FallbackReason> {
         let limits = self.limits.spill.as_ref().ok_or(FallbackReason::SpillDisabled)?;
         if !self.spill_state.permits(now, id) {
@@ -212,12 +213,12 @@
             max_bytes: limits.max_total_bytes,
             reasons: &SPILL_FULL,
         };
-        self.check_load(&load, owner, more)
+        self.check_load(&load, owner, additional_bytes)
     }
 
-    fn check_load(&self, load: &TierLoad, owner: Owner, more: u64) -> Result<(), FallbackReason> {
+    fn check_load(&self, load: &TierLoad, owner: Owner, additional_bytes: u64) -> Result<(), FallbackReason> {
         let share = |ratio: f64| (ratio * load.max_bytes as f64) as u64;
-        let exceeds = |used: u64, max: u64| used.saturating_add(more) > max;
+        let exceeds = |used: u64, max: u64| used.saturating_add(additional_bytes) > max;
         if exceeds(load.used_bytes, load.max_bytes) {
             return Err(load.reasons.tier);
         }
--- a/crates/dunepond-control-plane/src/commitments.rs
+++ b/crates/dunepond-control-plane/src/commitments.rs
@@ -48,7 +48,7 @@
 }
 
 impl Commitments {
-    /// No commitments yet, of this broker. Fails for a name that cannot be told from the fill's id in a settlement.
+    /// No commitments yet, of this broker. Fails for a name that would make settlement ids (`FILL@BROKER`) ambiguous.
     pub fn new(broker: &str) -> Result<Self, SettlementError> {
         Ok(Self {
             shares: SharePromises::new(broker)?,
--- a/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
@@ -53,7 +53,7 @@
         if let Err(e) = self.settlement.commitments.shares.release(&ledger, &debtor, &creditor, bytes) {
             debug!("fleet: {e} ({})", e.help());
         }
-        // Stored before it is sent: from here on it is not promised to anybody.
+        // Stored before it is sent: after a restart this part must not be promised to a fill.
         self.save_commitments();
     }
 
--- a/crates/dunepond-control-plane/src/control_loop/voter.rs
+++ b/crates/dunepond-control-plane/src/control_loop/voter.rs
@@ -1,6 +1,6 @@
 //! This broker's voter: its effects are carried out here, and entries go into the log through it.
 //!
-//! What a voter promises is on the disk before anybody hears of it. After a failed write the voter is silent until its
+//! What a voter promises is on the disk before it is sent to anyone. After a failed write the voter is silent until its
 //! journal could be rewritten.
 
 use dunepond_consensus::{Command, ConsensusError, Effects, EntryOutcome, Rejection, Voter};
--- a/crates/dunepond-control-plane/src/explain/changes.rs
+++ b/crates/dunepond-control-plane/src/explain/changes.rs
@@ -9,7 +9,7 @@
 
 impl Explanation {
     /// Explains an entry of the log that changed something; `state` is the state after the entry. `None` for settlements, which
-    /// each broker explains as it applies them ([`Explanation::for_settlement`]), and for what nobody decided.
+    /// each broker explains as it applies them ([`Explanation::for_settlement`]), and for entries that are no decision (`VoterSlot`).
     pub fn for_change(index: u64, change: &StateChange, state: &ReplicatedState) -> Option<Self> {
         match change {
             StateChange::Proposed(number) => Self::for_proposed(index, *number, state),
--- a/crates/dunepond-prefilter/src/benefit.rs
+++ b/crates/dunepond-prefilter/src/benefit.rs
@@ -10,11 +10,11 @@
 const MAX_SAMPLES: usize = 32;
 /// Samples of each kind that are needed for a decision.
 const MIN_SAMPLES: usize = 4;
-/// Where it is not beneficial, one query in so many is prefiltered as a trial, at first. Each trial in vain doubles the number, and a
-/// successful one resets it.
+/// Where it is not beneficial, one query of this many is prefiltered as a trial. Each trial in vain doubles the number up to the maximum, and
+/// a successful one resets it.
 const MIN_TRIAL_INTERVAL: u32 = 8;
 const MAX_TRIAL_INTERVAL: u32 = 256;
-/// Where it is beneficial, one query in so many is searched directly, to learn how long that takes now.
+/// Where it is beneficial, one query of this many is searched directly, to learn how long that takes now.
 const DIRECT_INTERVAL: u32 = 32;
 /// Prefiltering must save at least this part of the segments.
 const MIN_PRUNED_RATIO: f64 = 0.1;
--- a/crates/dunepond-rebalance/src/action.rs
+++ b/crates/dunepond-rebalance/src/action.rs
@@ -135,7 +135,7 @@
         Self { ended: self.ended + other.ended, begun: self.begun + other.begun }
     }
 
-    /// How many segments change, in a map of so many.
+    /// How many segments change, in a map of `segment_count`.
     pub fn changed_of(self, segment_count: usize) -> ChangedSegments {
         let after = (segment_count + self.begun).saturating_sub(self.ended);
         ChangedSegments { changed: self.ended.max(self.begun), of: segment_count.max(after) }
@@ -229,7 +229,7 @@
         self.actions.iter().flat_map(|planned| planned.action.segments().iter().copied())
     }
 
-    /// How many segments change in a map of so many.
+    /// How many segments change, in a map of `segment_count`.
     pub fn changed_segments(&self, segment_count: usize) -> ChangedSegments {
         let turnovers = self.actions.iter().map(|planned| planned.action.turnover());
         turnovers.fold(Turnover::default(), Turnover::plus).changed_of(segment_count)
--- a/crates/dunepond-rebalance/src/capacity.rs
+++ b/crates/dunepond-rebalance/src/capacity.rs
@@ -93,7 +93,7 @@
 }
 
 impl<'a> CapacityLimits<'a> {
-    /// What the map says of a node's partner counts before what the plan says.
+    /// A node's partner is the one that the map names; the plan's is used only for nodes that the map does not have.
     pub fn new(plan: &'a Plan, map: &VerifiedMap) -> Self {
         let mut partner_by_node = BTreeMap::new();
         for replica in map.segments().flat_map(|segment| &segment.replicas) {
--- a/crates/dunepond-rebalance/src/ordering/mod.rs
+++ b/crates/dunepond-rebalance/src/ordering/mod.rs
@@ -14,7 +14,7 @@
 /// How much may be under way at once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepLimits {
-    /// Actions of one step, at most; of a step that fills, so many replicas are filled at once.
+    /// Most actions of one step, and so the most replicas that a step fills at once.
     #[serde(rename = "at_once")]
     pub max_actions: usize,
     /// Ratio of the segments that one version may change.
@@ -26,7 +26,7 @@
 /// give the same steps.
 ///
 /// # Errors
-/// Why no order was found; with the step and operation that the search failed at when it came furthest.
+/// Why no order was found: the error of the attempt that got furthest, with its step and operation.
 pub fn order_steps(
     plan: &Plan,
     map: &VerifiedMap,
--- a/crates/dunepond-rebalance/src/ordering/search.rs
+++ b/crates/dunepond-rebalance/src/ordering/search.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// What stood in the way.
+/// The error that ended an attempt.
 struct Obstacle {
     progress: ObstacleProgress,
     error: RebalanceError,
@@ -39,8 +39,8 @@
 }
 
 impl PlanSimulation<'_> {
-    /// Operations in an order that carries out all actions that are left; or what stood in the way that came furthest. Steps
-    /// are counted as if each action was one.
+    /// Operations in an order that carries out all actions that are left; else the error of the attempt that got furthest. Each
+    /// action counts as one step here.
     pub fn find_order(&mut self, step: usize) -> Result<Vec<usize>, RebalanceError> {
         self.search.furthest = None;
         let mut order = Vec::new();
@@ -143,7 +143,8 @@
         key
     }
 
-    /// Remembers what stood in the way furthest on: capacity before anything else, and of that the least short.
+    /// Remembers the error of the attempt that got furthest: a missing capacity rather than anything else, and the smallest
+    /// shortage of those.
     fn record_obstacle(&mut self, error: RebalanceError) {
         let progress = ObstacleProgress {
             done_actions: self.done.iter().map(|done| usize::from(*done)).sum(),
--- a/crates/dunepond-rebalance/src/progress/entry.rs
+++ b/crates/dunepond-rebalance/src/progress/entry.rs
@@ -1,4 +1,4 @@
-//! What of a plan stands in the consensus log. Serialised names stay.
+//! Entries of the consensus log about plans. Serialised names must not change.
 
 use std::fmt;
 
--- a/crates/dunepond-rebalance/src/progress/running.rs
+++ b/crates/dunepond-rebalance/src/progress/running.rs
@@ -1,4 +1,4 @@
-//! The running plan, and how plans ended. Serialised names stay.
+//! The running plan, and how plans ended. Serialised names must not change.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt;
--- a/crates/dunepond-search-api/src/request/multi.rs
+++ b/crates/dunepond-search-api/src/request/multi.rs
@@ -8,7 +8,7 @@
 use crate::error::ApiError;
 
 const KNOWN_HEADER_KEYS: [&str; 4] = ["index", "routing", "allow_partial_search_results", "preference"];
-/// The whole body may be as long as so many documents, however many searches it may have.
+/// The whole body may be as long as this many of the longest documents, even where more searches are allowed.
 const MAX_BODY_DOCUMENTS: usize = 16;
 
 impl RequestParser<'_> {
--- a/crates/dunepond-settlement/src/counts.rs
+++ b/crates/dunepond-settlement/src/counts.rs
@@ -98,7 +98,8 @@
     }
 }
 
-/// Of a row. A merge can only raise it, and raises it whenever the row changes, so comparing heights detects a change.
+/// Measure of how much a row knows. A merge can only raise it, and raises it whenever the row changes, so comparing heights
+/// detects a change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Height {
     through: u64,
@@ -119,7 +120,7 @@
         CarriedCounts::default()
     }
 
-    /// `carrier` carried so many bytes for a tenant of `debtor`, as `broker` saw in its present incarnation.
+    /// Counts `bytes` that `carrier` carried for a tenant of `debtor`, as `broker` saw in this incarnation of its own.
     pub fn record(&mut self, broker: &str, incarnation: u64, carrier: &str, debtor: &str, bytes: u64) {
         if carrier == debtor || bytes == 0 {
             return;
--- a/crates/dunepond-settlement/src/planner/mod.rs
+++ b/crates/dunepond-settlement/src/planner/mod.rs
@@ -24,13 +24,14 @@
     rule: PlanningRule,
     rng: Pcg64Mcg,
     running: BTreeMap<String, Fill>,
-    /// Of complete fills, until the log has them: the debt looks open until then.
+    /// Settlements of complete fills, until the log has them: their debts look open until then, and must not be paid twice.
     unsettled: BTreeMap<String, Settlement>,
     recent: Vec<RecentFill>,
     /// Since when a partner waits for a fill.
     waiting_since: BTreeMap<String, f64>,
-    /// Of the round robin: bytes that each partner may still get, and whose turn it is.
+    /// For the round robin: bytes that each partner may still get.
     deficits: BTreeMap<String, f64>,
+    /// For the round robin: whose turn it is.
     next_partner: String,
 }
 
--- a/crates/dunepond-settlement/src/planner/round.rs
+++ b/crates/dunepond-settlement/src/planner/round.rs
@@ -1,4 +1,4 @@
-//! What one call of the planner has before it, and what it has chosen so far.
+//! Inputs of one call of the planner, and the fills that it has chosen so far.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -109,12 +109,12 @@
         }
     }
 
-    /// Whether sources of the partner are reserved for somebody.
+    /// Whether the sources of this partner are reserved for a partner that has waited too long.
     pub fn is_source_reserved(&self, from: &str) -> bool {
         self.reserved.iter().any(|pair| pair.from == from)
     }
 
-    /// Whether what may move between the two is reserved for somebody, in either direction.
+    /// Whether fills between the two, in either direction, are reserved for a partner that has waited too long.
     pub fn is_pair_reserved(&self, from: &str, to: &str) -> bool {
         let is_pair =
             |pair: &PartnerPair| (pair.from == from && pair.to == to) || (pair.from == to && pair.to == from);
--- a/crates/dunepond-settlement/src/promises.rs
+++ b/crates/dunepond-settlement/src/promises.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// The entry that splits what is owed and not split yet, if there is anything. Evenly, as nobody knows which broker will
+/// The entry that splits what is owed and not split yet, if there is anything. Evenly, as it is unknown which broker will
 /// be partitioned.
 pub fn allot_evenly(
     balances: &Balances,
--- a/crates/dunepond-settlement/src/replication.rs
+++ b/crates/dunepond-settlement/src/replication.rs
@@ -1,4 +1,4 @@
-//! Which counts a peer is sent: rows that changed since what it acknowledged, and all of them now and then.
+//! Which counts a peer is sent: rows that changed since the last ones that it acknowledged, and now and then all of them.
 //!
 //! A row is sent whole or not at all, and rows join, so that any of them may be lost, duplicated or late. The only mistake
 //! would be to leave out a row that the peer lacks. So the peer acknowledges in each message how far it has received ours,
@@ -11,7 +11,7 @@
 
 use crate::counts::{CarriedCounts, Height};
 
-/// One of so many messages is complete, whatever the peer acknowledged.
+/// Messages between two that have all rows, whatever the peer acknowledged: a fault in the bookkeeping heals by itself.
 const MESSAGES_PER_FULL_SYNC: u64 = 600;
 /// Peers whose position is remembered; beyond, all are forgotten and get everything again.
 const MAX_PEER_COUNT: usize = 10_000;
--- a/crates/dunepond-settlement/src/started_fills.rs
+++ b/crates/dunepond-settlement/src/started_fills.rs
@@ -6,14 +6,14 @@
 
 use crate::{Fill, Settlement};
 
-/// For so long, by the leaders' clocks, a fill is retained: twice the default window, as two leaders' clocks may differ.
+/// How long a fill is retained, by the leaders' clocks: twice the default window, as two leaders' clocks may differ.
 const RETENTION_SECONDS: u64 = 7200;
-/// Old fills are dropped once in so many parts of the retention.
+/// How often old fills are dropped within one retention.
 const SWEEPS_PER_RETENTION: u64 = 16;
 /// Upper limit of retained fills; the oldest are dropped first.
 const MAX_FILL_COUNT: usize = 16_384;
 
-/// A [`Fill`] as it stands in the log, entered before it starts.
+/// A [`Fill`] in the form that the log has it in. It is entered before the fill starts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StartedFill {
     /// Id of the fill.
@@ -105,7 +105,7 @@
         if median < oldest_retained {
             return Excess { before: oldest_retained, count_at: 0 };
         }
-        // Of the fills in the median second only so many are dropped that half remain.
+        // Many fills may have started in the median second: of these only enough are dropped to leave half of all.
         Excess { before: median, count_at: half - starts.partition_point(|at| *at < median) }
     }
 }
@@ -114,7 +114,7 @@
 struct Excess {
     /// All fills that started before this, in Unix seconds.
     before: u64,
-    /// Fills that started in just that second: so many of them.
+    /// How many of the fills that started in just that second.
     count_at: usize,
 }
 
--- a/crates/dunepond-simulation/src/fleet/lifecycle.rs
+++ b/crates/dunepond-simulation/src/fleet/lifecycle.rs
@@ -53,7 +53,7 @@
         self.brokers[n].paused_until = self.now + seconds;
     }
 
-    /// The broker's clock goes back by so many seconds.
+    /// Sets the broker's clock back.
     pub fn set_clock_back(&mut self, n: usize, seconds: f64) {
         let broker = &mut self.brokers[n];
         broker.clock_offset -= seconds;
--- a/crates/dunepond-simulation/src/fleet/network.rs
+++ b/crates/dunepond-simulation/src/fleet/network.rs
@@ -22,9 +22,9 @@
     pub duplicate_ratio: f64,
     /// Ratio of messages of which a copy arrives much later.
     pub late_copy_ratio: f64,
-    /// A message takes at least so long.
+    /// Shortest time that a message takes.
     pub min_delay_seconds: f64,
-    /// A message takes at most so long; one that was sent later may arrive earlier.
+    /// Longest time that a message takes; one that was sent later may arrive earlier.
     pub max_delay_seconds: f64,
 }
 
--- a/crates/dunepond-simulation/src/fleet/step.rs
+++ b/crates/dunepond-simulation/src/fleet/step.rs
@@ -11,7 +11,7 @@
 const MAX_RETAINED_REJECTIONS: usize = 1000;
 
 impl Fleet {
-    /// Steps until `is_done`, for so many seconds at most; says whether it is.
+    /// Steps until `is_done`, for `max_seconds` at most. Returns whether it is.
     pub fn run_until(&mut self, max_seconds: f64, is_done: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + max_seconds;
         while self.now < end {
@@ -23,7 +23,7 @@
         is_done(self)
     }
 
-    /// Steps for so many seconds.
+    /// Steps for this time.
     pub fn run_for(&mut self, seconds: f64) {
         self.run_until(seconds, |_| false);
     }
@@ -184,7 +184,8 @@
                 continue;
             };
             let config = client.active_config();
-            // Only this broker and only by this lease: what it does under a later one is checked again.
+            // Its lease lasts too long by a clock that went back unnoticed, which the configuration excludes. Under its next lease
+            // it is checked again.
             if broker.hidden_clock_jump.is_some_and(|clock| config.lease_started_at() < clock) {
                 continue;
             }
--- a/crates/dunepond-simulation/src/invariants.rs
+++ b/crates/dunepond-simulation/src/invariants.rs
@@ -14,7 +14,7 @@
     sent_by: usize,
 }
 
-/// The version that a broker acts on alone, twice; or the two of a joint phase.
+/// The two versions of a joint phase; twice the same where a broker acts on one version alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ActingVersions {
     from: u64,
@@ -61,14 +61,14 @@
     pub segments: &'a [u64],
     /// True seconds for which such a part may run.
     pub part_seconds: f64,
-    /// Seconds after the commit of a version within which nobody may act on the one before alone.
+    /// Seconds after the commit of a version after which no broker may act on the previous one alone.
     pub switch_bound_seconds: f64,
 }
 
 /// Checks a fleet while it runs. Times are true ones; brokers are named by index.
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// What each index of the log came to, by whoever applied it first.
+    /// Result of each entry of the log by index, as the first voter that applied it reported.
     outcomes: BTreeMap<u64, String>,
     /// Index of each settlement by its id.
     settled_index: BTreeMap<String, u64>,
@@ -158,8 +158,8 @@
         }
     }
 
-    /// From the switch bound after the next version was committed on, nobody acts on this one alone; withdrawn versions do
-    /// not count.
+    /// No broker acts on a version alone once the switch bound has passed since the next one was committed; withdrawn versions
+    /// do not count.
     fn check_alone(&mut self, number: u64, activity: &BrokerActivity<'_>) {
         let (now, broker) = (activity.now, activity.broker + 1);
         self.last_alone_at.insert(number, now);
--- a/crates/dunepond-simulation/src/scenario/config.rs
+++ b/crates/dunepond-simulation/src/scenario/config.rs
@@ -29,7 +29,7 @@
 }
 
 impl ScenarioConfig {
-    /// Of so many brokers, with the other numbers as in the experiment.
+    /// A fleet of this many brokers; the other numbers are those of the experiment `fleet-at-size`.
     pub fn with_brokers(broker_count: usize, seed: u64) -> Self {
         Self {
             broker_count,
--- a/crates/dunepond-simulation/src/scenario/faults.rs
+++ b/crates/dunepond-simulation/src/scenario/faults.rs
@@ -11,7 +11,7 @@
 const MAX_FAULT_SECONDS: f64 = 6.0;
 const MIN_FAULT_SECONDS: f64 = 0.2;
 const MIN_PAUSE_SECONDS: f64 = 0.05;
-/// Brokers of a mass crash are down for so long, at most.
+/// Longest that the brokers of a mass crash are down, in seconds.
 const MAX_MASS_CRASH_SECONDS: f64 = 3.0;
 /// Seconds over which crashed brokers come back.
 const RESTART_SPREAD_SECONDS: f64 = 1.0;
@@ -162,7 +162,7 @@
         self.schedule(seconds, ScheduledEvent::Heal);
     }
 
-    /// All at once; they come back after so long, one after the other.
+    /// Crashes all of them at once; they come back after `down_seconds`, one after the other.
     fn crash(&mut self, brokers: Vec<usize>, down_seconds: f64) {
         for n in brokers {
             self.fleet.kill(n);
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Back: the broker does not trust its clock any more in this run. Forward: leases are over sooner; not at a voter, as
-    /// its waits would be too short, which the limit on drift excludes.
+    /// Backwards: the broker does not trust its clock any more in this run. Forwards: its leases end sooner; this is not done to
+    /// a voter, whose waits would be too short: the configured drift promises that this does not happen.
     fn jump_clock(&mut self, n: usize) {
         let seconds = self.rng.random_range(MIN_CLOCK_JUMP_SECONDS..MAX_CLOCK_JUMP_SECONDS);
         let is_forward = n >= self.config.voter_count && self.rng.random::<bool>();
--- a/crates/dunepond-simulation/src/scenario/mod.rs
+++ b/crates/dunepond-simulation/src/scenario/mod.rs
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Steps until `is_done`, for so many seconds at most; says whether it is.
+    /// Steps until `is_done`, for `max_seconds` at most. Returns whether it is.
     pub fn run_until(&mut self, max_seconds: f64, is_done: impl Fn(&Fleet) -> bool) -> bool {
         let end = self.fleet.now + max_seconds;
         while self.fleet.now < end {
@@ -212,7 +212,7 @@
         is_done(&self.fleet)
     }
 
-    /// Steps for so many seconds.
+    /// Steps for this time.
     pub fn run_for(&mut self, seconds: f64) {
         self.run_until(seconds, |_| false);
     }
--- a/crates/dunepond-simulation/src/scenario/topology.rs
+++ b/crates/dunepond-simulation/src/scenario/topology.rs
@@ -11,7 +11,7 @@
 const MAX_CHANGED_SEGMENTS: usize = 4;
 /// Segments that are watched at each step.
 const WATCHED_SEGMENT_COUNT: u64 = 6;
-/// Versions change the first ones of the segments, so many times as are watched.
+/// Versions change only the first segments: this many times the number of watched ones, so that watched ones change often.
 const CHANGED_PER_WATCHED: u64 = 2;
 
 /// Nodes, their partners and segments.
