--- a/crates/dunepond-broker/src/body_store.rs
+++ b/crates/dunepond-broker/src/body_store.rs
@@ -26,7 +26,7 @@
 struct TrackedBody {
     body: Weak<Body>,
     query_class: usize,
-    place: Tier,
+    tier: Tier,
     /// It is being moved from memory to its file.
     is_spilling: bool,
     /// Its query waits until it is buffered.
@@ -43,7 +43,7 @@
 
 /// All bodies of streamed requests.
 pub struct BodyStore {
-    keeper: BufferManager,
+    manager: BufferManager,
     spool: Option<Spool>,
     tracked: HashMap<BodyId, TrackedBody>,
     dropped: DroppedBodies,
@@ -60,9 +60,9 @@
 
 impl BodyStore {
     /// No bodies yet; without `spool` no body goes to a file.
-    pub fn new(terms: BufferLimits, spool: Option<Spool>, query_classes: Vec<String>) -> Self {
+    pub fn new(limits: BufferLimits, spool: Option<Spool>, query_classes: Vec<String>) -> Self {
         Self {
-            keeper: BufferManager::new(terms),
+            manager: BufferManager::new(limits),
             spool,
             tracked: HashMap::new(),
             dropped: DroppedBodies::default(),
@@ -75,16 +75,16 @@
     }
 
     /// The bounds in force.
-    pub fn terms(&self) -> &BufferLimits {
-        self.keeper.limits()
+    pub fn limits(&self) -> &BufferLimits {
+        self.manager.limits()
     }
 
     /// Changes the bounds; those for files need the disk threads.
-    pub fn reconfigure(&mut self, mut terms: BufferLimits) {
+    pub fn reconfigure(&mut self, mut limits: BufferLimits) {
         if self.spool.is_none() {
-            terms.spill = None;
+            limits.spill = None;
         }
-        self.keeper.set_limits(terms);
+        self.manager.set_limits(limits);
     }
 
     /// Whether there are any bodies.
@@ -94,88 +94,88 @@
 
     /// Accepts a body that begins to arrive. One that is not buffered has its event at once; fails if it is rejected.
     pub fn accept(&mut self, now: f64, arrival: IncomingBody) -> Result<Rc<Body>, FallbackReason> {
-        let submitted = self.keeper.admit(now, arrival);
-        let Placement { id, tier: place, fallback_reason: why } =
-            submitted.inspect_err(|why| self.log_placement("rejected", arrival.query_class, *why))?;
-        let reserved = place == Tier::Memory && arrival.stated_length.is_some();
-        let limit = (!reserved).then_some(self.terms().window_bytes);
+        let submitted = self.manager.admit(now, arrival);
+        let Placement { id, tier, fallback_reason: reason } =
+            submitted.inspect_err(|reason| self.log_placement("rejected", arrival.query_class, *reason))?;
+        let reserved = tier == Tier::Memory && arrival.stated_length.is_some();
+        let limit = (!reserved).then_some(self.limits().window_bytes);
         let body = Body::new(id, arrival.stated_length, limit, &self.dropped);
         let tracked = TrackedBody {
             body: Rc::downgrade(&body),
             query_class: arrival.query_class,
-            place,
+            tier,
             is_spilling: false,
-            awaiting_client: place != Tier::PassThrough,
+            awaiting_client: tier != Tier::PassThrough,
             writing_bytes: 0,
             pending_reads: 0,
             io_pending_since: None,
             has_file: false,
         };
         self.tracked.insert(id, tracked);
-        if let Some(why) = why {
+        if let Some(reason) = reason {
             self.log_placement(
-                if place == Tier::File { "not in memory" } else { "not buffered" },
+                if tier == Tier::File { "not in memory" } else { "not buffered" },
                 arrival.query_class,
-                why,
+                reason,
             );
-            if place == Tier::PassThrough {
+            if tier == Tier::PassThrough {
                 body.set_pass_through();
-                self.events.push_back((id, BodyEvent::PassThrough(why)));
+                self.events.push_back((id, BodyEvent::PassThrough(reason)));
             }
         }
         Ok(body)
     }
 
     /// Logs a body that is not in the preferred place; the logger limits the rate of such lines.
-    fn log_placement(&self, what: &str, query_class: usize, why: FallbackReason) {
+    fn log_placement(&self, what: &str, query_class: usize, reason: FallbackReason) {
         let name = self.query_classes.get(query_class).map_or("?", String::as_str);
-        info!(table_type = name, reason = %why, "body {what}");
+        info!(table_type = name, reason = %reason, "body {what}");
     }
 
     /// More of a body has arrived, or something of it has been written: takes its next step.
     pub fn advance(&mut self, now: f64, id: BodyId) {
         let Some(tracked) = self.tracked.get_mut(&id) else { return };
         let Some(body) = tracked.body.upgrade() else { return };
-        if !body.has_known_length() && tracked.place != Tier::PassThrough && tracked.awaiting_client {
-            match self.keeper.grow(now, id, body.received_bytes()) {
-                Ok(place) if place != tracked.place => {
-                    tracked.place = place;
-                    body.set_memory_limit(self.keeper.limits().window_bytes);
+        if !body.has_known_length() && tracked.tier != Tier::PassThrough && tracked.awaiting_client {
+            match self.manager.grow(now, id, body.received_bytes()) {
+                Ok(tier) if tier != tracked.tier => {
+                    tracked.tier = tier;
+                    body.set_memory_limit(self.manager.limits().window_bytes);
                 }
                 // One block more than is reserved, or nothing would arrive that could grow the reservation.
                 Ok(Tier::Memory) => body.set_memory_limit(
-                    self.keeper.reserved_memory(id).max(body.received_bytes() + BLOCK_BYTES as u64),
+                    self.manager.reserved_memory(id).max(body.received_bytes() + BLOCK_BYTES as u64),
                 ),
                 Ok(_) => {}
-                Err(why) => {
+                Err(reason) => {
                     tracked.awaiting_client = false;
                     let query_class = tracked.query_class;
-                    self.log_placement("rejected", query_class, why);
-                    return self.events.push_back((id, BodyEvent::Lost(why)));
+                    self.log_placement("rejected", query_class, reason);
+                    return self.events.push_back((id, BodyEvent::Lost(reason)));
                 }
             }
         }
-        if (tracked.place == Tier::File || tracked.is_spilling) && !self.submit_writes(now, id, &body) {
+        if (tracked.tier == Tier::File || tracked.is_spilling) && !self.submit_writes(now, id, &body) {
             return;
         }
         let Some(tracked) = self.tracked.get_mut(&id) else { return };
         if tracked.awaiting_client
             && body.is_complete()
-            && (tracked.place == Tier::Memory || body.is_on_disk())
+            && (tracked.tier == Tier::Memory || body.is_on_disk())
         {
             tracked.awaiting_client = false;
-            self.keeper.complete(now, id);
+            self.manager.complete(now, id);
             self.events.push_back((id, BodyEvent::Buffered));
             self.spill_coldest(now);
         } else if tracked.is_spilling && body.is_on_disk() {
-            (tracked.is_spilling, tracked.place) = (false, Tier::File);
-            self.keeper.finish_spill(id);
+            (tracked.is_spilling, tracked.tier) = (false, Tier::File);
+            self.manager.finish_spill(id);
         }
     }
 
     /// Hands blocks to the disk threads, within the window; false if that has failed.
     fn submit_writes(&mut self, now: f64, id: BodyId, body: &Rc<Body>) -> bool {
-        let window = self.terms().window_bytes;
+        let window = self.limits().window_bytes;
         let (Some(spool), Some(tracked)) = (&self.spool, self.tracked.get_mut(&id)) else { return true };
         while tracked.writing_bytes < window
             && let Some((at, bytes)) = body.next_write()
@@ -200,7 +200,7 @@
 
     /// Under memory pressure the coldest bodies go to files.
     fn spill_coldest(&mut self, now: f64) {
-        for id in self.keeper.start_spills(now) {
+        for id in self.manager.start_spills(now) {
             if let Some(tracked) = self.tracked.get_mut(&id) {
                 tracked.is_spilling = true;
                 self.advance(now, id);
@@ -249,7 +249,7 @@
         }
         (tracked.writing_bytes, tracked.pending_reads, tracked.io_pending_since) = (0, 0, None);
         let query_class = tracked.query_class;
-        let outcome = self.keeper.on_disk_fault(now, id, fault);
+        let outcome = self.manager.on_disk_fault(now, id, fault);
         body.unsubmit_unwritten();
         // A body that cannot be read from its file is lost, wherever it would go next.
         match outcome.and_then(|to| {
@@ -259,17 +259,17 @@
                 tracked.is_spilling = false;
                 self.log_placement("stays in memory", query_class, FallbackReason::Disk(fault));
             }
-            Ok(place) => {
-                (tracked.place, tracked.awaiting_client) = (place, false);
+            Ok(tier) => {
+                (tracked.tier, tracked.awaiting_client) = (tier, false);
                 body.set_pass_through();
                 self.log_placement("not buffered", query_class, FallbackReason::Disk(fault));
                 self.events.push_back((id, BodyEvent::PassThrough(FallbackReason::Disk(fault))));
             }
-            Err(why) => {
-                (tracked.place, tracked.awaiting_client) = (Tier::PassThrough, false);
-                body.mark_lost(why);
-                self.log_placement("lost", query_class, why);
-                self.events.push_back((id, BodyEvent::Lost(why)));
+            Err(reason) => {
+                (tracked.tier, tracked.awaiting_client) = (Tier::PassThrough, false);
+                body.mark_lost(reason);
+                self.log_placement("lost", query_class, reason);
+                self.events.push_back((id, BodyEvent::Lost(reason)));
             }
         }
     }
@@ -279,7 +279,7 @@
         let Some(spool) = &self.spool else { return };
         for (id, tracked) in &mut self.tracked {
             let Some(body) = tracked.body.upgrade().filter(|body| body.has_pending_reads()) else { continue };
-            let window = self.keeper.limits().window_bytes.saturating_sub(body.unwritten_bytes());
+            let window = self.manager.limits().window_bytes.saturating_sub(body.unwritten_bytes());
             // With a full queue an operation is pending, after which this is called again.
             if !spool.has_room() {
                 return;
@@ -294,7 +294,7 @@
 
     /// Disk operations that are overdue count as failed.
     pub fn fail_overdue(&mut self, now: f64) {
-        let slowest = self.terms().io_timeout_seconds;
+        let slowest = self.limits().io_timeout_seconds;
         let late = self
             .tracked
             .iter()
@@ -309,7 +309,7 @@
     pub fn release_dropped(&mut self) -> Vec<BodyId> {
         let dropped = self.dropped.take();
         for &id in &dropped {
-            self.keeper.release(id);
+            self.manager.release(id);
             if let Some(tracked) = self.tracked.remove(&id)
                 && tracked.has_file
                 && let Some(spool) = &self.spool
@@ -322,31 +322,31 @@
 
     /// An attempt reads a body: it counts as recently used.
     pub fn mark_used(&mut self, now: f64, id: BodyId) {
-        self.keeper.touch(now, id);
+        self.manager.touch(now, id);
     }
 
     /// Records what else requests use of the memory, in bytes.
     pub fn record_other_memory(&mut self, buffers: u64, values: u64) {
-        self.keeper.set_other_usage(OtherUsage::Buffers, buffers);
-        self.keeper.set_other_usage(OtherUsage::NodeValues, values);
+        self.manager.set_other_usage(OtherUsage::Buffers, buffers);
+        self.manager.set_other_usage(OtherUsage::NodeValues, values);
         let waiting = self.spool.as_ref().map_or(0, Spool::pending_write_bytes);
         let counted =
             if waiting > 0 { self.tracked.values().map(|tracked| tracked.writing_bytes).sum() } else { 0 };
-        self.keeper.set_other_usage(OtherUsage::PendingWrites, waiting.saturating_sub(counted));
+        self.manager.set_other_usage(OtherUsage::PendingWrites, waiting.saturating_sub(counted));
     }
 
     /// Logs counters: what is held, and how often a body was not buffered, by place, reason and query class.
     pub fn log_counters(&self, copied: u64) {
-        let holding = self.keeper.usage();
+        let holding = self.manager.usage();
         let counts =
-            self.keeper.fallback_counts().map(|FallbackCount { tier, reason, query_class, count }| {
+            self.manager.fallback_counts().map(|FallbackCount { tier, reason, query_class, count }| {
                 let name = self.query_classes.get(query_class).map_or("?", String::as_str);
-                let place = match tier {
+                let tier = match tier {
                     Tier::Memory => "memory",
                     Tier::File => "file",
                     Tier::PassThrough => "taken",
                 };
-                format!("not {place}, {name}, {reason}: {count}")
+                format!("not {tier}, {name}, {reason}: {count}")
             });
         let counts = counts.collect::<Vec<_>>().join("; ");
         info!(
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -117,7 +117,7 @@
     connections: Slab<ClientConnection>,
     max_connections: usize,
     max_buffers: usize,
-    bounds: Rc<HostSettings>,
+    settings: Rc<HostSettings>,
     /// For the clients' port and for the search API's port; their connections are bounded together.
     listeners: Vec<Listener>,
     accepting_paused: bool,
@@ -153,24 +153,24 @@
 }
 
 impl Downstream {
-    /// No connections yet; `most` bounds them, `max_buffers` bounds the read buffers in use.
+    /// No connections yet; `max_connections` bounds them, `max_buffers` bounds the read buffers in use.
     ///
     /// Fails where the event loop cannot watch the listener.
     pub fn new(
         handle: EventLoopHandle,
         pool: &Pool,
-        bounds: Rc<HostSettings>,
-        most: usize,
+        settings: Rc<HostSettings>,
+        max_connections: usize,
         max_buffers: usize,
         listener: TcpListener,
     ) -> calloop::Result<Self> {
-        let mut connections = Self {
+        let mut downstream = Self {
             handle,
             pool: pool.clone(),
             connections: Slab::new(),
-            max_connections: most,
+            max_connections,
             max_buffers,
-            bounds,
+            settings,
             listeners: Vec::new(),
             accepting_paused: false,
             search_api: None,
@@ -189,8 +189,8 @@
             close_when_idle: false,
             shutdown_deadline: f64::MAX,
         };
-        connections.add_listener(listener, false)?;
-        Ok(connections)
+        downstream.add_listener(listener, false)?;
+        Ok(downstream)
     }
 
     /// How many connections are open.
--- a/crates/dunepond-broker/src/downstream/response.rs
+++ b/crates/dunepond-broker/src/downstream/response.rs
@@ -63,7 +63,7 @@
 
     /// Longest that a client may take to read a response, once writing has begun.
     pub(super) fn max_delivery_seconds(&self) -> f64 {
-        self.bounds.longest_query_seconds + DELIVERY_GRACE_SECONDS
+        self.settings.longest_query_seconds + DELIVERY_GRACE_SECONDS
     }
 
     /// Whether another request, or a part of one, has arrived.
--- a/crates/dunepond-broker/src/downstream/validation.rs
+++ b/crates/dunepond-broker/src/downstream/validation.rs
@@ -39,8 +39,8 @@
         let segments = body.get("buckets").and_then(Value::as_array).filter(|b| !b.is_empty());
         let segments = segments.ok_or_else(|| HttpError::new(400, "buckets: not a list of parts"))?;
         let of = |b: &Value| (b.get("bucket").and_then(Value::as_u64), b.get("part").and_then(Value::as_f64));
-        let parts = parts(segments.iter().map(of), "buckets", &self.bounds)?;
-        query_request(head, query_class, received_at, parts, Payload::Inline(text.into()), &self.bounds)
+        let parts = parts(segments.iter().map(of), "buckets", &self.settings)?;
+        query_request(head, query_class, received_at, parts, Payload::Inline(text.into()), &self.settings)
             .map(Some)
     }
 
@@ -48,7 +48,7 @@
     fn query_class_in_path(&self, head: &Head) -> Result<usize, HttpError> {
         let path = head.path.split('?').next().unwrap_or_default();
         let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
-        let index = |name: &str| self.bounds.query_classes.iter().position(|t| t == name);
+        let index = |name: &str| self.settings.query_classes.iter().position(|t| t == name);
         let query_class = index(first).ok_or_else(|| HttpError::new(404, "path: nothing is served here"))?;
         if head.method != "POST" {
             return Err(HttpError::new(405, "path: only POST"));
@@ -69,8 +69,8 @@
             }
             _ => (None, None),
         };
-        let parts = parts(head.segments.split(',').map(of), "X-Buckets", &self.bounds)?;
-        query_request(head, query_class, received_at, parts, Payload::Released, &self.bounds)
+        let parts = parts(head.segments.split(',').map(of), "X-Buckets", &self.settings)?;
+        query_request(head, query_class, received_at, parts, Payload::Released, &self.settings)
     }
 }
 
@@ -78,13 +78,13 @@
 fn parts(
     entries: impl Iterator<Item = (Option<u64>, Option<f64>)>,
     from: &str,
-    bounds: &HostSettings,
+    settings: &HostSettings,
 ) -> Result<Vec<Part>, HttpError> {
     let bad = |field: &str, why: &str| HttpError::new(400, format!("{from}{field}: {why}"));
     let (bucket, share) = if from == "buckets" { (".bucket", ".part") } else { ("", "") };
     let (mut parts, mut seen) = (Vec::with_capacity(entries.size_hint().0), BTreeSet::new());
     for (segment, weight) in entries {
-        let segment = segment.filter(|segment| *segment < bounds.segment_count as u64);
+        let segment = segment.filter(|segment| *segment < settings.segment_count as u64);
         let segment = segment.ok_or_else(|| bad(bucket, "no such shard"))? as usize;
         if !seen.insert(segment) {
             return Err(bad(bucket, &format!("{segment} is named twice")));
@@ -108,7 +108,7 @@
     received_at: f64,
     parts: Vec<Part>,
     text: Payload,
-    bounds: &HostSettings,
+    settings: &HostSettings,
 ) -> Result<QueryRequest, HttpError> {
     let bad = |why: &str| HttpError::new(400, why);
     let id = &head.request_id;
@@ -123,11 +123,11 @@
         return Err(bad("X-Budget: spent"));
     }
     // An unlisted tenant has the index behind the listed ones.
-    let tenant = bounds.tenants.iter().position(|c| *c == head.tenant);
+    let tenant = settings.tenants.iter().position(|c| *c == head.tenant);
     Ok(QueryRequest {
         request_id: id.clone(),
         query_class,
-        tenant: tenant.unwrap_or(bounds.tenants.len()),
+        tenant: tenant.unwrap_or(settings.tenants.len()),
         deadline: received_at + time_budget,
         is_retry: head.is_retry,
         parts,
--- a/crates/dunepond-broker/src/prefilter_connections.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -49,7 +49,7 @@
     connections: Slab<PrefilterConnection>,
     by_node: HashMap<NodeId, usize>,
     max_connections: usize,
-    bounds: Rc<HostSettings>,
+    settings: Rc<HostSettings>,
     /// Answers, and why requests have none, not yet reported to the prefilter.
     pub responses: VecDeque<(u64, Result<PrefilterAnswers, RequestFailure>)>,
 }
@@ -59,12 +59,12 @@
     pub fn new(
         handle: EventLoopHandle,
         pool: &Pool,
-        bounds: Rc<HostSettings>,
+        settings: Rc<HostSettings>,
         max_connections: usize,
     ) -> Self {
         let (pool, connections, by_node, responses) =
             (pool.clone(), Slab::new(), HashMap::new(), VecDeque::new());
-        Self { handle, pool, connections, by_node, max_connections, bounds, responses }
+        Self { handle, pool, connections, by_node, max_connections, settings, responses }
     }
 
     /// Sends the frame of a request to a node at its address. A failure is reported among the answers.
@@ -117,7 +117,7 @@
         let token = watch(&self.handle, &stream, move |readable| LoopEvent::PrefilterReady(id, readable));
         let token = token.map_err(|_| ConnectionEnd::LocalResources)?;
         let timer = Some(
-            timers.schedule(now + self.bounds.connect_timeout_seconds, TimerEvent::PrefilterConnection(id)),
+            timers.schedule(now + self.settings.connect_timeout_seconds, TimerEvent::PrefilterConnection(id)),
         );
         entry.insert(PrefilterConnection {
             node,
@@ -187,7 +187,7 @@
         timers.cancel(connection.timer.take());
         let until = match connection.outstanding.front() {
             Some((_, at)) => at + ANSWER_TIMEOUT_SECONDS,
-            None => now + IDLE_CLOSE_RATIO * self.bounds.idle_timeout_seconds,
+            None => now + IDLE_CLOSE_RATIO * self.settings.idle_timeout_seconds,
         };
         connection.timer = Some(timers.schedule(until, TimerEvent::PrefilterConnection(id)));
     }
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -23,7 +23,7 @@
                 if !bodies.check_scheduled {
                     bodies.check_scheduled = true;
                     self.timers
-                        .schedule(self.now + bodies.terms().io_timeout_seconds / 4.0, TimerEvent::BodyCheck);
+                        .schedule(self.now + bodies.limits().io_timeout_seconds / 4.0, TimerEvent::BodyCheck);
                 }
                 self.uploads.insert(body.id, client);
                 // A client's deadline is capped by the query class's timeout.
@@ -122,7 +122,7 @@
     pub fn check_bodies(&mut self) {
         let Some(bodies) = &mut self.body_store else { return };
         bodies.fail_overdue(self.now);
-        let io_timeout = bodies.terms().io_timeout_seconds;
+        let io_timeout = bodies.limits().io_timeout_seconds;
         self.upstream.close_slow_consumers(self.now, io_timeout, &mut self.timers);
         bodies.record_other_memory(self.pool.allocated_bytes(), self.value_bytes);
         bodies.check_scheduled = bodies.is_tracking_any();
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -22,7 +22,7 @@
 pub struct SearchApi {
     /// Bounds on requests.
     pub limits: RequestLimits,
-    bounds: Rc<HostSettings>,
+    settings: Rc<HostSettings>,
     query_classes: Vec<QueryClass>,
 }
 
@@ -51,13 +51,13 @@
 }
 
 impl SearchApi {
-    /// The API for these query classes and bounds.
-    pub fn new(limits: RequestLimits, bounds: Rc<HostSettings>, site: &Deployment) -> Self {
+    /// The API for the query classes of a deployment.
+    pub fn new(limits: RequestLimits, settings: Rc<HostSettings>, site: &Deployment) -> Self {
         let types = site.query_classes.iter().map(|class| QueryClass {
             is_update: class.idempotency == Idempotency::NonIdempotent,
             timeout: class.timeout,
         });
-        Self { limits, bounds, query_classes: types.collect() }
+        Self { limits, settings, query_classes: types.collect() }
     }
 
     /// Parses a request whose first byte arrived at `received_at`. Non-idempotent query classes are updated and not searched, all
@@ -68,13 +68,13 @@
         body: &[u8],
         received_at: f64,
     ) -> Result<SearchRequest, ApiError> {
-        let call = parse(&head.method, &head.path, body, &self.bounds.query_classes, &self.limits)?;
+        let call = parse(&head.method, &head.path, body, &self.settings.query_classes, &self.limits)?;
         let call = self.check_use(call)?;
-        let tenant = self.bounds.tenants.iter().position(|c| *c == head.tenant);
+        let tenant = self.settings.tenants.iter().position(|c| *c == head.tenant);
         let is_plain = head.request_id.bytes().all(|b| b.is_ascii_graphic());
         Ok(SearchRequest {
             call,
-            tenant: tenant.unwrap_or(self.bounds.tenants.len()),
+            tenant: tenant.unwrap_or(self.settings.tenants.len()),
             is_retry: head.is_retry,
             request_id: if is_plain {
                 head.request_id.chars().take(MAX_REQUEST_ID_CHARS).collect()
@@ -129,7 +129,7 @@
 
     /// The name of an index, which is a query class.
     pub fn index_name(&self, index: usize) -> &str {
-        &self.bounds.query_classes[index]
+        &self.settings.query_classes[index]
     }
 
     /// The query of a search. Its parts have the same weight: the API does not say which segment holds more.
@@ -139,7 +139,7 @@
         request: &SearchRequest,
         request_id: String,
     ) -> QueryRequest {
-        let segments = routing::segments_of(&search.routing, self.bounds.segment_count);
+        let segments = routing::segments_of(&search.routing, self.settings.segment_count);
         let weight = 1.0 / segments.len().max(1) as f64;
         let limits_seconds =
             [search.timeout_seconds, request.time_budget, Some(self.query_classes[search.index].timeout)];
--- a/crates/dunepond-broker/src/upstream/connection.rs
+++ b/crates/dunepond-broker/src/upstream/connection.rs
@@ -70,8 +70,10 @@
             since: now,
             retired: false,
             timer: Some(
-                timers
-                    .schedule(now + self.bounds.connect_timeout_seconds, TimerEvent::UpstreamConnection(id)),
+                timers.schedule(
+                    now + self.settings.connect_timeout_seconds,
+                    TimerEvent::UpstreamConnection(id),
+                ),
             ),
             input: None,
             output: WriteQueue::new(&self.pool),
@@ -130,13 +132,13 @@
             return;
         };
         // A node may still work on cancelled attempts until it reports their end.
-        let no_room = connection.cancelled.len() >= self.bounds.max_parts_per_connection;
+        let no_room = connection.cancelled.len() >= self.settings.max_parts_per_connection;
         if connection.retired || connection.input.is_some() || no_room {
             return self.close(now, id, ConnectionEnd::IdleClosed, timers);
         }
         if connection.timer.is_none() {
             let key = timers.schedule(
-                now + IDLE_CLOSE_RATIO * self.bounds.idle_timeout_seconds,
+                now + IDLE_CLOSE_RATIO * self.settings.idle_timeout_seconds,
                 TimerEvent::UpstreamConnection(id),
             );
             connection.timer = Some(key);
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -136,7 +136,7 @@
     max_connections: usize,
     /// Connections without attempts, by the timer that will close them: the first has been idle the longest.
     idle: BTreeMap<TimerKey, usize>,
-    bounds: Rc<HostSettings>,
+    settings: Rc<HostSettings>,
     /// Nodes with attempts that are not assigned to a connection.
     nodes_to_flush: Vec<NodeId>,
     /// Batches that found no descriptor for a connection, until one is freed or none can be.
@@ -256,36 +256,32 @@
 }
 
 impl Upstream {
-    /// No nodes yet; `most_links` bounds the connections.
+    /// No nodes yet; `max_connections` bounds the connections.
     pub fn new(
         handle: EventLoopHandle,
         pool: &Pool,
-        bounds: Rc<HostSettings>,
+        settings: Rc<HostSettings>,
         max_connections: usize,
     ) -> Self {
-        let (pool, connections, idle) = (pool.clone(), Slab::new(), BTreeMap::new());
-        let (nodes, nodes_to_flush, removed_nodes, completed) =
-            (Vec::new(), Vec::new(), Vec::new(), VecDeque::new());
-        let (awaiting_body, body_progress, copied_bytes) = (Vec::new(), HashMap::new(), 0);
         Self {
             handle,
-            pool,
-            nodes,
-            connections,
+            pool: pool.clone(),
+            nodes: Vec::new(),
+            connections: Slab::new(),
             max_connections,
-            idle,
-            bounds,
-            nodes_to_flush,
+            idle: BTreeMap::new(),
+            settings,
+            nodes_to_flush: Vec::new(),
             awaiting_descriptor: Vec::new(),
-            removed_nodes,
+            removed_nodes: Vec::new(),
             gate: None,
             search_api: None,
-            awaiting_body,
-            body_progress,
+            awaiting_body: Vec::new(),
+            body_progress: HashMap::new(),
             changed_nodes: Vec::new(),
             written_bodies: VecDeque::new(),
-            copied_bytes,
-            completed,
+            copied_bytes: 0,
+            completed: VecDeque::new(),
         }
     }
 
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -21,7 +21,7 @@
                 // A streamed body goes alone on a connection of its own; so does each attempt of the search API.
                 if requests[0].payload.body().is_none() && !api {
                     while requests.len()
-                        < self.bounds.max_parts_per_call.min(self.bounds.max_parts_per_connection)
+                        < self.settings.max_parts_per_call.min(self.settings.max_parts_per_connection)
                         && let Some(next) = unframed.next_if(|p| p.payload.body().is_none())
                     {
                         requests.push(next);
@@ -99,7 +99,7 @@
     /// A connection that can carry these attempts as one batch.
     fn find_connection(&self, now: f64, node: NodeId, requests: &[AttemptRequest]) -> Option<usize> {
         // Attempts beyond this number would wait unread at the node, and their cancel frames behind them.
-        let (most, api) = (self.bounds.max_parts_per_connection, self.uses_search_api(node));
+        let (most, api) = (self.settings.max_parts_per_connection, self.uses_search_api(node));
         let alone = api || requests[0].payload.body().is_some();
         let room = |l: &NodeConnection| {
             let free = if alone { l.outstanding.is_empty() } else { !l.is_reserved_for_body() };
@@ -154,7 +154,7 @@
         let host = self.nodes[connection.node].name();
         let search_api =
             self.search_api.as_ref().filter(|_| connection.uses_search_api).map(|api| SearchApiFraming {
-                indices: &self.bounds.query_classes,
+                indices: &self.settings.query_classes,
                 non_idempotent: &api.non_idempotent,
                 host,
             });
--- a/crates/dunepond-broker/src/upstream/response.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -76,7 +76,7 @@
                         return self.close(now, id, ConnectionEnd::ProtocolError, timers);
                     } else if connection.timer.is_none() {
                         // The rest of a frame may never arrive: it has as long as establishing a connection.
-                        let until = now + self.bounds.connect_timeout_seconds;
+                        let until = now + self.settings.connect_timeout_seconds;
                         connection.timer = Some(timers.schedule(until, TimerEvent::UpstreamConnection(id)));
                     }
                     return;
@@ -140,7 +140,7 @@
         message: &Message,
     ) -> (AttemptOutcome, Option<String>) {
         let expected = ExpectedResult {
-            index: &self.bounds.query_classes[query_class],
+            index: &self.settings.query_classes[query_class],
             // Only the search API front end knows the limits in the payload, and checks the value against them.
             max_hits: usize::MAX,
             sort_keys: None,
