--- a/crates/dunepond-broker/src/downstream/accept.rs
+++ b/crates/dunepond-broker/src/downstream/accept.rs
@@ -14,7 +14,7 @@
 use crate::buffers::WriteQueue;
 use crate::clock::{TimerEvent, Timers};
 use crate::connection_end::ConnectionEnd;
-use crate::iteration::{LoopEvent, watch};
+use crate::iteration::{LoopEvent, Port, watch};
 
 /// Connections accepted before other events are handled: keeps an iteration short against the 50 ms by which any time
 /// limit may be exceeded.
@@ -35,29 +35,29 @@
 }
 
 impl Downstream {
-    /// Accepts connections at one more listener; `api` marks the one of the search API.
+    /// Accepts connections at one more listener.
     ///
     /// Fails where the event loop cannot watch the listener.
-    pub fn add_listener(&mut self, listener: TcpListener, api: bool) -> calloop::Result<()> {
+    pub fn add_listener(&mut self, listener: TcpListener, port: Port) -> calloop::Result<()> {
         let listener = Rc::new(listener);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
         let token = self.handle.insert_source(source, move |_, _, turn| {
-            turn.events.push_back(LoopEvent::Accept(api));
+            turn.events.push_back(LoopEvent::Accept(port));
             Ok(PostAction::Continue)
         });
         self.listeners.push(Listener {
             listener,
             token: token.map_err(|e| e.error)?,
-            is_search_api: api,
+            port,
             paused_since: None,
         });
         Ok(())
     }
 
     /// Accepts some of the connections in the backlog; true if there may be more.
-    pub fn accept(&mut self, now: f64, api: bool, timers: &mut Timers) -> bool {
+    pub fn accept(&mut self, now: f64, port: Port, timers: &mut Timers) -> bool {
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
-            let Some(at) = self.listeners.iter().position(|entry| entry.is_search_api == api) else {
+            let Some(at) = self.listeners.iter().position(|entry| entry.port == port) else {
                 return false;
             };
             let full = self.connections.len() >= self.max_connections;
@@ -73,7 +73,7 @@
                     // Not before accept(): the backlog may be empty.
                     candidate.map(|id| self.close(id, ConnectionEnd::IdleClosed, timers));
                     let paused_since = self.listeners[at].paused_since;
-                    match self.register(now, stream, api, paused_since, timers) {
+                    match self.register(now, stream, port, paused_since, timers) {
                         Ok(id) => self.pending_clients.push(id),
                         Err(e) => warn!("client {peer}: not accepted: {e}"),
                     }
@@ -105,7 +105,7 @@
         &mut self,
         now: f64,
         stream: TcpStream,
-        api: bool,
+        port: Port,
         paused_since: Option<f64>,
         timers: &mut Timers,
     ) -> calloop::Result<usize> {
@@ -119,7 +119,7 @@
         let token = watch(&self.handle, &stream, move |readable| LoopEvent::ClientReady(id, readable));
         entry.insert(ClientConnection {
             stream,
-            is_search_api: api,
+            port,
             token: token?,
             input: None,
             read_ahead: VecDeque::new(),
--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -13,6 +13,7 @@
 use super::{ClientConnection, Downstream, RequestPhase};
 use crate::clock::{TimerKey, Timers};
 use crate::connection_end::ConnectionEnd;
+use crate::iteration::Port;
 
 /// A connection without a request for so long is evicted before idle ones, which have sent a request before. Some round
 /// trips: guards a new client against eviction before its first request has arrived.
@@ -43,8 +44,8 @@
     /// it: closing a listener resets the connections in its backlog.
     pub fn close_listeners(&mut self, now: f64, timers: &mut Timers) -> bool {
         self.resume_accepting();
-        for api in [false, true] {
-            while self.accept(now, api, timers) {}
+        for port in Port::ALL {
+            while self.accept(now, port, timers) {}
         }
         if self.accepting_paused {
             return false;
--- a/crates/dunepond-broker/src/downstream/decode.rs
+++ b/crates/dunepond-broker/src/downstream/decode.rs
@@ -7,6 +7,7 @@
 use crate::buffers::BUFFER_BYTES;
 use crate::clock::Timers;
 use crate::http::{self, Head, HttpError, Message};
+use crate::iteration::Port;
 use crate::search_api::{self, SearchApi};
 
 /// The response that lets a client send the body that it holds back.
@@ -93,7 +94,7 @@
             }
             Err(error) => return Parsed::Request(Err(error)),
         };
-        if self.accepts_streamed && !head.segments.is_empty() && !client.is_search_api {
+        if self.accepts_streamed && !head.segments.is_empty() && client.port == Port::Queries {
             return self.begin_streamed_request(now, id, head, timers);
         }
         if head.declared_length().is_some_and(|length| length > BUFFER_BYTES as u64) {
@@ -168,7 +169,7 @@
         let client = &mut self.connections[id];
         // After a malformed request it is unknown where the next one begins.
         client.keep_alive &= outcome.is_ok();
-        let is_search_api = client.is_search_api;
+        let is_search_api = client.port == Port::SearchApi;
         match self.search_api.clone().filter(|_| is_search_api) {
             Some(api) => self.finish_search_request(now, id, &api, outcome, timers),
             None => self.finish_query_request(now, id, outcome, timers),
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -29,7 +29,7 @@
 use crate::clock::TimerKey;
 use crate::connection_end::ConnectionEnd;
 use crate::http::{Head, Message};
-use crate::iteration::EventLoopHandle;
+use crate::iteration::{EventLoopHandle, Port};
 use crate::query_request::QueryRequest;
 use crate::search_api::{self, SearchRequest};
 pub use accept::listen;
@@ -74,8 +74,8 @@
 
 struct ClientConnection {
     stream: Rc<TcpStream>,
-    /// It was accepted at the listener of the search API.
-    is_search_api: bool,
+    /// Where it was accepted.
+    port: Port,
     token: RegistrationToken,
     input: Option<Buffer>,
     /// What was read ahead while `input` was full, in order.
@@ -104,8 +104,7 @@
 struct Listener {
     listener: Rc<TcpListener>,
     token: RegistrationToken,
-    /// It is the one of the search API.
-    is_search_api: bool,
+    port: Port,
     /// Since when accepting has been paused; `None` once the backlog of that pause has been accepted.
     paused_since: Option<f64>,
 }
@@ -189,7 +188,7 @@
             close_when_idle: false,
             shutdown_deadline: f64::MAX,
         };
-        downstream.add_listener(listener, false)?;
+        downstream.add_listener(listener, Port::Queries)?;
         Ok(downstream)
     }
 
--- a/crates/dunepond-broker/src/downstream/timeouts.rs
+++ b/crates/dunepond-broker/src/downstream/timeouts.rs
@@ -7,6 +7,7 @@
 use crate::clock::{TimerEvent, TimerKey, Timers};
 use crate::connection_end::ConnectionEnd;
 use crate::http::HttpError;
+use crate::iteration::Port;
 use crate::search_api;
 
 /// Longest that a client may take to send a request, from its connection on or from the first byte of a later request.
@@ -59,7 +60,7 @@
         }
         client.keep_alive = false;
         let reason = HttpError::new(408, "request: not whole in time");
-        let body = if client.is_search_api {
+        let body = if client.port == Port::SearchApi {
             search_api::error_response(&reason).body().to_string()
         } else {
             error_body(&reason.reason)
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -21,7 +21,7 @@
 use crate::clock::Clock;
 use crate::config_reload::ConfigReloader;
 use crate::discovery::{DiscoveryClient, EndpointUpdate};
-use crate::iteration::LoopEvent;
+use crate::iteration::{LoopEvent, Port};
 use crate::persistence::Persistence;
 use crate::prefilter::PrefilterHost;
 use crate::router::RouterHost;
@@ -81,7 +81,7 @@
     /// Handles one event.
     fn handle_event(&mut self, event: LoopEvent) {
         match event {
-            LoopEvent::Accept(api) => self.accept(api),
+            LoopEvent::Accept(port) => self.accept(port),
             LoopEvent::ClientReady(id, readable) => self.client_ready(id, readable),
             LoopEvent::UpstreamReady(id, readable) => self.upstream_ready(id, readable),
             LoopEvent::PrefilterReady(id, readable) => self.prefilter_ready(id, readable),
@@ -98,17 +98,17 @@
         }
     }
 
-    fn accept(&mut self, api: bool) {
+    fn accept(&mut self, port: Port) {
         let now = self.tick();
-        self.router_host.downstream.accept(now, api, &mut self.router_host.timers);
+        self.router_host.downstream.accept(now, port, &mut self.router_host.timers);
         self.process_pending();
     }
 
     /// Accepts the backlog of the listeners after a pause, all at once, so that it is distinct from later connections.
     fn accept_backlog(&mut self) {
         self.router_host.downstream.resume_accepting();
-        for api in [false, true] {
-            self.router_host.downstream.accept(self.router_host.now, api, &mut self.router_host.timers);
+        for port in Port::ALL {
+            self.router_host.downstream.accept(self.router_host.now, port, &mut self.router_host.timers);
         }
     }
 
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -27,7 +27,7 @@
 use crate::control_plane::ControlPlaneClient;
 use crate::discovery::DiscoveryClient;
 use crate::downstream::Downstream;
-use crate::iteration::{EventLoopHandle, LoopEvent, event_channel};
+use crate::iteration::{EventLoopHandle, LoopEvent, Port, event_channel};
 use crate::persistence::Persistence;
 use crate::prefilter::PrefilterHost;
 use crate::prefilter_connections::PrefilterConnections;
@@ -227,7 +227,7 @@
     let listener =
         listen_with_retry("search: listen", config.listen_address).map_err(|e| failed_to_listen(&e))?;
     let address = listener.local_addr().map_err(|e| failed_to_listen(&e))?;
-    router_host.downstream.add_listener(listener, true).map_err(|e| failed_to_listen(&e))?;
+    router_host.downstream.add_listener(listener, Port::SearchApi).map_err(|e| failed_to_listen(&e))?;
     router_host.downstream.search_api =
         Some(Rc::new(SearchApi::new(config.limits.clone(), bounds, deployment)));
     info!("the API listening at {address}");
--- a/crates/dunepond-broker/src/iteration.rs
+++ b/crates/dunepond-broker/src/iteration.rs
@@ -13,11 +13,25 @@
 
 use crate::config_reload::LoadedConfig;
 
+/// A port that clients connect to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Port {
+    /// For queries in the broker's own form.
+    Queries,
+    /// For the search API.
+    SearchApi,
+}
+
+impl Port {
+    /// Both ports.
+    pub const ALL: [Self; 2] = [Self::Queries, Self::SearchApi];
+}
+
 /// An event of the loop. The flag of a ready connection tells whether it can be read. An index may have been reused within the
 /// iteration; the other connection then reads once in vain.
 pub enum LoopEvent {
-    /// Connections wait at the listener for clients or, if `true`, at the search API's.
-    Accept(bool),
+    /// Connections wait to be accepted at this port.
+    Accept(Port),
     /// A client connection, by its index.
     ClientReady(usize, bool),
     /// A connection to a node, by its index.
--- a/crates/dunepond-broker/tests/closing.rs
+++ b/crates/dunepond-broker/tests/closing.rs
@@ -10,7 +10,7 @@
 use dunepond_broker::buffers::Pool;
 use dunepond_broker::clock::{TimerEvent, Timers};
 use dunepond_broker::downstream::{ClientEvent, Downstream, listen};
-use dunepond_broker::iteration::{Iteration, LoopEvent};
+use dunepond_broker::iteration::{Iteration, LoopEvent, Port};
 use dunepond_config::{Fields, host_settings};
 use dunepond_testkit::stand_ins::{Client, query_request, settings};
 use rstest::rstest;
@@ -62,7 +62,7 @@
         let client = Client::connect_to(self.address);
         let mut turn = Iteration::default();
         self.event_loop.dispatch(Duration::from_secs(5), &mut turn).unwrap();
-        self.clients.accept(self.now, false, &mut self.timers);
+        self.clients.accept(self.now, Port::Queries, &mut self.timers);
         (client, self.clients.pending_clients.pop().unwrap())
     }
 
@@ -74,7 +74,7 @@
         socket.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         let mut turn = Iteration::default();
         self.event_loop.dispatch(Duration::from_secs(5), &mut turn).unwrap();
-        self.clients.accept(self.now, false, &mut self.timers);
+        self.clients.accept(self.now, Port::Queries, &mut self.timers);
         (Client::from_stream(socket.into()), self.clients.pending_clients.pop().unwrap())
     }
 
--- a/crates/dunepond-broker/tests/hangup.rs
+++ b/crates/dunepond-broker/tests/hangup.rs
@@ -8,7 +8,7 @@
 use dunepond_broker::buffers::Pool;
 use dunepond_broker::clock::Timers;
 use dunepond_broker::downstream::{ClientEvent, Downstream, listen};
-use dunepond_broker::iteration::{Iteration, LoopEvent};
+use dunepond_broker::iteration::{Iteration, LoopEvent, Port};
 use dunepond_config::{Fields, host_settings};
 use dunepond_testkit::stand_ins::{Client, query_request, settings};
 
@@ -41,7 +41,7 @@
         let mut clients =
             Downstream::new(event_loop.handle(), &Pool::default(), bounds, most, 64, listener).unwrap();
         event_loop.dispatch(PATIENCE, &mut Iteration::default()).unwrap();
-        clients.accept(at, false, &mut timers);
+        clients.accept(at, Port::Queries, &mut timers);
         let id = clients.pending_clients.pop().unwrap();
         let mut harness = Self { event_loop, clients, timers, address, client, id };
         harness.send(&query_request("find", "c1", &[1], "2.0"));
@@ -115,14 +115,14 @@
     let mut waits = Client::connect_to(harness.address);
     waits.send(&query_request("find", "c2", &[1], "2.0"));
     assert!(
-        !harness.clients.accept(100.1, false, &mut harness.timers)
+        !harness.clients.accept(100.1, Port::Queries, &mut harness.timers)
             && harness.clients.pending_clients.is_empty()
     );
     waits.stream.shutdown(Shutdown::Both).unwrap();
     harness.clients.reply(100.2, harness.id, 200, "{}", 0.0, &mut harness.timers);
     harness.clients.pending_clients.clear();
     harness.clients.resume_accepting();
-    harness.clients.accept(100.2, false, &mut harness.timers);
+    harness.clients.accept(100.2, Port::Queries, &mut harness.timers);
     let id = harness.clients.pending_clients.pop().unwrap();
     assert!(matches!(harness.clients.next_event(100.2, id, &mut harness.timers), ClientEvent::Nothing));
     assert_eq!(
