--- a/crates/dunepond-testkit/src/experiments/consensus.rs
+++ b/crates/dunepond-testkit/src/experiments/consensus.rs
@@ -59,7 +59,7 @@
     // Fixes of what moves are refused in the joint step, cut or not.
     let next = fleet.config_version(2 + rounds, &[0], &[]);
     fleet.propose(majority[0], &next);
-    let joint = |i: &usize| matches!(fleet.phase(*i), Some((AuditPhase::Joint, ..)));
+    let joint = |i: &usize| fleet.phase(*i).is_some_and(|recorded| recorded.phase == AuditPhase::Joint);
     wait_until(|| majority.iter().any(joint));
     fleet.partition(&[&minority, &majority]);
     let clients = fleet.clients(0..brokers, gap);
--- a/crates/dunepond-testkit/src/experiments/prefilter.rs
+++ b/crates/dunepond-testkit/src/experiments/prefilter.rs
@@ -159,7 +159,7 @@
     Stretch {
         searched: site.searches() as f64 / all,
         searched_at_least,
-        questions: site.questions() as f64 / all,
+        questions: site.probes() as f64 / all,
         talked: site.probe_bytes() as f64 / all,
         falsely_whole: falsely_whole.load(Ordering::Relaxed),
         late: late.load(Ordering::Relaxed) + rounds.iter().map(|round| round.failed).sum::<u64>(),
--- a/crates/dunepond-testkit/src/experiments/quota.rs
+++ b/crates/dunepond-testkit/src/experiments/quota.rs
@@ -6,7 +6,7 @@
 
 use super::RunOptions;
 use crate::auditor::limits::{QUOTA_UNITS, peak_units};
-use crate::fleet::{Fleet, FleetOptions, QueryOutcome, outcome_ratio};
+use crate::fleet::{Fleet, FleetOptions, QueryOutcome, RetryBudget, outcome_ratio};
 use crate::links::CUT;
 use crate::processes::wait_until;
 use crate::report::{Curve, Figures};
@@ -55,7 +55,7 @@
         seed: way.seed,
         balancers: BROKERS,
         tenant_quota: QUOTA,
-        retry_budget: (SHARE, 20.0),
+        retry_budget: RetryBudget { ratio: SHARE, min_retries: 20.0 },
         extra_lines: more,
         ..FleetOptions::new(&way.program, 3, BROKERS)
     };
@@ -152,7 +152,7 @@
     let start = stretches.iter().map(|one| one.from).fold(f64::INFINITY, f64::min);
     let curve = |name: &String| {
         let sums = crate::auditor::limits::sums(&stretches, name);
-        let points = sums.into_iter().map(|(at, units, _)| (at - start, units as f64 / QUOTA_UNITS as f64));
+        let points = sums.into_iter().map(|sum| (sum.at - start, sum.units as f64 / QUOTA_UNITS as f64));
         Curve { name: name.clone(), points: points.collect() }
     };
     names.iter().map(curve).collect()
--- a/crates/dunepond-testkit/src/experiments/rebalance.rs
+++ b/crates/dunepond-testkit/src/experiments/rebalance.rs
@@ -42,7 +42,10 @@
     fn moves(&mut self, id: &str) -> bool {
         self.fleet.propose_plan(1, &self.plan(id));
         let (brokers, number) = (self.fleet.options.brokers, self.number + 2);
-        let there = |i| matches!(self.fleet.phase(i), Some((AuditPhase::Active, _, to)) if to == number);
+        let there = |i| {
+            let recorded = self.fleet.phase(i);
+            recorded.is_some_and(|it| it.phase == AuditPhase::Active && it.last_version == number)
+        };
         if !wait_until(|| (0..brokers).all(there)) {
             return false;
         }
@@ -138,9 +141,12 @@
     found.iter().take(5).for_each(|finding| eprintln!("{finding}"));
     let of = |is: fn(&Finding) -> bool| found.iter().filter(|finding| is(finding)).count() as f64;
     let doubled = |f: &Finding| {
-        matches!(f, Finding::Doubled { .. } | Finding::RanAgain { .. } | Finding::TwoAtWork { .. })
+        matches!(
+            f,
+            Finding::DuplicateAttempt { .. } | Finding::RanTwice { .. } | Finding::OverlappingRuns { .. }
+        )
     };
-    let falsely = |f: &Finding| matches!(f, Finding::FalseWhole { .. } | Finding::MixedEpochs { .. });
+    let falsely = |f: &Finding| matches!(f, Finding::FalselyComplete { .. } | Finding::MixedEpochs { .. });
     figures.report_bounded("non-replayable parts doubled, or at two owners", of(doubled), 0.0, "");
     figures.report_bounded("answers falsely whole", of(falsely), 0.0, "");
     figures.report_bounded("findings of the auditor in all", found.len() as f64, 0.0, "");
--- a/crates/dunepond-testkit/src/fleet/clients.rs
+++ b/crates/dunepond-testkit/src/fleet/clients.rs
@@ -38,7 +38,7 @@
             clock_slack_seconds: SLACK,
             max_query_seconds: self.options.query_timeout_seconds,
             maps: self.maps.clone(),
-            requested: self.asked.lock().unwrap().clone(),
+            requested: self.requested.lock().unwrap().clone(),
             runs: self.non_idempotent_runs(),
             max_debt_bytes: self.known_debt_bytes,
         };
@@ -57,7 +57,7 @@
 
     /// Clients that ask each of these brokers for all kinds of scans, one after the other, `gap` apart.
     pub fn clients(&self, brokers: impl IntoIterator<Item = usize>, gap: Duration) -> Clients {
-        let (stop, asked) = (Arc::new(AtomicBool::new(false)), self.asked.clone());
+        let (stop, asked) = (Arc::new(AtomicBool::new(false)), self.requested.clone());
         let threads =
             brokers.into_iter().flat_map(|broker| (0..QUERY_CLASSES.len()).map(move |kind| (broker, kind)));
         let segs = self.options.segment_count;
--- /dev/null
+++ b/crates/dunepond-testkit/src/stand_ins/config.rs
@@ -0,0 +1,45 @@
+//! Settings and configuration of a small deployment.
+
+use std::net::SocketAddr;
+
+use serde_json::{Value, json};
+
+/// The connection timeout of the settings, in milliseconds.
+const CONNECT_TIMEOUT_MS: f64 = 250.0;
+/// The latency objective that [`set_timeouts`] gives, as a share of the query timeout.
+const OBJECTIVE_RATIO: f64 = 0.6;
+
+/// Settings with one replica group, so that every node holds every shard: a query class that is idempotent, `find`, and one that
+/// is not, `fix`.
+pub fn settings() -> Value {
+    let service = |name: &str, semantics: &str| {
+        json!({"name": name, "semantics": semantics, "aimMs": 400.0, "deadlineMs": 3000.0, "value": 1.0,
+            "lateWorth": 0.5, "repeatWindowMs": 0.0, "group": "all", "stream": false})
+    };
+    json!({
+        "balancers": 1, "countedBy": "request", "projects": [], "tickMs": 5.0, "zones": ["a", "b"],
+        "services": [service("find", "pure"), service("fix", "side_effect")],
+        "familyInfo": {"cells": 1, "span": 1, "slabs": 6, "partsACall": 1, "leastShare": [0.5, 1.0],
+            "wholeAt": [1.0, 1.0], "secondStep": [0, 0]},
+        "ceilings": {"attemptsCap": 4, "cancel": true, "connectTimeoutMs": CONNECT_TIMEOUT_MS,
+            "idleCloseMs": 30000.0, "maxRetryAfterMs": 2000.0, "mayProbe": false, "mostHeld": 60,
+            "retryAfter": true, "secondCopies": true, "streamsPerConn": 8},
+        "rules": {"coldFrom": 0.3, "coldMs": 5000.0, "overloadFactor": 2.0, "fallMs": 1000.0,
+            "repeatRatio": 0.1, "budgetWindowMs": 2000.0, "freeResends": 20.0}
+    })
+}
+
+/// A broker's configuration: [`settings`], the discovery server's address, and the endpoints that are known at the start.
+pub fn config(discovery: SocketAddr, known: Vec<Value>) -> Value {
+    json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "5e6f",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": {"seq": 1, "whole": true, "hosts": known}, "settings": settings(), "log": "debug"})
+}
+
+/// Gives all query classes this query timeout, in milliseconds, and a latency objective that goes with it.
+pub fn set_timeouts(config: &mut Value, timeout_ms: f64) {
+    for service in config["settings"]["services"].as_array_mut().into_iter().flatten() {
+        service["deadlineMs"] = json!(timeout_ms);
+        service["aimMs"] = json!(OBJECTIVE_RATIO * timeout_ms);
+    }
+}
--- a/crates/dunepond-testkit/tests/agree.rs
+++ b/crates/dunepond-testkit/tests/agree.rs
@@ -9,8 +9,8 @@
 use dunepond_membership::{Event, MembershipOptions, RequestKind};
 use dunepond_testkit::auditor::{AuditEvent, AuditPhase, longest_contradiction};
 use dunepond_testkit::fleet::{
-    Fleet, FleetOptions, NON_IDEMPOTENT_CLASS, QUERY_CLASSES, QueryOutcome, SEGMENT_BYTES, SHARED_KEY,
-    broker_name, outcome_ratio,
+    Fleet, FleetOptions, NON_IDEMPOTENT_CLASS, QUERY_CLASSES, QueryOutcome, RecordedPhase, SEGMENT_BYTES,
+    SHARED_KEY, broker_name, outcome_ratio,
 };
 use dunepond_testkit::links::{CUT, HEALTHY, LinkConditions};
 use dunepond_testkit::processes::wait_until;
@@ -43,7 +43,10 @@
 }
 
 fn wait_joint(fleet: &Fleet, brokers: &[usize], number: u64) {
-    let joint = |i: &usize| matches!(fleet.phase(*i), Some((AuditPhase::Joint, _, to)) if to == number);
+    let joint = |i: &usize| {
+        let recorded = fleet.phase(*i);
+        recorded.is_some_and(|it| it.phase == AuditPhase::Joint && it.last_version == number)
+    };
     assert!(wait_until(|| brokers.iter().all(joint)), "not all of {brokers:?} are joint");
 }
 
@@ -214,7 +217,7 @@
     thread::sleep(Duration::from_secs_f64(3.0 * fleet.options.lease_seconds));
     let phase = fleet.phase(2).unwrap();
     assert_eq!(
-        phase.0,
+        phase.phase,
         AuditPhase::LeaseExpired,
         "n3 has a lease of a majority that has forgotten: {phase:?}"
     );
--- a/crates/dunepond-testkit/tests/agree/hard.rs
+++ b/crates/dunepond-testkit/tests/agree/hard.rs
@@ -145,7 +145,9 @@
     assert!(brought > 0, "nothing was kept");
     thread::sleep(Duration::from_secs_f64(fleet.options.lease_seconds));
     let late: Vec<_> = all.clone().map(|i| fleet.phase(i)).collect();
-    assert!(late.iter().all(|phase| matches!(phase, Some((AuditPhase::Active, _, 3)))), "{late:?}");
+    let active =
+        |recorded: &RecordedPhase| recorded.phase == AuditPhase::Active && recorded.last_version == 3;
+    assert!(late.iter().all(|phase| phase.as_ref().is_some_and(active)), "{late:?}");
     // The second version's file is known under its number, and stays over.
     let fourth = fleet.config_version(4, &[0], &[]);
     fleet.propose(4, &fourth);
--- a/crates/dunepond-testkit/tests/auditor.rs
+++ b/crates/dunepond-testkit/tests/auditor.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunepond_testkit::auditor::{
-    Finding, GroundTruth, NodeRun, Records, audit, limits, longest_contradiction,
+    Finding, GroundTruth, MapVersion, NodeRun, Records, audit, limits, longest_contradiction,
 };
 use rstest::rstest;
 
@@ -45,7 +45,10 @@
     GroundTruth {
         clock_slack_seconds: 0.05,
         max_query_seconds: 3.0,
-        maps: BTreeMap::from([(1, (1, owners("s-0"))), (2, (2, owners("s-1")))]),
+        maps: BTreeMap::from([
+            (1, MapVersion { epoch: 1, owners: owners("s-0") }),
+            (2, MapVersion { epoch: 2, owners: owners("s-1") }),
+        ]),
         requested: BTreeMap::from([("e".to_string(), BTreeSet::from([5, 6]))]),
         runs: vec![ran("a", 8.1, "s-0"), ran("b", 10.9, "s-0")],
         max_debt_bytes: Some(1000),
@@ -75,39 +78,39 @@
 #[case::sent_on_the_old_map_beside_the_new(
     r#"{"at":16.0,"brk":"n4","run":1,"act":"phase","phase":"alone","from":0,"to":1,"until":18.0}
 {"at":16.5,"brk":"n4","run":1,"act":"dispatch","call":"z","seg":6,"node":"s-0","shot":0,"once":true,"phase":"alone","numbers":[1]}"#,
-    |f: &Finding| matches!(f, Finding::Contradiction { on: 1, beside: 2, .. }))]
+    |f: &Finding| matches!(f, Finding::ConflictingVersions { version: 1, other_version: 2, .. }))]
 #[case::two_owners_while_the_first_may_be_at_work(
     r#"{"at":14.5,"brk":"n1","run":1,"act":"dispatch","call":"z","seg":5,"node":"s-0","shot":0,"once":true,"phase":"joint","numbers":[1]}"#,
-    |f: &Finding| matches!(f, Finding::TwoOwners { seg: 5, .. }))]
+    |f: &Finding| matches!(f, Finding::TwoOwners { segment_id: 5, .. }))]
 #[case::moved_in_the_joint_step(
     r#"{"at":11.9,"brk":"n1","run":1,"act":"dispatch","call":"z","seg":5,"node":"s-0","shot":0,"once":true,"phase":"joint","numbers":[1,2]}"#,
-    |f: &Finding| matches!(f, Finding::NotOwner { seg: 5, .. }))]
+    |f: &Finding| matches!(f, Finding::NotOwner { segment_id: 5, .. }))]
 #[case::after_the_lease(
     r#"{"at":40.2,"brk":"n1","run":1,"act":"dispatch","call":"z","seg":6,"node":"s-0","shot":0,"once":true,"phase":"alone","numbers":[2]}"#,
-    |f: &Finding| matches!(f, Finding::PastLease { late, .. } if (late - 0.2).abs() < 1e-9))]
+    |f: &Finding| matches!(f, Finding::SentAfterLease { late, .. } if (late - 0.2).abs() < 1e-9))]
 #[case::replayable_on_a_version_after_the_lease(
     r#"{"at":41.0,"brk":"n1","run":1,"act":"dispatch","call":"z","seg":6,"node":"s-0","shot":0,"once":false,"phase":"alone","numbers":[2]}"#,
-    |f: &Finding| matches!(f, Finding::PastLease { .. }))]
+    |f: &Finding| matches!(f, Finding::SentAfterLease { .. }))]
 #[case::cut_off(
     r#"{"at":12.0,"brk":"n3","run":1,"act":"dispatch","call":"z","seg":6,"node":"s-0","shot":0,"once":true,"phase":"cut","numbers":[1]}"#,
-    |f: &Finding| matches!(f, Finding::WithoutLease { .. }))]
+    |f: &Finding| matches!(f, Finding::SentWithoutLease { .. }))]
 #[case::never_had_a_lease(
     r#"{"at":12.0,"brk":"n5","run":1,"act":"dispatch","call":"z","seg":6,"node":"s-0","shot":0,"once":true,"phase":"none","numbers":[]}"#,
-    |f: &Finding| matches!(f, Finding::WithoutLease { .. }))]
+    |f: &Finding| matches!(f, Finding::SentWithoutLease { .. }))]
 #[case::sent_by_two_brokers(
     r#"{"at":8.3,"brk":"n2","run":1,"act":"dispatch","call":"a","seg":5,"node":"s-0","shot":0,"once":true,"phase":"alone","numbers":[1]}"#,
-    |f: &Finding| matches!(f, Finding::Doubled { seg: 5, .. }))]
+    |f: &Finding| matches!(f, Finding::DuplicateAttempt { segment_id: 5, .. }))]
 #[case::sent_in_a_second_life(
     r#"{"at":8.3,"brk":"n1","run":0,"act":"phase","phase":"alone","from":0,"to":1,"until":9.0}
 {"at":8.4,"brk":"n1","run":0,"act":"dispatch","call":"a","seg":5,"node":"s-0","shot":1,"once":true,"phase":"alone","numbers":[1]}
 {"at":9.0,"brk":"n1","run":1,"act":"phase","phase":"alone","from":1,"to":1,"until":11.0}"#,
-    |f: &Finding| matches!(f, Finding::Doubled { .. }))]
+    |f: &Finding| matches!(f, Finding::DuplicateAttempt { .. }))]
 #[case::settled_again(
     r#"{"at":18.0,"brk":"n1","run":1,"act":"settle","id":"x","debtor":"north","creditor":"south","bytes":10,"number":2}"#,
-    |f: &Finding| matches!(f, Finding::SettledAgain { .. }))]
+    |f: &Finding| matches!(f, Finding::SettlementReapplied { .. }))]
 #[case::settled_otherwise(
     r#"{"at":18.0,"brk":"n3","run":1,"act":"settle","id":"x","debtor":"north","creditor":"south","bytes":11,"number":2}"#,
-    |f: &Finding| matches!(f, Finding::SettledOtherwise { .. }))]
+    |f: &Finding| matches!(f, Finding::SettlementMismatch { .. }))]
 #[case::a_fill_settled_twice(
     r#"{"at":18.0,"brk":"n3","run":1,"act":"settle","id":"2/1/s@n3","debtor":"north","creditor":"south","bytes":11,"number":2}
 {"at":18.1,"brk":"n3","run":1,"act":"settle","id":"2/1/s@n4","debtor":"north","creditor":"south","bytes":11,"number":2}"#,
@@ -115,27 +118,27 @@
 #[case::settled_past_the_debt(
     r#"{"at":18.0,"brk":"n3","run":1,"act":"settle","id":"2/1/s@n3","debtor":"north","creditor":"south","bytes":900,"number":2}
 {"at":18.1,"brk":"n3","run":1,"act":"settle","id":"2/2/s@n4","debtor":"north","creditor":"south","bytes":101,"number":2}"#,
-    |f: &Finding| matches!(f, Finding::SettledPast { settled: 1001, owed: 1000, .. }))]
+    |f: &Finding| matches!(f, Finding::SettledBeyondDebt { settled: 1001, owed: 1000, .. }))]
 #[case::whole_without_a_segment(
     r#"{"at":18.0,"brk":"n1","run":1,"act":"answer","call":"e","status":200,"whole":true,"segs":[6],"epoch":2}"#,
-    |f: &Finding| matches!(f, Finding::FalseWhole { missing, .. } if missing == &[5]))]
+    |f: &Finding| matches!(f, Finding::FalselyComplete { missing, .. } if missing == &[5]))]
 #[case::whole_of_two_maps(
     r#"{"at":18.0,"brk":"n1","run":1,"act":"dispatch","call":"w","seg":5,"node":"s-1","shot":0,"once":false,"phase":"alone","numbers":[2]}
 {"at":18.1,"brk":"n1","run":1,"act":"answer","call":"w","status":200,"whole":true,"segs":[5],"epoch":1}"#,
-    |f: &Finding| matches!(f, Finding::MixedEpochs { epoch: 1, seg: 5, .. }))]
+    |f: &Finding| matches!(f, Finding::MixedEpochs { epoch: 1, segment_id: 5, .. }))]
 #[case::confirmed_with_two_digests(
     r#"{"at":18.0,"brk":"n3","run":1,"act":"confirmed","number":2,"digest":"ee"}"#,
-    |f: &Finding| matches!(f, Finding::TwoDigests { number: 2, .. }))]
+    |f: &Finding| matches!(f, Finding::DigestConflict { number: 2, .. }))]
 #[case::confirmed_and_withdrawn(
     r#"{"at":18.0,"brk":"n3","run":1,"act":"withdrawn","number":2,"digest":"dd"}"#,
-    |f: &Finding| matches!(f, Finding::BothWays { number: 2 }))]
+    |f: &Finding| matches!(f, Finding::ConfirmedAndWithdrawn { number: 2 }))]
 #[case::more_than_the_whole_of_a_bound(
     r#"{"at":1.0,"brk":"n1","run":1,"act":"share","generation":3,"counted":true,"floor":50000,"parts":{"further":600000},"from":0.0,"until":9.0,"window":1.0}
 {"at":8.0,"brk":"n1","run":1,"act":"share","generation":4,"counted":true,"floor":50000,"parts":{},"from":0.0,"until":20.0,"window":1.0}
 {"at":8.9,"brk":"n2","run":1,"act":"share","generation":5,"counted":true,"floor":50000,"parts":{"further":600000},"from":0.0,"until":20.0,"window":1.0}"#,
-    |f: &Finding| matches!(f, Finding::PastWhole { units: 1_300_000, .. }))]
+    |f: &Finding| matches!(f, Finding::QuotaExceeded { units: 1_300_000, .. }))]
 #[case::acts_without_a_record(r#"{"at":18.0,"brk":"n3","run":1,"act":"lost","count":7}"#,
-    |f: &Finding| matches!(f, Finding::Lost { count: 7, .. }))]
+    |f: &Finding| matches!(f, Finding::RecordsLost { count: 7, .. }))]
 #[case::not_a_record("{\"at\":18.0,\"brk\":\"n3\",\"ru\n{\"at\":18.1,\"brk\":\"n3\",\"run\":1,\"act\":\"refused\",\"call\":\"q\",\"why\":\"no\"}",
     |f: &Finding| matches!(f, Finding::Unreadable { line: 1, .. }))]
 fn a_planted_fault_is_found_once(#[case] planted: &str, #[case] is: fn(&Finding) -> bool) {
@@ -147,7 +150,10 @@
 fn what_nodes_ran_twice_is_found_whatever_brokers_wrote() {
     let mut known = known();
     known.runs.push(ran("a", 8.2, "s-0"));
-    assert_eq!(found("", &known), [Finding::RanAgain { call: "a".to_string(), seg: 5, times: 2 }]);
+    assert_eq!(
+        found("", &known),
+        [Finding::RanTwice { request_id: "a".to_string(), segment_id: 5, times: 2 }]
+    );
 }
 
 #[test]
@@ -159,7 +165,7 @@
     known.runs.push(ran("z", 15.5, "s-0"));
     let found = found("", &known);
     assert!(
-        matches!(&found[..], [Finding::TwoAtWork { apart, .. }] if (apart - 1.5).abs() < 1e-9),
+        matches!(&found[..], [Finding::OverlappingRuns { apart, .. }] if (apart - 1.5).abs() < 1e-9),
         "{found:?}"
     );
 }
@@ -170,7 +176,10 @@
     let mut known = known();
     known.runs[0].at = 40.0;
     let found = found("", &known);
-    assert!(matches!(&found[..], [Finding::RanLate { late, .. }] if (late - 10.0).abs() < 1e-9), "{found:?}");
+    assert!(
+        matches!(&found[..], [Finding::RanAfterLease { late, .. }] if (late - 10.0).abs() < 1e-9),
+        "{found:?}"
+    );
 }
 
 /// What the first had still fills the window behind it, and a start begins with nothing.
--- a/crates/dunepond-testkit/tests/phases.rs
+++ b/crates/dunepond-testkit/tests/phases.rs
@@ -129,7 +129,7 @@
         assert!(asked.said.complete && asked.said.searched.len() == 24, "{:?}", asked.said);
     }
     assert_eq!((site.searches(), site.repeated_parts()), (240, 0));
-    assert!(site.questions() <= 24, "{}", site.questions());
+    assert!(site.probes() <= 24, "{}", site.probes());
 }
 
 /// It denies one shard that matches, as one of three holders.
@@ -236,7 +236,7 @@
     assert!(narrow.said.complete && narrow.said.searched.len() == 5);
     let answer =
         Client::connect(&site.broker).request(&query_request("fix", "c2", &wide(), 2.0, "nobody-has-this"));
-    assert_eq!((parse_answer(&answer).searched.len(), site.questions(), site.repeated_parts()), (24, 0, 0));
+    assert_eq!((parse_answer(&answer).searched.len(), site.probes(), site.repeated_parts()), (24, 0, 0));
 }
 
 /// Phase one has been seen to take 0.15 s, and the search behind it its time: a client that has less gets the search.
@@ -246,10 +246,10 @@
     for i in 0..10 {
         ask(&site, &format!("c{i}"), &wide(), 2.0, "nobody-has-this");
     }
-    let before = site.questions();
+    let before = site.probes();
     let asked = ask(&site, "hasty", &wide(), 0.4, "nobody-has-this");
     assert!(asked.said.complete && asked.said.searched.len() == 24 && asked.took < 0.3, "{:?}", asked.said);
-    assert_eq!(site.questions(), before);
+    assert_eq!(site.probes(), before);
 }
 
 /// It leaves while its questions are out: nothing is searched for it, and nothing is left behind.
@@ -258,7 +258,7 @@
     let site = site(KDL, |_| ProbeBehavior::ReplyAfterMillis(200));
     let mut client = Client::connect(&site.broker);
     client.send(&query_request("find", "c1", &wide(), 2.0, "nobody-has-this"));
-    until("no question came", || site.questions() > 0);
+    until("no question came", || site.probes() > 0);
     drop(client);
     thread::sleep(Duration::from_millis(600));
     assert_eq!(site.searches(), 0);
@@ -297,14 +297,14 @@
     let answers: Vec<_> = clients.iter_mut().map(|client| client.read_answer().unwrap()).collect();
     assert!(answers.iter().all(|answer| parse_answer(answer).complete));
     // Twelve nodes, two words a shard: unshared they would be 24 for each that is asked about.
-    assert!(site.questions() <= 3 * 24, "{}", site.questions());
+    assert!(site.probes() <= 3 * 24, "{}", site.probes());
 }
 
 #[test]
 fn turned_off_nothing_is_asked_and_no_answer_has_a_new_field() {
     let site = site("", |_| ProbeBehavior::Honest);
     let asked = first(&site, "nobody-has-this");
-    assert_eq!((asked.said.searched.len(), site.questions()), (24, 0));
+    assert_eq!((asked.said.searched.len(), site.probes()), (24, 0));
     assert!(asked.answer.body.get("left_out").is_none());
 }
 
@@ -314,9 +314,9 @@
     first(&site, "nobody-has-this");
     site.reload_config("phases least-segments=40 audits=0\n");
     until("the file was not read", || site.broker.log_text().contains("operator's file reloaded"));
-    let before = site.questions();
+    let before = site.probes();
     (2..8).for_each(|i| drop(ask(&site, &format!("c{i}"), &wide(), 2.0, "nobody-has-this")));
-    assert_eq!(site.questions(), before);
+    assert_eq!(site.probes(), before);
     site.reload_config("");
     until("it was not named", || {
         site.broker.log_text().contains("phases, turned on or off, takes effect after a restart")
