--- a/crates/dunepond-broker/src/event_loop/endpoints.rs
+++ b/crates/dunepond-broker/src/event_loop/endpoints.rs
@@ -3,6 +3,7 @@
 use super::EventLoop;
 use crate::discovery::EndpointUpdate;
 use crate::endpoint::EndpointRow;
+use crate::upstream::ChangedNode;
 
 impl EventLoop {
     /// Brings rules, quotas and drained nodes up to the active configuration of this moment; called before each event is handled.
@@ -69,7 +70,7 @@
             self.router_host.upstream.update_endpoint(now, endpoint.node, info, &mut self.router_host.timers);
             listed.push(endpoint);
         }
-        for (node, replaced) in std::mem::take(&mut self.router_host.upstream.changed_nodes) {
+        for ChangedNode { node, replaced } in std::mem::take(&mut self.router_host.upstream.changed_nodes) {
             if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
                 prefilter_connections.close_node(node, &mut self.router_host.timers);
             }
--- a/crates/dunepond-broker/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -82,24 +82,33 @@
     encode_frame(b'P', format!("{id} {} {}\n{text}", text.len(), segments.join(",")).as_bytes())
 }
 
-/// The version that was searched and whether anything was found, if the report of an attempt has both.
-pub fn parse_search_report(report: &str) -> Option<(Version, bool)> {
-    let of = |key: &str| report.split(',').find_map(|entry| entry.strip_prefix(key)?.parse::<u64>().ok());
-    Some((of("v=")?, of("n=")? > 0))
+/// What a node reports of a search.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SearchReport {
+    /// The version that was searched.
+    pub version: Version,
+    /// Whether anything was found.
+    pub found: bool,
+}
+
+/// The report of an attempt, if it has both the version and the number of hits.
+pub fn parse_search_report(report: &str) -> Option<SearchReport> {
+    let value = |key: &str| report.split(',').find_map(|entry| entry.strip_prefix(key)?.parse::<u64>().ok());
+    Some(SearchReport { version: value("v=")?, found: value("n=")? > 0 })
 }
 
 /// The lines of a prefilter answer, `SEGMENT WORD VERSION` each.
 fn parse_prefilter_answers(lines: &str) -> Option<Vec<SegmentAnswer>> {
     let line = |line: &str| {
-        let mut words = line.splitn(3, ' ');
-        let segment = words.next()?.parse().ok()?;
-        let answer = match words.next()? {
+        let mut fields = line.splitn(3, ' ');
+        let segment = fields.next()?.parse().ok()?;
+        let answer = match fields.next()? {
             "may" => CanMatch::MayMatch,
             "no" => CanMatch::CannotMatch,
             "unknown" => CanMatch::Unknown,
             _ => return None,
         };
-        let version = words.next()?.parse().ok()?;
+        let version = fields.next()?.parse().ok()?;
         Some(SegmentAnswer { segment, answer, version })
     };
     lines.lines().map(line).collect()
@@ -179,7 +188,7 @@
     let (line, value) = text.split_once('\n').ok_or(FrameError::EndWithoutLine)?;
     let mut fields = line.splitn(4, ' ');
     let id = fields.next().filter(|id| !id.is_empty()).ok_or(FrameError::EndWithoutId)?;
-    let word = match fields.next() {
+    let outcome = match fields.next() {
         Some("hit") => ReplicaOutcome::Served,
         Some("fault") => ReplicaOutcome::Failed,
         Some("overload") => ReplicaOutcome::Overloaded,
@@ -189,14 +198,14 @@
     score.ok_or(FrameError::EndWithoutScore)?;
     // The report may say anything, but must be present.
     let report = fields.next().ok_or(FrameError::EndWithoutReport)?;
-    Ok(NodeFrame::AttemptEnded { id, outcome: word, value, report })
+    Ok(NodeFrame::AttemptEnded { id, outcome, value, report })
 }
 
 fn decode_prefilter_answers(text: &str) -> Result<NodeFrame<'_>, FrameError> {
     let (id, lines) = text.split_once('\n').ok_or(FrameError::AnswerWithoutLine)?;
-    let question = id.parse().map_err(|_| FrameError::AnswerWithoutNumber)?;
-    let words = parse_prefilter_answers(lines).ok_or(FrameError::MalformedAnswer)?;
-    Ok(NodeFrame::PrefilterAnswers { request: question, answers: words })
+    let request = id.parse().map_err(|_| FrameError::AnswerWithoutNumber)?;
+    let answers = parse_prefilter_answers(lines).ok_or(FrameError::MalformedAnswer)?;
+    Ok(NodeFrame::PrefilterAnswers { request, answers })
 }
 
 #[cfg(test)]
--- a/crates/dunepond-broker/src/frames/tests/mod.rs
+++ b/crates/dunepond-broker/src/frames/tests/mod.rs
@@ -63,7 +63,7 @@
     );
     assert_eq!(
         (parse_search_report("v=12,n=0"), parse_search_report("n=3,v=1")),
-        (Some((12, false)), Some((1, true)))
+        (Some(SearchReport { version: 12, found: false }), Some(SearchReport { version: 1, found: true }),)
     );
     assert_eq!(
         (parse_search_report("-"), parse_search_report("v=1"), parse_search_report("v=x,n=1")),
--- a/crates/dunepond-broker/src/prefilter.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -12,6 +12,7 @@
 use tracing::{debug, info};
 
 use crate::clock::{self, TimerEvent};
+use crate::frames::SearchReport;
 use crate::prefilter_connections::PrefilterAnswers;
 use crate::router::RouterHost;
 use crate::upstream::CompletedAttempt;
@@ -44,6 +45,13 @@
     segments: Vec<SegmentIndex>,
 }
 
+/// What the prefilter needs to know of a query class.
+struct QueryClass {
+    idempotent: bool,
+    /// The share of the weights that makes a response complete.
+    complete_at: f64,
+}
+
 /// What an audit needs of a pruned query.
 #[derive(Clone)]
 struct AuditText {
@@ -57,8 +65,7 @@
     prefilter: Prefilter,
     /// Keyed, so that no client can construct two texts with one hash: their answers would be taken for each other's.
     hashes: RandomState,
-    /// Of each query class: whether it is idempotent, and the share that makes it complete.
-    class_rules: Vec<(bool, f64)>,
+    query_classes: Vec<QueryClass>,
     queries: HashMap<QueryId, KnownQuery>,
     /// The queries that were pruned last, for audits, numbered from the oldest.
     audit_texts: BTreeMap<u64, AuditText>,
@@ -70,12 +77,14 @@
 impl PrefilterHost {
     /// Without any state.
     pub fn new(config: PrefilterConfig, site: &Deployment) -> Self {
-        let repeats =
-            site.query_classes.iter().map(|t| (t.idempotency == Idempotency::Idempotent, t.complete_at));
+        let classes = site.query_classes.iter().map(|class| QueryClass {
+            idempotent: class.idempotency == Idempotency::Idempotent,
+            complete_at: class.complete_at,
+        });
         Self {
             prefilter: Prefilter::new(config, site.seed),
             hashes: RandomState::new(),
-            class_rules: repeats.collect(),
+            query_classes: classes.collect(),
             queries: HashMap::new(),
             audit_texts: BTreeMap::new(),
             last_text: 0,
@@ -94,7 +103,7 @@
         let Some((text, segments)) = router_host.prefilter_input(query.id) else {
             return router.on_query(router_host, query);
         };
-        let (idempotent, complete_at) = self.class_rules[query.class];
+        let QueryClass { idempotent, complete_at } = self.query_classes[query.class];
         let key = self.hashes.hash_one((query.class, &*text));
         let (id, query_class, time_left) = (query.id, query.class, query.expires_in);
         let candidate = PrefilterQuery {
@@ -179,7 +188,7 @@
         completed: &CompletedAttempt,
     ) {
         let (query, part) = (completed.ended.query, completed.ended.part);
-        if let Some((version, found)) = completed.search_report {
+        if let Some(SearchReport { version, found }) = completed.search_report {
             let began = router_host.now - completed.ended.elapsed;
             let audited = self.audits.get(&query).map(|audit| (audit.key, audit.segment));
             let known = || self.queries.get(&query).map(|known| (known.key, known.segments[part]));
--- a/crates/dunepond-broker/src/prefilter_connections.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -30,6 +30,13 @@
 /// For each requested segment, whether it can match and the version that says so.
 pub type PrefilterAnswers = Vec<SegmentAnswer>;
 
+/// A request without an answer yet.
+struct OutstandingRequest {
+    /// Its number.
+    request: u64,
+    queued_at: f64,
+}
+
 struct PrefilterConnection {
     node: NodeId,
     stream: Rc<TcpStream>,
@@ -37,8 +44,7 @@
     connected: bool,
     input: Option<Buffer>,
     output: WriteQueue,
-    /// The requests without an answer, and when each was queued.
-    outstanding: VecDeque<(u64, f64)>,
+    outstanding: VecDeque<OutstandingRequest>,
     timer: Option<TimerKey>,
 }
 
@@ -97,7 +103,7 @@
             connection.timer =
                 Some(timers.schedule(now + ANSWER_TIMEOUT_SECONDS, TimerEvent::PrefilterConnection(id)));
         }
-        connection.outstanding.push_back((request, now));
+        connection.outstanding.push_back(OutstandingRequest { request, queued_at: now });
         self.write(id, timers);
     }
 
@@ -186,7 +192,7 @@
         let connection = &mut self.connections[id];
         timers.cancel(connection.timer.take());
         let until = match connection.outstanding.front() {
-            Some((_, at)) => at + ANSWER_TIMEOUT_SECONDS,
+            Some(oldest) => oldest.queued_at + ANSWER_TIMEOUT_SECONDS,
             None => now + IDLE_CLOSE_RATIO * self.settings.idle_timeout_seconds,
         };
         connection.timer = Some(timers.schedule(until, TimerEvent::PrefilterConnection(id)));
@@ -216,9 +222,9 @@
                 }
             };
             input.consume(used);
-            match connection.outstanding.iter().position(|(queued_at, _)| *queued_at == request) {
+            match connection.outstanding.iter().position(|outstanding| outstanding.request == request) {
                 Some(at) => {
-                    let (_, queued_at) = connection.outstanding.remove(at)?;
+                    let queued_at = connection.outstanding.remove(at)?.queued_at;
                     debug!(
                         "node {}: prefilter request {request} answered after {:.4} s",
                         connection.node,
@@ -265,6 +271,7 @@
             connection.outstanding.len()
         );
         let why = ending.request_failure();
-        self.responses.extend(connection.outstanding.iter().map(|(request, _)| (*request, Err(why))));
+        self.responses
+            .extend(connection.outstanding.iter().map(|outstanding| (outstanding.request, Err(why))));
     }
 }
--- a/crates/dunepond-broker/src/upstream/endpoints.rs
+++ b/crates/dunepond-broker/src/upstream/endpoints.rs
@@ -6,7 +6,7 @@
 use dunepond_recovery::NodeIdentity;
 use dunepond_routing::{EndpointState, NodeId};
 
-use super::{NodeEntry, Upstream};
+use super::{ChangedNode, NodeEntry, Upstream};
 use crate::clock::Timers;
 use crate::connection_end::ConnectionEnd;
 use crate::endpoint::EndpointInfo;
@@ -27,7 +27,7 @@
         let replaced = started_at > before.map_or(0.0, |b| b.started_at);
         node_entry.endpoint = Some(endpoint);
         if moved || replaced || state != EndpointState::Active {
-            self.changed_nodes.push((node, replaced));
+            self.changed_nodes.push(ChangedNode { node, replaced });
         }
         for id in node_entry.connections.clone() {
             let connection = &mut self.connections[id];
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -26,6 +26,7 @@
 use crate::clock::{self, TimerKey};
 use crate::control_plane::{Gate, PartTarget, QueryStart};
 use crate::endpoint::EndpointInfo;
+use crate::frames::SearchReport;
 use crate::http::Message;
 use crate::iteration::EventLoopHandle;
 pub use connection::open;
@@ -116,7 +117,15 @@
     /// The value that it returned, if it was served.
     pub value: Option<String>,
     /// The version that was searched, and whether anything was found, where its node reports that.
-    pub search_report: Option<(u64, bool)>,
+    pub search_report: Option<SearchReport>,
+}
+
+/// A node that moved, drains, or was removed or replaced.
+pub struct ChangedNode {
+    /// The node.
+    pub node: NodeId,
+    /// Another process has replaced the node's.
+    pub replaced: bool,
 }
 
 /// The nodes that speak the search API.
@@ -151,8 +160,8 @@
     awaiting_body: Vec<usize>,
     /// The offset at which each frame of a pass-through body last advanced, and when.
     body_progress: HashMap<usize, (u64, f64)>,
-    /// Nodes that moved, drain or are removed; `true` where another process has replaced the node's.
-    pub changed_nodes: Vec<(NodeId, bool)>,
+    /// Nodes that changed, not yet handled.
+    pub changed_nodes: Vec<ChangedNode>,
     /// Attempts with a streamed body whose frames are fully written, not yet reported to the router.
     pub written_bodies: VecDeque<(NodeId, AttemptId)>,
     /// Payload bytes copied into frames since the start.
--- a/crates/dunepond-broker/src/upstream/response.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -11,7 +11,7 @@
 use crate::buffers::{Buffer, Pool};
 use crate::clock::{TimerEvent, Timers};
 use crate::connection_end::ConnectionEnd;
-use crate::frames::{self, NodeFrame, ReplicaOutcome};
+use crate::frames::{self, NodeFrame, ReplicaOutcome, SearchReport};
 use crate::http::{self, HttpError, Message};
 
 /// So many bytes of a malformed frame are logged.
@@ -23,7 +23,7 @@
     position: usize,
     outcome: AttemptOutcome,
     value: Option<String>,
-    search_report: Option<(u64, bool)>,
+    search_report: Option<SearchReport>,
 }
 
 /// A frame that reports the end of an attempt.
