--- a/crates/dunepond-routing/src/endpoint.rs
+++ b/crates/dunepond-routing/src/endpoint.rs
@@ -1,17 +1,17 @@
 //! The rows of the endpoint list.
 
-/// A node, by the index that the host gave its address; another node may get it once
+/// A node, by the index that the host assigned to its address. Another node may get the index once
 /// [`Router::remove_node`](crate::Router::remove_node) has been called.
 pub type NodeId = usize;
 
-/// What the list says of a node.
+/// The state of a node by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointState {
-    /// It takes new work.
+    /// The node accepts new work.
     Active,
-    /// It ends what it has and takes nothing new.
+    /// The node completes its work and accepts no new work.
     Draining,
-    /// It is gone.
+    /// The node has been removed.
     Removed,
 }
 
@@ -22,10 +22,10 @@
     pub node: NodeId,
     /// The replica group whose segments it serves.
     pub replica_group: usize,
-    /// Its zone.
+    /// The zone of the node.
     pub zone: usize,
-    /// What the list says of it.
+    /// The state of the node.
     pub state: EndpointState,
-    /// When its process last started, in seconds on the host's clock; 0 if long ago.
+    /// When its process last started, in seconds on the host's clock; 0 if that was long ago.
     pub started_at: f64,
 }
--- a/crates/dunepond-routing/src/policy/admission.rs
+++ b/crates/dunepond-routing/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which queries are rejected on arrival.
+//! Admission, which decides whether a query is rejected on arrival.
 //!
 //! Inputs: the expected wait of a query's parts (seconds), its latency objective and deadline, its value per
 //! unit of work, its tenant's quota, and the share of recent queries that missed their objective. Under
@@ -19,12 +19,13 @@
 const SHED_ALL_RATIO: f64 = 0.65;
 /// Weight of the share of missed objectives in the overload level.
 const MISSED_WEIGHT: f64 = 0.5;
-/// Queries in that share, and on-time ones added to it as a prior: a few samples say little.
+/// Number of queries in that share, and of on-time ones that are added to it as a prior, because a few
+/// samples show little.
 const MISSED_SAMPLE_COUNT: usize = 16;
 const MISSED_PRIOR_COUNT: f64 = 4.0;
-/// Recent queries among which a new one is ranked by value.
+/// Number of recent queries among which a new one is ranked by value.
 const VALUE_SAMPLE_COUNT: usize = 64;
-/// A second step waits again, mostly for lighter parts.
+/// Factor for the wait of a second step, which waits again, mostly for lighter parts.
 const TWO_STEP_WAIT_RATIO: f64 = 1.5;
 /// Expected service time of a part, as a multiple of the baseline latency.
 const SERVICE_BASELINE_RATIO: f64 = 1.5;
@@ -47,7 +48,8 @@
         let served_at = self.expected_served_at(wait);
         let is_late = served_at > query.objective_at;
         let earns_nothing = is_late && class.late_value_ratio <= 0.0;
-        // It would only take capacity from other queries, once for each retry of an impatient client.
+        // The attempt would only take capacity from other queries, once for each retry of an impatient
+        // client.
         if served_at > query.deadline_at || earns_nothing {
             return self.reject(transport, query);
         }
--- a/crates/dunepond-routing/src/policy/completion.rs
+++ b/crates/dunepond-routing/src/policy/completion.rs
@@ -59,7 +59,7 @@
         self.complete_weight(query).min(self.minimum_share(query) - WEIGHT_ROUNDING)
     }
 
-    /// Whether another attempt of a part is allowed by the rules of its query class.
+    /// Whether the rules of its query class allow another attempt of a part.
     pub(super) fn may_send(&self, query: &InFlightQuery, part: &PartState) -> bool {
         !part.is_done()
             && !query.body_consumed
@@ -72,7 +72,7 @@
         part.required_node.is_none() || self.replicas(part.segment, part.required_node).next().is_some()
     }
 
-    /// Whether a repeat does no harm: no attempt may have run yet, or running twice is safe.
+    /// Whether a repeat is harmless: no attempt may have run yet, or running twice is safe.
     fn may_run_again(&self, query: &InFlightQuery, part: &PartState) -> bool {
         let first_that_may_have_run = part.attempts.iter().find(|attempt| !attempt.never_ran());
         match self.class(query).idempotency {
@@ -110,9 +110,9 @@
         self.run_request_stages(transport, ended.query);
     }
 
-    /// Gives the final answer to a query that will not be served, at once: waiting would cost the client its
-    /// time and earn nothing. The answer is retriable only if no attempt that must not run twice may have
-    /// run.
+    /// Gives the final answer to a query that will not be served, at once, since waiting would cost the
+    /// client its time and have no value. The answer is retriable only if no attempt that must not run
+    /// twice may have run.
     pub(super) fn reject(&mut self, transport: &mut dyn Transport, query: &InFlightQuery) -> StageResult {
         let class = self.class(query);
         let is_idempotent = class.idempotency == Idempotency::Idempotent;
@@ -138,7 +138,7 @@
 }
 
 impl Attempt {
-    /// It is known not to have run at the node.
+    /// Whether the attempt is known not to have run at the node.
     pub fn never_ran(&self) -> bool {
         matches!(
             self.outcome,
--- a/crates/dunepond-routing/src/policy/deadline.rs
+++ b/crates/dunepond-routing/src/policy/deadline.rs
@@ -8,7 +8,7 @@
 use crate::Transport;
 use crate::state::{InFlightQuery, Router};
 
-/// The last wake that is sure to come in time is this long before the end.
+/// How long before the end the last wake is that is certain to come in time.
 const DECISION_MARGIN_TICKS: f64 = 7.0;
 
 impl Router {
--- a/crates/dunepond-routing/src/policy/endpoint_list.rs
+++ b/crates/dunepond-routing/src/policy/endpoint_list.rs
@@ -20,7 +20,7 @@
 const BACKOFF_SPREAD: Range<f64> = 0.5..1.0;
 
 impl Router {
-    /// Takes in the endpoint list: all of it, or only the rows that have changed.
+    /// Accepts the endpoint list: all of it, or only the rows that have changed.
     pub fn update_endpoints(
         &mut self,
         transport: &mut dyn Transport,
@@ -67,7 +67,8 @@
         }
     }
 
-    /// A poll of the list has failed, or a watch has broken off; it is polled again after a backoff.
+    /// Records that a poll of the list has failed, or that a watch was interrupted; the list is polled
+    /// again after a backoff.
     pub fn on_list_poll_failed(&mut self, transport: &mut dyn Transport) {
         self.sync_clock(transport);
         if let Some(within) = self.deployment.list_poll_deadline {
@@ -108,8 +109,8 @@
 }
 
 impl Node {
-    /// A new process has started under the same name: samples, ejection and attempts of the old one do not
-    /// apply to it.
+    /// Resets a node whose process was restarted under the same name: samples, ejection and attempts of
+    /// the old process do not apply to the new one.
     fn restart(&mut self, started_at: f64, tokens: TokenBucket) {
         self.started_at = started_at;
         self.slow_start_tokens = tokens;
--- a/crates/dunepond-routing/src/policy/hedging.rs
+++ b/crates/dunepond-routing/src/policy/hedging.rs
@@ -21,7 +21,8 @@
 pub(super) struct HedgeTerms {
     /// Seconds after which an attempt at a node in service is overdue; `f64::MAX` in a congested fleet.
     overdue_after: f64,
-    /// Hedged requests are allowed, and the query will likely not be complete in time without them.
+    /// Whether hedged requests are allowed, and the query will likely not be complete in time without
+    /// them.
     pub(super) is_wanted: bool,
 }
 
--- a/crates/dunepond-routing/src/policy/mod.rs
+++ b/crates/dunepond-routing/src/policy/mod.rs
@@ -5,8 +5,8 @@
 //! [`RESPONSE_STAGES`]: the health of its node first, then the query. The entry points are in `router`. The
 //! mechanism, and each departure from the plain (n, k) fork-join, are described in docs/design.md.
 //!
-//! Instants are seconds on the transport's clock. Durations are seconds, unless the name says ticks (the
-//! least time between two calls) or objectives (multiples of the longest latency objective).
+//! Instants are in seconds on the transport's clock. Durations are in seconds, unless the name has ticks
+//! (the shortest time between two calls) or objectives (multiples of the longest latency objective).
 
 mod admission;
 mod clock;
--- a/crates/dunepond-routing/src/policy/outlier_detection.rs
+++ b/crates/dunepond-routing/src/policy/outlier_detection.rs
@@ -9,20 +9,20 @@
 use crate::state::{Ejection, Node, NodeSample, OutstandingAttempt, Router, SampleOutcome, keep_last};
 use crate::{AttemptEnded, AttemptOutcome, NodeId, Transport};
 
-/// Samples kept of one node.
+/// Number of samples that are kept of one node.
 const NODE_SAMPLE_COUNT: usize = 8;
-/// A node counts as silent after this multiple of the 95th percentile.
+/// Multiple of the 95th percentile after which a node counts as silent.
 pub(super) const SILENCE_P95_RATIO: f64 = 2.0;
-/// Faults among a node's samples that eject it; a single stray error must not.
+/// Number of faults among a node's samples that eject it; a single stray error must not.
 const MIN_FAULT_COUNT: usize = 2;
-/// A cancelled attempt counts as lost if this many later ones were answered before it.
+/// Number of later attempts that were answered first, from which a cancelled attempt counts as lost.
 const MIN_OVERTAKEN_COUNT: usize = 2;
 /// Ejection time before the first probation attempt, as a multiple of the 95th percentile.
 pub(super) const EJECTION_P95_RATIO: f64 = 3.0;
-/// A node returns to service once it would be allowed more probation attempts at once than this.
+/// A node returns to service once it would be allowed more probation attempts at once than this number.
 const MAX_PROBATION_ATTEMPTS: usize = 8;
 
-/// Why a node is ejected.
+/// The reason for an ejection.
 #[derive(Clone, Copy)]
 enum EjectionCause {
     Silent,
@@ -65,7 +65,7 @@
 }
 
 impl Router {
-    /// Records the outcome of an attempt in what is known of its node and of the fleet.
+    /// Records the outcome of an attempt in the state of its node and of the fleet.
     pub(super) fn update_node_health(&mut self, transport: &mut dyn Transport, ended: &AttemptEnded) {
         let (id, now) = (ended.node, self.now);
         let Some(node) = self.node_mut(id) else { return };
@@ -89,11 +89,11 @@
         }
     }
 
-    /// An attempt was cancelled or timed out. Some nodes answer some attempts and drop others, so that they
-    /// are never silent for long: an attempt that was overtaken by later ones and unanswered for long counts
-    /// as lost.
+    /// Records an attempt that was cancelled or timed out. Some nodes answer some attempts and drop
+    /// others, so that they are never silent for long: an attempt that was overtaken by later ones and
+    /// unanswered for long counts as lost.
     fn on_unanswered(&mut self, transport: &mut dyn Transport, id: NodeId, attempt: &OutstandingAttempt) {
-        // A frame that has not been sent completely says nothing about the node.
+        // A frame that has not been sent completely shows nothing about the node.
         if !attempt.frame_sent {
             return;
         }
@@ -106,12 +106,12 @@
         }
     }
 
-    /// An attempt was given up while the node may still be working on it.
+    /// Records an attempt that was given up while the node may still be working on it.
     fn on_withdrawn(&mut self, id: NodeId, attempt: &OutstandingAttempt) {
         let (now, median, p95) = (self.now, self.latency.median, self.latency.p95);
         let Some(node) = self.node_mut(id) else { return };
-        // A probation attempt that was cancelled because its hedge won has shown nothing. The next one waits
-        // as after silence; otherwise a node that hangs would get one with each hedge that wins.
+        // A probation attempt that was cancelled because its hedge won has shown nothing. The next one
+        // waits as after silence; otherwise a node that hangs would get one with each hedge that wins.
         if let Some(ejection) = &mut node.ejection
             && attempt.sent_at >= ejection.probation_at
         {
@@ -123,9 +123,9 @@
         }
     }
 
-    /// A node that rejects attempts as full answers fast and seems idle, and would attract all attempts of a
-    /// part. The rejection is also kept as a slow sample, for brokers that meet the node too rarely to
-    /// remember it otherwise.
+    /// Records a rejection as full. A node that rejects attempts as full answers fast and seems idle, and
+    /// would attract all attempts of a part. The rejection is also kept as a slow sample, for brokers
+    /// that meet the node too rarely to remember it otherwise.
     fn on_rejected_as_full(&mut self, id: NodeId, attempt: &OutstandingAttempt) {
         let (now, latency) = (self.now, self.latency.p95);
         let Some(node) = self.node_mut(id) else { return };
@@ -141,7 +141,7 @@
         keep_last(&mut node.samples, sample, NODE_SAMPLE_COUNT);
     }
 
-    /// All attempts lost with one connection count as one fault.
+    /// Records a broken connection. All attempts that are lost with one connection count as one fault.
     fn on_connection_fault(
         &mut self,
         transport: &mut dyn Transport,
@@ -168,7 +168,7 @@
         self.record_outcome(transport, id, attempt, outcome);
     }
 
-    /// Records a sample, advances the probation, and judges the node by it.
+    /// Records a sample, advances the probation, and decides by it whether the node is ejected.
     fn record_outcome(
         &mut self,
         transport: &mut dyn Transport,
@@ -211,8 +211,8 @@
         Some(latency)
     }
 
-    /// A success during probation doubles the number of probation attempts; anything else starts the ejection
-    /// time anew.
+    /// Advances the probation: a success doubles the number of probation attempts; any other outcome
+    /// starts the ejection time again.
     fn advance_probation(&mut self, transport: &mut dyn Transport, id: NodeId, is_good: bool) {
         let (now, p95) = (self.now, self.latency.p95);
         let Some(node) = self.node_mut(id) else { return };
@@ -266,7 +266,8 @@
         let (now, p95) = (self.now, self.latency.p95);
         let Some(node) = self.nodes[id].as_mut() else { return };
         node.ejection = Some(Ejection::after_rest(now, p95));
-        // Only the connection may have failed; a probation attempt on it would say nothing about the node.
+        // Only the connection may have failed, and a probation attempt on it would show nothing about the
+        // node.
         transport.close_idle_connections(id);
         for attempt in &node.outstanding {
             if let Some(query) = self.queries.get_mut(&attempt.id.query) {
@@ -280,7 +281,7 @@
         transport.log(&format!("node {id} is ejected: {cause}"));
     }
 
-    /// Whether an ejected node may get one more attempt now.
+    /// Whether an ejected node may be sent one more attempt now.
     pub(super) fn is_due_probation(&self, node: &Node, ejection: &Ejection) -> bool {
         let on_probation = |attempt: &&OutstandingAttempt| attempt.sent_at >= ejection.probation_at;
         self.now >= ejection.probation_at
--- a/crates/dunepond-routing/src/policy/retry.rs
+++ b/crates/dunepond-routing/src/policy/retry.rs
@@ -10,10 +10,10 @@
 use crate::Transport;
 use crate::state::{InFlightQuery, PartState, Router};
 
-/// A part that cannot be sent is checked again after this interval, or this fraction of its query's age.
+/// Interval after which a part that cannot be sent is checked again, or the fraction of its query's age.
 const RECHECK_TICKS: f64 = 5.0;
 const RECHECK_AGE_DIVISOR: f64 = 32.0;
-/// Attempts of one part that may be outstanding at once.
+/// Largest number of outstanding attempts of one part.
 const MAX_OUTSTANDING_ATTEMPTS: usize = 2;
 
 impl Router {
@@ -37,7 +37,7 @@
         StageResult::Wait
     }
 
-    /// When a part may need an attempt through the passage of time alone.
+    /// When a part may need an attempt although no event occurs.
     fn recheck_at(&self, query: &InFlightQuery, part: &PartState, hedging: &HedgeTerms) -> f64 {
         if part.is_done() || part.outstanding().count() >= MAX_OUTSTANDING_ATTEMPTS {
             return f64::MAX;
--- a/crates/dunepond-routing/src/policy/retry_budget.rs
+++ b/crates/dunepond-routing/src/policy/retry_budget.rs
@@ -54,15 +54,15 @@
         }
     }
 
-    /// Counts an attempt that the budget denies, and returns its verdict.
+    /// Counts the attempt if the budget denies it, and returns `is_permitted`.
     pub(super) fn note_denial(&self, is_permitted: bool) -> bool {
         let denials = &self.retries.denials;
         denials.set(denials.get() + f64::from(!is_permitted));
         is_permitted
     }
 
-    /// What this broker would use of the bounds shared by all brokers: rates over the last `seconds`, and
-    /// retries denied since the last call.
+    /// The use that this broker would make of the quotas of all brokers: rates over the last `seconds`,
+    /// and retries that were denied since the last call.
     pub fn quota_demand(&self, seconds: f64) -> QuotaDemand {
         let since = self.now - seconds;
         let sent = self.retries.retries_sent.iter().filter(|at| **at > since).count();
--- a/crates/dunepond-routing/src/policy/router.rs
+++ b/crates/dunepond-routing/src/policy/router.rs
@@ -1,18 +1,18 @@
-//! The entry points of [`Router`]. Each synchronises the clock, records its event, and runs the stages of the
-//! queries concerned.
+//! The entry points of [`Router`]. Each of them synchronises the clock, records its event, and runs the
+//! stages of the queries concerned.
 
 use crate::state::{InFlightQuery, PartStatus, Probing, Router};
 use crate::{AttemptEnded, AttemptId, Deployment, NodeId, Part, Query, QueryId, Transport};
 
 impl Router {
-    /// A router that knows only its deployment, whose seed decides all random choices.
+    /// Creates a router that knows only its deployment, whose seed decides all random choices.
     pub fn new(deployment: Deployment) -> Self {
         let mut router = Self::with_empty_state(deployment);
         router.measure_latency();
         router
     }
 
-    /// Takes in a query with the parts of its first step.
+    /// Accepts a query with the parts of its first step.
     pub fn on_query(&mut self, transport: &mut dyn Transport, query: Query) {
         self.sync_clock(transport);
         self.record_admission(if query.audit { 0.0 } else { 1.0 + query.parts.len() as f64 });
@@ -26,7 +26,7 @@
         self.schedule_wake(transport);
     }
 
-    /// Takes in the parts of a second step, which the first step's answer has brought.
+    /// Accepts the parts of a second step, which the first step's answer contained.
     pub fn on_second_step(&mut self, transport: &mut dyn Transport, id: QueryId, parts: Vec<Part>) {
         self.sync_clock(transport);
         self.record_admission(parts.len() as f64);
@@ -37,13 +37,13 @@
         }
     }
 
-    /// Takes in the end of an attempt; to be called exactly once for each attempt.
+    /// Accepts the end of an attempt; the host has to call this exactly once for each attempt.
     pub fn on_attempt_ended(&mut self, transport: &mut dyn Transport, ended: AttemptEnded) {
         self.sync_clock(transport);
         self.run_response_stages(transport, &ended);
     }
 
-    /// Takes in the end of a probe: answered after this many seconds, or `None` if it failed.
+    /// Accepts the end of a probe, which was answered after this many seconds; `None` if it failed.
     pub fn on_probe_result(
         &mut self,
         transport: &mut dyn Transport,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// A streamed attempt's frame has been sent completely; the node's time starts now.
+    /// Records that a streamed attempt's frame has been sent completely; the node's time starts now.
     pub fn on_frame_written(&mut self, transport: &mut dyn Transport, node: NodeId, id: AttemptId) {
         self.sync_clock(transport);
         let now = self.now;
@@ -76,7 +76,8 @@
         }
     }
 
-    /// The body of a query is no longer available: what has not been sent completely never will be.
+    /// Records that the body of a query is no longer available: a frame that has not been sent completely
+    /// never will be.
     pub fn on_body_discarded(&mut self, transport: &mut dyn Transport, id: QueryId) {
         self.sync_clock(transport);
         if let Some(query) = self.queries.get_mut(&id) {
@@ -85,8 +86,8 @@
         }
     }
 
-    /// The prefilter has finished: the given parts are pruned, on evidence that the host holds. The others
-    /// are sent, unless too little time is left.
+    /// Accepts the result of the prefilter: the given parts are pruned, on evidence that the host holds.
+    /// The other parts are sent, unless too little time is left.
     pub fn on_prefilter_result(&mut self, transport: &mut dyn Transport, id: QueryId, pruned: &[usize]) {
         self.sync_clock(transport);
         let Some(query) = self.queries.get_mut(&id) else { return };
@@ -105,7 +106,8 @@
         self.finish(transport, &query);
     }
 
-    /// The evidence for pruning these parts no longer holds; they are sent after all.
+    /// Revokes the pruning of these parts, for which the evidence no longer holds; they are sent after
+    /// all.
     pub fn on_prefilter_revoked(&mut self, transport: &mut dyn Transport, id: QueryId, parts: &[usize]) {
         self.sync_clock(transport);
         let Some(query) = self.queries.get_mut(&id) else { return };
@@ -117,7 +119,7 @@
         self.run_request_stages(transport, id);
     }
 
-    /// The client has disconnected; its query ends without an answer.
+    /// Records that the client has disconnected; its query ends without an answer.
     pub fn on_client_disconnect(&mut self, transport: &mut dyn Transport, id: QueryId) {
         self.sync_clock(transport);
         if let Some(query) = self.queries.remove(&id) {
@@ -134,7 +136,7 @@
         self.nodes[node].as_ref().map_or(0, |node| node.outstanding.len())
     }
 
-    /// The time requested by [`Transport::schedule_wake`] has come.
+    /// Runs the work that is due, at the time requested by [`Transport::schedule_wake`].
     pub fn on_wake(&mut self, transport: &mut dyn Transport) {
         self.sync_clock(transport);
         self.clear_due_wake();
--- a/crates/dunepond-routing/src/policy/rules.rs
+++ b/crates/dunepond-routing/src/policy/rules.rs
@@ -1,5 +1,5 @@
-//! Rules that change while queries are in flight: each query is held to the stricter of the rules it began
-//! with and those in force.
+//! Rules that change while queries are in flight: each query is subject to the stricter of the rules on
+//! its arrival and those in force.
 //!
 //! Inputs: shares of a query's weight, the retry budget, caps, and waits (seconds), as stated by the
 //! deployment or its operators. No broker exceeds what the rules before and after a change allow.
@@ -10,8 +10,8 @@
 use crate::{QuotaShares, Rules};
 
 impl Router {
-    /// Puts other rules in force. If the retry budget's window is longer than any before it, records do not
-    /// reach back that far, and everything counts as spent.
+    /// Puts other rules in force. If the retry budget's window is longer than any earlier one, the
+    /// records do not reach back that far, and everything counts as spent.
     pub fn set_rules(&mut self, rules: &Rules) {
         self.rules = Arc::new(rules.clone());
         let window = rules.retry_budget.as_ref().map_or(0.0, |budget| budget.window);
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Sets this broker's parts of the bounds shared by all brokers.
+    /// Sets this broker's shares of the quotas of all brokers.
     pub fn set_quota_shares(&mut self, limits: QuotaShares) {
         self.limits = limits;
     }
@@ -32,13 +32,13 @@
         share(&query.rules).max(share(&self.rules))
     }
 
-    /// Least share of the weight for any answer.
+    /// Smallest share of the weight for which an answer may be given.
     pub(super) fn minimum_share(&self, query: &InFlightQuery) -> f64 {
         let share = |rules: &Rules| share_of(&rules.minimum_share, query.class);
         share(&query.rules).max(share(&self.rules))
     }
 
-    /// How often a part may be sent; an audit only once.
+    /// Largest number of attempts of a part, which is 1 for an audit.
     pub(super) fn attempt_cap(&self, query: &InFlightQuery) -> usize {
         if query.audit {
             return 1;
@@ -46,7 +46,7 @@
         query.rules.max_attempts.min(self.rules.max_attempts)
     }
 
-    /// Longest Retry-After (seconds) of a rejection.
+    /// Longest Retry-After of a rejection, in seconds.
     pub(super) fn max_retry_after(&self, query: &InFlightQuery) -> f64 {
         query.rules.max_retry_after.min(self.rules.max_retry_after)
     }
@@ -57,7 +57,7 @@
     }
 }
 
-/// A share that the rules do not state is the strictest, 1.
+/// A share that the rules do not state has the strictest value, 1.
 fn share_of(shares: &[f64], class: usize) -> f64 {
     shares.get(class).copied().unwrap_or(1.0)
 }
--- a/crates/dunepond-routing/src/policy/shutdown.rs
+++ b/crates/dunepond-routing/src/policy/shutdown.rs
@@ -69,7 +69,7 @@
         ]
     }
 
-    /// The stage at an instant.
+    /// The stage that applies at an instant.
     pub fn stage(&self, now: f64) -> ShutdownStage {
         let begun = self.stages().into_iter().rfind(|(at, _)| *at <= now);
         begun.map_or(ShutdownStage::Serving, |(_, stage)| stage)
--- a/crates/dunepond-routing/src/policy/warm_restart.rs
+++ b/crates/dunepond-routing/src/policy/warm_restart.rs
@@ -1,4 +1,5 @@
-//! Warm restart: what a process has learned and spent, for its successor.
+//! Warm restart: the state that a process has learned and the budgets that it has spent, for its
+//! successor.
 //!
 //! All times are ages in seconds, as each process has its own clock. Anything not known to be unspent counts
 //! as spent.
@@ -9,7 +10,7 @@
 use crate::{LearnedState, NodeId, SlowStartRecord, SpentBudgets, Transport};
 
 impl Router {
-    /// What this router has learned.
+    /// The statistics that this router has learned.
     pub fn learned_state(&mut self, transport: &dyn Transport) -> LearnedState {
         self.sync_clock(transport);
         let now = self.now;
@@ -22,8 +23,8 @@
         }
     }
 
-    /// Restores what an earlier process learned. A node that was ejected is due its probation attempt at
-    /// once: its fault may be over.
+    /// Restores the statistics that an earlier process learned. A node that was ejected is due its
+    /// probation attempt at once, because its fault may be over.
     pub fn restore_learned(&mut self, transport: &mut dyn Transport, learned: &LearnedState) {
         self.sync_clock(transport);
         let now = self.now;
@@ -43,8 +44,8 @@
         self.measure_latency();
     }
 
-    /// What has been spent of the retry budget and of the slow start budgets, and the admissions it is
-    /// measured against.
+    /// The spent part of the retry budget and of the slow start budgets, and the admissions against which
+    /// they are measured.
     pub fn spent_budgets(&mut self, transport: &dyn Transport) -> SpentBudgets {
         self.sync_clock(transport);
         let now = self.now;
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Charges what an earlier process spent. `None` if that is not known: then everything counts as spent
-    /// now.
+    /// Charges the budgets that an earlier process spent. `None` means that this is not known: then
+    /// everything counts as spent now.
     pub fn restore_spent(&mut self, transport: &mut dyn Transport, spent: Option<&SpentBudgets>) {
         self.sync_clock(transport);
         let now = self.now;
--- a/crates/dunepond-routing/src/state/admission.rs
+++ b/crates/dunepond-routing/src/state/admission.rs
@@ -1,4 +1,4 @@
-//! What admission remembers of past queries.
+//! The records of past queries that admission uses.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
     pub value_densities: VecDeque<f64>,
     /// Instants at which queries were admitted within their tenant's quota, by tenant.
     pub within_quota: Vec<VecDeque<f64>>,
-    /// Seconds that a client's last first try was given, by tenant and query class.
+    /// The time in seconds that a client's last first try was given, by tenant and query class.
     pub first_try_seconds: Vec<f64>,
     /// Whether recent queries that had attempts missed their objective.
     pub missed_objectives: VecDeque<ObjectiveResult>,
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy)]
 pub struct ObjectiveResult {
     pub at: f64,
-    /// It ended after its latency objective.
+    /// Whether it ended after its latency objective.
     pub missed: bool,
 }
 
--- a/crates/dunepond-routing/src/state/endpoint_poll.rs
+++ b/crates/dunepond-routing/src/state/endpoint_poll.rs
@@ -1,4 +1,4 @@
-//! Polling state of an endpoint list that comes only on request.
+//! The polling state of an endpoint list that is only sent on request.
 
 use crate::Deployment;
 
@@ -6,7 +6,7 @@
     /// Instant of the next poll; `f64::MIN` before the first one, `f64::MAX` if the list is pushed and never
     /// polled.
     pub next_at: f64,
-    /// Refused polls in a row.
+    /// Number of consecutive refused polls.
     pub refusals: i32,
 }
 
--- a/crates/dunepond-routing/src/state/latency.rs
+++ b/crates/dunepond-routing/src/state/latency.rs
@@ -12,13 +12,14 @@
     pub zones: Vec<VecDeque<ZoneSample>>,
     /// Median latency of each zone in seconds, by zone.
     pub zone_median: Vec<f64>,
-    /// Median latency in seconds; computed once after each change, as a burst of queries reads it often.
+    /// Median latency in seconds; computed only once after each change, because a burst of queries reads
+    /// it often.
     pub median: f64,
-    /// 95th percentile in seconds.
+    /// 95th percentile of the latency, in seconds.
     pub p95: f64,
     /// Baseline latency in seconds: the lowest median so far. `f64::MAX` while unknown.
     pub baseline: f64,
-    /// Nodes listed as active and past slow start; at least 1.
+    /// Number of nodes that are listed as active and past slow start; at least 1.
     pub warm_nodes: usize,
     /// Parts completed for this broker by each warm node since the start, on average.
     pub completed_per_node: f64,
@@ -26,7 +27,7 @@
     pub completion_rate_at_wake: f64,
     /// Longest latency objective of all query classes in seconds.
     pub longest_objective: f64,
-    /// The shortest one in seconds.
+    /// Shortest latency objective of all query classes in seconds.
     pub shortest_objective: f64,
 }
 
@@ -36,7 +37,7 @@
     pub latency: f64,
     pub at: f64,
     /// One node's share of this completion, by the number of warm nodes at its time: if many nodes crash,
-    /// what all of them did must not be attributed to the remaining few.
+    /// the completions of all of them must not be attributed to the remaining few.
     pub node_share: f64,
 }
 
@@ -67,12 +68,12 @@
 }
 
 impl CompletionSample {
-    /// As stored for another process.
+    /// The sample in the form that is stored for another process.
     pub fn to_record(self, now: f64) -> LatencyRecord {
         LatencyRecord { latency: self.latency, ago: age(self.at, now), node_share: self.node_share }
     }
 
-    /// Back on this process's clock.
+    /// The stored sample on this process's clock.
     pub fn from_record(record: &LatencyRecord, now: f64) -> Self {
         let &LatencyRecord { latency, ago, node_share } = record;
         Self { latency, at: now - ago, node_share }
--- a/crates/dunepond-routing/src/state/mod.rs
+++ b/crates/dunepond-routing/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! State of a router: queries in flight, nodes, latencies, admissions, and spent budgets. No decision is made
-//! here: every rule that reads or changes this state stands under `policy`.
+//! State of a router: queries in flight, nodes, latencies, admissions, and spent budgets. No decision is
+//! made here: every rule that reads or changes this state is in `policy`.
 
 mod admission;
 mod endpoint_poll;
@@ -24,19 +24,19 @@
 pub use self::shutdown::Shutdown;
 use crate::{Deployment, IdleResetRecord, NodeId, QueryClass, QueryId, QuotaShares, Rules};
 
-/// The routing decisions of one broker, with all the state they depend on.
+/// The routing decisions of one broker, with all the state on which they depend.
 ///
-/// Its methods are called as things happen, and each gives its orders through
-/// [`Transport`](crate::Transport). Instants are seconds on the transport's clock.
+/// The host calls its methods as events occur, and each gives its orders through
+/// [`Transport`](crate::Transport). Instants are in seconds on the transport's clock.
 pub struct Router {
     pub(crate) deployment: Deployment,
-    /// The rules in force; a query in flight also keeps those it began with.
+    /// The rules in force; a query in flight also keeps those that were in force on its arrival.
     pub(crate) rules: Arc<Rules>,
-    /// This broker's parts of the bounds shared by all brokers.
+    /// This broker's shares of the quotas of all brokers.
     pub(crate) limits: QuotaShares,
     pub(crate) now: f64,
     pub(crate) rng: Pcg64Mcg,
-    /// By node id; `None` for an id that is not in use.
+    /// Nodes by id; `None` for an id that is not in use.
     pub(crate) nodes: Vec<Option<Node>>,
     /// Node ids by replica group: a part only looks at its own replicas, so its cost does not grow with the
     /// fleet.
@@ -54,30 +54,31 @@
     pub(crate) shutdown: Option<Shutdown>,
 }
 
-/// Result of a probe.
+/// The result of a probe.
 #[derive(Clone, Copy)]
 pub struct ProbeResult {
     pub at: f64,
-    /// It failed, or took longer than a bare round trip, and so tells something about the node's queue.
+    /// Whether it failed, or took longer than a bare round trip, and so contains information about the
+    /// node's queue.
     pub is_informative: bool,
 }
 
-/// Outcome of an attempt on a connection that had been idle.
+/// The outcome of an attempt on a connection that had been idle.
 #[derive(Clone, Copy)]
 pub struct IdleReset {
     pub at: f64,
     pub idle_seconds: f64,
-    /// The connection broke at once; otherwise the attempt was served.
+    /// Whether the connection broke at once; otherwise the attempt was served.
     pub broke: bool,
 }
 
 impl IdleReset {
-    /// As stored for another process.
+    /// The outcome in the form that is stored for another process.
     pub fn to_record(self, now: f64) -> IdleResetRecord {
         IdleResetRecord { ago: age(self.at, now), idle_seconds: self.idle_seconds, broke: self.broke }
     }
 
-    /// Back on this process's clock.
+    /// The stored outcome on this process's clock.
     pub fn from_record(record: &IdleResetRecord, now: f64) -> Self {
         let &IdleResetRecord { ago, idle_seconds, broke } = record;
         Self { at: now - ago, idle_seconds, broke }
@@ -85,7 +86,7 @@
 }
 
 impl Router {
-    /// A router without any state but what its deployment states.
+    /// Creates a router without any state except what its deployment states.
     pub(crate) fn with_empty_state(deployment: Deployment) -> Self {
         Self {
             rules: Arc::new(Rules::of(&deployment)),
@@ -112,7 +113,7 @@
         &self.deployment.query_classes[query.class]
     }
 
-    /// The node of this id, unless it was never listed or has been dropped.
+    /// The node with this id, unless it was never listed or has been dropped.
     pub(crate) fn node_mut(&mut self, id: NodeId) -> Option<&mut Node> {
         self.nodes.get_mut(id).and_then(Option::as_mut)
     }
--- a/crates/dunepond-routing/src/state/node.rs
+++ b/crates/dunepond-routing/src/state/node.rs
@@ -1,4 +1,4 @@
-//! What is known of a node.
+//! The state of a node as this broker knows it.
 
 use std::collections::VecDeque;
 
@@ -11,20 +11,20 @@
     pub started_at: f64,
     pub slow_start_tokens: TokenBucket,
     pub last_response_at: f64,
-    /// Instant of the last traffic with it.
+    /// Instant of the last traffic with the node.
     pub last_used_at: f64,
-    /// Instant at which it last rejected an attempt as full.
+    /// Instant at which the node last rejected an attempt as full.
     pub last_full_at: f64,
-    /// Instant at which it last answered a probe.
+    /// Instant at which the node last answered a probe.
     pub last_probe_at: f64,
-    /// The oldest first.
+    /// Samples of recent attempts, oldest first.
     pub outstanding: Vec<OutstandingAttempt>,
-    /// For each attempt that was given up: the instant by which the node should be done with it.
+    /// The instant by which the node should be done with each attempt that was given up.
     pub abandoned_until: Vec<f64>,
     pub samples: VecDeque<NodeSample>,
-    /// Instants at which it was sent parts during slow start.
+    /// Instants at which the node was sent parts during slow start.
     pub slow_start_sends: VecDeque<f64>,
-    /// Set while it is ejected: only probation attempts are sent to it.
+    /// Set while the node is ejected: only probation attempts are sent to it.
     pub ejection: Option<Ejection>,
 }
 
@@ -32,11 +32,11 @@
 pub struct OutstandingAttempt {
     pub id: AttemptId,
     pub class: usize,
-    /// When it was sent; of a streamed attempt, when its frame had been sent completely.
+    /// When it was sent; for a streamed attempt, when its frame had been sent completely.
     pub sent_at: f64,
-    /// Seconds without traffic with the node before it was sent.
+    /// Seconds without traffic with the node before the attempt was sent.
     pub idle_seconds: f64,
-    /// Its frame has been sent completely; before that, no answer is due.
+    /// Whether its frame has been sent completely; before that, no answer is due.
     pub frame_sent: bool,
 }
 
@@ -44,7 +44,7 @@
 pub struct NodeSample {
     pub class: usize,
     pub sent_at: f64,
-    /// Seconds.
+    /// Latency in seconds.
     pub latency: f64,
     pub at: f64,
     pub outcome: SampleOutcome,
@@ -54,7 +54,8 @@
 pub enum SampleOutcome {
     Served,
     Fault,
-    /// Rejected as full, or cancelled before it ended: its time counts, but not against the node.
+    /// The node rejected the attempt as full, or it was cancelled before it ended: its time counts, but
+    /// not against the node.
     Inconclusive,
 }
 
@@ -66,17 +67,18 @@
     pub probation_limit: usize,
 }
 
-/// Slow start budget of a node, as of an instant.
+/// The slow start budget of a node, as of an instant.
 #[derive(Clone, Copy)]
 pub struct TokenBucket {
     pub tokens: f64,
-    /// [`LatencyStats::completed_per_node`](super::LatencyStats::completed_per_node) at that instant.
+    /// The value of [`LatencyStats::completed_per_node`](super::LatencyStats::completed_per_node) at that
+    /// instant.
     pub completed_per_node: f64,
     pub at: f64,
 }
 
 impl Node {
-    /// A node as first listed.
+    /// Creates the state of a node when it is first listed.
     pub fn new(endpoint: &Endpoint, slow_start_tokens: TokenBucket) -> Self {
         Self {
             zone: endpoint.zone,
@@ -95,12 +97,12 @@
         }
     }
 
-    /// Our attempts that the node is likely working on, given up or not.
+    /// This broker's attempts on which the node is likely working, given up or not.
     pub fn attempts_in_hand(&self) -> f64 {
         (self.outstanding.len() + self.abandoned_until.len()) as f64
     }
 
-    /// As stored for another process.
+    /// The sample in the form that is stored for another process.
     pub fn to_learned(&self, id: NodeId, now: f64) -> LearnedNode {
         LearnedNode {
             node: id,
@@ -123,7 +125,7 @@
         self.outcome == SampleOutcome::Served
     }
 
-    /// As stored for another process, in ages.
+    /// The node's statistics in the form that is stored for another process, with ages.
     pub fn to_learned(&self, now: f64) -> LearnedSample {
         LearnedSample {
             class: self.class,
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Back on this process's clock.
+    /// The stored statistics on this process's clock.
     pub fn from_learned(learned: &LearnedSample, now: f64) -> Self {
         let outcome = match (learned.fault, learned.served) {
             (true, _) => SampleOutcome::Fault,
--- a/crates/dunepond-routing/src/state/query.rs
+++ b/crates/dunepond-routing/src/state/query.rs
@@ -4,35 +4,35 @@
 
 use crate::{AttemptOutcome, NodeId, Part, Query, QueryId, Rules};
 
-/// A query that has arrived and not ended.
+/// A query that has arrived and has not ended.
 pub struct InFlightQuery {
     pub id: QueryId,
     pub class: usize,
     pub tenant: usize,
-    /// Admission has decided; it does so once.
+    /// Whether admission has decided, which it does once.
     pub admission_checked: bool,
-    /// It arrived too late in a shutdown for the time its client will wait.
+    /// Whether it arrived too late in a shutdown for the time that its client waits.
     pub exceeds_shutdown: bool,
     pub objective_at: f64,
     pub deadline_at: f64,
     pub arrived_at: f64,
-    /// When it must run its stages by the passage of time alone; a wake only runs queries that are due.
+    /// When its stages must run although no event occurs; a wake only runs queries that are due.
     pub due_at: f64,
     pub parts: Vec<PartState>,
     /// Index of the first part of the present step.
     pub step_start: usize,
     pub is_second_step: bool,
     pub probing: Probing,
-    /// Its body is available once: its parts are sent on arrival or never.
+    /// Whether its body is available only once: its parts are sent on arrival or never.
     pub single_shot: bool,
-    /// Its body is no longer available.
+    /// Whether its body is no longer available.
     pub body_consumed: bool,
-    /// Its frames take long to send, and the end of each is reported.
+    /// Whether its frames take long to send, and the end of each is reported.
     pub streamed: bool,
-    /// Nothing is sent before the prefilter has told which parts are pruned.
+    /// Whether nothing is sent before the prefilter has reported which parts are pruned.
     pub awaits_prefilter: bool,
     pub audit: bool,
-    /// The rules in force on its arrival.
+    /// The rules that were in force on its arrival.
     pub rules: Arc<Rules>,
 }
 
@@ -43,15 +43,15 @@
     Probed {
         at: f64,
     },
-    /// Its probes have been awaited for long enough.
+    /// The query has waited for its probes for long enough.
     Finished,
 }
 
 pub struct PartState {
     pub segment: usize,
-    /// Share of its step's weight.
+    /// Share of the weight of its step.
     pub weight: f64,
-    /// The only node that may get it.
+    /// The only node that may be sent the part.
     pub required_node: Option<NodeId>,
     pub status: PartStatus,
     pub attempts: Vec<Attempt>,
@@ -61,19 +61,19 @@
 pub enum PartStatus {
     Pending,
     Done,
-    /// Done without having been sent: its result is known to be empty.
+    /// The part is done without having been sent: its result is known to be empty.
     Pruned,
 }
 
 pub struct Attempt {
     pub node: NodeId,
     pub sent_at: f64,
-    /// `None` while it is outstanding.
+    /// The outcome; `None` while the attempt is outstanding.
     pub outcome: Option<AttemptOutcome>,
 }
 
 impl InFlightQuery {
-    /// A query on arrival, before its parts are added.
+    /// Creates a query on arrival, before its parts are added.
     pub fn new(query: &Query, now: f64, objective_at: f64, rules: Arc<Rules>) -> Self {
         Self {
             id: query.id,
@@ -135,7 +135,7 @@
         self.status == PartStatus::Pruned
     }
 
-    /// Its attempts that have not ended.
+    /// The part's attempts that have not ended.
     pub fn outstanding(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.is_outstanding())
     }
--- a/crates/dunepond-routing/src/state/retry_budget.rs
+++ b/crates/dunepond-routing/src/state/retry_budget.rs
@@ -1,4 +1,4 @@
-//! What has been spent of the retry budget, and the admissions it is measured against.
+//! The spent part of the retry budget, and the admissions against which it is measured.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -9,13 +9,14 @@
 pub struct RetryHistory {
     /// Instants at which retries and hedged requests were sent.
     pub retries_sent: VecDeque<f64>,
-    /// Queries and parts admitted.
+    /// The queries and parts that were admitted.
     pub admitted: VecDeque<AdmittedWork>,
-    /// Longest window of any budget so far in seconds; records are kept for as long.
+    /// Longest window in seconds of any budget so far; records are kept for as long.
     pub window_seconds: f64,
-    /// Up to this instant everything counts as spent, as it is not known what was; `f64::MIN` if it is.
+    /// Up to this instant everything counts as spent, because the real use is not known; `f64::MIN` if it
+    /// is known.
     pub charged_until: f64,
-    /// Attempts that the budget has denied since this was last reported.
+    /// Number of attempts that the budget has denied since this was last reported.
     pub denials: Cell<f64>,
 }
 
@@ -46,7 +47,7 @@
 }
 
 impl AdmittedWork {
-    /// As stored for another process.
+    /// The record in the form that is stored for another process.
     pub fn to_record(self, now: f64) -> AdmissionRecord {
         AdmissionRecord { ago: age(self.at, now), count: self.count }
     }
--- a/crates/dunepond-routing/src/state/shutdown.rs
+++ b/crates/dunepond-routing/src/state/shutdown.rs
@@ -1,10 +1,10 @@
-//! The times of a shutdown under way.
+//! The times of a shutdown in progress.
 
-/// A shutdown under way: when the signal may have come, and when the last answers are due.
+/// A shutdown in progress: when the signal may have arrived, and when the last answers are due.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
-    /// Earliest instant at which the signal may have come.
+    /// Earliest instant at which the signal may have arrived.
     pub(crate) signalled_at: f64,
-    /// Seconds from then to the last answers.
+    /// Seconds from that instant to the last answers.
     pub(crate) last_answers_after: f64,
 }
--- a/crates/dunepond-routing/src/transport.rs
+++ b/crates/dunepond-routing/src/transport.rs
@@ -1,30 +1,31 @@
-//! The orders that a router gives to its host.
+//! The interface through which a router gives orders to its host.
 
 use crate::{NodeId, QueryId};
 
-/// The host of a router: its clock, and the orders that it carries out in the sequence in which they are
-/// given.
+/// The host of a router, with its clock and the orders that it carries out in the sequence in which they
+/// are given.
 pub trait Transport {
-    /// Seconds on the host's clock, which stands still during a call.
+    /// The time in seconds on the host's clock, which stands still during a call.
     fn now(&self) -> f64;
     /// Sends a part to a node. A part's attempts count from 0 in the order of these calls.
     fn send_attempt(&mut self, query: QueryId, part: usize, node: NodeId);
     /// Closes the connections to a node: idle ones at once, the others after their last attempt. The next
     /// attempt opens a new one.
     fn close_idle_connections(&mut self, node: NodeId);
-    /// Stops waiting for an attempt; its end is still reported.
+    /// Stops waiting for an attempt, whose end is still reported.
     fn cancel_attempt(&mut self, query: QueryId, part: usize, attempt: usize);
-    /// Asks a node for a sign of life and capacity; the result is reported by
-    /// [`Router::on_probe_result`](crate::Router::on_probe_result).
+    /// Asks a node for a sign of life and its free capacity;
+    /// [`Router::on_probe_result`](crate::Router::on_probe_result) receives the result.
     fn probe(&mut self, node: NodeId);
     /// Answers with the parts received. If the query has a second step, the first call requests the parts of
     /// that step.
     fn answer(&mut self, query: QueryId, is_complete: bool);
-    /// Rejects a query that is safe to retry, after `retry_after` seconds if that is above 0.
+    /// Rejects a query that is safe to retry, after `retry_after` seconds if that is greater than 0.
     fn reject_retriable(&mut self, query: QueryId, retry_after: f64);
     /// Fails a query with an unknown outcome: parts of it may have run.
     fn fail_unknown_outcome(&mut self, query: QueryId);
-    /// The router has finished with a query: later orders only cancel its outstanding attempts.
+    /// Reports that the router has finished with a query: later orders only cancel its outstanding
+    /// attempts.
     fn finish(&mut self, query: QueryId);
     /// Requests one call of [`Router::on_wake`](crate::Router::on_wake) at this instant or soon after.
     fn schedule_wake(&mut self, at: f64);
