--- a/crates/dunepond-broker/src/clock.rs
+++ b/crates/dunepond-broker/src/clock.rs
@@ -66,8 +66,20 @@
     Counters,
 }
 
-/// Identifies a scheduled timer: its time in Unix microseconds, and a sequence number.
-pub type TimerKey = (u64, u64);
+/// Identifies a scheduled timer; ordered by time, and at the same time in the order of scheduling.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TimerKey {
+    /// Unix time.
+    micros: u64,
+    sequence: u64,
+}
+
+impl TimerKey {
+    /// Whether the timer is scheduled for an earlier time than `at`, in Unix seconds.
+    pub fn is_before(self, at: f64) -> bool {
+        self.micros < to_micros(at)
+    }
+}
 
 /// The event loop's timers in order of time. In calloop's own, cancelling one scans all of them.
 #[derive(Default)]
@@ -80,7 +92,7 @@
     /// Schedules an event for a Unix time in seconds; events at the same time are due in the order in which they were scheduled.
     pub fn schedule(&mut self, at: f64, event: TimerEvent) -> TimerKey {
         self.last_sequence += 1;
-        let key = ((at.max(0.0) * 1e6) as u64, self.last_sequence);
+        let key = TimerKey { micros: to_micros(at.max(0.0)), sequence: self.last_sequence };
         self.pending.insert(key, event);
         key
     }
@@ -94,8 +106,8 @@
 
     /// Time until the earliest timer; `None` if there is none.
     pub fn until_next(&self, now: f64) -> Option<Duration> {
-        let (micros, _) = self.pending.first_key_value()?.0;
-        Some(Duration::from_micros(micros.saturating_sub((now * 1e6) as u64)))
+        let (first, _) = self.pending.first_key_value()?;
+        Some(Duration::from_micros(first.micros.saturating_sub(to_micros(now))))
     }
 
     /// Removes and returns the earliest event if its time has come.
@@ -107,7 +119,11 @@
 
 /// Whether a timer's time has come.
 pub fn is_due(key: TimerKey, now: f64) -> bool {
-    key.0 <= (now * 1e6) as u64
+    key.micros <= to_micros(now)
+}
+
+fn to_micros(seconds: f64) -> u64 {
+    (seconds * 1e6) as u64
 }
 
 #[cfg(test)]
--- a/crates/dunepond-broker/src/discovery/mod.rs
+++ b/crates/dunepond-broker/src/discovery/mod.rs
@@ -35,8 +35,9 @@
 const WATCH_CONTINUATION_SECONDS: f64 = 0.2;
 /// Shortest time between two requests. Guards against polling in a busy loop an agent that answers each watch at once.
 const MIN_REQUEST_INTERVAL_SECONDS: f64 = WATCH_CONTINUATION_SECONDS / 4.0;
-/// First and longest backoff before an agent that is down is called again.
-const BACKOFF_RANGE_SECONDS: (f64, f64) = (WATCH_CONTINUATION_SECONDS / 2.0, RESPONSE_OVERDUE_SECONDS);
+/// First backoff before an agent that is down is called again; doubled up to the longest.
+const FIRST_BACKOFF_SECONDS: f64 = WATCH_CONTINUATION_SECONDS / 2.0;
+const MAX_BACKOFF_SECONDS: f64 = RESPONSE_OVERDUE_SECONDS;
 
 /// The outcome of reading from a connection.
 enum ReadResult {
@@ -78,7 +79,7 @@
             list: ListState { version: None, had_invalid_row: false, directory },
             out_of_descriptors: false,
             last_request_at: f64::MIN,
-            backoff: BACKOFF_RANGE_SECONDS.0,
+            backoff: FIRST_BACKOFF_SECONDS,
         }
     }
 
@@ -120,7 +121,7 @@
             timers.cancel(self.timer.take());
             self.address = address;
             self.list.version = None;
-            self.backoff = BACKOFF_RANGE_SECONDS.0;
+            self.backoff = FIRST_BACKOFF_SECONDS;
             self.start_call(now, timers);
         }
     }
@@ -202,7 +203,7 @@
             self.timer = Some(timers.schedule(now + self.backoff, TimerEvent::Discovery));
             // A local lack of descriptors is no failure of the agent.
             if reason != ConnectionEnd::DescriptorsExhausted {
-                self.backoff = (2.0 * self.backoff).min(BACKOFF_RANGE_SECONDS.1);
+                self.backoff = (2.0 * self.backoff).min(MAX_BACKOFF_SECONDS);
             }
         }
     }
@@ -278,7 +279,7 @@
         timers: &mut Timers,
     ) -> EndpointUpdate {
         let Response { update, keep_alive } = response;
-        self.backoff = BACKOFF_RANGE_SECONDS.0;
+        self.backoff = FIRST_BACKOFF_SECONDS;
         if !update.endpoints.is_empty() {
             debug!("discovery: {} endpoints, complete list: {}", update.endpoints.len(), update.complete);
         }
--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -200,10 +200,11 @@
     /// only just connected is spared as long as such connections are not half of all. `None`, too, if all candidates have
     /// just been found to have sent something.
     pub(super) fn eviction_candidate(&mut self, now: f64) -> Option<usize> {
-        let evictable_until = ((now + REQUEST_TIMEOUT_SECONDS - EVICTABLE_AFTER_SECONDS) * 1e6) as u64;
+        let evictable_until = now + REQUEST_TIMEOUT_SECONDS - EVICTABLE_AFTER_SECONDS;
         loop {
             let too_many = 2 * self.awaiting_request.len() > self.max_connections;
-            let overdue = self.awaiting_request.iter().filter(|(key, _)| key.0 < evictable_until || too_many);
+            let is_evictable = |timer: &TimerKey| too_many || timer.is_before(evictable_until);
+            let overdue = self.awaiting_request.iter().filter(|(timer, _)| is_evictable(timer));
             let in_order = overdue.chain(&self.lingering).chain(&self.idle).chain(&self.awaiting_request);
             // A connection that is to be read is not evicted before that.
             let Some(id) = in_order.map(|(_, id)| *id).find(|id| !self.pending_clients.contains(id)) else {
--- a/crates/dunepond-broker/src/persistence/mod.rs
+++ b/crates/dunepond-broker/src/persistence/mod.rs
@@ -32,8 +32,9 @@
 /// Longest time that startup waits for the folder to be read, and shutdown for it to be written.
 const STARTUP_READ_TIMEOUT: Duration = Duration::from_millis(250);
 const SHUTDOWN_WRITE_TIMEOUT: Duration = Duration::from_millis(300);
-/// First and longest backoff before a folder that failed is opened again, in seconds.
-const OPEN_RETRY_SECONDS: (f64, f64) = (1.0, 60.0);
+/// First backoff before a folder that failed is opened again; doubled up to the longest.
+const FIRST_REOPEN_BACKOFF_SECONDS: f64 = 1.0;
+const MAX_REOPEN_BACKOFF_SECONDS: f64 = 60.0;
 /// A snapshot job that has waited for so many snapshot intervals is dropped.
 const MAX_SNAPSHOT_DELAY_INTERVALS: f64 = 5.0;
 
@@ -134,11 +135,11 @@
             priority: Priority::Normal,
             kind: JobKind::Blocking,
             cost: JobCost::default(),
-            not_before: now + OPEN_RETRY_SECONDS.0,
+            not_before: now + FIRST_REOPEN_BACKOFF_SECONDS,
             deadline: None,
             retry: Some(RetryPolicy {
-                initial_backoff_seconds: 2.0 * OPEN_RETRY_SECONDS.0,
-                max_backoff_seconds: OPEN_RETRY_SECONDS.1,
+                initial_backoff_seconds: 2.0 * FIRST_REOPEN_BACKOFF_SECONDS,
+                max_backoff_seconds: MAX_REOPEN_BACKOFF_SECONDS,
                 max_attempts: None,
             }),
         };
