--- a/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
@@ -14,10 +14,9 @@
 
 /// Seconds between two reviews of what has to be filled.
 const REVIEW_INTERVAL_SECONDS: f64 = 0.1;
-/// Shortest timeout of one attempt.
-const MIN_ATTEMPT_SECONDS: f64 = 5.0;
-/// Longest timeout of one attempt. A fill service that takes longer is asked again and continues where it was.
-const MAX_ATTEMPT_SECONDS: f64 = 600.0;
+/// Longest that one request to the fill service waits for its answer. A fill service that takes longer is asked again and
+/// continues where it was.
+const MAX_REQUEST_SECONDS: f64 = 600.0;
 
 /// What a scheduler's fills are for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -187,7 +186,8 @@
         settlements.into_iter().any(|it| it.debtor == debtor && it.creditor == creditor)
     }
 
-    /// Starts an attempt; its timeout follows from the planned rate.
+    /// Starts an attempt. Its request waits as long as the state machine allows the attempt, but at most
+    /// [`MAX_REQUEST_SECONDS`], as it holds a thread and a connection.
     pub(super) fn start_attempt(&self, fill: &Fill) {
         let request = FillRequest {
             id: fill.id.clone(),
@@ -197,9 +197,8 @@
             bytes: fill.bytes,
             bytes_per_second: fill.rate as u64,
         };
-        let expected_seconds = fill.duration_seconds() * self.retry_policy.timeout_factor;
-        let timeout =
-            Duration::from_secs_f64(expected_seconds.clamp(MIN_ATTEMPT_SECONDS, MAX_ATTEMPT_SECONDS));
+        let attempt_seconds = self.retry_policy.attempt_timeout_seconds(fill);
+        let timeout = Duration::from_secs_f64(attempt_seconds.min(MAX_REQUEST_SECONDS));
         self.service.start_attempt(self.kind, request, timeout);
     }
 }
--- a/crates/dunepond-settlement/src/fill.rs
+++ b/crates/dunepond-settlement/src/fill.rs
@@ -84,6 +84,13 @@
     }
 }
 
+impl FillRetryPolicy {
+    /// Timeout of one attempt at this fill, in seconds.
+    pub fn attempt_timeout_seconds(&self, fill: &Fill) -> f64 {
+        (fill.duration_seconds() * self.timeout_factor).max(self.min_timeout_seconds)
+    }
+}
+
 /// State of a fill.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FillState {
@@ -241,10 +248,8 @@
         match self.state {
             FillState::Planned { not_before } if now >= not_before => {
                 self.attempts += 1;
-                let policy = &self.retry_policy;
-                let timeout =
-                    (self.fill.duration_seconds() * policy.timeout_factor).max(policy.min_timeout_seconds);
-                self.state = FillState::Running { until: now + timeout };
+                let until = now + self.retry_policy.attempt_timeout_seconds(&self.fill);
+                self.state = FillState::Running { until };
                 vec![FillAction::Start(self.fill.clone())]
             }
             FillState::Running { until } if now >= until => {
