--- a/crates/dunepond-settlement/src/error.rs
+++ b/crates/dunepond-settlement/src/error.rs
@@ -41,7 +41,8 @@
         /// Most cells of a message.
         max: usize,
     },
-    /// A term is out of range.
+    /// A term is out of range. Of the terms the operator's file sets one: `most-rate`, by `fills rate=`, whose own range lies
+    /// within that of the term.
     #[error("terms of debts: {key} is {value}, wanted is {expected}")]
     InvalidTerm {
         /// Name of the term.
@@ -163,7 +164,9 @@
             SettlementError::TooManyCells { .. } => {
                 "look at the peer named: a broker sends rows for brokers that exist"
             }
-            SettlementError::InvalidTerm { .. } => "put the key named right in the operator's file",
+            SettlementError::InvalidTerm { .. } => {
+                "of these terms the operator's file sets only `most-rate`, as `rate` of its `fills` node; the others are built in: report it"
+            }
             SettlementError::AlreadySettledOtherwise { .. } => {
                 "nothing is lost, the first settlement stands; a fill was carried out twice, look for a filler that is slow to answer"
             }
--- a/crates/dunepond-settlement/tests/balances.rs
+++ b/crates/dunepond-settlement/tests/balances.rs
@@ -216,6 +216,9 @@
     let helps: BTreeSet<&str> = errors.iter().map(SettlementError::help).collect();
     assert_eq!(helps.len(), errors.len());
     assert!(errors.iter().all(|error| error.to_string().len() > 10 && error.help().len() > 20));
+    // Guards against a help text that sends the operator to a key that the file does not have.
+    let help = errors[4].help();
+    assert!(help.contains("`rate`") && help.contains("`fills`"), "{help}");
 }
 
 proptest! {
