--- a/crates/dunepond-settlement/src/planner/mod.rs
+++ b/crates/dunepond-settlement/src/planner/mod.rs
@@ -26,6 +26,8 @@
     running: BTreeMap<String, Fill>,
     /// Settlements of complete fills, until the log has them: their debts look open until then, and must not be paid twice.
     unsettled: BTreeMap<String, Settlement>,
+    /// Fills that were planned in the current window, also those that have ended or failed since: the limits of a window hold
+    /// for what was planned in it.
     recent: Vec<RecentFill>,
     /// Since when a partner waits for a fill.
     waiting_since: BTreeMap<String, f64>,
@@ -63,6 +65,9 @@
 
     /// A fill has ended, complete or not. What a complete one settles is remembered until the ledger has it, or it is
     /// reported by [`FillPlanner::settlement_rejected`].
+    ///
+    /// A fill that failed still counts in its window, and counts again when it is planned anew: a fill counts when it is
+    /// planned, whatever comes of it.
     pub fn fill_ended(&mut self, id: &str, is_complete: bool) {
         let settles = self.running.remove(id).and_then(|fill| fill.settles);
         if let Some(settlement) = settles.filter(|_| is_complete) {
