--- a/crates/dunepond-broker/src/upstream/cancel.rs
+++ b/crates/dunepond-broker/src/upstream/cancel.rs
@@ -61,13 +61,14 @@
     /// Withdraws attempts whose time to be sent has passed. False where a frame of one is partly written: its rest would
     /// arrive too late, and cannot be removed from the stream.
     pub(super) fn withdraw_expired(&mut self, now: f64, id: usize) -> bool {
-        let Some(connection) = self.connections.get_mut(id) else { return true };
-        let written = connection.output.written_offset();
-        let lapsed = |o: &OutstandingRequest| now >= o.request.send_by;
-        if connection.outstanding.iter().any(|o| lapsed(o) && o.frame_end.is_some_and(|to| to > written)) {
+        let Some(connection) = self.connections.get(id) else { return true };
+        let is_expired = |out: &OutstandingRequest| now >= out.request.send_by;
+        let is_half_written =
+            |out: &OutstandingRequest| out.frame_end.is_some() && !out.is_written(&connection.output);
+        if connection.outstanding.iter().any(|out| is_expired(out) && is_half_written(out)) {
             return false;
         }
-        self.withdraw_unframed(now, id, lapsed);
+        self.withdraw_unframed(now, id, is_expired);
         true
     }
 
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -128,6 +128,13 @@
     pub replaced: bool,
 }
 
+/// How far a connection has consumed a pass-through body.
+struct BodyProgress {
+    offset: u64,
+    /// Since when it has been there while the other readers wait.
+    since: f64,
+}
+
 /// The nodes that speak the search API.
 struct SearchApiNodes {
     /// The networks that they are in.
@@ -158,8 +165,8 @@
     search_api: Option<SearchApiNodes>,
     /// Connections that wait for the next piece of a body.
     awaiting_body: Vec<usize>,
-    /// The offset at which each frame of a pass-through body last advanced, and when.
-    body_progress: HashMap<usize, (u64, f64)>,
+    /// How far the connections with a pass-through body have come.
+    body_progress: HashMap<usize, BodyProgress>,
     /// Nodes that changed, not yet handled.
     pub changed_nodes: Vec<ChangedNode>,
     /// Attempts with a streamed body whose frames are fully written, not yet reported to the router.
@@ -181,6 +188,12 @@
 }
 
 impl OutstandingRequest {
+    /// Whether it is not framed yet and its body is lost.
+    fn awaits_lost_body(&self) -> bool {
+        let body = self.request.payload.body();
+        self.frame_end.is_none() && body.is_some_and(|body| body.loss().is_some())
+    }
+
     /// Whether the last byte of its frame has been written.
     fn is_written(&self, output: &WriteQueue) -> bool {
         self.frame_end.is_some_and(|to| to <= output.written_offset())
@@ -252,6 +265,27 @@
         self.connected && self.outstanding.is_empty()
     }
 
+    /// Whether new attempts may be written to it, in frames or as requests of the search API.
+    fn is_usable(&self, now: f64, uses_search_api: bool) -> bool {
+        // A connection inside a frame may be broken, and one past its idle time may be closed by the node.
+        !self.retired
+            && self.uses_search_api == uses_search_api
+            && self.input.is_none()
+            && !self.is_idle_expired(now)
+    }
+
+    /// Whether it has carried another attempt of a part: attempts share the part's id, and on one connection a repeated end
+    /// could be taken for the other's.
+    fn would_repeat(&self, requests: &[AttemptRequest]) -> bool {
+        requests.iter().any(|request| request.attempt > 0 && self.has_carried(&request.id))
+    }
+
+    /// Whether a body that it carries is lost.
+    fn has_lost_body(&self) -> bool {
+        let framed = self.output.next_body().is_some_and(|reader| reader.body.loss().is_some());
+        framed || self.outstanding.iter().any(OutstandingRequest::awaits_lost_body)
+    }
+
     /// Whether it has been idle for as long as it may.
     fn is_idle_expired(&self, now: f64) -> bool {
         self.is_idle() && self.timer.is_some_and(|key| clock::is_due(key, now))
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -98,25 +98,28 @@
 
     /// A connection that can carry these attempts as one batch.
     fn find_connection(&self, now: f64, node: NodeId, requests: &[AttemptRequest]) -> Option<usize> {
-        // Attempts beyond this number would wait unread at the node, and their cancel frames behind them.
-        let (most, api) = (self.settings.max_parts_per_connection, self.uses_search_api(node));
-        let alone = api || requests[0].payload.body().is_some();
-        let room = |l: &NodeConnection| {
-            let free = if alone { l.outstanding.is_empty() } else { !l.is_reserved_for_body() };
-            free && l.outstanding.len() + l.cancelled.len() + requests.len() <= most
-        };
-        // A connection inside a frame may be broken, and one past its idle time may be closed by the node.
-        let sound = |l: &NodeConnection| {
-            !l.retired && l.uses_search_api == api && l.input.is_none() && !l.is_idle_expired(now)
-        };
-        // Two attempts of a part share an id: on one connection a repeated end could be taken for the other's.
-        let again = |l: &NodeConnection| requests.iter().any(|p| p.attempt > 0 && l.has_carried(&p.id));
+        let uses_search_api = self.uses_search_api(node);
         self.nodes[node].connections.iter().copied().find(|id| {
             let connection = &self.connections[*id];
-            sound(connection) && room(connection) && !again(connection)
+            connection.is_usable(now, uses_search_api)
+                && self.has_room(connection, requests)
+                && !connection.would_repeat(requests)
         })
     }
 
+    /// Whether a connection can carry these attempts beside those that it carries already.
+    fn has_room(&self, connection: &NodeConnection, requests: &[AttemptRequest]) -> bool {
+        let needs_own_connection = connection.uses_search_api || requests[0].payload.body().is_some();
+        let is_free = if needs_own_connection {
+            connection.outstanding.is_empty()
+        } else {
+            !connection.is_reserved_for_body()
+        };
+        // Attempts beyond this number would wait unread at the node, and their cancel frames behind them.
+        let carried = connection.outstanding.len() + connection.cancelled.len();
+        is_free && carried + requests.len() <= self.settings.max_parts_per_connection
+    }
+
     pub(super) fn write(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let non_idempotent = self.carries_non_idempotent(id);
         // Only non-idempotent attempts are checked; others are looked at only for the audit log.
--- a/crates/dunepond-broker/src/upstream/streaming.rs
+++ b/crates/dunepond-broker/src/upstream/streaming.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use super::{NodeConnection, OutstandingRequest, Upstream};
+use super::{BodyProgress, Upstream};
 use crate::clock::Timers;
 use crate::connection_end::ConnectionEnd;
 
@@ -23,15 +23,16 @@
             let Some(reader) = connection.output.next_body().filter(|r| r.body.is_pass_through()) else {
                 continue;
             };
-            let place = reader.offset();
-            let before = self.body_progress.get(&id).filter(|before| before.0 == place);
+            let offset = reader.offset();
+            let before = self.body_progress.get(&id).filter(|before| before.offset == offset);
             // A reader that waits for more of the body from the client delays no other reader.
-            let holds_up = reader.body.is_full();
-            let since = before.filter(|_| holds_up).map_or(now, |before| before.1);
-            pass_through.insert(id, (place, since));
+            let delays_others = reader.body.is_full();
+            let since = before.filter(|_| delays_others).map_or(now, |before| before.since);
+            pass_through.insert(id, BodyProgress { offset, since });
         }
+        let is_late = |progress: &BodyProgress| now - progress.since >= slowest;
         let late: Vec<_> =
-            pass_through.iter().filter(|(_, p)| now - p.1 >= slowest).map(|(id, _)| *id).collect();
+            pass_through.iter().filter(|(_, progress)| is_late(progress)).map(|(id, _)| *id).collect();
         self.body_progress = pass_through;
         for id in late {
             self.body_progress.remove(&id);
@@ -42,14 +43,10 @@
 
     /// Closes the connections that carry an attempt whose body is lost.
     pub fn abort_lost_bodies(&mut self, now: f64, timers: &mut Timers) {
-        let lost = |l: &NodeConnection| {
-            let framed = l.output.next_body().is_some_and(|r| r.body.loss().is_some());
-            let waits = |o: &OutstandingRequest| {
-                o.frame_end.is_none() && o.request.payload.body().is_some_and(|b| b.loss().is_some())
-            };
-            framed || l.outstanding.iter().any(waits)
-        };
-        let part_ids: Vec<_> = self.connections.iter().filter(|(_, l)| lost(l)).map(|(id, _)| id).collect();
-        part_ids.into_iter().for_each(|id| self.close(now, id, ConnectionEnd::BodyLost, timers));
+        let connections = self.connections.iter().filter(|(_, connection)| connection.has_lost_body());
+        let ids: Vec<_> = connections.map(|(id, _)| id).collect();
+        for id in ids {
+            self.close(now, id, ConnectionEnd::BodyLost, timers);
+        }
     }
 }
