--- a/crates/dunepond-control-plane/src/startup/fills.rs
+++ b/crates/dunepond-control-plane/src/startup/fills.rs
@@ -3,13 +3,17 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crossbeam_channel::Sender;
+use crossbeam_channel::{Receiver, Sender, unbounded};
 use dunepond_settlement::{FillPlanner, FillRetryPolicy, LinkCapacities, PlanningRule};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use super::stored::OpenedStorage;
+use crate::commitments::Commitments;
 use crate::config::{ControlPlaneConfig, FillConfig};
-use crate::control_loop::{AttemptResult, FillKind, FillLimits, FillScheduler, FillService};
+use crate::control_loop::{
+    AttemptResult, FillKind, FillLimits, FillScheduler, FillService, LOG_SHARE_HOLDER,
+};
 use crate::fill_client::{FillClient, HttpFillClient};
 
 /// Fill rate that a warm node bears, in bytes a second.
@@ -22,8 +26,34 @@
     config.fills.as_ref().is_some_and(|fills| fills.fill_started_nodes)
 }
 
+/// The schedulers of fills, and the ends of their attempts.
+pub(super) struct FillSchedulers {
+    pub(super) version: FillScheduler,
+    pub(super) own: FillScheduler,
+    pub(super) attempt_results: Receiver<AttemptResult>,
+}
+
+impl FillSchedulers {
+    /// Resumes the broker's own fills that were committed before the restart. `client` takes the place of the fill service.
+    pub(super) fn new(
+        config: &ControlPlaneConfig,
+        client: Option<Arc<dyn FillClient>>,
+        commitments: &Commitments,
+        stored: &mut OpenedStorage,
+    ) -> Self {
+        let (result_sender, attempt_results) = unbounded();
+        let setup = FillSetup::new(config, client, result_sender);
+        let version = setup.scheduler(FillKind::Version, LOG_SHARE_HOLDER, &mut stored.rng);
+        let mut own = setup.scheduler(FillKind::Own, &config.terms.name, &mut stored.rng);
+        // The fill service knows whether they are done.
+        let unfinished = commitments.fills.values().filter(|fill| !fill.done);
+        own.resume(unfinished.map(|committed| committed.fill.clone()), stored.opened_at);
+        Self { version, own, attempt_results }
+    }
+}
+
 /// What both schedulers of fills are made from.
-pub(super) struct FillSetup {
+struct FillSetup {
     service: FillService,
     link_rates: BTreeMap<(String, String), f64>,
     default_link_rate: f64,
@@ -34,7 +64,7 @@
 
 impl FillSetup {
     /// `client` takes the place of the fill service.
-    pub(super) fn new(
+    fn new(
         config: &ControlPlaneConfig,
         client: Option<Arc<dyn FillClient>>,
         results: Sender<AttemptResult>,
@@ -58,7 +88,7 @@
     }
 
     /// `by`: the name in which the fills are settled.
-    pub(super) fn scheduler(&self, kind: FillKind, by: &str, rng: &mut Pcg64Mcg) -> FillScheduler {
+    fn scheduler(&self, kind: FillKind, by: &str, rng: &mut Pcg64Mcg) -> FillScheduler {
         let limits = FillLimits {
             links: LinkCapacities {
                 rate_caps: self.link_rates.clone(),
--- a/crates/dunepond-control-plane/src/startup/mod.rs
+++ b/crates/dunepond-control-plane/src/startup/mod.rs
@@ -1,8 +1,10 @@
 //! Assembly of the control plane: what is stored is opened, consensus and the links are started, and the control loop gets
 //! its thread.
 
+mod assembly;
 mod fills;
 mod settlement;
+mod stored;
 mod voter;
 
 use std::net::SocketAddr;
@@ -12,27 +14,22 @@
 use std::time::{Duration, Instant};
 
 use arc_swap::ArcSwap;
-use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
-use dunepond_consensus::{ActiveConfig, ConsensusConfig, LeaseClient};
-use dunepond_membership::{Event, MembershipOptions, Peers};
-use rand::{RngExt, SeedableRng};
-use rand_pcg::Pcg64Mcg;
+use crossbeam_channel::{Sender, bounded};
+use dunepond_consensus::{ActiveConfig, ConsensusConfig};
+use dunepond_membership::MembershipOptions;
+use rand::RngExt;
 use tracing::{error, info};
 
 use crate::audit_log::{AuditLog, AuditSender};
-use crate::clock::{monotonic_seconds, unix_seconds};
-use crate::config::{ControlPlaneConfig, RebalanceConfig, TestDoubles};
-use crate::control_loop::{
-    ControlLoop, DEFAULT_SETTLE_SECONDS, FillKind, LOG_SHARE_HOLDER, LoopState, Proposals, QuotaSharing,
-    Rebalancing, Settlements, TrafficCounts,
-};
-use crate::data_directory::DataDirectory;
+use crate::config::{ControlPlaneConfig, QuotaConfig, TestDoubles};
+use crate::control_loop::{ControlLoop, QuotaSharing};
 use crate::error::ControlPlaneError;
 use crate::handle::{CarriedBytes, ControlHandle, LoopRequest};
 use crate::link_limits;
-use fills::{FillSetup, fill_rate, fills_started_nodes};
-use settlement::{broker_partners, new_balances, open_commitments, open_counts};
-use voter::open_voter;
+use assembly::{Links, LoopParts};
+use fills::FillSchedulers;
+use settlement::Accounts;
+use stored::OpenedStorage;
 
 /// Longest that a shutdown waits for each thread.
 pub(crate) const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
@@ -78,15 +75,13 @@
     }
 }
 
-fn new_rebalancing(config: Option<&RebalanceConfig>) -> Rebalancing {
-    match config {
-        Some(config) => Rebalancing::new(
-            Some(config.plan_file.clone()),
-            config.max_concurrent_acts,
-            config.settle_seconds,
-        ),
-        None => Rebalancing::new(None, 1, DEFAULT_SETTLE_SECONDS),
-    }
+fn start_audit_log(
+    path: Option<PathBuf>,
+    broker: &str,
+    incarnation: u64,
+) -> Result<(Option<AuditSender>, Option<AuditLog>), ControlPlaneError> {
+    let started = path.map(|path| AuditLog::start(&path, broker, incarnation)).transpose()?;
+    Ok(started.unzip())
 }
 
 fn start_links(
@@ -94,12 +89,27 @@
     incarnation: u64,
     key: Option<String>,
     seed: u64,
-) -> Result<(Peers, Receiver<Event>), ControlPlaneError> {
+) -> Result<Links, ControlPlaneError> {
     let (name, known_brokers) = (&config.terms.name, config.known_brokers.clone());
     let mut options = MembershipOptions::new(name, incarnation, config.listen_address, known_brokers, seed);
     options.key = key;
     options.limits = link_limits::limits_for(config);
-    Ok(dunepond_membership::start(options)?)
+    let (peers, events) = dunepond_membership::start(options)?;
+    Ok(Links { peers, events })
+}
+
+fn new_quotas(
+    config: Option<QuotaConfig>,
+    lease_seconds: f64,
+    handle: &ControlHandle,
+    now: f64,
+) -> Option<QuotaSharing> {
+    config.map(|config| QuotaSharing::new(config, lease_seconds, handle.demand.clone(), now))
+}
+
+fn spawn(control_loop: ControlLoop) -> Result<JoinHandle<()>, ControlPlaneError> {
+    let thread = std::thread::Builder::new().name("fleet".to_string()).spawn(move || control_loop.run());
+    thread.map_err(|e| ControlPlaneError::Thread { why: e.to_string() })
 }
 
 /// Starts the control plane. `wake` is called on its thread whenever what the broker may act on has changed; it must not
@@ -116,82 +126,22 @@
     config.terms.check()?;
     let name = config.terms.name.clone();
     let key = config.key_file.take().map(read_key).transpose()?;
-    let is_voter = config.terms.voters.contains(&name);
-    let unix_millis = (unix_seconds() * 1000.0) as u64;
-    let (mut data, stored) =
-        DataDirectory::open(&config.data_directory, doubles.storage, is_voter, unix_millis)?;
+    // All draw from one generator of random numbers, in this order.
+    let mut stored = OpenedStorage::open(&config, doubles.storage)?;
     let incarnation = stored.incarnation;
-    // Differs at each start and at each broker.
-    let mut rng = Pcg64Mcg::seed_from_u64(config.seed ^ incarnation ^ name_hash(&name));
-    let now = monotonic_seconds();
-    let voter = open_voter(&config, &mut data, stored.voter_records, now, &mut rng)?;
-    let mut lease_client = LeaseClient::new(config.terms.clone(), stored.config, now, rng.random());
-    let audit_log = config.audit_log_file.take().map(|path| AuditLog::start(&path, &name, incarnation));
-    let (audit_sender, audit_log) = audit_log.transpose()?.unzip();
-    let (peers, events) = start_links(&config, incarnation, key, rng.random())?;
-    let listen_address = peers.local_addr();
-
+    let (audit_sender, audit_log) = start_audit_log(config.audit_log_file.take(), &name, incarnation)?;
+    let links = start_links(&config, incarnation, key, stored.rng.random())?;
+    let listen_address = links.peers.local_addr();
     let (request_sender, requests) = bounded(MAX_QUEUED_REQUESTS);
-    let active_config = lease_client.active_config();
-    let handle = new_handle(active_config, config.partners.len(), audit_sender.clone(), request_sender);
-    let lease_seconds = config.terms.lease_seconds;
-    let quotas = config.quotas.take();
-    let quotas = quotas.map(|quotas| QuotaSharing::new(quotas, lease_seconds, handle.demand.clone(), now));
-    let commitments = open_commitments(stored.commitments, &name)?;
-    lease_client.set_known_settlements(commitments.applied_entries);
-    let counts = open_counts(stored.counts, &name, incarnation)?;
-    let balances = new_balances(&config, &commitments)?;
-    let (result_sender, attempt_results) = unbounded();
-    let setup = FillSetup::new(&config, doubles.fill_client, result_sender);
-    let version_fills = setup.scheduler(FillKind::Version, LOG_SHARE_HOLDER, &mut rng);
-    let mut own_fills = setup.scheduler(FillKind::Own, &name, &mut rng);
-    // Committed before the restart: the fill service knows whether they are done.
-    let unfinished = commitments.fills.values().filter(|fill| !fill.done);
-    own_fills.resume(unfinished.map(|committed| committed.fill.clone()), now);
+    let active_config = stored.lease_client.active_config();
+    let handle = new_handle(active_config, config.partners.len(), audit_sender, request_sender);
+    let quotas = new_quotas(config.quotas.take(), config.terms.lease_seconds, &handle, stored.opened_at);
+    let accounts = Accounts::open(&config, &mut stored)?;
+    let fills = FillSchedulers::new(&config, doubles.fill_client, &accounts.commitments, &mut stored);
     info!("fleet: {name} listening at {listen_address}, start {incarnation}, {}", role(&config.terms));
-    let control_loop = ControlLoop {
-        name,
-        lease_seconds,
-        voter,
-        lease_client,
-        data,
-        peers,
-        events,
-        requests,
-        active_config: handle.active_config.clone(),
-        link_counters: handle.link_counters.clone(),
-        counters: handle.counters.clone(),
-        audit_log: audit_sender,
-        wake: Box::new(wake),
-        proposals: Proposals::new(
-            config.version_file.take(),
-            config.query_class_count,
-            handle.listed_nodes.clone(),
-            config.terms.map_requirements.clone(),
-        ),
-        rebalancing: new_rebalancing(config.rebalancing.as_ref()),
-        traffic: TrafficCounts::new(
-            config.partners.iter().map(|partner| partner.name.clone()).collect(),
-            handle.carried_bytes.clone(),
-            counts,
-            balances,
-            broker_partners(&config.partners),
-            Pcg64Mcg::seed_from_u64(rng.random()),
-        ),
-        settlement: Settlements::new(commitments, fills_started_nodes(&config)),
-        version_fills,
-        own_fills,
-        quotas,
-        attempt_results,
-        fill_bytes_per_second: fill_rate(&config),
-        slow_start: config.slow_start,
-        started_nodes: handle.started_nodes.clone(),
-        configured_brokers: config.known_brokers.into_iter().map(|known| known.0).collect(),
-        crashes_at: doubles.crashes_at,
-        state: LoopState::default(),
-    };
-    let thread = std::thread::Builder::new().name("fleet".to_string()).spawn(move || control_loop.run());
-    let thread = thread.map_err(|e| ControlPlaneError::Thread { why: e.to_string() })?;
+    let (wake, crashes_at) = (Box::new(wake), doubles.crashes_at);
+    let parts = LoopParts { stored, links, requests, quotas, accounts, fills, wake, crashes_at };
+    let thread = spawn(parts.assemble(config, &handle))?;
     Ok(ControlPlane { handle, listen_address, thread, audit_log })
 }
 
--- a/crates/dunepond-control-plane/src/startup/settlement.rs
+++ b/crates/dunepond-control-plane/src/startup/settlement.rs
@@ -3,6 +3,7 @@
 use dunepond_settlement::{Balances, BrokerPartners, LocalCounts, SettlementError, SettlementTerms};
 
 use super::fills::fill_rate;
+use super::stored::OpenedStorage;
 use crate::commitments::Commitments;
 use crate::config::{ControlPlaneConfig, Partner};
 use crate::error::ControlPlaneError;
@@ -11,8 +12,30 @@
     ControlPlaneError::Consensus { why: e.to_string(), help: e.help().to_string() }
 }
 
+/// What was counted and settled before this start.
+pub(super) struct Accounts {
+    pub(super) commitments: Commitments,
+    pub(super) counts: LocalCounts,
+    pub(super) balances: Balances,
+}
+
+impl Accounts {
+    /// Takes the stored commitments and counts, and tells the lease client which settlements are known.
+    pub(super) fn open(
+        config: &ControlPlaneConfig,
+        stored: &mut OpenedStorage,
+    ) -> Result<Self, ControlPlaneError> {
+        let broker = &config.terms.name;
+        let commitments = open_commitments(stored.commitments.take(), broker)?;
+        stored.lease_client.set_known_settlements(commitments.applied_entries);
+        let counts = open_counts(stored.counts.take(), broker, stored.incarnation)?;
+        let balances = new_balances(config, &commitments)?;
+        Ok(Self { commitments, counts, balances })
+    }
+}
+
 /// The stored counts, continued by this incarnation.
-pub(super) fn open_counts(
+fn open_counts(
     stored: Option<LocalCounts>,
     broker: &str,
     incarnation: u64,
@@ -42,7 +65,7 @@
 }
 
 /// Balances of the stored ledger; the control loop adds the counts.
-pub(super) fn new_balances(
+fn new_balances(
     config: &ControlPlaneConfig,
     commitments: &Commitments,
 ) -> Result<Balances, ControlPlaneError> {
@@ -52,10 +75,7 @@
 }
 
 /// The stored commitments, or none yet.
-pub(super) fn open_commitments(
-    stored: Option<Commitments>,
-    broker: &str,
-) -> Result<Commitments, ControlPlaneError> {
+fn open_commitments(stored: Option<Commitments>, broker: &str) -> Result<Commitments, ControlPlaneError> {
     match stored {
         Some(commitments) => Ok(commitments),
         None => Commitments::new(broker).map_err(settlement_error),
