--- a/crates/dunepond-routing/src/learned.rs
+++ b/crates/dunepond-routing/src/learned.rs
@@ -40,7 +40,7 @@
     pub latency: f64,
     /// Seconds since it ended.
     pub ended_ago: f64,
-    /// Whether it was answered.
+    /// Whether the node served it; an error is an answer, too, and does not count here.
     pub served: bool,
     /// Whether it counts against the node.
     pub fault: bool,
--- a/crates/dunepond-routing/src/policy/completion.rs
+++ b/crates/dunepond-routing/src/policy/completion.rs
@@ -111,8 +111,8 @@
     }
 
     /// Gives the final answer to a query that will not be served, at once, since waiting would cost the
-    /// client its time and have no value. The answer is retriable only if no attempt that must not run
-    /// twice may have run.
+    /// client its time and have no value. It is rejected as retriable only if its class is idempotent or no
+    /// attempt may have run; otherwise, and so for keyed classes too, it fails with an unknown outcome.
     pub(super) fn reject(&mut self, transport: &mut dyn Transport, query: &InFlightQuery) -> StageResult {
         let class = self.class(query);
         let is_idempotent = class.idempotency == Idempotency::Idempotent;
--- a/crates/dunepond-routing/src/policy/endpoint_list.rs
+++ b/crates/dunepond-routing/src/policy/endpoint_list.rs
@@ -20,7 +20,8 @@
 const BACKOFF_SPREAD: Range<f64> = 0.5..1.0;
 
 impl Router {
-    /// Accepts the endpoint list: all of it, or only the rows that have changed.
+    /// Accepts the endpoint list: all of it, or only the rows that have changed. A node that is not in a
+    /// complete list counts as removed.
     pub fn update_endpoints(
         &mut self,
         transport: &mut dyn Transport,
@@ -110,7 +111,7 @@
 
 impl Node {
     /// Resets a node whose process was restarted under the same name: samples, ejection and attempts of
-    /// the old process do not apply to the new one.
+    /// the old process do not apply to the new one. An ejection ends without a log line.
     fn restart(&mut self, started_at: f64, tokens: TokenBucket) {
         self.started_at = started_at;
         self.slow_start_tokens = tokens;
--- a/crates/dunepond-routing/src/policy/outlier_detection.rs
+++ b/crates/dunepond-routing/src/policy/outlier_detection.rs
@@ -229,7 +229,8 @@
         }
     }
 
-    /// Ejects a node that is silent or failing, or renews the ejection of one that stays silent.
+    /// Ejects a node that is silent or failing, or renews the ejection of one that stays silent. A renewal
+    /// writes no log line.
     pub(super) fn detect_outlier(&mut self, transport: &mut dyn Transport, id: NodeId) {
         let (now, p95) = (self.now, self.latency.p95);
         let Some(node) = self.nodes[id].as_mut() else { return };
--- a/crates/dunepond-routing/src/policy/placement.rs
+++ b/crates/dunepond-routing/src/policy/placement.rs
@@ -93,6 +93,7 @@
     }
 
     fn fitness(&self, query: &InFlightQuery, part: &PartState, id: NodeId, node: &Node) -> Fitness {
+        // Keyed parts are placed like non-idempotent ones.
         let is_idempotent = self.class(query).idempotency == Idempotency::Idempotent;
         let fails = node.fails_class(query.class, self.objectives_ago(FRESH_OBJECTIVES));
         let has_cap = self.has_slow_start_budget(node, query) && !self.is_full(node);
--- a/crates/dunepond-routing/src/policy/probing.rs
+++ b/crates/dunepond-routing/src/policy/probing.rs
@@ -20,8 +20,8 @@
 /// No probes with this many queries in flight: they would multiply a burst.
 const MAX_QUERIES_IN_FLIGHT: usize = 64;
 const PROBE_SAMPLE_COUNT: usize = 64;
-/// With at least this many recent probes, of which fewer than one in so many was informative, probing is
-/// pointless: no queues are seen.
+/// With at least this many recent probes, of which no more than one in so many was informative, probing is
+/// pointless: nodes answer at once and show no queues.
 const MIN_PROBES_JUDGED: usize = 8;
 const UNINFORMATIVE_ONE_IN: usize = 8;
 /// An answer within this time is a bare round trip.
--- a/crates/dunepond-routing/src/policy/retry_budget.rs
+++ b/crates/dunepond-routing/src/policy/retry_budget.rs
@@ -10,7 +10,8 @@
 use crate::{QuotaDemand, RetryBudget, Rules};
 
 impl Router {
-    /// Counts admitted queries and parts, and drops records older than any budget's window.
+    /// Counts queries and parts on their arrival, and drops records older than any budget's window. Called
+    /// before `admit`, so a query that is rejected on arrival counts as well.
     pub(super) fn record_admission(&mut self, queries_and_parts: f64) {
         let since = self.now - self.retries.window_seconds - self.deployment.tick;
         let sent = &mut self.retries.retries_sent;
--- a/crates/dunepond-routing/src/policy/router.rs
+++ b/crates/dunepond-routing/src/policy/router.rs
@@ -19,6 +19,7 @@
         self.measure_latency();
         let objective_at = self.objective_at(&query);
         let mut in_flight = InFlightQuery::new(&query, self.now, objective_at, self.rules.clone());
+        // The host limits a streamed query's deadline itself, when the request's head arrives in a shutdown.
         if !query.streamed {
             self.limit_to_shutdown(&mut in_flight);
         }
--- a/crates/dunepond-routing/src/state/node.rs
+++ b/crates/dunepond-routing/src/state/node.rs
@@ -10,17 +10,20 @@
     pub state: EndpointState,
     pub started_at: f64,
     pub slow_start_tokens: TokenBucket,
+    /// Instant at which the node last answered or rejected an attempt; `f64::MIN` before that.
     pub last_response_at: f64,
-    /// Instant of the last traffic with the node.
+    /// Instant of the last traffic with the node; `f64::MAX` before any, so that no idle time results.
     pub last_used_at: f64,
     /// Instant at which the node last rejected an attempt as full.
     pub last_full_at: f64,
     /// Instant at which the node last answered a probe.
     pub last_probe_at: f64,
-    /// Samples of recent attempts, oldest first.
+    /// Attempts that have not ended, ordered by `sent_at`.
     pub outstanding: Vec<OutstandingAttempt>,
-    /// The instant by which the node should be done with each attempt that was given up.
+    /// The instant up to which each attempt that was given up counts as load, because the node may still work
+    /// on it.
     pub abandoned_until: Vec<f64>,
+    /// Samples of recent attempts, oldest first.
     pub samples: VecDeque<NodeSample>,
     /// Instants at which the node was sent parts during slow start.
     pub slow_start_sends: VecDeque<f64>,
@@ -32,7 +35,8 @@
 pub struct OutstandingAttempt {
     pub id: AttemptId,
     pub class: usize,
-    /// When it was sent; for a streamed attempt, when its frame had been sent completely.
+    /// When it was sent; for a streamed attempt, when its frame had been sent completely. Moved by each stall
+    /// of this process, which is not the node's silence.
     pub sent_at: f64,
     /// Seconds without traffic with the node before the attempt was sent.
     pub idle_seconds: f64,
@@ -44,8 +48,9 @@
 pub struct NodeSample {
     pub class: usize,
     pub sent_at: f64,
-    /// Latency in seconds.
+    /// Latency in seconds, scaled to that of a warm node; of a rejection as full, the 95th percentile.
     pub latency: f64,
+    /// When it ended.
     pub at: f64,
     pub outcome: SampleOutcome,
 }
@@ -102,7 +107,7 @@
         (self.outstanding.len() + self.abandoned_until.len()) as f64
     }
 
-    /// The sample in the form that is stored for another process.
+    /// The node's statistics in the form that is stored for another process.
     pub fn to_learned(&self, id: NodeId, now: f64) -> LearnedNode {
         LearnedNode {
             node: id,
@@ -125,7 +130,7 @@
         self.outcome == SampleOutcome::Served
     }
 
-    /// The node's statistics in the form that is stored for another process, with ages.
+    /// The sample in the form that is stored for another process, with ages.
     pub fn to_learned(&self, now: f64) -> LearnedSample {
         LearnedSample {
             class: self.class,
@@ -137,7 +142,7 @@
         }
     }
 
-    /// The stored statistics on this process's clock.
+    /// The stored sample on this process's clock.
     pub fn from_learned(learned: &LearnedSample, now: f64) -> Self {
         let outcome = match (learned.fault, learned.served) {
             (true, _) => SampleOutcome::Fault,
