--- a/crates/dunepond-broker/src/downstream/validation.rs
+++ b/crates/dunepond-broker/src/downstream/validation.rs
@@ -38,8 +38,8 @@
         let text = text.ok_or_else(|| HttpError::new(400, "body: not a text"))?;
         let segments = body.get("buckets").and_then(Value::as_array).filter(|b| !b.is_empty());
         let segments = segments.ok_or_else(|| HttpError::new(400, "buckets: not a list of parts"))?;
-        let of = |b: &Value| (b.get("bucket").and_then(Value::as_u64), b.get("part").and_then(Value::as_f64));
-        let parts = parts(segments.iter().map(of), "buckets", &self.settings)?;
+        let entries = segments.iter().map(PartEntry::from_json);
+        let parts = validate_parts(entries, PartsField::JSON, &self.settings)?;
         query_request(head, query_class, received_at, parts, Payload::Inline(text.into()), &self.settings)
             .map(Some)
     }
@@ -62,41 +62,74 @@
     /// A streamed query: its parts in `X-Buckets: 3=0.5,9=0.5`, checked as strictly as those of a JSON body.
     pub(super) fn validate_streamed(&self, head: &Head, received_at: f64) -> Result<QueryRequest, HttpError> {
         let query_class = self.query_class_in_path(head)?;
-        let plain = |text: &str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-        let of = |entry: &str| match entry.split_once('=') {
-            Some((segment, weight)) if plain(segment) && plain(weight) => {
-                (segment.parse().ok(), weight.parse().ok())
-            }
-            _ => (None, None),
-        };
-        let parts = parts(head.segments.split(',').map(of), "X-Buckets", &self.settings)?;
+        let entries = head.segments.split(',').map(PartEntry::from_header);
+        let parts = validate_parts(entries, PartsField::HEADER, &self.settings)?;
         query_request(head, query_class, received_at, parts, Payload::Released, &self.settings)
     }
 }
 
-/// The parts of a query, each a segment and its weight in the answer; `from` is the field that lists them.
-fn parts(
-    entries: impl Iterator<Item = (Option<u64>, Option<f64>)>,
-    from: &str,
+/// Digits and a point: other forms that parse as a number, such as infinity and exponents, are rejected.
+fn is_plain_number(text: &str) -> bool {
+    !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.')
+}
+
+/// An entry of the list of parts, not validated; `None` for a value that is missing or of the wrong type.
+struct PartEntry {
+    segment: Option<u64>,
+    weight: Option<f64>,
+}
+
+impl PartEntry {
+    fn from_json(entry: &Value) -> Self {
+        Self {
+            segment: entry.get("bucket").and_then(Value::as_u64),
+            weight: entry.get("part").and_then(Value::as_f64),
+        }
+    }
+
+    fn from_header(entry: &str) -> Self {
+        match entry.split_once('=') {
+            Some((segment, weight)) if is_plain_number(segment) && is_plain_number(weight) => {
+                Self { segment: segment.parse().ok(), weight: weight.parse().ok() }
+            }
+            _ => Self { segment: None, weight: None },
+        }
+    }
+}
+
+/// How errors name the field that lists the parts.
+struct PartsField {
+    segment: &'static str,
+    weight: &'static str,
+}
+
+impl PartsField {
+    const JSON: Self = Self { segment: "buckets.bucket", weight: "buckets.part" };
+    const HEADER: Self = Self { segment: "X-Buckets", weight: "X-Buckets" };
+}
+
+/// The parts of a query, each a segment and its weight in the answer.
+fn validate_parts(
+    entries: impl Iterator<Item = PartEntry>,
+    field: PartsField,
     settings: &HostSettings,
 ) -> Result<Vec<Part>, HttpError> {
-    let bad = |field: &str, why: &str| HttpError::new(400, format!("{from}{field}: {why}"));
-    let (bucket, share) = if from == "buckets" { (".bucket", ".part") } else { ("", "") };
+    let invalid = |field: &str, reason: &str| HttpError::new(400, format!("{field}: {reason}"));
     let (mut parts, mut seen) = (Vec::with_capacity(entries.size_hint().0), BTreeSet::new());
-    for (segment, weight) in entries {
-        let segment = segment.filter(|segment| *segment < settings.segment_count as u64);
-        let segment = segment.ok_or_else(|| bad(bucket, "no such shard"))? as usize;
+    for entry in entries {
+        let segment = entry.segment.filter(|segment| *segment < settings.segment_count as u64);
+        let segment = segment.ok_or_else(|| invalid(field.segment, "no such shard"))? as usize;
         if !seen.insert(segment) {
-            return Err(bad(bucket, &format!("{segment} is named twice")));
+            return Err(invalid(field.segment, &format!("{segment} is named twice")));
         }
-        let weight = weight.filter(|w| (0.0..=1.0).contains(w)).ok_or_else(|| bad(share, "not a share"))?;
+        let weight = entry.weight.filter(|weight| (0.0..=1.0).contains(weight));
+        let weight = weight.ok_or_else(|| invalid(field.weight, "not a share"))?;
         parts.push(Part { segment, weight, required_node: None });
     }
     // Each weight may be rounded. Further off, the configured shares of an answer would lose their meaning.
-    if (parts.iter().map(|p| p.weight).sum::<f64>() - 1.0).abs()
-        > SHARE_ROUNDING_TOLERANCE * parts.len() as f64
-    {
-        return Err(bad(share, "the shares do not add up to 1"));
+    let sum: f64 = parts.iter().map(|part| part.weight).sum();
+    if (sum - 1.0).abs() > SHARE_ROUNDING_TOLERANCE * parts.len() as f64 {
+        return Err(invalid(field.weight, "the shares do not add up to 1"));
     }
     Ok(parts)
 }
@@ -107,20 +140,19 @@
     query_class: usize,
     received_at: f64,
     parts: Vec<Part>,
-    text: Payload,
+    payload: Payload,
     settings: &HostSettings,
 ) -> Result<QueryRequest, HttpError> {
-    let bad = |why: &str| HttpError::new(400, why);
+    let invalid = |reason: &str| HttpError::new(400, reason);
     let id = &head.request_id;
     if id.is_empty() || id.len() > MAX_REQUEST_ID_BYTES || !id.bytes().all(|b| b.is_ascii_graphic()) {
-        return Err(bad("X-Call-Id: missing, too long or not in plain characters"));
+        return Err(invalid("X-Call-Id: missing, too long or not in plain characters"));
     }
-    // Other forms that parse as a number, such as infinity and exponents, are rejected.
-    let plain = head.time_budget.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let time_budget = head.time_budget.parse::<f64>().ok().filter(|b| plain && b.is_finite());
-    let time_budget = time_budget.ok_or_else(|| bad("X-Budget: not a number of seconds"))?;
+    let time_budget = Some(&head.time_budget).filter(|text| is_plain_number(text));
+    let time_budget = time_budget.and_then(|text| text.parse::<f64>().ok()).filter(|b| b.is_finite());
+    let time_budget = time_budget.ok_or_else(|| invalid("X-Budget: not a number of seconds"))?;
     if time_budget <= 0.0 {
-        return Err(bad("X-Budget: spent"));
+        return Err(invalid("X-Budget: spent"));
     }
     // An unlisted tenant has the index behind the listed ones.
     let tenant = settings.tenants.iter().position(|c| *c == head.tenant);
@@ -131,6 +163,6 @@
         deadline: received_at + time_budget,
         is_retry: head.is_retry,
         parts,
-        payload: text,
+        payload,
     })
 }
