--- a/crates/dunepond-routing/tests/admission.rs
+++ b/crates/dunepond-routing/tests/admission.rs
@@ -8,7 +8,7 @@
 
 /// The holders of segment 0 answer all, but after more than half a target time; the others are at ease.
 fn overloaded() -> Cluster {
-    let mut cluster = Cluster::new(site());
+    let mut cluster = Cluster::new(deployment());
     for wait in [0.6, 1.2] {
         (0..3).for_each(|node| cluster.transport.nodes[node] = Some((AttemptOutcome::Served, wait)));
         (0..60).for_each(|_| {
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn a_fault_is_no_wait() {
-    let mut cluster = Cluster::new(site());
+fn fault_is_no_wait_sample() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     let query = cluster.query(FULL, &[0]);
     (0..3).for_each(|_| cluster.end_attempt(query, 0, AttemptOutcome::Error));
@@ -31,12 +31,12 @@
 }
 
 #[test]
-fn queries_of_overloaded_replicas_are_rejected_at_no_cost_and_no_others() {
+fn only_queries_of_overloaded_replicas_are_rejected() {
     let mut cluster = overloaded();
     let queries: Vec<_> = (0..24).map(|_| cluster.query(FULL, &[0])).collect();
-    let away: Vec<_> = queries.into_iter().filter(|s| !cluster.answers(*s).is_empty()).collect();
-    assert!(away.len() >= 8);
-    for query in away {
+    let rejected: Vec<_> = queries.into_iter().filter(|s| !cluster.answers(*s).is_empty()).collect();
+    assert!(rejected.len() >= 8);
+    for query in rejected {
         assert!(cluster.sent(query).is_empty());
         assert!(
             matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { retry_after }] if retry_after > 0.0 && retry_after <= 2.0)
@@ -47,36 +47,32 @@
 }
 
 #[test]
-fn a_fleet_slow_altogether_is_overloaded_even_with_little_in_flight_and_no_longer() {
-    let mut cluster = Cluster::new(site());
-    let pace = |cluster: &mut Cluster, took: f64, seconds: f64| {
-        cluster.transport.nodes = vec![Some((AttemptOutcome::Served, took)); 6];
+fn slow_fleet_is_overloaded_until_it_recovers() {
+    let mut cluster = Cluster::new(deployment());
+    let pace = |cluster: &mut Cluster, delay: f64, seconds: f64| {
+        cluster.transport.nodes = vec![Some((AttemptOutcome::Served, delay)); 6];
         cluster.traffic(PATIENT, seconds, 0.15);
         cluster.run(2.0);
     };
-    [0.2, 0.5, 1.0, 1.8].into_iter().for_each(|took| pace(&mut cluster, took, 16.0));
-    let away = |cluster: &mut Cluster| {
+    [0.2, 0.5, 1.0, 1.8].into_iter().for_each(|delay| pace(&mut cluster, delay, 16.0));
+    let rejected = |cluster: &mut Cluster| {
         let queries: Vec<_> = (0..12).map(|turn| cluster.query(FULL, &[turn % 6])).collect();
         queries.iter().filter(|s| !cluster.answers(**s).is_empty()).count()
     };
-    assert!(away(&mut cluster) >= 10);
+    assert!(rejected(&mut cluster) >= 10);
     cluster.run(200.0);
-    assert_eq!(away(&mut cluster), 0);
+    assert_eq!(rejected(&mut cluster), 0);
 }
 
-/// All have taken long and are well again. A broker that sends nothing for fear of a wait hears of nothing either: it
-/// turned away all that came, with nothing out, for twice the longest target time of all, here 40 s; and where a zone's
-/// samples stand in for a node's, for four times as long.
+/// All nodes were slow and have recovered. Guards against a broker that sends nothing because of a wait estimate and therefore
+/// never gets a sample that corrects it: it once rejected all queries, with no attempt in flight, for twice the longest latency
+/// objective (40 s here), and for four times as long where samples of a zone stand in for those of a node.
 #[rstest]
 #[case::zones(3, 30)]
 #[case::one_zone(1, 3)]
-fn a_wait_that_no_sample_confirms_for_as_long_as_itself_is_tested(
-    #[case] zones: usize,
-    #[case] least: usize,
-) {
-    let mut cluster = Cluster::new(site());
-    let rows =
-        |standing| (0..6).map(|n| Endpoint { zone: n % zones, ..row(n, standing, 0.0) }).collect::<Vec<_>>();
+fn unconfirmed_wait_is_tested(#[case] zones: usize, #[case] least: usize) {
+    let mut cluster = Cluster::new(deployment());
+    let rows = |state| (0..6).map(|n| Endpoint { zone: n % zones, ..row(n, state, 0.0) }).collect::<Vec<_>>();
     cluster.list(true, &rows(EndpointState::Removed));
     (0..6).for_each(|node| cluster.router.remove_node(node));
     cluster.list(true, &rows(EndpointState::Active));
@@ -101,8 +97,8 @@
 
 /// Nodes that collect their garbage are silent for as long as that takes, and neighbours may do so together.
 #[test]
-fn a_query_whose_replicas_all_paused_a_moment_ago_is_not_rejected() {
-    let mut cluster = Cluster::new(site());
+fn briefly_paused_replicas_cause_no_rejection() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     (0..3).for_each(|node| cluster.transport.nodes[node] = None);
     let mut all_aside = || {
@@ -111,14 +107,14 @@
     };
     assert!((0..12).any(|_| all_aside()));
     (0..3).for_each(|node| cluster.transport.nodes[node] = Some((AttemptOutcome::Served, 0.2)));
-    let queries = [FULL, NON_IDEMPOTENT].map(|table_type| cluster.query(table_type, &[0]));
+    let queries = [FULL, NON_IDEMPOTENT].map(|query_class| cluster.query(query_class, &[0]));
     cluster.traffic(FULL, 2.0, 0.02);
     assert!(queries.iter().all(|query| cluster.answers(*query) == [COMPLETE]));
 }
 
 #[test]
-fn a_dead_node_is_no_overload_but_a_segment_with_no_other_is_rejected() {
-    let mut cluster = Cluster::new(site());
+fn dead_node_is_no_overload() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     (0..3).for_each(|node| cluster.transport.nodes[node] = None);
     cluster.traffic(FULL, 3.0, 0.05);
@@ -132,35 +128,32 @@
 }
 
 #[test]
-fn traffic_beyond_a_tenants_quota_is_shed_first() {
-    let mut cluster = Cluster::new(Deployment { quotas: vec![0.3, 3000.0], ..site() });
-    // The wait is just past where turning away begins: within a share most still pass.
+fn traffic_beyond_quota_is_shed_first() {
+    let mut cluster = Cluster::new(Deployment { quotas: vec![0.3, 3000.0], ..deployment() });
+    // The wait is just past where rejection begins: within a share most still pass.
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.75)); 6];
     (0..80).for_each(|_| {
         cluster.query_with(PATIENT, &[0], 1, 30.0, false);
         cluster.run(0.05);
     });
-    let mut away = |customer: usize| {
-        let queries: Vec<_> = (0..20).map(|_| cluster.query_with(FULL, &[0], customer, 3.9, false)).collect();
+    let mut rejected = |tenant: usize| {
+        let queries: Vec<_> = (0..20).map(|_| cluster.query_with(FULL, &[0], tenant, 3.9, false)).collect();
         queries.iter().filter(|s| !cluster.answers(**s).is_empty()).count()
     };
-    assert!(away(1) <= 10);
-    assert!(away(0) >= 16);
+    assert!(rejected(1) <= 10);
+    assert!(rejected(0) >= 16);
 }
 
 /// The wait that is seen is one and the same; that queries admitted by it came late says that it is longer.
 #[rstest]
 #[case::most_came_in_time(false, 0..8)]
 #[case::most_came_late(true, 8..21)]
-fn queries_that_missed_their_objective_lately_raise_the_overload_level(
-    #[case] late: bool,
-    #[case] away: std::ops::Range<usize>,
-) {
-    let mut cluster = Cluster::new(site());
+fn missed_objectives_raise_the_overload_level(#[case] late: bool, #[case] rejected: std::ops::Range<usize>) {
+    let mut cluster = Cluster::new(deployment());
     let kind = if late { TWO_STEP } else { PATIENT };
     let first: Vec<_> = (0..12).map(|turn| cluster.query_with(kind, &[turn % 6], 0, 30.0, false)).collect();
     cluster.run(0.5);
-    // As where beyond its share a customer goes first: the wait is just past where turning away begins.
+    // As where beyond its share a tenant goes first: the wait is just past where rejection begins.
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.75)); 6];
     (0..80).for_each(|turn| {
         cluster.query_with(PATIENT, &[0], 0, 30.0, false);
@@ -172,13 +165,13 @@
         cluster.run(0.05);
     });
     let queries: Vec<_> = (0..20).map(|_| cluster.query_with(FULL, &[0], 0, 3.9, false)).collect();
-    let turned = queries.iter().filter(|s| !cluster.answers(**s).is_empty()).count();
-    assert!(away.contains(&turned), "{turned}");
+    let count = queries.iter().filter(|s| !cluster.answers(**s).is_empty()).count();
+    assert!(rejected.contains(&count), "{count}");
 }
 
 #[test]
-fn what_its_client_will_not_wait_for_is_not_sent() {
-    let mut cluster = Cluster::new(site());
+fn query_beyond_its_clients_timeout_is_not_sent() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.6)); 6];
     cluster.traffic(FULL, 3.0, 0.1);
     let hasty = cluster.query_with(FULL, &[0, 1], 0, 0.4, false);
@@ -187,8 +180,8 @@
 }
 
 #[test]
-fn a_clients_retry_that_has_no_value_left_is_rejected() {
-    let mut cluster = Cluster::new(site());
+fn worthless_client_retry_is_rejected() {
+    let mut cluster = Cluster::new(deployment());
     let first = cluster.query_with(QUICK, &[0], 0, 4.0, false);
     let again = cluster.query_with(QUICK, &[0], 0, 1.5, true);
     assert_eq!(cluster.answers(first), []);
@@ -199,22 +192,22 @@
 #[case::one_step(FULL, false, 0)]
 #[case::a_second_step_waits_again(TWO_STEP, false, 1)]
 #[case::late_already(FULL, true, 1)]
-fn a_short_wait_rejects_what_it_makes_late(#[case] kind: usize, #[case] late: bool, #[case] away: usize) {
-    let mut cluster = Cluster::new(Deployment { quotas: vec![0.0, 3000.0], ..site() });
+fn short_wait_rejects_late_queries(#[case] kind: usize, #[case] late: bool, #[case] rejected: usize) {
+    let mut cluster = Cluster::new(Deployment { quotas: vec![0.0, 3000.0], ..deployment() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, if late { 0.75 } else { 0.48 })); 6];
     (0..200).for_each(|_| {
         cluster.query_with(PATIENT, &[0], 1, 30.0, false);
         cluster.run(0.02);
     });
-    let customer = if late { 1 } else { 0 };
-    cluster.query_with(kind, &[3], customer, 5.9, false);
-    let query = cluster.query_with(kind, &[0], customer, if late { 3.0 } else { 5.9 }, late);
-    assert_eq!(cluster.answers(query).len(), away);
+    let tenant = if late { 1 } else { 0 };
+    cluster.query_with(kind, &[3], tenant, 5.9, false);
+    let query = cluster.query_with(kind, &[0], tenant, if late { 3.0 } else { 5.9 }, late);
+    assert_eq!(cluster.answers(query).len(), rejected);
 }
 
 #[test]
-fn no_optional_work_goes_to_nodes_in_slow_start_ejected_ones_or_an_overloaded_fleet() {
-    let mut cluster = Cluster::new(site());
+fn optional_work_needs_spare_capacity() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 10.0, 0.1);
     assert_eq!(cluster.router.prefilter_candidates(0).count(), 3);
     assert!(!cluster.router.is_overloaded());
--- a/crates/dunepond-routing/tests/bodies.rs
+++ b/crates/dunepond-routing/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies that are available once, or no longer.
+//! Queries whose body is available once only, or no longer: which attempts, hedges and retries are still possible.
 
 mod support;
 
@@ -7,8 +7,8 @@
 use support::*;
 
 #[test]
-fn a_single_shot_query_is_sent_once_and_a_failed_part_ends_it_at_once() {
-    let mut cluster = Cluster::new(site());
+fn single_shot_query_ends_with_a_failed_part() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.single_shot(FULL, &[0, 1]);
     assert_eq!(cluster.sent(query).len(), 2);
@@ -19,8 +19,8 @@
 
 /// Neither silence nor an overdue part brings a copy, which would have nothing to carry.
 #[test]
-fn a_single_shot_query_is_not_hedged() {
-    let mut cluster = Cluster::new(site());
+fn single_shot_query_is_not_hedged() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 10.0, 0.1);
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.single_shot(FULL, &[0]);
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn parts_that_are_not_needed_may_fail_in_a_single_shot_query() {
-    let mut cluster = Cluster::new(site());
+fn single_shot_query_tolerates_optional_failures() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.single_shot(QUICK, &[0, 1, 2, 3, 4]);
     cluster.end_attempt(query, 0, AttemptOutcome::ConnectFailed);
@@ -42,8 +42,8 @@
 
 /// Waiting for a holder would keep its client sending what nobody can be given any more.
 #[test]
-fn a_single_shot_query_without_a_replica_is_rejected_at_once() {
-    let mut cluster = Cluster::new(site());
+fn single_shot_query_without_replica_is_rejected() {
+    let mut cluster = Cluster::new(deployment());
     cluster.list(true, &[row(0, EndpointState::Draining, 0.0)]);
     let query = cluster.single_shot(FULL, &[0]);
     assert_eq!(cluster.sent(query).len(), 0);
@@ -54,12 +54,12 @@
 #[case::replayable(FULL, AttemptOutcome::Error, FinalAnswer::Rejected { retry_after: 0.0 })]
 #[case::may_have_run(NON_IDEMPOTENT, AttemptOutcome::ConnectionLost, FinalAnswer::Failed)]
 #[case::never_ran(NON_IDEMPOTENT, AttemptOutcome::Rejected, FinalAnswer::Rejected { retry_after: 0.0 })]
-fn once_a_body_is_gone_a_failure_is_final(
+fn failure_after_body_release_is_final(
     #[case] kind: usize,
     #[case] end: AttemptOutcome,
     #[case] expected: FinalAnswer,
 ) {
-    let mut cluster = Cluster::new(Deployment { max_retry_after: 0.0, ..site() });
+    let mut cluster = Cluster::new(Deployment { max_retry_after: 0.0, ..deployment() });
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(kind, &[0]);
     cluster.router.on_body_discarded(&mut cluster.transport, query);
@@ -71,8 +71,8 @@
 
 /// All its holders are full, so that it waits; with its text it has nothing to wait for any more.
 #[test]
-fn a_query_with_unsent_parts_ends_with_its_body() {
-    let mut cluster = Cluster::new(site());
+fn unsent_parts_end_with_the_body() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(NON_IDEMPOTENT, &[0]);
     (0..3).for_each(|_| cluster.end_attempt(query, 0, AttemptOutcome::Rejected));
@@ -86,12 +86,12 @@
 #[case::may_have_run(NON_IDEMPOTENT, AttemptOutcome::Error, false)]
 #[case::refused(NON_IDEMPOTENT, AttemptOutcome::Rejected, true)]
 #[case::replayable(FULL, AttemptOutcome::Error, true)]
-fn a_body_is_needed_as_long_as_some_part_may_be_sent_again(
+fn body_is_retained_while_a_retry_is_possible(
     #[case] kind: usize,
     #[case] end: AttemptOutcome,
     #[case] needed: bool,
 ) {
-    let mut cluster = Cluster::new(site());
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(kind, &[0, 1]);
     assert!(cluster.router.needs_body(query));
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn a_body_is_not_needed_once_its_parts_have_had_all_their_attempts() {
-    let mut cluster = Cluster::new(Deployment { max_attempts: 1, ..site() });
+fn body_is_released_at_the_attempt_cap() {
+    let mut cluster = Cluster::new(Deployment { max_attempts: 1, ..deployment() });
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(FULL, &[0]);
     assert!(!cluster.router.needs_body(query));
--- a/crates/dunepond-routing/tests/deadline.rs
+++ b/crates/dunepond-routing/tests/deadline.rs
@@ -1,4 +1,4 @@
-//! Deadline: a query ends in time, completely, partially or not at all.
+//! Deadlines: a query ends in time, with a complete answer, a partial one or a rejection.
 
 mod support;
 
@@ -10,10 +10,10 @@
 #[case::worthless_after_its_target(QUICK, 2.1)]
 #[case::replayable(FULL, 3.9)]
 #[case::non_replayable(NON_IDEMPOTENT, 3.9)]
-fn a_query_that_nobody_answers_ends_in_time_and_once(#[case] table_type: usize, #[case] by: f64) {
-    let mut cluster = Cluster::new(site());
+fn unanswered_query_ends_once_in_time(#[case] query_class: usize, #[case] by: f64) {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
-    let query = cluster.query(table_type, &[0]);
+    let query = cluster.query(query_class, &[0]);
     cluster.run(8.0);
     assert_eq!(cluster.answers(query).len(), 1);
     assert!(cluster.transport.answers[0].0 < 100.0 + by);
@@ -22,8 +22,8 @@
 #[rstest]
 #[case::half_is_enough(2, FinalAnswer::Answer { complete: false })]
 #[case::a_quarter_is_not(1, FinalAnswer::Rejected { retry_after: 0.0 })]
-fn when_time_runs_out_a_partial_answer_is_marked_as_such(#[case] come: usize, #[case] expected: FinalAnswer) {
-    let mut cluster = Cluster::new(Deployment { max_retry_after: 0.0, ..site() });
+fn partial_answer_at_the_deadline_is_marked(#[case] come: usize, #[case] expected: FinalAnswer) {
+    let mut cluster = Cluster::new(Deployment { max_retry_after: 0.0, ..deployment() });
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(PARTIAL, &[0, 1, 2, 3]);
     (0..come).for_each(|part| cluster.end_attempt(query, part, AttemptOutcome::Served));
@@ -32,10 +32,10 @@
 }
 
 #[test]
-fn a_partial_answer_comes_while_it_still_has_value() {
-    let mut site = site();
-    site.query_classes[PARTIAL].late_value_ratio = 0.0;
-    let mut cluster = Cluster::new(site);
+fn partial_answer_precedes_its_loss_of_value() {
+    let mut deployment = deployment();
+    deployment.query_classes[PARTIAL].late_value_ratio = 0.0;
+    let mut cluster = Cluster::new(deployment);
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(PARTIAL, &[0, 1, 2, 3]);
     (0..2).for_each(|part| cluster.end_attempt(query, part, AttemptOutcome::Served));
@@ -47,8 +47,8 @@
 
 /// Segment 0's holders are dead: three quarters can still come, and half may be answered.
 #[test]
-fn a_query_that_can_be_answered_partially_is_not_rejected_for_the_rest() {
-    let mut cluster = Cluster::new(Deployment { replicas: 1, ..site() });
+fn partially_answerable_query_is_admitted() {
+    let mut cluster = Cluster::new(Deployment { replicas: 1, ..deployment() });
     cluster.transport.nodes[0] = None;
     (0..4).for_each(|_| {
         cluster.query(FULL, &[0]);
--- a/crates/dunepond-routing/tests/dispatch.rs
+++ b/crates/dunepond-routing/tests/dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatch and completion: all parts go out together, enough of them answer, and what is left is cancelled.
+//! Dispatch and completion: all parts are sent together, enough of them complete the query, and outstanding attempts are
+//! cancelled.
 
 mod support;
 
@@ -7,8 +8,8 @@
 use support::*;
 
 #[test]
-fn all_parts_are_dispatched_together_and_enough_of_them_complete_the_query() {
-    let mut cluster = Cluster::new(site());
+fn parts_are_dispatched_together() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(QUICK, &[0, 1, 2, 3, 4]);
     assert_eq!(cluster.sent(query).len(), 5);
@@ -21,8 +22,8 @@
 }
 
 #[test]
-fn a_second_step_is_requested_and_needs_all_of_its_parts() {
-    let mut cluster = Cluster::new(site());
+fn second_step_needs_all_of_its_parts() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(TWO_STEP, &[0, 1]);
     cluster.end_attempt(query, 1, AttemptOutcome::Served);
@@ -39,11 +40,8 @@
 #[rstest]
 #[case::down(56, 0.017857)]
 #[case::up(7, 0.142858)]
-fn a_query_whose_weights_are_rounded_is_complete_with_all_of_its_parts(
-    #[case] count: usize,
-    #[case] share: f64,
-) {
-    let mut cluster = Cluster::new(site());
+fn rounded_weights_still_complete_the_query(#[case] count: usize, #[case] share: f64) {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.rounded(FULL, count, share);
     assert_eq!(cluster.sent(query).len(), count);
@@ -57,21 +55,18 @@
 #[rstest]
 #[case::allowed(true, 1)]
 #[case::forbidden(false, 0)]
-fn outstanding_attempts_are_cancelled_where_that_is_allowed(
-    #[case] may_cancel: bool,
-    #[case] cancels: usize,
-) {
-    let mut cluster = Cluster::new(Deployment { may_cancel, ..site() });
+fn outstanding_attempts_are_cancelled_if_allowed(#[case] may_cancel: bool, #[case] cancels: usize) {
+    let mut cluster = Cluster::new(Deployment { may_cancel, ..deployment() });
     let query = cluster.query(FULL, &[0]);
     cluster.router.on_client_disconnect(&mut cluster.transport, query);
     assert_eq!(cluster.transport.cancelled.len(), cancels);
 }
 
 #[rstest]
-#[case::told(false, vec![row(0, EndpointState::Draining, 0.0), row(1, EndpointState::Removed, 0.0)])]
+#[case::listed(false, vec![row(0, EndpointState::Draining, 0.0), row(1, EndpointState::Removed, 0.0)])]
 #[case::missing_from_a_full_list(true, (2..6).map(|n| row(n, EndpointState::Active, 0.0)).collect())]
-fn nothing_new_is_sent_to_a_draining_or_removed_node(#[case] complete: bool, #[case] rows: Vec<Endpoint>) {
-    let mut cluster = Cluster::new(site());
+fn draining_or_removed_node_gets_no_attempts(#[case] complete: bool, #[case] rows: Vec<Endpoint>) {
+    let mut cluster = Cluster::new(deployment());
     cluster.list(complete, &rows);
     cluster.traffic(QUICK, 5.0, 0.05);
     assert_eq!(cluster.sent_count(0, 0.0) + cluster.sent_count(1, 0.0), 0);
--- a/crates/dunepond-routing/tests/endpoint_list.rs
+++ b/crates/dunepond-routing/tests/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! An endpoint list that comes only on request: it is polled in time, whatever becomes of the polls, and no more
-//! than that needs.
+//! Polling of the endpoint list where it is not pushed: the interval between polls and their number, whatever becomes of the
+//! calls.
 
 mod support;
 
@@ -14,16 +14,16 @@
     refuses: usize,
     /// Calls are swallowed: neither a list nor a refusal.
     swallows: bool,
-    /// What is watched breaks off so often, in seconds, and that is told.
+    /// What is watched breaks off so often, in seconds, and the broker is notified.
     breaks: Option<f64>,
-    /// Word of a change comes so often, in seconds.
+    /// A change is published so often, in seconds.
     changes: Option<f64>,
 }
 
 const WITHIN: f64 = 10.0;
 
 fn polled_cluster() -> Cluster {
-    Cluster::new(Deployment { list_poll_deadline: Some(WITHIN), ..site() })
+    Cluster::new(Deployment { list_poll_deadline: Some(WITHIN), ..deployment() })
 }
 
 /// Plays the list for so long, and gives the times at which it was polled.
@@ -53,16 +53,16 @@
 }
 
 #[test]
-fn a_list_that_is_pushed_is_never_polled() {
-    let mut cluster = Cluster::new(site());
+fn pushed_list_is_never_polled() {
+    let mut cluster = Cluster::new(deployment());
     cluster.router.on_list_poll_failed(&mut cluster.transport);
     cluster.traffic(FULL, 5.0, 0.05);
     cluster.run(60.0);
     assert!(cluster.transport.polled.is_empty());
 }
 
-/// Whatever happens to the calls, the list is polled before it is taken to be known unasked, also by a broker
-/// that has no queries. Each call costs the list something: there is a most for them.
+/// Whatever happens to the calls, the list is polled before the deadline, also by a broker without queries; the number of polls is
+/// bounded, since each costs the agent something.
 #[rstest]
 #[case::quiet(Discovery::default(), 8)]
 #[case::one_call_in_three_is_answered(Discovery { refuses: 3, ..Discovery::default() }, 24)]
@@ -70,7 +70,7 @@
 #[case::calls_are_swallowed(Discovery { swallows: true, ..Discovery::default() }, 8)]
 #[case::it_breaks_off(Discovery { breaks: Some(4.0), ..Discovery::default() }, 17)]
 #[case::changes_come(Discovery { changes: Some(2.0), ..Discovery::default() }, 1)]
-fn the_list_is_polled_in_time_and_not_too_often(#[case] list: Discovery, #[case] most: usize) {
+fn list_poll_interval_is_bounded(#[case] list: Discovery, #[case] most: usize) {
     let mut cluster = polled_cluster();
     let polled = play(&mut cluster, list, 60.0);
     assert_eq!(polled[0], 100.0, "at the start, on what it knows from before");
@@ -81,17 +81,16 @@
     }
 }
 
-/// The case reported: a node drains, and a broker that never polled went on sending to it once it was taken to
-/// know. The list speaks only to those who ask.
+/// Guards against a broker that never polls and goes on sending to a draining node: the agent answers only those who ask.
 #[test]
-fn a_draining_node_gets_nothing_once_the_list_would_have_told() {
+fn draining_node_gets_nothing_after_the_poll_deadline() {
     let mut cluster = polled_cluster();
-    let mut told = false;
+    let mut published = false;
     for turn in 0..200 {
         cluster.query(FULL, &[turn % 6]);
         cluster.run(0.1);
-        if cluster.transport.now > 105.0 && !cluster.transport.polled.is_empty() && !told {
-            told = true;
+        if cluster.transport.now > 105.0 && !cluster.transport.polled.is_empty() && !published {
+            published = true;
             cluster.list(false, &[row(0, EndpointState::Draining, 0.0)]);
         }
     }
@@ -101,9 +100,9 @@
 /// A retry soon after the first failure, and later ones less often: many brokers that start at once have
 /// filled the list's queue themselves.
 #[test]
-fn polls_that_fail_are_spread_out() {
+fn failed_polls_are_spread_out() {
     let first = |seed| {
-        let mut cluster = Cluster::new(Deployment { list_poll_deadline: Some(WITHIN), seed, ..site() });
+        let mut cluster = Cluster::new(Deployment { list_poll_deadline: Some(WITHIN), seed, ..deployment() });
         play(&mut cluster, Discovery { refuses: usize::MAX, ..Discovery::default() }, 3.0)[1]
     };
     let mut times: Vec<f64> = (0..40).map(first).collect();
@@ -114,11 +113,11 @@
 
 /// A wake for the list and one for queries do not beget one another.
 #[test]
-fn polling_wakes_a_busy_broker_hardly_more_often() {
+fn polling_adds_few_wakes() {
     let wakes = |mut cluster: Cluster| {
         cluster.traffic(FULL, 30.0, 0.05);
         cluster.transport.woken
     };
-    let (pushed, polled) = (wakes(Cluster::new(site())), wakes(polled_cluster()));
+    let (pushed, polled) = (wakes(Cluster::new(deployment())), wakes(polled_cluster()));
     assert!(polled <= pushed + 10, "{polled} against {pushed}");
 }
--- a/crates/dunepond-routing/tests/fleet.rs
+++ b/crates/dunepond-routing/tests/fleet.rs
@@ -342,7 +342,7 @@
         fullest.unwrap_or(Second { from: 0.0, got: 0.0, told: 0.0, n: 1.0 })
     }
 
-    fn each_scan_was_answered_once(&self) {
+    fn assert_each_query_answered_once(&self) {
         for (id, (_, transport)) in self.brokers.iter().enumerate() {
             let mut finals = transport.finals.clone();
             finals.sort_unstable();
@@ -364,11 +364,7 @@
 #[case::many_brokers_and_six_tenths(150, 90.0, 6.0)]
 #[case::brokers_just_started(150, 90.0, 0.8)]
 #[case::very_many_just_started(300, 90.0, 0.8)]
-fn all_brokers_together_keep_a_node_in_slow_start_under_the_multiple(
-    #[case] brokers: usize,
-    #[case] queries: f64,
-    #[case] known: f64,
-) {
+fn slow_start_sum_stays_under_the_multiple(#[case] brokers: usize, #[case] queries: f64, #[case] known: f64) {
     let mut fleet = Fleet::new(brokers, 12, None);
     fleet.run(known, queries, 8);
     let now = fleet.now;
@@ -381,7 +377,7 @@
         assert!(known < 1.0 || got <= n + n.sqrt(), "node {node}: {got}, {n} allowed");
     }
     fleet.run(2.5, 0.0, 8);
-    fleet.each_scan_was_answered_once();
+    fleet.assert_each_query_answered_once();
 }
 
 /// How queries and their work come to the brokers.
@@ -473,7 +469,7 @@
 
 /// Counted in mean work. A fall is the brokers' where over two thirds of it came from those that had been told.
 #[rstest]
-fn a_node_in_slow_start_does_not_fall(
+fn node_in_slow_start_is_not_overloaded(
     #[values(6, 20, 30, 150, 300)] brokers: usize,
     #[values(Load::Even, Load::Uneven, Load::Work)] load: Load,
     #[values(
@@ -515,7 +511,7 @@
 #[rstest]
 #[case::many_brokers_beyond_the_capacity(150, 180.0, 1.12)]
 #[case::very_many_brokers(300, 120.0, 0.84)]
-fn warm_nodes_are_not_full_while_slow_start_has_tokens(
+fn warm_nodes_are_spared_by_slow_start_tokens(
     #[case] brokers: usize,
     #[case] queries: f64,
     #[case] most: f64,
@@ -534,7 +530,7 @@
         assert!(got > 0.0 && got <= n, "node {node}: {got}, {n} allowed");
     }
     fleet.run(2.5, 0.0, 8);
-    fleet.each_scan_was_answered_once();
+    fleet.assert_each_query_answered_once();
 }
 
 /// A third of the nodes falls silent and comes back cold, while all brokers have set them aside and hold work for
@@ -542,7 +538,7 @@
 #[rstest]
 #[case::few_brokers(20, 60.0)]
 #[case::many_brokers(150, 80.0)]
-fn a_zone_that_comes_back_cold_is_not_flooded(#[case] brokers: usize, #[case] queries: f64) {
+fn recovered_cold_zone_is_not_flooded(#[case] brokers: usize, #[case] queries: f64) {
     let mut fleet = Fleet::new(brokers, 12, None);
     fleet.run(4.0, queries, 8);
     (0..12).step_by(3).for_each(|n| fleet.nodes.borrow_mut().natures[n] = Nature::Silent);
@@ -556,13 +552,13 @@
         assert!(got > 0.0 && got <= n, "node {node}: {got}, {n} allowed");
     }
     fleet.run(2.5, 0.0, 8);
-    fleet.each_scan_was_answered_once();
+    fleet.assert_each_query_answered_once();
 }
 
 /// A third of the nodes falls silent. Each broker finds that out by itself; what all of them send there once they
 /// know is trials, and every query has its one answer.
 #[test]
-fn a_lost_zone_gets_few_probation_attempts_from_all_brokers_and_each_query_one_answer() {
+fn lost_zone_gets_few_probation_attempts() {
     let mut fleet = Fleet::new(100, 12, Some(RetryBudget { window: 2.0, min_retries: 0.0, ratio: 0.05 }));
     fleet.run(4.0, 60.0, 4);
     (0..12).step_by(3).for_each(|n| fleet.nodes.borrow_mut().natures[n] = Nature::Silent);
@@ -578,7 +574,7 @@
     assert!(silent * 7 < all, "{silent} of {all}");
     assert!(closed <= tried, "{closed} connections for {tried} trials");
     fleet.run(2.5, 0.0, 4);
-    fleet.each_scan_was_answered_once();
+    fleet.assert_each_query_answered_once();
     // Over any window, all brokers together stay within what all of theirs allow.
     let mut further: Vec<(f64, bool)> = Vec::new();
     for (_, transport) in &fleet.brokers {
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -1007,14 +1007,14 @@
 #[case::changing_rules(&CHANGING_RULES)]
 #[case::restarting(&RESTARTING)]
 #[case::shutting_down(&SHUTTING_DOWN)]
-fn orders_are_what_they_were(#[case] golden: &Golden) {
+fn calls_match_the_golden_digests(#[case] golden: &Golden) {
     let (digests, calls) = Driver::new((golden.scenario)()).play();
     assert_eq!((digests.as_slice(), calls), (golden.digests.as_slice(), golden.calls), "{digests:#018x?}");
 }
 
 /// A driver that reached no copies or no probes would prove nothing of them.
 #[test]
-fn the_scenarios_reach_every_order() {
+fn scenarios_reach_every_call() {
     for kind in 0..CALL_KINDS {
         let count: usize = ALL.iter().map(|golden| golden.calls[kind]).sum();
         assert!(count >= 25, "kind {kind}: {count}");
--- a/crates/dunepond-routing/tests/outlier_detection.rs
+++ b/crates/dunepond-routing/tests/outlier_detection.rs
@@ -7,8 +7,8 @@
 use support::*;
 
 #[test]
-fn a_silent_node_is_ejected_and_its_parts_are_hedged() {
-    let mut cluster = Cluster::new(site());
+fn silent_node_is_ejected_and_hedged() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes[2] = None;
     let hang = cluster.transport.now;
@@ -27,8 +27,8 @@
 #[rstest]
 #[case::errors(AttemptOutcome::Error)]
 #[case::connections(AttemptOutcome::ConnectFailed)]
-fn a_node_that_fails_at_once_does_not_attract_more(#[case] end: AttemptOutcome) {
-    let mut cluster = Cluster::new(site());
+fn fast_failing_node_attracts_no_attempts(#[case] end: AttemptOutcome) {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes[2] = Some((end, 0.002));
     let start = cluster.transport.now;
@@ -39,8 +39,8 @@
 
 /// However many parts were out on it; spoilt answers come from any node, and each costs its connection.
 #[test]
-fn a_connection_that_breaks_is_one_fault() {
-    let mut cluster = Cluster::new(site());
+fn connection_loss_is_one_fault() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     cluster.run(1.0);
     cluster.transport.nodes = vec![Some((AttemptOutcome::ConnectionLost, 0.1)); 6];
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn a_node_that_drops_some_of_its_parts_is_ejected() {
-    let mut cluster = Cluster::new(site());
+fn partially_silent_node_is_ejected() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     (0..300).for_each(|turn| {
         let query = cluster.query(FULL, &[2]);
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn a_node_that_fails_one_query_class_keeps_the_others() {
-    let mut cluster = Cluster::new(site());
+fn ejection_is_per_query_class() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     let start = cluster.transport.now;
     let fails = |cluster: &mut Cluster| {
@@ -86,8 +86,8 @@
 }
 
 #[test]
-fn one_stray_error_ejects_no_node() {
-    let mut cluster = Cluster::new(site());
+fn single_error_ejects_no_node() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     let query = cluster.query(FULL, &[0]);
     cluster.end_attempt(query, 0, AttemptOutcome::Error);
@@ -96,8 +96,8 @@
 }
 
 #[test]
-fn an_ejected_node_returns_by_doubling_probation_attempts() {
-    let mut cluster = Cluster::new(site());
+fn probation_attempts_double_until_return() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes[2] = Some((AttemptOutcome::Error, 0.002));
     cluster.traffic(FULL, 1.0, 0.05);
@@ -110,8 +110,8 @@
 }
 
 #[test]
-fn a_stall_of_the_broker_is_not_the_nodes_silence() {
-    let mut cluster = Cluster::new(site());
+fn broker_stall_is_not_node_silence() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     (0..6).for_each(|segment| _ = cluster.query(FULL, &[segment, (segment + 1) % 6]));
     cluster.transport.now += 1.7;
@@ -122,8 +122,8 @@
 }
 
 #[test]
-fn a_fleet_that_died_altogether_is_found_again() {
-    let mut cluster = Cluster::new(site());
+fn fully_failed_fleet_recovers() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes = vec![None; 6];
     cluster.traffic(FULL, 4.0, 0.05);
@@ -135,8 +135,8 @@
 }
 
 #[test]
-fn a_new_process_under_an_old_id_is_not_judged_by_its_predecessor() {
-    let mut cluster = Cluster::new(site());
+fn restarted_node_starts_without_faults() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes[2] = Some((AttemptOutcome::ConnectFailed, 0.002));
     cluster.traffic(FULL, 1.0, 0.02);
@@ -149,8 +149,8 @@
 
 /// With new nodes under new names all day, what is known of those that went would grow without end.
 #[test]
-fn a_forgotten_nodes_id_is_reused_by_a_node_of_another_group() {
-    let mut cluster = Cluster::new(site());
+fn node_id_is_reused_by_another_group() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes[2] = Some((AttemptOutcome::Error, 0.002));
     cluster.traffic(FULL, 2.0, 0.05);
     assert!(cluster.is_ejected(2));
@@ -172,8 +172,8 @@
 #[rstest]
 #[case::on_its_way(false)]
 #[case::gone_out(true)]
-fn an_answer_is_due_only_once_the_frame_has_been_sent(#[case] framed: bool) {
-    let mut cluster = Cluster::new(Deployment { replicas: 1, ..site() });
+fn silence_counts_from_the_sent_frame(#[case] framed: bool) {
+    let mut cluster = Cluster::new(Deployment { replicas: 1, ..deployment() });
     cluster.traffic(FULL, 10.0, 0.1);
     cluster.transport.nodes[0] = None;
     let query = cluster.streamed(FULL, &[0]);
--- a/crates/dunepond-routing/tests/placement.rs
+++ b/crates/dunepond-routing/tests/placement.rs
@@ -7,8 +7,8 @@
 use support::*;
 
 #[test]
-fn a_part_goes_to_the_replica_with_fewer_outstanding_attempts() {
-    let mut cluster = Cluster::new(Deployment { replicas: 2, ..site() });
+fn least_outstanding_replica_is_chosen() {
+    let mut cluster = Cluster::new(Deployment { replicas: 2, ..deployment() });
     cluster.transport.nodes = vec![None; 6];
     let first = cluster.query(FULL, &[0]);
     let second = cluster.query(FULL, &[0]);
@@ -20,11 +20,8 @@
 #[rstest]
 #[case::each_segment_has_one_near(3, 45..75)]
 #[case::some_have_none(2, 30..60)]
-fn the_near_one_of_two_equal_replicas_is_chosen_where_each_segment_has_one(
-    #[case] holders: usize,
-    #[case] expected: std::ops::Range<usize>,
-) {
-    let mut cluster = Cluster::new(Deployment { replicas: holders, ..site() });
+fn nearer_of_equal_replicas_is_chosen(#[case] holders: usize, #[case] expected: std::ops::Range<usize>) {
+    let mut cluster = Cluster::new(Deployment { replicas: holders, ..deployment() });
     let one = |cluster: &mut Cluster| {
         let query = cluster.query(FULL, &[0]);
         cluster.run(1.0);
@@ -36,8 +33,8 @@
 
 /// In sets a segment is held by all nodes of one cell: how many there are is a matter of the list.
 #[test]
-fn the_near_node_of_a_replica_group_is_chosen() {
-    let mut cluster = Cluster::new(Deployment { replicas: 1, replica_groups: 2, ..site() });
+fn near_node_of_a_group_is_chosen() {
+    let mut cluster = Cluster::new(Deployment { replicas: 1, replica_groups: 2, ..deployment() });
     let one = |cluster: &mut Cluster| {
         let query = cluster.query(FULL, &[0]);
         cluster.run(1.0);
@@ -51,11 +48,8 @@
 #[rstest]
 #[case::cheap(0.01, 0..30)]
 #[case::dear(0.06, 45..75)]
-fn the_crossing_price_weighs_against_a_slower_node(
-    #[case] price: f64,
-    #[case] expected: std::ops::Range<usize>,
-) {
-    let mut cluster = Cluster::new(Deployment { cross_zone_cost: Some(price), ..site() });
+fn cross_zone_cost_weighs_against_latency(#[case] price: f64, #[case] expected: std::ops::Range<usize>) {
+    let mut cluster = Cluster::new(Deployment { cross_zone_cost: Some(price), ..deployment() });
     [0, 3].iter().for_each(|near| cluster.transport.nodes[*near] = Some((AttemptOutcome::Served, 0.25)));
     let one = |cluster: &mut Cluster| {
         let query = cluster.query(FULL, &[0]);
@@ -72,8 +66,8 @@
 /// Brokers that meet a node once in a second come back long after the usual time for which it is left alone.
 /// It has answered at once and holds nothing of ours: without a memory of it, it is the lightest of all.
 #[test]
-fn a_node_that_rejects_as_full_is_chosen_less_often_by_a_broker_that_meets_it_rarely() {
-    let mut cluster = Cluster::new(site());
+fn full_node_is_chosen_less_by_rare_callers() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes[0] = Some((AttemptOutcome::Rejected, 0.001));
     cluster.transport.nodes[5] = Some((AttemptOutcome::Served, 0.9));
     for _ in 0..60 {
@@ -87,8 +81,8 @@
 }
 
 #[test]
-fn a_slow_node_is_sent_less_even_when_counts_are_low() {
-    let mut cluster = Cluster::new(site());
+fn slow_node_is_sent_less_at_low_counts() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes[2] = Some((AttemptOutcome::Served, 0.26));
     cluster.traffic(FULL, 9.0, 0.3);
     let start = cluster.transport.now;
@@ -99,16 +93,16 @@
 #[rstest]
 #[case::answered(0.7, 0.8, 12, 9, 0)]
 #[case::withdrawn_late(1.9, 1.1, 3, 6, 1)]
-fn one_slow_attempt_is_enough_to_choose_another_replica(
-    #[case] took: f64,
+fn one_slow_attempt_moves_the_choice(
+    #[case] delay: f64,
     #[case] gap: f64,
     #[case] learns: usize,
     #[case] asks: usize,
     #[case] most: usize,
 ) {
-    let mut cluster = Cluster::new(site());
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.1);
-    cluster.transport.nodes[2] = Some((AttemptOutcome::Served, took));
+    cluster.transport.nodes[2] = Some((AttemptOutcome::Served, delay));
     let ask = |cluster: &mut Cluster, times: usize| {
         (0..times).for_each(|_| {
             cluster.query(FULL, &[2]);
@@ -122,8 +116,8 @@
 }
 
 #[test]
-fn a_bad_link_to_a_zone_shows_at_few_of_its_nodes() {
-    let mut cluster = sixty(site());
+fn bad_zone_link_shows_at_few_nodes() {
+    let mut cluster = sixty(deployment());
     let ask = |cluster: &mut Cluster, far: f64, segments: std::ops::Range<usize>| {
         cluster.transport.nodes = every_third(far);
         segments.for_each(|segment| {
@@ -141,8 +135,8 @@
 }
 
 #[test]
-fn a_non_idempotent_part_goes_to_a_node_known_to_be_healthy() {
-    let mut cluster = Cluster::new(Deployment { replicas: 2, ..site() });
+fn non_idempotent_part_needs_a_healthy_node() {
+    let mut cluster = Cluster::new(Deployment { replicas: 2, ..deployment() });
     cluster.traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes[1] = None;
     (0..4).for_each(|_| _ = cluster.query(FULL, &[0]));
@@ -153,8 +147,8 @@
 }
 
 #[test]
-fn a_non_idempotent_part_is_no_probation_attempt() {
-    let mut cluster = Cluster::new(site());
+fn non_idempotent_part_is_no_probation_attempt() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes[1] = None;
     cluster.traffic(FULL, 1.0, 0.05);
@@ -166,8 +160,8 @@
 
 /// Both of a part's dispatches were trials once, at two silent holders, and the sound third was never polled.
 #[rstest]
-fn a_hedge_is_no_probation_attempt_while_a_replica_is_in_service(#[values(1, 2, 3, 4, 5)] seed: u64) {
-    let mut cluster = Cluster::new(Deployment { seed, ..site() });
+fn hedge_is_no_probation_attempt(#[values(1, 2, 3, 4, 5)] seed: u64) {
+    let mut cluster = Cluster::new(Deployment { seed, ..deployment() });
     cluster.traffic(FULL, 3.0, 0.05);
     (cluster.transport.nodes[2], cluster.transport.nodes[3]) = (None, None);
     cluster.traffic(FULL, 2.0, 0.05);
@@ -184,8 +178,8 @@
 }
 
 #[test]
-fn a_node_that_rejected_as_full_is_left_alone_for_a_while() {
-    let mut cluster = Cluster::new(site());
+fn full_node_is_backed_off() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes[2] = Some((AttemptOutcome::Rejected, 0.001));
     let start = cluster.transport.now;
--- a/crates/dunepond-routing/tests/prefilter.rs
+++ b/crates/dunepond-routing/tests/prefilter.rs
@@ -1,4 +1,4 @@
-//! Queries that wait for the prefilter, and audits of it.
+//! The prefilter: queries that wait for it, pruned parts, and audits.
 
 mod support;
 
@@ -7,8 +7,8 @@
 
 /// Its nodes are polled first: nothing goes out meanwhile, what is left out never does, and counts for the whole.
 #[test]
-fn a_waiting_query_sends_the_parts_that_are_not_pruned() {
-    let mut cluster = Cluster::new(site());
+fn unpruned_parts_are_sent() {
+    let mut cluster = Cluster::new(deployment());
     let query = cluster.awaiting_prefilter(FULL, &[0, 1, 2, 3]);
     cluster.run(0.5);
     assert_eq!((cluster.sent(query).len(), cluster.answers(query)), (0, vec![]));
@@ -19,8 +19,8 @@
 }
 
 #[test]
-fn a_query_with_all_parts_pruned_is_answered_at_once() {
-    let mut cluster = Cluster::new(site());
+fn fully_pruned_query_is_answered_at_once() {
+    let mut cluster = Cluster::new(deployment());
     let query = cluster.awaiting_prefilter(FULL, &[0, 1]);
     cluster.router.on_prefilter_result(&mut cluster.transport, query, &[0, 1]);
     assert_eq!((cluster.sent(query).len(), cluster.answers(query)), (0, vec![COMPLETE]));
@@ -28,8 +28,8 @@
 
 /// The word that a part was left out on has fallen while the others were out.
 #[test]
-fn a_part_pruned_on_evidence_that_no_longer_holds_is_sent_before_the_query_is_complete() {
-    let mut cluster = Cluster::new(site());
+fn part_with_stale_pruning_is_sent() {
+    let mut cluster = Cluster::new(deployment());
     let query = cluster.awaiting_prefilter(FULL, &[0, 1]);
     cluster.router.on_prefilter_result(&mut cluster.transport, query, &[0]);
     cluster.run(0.1);
@@ -42,8 +42,8 @@
 
 /// Asking has taken so long that no search would come in time: it is told so then, and nothing goes out.
 #[test]
-fn a_query_that_has_waited_too_long_is_rejected_at_once() {
-    let mut cluster = Cluster::new(site());
+fn overdue_prefilter_rejects_the_query() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 5.0, 0.1);
     let query = cluster.awaiting_prefilter(FULL, &[0, 1]);
     cluster.run(3.8);
@@ -56,8 +56,8 @@
 
 /// Half of its parts are enough for an answer that is not whole; one that was left out is none of them.
 #[test]
-fn pruned_parts_do_not_count_towards_the_minimum_share() {
-    let mut cluster = Cluster::new(site());
+fn pruned_parts_do_not_count_as_answered() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.awaiting_prefilter(PARTIAL, &[0, 1, 2, 3]);
     cluster.router.on_prefilter_result(&mut cluster.transport, query, &[0, 1]);
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn an_audit_is_sent_once_and_not_retried() {
-    let mut cluster = Cluster::new(site());
+fn audit_is_not_retried() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.1)); 6];
     let query = cluster.audit(FULL, 0);
     cluster.run(3.0);
@@ -84,7 +84,7 @@
 #[test]
 fn audits_earn_no_retry_budget() {
     let budget = Some(RetryBudget { window: 10.0, min_retries: 0.0, ratio: 1.0 });
-    let mut cluster = Cluster::new(Deployment { retry_budget: budget, ..site() });
+    let mut cluster = Cluster::new(Deployment { retry_budget: budget, ..deployment() });
     for _ in 0..20 {
         cluster.audit(FULL, 0);
     }
--- a/crates/dunepond-routing/tests/probing.rs
+++ b/crates/dunepond-routing/tests/probing.rs
@@ -1,4 +1,4 @@
-//! Probing: replicas are asked for capacity where nothing else tells them apart.
+//! Probing: replicas are probed for capacity where no other sample tells them apart.
 
 mod support;
 
@@ -8,7 +8,7 @@
 
 /// Sixty nodes, each met once in a few seconds; a third of them have become slow.
 fn in_doubt(gap: f64) -> Cluster {
-    let plain = site();
+    let plain = deployment();
     let kinds = plain.query_classes[..PARTIAL].to_vec();
     let mut cluster = sixty(Deployment { query_classes: kinds, may_probe: true, ..plain });
     for (slow, seconds) in [(0.2, 5.0), (0.95, 2.5)] {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_part_waits_for_the_first_replica_that_answers_a_probe_where_nothing_else_tells() {
+fn part_follows_the_first_probe_answer() {
     let mut cluster = in_doubt(0.1);
     let query = cluster.query(FULL, &[10]);
     assert_eq!(cluster.transport.probed, [10, 11, 12]);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_query_whose_replicas_leave_its_probes_unanswered_is_rejected() {
+fn unanswered_probes_reject_the_query() {
     let mut cluster = in_doubt(0.1);
     let query = cluster.query(FULL, &[10, 11, 12, 13]);
     cluster.router.on_probe_result(&mut cluster.transport, 10, Some(0.1));
@@ -43,7 +43,7 @@
 
 /// What the first step has cost would be lost for two parts.
 #[test]
-fn a_second_step_is_not_rejected_by_its_probes() {
+fn second_step_is_not_rejected_by_probes() {
     let mut cluster = in_doubt(0.1);
     let query = cluster.query(TWO_STEP, &[10, 13]);
     [10, 13].iter().for_each(|node| cluster.router.on_probe_result(&mut cluster.transport, *node, Some(0.1)));
@@ -57,23 +57,23 @@
 #[rstest]
 #[case::a_queue_shows(0.1, true)]
 #[case::a_sign_of_life_only(0.004, false)]
-fn uninformative_probes_are_given_up(#[case] took: f64, #[case] goes_on: bool) {
+fn uninformative_probes_are_disabled(#[case] delay: f64, #[case] goes_on: bool) {
     let mut cluster = in_doubt(0.1);
-    (0..10).for_each(|node| cluster.router.on_probe_result(&mut cluster.transport, node, Some(took)));
+    (0..10).for_each(|node| cluster.router.on_probe_result(&mut cluster.transport, node, Some(delay)));
     cluster.query(FULL, &[10]);
     assert_eq!(!cluster.transport.probed.is_empty(), goes_on);
 }
 
 #[test]
-fn a_broker_that_meets_its_replicas_often_needs_no_probes() {
+fn frequent_contact_needs_no_probes() {
     let mut cluster = in_doubt(0.02);
     cluster.query(FULL, &[10]);
     assert!(cluster.transport.probed.is_empty());
 }
 
 #[test]
-fn no_probes_are_sent_without_load() {
-    let mut cluster = Cluster::new(Deployment { may_probe: true, ..site() });
+fn idle_broker_sends_no_probes() {
+    let mut cluster = Cluster::new(Deployment { may_probe: true, ..deployment() });
     cluster.traffic(FULL, 6.0, 0.05);
     assert!(cluster.transport.probed.is_empty());
 }
--- a/crates/dunepond-routing/tests/quota_shares.rs
+++ b/crates/dunepond-routing/tests/quota_shares.rs
@@ -1,4 +1,4 @@
-//! Our parts of bounds that all brokers share, in place of even ones.
+//! This broker's shares of the bounds that all brokers hold together: slow start, retries and tenant quotas.
 
 mod support;
 
@@ -16,8 +16,8 @@
 #[case::all(10.0, 10)]
 #[case::half(5.0, 5)]
 #[case::none(0.0, 0)]
-fn a_node_in_slow_start_is_sent_what_our_share_allows(#[case] rate: f64, #[case] most: usize) {
-    let mut cluster = Cluster::new(Deployment { replicas: 1, ..site() });
+fn slow_start_respects_the_share(#[case] rate: f64, #[case] most: usize) {
+    let mut cluster = Cluster::new(Deployment { replicas: 1, ..deployment() });
     let now = cluster.transport.now;
     cluster.list(false, &[row(0, EndpointState::Active, now - 3.0)]);
     cluster.router.set_quota_shares(QuotaShares { slow_start: Some(rate), ..QuotaShares::default() });
@@ -35,9 +35,9 @@
 #[case::even(Some(1.0 / 3.0), 4)]
 #[case::most(Some(0.75), 9)]
 #[case::none(Some(0.0), 0)]
-fn retries_keep_to_our_share(#[case] part: Option<f64>, #[case] most: usize) {
+fn retries_respect_the_share(#[case] part: Option<f64>, #[case] most: usize) {
     let budget = Some(RetryBudget { window: 60.0, min_retries: 4.0, ratio: 0.0 });
-    let mut cluster = Cluster::new(Deployment { retry_budget: budget, max_attempts: 20, ..site() });
+    let mut cluster = Cluster::new(Deployment { retry_budget: budget, max_attempts: 20, ..deployment() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
     cluster.router.set_quota_shares(QuotaShares { retries: part, ..QuotaShares::default() });
     let queries: Vec<_> = (0..12).map(|segment| cluster.query(FULL, &[segment % 6])).collect();
@@ -51,9 +51,9 @@
 
 /// What was spent under a larger part fills the window under a smaller one.
 #[test]
-fn a_share_that_shrinks_counts_what_was_spent_before() {
+fn smaller_share_counts_earlier_spending() {
     let budget = Some(RetryBudget { window: 60.0, min_retries: 4.0, ratio: 0.0 });
-    let mut cluster = Cluster::new(Deployment { retry_budget: budget, ..site() });
+    let mut cluster = Cluster::new(Deployment { retry_budget: budget, ..deployment() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
     cluster.router.set_quota_shares(QuotaShares { retries: Some(0.5), ..QuotaShares::default() });
     let before: Vec<_> = (0..6).map(|segment| cluster.query(FULL, &[segment])).collect();
@@ -68,11 +68,11 @@
     assert_eq!(further(&cluster, &after), 0);
 }
 
-/// Pressed, what is beyond a customer's share goes first: with all of its quota here more of it stays.
+/// Pressed, what is beyond a tenant's share goes first: with all of its quota here more of it stays.
 #[test]
-fn a_tenant_is_within_its_quota_as_long_as_our_share_of_it_lasts() {
+fn tenant_quota_respects_the_share() {
     let served = |part: Option<f64>| {
-        let mut cluster = Cluster::new(Deployment { quotas: vec![3.0], ..site() });
+        let mut cluster = Cluster::new(Deployment { quotas: vec![3.0], ..deployment() });
         cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 1.75)); 6];
         cluster.router.set_quota_shares(QuotaShares { quotas: vec![part], ..QuotaShares::default() });
         cluster.traffic(FULL, 12.0, 0.04);
--- a/crates/dunepond-routing/tests/retry.rs
+++ b/crates/dunepond-routing/tests/retry.rs
@@ -12,12 +12,12 @@
 #[case::dropped(AttemptOutcome::ConnectionLost, 1, Some(FinalAnswer::Failed))]
 #[case::full(AttemptOutcome::Rejected, 2, None)]
 #[case::no_connection(AttemptOutcome::ConnectFailed, 2, None)]
-fn a_non_idempotent_part_is_retried_only_if_it_never_ran(
+fn non_idempotent_part_is_retried_only_if_unstarted(
     #[case] end: AttemptOutcome,
     #[case] sends: usize,
     #[case] fin: Option<FinalAnswer>,
 ) {
-    let mut cluster = Cluster::new(site());
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(NON_IDEMPOTENT, &[0]);
     cluster.end_attempt(query, 0, end);
@@ -28,8 +28,8 @@
 #[rstest]
 #[case::inside(0.5, 2)]
 #[case::outside(1.2, 1)]
-fn a_keyed_part_that_may_have_run_is_retried_within_its_window(#[case] after: f64, #[case] sends: usize) {
-    let mut cluster = Cluster::new(site());
+fn keyed_part_is_retried_within_its_window(#[case] after: f64, #[case] sends: usize) {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(KEYED, &[0]);
     cluster.run(after);
@@ -40,7 +40,7 @@
 #[test]
 fn retries_stay_within_the_budget() {
     let budget = RetryBudget { window: 2.0, min_retries: 3.0, ratio: 0.05 };
-    let mut cluster = Cluster::new(Deployment { retry_budget: Some(budget), ..site() });
+    let mut cluster = Cluster::new(Deployment { retry_budget: Some(budget), ..deployment() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.1)); 6];
     let queries: Vec<_> = (0..18).map(|segment| cluster.query(FULL, &[segment % 6])).collect();
     cluster.run(1.9);
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn a_part_is_not_sent_beyond_its_attempt_cap() {
-    let mut cluster = Cluster::new(Deployment { max_attempts: 2, ..site() });
+fn attempt_cap_bounds_the_sends() {
+    let mut cluster = Cluster::new(Deployment { max_attempts: 2, ..deployment() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.01)); 6];
     let query = cluster.query(FULL, &[0]);
     cluster.run(1.0);
@@ -59,8 +59,8 @@
 }
 
 #[test]
-fn a_failed_part_is_retried_at_another_replica() {
-    let mut cluster = Cluster::new(site());
+fn failed_part_is_retried_elsewhere() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.01)); 6];
     let queries: Vec<_> = (0..6).map(|segment| cluster.query(FULL, &[segment])).collect();
     cluster.run(0.1);
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn spare_parts_stand_in_for_hedged_requests() {
-    let mut cluster = Cluster::new(site());
+fn spare_parts_replace_hedges() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes[2] = None;
     cluster.traffic(FULL, 1.0, 0.05);
@@ -85,8 +85,8 @@
 }
 
 #[test]
-fn no_hedges_are_sent_to_overloaded_replicas() {
-    let mut cluster = Cluster::new(site());
+fn overloaded_replicas_get_no_hedges() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.7)); 6];
     let fill = |cluster: &mut Cluster, seconds: f64| {
         (0..(seconds / 0.02) as usize).for_each(|_| {
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn a_costly_part_is_hedged_in_time_but_not_sooner() {
-    let mut cluster = Cluster::new(site());
+fn costly_part_is_hedged_in_time() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.03);
     let query = cluster.query(FULL, &[0]);
     (0..6).for_each(|node| cluster.hold(query, node));
@@ -118,8 +118,8 @@
 #[rstest]
 #[case::at_ease(0.2, 2)]
 #[case::all_take_longer(0.5, 1)]
-fn a_late_part_is_hedged_only_where_there_is_capacity(#[case] takes: f64, #[case] sends: usize) {
-    let mut cluster = Cluster::new(site());
+fn hedge_needs_spare_capacity(#[case] takes: f64, #[case] sends: usize) {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.03);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, takes)); 6];
     cluster.traffic(PATIENT, 3.0, 0.03);
@@ -131,8 +131,8 @@
 
 /// A queue looks like silence: the copy goes only once nearly all would have answered, and then at once.
 #[rstest]
-fn a_part_at_an_ejected_node_is_hedged_after_the_95th_percentile(#[values(1, 2, 3)] seed: u64) {
-    let mut cluster = Cluster::new(Deployment { seed, ..site() });
+fn part_at_ejected_node_is_hedged_after_p95(#[values(1, 2, 3)] seed: u64) {
+    let mut cluster = Cluster::new(Deployment { seed, ..deployment() });
     cluster.traffic(FULL, 3.0, 0.05);
     (cluster.transport.nodes[2], cluster.transport.nodes[3]) = (None, None);
     cluster.traffic(FULL, 2.0, 0.05);
@@ -156,8 +156,8 @@
 }
 
 #[test]
-fn of_two_replicas_that_lost_an_answer_each_the_first_is_tried_again() {
-    let mut cluster = Cluster::new(Deployment { replicas: 2, ..site() });
+fn first_of_two_failed_replicas_is_retried() {
+    let mut cluster = Cluster::new(Deployment { replicas: 2, ..deployment() });
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(FULL, &[0]);
     (0..2).for_each(|_| {
@@ -171,8 +171,8 @@
 
 /// Each is polled again once its refusal is over; with all its dispatches gone the query is ended at once.
 #[test]
-fn a_part_that_all_replicas_reject_as_full_is_retried_and_then_ends_its_query() {
-    let mut cluster = Cluster::new(Deployment { replicas: 2, ..site() });
+fn part_rejected_by_all_replicas_ends_its_query() {
+    let mut cluster = Cluster::new(Deployment { replicas: 2, ..deployment() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Rejected, 0.002)); 6];
     let query = cluster.query(FULL, &[0]);
     cluster.run(0.2);
--- a/crates/dunepond-routing/tests/rules.rs
+++ b/crates/dunepond-routing/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that change while queries are held, and parts that one node alone may have.
+//! Rules that change while queries are in flight, and parts with a required node.
 
 mod support;
 
@@ -18,8 +18,8 @@
 #[rstest]
 #[case::non_replayable(NON_IDEMPOTENT)]
 #[case::replayable(FULL)]
-fn a_part_with_a_required_node_goes_to_no_other(#[case] kind: usize, #[values(0, 1, 2)] owner: NodeId) {
-    let mut cluster = Cluster::new(site());
+fn part_goes_only_to_its_required_node(#[case] kind: usize, #[values(0, 1, 2)] owner: NodeId) {
+    let mut cluster = Cluster::new(deployment());
     let queries: Vec<_> = (0..20).map(|_| cluster.with_required_node(kind, 0, owner)).collect();
     cluster.run(3.0);
     assert!(cluster.transport.sent.iter().all(|s| s.node == owner));
@@ -31,11 +31,11 @@
 #[case::silent(None)]
 #[case::failing(Some((AttemptOutcome::Error, 0.01)))]
 #[case::full(Some((AttemptOutcome::Rejected, 0.01)))]
-fn what_its_required_node_does_not_serve_goes_nowhere_else(
+fn failed_required_node_has_no_substitute(
     #[case] owner: Option<(AttemptOutcome, f64)>,
     #[values(NON_IDEMPOTENT, FULL)] kind: usize,
 ) {
-    let mut cluster = Cluster::new(site());
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes[1] = owner;
     let query = cluster.with_required_node(kind, 0, 1);
@@ -49,11 +49,8 @@
 #[case::gone(1, EndpointState::Removed)]
 #[case::no_holder_of_that_segment(4, EndpointState::Active)]
 #[case::unknown(99, EndpointState::Active)]
-fn a_part_whose_required_node_cannot_have_it_is_rejected_at_once(
-    #[case] owner: NodeId,
-    #[case] is: EndpointState,
-) {
-    let mut cluster = Cluster::new(site());
+fn unusable_required_node_rejects_at_once(#[case] owner: NodeId, #[case] is: EndpointState) {
+    let mut cluster = Cluster::new(deployment());
     cluster.list(false, &[row(owner.min(5), is, 0.0)]);
     let query = cluster.with_required_node(NON_IDEMPOTENT, 0, owner);
     assert!(is_rejected(&cluster, query));
@@ -64,8 +61,8 @@
 #[rstest]
 #[case::drains(false)]
 #[case::its_index_is_given_to_another(true)]
-fn a_part_whose_required_node_leaves_while_it_waits_is_rejected_soon(#[case] another: bool) {
-    let mut cluster = Cluster::new(site());
+fn departed_required_node_rejects_soon(#[case] another: bool) {
+    let mut cluster = Cluster::new(deployment());
     cluster.list(false, &[row(1, EndpointState::Active, cluster.transport.now)]);
     cluster.router.restore_spent(&mut cluster.transport, None);
     let query = cluster.with_required_node(NON_IDEMPOTENT, 0, 1);
@@ -84,11 +81,11 @@
 // ---- rules that change
 
 /// A query begins under `then`, and `now` holds when it matters; a third one comes after.
-fn changed(site: Deployment, change: impl Fn(&mut Rules), tighter_now: bool) -> (Cluster, Rules) {
-    let mut other = Rules::of(&site);
+fn changed(deployment: Deployment, change: impl Fn(&mut Rules), tighter_now: bool) -> (Cluster, Rules) {
+    let mut other = Rules::of(&deployment);
     change(&mut other);
-    let first = Rules::of(&site);
-    let mut cluster = Cluster::new(site);
+    let first = Rules::of(&deployment);
+    let mut cluster = Cluster::new(deployment);
     let (then, now) = if tighter_now { (first, other) } else { (other, first) };
     cluster.router.set_rules(&then);
     (cluster, now)
@@ -96,8 +93,8 @@
 
 /// Two of four parts are in when its time is up; one share asks for half, the other for all.
 #[rstest]
-fn a_partial_answer_needs_the_greater_minimum_share(#[values(true, false)] tighter_now: bool) {
-    let (mut cluster, now) = changed(site(), |r| r.minimum_share[PARTIAL] = 1.0, tighter_now);
+fn partial_answer_needs_the_greater_share(#[values(true, false)] tighter_now: bool) {
+    let (mut cluster, now) = changed(deployment(), |r| r.minimum_share[PARTIAL] = 1.0, tighter_now);
     (2..6).for_each(|n| cluster.transport.nodes[n] = None);
     let begun = cluster.with_required_nodes(PARTIAL, &[(0, 0), (1, 1), (2, 2), (3, 3)]);
     cluster.router.set_rules(&now);
@@ -109,8 +106,8 @@
 
 /// Three of five parts are in at once; one share asks for 0.6, the other for all.
 #[rstest]
-fn a_complete_answer_needs_the_greater_share(#[values(true, false)] tighter_now: bool) {
-    let (mut cluster, now) = changed(site(), |r| r.complete_at[QUICK] = 1.0, tighter_now);
+fn complete_answer_needs_the_greater_share(#[values(true, false)] tighter_now: bool) {
+    let (mut cluster, now) = changed(deployment(), |r| r.complete_at[QUICK] = 1.0, tighter_now);
     cluster.transport.nodes = vec![None; 6];
     let begun = cluster.query(QUICK, &[0, 1, 2, 3, 4]);
     cluster.router.set_rules(&now);
@@ -124,8 +121,8 @@
 }
 
 #[rstest]
-fn a_part_is_not_sent_beyond_the_smaller_attempt_cap(#[values(true, false)] tighter_now: bool) {
-    let (mut cluster, now) = changed(site(), |r| r.max_attempts = 2, tighter_now);
+fn smaller_attempt_cap_applies(#[values(true, false)] tighter_now: bool) {
+    let (mut cluster, now) = changed(deployment(), |r| r.max_attempts = 2, tighter_now);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.01)); 6];
     let begun = cluster.query(FULL, &[0]);
     cluster.router.set_rules(&now);
@@ -134,8 +131,8 @@
 }
 
 #[rstest]
-fn a_hedge_is_sent_only_where_both_rules_allow_one(#[values(true, false)] tighter_now: bool) {
-    let (mut cluster, now) = changed(site(), |r| r.hedging_enabled = false, tighter_now);
+fn hedge_needs_both_rules(#[values(true, false)] tighter_now: bool) {
+    let (mut cluster, now) = changed(deployment(), |r| r.hedging_enabled = false, tighter_now);
     cluster.traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes = vec![None; 6];
     let begun = cluster.query(FULL, &[0]);
@@ -150,8 +147,8 @@
 #[case::tighter_then(false, Some(RetryBudget { window: 2.0, min_retries: 1.0, ratio: 0.0 }))]
 fn retries_stay_within_both_budgets(#[case] tighter_now: bool, #[case] tight: Option<RetryBudget>) {
     let wide = Some(RetryBudget { window: 2.0, min_retries: 50.0, ratio: 0.0 });
-    let site = Deployment { retry_budget: wide, ..site() };
-    let (mut cluster, now) = changed(site, |r| r.retry_budget = tight.clone(), tighter_now);
+    let deployment = Deployment { retry_budget: wide, ..deployment() };
+    let (mut cluster, now) = changed(deployment, |r| r.retry_budget = tight.clone(), tighter_now);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.1)); 6];
     let queries: Vec<_> = (0..6).map(|segment| cluster.query(FULL, &[segment])).collect();
     cluster.router.set_rules(&now);
@@ -163,13 +160,13 @@
 #[rstest]
 #[case::none(None)]
 #[case::shorter(Some(RetryBudget { window: 0.5, min_retries: 50.0, ratio: 0.0 }))]
-fn a_longer_window_counts_everything_before_as_spent(#[case] before: Option<RetryBudget>) {
-    let mut cluster = Cluster::new(Deployment { retry_budget: before, ..site() });
+fn longer_window_starts_as_spent(#[case] before: Option<RetryBudget>) {
+    let mut cluster = Cluster::new(Deployment { retry_budget: before, ..deployment() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.1)); 6];
     cluster.query(FULL, &[0]);
     cluster.run(1.0);
     let budget = Some(RetryBudget { window: 3.0, min_retries: 1.0, ratio: 0.0 });
-    cluster.router.set_rules(&Rules { retry_budget: budget, ..Rules::of(&site()) });
+    cluster.router.set_rules(&Rules { retry_budget: budget, ..Rules::of(&deployment()) });
     let query = cluster.query(FULL, &[3]);
     cluster.run(2.2);
     assert_eq!(cluster.sent(query).len(), 1);
@@ -179,8 +176,8 @@
 
 /// One node with room for five parts a second, or for none for a long time.
 #[rstest]
-fn a_node_in_slow_start_gets_what_the_smaller_multiple_allows(#[values(true, false)] tighter_now: bool) {
-    let (mut cluster, now) = changed(site(), |r| r.slow_start_multiple = 0.01, tighter_now);
+fn smaller_slow_start_multiple_applies(#[values(true, false)] tighter_now: bool) {
+    let (mut cluster, now) = changed(deployment(), |r| r.slow_start_multiple = 0.01, tighter_now);
     cluster.traffic(FULL, 3.0, 0.05);
     let start = cluster.transport.now;
     cluster.list(false, &[row(0, EndpointState::Active, start)]);
@@ -192,8 +189,8 @@
 }
 
 #[rstest]
-fn a_rejection_names_no_longer_wait_than_both_rules_allow(#[values(true, false)] tighter_now: bool) {
-    let (mut cluster, now) = changed(site(), |r| r.max_retry_after = 0.0, tighter_now);
+fn shorter_retry_after_applies(#[values(true, false)] tighter_now: bool) {
+    let (mut cluster, now) = changed(deployment(), |r| r.max_retry_after = 0.0, tighter_now);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Rejected, 0.01)); 6];
     let begun = cluster.query(FULL, &[0]);
     cluster.router.set_rules(&now);
@@ -203,9 +200,13 @@
 
 /// A share that the rules leave out is all there is; nothing panics.
 #[test]
-fn a_missing_share_is_the_strictest() {
-    let mut cluster = Cluster::new(site());
-    cluster.router.set_rules(&Rules { minimum_share: vec![], complete_at: vec![], ..Rules::of(&site()) });
+fn missing_share_is_the_strictest() {
+    let mut cluster = Cluster::new(deployment());
+    cluster.router.set_rules(&Rules {
+        minimum_share: vec![],
+        complete_at: vec![],
+        ..Rules::of(&deployment())
+    });
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(QUICK, &[0, 1, 2, 3, 4]);
     (0..4).for_each(|part| cluster.end_attempt(query, part, AttemptOutcome::Served));
--- a/crates/dunepond-routing/tests/shutdown.rs
+++ b/crates/dunepond-routing/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The stages of a shutdown, and what the module does with queries in them.
+//! Shutdown: when its stages begin, and how queries in them end.
 
 mod support;
 
@@ -14,11 +14,7 @@
 #[case::listener_closed(100.7, ShutdownStage::Refusing, Some(101.05))]
 #[case::nobody_connects_to_ask(101.1, ShutdownStage::ClosingWithoutRequest, Some(102.45))]
 #[case::before_the_kill(102.46, ShutdownStage::LastAnswers, None)]
-fn the_stages_count_from_the_signal(
-    #[case] now: f64,
-    #[case] stage: ShutdownStage,
-    #[case] next: Option<f64>,
-) {
+fn stages_count_from_the_signal(#[case] now: f64, #[case] stage: ShutdownStage, #[case] next: Option<f64>) {
     let shutdown = Shutdown::new(100.0, 2.0);
     assert_eq!(shutdown.stage(now), stage);
     let next_at = shutdown.next_stage_at(now);
@@ -28,21 +24,18 @@
 
 /// Between a look at the clock and the last answer a broker may be held up for 0.15 s; and 3 s of a longer timeout count.
 #[rstest]
-fn the_last_answers_leave_a_margin_to_the_kill(#[values(0.05, 0.3, 2.0, 3.0, 60.0)] timeout: f64) {
+fn last_answers_precede_the_kill(#[values(0.05, 0.3, 2.0, 3.0, 60.0)] timeout: f64) {
     let left = timeout.min(3.0) + 0.7 - (Shutdown::new(100.0, timeout).last_answers_at() - 100.0);
     assert!(left > 0.2 && left < 0.3, "{left}");
     assert!(Shutdown::new(100.0, timeout).next_stage_at(100.0).is_some());
 }
 
-/// The kill may come 6.7 s after the signal at this site, were it not for the page, which counts 3 s of its timeouts.
+/// The kill may come 6.7 s after the signal in this deployment, were it not for the page, which counts 3 s of its timeouts.
 #[rstest]
 #[case::there_is_time(2.0, None)]
 #[case::it_outlasts_the_process(5.0, Some(FinalAnswer::Rejected { retry_after: 0.0 }))]
-fn a_late_query_is_rejected_if_it_outlasts_the_process(
-    #[case] client_waits: f64,
-    #[case] answer: Option<FinalAnswer>,
-) {
-    let mut cluster = Cluster::new(site());
+fn query_outlasting_the_process_is_rejected(#[case] client_waits: f64, #[case] answer: Option<FinalAnswer>) {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     cluster.run(0.1);
     cluster.router.begin_shutdown(Shutdown::new(cluster.transport.now - 0.8, 6.0));
@@ -54,9 +47,9 @@
 /// A body that was coming in as the broker was told to end has until the last answers. How long that is from now on and when
 /// it ends are rounded, one against the other.
 #[test]
-fn a_query_with_time_until_the_last_answers_is_served_however_that_is_rounded() {
+fn query_up_to_the_last_answers_is_served() {
     for step in 0..200 {
-        let mut cluster = Cluster::new(site());
+        let mut cluster = Cluster::new(deployment());
         cluster.transport.now = 1_764_700_000.0 + 0.001_7 * f64::from(step);
         let shutdown = Shutdown::new(cluster.transport.now - 0.8, 6.0);
         cluster.router.begin_shutdown(shutdown);
@@ -73,8 +66,8 @@
 
 /// It came before the signal, and its client has more time than the process.
 #[test]
-fn queries_in_flight_end_by_the_last_answers() {
-    let mut cluster = Cluster::new(site());
+fn in_flight_queries_end_by_the_last_answers() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(NON_IDEMPOTENT, &[0]);
     cluster.run(0.1);
--- a/crates/dunepond-routing/tests/slow_start.rs
+++ b/crates/dunepond-routing/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: what a node that has just started is sent.
+//! Slow start: how many attempts a node gets that has just started.
 
 mod support;
 
@@ -14,8 +14,8 @@
 #[rstest]
 #[case::one_is_cold(1)]
 #[case::all_are_cold_and_the_broker_is_new(6)]
-fn a_node_in_slow_start_gets_its_part_of_the_budget(#[case] cold: usize) {
-    let mut cluster = Cluster::new(site());
+fn slow_start_budget_bounds_the_node(#[case] cold: usize) {
+    let mut cluster = Cluster::new(deployment());
     let rows: Vec<_> = (0..cold).map(|n| row(n, EndpointState::Active, 99.9)).collect();
     cluster.list(false, &rows);
     cluster.traffic(FULL, 3.0, 0.06);
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn many_brokers_that_hear_of_a_start_do_not_all_begin_at_once() {
+fn many_brokers_stagger_first_attempts() {
     let mut times: Vec<f64> = Vec::new();
     for seed in 0..40 {
-        let mut cluster = Cluster::new(Deployment { seed, broker_count: 40.0, replicas: 1, ..site() });
+        let mut cluster = Cluster::new(Deployment { seed, broker_count: 40.0, replicas: 1, ..deployment() });
         cluster.traffic(FULL, 6.0, 0.5);
         cluster.list(false, &[row(0, EndpointState::Active, 104.0)]);
         cluster.query(FULL, &[0]);
@@ -44,8 +44,8 @@
 /// Of six brokers one sees a warm node complete some sixteen parts a second, so that eight are its part of what a cold
 /// one bears in that time. A query of many parts asks for several of them at once, and the next comes much later.
 #[test]
-fn several_parts_at_once_get_the_unspent_tokens() {
-    let mut cluster = Cluster::new(Deployment { broker_count: 6.0, ..site() });
+fn simultaneous_parts_use_unspent_tokens() {
+    let mut cluster = Cluster::new(Deployment { broker_count: 6.0, ..deployment() });
     cluster.traffic(FULL, 10.0, 0.01);
     let now = cluster.transport.now;
     cluster.list(false, &[row(0, EndpointState::Active, now)]);
@@ -64,8 +64,8 @@
 /// Six parts come back before a broker's first wake, and no wake comes for a while: neither makes them hundreds a
 /// second for one node.
 #[test]
-fn the_first_completions_do_not_widen_the_slow_start_budget() {
-    let mut cluster = Cluster::new(Deployment { broker_count: 40.0, replicas: 1, ..site() });
+fn first_completions_do_not_widen_the_budget() {
+    let mut cluster = Cluster::new(Deployment { broker_count: 40.0, replicas: 1, ..deployment() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.002)); 6];
     cluster.query(FULL, &[0, 1, 2, 3, 4, 5]);
     cluster.run(1.0);
@@ -76,8 +76,8 @@
 }
 
 #[test]
-fn waiting_at_warm_nodes_does_not_starve_a_node_in_slow_start() {
-    let mut cluster = Cluster::new(site());
+fn warm_queues_do_not_starve_a_cold_node() {
+    let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.9)); 6];
     cluster.traffic(FULL, 4.0, 0.02);
     let restart = cluster.transport.now;
@@ -88,8 +88,8 @@
 }
 
 #[test]
-fn quick_faults_of_dead_nodes_do_not_widen_the_slow_start_budget() {
-    let mut cluster = Cluster::new(site());
+fn fast_failures_do_not_widen_the_budget() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 3.0, 0.05);
     (1..6).for_each(|node| cluster.transport.nodes[node] = Some((AttemptOutcome::ConnectFailed, 0.002)));
     cluster.list(false, &[row(0, EndpointState::Active, cluster.transport.now)]);
@@ -99,8 +99,8 @@
 }
 
 #[test]
-fn a_truncated_list_does_not_attribute_the_work_of_all_nodes_to_few() {
-    let mut cluster = Cluster::new(site());
+fn truncated_list_does_not_inflate_the_budget() {
+    let mut cluster = Cluster::new(deployment());
     cluster.traffic(FULL, 4.0, 0.05);
     let restart = cluster.transport.now;
     let gone: Vec<_> = (1..5).map(|n| row(n, EndpointState::Removed, 0.0)).collect();
@@ -115,8 +115,8 @@
 
 /// A cold node may be sent two parts at any time, by all brokers together: who is alone need not wait for the first.
 #[rstest]
-fn a_lone_broker_sends_a_new_node_its_first_part_at_once(#[values(1, 2, 3, 4, 5)] seed: u64) {
-    let mut cluster = Cluster::new(Deployment { broker_count: 1.0, replicas: 1, seed, ..site() });
+fn lone_broker_sends_the_first_part_at_once(#[values(1, 2, 3, 4, 5)] seed: u64) {
+    let mut cluster = Cluster::new(Deployment { broker_count: 1.0, replicas: 1, seed, ..deployment() });
     let now = cluster.transport.now;
     cluster.list(true, &[row(0, EndpointState::Active, now)]);
     let query = cluster.query(FULL, &[0]);
--- a/crates/dunepond-routing/tests/support/mod.rs
+++ b/crates/dunepond-routing/tests/support/mod.rs
@@ -108,7 +108,7 @@
 pub const PATIENT: usize = 6;
 
 /// Six nodes in a ring; each segment is held by the node of its number and the next two.
-pub fn site() -> Deployment {
+pub fn deployment() -> Deployment {
     let full = QueryClass {
         latency_objective: 2.0,
         timeout: 6.0,
@@ -183,13 +183,13 @@
         self.router.update_endpoints(&mut self.transport, complete, rows);
     }
 
-    pub fn query(&mut self, table_type: usize, segments: &[usize]) -> QueryId {
-        self.query_with(table_type, segments, 0, 3.9, false)
+    pub fn query(&mut self, query_class: usize, segments: &[usize]) -> QueryId {
+        self.query_with(query_class, segments, 0, 3.9, false)
     }
 
     pub fn query_with(
         &mut self,
-        table_type: usize,
+        query_class: usize,
         segments: &[usize],
         customer: usize,
         left: f64,
@@ -199,59 +199,59 @@
             tenant: customer,
             expires_in: left,
             is_retry: resent,
-            ..self.plain(table_type, segments)
+            ..self.plain(query_class, segments)
         })
     }
 
     /// A query of so many parts, each said to be this share.
-    pub fn rounded(&mut self, table_type: usize, count: usize, weight: f64) -> QueryId {
+    pub fn rounded(&mut self, query_class: usize, count: usize, weight: f64) -> QueryId {
         let parts =
             (0..count).map(|segment| Part { segment: segment % 6, weight, required_node: None }).collect();
-        self.enter(Query { parts, ..self.plain(table_type, &[]) })
+        self.enter(Query { parts, ..self.plain(query_class, &[]) })
     }
 
     /// A query of one part that only this node may have.
-    pub fn with_required_node(&mut self, table_type: usize, segment: usize, node: NodeId) -> QueryId {
-        self.with_required_nodes(table_type, &[(segment, node)])
+    pub fn with_required_node(&mut self, query_class: usize, segment: usize, node: NodeId) -> QueryId {
+        self.with_required_nodes(query_class, &[(segment, node)])
     }
 
     /// Segments, each with the only node that may have its part.
-    pub fn with_required_nodes(&mut self, table_type: usize, owners: &[(usize, NodeId)]) -> QueryId {
+    pub fn with_required_nodes(&mut self, query_class: usize, owners: &[(usize, NodeId)]) -> QueryId {
         let weight = 1.0 / owners.len() as f64;
         let parts = owners
             .iter()
             .map(|&(segment, node)| Part { segment, weight, required_node: Some(node) })
             .collect();
-        self.enter(Query { parts, ..self.plain(table_type, &[]) })
+        self.enter(Query { parts, ..self.plain(query_class, &[]) })
     }
 
     /// A query whose frames take their time.
-    pub fn streamed(&mut self, table_type: usize, segments: &[usize]) -> QueryId {
-        self.carrying(table_type, segments, true, true)
+    pub fn streamed(&mut self, query_class: usize, segments: &[usize]) -> QueryId {
+        self.carrying(query_class, segments, true, true)
     }
 
     /// A query whose text passes once.
-    pub fn single_shot(&mut self, table_type: usize, segments: &[usize]) -> QueryId {
-        self.carrying(table_type, segments, false, false)
+    pub fn single_shot(&mut self, query_class: usize, segments: &[usize]) -> QueryId {
+        self.carrying(query_class, segments, false, false)
     }
 
     /// A query that waits to hear what is left out.
-    pub fn awaiting_prefilter(&mut self, table_type: usize, segments: &[usize]) -> QueryId {
-        self.enter(Query { awaits_prefilter: true, ..self.plain(table_type, segments) })
+    pub fn awaiting_prefilter(&mut self, query_class: usize, segments: &[usize]) -> QueryId {
+        self.enter(Query { awaits_prefilter: true, ..self.plain(query_class, segments) })
     }
 
-    pub fn audit(&mut self, table_type: usize, segment: usize) -> QueryId {
-        self.enter(Query { audit: true, ..self.plain(table_type, &[segment]) })
+    pub fn audit(&mut self, query_class: usize, segment: usize) -> QueryId {
+        self.enter(Query { audit: true, ..self.plain(query_class, &[segment]) })
     }
 
-    fn carrying(&mut self, table_type: usize, segments: &[usize], kept: bool, long: bool) -> QueryId {
-        self.enter(Query { body_retained: kept, streamed: long, ..self.plain(table_type, segments) })
+    fn carrying(&mut self, query_class: usize, segments: &[usize], kept: bool, long: bool) -> QueryId {
+        self.enter(Query { body_retained: kept, streamed: long, ..self.plain(query_class, segments) })
     }
 
-    fn plain(&self, table_type: usize, segments: &[usize]) -> Query {
+    fn plain(&self, query_class: usize, segments: &[usize]) -> Query {
         Query {
             id: 0,
-            class: table_type,
+            class: query_class,
             tenant: 0,
             expires_in: 3.9,
             is_retry: false,
@@ -270,11 +270,11 @@
     }
 
     /// Lets the clock run, with one query of one part every `gap` seconds on each segment in turn.
-    pub fn traffic(&mut self, table_type: usize, seconds: f64, gap: f64) {
+    pub fn traffic(&mut self, query_class: usize, seconds: f64, gap: f64) {
         let end = self.transport.now + seconds;
         let mut turn = 0;
         while self.transport.now + gap <= end {
-            self.query(table_type, &[turn % 6]);
+            self.query(query_class, &[turn % 6]);
             turn += 1;
             self.run(gap);
         }
@@ -347,8 +347,8 @@
 }
 
 /// Sixty nodes, of which every third answers after a time of its own.
-pub fn sixty(site: Deployment) -> Cluster {
-    let mut cluster = Cluster::new(Deployment { replica_groups: 60, ..site });
+pub fn sixty(deployment: Deployment) -> Cluster {
+    let mut cluster = Cluster::new(Deployment { replica_groups: 60, ..deployment });
     cluster.list(true, &(0..60).map(|n| row(n, EndpointState::Active, 0.0)).collect::<Vec<_>>());
     cluster
 }
--- a/crates/dunepond-routing/tests/warm_restart.rs
+++ b/crates/dunepond-routing/tests/warm_restart.rs
@@ -1,4 +1,4 @@
-//! Warm restart: what a process learned and spent, at its successor.
+//! Warm restart: what a successor takes over of the values its predecessor learned and of the budgets it spent.
 
 mod support;
 
@@ -7,15 +7,15 @@
 
 /// What one process learned, another goes by: the median, and who was ejected, who is due a trial at once.
 #[test]
-fn a_node_ejected_before_a_restart_gets_its_probation_attempts_after_it_and_no_more() {
-    let mut first = Cluster::new(site());
+fn ejected_node_stays_in_probation_after_restart() {
+    let mut first = Cluster::new(deployment());
     first.traffic(FULL, 10.0, 0.1);
     first.transport.nodes[0] = None;
     first.traffic(FULL, 4.0, 0.1);
     assert!(first.is_ejected(0));
     let beliefs = first.router.learned_state(&first.transport);
     let sent = |believed: bool| {
-        let mut second = Cluster::new(site());
+        let mut second = Cluster::new(deployment());
         second.transport.nodes[0] = None;
         if believed {
             second.router.restore_learned(&mut second.transport, &beliefs);
@@ -28,13 +28,13 @@
 }
 
 #[test]
-fn a_node_that_has_recovered_meanwhile_returns_after_its_probation() {
-    let mut first = Cluster::new(site());
+fn recovered_node_returns_after_probation() {
+    let mut first = Cluster::new(deployment());
     first.traffic(FULL, 10.0, 0.1);
     first.transport.nodes[0] = None;
     first.traffic(FULL, 4.0, 0.1);
     let beliefs = first.router.learned_state(&first.transport);
-    let mut second = Cluster::new(site());
+    let mut second = Cluster::new(deployment());
     second.router.restore_learned(&mut second.transport, &beliefs);
     assert!(second.router.learned_state(&second.transport).nodes[0].ejected);
     second.traffic(FULL, 6.0, 0.1);
@@ -43,9 +43,9 @@
 
 /// It is not known what an earlier process spent: all of it, for as long as it may stand in a window.
 #[test]
-fn after_a_crash_nothing_is_retried_for_one_window_and_slow_start_gets_nothing_for_a_span() {
+fn crash_exhausts_retry_and_slow_start_budgets() {
     let budget = Some(RetryBudget { window: 2.0, min_retries: 9.0, ratio: 0.1 });
-    let mut cluster = Cluster::new(Deployment { retry_budget: budget, ..site() });
+    let mut cluster = Cluster::new(Deployment { retry_budget: budget, ..deployment() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
     let now = cluster.transport.now;
     cluster.list(false, &[row(0, EndpointState::Active, now - 1.0)]);
@@ -60,10 +60,10 @@
 }
 
 #[test]
-fn what_was_spent_before_an_orderly_end_counts_afterwards() {
+fn spending_survives_an_orderly_restart() {
     let budget = Some(RetryBudget { window: 20.0, min_retries: 3.0, ratio: 0.0 });
-    let site = || Deployment { retry_budget: budget.clone(), ..site() };
-    let mut first = Cluster::new(site());
+    let deployment = || Deployment { retry_budget: budget.clone(), ..deployment() };
+    let mut first = Cluster::new(deployment());
     first.transport.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
     let query = first.query(FULL, &[0]);
     first.run(1.0);
@@ -71,7 +71,7 @@
     assert!((1..=3).contains(&spent));
     let ledger = first.router.spent_budgets(&first.transport);
     assert_eq!(ledger.retries.len(), spent);
-    let mut second = Cluster::new(site());
+    let mut second = Cluster::new(deployment());
     second.transport.nodes = vec![Some((AttemptOutcome::Error, 0.05)); 6];
     second.router.restore_spent(&mut second.transport, Some(&ledger));
     let queries: Vec<_> = (0..4).map(|segment| second.query(FULL, &[segment])).collect();
