--- a/crates/dunepond-broker/src/body.rs
+++ b/crates/dunepond-broker/src/body.rs
@@ -257,7 +257,7 @@
             // Evicts the oldest: a reader that still needs it requests it again.
             while state.cached_blocks.len() >= most.max(1) {
                 let Some(at) =
-                    state.cached_blocks.iter().position(|loaned| !state.loading_blocks.contains(loaned))
+                    state.cached_blocks.iter().position(|cached| !state.loading_blocks.contains(cached))
                 else {
                     break;
                 };
@@ -288,8 +288,8 @@
         let mut state = self.state.borrow_mut();
         let number = at / BLOCK_BYTES as u64;
         state.loading_blocks.remove(&number);
-        let loaned = state.cached_blocks.contains(&number);
-        if let Some(block) = state.block(number).filter(|_| loaned) {
+        let is_cached = state.cached_blocks.contains(&number);
+        if let Some(block) = state.block(number).filter(|_| is_cached) {
             block.bytes = Some(bytes);
         }
         // The reader that requested it may be gone.
@@ -314,7 +314,7 @@
     fn release_block(&mut self, number: u64) {
         if !self.readers.iter().any(|(_, place)| place / BLOCK_BYTES as u64 == number)
             && !self.loading_blocks.contains(&number)
-            && let Some(at) = self.cached_blocks.iter().position(|loaned| *loaned == number)
+            && let Some(at) = self.cached_blocks.iter().position(|cached| *cached == number)
         {
             self.cached_blocks.remove(at);
             if let Some(block) = self.block(number).filter(|b| b.on_file) {
--- a/crates/dunepond-broker/src/connection_end.rs
+++ b/crates/dunepond-broker/src/connection_end.rs
@@ -9,7 +9,7 @@
 /// Why a connection ended, or could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionEnd {
-    /// It has no address, or the process no room for it.
+    /// The node has no address, or this process has no room for another connection.
     LocalResources,
     /// The process has no descriptor left for it.
     DescriptorsExhausted,
--- a/crates/dunepond-broker/src/control_plane/fence.rs
+++ b/crates/dunepond-broker/src/control_plane/fence.rs
@@ -5,20 +5,20 @@
 
 use dunepond_routing::{AttemptOutcome, Idempotency};
 
-/// How far an attempt had come when the fence fell, that is, when the joint phase began.
+/// How far an attempt had come when the joint phase began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStage {
     /// Its query has begun, and it is not sent.
     NotSent,
-    /// It waits for a connection, or in a connection's queue.
+    /// It waits for a connection, or is on one without having been framed.
     Queued,
     /// Its frame is put on its connection, and not all of it written.
     PartlyWritten,
     /// All written, and no answer.
     AwaitingAnswer,
-    /// Its answer was in before the fence fell.
+    /// Its answer was in before the joint phase began.
     Answered,
-    /// Its answer came while the fence was down, or after.
+    /// Its answer came in the joint phase, or after it.
     AnsweredLate,
     /// The node rejected it without running it.
     Rejected,
@@ -36,7 +36,7 @@
 /// What is done with the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceAction {
-    /// As without a fence: it may be sent, and sent again as its idempotency allows.
+    /// As without a change of owner: it may be sent, and sent again as its idempotency allows.
     Allowed,
     /// Returned unsent: its query is rejected as retriable if none of its parts has run.
     Returned,
--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -119,7 +119,7 @@
         Arc::ptr_eq(self.watch.borrow_mut().current(), config)
     }
 
-    /// Records the active configuration for a query that begins now.
+    /// The active configuration, for a query that begins now to keep.
     pub fn begin_query(&self) -> Rc<QueryStart> {
         // The configuration is read before the clock: otherwise a lease that came in between would be later than its query.
         let config = self.active_config();
@@ -131,7 +131,8 @@
         self.idempotency.get(query_class) == Some(&Idempotency::NonIdempotent)
     }
 
-    /// What becomes of an attempt at a node that may not run it any more, by how far it had come.
+    /// What becomes of an attempt at a node that may not run it any more, by how far it had come. Called only where
+    /// `may_send_under` is false.
     pub fn fence_action(
         &self,
         check: &CheckedConfig,
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -74,7 +74,7 @@
 /// A non-idempotent query of which a part has no owner.
 pub struct NoOwner {
     /// The active configuration at the query's start.
-    pub began: Rc<QueryStart>,
+    pub query_start: Rc<QueryStart>,
     /// When the query may be sent again, in seconds from now.
     pub retry_after: f64,
     /// Why there is none.
@@ -150,12 +150,12 @@
     /// The active configuration at the start of a query. Each part of a non-idempotent query is assigned to its owner; if one has
     /// none, the query is to be rejected.
     pub fn assign_owners(&self, query: &mut Query) -> Result<Rc<QueryStart>, NoOwner> {
-        let began = self.gate.begin_query();
+        let query_start = self.gate.begin_query();
         if !self.gate.is_non_idempotent(query.class) {
-            return Ok(began);
+            return Ok(query_start);
         }
         for part in &mut query.parts {
-            let (retry_after, reason) = match began.owner(part.segment) {
+            let (retry_after, reason) = match query_start.owner(part.segment) {
                 SegmentOwner::AnyReplica => continue,
                 SegmentOwner::Node(name) => match self.node_by_name.get(name) {
                     Some(node) => {
@@ -166,10 +166,10 @@
                 },
                 SegmentOwner::Unavailable(retry_after) => (retry_after, "nobody may have it for now"),
             };
-            let retry_after = retry_after.min(began.max_retry_after());
-            return Err(NoOwner { began, retry_after, reason });
+            let retry_after = retry_after.min(query_start.max_retry_after());
+            return Err(NoOwner { query_start, retry_after, reason });
         }
-        Ok(began)
+        Ok(query_start)
     }
 
     /// Counts bytes that a node sent for a tenant's query, for the settlement between partners.
--- a/crates/dunepond-broker/src/downstream/accept.rs
+++ b/crates/dunepond-broker/src/downstream/accept.rs
@@ -41,8 +41,8 @@
     pub fn add_listener(&mut self, listener: TcpListener, port: Port) -> calloop::Result<()> {
         let listener = Rc::new(listener);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
-        let token = self.handle.insert_source(source, move |_, _, turn| {
-            turn.events.push_back(LoopEvent::Accept(port));
+        let token = self.handle.insert_source(source, move |_, _, iteration| {
+            iteration.events.push_back(LoopEvent::Accept(port));
             Ok(PostAction::Continue)
         });
         self.listeners.push(Listener {
--- a/crates/dunepond-broker/src/event_loop/pending.rs
+++ b/crates/dunepond-broker/src/event_loop/pending.rs
@@ -35,14 +35,14 @@
             self.router_host.body_store.as_mut().and_then(|bodies| bodies.events.pop_front())
         {
             self.on_body_event(body, event);
-        } else if let Some((question, words)) = self
+        } else if let Some((request, answers)) = self
             .router_host
             .prefilter_connections
             .as_mut()
             .and_then(|connections| connections.responses.pop_front())
         {
             if let Some(prefilter) = &mut self.prefilter {
-                prefilter.on_response(&mut self.router, &mut self.router_host, question, words);
+                prefilter.on_response(&mut self.router, &mut self.router_host, request, answers);
             }
         } else if let Some(finished) = self.router_host.finished_queries.pop() {
             if let Some(prefilter) = &mut self.prefilter {
--- a/crates/dunepond-broker/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -17,7 +17,7 @@
         outcome: ReplicaOutcome,
         /// What it found.
         value: &'a str,
-        /// The node's report on it; see `searched`.
+        /// The node's report on it; see [`parse_search_report`].
         report: &'a str,
     },
     /// The answer to a prefilter request (`Q`).
--- a/crates/dunepond-broker/src/persistence/inspect.rs
+++ b/crates/dunepond-broker/src/persistence/inspect.rs
@@ -81,12 +81,12 @@
     Ok(out)
 }
 
-fn write_learned_state(out: &mut String, saved: Option<&LearnedSnapshot>, now: &Timestamp) -> fmt::Result {
-    let Some(saved) = saved else {
+fn write_learned_state(out: &mut String, snapshot: Option<&LearnedSnapshot>, now: &Timestamp) -> fmt::Result {
+    let Some(snapshot) = snapshot else {
         return writeln!(out, "no beliefs");
     };
-    let present = saved.identities();
-    let restored = saved.restore(now, saved.query_classes(), &present);
+    let present = snapshot.identities();
+    let restored = snapshot.restore(now, snapshot.query_classes(), &present);
     let ago = restored
         .confidence
         .elapsed_seconds
@@ -94,7 +94,7 @@
     writeln!(
         out,
         "beliefs of {} nodes, written {ago}; they would count {:.0} %",
-        saved.node_count(),
+        snapshot.node_count(),
         100.0 * restored.confidence.weight
     )?;
     for ((name, decision), identity) in restored.nodes.iter().zip(&present) {
@@ -128,10 +128,10 @@
     let is_complete = inspection.faults.is_empty();
     match spent_budgets::outstanding_charges(&inspection.budget_records, is_complete, now, &present) {
         OutstandingCharges::Unknown => writeln!(out, "a broker that began now would count all as spent"),
-        OutstandingCharges::Known(ledger) => writeln!(
+        OutstandingCharges::Known(spent) => writeln!(
             out,
             "a broker that began now would count {} further dispatches as spent",
-            ledger.retries.len()
+            spent.retries.len()
         ),
     }
 }
--- a/crates/dunepond-broker/src/persistence/mod.rs
+++ b/crates/dunepond-broker/src/persistence/mod.rs
@@ -169,10 +169,11 @@
                 info!("state: budget use before the restart is unknown: all of it counts as spent");
                 router.restore_spent(router_host, None);
             }
-            OutstandingCharges::Known(ledger) => router.restore_spent(router_host, Some(ledger)),
+            OutstandingCharges::Known(spent) => router.restore_spent(router_host, Some(spent)),
         }
-        let Some(saved) = recovered.and_then(|recovered| recovered.learned_state) else { return };
-        let TrustedState { confidence, learned, nodes } = saved.restore(&now, &self.query_classes, &present);
+        let Some(snapshot) = recovered.and_then(|recovered| recovered.learned_state) else { return };
+        let TrustedState { confidence, learned, nodes } =
+            snapshot.restore(&now, &self.query_classes, &present);
         let is_ejected =
             |decision: &TrustDecision| matches!(decision, TrustDecision::Trusted { ejected: true, .. });
         let ejected = nodes.iter().filter(|node| is_ejected(&node.1)).count();
--- a/crates/dunepond-broker/src/prefilter.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -76,13 +76,13 @@
 
 impl PrefilterHost {
     /// Without any state.
-    pub fn new(config: PrefilterConfig, site: &Deployment) -> Self {
-        let classes = site.query_classes.iter().map(|class| QueryClass {
+    pub fn new(config: PrefilterConfig, deployment: &Deployment) -> Self {
+        let classes = deployment.query_classes.iter().map(|class| QueryClass {
             idempotent: class.idempotency == Idempotency::Idempotent,
             complete_at: class.complete_at,
         });
         Self {
-            prefilter: Prefilter::new(config, site.seed),
+            prefilter: Prefilter::new(config, deployment.seed),
             hashes: RandomState::new(),
             query_classes: classes.collect(),
             queries: HashMap::new(),
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -158,8 +158,8 @@
         client
     }
 
-    /// Withdraws attempts that are not sent yet; returns whether none has been sent completely, so that a retry is safe.
-    pub(super) fn nothing_was_sent(&mut self, query: QueryId) -> bool {
+    /// Withdraws attempts that are not fully written; returns whether none was, so that the client may safely send the query again.
+    pub(super) fn try_withdraw_all(&mut self, query: QueryId) -> bool {
         let Some(active) = self.queries.get(&query) else { return false };
         if active.may_run_since.iter().any(|at| *at != f64::MAX) {
             return false;
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -12,7 +12,7 @@
 
 /// The active configuration that a query in a fleet is held to.
 pub struct Coordination {
-    began: Rc<QueryStart>,
+    query_start: Rc<QueryStart>,
     /// Parts that were sent under another map's keys than the one at the query's start, with that map's epoch.
     moved_parts: Vec<(usize, u64)>,
     /// By part, for a keyed query only.
@@ -29,8 +29,8 @@
 
 impl Coordination {
     /// The active configuration at the query's start.
-    pub fn began(&self) -> Rc<QueryStart> {
-        self.began.clone()
+    pub fn query_start(&self) -> Rc<QueryStart> {
+        self.query_start.clone()
     }
 
     /// An attempt of a part has ended.
@@ -47,14 +47,14 @@
     pub fn check_active_config(&mut self, query: &mut Query) -> bool {
         let Some(control_plane) = &mut self.control_plane else { return true };
         control_plane.record_arrival(query.tenant);
-        let (began, rejection) = match control_plane.assign_owners(query) {
-            Ok(began) => (began, None),
-            Err(NoOwner { began, retry_after, reason }) => (began, Some((retry_after, reason))),
+        let (query_start, rejection) = match control_plane.assign_owners(query) {
+            Ok(query_start) => (query_start, None),
+            Err(NoOwner { query_start, retry_after, reason }) => (query_start, Some((retry_after, reason))),
         };
         let Some(active) = self.queries.get_mut(&query.id) else { return false };
         let is_keyed = control_plane.gate.is_keyed(query.class);
         let keyed_parts = vec![KeyedPart::default(); if is_keyed { active.segments.len() } else { 0 }];
-        active.coordination = Some(Coordination { began, moved_parts: Vec::new(), keyed_parts });
+        active.coordination = Some(Coordination { query_start, moved_parts: Vec::new(), keyed_parts });
         let Some((retry_after, reason)) = rejection else { return true };
         let control = &control_plane.gate.control;
         control.count_rejected();
@@ -67,8 +67,8 @@
         false
     }
 
-    /// Whether an attempt may be sent to a node now; records it for its query.
-    pub(super) fn may_send(&mut self, node: NodeId, attempt: &AttemptRequest) -> bool {
+    /// Records an attempt for its query; returns whether it may be sent to the node now.
+    pub(super) fn record_and_check_attempt(&mut self, node: NodeId, attempt: &AttemptRequest) -> bool {
         let Some(control_plane) = &self.control_plane else { return true };
         let (gate, name) = (&control_plane.gate, self.upstream.name(node));
         let AttemptRequest { part, segment, .. } = *attempt;
@@ -78,11 +78,11 @@
         if let Some(coordination) = coordination {
             if let Some(keyed) = coordination.keyed_parts.get_mut(part) {
                 let is_first = keyed.outstanding == 0 && !keyed.may_have_run;
-                may_send &= is_first || gate.may_retry_keyed(&coordination.began);
+                may_send &= is_first || gate.may_retry_keyed(&coordination.query_start);
                 // Its end will be reported whether or not it is sent.
                 keyed.outstanding += 1;
             }
-            if may_send && let Some(epoch) = gate.moved_epoch(&coordination.began, segment) {
+            if may_send && let Some(epoch) = gate.moved_epoch(&coordination.query_start, segment) {
                 coordination.moved_parts.push((part, epoch));
             }
         }
@@ -93,15 +93,16 @@
         may_send
     }
 
-    /// Whether an answer may be marked complete: only if the answered parts cover the query under one map, if there is one. Pruned
-    /// parts count as answered.
-    pub(super) fn is_provably_complete(&mut self, query: QueryId, complete: bool) -> bool {
+    /// Audits an answer; returns whether it may be marked complete: only if the answered parts cover the query under one map, if
+    /// there is one. Pruned parts count as answered.
+    pub(super) fn check_and_audit_completeness(&mut self, query: QueryId, complete: bool) -> bool {
         let (Some(control_plane), Some(active)) = (&self.control_plane, self.queries.get(&query)) else {
             return complete;
         };
         let coordination = active.coordination.as_ref();
-        let map = coordination
-            .and_then(|coordination| coordination.began.map().map(|map| (map, &coordination.moved_parts)));
+        let map = coordination.and_then(|coordination| {
+            coordination.query_start.map().map(|map| (map, &coordination.moved_parts))
+        });
         let is_pruned = |segment: usize| active.pruned.iter().any(|pruned| pruned.segment == segment);
         let is_answered = |part: usize| active.values[part].is_some() || is_pruned(active.segments[part]);
         let outcome = match map.filter(|_| complete) {
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -20,7 +20,7 @@
     fn send_attempt(&mut self, query: QueryId, part: usize, node: NodeId) {
         let Some(attempt) = self.start_attempt(query, part, node) else { return };
         let is_late = self.is_too_late(&attempt);
-        if !is_late && !self.may_send(node, &attempt) {
+        if !is_late && !self.record_and_check_attempt(node, &attempt) {
             return self.complete_unsent(node, attempt);
         }
         let is_replica = self.upstream.is_replica(node, attempt.segment, self.replica_groups, self.replicas);
@@ -51,7 +51,7 @@
     fn probe(&mut self, _: NodeId) {}
 
     fn answer(&mut self, query: QueryId, complete: bool) {
-        let complete = self.is_provably_complete(query, complete);
+        let complete = self.check_and_audit_completeness(query, complete);
         let Some(active) = self.queries.get_mut(&query) else { return };
         if let Some(search) = &mut active.search {
             let segments = active.segments.iter().zip(&active.values);
@@ -69,24 +69,24 @@
         self.mark_served(query, complete);
     }
 
-    fn reject_retriable(&mut self, query: QueryId, wait: f64) {
+    fn reject_retriable(&mut self, query: QueryId, retry_after: f64) {
         if self.queries.get(&query).is_some_and(|active| active.search.is_some()) {
             if self.conclude(query).is_some() {
                 self.audit_answer(query, 429, false);
                 self.finish_search(
                     query,
                     Err(ApiError::rejected("too much is asked for at this moment")),
-                    wait,
+                    retry_after,
                 );
             }
             return;
         }
-        self.reply(query, 429, "", wait);
+        self.reply(query, 429, "", retry_after);
     }
 
     fn fail_unknown_outcome(&mut self, query: QueryId) {
         // The router counts every attempt without an outcome as sent; one that still waits in a queue here has not left.
-        if self.nothing_was_sent(query) {
+        if self.try_withdraw_all(query) {
             return self.reject_retriable(query, 0.0);
         }
         if self.queries.get(&query).is_some_and(|active| active.search.is_some()) {
@@ -135,7 +135,7 @@
             send_by: active.expires_at.min(retry_until),
             body_reader: payload.body().map(BodyReader::new),
             payload,
-            query_start: active.coordination.as_ref().map(Coordination::began),
+            query_start: active.coordination.as_ref().map(Coordination::query_start),
         })
     }
 
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -52,12 +52,12 @@
 
 impl SearchApi {
     /// The API for the query classes of a deployment.
-    pub fn new(limits: RequestLimits, settings: Rc<HostSettings>, site: &Deployment) -> Self {
-        let types = site.query_classes.iter().map(|class| QueryClass {
+    pub fn new(limits: RequestLimits, settings: Rc<HostSettings>, deployment: &Deployment) -> Self {
+        let classes = deployment.query_classes.iter().map(|class| QueryClass {
             is_update: class.idempotency == Idempotency::NonIdempotent,
             timeout: class.timeout,
         });
-        Self { limits, settings, query_classes: types.collect() }
+        Self { limits, settings, query_classes: classes.collect() }
     }
 
     /// Parses a request whose first byte arrived at `received_at`. Non-idempotent query classes are updated and not searched, all
--- a/crates/dunepond-broker/src/upstream/cancel.rs
+++ b/crates/dunepond-broker/src/upstream/cancel.rs
@@ -102,19 +102,20 @@
         timers: &mut Timers,
     ) -> bool {
         let Some(node_entry) = self.nodes.get_mut(node) else { return false };
-        if let Some(at) = node_entry.unframed.iter().position(|p| p.key() == key) {
-            self.completed.push_back(node_entry.unframed.remove(at).completed_unsent(node, outcome));
+        if let Some(at) = node_entry.unassigned.iter().position(|request| request.key() == key) {
+            self.completed.push_back(node_entry.unassigned.remove(at).completed_unsent(node, outcome));
             return true;
         }
         let Some((id, at)) = self.find_outstanding(node, key) else { return false };
         let connection = &mut self.connections[id];
-        let half = match connection.outstanding[at].frame_end {
+        let is_partly_written = match connection.outstanding[at].frame_end {
             Some(to) if to <= connection.output.written_offset() => return false,
             to => to.is_some(),
         };
-        let out = if half { connection.finish_request(at) } else { connection.outstanding.remove(at) };
+        let out =
+            if is_partly_written { connection.finish_request(at) } else { connection.outstanding.remove(at) };
         self.completed.extend(out.map(|out| out.into_completed(node, outcome, now, None)));
-        if half {
+        if is_partly_written {
             // A partly written frame cannot be removed from the stream.
             self.close(now, id, ConnectionEnd::FrameAborted, timers);
         }
--- a/crates/dunepond-broker/src/upstream/connection.rs
+++ b/crates/dunepond-broker/src/upstream/connection.rs
@@ -29,11 +29,11 @@
         socket.set_tcp_nodelay(true)?;
         Ok(socket)
     };
-    let lacking = |e: io::Error| match e.raw_os_error() {
+    let lack_of_resources = |e: io::Error| match e.raw_os_error() {
         Some(libc::EMFILE | libc::ENFILE) => ConnectionEnd::DescriptorsExhausted,
         _ => ConnectionEnd::LocalResources,
     };
-    let socket = start().map_err(lacking)?;
+    let socket = start().map_err(lack_of_resources)?;
     match socket.connect(&address.into()) {
         Ok(()) => Ok(socket.into()),
         Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) => Ok(socket.into()),
@@ -118,7 +118,7 @@
 
     /// Sends nothing new on the connections to a node, and closes each once it carries no attempt.
     pub fn close_idle(&mut self, now: f64, node: NodeId, timers: &mut Timers) {
-        for id in self.nodes.get(node).map(|s| s.connections.clone()).unwrap_or_default() {
+        for id in self.nodes.get(node).map(|entry| entry.connections.clone()).unwrap_or_default() {
             self.connections[id].retired = true;
             self.close_or_keep_idle(now, id, timers);
         }
@@ -127,7 +127,7 @@
     /// For a connection that carries no attempt: closes it if it must not be used again, or else sets its idle timer.
     pub(super) fn close_or_keep_idle(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let Some(connection) =
-            self.connections.get_mut(id).filter(|l| l.connected && l.outstanding.is_empty())
+            self.connections.get_mut(id).filter(|open| open.connected && open.outstanding.is_empty())
         else {
             return;
         };
@@ -163,7 +163,7 @@
         connection.timer.and_then(|key| self.idle.remove(&key));
         self.handle.remove(connection.token);
         let node_entry = &mut self.nodes[connection.node];
-        node_entry.connections.retain(|l| *l != id);
+        node_entry.connections.retain(|other| *other != id);
         match connection.outstanding.len() {
             0 => debug!("node {}: connection {ending}", node_entry.name()),
             out => info!("node {}: connection {ending} with {out} attempts outstanding", node_entry.name()),
--- a/crates/dunepond-broker/src/upstream/endpoints.rs
+++ b/crates/dunepond-broker/src/upstream/endpoints.rs
@@ -64,7 +64,7 @@
     pub fn next_forgotten(&mut self) -> Option<(NodeId, String)> {
         let nodes = &self.nodes;
         self.removed_nodes.retain(|node| nodes[*node].has_state(EndpointState::Removed));
-        let idle = |node: &NodeId| nodes[*node].connections.is_empty() && nodes[*node].unframed.is_empty();
+        let idle = |node: &NodeId| nodes[*node].connections.is_empty() && nodes[*node].unassigned.is_empty();
         let at = self.removed_nodes.iter().position(idle)?;
         let node = self.removed_nodes.swap_remove(at);
         let endpoint = std::mem::take(&mut self.nodes[node]).endpoint?;
@@ -73,7 +73,7 @@
 
     /// Whether any node may get new attempts.
     pub fn any_active(&self) -> bool {
-        self.nodes.iter().any(|s| s.has_state(EndpointState::Active))
+        self.nodes.iter().any(|entry| entry.has_state(EndpointState::Active))
     }
 
     /// Whether a node has a replica of a segment, which is on `replica_count` of the `group_count` replica groups, from its own on.
@@ -81,7 +81,7 @@
         let group = self
             .nodes
             .get(node)
-            .and_then(|s| s.endpoint.as_ref())
+            .and_then(|entry| entry.endpoint.as_ref())
             .map(|endpoint| endpoint.replica_group % group_count);
         (0..replica_count).any(|j| group == Some((segment + j) % group_count))
     }
@@ -91,9 +91,9 @@
         let named = self
             .nodes
             .iter()
-            .filter(|s| s.endpoint.is_some() && !s.has_state(EndpointState::Removed))
+            .filter(|entry| entry.endpoint.is_some() && !entry.has_state(EndpointState::Removed))
             .count();
-        (named, self.nodes.iter().filter(|s| s.has_state(EndpointState::Active)).count())
+        (named, self.nodes.iter().filter(|entry| entry.has_state(EndpointState::Active)).count())
     }
 
     /// Every node that the list names, as it can be recognised after a restart.
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -107,7 +107,7 @@
     endpoint: Option<EndpointInfo>,
     connections: Vec<usize>,
     /// Dispatched in this call of the router, and not yet assigned to a connection.
-    unframed: Vec<AttemptRequest>,
+    unassigned: Vec<AttemptRequest>,
 }
 
 /// An attempt that ended.
@@ -182,8 +182,8 @@
         self.endpoint.as_ref().map_or("?", |endpoint| &endpoint.name)
     }
 
-    fn has_state(&self, standing: EndpointState) -> bool {
-        self.endpoint.as_ref().is_some_and(|endpoint| endpoint.state == standing)
+    fn has_state(&self, state: EndpointState) -> bool {
+        self.endpoint.as_ref().is_some_and(|endpoint| endpoint.state == state)
     }
 }
 
@@ -346,7 +346,7 @@
 
     /// Queues an attempt; `flush` assigns it to a connection and writes it.
     pub fn dispatch(&mut self, node: NodeId, request: AttemptRequest) {
-        self.nodes[node].unframed.push(request);
+        self.nodes[node].unassigned.push(request);
         self.nodes_to_flush.push(node);
     }
 }
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -14,15 +14,15 @@
     /// Assigns the dispatched attempts to connections and writes them.
     pub fn flush(&mut self, now: f64, timers: &mut Timers) {
         for node in std::mem::take(&mut self.nodes_to_flush) {
-            let mut unframed = std::mem::take(&mut self.nodes[node].unframed).into_iter().peekable();
+            let mut unassigned = std::mem::take(&mut self.nodes[node].unassigned).into_iter().peekable();
             let api = self.uses_search_api(node);
-            while let Some(first) = unframed.next() {
+            while let Some(first) = unassigned.next() {
                 let mut requests = vec![first];
                 // A streamed body goes alone on a connection of its own; so does each attempt of the search API.
                 if requests[0].payload.body().is_none() && !api {
                     while requests.len()
                         < self.settings.max_parts_per_call.min(self.settings.max_parts_per_connection)
-                        && let Some(next) = unframed.next_if(|p| p.payload.body().is_none())
+                        && let Some(next) = unassigned.next_if(|request| request.payload.body().is_none())
                     {
                         requests.push(next);
                     }
@@ -49,8 +49,8 @@
             self.nodes[node].connections.clone().into_iter().for_each(|id| self.write(now, id, timers));
         } else {
             debug!("node {}: connection {}", self.name(node), ConnectionEnd::DescriptorsExhausted);
-            self.completed.extend(requests.iter().map(|p| {
-                p.completed_unsent(node, ConnectionEnd::DescriptorsExhausted.attempt_outcome(false))
+            self.completed.extend(requests.iter().map(|request| {
+                request.completed_unsent(node, ConnectionEnd::DescriptorsExhausted.attempt_outcome(false))
             }));
         }
     }
@@ -74,17 +74,19 @@
             Err(ending) => {
                 debug!("node {}: connection {ending}", self.name(node));
                 return self.completed.extend(
-                    requests.iter().map(|p| p.completed_unsent(node, ending.attempt_outcome(false))),
+                    requests
+                        .iter()
+                        .map(|request| request.completed_unsent(node, ending.attempt_outcome(false))),
                 );
             }
         };
         let connection = &mut self.connections[id];
         connection.last_batch += 1;
-        let call = connection.last_batch;
+        let batch = connection.last_batch;
         connection.outstanding.extend(requests.into_iter().map(|request| OutstandingRequest {
             request,
             queued_at: now,
-            batch: call,
+            batch,
             frame_start: 0,
             frame_end: None,
             audited: false,
--- a/crates/dunepond-broker/src/upstream/streaming.rs
+++ b/crates/dunepond-broker/src/upstream/streaming.rs
@@ -15,9 +15,9 @@
         }
     }
 
-    /// Closes connections that consume nothing of a pass-through body for `slowest` seconds while the other readers wait;
+    /// Closes connections that consume nothing of a pass-through body for `io_timeout` seconds while the other readers wait;
     /// true while any body passes through.
-    pub fn close_slow_consumers(&mut self, now: f64, slowest: f64, timers: &mut Timers) -> bool {
+    pub fn close_slow_consumers(&mut self, now: f64, io_timeout: f64, timers: &mut Timers) -> bool {
         let mut pass_through = HashMap::new();
         for (id, connection) in &self.connections {
             let Some(reader) = connection.output.next_body().filter(|r| r.body.is_pass_through()) else {
@@ -30,7 +30,7 @@
             let since = before.filter(|_| delays_others).map_or(now, |before| before.since);
             pass_through.insert(id, BodyProgress { offset, since });
         }
-        let is_late = |progress: &BodyProgress| now - progress.since >= slowest;
+        let is_late = |progress: &BodyProgress| now - progress.since >= io_timeout;
         let late: Vec<_> =
             pass_through.iter().filter(|(_, progress)| is_late(progress)).map(|(id, _)| *id).collect();
         self.body_progress = pass_through;
