--- a/crates/dunepond-broker/src/control_plane/startup.rs
+++ b/crates/dunepond-broker/src/control_plane/startup.rs
@@ -106,7 +106,7 @@
         }),
         rebalancing: config.rebalancing.as_ref().map(|moves| RebalanceConfig {
             plan_file: moves.plan_file.clone(),
-            max_concurrent_acts: moves.max_concurrent_acts,
+            max_concurrent_actions: moves.max_concurrent_actions,
             settle_seconds: moves.settle_seconds,
             default_link_rate: moves.default_link_bytes_per_second,
         }),
--- a/crates/dunepond-config/src/operator/fleet/mod.rs
+++ b/crates/dunepond-config/src/operator/fleet/mod.rs
@@ -111,7 +111,7 @@
     /// The plan, read at the start and at SIGHUP.
     pub plan_file: PathBuf,
     /// Changes of one step, at most.
-    pub max_concurrent_acts: usize,
+    pub max_concurrent_actions: usize,
     /// Pause between two steps.
     pub settle_seconds: f64,
     /// What fills may take between two partners that no `link` names.
--- a/crates/dunepond-config/src/operator/fleet/parse.rs
+++ b/crates/dunepond-config/src/operator/fleet/parse.rs
@@ -189,12 +189,12 @@
             let entry = node.entries().first().map_or(node.name().span(), |entry| entry.span());
             self.fault(entry.offset(), "moves: expected the path of a file, from the root");
         }
-        let max_concurrent_acts = self.count_or(at_once, 1.0..=64.0, 4);
+        let max_concurrent_actions = self.count_or(at_once, 1.0..=64.0, 4);
         let settle_seconds = self.number_or(settle, 0.0..=3600.0, 1.0);
         let default_link_bytes_per_second = link_bytes.and_then(|entry| self.size(entry, 1024));
         Some(RebalanceConfig {
             plan_file: plan_file?,
-            max_concurrent_acts,
+            max_concurrent_actions,
             settle_seconds,
             default_link_bytes_per_second,
         })
--- a/crates/dunepond-control-plane/src/config.rs
+++ b/crates/dunepond-control-plane/src/config.rs
@@ -82,8 +82,8 @@
 pub struct RebalanceConfig {
     /// The operator's plan.
     pub plan_file: PathBuf,
-    /// Most acts of one step.
-    pub max_concurrent_acts: usize,
+    /// Most actions of one step.
+    pub max_concurrent_actions: usize,
     /// Pause between two steps, in seconds.
     pub settle_seconds: f64,
     /// Bytes a second that fills may take between two partners that no link rate names.
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
@@ -22,7 +22,7 @@
 /// The operator's plan file, and what the leader keeps between two steps.
 pub struct Rebalancing {
     path: Option<PathBuf>,
-    max_concurrent_acts: usize,
+    max_concurrent_actions: usize,
     settle_seconds: f64,
     /// The file is to be read.
     must_read: bool,
@@ -51,11 +51,11 @@
 
 impl Rebalancing {
     /// `path`: the operator's plan file; the limits apply to plans that this broker offers.
-    pub fn new(path: Option<PathBuf>, max_concurrent_acts: usize, settle_seconds: f64) -> Self {
+    pub fn new(path: Option<PathBuf>, max_concurrent_actions: usize, settle_seconds: f64) -> Self {
         Self {
             must_read: path.is_some(),
             path,
-            max_concurrent_acts,
+            max_concurrent_actions,
             settle_seconds,
             plan: None,
             offered: false,
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -23,7 +23,7 @@
 #[derive(Serialize, Deserialize)]
 pub(super) struct PlanOffer {
     pub(super) plan: Plan,
-    pub(super) max_concurrent_acts: usize,
+    pub(super) max_concurrent_actions: usize,
     /// It was accepted before: its `word` (go, pause, withdraw) counts once.
     pub(super) is_repeat: bool,
 }
@@ -70,7 +70,7 @@
         let to = self.next_offer_voter();
         let offer = PlanOffer {
             plan,
-            max_concurrent_acts: self.rebalancing.max_concurrent_acts,
+            max_concurrent_actions: self.rebalancing.max_concurrent_actions,
             is_repeat: self.rebalancing.offered,
         };
         if to == self.name {
@@ -158,7 +158,7 @@
         if offer.plan.desired_state == DesiredState::Withdraw {
             return OfferReply::Known("it was never taken, so nothing is to be undone".to_string());
         }
-        match ordered_plan(state, offer.plan, offer.max_concurrent_acts) {
+        match ordered_plan(state, offer.plan, offer.max_concurrent_actions) {
             Ok(entry) => self.enter_offered(entry),
             Err(why) => OfferReply::of(&why),
         }
@@ -198,7 +198,7 @@
 fn ordered_plan(
     state: &ReplicatedState,
     plan: Plan,
-    max_concurrent_acts: usize,
+    max_concurrent_actions: usize,
 ) -> Result<CommittedEntry, Rejection> {
     let map = state.map_proof().ok_or(RebalanceError::NoMap)?;
     if let Some(running) = &state.rebalance().running {
@@ -208,10 +208,10 @@
         return Err(RebalanceError::VersionOpen { open: open.version.number }.into());
     }
     let limits =
-        StepLimits { max_actions: max_concurrent_acts, max_changed_ratio: state.config.max_changed_ratio };
+        StepLimits { max_actions: max_concurrent_actions, max_changed_ratio: state.config.max_changed_ratio };
     let steps = order_steps(&plan, map, limits, |node| state.is_excluded(node))?;
     info!(
-        "fleet: plan {} by {}: {} operations in {} steps, at most {max_concurrent_acts} at once \
+        "fleet: plan {} by {}: {} operations in {} steps, at most {max_concurrent_actions} at once \
          and a share of {} of the segments",
         plan.id,
         plan.proposed_by,
@@ -219,5 +219,5 @@
         steps.len(),
         limits.max_changed_ratio
     );
-    Ok(CommittedEntry::Accepted { plan: Box::new(plan), steps, max_actions: max_concurrent_acts })
+    Ok(CommittedEntry::Accepted { plan: Box::new(plan), steps, max_actions: max_concurrent_actions })
 }
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/tests/mod.rs
@@ -51,10 +51,10 @@
 
 #[test]
 fn plan_offer_and_reply_formats() {
-    let offer = PlanOffer { plan: plan(), max_concurrent_acts: 4, is_repeat: true };
+    let offer = PlanOffer { plan: plan(), max_concurrent_actions: 4, is_repeat: true };
     assert_same("offer.bin", &postcard::to_stdvec(&offer).unwrap());
     let read: PlanOffer = postcard::from_bytes(&golden("offer.bin")).unwrap();
-    assert_eq!((read.plan, read.max_concurrent_acts, read.is_repeat), (plan(), 4, true));
+    assert_eq!((read.plan, read.max_concurrent_actions, read.is_repeat), (plan(), 4, true));
 
     let text = str::to_string;
     let replies = [
--- a/crates/dunepond-control-plane/src/startup/assembly.rs
+++ b/crates/dunepond-control-plane/src/startup/assembly.rs
@@ -90,7 +90,7 @@
 fn new_rebalancing(config: Option<RebalanceConfig>) -> Rebalancing {
     match config {
         Some(config) => {
-            Rebalancing::new(Some(config.plan_file), config.max_concurrent_acts, config.settle_seconds)
+            Rebalancing::new(Some(config.plan_file), config.max_concurrent_actions, config.settle_seconds)
         }
         None => Rebalancing::new(None, 1, DEFAULT_SETTLE_SECONDS),
     }
--- a/crates/dunepond-control-plane/tests/rebalancing.rs
+++ b/crates/dunepond-control-plane/tests/rebalancing.rs
@@ -96,7 +96,7 @@
             quotas: None,
             rebalancing: plan.map(|plan| RebalanceConfig {
                 plan_file: plan.to_path_buf(),
-                max_concurrent_acts: 2,
+                max_concurrent_actions: 2,
                 settle_seconds: 0.0,
                 default_link_rate: None,
             }),
