--- a/crates/dunepond-control-plane/src/audit_log/event.rs
+++ b/crates/dunepond-control-plane/src/audit_log/event.rs
@@ -109,7 +109,8 @@
         /// Segment to be filled.
         segment: u64,
         /// Node to be filled.
-        holder: String,
+        #[serde(rename = "holder")]
+        node: String,
         /// Node that it is filled from.
         source: String,
         /// Bytes to be copied.
--- a/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
@@ -139,7 +139,7 @@
             audit_log.record(AuditEvent::Fill {
                 id: fill.id.clone(),
                 segment: fill.segment,
-                holder: fill.holder.clone(),
+                node: fill.node.clone(),
                 source: fill.source.clone(),
                 bytes: fill.bytes,
                 state: state.to_string(),
--- a/crates/dunepond-control-plane/src/control_loop/fills/demands.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/demands.rs
@@ -51,8 +51,8 @@
     FillDemand {
         version,
         segment: required.segment,
-        holder: required.replica.clone(),
-        holder_partner: replica.map_or(String::new(), |replica| replica.partner.clone()),
+        node: required.replica.clone(),
+        partner: replica.map_or(String::new(), |replica| replica.partner.clone()),
         sources: required.sources.iter().map(source).collect(),
         bytes,
         start: 0,
--- a/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
@@ -120,7 +120,7 @@
     }
 
     fn enter_completed_fill(&mut self, fill: &Fill) -> Result<(), Rejection> {
-        let (segment, holder) = (fill.segment, fill.holder.clone());
+        let (segment, holder) = (fill.segment, fill.node.clone());
         self.enter(Command::FillCompleted { number: self.version_fills.version, segment, holder })
     }
 
--- a/crates/dunepond-control-plane/src/control_loop/fills/own.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/own.rs
@@ -105,8 +105,8 @@
                 demands.push(FillDemand {
                     version: config.active_number(),
                     segment: segment.id,
-                    holder: replica.node.clone(),
-                    holder_partner: replica.partner.clone(),
+                    node: replica.node.clone(),
+                    partner: replica.partner.clone(),
                     sources: warm_sources(&config, map, segment, &warming),
                     bytes: self.own_fills.limits.segment_bytes,
                     start: started.incarnation,
@@ -194,7 +194,7 @@
             started.iter().any(|it| it.node == fill.node && it.incarnation == fill.incarnation)
         };
         finished.retain(is_listed);
-        finished.insert(FinishedFill { segment: fill.segment, node: fill.holder.clone(), incarnation });
+        finished.insert(FinishedFill { segment: fill.segment, node: fill.node.clone(), incarnation });
     }
 }
 
--- a/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
@@ -192,7 +192,7 @@
         let request = FillRequest {
             id: fill.id.clone(),
             segment: fill.segment,
-            holder: fill.holder.clone(),
+            node: fill.node.clone(),
             source: fill.source.clone(),
             bytes: fill.bytes,
             bytes_per_second: fill.rate as u64,
--- a/crates/dunepond-control-plane/src/fill_client.rs
+++ b/crates/dunepond-control-plane/src/fill_client.rs
@@ -16,7 +16,8 @@
     /// Segment to copy.
     pub segment: u64,
     /// Node to fill.
-    pub holder: String,
+    #[serde(rename = "holder")]
+    pub node: String,
     /// Node to copy from.
     pub source: String,
     /// Size of the segment.
--- a/crates/dunepond-control-plane/src/tests/golden.rs
+++ b/crates/dunepond-control-plane/src/tests/golden.rs
@@ -67,7 +67,7 @@
     Fill {
         id: text(id),
         segment: 1,
-        holder: text("s-3"),
+        node: text("s-3"),
         source: text("s-1"),
         from: text("north"),
         to: text("south"),
--- a/crates/dunepond-control-plane/tests/explain.rs
+++ b/crates/dunepond-control-plane/tests/explain.rs
@@ -144,7 +144,7 @@
     let fill = Fill {
         id: format!("2/0/{node}"),
         segment: 0,
-        holder: text(node),
+        node: text(node),
         source: text("s1"),
         from: text("north"),
         to: text("south"),
@@ -158,8 +158,8 @@
         version: 2,
         start: 0,
         segment: 0,
-        holder: text(node),
-        holder_partner: text("south"),
+        node: text(node),
+        partner: text("south"),
         sources: sources.map(Into::into).into(),
         bytes: 1000,
     };
--- a/crates/dunepond-control-plane/tests/golden.rs
+++ b/crates/dunepond-control-plane/tests/golden.rs
@@ -35,7 +35,7 @@
     let fill = |state: &str| AuditEvent::Fill {
         id: id.clone(),
         segment: 1,
-        holder: text("s-3"),
+        node: text("s-3"),
         source: node.clone(),
         bytes: 67_108_864,
         state: text(state),
@@ -139,7 +139,7 @@
     FillRequest {
         id: text("7/1/s-3"),
         segment: 1,
-        holder: text("s-3"),
+        node: text("s-3"),
         source: text("s-1"),
         bytes: 67_108_864,
         bytes_per_second: 33_554_432,
@@ -286,7 +286,7 @@
     let fill = Fill {
         id: text("2/0/s-3"),
         segment: 0,
-        holder: text("s-3"),
+        node: text("s-3"),
         source: text("s-1"),
         from: text("north"),
         to: text("south"),
--- a/crates/dunepond-settlement/src/demand.rs
+++ b/crates/dunepond-settlement/src/demand.rs
@@ -18,9 +18,11 @@
     /// Id of the segment.
     pub segment: u64,
     /// Node to fill.
-    pub holder: String,
+    #[serde(rename = "holder")]
+    pub node: String,
     /// Its partner.
-    pub holder_partner: String,
+    #[serde(rename = "holder_partner")]
+    pub partner: String,
     /// Filled replicas.
     pub sources: Vec<FillSource>,
     /// Size of the segment.
@@ -54,7 +56,7 @@
 impl FillDemand {
     /// `VERSION/SEGMENT/NODE`, with `+START` where a start of the node emptied it.
     pub fn id(&self) -> String {
-        let id = Fill::id_of(self.version, self.segment, &self.holder);
+        let id = Fill::id_of(self.version, self.segment, &self.node);
         if self.start == 0 { id } else { format!("{id}+{}", self.start) }
     }
 }
--- a/crates/dunepond-settlement/src/fill.rs
+++ b/crates/dunepond-settlement/src/fill.rs
@@ -16,7 +16,8 @@
     /// Id of the segment.
     pub segment: u64,
     /// Node to fill.
-    pub holder: String,
+    #[serde(rename = "holder")]
+    pub node: String,
     /// Node to fill it from.
     pub source: String,
     /// Partner of the source.
@@ -33,8 +34,8 @@
 
 impl Fill {
     /// Id of the fill of a demand.
-    pub fn id_of(version: u64, segment: u64, holder: &str) -> String {
-        format!("{version}/{segment}/{holder}")
+    pub fn id_of(version: u64, segment: u64, node: &str) -> String {
+        format!("{version}/{segment}/{node}")
     }
 
     /// Bytes that are a new debt of `to` towards `from`, for [`crate::LocalCounts::record`] when the fill is complete.
--- a/crates/dunepond-settlement/src/lib.rs
+++ b/crates/dunepond-settlement/src/lib.rs
@@ -53,7 +53,7 @@
     pub bytes: u64,
     /// Id of the segment that was filled.
     pub segment: u64,
-    /// Node that was filled.
+    /// Node that was filled. The name shows in log lines.
     pub holder: String,
     /// Node that it was filled from.
     pub source: String,
@@ -81,7 +81,7 @@
             creditor: creditor.to_string(),
             bytes,
             segment: fill.segment,
-            holder: fill.holder.clone(),
+            holder: fill.node.clone(),
             source: fill.source.clone(),
         })
     }
--- a/crates/dunepond-settlement/src/planner/mod.rs
+++ b/crates/dunepond-settlement/src/planner/mod.rs
@@ -150,9 +150,9 @@
                 plan.waiting.push(WaitingDemand { id: demand.id(), reason: WaitReason::Running });
                 continue;
             }
-            queues.by_partner.entry(&demand.holder_partner).or_default().push_back(demand);
+            queues.by_partner.entry(&demand.partner).or_default().push_back(demand);
             if self.rule == PlanningRule::Cheapest {
-                in_order.push_back(demand.holder_partner.as_str());
+                in_order.push_back(demand.partner.as_str());
             }
         }
         (queues, in_order)
--- a/crates/dunepond-settlement/src/planner/rates.rs
+++ b/crates/dunepond-settlement/src/planner/rates.rs
@@ -47,7 +47,7 @@
             let link = resources.index(Resource::Link { from: &fill.from, to: &fill.to }, || {
                 self.link_rate_left(fill, round)
             });
-            let node = resources.index(Resource::Node(&fill.holder), || self.node_rate_left(fill, round));
+            let node = resources.index(Resource::Node(&fill.node), || self.node_rate_left(fill, round));
             flows.push(vec![own, link, node]);
         }
         let rates = max_min_rates(&flows, &resources.rate_caps);
@@ -62,6 +62,6 @@
     }
 
     fn node_rate_left(&self, fill: &Fill, round: &Round) -> f64 {
-        round.slow_start.rate_cap(&fill.holder) - self.running_rate(|other| other.holder == fill.holder)
+        round.slow_start.rate_cap(&fill.node) - self.running_rate(|other| other.node == fill.node)
     }
 }
--- a/crates/dunepond-settlement/src/planner/service_order.rs
+++ b/crates/dunepond-settlement/src/planner/service_order.rs
@@ -71,9 +71,9 @@
     /// Keeps the capacity of all sources for a partner that has waited too long.
     pub(super) fn reserve(&self, demand: &FillDemand, reason: WaitReason, round: &mut Round) {
         let may_wait_forever = matches!(reason, WaitReason::CarryLimit | WaitReason::DebtSpeed);
-        if may_wait_forever && self.is_starved(&demand.holder_partner, round) {
+        if may_wait_forever && self.is_starved(&demand.partner, round) {
             for source in &demand.sources {
-                round.reserved.insert(PartnerPair::new(&source.partner, &demand.holder_partner));
+                round.reserved.insert(PartnerPair::new(&source.partner, &demand.partner));
             }
         }
     }
--- a/crates/dunepond-settlement/src/planner/source.rs
+++ b/crates/dunepond-settlement/src/planner/source.rs
@@ -23,20 +23,20 @@
 
 impl FillPlanner {
     pub(super) fn choose_source(&mut self, demand: &FillDemand, round: &Round) -> Result<Fill, WaitReason> {
-        let node_rate = self
-            .free_rate(round.slow_start.rate_cap(&demand.holder), round, |fill| fill.holder == demand.holder);
+        let node_rate =
+            self.free_rate(round.slow_start.rate_cap(&demand.node), round, |fill| fill.node == demand.node);
         if node_rate < round.balances.terms().min_fill_rate {
             return Err(WaitReason::SlowStart);
         }
         let mut reason = WaitReason::NoSource;
         let mut best: Option<Candidate> = None;
-        for source in demand.sources.iter().filter(|source| source.node != demand.holder) {
-            let link_rate = self.free_link_rate(&source.partner, &demand.holder_partner, round);
+        for source in demand.sources.iter().filter(|source| source.node != demand.node) {
+            let link_rate = self.free_link_rate(&source.partner, &demand.partner, round);
             if let Err(wait) = self.check_limits(demand, &source.partner, link_rate, round) {
                 reason = reason.max(wait);
                 continue;
             }
-            let rank = self.rank(&source.partner, &demand.holder_partner, link_rate, round);
+            let rank = self.rank(&source.partner, &demand.partner, link_rate, round);
             if best.as_ref().is_none_or(|best| rank > best.rank) {
                 best = Some(Candidate { rank, source });
             }
@@ -67,11 +67,11 @@
     }
 
     fn fill(&self, demand: &FillDemand, source: &FillSource, round: &Round) -> Fill {
-        let (from, to) = (&source.partner, &demand.holder_partner);
+        let (from, to) = (&source.partner, &demand.partner);
         let mut fill = Fill {
             id: demand.id(),
             segment: demand.segment,
-            holder: demand.holder.clone(),
+            node: demand.node.clone(),
             source: source.node.clone(),
             from: from.clone(),
             to: to.clone(),
@@ -121,7 +121,7 @@
         link_rate: f64,
         round: &Round,
     ) -> Result<(), WaitReason> {
-        let (terms, to) = (round.balances.terms(), demand.holder_partner.as_str());
+        let (terms, to) = (round.balances.terms(), demand.partner.as_str());
         if link_rate < terms.min_fill_rate {
             return Err(WaitReason::Link);
         }
@@ -155,7 +155,7 @@
 
     /// What the filled partner would owe the source's if this, running and chosen fills were complete.
     fn debt_after(&self, demand: &FillDemand, from: &str, round: &Round) -> i128 {
-        let to = demand.holder_partner.as_str();
+        let to = demand.partner.as_str();
         let bytes_on_way = |from: &str, to: &str| -> i128 {
             let fills = self.running.values().chain(&round.chosen);
             let on_way = fills.filter(|fill| fill.from == from && fill.to == to);
--- a/crates/dunepond-settlement/src/started_fills.rs
+++ b/crates/dunepond-settlement/src/started_fills.rs
@@ -20,7 +20,7 @@
     pub id: String,
     /// Id of the segment.
     pub segment: u64,
-    /// Node that is filled.
+    /// Node that is filled. The name shows in log lines.
     pub holder: String,
     /// Node that it is filled from.
     pub source: String,
@@ -41,14 +41,15 @@
 impl StartedFill {
     /// The log's form of a fill that starts at `at`, in Unix seconds.
     pub fn new(fill: &Fill, at: u64) -> StartedFill {
-        let Fill { id, segment, holder, source, from, to, bytes, rate, settles } = fill.clone();
-        StartedFill { id, segment, holder, source, from, to, bytes, rate: rate as u64, settles, at }
+        let Fill { id, segment, node, source, from, to, bytes, rate, settles } = fill.clone();
+        StartedFill { id, segment, holder: node, source, from, to, bytes, rate: rate as u64, settles, at }
     }
 
     /// The fill.
     pub fn fill(&self) -> Fill {
-        let StartedFill { id, segment, holder, source, from, to, bytes, rate, settles, .. } = self.clone();
-        Fill { id, segment, holder, source, from, to, bytes, rate: rate as f64, settles }
+        let StartedFill { id, segment, holder: node, source, from, to, bytes, rate, settles, .. } =
+            self.clone();
+        Fill { id, segment, node, source, from, to, bytes, rate: rate as f64, settles }
     }
 }
 
--- a/crates/dunepond-settlement/tests/leaders.rs
+++ b/crates/dunepond-settlement/tests/leaders.rs
@@ -46,8 +46,8 @@
         let demand = |segment: u64| FillDemand {
             version: 1,
             segment,
-            holder: format!("south-{segment}"),
-            holder_partner: "south".to_string(),
+            node: format!("south-{segment}"),
+            partner: "south".to_string(),
             sources: sources.clone(),
             bytes: FILL_BYTES,
             start: 0,
@@ -94,7 +94,7 @@
         let fill = Fill {
             id: format!("1/{id}/s"),
             segment: id,
-            holder: "s".to_string(),
+            node: "s".to_string(),
             source: "t".to_string(),
             from: "north".to_string(),
             to: "south".to_string(),
--- a/crates/dunepond-settlement/tests/plan.rs
+++ b/crates/dunepond-settlement/tests/plan.rs
@@ -35,8 +35,8 @@
 /// A node of `to` that each of `from` could fill; sources are named like their partners.
 fn demand(segment: u64, to: &str, from: &[&str], bytes: u64) -> FillDemand {
     let sources = from.iter().map(|partner| (format!("{partner}-s"), partner.to_string()).into()).collect();
-    let holder = format!("{to}-{segment}");
-    FillDemand { version: 1, segment, holder, holder_partner: to.to_string(), sources, bytes, start: 0 }
+    let node = format!("{to}-{segment}");
+    FillDemand { version: 1, segment, node, partner: to.to_string(), sources, bytes, start: 0 }
 }
 
 fn links(cap: f64) -> LinkCapacities {
@@ -413,7 +413,7 @@
                 }
             }
             for (_, fill) in &under_way {
-                let rate: f64 = under_way.iter().filter(|(_, it)| it.holder == fill.holder).map(|(_, it)| it.rate).sum();
+                let rate: f64 = under_way.iter().filter(|(_, it)| it.node == fill.node).map(|(_, it)| it.rate).sum();
                 prop_assert!(rate + 2.0 * 20.0 <= max_units(4.0) * 20.0 + 1e-6);
             }
         }
--- a/crates/dunepond-settlement/tests/week.rs
+++ b/crates/dunepond-settlement/tests/week.rs
@@ -116,7 +116,7 @@
                     let fill = Fill {
                         id: Fill::id_of(version, fills % 999, "s"),
                         segment: fills % 999,
-                        holder: "s".to_string(),
+                        node: "s".to_string(),
                         source: "t".to_string(),
                         from: debt.debtor.clone(),
                         to: debt.creditor.clone(),
--- a/crates/dunepond-simulation/src/scenario/fill_simulation.rs
+++ b/crates/dunepond-simulation/src/scenario/fill_simulation.rs
@@ -189,7 +189,7 @@
                 }
             };
             if matches!(settled, Ok(()) | Err(Rejection::AlreadySettled(_))) {
-                let Fill { segment, holder, .. } = running.fill.clone();
+                let Fill { segment, node: holder, .. } = running.fill.clone();
                 let _ = fleet.propose(Command::FillCompleted { number: state.version, segment, holder });
             }
         }
@@ -258,8 +258,8 @@
             demands.push(FillDemand {
                 version: number,
                 segment: required.segment,
-                holder: required.replica.clone(),
-                holder_partner: topology.partner_of(&required.replica),
+                node: required.replica.clone(),
+                partner: topology.partner_of(&required.replica),
                 sources: required.sources.iter().map(source).collect(),
                 bytes: SEGMENT_BYTES,
                 start: 0,
--- a/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
@@ -200,8 +200,8 @@
         let need = FillDemand {
             version: 1,
             segment,
-            holder: format!("{}-{segment}", PARTNERS[to]),
-            holder_partner: PARTNERS[to].to_string(),
+            node: format!("{}-{segment}", PARTNERS[to]),
+            partner: PARTNERS[to].to_string(),
             sources: from
                 .iter()
                 .map(|p| (format!("{}-s", PARTNERS[*p]), PARTNERS[*p].to_string()).into())
@@ -209,13 +209,13 @@
             bytes,
             start: 0,
         };
-        self.since.entry(need.holder_partner.clone()).or_insert(self.now);
+        self.since.entry(need.partner.clone()).or_insert(self.now);
         self.needs.push_back(need);
     }
 
     fn plan(&mut self, links: &LinkCapacities) {
-        let nodes = self.needs.iter().map(|need| (need.holder.clone(), COLD));
-        let running = self.planner.running().map(|fill| (fill.holder.clone(), COLD));
+        let nodes = self.needs.iter().map(|need| (need.node.clone(), COLD));
+        let running = self.planner.running().map(|fill| (fill.node.clone(), COLD));
         let cold = SlowStartCapacity {
             window_seconds: 1.0,
             unit_bytes: UNIT,
@@ -236,7 +236,7 @@
             self.fillings.push((0.0, FillProgress::new(fill, patience, self.now)));
         }
         let (now, needs) = (self.now, &self.needs);
-        self.since.retain(|partner, _| needs.iter().any(|need| need.holder_partner == *partner));
+        self.since.retain(|partner, _| needs.iter().any(|need| need.partner == *partner));
         let waited = self.since.values().map(|since| now - since);
         self.played.waited = waited.fold(self.played.waited, f64::max);
         let since = self.now - terms().window_seconds;
@@ -266,7 +266,7 @@
             let bytes = fill.rate.min(fill.bytes as f64 - *brought);
             *brought += bytes;
             *on.entry((fill.from.clone(), fill.to.clone())).or_default() += bytes;
-            *self.brought.entry(fill.holder.clone()).or_default().front_mut().unwrap_or(&mut 0.0) += bytes;
+            *self.brought.entry(fill.node.clone()).or_default().front_mut().unwrap_or(&mut 0.0) += bytes;
             let end = *brought >= fill.bytes as f64 - 0.5;
             if end {
                 let failed = self.chance.random::<f64>() < 0.1;
