--- a/crates/dunepond-testkit/src/experiments/bodies.rs
+++ b/crates/dunepond-testkit/src/experiments/bodies.rs
@@ -9,9 +9,11 @@
 use anyhow::ensure;
 
 use super::RunOptions;
+use crate::body_cluster::{
+    BodyCluster, BodyNodeBehavior, BodyOutcome, BodyRequest, Node, body_request, mib_bytes, repeated_parts,
+};
 use crate::load::{Load, LoadReport};
 use crate::report::{Curve, Figures};
-use crate::wide::{Ask, Manner, Node, Site, Told, ask, mib, twice};
 
 /// The bound on all memory, and what the process may take beside it, in MiB, without the pages of its own file: played whole it
 /// stayed 1.5 under the bound at most, so that the slack is 3.5.
@@ -38,27 +40,27 @@
     )
 }
 
-fn site(way: &RunOptions, manners: &[Manner], files: bool, memory_one: &str) -> Site {
+fn site(way: &RunOptions, manners: &[BodyNodeBehavior], files: bool, memory_one: &str) -> BodyCluster {
     let nodes = manners.iter().enumerate().map(|(i, manner)| Node::start(&format!("s-{i}"), *manner));
-    let mut site = Site::start(&way.program, nodes.collect(), &kdl(files, memory_one));
+    let mut site = BodyCluster::start(&way.program, nodes.collect(), &kdl(files, memory_one));
     site.broker.suppress_log = true;
     site
 }
 
 /// Sends all of these at once and waits for what each comes to.
-fn together(site: &Site, asks: &[Ask]) -> Vec<Told> {
+fn together(site: &BodyCluster, asks: &[BodyRequest]) -> Vec<BodyOutcome> {
     thread::scope(|scope| {
-        let asking: Vec<_> = asks.iter().map(|ask| scope.spawn(move || site.ask(ask))).collect();
+        let asking: Vec<_> = asks.iter().map(|ask| scope.spawn(move || site.send(ask))).collect();
         asking.into_iter().map(|asking| asking.join().expect("a client does not panic")).collect()
     })
 }
 
 /// What broke a rule: no answer where one was owed, one that came late, or one that no broker gives.
-fn broken(asks: &[Ask], told: &[Told]) -> usize {
-    let broke = |ask: &Ask, told: &Told| {
-        let left = ask.leave_after.is_some();
+fn broken(asks: &[BodyRequest], told: &[BodyOutcome]) -> usize {
+    let broke = |ask: &BodyRequest, told: &BodyOutcome| {
+        let left = ask.disconnect_after_bytes.is_some();
         let known = [200, 408, 413, 429, 502, 503].contains(&told.status());
-        !left && (!known || told.took > ask.budget + ACCEPTED)
+        !left && (!known || told.elapsed_seconds > ask.budget_seconds + ACCEPTED)
     };
     let broken = asks.iter().zip(told).filter(|(ask, told)| broke(ask, told));
     broken.inspect(|(ask, told)| eprintln!("{}: {told:?}", ask.id)).count()
@@ -68,54 +70,54 @@
     name: &'static str,
     files: bool,
     memory_one: &'static str,
-    manners: [Manner; 3],
+    manners: [BodyNodeBehavior; 3],
     disk: &'static str,
-    asks: Vec<Ask>,
+    asks: Vec<BodyRequest>,
 }
 
 fn cases(quick: bool) -> Vec<Case> {
     let many = if quick { 40 } else { 200 };
-    let of = |count: usize, each: &dyn Fn(usize) -> Ask| (0..count).map(each).collect::<Vec<_>>();
-    let find = |length: u64| move |i: usize| ask("find", &format!("c{i}"), &[0, 1], length);
-    let fix = |length: u64| move |i: usize| ask("fix", &format!("c{i}"), &[i % 6], length);
-    let serve = [Manner::Serve; 3];
+    let of = |count: usize, each: &dyn Fn(usize) -> BodyRequest| (0..count).map(each).collect::<Vec<_>>();
+    let find = |length: u64| move |i: usize| body_request("find", &format!("c{i}"), &[0, 1], length);
+    let fix = |length: u64| move |i: usize| body_request("fix", &format!("c{i}"), &[i % 6], length);
+    let serve = [BodyNodeBehavior::Serve; 3];
     let case =
         |name, files, memory_one, manners, disk, asks| Case { name, files, memory_one, manners, disk, asks };
     vec![
-        case("8 MiB each, no files", false, "8MiB", serve, "", of(many, &find(mib(8)))),
-        case("8 MiB each, files", true, "8MiB", serve, "", of(many, &find(mib(8)))),
-        case("64 MiB passing", false, "1MiB", serve, "", of(8, &find(mib(64)))),
+        case("8 MiB each, no files", false, "8MiB", serve, "", of(many, &find(mib_bytes(8)))),
+        case("8 MiB each, files", true, "8MiB", serve, "", of(many, &find(mib_bytes(8)))),
+        case("64 MiB passing", false, "1MiB", serve, "", of(8, &find(mib_bytes(64)))),
         case(
             "1 MiB each, chunked",
             true,
             "1MiB",
             serve,
             "",
-            of(many, &|i| Ask { chunked: true, ..find(mib(1))(i) }),
+            of(many, &|i| BodyRequest { chunked: true, ..find(mib_bytes(1))(i) }),
         ),
         case(
             "fix-request, a node refuses half way",
             true,
             "4MiB",
-            [Manner::RefuseHalf, Manner::Serve, Manner::Serve],
+            [BodyNodeBehavior::RefuseMidFrame, BodyNodeBehavior::Serve, BodyNodeBehavior::Serve],
             "",
-            of(many, &fix(mib(4))),
+            of(many, &fix(mib_bytes(4))),
         ),
         case(
             "fix-request, a node closes",
             true,
             "4MiB",
-            [Manner::Close, Manner::Serve, Manner::Serve],
+            [BodyNodeBehavior::Close, BodyNodeBehavior::Serve, BodyNodeBehavior::Serve],
             "",
-            of(many, &fix(mib(4))),
+            of(many, &fix(mib_bytes(4))),
         ),
         case(
             "a node is stuck",
             false,
             "1MiB",
-            [Manner::Stuck, Manner::Serve, Manner::Serve],
+            [BodyNodeBehavior::StopReading, BodyNodeBehavior::Serve, BodyNodeBehavior::Serve],
             "",
-            of(12, &find(mib(16))),
+            of(12, &find(mib_bytes(16))),
         ),
         case(
             "clients leave",
@@ -123,30 +125,36 @@
             "1MiB",
             serve,
             "",
-            of(many, &|i| Ask { leave_after: Some(mib(2)), ..find(mib(4))(i) }),
+            of(many, &|i| BodyRequest {
+                disconnect_after_bytes: Some(mib_bytes(2)),
+                ..find(mib_bytes(4))(i)
+            }),
         ),
-        case("the disk is full", true, "1MiB", serve, "full", of(many, &find(mib(4)))),
-        case("the disk stalls", true, "1MiB", serve, "stall 2", of(many, &find(mib(4)))),
-        case("files cannot be read back", true, "1MiB", serve, "unreadable", of(many, &find(mib(4)))),
+        case("the disk is full", true, "1MiB", serve, "full", of(many, &find(mib_bytes(4)))),
+        case("the disk stalls", true, "1MiB", serve, "stall 2", of(many, &find(mib_bytes(4)))),
+        case("files cannot be read back", true, "1MiB", serve, "unreadable", of(many, &find(mib_bytes(4)))),
     ]
 }
 
 /// Sends bodies of 64 MiB one after the other until it is to stop; how many were served.
-fn stream(site: &Site, prefix: &str, stop: &AtomicBool, served: &AtomicU64) {
+fn stream(site: &BodyCluster, prefix: &str, stop: &AtomicBool, served: &AtomicU64) {
     for i in 0.. {
         if stop.load(Ordering::Relaxed) {
             return;
         }
         // 128 MB a second: a client on a fast network, not one on this machine's loopback.
-        let ask = Ask { pace: Some(128_000_000), ..ask("find", &format!("{prefix}{i}"), &[0, 1], mib(64)) };
-        served.fetch_add(u64::from(site.ask(&ask).status() == 200), Ordering::Relaxed);
+        let ask = BodyRequest {
+            bytes_per_second: Some(128_000_000),
+            ..body_request("find", &format!("{prefix}{i}"), &[0, 1], mib_bytes(64))
+        };
+        served.fetch_add(u64::from(site.send(&ask).status() == 200), Ordering::Relaxed);
     }
 }
 
 fn beside(way: &RunOptions, figures: &mut Figures) -> anyhow::Result<()> {
     // In rounds, of which the middle one counts: a hiccup of the machine in one stretch is not the broker's.
     let (rounds, seconds) = if way.quick { (3, 1.0) } else { (7, 2.0) };
-    let site = site(way, &[Manner::Serve; 3], true, "1MiB");
+    let site = site(way, &[BodyNodeBehavior::Serve; 3], true, "1MiB");
     let ids = Mutex::new(0);
     let load = |seed: u64| {
         let prefix = {
@@ -166,7 +174,7 @@
     load(way.seed);
     let with = |disk: &str, seed: u64| -> (LoadReport, u64) {
         let (stop, served) = (AtomicBool::new(false), AtomicU64::new(0));
-        site.disk(disk);
+        site.set_disk_fault(disk);
         let went = thread::scope(|scope| {
             let prefix = format!("{seed}{}-", if disk.is_empty() { "f" } else { "d" });
             let (stop, served) = (&stop, &served);
@@ -176,15 +184,15 @@
             let stalling = scope.spawn(|| {
                 while !disk.is_empty() && !stop.load(Ordering::Relaxed) {
                     thread::sleep(Duration::from_millis(500));
-                    site.disk("");
+                    site.set_disk_fault("");
                     thread::sleep(Duration::from_millis(500));
-                    site.disk(disk);
+                    site.set_disk_fault(disk);
                 }
             });
             let went = load(seed);
             stop.store(true, Ordering::Relaxed);
             let _ = stalling.join();
-            site.disk("");
+            site.set_disk_fault("");
             went
         });
         (went, served.into_inner())
@@ -231,9 +239,10 @@
 
 /// Bytes copied into frames for each part of a kept body, by the broker's own counter.
 fn copies(way: &RunOptions, figures: &mut Figures) {
-    let site = site(way, &[Manner::Serve; 3], true, "8MiB");
-    let asks: Vec<_> = (0..8).map(|i| ask("find", &format!("c{i}"), &[0, 1, 2, 3, 4, 5], mib(4))).collect();
-    let told: Vec<_> = asks.iter().map(|ask| site.ask(ask)).collect();
+    let site = site(way, &[BodyNodeBehavior::Serve; 3], true, "8MiB");
+    let asks: Vec<_> =
+        (0..8).map(|i| body_request("find", &format!("c{i}"), &[0, 1, 2, 3, 4, 5], mib_bytes(4))).collect();
+    let told: Vec<_> = asks.iter().map(|ask| site.send(ask)).collect();
     thread::sleep(Duration::from_millis(500));
     let said = site.broker.log_text();
     let last =
@@ -254,16 +263,16 @@
     for case in cases(way.quick).into_iter().filter(|case| way.includes(case.name)) {
         eprintln!("{} ...", case.name);
         let site = site(way, &case.manners, case.files, case.memory_one);
-        site.disk(case.disk);
+        site.set_disk_fault(case.disk);
         let told = together(&site, &case.asks);
         let served = told.iter().filter(|told| told.status() == 200).count();
         figures.report(format!("{}: served of {}", case.name, told.len()), served as f64, "");
-        let over = site.peak() as f64 / mib(1) as f64 - BOUND as f64;
+        let over = site.peak_memory_bytes() as f64 / mib_bytes(1) as f64 - BOUND as f64;
         figures.report_bounded(format!("{}: peak over the bound", case.name), over, BESIDE, "MiB");
         ended_wrong += broken(&case.asks, &told);
         // Replayable parts may run again; none of a fix-request may.
-        let unsafe_ids = case.asks.first().is_some_and(|ask| ask.table_type == "fix");
-        ran_twice += if unsafe_ids { twice(&site.nodes, |_| true).len() } else { 0 };
+        let unsafe_ids = case.asks.first().is_some_and(|ask| ask.query_class == "fix");
+        ran_twice += if unsafe_ids { repeated_parts(&site.nodes, |_| true).len() } else { 0 };
         scans += told.len();
     }
     figures.report("large scans asked", scans as f64, "");
--- a/crates/dunepond-testkit/src/lib.rs
+++ b/crates/dunepond-testkit/src/lib.rs
@@ -1,6 +1,7 @@
 //! The laboratory: stand-ins for a broker's peers that tests and experiments share, faults, load and reports.
 
 pub mod auditor;
+pub mod body_cluster;
 pub mod experiments;
 pub mod faulty_disk;
 pub mod fleet;
@@ -16,4 +17,3 @@
 pub mod search_cluster;
 pub mod shutdown;
 pub mod stand_ins;
-pub mod wide;
--- a/crates/dunepond-testkit/src/shutdown/client.rs
+++ b/crates/dunepond-testkit/src/shutdown/client.rs
@@ -12,44 +12,44 @@
 use crate::stand_ins::query_request;
 
 /// How long one look at a connection waits for something to read.
-const LOOK: Duration = Duration::from_millis(3);
+const POLL_INTERVAL: Duration = Duration::from_millis(3);
 /// Requests that a client which does not wait for answers has out on its connection at most.
-const PIPELINED: usize = 3;
+const MAX_PIPELINED: usize = 3;
 /// Segments of the stand-in settings.
 const SEGMENTS: usize = 6;
 /// By the page of the standing test an answer later than this after the client's time is lost.
-const LATE: Duration = Duration::from_millis(500);
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
 
 /// How a client uses its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Habit {
+pub enum ClientBehavior {
     /// One request after the other, on a new connection once the broker has announced that it closes.
-    Orderly,
+    Sequential,
     /// Goes on asking on the same connection, whatever an answer announces, until it is at its end.
-    Stubborn,
+    IgnoresClose,
     /// Connects, and asks first this long after the broker was told to end.
-    AsksFirst(Duration),
+    RequestsAfterSignal(Duration),
     /// Sends each request in two halves, so far apart.
-    Halves(Duration),
+    SplitWrites(Duration),
     /// Does not wait for answers before it asks on.
-    Pipelines,
+    Pipelined,
     /// Closes its connection so long after each request, answered or not.
-    Leaves(Duration),
+    Disconnects(Duration),
     /// Rests so long between an answer and its next request.
-    Rests(Duration),
+    Idles(Duration),
 }
 
-impl Habit {
+impl ClientBehavior {
     pub fn draw(rng: &mut Pcg64Mcg) -> Self {
         let pause = Duration::from_millis(rng.random_range(5..600));
         match rng.random_range(0..11) {
-            0..4 => Self::Orderly,
-            4..6 => Self::Stubborn,
-            6 => Self::AsksFirst(pause * 4),
-            7 => Self::Halves(pause),
-            8 => Self::Pipelines,
-            9 => Self::Leaves(pause / 4),
-            _ => Self::Rests(pause),
+            0..4 => Self::Sequential,
+            4..6 => Self::IgnoresClose,
+            6 => Self::RequestsAfterSignal(pause * 4),
+            7 => Self::SplitWrites(pause),
+            8 => Self::Pipelined,
+            9 => Self::Disconnects(pause / 4),
+            _ => Self::Idles(pause),
         }
     }
 }
@@ -66,26 +66,26 @@
 pub struct Request {
     pub id: String,
     pub broker: usize,
-    pub habit: Habit,
-    pub replayable: bool,
+    pub behavior: ClientBehavior,
+    pub idempotent: bool,
     /// When its first byte was handed to the system, and its last.
-    pub began: Instant,
-    pub written: Instant,
+    pub started_at: Instant,
+    pub written_at: Instant,
     pub answered: Option<(Instant, u16)>,
     /// Its client closed the connection without having an answer.
-    pub left: Option<Instant>,
+    pub disconnected_at: Option<Instant>,
     /// Its connection ended before an answer came.
     pub ended: Option<(Instant, ConnectionEnd)>,
 }
 
 /// What all clients of a broker share.
-pub struct Site {
+pub struct BrokerEndpoint {
     pub address: SocketAddr,
     pub broker: usize,
     pub timeout: Duration,
-    pub non_replayable: f64,
+    pub non_idempotent_ratio: f64,
     /// When the broker was told to end, once it was.
-    pub told: OnceLock<Instant>,
+    pub signalled_at: OnceLock<Instant>,
     /// After that, until when new connections are made, and when the process is killed.
     pub new_connections_until: Duration,
     pub kill_after: Duration,
@@ -95,8 +95,8 @@
     stream: TcpStream,
     input: Vec<u8>,
     /// Requests that wait for their answers, by their place in the client's record.
-    waiting: VecDeque<usize>,
-    announced_close: bool,
+    pending: VecDeque<usize>,
+    close_announced: bool,
     end: Option<ConnectionEnd>,
 }
 
@@ -104,12 +104,12 @@
     fn open(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
         stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(LOOK)).ok()?;
-        Some(Self { stream, input: Vec::new(), waiting: VecDeque::new(), announced_close: false, end: None })
+        stream.set_read_timeout(Some(POLL_INTERVAL)).ok()?;
+        Some(Self { stream, input: Vec::new(), pending: VecDeque::new(), close_announced: false, end: None })
     }
 
     /// Reads what has come, or waits for a moment; the statuses of the answers that are whole.
-    fn look(&mut self) -> Vec<u16> {
+    fn poll(&mut self) -> Vec<u16> {
         let mut buffer = [0; 4096];
         match self.stream.read(&mut buffer) {
             Ok(0) => self.end = Some(ConnectionEnd::Closed),
@@ -132,7 +132,7 @@
             return None;
         }
         self.input.drain(..head_length + length);
-        self.announced_close |= head.contains("Connection: close");
+        self.close_announced |= head.contains("Connection: close");
         head.split(' ').nth(1)?.parse().ok()
     }
 
@@ -147,97 +147,101 @@
 
 /// One client at work; what it returns is its record.
 pub struct Client {
-    site: Arc<Site>,
+    site: Arc<BrokerEndpoint>,
     name: String,
-    habit: Habit,
+    habit: ClientBehavior,
     rng: Pcg64Mcg,
     connection: Option<Connection>,
     requests: Vec<Request>,
-    asks_next: Instant,
+    next_request_at: Instant,
 }
 
 impl Client {
-    pub fn new(site: Arc<Site>, number: usize, habit: Habit, seed: u64) -> Self {
+    pub fn new(site: Arc<BrokerEndpoint>, number: usize, habit: ClientBehavior, seed: u64) -> Self {
         let name = format!("b{}c{number}", site.broker);
         let rng = Pcg64Mcg::seed_from_u64(seed ^ ((site.broker as u64) << 32) ^ ((number as u64) << 40));
-        let asks_next = Instant::now();
-        Self { site, name, habit, rng, connection: None, requests: Vec::new(), asks_next }
+        let next_request_at = Instant::now();
+        Self { site, name, habit, rng, connection: None, requests: Vec::new(), next_request_at }
     }
 
     /// Works until the broker is killed and a moment beyond, as what it had written may still be on its way.
-    pub fn work(mut self) -> Vec<Request> {
+    pub fn run(mut self) -> Vec<Request> {
         loop {
-            let told = self.site.told.get().copied();
-            let over = told.is_some_and(|told| told.elapsed() > self.site.kill_after + LATE);
+            let told = self.site.signalled_at.get().copied();
+            let over = told.is_some_and(|told| told.elapsed() > self.site.kill_after + ANSWER_GRACE);
             if over {
                 return self.requests;
             }
-            self.listen();
-            self.leave();
+            self.read_answers();
+            self.disconnect();
             if self.connection.is_none() && !self.connect() {
-                std::thread::sleep(LOOK);
+                std::thread::sleep(POLL_INTERVAL);
                 continue;
             }
-            if self.may_ask() {
-                self.ask();
+            if self.may_send_request() {
+                self.send_request();
             }
         }
     }
 
-    fn listen(&mut self) {
+    fn read_answers(&mut self) {
         let Some(connection) = &mut self.connection else { return };
-        for status in connection.look() {
-            let Some(place) = connection.waiting.pop_front() else { continue };
+        for status in connection.poll() {
+            let Some(place) = connection.pending.pop_front() else { continue };
             self.requests[place].answered = Some((Instant::now(), status));
         }
         if let Some(end) = connection.end {
-            for place in connection.waiting.drain(..) {
+            for place in connection.pending.drain(..) {
                 self.requests[place].ended = Some((Instant::now(), end));
             }
             self.connection = None;
-        } else if connection.announced_close && connection.waiting.is_empty() && self.habit != Habit::Stubborn
+        } else if connection.close_announced
+            && connection.pending.is_empty()
+            && self.habit != ClientBehavior::IgnoresClose
         {
             self.connection = None;
         }
     }
 
     /// Closes a connection whose answer it does not want any more.
-    fn leave(&mut self) {
-        let Habit::Leaves(after) = self.habit else { return };
-        let Some(asked) = self.requests.last().map(|request| request.written) else { return };
+    fn disconnect(&mut self) {
+        let ClientBehavior::Disconnects(after) = self.habit else { return };
+        let Some(asked) = self.requests.last().map(|request| request.written_at) else { return };
         if asked.elapsed() < after {
             return;
         }
-        for place in self.connection.take().into_iter().flat_map(|connection| connection.waiting) {
-            self.requests[place].left = Some(Instant::now());
+        for place in self.connection.take().into_iter().flat_map(|connection| connection.pending) {
+            self.requests[place].disconnected_at = Some(Instant::now());
         }
     }
 
     fn connect(&mut self) -> bool {
         let too_late = |told: &Instant| told.elapsed() > self.site.new_connections_until;
-        if self.site.told.get().is_some_and(too_late) {
+        if self.site.signalled_at.get().is_some_and(too_late) {
             return false;
         }
         self.connection = Connection::open(self.site.address);
         self.connection.is_some()
     }
 
-    fn may_ask(&self) -> bool {
+    fn may_send_request(&self) -> bool {
         let Some(connection) = &self.connection else { return false };
         let now = Instant::now();
-        let most = if self.habit == Habit::Pipelines { PIPELINED } else { 1 };
-        if now < self.asks_next || connection.waiting.len() >= most {
+        let most = if self.habit == ClientBehavior::Pipelined { MAX_PIPELINED } else { 1 };
+        if now < self.next_request_at || connection.pending.len() >= most {
             return false;
         }
         match self.habit {
-            Habit::AsksFirst(after) => self.site.told.get().is_some_and(|told| now >= *told + after),
+            ClientBehavior::RequestsAfterSignal(after) => {
+                self.site.signalled_at.get().is_some_and(|told| now >= *told + after)
+            }
             _ => true,
         }
     }
 
-    fn ask(&mut self) {
+    fn send_request(&mut self) {
         let Some(connection) = &mut self.connection else { return };
-        let replayable = !self.rng.random_bool(self.site.non_replayable);
+        let replayable = !self.rng.random_bool(self.site.non_idempotent_ratio);
         let table_type = if replayable { "find" } else { "fix" };
         let id = format!("{}r{}", self.name, self.requests.len());
         let segment = self.rng.random_range(0..SEGMENTS);
@@ -248,30 +252,30 @@
         let began = Instant::now();
         let (first, second) = text.as_bytes().split_at(text.len() / 2);
         let mut whole = connection.write(first);
-        if let Habit::Halves(pause) = self.habit {
+        if let ClientBehavior::SplitWrites(pause) = self.habit {
             std::thread::sleep(pause);
         }
         whole = whole && connection.write(second);
         if whole {
-            connection.waiting.push_back(self.requests.len());
+            connection.pending.push_back(self.requests.len());
             let (broker, habit) = (self.site.broker, self.habit);
             let written = Instant::now();
             self.requests.push(Request {
                 id,
                 broker,
-                habit,
-                replayable,
-                began,
-                written,
+                behavior: habit,
+                idempotent: replayable,
+                started_at: began,
+                written_at: written,
                 answered: None,
-                left: None,
+                disconnected_at: None,
                 ended: None,
             });
         }
         let pause = match self.habit {
-            Habit::Rests(pause) => pause,
+            ClientBehavior::Idles(pause) => pause,
             _ => Duration::from_millis(self.rng.random_range(0..40)),
         };
-        self.asks_next = Instant::now() + pause;
+        self.next_request_at = Instant::now() + pause;
     }
 }
--- a/crates/dunepond-testkit/src/shutdown/verdict/tests/mod.rs
+++ b/crates/dunepond-testkit/src/shutdown/verdict/tests/mod.rs
@@ -1,6 +1,6 @@
 use rstest::rstest;
 
-use super::super::client::Habit;
+use super::super::client::ClientBehavior;
 use super::*;
 
 const TIMEOUT: Duration = Duration::from_millis(300);
@@ -13,26 +13,34 @@
 }
 
 /// A request that was written so long before the stop, and whose client left during the stop or, if not, whose time ran out in it.
-fn breaches_of(written_before: Duration, left: bool, attempts_after_stop: &[Duration]) -> BTreeSet<Breach> {
+fn breaches_of(
+    written_before: Duration,
+    left: bool,
+    attempts_after_stop: &[Duration],
+) -> BTreeSet<Violation> {
     let begin = Instant::now();
     let stop = Stop { from: begin + STOPPED_AT, until: begin + STOPPED_AT + STOP };
     let written = stop.from - written_before;
     let request = Request {
         id: "r".to_string(),
         broker: 0,
-        habit: Habit::Orderly,
-        replayable: true,
-        began: written,
-        written,
+        behavior: ClientBehavior::Sequential,
+        idempotent: true,
+        started_at: written,
+        written_at: written,
         answered: (!left).then_some((stop.until + ms(1), 429)),
-        left: left.then_some(stop.from + ms(120)),
+        disconnected_at: left.then_some(stop.from + ms(120)),
         ended: None,
     };
-    let times =
-        BrokerTimes { told: stop.from, killed: stop.until + TIMEOUT, longest_hold: STOP, stops: vec![stop] };
+    let times = BrokerTimes {
+        signalled_at: stop.from,
+        killed_at: stop.until + TIMEOUT,
+        longest_pause: STOP,
+        stops: vec![stop],
+    };
     let circumstances = Circumstances { brokers: vec![times], timeout: TIMEOUT, nodes_refuse: false };
     let attempts: Vec<_> = attempts_after_stop.iter().map(|after| stop.until + *after).collect();
-    breaches(&request, &[&attempts], &circumstances)
+    find_violations(&request, &[&attempts], &circumstances)
 }
 
 /// Seen at seed 5: admitted 0.7 ms before the stop, its attempts written 0.4 ms after it.
@@ -51,9 +59,9 @@
     #[case] written_before: Duration,
     #[case] after_stop: &[Duration],
 ) {
-    assert!(breaches_of(written_before, true, after_stop).contains(&Breach::AttemptAfterLeave));
+    assert!(breaches_of(written_before, true, after_stop).contains(&Violation::AttemptAfterDisconnect));
     let found = breaches_of(written_before, false, after_stop);
-    assert!(found.contains(&Breach::AttemptAfterEnd), "{found:?}");
+    assert!(found.contains(&Violation::AttemptAfterEnd), "{found:?}");
 }
 
 #[test]
@@ -63,12 +71,12 @@
     let request = Request {
         id: "r".to_string(),
         broker: 0,
-        habit: Habit::Orderly,
-        replayable: true,
-        began: stop.from + ms(10),
-        written: stop.from + ms(10),
+        behavior: ClientBehavior::Sequential,
+        idempotent: true,
+        started_at: stop.from + ms(10),
+        written_at: stop.from + ms(10),
         answered: None,
-        left: Some(stop.from + ms(100)),
+        disconnected_at: Some(stop.from + ms(100)),
         ended: None,
     };
     assert!(!stop.delays_attempt(&request, stop.from + ms(100), stop.until + ms(1)));
--- a/crates/dunepond-testkit/tests/bodies.rs
+++ b/crates/dunepond-testkit/tests/bodies.rs
@@ -6,8 +6,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use dunepond_testkit::body_cluster::{
+    BodyCluster, BodyNodeBehavior, BodyOutcome, BodyRequest, Node, body_request, mib_bytes, repeated_parts,
+};
 use dunepond_testkit::stand_ins::{Client, query_request};
-use dunepond_testkit::wide::{Ask, Manner, Node, Site, Told, ask, mib, twice};
 use rstest::rstest;
 use serde_json::json;
 
@@ -32,15 +34,15 @@
 counters every=0.2
 ";
 
-fn site(nodes: &[Manner], kdl: &str) -> Site {
+fn site(nodes: &[BodyNodeBehavior], kdl: &str) -> BodyCluster {
     let nodes = nodes.iter().enumerate().map(|(i, manner)| Node::start(&format!("s-{i}"), *manner)).collect();
-    Site::start(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes, kdl)
+    BodyCluster::start(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes, kdl)
 }
 
 /// One whose scans, and connections to nodes, may take as long as a client here waits for its answer at all.
-fn patient(nodes: &[Manner], kdl: &str) -> Site {
+fn patient(nodes: &[BodyNodeBehavior], kdl: &str) -> BodyCluster {
     let nodes = nodes.iter().enumerate().map(|(i, manner)| Node::start(&format!("s-{i}"), *manner)).collect();
-    Site::start_with(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes, kdl, |config| {
+    BodyCluster::start_with(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes, kdl, |config| {
         config["settings"]["ceilings"]["connectTimeoutMs"] = json!(20_000.0);
         for service in config["settings"]["services"].as_array_mut().unwrap() {
             (service["aimMs"], service["deadlineMs"]) = (json!(50_000.0), json!(55_000.0));
@@ -49,16 +51,16 @@
 }
 
 /// Served whole, each part with all of its body.
-fn served(told: &Told, ask: &Ask) {
+fn served(told: &BodyOutcome, ask: &BodyRequest) {
     assert_eq!(told.status(), 200, "{told:?}");
     let body = &told.answer.as_ref().unwrap().body;
     let found = body["found"].as_array().unwrap();
     assert_eq!((body["finished"].clone(), found.len()), (json!(true), ask.shards.len()));
-    assert!(found.iter().all(|part| part["item"] == json!(ask.value())), "{found:?}");
+    assert!(found.iter().all(|part| part["item"] == json!(ask.expected_value())), "{found:?}");
 }
 
 /// Until the log has these words.
-fn logged(site: &Site, words: &str) -> bool {
+fn logged(site: &BodyCluster, words: &str) -> bool {
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(10) {
         if site.broker.log_text().contains(words) {
@@ -73,23 +75,23 @@
 #[case::nothing(0)]
 #[case::one_byte(1)]
 #[case::a_block(64 * 1024)]
-#[case::memory_exactly(mib(1))]
-#[case::memory_and_one(mib(1) + 1)]
-#[case::file_exactly(mib(8))]
-#[case::file_and_one(mib(8) + 1)]
-#[case::longest_exactly(mib(16))]
+#[case::memory_exactly(mib_bytes(1))]
+#[case::memory_and_one(mib_bytes(1) + 1)]
+#[case::file_exactly(mib_bytes(8))]
+#[case::file_and_one(mib_bytes(8) + 1)]
+#[case::longest_exactly(mib_bytes(16))]
 fn allowed_body_reaches_all_parts(#[case] length: u64, #[values(false, true)] chunked: bool) {
-    let site = site(&[Manner::Serve; 3], KDL);
-    let ask = Ask { chunked, ..ask("find", "c1", &[0, 1, 2, 3], length) };
-    let told = site.ask(&ask);
+    let site = site(&[BodyNodeBehavior::Serve; 3], KDL);
+    let ask = BodyRequest { chunked, ..body_request("find", "c1", &[0, 1, 2, 3], length) };
+    let told = site.send(&ask);
     // What is too long for a file passes, if its length is stated; if not, it cannot be kept.
-    if chunked && length > mib(8) {
+    if chunked && length > mib_bytes(8) {
         assert_eq!(told.status(), 413, "{told:?}");
-        assert!(told.why().contains("length is not stated"), "{told:?}");
+        assert!(told.error_text().contains("length is not stated"), "{told:?}");
     } else {
         served(&told, &ask);
     }
-    assert_eq!(site.files(), 0);
+    assert_eq!(site.spill_file_count(), 0);
 }
 
 #[rstest]
@@ -97,11 +99,14 @@
 #[case::chunked(true)]
 fn oversized_body_is_rejected(#[case] chunked: bool) {
     let kdl = KDL.replace("16MiB\"\n    memory", "1MiB\"\n    memory");
-    let site = site(&[Manner::Serve], &kdl);
-    let told = site.ask(&Ask { chunked, ..ask("find", "c1", &[0], mib(1) + 1) });
-    assert_eq!((told.status(), told.why().contains("bodies.longest")), (413, true), "{told:?}");
-    served(&site.ask(&ask("find", "c2", &[0], mib(1))), &ask("find", "c2", &[0], mib(1)));
-    assert_eq!(site.nodes[0].frames().0, 1);
+    let site = site(&[BodyNodeBehavior::Serve], &kdl);
+    let told = site.send(&BodyRequest { chunked, ..body_request("find", "c1", &[0], mib_bytes(1) + 1) });
+    assert_eq!((told.status(), told.error_text().contains("bodies.longest")), (413, true), "{told:?}");
+    served(
+        &site.send(&body_request("find", "c2", &[0], mib_bytes(1))),
+        &body_request("find", "c2", &[0], mib_bytes(1)),
+    );
+    assert_eq!(site.nodes[0].frame_counts().complete, 1);
 }
 
 #[rstest]
@@ -114,95 +119,107 @@
 #[case::exponent("1=1e0", "no such shard")]
 #[case::hole("1=0.5,,2=0.5", "no such shard")]
 fn header_parts_are_validated(#[case] buckets: &str, #[case] named: &str) {
-    let site = site(&[Manner::Serve], KDL);
-    let head = ask("find", "c1", &[0], 4).head().replace("0=1.000000", buckets);
+    let site = site(&[BodyNodeBehavior::Serve], KDL);
+    let head = body_request("find", "c1", &[0], 4).head().replace("0=1.000000", buckets);
     let mut client = Client::connect(&site.broker);
     client.send(&(head + "text"));
     let answer = client.read_answer().unwrap();
     let why = answer.body["error"].as_str().unwrap();
     assert!(answer.status == 400 && why.starts_with("X-Buckets") && why.contains(named), "{answer:?}");
-    assert_eq!(site.nodes[0].frames().0, 0);
+    assert_eq!(site.nodes[0].frame_counts().complete, 0);
 }
 
 /// Switched off, nothing of it is there: the header is one of those that nobody reads.
 #[test]
 fn raw_form_is_off_by_default() {
-    let site = site(&[Manner::Serve], "log form=\"text\"");
+    let site = site(&[BodyNodeBehavior::Serve], "log form=\"text\"");
     let mut client = Client::connect(&site.broker);
-    client.send(&(ask("find", "c1", &[0], 4).head() + "text"));
+    client.send(&(body_request("find", "c1", &[0], 4).head() + "text"));
     assert_eq!(client.read_answer().unwrap().status, 400);
     client = Client::connect(&site.broker);
-    client.send(&ask("find", "c1", &[0], 100_000).head());
+    client.send(&body_request("find", "c1", &[0], 100_000).head());
     assert_eq!(client.read_answer().unwrap().status, 413);
 }
 
 // ---- retries
 
 #[rstest]
-#[case::memory(mib(1))]
-#[case::file(mib(4))]
+#[case::memory(mib_bytes(1))]
+#[case::file(mib_bytes(4))]
 fn buffered_body_is_retried(
     #[case] length: u64,
-    #[values(Manner::Fault, Manner::Close, Manner::CloseHalf, Manner::Refuse, Manner::RefuseHalf)]
-    manner: Manner,
+    #[values(
+        BodyNodeBehavior::Fault,
+        BodyNodeBehavior::Close,
+        BodyNodeBehavior::CloseMidFrame,
+        BodyNodeBehavior::Refuse,
+        BodyNodeBehavior::RefuseMidFrame
+    )]
+    manner: BodyNodeBehavior,
 ) {
-    let site = site(&[manner, Manner::Serve], KDL);
+    let site = site(&[manner, BodyNodeBehavior::Serve], KDL);
     for i in 0..3 {
-        let ask = ask("find", &format!("c{i}"), &[0, 1], length);
-        served(&site.ask(&ask), &ask);
+        let ask = body_request("find", &format!("c{i}"), &[0, 1], length);
+        served(&site.send(&ask), &ask);
     }
-    let (whole, halves, _) = site.nodes[0].frames();
-    assert!(whole + halves > 0);
+    let frames = site.nodes[0].frame_counts();
+    assert!(frames.complete + frames.partial > 0);
 }
 
 #[rstest]
-#[case::fault(Manner::Fault)]
-#[case::close(Manner::Close)]
-#[case::close_half(Manner::CloseHalf)]
-fn streamed_body_is_not_retried(#[case] manner: Manner) {
+#[case::fault(BodyNodeBehavior::Fault)]
+#[case::close(BodyNodeBehavior::Close)]
+#[case::close_half(BodyNodeBehavior::CloseMidFrame)]
+fn streamed_body_is_not_retried(#[case] manner: BodyNodeBehavior) {
     let site = site(&[manner], KDL);
-    let told = site.ask(&ask("find", "c1", &[0], mib(9)));
+    let told = site.send(&body_request("find", "c1", &[0], mib_bytes(9)));
     assert_eq!(told.status(), 429, "{told:?}");
-    assert!(told.why().contains("not kept") && told.why().contains("bodies.files.one"), "{told:?}");
-    assert!(told.took < 5.0, "{told:?}");
-    let (whole, halves, _) = site.nodes[0].frames();
-    assert_eq!(whole + halves, 1);
+    assert!(
+        told.error_text().contains("not kept") && told.error_text().contains("bodies.files.one"),
+        "{told:?}"
+    );
+    assert!(told.elapsed_seconds < 5.0, "{told:?}");
+    let frames = site.nodes[0].frame_counts();
+    assert_eq!(frames.complete + frames.partial, 1);
 }
 
 /// Known never to have run it may go again, and its body is still there for that.
 #[rstest]
-#[case::refused(Manner::Refuse)]
-#[case::refused_after_half(Manner::RefuseHalf)]
-fn rejected_non_idempotent_part_is_retried(#[case] manner: Manner, #[values(mib(1), mib(4))] length: u64) {
-    let site = site(&[manner, Manner::Serve], KDL);
+#[case::refused(BodyNodeBehavior::Refuse)]
+#[case::refused_after_half(BodyNodeBehavior::RefuseMidFrame)]
+fn rejected_non_idempotent_part_is_retried(
+    #[case] manner: BodyNodeBehavior,
+    #[values(mib_bytes(1), mib_bytes(4))] length: u64,
+) {
+    let site = site(&[manner, BodyNodeBehavior::Serve], KDL);
     let mut met = 0;
     for i in 0..6 {
-        let ask = ask("fix", &format!("c{i}"), &[0], length);
-        served(&site.ask(&ask), &ask);
-        met += usize::from(site.nodes[0].frames().0 + site.nodes[0].frames().1 > 0);
+        let ask = body_request("fix", &format!("c{i}"), &[0], length);
+        served(&site.send(&ask), &ask);
+        met += usize::from(site.nodes[0].frame_counts().complete + site.nodes[0].frame_counts().partial > 0);
     }
     assert!(met > 0);
-    assert_eq!(twice(&site.nodes, |_| true), Vec::<String>::new());
+    assert_eq!(repeated_parts(&site.nodes, |_| true), Vec::<String>::new());
 }
 
 /// How much of the frame had left us when the node closed decides: all of it, and it may have run.
 #[test]
 fn mid_frame_close_never_runs_twice() {
-    let site = site(&[Manner::CloseHalf, Manner::Serve], KDL);
+    let site = site(&[BodyNodeBehavior::CloseMidFrame, BodyNodeBehavior::Serve], KDL);
     for i in 0..6 {
-        let told = site.ask(&ask("fix", &format!("c{i}"), &[0], mib(7)));
+        let told = site.send(&body_request("fix", &format!("c{i}"), &[0], mib_bytes(7)));
         assert!(matches!(told.status(), 200 | 502), "{told:?}");
     }
-    assert_eq!(twice(&site.nodes, |_| true), Vec::<String>::new());
+    assert_eq!(repeated_parts(&site.nodes, |_| true), Vec::<String>::new());
 }
 
 #[test]
 fn possibly_executed_part_is_not_retried() {
-    let site = site(&[Manner::Close, Manner::Close], KDL);
-    let told = site.ask(&ask("fix", "c1", &[0], mib(4)));
+    let site = site(&[BodyNodeBehavior::Close, BodyNodeBehavior::Close], KDL);
+    let told = site.send(&body_request("fix", "c1", &[0], mib_bytes(4)));
     assert_eq!(told.status(), 502, "{told:?}");
-    assert!(told.took < 5.0);
-    assert_eq!(site.nodes.iter().map(|node| node.frames().0).sum::<usize>(), 1);
+    assert!(told.elapsed_seconds < 5.0);
+    assert_eq!(site.nodes.iter().map(|node| node.frame_counts().complete).sum::<usize>(), 1);
 }
 
 // ---- the disk
@@ -217,39 +234,42 @@
 #[case::short("short", "the disk takes only a part")]
 #[case::stalled("stall 3", "the disk is too slow")]
 fn failing_disk_streams_body(#[case] words: &str, #[case] reason: &str) {
-    let site = site(&[Manner::Serve; 2], KDL);
-    site.disk(words);
-    let first = ask("find", "c1", &[0, 1], mib(4));
-    served(&site.ask(&first), &first);
+    let site = site(&[BodyNodeBehavior::Serve; 2], KDL);
+    site.set_disk_fault(words);
+    let first = body_request("find", "c1", &[0, 1], mib_bytes(4));
+    served(&site.send(&first), &first);
     assert!(logged(&site, &format!("not file, find, {reason}: 1")), "{}", site.broker.log_text());
     // Meanwhile it rests, and nobody waits for it.
-    let second = ask("find", "c2", &[0, 1], mib(4));
-    let told = site.ask(&second);
+    let second = body_request("find", "c2", &[0, 1], mib_bytes(4));
+    let told = site.send(&second);
     served(&told, &second);
-    site.disk("");
+    site.set_disk_fault("");
     thread::sleep(Duration::from_secs_f64(if words.starts_with("stall") { 4.0 } else { 1.2 }));
-    let third = ask("find", "c3", &[0, 1], mib(4));
-    served(&site.ask(&third), &third);
+    let third = body_request("find", "c3", &[0, 1], mib_bytes(4));
+    served(&site.send(&third), &third);
     assert!(logged(&site, "files=0 "), "{}", site.broker.log_text());
 }
 
 #[test]
 fn short_writes_complete() {
-    let site = site(&[Manner::Fault, Manner::Serve], KDL);
-    site.disk("little");
-    let ask = ask("find", "c1", &[0, 1], mib(2));
-    served(&site.ask(&ask), &ask);
+    let site = site(&[BodyNodeBehavior::Fault, BodyNodeBehavior::Serve], KDL);
+    site.set_disk_fault("little");
+    let ask = body_request("find", "c1", &[0, 1], mib_bytes(2));
+    served(&site.send(&ask), &ask);
 }
 
 /// It fills when a part is written: that part is read back from there, and the rest passes.
 #[test]
 fn disk_filling_midway_loses_nothing() {
-    let site = site(&[Manner::Serve; 2], KDL);
-    let ask = Ask { pace: Some(mib(4)), ..ask("find", "c1", &[0, 1], mib(4)) };
+    let site = site(&[BodyNodeBehavior::Serve; 2], KDL);
+    let ask = BodyRequest {
+        bytes_per_second: Some(mib_bytes(4)),
+        ..body_request("find", "c1", &[0, 1], mib_bytes(4))
+    };
     let (told, asked) = thread::scope(|scope| {
-        let asking = scope.spawn(|| site.ask(&ask));
+        let asking = scope.spawn(|| site.send(&ask));
         thread::sleep(Duration::from_millis(400));
-        site.disk("full");
+        site.set_disk_fault("full");
         (asking.join().unwrap(), &ask)
     });
     served(&told, asked);
@@ -259,13 +279,13 @@
 /// The first dispatch reads the file; when that fails there is nothing to send, and nothing hangs.
 #[test]
 fn unreadable_spill_file_fails_query() {
-    let site = site(&[Manner::Serve; 2], KDL);
-    site.disk("unreadable");
-    let told = site.ask(&ask("find", "c1", &[0, 1], mib(4)));
+    let site = site(&[BodyNodeBehavior::Serve; 2], KDL);
+    site.set_disk_fault("unreadable");
+    let told = site.send(&body_request("find", "c1", &[0, 1], mib_bytes(4)));
     assert_eq!(told.status(), 429, "{told:?}");
-    assert!(told.why().contains("cannot be read back"), "{told:?}");
-    assert!(told.took < 5.0, "{told:?}");
-    assert_eq!(site.nodes.iter().map(|node| node.frames().0).sum::<usize>(), 0);
+    assert!(told.error_text().contains("cannot be read back"), "{told:?}");
+    assert!(told.elapsed_seconds < 5.0, "{told:?}");
+    assert_eq!(site.nodes.iter().map(|node| node.frame_counts().complete).sum::<usize>(), 0);
 }
 
 /// The memory is pressed while dispatches are out: the coldest bodies go to files and are still there for a retry.
@@ -275,16 +295,17 @@
         .replace("one=\"1MiB\" all=\"16MiB\"", "one=\"4MiB\" all=\"16MiB\"")
         .replace("customer=0.5", "customer=1.0")
         .replace("table-type=0.75", "table-type=1.0");
-    let site = site(&[Manner::Hold, Manner::Hold], &kdl);
-    let asks: Vec<_> = (0..4).map(|i| ask("find", &format!("c{i}"), &[0], mib(4) - 1)).collect();
+    let site = site(&[BodyNodeBehavior::HoldThenFail, BodyNodeBehavior::HoldThenFail], &kdl);
+    let asks: Vec<_> =
+        (0..4).map(|i| body_request("find", &format!("c{i}"), &[0], mib_bytes(4) - 1)).collect();
     thread::scope(|scope| {
-        let asking: Vec<_> = asks.iter().map(|ask| scope.spawn(|| site.ask(ask))).collect();
+        let asking: Vec<_> = asks.iter().map(|ask| scope.spawn(|| site.send(ask))).collect();
         assert!(
             logged(&site, "files=4194303") || logged(&site, "files=8388606"),
             "{}",
             site.broker.log_text()
         );
-        site.nodes.iter().for_each(|node| node.behave(Manner::Serve));
+        site.nodes.iter().for_each(|node| node.set_behavior(BodyNodeBehavior::Serve));
         for (asking, ask) in asking.into_iter().zip(&asks) {
             served(&asking.join().unwrap(), ask);
         }
@@ -294,30 +315,33 @@
 // ---- clients
 
 #[rstest]
-#[case::in_memory(mib(1))]
-#[case::to_a_file(mib(4))]
-#[case::passing(mib(9))]
+#[case::in_memory(mib_bytes(1))]
+#[case::to_a_file(mib_bytes(4))]
+#[case::passing(mib_bytes(9))]
 fn disconnect_frees_body(#[case] length: u64) {
-    let site = site(&[Manner::Serve; 2], KDL);
+    let site = site(&[BodyNodeBehavior::Serve; 2], KDL);
     for i in 0..8 {
-        site.ask(&Ask { leave_after: Some(length / 2), ..ask("find", &format!("c{i}"), &[0, 1], length) });
+        site.send(&BodyRequest {
+            disconnect_after_bytes: Some(length / 2),
+            ..body_request("find", &format!("c{i}"), &[0, 1], length)
+        });
     }
     thread::sleep(Duration::from_millis(300));
     assert!(logged(&site, "bodies=0 kept=0 "), "{}", site.broker.log_text());
-    assert_eq!(site.nodes.iter().map(|node| node.frames().0).sum::<usize>(), 0);
-    assert_eq!(site.files(), 0);
-    let ask = ask("find", "after", &[0, 1], length);
-    served(&site.ask(&ask), &ask);
+    assert_eq!(site.nodes.iter().map(|node| node.frame_counts().complete).sum::<usize>(), 0);
+    assert_eq!(site.spill_file_count(), 0);
+    let ask = body_request("find", "after", &[0, 1], length);
+    served(&site.send(&ask), &ask);
 }
 
 /// It has sent all and leaves while its retry is read from the file.
 #[test]
 fn disconnect_during_retry_frees_body() {
-    let site = site(&[Manner::Fault, Manner::Slow(mib(1))], KDL);
-    let ask = ask("find", "c1", &[0], mib(4));
+    let site = site(&[BodyNodeBehavior::Fault, BodyNodeBehavior::BytesPerSecond(mib_bytes(1))], KDL);
+    let ask = body_request("find", "c1", &[0], mib_bytes(4));
     let mut stream = TcpStream::connect(site.broker.address).unwrap();
     stream.write_all(ask.head().as_bytes()).unwrap();
-    stream.write_all(&vec![7; ask.length as usize]).unwrap();
+    stream.write_all(&vec![7; ask.body_bytes as usize]).unwrap();
     thread::sleep(Duration::from_millis(600));
     drop(stream);
     thread::sleep(Duration::from_millis(500));
@@ -328,10 +352,15 @@
 /// A byte a second: its own time ends it, and nobody else notices.
 #[test]
 fn trickling_client_times_out() {
-    let site = site(&[Manner::Serve; 2], KDL);
+    let site = site(&[BodyNodeBehavior::Serve; 2], KDL);
     thread::scope(|scope| {
-        let slow = scope
-            .spawn(|| site.ask(&Ask { pace: Some(20), budget: 1.5, ..ask("find", "slow", &[0], mib(1)) }));
+        let slow = scope.spawn(|| {
+            site.send(&BodyRequest {
+                bytes_per_second: Some(20),
+                budget_seconds: 1.5,
+                ..body_request("find", "slow", &[0], mib_bytes(1))
+            })
+        });
         let mut client = Client::connect(&site.broker);
         for i in 0..20 {
             let answer = client.request(&query_request("find", &format!("c{i}"), &[0], "20.0"));
@@ -346,11 +375,14 @@
 /// One that passes holds connections to nodes of its own; the others have theirs.
 #[test]
 fn slow_streamed_body_blocks_nobody() {
-    let site = site(&[Manner::Serve; 2], KDL);
+    let site = site(&[BodyNodeBehavior::Serve; 2], KDL);
     thread::scope(|scope| {
-        let slow = Ask { pace: Some(mib(2)), ..ask("find", "slow", &[0, 1], mib(9)) };
+        let slow = BodyRequest {
+            bytes_per_second: Some(mib_bytes(2)),
+            ..body_request("find", "slow", &[0, 1], mib_bytes(9))
+        };
         let site = &site;
-        let asking = scope.spawn(move || served(&site.ask(&slow), &slow));
+        let asking = scope.spawn(move || served(&site.send(&slow), &slow));
         thread::sleep(Duration::from_millis(300));
         let mut client = Client::connect(&site.broker);
         for i in 0..50 {
@@ -366,12 +398,12 @@
 /// The slowest node sets the pace up to a limit; then its part, which never ran, is cut off.
 #[test]
 fn a_node_that_takes_nothing_of_a_passing_body_is_cut_off() {
-    let site = site(&[Manner::Stuck, Manner::Serve], NO_FILES);
+    let site = site(&[BodyNodeBehavior::StopReading, BodyNodeBehavior::Serve], NO_FILES);
     let mut cut = 0;
     for i in 0..4 {
-        let told = site.ask(&ask("find", &format!("c{i}"), &[0, 1], mib(15)));
+        let told = site.send(&body_request("find", &format!("c{i}"), &[0, 1], mib_bytes(15)));
         // Not cut off it would be its client's whole 20 s.
-        assert!(told.took < 15.0, "{told:?}");
+        assert!(told.elapsed_seconds < 15.0, "{told:?}");
         cut += usize::from(told.status() == 429);
         assert!(matches!(told.status(), 200 | 429), "{told:?}");
     }
@@ -383,9 +415,9 @@
 /// answer only when the broker gave up waiting for it, 30 s later.
 #[test]
 fn a_client_rejected_before_a_full_body_is_taken_gets_its_answer() {
-    let site = site(&[Manner::Stuck], NO_FILES);
+    let site = site(&[BodyNodeBehavior::StopReading], NO_FILES);
     let rejected_at_once = || {
-        let told = site.ask(&ask("find", "first", &[0], mib(1) + 1));
+        let told = site.send(&body_request("find", "first", &[0], mib_bytes(1) + 1));
         assert_eq!(told.status(), 429, "{told:?}");
         site.broker.log_text().contains("is ejected")
     };
@@ -394,13 +426,14 @@
         // What arrives while the broker stands still is read at once when it goes on: more than the body may hold.
         site.broker.signal("STOP");
         let told = thread::scope(|scope| {
-            let asked = scope.spawn(|| site.ask(&ask("find", &format!("c{i}"), &[0], mib(15))));
+            let asked =
+                scope.spawn(|| site.send(&body_request("find", &format!("c{i}"), &[0], mib_bytes(15))));
             thread::sleep(Duration::from_millis(100));
             site.broker.signal("CONT");
             asked.join().unwrap()
         });
         assert_eq!(told.status(), 429, "{told:?}");
-        assert!(told.took < 15.0, "{told:?}");
+        assert!(told.elapsed_seconds < 15.0, "{told:?}");
     }
 }
 
@@ -412,14 +445,17 @@
     // 480 MiB that the broker's one loop has to move: by the usual clocks it finds connections to nodes too late, takes
     // nodes for too slow, and refuses what does not run. Here no clock is in the way of what the bound is about.
     let kdl = kdl.replace("slowest 1.0", "slowest 20.0");
-    let site = patient(&[Manner::Serve; 3], &kdl);
+    let site = patient(&[BodyNodeBehavior::Serve; 3], &kdl);
     let told: Vec<_> = thread::scope(|scope| {
-        let asks = (0..60).map(|i| Ask { budget: 50.0, ..ask("find", &format!("c{i}"), &[0, 1], mib(8)) });
+        let asks = (0..60).map(|i| BodyRequest {
+            budget_seconds: 50.0,
+            ..body_request("find", &format!("c{i}"), &[0, 1], mib_bytes(8))
+        });
         let asking: Vec<_> = asks
             .map(|ask| {
                 scope.spawn({
                     let site = &site;
-                    move || site.ask(&ask)
+                    move || site.send(&ask)
                 })
             })
             .collect();
@@ -428,26 +464,34 @@
     assert!(told.iter().all(|t| matches!(t.status(), 200 | 429 | 503)), "{told:?}");
     assert!(told.iter().filter(|t| t.status() == 200).count() >= 5, "{told:?}");
     let refused: Vec<_> = told.iter().filter(|t| t.status() == 503).collect();
-    let head = |t: &Told| t.answer.as_ref().unwrap().head.contains("Retry-After: ");
-    assert!(refused.iter().all(|t| head(t) && t.why().starts_with("body: ")), "{refused:?}");
-    assert!((1..mib(16 + 2)).contains(&site.peak()), "{} MiB", site.peak() / mib(1));
+    let head = |t: &BodyOutcome| t.answer.as_ref().unwrap().head.contains("Retry-After: ");
+    assert!(refused.iter().all(|t| head(t) && t.error_text().starts_with("body: ")), "{refused:?}");
+    assert!(
+        (1..mib_bytes(16 + 2)).contains(&site.peak_memory_bytes()),
+        "{} MiB",
+        site.peak_memory_bytes() / mib_bytes(1)
+    );
 }
 
 /// Half of the memory is one customer's at most: the other's scans are kept, and served where a node fails.
 #[test]
 fn flood_leaves_room_for_other_tenant() {
     let kdl = NO_FILES.replace("all=\"16MiB\"", "all=\"8MiB\"");
-    let site = site(&[Manner::Hang, Manner::Hang], &kdl);
+    let site = site(&[BodyNodeBehavior::Hang, BodyNodeBehavior::Hang], &kdl);
     thread::scope(|scope| {
         let site = &site;
-        let flood = (0..12).map(|i| Ask { budget: 6.0, ..ask("find", &format!("f{i}"), &[0], mib(1)) });
-        let flood: Vec<_> = flood.map(|ask| scope.spawn(move || site.ask(&ask))).collect();
+        let flood = (0..12).map(|i| BodyRequest {
+            budget_seconds: 6.0,
+            ..body_request("find", &format!("f{i}"), &[0], mib_bytes(1))
+        });
+        let flood: Vec<_> = flood.map(|ask| scope.spawn(move || site.send(&ask))).collect();
         assert!(logged(site, "the customer's share of bodies.memory.all is used up"));
-        site.nodes[1].behave(Manner::Serve);
-        site.nodes[0].behave(Manner::Fault);
+        site.nodes[1].set_behavior(BodyNodeBehavior::Serve);
+        site.nodes[0].set_behavior(BodyNodeBehavior::Fault);
         for i in 0..3 {
-            let ask = Ask { customer: "right", ..ask("find", &format!("r{i}"), &[0], mib(1)) };
-            let told = site.ask(&ask);
+            let ask =
+                BodyRequest { tenant: "right", ..body_request("find", &format!("r{i}"), &[0], mib_bytes(1)) };
+            let told = site.send(&ask);
             served(&told, &ask);
         }
         flood.into_iter().for_each(|asking| drop(asking.join().unwrap()));
@@ -458,8 +502,11 @@
 
 #[test]
 fn shutdown_answers_and_leaves_no_file() {
-    let mut site = site(&[Manner::Serve; 2], KDL);
-    let ask = Ask { pace: Some(mib(4)), ..ask("find", "c1", &[0, 1], mib(4)) };
+    let mut site = site(&[BodyNodeBehavior::Serve; 2], KDL);
+    let ask = BodyRequest {
+        bytes_per_second: Some(mib_bytes(4)),
+        ..body_request("find", "c1", &[0, 1], mib_bytes(4))
+    };
     let address = site.broker.address;
     let asking = thread::spawn({
         let ask = ask.clone();
@@ -475,51 +522,51 @@
 /// What a killed broker leaves is swept by the next one, and nothing else in the folder.
 #[test]
 fn leftover_files_are_swept() {
-    let first = site(&[Manner::Serve], KDL);
+    let first = site(&[BodyNodeBehavior::Serve], KDL);
     let left = first.folder.join("dunepond-lab0-3.body");
     let owner = first.folder.join("dunepond-lab0.owner");
     let (theirs, alike) = (first.folder.join("notes.txt"), first.folder.join("dunepond-other.txt"));
     [&left, &owner, &theirs, &alike].iter().for_each(|path| std::fs::write(path, "x").unwrap());
     first.broker.signal("KILL");
     let kdl = KDL.replace("FOLDER", first.folder.to_str().unwrap());
-    let second = site(&[Manner::Serve], &kdl);
+    let second = site(&[BodyNodeBehavior::Serve], &kdl);
     assert!(!left.exists() && !owner.exists() && theirs.exists() && alike.exists());
     let marks = std::fs::read_dir(&first.folder).unwrap().flatten();
     let owners: Vec<_> = marks.filter(|e| e.path().extension().is_some_and(|x| x == "owner")).collect();
     assert_eq!(owners.len(), 1, "{owners:?}");
-    let ask = ask("find", "c1", &[0], mib(4));
-    served(&second.ask(&ask), &ask);
+    let ask = body_request("find", "c1", &[0], mib_bytes(4));
+    served(&second.send(&ask), &ask);
 }
 
 #[test]
 fn brokers_share_folder() {
-    let first = site(&[Manner::Fault, Manner::Serve], KDL);
+    let first = site(&[BodyNodeBehavior::Fault, BodyNodeBehavior::Serve], KDL);
     let kdl = KDL.replace("FOLDER", first.folder.to_str().unwrap());
-    let second = site(&[Manner::Fault, Manner::Serve], &kdl);
+    let second = site(&[BodyNodeBehavior::Fault, BodyNodeBehavior::Serve], &kdl);
     for i in 0..3 {
         for site in [&first, &second] {
-            let ask = ask("find", &format!("c{i}"), &[0, 1], mib(4));
-            served(&site.ask(&ask), &ask);
+            let ask = body_request("find", &format!("c{i}"), &[0, 1], mib_bytes(4));
+            served(&site.send(&ask), &ask);
         }
     }
 }
 
 #[test]
 fn lowered_limit_applies_to_next_body() {
-    let site = site(&[Manner::Hang], KDL);
-    let kept = ask("find", "c1", &[0], mib(4));
+    let site = site(&[BodyNodeBehavior::Hang], KDL);
+    let kept = body_request("find", "c1", &[0], mib_bytes(4));
     thread::scope(|scope| {
-        let asking = scope.spawn(|| site.ask(&kept));
+        let asking = scope.spawn(|| site.send(&kept));
         assert!(logged(&site, "files=4194304"), "{}", site.broker.log_text());
-        site.reread(&KDL.replace("longest \"16MiB\"", "longest \"1MiB\""));
+        site.reload_config(&KDL.replace("longest \"16MiB\"", "longest \"1MiB\""));
         assert!(logged(&site, "operator's file reloaded"));
-        let told = site.ask(&ask("find", "c2", &[0], mib(4)));
-        assert_eq!((told.status(), told.why().contains("bodies.longest")), (413, true), "{told:?}");
-        site.nodes[0].behave(Manner::Serve);
+        let told = site.send(&body_request("find", "c2", &[0], mib_bytes(4)));
+        assert_eq!((told.status(), told.error_text().contains("bodies.longest")), (413, true), "{told:?}");
+        site.nodes[0].set_behavior(BodyNodeBehavior::Serve);
         let told = asking.join().unwrap();
         assert!(matches!(told.status(), 200 | 429), "{told:?}");
     });
-    site.reread("bodies {\n  longst \"1MiB\"\n}");
+    site.reload_config("bodies {\n  longst \"1MiB\"\n}");
     assert!(logged(&site, "operator's file reload failed"), "{}", site.broker.log_text());
     assert!(logged(&site, ":2:3: bodies: 'longst' is not known"), "{}", site.broker.log_text());
 }
