--- a/crates/dunepond-testkit/src/experiments/background.rs
+++ b/crates/dunepond-testkit/src/experiments/background.rs
@@ -11,15 +11,15 @@
 use super::RunOptions;
 use crate::report::{Curve, Figures};
 
-const BUSY: f64 = 0.8;
+const FOREGROUND_LOAD: f64 = 0.8;
 /// What a request takes, and a step of background work.
-const SERVICE: f64 = 500e-6;
-const STEP: f64 = 200e-6;
-const RATIO: f64 = 1.1;
+const SERVICE_SECONDS: f64 = 500e-6;
+const STEP_SECONDS: f64 = 200e-6;
+const MAX_LATENCY_RATIO: f64 = 1.1;
 /// No job waits longer for its first step.
-const STARVED: f64 = 10.0;
+const MAX_WAIT_SECONDS: f64 = 10.0;
 
-struct Ran {
+struct SimulatedRun {
     times: Histogram<u64>,
     /// Steps of each job, and the longest wait for a first one.
     steps: BTreeMap<&'static str, u64>,
@@ -36,7 +36,7 @@
 
 /// One core: requests that have come go first; where none is there, a step may run, and a request that comes in the
 /// middle of it waits for its end.
-fn play(seed: u64, seconds: f64, background: Option<Budget>) -> Ran {
+fn play(seed: u64, seconds: f64, background: Option<Budget>) -> SimulatedRun {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut scheduler = background.map(|budget| {
         let mut scheduler = Scheduler::new(budget, seed);
@@ -44,9 +44,9 @@
         scheduler.add(0.0, spec("endless", Priority::Normal, 0.0));
         scheduler
     });
-    let mut draw = || -(1.0 - rng.random::<f64>()).ln() * SERVICE / BUSY;
+    let mut draw = || -(1.0 - rng.random::<f64>()).ln() * SERVICE_SECONDS / FOREGROUND_LOAD;
     let (mut now, mut next, mut idle_at) = (0.0, draw(), 0.0);
-    let mut ran = Ran {
+    let mut ran = SimulatedRun {
         times: Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds are in order"),
         steps: BTreeMap::new(),
         waited: 0.0,
@@ -55,7 +55,7 @@
     };
     while now < seconds {
         if next <= now {
-            now += SERVICE;
+            now += SERVICE_SECONDS;
             let _ = ran.times.record(((now - next) * 1e6) as u64);
             next += draw();
             continue;
@@ -69,14 +69,19 @@
             }
             let given = scheduler.next(now, true)?;
             let outcome = if given.name == "idle" { Outcome::Done } else { Outcome::Yielded };
-            scheduler.finish(now + STEP, given.id, outcome, ResourceUse { seconds: STEP, bytes: 0 });
+            scheduler.finish(
+                now + STEP_SECONDS,
+                given.id,
+                outcome,
+                ResourceUse { seconds: STEP_SECONDS, bytes: 0 },
+            );
             Some(given.name)
         });
         match step {
             Some(name) => {
                 *ran.steps.entry(name).or_default() += 1;
-                now += STEP;
-                ran.share += STEP / seconds;
+                now += STEP_SECONDS;
+                ran.share += STEP_SECONDS / seconds;
             }
             // Nothing may run before the next request, or the next time at which something is due.
             None => {
@@ -91,14 +96,14 @@
     ran
 }
 
-pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
+pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
-    let seconds = if way.quick { 60.0 } else { 600.0 };
+    let seconds = if options.quick { 60.0 } else { 600.0 };
     let budget = Budget { time_ratio: 0.02, bytes_per_second: 1e6, max_blocking_jobs: 1 };
-    let alone = play(way.seed, seconds, None);
-    let beside = play(way.seed, seconds, Some(budget.clone()));
-    let unbounded = play(way.seed, seconds, Some(Budget { time_ratio: 1.0, ..budget }));
-    let at = |ran: &Ran, q: f64| ran.times.value_at_quantile(q) as f64 / 1e3;
+    let alone = play(options.seed, seconds, None);
+    let beside = play(options.seed, seconds, Some(budget.clone()));
+    let unbounded = play(options.seed, seconds, Some(Budget { time_ratio: 1.0, ..budget }));
+    let at = |ran: &SimulatedRun, q: f64| ran.times.value_at_quantile(q) as f64 / 1e3;
     figures.report("foreground alone, p50", at(&alone, 0.5), "ms, simulated");
     figures.report("foreground alone, p99", at(&alone, 0.99), "ms, simulated");
     figures.report("beside endless work, p99", at(&beside, 0.99), "ms, simulated");
@@ -110,18 +115,18 @@
     figures.report_bounded(
         "p99 beside endless work, against alone",
         at(&beside, 0.99) / at(&alone, 0.99),
-        RATIO,
+        MAX_LATENCY_RATIO,
         "times",
     );
     figures.report_bounded("share of the core for background work", beside.share, 0.021, "");
-    figures.report_bounded("longest wait for a first step", beside.waited, STARVED, "s, simulated");
+    figures.report_bounded("longest wait for a first step", beside.waited, MAX_WAIT_SECONDS, "s, simulated");
     for name in ["endless and urgent", "endless", "idle"] {
         figures.report(format!("steps: {name}"), beside.steps.get(name).copied().unwrap_or(0) as f64, "");
     }
     let jobs = beside.added as f64;
     let done = beside.steps.get("idle").copied().unwrap_or(0) as f64;
-    figures.report_bounded("idle jobs not done", (jobs - done).max(0.0), STARVED / 0.5, "");
-    let curve = |name: &str, ran: &Ran| {
+    figures.report_bounded("idle jobs not done", (jobs - done).max(0.0), MAX_WAIT_SECONDS / 0.5, "");
+    let curve = |name: &str, ran: &SimulatedRun| {
         let points = (0..=100).map(|i| (i as f64, at(ran, i as f64 / 100.0)));
         Curve { name: name.to_string(), points: points.collect() }
     };
--- a/crates/dunepond-testkit/src/experiments/bodies.rs
+++ b/crates/dunepond-testkit/src/experiments/bodies.rs
@@ -40,39 +40,45 @@
     )
 }
 
-fn site(way: &RunOptions, manners: &[BodyNodeBehavior], files: bool, memory_one: &str) -> BodyCluster {
-    let nodes = manners.iter().enumerate().map(|(i, manner)| Node::start(&format!("s-{i}"), *manner));
-    let mut site = BodyCluster::start(&way.program, nodes.collect(), &kdl(files, memory_one));
-    site.broker.suppress_log = true;
-    site
+fn cluster(
+    options: &RunOptions,
+    behaviors: &[BodyNodeBehavior],
+    files: bool,
+    memory_one: &str,
+) -> BodyCluster {
+    let nodes = behaviors.iter().enumerate().map(|(i, behavior)| Node::start(&format!("s-{i}"), *behavior));
+    let mut cluster = BodyCluster::start(&options.program, nodes.collect(), &kdl(files, memory_one));
+    cluster.broker.suppress_log = true;
+    cluster
 }
 
 /// Sends all of these at once and waits for what each comes to.
-fn together(site: &BodyCluster, asks: &[BodyRequest]) -> Vec<BodyOutcome> {
+fn together(cluster: &BodyCluster, requests: &[BodyRequest]) -> Vec<BodyOutcome> {
     thread::scope(|scope| {
-        let asking: Vec<_> = asks.iter().map(|ask| scope.spawn(move || site.send(ask))).collect();
+        let asking: Vec<_> =
+            requests.iter().map(|request| scope.spawn(move || cluster.send(request))).collect();
         asking.into_iter().map(|asking| asking.join().expect("a client does not panic")).collect()
     })
 }
 
 /// What broke a rule: no answer where one was owed, one that came late, or one that no broker gives.
-fn broken(asks: &[BodyRequest], told: &[BodyOutcome]) -> usize {
-    let broke = |ask: &BodyRequest, told: &BodyOutcome| {
-        let left = ask.disconnect_after_bytes.is_some();
-        let known = [200, 408, 413, 429, 502, 503].contains(&told.status());
-        !left && (!known || told.elapsed_seconds > ask.budget_seconds + ACCEPTED)
+fn broken(requests: &[BodyRequest], outcomes: &[BodyOutcome]) -> usize {
+    let broke = |request: &BodyRequest, outcome: &BodyOutcome| {
+        let left = request.disconnect_after_bytes.is_some();
+        let known = [200, 408, 413, 429, 502, 503].contains(&outcome.status());
+        !left && (!known || outcome.elapsed_seconds > request.budget_seconds + ACCEPTED)
     };
-    let broken = asks.iter().zip(told).filter(|(ask, told)| broke(ask, told));
-    broken.inspect(|(ask, told)| eprintln!("{}: {told:?}", ask.id)).count()
+    let broken = requests.iter().zip(outcomes).filter(|(request, outcome)| broke(request, outcome));
+    broken.inspect(|(request, outcome)| eprintln!("{}: {outcome:?}", request.id)).count()
 }
 
 struct Case {
     name: &'static str,
     files: bool,
     memory_one: &'static str,
-    manners: [BodyNodeBehavior; 3],
+    behaviors: [BodyNodeBehavior; 3],
     disk: &'static str,
-    asks: Vec<BodyRequest>,
+    requests: Vec<BodyRequest>,
 }
 
 fn cases(quick: bool) -> Vec<Case> {
@@ -81,8 +87,14 @@
     let find = |length: u64| move |i: usize| body_request("find", &format!("c{i}"), &[0, 1], length);
     let fix = |length: u64| move |i: usize| body_request("fix", &format!("c{i}"), &[i % 6], length);
     let serve = [BodyNodeBehavior::Serve; 3];
-    let case =
-        |name, files, memory_one, manners, disk, asks| Case { name, files, memory_one, manners, disk, asks };
+    let case = |name, files, memory_one, behaviors, disk, requests| Case {
+        name,
+        files,
+        memory_one,
+        behaviors,
+        disk,
+        requests,
+    };
     vec![
         case("8 MiB each, no files", false, "8MiB", serve, "", of(many, &find(mib_bytes(8)))),
         case("8 MiB each, files", true, "8MiB", serve, "", of(many, &find(mib_bytes(8)))),
@@ -137,24 +149,24 @@
 }
 
 /// Sends bodies of 64 MiB one after the other until it is to stop; how many were served.
-fn stream(site: &BodyCluster, prefix: &str, stop: &AtomicBool, served: &AtomicU64) {
+fn stream(cluster: &BodyCluster, prefix: &str, stop: &AtomicBool, served: &AtomicU64) {
     for i in 0.. {
         if stop.load(Ordering::Relaxed) {
             return;
         }
         // 128 MB a second: a client on a fast network, not one on this machine's loopback.
-        let ask = BodyRequest {
+        let request = BodyRequest {
             bytes_per_second: Some(128_000_000),
             ..body_request("find", &format!("{prefix}{i}"), &[0, 1], mib_bytes(64))
         };
-        served.fetch_add(u64::from(site.send(&ask).status() == 200), Ordering::Relaxed);
+        served.fetch_add(u64::from(cluster.send(&request).status() == 200), Ordering::Relaxed);
     }
 }
 
-fn beside(way: &RunOptions, figures: &mut Figures) -> anyhow::Result<()> {
+fn beside(options: &RunOptions, figures: &mut Figures) -> anyhow::Result<()> {
     // In rounds, of which the middle one counts: a hiccup of the machine in one stretch is not the broker's.
-    let (rounds, seconds) = if way.quick { (3, 1.0) } else { (7, 2.0) };
-    let site = site(way, &[BodyNodeBehavior::Serve; 3], true, "1MiB");
+    let (rounds, seconds) = if options.quick { (3, 1.0) } else { (7, 2.0) };
+    let cluster = cluster(options, &[BodyNodeBehavior::Serve; 3], true, "1MiB");
     let ids = Mutex::new(0);
     let load = |seed: u64| {
         let prefix = {
@@ -163,7 +175,7 @@
             &*Box::leak(format!("s{number}-").into_boxed_str())
         };
         Load {
-            to: site.broker.address,
+            to: cluster.broker.address,
             requests_per_second: 400.0,
             duration_seconds: seconds,
             seed,
@@ -171,46 +183,46 @@
         }
         .run()
     };
-    load(way.seed);
+    load(options.seed);
     let with = |disk: &str, seed: u64| -> (LoadReport, u64) {
         let (stop, served) = (AtomicBool::new(false), AtomicU64::new(0));
-        site.set_disk_fault(disk);
-        let went = thread::scope(|scope| {
+        cluster.set_disk_fault(disk);
+        let load_report = thread::scope(|scope| {
             let prefix = format!("{seed}{}-", if disk.is_empty() { "f" } else { "d" });
             let (stop, served) = (&stop, &served);
-            let site = &site;
-            scope.spawn(move || stream(site, &prefix, stop, served));
+            let cluster = &cluster;
+            scope.spawn(move || stream(cluster, &prefix, stop, served));
             // Stalled for 2 s at a time, and well in between.
             let stalling = scope.spawn(|| {
                 while !disk.is_empty() && !stop.load(Ordering::Relaxed) {
                     thread::sleep(Duration::from_millis(500));
-                    site.set_disk_fault("");
+                    cluster.set_disk_fault("");
                     thread::sleep(Duration::from_millis(500));
-                    site.set_disk_fault(disk);
+                    cluster.set_disk_fault(disk);
                 }
             });
-            let went = load(seed);
+            let load_report = load(seed);
             stop.store(true, Ordering::Relaxed);
             let _ = stalling.join();
-            site.set_disk_fault("");
-            went
+            cluster.set_disk_fault("");
+            load_report
         });
-        (went, served.into_inner())
+        (load_report, served.into_inner())
     };
     let (mut alone, mut files, mut stalls, mut served) = (Vec::new(), Vec::new(), Vec::new(), 0);
     for round in 0..rounds {
-        let seed = way.seed + 10 * round;
+        let seed = options.seed + 10 * round;
         alone.push(load(seed));
-        let (went, count) = with("", seed + 1);
-        files.push(went);
+        let (load_report, count) = with("", seed + 1);
+        files.push(load_report);
         served += count;
-        let (went, count) = with("stall 2", seed + 2);
-        stalls.push(went);
+        let (load_report, count) = with("stall 2", seed + 2);
+        stalls.push(load_report);
         served += count;
     }
     ensure!(served > 0, "no body of 64 MiB was served beside the small scans");
     let middle = |all: &[LoadReport]| {
-        let mut at: Vec<_> = all.iter().map(|went| went.latency_seconds(0.99)).collect();
+        let mut at: Vec<_> = all.iter().map(|load_report| load_report.latency_seconds(0.99)).collect();
         at.sort_by(f64::total_cmp);
         (at[at.len() / 2], at[at.len() - 1])
     };
@@ -225,10 +237,10 @@
     figures.report_bounded("p99 beside files, against alone", beside / base, RATIO, "times");
     figures.report_bounded("p99 beside a stalling disk, against alone", stalled / base, RATIO, "times");
     let all = || alone.iter().chain(&files).chain(&stalls);
-    let lost: u64 = all().map(|went| went.failed + went.rejected).sum();
+    let lost: u64 = all().map(|load_report| load_report.failed + load_report.rejected).sum();
     figures.report_bounded("small scans lost or refused", lost as f64, 0.0, "");
-    let curve = |name: &str, went: &LoadReport| {
-        let points = (0..=100).map(|i| (i as f64, 1e3 * went.latency_seconds(i as f64 / 100.0)));
+    let curve = |name: &str, load_report: &LoadReport| {
+        let points = (0..=100).map(|i| (i as f64, 1e3 * load_report.latency_seconds(i as f64 / 100.0)));
         Curve { name: name.to_string(), points: points.collect() }
     };
     let curves =
@@ -238,17 +250,17 @@
 }
 
 /// Bytes copied into frames for each part of a kept body, by the broker's own counter.
-fn copies(way: &RunOptions, figures: &mut Figures) {
-    let site = site(way, &[BodyNodeBehavior::Serve; 3], true, "8MiB");
-    let asks: Vec<_> =
+fn copies(options: &RunOptions, figures: &mut Figures) {
+    let cluster = cluster(options, &[BodyNodeBehavior::Serve; 3], true, "8MiB");
+    let requests: Vec<_> =
         (0..8).map(|i| body_request("find", &format!("c{i}"), &[0, 1, 2, 3, 4, 5], mib_bytes(4))).collect();
-    let told: Vec<_> = asks.iter().map(|ask| site.send(ask)).collect();
+    let outcomes: Vec<_> = requests.iter().map(|request| cluster.send(request)).collect();
     thread::sleep(Duration::from_millis(500));
-    let said = site.broker.log_text();
+    let said = cluster.broker.log_text();
     let last =
         said.lines().rev().find_map(|line| line.split_once("copied_into_frames=")?.1.split(' ').next());
     let copied = last.and_then(|count| count.parse::<f64>().ok()).unwrap_or(f64::MAX);
-    let parts = told.iter().filter(|told| told.status() == 200).count() * 6;
+    let parts = outcomes.iter().filter(|outcome| outcome.status() == 200).count() * 6;
     figures.report_bounded(
         "bytes copied for each part of a kept body of 4 MiB",
         copied / parts.max(1) as f64,
@@ -257,32 +269,32 @@
     );
 }
 
-pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
+pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
     let (mut ended_wrong, mut ran_twice, mut scans) = (0, 0, 0);
-    for case in cases(way.quick).into_iter().filter(|case| way.includes(case.name)) {
+    for case in cases(options.quick).into_iter().filter(|case| options.includes(case.name)) {
         eprintln!("{} ...", case.name);
-        let site = site(way, &case.manners, case.files, case.memory_one);
-        site.set_disk_fault(case.disk);
-        let told = together(&site, &case.asks);
-        let served = told.iter().filter(|told| told.status() == 200).count();
-        figures.report(format!("{}: served of {}", case.name, told.len()), served as f64, "");
-        let over = site.peak_memory_bytes() as f64 / mib_bytes(1) as f64 - BOUND as f64;
+        let cluster = cluster(options, &case.behaviors, case.files, case.memory_one);
+        cluster.set_disk_fault(case.disk);
+        let outcomes = together(&cluster, &case.requests);
+        let served = outcomes.iter().filter(|outcome| outcome.status() == 200).count();
+        figures.report(format!("{}: served of {}", case.name, outcomes.len()), served as f64, "");
+        let over = cluster.peak_memory_bytes() as f64 / mib_bytes(1) as f64 - BOUND as f64;
         figures.report_bounded(format!("{}: peak over the bound", case.name), over, BESIDE, "MiB");
-        ended_wrong += broken(&case.asks, &told);
+        ended_wrong += broken(&case.requests, &outcomes);
         // Replayable parts may run again; none of a fix-request may.
-        let unsafe_ids = case.asks.first().is_some_and(|ask| ask.query_class == "fix");
-        ran_twice += if unsafe_ids { repeated_parts(&site.nodes, |_| true).len() } else { 0 };
-        scans += told.len();
+        let unsafe_ids = case.requests.first().is_some_and(|request| request.query_class == "fix");
+        ran_twice += if unsafe_ids { repeated_parts(&cluster.nodes, |_| true).len() } else { 0 };
+        scans += outcomes.len();
     }
     figures.report("large scans asked", scans as f64, "");
     figures.report_bounded("large scans without one answer in time", ended_wrong as f64, 0.0, "");
     figures.report_bounded("fix-request parts that ran twice", ran_twice as f64, 0.0, "");
-    if way.includes("copies") {
-        copies(way, &mut figures);
+    if options.includes("copies") {
+        copies(options, &mut figures);
     }
-    if way.includes("beside") {
-        beside(way, &mut figures)?;
+    if options.includes("beside") {
+        beside(options, &mut figures)?;
     }
     Ok(figures)
 }
--- a/crates/dunepond-testkit/src/experiments/consensus.rs
+++ b/crates/dunepond-testkit/src/experiments/consensus.rs
@@ -11,15 +11,15 @@
 use crate::processes::{BrokerProcess, wait_until};
 use crate::report::{Curve, Figures};
 
-const GAP: Duration = Duration::from_millis(20);
+const REQUEST_GAP: Duration = Duration::from_millis(20);
 /// Of the scans served within the target time without a cut, so many may be missed under one.
-const MISSED: f64 = 0.05;
-const DEARER: f64 = 1.05;
+const MAX_MISSED_RATIO: f64 = 0.05;
+const MAX_CPU_RATIO: f64 = 1.05;
 /// Of messages a broker sends while nothing changes, in the largest fleet against one of three.
-const TALK: f64 = 1.1;
+const MAX_MESSAGE_GROWTH: f64 = 1.1;
 
-fn plan(way: &RunOptions, voters: usize, brokers: usize) -> FleetOptions {
-    FleetOptions { seed: way.seed, ..FleetOptions::new(&way.program, voters, brokers) }
+fn fleet_options(run_options: &RunOptions, voters: usize, brokers: usize) -> FleetOptions {
+    FleetOptions { seed: run_options.seed, ..FleetOptions::new(&run_options.program, voters, brokers) }
 }
 
 fn median(mut samples: Vec<f64>) -> f64 {
@@ -28,14 +28,15 @@
 }
 
 /// Changes and cuts in turn, under load.
-fn changes(way: &RunOptions, figures: &mut Figures) {
-    let (brokers, rounds, gap) = if way.quick { (5, 3, GAP) } else { (30, 8, 10 * GAP) };
-    let mut fleet = Fleet::start_with_version(plan(way, 5, brokers));
+fn changes(run_options: &RunOptions, figures: &mut Figures) {
+    let (brokers, rounds, gap) =
+        if run_options.quick { (5, 3, REQUEST_GAP) } else { (30, 8, 10 * REQUEST_GAP) };
+    let mut fleet = Fleet::start_with_version(fleet_options(run_options, 5, brokers));
     let (bound, target) = (fleet.options.lease_bound_seconds, fleet.options.query_timeout_seconds / 2.0);
     let clients = fleet.clients(0..brokers, gap);
     thread::sleep(Duration::from_secs(2));
     let whole = served_ratio(&clients.stop(), target, &[]);
-    let (mut took, mut late) = (Vec::new(), 0);
+    let (mut change_seconds, mut late) = (Vec::new(), 0);
     let clients = fleet.clients(0..brokers, gap);
     for number in 2..2 + rounds {
         let segs = fleet.options.segment_count as u64;
@@ -44,12 +45,13 @@
         let began = Instant::now();
         fleet.propose(number as usize % brokers, &next);
         fleet.wait_active(0..brokers, number);
-        took.push(began.elapsed().as_secs_f64());
-        late += u64::from(took[took.len() - 1] > bound + 3.0 * fleet.options.lease_seconds);
+        change_seconds.push(began.elapsed().as_secs_f64());
+        late +=
+            u64::from(change_seconds[change_seconds.len() - 1] > bound + 3.0 * fleet.options.lease_seconds);
     }
     clients.stop();
-    took.sort_by(f64::total_cmp);
-    let at = |share: f64| took[((took.len() - 1) as f64 * share).round() as usize];
+    change_seconds.sort_by(f64::total_cmp);
+    let at = |share: f64| change_seconds[((change_seconds.len() - 1) as f64 * share).round() as usize];
     figures.report("time to agree, p50", at(0.5), "s");
     figures.report("time to agree, p99", at(0.99), "s");
     figures.report_bounded("changes in force later than the bound and three leases", late as f64, 0.0, "");
@@ -75,7 +77,12 @@
     fleet.wait_active(0..brokers, 2 + rounds);
     figures.report("scans served within the target time, undisturbed", whole, "");
     figures.report("scans served within the target time, cut in two", cut, "");
-    figures.report_bounded("missed by the cut, of those served undisturbed", 1.0 - cut / whole, MISSED, "");
+    figures.report_bounded(
+        "missed by the cut, of those served undisturbed",
+        1.0 - cut / whole,
+        MAX_MISSED_RATIO,
+        "",
+    );
     let records = fleet.records();
     figures.report_bounded(
         "longest contradiction, against the bound T",
@@ -92,11 +99,11 @@
 }
 
 /// Messages that a broker sends in a second while nothing changes, by how many brokers there are.
-fn talk(way: &RunOptions, figures: &mut Figures) {
-    let sizes: &[usize] = if way.quick { &[3, 7] } else { &[3, 7, 15, 30] };
+fn message_rates(run_options: &RunOptions, figures: &mut Figures) {
+    let sizes: &[usize] = if run_options.quick { &[3, 7] } else { &[3, 7, 15, 30] };
     let mut points = Vec::new();
     for &size in sizes {
-        let fleet = Fleet::start_with_version(plan(way, 3, size));
+        let fleet = Fleet::start_with_version(fleet_options(run_options, 3, size));
         let (before, began) = (fleet.links.total_delivered(), Instant::now());
         thread::sleep(Duration::from_secs(2));
         let sent = (fleet.links.total_delivered() - before) as f64;
@@ -108,7 +115,7 @@
     figures.report_bounded(
         "messages a broker, in the largest fleet against the least",
         growth,
-        TALK,
+        MAX_MESSAGE_GROWTH,
         "times",
     );
     let curve = Curve { name: "messages".to_string(), points };
@@ -118,12 +125,12 @@
 /// Processor time of the loop for each scan, with the fleet off, on without any version, and on with a map in force, each
 /// under the same load at the same time. On a busy machine rounds differ by a tenth either way, so that the median of some
 /// comes out on either side of the bound: it is told, and the lower quartile is held, which only a real cost lifts over it.
-fn cpu(way: &RunOptions, figures: &mut Figures) {
+fn cpu(run_options: &RunOptions, figures: &mut Figures) {
     let quiet = |on| {
         Fleet::start_ready(FleetOptions {
             control_plane_enabled: on,
             audit_enabled: false,
-            ..plan(way, 3, 3)
+            ..fleet_options(run_options, 3, 3)
         })
     };
     let mut fleets = [quiet(false), quiet(true), quiet(true)];
@@ -131,16 +138,16 @@
     let first = fleets[2].config_version(1, &[], &[]);
     fleets[2].propose(0, &first);
     assert!(wait_until(|| fleets[1].log_contains(0, "Alone []") && fleets[2].log_contains(0, "Alone [1]")));
-    let rounds = if way.quick { 31 } else { 151 };
+    let rounds = if run_options.quick { 31 } else { 151 };
     let (mut each, mut against) = (Vec::new(), [Vec::new(), Vec::new()]);
     for _ in 0..rounds {
         let before = fleets.each_ref().map(cpu);
         let clients = fleets.each_ref().map(|fleet| fleet.clients(0..3, Duration::from_millis(2)));
         thread::sleep(Duration::from_millis(250));
         let scans = clients.map(|clients| clients.stop().len() as f64);
-        let took: [f64; 3] = std::array::from_fn(|i| (cpu(&fleets[i]) - before[i]) / scans[i]);
-        each.push(took[0]);
-        (0..2).for_each(|i| against[i].push(took[i + 1] / took[0]));
+        let change_seconds: [f64; 3] = std::array::from_fn(|i| (cpu(&fleets[i]) - before[i]) / scans[i]);
+        each.push(change_seconds[0]);
+        (0..2).for_each(|i| against[i].push(change_seconds[i + 1] / change_seconds[0]));
     }
     figures.report("processor time of the loop a scan, fleet off", 1e6 * median(each), "us");
     for (case, mut against) in ["with nothing agreed on", "with a map in force"].into_iter().zip(against) {
@@ -154,19 +161,20 @@
         figures.report_bounded(
             format!("the same, on {case} against off, lower quartile"),
             quarter,
-            DEARER,
+            MAX_CPU_RATIO,
             "times",
         );
     }
 }
 
-pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
+pub fn run(run_options: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
-    for (case, play) in [("changes", changes as fn(&RunOptions, &mut Figures)), ("talk", talk), ("cpu", cpu)]
+    for (case, play) in
+        [("changes", changes as fn(&RunOptions, &mut Figures)), ("talk", message_rates), ("cpu", cpu)]
     {
-        if way.includes(case) {
+        if run_options.includes(case) {
             eprintln!("{case} ...");
-            play(way, &mut figures);
+            play(run_options, &mut figures);
         }
     }
     Ok(figures)
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/cost.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/cost.rs
@@ -51,9 +51,9 @@
     Cost { name: "processor time", unit: "us a second", of: |load| load.cpu_nanoseconds as f64 / 1000.0 },
 ];
 
-pub fn run(way: &RunOptions, figures: &mut Figures) {
-    let sizes = SIZES.into_iter().filter(|size| !way.quick || *size <= QUICK);
-    let plays: Vec<(usize, ScenarioReport)> = sizes.map(|size| (size, play(size, way.seed))).collect();
+pub fn run(options: &RunOptions, figures: &mut Figures) {
+    let sizes = SIZES.into_iter().filter(|size| !options.quick || *size <= QUICK);
+    let plays: Vec<(usize, ScenarioReport)> = sizes.map(|size| (size, play(size, options.seed))).collect();
     let mut times = Vec::new();
     for (size, report) in &plays {
         let p = |q| at(report.rollout_seconds.clone(), q).unwrap_or(f64::NAN);
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/mod.rs
@@ -90,22 +90,22 @@
     tell(figures, brokers, &all);
 }
 
-pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
+pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
-    if let Some(brokers) = way.brokers {
-        faults(&mut figures, brokers, way.seed..way.seed + way.seed_count);
+    if let Some(brokers) = options.brokers {
+        faults(&mut figures, brokers, options.seed..options.seed + options.seed_count);
         return Ok(figures);
     }
-    if way.includes("cost") {
-        cost::run(way, &mut figures);
+    if options.includes("cost") {
+        cost::run(options, &mut figures);
     }
-    if way.includes("parts") {
-        parts::run(way, &mut figures);
+    if options.includes("parts") {
+        parts::run(options, &mut figures);
     }
-    if way.includes("faults") {
-        let sizes: &[(usize, u64)] = if way.quick { &QUICK } else { &FULL };
+    if options.includes("faults") {
+        let sizes: &[(usize, u64)] = if options.quick { &QUICK } else { &FULL };
         for (brokers, seeds) in sizes {
-            faults(&mut figures, *brokers, way.seed..way.seed + seeds);
+            faults(&mut figures, *brokers, options.seed..options.seed + seeds);
         }
     }
     Ok(figures)
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
@@ -26,8 +26,9 @@
     from.elapsed().as_secs_f64() * 1e3
 }
 
-fn maps(way: &RunOptions, figures: &mut Figures) {
-    let sizes: &[u64] = if way.quick { &[100, 1000, 10_000] } else { &[100, 1000, 10_000, 30_000, 100_000] };
+fn maps(options: &RunOptions, figures: &mut Figures) {
+    let sizes: &[u64] =
+        if options.quick { &[100, 1000, 10_000] } else { &[100, 1000, 10_000, 30_000, 100_000] };
     let terms = dunepond_shard_map::MapConstraints { min_replicas: 1, min_zones: 1 };
     let (mut bytes, mut proofs) = (Vec::new(), Vec::new());
     for size in sizes {
@@ -59,8 +60,8 @@
 }
 
 /// As each broker tells them to one other a second: the whole of what it knows.
-fn counts(way: &RunOptions, figures: &mut Figures) {
-    let sizes: &[usize] = if way.quick { &[10, 30, 100] } else { &[10, 30, 100, 300, 1000, 3000] };
+fn counts(options: &RunOptions, figures: &mut Figures) {
+    let sizes: &[usize] = if options.quick { &[10, 30, 100] } else { &[10, 30, 100, 300, 1000, 3000] };
     let (mut bytes, mut looks) = (Vec::new(), Vec::new());
     for size in sizes {
         let mut counts = CarriedCounts::new();
@@ -163,11 +164,11 @@
     None
 }
 
-fn membership(way: &RunOptions, figures: &mut Figures) {
-    let sizes: &[usize] = if way.quick { &[10, 30] } else { &[10, 30, 100, 300] };
+fn membership(options: &RunOptions, figures: &mut Figures) {
+    let sizes: &[usize] = if options.quick { &[10, 30] } else { &[10, 30, 100, 300] };
     let (mut messages, mut bytes, mut us) = (Vec::new(), Vec::new(), Vec::new());
     for size in sizes {
-        let Some(cost) = members(*size, way.seed) else {
+        let Some(cost) = members(*size, options.seed) else {
             figures.report_bounded(
                 format!("{size} brokers: members that never found each other"),
                 1.0,
@@ -198,8 +199,8 @@
     figures.plots.push(("membership".to_string(), axes, curves));
 }
 
-pub fn run(way: &RunOptions, figures: &mut Figures) {
-    maps(way, figures);
-    counts(way, figures);
-    membership(way, figures);
+pub fn run(options: &RunOptions, figures: &mut Figures) {
+    maps(options, figures);
+    counts(options, figures);
+    membership(options, figures);
 }
--- a/crates/dunepond-testkit/src/experiments/prefilter.rs
+++ b/crates/dunepond-testkit/src/experiments/prefilter.rs
@@ -40,7 +40,7 @@
 const RATES: [u64; 4] = [1, 10, 50, 100];
 
 /// How each node behaves, by its number.
-type Manners = Box<dyn Fn(usize) -> ProbeBehavior + Sync>;
+type Behaviors = Box<dyn Fn(usize) -> ProbeBehavior + Sync>;
 
 /// What a stretch of scans came to.
 struct Stretch {
@@ -81,20 +81,20 @@
 /// One side of a comparison: its operator's file, how its nodes behave, and whether content moves.
 struct Side<'a> {
     kdl: &'a str,
-    manner: &'a (dyn Fn(usize) -> ProbeBehavior + Sync),
-    moves: bool,
+    behavior: &'a (dyn Fn(usize) -> ProbeBehavior + Sync),
+    content_changes: bool,
 }
 
-fn both(way: &RunOptions, kind: u64, scans: f64, sides: [Side; 2]) -> [Stretch; 2] {
+fn both(options: &RunOptions, kind: u64, scans: f64, sides: [Side; 2]) -> [Stretch; 2] {
     let together = Barrier::new(2);
     thread::scope(|scope| {
-        let side = |side| scope.spawn(|| stretch(way, kind, scans, side, &together));
+        let side = |side| scope.spawn(|| stretch(options, kind, scans, side, &together));
         sides.map(side).map(|side| side.join().expect("a side ends"))
     })
 }
 
-fn stretch(way: &RunOptions, kind: u64, scans: f64, side: Side, together: &Barrier) -> Stretch {
-    let site = PrefilterCluster::start(&way.program, side.kdl, WORK, true, side.manner);
+fn stretch(options: &RunOptions, kind: u64, scans: f64, side: Side, together: &Barrier) -> Stretch {
+    let cluster = PrefilterCluster::start(&options.program, side.kdl, WORK, true, side.behavior);
     let (falsely_whole, late, all) =
         (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
     let segs = |number: usize| (0..WIDE).map(|i| (number * 5 + i) % SEGMENT_COUNT).collect::<Vec<_>>();
@@ -103,17 +103,17 @@
     let mut searched_at_least = f64::MAX;
     let mut round = |round: u64| {
         let load = Load {
-            to: site.broker.address,
+            to: cluster.broker.address,
             requests_per_second: RATE,
             duration_seconds: seconds,
-            seed: way.seed + round,
+            seed: options.seed + round,
             id_prefix: "",
         };
         let (texts, told_false, told_late, told_all) =
-            (site.corpus.clone(), falsely_whole.clone(), late.clone(), all.clone());
+            (cluster.corpus.clone(), falsely_whole.clone(), late.clone(), all.clone());
         together.wait();
-        let before = site.searches();
-        let went = load.run_with(
+        let before = cluster.searches();
+        let load_report = load.run_with(
             move |number| {
                 query_request("find", &format!("c{round}-{number}"), &segs(number), 2.0, &term(kind, number))
             },
@@ -135,17 +135,17 @@
                 told_late.fetch_add(u64::from(now - sent > Duration::from_millis(2050)), Ordering::Relaxed);
             },
         );
-        let searched = (site.searches() - before) as f64 / went.latencies.len().max(1) as f64;
+        let searched = (cluster.searches() - before) as f64 / load_report.latencies.len().max(1) as f64;
         searched_at_least = searched_at_least.min(searched);
-        went
+        load_report
     };
     let rounds: Vec<LoadReport> = thread::scope(|scope| {
         scope.spawn(|| {
             for seg in 0.. {
-                if stop.load(Ordering::Relaxed) > 0 || !side.moves {
+                if stop.load(Ordering::Relaxed) > 0 || !side.content_changes {
                     return;
                 }
-                site.corpus.advance_version(seg % SEGMENT_COUNT);
+                cluster.corpus.advance_version(seg % SEGMENT_COUNT);
                 thread::sleep(Duration::from_millis(2));
             }
         });
@@ -157,10 +157,10 @@
     rounds[1..].iter().for_each(|round| times.add(&round.latencies).expect("all have the same bounds"));
     let all = all.load(Ordering::Relaxed).max(1) as f64;
     Stretch {
-        searched: site.searches() as f64 / all,
+        searched: cluster.searches() as f64 / all,
         searched_at_least,
-        questions: site.probes() as f64 / all,
-        talked: site.probe_bytes() as f64 / all,
+        questions: cluster.probes() as f64 / all,
+        talked: cluster.probe_bytes() as f64 / all,
         falsely_whole: falsely_whole.load(Ordering::Relaxed),
         late: late.load(Ordering::Relaxed) + rounds.iter().map(|round| round.failed).sum::<u64>(),
         refused: rounds.iter().map(|round| round.rejected).sum(),
@@ -169,9 +169,9 @@
     }
 }
 
-pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
+pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
-    let scans = if way.quick { 400.0 } else { 1500.0 };
+    let scans = if options.quick { 400.0 } else { 1500.0 };
     let (mut falsely_whole, mut late, mut all) = (0, 0, 0);
     let mut tally = |stretch: &Stretch| {
         falsely_whole += stretch.falsely_whole;
@@ -181,9 +181,9 @@
     let (mut work, mut times) = (Vec::new(), Vec::new());
     for kind in RATES {
         eprintln!("{kind}% match ...");
-        let side = |kdl| Side { kdl, manner: &|_| ProbeBehavior::Honest, moves: false };
+        let side = |kdl| Side { kdl, behavior: &|_| ProbeBehavior::Honest, content_changes: false };
         let mut play = || {
-            let [off, on] = both(way, kind, scans, [side(""), side(KDL)]);
+            let [off, on] = both(options, kind, scans, [side(""), side(KDL)]);
             tally(&off);
             tally(&on);
             (off, on)
@@ -232,10 +232,10 @@
     ];
     figures.plots.push(("work-saved".to_string(), ["percent of shards that match", "percent"], curves));
     // Each trouble at a match rate at which much is left out.
-    let third = |manner: ProbeBehavior| {
-        move |i: usize| if i.is_multiple_of(3) { manner } else { ProbeBehavior::Honest }
+    let third = |behavior: ProbeBehavior| {
+        move |i: usize| if i.is_multiple_of(3) { behavior } else { ProbeBehavior::Honest }
     };
-    let troubles: [(&str, Manners, bool); 11] = [
+    let troubles: [(&str, Behaviors, bool); 11] = [
         (
             "one node stalls",
             Box::new(|i| if i == 0 { ProbeBehavior::Stall } else { ProbeBehavior::Honest }),
@@ -252,11 +252,11 @@
         ("a third garble", Box::new(third(ProbeBehavior::Malformed)), false),
         ("content moves", Box::new(|_| ProbeBehavior::Honest), true),
     ];
-    for (name, manner, moves) in troubles {
+    for (name, behavior, content_changes) in troubles {
         eprintln!("{name} ...");
-        let plainly = Side { kdl: "", manner: &|_| ProbeBehavior::Honest, moves: false };
-        let troubled = Side { kdl: KDL, manner: &*manner, moves };
-        let [plain, stretch] = both(way, 10, scans / 1.5, [plainly, troubled]);
+        let plainly = Side { kdl: "", behavior: &|_| ProbeBehavior::Honest, content_changes: false };
+        let troubled = Side { kdl: KDL, behavior: &*behavior, content_changes };
+        let [plain, stretch] = both(options, 10, scans / 1.5, [plainly, troubled]);
         tally(&stretch);
         figures.report(format!("{name}: parts searched a scan"), stretch.searched, "");
         figures.report(format!("{name}: p50"), 1e3 * stretch.at(0.5), "ms");
--- a/crates/dunepond-testkit/src/experiments/rebalance.rs
+++ b/crates/dunepond-testkit/src/experiments/rebalance.rs
@@ -15,12 +15,12 @@
 use crate::processes::wait_until;
 use crate::report::{Curve, Figures};
 
-const GAP: Duration = Duration::from_millis(15);
-const SLOWER: f64 = 1.2;
+const REQUEST_GAP: Duration = Duration::from_millis(15);
+const MAX_LATENCY_RATIO: f64 = 1.2;
 /// Segments that go to and fro, with who owns them at first and then.
-const MOVED: [(u64, &str, &str); 2] = [(0, "s-0", "s-2"), (3, "s-3", "s-5")];
+const MOVED_SEGMENTS: [(u64, &str, &str); 2] = [(0, "s-0", "s-2"), (3, "s-3", "s-5")];
 /// Of a fill, seconds.
-const LASTS: f64 = 0.3;
+const FILL_SECONDS: f64 = 0.3;
 
 struct Moving {
     fleet: Fleet,
@@ -35,7 +35,7 @@
             let (from, to) = if self.home { (first, then) } else { (then, first) };
             json!({"move": {"segment": segment, "from": from, "to": to}})
         };
-        json!({"id": id, "who": "lab", "why": "an experiment", "operations": MOVED.map(operation)})
+        json!({"id": id, "who": "lab", "why": "an experiment", "operations": MOVED_SEGMENTS.map(operation)})
     }
 
     /// Moves the segments by a version that fills and one that switches; false where that did not come.
@@ -50,7 +50,8 @@
             return false;
         }
         self.home = !self.home;
-        let owners = MOVED.map(|(segment, first, then)| (segment, if self.home { first } else { then }));
+        let owners =
+            MOVED_SEGMENTS.map(|(segment, first, then)| (segment, if self.home { first } else { then }));
         self.fleet.expect_plan_step(number - 1, &[]);
         self.fleet.expect_plan_step(number, &owners);
         self.number = number;
@@ -63,10 +64,10 @@
 }
 
 /// Of each segment that moved: from the first fix that was turned away to the end of the last.
-fn refused(went: &[QueryOutcome]) -> (usize, f64) {
+fn refused(outcomes: &[QueryOutcome]) -> (usize, f64) {
     let mut spans: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
-    let Some(first) = went.first().map(|one| one.started_at) else { return (0, 0.0) };
-    let refused: Vec<_> = went.iter().filter(|one| is_fix(one) && one.status == Some(429)).collect();
+    let Some(first) = outcomes.first().map(|one| one.started_at) else { return (0, 0.0) };
+    let refused: Vec<_> = outcomes.iter().filter(|one| is_fix(one) && one.status == Some(429)).collect();
     for one in &refused {
         let began = one.started_at.duration_since(first).as_secs_f64();
         let span = spans.entry(one.segment).or_insert((began, began + one.latency_seconds));
@@ -75,24 +76,24 @@
     (refused.len(), spans.values().map(|(from, to)| to - from).fold(0.0, f64::max))
 }
 
-pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
-    let rounds = if way.quick { 4 } else { 16 };
+pub fn run(run_options: &RunOptions) -> anyhow::Result<Figures> {
+    let rounds = if run_options.quick { 4 } else { 16 };
     let mut figures = Figures::default();
     let plan = || FleetOptions {
-        seed: way.seed,
+        seed: run_options.seed,
         extra_lines: vec!["moves \"OWN.plan\" at-once=4 settle=0.1".to_string()],
-        ..FleetOptions::new(&way.program, 3, 5)
+        ..FleetOptions::new(&run_options.program, 3, 5)
     };
     let mut both =
         [(); 2].map(|()| Moving { fleet: Fleet::start_with_version(plan()), number: 1, home: true });
-    both.iter().for_each(|one| one.fleet.filler.set_fill_seconds(LASTS));
+    both.iter().for_each(|one| one.fleet.filler.set_fill_seconds(FILL_SECONDS));
     let brokers = both[0].fleet.options.brokers;
     let (mut still, mut moved) = (Vec::new(), Vec::new());
     let (mut ratios, mut count, mut longest, mut failed): (Vec<f64>, _, f64, _) = (Vec::new(), 0, 0.0, 0);
     for round in 0..rounds {
         eprintln!("round {} of {rounds} ...", round + 1);
         let turn = round % 2;
-        let loads = both.each_ref().map(|one| one.fleet.clients(0..brokers, GAP));
+        let loads = both.each_ref().map(|one| one.fleet.clients(0..brokers, REQUEST_GAP));
         thread::sleep(Duration::from_millis(300));
         // Every other fill breaks off half way and goes on from there.
         both[turn].fleet.filler.fail_next(1);
@@ -109,7 +110,7 @@
         moved.extend(with);
         still.extend(without);
     }
-    let p99 = |went: &[QueryOutcome]| 1e3 * latency_quantile(went, QueryOutcome::is_idempotent, 0.99);
+    let p99 = |outcomes: &[QueryOutcome]| 1e3 * latency_quantile(outcomes, QueryOutcome::is_idempotent, 0.99);
     figures.report("scans beside a move", moved.len() as f64, "");
     figures.report("replayable scans, p99, undisturbed", p99(&still), "ms");
     figures.report("replayable scans, p99, beside a move", p99(&moved), "ms");
@@ -118,8 +119,9 @@
     figures.report("p99 beside a move, against undisturbed, all rounds together", pooled, "times");
     figures.report("the same, median of rounds", median, "times");
     // What the machine does lifts the one or the other; what a move costs lifts both.
-    figures.report_bounded("the same, the lesser of both", pooled.min(median), SLOWER, "times");
-    let refusals = |went: &[QueryOutcome]| went.iter().filter(|one| one.status == Some(429)).count() as f64;
+    figures.report_bounded("the same, the lesser of both", pooled.min(median), MAX_LATENCY_RATIO, "times");
+    let refusals =
+        |outcomes: &[QueryOutcome]| outcomes.iter().filter(|one| one.status == Some(429)).count() as f64;
     figures.report("fixes turned away during switches", count as f64, "");
     figures.report("scans turned away where nothing moved", refusals(&still), "");
     let others = moved.iter().filter(|one| !is_fix(one) && one.status != Some(200)).count();
@@ -128,7 +130,7 @@
     let bound = both[0].fleet.options.lease_bound_seconds + both[0].fleet.options.lease_seconds;
     figures.report_bounded("longest time for which fixes of a segment are turned away", longest, bound, "s");
     figures.report_bounded("moves that did not come to their end", failed as f64, 0.0, "");
-    let done = (rounds - failed) * MOVED.len();
+    let done = (rounds - failed) * MOVED_SEGMENTS.len();
     let bytes: u64 = both.iter().map(|one| one.fleet.filler.moved_bytes()).sum();
     let least = (done as u64 * SEGMENT_BYTES).max(1);
     figures.report_bounded(
@@ -153,9 +155,12 @@
     let contradiction =
         both.iter().map(|one| longest_contradiction(&one.fleet.records())).fold(0.0, f64::max);
     figures.report_bounded("longest contradiction", contradiction, 0.0, "s");
-    let curve = |name: &str, went: &[QueryOutcome]| {
+    let curve = |name: &str, outcomes: &[QueryOutcome]| {
         let at = |i: u32| {
-            (f64::from(i), 1e3 * latency_quantile(went, QueryOutcome::is_idempotent, f64::from(i) / 100.0))
+            (
+                f64::from(i),
+                1e3 * latency_quantile(outcomes, QueryOutcome::is_idempotent, f64::from(i) / 100.0),
+            )
         };
         Curve { name: name.to_string(), points: (0..100).map(at).collect() }
     };
--- a/crates/dunepond-testkit/src/experiments/restart.rs
+++ b/crates/dunepond-testkit/src/experiments/restart.rs
@@ -14,21 +14,21 @@
 use crate::stand_ins::{Broker, Client, NodeBehavior, query_request};
 
 const NODES: usize = 24;
-const HANG: usize = 4;
+const HUNG_EVERY: usize = 4;
 /// Milliseconds that a node takes over a part: what silence is, is told by that.
-const TAKES: u64 = 40;
-const KEPT: &str = "state folder=\"FOLDER\" every=1.0\n";
+const PART_MILLIS: u64 = 40;
+const WITH_FOLDER: &str = "state folder=\"FOLDER\" every=1.0\n";
 const RATE: f64 = 150.0;
 /// The target time of the stand-in settings: later than this counts as late.
 const TARGET: f64 = 0.4;
 /// Outages that are played; the middle one counts, as the machine may stand still in one of them.
 const OUTAGES: u64 = 3;
 /// Of the scans late or lost without the folder, so many may be left with it.
-const HALVED: f64 = 0.5;
+const MAX_BAD_RATIO: f64 = 0.5;
 /// What keeping may cost the loop, in core time over all rounds: a count that does not hang on who else waits for a core, but
 /// still on what else is in its caches. Beside five times the load that the machine can bear it was 0.97 to 1.09.
-const DEARER: f64 = 1.2;
-const START: f64 = 20.0;
+const MAX_CPU_RATIO: f64 = 1.2;
+const MAX_START_SECONDS: f64 = 20.0;
 
 fn load(broker: &Broker, seconds: f64, seed: u64, prefix: &'static str) -> LoadReport {
     let load = Load {
@@ -48,42 +48,42 @@
 }
 
 /// Late, refused or lost.
-fn bad(went: &LoadReport) -> f64 {
-    let late = went.latencies.len() - went.latencies.count_between(0, (1e6 * TARGET) as u64);
-    (late + went.rejected + went.failed) as f64
+fn not_served_in_time(load_report: &LoadReport) -> f64 {
+    let late = load_report.latencies.len() - load_report.latencies.count_between(0, (1e6 * TARGET) as u64);
+    (late + load_report.rejected + load_report.failed) as f64
 }
 
 /// An outage in which the broker is killed and started again; how its first seconds went.
-fn outage(way: &RunOptions, kdl: &str, seconds: f64, seed: u64) -> (LoadReport, usize) {
-    let mut town = RestartCluster::new(&way.program, NODES);
+fn outage(options: &RunOptions, kdl: &str, seconds: f64, seed: u64) -> (LoadReport, usize) {
+    let mut cluster = RestartCluster::new(&options.program, NODES);
     // Copies are few, as on a deployment that has just spent them: what goes to nodes that hang is late.
-    town.adjust_config = |config| {
+    cluster.adjust_config = |config| {
         let rules = &mut config["settings"]["rules"];
         (rules["freeResends"], rules["repeatRatio"]) = (json!(5.0), json!(0.02));
     };
-    town.set_behavior_of_every(1, NodeBehavior::DelayMillis(TAKES));
-    let mut first = town.start_broker(kdl);
+    cluster.set_behavior_of_every(1, NodeBehavior::DelayMillis(PART_MILLIS));
+    let mut first = cluster.start_broker(kdl);
     load(&first, 2.0, seed, "a");
-    town.set_behavior_of_every(HANG, NodeBehavior::Hang);
+    cluster.set_behavior_of_every(HUNG_EVERY, NodeBehavior::Hang);
     load(&first, 3.0, seed + 1, "b");
     first.signal("KILL");
     first.exit_code();
-    let hung = || town.nodes.iter().step_by(HANG).map(|node| node.frames('A').len()).sum::<usize>();
+    let hung = || cluster.nodes.iter().step_by(HUNG_EVERY).map(|node| node.frames('A').len()).sum::<usize>();
     let before = hung();
-    let second = town.start_broker(kdl);
-    let went = load(&second, seconds, seed + 2, "c");
-    (went, hung() - before)
+    let second = cluster.start_broker(kdl);
+    let load_report = load(&second, seconds, seed + 2, "c");
+    (load_report, hung() - before)
 }
 
 /// Seconds from the beginning of a life to its first scan served, after one that was killed.
-fn first_scan(town: &RestartCluster, kdl: &str) -> f64 {
-    let mut broker = town.start_broker(kdl);
+fn first_scan(cluster: &RestartCluster, kdl: &str) -> f64 {
+    let mut broker = cluster.start_broker(kdl);
     load(&broker, 0.5, 5, "w");
     thread::sleep(Duration::from_millis(200));
     broker.signal("KILL");
     broker.exit_code();
     let began = Instant::now();
-    let broker = town.start_broker(kdl);
+    let broker = cluster.start_broker(kdl);
     let answer = Client::connect(&broker).request(&query_request("find", "first", &[0, 1], "2.0"));
     let took = began.elapsed().as_secs_f64();
     if answer.status == 200 { took } else { f64::MAX }
@@ -101,16 +101,16 @@
     load(broker, 0.5, 3, "w");
     together.wait();
     let before = loop_time(broker);
-    let went = load(broker, seconds, seed, "o");
-    let cost = (loop_time(broker) - before) / went.latencies.len() as f64;
-    (went, cost)
+    let load_report = load(broker, seconds, seed, "o");
+    let cost = (loop_time(broker) - before) / load_report.latencies.len() as f64;
+    (load_report, cost)
 }
 
 /// What the last snapshot came to, in bytes for each second of a life of which so many have passed.
 fn wrote(broker: &Broker, seconds: f64) -> f64 {
     thread::sleep(Duration::from_millis(600));
-    let said = broker.log_text();
-    let line = said.lines().rev().find(|line| line.contains("snapshot: "));
+    let log = broker.log_text();
+    let line = log.lines().rev().find(|line| line.contains("snapshot: "));
     let bytes = line.and_then(|line| line.split(" s, ").nth(1)?.split(' ').next()?.parse::<f64>().ok());
     bytes.unwrap_or(f64::MAX) / seconds
 }
@@ -122,22 +122,22 @@
 
 /// Killed and started every 300 ms while all nodes but a cold one fail what they are given: the least margin of
 /// the budget of further dispatches over all lives, and what the cold node got.
-fn loops(way: &RunOptions, kdl: &str, seconds: f64) -> (f64, f64) {
-    let mut town = RestartCluster::new(&way.program, NODES);
-    town.restart_node(1, unix_ms());
+fn loops(options: &RunOptions, kdl: &str, seconds: f64) -> (f64, f64) {
+    let mut cluster = RestartCluster::new(&options.program, NODES);
+    cluster.restart_node(1, unix_ms());
     // All but the cold one fail, so that every part would need its further dispatches.
-    town.set_behavior_of_every(1, NodeBehavior::ReplyStatus("fault"));
-    town.nodes[1].set_behavior(NodeBehavior::Serve);
+    cluster.set_behavior_of_every(1, NodeBehavior::ReplyStatus("fault"));
+    cluster.nodes[1].set_behavior(NodeBehavior::Serve);
     let began = Instant::now();
-    let (mut life, mut taken) = (0, Vec::new());
+    let (mut life, mut request_times) = (0, Vec::new());
     while began.elapsed().as_secs_f64() < seconds {
-        let mut broker = town.start_broker(kdl);
+        let mut broker = cluster.start_broker(kdl);
         let asking = Instant::now();
         let mut client = Client::connect(&broker);
         let mut i = 0;
         while asking.elapsed() < Duration::from_millis(260) {
             i += 1;
-            taken.push(Instant::now());
+            request_times.push(Instant::now());
             client.try_request(&query_request(
                 "find",
                 &format!("l{life}-{i}"),
@@ -151,32 +151,33 @@
         life += 1;
     }
     let mut most = 0;
-    let times: Vec<_> = town.nodes[1].part_arrivals().into_iter().map(|(at, _)| at).collect();
+    let times: Vec<_> = cluster.nodes[1].part_arrivals().into_iter().map(|(at, _)| at).collect();
     for (i, at) in times.iter().enumerate() {
         let within = times[..=i].iter().filter(|then| *at - **then <= Duration::from_secs(1)).count();
         most = most.max(within);
     }
-    (town.retry_budget_margin(&taken, 20.0, 0.1, 2.0), most as f64)
+    (cluster.retry_budget_margin(&request_times, 20.0, 0.1, 2.0), most as f64)
 }
 
-pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
+pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
-    let seconds = if way.quick { 3.0 } else { 10.0 };
+    let seconds = if options.quick { 3.0 } else { 10.0 };
     let (mut with, mut without, mut left, mut sent) = (0.0, 0.0, Vec::new(), [0, 0]);
     for round in 0..OUTAGES {
         eprintln!("outage {round} ...");
-        let seed = way.seed + 10 * round;
+        let seed = options.seed + 10 * round;
         // Both at the same time: where the machine itself stands still, both are late.
         let [(kept, to_hung), (forgot, to_hung_forgot)] = thread::scope(|scope| {
-            let sides = [KEPT, ""].map(|kdl| scope.spawn(move || outage(way, kdl, seconds, seed)));
+            let sides = [WITH_FOLDER, ""].map(|kdl| scope.spawn(move || outage(options, kdl, seconds, seed)));
             sides.map(|side| side.join().expect("a side ends"))
         });
-        (with, without) = (with + bad(&kept), without + bad(&forgot));
-        left.push(bad(&kept) / bad(&forgot).max(1.0));
+        (with, without) = (with + not_served_in_time(&kept), without + not_served_in_time(&forgot));
+        left.push(not_served_in_time(&kept) / not_served_in_time(&forgot).max(1.0));
         sent = [sent[0] + to_hung, sent[1] + to_hung_forgot];
         if round == 0 {
-            let curve = |name: &str, went: &LoadReport| {
-                let points = (0..=100).map(|i| (i as f64, 1e3 * went.latency_seconds(i as f64 / 100.0)));
+            let curve = |name: &str, load_report: &LoadReport| {
+                let points =
+                    (0..=100).map(|i| (i as f64, 1e3 * load_report.latency_seconds(i as f64 / 100.0)));
                 Curve { name: name.to_string(), points: points.collect() }
             };
             let curves = vec![curve("with the folder", &kept), curve("without", &forgot)];
@@ -189,38 +190,40 @@
     figures.report_bounded(
         "late or lost, with against without, middle of runs",
         median(left),
-        HALVED,
+        MAX_BAD_RATIO,
         "times",
     );
     figures.report("parts sent to nodes that hang, without", sent[1] as f64, "");
     figures.report("parts sent to nodes that hang, with", sent[0] as f64, "");
     eprintln!("ordinary path ...");
-    let (seconds, rounds, starts) = if way.quick { (0.8, 11, 5) } else { (2.0, 15, 9) };
+    let (seconds, rounds, starts) = if options.quick { (0.8, 11, 5) } else { (2.0, 15, 9) };
     // Two towns, so that neither side's work at the nodes is the other's.
-    let (town, other) = (RestartCluster::new(&way.program, NODES), RestartCluster::new(&way.program, NODES));
+    let (cluster, other) =
+        (RestartCluster::new(&options.program, NODES), RestartCluster::new(&options.program, NODES));
     // In each round both sides are asked at the same time: what else the machine does weighs on both.
-    let (mut went, mut bytes) = ([Vec::new(), Vec::new()], 0.0);
+    let (mut load_report, mut bytes) = ([Vec::new(), Vec::new()], 0.0);
     for round in 0..rounds {
         // What the last round learned would spare this one's copies.
-        std::fs::remove_dir_all(&town.folder)?;
-        std::fs::create_dir(&town.folder)?;
-        let lives = [town.start_broker(&format!("{KEPT}counters every=0.5\n")), other.start_broker("")];
-        let (together, seed) = (Barrier::new(2), way.seed + round);
+        std::fs::remove_dir_all(&cluster.folder)?;
+        std::fs::create_dir(&cluster.folder)?;
+        let lives =
+            [cluster.start_broker(&format!("{WITH_FOLDER}counters every=0.5\n")), other.start_broker("")];
+        let (together, seed) = (Barrier::new(2), options.seed + round);
         thread::scope(|scope| {
             let together = &together;
             let side = |life| scope.spawn(move || ordinary(life, seconds, seed, together));
             let sides: Vec<_> = lives.iter().map(side).collect();
-            for (side, went) in sides.into_iter().zip(&mut went) {
-                went.push(side.join().expect("a side ends"));
+            for (side, load_report) in sides.into_iter().zip(&mut load_report) {
+                load_report.push(side.join().expect("a side ends"));
             }
         });
         if round + 1 == rounds {
             bytes = 3600.0 * wrote(&lives[0], seconds + 1.1);
         }
     }
-    let [on, off] = &went;
+    let [on, off] = &load_report;
     let p99 = |side: &[(LoadReport, f64)]| {
-        1e3 * median(side.iter().map(|(went, _)| went.latency_seconds(0.99)).collect())
+        1e3 * median(side.iter().map(|(load_report, _)| load_report.latency_seconds(0.99)).collect())
     };
     figures.report("p99 without snapshots, middle of rounds", p99(off), "ms");
     figures.report("p99 with a snapshot a second, middle of rounds", p99(on), "ms");
@@ -231,25 +234,26 @@
     figures.report_bounded(
         "core time of the loop, with against without",
         cost(on) / cost(off),
-        DEARER,
+        MAX_CPU_RATIO,
         "times",
     );
     figures.report("bytes written an hour", bytes, "bytes");
     // By turns, so that what else the machine does falls on both.
-    let starts: Vec<_> = (0..starts).map(|_| (first_scan(&town, KEPT), first_scan(&town, ""))).collect();
+    let starts: Vec<_> =
+        (0..starts).map(|_| (first_scan(&cluster, WITH_FOLDER), first_scan(&cluster, ""))).collect();
     let forgot = median(starts.iter().map(|start| start.1).collect());
     let more = median(starts.iter().map(|(kept, forgot)| kept - forgot).collect());
     figures.report("start to first scan served, without, middle of starts", 1e3 * forgot, "ms");
     figures.report_bounded(
         "start to first scan served, with less without, middle of starts",
         1e3 * more,
-        START,
+        MAX_START_SECONDS,
         "ms",
     );
     eprintln!("crash loops ...");
-    let seconds = if way.quick { 3.0 } else { 20.0 };
-    let (margin, cold) = loops(way, KEPT, seconds);
-    let (margin_forgot, cold_forgot) = loops(way, "", seconds);
+    let seconds = if options.quick { 3.0 } else { 20.0 };
+    let (margin, cold) = loops(options, WITH_FOLDER, seconds);
+    let (margin_forgot, cold_forgot) = loops(options, "", seconds);
     figures.report_bounded(
         "crash loop: further dispatches over the budget, with",
         (-margin).max(0.0),
--- a/crates/dunepond-testkit/src/experiments/search.rs
+++ b/crates/dunepond-testkit/src/experiments/search.rs
@@ -48,7 +48,7 @@
 }
 
 struct Ran {
-    went: LoadReport,
+    load_report: LoadReport,
     /// Seconds of the broker's core for each scan.
     cost: f64,
     twice: usize,
@@ -56,21 +56,21 @@
 
 /// So many seconds of scans at one door, before nodes of one kind that behave as told.
 fn ran(
-    way: &RunOptions,
+    options: &RunOptions,
     api: bool,
     speech: NodeProtocol,
-    manners: &[(usize, SearchNodeBehavior)],
+    behaviors: &[(usize, SearchNodeBehavior)],
     seconds: f64,
 ) -> Ran {
-    let site = SearchCluster::start(&way.program, &[speech; 4], "");
-    manners.iter().for_each(|(node, manner)| site.nodes[*node].set_behavior(*manner));
-    let to = if api { site.api_address } else { site.broker.address };
+    let cluster = SearchCluster::start(&options.program, &[speech; 4], "");
+    behaviors.iter().for_each(|(node, behavior)| cluster.nodes[*node].set_behavior(*behavior));
+    let to = if api { cluster.api_address } else { cluster.broker.address };
     let load = |prefix: &'static str, seconds: f64| {
         let load = Load {
             to,
             requests_per_second: RATE,
             duration_seconds: seconds,
-            seed: way.seed,
+            seed: options.seed,
             id_prefix: prefix,
         };
         load.run_with(
@@ -81,10 +81,10 @@
         )
     };
     load("w", 0.5);
-    let before = cpu(site.broker.pid());
-    let went = load("c", seconds);
-    let cost = (cpu(site.broker.pid()) - before) / went.latencies.len().max(1) as f64;
-    Ran { went, cost, twice: site.repeated_parts() }
+    let before = cpu(cluster.broker.pid());
+    let load_report = load("c", seconds);
+    let cost = (cpu(cluster.broker.pid()) - before) / load_report.latencies.len().max(1) as f64;
+    Ran { load_report, cost, twice: cluster.repeated_parts() }
 }
 
 /// The first 100 of ten parts of a thousand hits each, in milliseconds, without their reading.
@@ -123,9 +123,9 @@
     took[took.len() / 2]
 }
 
-pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
+pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
-    let seconds = if way.quick { 1.5 } else { 8.0 };
+    let seconds = if options.quick { 1.5 } else { 8.0 };
     let mut costs = BTreeMap::new();
     let mut different = 0u64;
     let troubles: [(&str, &[(usize, SearchNodeBehavior)]); 3] = [
@@ -133,18 +133,18 @@
         ("one faults", &[(0, SearchNodeBehavior::Fault)]),
         ("one hangs", &[(0, SearchNodeBehavior::Hang)]),
     ];
-    for (name, manners) in troubles {
+    for (name, behaviors) in troubles {
         for (door, api) in [("first door", false), ("API", true)] {
             for (kind, speech) in [("frames", NodeProtocol::Frames), ("API nodes", NodeProtocol::Api)] {
                 eprintln!("{name}, {door}, {kind} ...");
-                let ran = ran(way, api, speech, manners, seconds);
-                let all = ran.went.latencies.len();
+                let ran = ran(options, api, speech, behaviors, seconds);
+                let all = ran.load_report.latencies.len();
                 // Whatever the door and the nodes: all of them are served.
-                different += all - ran.went.served;
+                different += all - ran.load_report.served;
                 let label = format!("{name}, {door}, {kind}");
-                figures.report(format!("{label}: served of {all}"), ran.went.served as f64, "");
-                figures.report(format!("{label}: p50"), 1e3 * ran.went.latency_seconds(0.5), "ms");
-                figures.report(format!("{label}: p99"), 1e3 * ran.went.latency_seconds(0.99), "ms");
+                figures.report(format!("{label}: served of {all}"), ran.load_report.served as f64, "");
+                figures.report(format!("{label}: p50"), 1e3 * ran.load_report.latency_seconds(0.5), "ms");
+                figures.report(format!("{label}: p99"), 1e3 * ran.load_report.latency_seconds(0.99), "ms");
                 figures.report(format!("{label}: core a scan"), 1e6 * ran.cost, "us");
                 figures.report(format!("{label}: parts that ran twice (copies)"), ran.twice as f64, "");
                 costs.insert((name, door, kind), ran.cost);
@@ -164,6 +164,6 @@
         cost("API", "API nodes") / cost("first door", "API nodes"),
         "times",
     );
-    figures.report_bounded("merging 10 parts of 1,000 hits, median", merging(way.seed), MERGE_MS, "ms");
+    figures.report_bounded("merging 10 parts of 1,000 hits, median", merging(options.seed), MERGE_MS, "ms");
     Ok(figures)
 }
--- a/crates/dunepond-testkit/src/experiments/settlement/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/mod.rs
@@ -28,9 +28,9 @@
 }
 
 impl Plays {
-    fn of(mix: &str, way: &RunOptions, seconds: f64) -> Vec<Plays> {
+    fn of(mix: &str, options: &RunOptions, seconds: f64) -> Vec<Plays> {
         let one = |(rule, kind): &(&'static str, Option<PlanningRule>)| {
-            let seeds = (0..GAMES).map(|game| way.seed * GAMES + game);
+            let seeds = (0..GAMES).map(|game| options.seed * GAMES + game);
             Plays { rule, plays: seeds.map(|seed| play(mix, *kind, seed, seconds)).collect() }
         };
         RULES.iter().map(one).collect()
@@ -65,12 +65,12 @@
     figures.report(format!("{mix}: fills of a play"), most(|it| it.fills), "");
 }
 
-pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
+pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
-    let seconds = if way.quick { 3600.0 } else { 14_400.0 };
+    let seconds = if options.quick { 3600.0 } else { 14_400.0 };
     let mut curves = Vec::new();
-    for mix in MIXES.into_iter().filter(|mix| way.includes(mix)) {
-        let all = Plays::of(mix, way, seconds);
+    for mix in MIXES.into_iter().filter(|mix| options.includes(mix)) {
+        let all = Plays::of(mix, options, seconds);
         for plays in &all {
             let mut tell = |what: &str, of: fn(&Played) -> f64, unit| {
                 figures.report(format!("{mix}, {}: {what}", plays.rule), plays.mean(of), unit);
@@ -97,8 +97,8 @@
             curves = all.iter().map(curve).collect();
         }
     }
-    if way.includes(FLOOD) {
-        let all = Plays::of(FLOOD, way, seconds);
+    if options.includes(FLOOD) {
+        let all = Plays::of(FLOOD, options, seconds);
         for plays in &all {
             let mut tell = |what: &str, of: fn(&Played) -> f64, unit| {
                 figures.report(format!("{FLOOD}, {}: {what}", plays.rule), plays.mean(of), unit);
--- a/crates/dunepond-testkit/src/experiments/shard_map/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/shard_map/mod.rs
@@ -29,13 +29,13 @@
 }
 
 /// Runs the experiment.
-pub fn run(way: &RunOptions) -> anyhow::Result<Figures> {
+pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
-    let mut rng = Pcg64Mcg::seed_from_u64(way.seed);
-    let rounds = if way.quick { 10 } else { 200 };
+    let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
+    let rounds = if options.quick { 10 } else { 200 };
     report_detection(&mut figures, &mut rng, rounds);
     report_transitions(&mut figures, &mut rng, rounds * 20);
-    let sizes: &[usize] = if way.quick { &[10_000, 100_000] } else { &[10_000, 100_000, 1_000_000] };
+    let sizes: &[usize] = if options.quick { &[10_000, 100_000] } else { &[10_000, 100_000, 1_000_000] };
     let mut costs = Vec::new();
     for &segments in sizes {
         costs.push(SizedCost { segments, cost: measure(&mut rng, segments, COST_ROUNDS) });
@@ -64,8 +64,13 @@
     let counts = verify_random_transitions(rng, rounds);
     figures.report("moves proved", counts.sound as f64, "");
     figures.report("moves refused", counts.refused as f64, "");
-    figures.report_bounded("changes judged otherwise than the whole", counts.otherwise as f64, 0.0, "");
-    figures.report("keys looked at in joint steps", counts.looked_at as f64, "");
+    figures.report_bounded(
+        "changes judged otherwise than the whole",
+        counts.differing_verdicts as f64,
+        0.0,
+        "",
+    );
+    figures.report("keys looked at in joint steps", counts.keys_checked as f64, "");
     figures.report("of these without an owner", counts.no_owner as f64, "");
     figures.report_bounded("of these with two owners", counts.two_owners as f64, 0.0, "");
 }
--- a/crates/dunepond-testkit/src/experiments/shard_map/transitions.rs
+++ b/crates/dunepond-testkit/src/experiments/shard_map/transitions.rs
@@ -44,49 +44,49 @@
     pub sound: usize,
     pub refused: usize,
     /// Verdicts of the change alone that differ from those on the whole map.
-    pub otherwise: usize,
+    pub differing_verdicts: usize,
     /// Keys that two brokers one step apart would send to two owners.
     pub two_owners: usize,
-    pub looked_at: usize,
+    pub keys_checked: usize,
     pub no_owner: usize,
 }
 
 pub(super) fn verify_random_transitions(rng: &mut Pcg64Mcg, rounds: usize) -> TransitionCounts {
-    let (mut told, mut fresh) = (TransitionCounts::default(), 1 << 32);
+    let (mut counts, mut fresh) = (TransitionCounts::default(), 1 << 32);
     let mut from = verify(&random_map(rng, SEGMENT_COUNT), &nodes(), &CONSTRAINTS).expect("a sound map");
     for _ in 0..rounds {
         let mut to = ShardMap { epoch: from.epoch() + 1, ..from.map().clone() };
         (0..rng.random_range(1..8)).for_each(|_| random_step(rng, &mut to.segments, &mut fresh));
         let to = to.with_digest();
-        let whole = verify(&to, &nodes(), &CONSTRAINTS).and_then(|to| verify_transition(&from, &to));
-        let few = verify_delta(&from, &MapDelta::between(&from, &to));
-        let (whole, few) = match (whole, few) {
-            (Ok(whole), Ok(few)) => (whole, few),
-            (whole, few) => {
-                told.otherwise += usize::from(whole.err() != few.err());
-                told.refused += 1;
+        let full = verify(&to, &nodes(), &CONSTRAINTS).and_then(|to| verify_transition(&from, &to));
+        let delta = verify_delta(&from, &MapDelta::between(&from, &to));
+        let (full, delta) = match (full, delta) {
+            (Ok(full), Ok(delta)) => (full, delta),
+            (full, delta) => {
+                counts.differing_verdicts += usize::from(full.err() != delta.err());
+                counts.refused += 1;
                 continue;
             }
         };
-        told.sound += 1;
-        let same = whole.required_fills() == few.required_fills() && whole.to().map() == few.to().map();
-        told.otherwise += usize::from(!same);
-        for segment in few.from().segments().chain(few.to().segments()) {
+        counts.sound += 1;
+        let same = full.required_fills() == delta.required_fills() && full.to().map() == delta.to().map();
+        counts.differing_verdicts += usize::from(!same);
+        for segment in delta.from().segments().chain(delta.to().segments()) {
             let key = segment.keys.from;
-            told.looked_at += 1;
-            told.no_owner += usize::from(few.owner_of_key(key, TransitionPhase::Joint).is_none());
-            let (old, new) = (few.from().segment_for_key(key), few.to().segment_for_key(key));
+            counts.keys_checked += 1;
+            counts.no_owner += usize::from(delta.owner_of_key(key, TransitionPhase::Joint).is_none());
+            let (old, new) = (delta.from().segment_for_key(key), delta.to().segment_for_key(key));
             let joint = [
-                few.owner_of_segment(old.id, TransitionPhase::Joint),
-                few.owner_of_segment(new.id, TransitionPhase::Joint),
-                few.owner_of_key(key, TransitionPhase::Joint),
+                delta.owner_of_segment(old.id, TransitionPhase::Joint),
+                delta.owner_of_segment(new.id, TransitionPhase::Joint),
+                delta.owner_of_key(key, TransitionPhase::Joint),
             ];
             // Joint beside joint, and beside each of the plain ones.
             let mut owners = joint.into_iter().flatten();
             let two = owners.any(|owner| owner != old.owner || owner != new.owner);
-            told.two_owners += usize::from(two);
+            counts.two_owners += usize::from(two);
         }
-        from = few.to().clone();
+        from = delta.to().clone();
     }
-    told
+    counts
 }
--- a/crates/dunepond-testkit/src/faulty_disk.rs
+++ b/crates/dunepond-testkit/src/faulty_disk.rs
@@ -16,20 +16,20 @@
 }
 
 impl FaultySpillFolder {
-    pub fn new(folder: &Path, told: &Path) -> io::Result<Self> {
+    pub fn new(folder: &Path, faults_file: &Path) -> io::Result<Self> {
         Ok(Self {
             disk: DiskFolder::open(folder, &format!("lab{}", std::process::id()))?,
-            faults_file: told.to_path_buf(),
+            faults_file: faults_file.to_path_buf(),
         })
     }
 }
 
 /// What a call is to do, by the words of the file: nothing special where there are none.
-fn apply_fault(told: &Path, reading: bool) -> io::Result<Option<usize>> {
-    let words = fs::read_to_string(told).unwrap_or_default();
-    let (word, rest) = words.trim().split_once(' ').unwrap_or((words.trim(), ""));
+fn apply_fault(faults_file: &Path, reading: bool) -> io::Result<Option<usize>> {
+    let text = fs::read_to_string(faults_file).unwrap_or_default();
+    let (fault, argument) = text.trim().split_once(' ').unwrap_or((text.trim(), ""));
     let error = |code| Err(io::Error::from_raw_os_error(code));
-    match word {
+    match fault {
         "full" | "brim" if !reading => error(libc::ENOSPC),
         "quota" if !reading => error(libc::EDQUOT),
         "read-only" if !reading => error(libc::EROFS),
@@ -40,7 +40,7 @@
         // A few bytes at a time, as a file system may.
         "little" => Ok(Some(1000)),
         "stall" => {
-            thread::sleep(Duration::from_secs_f64(rest.parse().unwrap_or(1.0)));
+            thread::sleep(Duration::from_secs_f64(argument.parse().unwrap_or(1.0)));
             Ok(None)
         }
         _ => Ok(None),
@@ -49,13 +49,13 @@
 
 struct FaultySpillFile {
     volume: Box<dyn SpillFile>,
-    told: PathBuf,
+    faults_file: PathBuf,
 }
 
 impl SpillFolder for FaultySpillFolder {
     fn create(&self) -> io::Result<Box<dyn SpillFile>> {
         apply_fault(&self.faults_file, false)?;
-        Ok(Box::new(FaultySpillFile { volume: self.disk.create()?, told: self.faults_file.clone() }))
+        Ok(Box::new(FaultySpillFile { volume: self.disk.create()?, faults_file: self.faults_file.clone() }))
     }
 
     fn close(&self) {
@@ -65,14 +65,14 @@
 
 impl SpillFile for FaultySpillFile {
     fn write_at(&mut self, at: u64, bytes: &[u8]) -> io::Result<usize> {
-        match apply_fault(&self.told, false)? {
+        match apply_fault(&self.faults_file, false)? {
             Some(most) if most < bytes.len() => self.volume.write_at(at, &bytes[..most]),
             _ => self.volume.write_at(at, bytes),
         }
     }
 
     fn read_at(&mut self, at: u64, bytes: &mut [u8]) -> io::Result<usize> {
-        match apply_fault(&self.told, true)? {
+        match apply_fault(&self.faults_file, true)? {
             Some(most) if most < bytes.len() => self.volume.read_at(at, &mut bytes[..most]),
             _ => self.volume.read_at(at, bytes),
         }
@@ -82,18 +82,22 @@
 /// The state's folder, by the same words.
 pub struct FaultyFileStore {
     path: PathBuf,
-    told: PathBuf,
+    faults_file: PathBuf,
     folder: std::sync::Mutex<Option<Arc<dunepond_storage::DiskStore>>>,
 }
 
 impl FaultyFileStore {
-    pub fn new(path: &Path, told: &Path) -> io::Result<Self> {
-        Ok(Self { path: path.to_path_buf(), told: told.to_path_buf(), folder: std::sync::Mutex::new(None) })
+    pub fn new(path: &Path, faults_file: &Path) -> io::Result<Self> {
+        Ok(Self {
+            path: path.to_path_buf(),
+            faults_file: faults_file.to_path_buf(),
+            folder: std::sync::Mutex::new(None),
+        })
     }
 
     /// Opened at the first call, so that a folder which another has is found out as the broker finds it out.
     fn folder(&self, reading: bool) -> io::Result<Arc<dunepond_storage::DiskStore>> {
-        apply_fault(&self.told, reading)?;
+        apply_fault(&self.faults_file, reading)?;
         let mut folder = self.folder.lock().unwrap();
         match &*folder {
             Some(folder) => Ok(folder.clone()),
@@ -105,12 +109,12 @@
 impl FileStore for FaultyFileStore {
     fn create(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let file = self.folder(false)?.create(name)?;
-        Ok(Box::new(FaultyWritableFile { file, told: self.told.clone() }))
+        Ok(Box::new(FaultyWritableFile { file, faults_file: self.faults_file.clone() }))
     }
 
     fn open_append(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let file = self.folder(false)?.open_append(name)?;
-        Ok(Box::new(FaultyWritableFile { file, told: self.told.clone() }))
+        Ok(Box::new(FaultyWritableFile { file, faults_file: self.faults_file.clone() }))
     }
 
     fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
@@ -136,13 +140,13 @@
 
 struct FaultyWritableFile {
     file: Box<dyn WritableFile>,
-    told: PathBuf,
+    faults_file: PathBuf,
 }
 
 impl WritableFile for FaultyWritableFile {
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let may = apply_fault(&self.told, false);
-        if may.is_err() && fs::read_to_string(&self.told).is_ok_and(|word| word.trim() == "brim") {
+        let may = apply_fault(&self.faults_file, false);
+        if may.is_err() && fs::read_to_string(&self.faults_file).is_ok_and(|fault| fault.trim() == "brim") {
             // As far as there was room.
             self.file.write_all(&bytes[..bytes.len() / 2])?;
         }
@@ -151,12 +155,12 @@
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
-        apply_fault(&self.told, false)?;
+        apply_fault(&self.faults_file, false)?;
         self.file.truncate(length)
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        apply_fault(&self.told, false)?;
+        apply_fault(&self.faults_file, false)?;
         self.file.sync()
     }
 }
--- a/crates/dunepond-testkit/src/fleet/clients.rs
+++ b/crates/dunepond-testkit/src/fleet/clients.rs
@@ -57,21 +57,22 @@
 
     /// Clients that ask each of these brokers for all kinds of scans, one after the other, `gap` apart.
     pub fn clients(&self, brokers: impl IntoIterator<Item = usize>, gap: Duration) -> Clients {
-        let (stop, asked) = (Arc::new(AtomicBool::new(false)), self.requested.clone());
+        let (stop, requested_segments) = (Arc::new(AtomicBool::new(false)), self.requested.clone());
         let threads =
             brokers.into_iter().flat_map(|broker| (0..QUERY_CLASSES.len()).map(move |kind| (broker, kind)));
         let segs = self.options.segment_count;
         let threads = threads.map(|(broker, kind)| {
-            let (to, stop, asked) = (self.brokers[broker].address, stop.clone(), asked.clone());
+            let (to, stop, requested_segments) =
+                (self.brokers[broker].address, stop.clone(), requested_segments.clone());
             let (timeout, own) = (self.options.query_timeout_seconds, broker_name(broker));
             thread::spawn(move || {
-                let (mut went, mut client) = (Vec::new(), None);
+                let (mut outcomes, mut client) = (Vec::new(), None);
                 while !stop.load(Ordering::Relaxed) {
                     let asking = QueryClient { broker, kind, own: &own, segs, timeout };
-                    went.push(asking.ask(to, &mut client, &asked));
+                    outcomes.push(asking.ask(to, &mut client, &requested_segments));
                     thread::sleep(gap);
                 }
-                went
+                outcomes
             })
         });
         let threads = threads.collect();
@@ -113,7 +114,7 @@
         &self,
         to: SocketAddr,
         client: &mut Option<Client>,
-        asked: &Mutex<BTreeMap<String, BTreeSet<u64>>>,
+        requested_segments: &Mutex<BTreeMap<String, BTreeSet<u64>>>,
     ) -> QueryOutcome {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -124,7 +125,7 @@
             _ => vec![number % self.segs],
         };
         let call = format!("{kind}-{}-{number}", self.own);
-        asked.lock().unwrap().insert(call.clone(), segs.iter().map(|seg| *seg as u64).collect());
+        requested_segments.lock().unwrap().insert(call.clone(), segs.iter().map(|seg| *seg as u64).collect());
         let (began, dialled) = (Instant::now(), client.take().or_else(|| connect(to)));
         let taken = dialled.is_some();
         let answer = dialled.and_then(|mut dialled| {
@@ -167,9 +168,9 @@
     pub fn stop(mut self) -> Vec<QueryOutcome> {
         self.stop.store(true, Ordering::Relaxed);
         let threads = std::mem::take(&mut self.threads);
-        let mut went: Vec<_> = threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect();
-        went.sort_by_key(|went| went.started_at);
-        went
+        let mut outcomes: Vec<_> = threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect();
+        outcomes.sort_by_key(|outcomes| outcomes.started_at);
+        outcomes
     }
 }
 
@@ -182,25 +183,28 @@
 
 /// Of those that it is about, the share of which it is so.
 pub fn outcome_ratio(
-    went: &[QueryOutcome],
+    outcomes: &[QueryOutcome],
     of: impl Fn(&QueryOutcome) -> bool,
     is: impl Fn(&QueryOutcome) -> bool,
 ) -> f64 {
-    let all: Vec<_> = went.iter().filter(|one| of(one)).collect();
+    let all: Vec<_> = outcomes.iter().filter(|one| of(one)).collect();
     assert!(all.len() > 10, "only {} scans", all.len());
     all.iter().filter(|one| is(one)).count() as f64 / all.len() as f64
 }
 
 /// Share of all that was served within the target time; fixes do not count at brokers that are cut off.
-pub fn served_ratio(went: &[QueryOutcome], target: f64, cut_off: &[usize]) -> f64 {
+pub fn served_ratio(outcomes: &[QueryOutcome], target: f64, cut_off: &[usize]) -> f64 {
     let counts = |one: &QueryOutcome| one.is_idempotent() || !cut_off.contains(&one.broker);
-    outcome_ratio(went, counts, |one| one.status == Some(200) && one.latency_seconds <= target)
+    outcome_ratio(outcomes, counts, |one| one.status == Some(200) && one.latency_seconds <= target)
 }
 
 /// Seconds below which so much of what was answered with 200 was answered.
-pub fn latency_quantile(went: &[QueryOutcome], of: impl Fn(&QueryOutcome) -> bool, share: f64) -> f64 {
-    let mut took: Vec<f64> =
-        went.iter().filter(|one| of(one) && one.status == Some(200)).map(|one| one.latency_seconds).collect();
+pub fn latency_quantile(outcomes: &[QueryOutcome], of: impl Fn(&QueryOutcome) -> bool, share: f64) -> f64 {
+    let mut took: Vec<f64> = outcomes
+        .iter()
+        .filter(|one| of(one) && one.status == Some(200))
+        .map(|one| one.latency_seconds)
+        .collect();
     took.sort_by(f64::total_cmp);
     let place = ((took.len() as f64 * share) as usize).min(took.len().saturating_sub(1));
     took.get(place).copied().unwrap_or(f64::NAN)
--- a/crates/dunepond-testkit/src/fleet/filler.rs
+++ b/crates/dunepond-testkit/src/fleet/filler.rs
@@ -19,31 +19,31 @@
 #[derive(Default)]
 struct FillState {
     orders: Vec<Value>,
-    held: bool,
+    paused: bool,
     /// Seconds that a fill takes.
-    lasts: f64,
+    fill_seconds: f64,
     /// So many of the next orders break off when half of the bytes are there.
-    breaks: usize,
+    failures_left: usize,
     /// Broken off for good: an order for this node is answered by a closed connection.
-    dead: Option<String>,
+    failed_node: Option<String>,
     /// Of each id: bytes that are there, and bytes that were ever moved for it.
-    done: BTreeMap<String, (u64, u64)>,
+    progress: BTreeMap<String, (u64, u64)>,
 }
 
 pub struct FillService {
     pub address: SocketAddr,
-    told: Arc<Mutex<FillState>>,
+    state: Arc<Mutex<FillState>>,
 }
 
 impl FillService {
     pub(super) fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let filler = Self { address: listener.local_addr().unwrap(), told: Arc::default() };
-        let told = filler.told.clone();
+        let filler = Self { address: listener.local_addr().unwrap(), state: Arc::default() };
+        let state = filler.state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let told = told.clone();
-                thread::spawn(move || attend(stream, &told));
+                let state = state.clone();
+                thread::spawn(move || attend(stream, &state));
             }
         });
         filler
@@ -51,39 +51,39 @@
 
     /// Orders are taken, and not answered as long as this is so.
     pub fn set_paused(&self, so: bool) {
-        self.told.lock().unwrap().held = so;
+        self.state.lock().unwrap().paused = so;
     }
 
     pub fn set_fill_seconds(&self, seconds: f64) {
-        self.told.lock().unwrap().lasts = seconds;
+        self.state.lock().unwrap().fill_seconds = seconds;
     }
 
     /// So many of the next orders break off half way, and keep what they have.
     pub fn fail_next(&self, count: usize) {
-        self.told.lock().unwrap().breaks = count;
+        self.state.lock().unwrap().failures_left = count;
     }
 
     /// Orders for this node, or from it, come to nothing half way from now on.
     pub fn fail_node(&self, node: Option<&str>) {
-        self.told.lock().unwrap().dead = node.map(str::to_string);
+        self.state.lock().unwrap().failed_node = node.map(str::to_string);
     }
 
     /// How many orders have come.
     pub fn order_count(&self) -> usize {
-        self.told.lock().unwrap().orders.len()
+        self.state.lock().unwrap().orders.len()
     }
 
     pub fn orders(&self) -> Vec<Value> {
-        self.told.lock().unwrap().orders.clone()
+        self.state.lock().unwrap().orders.clone()
     }
 
     /// Bytes that were moved, of all ids.
     pub fn moved_bytes(&self) -> u64 {
-        self.told.lock().unwrap().done.values().map(|(_, moved)| moved).sum()
+        self.state.lock().unwrap().progress.values().map(|(_, moved)| moved).sum()
     }
 }
 
-fn attend(mut stream: TcpStream, told: &Mutex<FillState>) -> std::io::Result<()> {
+fn attend(mut stream: TcpStream, state: &Mutex<FillState>) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     loop {
         let (mut head, mut line) = (String::new(), String::new());
@@ -98,8 +98,8 @@
         let mut body = vec![0; length.and_then(|length| length.parse().ok()).unwrap_or(0)];
         reader.read_exact(&mut body)?;
         let order: Value = serde_json::from_slice(&body).unwrap_or_default();
-        told.lock().unwrap().orders.push(order.clone());
-        if !fill(&order, told) {
+        state.lock().unwrap().orders.push(order.clone());
+        if !fill(&order, state) {
             return Ok(());
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")?;
@@ -107,33 +107,36 @@
 }
 
 /// Whether it was done.
-fn fill(order: &Value, told: &Mutex<FillState>) -> bool {
+fn fill(order: &Value, state: &Mutex<FillState>) -> bool {
     let began = Instant::now();
-    while told.lock().unwrap().held && began.elapsed() < WAIT_TIMEOUT {
+    while state.lock().unwrap().paused && began.elapsed() < WAIT_TIMEOUT {
         thread::sleep(STEP);
     }
     let word = |key: &str| order[key].as_str().unwrap_or_default().to_string();
     let (id, bytes) = (word("id"), order["bytes"].as_u64().unwrap_or(0));
-    let lasts = told.lock().unwrap().lasts;
-    let mut breaks = None;
+    let fill_seconds = state.lock().unwrap().fill_seconds;
+    let mut failures_left = None;
     for step in 1..=STEPS {
-        if lasts > 0.0 {
-            thread::sleep(Duration::from_secs_f64(lasts / STEPS as f64));
+        if fill_seconds > 0.0 {
+            thread::sleep(Duration::from_secs_f64(fill_seconds / STEPS as f64));
         }
-        let mut told = told.lock().unwrap();
+        let mut state = state.lock().unwrap();
         if step == 1 {
-            let dead = told.dead.as_ref().is_some_and(|node| [word("holder"), word("source")].contains(node));
-            breaks = (dead || told.breaks > 0).then_some(STEPS / 2);
-            told.breaks = told.breaks.saturating_sub(usize::from(!dead));
+            let failed_node = state
+                .failed_node
+                .as_ref()
+                .is_some_and(|node| [word("holder"), word("source")].contains(node));
+            failures_left = (failed_node || state.failures_left > 0).then_some(STEPS / 2);
+            state.failures_left = state.failures_left.saturating_sub(usize::from(!failed_node));
         }
         // What is there is not moved again: as many bytes as this step is ahead of it.
-        let (there, moved) = told.done.entry(id.clone()).or_default();
+        let (there, moved) = state.progress.entry(id.clone()).or_default();
         let more = (bytes * step / STEPS).saturating_sub(*there);
         (*there, *moved) = (*there + more, *moved + more);
-        if *there >= bytes && breaks.is_none() {
+        if *there >= bytes && failures_left.is_none() {
             return true;
         }
-        if breaks == Some(step) {
+        if failures_left == Some(step) {
             return false;
         }
     }
--- a/crates/dunepond-testkit/src/links/mod.rs
+++ b/crates/dunepond-testkit/src/links/mod.rs
@@ -77,7 +77,7 @@
 
 pub struct Links {
     names: Vec<String>,
-    ways: BTreeMap<(String, String), Arc<Direction>>,
+    directions: BTreeMap<(String, String), Arc<Direction>>,
     at: BTreeMap<(String, String), SocketAddr>,
     real: BTreeMap<String, SocketAddr>,
     runtime: Option<Runtime>,
@@ -90,20 +90,21 @@
             Builder::new_multi_thread().worker_threads(2).thread_name("links").enable_all().build()?;
         let pairs: Vec<_> = peers.iter().flat_map(|a| peers.iter().map(move |b| (a, b))).collect();
         let pairs: Vec<_> = pairs.into_iter().filter(|(a, b)| a.0 != b.0).collect();
-        let way = |_| {
-            let (manner, resets) = (watch::Sender::new(HEALTHY), watch::Sender::new(0));
+        let direction = |_| {
+            let (conditions, resets) = (watch::Sender::new(HEALTHY), watch::Sender::new(0));
             Arc::new(Direction {
-                conditions: manner,
+                conditions,
                 resets,
                 delivered: AtomicU64::new(0),
                 recording: Default::default(),
             })
         };
         let key = |a: &str, b: &str| (a.to_string(), b.to_string());
-        let ways: BTreeMap<_, _> = pairs.iter().map(|(a, b)| (key(&a.0, &b.0), way(()))).collect();
+        let directions: BTreeMap<_, _> =
+            pairs.iter().map(|(a, b)| (key(&a.0, &b.0), direction(()))).collect();
         let mut at = BTreeMap::new();
         for (i, (a, b)) in pairs.iter().enumerate() {
-            let (there, back) = (ways[&key(&a.0, &b.0)].clone(), ways[&key(&b.0, &a.0)].clone());
+            let (there, back) = (directions[&key(&a.0, &b.0)].clone(), directions[&key(&b.0, &a.0)].clone());
             let relay = Arc::new(Relay {
                 forward: there,
                 backward: back,
@@ -116,7 +117,7 @@
             runtime.spawn(udp::run(relay, socket));
         }
         let names = peers.iter().map(|peer| peer.0.clone()).collect();
-        Ok(Self { names, ways, at, real: peers.iter().cloned().collect(), runtime: Some(runtime) })
+        Ok(Self { names, directions, at, real: peers.iter().cloned().collect(), runtime: Some(runtime) })
     }
 
     /// Where `from` has to send what is for `to`.
@@ -124,21 +125,21 @@
         self.at[&(from.to_string(), to.to_string())]
     }
 
-    pub fn set(&self, from: &str, to: &str, manner: &LinkConditions) {
-        self.ways[&(from.to_string(), to.to_string())].conditions.send_replace(manner.clone());
+    pub fn set(&self, from: &str, to: &str, conditions: &LinkConditions) {
+        self.directions[&(from.to_string(), to.to_string())].conditions.send_replace(conditions.clone());
     }
 
-    pub fn set_all(&self, manner: &LinkConditions) {
-        for way in self.ways.values() {
-            way.conditions.send_replace(manner.clone());
+    pub fn set_all(&self, conditions: &LinkConditions) {
+        for direction in self.directions.values() {
+            direction.conditions.send_replace(conditions.clone());
         }
     }
 
     /// Both ways between each of `some` and all others.
-    pub fn set_around(&self, some: &[&str], manner: &LinkConditions) {
-        for (from, to) in self.ways.keys() {
+    pub fn set_around(&self, some: &[&str], conditions: &LinkConditions) {
+        for (from, to) in self.directions.keys() {
             if some.contains(&from.as_str()) || some.contains(&to.as_str()) {
-                self.set(from, to, manner);
+                self.set(from, to, conditions);
             }
         }
     }
@@ -146,7 +147,7 @@
     /// Cut apart into these groups, whole within each; who is in none is alone.
     pub fn partition(&self, groups: &[&[&str]]) {
         let of = |name: &str| groups.iter().position(|group| group.contains(&name));
-        for (from, to) in self.ways.keys() {
+        for (from, to) in self.directions.keys() {
             let together = of(from).is_some() && of(from) == of(to);
             self.set(from, to, if together { &HEALTHY } else { &CUT });
         }
@@ -155,30 +156,30 @@
     /// Breaks all connections between the two.
     pub fn reset(&self, a: &str, b: &str) {
         for (from, to) in [(a, b), (b, a)] {
-            self.ways[&(from.to_string(), to.to_string())].resets.send_modify(|count| *count += 1);
+            self.directions[&(from.to_string(), to.to_string())].resets.send_modify(|count| *count += 1);
         }
     }
 
     /// From now on all that goes from the one to the other is kept, on connections of its own that begin now.
     pub fn record(&self, from: &str, to: &str) {
-        self.ways[&(from.to_string(), to.to_string())].recording.start();
+        self.directions[&(from.to_string(), to.to_string())].recording.start();
         self.reset(from, to);
     }
 
     /// Brings what was kept a second time; how many streams and datagrams.
     pub fn replay(&self, from: &str, to: &str) -> (usize, usize) {
-        let way = &self.ways[&(from.to_string(), to.to_string())];
+        let direction = &self.directions[&(from.to_string(), to.to_string())];
         let runtime = self.runtime.as_ref().expect("until the end");
-        runtime.block_on(way.recording.replay(self.real[to])).unwrap()
+        runtime.block_on(direction.recording.replay(self.real[to])).unwrap()
     }
 
     /// Chunks of streams and datagrams that came out at `to`'s end.
     pub fn delivered(&self, from: &str, to: &str) -> u64 {
-        self.ways[&(from.to_string(), to.to_string())].delivered.load(Ordering::Relaxed)
+        self.directions[&(from.to_string(), to.to_string())].delivered.load(Ordering::Relaxed)
     }
 
     pub fn total_delivered(&self) -> u64 {
-        self.ways.values().map(|way| way.delivered.load(Ordering::Relaxed)).sum()
+        self.directions.values().map(|direction| direction.delivered.load(Ordering::Relaxed)).sum()
     }
 
     pub fn names(&self) -> &[String] {
--- a/crates/dunepond-testkit/src/links/tcp.rs
+++ b/crates/dunepond-testkit/src/links/tcp.rs
@@ -31,8 +31,8 @@
     let (mut there, mut back) = (relay.forward.resets.subscribe(), relay.backward.resets.subscribe());
     // A connection that crosses a cut link is not made before the link is whole both ways.
     let reached = async {
-        wait_until_clear(&relay.forward, |manner| manner.cut || manner.half_open).await;
-        wait_until_clear(&relay.backward, |manner| manner.cut).await;
+        wait_until_clear(&relay.forward, |conditions| conditions.cut || conditions.half_open).await;
+        wait_until_clear(&relay.backward, |conditions| conditions.cut).await;
         TcpStream::connect(relay.target).await
     };
     let far = tokio::select! {
@@ -60,48 +60,50 @@
     Ok(())
 }
 
-async fn wait_until_clear(way: &Direction, not: impl Fn(&LinkConditions) -> bool) {
-    let _ = way.conditions.subscribe().wait_for(|manner| !not(manner)).await;
+async fn wait_until_clear(direction: &Direction, not: impl Fn(&LinkConditions) -> bool) {
+    let _ = direction.conditions.subscribe().wait_for(|conditions| !not(conditions)).await;
 }
 
 async fn relay_direction(
-    way: &Direction,
+    direction: &Direction,
     from: &mut OwnedReadHalf,
     to: &mut OwnedWriteHalf,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     number: Option<u64>,
 ) -> io::Result<()> {
     let (sender, receiver) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
-    tokio::try_join!(receive(way, from, sender, chance, number), deliver(way, to, receiver)).map(drop)
+    tokio::try_join!(receive(direction, from, sender, rng, number), deliver(direction, to, receiver))
+        .map(drop)
 }
 
 type Chunk = (Instant, Vec<u8>);
 
 async fn receive(
-    way: &Direction,
+    direction: &Direction,
     from: &mut OwnedReadHalf,
     out: mpsc::Sender<Chunk>,
-    mut chance: Pcg64Mcg,
+    mut rng: Pcg64Mcg,
     number: Option<u64>,
 ) -> io::Result<()> {
     let mut buffer = vec![0; CHUNK_BYTES];
     let mut due = Instant::now();
     loop {
         let count = from.read(&mut buffer).await?;
-        let manner = way.conditions.borrow().clone();
+        let conditions = direction.conditions.borrow().clone();
         if let Some(number) = number {
-            way.recording.record_stream(number, &buffer[..count]);
+            direction.recording.record_stream(number, &buffer[..count]);
         }
-        if count > 0 && manner.half_open {
+        if count > 0 && conditions.half_open {
             continue;
         }
-        let mut late = manner.delay_seconds + manner.jitter_seconds * chance.random::<f64>();
-        if chance.random::<f64>() < manner.loss_ratio {
-            late += RETRANSMIT_DELAY_SECONDS;
+        let mut drawn_delay_seconds =
+            conditions.delay_seconds + conditions.jitter_seconds * rng.random::<f64>();
+        if rng.random::<f64>() < conditions.loss_ratio {
+            drawn_delay_seconds += RETRANSMIT_DELAY_SECONDS;
         }
         // In order: nothing comes before what was sent before it.
-        due = due.max(Instant::now() + Duration::from_secs_f64(late));
-        due += Duration::from_secs_f64(manner.bytes_per_second.map_or(0.0, |rate| count as f64 / rate));
+        due = due.max(Instant::now() + Duration::from_secs_f64(drawn_delay_seconds));
+        due += Duration::from_secs_f64(conditions.bytes_per_second.map_or(0.0, |rate| count as f64 / rate));
         if out.send((due, buffer[..count].to_vec())).await.is_err() || count == 0 {
             return Ok(());
         }
@@ -109,18 +111,18 @@
 }
 
 async fn deliver(
-    way: &Direction,
+    direction: &Direction,
     to: &mut OwnedWriteHalf,
     mut chunks: mpsc::Receiver<Chunk>,
 ) -> io::Result<()> {
     while let Some((due, bytes)) = chunks.recv().await {
         sleep_until(due).await;
-        wait_until_clear(way, |manner| manner.cut).await;
+        wait_until_clear(direction, |conditions| conditions.cut).await;
         if bytes.is_empty() {
             return to.shutdown().await;
         }
         to.write_all(&bytes).await?;
-        way.delivered.fetch_add(1, Ordering::Relaxed);
+        direction.delivered.fetch_add(1, Ordering::Relaxed);
     }
     Ok(())
 }
--- a/crates/dunepond-testkit/src/links/udp.rs
+++ b/crates/dunepond-testkit/src/links/udp.rs
@@ -47,42 +47,49 @@
         Self { rng, busy_until: Instant::now() }
     }
 
-    fn forward(&mut self, way: &Arc<Direction>, out: &Arc<UdpSocket>, to: Option<SocketAddr>, bytes: &[u8]) {
-        let manner = way.conditions.borrow().clone();
-        way.recording.record_datagram(bytes);
-        if manner.cut || manner.half_open || self.rng.random::<f64>() < manner.loss_ratio {
+    fn forward(
+        &mut self,
+        direction: &Arc<Direction>,
+        out: &Arc<UdpSocket>,
+        to: Option<SocketAddr>,
+        bytes: &[u8],
+    ) {
+        let conditions = direction.conditions.borrow().clone();
+        direction.recording.record_datagram(bytes);
+        if conditions.cut || conditions.half_open || self.rng.random::<f64>() < conditions.loss_ratio {
             return;
         }
         let now = Instant::now();
-        let took = manner.bytes_per_second.map_or(0.0, |rate| bytes.len() as f64 / rate);
+        let took = conditions.bytes_per_second.map_or(0.0, |rate| bytes.len() as f64 / rate);
         self.busy_until = self.busy_until.max(now) + Duration::from_secs_f64(took);
-        for _ in 0..1 + usize::from(self.rng.random::<f64>() < manner.duplicate_ratio) {
-            let mut late = manner.delay_seconds + manner.jitter_seconds * self.rng.random::<f64>();
-            if self.rng.random::<f64>() < manner.reorder_ratio {
-                late += REORDER_DELAY_SECONDS;
+        for _ in 0..1 + usize::from(self.rng.random::<f64>() < conditions.duplicate_ratio) {
+            let mut drawn_delay_seconds =
+                conditions.delay_seconds + conditions.jitter_seconds * self.rng.random::<f64>();
+            if self.rng.random::<f64>() < conditions.reorder_ratio {
+                drawn_delay_seconds += REORDER_DELAY_SECONDS;
             }
-            let due = self.busy_until + Duration::from_secs_f64(late);
+            let due = self.busy_until + Duration::from_secs_f64(drawn_delay_seconds);
             if due <= now {
                 // At once, so that a whole link keeps the order.
                 let sent = match to {
                     Some(to) => out.try_send_to(bytes, to),
                     None => out.try_send(bytes),
                 };
-                way.delivered.fetch_add(u64::from(sent.is_ok()), Ordering::Relaxed);
+                direction.delivered.fetch_add(u64::from(sent.is_ok()), Ordering::Relaxed);
                 continue;
             }
-            let (way, out, bytes) = (way.clone(), out.clone(), bytes.to_vec());
+            let (direction, out, bytes) = (direction.clone(), out.clone(), bytes.to_vec());
             tokio::spawn(async move {
                 sleep_until(due).await;
                 // What was on its way when the link was cut is lost too.
-                if way.conditions.borrow().cut {
+                if direction.conditions.borrow().cut {
                     return;
                 }
                 let sent = match to {
                     Some(to) => out.send_to(&bytes, to).await,
                     None => out.send(&bytes).await,
                 };
-                way.delivered.fetch_add(u64::from(sent.is_ok()), Ordering::Relaxed);
+                direction.delivered.fetch_add(u64::from(sent.is_ok()), Ordering::Relaxed);
             });
         }
     }
--- a/crates/dunepond-testkit/src/load.rs
+++ b/crates/dunepond-testkit/src/load.rs
@@ -51,9 +51,9 @@
     pub fn run_with(
         &self,
         request: impl Fn(usize) -> String + Send + Sync + 'static,
-        told: impl Fn(usize, Instant, Option<&Answer>) + Send + Sync + 'static,
+        on_answer: impl Fn(usize, Instant, Option<&Answer>) + Send + Sync + 'static,
     ) -> LoadReport {
-        let (request, told) = (Arc::new(request), Arc::new(told));
+        let (request, on_answer) = (Arc::new(request), Arc::new(on_answer));
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
         let mut due = Vec::new();
         let mut at = 0.0;
@@ -62,39 +62,39 @@
             at += -(1.0 - rng.random::<f64>()).ln() / self.requests_per_second;
             due.push(at);
         }
-        let (due, next) = (Arc::new(due), Arc::new(AtomicU64::new(0)));
+        let (due, next_request) = (Arc::new(due), Arc::new(AtomicU64::new(0)));
         let (start, to) = (Instant::now(), self.to);
-        let times = Histogram::new_with_bounds(1, 120_000_000, 3).expect("bounds are in order");
-        let went = Arc::new(Mutex::new(LoadReport { latencies: times, served: 0, rejected: 0, failed: 0 }));
+        let latencies = Histogram::new_with_bounds(1, 120_000_000, 3).expect("bounds are in order");
+        let report = Arc::new(Mutex::new(LoadReport { latencies, served: 0, rejected: 0, failed: 0 }));
         let workers = (0..CLIENT_COUNT).map(|_| {
-            let (due, next, went) = (due.clone(), next.clone(), went.clone());
-            let (request, told) = (request.clone(), told.clone());
+            let (due, next_request, report) = (due.clone(), next_request.clone(), report.clone());
+            let (request, on_answer) = (request.clone(), on_answer.clone());
             thread::spawn(move || {
                 let mut client = Client::connect_to(to);
                 loop {
-                    let number = next.fetch_add(1, Ordering::Relaxed) as usize;
+                    let number = next_request.fetch_add(1, Ordering::Relaxed) as usize;
                     let Some(at) = due.get(number).map(|at| start + Duration::from_secs_f64(*at)) else {
                         return;
                     };
                     thread::sleep(at.saturating_duration_since(Instant::now()));
                     let (request, sent) = (request(number), Instant::now());
                     let answer = client.try_request(&request);
-                    told(number, sent, answer.as_ref());
+                    on_answer(number, sent, answer.as_ref());
                     let status = answer.map(|answer| answer.status);
                     if status.is_none() {
                         client = Client::connect_to(to);
                     }
-                    let mut went = went.lock().unwrap();
-                    let _ = went.latencies.record(at.elapsed().as_micros() as u64);
+                    let mut report = report.lock().unwrap();
+                    let _ = report.latencies.record(at.elapsed().as_micros() as u64);
                     match status {
-                        Some(200) => went.served += 1,
-                        Some(429 | 503) => went.rejected += 1,
-                        _ => went.failed += 1,
+                        Some(200) => report.served += 1,
+                        Some(429 | 503) => report.rejected += 1,
+                        _ => report.failed += 1,
                     }
                 }
             })
         });
         workers.collect::<Vec<_>>().into_iter().for_each(|worker| worker.join().unwrap());
-        Arc::into_inner(went).and_then(|went| went.into_inner().ok()).expect("all workers have ended")
+        Arc::into_inner(report).and_then(|report| report.into_inner().ok()).expect("all workers have ended")
     }
 }
--- a/crates/dunepond-testkit/src/main.rs
+++ b/crates/dunepond-testkit/src/main.rs
@@ -17,7 +17,7 @@
 /// Experiments on the real broker among stand-ins on loopback.
 #[derive(Parser)]
 #[command(version)]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
@@ -77,7 +77,8 @@
         operator_state.map(|path| FaultyFileStore::new(&path, &disk)).transpose().context("state: folder")?;
     let files = state.map(|files| Arc::new(files) as Arc<dyn FileStore>);
     let fleet = start.operator.fleet.as_ref().zip(fleet_disk);
-    let fleet = fleet.map(|(fleet, told)| FaultyFileStore::new(&fleet.folder, &told)).transpose()?;
+    let fleet =
+        fleet.map(|(fleet, faults_file)| FaultyFileStore::new(&fleet.folder, &faults_file)).transpose()?;
     let fleet = TestDoubles {
         storage: fleet.map(|files| Arc::new(files) as Arc<dyn FileStore>),
         ..TestDoubles::default()
@@ -96,7 +97,7 @@
 }
 
 fn main() -> anyhow::Result<ExitCode> {
-    match Line::parse().command {
+    match Arguments::parse().command {
         Command::Broker { operator, disk, fleet_disk } => broker(operator, disk, fleet_disk)?,
         Command::List => experiments::ALL.iter().for_each(|e| println!("{:12} {}", e.name, e.summary)),
         Command::Run { name, quick, seed, only, brokers, plays, out } => {
--- a/crates/dunepond-testkit/src/processes.rs
+++ b/crates/dunepond-testkit/src/processes.rs
@@ -213,14 +213,14 @@
     fn drop(&mut self) {
         self.kill();
         if thread::panicking() {
-            let said = self.log_text();
-            let from = said.floor_char_boundary(said.len().saturating_sub(MAX_LOG_BYTES_SHOWN));
+            let text = self.log_text();
+            let from = text.floor_char_boundary(text.len().saturating_sub(MAX_LOG_BYTES_SHOWN));
             println!(
                 "---- {} ({} of {} bytes of its log)\n{}",
                 self.name,
-                said.len() - from,
-                said.len(),
-                &said[from..]
+                text.len() - from,
+                text.len(),
+                &text[from..]
             );
         }
         let _ = fs::remove_file(&self.log);
--- a/crates/dunepond-testkit/src/restart_cluster.rs
+++ b/crates/dunepond-testkit/src/restart_cluster.rs
@@ -64,8 +64,9 @@
     }
 
     /// Begins a life with this operator's file; `FOLDER` in it is the folder that outlasts it.
-    pub fn start_broker(&self, kdl: &str) -> Broker {
-        std::fs::write(&self.operator_file, kdl.replace("FOLDER", self.folder.to_str().unwrap())).unwrap();
+    pub fn start_broker(&self, operator_kdl: &str) -> Broker {
+        std::fs::write(&self.operator_file, operator_kdl.replace("FOLDER", self.folder.to_str().unwrap()))
+            .unwrap();
         let mut config = stand_ins::config(self.discovery.address, self.endpoints());
         let family = &mut config["settings"]["familyInfo"];
         (family["cells"], family["span"], family["slabs"]) =
@@ -88,8 +89,8 @@
     }
 
     /// Every `n`th node behaves so.
-    pub fn set_behavior_of_every(&self, n: usize, manner: NodeBehavior) {
-        self.nodes.iter().step_by(n).for_each(|node| node.set_behavior(manner));
+    pub fn set_behavior_of_every(&self, n: usize, behavior: NodeBehavior) {
+        self.nodes.iter().step_by(n).for_each(|node| node.set_behavior(behavior));
     }
 
     /// All parts that came to nodes, in their order: when, which, and at which node.
@@ -105,7 +106,7 @@
     /// The least by which the budget of further dispatches was kept in any window that ends with one of them; `free` and
     /// `share` as the settings state it, the window in seconds. `taken` are the times at which scans of two parts were
     /// asked for. Below 0 it was broken.
-    pub fn retry_budget_margin(&self, taken: &[Instant], free: f64, share: f64, window: f64) -> f64 {
+    pub fn retry_budget_margin(&self, request_times: &[Instant], free: f64, share: f64, window: f64) -> f64 {
         let (mut seen, mut further, mut least) = (BTreeSet::new(), Vec::new(), free);
         for (at, id, _) in self.attempts() {
             if seen.insert(id) {
@@ -114,7 +115,7 @@
             further.push(at);
             let within = |then: &&Instant| **then <= at && (at - **then).as_secs_f64() <= window;
             let spent = further.iter().filter(within).count() as f64;
-            let earned = 3.0 * taken.iter().filter(within).count() as f64;
+            let earned = 3.0 * request_times.iter().filter(within).count() as f64;
             least = least.min(free + share * earned - spent);
         }
         least
--- a/crates/dunepond-testkit/src/shutdown/mod.rs
+++ b/crates/dunepond-testkit/src/shutdown/mod.rs
@@ -6,12 +6,13 @@
 mod verdict;
 
 use std::collections::BTreeMap;
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::ops::Range;
 use std::path::Path;
 use std::process::Command;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, OnceLock};
+use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use std::{iter, thread};
 
@@ -129,61 +130,36 @@
     played
 }
 
-/// Plays one plan against this program.
+/// Runs one plan against this program.
 pub fn run_plan(program: &Path, plan: &ShutdownPlan) -> Verdict {
     let nodes: Vec<_> = (0..plan.nodes).map(|i| Node::start(&format!("s-{i}"))).collect();
-    let lines: Vec<_> = nodes.iter().map(|node| node.endpoint("ready")).collect();
-    let list = DiscoveryServer::start(lines.clone());
-    let config = config(plan, &list, lines);
+    let endpoints: Vec<_> = nodes.iter().map(|node| node.endpoint("ready")).collect();
+    let discovery = DiscoveryServer::start(endpoints.clone());
+    let config = config(plan, &discovery, endpoints);
     let mut brokers: Vec<_> = plan.brokers.iter().map(|_| launch(program, &config)).collect();
-    let site = |(broker, (process, told)): (usize, (&Broker, &BrokerPlan))| {
-        Arc::new(BrokerEndpoint {
-            address: process.address,
-            broker,
-            timeout: plan.timeout,
-            non_idempotent_ratio: plan.non_idempotent_ratio,
-            signalled_at: OnceLock::new(),
-            new_connections_until: told.new_connections_until,
-            kill_after: plan.kill_after(),
-        })
-    };
-    let sites: Vec<_> = brokers.iter().zip(&plan.brokers).enumerate().map(site).collect();
-    let idle = |(site, told): (&Arc<BrokerEndpoint>, &BrokerPlan)| -> Vec<_> {
-        (0..told.idle_connections).map_while(|_| TcpStream::connect(site.address).ok()).collect()
-    };
-    let _idle: Vec<_> = sites.iter().zip(&plan.brokers).map(idle).collect();
-    let mut clients = Vec::new();
-    for (site, told) in sites.iter().zip(&plan.brokers) {
-        for (number, habit) in told.clients.iter().enumerate() {
-            let client = Client::new(site.clone(), number, *habit, plan.seed);
-            clients.push(thread::spawn(move || client.run()));
-        }
-    }
-    let begin = Instant::now() + WARM_UP_TIME;
-    let turns_bad = |plan: &ShutdownPlan| {
-        sleep_until(begin - Duration::from_secs_f64((-plan.misbehaving_after_seconds).max(0.0)));
-        thread::sleep(Duration::from_secs_f64(plan.misbehaving_after_seconds.max(0.0)));
-        nodes.iter().take(plan.misbehaving_nodes).for_each(|node| node.set_behavior(plan.node_behavior));
-        if plan.discovery_stops {
-            list.stop_replying();
-        }
-    };
+    let endpoints: Vec<_> = brokers
+        .iter()
+        .enumerate()
+        .map(|(index, broker)| broker_endpoint(plan, index, broker.address))
+        .collect();
+    let _idle = open_idle_connections(plan, &endpoints);
+    let clients = start_clients(plan, &endpoints);
+    let first_signal_at = Instant::now() + WARM_UP_TIME;
     let times: Vec<_> = thread::scope(|scope| {
-        scope.spawn(|| turns_bad(plan));
-        let ends = brokers.iter().zip(&plan.brokers).zip(&sites).enumerate();
-        let ends: Vec<_> = ends
-            .map(|(place, ((broker, told), site))| {
-                scope.spawn(move || {
-                    sleep_until(begin + plan.signal_interval * place as u32);
-                    shut_down(broker, told, site)
-                })
-            })
-            .collect();
-        ends.into_iter().map(|end| end.join().expect("it was taken to its end")).collect()
+        scope.spawn(|| start_misbehavior(plan, &nodes, &discovery, first_signal_at));
+        let mut shutdowns = Vec::new();
+        for (index, broker) in brokers.iter().enumerate() {
+            let (broker_plan, endpoint) = (&plan.brokers[index], &endpoints[index]);
+            shutdowns.push(scope.spawn(move || {
+                sleep_until(first_signal_at + plan.signal_interval * index as u32);
+                shut_down(broker, broker_plan, endpoint)
+            }));
+        }
+        shutdowns.into_iter().map(|shutdown| shutdown.join().expect("it was taken to its end")).collect()
     });
-    let records = clients.into_iter().flat_map(|client| client.join().expect("a client came through"));
+    let requests = clients.into_iter().flat_map(|client| client.join().expect("a client came through"));
+    let requests = requests.collect();
     let mut verdict = Verdict::default();
-    let records = records.collect();
     for broker in &mut brokers {
         match broker.exit_code() {
             None => verdict.killed += 1,
@@ -192,7 +168,58 @@
         }
     }
     let circumstances =
-        Circumstances { brokers: times, timeout: plan.timeout, nodes_refuse: plan.nodes_reject() };
-    verdict.judge(records, &attempts(&nodes), &circumstances);
+        Circumstances { brokers: times, timeout: plan.timeout, nodes_reject: plan.nodes_reject() };
+    verdict.judge(requests, &attempts(&nodes), &circumstances);
     verdict
 }
+
+fn broker_endpoint(plan: &ShutdownPlan, index: usize, address: SocketAddr) -> Arc<BrokerEndpoint> {
+    Arc::new(BrokerEndpoint {
+        address,
+        broker: index,
+        timeout: plan.timeout,
+        non_idempotent_ratio: plan.non_idempotent_ratio,
+        signalled_at: OnceLock::new(),
+        new_connections_until: plan.brokers[index].new_connections_until,
+        kill_after: plan.kill_after(),
+    })
+}
+
+/// Connections that never ask anything, as many as the plan says and the broker accepts.
+fn open_idle_connections(plan: &ShutdownPlan, endpoints: &[Arc<BrokerEndpoint>]) -> Vec<TcpStream> {
+    let mut connections = Vec::new();
+    for (endpoint, broker) in endpoints.iter().zip(&plan.brokers) {
+        let connect = |_| TcpStream::connect(endpoint.address).ok();
+        connections.extend((0..broker.idle_connections).map_while(connect));
+    }
+    connections
+}
+
+fn start_clients(plan: &ShutdownPlan, endpoints: &[Arc<BrokerEndpoint>]) -> Vec<JoinHandle<Vec<Request>>> {
+    let mut clients = Vec::new();
+    for (endpoint, broker) in endpoints.iter().zip(&plan.brokers) {
+        for (number, behavior) in broker.clients.iter().enumerate() {
+            let client = Client::new(endpoint.clone(), number, *behavior, plan.seed);
+            clients.push(thread::spawn(move || client.run()));
+        }
+    }
+    clients
+}
+
+/// Waits for its time, from before or after the first signal, and has nodes and discovery misbehave.
+fn start_misbehavior(
+    plan: &ShutdownPlan,
+    nodes: &[Node],
+    discovery: &DiscoveryServer,
+    first_signal_at: Instant,
+) {
+    let after = plan.misbehaving_after_seconds;
+    sleep_until(first_signal_at - Duration::from_secs_f64((-after).max(0.0)));
+    thread::sleep(Duration::from_secs_f64(after.max(0.0)));
+    for node in nodes.iter().take(plan.misbehaving_nodes) {
+        node.set_behavior(plan.node_behavior);
+    }
+    if plan.discovery_stops {
+        discovery.stop_replying();
+    }
+}
--- a/crates/dunepond-testkit/src/shutdown/verdict.rs
+++ b/crates/dunepond-testkit/src/shutdown/verdict.rs
@@ -78,7 +78,7 @@
     pub brokers: Vec<BrokerTimes>,
     pub timeout: Duration,
     /// Nodes turned parts away, which may then be sent again.
-    pub nodes_refuse: bool,
+    pub nodes_reject: bool,
 }
 
 pub struct BrokerTimes {
@@ -206,7 +206,7 @@
     if request.disconnected_at.is_some_and(|left| began_after(left, DISCONNECT_GRACE)) {
         found.insert(Violation::AttemptAfterDisconnect);
     }
-    let may_be_resent = request.idempotent || circumstances.nodes_refuse;
+    let may_be_resent = request.idempotent || circumstances.nodes_reject;
     if !may_be_resent && parts.iter().any(|at| at.len() > 1) {
         found.insert(Violation::RanTwice);
     }
--- a/crates/dunepond-testkit/src/shutdown/verdict/tests/mod.rs
+++ b/crates/dunepond-testkit/src/shutdown/verdict/tests/mod.rs
@@ -38,7 +38,7 @@
         longest_pause: STOP,
         stops: vec![stop],
     };
-    let circumstances = Circumstances { brokers: vec![times], timeout: TIMEOUT, nodes_refuse: false };
+    let circumstances = Circumstances { brokers: vec![times], timeout: TIMEOUT, nodes_reject: false };
     let attempts: Vec<_> = attempts_after_stop.iter().map(|after| stop.until + *after).collect();
     find_violations(&request, &[&attempts], &circumstances)
 }
--- a/crates/dunepond-testkit/tests/agree/main.rs
+++ b/crates/dunepond-testkit/tests/agree/main.rs
@@ -39,8 +39,8 @@
 }
 
 /// Each scan that was sent has had its answer.
-fn assert_all_answered(went: &[QueryOutcome], brokers: &[usize]) {
-    let lost = went.iter().find(|one| one.sent && one.status.is_none() && brokers.contains(&one.broker));
+fn assert_all_answered(outcomes: &[QueryOutcome], brokers: &[usize]) {
+    let lost = outcomes.iter().find(|one| one.sent && one.status.is_none() && brokers.contains(&one.broker));
     assert!(lost.is_none(), "{lost:?}");
 }
 
--- a/crates/dunepond-testkit/tests/agree/partitions.rs
+++ b/crates/dunepond-testkit/tests/agree/partitions.rs
@@ -30,10 +30,10 @@
     }
     fleet.wait_active([2, 3, 4], 2);
     thread::sleep(Duration::from_secs(1));
-    let went = clients.stop();
-    let served = outcome_ratio(&went, QueryOutcome::is_idempotent, |one| one.status == Some(200));
+    let outcomes = clients.stop();
+    let served = outcome_ratio(&outcomes, QueryOutcome::is_idempotent, |one| one.status == Some(200));
     assert!(served > 0.95, "{served} of replayable scans served while parted");
-    assert_all_answered(&went, &[0, 1, 2, 3, 4]);
+    assert_all_answered(&outcomes, &[0, 1, 2, 3, 4]);
     fleet.links.set_all(&HEALTHY);
     fleet.wait_active(0..5, 2);
     assert_consistent(&fleet);
@@ -84,11 +84,11 @@
     let next = fleet.config_version(2, &[0, 3], &[]);
     fleet.propose(0, &next);
     fleet.wait_active(0..4, 2);
-    let went = clients.stop();
+    let outcomes = clients.stop();
     let served =
-        outcome_ratio(&went, |one| one.is_idempotent() && one.broker == 4, |one| one.status == Some(200));
+        outcome_ratio(&outcomes, |one| one.is_idempotent() && one.broker == 4, |one| one.status == Some(200));
     assert!(served > 0.95, "{served} of replayable scans served behind the slow link");
-    assert_all_answered(&went, &[0, 1, 2, 3, 4]);
+    assert_all_answered(&outcomes, &[0, 1, 2, 3, 4]);
     fleet.links.set_all(&HEALTHY);
     fleet.wait_active(0..5, 2);
     assert_consistent(&fleet);
@@ -101,14 +101,14 @@
     (0..6).for_each(|i| fleet.wait_for_phase(i, AuditPhase::LeaseExpired));
     let clients = fleet.clients(0..6, GAP);
     thread::sleep(Duration::from_secs(2));
-    let went = clients.stop();
-    let served = outcome_ratio(&went, QueryOutcome::is_idempotent, |one| one.status == Some(200));
+    let outcomes = clients.stop();
+    let served = outcome_ratio(&outcomes, QueryOutcome::is_idempotent, |one| one.status == Some(200));
     assert!(served > 0.95, "{served} of replayable scans served");
     let fixes = |one: &QueryOutcome| QUERY_CLASSES[one.kind] == NON_IDEMPOTENT_CLASS;
     let refused = |one: &QueryOutcome| matches!(one.status, Some(429 | 503)) && one.latency_seconds < 0.3;
-    let refused = outcome_ratio(&went, fixes, refused);
+    let refused = outcome_ratio(&outcomes, fixes, refused);
     assert!(refused > 0.99, "{refused} of fixes refused at once");
-    assert_all_answered(&went, &[0, 1, 2, 3, 4, 5]);
+    assert_all_answered(&outcomes, &[0, 1, 2, 3, 4, 5]);
     fleet.links.set_all(&HEALTHY);
     fleet.wait_active(0..6, 1);
     // Whole again, fixes go out again.
--- a/crates/dunepond-testkit/tests/agree/quotas.rs
+++ b/crates/dunepond-testkit/tests/agree/quotas.rs
@@ -64,13 +64,13 @@
     let before = fleet.nodes[5].part_arrivals().len();
     thread::sleep(Duration::from_secs_f64(lasted));
     let came = (fleet.nodes[5].part_arrivals().len() - before) as f64;
-    let went = clients.stop();
+    let outcomes = clients.stop();
     // Before the list's word has come it is taken for warm for a moment.
     let (floor, told) = (MULTIPLE * FLOOR * RATE * lasted, 12.0);
     assert!(came < floor + told, "{came} parts came to the cold node, {floor} are the floor's");
-    let served = outcome_ratio(&went, QueryOutcome::is_idempotent, |one| one.status == Some(200));
+    let served = outcome_ratio(&outcomes, QueryOutcome::is_idempotent, |one| one.status == Some(200));
     assert!(served > 0.9, "{served} of replayable scans served");
-    assert_all_answered(&went, &[left]);
+    assert_all_answered(&outcomes, &[left]);
     rest.iter().for_each(|i| fleet.brokers[*i].resume());
     fleet.wait_active(0..BROKERS, 1);
     gathered(&fleet, 0);
--- a/crates/dunepond-testkit/tests/agree/random_faults.rs
+++ b/crates/dunepond-testkit/tests/agree/random_faults.rs
@@ -19,12 +19,12 @@
 #[ignore = "half a minute for each seed; run by hand"]
 fn random_faults_cause_no_contradiction(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut fleet = Fleet::start_with_version(FleetOptions { seed, ..options(5, 7) });
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let clients = fleet.clients(0..7, GAP);
     let (mut number, mut down, mut old) = (1, None, None);
     for _ in 0..40 {
-        let (one, other) = (chance.random_range(0..7), chance.random_range(0..7));
-        match chance.random_range(0..9) {
+        let (one, other) = (rng.random_range(0..7), rng.random_range(0..7));
+        match rng.random_range(0..9) {
             0 => fleet
                 .partition(&[&[one, other], &[(one + 1) % 7, (one + 2) % 7, (one + 3) % 7, (one + 4) % 7]]),
             1 => fleet.links.set_all(&LinkConditions {
@@ -42,7 +42,7 @@
             }
             5 if down != Some(one) => {
                 fleet.brokers[one].suspend();
-                thread::sleep(Duration::from_secs_f64(chance.random_range(0.05..2.0)));
+                thread::sleep(Duration::from_secs_f64(rng.random_range(0.05..2.0)));
                 fleet.brokers[one].resume();
             }
             6 => old = Some((one, fleet.brokers[one].copy_folder_to_scratch())),
@@ -59,11 +59,11 @@
                 }
             }
         }
-        thread::sleep(Duration::from_secs_f64(chance.random_range(0.05..0.8)));
-        if let Some(broker) = down.filter(|_| chance.random_bool(0.4)) {
+        thread::sleep(Duration::from_secs_f64(rng.random_range(0.05..0.8)));
+        if let Some(broker) = down.filter(|_| rng.random_bool(0.4)) {
             match old.take_if(|(of, _)| *of == broker) {
                 Some((_, copy)) => fleet.brokers[broker].restore_folder(&copy),
-                None if chance.random_bool(0.3) => fleet.brokers[broker].remove_folder(),
+                None if rng.random_bool(0.3) => fleet.brokers[broker].remove_folder(),
                 None => {}
             }
             fleet.brokers[broker].start();
@@ -90,8 +90,8 @@
     });
     assert!(all, "nothing is agreed on any more");
     fleet.wait_active(0..7, number + 1);
-    let (went, acts) = (clients.stop(), fleet.records().lines.len());
-    let served = went.iter().filter(|one| one.status == Some(200)).count();
-    println!("{} versions, {served} of {} scans served, {acts} lines of records", number + 1, went.len());
+    let (outcomes, acts) = (clients.stop(), fleet.records().lines.len());
+    let served = outcomes.iter().filter(|one| one.status == Some(200)).count();
+    println!("{} versions, {served} of {} scans served, {acts} lines of records", number + 1, outcomes.len());
     assert_consistent(&fleet);
 }
--- a/crates/dunepond-testkit/tests/agree/rebalancing_faults.rs
+++ b/crates/dunepond-testkit/tests/agree/rebalancing_faults.rs
@@ -184,10 +184,14 @@
     assert!(wait_until(|| fleet.brokers[broker].ready()));
     let clients = fleet.clients([broker], GAP);
     thread::sleep(Duration::from_secs_f64(fleet.options.lease_seconds));
-    let went = clients.stop();
+    let outcomes = clients.stop();
     let fixes = |one: &QueryOutcome| !one.is_idempotent();
-    assert_eq!(outcome_ratio(&went, fixes, |one| one.status == Some(200)), 0.0, "fixes by yesterday's map");
-    assert!(outcome_ratio(&went, QueryOutcome::is_idempotent, |one| one.status == Some(200)) > 0.95);
+    assert_eq!(
+        outcome_ratio(&outcomes, fixes, |one| one.status == Some(200)),
+        0.0,
+        "fixes by yesterday's map"
+    );
+    assert!(outcome_ratio(&outcomes, QueryOutcome::is_idempotent, |one| one.status == Some(200)) > 0.95);
     fleet.links.set_all(&HEALTHY);
     fleet.wait_active(0..5, 2);
     let clients = fleet.clients(0..5, GAP);
--- a/crates/dunepond-testkit/tests/agree/voters.rs
+++ b/crates/dunepond-testkit/tests/agree/voters.rs
@@ -37,9 +37,9 @@
     // Back again, they go by what the new ones say.
     (0..3).for_each(|i| fleet.brokers[i].start());
     fleet.wait_active(0..7, 2);
-    let went = clients.stop();
-    let served = outcome_ratio(&went, QueryOutcome::is_idempotent, |one| one.status == Some(200));
+    let outcomes = clients.stop();
+    let served = outcome_ratio(&outcomes, QueryOutcome::is_idempotent, |one| one.status == Some(200));
     assert!(served > 0.95, "{served} of replayable scans served");
-    assert_all_answered(&went, &[6]);
+    assert_all_answered(&outcomes, &[6]);
     assert_consistent(&fleet);
 }
--- a/crates/dunepond-testkit/tests/bodies.rs
+++ b/crates/dunepond-testkit/tests/bodies.rs
@@ -34,13 +34,13 @@
 counters every=0.2
 ";
 
-fn site(nodes: &[BodyNodeBehavior], kdl: &str) -> BodyCluster {
+fn cluster(nodes: &[BodyNodeBehavior], kdl: &str) -> BodyCluster {
     let nodes = nodes.iter().enumerate().map(|(i, manner)| Node::start(&format!("s-{i}"), *manner)).collect();
     BodyCluster::start(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes, kdl)
 }
 
 /// One whose scans, and connections to nodes, may take as long as a client here waits for its answer at all.
-fn patient(nodes: &[BodyNodeBehavior], kdl: &str) -> BodyCluster {
+fn cluster_with_long_timeouts(nodes: &[BodyNodeBehavior], kdl: &str) -> BodyCluster {
     let nodes = nodes.iter().enumerate().map(|(i, manner)| Node::start(&format!("s-{i}"), *manner)).collect();
     BodyCluster::start_with(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes, kdl, |config| {
         config["settings"]["ceilings"]["connectTimeoutMs"] = json!(20_000.0);
@@ -51,19 +51,19 @@
 }
 
 /// Served whole, each part with all of its body.
-fn served(told: &BodyOutcome, ask: &BodyRequest) {
-    assert_eq!(told.status(), 200, "{told:?}");
-    let body = &told.answer.as_ref().unwrap().body;
+fn served(outcome: &BodyOutcome, request: &BodyRequest) {
+    assert_eq!(outcome.status(), 200, "{outcome:?}");
+    let body = &outcome.answer.as_ref().unwrap().body;
     let found = body["found"].as_array().unwrap();
-    assert_eq!((body["finished"].clone(), found.len()), (json!(true), ask.shards.len()));
-    assert!(found.iter().all(|part| part["item"] == json!(ask.expected_value())), "{found:?}");
+    assert_eq!((body["finished"].clone(), found.len()), (json!(true), request.shards.len()));
+    assert!(found.iter().all(|part| part["item"] == json!(request.expected_value())), "{found:?}");
 }
 
 /// Until the log has these words.
-fn logged(site: &BodyCluster, words: &str) -> bool {
+fn logged(cluster: &BodyCluster, words: &str) -> bool {
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(10) {
-        if site.broker.log_text().contains(words) {
+        if cluster.broker.log_text().contains(words) {
             return true;
         }
         thread::sleep(Duration::from_millis(20));
@@ -81,17 +81,17 @@
 #[case::file_and_one(mib_bytes(8) + 1)]
 #[case::longest_exactly(mib_bytes(16))]
 fn allowed_body_reaches_all_parts(#[case] length: u64, #[values(false, true)] chunked: bool) {
-    let site = site(&[BodyNodeBehavior::Serve; 3], KDL);
-    let ask = BodyRequest { chunked, ..body_request("find", "c1", &[0, 1, 2, 3], length) };
-    let told = site.send(&ask);
+    let cluster = cluster(&[BodyNodeBehavior::Serve; 3], KDL);
+    let request = BodyRequest { chunked, ..body_request("find", "c1", &[0, 1, 2, 3], length) };
+    let outcome = cluster.send(&request);
     // What is too long for a file passes, if its length is stated; if not, it cannot be kept.
     if chunked && length > mib_bytes(8) {
-        assert_eq!(told.status(), 413, "{told:?}");
-        assert!(told.error_text().contains("length is not stated"), "{told:?}");
+        assert_eq!(outcome.status(), 413, "{outcome:?}");
+        assert!(outcome.error_text().contains("length is not stated"), "{outcome:?}");
     } else {
-        served(&told, &ask);
+        served(&outcome, &request);
     }
-    assert_eq!(site.spill_file_count(), 0);
+    assert_eq!(cluster.spill_file_count(), 0);
 }
 
 #[rstest]
@@ -99,14 +99,19 @@
 #[case::chunked(true)]
 fn oversized_body_is_rejected(#[case] chunked: bool) {
     let kdl = KDL.replace("16MiB\"\n    memory", "1MiB\"\n    memory");
-    let site = site(&[BodyNodeBehavior::Serve], &kdl);
-    let told = site.send(&BodyRequest { chunked, ..body_request("find", "c1", &[0], mib_bytes(1) + 1) });
-    assert_eq!((told.status(), told.error_text().contains("bodies.longest")), (413, true), "{told:?}");
+    let cluster = cluster(&[BodyNodeBehavior::Serve], &kdl);
+    let outcome =
+        cluster.send(&BodyRequest { chunked, ..body_request("find", "c1", &[0], mib_bytes(1) + 1) });
+    assert_eq!(
+        (outcome.status(), outcome.error_text().contains("bodies.longest")),
+        (413, true),
+        "{outcome:?}"
+    );
     served(
-        &site.send(&body_request("find", "c2", &[0], mib_bytes(1))),
+        &cluster.send(&body_request("find", "c2", &[0], mib_bytes(1))),
         &body_request("find", "c2", &[0], mib_bytes(1)),
     );
-    assert_eq!(site.nodes[0].frame_counts().complete, 1);
+    assert_eq!(cluster.nodes[0].frame_counts().complete, 1);
 }
 
 #[rstest]
@@ -119,24 +124,24 @@
 #[case::exponent("1=1e0", "no such shard")]
 #[case::hole("1=0.5,,2=0.5", "no such shard")]
 fn header_parts_are_validated(#[case] buckets: &str, #[case] named: &str) {
-    let site = site(&[BodyNodeBehavior::Serve], KDL);
+    let cluster = cluster(&[BodyNodeBehavior::Serve], KDL);
     let head = body_request("find", "c1", &[0], 4).head().replace("0=1.000000", buckets);
-    let mut client = Client::connect(&site.broker);
+    let mut client = Client::connect(&cluster.broker);
     client.send(&(head + "text"));
     let answer = client.read_answer().unwrap();
     let why = answer.body["error"].as_str().unwrap();
     assert!(answer.status == 400 && why.starts_with("X-Buckets") && why.contains(named), "{answer:?}");
-    assert_eq!(site.nodes[0].frame_counts().complete, 0);
+    assert_eq!(cluster.nodes[0].frame_counts().complete, 0);
 }
 
 /// Switched off, nothing of it is there: the header is one of those that nobody reads.
 #[test]
 fn raw_form_is_off_by_default() {
-    let site = site(&[BodyNodeBehavior::Serve], "log form=\"text\"");
-    let mut client = Client::connect(&site.broker);
+    let cluster = cluster(&[BodyNodeBehavior::Serve], "log form=\"text\"");
+    let mut client = Client::connect(&cluster.broker);
     client.send(&(body_request("find", "c1", &[0], 4).head() + "text"));
     assert_eq!(client.read_answer().unwrap().status, 400);
-    client = Client::connect(&site.broker);
+    client = Client::connect(&cluster.broker);
     client.send(&body_request("find", "c1", &[0], 100_000).head());
     assert_eq!(client.read_answer().unwrap().status, 413);
 }
@@ -157,12 +162,12 @@
     )]
     manner: BodyNodeBehavior,
 ) {
-    let site = site(&[manner, BodyNodeBehavior::Serve], KDL);
+    let cluster = cluster(&[manner, BodyNodeBehavior::Serve], KDL);
     for i in 0..3 {
-        let ask = body_request("find", &format!("c{i}"), &[0, 1], length);
-        served(&site.send(&ask), &ask);
+        let request = body_request("find", &format!("c{i}"), &[0, 1], length);
+        served(&cluster.send(&request), &request);
     }
-    let frames = site.nodes[0].frame_counts();
+    let frames = cluster.nodes[0].frame_counts();
     assert!(frames.complete + frames.partial > 0);
 }
 
@@ -171,15 +176,15 @@
 #[case::close(BodyNodeBehavior::Close)]
 #[case::close_half(BodyNodeBehavior::CloseMidFrame)]
 fn streamed_body_is_not_retried(#[case] manner: BodyNodeBehavior) {
-    let site = site(&[manner], KDL);
-    let told = site.send(&body_request("find", "c1", &[0], mib_bytes(9)));
-    assert_eq!(told.status(), 429, "{told:?}");
+    let cluster = cluster(&[manner], KDL);
+    let outcome = cluster.send(&body_request("find", "c1", &[0], mib_bytes(9)));
+    assert_eq!(outcome.status(), 429, "{outcome:?}");
     assert!(
-        told.error_text().contains("not kept") && told.error_text().contains("bodies.files.one"),
-        "{told:?}"
+        outcome.error_text().contains("not kept") && outcome.error_text().contains("bodies.files.one"),
+        "{outcome:?}"
     );
-    assert!(told.elapsed_seconds < 5.0, "{told:?}");
-    let frames = site.nodes[0].frame_counts();
+    assert!(outcome.elapsed_seconds < 5.0, "{outcome:?}");
+    let frames = cluster.nodes[0].frame_counts();
     assert_eq!(frames.complete + frames.partial, 1);
 }
 
@@ -191,35 +196,37 @@
     #[case] manner: BodyNodeBehavior,
     #[values(mib_bytes(1), mib_bytes(4))] length: u64,
 ) {
-    let site = site(&[manner, BodyNodeBehavior::Serve], KDL);
+    let cluster = cluster(&[manner, BodyNodeBehavior::Serve], KDL);
     let mut met = 0;
     for i in 0..6 {
-        let ask = body_request("fix", &format!("c{i}"), &[0], length);
-        served(&site.send(&ask), &ask);
-        met += usize::from(site.nodes[0].frame_counts().complete + site.nodes[0].frame_counts().partial > 0);
+        let request = body_request("fix", &format!("c{i}"), &[0], length);
+        served(&cluster.send(&request), &request);
+        met += usize::from(
+            cluster.nodes[0].frame_counts().complete + cluster.nodes[0].frame_counts().partial > 0,
+        );
     }
     assert!(met > 0);
-    assert_eq!(repeated_parts(&site.nodes, |_| true), Vec::<String>::new());
+    assert_eq!(repeated_parts(&cluster.nodes, |_| true), Vec::<String>::new());
 }
 
 /// How much of the frame had left us when the node closed decides: all of it, and it may have run.
 #[test]
 fn mid_frame_close_never_runs_twice() {
-    let site = site(&[BodyNodeBehavior::CloseMidFrame, BodyNodeBehavior::Serve], KDL);
+    let cluster = cluster(&[BodyNodeBehavior::CloseMidFrame, BodyNodeBehavior::Serve], KDL);
     for i in 0..6 {
-        let told = site.send(&body_request("fix", &format!("c{i}"), &[0], mib_bytes(7)));
-        assert!(matches!(told.status(), 200 | 502), "{told:?}");
+        let outcome = cluster.send(&body_request("fix", &format!("c{i}"), &[0], mib_bytes(7)));
+        assert!(matches!(outcome.status(), 200 | 502), "{outcome:?}");
     }
-    assert_eq!(repeated_parts(&site.nodes, |_| true), Vec::<String>::new());
+    assert_eq!(repeated_parts(&cluster.nodes, |_| true), Vec::<String>::new());
 }
 
 #[test]
 fn possibly_executed_part_is_not_retried() {
-    let site = site(&[BodyNodeBehavior::Close, BodyNodeBehavior::Close], KDL);
-    let told = site.send(&body_request("fix", "c1", &[0], mib_bytes(4)));
-    assert_eq!(told.status(), 502, "{told:?}");
-    assert!(told.elapsed_seconds < 5.0);
-    assert_eq!(site.nodes.iter().map(|node| node.frame_counts().complete).sum::<usize>(), 1);
+    let cluster = cluster(&[BodyNodeBehavior::Close, BodyNodeBehavior::Close], KDL);
+    let outcome = cluster.send(&body_request("fix", "c1", &[0], mib_bytes(4)));
+    assert_eq!(outcome.status(), 502, "{outcome:?}");
+    assert!(outcome.elapsed_seconds < 5.0);
+    assert_eq!(cluster.nodes.iter().map(|node| node.frame_counts().complete).sum::<usize>(), 1);
 }
 
 // ---- the disk
@@ -234,58 +241,58 @@
 #[case::short("short", "the disk takes only a part")]
 #[case::stalled("stall 3", "the disk is too slow")]
 fn failing_disk_streams_body(#[case] words: &str, #[case] reason: &str) {
-    let site = site(&[BodyNodeBehavior::Serve; 2], KDL);
-    site.set_disk_fault(words);
+    let cluster = cluster(&[BodyNodeBehavior::Serve; 2], KDL);
+    cluster.set_disk_fault(words);
     let first = body_request("find", "c1", &[0, 1], mib_bytes(4));
-    served(&site.send(&first), &first);
-    assert!(logged(&site, &format!("not file, find, {reason}: 1")), "{}", site.broker.log_text());
+    served(&cluster.send(&first), &first);
+    assert!(logged(&cluster, &format!("not file, find, {reason}: 1")), "{}", cluster.broker.log_text());
     // Meanwhile it rests, and nobody waits for it.
     let second = body_request("find", "c2", &[0, 1], mib_bytes(4));
-    let told = site.send(&second);
-    served(&told, &second);
-    site.set_disk_fault("");
+    let outcome = cluster.send(&second);
+    served(&outcome, &second);
+    cluster.set_disk_fault("");
     thread::sleep(Duration::from_secs_f64(if words.starts_with("stall") { 4.0 } else { 1.2 }));
     let third = body_request("find", "c3", &[0, 1], mib_bytes(4));
-    served(&site.send(&third), &third);
-    assert!(logged(&site, "files=0 "), "{}", site.broker.log_text());
+    served(&cluster.send(&third), &third);
+    assert!(logged(&cluster, "files=0 "), "{}", cluster.broker.log_text());
 }
 
 #[test]
 fn short_writes_complete() {
-    let site = site(&[BodyNodeBehavior::Fault, BodyNodeBehavior::Serve], KDL);
-    site.set_disk_fault("little");
-    let ask = body_request("find", "c1", &[0, 1], mib_bytes(2));
-    served(&site.send(&ask), &ask);
+    let cluster = cluster(&[BodyNodeBehavior::Fault, BodyNodeBehavior::Serve], KDL);
+    cluster.set_disk_fault("little");
+    let request = body_request("find", "c1", &[0, 1], mib_bytes(2));
+    served(&cluster.send(&request), &request);
 }
 
 /// It fills when a part is written: that part is read back from there, and the rest passes.
 #[test]
 fn disk_filling_midway_loses_nothing() {
-    let site = site(&[BodyNodeBehavior::Serve; 2], KDL);
-    let ask = BodyRequest {
+    let cluster = cluster(&[BodyNodeBehavior::Serve; 2], KDL);
+    let request = BodyRequest {
         bytes_per_second: Some(mib_bytes(4)),
         ..body_request("find", "c1", &[0, 1], mib_bytes(4))
     };
-    let (told, asked) = thread::scope(|scope| {
-        let asking = scope.spawn(|| site.send(&ask));
+    let (outcome, asked) = thread::scope(|scope| {
+        let asking = scope.spawn(|| cluster.send(&request));
         thread::sleep(Duration::from_millis(400));
-        site.set_disk_fault("full");
-        (asking.join().unwrap(), &ask)
+        cluster.set_disk_fault("full");
+        (asking.join().unwrap(), &request)
     });
-    served(&told, asked);
-    assert!(logged(&site, "not file, find, the disk is full: 1"), "{}", site.broker.log_text());
+    served(&outcome, asked);
+    assert!(logged(&cluster, "not file, find, the disk is full: 1"), "{}", cluster.broker.log_text());
 }
 
 /// The first dispatch reads the file; when that fails there is nothing to send, and nothing hangs.
 #[test]
 fn unreadable_spill_file_fails_query() {
-    let site = site(&[BodyNodeBehavior::Serve; 2], KDL);
-    site.set_disk_fault("unreadable");
-    let told = site.send(&body_request("find", "c1", &[0, 1], mib_bytes(4)));
-    assert_eq!(told.status(), 429, "{told:?}");
-    assert!(told.error_text().contains("cannot be read back"), "{told:?}");
-    assert!(told.elapsed_seconds < 5.0, "{told:?}");
-    assert_eq!(site.nodes.iter().map(|node| node.frame_counts().complete).sum::<usize>(), 0);
+    let cluster = cluster(&[BodyNodeBehavior::Serve; 2], KDL);
+    cluster.set_disk_fault("unreadable");
+    let outcome = cluster.send(&body_request("find", "c1", &[0, 1], mib_bytes(4)));
+    assert_eq!(outcome.status(), 429, "{outcome:?}");
+    assert!(outcome.error_text().contains("cannot be read back"), "{outcome:?}");
+    assert!(outcome.elapsed_seconds < 5.0, "{outcome:?}");
+    assert_eq!(cluster.nodes.iter().map(|node| node.frame_counts().complete).sum::<usize>(), 0);
 }
 
 /// The memory is pressed while dispatches are out: the coldest bodies go to files and are still there for a retry.
@@ -295,19 +302,19 @@
         .replace("one=\"1MiB\" all=\"16MiB\"", "one=\"4MiB\" all=\"16MiB\"")
         .replace("customer=0.5", "customer=1.0")
         .replace("table-type=0.75", "table-type=1.0");
-    let site = site(&[BodyNodeBehavior::HoldThenFail, BodyNodeBehavior::HoldThenFail], &kdl);
+    let cluster = cluster(&[BodyNodeBehavior::HoldThenFail, BodyNodeBehavior::HoldThenFail], &kdl);
     let asks: Vec<_> =
         (0..4).map(|i| body_request("find", &format!("c{i}"), &[0], mib_bytes(4) - 1)).collect();
     thread::scope(|scope| {
-        let asking: Vec<_> = asks.iter().map(|ask| scope.spawn(|| site.send(ask))).collect();
+        let asking: Vec<_> = asks.iter().map(|request| scope.spawn(|| cluster.send(request))).collect();
         assert!(
-            logged(&site, "files=4194303") || logged(&site, "files=8388606"),
+            logged(&cluster, "files=4194303") || logged(&cluster, "files=8388606"),
             "{}",
-            site.broker.log_text()
+            cluster.broker.log_text()
         );
-        site.nodes.iter().for_each(|node| node.set_behavior(BodyNodeBehavior::Serve));
-        for (asking, ask) in asking.into_iter().zip(&asks) {
-            served(&asking.join().unwrap(), ask);
+        cluster.nodes.iter().for_each(|node| node.set_behavior(BodyNodeBehavior::Serve));
+        for (asking, request) in asking.into_iter().zip(&asks) {
+            served(&asking.join().unwrap(), request);
         }
     });
 }
@@ -319,72 +326,72 @@
 #[case::to_a_file(mib_bytes(4))]
 #[case::passing(mib_bytes(9))]
 fn disconnect_frees_body(#[case] length: u64) {
-    let site = site(&[BodyNodeBehavior::Serve; 2], KDL);
+    let cluster = cluster(&[BodyNodeBehavior::Serve; 2], KDL);
     for i in 0..8 {
-        site.send(&BodyRequest {
+        cluster.send(&BodyRequest {
             disconnect_after_bytes: Some(length / 2),
             ..body_request("find", &format!("c{i}"), &[0, 1], length)
         });
     }
     thread::sleep(Duration::from_millis(300));
-    assert!(logged(&site, "bodies=0 kept=0 "), "{}", site.broker.log_text());
-    assert_eq!(site.nodes.iter().map(|node| node.frame_counts().complete).sum::<usize>(), 0);
-    assert_eq!(site.spill_file_count(), 0);
-    let ask = body_request("find", "after", &[0, 1], length);
-    served(&site.send(&ask), &ask);
+    assert!(logged(&cluster, "bodies=0 kept=0 "), "{}", cluster.broker.log_text());
+    assert_eq!(cluster.nodes.iter().map(|node| node.frame_counts().complete).sum::<usize>(), 0);
+    assert_eq!(cluster.spill_file_count(), 0);
+    let request = body_request("find", "after", &[0, 1], length);
+    served(&cluster.send(&request), &request);
 }
 
 /// It has sent all and leaves while its retry is read from the file.
 #[test]
 fn disconnect_during_retry_frees_body() {
-    let site = site(&[BodyNodeBehavior::Fault, BodyNodeBehavior::BytesPerSecond(mib_bytes(1))], KDL);
-    let ask = body_request("find", "c1", &[0], mib_bytes(4));
-    let mut stream = TcpStream::connect(site.broker.address).unwrap();
-    stream.write_all(ask.head().as_bytes()).unwrap();
-    stream.write_all(&vec![7; ask.body_bytes as usize]).unwrap();
+    let cluster = cluster(&[BodyNodeBehavior::Fault, BodyNodeBehavior::BytesPerSecond(mib_bytes(1))], KDL);
+    let request = body_request("find", "c1", &[0], mib_bytes(4));
+    let mut stream = TcpStream::connect(cluster.broker.address).unwrap();
+    stream.write_all(request.head().as_bytes()).unwrap();
+    stream.write_all(&vec![7; request.body_bytes as usize]).unwrap();
     thread::sleep(Duration::from_millis(600));
     drop(stream);
     thread::sleep(Duration::from_millis(500));
-    let said = site.broker.log_text();
+    let said = cluster.broker.log_text();
     assert!(said.trim_end().lines().last().unwrap().contains("bodies=0 kept=0"), "{said}");
 }
 
 /// A byte a second: its own time ends it, and nobody else notices.
 #[test]
 fn trickling_client_times_out() {
-    let site = site(&[BodyNodeBehavior::Serve; 2], KDL);
+    let cluster = cluster(&[BodyNodeBehavior::Serve; 2], KDL);
     thread::scope(|scope| {
         let slow = scope.spawn(|| {
-            site.send(&BodyRequest {
+            cluster.send(&BodyRequest {
                 bytes_per_second: Some(20),
                 budget_seconds: 1.5,
                 ..body_request("find", "slow", &[0], mib_bytes(1))
             })
         });
-        let mut client = Client::connect(&site.broker);
+        let mut client = Client::connect(&cluster.broker);
         for i in 0..20 {
             let answer = client.request(&query_request("find", &format!("c{i}"), &[0], "20.0"));
             assert_eq!(answer.status, 200);
         }
-        let told = slow.join().unwrap();
-        assert!(told.status() == 408 || told.status() == 0, "{told:?}");
+        let outcome = slow.join().unwrap();
+        assert!(outcome.status() == 408 || outcome.status() == 0, "{outcome:?}");
     });
-    assert_eq!(site.nodes.iter().filter(|n| n.runs().contains_key("slow.0")).count(), 0);
+    assert_eq!(cluster.nodes.iter().filter(|n| n.runs().contains_key("slow.0")).count(), 0);
 }
 
 /// One that passes holds connections to nodes of its own; the others have theirs.
 #[test]
 fn slow_streamed_body_blocks_nobody() {
-    let site = site(&[BodyNodeBehavior::Serve; 2], KDL);
+    let cluster = cluster(&[BodyNodeBehavior::Serve; 2], KDL);
     thread::scope(|scope| {
         let slow = BodyRequest {
             bytes_per_second: Some(mib_bytes(2)),
             ..body_request("find", "slow", &[0, 1], mib_bytes(9))
         };
-        let site = &site;
-        let asking = scope.spawn(move || served(&site.send(&slow), &slow));
+        let cluster = &cluster;
+        let asking = scope.spawn(move || served(&cluster.send(&slow), &slow));
         thread::sleep(Duration::from_millis(300));
-        let mut client = Client::connect(&site.broker);
+        let mut client = Client::connect(&cluster.broker);
         for i in 0..50 {
             let answer = client.request(&query_request("find", &format!("c{i}"), &[0, 1], "20.0"));
             assert_eq!(answer.status, 200);
@@ -398,42 +405,46 @@
 /// The slowest node sets the pace up to a limit; then its part, which never ran, is cut off.
 #[test]
 fn a_node_that_takes_nothing_of_a_passing_body_is_cut_off() {
-    let site = site(&[BodyNodeBehavior::StopReading, BodyNodeBehavior::Serve], NO_FILES);
+    let cluster = cluster(&[BodyNodeBehavior::StopReading, BodyNodeBehavior::Serve], NO_FILES);
     let mut cut = 0;
     for i in 0..4 {
-        let told = site.send(&body_request("find", &format!("c{i}"), &[0, 1], mib_bytes(15)));
+        let outcome = cluster.send(&body_request("find", &format!("c{i}"), &[0, 1], mib_bytes(15)));
         // Not cut off it would be its client's whole 20 s.
-        assert!(told.elapsed_seconds < 15.0, "{told:?}");
-        cut += usize::from(told.status() == 429);
-        assert!(matches!(told.status(), 200 | 429), "{told:?}");
+        assert!(outcome.elapsed_seconds < 15.0, "{outcome:?}");
+        cut += usize::from(outcome.status() == 429);
+        assert!(matches!(outcome.status(), 200 | 429), "{outcome:?}");
     }
     assert!(cut > 0, "none met the node that is stuck");
-    assert!(site.broker.log_text().contains("read a streamed body too slowly"), "{}", site.broker.log_text());
+    assert!(
+        cluster.broker.log_text().contains("read a streamed body too slowly"),
+        "{}",
+        cluster.broker.log_text()
+    );
 }
 
 /// A client that still sends its body when it is answered was not read any more if the body was full at that moment, and got its
 /// answer only when the broker gave up waiting for it, 30 s later.
 #[test]
 fn a_client_rejected_before_a_full_body_is_taken_gets_its_answer() {
-    let site = site(&[BodyNodeBehavior::StopReading], NO_FILES);
+    let cluster = cluster(&[BodyNodeBehavior::StopReading], NO_FILES);
     let rejected_at_once = || {
-        let told = site.send(&body_request("find", "first", &[0], mib_bytes(1) + 1));
-        assert_eq!(told.status(), 429, "{told:?}");
-        site.broker.log_text().contains("is ejected")
+        let outcome = cluster.send(&body_request("find", "first", &[0], mib_bytes(1) + 1));
+        assert_eq!(outcome.status(), 429, "{outcome:?}");
+        cluster.broker.log_text().contains("is ejected")
     };
     assert!((0..10).any(|_| rejected_at_once()), "the node is never ejected");
     for i in 0..4 {
         // What arrives while the broker stands still is read at once when it goes on: more than the body may hold.
-        site.broker.signal("STOP");
-        let told = thread::scope(|scope| {
+        cluster.broker.signal("STOP");
+        let outcome = thread::scope(|scope| {
             let asked =
-                scope.spawn(|| site.send(&body_request("find", &format!("c{i}"), &[0], mib_bytes(15))));
+                scope.spawn(|| cluster.send(&body_request("find", &format!("c{i}"), &[0], mib_bytes(15))));
             thread::sleep(Duration::from_millis(100));
-            site.broker.signal("CONT");
+            cluster.broker.signal("CONT");
             asked.join().unwrap()
         });
-        assert_eq!(told.status(), 429, "{told:?}");
-        assert!(told.elapsed_seconds < 15.0, "{told:?}");
+        assert_eq!(outcome.status(), 429, "{outcome:?}");
+        assert!(outcome.elapsed_seconds < 15.0, "{outcome:?}");
     }
 }
 
@@ -445,31 +456,31 @@
     // 480 MiB that the broker's one loop has to move: by the usual clocks it finds connections to nodes too late, takes
     // nodes for too slow, and refuses what does not run. Here no clock is in the way of what the bound is about.
     let kdl = kdl.replace("slowest 1.0", "slowest 20.0");
-    let site = patient(&[BodyNodeBehavior::Serve; 3], &kdl);
-    let told: Vec<_> = thread::scope(|scope| {
+    let cluster = cluster_with_long_timeouts(&[BodyNodeBehavior::Serve; 3], &kdl);
+    let outcome: Vec<_> = thread::scope(|scope| {
         let asks = (0..60).map(|i| BodyRequest {
             budget_seconds: 50.0,
             ..body_request("find", &format!("c{i}"), &[0, 1], mib_bytes(8))
         });
         let asking: Vec<_> = asks
-            .map(|ask| {
+            .map(|request| {
                 scope.spawn({
-                    let site = &site;
-                    move || site.send(&ask)
+                    let cluster = &cluster;
+                    move || cluster.send(&request)
                 })
             })
             .collect();
         asking.into_iter().map(|asking| asking.join().unwrap()).collect()
     });
-    assert!(told.iter().all(|t| matches!(t.status(), 200 | 429 | 503)), "{told:?}");
-    assert!(told.iter().filter(|t| t.status() == 200).count() >= 5, "{told:?}");
-    let refused: Vec<_> = told.iter().filter(|t| t.status() == 503).collect();
+    assert!(outcome.iter().all(|t| matches!(t.status(), 200 | 429 | 503)), "{outcome:?}");
+    assert!(outcome.iter().filter(|t| t.status() == 200).count() >= 5, "{outcome:?}");
+    let refused: Vec<_> = outcome.iter().filter(|t| t.status() == 503).collect();
     let head = |t: &BodyOutcome| t.answer.as_ref().unwrap().head.contains("Retry-After: ");
     assert!(refused.iter().all(|t| head(t) && t.error_text().starts_with("body: ")), "{refused:?}");
     assert!(
-        (1..mib_bytes(16 + 2)).contains(&site.peak_memory_bytes()),
+        (1..mib_bytes(16 + 2)).contains(&cluster.peak_memory_bytes()),
         "{} MiB",
-        site.peak_memory_bytes() / mib_bytes(1)
+        cluster.peak_memory_bytes() / mib_bytes(1)
     );
 }
 
@@ -477,22 +488,22 @@
 #[test]
 fn flood_leaves_room_for_other_tenant() {
     let kdl = NO_FILES.replace("all=\"16MiB\"", "all=\"8MiB\"");
-    let site = site(&[BodyNodeBehavior::Hang, BodyNodeBehavior::Hang], &kdl);
+    let cluster = cluster(&[BodyNodeBehavior::Hang, BodyNodeBehavior::Hang], &kdl);
     thread::scope(|scope| {
-        let site = &site;
+        let cluster = &cluster;
         let flood = (0..12).map(|i| BodyRequest {
             budget_seconds: 6.0,
             ..body_request("find", &format!("f{i}"), &[0], mib_bytes(1))
         });
-        let flood: Vec<_> = flood.map(|ask| scope.spawn(move || site.send(&ask))).collect();
-        assert!(logged(site, "the customer's share of bodies.memory.all is used up"));
-        site.nodes[1].set_behavior(BodyNodeBehavior::Serve);
-        site.nodes[0].set_behavior(BodyNodeBehavior::Fault);
+        let flood: Vec<_> = flood.map(|request| scope.spawn(move || cluster.send(&request))).collect();
+        assert!(logged(cluster, "the customer's share of bodies.memory.all is used up"));
+        cluster.nodes[1].set_behavior(BodyNodeBehavior::Serve);
+        cluster.nodes[0].set_behavior(BodyNodeBehavior::Fault);
         for i in 0..3 {
-            let ask =
+            let request =
                 BodyRequest { tenant: "right", ..body_request("find", &format!("r{i}"), &[0], mib_bytes(1)) };
-            let told = site.send(&ask);
-            served(&told, &ask);
+            let outcome = cluster.send(&request);
+            served(&outcome, &request);
         }
         flood.into_iter().for_each(|asking| drop(asking.join().unwrap()));
     });
@@ -502,73 +513,77 @@
 
 #[test]
 fn shutdown_answers_and_leaves_no_file() {
-    let mut site = site(&[BodyNodeBehavior::Serve; 2], KDL);
-    let ask = BodyRequest {
+    let mut cluster = cluster(&[BodyNodeBehavior::Serve; 2], KDL);
+    let request = BodyRequest {
         bytes_per_second: Some(mib_bytes(4)),
         ..body_request("find", "c1", &[0, 1], mib_bytes(4))
     };
-    let address = site.broker.address;
+    let address = cluster.broker.address;
     let asking = thread::spawn({
-        let ask = ask.clone();
-        move || ask.send(address)
+        let request = request.clone();
+        move || request.send(address)
     });
     thread::sleep(Duration::from_millis(300));
-    site.broker.signal("TERM");
-    served(&asking.join().unwrap(), &ask);
-    assert_eq!(site.broker.exit_code(), Some(0));
-    assert_eq!(std::fs::read_dir(&site.folder).unwrap().count(), 0);
+    cluster.broker.signal("TERM");
+    served(&asking.join().unwrap(), &request);
+    assert_eq!(cluster.broker.exit_code(), Some(0));
+    assert_eq!(std::fs::read_dir(&cluster.folder).unwrap().count(), 0);
 }
 
 /// What a killed broker leaves is swept by the next one, and nothing else in the folder.
 #[test]
 fn leftover_files_are_swept() {
-    let first = site(&[BodyNodeBehavior::Serve], KDL);
+    let first = cluster(&[BodyNodeBehavior::Serve], KDL);
     let left = first.folder.join("dunepond-lab0-3.body");
     let owner = first.folder.join("dunepond-lab0.owner");
     let (theirs, alike) = (first.folder.join("notes.txt"), first.folder.join("dunepond-other.txt"));
     [&left, &owner, &theirs, &alike].iter().for_each(|path| std::fs::write(path, "x").unwrap());
     first.broker.signal("KILL");
     let kdl = KDL.replace("FOLDER", first.folder.to_str().unwrap());
-    let second = site(&[BodyNodeBehavior::Serve], &kdl);
+    let second = cluster(&[BodyNodeBehavior::Serve], &kdl);
     assert!(!left.exists() && !owner.exists() && theirs.exists() && alike.exists());
     let marks = std::fs::read_dir(&first.folder).unwrap().flatten();
     let owners: Vec<_> = marks.filter(|e| e.path().extension().is_some_and(|x| x == "owner")).collect();
     assert_eq!(owners.len(), 1, "{owners:?}");
-    let ask = body_request("find", "c1", &[0], mib_bytes(4));
-    served(&second.send(&ask), &ask);
+    let request = body_request("find", "c1", &[0], mib_bytes(4));
+    served(&second.send(&request), &request);
 }
 
 #[test]
 fn brokers_share_folder() {
-    let first = site(&[BodyNodeBehavior::Fault, BodyNodeBehavior::Serve], KDL);
+    let first = cluster(&[BodyNodeBehavior::Fault, BodyNodeBehavior::Serve], KDL);
     let kdl = KDL.replace("FOLDER", first.folder.to_str().unwrap());
-    let second = site(&[BodyNodeBehavior::Fault, BodyNodeBehavior::Serve], &kdl);
+    let second = cluster(&[BodyNodeBehavior::Fault, BodyNodeBehavior::Serve], &kdl);
     for i in 0..3 {
-        for site in [&first, &second] {
-            let ask = body_request("find", &format!("c{i}"), &[0, 1], mib_bytes(4));
-            served(&site.send(&ask), &ask);
+        for cluster in [&first, &second] {
+            let request = body_request("find", &format!("c{i}"), &[0, 1], mib_bytes(4));
+            served(&cluster.send(&request), &request);
         }
     }
 }
 
 #[test]
 fn lowered_limit_applies_to_next_body() {
-    let site = site(&[BodyNodeBehavior::Hang], KDL);
+    let cluster = cluster(&[BodyNodeBehavior::Hang], KDL);
     let kept = body_request("find", "c1", &[0], mib_bytes(4));
     thread::scope(|scope| {
-        let asking = scope.spawn(|| site.send(&kept));
-        assert!(logged(&site, "files=4194304"), "{}", site.broker.log_text());
-        site.reload_config(&KDL.replace("longest \"16MiB\"", "longest \"1MiB\""));
-        assert!(logged(&site, "operator's file reloaded"));
-        let told = site.send(&body_request("find", "c2", &[0], mib_bytes(4)));
-        assert_eq!((told.status(), told.error_text().contains("bodies.longest")), (413, true), "{told:?}");
-        site.nodes[0].set_behavior(BodyNodeBehavior::Serve);
-        let told = asking.join().unwrap();
-        assert!(matches!(told.status(), 200 | 429), "{told:?}");
+        let asking = scope.spawn(|| cluster.send(&kept));
+        assert!(logged(&cluster, "files=4194304"), "{}", cluster.broker.log_text());
+        cluster.reload_config(&KDL.replace("longest \"16MiB\"", "longest \"1MiB\""));
+        assert!(logged(&cluster, "operator's file reloaded"));
+        let outcome = cluster.send(&body_request("find", "c2", &[0], mib_bytes(4)));
+        assert_eq!(
+            (outcome.status(), outcome.error_text().contains("bodies.longest")),
+            (413, true),
+            "{outcome:?}"
+        );
+        cluster.nodes[0].set_behavior(BodyNodeBehavior::Serve);
+        let outcome = asking.join().unwrap();
+        assert!(matches!(outcome.status(), 200 | 429), "{outcome:?}");
     });
-    site.reload_config("bodies {\n  longst \"1MiB\"\n}");
-    assert!(logged(&site, "operator's file reload failed"), "{}", site.broker.log_text());
-    assert!(logged(&site, ":2:3: bodies: 'longst' is not known"), "{}", site.broker.log_text());
+    cluster.reload_config("bodies {\n  longst \"1MiB\"\n}");
+    assert!(logged(&cluster, "operator's file reload failed"), "{}", cluster.broker.log_text());
+    assert!(logged(&cluster, ":2:3: bodies: 'longst' is not known"), "{}", cluster.broker.log_text());
 }
 
 #[test]
--- a/crates/dunepond-testkit/tests/links.rs
+++ b/crates/dunepond-testkit/tests/links.rs
@@ -150,10 +150,10 @@
 /// The same seed draws the same; so what is lost, doubled and overtaken can be counted exactly.
 #[test]
 fn datagram_faults_follow_seed() {
-    let manner = LinkConditions { loss_ratio: 0.2, duplicate_ratio: 0.2, reorder_ratio: 0.2, ..HEALTHY };
+    let conditions = LinkConditions { loss_ratio: 0.2, duplicate_ratio: 0.2, reorder_ratio: 0.2, ..HEALTHY };
     let run = |seed| {
         let pair = pair(seed);
-        pair.links.set("a", "b", &manner);
+        pair.links.set("a", "b", &conditions);
         let mut got = pair.echoes(100);
         let ordered = got.is_sorted();
         got.sort_unstable();
--- a/crates/dunepond-testkit/tests/restart.rs
+++ b/crates/dunepond-testkit/tests/restart.rs
@@ -15,15 +15,15 @@
 /// Every `HANG`th node hangs in an outage.
 const HANG: usize = 4;
 
-fn town(nodes: usize) -> RestartCluster {
-    let mut town = RestartCluster::new(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes);
-    town.adjust_config = patient;
-    town
+fn cluster(nodes: usize) -> RestartCluster {
+    let mut cluster = RestartCluster::new(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes);
+    cluster.adjust_config = lengthen_timeouts;
+    cluster
 }
 
 /// `calm` is asked for where a story is about whether scans are served: by `find`'s target of 0.4 s the broker turns
 /// away, and rightly, what it would serve too late on a machine that is busy with others.
-fn patient(config: &mut Value) {
+fn lengthen_timeouts(config: &mut Value) {
     let settings = &mut config["settings"];
     let mut calm = settings["services"][0].clone();
     (calm["name"], calm["aimMs"], calm["deadlineMs"]) = (json!("calm"), json!(10_000.0), json!(15_000.0));
@@ -70,7 +70,7 @@
     served.count()
 }
 
-fn said(broker: &Broker, words: &str) -> bool {
+fn logged(broker: &Broker, words: &str) -> bool {
     let heard = wait_until(|| broker.log_text().contains(words));
     if !heard {
         println!("{}", broker.log_text());
@@ -80,10 +80,10 @@
 
 /// A life that has read its folder: the start waits 0.25 s for that, which is little on a busy machine, and one that
 /// went on without it tells nothing of what stood there.
-fn informed(town: &RestartCluster, kdl: &str) -> Broker {
+fn warmed_up(cluster: &RestartCluster, kdl: &str) -> Broker {
     let start = Instant::now();
     loop {
-        let mut broker = town.start_broker(kdl);
+        let mut broker = cluster.start_broker(kdl);
         if !broker.log_text().contains("does not answer") {
             return broker;
         }
@@ -94,34 +94,34 @@
 }
 
 /// Whether the newest snapshot has all nodes that hang as set aside: killed before that, a life leaves less behind.
-fn kept(town: &RestartCluster) -> bool {
-    let Ok(shown) = dunepond_broker::persistence::describe(&town.folder, unix_ms() as f64 / 1e3) else {
+fn snapshot_written(cluster: &RestartCluster) -> bool {
+    let Ok(shown) = dunepond_broker::persistence::describe(&cluster.folder, unix_ms() as f64 / 1e3) else {
         return false;
     };
     let aside = |i: usize| {
         let line = shown.lines().find(|line| line.contains(&format!("  s-{i} at ")));
         line.is_some_and(|line| line.contains("set aside"))
     };
-    (0..town.nodes.len()).step_by(HANG).all(aside)
+    (0..cluster.nodes.len()).step_by(HANG).all(aside)
 }
 
 /// A life in which a quarter of the nodes hang and are set aside, and which is killed once that is written.
-fn outage(town: &RestartCluster) -> Vec<usize> {
-    let mut broker = informed(town, KDL);
+fn outage(cluster: &RestartCluster) -> Vec<usize> {
+    let mut broker = warmed_up(cluster, KDL);
     let mut client = Client::connect(&broker);
     (0..60).for_each(|i| drop(one(&mut client, "find", &format!("a{i}"), i, "2.0")));
-    town.set_behavior_of_every(HANG, NodeBehavior::Hang);
+    cluster.set_behavior_of_every(HANG, NodeBehavior::Hang);
     let mut i = 0;
     let written = wait_until(|| {
         // On a slow machine 60 scans may not be enough to tell a node that hangs from one that is slow.
         one(&mut client, "find", &format!("b{i}"), i, "2.0");
         i += 1;
-        i >= 60 && kept(town)
+        i >= 60 && snapshot_written(cluster)
     });
     assert!(written, "{}", broker.log_text());
     broker.signal("KILL");
     broker.exit_code();
-    (0..town.nodes.len()).step_by(HANG).collect()
+    (0..cluster.nodes.len()).step_by(HANG).collect()
 }
 
 /// The longest that any of 60 scans took, begun with this one.
@@ -135,21 +135,21 @@
 /// at once where it is known to have hung. Two fifths are 2 s here, which is more than a busy machine takes.
 #[test]
 fn hung_nodes_stay_ejected_after_crash() {
-    let mut town = town(12);
-    outage(&town);
-    town.adjust_config = |config| {
-        patient(config);
+    let mut cluster = cluster(12);
+    outage(&cluster);
+    cluster.adjust_config = |config| {
+        lengthen_timeouts(config);
         let services = config["settings"]["services"].as_array_mut().unwrap();
         services.iter_mut().for_each(|service| service["aimMs"] = json!(5_000.0));
     };
     let late = Duration::from_secs(2);
-    let broker = informed(&town, KDL);
-    assert!(said(&broker, "nodes restored"));
+    let broker = warmed_up(&cluster, KDL);
+    assert!(logged(&broker, "nodes restored"));
     let with = slowest(&broker, "c", 0);
     drop(broker);
     assert!(with < late, "{with:?}");
     // One that knows nothing meets such a node before it has learned how quick the others are, if not in each life.
-    let waits = (0..5).any(|life| slowest(&town.start_broker(""), &format!("d{life}-"), life) >= late);
+    let waits = (0..5).any(|life| slowest(&cluster.start_broker(""), &format!("d{life}-"), life) >= late);
     assert!(waits, "a broker that forgets waits for no node either: the test shows nothing");
 }
 
@@ -157,13 +157,13 @@
 /// scan that this is too short for on a busy machine is refused. That costs the story nothing.
 #[test]
 fn recovered_node_returns_by_probation() {
-    let mut town = town(12);
-    town.adjust_config = |_| {};
-    let hung = outage(&town);
-    town.set_behavior_of_every(HANG, NodeBehavior::Serve);
-    let given = |node: &usize| town.nodes[*node].frames('A').len();
+    let mut cluster = cluster(12);
+    cluster.adjust_config = |_| {};
+    let hung = outage(&cluster);
+    cluster.set_behavior_of_every(HANG, NodeBehavior::Serve);
+    let given = |node: &usize| cluster.nodes[*node].frames('A').len();
     let before: Vec<_> = hung.iter().map(given).collect();
-    let broker = informed(&town, KDL);
+    let broker = warmed_up(&cluster, KDL);
     let mut client = Client::connect(&broker);
     // After the crash all counts as spent: trials, which may need a copy, wait until it does not.
     let mut i = 0;
@@ -178,28 +178,28 @@
 }
 
 #[rstest]
-#[case::started_since(|town: &mut RestartCluster| town.restart_node(0, 1_000))]
-#[case::long_ago(|town: &mut RestartCluster| drop(std::fs::remove_dir_all(town.folder.join("none"))))]
+#[case::started_since(|cluster: &mut RestartCluster| cluster.restart_node(0, 1_000))]
+#[case::long_ago(|cluster: &mut RestartCluster| drop(std::fs::remove_dir_all(cluster.folder.join("none"))))]
 fn restarted_node_has_no_history(#[case] change: fn(&mut RestartCluster)) {
-    let mut town = town(12);
-    outage(&town);
-    town.set_behavior_of_every(1, NodeBehavior::Serve);
-    change(&mut town);
-    let broker = informed(&town, KDL);
-    assert!(said(&broker, "nodes restored"));
+    let mut cluster = cluster(12);
+    outage(&cluster);
+    cluster.set_behavior_of_every(1, NodeBehavior::Serve);
+    change(&mut cluster);
+    let broker = warmed_up(&cluster, KDL);
+    assert!(logged(&broker, "nodes restored"));
     assert_eq!(ask(&broker, "c", 40), 40);
 }
 
 #[test]
 fn new_endpoints_have_no_history() {
-    let first = town(12);
+    let first = cluster(12);
     outage(&first);
-    let second = town(12);
+    let second = cluster(12);
     // The same folder, and the same names at new addresses.
     std::fs::remove_dir_all(&second.folder).unwrap();
     std::fs::rename(&first.folder, &second.folder).unwrap();
-    let broker = informed(&second, KDL);
-    assert!(said(&broker, "0 of 12 nodes restored"));
+    let broker = warmed_up(&second, KDL);
+    assert!(logged(&broker, "0 of 12 nodes restored"));
     assert_eq!(ask(&broker, "c", 40), 40);
 }
 
@@ -211,17 +211,17 @@
 #[case::another_file(|bytes: &mut Vec<u8>| *bytes = b"#!/bin/sh\n".to_vec())]
 #[case::longer(|bytes: &mut Vec<u8>| bytes.extend([0; 5000]))]
 fn a_folder_in_which_every_file_is_damaged_does_no_harm(#[case] damage: fn(&mut Vec<u8>)) {
-    let town = town(12);
-    outage(&town);
-    town.set_behavior_of_every(4, NodeBehavior::Serve);
-    for entry in std::fs::read_dir(&town.folder).unwrap().flatten() {
+    let cluster = cluster(12);
+    outage(&cluster);
+    cluster.set_behavior_of_every(4, NodeBehavior::Serve);
+    for entry in std::fs::read_dir(&cluster.folder).unwrap().flatten() {
         let mut bytes = std::fs::read(entry.path()).unwrap();
         if !bytes.is_empty() {
             damage(&mut bytes);
             std::fs::write(entry.path(), bytes).unwrap();
         }
     }
-    let broker = town.start_broker(KDL);
+    let broker = cluster.start_broker(KDL);
     assert_eq!(ask(&broker, "c", 40), 40);
 }
 
@@ -230,24 +230,24 @@
     // The end waits 0.3 s for its folder, and the next start 0.25 s: a story in which either was too slow is told
     // anew.
     let story = || {
-        let town = town(12);
-        let mut first = informed(&town, KDL);
-        assert!(said(&first, "state: read"));
+        let cluster = cluster(12);
+        let mut first = warmed_up(&cluster, KDL);
+        assert!(logged(&first, "state: read"));
         ask(&first, "a", 20);
         first.signal("TERM");
         assert_eq!(first.exit_code(), Some(0));
-        assert!(said(&first, "written"));
-        let mut second = town.start_broker(KDL);
+        assert!(logged(&first, "written"));
+        let mut second = cluster.start_broker(KDL);
         if [&first, &second].iter().any(|broker| broker.log_text().contains("does not answer")) {
             return false;
         }
-        assert!(said(&first, "state: written"));
+        assert!(logged(&first, "state: written"));
         ask(&second, "b", 20);
         assert!(!second.log_text().contains("counts as spent"), "{}", second.log_text());
         second.signal("KILL");
         second.exit_code();
-        let third = informed(&town, KDL);
-        assert!(said(&third, "all of it counts as spent"));
+        let third = warmed_up(&cluster, KDL);
+        assert!(logged(&third, "all of it counts as spent"));
         true
     };
     assert!(wait_until(story), "the folder has never answered in time");
@@ -259,13 +259,13 @@
 #[test]
 fn crash_loop_keeps_retry_budget() {
     let lives = |kdl: &str| {
-        let mut town = town(12);
-        town.adjust_config = |config| config["settings"]["rules"]["budgetWindowMs"] = json!(60_000.0);
+        let mut cluster = cluster(12);
+        cluster.adjust_config = |config| config["settings"]["rules"]["budgetWindowMs"] = json!(60_000.0);
         // All fail, so that every part would need its further dispatches.
-        town.set_behavior_of_every(1, NodeBehavior::ReplyStatus("fault"));
+        cluster.set_behavior_of_every(1, NodeBehavior::ReplyStatus("fault"));
         let mut taken = Vec::new();
         for life in 0..4 {
-            let mut broker = town.start_broker(kdl);
+            let mut broker = cluster.start_broker(kdl);
             let mut client = Client::connect(&broker);
             for i in 0..5 {
                 taken.push(Instant::now());
@@ -280,7 +280,7 @@
             broker.signal("KILL");
             broker.exit_code();
         }
-        town.retry_budget_margin(&taken, 20.0, 0.1, 60.0)
+        cluster.retry_budget_margin(&taken, 20.0, 0.1, 60.0)
     };
     let (with, without) = (lives(KDL), lives(""));
     assert!(with >= 0.0, "{with}");
@@ -289,15 +289,15 @@
 
 #[test]
 fn cold_node_waits_while_budget_is_unknown() {
-    let mut town = town(12);
+    let mut cluster = cluster(12);
     // What is counted of a cold node is counted for longer than the second life lasts.
-    town.adjust_config = |config| {
-        patient(config);
+    cluster.adjust_config = |config| {
+        lengthen_timeouts(config);
         let rules = &mut config["settings"]["rules"];
         (rules["fallMs"], rules["coldMs"]) = (json!(60_000.0), json!(120_000.0));
     };
-    town.restart_node(0, unix_ms());
-    let given = || town.nodes[0].frames('A').len();
+    cluster.restart_node(0, unix_ms());
+    let given = || cluster.nodes[0].frames('A').len();
     // All shards at once: one part after the other would always find a warm node that is idle.
     let all: Vec<_> = (0..48).collect();
     let more = |broker: &Broker, prefix: &str| {
@@ -307,21 +307,21 @@
         }
         given() - before
     };
-    let mut first = informed(&town, KDL);
+    let mut first = warmed_up(&cluster, KDL);
     assert!(more(&first, "a") > 0, "the first life gives it nothing: the test shows nothing");
     first.signal("KILL");
     first.exit_code();
-    assert_eq!(more(&town.start_broker(KDL), "b"), 0);
-    assert!(more(&town.start_broker(""), "c") > 0, "a broker that forgets gives it nothing either");
+    assert_eq!(more(&cluster.start_broker(KDL), "b"), 0);
+    assert!(more(&cluster.start_broker(""), "c") > 0, "a broker that forgets gives it nothing either");
 }
 
 #[test]
 fn second_broker_runs_without_locked_folder() {
-    let town = town(12);
-    let first = informed(&town, KDL);
-    assert!(said(&first, "state: read"));
-    let second = town.start_broker(KDL);
-    assert!(said(&second, "another broker uses it"));
+    let cluster = cluster(12);
+    let first = warmed_up(&cluster, KDL);
+    assert!(logged(&first, "state: read"));
+    let second = cluster.start_broker(KDL);
+    assert!(logged(&second, "another broker uses it"));
     assert_eq!((ask(&first, "a", 20), ask(&second, "b", 20)), (20, 20));
 }
 
@@ -330,15 +330,15 @@
 #[case::read_only("read-only")]
 #[case::broken("broken")]
 fn failing_folder_is_used_after_recovery(#[case] words: &str) {
-    let town = town(12);
-    town.set_disk_fault(words);
-    let broker = town.start_broker(KDL);
-    assert!(said(&broker, "running without it"));
+    let cluster = cluster(12);
+    cluster.set_disk_fault(words);
+    let broker = cluster.start_broker(KDL);
+    assert!(logged(&broker, "running without it"));
     assert_eq!(ask(&broker, "a", 40), 40);
-    town.set_disk_fault("");
-    assert!(said(&broker, "is in use again"));
+    cluster.set_disk_fault("");
+    assert!(logged(&broker, "is in use again"));
     let snapshots = || {
-        std::fs::read_dir(&town.folder)
+        std::fs::read_dir(&cluster.folder)
             .unwrap()
             .flatten()
             .any(|e| e.file_name().to_string_lossy().ends_with(".snapshot"))
@@ -349,24 +349,24 @@
 /// Full in the middle of service: each failure is named, and the folder is opened anew after its rest.
 #[test]
 fn full_disk_is_written_after_recovery() {
-    let town = town(12);
-    let broker = informed(&town, KDL);
+    let cluster = cluster(12);
+    let broker = warmed_up(&cluster, KDL);
     ask(&broker, "a", 40);
-    town.set_disk_fault("full");
-    assert!(said(&broker, "a snapshot failed"));
+    cluster.set_disk_fault("full");
+    assert!(logged(&broker, "a snapshot failed"));
     assert_eq!(ask(&broker, "b", 40), 40);
-    town.set_disk_fault("");
-    assert!(said(&broker, "is in use again"));
+    cluster.set_disk_fault("");
+    assert!(logged(&broker, "is in use again"));
 }
 
 /// Whoever waited for the disk would wait for a minute.
 #[test]
 fn stalled_disk_delays_nothing() {
-    let town = town(12);
-    town.set_disk_fault("stall 60");
+    let cluster = cluster(12);
+    cluster.set_disk_fault("stall 60");
     let began = Instant::now();
-    let mut broker = town.start_broker(KDL);
-    assert!(said(&broker, "does not answer; running without it"));
+    let mut broker = cluster.start_broker(KDL);
+    assert!(logged(&broker, "does not answer; running without it"));
     assert_eq!(ask(&broker, "a", 60), 60);
     broker.signal("TERM");
     assert_eq!(broker.exit_code(), Some(0));
--- a/crates/dunepond-testkit/tests/search.rs
+++ b/crates/dunepond-testkit/tests/search.rs
@@ -14,12 +14,12 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-fn site(nodes: usize) -> SearchCluster {
-    speaking(&vec![NodeProtocol::Frames; nodes])
+fn cluster(nodes: usize) -> SearchCluster {
+    cluster_of(&vec![NodeProtocol::Frames; nodes])
 }
 
-fn speaking(speech: &[NodeProtocol]) -> SearchCluster {
-    SearchCluster::start(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), speech, "")
+fn cluster_of(protocols: &[NodeProtocol]) -> SearchCluster {
+    SearchCluster::start(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), protocols, "")
 }
 
 fn ids(answer: &Value) -> Vec<String> {
@@ -47,10 +47,10 @@
 
 impl Door {
     /// Asks for all shards of a table type.
-    fn ask(self, site: &SearchCluster, table_type: &str, id: &str) -> Outcome {
+    fn ask(self, cluster: &SearchCluster, table_type: &str, id: &str) -> Outcome {
         match self {
             Self::First => {
-                let answer = Client::connect(&site.broker).request(&query_request(
+                let answer = Client::connect(&cluster.broker).request(&query_request(
                     table_type,
                     id,
                     &[0, 1, 2, 3, 4, 5],
@@ -65,7 +65,7 @@
             }
             Self::Api => {
                 let what = if table_type == "fix" { "_update_by_query" } else { "_search" };
-                let answer = site.request("POST", &format!("/{table_type}/{what}?timeout=1s"), "{}");
+                let answer = cluster.request("POST", &format!("/{table_type}/{what}?timeout=1s"), "{}");
                 match (answer.status, answer.body["error"]["type"].as_str()) {
                     (200, _) if answer.body["timed_out"] == json!(false) => Outcome::Whole,
                     (200, _) => Outcome::Partial,
@@ -94,31 +94,31 @@
 #[case::fix_unanswered("fix", &[(0, SearchNodeBehavior::Hang), (1, SearchNodeBehavior::Hang), (2, SearchNodeBehavior::Hang)], Outcome::Unknown)]
 fn same_rules_at_both_ports(
     #[case] table_type: &str,
-    #[case] manners: &[(usize, SearchNodeBehavior)],
+    #[case] behaviors: &[(usize, SearchNodeBehavior)],
     #[case] expected: Outcome,
     #[values(Door::First, Door::Api)] door: Door,
-    #[values(NodeProtocol::Frames, NodeProtocol::Api)] speech: NodeProtocol,
+    #[values(NodeProtocol::Frames, NodeProtocol::Api)] protocols: NodeProtocol,
 ) {
-    let site = speaking(&[speech; 3]);
-    manners.iter().for_each(|(node, manner)| site.nodes[*node].set_behavior(*manner));
+    let cluster = cluster_of(&[protocols; 3]);
+    behaviors.iter().for_each(|(node, behavior)| cluster.nodes[*node].set_behavior(*behavior));
     for i in 0..3 {
         let began = Instant::now();
-        let outcome = door.ask(&site, table_type, &format!("c{i}"));
+        let outcome = door.ask(&cluster, table_type, &format!("c{i}"));
         assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
         // Set aside meanwhile, nodes that hang may have it refused unsent.
         let unsent = table_type == "fix" && i > 0 && outcome == Outcome::Refused;
         assert!(outcome == expected || unsent, "{door:?} {i}: {outcome:?}");
     }
     if table_type == "fix" {
-        assert_eq!(site.repeated_parts(), 0);
+        assert_eq!(cluster.repeated_parts(), 0);
     }
 }
 
 #[test]
 fn documents_are_ranked_and_paged() {
-    let site = site(3);
+    let cluster = cluster(3);
     let best = ranked_documents();
-    let page = |from: usize| site.request("GET", &format!("/all/_search?from={from}&size=7"), "").body;
+    let page = |from: usize| cluster.request("GET", &format!("/all/_search?from={from}&size=7"), "").body;
     for from in [0, 7, 14] {
         assert_eq!(ids(&page(from)), best[from..from + 7]);
     }
@@ -128,21 +128,21 @@
         (2, json!({"value": 30, "relation": "eq"}))
     );
     assert_eq!(last["_shards"], json!({"total": 6, "successful": 6, "skipped": 0, "failed": 0}));
-    let sorted = site.request("POST", "/all/_search", r#"{"sort":[{"n":"asc"}],"size":30}"#).body;
+    let sorted = cluster.request("POST", "/all/_search", r#"{"sort":[{"n":"asc"}],"size":30}"#).body;
     assert_eq!(ids(&sorted), best.iter().rev().cloned().collect::<Vec<_>>());
-    let none = site.request("GET", "/all/_search?size=0", "").body;
+    let none = cluster.request("GET", "/all/_search?size=0", "").body;
     assert_eq!((ids(&none).len(), none["hits"]["total"]["value"].clone()), (0, json!(30)));
 }
 
 #[test]
 fn routing_selects_shard_and_count_counts_all() {
-    let site = site(3);
-    let one = site.request("GET", "/all/_search?routing=r1", "").body;
+    let cluster = cluster(3);
+    let one = cluster.request("GET", "/all/_search?routing=r1", "").body;
     assert_eq!((one["_shards"]["total"].clone(), ids(&one).len()), (json!(1), 5));
-    assert_eq!(site.request("GET", "/all/_count", "").body["count"], json!(30));
-    let info = site.request("GET", "/", "").body;
+    assert_eq!(cluster.request("GET", "/all/_count", "").body["count"], json!(30));
+    let info = cluster.request("GET", "/", "").body;
     assert_eq!(info["version"]["distribution"], json!("dunepond"));
-    let health = site.request("GET", "/_cluster/health", "").body;
+    let health = cluster.request("GET", "/_cluster/health", "").body;
     assert_eq!((health["status"].clone(), health["number_of_nodes"].clone()), (json!("green"), json!(3)));
 }
 
@@ -154,14 +154,14 @@
 #[case(SearchNodeBehavior::TimedOut, "timed_out")]
 #[case(SearchNodeBehavior::WrongTotal, "less than there are hits")]
 fn spoiled_answer_is_retried_elsewhere(
-    #[case] manner: SearchNodeBehavior,
+    #[case] behavior: SearchNodeBehavior,
     #[case] why: &str,
-    #[values(NodeProtocol::Frames, NodeProtocol::Api)] speech: NodeProtocol,
+    #[values(NodeProtocol::Frames, NodeProtocol::Api)] protocols: NodeProtocol,
 ) {
-    let site = speaking(&[speech; 3]);
-    site.nodes[0].set_behavior(manner);
+    let cluster = cluster_of(&[protocols; 3]);
+    cluster.nodes[0].set_behavior(behavior);
     for _ in 0..4 {
-        let answer = site.request("GET", "/all/_search?size=3", "");
+        let answer = cluster.request("GET", "/all/_search?size=3", "");
         assert_eq!(
             (answer.status, ids(&answer.body)),
             (200, ranked_documents()[..3].to_vec()),
@@ -170,23 +170,23 @@
         );
     }
     assert!(
-        speech == NodeProtocol::Api || site.broker.log_text().contains(why),
+        protocols == NodeProtocol::Api || cluster.broker.log_text().contains(why),
         "{}",
-        site.broker.log_text()
+        cluster.broker.log_text()
     );
     // Nobody is left: then it is refused, and no less is told.
-    site.nodes.iter().for_each(|node| node.set_behavior(manner));
-    assert!([429, 503].contains(&site.request("GET", "/all/_search?size=3&timeout=1s", "").status));
+    cluster.nodes.iter().for_each(|node| node.set_behavior(behavior));
+    assert!([429, 503].contains(&cluster.request("GET", "/all/_search?size=3&timeout=1s", "").status));
 }
 
 /// Half of the shards never answer: that is enough for `find`, and the answer says in every place that it is not whole.
 #[rstest]
-fn partial_answer_is_marked(#[values(NodeProtocol::Frames, NodeProtocol::Api)] speech: NodeProtocol) {
+fn partial_answer_is_marked(#[values(NodeProtocol::Frames, NodeProtocol::Api)] protocols: NodeProtocol) {
     // Each time a broker that knows nothing yet: one that does refuses at once.
-    let fresh = |manner: SearchNodeBehavior| {
-        let site = speaking(&[speech; 2]);
-        site.nodes.iter().for_each(|node| node.set_behavior(manner));
-        site
+    let fresh = |behavior: SearchNodeBehavior| {
+        let cluster = cluster_of(&[protocols; 2]);
+        cluster.nodes.iter().for_each(|node| node.set_behavior(behavior));
+        cluster
     };
     assert_eq!(Door::First.ask(&fresh(SearchNodeBehavior::HangOddSegments), "find", "c1"), Outcome::Partial);
     let partial =
@@ -215,7 +215,7 @@
 
 #[test]
 fn multi_search_keeps_order() {
-    let site = site(3);
+    let cluster = cluster(3);
     let lines = [
         r#"{"index":"all"}"#,
         r#"{"size":1}"#,
@@ -226,7 +226,7 @@
         r#"{"index":"fix"}"#,
         r#"{}"#,
     ];
-    let answer = site.request("POST", "/_msearch", &(lines.join("\n") + "\n"));
+    let answer = cluster.request("POST", "/_msearch", &(lines.join("\n") + "\n"));
     let responses = answer.body["responses"].as_array().unwrap();
     let statuses: Vec<_> = responses.iter().map(|r| r["status"].as_u64().unwrap()).collect();
     assert_eq!(statuses, [200, 404, 200, 400]);
@@ -238,22 +238,22 @@
 
 #[test]
 fn multi_search_disconnect_frees_all() {
-    let site = site(3);
-    site.nodes.iter().for_each(|node| node.set_behavior(SearchNodeBehavior::Hang));
+    let cluster = cluster(3);
+    cluster.nodes.iter().for_each(|node| node.set_behavior(SearchNodeBehavior::Hang));
     let body = "{\"index\":\"all\"}\n{}\n".repeat(10);
-    let mut client = Client::connect_to(site.api_address);
+    let mut client = Client::connect_to(cluster.api_address);
     client.send(&http_request("POST", "/_msearch", &body));
     let start = Instant::now();
-    while site.runs() < 30 {
+    while cluster.runs() < 30 {
         assert!(start.elapsed() < Duration::from_secs(10));
         thread::sleep(Duration::from_millis(5));
     }
     drop(client);
     thread::sleep(Duration::from_millis(100));
-    site.nodes.iter().for_each(|node| node.set_behavior(SearchNodeBehavior::Serve));
+    cluster.nodes.iter().for_each(|node| node.set_behavior(SearchNodeBehavior::Serve));
     let start = Instant::now();
-    while site.request("GET", "/all/_search", "").status != 200 {
-        assert!(start.elapsed() < Duration::from_secs(10), "{}", site.broker.log_text());
+    while cluster.request("GET", "/all/_search", "").status != 200 {
+        assert!(start.elapsed() < Duration::from_secs(10), "{}", cluster.broker.log_text());
         thread::sleep(Duration::from_millis(50));
     }
 }
@@ -273,24 +273,24 @@
 #[case::updated("POST /all/_update_by_query HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 400)]
 #[case::budget("GET /all/_search HTTP/1.1\r\nX-Budget: soon\r\n\r\n", 400)]
 fn invalid_request_gets_api_error(#[case] bytes: &str, #[case] status: u16) {
-    let site = site(1);
-    let mut client = Client::connect_to(site.api_address);
+    let cluster = cluster(1);
+    let mut client = Client::connect_to(cluster.api_address);
     client.send(bytes);
     let answer = client.read_answer().unwrap();
     assert_eq!(answer.status, status, "{}", answer.body);
     assert_eq!(answer.body["status"], json!(status));
     assert!(answer.body["error"]["root_cause"][0]["reason"].is_string(), "{}", answer.body);
-    assert_eq!(site.runs(), 0);
+    assert_eq!(cluster.runs(), 0);
 }
 
 /// One that sends a byte a second is ended by the bounds of the first door, and others are served meanwhile.
 #[test]
 fn slow_client_times_out() {
-    let site = site(1);
-    let mut slow = Client::connect_to(site.api_address);
+    let cluster = cluster(1);
+    let mut slow = Client::connect_to(cluster.api_address);
     slow.stream.write_all(b"POST /all/_search HTTP/1.1\r\nContent-Length: 9\r\n\r\n{").unwrap();
     let began = Instant::now();
-    assert_eq!(site.request("GET", "/all/_search", "").status, 200);
+    assert_eq!(cluster.request("GET", "/all/_search", "").status, 200);
     let answer = slow.read_answer().unwrap();
     assert_eq!((answer.status, answer.body["status"].clone()), (408, json!(408)));
     assert!(began.elapsed() < Duration::from_secs(4));
@@ -298,18 +298,18 @@
 
 /// Asks until it is served. On a busy machine all nodes may fall silent together, and then it is refused unsent, as it
 /// should be; the log has to have named them: at rest, where it names none, a refusal is a failure.
-fn served<T>(site: &SearchCluster, ask: impl Fn() -> Result<T, u16>) -> T {
+fn served<T>(cluster: &SearchCluster, ask: impl Fn() -> Result<T, u16>) -> T {
     let start = Instant::now();
     loop {
         match ask() {
             Ok(answer) => return answer,
             Err(status) => {
-                let silent = site.broker.log_text().contains("is ejected");
+                let silent = cluster.broker.log_text().contains("is ejected");
                 let refused = matches!(status, 429 | 503);
                 assert!(
                     refused && silent && start.elapsed() < WAIT_TIMEOUT,
                     "{status}: {}",
-                    site.broker.log_text()
+                    cluster.broker.log_text()
                 );
             }
         }
@@ -321,23 +321,23 @@
 #[test]
 fn mixed_node_protocols() {
     let mixed = [NodeProtocol::Frames, NodeProtocol::Api, NodeProtocol::Api, NodeProtocol::Frames];
-    let site =
+    let cluster =
         SearchCluster::start_with_long_timeouts(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), &mixed);
     for i in 0..20 {
-        let found = served(&site, || {
-            let answer = site.request("GET", "/all/_search?size=30", "");
+        let found = served(&cluster, || {
+            let answer = cluster.request("GET", "/all/_search?size=30", "");
             if answer.status == 200 { Ok(ids(&answer.body)) } else { Err(answer.status) }
         });
         assert_eq!(found, ranked_documents());
         let fix = query_request("fix", &format!("c{i}"), &[0, 1, 2, 3, 4, 5], "15.0");
-        let finished = served(&site, || {
-            let answer = Client::connect(&site.broker).request(&fix);
+        let finished = served(&cluster, || {
+            let answer = Client::connect(&cluster.broker).request(&fix);
             if answer.status == 200 { Ok(answer.body["finished"].clone()) } else { Err(answer.status) }
         });
         assert_eq!(finished, json!(true));
     }
-    assert!(site.nodes.iter().all(|node| node.runs() > 10));
-    assert_eq!(site.repeated_parts(), 0);
+    assert!(cluster.nodes.iter().all(|node| node.runs() > 10));
+    assert_eq!(cluster.repeated_parts(), 0);
 }
 
 /// It closes between two requests, without having said so: what crosses that may have run, and is not sent again.
@@ -345,38 +345,38 @@
 #[case::behind_each_answer(SearchNodeBehavior::CloseAfterReply)]
 #[case::in_the_middle_of_a_head(SearchNodeBehavior::CloseInHeader)]
 #[case::after_the_request(SearchNodeBehavior::Close)]
-fn update_never_runs_twice_on_close(#[case] manner: SearchNodeBehavior) {
-    let site = speaking(&[NodeProtocol::Api; 3]);
-    site.nodes.iter().for_each(|node| node.set_behavior(manner));
+fn update_never_runs_twice_on_close(#[case] behavior: SearchNodeBehavior) {
+    let cluster = cluster_of(&[NodeProtocol::Api; 3]);
+    cluster.nodes.iter().for_each(|node| node.set_behavior(behavior));
     for i in 0..20 {
-        let outcome = Door::Api.ask(&site, "fix", &format!("c{i}"));
-        assert!(manner == SearchNodeBehavior::CloseAfterReply || outcome != Outcome::Whole, "{outcome:?}");
+        let outcome = Door::Api.ask(&cluster, "fix", &format!("c{i}"));
+        assert!(behavior == SearchNodeBehavior::CloseAfterReply || outcome != Outcome::Whole, "{outcome:?}");
         thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(site.repeated_parts(), 0);
+    assert_eq!(cluster.repeated_parts(), 0);
     // What may run again is asked elsewhere, and served.
-    site.nodes[1].set_behavior(SearchNodeBehavior::Serve);
-    site.nodes[2].set_behavior(SearchNodeBehavior::Serve);
+    cluster.nodes[1].set_behavior(SearchNodeBehavior::Serve);
+    cluster.nodes[2].set_behavior(SearchNodeBehavior::Serve);
     let start = Instant::now();
-    while Door::Api.ask(&site, "all", "x") != Outcome::Whole {
+    while Door::Api.ask(&cluster, "all", "x") != Outcome::Whole {
         assert!(start.elapsed() < Duration::from_secs(10));
     }
 }
 
 #[test]
 fn answer_without_length_ends_with_connection() {
-    let site = speaking(&[NodeProtocol::Api; 3]);
-    site.nodes.iter().for_each(|node| node.set_behavior(SearchNodeBehavior::NoContentLength));
+    let cluster = cluster_of(&[NodeProtocol::Api; 3]);
+    cluster.nodes.iter().for_each(|node| node.set_behavior(SearchNodeBehavior::NoContentLength));
     for i in 0..5 {
-        assert_eq!(Door::Api.ask(&site, "fix", &format!("c{i}")), Outcome::Whole);
+        assert_eq!(Door::Api.ask(&cluster, "fix", &format!("c{i}")), Outcome::Whole);
     }
-    assert_eq!(site.repeated_parts(), 0);
+    assert_eq!(cluster.repeated_parts(), 0);
 }
 
 #[test]
 fn connection_is_reused() {
-    let site = site(1);
-    let mut client = Client::connect_to(site.api_address);
+    let cluster = cluster(1);
+    let mut client = Client::connect_to(cluster.api_address);
     for _ in 0..5 {
         assert_eq!(client.request(&http_request("POST", "/all/_search", r#"{"size":1}"#)).status, 200);
         assert_eq!(client.request(&http_request("POST", "/all/_search", r#"{"sise":1}"#)).status, 400);
