--- /dev/null
+++ b/crates/dunepond-routing/tests/fleet/main.rs
@@ -0,0 +1,9 @@
+//! Bounds that many brokers keep together without talking to each other: slow start, probation attempts, retries and closed
+//! connections, summed over all brokers of a fleet in simulated time.
+
+mod harness;
+mod lost_zone;
+mod nodes;
+mod slow_start;
+mod slow_start_events;
+mod transport;
