--- a/crates/dunepond-broker/src/discovery/list.rs
+++ b/crates/dunepond-broker/src/discovery/list.rs
@@ -13,7 +13,7 @@
 
 /// A complete endpoint list, or only the rows that changed.
 pub struct EndpointUpdate {
-    /// Rows that are not in it are no longer listed.
+    /// Whether it is the complete list: nodes that are not in it count as removed.
     pub complete: bool,
     /// The rows, in the list's order.
     pub endpoints: Vec<EndpointRow>,
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -73,7 +73,7 @@
     },
     /// Ask a broker and print the answer
     Query {
-        /// Where: the API's door, or with --shards the first door
+        /// The broker's address: its search API's port, or with --shards its port for clients
         #[arg(long, value_name = "ADDRESS:PORT")]
         at: SocketAddr,
         /// The index, which is a query class
@@ -83,10 +83,10 @@
         /// Hits at most
         #[arg(long, default_value_t = 10)]
         size: u64,
-        /// Ask the first door for these shards
+        /// Query these shards at the port for clients
         #[arg(long, value_delimiter = ',', value_name = "SHARDS")]
         shards: Vec<u64>,
-        /// Seconds to wait at the first door
+        /// Seconds to wait, with --shards
         #[arg(long, default_value_t = 2.0)]
         seconds: f64,
         /// Send a file of searches (a head and a search, a line each) in place of one
@@ -102,12 +102,12 @@
 
 #[derive(Subcommand)]
 enum StateCommand {
-    /// Print what a folder holds and how it would be believed now
+    /// Print what a folder holds and what of it would be trusted now
     Show {
         #[arg(value_name = "DIR")]
         folder: PathBuf,
     },
-    /// Verify every file of a folder; names each that would not be believed
+    /// Verify every file of a folder; names each that would not be used
     Check {
         #[arg(value_name = "DIR")]
         folder: PathBuf,
@@ -166,14 +166,14 @@
     if let Some(key) = start.unsupported_setting {
         warn!("settings: {key}: allowed, but not supported on sockets");
     }
-    // From here on the log has what goes wrong.
+    // From here on errors go to the log; the empty one returned keeps `main` from printing them twice.
     serve(start, Hooks { operator_file: path, signals, ..Hooks::default() }).map_err(|ConfigError(line)| {
         error!("{line}");
         ConfigError(String::new())
     })
 }
 
-/// The operator's file, and where a deployment is named beside it, how its fleet goes with that.
+/// Checks the operator's file; where `GW_CONFIG` names a deployment as well, also whether its fleet section fits that.
 fn check(file: &Path) -> Result<(), ConfigError> {
     let variable = |name: &str| std::env::var(name).ok();
     match config::read_operator_file(file)?.fleet {
@@ -187,10 +187,10 @@
 }
 
 fn main() -> ExitCode {
-    // Before all else: in a process that does not hear it yet, SIGHUP would be a crash.
+    // Before all else: SIGHUP kills a process that does not handle it yet.
     let signals = catch_signals();
     let command = CommandLine::parse().command;
-    // Nothing but a broker is steered by them.
+    // Only a running broker handles them; the other commands keep the default handling.
     let signals = matches!(command, None | Some(Command::Run { .. })).then_some(signals);
     let outcome = match command {
         None => run(None, signals),
--- a/crates/dunepond-broker/src/query_command.rs
+++ b/crates/dunepond-broker/src/query_command.rs
@@ -115,7 +115,7 @@
     Ok(if target.json { pretty(&answer) } else { format_hits(&answer) })
 }
 
-/// Queries some segments at the first port with a text, within this many seconds.
+/// Queries some segments at the clients' port with a text, within this many seconds.
 pub fn query(target: &Target, text: &str, shards: &[u64], seconds: f64) -> Result<String, QueryError> {
     let share = 1.0 / shards.len().max(1) as f64;
     let segments: Vec<_> = shards.iter().map(|shard| json!({"bucket": shard, "part": share})).collect();
--- a/crates/dunepond-recovery/src/learned_state.rs
+++ b/crates/dunepond-recovery/src/learned_state.rs
@@ -13,13 +13,13 @@
 /// A node as the endpoint list names it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeIdentity {
-    /// Its number in the routing crate.
+    /// Its id in the routing crate, which may differ after a restart.
     pub node: NodeId,
     /// Its name in the list.
     pub name: String,
     /// Address and port.
     pub address: String,
-    /// Unix seconds at which its process started; 0 if long ago.
+    /// Unix seconds at which its process started; 0 if unknown or long ago.
     pub started_at: f64,
 }
 
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedSnapshot {
     at: Timestamp,
-    /// By name, as their order may change.
+    /// Names of the query classes, as their order may change between two starts.
     query_classes: Vec<String>,
     nodes: Vec<StoredNode>,
     latency_samples: Vec<LatencyRecord>,
@@ -45,28 +45,28 @@
     baseline_latency: Option<f64>,
 }
 
-/// How much of a snapshot counts.
+/// How far a snapshot is trusted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Confidence {
-    /// Since it was written; `None` where no clock tells.
+    /// Seconds since it was written; `None` if neither clock can tell.
     pub elapsed_seconds: Option<f64>,
-    /// Part of its nodes that the list names unchanged.
+    /// Share of its nodes that the list has with the same process and address.
     pub unchanged_ratio: f64,
-    /// From 0 (not used) to 1.
+    /// The share of its samples that is used, from 0 to 1.
     pub weight: f64,
 }
 
-/// What became of the entry of one node.
+/// Whether the stored entry of a node is used, and if not, why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrustDecision {
     /// It is used.
     Trusted {
-        /// Samples given back.
+        /// Number of its samples that are restored.
         sample_count: usize,
-        /// It comes back ejected, due for its probation attempt at once.
+        /// Whether it starts out ejected, due its probation attempt at once.
         ejected: bool,
     },
-    /// The snapshot has lost its weight.
+    /// The weight of the snapshot is 0: it is too old or of unknown age, or too many of its nodes have changed.
     Expired,
     /// The node's process was restarted since.
     Restarted,
@@ -76,18 +76,18 @@
     Unlisted,
 }
 
-/// What the routing crate is given back, and how that was decided.
+/// What is restored to the router, and how that was decided.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrustedState {
-    /// Of the snapshot as a whole.
+    /// How far the snapshot as a whole is trusted.
     pub confidence: Confidence,
-    /// With all ages as of now.
+    /// The statistics for the router, with all ages as of now.
     pub learned: LearnedState,
     /// Decision for each stored node, by name.
     pub nodes: Vec<(String, TrustDecision)>,
 }
 
-/// The newest part of `all`, as long as the weight allows, rounded up.
+/// The newest samples of `all`, the share of them that `weight` gives, rounded up.
 fn newest<T>(all: &[T], weight: f64) -> &[T] {
     let count = (weight * all.len() as f64).ceil() as usize;
     &all[all.len() - count.min(all.len())..]
@@ -192,7 +192,7 @@
         }
     }
 
-    /// How much the snapshot counts now, before this list.
+    /// How far the snapshot is trusted now, given the endpoint list.
     pub fn confidence(&self, now: &Timestamp, listed: &[NodeIdentity]) -> Confidence {
         let elapsed_seconds = now.seconds_since(&self.at);
         let unchanged =
@@ -204,7 +204,7 @@
         Confidence { elapsed_seconds, unchanged_ratio, weight }
     }
 
-    /// What of it is trusted now, before this list.
+    /// What is restored of it now, given the endpoint list.
     pub fn restore(
         &self,
         now: &Timestamp,
@@ -240,7 +240,7 @@
         TrustedState { confidence, learned, nodes }
     }
 
-    /// The node's newest samples, as many as the weight leaves, without those of query classes that are gone.
+    /// The share of the node's newest samples that `weight` gives, without those of query classes that no longer exist.
     fn aged_samples(
         &self,
         stored: &StoredNode,
--- a/crates/dunepond-recovery/src/lib.rs
+++ b/crates/dunepond-recovery/src/lib.rs
@@ -18,12 +18,12 @@
 /// Format version of snapshots and journal records alike.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// How far Unix time may have been set back between two stamps before it tells nothing.
+/// How far Unix time may have been set back between two timestamps; further back, their difference is not used.
 const MAX_UNIX_SETBACK_SECONDS: f64 = 1.0;
-/// The same of the uptime clock, which is only rounded.
+/// The same for the uptime clock, which is never set back, only rounded.
 const MAX_UPTIME_SETBACK_SECONDS: f64 = 0.1;
 
-/// A moment on two clocks.
+/// An instant as both Unix time and uptime tell it: Unix time may be set, and uptime restarts with each boot.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Timestamp {
     /// Unix seconds; may be set at any moment.
@@ -39,7 +39,7 @@
         is_duration(self.unix) && is_duration(self.uptime)
     }
 
-    /// Seconds since an earlier stamp; `None` where no clock tells. Within one boot the uptime clock decides, whatever
+    /// Seconds since an earlier timestamp; `None` if the clock that decides was set back too far. Within one boot the uptime clock decides, whatever
     /// Unix time was set to.
     pub fn seconds_since(&self, earlier: &Timestamp) -> Option<f64> {
         let same_boot = !self.boot.is_empty() && self.boot == earlier.boot;
--- a/crates/dunepond-recovery/src/spent_budgets.rs
+++ b/crates/dunepond-recovery/src/spent_budgets.rs
@@ -83,7 +83,8 @@
     }
 }
 
-/// What is charged after these records. `complete`: nothing behind them was lost or left out.
+/// What a starting broker is charged with, by the records of its predecessors. `complete`: whether every record could be
+/// read; if not, the last one may be missing.
 pub fn outstanding_charges(
     records: &[BudgetRecord],
     complete: bool,
@@ -94,7 +95,7 @@
         return OutstandingCharges::Unknown;
     }
     let (at, retries, admissions, slow_start_sends) = match records.last() {
-        // An empty directory says nothing of a broker that ran here without one, but that one promised nothing either.
+        // No broker has used this directory before; one that ran without a directory kept no budget across restarts.
         None => return OutstandingCharges::Known(SpentBudgets::default()),
         Some(BudgetRecord::BrokerStarted { .. }) => return OutstandingCharges::Unknown,
         Some(BudgetRecord::BrokerStopped { at, retries, admissions, slow_start_sends }) => {
--- a/crates/dunepond-sim-adapter/src/session.rs
+++ b/crates/dunepond-sim-adapter/src/session.rs
@@ -71,14 +71,14 @@
                 let node = self.transport.node_id(result.node);
                 self.router.on_probe_result(&mut self.transport, node, result.answered_after);
             }
-            // Known, and nothing that the decisions go by.
+            // Known kinds that no decision depends on.
             event::ATTEMPT_STARTED | event::PEER_MESSAGE => {}
             other => eprintln!("dunepond-sim-adapter: {other}: unknown kind of event, skipped"),
         }
         Ok(())
     }
 
-    /// Hands on the query whose rows were coming in, once no more of them can follow.
+    /// Gives the router the query whose rows were coming in, once no more of them can follow.
     pub fn flush_incoming(&mut self) -> Result<(), ConfigError> {
         let Some(incoming) = self.incoming.take() else { return Ok(()) };
         let Some(announced) = incoming.query else {
--- a/crates/dunepond-sim-adapter/src/transport.rs
+++ b/crates/dunepond-sim-adapter/src/transport.rs
@@ -22,7 +22,7 @@
     Part(QueryId, usize),
 }
 
-/// The clock, the names, and the orders since they were last taken. Whatever is not known any more gets no order.
+/// The clock, the names, and the orders since they were last taken. A query whose names have been dropped gets no order.
 #[derive(Default)]
 pub struct WireTransport {
     pub now: f64,
@@ -81,7 +81,7 @@
         self.release(id);
     }
 
-    /// Drops the names of a query that is over and has nothing out.
+    /// Drops the names of a query that is over and has no outstanding attempt.
     fn release(&mut self, id: QueryId) {
         let Some(names) = self.queries.get(&id) else { return };
         if !names.is_over || names.outstanding > 0 {
--- a/crates/dunepond-sim-adapter/src/wire.rs
+++ b/crates/dunepond-sim-adapter/src/wire.rs
@@ -38,17 +38,17 @@
     pub const LIST_NUMBER: &str = "setId";
 }
 
-/// The outcome of what went well, of attempts and of probes.
+/// The outcome of an attempt or a probe that succeeded.
 const GOOD: &str = "GOOD";
 
 /// The numbered endpoint lists last registered; one set for the whole process.
 pub type EndpointLists = BTreeMap<u64, Vec<EndpointRow>>;
 
-/// What happened at one time.
+/// The events of one instant, for all brokers.
 pub struct Batch<'a> {
     /// Seconds.
     pub now: f64,
-    /// Given back with the orders.
+    /// Returned unchanged with the orders.
     pub turn: &'a Value,
     pub parts: &'a [Value],
 }
@@ -102,7 +102,7 @@
     pub started_at_ms: f64,
 }
 
-/// What a word of the endpoint list is.
+/// Which form of the endpoint list an event brings.
 pub enum ListForm {
     Changes,
     Complete,
@@ -203,8 +203,8 @@
     Ok(event.number_or(field::DELAY, 0.0)? / MS_PER_SECOND)
 }
 
-/// The query whose row has come in, without its parts. The wire names parts; what they carry is its own matter, so that a body
-/// can always be had again and no frame takes long.
+/// The query whose row has come in, without its parts. The simulator holds the bodies and the wire only names
+/// parts, so a body is always available again and no frame takes long to send.
 pub fn read_query(event: &Fields, id: QueryId, query_class_count: usize) -> Result<Query, ConfigError> {
     Ok(Query {
         id,
--- a/crates/dunepond-storage/src/files.rs
+++ b/crates/dunepond-storage/src/files.rs
@@ -5,7 +5,7 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// Held by the process that uses the directory.
+/// File that the process using the directory holds locked.
 const LOCK_FILE: &str = "dunepond.lock";
 /// Only the owner may read and write what is stored.
 const FILE_MODE: u32 = 0o600;
@@ -83,7 +83,7 @@
     fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
         let file = File::open(self.path.join(name))?;
         let mut bytes = Vec::new();
-        // One byte more than allowed tells a file that is too long.
+        // One byte more than allowed is read, so that a file that is too long is not taken for a whole one.
         file.take(max_bytes + 1).read_to_end(&mut bytes)?;
         if bytes.len() as u64 > max_bytes {
             return Err(io::Error::new(io::ErrorKind::FileTooLarge, "longer than any of ours"));
--- a/crates/dunepond-storage/src/journal.rs
+++ b/crates/dunepond-storage/src/journal.rs
@@ -9,7 +9,7 @@
 
 const KIND: FileKind = *b"JRNL";
 const SUFFIX: &str = ".journal";
-/// Of a journal that is being rewritten, until it takes the old one's name.
+/// Suffix of a journal that is being rewritten, until it takes the old one's name.
 const UNFINISHED_SUFFIX: &str = ".journal-aside";
 
 // A record's header: length of the payload (u32), number (u64), checksum (u32).
@@ -31,7 +31,7 @@
 pub struct RecoveredJournal {
     /// All valid records from the beginning.
     pub records: Vec<JournalRecord>,
-    /// Why what stands behind them is not used.
+    /// Why the bytes after them are not used; `None` if there are none.
     pub fault: Option<FileFault>,
 }
 
--- a/crates/dunepond-storage/src/snapshots.rs
+++ b/crates/dunepond-storage/src/snapshots.rs
@@ -8,9 +8,9 @@
 
 const KIND: FileKind = *b"SNAP";
 const SUFFIX: &str = ".snapshot";
-/// Of a snapshot that is being written.
+/// Suffix of a snapshot that is being written.
 const UNFINISHED_SUFFIX: &str = ".aside";
-/// The one before the last serves when the last turns out to be corrupted.
+/// Number of snapshots that are kept: the one before the last is used if the last turns out to be corrupted.
 const RETAINED_COUNT: usize = 2;
 
 /// A valid snapshot.
