--- a/crates/dunepond-control-plane/src/startup/fills.rs
+++ b/crates/dunepond-control-plane/src/startup/fills.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
-use dunepond_settlement::{FillPlanner, FillRetryPolicy, LinkCapacities, PlanningRule};
+use dunepond_settlement::{FillPlanner, FillRetryPolicy, LinkCapacities, PartnerPair, PlanningRule};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -55,7 +55,7 @@
 /// What both schedulers of fills are made from.
 struct FillSetup {
     service: FillService,
-    link_rates: BTreeMap<(String, String), f64>,
+    link_rates: BTreeMap<PartnerPair, f64>,
     default_link_rate: f64,
     deadline_seconds: f64,
     segment_bytes: u64,
@@ -74,7 +74,7 @@
             |fills: &FillConfig| -> Arc<dyn FillClient> { Arc::new(HttpFillClient::new(fills.fill_service)) };
         let mut link_rates = BTreeMap::new();
         for link in &config.link_rates {
-            link_rates.insert((link.from.clone(), link.to.clone()), link.bytes_per_second as f64);
+            link_rates.insert(PartnerPair::new(&link.from, &link.to), link.bytes_per_second as f64);
         }
         let default_rate = config.rebalancing.as_ref().and_then(|it| it.default_link_rate);
         Self {
--- a/crates/dunepond-settlement/src/balances.rs
+++ b/crates/dunepond-settlement/src/balances.rs
@@ -136,6 +136,19 @@
     }
 }
 
+/// A direction in which bytes are carried.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct CarriedPair {
+    carrier: String,
+    debtor: String,
+}
+
+impl CarriedPair {
+    fn new(carrier: &str, debtor: &str) -> Self {
+        Self { carrier: carrier.to_string(), debtor: debtor.to_string() }
+    }
+}
+
 /// Bytes of one pair, weighted by age.
 #[derive(Clone, Copy, Debug)]
 struct AgedBytes {
@@ -167,9 +180,9 @@
     terms: SettlementTerms,
     partners: BrokerPartners,
     ledger: SettlementLedger,
-    /// Carrier and who owes it: bytes that count.
-    gross: BTreeMap<(String, String), u64>,
-    aged: BTreeMap<(String, String), AgedBytes>,
+    /// Bytes that count, settled or not.
+    gross: BTreeMap<CarriedPair, u64>,
+    aged: BTreeMap<CarriedPair, AgedBytes>,
     discrepancies: Vec<Discrepancy>,
 }
 
@@ -250,14 +263,14 @@
                 let (carrier, debtor) = (carrier.clone(), debtor.clone());
                 self.discrepancies.push(Discrepancy { carrier, debtor, carrier_bytes, debtor_bytes });
             }
-            self.raise_gross(now, carrier, debtor, counted.saturating_add(witnessed));
+            self.raise_gross(now, CarriedPair { carrier, debtor }, counted.saturating_add(witnessed));
         }
     }
 
-    fn raise_gross(&mut self, now: f64, carrier: String, debtor: String, bytes: u64) {
-        let gross = self.gross.entry((carrier.clone(), debtor.clone())).or_default();
+    fn raise_gross(&mut self, now: f64, pair: CarriedPair, bytes: u64) {
+        let gross = self.gross.entry(pair.clone()).or_default();
         *gross = bytes.max(*gross);
-        let aged = self.aged.entry((carrier, debtor)).or_insert(AgedBytes::new(now));
+        let aged = self.aged.entry(pair).or_insert(AgedBytes::new(now));
         aged.update(now, *gross, self.terms.half_life_seconds);
     }
 
@@ -268,7 +281,7 @@
 
     /// All that `debtor` ever owed `carrier`, settled or not.
     pub fn gross(&self, carrier: &str, debtor: &str) -> u64 {
-        self.gross.get(&(carrier.to_string(), debtor.to_string())).copied().unwrap_or(0)
+        self.gross.get(&CarriedPair::new(carrier, debtor)).copied().unwrap_or(0)
     }
 
     /// Bytes settled, up to the debt; a settlement whose debt is not known yet counts once it is.
@@ -295,8 +308,8 @@
     /// Open debts with cycles cancelled, by debtor and creditor.
     pub fn net_debts(&self) -> Vec<NetDebt> {
         let mut open = OpenDebts::default();
-        for (carrier, owing) in self.gross.keys() {
-            for (debtor, creditor) in [(owing, carrier), (carrier, owing)] {
+        for pair in self.gross.keys() {
+            for (debtor, creditor) in [(&pair.debtor, &pair.carrier), (&pair.carrier, &pair.debtor)] {
                 let balance = self.balance(debtor, creditor);
                 if let Ok(bytes) = u64::try_from(balance)
                     && bytes > 0
@@ -324,7 +337,7 @@
 
     /// Weight of a debt in the order of service: its recent bytes count fully, the others by age.
     pub fn service_weight(&self, debt: &NetDebt, now: f64) -> f64 {
-        let key = (debt.creditor.clone(), debt.debtor.clone());
+        let key = CarriedPair::new(&debt.creditor, &debt.debtor);
         let recent_ratio = self.aged.get(&key).map_or(1.0, |aged| {
             aged.decayed_weight(now, self.terms.half_life_seconds) / aged.known_bytes.max(1) as f64
         });
--- a/crates/dunepond-settlement/src/demand.rs
+++ b/crates/dunepond-settlement/src/demand.rs
@@ -61,11 +61,27 @@
     }
 }
 
+/// A direction between two partners, by name.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct PartnerPair {
+    /// Partner that bytes come from, or that owes them.
+    pub from: String,
+    /// Partner that they go to, or that is owed.
+    pub to: String,
+}
+
+impl PartnerPair {
+    /// The direction from one partner to another.
+    pub fn new(from: &str, to: &str) -> Self {
+        Self { from: from.to_string(), to: to.to_string() }
+    }
+}
+
 /// Bytes a second that fills may use from one partner to another, over all brokers together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkCapacities {
     /// Highest rate by the source's partner and the filled node's.
-    pub rate_caps: BTreeMap<(String, String), f64>,
+    pub rate_caps: BTreeMap<PartnerPair, f64>,
     /// Highest rate for a pair that is not listed.
     pub default_rate_cap: f64,
     /// For fills between nodes of one partner.
@@ -85,7 +101,7 @@
     /// Highest rate from one partner to another, or inside one.
     pub fn rate_cap(&self, from: &str, to: &str) -> f64 {
         let otherwise = if from == to { self.internal_rate_cap } else { self.default_rate_cap };
-        self.rate_caps.get(&(from.to_string(), to.to_string())).copied().unwrap_or(otherwise)
+        self.rate_caps.get(&PartnerPair::new(from, to)).copied().unwrap_or(otherwise)
     }
 }
 
--- a/crates/dunepond-settlement/src/lib.rs
+++ b/crates/dunepond-settlement/src/lib.rs
@@ -26,8 +26,8 @@
 pub use balances::{Balances, Discrepancy, NetDebt, SettlementTerms};
 pub use counts::{BrokerPartners, CarriedCounts, LocalCounts};
 pub use demand::{
-    FillDemand, FillPlan, FillSource, LinkCapacities, NodeCapacity, PlanningRule, SlowStartCapacity,
-    WaitReason, WaitingDemand, max_units,
+    FillDemand, FillPlan, FillSource, LinkCapacities, NodeCapacity, PartnerPair, PlanningRule,
+    SlowStartCapacity, WaitReason, WaitingDemand, max_units,
 };
 pub use error::SettlementError;
 pub use fairness::{jain_index, max_min, max_min_rates};
--- a/crates/dunepond-settlement/src/planner/round.rs
+++ b/crates/dunepond-settlement/src/planner/round.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::{Balances, Fill, FillDemand, LinkCapacities, SharePromises, SlowStartCapacity};
+use crate::{Balances, Fill, FillDemand, LinkCapacities, PartnerPair, SharePromises, SlowStartCapacity};
 
 /// A fill that counts in the windows of its partners.
 #[derive(Clone, Debug)]
@@ -34,19 +34,6 @@
     pub weight: f64,
 }
 
-/// Partners by name.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct PartnerPair {
-    pub from: String,
-    pub to: String,
-}
-
-impl PartnerPair {
-    pub fn new(from: &str, to: &str) -> Self {
-        Self { from: from.to_string(), to: to.to_string() }
-    }
-}
-
 /// One call of the planner.
 pub struct Round<'a> {
     pub balances: &'a Balances,
--- a/crates/dunepond-settlement/src/planner/service_order.rs
+++ b/crates/dunepond-settlement/src/planner/service_order.rs
@@ -1,8 +1,8 @@
 //! Whose demand is served next.
 
 use super::FillPlanner;
-use super::round::{DemandQueues, PartnerPair, Round};
-use crate::{FillDemand, PlanningRule, WaitReason};
+use super::round::{DemandQueues, Round};
+use crate::{FillDemand, PartnerPair, PlanningRule, WaitReason};
 
 /// A partner that has waited for this part of a window is served before all others.
 const MAX_WAIT_WINDOW_RATIO: f64 = 0.5;
--- a/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
@@ -327,7 +327,7 @@
 
 pub fn play(mix: &str, rule: Option<PlanningRule>, seed: u64, seconds: f64) -> Played {
     let mut world = World::new(rule, seed);
-    let slow = [("mid", "north"), ("north", "mid")].map(|(a, b)| ((a.to_string(), b.to_string()), SLOW));
+    let slow = [("mid", "north"), ("north", "mid")].map(|(from, to)| (PartnerPair::new(from, to), SLOW));
     let links =
         LinkCapacities { rate_caps: slow.into(), default_rate_cap: LINK, internal_rate_cap: 4.0 * LINK };
     let (mut next, mut segment, mut at_end) = (0.0, 0, 0.0);
