--- a/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
@@ -7,6 +7,7 @@
 use tracing::{info, warn};
 
 use super::ControlLoop;
+use super::scheduler::StartedFillKey;
 use crate::clock::{monotonic_seconds, unix_seconds};
 use crate::config::CrashPoint;
 use crate::fill_client::FillResult;
@@ -26,10 +27,9 @@
         let at_start = fills.first_seen_at.is_empty();
         for started in ledger.started_fills() {
             let age = if at_start { (unix_seconds() - started.at as f64).max(0.0) } else { 0.0 };
-            let key = (started.id.clone(), started.from.clone());
-            fills.first_seen_at.entry(key).or_insert(now - age);
+            fills.first_seen_at.entry(StartedFillKey::from(started)).or_insert(now - age);
         }
-        fills.first_seen_at.retain(|(id, from), _| ledger.has_started(id, from));
+        fills.first_seen_at.retain(|fill, _| ledger.has_started(&fill.id, &fill.source_partner));
     }
 
     /// A new leader resumes the fills that the previous one started, and counts them against the planner's windows.
@@ -40,8 +40,7 @@
         }
         let mut resumed = Vec::new();
         for started in self.traffic.balances.ledger().started_fills() {
-            let key = (started.id.clone(), started.from.clone());
-            let started_at = fills.first_seen_at.get(&key).copied().unwrap_or(now);
+            let started_at = fills.first_seen_at.get(&StartedFillKey::from(started)).copied().unwrap_or(now);
             let fill = started.fill();
             fills.planner.resume(&fill, started_at, false);
             // One that is not required any more counts in the windows only.
--- a/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crossbeam_channel::Sender;
-use dunepond_settlement::{Fill, FillPlanner, FillProgress, FillRetryPolicy, LinkCapacities};
+use dunepond_settlement::{Fill, FillPlanner, FillProgress, FillRetryPolicy, LinkCapacities, StartedFill};
 use rand_pcg::Pcg64Mcg;
 
 use super::sources::AvoidedSources;
@@ -65,6 +65,20 @@
     }
 }
 
+/// A fill that a leader has started. The same fill may be started again from another partner.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct StartedFillKey {
+    /// Id of the fill.
+    pub(super) id: String,
+    pub(super) source_partner: String,
+}
+
+impl From<&StartedFill> for StartedFillKey {
+    fn from(started: &StartedFill) -> Self {
+        Self { id: started.id.clone(), source_partner: started.from.clone() }
+    }
+}
+
 /// The fill service, and where its results go.
 #[derive(Clone)]
 pub struct FillService {
@@ -117,8 +131,8 @@
     pub(super) next_review_at: f64,
     /// Whether the fills that the previous leader started were resumed.
     pub(super) is_leading: bool,
-    /// When this broker first saw that a leader had started a fill, by the fill's id and the source's partner.
-    pub(super) first_seen_at: BTreeMap<(String, String), f64>,
+    /// When this broker first saw that a leader had started a fill.
+    pub(super) first_seen_at: BTreeMap<StartedFillKey, f64>,
 }
 
 impl FillScheduler {
