--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -3,6 +3,7 @@
 //! Each pass handles the messages of peers, then runs the periodic duties in a fixed order ([`ControlLoop::tick`]).
 
 mod fills;
+mod leader_search;
 mod leases;
 mod messages;
 mod proposals;
--- a/crates/dunepond-control-plane/src/control_loop/proposals.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals.rs
@@ -11,9 +11,10 @@
 use tracing::{error, info, warn};
 
 use super::ControlLoop;
+use super::leader_search::LeaderSearch;
 use super::messages::SentRequest;
 use crate::clock::monotonic_seconds;
-use crate::documents::{self, Document, MAX_DOCUMENT_BYTES};
+use crate::documents::{self, Document, decode_message};
 use crate::error::VersionError;
 use crate::handle::increment;
 
@@ -35,9 +36,7 @@
     must_read: bool,
     document: Option<Document>,
     next_proposal_at: f64,
-    /// The leader, as the last voter that was asked has named it.
-    named_leader: Option<String>,
-    voters_tried: usize,
+    leader_search: LeaderSearch,
     /// Since when voters have reported the number as used. It may be this very document, whose reply was lost: the next leases
     /// show that.
     number_used_since: Option<f64>,
@@ -94,8 +93,7 @@
             constraints,
             document: None,
             next_proposal_at: 0.0,
-            named_leader: None,
-            voters_tried: 0,
+            leader_search: LeaderSearch::default(),
             number_used_since: None,
         }
     }
@@ -146,7 +144,7 @@
         if config.proposed_number().is_some() && matches!(document, Document::Version(_)) {
             return;
         }
-        let to = self.next_proposal_voter();
+        let to = self.proposals.leader_search.next_voter(&self.lease_client);
         if to == self.name {
             let reply = ProposalReply::of(self.enter_on_behalf_of(&to, document.command()));
             return self.apply_proposal_reply(&to, reply);
@@ -177,27 +175,11 @@
         version.number <= known.map(|known| known.number).max().unwrap_or(0)
     }
 
-    /// The leader as the last voter has named it or as the leases have it, else one voter after the other.
-    fn next_proposal_voter(&mut self) -> String {
-        if let Some(voter) = self.proposals.named_leader.take() {
-            return voter;
-        }
-        if let Some(leader) = self.lease_client.leader() {
-            return leader.to_string();
-        }
-        self.proposals.voters_tried += 1;
-        let voters = self.lease_client.voters();
-        voters[self.proposals.voters_tried % voters.len()].clone()
-    }
-
     /// A peer's proposal to this voter.
     pub(super) fn handle_proposal(&mut self, from: &str, body: &[u8], responder: Responder) {
-        if body.len() > MAX_DOCUMENT_BYTES {
-            let reason = RefusalReason::TooLarge { max_bytes: MAX_DOCUMENT_BYTES as u64 };
-            return self.peers.respond(responder, Err(reason));
-        }
-        let Ok(document) = postcard::from_bytes::<Document>(body) else {
-            return self.peers.respond(responder, Err(RefusalReason::Malformed));
+        let document: Document = match decode_message(body) {
+            Ok(document) => document,
+            Err(reason) => return self.peers.respond(responder, Err(reason)),
         };
         let reply = ProposalReply::of(self.enter_on_behalf_of(from, document.command()));
         info!("fleet: {}, proposed by {from}: {reply:?}", document.name());
@@ -222,7 +204,7 @@
         }
         match reply {
             ProposalReply::Accepted => info!("fleet: {name}: taken by {voter}"),
-            ProposalReply::NotLeader(leader) => proposals.named_leader = leader,
+            ProposalReply::NotLeader(leader) => proposals.leader_search.on_not_leader(leader),
             ProposalReply::RetryLater(why) => info!("fleet: {name}: {voter}: not now: {why}"),
             ProposalReply::NumberUsed { expected } => {
                 let since = *proposals.number_used_since.get_or_insert(now);
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
@@ -12,6 +12,7 @@
 use tracing::{error, info};
 
 use super::ControlLoop;
+use super::leader_search::LeaderSearch;
 use crate::error::PlanError;
 
 /// Seconds between two steps where the operator's file does not say.
@@ -30,9 +31,7 @@
     /// The plan was accepted once: the operator's command in it counts once.
     offered: bool,
     next_offer_at: f64,
-    /// The leader, as the last voter that was asked has named it.
-    named_leader: Option<String>,
-    voters_tried: usize,
+    leader_search: LeaderSearch,
     current_turn: Option<CurrentTurn>,
     /// When the last entry was entered, while it may still be committed.
     entered_at: f64,
@@ -60,8 +59,7 @@
             plan: None,
             offered: false,
             next_offer_at: 0.0,
-            named_leader: None,
-            voters_tried: 0,
+            leader_search: LeaderSearch::default(),
             current_turn: None,
             entered_at: f64::NEG_INFINITY,
             overload_monitor: OverloadMonitor::default(),
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -13,7 +13,7 @@
 use crate::clock::monotonic_seconds;
 use crate::control_loop::ControlLoop;
 use crate::control_loop::messages::SentRequest;
-use crate::documents::MAX_DOCUMENT_BYTES;
+use crate::documents::decode_message;
 use crate::handle::increment;
 
 /// Timeout of an offer, and the time between two offers, in leases.
@@ -67,7 +67,7 @@
         let Some(plan) = self.rebalancing.plan.clone() else { return };
         let timeout_seconds = self.lease_seconds * OFFER_TIMEOUT_LEASES;
         self.rebalancing.next_offer_at = now + timeout_seconds;
-        let to = self.next_offer_voter();
+        let to = self.rebalancing.leader_search.next_voter(&self.lease_client);
         let offer = PlanOffer {
             plan,
             max_concurrent_actions: self.rebalancing.max_concurrent_actions,
@@ -82,27 +82,11 @@
         self.send_request(&to, RequestKind::RebalancePlan, body, timeout_seconds, sent);
     }
 
-    /// The leader as the last voter has named it or as the leases have it, else one voter after the other.
-    fn next_offer_voter(&mut self) -> String {
-        if let Some(voter) = self.rebalancing.named_leader.take() {
-            return voter;
-        }
-        if let Some(leader) = self.lease_client.leader() {
-            return leader.to_string();
-        }
-        self.rebalancing.voters_tried += 1;
-        let voters = self.lease_client.voters();
-        voters[self.rebalancing.voters_tried % voters.len()].clone()
-    }
-
     /// A peer's offer to this voter.
     pub(in crate::control_loop) fn handle_offer(&mut self, from: &str, body: &[u8], responder: Responder) {
-        if body.len() > MAX_DOCUMENT_BYTES {
-            let reason = RefusalReason::TooLarge { max_bytes: MAX_DOCUMENT_BYTES as u64 };
-            return self.peers.respond(responder, Err(reason));
-        }
-        let Ok(offer) = postcard::from_bytes::<PlanOffer>(body) else {
-            return self.peers.respond(responder, Err(RefusalReason::Malformed));
+        let offer: PlanOffer = match decode_message(body) {
+            Ok(offer) => offer,
+            Err(reason) => return self.peers.respond(responder, Err(reason)),
         };
         let id = offer.plan.id.clone();
         let reply = self.accept_offer(offer);
@@ -130,7 +114,7 @@
                 rebalancing.plan = None;
             }
             OfferReply::NotLeader(leader) => {
-                rebalancing.named_leader = leader;
+                rebalancing.leader_search.on_not_leader(leader);
                 rebalancing.next_offer_at = monotonic_seconds() + self.lease_seconds * RETRY_LEASES;
             }
             OfferReply::RetryLater(why) => info!("fleet: plan {id}: {voter}: not now: {why}"),
--- a/crates/dunepond-control-plane/src/documents.rs
+++ b/crates/dunepond-control-plane/src/documents.rs
@@ -6,7 +6,9 @@
 use std::path::Path;
 
 use dunepond_consensus::{Command, ConfigVersion, Extension, RoutingRules, VoterChange};
+use dunepond_membership::RefusalReason;
 use dunepond_shard_map::{MapConstraints, Node, ShardMap};
+use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -18,6 +20,14 @@
 /// Key of the list of keys that have to be known to each broker.
 const REQUIRED_KEYS: &str = "must";
 
+/// A peer's message that carries a document or a plan.
+pub fn decode_message<T: DeserializeOwned>(body: &[u8]) -> Result<T, RefusalReason> {
+    if body.len() > MAX_DOCUMENT_BYTES {
+        return Err(RefusalReason::TooLarge { max_bytes: MAX_DOCUMENT_BYTES as u64 });
+    }
+    postcard::from_bytes(body).map_err(|_| RefusalReason::Malformed)
+}
+
 /// What an operator's file proposes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Document {
