--- /dev/null
+++ b/crates/dunepond-broker/tests/client_close/attempts.rs
@@ -0,0 +1,109 @@
+//! The close together with answers of the node: no retry and no pipelined request follows, and other queries go on.
+
+use std::thread;
+use std::time::Duration;
+
+use dunepond_testkit::stand_ins::{Client, query_request};
+use rstest::rstest;
+
+use crate::harness::{BusyLoad, Scenario, close};
+
+/// The node's failure arrives together with the client's close.
+#[test]
+fn failed_attempt_is_not_retried_after_close() {
+    let mut scenario = Scenario::start();
+    let mut client = Client::connect(&scenario.broker);
+    client.send(&query_request("find", "c1", &[0], "2.9"));
+    scenario.node.wait_for('A', "c1.0");
+    scenario.while_stopped(|scenario| {
+        scenario.node.end_attempt("c1.0", "fault");
+        close(client);
+    });
+    scenario.send_marker();
+    assert_eq!(scenario.node.sent_counts("c1.0").0, 1);
+}
+
+/// Without the close the attempt is retried: shows that the scenario above tests anything.
+#[test]
+fn failed_attempt_is_retried_for_a_waiting_client() {
+    let scenario = Scenario::start();
+    let mut client = Client::connect(&scenario.broker);
+    client.send(&query_request("find", "c1", &[0], "2.9"));
+    scenario.node.wait_for('A', "c1.0");
+    scenario.node.end_attempt("c1.0", "fault");
+    scenario.node.wait(|received| received.frames.iter().filter(|f| f.is_of_part('A', "c1.0")).count() == 2);
+    scenario.node.end_attempt("c1.0", "hit");
+    assert_eq!(client.read_answer().unwrap().status, 200);
+}
+
+/// It was read with the first request, and starts with the first's response.
+#[test]
+fn pipelined_request_is_not_started_after_close() {
+    let mut scenario = Scenario::start();
+    let mut client = Client::connect(&scenario.broker);
+    client.send(&(query_request("find", "c1", &[0], "2.9") + &query_request("find", "c2", &[0], "2.9")));
+    scenario.node.wait_for('A', "c1.0");
+    scenario.while_stopped(|scenario| {
+        scenario.node.end_attempt("c1.0", "hit");
+        close(client);
+    });
+    scenario.send_marker();
+    assert_eq!((scenario.node.sent_counts("c1.0").0, scenario.node.sent_counts("c2.0")), (1, (0, 0)));
+}
+
+/// The client closes during an iteration that handles the failure of its attempt: no event of that iteration reports the
+/// close. A retry would begin too late.
+#[test]
+fn no_retry_after_close_while_the_broker_is_busy() {
+    let mut scenario = Scenario::start();
+    let attempts_of_query = |i| {
+        let (id, part) = (format!("c{i}"), format!("c{i}.0"));
+        let mut client = Client::connect(&scenario.broker);
+        client.send(&query_request("find", &id, &[0], "2.9"));
+        scenario.node.wait_for('A', &part);
+        // The longest that an attempt may begin after the close.
+        thread::sleep(Duration::from_millis(100));
+        let busy = BusyLoad::connect(&scenario);
+        scenario.while_stopped(|scenario| {
+            busy.send();
+            scenario.node.end_attempt(&part, "fault");
+        });
+        let in_time = busy.while_handled(&scenario, || close(client));
+        scenario.send_marker();
+        in_time.then(|| scenario.node.sent_counts(&part).0)
+    };
+    assert_eq!((0..9).find_map(attempts_of_query), Some(1));
+}
+
+/// A node's response together with the client's close: no other query is affected, and the connection stays open.
+#[test]
+fn response_at_the_close_disturbs_no_connection() {
+    let mut scenario = Scenario::start();
+    let mut client = Client::connect(&scenario.broker);
+    client.send(&query_request("find", "c1", &[0, 1], "2.9"));
+    scenario.node.wait_for('A', "c1.0");
+    scenario.node.wait_for('A', "c1.1");
+    scenario.while_stopped(|scenario| {
+        scenario.node.end_attempt("c1.0", "hit");
+        close(client);
+    });
+    scenario.node.wait_for('B', "c1.1");
+    scenario.send_marker();
+    assert_eq!(scenario.node.sent_counts("c1.1"), (1, 1));
+    scenario.node.wait(|received| received.connections.len() == 1);
+}
+
+/// The client has no query in flight.
+#[rstest]
+#[case::unasked("")]
+#[case::half("POST /find HTTP/1.1\r\nContent-Length: 99\r\n\r\n{")]
+#[case::answered("GET /ready HTTP/1.1\r\n\r\n")]
+fn close_without_attempts_cancels_nothing(#[case] sent_before: &str) {
+    let mut scenario = Scenario::start();
+    let mut client = Client::connect(&scenario.broker);
+    assert_eq!(client.request(&query_request("find", "mark", &[0], "2.9")).status, 200);
+    client.send(sent_before);
+    scenario.while_stopped(|_| close(client));
+    scenario.send_marker();
+    assert!(scenario.node.received.0.lock().unwrap().frames.iter().all(|f| f.kind == 'A'));
+}
