--- a/crates/dunepond-recovery/tests/golden.rs
+++ b/crates/dunepond-recovery/tests/golden.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn learned_values_are_written_and_read_as_before() {
+fn learned_values_match_golden_bytes() {
     assert_eq!(FORMAT_VERSION, 1);
     let saved = saved_beliefs();
     assert_eq!(saved.encode(), golden("beliefs.bin"));
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn learned_values_without_a_baseline_are_written_and_read_as_before() {
+fn learned_values_without_baseline_match_golden_bytes() {
     let saved = LearnedSnapshot::capture(Timestamp::default(), &[], &[], &LearnedState::default());
     assert_eq!(saved.encode(), golden("beliefs-none.bin"));
     assert_eq!(LearnedSnapshot::decode(&golden("beliefs-none.bin")).unwrap(), saved);
 }
 
 #[test]
-fn records_of_spent_budgets_are_written_and_read_as_before() {
+fn spent_budgets_match_golden_bytes() {
     let ledger = SpentBudgets {
         retries: vec![0.5, 2.25],
         admissions: vec![AdmissionRecord { ago: 0.5, count: 1.0 }, AdmissionRecord { ago: 1.5, count: 40.0 }],
--- /dev/null
+++ b/crates/dunepond-recovery/tests/restart.rs
@@ -0,0 +1,225 @@
+//! Restart: which learned values are restored, with what confidence, and which budget charges are outstanding.
+
+use dunepond_recovery::spent_budgets::outstanding_charges;
+use dunepond_recovery::*;
+use dunepond_routing::{
+    AdmissionRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState,
+    SlowStartRecord, SpentBudgets,
+};
+use proptest::prelude::*;
+use rstest::rstest;
+
+const STOPPED_AT: f64 = 1_000_000.0;
+
+fn at(unix: f64) -> Timestamp {
+    Timestamp { unix, ..Timestamp::default() }
+}
+
+fn query_classes() -> Vec<String> {
+    vec!["find".to_string(), "fix".to_string()]
+}
+
+fn node(node: usize) -> NodeIdentity {
+    NodeIdentity {
+        node,
+        name: format!("s-{node}"),
+        address: format!("127.0.0.1:{}", 9000 + node),
+        started_at: 500.0,
+    }
+}
+
+fn list(count: usize) -> Vec<NodeIdentity> {
+    (0..count).map(node).collect()
+}
+
+fn sample(ago: f64) -> LearnedSample {
+    LearnedSample { class: 0, sent_ago: ago + 0.2, latency: 0.2, ended_ago: ago, served: true, fault: false }
+}
+
+fn learned(count: usize) -> LearnedState {
+    let samples = |_| (0..8).map(|i| sample(8.0 - i as f64)).collect();
+    let nodes = (0..count).map(|node| LearnedNode { node, ejected: node == 0, samples: samples(node) });
+    LearnedState {
+        nodes: nodes.collect(),
+        latency_samples: vec![LatencyRecord { latency: 0.2, ago: 1.0, node_share: 0.1 }; 64],
+        idle_resets: vec![IdleResetRecord { ago: 1.0, idle_seconds: 30.0, broke: true }],
+        baseline_latency: Some(0.1),
+    }
+}
+
+fn saved() -> LearnedSnapshot {
+    LearnedSnapshot::decode(
+        &LearnedSnapshot::capture(at(STOPPED_AT), &query_classes(), &list(8), &learned(8)).encode(),
+    )
+    .unwrap()
+}
+
+#[rstest]
+#[case::at_once(0.0, 8)]
+#[case::half_a_minute(30.0, 4)]
+#[case::a_minute(60.0, 2)]
+#[case::long_ago(100.0, 0)]
+#[case::hours(7200.0, 0)]
+#[case::a_clock_set_a_little(-0.5, 8)]
+#[case::a_clock_set_back(-3600.0, 0)]
+fn trust_decreases_with_age_and_expires(#[case] elapsed: f64, #[case] samples: usize) {
+    let restored = saved().restore(&at(STOPPED_AT + elapsed), &query_classes(), &list(8));
+    let (_, verdict) = &restored.nodes[0];
+    if samples == 0 {
+        assert_eq!((verdict, &restored.learned), (&TrustDecision::Expired, &LearnedState::default()));
+    } else {
+        assert_eq!(*verdict, TrustDecision::Trusted { sample_count: samples, ejected: true });
+        // The newest are kept, older by the time that has passed.
+        let first = &restored.learned.nodes[0].samples[0];
+        assert!((first.ended_ago - (samples as f64 + elapsed.max(0.0))).abs() < 1e-9, "{first:?}");
+    }
+}
+
+/// Guards against an ejection that is hours old: the node has recovered since.
+#[test]
+fn old_ejection_is_not_restored() {
+    let restored = saved().restore(&at(STOPPED_AT + 3.0 * 3600.0), &query_classes(), &list(8));
+    assert!(restored.learned.nodes.iter().all(|node| !node.ejected));
+}
+
+#[rstest]
+#[case::started(NodeIdentity { started_at: 600.0, ..node(0) }, TrustDecision::Restarted)]
+#[case::moved(NodeIdentity { address: "127.0.0.1:1".to_string(), ..node(0) }, TrustDecision::AddressChanged)]
+#[case::renamed(NodeIdentity { name: "other".to_string(), ..node(0) }, TrustDecision::Unlisted)]
+fn changed_node_is_not_restored(#[case] changed: NodeIdentity, #[case] verdict: TrustDecision) {
+    let mut present = list(8);
+    present[0] = changed;
+    let restored = saved().restore(&at(STOPPED_AT), &query_classes(), &present);
+    assert_eq!(restored.nodes[0], ("s-0".to_string(), verdict));
+    assert!(!restored.learned.nodes.iter().any(|learned| learned.node == 0));
+    // The others are trusted a little less, as the list has changed.
+    assert_eq!(restored.confidence.unchanged_ratio, 7.0 / 8.0);
+    assert_eq!(restored.nodes[1].1, TrustDecision::Trusted { sample_count: 7, ejected: false });
+}
+
+#[test]
+fn list_without_known_nodes_restores_nothing() {
+    let present: Vec<_> = (0..8).map(|i| NodeIdentity { name: format!("new-{i}"), ..node(i) }).collect();
+    let restored = saved().restore(&at(STOPPED_AT), &query_classes(), &present);
+    assert_eq!(restored.learned, LearnedState::default());
+    assert!(restored.nodes.iter().all(|(_, verdict)| *verdict == TrustDecision::Unlisted));
+}
+
+/// Indices of nodes and query classes differ between processes.
+#[test]
+fn nodes_and_query_classes_match_by_name() {
+    let mut present = list(8);
+    present.iter_mut().for_each(|identity| identity.node = 7 - identity.node);
+    let query_classes = vec!["fix".to_string(), "find".to_string()];
+    let restored = saved().restore(&at(STOPPED_AT), &query_classes, &present);
+    let first = &restored.learned.nodes[0];
+    assert_eq!((first.node, first.ejected, first.samples[0].class), (7, true, 1));
+    let without = saved().restore(&at(STOPPED_AT), &query_classes[..1], &present);
+    assert!(without.learned.nodes.iter().all(|node| node.samples.is_empty()));
+}
+
+fn spent() -> SpentBudgets {
+    SpentBudgets {
+        retries: vec![0.5, 0.1],
+        admissions: vec![AdmissionRecord { ago: 0.4, count: 3.0 }],
+        slow_start_sends: vec![SlowStartRecord { node: 2, sent_ago: vec![0.3] }],
+    }
+}
+
+#[test]
+fn orderly_stop_charges_exactly_what_was_spent() {
+    let ended =
+        BudgetRecord::decode(&BudgetRecord::stopped(at(STOPPED_AT), &list(8), &spent()).encode()).unwrap();
+    let records = [BudgetRecord::BrokerStarted { at: at(STOPPED_AT - 9.0) }, ended];
+    let expected = SpentBudgets {
+        retries: vec![1.5, 1.1],
+        admissions: vec![AdmissionRecord { ago: 1.4, count: 3.0 }],
+        slow_start_sends: vec![SlowStartRecord { node: 2, sent_ago: vec![1.3] }],
+    };
+    assert_eq!(
+        outstanding_charges(&records, true, &at(STOPPED_AT + 1.0), &list(8)),
+        OutstandingCharges::Known(expected)
+    );
+    // A node that has started since has its slow-start budget again.
+    let mut present = list(8);
+    present[2].started_at = 700.0;
+    let OutstandingCharges::Known(ledger) =
+        outstanding_charges(&records, true, &at(STOPPED_AT + 1.0), &present)
+    else {
+        panic!()
+    };
+    assert_eq!(ledger.slow_start_sends, []);
+}
+
+#[rstest]
+#[case::crashed(vec![BudgetRecord::BrokerStarted { at: at(STOPPED_AT) }], true)]
+#[case::crashed_after_an_orderly_end(vec![BudgetRecord::stopped(at(STOPPED_AT), &[], &SpentBudgets::default()), BudgetRecord::BrokerStarted { at: at(STOPPED_AT) }], true)]
+#[case::the_last_may_be_missing(vec![BudgetRecord::stopped(at(STOPPED_AT), &[], &SpentBudgets::default())], false)]
+#[case::nothing_can_be_read(vec![], false)]
+#[case::a_clock_set_back(vec![BudgetRecord::stopped(at(STOPPED_AT + 60.0), &[], &SpentBudgets::default())], true)]
+fn unknown_spending_is_charged_in_full(#[case] records: Vec<BudgetRecord>, #[case] whole: bool) {
+    assert_eq!(
+        outstanding_charges(&records, whole, &at(STOPPED_AT + 1.0), &list(8)),
+        OutstandingCharges::Unknown
+    );
+}
+
+/// The clock is set hours ahead, or back, between stop and start: the machine's uptime shows that a second passed.
+#[rstest]
+#[case::ahead(7200.0)]
+#[case::back(-7200.0)]
+fn clock_change_within_one_boot_is_ignored(#[case] clock_step: f64) {
+    let boot = |unix: f64, uptime: f64| Timestamp { unix, boot: "b".to_string(), uptime };
+    let records = [BudgetRecord::stopped(boot(STOPPED_AT, 100.0), &list(8), &spent())];
+    let OutstandingCharges::Known(ledger) =
+        outstanding_charges(&records, true, &boot(STOPPED_AT + clock_step, 101.0), &list(8))
+    else {
+        panic!()
+    };
+    assert_eq!(ledger.retries, [1.5, 1.1]);
+    let saved = LearnedSnapshot::capture(boot(STOPPED_AT, 100.0), &query_classes(), &list(8), &learned(8));
+    assert_eq!(saved.confidence(&boot(STOPPED_AT + clock_step, 100.0), &list(8)).weight, 1.0);
+    // After a reboot there is only the clock.
+    let after = Timestamp { boot: "c".to_string(), ..boot(STOPPED_AT + clock_step, 1.0) };
+    assert_eq!(saved.confidence(&after, &list(8)).weight, 0.0);
+}
+
+#[test]
+fn new_folder_has_no_charges() {
+    assert_eq!(
+        outstanding_charges(&[], true, &at(STOPPED_AT), &list(8)),
+        OutstandingCharges::Known(SpentBudgets::default())
+    );
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        rng_seed: proptest::test_runner::RngSeed::Fixed(21),
+        ..ProptestConfig::default()
+    })]
+
+    /// Bytes with a valid checksum may still be anything: no panic, and no time that is not finite.
+    #[test]
+    fn arbitrary_bytes_are_rejected_or_read(bytes in prop::collection::vec(any::<u8>(), 0..200), position in 0..100usize, bits: u8) {
+        let mut mangled = saved().encode();
+        let place = position * mangled.len() / 100;
+        mangled[place] ^= bits;
+        for bytes in [&bytes, &mangled] {
+            if let Ok(saved) = LearnedSnapshot::decode(bytes) {
+                let restored = saved.restore(&at(STOPPED_AT + 1.0), &query_classes(), &list(8));
+                let samples = restored.learned.nodes.iter().flat_map(|node| &node.samples);
+                prop_assert!(samples.into_iter().all(|s| s.ended_ago.is_finite() && s.ended_ago >= 0.0));
+            }
+            let _ = BudgetRecord::decode(bytes);
+        }
+    }
+
+    /// Confidence never rises with age or with the number of changed nodes.
+    #[test]
+    fn confidence_only_decreases(elapsed in 0.0..300.0f64, further in 0.0..60.0f64, removed in 0..8usize) {
+        let present = list(8 - removed);
+        let (then, later) = (saved().confidence(&at(STOPPED_AT + elapsed), &present), saved().confidence(&at(STOPPED_AT + elapsed + further), &present));
+        prop_assert!(later.weight <= then.weight && then.weight <= 1.0);
+        prop_assert!(saved().confidence(&at(STOPPED_AT + elapsed), &list(8)).weight >= then.weight);
+    }
+}
--- a/crates/dunepond-sim-adapter/tests/wire.rs
+++ b/crates/dunepond-sim-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The program on its wire: what it answers, and how it stops at what it cannot read.
+//! The wire protocol of the process: its answers to batches, and how it ends at invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -10,14 +10,14 @@
 "countedBy":"request","familyInfo":{"cells":1,"leastShare":[1],"partialEarns":[0.9],"secondStep":[0],
 "span":1,"wholeAt":[1]},"news":7,"projects":[],"rules":{"coldFrom":0.2,"coldMs":9000,"fallMs":1000,
 "overloadFactor":2},"services":[{"aimMs":2000,"deadlineMs":4000,"semantics":"pure","value":1}],"tickMs":5}}"#;
-const LIST: &str = r#"{"what":"register","setId":3,"rowsIn":[{"node":"10.0.0.1:70","cell":0,"mode":"active"}]},
+const ENDPOINT_LIST: &str = r#"{"what":"register","setId":3,"rowsIn":[{"node":"10.0.0.1:70","cell":0,"mode":"active"}]},
 {"what":"directoryUpdate","form":"remembered","setId":3}"#;
-const SCAN: &str = r#"{"what":"arrival","xid":"c:q","shareOrCount":1,"expiresInMs":3000,"segmentNo":-1,"query":1,
+const QUERY: &str = r#"{"what":"arrival","xid":"c:q","shareOrCount":1,"expiresInMs":3000,"segmentNo":-1,"query":1,
 "cls":0},{"what":"arrival","xid":"c:p","shareOrCount":1,"expiresInMs":3000,"segmentNo":0,"query":1,"cls":0}"#;
-const GOOD: &str = r#"{"what":"answer","xid":"c:p","shot":0,"node":"10.0.0.1:70","outcome":"GOOD",
+const SERVED: &str = r#"{"what":"answer","xid":"c:p","shot":0,"node":"10.0.0.1:70","outcome":"GOOD",
 "delaySeenMs":200,"closed":true,"gauge":{"x9":1}}"#;
 
-fn play(batches: &[String]) -> Output {
+fn run(batches: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_dunepond-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -40,62 +40,67 @@
 }
 
 #[test]
-fn a_scan_is_sent_and_answered_and_the_end_of_input_ends_it() {
+fn query_is_sent_and_answered_until_end_of_input() {
     let unknown = r#"{"what":"eclipse","where":"here"}"#;
-    let done = play(&[batch(1, &[INIT, LIST, SCAN]), batch(2, &[GOOD, unknown]), batch(3, &[GOOD])]);
-    let out = String::from_utf8_lossy(&done.stdout).into_owned();
+    let output =
+        run(&[batch(1, &[INIT, ENDPOINT_LIST, QUERY]), batch(2, &[SERVED, unknown]), batch(3, &[SERVED])]);
+    let out = String::from_utf8_lossy(&output.stdout).into_owned();
     let lines: Vec<_> = out.lines().collect();
     assert!(lines[0].contains(r#""node":"10.0.0.1:70""#) && lines[0].contains(r#""xid":"c:p""#));
     assert!(lines[1].contains(r#"{"on":true,"what":"conclude","xid":"c:q"}"#));
     assert_eq!(lines[2], r#"{"parts":[],"turn":3}"#);
-    assert!(String::from_utf8_lossy(&done.stderr).contains("eclipse: unknown kind of event, skipped"));
-    assert!(done.status.success());
+    assert!(String::from_utf8_lossy(&output.stderr).contains("eclipse: unknown kind of event, skipped"));
+    assert!(output.status.success());
 }
 
 #[test]
-fn a_customer_that_the_settings_do_not_list_is_served() {
-    let scan = SCAN.replace(r#""query":1,"#, r#""query":1,"owner":7,"#);
-    let done = play(&[batch(1, &[INIT, LIST, &scan]), batch(2, &[GOOD])]);
-    assert!(done.status.success());
-    assert!(String::from_utf8_lossy(&done.stdout).contains("conclude"));
+fn unlisted_tenant_is_served() {
+    let query = QUERY.replace(r#""query":1,"#, r#""query":1,"owner":7,"#);
+    let output = run(&[batch(1, &[INIT, ENDPOINT_LIST, &query]), batch(2, &[SERVED])]);
+    assert!(output.status.success());
+    assert!(String::from_utf8_lossy(&output.stdout).contains("conclude"));
 }
 
 #[test]
-fn an_instance_killed_and_started_again_knows_nothing() {
+fn restarted_instance_has_no_state() {
     let stop = r#"{"what":"shutdown"}"#;
-    let done = play(&[batch(1, &[INIT, LIST, SCAN]), batch(2, &[stop, INIT, LIST]), batch(3, &[GOOD])]);
-    assert!(done.status.success());
-    assert!(!String::from_utf8_lossy(&done.stdout).contains("conclude"));
+    let output = run(&[
+        batch(1, &[INIT, ENDPOINT_LIST, QUERY]),
+        batch(2, &[stop, INIT, ENDPOINT_LIST]),
+        batch(3, &[SERVED]),
+    ]);
+    assert!(output.status.success());
+    assert!(!String::from_utf8_lossy(&output.stdout).contains("conclude"));
 }
 
-/// `observe` where the list comes only when it is asked for, at the start and after a refusal.
+/// `observe` is sent at the start and again after a refused poll.
 #[test]
-fn a_list_that_comes_on_request_is_asked_for() {
+fn list_on_request_is_polled() {
     let init = INIT
         .replace(r#""news":7"#, r#""discovery":"on_request""#)
         .replace(r#""coldFrom""#, r#""mustAskInMs":2000,"coldFrom""#);
     let refused = r#"{"what":"directoryUpdate","form":"refused","gen":0,"setId":0}"#;
     let wake = r#"{"what":"timeoutFired","cookie":0}"#;
-    let done = play(&[batch(1, &[&init, LIST]), batch(2, &[refused]), batch(3, &[wake])]);
-    let out = String::from_utf8_lossy(&done.stdout).into_owned();
-    let asks: Vec<_> = out.lines().map(|l| l.contains(r#"{"on":true,"what":"observe"}"#)).collect();
-    assert_eq!(asks, [true, false, true], "{out}");
+    let output = run(&[batch(1, &[&init, ENDPOINT_LIST]), batch(2, &[refused]), batch(3, &[wake])]);
+    let out = String::from_utf8_lossy(&output.stdout).into_owned();
+    let polls: Vec<_> = out.lines().map(|l| l.contains(r#"{"on":true,"what":"observe"}"#)).collect();
+    assert_eq!(polls, [true, false, true], "{out}");
 }
 
 #[rstest]
 #[case::not_json("{", "batch: not JSON")]
 #[case::no_clock(r#"{"turn":1,"parts":[]}"#, "batch: clockMs: missing")]
-#[case::field(&batch(1, &[INIT, LIST, &SCAN.replace(r#""query":1,"#, "")]), "arrival: query: missing")]
-#[case::list(&batch(1, &[INIT, &LIST.replace("ed\",\"setId\":3", "ed\",\"setId\":4")]), "setId: no list 4")]
-#[case::type_unknown(&batch(1, &[INIT, LIST, &SCAN.replace(r#""cls":0"#, r#""cls":9"#)]), "arrival: cls")]
-#[case::parts_missing(&batch(1, &[INIT, LIST, &SCAN.replace(r#""shareOrCount":1"#, r#""shareOrCount":2"#)]),
+#[case::field(&batch(1, &[INIT, ENDPOINT_LIST, &QUERY.replace(r#""query":1,"#, "")]), "arrival: query: missing")]
+#[case::list(&batch(1, &[INIT, &ENDPOINT_LIST.replace("ed\",\"setId\":3", "ed\",\"setId\":4")]), "setId: no list 4")]
+#[case::type_unknown(&batch(1, &[INIT, ENDPOINT_LIST, &QUERY.replace(r#""cls":0"#, r#""cls":9"#)]), "arrival: cls")]
+#[case::parts_missing(&batch(1, &[INIT, ENDPOINT_LIST, &QUERY.replace(r#""shareOrCount":1"#, r#""shareOrCount":2"#)]),
     "arrival: shareOrCount: 2 parts stated, 1 came")]
 #[case::setting(&batch(1, &[&INIT.replace(r#""coldMs":9000,"#, "")]), "init params: rules.coldMs: missing")]
-#[case::outcome(&batch(1, &[INIT, LIST, SCAN, &GOOD.replace("GOOD", "FINE")]), "answer: outcome: unknown word 'FINE'")]
-fn what_cannot_be_read_is_named_and_stops_it(#[case] line: &str, #[case] named: &str) {
-    let done = play(&[line.to_string()]);
-    let told = String::from_utf8_lossy(&done.stderr).into_owned();
-    assert!(!done.status.success());
-    assert_eq!(told.lines().count(), 1, "{told}");
-    assert!(told.contains(named), "{told}");
+#[case::outcome(&batch(1, &[INIT, ENDPOINT_LIST, QUERY, &SERVED.replace("GOOD", "FINE")]), "answer: outcome: unknown word 'FINE'")]
+fn invalid_input_is_named_and_ends_the_process(#[case] line: &str, #[case] named: &str) {
+    let output = run(&[line.to_string()]);
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(!output.status.success());
+    assert_eq!(stderr.lines().count(), 1, "{stderr}");
+    assert!(stderr.contains(named), "{stderr}");
 }
--- a/crates/dunepond-storage/tests/golden.rs
+++ b/crates/dunepond-storage/tests/golden.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn snapshots_are_written_as_before() {
+fn snapshots_match_golden_bytes() {
     let files = MemoryStore::default();
     let mut snapshots = SnapshotStore::new(Arc::new(files.clone()), "beliefs", FORMAT);
     assert_eq!(snapshots.write(FIRST).unwrap(), 1);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_journal_is_written_as_before() {
+fn journal_matches_golden_bytes() {
     let files = MemoryStore::default();
     let (mut journal, recovered) = Journal::open(Arc::new(files.clone()), "voter", FORMAT).unwrap();
     assert_eq!(recovered, RecoveredJournal::default());
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_stored_journal_is_read_and_continued() {
+fn stored_journal_is_read_and_continued() {
     let files = MemoryStore::default();
     files.overwrite(JOURNAL, golden(JOURNAL));
     let records = vec![record(1, FIRST), record(2, SECOND)];
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_real_folder_is_locked_by_the_same_file_and_holds_the_same_bytes() {
+fn folder_has_the_same_lock_file_and_bytes() {
     let path = fresh_folder("golden-folder");
     let folder = Arc::new(DiskStore::open(&path).unwrap());
     let lock = std::fs::metadata(path.join("dunepond.lock")).unwrap();
