--- a/crates/dunepond-shard-map/tests/faults.rs
+++ b/crates/dunepond-shard-map/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Every fault says where it is and what can be done.
+//! The text of every fault: its place and what can be done.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use strum::EnumCount;
 
 /// One of each variant, which the count below checks.
-fn each() -> Vec<MapFault> {
+fn one_of_each() -> Vec<MapFault> {
     let (keys, text) = (keys(1, 2), || "x7".to_string());
     let (one, two) = (SegmentRef { id: 41, keys }, SegmentRef { id: 42, keys });
     let context = || Box::new(SegmentContext { segment: one, before: Some(two), after: None });
@@ -53,12 +53,12 @@
 
 #[test]
 fn all_variants_name_their_place_and_have_help() {
-    let each = each();
-    let kinds: HashSet<_> = each.iter().map(discriminant).collect();
+    let faults = one_of_each();
+    let kinds: HashSet<_> = faults.iter().map(discriminant).collect();
     assert_eq!(kinds.len(), MapFault::COUNT);
-    let texts: HashSet<_> = each.iter().map(MapFault::to_string).collect();
+    let texts: HashSet<_> = faults.iter().map(MapFault::to_string).collect();
     assert_eq!(texts.len(), MapFault::COUNT);
-    for fault in &each {
+    for fault in &faults {
         let text = fault.to_string();
         let named = ["41", "x7", "0x0800000000000000"].iter().any(|name| text.contains(name));
         assert!(named || *fault == MapFault::NoSegments, "{text}");
@@ -67,10 +67,10 @@
 }
 
 #[test]
-fn a_fault_names_range_and_neighbours() {
-    let mut map = four();
+fn fault_names_range_and_neighbours() {
+    let mut map = four_segments();
     map.segments[1].keys = keys(10, 16);
-    let faults = verify(&map.with_digest(), &nodes(), &TERMS).unwrap_err();
+    let faults = verify(&map.with_digest(), &nodes(), &CONSTRAINTS).unwrap_err();
     assert_eq!(
         faults[0].to_string(),
         "no segment has the keys [0x4000000000000000, 0x5000000000000000), between segment 0 \
--- a/crates/dunepond-shard-map/tests/golden.rs
+++ b/crates/dunepond-shard-map/tests/golden.rs
@@ -61,8 +61,8 @@
 }
 
 fn maps() -> Vec<ShardMap> {
-    let unknown = ShardMap { hash: "other".into(), digest: "said".into(), ..four() };
-    vec![four(), mixed(), map(0, vec![]), unknown]
+    let unknown = ShardMap { hash: "other".into(), digest: "said".into(), ..four_segments() };
+    vec![four_segments(), mixed(), map(0, vec![]), unknown]
 }
 
 #[test]
@@ -88,8 +88,8 @@
 
 #[test]
 fn deltas_keep_their_encoding_and_lead_to_the_same_map() {
-    let from = verified(&four());
-    let mut to = four();
+    let from = verified(&four_segments());
+    let mut to = four_segments();
     to.epoch = 2;
     to.segments[0] = segment(0, 0, 8, &[0, 1, 2]);
     to.segments[0].replicas[2].filled = false;
@@ -108,7 +108,7 @@
 fn small_types_keep_their_encoding() {
     forms("ranges", &[KeyRange::ALL, keys(1, 2), KeyRange { from: u64::MAX, to: None }]);
     forms("nodes", &[nodes(), vec![Node { draining: true, ..nodes()[1].clone() }], vec![]]);
-    forms("terms", &[TERMS, MapConstraints { min_replicas: 0, min_zones: 300 }]);
+    forms("terms", &[CONSTRAINTS, MapConstraints { min_replicas: 0, min_zones: 300 }]);
     forms("steps", &[TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New]);
     forms("pieces", &[AnsweredPart { segment: 300, keys: keys(3, 32), epoch: 9 }]);
 }
--- a/crates/dunepond-shard-map/tests/properties.rs
+++ b/crates/dunepond-shard-map/tests/properties.rs
@@ -1,5 +1,5 @@
-//! The same verdicts as a naive model that counts segments key by key. It looks at each key at which anything can
-//! change, and at both its neighbours: between them all counts stay the same.
+//! Properties of maps, transitions, deltas and coverage against a naive model that counts segments by key. It probes each key at
+//! which a count can change, and both its neighbours.
 
 mod common;
 
@@ -11,27 +11,28 @@
 use proptest::sample::{Index, subsequence};
 
 /// Replicas that the constraints allow.
-const HELD: [&[u32]; 8] =
+const REPLICA_SETS: [&[u32]; 8] =
     [&[0, 1], &[1, 2], &[2, 0], &[1, 3, 2], &[0, 1, 2], &[4, 5, 0], &[3, 4, 5, 1], &[5, 3]];
 
-fn sound(epoch: u64) -> impl Strategy<Value = ShardMap> {
+fn valid_map(epoch: u64) -> impl Strategy<Value = ShardMap> {
     let cuts = subsequence((1..SLOTS).collect::<Vec<_>>(), 0..8);
     let ids = Just((0..9).collect::<Vec<u64>>()).prop_shuffle();
-    let held = proptest::collection::vec((0..HELD.len(), any::<bool>(), -1..2_i64), 9);
-    (cuts, ids, held).prop_map(move |(cuts, ids, held)| {
+    let replica_choices = proptest::collection::vec((0..REPLICA_SETS.len(), any::<bool>(), -1..2_i64), 9);
+    (cuts, ids, replica_choices).prop_map(move |(cuts, ids, replica_choices)| {
         let ends: Vec<_> = [0].into_iter().chain(cuts).chain([SLOTS]).collect();
-        let segments = ends.windows(2).zip(ids).zip(&held).map(|((ends, id), (which, unfilled, _))| {
-            let mut segment = segment(id, ends[0], ends[1], HELD[*which]);
-            // The last one may be still to be filled, where the others are enough.
-            if *unfilled && segment.replicas.len() > 2 && *which != 3 {
-                segment.replicas.last_mut().unwrap().filled = false;
-            }
-            segment
-        });
+        let segments =
+            ends.windows(2).zip(ids).zip(&replica_choices).map(|((ends, id), (which, unfilled, _))| {
+                let mut segment = segment(id, ends[0], ends[1], REPLICA_SETS[*which]);
+                // The last one may be still to be filled, where the others are enough.
+                if *unfilled && segment.replicas.len() > 2 && *which != 3 {
+                    segment.replicas.last_mut().unwrap().filled = false;
+                }
+                segment
+            });
         let mut segments: Vec<_> = segments.collect();
         // Boundaries a key beside the slot's.
         for i in 1..segments.len() {
-            let at = segments[i].keys.from.wrapping_add_signed(held[i].2);
+            let at = segments[i].keys.from.wrapping_add_signed(replica_choices[i].2);
             segments[i].keys.from = at;
             segments[i - 1].keys.to = Some(at);
         }
@@ -39,8 +40,8 @@
     })
 }
 
-/// Mistakes in a map; some of them leave it sound.
-fn spoilt(map: &mut ShardMap, kind: usize, at: &Index, other: &Index, slot: u32) {
+/// Changes a map; some kinds leave it valid.
+fn apply_mutation(map: &mut ShardMap, kind: usize, at: &Index, other: &Index, slot: u32) {
     let count = map.segments.len();
     let (i, j) = (at.index(count), other.index(count));
     let n = map.segments[i].replicas.len();
@@ -62,7 +63,7 @@
         10 => one.replicas[other.index(n)].partner = format!("p{}", slot % 3),
         11 => drop(one.replicas.remove(other.index(n))),
         12 => one.keys.to = Some(one.keys.from),
-        // Sound ones: a split, two segments exchanging ids, other replicas.
+        // Valid ones: a split, two segments exchanging ids, other replicas.
         13 if one.keys.to.is_some_and(|to| to > one.keys.from.saturating_add(2)) => {
             let mut half = one.clone();
             let middle = one.keys.from + (one.keys.to.unwrap() - one.keys.from) / 2;
@@ -73,7 +74,7 @@
             (map.segments[i].id, map.segments[j].id) = (map.segments[j].id, map.segments[i].id);
         }
         15 => {
-            let fresh = segment(0, 0, 1, HELD[slot as usize % HELD.len()]);
+            let fresh = segment(0, 0, 1, REPLICA_SETS[slot as usize % REPLICA_SETS.len()]);
             (one.replicas, one.owner) = (fresh.replicas, fresh.owner);
         }
         16 | 17 => {
@@ -93,14 +94,14 @@
     }
 }
 
-type Spoil = (usize, Index, Index, u32);
+type Mutation = (usize, Index, Index, u32);
 
-fn spoils(kinds: std::ops::Range<usize>) -> impl Strategy<Value = Vec<Spoil>> {
+fn mutations(kinds: std::ops::Range<usize>) -> impl Strategy<Value = Vec<Mutation>> {
     proptest::collection::vec((kinds, any::<Index>(), any::<Index>(), 0..=SLOTS), 0..4)
 }
 
-fn with(mut map: ShardMap, spoils: &[Spoil]) -> ShardMap {
-    spoils.iter().for_each(|(kind, at, other, slot)| spoilt(&mut map, *kind, at, other, *slot));
+fn mutated(mut map: ShardMap, mutations: &[Mutation]) -> ShardMap {
+    mutations.iter().for_each(|(kind, at, other, slot)| apply_mutation(&mut map, *kind, at, other, *slot));
     map.with_digest()
 }
 
@@ -111,35 +112,38 @@
     ends.chain([0, u64::MAX]).collect()
 }
 
-fn of_maps(maps: &[&ShardMap]) -> BTreeSet<u64> {
+/// The probes of all segments of these maps.
+fn map_probes(maps: &[&ShardMap]) -> BTreeSet<u64> {
     probes(maps.iter().flat_map(|map| &map.segments).map(|segment| &segment.keys))
 }
 
 /// The model's own half-open range.
-fn has(keys: &KeyRange, key: u64) -> bool {
+fn contains(keys: &KeyRange, key: u64) -> bool {
     key >= keys.from && keys.to.is_none_or(|to| key < to)
 }
 
 fn find(map: &ShardMap, key: u64) -> &Segment {
-    map.segments.iter().find(|segment| has(&segment.keys, key)).unwrap()
+    map.segments.iter().find(|segment| contains(&segment.keys, key)).unwrap()
 }
 
 /// How many faults of which kind a segment has by its replicas.
-fn held(segment: &Segment) -> [usize; 8] {
+fn replica_faults(segment: &Segment) -> [usize; 8] {
     let nodes = nodes();
-    let known = |holder: &Replica| nodes.iter().find(|node| node.name == holder.node).cloned();
+    let known = |replica: &Replica| nodes.iter().find(|node| node.name == replica.node).cloned();
     let all = &segment.replicas;
     let distinct = |names: Vec<String>| names.into_iter().collect::<BTreeSet<_>>().len();
-    let filled = all.iter().filter(|holder| holder.filled);
+    let filled = all.iter().filter(|replica| replica.filled);
     let zones = filled.clone().filter_map(known).map(|node| node.zone).collect();
-    let bad = all.iter().filter(|holder| !(holder.share >= 0.0 && holder.share <= 1.0)).count();
-    let sum: f64 = all.iter().map(|holder| holder.share).sum();
-    let owned = all.iter().any(|holder| holder.filled && holder.node == segment.owner);
+    let bad = all.iter().filter(|replica| !(replica.share >= 0.0 && replica.share <= 1.0)).count();
+    let sum: f64 = all.iter().map(|replica| replica.share).sum();
+    let owned = all.iter().any(|replica| replica.filled && replica.node == segment.owner);
     [
-        all.iter().filter(|holder| known(holder).is_none()).count(),
-        all.len() - distinct(all.iter().map(|holder| holder.node.clone()).collect()),
-        all.iter().filter(|holder| known(holder).is_some_and(|node| node.partner != holder.partner)).count(),
-        usize::from(distinct(filled.map(|holder| holder.node.clone()).collect()) < 2),
+        all.iter().filter(|replica| known(replica).is_none()).count(),
+        all.len() - distinct(all.iter().map(|replica| replica.node.clone()).collect()),
+        all.iter()
+            .filter(|replica| known(replica).is_some_and(|node| node.partner != replica.partner))
+            .count(),
+        usize::from(distinct(filled.map(|replica| replica.node.clone()).collect()) < 2),
         usize::from(distinct(zones) < 2),
         usize::from(!owned),
         bad,
@@ -147,7 +151,7 @@
     ]
 }
 
-fn kinds(faults: &[MapFault]) -> [usize; 8] {
+fn count_replica_faults(faults: &[MapFault]) -> [usize; 8] {
     let mut kinds = [0; 8];
     for fault in faults {
         match fault {
@@ -178,9 +182,9 @@
     #![proptest_config(fixed())]
 
     #[test]
-    fn faults_are_those_that_counting_finds(map in sound(1), spoils in spoils(0..19)) {
-        let map = with(map, &spoils);
-        let faults = verify(&map, &nodes(), &TERMS).err().unwrap_or_default();
+    fn faults_match_the_naive_count(map in valid_map(1), mutations in mutations(0..19)) {
+        let map = mutated(map, &mutations);
+        let faults = verify(&map, &nodes(), &CONSTRAINTS).err().unwrap_or_default();
         let (mut gaps, mut overlaps, mut bad, mut doubled) = (Vec::new(), Vec::new(), 0, 0);
         for fault in &faults {
             match fault {
@@ -196,12 +200,12 @@
                 _ => {}
             }
         }
-        for key in of_maps(&[&map]) {
-            let over = map.segments.iter().filter(|segment| has(&segment.keys, key)).count();
-            prop_assert_eq!(gaps.iter().any(|keys| has(keys, key)), over == 0, "key {:#x}", key);
-            prop_assert_eq!(overlaps.iter().any(|(keys, ..)| has(keys, key)), over > 1, "key {:#x}", key);
+        for key in map_probes(&[&map]) {
+            let over = map.segments.iter().filter(|segment| contains(&segment.keys, key)).count();
+            prop_assert_eq!(gaps.iter().any(|keys| contains(keys, key)), over == 0, "key {:#x}", key);
+            prop_assert_eq!(overlaps.iter().any(|(keys, ..)| contains(keys, key)), over > 1, "key {:#x}", key);
             for (keys, first, second) in &overlaps {
-                prop_assert_eq!(has(keys, key), has(&first.keys, key) && has(&second.keys, key));
+                prop_assert_eq!(contains(keys, key), contains(&first.keys, key) && contains(&second.keys, key));
             }
         }
         for segment in &map.segments {
@@ -214,18 +218,18 @@
         prop_assert_eq!(bad, map.segments.iter().filter(|s| s.keys.to.is_some_and(|to| to <= s.keys.from)).count());
         let mut expected = [0; 8];
         for segment in &map.segments {
-            expected.iter_mut().zip(held(segment)).for_each(|(sum, more)| *sum += more);
+            expected.iter_mut().zip(replica_faults(segment)).for_each(|(sum, more)| *sum += more);
         }
-        prop_assert_eq!(kinds(&faults), expected);
+        prop_assert_eq!(count_replica_faults(&faults), expected);
         prop_assert_eq!(faults.len(), gaps.len() + overlaps.len() + bad + doubled + expected.iter().sum::<usize>());
     }
 
     #[test]
-    fn a_verified_map_finds_what_a_linear_search_finds(map in sound(1)) {
+    fn lookup_matches_a_linear_search(map in valid_map(1)) {
         let verified_map = verified(&map);
-        for key in of_maps(&[&map]) {
+        for key in map_probes(&[&map]) {
             prop_assert_eq!(verified_map.segment_for_key(key), find(&map, key));
-            for other in of_maps(&[&map]) {
+            for other in map_probes(&[&map]) {
                 let keys = KeyRange { from: key, to: Some(other) };
                 let over: Vec<_> = verified_map.overlapping(keys).collect();
                 let mut naive: Vec<_> = map.segments.iter().filter(|s| s.keys.intersection(&keys).is_some()).collect();
@@ -239,78 +243,78 @@
     }
 
     #[test]
-    fn a_transition_is_what_comparing_key_by_key_finds(
-        from in sound(1),
-        fresh in sound(2),
-        spoils in proptest::option::of(spoils(13..18)),
+    fn transition_matches_a_comparison_by_key(
+        from in valid_map(1),
+        other in valid_map(2),
+        mutations in proptest::option::of(mutations(13..18)),
         filled in proptest::collection::vec((0..9_u64, 0..6_u32), 0..6),
     ) {
         // Either another map altogether, or some changes away.
-        let to = match spoils {
-            Some(spoils) => with(ShardMap { epoch: 2, ..from.clone() }, &spoils),
-            None => fresh,
+        let to = match mutations {
+            Some(mutations) => mutated(ShardMap { epoch: 2, ..from.clone() }, &mutations),
+            None => other,
         };
         let names: Vec<_> = filled.iter().map(|(id, node)| (*id, format!("n{node}"))).collect();
         let verified_map = verified(&from).with_filled(names.iter().map(|(id, node)| (*id, node.as_str())));
-        let Ok(to_proof) = verify(&to, &nodes(), &TERMS) else { return Ok(()) };
-        let probes = of_maps(&[&from, &to]);
-        let there = |segment: &Segment, node: &str| {
+        let Ok(to_proof) = verify(&to, &nodes(), &CONSTRAINTS) else { return Ok(()) };
+        let probes = map_probes(&[&from, &to]);
+        let has_data = |segment: &Segment, node: &str| {
             let filled = |h: &Replica| h.filled || names.contains(&(segment.id, h.node.clone()));
             segment.replicas.iter().any(|h| h.node == node && filled(h))
         };
-        let (mut needs, mut sourceless, mut lost) = (Vec::new(), 0, false);
+        let (mut fills, mut without_source, mut lost) = (Vec::new(), 0, false);
         let mut sorted: Vec<_> = to.segments.iter().collect();
         sorted.sort_by_key(|segment| segment.keys.from);
         for new in sorted {
-            let as_it_was = from.segments.contains(new);
+            let unchanged = from.segments.contains(new);
             let olds: Vec<_> =
-                probes.iter().filter(|key| has(&new.keys, **key)).map(|key| find(&from, *key)).collect();
-            lost |= !as_it_was
-                && olds.iter().any(|old| !new.replicas.iter().any(|h| h.filled && there(old, &h.node)));
-            let mut holders: Vec<_> = new.replicas.iter().collect();
-            holders.sort_by_key(|holder| holder.node.clone());
-            for holder in holders {
-                let anew = !holder.filled && !as_it_was;
-                let lacks: Vec<_> =
-                    olds.iter().filter(|old| anew || !there(old, &holder.node)).collect();
-                let all = |node: &String| *node != holder.node && lacks.iter().all(|old| there(old, node));
+                probes.iter().filter(|key| contains(&new.keys, **key)).map(|key| find(&from, *key)).collect();
+            lost |= !unchanged
+                && olds.iter().any(|old| !new.replicas.iter().any(|h| h.filled && has_data(old, &h.node)));
+            let mut replicas: Vec<_> = new.replicas.iter().collect();
+            replicas.sort_by_key(|replica| replica.node.clone());
+            for replica in replicas {
+                let refilled = !replica.filled && !unchanged;
+                let missing: Vec<_> =
+                    olds.iter().filter(|old| refilled || !has_data(old, &replica.node)).collect();
+                let all = |node: &String| *node != replica.node && missing.iter().all(|old| has_data(old, node));
                 let sources: Vec<_> = (0..6).map(|node| format!("n{node}")).filter(all).collect();
-                if lacks.is_empty() {
+                if missing.is_empty() {
                     continue;
                 }
-                sourceless += usize::from(sources.is_empty());
-                needs.push(RequiredFill { segment: new.id, replica: holder.node.clone(), sources });
+                without_source += usize::from(sources.is_empty());
+                fills.push(RequiredFill { segment: new.id, replica: replica.node.clone(), sources });
             }
         }
         match verify_transition(&verified_map, &to_proof) {
             Err(faults) => {
                 let lost_named = faults.iter().any(|fault| matches!(fault, MapFault::LastReplicaLost { .. }));
                 let no_source = faults.iter().filter(|fault| matches!(fault, MapFault::NoSource { .. })).count();
-                prop_assert_eq!((lost_named, no_source), (lost, sourceless));
+                prop_assert_eq!((lost_named, no_source), (lost, without_source));
             }
-            Ok(moved) => {
-                prop_assert_eq!((lost, sourceless), (false, 0));
-                prop_assert_eq!(moved.required_fills(), &needs[..]);
+            Ok(transition) => {
+                prop_assert_eq!((lost, without_source), (false, 0));
+                prop_assert_eq!(transition.required_fills(), &fills[..]);
                 let ends = from.segments.iter().filter(|segment| !to.segments.contains(segment)).count();
                 let begins = to.segments.iter().filter(|segment| !from.segments.contains(segment)).count();
-                prop_assert_eq!(moved.changed_segments(), ends.max(begins));
+                prop_assert_eq!(transition.changed_segments(), ends.max(begins));
                 for key in &probes {
                     let [old, new] = [&from, &to].map(|map| find(map, *key).owner.as_str());
                     let joint = (old == new).then_some(new);
-                    let steps = [TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New].map(|step| moved.owner_of_key(*key, step));
+                    let steps = [TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New].map(|phase| transition.owner_of_key(*key, phase));
                     prop_assert_eq!(steps, [Some(old), joint, Some(new)]);
                 }
                 // Two brokers, a phase apart, each about any segment: never two owners for one key.
                 for (one, other) in [(TransitionPhase::Old, TransitionPhase::Joint), (TransitionPhase::Joint, TransitionPhase::New), (TransitionPhase::Joint, TransitionPhase::Joint)] {
                     for key in &probes {
-                        let owners = |step| {
-                            let maps: &[&ShardMap] = match step {
+                        let owners = |phase| {
+                            let maps: &[&ShardMap] = match phase {
                                 TransitionPhase::Old => &[&from],
                                 TransitionPhase::Joint => &[&from, &to],
                                 TransitionPhase::New => &[&to],
                             };
                             let ids = maps.iter().map(|map| find(map, *key).id);
-                            ids.filter_map(|id| moved.owner_of_segment(id, step)).collect::<BTreeSet<_>>()
+                            ids.filter_map(|id| transition.owner_of_segment(id, phase)).collect::<BTreeSet<_>>()
                         };
                         let all: BTreeSet<_> = owners(one).union(&owners(other)).copied().collect();
                         prop_assert!(all.len() <= 1, "key {:#x}: {:?}", key, all);
@@ -322,62 +326,62 @@
 
     /// Over several deltas, each on the map that the one before made.
     #[test]
-    fn a_delta_has_the_verdict_of_the_whole(
-        from in sound(1),
-        steps in proptest::collection::vec((spoils(0..19), any::<bool>()), 1..5),
+    fn delta_verdict_matches_the_whole_map(
+        from in valid_map(1),
+        steps in proptest::collection::vec((mutations(0..19), any::<bool>()), 1..5),
         filled in proptest::collection::vec((0..9_u64, 0..6_u32), 0..6),
     ) {
         let names: Vec<_> = filled.iter().map(|(id, node)| (*id, format!("n{node}"))).collect();
         let mut verified_map = verified(&from).with_filled(names.iter().map(|(id, node)| (*id, node.as_str())));
-        for (spoils, mostly_sound) in steps {
-            let spoils: Vec<_> = spoils.into_iter().filter(|spoil| !mostly_sound || spoil.0 > 12).collect();
+        for (mutations, mostly_valid) in steps {
+            let mutations: Vec<_> = mutations.into_iter().filter(|mutation| !mostly_valid || mutation.0 > 12).collect();
             let next = ShardMap { epoch: verified_map.epoch() + 1, ..verified_map.map().clone() };
-            let next = with(next, &spoils);
-            let whole = verify(&next, &nodes(), &TERMS).and_then(|to| verify_transition(&verified_map, &to));
+            let next = mutated(next, &mutations);
+            let whole = verify(&next, &nodes(), &CONSTRAINTS).and_then(|to| verify_transition(&verified_map, &to));
             let change = MapDelta::between(&verified_map, &next);
             match (whole, verify_delta(&verified_map, &change)) {
-                (Ok(whole), Ok(few)) => {
-                    prop_assert_eq!(whole.required_fills(), few.required_fills());
-                    prop_assert_eq!(whole.changed_segments(), few.changed_segments());
-                    prop_assert_eq!(whole.to().map(), few.to().map());
-                    prop_assert_eq!(&few.to().map().digest, &few.to().map().compute_digest());
+                (Ok(whole), Ok(delta)) => {
+                    prop_assert_eq!(whole.required_fills(), delta.required_fills());
+                    prop_assert_eq!(whole.changed_segments(), delta.changed_segments());
+                    prop_assert_eq!(whole.to().map(), delta.to().map());
+                    prop_assert_eq!(&delta.to().map().digest, &delta.to().map().compute_digest());
                     prop_assert_eq!(&change.clone().with_digests(&verified_map), &change);
                     for id in 0..140 {
-                        prop_assert_eq!(whole.to().segment(id), few.to().segment(id));
-                        for step in [TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New] {
-                            prop_assert_eq!(whole.owner_of_segment(id, step), few.owner_of_segment(id, step));
+                        prop_assert_eq!(whole.to().segment(id), delta.to().segment(id));
+                        for phase in [TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New] {
+                            prop_assert_eq!(whole.owner_of_segment(id, phase), delta.owner_of_segment(id, phase));
                         }
                     }
                     // Unchanged segments are shared, not copied: the whole map was not made.
-                    for segment in few.to().segments().filter(|s| verified_map.segment(s.id) == Some(*s)) {
+                    for segment in delta.to().segments().filter(|s| verified_map.segment(s.id) == Some(*s)) {
                         let shared = verified_map.segment(segment.id).is_some_and(|old| std::ptr::eq(old, segment));
                         prop_assert!(shared || change.upserted.contains(segment), "{:?}", segment);
                     }
                     // The state beside the map is the same as well: it shows in later deltas.
-                    prop_assert_eq!(format!("{:?}", Kept(whole.to())), format!("{:?}", Kept(few.to())));
-                    verified_map = few.to().clone();
+                    prop_assert_eq!(format!("{:?}", FilledReplicas(whole.to())), format!("{:?}", FilledReplicas(delta.to())));
+                    verified_map = delta.to().clone();
                 }
-                (whole, few) => prop_assert_eq!(format!("{:?}", whole.err()), format!("{:?}", few.err())),
+                (whole, delta) => prop_assert_eq!(format!("{:?}", whole.err()), format!("{:?}", delta.err())),
             }
         }
     }
 
     #[test]
-    fn an_answer_is_complete_if_and_only_if_each_queried_key_counts_once(
-        map in sound(1),
+    fn coverage_matches_the_naive_count(
+        map in valid_map(1),
         queried in proptest::collection::vec((0..SLOTS, 1..=SLOTS), 1..3),
-        dropped in proptest::collection::vec((0..12_usize, any::<Index>(), 0..SLOTS), 0..2),
+        mutations in proptest::collection::vec((0..12_usize, any::<Index>(), 0..SLOTS), 0..2),
     ) {
         let verified_map = verified(&map);
         let queried: Vec<_> = queried.into_iter().map(|(from, to)| keys(from.min(to - 1), to)).collect();
         let mut parts = Vec::new();
-        // What a sound query would have, range by range: where ranges overlap it has keys twice.
-        for want in &queried {
-            for segment in verified_map.overlapping(*want) {
-                parts.push(AnsweredPart { segment: segment.id, keys: segment.keys.intersection(want).unwrap(), epoch: 1 });
+        // What a correct answer has, range by range: where ranges overlap it has keys twice.
+        for range in &queried {
+            for segment in verified_map.overlapping(*range) {
+                parts.push(AnsweredPart { segment: segment.id, keys: segment.keys.intersection(range).unwrap(), epoch: 1 });
             }
         }
-        for (kind, at, slot) in &dropped {
+        for (kind, at, slot) in &mutations {
             if parts.is_empty() {
                 break;
             }
@@ -406,37 +410,37 @@
         let segment = |id| map.segments.iter().find(|segment| segment.id == id);
         let within = |part: &AnsweredPart| {
             let probes = probes([&part.keys]);
-            let mut inside = probes.iter().filter(|key| has(&part.keys, **key)).peekable();
-            inside.peek().is_some() && segment(part.segment).is_some_and(|s| inside.all(|key| has(&s.keys, *key)))
+            let mut inside = probes.iter().filter(|key| contains(&part.keys, **key)).peekable();
+            inside.peek().is_some() && segment(part.segment).is_some_and(|s| inside.all(|key| contains(&s.keys, *key)))
         };
-        let count = |key| parts.iter().filter(|part| has(&part.keys, key)).count();
-        let is_wanted = |key| queried.iter().any(|want| has(want, key));
+        let count = |key| parts.iter().filter(|part| contains(&part.keys, key)).count();
+        let is_queried = |key| queried.iter().any(|range| contains(range, key));
         let probes = probes(queried.iter().chain(parts.iter().map(|part| &part.keys)));
-        let once = probes.iter().all(|key| count(*key) == usize::from(is_wanted(*key)));
-        let whole = parts.iter().all(|part| part.epoch == 1 && within(part)) && once;
+        let covered_once = probes.iter().all(|key| count(*key) == usize::from(is_queried(*key)));
+        let whole = parts.iter().all(|part| part.epoch == 1 && within(part)) && covered_once;
         let verdict = verify_coverage(&verified_map, &queried, &parts);
         prop_assert_eq!(verdict.is_ok(), whole, "{:?}", verdict);
         // The named fault is real.
         let (keys, expected): (KeyRange, &dyn Fn(u64) -> bool) = match verdict {
-            Err(MapFault::NotCovered { keys, .. }) => (keys, &|key| count(key) == 0 && is_wanted(key)),
+            Err(MapFault::NotCovered { keys, .. }) => (keys, &|key| count(key) == 0 && is_queried(key)),
             Err(MapFault::CoveredTwice { keys, .. }) => (keys, &|key| count(key) > 1),
-            Err(MapFault::NotQueried { keys, .. }) => (keys, &|key| count(key) == 1 && !is_wanted(key)),
+            Err(MapFault::NotQueried { keys, .. }) => (keys, &|key| count(key) == 1 && !is_queried(key)),
             _ => return Ok(()),
         };
         prop_assert!(!keys.is_empty());
-        for key in probes.iter().filter(|key| has(&keys, **key)) {
+        for key in probes.iter().filter(|key| contains(&keys, **key)) {
             prop_assert!(expected(*key), "{:#x} in {}", key, keys);
         }
     }
 }
 
-/// All that shows of a verified map: the whole map, and which replicas count as filled.
-struct Kept<'a>(&'a VerifiedMap);
+/// The observable state of a verified map: the map, and which replicas count as filled.
+struct FilledReplicas<'a>(&'a VerifiedMap);
 
-impl std::fmt::Debug for Kept<'_> {
+impl std::fmt::Debug for FilledReplicas<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for segment in self.0.segments() {
-            let filled = segment.replicas.iter().map(|holder| self.0.is_filled(segment, &holder.node));
+            let filled = segment.replicas.iter().map(|replica| self.0.is_filled(segment, &replica.node));
             writeln!(f, "{segment:?} {:?}", filled.collect::<Vec<_>>())?;
         }
         Ok(())
--- a/crates/dunepond-shard-map/tests/transitions.rs
+++ b/crates/dunepond-shard-map/tests/transitions.rs
@@ -1,4 +1,4 @@
-//! Transitions between two maps: owners in each phase, required fills, and what no transition may do.
+//! Transitions and deltas between two maps: owners in each phase, required fills, and faults.
 
 mod common;
 
@@ -6,70 +6,70 @@
 use dunepond_shard_map::*;
 use rstest::rstest;
 
-fn need(segment: u64, holder: u32, sources: &[u32]) -> RequiredFill {
+fn required_fill(segment: u64, node: u32, sources: &[u32]) -> RequiredFill {
     RequiredFill {
         segment,
-        replica: format!("n{holder}"),
+        replica: format!("n{node}"),
         sources: sources.iter().map(|node| format!("n{node}")).collect(),
     }
 }
 
-fn transition(plant: fn(&mut Segs)) -> Result<MapTransition, Vec<MapFault>> {
-    let mut to = four();
+fn transition(mutate: fn(&mut Segments)) -> Result<MapTransition, Vec<MapFault>> {
+    let mut to = four_segments();
     to.epoch = 2;
-    plant(&mut to.segments);
-    let (from, to) = (verified(&four()), verified(&to.with_digest()));
-    let whole = verify_transition(&from, &to);
+    mutate(&mut to.segments);
+    let (from, to) = (verified(&four_segments()), verified(&to.with_digest()));
+    let full = verify_transition(&from, &to);
     // A delta must have the same verdict.
     let change = MapDelta::between(&from, to.map());
-    let few = verify_delta(&from, &change);
-    match (&whole, &few) {
-        (Ok(whole), Ok(few)) => {
-            assert_eq!(whole.required_fills(), few.required_fills());
+    let delta = verify_delta(&from, &change);
+    match (&full, &delta) {
+        (Ok(full), Ok(delta)) => {
+            assert_eq!(full.required_fills(), delta.required_fills());
             assert_eq!(
-                (whole.changed_segments(), whole.to().map()),
-                (few.changed_segments(), few.to().map())
+                (full.changed_segments(), full.to().map()),
+                (delta.changed_segments(), delta.to().map())
             );
         }
-        (whole, few) => assert_eq!(whole.as_ref().err(), few.as_ref().err()),
+        (full, delta) => assert_eq!(full.as_ref().err(), delta.as_ref().err()),
     }
-    whole
+    full
 }
 
 #[rstest]
-#[case::nothing(|_: &mut Segs| {}, 0, vec![], vec![])]
-#[case::a_holder_comes(|s: &mut Segs| s[0] = segment(0, 0, 8, &[0, 1, 2]), 1, vec![need(0, 2, &[0, 1])], vec![])]
-#[case::unfilled_one(|s: &mut Segs| { s[0] = segment(0, 0, 8, &[0, 1, 2]); s[0].replicas[2].filled = false }, 1,
-    vec![need(0, 2, &[0, 1])], vec![])]
-#[case::filled_anew(|s: &mut Segs| { s[0] = segment(0, 0, 8, &[0, 1, 2]); s[0].replicas[1].filled = false }, 1,
-    vec![need(0, 1, &[0]), need(0, 2, &[0, 1])], vec![])]
-#[case::the_owner_changes(|s: &mut Segs| s[0].owner = "n1".into(), 1, vec![], vec![(0, 8)])]
-#[case::owner_and_holder(|s: &mut Segs| s[0] = segment(0, 0, 8, &[2, 1]), 1, vec![need(0, 2, &[0, 1])], vec![(0, 8)])]
-#[case::split(|s: &mut Segs| { s[0].keys = keys(0, 4); s.push(segment(9, 4, 8, &[0, 1])) }, 2, vec![], vec![])]
-#[case::split_to_another(|s: &mut Segs| { s[0].keys = keys(0, 4); s.push(segment(9, 4, 8, &[1, 2])) }, 2,
-    vec![need(9, 2, &[0, 1])], vec![(4, 8)])]
-#[case::merged(|s: &mut Segs| { s[1] = segment(1, 0, 16, &[1, 2]); s.remove(0); }, 2, vec![need(1, 2, &[0, 1])], vec![(0, 8)])]
-#[case::boundary(|s: &mut Segs| { s[0].keys = keys(0, 9); s[1].keys = keys(9, 16) }, 2, vec![need(0, 0, &[1, 2])], vec![(8, 9)])]
-#[case::ids_exchanged(|s: &mut Segs| { s[0].id = 1; s[1].id = 0 }, 2, vec![], vec![])]
-fn a_transition_names_its_fills_and_has_no_owner_where_maps_differ(
-    #[case] plant: fn(&mut Segs),
+#[case::nothing(|_: &mut Segments| {}, 0, vec![], vec![])]
+#[case::replica_added(|s: &mut Segments| s[0] = segment(0, 0, 8, &[0, 1, 2]), 1, vec![required_fill(0, 2, &[0, 1])], vec![])]
+#[case::unfilled_replica(|s: &mut Segments| { s[0] = segment(0, 0, 8, &[0, 1, 2]); s[0].replicas[2].filled = false }, 1,
+    vec![required_fill(0, 2, &[0, 1])], vec![])]
+#[case::refilled(|s: &mut Segments| { s[0] = segment(0, 0, 8, &[0, 1, 2]); s[0].replicas[1].filled = false }, 1,
+    vec![required_fill(0, 1, &[0]), required_fill(0, 2, &[0, 1])], vec![])]
+#[case::the_owner_changes(|s: &mut Segments| s[0].owner = "n1".into(), 1, vec![], vec![(0, 8)])]
+#[case::owner_and_replica(|s: &mut Segments| s[0] = segment(0, 0, 8, &[2, 1]), 1, vec![required_fill(0, 2, &[0, 1])], vec![(0, 8)])]
+#[case::split(|s: &mut Segments| { s[0].keys = keys(0, 4); s.push(segment(9, 4, 8, &[0, 1])) }, 2, vec![], vec![])]
+#[case::split_to_another(|s: &mut Segments| { s[0].keys = keys(0, 4); s.push(segment(9, 4, 8, &[1, 2])) }, 2,
+    vec![required_fill(9, 2, &[0, 1])], vec![(4, 8)])]
+#[case::merged(|s: &mut Segments| { s[1] = segment(1, 0, 16, &[1, 2]); s.remove(0); }, 2, vec![required_fill(1, 2, &[0, 1])], vec![(0, 8)])]
+#[case::boundary(|s: &mut Segments| { s[0].keys = keys(0, 9); s[1].keys = keys(9, 16) }, 2, vec![required_fill(0, 0, &[1, 2])], vec![(8, 9)])]
+#[case::ids_exchanged(|s: &mut Segments| { s[0].id = 1; s[1].id = 0 }, 2, vec![], vec![])]
+fn transition_has_fills_and_no_owner_where_maps_differ(
+    #[case] mutate: fn(&mut Segments),
     #[case] changed: usize,
-    #[case] needs: Vec<RequiredFill>,
-    #[case] without: Vec<(u32, u32)>,
+    #[case] fills: Vec<RequiredFill>,
+    #[case] ownerless: Vec<(u32, u32)>,
 ) {
-    let moved = transition(plant).unwrap();
-    assert_eq!((moved.changed_segments(), moved.required_fills()), (changed, &needs[..]));
+    let transition = transition(mutate).unwrap();
+    assert_eq!((transition.changed_segments(), transition.required_fills()), (changed, &fills[..]));
     for slot in 0..SLOTS {
-        let refused = without.iter().any(|(from, to)| (*from..*to).contains(&slot));
+        let is_ownerless = ownerless.iter().any(|(from, to)| (*from..*to).contains(&slot));
         let [old, joint, new] = [TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New]
-            .map(|step| moved.owner_of_key(key(slot), step));
-        assert_eq!(joint.is_none(), refused, "slot {slot}");
+            .map(|phase| transition.owner_of_key(key(slot), phase));
+        assert_eq!(joint.is_none(), is_ownerless, "slot {slot}");
         assert!(joint.is_none_or(|joint| old == Some(joint) && new == Some(joint)), "slot {slot}");
     }
 }
 
 #[test]
-fn an_id_has_an_owner_in_the_joint_phase_only_if_all_its_keys_have_one() {
+fn joint_owner_of_an_id_needs_all_its_keys() {
     let split = transition(|s| {
         s[0].keys = keys(0, 4);
         s.push(segment(9, 4, 8, &[1, 2]));
@@ -138,9 +138,9 @@
 }
 
 #[test]
-fn a_replica_that_needs_keys_of_two_segments_needs_one_source_for_both() {
+fn replica_needs_one_source_for_all_its_keys() {
     // n5 gets keys of n0, n1 and of n2, n3.
-    let mut from = four();
+    let mut from = four_segments();
     from.segments[1] = segment(1, 8, 16, &[2, 3]);
     let mut to = from.clone();
     to.epoch = 2;
@@ -156,9 +156,9 @@
 #[rstest]
 #[case(1)]
 #[case(0)]
-fn an_epoch_that_is_not_above_is_refused(#[case] epoch: u64) {
-    let from = verified(&four());
-    let to = verified(&ShardMap { epoch, ..four() }.with_digest());
+fn epoch_must_increase(#[case] epoch: u64) {
+    let from = verified(&four_segments());
+    let to = verified(&ShardMap { epoch, ..four_segments() }.with_digest());
     assert_eq!(verify_transition(&from, &to).unwrap_err(), [MapFault::EpochNotAbove { from: 1, to: epoch }]);
     let change = MapDelta {
         epoch,
@@ -174,8 +174,8 @@
 }
 
 #[test]
-fn a_delta_is_relative_to_the_map_in_force() {
-    let from = verified(&four());
+fn delta_is_relative_to_the_map_in_force() {
+    let from = verified(&four_segments());
     let change = MapDelta {
         epoch: 2,
         base_digest: "x".into(),
@@ -188,7 +188,7 @@
         faults,
         [
             MapFault::UnknownSegment { id: 7 },
-            MapFault::WrongBase { base: "x".into(), in_force: four().digest },
+            MapFault::WrongBase { base: "x".into(), in_force: four_segments().digest },
         ]
     );
     let change = MapDelta { removed: vec![], ..change }.with_digests(&from);
@@ -208,38 +208,33 @@
     |faults: &[MapFault]| matches!(faults, [MapFault::Overlap { .. }]))]
 #[case::one_id_twice(vec![segment(0, 0, 4, &[1, 0]), segment(0, 4, 8, &[0, 1])],
     |faults: &[MapFault]| matches!(faults, [MapFault::DuplicateId { .. }]))]
-fn a_delta_must_upsert_the_removed_keys_each_once(
-    #[case] put: Vec<Segment>,
-    #[case] is: fn(&[MapFault]) -> bool,
+fn delta_must_upsert_removed_keys_once(
+    #[case] upserted: Vec<Segment>,
+    #[case] is_expected: fn(&[MapFault]) -> bool,
 ) {
-    let from = verified(&four());
-    let change = MapDelta {
-        epoch: 2,
-        base_digest: String::new(),
-        removed: vec![],
-        upserted: put,
-        digest: String::new(),
-    };
+    let from = verified(&four_segments());
+    let change =
+        MapDelta { epoch: 2, base_digest: String::new(), removed: vec![], upserted, digest: String::new() };
     let faults = verify_delta(&from, &change.with_digests(&from)).unwrap_err();
-    assert!(is(&faults), "{faults:?}");
+    assert!(is_expected(&faults), "{faults:?}");
 }
 
 #[test]
-fn a_transition_can_be_shared_between_threads() {
+fn transition_is_shared_between_threads() {
     fn shared<T: Send + Sync + Clone>(_: &T) {}
-    let verified_map = verified(&four());
+    let verified_map = verified(&four_segments());
     shared(&verified_map);
-    let later = verified(&ShardMap { epoch: 2, ..four() }.with_digest());
+    let later = verified(&ShardMap { epoch: 2, ..four_segments() }.with_digest());
     shared(&verify_transition(&verified_map, &later).unwrap());
     assert_eq!(
         format!("{verified_map:?}"),
-        format!("VerifiedMap {{ epoch: 1, digest: {}, segments: 4 }}", four().digest)
+        format!("VerifiedMap {{ epoch: 1, digest: {}, segments: 4 }}", four_segments().digest)
     );
 }
 
 #[test]
 fn fills_since_count_in_the_next_transition() {
-    let mut one = four();
+    let mut one = four_segments();
     one.segments[0] = segment(0, 0, 8, &[0, 1, 2]);
     one.segments[0].replicas[2].filled = false;
     let verified_map = verified(&one.clone().with_digest());
@@ -247,15 +242,18 @@
     let mut two = one.clone();
     two.epoch = 2;
     let two = verified(&two.with_digest());
-    assert_eq!(verify_transition(&verified_map, &two).unwrap().required_fills(), [need(0, 2, &[0, 1])]);
+    assert_eq!(
+        verify_transition(&verified_map, &two).unwrap().required_fills(),
+        [required_fill(0, 2, &[0, 1])]
+    );
     let filled = verified_map.with_filled([(0, "n2"), (0, "n4"), (77, "n2")]);
-    let carried = verify_transition(&filled, &two).unwrap();
-    assert_eq!(carried.required_fills(), []);
+    let next = verify_transition(&filled, &two).unwrap();
+    assert_eq!(next.required_fills(), []);
     // Over a further transition too, and for a map that now states so.
     let mut three = one.clone();
     three.epoch = 3;
     three.segments[0].replicas[2].filled = true;
     let three = verified(&three.with_digest());
-    assert_eq!(verify_transition(carried.to(), &three).unwrap().required_fills(), []);
-    assert_eq!(verify_transition(&two, &three).unwrap().required_fills(), [need(0, 2, &[0, 1])]);
+    assert_eq!(verify_transition(next.to(), &three).unwrap().required_fills(), []);
+    assert_eq!(verify_transition(&two, &three).unwrap().required_fills(), [required_fill(0, 2, &[0, 1])]);
 }
