--- a/crates/dunepond-routing/tests/admission.rs
+++ b/crates/dunepond-routing/tests/admission.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use support::*;
 
-/// The holders of segment 0 answer all, but after more than half a target time; the others are at ease.
+/// The replicas of segment 0 answer after more than half a latency objective; the others are not loaded.
 fn overloaded() -> Cluster {
     let mut cluster = Cluster::new(deployment());
     for wait in [0.6, 1.2] {
@@ -217,7 +217,7 @@
     let now = cluster.transport.now;
     cluster.list(false, &[row(1, EndpointState::Active, now - 1.0)]);
     assert_eq!(cluster.router.prefilter_candidates(0).collect::<Vec<_>>(), [2]);
-    // The cold node's room is there after half a second, whatever the seed; it stays in service longest.
+    // The cold node has slow-start budget after half a second, whatever the seed; it stays in service longest.
     cluster.run(0.5);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 1.5)); 6];
     for i in 0..4 {
--- a/crates/dunepond-routing/tests/bodies.rs
+++ b/crates/dunepond-routing/tests/bodies.rs
@@ -40,7 +40,7 @@
     assert_eq!(cluster.answers(query), [COMPLETE]);
 }
 
-/// Waiting for a holder would keep its client sending what nobody can be given any more.
+/// Guards against waiting for a replica while the client sends a body that nobody can get any more.
 #[test]
 fn single_shot_query_without_replica_is_rejected() {
     let mut cluster = Cluster::new(deployment());
@@ -69,7 +69,7 @@
     assert_eq!(cluster.sent(query).len(), 1);
 }
 
-/// All its holders are full, so that it waits; with its text it has nothing to wait for any more.
+/// All replicas are full, so that the query waits; without its body there is nothing to wait for.
 #[test]
 fn unsent_parts_end_with_the_body() {
     let mut cluster = Cluster::new(deployment());
@@ -81,7 +81,7 @@
     assert!(matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }]));
 }
 
-/// A body need not be kept for what can never go again, and must be for what may come back as never run.
+/// A body need not be retained for parts that cannot be retried, and must be for parts that may be rejected as never run.
 #[rstest]
 #[case::may_have_run(NON_IDEMPOTENT, AttemptOutcome::Error, false)]
 #[case::refused(NON_IDEMPOTENT, AttemptOutcome::Rejected, true)]
--- a/crates/dunepond-routing/tests/deadline.rs
+++ b/crates/dunepond-routing/tests/deadline.rs
@@ -45,7 +45,7 @@
     assert_eq!(cluster.answers(query), [FinalAnswer::Answer { complete: false }]);
 }
 
-/// Segment 0's holders are dead: three quarters can still come, and half may be answered.
+/// The replicas of segment 0 are dead: three quarters can still come, and half may be answered.
 #[test]
 fn partially_answerable_query_is_admitted() {
     let mut cluster = Cluster::new(Deployment { replicas: 1, ..deployment() });
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -1,9 +1,5 @@
-//! Golden record of the decisions. A seeded driver plays some ten thousand events of several deployments against one
-//! router and folds each call to its transport, with all arguments, into a digest: one decision, random draw or float sum that
-//! changes is seen. Log lines are left out, since their words may change.
-//!
-//! The driver has a random source of its own and uses no float function that differs between machines. A digest that
-//! differs means that behaviour has changed. It may be pinned anew only by a commit that means to change it.
+//! Golden digests of the router's calls: a seeded driver plays some ten thousand events of several deployments and folds each call
+//! to the transport, with all arguments, into a digest. Log lines are left out, since their text may change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,8 +17,8 @@
 const CELLS: usize = 9;
 const ZONES: usize = 3;
 /// Events between two looks at the router's plain values, and between two at all that it has learned and spent.
-const LOOK_EVERY_EVENTS: usize = 40;
-const DEEP_LOOK_EVERY_EVENTS: usize = 600;
+const RECORD_EVERY_EVENTS: usize = 40;
+const RECORD_LEARNED_EVERY_EVENTS: usize = 600;
 const CHECKPOINTS: usize = 4;
 
 const QUICK: usize = 0;
@@ -58,24 +54,24 @@
 /// A kind of call to the transport; its number goes into the digest.
 #[derive(Clone, Copy)]
 enum Call {
-    Dispatch,
-    CloseIdle,
+    SendAttempt,
+    CloseIdleConnections,
     Cancel,
     Probe,
     AnswerComplete,
     AnswerPartial,
     Reject,
     FailUnknownOutcome,
-    Forget,
-    WakeAt,
-    AskList,
+    Finish,
+    ScheduleWake,
+    PollList,
 }
 
 const CALL_KINDS: usize = 11;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Mode {
-    Sound,
+    Healthy,
     Slow,
     Silent,
     Failing,
@@ -83,7 +79,7 @@
     Full,
     Swallowing,
     Down,
-    /// Connections that lie idle break unseen.
+    /// Idle connections break unnoticed.
     Reaped,
 }
 
@@ -91,19 +87,19 @@
 enum Presence {
     Active,
     Draining,
-    Gone,
+    Removed,
     Forgotten,
 }
 
 struct NodeState {
     mode: Mode,
     presence: Presence,
-    cell: usize,
+    replica_group: usize,
     zone: usize,
-    started: f64,
-    /// When each of its two workers is through with what it has.
+    started_at: f64,
+    /// When each of its two workers is idle again.
     busy: [f64; 2],
-    used: f64,
+    last_used: f64,
     out: BTreeSet<(QueryId, usize, usize)>,
 }
 
@@ -116,9 +112,9 @@
 struct Tracked {
     class: usize,
     expires_at: f64,
-    long: bool,
+    streamed: bool,
     answers: usize,
-    over: bool,
+    finished: bool,
     parts: Vec<Vec<Sent>>,
 }
 
@@ -145,7 +141,7 @@
     Shutdown,
 }
 
-/// The transport: records what it is told and plays the nodes.
+/// The transport: folds all calls into the digest and simulates the nodes.
 struct Recorder {
     now: f64,
     digest: Digest,
@@ -174,13 +170,13 @@
         arguments.iter().for_each(|word| self.digest.word(*word));
     }
 
-    /// How a dispatch that reaches a node now will end, and when.
+    /// How an attempt that reaches a node now ends, and when.
     fn outcome(&mut self, id: NodeId, class: usize) -> (AttemptOutcome, f64) {
         let chance: f64 = self.rng.random();
         let work = self.service * self.rng.random_range(0.3..1.7);
         let node = &mut self.nodes[id];
-        let idle = self.now - node.used;
-        node.used = self.now;
+        let idle = self.now - node.last_used;
+        node.last_used = self.now;
         let soon = self.now + 0.2 * TICK;
         match node.mode {
             _ if chance < 0.004 => return (AttemptOutcome::NotSent, soon),
@@ -194,7 +190,7 @@
             Mode::Reaped if idle > 0.6 => return (AttemptOutcome::ConnectionLost, soon),
             _ => {}
         }
-        let warmth = (0.2 + 0.8 * (self.now - node.started) / 15.0).min(1.0);
+        let warmth = (0.2 + 0.8 * (self.now - node.started_at) / 15.0).min(1.0);
         let factor = if node.mode == Mode::Slow { 8.0 } else { 1.0 };
         let worker = usize::from(node.busy[1] < node.busy[0]);
         node.busy[worker] = node.busy[worker].max(self.now) + work * factor / warmth;
@@ -211,24 +207,24 @@
 
     fn row(&self, id: NodeId) -> Option<Endpoint> {
         let node = &self.nodes[id];
-        let standing = match node.presence {
+        let state = match node.presence {
             Presence::Active => EndpointState::Active,
             Presence::Draining => EndpointState::Draining,
-            Presence::Gone => EndpointState::Removed,
+            Presence::Removed => EndpointState::Removed,
             Presence::Forgotten => return None,
         };
         Some(Endpoint {
             node: id,
-            replica_group: node.cell,
+            replica_group: node.replica_group,
             zone: node.zone,
-            state: standing,
-            started_at: node.started,
+            state,
+            started_at: node.started_at,
         })
     }
 
-    /// All that the list has of the fleet.
+    /// The complete endpoint list.
     fn rows(&self) -> Vec<Endpoint> {
-        let present = (0..self.nodes.len()).filter(|id| self.nodes[*id].presence != Presence::Gone);
+        let present = (0..self.nodes.len()).filter(|id| self.nodes[*id].presence != Presence::Removed);
         present.filter_map(|id| self.row(id)).collect()
     }
 }
@@ -239,28 +235,28 @@
     }
 
     fn send_attempt(&mut self, query: QueryId, part: usize, node: NodeId) {
-        self.record(Call::Dispatch, &[query, part as u64, node as u64]);
-        let (class, expires_at, long) = {
+        self.record(Call::SendAttempt, &[query, part as u64, node as u64]);
+        let (class, expires_at, streamed) = {
             let tracked = &self.queries[&query];
-            (tracked.class, tracked.expires_at, tracked.long)
+            (tracked.class, tracked.expires_at, tracked.streamed)
         };
         let (end, at) = self.outcome(node, class);
-        let frame = if long { self.rng.random_range(0.0..0.3) } else { 0.0 };
+        let frame = if streamed { self.rng.random_range(0.0..0.3) } else { 0.0 };
         let (end, at) =
             if at + frame < expires_at { (end, at + frame) } else { (AttemptOutcome::TimedOut, expires_at) };
-        let tracked = self.queries.get_mut(&query).expect("it is a query of ours");
+        let tracked = self.queries.get_mut(&query).expect("known query");
         let index = tracked.parts[part].len();
         tracked.parts[part].push(Sent { node, at: self.now, ended: false });
         self.nodes[node].out.insert((query, part, index));
-        if long {
+        if streamed {
             self.schedule(self.now + 0.9 * frame, Event::Framed { query, part, index });
         }
         self.schedule(at, Event::Ended { query, part, index, end });
     }
 
     fn close_idle_connections(&mut self, node: NodeId) {
-        self.record(Call::CloseIdle, &[node as u64]);
-        self.nodes[node].used = self.now;
+        self.record(Call::CloseIdleConnections, &[node as u64]);
+        self.nodes[node].last_used = self.now;
     }
 
     fn cancel_attempt(&mut self, query: QueryId, part: usize, index: usize) {
@@ -272,15 +268,15 @@
     fn probe(&mut self, node: NodeId) {
         self.record(Call::Probe, &[node as u64]);
         let (wait, mode) = (self.nodes[node].busy[0].min(self.nodes[node].busy[1]), self.nodes[node].mode);
-        let took = TICK * self.rng.random_range(0.5..5.0) + (wait - self.now).max(0.0);
+        let elapsed = TICK * self.rng.random_range(0.5..5.0) + (wait - self.now).max(0.0);
         let answered = !matches!(mode, Mode::Silent | Mode::Down);
-        let at = self.now + if answered { took } else { 1.0 };
-        self.schedule(at, Event::Probed(node, answered.then_some(took)));
+        let at = self.now + if answered { elapsed } else { 1.0 };
+        self.schedule(at, Event::Probed(node, answered.then_some(elapsed)));
     }
 
     fn answer(&mut self, query: QueryId, whole: bool) {
         self.record(if whole { Call::AnswerComplete } else { Call::AnswerPartial }, &[query]);
-        let tracked = self.queries.get_mut(&query).expect("it is a query of ours");
+        let tracked = self.queries.get_mut(&query).expect("known query");
         tracked.answers += 1;
         if whole && tracked.answers == 1 && tracked.class == TWO_STEP && self.two_step {
             let at = self.now + self.rng.random_range(0.0..0.05);
@@ -297,19 +293,19 @@
     }
 
     fn finish(&mut self, query: QueryId) {
-        self.record(Call::Forget, &[query]);
-        self.queries.get_mut(&query).expect("it is a query of ours").over = true;
+        self.record(Call::Finish, &[query]);
+        self.queries.get_mut(&query).expect("known query").finished = true;
         self.live.remove(&query);
     }
 
     fn schedule_wake(&mut self, at: f64) {
-        self.record(Call::WakeAt, &[at.to_bits()]);
+        self.record(Call::ScheduleWake, &[at.to_bits()]);
         let late = TICK * self.rng.random_range(0.0..1.0);
         self.schedule(at.max(self.now) + late, Event::Wake);
     }
 
     fn poll_endpoint_list(&mut self) {
-        self.record(Call::AskList, &[]);
+        self.record(Call::PollList, &[]);
         let (chance, wait): (f64, f64) = (self.rng.random(), self.rng.random_range(0.0..0.2));
         match chance {
             c if c < 0.55 => self.schedule(self.now + wait, Event::ListAnswered),
@@ -325,12 +321,12 @@
 #[derive(Clone)]
 struct Scenario {
     seed: u64,
-    site: Deployment,
+    deployment: Deployment,
     nodes: usize,
     seconds: f64,
-    /// Mean seconds between two queries; every third ten seconds bring `rush` times as many.
+    /// Mean seconds between two queries; every third ten seconds bring `burst` times as many.
     gap: f64,
-    rush: f64,
+    burst: f64,
     /// Mean seconds that one of a node's two workers takes for a part.
     service: f64,
     query_classes: &'static [usize],
@@ -376,7 +372,7 @@
     ]
 }
 
-fn site(seed: u64) -> Deployment {
+fn deployment(seed: u64) -> Deployment {
     Deployment {
         seed,
         broker_count: 3.0,
@@ -408,11 +404,11 @@
 fn ordinary(seed: u64) -> Scenario {
     Scenario {
         seed,
-        site: site(seed),
+        deployment: deployment(seed),
         nodes: 18,
         seconds: 60.0,
         gap: 0.025,
-        rush: 2.0,
+        burst: 2.0,
         service: 0.05,
         query_classes: &[QUICK, FULL, FULL, NON_IDEMPOTENT, KEYED, TWO_STEP, PARTIAL],
         most_parts: 6,
@@ -440,20 +436,20 @@
         may_cancel: false,
         max_retry_after: 0.0,
         retry_budget: budget,
-        ..site(2)
+        ..deployment(2)
     };
-    Scenario { site: tight, seconds: 32.0, gap: 0.012, rush: 4.0, service: 0.08, ..ordinary(2) }
+    Scenario { deployment: tight, seconds: 32.0, gap: 0.012, burst: 4.0, service: 0.08, ..ordinary(2) }
 }
 
-/// Sixty nodes, each met seldom, some of them slow: holders are in doubt and probed.
+/// Sixty nodes, each met seldom, some of them slow: replicas are probed.
 fn probing() -> Scenario {
-    let probes = Deployment { may_probe: true, replica_groups: 30, ..site(3) };
+    let probes = Deployment { may_probe: true, replica_groups: 30, ..deployment(3) };
     Scenario {
-        site: probes,
+        deployment: probes,
         nodes: 60,
         seconds: 150.0,
         gap: 0.12,
-        rush: 1.0,
+        burst: 1.0,
         service: 0.03,
         most_parts: 3,
         faults_every: 0.8,
@@ -461,11 +457,11 @@
     }
 }
 
-/// Scans of many parts, each with two holders that break often: most are sent by probes and some are turned away by them.
+/// Queries of many parts, each with two replicas that fail often: most are sent after probes, and some are rejected by them.
 fn doubting() -> Scenario {
-    let probes = Deployment { may_probe: true, replica_groups: 60, replicas: 2, ..site(9) };
+    let probes = Deployment { may_probe: true, replica_groups: 60, replicas: 2, ..deployment(9) };
     Scenario {
-        site: probes,
+        deployment: probes,
         most_parts: 4,
         gap: 0.15,
         service: 0.05,
@@ -477,11 +473,11 @@
 
 /// A list that is polled and refuses; nodes drain, go, are forgotten and start cold.
 fn churning() -> Scenario {
-    let polled = Deployment { list_poll_deadline: Some(2.0), ..site(4) };
-    Scenario { site: polled, churn_every: 0.5, stalls_every: 7.0, ..ordinary(4) }
+    let polled = Deployment { list_poll_deadline: Some(2.0), ..deployment(4) };
+    Scenario { deployment: polled, churn_every: 0.5, stalls_every: 7.0, ..ordinary(4) }
 }
 
-/// Bodies that pass once or whose frames take long, owners, the prefilter's waits, audits.
+/// Single-shot and streamed bodies, required nodes, the prefilter and audits.
 fn bodies() -> Scenario {
     Scenario { bodies: true, prefilter: true, owners: true, churn_every: 4.0, ..ordinary(5) }
 }
@@ -489,15 +485,22 @@
 /// Rules and our parts of fleet-wide bounds change while queries are held; budgets and cold nodes.
 fn changing_rules() -> Scenario {
     let budget = Some(RetryBudget { window: 8.0, min_retries: 10.0, ratio: 0.2 });
-    let stated = Deployment { quotas: vec![20.0, 10.0, 5.0], retry_budget: budget, ..site(6) };
-    Scenario { site: stated, churn_every: 2.0, rules_every: 1.1, limits_every: 1.7, rush: 3.0, ..ordinary(6) }
+    let stated = Deployment { quotas: vec![20.0, 10.0, 5.0], retry_budget: budget, ..deployment(6) };
+    Scenario {
+        deployment: stated,
+        churn_every: 2.0,
+        rules_every: 1.1,
+        limits_every: 1.7,
+        burst: 3.0,
+        ..ordinary(6)
+    }
 }
 
 /// Processes follow one another, with what was learned and spent, or without.
 fn restarting() -> Scenario {
     let budget = Some(RetryBudget { window: 6.0, min_retries: 6.0, ratio: 0.1 });
-    let stated = Deployment { retry_budget: budget, ..site(7) };
-    Scenario { site: stated, restart_every: 5.0, churn_every: 3.0, ..ordinary(7) }
+    let stated = Deployment { retry_budget: budget, ..deployment(7) };
+    Scenario { deployment: stated, restart_every: 5.0, churn_every: 3.0, ..ordinary(7) }
 }
 
 /// The signal to end comes, and clients go on coming.
@@ -518,13 +521,13 @@
 impl Driver {
     fn new(scenario: Scenario) -> Self {
         let nodes = (0..scenario.nodes).map(|id| NodeState {
-            mode: Mode::Sound,
+            mode: Mode::Healthy,
             presence: Presence::Active,
-            cell: id % scenario.site.replica_groups,
+            replica_group: id % scenario.deployment.replica_groups,
             zone: id % ZONES,
-            started: if id % 7 == 6 { START - 4.0 } else { 0.0 },
+            started_at: if id % 7 == 6 { START - 4.0 } else { 0.0 },
             busy: [START; 2],
-            used: START,
+            last_used: START,
             out: BTreeSet::new(),
         });
         let transport = Recorder {
@@ -540,12 +543,12 @@
             service: scenario.service,
             two_step: true,
         };
-        let router = Router::new(scenario.site.clone());
+        let router = Router::new(scenario.deployment.clone());
         let rng = Pcg64Mcg::seed_from_u64(scenario.seed + 200);
         Self { scenario, router, transport, rng, queries: 0, shutdown: None, checkpoints: Vec::new() }
     }
 
-    fn play(mut self) -> (Vec<u64>, [usize; CALL_KINDS]) {
+    fn run(mut self) -> (Vec<u64>, [usize; CALL_KINDS]) {
         let rows = self.transport.rows();
         self.router.update_endpoints(&mut self.transport, true, &rows);
         self.transport.schedule(START + 0.01, Event::Arrival);
@@ -575,43 +578,43 @@
             if self.transport.now > START + part * (self.checkpoints.len() + 1) as f64 {
                 self.checkpoints.push(self.transport.digest.0);
             }
-            self.happen(event);
+            self.handle_event(event);
             events += 1;
-            if events % LOOK_EVERY_EVENTS == 0 {
-                self.look();
+            if events % RECORD_EVERY_EVENTS == 0 {
+                self.record_state();
             }
-            if events % DEEP_LOOK_EVERY_EVENTS == 0 {
-                self.look_deeply();
+            if events % RECORD_LEARNED_EVERY_EVENTS == 0 {
+                self.record_learned_state();
             }
         }
-        self.look();
-        self.look_deeply();
+        self.record_state();
+        self.record_learned_state();
         self.transport.digest.index(events);
         self.checkpoints.push(self.transport.digest.0);
         (self.checkpoints, self.transport.calls)
     }
 
-    fn again(&mut self, every: f64, event: Event) {
+    fn schedule_again(&mut self, every: f64, event: Event) {
         let at = self.transport.now + every * self.rng.random_range(0.5..1.5);
         self.transport.schedule(at, event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrival => self.arrival(),
-            Event::Ended { query, part, index, end } => self.ended(query, part, index, end),
+            Event::Ended { query, part, index, end } => self.end_attempt(query, part, index, end),
             Event::Framed { query, part, index } => {
                 let node = self.transport.queries[&query].parts[part][index].node;
                 self.router.on_frame_written(&mut self.transport, node, AttemptId { query, part, index });
             }
             Event::BodyDiscarded(query) => self.router.on_body_discarded(&mut self.transport, query),
-            Event::PrefilterResult(query) => self.search(query),
+            Event::PrefilterResult(query) => self.deliver_prefilter_result(query),
             Event::PrefilterRevoked(query, parts) => {
                 self.router.on_prefilter_revoked(&mut self.transport, query, &parts)
             }
             Event::SecondStep(query) => self.second_step(query),
             Event::ClientLeft(query) => {
-                if !self.transport.queries[&query].over {
+                if !self.transport.queries[&query].finished {
                     self.router.on_client_disconnect(&mut self.transport, query);
                 }
             }
@@ -626,7 +629,7 @@
             Event::Churn => self.churn(),
             Event::Stall => {
                 self.transport.now += self.rng.random_range(0.03..0.4);
-                self.again(self.scenario.stalls_every, Event::Stall);
+                self.schedule_again(self.scenario.stalls_every, Event::Stall);
             }
             Event::ChangeRules => self.change_rules(),
             Event::ChangeLimits => self.change_limits(),
@@ -641,19 +644,19 @@
 
     fn arrival(&mut self) {
         let rushes = (self.transport.now - START) as u64 / 10 % 3 == 2;
-        let gap = self.scenario.gap / if rushes { self.scenario.rush } else { 1.0 };
-        self.again(gap, Event::Arrival);
+        let gap = self.scenario.gap / if rushes { self.scenario.burst } else { 1.0 };
+        self.schedule_again(gap, Event::Arrival);
         self.queries += 1;
         let id = self.queries;
         let kinds = self.scenario.query_classes;
         let class = kinds[self.rng.random_range(0..kinds.len())];
-        let timeout = self.scenario.site.query_classes[class].timeout;
+        let timeout = self.scenario.deployment.query_classes[class].timeout;
         let hasty = self.rng.random_bool(0.15);
         let expires_in = timeout * if hasty { self.rng.random_range(0.02..0.6) } else { 1.0 };
-        let kept = !self.scenario.bodies || self.rng.random_bool(0.6);
-        let long = self.scenario.bodies && self.rng.random_bool(0.3);
-        let waits = self.scenario.prefilter && kept && self.rng.random_bool(0.3);
-        let audit = self.scenario.prefilter && kept && !waits && self.rng.random_bool(0.05);
+        let body_retained = !self.scenario.bodies || self.rng.random_bool(0.6);
+        let streamed = self.scenario.bodies && self.rng.random_bool(0.3);
+        let waits = self.scenario.prefilter && body_retained && self.rng.random_bool(0.3);
+        let audit = self.scenario.prefilter && body_retained && !waits && self.rng.random_bool(0.05);
         let parts = self.parts(class);
         let query = Query {
             id,
@@ -661,8 +664,8 @@
             tenant: self.rng.random_range(0..4),
             expires_in,
             is_retry: self.rng.random_bool(0.1),
-            body_retained: kept,
-            streamed: long,
+            body_retained,
+            streamed,
             awaits_prefilter: waits,
             audit,
             parts,
@@ -671,9 +674,9 @@
         let tracked = Tracked {
             class,
             expires_at,
-            long,
+            streamed,
             answers: 0,
-            over: false,
+            finished: false,
             parts: query.parts.iter().map(|_| Vec::new()).collect(),
         };
         self.transport.queries.insert(id, tracked);
@@ -697,9 +700,9 @@
     fn parts(&mut self, class: usize) -> Vec<Part> {
         let count = self.rng.random_range(1..=self.scenario.most_parts);
         let owned = self.scenario.owners && class == NON_IDEMPOTENT;
-        let cells = self.scenario.site.replica_groups;
+        let replica_groups = self.scenario.deployment.replica_groups;
         let part = |rng: &mut Pcg64Mcg| Part {
-            segment: rng.random_range(0..3 * cells),
+            segment: rng.random_range(0..3 * replica_groups),
             weight: rng.random_range(0.1..1.0) / count as f64,
             required_node: owned.then(|| rng.random_range(0..self.scenario.nodes)),
         };
@@ -707,40 +710,40 @@
     }
 
     fn second_step(&mut self, query: QueryId) {
-        if self.transport.queries[&query].over {
+        if self.transport.queries[&query].finished {
             return;
         }
         let parts = self.parts(FULL);
-        let tracked = self.transport.queries.get_mut(&query).expect("it is a query of ours");
+        let tracked = self.transport.queries.get_mut(&query).expect("known query");
         tracked.parts.extend(parts.iter().map(|_| Vec::new()));
         self.router.on_second_step(&mut self.transport, query, parts);
     }
 
-    fn ended(&mut self, query: QueryId, part: usize, index: usize, end: AttemptOutcome) {
-        let tracked = self.transport.queries.get_mut(&query).expect("it is a query of ours");
+    fn end_attempt(&mut self, query: QueryId, part: usize, index: usize, end: AttemptOutcome) {
+        let tracked = self.transport.queries.get_mut(&query).expect("known query");
         let sent = &mut tracked.parts[part][index];
         if std::mem::replace(&mut sent.ended, true) {
             return;
         }
-        let (node, took) = (sent.node, self.transport.now - sent.at);
+        let (node, elapsed) = (sent.node, self.transport.now - sent.at);
         self.transport.nodes[node].out.remove(&(query, part, index));
-        self.transport.nodes[node].used = self.transport.now;
+        self.transport.nodes[node].last_used = self.transport.now;
         self.router.on_attempt_ended(
             &mut self.transport,
-            AttemptEnded { query, part, attempt: index, node, outcome: end, elapsed: took },
+            AttemptEnded { query, part, attempt: index, node, outcome: end, elapsed },
         );
     }
 
-    fn search(&mut self, query: QueryId) {
-        if self.transport.queries[&query].over {
+    fn deliver_prefilter_result(&mut self, query: QueryId) {
+        if self.transport.queries[&query].finished {
             return;
         }
         let count = self.transport.queries[&query].parts.len();
-        let left_out: Vec<usize> = (0..count).filter(|_| self.rng.random_bool(0.3)).collect();
-        self.router.on_prefilter_result(&mut self.transport, query, &left_out);
-        if !left_out.is_empty() && self.rng.random_bool(0.3) {
+        let pruned: Vec<usize> = (0..count).filter(|_| self.rng.random_bool(0.3)).collect();
+        self.router.on_prefilter_result(&mut self.transport, query, &pruned);
+        if !pruned.is_empty() && self.rng.random_bool(0.3) {
             let at = self.transport.now + self.rng.random_range(0.0..0.1);
-            self.transport.schedule(at, Event::PrefilterRevoked(query, left_out));
+            self.transport.schedule(at, Event::PrefilterRevoked(query, pruned));
         }
     }
 
@@ -756,12 +759,12 @@
             Mode::Reaped,
         ];
         let id = self.rng.random_range(0..self.scenario.nodes);
-        let sick = self.transport.nodes.iter().filter(|n| n.mode != Mode::Sound).count();
-        // At most a third is sick at a time: the oldest faults end as new ones begin.
-        if self.transport.nodes[id].mode != Mode::Sound || 3 * sick > self.scenario.nodes {
-            let first = self.transport.nodes.iter().position(|n| n.mode != Mode::Sound).unwrap_or(id);
-            let mended = if self.transport.nodes[id].mode == Mode::Sound { first } else { id };
-            self.transport.nodes[mended].mode = Mode::Sound;
+        let faulty = self.transport.nodes.iter().filter(|n| n.mode != Mode::Healthy).count();
+        // At most a third is faulty at a time: a fault ends before another begins.
+        if self.transport.nodes[id].mode != Mode::Healthy || 3 * faulty > self.scenario.nodes {
+            let first = self.transport.nodes.iter().position(|n| n.mode != Mode::Healthy).unwrap_or(id);
+            let recovered = if self.transport.nodes[id].mode == Mode::Healthy { first } else { id };
+            self.transport.nodes[recovered].mode = Mode::Healthy;
         } else {
             let mode = modes[self.rng.random_range(0..modes.len())];
             self.transport.nodes[id].mode = mode;
@@ -769,7 +772,7 @@
                 self.transport.crash(id);
             }
         }
-        self.again(self.scenario.faults_every, Event::Fault);
+        self.schedule_again(self.scenario.faults_every, Event::Fault);
     }
 
     fn churn(&mut self) {
@@ -779,37 +782,40 @@
         let presence = match self.transport.nodes[id].presence {
             Presence::Active if 3 * active < 2 * self.scenario.nodes || self.rng.random_bool(0.4) => {
                 self.transport.crash(id);
-                self.transport.nodes[id].started = now;
+                self.transport.nodes[id].started_at = now;
                 Presence::Active
             }
             Presence::Active => Presence::Draining,
             Presence::Draining => {
                 self.transport.crash(id);
-                Presence::Gone
+                Presence::Removed
             }
-            Presence::Gone if self.transport.nodes[id].out.is_empty() && self.router.outstanding(id) == 0 => {
+            Presence::Removed
+                if self.transport.nodes[id].out.is_empty() && self.router.outstanding(id) == 0 =>
+            {
                 self.router.remove_node(id);
-                self.transport.nodes[id].cell = self.rng.random_range(0..self.scenario.site.replica_groups);
+                self.transport.nodes[id].replica_group =
+                    self.rng.random_range(0..self.scenario.deployment.replica_groups);
                 Presence::Forgotten
             }
-            Presence::Gone => Presence::Gone,
+            Presence::Removed => Presence::Removed,
             Presence::Forgotten => {
-                self.transport.nodes[id].started = now;
+                self.transport.nodes[id].started_at = now;
                 Presence::Active
             }
         };
         self.transport.nodes[id].presence = presence;
-        if self.scenario.site.list_poll_deadline.is_none() || self.rng.random_bool(0.1) {
+        if self.scenario.deployment.list_poll_deadline.is_none() || self.rng.random_bool(0.1) {
             let complete = self.rng.random_bool(0.3);
             let rows =
                 if complete { self.transport.rows() } else { self.transport.row(id).into_iter().collect() };
             self.router.update_endpoints(&mut self.transport, complete, &rows);
         }
-        self.again(self.scenario.churn_every, Event::Churn);
+        self.schedule_again(self.scenario.churn_every, Event::Churn);
     }
 
     fn change_rules(&mut self) {
-        let mut rules = Rules::of(&self.scenario.site);
+        let mut rules = Rules::of(&self.scenario.deployment);
         if self.rng.random_bool(0.5) {
             rules.minimum_share[PARTIAL] = self.rng.random_range(0.2..1.0);
             rules.complete_at[QUICK] = self.rng.random_range(0.3..1.0);
@@ -831,7 +837,7 @@
         rules.slow_start_multiple = self.rng.random_range(0.5..4.0);
         rules.max_retry_after = self.rng.random_range(0.0..3.0);
         self.router.set_rules(&rules);
-        self.again(self.scenario.rules_every, Event::ChangeRules);
+        self.schedule_again(self.scenario.rules_every, Event::ChangeRules);
     }
 
     fn change_limits(&mut self) {
@@ -842,16 +848,16 @@
         let limits =
             QuotaShares { slow_start: part(20.0), retries: part(1.0), quotas: vec![part(1.0), part(1.0)] };
         self.router.set_quota_shares(limits);
-        self.again(self.scenario.limits_every, Event::ChangeLimits);
+        self.schedule_again(self.scenario.limits_every, Event::ChangeLimits);
     }
 
-    /// Another process in this one's place: after an orderly end with all that was learned and spent, or after a crash.
+    /// Restarts the broker: after an orderly stop with all that was learned and spent, or after a crash.
     fn restart(&mut self) {
         let learned = self.router.learned_state(&self.transport);
         let spent = self.router.spent_budgets(&self.transport);
-        self.router = Router::new(self.scenario.site.clone());
+        self.router = Router::new(self.scenario.deployment.clone());
         for query in std::mem::take(&mut self.transport.live) {
-            self.transport.queries.get_mut(&query).expect("it is a query of ours").over = true;
+            self.transport.queries.get_mut(&query).expect("known query").finished = true;
         }
         let rows: Vec<_> = (0..self.scenario.nodes).filter_map(|id| self.transport.row(id)).collect();
         self.transport.now += 0.2;
@@ -861,11 +867,11 @@
         }
         let orderly = self.rng.random_bool(0.6);
         self.router.restore_spent(&mut self.transport, orderly.then_some(&spent));
-        self.again(self.scenario.restart_every, Event::Restart);
+        self.schedule_again(self.scenario.restart_every, Event::Restart);
     }
 
-    /// What the router tells when asked, as it is on the way.
-    fn look(&mut self) {
+    /// Folds the state of the router while it runs into the digest.
+    fn record_state(&mut self) {
         let demand = self.router.quota_demand(10.0);
         let digest = &mut self.transport.digest;
         digest.number(demand.slow_start);
@@ -875,7 +881,7 @@
         for id in 0..=self.transport.nodes.iter().rposition(|n| n.presence == Presence::Active).unwrap_or(0) {
             digest.index(self.router.outstanding(id));
         }
-        let segment = (self.queries as usize) % self.scenario.site.replica_groups;
+        let segment = (self.queries as usize) % self.scenario.deployment.replica_groups;
         self.router.prefilter_candidates(segment).for_each(|id| digest.index(id));
         for query in &self.transport.live {
             digest.flag(self.router.needs_body(*query));
@@ -894,8 +900,8 @@
         }
     }
 
-    /// What it has learned and spent.
-    fn look_deeply(&mut self) {
+    /// Folds what the router has learned and spent into the digest.
+    fn record_learned_state(&mut self) {
         let learned = self.router.learned_state(&self.transport);
         let spent = self.router.spent_budgets(&self.transport);
         let digest = &mut self.transport.digest;
@@ -911,8 +917,8 @@
                 digest.flag(sample.fault);
             }
         }
-        for LatencyRecord { latency: took, ago, node_share: part } in &learned.latency_samples {
-            [*took, *ago, *part].into_iter().for_each(|n| digest.number(n));
+        for LatencyRecord { latency: elapsed, ago, node_share: part } in &learned.latency_samples {
+            [*elapsed, *ago, *part].into_iter().for_each(|n| digest.number(n));
         }
         for IdleResetRecord { ago, idle_seconds: idle, broke } in &learned.idle_resets {
             digest.number(*ago);
@@ -1008,11 +1014,11 @@
 #[case::restarting(&RESTARTING)]
 #[case::shutting_down(&SHUTTING_DOWN)]
 fn calls_match_the_golden_digests(#[case] golden: &Golden) {
-    let (digests, calls) = Driver::new((golden.scenario)()).play();
+    let (digests, calls) = Driver::new((golden.scenario)()).run();
     assert_eq!((digests.as_slice(), calls), (golden.digests.as_slice(), golden.calls), "{digests:#018x?}");
 }
 
-/// A driver that reached no copies or no probes would prove nothing of them.
+/// Guards against scenarios that pin nothing of some kind of call.
 #[test]
 fn scenarios_reach_every_call() {
     for kind in 0..CALL_KINDS {
--- a/crates/dunepond-routing/tests/idle_reset.rs
+++ b/crates/dunepond-routing/tests/idle_reset.rs
@@ -21,7 +21,7 @@
     cluster.transport.closed.clear();
     let query = cluster.query(NON_IDEMPOTENT, &[0]);
     assert_eq!(cluster.sent(query).first().is_some_and(|s| cluster.transport.closed == [s.node]), reconnects);
-    // What breaks otherwise is a fault, and a holder that was polled twice has two.
+    // Other broken connections are faults, and a replica that got two attempts has two.
     assert!(!reconnects || (0..6).all(|n| !cluster.is_ejected(n)));
 }
 
--- a/crates/dunepond-routing/tests/outlier_detection.rs
+++ b/crates/dunepond-routing/tests/outlier_detection.rs
@@ -147,7 +147,7 @@
     assert!(cluster.sent_count(2, restart) >= 2);
 }
 
-/// With new nodes under new names all day, what is known of those that went would grow without end.
+/// Guards against memory that grows with every node that was ever listed.
 #[test]
 fn node_id_is_reused_by_another_group() {
     let mut cluster = Cluster::new(deployment());
--- a/crates/dunepond-routing/tests/placement.rs
+++ b/crates/dunepond-routing/tests/placement.rs
@@ -15,13 +15,13 @@
     assert_ne!(cluster.sent(first)[0].node, cluster.sent(second)[0].node);
 }
 
-/// Six nodes stand in three zones. With three holders each segment has a near one; with two a third of them
+/// Six nodes stand in three zones. With three replicas each segment has a near one; with two a third of them
 /// have none, and all that a preference does there is to take the choice from ties.
 #[rstest]
 #[case::each_segment_has_one_near(3, 45..75)]
 #[case::some_have_none(2, 30..60)]
-fn nearer_of_equal_replicas_is_chosen(#[case] holders: usize, #[case] expected: std::ops::Range<usize>) {
-    let mut cluster = Cluster::new(Deployment { replicas: holders, ..deployment() });
+fn nearer_of_equal_replicas_is_chosen(#[case] replicas: usize, #[case] expected: std::ops::Range<usize>) {
+    let mut cluster = Cluster::new(Deployment { replicas, ..deployment() });
     let one = |cluster: &mut Cluster| {
         let query = cluster.query(FULL, &[0]);
         cluster.run(1.0);
@@ -158,7 +158,7 @@
     assert_eq!(cluster.sent_count(1, start), 0);
 }
 
-/// Both of a part's dispatches were trials once, at two silent holders, and the sound third was never polled.
+/// Guards against a part whose two attempts are both probation attempts at silent replicas while a healthy third gets none.
 #[rstest]
 fn hedge_is_no_probation_attempt(#[values(1, 2, 3, 4, 5)] seed: u64) {
     let mut cluster = Cluster::new(Deployment { seed, ..deployment() });
--- a/crates/dunepond-routing/tests/prefilter.rs
+++ b/crates/dunepond-routing/tests/prefilter.rs
@@ -40,7 +40,7 @@
     assert_eq!(cluster.answers(query), [COMPLETE]);
 }
 
-/// Asking has taken so long that no search would come in time: it is told so then, and nothing goes out.
+/// The prefilter took so long that no answer would be in time: the query is rejected and nothing is sent.
 #[test]
 fn overdue_prefilter_rejects_the_query() {
     let mut cluster = Cluster::new(deployment());
--- a/crates/dunepond-routing/tests/rules.rs
+++ b/crates/dunepond-routing/tests/rules.rs
@@ -57,7 +57,7 @@
     assert!(cluster.sent(query).is_empty());
 }
 
-/// It waits for a cold node's room when that begins to drain, or its index is another node's.
+/// The part waits for the slow-start budget of a node that begins to drain, or whose index is given to another node.
 #[rstest]
 #[case::drains(false)]
 #[case::its_index_is_given_to_another(true)]
@@ -156,7 +156,7 @@
     assert_eq!(cluster.transport.sent.len() - queries.len(), 1);
 }
 
-/// No budget was kept until now, or a shorter one: what was sent in the longer window is not known.
+/// There was no budget until now, or a shorter one: what was sent in the longer window is not known.
 #[rstest]
 #[case::none(None)]
 #[case::shorter(Some(RetryBudget { window: 0.5, min_retries: 50.0, ratio: 0.0 }))]
@@ -174,7 +174,7 @@
     assert_eq!(cluster.sent(query).len(), 2);
 }
 
-/// One node with room for five parts a second, or for none for a long time.
+/// A node whose slow-start budget allows five parts a second, or none for a long time.
 #[rstest]
 fn smaller_slow_start_multiple_applies(#[values(true, false)] tighter_now: bool) {
     let (mut cluster, now) = changed(deployment(), |r| r.slow_start_multiple = 0.01, tighter_now);
--- a/crates/dunepond-routing/tests/shutdown.rs
+++ b/crates/dunepond-routing/tests/shutdown.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use support::*;
 
-/// Told at 100 s, with a longest query timeout of 2 s: the kill may come at 102.7 s.
+/// Signalled at 100 s, with a longest query timeout of 2 s: the kill may come at 102.7 s.
 #[rstest]
 #[case::at_once(100.0, ShutdownStage::Serving, Some(100.45))]
 #[case::no_new_connections(100.45, ShutdownStage::ClosingAfterAnswers, Some(100.65))]
@@ -44,7 +44,7 @@
     assert_eq!(cluster.sent(query).is_empty(), answer.is_some());
 }
 
-/// A body that was coming in as the broker was told to end has until the last answers. How long that is from now on and when
+/// A body that was coming in as the broker was signalled has until the last answers. How long that is from now on and when
 /// it ends are rounded, one against the other.
 #[test]
 fn query_up_to_the_last_answers_is_served() {
--- a/crates/dunepond-routing/tests/warm_restart.rs
+++ b/crates/dunepond-routing/tests/warm_restart.rs
@@ -5,7 +5,7 @@
 use dunepond_routing::*;
 use support::*;
 
-/// What one process learned, another goes by: the median, and who was ejected, who is due a trial at once.
+/// The successor uses what its predecessor learned: latencies, and ejected nodes, which get a probation attempt at once.
 #[test]
 fn ejected_node_stays_in_probation_after_restart() {
     let mut first = Cluster::new(deployment());
@@ -23,7 +23,7 @@
         second.traffic(FULL, 1.0, 0.05);
         second.sent_count(0, 0.0)
     };
-    // Its trials one after the other, until they are met with silence too.
+    // Probation attempts one after the other, until they fail as well.
     assert!(sent(true) <= 3 && sent(true) < sent(false), "{} {}", sent(true), sent(false));
 }
 
