--- a/crates/dunepond-testkit/src/auditor/records.rs
+++ b/crates/dunepond-testkit/src/auditor/records.rs
@@ -8,7 +8,9 @@
 /// What stood in the files: lines by their time, and lines that cannot be read, each with its place.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
+    /// All records, by their time once sorted.
     pub lines: Vec<AuditRecord>,
+    /// File and line of each that cannot be read.
     pub unreadable: Vec<(String, usize)>,
 }
 
@@ -33,11 +35,16 @@
         }
     }
 
+    /// Puts all records in the order of their time.
     pub fn sort(&mut self) {
         // Stable: what one broker wrote at one time stays in its order.
         self.lines.sort_by(|a, b| a.at.total_cmp(&b.at));
     }
 
+    /// Reads these files; one that is not there counts as empty.
+    ///
+    /// # Errors
+    /// Where a file cannot be read.
     pub fn read_files<'a>(files: impl IntoIterator<Item = &'a Path>) -> std::io::Result<Self> {
         let mut records = Self::default();
         for file in files {
--- a/crates/dunepond-testkit/src/experiments/background.rs
+++ b/crates/dunepond-testkit/src/experiments/background.rs
@@ -132,6 +132,6 @@
     };
     let curves =
         vec![curve("alone", &alone), curve("beside", &beside), curve("beside, no budget", &unbounded)];
-    figures.plots.push(("foreground".to_string(), ["percent of requests", "ms"], curves));
+    figures.plot("foreground", "percent of requests", "ms", curves);
     Ok(figures)
 }
--- a/crates/dunepond-testkit/src/experiments/consensus.rs
+++ b/crates/dunepond-testkit/src/experiments/consensus.rs
@@ -11,6 +11,8 @@
 use crate::processes::{BrokerProcess, wait_until};
 use crate::report::{Curve, Figures};
 
+/// Load on its own, or behind a change.
+const LOAD_TIME: Duration = Duration::from_secs(2);
 const REQUEST_GAP: Duration = Duration::from_millis(20);
 /// Of the scans served within the target time without a cut, so many may be missed under one.
 const MAX_MISSED_RATIO: f64 = 0.05;
@@ -27,75 +29,93 @@
     samples[samples.len() / 2]
 }
 
-/// Changes and cuts in turn, under load.
+/// Size and load of the fleet that changes.
+struct Scale {
+    brokers: usize,
+    rounds: u64,
+    request_gap: Duration,
+}
+
+/// Changes, and then one under a partition, under load.
 fn changes(run_options: &RunOptions, figures: &mut Figures) {
-    let (brokers, rounds, gap) =
-        if run_options.quick { (5, 3, REQUEST_GAP) } else { (30, 8, 10 * REQUEST_GAP) };
-    let mut fleet = Fleet::start_with_version(fleet_options(run_options, 5, brokers));
-    let (bound, target) = (fleet.options.lease_bound_seconds, fleet.options.query_timeout_seconds / 2.0);
-    let clients = fleet.clients(0..brokers, gap);
-    thread::sleep(Duration::from_secs(2));
-    let whole = served_ratio(&clients.stop(), target, &[]);
-    let (mut change_seconds, mut late) = (Vec::new(), 0);
-    let clients = fleet.clients(0..brokers, gap);
-    for number in 2..2 + rounds {
-        let segs = fleet.options.segment_count as u64;
-        let (moved, filled) = ([number % segs, (number + 2) % segs], [(number + 4) % segs]);
+    let scale = match run_options.quick {
+        true => Scale { brokers: 5, rounds: 3, request_gap: REQUEST_GAP },
+        false => Scale { brokers: 30, rounds: 8, request_gap: 10 * REQUEST_GAP },
+    };
+    let mut fleet = Fleet::start_with_version(fleet_options(run_options, 5, scale.brokers));
+    let objective_seconds = fleet.options.query_timeout_seconds / 2.0;
+    let clients = fleet.clients(0..scale.brokers, scale.request_gap);
+    thread::sleep(LOAD_TIME);
+    let undisturbed = served_ratio(&clients.stop(), objective_seconds, &[]);
+    report_changes(figures, &mut fleet, &scale);
+    eprintln!("cut in two ...");
+    let partitioned = serve_partitioned(&mut fleet, &scale, objective_seconds);
+    figures.report("scans served within the target time, undisturbed", undisturbed, "");
+    figures.report("scans served within the target time, cut in two", partitioned, "");
+    let missed = 1.0 - partitioned / undisturbed;
+    figures.report_bounded("missed by the cut, of those served undisturbed", missed, MAX_MISSED_RATIO, "");
+    report_audit(figures, &fleet);
+}
+
+fn report_changes(figures: &mut Figures, fleet: &mut Fleet, scale: &Scale) {
+    let max_seconds = fleet.options.lease_bound_seconds + 3.0 * fleet.options.lease_seconds;
+    let segments = fleet.options.segment_count as u64;
+    let mut change_seconds = Vec::new();
+    let clients = fleet.clients(0..scale.brokers, scale.request_gap);
+    for number in 2..2 + scale.rounds {
+        let moved = [number % segments, (number + 2) % segments];
+        let filled = [(number + 4) % segments];
         let next = fleet.config_version(number, &moved, if number % 2 == 0 { &filled } else { &[] });
         let began = Instant::now();
-        fleet.propose(number as usize % brokers, &next);
-        fleet.wait_active(0..brokers, number);
+        fleet.propose(number as usize % scale.brokers, &next);
+        fleet.wait_active(0..scale.brokers, number);
         change_seconds.push(began.elapsed().as_secs_f64());
-        late +=
-            u64::from(change_seconds[change_seconds.len() - 1] > bound + 3.0 * fleet.options.lease_seconds);
     }
     clients.stop();
     change_seconds.sort_by(f64::total_cmp);
-    let at = |share: f64| change_seconds[((change_seconds.len() - 1) as f64 * share).round() as usize];
-    figures.report("time to agree, p50", at(0.5), "s");
-    figures.report("time to agree, p99", at(0.99), "s");
+    let quantile = |share: f64| change_seconds[((change_seconds.len() - 1) as f64 * share).round() as usize];
+    figures.report("time to agree, p50", quantile(0.5), "s");
+    figures.report("time to agree, p99", quantile(0.99), "s");
+    let late = change_seconds.iter().filter(|seconds| **seconds > max_seconds).count();
     figures.report_bounded("changes in force later than the bound and three leases", late as f64, 0.0, "");
-    eprintln!("cut in two ...");
-    let minority: Vec<_> = (0..brokers).filter(|i| *i < 2 || *i >= 5 && i % 2 == 0).collect();
-    let majority: Vec<_> = (0..brokers).filter(|i| !minority.contains(i)).collect();
-    // Fixes of what moves are refused in the joint step, cut or not.
-    let next = fleet.config_version(2 + rounds, &[0], &[]);
+}
+
+/// The share of queries that is served in time under a partition, while the majority makes a change.
+fn serve_partitioned(fleet: &mut Fleet, scale: &Scale, objective_seconds: f64) -> f64 {
+    let number = 2 + scale.rounds;
+    let minority: Vec<_> = (0..scale.brokers).filter(|i| *i < 2 || *i >= 5 && i % 2 == 0).collect();
+    let majority: Vec<_> = (0..scale.brokers).filter(|i| !minority.contains(i)).collect();
+    // Fixes of what moves are refused in the joint phase, partitioned or not.
+    let next = fleet.config_version(number, &[0], &[]);
     fleet.propose(majority[0], &next);
     let joint = |i: &usize| fleet.phase(*i).is_some_and(|recorded| recorded.phase == AuditPhase::Joint);
     wait_until(|| majority.iter().any(joint));
     fleet.partition(&[&minority, &majority]);
-    let clients = fleet.clients(0..brokers, gap);
-    fleet.wait_active(majority.iter().copied(), 2 + rounds);
-    thread::sleep(Duration::from_secs(2));
-    let cut = served_ratio(&clients.stop(), target, &minority);
+    let clients = fleet.clients(0..scale.brokers, scale.request_gap);
+    fleet.wait_active(majority.iter().copied(), number);
+    thread::sleep(LOAD_TIME);
+    let served = served_ratio(&clients.stop(), objective_seconds, &minority);
     fleet.links.set_all(&LinkConditions {
         delay_seconds: 0.01,
         jitter_seconds: 0.01,
         loss_ratio: 0.02,
         ..HEALTHY
     });
-    fleet.wait_active(0..brokers, 2 + rounds);
-    figures.report("scans served within the target time, undisturbed", whole, "");
-    figures.report("scans served within the target time, cut in two", cut, "");
-    figures.report_bounded(
-        "missed by the cut, of those served undisturbed",
-        1.0 - cut / whole,
-        MAX_MISSED_RATIO,
-        "",
-    );
+    fleet.wait_active(0..scale.brokers, number);
+    served
+}
+
+fn report_audit(figures: &mut Figures, fleet: &Fleet) {
     let records = fleet.records();
-    figures.report_bounded(
-        "longest contradiction, against the bound T",
-        longest_contradiction(&records),
-        bound,
-        "s",
-    );
+    let longest = longest_contradiction(&records);
+    let name = "longest contradiction, against the bound T";
+    figures.report_bounded(name, longest, fleet.options.lease_bound_seconds, "s");
     let found = fleet.audit();
     found.iter().take(5).for_each(|finding| eprintln!("{finding}"));
     figures.report_bounded("findings of the auditor", found.len() as f64, 0.0, "");
-    let acts =
-        records.lines.iter().filter(|line| matches!(line.event, AuditEvent::AttemptSent { .. })).count();
-    figures.report("dispatches that it judged", acts as f64, "");
+    let is_attempt = |event: &AuditEvent| matches!(event, AuditEvent::AttemptSent { .. });
+    let attempts = records.lines.iter().filter(|record| is_attempt(&record.event)).count();
+    figures.report("dispatches that it judged", attempts as f64, "");
 }
 
 /// Messages that a broker sends in a second while nothing changes, by how many brokers there are.
@@ -119,7 +139,7 @@
         "times",
     );
     let curve = Curve { name: "messages".to_string(), points };
-    figures.plots.push(("talk".to_string(), ["brokers", "messages a broker and second"], vec![curve]));
+    figures.plot("talk", "brokers", "messages a broker and second", vec![curve]);
 }
 
 /// Processor time of the loop for each scan, with the fleet off, on without any version, and on with a map in force, each
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/cost.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/cost.rs
@@ -104,5 +104,5 @@
         curves.push(Curve { name: format!("{}, a broker", cost.name), points: logs(each) });
         curves.push(Curve { name: format!("{}, the leader", cost.name), points: logs(leaders) });
     }
-    figures.plots.push(("cost".to_string(), ["brokers, powers of ten", "a second, powers of ten"], curves));
+    figures.plot("cost", "brokers, powers of ten", "a second, powers of ten", curves);
 }
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/parts.rs
@@ -195,8 +195,8 @@
         figures.report(format!("membership's {name} of a broker grow as N^x: {}", fit.name), fit.power, "x");
         curves.push(Curve { name: name.to_string(), points: log(points) });
     }
-    let axes = ["brokers, powers of ten", "a second, powers of ten"];
-    figures.plots.push(("membership".to_string(), axes, curves));
+
+    figures.plot("membership", "brokers, powers of ten", "a second, powers of ten", curves);
 }
 
 pub fn run(options: &RunOptions, figures: &mut Figures) {
--- a/crates/dunepond-testkit/src/experiments/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/mod.rs
@@ -21,27 +21,36 @@
 pub struct RunOptions {
     /// Our own program, which hosts the broker.
     pub program: PathBuf,
+    /// With shorter stretches and fewer rounds.
     pub quick: bool,
+    /// What is drawn is drawn from this.
     pub seed: u64,
     /// Only the cases whose name holds this.
     pub case_filter: Option<String>,
     /// Plays of so many brokers alone, this many seeds from the one above on, where an experiment plays by seeds.
     pub brokers: Option<usize>,
+    /// How many seeds are run, where an experiment runs by seeds.
     pub seed_count: u64,
 }
 
 impl RunOptions {
+    /// Whether a case is to be run.
     pub fn includes(&self, case: &str) -> bool {
         self.case_filter.as_ref().is_none_or(|only| case.contains(only))
     }
 }
 
+/// An experiment by its name.
 pub struct Experiment {
+    /// Its name on the command line.
     pub name: &'static str,
+    /// What it measures, in a line.
     pub summary: &'static str,
+    /// Runs it.
     pub run: fn(&RunOptions) -> anyhow::Result<Figures>,
 }
 
+/// All experiments.
 pub const ALL: [Experiment; 12] = [
     Experiment {
         name: "agree",
--- a/crates/dunepond-testkit/src/experiments/quota.rs
+++ b/crates/dunepond-testkit/src/experiments/quota.rs
@@ -7,7 +7,7 @@
 use super::RunOptions;
 use crate::auditor::limits::{QUOTA_UNITS, peak_units};
 use crate::fleet::{Fleet, FleetOptions, QueryOutcome, RetryBudget, outcome_ratio};
-use crate::links::CUT;
+use crate::links::{CUT, HEALTHY};
 use crate::processes::wait_until;
 use crate::report::{Curve, Figures};
 use crate::stand_ins::NodeBehavior;
@@ -26,6 +26,9 @@
 /// moment later.
 const MAX_QUOTA_RATIO: f64 = 1.1;
 const WINDOW_SECONDS: f64 = 2.0;
+/// The node that starts, and for how long it is looked at.
+const COLD_NODE: usize = 5;
+const COLD_TIME: Duration = Duration::from_secs(4);
 
 const LIMITS: &str = "limits floor=0.25 every=0.3 { further; customer \"mill\"; cold rate=40.0; }";
 
@@ -49,102 +52,129 @@
     most as f64 / (QUOTA * WINDOW_SECONDS)
 }
 
+/// A fleet whose quotas are leased, and one that splits them evenly.
+struct Fleets {
+    leased: Fleet,
+    even: Fleet,
+}
+
+/// Queries at each of the two.
+#[derive(Default)]
+struct Outcomes {
+    leased: Vec<QueryOutcome>,
+    even: Vec<QueryOutcome>,
+}
+
+impl Fleets {
+    fn start(options: &RunOptions) -> Self {
+        let fleet_options = |extra_lines: Vec<String>| FleetOptions {
+            seed: options.seed,
+            balancers: BROKERS,
+            tenant_quota: QUOTA,
+            retry_budget: RetryBudget { ratio: RETRY_RATIO, min_retries: 20.0 },
+            extra_lines,
+            ..FleetOptions::new(&options.program, 3, BROKERS)
+        };
+        Self {
+            leased: Fleet::start_with_version(fleet_options(vec![LIMITS.to_string()])),
+            even: Fleet::start_with_version(fleet_options(Vec::new())),
+        }
+    }
+
+    fn set_behavior(&self, behavior: NodeBehavior) {
+        for node in self.leased.nodes.iter().chain(&self.even.nodes) {
+            node.set_behavior(behavior);
+        }
+    }
+
+    /// Clients of one broker in each, for so long.
+    fn load(&self, broker: usize, time: Duration) -> Outcomes {
+        let leased = self.leased.clients([broker], REQUEST_GAP);
+        let even = self.even.clients([broker], REQUEST_GAP);
+        thread::sleep(time);
+        Outcomes { leased: leased.stop(), even: even.stop() }
+    }
+}
+
+/// Runs the experiment.
 pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
-    let fleet_options = |more: Vec<String>| FleetOptions {
-        seed: options.seed,
-        balancers: BROKERS,
-        tenant_quota: QUOTA,
-        retry_budget: RetryBudget { ratio: RETRY_RATIO, min_retries: 20.0 },
-        extra_lines: more,
-        ..FleetOptions::new(&options.program, 3, BROKERS)
-    };
-    let fleets =
-        [fleet_options(vec![LIMITS.to_string()]), fleet_options(Vec::new())].map(Fleet::start_with_version);
-    let [leased, _] = &fleets;
-    let stretch = if options.quick { Duration::from_secs(4) } else { Duration::from_secs(20) };
-    let mut all: [Vec<QueryOutcome>; 2] = Default::default();
-    let faults =
-        |behavior| fleets.iter().for_each(|f| f.nodes.iter().for_each(|node| node.set_behavior(behavior)));
-    faults(NodeBehavior::FailEveryNth(FAULTS));
+    let fleets = Fleets::start(options);
+    let time = if options.quick { Duration::from_secs(4) } else { Duration::from_secs(20) };
+    let mut leased_outcomes = Vec::new();
+    fleets.set_behavior(NodeBehavior::FailEveryNth(FAULTS));
     // Where the traffic is first, and where it goes.
-    for place in [4, 3] {
-        eprintln!("traffic at n{} ...", place + 1);
+    for (broker, name) in [(4, "at one broker"), (3, "moved on to another")] {
+        eprintln!("traffic at n{} ...", broker + 1);
         // Alike kinds at both ends of the pair, so that only the split differs.
-        let loads = fleets.each_ref().map(|fleet| fleet.clients([place], REQUEST_GAP));
-        thread::sleep(SETTLE_TIME);
-        let before = loads.map(|load| load.stop());
-        let loads = fleets.each_ref().map(|fleet| fleet.clients([place], REQUEST_GAP));
-        thread::sleep(stretch);
-        let outcomes = loads.map(|load| load.stop());
-        let shares = outcomes.each_ref().map(|outcomes| missed_ratio(outcomes));
-        let name = if place == 4 { "at one broker" } else { "moved on to another" };
-        figures.report(
-            format!("traffic {name}: scans a second, offered"),
-            outcomes[0].len() as f64 / stretch.as_secs_f64(),
-            "",
-        );
-        figures.report(format!("traffic {name}: not served, even parts"), shares[1], "share");
-        figures.report(format!("traffic {name}: not served, leases"), shares[0], "share");
-        let ratio = shares[0] / shares[1].max(1e-9);
-        // Told and not held: clients that wait for each answer ask less where more fails, so that few are counted.
-        figures.report(format!("traffic {name}: not served, leases against even parts"), ratio, "times");
-        for ((all, before), outcomes) in all.iter_mut().zip(before).zip(outcomes) {
-            all.extend(before);
-            all.extend(outcomes);
-        }
+        leased_outcomes.extend(fleets.load(broker, SETTLE_TIME).leased);
+        let outcomes = fleets.load(broker, time);
+        report_traffic(&mut figures, name, &outcomes, time);
+        leased_outcomes.extend(outcomes.leased);
     }
-    faults(NodeBehavior::Serve);
-    // A node that has just started, under traffic at one broker: what it takes while it is cold.
-    let parts = |fleet: &Fleet| fleet.nodes[5].part_arrivals().len();
-    let loads = fleets.each_ref().map(|fleet| fleet.clients([3], REQUEST_GAP));
-    fleets.iter().for_each(|fleet| fleet.report_cold("s-5"));
-    let before = fleets.each_ref().map(parts);
-    thread::sleep(Duration::from_secs(4));
-    let took: [f64; 2] = std::array::from_fn(|i| (parts(&fleets[i]) - before[i]) as f64 / 4.0);
-    figures.report("parts a second at a node that has just started, even parts", took[1], "");
-    figures.report("parts a second at a node that has just started, leases", took[0], "");
-    for (all, load) in all.iter_mut().zip(loads) {
-        all.extend(load.stop());
-    }
-    // A quota ranks scans under pressure; this traffic is below it.
-    figures.report_bounded(
-        "served in any window against the quota, leases",
-        most_served(&all[0]),
-        MAX_QUOTA_RATIO,
-        "times",
-    );
+    fleets.set_behavior(NodeBehavior::Serve);
+    leased_outcomes.extend(report_cold_node(&mut figures, &fleets).leased);
+    // A quota ranks queries under pressure; this traffic is below it.
+    let name = "served in any window against the quota, leases";
+    figures.report_bounded(name, most_served(&leased_outcomes), MAX_QUOTA_RATIO, "times");
     eprintln!("cut off, killed, started again ...");
-    // Who has most is cut off, and killed, while the others ask for it.
-    let load = leased.clients(0..BROKERS, REQUEST_GAP);
-    leased.links.set_around(&["n4"], &CUT);
+    report_failures(&mut figures, fleets.leased)?;
+    Ok(figures)
+}
+
+fn report_traffic(figures: &mut Figures, name: &str, outcomes: &Outcomes, time: Duration) {
+    let rate = outcomes.leased.len() as f64 / time.as_secs_f64();
+    let (leased, even) = (missed_ratio(&outcomes.leased), missed_ratio(&outcomes.even));
+    figures.report(format!("traffic {name}: scans a second, offered"), rate, "");
+    figures.report(format!("traffic {name}: not served, even parts"), even, "share");
+    figures.report(format!("traffic {name}: not served, leases"), leased, "share");
+    // Without a bound: clients that wait for each answer ask less where more fails, so that few are counted.
+    let ratio = leased / even.max(1e-9);
+    figures.report(format!("traffic {name}: not served, leases against even parts"), ratio, "times");
+}
+
+/// A node that has just started, under traffic at one broker: what it takes while it is cold.
+fn report_cold_node(figures: &mut Figures, fleets: &Fleets) -> Outcomes {
+    let parts = |fleet: &Fleet| fleet.nodes[COLD_NODE].part_arrivals().len() as f64;
+    let clients = [&fleets.leased, &fleets.even].map(|fleet| fleet.clients([3], REQUEST_GAP));
+    fleets.leased.report_restarted(&[COLD_NODE]);
+    fleets.even.report_restarted(&[COLD_NODE]);
+    let (leased_before, even_before) = (parts(&fleets.leased), parts(&fleets.even));
+    thread::sleep(COLD_TIME);
+    let per_second = |parts: f64| parts / COLD_TIME.as_secs_f64();
+    let even = per_second(parts(&fleets.even) - even_before);
+    let leased = per_second(parts(&fleets.leased) - leased_before);
+    figures.report("parts a second at a node that has just started, even parts", even, "");
+    figures.report("parts a second at a node that has just started, leases", leased, "");
+    let [leased, even] = clients.map(|clients| clients.stop());
+    Outcomes { leased, even }
+}
+
+/// The broker that has most is cut off, and killed, while the others ask for it.
+fn report_failures(figures: &mut Figures, mut fleet: Fleet) -> anyhow::Result<()> {
+    let clients = fleet.clients(0..BROKERS, REQUEST_GAP);
+    fleet.links.set_around(&["n4"], &CUT);
     thread::sleep(Duration::from_secs(3));
-    leased.links.set_all(&crate::links::HEALTHY);
+    fleet.links.set_all(&HEALTHY);
     thread::sleep(Duration::from_secs(1));
-    let [mut leased, _] = fleets;
-    leased.brokers[4].kill();
-    leased.brokers[4].start();
-    let back = wait_until(|| leased.brokers[4].ready());
+    fleet.brokers[4].kill();
+    fleet.brokers[4].start();
+    let back = wait_until(|| fleet.brokers[4].ready());
     thread::sleep(Duration::from_secs(2));
-    load.stop();
+    clients.stop();
     figures.report_bounded("brokers that did not come back", f64::from(u8::from(!back)), 0.0, "");
-    let records = leased.records();
-    let largest = peak_units(&records);
-    anyhow::ensure!(!largest.is_empty(), "no part of any bound was ever leased");
-    for (bound, units) in &largest {
-        let sum = *units as f64 / QUOTA_UNITS as f64;
-        figures.report_bounded(
-            format!("largest sum of all parts of '{bound}', over its window"),
-            sum,
-            1.0,
-            "wholes",
-        );
+    let records = fleet.records();
+    let peaks = peak_units(&records);
+    anyhow::ensure!(!peaks.is_empty(), "no part of any bound was ever leased");
+    for (bound, units) in &peaks {
+        let name = format!("largest sum of all parts of '{bound}', over its window");
+        figures.report_bounded(name, *units as f64 / QUOTA_UNITS as f64, 1.0, "wholes");
     }
-    let found = leased.audit();
+    let found = fleet.audit();
     found.iter().take(5).for_each(|finding| eprintln!("{finding}"));
     figures.report_bounded("findings of the auditor", found.len() as f64, 0.0, "");
-    figures.plots.push(("sums".to_string(), ["seconds", "share of the whole"], curves(&records)));
-    Ok(figures)
+    figures.plot("sums", "seconds", "share of the whole", curves(&records));
+    Ok(())
 }
 
 fn curves(records: &crate::auditor::Records) -> Vec<Curve> {
--- a/crates/dunepond-testkit/src/experiments/rebalance.rs
+++ b/crates/dunepond-testkit/src/experiments/rebalance.rs
@@ -22,6 +22,11 @@
 /// Of a fill, seconds.
 const FILL_SECONDS: f64 = 0.3;
 
+/// Of the queries that may run twice, so many may fail beside a move.
+const MAX_NOT_SERVED_RATIO: f64 = 0.01;
+/// Load before a move and behind it.
+const AROUND_MOVE: Duration = Duration::from_millis(300);
+
 struct Moving {
     fleet: Fleet,
     /// The last version's number, and whether the segments are where they were at first.
@@ -76,95 +81,129 @@
     (refused.len(), spans.values().map(|(from, to)| to - from).fold(0.0, f64::max))
 }
 
-pub fn run(run_options: &RunOptions) -> anyhow::Result<Figures> {
-    let rounds = if run_options.quick { 4 } else { 16 };
+/// What all rounds came to.
+#[derive(Default)]
+struct Measured {
+    /// Queries of the fleet in which nothing moved.
+    undisturbed: Vec<QueryOutcome>,
+    /// Queries beside a move.
+    moved: Vec<QueryOutcome>,
+    /// The p99 beside a move against undisturbed, round by round.
+    p99_ratios: Vec<f64>,
+    rejected_fixes: usize,
+    longest_rejection_seconds: f64,
+    failed_moves: usize,
+}
+
+/// Runs the experiment.
+pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
+    let rounds = if options.quick { 4 } else { 16 };
     let mut figures = Figures::default();
-    let plan = || FleetOptions {
-        seed: run_options.seed,
+    let fleet_options = || FleetOptions {
+        seed: options.seed,
         extra_lines: vec!["moves \"OWN.plan\" at-once=4 settle=0.1".to_string()],
-        ..FleetOptions::new(&run_options.program, 3, 5)
+        ..FleetOptions::new(&options.program, 3, 5)
     };
-    let mut both =
-        [(); 2].map(|()| Moving { fleet: Fleet::start_with_version(plan()), number: 1, home: true });
-    both.iter().for_each(|one| one.fleet.filler.set_fill_seconds(FILL_SECONDS));
-    let brokers = both[0].fleet.options.brokers;
-    let (mut still, mut moved) = (Vec::new(), Vec::new());
-    let (mut ratios, mut count, mut longest, mut failed): (Vec<f64>, _, f64, _) = (Vec::new(), 0, 0.0, 0);
+    let mut fleets =
+        [(); 2].map(|()| Moving { fleet: Fleet::start_with_version(fleet_options()), number: 1, home: true });
+    fleets.iter().for_each(|one| one.fleet.filler.set_fill_seconds(FILL_SECONDS));
+    let measured = measure(&mut fleets, rounds);
+    report_latencies(&mut figures, &measured);
+    report_rejections(&mut figures, &measured, &fleets[0].fleet.options);
+    let done = (rounds - measured.failed_moves) * MOVED_SEGMENTS.len();
+    let moved_bytes: u64 = fleets.iter().map(|one| one.fleet.filler.moved_bytes()).sum();
+    let ratio = moved_bytes as f64 / (done as u64 * SEGMENT_BYTES).max(1) as f64;
+    figures.report_bounded("bytes moved, against the least possible", ratio, 1.0, "times");
+    report_findings(&mut figures, &fleets);
+    let curves = vec![
+        latency_curve("undisturbed", &measured.undisturbed),
+        latency_curve("beside a move", &measured.moved),
+    ];
+    figures.plot("times", "percent of replayable scans", "ms", curves);
+    Ok(figures)
+}
+
+/// In each round one of the two moves, by turns.
+fn measure(fleets: &mut [Moving; 2], rounds: usize) -> Measured {
+    let mut measured = Measured::default();
+    let brokers = fleets[0].fleet.options.brokers;
     for round in 0..rounds {
         eprintln!("round {} of {rounds} ...", round + 1);
         let turn = round % 2;
-        let loads = both.each_ref().map(|one| one.fleet.clients(0..brokers, REQUEST_GAP));
-        thread::sleep(Duration::from_millis(300));
+        let loads = fleets.each_ref().map(|one| one.fleet.clients(0..brokers, REQUEST_GAP));
+        thread::sleep(AROUND_MOVE);
         // Every other fill breaks off half way and goes on from there.
-        both[turn].fleet.filler.fail_next(1);
-        failed += usize::from(!both[turn].moves(&format!("round-{round}")));
-        thread::sleep(Duration::from_millis(300));
+        fleets[turn].fleet.filler.fail_next(1);
+        measured.failed_moves += usize::from(!fleets[turn].moves(&format!("round-{round}")));
+        thread::sleep(AROUND_MOVE);
         let [one, other] = loads.map(|load| load.stop());
-        let (with, without) = if turn == 0 { (one, other) } else { (other, one) };
-        ratios.push(
-            latency_quantile(&with, QueryOutcome::is_idempotent, 0.99)
-                / latency_quantile(&without, QueryOutcome::is_idempotent, 0.99).max(1e-6),
-        );
-        let (more, lasted) = refused(&with);
-        (count, longest) = (count + more, longest.max(lasted));
-        moved.extend(with);
-        still.extend(without);
+        let (moved, undisturbed) = if turn == 0 { (one, other) } else { (other, one) };
+        measured.p99_ratios.push(p99_ms(&moved) / p99_ms(&undisturbed).max(1e-3));
+        let (count, seconds) = refused(&moved);
+        measured.rejected_fixes += count;
+        measured.longest_rejection_seconds = measured.longest_rejection_seconds.max(seconds);
+        measured.moved.extend(moved);
+        measured.undisturbed.extend(undisturbed);
     }
-    let p99 = |outcomes: &[QueryOutcome]| 1e3 * latency_quantile(outcomes, QueryOutcome::is_idempotent, 0.99);
-    figures.report("scans beside a move", moved.len() as f64, "");
-    figures.report("replayable scans, p99, undisturbed", p99(&still), "ms");
-    figures.report("replayable scans, p99, beside a move", p99(&moved), "ms");
+    measured
+}
+
+fn p99_ms(outcomes: &[QueryOutcome]) -> f64 {
+    1e3 * latency_quantile(outcomes, QueryOutcome::is_idempotent, 0.99)
+}
+
+fn report_latencies(figures: &mut Figures, measured: &Measured) {
+    let (undisturbed, moved) = (p99_ms(&measured.undisturbed), p99_ms(&measured.moved));
+    figures.report("scans beside a move", measured.moved.len() as f64, "");
+    figures.report("replayable scans, p99, undisturbed", undisturbed, "ms");
+    figures.report("replayable scans, p99, beside a move", moved, "ms");
+    let mut ratios = measured.p99_ratios.clone();
     ratios.sort_by(f64::total_cmp);
-    let (pooled, median) = (p99(&moved) / p99(&still), ratios[ratios.len() / 2]);
+    let (pooled, median) = (moved / undisturbed, ratios[ratios.len() / 2]);
     figures.report("p99 beside a move, against undisturbed, all rounds together", pooled, "times");
     figures.report("the same, median of rounds", median, "times");
     // What the machine does lifts the one or the other; what a move costs lifts both.
     figures.report_bounded("the same, the lesser of both", pooled.min(median), MAX_LATENCY_RATIO, "times");
-    let refusals =
-        |outcomes: &[QueryOutcome]| outcomes.iter().filter(|one| one.status == Some(429)).count() as f64;
-    figures.report("fixes turned away during switches", count as f64, "");
-    figures.report("scans turned away where nothing moved", refusals(&still), "");
-    let others = moved.iter().filter(|one| !is_fix(one) && one.status != Some(200)).count();
-    let others = others as f64 / moved.iter().filter(|one| !is_fix(one)).count().max(1) as f64;
-    figures.report_bounded("replayable scans not served beside a move", others, 0.01, "share");
-    let bound = both[0].fleet.options.lease_bound_seconds + both[0].fleet.options.lease_seconds;
-    figures.report_bounded("longest time for which fixes of a segment are turned away", longest, bound, "s");
-    figures.report_bounded("moves that did not come to their end", failed as f64, 0.0, "");
-    let done = (rounds - failed) * MOVED_SEGMENTS.len();
-    let bytes: u64 = both.iter().map(|one| one.fleet.filler.moved_bytes()).sum();
-    let least = (done as u64 * SEGMENT_BYTES).max(1);
-    figures.report_bounded(
-        "bytes moved, against the least possible",
-        bytes as f64 / least as f64,
-        1.0,
-        "times",
-    );
-    let found: Vec<_> = both.iter().flat_map(|one| one.fleet.audit()).collect();
+}
+
+fn report_rejections(figures: &mut Figures, measured: &Measured, fleet_options: &FleetOptions) {
+    let rejected = measured.undisturbed.iter().filter(|one| one.status == Some(429)).count();
+    figures.report("fixes turned away during switches", measured.rejected_fixes as f64, "");
+    figures.report("scans turned away where nothing moved", rejected as f64, "");
+    let idempotent = measured.moved.iter().filter(|one| !is_fix(one));
+    let not_served = idempotent.clone().filter(|one| one.status != Some(200)).count();
+    let ratio = not_served as f64 / idempotent.count().max(1) as f64;
+    figures.report_bounded("replayable scans not served beside a move", ratio, MAX_NOT_SERVED_RATIO, "share");
+    let bound = fleet_options.lease_bound_seconds + fleet_options.lease_seconds;
+    let name = "longest time for which fixes of a segment are turned away";
+    figures.report_bounded(name, measured.longest_rejection_seconds, bound, "s");
+    let failed = measured.failed_moves as f64;
+    figures.report_bounded("moves that did not come to their end", failed, 0.0, "");
+}
+
+fn report_findings(figures: &mut Figures, fleets: &[Moving; 2]) {
+    let found: Vec<_> = fleets.iter().flat_map(|one| one.fleet.audit()).collect();
     found.iter().take(5).for_each(|finding| eprintln!("{finding}"));
-    let of = |is: fn(&Finding) -> bool| found.iter().filter(|finding| is(finding)).count() as f64;
-    let doubled = |f: &Finding| {
+    let count = |is: fn(&Finding) -> bool| found.iter().filter(|finding| is(finding)).count() as f64;
+    let ran_twice = |finding: &Finding| {
         matches!(
-            f,
+            finding,
             Finding::DuplicateAttempt { .. } | Finding::RanTwice { .. } | Finding::OverlappingRuns { .. }
         )
     };
-    let falsely = |f: &Finding| matches!(f, Finding::FalselyComplete { .. } | Finding::MixedEpochs { .. });
-    figures.report_bounded("non-replayable parts doubled, or at two owners", of(doubled), 0.0, "");
-    figures.report_bounded("answers falsely whole", of(falsely), 0.0, "");
+    let falsely_complete =
+        |finding: &Finding| matches!(finding, Finding::FalselyComplete { .. } | Finding::MixedEpochs { .. });
+    figures.report_bounded("non-replayable parts doubled, or at two owners", count(ran_twice), 0.0, "");
+    figures.report_bounded("answers falsely whole", count(falsely_complete), 0.0, "");
     figures.report_bounded("findings of the auditor in all", found.len() as f64, 0.0, "");
-    let contradiction =
-        both.iter().map(|one| longest_contradiction(&one.fleet.records())).fold(0.0, f64::max);
-    figures.report_bounded("longest contradiction", contradiction, 0.0, "s");
-    let curve = |name: &str, outcomes: &[QueryOutcome]| {
-        let at = |i: u32| {
-            (
-                f64::from(i),
-                1e3 * latency_quantile(outcomes, QueryOutcome::is_idempotent, f64::from(i) / 100.0),
-            )
-        };
-        Curve { name: name.to_string(), points: (0..100).map(at).collect() }
+    let contradictions = fleets.iter().map(|one| longest_contradiction(&one.fleet.records()));
+    figures.report_bounded("longest contradiction", contradictions.fold(0.0, f64::max), 0.0, "s");
+}
+
+fn latency_curve(name: &str, outcomes: &[QueryOutcome]) -> Curve {
+    let point = |percent: u32| {
+        let percent = f64::from(percent);
+        (percent, 1e3 * latency_quantile(outcomes, QueryOutcome::is_idempotent, percent / 100.0))
     };
-    let curves = vec![curve("undisturbed", &still), curve("beside a move", &moved)];
-    figures.plots.push(("times".to_string(), ["percent of replayable scans", "ms"], curves));
-    Ok(figures)
+    Curve { name: name.to_string(), points: (0..100).map(point).collect() }
 }
--- a/crates/dunepond-testkit/src/experiments/settlement/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/mod.rs
@@ -114,7 +114,7 @@
         bounds(&mut figures, FLOOD, &all);
     }
     if !curves.is_empty() {
-        figures.plots.push(("open-debts".to_string(), ["simulated seconds", "MB"], curves));
+        figures.plot("open-debts", "simulated seconds", "MB", curves);
     }
     Ok(figures)
 }
--- a/crates/dunepond-testkit/src/experiments/shard_map/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/shard_map/mod.rs
@@ -111,5 +111,5 @@
         curve("move", |cost| cost.transition),
         curve("change", |cost| cost.delta),
     ];
-    figures.plots.push(("cost".to_string(), ["segments, powers of ten", "µs a segment"], curves));
+    figures.plot("cost", "segments, powers of ten", "µs a segment", curves);
 }
--- a/crates/dunepond-testkit/src/faulty_disk.rs
+++ b/crates/dunepond-testkit/src/faulty_disk.rs
@@ -10,12 +10,17 @@
 use dunepond_body_buffer::{DiskFolder, SpillFile, SpillFolder};
 use dunepond_storage::{FileStore, WritableFile};
 
+/// A folder for spilled bodies that fails as its file says.
 pub struct FaultySpillFolder {
     disk: DiskFolder,
     faults_file: PathBuf,
 }
 
 impl FaultySpillFolder {
+    /// On a folder, with the file that says how it fails.
+    ///
+    /// # Errors
+    /// Where the folder cannot be opened.
     pub fn new(folder: &Path, faults_file: &Path) -> io::Result<Self> {
         Ok(Self {
             disk: DiskFolder::open(folder, &format!("lab{}", std::process::id()))?,
@@ -87,6 +92,7 @@
 }
 
 impl FaultyFileStore {
+    /// On a folder, with the file that says how it fails; the folder is opened at the first call.
     pub fn new(path: &Path, faults_file: &Path) -> io::Result<Self> {
         Ok(Self {
             path: path.to_path_buf(),
--- a/crates/dunepond-testkit/src/fleet/clients.rs
+++ b/crates/dunepond-testkit/src/fleet/clients.rs
@@ -83,11 +83,15 @@
 /// What became of one scan.
 #[derive(Clone, Debug)]
 pub struct QueryOutcome {
+    /// The broker that was asked.
     pub broker: usize,
+    /// Its place in [`QUERY_CLASSES`].
     pub kind: usize,
     /// The first that it asked for.
     pub segment: u64,
+    /// When the client connected or sent.
     pub started_at: Instant,
+    /// Until its answer or the end of its connection.
     pub latency_seconds: f64,
     /// None where nobody listened, or the connection ended without an answer.
     pub status: Option<u16>,
@@ -96,6 +100,7 @@
 }
 
 impl QueryOutcome {
+    /// Whether its parts may run twice.
     pub fn is_idempotent(&self) -> bool {
         QUERY_CLASSES[self.kind] != NON_IDEMPOTENT_CLASS
     }
@@ -158,6 +163,7 @@
     Some(Client::from_stream(stream))
 }
 
+/// Clients at work; they end when this is dropped.
 pub struct Clients {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<Vec<QueryOutcome>>>,
--- a/crates/dunepond-testkit/src/fleet/filler.rs
+++ b/crates/dunepond-testkit/src/fleet/filler.rs
@@ -30,7 +30,9 @@
     progress: BTreeMap<String, (u64, u64)>,
 }
 
+/// The operator's service that fills replicas.
 pub struct FillService {
+    /// Where it takes orders.
     pub address: SocketAddr,
     state: Arc<Mutex<FillState>>,
 }
@@ -54,6 +56,7 @@
         self.state.lock().unwrap().paused = so;
     }
 
+    /// How long each fill takes from now on.
     pub fn set_fill_seconds(&self, seconds: f64) {
         self.state.lock().unwrap().fill_seconds = seconds;
     }
@@ -73,6 +76,7 @@
         self.state.lock().unwrap().orders.len()
     }
 
+    /// All orders that came, as they were sent.
     pub fn orders(&self) -> Vec<Value> {
         self.state.lock().unwrap().orders.clone()
     }
--- a/crates/dunepond-testkit/src/lib.rs
+++ b/crates/dunepond-testkit/src/lib.rs
@@ -1,4 +1,6 @@
-//! The laboratory: stand-ins for a broker's peers that tests and experiments share, faults, load and reports.
+//! Stand-ins for a broker's peers that tests and experiments share, fault injection, load, an auditor and reports.
+
+#![warn(missing_docs)]
 
 pub mod auditor;
 pub mod body_cluster;
--- a/crates/dunepond-testkit/src/links/mod.rs
+++ b/crates/dunepond-testkit/src/links/mod.rs
@@ -22,11 +22,13 @@
 pub struct LinkConditions {
     /// Share of messages that are lost. A stream loses nothing, but what is lost comes `RETRANSMIT_DELAY_SECONDS` later, and all behind it.
     pub loss_ratio: f64,
+    /// Added to all that passes.
     pub delay_seconds: f64,
     /// Up to so much more, drawn for each message.
     pub jitter_seconds: f64,
-    /// Share of datagrams that come `REORDER_DELAY_SECONDS` later, behind others, and share that come twice.
+    /// Share of datagrams that come `REORDER_DELAY_SECONDS` later, behind others.
     pub reorder_ratio: f64,
+    /// Share of datagrams that come twice.
     pub duplicate_ratio: f64,
     /// Bytes a second.
     pub bytes_per_second: Option<f64>,
@@ -36,6 +38,7 @@
     pub half_open: bool,
 }
 
+/// Nothing is lost or late.
 pub const HEALTHY: LinkConditions = LinkConditions {
     loss_ratio: 0.0,
     delay_seconds: 0.0,
@@ -46,6 +49,7 @@
     cut: false,
     half_open: false,
 };
+/// Nothing passes.
 pub const CUT: LinkConditions = LinkConditions { cut: true, ..HEALTHY };
 /// What a system waits at least before it sends a lost segment again.
 const RETRANSMIT_DELAY_SECONDS: f64 = 0.2;
@@ -75,6 +79,7 @@
     }
 }
 
+/// Relays between all pairs of processes; they end when this is dropped.
 pub struct Links {
     names: Vec<String>,
     directions: BTreeMap<(String, String), Arc<Direction>>,
@@ -125,10 +130,12 @@
         self.at[&(from.to_string(), to.to_string())]
     }
 
+    /// Sets how the link from one to the other carries from now on.
     pub fn set(&self, from: &str, to: &str, conditions: &LinkConditions) {
         self.directions[&(from.to_string(), to.to_string())].conditions.send_replace(conditions.clone());
     }
 
+    /// Sets how all links carry from now on.
     pub fn set_all(&self, conditions: &LinkConditions) {
         for direction in self.directions.values() {
             direction.conditions.send_replace(conditions.clone());
@@ -178,10 +185,12 @@
         self.directions[&(from.to_string(), to.to_string())].delivered.load(Ordering::Relaxed)
     }
 
+    /// Chunks and datagrams that all links have delivered.
     pub fn total_delivered(&self) -> u64 {
         self.directions.values().map(|direction| direction.delivered.load(Ordering::Relaxed)).sum()
     }
 
+    /// The names of the processes.
     pub fn names(&self) -> &[String] {
         &self.names
     }
--- a/crates/dunepond-testkit/src/links/recording.rs
+++ b/crates/dunepond-testkit/src/links/recording.rs
@@ -25,10 +25,12 @@
 pub struct Recording(Mutex<Option<Recorded>>);
 
 impl Recording {
+    /// Records from now on, beginning with nothing.
     pub fn start(&self) {
         *self.0.lock().unwrap() = Some(Recorded::default());
     }
 
+    /// Adds bytes to the stream of this number, up to a limit.
     pub fn record_stream(&self, number: u64, bytes: &[u8]) {
         if let Some(pile) = &mut *self.0.lock().unwrap() {
             let stream = pile.streams.entry(number).or_default();
@@ -37,6 +39,7 @@
         }
     }
 
+    /// Adds a datagram, up to a limit.
     pub fn record_datagram(&self, bytes: &[u8]) {
         if let Some(pile) =
             self.0.lock().unwrap().as_mut().filter(|pile| pile.datagrams.len() < MAX_DATAGRAMS)
--- a/crates/dunepond-testkit/src/links/tcp.rs
+++ b/crates/dunepond-testkit/src/links/tcp.rs
@@ -18,6 +18,7 @@
 const MAX_CHUNKS_IN_FLIGHT: usize = 64;
 const CHUNK_BYTES: usize = 16 * 1024;
 
+/// Accepts connections and relays each of them.
 pub async fn run(relay: Arc<Relay>, listener: TcpListener) {
     for number in 1.. {
         let Ok((stream, _)) = listener.accept().await else { return };
--- a/crates/dunepond-testkit/src/links/udp.rs
+++ b/crates/dunepond-testkit/src/links/udp.rs
@@ -14,6 +14,7 @@
 
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
+/// Relays datagrams both ways until the runtime ends.
 pub async fn run(relay: Arc<Relay>, near: UdpSocket) -> io::Result<()> {
     let far = UdpSocket::bind("127.0.0.1:0").await?;
     far.connect(relay.target).await?;
--- a/crates/dunepond-testkit/src/memory_store.rs
+++ b/crates/dunepond-testkit/src/memory_store.rs
@@ -10,6 +10,7 @@
 /// What is to become of the calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultPlan {
+    /// All calls succeed.
     Serve,
     /// The process stops at this call, of which a part may be done.
     StopAt(usize),
@@ -40,6 +41,7 @@
     bytes: u64,
 }
 
+/// Files in memory; clones share them.
 #[derive(Clone, Debug)]
 pub struct MemoryStore(Arc<Mutex<State>>);
 
@@ -96,6 +98,7 @@
 }
 
 impl MemoryStore {
+    /// What becomes of the calls from now on, which are counted from 0 again.
     pub fn set_plan(&self, plan: FaultPlan) {
         let mut state = self.0.lock().unwrap();
         (state.plan, state.calls) = (plan, 0);
@@ -106,6 +109,7 @@
         self.0.lock().unwrap().calls
     }
 
+    /// Bytes that were ever written.
     pub fn bytes_written(&self) -> u64 {
         self.0.lock().unwrap().bytes
     }
@@ -157,6 +161,7 @@
         state.now.get(name).map(|inode| state.inodes[*inode].now.clone())
     }
 
+    /// Puts a file there, as if it had been synced, behind everybody's back.
     pub fn overwrite(&self, name: &str, bytes: Vec<u8>) {
         let mut state = self.0.lock().unwrap();
         let inode = state.inodes.len();
@@ -165,6 +170,7 @@
         state.synced.insert(name.to_string(), inode);
     }
 
+    /// The names of all files.
     pub fn names(&self) -> Vec<String> {
         self.0.lock().unwrap().now.keys().cloned().collect()
     }
--- a/crates/dunepond-testkit/src/processes.rs
+++ b/crates/dunepond-testkit/src/processes.rs
@@ -24,6 +24,7 @@
     wait_until_within(WAIT_TIMEOUT, until)
 }
 
+/// Waits at most so long until a condition holds; false where it does not in time.
 pub fn wait_until_within(longest: Duration, mut until: impl FnMut() -> bool) -> bool {
     let start = Instant::now();
     while !until() {
@@ -37,6 +38,7 @@
 
 /// One broker through all of its lives.
 pub struct BrokerProcess {
+    /// Its name among brokers.
     pub name: String,
     program: PathBuf,
     arguments: Vec<String>,
@@ -45,6 +47,7 @@
     pub address: SocketAddr,
     /// What outlasts it.
     pub folder: PathBuf,
+    /// Where its output goes, of all its incarnations.
     pub log: PathBuf,
     child: Option<Child>,
 }
@@ -64,11 +67,13 @@
         }
     }
 
+    /// Sets its command line.
     pub fn arguments(mut self, arguments: &[&str]) -> Self {
         self.arguments = arguments.iter().map(|argument| argument.to_string()).collect();
         self
     }
 
+    /// Adds an environment variable; there are no others.
     pub fn environment(mut self, name: &str, value: &str) -> Self {
         self.environment.push((name.to_string(), value.to_string()));
         self
@@ -98,10 +103,15 @@
         ask().unwrap_or(false)
     }
 
+    /// Its process id.
+    ///
+    /// # Panics
+    /// Where it does not run.
     pub fn pid(&self) -> u32 {
         self.child.as_ref().expect("it runs").id()
     }
 
+    /// Whether its process is there.
     pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
@@ -110,6 +120,7 @@
         kill(Pid::from_raw(self.pid() as i32), signal).unwrap_or_else(|e| panic!("{}: {e}", self.name));
     }
 
+    /// Kills it, if it is there.
     pub fn kill(&mut self) {
         // By its handle, which knows whether it has been reaped already and its number is another's.
         if let Some(mut child) = self.child.take() {
@@ -139,6 +150,7 @@
         assert!(wait_until(still), "{} does not stand still", self.name);
     }
 
+    /// Lets it go on after [`BrokerProcess::suspend`].
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
@@ -148,6 +160,7 @@
         self.signal(Signal::SIGHUP);
     }
 
+    /// All that it has logged, in all its incarnations.
     pub fn log_text(&self) -> String {
         fs::read(&self.log).map_or(String::new(), |bytes| String::from_utf8_lossy(&bytes).into_owned())
     }
@@ -183,6 +196,10 @@
         let _ = fs::remove_dir_all(copy);
     }
 
+    /// Removes its folder.
+    ///
+    /// # Panics
+    /// Where it runs.
     pub fn remove_folder(&self) {
         assert!(self.child.is_none(), "{} runs on its folder", self.name);
         let _ = fs::remove_dir_all(&self.folder);
--- a/crates/dunepond-testkit/src/shutdown/client.rs
+++ b/crates/dunepond-testkit/src/shutdown/client.rs
@@ -40,6 +40,7 @@
 }
 
 impl ClientBehavior {
+    /// One of the behaviors, drawn.
     pub fn draw(rng: &mut Pcg64Mcg) -> Self {
         let pause = Duration::from_millis(rng.random_range(5..600));
         match rng.random_range(0..11) {
@@ -57,20 +58,28 @@
 /// How a connection ended, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionEnd {
+    /// In order.
     Closed,
+    /// By a reset, or an error of the system.
     Reset,
 }
 
 /// One request and what became of it.
 #[derive(Clone, Debug)]
 pub struct Request {
+    /// Its id.
     pub id: String,
+    /// The place of the broker that was asked.
     pub broker: usize,
+    /// How its client uses connections.
     pub behavior: ClientBehavior,
+    /// Whether its parts may run twice.
     pub idempotent: bool,
-    /// When its first byte was handed to the system, and its last.
+    /// When its first byte was handed to the system.
     pub started_at: Instant,
+    /// When its last byte was handed to the system.
     pub written_at: Instant,
+    /// When its answer came, and its status.
     pub answered: Option<(Instant, u16)>,
     /// Its client closed the connection without having an answer.
     pub disconnected_at: Option<Instant>,
@@ -80,14 +89,19 @@
 
 /// What all clients of a broker share.
 pub struct BrokerEndpoint {
+    /// Where the broker listens.
     pub address: SocketAddr,
+    /// The broker's place.
     pub broker: usize,
+    /// The query timeout, which is also the time that clients give.
     pub timeout: Duration,
+    /// Share of requests that must not run twice.
     pub non_idempotent_ratio: f64,
     /// When the broker was told to end, once it was.
     pub signalled_at: OnceLock<Instant>,
-    /// After that, until when new connections are made, and when the process is killed.
+    /// How long after the signal new connections are made.
     pub new_connections_until: Duration,
+    /// How long after the signal the process is killed.
     pub kill_after: Duration,
 }
 
@@ -157,6 +171,7 @@
 }
 
 impl Client {
+    /// A client that has not connected yet.
     pub fn new(site: Arc<BrokerEndpoint>, number: usize, habit: ClientBehavior, seed: u64) -> Self {
         let name = format!("b{}c{number}", site.broker);
         let rng = Pcg64Mcg::seed_from_u64(seed ^ ((site.broker as u64) << 32) ^ ((number as u64) << 40));
--- a/crates/dunepond-testkit/src/shutdown/plan.rs
+++ b/crates/dunepond-testkit/src/shutdown/plan.rs
@@ -26,7 +26,9 @@
 /// A stretch in which a broker's process is stopped, from the first SIGTERM on.
 #[derive(Clone, Copy, Debug)]
 pub struct Pause {
+    /// From when, after the first SIGTERM.
     pub from: Duration,
+    /// For how long.
     pub duration: Duration,
 }
 
@@ -37,35 +39,45 @@
     pub reload_before: Option<Duration>,
     /// Signals after it.
     pub signals: Vec<(Duration, Signal)>,
+    /// When its process is stopped.
     pub pauses: Vec<Pause>,
     /// Until then clients that find all their connections busy or closed open new ones here.
     pub new_connections_until: Duration,
+    /// How each of its clients uses connections.
     pub clients: Vec<ClientBehavior>,
     /// Connections that never ask anything.
     pub idle_connections: usize,
 }
 
+/// One shutdown of several brokers, drawn from its seed.
 #[derive(Clone, Debug)]
 pub struct ShutdownPlan {
+    /// What it is drawn from.
     pub seed: u64,
-    /// The query timeout of both table types.
+    /// The query timeout of both query classes.
     pub timeout: Duration,
+    /// How many nodes there are.
     pub nodes: usize,
-    /// The first so many nodes behave so, from this long before (negative) or after the first SIGTERM of all.
+    /// How many of the nodes misbehave: the first ones.
     pub misbehaving_nodes: usize,
+    /// How these behave.
     pub node_behavior: NodeBehavior,
+    /// When they begin, after the first SIGTERM of all, or before it where negative.
     pub misbehaving_after_seconds: f64,
     /// Discovery falls silent at the same time.
     pub discovery_stops: bool,
     /// Share of the requests that must not run twice.
     pub non_idempotent_ratio: f64,
+    /// Descriptors that each broker may use.
     pub sockets: u64,
     /// Between the first SIGTERM of one broker and that of the next.
     pub signal_interval: Duration,
+    /// What happens to each broker.
     pub brokers: Vec<BrokerPlan>,
 }
 
 impl ShutdownPlan {
+    /// Draws a plan.
     pub fn draw(seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let crowd = rng.random_bool(0.25);
--- a/crates/dunepond-testkit/src/shutdown/verdict.rs
+++ b/crates/dunepond-testkit/src/shutdown/verdict.rs
@@ -39,32 +39,41 @@
     RanTwice,
 }
 
+/// A request that shows a rule broken. Times are in seconds after the first SIGTERM to its broker.
 #[derive(Clone, Debug)]
 pub struct ViolatedRequest {
+    /// The rule.
     pub violation: Violation,
+    /// The request.
     pub request: Request,
     /// After the first SIGTERM to its broker, when its last byte was written.
     pub written_after: f64,
-    /// The same for the first attempt and the last, where there was one.
+    /// When its first attempt came to a node, where there was one.
     pub forwarded_after: Option<f64>,
+    /// When its last attempt came to a node, where there was one.
     pub last_attempt_after: Option<f64>,
-    /// The same for the answer.
+    /// When its answer came, where there was one.
     pub answered_after: Option<f64>,
 }
 
 /// What a play came to.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
+    /// All requests.
     pub requests: usize,
-    /// Of those, written after SIGTERM, and written more than 0.7 s after it.
+    /// Requests written after SIGTERM.
     pub after_signal: usize,
+    /// Requests written more than 0.7 s after SIGTERM.
     pub late_after_signal: usize,
+    /// Answers by their status.
     pub answered: BTreeMap<u16, usize>,
     /// Ended by a close that crossed them, never forwarded: their clients send them again elsewhere.
     pub crossed_by_close: usize,
+    /// What broke a rule.
     pub violations: Vec<ViolatedRequest>,
-    /// Brokers that were still there at the kill, and those that ended with another code than 0.
+    /// Brokers that were still there at the kill.
     pub killed: usize,
+    /// Brokers that ended with another code than 0.
     pub failed: usize,
     /// Of answers after SIGTERM, the least time that was left to the kill.
     pub min_time_to_kill: Option<Duration>,
@@ -75,24 +84,32 @@
 
 /// What the requests of a play are judged by.
 pub struct Circumstances {
+    /// Times of each broker.
     pub brokers: Vec<BrokerTimes>,
+    /// The query timeout.
     pub timeout: Duration,
     /// Nodes turned parts away, which may then be sent again.
     pub nodes_reject: bool,
 }
 
+/// What happened to one broker, and when.
 pub struct BrokerTimes {
+    /// When it got its first SIGTERM.
     pub signalled_at: Instant,
+    /// When it was killed.
     pub killed_at: Instant,
     /// The longest stretch for which its process was stopped: it cannot act sooner.
     pub longest_pause: Duration,
+    /// When its process stood still.
     pub stops: Vec<Stop>,
 }
 
 /// A stretch for which a broker's process was stopped.
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
+    /// When it was stopped.
     pub from: Instant,
+    /// When it went on.
     pub until: Instant,
 }
 
@@ -107,6 +124,7 @@
 }
 
 impl Verdict {
+    /// Judges requests by the rules and adds them to the counts.
     pub fn judge(&mut self, requests: Vec<Request>, attempts: &Attempts, circumstances: &Circumstances) {
         for request in requests {
             let times = &circumstances.brokers[request.broker];
@@ -145,6 +163,7 @@
         }
     }
 
+    /// Adds the counts of another play.
     pub fn merge(&mut self, other: Self) {
         self.requests += other.requests;
         self.after_signal += other.after_signal;
@@ -159,6 +178,7 @@
         }
     }
 
+    /// How often a rule was broken.
     pub fn violation_count(&self, breach: Violation) -> usize {
         self.violations.iter().filter(|fault| fault.violation == breach).count()
     }
