--- a/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
@@ -83,7 +83,21 @@
     pub cells: f64,
 }
 
-struct World {
+/// Counts of a broker on their way to the planner.
+struct SentCounts {
+    due: f64,
+    broker: String,
+    counts: CarriedCounts,
+}
+
+/// A fill that one partner carries for another.
+struct CarriedFill {
+    at: f64,
+    from: String,
+    bytes: u64,
+}
+
+struct Simulation {
     now: f64,
     chance: Pcg64Mcg,
     /// Scans and needs: the same under every rule.
@@ -92,7 +106,7 @@
     tallies: Vec<LocalCounts>,
     sides: BrokerPartners,
     /// Counts on their way to whoever plans.
-    post: Vec<(f64, String, CarriedCounts)>,
+    in_transit: Vec<SentCounts>,
     heard: CarriedCounts,
     book: Balances,
     planner: FillPlanner,
@@ -104,7 +118,7 @@
     truth: BTreeMap<(usize, usize), u64>,
     /// Bytes of each holder that is being filled, by second.
     brought: BTreeMap<String, VecDeque<f64>>,
-    log: Vec<(f64, String, u64)>,
+    recent_fills: Vec<CarriedFill>,
     played: Played,
 }
 
@@ -112,8 +126,8 @@
     PARTNERS.iter().position(|it| *it == partner).unwrap_or(0)
 }
 
-impl World {
-    fn new(rule: Option<PlanningRule>, seed: u64) -> World {
+impl Simulation {
+    fn new(rule: Option<PlanningRule>, seed: u64) -> Simulation {
         let broker = |partner: &str| format!("{partner}-1");
         let sides = BrokerPartners {
             partner_of: PARTNERS.iter().map(|p| (broker(p), p.to_string())).collect(),
@@ -122,7 +136,7 @@
         let open = |p: &&str| {
             LocalCounts::open(None, &broker(p), 1).expect("a first start has nothing that could differ")
         };
-        World {
+        Simulation {
             now: 0.0,
             chance: Pcg64Mcg::seed_from_u64(seed),
             outside: Pcg64Mcg::seed_from_u64(seed ^ 0x0de6),
@@ -130,7 +144,7 @@
             book: Balances::new(terms(), sides.clone(), SettlementLedger::default())
                 .expect("the terms above are in order"),
             sides,
-            post: Vec::new(),
+            in_transit: Vec::new(),
             heard: CarriedCounts::new(),
             planner: FillPlanner::new("planner", rule.unwrap_or(PlanningRule::Cheapest), seed),
             needs: VecDeque::new(),
@@ -138,7 +152,7 @@
             fillings: Vec::new(),
             truth: BTreeMap::new(),
             brought: BTreeMap::new(),
-            log: Vec::new(),
+            recent_fills: Vec::new(),
             played: Played::default(),
         }
     }
@@ -159,7 +173,7 @@
             let (broker, told) = (format!("{partner}-1"), tally.counts().clone());
             for _ in 0..1 + usize::from(self.chance.random::<f64>() < 0.3) {
                 let due = self.now + self.chance.random::<f64>() * 60.0;
-                self.post.push((due, broker.clone(), told.clone()));
+                self.in_transit.push(SentCounts { due, broker: broker.clone(), counts: told.clone() });
             }
             if self.chance.random::<f64>() < 0.02 {
                 let anew = LocalCounts::open(Some(tally.clone()), &broker, tally.incarnation() + 1);
@@ -170,8 +184,8 @@
 
     fn hear(&mut self, all: bool) {
         let (now, sides) = (self.now, &self.sides);
-        for (_, from, counts) in self.post.extract_if(.., |(due, ..)| all || *due <= now) {
-            self.heard.merge_from(&from, &counts, sides).expect("fewer cells than a flood has");
+        for sent in self.in_transit.extract_if(.., |sent| all || sent.due <= now) {
+            self.heard.merge_from(&sent.broker, &sent.counts, sides).expect("fewer cells than a flood has");
         }
         self.book.update_counts(now, &self.heard);
     }
@@ -229,7 +243,8 @@
             let since = self.since.insert(fill.to.clone(), self.now).unwrap_or(self.now);
             self.played.waited = self.played.waited.max(self.now - since);
             if fill.from != fill.to {
-                self.log.push((self.now, fill.from.clone(), fill.bytes));
+                let (at, from) = (self.now, fill.from.clone());
+                self.recent_fills.push(CarriedFill { at, from, bytes: fill.bytes });
             }
             let patience =
                 FillRetryPolicy { deadline_seconds: 1e9, max_attempts: 100, ..FillRetryPolicy::default() };
@@ -240,9 +255,10 @@
         let waited = self.since.values().map(|since| now - since);
         self.played.waited = waited.fold(self.played.waited, f64::max);
         let since = self.now - terms().window_seconds;
-        self.log.retain(|(at, ..)| *at > since);
+        self.recent_fills.retain(|fill| fill.at > since);
         for partner in PARTNERS {
-            let carried: u64 = self.log.iter().filter(|(_, from, _)| from == partner).map(|(.., b)| b).sum();
+            let own = self.recent_fills.iter().filter(|fill| fill.from == partner);
+            let carried: u64 = own.map(|fill| fill.bytes).sum();
             self.played.carried = self.played.carried.max(carried as f64 / terms().max_carried_bytes as f64);
         }
     }
@@ -325,75 +341,124 @@
     }
 }
 
+/// Open debts while queries come, after the first quarter.
+#[derive(Default)]
+struct OpenDebts {
+    sum: f64,
+    worst_sum: f64,
+    samples: f64,
+    /// When the queries ended.
+    at_end: f64,
+}
+
+/// Queries for so long, then fills alone until debts are settled, or as long again.
 pub fn play(mix: &str, rule: Option<PlanningRule>, seed: u64, seconds: f64) -> Played {
-    let mut world = World::new(rule, seed);
+    let mut simulation = Simulation::new(rule, seed);
     let slow = [("mid", "north"), ("north", "mid")].map(|(from, to)| (PartnerPair::new(from, to), SLOW));
     let links =
         LinkCapacities { rate_caps: slow.into(), default_rate_cap: LINK, internal_rate_cap: 4.0 * LINK };
-    let (mut next, mut segment, mut at_end) = (0.0, 0, 0.0);
-    let (mut sum, mut worst, mut samples) = (0.0, 0.0, 0.0);
-    // Scans for so long, then fills alone until debts are settled, or as long again.
-    while world.now < 2.0 * seconds {
-        let scans = world.now < seconds;
-        for holder in world.brought.values_mut() {
-            holder.push_front(0.0);
-            holder.truncate(2);
+    let (mut next, mut segment) = (0.0, 0);
+    let mut debts = OpenDebts::default();
+    while simulation.now < 2.0 * seconds {
+        let queries = simulation.now < seconds;
+        simulation.begin_second();
+        if queries {
+            simulation.carry_queries(mix);
         }
-        for carrier in 0..PARTNERS.len() {
-            for owed_by in (0..PARTNERS.len()).filter(|it| scans && *it != carrier) {
-                let bytes = 2.0 * traffic(mix, carrier, owed_by, world.now) * world.outside.random::<f64>();
-                *world.truth.entry((carrier, owed_by)).or_default() += bytes as u64;
-                world.carried(carrier, owed_by, bytes as u64);
-            }
-        }
-        while next <= world.now {
-            next -= (1.0 - world.outside.random::<f64>()).ln()
+        while next <= simulation.now {
+            next -= (1.0 - simulation.outside.random::<f64>()).ln()
                 * if mix == FLOOD { NEED_EVERY / 4.0 } else { NEED_EVERY };
-            world.need(segment, rule.is_none(), mix == FLOOD);
+            simulation.need(segment, rule.is_none(), mix == FLOOD);
             segment += 1;
         }
-        if world.now % 10.0 == 0.0 {
-            world.tell();
-            world.hear(false);
-            world.plan(&links);
-            let open = world.open();
-            world.played.open.push((world.now, open / 1e6));
-            if scans && world.now >= seconds / 4.0 {
-                (sum, worst, samples) = (sum + open, worst + world.worst(), samples + 1.0);
-            }
-            if mix == FLOOD && !scans {
-                break;
-            } else if scans {
-                at_end = open;
-                world.played.jain = jain_index(&world.ratios());
-            } else if open <= (SETTLED * at_end).max(FEW) {
-                break;
+        if simulation.now % 10.0 == 0.0 && simulation.plan_and_look(&links, mix, seconds, &mut debts) {
+            break;
+        }
+        simulation.fill(&links);
+        simulation.note_cold_load();
+        simulation.now += 1.0;
+    }
+    let settles_in = simulation.now - seconds;
+    simulation.tell();
+    simulation.hear(true);
+    let mut played = simulation.conclude();
+    played.spread = debts.sum / debts.samples;
+    played.worst = debts.worst_sum / debts.samples;
+    played.settles_in = settles_in;
+    played
+}
+
+impl Simulation {
+    fn begin_second(&mut self) {
+        for replica in self.brought.values_mut() {
+            replica.push_front(0.0);
+            replica.truncate(2);
+        }
+    }
+
+    fn carry_queries(&mut self, mix: &str) {
+        for carrier in 0..PARTNERS.len() {
+            for owed_by in (0..PARTNERS.len()).filter(|it| *it != carrier) {
+                let bytes = 2.0 * traffic(mix, carrier, owed_by, self.now) * self.outside.random::<f64>();
+                *self.truth.entry((carrier, owed_by)).or_default() += bytes as u64;
+                self.carried(carrier, owed_by, bytes as u64);
             }
         }
-        world.fill(&links);
-        for holder in world.brought.values() {
-            let units = holder.front().copied().unwrap_or(0.0) / UNIT as f64 + COLD.used_units;
-            world.played.cold = world.played.cold.max(units / max_units(COLD.expected_units));
+    }
+
+    /// Exchanges counts and plans; true where the play is over.
+    fn plan_and_look(
+        &mut self,
+        links: &LinkCapacities,
+        mix: &str,
+        seconds: f64,
+        debts: &mut OpenDebts,
+    ) -> bool {
+        let queries = self.now < seconds;
+        self.tell();
+        self.hear(false);
+        self.plan(links);
+        let open = self.open();
+        self.played.open.push((self.now, open / 1e6));
+        if queries && self.now >= seconds / 4.0 {
+            debts.sum += open;
+            debts.worst_sum += self.worst();
+            debts.samples += 1.0;
+        }
+        if queries {
+            debts.at_end = open;
+            self.played.jain = jain_index(&self.ratios());
+            return false;
         }
-        world.now += 1.0;
+        mix == FLOOD || open <= (SETTLED * debts.at_end).max(FEW)
     }
-    let settles_in = world.now - seconds;
-    world.tell();
-    world.hear(true);
-    let mut played = std::mem::take(&mut world.played);
-    (played.spread, played.worst, played.settles_in) = (sum / samples, worst / samples, settles_in);
-    let pairs = (0..PARTNERS.len()).flat_map(|c| (0..PARTNERS.len()).map(move |o| (c, o)));
-    for (c, o) in pairs.filter(|(c, o)| c < o) {
-        let truth = |c, o| i128::from(world.truth.get(&(c, o)).copied().unwrap_or(0));
-        let off = world.book.balance(PARTNERS[o], PARTNERS[c]) - (truth(c, o) - truth(o, c));
-        played.off += off.unsigned_abs() as f64;
+
+    fn note_cold_load(&mut self) {
+        for replica in self.brought.values() {
+            let units = replica.front().copied().unwrap_or(0.0) / UNIT as f64 + COLD.used_units;
+            self.played.cold = self.played.cold.max(units / max_units(COLD.expected_units));
+        }
+    }
+
+    /// Compares the balances with what was carried in truth.
+    fn conclude(mut self) -> Played {
+        let mut played = std::mem::take(&mut self.played);
+        let pairs = (0..PARTNERS.len()).flat_map(|c| (0..PARTNERS.len()).map(move |o| (c, o)));
+        for (c, o) in pairs.filter(|(c, o)| c < o) {
+            let truth = |c, o| i128::from(self.truth.get(&(c, o)).copied().unwrap_or(0));
+            let off = self.book.balance(PARTNERS[o], PARTNERS[c]) - (truth(c, o) - truth(o, c));
+            played.off += off.unsigned_abs() as f64;
+        }
+        let (mut said, mut seen) = (0, 0);
+        for discrepancy in self.book.discrepancies().iter().filter(|it| it.carrier == LIAR) {
+            said += discrepancy.carrier_bytes;
+            seen += discrepancy.debtor_bytes;
+        }
+        let gross: u64 = PARTNERS.iter().map(|owed_by| self.book.gross(LIAR, owed_by)).sum();
+        let seen_bytes = seen.max(1) as f64;
+        played.counted = gross as f64 / seen_bytes;
+        played.disputed = (said - seen) as f64 / seen_bytes;
+        played.cells = self.heard.cell_count() as f64;
+        played
     }
-    let of_liar = world.book.discrepancies().iter().filter(|it| it.carrier == LIAR);
-    let (said, seen) =
-        of_liar.fold((0, 0), |(said, seen), it| (said + it.carrier_bytes, seen + it.debtor_bytes));
-    let gross: u64 = PARTNERS.iter().map(|owed_by| world.book.gross(LIAR, owed_by)).sum();
-    (played.counted, played.disputed) =
-        (gross as f64 / seen.max(1) as f64, (said - seen) as f64 / seen.max(1) as f64);
-    played.cells = world.heard.cell_count() as f64;
-    played
 }
--- a/crates/dunepond-testkit/src/faulty_disk.rs
+++ b/crates/dunepond-testkit/src/faulty_disk.rs
@@ -1,5 +1,8 @@
-//! A folder that fails as it is told to, in place of a real one. What it is told stands in a file, read at each call,
-//! so that a test can change it under a running broker.
+//! Folders whose disk fails as a file says, which is read at each call, so that a test can change it under a running broker.
+//!
+//! The file holds one word: `full` (no space), `brim` (no space, half of a write done), `quota`, `read-only`, `gone`, `broken`
+//! (any call fails), `unreadable`, `short` (writes nothing), `little` (1000 bytes at a time) or `stall SECONDS`. Without one of these
+//! the disk works.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -29,7 +32,7 @@
     }
 }
 
-/// What a call is to do, by the words of the file: nothing special where there are none.
+/// Fails or delays a call as the file says; the most bytes that it may transfer, if that is limited.
 fn apply_fault(faults_file: &Path, reading: bool) -> io::Result<Option<usize>> {
     let text = fs::read_to_string(faults_file).unwrap_or_default();
     let (fault, argument) = text.trim().split_once(' ').unwrap_or((text.trim(), ""));
@@ -84,7 +87,7 @@
     }
 }
 
-/// The state's folder, by the same words.
+/// A folder of files that fails in the same ways.
 pub struct FaultyFileStore {
     path: PathBuf,
     faults_file: PathBuf,
@@ -153,7 +156,7 @@
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
         let may = apply_fault(&self.faults_file, false);
         if may.is_err() && fs::read_to_string(&self.faults_file).is_ok_and(|fault| fault.trim() == "brim") {
-            // As far as there was room.
+            // As far as there was space.
             self.file.write_all(&bytes[..bytes.len() / 2])?;
         }
         may?;
--- a/crates/dunepond-testkit/src/fleet/clients.rs
+++ b/crates/dunepond-testkit/src/fleet/clients.rs
@@ -57,25 +57,24 @@
 
     /// Clients that ask each of these brokers for all kinds of scans, one after the other, `gap` apart.
     pub fn clients(&self, brokers: impl IntoIterator<Item = usize>, gap: Duration) -> Clients {
-        let (stop, requested_segments) = (Arc::new(AtomicBool::new(false)), self.requested.clone());
-        let threads =
-            brokers.into_iter().flat_map(|broker| (0..QUERY_CLASSES.len()).map(move |kind| (broker, kind)));
-        let segs = self.options.segment_count;
-        let threads = threads.map(|(broker, kind)| {
-            let (to, stop, requested_segments) =
-                (self.brokers[broker].address, stop.clone(), requested_segments.clone());
-            let (timeout, own) = (self.options.query_timeout_seconds, broker_name(broker));
-            thread::spawn(move || {
-                let (mut outcomes, mut client) = (Vec::new(), None);
-                while !stop.load(Ordering::Relaxed) {
-                    let asking = QueryClient { broker, kind, own: &own, segs, timeout };
-                    outcomes.push(asking.ask(to, &mut client, &requested_segments));
-                    thread::sleep(gap);
-                }
-                outcomes
-            })
-        });
-        let threads = threads.collect();
+        let stop = Arc::new(AtomicBool::new(false));
+        let mut threads = Vec::new();
+        for broker in brokers {
+            for kind in 0..QUERY_CLASSES.len() {
+                let client = QueryClient {
+                    broker,
+                    broker_name: broker_name(broker),
+                    address: self.brokers[broker].address,
+                    kind,
+                    segment_count: self.options.segment_count,
+                    timeout_seconds: self.options.query_timeout_seconds,
+                    requested: self.requested.clone(),
+                    connection: None,
+                };
+                let stop = stop.clone();
+                threads.push(thread::spawn(move || client.run(gap, &stop)));
+            }
+        }
         Clients { stop, threads }
     }
 }
@@ -106,52 +105,72 @@
     }
 }
 
-struct QueryClient<'a> {
+/// The segments that each request asked for, by its id.
+type RequestedSegments = Mutex<BTreeMap<String, BTreeSet<u64>>>;
+
+/// Asks one broker for one kind of queries.
+struct QueryClient {
     broker: usize,
+    broker_name: String,
+    address: SocketAddr,
+    /// Its place in [`QUERY_CLASSES`].
     kind: usize,
-    own: &'a str,
-    segs: usize,
-    timeout: f64,
+    segment_count: usize,
+    timeout_seconds: f64,
+    requested: Arc<RequestedSegments>,
+    connection: Option<Client>,
 }
 
-impl QueryClient<'_> {
-    fn ask(
-        &self,
-        to: SocketAddr,
-        client: &mut Option<Client>,
-        requested_segments: &Mutex<BTreeMap<String, BTreeSet<u64>>>,
-    ) -> QueryOutcome {
+impl QueryClient {
+    fn run(mut self, gap: Duration, stop: &AtomicBool) -> Vec<QueryOutcome> {
+        let mut outcomes = Vec::new();
+        while !stop.load(Ordering::Relaxed) {
+            outcomes.push(self.ask());
+            thread::sleep(gap);
+        }
+        outcomes
+    }
+
+    fn ask(&mut self) -> QueryOutcome {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let kind = QUERY_CLASSES[self.kind];
-        let segs: Vec<usize> = match self.kind {
-            0 => vec![number % self.segs, (number + 1) % self.segs],
-            1 => (0..self.segs).collect(),
-            _ => vec![number % self.segs],
-        };
-        let call = format!("{kind}-{}-{number}", self.own);
-        requested_segments.lock().unwrap().insert(call.clone(), segs.iter().map(|seg| *seg as u64).collect());
-        let (began, dialled) = (Instant::now(), client.take().or_else(|| connect(to)));
-        let taken = dialled.is_some();
-        let answer = dialled.and_then(|mut dialled| {
-            // All for one customer, so that its partner comes to owe the other.
-            let caller = format!("X-Caller: {}\r\nX-Budget", TENANTS[0]);
-            let scan = query_request(kind, &call, &segs, &format!("{:.3}", self.timeout))
-                .replacen("X-Budget", &caller, 1);
-            let answer = dialled.try_request(&scan)?;
-            let closes = answer.head.to_ascii_lowercase().contains("connection: close");
-            *client = (!closes).then_some(dialled);
-            Some(answer.status)
-        });
-        let (broker, kind) = (self.broker, self.kind);
+        let query_class = QUERY_CLASSES[self.kind];
+        let segments = self.segments(number);
+        let id = format!("{query_class}-{}-{number}", self.broker_name);
+        let requested = segments.iter().map(|segment| *segment as u64).collect();
+        self.requested.lock().unwrap().insert(id.clone(), requested);
+        let started_at = Instant::now();
+        let connection = self.connection.take().or_else(|| connect(self.address));
+        let sent = connection.is_some();
+        // All for one tenant, so that its partner comes to owe the other.
+        let caller = format!("X-Caller: {}\r\nX-Budget", TENANTS[0]);
+        let budget = format!("{:.3}", self.timeout_seconds);
+        let request = query_request(query_class, &id, &segments, &budget).replacen("X-Budget", &caller, 1);
+        let status = connection.and_then(|connection| self.exchange(connection, &request));
         QueryOutcome {
-            broker,
-            kind,
-            segment: segs[0] as u64,
-            started_at: began,
-            latency_seconds: began.elapsed().as_secs_f64(),
-            status: answer,
-            sent: taken,
+            broker: self.broker,
+            kind: self.kind,
+            segment: segments[0] as u64,
+            started_at,
+            latency_seconds: started_at.elapsed().as_secs_f64(),
+            status,
+            sent,
+        }
+    }
+
+    /// The status of the answer; the connection is kept unless it is to close.
+    fn exchange(&mut self, mut connection: Client, request: &str) -> Option<u16> {
+        let answer = connection.try_request(request)?;
+        let closes = answer.head.to_ascii_lowercase().contains("connection: close");
+        self.connection = (!closes).then_some(connection);
+        Some(answer.status)
+    }
+
+    fn segments(&self, number: usize) -> Vec<usize> {
+        match self.kind {
+            0 => vec![number % self.segment_count, (number + 1) % self.segment_count],
+            1 => (0..self.segment_count).collect(),
+            _ => vec![number % self.segment_count],
         }
     }
 }
@@ -175,7 +194,7 @@
         self.stop.store(true, Ordering::Relaxed);
         let threads = std::mem::take(&mut self.threads);
         let mut outcomes: Vec<_> = threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect();
-        outcomes.sort_by_key(|outcomes| outcomes.started_at);
+        outcomes.sort_by_key(|outcome| outcome.started_at);
         outcomes
     }
 }
--- a/crates/dunepond-testkit/src/fleet/filler.rs
+++ b/crates/dunepond-testkit/src/fleet/filler.rs
@@ -26,8 +26,16 @@
     failures_left: usize,
     /// Broken off for good: an order for this node is answered by a closed connection.
     failed_node: Option<String>,
-    /// Of each id: bytes that are there, and bytes that were ever moved for it.
-    progress: BTreeMap<String, (u64, u64)>,
+    progress: BTreeMap<String, Progress>,
+}
+
+/// How far the fill of an id is.
+#[derive(Default)]
+struct Progress {
+    /// Bytes that are there.
+    present_bytes: u64,
+    /// Bytes that were ever moved for it.
+    moved_bytes: u64,
 }
 
 /// The operator's service that fills replicas.
@@ -40,20 +48,20 @@
 impl FillService {
     pub(super) fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let filler = Self { address: listener.local_addr().unwrap(), state: Arc::default() };
-        let state = filler.state.clone();
+        let service = Self { address: listener.local_addr().unwrap(), state: Arc::default() };
+        let state = service.state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let state = state.clone();
-                thread::spawn(move || attend(stream, &state));
+                thread::spawn(move || serve(stream, &state));
             }
         });
-        filler
+        service
     }
 
     /// Orders are taken, and not answered as long as this is so.
-    pub fn set_paused(&self, so: bool) {
-        self.state.lock().unwrap().paused = so;
+    pub fn set_paused(&self, paused: bool) {
+        self.state.lock().unwrap().paused = paused;
     }
 
     /// How long each fill takes from now on.
@@ -83,11 +91,11 @@
 
     /// Bytes that were moved, of all ids.
     pub fn moved_bytes(&self) -> u64 {
-        self.state.lock().unwrap().progress.values().map(|(_, moved)| moved).sum()
+        self.state.lock().unwrap().progress.values().map(|progress| progress.moved_bytes).sum()
     }
 }
 
-fn attend(mut stream: TcpStream, state: &Mutex<FillState>) -> std::io::Result<()> {
+fn serve(mut stream: TcpStream, state: &Mutex<FillState>) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     loop {
         let (mut head, mut line) = (String::new(), String::new());
@@ -119,7 +127,7 @@
     let word = |key: &str| order[key].as_str().unwrap_or_default().to_string();
     let (id, bytes) = (word("id"), order["bytes"].as_u64().unwrap_or(0));
     let fill_seconds = state.lock().unwrap().fill_seconds;
-    let mut failures_left = None;
+    let mut fail_at_step = None;
     for step in 1..=STEPS {
         if fill_seconds > 0.0 {
             thread::sleep(Duration::from_secs_f64(fill_seconds / STEPS as f64));
@@ -130,17 +138,18 @@
                 .failed_node
                 .as_ref()
                 .is_some_and(|node| [word("holder"), word("source")].contains(node));
-            failures_left = (failed_node || state.failures_left > 0).then_some(STEPS / 2);
+            fail_at_step = (failed_node || state.failures_left > 0).then_some(STEPS / 2);
             state.failures_left = state.failures_left.saturating_sub(usize::from(!failed_node));
         }
         // What is there is not moved again: as many bytes as this step is ahead of it.
-        let (there, moved) = state.progress.entry(id.clone()).or_default();
-        let more = (bytes * step / STEPS).saturating_sub(*there);
-        (*there, *moved) = (*there + more, *moved + more);
-        if *there >= bytes && failures_left.is_none() {
+        let progress = state.progress.entry(id.clone()).or_default();
+        let more = (bytes * step / STEPS).saturating_sub(progress.present_bytes);
+        progress.present_bytes += more;
+        progress.moved_bytes += more;
+        if progress.present_bytes >= bytes && fail_at_step.is_none() {
             return true;
         }
-        if failures_left == Some(step) {
+        if fail_at_step == Some(step) {
             return false;
         }
     }
--- a/crates/dunepond-testkit/src/links/mod.rs
+++ b/crates/dunepond-testkit/src/links/mod.rs
@@ -1,6 +1,6 @@
-//! Links that fail: a relay for each ordered pair of processes, TCP and UDP on one port of loopback. What the relay from
-//! `a` to `b` carries there is bent by how the link `a` to `b` is, and what comes back on it by how `b` to `a` is, as
-//! on a wire. All is changed at run time and drawn from one seed; it ends with the value.
+//! Faulty links: a relay for each ordered pair of processes, TCP and UDP on one port of loopback. Connections from `a` to `b`
+//! suffer the conditions of the link from `a` to `b` on the way there, and those of the link from `b` to `a` on the way back.
+//! Conditions are changed at run time, and chance is drawn from one seed.
 
 mod recording;
 mod tcp;
@@ -17,24 +17,24 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::watch;
 
-/// How a link carries what goes one way. Times in seconds, shares from 0 to 1.
+/// The conditions of a link in one direction. Ratios are from 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkConditions {
-    /// Share of messages that are lost. A stream loses nothing, but what is lost comes `RETRANSMIT_DELAY_SECONDS` later, and all behind it.
+    /// Share of messages that are lost. A stream loses nothing: what is lost, and all behind it, is `RETRANSMIT_DELAY_SECONDS` late.
     pub loss_ratio: f64,
     /// Added to all that passes.
     pub delay_seconds: f64,
-    /// Up to so much more, drawn for each message.
+    /// The most that is added to that, drawn for each message.
     pub jitter_seconds: f64,
     /// Share of datagrams that come `REORDER_DELAY_SECONDS` later, behind others.
     pub reorder_ratio: f64,
     /// Share of datagrams that come twice.
     pub duplicate_ratio: f64,
-    /// Bytes a second.
+    /// The rate limit, if there is one.
     pub bytes_per_second: Option<f64>,
-    /// Datagrams are lost; a stream holds what it has until the link is whole again, and then brings it late.
+    /// Datagrams are lost; a stream is held up until the link is healthy again.
     pub cut: bool,
-    /// Connections are accepted, and what comes on them is thrown away.
+    /// Connections are accepted, and what comes on them is discarded.
     pub half_open: bool,
 }
 
@@ -51,11 +51,11 @@
 };
 /// Nothing passes.
 pub const CUT: LinkConditions = LinkConditions { cut: true, ..HEALTHY };
-/// What a system waits at least before it sends a lost segment again.
+/// What an operating system waits at least before it retransmits.
 const RETRANSMIT_DELAY_SECONDS: f64 = 0.2;
 const REORDER_DELAY_SECONDS: f64 = 0.05;
 
-/// One way between two processes.
+/// One direction between two processes.
 struct Direction {
     conditions: watch::Sender<LinkConditions>,
     /// Raised to break all connections that are open.
@@ -64,7 +64,7 @@
     recording: recording::Recording,
 }
 
-/// What a relay works on: the way there, the way back, and where it leads.
+/// What a relay works on: both directions, and where it leads.
 struct Relay {
     forward: Arc<Direction>,
     backward: Arc<Direction>,
@@ -73,7 +73,7 @@
 }
 
 impl Relay {
-    /// Chance of its own for each thing that passes, whatever the others draw.
+    /// A generator of its own for each connection and direction, whatever the others draw.
     fn rng(&self, number: u64) -> Pcg64Mcg {
         Pcg64Mcg::seed_from_u64(self.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15))
     }
@@ -89,7 +89,10 @@
 }
 
 impl Links {
-    /// Whole links between all of these, each by its name and where it listens itself.
+    /// Healthy links between all of these, each by its name and its own address.
+    ///
+    /// # Errors
+    /// Where the system gives no ports.
     pub fn between(peers: &[(String, SocketAddr)], seed: u64) -> std::io::Result<Self> {
         let runtime =
             Builder::new_multi_thread().worker_threads(2).thread_name("links").enable_all().build()?;
@@ -125,7 +128,7 @@
         Ok(Self { names, directions, at, real: peers.iter().cloned().collect(), runtime: Some(runtime) })
     }
 
-    /// Where `from` has to send what is for `to`.
+    /// Where `from` has to connect to reach `to`.
     pub fn relay_address(&self, from: &str, to: &str) -> SocketAddr {
         self.at[&(from.to_string(), to.to_string())]
     }
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Both ways between each of `some` and all others.
+    /// Sets both directions between each of `some` and all others.
     pub fn set_around(&self, some: &[&str], conditions: &LinkConditions) {
         for (from, to) in self.directions.keys() {
             if some.contains(&from.as_str()) || some.contains(&to.as_str()) {
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Cut apart into these groups, whole within each; who is in none is alone.
+    /// Partitions the processes into groups; one that is in none is alone.
     pub fn partition(&self, groups: &[&[&str]]) {
         let of = |name: &str| groups.iter().position(|group| group.contains(&name));
         for (from, to) in self.directions.keys() {
@@ -167,20 +170,20 @@
         }
     }
 
-    /// From now on all that goes from the one to the other is kept, on connections of its own that begin now.
+    /// Records from now on what goes from the one to the other, on new connections.
     pub fn record(&self, from: &str, to: &str) {
         self.directions[&(from.to_string(), to.to_string())].recording.start();
         self.reset(from, to);
     }
 
-    /// Brings what was kept a second time; how many streams and datagrams.
+    /// Delivers what was recorded a second time; how many streams and datagrams.
     pub fn replay(&self, from: &str, to: &str) -> (usize, usize) {
         let direction = &self.directions[&(from.to_string(), to.to_string())];
         let runtime = self.runtime.as_ref().expect("until the end");
         runtime.block_on(direction.recording.replay(self.real[to])).unwrap()
     }
 
-    /// Chunks of streams and datagrams that came out at `to`'s end.
+    /// Chunks of streams and datagrams that were delivered to `to`.
     pub fn delivered(&self, from: &str, to: &str) -> u64 {
         self.directions[&(from.to_string(), to.to_string())].delivered.load(Ordering::Relaxed)
     }
@@ -198,14 +201,14 @@
 
 impl Drop for Links {
     fn drop(&mut self) {
-        // Without waiting for tasks, each of which ends at its next word to the runtime.
+        // Without waiting for tasks, which end at their next await.
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
         }
     }
 }
 
-/// A listener, and a socket for datagrams of the same number.
+/// A listener, and a datagram socket on the same port.
 async fn pair_of_sockets() -> std::io::Result<(TcpListener, UdpSocket)> {
     let mut last = None;
     for _ in 0..64 {
--- a/crates/dunepond-testkit/src/links/recording.rs
+++ b/crates/dunepond-testkit/src/links/recording.rs
@@ -1,4 +1,4 @@
-//! What a link carried is kept, and brought once more long after: as a queue on the way does that was thought lost.
+//! Records what a link carried and replays it long after, as a queue on the way does that was thought lost.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use tokio::net::{TcpStream, UdpSocket};
 use tokio::time::{Duration, timeout};
 
-/// Of one stream, in bytes, and of datagrams.
+/// The most that is recorded of one stream, and of datagrams.
 const MAX_STREAM_BYTES: usize = 1 << 20;
 const MAX_DATAGRAMS: usize = 256;
-/// For the answers to one stream that is brought again.
+/// For the answers to one stream that is replayed.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
 
 #[derive(Default)]
@@ -20,7 +20,7 @@
     datagrams: Vec<Vec<u8>>,
 }
 
-/// Nothing is kept before that is asked for.
+/// Records nothing until it is started.
 #[derive(Default)]
 pub struct Recording(Mutex<Option<Recorded>>);
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Brings all of it to where it was meant for; how many streams and datagrams.
+    /// Delivers all of it to its target; how many streams and datagrams.
     pub async fn replay(&self, to: SocketAddr) -> std::io::Result<(usize, usize)> {
         let Some(pile) = self.0.lock().unwrap().take() else { return Ok((0, 0)) };
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
@@ -57,7 +57,7 @@
         }
         for stream in pile.streams.values() {
             let mut out = TcpStream::connect(to).await?;
-            // A door that hangs up in the middle has heard enough.
+            // A peer that closes in the middle has read enough.
             if out.write_all(stream).await.is_ok() {
                 let mut answers = Vec::new();
                 let _ = timeout(REPLY_TIMEOUT, out.read_to_end(&mut answers)).await;
--- a/crates/dunepond-testkit/src/memory_store.rs
+++ b/crates/dunepond-testkit/src/memory_store.rs
@@ -1,5 +1,5 @@
-//! Files in memory that lose, in a crash, whatever a real disk may: what was written and not synced, names that were
-//! made or changed and not synced, in any mixture; and that fail any call, or stop the process at it.
+//! Files in memory that lose in a crash whatever a real disk may: unsynced writes and unsynced names, in any mixture; and that
+//! fail any call, or stop the process at it.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,7 +7,7 @@
 
 use dunepond_storage::{FileStore, WritableFile};
 
-/// What is to become of the calls.
+/// Which calls fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultPlan {
     /// All calls succeed.
@@ -104,7 +104,7 @@
         (state.plan, state.calls) = (plan, 0);
     }
 
-    /// Calls since the plan was made.
+    /// Calls since the plan was set.
     pub fn calls(&self) -> usize {
         self.0.lock().unwrap().calls
     }
@@ -114,7 +114,7 @@
         self.0.lock().unwrap().bytes
     }
 
-    /// The process has gone, and with `machine` the machine: what was not synced is kept or lost as `seed` has it.
+    /// The process has crashed, and with `machine` the machine too: then `seed` draws what is lost of that which was not synced.
     pub fn crash(&self, machine: bool, mut seed: u64) {
         let mut state = self.0.lock().unwrap();
         (state.stopped, state.plan, state.calls) = (false, FaultPlan::Serve, 0);
@@ -155,7 +155,7 @@
         state.now = names;
     }
 
-    /// The bytes of a file, to be looked at or changed behind everybody's back.
+    /// The bytes of a file.
     pub fn contents(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.0.lock().unwrap();
         state.now.get(name).map(|inode| state.inodes[*inode].now.clone())
--- a/crates/dunepond-testkit/src/processes.rs
+++ b/crates/dunepond-testkit/src/processes.rs
@@ -14,12 +14,12 @@
 
 use crate::stand_ins;
 
-/// Longest that anything here waits for what must come; a busy machine needs more than one would think.
+/// Longest wait for an event that must come, generous for a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Of the log of a broker whose test fails.
+/// How much is printed of the log of a broker whose test fails.
 const MAX_LOG_BYTES_SHOWN: usize = 6_000;
 
-/// Waits until it is so; false where it has not come in time.
+/// Waits until a condition holds; false where it does not in time.
 pub fn wait_until(until: impl FnMut() -> bool) -> bool {
     wait_until_within(WAIT_TIMEOUT, until)
 }
@@ -36,16 +36,16 @@
     true
 }
 
-/// One broker through all of its lives.
+/// One broker through all of its incarnations.
 pub struct BrokerProcess {
     /// Its name among brokers.
     pub name: String,
     program: PathBuf,
     arguments: Vec<String>,
     environment: Vec<(String, String)>,
-    /// Where its clients go.
+    /// Where it listens for clients.
     pub address: SocketAddr,
-    /// What outlasts it.
+    /// Its folder, which outlasts an incarnation.
     pub folder: PathBuf,
     /// Where its output goes, of all its incarnations.
     pub log: PathBuf,
@@ -53,7 +53,7 @@
 }
 
 impl BrokerProcess {
-    /// Not started yet. Its listening address is its own, so that it is the same in each of its lives.
+    /// Not started yet. Its address must be its own, so that it is the same in each incarnation.
     pub fn new(program: &Path, name: &str, address: SocketAddr, folder: &Path) -> Self {
         Self {
             name: name.to_string(),
@@ -79,7 +79,7 @@
         self
     }
 
-    /// Begins a life; the log goes on behind that of the last.
+    /// Starts an incarnation, whose log goes on behind that of the last.
     pub fn start(&mut self) {
         assert!(self.child.is_none(), "{} runs already", self.name);
         fs::create_dir_all(&self.folder).unwrap();
@@ -90,7 +90,7 @@
         self.child = Some(command.spawn().unwrap_or_else(|e| panic!("{}: {e}", self.program.display())));
     }
 
-    /// Whether it serves: its readiness, as its door tells it.
+    /// Whether it says that it is ready.
     pub fn ready(&self) -> bool {
         let ask = || -> io::Result<bool> {
             let mut stream = TcpStream::connect_timeout(&self.address, Duration::from_millis(500))?;
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Ends it in order; its exit code, or none where it had to be killed.
+    /// Ends it by SIGTERM; its exit code, or none where it had to be killed.
     pub fn terminate(&mut self) -> Option<i32> {
         self.signal(Signal::SIGTERM);
         let child = self.child.as_mut().expect("it runs");
@@ -142,7 +142,7 @@
         code.and_then(|code| code.code())
     }
 
-    /// Stands still until [`BrokerProcess::resume`]; returns once it does.
+    /// Stops its process until [`BrokerProcess::resume`]; returns once it has stopped.
     pub fn suspend(&self) {
         self.signal(Signal::SIGSTOP);
         let stat = format!("/proc/{}/stat", self.pid());
@@ -172,14 +172,14 @@
         copy
     }
 
-    /// In place of its folder as it is comes an old copy, as from a backup.
+    /// Replaces its folder by an old copy, as from a backup.
     pub fn restore_folder(&self, copy: &Path) {
         assert!(self.child.is_none(), "{} runs on its folder", self.name);
         self.remove_folder();
         fs::rename(copy, &self.folder).unwrap();
     }
 
-    /// The same as by an image of the whole disk: the files stay where they are, and only what is in them is old.
+    /// Restores the contents of its files, which stay where they are, as from an image of the whole disk.
     pub fn restore_image(&self, copy: &Path) {
         assert!(self.child.is_none(), "{} runs on its folder", self.name);
         let names = |folder: &Path| -> Vec<_> {
@@ -205,7 +205,7 @@
         let _ = fs::remove_dir_all(&self.folder);
     }
 
-    /// Takes the last bytes off its journals, as a crash in the middle of a write does; how many were torn.
+    /// Takes the last bytes off its journals, as a crash in the middle of a write does; how many were truncated.
     pub fn truncate_journals(&self) -> usize {
         assert!(self.child.is_none(), "{} runs on its folder", self.name);
         let entries = fs::read_dir(&self.folder).unwrap().flatten().map(|entry| entry.path());
@@ -218,7 +218,7 @@
         torn.count()
     }
 
-    /// Seconds of processor time that its loop, the first thread, has used in this life.
+    /// Processor time that its loop, the first thread, has used in this incarnation.
     pub fn loop_cpu_seconds(&self) -> f64 {
         let path = format!("/proc/{0}/task/{0}/schedstat", self.pid());
         let text = fs::read_to_string(path).unwrap_or_default();
