--- a/crates/dunepond-testkit/src/experiments/settlement/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/mod.rs
@@ -7,7 +7,7 @@
 
 use super::RunOptions;
 use crate::report::{Curve, Figures};
-use simulation::{FLOOD, PARTNERS, Played, play, terms};
+use simulation::{FLOOD, PARTNERS, SimulationResult, play, terms};
 
 const MIXES: [&str; 3] = ["even", "lopsided", "ring with bursts"];
 /// Nobody looks at debts: each need has one source, by chance.
@@ -24,7 +24,7 @@
 /// One rule's plays, each from a seed of its own: one draw says little about what chance leaves open.
 struct Plays {
     rule: &'static str,
-    plays: Vec<Played>,
+    plays: Vec<SimulationResult>,
 }
 
 impl Plays {
@@ -36,14 +36,14 @@
         RULES.iter().map(one).collect()
     }
 
-    fn mean(&self, of: impl Fn(&Played) -> f64) -> f64 {
+    fn mean(&self, of: impl Fn(&SimulationResult) -> f64) -> f64 {
         self.plays.iter().map(of).sum::<f64>() / self.plays.len() as f64
     }
 }
 
 /// What holds under every rule, and what only under those that look at debts.
 fn bounds(figures: &mut Figures, mix: &str, all: &[Plays]) {
-    let greatest = |some: &[Plays], of: fn(&Played) -> f64| {
+    let greatest = |some: &[Plays], of: fn(&SimulationResult) -> f64| {
         some.iter().flat_map(|plays| &plays.plays).map(of).fold(0.0, f64::max)
     };
     let most = |of| greatest(all, of);
@@ -72,13 +72,13 @@
     for mix in MIXES.into_iter().filter(|mix| options.includes(mix)) {
         let all = Plays::of(mix, options, seconds);
         for plays in &all {
-            let mut tell = |what: &str, of: fn(&Played) -> f64, unit| {
+            let mut report = |what: &str, of: fn(&SimulationResult) -> f64, unit| {
                 figures.report(format!("{mix}, {}: {what}", plays.rule), plays.mean(of), unit);
             };
-            tell("open debts, mean", |it| it.spread / 1e6, "MB");
-            tell("owed to one partner, mean", |it| it.worst / 1e6, "MB");
-            tell("little is left open after", |it| it.settles_in, "s, simulated");
-            tell("Jain's index of carried to taken", |it| it.jain, "");
+            report("open debts, mean", |it| it.spread / 1e6, "MB");
+            report("owed to one partner, mean", |it| it.worst / 1e6, "MB");
+            report("little is left open after", |it| it.settles_in, "s, simulated");
+            report("Jain's index of carried to taken", |it| it.jain, "");
         }
         for plays in &all[2..] {
             for other in &all[..2] {
@@ -100,16 +100,16 @@
     if options.includes(FLOOD) {
         let all = Plays::of(FLOOD, options, seconds);
         for plays in &all {
-            let mut tell = |what: &str, of: fn(&Played) -> f64, unit| {
+            let mut report = |what: &str, of: fn(&SimulationResult) -> f64, unit| {
                 figures.report(format!("{FLOOD}, {}: {what}", plays.rule), plays.mean(of), unit);
             };
-            let least = |it: &Played| {
-                let others = (1..PARTNERS.len()).map(|at| it.served[at] / it.asked[at].max(1.0));
+            let least = |it: &SimulationResult| {
+                let others = (1..PARTNERS.len()).map(|at| it.served[at] / it.demanded[at].max(1.0));
                 others.fold(1.0, f64::min)
             };
-            tell("least served of one that does not flood", least, "of asked");
-            tell("served of all", |it| it.served.iter().sum::<f64>() / 1e6, "MB");
-            tell("longest without a fill", |it| it.waited, "s, simulated");
+            report("least served of one that does not flood", least, "of asked");
+            report("served of all", |it| it.served.iter().sum::<f64>() / 1e6, "MB");
+            report("longest without a fill", |it| it.waited, "s, simulated");
         }
         bounds(&mut figures, FLOOD, &all);
     }
--- a/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
@@ -8,33 +8,33 @@
 
 pub const PARTNERS: [&str; 5] = ["east", "mid", "north", "south", "west"];
 /// The one that claims ten times what it carried.
-const LIAR: &str = "west";
+const INFLATING_PARTNER: &str = "west";
 /// Scans as in the even mix, and the first partner asks for far more fills than all can carry.
 pub const FLOOD: &str = "flood of needs";
 const KB: f64 = 1024.0;
 /// Bytes a second of all scans that another partner answers, and of a link; one pair of partners has a slow one.
-const SCANS: f64 = 1200.0 * KB;
-const LINK: f64 = 2048.0 * KB;
-const SLOW: f64 = 256.0 * KB;
+const QUERY_BYTES_PER_SECOND: f64 = 1200.0 * KB;
+const LINK_BYTES_PER_SECOND: f64 = 2048.0 * KB;
+const SLOW_LINK_BYTES_PER_SECOND: f64 = 256.0 * KB;
 /// A need comes every so many seconds, of so many bytes at most.
-const NEED_EVERY: f64 = 8.0;
-const NEED_BYTES: u64 = 64 << 20;
+const DEMAND_INTERVAL_SECONDS: f64 = 8.0;
+const MAX_DEMAND_BYTES: u64 = 64 << 20;
 /// What is left for settled: a share of what was open when the scans ended, or so many bytes, as fills go on.
-const SETTLED: f64 = 0.1;
-const FEW: f64 = 2.0 * NEED_BYTES as f64;
-const COLD: NodeCapacity = NodeCapacity { expected_units: 4.0, used_units: 6.0 };
-const UNIT: u64 = 256 << 10;
+const SETTLED_RATIO: f64 = 0.1;
+const SETTLED_BYTES: f64 = 2.0 * MAX_DEMAND_BYTES as f64;
+const COLD_CAPACITY: NodeCapacity = NodeCapacity { expected_units: 4.0, used_units: 6.0 };
+const UNIT_BYTES: u64 = 256 << 10;
 
 pub fn terms() -> SettlementTerms {
     SettlementTerms {
         window_seconds: 600.0,
         half_life_seconds: 1800.0,
         max_fill_bytes: 128 << 20,
-        max_debt_speed: 2.0 * LINK,
+        max_debt_speed: 2.0 * LINK_BYTES_PER_SECOND,
         max_debt_bytes: 4 << 30,
         max_carried_bytes: 640 << 20,
         min_fill_rate: 64.0 * KB,
-        max_fill_rate: LINK,
+        max_fill_rate: LINK_BYTES_PER_SECOND,
         ..SettlementTerms::default()
     }
 }
@@ -43,20 +43,21 @@
 fn traffic(mix: &str, carrier: usize, owed_by: usize, now: f64) -> f64 {
     let all = PARTNERS.len();
     match mix {
-        "even" | FLOOD => SCANS / (all * (all - 1)) as f64,
+        "even" | FLOOD => QUERY_BYTES_PER_SECOND / (all * (all - 1)) as f64,
         // Nearly all customers are the first partner's.
-        "lopsided" => SCANS * if owed_by == 0 { 0.8 / 4.0 } else { 0.2 / 16.0 },
+        "lopsided" => QUERY_BYTES_PER_SECOND * if owed_by == 0 { 0.8 / 4.0 } else { 0.2 / 16.0 },
         _ => {
             let burst = ((now / 600.0) as usize) % all == owed_by;
             let ring = (owed_by + 1) % all == carrier;
-            SCANS * (if ring { 0.5 / 5.0 } else { 0.0 } + if burst { 0.5 / 4.0 } else { 0.0 })
+            QUERY_BYTES_PER_SECOND
+                * (if ring { 0.5 / 5.0 } else { 0.0 } + if burst { 0.5 / 4.0 } else { 0.0 })
         }
     }
 }
 
 /// What one play gave.
 #[derive(Default)]
-pub struct Played {
+pub struct SimulationResult {
     /// Open bytes over time; their mean while scans came, after the first quarter.
     pub open: Vec<(f64, f64)>,
     pub spread: f64,
@@ -73,7 +74,7 @@
     pub waited: f64,
     pub fills: f64,
     /// Bytes of needs, and of those planned, by partner.
-    pub asked: [f64; 5],
+    pub demanded: [f64; 5],
     pub served: [f64; 5],
     /// Bytes by which the book differs from what was carried in truth.
     pub off: f64,
@@ -99,27 +100,27 @@
 
 struct Simulation {
     now: f64,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     /// Scans and needs: the same under every rule.
-    outside: Pcg64Mcg,
+    traffic_rng: Pcg64Mcg,
     /// Two a partner would be more than is needed: one broker a partner, on that side.
-    tallies: Vec<LocalCounts>,
-    sides: BrokerPartners,
+    local_counts: Vec<LocalCounts>,
+    broker_partners: BrokerPartners,
     /// Counts on their way to whoever plans.
     in_transit: Vec<SentCounts>,
-    heard: CarriedCounts,
-    book: Balances,
+    merged_counts: CarriedCounts,
+    balances: Balances,
     planner: FillPlanner,
-    needs: VecDeque<FillDemand>,
+    demands: VecDeque<FillDemand>,
     /// Since when each partner that needs fills has had none.
-    since: BTreeMap<String, f64>,
-    fillings: Vec<(f64, FillProgress)>,
+    waiting_since: BTreeMap<String, f64>,
+    running_fills: Vec<(f64, FillProgress)>,
     /// In truth: carrier, owed by, bytes.
-    truth: BTreeMap<(usize, usize), u64>,
+    actual: BTreeMap<(usize, usize), u64>,
     /// Bytes of each holder that is being filled, by second.
-    brought: BTreeMap<String, VecDeque<f64>>,
+    delivered: BTreeMap<String, VecDeque<f64>>,
     recent_fills: Vec<CarriedFill>,
-    played: Played,
+    result: SimulationResult,
 }
 
 fn index(partner: &str) -> usize {
@@ -129,7 +130,7 @@
 impl Simulation {
     fn new(rule: Option<PlanningRule>, seed: u64) -> Simulation {
         let broker = |partner: &str| format!("{partner}-1");
-        let sides = BrokerPartners {
+        let broker_partners = BrokerPartners {
             partner_of: PARTNERS.iter().map(|p| (broker(p), p.to_string())).collect(),
             metered: PARTNERS.iter().map(|p| p.to_string()).collect::<BTreeSet<_>>(),
         };
@@ -138,22 +139,22 @@
         };
         Simulation {
             now: 0.0,
-            chance: Pcg64Mcg::seed_from_u64(seed),
-            outside: Pcg64Mcg::seed_from_u64(seed ^ 0x0de6),
-            tallies: PARTNERS.iter().map(open).collect(),
-            book: Balances::new(terms(), sides.clone(), SettlementLedger::default())
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            traffic_rng: Pcg64Mcg::seed_from_u64(seed ^ 0x0de6),
+            local_counts: PARTNERS.iter().map(open).collect(),
+            balances: Balances::new(terms(), broker_partners.clone(), SettlementLedger::default())
                 .expect("the terms above are in order"),
-            sides,
+            broker_partners,
             in_transit: Vec::new(),
-            heard: CarriedCounts::new(),
+            merged_counts: CarriedCounts::new(),
             planner: FillPlanner::new("planner", rule.unwrap_or(PlanningRule::Cheapest), seed),
-            needs: VecDeque::new(),
-            since: BTreeMap::new(),
-            fillings: Vec::new(),
-            truth: BTreeMap::new(),
-            brought: BTreeMap::new(),
+            demands: VecDeque::new(),
+            waiting_since: BTreeMap::new(),
+            running_fills: Vec::new(),
+            actual: BTreeMap::new(),
+            delivered: BTreeMap::new(),
             recent_fills: Vec::new(),
-            played: Played::default(),
+            result: SimulationResult::default(),
         }
     }
 
@@ -162,44 +163,47 @@
         if carrier == owed_by || bytes == 0 {
             return;
         }
-        let times = if PARTNERS[carrier] == LIAR { 10 } else { 1 };
-        self.tallies[carrier].record(PARTNERS[carrier], PARTNERS[owed_by], bytes * times);
-        self.tallies[owed_by].record(PARTNERS[carrier], PARTNERS[owed_by], bytes);
+        let times = if PARTNERS[carrier] == INFLATING_PARTNER { 10 } else { 1 };
+        self.local_counts[carrier].record(PARTNERS[carrier], PARTNERS[owed_by], bytes * times);
+        self.local_counts[owed_by].record(PARTNERS[carrier], PARTNERS[owed_by], bytes);
     }
 
     /// A broker tells, and now and then starts anew; what it told comes late, and often twice.
-    fn tell(&mut self) {
-        for (partner, tally) in PARTNERS.iter().zip(&mut self.tallies) {
-            let (broker, told) = (format!("{partner}-1"), tally.counts().clone());
-            for _ in 0..1 + usize::from(self.chance.random::<f64>() < 0.3) {
-                let due = self.now + self.chance.random::<f64>() * 60.0;
-                self.in_transit.push(SentCounts { due, broker: broker.clone(), counts: told.clone() });
+    fn send_counts(&mut self) {
+        for (partner, local) in PARTNERS.iter().zip(&mut self.local_counts) {
+            let (broker, sent_counts) = (format!("{partner}-1"), local.counts().clone());
+            for _ in 0..1 + usize::from(self.rng.random::<f64>() < 0.3) {
+                let due = self.now + self.rng.random::<f64>() * 60.0;
+                self.in_transit.push(SentCounts { due, broker: broker.clone(), counts: sent_counts.clone() });
             }
-            if self.chance.random::<f64>() < 0.02 {
-                let anew = LocalCounts::open(Some(tally.clone()), &broker, tally.incarnation() + 1);
-                *tally = anew.expect("its own folder, and a later number");
+            if self.rng.random::<f64>() < 0.02 {
+                let restarted = LocalCounts::open(Some(local.clone()), &broker, local.incarnation() + 1);
+                *local = restarted.expect("its own folder, and a later number");
             }
         }
     }
 
-    fn hear(&mut self, all: bool) {
-        let (now, sides) = (self.now, &self.sides);
+    fn receive_counts(&mut self, all: bool) {
+        let (now, broker_partners) = (self.now, &self.broker_partners);
         for sent in self.in_transit.extract_if(.., |sent| all || sent.due <= now) {
-            self.heard.merge_from(&sent.broker, &sent.counts, sides).expect("fewer cells than a flood has");
+            self.merged_counts
+                .merge_from(&sent.broker, &sent.counts, broker_partners)
+                .expect("fewer cells than a flood has");
         }
-        self.book.update_counts(now, &self.heard);
+        self.balances.update_counts(now, &self.merged_counts);
     }
 
-    fn need(&mut self, segment: u64, one_source: bool, flood: bool) {
-        let draw = |chance: &mut Pcg64Mcg, below: usize| (chance.random::<f64>() * below as f64) as usize;
-        let (to, floods) = (draw(&mut self.outside, PARTNERS.len()), self.outside.random::<f64>() < 0.8);
+    fn add_demand(&mut self, segment: u64, one_source: bool, flood: bool) {
+        let draw = |rng: &mut Pcg64Mcg, below: usize| (rng.random::<f64>() * below as f64) as usize;
+        let (to, floods) =
+            (draw(&mut self.traffic_rng, PARTNERS.len()), self.traffic_rng.random::<f64>() < 0.8);
         let to = if flood && floods { 0 } else { to };
         let mut from: Vec<usize> = (0..PARTNERS.len()).collect();
         while from.len() > 3 {
-            let out = draw(&mut self.outside, from.len());
+            let out = draw(&mut self.traffic_rng, from.len());
             from.remove(out);
         }
-        let one = draw(&mut self.outside, 3);
+        let one = draw(&mut self.traffic_rng, 3);
         if one_source {
             from = vec![from[one]];
         }
@@ -209,9 +213,10 @@
             (true, 0) => (0.125, 0.5),
             (true, _) => (0.625, 1.0),
         };
-        let bytes = (NEED_BYTES as f64 * (least + (most - least) * self.outside.random::<f64>())) as u64;
-        self.played.asked[to] += bytes as f64;
-        let need = FillDemand {
+        let bytes =
+            (MAX_DEMAND_BYTES as f64 * (least + (most - least) * self.traffic_rng.random::<f64>())) as u64;
+        self.result.demanded[to] += bytes as f64;
+        let demand = FillDemand {
             version: 1,
             segment,
             node: format!("{}-{segment}", PARTNERS[to]),
@@ -223,43 +228,43 @@
             bytes,
             start: 0,
         };
-        self.since.entry(need.partner.clone()).or_insert(self.now);
-        self.needs.push_back(need);
+        self.waiting_since.entry(demand.partner.clone()).or_insert(self.now);
+        self.demands.push_back(demand);
     }
 
     fn plan(&mut self, links: &LinkCapacities) {
-        let nodes = self.needs.iter().map(|need| (need.node.clone(), COLD));
-        let running = self.planner.running().map(|fill| (fill.node.clone(), COLD));
+        let nodes = self.demands.iter().map(|demand| (demand.node.clone(), COLD_CAPACITY));
+        let running = self.planner.running().map(|fill| (fill.node.clone(), COLD_CAPACITY));
         let cold = SlowStartCapacity {
             window_seconds: 1.0,
-            unit_bytes: UNIT,
+            unit_bytes: UNIT_BYTES,
             nodes: nodes.chain(running).collect(),
         };
-        let needs: Vec<FillDemand> = self.needs.iter().cloned().collect();
-        let plan = self.planner.plan(&self.book, &needs, links, &cold, None, self.now);
+        let demands: Vec<FillDemand> = self.demands.iter().cloned().collect();
+        let plan = self.planner.plan(&self.balances, &demands, links, &cold, None, self.now);
         for fill in plan.fills {
-            self.needs.retain(|need| need.id() != fill.id);
-            self.played.served[index(&fill.to)] += fill.bytes as f64;
-            let since = self.since.insert(fill.to.clone(), self.now).unwrap_or(self.now);
-            self.played.waited = self.played.waited.max(self.now - since);
+            self.demands.retain(|demand| demand.id() != fill.id);
+            self.result.served[index(&fill.to)] += fill.bytes as f64;
+            let waiting_since = self.waiting_since.insert(fill.to.clone(), self.now).unwrap_or(self.now);
+            self.result.waited = self.result.waited.max(self.now - waiting_since);
             if fill.from != fill.to {
                 let (at, from) = (self.now, fill.from.clone());
                 self.recent_fills.push(CarriedFill { at, from, bytes: fill.bytes });
             }
-            let patience =
+            let retry_policy =
                 FillRetryPolicy { deadline_seconds: 1e9, max_attempts: 100, ..FillRetryPolicy::default() };
-            self.fillings.push((0.0, FillProgress::new(fill, patience, self.now)));
+            self.running_fills.push((0.0, FillProgress::new(fill, retry_policy, self.now)));
         }
-        let (now, needs) = (self.now, &self.needs);
-        self.since.retain(|partner, _| needs.iter().any(|need| need.partner == *partner));
-        let waited = self.since.values().map(|since| now - since);
-        self.played.waited = waited.fold(self.played.waited, f64::max);
-        let since = self.now - terms().window_seconds;
-        self.recent_fills.retain(|fill| fill.at > since);
+        let (now, demands) = (self.now, &self.demands);
+        self.waiting_since.retain(|partner, _| demands.iter().any(|demand| demand.partner == *partner));
+        let waited = self.waiting_since.values().map(|waiting_since| now - waiting_since);
+        self.result.waited = waited.fold(self.result.waited, f64::max);
+        let waiting_since = self.now - terms().window_seconds;
+        self.recent_fills.retain(|fill| fill.at > waiting_since);
         for partner in PARTNERS {
             let own = self.recent_fills.iter().filter(|fill| fill.from == partner);
             let carried: u64 = own.map(|fill| fill.bytes).sum();
-            self.played.carried = self.played.carried.max(carried as f64 / terms().max_carried_bytes as f64);
+            self.result.carried = self.result.carried.max(carried as f64 / terms().max_carried_bytes as f64);
         }
     }
 
@@ -267,29 +272,29 @@
     fn fill(&mut self, links: &LinkCapacities) {
         let mut on: BTreeMap<(String, String), f64> = BTreeMap::new();
         let mut ended = Vec::new();
-        for (brought, filling) in &mut self.fillings {
-            if filling
-                .tick(self.now, &mut self.chance)
+        for (delivered, running_fill) in &mut self.running_fills {
+            if running_fill
+                .tick(self.now, &mut self.rng)
                 .iter()
                 .any(|order| matches!(order, FillAction::Start(_)))
             {
-                *brought = 0.0;
+                *delivered = 0.0;
             }
-            if !matches!(filling.state(), FillState::Running { .. }) {
+            if !matches!(running_fill.state(), FillState::Running { .. }) {
                 continue;
             }
-            let fill = filling.fill.clone();
-            let bytes = fill.rate.min(fill.bytes as f64 - *brought);
-            *brought += bytes;
+            let fill = running_fill.fill.clone();
+            let bytes = fill.rate.min(fill.bytes as f64 - *delivered);
+            *delivered += bytes;
             *on.entry((fill.from.clone(), fill.to.clone())).or_default() += bytes;
-            *self.brought.entry(fill.node.clone()).or_default().front_mut().unwrap_or(&mut 0.0) += bytes;
-            let end = *brought >= fill.bytes as f64 - 0.5;
+            *self.delivered.entry(fill.node.clone()).or_default().front_mut().unwrap_or(&mut 0.0) += bytes;
+            let end = *delivered >= fill.bytes as f64 - 0.5;
             if end {
-                let failed = self.chance.random::<f64>() < 0.1;
+                let failed = self.rng.random::<f64>() < 0.1;
                 let event =
                     if failed { FillEvent::Failed { reason: "told to".into() } } else { FillEvent::Done };
                 let orders =
-                    filling.handle_event(self.now, event, &mut self.chance).expect("it is under way");
+                    running_fill.handle_event(self.now, event, &mut self.rng).expect("it is under way");
                 ended.extend(orders.into_iter().filter_map(|order| match order {
                     FillAction::Propose(fill) => Some(fill),
                     _ => None,
@@ -297,36 +302,36 @@
             }
         }
         for ((from, to), bytes) in on {
-            self.played.link = self.played.link.max(bytes / links.rate_cap(&from, &to));
+            self.result.link = self.result.link.max(bytes / links.rate_cap(&from, &to));
         }
         for fill in ended {
             self.end(&fill);
         }
-        self.fillings.retain(|(_, filling)| !filling.state().is_final());
+        self.running_fills.retain(|(_, running_fill)| !running_fill.state().is_final());
     }
 
     /// Its settlement comes into the log twice; the rest of it is counted as carried.
     fn end(&mut self, fill: &Fill) {
-        self.played.fills += 1.0;
+        self.result.fills += 1.0;
         self.planner.fill_ended(&fill.id, true);
         let (from, to) = (index(&fill.from), index(&fill.to));
         if from != to {
-            *self.truth.entry((from, to)).or_default() += fill.bytes;
+            *self.actual.entry((from, to)).or_default() += fill.bytes;
         }
         self.carried(from, to, fill.unsettled_bytes());
         if let Some(settlement) = fill.settles.clone().map(SettlementEntry::Settle) {
-            assert_eq!(self.book.apply(&settlement), Ok(ApplyOutcome::New));
-            assert_eq!(self.book.apply(&settlement), Ok(ApplyOutcome::Duplicate));
+            assert_eq!(self.balances.apply(&settlement), Ok(ApplyOutcome::New));
+            assert_eq!(self.balances.apply(&settlement), Ok(ApplyOutcome::Duplicate));
         }
     }
 
     fn open(&self) -> f64 {
-        self.book.net_debts().iter().map(|debt| debt.bytes as f64).sum()
+        self.balances.net_debts().iter().map(|debt| debt.bytes as f64).sum()
     }
 
     fn worst(&self) -> f64 {
         let mut owed: BTreeMap<String, f64> = BTreeMap::new();
-        let net = self.book.net_debts();
+        let net = self.balances.net_debts();
         net.into_iter().for_each(|debt| *owed.entry(debt.creditor).or_default() += debt.bytes as f64);
         owed.into_values().fold(0.0, f64::max)
     }
@@ -334,7 +339,7 @@
     /// What each partner carried to what was carried for it, all in truth.
     fn ratios(&self) -> Vec<f64> {
         let of = |at: usize, carrier: bool| -> f64 {
-            let cells = self.truth.iter().filter(|((c, o), _)| if carrier { *c == at } else { *o == at });
+            let cells = self.actual.iter().filter(|((c, o), _)| if carrier { *c == at } else { *o == at });
             cells.map(|(_, bytes)| *bytes as f64).sum()
         };
         (0..PARTNERS.len()).map(|at| of(at, true) / of(at, false).max(1.0)).collect()
@@ -352,11 +357,15 @@
 }
 
 /// Queries for so long, then fills alone until debts are settled, or as long again.
-pub fn play(mix: &str, rule: Option<PlanningRule>, seed: u64, seconds: f64) -> Played {
+pub fn play(mix: &str, rule: Option<PlanningRule>, seed: u64, seconds: f64) -> SimulationResult {
     let mut simulation = Simulation::new(rule, seed);
-    let slow = [("mid", "north"), ("north", "mid")].map(|(from, to)| (PartnerPair::new(from, to), SLOW));
-    let links =
-        LinkCapacities { rate_caps: slow.into(), default_rate_cap: LINK, internal_rate_cap: 4.0 * LINK };
+    let slow = [("mid", "north"), ("north", "mid")]
+        .map(|(from, to)| (PartnerPair::new(from, to), SLOW_LINK_BYTES_PER_SECOND));
+    let links = LinkCapacities {
+        rate_caps: slow.into(),
+        default_rate_cap: LINK_BYTES_PER_SECOND,
+        internal_rate_cap: 4.0 * LINK_BYTES_PER_SECOND,
+    };
     let (mut next, mut segment) = (0.0, 0);
     let mut debts = OpenDebts::default();
     while simulation.now < 2.0 * seconds {
@@ -366,9 +375,9 @@
             simulation.carry_queries(mix);
         }
         while next <= simulation.now {
-            next -= (1.0 - simulation.outside.random::<f64>()).ln()
-                * if mix == FLOOD { NEED_EVERY / 4.0 } else { NEED_EVERY };
-            simulation.need(segment, rule.is_none(), mix == FLOOD);
+            next -= (1.0 - simulation.traffic_rng.random::<f64>()).ln()
+                * if mix == FLOOD { DEMAND_INTERVAL_SECONDS / 4.0 } else { DEMAND_INTERVAL_SECONDS };
+            simulation.add_demand(segment, rule.is_none(), mix == FLOOD);
             segment += 1;
         }
         if simulation.now % 10.0 == 0.0 && simulation.plan_and_look(&links, mix, seconds, &mut debts) {
@@ -379,18 +388,18 @@
         simulation.now += 1.0;
     }
     let settles_in = simulation.now - seconds;
-    simulation.tell();
-    simulation.hear(true);
-    let mut played = simulation.conclude();
-    played.spread = debts.sum / debts.samples;
-    played.worst = debts.worst_sum / debts.samples;
-    played.settles_in = settles_in;
-    played
+    simulation.send_counts();
+    simulation.receive_counts(true);
+    let mut result = simulation.conclude();
+    result.spread = debts.sum / debts.samples;
+    result.worst = debts.worst_sum / debts.samples;
+    result.settles_in = settles_in;
+    result
 }
 
 impl Simulation {
     fn begin_second(&mut self) {
-        for replica in self.brought.values_mut() {
+        for replica in self.delivered.values_mut() {
             replica.push_front(0.0);
             replica.truncate(2);
         }
@@ -399,8 +408,8 @@
     fn carry_queries(&mut self, mix: &str) {
         for carrier in 0..PARTNERS.len() {
             for owed_by in (0..PARTNERS.len()).filter(|it| *it != carrier) {
-                let bytes = 2.0 * traffic(mix, carrier, owed_by, self.now) * self.outside.random::<f64>();
-                *self.truth.entry((carrier, owed_by)).or_default() += bytes as u64;
+                let bytes = 2.0 * traffic(mix, carrier, owed_by, self.now) * self.traffic_rng.random::<f64>();
+                *self.actual.entry((carrier, owed_by)).or_default() += bytes as u64;
                 self.carried(carrier, owed_by, bytes as u64);
             }
         }
@@ -415,11 +424,11 @@
         debts: &mut OpenDebts,
     ) -> bool {
         let queries = self.now < seconds;
-        self.tell();
-        self.hear(false);
+        self.send_counts();
+        self.receive_counts(false);
         self.plan(links);
         let open = self.open();
-        self.played.open.push((self.now, open / 1e6));
+        self.result.open.push((self.now, open / 1e6));
         if queries && self.now >= seconds / 4.0 {
             debts.sum += open;
             debts.worst_sum += self.worst();
@@ -427,38 +436,39 @@
         }
         if queries {
             debts.at_end = open;
-            self.played.jain = jain_index(&self.ratios());
+            self.result.jain = jain_index(&self.ratios());
             return false;
         }
-        mix == FLOOD || open <= (SETTLED * debts.at_end).max(FEW)
+        mix == FLOOD || open <= (SETTLED_RATIO * debts.at_end).max(SETTLED_BYTES)
     }
 
     fn note_cold_load(&mut self) {
-        for replica in self.brought.values() {
-            let units = replica.front().copied().unwrap_or(0.0) / UNIT as f64 + COLD.used_units;
-            self.played.cold = self.played.cold.max(units / max_units(COLD.expected_units));
+        for replica in self.delivered.values() {
+            let units =
+                replica.front().copied().unwrap_or(0.0) / UNIT_BYTES as f64 + COLD_CAPACITY.used_units;
+            self.result.cold = self.result.cold.max(units / max_units(COLD_CAPACITY.expected_units));
         }
     }
 
     /// Compares the balances with what was carried in truth.
-    fn conclude(mut self) -> Played {
-        let mut played = std::mem::take(&mut self.played);
+    fn conclude(mut self) -> SimulationResult {
+        let mut result = std::mem::take(&mut self.result);
         let pairs = (0..PARTNERS.len()).flat_map(|c| (0..PARTNERS.len()).map(move |o| (c, o)));
         for (c, o) in pairs.filter(|(c, o)| c < o) {
-            let truth = |c, o| i128::from(self.truth.get(&(c, o)).copied().unwrap_or(0));
-            let off = self.book.balance(PARTNERS[o], PARTNERS[c]) - (truth(c, o) - truth(o, c));
-            played.off += off.unsigned_abs() as f64;
+            let actual = |c, o| i128::from(self.actual.get(&(c, o)).copied().unwrap_or(0));
+            let off = self.balances.balance(PARTNERS[o], PARTNERS[c]) - (actual(c, o) - actual(o, c));
+            result.off += off.unsigned_abs() as f64;
         }
         let (mut said, mut seen) = (0, 0);
-        for discrepancy in self.book.discrepancies().iter().filter(|it| it.carrier == LIAR) {
+        for discrepancy in self.balances.discrepancies().iter().filter(|it| it.carrier == INFLATING_PARTNER) {
             said += discrepancy.carrier_bytes;
             seen += discrepancy.debtor_bytes;
         }
-        let gross: u64 = PARTNERS.iter().map(|owed_by| self.book.gross(LIAR, owed_by)).sum();
+        let gross: u64 = PARTNERS.iter().map(|owed_by| self.balances.gross(INFLATING_PARTNER, owed_by)).sum();
         let seen_bytes = seen.max(1) as f64;
-        played.counted = gross as f64 / seen_bytes;
-        played.disputed = (said - seen) as f64 / seen_bytes;
-        played.cells = self.heard.cell_count() as f64;
-        played
+        result.counted = gross as f64 / seen_bytes;
+        result.disputed = (said - seen) as f64 / seen_bytes;
+        result.cells = self.merged_counts.cell_count() as f64;
+        result
     }
 }
--- a/crates/dunepond-testkit/src/processes.rs
+++ b/crates/dunepond-testkit/src/processes.rs
@@ -1,5 +1,5 @@
-//! Real brokers as processes that are killed, stopped, told and started anew, with and without what they kept. Each is
-//! ended and reaped with its value, a failing test included, which then shows the end of its log.
+//! Real brokers as processes that are killed, stopped and restarted, with and without their folders. Each is killed when its
+//! value is dropped, and prints the end of its log if its test fails.
 
 use std::fs::{self, OpenOptions};
 use std::io::{self, Read, Write};
