--- a/crates/dunepond-broker/src/control_plane/fence.rs
+++ b/crates/dunepond-broker/src/control_plane/fence.rs
@@ -72,7 +72,9 @@
     match (stage, idempotency, side) {
         (Answered | AnsweredLate, _, _) => Accepted,
         // Any replica may run it repeatedly; a node drops keyed parts that it has run.
-        (NotSent | Queued | PartlyWritten | AwaitingAnswer | Rejected, Idempotent | Keyed(_), _) => Allowed,
+        (NotSent | Queued | PartlyWritten | AwaitingAnswer | Rejected, Idempotent | Keyed { .. }, _) => {
+            Allowed
+        }
         (NotSent | Queued | Rejected, NonIdempotent, OwnerSide::Old | OwnerSide::New) => Returned,
         (PartlyWritten, NonIdempotent, OwnerSide::Old | OwnerSide::New) => Aborted,
         // It may be running: neither owner may get it again.
--- a/crates/dunepond-broker/src/control_plane/fence/tests/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/fence/tests/mod.rs
@@ -33,7 +33,7 @@
 #[test]
 fn idempotent_attempts_are_never_fenced() {
     for (stage, side) in STAGES.iter().flat_map(|stage| SIDES.map(|side| (*stage, side))) {
-        for effect in [Idempotency::Idempotent, Idempotency::Keyed(1.0)] {
+        for effect in [Idempotency::Idempotent, Idempotency::Keyed { window_seconds: 1.0 }] {
             let fence_action = fence_action(stage, effect, side);
             assert!(
                 matches!(fence_action, FenceAction::Allowed | FenceAction::Accepted),
--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -149,7 +149,7 @@
 
     /// Parts of this query class may run twice inside a window.
     pub fn is_keyed(&self, query_class: usize) -> bool {
-        matches!(self.idempotency.get(query_class), Some(Idempotency::Keyed(_)))
+        matches!(self.idempotency.get(query_class), Some(Idempotency::Keyed { .. }))
     }
 
     /// The active configuration with the time of this check, for an action that follows at once.
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -170,7 +170,7 @@
 fn retry_window(idempotency: Idempotency, margin: f64) -> f64 {
     match idempotency {
         Idempotency::Idempotent => f64::MAX,
-        Idempotency::Keyed(window) => window - margin,
+        Idempotency::Keyed { window_seconds } => window_seconds - margin,
         Idempotency::NonIdempotent => 0.0,
     }
 }
--- a/crates/dunepond-config/src/deployment.rs
+++ b/crates/dunepond-config/src/deployment.rs
@@ -91,7 +91,7 @@
 fn idempotency(service: &Fields) -> Result<Idempotency, ConfigError> {
     match service.text("semantics")? {
         "pure" => Ok(Idempotency::Idempotent),
-        "token" => Ok(Idempotency::Keyed(service.seconds("repeatWindowMs")?)),
+        "token" => Ok(Idempotency::Keyed { window_seconds: service.seconds("repeatWindowMs")? }),
         "side_effect" => Ok(Idempotency::NonIdempotent),
         _ => Err(service.error("semantics", "unknown word")),
     }
--- a/crates/dunepond-routing/src/deployment.rs
+++ b/crates/dunepond-routing/src/deployment.rs
@@ -6,9 +6,11 @@
 pub enum Idempotency {
     /// The part is safe to run any number of times.
     Idempotent,
-    /// The part is idempotent by key: a repeat is dropped for this many seconds after the first attempt
-    /// that may have run.
-    Keyed(f64),
+    /// The part is idempotent by key: a repeat is dropped within a window.
+    Keyed {
+        /// Seconds from the first attempt that may have run.
+        window_seconds: f64,
+    },
     /// The part must not run twice.
     NonIdempotent,
 }
--- a/crates/dunepond-routing/src/policy/completion.rs
+++ b/crates/dunepond-routing/src/policy/completion.rs
@@ -78,8 +78,8 @@
         match self.class(query).idempotency {
             Idempotency::Idempotent => true,
             // Guards against a second run after the window, if the attempt is delayed by a stall.
-            Idempotency::Keyed(window) => first_that_may_have_run
-                .is_none_or(|first| self.now - first.sent_at < window - MAX_STALL_SECONDS),
+            Idempotency::Keyed { window_seconds } => first_that_may_have_run
+                .is_none_or(|first| self.now - first.sent_at < window_seconds - MAX_STALL_SECONDS),
             Idempotency::NonIdempotent => first_that_may_have_run.is_none(),
         }
     }
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -366,7 +366,7 @@
         },
         full.clone(),
         QueryClass { idempotency: Idempotency::NonIdempotent, ..full.clone() },
-        QueryClass { idempotency: Idempotency::Keyed(0.7), ..full.clone() },
+        QueryClass { idempotency: Idempotency::Keyed { window_seconds: 0.7 }, ..full.clone() },
         QueryClass { second_step: true, complete_at: 0.5, minimum_share: 0.5, ..full.clone() },
         QueryClass { minimum_share: 0.5, ..full },
     ]
--- a/crates/dunepond-routing/tests/support/deployment.rs
+++ b/crates/dunepond-routing/tests/support/deployment.rs
@@ -32,7 +32,7 @@
         ..full.clone()
     };
     let non_idempotent = QueryClass { idempotency: Idempotency::NonIdempotent, ..full.clone() };
-    let keyed = QueryClass { idempotency: Idempotency::Keyed(1.0), ..full.clone() };
+    let keyed = QueryClass { idempotency: Idempotency::Keyed { window_seconds: 1.0 }, ..full.clone() };
     let two_step = QueryClass { second_step: true, complete_at: 0.5, minimum_share: 0.5, ..full.clone() };
     let partial = QueryClass { minimum_share: 0.5, ..full.clone() };
     let patient = QueryClass { latency_objective: 20.0, timeout: 30.0, ..full.clone() };
