--- a/crates/dunepond-routing/src/deployment.rs
+++ b/crates/dunepond-routing/src/deployment.rs
@@ -37,14 +37,14 @@
 }
 
 /// The retries and hedged requests that are allowed in any window: a number of them, and a ratio to the
-/// queries and parts admitted.
+/// queries and parts that arrived, whether they were admitted or not.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Length of the window, in seconds.
     pub window: f64,
     /// Number of attempts that are free in each window.
     pub min_retries: f64,
-    /// Number of attempts for each query and each part that was admitted in the window.
+    /// Number of attempts for each query and each part that arrived in the window.
     pub ratio: f64,
 }
 
--- a/crates/dunepond-routing/src/learned.rs
+++ b/crates/dunepond-routing/src/learned.rs
@@ -79,7 +79,7 @@
     pub slow_start_sends: Vec<SlowStartRecord>,
 }
 
-/// Queries and parts that were admitted at one time.
+/// Queries and parts that arrived at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionRecord {
     /// Age of the admission, in seconds.
--- a/crates/dunepond-routing/src/policy/admission.rs
+++ b/crates/dunepond-routing/src/policy/admission.rs
@@ -51,7 +51,7 @@
         // The attempt would only take capacity from other queries, once for each retry of an impatient
         // client.
         if served_at > query.deadline_at || earns_nothing {
-            return self.reject(transport, query);
+            return self.end_unserved(transport, query);
         }
         let horizon = self.useful_seconds(query, class, is_late);
         let value_rank = self.rank_value(query, is_late);
@@ -60,7 +60,7 @@
         let is_within_quota = self.is_within_quota(query.tenant);
         let is_shed_first = !is_within_quota || query.audit || is_late;
         if level > 0.0 && (is_shed_first || 0.5 * (value_rank + chance) < level) {
-            return self.reject(transport, query);
+            return self.end_unserved(transport, query);
         }
         if is_within_quota && let Some(times) = self.admission.within_quota.get_mut(query.tenant) {
             times.push_back(self.now);
@@ -224,7 +224,7 @@
         let Some(times) = self.admission.within_quota.get_mut(tenant) else { return true };
         let span = self.latency.longest_objective;
         times.drain(..times.partition_point(|at| *at < self.now - span));
-        let allowed = match self.limits.quotas.get(tenant).copied().flatten() {
+        let allowed = match self.quota_shares.quotas.get(tenant).copied().flatten() {
             Some(share) => quota * span * share,
             None => quota * span / self.deployment.broker_count,
         };
--- a/crates/dunepond-routing/src/policy/completion.rs
+++ b/crates/dunepond-routing/src/policy/completion.rs
@@ -22,7 +22,7 @@
 
 impl Router {
     /// Answers a query that has enough parts, and rejects one that can no longer get them.
-    pub(super) fn complete(
+    pub(super) fn answer_or_end(
         &mut self,
         transport: &mut dyn Transport,
         query: &mut InFlightQuery,
@@ -39,7 +39,7 @@
             return StageResult::Wait;
         }
         if query.weight_where(|part| self.can_still_come(query, part)) < self.minimum_weight(query) {
-            return self.reject(transport, query);
+            return self.end_unserved(transport, query);
         }
         StageResult::Continue
     }
@@ -113,7 +113,11 @@
     /// Gives the final answer to a query that will not be served, at once, since waiting would cost the
     /// client its time and have no value. It is rejected as retriable only if its class is idempotent or no
     /// attempt may have run; otherwise, and so for keyed classes too, it fails with an unknown outcome.
-    pub(super) fn reject(&mut self, transport: &mut dyn Transport, query: &InFlightQuery) -> StageResult {
+    pub(super) fn end_unserved(
+        &mut self,
+        transport: &mut dyn Transport,
+        query: &InFlightQuery,
+    ) -> StageResult {
         let class = self.class(query);
         let is_idempotent = class.idempotency == Idempotency::Idempotent;
         if is_idempotent || query.attempts().all(Attempt::never_ran) {
--- a/crates/dunepond-routing/src/policy/deadline.rs
+++ b/crates/dunepond-routing/src/policy/deadline.rs
@@ -33,7 +33,7 @@
             transport.answer(query.id, false);
             return StageResult::Done;
         }
-        self.reject(transport, query)
+        self.end_unserved(transport, query)
     }
 
     /// Whether the query class accepts partial answers and enough parts are in. Pruned parts do not count:
--- a/crates/dunepond-routing/src/policy/dispatch.rs
+++ b/crates/dunepond-routing/src/policy/dispatch.rs
@@ -26,7 +26,7 @@
         if matches!(query.probing, Probing::Probed { .. }) && !self.awaits_probes(query) {
             query.probing = Probing::Finished;
             if self.has_too_few_free_replicas(query) {
-                return self.reject(transport, query);
+                return self.end_unserved(transport, query);
             }
         }
         let answered_since = match query.probing {
@@ -45,7 +45,7 @@
         // The body of a single-shot query is available on arrival only: a part without a replica now will
         // never be sent, which may end the query.
         if query.single_shot && !mem::replace(&mut query.body_consumed, true) {
-            return self.complete(transport, query);
+            return self.answer_or_end(transport, query);
         }
         StageResult::Continue
     }
--- a/crates/dunepond-routing/src/policy/mod.rs
+++ b/crates/dunepond-routing/src/policy/mod.rs
@@ -51,7 +51,7 @@
 const REQUEST_STAGES: [RequestStage; 5] = [
     Router::admit,
     Router::enforce_deadline,
-    Router::complete,
+    Router::answer_or_end,
     Router::dispatch_unsent,
     Router::retry_or_hedge,
 ];
--- a/crates/dunepond-routing/src/policy/retry.rs
+++ b/crates/dunepond-routing/src/policy/retry.rs
@@ -56,12 +56,12 @@
         (needs_retry || needs_hedge)
             && self.may_send(query, part)
             && self.note_denial(self.is_within_budget(query))
-            && (needs_retry || !self.replicas_are_drowned(query, part))
+            && (needs_retry || !self.replicas_are_overloaded(query, part))
     }
 
     /// Whether even the best replica has a long wait, so that a hedge would only add load. Does not apply if
     /// the outstanding attempt is at an ejected node.
-    fn replicas_are_drowned(&self, query: &InFlightQuery, part: &PartState) -> bool {
+    fn replicas_are_overloaded(&self, query: &InFlightQuery, part: &PartState) -> bool {
         let objective = self.class(query).latency_objective;
         self.part_wait(part) > SHED_START_RATIO * objective
             && !part.outstanding().any(|attempt| self.is_ejected(attempt.node))
--- a/crates/dunepond-routing/src/policy/retry_budget.rs
+++ b/crates/dunepond-routing/src/policy/retry_budget.rs
@@ -1,8 +1,8 @@
 //! Retry budget: how many retries and hedged requests may be sent in any window.
 //!
-//! Inputs: the window (seconds), the number of free retries and the ratio to admitted queries and parts, and
-//! the instants at which each was sent or admitted. The window is taken one tick longer for what was sent and
-//! one tick shorter for what was admitted, so that no other clock finds the budget exceeded.
+//! Inputs: the window (seconds), the number of free retries and the ratio to the queries and parts that arrived, and
+//! the instants at which each was sent or arrived. The window is taken one tick longer for what was sent and
+//! one tick shorter for what arrived, so that no other clock finds the budget exceeded.
 
 use std::sync::Arc;
 
@@ -12,13 +12,13 @@
 impl Router {
     /// Counts queries and parts on their arrival, and drops records older than any budget's window. Called
     /// before `admit`, so a query that is rejected on arrival counts as well.
-    pub(super) fn record_admission(&mut self, queries_and_parts: f64) {
+    pub(super) fn record_arrival(&mut self, queries_and_parts: f64) {
         let since = self.now - self.retries.window_seconds - self.deployment.tick;
         let sent = &mut self.retries.retries_sent;
         sent.drain(..sent.partition_point(|at| *at < since));
-        self.retries.add_admitted(self.now, queries_and_parts);
-        let admitted = &mut self.retries.admitted;
-        admitted.drain(..admitted.partition_point(|work| work.at < since));
+        self.retries.add_arrived(self.now, queries_and_parts);
+        let arrived = &mut self.retries.arrived;
+        arrived.drain(..arrived.partition_point(|work| work.at < since));
     }
 
     /// Whether both the budget that the query began with and the one in force permit another attempt.
@@ -32,24 +32,24 @@
         let long_window_start = self.now - budget.window - self.deployment.tick;
         let sent = &self.retries.retries_sent;
         let sent_count = sent.len() - sent.partition_point(|at| *at < long_window_start);
-        let allowed = self.free_retries(budget) + budget.ratio * self.admitted_count(budget);
+        let allowed = self.free_retries(budget) + budget.ratio * self.arrived_count(budget);
         self.retries.charged_until < long_window_start && sent_count as f64 + 1.0 <= allowed
     }
 
     /// Free retries of this broker in a window.
     fn free_retries(&self, budget: &RetryBudget) -> f64 {
-        match self.limits.retries {
+        match self.quota_shares.retries {
             Some(share) => share * budget.min_retries * self.deployment.broker_count,
             None => budget.min_retries,
         }
     }
 
-    /// Queries and parts admitted within a budget's window.
-    fn admitted_count(&self, budget: &RetryBudget) -> f64 {
+    /// Queries and parts that arrived within a budget's window.
+    fn arrived_count(&self, budget: &RetryBudget) -> f64 {
         let short_window_start = self.now - budget.window + self.deployment.tick;
-        let admitted = &self.retries.admitted;
-        let first = admitted.partition_point(|work| work.at < short_window_start);
-        match (admitted.get(first), admitted.back()) {
+        let arrived = &self.retries.arrived;
+        let first = arrived.partition_point(|work| work.at < short_window_start);
+        match (arrived.get(first), arrived.back()) {
             (Some(first), Some(last)) => last.count + last.count_before - first.count_before,
             _ => 0.0,
         }
--- a/crates/dunepond-routing/src/policy/router.rs
+++ b/crates/dunepond-routing/src/policy/router.rs
@@ -15,7 +15,7 @@
     /// Accepts a query with the parts of its first step.
     pub fn on_query(&mut self, transport: &mut dyn Transport, query: Query) {
         self.sync_clock(transport);
-        self.record_admission(if query.audit { 0.0 } else { 1.0 + query.parts.len() as f64 });
+        self.record_arrival(if query.audit { 0.0 } else { 1.0 + query.parts.len() as f64 });
         self.measure_latency();
         let objective_at = self.objective_at(&query);
         let mut in_flight = InFlightQuery::new(&query, self.now, objective_at, self.rules.clone());
@@ -30,7 +30,7 @@
     /// Accepts the parts of a second step, which the first step's answer contained.
     pub fn on_second_step(&mut self, transport: &mut dyn Transport, id: QueryId, parts: Vec<Part>) {
         self.sync_clock(transport);
-        self.record_admission(parts.len() as f64);
+        self.record_arrival(parts.len() as f64);
         if let Some(mut query) = self.queries.remove(&id) {
             query.is_second_step = true;
             query.probing = Probing::NotProbed;
@@ -103,7 +103,7 @@
             return self.run_request_stages(transport, id);
         }
         let Some(query) = self.queries.remove(&id) else { return };
-        self.reject(transport, &query);
+        self.end_unserved(transport, &query);
         self.finish(transport, &query);
     }
 
--- a/crates/dunepond-routing/src/policy/rules.rs
+++ b/crates/dunepond-routing/src/policy/rules.rs
@@ -22,8 +22,8 @@
     }
 
     /// Sets this broker's shares of the quotas of all brokers.
-    pub fn set_quota_shares(&mut self, limits: QuotaShares) {
-        self.limits = limits;
+    pub fn set_quota_shares(&mut self, quota_shares: QuotaShares) {
+        self.quota_shares = quota_shares;
     }
 
     /// Share of a step's weight that makes an answer complete.
--- a/crates/dunepond-routing/src/policy/slow_start.rs
+++ b/crates/dunepond-routing/src/policy/slow_start.rs
@@ -55,7 +55,8 @@
         if self.now - self.retries.charged_until < span + self.deployment.tick {
             return false;
         }
-        let ahead = if self.limits.slow_start.is_some() { 0.0 } else { 1.0 / self.deployment.broker_count };
+        let ahead =
+            if self.quota_shares.slow_start.is_some() { 0.0 } else { 1.0 / self.deployment.broker_count };
         self.slow_start_tokens(node, query) + ahead >= 1.0
     }
 
@@ -63,7 +64,7 @@
     fn slow_start_tokens(&self, node: &Node, query: &InFlightQuery) -> f64 {
         let bucket = node.slow_start_tokens;
         let elapsed = self.now - bucket.at;
-        let (rate, completed) = match self.limits.slow_start {
+        let (rate, completed) = match self.quota_shares.slow_start {
             Some(rate) => (rate, rate * elapsed),
             None => (self.completion_rate(), self.completed_since(bucket, elapsed)),
         };
--- a/crates/dunepond-routing/src/policy/warm_restart.rs
+++ b/crates/dunepond-routing/src/policy/warm_restart.rs
@@ -56,7 +56,7 @@
         };
         SpentBudgets {
             retries: ages(&self.retries.retries_sent),
-            admissions: self.retries.admitted.iter().map(|work| work.to_record(now)).collect(),
+            admissions: self.retries.arrived.iter().map(|work| work.to_record(now)).collect(),
             slow_start_sends: self.listed_nodes().map(slow_start_record).collect(),
         }
     }
@@ -72,7 +72,7 @@
         };
         self.retries.retries_sent.extend(spent.retries.iter().map(|ago| now - ago));
         for record in &spent.admissions {
-            self.retries.add_admitted(now - record.ago, record.count);
+            self.retries.add_arrived(now - record.ago, record.count);
         }
         for record in &spent.slow_start_sends {
             let Some(node) = self.node_mut(record.node) else { continue };
--- a/crates/dunepond-routing/src/state/mod.rs
+++ b/crates/dunepond-routing/src/state/mod.rs
@@ -33,7 +33,7 @@
     /// The rules in force; a query in flight also keeps those that were in force on its arrival.
     pub(crate) rules: Arc<Rules>,
     /// This broker's shares of the quotas of all brokers.
-    pub(crate) limits: QuotaShares,
+    pub(crate) quota_shares: QuotaShares,
     pub(crate) now: f64,
     pub(crate) rng: Pcg64Mcg,
     /// Nodes by id; `None` for an id that is not in use.
@@ -90,7 +90,7 @@
     pub(crate) fn with_empty_state(deployment: Deployment) -> Self {
         Self {
             rules: Arc::new(Rules::of(&deployment)),
-            limits: QuotaShares::default(),
+            quota_shares: QuotaShares::default(),
             now: 0.0,
             rng: Pcg64Mcg::seed_from_u64(deployment.seed),
             nodes: Vec::new(),
