--- a/crates/dunepond-broker/src/downstream/disconnect.rs
+++ b/crates/dunepond-broker/src/downstream/disconnect.rs
@@ -21,7 +21,7 @@
 impl Downstream {
     /// Whether a client has disconnected, by a check that is recent and newer than its last readiness event. If so,
     /// `next_disconnected` returns it.
-    pub fn is_disconnected(&mut self, now: f64, id: usize) -> bool {
+    pub fn check_disconnected(&mut self, now: f64, id: usize) -> bool {
         let Some(client) = self.connections.get_mut(id) else { return false };
         if client.disconnected.is_none()
             && (client.readable || now - client.last_checked_at >= CHECK_VALID_SECONDS)
@@ -43,7 +43,7 @@
         };
         if waits {
             client.readable = true;
-            self.is_disconnected(now, id);
+            self.check_disconnected(now, id);
         }
     }
 
--- a/crates/dunepond-broker/src/downstream/read.rs
+++ b/crates/dunepond-broker/src/downstream/read.rs
@@ -66,7 +66,7 @@
             }
             self.pause_for_full_body(id);
             if !self.connections[id].may_be_read() {
-                if self.connections[id].readable && !self.is_disconnected(now, id) {
+                if self.connections[id].readable && !self.check_disconnected(now, id) {
                     self.schedule_resume_reading(now, id, timers);
                 }
                 return ClientEvent::Nothing;
@@ -89,7 +89,7 @@
     /// A request has been decoded: hands it on, unless its client has disconnected.
     fn after_decoding(&mut self, now: f64, id: usize, event: ClientEvent) -> ClientEvent {
         // The client may have closed right after the request, and no further event would report it.
-        if self.is_disconnected(now, id) {
+        if self.check_disconnected(now, id) {
             return ClientEvent::Nothing;
         }
         if self.connections.get(id).is_some_and(|client| client.readable) {
--- a/crates/dunepond-broker/src/event_loop/background.rs
+++ b/crates/dunepond-broker/src/event_loop/background.rs
@@ -27,7 +27,7 @@
 
 impl EventLoop {
     pub(super) fn job_finished(&mut self, finished: FinishedJob) {
-        let now = self.tick();
+        let now = self.refresh_clock_and_config();
         self.background.on_job_finished(now, finished);
         let failed = finished.outcome == Outcome::Failed;
         if let Some(persistence) = &mut self.persistence {
--- a/crates/dunepond-broker/src/event_loop/endpoints.rs
+++ b/crates/dunepond-broker/src/event_loop/endpoints.rs
@@ -25,7 +25,7 @@
     }
 
     pub(super) fn discovery_ready(&mut self, readable: bool) {
-        let now = self.tick();
+        let now = self.refresh_clock_and_config();
         for update in self.discovery.on_ready(now, readable, &mut self.router_host.timers) {
             if self.configured_endpoints.take().is_some() {
                 self.accept_backlog();
--- a/crates/dunepond-broker/src/event_loop/lifecycle.rs
+++ b/crates/dunepond-broker/src/event_loop/lifecycle.rs
@@ -13,7 +13,7 @@
 impl EventLoop {
     /// Schedules what is due from the start. Accepting waits for the first endpoint list, `max_accept_delay` seconds at most.
     pub(super) fn schedule_startup_timers(&mut self, max_accept_delay: f64) {
-        let now = self.tick();
+        let now = self.refresh_clock_and_config();
         self.report_counters();
         if let Some(persistence) = &self.persistence {
             self.router_host.timers.schedule(now + persistence.snapshot_interval(), TimerEvent::Snapshot);
@@ -57,7 +57,7 @@
 
     /// Writes the state that outlasts the process, and stops the control plane's thread.
     pub(super) fn finish(&mut self) {
-        let now = self.tick();
+        let now = self.refresh_clock_and_config();
         if let (Some(persistence), Some(pool)) = (&mut self.persistence, self.background.pool()) {
             persistence.write_final_state(now, &mut self.router, &self.router_host, pool);
         }
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -57,7 +57,7 @@
 
 impl EventLoop {
     /// Reads the clock, which stands still until the next call, and applies the active configuration.
-    fn tick(&mut self) -> f64 {
+    fn refresh_clock_and_config(&mut self) -> f64 {
         self.router_host.now = self.clock.now();
         let began_at = self.times.began_at();
         let apart = (began_at - self.times.events_since()).max(self.router_host.now - began_at);
@@ -70,7 +70,7 @@
     /// An iteration begins: an event or a timer has come, or signals are to be checked.
     fn begin_iteration(&mut self) {
         self.times.iteration_begins(self.clock.now());
-        let now = self.tick();
+        let now = self.refresh_clock_and_config();
         let apart = now - self.times.previous_began_at();
         if apart > NOTICEABLE_PAUSE_SECONDS {
             warn!("event loop stalled for {apart:.3} s");
@@ -89,7 +89,7 @@
             LoopEvent::DiskDone(done) => self.disk_done(done),
             LoopEvent::JobFinished(finished) => self.job_finished(finished),
             LoopEvent::ControlPlaneChanged => {
-                self.tick();
+                self.refresh_clock_and_config();
                 self.process_pending();
             }
             LoopEvent::ReloadRequested => self.start_reload(),
@@ -99,7 +99,7 @@
     }
 
     fn accept(&mut self, port: Port) {
-        let now = self.tick();
+        let now = self.refresh_clock_and_config();
         self.router_host.downstream.accept(now, port, &mut self.router_host.timers);
         self.process_pending();
     }
@@ -113,14 +113,14 @@
     }
 
     fn client_ready(&mut self, id: usize, readable: bool) {
-        let now = self.tick();
+        let now = self.refresh_clock_and_config();
         self.router_host.downstream.on_ready(now, id, readable, &mut self.router_host.timers);
         self.router_host.downstream.pending_clients.push(id);
         self.process_pending();
     }
 
     fn upstream_ready(&mut self, id: usize, readable: bool) {
-        let now = self.tick();
+        let now = self.refresh_clock_and_config();
         for query in self.router_host.upstream.queries_awaiting_write(id) {
             self.router_host.check_client(query);
         }
@@ -130,7 +130,7 @@
     }
 
     fn prefilter_ready(&mut self, id: usize, readable: bool) {
-        let now = self.tick();
+        let now = self.refresh_clock_and_config();
         if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
             prefilter_connections.on_ready(now, id, readable, &mut self.router_host.timers);
         }
@@ -138,7 +138,7 @@
     }
 
     fn disk_done(&mut self, done: DiskEvent) {
-        let now = self.tick();
+        let now = self.refresh_clock_and_config();
         if let Some(bodies) = &mut self.router_host.body_store {
             bodies.on_disk_done(now, done);
         }
--- a/crates/dunepond-broker/src/event_loop/reload.rs
+++ b/crates/dunepond-broker/src/event_loop/reload.rs
@@ -22,7 +22,7 @@
 
     /// Applies a configuration that has been reloaded.
     pub(super) fn apply_reloaded_config(&mut self, configuration: LoadedConfig) {
-        let now = self.tick();
+        let now = self.refresh_clock_and_config();
         match configuration.startup {
             Ok(start) => {
                 info!("configuration reloaded");
--- a/crates/dunepond-broker/src/event_loop/shutdown.rs
+++ b/crates/dunepond-broker/src/event_loop/shutdown.rs
@@ -10,7 +10,7 @@
     /// Handles SIGTERM or SIGINT. The stages count from the earliest time at which it may have come: after a stall the kill comes sooner
     /// than the time of finding suggests. A second signal changes nothing.
     pub(super) fn begin_shutdown(&mut self) {
-        let now = self.tick();
+        let now = self.refresh_clock_and_config();
         if self.shutdown.is_none() {
             let shutdown = Shutdown::new(self.times.events_since(), self.longest_timeout);
             info!(
--- a/crates/dunepond-broker/src/event_loop/timers.rs
+++ b/crates/dunepond-broker/src/event_loop/timers.rs
@@ -8,7 +8,7 @@
 impl EventLoop {
     /// Handles all timers that are due.
     pub(super) fn run_timers(&mut self) {
-        let now = self.tick();
+        let now = self.refresh_clock_and_config();
         while let Some(event) = self.router_host.timers.pop_due(now) {
             self.on_timer(now, event);
             self.process_pending();
--- a/crates/dunepond-broker/src/persistence/inspect.rs
+++ b/crates/dunepond-broker/src/persistence/inspect.rs
@@ -11,7 +11,7 @@
 };
 use dunepond_storage::{DiskStore, FileStore, Journal, SnapshotStore};
 
-use super::storage::{LEARNED_STATE_FILE, LEDGER_FILE, timestamp};
+use super::storage::{BUDGET_JOURNAL, LEARNED_STATE_FILE, timestamp};
 
 /// The contents of a state folder, read without a broker.
 pub struct Inspection {
@@ -55,13 +55,13 @@
             None
         }
     });
-    let recovered = Journal::read(&*files, LEDGER_FILE, FORMAT_VERSION);
-    faults.extend(recovered.fault.map(|fault| format!("{LEDGER_FILE}.journal: {fault}")));
+    let recovered = Journal::read(&*files, BUDGET_JOURNAL, FORMAT_VERSION);
+    faults.extend(recovered.fault.map(|fault| format!("{BUDGET_JOURNAL}.journal: {fault}")));
     let mut budget_records = Vec::new();
     for record in &recovered.records {
         match BudgetRecord::decode(&record.bytes) {
             Ok(decoded) => budget_records.push(decoded),
-            Err(e) => faults.push(format!("{LEDGER_FILE}.journal: record {}: {e}", record.number)),
+            Err(e) => faults.push(format!("{BUDGET_JOURNAL}.journal: record {}: {e}", record.number)),
         }
     }
     Ok(Inspection { learned_state, budget_records, faults })
--- a/crates/dunepond-broker/src/persistence/storage.rs
+++ b/crates/dunepond-broker/src/persistence/storage.rs
@@ -8,7 +8,7 @@
 use tracing::warn;
 
 pub(super) const LEARNED_STATE_FILE: &str = "beliefs";
-pub(super) const LEDGER_FILE: &str = "debts";
+pub(super) const BUDGET_JOURNAL: &str = "debts";
 /// A longer journal is rewritten with its last record alone.
 const MAX_JOURNAL_BYTES: u64 = 64 * 1024;
 
@@ -56,9 +56,9 @@
 ) -> io::Result<(StateStorage, Recovered)> {
     let snapshots = SnapshotStore::new(files.clone(), LEARNED_STATE_FILE, FORMAT_VERSION);
     let learned_state = load_learned_state(&snapshots)?;
-    let (mut journal, recovered) = Journal::open(files, LEDGER_FILE, FORMAT_VERSION)?;
+    let (mut journal, recovered) = Journal::open(files, BUDGET_JOURNAL, FORMAT_VERSION)?;
     if let Some(fault) = &recovered.fault {
-        warn!("state: {LEDGER_FILE}: {fault}; the complete records before it are used");
+        warn!("state: {BUDGET_JOURNAL}: {fault}; the complete records before it are used");
     }
     let budget_records: Vec<_> =
         recovered.records.iter().map(|record| BudgetRecord::decode(&record.bytes)).collect();
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -81,7 +81,7 @@
             && !active.is_finished
             && let Some(client) = active.client
         {
-            self.downstream.is_disconnected(self.now, client);
+            self.downstream.check_disconnected(self.now, client);
         }
     }
 
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -146,7 +146,7 @@
             || matches!(attempt.payload, Payload::Released)
             || attempt.attempt >= self.max_attempts
             || attempt.send_by <= self.now
-            || active.client.is_some_and(|client| self.downstream.is_disconnected(self.now, client))
+            || active.client.is_some_and(|client| self.downstream.check_disconnected(self.now, client))
     }
 
     fn complete_unsent(&mut self, node: NodeId, attempt: AttemptRequest) {
--- a/crates/dunepond-broker/tests/hangup.rs
+++ b/crates/dunepond-broker/tests/hangup.rs
@@ -75,7 +75,7 @@
 fn disconnect_check_expires_within_50_ms() {
     let mut harness = Harness::with_query(100.0);
     harness.hang_up();
-    let seen = [100.01, 100.04, 100.06].map(|now| harness.clients.is_disconnected(now, harness.id));
+    let seen = [100.01, 100.04, 100.06].map(|now| harness.clients.check_disconnected(now, harness.id));
     assert_eq!(seen, [false, false, true]);
     assert_eq!(harness.clients.next_disconnected(&mut harness.timers), Some(Some(7)));
     assert_eq!((harness.clients.next_disconnected(&mut harness.timers), harness.clients.count()), (None, 0));
