--- a/crates/dunepond-control-plane/tests/control_loop.rs
+++ b/crates/dunepond-control-plane/tests/control_loop.rs
@@ -1,5 +1,7 @@
 //! The control loop of a single broker, with a data directory in memory: failing disks, restarts and refused starts.
 
+mod support;
+
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_consensus::{ConfigPhase, ConsensusConfig};
+use dunepond_consensus::ConfigPhase;
 use dunepond_control_plane::{
     ControlPlane, ControlPlaneConfig, ControlPlaneError, Partner, QuotaConfig, TestDoubles,
     monotonic_seconds, start,
@@ -21,18 +23,7 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn config(version: Option<PathBuf>) -> ControlPlaneConfig {
-    let terms = ConsensusConfig {
-        name: "n1".to_string(),
-        voters: vec!["n1".to_string()],
-        lease_seconds: 0.3,
-        drift_ratio: 0.01,
-        switch_bound_seconds: 1.0,
-        longest_query_seconds: 0.1,
-        fill_deadline_seconds: 10.0,
-        max_changed_ratio: 1.0,
-        maps_enabled: false,
-        map_requirements: dunepond_shard_map::MapConstraints { min_replicas: 1, min_zones: 1 },
-    };
+    let terms = support::single_voter(false);
     ControlPlaneConfig {
         terms,
         listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -1,6 +1,8 @@
 //! Fills of a single broker that is its own leader, with a data directory in memory and a test double of the fill service:
 //! crashes at the worst points, limits of nodes in slow start, and what the next leader resumes.
 
+mod support;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_consensus::{ConfigPhase, ConsensusConfig};
+use dunepond_consensus::ConfigPhase;
 use dunepond_control_plane::{
     AuditEvent, AuditRecord, ControlPlane, ControlPlaneConfig, CrashPoint, CrashPoints, FillClient,
     FillConfig, FillError, FillRequest, FillResult, Partner, SlowStartPolicy, StartedNode, TestDoubles,
@@ -96,18 +98,7 @@
     /// `crash`: the point at which the control plane ends.
     fn start(&mut self, version: Option<PathBuf>, crash: Option<CrashPoint>) -> ControlPlane {
         self.starts += 1;
-        let terms = ConsensusConfig {
-            name: "n1".to_string(),
-            voters: vec!["n1".to_string()],
-            lease_seconds: 0.3,
-            drift_ratio: 0.01,
-            switch_bound_seconds: 1.0,
-            longest_query_seconds: 0.1,
-            fill_deadline_seconds: 10.0,
-            max_changed_ratio: 1.0,
-            maps_enabled: true,
-            map_requirements: dunepond_shard_map::MapConstraints { min_replicas: 1, min_zones: 1 },
-        };
+        let terms = support::single_voter(true);
         let partner = |name: &str| Partner { name: name.to_string(), brokers: Vec::new(), metered: false };
         let config = ControlPlaneConfig {
             terms,
--- a/crates/dunepond-control-plane/tests/rebalancing.rs
+++ b/crates/dunepond-control-plane/tests/rebalancing.rs
@@ -1,6 +1,8 @@
 //! Rebalancing plans at the control loop of a single broker, with a data directory in memory: carried out over a restart, and
 //! withdrawn by the operator.
 
+mod support;
+
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,7 +10,6 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_consensus::ConsensusConfig;
 use dunepond_control_plane::{
     ControlPlane, ControlPlaneConfig, FillClient, FillConfig, FillError, FillRequest, FillResult,
     RebalanceConfig, TestDoubles, monotonic_seconds, start,
@@ -63,18 +64,7 @@
     }
 
     fn start(&self, version: Option<&Path>, plan: Option<&Path>) -> ControlPlane {
-        let terms = ConsensusConfig {
-            name: "n1".to_string(),
-            voters: vec!["n1".to_string()],
-            lease_seconds: 0.3,
-            drift_ratio: 0.01,
-            switch_bound_seconds: 1.0,
-            longest_query_seconds: 0.1,
-            fill_deadline_seconds: 10.0,
-            max_changed_ratio: 1.0,
-            maps_enabled: true,
-            map_requirements: dunepond_shard_map::MapConstraints { min_replicas: 1, min_zones: 1 },
-        };
+        let terms = support::single_voter(true);
         let config = ControlPlaneConfig {
             terms,
             listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
