--- a/crates/dunepond-broker/src/event_loop/iteration_times.rs
+++ b/crates/dunepond-broker/src/event_loop/iteration_times.rs
@@ -1,6 +1,6 @@
 //! When the events of an iteration arrived, at the earliest.
 
-use dunepond_routing::NOTICEABLE_PAUSE_SECONDS;
+use dunepond_routing::STALL_THRESHOLD_SECONDS;
 
 #[cfg(test)]
 mod tests;
@@ -24,7 +24,7 @@
 
     /// The next poll begins.
     pub(super) fn poll_begins(&mut self, now: f64) {
-        let stalled_at_poll = self.began_at - self.poll_began_at > NOTICEABLE_PAUSE_SECONDS;
+        let stalled_at_poll = self.began_at - self.poll_began_at > STALL_THRESHOLD_SECONDS;
         self.events_since = if stalled_at_poll { self.poll_began_at } else { self.began_at };
         self.poll_began_at = now;
     }
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -14,7 +14,7 @@
 
 use dunepond_body_buffer::DiskEvent;
 use dunepond_config::operator::OperatorConfig;
-use dunepond_routing::{NOTICEABLE_PAUSE_SECONDS, Router, Shutdown, ShutdownStage};
+use dunepond_routing::{Router, STALL_THRESHOLD_SECONDS, Shutdown, ShutdownStage};
 use tracing::warn;
 
 use crate::background::Background;
@@ -62,7 +62,7 @@
         let began_at = self.times.began_at();
         let apart = (began_at - self.times.events_since()).max(self.router_host.now - began_at);
         self.router_host.downstream.received_since =
-            (apart > NOTICEABLE_PAUSE_SECONDS).then_some(self.times.events_since());
+            (apart > STALL_THRESHOLD_SECONDS).then_some(self.times.events_since());
         self.apply_control_plane();
         self.router_host.now
     }
@@ -72,7 +72,7 @@
         self.times.iteration_begins(self.clock.now());
         let now = self.refresh_clock_and_config();
         let apart = now - self.times.previous_began_at();
-        if apart > NOTICEABLE_PAUSE_SECONDS {
+        if apart > STALL_THRESHOLD_SECONDS {
             warn!("event loop stalled for {apart:.3} s");
         }
         self.advance_shutdown();
--- a/crates/dunepond-routing/src/deployment.rs
+++ b/crates/dunepond-routing/src/deployment.rs
@@ -1,63 +1,63 @@
 //! The parameters of a deployment, the rules that may change while a broker runs, and this broker's
-//! shares of the quotas of all brokers.
+//! shares of the quotas that all brokers hold together.
 
 /// Whether a part may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
     /// The part is safe to run any number of times.
     Idempotent,
-    /// The part is idempotent by key: a repeat is dropped within a window.
+    /// The part is idempotent by key: a repeat within the idempotency window is dropped.
     Keyed {
-        /// Seconds from the first attempt that may have run.
+        /// Length of the idempotency window in seconds, counted from the first attempt that may have run.
         window_seconds: f64,
     },
     /// The part must not run twice.
     NonIdempotent,
 }
 
-/// A kind of query, and the value of its answers.
+/// A class of queries that share a latency objective, a timeout, and rules for the value of their answers.
 #[derive(Clone, Debug)]
 pub struct QueryClass {
-    /// Seconds within which an answer has its full value.
+    /// Time after arrival, in seconds, within which an answer has its full value.
     pub latency_objective: f64,
-    /// Seconds after which its clients give up.
+    /// Time after arrival, in seconds, after which clients of this class stop waiting.
     pub timeout: f64,
-    /// Value of an answer relative to those of other classes.
+    /// Value of an answer relative to the answers of other classes.
     pub priority_weight: f64,
-    /// Ratio of the value that an answer after the latency objective still has.
+    /// Fraction of its value that an answer still has after the latency objective.
     pub late_value_ratio: f64,
     /// Whether the query's parts may run more than once.
     pub idempotency: Idempotency,
-    /// Share of the first step's weight from which an answer is complete.
+    /// Share of the first step's weight that makes an answer complete.
     pub complete_at: f64,
-    /// Smallest share of the weight for which an answer may be given.
+    /// Smallest share of the weight for which a partial answer may be given.
     pub minimum_share: f64,
-    /// Whether an answer contains the parts of a second step, all of which are needed.
+    /// Whether the first step's answer contains the parts of a second step, all of which are needed.
     pub second_step: bool,
 }
 
-/// The retries and hedged requests that are allowed in any window: a number of them, and a ratio to the
-/// queries and parts that arrived, whether they were admitted or not.
+/// Limit on the retries and hedged requests in any window: a fixed number, plus a ratio of the queries and
+/// parts that arrived, whether they were admitted or not.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Length of the window, in seconds.
     pub window: f64,
-    /// Number of attempts that are free in each window.
+    /// Number of retries and hedged requests that are allowed in each window regardless of the load.
     pub min_retries: f64,
-    /// Number of attempts for each query and each part that arrived in the window.
+    /// Number of retries and hedged requests that each query and each part arriving in the window adds.
     pub ratio: f64,
 }
 
 /// Limits on what a node that has just started may be sent.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
-    /// Smallest share of its full capacity that a node has at its start.
+    /// Capacity that a node has at least when it starts, as a ratio of its full capacity.
     pub initial_capacity_ratio: f64,
-    /// Longest time after the start in seconds; after it the node is warm.
+    /// Longest warm-up time in seconds; a node that has run for longer is warm.
     pub duration: f64,
-    /// Multiple of the node's present capacity that it may be sent.
+    /// Rate at which a node may be sent parts, as a multiple of its present capacity.
     pub rate_multiple: f64,
-    /// Span in seconds over which this is counted.
+    /// Length in seconds of the window over which the parts sent to a node are counted.
     pub window: f64,
 }
 
@@ -66,21 +66,21 @@
 pub struct Deployment {
     /// Seed of all random choices.
     pub seed: u64,
-    /// Number of brokers.
+    /// Number of brokers in the deployment.
     pub broker_count: f64,
     /// The zone of this broker.
     pub zone: usize,
-    /// The query classes.
+    /// The query classes; [`Query::class`](crate::Query::class) is an index into this list.
     pub query_classes: Vec<QueryClass>,
-    /// Each tenant's quota, in queries per second of all brokers together.
+    /// Each tenant's quota, in queries per second over all brokers together.
     pub quotas: Vec<f64>,
-    /// Whether the value of a query grows with its work.
+    /// Whether the value of a query is proportional to its work.
     pub weight_by_work: bool,
     /// Number of replica groups.
     pub replica_groups: usize,
-    /// Number of replicas of each segment, each in another group.
+    /// Number of replicas of each segment, each in a different replica group.
     pub replicas: usize,
-    /// The cost if all parts cross zones, as a ratio of all value; `None` if it is not stated.
+    /// Cost of sending all parts to other zones, as a ratio of the value of all answers; `None` if not stated.
     pub cross_zone_cost: Option<f64>,
     /// Largest number of attempts of a part.
     pub max_attempts: usize,
@@ -90,41 +90,41 @@
     pub may_cancel: bool,
     /// Whether nodes may be probed.
     pub may_probe: bool,
-    /// Longest Retry-After in seconds that a rejection may state; 0 if it may state none.
+    /// Longest Retry-After in seconds that a rejection may state; 0 if rejections state none.
     pub max_retry_after: f64,
     /// Limit on retries and hedged requests; `None` if there is none.
     pub retry_budget: Option<RetryBudget>,
     /// Limits on what nodes that have just started may be sent.
     pub slow_start: SlowStart,
-    /// If the endpoint list is only sent on request: seconds after which a broker that has not polled is
-    /// assumed to know it anyway. `None` if the list is pushed.
+    /// Time in seconds within which a broker must poll an endpoint list that is only sent on request: after
+    /// it, the broker is assumed to know a change even if it has not polled. `None` if the list is pushed.
     pub list_poll_deadline: Option<f64>,
-    /// Shortest interval between two calls, in seconds.
+    /// The clock's unit: the shortest interval between two calls of the router, in seconds.
     pub tick: f64,
 }
 
 /// The rules of a deployment that may change while a broker runs;
-/// [`Router::set_rules`](crate::Router::set_rules) puts them in force.
+/// [`Router::set_rules`](crate::Router::set_rules) applies them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// [`QueryClass::minimum_share`] by query class; a share that is missing is 1.
+    /// Replaces [`QueryClass::minimum_share`], by query class; a missing entry means 1.
     pub minimum_share: Vec<f64>,
-    /// [`QueryClass::complete_at`] by query class; a share that is missing is 1.
+    /// Replaces [`QueryClass::complete_at`], by query class; a missing entry means 1.
     pub complete_at: Vec<f64>,
-    /// The value in place of [`Deployment::retry_budget`].
+    /// Replaces [`Deployment::retry_budget`].
     pub retry_budget: Option<RetryBudget>,
-    /// The value in place of [`Deployment::max_attempts`].
+    /// Replaces [`Deployment::max_attempts`].
     pub max_attempts: usize,
-    /// The value in place of [`Deployment::hedging_enabled`].
+    /// Replaces [`Deployment::hedging_enabled`].
     pub hedging_enabled: bool,
-    /// The value in place of [`SlowStart::rate_multiple`].
+    /// Replaces [`SlowStart::rate_multiple`].
     pub slow_start_multiple: f64,
-    /// The value in place of [`Deployment::max_retry_after`], in seconds.
+    /// Replaces [`Deployment::max_retry_after`], in seconds.
     pub max_retry_after: f64,
 }
 
 impl Rules {
-    /// The rules that a deployment states.
+    /// Returns the rules that a deployment states.
     pub fn of(deployment: &Deployment) -> Self {
         let classes = &deployment.query_classes;
         Self {
@@ -139,27 +139,27 @@
     }
 }
 
-/// This broker's shares of the quotas of all brokers, instead of even shares;
-/// [`Router::set_quota_shares`](crate::Router::set_quota_shares) puts them in force. `None` stands for
-/// the share that the deployment states.
+/// This broker's shares of the quotas that all brokers hold together, used instead of even shares;
+/// [`Router::set_quota_shares`](crate::Router::set_quota_shares) applies them. `None` means that the value
+/// that follows from the deployment applies.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuotaShares {
-    /// Parts per second that a warm node is known to complete for this broker, by which a node in slow
-    /// start is sent parts.
+    /// Parts per second that a warm node completes for this broker; limits the parts that a node in slow
+    /// start is sent.
     pub slow_start: Option<f64>,
-    /// Share of the free retries of all brokers, which are [`RetryBudget::min_retries`] for each broker.
+    /// This broker's share of the sum of [`RetryBudget::min_retries`] over all brokers.
     pub retries: Option<f64>,
-    /// Share of each tenant's quota, by tenant.
+    /// This broker's share of each tenant's quota, by tenant.
     pub quotas: Vec<Option<f64>>,
 }
 
-/// The use that a broker would make of these quotas.
+/// How much of the shared quotas a broker would use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaDemand {
     /// Parts that a warm node completes for this broker per second.
     pub slow_start: f64,
-    /// Number of retries and hedged requests that were sent.
+    /// Number of retries and hedged requests sent in the period that was asked for.
     pub retries: f64,
-    /// Number of attempts that the retry budget denied.
+    /// Number of attempts that the retry budget has denied since the last report.
     pub retries_denied: f64,
 }
--- a/crates/dunepond-routing/src/learned.rs
+++ b/crates/dunepond-routing/src/learned.rs
@@ -1,20 +1,21 @@
-//! What a process has learned and spent, for its successor. All times are ages in seconds, since each
-//! process has its own clock. These types are stored: the order of their fields is part of the format.
+//! State that a broker process passes to its successor: learned statistics and spent budgets. All times are
+//! ages in seconds, since each process has its own clock. These types are stored: the order of their fields is
+//! part of the format.
 
 use serde::{Deserialize, Serialize};
 
 use crate::NodeId;
 
-/// The statistics that a router has learned.
+/// The statistics that a router has collected about nodes, latencies and connections.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedState {
     /// The statistics of each node.
     pub nodes: Vec<LearnedNode>,
-    /// The fleet's last completions, oldest first.
+    /// The last completions at warm nodes, oldest first.
     pub latency_samples: Vec<LatencyRecord>,
-    /// Attempts on connections that had been idle.
+    /// Outcomes of attempts on connections that had been idle.
     pub idle_resets: Vec<IdleResetRecord>,
-    /// Baseline latency of attempts in seconds; `None` while it is not known.
+    /// Lowest median latency of attempts so far, in seconds; `None` while it is not known.
     pub baseline_latency: Option<f64>,
 }
 
@@ -23,35 +24,35 @@
 pub struct LearnedNode {
     /// The node.
     pub node: NodeId,
-    /// Whether the node was ejected.
+    /// Whether the node was ejected when the state was saved.
     pub ejected: bool,
-    /// The last attempts at the node, oldest first.
+    /// Samples of the last attempts at the node, oldest first.
     pub samples: Vec<LearnedSample>,
 }
 
-/// What an attempt showed about its node.
+/// Sample of an attempt at a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedSample {
-    /// Index into [`Deployment::query_classes`](crate::Deployment::query_classes).
+    /// Query class of the attempt, an index into [`Deployment::query_classes`](crate::Deployment::query_classes).
     pub class: usize,
-    /// Seconds since it was sent.
+    /// Seconds since the attempt was sent.
     pub sent_ago: f64,
-    /// The time that it took in seconds, as a warm node would have taken.
+    /// Latency of the attempt in seconds, scaled to that of a warm node.
     pub latency: f64,
-    /// Seconds since it ended.
+    /// Seconds since the attempt ended.
     pub ended_ago: f64,
-    /// Whether the node served it; an error is an answer, too, and does not count here.
+    /// Whether the node served the attempt; an error response does not count as served.
     pub served: bool,
-    /// Whether it counts against the node.
+    /// Whether the outcome counts as a fault of the node.
     pub fault: bool,
 }
 
 /// A completion at a warm node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LatencyRecord {
-    /// The time that it took, in seconds.
+    /// Latency of the attempt, in seconds.
     pub latency: f64,
-    /// Seconds since it ended.
+    /// Seconds since the attempt ended.
     pub ago: f64,
     /// One node's share of the completion: 1 divided by the number of warm nodes at that time.
     pub node_share: f64,
@@ -60,35 +61,35 @@
 /// The outcome of an attempt on a connection that had been idle.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct IdleResetRecord {
-    /// Seconds since it ended.
+    /// Seconds since the attempt ended.
     pub ago: f64,
-    /// Seconds that the connection had been idle.
+    /// Seconds that the connection had been idle before the attempt.
     pub idle_seconds: f64,
-    /// Whether the connection broke at once.
+    /// Whether the connection broke at once; otherwise the attempt was served.
     pub broke: bool,
 }
 
-/// The part of the budgets that a router has spent and that a restart does not renew.
+/// Budgets that a router has spent and that a restart does not renew.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SpentBudgets {
-    /// Ages of the retries and hedged requests, in seconds.
+    /// Ages of the retries and hedged requests that were sent, in seconds.
     pub retries: Vec<f64>,
-    /// The admissions against which the retry budget is measured.
+    /// The queries and parts that arrived, against which the retry budget is measured.
     pub admissions: Vec<AdmissionRecord>,
-    /// Parts sent to nodes in slow start.
+    /// The parts sent to each node during its slow start.
     pub slow_start_sends: Vec<SlowStartRecord>,
 }
 
-/// Queries and parts that arrived at one time.
+/// Number of queries and parts that arrived at the same instant.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionRecord {
-    /// Age of the admission, in seconds.
+    /// Age of the arrival, in seconds.
     pub ago: f64,
-    /// Number of queries and parts.
+    /// Number of queries and parts that arrived.
     pub count: f64,
 }
 
-/// Parts that were sent to a node in slow start.
+/// Parts that were sent to a node during its slow start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SlowStartRecord {
     /// The node.
--- a/crates/dunepond-routing/src/lib.rs
+++ b/crates/dunepond-routing/src/lib.rs
@@ -1,17 +1,17 @@
 //! The routing decisions of a dunepond broker: admission, placement, retries and hedging, outlier detection,
-//! slow start and shutdown. This layer exists so that the same decisions run on real sockets and in the
-//! simulator: it opens no socket, reads no clock and starts no thread.
+//! slow start and shutdown. The crate opens no socket, reads no clock and starts no thread, so that the same
+//! decisions run on real sockets and in the simulator.
 //!
-//! A host makes one [`Router`] for each broker and calls its methods as things happen; within each call the
-//! router gives its orders through [`Transport`]. First comes [`Router::update_endpoints`] with the endpoint
-//! list, then [`Router::on_query`] for each query with its parts, [`Router::on_second_step`] for the parts
-//! that a first answer has brought, [`Router::on_attempt_ended`] once for each attempt,
-//! [`Router::on_probe_result`] for each probe, [`Router::on_wake`] when requested, and
-//! [`Router::on_client_disconnect`] when the client has gone.
+//! A host creates one [`Router`] for each broker and calls its methods as events occur; within each call the
+//! router gives its orders through [`Transport`]. The host first calls [`Router::update_endpoints`] with the
+//! endpoint list, then [`Router::on_query`] for each query with its parts, [`Router::on_second_step`] for the
+//! parts of a second step, [`Router::on_attempt_ended`] once for each attempt, [`Router::on_probe_result`] for
+//! each probe, [`Router::on_wake`] when requested, and [`Router::on_client_disconnect`] when a client
+//! disconnects.
 //!
-//! Instants are seconds on the host's own clock, durations are seconds; ids are small indices that the host
-//! assigns. All decisions are in `policy`, a file for each rule; `state` holds what they depend on. A router
-//! is deterministic: the same calls lead to the same orders.
+//! Instants are seconds on the host's own clock, durations are seconds; node ids are small indices that the
+//! host assigns. All decisions are in `policy`, one file for each rule; `state` holds the data that they
+//! depend on. A router is deterministic: the same calls lead to the same orders.
 
 #![warn(missing_docs)]
 
@@ -32,7 +32,7 @@
     SlowStartRecord, SpentBudgets,
 };
 pub use policy::{
-    MAX_SHUTDOWN_SECONDS, MAX_STALL_SECONDS, NOTICEABLE_PAUSE_SECONDS, SIGNAL_POLL_INTERVAL, ShutdownStage,
+    MAX_SHUTDOWN_SECONDS, MAX_STALL_SECONDS, SIGNAL_POLL_INTERVAL, STALL_THRESHOLD_SECONDS, ShutdownStage,
 };
 pub use query::{AttemptEnded, AttemptId, AttemptOutcome, Part, Query, QueryId};
 pub use state::{Router, Shutdown};
--- a/crates/dunepond-routing/src/policy/admission.rs
+++ b/crates/dunepond-routing/src/policy/admission.rs
@@ -1,10 +1,10 @@
-//! Admission, which decides whether a query is rejected on arrival.
+//! Admission: whether a query is rejected on arrival.
 //!
 //! Inputs: the expected wait of a query's parts (seconds), its latency objective and deadline, its value per
 //! unit of work, its tenant's quota, and the share of recent queries that missed their objective. Under
-//! overload an answer that comes late earns little and delays all others, while a rejection on arrival costs
-//! nothing. Load is shed in this order: traffic beyond a tenant's quota, queries that are already late, then
-//! the lowest value per unit of work.
+//! overload a late answer has little value and delays all others, while a rejection on arrival costs nothing.
+//! Load is shed in this order: first traffic beyond a tenant's quota, audits, and queries that would be late,
+//! then the queries with the lowest value per unit of work.
 
 use rand::RngExt;
 
@@ -14,31 +14,34 @@
 use crate::state::{InFlightQuery, Node, ObjectiveResult, PartState, Router, keep_last};
 use crate::{Query, QueryClass, Transport};
 
-/// Ratio of expected wait to useful time left at which load shedding starts, and at which everything is shed.
+/// Ratio of expected wait to useful time left at which load shedding starts.
 pub(super) const SHED_START_RATIO: f64 = 0.25;
+/// Ratio of expected wait to useful time left at which every query is shed.
 const SHED_ALL_RATIO: f64 = 0.65;
 /// Weight of the share of missed objectives in the overload level.
 const MISSED_WEIGHT: f64 = 0.5;
-/// Number of queries in that share, and of on-time ones that are added to it as a prior, because a few
-/// samples show little.
+/// Number of queries from which the share of missed objectives is computed.
 const MISSED_SAMPLE_COUNT: usize = 16;
+/// Number of on-time queries that are added to the share of missed objectives as a prior, because a few
+/// samples are not significant.
 const MISSED_PRIOR_COUNT: f64 = 4.0;
-/// Number of recent queries among which a new one is ranked by value.
+/// Number of recent queries among which a new query is ranked by value density.
 const VALUE_SAMPLE_COUNT: usize = 64;
-/// Factor for the wait of a second step, which waits again, mostly for lighter parts.
+/// Wait of a query with two steps, as a multiple of the wait of its first step: the second step waits again,
+/// mostly for lighter parts.
 const TWO_STEP_WAIT_RATIO: f64 = 1.5;
 /// Expected service time of a part, as a multiple of the baseline latency.
 const SERVICE_BASELINE_RATIO: f64 = 1.5;
 
 impl Router {
-    /// Decides once, on arrival, whether a query is served.
+    /// Decides on arrival, and only then, whether a query is served or rejected.
     pub(super) fn admit(&mut self, transport: &mut dyn Transport, query: &mut InFlightQuery) -> StageResult {
         if query.admission_checked {
             return StageResult::Continue;
         }
         query.admission_checked = true;
         if query.exceeds_shutdown {
-            // Another broker can serve it right away.
+            // Another broker can serve the query at once, so no Retry-After is stated.
             transport.reject_retriable(query.id, 0.0);
             return StageResult::Done;
         }
@@ -47,10 +50,10 @@
         let wait = steps * self.expected_wait(query);
         let served_at = self.expected_served_at(wait);
         let is_late = served_at > query.objective_at;
-        let earns_nothing = is_late && class.late_value_ratio <= 0.0;
-        // The attempt would only take capacity from other queries, once for each retry of an impatient
-        // client.
-        if served_at > query.deadline_at || earns_nothing {
+        let has_no_value = is_late && class.late_value_ratio <= 0.0;
+        // Serving the query would only take capacity from other queries, and again for each retry of a client
+        // with a short timeout.
+        if served_at > query.deadline_at || has_no_value {
             return self.end_unserved(transport, query);
         }
         let horizon = self.useful_seconds(query, class, is_late);
@@ -68,9 +71,9 @@
         StageResult::Continue
     }
 
-    /// The instant up to which an answer has its full value. A client's retry has already used part of the
-    /// client's time. That shows only when it has less time left than the tenant's first tries: some clients
-    /// state short times from the start.
+    /// Returns the instant up to which an answer has its full value. A retry by the client has already used
+    /// part of the latency objective. This is assumed only if the retry has less time left than the tenant's
+    /// first try, because some clients state short timeouts from the start.
     pub(super) fn objective_at(&mut self, query: &Query) -> f64 {
         let class = &self.deployment.query_classes[query.class];
         let index = query.class + query.tenant * self.deployment.query_classes.len();
@@ -79,19 +82,19 @@
         if !query.is_retry {
             first_tries[index] = query.expires_in;
         }
-        let is_cut_short = query.is_retry && query.expires_in < first_tries[index] - self.deployment.tick;
-        let spent = if is_cut_short { class.timeout - query.expires_in } else { 0.0 };
+        let is_shortened = query.is_retry && query.expires_in < first_tries[index] - self.deployment.tick;
+        let spent = if is_shortened { class.timeout - query.expires_in } else { 0.0 };
         self.now + (class.latency_objective - spent).max(0.0)
     }
 
-    /// Seconds for which an answer keeps the value that the query can still earn.
+    /// Returns the seconds within which an answer keeps the value that the query can still have.
     fn useful_seconds(&self, query: &InFlightQuery, class: &QueryClass, is_late: bool) -> f64 {
         let useful = if is_late { class.latency_objective } else { query.objective_at - self.now };
         useful.min(query.deadline_at - self.now)
     }
 
-    /// Rank of the query's value density (value per unit of work) among recent queries, itself included: from
-    /// 0, the lowest, to 1.
+    /// Returns the rank of the query's value density (value per unit of work) among recent queries, itself
+    /// included: from 0 for the lowest to 1 for the highest.
     fn rank_value(&mut self, query: &InFlightQuery, is_late: bool) -> f64 {
         let class = self.class(query);
         let parts_needed = query.parts.len() as f64 * self.complete_share(query);
@@ -104,14 +107,14 @@
         densities.iter().map(below).sum::<f64>() / densities.len() as f64
     }
 
-    /// Overload level: 0 or less sheds nothing, 1 or more sheds everything.
+    /// Returns the overload level: 0 or less sheds nothing, 1 or more sheds everything.
     fn overload_level(&self, wait_ratio: f64) -> f64 {
         (wait_ratio - SHED_START_RATIO) / (SHED_ALL_RATIO - SHED_START_RATIO)
             + MISSED_WEIGHT * self.missed_share()
     }
 
-    /// Expected wait (seconds) until enough parts for an answer can be served. Load differs by segment: some
-    /// replicas may be overloaded while the fleet as a whole is not.
+    /// Returns the expected wait (seconds) until enough parts for an answer can be served. Computed from the
+    /// query's own parts, because some replicas may be overloaded while the fleet as a whole is not.
     pub(super) fn expected_wait(&self, query: &InFlightQuery) -> f64 {
         let wait_and_weight = |part: &PartState| (self.part_wait(part), part.weight);
         let mut waits: Vec<(f64, f64)> = query.step().iter().map(wait_and_weight).collect();
@@ -127,67 +130,70 @@
         0.0
     }
 
-    /// Expected wait (seconds) at a part's best replica; `f64::MAX` if no replica is in service or due a
-    /// probation attempt, as an attempt there would only waste the capacity that its other parts take. This
-    /// is no overload: queries of other segments are not affected.
+    /// Returns the expected wait (seconds) at a part's best replica; `f64::MAX` if no replica is in service or
+    /// due a probation attempt, because the query's other parts would then only waste capacity. This does not
+    /// count as overload: queries of other segments are not affected.
     pub(super) fn part_wait(&self, part: &PartState) -> f64 {
         let replicas = self.replicas(part.segment, part.required_node);
         replicas.map(|(_, node)| self.node_wait(node)).min_by(f64::total_cmp).unwrap_or(f64::MAX)
     }
 
+    /// Returns the expected wait (seconds) at a node; `f64::MAX` if it is full or may not be sent an attempt.
     fn node_wait(&self, node: &Node) -> f64 {
         if self.is_full(node) {
             return f64::MAX;
         }
         let Some(ejection) = &node.ejection else { return self.queue_wait(node, self.recent_excess(node)) };
-        // The node may only have paused; there is time to wait for its first probation attempt.
+        // The node may only have paused for a moment: the query can wait for the first probation attempt.
         let pause = (2.0 * SILENCE_P95_RATIO + EJECTION_P95_RATIO) * self.latency.p95;
         if self.now - node.last_response_at < pause {
             (ejection.probation_at - self.now).max(0.0)
         } else if self.is_due_probation(node, ejection) {
-            // Samples from before the ejection say nothing about the probation attempt.
+            // Samples from before the ejection do not predict the latency of the probation attempt.
             self.queue_wait(node, 0.0)
         } else {
             f64::MAX
         }
     }
 
-    /// Seconds by which a node's recent attempts exceeded the baseline latency.
+    /// Returns the seconds by which a node's recent attempts exceeded the baseline latency.
     fn recent_excess(&self, node: &Node) -> f64 {
         self.expected_latency(node, RECENT_OBJECTIVES, |_| 0.0) - self.latency.baseline
     }
 
-    /// Expected wait at a node: the age of the oldest outstanding attempt, or the recent excess latency.
+    /// Returns the expected wait (seconds) at a node: the age of the oldest outstanding attempt or the recent
+    /// excess latency, whichever is more.
     fn queue_wait(&self, node: &Node, excess: f64) -> f64 {
         if let Some(oldest) = node.outstanding.first() {
             return excess.max(self.now - oldest.sent_at);
         }
-        // If no sample of the zone is newer than the wait itself, it may be over, and only a new attempt can
-        // tell.
-        let last_told_at = self.latency.zones[node.zone].back().map_or(0.0, |sample| sample.at);
-        let is_outdated = self.now - last_told_at > excess;
+        // If the zone's last sample is older than the wait itself, the wait may be over, and only a new attempt
+        // can show that.
+        let last_sample_at = self.latency.zones[node.zone].back().map_or(0.0, |sample| sample.at);
+        let is_outdated = self.now - last_sample_at > excess;
         if is_outdated { 0.0 } else { excess }
     }
 
-    /// The node rejected an attempt as full less than a median latency ago, so its queue is likely still
-    /// full.
+    /// Returns whether the node rejected an attempt as full less than a median latency ago, so that its queue
+    /// is probably still full.
     pub(super) fn is_full(&self, node: &Node) -> bool {
         self.now - node.last_full_at < self.latency.median
     }
 
-    /// When a query that waits this many seconds is expected to be served.
+    /// Returns the instant at which a query that waits for `wait` seconds is expected to be served.
     fn expected_served_at(&self, wait: f64) -> f64 {
         self.now + wait + SERVICE_BASELINE_RATIO * self.latency.baseline.min(self.latency.median)
     }
 
-    /// After the prefilter: nothing is left to send, or the rest is expected before the deadline.
+    /// Returns whether a query can still be answered after the prefilter: no part is left to send, or the
+    /// remaining parts are expected to be served before the deadline.
     pub(super) fn can_still_be_served(&self, query: &InFlightQuery) -> bool {
         query.parts.iter().all(PartState::is_done)
             || self.expected_served_at(self.expected_wait(query)) <= query.deadline_at
     }
 
-    /// Whether the oldest attempt at most nodes in service has been outstanding for long. Optional work is to
-    /// be held back then.
+    /// Returns whether the oldest outstanding attempt is late at most of the nodes in service. Optional work
+    /// must not be sent then.
     pub fn is_overloaded(&self) -> bool {
         let limit = SHED_START_RATIO * self.latency.shortest_objective;
         let (mut late, mut in_service) = (0, 0);
@@ -200,8 +206,8 @@
         2 * late > in_service
     }
 
-    /// Share of recent queries that missed their objective. A broker that meets each replica rarely estimates
-    /// waits from the fleet's median; this share shows when those estimates are too low.
+    /// Returns the share of recent queries that missed their latency objective. A broker that rarely sends to
+    /// each replica estimates waits from the fleet's median; this share shows when those estimates are too low.
     fn missed_share(&self) -> f64 {
         let since = self.objectives_ago(RECENT_OBJECTIVES);
         let (mut missed, mut all) = (0.0, MISSED_PRIOR_COUNT);
@@ -212,13 +218,15 @@
         missed / all
     }
 
+    /// Records whether a query that ends now missed its latency objective.
     pub(super) fn record_objective(&mut self, query: &InFlightQuery) {
         let missed = self.now > query.objective_at - self.deployment.tick;
         let result = ObjectiveResult { at: self.now, missed };
         keep_last(&mut self.admission.missed_objectives, result, MISSED_SAMPLE_COUNT);
     }
 
-    /// Whether this broker's part of a tenant's quota, counted over the longest latency objective, has room.
+    /// Returns whether this broker's share of a tenant's quota, counted over the longest latency objective,
+    /// allows another query.
     fn is_within_quota(&mut self, tenant: usize) -> bool {
         let Some(quota) = self.deployment.quotas.get(tenant) else { return true };
         let Some(times) = self.admission.within_quota.get_mut(tenant) else { return true };
--- a/crates/dunepond-routing/src/policy/clock.rs
+++ b/crates/dunepond-routing/src/policy/clock.rs
@@ -1,26 +1,26 @@
-//! Clock: when the router wakes next, and how a stall of the process itself is compensated.
+//! Clock: when the router is woken next, and how a stall of the process itself is compensated.
 //!
 //! Inputs: the transport's clock (seconds), the tick (seconds), the instant of the requested wake. A wake
-//! that comes far too late means that nothing was read in the meantime; counted as silence of the nodes, it
-//! would eject the whole fleet.
+//! that comes far too late means that the process read nothing in the meantime. If this counted as silence of
+//! the nodes, the whole fleet would be ejected.
 
 use crate::Transport;
 use crate::state::Router;
 
-/// Longest stall in seconds between reading the clock and writing to a connection. A repeat that must not run
-/// after some instant is not started closer to it than this. Client deadlines have no such margin: many
-/// queries arrive with less time than that and are served in time.
+/// Longest expected stall between reading the clock and writing to a connection, in seconds. An attempt that
+/// must not run after an instant is not sent within this time before it. Client deadlines have no such margin,
+/// because many queries arrive with less time left and are served in time.
 pub const MAX_STALL_SECONDS: f64 = 0.15;
-/// A wake that is later than this indicates a stall.
+/// A wake that is late by more than this indicates a stall of the process.
 const STALL_TICKS: f64 = 10.0;
-/// Interval of wakes while queries are in flight.
+/// Interval between wakes while queries are in flight.
 const WAKE_INTERVAL_TICKS: f64 = 5.0;
-/// Tolerance for a wake that comes early because clocks are rounded.
+/// Tolerance for a wake that comes early because instants are rounded.
 const EARLY_WAKE_TICKS: f64 = 0.5;
 
 impl Router {
-    /// Reads the clock. After a stall, shifts the nodes' timestamps by it, so that it does not count as their
-    /// silence.
+    /// Reads the clock. After a stall of this process, moves the nodes' timestamps forward by its length, so
+    /// that the stall does not count as silence of the nodes.
     pub(super) fn sync_clock(&mut self, transport: &dyn Transport) {
         self.now = transport.now();
         let stalled = self.now - self.wake_due_at;
@@ -36,13 +36,13 @@
         }
     }
 
-    /// The instant this many times the longest latency objective ago.
+    /// Returns the instant that lies `objectives` times the longest latency objective in the past.
     pub(super) fn objectives_ago(&self, objectives: f64) -> f64 {
         self.now - objectives * self.latency.longest_objective
     }
 
-    /// Clears the requested wake once it has come. A wake requested before an earlier one replaced it still
-    /// comes, and clears nothing.
+    /// Clears the requested wake once it is due. A wake that has been replaced by an earlier one still occurs;
+    /// if the endpoint list is polled, such a wake clears nothing.
     pub(super) fn clear_due_wake(&mut self) {
         let is_polling = self.endpoint_poll.next_at < f64::MAX;
         if !is_polling || self.now > self.wake_due_at - EARLY_WAKE_TICKS * self.deployment.tick {
--- a/crates/dunepond-routing/src/policy/completion.rs
+++ b/crates/dunepond-routing/src/policy/completion.rs
@@ -1,9 +1,9 @@
-//! Completion: whether the parts received make an answer, whether they still can, and how a query ends
-//! without one.
+//! Completion: whether the parts received are enough for an answer, whether enough of them can still arrive,
+//! and how a query ends without an answer.
 //!
 //! Inputs: the parts' weights (shares of the step), the shares that the query class needs (k of the (n, k)
-//! fork-join), and the attempts of each part. As soon as enough parts are in, the remaining attempts are
-//! cancelled.
+//! fork-join), and the attempts of each part. As soon as enough parts have been served, the remaining attempts
+//! are cancelled.
 
 use std::ops::Range;
 
@@ -14,14 +14,14 @@
 use crate::state::{Attempt, InFlightQuery, PartState, PartStatus, Router};
 use crate::{AttemptEnded, AttemptOutcome, Deployment, Idempotency, QueryId, Transport};
 
-/// Tolerance for weights that were rounded.
+/// Tolerance for sums of rounded weights.
 const WEIGHT_ROUNDING: f64 = 1e-6;
-/// A Retry-After is drawn from this range of the longest one, so that rejected clients do not return at the
-/// same time.
+/// Range from which the Retry-After of a rejection is drawn, as ratios of the longest one, so that rejected
+/// clients do not return at the same time.
 const RETRY_AFTER_SPREAD: Range<f64> = 0.5..1.0;
 
 impl Router {
-    /// Answers a query that has enough parts, and rejects one that can no longer get them.
+    /// Answers a query that has enough parts, and ends a query that can no longer get enough.
     pub(super) fn answer_or_end(
         &mut self,
         transport: &mut dyn Transport,
@@ -38,54 +38,56 @@
             query.step_start = query.parts.len();
             return StageResult::Wait;
         }
-        if query.weight_where(|part| self.can_still_come(query, part)) < self.minimum_weight(query) {
+        if query.weight_where(|part| self.can_still_be_done(query, part)) < self.minimum_weight(query) {
             return self.end_unserved(transport, query);
         }
         StageResult::Continue
     }
 
-    fn can_still_come(&self, query: &InFlightQuery, part: &PartState) -> bool {
+    /// Returns whether a part has been served or can still be served.
+    fn can_still_be_done(&self, query: &InFlightQuery, part: &PartState) -> bool {
         part.is_done() || part.has_outstanding() || self.may_send(query, part)
     }
 
-    /// Weight that makes the present step complete.
+    /// Returns the weight that makes the present step complete.
     pub(super) fn complete_weight(&self, query: &InFlightQuery) -> f64 {
         let share = if query.is_second_step { 1.0 } else { self.complete_share(query) };
         share - WEIGHT_ROUNDING
     }
 
-    /// Weight below which no answer can be given, not even a partial one.
+    /// Returns the weight below which no answer can be given, not even a partial one.
     pub(super) fn minimum_weight(&self, query: &InFlightQuery) -> f64 {
         self.complete_weight(query).min(self.minimum_share(query) - WEIGHT_ROUNDING)
     }
 
-    /// Whether the rules of its query class allow another attempt of a part.
+    /// Returns whether the rules of the query's class allow another attempt of a part.
     pub(super) fn may_send(&self, query: &InFlightQuery, part: &PartState) -> bool {
         !part.is_done()
             && !query.body_consumed
             && part.attempts.len() < self.attempt_cap(query)
-            && self.required_node_is_listed(part)
+            && self.required_node_is_available(part)
             && self.may_run_again(query, part)
     }
 
-    fn required_node_is_listed(&self, part: &PartState) -> bool {
+    /// Returns whether the part's required node, if it has one, is an active replica of its segment.
+    fn required_node_is_available(&self, part: &PartState) -> bool {
         part.required_node.is_none() || self.replicas(part.segment, part.required_node).next().is_some()
     }
 
-    /// Whether a repeat is harmless: no attempt may have run yet, or running twice is safe.
+    /// Returns whether another attempt is safe: either no attempt can have run yet, or the part may run twice.
     fn may_run_again(&self, query: &InFlightQuery, part: &PartState) -> bool {
-        let first_that_may_have_run = part.attempts.iter().find(|attempt| !attempt.never_ran());
+        let first_possible_run = part.attempts.iter().find(|attempt| !attempt.never_ran());
         match self.class(query).idempotency {
             Idempotency::Idempotent => true,
-            // Guards against a second run after the window, if the attempt is delayed by a stall.
-            Idempotency::Keyed { window_seconds } => first_that_may_have_run
+            // The margin keeps an attempt that a stall delays from running after the idempotency window.
+            Idempotency::Keyed { window_seconds } => first_possible_run
                 .is_none_or(|first| self.now - first.sent_at < window_seconds - MAX_STALL_SECONDS),
-            Idempotency::NonIdempotent => first_that_may_have_run.is_none(),
+            Idempotency::NonIdempotent => first_possible_run.is_none(),
         }
     }
 
-    /// Whether the body of a query may still be needed by an attempt. An outstanding attempt counts as one
-    /// that may never have run.
+    /// Returns whether another attempt may still need the query's body. An outstanding attempt counts as one
+    /// that may turn out not to have run.
     pub fn needs_body(&self, id: QueryId) -> bool {
         let Some(query) = self.queries.get(&id) else { return false };
         if query.body_consumed {
@@ -93,12 +95,12 @@
         }
         let cap = self.attempt_cap(query);
         query.step().iter().any(|part| {
-            let may_turn_out_unrun = part.attempts.iter().all(|a| a.is_outstanding() || a.never_ran());
-            !part.is_done() && part.attempts.len() < cap && (self.may_send(query, part) || may_turn_out_unrun)
+            let may_not_have_run = part.attempts.iter().all(|a| a.is_outstanding() || a.never_ran());
+            !part.is_done() && part.attempts.len() < cap && (self.may_send(query, part) || may_not_have_run)
         })
     }
 
-    /// Records the outcome of an attempt in its query, which then runs its stages.
+    /// Records the outcome of an attempt in its query and then runs the query's request stages.
     pub(super) fn record_attempt_end(&mut self, transport: &mut dyn Transport, ended: &AttemptEnded) {
         let Some(query) = self.queries.get_mut(&ended.query) else { return };
         let part = &mut query.parts[ended.part];
@@ -110,9 +112,9 @@
         self.run_request_stages(transport, ended.query);
     }
 
-    /// Gives the final answer to a query that will not be served, at once, since waiting would cost the
-    /// client its time and have no value. It is rejected as retriable only if its class is idempotent or no
-    /// attempt may have run; otherwise, and so for keyed classes too, it fails with an unknown outcome.
+    /// Ends a query that will not be served. This happens at once, because waiting would only cost the client
+    /// time. The query is rejected as retriable if its class is idempotent or no attempt can have run;
+    /// otherwise, also for keyed classes, it fails with an unknown outcome.
     pub(super) fn end_unserved(
         &mut self,
         transport: &mut dyn Transport,
@@ -129,7 +131,8 @@
         StageResult::Done
     }
 
-    /// Ends a query that has its final answer or whose client has disconnected.
+    /// Finishes a query that has its final answer or whose client has disconnected: cancels its outstanding
+    /// attempts.
     pub(super) fn finish(&mut self, transport: &mut dyn Transport, query: &InFlightQuery) {
         if query.attempts().next().is_some() {
             self.record_objective(query);
@@ -142,7 +145,7 @@
 }
 
 impl Attempt {
-    /// Whether the attempt is known not to have run at the node.
+    /// Returns whether the attempt is known not to have run at the node.
     pub fn never_ran(&self) -> bool {
         matches!(
             self.outcome,
@@ -152,6 +155,7 @@
 }
 
 impl PartState {
+    /// Cancels the part's outstanding attempts if the deployment allows it.
     fn cancel_outstanding(
         &self,
         transport: &mut dyn Transport,
--- a/crates/dunepond-routing/src/policy/deadline.rs
+++ b/crates/dunepond-routing/src/policy/deadline.rs
@@ -1,26 +1,27 @@
-//! Deadline: the last moment at which a query is answered, completely or partially.
+//! Deadline: when a query must be answered at the latest, completely or partially.
 //!
 //! Inputs: the client's deadline and, for a class whose late answers have no value, the latency objective
-//! (both instants), and the weight of the parts received. A partial answer is better than none where the
-//! query class accepts one.
+//! (both instants), and the weight of the parts received. If the query class accepts a partial answer, it is
+//! given rather than none.
 
 use super::StageResult;
 use crate::Transport;
 use crate::state::{InFlightQuery, Router};
 
-/// How long before the end the last wake is that is certain to come in time.
+/// Time before the deadline at which the decision is made; a later wake might not come in time.
 const DECISION_MARGIN_TICKS: f64 = 7.0;
 
 impl Router {
-    /// The last moment to decide: before the client's deadline, or before the answer loses all value.
+    /// Returns the latest instant to decide on a query: shortly before the client's deadline, or before the
+    /// latency objective if late answers have no value.
     pub(super) fn decision_deadline(&self, query: &InFlightQuery) -> f64 {
-        let worthless_when_late = self.class(query).late_value_ratio <= 0.0;
+        let has_no_late_value = self.class(query).late_value_ratio <= 0.0;
         let end =
-            if worthless_when_late { query.deadline_at.min(query.objective_at) } else { query.deadline_at };
+            if has_no_late_value { query.deadline_at.min(query.objective_at) } else { query.deadline_at };
         end - DECISION_MARGIN_TICKS * self.deployment.tick
     }
 
-    /// Ends a query whose time is up.
+    /// Ends a query that has reached its decision deadline, with a partial answer if possible.
     pub(super) fn enforce_deadline(
         &mut self,
         transport: &mut dyn Transport,
@@ -36,8 +37,8 @@
         self.end_unserved(transport, query)
     }
 
-    /// Whether the query class accepts partial answers and enough parts are in. Pruned parts do not count:
-    /// they hold no result.
+    /// Returns whether the query class accepts partial answers and enough parts have been served. Pruned parts
+    /// do not count, because they contain no result.
     fn may_answer_partially(&self, query: &InFlightQuery) -> bool {
         let share = query.weight_where(|part| part.is_done() && !part.is_pruned());
         let is_last_step = query.is_second_step || !self.class(query).second_step;
--- a/crates/dunepond-routing/src/policy/dispatch.rs
+++ b/crates/dunepond-routing/src/policy/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: sends each part of a query once, all parts together, after probing if that is called for.
+//! Dispatch: sends each part of a query once, all parts together, after probing the replicas if necessary.
 //!
 //! Inputs: the parts without an attempt, the replica that placement chooses for each, and the idle time of
 //! its connections (seconds).
@@ -10,8 +10,8 @@
 use crate::{AttemptId, NodeId, Transport};
 
 impl Router {
-    /// Sends the parts that have no attempt yet. A part without a suitable replica stays unsent until the
-    /// query runs next.
+    /// Sends the parts that have no attempt yet. A part without an eligible replica stays unsent until the
+    /// query's stages run again.
     pub(super) fn dispatch_unsent(
         &mut self,
         transport: &mut dyn Transport,
@@ -42,15 +42,16 @@
                 self.send_attempt(transport, query, part, node);
             }
         }
-        // The body of a single-shot query is available on arrival only: a part without a replica now will
-        // never be sent, which may end the query.
+        // The body of a single-shot query is available on arrival only: a part that has no replica now can
+        // never be sent, and the query may have to end.
         if query.single_shot && !mem::replace(&mut query.body_consumed, true) {
             return self.answer_or_end(transport, query);
         }
         StageResult::Continue
     }
 
-    /// Sends one attempt of a part, on a new connection if idle ones are likely to have been reset.
+    /// Sends one attempt of a part. If idle connections to the node have probably been reset, they are closed
+    /// first, so that the attempt uses a new one.
     pub(super) fn send_attempt(
         &mut self,
         transport: &mut dyn Transport,
@@ -78,7 +79,7 @@
         });
     }
 
-    /// Seconds since the last traffic with a node; 0 while an attempt is outstanding there.
+    /// Returns the seconds since the last traffic with a node; 0 while an attempt is outstanding there.
     fn idle_seconds(&self, id: NodeId) -> f64 {
         match &self.nodes[id] {
             Some(node) if node.outstanding.is_empty() => self.now - node.last_used_at,
--- a/crates/dunepond-routing/src/policy/endpoint_list.rs
+++ b/crates/dunepond-routing/src/policy/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! Endpoint list: how its rows change the known nodes, and when it is polled.
+//! Endpoint list: how its rows update the known nodes, and when the list is polled.
 //!
-//! Inputs: the rows with each node's start (an instant) and, where the list comes only on request, the
-//! seconds after which a broker that has not polled is held to know it anyway. A node listed as draining or
-//! removed gets no new work; a node listed as active has to prove it.
+//! Inputs: the rows with each node's start (an instant) and, if the list is only sent on request, the time
+//! (seconds) within which it must be polled. A node listed as draining or removed gets no new work; a node
+//! listed as active is still subject to outlier detection.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -12,16 +12,19 @@
 use crate::state::{Node, Router, TokenBucket};
 use crate::{Endpoint, EndpointState, NodeId, Transport};
 
-/// Ratios to the time within which the list must be polled: the interval after an answer (a watch may have
-/// failed silently), and the first backoff after a refusal, doubled with each refusal up to that interval.
-const QUIET_POLL_RATIO: f64 = 0.9;
+/// Interval between polls, as a ratio of the time within which the list must be polled. The list is polled
+/// even if it is watched, because a watch may have failed without notice.
+const POLL_INTERVAL_RATIO: f64 = 0.9;
+/// First back-off after a failed poll, as a ratio of the time within which the list must be polled. Each further
+/// failure doubles it, up to the poll interval.
 const FIRST_BACKOFF_RATIO: f64 = 0.03;
-/// Jitter: many brokers that start at once would fill the list's queue.
+/// Jitter factor of the back-off: many brokers that start at the same time would otherwise fill the queue of the
+/// list's server.
 const BACKOFF_SPREAD: Range<f64> = 0.5..1.0;
 
 impl Router {
-    /// Accepts the endpoint list: all of it, or only the rows that have changed. A node that is not in a
-    /// complete list counts as removed.
+    /// Applies the endpoint list: the complete list, or only the rows that have changed. A node that is missing
+    /// from a complete list counts as removed.
     pub fn update_endpoints(
         &mut self,
         transport: &mut dyn Transport,
@@ -29,7 +32,7 @@
         endpoints: &[Endpoint],
     ) {
         self.sync_clock(transport);
-        self.note_list_answer();
+        self.schedule_next_poll();
         if is_complete {
             for node in self.nodes.iter_mut().flatten() {
                 node.state = EndpointState::Removed;
@@ -42,12 +45,13 @@
         self.schedule_wake(transport);
     }
 
-    fn note_list_answer(&mut self) {
+    /// Schedules the next poll after the list has been received, unless it has never been polled.
+    fn schedule_next_poll(&mut self) {
         let was_polled = self.endpoint_poll.next_at > f64::MIN;
-        if let Some(within) = self.deployment.list_poll_deadline
+        if let Some(poll_deadline) = self.deployment.list_poll_deadline
             && was_polled
         {
-            self.endpoint_poll.next_at = self.now + QUIET_POLL_RATIO * within;
+            self.endpoint_poll.next_at = self.now + POLL_INTERVAL_RATIO * poll_deadline;
             self.endpoint_poll.refusals = 0;
         }
     }
@@ -68,29 +72,29 @@
         }
     }
 
-    /// Records that a poll of the list has failed, or that a watch was interrupted; the list is polled
-    /// again after a backoff.
+    /// Records that a poll of the list has failed or that a watch was interrupted; the list is polled again
+    /// after a back-off.
     pub fn on_list_poll_failed(&mut self, transport: &mut dyn Transport) {
         self.sync_clock(transport);
-        if let Some(within) = self.deployment.list_poll_deadline {
+        if let Some(poll_deadline) = self.deployment.list_poll_deadline {
             let doubled = FIRST_BACKOFF_RATIO * 2_f64.powi(self.endpoint_poll.refusals);
-            let backoff = doubled.min(QUIET_POLL_RATIO) * within;
+            let backoff = doubled.min(POLL_INTERVAL_RATIO) * poll_deadline;
             self.endpoint_poll.refusals += 1;
             self.endpoint_poll.next_at = self.now + backoff * self.rng.random_range(BACKOFF_SPREAD);
         }
         self.schedule_wake(transport);
     }
 
-    /// Polls a list that comes only on request, at the start and whenever it is due.
+    /// Polls a list that is only sent on request, at the start and whenever a poll is due.
     pub(super) fn poll_endpoints(&mut self, transport: &mut dyn Transport) {
-        let Some(within) = self.deployment.list_poll_deadline else { return };
+        let Some(poll_deadline) = self.deployment.list_poll_deadline else { return };
         if self.now >= self.endpoint_poll.next_at {
-            self.endpoint_poll.next_at = self.now + QUIET_POLL_RATIO * within;
+            self.endpoint_poll.next_at = self.now + POLL_INTERVAL_RATIO * poll_deadline;
             transport.poll_endpoint_list();
         }
     }
 
-    /// Drops a removed node that has no outstanding attempt; its id may then be given to another node.
+    /// Forgets a removed node that has no outstanding attempt. The host may then assign its id to another node.
     ///
     /// # Panics
     ///
@@ -99,7 +103,7 @@
         self.nodes[id] = None;
         for part in self.queries.values_mut().flat_map(|query| &mut query.parts) {
             if part.required_node == Some(id) {
-                // The next node with this id is not the one that the part requires.
+                // Another node may get this id, and the part must not be sent there.
                 part.required_node = Some(NodeId::MAX);
             }
         }
@@ -110,8 +114,8 @@
 }
 
 impl Node {
-    /// Resets a node whose process was restarted under the same name: samples, ejection and attempts of
-    /// the old process do not apply to the new one. An ejection ends without a log line.
+    /// Resets the state of a node whose process has restarted: samples, ejection and attempts of the old
+    /// process do not apply to the new one. An ejection ends without a log line.
     fn restart(&mut self, started_at: f64, tokens: TokenBucket) {
         self.started_at = started_at;
         self.slow_start_tokens = tokens;
--- a/crates/dunepond-routing/src/policy/latency.rs
+++ b/crates/dunepond-routing/src/policy/latency.rs
@@ -2,31 +2,35 @@
 //!
 //! Inputs: latencies (seconds) of the last completions at warm nodes and of the last attempts in each zone.
 //! Other rules use multiples of these quantiles, so that no limit has to be tuned for a deployment. A node is
-//! judged against the fleet: if all nodes become slow, the quantiles follow and no node is an outlier.
+//! compared with the fleet: if all nodes become slow, the quantiles rise and no node is an outlier.
 
 use std::collections::VecDeque;
 
 use crate::state::{CompletionSample, Router, ZoneSample, keep_last};
 
-/// Completions kept of the whole fleet, and how many recent ones give a quantile or a baseline.
+/// Number of completions kept for the whole fleet.
 const FLEET_SAMPLE_COUNT: usize = 64;
+/// Number of recent completions that are needed to compute a quantile.
 const MIN_QUANTILE_SAMPLE_COUNT: usize = 8;
+/// Number of recent completions that are needed to update the baseline.
 const MIN_BASELINE_SAMPLE_COUNT: usize = 16;
-/// Attempts kept of each zone, and how many fresh ones give its median.
+/// Number of attempts kept for each zone.
 const ZONE_SAMPLE_COUNT: usize = 16;
+/// Number of fresh attempts that are needed to compute the median of a zone.
 const MIN_ZONE_SAMPLE_COUNT: usize = 4;
-/// Samples describe the present load for this many longest latency objectives.
+/// Age up to which samples are recent: they describe the present load.
 pub(super) const RECENT_OBJECTIVES: f64 = 2.0;
-/// Samples describe a node or zone at all for this many longest latency objectives.
+/// Age up to which samples are fresh: older ones no longer describe a node or zone.
 pub(super) const FRESH_OBJECTIVES: f64 = 8.0;
 /// A latency above this multiple of the median is slow.
 pub(super) const SLOW_RATIO: f64 = 2.5;
-/// Until there are samples, quantile q is this times q times the shortest latency objective.
-const UNMEASURED_RATIO: f64 = 0.4;
+/// With too few samples, quantile q is assumed to be this ratio times q times the shortest latency objective.
+const DEFAULT_QUANTILE_RATIO: f64 = 0.4;
+/// The quantile that other rules use as the upper bound of usual latencies.
 const HIGH_QUANTILE: f64 = 0.95;
 
 impl Router {
-    /// Recomputes the quantiles from the last samples.
+    /// Recomputes the quantiles, the baseline and the zone medians from the last samples.
     pub(super) fn measure_latency(&mut self) {
         let since = self.objectives_ago(RECENT_OBJECTIVES);
         let recent = self.latency.completions.iter().filter(|sample| sample.at > since);
@@ -40,15 +44,17 @@
         self.latency.zone_median = self.latency.zones.iter().map(|zone| self.zone_median(zone)).collect();
     }
 
+    /// Returns a quantile of sorted latencies, or a default if there are too few of them.
     fn quantile(&self, sorted: &[f64], quantile: f64) -> f64 {
         if sorted.len() < MIN_QUANTILE_SAMPLE_COUNT {
-            return UNMEASURED_RATIO * quantile * self.latency.shortest_objective;
+            return DEFAULT_QUANTILE_RATIO * quantile * self.latency.shortest_objective;
         }
         sorted[(sorted.len() as f64 * quantile) as usize]
     }
 
-    /// A zone gets a median of its own if it is much slower than the fleet: a bad link between zones makes
-    /// all its nodes slow for this broker, and learning that node by node would cost an attempt at each.
+    /// Returns the median latency of a zone if the zone is much slower than the fleet, otherwise that of the
+    /// fleet. A bad link between zones makes all nodes of a zone slow for this broker, and detecting that node
+    /// by node would cost an attempt at each.
     fn zone_median(&self, zone: &VecDeque<ZoneSample>) -> f64 {
         let since = self.objectives_ago(FRESH_OBJECTIVES);
         let sorted = sorted(zone.iter().filter(|sample| sample.at > since).map(|sample| sample.latency));
@@ -59,6 +65,7 @@
         if zone_median > SLOW_RATIO * self.latency.median { zone_median } else { self.latency.median }
     }
 
+    /// Adds a completion at a warm node with its latency in seconds.
     pub(super) fn record_completion(&mut self, latency: f64) {
         let node_share = 1.0 / self.latency.warm_nodes as f64;
         let sample = CompletionSample { latency, at: self.now, node_share };
@@ -66,6 +73,7 @@
         self.latency.completed_per_node += node_share;
     }
 
+    /// Adds the latency (seconds) of an attempt in a zone.
     pub(super) fn record_zone_latency(&mut self, zone: usize, latency: f64) {
         let sample = ZoneSample { latency, at: self.now };
         keep_last(&mut self.latency.zones[zone], sample, ZONE_SAMPLE_COUNT);
--- a/crates/dunepond-routing/src/policy/mod.rs
+++ b/crates/dunepond-routing/src/policy/mod.rs
@@ -1,12 +1,13 @@
-//! The routing decisions, one file for each rule, with the constants of that rule.
+//! The routing decisions: one file for each rule, with the constants of that rule.
 //!
-//! A query passes [`REQUEST_STAGES`] when it arrives, whenever one of its attempts ends, and when it is due:
-//! admission, deadline, completion, dispatch, retry and hedging. The end of an attempt passes
-//! [`RESPONSE_STAGES`]: the health of its node first, then the query. The entry points are in `router`. The
+//! A query passes through [`REQUEST_STAGES`] when it arrives, whenever one of its attempts ends, and when it is
+//! due: admission, deadline, completion, dispatch, retry and hedging. The end of an attempt passes through
+//! [`RESPONSE_STAGES`]: first the health of its node is updated, then the query. The entry points are in `router`. The
 //! mechanism, and each departure from the plain (n, k) fork-join, are described in docs/design.md.
 //!
 //! Instants are in seconds on the transport's clock. Durations are in seconds, unless the name has ticks
-//! (the shortest time between two calls) or objectives (multiples of the longest latency objective).
+//! (the clock's unit, the shortest time between two calls) or objectives (multiples of the longest latency
+//! objective).
 
 mod admission;
 mod clock;
@@ -30,18 +31,18 @@
 
 pub use self::clock::MAX_STALL_SECONDS;
 pub use self::shutdown::{
-    MAX_SHUTDOWN_SECONDS, NOTICEABLE_PAUSE_SECONDS, SIGNAL_POLL_INTERVAL, ShutdownStage,
+    MAX_SHUTDOWN_SECONDS, SIGNAL_POLL_INTERVAL, STALL_THRESHOLD_SECONDS, ShutdownStage,
 };
 use crate::state::{InFlightQuery, Router};
 use crate::{AttemptEnded, QueryId, Transport};
 
-/// Outcome of a stage.
+/// What happens after a request stage.
 enum StageResult {
-    /// The next stage runs.
+    /// The next stage runs at once.
     Continue,
-    /// Nothing more can be done for now.
+    /// The query waits for an event; no further stage runs now.
     Wait,
-    /// The query has its final answer.
+    /// The query has its final answer and is finished.
     Done,
 }
 
@@ -58,6 +59,7 @@
 const RESPONSE_STAGES: [ResponseStage; 2] = [Router::update_node_health, Router::record_attempt_end];
 
 impl Router {
+    /// Runs the request stages of a query, and finishes it if one of them gave the final answer.
     fn run_request_stages(&mut self, transport: &mut dyn Transport, id: QueryId) {
         let Some(mut query) = self.queries.remove(&id) else { return };
         query.due_at = self.decision_deadline(&query);
--- a/crates/dunepond-routing/src/policy/outlier_detection.rs
+++ b/crates/dunepond-routing/src/policy/outlier_detection.rs
@@ -1,5 +1,5 @@
-//! Outlier detection: what the outcome of an attempt says about its node, when a node is ejected, and how it
-//! returns to service.
+//! Outlier detection: what the outcome of an attempt says about its node, when a node is ejected, and how an
+//! ejected node returns to service.
 //!
 //! Inputs: outcomes and latencies (seconds) of a node's last attempts, and how long an answer has been due. A
 //! node that is silent or fails its attempts is ejected. After its ejection time it gets one probation
@@ -9,49 +9,52 @@
 use crate::state::{Ejection, Node, NodeSample, OutstandingAttempt, Router, SampleOutcome, keep_last};
 use crate::{AttemptEnded, AttemptOutcome, NodeId, Transport};
 
-/// Number of samples that are kept of one node.
+/// Number of samples that are kept for each node.
 const NODE_SAMPLE_COUNT: usize = 8;
-/// Multiple of the 95th percentile after which a node counts as silent.
+/// Time without a due response after which a node counts as silent, as a multiple of the 95th percentile.
 pub(super) const SILENCE_P95_RATIO: f64 = 2.0;
-/// Number of faults among a node's samples that eject it; a single stray error must not.
+/// Number of faults among a node's samples that eject it; a single error does not.
 const MIN_FAULT_COUNT: usize = 2;
-/// Number of later attempts that were answered first, from which a cancelled attempt counts as lost.
+/// Number of later attempts that ended first, from which a cancelled attempt counts as overtaken.
 const MIN_OVERTAKEN_COUNT: usize = 2;
 /// Ejection time before the first probation attempt, as a multiple of the 95th percentile.
 pub(super) const EJECTION_P95_RATIO: f64 = 3.0;
-/// A node returns to service once it would be allowed more probation attempts at once than this number.
+/// A node returns to service once it may have more than this number of outstanding probation attempts.
 const MAX_PROBATION_ATTEMPTS: usize = 8;
 
 /// The reason for an ejection.
 #[derive(Clone, Copy)]
 enum EjectionCause {
+    /// A response has been due for too long.
     Silent,
+    /// Too many of the last attempts failed.
     Failing,
 }
 
 impl Ejection {
-    pub(super) fn after_rest(now: f64, p95: f64) -> Self {
+    /// Returns an ejection that begins now and allows one probation attempt after the ejection time.
+    pub(super) fn starting_at(now: f64, p95: f64) -> Self {
         Self { probation_at: now + EJECTION_P95_RATIO * p95, probation_limit: 1 }
     }
 }
 
 impl Node {
-    /// Whether the node fails attempts of this query class that were sent after the given instant.
+    /// Returns whether the node has failed several attempts of this query class sent after the given instant.
     pub(super) fn fails_class(&self, class: usize, since: f64) -> bool {
-        let is_such_fault =
+        let is_class_fault =
             |sample: &&NodeSample| sample.is_fault() && sample.sent_at > since && sample.class == class;
-        self.samples.iter().filter(is_such_fault).count() >= MIN_FAULT_COUNT
+        self.samples.iter().filter(is_class_fault).count() >= MIN_FAULT_COUNT
     }
 
-    /// Whether some query class has no fault among its samples and at least one success. Then only the
-    /// failing classes avoid the node, and the others keep it in service.
+    /// Returns whether the samples of some query class contain a success and no fault. The node then stays in
+    /// service, and only the failing classes avoid it.
     fn serves_some_class(&self) -> bool {
         let has_failed =
             |class: usize| self.samples.iter().any(|sample| sample.is_fault() && sample.class == class);
         self.samples.iter().any(|sample| sample.is_served() && !has_failed(sample.class))
     }
 
-    /// Seconds for which an answer has been due without any response.
+    /// Returns the seconds for which an answer has been due without any response from the node.
     pub(super) fn silence(&self, now: f64) -> f64 {
         match self.outstanding.iter().find(|attempt| attempt.frame_sent) {
             Some(oldest) => now - oldest.sent_at.max(self.last_response_at),
@@ -59,13 +62,14 @@
         }
     }
 
+    /// Returns the number of attempts that were sent after this one and have ended before it.
     fn overtaken_count(&self, attempt: &OutstandingAttempt) -> usize {
         self.samples.iter().filter(|sample| sample.sent_at > attempt.sent_at).count()
     }
 }
 
 impl Router {
-    /// Records the outcome of an attempt in the state of its node and of the fleet.
+    /// Updates the state of the node and of the fleet with the outcome of an attempt.
     pub(super) fn update_node_health(&mut self, transport: &mut dyn Transport, ended: &AttemptEnded) {
         let (id, now) = (ended.node, self.now);
         let Some(node) = self.node_mut(id) else { return };
@@ -89,11 +93,11 @@
         }
     }
 
-    /// Records an attempt that was cancelled or timed out. Some nodes answer some attempts and drop
-    /// others, so that they are never silent for long: an attempt that was overtaken by later ones and
-    /// unanswered for long counts as lost.
+    /// Records an attempt that was cancelled or timed out. An attempt that was overtaken by later ones and
+    /// unanswered for long counts as a fault: a node that answers some attempts and drops others is never
+    /// silent for long.
     fn on_unanswered(&mut self, transport: &mut dyn Transport, id: NodeId, attempt: &OutstandingAttempt) {
-        // A frame that has not been sent completely shows nothing about the node.
+        // Before the frame has been sent completely, the node cannot have answered.
         if !attempt.frame_sent {
             return;
         }
@@ -102,20 +106,21 @@
         if is_overtaken && self.now - attempt.sent_at >= SILENCE_P95_RATIO * self.latency.p95 {
             self.record_outcome(transport, id, attempt, SampleOutcome::Fault);
         } else {
-            self.on_withdrawn(id, attempt);
+            self.on_abandoned(id, attempt);
         }
     }
 
-    /// Records an attempt that was given up while the node may still be working on it.
-    fn on_withdrawn(&mut self, id: NodeId, attempt: &OutstandingAttempt) {
+    /// Records an attempt that was abandoned while the node may still be working on it.
+    fn on_abandoned(&mut self, id: NodeId, attempt: &OutstandingAttempt) {
         let (now, median, p95) = (self.now, self.latency.median, self.latency.p95);
         let Some(node) = self.node_mut(id) else { return };
-        // A probation attempt that was cancelled because its hedge won has shown nothing. The next one
-        // waits as after silence; otherwise a node that hangs would get one with each hedge that wins.
+        // A probation attempt that was cancelled because a hedge was answered first is inconclusive. The
+        // ejection time starts again, as it does after silence; otherwise a hung node would get another
+        // probation attempt with each such hedge.
         if let Some(ejection) = &mut node.ejection
             && attempt.sent_at >= ejection.probation_at
         {
-            *ejection = Ejection::after_rest(now, p95);
+            *ejection = Ejection::starting_at(now, p95);
         }
         node.abandoned_until.push(attempt.sent_at + median);
         if now - attempt.sent_at > SLOW_RATIO * median {
@@ -123,9 +128,9 @@
         }
     }
 
-    /// Records a rejection as full. A node that rejects attempts as full answers fast and seems idle, and
-    /// would attract all attempts of a part. The rejection is also kept as a slow sample, for brokers
-    /// that meet the node too rarely to remember it otherwise.
+    /// Records a rejection as full. A node that rejects attempts answers fast and has none outstanding, so it
+    /// would be chosen for every attempt. The rejection is also kept as a slow sample, for brokers that send to
+    /// the node so rarely that the time for which it counts as full has passed.
     fn on_rejected_as_full(&mut self, id: NodeId, attempt: &OutstandingAttempt) {
         let (now, latency) = (self.now, self.latency.p95);
         let Some(node) = self.node_mut(id) else { return };
@@ -141,7 +146,7 @@
         keep_last(&mut node.samples, sample, NODE_SAMPLE_COUNT);
     }
 
-    /// Records a broken connection. All attempts that are lost with one connection count as one fault.
+    /// Records a broken or failed connection. All attempts that are lost at the same instant count as one fault.
     fn on_connection_fault(
         &mut self,
         transport: &mut dyn Transport,
@@ -149,12 +154,14 @@
         attempt: &OutstandingAttempt,
     ) {
         let Some(node) = &self.nodes[id] else { return };
-        let is_counted = node.samples.back().is_some_and(|last| last.is_fault() && last.at == self.now);
-        if !is_counted {
+        let is_already_counted =
+            node.samples.back().is_some_and(|last| last.is_fault() && last.at == self.now);
+        if !is_already_counted {
             self.record_outcome(transport, id, attempt, SampleOutcome::Fault);
         }
     }
 
+    /// Records that the node has responded to an attempt, with a result or an error.
     fn on_response(
         &mut self,
         transport: &mut dyn Transport,
@@ -168,7 +175,7 @@
         self.record_outcome(transport, id, attempt, outcome);
     }
 
-    /// Records a sample, advances the probation, and decides by it whether the node is ejected.
+    /// Records a sample of the node, advances its probation, and ejects it if it has become an outlier.
     fn record_outcome(
         &mut self,
         transport: &mut dyn Transport,
@@ -179,16 +186,16 @@
         let Some(latency) = self.record_sample(id, attempt, outcome) else { return };
         let is_served = outcome == SampleOutcome::Served;
         if is_served {
-            self.record_idle_survival(attempt);
+            self.record_idle_success(attempt);
         }
-        let is_good = is_served && latency <= SLOW_RATIO * self.latency.median;
-        self.advance_probation(transport, id, is_good);
+        let is_success = is_served && latency <= SLOW_RATIO * self.latency.median;
+        self.advance_probation(transport, id, is_success);
         self.measure_latency();
         self.detect_outlier(transport, id);
     }
 
-    /// Adds a sample of the node, its zone and, if it was served by a warm node, the fleet. Returns the
-    /// latency (seconds) scaled to that of a warm node.
+    /// Adds a sample to the node, to its zone and, if a warm node served the attempt, to the fleet. Returns the
+    /// latency (seconds) scaled to that of a warm node; `None` if the node is not known.
     fn record_sample(
         &mut self,
         id: NodeId,
@@ -197,28 +204,28 @@
     ) -> Option<f64> {
         let now = self.now;
         let node = self.nodes.get_mut(id).and_then(Option::as_mut)?;
-        let warmth = node.slow_start_weight(&self.deployment, now);
-        let latency = (now - attempt.sent_at) * warmth;
+        let capacity_ratio = node.slow_start_weight(&self.deployment, now);
+        let latency = (now - attempt.sent_at) * capacity_ratio;
         let sample = NodeSample { class: attempt.class, sent_at: attempt.sent_at, latency, at: now, outcome };
         keep_last(&mut node.samples, sample, NODE_SAMPLE_COUNT);
         let zone = node.zone;
         self.record_zone_latency(zone, latency);
-        // A node in slow start may be faster than its stated capacity. Counted for the fleet, its samples
-        // would widen the budget of all nodes in slow start.
-        if outcome == SampleOutcome::Served && warmth >= 1.0 {
+        // A node in slow start may be faster than its stated capacity. If its samples counted for the fleet,
+        // they would raise the budget of all nodes in slow start.
+        if outcome == SampleOutcome::Served && capacity_ratio >= 1.0 {
             self.record_completion(latency);
         }
         Some(latency)
     }
 
-    /// Advances the probation: a success doubles the number of probation attempts; any other outcome
-    /// starts the ejection time again.
-    fn advance_probation(&mut self, transport: &mut dyn Transport, id: NodeId, is_good: bool) {
+    /// Advances the probation of an ejected node: a success doubles the number of probation attempts that may
+    /// be outstanding; any other outcome starts the ejection time again.
+    fn advance_probation(&mut self, transport: &mut dyn Transport, id: NodeId, is_success: bool) {
         let (now, p95) = (self.now, self.latency.p95);
         let Some(node) = self.node_mut(id) else { return };
         let Some(ejection) = &mut node.ejection else { return };
-        if !is_good {
-            *ejection = Ejection::after_rest(now, p95);
+        if !is_success {
+            *ejection = Ejection::starting_at(now, p95);
             return;
         }
         ejection.probation_limit *= 2;
@@ -229,7 +236,7 @@
         }
     }
 
-    /// Ejects a node that is silent or failing, or renews the ejection of one that stays silent. A renewal
+    /// Ejects a node that is silent or failing, or renews the ejection of a node that stays silent. A renewal
     /// writes no log line.
     pub(super) fn detect_outlier(&mut self, transport: &mut dyn Transport, id: NodeId) {
         let (now, p95) = (self.now, self.latency.p95);
@@ -248,11 +255,12 @@
                 && now - attempt.sent_at > SILENCE_P95_RATIO * p95
         };
         if node.outstanding.iter().any(is_silent) {
-            node.ejection = Some(Ejection::after_rest(now, p95));
+            node.ejection = Some(Ejection::starting_at(now, p95));
             transport.close_idle_connections(id);
         }
     }
 
+    /// Returns why the node should be ejected; `None` if it should stay in service.
     fn ejection_cause(&self, id: NodeId) -> Option<EjectionCause> {
         let node = self.nodes[id].as_ref()?;
         let silence = node.silence(self.now) * node.slow_start_weight(&self.deployment, self.now);
@@ -266,9 +274,9 @@
     fn eject(&mut self, transport: &mut dyn Transport, id: NodeId, cause: EjectionCause) {
         let (now, p95) = (self.now, self.latency.p95);
         let Some(node) = self.nodes[id].as_mut() else { return };
-        node.ejection = Some(Ejection::after_rest(now, p95));
-        // Only the connection may have failed, and a probation attempt on it would show nothing about the
-        // node.
+        node.ejection = Some(Ejection::starting_at(now, p95));
+        // Perhaps only the connection has failed: a probation attempt on the same connection would not test
+        // the node.
         transport.close_idle_connections(id);
         for attempt in &node.outstanding {
             if let Some(query) = self.queries.get_mut(&attempt.id.query) {
@@ -282,7 +290,7 @@
         transport.log(&format!("node {id} is ejected: {cause}"));
     }
 
-    /// Whether an ejected node may be sent one more attempt now.
+    /// Returns whether an ejected node may be sent another probation attempt now.
     pub(super) fn is_due_probation(&self, node: &Node, ejection: &Ejection) -> bool {
         let on_probation = |attempt: &&OutstandingAttempt| attempt.sent_at >= ejection.probation_at;
         self.now >= ejection.probation_at
--- a/crates/dunepond-routing/src/policy/placement.rs
+++ b/crates/dunepond-routing/src/policy/placement.rs
@@ -1,9 +1,9 @@
-//! Placement: which replica gets a part.
+//! Placement: the replica to which a part is sent.
 //!
-//! Inputs: the active replicas of a segment, our attempts in hand at each, the latencies of their last
-//! attempts (seconds), and their zones. Among the fittest replicas two are sampled, and the less loaded one
-//! gets the part (power of two choices). Load reports of nodes are not used: they arrive late, and may be
-//! stale or wrong.
+//! Inputs: the active replicas of a segment, this broker's attempts in progress at each, the latencies of their
+//! last attempts (seconds), and their zones. Two of the most eligible replicas are sampled, and the part is sent
+//! to the less loaded of them (power of two choices). Load reports of nodes are not used: they arrive late, and
+//! may be stale or wrong.
 
 use rand::RngExt;
 
@@ -11,34 +11,37 @@
 use crate::state::{InFlightQuery, Node, NodeSample, PartState, Router};
 use crate::{EndpointState, Idempotency, NodeId};
 
-/// Extra load factor of a node in another zone: this multiple of the stated crossing price, or this much if
-/// none is stated. Of two equally loaded replicas, the near one costs less.
-const CROSSING_PRICE_FACTOR: f64 = 7.5;
-const UNPRICED_CROSSING_RATIO: f64 = 0.1;
+/// Extra load of a node in another zone, as a multiple of the cross-zone cost that the deployment states.
+const CROSS_ZONE_COST_FACTOR: f64 = 7.5;
+/// Extra load of a node in another zone if the deployment states no cross-zone cost: of two equally loaded
+/// replicas, the one in this broker's zone costs less.
+const DEFAULT_CROSS_ZONE_LOAD: f64 = 0.1;
 
-/// How fit a replica is for a part, the best first.
+/// Whether a replica may be sent a part, from the best case to the worst.
 #[derive(Clone, Copy, PartialEq)]
-enum Fitness {
+enum Eligibility {
+    /// The replica is in service.
     InService,
-    /// Ejected, and due a probation attempt.
+    /// The replica is ejected and due a probation attempt.
     Probation,
-    /// Used only if no better replica is left and no attempt of the part is outstanding.
+    /// The replica is used only if no better one is left and no attempt of the part is outstanding.
     LastResort,
-    Unfit,
+    /// The replica must not be sent the part.
+    Ineligible,
 }
 
-/// The replicas of a part, by their fitness.
+/// The replicas of a part, by their eligibility.
 #[derive(Default)]
 struct Candidates {
     in_service: Vec<NodeId>,
     probation: Vec<NodeId>,
     last_resort: Vec<NodeId>,
-    /// All active replicas, fit or not.
+    /// Number of active replicas, including ineligible ones.
     replica_count: usize,
 }
 
 impl Router {
-    /// The active replicas of a segment, reduced to the required node if there is one.
+    /// Returns the active replicas of a segment; only the required node if there is one.
     pub(super) fn replicas(
         &self,
         segment: usize,
@@ -53,28 +56,30 @@
         })
     }
 
-    /// The replica for a part, among those that have answered a probe since the given instant.
+    /// Chooses the replica for a part among those that have answered a probe since the given instant;
+    /// `f64::MIN` admits all replicas.
     pub(super) fn choose_replica(
         &mut self,
         query: &InFlightQuery,
         part: usize,
         answered_since: f64,
     ) -> Option<NodeId> {
-        let may_hedge_probation = self.is_within_budget(query);
+        let budget_allows_hedge = self.is_within_budget(query);
         let part = &query.parts[part];
         let mut candidates = self.candidates(query, part, answered_since);
-        let nothing_is_out = !part.has_outstanding();
+        let has_no_outstanding = !part.has_outstanding();
         // A hedge may go to a node on probation only if no replica is in service: otherwise both attempts of
-        // a part could be lost at dead nodes while a healthy replica is never asked. A first attempt may, if
-        // the retry budget allows a hedge for it.
-        if nothing_is_out && may_hedge_probation || candidates.in_service.is_empty() {
+        // a part could be lost at failed nodes although there is a healthy replica. A part without an
+        // outstanding attempt may go to a node on probation if the retry budget allows a hedge for it.
+        if has_no_outstanding && budget_allows_hedge || candidates.in_service.is_empty() {
             candidates.in_service.append(&mut candidates.probation);
         }
-        let use_last_resort = candidates.in_service.is_empty() && nothing_is_out;
-        let among = if use_last_resort { candidates.last_resort } else { candidates.in_service };
-        self.less_loaded_of_two(&among, query.class, candidates.replica_count)
+        let use_last_resort = candidates.in_service.is_empty() && has_no_outstanding;
+        let choices = if use_last_resort { candidates.last_resort } else { candidates.in_service };
+        self.less_loaded_of_two(&choices, query.class, candidates.replica_count)
     }
 
+    /// Groups the replicas of a part that have answered a probe since the given instant by eligibility.
     fn candidates(&self, query: &InFlightQuery, part: &PartState, answered_since: f64) -> Candidates {
         let mut candidates = Candidates::default();
         for (id, node) in self.replicas(part.segment, part.required_node) {
@@ -82,53 +87,60 @@
             if node.last_probe_at < answered_since {
                 continue;
             }
-            match self.fitness(query, part, id, node) {
-                Fitness::InService => candidates.in_service.push(id),
-                Fitness::Probation => candidates.probation.push(id),
-                Fitness::LastResort => candidates.last_resort.push(id),
-                Fitness::Unfit => {}
+            match self.eligibility(query, part, id, node) {
+                Eligibility::InService => candidates.in_service.push(id),
+                Eligibility::Probation => candidates.probation.push(id),
+                Eligibility::LastResort => candidates.last_resort.push(id),
+                Eligibility::Ineligible => {}
             }
         }
         candidates
     }
 
-    fn fitness(&self, query: &InFlightQuery, part: &PartState, id: NodeId, node: &Node) -> Fitness {
-        // Keyed parts are placed like non-idempotent ones.
+    /// Returns whether a replica may be sent a part.
+    fn eligibility(&self, query: &InFlightQuery, part: &PartState, id: NodeId, node: &Node) -> Eligibility {
+        // Keyed parts are treated like non-idempotent ones.
         let is_idempotent = self.class(query).idempotency == Idempotency::Idempotent;
         let fails = node.fails_class(query.class, self.objectives_ago(FRESH_OBJECTIVES));
-        let has_cap = self.has_slow_start_budget(node, query) && !self.is_full(node);
-        if !has_cap || is_used_up(part, id, fails, is_idempotent) {
-            return Fitness::Unfit;
+        let has_capacity = self.has_slow_start_budget(node, query) && !self.is_full(node);
+        if !has_capacity || is_excluded(part, id, fails, is_idempotent) {
+            return Eligibility::Ineligible;
         }
-        let is_new = part.attempts.iter().all(|attempt| attempt.node != id);
+        let is_untried = part.attempts.iter().all(|attempt| attempt.node != id);
         match &node.ejection {
-            // A part that must not run twice goes only to nodes known to be healthy; unsent, it can be
-            // rejected as retriable.
-            _ if !is_idempotent && (fails || node.ejection.is_some()) => Fitness::Unfit,
-            Some(ejection) if is_new && self.is_due_probation(node, ejection) => Fitness::Probation,
-            Some(_) => Fitness::LastResort,
-            None if fails || !is_new => Fitness::LastResort,
-            None if is_idempotent || node.silence(self.now) < self.latency.p95 => Fitness::InService,
-            None => Fitness::LastResort,
+            // A part that must not run twice is only sent to healthy nodes; as long as it is unsent, its query
+            // can be rejected as retriable.
+            _ if !is_idempotent && (fails || node.ejection.is_some()) => Eligibility::Ineligible,
+            Some(ejection) if is_untried && self.is_due_probation(node, ejection) => Eligibility::Probation,
+            Some(_) => Eligibility::LastResort,
+            None if fails || !is_untried => Eligibility::LastResort,
+            None if is_idempotent || node.silence(self.now) < self.latency.p95 => Eligibility::InService,
+            None => Eligibility::LastResort,
         }
     }
 
-    fn less_loaded_of_two(&mut self, among: &[NodeId], class: usize, replica_count: usize) -> Option<NodeId> {
-        let count = among.len();
+    /// Samples two of the given replicas and returns the less loaded one.
+    fn less_loaded_of_two(
+        &mut self,
+        choices: &[NodeId],
+        class: usize,
+        replica_count: usize,
+    ) -> Option<NodeId> {
+        let count = choices.len();
         if count < 2 {
-            return among.first().copied();
+            return choices.first().copied();
         }
         let first = self.rng.random_range(0..count);
         let second = (first + self.rng.random_range(1..count)) % count;
-        let (first, second) = (among[first], among[second]);
+        let (first, second) = (choices[first], choices[second]);
         let first_load = self.load(first, class, replica_count);
         let second_load = self.load(second, class, replica_count);
         Some(if second_load < first_load { second } else { first })
     }
 
-    /// Load of a node: our attempts in hand, weighted by its recent latency against the fleet's median. The
-    /// slow start weight applies to attempts in hand, not to the next one: that is limited by tokens already,
-    /// and with both, tokens would go unused.
+    /// Returns the load of a node: this broker's attempts in progress there, weighted by the ratio of the node's
+    /// recent latency to the fleet's median. The slow start weight applies to attempts in progress only; the
+    /// next attempt is already limited by tokens, and with both limits some tokens would stay unused.
     fn load(&self, id: NodeId, class: usize, replica_count: usize) -> f64 {
         let Some(node) = &self.nodes[id] else { return 0.0 };
         let fault_latency = |sample: &NodeSample| {
@@ -136,26 +148,27 @@
         };
         let latency = self.expected_latency(node, FRESH_OBJECTIVES, fault_latency);
         let slowness = (latency / self.latency.median).max(1.0);
-        let in_hand = node.attempts_in_hand() / node.slow_start_weight(&self.deployment, self.now);
-        self.distance_factor(node, replica_count) * (in_hand + 1.0) * slowness
+        let in_progress = node.attempts_in_progress() / node.slow_start_weight(&self.deployment, self.now);
+        self.zone_factor(node, replica_count) * (in_progress + 1.0) * slowness
     }
 
-    /// Factor for nodes in other zones. With fewer replicas than zones, many segments have no near replica:
-    /// the factor would avoid hardly any crossing and bias the choice between equals.
-    fn distance_factor(&self, node: &Node, replica_count: usize) -> f64 {
-        let is_near = node.zone == self.deployment.zone || replica_count < self.latency.zones.len();
-        if is_near {
+    /// Returns the load factor of a node that depends on its zone: more than 1 in another zone. With fewer
+    /// replicas than zones it is always 1: many segments have no replica in this zone, so the factor would
+    /// avoid hardly any cross-zone attempts and would bias the choice between equal replicas.
+    fn zone_factor(&self, node: &Node, replica_count: usize) -> f64 {
+        let is_exempt = node.zone == self.deployment.zone || replica_count < self.latency.zones.len();
+        if is_exempt {
             return 1.0;
         }
         match self.deployment.cross_zone_cost {
-            Some(price) => 1.0 + CROSSING_PRICE_FACTOR * price,
-            None => 1.0 + UNPRICED_CROSSING_RATIO,
+            Some(cost) => 1.0 + CROSS_ZONE_COST_FACTOR * cost,
+            None => 1.0 + DEFAULT_CROSS_ZONE_LOAD,
         }
     }
 
-    /// Expected latency (seconds) of an attempt at a node: the mean of its recent samples and of one sample
-    /// at its zone's median, which stands for what is not known. Faults return fast; they count with at least
-    /// the latency given for them.
+    /// Returns the expected latency (seconds) of an attempt at a node: the mean of the node's samples of the
+    /// last `objectives` longest latency objectives and of one more sample at the zone's median, as a prior.
+    /// Faults often return fast, so they count with at least `fault_latency`.
     pub(super) fn expected_latency(
         &self,
         node: &Node,
@@ -166,29 +179,29 @@
         let mut sum = self.latency.zone_median.get(node.zone).copied().unwrap_or(self.latency.median);
         let mut count = 1.0;
         for sample in node.samples.iter().filter(|sample| sample.at > since) {
-            let least = if sample.is_fault() { fault_latency(sample) } else { 0.0 };
-            sum += sample.latency.max(least);
+            let min_latency = if sample.is_fault() { fault_latency(sample) } else { 0.0 };
+            sum += sample.latency.max(min_latency);
             count += 1.0;
         }
         sum / count
     }
 
-    /// Replicas that the prefilter may query. Nodes in slow start are left out: they have no capacity to
-    /// spare.
+    /// Returns the replicas of a segment that the prefilter may query. Nodes in slow start are excluded, because
+    /// they have no spare capacity.
     pub fn prefilter_candidates(&self, segment: usize) -> impl Iterator<Item = NodeId> {
-        let may_ask = |node: &Node| {
+        let may_query = |node: &Node| {
             node.ejection.is_none()
                 && !self.is_full(node)
                 && node.slow_start_weight(&self.deployment, self.now) >= 1.0
         };
-        self.replicas(segment, None).filter(move |(_, node)| may_ask(node)).map(|(id, _)| id)
+        self.replicas(segment, None).filter(move |(_, node)| may_query(node)).map(|(id, _)| id)
     }
 }
 
-/// Whether a replica must not get the part again. One that lost an answer or was full may serve the next
-/// attempt; one that fails the query class will not. A part that must not run twice would end with an unknown
-/// outcome.
-fn is_used_up(part: &PartState, id: NodeId, fails: bool, is_idempotent: bool) -> bool {
+/// Returns whether a replica must not be sent the part again. A replica that lost an answer or was full may serve
+/// the next attempt; one that fails the query class will not. A part that must not run twice is never sent to the
+/// same replica again, because its query could end with an unknown outcome.
+fn is_excluded(part: &PartState, id: NodeId, fails: bool, is_idempotent: bool) -> bool {
     part.attempts
         .iter()
         .any(|attempt| attempt.node == id && (fails || !is_idempotent || attempt.is_outstanding()))
--- a/crates/dunepond-routing/src/policy/probing.rs
+++ b/crates/dunepond-routing/src/policy/probing.rs
@@ -1,9 +1,9 @@
-//! Probing: asks a query's replicas for capacity before its first attempts, if nothing else tells which of
+//! Probing: probes a query's replicas for free capacity before its first attempts, if no samples show which of
 //! them are overloaded.
 //!
 //! Inputs: 95th percentile and baseline latency (seconds), completions per node, queries in flight, and the
-//! results of recent probes. A probe waits in the node's queue, so that the shortest queue answers first;
-//! each part goes to the first of its replicas that answers.
+//! results of recent probes. A probe waits in the node's queue, so the node with the shortest queue answers
+//! first; each part is sent to the first of its replicas that answers.
 
 use std::collections::BTreeSet;
 
@@ -11,50 +11,54 @@
 use crate::state::{InFlightQuery, ProbeResult, Probing, Router, keep_last};
 use crate::{NodeId, Transport};
 
-/// Replicas differ if the 95th percentile exceeds this multiple of the baseline latency.
-const DOUBT_BASELINE_RATIO: f64 = 2.5;
-/// Probes are awaited for this multiple of the baseline latency.
+/// Replicas are unequally loaded if the 95th percentile exceeds this multiple of the baseline latency.
+const UNEQUAL_BASELINE_RATIO: f64 = 2.5;
+/// Longest wait for the answers to probes, as a multiple of the baseline latency.
 const WAIT_BASELINE_RATIO: f64 = 6.0;
-/// Share of the needed weight whose replicas must answer in time.
+/// Replicas for this ratio of the weight that makes a step complete must answer their probes in time.
 const MIN_ANSWERED_RATIO: f64 = 0.75;
-/// No probes with this many queries in flight: they would multiply a burst.
+/// With this many queries in flight no probes are sent, because they would multiply the load of a burst.
 const MAX_QUERIES_IN_FLIGHT: usize = 64;
+/// Number of probe results that are kept.
 const PROBE_SAMPLE_COUNT: usize = 64;
-/// With at least this many recent probes, of which no more than one in so many was informative, probing is
-/// pointless: nodes answer at once and show no queues.
-const MIN_PROBES_JUDGED: usize = 8;
-const UNINFORMATIVE_ONE_IN: usize = 8;
-/// An answer within this time is a bare round trip.
+/// Number of recent probes that are needed to decide whether probes are informative.
+const MIN_PROBE_SAMPLE_COUNT: usize = 8;
+/// Probing is useless if there are at least this many recent probes for each informative one: nodes answer at once
+/// and the answers do not show queues.
+const MAX_PROBES_PER_INFORMATIVE: usize = 8;
+/// A probe that is answered within this time took no more than a network round trip.
 const PROMPT_TICKS: f64 = 4.0;
 
 impl Router {
+    /// Returns whether the query's replicas should be probed before its parts are sent.
     pub(super) fn should_probe(&self, query: &InFlightQuery) -> bool {
-        query.probing == Probing::NotProbed && !query.single_shot && self.is_in_doubt()
+        query.probing == Probing::NotProbed && !query.single_shot && self.needs_probes()
     }
 
-    /// Replicas differ much more than usual, and each is met too rarely to tell them apart by our own
-    /// attempts.
-    fn is_in_doubt(&self) -> bool {
-        let replicas_differ = self.latency.p95 > DOUBT_BASELINE_RATIO * self.latency.baseline;
-        let completions_seen =
+    /// Returns whether replicas are much more unequally loaded than usual, and this broker sends to each of them
+    /// too rarely to tell by its own attempts which ones are overloaded.
+    fn needs_probes(&self) -> bool {
+        let is_unequal = self.latency.p95 > UNEQUAL_BASELINE_RATIO * self.latency.baseline;
+        let expected_completions =
             self.latency.completion_rate_at_wake * RECENT_OBJECTIVES * self.latency.longest_objective;
-        let is_met_seldom = completions_seen < 1.0;
+        let is_contacted_rarely = expected_completions < 1.0;
         self.deployment.may_probe
-            && replicas_differ
-            && is_met_seldom
+            && is_unequal
+            && is_contacted_rarely
             && self.queries.len() < MAX_QUERIES_IN_FLIGHT
             && self.probes_are_informative()
     }
 
+    /// Returns whether enough of the recent probes showed something about queues.
     fn probes_are_informative(&self) -> bool {
         let since = self.objectives_ago(FRESH_OBJECTIVES);
         let recent = || self.probes.iter().filter(|probe| probe.at > since);
         let probed = recent().count();
         let informative = recent().filter(|probe| probe.is_informative).count();
-        probed < MIN_PROBES_JUDGED || informative * UNINFORMATIVE_ONE_IN > probed
+        probed < MIN_PROBE_SAMPLE_COUNT || informative * MAX_PROBES_PER_INFORMATIVE > probed
     }
 
-    /// Probes each replica in service of the parts of the present step.
+    /// Probes each replica in service that may be sent a part of the present step.
     pub(super) fn probe_replicas(&mut self, transport: &mut dyn Transport, query: &mut InFlightQuery) {
         query.probing = Probing::Probed { at: self.now };
         let replicas = query.step().iter().flat_map(|part| self.replicas(part.segment, part.required_node));
@@ -63,7 +67,7 @@
         ids.into_iter().for_each(|id| transport.probe(id));
     }
 
-    /// Whether the parts of a query still wait for a replica to answer its probe.
+    /// Returns whether the parts of a query still wait for replicas to answer their probes.
     pub(super) fn awaits_probes(&self, query: &InFlightQuery) -> bool {
         match query.probing {
             Probing::Probed { at } => self.now - at < WAIT_BASELINE_RATIO * self.latency.baseline,
@@ -71,13 +75,14 @@
         }
     }
 
-    /// Whether so few replicas answered that the query would be late and delay others. A second step is
-    /// exempt: the work of the first would be lost.
+    /// Returns whether so few replicas answered their probes that the query would be late and delay others. A
+    /// second step is exempt, because the work of the first step would be lost.
     pub(super) fn has_too_few_free_replicas(&self, query: &InFlightQuery) -> bool {
         let sent = query.weight_where(|part| !part.attempts.is_empty());
         !query.is_second_step && sent < MIN_ANSWERED_RATIO * self.complete_weight(query)
     }
 
+    /// Records a probe that was answered after this many seconds; `None` if it failed.
     pub(super) fn record_probe(&mut self, answered_after: Option<f64>) {
         let round_trip = PROMPT_TICKS * self.deployment.tick;
         let is_informative = answered_after.is_none_or(|seconds| seconds > round_trip);
--- a/crates/dunepond-routing/src/policy/retry.rs
+++ b/crates/dunepond-routing/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Retry: sends a part again if all its attempts have failed, and hedges a part that is late.
+//! Retry: sends a part again if all its attempts have failed, and sends a hedged attempt of a part that is late.
 //!
 //! Inputs: the attempts of each part, the rules of its query class, the retry budget, and the expected wait
 //! at its replicas (seconds). A part that cannot be sent now is checked again later, less often the longer
@@ -6,24 +6,26 @@
 
 use super::StageResult;
 use super::admission::SHED_START_RATIO;
-use super::hedging::HedgeTerms;
+use super::hedging::HedgeConditions;
 use crate::Transport;
 use crate::state::{InFlightQuery, PartState, Router};
 
-/// Interval after which a part that cannot be sent is checked again, or the fraction of its query's age.
+/// Shortest interval after which a part that cannot be sent is checked again.
 const RECHECK_TICKS: f64 = 5.0;
+/// A part that cannot be sent is checked again after its query's age divided by this, if that is longer than the
+/// shortest interval.
 const RECHECK_AGE_DIVISOR: f64 = 32.0;
 /// Largest number of outstanding attempts of one part.
 const MAX_OUTSTANDING_ATTEMPTS: usize = 2;
 
 impl Router {
-    /// Retries parts that have failed, and hedges parts that are late.
+    /// Sends another attempt of each part that has failed or is late, as far as the rules allow.
     pub(super) fn retry_or_hedge(
         &mut self,
         transport: &mut dyn Transport,
         query: &mut InFlightQuery,
     ) -> StageResult {
-        let hedging = self.hedge_terms(query);
+        let hedging = self.hedge_conditions(query);
         for part in query.step_start..query.parts.len() {
             query.due_at = query.due_at.min(self.recheck_at(query, &query.parts[part], &hedging));
             if !self.may_attempt_again(query, &query.parts[part], &hedging) {
@@ -37,8 +39,8 @@
         StageResult::Wait
     }
 
-    /// When a part may need an attempt although no event occurs.
-    fn recheck_at(&self, query: &InFlightQuery, part: &PartState, hedging: &HedgeTerms) -> f64 {
+    /// Returns the instant at which a part must be checked again even if no event occurs.
+    fn recheck_at(&self, query: &InFlightQuery, part: &PartState, hedging: &HedgeConditions) -> f64 {
         if part.is_done() || part.outstanding().count() >= MAX_OUTSTANDING_ATTEMPTS {
             return f64::MAX;
         }
@@ -49,18 +51,19 @@
         })
     }
 
-    fn may_attempt_again(&self, query: &InFlightQuery, part: &PartState, hedging: &HedgeTerms) -> bool {
+    /// Returns whether a retry or a hedge of a part is needed and allowed.
+    fn may_attempt_again(&self, query: &InFlightQuery, part: &PartState, hedging: &HedgeConditions) -> bool {
         let outstanding = part.outstanding().count();
         let needs_retry = outstanding == 0 && !part.attempts.is_empty();
-        let needs_hedge = outstanding == 1 && hedging.is_wanted && !self.is_on_time(part, hedging);
+        let needs_hedge = outstanding == 1 && hedging.is_needed && !self.is_on_time(part, hedging);
         (needs_retry || needs_hedge)
             && self.may_send(query, part)
-            && self.note_denial(self.is_within_budget(query))
+            && self.record_denial(self.is_within_budget(query))
             && (needs_retry || !self.replicas_are_overloaded(query, part))
     }
 
-    /// Whether even the best replica has a long wait, so that a hedge would only add load. Does not apply if
-    /// the outstanding attempt is at an ejected node.
+    /// Returns whether even the best replica has a long wait, so that a hedge would only add load. This does not
+    /// apply if the outstanding attempt is at an ejected node.
     fn replicas_are_overloaded(&self, query: &InFlightQuery, part: &PartState) -> bool {
         let objective = self.class(query).latency_objective;
         self.part_wait(part) > SHED_START_RATIO * objective
--- a/crates/dunepond-routing/src/policy/retry_budget.rs
+++ b/crates/dunepond-routing/src/policy/retry_budget.rs
@@ -1,8 +1,8 @@
 //! Retry budget: how many retries and hedged requests may be sent in any window.
 //!
-//! Inputs: the window (seconds), the number of free retries and the ratio to the queries and parts that arrived, and
-//! the instants at which each was sent or arrived. The window is taken one tick longer for what was sent and
-//! one tick shorter for what arrived, so that no other clock finds the budget exceeded.
+//! Inputs: the window (seconds), the number of retries that are always allowed, the ratio of retries to arrived
+//! queries and parts, and the instants at which each was sent or arrived. The window is one tick longer for
+//! retries and one tick shorter for arrivals, so that the budget is not exceeded by another clock's measure.
 
 use std::sync::Arc;
 
@@ -10,8 +10,8 @@
 use crate::{QuotaDemand, RetryBudget, Rules};
 
 impl Router {
-    /// Counts queries and parts on their arrival, and drops records older than any budget's window. Called
-    /// before `admit`, so a query that is rejected on arrival counts as well.
+    /// Counts queries and parts on their arrival, and drops records that are older than the window of any
+    /// budget. Called before `admit`, so a query that is rejected on arrival counts as well.
     pub(super) fn record_arrival(&mut self, queries_and_parts: f64) {
         let since = self.now - self.retries.window_seconds - self.deployment.tick;
         let sent = &mut self.retries.retries_sent;
@@ -21,30 +21,31 @@
         arrived.drain(..arrived.partition_point(|work| work.at < since));
     }
 
-    /// Whether both the budget that the query began with and the one in force permit another attempt.
+    /// Returns whether both the budget at the query's arrival and the one in force permit another attempt.
     pub(super) fn is_within_budget(&self, query: &InFlightQuery) -> bool {
         let is_same = Arc::ptr_eq(&query.rules, &self.rules);
         self.permits(&self.rules) && (is_same || self.permits(&query.rules))
     }
 
+    /// Returns whether the retry budget of these rules permits another attempt.
     fn permits(&self, rules: &Rules) -> bool {
         let Some(budget) = &rules.retry_budget else { return true };
         let long_window_start = self.now - budget.window - self.deployment.tick;
         let sent = &self.retries.retries_sent;
         let sent_count = sent.len() - sent.partition_point(|at| *at < long_window_start);
-        let allowed = self.free_retries(budget) + budget.ratio * self.arrived_count(budget);
-        self.retries.charged_until < long_window_start && sent_count as f64 + 1.0 <= allowed
+        let allowed = self.min_retries(budget) + budget.ratio * self.arrived_count(budget);
+        self.retries.assumed_spent_until < long_window_start && sent_count as f64 + 1.0 <= allowed
     }
 
-    /// Free retries of this broker in a window.
-    fn free_retries(&self, budget: &RetryBudget) -> f64 {
+    /// Returns the number of retries that this broker is always allowed in a window.
+    fn min_retries(&self, budget: &RetryBudget) -> f64 {
         match self.quota_shares.retries {
             Some(share) => share * budget.min_retries * self.deployment.broker_count,
             None => budget.min_retries,
         }
     }
 
-    /// Queries and parts that arrived within a budget's window.
+    /// Returns the number of queries and parts that arrived within a budget's window.
     fn arrived_count(&self, budget: &RetryBudget) -> f64 {
         let short_window_start = self.now - budget.window + self.deployment.tick;
         let arrived = &self.retries.arrived;
@@ -55,15 +56,15 @@
         }
     }
 
-    /// Counts the attempt if the budget denies it, and returns `is_permitted`.
-    pub(super) fn note_denial(&self, is_permitted: bool) -> bool {
+    /// Counts a denial if the attempt is not permitted, and returns `is_permitted`.
+    pub(super) fn record_denial(&self, is_permitted: bool) -> bool {
         let denials = &self.retries.denials;
         denials.set(denials.get() + f64::from(!is_permitted));
         is_permitted
     }
 
-    /// The use that this broker would make of the quotas of all brokers: rates over the last `seconds`,
-    /// and retries that were denied since the last call.
+    /// Returns how much of the shared quotas this broker would use: the retries sent in the last `seconds`, the
+    /// rate of completions, and the retries that were denied since the last call.
     pub fn quota_demand(&self, seconds: f64) -> QuotaDemand {
         let since = self.now - seconds;
         let sent = self.retries.retries_sent.iter().filter(|at| **at > since).count();
--- a/crates/dunepond-routing/src/policy/router.rs
+++ b/crates/dunepond-routing/src/policy/router.rs
@@ -1,25 +1,26 @@
-//! The entry points of [`Router`]. Each of them synchronises the clock, records its event, and runs the
-//! stages of the queries concerned.
+//! The entry points of [`Router`]. Each of them reads the clock, records its event, and runs the stages of the
+//! queries that the event concerns.
 
 use crate::state::{InFlightQuery, PartStatus, Probing, Router};
 use crate::{AttemptEnded, AttemptId, Deployment, NodeId, Part, Query, QueryId, Transport};
 
 impl Router {
-    /// Creates a router that knows only its deployment, whose seed decides all random choices.
+    /// Creates a router for a deployment, whose seed determines all random choices. It has no endpoint list yet.
     pub fn new(deployment: Deployment) -> Self {
         let mut router = Self::with_empty_state(deployment);
         router.measure_latency();
         router
     }
 
-    /// Accepts a query with the parts of its first step.
+    /// Handles the arrival of a query with the parts of its first step.
     pub fn on_query(&mut self, transport: &mut dyn Transport, query: Query) {
         self.sync_clock(transport);
         self.record_arrival(if query.audit { 0.0 } else { 1.0 + query.parts.len() as f64 });
         self.measure_latency();
         let objective_at = self.objective_at(&query);
         let mut in_flight = InFlightQuery::new(&query, self.now, objective_at, self.rules.clone());
-        // The host limits a streamed query's deadline itself, when the request's head arrives in a shutdown.
+        // For a streamed query the host limits the deadline itself, if the request's head arrives during a
+        // shutdown.
         if !query.streamed {
             self.limit_to_shutdown(&mut in_flight);
         }
@@ -27,7 +28,7 @@
         self.schedule_wake(transport);
     }
 
-    /// Accepts the parts of a second step, which the first step's answer contained.
+    /// Handles the parts of a second step, which the first step's answer contained.
     pub fn on_second_step(&mut self, transport: &mut dyn Transport, id: QueryId, parts: Vec<Part>) {
         self.sync_clock(transport);
         self.record_arrival(parts.len() as f64);
@@ -38,13 +39,13 @@
         }
     }
 
-    /// Accepts the end of an attempt; the host has to call this exactly once for each attempt.
+    /// Handles the end of an attempt. The host must call this exactly once for each attempt.
     pub fn on_attempt_ended(&mut self, transport: &mut dyn Transport, ended: AttemptEnded) {
         self.sync_clock(transport);
         self.run_response_stages(transport, &ended);
     }
 
-    /// Accepts the end of a probe, which was answered after this many seconds; `None` if it failed.
+    /// Handles the end of a probe that was answered after this many seconds; `None` if it failed.
     pub fn on_probe_result(
         &mut self,
         transport: &mut dyn Transport,
@@ -64,7 +65,8 @@
         }
     }
 
-    /// Records that a streamed attempt's frame has been sent completely; the node's time starts now.
+    /// Records that the frame of a streamed attempt has been sent completely. The node's response time counts
+    /// from now.
     pub fn on_frame_written(&mut self, transport: &mut dyn Transport, node: NodeId, id: AttemptId) {
         self.sync_clock(transport);
         let now = self.now;
@@ -77,8 +79,8 @@
         }
     }
 
-    /// Records that the body of a query is no longer available: a frame that has not been sent completely
-    /// never will be.
+    /// Records that the body of a query is no longer available: no further attempt can be sent, and a frame
+    /// that has not been sent completely never will be.
     pub fn on_body_discarded(&mut self, transport: &mut dyn Transport, id: QueryId) {
         self.sync_clock(transport);
         if let Some(query) = self.queries.get_mut(&id) {
@@ -87,8 +89,8 @@
         }
     }
 
-    /// Accepts the result of the prefilter: the given parts are pruned, on evidence that the host holds.
-    /// The other parts are sent, unless too little time is left.
+    /// Handles the result of the prefilter: the given parts are pruned, because the host has shown that their
+    /// result is empty. The other parts are sent, unless too little time is left.
     pub fn on_prefilter_result(&mut self, transport: &mut dyn Transport, id: QueryId, pruned: &[usize]) {
         self.sync_clock(transport);
         let Some(query) = self.queries.get_mut(&id) else { return };
@@ -107,8 +109,7 @@
         self.finish(transport, &query);
     }
 
-    /// Revokes the pruning of these parts, for which the evidence no longer holds; they are sent after
-    /// all.
+    /// Revokes the pruning of these parts, whose result may no longer be empty; they are sent after all.
     pub fn on_prefilter_revoked(&mut self, transport: &mut dyn Transport, id: QueryId, parts: &[usize]) {
         self.sync_clock(transport);
         let Some(query) = self.queries.get_mut(&id) else { return };
@@ -120,7 +121,7 @@
         self.run_request_stages(transport, id);
     }
 
-    /// Records that the client has disconnected; its query ends without an answer.
+    /// Records that the client of a query has disconnected; the query ends without an answer.
     pub fn on_client_disconnect(&mut self, transport: &mut dyn Transport, id: QueryId) {
         self.sync_clock(transport);
         if let Some(query) = self.queries.remove(&id) {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Number of outstanding attempts at a node.
+    /// Returns the number of outstanding attempts at a node.
     ///
     /// # Panics
     ///
@@ -137,7 +138,8 @@
         self.nodes[node].as_ref().map_or(0, |node| node.outstanding.len())
     }
 
-    /// Runs the work that is due, at the time requested by [`Transport::schedule_wake`].
+    /// Runs the work that is due. The host calls this at the instant requested by
+    /// [`Transport::schedule_wake`].
     pub fn on_wake(&mut self, transport: &mut dyn Transport) {
         self.sync_clock(transport);
         self.clear_due_wake();
@@ -152,6 +154,7 @@
         self.schedule_wake(transport);
     }
 
+    /// Adds the parts of a step to a query, stores the query and runs its request stages.
     fn insert(&mut self, transport: &mut dyn Transport, mut query: InFlightQuery, parts: Vec<Part>) {
         query.add_parts(parts);
         let id = query.id;
@@ -159,13 +162,15 @@
         self.run_request_stages(transport, id);
     }
 
-    fn query_ids_where(&self, wanted: impl Fn(&Self, &InFlightQuery) -> bool) -> Vec<QueryId> {
-        self.queries.values().filter(|query| wanted(self, query)).map(|query| query.id).collect()
+    /// Returns the ids of the queries in flight that match a condition, in ascending order.
+    fn query_ids_where(&self, matches: impl Fn(&Self, &InFlightQuery) -> bool) -> Vec<QueryId> {
+        self.queries.values().filter(|query| matches(self, query)).map(|query| query.id).collect()
     }
 
+    /// Returns the nodes that are probably working on attempts of this broker.
     fn busy_nodes(&self) -> Vec<NodeId> {
         let is_busy =
-            |id: &NodeId| self.nodes[*id].as_ref().is_some_and(|node| node.attempts_in_hand() > 0.0);
+            |id: &NodeId| self.nodes[*id].as_ref().is_some_and(|node| node.attempts_in_progress() > 0.0);
         (0..self.nodes.len()).filter(is_busy).collect()
     }
 }
--- a/crates/dunepond-routing/src/policy/warm_restart.rs
+++ b/crates/dunepond-routing/src/policy/warm_restart.rs
@@ -1,8 +1,8 @@
-//! Warm restart: the state that a process has learned and the budgets that it has spent, for its
-//! successor.
+//! Warm restart: saves and restores the statistics that a process has learned and the budgets that it has
+//! spent.
 //!
-//! All times are ages in seconds, as each process has its own clock. Anything not known to be unspent counts
-//! as spent.
+//! All times are ages in seconds, since each process has its own clock. A budget that is not known to be unspent
+//! counts as spent.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
 use crate::{LearnedState, NodeId, SlowStartRecord, SpentBudgets, Transport};
 
 impl Router {
-    /// The statistics that this router has learned.
+    /// Returns the statistics that this router has learned.
     pub fn learned_state(&mut self, transport: &dyn Transport) -> LearnedState {
         self.sync_clock(transport);
         let now = self.now;
@@ -23,16 +23,17 @@
         }
     }
 
-    /// Restores the statistics that an earlier process learned. A node that was ejected is due its
-    /// probation attempt at once, because its fault may be over.
+    /// Restores the statistics that an earlier process learned. A node that was ejected is due a probation
+    /// attempt at once, because its fault may be over.
     pub fn restore_learned(&mut self, transport: &mut dyn Transport, learned: &LearnedState) {
         self.sync_clock(transport);
         let now = self.now;
-        for belief in &learned.nodes {
-            let Some(node) = self.node_mut(belief.node) else { continue };
+        for learned_node in &learned.nodes {
+            let Some(node) = self.node_mut(learned_node.node) else { continue };
             node.samples =
-                belief.samples.iter().map(|sample| NodeSample::from_learned(sample, now)).collect();
-            node.ejection = belief.ejected.then_some(Ejection { probation_at: now, probation_limit: 1 });
+                learned_node.samples.iter().map(|sample| NodeSample::from_learned(sample, now)).collect();
+            node.ejection =
+                learned_node.ejected.then_some(Ejection { probation_at: now, probation_limit: 1 });
         }
         let completions =
             learned.latency_samples.iter().map(|record| CompletionSample::from_record(record, now));
@@ -44,8 +45,8 @@
         self.measure_latency();
     }
 
-    /// The spent part of the retry budget and of the slow start budgets, and the admissions against which
-    /// they are measured.
+    /// Returns the retries and slow start parts that count against the budgets, and the arrivals from which the
+    /// retry budget follows.
     pub fn spent_budgets(&mut self, transport: &dyn Transport) -> SpentBudgets {
         self.sync_clock(transport);
         let now = self.now;
@@ -61,13 +62,13 @@
         }
     }
 
-    /// Charges the budgets that an earlier process spent. `None` means that this is not known: then
-    /// everything counts as spent now.
+    /// Counts the budgets that an earlier process spent as spent. `None` means that they are not known: all
+    /// budgets then count as fully spent until now.
     pub fn restore_spent(&mut self, transport: &mut dyn Transport, spent: Option<&SpentBudgets>) {
         self.sync_clock(transport);
         let now = self.now;
         let Some(spent) = spent else {
-            self.retries.charged_until = now;
+            self.retries.assumed_spent_until = now;
             return;
         };
         self.retries.retries_sent.extend(spent.retries.iter().map(|ago| now - ago));
@@ -84,6 +85,7 @@
         }
     }
 
+    /// Returns all known nodes with their ids.
     fn listed_nodes(&self) -> impl Iterator<Item = (NodeId, &Node)> {
         self.nodes.iter().enumerate().filter_map(|(id, node)| Some((id, node.as_ref()?)))
     }
--- a/crates/dunepond-routing/src/state/admission.rs
+++ b/crates/dunepond-routing/src/state/admission.rs
@@ -1,25 +1,28 @@
-//! The records of past queries that admission uses.
+//! Records of past queries on which admission depends.
 
 use std::collections::VecDeque;
 
 use crate::Deployment;
 
+/// What admission remembers about past queries.
 pub struct AdmissionHistory {
-    /// Value per unit of work of recent queries.
+    /// Value per unit of work of each recent query, oldest first.
     pub value_densities: VecDeque<f64>,
     /// Instants at which queries were admitted within their tenant's quota, by tenant.
     pub within_quota: Vec<VecDeque<f64>>,
-    /// The time in seconds that a client's last first try was given, by tenant and query class.
+    /// Time in seconds that the client of the last query that was not a retry would wait, by tenant and query
+    /// class.
     pub first_try_seconds: Vec<f64>,
-    /// Whether recent queries that had attempts missed their objective.
+    /// Whether each recent query that had attempts missed its latency objective, oldest first.
     pub missed_objectives: VecDeque<ObjectiveResult>,
 }
 
-/// The end of a query that had attempts.
+/// Whether a query that had attempts met its latency objective.
 #[derive(Clone, Copy)]
 pub struct ObjectiveResult {
+    /// When the query ended.
     pub at: f64,
-    /// Whether it ended after its latency objective.
+    /// Whether the query ended after its latency objective.
     pub missed: bool,
 }
 
--- a/crates/dunepond-routing/src/state/latency.rs
+++ b/crates/dunepond-routing/src/state/latency.rs
@@ -5,17 +5,18 @@
 use super::age;
 use crate::{Deployment, LatencyRecord};
 
+/// Latency samples of the fleet and of each zone, with the statistics computed from them.
 pub struct LatencyStats {
-    /// The last completions at warm nodes.
+    /// The last completions at warm nodes, oldest first.
     pub completions: VecDeque<CompletionSample>,
-    /// The last attempts in each zone, by zone.
+    /// Samples of the last attempts in each zone, by zone.
     pub zones: Vec<VecDeque<ZoneSample>>,
     /// Median latency of each zone in seconds, by zone.
     pub zone_median: Vec<f64>,
-    /// Median latency in seconds; computed only once after each change, because a burst of queries reads
-    /// it often.
+    /// Median latency of the fleet in seconds; recomputed only when the samples change, because a burst of
+    /// queries reads it often.
     pub median: f64,
-    /// 95th percentile of the latency, in seconds.
+    /// 95th percentile of the fleet's latency, in seconds.
     pub p95: f64,
     /// Baseline latency in seconds: the lowest median so far. `f64::MAX` while unknown.
     pub baseline: f64,
@@ -23,7 +24,7 @@
     pub warm_nodes: usize,
     /// Parts completed for this broker by each warm node since the start, on average.
     pub completed_per_node: f64,
-    /// Completions per second of a warm node for this broker, as of the last wake.
+    /// Parts per second that a warm node completed for this broker, as of the last wake.
     pub completion_rate_at_wake: f64,
     /// Longest latency objective of all query classes in seconds.
     pub longest_objective: f64,
@@ -34,17 +35,21 @@
 /// A completion at a warm node.
 #[derive(Clone, Copy)]
 pub struct CompletionSample {
+    /// Latency of the attempt, in seconds.
     pub latency: f64,
+    /// When the attempt ended.
     pub at: f64,
-    /// One node's share of this completion, by the number of warm nodes at its time: if many nodes crash,
-    /// the completions of all of them must not be attributed to the remaining few.
+    /// One node's share of the completion: 1 divided by the number of warm nodes at that time. Kept with the
+    /// sample because after many nodes crash, their completions must not be attributed to the remaining few.
     pub node_share: f64,
 }
 
-/// An attempt in a zone.
+/// Latency of an attempt at a node of a zone.
 #[derive(Clone, Copy)]
 pub struct ZoneSample {
+    /// Latency of the attempt in seconds, scaled to that of a warm node.
     pub latency: f64,
+    /// When the attempt ended.
     pub at: f64,
 }
 
@@ -68,12 +73,12 @@
 }
 
 impl CompletionSample {
-    /// The sample in the form that is stored for another process.
+    /// Converts the sample to the stored form, with ages instead of instants.
     pub fn to_record(self, now: f64) -> LatencyRecord {
         LatencyRecord { latency: self.latency, ago: age(self.at, now), node_share: self.node_share }
     }
 
-    /// The stored sample on this process's clock.
+    /// Converts a stored sample to instants on this process's clock.
     pub fn from_record(record: &LatencyRecord, now: f64) -> Self {
         let &LatencyRecord { latency, ago, node_share } = record;
         Self { latency, at: now - ago, node_share }
--- a/crates/dunepond-routing/src/state/mod.rs
+++ b/crates/dunepond-routing/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! State of a router: queries in flight, nodes, latencies, admissions, and spent budgets. No decision is
-//! made here: every rule that reads or changes this state is in `policy`.
+//! State of a router: queries in flight, nodes, latencies, admission records, and spent budgets. No decision
+//! is made here: every rule that reads or changes this state is in `policy`.
 
 mod admission;
 mod endpoint_poll;
@@ -24,22 +24,22 @@
 pub use self::shutdown::Shutdown;
 use crate::{Deployment, IdleResetRecord, NodeId, QueryClass, QueryId, QuotaShares, Rules};
 
-/// The routing decisions of one broker, with all the state on which they depend.
+/// Makes the routing decisions of one broker and holds all the state on which they depend.
 ///
 /// The host calls its methods as events occur, and each gives its orders through
-/// [`Transport`](crate::Transport). Instants are in seconds on the transport's clock.
+/// [`Transport`](crate::Transport). All instants are in seconds on the transport's clock.
 pub struct Router {
     pub(crate) deployment: Deployment,
-    /// The rules in force; a query in flight also keeps those that were in force on its arrival.
+    /// The rules in force. A query in flight also keeps the rules that were in force on its arrival.
     pub(crate) rules: Arc<Rules>,
     /// This broker's shares of the quotas of all brokers.
     pub(crate) quota_shares: QuotaShares,
+    /// The transport's time, as read at the start of the present call.
     pub(crate) now: f64,
     pub(crate) rng: Pcg64Mcg,
     /// Nodes by id; `None` for an id that is not in use.
     pub(crate) nodes: Vec<Option<Node>>,
-    /// Node ids by replica group: a part only looks at its own replicas, so its cost does not grow with the
-    /// fleet.
+    /// Node ids by replica group, so that the cost of placing a part does not grow with the number of nodes.
     pub(crate) replica_groups: Vec<Vec<NodeId>>,
     pub(crate) queries: BTreeMap<QueryId, InFlightQuery>,
     pub(crate) latency: LatencyStats,
@@ -50,35 +50,38 @@
     /// Instant of the requested wake; `f64::MAX` if none is requested.
     pub(crate) wake_due_at: f64,
     pub(crate) endpoint_poll: EndpointPoll,
-    /// The shutdown under way, if the process has been told to end.
+    /// The shutdown in progress; `None` while the process has not been signalled to end.
     pub(crate) shutdown: Option<Shutdown>,
 }
 
 /// The result of a probe.
 #[derive(Clone, Copy)]
 pub struct ProbeResult {
+    /// When the probe ended.
     pub at: f64,
-    /// Whether it failed, or took longer than a bare round trip, and so contains information about the
-    /// node's queue.
+    /// Whether the probe failed or took longer than a network round trip, and so contains information about
+    /// the node's queue.
     pub is_informative: bool,
 }
 
 /// The outcome of an attempt on a connection that had been idle.
 #[derive(Clone, Copy)]
 pub struct IdleReset {
+    /// When the attempt ended.
     pub at: f64,
+    /// Seconds that the connection had been idle before the attempt.
     pub idle_seconds: f64,
     /// Whether the connection broke at once; otherwise the attempt was served.
     pub broke: bool,
 }
 
 impl IdleReset {
-    /// The outcome in the form that is stored for another process.
+    /// Converts the outcome to the stored form, with an age instead of an instant.
     pub fn to_record(self, now: f64) -> IdleResetRecord {
         IdleResetRecord { ago: age(self.at, now), idle_seconds: self.idle_seconds, broke: self.broke }
     }
 
-    /// The stored outcome on this process's clock.
+    /// Converts a stored outcome to an instant on this process's clock.
     pub fn from_record(record: &IdleResetRecord, now: f64) -> Self {
         let &IdleResetRecord { ago, idle_seconds, broke } = record;
         Self { at: now - ago, idle_seconds, broke }
@@ -86,7 +89,7 @@
 }
 
 impl Router {
-    /// Creates a router without any state except what its deployment states.
+    /// Creates a router that has no endpoint list, samples or queries yet.
     pub(crate) fn with_empty_state(deployment: Deployment) -> Self {
         Self {
             rules: Arc::new(Rules::of(&deployment)),
@@ -108,26 +111,26 @@
         }
     }
 
-    /// The class of a query.
+    /// Returns the class of a query.
     pub(crate) fn class(&self, query: &InFlightQuery) -> &QueryClass {
         &self.deployment.query_classes[query.class]
     }
 
-    /// The node with this id, unless it was never listed or has been dropped.
+    /// Returns the node with this id; `None` if it was never listed or has been removed.
     pub(crate) fn node_mut(&mut self, id: NodeId) -> Option<&mut Node> {
         self.nodes.get_mut(id).and_then(Option::as_mut)
     }
 }
 
-/// Appends a sample and keeps only the newest `most`.
-pub fn keep_last<T>(samples: &mut VecDeque<T>, sample: T, most: usize) {
+/// Appends a sample and drops the oldest one if there are then more than `max_count`.
+pub fn keep_last<T>(samples: &mut VecDeque<T>, sample: T, max_count: usize) {
     samples.push_back(sample);
-    if samples.len() > most {
+    if samples.len() > max_count {
         samples.pop_front();
     }
 }
 
-/// Seconds since an instant; 0 if it is in the future.
+/// Returns the seconds since an instant; 0 if it is in the future.
 fn age(at: f64, now: f64) -> f64 {
     (now - at).max(0.0)
 }
--- a/crates/dunepond-routing/src/state/node.rs
+++ b/crates/dunepond-routing/src/state/node.rs
@@ -5,23 +5,26 @@
 use super::age;
 use crate::{AttemptId, Endpoint, EndpointState, LearnedNode, LearnedSample, NodeId};
 
+/// A listed node with the samples and outstanding attempts of this broker.
 pub struct Node {
     pub zone: usize,
     pub state: EndpointState,
+    /// When the node's process last started.
     pub started_at: f64,
     pub slow_start_tokens: TokenBucket,
     /// Instant at which the node last answered or rejected an attempt; `f64::MIN` before that.
     pub last_response_at: f64,
-    /// Instant of the last traffic with the node; `f64::MAX` before any, so that no idle time results.
+    /// Instant of the last traffic with the node; `f64::MAX` before any, so that the computed idle time is not
+    /// positive.
     pub last_used_at: f64,
-    /// Instant at which the node last rejected an attempt as full.
+    /// Instant at which the node last rejected an attempt as full; `f64::MIN` before that.
     pub last_full_at: f64,
-    /// Instant at which the node last answered a probe.
+    /// Instant at which the node last answered a probe; `f64::MIN` before that.
     pub last_probe_at: f64,
     /// Attempts that have not ended, ordered by `sent_at`.
     pub outstanding: Vec<OutstandingAttempt>,
-    /// The instant up to which each attempt that was given up counts as load, because the node may still work
-    /// on it.
+    /// For each abandoned attempt, the instant up to which it counts as load, because the node may still be
+    /// working on it.
     pub abandoned_until: Vec<f64>,
     /// Samples of recent attempts, oldest first.
     pub samples: VecDeque<NodeSample>,
@@ -34,56 +37,63 @@
 /// An attempt that has not ended.
 pub struct OutstandingAttempt {
     pub id: AttemptId,
+    /// Query class of the attempt.
     pub class: usize,
-    /// When it was sent; for a streamed attempt, when its frame had been sent completely. Moved by each stall
-    /// of this process, which is not the node's silence.
+    /// When the attempt was sent; for a streamed attempt, when its frame had been sent completely. Moved
+    /// forward by the length of each stall of this process, so that a stall does not count as the node's
+    /// silence.
     pub sent_at: f64,
     /// Seconds without traffic with the node before the attempt was sent.
     pub idle_seconds: f64,
-    /// Whether its frame has been sent completely; before that, no answer is due.
+    /// Whether the attempt's frame has been sent completely; before that, no answer is due.
     pub frame_sent: bool,
 }
 
-/// What an attempt showed about its node.
+/// Sample of an attempt at a node.
 pub struct NodeSample {
+    /// Query class of the attempt.
     pub class: usize,
     pub sent_at: f64,
-    /// Latency in seconds, scaled to that of a warm node; of a rejection as full, the 95th percentile.
+    /// Latency in seconds, scaled to that of a warm node; for a rejection as full, the fleet's 95th percentile.
     pub latency: f64,
-    /// When it ended.
+    /// When the attempt ended.
     pub at: f64,
     pub outcome: SampleOutcome,
 }
 
+/// What the outcome of an attempt says about its node.
 #[derive(Clone, Copy, PartialEq)]
 pub enum SampleOutcome {
+    /// The node served the attempt.
     Served,
+    /// The attempt failed, and the failure counts against the node.
     Fault,
-    /// The node rejected the attempt as full, or it was cancelled before it ended: its time counts, but
-    /// not against the node.
+    /// The node rejected the attempt as full, or the attempt was cancelled before it ended. Its latency
+    /// counts, but not as a fault of the node.
     Inconclusive,
 }
 
-/// The ejection of an outlier.
+/// Ejection of a node from service.
 pub struct Ejection {
     /// Instant from which probation attempts may be sent.
     pub probation_at: f64,
-    /// Probation attempts that may be outstanding at once.
+    /// Largest number of probation attempts that may be outstanding at once.
     pub probation_limit: usize,
 }
 
-/// The slow start budget of a node, as of an instant.
+/// The slow start budget of a node at an instant.
 #[derive(Clone, Copy)]
 pub struct TokenBucket {
+    /// Number of parts that the node may be sent.
     pub tokens: f64,
-    /// The value of [`LatencyStats::completed_per_node`](super::LatencyStats::completed_per_node) at that
-    /// instant.
+    /// The value of [`LatencyStats::completed_per_node`](super::LatencyStats::completed_per_node) at `at`.
     pub completed_per_node: f64,
+    /// The instant at which the bucket held these tokens.
     pub at: f64,
 }
 
 impl Node {
-    /// Creates the state of a node when it is first listed.
+    /// Creates the state of a node that is listed for the first time.
     pub fn new(endpoint: &Endpoint, slow_start_tokens: TokenBucket) -> Self {
         Self {
             zone: endpoint.zone,
@@ -102,12 +112,13 @@
         }
     }
 
-    /// This broker's attempts on which the node is likely working, given up or not.
-    pub fn attempts_in_hand(&self) -> f64 {
+    /// Returns the number of this broker's attempts on which the node is probably working, abandoned ones
+    /// included.
+    pub fn attempts_in_progress(&self) -> f64 {
         (self.outstanding.len() + self.abandoned_until.len()) as f64
     }
 
-    /// The node's statistics in the form that is stored for another process.
+    /// Converts the node's statistics to the stored form, with ages instead of instants.
     pub fn to_learned(&self, id: NodeId, now: f64) -> LearnedNode {
         LearnedNode {
             node: id,
@@ -116,6 +127,7 @@
         }
     }
 
+    /// Returns the position of an attempt in `outstanding`; `None` if it is not outstanding at this node.
     pub fn outstanding_position(&self, id: AttemptId) -> Option<usize> {
         self.outstanding.iter().position(|attempt| attempt.id == id)
     }
@@ -130,7 +142,7 @@
         self.outcome == SampleOutcome::Served
     }
 
-    /// The sample in the form that is stored for another process, with ages.
+    /// Converts the sample to the stored form, with ages instead of instants.
     pub fn to_learned(&self, now: f64) -> LearnedSample {
         LearnedSample {
             class: self.class,
@@ -142,7 +154,7 @@
         }
     }
 
-    /// The stored sample on this process's clock.
+    /// Converts a stored sample to instants on this process's clock.
     pub fn from_learned(learned: &LearnedSample, now: f64) -> Self {
         let outcome = match (learned.fault, learned.served) {
             (true, _) => SampleOutcome::Fault,
--- a/crates/dunepond-routing/src/state/query.rs
+++ b/crates/dunepond-routing/src/state/query.rs
@@ -9,62 +9,74 @@
     pub id: QueryId,
     pub class: usize,
     pub tenant: usize,
-    /// Whether admission has decided, which it does once.
+    /// Whether admission has already decided on this query; it decides only once.
     pub admission_checked: bool,
-    /// Whether it arrived too late in a shutdown for the time that its client waits.
+    /// Whether the query arrived during a shutdown and its client would wait beyond the last answers.
     pub exceeds_shutdown: bool,
+    /// Instant up to which an answer has its full value.
     pub objective_at: f64,
+    /// Instant at which the client stops waiting, or the last answers of a shutdown if those are earlier.
     pub deadline_at: f64,
     pub arrived_at: f64,
-    /// When its stages must run although no event occurs; a wake only runs queries that are due.
+    /// When the request stages must run even if no event occurs; a wake only runs queries that are due.
     pub due_at: f64,
+    /// The parts of all steps so far.
     pub parts: Vec<PartState>,
     /// Index of the first part of the present step.
     pub step_start: usize,
     pub is_second_step: bool,
     pub probing: Probing,
-    /// Whether its body is available only once: its parts are sent on arrival or never.
+    /// Whether the body is available only once, so that parts are sent on arrival or never.
     pub single_shot: bool,
-    /// Whether its body is no longer available.
+    /// Whether the body is no longer available, so that no more attempts can be sent.
     pub body_consumed: bool,
-    /// Whether its frames take long to send, and the end of each is reported.
+    /// Whether the frames may take long to send, and the end of each is reported.
     pub streamed: bool,
-    /// Whether nothing is sent before the prefilter has reported which parts are pruned.
+    /// Whether no part is sent before the prefilter has reported which parts are pruned.
     pub awaits_prefilter: bool,
+    /// Whether the query is an audit, for which no client waits.
     pub audit: bool,
-    /// The rules that were in force on its arrival.
+    /// The rules that were in force on arrival.
     pub rules: Arc<Rules>,
 }
 
 /// Whether a query's replicas have been probed before its first attempts.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Probing {
+    /// No probe has been sent for the present step.
     NotProbed,
+    /// Probes have been sent.
     Probed {
+        /// When the probes were sent.
         at: f64,
     },
-    /// The query has waited for its probes for long enough.
+    /// The query no longer waits for its probes.
     Finished,
 }
 
+/// A part of a query in flight, with its attempts.
 pub struct PartState {
     pub segment: usize,
-    /// Share of the weight of its step.
+    /// Share of the total weight of the part's step.
     pub weight: f64,
-    /// The only node that may be sent the part.
+    /// The only node that the part may be sent to; `None` if any replica may serve it.
     pub required_node: Option<NodeId>,
     pub status: PartStatus,
     pub attempts: Vec<Attempt>,
 }
 
+/// Whether a part still needs an answer.
 #[derive(Clone, Copy, PartialEq)]
 pub enum PartStatus {
+    /// No node has served the part yet.
     Pending,
+    /// A node has served the part.
     Done,
-    /// The part is done without having been sent: its result is known to be empty.
+    /// The prefilter has shown that the part's result is empty: the part is done without having been sent.
     Pruned,
 }
 
+/// An attempt of a part.
 pub struct Attempt {
     pub node: NodeId,
     pub sent_at: f64,
@@ -98,8 +110,8 @@
         }
     }
 
-    /// Adds the parts of a step, each with its share of the total weight. Weights are rounded: those of many
-    /// parts may sum to less than 1, and without scaling the query could never be complete.
+    /// Adds the parts of a step and scales their weights so that they sum to 1. The stated weights are rounded:
+    /// those of many parts may sum to less than 1, and without scaling the query could never be complete.
     pub fn add_parts(&mut self, parts: Vec<Part>) {
         let total = parts.iter().map(|part| part.weight).sum::<f64>().max(f64::MIN_POSITIVE);
         self.parts.extend(parts.into_iter().map(|part| PartState {
@@ -111,16 +123,17 @@
         }));
     }
 
-    /// The parts of the present step.
+    /// Returns the parts of the present step.
     pub fn step(&self) -> &[PartState] {
         &self.parts[self.step_start..]
     }
 
-    /// Total weight of the parts of the present step that count.
-    pub fn weight_where(&self, counts: impl Fn(&PartState) -> bool) -> f64 {
-        self.step().iter().filter(|part| counts(part)).map(|part| part.weight).sum()
+    /// Returns the total weight of the parts of the present step that match a condition.
+    pub fn weight_where(&self, matches: impl Fn(&PartState) -> bool) -> f64 {
+        self.step().iter().filter(|part| matches(part)).map(|part| part.weight).sum()
     }
 
+    /// Returns all attempts of all parts, ended ones included.
     pub fn attempts(&self) -> impl Iterator<Item = &Attempt> {
         self.parts.iter().flat_map(|part| &part.attempts)
     }
@@ -135,7 +148,7 @@
         self.status == PartStatus::Pruned
     }
 
-    /// The part's attempts that have not ended.
+    /// Returns the part's attempts that have not ended.
     pub fn outstanding(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.is_outstanding())
     }
--- a/crates/dunepond-routing/src/state/retry_budget.rs
+++ b/crates/dunepond-routing/src/state/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The spent part of the retry budget, and the admissions against which it is measured.
+//! The retries that were sent, and the queries and parts that arrived, from which the retry budget follows.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -6,17 +6,18 @@
 use super::age;
 use crate::{AdmissionRecord, Deployment};
 
+/// What the retry budget remembers about sent retries and arrived work.
 pub struct RetryHistory {
-    /// Instants at which retries and hedged requests were sent.
+    /// Instants at which retries and hedged requests were sent, oldest first.
     pub retries_sent: VecDeque<f64>,
-    /// The queries and parts that arrived, whether they were admitted or not.
+    /// The queries and parts that arrived, whether they were admitted or not, oldest first.
     pub arrived: VecDeque<ArrivedWork>,
-    /// Longest window in seconds of any budget so far; records are kept for as long.
+    /// Longest window of any retry budget so far, in seconds; records are kept for that long.
     pub window_seconds: f64,
-    /// Up to this instant everything counts as spent, because the real use is not known; `f64::MIN` if it
-    /// is known.
-    pub charged_until: f64,
-    /// Number of attempts that the budget has denied since this was last reported.
+    /// Instant up to which all budgets count as fully spent, because the real use is not known; `f64::MIN` if
+    /// it is known.
+    pub assumed_spent_until: f64,
+    /// Number of attempts that the budget has denied since the last report.
     pub denials: Cell<f64>,
 }
 
@@ -24,8 +25,9 @@
 #[derive(Clone, Copy)]
 pub struct ArrivedWork {
     pub at: f64,
+    /// Number of queries and parts.
     pub count: f64,
-    /// Count of all earlier records.
+    /// Sum of `count` over all earlier records.
     pub count_before: f64,
 }
 
@@ -35,11 +37,12 @@
             retries_sent: VecDeque::new(),
             arrived: VecDeque::new(),
             window_seconds: deployment.retry_budget.as_ref().map_or(0.0, |budget| budget.window),
-            charged_until: f64::MIN,
+            assumed_spent_until: f64::MIN,
             denials: Cell::new(0.0),
         }
     }
 
+    /// Adds a record of queries and parts that arrived.
     pub fn add_arrived(&mut self, at: f64, count: f64) {
         let count_before = self.arrived.back().map_or(0.0, |last| last.count + last.count_before);
         self.arrived.push_back(ArrivedWork { at, count, count_before });
@@ -47,7 +50,7 @@
 }
 
 impl ArrivedWork {
-    /// The record in the form that is stored for another process.
+    /// Converts the record to the stored form, with an age instead of an instant.
     pub fn to_record(self, now: f64) -> AdmissionRecord {
         AdmissionRecord { ago: age(self.at, now), count: self.count }
     }
