--- a/crates/dunepond-routing/src/policy/slow_start.rs
+++ b/crates/dunepond-routing/src/policy/slow_start.rs
@@ -12,8 +12,9 @@
 use crate::state::{InFlightQuery, Node, Router, TokenBucket};
 use crate::{Deployment, EndpointState, NodeId};
 
-/// Cap on unspent tokens, as a multiple of the square root of this broker's tokens in a window: the burst that a
-/// node can absorb. Unspent tokens are capped because all brokers may spend them at the same time.
+/// Cap on unspent tokens, as a multiple of this broker's share of the square root of all brokers' tokens in a
+/// window, which is the burst that a node can absorb. Unspent tokens are capped because all brokers may spend them
+/// at the same time.
 const BURST_ROOT_RATIO: f64 = 2.0;
 /// Cap on unspent tokens, as a ratio of the tokens in a window. The greater of the two caps applies.
 const BURST_WINDOW_RATIO: f64 = 0.5;
--- a/crates/dunepond-sim-adapter/src/main.rs
+++ b/crates/dunepond-sim-adapter/src/main.rs
@@ -1,8 +1,9 @@
-//! Hosts the router on the simulator's wire, so that the simulator judges the decisions that the broker runs on sockets: one
-//! batch of events comes as a line of JSON, and one batch of orders goes back.
+//! Hosts the router on the simulator's wire, so that the simulator tests the same decisions that the broker makes on sockets.
+//! Each line of standard input is a batch of events as JSON; each line of standard output is the batch of orders that they led
+//! to.
 //!
-//! Nothing here decides. The wire's names are mapped to the router's in `wire`, and nowhere else. A line that cannot be read is
-//! named on standard error, and the program stops with a failure.
+//! No decision is made here. The wire's names are mapped to the router's terms in `wire`, and nowhere else. An invalid line is
+//! reported on standard error, and the program exits with a failure.
 
 mod process;
 mod session;
@@ -15,16 +16,17 @@
 use dunepond_config::ConfigError;
 use process::Process;
 
+/// Handles batches of events until the input ends or nobody reads the replies.
 fn serve() -> Result<(), ConfigError> {
     let mut process = Process::default();
     let mut out = io::stdout().lock();
     for line in io::stdin().lock().lines() {
-        let line = line.map_err(|e| ConfigError(format!("batch: cannot be read: {e}")))?;
+        let line = line.map_err(|e| ConfigError(format!("batch: standard input cannot be read: {e}")))?;
         if line.trim().is_empty() {
             continue;
         }
         let reply = process.handle_batch(&line)?;
-        // A reader that has gone needs no more replies, and that is no failure of ours.
+        // The simulator may stop reading at any time; that is not an error.
         if writeln!(out, "{reply}").and_then(|()| out.flush()).is_err() {
             break;
         }
--- a/crates/dunepond-sim-adapter/src/process.rs
+++ b/crates/dunepond-sim-adapter/src/process.rs
@@ -8,6 +8,7 @@
 use crate::session::Session;
 use crate::wire::{self, EndpointLists, event};
 
+/// The brokers that have been started, and the endpoint lists that have been registered.
 #[derive(Default)]
 pub struct Process {
     lists: EndpointLists,
@@ -15,7 +16,7 @@
 }
 
 impl Process {
-    /// Plays a batch of events, and gives the batch of orders that they led to.
+    /// Handles a batch of events and returns the batch of orders that they led to.
     pub fn handle_batch(&mut self, line: &str) -> Result<Value, ConfigError> {
         let batch: Value =
             serde_json::from_str(line).map_err(|e| ConfigError(format!("batch: not JSON: {e}")))?;
@@ -53,7 +54,11 @@
             }
             _ => match self.sessions.get_mut(broker) {
                 Some(session) => session.handle_event(now, kind, &event, &self.lists)?,
-                None => return Err(ConfigError(format!("{kind}: who: '{broker}' was never started"))),
+                None => {
+                    return Err(ConfigError(format!(
+                        "{kind}: who: broker '{broker}' has not been started; send 'init' first"
+                    )));
+                }
             },
         }
         Ok(())
--- a/crates/dunepond-sim-adapter/src/session.rs
+++ b/crates/dunepond-sim-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! One broker on the wire: its events become calls of its router.
+//! One broker on the wire: converts its events to calls of its router.
 
 use dunepond_config::{ConfigError, Fields, deployment};
 use dunepond_routing::{AttemptEnded, Endpoint, Part, Query, QueryId, Router};
@@ -7,21 +7,21 @@
 use crate::transport::{Named, WireTransport};
 use crate::wire::{self, Arrival, EndpointLists, ListForm, event};
 
-/// A query, or the parts of its second step, whose rows are still coming in.
+/// A query, or the parts of its second step, whose rows are still being received.
 struct Incoming {
     id: QueryId,
-    /// The query itself; absent at a second step.
+    /// The query itself; `None` for a second step.
     query: Option<AnnouncedQuery>,
     parts: Vec<Part>,
 }
 
-/// A query with the number of parts that were announced for it.
+/// A query with the number of parts that its row announced.
 struct AnnouncedQuery {
     query: Query,
     part_count: usize,
 }
 
-/// A broker, from its start to its stop.
+/// A broker from its start to its stop, with the query that is being received.
 pub struct Session {
     router: Router,
     transport: WireTransport,
@@ -30,6 +30,7 @@
 }
 
 impl Session {
+    /// Starts a broker with the settings of an `init` event.
     pub fn start(now: f64, init: &Fields) -> Result<Self, ConfigError> {
         let settings = wire::Settings::read(init)?;
         let deployment = deployment(settings.seed, &settings.parameters)?;
@@ -41,10 +42,12 @@
         })
     }
 
+    /// Returns the orders since the last call.
     pub fn take_orders(&mut self) -> Vec<Value> {
         self.transport.take_orders()
     }
 
+    /// Handles an event of this broker. An event of unknown kind is reported and skipped.
     pub fn handle_event(
         &mut self,
         now: f64,
@@ -71,14 +74,14 @@
                 let node = self.transport.node_id(result.node);
                 self.router.on_probe_result(&mut self.transport, node, result.answered_after);
             }
-            // Known kinds that no decision depends on.
+            // No decision depends on these kinds of events.
             event::ATTEMPT_STARTED | event::PEER_MESSAGE => {}
             other => eprintln!("dunepond-sim-adapter: {other}: unknown kind of event, skipped"),
         }
         Ok(())
     }
 
-    /// Gives the router the query whose rows were coming in, once no more of them can follow.
+    /// Passes the query that is being received to the router, once no more of its rows can follow.
     pub fn flush_incoming(&mut self) -> Result<(), ConfigError> {
         let Some(incoming) = self.incoming.take() else { return Ok(()) };
         let Some(announced) = incoming.query else {
@@ -86,7 +89,7 @@
             return Ok(());
         };
         if announced.part_count != incoming.parts.len() {
-            return Err(wire::wrong_part_count(announced.part_count, incoming.parts.len()));
+            return Err(wire::part_count_error(announced.part_count, incoming.parts.len()));
         }
         self.router.on_query(&mut self.transport, Query { parts: incoming.parts, ..announced.query });
         Ok(())
@@ -94,11 +97,11 @@
 
     fn on_arrival(&mut self, event: &Fields) -> Result<(), ConfigError> {
         let arrival = Arrival::read(event)?;
-        let begins_another = self
+        let is_next_query = self
             .incoming
             .as_ref()
             .is_some_and(|incoming| incoming.id != arrival.query || arrival.segment.is_none());
-        if begins_another {
+        if is_next_query {
             self.flush_incoming()?;
         }
         match arrival.segment {
@@ -141,7 +144,7 @@
             elapsed: ended.elapsed()?,
         };
         self.router.on_attempt_ended(&mut self.transport, ended);
-        self.transport.on_attempt_returned(query);
+        self.transport.on_attempt_ended(query);
         Ok(())
     }
 
--- a/crates/dunepond-sim-adapter/src/transport.rs
+++ b/crates/dunepond-sim-adapter/src/transport.rs
@@ -1,4 +1,4 @@
-//! The router's transport on the wire: its calls become orders, its ids the wire's names.
+//! The router's transport on the wire: converts the router's calls to orders, and its ids to the wire's names.
 
 use std::collections::HashMap;
 
@@ -7,24 +7,29 @@
 
 use crate::wire::order;
 
-/// The wire's names of a query, kept until it has ended and all its attempts have come back.
+/// The wire's names of a query and its parts, kept until the query and all its attempts have ended.
 struct QueryNames {
     query: String,
     parts: Vec<String>,
+    /// Number of attempts whose end has not been reported.
     outstanding: usize,
-    is_over: bool,
+    is_finished: bool,
 }
 
-/// What a name on the wire stands for.
+/// What a name on the wire refers to.
 #[derive(Clone, Copy)]
 pub enum Named {
+    /// A query.
     Query(QueryId),
+    /// A part, by its query and its position among the query's parts.
     Part(QueryId, usize),
 }
 
-/// The clock, the names, and the orders since they were last taken. A query whose names have been dropped gets no order.
+/// The clock, the names, and the orders that have not been taken yet. No order is written for a query whose names have been
+/// dropped.
 #[derive(Default)]
 pub struct WireTransport {
+    /// The time of the present batch, in seconds.
     pub now: f64,
     orders: Vec<Value>,
     node_names: Vec<String>,
@@ -38,15 +43,17 @@
         Self { now, ..Self::default() }
     }
 
+    /// Returns the orders since the last call.
     pub fn take_orders(&mut self) -> Vec<Value> {
         std::mem::take(&mut self.orders)
     }
 
+    /// Returns what a name refers to; `None` if it is not known or has been dropped.
     pub fn named(&self, name: &str) -> Option<Named> {
         self.by_name.get(name).copied()
     }
 
-    /// The id of a node, which its name gets when it is first met.
+    /// Returns the id of a node, and assigns one if the name is new.
     pub fn node_id(&mut self, name: &str) -> NodeId {
         if let Some(&node) = self.node_ids.get(name) {
             return node;
@@ -57,16 +64,17 @@
         node
     }
 
+    /// Registers the name of a query.
     pub fn add_query(&mut self, id: QueryId, name: String) {
         self.by_name.insert(name.clone(), Named::Query(id));
-        let names = QueryNames { query: name, parts: Vec::new(), outstanding: 0, is_over: false };
+        let names = QueryNames { query: name, parts: Vec::new(), outstanding: 0, is_finished: false };
         self.queries.insert(id, names);
     }
 
-    /// Names the next part of a query; false if that query is over.
+    /// Registers the name of the next part of a query; returns false if the query has finished.
     pub fn add_part(&mut self, id: QueryId, name: String) -> bool {
         let Some(names) = self.queries.get_mut(&id) else { return false };
-        if names.is_over {
+        if names.is_finished {
             return false;
         }
         self.by_name.insert(name.clone(), Named::Part(id, names.parts.len()));
@@ -74,17 +82,18 @@
         true
     }
 
-    pub fn on_attempt_returned(&mut self, id: QueryId) {
+    /// Records that an attempt of a query has ended.
+    pub fn on_attempt_ended(&mut self, id: QueryId) {
         if let Some(names) = self.queries.get_mut(&id) {
             names.outstanding = names.outstanding.saturating_sub(1);
         }
-        self.release(id);
+        self.drop_unused_names(id);
     }
 
-    /// Drops the names of a query that is over and has no outstanding attempt.
-    fn release(&mut self, id: QueryId) {
+    /// Drops the names of a query that has finished and has no outstanding attempt.
+    fn drop_unused_names(&mut self, id: QueryId) {
         let Some(names) = self.queries.get(&id) else { return };
-        if !names.is_over || names.outstanding > 0 {
+        if !names.is_finished || names.outstanding > 0 {
             return;
         }
         for name in names.parts.iter().chain([&names.query]) {
@@ -139,9 +148,9 @@
 
     fn finish(&mut self, query: QueryId) {
         if let Some(names) = self.queries.get_mut(&query) {
-            names.is_over = true;
+            names.is_finished = true;
         }
-        self.release(query);
+        self.drop_unused_names(query);
     }
 
     fn schedule_wake(&mut self, at: f64) {
--- a/crates/dunepond-sim-adapter/src/wire.rs
+++ b/crates/dunepond-sim-adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire: its field names and words, mapped to the router's terms here and nowhere else. Times are in
-//! milliseconds on the wire and in seconds behind it.
+//! The simulator's wire format: its field names and values are mapped to the router's terms here and nowhere else. Times are
+//! in milliseconds on the wire and in seconds in the rest of the program.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// Kinds of events.
+/// Kinds of events, as they are written on the wire.
 pub mod event {
     pub const REGISTER_LIST: &str = "register";
     pub const START: &str = "init";
@@ -25,7 +25,7 @@
     pub const PEER_MESSAGE: &str = "fromPeer";
 }
 
-/// Names of fields that more than one event has.
+/// Names of fields that occur in several places of the wire format.
 mod field {
     pub const KIND: &str = "what";
     pub const BROKER: &str = "who";
@@ -41,50 +41,51 @@
 /// The outcome of an attempt or a probe that succeeded.
 const GOOD: &str = "GOOD";
 
-/// The numbered endpoint lists last registered; one set for the whole process.
+/// The latest endpoint list registered under each number, shared by all brokers of the process.
 pub type EndpointLists = BTreeMap<u64, Vec<EndpointRow>>;
 
-/// The events of one instant, for all brokers.
+/// The events of one instant for all brokers.
 pub struct Batch<'a> {
-    /// Seconds.
+    /// The instant, in seconds on the simulator's clock.
     pub now: f64,
-    /// Returned unchanged with the orders.
+    /// Identifies the batch; returned unchanged with the orders.
     pub turn: &'a Value,
+    /// The events of each broker.
     pub parts: &'a [Value],
 }
 
-/// What happened to one broker.
+/// The events of one broker.
 pub struct BatchPart<'a> {
     pub broker: &'a str,
     pub events: &'a [Value],
 }
 
-/// What a broker is started with.
+/// The settings with which a broker is started.
 pub struct Settings<'a> {
     pub seed: u64,
     pub parameters: Fields<'a>,
 }
 
-/// A query or one of its parts has come in.
+/// A row of an arriving query: the query itself or one of its parts.
 pub struct Arrival<'a> {
     pub name: &'a str,
     pub query: QueryId,
     /// The segment of a part; `None` in the row of the query itself.
     pub segment: Option<usize>,
-    /// A part's weight; the number of parts in the row of the query itself.
+    /// The weight of a part; in the row of the query itself, the number of parts.
     pub share_or_count: f64,
 }
 
-/// An attempt has ended. Its other fields are read only if its part is still known.
+/// An attempt that has ended. Fields other than the outcome are read only if its part is still known.
 pub struct AttemptEnd<'a> {
     pub outcome: AttemptOutcome,
     event: Fields<'a>,
 }
 
-/// A probe has ended.
+/// A probe that has ended.
 pub struct ProbeResult<'a> {
     pub node: &'a str,
-    /// Seconds; `None` where it failed.
+    /// Seconds from the probe to its answer; `None` if the probe failed.
     pub answered_after: Option<f64>,
 }
 
@@ -102,10 +103,13 @@
     pub started_at_ms: f64,
 }
 
-/// Which form of the endpoint list an event brings.
+/// The form of the endpoint list in an event.
 pub enum ListForm {
+    /// The list contains only the rows that have changed.
     Changes,
+    /// The list contains all rows.
     Complete,
+    /// The poll was refused; there is no list.
     Refused,
 }
 
@@ -157,25 +161,31 @@
             "RST" => AttemptOutcome::ConnectionLost,
             "CXL" => AttemptOutcome::Cancelled,
             "NOP" => AttemptOutcome::NotSent,
-            other => return Err(ConfigError(format!("answer: outcome: unknown word '{other}'"))),
+            other => {
+                return Err(ConfigError(format!(
+                    "answer: outcome: unknown value '{other}'; expected GOOD, BAD, FULL, LATE, NOCONN, RST, CXL or NOP"
+                )));
+            }
         };
         Ok(Self { outcome, event: *event })
     }
 
-    /// The name of its part.
+    /// Returns the name of the part.
     pub fn name(&self) -> Result<&'a str, ConfigError> {
         name(&self.event)
     }
 
+    /// Returns the number of the attempt, counted from 0 for each part.
     pub fn attempt(&self) -> Result<usize, ConfigError> {
         Ok(self.event.count_or("shot", 0)? as usize)
     }
 
+    /// Returns the name of the node to which the attempt was sent.
     pub fn node(&self) -> Result<&'a str, ConfigError> {
         self.event.text(field::NODE)
     }
 
-    /// Seconds since it was sent.
+    /// Returns the seconds since the attempt was sent.
     pub fn elapsed(&self) -> Result<f64, ConfigError> {
         delay(&self.event)
     }
@@ -190,20 +200,22 @@
     }
 }
 
+/// Returns the kind of an event.
 pub fn event_kind(event: &Value) -> Result<&str, ConfigError> {
     Fields::new("event", event)?.text(field::KIND)
 }
 
-/// The name of the query or part that an event is about.
+/// Returns the name of the query or part that an event concerns.
 pub fn name<'a>(event: &Fields<'a>) -> Result<&'a str, ConfigError> {
     event.text(field::NAME)
 }
 
+/// Returns the delay that an event states, in seconds; 0 if it states none.
 fn delay(event: &Fields) -> Result<f64, ConfigError> {
     Ok(event.number_or(field::DELAY, 0.0)? / MS_PER_SECOND)
 }
 
-/// The query whose row has come in, without its parts. The simulator holds the bodies and the wire only names
+/// Reads the row of a query, without its parts. The simulator holds the bodies and the wire contains only the names of
 /// parts, so a body is always available again and no frame takes long to send.
 pub fn read_query(event: &Fields, id: QueryId, query_class_count: usize) -> Result<Query, ConfigError> {
     Ok(Query {
@@ -220,27 +232,31 @@
     })
 }
 
-pub fn wrong_part_count(announced: usize, came: usize) -> ConfigError {
-    ConfigError(format!("arrival: shareOrCount: {announced} parts stated, {came} came"))
+/// Returns the error for a query that arrived with another number of parts than its row announced.
+pub fn part_count_error(announced: usize, received: usize) -> ConfigError {
+    ConfigError(format!("arrival: shareOrCount: {announced} parts announced, {received} received"))
 }
 
-/// The endpoint list that an event registers, and its number.
+/// Reads the endpoint list that an event registers, and its number.
 pub fn read_list(event: &Fields) -> Result<(u64, Vec<EndpointRow>), ConfigError> {
     let number = event.count(field::LIST_NUMBER)?;
     let rows = event.list("rowsIn")?.iter().map(EndpointRow::deserialize).collect::<Result<_, _>>();
     Ok((number, rows.map_err(|e| event.error("rowsIn", &e.to_string()))?))
 }
 
+/// Reads the form of the endpoint list in an event.
 pub fn list_form(event: &Fields) -> Result<ListForm, ConfigError> {
     match event.text("form")? {
         "changes" => Ok(ListForm::Changes),
         "all" | "remembered" => Ok(ListForm::Complete),
         "refused" => Ok(ListForm::Refused),
-        other => Err(ConfigError(format!("directoryUpdate: form: unknown word '{other}'"))),
+        other => Err(ConfigError(format!(
+            "directoryUpdate: form: unknown value '{other}'; expected changes, all, remembered or refused"
+        ))),
     }
 }
 
-/// The registered list that an event names.
+/// Returns the registered endpoint list to which an event refers.
 pub fn registered_list<'a>(
     event: &Fields,
     lists: &'a EndpointLists,
@@ -248,30 +264,35 @@
     let number = event.count(field::LIST_NUMBER)?;
     match lists.get(&number) {
         Some(rows) => Ok(rows),
-        None => Err(ConfigError(format!("directoryUpdate: setId: no list {number} was registered"))),
+        None => Err(ConfigError(format!(
+            "directoryUpdate: setId: no list {number} is registered; send 'register' first"
+        ))),
     }
 }
 
+/// Reads the state of a node in an endpoint list.
 pub fn endpoint_state(mode: &str) -> Result<EndpointState, ConfigError> {
     match mode {
         "active" => Ok(EndpointState::Active),
         "leaving" => Ok(EndpointState::Draining),
         "left" => Ok(EndpointState::Removed),
-        other => Err(ConfigError(format!("register: mode: unknown word '{other}'"))),
+        other => Err(ConfigError(format!(
+            "register: mode: unknown value '{other}'; expected active, leaving or left"
+        ))),
     }
 }
 
-/// The orders of one broker.
+/// Writes the orders of one broker.
 pub fn broker_orders(broker: &str, orders: Vec<Value>) -> Value {
     json!({"who": broker, "orders": orders})
 }
 
-/// The answer to a batch.
+/// Writes the reply to a batch.
 pub fn reply(turn: &Value, parts: Vec<Value>) -> Value {
     json!({"turn": turn, "parts": parts})
 }
 
-/// Orders as they are written.
+/// Orders, as they are written on the wire.
 pub mod order {
     use serde_json::{Value, json};
 
--- a/crates/dunepond-sim-adapter/tests/wire.rs
+++ b/crates/dunepond-sim-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire protocol of the process: its answers to batches, and how it ends at invalid input.
+//! The wire protocol of the process: its replies to batches, and its errors on invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -17,22 +17,24 @@
 const SERVED: &str = r#"{"what":"answer","xid":"c:p","shot":0,"node":"10.0.0.1:70","outcome":"GOOD",
 "delaySeenMs":200,"closed":true,"gauge":{"x9":1}}"#;
 
+/// Runs the adapter on these batches until it exits.
 fn run(batches: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_dunepond-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
-    let mut input = child.stdin.take().expect("it has an input");
+        .expect("the adapter should start");
+    let mut input = child.stdin.take().expect("the adapter should have a piped input");
     for batch in batches {
-        // A program that has stopped at an earlier line reads no more.
+        // The write fails if the adapter has exited at an earlier line.
         let _ = writeln!(input, "{}", batch.replace('\n', " "));
     }
     drop(input);
-    child.wait_with_output().expect("it ends")
+    child.wait_with_output().expect("the adapter should exit")
 }
 
+/// A batch of events for one broker; the clock advances by 200 ms with each turn.
 fn batch(turn: u32, events: &[&str]) -> String {
     let clock = 1000 + 200 * turn;
     let input = events.join(",");
@@ -73,9 +75,9 @@
     assert!(!String::from_utf8_lossy(&output.stdout).contains("conclude"));
 }
 
-/// `observe` is sent at the start and again after a refused poll.
+/// The `observe` order polls the list: at the start, and again after a refused poll.
 #[test]
-fn list_on_request_is_polled() {
+fn list_sent_on_request_is_polled() {
     let init = INIT
         .replace(r#""news":7"#, r#""discovery":"on_request""#)
         .replace(r#""coldFrom""#, r#""mustAskInMs":2000,"coldFrom""#);
@@ -89,18 +91,18 @@
 
 #[rstest]
 #[case::not_json("{", "batch: not JSON")]
-#[case::no_clock(r#"{"turn":1,"parts":[]}"#, "batch: clockMs: missing")]
-#[case::field(&batch(1, &[INIT, ENDPOINT_LIST, &QUERY.replace(r#""query":1,"#, "")]), "arrival: query: missing")]
-#[case::list(&batch(1, &[INIT, &ENDPOINT_LIST.replace("ed\",\"setId\":3", "ed\",\"setId\":4")]), "setId: no list 4")]
-#[case::type_unknown(&batch(1, &[INIT, ENDPOINT_LIST, &QUERY.replace(r#""cls":0"#, r#""cls":9"#)]), "arrival: cls")]
-#[case::parts_missing(&batch(1, &[INIT, ENDPOINT_LIST, &QUERY.replace(r#""shareOrCount":1"#, r#""shareOrCount":2"#)]),
-    "arrival: shareOrCount: 2 parts stated, 1 came")]
-#[case::setting(&batch(1, &[&INIT.replace(r#""coldMs":9000,"#, "")]), "init params: rules.coldMs: missing")]
-#[case::outcome(&batch(1, &[INIT, ENDPOINT_LIST, QUERY, &SERVED.replace("GOOD", "FINE")]), "answer: outcome: unknown word 'FINE'")]
-fn invalid_input_is_named_and_ends_the_process(#[case] line: &str, #[case] named: &str) {
+#[case::missing_clock(r#"{"turn":1,"parts":[]}"#, "batch: clockMs: missing")]
+#[case::missing_field(&batch(1, &[INIT, ENDPOINT_LIST, &QUERY.replace(r#""query":1,"#, "")]), "arrival: query: missing")]
+#[case::unregistered_list(&batch(1, &[INIT, &ENDPOINT_LIST.replace("ed\",\"setId\":3", "ed\",\"setId\":4")]), "setId: no list 4")]
+#[case::unknown_query_class(&batch(1, &[INIT, ENDPOINT_LIST, &QUERY.replace(r#""cls":0"#, r#""cls":9"#)]), "arrival: cls")]
+#[case::missing_part(&batch(1, &[INIT, ENDPOINT_LIST, &QUERY.replace(r#""shareOrCount":1"#, r#""shareOrCount":2"#)]),
+    "arrival: shareOrCount: 2 parts announced, 1 received")]
+#[case::missing_setting(&batch(1, &[&INIT.replace(r#""coldMs":9000,"#, "")]), "init params: rules.coldMs: missing")]
+#[case::unknown_outcome(&batch(1, &[INIT, ENDPOINT_LIST, QUERY, &SERVED.replace("GOOD", "FINE")]), "answer: outcome: unknown value 'FINE'")]
+fn invalid_input_is_reported_and_ends_the_process(#[case] line: &str, #[case] message: &str) {
     let output = run(&[line.to_string()]);
     let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
     assert_eq!(stderr.lines().count(), 1, "{stderr}");
-    assert!(stderr.contains(named), "{stderr}");
+    assert!(stderr.contains(message), "{stderr}");
 }
