--- a/crates/dunepond-routing/tests/admission.rs
+++ b/crates/dunepond-routing/tests/admission.rs
@@ -6,8 +6,9 @@
 use rstest::rstest;
 use support::*;
 
-/// The replicas of segment 0 answer after more than half a latency objective; the others are not loaded.
-fn overloaded() -> Cluster {
+/// Returns a cluster in which the replicas of segment 0 answer after more than half a latency objective. The replicas of segment
+/// 3 are not overloaded.
+fn overloaded_cluster() -> Cluster {
     let mut cluster = Cluster::new(deployment());
     for wait in [0.6, 1.2] {
         (0..3).for_each(|node| cluster.transport.nodes[node] = Some((AttemptOutcome::Served, wait)));
@@ -21,9 +22,9 @@
 }
 
 #[test]
-fn fault_is_no_wait_sample() {
+fn faults_do_not_raise_the_expected_wait() {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     let query = cluster.query(FULL, &[0]);
     (0..3).for_each(|_| cluster.end_attempt(query, 0, AttemptOutcome::Error));
     let queries: Vec<_> = (0..12).map(|_| cluster.query(FULL, &[0])).collect();
@@ -32,7 +33,7 @@
 
 #[test]
 fn only_queries_of_overloaded_replicas_are_rejected() {
-    let mut cluster = overloaded();
+    let mut cluster = overloaded_cluster();
     let queries: Vec<_> = (0..24).map(|_| cluster.query(FULL, &[0])).collect();
     let rejected: Vec<_> = queries.into_iter().filter(|s| !cluster.answers(*s).is_empty()).collect();
     assert!(rejected.len() >= 8);
@@ -51,7 +52,7 @@
     let mut cluster = Cluster::new(deployment());
     let pace = |cluster: &mut Cluster, delay: f64, seconds: f64| {
         cluster.transport.nodes = vec![Some((AttemptOutcome::Served, delay)); 6];
-        cluster.traffic(PATIENT, seconds, 0.15);
+        cluster.run_traffic(PATIENT, seconds, 0.15);
         cluster.run(2.0);
     };
     [0.2, 0.5, 1.0, 1.8].into_iter().for_each(|delay| pace(&mut cluster, delay, 16.0));
@@ -64,21 +65,21 @@
     assert_eq!(rejected(&mut cluster), 0);
 }
 
-/// All nodes were slow and have recovered. Guards against a broker that sends nothing because of a wait estimate and therefore
-/// never gets a sample that corrects it: it once rejected all queries, with no attempt in flight, for twice the longest latency
-/// objective (40 s here), and for four times as long where samples of a zone stand in for those of a node.
+/// All nodes were slow and have recovered. Guards against a broker that sends nothing because of a high wait estimate and so
+/// never gets a sample that corrects it: it rejected all queries, with no attempt in flight, for twice the longest latency
+/// objective (40 s here), and for four times as long where samples of a zone replace those of a node.
 #[rstest]
 #[case::zones(3, 30)]
 #[case::one_zone(1, 3)]
-fn unconfirmed_wait_is_tested(#[case] zones: usize, #[case] least: usize) {
+fn outdated_wait_estimate_admits_a_query(#[case] zones: usize, #[case] min_served: usize) {
     let mut cluster = Cluster::new(deployment());
     let rows = |state| (0..6).map(|n| Endpoint { zone: n % zones, ..row(n, state, 0.0) }).collect::<Vec<_>>();
-    cluster.list(true, &rows(EndpointState::Removed));
+    cluster.update_list(true, &rows(EndpointState::Removed));
     (0..6).for_each(|node| cluster.router.remove_node(node));
-    cluster.list(true, &rows(EndpointState::Active));
-    cluster.traffic(PATIENT, 16.0, 0.15);
+    cluster.update_list(true, &rows(EndpointState::Active));
+    cluster.run_traffic(PATIENT, 16.0, 0.15);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 3.0)); 6];
-    cluster.traffic(PATIENT, 24.0, 0.15);
+    cluster.run_traffic(PATIENT, 24.0, 0.15);
     cluster.run(3.0);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.2)); 6];
     let (mut last, mut longest, mut served) = (cluster.transport.now, 0.0, 0);
@@ -92,45 +93,45 @@
         cluster.run(0.25);
     }
     assert!(longest < 4.0, "{longest}");
-    assert!(served >= least, "{served}");
+    assert!(served >= min_served, "{served}");
 }
 
-/// Nodes that collect their garbage are silent for as long as that takes, and neighbours may do so together.
+/// Nodes are silent during a garbage collection, and all replicas of a segment may collect at the same time.
 #[test]
 fn briefly_paused_replicas_cause_no_rejection() {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     (0..3).for_each(|node| cluster.transport.nodes[node] = None);
-    let mut all_aside = || {
-        cluster.traffic(FULL, 0.1, 0.02);
+    let mut all_ejected = || {
+        cluster.run_traffic(FULL, 0.1, 0.02);
         (0..3).all(|n| cluster.is_ejected(n))
     };
-    assert!((0..12).any(|_| all_aside()));
+    assert!((0..12).any(|_| all_ejected()));
     (0..3).for_each(|node| cluster.transport.nodes[node] = Some((AttemptOutcome::Served, 0.2)));
     let queries = [FULL, NON_IDEMPOTENT].map(|query_class| cluster.query(query_class, &[0]));
-    cluster.traffic(FULL, 2.0, 0.02);
+    cluster.run_traffic(FULL, 2.0, 0.02);
     assert!(queries.iter().all(|query| cluster.answers(*query) == [COMPLETE]));
 }
 
 #[test]
-fn dead_node_is_no_overload() {
+fn dead_replicas_reject_only_their_own_queries() {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     (0..3).for_each(|node| cluster.transport.nodes[node] = None);
-    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     assert!((0..3).all(|n| cluster.is_ejected(n)));
-    let verdicts = |cluster: &mut Cluster, segment: usize| {
+    let rejected = |cluster: &mut Cluster, segment: usize| {
         let queries: Vec<_> = (0..12).map(|_| cluster.query(FULL, &[segment])).collect();
         queries.iter().filter(|s| !cluster.answers(**s).is_empty()).count()
     };
-    assert_eq!(verdicts(&mut cluster, 1), 0);
-    assert!(verdicts(&mut cluster, 0) >= 9);
+    assert_eq!(rejected(&mut cluster, 1), 0);
+    assert!(rejected(&mut cluster, 0) >= 9);
 }
 
 #[test]
 fn traffic_beyond_quota_is_shed_first() {
     let mut cluster = Cluster::new(Deployment { quotas: vec![0.3, 3000.0], ..deployment() });
-    // The wait is just past where rejection begins: within a share most still pass.
+    // The wait is just above the start of load shedding: most queries within the quota are still admitted.
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.75)); 6];
     (0..80).for_each(|_| {
         cluster.query_with(PATIENT, &[0], 1, 30.0, false);
@@ -144,16 +145,17 @@
     assert!(rejected(0) >= 16);
 }
 
-/// The wait that is seen is one and the same; that queries admitted by it came late says that it is longer.
+/// The expected wait is the same in both cases. Admitted queries that ended late show that the estimate is too low.
 #[rstest]
-#[case::most_came_in_time(false, 0..8)]
-#[case::most_came_late(true, 8..21)]
+#[case::most_on_time(false, 0..8)]
+#[case::most_late(true, 8..21)]
 fn missed_objectives_raise_the_overload_level(#[case] late: bool, #[case] rejected: std::ops::Range<usize>) {
     let mut cluster = Cluster::new(deployment());
-    let kind = if late { TWO_STEP } else { PATIENT };
-    let first: Vec<_> = (0..12).map(|turn| cluster.query_with(kind, &[turn % 6], 0, 30.0, false)).collect();
+    let query_class = if late { TWO_STEP } else { PATIENT };
+    let first: Vec<_> =
+        (0..12).map(|turn| cluster.query_with(query_class, &[turn % 6], 0, 30.0, false)).collect();
     cluster.run(0.5);
-    // As where beyond its share a tenant goes first: the wait is just past where rejection begins.
+    // The wait is just above the start of load shedding.
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.75)); 6];
     (0..80).for_each(|turn| {
         cluster.query_with(PATIENT, &[0], 0, 30.0, false);
@@ -170,17 +172,17 @@
 }
 
 #[test]
-fn query_beyond_its_clients_timeout_is_not_sent() {
+fn query_that_cannot_meet_its_timeout_is_not_sent() {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.6)); 6];
-    cluster.traffic(FULL, 3.0, 0.1);
-    let hasty = cluster.query_with(FULL, &[0, 1], 0, 0.4, false);
-    assert!(cluster.sent(hasty).is_empty());
-    assert!(matches!(cluster.answers(hasty)[..], [FinalAnswer::Rejected { .. }]));
+    cluster.run_traffic(FULL, 3.0, 0.1);
+    let query = cluster.query_with(FULL, &[0, 1], 0, 0.4, false);
+    assert!(cluster.sent(query).is_empty());
+    assert!(matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }]));
 }
 
 #[test]
-fn worthless_client_retry_is_rejected() {
+fn client_retry_without_value_is_rejected() {
     let mut cluster = Cluster::new(deployment());
     let first = cluster.query_with(QUICK, &[0], 0, 4.0, false);
     let again = cluster.query_with(QUICK, &[0], 0, 1.5, true);
@@ -190,9 +192,13 @@
 
 #[rstest]
 #[case::one_step(FULL, false, 0)]
-#[case::a_second_step_waits_again(TWO_STEP, false, 1)]
-#[case::late_already(FULL, true, 1)]
-fn short_wait_rejects_late_queries(#[case] kind: usize, #[case] late: bool, #[case] rejected: usize) {
+#[case::two_steps(TWO_STEP, false, 1)]
+#[case::already_late(FULL, true, 1)]
+fn short_wait_rejects_only_late_queries(
+    #[case] query_class: usize,
+    #[case] late: bool,
+    #[case] rejected: usize,
+) {
     let mut cluster = Cluster::new(Deployment { quotas: vec![0.0, 3000.0], ..deployment() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, if late { 0.75 } else { 0.48 })); 6];
     (0..200).for_each(|_| {
@@ -200,24 +206,24 @@
         cluster.run(0.02);
     });
     let tenant = if late { 1 } else { 0 };
-    cluster.query_with(kind, &[3], tenant, 5.9, false);
-    let query = cluster.query_with(kind, &[0], tenant, if late { 3.0 } else { 5.9 }, late);
+    cluster.query_with(query_class, &[3], tenant, 5.9, false);
+    let query = cluster.query_with(query_class, &[0], tenant, if late { 3.0 } else { 5.9 }, late);
     assert_eq!(cluster.answers(query).len(), rejected);
 }
 
 #[test]
 fn optional_work_needs_spare_capacity() {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 10.0, 0.1);
+    cluster.run_traffic(FULL, 10.0, 0.1);
     assert_eq!(cluster.router.prefilter_candidates(0).count(), 3);
     assert!(!cluster.router.is_overloaded());
     cluster.transport.nodes[0] = None;
-    cluster.traffic(FULL, 4.0, 0.1);
+    cluster.run_traffic(FULL, 4.0, 0.1);
     assert!(cluster.is_ejected(0));
     let now = cluster.transport.now;
-    cluster.list(false, &[row(1, EndpointState::Active, now - 1.0)]);
+    cluster.update_list(false, &[row(1, EndpointState::Active, now - 1.0)]);
     assert_eq!(cluster.router.prefilter_candidates(0).collect::<Vec<_>>(), [2]);
-    // The cold node has slow-start budget after half a second, whatever the seed; it stays in service longest.
+    // With any seed, the node in slow start has budget for a part after half a second; it is ejected last.
     cluster.run(0.5);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 1.5)); 6];
     for i in 0..4 {
--- a/crates/dunepond-routing/tests/bodies.rs
+++ b/crates/dunepond-routing/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Queries whose body is available once only, or no longer: which attempts, hedges and retries are still possible.
+//! Queries whose body is available only once or no longer: which attempts, hedges and retries are still possible.
 
 mod support;
 
@@ -10,20 +10,20 @@
 fn single_shot_query_ends_with_a_failed_part() {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
-    let query = cluster.single_shot(FULL, &[0, 1]);
+    let query = cluster.single_shot_query(FULL, &[0, 1]);
     assert_eq!(cluster.sent(query).len(), 2);
     cluster.end_attempt(query, 0, AttemptOutcome::Error);
     assert_eq!(cluster.sent(query).len(), 2);
     assert!(matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }]));
 }
 
-/// Neither silence nor an overdue part brings a copy, which would have nothing to carry.
+/// Neither silence nor an overdue part causes a hedge, because there is no body to send.
 #[test]
 fn single_shot_query_is_not_hedged() {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 10.0, 0.1);
+    cluster.run_traffic(FULL, 10.0, 0.1);
     cluster.transport.nodes = vec![None; 6];
-    let query = cluster.single_shot(FULL, &[0]);
+    let query = cluster.single_shot_query(FULL, &[0]);
     cluster.run(3.0);
     assert_eq!(cluster.sent(query).len(), 1);
 }
@@ -32,7 +32,7 @@
 fn single_shot_query_tolerates_optional_failures() {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
-    let query = cluster.single_shot(QUICK, &[0, 1, 2, 3, 4]);
+    let query = cluster.single_shot_query(QUICK, &[0, 1, 2, 3, 4]);
     cluster.end_attempt(query, 0, AttemptOutcome::ConnectFailed);
     cluster.end_attempt(query, 1, AttemptOutcome::Error);
     assert_eq!(cluster.answers(query), []);
@@ -40,38 +40,38 @@
     assert_eq!(cluster.answers(query), [COMPLETE]);
 }
 
-/// Guards against waiting for a replica while the client sends a body that nobody can get any more.
+/// Guards against waiting for a replica while the client sends a body that can no longer be forwarded.
 #[test]
 fn single_shot_query_without_replica_is_rejected() {
     let mut cluster = Cluster::new(deployment());
-    cluster.list(true, &[row(0, EndpointState::Draining, 0.0)]);
-    let query = cluster.single_shot(FULL, &[0]);
+    cluster.update_list(true, &[row(0, EndpointState::Draining, 0.0)]);
+    let query = cluster.single_shot_query(FULL, &[0]);
     assert_eq!(cluster.sent(query).len(), 0);
     assert!(matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }]));
 }
 
 #[rstest]
-#[case::replayable(FULL, AttemptOutcome::Error, FinalAnswer::Rejected { retry_after: 0.0 })]
+#[case::idempotent(FULL, AttemptOutcome::Error, FinalAnswer::Rejected { retry_after: 0.0 })]
 #[case::may_have_run(NON_IDEMPOTENT, AttemptOutcome::ConnectionLost, FinalAnswer::Failed)]
 #[case::never_ran(NON_IDEMPOTENT, AttemptOutcome::Rejected, FinalAnswer::Rejected { retry_after: 0.0 })]
 fn failure_after_body_release_is_final(
-    #[case] kind: usize,
-    #[case] end: AttemptOutcome,
+    #[case] query_class: usize,
+    #[case] outcome: AttemptOutcome,
     #[case] expected: FinalAnswer,
 ) {
     let mut cluster = Cluster::new(Deployment { max_retry_after: 0.0, ..deployment() });
     cluster.transport.nodes = vec![None; 6];
-    let query = cluster.query(kind, &[0]);
+    let query = cluster.query(query_class, &[0]);
     cluster.router.on_body_discarded(&mut cluster.transport, query);
     assert_eq!(cluster.answers(query), []);
-    cluster.end_attempt(query, 0, end);
+    cluster.end_attempt(query, 0, outcome);
     assert_eq!(cluster.answers(query), [expected]);
     assert_eq!(cluster.sent(query).len(), 1);
 }
 
-/// All replicas are full, so that the query waits; without its body there is nothing to wait for.
+/// All replicas are full, so the query waits. Once its body is discarded, no further attempt is possible.
 #[test]
-fn unsent_parts_end_with_the_body() {
+fn waiting_query_ends_with_its_body() {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(NON_IDEMPOTENT, &[0]);
@@ -81,23 +81,23 @@
     assert!(matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }]));
 }
 
-/// A body need not be retained for parts that cannot be retried, and must be for parts that may be rejected as never run.
+/// A body must be retained for parts that have not run or may run again, and not for other parts.
 #[rstest]
 #[case::may_have_run(NON_IDEMPOTENT, AttemptOutcome::Error, false)]
-#[case::refused(NON_IDEMPOTENT, AttemptOutcome::Rejected, true)]
-#[case::replayable(FULL, AttemptOutcome::Error, true)]
+#[case::rejected(NON_IDEMPOTENT, AttemptOutcome::Rejected, true)]
+#[case::idempotent(FULL, AttemptOutcome::Error, true)]
 fn body_is_retained_while_a_retry_is_possible(
-    #[case] kind: usize,
-    #[case] end: AttemptOutcome,
+    #[case] query_class: usize,
+    #[case] outcome: AttemptOutcome,
     #[case] needed: bool,
 ) {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
-    let query = cluster.query(kind, &[0, 1]);
+    let query = cluster.query(query_class, &[0, 1]);
     assert!(cluster.router.needs_body(query));
     cluster.end_attempt(query, 1, AttemptOutcome::Served);
     assert!(cluster.router.needs_body(query));
-    cluster.end_attempt(query, 0, end);
+    cluster.end_attempt(query, 0, outcome);
     assert_eq!(cluster.router.needs_body(query), needed);
     assert_eq!(cluster.sent(query).len(), if needed { 3 } else { 2 });
 }
--- a/crates/dunepond-routing/tests/deadline.rs
+++ b/crates/dunepond-routing/tests/deadline.rs
@@ -7,9 +7,9 @@
 use support::*;
 
 #[rstest]
-#[case::worthless_after_its_target(QUICK, 2.1)]
-#[case::replayable(FULL, 3.9)]
-#[case::non_replayable(NON_IDEMPOTENT, 3.9)]
+#[case::no_value_when_late(QUICK, 2.1)]
+#[case::idempotent(FULL, 3.9)]
+#[case::non_idempotent(NON_IDEMPOTENT, 3.9)]
 fn unanswered_query_ends_once_in_time(#[case] query_class: usize, #[case] by: f64) {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
@@ -21,18 +21,18 @@
 
 #[rstest]
 #[case::half_is_enough(2, FinalAnswer::Answer { complete: false })]
-#[case::a_quarter_is_not(1, FinalAnswer::Rejected { retry_after: 0.0 })]
-fn partial_answer_at_the_deadline_is_marked(#[case] come: usize, #[case] expected: FinalAnswer) {
+#[case::a_quarter_is_not_enough(1, FinalAnswer::Rejected { retry_after: 0.0 })]
+fn partial_answer_at_the_deadline_is_marked(#[case] served: usize, #[case] expected: FinalAnswer) {
     let mut cluster = Cluster::new(Deployment { max_retry_after: 0.0, ..deployment() });
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(PARTIAL, &[0, 1, 2, 3]);
-    (0..come).for_each(|part| cluster.end_attempt(query, part, AttemptOutcome::Served));
+    (0..served).for_each(|part| cluster.end_attempt(query, part, AttemptOutcome::Served));
     cluster.run(5.0);
     assert_eq!(cluster.answers(query), [expected]);
 }
 
 #[test]
-fn partial_answer_precedes_its_loss_of_value() {
+fn partial_answer_is_given_before_it_loses_its_value() {
     let mut deployment = deployment();
     deployment.query_classes[PARTIAL].late_value_ratio = 0.0;
     let mut cluster = Cluster::new(deployment);
@@ -45,7 +45,7 @@
     assert_eq!(cluster.answers(query), [FinalAnswer::Answer { complete: false }]);
 }
 
-/// The replicas of segment 0 are dead: three quarters can still come, and half may be answered.
+/// The only replica of segment 0 is dead: three of four parts can still be served, and two are enough for an answer.
 #[test]
 fn partially_answerable_query_is_admitted() {
     let mut cluster = Cluster::new(Deployment { replicas: 1, ..deployment() });
--- a/crates/dunepond-routing/tests/dispatch.rs
+++ b/crates/dunepond-routing/tests/dispatch.rs
@@ -1,5 +1,5 @@
-//! Dispatch and completion: all parts are sent together, enough of them complete the query, and outstanding attempts are
-//! cancelled.
+//! Dispatch and completion: all parts are sent together; once enough of them have been served, the query is answered and its
+//! outstanding attempts are cancelled.
 
 mod support;
 
@@ -36,14 +36,14 @@
     assert_eq!(cluster.answers(query), [COMPLETE, COMPLETE]);
 }
 
-/// 56 shares of 0.017857 sum to 0.999992: all of them are the whole answer, and one less is not.
+/// 56 weights of 0.017857 sum to 0.999992: all of the parts make the answer complete, and one less does not.
 #[rstest]
-#[case::down(56, 0.017857)]
-#[case::up(7, 0.142858)]
-fn rounded_weights_still_complete_the_query(#[case] count: usize, #[case] share: f64) {
+#[case::rounded_down(56, 0.017857)]
+#[case::rounded_up(7, 0.142858)]
+fn rounded_weights_still_complete_the_query(#[case] count: usize, #[case] weight: f64) {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
-    let query = cluster.rounded(FULL, count, share);
+    let query = cluster.query_with_rounded_weights(FULL, count, weight);
     assert_eq!(cluster.sent(query).len(), count);
     for part in 0..count {
         assert_eq!(cluster.answers(query), []);
@@ -64,10 +64,10 @@
 
 #[rstest]
 #[case::listed(false, vec![row(0, EndpointState::Draining, 0.0), row(1, EndpointState::Removed, 0.0)])]
-#[case::missing_from_a_full_list(true, (2..6).map(|n| row(n, EndpointState::Active, 0.0)).collect())]
+#[case::missing_from_a_complete_list(true, (2..6).map(|n| row(n, EndpointState::Active, 0.0)).collect())]
 fn draining_or_removed_node_gets_no_attempts(#[case] complete: bool, #[case] rows: Vec<Endpoint>) {
     let mut cluster = Cluster::new(deployment());
-    cluster.list(complete, &rows);
-    cluster.traffic(QUICK, 5.0, 0.05);
+    cluster.update_list(complete, &rows);
+    cluster.run_traffic(QUICK, 5.0, 0.05);
     assert_eq!(cluster.sent_count(0, 0.0) + cluster.sent_count(1, 0.0), 0);
 }
--- a/crates/dunepond-routing/tests/fleet/harness.rs
+++ b/crates/dunepond-routing/tests/fleet/harness.rs
@@ -1,4 +1,4 @@
-//! A fleet of brokers before shared nodes, in simulated time and with a seed.
+//! A fleet of brokers that share simulated nodes, in simulated time and with seeded random choices.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,18 +7,20 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::nodes::{Behaviour, Nodes, Second};
+use crate::nodes::{Behaviour, Nodes, SecondOfLoad};
 use crate::transport::FleetTransport;
 
 const TICK: f64 = 0.005;
 const START_TIME: f64 = 100.0;
 
-/// Work of the parts of each query, in units of mean work.
+/// Distribution of the work of parts over queries, in units of the mean work of a part.
 #[derive(Clone, Copy)]
 pub struct WorkDistribution {
     /// Share of the queries whose parts are heavy.
     pub heavy_share: f64,
+    /// Work of each part of a heavy query.
     pub heavy_work: f64,
+    /// Work of each part of any other query.
     pub light_work: f64,
 }
 
@@ -31,20 +33,21 @@
     }
 }
 
+/// Brokers with their transports, and the nodes that they share.
 pub struct Fleet {
     pub now: f64,
     pub brokers: Vec<(Router, FleetTransport)>,
     pub nodes: Rc<RefCell<Nodes>>,
     pub rng: Pcg64Mcg,
-    /// Number of queries that each broker has got.
+    /// Number of queries sent to each broker.
     query_counts: Vec<QueryId>,
-    /// Relative share of the queries that each broker gets.
+    /// Relative share of the queries that is sent to each broker.
     pub load_shares: Vec<f64>,
     pub works: WorkDistribution,
 }
 
 impl Fleet {
-    /// Brokers that know all nodes, which have long been warm.
+    /// Creates brokers that know all nodes; all nodes are warm.
     pub fn new(brokers: usize, nodes: usize, budget: Option<RetryBudget>) -> Self {
         let shared = Rc::new(RefCell::new(Nodes::warm(nodes)));
         let start = |id| start_broker(id as u64, START_TIME, brokers, &shared, &budget);
@@ -61,25 +64,25 @@
         fleet
     }
 
-    /// Sets how these nodes behave from now on.
+    /// Sets how these nodes treat parts from now on.
     pub fn set_behaviour(&mut self, nodes: impl Iterator<Item = NodeId>, behaviour: Behaviour) {
         let mut shared = self.nodes.borrow_mut();
         nodes.for_each(|node| shared.behaviours[node] = behaviour);
     }
 
-    /// Sets the starts of these nodes, of which no broker is informed.
+    /// Sets when these nodes started, without informing any broker.
     pub fn set_starts(&mut self, starts: &[(NodeId, f64)]) {
         let mut shared = self.nodes.borrow_mut();
         starts.iter().for_each(|(node, at)| shared.started_at[*node] = *at);
     }
 
-    /// Starts these nodes and informs all brokers at the same time.
+    /// Sets when these nodes started and informs all brokers at once.
     pub fn start_nodes(&mut self, starts: &[(NodeId, f64)]) {
         self.set_starts(starts);
         (0..self.brokers.len()).for_each(|id| self.inform(id, starts, EndpointState::Active));
     }
 
-    /// Informs one broker of the starts and the state of these nodes.
+    /// Informs one broker of the starts and the state of these nodes by an update of its endpoint list.
     pub fn inform(&mut self, broker: usize, starts: &[(NodeId, f64)], state: EndpointState) {
         let row = |&(node, started_at): &(NodeId, f64)| Endpoint {
             node,
@@ -95,7 +98,7 @@
         router.update_endpoints(transport, false, &rows);
     }
 
-    /// Replaces these brokers by new processes, which get the complete list; queries in flight at the old ones are lost.
+    /// Replaces these brokers by new processes that receive the list of all nodes. Queries in flight at the old ones are lost.
     pub fn restart_brokers(&mut self, brokers: impl Iterator<Item = usize>) {
         let starts: Vec<_> = self.nodes.borrow().started_at.iter().copied().enumerate().collect();
         for id in brokers {
@@ -106,7 +109,8 @@
         }
     }
 
-    /// Advances the clock under a load in queries a second, each at some broker and for `parts` adjacent segments.
+    /// Advances the clock under a load in queries per second. Each query is sent to a random broker and has one part for each of
+    /// `parts` adjacent segments.
     pub fn run(&mut self, seconds: f64, queries_per_second: f64, parts: usize) {
         let end = self.now + seconds;
         while self.now < end {
@@ -119,7 +123,7 @@
         }
     }
 
-    /// How many queries arrive at each broker, `expected` in all on average.
+    /// Returns the number of queries that arrive at each broker, on average `expected` in total.
     fn arrivals(&mut self, expected: f64) -> Vec<usize> {
         let mut counts = vec![0; self.brokers.len()];
         let mut remaining = expected;
@@ -132,7 +136,7 @@
         counts
     }
 
-    /// Delivers the ends of attempts and the wake that are due at a broker.
+    /// Delivers the ends of attempts and the wakes that are due at a broker.
     fn advance_broker(&mut self, id: usize) {
         let (router, transport) = &mut self.brokers[id];
         transport.now = self.now;
@@ -144,6 +148,7 @@
         }
     }
 
+    /// Sends a query of `parts` adjacent segments to a broker.
     fn send_query(&mut self, broker: usize, parts: usize) {
         self.query_counts[broker] += 1;
         let segments = self.nodes.borrow().count();
@@ -171,7 +176,7 @@
         router.on_query(transport, query);
     }
 
-    /// The broker that gets the next query.
+    /// Returns the broker to which the next query is sent.
     fn choose_broker(&mut self) -> usize {
         if self.load_shares.iter().all(|share| *share == 1.0) {
             return self.rng.random_range(0..self.load_shares.len());
@@ -185,11 +190,12 @@
         found.unwrap_or(last)
     }
 
-    /// See [`Nodes::fullest_second`].
-    pub fn fullest_second(&self, node: NodeId, started_at: f64, until: f64) -> Second {
-        self.nodes.borrow().fullest_second(node, started_at, until)
+    /// Returns the second with the highest load of a node; see [`Nodes::busiest_second`].
+    pub fn busiest_second(&self, node: NodeId, started_at: f64, until: f64) -> SecondOfLoad {
+        self.nodes.borrow().busiest_second(node, started_at, until)
     }
 
+    /// Asserts that each query at each broker has exactly one final answer.
     pub fn assert_each_query_answered_once(&self) {
         for (id, (_, transport)) in self.brokers.iter().enumerate() {
             let mut answered = transport.answered.clone();
@@ -199,6 +205,7 @@
     }
 }
 
+/// Creates a broker without an endpoint list.
 fn start_broker(
     seed: u64,
     now: f64,
--- a/crates/dunepond-routing/tests/fleet/slow_start.rs
+++ b/crates/dunepond-routing/tests/fleet/slow_start.rs
@@ -1,19 +1,19 @@
-//! Slow start over the sum of all brokers, when half of the nodes start at the same time.
+//! Slow start summed over all brokers, when about half of the nodes start at the same time.
 
 use rstest::rstest;
 
 use crate::harness::Fleet;
-use crate::nodes::{Second, Sent, overload_limit};
+use crate::nodes::{SecondOfLoad, Sent, overload_limit};
 
-/// Adjacent nodes start, so that some segments have cold replicas only. The brokers know their nodes for six seconds or for less
-/// than a query each.
+/// Adjacent nodes start, so that some segments have only cold replicas. The brokers have known their nodes for six seconds, or so
+/// briefly that each has had less than one query.
 #[rstest]
-#[case::few_brokers_and_six_tenths_of_the_capacity(6, 90.0, 6.0)]
-#[case::many_brokers_and_four_tenths(150, 60.0, 6.0)]
-#[case::many_brokers_and_six_tenths(150, 90.0, 6.0)]
-#[case::brokers_just_started(150, 90.0, 0.8)]
-#[case::very_many_just_started(300, 90.0, 0.8)]
-fn slow_start_sum_stays_under_the_multiple(
+#[case::few_brokers_at_60_percent_load(6, 90.0, 6.0)]
+#[case::many_brokers_at_40_percent_load(150, 60.0, 6.0)]
+#[case::many_brokers_at_60_percent_load(150, 90.0, 6.0)]
+#[case::many_new_brokers(150, 90.0, 0.8)]
+#[case::very_many_new_brokers(300, 90.0, 0.8)]
+fn all_brokers_together_respect_the_slow_start_limit(
     #[case] brokers: usize,
     #[case] queries: f64,
     #[case] known_seconds: f64,
@@ -24,12 +24,13 @@
     fleet.start_nodes(&(0..6).map(|node| (node, now)).collect::<Vec<_>>());
     fleet.run(4.0, queries, 8);
     for node in 0..6 {
-        let Second { received, allowed, .. } = fleet.fullest_second(node, now, f64::MAX);
+        let SecondOfLoad { received, allowed, .. } = fleet.busiest_second(node, now, f64::MAX);
         assert!(
             received > 0.0 && received <= overload_limit(allowed),
             "node {node} is overloaded: {received}, {allowed} allowed"
         );
-        // A third of the slack is for brokers that have met their nodes, all of it for those that are as new as the nodes.
+        // New brokers may use all of the tolerance above the allowed work; brokers that have known their nodes for a while may
+        // use less than half of it.
         assert!(
             known_seconds < 1.0 || received <= allowed + allowed.sqrt(),
             "node {node}: {received}, {allowed} allowed"
@@ -39,12 +40,12 @@
     fleet.assert_each_query_answered_once();
 }
 
-/// Fourteen of 24 nodes start, spread out, so that most segments have warm and cold replicas; the slow-start tokens alone limit
-/// the cold ones. Guards against full warm nodes next to cold ones with unspent tokens.
+/// Fourteen of 24 nodes start, not adjacent ones, so that most segments have warm and cold replicas and only the slow start tokens
+/// limit the cold ones. Guards against overloaded warm nodes while tokens of cold nodes are unspent.
 #[rstest]
-#[case::many_brokers_beyond_the_capacity(150, 180.0, 1.12)]
+#[case::many_brokers_above_capacity(150, 180.0, 1.12)]
 #[case::very_many_brokers(300, 120.0, 0.84)]
-fn warm_nodes_are_spared_by_slow_start_tokens(
+fn warm_nodes_are_not_overloaded_during_slow_start(
     #[case] brokers: usize,
     #[case] queries: f64,
     #[case] max_warm_load: f64,
@@ -57,9 +58,9 @@
     fleet.run(4.0, queries, 8);
     let to_warm = |s: &&Sent| s.at >= now && !cold.contains(&s.node);
     let load = fleet.nodes.borrow().sent.iter().filter(to_warm).count() as f64 / 10.0 / 100.0 / 4.0;
-    assert!(load < max_warm_load, "{load:.2} of what warm nodes can do was sent to them");
+    assert!(load < max_warm_load, "warm nodes were sent {load:.2} of their capacity");
     for node in &cold {
-        let Second { received, allowed, .. } = fleet.fullest_second(*node, now, f64::MAX);
+        let SecondOfLoad { received, allowed, .. } = fleet.busiest_second(*node, now, f64::MAX);
         assert!(received > 0.0 && received <= allowed, "node {node}: {received}, {allowed} allowed");
     }
     fleet.run(2.5, 0.0, 8);
--- a/crates/dunepond-routing/tests/fleet/slow_start_events.rs
+++ b/crates/dunepond-routing/tests/fleet/slow_start_events.rs
@@ -1,5 +1,4 @@
-//! Slow start over the sum of all brokers, when something else happens at the same time: brokers restart, are informed late, or
-//! the load changes.
+//! Slow start summed over all brokers, while another event occurs: brokers restart, are informed late, or the load changes.
 
 use dunepond_routing::{EndpointState, NodeId};
 use rand::SeedableRng;
@@ -7,44 +6,47 @@
 use rstest::rstest;
 
 use crate::harness::{Fleet, WorkDistribution};
-use crate::nodes::Second;
+use crate::nodes::SecondOfLoad;
 
-/// How queries and their work are distributed over the brokers.
+/// How queries are distributed over the brokers, and work over the queries.
 #[derive(Clone, Copy, Debug)]
 enum Load {
+    /// All brokers get the same number of queries, and all parts have the same work.
     Even,
-    /// One broker in six gets over three times the mean.
+    /// One broker in six gets more than three times the mean number of queries.
     Uneven,
-    /// A quarter of the queries have parts of 2.2 times mean work, the others of 0.6.
+    /// A quarter of the queries have parts of 2.2 times the mean work, and the others of 0.6 times.
     MixedWork,
 }
 
-/// What happens to the brokers while half of the nodes start.
+/// What happens while nodes are in slow start.
 #[derive(Clone, Copy, Debug)]
 enum Event {
+    /// All brokers started less than a second before the nodes.
     NewBrokers,
-    /// All brokers restart with the nodes.
+    /// All brokers restart at the same time as the nodes.
     BrokersRestart,
-    /// Seven in ten brokers restart a second later.
+    /// Seven in ten brokers restart one second after the nodes.
     BrokersRestartLater,
-    /// The brokers are informed of the start one tenth after the other, for two seconds.
+    /// The brokers are informed of the start within two seconds, a tenth of them at a time.
     InformedLate,
-    /// The nodes start again under the same ids, eight seconds later.
+    /// The nodes restart with the same ids eight seconds after the first start.
     SameIds,
-    /// The load rises fifteenfold three seconds after the start.
+    /// The load rises by a factor of fifteen three seconds after the start.
     Burst,
     /// Two of three replicas are removed four seconds after the start.
     ReplicasLost,
 }
 
-/// Nodes that started, and the times between their starts.
+/// The nodes that started, and how long they ran.
 struct Starts {
     nodes: Vec<NodeId>,
+    /// Instants of each start and of the next start or the end of the test.
     spans: Vec<(f64, f64)>,
 }
 
 impl Event {
-    /// Seconds and queries a second before the nodes start.
+    /// Returns the seconds before the nodes start, and the queries per second during that time.
     fn warm_up(self) -> (f64, f64) {
         match self {
             Self::NewBrokers => (0.8, 90.0),
@@ -53,7 +55,8 @@
         }
     }
 
-    fn play(self, fleet: &mut Fleet) -> Starts {
+    /// Simulates the event and returns the nodes that started.
+    fn simulate(self, fleet: &mut Fleet) -> Starts {
         let (seconds, queries) = self.warm_up();
         fleet.run(seconds, queries, 8);
         let step = if matches!(self, Self::ReplicasLost) { 3 } else { 1 };
@@ -67,6 +70,7 @@
         Starts { nodes, spans: starts.into_iter().zip(ends).collect() }
     }
 
+    /// Starts the nodes; the brokers are informed of it unless the event delays that.
     fn start_nodes(self, fleet: &mut Fleet, nodes: &[NodeId]) {
         let starts = starts_at(nodes, fleet.now);
         if matches!(self, Self::InformedLate) {
@@ -76,7 +80,7 @@
         }
     }
 
-    /// Plays what follows the start, and returns the time of a second start.
+    /// Simulates what follows the start; returns the instant of a second start if there is one.
     fn run(self, fleet: &mut Fleet, nodes: &[NodeId]) -> Option<f64> {
         let brokers = fleet.brokers.len();
         let mut second_start = None;
@@ -121,11 +125,12 @@
     }
 }
 
+/// Returns the starts of several nodes at the same instant.
 fn starts_at(nodes: &[NodeId], at: f64) -> Vec<(NodeId, f64)> {
     nodes.iter().map(|node| (*node, at)).collect()
 }
 
-/// Counted in mean work; only what informed brokers cause counts as overload.
+/// Work is counted in units of mean work. Only overload caused by brokers that knew of the start counts as a failure.
 #[rstest]
 fn node_in_slow_start_is_not_overloaded(
     #[values(6, 20, 30, 150, 300)] brokers: usize,
@@ -142,7 +147,7 @@
     event: Event,
 ) {
     let mut fleet = Fleet::new(brokers, 12, None);
-    // Of sixteen seeds the one at which an earlier limit by rates and turns failed most often.
+    // Of sixteen seeds, the one with which an earlier limit, based on rates and turns, failed most often.
     fleet.rng = Pcg64Mcg::seed_from_u64(9);
     if matches!(load, Load::Uneven) {
         fleet.load_shares = (0..brokers).map(|id| if id % 6 == 0 { 5.0 } else { 0.6 }).collect();
@@ -150,16 +155,16 @@
     if matches!(load, Load::MixedWork) {
         fleet.works = WorkDistribution { heavy_share: 0.25, heavy_work: 2.2, light_work: 0.6 };
     }
-    let starts = event.play(&mut fleet);
+    let starts = event.simulate(&mut fleet);
     for node in starts.nodes {
         for (start, until) in &starts.spans {
-            let second = fleet.fullest_second(node, *start, *until);
-            let Second { from, received, informed, allowed } = second;
+            let second = fleet.busiest_second(node, *start, *until);
+            let SecondOfLoad { from, received, informed, allowed } = second;
             assert!(
                 !second.is_overloaded_by_informed(),
-                "node {node} is overloaded {from:.1} s after its start: {received:.1}, {informed:.1} of it informed, {allowed:.1} allowed"
+                "node {node} is overloaded {from:.1} s after its start: received {received:.1}, {informed:.1} informed, {allowed:.1} allowed"
             );
-            assert!(received > 0.0, "node {node} got nothing");
+            assert!(received > 0.0, "node {node} received no work");
         }
     }
 }
--- a/crates/dunepond-routing/tests/fleet/transport.rs
+++ b/crates/dunepond-routing/tests/fleet/transport.rs
@@ -1,4 +1,4 @@
-//! The transport of one broker in the fleet: sends to the shared nodes and records attempts and answers.
+//! The transport of one broker in the fleet: sends attempts to the shared nodes, and records attempts and answers.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 
 use crate::nodes::{Nodes, Sent};
 
-/// One attempt of a part.
+/// An attempt of a part.
 pub struct Attempt {
     pub query: QueryId,
     pub part: usize,
@@ -16,24 +16,25 @@
 }
 
 impl Attempt {
-    /// Whether this is an attempt of that part.
-    pub fn is_of(&self, query: QueryId, part: usize) -> bool {
+    /// Returns whether this is an attempt of the given part.
+    pub fn is_attempt_of(&self, query: QueryId, part: usize) -> bool {
         (self.query, self.part) == (query, part)
     }
 }
 
+/// The transport of one broker, with the state that the tests check.
 pub struct FleetTransport {
     pub now: f64,
     nodes: Rc<RefCell<Nodes>>,
-    /// Ends of attempts that are still to come, with their times.
+    /// Ends of attempts that have not been delivered, with their instants.
     due: Vec<(f64, AttemptEnded)>,
     pub attempts: Vec<Attempt>,
-    /// Queries that have got their final answer.
+    /// Queries that have their final answer.
     pub answered: Vec<QueryId>,
     wakes: Vec<f64>,
-    /// The latest start of each node that this broker knows of.
+    /// The latest start of each node that this broker knows, by node.
     pub known_starts: Vec<f64>,
-    /// The work of a part, by query.
+    /// The work of each part of a query, by query.
     pub works: Vec<f64>,
 }
 
@@ -52,13 +53,13 @@
         }
     }
 
-    /// Removes an attempt that has ended by now.
+    /// Removes and returns the end of an attempt that is due; `None` if there is none.
     pub fn take_ended(&mut self) -> Option<AttemptEnded> {
         let index = self.due.iter().position(|(at, _)| *at <= self.now)?;
         Some(self.due.swap_remove(index).1)
     }
 
-    /// Removes the wakes that are due; true if there were any.
+    /// Removes the wakes that are due and returns whether there were any.
     pub fn take_wakes(&mut self) -> bool {
         let before = self.wakes.len();
         self.wakes.retain(|at| *at > self.now);
@@ -71,8 +72,8 @@
         self.now
     }
     fn send_attempt(&mut self, query: QueryId, part: usize, node: NodeId) {
-        assert!(!self.answered.contains(&query), "sent after the final answer");
-        let attempt = self.attempts.iter().filter(|a| a.is_of(query, part)).count();
+        assert!(!self.answered.contains(&query), "an attempt was sent after the final answer");
+        let attempt = self.attempts.iter().filter(|a| a.is_attempt_of(query, part)).count();
         self.attempts.push(Attempt { query, part, node, sent_at: self.now });
         let mut nodes = self.nodes.borrow_mut();
         let work = self.works[query as usize - 1];
@@ -83,8 +84,9 @@
         }
     }
     fn cancel_attempt(&mut self, query: QueryId, part: usize, attempt: usize) {
-        let sent = self.attempts.iter().filter(|a| a.is_of(query, part)).nth(attempt);
-        let (node, sent_at) = sent.map(|a| (a.node, a.sent_at)).expect("cancelled what was sent");
+        let sent = self.attempts.iter().filter(|a| a.is_attempt_of(query, part)).nth(attempt);
+        let (node, sent_at) =
+            sent.map(|a| (a.node, a.sent_at)).expect("the cancelled attempt should have been sent");
         self.due.retain(|(_, e)| (e.query, e.part, e.attempt) != (query, part, attempt));
         let (outcome, elapsed) = (AttemptOutcome::Cancelled, self.now - sent_at);
         self.due.push((self.now, AttemptEnded { query, part, attempt, node, outcome, elapsed }));
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -1,5 +1,5 @@
-//! Golden digests of the router's calls: a seeded driver plays some ten thousand events of several deployments and folds each call
-//! to the transport, with all arguments, into a digest. Log lines are left out, since their text may change.
+//! Golden digests of the router's calls to its transport. A seeded driver simulates about ten thousand events for each of several
+//! deployments and adds each call with all its arguments to a digest. Log lines are excluded, because their text may change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,11 +14,13 @@
 
 const TICK: f64 = 0.005;
 const START: f64 = 1000.0;
-const CELLS: usize = 9;
+const REPLICA_GROUPS: usize = 9;
 const ZONES: usize = 3;
-/// Events between two looks at the router's plain values, and between two at all that it has learned and spent.
+/// Number of events between two records of the router's present state in the digest.
 const RECORD_EVERY_EVENTS: usize = 40;
+/// Number of events between two records of the router's learned state and spent budgets in the digest.
 const RECORD_LEARNED_EVERY_EVENTS: usize = 600;
+/// Number of digests that are compared for each scenario.
 const CHECKPOINTS: usize = 4;
 
 const QUICK: usize = 0;
@@ -28,7 +30,7 @@
 const TWO_STEP: usize = 4;
 const PARTIAL: usize = 5;
 
-/// FNV-1a over little-endian words.
+/// FNV-1a hash over little-endian 64-bit words.
 struct Digest(u64);
 
 impl Digest {
@@ -51,7 +53,7 @@
     }
 }
 
-/// A kind of call to the transport; its number goes into the digest.
+/// A kind of call to the transport. The number of the variant is part of the digest.
 #[derive(Clone, Copy)]
 enum Call {
     SendAttempt,
@@ -69,65 +71,80 @@
 
 const CALL_KINDS: usize = 11;
 
+/// How a node treats attempts.
 #[derive(Clone, Copy, PartialEq)]
 enum Mode {
     Healthy,
+    /// The node takes eight times as long.
     Slow,
+    /// The node never answers.
     Silent,
+    /// The node fails most attempts.
     Failing,
+    /// The node fails all attempts of the class `QUICK`.
     FailingQuick,
+    /// The node rejects most attempts as full.
     Full,
-    Swallowing,
+    /// The node never answers some of the attempts.
+    PartlySilent,
+    /// No connection to the node can be opened.
     Down,
-    /// Idle connections break unnoticed.
-    Reaped,
+    /// Connections to the node break without notice while they are idle.
+    IdleReset,
 }
 
+/// State of a node in the endpoint list.
 #[derive(Clone, Copy, PartialEq)]
 enum Presence {
     Active,
     Draining,
     Removed,
+    /// The router has been told to forget the node.
     Forgotten,
 }
 
+/// A simulated node.
 struct NodeState {
     mode: Mode,
     presence: Presence,
     replica_group: usize,
     zone: usize,
     started_at: f64,
-    /// When each of its two workers is idle again.
-    busy: [f64; 2],
+    /// Instants at which each of the node's two workers becomes idle.
+    busy_until: [f64; 2],
     last_used: f64,
-    out: BTreeSet<(QueryId, usize, usize)>,
+    /// Outstanding attempts, by query, part and number of the attempt.
+    outstanding: BTreeSet<(QueryId, usize, usize)>,
 }
 
-struct Sent {
+/// An attempt that was sent to a node.
+struct SentAttempt {
     node: NodeId,
     at: f64,
     ended: bool,
 }
 
-struct Tracked {
+/// A query as the driver knows it.
+struct TrackedQuery {
     class: usize,
     expires_at: f64,
     streamed: bool,
     answers: usize,
     finished: bool,
-    parts: Vec<Vec<Sent>>,
+    parts: Vec<Vec<SentAttempt>>,
 }
 
+/// An event that the driver delivers to the router or to the simulated nodes.
 #[derive(Clone)]
 enum Event {
     Arrival,
-    Ended { query: QueryId, part: usize, index: usize, end: AttemptOutcome },
-    Framed { query: QueryId, part: usize, index: usize },
+    Ended { query: QueryId, part: usize, index: usize, outcome: AttemptOutcome },
+    FrameWritten { query: QueryId, part: usize, index: usize },
     BodyDiscarded(QueryId),
     PrefilterResult(QueryId),
     PrefilterRevoked(QueryId, Vec<usize>),
     SecondStep(QueryId),
-    ClientLeft(QueryId),
+    ClientDisconnected(QueryId),
     Probed(NodeId, Option<f64>),
     Wake,
     ListAnswered,
@@ -136,25 +153,27 @@
     Churn,
     Stall,
     ChangeRules,
-    ChangeLimits,
+    ChangeQuotaShares,
     Restart,
     Shutdown,
 }
 
-/// The transport: folds all calls into the digest and simulates the nodes.
+/// The transport: adds all calls to the digest and simulates the nodes.
 struct Recorder {
     now: f64,
     digest: Digest,
-    /// By kind of call.
+    /// Number of calls, by kind of call.
     calls: [usize; CALL_KINDS],
     rng: Pcg64Mcg,
-    /// By time (the bits of a positive float sort as it does) and sequence.
+    /// Pending events by instant and sequence number. The bits of positive floats have the same order as the floats.
     queue: BTreeMap<(u64, u64), Event>,
     sequence: u64,
     nodes: Vec<NodeState>,
-    queries: BTreeMap<QueryId, Tracked>,
-    live: BTreeSet<QueryId>,
-    service: f64,
+    queries: BTreeMap<QueryId, TrackedQuery>,
+    /// Queries that have not finished.
+    in_flight: BTreeSet<QueryId>,
+    /// Mean service time of a part, in seconds.
+    service_time: f64,
     two_step: bool,
 }
 
@@ -170,10 +189,10 @@
         arguments.iter().for_each(|word| self.digest.word(*word));
     }
 
-    /// How an attempt that reaches a node now ends, and when.
+    /// Returns the outcome of an attempt that reaches a node now, and the instant at which it ends.
     fn outcome(&mut self, id: NodeId, class: usize) -> (AttemptOutcome, f64) {
         let chance: f64 = self.rng.random();
-        let work = self.service * self.rng.random_range(0.3..1.7);
+        let work = self.service_time * self.rng.random_range(0.3..1.7);
         let node = &mut self.nodes[id];
         let idle = self.now - node.last_used;
         node.last_used = self.now;
@@ -183,28 +202,33 @@
             _ if chance < 0.01 => return (AttemptOutcome::Error, self.now + work),
             Mode::Down => return (AttemptOutcome::ConnectFailed, soon),
             Mode::Silent => return (AttemptOutcome::Served, f64::MAX),
-            Mode::Swallowing if chance < 0.4 => return (AttemptOutcome::Served, f64::MAX),
+            Mode::PartlySilent if chance < 0.4 => return (AttemptOutcome::Served, f64::MAX),
             Mode::Failing if chance < 0.8 => return (AttemptOutcome::Error, soon),
             Mode::FailingQuick if class == QUICK => return (AttemptOutcome::Error, soon),
             Mode::Full if chance < 0.6 => return (AttemptOutcome::Rejected, soon),
-            Mode::Reaped if idle > 0.6 => return (AttemptOutcome::ConnectionLost, soon),
+            Mode::IdleReset if idle > 0.6 => return (AttemptOutcome::ConnectionLost, soon),
             _ => {}
         }
         let warmth = (0.2 + 0.8 * (self.now - node.started_at) / 15.0).min(1.0);
         let factor = if node.mode == Mode::Slow { 8.0 } else { 1.0 };
-        let worker = usize::from(node.busy[1] < node.busy[0]);
-        node.busy[worker] = node.busy[worker].max(self.now) + work * factor / warmth;
-        (AttemptOutcome::Served, node.busy[worker])
+        let worker = usize::from(node.busy_until[1] < node.busy_until[0]);
+        node.busy_until[worker] = node.busy_until[worker].max(self.now) + work * factor / warmth;
+        (AttemptOutcome::Served, node.busy_until[worker])
     }
 
+    /// Breaks all connections to a node.
     fn crash(&mut self, id: NodeId) {
-        let out = self.nodes[id].out.clone();
-        for (query, part, index) in out {
-            self.schedule(self.now, Event::Ended { query, part, index, end: AttemptOutcome::ConnectionLost });
+        let outstanding = self.nodes[id].outstanding.clone();
+        for (query, part, index) in outstanding {
+            self.schedule(
+                self.now,
+                Event::Ended { query, part, index, outcome: AttemptOutcome::ConnectionLost },
+            );
         }
-        self.nodes[id].busy = [self.now; 2];
+        self.nodes[id].busy_until = [self.now; 2];
     }
 
+    /// Returns the node's row of the endpoint list; `None` if it has been forgotten.
     fn row(&self, id: NodeId) -> Option<Endpoint> {
         let node = &self.nodes[id];
         let state = match node.presence {
@@ -222,7 +246,7 @@
         })
     }
 
-    /// The complete endpoint list.
+    /// Returns the complete endpoint list.
     fn rows(&self) -> Vec<Endpoint> {
         let present = (0..self.nodes.len()).filter(|id| self.nodes[*id].presence != Presence::Removed);
         present.filter_map(|id| self.row(id)).collect()
@@ -240,18 +264,21 @@
             let tracked = &self.queries[&query];
             (tracked.class, tracked.expires_at, tracked.streamed)
         };
-        let (end, at) = self.outcome(node, class);
+        let (outcome, at) = self.outcome(node, class);
         let frame = if streamed { self.rng.random_range(0.0..0.3) } else { 0.0 };
-        let (end, at) =
-            if at + frame < expires_at { (end, at + frame) } else { (AttemptOutcome::TimedOut, expires_at) };
+        let (outcome, at) = if at + frame < expires_at {
+            (outcome, at + frame)
+        } else {
+            (AttemptOutcome::TimedOut, expires_at)
+        };
         let tracked = self.queries.get_mut(&query).expect("known query");
         let index = tracked.parts[part].len();
-        tracked.parts[part].push(Sent { node, at: self.now, ended: false });
-        self.nodes[node].out.insert((query, part, index));
+        tracked.parts[part].push(SentAttempt { node, at: self.now, ended: false });
+        self.nodes[node].outstanding.insert((query, part, index));
         if streamed {
-            self.schedule(self.now + 0.9 * frame, Event::Framed { query, part, index });
+            self.schedule(self.now + 0.9 * frame, Event::FrameWritten { query, part, index });
         }
-        self.schedule(at, Event::Ended { query, part, index, end });
+        self.schedule(at, Event::Ended { query, part, index, outcome });
     }
 
     fn close_idle_connections(&mut self, node: NodeId) {
@@ -262,23 +289,24 @@
     fn cancel_attempt(&mut self, query: QueryId, part: usize, index: usize) {
         self.record(Call::Cancel, &[query, part as u64, index as u64]);
         let at = self.now + self.rng.random_range(0.0..2.0) * TICK;
-        self.schedule(at, Event::Ended { query, part, index, end: AttemptOutcome::Cancelled });
+        self.schedule(at, Event::Ended { query, part, index, outcome: AttemptOutcome::Cancelled });
     }
 
     fn probe(&mut self, node: NodeId) {
         self.record(Call::Probe, &[node as u64]);
-        let (wait, mode) = (self.nodes[node].busy[0].min(self.nodes[node].busy[1]), self.nodes[node].mode);
+        let (wait, mode) =
+            (self.nodes[node].busy_until[0].min(self.nodes[node].busy_until[1]), self.nodes[node].mode);
         let elapsed = TICK * self.rng.random_range(0.5..5.0) + (wait - self.now).max(0.0);
         let answered = !matches!(mode, Mode::Silent | Mode::Down);
         let at = self.now + if answered { elapsed } else { 1.0 };
         self.schedule(at, Event::Probed(node, answered.then_some(elapsed)));
     }
 
-    fn answer(&mut self, query: QueryId, whole: bool) {
-        self.record(if whole { Call::AnswerComplete } else { Call::AnswerPartial }, &[query]);
+    fn answer(&mut self, query: QueryId, is_complete: bool) {
+        self.record(if is_complete { Call::AnswerComplete } else { Call::AnswerPartial }, &[query]);
         let tracked = self.queries.get_mut(&query).expect("known query");
         tracked.answers += 1;
-        if whole && tracked.answers == 1 && tracked.class == TWO_STEP && self.two_step {
+        if is_complete && tracked.answers == 1 && tracked.class == TWO_STEP && self.two_step {
             let at = self.now + self.rng.random_range(0.0..0.05);
             self.schedule(at, Event::SecondStep(query));
         }
@@ -295,7 +323,7 @@
     fn finish(&mut self, query: QueryId) {
         self.record(Call::Finish, &[query]);
         self.queries.get_mut(&query).expect("known query").finished = true;
-        self.live.remove(&query);
+        self.in_flight.remove(&query);
     }
 
     fn schedule_wake(&mut self, at: f64) {
@@ -317,29 +345,34 @@
     fn log(&mut self, _: &str) {}
 }
 
-/// One deployment and what happens there. Each `*_every` is in seconds; 0: never.
+/// A deployment and the events that occur in it. Each `*_every` is a mean interval in seconds; 0 means never.
 #[derive(Clone)]
 struct Scenario {
     seed: u64,
     deployment: Deployment,
     nodes: usize,
     seconds: f64,
-    /// Mean seconds between two queries; every third ten seconds bring `burst` times as many.
+    /// Mean interval between two queries, in seconds.
     gap: f64,
+    /// Factor by which the rate of queries rises in ten of every thirty seconds.
     burst: f64,
-    /// Mean seconds that one of a node's two workers takes for a part.
-    service: f64,
+    /// Mean time that one of a node's two workers takes for a part, in seconds.
+    service_time: f64,
     query_classes: &'static [usize],
-    most_parts: usize,
+    max_parts: usize,
+    /// Whether bodies may be streamed, available only once, or discarded.
     bodies: bool,
+    /// Whether queries may wait for the prefilter or be audits.
     prefilter: bool,
-    owners: bool,
+    /// Whether non-idempotent parts have a required node.
+    required_nodes: bool,
     faults_every: f64,
     churn_every: f64,
     stalls_every: f64,
     rules_every: f64,
-    limits_every: f64,
+    quota_shares_every: f64,
     restart_every: f64,
+    /// Seconds until the shutdown begins; 0 means never.
     shutdown_after: f64,
 }
 
@@ -380,7 +413,7 @@
         query_classes: query_classes(),
         quotas: Vec::new(),
         weight_by_work: false,
-        replica_groups: CELLS,
+        replica_groups: REPLICA_GROUPS,
         replicas: 3,
         cross_zone_cost: Some(0.02),
         max_attempts: 4,
@@ -400,7 +433,7 @@
     }
 }
 
-/// Ordinary traffic of all kinds on eighteen nodes, with a node's fault now and then.
+/// Queries of all classes on eighteen nodes, with occasional faults of nodes.
 fn ordinary(seed: u64) -> Scenario {
     Scenario {
         seed,
@@ -409,23 +442,23 @@
         seconds: 60.0,
         gap: 0.025,
         burst: 2.0,
-        service: 0.05,
+        service_time: 0.05,
         query_classes: &[QUICK, FULL, FULL, NON_IDEMPOTENT, KEYED, TWO_STEP, PARTIAL],
-        most_parts: 6,
+        max_parts: 6,
         bodies: false,
         prefilter: false,
-        owners: false,
+        required_nodes: false,
         faults_every: 1.5,
         churn_every: 0.0,
         stalls_every: 0.0,
         rules_every: 0.0,
-        limits_every: 0.0,
+        quota_shares_every: 0.0,
         restart_every: 0.0,
         shutdown_after: 0.0,
     }
 }
 
-/// No copies, no cancels, no crossing price; a tight budget and quotas, far more work than the nodes can do.
+/// No hedges, no cancellations and no cross-zone cost; a small retry budget, small quotas, and far more work than the nodes can do.
 fn overloaded() -> Scenario {
     let budget = Some(RetryBudget { window: 10.0, min_retries: 3.0, ratio: 0.05 });
     let tight = Deployment {
@@ -438,10 +471,10 @@
         retry_budget: budget,
         ..deployment(2)
     };
-    Scenario { deployment: tight, seconds: 32.0, gap: 0.012, burst: 4.0, service: 0.08, ..ordinary(2) }
+    Scenario { deployment: tight, seconds: 32.0, gap: 0.012, burst: 4.0, service_time: 0.08, ..ordinary(2) }
 }
 
-/// Sixty nodes, each met seldom, some of them slow: replicas are probed.
+/// Sixty nodes, each of which is rarely sent a part and some of which are slow: replicas are probed.
 fn probing() -> Scenario {
     let probes = Deployment { may_probe: true, replica_groups: 30, ..deployment(3) };
     Scenario {
@@ -450,28 +483,29 @@
         seconds: 150.0,
         gap: 0.12,
         burst: 1.0,
-        service: 0.03,
-        most_parts: 3,
+        service_time: 0.03,
+        max_parts: 3,
         faults_every: 0.8,
         ..ordinary(3)
     }
 }
 
-/// Queries of many parts, each with two replicas that fail often: most are sent after probes, and some are rejected by them.
-fn doubting() -> Scenario {
+/// Queries of many parts, each with two replicas that fail often: most queries are sent after probes, and some are rejected because
+/// too few replicas answer their probes.
+fn rejecting_after_probes() -> Scenario {
     let probes = Deployment { may_probe: true, replica_groups: 60, replicas: 2, ..deployment(9) };
     Scenario {
         deployment: probes,
-        most_parts: 4,
+        max_parts: 4,
         gap: 0.15,
-        service: 0.05,
+        service_time: 0.05,
         seconds: 200.0,
         faults_every: 0.25,
         ..probing()
     }
 }
 
-/// A list that is polled and refuses; nodes drain, go, are forgotten and start cold.
+/// An endpoint list that is polled and sometimes refuses; nodes drain, are removed and forgotten, and start cold.
 fn churning() -> Scenario {
     let polled = Deployment { list_poll_deadline: Some(2.0), ..deployment(4) };
     Scenario { deployment: polled, churn_every: 0.5, stalls_every: 7.0, ..ordinary(4) }
@@ -479,10 +513,10 @@
 
 /// Single-shot and streamed bodies, required nodes, the prefilter and audits.
 fn bodies() -> Scenario {
-    Scenario { bodies: true, prefilter: true, owners: true, churn_every: 4.0, ..ordinary(5) }
+    Scenario { bodies: true, prefilter: true, required_nodes: true, churn_every: 4.0, ..ordinary(5) }
 }
 
-/// Rules and our parts of fleet-wide bounds change while queries are held; budgets and cold nodes.
+/// Rules and this broker's quota shares change while queries are in flight, with retry budgets and nodes in slow start.
 fn changing_rules() -> Scenario {
     let budget = Some(RetryBudget { window: 8.0, min_retries: 10.0, ratio: 0.2 });
     let stated = Deployment { quotas: vec![20.0, 10.0, 5.0], retry_budget: budget, ..deployment(6) };
@@ -490,30 +524,32 @@
         deployment: stated,
         churn_every: 2.0,
         rules_every: 1.1,
-        limits_every: 1.7,
+        quota_shares_every: 1.7,
         burst: 3.0,
         ..ordinary(6)
     }
 }
 
-/// Processes follow one another, with what was learned and spent, or without.
+/// The broker restarts, with or without the learned statistics and the spent budgets.
 fn restarting() -> Scenario {
     let budget = Some(RetryBudget { window: 6.0, min_retries: 6.0, ratio: 0.1 });
     let stated = Deployment { retry_budget: budget, ..deployment(7) };
     Scenario { deployment: stated, restart_every: 5.0, churn_every: 3.0, ..ordinary(7) }
 }
 
-/// The signal to end comes, and clients go on coming.
+/// The broker shuts down while queries keep arriving.
 fn shutting_down() -> Scenario {
     Scenario { bodies: true, seconds: 24.0, shutdown_after: 20.0, stalls_every: 9.0, ..ordinary(8) }
 }
 
+/// Simulates the events of a scenario.
 struct Driver {
     scenario: Scenario,
     router: Router,
     transport: Recorder,
     rng: Pcg64Mcg,
-    queries: QueryId,
+    /// Number of queries so far; the last one has this id.
+    query_count: QueryId,
     shutdown: Option<Shutdown>,
     checkpoints: Vec<u64>,
 }
@@ -526,9 +562,9 @@
             replica_group: id % scenario.deployment.replica_groups,
             zone: id % ZONES,
             started_at: if id % 7 == 6 { START - 4.0 } else { 0.0 },
-            busy: [START; 2],
+            busy_until: [START; 2],
             last_used: START,
-            out: BTreeSet::new(),
+            outstanding: BTreeSet::new(),
         });
         let transport = Recorder {
             now: START,
@@ -539,15 +575,16 @@
             sequence: 0,
             nodes: nodes.collect(),
             queries: BTreeMap::new(),
-            live: BTreeSet::new(),
-            service: scenario.service,
+            in_flight: BTreeSet::new(),
+            service_time: scenario.service_time,
             two_step: true,
         };
         let router = Router::new(scenario.deployment.clone());
         let rng = Pcg64Mcg::seed_from_u64(scenario.seed + 200);
-        Self { scenario, router, transport, rng, queries: 0, shutdown: None, checkpoints: Vec::new() }
+        Self { scenario, router, transport, rng, query_count: 0, shutdown: None, checkpoints: Vec::new() }
     }
 
+    /// Runs the scenario and returns the digest at each checkpoint and the number of calls by kind.
     fn run(mut self) -> (Vec<u64>, [usize; CALL_KINDS]) {
         let rows = self.transport.rows();
         self.router.update_endpoints(&mut self.transport, true, &rows);
@@ -558,7 +595,7 @@
             (s.churn_every, Event::Churn),
             (s.stalls_every, Event::Stall),
             (s.rules_every, Event::ChangeRules),
-            (s.limits_every, Event::ChangeLimits),
+            (s.quota_shares_every, Event::ChangeQuotaShares),
             (s.restart_every, Event::Restart),
             (s.shutdown_after, Event::Shutdown),
         ];
@@ -567,7 +604,7 @@
                 self.transport.schedule(START + every, event);
             }
         }
-        let (end, part) = (START + s.seconds, s.seconds / CHECKPOINTS as f64);
+        let (end, interval) = (START + s.seconds, s.seconds / CHECKPOINTS as f64);
         let mut events = 0;
         while let Some(((at, _), event)) = self.transport.queue.pop_first() {
             let at = f64::from_bits(at);
@@ -575,7 +612,7 @@
                 break;
             }
             self.transport.now = self.transport.now.max(at);
-            if self.transport.now > START + part * (self.checkpoints.len() + 1) as f64 {
+            if self.transport.now > START + interval * (self.checkpoints.len() + 1) as f64 {
                 self.checkpoints.push(self.transport.digest.0);
             }
             self.handle_event(event);
@@ -602,8 +639,8 @@
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrival => self.arrival(),
-            Event::Ended { query, part, index, end } => self.end_attempt(query, part, index, end),
-            Event::Framed { query, part, index } => {
+            Event::Ended { query, part, index, outcome } => self.end_attempt(query, part, index, outcome),
+            Event::FrameWritten { query, part, index } => {
                 let node = self.transport.queries[&query].parts[part][index].node;
                 self.router.on_frame_written(&mut self.transport, node, AttemptId { query, part, index });
             }
@@ -613,7 +650,7 @@
                 self.router.on_prefilter_revoked(&mut self.transport, query, &parts)
             }
             Event::SecondStep(query) => self.second_step(query),
-            Event::ClientLeft(query) => {
+            Event::ClientDisconnected(query) => {
                 if !self.transport.queries[&query].finished {
                     self.router.on_client_disconnect(&mut self.transport, query);
                 }
@@ -632,7 +669,7 @@
                 self.schedule_again(self.scenario.stalls_every, Event::Stall);
             }
             Event::ChangeRules => self.change_rules(),
-            Event::ChangeLimits => self.change_limits(),
+            Event::ChangeQuotaShares => self.change_quota_shares(),
             Event::Restart => self.restart(),
             Event::Shutdown => {
                 let shutdown = Shutdown::new(self.transport.now, 2.5);
@@ -643,20 +680,21 @@
     }
 
     fn arrival(&mut self) {
-        let rushes = (self.transport.now - START) as u64 / 10 % 3 == 2;
-        let gap = self.scenario.gap / if rushes { self.scenario.burst } else { 1.0 };
+        let is_burst = (self.transport.now - START) as u64 / 10 % 3 == 2;
+        let gap = self.scenario.gap / if is_burst { self.scenario.burst } else { 1.0 };
         self.schedule_again(gap, Event::Arrival);
-        self.queries += 1;
-        let id = self.queries;
-        let kinds = self.scenario.query_classes;
-        let class = kinds[self.rng.random_range(0..kinds.len())];
+        self.query_count += 1;
+        let id = self.query_count;
+        let query_classes = self.scenario.query_classes;
+        let class = query_classes[self.rng.random_range(0..query_classes.len())];
         let timeout = self.scenario.deployment.query_classes[class].timeout;
-        let hasty = self.rng.random_bool(0.15);
-        let expires_in = timeout * if hasty { self.rng.random_range(0.02..0.6) } else { 1.0 };
+        let is_impatient = self.rng.random_bool(0.15);
+        let expires_in = timeout * if is_impatient { self.rng.random_range(0.02..0.6) } else { 1.0 };
         let body_retained = !self.scenario.bodies || self.rng.random_bool(0.6);
         let streamed = self.scenario.bodies && self.rng.random_bool(0.3);
-        let waits = self.scenario.prefilter && body_retained && self.rng.random_bool(0.3);
-        let audit = self.scenario.prefilter && body_retained && !waits && self.rng.random_bool(0.05);
+        let awaits_prefilter = self.scenario.prefilter && body_retained && self.rng.random_bool(0.3);
+        let audit =
+            self.scenario.prefilter && body_retained && !awaits_prefilter && self.rng.random_bool(0.05);
         let parts = self.parts(class);
         let query = Query {
             id,
@@ -666,12 +704,12 @@
             is_retry: self.rng.random_bool(0.1),
             body_retained,
             streamed,
-            awaits_prefilter: waits,
+            awaits_prefilter,
             audit,
             parts,
         };
         let expires_at = self.transport.now + expires_in;
-        let tracked = Tracked {
+        let tracked = TrackedQuery {
             class,
             expires_at,
             streamed,
@@ -680,17 +718,17 @@
             parts: query.parts.iter().map(|_| Vec::new()).collect(),
         };
         self.transport.queries.insert(id, tracked);
-        self.transport.live.insert(id);
-        self.transport.schedule(expires_at + TICK, Event::ClientLeft(id));
+        self.transport.in_flight.insert(id);
+        self.transport.schedule(expires_at + TICK, Event::ClientDisconnected(id));
         if self.rng.random_bool(0.02) {
             let at = self.transport.now + self.rng.random_range(0.0..0.3);
-            self.transport.schedule(at, Event::ClientLeft(id));
+            self.transport.schedule(at, Event::ClientDisconnected(id));
         }
         if self.scenario.bodies && self.rng.random_bool(0.1) {
             let at = self.transport.now + self.rng.random_range(0.0..0.5);
             self.transport.schedule(at, Event::BodyDiscarded(id));
         }
-        if waits {
+        if awaits_prefilter {
             let at = self.transport.now + self.rng.random_range(0.005..0.3);
             self.transport.schedule(at, Event::PrefilterResult(id));
         }
@@ -698,13 +736,13 @@
     }
 
     fn parts(&mut self, class: usize) -> Vec<Part> {
-        let count = self.rng.random_range(1..=self.scenario.most_parts);
-        let owned = self.scenario.owners && class == NON_IDEMPOTENT;
+        let count = self.rng.random_range(1..=self.scenario.max_parts);
+        let has_required_node = self.scenario.required_nodes && class == NON_IDEMPOTENT;
         let replica_groups = self.scenario.deployment.replica_groups;
         let part = |rng: &mut Pcg64Mcg| Part {
             segment: rng.random_range(0..3 * replica_groups),
             weight: rng.random_range(0.1..1.0) / count as f64,
-            required_node: owned.then(|| rng.random_range(0..self.scenario.nodes)),
+            required_node: has_required_node.then(|| rng.random_range(0..self.scenario.nodes)),
         };
         (0..count).map(|_| part(&mut self.rng)).collect()
     }
@@ -719,18 +757,18 @@
         self.router.on_second_step(&mut self.transport, query, parts);
     }
 
-    fn end_attempt(&mut self, query: QueryId, part: usize, index: usize, end: AttemptOutcome) {
+    fn end_attempt(&mut self, query: QueryId, part: usize, index: usize, outcome: AttemptOutcome) {
         let tracked = self.transport.queries.get_mut(&query).expect("known query");
         let sent = &mut tracked.parts[part][index];
         if std::mem::replace(&mut sent.ended, true) {
             return;
         }
         let (node, elapsed) = (sent.node, self.transport.now - sent.at);
-        self.transport.nodes[node].out.remove(&(query, part, index));
+        self.transport.nodes[node].outstanding.remove(&(query, part, index));
         self.transport.nodes[node].last_used = self.transport.now;
         self.router.on_attempt_ended(
             &mut self.transport,
-            AttemptEnded { query, part, attempt: index, node, outcome: end, elapsed },
+            AttemptEnded { query, part, attempt: index, node, outcome, elapsed },
         );
     }
 
@@ -754,13 +792,13 @@
             Mode::Failing,
             Mode::FailingQuick,
             Mode::Full,
-            Mode::Swallowing,
+            Mode::PartlySilent,
             Mode::Down,
-            Mode::Reaped,
+            Mode::IdleReset,
         ];
         let id = self.rng.random_range(0..self.scenario.nodes);
         let faulty = self.transport.nodes.iter().filter(|n| n.mode != Mode::Healthy).count();
-        // At most a third is faulty at a time: a fault ends before another begins.
+        // At most a third of the nodes is faulty at a time: beyond that, a fault ends before another begins.
         if self.transport.nodes[id].mode != Mode::Healthy || 3 * faulty > self.scenario.nodes {
             let first = self.transport.nodes.iter().position(|n| n.mode != Mode::Healthy).unwrap_or(id);
             let recovered = if self.transport.nodes[id].mode == Mode::Healthy { first } else { id };
@@ -775,6 +813,7 @@
         self.schedule_again(self.scenario.faults_every, Event::Fault);
     }
 
+    /// Changes the state of a random node in the endpoint list.
     fn churn(&mut self) {
         let id = self.rng.random_range(0..self.scenario.nodes);
         let now = self.transport.now;
@@ -791,7 +830,7 @@
                 Presence::Removed
             }
             Presence::Removed
-                if self.transport.nodes[id].out.is_empty() && self.router.outstanding(id) == 0 =>
+                if self.transport.nodes[id].outstanding.is_empty() && self.router.outstanding(id) == 0 =>
             {
                 self.router.remove_node(id);
                 self.transport.nodes[id].replica_group =
@@ -840,23 +879,27 @@
         self.schedule_again(self.scenario.rules_every, Event::ChangeRules);
     }
 
-    fn change_limits(&mut self) {
-        let mut part = |most: f64| {
+    fn change_quota_shares(&mut self) {
+        let mut share = |max: f64| {
             let stated = self.rng.random_bool(0.6);
-            stated.then(|| self.rng.random_range(0.0..most))
+            stated.then(|| self.rng.random_range(0.0..max))
+        };
+        let quota_shares = QuotaShares {
+            slow_start: share(20.0),
+            retries: share(1.0),
+            quotas: vec![share(1.0), share(1.0)],
         };
-        let limits =
-            QuotaShares { slow_start: part(20.0), retries: part(1.0), quotas: vec![part(1.0), part(1.0)] };
-        self.router.set_quota_shares(limits);
-        self.schedule_again(self.scenario.limits_every, Event::ChangeLimits);
+        self.router.set_quota_shares(quota_shares);
+        self.schedule_again(self.scenario.quota_shares_every, Event::ChangeQuotaShares);
     }
 
-    /// Restarts the broker: after an orderly stop with all that was learned and spent, or after a crash.
+    /// Restarts the broker, with or without the learned statistics, after an orderly stop with the spent budgets or after a crash
+    /// without them.
     fn restart(&mut self) {
         let learned = self.router.learned_state(&self.transport);
         let spent = self.router.spent_budgets(&self.transport);
         self.router = Router::new(self.scenario.deployment.clone());
-        for query in std::mem::take(&mut self.transport.live) {
+        for query in std::mem::take(&mut self.transport.in_flight) {
             self.transport.queries.get_mut(&query).expect("known query").finished = true;
         }
         let rows: Vec<_> = (0..self.scenario.nodes).filter_map(|id| self.transport.row(id)).collect();
@@ -870,7 +913,7 @@
         self.schedule_again(self.scenario.restart_every, Event::Restart);
     }
 
-    /// Folds the state of the router while it runs into the digest.
+    /// Adds the router's present state to the digest.
     fn record_state(&mut self) {
         let demand = self.router.quota_demand(10.0);
         let digest = &mut self.transport.digest;
@@ -881,9 +924,9 @@
         for id in 0..=self.transport.nodes.iter().rposition(|n| n.presence == Presence::Active).unwrap_or(0) {
             digest.index(self.router.outstanding(id));
         }
-        let segment = (self.queries as usize) % self.scenario.deployment.replica_groups;
+        let segment = (self.query_count as usize) % self.scenario.deployment.replica_groups;
         self.router.prefilter_candidates(segment).for_each(|id| digest.index(id));
-        for query in &self.transport.live {
+        for query in &self.transport.in_flight {
             digest.flag(self.router.needs_body(*query));
         }
         if let Some(shutdown) = &self.shutdown {
@@ -900,7 +943,7 @@
         }
     }
 
-    /// Folds what the router has learned and spent into the digest.
+    /// Adds the router's learned state and spent budgets to the digest.
     fn record_learned_state(&mut self) {
         let learned = self.router.learned_state(&self.transport);
         let spent = self.router.spent_budgets(&self.transport);
@@ -938,11 +981,12 @@
     }
 }
 
-/// What a scenario came to on the code that was there first.
+/// The recorded result of a scenario.
 struct Golden {
     scenario: fn() -> Scenario,
     /// The digest after each quarter of the scenario's time.
     digests: [u64; CHECKPOINTS],
+    /// Number of calls, by kind of call.
     calls: [usize; CALL_KINDS],
 }
 
@@ -961,8 +1005,8 @@
     digests: [0x5d5bf2cba85bd923, 0x68c69f976b3027a0, 0xe842f15613857460, 0x114bdbb27999df05],
     calls: [3234, 286, 225, 8121, 1386, 0, 8, 28, 1260, 2920, 0],
 };
-const DOUBTING: Golden = Golden {
-    scenario: doubting,
+const REJECTING_AFTER_PROBES: Golden = Golden {
+    scenario: rejecting_after_probes,
     digests: [0x74efd69fd5ce8dfd, 0xfbf5f657e8ac01bc, 0x25d7f9e36f96db01, 0xbd24648e2a5af50f],
     calls: [3678, 272, 253, 3536, 1093, 6, 234, 148, 1325, 6380, 0],
 };
@@ -995,7 +1039,7 @@
     &ORDINARY,
     &OVERLOADED,
     &PROBING,
-    &DOUBTING,
+    &REJECTING_AFTER_PROBES,
     &CHURNING,
     &BODIES,
     &CHANGING_RULES,
@@ -1007,7 +1051,7 @@
 #[case::ordinary(&ORDINARY)]
 #[case::overloaded(&OVERLOADED)]
 #[case::probing(&PROBING)]
-#[case::doubting(&DOUBTING)]
+#[case::rejecting_after_probes(&REJECTING_AFTER_PROBES)]
 #[case::churning(&CHURNING)]
 #[case::bodies(&BODIES)]
 #[case::changing_rules(&CHANGING_RULES)]
@@ -1018,7 +1062,7 @@
     assert_eq!((digests.as_slice(), calls), (golden.digests.as_slice(), golden.calls), "{digests:#018x?}");
 }
 
-/// Guards against scenarios that pin nothing of some kind of call.
+/// Guards against scenarios that do not cover some kind of call.
 #[test]
 fn scenarios_reach_every_call() {
     for kind in 0..CALL_KINDS {
--- a/crates/dunepond-routing/tests/idle_reset.rs
+++ b/crates/dunepond-routing/tests/idle_reset.rs
@@ -1,4 +1,4 @@
-//! Idle resets: connections that break while idle are no fault of their nodes.
+//! Idle resets: connections that break while idle do not count as faults of their nodes.
 
 mod support;
 
@@ -7,12 +7,12 @@
 use support::*;
 
 #[rstest]
-#[case::dropped_unseen_while_idle(3.0, 0.002, true)]
-#[case::in_steady_use(0.05, 0.002, false)]
+#[case::reset_while_idle(3.0, 0.002, true)]
+#[case::broken_while_in_use(0.05, 0.002, false)]
 #[case::broken_by_a_crash(3.0, 0.1, false)]
-fn idle_resets_are_no_node_fault(#[case] idle: f64, #[case] delay: f64, #[case] reconnects: bool) {
+fn idle_resets_do_not_count_as_faults(#[case] idle: f64, #[case] delay: f64, #[case] reconnects: bool) {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     cluster.run(idle);
     cluster.transport.nodes = vec![Some((AttemptOutcome::ConnectionLost, delay)); 6];
     cluster.query(FULL, &[0, 3]);
@@ -21,15 +21,15 @@
     cluster.transport.closed.clear();
     let query = cluster.query(NON_IDEMPOTENT, &[0]);
     assert_eq!(cluster.sent(query).first().is_some_and(|s| cluster.transport.closed == [s.node]), reconnects);
-    // Other broken connections are faults, and a replica that got two attempts has two.
+    // Connections that break otherwise count as faults, and a replica with two such attempts may be ejected.
     assert!(!reconnects || (0..6).all(|n| !cluster.is_ejected(n)));
 }
 
-/// Some connections break at any time, whatever they did before: most dispatches after as long an idle time go well.
+/// Some connections break for other reasons: most attempts after the same idle time are served.
 #[test]
 fn rare_resets_cause_no_reconnect() {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     for turn in 0..40 {
         let end = if turn % 13 == 0 {
             (AttemptOutcome::ConnectionLost, 0.002)
--- a/crates/dunepond-routing/tests/placement.rs
+++ b/crates/dunepond-routing/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which replica gets a part.
+//! Placement: the replica to which a part is sent.
 
 mod support;
 
@@ -15,58 +15,58 @@
     assert_ne!(cluster.sent(first)[0].node, cluster.sent(second)[0].node);
 }
 
-/// Six nodes stand in three zones. With three replicas each segment has a near one; with two a third of them
-/// have none, and all that a preference does there is to take the choice from ties.
+/// Six nodes are in three zones. With three replicas each segment has one in the broker's zone. With two replicas a third of the
+/// segments have none, and a preference would only bias the choice between equal replicas.
 #[rstest]
-#[case::each_segment_has_one_near(3, 45..75)]
-#[case::some_have_none(2, 30..60)]
+#[case::each_segment_has_a_near_replica(3, 45..75)]
+#[case::some_segments_have_none(2, 30..60)]
 fn nearer_of_equal_replicas_is_chosen(#[case] replicas: usize, #[case] expected: std::ops::Range<usize>) {
     let mut cluster = Cluster::new(Deployment { replicas, ..deployment() });
-    let one = |cluster: &mut Cluster| {
+    let chosen_node = |cluster: &mut Cluster| {
         let query = cluster.query(FULL, &[0]);
         cluster.run(1.0);
         cluster.sent(query)[0].node
     };
-    let near = (0..90).filter(|_| one(&mut cluster) == 0).count();
+    let near = (0..90).filter(|_| chosen_node(&mut cluster) == 0).count();
     assert!(expected.contains(&near), "{near}");
 }
 
-/// In sets a segment is held by all nodes of one cell: how many there are is a matter of the list.
+/// With two replica groups, a group contains several nodes, and each of them is a replica of the group's segments.
 #[test]
 fn near_node_of_a_group_is_chosen() {
     let mut cluster = Cluster::new(Deployment { replicas: 1, replica_groups: 2, ..deployment() });
-    let one = |cluster: &mut Cluster| {
+    let chosen_node = |cluster: &mut Cluster| {
         let query = cluster.query(FULL, &[0]);
         cluster.run(1.0);
         cluster.sent(query)[0].node
     };
-    let near = (0..90).filter(|_| one(&mut cluster) == 0).count();
+    let near = (0..90).filter(|_| chosen_node(&mut cluster) == 0).count();
     assert!((45..75).contains(&near), "{near}");
 }
 
-/// The near node has just taken a quarter longer than the others: dear crossings outweigh that, cheap ones do not.
+/// The near node is a quarter slower than the others: an expensive crossing of zones outweighs that, a cheap one does not.
 #[rstest]
 #[case::cheap(0.01, 0..30)]
-#[case::dear(0.06, 45..75)]
-fn cross_zone_cost_weighs_against_latency(#[case] price: f64, #[case] expected: std::ops::Range<usize>) {
-    let mut cluster = Cluster::new(Deployment { cross_zone_cost: Some(price), ..deployment() });
+#[case::expensive(0.06, 45..75)]
+fn cross_zone_cost_weighs_against_latency(#[case] cost: f64, #[case] expected: std::ops::Range<usize>) {
+    let mut cluster = Cluster::new(Deployment { cross_zone_cost: Some(cost), ..deployment() });
     [0, 3].iter().for_each(|near| cluster.transport.nodes[*near] = Some((AttemptOutcome::Served, 0.25)));
-    let one = |cluster: &mut Cluster| {
+    let chosen_node = |cluster: &mut Cluster| {
         let query = cluster.query(FULL, &[0]);
         cluster.run(1.0);
         cluster.sent(query)[0].node
     };
     (0..30).for_each(|_| {
-        one(&mut cluster);
+        chosen_node(&mut cluster);
     });
-    let near = (0..90).filter(|_| one(&mut cluster) == 0).count();
+    let near = (0..90).filter(|_| chosen_node(&mut cluster) == 0).count();
     assert!(expected.contains(&near), "{near}");
 }
 
-/// Brokers that meet a node once in a second come back long after the usual time for which it is left alone.
-/// It has answered at once and holds nothing of ours: without a memory of it, it is the lightest of all.
+/// A broker that sends to a node only once a second does so after the time for which a rejection as full counts. The node
+/// answered at once and has no outstanding attempts, so without a sample of the rejection it would seem the least loaded.
 #[test]
-fn full_node_is_chosen_less_by_rare_callers() {
+fn full_node_is_avoided_by_infrequent_brokers() {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes[0] = Some((AttemptOutcome::Rejected, 0.001));
     cluster.transport.nodes[5] = Some((AttemptOutcome::Served, 0.9));
@@ -76,68 +76,68 @@
         cluster.query(FULL, &[3]);
         cluster.run(0.5);
     }
-    let tried = cluster.sent_count(0, 0.0);
-    assert!((1..10).contains(&tried), "{tried}");
+    let sent_to_full = cluster.sent_count(0, 0.0);
+    assert!((1..10).contains(&sent_to_full), "{sent_to_full}");
 }
 
 #[test]
-fn slow_node_is_sent_less_at_low_counts() {
+fn slow_node_is_sent_less_at_low_load() {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes[2] = Some((AttemptOutcome::Served, 0.26));
-    cluster.traffic(FULL, 9.0, 0.3);
+    cluster.run_traffic(FULL, 9.0, 0.3);
     let start = cluster.transport.now;
-    cluster.traffic(FULL, 18.0, 0.3);
+    cluster.run_traffic(FULL, 18.0, 0.3);
     assert!(cluster.sent_count(2, start) * 3 < cluster.sent_count(4, start));
 }
 
 #[rstest]
 #[case::answered(0.7, 0.8, 12, 9, 0)]
-#[case::withdrawn_late(1.9, 1.1, 3, 6, 1)]
-fn one_slow_attempt_moves_the_choice(
+#[case::cancelled_late(1.9, 1.1, 3, 6, 1)]
+fn few_slow_attempts_change_the_choice(
     #[case] delay: f64,
     #[case] gap: f64,
-    #[case] learns: usize,
-    #[case] asks: usize,
-    #[case] most: usize,
+    #[case] queries_before: usize,
+    #[case] queries_after: usize,
+    #[case] max_sent: usize,
 ) {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 3.0, 0.1);
+    cluster.run_traffic(FULL, 3.0, 0.1);
     cluster.transport.nodes[2] = Some((AttemptOutcome::Served, delay));
-    let ask = |cluster: &mut Cluster, times: usize| {
+    let send = |cluster: &mut Cluster, times: usize| {
         (0..times).for_each(|_| {
             cluster.query(FULL, &[2]);
             cluster.run(gap);
         });
     };
-    ask(&mut cluster, learns);
+    send(&mut cluster, queries_before);
     let start = cluster.transport.now;
-    ask(&mut cluster, asks);
-    assert!(cluster.sent_count(2, start) <= most);
+    send(&mut cluster, queries_after);
+    assert!(cluster.sent_count(2, start) <= max_sent);
 }
 
 #[test]
-fn bad_zone_link_shows_at_few_nodes() {
-    let mut cluster = sixty(deployment());
-    let ask = |cluster: &mut Cluster, far: f64, segments: std::ops::Range<usize>| {
-        cluster.transport.nodes = every_third(far);
+fn bad_zone_link_is_learned_from_few_nodes() {
+    let mut cluster = sixty_node_cluster(deployment());
+    let send = |cluster: &mut Cluster, far_delay: f64, segments: std::ops::Range<usize>| {
+        cluster.transport.nodes = every_third_slow(far_delay);
         segments.for_each(|segment| {
             cluster.query(FULL, &[segment]);
             cluster.run(0.2);
         });
         cluster.run(1.0);
     };
-    ask(&mut cluster, 0.2, 0..16);
-    ask(&mut cluster, 1.9, 0..28);
+    send(&mut cluster, 0.2, 0..16);
+    send(&mut cluster, 1.9, 0..28);
     let start = cluster.transport.now;
-    ask(&mut cluster, 1.9, 30..57);
-    let far = cluster.transport.sent.iter().filter(|s| s.at >= start && s.node % 3 == 0).count();
-    assert_eq!(far, 0);
+    send(&mut cluster, 1.9, 30..57);
+    let sent_far = cluster.transport.sent.iter().filter(|s| s.at >= start && s.node % 3 == 0).count();
+    assert_eq!(sent_far, 0);
 }
 
 #[test]
 fn non_idempotent_part_needs_a_healthy_node() {
     let mut cluster = Cluster::new(Deployment { replicas: 2, ..deployment() });
-    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes[1] = None;
     (0..4).for_each(|_| _ = cluster.query(FULL, &[0]));
     cluster.run(0.3);
@@ -147,24 +147,24 @@
 }
 
 #[test]
-fn non_idempotent_part_is_no_probation_attempt() {
+fn non_idempotent_part_is_never_a_probation_attempt() {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes[1] = None;
-    cluster.traffic(FULL, 1.0, 0.05);
+    cluster.run_traffic(FULL, 1.0, 0.05);
     assert!(cluster.is_ejected(1));
     let start = cluster.transport.now;
-    cluster.traffic(NON_IDEMPOTENT, 4.0, 0.05);
+    cluster.run_traffic(NON_IDEMPOTENT, 4.0, 0.05);
     assert_eq!(cluster.sent_count(1, start), 0);
 }
 
 /// Guards against a part whose two attempts are both probation attempts at silent replicas while a healthy third gets none.
 #[rstest]
-fn hedge_is_no_probation_attempt(#[values(1, 2, 3, 4, 5)] seed: u64) {
+fn hedge_goes_to_a_healthy_replica(#[values(1, 2, 3, 4, 5)] seed: u64) {
     let mut cluster = Cluster::new(Deployment { seed, ..deployment() });
-    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     (cluster.transport.nodes[2], cluster.transport.nodes[3]) = (None, None);
-    cluster.traffic(FULL, 2.0, 0.05);
+    cluster.run_traffic(FULL, 2.0, 0.05);
     assert!(cluster.is_ejected(2) && cluster.is_ejected(3));
     for _ in 0..20 {
         cluster.run(4.0);
@@ -180,9 +180,9 @@
 #[test]
 fn full_node_is_backed_off() {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes[2] = Some((AttemptOutcome::Rejected, 0.001));
     let start = cluster.transport.now;
-    cluster.traffic(FULL, 1.0, 0.02);
+    cluster.run_traffic(FULL, 1.0, 0.02);
     assert!(cluster.sent_count(2, start) <= 6);
 }
--- a/crates/dunepond-routing/tests/prefilter.rs
+++ b/crates/dunepond-routing/tests/prefilter.rs
@@ -5,11 +5,11 @@
 use dunepond_routing::*;
 use support::*;
 
-/// Its nodes are polled first: nothing goes out meanwhile, what is left out never does, and counts for the whole.
+/// No part is sent before the result of the prefilter. Pruned parts are never sent and count as done.
 #[test]
 fn unpruned_parts_are_sent() {
     let mut cluster = Cluster::new(deployment());
-    let query = cluster.awaiting_prefilter(FULL, &[0, 1, 2, 3]);
+    let query = cluster.query_awaiting_prefilter(FULL, &[0, 1, 2, 3]);
     cluster.run(0.5);
     assert_eq!((cluster.sent(query).len(), cluster.answers(query)), (0, vec![]));
     cluster.router.on_prefilter_result(&mut cluster.transport, query, &[0, 2]);
@@ -21,16 +21,16 @@
 #[test]
 fn fully_pruned_query_is_answered_at_once() {
     let mut cluster = Cluster::new(deployment());
-    let query = cluster.awaiting_prefilter(FULL, &[0, 1]);
+    let query = cluster.query_awaiting_prefilter(FULL, &[0, 1]);
     cluster.router.on_prefilter_result(&mut cluster.transport, query, &[0, 1]);
     assert_eq!((cluster.sent(query).len(), cluster.answers(query)), (0, vec![COMPLETE]));
 }
 
-/// The word that a part was left out on has fallen while the others were out.
+/// The pruning of a part is revoked while the other part is outstanding.
 #[test]
 fn part_with_stale_pruning_is_sent() {
     let mut cluster = Cluster::new(deployment());
-    let query = cluster.awaiting_prefilter(FULL, &[0, 1]);
+    let query = cluster.query_awaiting_prefilter(FULL, &[0, 1]);
     cluster.router.on_prefilter_result(&mut cluster.transport, query, &[0]);
     cluster.run(0.1);
     cluster.router.on_prefilter_revoked(&mut cluster.transport, query, &[0]);
@@ -40,12 +40,12 @@
     assert_eq!(cluster.answers(query), [COMPLETE]);
 }
 
-/// The prefilter took so long that no answer would be in time: the query is rejected and nothing is sent.
+/// The prefilter took so long that no answer would arrive in time: the query is rejected and no part is sent.
 #[test]
 fn overdue_prefilter_rejects_the_query() {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 5.0, 0.1);
-    let query = cluster.awaiting_prefilter(FULL, &[0, 1]);
+    cluster.run_traffic(FULL, 5.0, 0.1);
+    let query = cluster.query_awaiting_prefilter(FULL, &[0, 1]);
     cluster.run(3.8);
     let before = cluster.transport.now;
     cluster.router.on_prefilter_result(&mut cluster.transport, query, &[]);
@@ -54,12 +54,12 @@
     assert_eq!(cluster.transport.answers.last().unwrap().0, before);
 }
 
-/// Half of its parts are enough for an answer that is not whole; one that was left out is none of them.
+/// Half of the parts are enough for a partial answer, but pruned parts do not count.
 #[test]
 fn pruned_parts_do_not_count_as_answered() {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
-    let query = cluster.awaiting_prefilter(PARTIAL, &[0, 1, 2, 3]);
+    let query = cluster.query_awaiting_prefilter(PARTIAL, &[0, 1, 2, 3]);
     cluster.router.on_prefilter_result(&mut cluster.transport, query, &[0, 1]);
     cluster.end_attempt(query, 2, AttemptOutcome::Served);
     cluster.run(4.0);
@@ -74,23 +74,23 @@
 fn audit_is_not_retried() {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.1)); 6];
-    let query = cluster.audit(FULL, 0);
+    let query = cluster.audit_query(FULL, 0);
     cluster.run(3.0);
     assert_eq!(cluster.sent(query).len(), 1);
     assert_eq!(cluster.answers(query).len(), 1);
 }
 
-/// Audits must not widen the budget of those that clients wait for.
+/// Guards against audits that raise the retry budget of queries for which clients wait.
 #[test]
 fn audits_earn_no_retry_budget() {
     let budget = Some(RetryBudget { window: 10.0, min_retries: 0.0, ratio: 1.0 });
     let mut cluster = Cluster::new(Deployment { retry_budget: budget, ..deployment() });
     for _ in 0..20 {
-        cluster.audit(FULL, 0);
+        cluster.audit_query(FULL, 0);
     }
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.1)); 6];
     let query = cluster.query(FULL, &[1]);
     cluster.run(3.0);
-    // Its own query and part allow two more.
+    // With a ratio of 1, the query and its part allow two retries.
     assert_eq!(cluster.sent(query).len(), 3);
 }
--- a/crates/dunepond-routing/tests/probing.rs
+++ b/crates/dunepond-routing/tests/probing.rs
@@ -1,4 +1,4 @@
-//! Probing: replicas are probed for capacity where no other sample tells them apart.
+//! Probing: replicas are probed for free capacity if no samples show which of them are overloaded.
 
 mod support;
 
@@ -6,13 +6,13 @@
 use rstest::rstest;
 use support::*;
 
-/// Sixty nodes, each met once in a few seconds; a third of them have become slow.
-fn in_doubt(gap: f64) -> Cluster {
+/// Returns a cluster of sixty nodes, each of which is rarely sent a part; a third of them have become slow.
+fn unequally_loaded_cluster(gap: f64) -> Cluster {
     let plain = deployment();
-    let kinds = plain.query_classes[..PARTIAL].to_vec();
-    let mut cluster = sixty(Deployment { query_classes: kinds, may_probe: true, ..plain });
+    let query_classes = plain.query_classes[..PARTIAL].to_vec();
+    let mut cluster = sixty_node_cluster(Deployment { query_classes, may_probe: true, ..plain });
     for (slow, seconds) in [(0.2, 5.0), (0.95, 2.5)] {
-        cluster.transport.nodes = every_third(slow);
+        cluster.transport.nodes = every_third_slow(slow);
         (0..(seconds / gap) as usize).for_each(|turn| {
             cluster.query(NON_IDEMPOTENT, &[turn * 7 % 60]);
             cluster.run(gap);
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn part_follows_the_first_probe_answer() {
-    let mut cluster = in_doubt(0.1);
+fn part_is_sent_to_the_first_replica_that_answers() {
+    let mut cluster = unequally_loaded_cluster(0.1);
     let query = cluster.query(FULL, &[10]);
     assert_eq!(cluster.transport.probed, [10, 11, 12]);
     assert!(cluster.sent(query).is_empty());
@@ -34,17 +34,17 @@
 
 #[test]
 fn unanswered_probes_reject_the_query() {
-    let mut cluster = in_doubt(0.1);
+    let mut cluster = unequally_loaded_cluster(0.1);
     let query = cluster.query(FULL, &[10, 11, 12, 13]);
     cluster.router.on_probe_result(&mut cluster.transport, 10, Some(0.1));
     cluster.run(1.3);
     assert!(matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }]));
 }
 
-/// What the first step has cost would be lost for two parts.
+/// Guards against losing the work of the first step because replicas answer the probes of the second step late.
 #[test]
 fn second_step_is_not_rejected_by_probes() {
-    let mut cluster = in_doubt(0.1);
+    let mut cluster = unequally_loaded_cluster(0.1);
     let query = cluster.query(TWO_STEP, &[10, 13]);
     [10, 13].iter().for_each(|node| cluster.router.on_probe_result(&mut cluster.transport, *node, Some(0.1)));
     cluster.end_attempt(query, 0, AttemptOutcome::Served);
@@ -55,18 +55,18 @@
 }
 
 #[rstest]
-#[case::a_queue_shows(0.1, true)]
-#[case::a_sign_of_life_only(0.004, false)]
-fn uninformative_probes_are_disabled(#[case] delay: f64, #[case] goes_on: bool) {
-    let mut cluster = in_doubt(0.1);
+#[case::queueing_delay(0.1, true)]
+#[case::network_round_trip(0.004, false)]
+fn uninformative_probes_are_disabled(#[case] delay: f64, #[case] is_probed: bool) {
+    let mut cluster = unequally_loaded_cluster(0.1);
     (0..10).for_each(|node| cluster.router.on_probe_result(&mut cluster.transport, node, Some(delay)));
     cluster.query(FULL, &[10]);
-    assert_eq!(!cluster.transport.probed.is_empty(), goes_on);
+    assert_eq!(!cluster.transport.probed.is_empty(), is_probed);
 }
 
 #[test]
 fn frequent_contact_needs_no_probes() {
-    let mut cluster = in_doubt(0.02);
+    let mut cluster = unequally_loaded_cluster(0.02);
     cluster.query(FULL, &[10]);
     assert!(cluster.transport.probed.is_empty());
 }
@@ -74,6 +74,6 @@
 #[test]
 fn idle_broker_sends_no_probes() {
     let mut cluster = Cluster::new(Deployment { may_probe: true, ..deployment() });
-    cluster.traffic(FULL, 6.0, 0.05);
+    cluster.run_traffic(FULL, 6.0, 0.05);
     assert!(cluster.transport.probed.is_empty());
 }
--- a/crates/dunepond-routing/tests/retry.rs
+++ b/crates/dunepond-routing/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries and hedged requests: when another attempt is sent, and within which bounds.
+//! Retries and hedged requests: when another attempt is sent, and within which limits.
 
 mod support;
 
@@ -9,32 +9,32 @@
 #[rstest]
 #[case::error(AttemptOutcome::Error, 1, Some(FinalAnswer::Failed))]
 #[case::timed_out(AttemptOutcome::TimedOut, 1, Some(FinalAnswer::Failed))]
-#[case::dropped(AttemptOutcome::ConnectionLost, 1, Some(FinalAnswer::Failed))]
-#[case::full(AttemptOutcome::Rejected, 2, None)]
+#[case::connection_lost(AttemptOutcome::ConnectionLost, 1, Some(FinalAnswer::Failed))]
+#[case::rejected(AttemptOutcome::Rejected, 2, None)]
 #[case::no_connection(AttemptOutcome::ConnectFailed, 2, None)]
 fn non_idempotent_part_is_retried_only_if_unstarted(
-    #[case] end: AttemptOutcome,
-    #[case] sends: usize,
-    #[case] fin: Option<FinalAnswer>,
+    #[case] outcome: AttemptOutcome,
+    #[case] sent: usize,
+    #[case] answer: Option<FinalAnswer>,
 ) {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(NON_IDEMPOTENT, &[0]);
-    cluster.end_attempt(query, 0, end);
-    assert_eq!(cluster.sent(query).len(), sends);
-    assert_eq!(cluster.answers(query).first(), fin.as_ref());
+    cluster.end_attempt(query, 0, outcome);
+    assert_eq!(cluster.sent(query).len(), sent);
+    assert_eq!(cluster.answers(query).first(), answer.as_ref());
 }
 
 #[rstest]
-#[case::inside(0.5, 2)]
-#[case::outside(1.2, 1)]
-fn keyed_part_is_retried_within_its_window(#[case] after: f64, #[case] sends: usize) {
+#[case::inside_the_window(0.5, 2)]
+#[case::after_the_window(1.2, 1)]
+fn keyed_part_is_retried_within_its_window(#[case] after: f64, #[case] sent: usize) {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(KEYED, &[0]);
     cluster.run(after);
     cluster.end_attempt(query, 0, AttemptOutcome::Error);
-    assert_eq!(cluster.sent(query).len(), sends);
+    assert_eq!(cluster.sent(query).len(), sent);
 }
 
 #[test]
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn attempt_cap_bounds_the_sends() {
+fn attempt_cap_limits_the_attempts() {
     let mut cluster = Cluster::new(Deployment { max_attempts: 2, ..deployment() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.01)); 6];
     let query = cluster.query(FULL, &[0]);
@@ -71,11 +71,11 @@
 }
 
 #[test]
-fn spare_parts_replace_hedges() {
+fn optional_parts_are_not_hedged() {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes[2] = None;
-    cluster.traffic(FULL, 1.0, 0.05);
+    cluster.run_traffic(FULL, 1.0, 0.05);
     cluster.run(2.0);
     let start = cluster.transport.now;
     let queries: Vec<_> = (0..4).map(|_| cluster.query(QUICK, &[0, 1, 2, 3, 4])).collect();
@@ -88,56 +88,56 @@
 fn overloaded_replicas_get_no_hedges() {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.7)); 6];
-    let fill = |cluster: &mut Cluster, seconds: f64| {
+    let load_replicas = |cluster: &mut Cluster, seconds: f64| {
         (0..(seconds / 0.02) as usize).for_each(|_| {
             cluster.query_with(PATIENT, &[0], 0, 30.0, false);
             cluster.run(0.02);
         });
     };
-    fill(&mut cluster, 3.0);
+    load_replicas(&mut cluster, 3.0);
     let query = cluster.query_with(QUICK, &[0, 3], 0, 3.9, false);
-    (0..6).for_each(|node| cluster.hold(query, node));
-    fill(&mut cluster, 1.5);
-    let copies = cluster.sent(query).iter().filter(|s| s.part == 0).count();
-    assert_eq!(copies, 1);
+    (0..6).for_each(|node| cluster.drop_responses(query, node));
+    load_replicas(&mut cluster, 1.5);
+    let attempts = cluster.sent(query).iter().filter(|s| s.part == 0).count();
+    assert_eq!(attempts, 1);
 }
 
 #[test]
-fn costly_part_is_hedged_in_time() {
+fn late_part_is_hedged_within_the_objective() {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 3.0, 0.03);
+    cluster.run_traffic(FULL, 3.0, 0.03);
     let query = cluster.query(FULL, &[0]);
-    (0..6).for_each(|node| cluster.hold(query, node));
-    cluster.traffic(FULL, 0.6, 0.03);
+    (0..6).for_each(|node| cluster.drop_responses(query, node));
+    cluster.run_traffic(FULL, 0.6, 0.03);
     assert_eq!(cluster.sent(query).len(), 1);
-    cluster.traffic(FULL, 0.4, 0.03);
+    cluster.run_traffic(FULL, 0.4, 0.03);
     assert_eq!(cluster.sent(query).len(), 2);
 }
 
-/// At ease the part would be copied after 0.8 s.
+/// In an uncongested fleet the part is hedged after 0.8 s.
 #[rstest]
-#[case::at_ease(0.2, 2)]
-#[case::all_take_longer(0.5, 1)]
-fn hedge_needs_spare_capacity(#[case] takes: f64, #[case] sends: usize) {
+#[case::uncongested(0.2, 2)]
+#[case::congested(0.5, 1)]
+fn hedge_needs_spare_capacity(#[case] latency: f64, #[case] sent: usize) {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 3.0, 0.03);
-    cluster.transport.nodes = vec![Some((AttemptOutcome::Served, takes)); 6];
-    cluster.traffic(PATIENT, 3.0, 0.03);
+    cluster.run_traffic(FULL, 3.0, 0.03);
+    cluster.transport.nodes = vec![Some((AttemptOutcome::Served, latency)); 6];
+    cluster.run_traffic(PATIENT, 3.0, 0.03);
     let query = cluster.query(FULL, &[0]);
-    (0..6).for_each(|node| cluster.hold(query, node));
-    cluster.traffic(PATIENT, 0.9, 0.03);
-    assert_eq!(cluster.sent(query).len(), sends);
+    (0..6).for_each(|node| cluster.drop_responses(query, node));
+    cluster.run_traffic(PATIENT, 0.9, 0.03);
+    assert_eq!(cluster.sent(query).len(), sent);
 }
 
-/// A queue looks like silence: the copy goes only once nearly all would have answered, and then at once.
+/// A node with a long queue may seem silent, so the hedge is sent only after the 95th percentile, but then at once.
 #[rstest]
 fn part_at_ejected_node_is_hedged_after_p95(#[values(1, 2, 3)] seed: u64) {
     let mut cluster = Cluster::new(Deployment { seed, ..deployment() });
-    cluster.traffic(FULL, 3.0, 0.05);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     (cluster.transport.nodes[2], cluster.transport.nodes[3]) = (None, None);
-    cluster.traffic(FULL, 2.0, 0.05);
+    cluster.run_traffic(FULL, 2.0, 0.05);
     assert!(cluster.is_ejected(2) && cluster.is_ejected(3));
-    let mut tried = 0;
+    let mut probation_attempts = 0;
     for _ in 0..20 {
         cluster.run(4.0);
         for _ in 0..6 {
@@ -145,14 +145,14 @@
         }
         let query = cluster.query(FULL, &[2]);
         if cluster.sent(query)[0].node != 4 {
-            tried += 1;
+            probation_attempts += 1;
             cluster.run(0.15);
             assert_eq!(cluster.sent(query).len(), 1);
             cluster.run(0.1);
             assert_eq!(cluster.sent(query).len(), 2);
         }
     }
-    assert!(tried > 0);
+    assert!(probation_attempts > 0);
 }
 
 #[test]
@@ -164,12 +164,12 @@
         cluster.run(0.1);
         cluster.end_attempt(query, 0, AttemptOutcome::ConnectionLost);
     });
-    let to: Vec<_> = cluster.sent(query).iter().map(|s| s.node).collect();
-    assert_eq!(to.len(), 3);
-    assert_ne!(to[0], to[1]);
+    let nodes: Vec<_> = cluster.sent(query).iter().map(|s| s.node).collect();
+    assert_eq!(nodes.len(), 3);
+    assert_ne!(nodes[0], nodes[1]);
 }
 
-/// Each is polled again once its refusal is over; with all its dispatches gone the query is ended at once.
+/// Each replica is tried again after the time for which it counts as full. At the attempt cap the query ends at once.
 #[test]
 fn part_rejected_by_all_replicas_ends_its_query() {
     let mut cluster = Cluster::new(Deployment { replicas: 2, ..deployment() });
--- a/crates/dunepond-routing/tests/rules.rs
+++ b/crates/dunepond-routing/tests/rules.rs
@@ -13,32 +13,33 @@
     matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }])
 }
 
-// ---- parts that one node alone may have
+// ---- Parts with a required node
 
 #[rstest]
-#[case::non_replayable(NON_IDEMPOTENT)]
-#[case::replayable(FULL)]
-fn part_goes_only_to_its_required_node(#[case] kind: usize, #[values(0, 1, 2)] owner: NodeId) {
+#[case::non_idempotent(NON_IDEMPOTENT)]
+#[case::idempotent(FULL)]
+fn part_goes_only_to_its_required_node(#[case] query_class: usize, #[values(0, 1, 2)] required_node: NodeId) {
     let mut cluster = Cluster::new(deployment());
-    let queries: Vec<_> = (0..20).map(|_| cluster.with_required_node(kind, 0, owner)).collect();
+    let queries: Vec<_> =
+        (0..20).map(|_| cluster.query_with_required_node(query_class, 0, required_node)).collect();
     cluster.run(3.0);
-    assert!(cluster.transport.sent.iter().all(|s| s.node == owner));
+    assert!(cluster.transport.sent.iter().all(|s| s.node == required_node));
     assert!(queries.iter().all(|query| cluster.answers(*query) == [COMPLETE]));
 }
 
-/// Silent, failing or full: neither a copy nor a retry goes elsewhere, and there is one final answer.
+/// If the required node is silent, failing or full, no hedge or retry is sent to another node, and the query gets one answer.
 #[rstest]
 #[case::silent(None)]
 #[case::failing(Some((AttemptOutcome::Error, 0.01)))]
 #[case::full(Some((AttemptOutcome::Rejected, 0.01)))]
 fn failed_required_node_has_no_substitute(
-    #[case] owner: Option<(AttemptOutcome, f64)>,
-    #[values(NON_IDEMPOTENT, FULL)] kind: usize,
+    #[case] response: Option<(AttemptOutcome, f64)>,
+    #[values(NON_IDEMPOTENT, FULL)] query_class: usize,
 ) {
     let mut cluster = Cluster::new(deployment());
-    cluster.traffic(FULL, 3.0, 0.05);
-    cluster.transport.nodes[1] = owner;
-    let query = cluster.with_required_node(kind, 0, 1);
+    cluster.run_traffic(FULL, 3.0, 0.05);
+    cluster.transport.nodes[1] = response;
+    let query = cluster.query_with_required_node(query_class, 0, 1);
     cluster.run(4.0);
     assert!(cluster.sent(query).iter().all(|s| s.node == 1));
     assert_eq!(cluster.answers(query).len(), 1);
@@ -46,117 +47,126 @@
 
 #[rstest]
 #[case::draining(1, EndpointState::Draining)]
-#[case::gone(1, EndpointState::Removed)]
-#[case::no_holder_of_that_segment(4, EndpointState::Active)]
+#[case::removed(1, EndpointState::Removed)]
+#[case::not_a_replica_of_the_segment(4, EndpointState::Active)]
 #[case::unknown(99, EndpointState::Active)]
-fn unusable_required_node_rejects_at_once(#[case] owner: NodeId, #[case] is: EndpointState) {
+fn unusable_required_node_rejects_at_once(#[case] required_node: NodeId, #[case] state: EndpointState) {
     let mut cluster = Cluster::new(deployment());
-    cluster.list(false, &[row(owner.min(5), is, 0.0)]);
-    let query = cluster.with_required_node(NON_IDEMPOTENT, 0, owner);
+    cluster.update_list(false, &[row(required_node.min(5), state, 0.0)]);
+    let query = cluster.query_with_required_node(NON_IDEMPOTENT, 0, required_node);
     assert!(is_rejected(&cluster, query));
     assert!(cluster.sent(query).is_empty());
 }
 
-/// The part waits for the slow-start budget of a node that begins to drain, or whose index is given to another node.
+/// The part waits for the slow-start budget of a node that is then removed, and whose id may be given to another node.
 #[rstest]
-#[case::drains(false)]
-#[case::its_index_is_given_to_another(true)]
-fn departed_required_node_rejects_soon(#[case] another: bool) {
+#[case::removed(false)]
+#[case::id_is_given_to_another_node(true)]
+fn removed_required_node_rejects_soon(#[case] is_id_reused: bool) {
     let mut cluster = Cluster::new(deployment());
-    cluster.list(false, &[row(1, EndpointState::Active, cluster.transport.now)]);
+    cluster.update_list(false, &[row(1, EndpointState::Active, cluster.transport.now)]);
     cluster.router.restore_spent(&mut cluster.transport, None);
-    let query = cluster.with_required_node(NON_IDEMPOTENT, 0, 1);
+    let query = cluster.query_with_required_node(NON_IDEMPOTENT, 0, 1);
     cluster.run(0.2);
     assert_eq!((cluster.sent(query).len(), cluster.answers(query).len()), (0, 0));
-    cluster.list(false, &[row(1, EndpointState::Removed, 0.0)]);
-    if another {
+    cluster.update_list(false, &[row(1, EndpointState::Removed, 0.0)]);
+    if is_id_reused {
         cluster.router.remove_node(1);
-        cluster.list(false, &[row(1, EndpointState::Active, 0.0)]);
+        cluster.update_list(false, &[row(1, EndpointState::Active, 0.0)]);
     }
     cluster.run(0.1);
     assert!(is_rejected(&cluster, query));
     assert!(cluster.sent(query).is_empty());
 }
 
-// ---- rules that change
-
-/// A query begins under `then`, and `now` holds when it matters; a third one comes after.
-fn changed(deployment: Deployment, change: impl Fn(&mut Rules), tighter_now: bool) -> (Cluster, Rules) {
-    let mut other = Rules::of(&deployment);
-    change(&mut other);
-    let first = Rules::of(&deployment);
+// ---- Rules that change while queries are in flight
+
+/// Returns a cluster with the old rules in force, and the new rules. One of the two are the rules that the deployment states, and
+/// `change` makes the other ones stricter: the new rules if `stricter_now` is set, otherwise the old rules.
+fn cluster_and_new_rules(
+    deployment: Deployment,
+    change: impl Fn(&mut Rules),
+    stricter_now: bool,
+) -> (Cluster, Rules) {
+    let mut strict = Rules::of(&deployment);
+    change(&mut strict);
+    let stated = Rules::of(&deployment);
     let mut cluster = Cluster::new(deployment);
-    let (then, now) = if tighter_now { (first, other) } else { (other, first) };
-    cluster.router.set_rules(&then);
-    (cluster, now)
+    let (old, new) = if stricter_now { (stated, strict) } else { (strict, stated) };
+    cluster.router.set_rules(&old);
+    (cluster, new)
 }
 
-/// Two of four parts are in when its time is up; one share asks for half, the other for all.
+/// Two of four parts have been served at the deadline; one rule needs half of them, the other one all.
 #[rstest]
-fn partial_answer_needs_the_greater_share(#[values(true, false)] tighter_now: bool) {
-    let (mut cluster, now) = changed(deployment(), |r| r.minimum_share[PARTIAL] = 1.0, tighter_now);
+fn partial_answer_needs_the_greater_share(#[values(true, false)] stricter_now: bool) {
+    let (mut cluster, new_rules) =
+        cluster_and_new_rules(deployment(), |r| r.minimum_share[PARTIAL] = 1.0, stricter_now);
     (2..6).for_each(|n| cluster.transport.nodes[n] = None);
-    let begun = cluster.with_required_nodes(PARTIAL, &[(0, 0), (1, 1), (2, 2), (3, 3)]);
-    cluster.router.set_rules(&now);
-    let after = cluster.with_required_nodes(PARTIAL, &[(0, 0), (1, 1), (2, 2), (3, 3)]);
+    let earlier = cluster.query_with_required_nodes(PARTIAL, &[(0, 0), (1, 1), (2, 2), (3, 3)]);
+    cluster.router.set_rules(&new_rules);
+    let later = cluster.query_with_required_nodes(PARTIAL, &[(0, 0), (1, 1), (2, 2), (3, 3)]);
     cluster.run(4.0);
-    assert!(is_rejected(&cluster, begun));
-    assert_eq!(cluster.answers(after) == [PARTIAL_ANSWER], !tighter_now);
+    assert!(is_rejected(&cluster, earlier));
+    assert_eq!(cluster.answers(later) == [PARTIAL_ANSWER], !stricter_now);
 }
 
-/// Three of five parts are in at once; one share asks for 0.6, the other for all.
+/// Three of five parts have been served; one rule needs 0.6 of them, the other one all.
 #[rstest]
-fn complete_answer_needs_the_greater_share(#[values(true, false)] tighter_now: bool) {
-    let (mut cluster, now) = changed(deployment(), |r| r.complete_at[QUICK] = 1.0, tighter_now);
+fn complete_answer_needs_the_greater_share(#[values(true, false)] stricter_now: bool) {
+    let (mut cluster, new_rules) =
+        cluster_and_new_rules(deployment(), |r| r.complete_at[QUICK] = 1.0, stricter_now);
     cluster.transport.nodes = vec![None; 6];
-    let begun = cluster.query(QUICK, &[0, 1, 2, 3, 4]);
-    cluster.router.set_rules(&now);
-    (0..3).for_each(|part| cluster.end_attempt(begun, part, AttemptOutcome::Served));
-    assert_eq!(cluster.answers(begun), []);
-    (3..5).for_each(|part| cluster.end_attempt(begun, part, AttemptOutcome::Served));
-    assert_eq!(cluster.answers(begun), [COMPLETE]);
-    let after = cluster.query(QUICK, &[0, 1, 2, 3, 4]);
-    (0..3).for_each(|part| cluster.end_attempt(after, part, AttemptOutcome::Served));
-    assert_eq!(cluster.answers(after) == [COMPLETE], !tighter_now);
+    let earlier = cluster.query(QUICK, &[0, 1, 2, 3, 4]);
+    cluster.router.set_rules(&new_rules);
+    (0..3).for_each(|part| cluster.end_attempt(earlier, part, AttemptOutcome::Served));
+    assert_eq!(cluster.answers(earlier), []);
+    (3..5).for_each(|part| cluster.end_attempt(earlier, part, AttemptOutcome::Served));
+    assert_eq!(cluster.answers(earlier), [COMPLETE]);
+    let later = cluster.query(QUICK, &[0, 1, 2, 3, 4]);
+    (0..3).for_each(|part| cluster.end_attempt(later, part, AttemptOutcome::Served));
+    assert_eq!(cluster.answers(later) == [COMPLETE], !stricter_now);
 }
 
 #[rstest]
-fn smaller_attempt_cap_applies(#[values(true, false)] tighter_now: bool) {
-    let (mut cluster, now) = changed(deployment(), |r| r.max_attempts = 2, tighter_now);
+fn smaller_attempt_cap_applies(#[values(true, false)] stricter_now: bool) {
+    let (mut cluster, new_rules) = cluster_and_new_rules(deployment(), |r| r.max_attempts = 2, stricter_now);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.01)); 6];
-    let begun = cluster.query(FULL, &[0]);
-    cluster.router.set_rules(&now);
+    let earlier = cluster.query(FULL, &[0]);
+    cluster.router.set_rules(&new_rules);
     cluster.run(1.0);
-    assert_eq!(cluster.sent(begun).len(), 2);
+    assert_eq!(cluster.sent(earlier).len(), 2);
 }
 
 #[rstest]
-fn hedge_needs_both_rules(#[values(true, false)] tighter_now: bool) {
-    let (mut cluster, now) = changed(deployment(), |r| r.hedging_enabled = false, tighter_now);
-    cluster.traffic(FULL, 3.0, 0.05);
+fn hedge_needs_both_rules(#[values(true, false)] stricter_now: bool) {
+    let (mut cluster, new_rules) =
+        cluster_and_new_rules(deployment(), |r| r.hedging_enabled = false, stricter_now);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     cluster.transport.nodes = vec![None; 6];
-    let begun = cluster.query(FULL, &[0]);
-    cluster.router.set_rules(&now);
+    let earlier = cluster.query(FULL, &[0]);
+    cluster.router.set_rules(&new_rules);
     cluster.run(3.0);
-    assert_eq!(cluster.sent(begun).len(), 1);
+    assert_eq!(cluster.sent(earlier).len(), 1);
 }
 
-/// All dispatches fail at once. The query counts for the budget that it began with and for the one that holds.
+/// All attempts fail. Retries must be allowed both by the budget at the query's arrival and by the one in force.
 #[rstest]
-#[case::tighter_now(true, Some(RetryBudget { window: 2.0, min_retries: 1.0, ratio: 0.0 }))]
-#[case::tighter_then(false, Some(RetryBudget { window: 2.0, min_retries: 1.0, ratio: 0.0 }))]
-fn retries_stay_within_both_budgets(#[case] tighter_now: bool, #[case] tight: Option<RetryBudget>) {
-    let wide = Some(RetryBudget { window: 2.0, min_retries: 50.0, ratio: 0.0 });
-    let deployment = Deployment { retry_budget: wide, ..deployment() };
-    let (mut cluster, now) = changed(deployment, |r| r.retry_budget = tight.clone(), tighter_now);
+#[case::stricter_now(true, Some(RetryBudget { window: 2.0, min_retries: 1.0, ratio: 0.0 }))]
+#[case::stricter_on_arrival(false, Some(RetryBudget { window: 2.0, min_retries: 1.0, ratio: 0.0 }))]
+fn retries_stay_within_both_budgets(#[case] stricter_now: bool, #[case] strict_budget: Option<RetryBudget>) {
+    let stated_budget = Some(RetryBudget { window: 2.0, min_retries: 50.0, ratio: 0.0 });
+    let deployment = Deployment { retry_budget: stated_budget, ..deployment() };
+    let (mut cluster, new_rules) =
+        cluster_and_new_rules(deployment, |r| r.retry_budget = strict_budget.clone(), stricter_now);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.1)); 6];
     let queries: Vec<_> = (0..6).map(|segment| cluster.query(FULL, &[segment])).collect();
-    cluster.router.set_rules(&now);
+    cluster.router.set_rules(&new_rules);
     cluster.run(1.9);
     assert_eq!(cluster.transport.sent.len() - queries.len(), 1);
 }
 
-/// There was no budget until now, or a shorter one: what was sent in the longer window is not known.
+/// Before the change there was no budget or a shorter window, so the retries sent in the longer window are not known.
 #[rstest]
 #[case::none(None)]
 #[case::shorter(Some(RetryBudget { window: 0.5, min_retries: 50.0, ratio: 0.0 }))]
@@ -174,31 +184,33 @@
     assert_eq!(cluster.sent(query).len(), 2);
 }
 
-/// A node whose slow-start budget allows five parts a second, or none for a long time.
+/// The slow-start budget of a node allows five parts a second under one of the rules, and none for a long time under the other.
 #[rstest]
-fn smaller_slow_start_multiple_applies(#[values(true, false)] tighter_now: bool) {
-    let (mut cluster, now) = changed(deployment(), |r| r.slow_start_multiple = 0.01, tighter_now);
-    cluster.traffic(FULL, 3.0, 0.05);
+fn smaller_slow_start_multiple_applies(#[values(true, false)] stricter_now: bool) {
+    let (mut cluster, new_rules) =
+        cluster_and_new_rules(deployment(), |r| r.slow_start_multiple = 0.01, stricter_now);
+    cluster.run_traffic(FULL, 3.0, 0.05);
     let start = cluster.transport.now;
-    cluster.list(false, &[row(0, EndpointState::Active, start)]);
+    cluster.update_list(false, &[row(0, EndpointState::Active, start)]);
     cluster.router.restore_spent(&mut cluster.transport, None);
-    let begun = (0..5).map(|_| cluster.with_required_node(FULL, 0, 0)).collect::<Vec<_>>();
-    cluster.router.set_rules(&now);
+    let earlier = (0..5).map(|_| cluster.query_with_required_node(FULL, 0, 0)).collect::<Vec<_>>();
+    cluster.router.set_rules(&new_rules);
     cluster.run(3.0);
-    assert!(begun.iter().all(|query| cluster.sent(*query).is_empty()));
+    assert!(earlier.iter().all(|query| cluster.sent(*query).is_empty()));
 }
 
 #[rstest]
-fn shorter_retry_after_applies(#[values(true, false)] tighter_now: bool) {
-    let (mut cluster, now) = changed(deployment(), |r| r.max_retry_after = 0.0, tighter_now);
+fn shorter_retry_after_applies(#[values(true, false)] stricter_now: bool) {
+    let (mut cluster, new_rules) =
+        cluster_and_new_rules(deployment(), |r| r.max_retry_after = 0.0, stricter_now);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Rejected, 0.01)); 6];
-    let begun = cluster.query(FULL, &[0]);
-    cluster.router.set_rules(&now);
+    let earlier = cluster.query(FULL, &[0]);
+    cluster.router.set_rules(&new_rules);
     cluster.run(4.0);
-    assert_eq!(cluster.answers(begun), [FinalAnswer::Rejected { retry_after: 0.0 }]);
+    assert_eq!(cluster.answers(earlier), [FinalAnswer::Rejected { retry_after: 0.0 }]);
 }
 
-/// A share that the rules leave out is all there is; nothing panics.
+/// A share that the rules do not state counts as 1. Guards against a panic on a missing entry.
 #[test]
 fn missing_share_is_the_strictest() {
     let mut cluster = Cluster::new(deployment());
--- a/crates/dunepond-routing/tests/shutdown.rs
+++ b/crates/dunepond-routing/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown: when its stages begin, and how queries in them end.
+//! Shutdown: when its stages begin, and how queries end in each stage.
 
 mod support;
 
@@ -6,23 +6,23 @@
 use rstest::rstest;
 use support::*;
 
-/// Signalled at 100 s, with a longest query timeout of 2 s: the kill may come at 102.7 s.
+/// With the signal at 100 s and a longest query timeout of 2 s, SIGKILL may come at 102.7 s.
 #[rstest]
 #[case::at_once(100.0, ShutdownStage::Serving, Some(100.45))]
 #[case::no_new_connections(100.45, ShutdownStage::ClosingAfterAnswers, Some(100.65))]
 #[case::before_the_listener_closes(100.64, ShutdownStage::ClosingAfterAnswers, Some(100.65))]
 #[case::listener_closed(100.7, ShutdownStage::Refusing, Some(101.05))]
-#[case::nobody_connects_to_ask(101.1, ShutdownStage::ClosingWithoutRequest, Some(102.45))]
+#[case::no_request_expected(101.1, ShutdownStage::ClosingWithoutRequest, Some(102.45))]
 #[case::before_the_kill(102.46, ShutdownStage::LastAnswers, None)]
 fn stages_count_from_the_signal(#[case] now: f64, #[case] stage: ShutdownStage, #[case] next: Option<f64>) {
     let shutdown = Shutdown::new(100.0, 2.0);
     assert_eq!(shutdown.stage(now), stage);
     let next_at = shutdown.next_stage_at(now);
     assert_eq!(next_at.is_some(), next.is_some());
-    assert!(next_at.zip(next).is_none_or(|(at, wanted)| (at - wanted).abs() < 1e-6), "{next_at:?}");
+    assert!(next_at.zip(next).is_none_or(|(at, expected)| (at - expected).abs() < 1e-6), "{next_at:?}");
 }
 
-/// Between a look at the clock and the last answer a broker may be held up for 0.15 s; and 3 s of a longer timeout count.
+/// A broker may stall for 0.15 s between reading the clock and the last answers. At most 3 s of a timeout count.
 #[rstest]
 fn last_answers_precede_the_kill(#[values(0.05, 0.3, 2.0, 3.0, 60.0)] timeout: f64) {
     let left = timeout.min(3.0) + 0.7 - (Shutdown::new(100.0, timeout).last_answers_at() - 100.0);
@@ -30,10 +30,10 @@
     assert!(Shutdown::new(100.0, timeout).next_stage_at(100.0).is_some());
 }
 
-/// The kill may come 6.7 s after the signal in this deployment, were it not for the page, which counts 3 s of its timeouts.
+/// The longest timeout is 6 s, but only 3 s of it count, so SIGKILL may come 3.7 s after the signal.
 #[rstest]
-#[case::there_is_time(2.0, None)]
-#[case::it_outlasts_the_process(5.0, Some(FinalAnswer::Rejected { retry_after: 0.0 }))]
+#[case::ends_before_the_last_answers(2.0, None)]
+#[case::outlasts_the_process(5.0, Some(FinalAnswer::Rejected { retry_after: 0.0 }))]
 fn query_outlasting_the_process_is_rejected(#[case] client_waits: f64, #[case] answer: Option<FinalAnswer>) {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![None; 6];
@@ -44,8 +44,8 @@
     assert_eq!(cluster.sent(query).is_empty(), answer.is_some());
 }
 
-/// A body that was coming in as the broker was signalled has until the last answers. How long that is from now on and when
-/// it ends are rounded, one against the other.
+/// The deadline of a query whose body was being received at the signal is the last answers. Guards against a rejection caused by
+/// rounding, because the time left is computed from that instant and then added to the clock again.
 #[test]
 fn query_up_to_the_last_answers_is_served() {
     for step in 0..200 {
@@ -64,7 +64,7 @@
     }
 }
 
-/// It came before the signal, and its client has more time than the process.
+/// The query arrived before the signal, and its client waits longer than the process runs.
 #[test]
 fn in_flight_queries_end_by_the_last_answers() {
     let mut cluster = Cluster::new(deployment());
@@ -74,6 +74,11 @@
     let shutdown = Shutdown::new(cluster.transport.now, 6.0);
     cluster.router.begin_shutdown(shutdown);
     cluster.run(4.0);
-    let ended = cluster.transport.answers.iter().find(|(_, of, _)| *of == query).expect("it ended");
+    let ended = cluster
+        .transport
+        .answers
+        .iter()
+        .find(|(_, of, _)| *of == query)
+        .expect("the query should have ended");
     assert!(ended.0 <= shutdown.last_answers_at(), "{ended:?}");
 }
--- a/crates/dunepond-routing/tests/stalls.rs
+++ b/crates/dunepond-routing/tests/stalls.rs
@@ -1,5 +1,6 @@
-//! Margins against stalls of the broker: between a decision and the last byte of its frame 0.15 s may pass, so a retry of a
-//! keyed part leaves that much to the end of its window. The client's deadline has the usual margin of seven ticks alone.
+//! Margins against stalls of the broker: 0.15 s may pass between a decision and the last byte of its frame, so a keyed part is
+//! not retried within that time before the end of its idempotency window. For the client's deadline there is only the usual
+//! margin of seven ticks.
 
 mod support;
 
@@ -7,10 +8,10 @@
 use rstest::rstest;
 use support::*;
 
-/// A repeat is dropped for one second after the first dispatch. That fails so late that one more could come after it.
+/// Repeats are dropped for one second after the first attempt. Guards against a retry that reaches the node after that.
 #[rstest]
 #[case::in_time(0.8, 2)]
-#[case::too_close_to_the_end_of_the_window(0.9, 1)]
+#[case::too_late_in_the_window(0.9, 1)]
 fn retry_leaves_a_margin_in_its_window(#[case] fails_after: f64, #[case] attempts: usize) {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, fails_after)); 6];
@@ -21,7 +22,7 @@
 
 #[rstest]
 #[case::in_time(1.9, 2)]
-#[case::too_close_to_the_end_of_its_clients_time(1.97, 1)]
+#[case::too_close_to_the_deadline(1.97, 1)]
 fn retry_precedes_the_decision_deadline(#[case] fails_after: f64, #[case] attempts: usize) {
     let mut cluster = Cluster::new(Deployment { hedging_enabled: false, ..deployment() });
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, fails_after)); 6];
@@ -31,15 +32,15 @@
     assert_eq!(cluster.answers(query).len(), 1);
 }
 
-/// Nodes take 20 ms.
+/// Nodes answer in 20 ms.
 #[rstest]
-#[case::enough(0.1, true)]
-#[case::less_than_nodes_take(0.02, false)]
-fn short_timeout_is_admitted_by_fast_nodes(#[case] left: f64, #[case] sent: bool) {
+#[case::enough_time(0.1, true)]
+#[case::less_than_the_nodes_need(0.02, false)]
+fn short_timeout_is_admitted_with_fast_nodes(#[case] expires_in: f64, #[case] sent: bool) {
     let mut cluster = Cluster::new(deployment());
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.02)); 6];
-    cluster.traffic(FULL, 2.0, 0.02);
-    let query = cluster.query_with(FULL, &[0], 0, left, false);
+    cluster.run_traffic(FULL, 2.0, 0.02);
+    let query = cluster.query_with(FULL, &[0], 0, expires_in, false);
     assert_eq!(!cluster.sent(query).is_empty(), sent);
     assert_eq!(cluster.answers(query).is_empty(), sent);
     cluster.run(0.2);
--- a/crates/dunepond-routing/tests/support/cluster.rs
+++ b/crates/dunepond-routing/tests/support/cluster.rs
@@ -1,19 +1,20 @@
-//! A router with its simulated nodes and clock.
+//! A router with a simulated clock and simulated nodes.
 
 use dunepond_routing::*;
 
 use super::deployment::{parts, row};
 use super::transport::{FinalAnswer, RecordingTransport, Sent};
 
-/// A router before simulated nodes.
+/// A router, its recording transport and its simulated nodes.
 pub struct Cluster {
     pub router: Router,
     pub transport: RecordingTransport,
+    /// Number of queries sent so far; the last one has this id.
     queries: QueryId,
 }
 
 impl Cluster {
-    /// All six nodes long warm, each answering in 0.2 s.
+    /// Creates a cluster of six warm nodes that each answer in 0.2 s.
     pub fn new(deployment: Deployment) -> Self {
         let transport = RecordingTransport {
             now: 100.0,
@@ -26,15 +27,17 @@
         cluster
     }
 
-    /// Updates the endpoint list.
-    pub fn list(&mut self, complete: bool, rows: &[Endpoint]) {
+    /// Sends the router a complete endpoint list, or only changed rows.
+    pub fn update_list(&mut self, complete: bool, rows: &[Endpoint]) {
         self.router.update_endpoints(&mut self.transport, complete, rows);
     }
 
+    /// Sends a query with one part for each segment.
     pub fn query(&mut self, query_class: usize, segments: &[usize]) -> QueryId {
         self.query_with(query_class, segments, 0, 3.9, false)
     }
 
+    /// Sends a query of a tenant whose client waits for `expires_in` seconds and may mark it as a retry.
     pub fn query_with(
         &mut self,
         query_class: usize,
@@ -46,44 +49,49 @@
         self.submit(Query { tenant, expires_in, is_retry, ..self.default_query(query_class, segments) })
     }
 
-    /// A query of `count` parts, each with a rounded weight.
-    pub fn rounded(&mut self, query_class: usize, count: usize, weight: f64) -> QueryId {
+    /// Sends a query of `count` parts, each with the same rounded weight.
+    pub fn query_with_rounded_weights(&mut self, query_class: usize, count: usize, weight: f64) -> QueryId {
         let parts =
             (0..count).map(|segment| Part { segment: segment % 6, weight, required_node: None }).collect();
         self.submit(Query { parts, ..self.default_query(query_class, &[]) })
     }
 
-    /// A query of one part with a required node.
-    pub fn with_required_node(&mut self, query_class: usize, segment: usize, node: NodeId) -> QueryId {
-        self.with_required_nodes(query_class, &[(segment, node)])
+    /// Sends a query of one part that only one node may serve.
+    pub fn query_with_required_node(&mut self, query_class: usize, segment: usize, node: NodeId) -> QueryId {
+        self.query_with_required_nodes(query_class, &[(segment, node)])
     }
 
-    /// A query with a part for each segment and its required node.
-    pub fn with_required_nodes(&mut self, query_class: usize, owners: &[(usize, NodeId)]) -> QueryId {
-        let weight = 1.0 / owners.len() as f64;
-        let parts = owners
+    /// Sends a query with one part for each pair of a segment and its required node.
+    pub fn query_with_required_nodes(
+        &mut self,
+        query_class: usize,
+        required_nodes: &[(usize, NodeId)],
+    ) -> QueryId {
+        let weight = 1.0 / required_nodes.len() as f64;
+        let parts = required_nodes
             .iter()
             .map(|&(segment, node)| Part { segment, weight, required_node: Some(node) })
             .collect();
         self.submit(Query { parts, ..self.default_query(query_class, &[]) })
     }
 
-    /// A query whose body is streamed.
-    pub fn streamed(&mut self, query_class: usize, segments: &[usize]) -> QueryId {
+    /// Sends a query whose body is streamed.
+    pub fn streamed_query(&mut self, query_class: usize, segments: &[usize]) -> QueryId {
         self.query_with_body(query_class, segments, true, true)
     }
 
-    /// A query whose body is available once only.
-    pub fn single_shot(&mut self, query_class: usize, segments: &[usize]) -> QueryId {
+    /// Sends a query whose body is available only once.
+    pub fn single_shot_query(&mut self, query_class: usize, segments: &[usize]) -> QueryId {
         self.query_with_body(query_class, segments, false, false)
     }
 
-    /// A query that waits for the prefilter.
-    pub fn awaiting_prefilter(&mut self, query_class: usize, segments: &[usize]) -> QueryId {
+    /// Sends a query that waits for the prefilter.
+    pub fn query_awaiting_prefilter(&mut self, query_class: usize, segments: &[usize]) -> QueryId {
         self.submit(Query { awaits_prefilter: true, ..self.default_query(query_class, segments) })
     }
 
-    pub fn audit(&mut self, query_class: usize, segment: usize) -> QueryId {
+    /// Sends an audit of one part.
+    pub fn audit_query(&mut self, query_class: usize, segment: usize) -> QueryId {
         self.submit(Query { audit: true, ..self.default_query(query_class, &[segment]) })
     }
 
@@ -118,8 +126,8 @@
         self.queries
     }
 
-    /// Advances the clock, with one query of one part every `gap` seconds on each segment in turn.
-    pub fn traffic(&mut self, query_class: usize, seconds: f64, gap: f64) {
+    /// Advances the clock and sends a query of one part every `gap` seconds, to each segment in turn.
+    pub fn run_traffic(&mut self, query_class: usize, seconds: f64, gap: f64) {
         let end = self.transport.now + seconds;
         let mut turn = 0;
         while self.transport.now + gap <= end {
@@ -129,7 +137,7 @@
         }
     }
 
-    /// Advances the clock and delivers what is due.
+    /// Advances the clock and delivers the wakes and the ends of attempts that are due.
     pub fn run(&mut self, seconds: f64) {
         let end = self.transport.now + seconds;
         loop {
@@ -141,25 +149,26 @@
             }
             self.transport.now = self.transport.now.max(wake.min(due));
             if due <= wake {
-                let at = self.transport.due.iter().position(|d| d.0 == due).expect("it is there");
+                let at =
+                    self.transport.due.iter().position(|d| d.0 == due).expect("an end of an attempt is due");
                 let (_, ended) = self.transport.due.remove(at);
                 self.router.on_attempt_ended(&mut self.transport, ended);
             } else {
                 self.transport.wakes.retain(|w| *w != wake);
-                self.transport.woken += 1;
+                self.transport.wake_count += 1;
                 self.router.on_wake(&mut self.transport);
             }
         }
     }
 
-    /// Lets a node never end its attempts of a query.
-    pub fn hold(&mut self, query: QueryId, node: NodeId) {
+    /// Drops the pending responses of a node to a query, so that these attempts never end.
+    pub fn drop_responses(&mut self, query: QueryId, node: NodeId) {
         self.transport.due.retain(|(_, e)| (e.query, e.node) != (query, node));
     }
 
-    /// Ends the latest attempt of a part now.
+    /// Ends the latest attempt of a part now with the given outcome.
     pub fn end_attempt(&mut self, query: QueryId, part: usize, outcome: AttemptOutcome) {
-        let attempts: Vec<_> = self.transport.sent.iter().filter(|s| s.is_of(query, part)).collect();
+        let attempts: Vec<_> = self.transport.sent.iter().filter(|s| s.is_attempt_of(query, part)).collect();
         let (attempt, last) = (attempts.len() - 1, attempts[attempts.len() - 1].clone());
         self.transport.remove_due(query, part, attempt);
         let elapsed = self.transport.now - last.at;
@@ -167,31 +176,35 @@
         self.router.on_attempt_ended(&mut self.transport, ended);
     }
 
+    /// Returns the attempts of a query so far.
     pub fn sent(&self, query: QueryId) -> Vec<Sent> {
         self.transport.sent.iter().filter(|s| s.query == query).cloned().collect()
     }
 
+    /// Returns the answers to a query so far.
     pub fn answers(&self, query: QueryId) -> Vec<FinalAnswer> {
         self.transport.answers.iter().filter(|f| f.1 == query).map(|f| f.2.clone()).collect()
     }
 
+    /// Returns the number of attempts sent to a node since an instant.
     pub fn sent_count(&self, node: NodeId, since: f64) -> usize {
         self.transport.sent.iter().filter(|s| s.node == node && s.at >= since).count()
     }
 
+    /// Returns whether the router has logged an ejection of the node.
     pub fn is_ejected(&self, node: NodeId) -> bool {
         self.transport.log.iter().any(|l| l.starts_with(&format!("node {node} is ejected")))
     }
 }
 
-/// A cluster of sixty nodes.
-pub fn sixty(deployment: Deployment) -> Cluster {
+/// Creates a cluster of sixty warm nodes.
+pub fn sixty_node_cluster(deployment: Deployment) -> Cluster {
     let mut cluster = Cluster::new(Deployment { replica_groups: 60, ..deployment });
-    cluster.list(true, &(0..60).map(|n| row(n, EndpointState::Active, 0.0)).collect::<Vec<_>>());
+    cluster.update_list(true, &(0..60).map(|n| row(n, EndpointState::Active, 0.0)).collect::<Vec<_>>());
     cluster
 }
 
-/// Nodes of which every third answers after `delay`, the others after 0.2 s.
-pub fn every_third(delay: f64) -> Vec<Option<(AttemptOutcome, f64)>> {
+/// Responses of sixty nodes of which every third answers after `delay` seconds and the others after 0.2 s.
+pub fn every_third_slow(delay: f64) -> Vec<Option<(AttemptOutcome, f64)>> {
     (0..60).map(|n| Some((AttemptOutcome::Served, if n % 3 == 0 { delay } else { 0.2 }))).collect()
 }
--- a/crates/dunepond-routing/tests/support/deployment.rs
+++ b/crates/dunepond-routing/tests/support/deployment.rs
@@ -1,17 +1,23 @@
-//! The deployment of most tests: its query classes, parts and endpoint rows.
+//! The deployment that most tests use: its query classes, parts and endpoint rows.
 
 use dunepond_routing::*;
 
-/// Indices of the query classes.
+/// Index of the class whose answers are complete with 60 % of the weight and have no value when late.
 pub const QUICK: usize = 0;
+/// Index of the class that needs all parts.
 pub const FULL: usize = 1;
+/// Index of the class whose parts must not run twice.
 pub const NON_IDEMPOTENT: usize = 2;
+/// Index of the class whose parts are idempotent by key within one second.
 pub const KEYED: usize = 3;
+/// Index of the class with a second step.
 pub const TWO_STEP: usize = 4;
+/// Index of the class that accepts partial answers with half of the weight.
 pub const PARTIAL: usize = 5;
+/// Index of the class with a latency objective of 20 s.
 pub const PATIENT: usize = 6;
 
-/// Six nodes in a ring; each segment is held by the node of its number and the next two.
+/// Six nodes; the replicas of each segment are the node of its number and the next two, modulo six.
 pub fn deployment() -> Deployment {
     let full = QueryClass {
         latency_objective: 2.0,
@@ -63,7 +69,7 @@
     }
 }
 
-/// A part of equal weight for each segment.
+/// Returns parts of equal weight, one for each segment.
 pub fn parts(segments: &[usize]) -> Vec<Part> {
     segments
         .iter()
@@ -71,7 +77,7 @@
         .collect()
 }
 
-/// A row of the endpoint list: a node that is its own replica group.
+/// Returns a row of the endpoint list for a node that is the only one in its replica group.
 pub fn row(node: NodeId, state: EndpointState, started_at: f64) -> Endpoint {
     Endpoint { node, replica_group: node, zone: node % 3, state, started_at }
 }
--- a/crates/dunepond-routing/tests/support/mod.rs
+++ b/crates/dunepond-routing/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of one router share: its deployment, a recording transport and simulated nodes.
-#![allow(dead_code, unused_imports, reason = "each test file uses its own part")]
+//! Support for the tests of a single router: a deployment, a recording transport and simulated nodes.
+#![allow(dead_code, unused_imports, reason = "no test file uses all of it")]
 
 mod cluster;
 mod deployment;
--- a/crates/dunepond-routing/tests/support/transport.rs
+++ b/crates/dunepond-routing/tests/support/transport.rs
@@ -1,10 +1,11 @@
-//! A transport that records what the router does, with nodes that end each attempt after a set time, or never.
+//! A transport that records the router's calls, with simulated nodes that end each attempt after a fixed time or never.
 
 use dunepond_routing::*;
 
+/// The answer with a complete result.
 pub const COMPLETE: FinalAnswer = FinalAnswer::Answer { complete: true };
 
-/// What a query ended with.
+/// The answer to a query, or its rejection or failure.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
     Answer { complete: bool },
@@ -12,9 +13,10 @@
     Failed,
 }
 
-/// One attempt of a part.
+/// An attempt of a part that was sent to a node.
 #[derive(Clone, Debug)]
 pub struct Sent {
+    /// When the attempt was sent.
     pub at: f64,
     pub query: QueryId,
     pub part: usize,
@@ -22,8 +24,8 @@
 }
 
 impl Sent {
-    /// Whether this is an attempt of that part.
-    pub fn is_of(&self, query: QueryId, part: usize) -> bool {
+    /// Returns whether this is an attempt of the given part.
+    pub fn is_attempt_of(&self, query: QueryId, part: usize) -> bool {
         (self.query, self.part) == (query, part)
     }
 }
@@ -33,23 +35,28 @@
 pub struct RecordingTransport {
     pub now: f64,
     pub sent: Vec<Sent>,
+    /// Answers, each with its instant and its query.
     pub answers: Vec<(f64, QueryId, FinalAnswer)>,
+    /// Cancelled attempts, by query, part and number of the attempt.
     pub cancelled: Vec<(QueryId, usize, usize)>,
     pub probed: Vec<NodeId>,
+    /// Nodes to which connections were closed.
     pub closed: Vec<NodeId>,
     pub log: Vec<String>,
-    /// When the list was polled.
+    /// Instants at which the endpoint list was polled.
     pub polled: Vec<f64>,
-    pub woken: usize,
-    /// How each node ends what it is sent, and after how long; a node that is not here is silent.
+    /// Number of wakes that were delivered.
+    pub wake_count: usize,
+    /// Outcome of the attempts at each node and the seconds after which they end; a node with `None` is silent.
     pub nodes: Vec<Option<(AttemptOutcome, f64)>>,
+    /// Instants of the requested wakes that have not been delivered.
     pub wakes: Vec<f64>,
-    /// Ends of attempts that are still to come, with their times.
+    /// Ends of attempts that have not been delivered, with their instants.
     pub due: Vec<(f64, AttemptEnded)>,
 }
 
 impl RecordingTransport {
-    /// Drops the end of an attempt that was still to come.
+    /// Drops the pending end of an attempt.
     pub fn remove_due(&mut self, query: QueryId, part: usize, attempt: usize) {
         self.due.retain(|(_, e)| (e.query, e.part, e.attempt) != (query, part, attempt));
     }
@@ -62,9 +69,9 @@
     fn send_attempt(&mut self, query: QueryId, part: usize, node: NodeId) {
         assert!(
             !self.answers.iter().any(|(_, s, f)| *s == query && *f != COMPLETE),
-            "sent after the final answer"
+            "an attempt was sent after the final answer"
         );
-        let attempt = self.sent.iter().filter(|s| s.is_of(query, part)).count();
+        let attempt = self.sent.iter().filter(|s| s.is_attempt_of(query, part)).count();
         self.sent.push(Sent { at: self.now, query, part, node });
         if let Some((outcome, elapsed)) = self.nodes[node] {
             let ended = AttemptEnded { query, part, attempt, node, outcome, elapsed };
@@ -73,8 +80,9 @@
     }
     fn cancel_attempt(&mut self, query: QueryId, part: usize, attempt: usize) {
         self.cancelled.push((query, part, attempt));
-        let sent = self.sent.iter().filter(|s| s.is_of(query, part)).nth(attempt);
-        let (node, elapsed) = sent.map(|s| (s.node, self.now - s.at)).expect("cancelled what was sent");
+        let sent = self.sent.iter().filter(|s| s.is_attempt_of(query, part)).nth(attempt);
+        let (node, elapsed) =
+            sent.map(|s| (s.node, self.now - s.at)).expect("the cancelled attempt should have been sent");
         self.remove_due(query, part, attempt);
         let outcome = AttemptOutcome::Cancelled;
         self.due.push((self.now, AttemptEnded { query, part, attempt, node, outcome, elapsed }));
