--- a/crates/dunepond-routing/src/policy/idle_reset.rs
+++ b/crates/dunepond-routing/src/policy/idle_reset.rs
@@ -16,7 +16,7 @@
 const RESET_FRESH_OBJECTIVES: f64 = 2.0 * FRESH_OBJECTIVES;
 /// An idle time is comparable to that of a sample if it exceeds this ratio of it.
 const COMPARABLE_IDLE_RATIO: f64 = 0.5;
-/// An attempt that breaks within this time has not been worked on by the node.
+/// An attempt on which the node does no work ends within this time.
 const PROMPT_TICKS: f64 = 4.0;
 
 impl Router {
@@ -32,7 +32,7 @@
         self.record_idle_use(attempt, true);
     }
 
-    /// Records that an attempt was served, if its connection had been idle about as long as one that was reset.
+    /// Records that an attempt was served, if its idle time is comparable to that of a recorded attempt.
     pub(super) fn record_idle_success(&mut self, attempt: &OutstandingAttempt) {
         if self.idle_resets.iter().any(|reset| is_comparable(attempt.idle_seconds, reset)) {
             self.record_idle_use(attempt, false);
--- a/crates/dunepond-routing/src/policy/latency.rs
+++ b/crates/dunepond-routing/src/policy/latency.rs
@@ -18,15 +18,15 @@
 const ZONE_SAMPLE_COUNT: usize = 16;
 /// Number of fresh attempts that are needed to compute the median of a zone.
 const MIN_ZONE_SAMPLE_COUNT: usize = 4;
-/// Age up to which samples are recent: they describe the present load.
+/// Age in longest latency objectives up to which samples are recent, that is, describe the present load.
 pub(super) const RECENT_OBJECTIVES: f64 = 2.0;
-/// Age up to which samples are fresh: older ones no longer describe a node or zone.
+/// Age in longest latency objectives up to which samples are fresh; older ones no longer describe a node or zone.
 pub(super) const FRESH_OBJECTIVES: f64 = 8.0;
 /// A latency above this multiple of the median is slow.
 pub(super) const SLOW_RATIO: f64 = 2.5;
 /// With too few samples, quantile q is assumed to be this ratio times q times the shortest latency objective.
 const DEFAULT_QUANTILE_RATIO: f64 = 0.4;
-/// The quantile that other rules use as the upper bound of usual latencies.
+/// The quantile that is stored as `p95`.
 const HIGH_QUANTILE: f64 = 0.95;
 
 impl Router {
--- a/crates/dunepond-routing/src/policy/mod.rs
+++ b/crates/dunepond-routing/src/policy/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A query passes through [`REQUEST_STAGES`] when it arrives, whenever one of its attempts ends, and when it is
 //! due: admission, deadline, completion, dispatch, retry and hedging. The end of an attempt passes through
-//! [`RESPONSE_STAGES`]: first the health of its node is updated, then the query. The entry points are in `router`. The
-//! mechanism, and each departure from the plain (n, k) fork-join, are described in docs/design.md.
+//! [`RESPONSE_STAGES`]: first the health of its node is updated, then the query. The entry points are in
+//! `router`. The mechanism, and each departure from the plain (n, k) fork-join, are described in docs/design.md.
 //!
 //! Instants are in seconds on the transport's clock. Durations are in seconds, unless the name has ticks
 //! (the clock's unit, the shortest time between two calls) or objectives (multiples of the longest latency
--- a/crates/dunepond-routing/src/policy/probing.rs
+++ b/crates/dunepond-routing/src/policy/probing.rs
@@ -49,7 +49,7 @@
             && self.probes_are_informative()
     }
 
-    /// Returns whether enough of the recent probes showed something about queues.
+    /// Returns whether enough of the recent probes showed queues at the nodes, or there are too few probes to tell.
     fn probes_are_informative(&self) -> bool {
         let since = self.objectives_ago(FRESH_OBJECTIVES);
         let recent = || self.probes.iter().filter(|probe| probe.at > since);
--- a/crates/dunepond-routing/src/policy/shutdown.rs
+++ b/crates/dunepond-routing/src/policy/shutdown.rs
@@ -14,10 +14,10 @@
 const NEW_CONNECTIONS_SECONDS: f64 = 0.4;
 /// Tolerance of each time limit of a shutdown.
 const SLACK_SECONDS: f64 = 0.05;
-/// SIGKILL comes at least this long after the longest deadline of the requests that were in flight at SIGTERM. A
-/// request that arrives later than this after SIGTERM and is unanswered at SIGKILL is lost.
+/// SIGKILL comes no sooner after SIGTERM than the longest query timeout plus this time. A request that arrives
+/// more than this time after SIGTERM and is unanswered at SIGKILL is lost.
 const KILL_AFTER_DEADLINE_SECONDS: f64 = 0.7;
-/// Longest deadline that counts for the time of SIGKILL; longer ones do not delay it further.
+/// Longest query timeout that counts for the time of SIGKILL; longer timeouts do not delay it further.
 const LONGEST_COUNTED_DEADLINE_SECONDS: f64 = 3.0;
 /// Time between the last answers and SIGKILL: a margin for a stall, for an iteration of the event loop, and for
 /// the transfer of an answer to the client.
@@ -26,7 +26,8 @@
 /// Longest interval between two checks for signals; a signal that a check finds arrived after the previous check.
 /// The interval is short compared to the time during which new connections keep arriving.
 pub const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Stall of the event loop, in seconds, beyond which the margins of the time limits are not sufficient.
+/// A gap between two checks for signals that is longer than this, in seconds, is a stall that the margins of the
+/// time limits do not cover.
 pub const STALL_THRESHOLD_SECONDS: f64 = MAX_STALL_SECONDS;
 /// Longest time after SIGTERM, in seconds, for which a process that shuts down may still run.
 pub const MAX_SHUTDOWN_SECONDS: f64 = LONGEST_COUNTED_DEADLINE_SECONDS + KILL_AFTER_DEADLINE_SECONDS;
@@ -36,7 +37,7 @@
 pub enum ShutdownStage {
     /// Requests are served as before; the broker reports that it is not ready for new clients.
     Serving,
-    /// Connections close after their answers, as no new ones are expected.
+    /// Connections close after their answers; no new connections are expected.
     ClosingAfterAnswers,
     /// The listener and idle connections close; a new request whose client waits longer than the process runs
     /// is rejected.
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -209,10 +209,10 @@
             Mode::IdleReset if idle > 0.6 => return (AttemptOutcome::ConnectionLost, soon),
             _ => {}
         }
-        let warmth = (0.2 + 0.8 * (self.now - node.started_at) / 15.0).min(1.0);
+        let capacity_ratio = (0.2 + 0.8 * (self.now - node.started_at) / 15.0).min(1.0);
         let factor = if node.mode == Mode::Slow { 8.0 } else { 1.0 };
         let worker = usize::from(node.busy_until[1] < node.busy_until[0]);
-        node.busy_until[worker] = node.busy_until[worker].max(self.now) + work * factor / warmth;
+        node.busy_until[worker] = node.busy_until[worker].max(self.now) + work * factor / capacity_ratio;
         (AttemptOutcome::Served, node.busy_until[worker])
     }
 
