--- a/crates/dunepond-membership/src/backoff.rs
+++ b/crates/dunepond-membership/src/backoff.rs
@@ -1,19 +1,23 @@
-//! The time for which a peer that cannot be reached is not tried again.
+//! Exponential backoff between attempts to connect to an unreachable peer.
 
 use backon::{BackoffBuilder, ExponentialBackoff, ExponentialBuilder};
 use std::time::Duration;
 
-/// Exponential backoff with jitter for one peer, reset by a success. It only says how long to wait; it never sleeps.
+/// Exponential backoff with jitter for one peer, reset by a success. It only computes how long to wait; it never
+/// sleeps.
 pub struct Backoff {
     builder: ExponentialBuilder,
+    /// Delays after further failures; `None` if there was no failure since the last success.
     delays: Option<ExponentialBackoff>,
+    /// Time until which the peer is not tried, in seconds.
     until: f64,
 }
 
 impl Backoff {
-    /// Creates a backoff with delays from `initial_seconds` to `max_seconds`, of which jitter draws at least half.
+    /// Creates a backoff whose delays double from `initial_seconds` to `max_seconds`. Jitter draws each delay between
+    /// half of its nominal length and the whole.
     pub fn new(initial_seconds: f64, max_seconds: f64, seed: u64) -> Backoff {
-        // The library's jitter adds up to a delay's own length, hence half of the bounds.
+        // The library adds jitter of up to the delay's own length, so the bounds that it is given are halved.
         let builder = ExponentialBuilder::new()
             .with_min_delay(Duration::from_secs_f64(initial_seconds / 2.0))
             .with_max_delay(Duration::from_secs_f64(max_seconds / 2.0))
@@ -24,8 +28,8 @@
         Backoff { builder, delays: None, until: 0.0 }
     }
 
-    /// Starts the next delay. Failures during a delay count once, since requests that were in flight when it began add
-    /// no information.
+    /// Records a failed attempt and starts the next delay. Failures during a delay are ignored: their requests were in
+    /// flight when the delay began, so they add no information.
     pub fn record_failure(&mut self, now: f64) {
         if now < self.until {
             return;
@@ -34,13 +38,13 @@
         self.until = now + delay.unwrap_or_default().as_secs_f64();
     }
 
-    /// Ends the delay; the next failure starts from the shortest delay.
+    /// Ends the current delay; the next failure starts again with the shortest one.
     pub fn reset(&mut self) {
         self.delays = None;
         self.until = 0.0;
     }
 
-    /// Seconds until the peer may be tried; 0 if it may be tried at once.
+    /// Returns the time until the peer may be tried, in seconds; 0 if it may be tried at once.
     pub fn remaining_seconds(&self, now: f64) -> f64 {
         (self.until - now).max(0.0)
     }
--- a/crates/dunepond-membership/src/client.rs
+++ b/crates/dunepond-membership/src/client.rs
@@ -1,5 +1,5 @@
-//! Requests of this broker. A limited number is sent to each peer at a time, over pooled connections, each with a
-//! deadline, and none to a peer in backoff.
+//! Sends this broker's requests to peers over pooled HTTP connections. The number of requests in flight to each peer is
+//! limited, each request has a deadline, and no request is sent to a peer in backoff.
 
 use crate::backoff::Backoff;
 use crate::context::Context;
@@ -27,12 +27,12 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 
-/// Part of the idle timeout after which pooled connections are closed, so that the peer does not close them first.
+/// Fraction of the idle timeout after which pooled connections are closed, so that the peer does not close them first.
 const POOL_IDLE_RATIO: f64 = 0.5;
 /// Bit that distinguishes the ids of liveness checks from those of the callers' requests.
 const LIVENESS_ID_BIT: u64 = 1 << 63;
 
-/// A request that was accepted.
+/// A request that [`Peers::request`](crate::Peers::request) accepted, or a liveness check.
 pub(crate) struct OutboundRequest {
     pub id: u64,
     pub to: String,
@@ -42,12 +42,14 @@
     pub deadline: Instant,
 }
 
-/// A verified response from `address`, with the reservation of its body.
+/// A verified response.
 pub(crate) struct ReceivedResponse {
+    /// Address to which the request was sent.
     pub address: SocketAddr,
     envelope: Envelope,
     header: MessageHeader,
     payload: Vec<u8>,
+    /// Reservation of memory for the response's body.
     receive_permit: OwnedSemaphorePermit,
 }
 
@@ -60,28 +62,33 @@
 /// The outcome of a liveness check.
 pub(crate) struct LivenessOutcome {
     pub to: String,
+    /// The verified response; `None` if the check failed or timed out.
     pub response: Option<ReceivedResponse>,
 }
 
-/// A request in the form in which it is sent.
+/// An encoded request, with the address to which it is sent.
 struct EncodedRequest {
     address: SocketAddr,
     bytes: Vec<u8>,
 }
 
-/// A response as it was received.
+/// The body of a response before it is decoded and verified.
 struct RawResponse {
     bytes: Bytes,
+    /// Reservation of memory for the body.
     receive_permit: OwnedSemaphorePermit,
 }
 
-/// The state of each peer.
+/// The requests and connections to one peer.
 struct PeerConnections {
+    /// Number of requests to the peer that have not ended, including those that wait for a connection.
     in_flight: usize,
+    /// One permit for each connection that may be in use.
     slots: Arc<Semaphore>,
     backoff: Backoff,
 }
 
+/// Sends requests to peers, within the limits on each peer.
 pub(crate) struct Client {
     context: Rc<Context>,
     http: hyper_util::client::legacy::Client<HttpConnector, Full<Bytes>>,
@@ -104,7 +111,7 @@
         Client { context, http, peers: RefCell::default() }
     }
 
-    /// Carries the request out in a task of its own; its one outcome goes into the event queue.
+    /// Sends the request in a task of its own, which adds exactly one outcome to the event queue.
     pub fn send(self: &Rc<Self>, request: OutboundRequest) {
         let client = self.clone();
         tokio::task::spawn_local(async move {
@@ -127,8 +134,8 @@
         });
     }
 
-    /// Carries out a liveness check regardless of backoff and of connections in use: there is at most one to each peer.
-    /// Its one outcome goes to `outcomes`.
+    /// Sends a liveness check in a task of its own, which sends exactly one outcome to `outcomes`. Backoff and the
+    /// limit on connections do not apply to it, since at most one check of each peer is in flight.
     pub fn check_liveness(
         self: &Rc<Self>,
         check: LivenessCheck,
@@ -154,7 +161,8 @@
         });
     }
 
-    /// Waits for one of the peer's connections, unless the peer is in backoff.
+    /// Waits until a connection to the peer is free, and sends the request. Fails if too many requests to the peer are
+    /// in flight, or if the peer is in backoff.
     async fn send_queued(&self, request: &OutboundRequest) -> Result<ReceivedResponse, PeerError> {
         let limit = self.context.options.limits.max_requests_per_peer;
         let slots = self.with_peer(&request.to, |peer| {
@@ -169,7 +177,7 @@
         let _in_flight = InFlightGuard { client: self, to: &request.to };
         self.check_backoff(request)?;
         let _slot = slots.acquire().await.map_err(|_| PeerError::Stopped)?;
-        // Requests ahead of this one may have found the peer unreachable.
+        // A request that was queued earlier may have found the peer unreachable in the meantime.
         self.check_backoff(request)?;
         let response = self.send_with_retry(request).await;
         let now = self.context.now();
@@ -177,13 +185,14 @@
             Err(PeerError::Unreachable { .. } | PeerError::ConnectionLost { .. }) => {
                 peer.backoff.record_failure(now)
             }
-            // A refusal too shows that the peer can be reached.
+            // A refusal also shows that the peer can be reached.
             Ok(_) | Err(PeerError::Refused { .. }) => peer.backoff.reset(),
             Err(_) => {}
         });
         response
     }
 
+    /// Fails if the peer is in backoff.
     fn check_backoff(&self, request: &OutboundRequest) -> Result<(), PeerError> {
         let now = self.context.now();
         let wait_seconds = self.with_peer(&request.to, |peer| peer.backoff.remaining_seconds(now));
@@ -193,8 +202,8 @@
         Ok(())
     }
 
-    /// Sends the request, and sends it once more if a refusal states how it would be accepted. A peer that refuses has
-    /// not acted on the request.
+    /// Sends the request, and retries it once if the refusal shows that a retry can succeed: with a new address token,
+    /// a new sequence number or another protocol version. A peer that refuses a request has not acted on it.
     async fn send_with_retry(&self, request: &OutboundRequest) -> Result<ReceivedResponse, PeerError> {
         let token = || self.context.core.borrow().token_from(&request.to);
         let token_before = token();
@@ -206,7 +215,7 @@
                     {
                         true
                     }
-                    // Too many later requests overtook it; the retry has a new sequence number.
+                    // Too many later requests overtook this one; the retry has a new sequence number.
                     RefusalReason::Replayed => true,
                     reason => self.has_other_version(&to, reason),
                 };
@@ -216,7 +225,8 @@
         }
     }
 
-    /// Whether a refusal states the peer's versions, and this program speaks one of them that the request did not use.
+    /// Records the protocol versions that a refusal states. Returns whether there is another common version to try;
+    /// `false` if the refusal states no versions.
     fn has_other_version(&self, to: &str, reason: &RefusalReason) -> bool {
         let range = match reason {
             RefusalReason::UnsupportedVersionV1 { supported, .. } => VersionRange::exactly(*supported),
@@ -226,6 +236,7 @@
         self.context.core.borrow_mut().on_version_refused(to, range)
     }
 
+    /// Sends the request, and receives and verifies the response.
     async fn send_once(&self, request: &OutboundRequest) -> Result<ReceivedResponse, PeerError> {
         let encoded = self.encode(request)?;
         let address = encoded.address;
@@ -269,6 +280,7 @@
         self.receive_body(request, response.into_body()).await
     }
 
+    /// Receives the body of a response, after reserving memory for it.
     async fn receive_body(
         &self,
         request: &OutboundRequest,
@@ -292,7 +304,7 @@
         Ok(RawResponse { bytes, receive_permit })
     }
 
-    /// Decodes a response, and checks that it is from that peer and belongs to that request.
+    /// Decodes a response, and checks that it was sent by the requested peer in response to `request`.
     fn verify_response(
         &self,
         request: &OutboundRequest,
@@ -313,7 +325,7 @@
                 let (payload, receive_permit) = (payload.to_vec(), raw.receive_permit);
                 Ok(ReceivedResponse { address, envelope, header, payload, receive_permit })
             }
-            // A refusal may come from another broker, since the address may be that of a wrong one.
+            // A refusal may come from another broker, since the configured address may be that of the wrong one.
             MessageType::Refusal { id } if *id == request.id || *id == 0 => {
                 let reason =
                     postcard::from_bytes(payload).map_err(|_| PeerError::Malformed { from: to() })?;
@@ -326,6 +338,7 @@
         }
     }
 
+    /// Calls `act` with the state of the peer `name`, which is created if it is missing.
     fn with_peer<T>(&self, name: &str, act: impl FnOnce(&mut PeerConnections) -> T) -> T {
         let mut peers = self.peers.borrow_mut();
         if !peers.contains_key(name) {
@@ -335,7 +348,7 @@
             peers.retain(|name, peer| peer.in_flight > 0 || core.address(name).is_some());
             peers.insert(name.into(), self.new_peer(name));
         }
-        act(peers.get_mut(name).expect("inserted above, if it was missing"))
+        act(peers.get_mut(name).expect("the entry was inserted above if it was missing"))
     }
 
     fn new_peer(&self, name: &str) -> PeerConnections {
@@ -349,13 +362,13 @@
     }
 }
 
-/// A number that differs between names, so that peers do not back off in lockstep.
+/// Derives a random seed from a peer's name, so that the backoffs from several peers do not run in lockstep.
 fn name_seed(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
-    u64::from_le_bytes(hash.as_bytes()[..8].try_into().expect("eight of thirty-two"))
+    u64::from_le_bytes(hash.as_bytes()[..8].try_into().expect("a BLAKE3 hash has 32 bytes"))
 }
 
-/// The innermost error, which is the system's message.
+/// Returns the text of the innermost error, which is the operating system's message.
 fn root_cause(error: &dyn std::error::Error) -> String {
     let mut error = error;
     while let Some(source) = error.source() {
@@ -364,7 +377,7 @@
     error.to_string()
 }
 
-/// Counts one request to a peer as ended when dropped, however it ends.
+/// Decrements the number of requests in flight to a peer when dropped, however the request ends.
 struct InFlightGuard<'a> {
     client: &'a Client,
     to: &'a str,
--- a/crates/dunepond-membership/src/codec.rs
+++ b/crates/dunepond-membership/src/codec.rs
@@ -1,6 +1,6 @@
 //! The encoding of messages: a version byte; from version 2 on the sender's range of versions and a sequence number;
-//! the header; the payload; and a message authentication code if the fleet has a key. Version and range come first in
-//! every future version, so that they can be read whatever follows.
+//! the header; the payload; and a message authentication code if the fleet has a key. Version and range must stay first
+//! in every later version, so that any program can read them.
 
 use crate::error::PeerError;
 use crate::messages::{Envelope, Message, MessageHeader};
@@ -8,17 +8,17 @@
 
 const MIN_KEY_BYTES: usize = 16;
 const MAC_BYTES: usize = 32;
-/// The domain of the derived key, which is part of the wire format.
+/// Context string with which the message key is derived from the fleet's key; it is part of the wire format.
 const KEY_CONTEXT: &str = "dunepond peers, messages, 1";
-/// Length of version byte and range, in versions that state a range.
+/// Length of the version byte and the range in bytes, in versions that state a range.
 const RANGE_PREFIX_BYTES: usize = 3;
-const PLAIN_DATA: &str = "plain data always serialises to memory";
+const ENCODING_TO_MEMORY: &str = "encoding to memory cannot fail";
 
-/// Largest size of envelope, header and authentication code; the rest of a datagram is gossip.
+/// Largest total size of envelope, header and authentication code, in bytes; the rest of a datagram carries gossip.
 pub(crate) const MAX_OVERHEAD_BYTES: usize = 256;
 
 /// Signs and verifies messages with the fleet's key, if it has one. Anyone who holds the key can sign in any name: the
-/// key keeps strangers out, but does not prove a member's name to other members.
+/// key excludes senders that do not hold it, but does not prove a member's name to other members.
 #[derive(Clone)]
 pub struct Authenticator(Option<[u8; 32]>);
 
@@ -34,11 +34,12 @@
         }
     }
 
-    /// Whether messages are authenticated at all.
+    /// Returns whether the fleet has a key, so that messages are authenticated.
     pub fn has_key(&self) -> bool {
         self.0.is_some()
     }
 
+    /// Appends the message authentication code, if there is a key.
     fn sign(&self, bytes: &mut Vec<u8>) {
         if let Some(key) = &self.0 {
             let mac = blake3::keyed_hash(key, bytes);
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Returns the message without its authentication code, which is compared in constant time.
+    /// Verifies the authentication code, in constant time, and returns the message without it.
     fn verify<'a>(&self, bytes: &'a [u8], from: &str) -> Result<&'a [u8], PeerError> {
         let Some(key) = &self.0 else { return Ok(bytes) };
         let malformed = || PeerError::Malformed { from: from.into() };
@@ -59,8 +60,8 @@
     }
 }
 
-/// The version of an encoded message and the range of its sender, even if the version is not supported; `None` if the
-/// bytes are malformed.
+/// Returns the version of an encoded message and the version range of its sender, even if the version is not supported;
+/// `None` if the bytes are malformed.
 pub fn peek_version(bytes: &[u8]) -> Option<(u8, VersionRange)> {
     match *bytes {
         [version, min, max, ..] if version >= FIRST_VERSION_WITH_RANGE => {
@@ -72,7 +73,7 @@
     }
 }
 
-/// Encodes a message in `envelope.version`, which is one of [`VersionRange::SUPPORTED`].
+/// Encodes a message in `envelope.version`, which must be in [`VersionRange::SUPPORTED`].
 pub fn encode(
     envelope: &Envelope,
     header: &MessageHeader,
@@ -82,16 +83,16 @@
     let mut bytes = vec![envelope.version];
     if envelope.version >= FIRST_VERSION_WITH_RANGE {
         bytes.extend([envelope.supported.min, envelope.supported.max]);
-        bytes = postcard::to_extend(&envelope.sequence, bytes).expect(PLAIN_DATA);
+        bytes = postcard::to_extend(&envelope.sequence, bytes).expect(ENCODING_TO_MEMORY);
     }
-    bytes = postcard::to_extend(header, bytes).expect(PLAIN_DATA);
+    bytes = postcard::to_extend(header, bytes).expect(ENCODING_TO_MEMORY);
     bytes.extend_from_slice(payload);
     authenticator.sign(&mut bytes);
     bytes
 }
 
-/// Decodes a message from `from` (an address or a name, for the error) in a version of `supported`. Only the version is
-/// read before the authentication code is verified.
+/// Decodes a message whose version must be in `supported`. `from` is the sender's address or name, which only errors
+/// use. Only the version and the range are read before the authentication code is verified.
 pub fn decode<'a>(
     bytes: &'a [u8],
     authenticator: &Authenticator,
--- a/crates/dunepond-membership/src/context.rs
+++ b/crates/dunepond-membership/src/context.rs
@@ -16,12 +16,12 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Largest number of peers without a common version that the log names.
-const MAX_NAMED_INCOMPATIBLE: usize = 64;
-/// The unit of the budget for received bodies, so that it fits a semaphore's count.
+/// Largest number of peers, each with one version range, that are logged as having no common version.
+const MAX_LOGGED_INCOMPATIBLE: usize = 64;
+/// Unit of the budget for received bodies, in bytes; counting in units keeps the budget within a semaphore's count.
 const RECEIVE_UNIT_BYTES: usize = 1024;
 
-/// State that is shared among the tasks of the thread.
+/// State that is shared among the tasks of the membership's thread.
 pub(crate) struct Context {
     pub options: MembershipOptions,
     pub shared: Arc<Shared>,
@@ -30,7 +30,8 @@
     pub udp: UdpSocket,
     /// Budget for bodies that are being received, in units of [`RECEIVE_UNIT_BYTES`].
     receive_budget: Arc<Semaphore>,
-    named_incompatible: RefCell<BTreeSet<(String, VersionRange)>>,
+    /// Hosts and version ranges that were logged as having no common version.
+    logged_incompatible: RefCell<BTreeSet<(String, VersionRange)>>,
     started: Instant,
 }
 
@@ -49,21 +50,22 @@
             events: RefCell::new(EventQueue::new(events, shared.clone())),
             udp,
             receive_budget: Arc::new(Semaphore::new(receive_units)),
-            named_incompatible: RefCell::default(),
+            logged_incompatible: RefCell::default(),
             started: Instant::now(),
             shared,
         }
     }
 
-    /// The present time, in seconds on the core's clock.
+    /// Returns the current time on the core's clock, in seconds since the start.
     pub fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
     }
 
-    /// Sends the datagrams, and reports rejected messages and changes.
+    /// Carries out the core's actions: sends datagrams, reports a rejected message, and passes membership changes to
+    /// the caller.
     pub fn apply(&self, actions: Actions) {
         for (to, bytes) in actions.datagrams {
-            // A full socket drops the datagram, as the network may do.
+            // If the socket's buffer is full the datagram is dropped, as the network may drop any datagram.
             if self.udp.try_send_to(&bytes, to).is_ok() {
                 increment(&self.shared.counters.datagrams_out);
             }
@@ -77,7 +79,8 @@
         }
     }
 
-    /// Counts a rejected message. A peer without a common version is named in the log once for each range that it states.
+    /// Counts and logs a rejected message. A peer without a common version is logged as a warning, once for each
+    /// version range that it states.
     pub fn report_rejected(&self, error: &PeerError) {
         self.shared.counters.record_rejected(error);
         tracing::debug!(%error, "membership: message rejected");
@@ -85,15 +88,15 @@
         if stated.highest_common(*supported).is_some() {
             return;
         }
-        // Each connection comes from another port, so only the host is compared.
+        // Each connection has another source port, so only the host is compared.
         let host = from.rsplit_once(':').map_or(&from[..], |(host, _)| host);
-        let mut named = self.named_incompatible.borrow_mut();
-        if named.len() < MAX_NAMED_INCOMPATIBLE && named.insert((host.into(), *stated)) {
+        let mut logged = self.logged_incompatible.borrow_mut();
+        if logged.len() < MAX_LOGGED_INCOMPATIBLE && logged.insert((host.into(), *stated)) {
             tracing::warn!("membership: {error} ({})", error.help());
         }
     }
 
-    /// Reserves memory for a body of `bytes`; `None` if there is not enough now.
+    /// Reserves memory for a body of `bytes` bytes; returns `None` if the budget for received bodies is exhausted.
     pub fn reserve_receive(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         let units = u32::try_from(bytes.div_ceil(RECEIVE_UNIT_BYTES)).ok()?;
         self.receive_budget.clone().try_acquire_many_owned(units).ok()
--- a/crates/dunepond-membership/src/core/changes.rs
+++ b/crates/dunepond-membership/src/core/changes.rs
@@ -1,4 +1,4 @@
-//! Processing of the gossip library's output: timers, datagrams, and the changes among its members.
+//! Processing of the gossip library's output: timers, datagrams, and changes of its members.
 
 use super::{Actions, Core, MemberRecord, ScheduledTimer};
 use crate::event::Event;
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 
 impl Core {
-    /// Takes timers, datagrams and member changes out of the library. Messages to `inline_recipient` are returned
-    /// instead of sent, because it waits for them on a connection.
+    /// Collects timers, datagrams and member changes from the gossip library. Messages to `inline_recipient` are
+    /// returned instead of sent as datagrams, because this peer waits for them on a connection.
     pub(super) fn collect_actions(
         &mut self,
         actions: &mut Actions,
@@ -21,7 +21,7 @@
             let (due, order) = (self.now + after.as_secs_f64(), self.timers_scheduled);
             self.timers.push(ScheduledTimer { due, order, timer });
         }
-        // Changes are found by comparing members: the library does not notify of suspicions.
+        // Changes are found by comparing members, since the library's notifications do not include suspicions.
         while self.runtime.to_notify().is_some() {}
         let current = self.library_members();
         let inline = self.collect_datagrams(&current, actions, inline_recipient);
@@ -31,6 +31,7 @@
         inline
     }
 
+    /// Returns the gossip library's members by name, without this broker.
     fn library_members(&self) -> BTreeMap<String, MemberRecord> {
         let local_name = &self.sender_policy.local_name;
         let others = self.foca.iter_membership_state().filter(|member| member.id().name != *local_name);
@@ -45,6 +46,7 @@
         records.collect()
     }
 
+    /// Encodes the gossip library's datagrams. Returns the messages to `inline_recipient` without encoding them.
     fn collect_datagrams(
         &mut self,
         current: &BTreeMap<String, MemberRecord>,
@@ -57,7 +59,8 @@
                 inline.push(payload.to_vec());
                 continue;
             }
-            // Datagrams only go to configured peers and members: otherwise gossip could direct them at any address.
+            // Datagrams are only sent to configured peers and members: otherwise gossip could direct them to any
+            // address.
             let configured = self.sender_policy.known_peers.get(&to.name).copied();
             let member = || current.get(&to.name).map(|member| member.id.listen_address);
             let Some(address) = configured.or_else(member) else { continue };
@@ -71,6 +74,7 @@
         inline
     }
 
+    /// Adds an event for each difference between the members last reported and the current ones.
     fn report_changes(&self, current: &BTreeMap<String, MemberRecord>, actions: &mut Actions) {
         for (name, member) in current {
             let before = self.members.get(name);
--- a/crates/dunepond-membership/src/core/freshness.rs
+++ b/crates/dunepond-membership/src/core/freshness.rs
@@ -1,10 +1,11 @@
 //! Replay protection. A recorded message can be delivered an hour later, to the same incarnation of its receiver or to
 //! the next one, long after its sender went down.
 //!
-//! From version 2 on each datagram therefore echoes the address token of its receiver's current incarnation, which no
-//! earlier message has, and a sequence number that an incarnation accepts once. A sender without the token receives it
-//! in a hello that echoes the sender's own token, and nothing of its message is used. With a key the same holds for
-//! requests; without one, for requests of senders that have echoed the token.
+//! From version 2 on, each datagram therefore echoes the address token of its receiver's current incarnation, which no
+//! message to an earlier incarnation has, and carries a sequence number that an incarnation accepts only once. A
+//! message without the token is ignored, and its sender is sent the token in a hello, which echoes the sender's own
+//! token. With a key, requests must meet the same conditions; without one, only the requests of senders that have
+//! echoed the token.
 
 use super::{Actions, Core};
 use crate::error::PeerError;
@@ -15,21 +16,24 @@
 
 /// Largest number of hellos per second, to each configured peer and to all others together.
 const MAX_HELLOS_PER_SECOND: u32 = 20;
-/// Longest time after which gossip that was sent without the receiver's token is sent again.
+/// Time within which gossip that was sent without the receiver's token can be sent again, in seconds.
 const RESEND_WINDOW_SECONDS: f64 = 1.0;
 
 /// Gossip that was sent without the receiver's address token.
 pub(super) struct SentGossip {
+    /// Time at which it was first sent, in seconds.
     sent_at: f64,
     payload: Vec<u8>,
 }
 
+/// Returns whether a message has a version in which datagrams must echo the receiver's address token.
 fn requires_token(envelope: &Envelope) -> bool {
     envelope.version >= FIRST_VERSION_WITH_RANGE
 }
 
 impl Core {
-    /// Verifies a request that came over a connection from `source`: its sender, that it is no replay, and its rate.
+    /// Checks a request that came over a connection from `source`: that its sender is verified, that it is not a
+    /// replay, and that the sender does not exceed its rate.
     pub fn authenticate_request(
         &mut self,
         now: f64,
@@ -44,18 +48,18 @@
         let active = member.map_or(0, |member| member.incarnation);
         self.incarnations.check_not_stale(from, active, self.now)?;
         let has_key = self.sender_policy.has_key;
-        let with_token = requires_token(envelope);
+        let needs_token = requires_token(envelope);
         let echoes_token = header.echoed_token == self.incarnations.token_for(&from.name);
-        if has_key && with_token && !echoes_token {
+        if has_key && needs_token && !echoes_token {
             return Err(PeerError::InvalidToken { name: from.name.clone() });
         }
-        if !has_key && !self.may_request_without_key(header, with_token, echoes_token) {
+        if !has_key && !self.may_request_without_key(header, needs_token, echoes_token) {
             return Err(PeerError::UnverifiedSender { from: source.to_string(), name: from.name.clone() });
         }
-        if has_key || with_token && echoes_token {
+        if has_key || needs_token && echoes_token {
             self.record_received(envelope, header)?;
         }
-        if with_token && echoes_token && !self.incarnations.record_sequence(header, envelope.sequence) {
+        if needs_token && echoes_token && !self.incarnations.record_sequence(header, envelope.sequence) {
             return Err(PeerError::Replayed { name: from.name.clone() });
         }
         let per_second = self.limits.max_requests_per_second;
@@ -65,26 +69,28 @@
         Ok(())
     }
 
-    /// Whether a request is accepted without a key. A member was verified by its own address, so a request in its name
-    /// must be of that incarnation and echo the token that was sent to that address, once the member has echoed it.
-    /// Less is known of a name that is not a member, and its requests change nothing here.
-    fn may_request_without_key(&self, header: &MessageHeader, with_token: bool, echoes_token: bool) -> bool {
+    /// Returns whether a request is accepted without a key. A member was verified by its own address, so a request in
+    /// its name must be of the member's incarnation, and must echo the token that was sent to that address once the
+    /// member has echoed it before. Names that are not members cannot be checked in this way, but their requests do not
+    /// change the membership.
+    fn may_request_without_key(&self, header: &MessageHeader, needs_token: bool, echoes_token: bool) -> bool {
         let from = &header.from;
         let is_that_member = self.active_member(&from.name).is_none_or(|member| {
             member.incarnation == from.incarnation && (echoes_token || !self.incarnations.has_echoed(from))
         });
-        // Another token was issued by an earlier incarnation of this broker.
-        let echoes_earlier = with_token && header.echoed_token != 0 && !echoes_token;
-        is_that_member && !echoes_earlier
+        // A token that is not the current one was issued by an earlier incarnation of this broker.
+        let echoes_earlier_token = needs_token && header.echoed_token != 0 && !echoes_token;
+        is_that_member && !echoes_earlier_token
     }
 
-    /// The address token that a refusal to `name` carries. Over a connection there is one only with a key, since an
-    /// address proves nothing there.
+    /// Returns the address token that a refusal to `name` over a connection carries. Without a key it is 0, since a
+    /// connection does not prove that its peer receives messages at the address of `name`.
     pub fn token_in_refusal(&self, name: &str) -> u64 {
         if self.sender_policy.has_key { self.incarnations.token_for(name) } else { 0 }
     }
 
-    /// Stores the token of a refusal that was received over a connection to `address` and with a key.
+    /// Stores the address token that a refusal carries, which was received over a connection to `address`. Without a
+    /// key, the token is ignored.
     pub fn on_token_refusal(&mut self, envelope: &Envelope, header: &MessageHeader, address: SocketAddr) {
         if self.sender_policy.has_key
             && self.verify_membership_sender(header, address).is_ok()
@@ -94,7 +100,8 @@
         }
     }
 
-    /// Checks that a message from there may change the membership, and is for this broker. This changes nothing.
+    /// Checks that a message from `source` may change the membership, and is addressed to this broker. No state
+    /// changes.
     pub(super) fn verify_membership_sender(
         &self,
         header: &MessageHeader,
@@ -109,7 +116,7 @@
         self.incarnations.check_not_stale(&header.from, active, self.now)
     }
 
-    /// Records that this incarnation sent a message.
+    /// Records that the incarnation that the header states sent a message.
     pub(super) fn record_received(
         &mut self,
         envelope: &Envelope,
@@ -119,8 +126,8 @@
         self.incarnations.record_received(&header.from, configured, envelope, self.now)
     }
 
-    /// Whether a datagram is for this broker's current incarnation, and received for the first time. A sender that
-    /// lacks the token is sent a hello; any other sender is recorded.
+    /// Checks that a datagram is for this broker's current incarnation, and is received for the first time. A sender
+    /// that lacks the token is sent a hello; any other sender is recorded.
     pub(super) fn check_fresh(
         &mut self,
         envelope: &Envelope,
@@ -129,19 +136,19 @@
         actions: &mut Actions,
     ) -> Result<(), PeerError> {
         let name = &header.from.name;
-        let with_token = requires_token(envelope);
-        if with_token && header.echoed_token != self.incarnations.token_for(name) {
+        let needs_token = requires_token(envelope);
+        if needs_token && header.echoed_token != self.incarnations.token_for(name) {
             self.send_hello(envelope, header, received_bytes, actions);
             return Err(PeerError::InvalidToken { name: name.clone() });
         }
         self.record_received(envelope, header)?;
-        if with_token && !self.incarnations.record_sequence(header, envelope.sequence) {
+        if needs_token && !self.incarnations.record_sequence(header, envelope.sequence) {
             return Err(PeerError::Replayed { name: name.clone() });
         }
         Ok(())
     }
 
-    /// Sends this broker's token to the sender of a datagram that lacks it.
+    /// Sends this broker's address token to the sender of a datagram that lacks it, within the rate limit.
     fn send_hello(
         &mut self,
         envelope: &Envelope,
@@ -153,18 +160,19 @@
         let configured = self.sender_policy.known_peers.get(name).copied();
         let hello =
             MessageHeader { echoed_token: header.issued_token, ..self.header_for(name, MessageType::Hello) };
-        let limited_as = if configured.is_some() { name.as_str() } else { "" };
-        if !self.hello_limiter.admit(limited_as, MAX_HELLOS_PER_SECOND, self.now) {
+        let limiter_key = if configured.is_some() { name.as_str() } else { "" };
+        if !self.hello_limiter.admit(limiter_key, MAX_HELLOS_PER_SECOND, self.now) {
             return;
         }
         let bytes = self.encode(envelope.version, &hello, &[]);
-        // The reply is never larger than the datagram: otherwise a forged source address would amplify traffic to it.
+        // The hello is never larger than the datagram: otherwise a datagram with a forged source address would cause
+        // more traffic to that address than it takes to send.
         if bytes.len() <= received_bytes {
             actions.datagrams.push((configured.unwrap_or(header.from.listen_address), bytes));
         }
     }
 
-    /// Keeps gossip that was sent without the receiver's token, to be sent again.
+    /// Stores gossip that was sent without the receiver's token, so that it can be sent again.
     pub(super) fn keep_for_resend(&mut self, name: String, payload: &[u8]) {
         let kept = &mut self.unverified_gossip;
         if kept.len() < self.limits.max_members || kept.contains_key(&name) {
@@ -172,7 +180,7 @@
         }
     }
 
-    /// Sends gossip again that was rejected for lack of the token that has now been received.
+    /// Sends the gossip again that `name` rejected for lack of its token, which has been received since.
     pub(super) fn resend_gossip(&mut self, name: &str, actions: &mut Actions) {
         let Some(sent) = self.unverified_gossip.remove(name) else { return };
         if self.now - sent.sent_at >= RESEND_WINDOW_SECONDS {
--- a/crates/dunepond-membership/src/core/liveness.rs
+++ b/crates/dunepond-membership/src/core/liveness.rs
@@ -1,9 +1,9 @@
-//! Liveness checks over the request channel. A flood of datagrams crowds legitimate ones out of a socket in both
-//! directions, and a member behind it would be declared down although it is alive. A suspected configured peer is
-//! therefore also asked over a connection before the suspicion times out. The request tells it that it is suspected,
-//! and it responds as it would by datagram, with a higher incarnation number of the gossip library, which is the only
-//! refutation of a suspicion. The messages are the library's own, so nothing is accepted here that a datagram could not
-//! carry.
+//! Liveness checks over the request channel. If a flood of datagrams fills a member's socket, legitimate datagrams are
+//! dropped, and the member would be declared down although it is alive. A suspected configured peer is therefore also
+//! asked over a connection before the suspicion times out. The request tells the peer that it is suspected. The peer
+//! responds as it would by datagram, with a higher incarnation number of the gossip library, which is the only way to
+//! refute a suspicion. The messages are the library's own, so a liveness check cannot carry anything that a datagram
+//! could not.
 
 use super::{Actions, Core};
 use crate::error::PeerError;
@@ -14,10 +14,10 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Part of the suspicion timeout within which the first check is sent, at a random moment: if all members asked at once
-/// they would overload the suspected one, and the first response is gossiped to the others anyway.
+/// Fraction of the suspicion timeout within which the first check is sent, at a random time: checks by all members at
+/// once would overload the suspected one, and the first response reaches the others by gossip.
 const FIRST_CHECK_RATIO: f64 = 0.5;
-/// Part of the suspicion timeout that a check may take; the next one follows after another such part.
+/// Fraction of the suspicion timeout that a check may take; the next check follows after another such fraction.
 const CHECK_TIMEOUT_RATIO: f64 = 0.25;
 /// Largest number of messages in one check or response.
 const MAX_MESSAGES: usize = 8;
@@ -29,18 +29,19 @@
     pub to: String,
     /// Body of the request.
     pub body: Vec<u8>,
-    /// How long the check may take, in seconds.
+    /// Time that the check may take, in seconds.
     pub timeout_seconds: f64,
 }
 
-/// A suspected member that is to be checked, or is being checked.
+/// A liveness check that is scheduled or in flight.
 pub(super) struct PendingCheck {
+    /// Time at which the check is sent, in seconds.
     due: f64,
     in_flight: bool,
 }
 
 impl Core {
-    /// The checks that are due now; each ends in one call of [`Core::on_liveness_result`].
+    /// Returns the checks that are due. For each of them, [`Core::on_liveness_result`] must be called once.
     pub fn due_liveness_checks(&mut self) -> Vec<LivenessCheck> {
         let now = self.now;
         let mut names = Vec::new();
@@ -56,9 +57,9 @@
         names.into_iter().filter_map(check).collect()
     }
 
-    /// Responds to a check that [`Core::authenticate_request`] accepted, with the response's body and what else has to
-    /// be done. Unlike other requests it changes the membership, so without a key every sender must echo this broker's
-    /// token.
+    /// Processes a check that [`Core::authenticate_request`] accepted. Returns the response's body, and actions to
+    /// carry out. Unlike other requests, a check changes the membership, so without a key every sender must echo this
+    /// broker's address token.
     pub fn answer_liveness_check(
         &mut self,
         header: &MessageHeader,
@@ -75,10 +76,10 @@
         let responses = self.collect_actions(&mut actions, Some(&from.name));
         processed?;
         let body = postcard::to_stdvec(&responses[..responses.len().min(MAX_MESSAGES)]);
-        Ok((body.expect("plain data always serialises to memory"), actions))
+        Ok((body.expect("encoding to memory cannot fail"), actions))
     }
 
-    /// Processes the outcome of a check: the response of `to` from `address`, or `None`.
+    /// Processes the outcome of a check: the response of `to` from `address`, or `None` if there was none.
     pub fn on_liveness_result(
         &mut self,
         now: f64,
@@ -99,6 +100,7 @@
         actions
     }
 
+    /// Verifies the response to a check, and passes its messages to the gossip library.
     fn process_liveness_response(
         &mut self,
         address: SocketAddr,
@@ -109,13 +111,13 @@
         self.process_messages(&response.header.from, response.payload)
     }
 
-    /// Schedules checks of suspected configured peers, and drops those of peers that are no longer suspected.
+    /// Schedules checks of suspected configured peers, and cancels those of peers that are no longer suspected.
     pub(super) fn update_liveness_checks(&mut self) {
         let mut suspected = Vec::new();
         for member in self.members.values().filter(|member| member.state == PeerState::Suspected) {
             let name = &member.id.name;
-            let knows_checks = self.version_for(name) >= RequestKind::LivenessCheck.min_version();
-            if knows_checks && self.is_configured(name) {
+            let supports_checks = self.version_for(name) >= RequestKind::LivenessCheck.min_version();
+            if supports_checks && self.is_configured(name) {
                 suspected.push(name.clone());
             }
         }
@@ -129,13 +131,15 @@
         }
     }
 
+    /// Returns the time at which the next check is sent, in seconds; infinity if none is scheduled.
     pub(super) fn next_liveness_check_at(&self) -> f64 {
         let waiting = self.liveness_checks.values().filter(|check| !check.in_flight);
         waiting.map(|check| check.due).fold(f64::INFINITY, f64::min)
     }
 
-    /// Two messages of the library: a ping that carries the suspicion, which the member refutes, and an announcement,
-    /// which it answers even if it has renewed its identity since.
+    /// Encodes the body of a check: a ping of the gossip library that carries the suspicion, which the member refutes,
+    /// and an announcement, which the member answers even if it has renewed its identity since. Returns `None` if `to`
+    /// is not a member.
     fn liveness_request(&self, to: &str) -> Option<Vec<u8>> {
         let member = self.foca.iter_membership_state().find(|member| member.id().name == to)?;
         let dst = member.id();
@@ -153,6 +157,7 @@
         postcard::to_stdvec(&vec![ping, announcement]).ok()
     }
 
+    /// Passes the messages in the body of a check or its response to the gossip library.
     fn process_messages(&mut self, sender: &PeerId, body: &[u8]) -> Result<(), PeerError> {
         let from = sender.listen_address.to_string();
         let malformed = || PeerError::Malformed { from: from.clone() };
--- a/crates/dunepond-membership/src/core/mod.rs
+++ b/crates/dunepond-membership/src/core/mod.rs
@@ -1,10 +1,10 @@
-//! The membership without input and output: the gossip library `foca`, and what it leaves to its user: verification of
-//! senders, limits on what peers can make this broker store, announcements to configured peers that are not members,
-//! and stalls of this process.
+//! The membership without input and output: the gossip library `foca`, and what the library leaves to its user, namely
+//! verification of senders, limits on the state that peers can make this broker store, announcements to configured
+//! peers that are not members, and handling of stalls of this process.
 //!
-//! The host passes in each datagram and calls [`Core::tick`] at [`Core::next_tick_at`] or earlier. Datagrams that wait
-//! in the socket have to be passed in first: after a stall they show which peers are alive before a timer declares them
-//! down.
+//! The event loop passes in each datagram, and calls [`Core::tick`] at [`Core::next_tick_at`] or earlier. Datagrams
+//! that wait in the socket have to be passed in before a tick: after a stall they show which peers are alive before a
+//! timer declares these down.
 
 mod changes;
 mod freshness;
@@ -33,36 +33,37 @@
 
 pub use liveness::LivenessCheck;
 
-/// Number of members that are asked to probe on this broker's behalf, and to which one round of gossip is sent.
+/// Number of members that are asked for an indirect probe, and number of members to which one round of gossip is sent.
 const FANOUT_COUNT: usize = 3;
-/// Number of times that each update is passed on.
+/// Number of times that this broker transmits each update.
 const MAX_TRANSMISSIONS: u8 = 10;
 const GOSSIP_INTERVAL_SECONDS: f64 = 0.2;
 const REANNOUNCE_INTERVAL_SECONDS: f64 = 30.0;
-/// How long members that are down are remembered, in seconds, so that old gossip does not bring them back.
+/// Time for which members that are down are remembered, in seconds, so that old gossip does not add them again.
 const DOWN_RETENTION_SECONDS: f64 = 120.0;
-/// Interval of announcements to members that are down, in seconds; this reaches those that no configuration names.
+/// Interval of announcements to members that are down, in seconds; these also reach members that are not configured.
 const ANNOUNCE_TO_DOWN_INTERVAL_SECONDS: f64 = 15.0;
 const ANNOUNCE_TO_DOWN_COUNT: usize = 2;
-/// Longest interval between ticks, in seconds, so that a stall can be told from having nothing to do.
+/// Longest interval between ticks, in seconds, so that a stall can be distinguished from idleness.
 const MAX_TICK_INTERVAL_SECONDS: f64 = 0.25;
-/// Range of the factor by which announcement intervals vary, so that brokers that started together do not announce together forever.
+/// Range of the random factor on announcement intervals, so that brokers that started together do not keep announcing
+/// together.
 const ANNOUNCE_JITTER: std::ops::Range<f64> = 0.75..1.25;
-/// Number of suspicion timeouts for which an earlier incarnation is refused after a later one was received.
+/// Time for which an earlier incarnation is refused after the last message of a later one, in suspicion timeouts.
 const STALE_RETENTION_TIMEOUTS: f64 = 2.0;
 
-/// What the host must do after a call.
+/// What the event loop must do after a call to [`Core`].
 #[derive(Debug, Default)]
 pub struct Actions {
     /// Datagrams to send, with their destinations.
     pub datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    /// Membership changes; only `PeerUp`, `PeerSuspected` and `PeerDown`.
+    /// Membership changes for the caller; only `PeerUp`, `PeerSuspected` and `PeerDown` occur.
     pub changes: Vec<Event>,
-    /// Why the message that was passed in, or a part of it, was rejected.
+    /// Why the message that was passed in, or a part of it, was rejected; `None` if it was accepted.
     pub error: Option<PeerError>,
 }
 
-/// The state of the membership.
+/// The state of the membership protocol, which datagrams, ticks and the outcomes of liveness checks advance.
 pub struct Core {
     foca: Foca<PeerId, PostcardCodec, Pcg64, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<PeerId>,
@@ -74,27 +75,34 @@
     /// The latest time that was passed in, in seconds.
     now: f64,
     timers: Vec<ScheduledTimer>,
+    /// Number of timers that were ever scheduled.
     timers_scheduled: u64,
+    /// Time of the next announcement to configured peers that are not members, in seconds.
     next_announce_at: f64,
+    /// Members by name, as last reported to the caller.
     members: BTreeMap<String, MemberRecord>,
     incarnations: Incarnations,
-    /// Liveness checks by the name of the suspected member.
+    /// Scheduled and running liveness checks, by the name of the suspected member.
     liveness_checks: BTreeMap<String, liveness::PendingCheck>,
     versions: versions::VersionState,
     sequences: versions::SequenceNumbers,
-    /// Gossip for peers whose address token is not known yet, by name; it is sent again once the token is known.
+    /// Gossip that was sent to peers whose address token is not known yet, by the peer's name; it is sent again once
+    /// the token is known.
     unverified_gossip: BTreeMap<String, freshness::SentGossip>,
     datagram_limiter: RateLimiter,
     request_limiter: RateLimiter,
     refusal_limiter: RateLimiter,
     hello_limiter: RateLimiter,
-    /// Whether the library has processed something since its members were last compared.
+    /// Whether the gossip library has processed a message since its members were last compared with `members`.
     members_stale: bool,
 }
 
-/// A timer of the library. Late timers run by due time and then in the library's own order, as none may overtake another.
+/// A timer of the gossip library. Due timers run in the order of their due times, then in the library's own order, then
+/// in the order in which they were scheduled.
 struct ScheduledTimer {
+    /// Time at which the timer runs, in seconds.
     due: f64,
+    /// Position in the order in which timers were scheduled.
     order: u64,
     timer: Timer<PeerId>,
 }
@@ -137,8 +145,8 @@
 }
 
 impl Core {
-    /// Creates a core. `options.listen_address` must have its final port. `token_secret` belongs to this incarnation,
-    /// and no other process can guess it.
+    /// Creates a core. `options.listen_address` must have its final port. `token_secret` must be used by this
+    /// incarnation only, and no other process may be able to guess it.
     pub fn new(options: &MembershipOptions, token_secret: [u8; 32], now: f64) -> Result<Core, PeerError> {
         let authenticator = Authenticator::new(options.key.as_deref())?;
         let sender_policy = SenderPolicy::new(&options.name, authenticator.has_key(), &options.known_peers)?;
@@ -182,49 +190,50 @@
         })
     }
 
-    /// This broker's identity.
+    /// Returns this broker's identity.
     pub fn local_id(&self) -> &PeerId {
         self.foca.identity()
     }
 
-    /// All members by name, including those that went down recently.
+    /// Returns all members in the order of their names, including those that went down recently.
     pub fn members(&self) -> Vec<Peer> {
         self.members.values().map(|member| Peer::new(&member.id, member.state)).collect()
     }
 
-    /// The address for messages to `name`: its configured address, or else the one that it states as a member.
+    /// Returns the address for messages to `name`: the configured address, or else the one that the member states.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         let configured = self.sender_policy.known_peers.get(name).copied();
         configured.or_else(|| self.members.get(name).map(|member| member.id.listen_address))
     }
 
-    /// When the next tick is due at the latest, in seconds.
+    /// Returns the time of the next tick at the latest, in seconds.
     pub fn next_tick_at(&self) -> f64 {
         let first = self.timers.iter().map(|timer| timer.due).fold(self.next_announce_at, f64::min);
         let first = first.min(self.next_liveness_check_at());
         first.clamp(self.now, self.now + MAX_TICK_INTERVAL_SECONDS)
     }
 
-    /// Runs the timers that are due.
+    /// Runs the timers that are due, and sends announcements and hellos that are due.
     pub fn tick(&mut self, now: f64) -> Actions {
         self.advance_clock(now);
         let mut actions = Actions::default();
-        // Timers that are scheduled here for now wait for the next tick, so that this loop ends.
+        // Timers that this loop schedules wait for the next tick even if they are due at once, so that the loop ends.
         for timer in self.take_due_timers() {
-            // A late timer can find its probe cycle over: the library reports an error and begins the next cycle.
+            // The error is ignored: a late timer may belong to a probe cycle that is over, for which the library
+            // reports an error and begins the next cycle.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
         }
         if self.now >= self.next_announce_at {
             let jitter = self.rng.random_range(ANNOUNCE_JITTER);
             self.next_announce_at = self.now + self.timing.announce_interval_seconds * jitter;
-            self.announce_to_absent();
-            self.send_hello_to_older(&mut actions);
+            self.announce_to_absent_peers();
+            self.send_hello_to_older_peers(&mut actions);
         }
         self.collect_actions(&mut actions, None);
         actions
     }
 
-    /// Tells the members that this broker leaves. Nothing else may be called afterwards.
+    /// Tells the members that this broker leaves. No other method may be called afterwards.
     pub fn leave(&mut self, now: f64) -> Actions {
         self.advance_clock(now);
         let mut actions = Actions::default();
@@ -233,8 +242,8 @@
         actions
     }
 
-    /// The header of a message to `to`. Only datagrams carry this broker's address token, since they go to the peer's
-    /// own address.
+    /// Returns the header of a message to `to`. Only datagrams carry this broker's address token, since they go to the
+    /// peer's own address.
     pub fn header_for(&self, to: &str, message_type: MessageType) -> MessageHeader {
         let is_datagram = matches!(message_type, MessageType::Gossip | MessageType::Hello);
         let is_request = matches!(message_type, MessageType::Request { .. });
@@ -249,23 +258,24 @@
         }
     }
 
-    /// The address token that `name` issued to this broker, 0 if none; a request to it must echo it.
+    /// Returns the address token that `name` issued to this broker, which requests to `name` must echo; 0 if there is
+    /// none.
     pub fn token_from(&self, name: &str) -> u64 {
         self.incarnations.token_from(name)
     }
 
-    /// The versions that this broker speaks.
+    /// Returns the protocol versions that this broker speaks.
     pub fn supported_versions(&self) -> VersionRange {
         self.versions.supported
     }
 
-    /// Signs and verifies the fleet's messages.
+    /// Returns the authenticator, which signs and verifies the fleet's messages.
     pub fn authenticator(&self) -> &Authenticator {
         &self.authenticator
     }
 
-    /// Advances the clock. After a stall, timers are extended by its length: this broker received nothing from its
-    /// peers because it did not read.
+    /// Advances the clock. After a stall of this process, timers are extended by the length of the stall: peers may
+    /// have sent messages that this broker did not read.
     fn advance_clock(&mut self, now: f64) {
         let gap = now - self.now;
         if gap > self.timing.stall_threshold_seconds {
@@ -274,6 +284,7 @@
         self.now = self.now.max(now);
     }
 
+    /// Removes the timers that are due, and returns them in the order in which they must run.
     fn take_due_timers(&mut self) -> Vec<Timer<PeerId>> {
         let now = self.now;
         let (mut due, later): (Vec<_>, Vec<_>) = self.timers.drain(..).partition(|timer| timer.due <= now);
@@ -283,7 +294,7 @@
     }
 
     /// Announces this broker to each configured peer that is not a member, at its configured address.
-    fn announce_to_absent(&mut self) {
+    fn announce_to_absent_peers(&mut self) {
         let is_absent = |name: &&String| self.active_member(name).is_none();
         let names: Vec<String> = self.sender_policy.known_peers.keys().filter(is_absent).cloned().collect();
         for name in names {
@@ -293,7 +304,7 @@
         }
     }
 
-    /// The identity under this name that is not down.
+    /// Returns the identity of the member `name`, unless it is down.
     fn active_member(&self, name: &str) -> Option<&PeerId> {
         let member = self.members.get(name)?;
         (member.state != PeerState::Down).then_some(&member.id)
--- a/crates/dunepond-membership/src/core/receive.rs
+++ b/crates/dunepond-membership/src/core/receive.rs
@@ -1,4 +1,5 @@
-//! Processing of datagrams: they are decoded, verified, rate-limited, filtered, and passed to the gossip library.
+//! Processing of received datagrams: each is decoded, verified, rate-limited, filtered, and passed to the gossip
+//! library.
 
 use super::{Actions, Core};
 use crate::codec::decode;
@@ -12,10 +13,10 @@
 /// Largest number of refusals that are sent by datagram per second, over all peers.
 const MAX_REFUSALS_PER_SECOND: u32 = 10;
 
-/// A datagram after filtering.
+/// The payload of a datagram after filtering.
 struct FilteredGossip {
     payload: Vec<u8>,
-    /// Why the last invalid update was dropped, if one was.
+    /// Why the last rejected update was dropped; `None` if no update was rejected.
     error: Option<PeerError>,
 }
 
@@ -28,13 +29,15 @@
             self.refuse_datagram(source, &error, bytes, &mut actions);
             actions.error = Some(error);
         }
-        // Nearly all of a flood ends above: comparing all members for each such datagram would multiply its cost.
+        // Nearly all datagrams of a flood are rejected above; comparing all members for each of them would multiply
+        // their cost.
         if self.members_stale {
             self.collect_actions(&mut actions, None);
         }
         actions
     }
 
+    /// Decodes and verifies a datagram, and processes it according to its type.
     fn process_datagram(
         &mut self,
         source: SocketAddr,
@@ -75,8 +78,8 @@
         }
     }
 
-    /// Passes one message of a verified sender to the library. The error states what was rejected, which may be only a
-    /// part of the message.
+    /// Filters one message of a verified sender and passes it to the gossip library. The error states what was
+    /// rejected, which may be only a part of the message.
     pub(super) fn process_gossip(
         &mut self,
         sender: &PeerId,
@@ -90,7 +93,8 @@
         filtered.error.map_or(Ok(()), Err)
     }
 
-    /// Drops the updates about third parties that the sender policy does not accept.
+    /// Drops the updates about third parties that the sender policy does not accept. Fails if the whole message must be
+    /// rejected.
     fn filter_gossip(
         &self,
         sender: &PeerId,
@@ -117,7 +121,8 @@
         Ok(FilteredGossip { payload: gossip.encode(), error })
     }
 
-    /// Limits the names that no configuration has: unknown names must not crowd out configured ones.
+    /// Limits the number of members that are not configured, so that these cannot exclude configured ones. Fails if the
+    /// message would exceed the limit.
     fn check_member_limit(&self, sender: &PeerId, gossip: &GossipMessage<'_>) -> Result<(), PeerError> {
         let is_unknown = |name: &str| name != self.local_id().name && !self.is_configured(name);
         let is_new = |id: &&PeerId| is_unknown(&id.name) && !self.members.contains_key(&id.name);
@@ -131,7 +136,7 @@
         if unknown + new.len() > limit { Err(PeerError::TooManyMembers { limit }) } else { Ok(()) }
     }
 
-    /// Tells a configured peer, at its configured address, why its datagram was rejected. Other sources get no answer,
+    /// Tells a configured peer, at its configured address, why its datagram was rejected. Other sources get no refusal,
     /// since their address may be forged.
     fn refuse_datagram(
         &mut self,
@@ -140,7 +145,7 @@
         received: &[u8],
         actions: &mut Actions,
     ) {
-        // A refusal needs no answer, a missing token is answered by a hello, and a replayed datagram was not sent by
+        // A refusal is not refused, a missing token is answered with a hello, and a replayed datagram was not sent by
         // its sender now.
         let unanswered = matches!(
             error,
@@ -158,7 +163,7 @@
         let (address, version) = (*address, self.response_version(received));
         let payload = postcard::to_stdvec(&reason.for_version(version)).unwrap_or_default();
         let bytes = self.encode(version, &header, &payload);
-        // The refusal is shorter than the datagram, so that refusals of refusals die out.
+        // A refusal must be shorter than the refused datagram, so that a series of refusals of refusals ends.
         let fits = bytes.len() < received.len();
         if fits && self.refusal_limiter.admit("", MAX_REFUSALS_PER_SECOND, self.now) {
             actions.datagrams.push((address, bytes));
--- a/crates/dunepond-membership/src/core/versions.rs
+++ b/crates/dunepond-membership/src/core/versions.rs
@@ -1,9 +1,9 @@
-//! The protocol version for each peer: the highest that both programs speak. A message states its sender's range from
-//! version 2 on; a program of version 1 is recognised by its messages and its refusals.
+//! The protocol version for each peer: the highest that both programs speak. From version 2 on, a message states its
+//! sender's range; a program of version 1 is recognized by its messages and its refusals.
 //!
-//! An incarnation runs one program, so its versions hold until the next incarnation. Messages to a peer that is not
-//! known yet use this program's highest version: a newer program answers in a version that both speak, an older one
-//! refuses, and announces itself within a second.
+//! An incarnation runs one program, so its versions stay valid until the next incarnation. Messages to a peer whose
+//! versions are not known yet use this program's highest version: a newer program answers in a version that both speak;
+//! an older one refuses the message, and announces itself within a second.
 
 use super::{Actions, Core};
 use crate::codec::{encode, peek_version};
@@ -11,18 +11,20 @@
 use crate::version::{FIRST_VERSION_WITH_RANGE, VersionRange};
 use std::collections::BTreeMap;
 
-/// Interval of hellos, in seconds, to peers that only sent version 1: they may be newer and have taken this program for
-/// an older one.
+/// Interval of hellos to peers that have only sent version 1, in seconds: they may speak newer versions, but assume
+/// that this program is an older one.
 const HELLO_INTERVAL_SECONDS: f64 = 10.0;
-/// Multiple of the limit on members up to which sequence numbers are kept, before those of names without an address are
-/// dropped.
+/// Number of names for which sequence numbers are kept, as a multiple of the limit on members; beyond it, those of
+/// names without an address are dropped.
 const SEQUENCES_PER_MEMBER: usize = 2;
 
-/// The versions that this program speaks, and those that are known of peers.
+/// The protocol versions that this program speaks, and those that peers stated in refusals.
 pub(super) struct VersionState {
+    /// The protocol versions that this program speaks.
     pub supported: VersionRange,
-    /// Ranges of configured peers that have not sent a message yet, from their refusals.
+    /// Version ranges of configured peers that have not sent a message yet, by name, as their refusals state them.
     assumed: BTreeMap<String, VersionRange>,
+    /// Time of the next hellos to peers that have only sent version 1, in seconds.
     next_hello_at: f64,
 }
 
@@ -43,22 +45,22 @@
 #[derive(Default)]
 pub(super) struct SequenceNumbers {
     by_name: BTreeMap<String, Sequences>,
-    /// A number above all that were dropped: a name that returns must not repeat its numbers, which would count as
-    /// replays.
+    /// The highest sequence numbers that were dropped. Names that are added start from them, since repeated numbers
+    /// would count as replays.
     floor: Sequences,
 }
 
 impl Core {
-    /// The version of messages to `name`.
+    /// Returns the protocol version for messages to `name`.
     pub fn version_for(&self, name: &str) -> u8 {
         let VersionState { supported, assumed, .. } = &self.versions;
-        let heard = self.incarnations.versions(name).map(|versions| versions.range);
-        let known = heard.or_else(|| assumed.get(name).copied());
+        let received = self.incarnations.versions(name).map(|versions| versions.range);
+        let known = received.or_else(|| assumed.get(name).copied());
         known.and_then(|range| range.highest_common(*supported)).unwrap_or(supported.max)
     }
 
-    /// The version in which to respond to `received`, whether or not that is supported: one that its sender reads, if
-    /// there is one.
+    /// Returns the protocol version in which to respond to the encoded message `received`, whose version may be
+    /// unsupported: one that its sender reads, if there is one.
     pub fn response_version(&self, received: &[u8]) -> u8 {
         let supported = self.versions.supported;
         match peek_version(received) {
@@ -68,8 +70,8 @@
         }
     }
 
-    /// Records that a configured peer refused this program's version and stated its range. Returns whether there is
-    /// another version to try.
+    /// Records that `name` refused the version of a message, and stated the range `range`. Returns whether there is
+    /// another common version to try.
     pub fn on_version_refused(&mut self, name: &str, range: VersionRange) -> bool {
         let tried = self.version_for(name);
         if self.is_configured(name) && self.incarnations.versions(name).is_none() {
@@ -97,6 +99,7 @@
         encode(&envelope, header, payload, &self.authenticator)
     }
 
+    /// Returns the sequence numbers of messages to `name`, which are added if they are missing.
     fn sequences_to(&mut self, name: &str) -> &mut Sequences {
         let by_name = &self.sequences.by_name;
         if !by_name.contains_key(name) && by_name.len() > SEQUENCES_PER_MEMBER * self.limits.max_members {
@@ -106,7 +109,7 @@
         self.sequences.by_name.entry(name.into()).or_insert(floor)
     }
 
-    /// Drops the sequence numbers of names without an address.
+    /// Drops the sequence numbers of names without an address, and remembers the highest of them.
     fn drop_sequences(&mut self) {
         let by_name = std::mem::take(&mut self.sequences.by_name);
         for (name, sequences) in by_name {
@@ -120,8 +123,8 @@
         }
     }
 
-    /// Tells configured peers that only sent version 1 which versions this program speaks.
-    pub(super) fn send_hello_to_older(&mut self, actions: &mut Actions) {
+    /// Sends hellos to configured peers that have only sent version 1, to state which versions this program speaks.
+    pub(super) fn send_hello_to_older_peers(&mut self, actions: &mut Actions) {
         let max = self.versions.supported.max;
         if self.now < self.versions.next_hello_at || max < FIRST_VERSION_WITH_RANGE {
             return;
--- a/crates/dunepond-membership/src/counters.rs
+++ b/crates/dunepond-membership/src/counters.rs
@@ -1,5 +1,5 @@
-//! Counters since the start of the process. The names under which they are printed are part of the operators' pages and
-//! must not change.
+//! Counters since the start of the process. Operators rely on the names under which they are printed, so these must not
+//! change.
 
 use crate::error::PeerError;
 use serde::Serialize;
@@ -7,22 +7,23 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $field:ident as $printed:literal,)*) => {
-        /// The values of the counters since the start, which never decrease.
+        /// The values of the counters since the start of the membership; they never decrease.
         #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
         pub struct Counters { $($(#[$doc])* #[serde(rename = $printed)] pub $field: u64,)* }
 
-        /// The counters as the thread writes them.
+        /// The counters as atomics, which the membership's thread and its callers increment.
         #[derive(Default)]
         pub(crate) struct CounterCells { $(pub $field: AtomicU64,)* }
 
         impl Counters {
-            /// All counters with the names under which they are printed.
+            /// Returns all counters with the names under which they are printed.
             pub fn list(&self) -> Vec<(&'static str, u64)> {
                 vec![$(($printed, self.$field),)*]
             }
         }
 
         impl CounterCells {
+            /// Returns the current values.
             pub fn read(&self) -> Counters {
                 Counters { $($field: self.$field.load(Relaxed),)* }
             }
@@ -35,33 +36,33 @@
     datagrams_in as "datagrams_in",
     /// Datagrams sent.
     datagrams_out as "datagrams_out",
-    /// Own requests that were accepted; the next counters state how they ended.
+    /// Requests of this broker that were accepted for sending.
     requests_sent as "asks",
-    /// Own requests with a response.
+    /// Requests of this broker that received a response.
     responses as "answered",
-    /// Own requests that the peer refused.
+    /// Requests of this broker that the peer refused.
     refused_by_peer as "refused_by_peer",
-    /// Own requests without a response before the deadline.
+    /// Requests of this broker that received no response before the deadline.
     timed_out as "late",
-    /// Own requests to peers that could not be reached.
+    /// Requests of this broker to peers that could not be reached.
     unreachable as "unreachable",
-    /// Own requests whose connection was lost.
+    /// Requests of this broker whose connection was lost before the response was complete.
     connections_lost as "broken",
-    /// Own requests that ended at once because the peer is in backoff.
+    /// Requests of this broker that were not sent because the peer was in backoff.
     backed_off as "rested",
-    /// Own requests that were not accepted, because there were too many or they were too large.
+    /// Requests of this broker that were not accepted, because there were too many or they were too large.
     requests_rejected as "not_taken",
-    /// Requests of peers that the caller received.
+    /// Requests of peers that were passed to the caller.
     requests_received as "asked",
     /// Requests of peers that were refused because a limit was reached.
     requests_shed as "asked_busy",
-    /// Suspected members that were sent a liveness check.
+    /// Liveness checks that were sent to suspected members.
     liveness_checks_sent as "signs",
-    /// Liveness checks with a response.
+    /// Liveness checks of this broker that received a valid response.
     liveness_checks_passed as "signs_came",
-    /// Liveness checks of peers that were answered.
+    /// Liveness checks of peers that this broker answered.
     liveness_checks_answered as "signs_given",
-    /// Connections from peers.
+    /// Connections that were accepted from peers.
     connections_in as "connections_in",
     /// Connections from peers that were closed because a limit was reached, or because they sent no verified request in
     /// time.
@@ -88,20 +89,21 @@
     too_large as "too_large",
     /// Messages that were rejected because the member table is full.
     too_many_members as "full",
-    /// Refusals received by datagram. If this grows, this broker's key, name or version differs from that of the
-    /// others.
+    /// Refusals that were received by datagram. If this counter grows, the key, name or version of this broker does not
+    /// match the other brokers.
     refusals_received as "refused_us",
-    /// Membership changes that the caller did not receive, because a later change of the same name replaced them in the
+    /// Membership changes that the caller did not receive, because a later change of the same peer replaced them in the
     /// queue.
     coalesced as "coalesced",
 }
 
+/// Adds one to a counter.
 pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Relaxed);
 }
 
 impl CounterCells {
-    /// Counts a message that was rejected.
+    /// Increments the counter of the reason for which a message was rejected.
     pub fn record_rejected(&self, error: &PeerError) {
         increment(match error {
             PeerError::Malformed { .. } | PeerError::Gossip { .. } => &self.malformed,
@@ -120,7 +122,7 @@
         });
     }
 
-    /// Counts the end of an own request.
+    /// Increments the counter of the outcome of a request of this broker.
     pub fn record_response(&self, result: &Result<Vec<u8>, PeerError>) {
         increment(match result {
             Ok(_) => &self.responses,
--- a/crates/dunepond-membership/src/event.rs
+++ b/crates/dunepond-membership/src/event.rs
@@ -1,4 +1,4 @@
-//! Events for the caller: requests of peers, responses to its own requests, and changes of the membership.
+//! Events for the caller: requests of peers, outcomes of the caller's requests, and changes of the membership.
 
 use crate::error::PeerError;
 use crate::identity::Peer;
@@ -6,38 +6,38 @@
 use crate::request_kind::RequestKind;
 use tokio::sync::oneshot;
 
-/// The right to respond to one request, once. If it is dropped without a response, the peer receives
-/// [`RefusalReason::NoResponse`].
+/// Handle with which the caller responds to one request, at most once. If it is dropped without a response, the peer
+/// receives [`RefusalReason::NoResponse`].
 #[derive(Debug)]
 pub struct Responder(pub(crate) oneshot::Sender<Result<Vec<u8>, RefusalReason>>);
 
 /// An event for the caller.
 #[derive(Debug)]
 pub enum Event {
-    /// A verified peer sends a request; respond with [`Peers::respond`](crate::Peers::respond).
+    /// A request of a verified peer; respond with [`Peers::respond`](crate::Peers::respond).
     Request {
-        /// The peer's name.
+        /// Name of the peer that sent the request.
         from: String,
         /// The kind of request.
         kind: RequestKind,
         /// The body of the request.
         body: Vec<u8>,
-        /// Accepts the response.
+        /// Handle with which to respond.
         responder: Responder,
     },
-    /// The one outcome of a request that [`Peers::request`](crate::Peers::request) accepted.
+    /// The outcome of a request that [`Peers::request`](crate::Peers::request) accepted.
     Response {
         /// The id of the request.
         id: u64,
-        /// The peer's name.
+        /// Name of the peer that the request was addressed to.
         to: String,
         /// The body of the response, or why there is none.
         result: Result<Vec<u8>, PeerError>,
     },
-    /// The peer is alive: it is new, it returned, or it refuted a suspicion.
+    /// A peer is alive: it joined, it returned, or it refuted a suspicion.
     PeerUp(Peer),
-    /// The peer is suspected.
+    /// The peer of this name is suspected to be down.
     PeerSuspected(String),
-    /// The peer left, or was declared down.
+    /// The peer of this name left, or was declared down.
     PeerDown(String),
 }
--- a/crates/dunepond-membership/src/event_loop.rs
+++ b/crates/dunepond-membership/src/event_loop.rs
@@ -18,12 +18,12 @@
 
 /// Largest number of datagrams that are read in one iteration, so that a flood does not delay timers and requests.
 const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
-/// Interval at which events are offered again that the caller's channel had no room for.
+/// Interval at which queued events, for which the caller's channel had no room, are sent again.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(5);
-/// The shortest sleep, so that a tick that is due at once does not spin.
+/// Shortest sleep between iterations, in seconds, so that the loop does not spin while a tick is due.
 const MIN_SLEEP_SECONDS: f64 = 0.001;
 
-/// What the thread owns.
+/// What the membership's thread owns.
 pub(crate) struct EventLoop {
     pub sockets: BoundSockets,
     pub options: MembershipOptions,
@@ -34,7 +34,8 @@
     pub stopped: watch::Receiver<bool>,
 }
 
-/// Runs until [`crate::Peers::stop`] is called or the handle is dropped, and then leaves the fleet.
+/// Runs the event loop until [`crate::Peers::stop`] is called or the handle is dropped, and then tells the members that
+/// this broker leaves.
 pub(crate) async fn run(event_loop: EventLoop) {
     let EventLoop { sockets, options, core, shared, mut requests, events, mut stopped } = event_loop;
     let registered =
@@ -59,7 +60,7 @@
         let checks = context.core.borrow_mut().due_liveness_checks();
         checks.into_iter().for_each(|check| client.check_liveness(check, outcomes.clone()));
         if read == MAX_DATAGRAMS_PER_ITERATION {
-            // More datagrams may wait; without this yield a flood would keep the thread from requests.
+            // More datagrams may wait; without this yield a flood would keep the thread from handling requests.
             tokio::task::yield_now().await;
         }
         let events_wait = context.events.borrow().has_waiting();
@@ -81,7 +82,7 @@
     context.apply(actions);
 }
 
-/// Processes datagrams that wait in the socket, and returns their number.
+/// Processes datagrams that wait in the socket, up to the limit for one iteration, and returns their number.
 fn read_datagrams(context: &Context, buffer: &mut [u8]) -> usize {
     let mut read = 0;
     while read < MAX_DATAGRAMS_PER_ITERATION {
@@ -94,6 +95,7 @@
     read
 }
 
+/// Passes the outcome of a liveness check to the core, and carries out the resulting actions.
 fn apply_liveness_outcome(context: &Context, outcome: &LivenessOutcome) {
     let response = outcome.response.as_ref();
     let address = response.map_or(context.options.listen_address, |response| response.address);
--- a/crates/dunepond-membership/src/event_queue.rs
+++ b/crates/dunepond-membership/src/event_queue.rs
@@ -12,17 +12,18 @@
 use std::sync::atomic::Ordering::Relaxed;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// The outcome of an own request, with the reservations that it holds until the caller receives it.
+/// The outcome of a request of this broker, with the reservations that it holds until the caller receives it.
 pub(crate) struct CompletedRequest {
     pub id: u64,
     pub to: String,
     pub result: Result<Vec<u8>, PeerError>,
-    /// Reservation of the response's body.
+    /// Reservation of memory for the response's body; `None` if there is no response.
     pub receive_permit: Option<OwnedSemaphorePermit>,
     /// Size of the request's body, in bytes.
     pub request_bytes: usize,
 }
 
+/// The event of a completed request, until it is sent to the caller.
 struct QueuedResponse {
     event: Event,
     response_bytes: usize,
@@ -31,12 +32,13 @@
 }
 
 /// A queue for events that the channel to the caller has no room for. There are at most as many responses as requests
-/// may be in flight, and only the last change of each name is queued.
+/// may be in flight, and only the last change of each peer is queued.
 pub(crate) struct EventQueue {
     channel: Sender<Event>,
-    /// Sizes of the events that were sent last; the channel's length shows how many of them are unread.
+    /// Sizes of the events that were sent last, in bytes; the channel's length shows how many of them are unread.
     sent_bytes: VecDeque<usize>,
     responses: VecDeque<QueuedResponse>,
+    /// The last queued membership change of each peer, by name.
     changes: BTreeMap<String, Event>,
     shared: Arc<Shared>,
 }
@@ -52,7 +54,8 @@
         }
     }
 
-    /// Whether there is room for `bytes` more among the unread events. One event always has room.
+    /// Returns whether the limit on unread events leaves room for an event of `bytes` bytes. If the unread events have
+    /// no bytes, there is room for an event of any size.
     fn has_room(&mut self, bytes: usize) -> bool {
         while self.sent_bytes.len() > self.channel.len() {
             self.sent_bytes.pop_front();
@@ -61,7 +64,7 @@
         unread == 0 || unread + bytes <= self.shared.limits.max_receive_bytes
     }
 
-    /// Sends an event, or returns it if there is no room.
+    /// Sends an event to the caller, or returns it if there is no room.
     fn try_send(&mut self, event: Event, bytes: usize) -> Result<(), Event> {
         if !self.has_room(bytes) {
             return Err(event);
@@ -75,7 +78,7 @@
         })
     }
 
-    /// Sends a request of a peer, which is refused rather than queued if there is no room.
+    /// Sends a peer's request to the caller. If there is no room, the request is refused instead of queued.
     pub fn push_request(
         &mut self,
         from: String,
@@ -88,7 +91,7 @@
         self.try_send(event, bytes).map_err(|_| RefusalReason::Busy)
     }
 
-    /// Sends or queues the outcome of an own request.
+    /// Sends or queues the outcome of a request of this broker.
     pub fn push_response(&mut self, completed: CompletedRequest) {
         let CompletedRequest { id, to, result, receive_permit, request_bytes } = completed;
         let response_bytes = result.as_ref().map_or(0, Vec::len);
@@ -113,7 +116,7 @@
         self.flush();
     }
 
-    /// Sends as many queued events as there is room for now.
+    /// Sends queued events, membership changes first, while there is room.
     pub fn flush(&mut self) {
         while let Some((name, event)) = self.changes.pop_first() {
             if let Err(event) = self.try_send(event, 0) {
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Whether any event is queued.
+    /// Returns whether any event is queued.
     pub fn has_waiting(&self) -> bool {
         !self.responses.is_empty() || !self.changes.is_empty()
     }
--- a/crates/dunepond-membership/src/gossip.rs
+++ b/crates/dunepond-membership/src/gossip.rs
@@ -5,21 +5,23 @@
 use crate::identity::PeerId;
 use foca::{Codec, Header, Member, PostcardCodec};
 
-/// The part of a datagram about one member, with its encoding.
+/// An update about one member, with its encoding.
 struct Update<'a> {
     member: Member<PeerId>,
     encoded: &'a [u8],
 }
 
-/// A datagram of the library.
+/// A decoded datagram of the gossip library.
 pub(crate) struct GossipMessage<'a> {
     pub header: Header<PeerId>,
     encoded_header: &'a [u8],
     updates: Vec<Update<'a>>,
+    /// Whether anything follows the header; if so, the number of updates does.
     has_update_count: bool,
 }
 
 impl<'a> GossipMessage<'a> {
+    /// Decodes a datagram. `from` is the sender's address, which only errors use.
     pub fn decode(payload: &'a [u8], from: &str) -> Result<GossipMessage<'a>, PeerError> {
         let malformed = || PeerError::Malformed { from: from.into() };
         let mut rest = payload;
@@ -36,14 +38,14 @@
                 updates.push(Update { member, encoded: &before[..before.len() - rest.len()] });
             }
         }
-        // Members send nothing after the updates: unread bytes would reach the library unfiltered.
+        // Members send nothing after the updates, and trailing bytes would reach the library unfiltered.
         if !rest.is_empty() {
             return Err(malformed());
         }
         Ok(GossipMessage { header, encoded_header, updates, has_update_count })
     }
 
-    /// The members that the datagram has updates about.
+    /// Returns the members that the updates are about.
     pub fn subjects(&self) -> impl Iterator<Item = &PeerId> {
         self.updates.iter().map(|update| update.member.id())
     }
@@ -53,7 +55,7 @@
         self.updates.retain(|update| accept(update.member.id()));
     }
 
-    /// The datagram with the remaining updates.
+    /// Encodes the datagram with the remaining updates.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.encoded_header.to_vec();
         if self.has_update_count {
--- a/crates/dunepond-membership/src/handle.rs
+++ b/crates/dunepond-membership/src/handle.rs
@@ -1,5 +1,5 @@
-//! The callers' handle, which starts the membership's thread and passes requests to it through bounded queues that
-//! never block a caller.
+//! The callers' handle, which starts the membership's thread and passes requests to it through bounded queues without
+//! ever blocking a caller.
 
 use crate::client::OutboundRequest;
 use crate::core::Core;
@@ -22,10 +22,11 @@
 use tokio::sync::{mpsc, watch};
 
 const THREAD_NAME: &str = "peers";
-/// Request ids start below a quarter of their range, so that they never wrap.
+/// Right shift of the random first request id, in bits: ids start in the lowest quarter of their range, so that they
+/// never wrap.
 const FIRST_ID_SHIFT: u32 = 2;
 
-/// A running membership. All calls except [`Peers::stop`] return at once.
+/// Handle of a running membership. All methods except [`Peers::stop`] return without blocking.
 pub struct Peers {
     shared: Arc<Shared>,
     requests: mpsc::Sender<OutboundRequest>,
@@ -36,12 +37,13 @@
     max_request_timeout_seconds: f64,
 }
 
-/// Binds the sockets and starts the membership.
+/// Binds the sockets and starts the membership. Returns its handle and the channel of its events.
 pub fn start(options: MembershipOptions) -> Result<(Peers, Receiver<Event>), PeerError> {
     start_on(bind(options.listen_address)?, options)
 }
 
-/// Starts the membership on sockets that are bound; `options.listen_address` is ignored.
+/// Starts the membership on sockets that are already bound; `options.listen_address` is ignored. Returns its handle and
+/// the channel of its events.
 pub fn start_on(
     sockets: BoundSockets,
     mut options: MembershipOptions,
@@ -67,7 +69,7 @@
     };
     let main = move || tokio::task::LocalSet::new().block_on(&runtime, run(event_loop));
     let thread = std::thread::Builder::new().name(THREAD_NAME.into()).spawn(main).map_err(thread_error)?;
-    // The first id is random, so that a recorded response to a request of an earlier incarnation matches none of this
+    // The first id is random, so that a recorded response to an earlier incarnation does not match a request of this
     // one.
     let first_id = u64::from_le_bytes(random_bytes()?) >> FIRST_ID_SHIFT;
     let peers = Peers {
@@ -99,13 +101,13 @@
 }
 
 impl Peers {
-    /// The address on which this broker listens.
+    /// Returns the address on which this broker listens.
     pub fn local_addr(&self) -> SocketAddr {
         self.local_addr
     }
 
-    /// Sends a request to `to`, a configured peer or a member, with a timeout in seconds. Returns its id, which the one
-    /// [`Event::Response`] that ends the request repeats. After an error no event follows.
+    /// Sends a request to `to`, the name of a configured peer or a member, with a timeout in seconds. Returns the id of
+    /// the request, with which exactly one [`Event::Response`] follows. If this returns an error, no event follows.
     pub fn request(
         &self,
         to: &str,
@@ -119,6 +121,7 @@
         accepted
     }
 
+    /// Checks the limits, and passes the request to the membership's thread.
     fn submit(
         &self,
         to: &str,
@@ -152,8 +155,8 @@
         Ok(id)
     }
 
-    /// Responds to a request. After the request's deadline the response is dropped; a body above the limit is replaced
-    /// by [`RefusalReason::TooLarge`].
+    /// Responds to a peer's request. After the request's deadline the response is dropped; a body above the limit is
+    /// replaced by [`RefusalReason::TooLarge`].
     pub fn respond(&self, responder: Responder, result: Result<Vec<u8>, RefusalReason>) {
         let max_bytes = self.shared.limits.max_body_bytes;
         let result = match result {
@@ -165,18 +168,18 @@
         let _ = responder.0.send(result);
     }
 
-    /// All members by name, including those that went down recently.
+    /// Returns all members in the order of their names, including those that went down recently.
     pub fn members(&self) -> Vec<Peer> {
         self.shared.members.load().to_vec()
     }
 
-    /// The values of the counters so far.
+    /// Returns the current values of the counters.
     pub fn counters(&self) -> Counters {
         self.shared.counters.read()
     }
 
-    /// Tells the members that this broker leaves, and ends the thread, for which it waits some milliseconds. Requests
-    /// in flight get no event.
+    /// Tells the members that this broker leaves, and waits until the membership's thread has ended, which takes some
+    /// milliseconds. Requests in flight get no event.
     pub fn stop(mut self) {
         self.stop.send_replace(true);
         if let Some(thread) = self.thread.take() {
--- a/crates/dunepond-membership/src/http.rs
+++ b/crates/dunepond-membership/src/http.rs
@@ -1,16 +1,16 @@
-//! Definitions that client and server of the HTTP channel share.
+//! Definitions that the client and the server of the HTTP request channel share.
 
 use crate::refusal::RefusalReason;
 use hyper::StatusCode;
 
 /// The content type of each request and response, which is part of the wire format.
 pub(crate) const CONTENT_TYPE: &str = "application/x-dunepond-peers";
-/// Largest size of the head of a request or response; the usual size is some hundred bytes.
+/// Largest size of the HTTP head of a request or response, in bytes; the usual size is some hundred bytes.
 pub(crate) const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Largest size that the encoding of a message adds to a body.
+/// Largest size that the encoding of a message adds to its body, in bytes.
 pub(crate) const MESSAGE_OVERHEAD_BYTES: usize = 1024;
 
-/// The status of a response that carries a refusal.
+/// Returns the HTTP status of a response that carries this refusal.
 pub(crate) fn status(reason: &RefusalReason) -> StatusCode {
     match reason {
         RefusalReason::Busy => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/dunepond-membership/src/identity.rs
+++ b/crates/dunepond-membership/src/identity.rs
@@ -8,11 +8,11 @@
 pub struct PeerId {
     /// The broker's name, unique in the fleet.
     pub name: String,
-    /// Incarnation of the broker, which grows with each start under the same name.
+    /// Incarnation of the broker, which increases with each start under the same name.
     pub incarnation: u64,
-    /// Number of times that it rejoined without a restart after others had declared it down.
+    /// Number of times that the broker rejoined without a restart after others had declared it down.
     pub renewals: u32,
-    /// Address on which it states that it listens, UDP and TCP.
+    /// Address on which the broker states that it listens, for UDP and TCP.
     pub listen_address: SocketAddr,
 }
 
@@ -27,7 +27,8 @@
         self.name.clone()
     }
 
-    /// The address is compared last, so that all members decide alike between two that claim the same incarnation.
+    /// Returns whether this identity replaces `other`, which has the same name. The address is compared last, so that
+    /// all members choose the same one of two that claim the same incarnation.
     fn win_addr_conflict(&self, other: &PeerId) -> bool {
         (self.incarnation, self.renewals, self.listen_address)
             > (other.incarnation, other.renewals, other.listen_address)
@@ -50,9 +51,9 @@
 pub struct Peer {
     /// Name of the member.
     pub name: String,
-    /// The last known incarnation.
+    /// Latest known incarnation of the member.
     pub incarnation: u64,
-    /// Address on which it states that it listens; messages go to its configured address, if it has one.
+    /// Address on which the member states that it listens; messages go to its configured address, if it has one.
     pub listen_address: SocketAddr,
     /// The failure detector's view of the member.
     pub state: PeerState,
--- a/crates/dunepond-membership/src/incarnations.rs
+++ b/crates/dunepond-membership/src/incarnations.rs
@@ -14,15 +14,18 @@
 
 /// The state of the latest incarnation of one name.
 struct Incarnation {
+    /// Number of the incarnation.
     number: u64,
+    /// Time of the last message of the incarnation, in seconds.
     last_received_at: f64,
-    /// The token that it issued to this broker; 0 if there is none yet.
+    /// The address token that the incarnation issued to this broker; 0 if there is none yet.
     issued_token: u64,
-    /// Whether it has echoed the token that this broker issued.
+    /// Whether the incarnation has echoed the address token that this broker issued to it.
     has_echoed_token: bool,
     versions: PeerVersions,
-    /// Datagrams and requests are numbered separately, since one may overtake the other.
+    /// Sequence numbers of received datagrams, which are numbered separately since they may overtake requests.
     datagrams: ReplayWindow,
+    /// Sequence numbers of received requests, which are numbered separately since they may overtake datagrams.
     requests: ReplayWindow,
 }
 
@@ -50,8 +53,9 @@
 
 /// The latest incarnation of each name.
 pub(crate) struct Incarnations {
+    /// Secret from which this broker's address tokens are derived.
     token_secret: [u8; 32],
-    /// How long an earlier incarnation is refused after the last message of a later one, in seconds.
+    /// Time for which an earlier incarnation is refused after the last message of a later one, in seconds.
     retention_seconds: f64,
     /// Largest number of tracked names that are not configured.
     max_unknown_names: usize,
@@ -63,39 +67,39 @@
         Incarnations { token_secret, retention_seconds, max_unknown_names, by_name: BTreeMap::new() }
     }
 
-    /// The address token that this broker issues to `name`; never 0.
+    /// Returns the address token that this broker issues to `name`; it is never 0.
     pub fn token_for(&self, name: &str) -> u64 {
         let hash = blake3::keyed_hash(&self.token_secret, name.as_bytes());
-        let bytes: [u8; 8] = hash.as_bytes()[..8].try_into().expect("eight of thirty-two");
+        let bytes: [u8; 8] = hash.as_bytes()[..8].try_into().expect("a BLAKE3 hash has 32 bytes");
         u64::from_le_bytes(bytes).max(1)
     }
 
-    /// The address token that `name` issued to this broker; 0 if there is none.
+    /// Returns the address token that `name` issued to this broker; 0 if there is none.
     pub fn token_from(&self, name: &str) -> u64 {
         self.by_name.get(name).map_or(0, |latest| latest.issued_token)
     }
 
-    /// The protocol versions of the latest incarnation of `name`.
+    /// Returns the protocol versions of the latest incarnation of `name`, if one is known.
     pub fn versions(&self, name: &str) -> Option<PeerVersions> {
         self.by_name.get(name).map(|latest| latest.versions)
     }
 
-    /// Whether this very incarnation has echoed this broker's token.
+    /// Returns whether the incarnation `id` is the latest one of its name, and has echoed this broker's address token.
     pub fn has_echoed(&self, id: &PeerId) -> bool {
         self.by_name
             .get(&id.name)
             .is_some_and(|latest| latest.has_echoed_token && latest.number == id.incarnation)
     }
 
-    /// Refuses an incarnation earlier than the one that is a member (`active`, 0 if none) or that sent a message
-    /// recently. A later one that is down does not exclude it forever: a broker whose folder was restored must be able
-    /// to send requests.
+    /// Fails if a later incarnation of the same name is a member (`active`, 0 if there is none) or has sent a message
+    /// recently. A later incarnation that is down does not exclude an earlier one forever: a broker whose data folder
+    /// was restored must be able to send requests.
     pub fn check_not_stale(&self, id: &PeerId, active: u64, now: f64) -> Result<(), PeerError> {
-        let heard = self
+        let recent = self
             .by_name
             .get(&id.name)
             .filter(|latest| now - latest.last_received_at < self.retention_seconds);
-        let known = active.max(heard.map_or(0, |latest| latest.number));
+        let known = active.max(recent.map_or(0, |latest| latest.number));
         if id.incarnation < known {
             let (name, incarnation) = (id.name.clone(), id.incarnation);
             return Err(PeerError::StaleIncarnation { name, incarnation, known });
@@ -103,7 +107,8 @@
         Ok(())
     }
 
-    /// Records that this incarnation sent a message. Unknown names cannot crowd out configured ones.
+    /// Records that the incarnation `id` sent a message. Fails if its name is not configured and too many names are
+    /// tracked, so that unknown names cannot exclude configured ones.
     pub fn record_received(
         &mut self,
         id: &PeerId,
@@ -124,19 +129,20 @@
             *latest = new();
         }
         latest.last_received_at = now;
-        // An incarnation runs one program: a range once stated stays valid, even if the program has taken this one for
-        // an older program since.
+        // An incarnation runs one program, so a range that it stated stays valid, even if it later sends version 1
+        // because it assumes that this program is older.
         if envelope.version > 1 {
             latest.versions = PeerVersions { range: envelope.supported, stated: true };
         }
         Ok(())
     }
 
-    /// Whether a message of an incarnation that was just recorded is received for the first time.
+    /// Records the sequence number of a message whose sender was just recorded. Returns whether the message is received
+    /// for the first time.
     pub fn record_sequence(&mut self, header: &MessageHeader, sequence: u64) -> bool {
         let Some(latest) = self.by_name.get_mut(&header.from.name) else { return true };
-        // Another token under the same incarnation means that the sender's folder was restored, and its numbers start
-        // over.
+        // Another token under the same incarnation means that the sender's data folder was restored, so that its
+        // sequence numbers start over.
         let issued = header.issued_token;
         if issued != 0 && latest.issued_token != 0 && issued != latest.issued_token {
             (latest.datagrams, latest.requests) = Default::default();
@@ -147,7 +153,7 @@
         }
     }
 
-    /// Stores the tokens of a message of an incarnation that was just recorded.
+    /// Stores the address tokens of a message whose sender was just recorded.
     pub fn record_tokens(&mut self, name: &str, issued: u64, echoed: u64) {
         let own_token = self.token_for(name);
         if let Some(latest) = self.by_name.get_mut(name) {
--- a/crates/dunepond-membership/src/lib.rs
+++ b/crates/dunepond-membership/src/lib.rs
@@ -1,13 +1,14 @@
 //! Membership among brokers, and requests between them: a gossip protocol with suspicion and incarnations over UDP
 //! (`foca`), and a request channel over HTTP/1.1 (`hyper`), on one thread of its own. Events reach the caller over a
-//! bounded channel; no call waits for a peer, and no peer can make any state here grow without limit.
+//! bounded channel; no call waits for a peer, and no peer can make the state of this crate grow without limit.
 //!
 //! Brokers that share a configuration must reach each other while some are partitioned, slow, stalled or down, and
-//! while something that is not a broker, or that speaks another version, sends to the same port. None of it may delay
-//! the loop that serves queries.
+//! while programs that are not brokers, or that speak another protocol version, send to the same port. None of this may
+//! delay the event loop that serves queries.
 //!
-//! [`Core`] is the part without input and output: it uses no socket, file, clock or thread. [`start`] runs it. Times
-//! are in seconds (f64) on a steady clock, sizes in bytes. `docs/notes/membership.md` explains the design.
+//! [`Core`] is the part without input and output: it uses no socket, file, clock or thread. [`start`] runs it on real
+//! sockets. Times are in seconds (f64) on a monotonic clock, sizes in bytes. `docs/notes/membership.md` explains the
+//! design.
 #![warn(missing_docs)]
 
 mod backoff;
--- a/crates/dunepond-membership/src/messages.rs
+++ b/crates/dunepond-membership/src/messages.rs
@@ -11,7 +11,8 @@
 pub struct Envelope {
     /// The protocol version of the rest of the message.
     pub version: u8,
-    /// The versions that the sender speaks; version 1 does not state them and counts as that version alone.
+    /// The protocol versions that the sender speaks; a message of version 1 does not state them and counts as stating
+    /// version 1 alone.
     pub supported: VersionRange,
     /// Sequence number, which grows with each datagram, and separately with each request, of a sender's incarnation to
     /// one receiver. It is 0 in version 1 and in responses.
@@ -30,11 +31,11 @@
     pub from: PeerId,
     /// Name of the receiver.
     pub to: String,
-    /// The address token that the sender issues to the receiver; 0 for none.
+    /// The address token that the sender issues to the receiver; 0 if there is none.
     pub issued_token: u64,
-    /// The address token that the sender has from the receiver; 0 for none.
+    /// The address token that the receiver issued to the sender, as the sender knows it; 0 if there is none.
     pub echoed_token: u64,
-    /// Type of the message.
+    /// Type of the message, with the fields that only this type has.
     pub message_type: MessageType,
 }
 
@@ -49,17 +50,17 @@
         id: u64,
         /// Kind of the request.
         kind: KindCode,
-        /// How long the sender waits, in milliseconds.
+        /// Time for which the sender waits for the response, in milliseconds.
         timeout_ms: u32,
     },
     /// The response to a request.
     Response {
-        /// Id of the request.
+        /// Id of the request, as the request states it.
         id: u64,
     },
     /// A refusal, which carries a [`RefusalReason`](crate::RefusalReason).
     Refusal {
-        /// Id of the request; 0 for a datagram.
+        /// Id of the refused request; 0 if a datagram was refused, or the request could not be decoded.
         id: u64,
     },
     /// A hello without a payload, which states the sender's versions and carries address tokens. It exists from version
@@ -70,10 +71,10 @@
 /// A decoded message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
-    /// Version, range and sequence number of the message.
+    /// Protocol version, sender's version range and sequence number.
     pub envelope: Envelope,
-    /// Header of the message.
+    /// Sender, receiver and purpose.
     pub header: MessageHeader,
-    /// Payload of the message.
+    /// Payload, whose form depends on the type of the message.
     pub payload: &'a [u8],
 }
--- a/crates/dunepond-membership/src/options.rs
+++ b/crates/dunepond-membership/src/options.rs
@@ -1,27 +1,27 @@
-//! The options of the membership, and their check.
+//! The options of the membership, and their validation.
 
 use crate::codec::MAX_OVERHEAD_BYTES;
 use crate::error::PeerError;
 use crate::version::VersionRange;
 use std::net::SocketAddr;
 
-/// The largest datagram that the limits may allow: UDP's own limit without headers.
+/// Largest datagram that the limits may allow, in bytes: UDP's own limit without headers.
 const MAX_UDP_PAYLOAD_BYTES: usize = 65_000;
-/// Upper limit of all durations, in seconds; each must be shorter.
+/// Exclusive upper bound of all durations, in seconds.
 const DURATION_BOUND_SECONDS: f64 = 1e6;
 
-/// Limits on concurrent work, queues and sizes. Whatever exceeds one is refused with a typed error.
+/// Limits on concurrent work, queues and sizes. Whatever exceeds a limit is refused with a typed error.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Largest size of the body of one request or response, in bytes.
     pub max_body_bytes: usize,
     /// Largest size of one datagram in bytes, including header and authentication code.
     pub max_datagram_bytes: usize,
-    /// Largest number of own requests in flight, over all peers.
+    /// Largest number of this broker's requests in flight, over all peers.
     pub max_requests: usize,
-    /// Largest number of own requests in flight to one peer.
+    /// Largest number of this broker's requests in flight to one peer.
     pub max_requests_per_peer: usize,
-    /// Largest number of connections to one peer; each carries one request at a time.
+    /// Largest number of connections to one peer; each connection carries one request at a time.
     pub max_connections_per_peer: usize,
     /// Largest number of connections from peers.
     pub max_incoming_connections: usize,
@@ -33,9 +33,10 @@
     pub max_queued_events: usize,
     /// Largest number of names in the member table beyond the configured ones, including those that are down.
     pub max_members: usize,
-    /// Largest size of all bodies that are being received, and of all events that wait for the caller, in bytes each.
+    /// Largest total size of all bodies that are being received, in bytes; the same limit applies separately to all
+    /// events that wait for the caller.
     pub max_receive_bytes: usize,
-    /// Largest size of this broker's requests in flight, in bytes.
+    /// Largest total size of the bodies of this broker's requests in flight, in bytes.
     pub max_send_bytes: usize,
     /// Largest number of datagrams per second from one peer.
     pub max_datagrams_per_second: u32,
@@ -64,33 +65,34 @@
     }
 }
 
-/// Intervals and timeouts.
+/// Intervals and timeouts, in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timing {
-    /// Interval at which one member is probed.
+    /// Interval at which this broker probes one member, in seconds.
     pub probe_interval_seconds: f64,
-    /// How long a probed member has to answer before others are asked to probe it.
+    /// Time for which a probed member may take to answer before other members are asked to probe it, in seconds.
     pub probe_timeout_seconds: f64,
-    /// How long a suspected member has to refute the suspicion.
+    /// Time for which a suspected member may refute the suspicion before it is declared down, in seconds.
     pub suspicion_timeout_seconds: f64,
-    /// Interval of announcements to configured peers that are not members.
+    /// Interval of announcements to configured peers that are not members, in seconds.
     pub announce_interval_seconds: f64,
-    /// Gap between two ticks from which this process counts as stalled; timers that wait for others are then extended
-    /// by the gap.
+    /// Gap between two events of the core above which this process counts as stalled, in seconds; all timers of the
+    /// gossip protocol are then extended by the gap.
     pub stall_threshold_seconds: f64,
-    /// Longest time for opening a connection.
+    /// Longest time for opening a connection, in seconds.
     pub connect_timeout_seconds: f64,
-    /// The backoff after the first failed connection, doubling with jitter.
+    /// Backoff after the first failure to reach a peer, in seconds; it doubles with each further failure, with jitter.
     pub initial_backoff_seconds: f64,
-    /// The longest backoff.
+    /// Longest backoff, in seconds.
     pub max_backoff_seconds: f64,
-    /// How long a new connection has to deliver a verified request.
+    /// Time within which a new connection must deliver a verified request, in seconds; otherwise it is closed.
     pub first_request_timeout_seconds: f64,
-    /// How long a connection without a request stays open.
+    /// Time for which a connection without a request stays open, in seconds.
     pub idle_timeout_seconds: f64,
-    /// Longest time for receiving a body, and for each write of a response.
+    /// Longest time for receiving the body of a peer's request, and for each write of a response, in seconds.
     pub transfer_timeout_seconds: f64,
-    /// Longest timeout of a request, whoever sends it.
+    /// Longest timeout of a request, whether this broker or a peer sends it, in seconds; longer ones are shortened to
+    /// it.
     pub max_request_timeout_seconds: f64,
 }
 
@@ -118,19 +120,22 @@
 pub struct MembershipOptions {
     /// Name of this broker.
     pub name: String,
-    /// Incarnation, which must grow with each start under the same name: the greater incarnation wins.
+    /// Incarnation of this broker, which must increase with each start under the same name: of two, the greater one
+    /// counts.
     pub incarnation: u64,
-    /// Address on which to listen, UDP and TCP on one port; port 0 selects a free one.
+    /// Address on which to listen, with UDP and TCP on one port; port 0 selects a free one.
     pub listen_address: SocketAddr,
-    /// Configured names with the address to send to, which may be a relay's and is never replaced by what peers state.
-    /// This broker's own name may be among them.
+    /// Configured peers: names, with the addresses to which messages are sent. An address may be that of a relay, and
+    /// is never replaced by the address that a peer states. This broker's own name may be among them, and is ignored.
     pub known_peers: Vec<(String, SocketAddr)>,
-    /// Seed of the random choices.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// The fleet's shared secret of 16 bytes or more. With it each message is authenticated and addresses prove
-    /// nothing; without it a configured name must send from its configured address, so that no relay can be in between.
+    /// The fleet's shared secret of 16 bytes or more. With a key, each message is authenticated, and its source address
+    /// is not checked; without one, a configured peer must send from its configured address, so that no relay can be in
+    /// between.
     pub key: Option<String>,
-    /// The protocol versions to speak; a smaller range lets a newer program act as an older one.
+    /// The protocol versions that this broker speaks; a smaller range than the program's own lets it act as an older
+    /// program.
     pub supported_versions: VersionRange,
     /// Limits on work and sizes.
     pub limits: Limits,
@@ -139,7 +144,7 @@
 }
 
 impl MembershipOptions {
-    /// Options without a key, with default limits and timing.
+    /// Creates options without a key, with default limits and timing.
     pub fn new(
         name: &str,
         incarnation: u64,
@@ -160,7 +165,7 @@
         }
     }
 
-    /// Checks limits and timing. The error names the first option with a value that cannot work.
+    /// Checks limits and timing. The error names the first option with an invalid value.
     pub(crate) fn check(&self) -> Result<(), PeerError> {
         self.limits.check()?;
         self.timing.check()
--- a/crates/dunepond-membership/src/rate_limit.rs
+++ b/crates/dunepond-membership/src/rate_limit.rs
@@ -1,18 +1,20 @@
-//! Limits on the number of messages per second.
+//! Limits on the number of messages per second from each sender.
 
 use std::collections::BTreeMap;
 
-/// Time without a message after which a name is dropped when a new one is added, in seconds.
+/// Age at which a name's last window is dropped when a new name is added, in seconds.
 const RETENTION_SECONDS: f64 = 60.0;
 const WINDOW_SECONDS: f64 = 1.0;
 
+/// The messages of one name since the start of its current window.
 struct Window {
+    /// Time of the window's first message, in seconds.
     start: f64,
     count: u32,
 }
 
-/// Counts messages by name in windows of a second. Only verified names are counted, so there are no more entries than
-/// members.
+/// Counts messages by name, in windows of one second. Callers pass verified names only, so that there are no more
+/// entries than members.
 #[derive(Default)]
 pub struct RateLimiter {
     windows: BTreeMap<String, Window>,
--- a/crates/dunepond-membership/src/refusal.rs
+++ b/crates/dunepond-membership/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The reason for which a request or datagram was refused, which is sent back to its sender.
+//! The reason for which a request or datagram is refused, which is sent back to its sender.
 
 use crate::version::VersionRange;
 use serde::{Deserialize, Serialize};
@@ -10,45 +10,46 @@
     /// A limit on concurrent work is reached.
     #[error("overloaded: a limit on concurrent requests is reached")]
     Busy,
-    /// The caller at the peer did not respond before the deadline.
+    /// The peer's caller did not respond before the deadline.
     #[error("no response before the request's deadline")]
     Timeout,
     /// The body exceeds the receiver's limit.
     #[error("the body is larger than {max_bytes} bytes")]
     TooLarge {
-        /// The limit in bytes.
+        /// The receiver's limit, in bytes.
         max_bytes: u64,
     },
-    /// The form of [`RefusalReason::UnsupportedVersion`] that version 1 reads.
-    #[error("it speaks protocol version {supported} and received version {stated}")]
+    /// There is no common protocol version; this is the form of [`RefusalReason::UnsupportedVersion`] that programs of
+    /// version 1 read.
+    #[error("the receiver speaks protocol version {supported}, the message has version {stated}")]
     UnsupportedVersionV1 {
-        /// The version that was received.
+        /// The protocol version of the refused message.
         stated: u8,
-        /// The highest version of the refusing program.
+        /// The highest protocol version that the refusing program speaks.
         supported: u8,
     },
-    /// The name cannot be verified for the address of the sender.
+    /// The name that the sender claims cannot be verified for its address.
     #[error("the sender cannot be verified as {name}")]
     UnverifiedSender {
-        /// The claimed name.
+        /// The name that the sender claims.
         name: String,
     },
     /// The message authentication code is wrong.
     #[error("the message authentication code does not match")]
     AuthenticationFailed,
-    /// The sender is an earlier incarnation than the one known.
-    #[error("a later incarnation of {name} is known: {known}")]
+    /// The sender's incarnation is earlier than the latest one that is known under its name.
+    #[error("the later incarnation {known} of {name} is known")]
     StaleIncarnation {
         /// The sender's name.
         name: String,
-        /// The known incarnation.
+        /// The latest known incarnation of that name.
         known: u64,
     },
     /// The message cannot be decoded.
     #[error("the message cannot be decoded")]
     Malformed,
     /// The message is addressed to another broker.
-    #[error("the message is for another broker; this is {name}")]
+    #[error("the message is addressed to another broker than the receiver, {name}")]
     WrongRecipient {
         /// The name of the refusing broker.
         name: String,
@@ -56,41 +57,41 @@
     /// The sender exceeds its message rate.
     #[error("the sender exceeds its message rate")]
     RateLimited,
-    /// The member table is full.
-    #[error("the member table is full")]
+    /// The receiver's table of members that are not configured is full.
+    #[error("the receiver's member table is full")]
     TooManyMembers,
-    /// The caller at the peer dropped the request.
+    /// The peer's caller dropped the request without a response.
     #[error("the request was dropped without a response")]
     NoResponse,
-    /// The caller at the peer refused the request for a reason of its own.
+    /// The peer's caller refused the request, for the reason that this text states.
     #[error("declined: {0}")]
     Declined(String),
     /// There is no common protocol version. This reason exists from version 2 on.
-    #[error("it speaks protocol versions {supported}, the sender {stated}")]
+    #[error("there is no common protocol version: the receiver speaks {supported}, the sender {stated}")]
     UnsupportedVersion {
-        /// The range that the sender stated.
+        /// The version range that the sender stated.
         stated: VersionRange,
-        /// The range of the refusing program.
+        /// The version range of the refusing program.
         supported: VersionRange,
     },
     /// The peer does not know the kind of request. This reason exists from version 2 on; in version 1 it is
     /// [`RefusalReason::Malformed`].
-    #[error("requests of kind {kind} are unknown there")]
+    #[error("the receiver does not know requests of kind {kind}")]
     UnknownKind {
-        /// Number of the kind.
+        /// Number of the kind, as the request states it.
         kind: u32,
     },
-    /// The request does not echo the address token of the receiver's incarnation; the refusal carries the token. This
-    /// reason exists from version 2 on.
+    /// The request does not echo the address token of the receiver's current incarnation; the refusal carries the
+    /// token. This reason exists from version 2 on.
     #[error("the request lacks the receiver's current address token")]
     InvalidToken,
-    /// The sequence number was received before. This reason exists from version 2 on.
+    /// The sequence number was received before, or is too old to be checked. This reason exists from version 2 on.
     #[error("the message is a replay")]
     Replayed,
 }
 
 impl RefusalReason {
-    /// The reason in a form that exists in `version`.
+    /// Returns the reason in a form that exists in protocol version `version`.
     pub fn for_version(self, version: u8) -> RefusalReason {
         match self {
             RefusalReason::UnsupportedVersion { stated, supported } if version < 2 => {
@@ -105,51 +106,55 @@
         }
     }
 
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the refusal.
     pub fn help(&self) -> &'static str {
         match self {
             RefusalReason::Busy => {
-                "passes by itself; if it lasts, look at that broker's load and its counter `asked_busy`"
+                "usually temporary; if it persists, check that broker's load and its counter `asked_busy`"
             }
-            RefusalReason::Timeout => "that broker is slow: look at its load and at its disk",
+            RefusalReason::Timeout => "that broker is slow: check its load and its disk",
             RefusalReason::TooLarge { .. } => {
-                "a document exceeds the limit on bodies: split it, or raise the limit at all brokers"
+                "a document exceeds the limit on bodies: split it, or raise the limit on all brokers"
             }
             RefusalReason::UnsupportedVersionV1 { .. } | RefusalReason::UnsupportedVersion { .. } => {
                 "upgrade the older of the two programs to a release between them: without a common protocol version they cannot communicate"
             }
             RefusalReason::InvalidToken => {
-                "passes by itself: the sender has the token now, or with that broker's next datagram"
+                "temporary: the sender has the token now, or receives it with that broker's next datagram"
             }
             RefusalReason::Replayed => {
-                "something between the brokers repeats or delays messages: look at relays and at who else is on the network"
+                "something between the brokers repeats or delays messages: check relays, and other hosts on the network"
             }
             RefusalReason::UnknownKind { .. } => {
-                "that broker runs an older program, and the sender does without: finish the roll-out"
+                "that broker runs an older program, and the sender continues without such requests: finish the roll-out"
             }
             RefusalReason::UnverifiedSender { .. } => {
-                "two brokers use one name, or the file names another address for it; behind a relay the fleet needs `key`"
+                "two brokers use one name, or the configuration file has another address for it; behind a relay the fleet needs `key`"
+            }
+            RefusalReason::AuthenticationFailed => {
+                "the two brokers' configuration files have different values of `key`: set the same one"
             }
-            RefusalReason::AuthenticationFailed => "the fleet's `key` differs between the two files",
             RefusalReason::StaleIncarnation { .. } => {
-                "two processes run under one name: end the earlier one; or a folder was restored and its start counter went back"
+                "two processes run under one name: stop the earlier one; or a data folder was restored and its start counter went back"
             }
             RefusalReason::Malformed => {
-                "something that is no broker of this fleet sends to this port, or the network corrupts bytes"
+                "something that is not a broker of this fleet sends to this port, or the network corrupts data"
             }
             RefusalReason::WrongRecipient { .. } => {
-                "the file gives a name the address of another broker: correct `at`"
+                "the sender's configuration file has that broker's address under another name: correct `at` there"
             }
             RefusalReason::RateLimited => {
-                "a broker sends without limit: look at its log, restart it if it goes on"
+                "a broker sends too many messages: check its log, and restart it if it continues"
             }
             RefusalReason::TooManyMembers => {
-                "more names than the limit on members: names should stay the same over restarts"
+                "there are more names than the limit on members allows: keep each broker's name the same over restarts"
             }
             RefusalReason::NoResponse => {
-                "that broker is shutting down, or does not serve this kind of request: look whether its file has `fleet`"
+                "that broker is shutting down, or does not serve this kind of request: check that its configuration file has `fleet`"
+            }
+            RefusalReason::Declined(_) => {
+                "that broker declined the request itself: see the reason in the message"
             }
-            RefusalReason::Declined(_) => "the reason stands in the message; it is that broker's own",
         }
     }
 }
--- a/crates/dunepond-membership/src/replay.rs
+++ b/crates/dunepond-membership/src/replay.rs
@@ -1,11 +1,11 @@
-//! Replay protection, by the sequence numbers that were received from a sender.
+//! Detection of replayed messages by their sequence numbers.
 
 use std::collections::BTreeSet;
 
-/// How many numbers before the latest are tracked individually; older ones count as replays.
+/// Number of sequence numbers up to the latest that are tracked individually; earlier ones count as replays.
 const REPLAY_WINDOW: u64 = 1024;
 
-/// The sequence numbers that were received recently.
+/// The sequence numbers that were received recently from one sender.
 #[derive(Default)]
 pub(crate) struct ReplayWindow {
     received: BTreeSet<u64>,
--- a/crates/dunepond-membership/src/request_kind.rs
+++ b/crates/dunepond-membership/src/request_kind.rs
@@ -1,27 +1,27 @@
-//! The kinds of request, with their numbers in messages, their HTTP paths, and the protocol versions that introduced
-//! them.
+//! The kinds of request between brokers, with their numbers in messages, their HTTP paths, and the protocol versions
+//! that introduced them.
 
 use serde::{Deserialize, Serialize};
 
-/// The kinds of request between brokers. The order is the wire format.
+/// The kind of a request between brokers. The order of the variants is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RequestKind {
     /// Messages of the replicated log.
     Raft,
-    /// A request for a lease, or for its renewal.
+    /// A request for a lease, or for the renewal of a lease.
     Lease,
-    /// A new version of the configuration that is proposed to the leader.
+    /// A proposal to the leader of a new configuration version.
     Propose,
-    /// An exchange of transfer counts.
+    /// An exchange of the counts of transfers between partners.
     TransferCounts,
-    /// A report of or a request for a replica fill.
+    /// A report on a replica fill, or a request for one.
     Fill,
-    /// A push of committed configuration.
+    /// A push of the committed configuration.
     State,
     /// A liveness check, which this crate answers itself: a suspected member is asked, over a connection, to refute the
     /// suspicion.
     LivenessCheck,
-    /// A rebalance plan that is offered to the leader.
+    /// An offer of a rebalance plan to the leader.
     RebalancePlan,
 }
 
@@ -38,7 +38,7 @@
         RequestKind::RebalancePlan,
     ];
 
-    /// The path of the kind's HTTP request.
+    /// Returns the HTTP path of requests of this kind, which is part of the wire format.
     pub fn path(self) -> &'static str {
         match self {
             RequestKind::Raft => "/raft",
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The first protocol version that has the kind.
+    /// Returns the first protocol version that has this kind.
     pub fn min_version(self) -> u8 {
         match self {
             RequestKind::Raft
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The kind with this HTTP path.
+    /// Returns the kind with the HTTP path `path`, if there is one.
     pub fn from_path(path: &str) -> Option<RequestKind> {
         RequestKind::ALL.into_iter().find(|kind| kind.path() == path)
     }
@@ -83,7 +83,7 @@
 }
 
 impl KindCode {
-    /// The kind, if this program knows it.
+    /// Returns the kind with this number, if this program knows it.
     pub fn kind(self) -> Option<RequestKind> {
         RequestKind::ALL.get(self.0 as usize).copied()
     }
--- a/crates/dunepond-membership/src/sender_auth.rs
+++ b/crates/dunepond-membership/src/sender_auth.rs
@@ -1,39 +1,43 @@
 //! Verification of senders. With the fleet's key, the authentication code shows that the sender holds the key. Without
-//! one, only what the machine itself guarantees is accepted: a configured name sends from its configured address. On
-//! one machine no process can send from a UDP port that another one holds.
+//! a key, a message must come from the address that its sender states, and a configured name must state its configured
+//! address. This relies on the operating system: on one machine no process can send from a UDP port that another
+//! process has bound.
 
 use crate::error::PeerError;
 use crate::identity::PeerId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Largest length of a broker's name.
+/// Largest length of a broker's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// How a message arrived: a datagram is sent from the port on which its sender listens, a connection from any port.
+/// The transport over which a message arrived. A datagram is sent from the port on which its sender listens, a
+/// connection is opened from any port.
 #[derive(Clone, Copy, Debug)]
 pub enum Transport {
-    /// UDP.
+    /// A UDP datagram.
     Datagram,
-    /// TCP.
+    /// A TCP connection.
     Connection,
 }
 
-/// Policy that decides which senders, and which claims about third parties, are accepted.
+/// Policy that decides which senders, and which updates about third parties, are accepted.
 pub struct SenderPolicy {
     pub(crate) local_name: String,
     pub(crate) has_key: bool,
+    /// Addresses of the configured peers, by name, without this broker.
     pub(crate) known_peers: BTreeMap<String, SocketAddr>,
 }
 
+/// Returns whether a broker's name has a length and characters that the protocol allows.
 pub(crate) fn is_valid_name(name: &str) -> bool {
-    let allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.:".contains(letter);
+    let allowed = |character: char| character.is_ascii_alphanumeric() || "-_.:".contains(character);
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(allowed)
 }
 
 impl SenderPolicy {
-    /// Creates the policy of a fleet with or without a key, and of its configured peers. Invalid names, and two
-    /// addresses for one name, are errors.
+    /// Creates the policy for a fleet with or without a key. Invalid names, and two addresses for one configured name,
+    /// are errors.
     pub fn new(
         local_name: &str,
         has_key: bool,
@@ -53,7 +57,8 @@
         Ok(SenderPolicy { local_name: local_name.into(), has_key, known_peers: addresses })
     }
 
-    /// Verifies the sender of an authenticated message from `source`. `active_member` is the identity that is alive under its name.
+    /// Verifies the sender of an authenticated message from `source`. `active_member` is the member of the same name
+    /// that is not down, if there is one.
     pub fn verify_sender(
         &self,
         id: &PeerId,
@@ -71,20 +76,16 @@
         if self.has_key {
             return Ok(());
         }
-        let sent_from_there = match transport {
+        let source_matches = match transport {
             Transport::Datagram => source == id.listen_address,
             Transport::Connection => source.ip() == id.listen_address.ip(),
         };
-        if sent_from_there && self.is_expected_address(id, active_member) {
-            Ok(())
-        } else {
-            Err(unverified())
-        }
+        if source_matches && self.is_expected_address(id, active_member) { Ok(()) } else { Err(unverified()) }
     }
 
-    /// Whether gossip about a third party is accepted, ignored, or an error. Without a key no member may report on
-    /// another incarnation than the one that sent from its own address: otherwise any member could declare another down
-    /// with a greater incarnation.
+    /// Decides on a gossip update about a third party: `Ok(true)` accepts it, `Ok(false)` ignores it, and an error
+    /// rejects it. Without a key, an update must be about the incarnation that sent from its own address; otherwise any
+    /// member could declare another one down under a greater incarnation.
     pub fn accepts_update(
         &self,
         about: &PeerId,
@@ -106,13 +107,13 @@
         }
         Ok(match active_member {
             Some(member) => member == about,
-            // A configured peer receives announcements at its address, and reports on itself.
+            // A configured peer is announced to at its address, and reports on itself.
             None => !self.known_peers.contains_key(&about.name),
         })
     }
 
-    /// Without a key, a configured name has its configured address; any other name keeps its address while it is a
-    /// member.
+    /// Returns whether the address that `id` states is the one expected without a key: the configured address of a
+    /// configured name; the unchanged address of any other name while it is a member.
     fn is_expected_address(&self, id: &PeerId, active_member: Option<&PeerId>) -> bool {
         match self.known_peers.get(&id.name) {
             Some(address) => *address == id.listen_address,
--- a/crates/dunepond-membership/src/server/mod.rs
+++ b/crates/dunepond-membership/src/server/mod.rs
@@ -1,4 +1,5 @@
-//! Connections from peers, which are accepted up to a limit and closed if they send no verified request in time.
+//! The server for peers' requests. Connections are accepted up to a limit, and closed if they send no verified request
+//! in time.
 
 mod request;
 mod response;
@@ -18,21 +19,23 @@
 use tokio::sync::Notify;
 use tokio_io_timeout::TimeoutStream;
 
-/// Pause after a failed accept: the process has no free descriptors, and the next attempt would fail at once.
+/// Pause after a failed accept: the process has no free file descriptors, and another attempt would fail at once.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(50);
 
 /// A connection from a peer.
 struct Connection {
-    /// Whether it has sent a verified request.
+    /// Whether the connection has delivered a verified request.
     verified: Cell<bool>,
+    /// Notified when the connection must close.
     close: Notify,
 }
 
+/// The connections from peers, and their pending requests.
 pub(crate) struct Server {
     context: Rc<Context>,
-    /// Connections, in the order in which they were accepted.
+    /// Open connections by number, in the order in which they were accepted.
     connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
-    /// Requests that the caller has not responded to, by the peer's name.
+    /// Number of requests that the caller has not responded to, by the peer's name.
     pending: RefCell<BTreeMap<String, usize>>,
 }
 
@@ -64,8 +67,8 @@
 }
 
 impl Server {
-    /// Whether there is room for one more connection. At the limit, the oldest one without a verified request is
-    /// closed, so that strangers cannot exclude peers.
+    /// Returns whether one more connection can be accepted. At the limit, the oldest connection without a verified
+    /// request is closed to make room, so that unverified senders cannot exclude peers.
     fn make_room(&self) -> bool {
         let mut connections = self.connections.borrow_mut();
         if connections.len() < self.context.options.limits.max_incoming_connections {
@@ -83,11 +86,12 @@
         })
     }
 
+    /// Serves requests on a connection until it ends, must close, or delivers no verified request in time.
     async fn serve(self: &Rc<Self>, stream: TcpStream, source: SocketAddr, connection: Rc<Connection>) {
         let timing = &self.context.options.timing;
         let _ = stream.set_nodelay(true);
         let mut stream = TimeoutStream::new(stream);
-        // A peer that does not read a response would otherwise keep it in this process's memory.
+        // Without this timeout, a peer that does not read a response would keep it in this process's memory.
         stream.set_write_timeout(Some(Duration::from_secs_f64(timing.transfer_timeout_seconds)));
         let service = service_fn(|request| {
             let (server, connection) = (self.clone(), connection.clone());
--- a/crates/dunepond-membership/src/server/request.rs
+++ b/crates/dunepond-membership/src/server/request.rs
@@ -1,5 +1,5 @@
-//! The handling of one request of a peer: it is received, verified, passed to the caller and answered. Each phase ends
-//! in a typed error that tells the peer the reason.
+//! The handling of one request of a peer: it is received, verified, passed to the caller and answered. Each phase can
+//! fail with a typed error, from which the refusal to the peer is derived.
 
 use super::response::ResponseTarget;
 use super::{Connection, Server};
@@ -22,7 +22,7 @@
 
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// A received body, with its reservation.
+/// A received body, with its path and the reservation of memory for it.
 struct ReceivedBody {
     path: String,
     bytes: Bytes,
@@ -39,7 +39,7 @@
     payload: &'a [u8],
 }
 
-/// Counts one request that the caller has not responded to.
+/// Counts a request of the peer `name` as pending until dropped.
 struct PendingGuard {
     server: Rc<Server>,
     name: String,
@@ -58,6 +58,7 @@
 }
 
 impl Server {
+    /// Handles a request, and returns the response or refusal.
     pub(super) async fn handle(
         self: &Rc<Self>,
         request: Request<Incoming>,
@@ -75,19 +76,20 @@
         }
     }
 
+    /// Increments the counter of the reason for which a request failed.
     fn count_failure(&self, error: &PeerError) {
         match error {
             PeerError::Refused { reason: RefusalReason::Busy, .. } | PeerError::Busy { .. } => {
                 increment(&self.context.shared.counters.requests_shed)
             }
-            // The caller's own answer, or the lack of one.
+            // The caller refused the request or did not respond, or the body was not received in time.
             PeerError::Refused { .. } | PeerError::Timeout { .. } => {}
             rejected => self.context.report_rejected(rejected),
         }
     }
 
-    /// Runs all phases. `target` is set as soon as it is known whom a response names, so that the peer can read a
-    /// refusal.
+    /// Runs all phases of a request, and returns the response's body. `target` is filled in as soon as the request's
+    /// version and sender are known, so that the peer can also read a refusal.
     async fn process(
         self: &Rc<Self>,
         request: Request<Incoming>,
@@ -95,7 +97,7 @@
         connection: &Connection,
         target: &mut ResponseTarget,
     ) -> Result<Vec<u8>, PeerError> {
-        // The permit is held until the response is available.
+        // The memory stays reserved until the response is available.
         let ReceivedBody { path, bytes, receive_permit: _receive_permit } =
             self.receive_body(request, source).await?;
         target.version = self.context.core.borrow().response_version(&bytes);
@@ -114,7 +116,7 @@
         self.await_response(response, timeout_ms).await
     }
 
-    /// Receives the body, after reserving memory for it.
+    /// Receives the body of a request, after reserving memory for it.
     async fn receive_body(
         &self,
         request: Request<Incoming>,
@@ -147,7 +149,7 @@
         Ok(ReceivedBody { path, bytes, receive_permit })
     }
 
-    /// Decodes the message, whose kind must match the path.
+    /// Decodes a request, whose kind must match the HTTP path.
     fn decode_request<'a>(
         &self,
         path: &str,
@@ -167,6 +169,7 @@
         Ok(DecodedRequest { envelope, header, id, code, timeout_ms, payload })
     }
 
+    /// Checks that the request is from a verified sender, and for this broker.
     fn verify(
         &self,
         request: &DecodedRequest<'_>,
@@ -183,13 +186,15 @@
         Ok(())
     }
 
-    /// A newer program may send a kind that this one does not know, and continues without it.
+    /// Returns the kind of a request, or a refusal if this program does not know it. A newer program may send such a
+    /// kind, and continues after the refusal.
     fn supported_kind(&self, code: KindCode) -> Result<RequestKind, PeerError> {
         let supported = self.context.core.borrow().supported_versions();
         let kind = code.kind().filter(|kind| kind.min_version() <= supported.max);
         kind.ok_or_else(|| self.refused(RefusalReason::UnknownKind { kind: code.0 }))
     }
 
+    /// Answers a liveness check without the caller, and returns the response's body.
     fn answer_liveness_check(&self, request: &DecodedRequest<'_>) -> Result<Vec<u8>, PeerError> {
         let answered = self.context.core.borrow_mut().answer_liveness_check(&request.header, request.payload);
         let (body, actions) = answered?;
@@ -198,20 +203,21 @@
         Ok(body)
     }
 
-    /// Acquires one of the places for requests that the caller has not responded to.
+    /// Counts a request of the peer `name` as pending, or fails if a limit on pending requests is reached.
     fn reserve_pending(self: &Rc<Self>, name: &str) -> Result<PendingGuard, PeerError> {
         let limits = &self.context.options.limits;
         let mut pending = self.pending.borrow_mut();
         let total: usize = pending.values().sum();
-        let of_peer = pending.get(name).copied().unwrap_or(0);
-        if total >= limits.max_pending_requests || of_peer >= limits.max_pending_requests_per_peer {
+        let peer_count = pending.get(name).copied().unwrap_or(0);
+        if total >= limits.max_pending_requests || peer_count >= limits.max_pending_requests_per_peer {
             let to = self.context.options.name.clone();
             return Err(PeerError::Busy { to, limit: limits.max_pending_requests });
         }
-        pending.insert(name.into(), of_peer + 1);
+        pending.insert(name.into(), peer_count + 1);
         Ok(PendingGuard { server: self.clone(), name: name.into() })
     }
 
+    /// Sends a request to the caller, and returns the channel on which the response arrives.
     fn pass_to_caller(
         &self,
         from: String,
@@ -225,6 +231,7 @@
         Ok(receiver)
     }
 
+    /// Waits for the caller's response until the request's deadline.
     async fn await_response(
         &self,
         response: oneshot::Receiver<Result<Vec<u8>, RefusalReason>>,
--- a/crates/dunepond-membership/src/server/response.rs
+++ b/crates/dunepond-membership/src/server/response.rs
@@ -9,16 +9,19 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
-/// The peer that a response names, as far as the request could be read.
+/// The receiver of a response, as far as it could be read from the request.
 #[derive(Default)]
 pub(super) struct ResponseTarget {
+    /// Name of the peer; empty if the request could not be decoded.
     pub name: String,
+    /// Id of the request; 0 if it could not be decoded.
     pub request_id: u64,
-    /// The protocol version that the peer reads; 0 until a message was received.
+    /// The protocol version in which to respond; 0 if no message was received.
     pub version: u8,
 }
 
 impl Server {
+    /// Builds the HTTP response that carries the result of a request.
     pub(super) fn respond(
         &self,
         target: &ResponseTarget,
@@ -39,13 +42,14 @@
         *response.status_mut() = status;
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(CONTENT_TYPE));
-        // A peer that is not verified, or whose body was not received, loses the connection.
+        // The connection is closed if the peer was not verified or its body was not received.
         if !status.is_success() && !status.is_server_error() {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
+    /// Encodes a response or refusal in the version that the peer reads.
     fn encode(
         &self,
         target: &ResponseTarget,
--- a/crates/dunepond-membership/src/shared.rs
+++ b/crates/dunepond-membership/src/shared.rs
@@ -6,15 +6,15 @@
 use arc_swap::ArcSwap;
 use std::sync::atomic::AtomicUsize;
 
-/// State that is shared between callers and the thread.
+/// State that callers and the membership's thread share.
 pub(crate) struct Shared {
     pub limits: Limits,
     pub counters: CounterCells,
-    /// The members as they were last reported.
+    /// All members, as of the last membership change.
     pub members: ArcSwap<Vec<Peer>>,
-    /// Number of own requests whose response the caller has not received.
+    /// Number of this broker's requests whose outcome has not been sent to the caller.
     pub requests_in_flight: AtomicUsize,
-    /// Size of those requests, in bytes.
+    /// Total size of the bodies of this broker's requests whose outcome has not been sent to the caller, in bytes.
     pub send_bytes_in_flight: AtomicUsize,
 }
 
--- a/crates/dunepond-membership/src/sockets.rs
+++ b/crates/dunepond-membership/src/sockets.rs
@@ -6,7 +6,7 @@
 /// Number of attempts to find a port that is free for both kinds of socket.
 const MAX_PORTS_TRIED: usize = 32;
 
-/// Both sockets, before any message is sent on them.
+/// The bound UDP and TCP sockets of a broker that is not started yet.
 pub struct BoundSockets {
     pub(crate) tcp: TcpListener,
     pub(crate) udp: UdpSocket,
@@ -14,13 +14,13 @@
 }
 
 impl BoundSockets {
-    /// The address with its final port.
+    /// Returns the address to which both sockets are bound, with its final port.
     pub fn local_addr(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// Binds UDP and TCP on one port; port 0 selects one that is free for both.
+/// Binds UDP and TCP sockets to one port; port 0 selects one that is free for both.
 pub fn bind(listen_address: SocketAddr) -> Result<BoundSockets, PeerError> {
     let attempts = if listen_address.port() == 0 { MAX_PORTS_TRIED } else { 1 };
     let mut reason = String::new();
--- a/crates/dunepond-membership/src/version.rs
+++ b/crates/dunepond-membership/src/version.rs
@@ -1,38 +1,39 @@
-//! Protocol versions. Each program speaks one contiguous range; two programs use the highest version that both speak, so that a fleet can
-//! be upgraded and rolled back one program at a time.
+//! Protocol versions. Each program speaks one contiguous range of versions; two programs use the highest version that
+//! both speak, so that a fleet can be upgraded and rolled back one program at a time.
 
 use serde::{Deserialize, Serialize};
 
 /// The highest protocol version that this program speaks.
 pub const PROTOCOL_VERSION: u8 = 2;
-/// The first version whose messages state the sender's range, carry a sequence number and must echo an address token.
+/// The first version whose messages state the sender's version range, carry a sequence number and must echo an address
+/// token.
 pub(crate) const FIRST_VERSION_WITH_RANGE: u8 = 2;
 
 /// An inclusive range of protocol versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct VersionRange {
-    /// The lowest version.
+    /// The lowest version in the range.
     pub min: u8,
-    /// The highest version.
+    /// The highest version in the range.
     pub max: u8,
 }
 
 impl VersionRange {
-    /// The range of this program.
+    /// The versions that this program speaks.
     pub const SUPPORTED: VersionRange = VersionRange { min: 1, max: PROTOCOL_VERSION };
 
-    /// The range with only one version.
+    /// Returns the range that contains only `version`.
     pub const fn exactly(version: u8) -> VersionRange {
         VersionRange { min: version, max: version }
     }
 
-    /// The highest version in both ranges, if there is one.
+    /// Returns the highest version that is in both ranges, if there is one.
     pub fn highest_common(self, other: VersionRange) -> Option<u8> {
         let max = self.max.min(other.max);
         (max >= self.min.max(other.min)).then_some(max)
     }
 
-    /// Whether `version` is in the range.
+    /// Returns whether `version` is in the range.
     pub fn contains(self, version: u8) -> bool {
         (self.min..=self.max).contains(&version)
     }
