--- a/crates/dunepond-membership/src/client.rs
+++ b/crates/dunepond-membership/src/client.rs
@@ -272,7 +272,7 @@
             .map_err(|_| PeerError::UnknownPeer { to: to() })?;
         let response = self.http.request(http_request).await.map_err(|error| {
             if error.is_connect() {
-                PeerError::Unreachable { to: to(), at: address, reason: root_cause(&error) }
+                PeerError::Unreachable { to: to(), address, reason: root_cause(&error) }
             } else {
                 PeerError::ConnectionLost { to: to() }
             }
--- a/crates/dunepond-membership/src/error.rs
+++ b/crates/dunepond-membership/src/error.rs
@@ -10,8 +10,8 @@
 #[allow(missing_docs, reason = "the message of each variant says what its fields are")]
 pub enum PeerError {
     /// The sockets cannot be bound.
-    #[error("cannot listen on {at}: {reason}")]
-    Bind { at: SocketAddr, reason: String },
+    #[error("cannot listen on {address}: {reason}")]
+    Bind { address: SocketAddr, reason: String },
     /// The membership's thread, its runtime or its random numbers cannot be obtained from the system.
     #[error("cannot start the membership thread: {reason}")]
     Thread { reason: String },
@@ -44,8 +44,8 @@
     #[error("{to} could not be reached recently; the next attempt is possible in {wait_seconds:.3} s")]
     BackingOff { to: String, wait_seconds: f64 },
     /// The connection could not be opened.
-    #[error("{to} cannot be reached at {at}: {reason}")]
-    Unreachable { to: String, at: SocketAddr, reason: String },
+    #[error("{to} cannot be reached at {address}: {reason}")]
+    Unreachable { to: String, address: SocketAddr, reason: String },
     /// No response arrived before the deadline.
     #[error("{to} did not respond within {timeout_seconds:.3} s")]
     Timeout { to: String, timeout_seconds: f64 },
--- a/crates/dunepond-membership/src/sockets.rs
+++ b/crates/dunepond-membership/src/sockets.rs
@@ -30,7 +30,7 @@
             Err(error) => reason = error.to_string(),
         }
     }
-    Err(PeerError::Bind { at: listen_address, reason })
+    Err(PeerError::Bind { address: listen_address, reason })
 }
 
 fn bind_once(listen_address: SocketAddr) -> std::io::Result<BoundSockets> {
--- a/crates/dunepond-membership/tests/core/failure_detection.rs
+++ b/crates/dunepond-membership/tests/core/failure_detection.rs
@@ -14,7 +14,7 @@
     assert!(network.all_alive());
     network.clear_changes();
     network.stalled[0] = true;
-    // Nothing that is sent meanwhile reaches it, as the socket buffer is limited.
+    // Datagrams that are sent during the stall are lost, as if they exceeded the socket's buffer.
     network.run_until(11.0, |_, to| to == 0);
     assert!(network.changes[1].contains(&"down n0".into()), "{:?}", network.changes[1]);
     network.stalled[0] = false;
@@ -23,7 +23,8 @@
     assert!(network.all_alive(), "{:?}", network.changes);
 }
 
-/// n3 is suspected when n0 stalls, and refutes the suspicion while n0 receives nothing.
+/// n0 stalls while it suspects n3, and misses the refutation, since it receives nothing during the stall. Without an
+/// extension of the suspicion timeout it would declare n3 down.
 #[rstest]
 fn stall_extends_suspicion_timeouts(#[values(false, true)] key: bool) {
     let mut network = SimulatedNetwork::new(5, key);
@@ -43,7 +44,7 @@
 }
 
 #[rstest]
-fn one_way_partition_brings_no_peer_down(#[values(false, true)] key: bool) {
+fn one_way_partition_does_not_bring_peers_down(#[values(false, true)] key: bool) {
     let mut network = SimulatedNetwork::new(5, key);
     network.run_until(3.0, no_loss);
     network.clear_changes();
@@ -71,7 +72,8 @@
     assert!(network.all_alive());
 }
 
-/// No datagram reaches n0, because a flood fills its socket. It is alive, and responds over connections.
+/// No datagram reaches n0, because a flood fills its socket. It must not be declared down, since it still responds to
+/// liveness checks over connections.
 #[rstest]
 fn flooded_peer_stays_up_by_liveness_checks(#[values(false, true)] key: bool, #[values(2, 5)] count: usize) {
     let mut network = SimulatedNetwork::new(count, key);
@@ -82,13 +84,14 @@
     let changes: Vec<&String> = network.changes.iter().flatten().collect();
     assert!(changes.iter().any(|change| change.starts_with("suspect")), "{changes:?}");
     assert!(!changes.iter().any(|change| change.starts_with("down")), "{changes:?}");
-    // A dead peer is declared down as before.
+    // A peer that does not respond over connections either is still declared down.
     network.stalled[0] = true;
     network.run_until(60.0, |_, to| to == 0);
     assert!(network.changes[1].contains(&"down n0".into()), "{:?}", network.changes[1]);
 }
 
-/// A request in a member's name only shows that it is alive if it echoes the token that was sent to its address.
+/// A liveness check changes the membership, so without a key it must echo the token that was sent to the sender's
+/// address: otherwise any process could send one in a member's name.
 #[test]
 fn liveness_check_requires_address_token() {
     let mut network = SimulatedNetwork::new(3, false);
@@ -125,7 +128,7 @@
     assert!(network.changes[0].contains(&"up n2 2".into()), "{:?}", network.changes[0]);
     assert!(network.all_alive());
     let authenticator = Authenticator::new(key.then_some(KEY)).unwrap();
-    let late = MessageHeader {
+    let stale_header = MessageHeader {
         from: earlier,
         to: name(0),
         issued_token: 0,
@@ -133,7 +136,11 @@
         message_type: MessageType::Gossip,
     };
     let error = network.cores[0]
-        .on_datagram(network.now, address(2), &encode(&Envelope::VERSION_1, &late, b"", &authenticator))
+        .on_datagram(
+            network.now,
+            address(2),
+            &encode(&Envelope::VERSION_1, &stale_header, b"", &authenticator),
+        )
         .error;
     assert!(matches!(error, Some(PeerError::StaleIncarnation { incarnation: 1, known: 2, .. })), "{error:?}");
 }
--- a/crates/dunepond-membership/tests/core/limits.rs
+++ b/crates/dunepond-membership/tests/core/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on messages and names.
+//! Limits on the rate of messages and on the number of names.
 
 use dunepond_membership::{
     Authenticator, Core, Envelope, Limits, MessageHeader, MessageType, PeerError, PeerId, RefusalReason,
@@ -41,17 +41,17 @@
     assert!(matches!(errors[9], Some(PeerError::RateLimited { per_second: 10, .. })), "{errors:?}");
     assert_eq!(errors[8], None);
 
-    // The same limit applies to names that only gossip mentions, and to names that send without becoming members.
+    // The limit on names also applies to names in gossip updates, and to senders that do not become members.
     let mut network = SimulatedNetwork::new(3, false);
     network.run_until(3.0, no_loss);
-    let stranger = |number: usize| {
-        let (name, listen) = (format!("s{number}"), address(100 + number));
-        foca::Member::alive(PeerId { name, incarnation: 1, renewals: 0, listen_address: listen })
+    let unknown_member = |number: usize| {
+        let (name, listen_address) = (format!("s{number}"), address(100 + number));
+        foca::Member::alive(PeerId { name, incarnation: 1, renewals: 0, listen_address })
     };
-    for part in 0..20 {
-        let named: Vec<_> = (20 * part..20 * (part + 1)).map(stranger).collect();
-        let error = deliver_from_n2(&mut network, foca::Message::Gossip, &named).error;
-        assert_eq!(error.is_some(), part >= 12, "{part}: {error:?}");
+    for batch in 0..20 {
+        let updates: Vec<_> = (20 * batch..20 * (batch + 1)).map(unknown_member).collect();
+        let error = deliver_from_n2(&mut network, foca::Message::Gossip, &updates).error;
+        assert_eq!(error.is_some(), batch >= 12, "{batch}: {error:?}");
     }
     assert!(network.cores[0].members().len() <= 2 + 256);
     let mut core = Core::new(&options, [0; 32], 0.0).unwrap();
--- a/crates/dunepond-membership/tests/core/main.rs
+++ b/crates/dunepond-membership/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! The core on a simulated network.
+//! Tests of the core on a simulated network.
 
 mod failure_detection;
 mod limits;
--- a/crates/dunepond-membership/tests/core/network.rs
+++ b/crates/dunepond-membership/tests/core/network.rs
@@ -1,4 +1,4 @@
-//! A simulated network of membership cores: the test controls clock, losses and stalls.
+//! A simulated network of membership cores, whose clock, losses and stalls the test controls.
 
 use dunepond_membership::{
     Actions, Authenticator, Core, Envelope, Event, LivenessCheck, MembershipOptions, Message, MessageHeader,
@@ -9,34 +9,43 @@
 
 pub const KEY: &str = "a key of these tests";
 
+/// Listen address of broker `number`.
 pub fn address(number: usize) -> SocketAddr {
     format!("127.0.0.1:{}", 7000 + number).parse().unwrap()
 }
 
+/// Name of broker `number`.
 pub fn name(number: usize) -> String {
     format!("n{number}")
 }
 
+/// Options of broker `number` of `count` brokers, with or without a key.
 pub fn options(number: usize, incarnation: u64, count: usize, key: bool) -> MembershipOptions {
-    let known = (0..count).map(|other| (name(other), address(other))).collect();
+    let known_peers = (0..count).map(|other| (name(other), address(other))).collect();
     let mut options =
-        MembershipOptions::new(&name(number), incarnation, address(number), known, number as u64);
+        MembershipOptions::new(&name(number), incarnation, address(number), known_peers, number as u64);
     options.key = key.then(|| KEY.into());
     options
 }
 
+/// Membership cores on a simulated network.
 pub struct SimulatedNetwork {
+    /// Simulated time, in seconds.
     pub now: f64,
     pub cores: Vec<Core>,
-    /// Stalled brokers.
+    /// Whether each broker is stalled, so that it neither receives nor sends.
     pub stalled: Vec<bool>,
+    /// Datagrams in flight: time of arrival, sender, receiver, bytes.
     pub in_flight: VecDeque<(f64, usize, usize, Vec<u8>)>,
+    /// Datagrams that have arrived at each broker and wait to be read: sender, bytes.
     pub inboxes: Vec<Vec<(usize, Vec<u8>)>>,
+    /// Membership changes that each broker reported, as text.
     pub changes: Vec<Vec<String>>,
-    /// In a flood only datagrams are lost, and no requests.
+    /// Whether losses are caused by a flood, so that they affect datagrams only and not connections.
     pub datagram_flood: bool,
-    /// All datagrams with sender and receiver, whether or not they were lost.
+    /// All datagrams that were sent, including lost ones: sender, receiver, bytes.
     pub sent: Vec<(usize, usize, Vec<u8>)>,
+    /// Number of liveness checks that reached their receiver, which is used as the sequence number.
     pub check_count: u64,
 }
 
@@ -57,6 +66,7 @@
         }
     }
 
+    /// Records the actions of broker `from`, and sends its datagrams except those for which `lost` returns true.
     pub fn deliver(&mut self, from: usize, actions: Actions, lost: &impl Fn(usize, usize) -> bool) {
         for (to, bytes) in actions.datagrams {
             let to = usize::from(to.port()) - 7000;
@@ -98,7 +108,8 @@
         }
     }
 
-    /// Carries out a liveness check. Where datagrams are lost in one direction connections fail, too, except in a flood.
+    /// Carries out a liveness check over a simulated connection. Except in a flood, the connection fails if datagrams
+    /// are lost in either direction.
     pub fn check_liveness(
         &mut self,
         from: usize,
@@ -133,10 +144,12 @@
         self.deliver(from, actions, lost);
     }
 
+    /// The states in which broker `number` sees the other brokers.
     pub fn states(&self, number: usize) -> Vec<PeerState> {
         self.cores[number].members().iter().map(|peer| peer.state).collect()
     }
 
+    /// Whether every broker sees every other broker as alive.
     pub fn all_alive(&self) -> bool {
         let others = self.cores.len() - 1;
         (0..self.cores.len()).all(|number| self.states(number) == vec![PeerState::Alive; others])
@@ -151,7 +164,8 @@
     false
 }
 
-/// Sends `message` from `n2`, a member, to `n0`, with updates about others.
+/// Delivers `message` of version 1 from the member n2 to n0, with updates about other members. Returns the actions of
+/// n0.
 pub fn deliver_from_n2(
     network: &mut SimulatedNetwork,
     message: foca::Message<PeerId>,
--- a/crates/dunepond-membership/tests/core/replay.rs
+++ b/crates/dunepond-membership/tests/core/replay.rs
@@ -1,4 +1,4 @@
-//! Replay protection: a link that delivers messages that it recorded long ago.
+//! Replay protection against messages that were recorded long ago.
 
 use dunepond_membership::{
     Authenticator, Core, Envelope, Message, MessageType, PROTOCOL_VERSION, PeerError, RequestKind,
@@ -8,7 +8,7 @@
 
 use crate::network::{KEY, SimulatedNetwork, address, no_loss, options};
 
-/// Delivers the recorded datagrams to n0 again, in order, from their source addresses.
+/// Delivers the recorded datagrams to n0 again, in order, from their source addresses. Returns the errors.
 fn replay(network: &mut SimulatedNetwork, recorded: &[(usize, Vec<u8>)]) -> Vec<PeerError> {
     let mut errors = Vec::new();
     for (from, bytes) in recorded {
@@ -20,7 +20,8 @@
     errors
 }
 
-/// n2 has been down for so long that it is forgotten; n0 is the same incarnation, or was restarted since.
+/// Old datagrams of n2 are replayed to n0 after n2 has been down for so long that n0 no longer remembers it. n0 must
+/// not add n2 again, whether or not it was restarted in the meantime.
 #[rstest]
 fn replayed_datagram_has_no_effect(#[values(false, true)] key: bool, #[values(false, true)] restarted: bool) {
     let mut network = SimulatedNetwork::new(3, key);
@@ -29,9 +30,9 @@
     let to_n0 = |sent: &&(usize, usize, Vec<u8>)| sent.1 == 0;
     let recorded: Vec<(usize, Vec<u8>)> =
         network.sent.iter().filter(to_n0).map(|sent| (sent.0, sent.2.clone())).collect();
-    assert!(recorded.iter().filter(|one| one.0 == 2).count() > 3);
+    assert!(recorded.iter().filter(|datagram| datagram.0 == 2).count() > 3);
     network.stalled[2] = true;
-    // Members that are down are remembered for two minutes.
+    // A member that is down is remembered for two minutes.
     network.run_until(160.0, no_loss);
     assert!(
         !network.cores[0].members().iter().any(|peer| peer.name == "n2"),
@@ -48,8 +49,8 @@
     let about_n2 = |change: &&String| change.contains("n2");
     assert_eq!(network.changes[0].iter().find(about_n2), None, "{:?}", network.changes[0]);
     network.run_until(170.0, no_loss);
-    let here: Vec<String> = network.cores[0].members().into_iter().map(|peer| peer.name).collect();
-    assert_eq!(here, ["n1"], "{:?}", network.changes);
+    let member_names: Vec<String> = network.cores[0].members().into_iter().map(|peer| peer.name).collect();
+    assert_eq!(member_names, ["n1"], "{:?}", network.changes);
 }
 
 #[rstest]
@@ -70,7 +71,7 @@
         let result = authenticate(&mut network.cores[0], after);
         assert!(matches!(result, Err(PeerError::Replayed { .. })), "{result:?}");
     }
-    // The next incarnation of the receiver does not know the sequence numbers, but has another token.
+    // The next incarnation of the receiver does not know the sequence numbers, but has issued another token.
     let mut next = Core::new(&options(0, 2, 2, key), [77; 32], 3600.0).unwrap();
     let result = authenticate(&mut next, 3600.0);
     assert!(
@@ -79,7 +80,8 @@
     );
 }
 
-/// A sender without the token receives a hello, sends again, and is accepted within the same tick, so no probe is lost.
+/// A sender without the token is sent a hello, sends its datagram again, and is accepted within the same tick, so that
+/// no probe is lost.
 #[rstest]
 fn sender_without_token_is_accepted_after_hello(#[values(false, true)] key: bool) {
     let mut cores =
@@ -94,7 +96,8 @@
     assert_eq!(cores[1].members()[0].name, "n0");
 }
 
-/// A request that others overtook is not a replay; one with a much older number counts as a replay.
+/// A request that later requests overtook must not be rejected as a replay. A request with a much lower sequence number
+/// is rejected, since it can no longer be checked.
 #[test]
 fn reordered_requests_are_accepted_once() {
     let mut network = SimulatedNetwork::new(2, true);
--- a/crates/dunepond-membership/tests/core/untrusted_gossip.rs
+++ b/crates/dunepond-membership/tests/core/untrusted_gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip and datagrams that must not be trusted, and the addresses to which datagrams go.
+//! Gossip and datagrams that must not be trusted, and the addresses to which datagrams are sent.
 
 use dunepond_membership::{
     Authenticator, Core, Envelope, Message, MessageHeader, MessageType, PROTOCOL_VERSION, PeerError, PeerId,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn gossip_cannot_direct_datagrams_to_strangers() {
+fn gossip_cannot_direct_datagrams_to_unknown_addresses() {
     let mut network = SimulatedNetwork::new(3, false);
     network.run_until(3.0, no_loss);
     let target = PeerId {
@@ -48,8 +48,8 @@
     let mut second = Core::new(&second, [1; 32], 0.0).unwrap();
     for round in 0..300 {
         let now = f64::from(round) / 100.0;
-        let (own, others) = (first.tick(now), second.tick(now));
-        let mut queue = VecDeque::from([(true, own.datagrams), (false, others.datagrams)]);
+        let (first_actions, second_actions) = (first.tick(now), second.tick(now));
+        let mut queue = VecDeque::from([(true, first_actions.datagrams), (false, second_actions.datagrams)]);
         while let Some((from_first, sent)) = queue.pop_front() {
             for (to, bytes) in sent {
                 assert_eq!(to, if from_first { address(50) } else { address(51) });
@@ -81,7 +81,7 @@
         postcard::from_bytes::<RefusalReason>(payload).unwrap(),
         RefusalReason::UnsupportedVersion { stated: newer_range, supported: VersionRange::SUPPORTED }
     );
-    // There is no refusal to unknown addresses or for a shorter message, and refusals are rate-limited.
+    // Datagrams from unknown addresses and shorter datagrams are not refused, and refusals are rate-limited.
     assert!(core.on_datagram(0.1, address(9), &newer).datagrams.is_empty());
     assert!(core.on_datagram(0.1, address(1), &newer[..20]).datagrams.is_empty());
     let sent: usize = (0..100).map(|_| core.on_datagram(0.2, address(1), &newer).datagrams.len()).sum();
@@ -91,22 +91,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(34), ..ProptestConfig::default() })]
 
-    /// Truncated, corrupted or random bytes: without the key no sender becomes a member, and nothing panics.
+    /// With a key, truncated, corrupted or random bytes are rejected without a panic, and add no member.
     #[test]
     fn unauthenticated_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..1500), flip in any::<(usize, u8)>(), sender in 0..4usize) {
         let mut core = Core::new(&options(0, 1, 3, true), [0; 32], 0.0).unwrap();
         let mut second = Core::new(&options(1, 1, 3, true), [1; 32], 0.0).unwrap();
-        let (_, mut good) = second.tick(0.1).datagrams.into_iter().find(|(to, _)| *to == address(0)).unwrap();
-        let place = flip.0 % good.len();
-        good[place] ^= flip.1.max(1);
-        for bytes in [&bytes, &good, &good[..place].to_vec()] {
+        let (_, mut datagram) = second.tick(0.1).datagrams.into_iter().find(|(to, _)| *to == address(0)).unwrap();
+        let position = flip.0 % datagram.len();
+        datagram[position] ^= flip.1.max(1);
+        for bytes in [&bytes, &datagram, &datagram[..position].to_vec()] {
             let actions = core.on_datagram(0.1, address(sender), bytes);
             prop_assert!(actions.error.is_some() && actions.changes.is_empty());
         }
         prop_assert!(core.members().is_empty());
     }
 
-    /// Without a key, a malformed payload from a configured address changes nothing.
+    /// Without a key, a malformed payload from a configured address is rejected.
     #[test]
     fn malformed_payload_changes_nothing(payload in proptest::collection::vec(any::<u8>(), 0..1300), sender in 1..3usize) {
         let mut core = Core::new(&options(0, 1, 3, false), [0; 32], 0.0).unwrap();
--- a/crates/dunepond-membership/tests/core/versions.rs
+++ b/crates/dunepond-membership/tests/core/versions.rs
@@ -1,4 +1,4 @@
-//! Programs of several protocol versions in one fleet.
+//! Programs of different protocol versions in one fleet.
 
 use dunepond_membership::{
     Authenticator, Core, Envelope, MessageHeader, MessageType, PROTOCOL_VERSION, PeerError, PeerId,
@@ -15,27 +15,35 @@
 const OLD: VersionRange = VersionRange::exactly(1);
 const NEXT: VersionRange = VersionRange { min: 1, max: PROTOCOL_VERSION + 1 };
 
+/// A network of cores that speak these versions.
 fn fleet(versions: &[VersionRange], key: bool) -> SimulatedNetwork {
     let mut network = SimulatedNetwork::new(versions.len(), key);
     for (number, versions) in versions.iter().enumerate() {
-        network.cores[number] = core(number, 1, versions, network.cores.len(), key, 0.0);
+        network.cores[number] = new_core(number, 1, versions, network.cores.len(), key, 0.0);
     }
     network
 }
 
-fn core(number: usize, incarnation: u64, versions: &VersionRange, count: usize, key: bool, now: f64) -> Core {
+fn new_core(
+    number: usize,
+    incarnation: u64,
+    versions: &VersionRange,
+    count: usize,
+    key: bool,
+    now: f64,
+) -> Core {
     let mut options = options(number, incarnation, count, key);
     options.supported_versions = *versions;
     Core::new(&options, [number as u8 + 10 * incarnation as u8; 32], now).unwrap()
 }
 
-/// Stops the program at `number` and starts another in its place.
+/// Replaces the core `number` with a later incarnation that speaks `versions`.
 fn replace(network: &mut SimulatedNetwork, number: usize, versions: &VersionRange, key: bool) {
     let incarnation = network.cores[number].local_id().incarnation + 1;
-    network.cores[number] = core(number, incarnation, versions, network.cores.len(), key, network.now);
+    network.cores[number] = new_core(number, incarnation, versions, network.cores.len(), key, network.now);
 }
 
-/// Versions of the datagrams from one to another since the record was cleared.
+/// Versions of the datagrams from one core to another since `sent` was last cleared.
 fn versions_sent(network: &SimulatedNetwork, from: usize, to: usize) -> BTreeSet<u8> {
     network.sent.iter().filter(|sent| (sent.0, sent.1) == (from, to)).map(|sent| sent.2[0]).collect()
 }
@@ -66,7 +74,7 @@
             let (sent_versions, common) =
                 (versions_sent(&network, from, to), versions[from].highest_common(versions[to]).unwrap());
             assert!(sent_versions.contains(&common), "{from} to {to}: {sent_versions:?}");
-            // A peer that sent an older version also gets a hello from time to time.
+            // A peer that only sent an older version is also sent a hello from time to time.
             let is_common_or_hello =
                 sent_versions.iter().all(|version| *version == common || versions[from].max > common);
             assert!(is_common_or_hello, "{from} to {to}: {sent_versions:?}");
@@ -78,7 +86,7 @@
     }
 }
 
-/// One message of version 1, byte by byte: guards against an unnoticed change of the released format.
+/// Compares one message of version 1 byte by byte, to guard against an unnoticed change of the released format.
 #[test]
 fn version_1_encoding_is_unchanged() {
     let from = PeerId { name: "n1".into(), incarnation: 300, renewals: 2, listen_address: address(1) };
@@ -86,14 +94,14 @@
         MessageType::Request { id: 5, kind: RequestKind::TransferCounts.into(), timeout_ms: 1500 };
     let header = MessageHeader { from, to: "n2".into(), issued_token: 1, echoed_token: 128, message_type };
     let bytes = encode(&Envelope::VERSION_1, &header, b"payload", &Authenticator::new(None).unwrap());
-    let want: [&[u8]; 5] = [
+    let expected: [&[u8]; 5] = [
         b"\x01\x02n1\xac\x02\x02\x00\x7f\x00\x00\x01\xd9\x36",
         b"\x02n2",
         b"\x01\x80\x01",
         b"\x01\x05\x03\xdc\x0b",
         b"payload",
     ];
-    assert_eq!(bytes, want.concat());
+    assert_eq!(bytes, expected.concat());
     assert_eq!(
         old::read(&bytes).unwrap().0.about,
         old::About::Ask { id: 5, kind: old::Kind::Counts, within_ms: 1500 }
@@ -121,8 +129,8 @@
     for (from, to, stated, supported) in [(0, 1, OLD, later), (1, 0, later, OLD)] {
         let (.., bytes) = network.sent.iter().find(|sent| sent.0 == from).unwrap().clone();
         let error = network.cores[to].on_datagram(network.now, address(from), &bytes).error.unwrap();
-        let named = matches!(&error, PeerError::UnsupportedVersion { stated: a, supported: b, .. } if (*a, *b) == (stated, supported));
-        assert!(named, "{error:?}");
+        let states_versions = matches!(&error, PeerError::UnsupportedVersion { stated: a, supported: b, .. } if (*a, *b) == (stated, supported));
+        assert!(states_versions, "{error:?}");
         let text = error.to_string();
         assert!(
             text.contains(&format!("version {stated};")) && text.ends_with(&supported.to_string()),
@@ -133,12 +141,12 @@
     }
 }
 
-/// One core refuses a message, the other one the refusal, and so on: each refusal is shorter than the last.
+/// Each core refuses the other's refusal. The exchange must end, since each refusal is shorter than the message before.
 #[test]
-fn refusals_of_refusals_die_out() {
+fn refusals_of_refusals_end() {
     let mut network = fleet(&[VersionRange::exactly(2), VersionRange::exactly(3)], false);
     let (mut receiver, mut bytes) = (1, network.cores[0].tick(0.1).datagrams[0].1.clone());
-    let refused = (0..8).take_while(|_| {
+    let refusals = (0..8).take_while(|_| {
         match network.cores[receiver].on_datagram(0.2, address(1 - receiver), &bytes).datagrams.pop() {
             Some((_, refusal)) => {
                 (receiver, bytes) = (1 - receiver, refusal);
@@ -147,10 +155,11 @@
             None => false,
         }
     });
-    assert!((1..4).contains(&refused.count()));
+    assert!((1..4).contains(&refusals.count()));
 }
 
-/// Each core has assumed that the other is an older program, as when a datagram crosses a restart.
+/// Each core assumes that the other one is an older program, as happens when a datagram crosses a restart. Both must
+/// return to the highest common version.
 #[test]
 fn mutually_assumed_version_1_recovers() {
     let mut network = fleet(&[VersionRange::SUPPORTED; 2], false);
--- a/crates/dunepond-membership/tests/errors.rs
+++ b/crates/dunepond-membership/tests/errors.rs
@@ -1,39 +1,41 @@
-//! Every error says what is wrong, where, and what can be done.
+//! Every error states what is wrong and what an operator can do about it.
 
 use dunepond_membership::{Core, Limits, MembershipOptions, PeerError, RefusalReason, Timing, VersionRange};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// One of each variant. The match makes a variant that is missing here an error of compilation.
-macro_rules! one_of_each {
-    ($each:ident, $type:ident: $($variant:ident $fields:tt,)*) => {
-        fn $each() -> Vec<$type> {
-            let all = vec![$(made!($type $variant $fields)),*];
-            all.iter().for_each(|one| match one { $($type::$variant { .. } => {})* });
+/// Defines a function that returns one value of each variant of an enum. The match fails to compile if a variant is
+/// missing.
+macro_rules! one_value_per_variant {
+    ($function:ident, $type:ident: $($variant:ident $fields:tt,)*) => {
+        fn $function() -> Vec<$type> {
+            let all = vec![$(construct!($type $variant $fields)),*];
+            all.iter().for_each(|value| match value { $($type::$variant { .. } => {})* });
             all
         }
     };
 }
-macro_rules! made {
+/// Constructs a variant without fields, with one value, or with named fields.
+macro_rules! construct {
     ($type:ident $variant:ident ()) => { $type::$variant };
     ($type:ident $variant:ident ($value:expr)) => { $type::$variant($value) };
     ($type:ident $variant:ident {$($field:ident: $value:expr),*}) => { $type::$variant { $($field: $value.into()),* } };
 }
 
-const AT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 7400);
+const ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 7400);
 
-one_of_each!(refusals, RefusalReason:
+one_value_per_variant!(refusals, RefusalReason:
     Busy(), Timeout(), AuthenticationFailed(), Malformed(), RateLimited(), TooManyMembers(), NoResponse(), Declined("n2 is no voter".into()),
     TooLarge { max_bytes: 4u64 }, UnsupportedVersionV1 { stated: 2, supported: 1 }, UnverifiedSender { name: "n2" }, WrongRecipient { name: "n2" },
     StaleIncarnation { name: "n2", known: 3u64 }, UnsupportedVersion { stated: VersionRange::exactly(3), supported: VersionRange::SUPPORTED },
     UnknownKind { kind: 9u32 }, InvalidToken(), Replayed(),
 );
 
-one_of_each!(errors, PeerError:
-    Bind { at: AT, reason: "in use" }, Thread { reason: "no descriptor" }, InvalidName { name: "", max_bytes: 64usize },
-    ConflictingAddresses { name: "n2", first: AT, second: AT }, KeyTooShort { bytes: 3usize, min_bytes: 16usize },
+one_value_per_variant!(errors, PeerError:
+    Bind { address: ADDRESS, reason: "in use" }, Thread { reason: "no descriptor" }, InvalidName { name: "", max_bytes: 64usize },
+    ConflictingAddresses { name: "n2", first: ADDRESS, second: ADDRESS }, KeyTooShort { bytes: 3usize, min_bytes: 16usize },
     InvalidOption { option: "max_requests", value: 0.0 }, UnknownPeer { to: "n2" }, Busy { to: "n2", limit: 7usize },
     TooLarge { to: "n2", bytes: 9usize, max_bytes: 7usize }, BackingOff { to: "n2", wait_seconds: 0.5 },
-    Unreachable { to: "n2", at: AT, reason: "refused" }, Timeout { to: "n2", timeout_seconds: 0.5 },
+    Unreachable { to: "n2", address: ADDRESS, reason: "refused" }, Timeout { to: "n2", timeout_seconds: 0.5 },
     ConnectionLost { to: "n2" }, Refused { to: "n2", reason: RefusalReason::Busy }, Malformed { from: "n2" },
     UnsupportedVersion { from: "n2", stated: VersionRange::exactly(3), supported: VersionRange::SUPPORTED },
     UnsupportedKind { to: "n2", path: "/sign", version: 1 }, UnverifiedSender { from: "n2", name: "n3" }, AuthenticationFailed { from: "n2" },
@@ -43,18 +45,18 @@
 
 #[test]
 fn every_error_has_message_and_help() {
-    let refusals = refusals().into_iter().map(|refused| (refused.to_string(), refused.help()));
+    let refusals = refusals().into_iter().map(|reason| (reason.to_string(), reason.help()));
     let errors = errors().into_iter().map(|error| (error.to_string(), error.help()));
-    for (said, help) in refusals.chain(errors) {
-        assert!(said.len() > 3 && help.len() > 20 && help != said, "{said}: {help}");
+    for (message, help) in refusals.chain(errors) {
+        assert!(message.len() > 3 && help.len() > 20 && help != message, "{message}: {help}");
     }
 }
 
 #[test]
 fn invalid_options_are_named() {
-    let at = "127.0.0.1:7400".parse().unwrap();
+    let address = "127.0.0.1:7400".parse().unwrap();
     let error = |change: &dyn Fn(&mut MembershipOptions)| {
-        let mut options = MembershipOptions::new("n1", 1, at, vec![], 1);
+        let mut options = MembershipOptions::new("n1", 1, address, vec![], 1);
         change(&mut options);
         Core::new(&options, [0; 32], 0.0).err()
     };
@@ -82,9 +84,10 @@
         Some(PeerError::KeyTooShort { bytes: 5, min_bytes: 16 })
     );
     assert!(matches!(error(&|options| options.name = "a b".into()), Some(PeerError::InvalidName { .. })));
-    let twice = ["127.0.0.1:1", "127.0.0.1:2"].map(|at| ("n2".to_owned(), at.parse().unwrap()));
+    let conflicting =
+        ["127.0.0.1:1", "127.0.0.1:2"].map(|address| ("n2".to_owned(), address.parse().unwrap()));
     assert!(matches!(
-        error(&|options| options.known_peers = twice.to_vec()),
+        error(&|options| options.known_peers = conflicting.to_vec()),
         Some(PeerError::ConflictingAddresses { .. })
     ));
 }
--- a/crates/dunepond-membership/tests/fleet/mod.rs
+++ b/crates/dunepond-membership/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Several brokers in one process, on sockets of 127.0.0.1 that are bound before any of them starts.
-#![allow(dead_code, reason = "each test uses what it needs")]
+//! Helpers that run several brokers in one process, on sockets of 127.0.0.1 that are bound before any broker starts.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use crossbeam_channel::Receiver;
 use dunepond_membership::{
@@ -8,22 +8,25 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes; a wait that exceeds it fails its test.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest time that a test waits for anything; a longer wait fails the test.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// A running broker, with the channel of its events.
 pub struct Broker {
     pub peers: Peers,
     pub events: Receiver<Event>,
 }
 
-pub fn bound() -> BoundSockets {
+/// Binds sockets to a free port.
+pub fn bind_free_port() -> BoundSockets {
     bind("127.0.0.1:0".parse().unwrap()).unwrap()
 }
 
-/// Short timing, so that a suspicion takes a second.
-pub fn options(name: &str, incarnation: u64, known: &[(&str, SocketAddr)]) -> MembershipOptions {
-    let known = known.iter().map(|(name, at)| (name.to_string(), *at)).collect();
-    let mut options = MembershipOptions::new(name, incarnation, "127.0.0.1:0".parse().unwrap(), known, 7);
+/// Options with short intervals, so that a suspicion times out within a second.
+pub fn options(name: &str, incarnation: u64, known_peers: &[(&str, SocketAddr)]) -> MembershipOptions {
+    let known_peers = known_peers.iter().map(|(name, address)| (name.to_string(), *address)).collect();
+    let mut options =
+        MembershipOptions::new(name, incarnation, "127.0.0.1:0".parse().unwrap(), known_peers, 7);
     options.timing.probe_interval_seconds = 0.2;
     options.timing.probe_timeout_seconds = 0.08;
     options.timing.suspicion_timeout_seconds = 0.8;
@@ -31,36 +34,40 @@
     options
 }
 
-pub fn run(bound: BoundSockets, options: MembershipOptions) -> Broker {
-    let (peers, events) = start_on(bound, options).unwrap();
+pub fn start_broker(sockets: BoundSockets, options: MembershipOptions) -> Broker {
+    let (peers, events) = start_on(sockets, options).unwrap();
     Broker { peers, events }
 }
 
-/// Brokers `n1`, `n2`, ... that know each other, with options adapted by `change`.
+/// Starts brokers `n1`, `n2`, ... that know each other, with options adapted by `change`.
 pub fn fleet(count: usize, change: impl Fn(&mut MembershipOptions)) -> Vec<Broker> {
-    let bounds: Vec<BoundSockets> = (0..count).map(|_| bound()).collect();
+    let sockets: Vec<BoundSockets> = (0..count).map(|_| bind_free_port()).collect();
     let names: Vec<String> = (1..=count).map(|number| format!("n{number}")).collect();
-    let known: Vec<(&str, SocketAddr)> =
-        names.iter().map(String::as_str).zip(bounds.iter().map(BoundSockets::local_addr)).collect();
-    let all: Vec<MembershipOptions> = names
+    let known_peers: Vec<(&str, SocketAddr)> =
+        names.iter().map(String::as_str).zip(sockets.iter().map(BoundSockets::local_addr)).collect();
+    let all_options: Vec<MembershipOptions> = names
         .iter()
         .map(|name| {
-            let mut options = options(name, 1, &known);
+            let mut options = options(name, 1, &known_peers);
             change(&mut options);
             options
         })
         .collect();
-    bounds.into_iter().zip(all).map(|(bound, options)| run(bound, options)).collect()
+    sockets.into_iter().zip(all_options).map(|(sockets, options)| start_broker(sockets, options)).collect()
 }
 
 impl Broker {
-    /// The first event for which `wanted` returns something; requests meanwhile are echoed.
-    pub fn until<T>(&self, what: &str, mut wanted: impl FnMut(&Event) -> Option<T>) -> T {
-        let end = Instant::now() + PATIENCE;
+    /// Waits for the first event for which `select` returns a value, and returns that value. Requests that arrive
+    /// before it are echoed.
+    pub fn wait_for_event<T>(&self, description: &str, mut select: impl FnMut(&Event) -> Option<T>) -> T {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            let event = self.events.recv_deadline(end).unwrap_or_else(|_| panic!("{what} did not come"));
-            if let Some(found) = wanted(&event) {
-                return found;
+            let event = self
+                .events
+                .recv_deadline(deadline)
+                .unwrap_or_else(|_| panic!("timed out waiting for {description}"));
+            if let Some(selected) = select(&event) {
+                return selected;
             }
             if let Event::Request { body, responder, .. } = event {
                 self.peers.respond(responder, Ok(body));
@@ -68,75 +75,84 @@
         }
     }
 
-    pub fn up(&self, name: &str) -> u64 {
-        self.until(name, |event| match event {
+    /// Waits until the peer `name` is up, and returns its incarnation.
+    pub fn wait_for_up(&self, name: &str) -> u64 {
+        self.wait_for_event(&format!("{name} to be up"), |event| match event {
             Event::PeerUp(peer) if peer.name == name => Some(peer.incarnation),
             _ => None,
         })
     }
 
-    pub fn down(&self, name: &str) {
-        self.until(&format!("the end of {name}"), |event| {
-            matches!(event, Event::PeerDown(who) if who == name).then_some(())
+    /// Waits until the peer `name` is down.
+    pub fn wait_for_down(&self, name: &str) {
+        self.wait_for_event(&format!("{name} to be down"), |event| {
+            matches!(event, Event::PeerDown(peer) if peer == name).then_some(())
         });
     }
 
+    /// Waits for the next request, and drops other events that arrive before it.
     pub fn next_request(&self) -> (String, RequestKind, Vec<u8>, Responder) {
-        let end = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            match self.events.recv_deadline(end).expect("a request") {
+            match self.events.recv_deadline(deadline).expect("a request arrives in time") {
                 Event::Request { from, kind, body, responder } => return (from, kind, body, responder),
                 _ => continue,
             }
         }
     }
 
-    /// The end of request `id`.
-    pub fn response(&self, id: u64) -> Result<Vec<u8>, PeerError> {
-        self.until(&format!("the response to {id}"), |event| match event {
-            Event::Response { id: ended, result, .. } if *ended == id => Some(result.clone()),
+    /// Waits for the outcome of request `id`.
+    pub fn wait_for_response(&self, id: u64) -> Result<Vec<u8>, PeerError> {
+        self.wait_for_event(&format!("the response to request {id}"), |event| match event {
+            Event::Response { id: completed, result, .. } if *completed == id => Some(result.clone()),
             _ => None,
         })
     }
 
+    /// Sends a request, and waits for its outcome.
     pub fn call(&self, to: &str, body: &[u8], timeout_seconds: f64) -> Result<Vec<u8>, PeerError> {
         let id = self.peers.request(to, RequestKind::State, body.to_vec(), timeout_seconds).unwrap();
-        self.response(id)
+        self.wait_for_response(id)
     }
 }
 
 impl Broker {
-    pub fn all_up(&self, names: &[&str]) {
+    /// Waits until all peers in `names` are up.
+    pub fn wait_for_all_up(&self, names: &[&str]) {
         let mut missing = names.to_vec();
         while !missing.is_empty() {
-            let came = self.until("a peer", |event| match event {
+            let up = self.wait_for_event("a peer to be up", |event| match event {
                 Event::PeerUp(peer) => Some(peer.name.clone()),
                 _ => None,
             });
-            missing.retain(|name| *name != came);
+            missing.retain(|name| *name != up);
         }
     }
 
-    /// Waits until `condition` holds.
-    pub fn wait(&self, what: &str, condition: impl Fn(&Peers) -> bool) {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until `condition` holds, without reading events.
+    pub fn wait_until(&self, description: &str, condition: impl Fn(&Peers) -> bool) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while !condition(&self.peers) {
-            assert!(Instant::now() < end, "{what} did not come: {:?}", self.peers.counters());
+            assert!(
+                Instant::now() < deadline,
+                "timed out waiting for {description}: {:?}",
+                self.peers.counters()
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
 impl Broker {
-    /// The ends of all of `ids`, in any order.
-    pub fn responses(&self, ids: &[u64]) -> Vec<Result<Vec<u8>, PeerError>> {
-        let mut ends = Vec::new();
-        while ends.len() < ids.len() {
-            ends.push(self.until("a response", |event| match event {
+    /// Waits for the outcomes of all requests in `ids`, and returns them in the order of their arrival.
+    pub fn wait_for_responses(&self, ids: &[u64]) -> Vec<Result<Vec<u8>, PeerError>> {
+        let mut outcomes = Vec::new();
+        while outcomes.len() < ids.len() {
+            outcomes.push(self.wait_for_event("a response", |event| match event {
                 Event::Response { id, result, .. } if ids.contains(id) => Some(result.clone()),
                 _ => None,
             }));
         }
-        ends
+        outcomes
     }
 }
--- a/crates/dunepond-membership/tests/golden.rs
+++ b/crates/dunepond-membership/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The wire format, byte by byte. The files under `data/golden` are what released brokers write and read: changing one of them changes the
-//! protocol, which needs a version of its own.
+//! The wire format, byte by byte. The files under `data/golden` record what released brokers write and read. A change
+//! of these files is a change of the protocol, which needs a new protocol version.
 
 mod fleet;
 use dunepond_membership::{
@@ -7,7 +7,7 @@
     MessageHeader, MessageType, PROTOCOL_VERSION, Peer, PeerId, PeerState, RefusalReason, RequestKind,
     VersionRange, decode, encode, peek_version,
 };
-use fleet::{PATIENCE, bound, options, run};
+use fleet::{TEST_TIMEOUT, bind_free_port, options, start_broker};
 use serde::{Serialize, de::DeserializeOwned};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Debug;
@@ -20,50 +20,60 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn from_hex(text: &str) -> Vec<u8> {
     assert!(text.len().is_multiple_of(2), "{text}");
     (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
 }
 
-/// Lines of a file: a label, a space, and the encoding.
-fn lines(file: &str) -> Vec<(String, String)> {
+/// Reads the labels and encodings from a golden file, whose lines each consist of a label, a space and an encoding.
+fn golden_lines(file: &str) -> Vec<(String, String)> {
     let path = format!("{}/tests/data/golden/{file}", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"));
     text.lines()
         .map(|line| line.rsplit_once(' ').unwrap_or_else(|| panic!("{path}: {line:?}")))
-        .map(|(label, form)| (label.into(), form.into()))
+        .map(|(label, encoding)| (label.into(), encoding.into()))
         .collect()
 }
 
-/// Compares with the file, line by line, so that the first difference is named.
-fn same(file: &str, now: &[(String, String)]) {
-    let golden = lines(file);
-    for (golden, now) in golden.iter().zip(now) {
-        assert_eq!(golden, now, "{file}");
+/// Asserts that labels and encodings equal those of a golden file. Compares line by line, so that a failure shows the
+/// first difference.
+fn assert_matches_golden(file: &str, actual: &[(String, String)]) {
+    let golden = golden_lines(file);
+    for (golden, actual) in golden.iter().zip(actual) {
+        assert_eq!(golden, actual, "{file}");
     }
-    assert_eq!(golden.len(), now.len(), "{file}");
+    assert_eq!(golden.len(), actual.len(), "{file}");
 }
 
-/// Values by label: `postcard` encodes each as in the file, and decodes the file to it.
-fn postcards<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, values: &[(String, T)]) {
-    let now: Vec<(String, String)> = values
+/// Asserts that `postcard` encodes each labelled value as in a golden file, and decodes the file to the values.
+fn assert_postcard_matches_golden<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    file: &str,
+    values: &[(String, T)],
+) {
+    let actual: Vec<(String, String)> = values
         .iter()
         .map(|(label, value)| (label.clone(), hex(&postcard::to_stdvec(value).unwrap())))
         .collect();
-    same(file, &now);
-    for ((_, form), (label, value)) in lines(file).iter().zip(values) {
-        let read: T = postcard::from_bytes(&unhex(form)).unwrap();
-        assert_eq!(&read, value, "{label}");
+    assert_matches_golden(file, &actual);
+    for ((_, encoding), (label, value)) in golden_lines(file).iter().zip(values) {
+        let decoded: T = postcard::from_bytes(&from_hex(encoding)).unwrap();
+        assert_eq!(&decoded, value, "{label}");
     }
 }
 
-fn at(text: &str) -> SocketAddr {
+fn socket_address(text: &str) -> SocketAddr {
     text.parse().unwrap()
 }
 
+/// Identities, labelled with name, incarnation and renewals.
 fn ids() -> Vec<(String, PeerId)> {
     let id = |name: &str, incarnation, renewals, listen_address: &str| {
-        let id = PeerId { name: name.into(), incarnation, renewals, listen_address: at(listen_address) };
+        let id = PeerId {
+            name: name.into(),
+            incarnation,
+            renewals,
+            listen_address: socket_address(listen_address),
+        };
         (format!("{name}/{incarnation}/{renewals}"), id)
     };
     vec![
@@ -73,64 +83,68 @@
     ]
 }
 
-/// Each kind of message, with what it can carry.
-fn abouts() -> Vec<(&'static str, MessageType, Vec<u8>)> {
-    let ask = |kind: RequestKind| MessageType::Request { id: 1 << 62, kind: kind.into(), timeout_ms: 1500 };
-    let unknown = MessageType::Request { id: 7, kind: KindCode(99), timeout_ms: u32::MAX };
-    let refused = |why: RefusalReason| postcard::to_stdvec(&why).unwrap();
-    let mut abouts = vec![
+/// Message types and payloads, with the labels that the golden files use for them.
+fn labelled_message_types() -> Vec<(&'static str, MessageType, Vec<u8>)> {
+    let request =
+        |kind: RequestKind| MessageType::Request { id: 1 << 62, kind: kind.into(), timeout_ms: 1500 };
+    let unknown_kind = MessageType::Request { id: 7, kind: KindCode(99), timeout_ms: u32::MAX };
+    let refusal = |reason: RefusalReason| postcard::to_stdvec(&reason).unwrap();
+    let mut message_types = vec![
         ("members", MessageType::Gossip, b"what the library says".to_vec()),
         ("answer", MessageType::Response { id: 300 }, b"yes".to_vec()),
         ("answer-empty", MessageType::Response { id: 0 }, vec![]),
-        ("refused", MessageType::Refusal { id: 5 }, refused(RefusalReason::Busy)),
+        ("refused", MessageType::Refusal { id: 5 }, refusal(RefusalReason::Busy)),
         (
             "refused-datagram",
             MessageType::Refusal { id: 0 },
-            refused(RefusalReason::WrongRecipient { name: "n1".into() }),
+            refusal(RefusalReason::WrongRecipient { name: "n1".into() }),
         ),
         ("greeting", MessageType::Hello, vec![]),
-        ("ask-unknown", unknown, vec![0, 1, 2, 255]),
+        ("ask-unknown", unknown_kind, vec![0, 1, 2, 255]),
     ];
     for (label, kind) in
         ["raft", "lease", "propose", "counts", "fill", "state", "sign", "moves"].iter().zip(RequestKind::ALL)
     {
-        abouts.push((label, ask(kind), label.as_bytes().to_vec()));
+        message_types.push((label, request(kind), label.as_bytes().to_vec()));
     }
-    abouts
+    message_types
 }
 
-struct Written {
+/// A message to encode, with its label in the golden files.
+struct LabelledMessage {
     label: String,
     envelope: Envelope,
-    head: MessageHeader,
+    header: MessageHeader,
     payload: Vec<u8>,
     authenticator: Authenticator,
 }
 
-fn messages() -> Vec<Written> {
-    let second = Envelope { version: PROTOCOL_VERSION, supported: VersionRange::SUPPORTED, sequence: 129 };
-    let newer = Envelope {
+/// All message types, with and without address tokens, in several versions, with and without a key.
+fn messages() -> Vec<LabelledMessage> {
+    let version_2 = Envelope { version: PROTOCOL_VERSION, supported: VersionRange::SUPPORTED, sequence: 129 };
+    let newer_sender = Envelope {
         version: PROTOCOL_VERSION,
         supported: VersionRange { min: 2, max: 200 },
         sequence: u64::MAX,
     };
-    let envelopes = [("first", Envelope::VERSION_1), ("second", second), ("newer", newer)];
+    let envelopes = [("first", Envelope::VERSION_1), ("second", version_2), ("newer", newer_sender)];
     let mut messages = Vec::new();
-    for (authenticator, key) in [("open", None), ("sealed", Some(KEY))] {
-        for (version, envelope) in envelopes {
-            for (about, kind, payload) in abouts() {
-                for (pass, gives, echo) in [("none", 0, 0), ("passes", 1, u64::MAX)] {
+    for (key_label, key) in [("open", None), ("sealed", Some(KEY))] {
+        for (envelope_label, envelope) in envelopes {
+            for (type_label, message_type, payload) in labelled_message_types() {
+                for (token_label, issued_token, echoed_token) in [("none", 0, 0), ("passes", 1, u64::MAX)] {
                     let from = ids()[1].1.clone();
-                    let head = MessageHeader {
+                    let header = MessageHeader {
                         from,
                         to: "n1".into(),
-                        issued_token: gives,
-                        echoed_token: echo,
-                        message_type: kind.clone(),
+                        issued_token,
+                        echoed_token,
+                        message_type: message_type.clone(),
                     };
-                    let label = format!("{authenticator} {version} {about} {pass}");
+                    let label = format!("{key_label} {envelope_label} {type_label} {token_label}");
                     let authenticator = Authenticator::new(key).unwrap();
-                    messages.push(Written { label, envelope, head, payload: payload.clone(), authenticator });
+                    let payload = payload.clone();
+                    messages.push(LabelledMessage { label, envelope, header, payload, authenticator });
                 }
             }
         }
@@ -140,7 +154,7 @@
 
 #[test]
 fn ids_and_members_keep_their_encoding() {
-    postcards("ids.txt", &ids());
+    assert_postcard_matches_golden("ids.txt", &ids());
     let states = [("here", PeerState::Alive), ("suspected", PeerState::Suspected), ("gone", PeerState::Down)];
     let peers: Vec<(String, Peer)> = states
         .into_iter()
@@ -150,58 +164,61 @@
             (label.to_string(), Peer { name, incarnation, listen_address, state })
         })
         .collect();
-    postcards("members.txt", &peers);
+    assert_postcard_matches_golden("members.txt", &peers);
 }
 
 #[test]
 fn request_kinds_keep_number_path_and_version() {
-    let now: Vec<(String, String)> = RequestKind::ALL
+    let actual: Vec<(String, String)> = RequestKind::ALL
         .into_iter()
         .map(|kind| {
             let code = KindCode::from(kind);
             assert_eq!((code.kind(), RequestKind::from_path(kind.path())), (Some(kind), Some(kind)));
-            let forms = [postcard::to_stdvec(&kind).unwrap(), postcard::to_stdvec(&code).unwrap()];
-            (format!("{} {}", kind.path(), kind.min_version()), forms.map(|form| hex(&form)).join("-"))
+            let encodings = [postcard::to_stdvec(&kind).unwrap(), postcard::to_stdvec(&code).unwrap()];
+            let label = format!("{} {}", kind.path(), kind.min_version());
+            (label, encodings.map(|encoding| hex(&encoding)).join("-"))
         })
         .collect();
-    same("kinds.txt", &now);
+    assert_matches_golden("kinds.txt", &actual);
     assert_eq!(KindCode(8).kind(), None);
 }
 
 #[test]
 fn headers_keep_their_encoding() {
-    let heads: Vec<(String, MessageHeader)> = messages()
+    let headers: Vec<(String, MessageHeader)> = messages()
         .into_iter()
         .filter(|message| message.label.starts_with("open first"))
-        .map(|message| (message.label["open first ".len()..].to_string(), message.head))
+        .map(|message| (message.label["open first ".len()..].to_string(), message.header))
         .collect();
-    postcards("heads.txt", &heads);
+    assert_postcard_matches_golden("heads.txt", &headers);
 }
 
 #[test]
 fn messages_keep_their_encoding() {
-    let now: Vec<(String, String)> = messages()
-        .iter()
-        .map(|m| (m.label.clone(), hex(&encode(&m.envelope, &m.head, &m.payload, &m.authenticator))))
-        .collect();
-    same("messages.txt", &now);
-    for ((label, form), message) in lines("messages.txt").iter().zip(messages()) {
-        let bytes = unhex(form);
-        let Message { envelope, header: head, payload } =
+    let encoded = |message: &LabelledMessage| {
+        hex(&encode(&message.envelope, &message.header, &message.payload, &message.authenticator))
+    };
+    let actual: Vec<(String, String)> =
+        messages().iter().map(|message| (message.label.clone(), encoded(message))).collect();
+    assert_matches_golden("messages.txt", &actual);
+    for ((label, encoding), message) in golden_lines("messages.txt").iter().zip(messages()) {
+        let bytes = from_hex(encoding);
+        let Message { envelope, header, payload } =
             decode(&bytes, &message.authenticator, "n1", VersionRange::SUPPORTED).unwrap();
         assert_eq!(
-            (envelope, &head, payload),
-            (message.envelope, &message.head, &message.payload[..]),
+            (envelope, &header, payload),
+            (message.envelope, &message.header, &message.payload[..]),
             "{label}"
         );
-        assert_eq!(encode(&envelope, &head, payload, &message.authenticator), bytes, "{label}");
+        assert_eq!(encode(&envelope, &header, payload, &message.authenticator), bytes, "{label}");
         assert_eq!(peek_version(&bytes), Some((envelope.version, envelope.supported)), "{label}");
     }
 }
 
+/// All refusal reasons, with the labels that the golden files use for them.
 fn refusals() -> Vec<(String, RefusalReason)> {
     let name = || "n1".to_string();
-    let span = |min, max| VersionRange { min, max };
+    let range = |min, max| VersionRange { min, max };
     [
         ("busy", RefusalReason::Busy),
         ("late", RefusalReason::Timeout),
@@ -216,51 +233,58 @@
         ("full", RefusalReason::TooManyMembers),
         ("dropped", RefusalReason::NoResponse),
         ("declined", RefusalReason::Declined("no such version".into())),
-        ("versions", RefusalReason::UnsupportedVersion { stated: span(1, 2), supported: span(3, 200) }),
+        ("versions", RefusalReason::UnsupportedVersion { stated: range(1, 2), supported: range(3, 200) }),
         ("kind", RefusalReason::UnknownKind { kind: 99 }),
         ("pass", RefusalReason::InvalidToken),
         ("old", RefusalReason::Replayed),
     ]
-    .map(|(label, refused)| (label.to_string(), refused))
+    .map(|(label, reason)| (label.to_string(), reason))
     .into()
 }
 
 #[test]
 fn refusals_keep_their_encoding_in_each_version() {
-    postcards("refusals.txt", &refusals());
-    let first: Vec<(String, RefusalReason)> =
-        refusals().into_iter().map(|(label, refused)| (label, refused.for_version(1))).collect();
-    postcards("refusals-first.txt", &first);
-    let second: Vec<(String, RefusalReason)> =
-        refusals().into_iter().map(|(label, refused)| (label, refused.for_version(2))).collect();
-    assert_eq!(second, refusals());
+    assert_postcard_matches_golden("refusals.txt", &refusals());
+    let in_version_1: Vec<(String, RefusalReason)> =
+        refusals().into_iter().map(|(label, reason)| (label, reason.for_version(1))).collect();
+    assert_postcard_matches_golden("refusals-first.txt", &in_version_1);
+    let in_version_2: Vec<(String, RefusalReason)> =
+        refusals().into_iter().map(|(label, reason)| (label, reason.for_version(2))).collect();
+    assert_eq!(in_version_2, refusals());
 }
 
 #[test]
 fn counters_keep_their_printed_names() {
     let names = Counters::default().list().into_iter();
-    same(
+    assert_matches_golden(
         "counters.txt",
         &names.map(|(name, count)| (name.to_string(), count.to_string())).collect::<Vec<_>>(),
     );
 }
 
-/// Three cores on a simulated network; everything sent is recorded.
-struct World {
+/// Three cores on a simulated network that records every message, membership change and error.
+struct SimulatedNetwork {
+    /// Simulated time, in seconds.
     now: f64,
     cores: Vec<Core>,
     authenticator: Authenticator,
-    /// Datagrams in flight: due, from, to, bytes.
-    wire: VecDeque<(f64, usize, usize, Vec<u8>)>,
-    said: Vec<(String, String)>,
+    /// Datagrams in flight: time of arrival, sender, receiver, bytes.
+    in_flight: VecDeque<(f64, usize, usize, Vec<u8>)>,
+    /// Labels and encodings of what happened so far, as in the golden files.
+    recorded: Vec<(String, String)>,
 }
 
-fn core_at(number: usize, incarnation: u64, versions: VersionRange, key: Option<&str>, now: f64) -> Core {
-    let known =
+fn new_core(number: usize, incarnation: u64, versions: VersionRange, key: Option<&str>, now: f64) -> Core {
+    let known_peers =
         (0..3).map(|other| (format!("n{other}"), SocketAddr::from(([127, 0, 0, 1], 7000 + other)))).collect();
-    let listen = SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16));
-    let mut options =
-        MembershipOptions::new(&format!("n{number}"), incarnation, listen, known, number as u64);
+    let listen_address = SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16));
+    let mut options = MembershipOptions::new(
+        &format!("n{number}"),
+        incarnation,
+        listen_address,
+        known_peers,
+        number as u64,
+    );
     (options.key, options.supported_versions) = (key.map(String::from), versions);
     Core::new(&options, [number as u8 + 10 * incarnation as u8; 32], now).unwrap()
 }
@@ -269,73 +293,78 @@
     SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16))
 }
 
-impl World {
-    fn new(key: Option<&str>) -> World {
-        let spans = [VersionRange::SUPPORTED, VersionRange::SUPPORTED, VersionRange::exactly(1)];
-        let cores =
-            spans.iter().enumerate().map(|(number, span)| core_at(number, 1, *span, key, 0.0)).collect();
-        World {
+impl SimulatedNetwork {
+    fn new(key: Option<&str>) -> SimulatedNetwork {
+        let versions = [VersionRange::SUPPORTED, VersionRange::SUPPORTED, VersionRange::exactly(1)];
+        let cores = versions
+            .iter()
+            .enumerate()
+            .map(|(number, range)| new_core(number, 1, *range, key, 0.0))
+            .collect();
+        SimulatedNetwork {
             now: 0.0,
             cores,
             authenticator: Authenticator::new(key).unwrap(),
-            wire: VecDeque::new(),
-            said: Vec::new(),
+            in_flight: VecDeque::new(),
+            recorded: Vec::new(),
         }
     }
 
-    fn note(&mut self, what: String, bytes: &[u8]) {
-        let form = if bytes.is_empty() { "-".into() } else { hex(bytes) };
-        self.said.push((format!("{:.2} {what}", self.now), form));
+    fn record(&mut self, label: String, bytes: &[u8]) {
+        let encoding = if bytes.is_empty() { "-".into() } else { hex(bytes) };
+        self.recorded.push((format!("{:.2} {label}", self.now), encoding));
     }
 
-    fn carry(&mut self, from: usize, actions: Actions, lost: &impl Fn(usize, usize) -> bool) {
+    /// Records the actions of core `from`, and sends its datagrams except those for which `lost` returns true.
+    fn deliver(&mut self, from: usize, actions: Actions, lost: &impl Fn(usize, usize) -> bool) {
         for (to, bytes) in actions.datagrams {
             let to = usize::from(to.port()) - 7000;
-            self.note(format!("datagram n{from} n{to}"), &bytes);
+            self.record(format!("datagram n{from} n{to}"), &bytes);
             if !lost(from, to) {
-                self.wire.push_back((self.now + 0.01, from, to, bytes));
+                self.in_flight.push_back((self.now + 0.01, from, to, bytes));
             }
         }
         for change in actions.changes {
-            let what = match change {
+            let label = match change {
                 Event::PeerUp(peer) => format!("here {} {}", peer.name, peer.incarnation),
                 Event::PeerSuspected(name) => format!("suspected {name}"),
                 Event::PeerDown(name) => format!("gone {name}"),
-                other => panic!("{other:?} is no change"),
+                other => panic!("{other:?} is not a membership change"),
             };
-            self.note(format!("member n{from} {what}"), &[]);
+            self.record(format!("member n{from} {label}"), &[]);
         }
         if let Some(error) = actions.error {
             let refusal =
-                error.refusal("n9").map(|why| postcard::to_stdvec(&why).unwrap()).unwrap_or_default();
-            self.note(format!("fault n{from}"), &refusal);
+                error.refusal("n9").map(|reason| postcard::to_stdvec(&reason).unwrap()).unwrap_or_default();
+            self.record(format!("fault n{from}"), &refusal);
         }
     }
 
-    fn play(&mut self, end: f64, stopped: &[usize], lost: impl Fn(usize, usize) -> bool) {
+    /// Runs all cores except those in `stopped` until `end`, in steps of 10 ms.
+    fn run_until(&mut self, end: f64, stopped: &[usize], lost: impl Fn(usize, usize) -> bool) {
         while self.now < end {
             self.now += 0.01;
-            let mut waits: BTreeMap<usize, Vec<(usize, Vec<u8>)>> = BTreeMap::new();
-            while self.wire.front().is_some_and(|next| next.0 <= self.now) {
-                let (_, from, to, bytes) = self.wire.pop_front().unwrap();
-                waits.entry(to).or_default().push((from, bytes));
+            let mut received: BTreeMap<usize, Vec<(usize, Vec<u8>)>> = BTreeMap::new();
+            while self.in_flight.front().is_some_and(|next| next.0 <= self.now) {
+                let (_, from, to, bytes) = self.in_flight.pop_front().unwrap();
+                received.entry(to).or_default().push((from, bytes));
             }
             for number in (0..self.cores.len()).filter(|number| !stopped.contains(number)) {
-                for (from, bytes) in waits.remove(&number).unwrap_or_default() {
+                for (from, bytes) in received.remove(&number).unwrap_or_default() {
                     let actions = self.cores[number].on_datagram(self.now, address(from), &bytes);
-                    self.carry(number, actions, &lost);
+                    self.deliver(number, actions, &lost);
                 }
                 let actions = self.cores[number].tick(self.now);
-                self.carry(number, actions, &lost);
+                self.deliver(number, actions, &lost);
                 for check in self.cores[number].due_liveness_checks() {
-                    self.request(number, &check.to, &check.body, stopped, &lost);
+                    self.check_liveness(number, &check.to, &check.body, stopped, &lost);
                 }
             }
         }
     }
 
-    /// Carries a liveness check there and back, in its encoding.
-    fn request(
+    /// Carries out a liveness check by encoding and decoding the request and the response.
+    fn check_liveness(
         &mut self,
         from: usize,
         to: &str,
@@ -343,74 +372,78 @@
         stopped: &[usize],
         lost: &impl Fn(usize, usize) -> bool,
     ) {
-        let other: usize = to[1..].parse().unwrap();
+        let receiver: usize = to[1..].parse().unwrap();
         let message_type =
             MessageType::Request { id: 1, kind: RequestKind::LivenessCheck.into(), timeout_ms: 100 };
-        let head = self.cores[from].header_for(to, message_type);
+        let header = self.cores[from].header_for(to, message_type);
         let version = self.cores[from].version_for(to);
-        let bytes = self.cores[from].encode(version, &head, body);
-        self.note(format!("request n{from} {to}"), &bytes);
-        if stopped.contains(&other) {
-            let actions = self.cores[from].on_liveness_result(self.now, to, address(other), None);
-            return self.carry(from, actions, lost);
+        let bytes = self.cores[from].encode(version, &header, body);
+        self.record(format!("request n{from} {to}"), &bytes);
+        if stopped.contains(&receiver) {
+            let actions = self.cores[from].on_liveness_result(self.now, to, address(receiver), None);
+            return self.deliver(from, actions, lost);
         }
-        let Message { envelope: said, header: head, payload } =
+        let Message { envelope, header, payload } =
             decode(&bytes, &self.authenticator, to, VersionRange::SUPPORTED).unwrap();
-        self.cores[other].authenticate_request(self.now, &said, &head, address(from)).unwrap();
-        let (body, actions) = self.cores[other].answer_liveness_check(&head, payload).unwrap();
-        self.carry(other, actions, lost);
-        let head = self.cores[other].header_for(&format!("n{from}"), MessageType::Response { id: 1 });
-        let version = self.cores[other].response_version(&bytes);
-        let answer = self.cores[other].encode(version, &head, &body);
-        self.note(format!("answer {to} n{from}"), &answer);
-        let message = decode(&answer, &self.authenticator, to, VersionRange::SUPPORTED).unwrap();
-        let actions = self.cores[from].on_liveness_result(self.now, to, address(other), Some(&message));
-        self.carry(from, actions, lost);
+        self.cores[receiver].authenticate_request(self.now, &envelope, &header, address(from)).unwrap();
+        let (body, actions) = self.cores[receiver].answer_liveness_check(&header, payload).unwrap();
+        self.deliver(receiver, actions, lost);
+        let header = self.cores[receiver].header_for(&format!("n{from}"), MessageType::Response { id: 1 });
+        let version = self.cores[receiver].response_version(&bytes);
+        let response = self.cores[receiver].encode(version, &header, &body);
+        self.record(format!("answer {to} n{from}"), &response);
+        let message = decode(&response, &self.authenticator, to, VersionRange::SUPPORTED).unwrap();
+        let actions = self.cores[from].on_liveness_result(self.now, to, address(receiver), Some(&message));
+        self.deliver(from, actions, lost);
     }
 }
 
-fn none(_: usize, _: usize) -> bool {
+fn no_loss(_: usize, _: usize) -> bool {
     false
 }
 
-/// Joining, a member of version 1 that leaves and returns in a later incarnation and version, a suspicion that is refuted over a connection,
-/// a member that goes down, and messages that are refused.
+/// Runs a conversation that covers joining, a member of version 1 that leaves and returns in a later incarnation and
+/// version, a suspicion that is refuted over a connection, refused messages, and a member that goes down. Returns what
+/// was recorded.
 fn conversation(key: Option<&str>) -> Vec<(String, String)> {
-    let mut world = World::new(key);
-    world.play(1.6, &[], none);
-    let actions = world.cores[2].leave(world.now);
-    world.carry(2, actions, &none);
-    world.play(2.0, &[2], none);
-    world.cores[2] = core_at(2, 2, VersionRange::SUPPORTED, key, world.now);
-    world.play(3.5, &[], none);
-    world.play(7.5, &[], |from, _| from == 1);
-    world.play(8.5, &[], none);
-    let old = world.said.iter().rfind(|(label, _)| label.ends_with("datagram n1 n0")).unwrap().1.clone();
-    let mut spoilt = unhex(&old);
-    spoilt[40] ^= 1;
-    for bytes in [unhex(&old), spoilt, vec![PROTOCOL_VERSION + 1; 200], vec![]] {
-        let actions = world.cores[0].on_datagram(world.now, address(1), &bytes);
-        world.carry(0, actions, &none);
+    let mut network = SimulatedNetwork::new(key);
+    network.run_until(1.6, &[], no_loss);
+    let actions = network.cores[2].leave(network.now);
+    network.deliver(2, actions, &no_loss);
+    network.run_until(2.0, &[2], no_loss);
+    network.cores[2] = new_core(2, 2, VersionRange::SUPPORTED, key, network.now);
+    network.run_until(3.5, &[], no_loss);
+    network.run_until(7.5, &[], |from, _| from == 1);
+    network.run_until(8.5, &[], no_loss);
+    let replayed =
+        network.recorded.iter().rfind(|(label, _)| label.ends_with("datagram n1 n0")).unwrap().1.clone();
+    let mut corrupted = from_hex(&replayed);
+    corrupted[40] ^= 1;
+    for bytes in [from_hex(&replayed), corrupted, vec![PROTOCOL_VERSION + 1; 200], vec![]] {
+        let actions = network.cores[0].on_datagram(network.now, address(1), &bytes);
+        network.deliver(0, actions, &no_loss);
     }
-    world.play(9.0, &[], none);
-    world.play(13.5, &[2], none);
-    world.said
+    network.run_until(9.0, &[], no_loss);
+    network.run_until(13.5, &[2], no_loss);
+    network.recorded
 }
 
+/// Asserts that the conversation equals the golden file, that the file's messages keep their encoding, and that the
+/// conversation contains enough entries of each kind.
 fn check_conversation(file: &str, key: Option<&str>) {
-    let now = conversation(key);
-    same(file, &now);
+    let actual = conversation(key);
+    assert_matches_golden(file, &actual);
     let authenticator = Authenticator::new(key).unwrap();
-    for (label, form) in lines(file) {
+    for (label, encoding) in golden_lines(file) {
         let kind = label.split(' ').nth(1).unwrap();
         if ["datagram", "request", "answer"].contains(&kind) {
-            let bytes = unhex(&form);
-            let Message { envelope, header: head, payload } =
+            let bytes = from_hex(&encoding);
+            let Message { envelope, header, payload } =
                 decode(&bytes, &authenticator, "it", VersionRange::SUPPORTED).unwrap();
-            assert_eq!(encode(&envelope, &head, payload, &authenticator), bytes, "{label}");
+            assert_eq!(encode(&envelope, &header, payload, &authenticator), bytes, "{label}");
         }
     }
-    for (what, least) in [
+    for (kind, min_count) in [
         ("datagram", 40),
         ("request", 1),
         ("answer", 1),
@@ -419,22 +452,22 @@
         ("gone", 2),
         ("fault", 4),
     ] {
-        let count = now.iter().filter(|(label, _)| label.split(' ').any(|word| word == what)).count();
-        assert!(count >= least, "{what}: {count}");
+        let count = actual.iter().filter(|(label, _)| label.split(' ').any(|word| word == kind)).count();
+        assert!(count >= min_count, "{kind}: {count}");
     }
 }
 
 #[test]
-fn a_conversation_without_a_key_keeps_its_bytes() {
+fn conversation_without_key_keeps_its_encoding() {
     check_conversation("conversation-open.txt", None);
 }
 
 #[test]
-fn a_conversation_under_a_key_keeps_its_bytes() {
+fn conversation_with_key_keeps_its_encoding() {
     check_conversation("conversation-sealed.txt", Some(KEY));
 }
 
-/// Head and body of the next request or response; None at the end.
+/// Reads the head and the body of the next HTTP request or response; returns `None` at the end of the stream.
 fn read_http(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
@@ -451,8 +484,9 @@
     Some((head, body))
 }
 
-/// An HTTP head without the values that differ each time, as bytes in hexadecimal: a replacement of names in the repository must not touch it.
-fn fixed(head: &str) -> String {
+/// Returns an HTTP head in hexadecimal, without the values that vary between runs. Hexadecimal protects the golden
+/// files from text replacements across the repository.
+fn normalized_head(head: &str) -> String {
     let lines: Vec<&str> = head
         .split("\r\n")
         .map(|line| match line.split_once(": ") {
@@ -466,61 +500,61 @@
 #[test]
 fn requests_keep_their_http_head() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let there = listener.local_addr().unwrap();
-    let (send, heads) = std::sync::mpsc::channel();
+    let address = listener.local_addr().unwrap();
+    let (head_sender, heads) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let send = send.clone();
+            let head_sender = head_sender.clone();
             std::thread::spawn(move || {
                 while let Some((head, body)) = read_http(&mut stream) {
                     let authenticator = Authenticator::new(None).unwrap();
-                    let Message { envelope, header: asked, .. } =
+                    let Message { envelope, header: request, .. } =
                         decode(&body, &authenticator, "n1", VersionRange::SUPPORTED).unwrap();
-                    let MessageType::Request { id, .. } = asked.message_type else { panic!("{asked:?}") };
-                    send.send(head).unwrap();
+                    let MessageType::Request { id, .. } = request.message_type else { panic!("{request:?}") };
+                    head_sender.send(head).unwrap();
                     let from =
-                        PeerId { name: "n2".into(), incarnation: 1, renewals: 0, listen_address: there };
+                        PeerId { name: "n2".into(), incarnation: 1, renewals: 0, listen_address: address };
                     let message_type = MessageType::Response { id };
-                    let answer = MessageHeader {
+                    let header = MessageHeader {
                         from,
                         to: "n1".into(),
                         issued_token: 0,
                         echoed_token: 0,
                         message_type,
                     };
-                    let answer =
-                        encode(&Envelope { sequence: 0, ..envelope }, &answer, b"yes", &authenticator);
-                    let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", answer.len());
-                    stream.write_all(&[head.as_bytes(), &answer].concat()).unwrap();
+                    let response =
+                        encode(&Envelope { sequence: 0, ..envelope }, &header, b"yes", &authenticator);
+                    let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", response.len());
+                    stream.write_all(&[head.as_bytes(), &response].concat()).unwrap();
                 }
             });
         }
     });
-    let broker = run(bound(), options("n1", 1, &[("n2", there)]));
-    let mut now = Vec::new();
+    let broker = start_broker(bind_free_port(), options("n1", 1, &[("n2", address)]));
+    let mut actual = Vec::new();
     for kind in RequestKind::ALL {
         let id = broker.peers.request("n2", kind, b"body".to_vec(), 5.0).unwrap();
-        assert_eq!(broker.response(id).unwrap(), b"yes");
-        let head = heads.recv_timeout(PATIENCE).unwrap();
-        assert!(head.contains(&format!("host: {there}\r\n")), "{head}");
-        now.push((kind.path().to_string(), fixed(&head)));
+        assert_eq!(broker.wait_for_response(id).unwrap(), b"yes");
+        let head = heads.recv_timeout(TEST_TIMEOUT).unwrap();
+        assert!(head.contains(&format!("host: {address}\r\n")), "{head}");
+        actual.push((kind.path().to_string(), normalized_head(&head)));
     }
-    same("requests.txt", &now);
+    assert_matches_golden("requests.txt", &actual);
 }
 
 #[test]
 fn responses_keep_their_http_head_and_status() {
-    let n2 = at("127.0.0.1:9");
-    let broker = run(bound(), options("n1", 1, &[("n2", n2)]));
+    let n2 = socket_address("127.0.0.1:9");
+    let broker = start_broker(bind_free_port(), options("n1", 1, &[("n2", n2)]));
     let authenticator = Authenticator::new(None).unwrap();
     let from = PeerId { name: "n2".into(), incarnation: 1, renewals: 0, listen_address: n2 };
-    let mut ends: Vec<(String, Result<Vec<u8>, RefusalReason>)> =
+    let mut results: Vec<(String, Result<Vec<u8>, RefusalReason>)> =
         vec![("answer".into(), Ok(b"yes".to_vec()))];
-    ends.extend(refusals().into_iter().map(|(label, refused)| (label, Err(refused))));
-    let mut now = Vec::new();
-    for (label, end) in ends {
+    results.extend(refusals().into_iter().map(|(label, reason)| (label, Err(reason))));
+    let mut actual = Vec::new();
+    for (label, result) in results {
         let message_type = MessageType::Request { id: 3, kind: RequestKind::State.into(), timeout_ms: 5000 };
-        let head = MessageHeader {
+        let header = MessageHeader {
             from: from.clone(),
             to: "n1".into(),
             issued_token: 0,
@@ -529,27 +563,31 @@
         };
         let envelope =
             Envelope { version: PROTOCOL_VERSION, supported: VersionRange::SUPPORTED, sequence: 0 };
-        let body = encode(&envelope, &head, b"body", &authenticator);
+        let body = encode(&envelope, &header, b"body", &authenticator);
         let mut stream = TcpStream::connect(broker.peers.local_addr()).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let request = format!("POST /state HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n", body.len());
         stream.write_all(&[request.as_bytes(), &body].concat()).unwrap();
         let (.., responder) = broker.next_request();
-        broker.peers.respond(responder, end.clone());
-        let (head, body) = read_http(&mut stream).expect("a response");
-        let Message { envelope: said, header: answered, payload } =
+        broker.peers.respond(responder, result.clone());
+        let (head, body) = read_http(&mut stream).expect("the broker sends a response");
+        let Message { envelope, header, payload } =
             decode(&body, &authenticator, "n1", VersionRange::SUPPORTED).unwrap();
         assert_eq!(
-            (said.version, said.supported, said.sequence),
+            (envelope.version, envelope.supported, envelope.sequence),
             (PROTOCOL_VERSION, VersionRange::SUPPORTED, 0),
             "{label}"
         );
-        let (about, want) = match end {
+        let (message_type, expected_payload) = match result {
             Ok(body) => (MessageType::Response { id: 3 }, body),
-            Err(why) => (MessageType::Refusal { id: 3 }, postcard::to_stdvec(&why).unwrap()),
+            Err(reason) => (MessageType::Refusal { id: 3 }, postcard::to_stdvec(&reason).unwrap()),
         };
-        assert_eq!((answered.message_type, answered.issued_token, payload), (about, 0, &want[..]), "{label}");
-        now.push((label, fixed(&head)));
+        assert_eq!(
+            (header.message_type, header.issued_token, payload),
+            (message_type, 0, &expected_payload[..]),
+            "{label}"
+        );
+        actual.push((label, normalized_head(&head)));
     }
-    same("answers.txt", &now);
+    assert_matches_golden("answers.txt", &actual);
 }
--- a/crates/dunepond-membership/tests/membership.rs
+++ b/crates/dunepond-membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Joining, leaving and failing, on real sockets.
+//! Joining, leaving and failure detection, on real sockets.
 
 mod fleet;
 use dunepond_membership::{Event, PeerError, PeerState};
@@ -11,9 +11,9 @@
 fn three_brokers_join_and_respond() {
     let fleet = fleet(3, |_| {});
     for (broker, others) in fleet.iter().zip([["n2", "n3"], ["n1", "n3"], ["n1", "n2"]]) {
-        broker.all_up(&others);
+        broker.wait_for_all_up(&others);
     }
-    let echo = std::thread::scope(|scope| {
+    let response = std::thread::scope(|scope| {
         scope.spawn(|| {
             let (from, _, body, responder) = fleet[1].next_request();
             assert_eq!(from, "n1");
@@ -21,114 +21,123 @@
         });
         fleet[0].call("n2", b"hello", 5.0)
     });
-    assert_eq!(echo.unwrap(), b"hello");
+    assert_eq!(response.unwrap(), b"hello");
 }
 
 #[test]
-fn crashed_peer_goes_down_and_rejoins() {
+fn stopped_peer_goes_down_and_rejoins() {
     let mut fleet = fleet(3, |_| {});
-    fleet[0].all_up(&["n2", "n3"]);
-    let known: Vec<(&str, SocketAddr)> =
+    fleet[0].wait_for_all_up(&["n2", "n3"]);
+    let known_peers: Vec<(&str, SocketAddr)> =
         ["n1", "n2", "n3"].into_iter().zip(fleet.iter().map(|broker| broker.peers.local_addr())).collect();
-    // Stopped, which the others see as leaving.
-    let crashed = fleet.pop().unwrap();
-    let at = crashed.peers.local_addr();
-    crashed.peers.stop();
-    fleet[0].down("n3");
-    let back = run(dunepond_membership::bind(at).unwrap(), options("n3", 2, &known));
-    assert_eq!(fleet[0].up("n3"), 2);
-    back.all_up(&["n1", "n2"]);
-    let standing = fleet[0].peers.members().into_iter().find(|peer| peer.name == "n3").unwrap();
-    assert_eq!((standing.incarnation, standing.state), (2, PeerState::Alive));
+    let stopped = fleet.pop().unwrap();
+    let address = stopped.peers.local_addr();
+    // A broker that stops tells the others that it leaves.
+    stopped.peers.stop();
+    fleet[0].wait_for_down("n3");
+    let restarted = start_broker(dunepond_membership::bind(address).unwrap(), options("n3", 2, &known_peers));
+    assert_eq!(fleet[0].wait_for_up("n3"), 2);
+    restarted.wait_for_all_up(&["n1", "n2"]);
+    let n3 = fleet[0].peers.members().into_iter().find(|peer| peer.name == "n3").unwrap();
+    assert_eq!((n3.incarnation, n3.state), (2, PeerState::Alive));
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            let (.., body, responder) = back.next_request();
-            back.peers.respond(responder, Ok(body));
+            let (.., body, responder) = restarted.next_request();
+            restarted.peers.respond(responder, Ok(body));
         });
-        // A pooled connection to the earlier incarnation may break once; a new one is then opened.
-        let again = (0..5).find_map(|_| fleet[0].call("n3", b"again", 2.0).ok());
-        assert_eq!(again.unwrap(), b"again");
+        // The first request may fail on a pooled connection to the earlier incarnation; a new one is then opened.
+        let response = (0..5).find_map(|_| fleet[0].call("n3", b"again", 2.0).ok());
+        assert_eq!(response.unwrap(), b"again");
     });
 }
 
 #[test]
 fn unconfigured_broker_joins() {
     let fleet = fleet(2, |_| {});
-    let known = [("n1", fleet[0].peers.local_addr())];
-    let follower = run(bound(), options("f1", 1, &known));
-    follower.all_up(&["n1", "n2"]);
-    fleet[0].up("f1");
-    fleet[1].up("f1");
+    let known_peers = [("n1", fleet[0].peers.local_addr())];
+    let unconfigured = start_broker(bind_free_port(), options("f1", 1, &known_peers));
+    unconfigured.wait_for_all_up(&["n1", "n2"]);
+    fleet[0].wait_for_up("f1");
+    fleet[1].wait_for_up("f1");
 }
 
 #[test]
-fn duplicate_name_needs_configured_address() {
+fn duplicate_name_from_other_address_is_refused() {
     let fleet = fleet(2, |_| {});
-    fleet[0].up("n2");
-    let known = [("n1", fleet[0].peers.local_addr())];
-    let double = run(bound(), options("n2", 9, &known));
-    let error = double.call("n1", b"", 2.0);
+    fleet[0].wait_for_up("n2");
+    let known_peers = [("n1", fleet[0].peers.local_addr())];
+    let duplicate = start_broker(bind_free_port(), options("n2", 9, &known_peers));
+    let error = duplicate.call("n1", b"", 2.0);
     assert!(matches!(error, Err(PeerError::Refused { .. })), "{error:?}");
-    fleet[0].wait("the claim to be counted twice", |peers| peers.counters().unverified_sender > 1);
+    fleet[0]
+        .wait_until("two messages from an unverified sender", |peers| peers.counters().unverified_sender > 1);
     let n2 = &fleet[0].peers.members()[0];
     assert_eq!((n2.incarnation, n2.listen_address), (1, fleet[1].peers.local_addr()));
-    assert!(double.peers.members().iter().all(|peer| peer.state != PeerState::Alive));
+    assert!(duplicate.peers.members().iter().all(|peer| peer.state != PeerState::Alive));
 }
 
-/// Forwards everything between any client and `to`, from addresses of its own; datagrams only until `crowded`.
-fn relay(to: SocketAddr, crowded: Arc<AtomicBool>) -> SocketAddr {
+/// Starts a relay that forwards connections and datagrams to `to`, from its own addresses, and returns its address. It
+/// drops datagrams while `drops_datagrams` is set.
+fn relay(to: SocketAddr, drops_datagrams: Arc<AtomicBool>) -> SocketAddr {
     let (tcp, udp) = loop {
         let tcp = TcpListener::bind("127.0.0.1:0").unwrap();
         if let Ok(udp) = UdpSocket::bind(tcp.local_addr().unwrap()) {
             break (tcp, udp);
         }
     };
-    let at = tcp.local_addr().unwrap();
+    let address = tcp.local_addr().unwrap();
     std::thread::spawn(move || {
-        let out = UdpSocket::bind("127.0.0.1:0").unwrap();
+        let sender = UdpSocket::bind("127.0.0.1:0").unwrap();
         let mut bytes = [0; 2000];
         while let Ok(size) = udp.recv(&mut bytes) {
-            if !crowded.load(Relaxed) {
-                let _ = out.send_to(&bytes[..size], to);
+            if !drops_datagrams.load(Relaxed) {
+                let _ = sender.send_to(&bytes[..size], to);
             }
         }
     });
     std::thread::spawn(move || {
-        for near in tcp.incoming() {
-            let (Ok(near), Ok(far)) = (near, TcpStream::connect(to)) else { continue };
-            for (mut from, mut into) in [(near.try_clone().unwrap(), far.try_clone().unwrap()), (far, near)] {
-                std::thread::spawn(move || std::io::copy(&mut from, &mut into));
+        for client in tcp.incoming() {
+            let (Ok(client), Ok(server)) = (client, TcpStream::connect(to)) else { continue };
+            let directions = [(client.try_clone().unwrap(), server.try_clone().unwrap()), (server, client)];
+            for (mut source, mut destination) in directions {
+                std::thread::spawn(move || std::io::copy(&mut source, &mut destination));
             }
         }
     });
-    at
+    address
 }
 
-/// Two brokers that reach each other through relays only, and the switch that drops all datagrams.
-fn behind_relays(suspect: f64, crowded: bool) -> (Broker, Broker, Arc<AtomicBool>) {
-    let crowded = Arc::new(AtomicBool::new(crowded));
-    let bounds = [bound(), bound()];
-    let relays =
-        [relay(bounds[0].local_addr(), crowded.clone()), relay(bounds[1].local_addr(), crowded.clone())];
-    let [one, two] = bounds;
-    let keyed = |name, other, at| {
-        let mut options = options(name, 1, &[(other, at)]);
+/// Starts two brokers with a key that reach each other through relays only. Returns them with the flag that makes the
+/// relays drop all datagrams.
+fn brokers_behind_relays(
+    suspicion_timeout_seconds: f64,
+    drops_datagrams: bool,
+) -> (Broker, Broker, Arc<AtomicBool>) {
+    let drops_datagrams = Arc::new(AtomicBool::new(drops_datagrams));
+    let sockets = [bind_free_port(), bind_free_port()];
+    let relays = [
+        relay(sockets[0].local_addr(), drops_datagrams.clone()),
+        relay(sockets[1].local_addr(), drops_datagrams.clone()),
+    ];
+    let [first, second] = sockets;
+    let options_with_key = |name, other, relay| {
+        let mut options = options(name, 1, &[(other, relay)]);
         options.key = Some("behind the relays".into());
-        options.timing.suspicion_timeout_seconds = suspect;
+        options.timing.suspicion_timeout_seconds = suspicion_timeout_seconds;
         options
     };
-    let n1 = run(one, keyed("n1", "n2", relays[1]));
-    let n2 = run(two, keyed("n2", "n1", relays[0]));
-    if !crowded.load(Relaxed) {
-        n1.up("n2");
-        n2.up("n1");
+    let n1 = start_broker(first, options_with_key("n1", "n2", relays[1]));
+    let n2 = start_broker(second, options_with_key("n2", "n1", relays[0]));
+    if !drops_datagrams.load(Relaxed) {
+        n1.wait_for_up("n2");
+        n2.wait_for_up("n1");
     }
-    (n1, n2, crowded)
+    (n1, n2, drops_datagrams)
 }
 
 #[test]
 fn key_verifies_senders_behind_relays() {
-    let (n1, n2, _) = behind_relays(0.8, false);
+    let (n1, n2, _) = brokers_behind_relays(0.8, false);
     assert_eq!(n1.peers.members()[0].listen_address, n2.peers.local_addr());
     std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -139,10 +148,11 @@
     });
 }
 
-/// Under a key the refusal of a request carries the address token, and the request is retried.
+/// With a key, the refusal of a request carries the receiver's address token, with which the request is retried. No
+/// datagram carries the token here, since the relays drop them all.
 #[test]
 fn refusal_carries_address_token_with_key() {
-    let (n1, n2, _) = behind_relays(0.8, true);
+    let (n1, n2, _) = brokers_behind_relays(0.8, true);
     std::thread::scope(|scope| {
         scope.spawn(|| {
             let (.., responder) = n2.next_request();
@@ -153,43 +163,46 @@
     assert_eq!(n2.peers.counters().invalid_token, 1);
 }
 
-/// A flood at its worst: no datagram gets through. Both suspect each other, check over connections, and stay up.
+/// In the worst case of a flood no datagram arrives: both brokers suspect each other, check over connections, and must
+/// not declare each other down.
 #[test]
 fn liveness_checks_keep_peer_up() {
-    let (n1, n2, crowded) = behind_relays(3.0, false);
-    crowded.store(true, Relaxed);
+    let (n1, n2, drops_datagrams) = brokers_behind_relays(3.0, false);
+    drops_datagrams.store(true, Relaxed);
     for broker in [&n1, &n2] {
         for _ in 0..2 {
-            broker.until("a suspicion and its end", |event| match event {
-                Event::PeerDown(name) => panic!("{name} was given up: {:?}", broker.peers.counters()),
+            broker.wait_for_event("a suspicion and its refutation", |event| match event {
+                Event::PeerDown(name) => panic!("{name} was declared down: {:?}", broker.peers.counters()),
                 Event::PeerSuspected(_) => Some(()),
                 _ => None,
             });
         }
     }
-    let asked = n1.peers.counters().liveness_checks_passed + n2.peers.counters().liveness_checks_passed;
-    assert!(asked >= 2, "{asked}");
+    let passed = n1.peers.counters().liveness_checks_passed + n2.peers.counters().liveness_checks_passed;
+    assert!(passed >= 2, "{passed}");
 }
 
 #[test]
 fn brokers_without_common_key_do_not_join() {
-    let bounds = [bound(), bound(), bound()];
-    let known: Vec<(&str, SocketAddr)> =
-        ["n1", "n2", "n3"].into_iter().zip(bounds.iter().map(|bound| bound.local_addr())).collect();
+    let sockets = [bind_free_port(), bind_free_port(), bind_free_port()];
+    let known_peers: Vec<(&str, SocketAddr)> =
+        ["n1", "n2", "n3"].into_iter().zip(sockets.iter().map(|sockets| sockets.local_addr())).collect();
     let keys = [Some("the key of the fleet"), Some("another fleet's key"), None];
-    let fleet: Vec<Broker> = bounds
+    let fleet: Vec<Broker> = sockets
         .into_iter()
         .zip(keys)
         .enumerate()
-        .map(|(number, (bound, key))| {
-            let mut options = options(known[number].0, 1, &known);
+        .map(|(number, (sockets, key))| {
+            let mut options = options(known_peers[number].0, 1, &known_peers);
             options.key = key.map(str::to_owned);
-            run(bound, options)
+            start_broker(sockets, options)
         })
         .collect();
     let error = fleet[1].call("n1", b"", 2.0);
     assert!(matches!(error, Err(PeerError::AuthenticationFailed { .. })), "{error:?}");
-    fleet[0].wait("bad seals", |peers| peers.counters().authentication_failed > 2);
+    fleet[0].wait_until("messages with wrong authentication codes", |peers| {
+        peers.counters().authentication_failed > 2
+    });
     assert!(fleet.iter().all(|broker| broker.peers.members().is_empty()));
     assert!(
         !fleet[0].events.try_iter().any(|event| matches!(event, Event::Request { .. } | Event::PeerUp(_)))
--- a/crates/dunepond-membership/tests/requests.rs
+++ b/crates/dunepond-membership/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests and their ends, when the peer is slow, silent, half there or gone.
+//! Requests and their outcomes when the peer is slow, silent, unreachable or sends invalid responses.
 
 mod fleet;
 use dunepond_membership::{
@@ -11,32 +11,35 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A server that accepts, reads the start of a request, writes `response`, and then closes the connection or keeps it open for ever.
+/// Starts a server that reads the start of a request, writes `response`, and then closes the connection or keeps it
+/// open. Returns its address.
 fn server(response: Vec<u8>, closes: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
-        let mut open: Vec<TcpStream> = Vec::new();
+        let mut open_streams: Vec<TcpStream> = Vec::new();
         for mut stream in listener.incoming().flatten() {
             let _ = stream.read(&mut [0; 4096]);
             let _ = stream.write_all(&response);
             if !closes {
-                open.push(stream);
+                open_streams.push(stream);
             }
         }
     });
     address
 }
 
+/// The head of an HTTP response whose body has `length` bytes.
 fn head(length: usize) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n").into()
 }
 
+/// A complete HTTP response with this body.
 fn with_body(body: &[u8]) -> Vec<u8> {
     [head(body.len()), body.to_vec()].concat()
 }
 
-/// The complete response of a broker called `name` to request `id`.
+/// The complete HTTP response of a broker named `name` to request `id`.
 fn response(name: &str, id: u64) -> Vec<u8> {
     let from = PeerId {
         name: name.into(),
@@ -44,14 +47,14 @@
         renewals: 0,
         listen_address: "127.0.0.1:9".parse().unwrap(),
     };
-    let head = MessageHeader {
+    let header = MessageHeader {
         from,
         to: "n1".into(),
         issued_token: 0,
         echoed_token: 0,
         message_type: MessageType::Response { id },
     };
-    with_body(&encode(&Envelope::VERSION_1, &head, b"yes", &Authenticator::new(None).unwrap()))
+    with_body(&encode(&Envelope::VERSION_1, &header, b"yes", &Authenticator::new(None).unwrap()))
 }
 
 #[rstest]
@@ -67,17 +70,21 @@
 #[case::newer_version(with_body(&[9, 3, 9, 0]), false, "UnsupportedVersion")]
 #[case::too_large(head(5 << 20), false, "TooLarge")]
 #[case::without_length(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\na\r\n".to_vec(), false, "Malformed")]
-fn bad_response_ends_request_in_time(#[case] response: Vec<u8>, #[case] closes: bool, #[case] want: &str) {
-    let broker = run(bound(), options("n1", 1, &[("bad", server(response, closes))]));
+fn invalid_response_ends_request_in_time(
+    #[case] response: Vec<u8>,
+    #[case] closes: bool,
+    #[case] expected_error: &str,
+) {
+    let broker = start_broker(bind_free_port(), options("n1", 1, &[("bad", server(response, closes))]));
     let started = Instant::now();
-    let end = broker.call("bad", b"x", 0.4).unwrap_err();
-    let took = started.elapsed().as_secs_f64();
-    assert!(format!("{end:?}").starts_with(want), "{end:?}");
-    assert!(took < 2.0 && (want != "Timeout" || took >= 0.4), "{took}");
+    let error = broker.call("bad", b"x", 0.4).unwrap_err();
+    let elapsed = started.elapsed().as_secs_f64();
+    assert!(format!("{error:?}").starts_with(expected_error), "{error:?}");
+    assert!(elapsed < 2.0 && (expected_error != "Timeout" || elapsed >= 0.4), "{elapsed}");
 }
 
 #[test]
-fn silent_peer_delays_no_other() {
+fn silent_peer_does_not_delay_others() {
     let fleet = fleet(2, |options| options.known_peers.push(("silent".into(), server(vec![], false))));
     for _ in 0..20 {
         fleet[0].peers.request("silent", RequestKind::Raft, vec![], 3.0).unwrap();
@@ -93,7 +100,7 @@
             fleet[0].call("n2", b"", 2.0).unwrap();
         }
     });
-    // All over the same few connections.
+    // All requests used the same few connections.
     assert!(fleet[1].peers.counters().connections_in <= 4, "{:?}", fleet[1].peers.counters());
 }
 
@@ -103,44 +110,44 @@
     let mut options = options("n1", 1, &[("silent", silent)]);
     options.limits.max_requests = 50;
     options.limits.max_requests_per_peer = 40;
-    let broker = run(bound(), options);
-    let taken: Vec<u64> = (0..500)
+    let broker = start_broker(bind_free_port(), options);
+    let accepted: Vec<u64> = (0..500)
         .filter_map(|_| broker.peers.request("silent", RequestKind::Raft, vec![], 0.5).ok())
         .collect();
-    assert_eq!(taken.len(), 50);
+    assert_eq!(accepted.len(), 50);
     assert!(matches!(
         broker.peers.request("silent", RequestKind::Raft, vec![], 0.5),
         Err(PeerError::Busy { limit: 50, .. })
     ));
-    let (mut ended, mut late) = (Vec::new(), 0);
-    while ended.len() < 50 {
-        match broker.events.recv_timeout(PATIENCE).unwrap() {
+    let (mut completed, mut timed_out) = (Vec::new(), 0);
+    while completed.len() < 50 {
+        match broker.events.recv_timeout(TEST_TIMEOUT).unwrap() {
             Event::Response { id, result, .. } => {
-                ended.push(id);
-                late += usize::from(matches!(result, Err(PeerError::Timeout { .. })));
+                completed.push(id);
+                timed_out += usize::from(matches!(result, Err(PeerError::Timeout { .. })));
             }
             other => panic!("{other:?}"),
         }
     }
-    ended.sort_unstable();
-    assert_eq!(ended, taken);
-    assert_eq!(late, 40, "more are out than one peer may have");
-    // All of the limit is free again.
+    completed.sort_unstable();
+    assert_eq!(completed, accepted);
+    assert_eq!(timed_out, 40, "only as many requests as the limit for one peer may be sent");
+    // The whole limit is available again.
     assert!(matches!(broker.call("silent", b"", 0.1), Err(PeerError::Timeout { .. })));
 }
 
 #[test]
 fn unreachable_peer_is_backed_off() {
-    let place = bound();
-    let at = place.local_addr();
-    drop(place);
-    let broker = run(bound(), options("n1", 1, &[("n2", at)]));
+    let sockets = bind_free_port();
+    let address = sockets.local_addr();
+    drop(sockets);
+    let broker = start_broker(bind_free_port(), options("n1", 1, &[("n2", address)]));
     assert!(matches!(broker.call("n2", b"", 2.0), Err(PeerError::Unreachable { .. })));
     let started = Instant::now();
     let (mut backed_off, mut attempts) = (0, 0);
-    // So many refusals come in a quarter of a second on an idle machine.
+    // On an idle machine, this number of backed-off requests takes a quarter of a second.
     while backed_off < 50 || started.elapsed() < Duration::from_secs(1) {
-        assert!(started.elapsed() < PATIENCE, "{backed_off} backed_off, {attempts} attempts");
+        assert!(started.elapsed() < TEST_TIMEOUT, "{backed_off} backed_off, {attempts} attempts");
         match broker.call("n2", b"", 2.0).unwrap_err() {
             PeerError::BackingOff { wait_seconds, .. } => {
                 assert!(wait_seconds <= 1.0);
@@ -156,15 +163,16 @@
         attempts >= 1 && attempts <= 6 + 2 * started.elapsed().as_secs(),
         "{backed_off} backed_off, {attempts} attempts"
     );
-    let there = run(bind(at).unwrap(), options("n2", 1, &[("n1", broker.peers.local_addr())]));
+    let restarted =
+        start_broker(bind(address).unwrap(), options("n2", 1, &[("n1", broker.peers.local_addr())]));
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            let (.., responder) = there.next_request();
-            there.peers.respond(responder, Ok(vec![]));
+            let (.., responder) = restarted.next_request();
+            restarted.peers.respond(responder, Ok(vec![]));
         });
         let started = Instant::now();
         while broker.call("n2", b"", 2.0).is_err() {
-            assert!(started.elapsed() < PATIENCE);
+            assert!(started.elapsed() < TEST_TIMEOUT);
             std::thread::sleep(Duration::from_millis(5));
         }
     });
@@ -173,7 +181,7 @@
 #[test]
 fn oversized_bodies_are_refused() {
     let fleet = fleet(2, |_| {});
-    let whole = vec![7; 4 << 20];
+    let largest_body = vec![7; 4 << 20];
     assert!(matches!(
         fleet[0].peers.request("n2", RequestKind::State, vec![0; (4 << 20) + 1], 1.0),
         Err(PeerError::TooLarge { .. })
@@ -185,11 +193,11 @@
             let (.., responder) = fleet[1].next_request();
             fleet[1].peers.respond(responder, Ok(vec![0; (4 << 20) + 1]));
         });
-        assert_eq!(fleet[0].call("n2", &whole, 10.0).unwrap(), whole);
-        let end = fleet[0].call("n2", b"", 10.0);
+        assert_eq!(fleet[0].call("n2", &largest_body, 10.0).unwrap(), largest_body);
+        let result = fleet[0].call("n2", b"", 10.0);
         assert!(
-            matches!(end, Err(PeerError::Refused { reason: RefusalReason::TooLarge { .. }, .. })),
-            "{end:?}"
+            matches!(result, Err(PeerError::Refused { reason: RefusalReason::TooLarge { .. }, .. })),
+            "{result:?}"
         );
     });
 }
@@ -197,12 +205,13 @@
 #[test]
 fn request_without_response_gets_reason() {
     let fleet = fleet(2, |_| {});
-    let known = [("n3", fleet[1].peers.local_addr())];
-    let misled = run(bound(), options("n0", 1, &known));
-    let end = misled.call("n3", b"", 2.0);
+    // The address of n2 is configured under another name.
+    let known_peers = [("n3", fleet[1].peers.local_addr())];
+    let misconfigured = start_broker(bind_free_port(), options("n0", 1, &known_peers));
+    let result = misconfigured.call("n3", b"", 2.0);
     assert!(
-        matches!(&end, Err(PeerError::Refused { reason: RefusalReason::WrongRecipient { name }, .. }) if name == "n2"),
-        "{end:?}"
+        matches!(&result, Err(PeerError::Refused { reason: RefusalReason::WrongRecipient { name }, .. }) if name == "n2"),
+        "{result:?}"
     );
     std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -210,10 +219,16 @@
             let (.., responder) = fleet[1].next_request();
             fleet[1].peers.respond(responder, Err(RefusalReason::Declined("no such version".into())));
         });
-        let end = fleet[0].call("n2", b"", 2.0);
-        assert!(matches!(end, Err(PeerError::Refused { reason: RefusalReason::NoResponse, .. })), "{end:?}");
-        let end = fleet[0].call("n2", b"", 2.0);
-        assert!(matches!(end, Err(PeerError::Refused { reason: RefusalReason::Declined(_), .. })), "{end:?}");
+        let result = fleet[0].call("n2", b"", 2.0);
+        assert!(
+            matches!(result, Err(PeerError::Refused { reason: RefusalReason::NoResponse, .. })),
+            "{result:?}"
+        );
+        let result = fleet[0].call("n2", b"", 2.0);
+        assert!(
+            matches!(result, Err(PeerError::Refused { reason: RefusalReason::Declined(_), .. })),
+            "{result:?}"
+        );
     });
     assert!(matches!(fleet[0].call("nobody", b"", 2.0), Err(PeerError::UnknownPeer { .. })));
 }
@@ -225,29 +240,31 @@
             options.limits.max_queued_events = 4;
         }
     });
-    fleet[1].all_up(&["n1", "n3"]);
-    fleet[0].wait("n2 and n3", |peers| peers.members().len() == 2);
-    // n1 reads nothing. Responses to its own requests wait; requests of others have no room.
+    fleet[1].wait_for_all_up(&["n1", "n3"]);
+    fleet[0].wait_until("n2 and n3 to be members", |peers| peers.members().len() == 2);
+    // n1 reads no events. Outcomes of its own requests are queued; requests of others are refused if there is no room.
     let ids: Vec<u64> =
         (0..8).map(|_| fleet[1].peers.request("n1", RequestKind::Raft, vec![], 3.0).unwrap()).collect();
-    let ends = fleet[1].responses(&ids);
-    let busy = ends
+    let results = fleet[1].wait_for_responses(&ids);
+    let busy = results
         .iter()
-        .filter(|end| matches!(end, Err(PeerError::Refused { reason: RefusalReason::Busy, .. })))
+        .filter(|result| matches!(result, Err(PeerError::Refused { reason: RefusalReason::Busy, .. })))
         .count();
-    assert_eq!((busy, ends.len()), (6, 8), "two changes and two asks are all that has room");
-    let own = fleet[0].peers.request("n2", RequestKind::Raft, vec![], 0.2).unwrap();
-    let known = [("n1", fleet[0].peers.local_addr()), ("n2", fleet[1].peers.local_addr())];
+    assert_eq!((busy, results.len()), (6, 8), "there is room for two membership changes and two requests");
+    let own_request = fleet[0].peers.request("n2", RequestKind::Raft, vec![], 0.2).unwrap();
+    let known_peers = [("n1", fleet[0].peers.local_addr()), ("n2", fleet[1].peers.local_addr())];
     let n3 = fleet.pop().unwrap();
-    let at = n3.peers.local_addr();
+    let address = n3.peers.local_addr();
     n3.peers.stop();
-    fleet[1].down("n3");
-    let _back = run(bind(at).unwrap(), options("n3", 2, &known));
-    fleet[0].wait("the new life", |peers| peers.members().iter().any(|peer| peer.incarnation == 2));
-    fleet[0].wait("an overtaken change", |peers| peers.counters().coalesced > 0);
+    fleet[1].wait_for_down("n3");
+    let _restarted = start_broker(bind(address).unwrap(), options("n3", 2, &known_peers));
+    fleet[0].wait_until("the new incarnation of n3", |peers| {
+        peers.members().iter().any(|peer| peer.incarnation == 2)
+    });
+    fleet[0].wait_until("a coalesced change", |peers| peers.counters().coalesced > 0);
     let mut events = Vec::new();
     while events.len() < 6 {
-        events.push(fleet[0].events.recv_timeout(PATIENCE).unwrap());
+        events.push(fleet[0].events.recv_timeout(TEST_TIMEOUT).unwrap());
     }
     assert!(
         events.iter().any(|event| matches!(event, Event::PeerUp(peer) if peer.incarnation == 2)),
@@ -255,7 +272,7 @@
     );
     assert!(!events.iter().any(|event| matches!(event, Event::PeerDown(_))), "{events:?}");
     assert!(
-        events.iter().any(|event| matches!(event, Event::Response { id, .. } if *id == own)),
+        events.iter().any(|event| matches!(event, Event::Response { id, .. } if *id == own_request)),
         "{events:?}"
     );
 }
@@ -268,44 +285,48 @@
         options.limits.max_send_bytes = 10 << 20;
         options.limits.max_pending_requests_per_peer = 2;
     });
-    let busy = |end: &Result<Vec<u8>, PeerError>| {
-        matches!(end, Err(PeerError::Refused { reason: RefusalReason::Busy, .. }))
+    let busy = |result: &Result<Vec<u8>, PeerError>| {
+        matches!(result, Err(PeerError::Refused { reason: RefusalReason::Busy, .. }))
     };
-    let two = fleet.pop().unwrap();
+    let n2 = fleet.pop().unwrap();
     let large = || vec![0; 3 << 20];
-    // None of these ends by its timeout: the machine may be slow.
-    let ask = |to: &str, body| two.peers.request(to, RequestKind::State, body, 20.0);
-    let asked = |count| fleet[0].wait("what is asked", |peers| peers.counters().requests_received == count);
-    let drop_all = || while fleet[0].events.try_recv().is_ok() {};
-    // Waiting to be read by the caller.
-    let ids = [ask("n1", large()).unwrap(), ask("n1", large()).unwrap()];
-    asked(2);
-    let third = two.call("n1", &large(), 20.0);
-    // The refusal may be lost where the other side closes over a body that it does not read.
+    // The timeout is long, so that no request times out on a slow machine.
+    let request = |to: &str, body| n2.peers.request(to, RequestKind::State, body, 20.0);
+    let wait_for_requests = |count| {
+        fleet[0]
+            .wait_until("the requests to be received", |peers| peers.counters().requests_received == count)
+    };
+    let drop_events = || while fleet[0].events.try_recv().is_ok() {};
+    // Requests that wait until the caller reads them.
+    let ids = [request("n1", large()).unwrap(), request("n1", large()).unwrap()];
+    wait_for_requests(2);
+    let third = n2.call("n1", &large(), 20.0);
+    // The refusal may be lost if the receiver closes the connection before it has read the body.
     assert!(busy(&third) || matches!(third, Err(PeerError::ConnectionLost { .. })), "{third:?}");
-    fleet[0].wait("the refusal", |peers| peers.counters().requests_shed == 1);
-    drop_all();
-    assert!(!two.responses(&ids).iter().any(busy));
-    // Read by the caller, without a response.
-    let ids: Vec<u64> = (0..4).map(|_| ask("n1", vec![]).unwrap()).collect();
-    asked(4);
-    fleet[0].wait("the others' end", |peers| peers.counters().requests_shed == 3);
-    drop_all();
-    assert_eq!(two.responses(&ids).iter().filter(|end| busy(end)).count(), 2);
-    // Being sent.
-    let out: Vec<bool> = (0..4).map(|_| ask("silent", large()).is_ok()).collect();
-    assert_eq!(out, [true, true, true, false]);
-    // Being received: the length is stated, the body never sent. The one that is read last finds no room.
-    let state = b"POST /raft HTTP/1.1\r\nhost: x\r\ncontent-length: 4194304\r\n\r\n";
+    fleet[0].wait_until("the refusal of the third request", |peers| peers.counters().requests_shed == 1);
+    drop_events();
+    assert!(!n2.wait_for_responses(&ids).iter().any(busy));
+    // Requests that the caller has not responded to.
+    let ids: Vec<u64> = (0..4).map(|_| request("n1", vec![]).unwrap()).collect();
+    wait_for_requests(4);
+    fleet[0].wait_until("the refusal of the other requests", |peers| peers.counters().requests_shed == 3);
+    drop_events();
+    assert_eq!(n2.wait_for_responses(&ids).iter().filter(|result| busy(result)).count(), 2);
+    // Requests that are being sent.
+    let accepted: Vec<bool> = (0..4).map(|_| request("silent", large()).is_ok()).collect();
+    assert_eq!(accepted, [true, true, true, false]);
+    // Bodies that are being received: each length is stated, but the body is never sent. The request that is read last
+    // finds no room.
+    let request_head = b"POST /raft HTTP/1.1\r\nhost: x\r\ncontent-length: 4194304\r\n\r\n";
     let streams: Vec<TcpStream> =
         (0..3).map(|_| TcpStream::connect(fleet[0].peers.local_addr()).unwrap()).collect();
     for mut stream in &streams {
-        stream.write_all(state).unwrap();
+        stream.write_all(request_head).unwrap();
         stream.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
     }
     let (started, mut status) = (Instant::now(), [0; 12]);
     while !streams.iter().any(|mut stream| stream.read_exact(&mut status).is_ok()) {
-        assert!(started.elapsed() < PATIENCE);
+        assert!(started.elapsed() < TEST_TIMEOUT);
     }
     assert_eq!(&status, b"HTTP/1.1 503");
 }
@@ -313,7 +334,7 @@
 #[test]
 fn stop_does_not_wait_for_peers() {
     let silent = server(vec![], false);
-    let broker = run(bound(), options("n1", 1, &[("silent", silent)]));
+    let broker = start_broker(bind_free_port(), options("n1", 1, &[("silent", silent)]));
     for _ in 0..20 {
         broker.peers.request("silent", RequestKind::Raft, vec![], 30.0).unwrap();
     }
--- a/crates/dunepond-membership/tests/untrusted_senders.rs
+++ b/crates/dunepond-membership/tests/untrusted_senders.rs
@@ -1,4 +1,4 @@
-//! Messages of senders that are not verified: counted, refused with a reason, and without effect.
+//! Messages of senders that are not verified are counted, are refused with a reason, and have no effect.
 
 mod fleet;
 use dunepond_membership::{
@@ -12,33 +12,35 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// Sends `bytes` as they are, and returns what came back until the connection was closed or idle.
-fn raw(at: SocketAddr, bytes: &[u8]) -> Vec<u8> {
-    let mut stream = TcpStream::connect(at).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    let mut answer = Vec::new();
+/// Sends `bytes` over a new connection, and returns what is received until the connection is closed or idle.
+fn send_raw(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
+    let mut stream = TcpStream::connect(address).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    let mut response = Vec::new();
     if stream.write_all(bytes).is_ok() {
-        let _ = stream.read_to_end(&mut answer);
+        let _ = stream.read_to_end(&mut response);
     }
-    answer
+    response
 }
 
-/// Status and typed refusal, if any, of a request.
-fn post(at: SocketAddr, path: &str, body: &[u8]) -> (u16, Option<RefusalReason>) {
+/// Sends a request, and returns the HTTP status of the response and the refusal, if there is one.
+fn post(address: SocketAddr, path: &str, body: &[u8]) -> (u16, Option<RefusalReason>) {
     let head = format!(
         "POST {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
-    let answer = raw(at, &[head.as_bytes(), body].concat());
-    let status = String::from_utf8_lossy(&answer[9..12]).parse().unwrap();
-    let body = answer.windows(4).position(|four| four == b"\r\n\r\n").unwrap() + 4;
+    let response = send_raw(address, &[head.as_bytes(), body].concat());
+    let status = String::from_utf8_lossy(&response[9..12]).parse().unwrap();
+    let body_start = response.windows(4).position(|bytes| bytes == b"\r\n\r\n").unwrap() + 4;
     let Message { payload, .. } =
-        decode(&answer[body..], &Authenticator::new(None).unwrap(), "it", VersionRange::SUPPORTED).unwrap();
+        decode(&response[body_start..], &Authenticator::new(None).unwrap(), "it", VersionRange::SUPPORTED)
+            .unwrap();
     (status, postcard::from_bytes(payload).ok())
 }
 
-fn ask(name: &str, incarnation: u64, listen: SocketAddr, to: &str) -> Vec<u8> {
-    let from = PeerId { name: name.into(), incarnation, renewals: 0, listen_address: listen };
+/// An encoded request of version 1 without address tokens.
+fn encoded_request(name: &str, incarnation: u64, listen_address: SocketAddr, to: &str) -> Vec<u8> {
+    let from = PeerId { name: name.into(), incarnation, renewals: 0, listen_address };
     let message_type = MessageType::Request { id: 1, kind: RequestKind::Raft.into(), timeout_ms: 500 };
     encode(
         &Envelope::VERSION_1,
@@ -48,23 +50,25 @@
     )
 }
 
-/// Two brokers that have each other's address tokens.
-fn pair() -> Vec<Broker> {
+/// Starts two brokers, and waits until they have each other's address tokens.
+fn start_pair() -> Vec<Broker> {
     let fleet = fleet(2, |options| {
         (options.timing.first_request_timeout_seconds, options.timing.suspicion_timeout_seconds) = (0.3, 3.0)
     });
-    fleet[0].up("n2");
-    fleet[1].up("n1");
-    // The first datagram that answers one of ours echoes our token.
-    fleet.iter().for_each(|broker| broker.wait("some datagrams", |peers| peers.counters().datagrams_in >= 8));
+    fleet[0].wait_for_up("n2");
+    fleet[1].wait_for_up("n1");
+    // The first datagram that answers one of a broker's own echoes that broker's token.
+    fleet
+        .iter()
+        .for_each(|broker| broker.wait_until("8 datagrams", |peers| peers.counters().datagrams_in >= 8));
     fleet
 }
 
-/// The caller received nothing, and the other broker still gets its response.
-fn untouched(fleet: &[Broker]) {
-    let came: Vec<Event> = fleet[0].events.try_iter().collect();
-    let wrong = |event: &Event| matches!(event, Event::Request { .. } | Event::PeerDown(_));
-    assert!(!came.iter().any(wrong), "{came:?}, {:?}", fleet[0].peers.counters());
+/// Asserts that n1's caller received no request and no peer went down, and that n2 still gets a response from n1.
+fn assert_unaffected(fleet: &[Broker]) {
+    let events: Vec<Event> = fleet[0].events.try_iter().collect();
+    let is_unexpected = |event: &Event| matches!(event, Event::Request { .. } | Event::PeerDown(_));
+    assert!(!events.iter().any(is_unexpected), "{events:?}, {:?}", fleet[0].peers.counters());
     std::thread::scope(|scope| {
         scope.spawn(|| {
             let (from, .., responder) = fleet[0].next_request();
@@ -82,30 +86,30 @@
 #[case::truncated_body(b"POST /raft HTTP/1.1\r\ncontent-length: 1000\r\n\r\nabc".to_vec())]
 #[case::no_length(b"POST /raft HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n".to_vec())]
 #[case::silent(vec![])]
-fn bad_connections_are_closed(#[case] bytes: Vec<u8>) {
-    let fleet = pair();
+fn invalid_connections_are_closed(#[case] bytes: Vec<u8>) {
+    let fleet = start_pair();
     let started = Instant::now();
-    raw(fleet[0].peers.local_addr(), &bytes);
+    send_raw(fleet[0].peers.local_addr(), &bytes);
     assert!(started.elapsed() < Duration::from_secs(3));
-    untouched(&fleet);
+    assert_unaffected(&fleet);
 }
 
 #[test]
 fn rejected_request_gets_reason() {
-    let fleet = pair();
-    let (at, n2) = (fleet[0].peers.local_addr(), fleet[1].peers.local_addr());
-    let elsewhere = "127.0.0.1:9".parse().unwrap();
-    let good = ask("n2", 1, n2, "n1");
-    let newer: Vec<u8> = [&[PROTOCOL_VERSION + 1; 3], &good[1..]].concat();
-    let claimed = |name: &str| Some(RefusalReason::UnverifiedSender { name: name.into() });
-    let garbled = Some(RefusalReason::Malformed);
+    let fleet = start_pair();
+    let (address, n2) = (fleet[0].peers.local_addr(), fleet[1].peers.local_addr());
+    let other_address = "127.0.0.1:9".parse().unwrap();
+    let request = encoded_request("n2", 1, n2, "n1");
+    let newer: Vec<u8> = [&[PROTOCOL_VERSION + 1; 3], &request[1..]].concat();
+    let unverified = |name: &str| Some(RefusalReason::UnverifiedSender { name: name.into() });
+    let malformed = Some(RefusalReason::Malformed);
     let cases = [
-        ("another path", "/shell", good.clone(), 400, garbled.clone()),
-        ("another kind than the path's", "/lease", good.clone(), 400, garbled.clone()),
-        ("garbage", "/raft", vec![PROTOCOL_VERSION, 255, 255, 255, 255], 400, garbled.clone()),
-        ("nothing", "/raft", vec![], 400, garbled.clone()),
+        ("unknown path", "/shell", request.clone(), 400, malformed.clone()),
+        ("path of another kind", "/lease", request.clone(), 400, malformed.clone()),
+        ("undecodable body", "/raft", vec![PROTOCOL_VERSION, 255, 255, 255, 255], 400, malformed.clone()),
+        ("empty body", "/raft", vec![], 400, malformed.clone()),
         (
-            "newer",
+            "newer version",
             "/raft",
             newer,
             426,
@@ -114,24 +118,30 @@
                 supported: VersionRange::SUPPORTED,
             }),
         ),
-        ("our own name", "/raft", ask("n1", 1, at, "n1"), 403, claimed("n1")),
-        ("another's name", "/raft", ask("n2", 1, elsewhere, "n1"), 403, claimed("n2")),
-        ("another's name and address", "/raft", good, 403, claimed("n2")),
-        ("its next life", "/raft", ask("n2", u64::MAX, n2, "n1"), 403, claimed("n2")),
+        ("name of the receiver", "/raft", encoded_request("n1", 1, address, "n1"), 403, unverified("n1")),
+        ("name of a member", "/raft", encoded_request("n2", 1, other_address, "n1"), 403, unverified("n2")),
+        ("name and address of a member", "/raft", request, 403, unverified("n2")),
+        (
+            "later incarnation of a member",
+            "/raft",
+            encoded_request("n2", u64::MAX, n2, "n1"),
+            403,
+            unverified("n2"),
+        ),
         (
-            "its last life",
+            "earlier incarnation of a member",
             "/raft",
-            ask("n2", 0, n2, "n1"),
+            encoded_request("n2", 0, n2, "n1"),
             409,
             Some(RefusalReason::StaleIncarnation { name: "n2".into(), known: 1 }),
         ),
-        ("no name", "/raft", ask("", 1, elsewhere, "n1"), 400, garbled),
+        ("empty name", "/raft", encoded_request("", 1, other_address, "n1"), 400, malformed),
     ];
-    for (what, path, body, status, why) in cases {
-        assert_eq!(post(at, path, &body), (status, why), "{what}");
+    for (case, path, body, status, reason) in cases {
+        assert_eq!(post(address, path, &body), (status, reason), "{case}");
     }
-    let long = format!("POST /raft HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n", 5 << 20);
-    assert!(raw(at, long.as_bytes()).starts_with(b"HTTP/1.1 413"));
+    let too_large = format!("POST /raft HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n", 5 << 20);
+    assert!(send_raw(address, too_large.as_bytes()).starts_with(b"HTTP/1.1 413"));
     let counters = fleet[0].peers.counters();
     assert_eq!(
         (
@@ -142,81 +152,85 @@
         ),
         (4, 1, 1, 1)
     );
-    untouched(&fleet);
+    assert_unaffected(&fleet);
 }
 
-/// Hundreds of times what a socket buffers; by count, so that the load on the machine decides nothing.
+/// Sends many times as many datagrams as a socket buffers. Their number is fixed, so that the result does not depend on
+/// the load of the machine.
 #[test]
 fn foreign_datagrams_change_nothing() {
-    let fleet = pair();
-    let at = fleet[0].peers.local_addr();
+    let fleet = start_pair();
+    let address = fleet[0].peers.local_addr();
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let claim = ask("n2", 9, fleet[1].peers.local_addr(), "n1");
+    let unverified = encoded_request("n2", 9, fleet[1].peers.local_addr(), "n1");
     let newer = [PROTOCOL_VERSION + 1; 300];
     for _ in 0..4 {
-        for bytes in [&claim[..], &newer, &[], &[PROTOCOL_VERSION], &[7; 3000]].iter().cycle().take(20_000) {
-            let _ = socket.send_to(bytes, at);
+        for bytes in
+            [&unverified[..], &newer, &[], &[PROTOCOL_VERSION], &[7; 3000]].iter().cycle().take(20_000)
+        {
+            let _ = socket.send_to(bytes, address);
         }
-        untouched(&fleet);
+        assert_unaffected(&fleet);
     }
-    // The socket is drained by now, and buffers all of this.
-    for bytes in [&claim[..], &newer, &[PROTOCOL_VERSION]] {
-        socket.send_to(bytes, at).unwrap();
+    // The receiver has read all earlier datagrams by now, so that its socket buffers all of these.
+    for bytes in [&unverified[..], &newer, &[PROTOCOL_VERSION]] {
+        socket.send_to(bytes, address).unwrap();
     }
-    fleet[0].wait("each kind", |peers| {
+    fleet[0].wait_until("a rejected datagram of each kind", |peers| {
         let counters = peers.counters();
         counters.unverified_sender > 0 && counters.unsupported_version > 0 && counters.malformed > 0
     });
     // Unknown senders get no answer.
     socket.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
     assert!(socket.recv(&mut [0; 2000]).is_err());
-    untouched(&fleet);
+    assert_unaffected(&fleet);
 }
 
 #[test]
-fn silent_connections_exclude_no_peer() {
+fn silent_connections_do_not_exclude_peers() {
     let fleet = fleet(2, |options| options.limits.max_incoming_connections = 8);
-    fleet[1].up("n1");
-    let at = fleet[0].peers.local_addr();
-    let idle: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(at).unwrap()).collect();
-    fleet[0].wait("the crowd", |peers| peers.counters().connections_in >= 100);
-    untouched(&fleet);
+    fleet[1].wait_for_up("n1");
+    let address = fleet[0].peers.local_addr();
+    let idle: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(address).unwrap()).collect();
+    fleet[0].wait_until("100 connections", |peers| peers.counters().connections_in >= 100);
+    assert_unaffected(&fleet);
     assert!(fleet[0].peers.counters().connections_refused >= 92);
     drop(idle);
 }
 
 #[test]
 fn peer_that_reads_no_response_is_disconnected() {
-    let known = [("n2", "127.0.0.1:9".parse().unwrap())];
-    let mut options = options("n1", 1, &known);
+    let known_peers = [("n2", "127.0.0.1:9".parse().unwrap())];
+    let mut options = options("n1", 1, &known_peers);
     options.timing.transfer_timeout_seconds = 0.3;
-    let broker = run(bound(), options);
-    let mut slow = TcpStream::connect(broker.peers.local_addr()).unwrap();
-    let body = ask("n2", 1, known[0].1, "n1");
+    let broker = start_broker(bind_free_port(), options);
+    let mut stream = TcpStream::connect(broker.peers.local_addr()).unwrap();
+    let body = encoded_request("n2", 1, known_peers[0].1, "n1");
     let head = format!("POST /raft HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n", body.len());
     let request = [head.as_bytes(), &body].concat();
-    let (mut taken, started) = (0, Instant::now());
-    // Each response has the largest allowed body; none is read.
-    while slow.write_all(&request).is_ok() && started.elapsed() < PATIENCE {
+    let (mut responses, started) = (0, Instant::now());
+    // Each response has the largest allowed body; the peer reads none.
+    while stream.write_all(&request).is_ok() && started.elapsed() < TEST_TIMEOUT {
         if let Ok(Event::Request { responder, .. }) = broker.events.recv_timeout(Duration::from_millis(50)) {
             broker.peers.respond(responder, Ok(vec![0; 4 << 20]));
-            taken += 1;
+            responses += 1;
         }
     }
     assert!(
-        started.elapsed() < Duration::from_secs(5) && (1..=4).contains(&taken),
-        "{taken} in {:?}",
+        started.elapsed() < Duration::from_secs(5) && (1..=4).contains(&responses),
+        "{responses} responses in {:?}",
         started.elapsed()
     );
 }
 
-/// The rate itself is tested on the core, with its clock; here only that the server applies it, however slow the machine is.
+/// Guards that the server applies the limit, however slow the machine is. The tests of the core check the rate itself,
+/// with a simulated clock.
 #[test]
 fn request_rate_is_limited() {
-    let most = 5;
-    let mut fleet = fleet(2, |options| options.limits.max_requests_per_second = most);
-    fleet[0].up("n2");
-    let asker = fleet.pop().unwrap();
+    let max_per_second = 5;
+    let mut fleet = fleet(2, |options| options.limits.max_requests_per_second = max_per_second);
+    fleet[0].wait_for_up("n2");
+    let n2 = fleet.pop().unwrap();
     let done = AtomicBool::new(false);
     std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -228,16 +242,16 @@
             }
         });
         let (started, mut answered) = (Instant::now(), 0);
-        while fleet[0].peers.counters().rate_limited == 0 && started.elapsed() < PATIENCE {
+        while fleet[0].peers.counters().rate_limited == 0 && started.elapsed() < TEST_TIMEOUT {
             let ids: Vec<u64> = (0..50)
-                .filter_map(|_| asker.peers.request("n1", RequestKind::State, vec![], 5.0).ok())
+                .filter_map(|_| n2.peers.request("n1", RequestKind::State, vec![], 5.0).ok())
                 .collect();
-            answered += asker.responses(&ids).iter().filter(|end| end.is_ok()).count() as u64;
+            answered += n2.wait_for_responses(&ids).iter().filter(|result| result.is_ok()).count() as u64;
         }
         done.store(true, Relaxed);
         // The limit for each second that was started.
         assert!(
-            answered >= 1 && answered <= u64::from(most) * (started.elapsed().as_secs() + 2),
+            answered >= 1 && answered <= u64::from(max_per_second) * (started.elapsed().as_secs() + 2),
             "{answered}"
         );
     });
