--- a/crates/dunepond-membership/src/sender_auth.rs
+++ b/crates/dunepond-membership/src/sender_auth.rs
@@ -107,7 +107,7 @@
         }
         Ok(match active_member {
             Some(member) => member == about,
-            // A configured peer is announced to at its address, and reports on itself.
+            // Announcements reach a configured peer at its configured address, so it reports on itself.
             None => !self.known_peers.contains_key(&about.name),
         })
     }
