--- a/crates/dunepond-broker/src/control_plane/startup.rs
+++ b/crates/dunepond-broker/src/control_plane/startup.rs
@@ -83,7 +83,7 @@
         .chain(&config.peers)
         .map(|BrokerAddress { name, address }| (name.clone(), *address));
     ControlPlaneConfig {
-        terms: config.consensus_config(name, longest_timeout(deployment)),
+        consensus: config.consensus_config(name, longest_timeout(deployment)),
         listen_address: config.listen_address,
         data_directory: config.folder.clone(),
         known_brokers: known.collect(),
--- a/crates/dunepond-control-plane/src/audit_log/event.rs
+++ b/crates/dunepond-control-plane/src/audit_log/event.rs
@@ -1,4 +1,4 @@
-//! The audit log's records. Auditors read their JSON names, in files of earlier builds too.
+//! Records of the audit log. Their JSON names must not change: auditors read them, also from files of earlier builds.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,57 +8,58 @@
 /// One line of the audit log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// Seconds on the monotonic clock.
+    /// When the event occurred, in seconds on the monotonic clock.
     pub at: f64,
-    /// Name of the broker.
+    /// Name of the broker that wrote the record.
     #[serde(rename = "brk")]
     pub broker: String,
-    /// Which of the broker's runs wrote it.
+    /// Incarnation of the broker that wrote the record.
     #[serde(rename = "run")]
     pub incarnation: u64,
-    /// What was done.
+    /// The event that is recorded.
     #[serde(flatten)]
     pub event: AuditEvent,
 }
 
-/// What a broker did, as far as an auditor judges it.
+/// An action of a broker that auditors check.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "lowercase")]
 pub enum AuditEvent {
-    /// What the broker may act on from now on; recorded again with each lease.
+    /// The phase of the configuration and the versions that apply from now on. Recorded whenever they change, and with each
+    /// lease.
     Phase {
-        /// The phase.
+        /// Phase of the configuration.
         phase: AuditPhase,
-        /// Lowest number of the versions that apply, 0 if none does.
+        /// Lowest number of the versions that apply; 0 if none applies.
         #[serde(rename = "from")]
         first_version: u64,
-        /// Highest number of the versions that apply, 0 if none does.
+        /// Highest number of the versions that apply; 0 if none applies.
         #[serde(rename = "to")]
         last_version: u64,
-        /// In seconds on the monotonic clock.
+        /// When the broker's lease expires, in seconds on the monotonic clock.
         #[serde(rename = "until")]
         lease_expires_at: f64,
     },
-    /// A part's frame was handed to its connection.
+    /// An attempt was sent: the frame of a part was passed to the connection to a node.
     #[serde(rename = "dispatch")]
     AttemptSent {
         /// Id of the query.
         #[serde(rename = "call")]
         request_id: String,
-        /// Segment of the part.
+        /// Id of the part's segment.
         #[serde(rename = "seg")]
         segment_id: u64,
-        /// Node that it was sent to.
+        /// Name of the node that the attempt was sent to.
         node: String,
-        /// Number of the attempt within its part.
+        /// Number of this attempt among the attempts of the part.
         #[serde(rename = "shot")]
         attempt: u64,
-        /// The part must not run twice.
+        /// Whether the part is non-idempotent, so that it must not run twice.
         #[serde(rename = "once")]
         non_idempotent: bool,
-        /// Phase in which it was allowed.
+        /// Phase of the configuration that allowed the attempt.
         phase: AuditPhase,
-        /// Versions that applied.
+        /// Numbers of the versions that applied.
         #[serde(rename = "numbers")]
         versions: Vec<u64>,
     },
@@ -67,19 +68,19 @@
         /// Id of the query.
         #[serde(rename = "call")]
         request_id: String,
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// The answer was marked complete.
+        /// Whether the answer was marked complete.
         #[serde(rename = "whole")]
         complete: bool,
-        /// Segments whose parts are in it.
+        /// Ids of the segments whose parts are in the answer.
         #[serde(rename = "segs")]
         segments: Vec<u64>,
-        /// Epoch of the one map under which they cover all keys asked for.
+        /// Epoch of the shard map under which the segments cover all keys of the query; `None` if there is no such map.
         #[serde(rename = "epoch")]
         map_epoch: Option<u64>,
     },
-    /// A query was rejected, or a part withheld, because of the agreed configuration.
+    /// A query was rejected, or a part withheld, because the active configuration forbids it.
     #[serde(rename = "refused")]
     Rejected {
         /// Id of the query.
@@ -88,109 +89,110 @@
         /// Reason, for people.
         why: String,
     },
-    /// A settlement was applied.
+    /// A settlement from the log was applied.
     #[serde(rename = "settle")]
     Settled {
-        /// `FILL@BROKER`.
+        /// Id of the settlement, in the form `FILL@BROKER`.
         id: String,
-        /// Partner whose debt shrank.
+        /// Name of the partner whose debt was reduced.
         debtor: String,
-        /// Partner to whom it owes less.
+        /// Name of the partner to whom the debt was owed.
         creditor: String,
-        /// Amount that was paid off.
+        /// Number of bytes by which the debt was reduced.
         bytes: u64,
-        /// Number of the version that the fill was for.
+        /// Number of the version that the fill belongs to; 0 if the id names none.
         number: u64,
     },
-    /// A fill changed its state.
+    /// The state of a fill changed.
     Fill {
-        /// `VERSION/SEGMENT/NODE`, with `+INCARNATION` of the node for fills of a broker's own.
+        /// Id of the fill, in the form `VERSION/SEGMENT/NODE`. A broker's own fills of started nodes have the suffix
+        /// `+INCARNATION`, with the incarnation of the node.
         id: String,
-        /// Segment to be filled.
+        /// Id of the segment to be copied.
         segment: u64,
-        /// Node to be filled.
+        /// Name of the node to be filled.
         #[serde(rename = "holder")]
         node: String,
-        /// Node that it is filled from.
+        /// Name of the node to copy from.
         source: String,
-        /// Bytes to be copied.
+        /// Number of bytes to be copied.
         bytes: u64,
-        /// `begun`, `done` or `failed`.
+        /// State of the current attempt: `begun`, `done` or `failed`.
         state: String,
     },
     /// A version was proposed.
     Proposed {
-        /// Its number.
+        /// Number of the proposed version.
         number: u64,
-        /// Its digest.
+        /// Digest of the proposed version.
         digest: String,
     },
-    /// A version is in force.
+    /// A version became active.
     Confirmed {
-        /// Its number.
+        /// Number of the active version.
         number: u64,
-        /// Its digest.
+        /// Digest of the active version.
         digest: String,
     },
-    /// A proposed version was given up.
+    /// A proposed version was withdrawn.
     Withdrawn {
-        /// Its number.
+        /// Number of the withdrawn version.
         number: u64,
-        /// Its digest.
+        /// Digest of the withdrawn version.
         digest: String,
     },
-    /// What the broker may use of shared quotas, in units (millionths of the whole): from this record on the floor and, until
-    /// the lease ends, the leased parts. Nothing before `usable_from`, when what an earlier run used has left every window,
-    /// nor where it is not `admitted`. Recorded again with each lease.
+    /// The broker's share of the shared quotas, in units (millionths of a quota). From this record on the broker may use the
+    /// floor and, until the lease expires, the leased units. It may use nothing before `usable_from`, when the use by its
+    /// earlier incarnations has left every window, and nothing if it is not `admitted`. Recorded again with each lease.
     #[serde(rename = "share")]
     QuotaShare {
-        /// Generation of the agreed allocation.
+        /// Generation of the allocation in the replicated log; 0 if there is none.
         generation: u64,
-        /// The allocation counts this broker.
+        /// Whether the allocation includes this broker.
         #[serde(rename = "counted")]
         admitted: bool,
-        /// Units that need no lease.
+        /// Units of each quota that the broker may use without a lease.
         #[serde(rename = "floor")]
         floor_units: u32,
-        /// Leased units by quota.
+        /// Units that the broker may use until its lease expires, by quota.
         #[serde(rename = "parts")]
         leased_units: BTreeMap<String, u32>,
-        /// When use may begin, in seconds on the monotonic clock.
+        /// When the broker may start to use the quotas, in seconds on the monotonic clock.
         #[serde(rename = "from")]
         usable_from: f64,
-        /// In seconds on the monotonic clock.
+        /// When the broker's lease expires, in seconds on the monotonic clock.
         #[serde(rename = "until")]
         lease_expires_at: f64,
-        /// Seconds over which use is counted.
+        /// Length of the window over which use is counted, in seconds.
         #[serde(rename = "window")]
         window_seconds: f64,
     },
-    /// Records were dropped, as the queue to the disk was full.
+    /// Records were lost because the writer's queue was full or writing to the file failed.
     #[serde(rename = "lost")]
     RecordsLost {
-        /// Records dropped since the last such event.
+        /// Number of records lost since the last event of this kind.
         count: u64,
     },
 }
 
-/// A phase of the agreed configuration, as the audit log names it.
+/// The phase of a broker's configuration, as recorded in the audit log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum AuditPhase {
-    /// Neither a lease nor a version is known.
+    /// The broker has no valid lease and knows no version.
     #[serde(rename = "none")]
     Unconfigured,
-    /// The lease is valid, and one version applies.
+    /// The lease is valid, and one version applies, or none if there is no version yet.
     #[serde(rename = "alone")]
     Active,
-    /// The lease is valid, and two versions apply: the stricter of both rules.
+    /// The lease is valid, and a version is being replaced by a new one: the stricter rules of both apply.
     #[serde(rename = "joint")]
     Joint,
-    /// The lease has expired: the strictest of all rules that are known applies.
+    /// The lease has expired: the strictest rules of all known versions apply.
     #[serde(rename = "cut")]
     LeaseExpired,
 }
 
-/// The name in the program's log and counters, which operators and tests search for.
+/// Writes the name of the phase for the program's log and counters, which operators and tests search for.
 impl fmt::Display for AuditPhase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
--- a/crates/dunepond-control-plane/src/audit_log/mod.rs
+++ b/crates/dunepond-control-plane/src/audit_log/mod.rs
@@ -1,6 +1,7 @@
-//! The audit log: what this broker did, one JSON object a line, written by a thread of its own.
+//! The audit log: a file of this broker's actions with one JSON object per line, written by a dedicated thread.
 //!
-//! No caller waits for the disk: records that find the queue full are dropped, and their number is recorded.
+//! Callers never wait for the disk. If the queue to the thread is full, records are dropped, and the number of lost records is
+//! recorded later.
 
 mod event;
 
@@ -18,12 +19,14 @@
 use crate::error::ControlPlaneError;
 pub use event::{AuditEvent, AuditPhase, AuditRecord};
 
-/// Events that may wait for the disk.
+/// Maximum number of events in the queue to the writer's thread.
 const MAX_QUEUED_EVENTS: usize = 65_536;
 
 /// A message to the writer's thread.
 enum WriterMessage {
+    /// Write a record of an event at `at`, in seconds on the monotonic clock.
     Record { at: f64, event: AuditEvent },
+    /// Write the records that are queued, then end the thread.
     Finish,
 }
 
@@ -31,17 +34,17 @@
 #[derive(Clone)]
 pub struct AuditSender {
     messages: Sender<WriterMessage>,
-    /// Events that found the queue full or the disk failing, and are not recorded as lost yet.
+    /// Number of events that were lost, because the queue was full or a write failed, since the last `RecordsLost` event.
     lost: Arc<AtomicU64>,
 }
 
 impl AuditSender {
-    /// Records an event of this moment.
+    /// Records an event that occurs now.
     pub fn record(&self, event: AuditEvent) {
         self.record_at(monotonic_seconds(), event);
     }
 
-    /// Records an event at `at`, in seconds on the monotonic clock.
+    /// Records an event that occurred at `at`, in seconds on the monotonic clock.
     pub fn record_at(&self, at: f64, event: AuditEvent) {
         if self.messages.try_send(WriterMessage::Record { at, event }).is_err() {
             self.lost.fetch_add(1, Relaxed);
@@ -49,14 +52,14 @@
     }
 }
 
-/// The writer's thread; it ends with [`AuditLog::finish`], or once all senders are dropped.
+/// Handle to the writer's thread, which ends after [`AuditLog::finish`] or once all senders are dropped.
 pub struct AuditLog {
     messages: Sender<WriterMessage>,
     thread: JoinHandle<()>,
 }
 
 impl AuditLog {
-    /// Opens the file, to append to it, and starts the thread.
+    /// Opens the file for appending and starts the writer's thread.
     pub fn start(
         path: &Path,
         broker: &str,
@@ -78,13 +81,14 @@
         Ok((AuditSender { messages: messages.clone(), lost }, Self { messages, thread }))
     }
 
-    /// Waits until everything recorded so far is in the file; later events are lost.
+    /// Waits until all records so far are in the file, within the shutdown timeout. Later events are lost.
     pub fn finish(self) {
         let _ = self.messages.send_timeout(WriterMessage::Finish, crate::startup::SHUTDOWN_TIMEOUT);
         crate::startup::join_with_timeout(self.thread);
     }
 }
 
+/// The state of the writer's thread.
 struct AuditWriter {
     file: BufWriter<File>,
     broker: String,
@@ -98,7 +102,7 @@
         while !finished && let Ok(first) = queue.recv() {
             let mut next = Some(first);
             let mut outcome = Ok(());
-            // Everything that is waiting is written before one flush.
+            // All queued records are written before a single flush.
             while let Some(message) = next.take() {
                 match message {
                     WriterMessage::Record { at, event } if outcome.is_ok() => {
@@ -117,7 +121,7 @@
             if let Err(e) = &outcome
                 && !failing
             {
-                error!("fleet: record: {e}; lines are lost until it can be written again");
+                error!("fleet: audit log: {e}; records are lost until the file can be written again");
             }
             failing = outcome.is_err();
         }
--- a/crates/dunepond-control-plane/src/audit_log/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/audit_log/tests/mod.rs
@@ -1,9 +1,9 @@
-//! The audit log on a real file.
+//! The audit log writes to a file on disk.
 
 use super::{AuditEvent, AuditLog, AuditPhase, AuditRecord};
 
 #[test]
-fn records_are_appended_in_order() {
+fn records_are_appended_to_an_existing_file_in_order() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("acts.jsonl");
     std::fs::write(&path, "{\"old\":1}\n").unwrap();
--- a/crates/dunepond-control-plane/src/clock.rs
+++ b/crates/dunepond-control-plane/src/clock.rs
@@ -1,16 +1,17 @@
-//! Clocks. The monotonic clock counts seconds since the machine's start, suspended or not, and is never set back.
+//! The monotonic clock, which keeps counting while the machine is suspended and is never set back, and the Unix clock.
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Seconds on the monotonic clock, by which all leases are counted. A clock that stands still while the machine is suspended
-/// would let a lease outlast its end.
+/// Seconds since the machine booted, including the time for which it was suspended. All leases are timed by this clock: a
+/// clock that stops during suspension would keep a lease valid after its expiry.
 pub fn monotonic_seconds() -> f64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as f64 + now.tv_nsec as f64 / 1e9
 }
 
-/// Unix seconds: for records that people or other brokers read, never for leases.
+/// Seconds since the Unix epoch, for records that people or other brokers read. Leases must not be timed by this clock, as
+/// it can be set back.
 pub fn unix_seconds() -> f64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    since.map_or(0.0, |since| since.as_secs_f64())
+    let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    since_epoch.map_or(0.0, |duration| duration.as_secs_f64())
 }
--- a/crates/dunepond-control-plane/src/commitments.rs
+++ b/crates/dunepond-control-plane/src/commitments.rs
@@ -1,54 +1,60 @@
-//! What this broker has committed to outside the agreed log: settlements out of its own shares, and fills under way.
+//! Commitments of this broker that are not in the replicated log yet: settlements that are promised from its own shares, and
+//! fills in progress.
 //!
-//! A broker that is partitioned settles from its shares alone, so its commitments must survive a restart: they are stored
-//! before a fill starts and before a part of a share is given back. The encoding is postcard: fields must keep their order.
+//! A partitioned broker settles from its own shares only, so its commitments must survive a restart. They are stored before
+//! a fill starts and before a part of a share is released. The encoding is postcard, so the order of the fields must not
+//! change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunepond_settlement::{Fill, SettlementEntry, SettlementError, SettlementLedger, SharePromises};
 use serde::{Deserialize, Serialize};
 
-/// Entries that one broker sends to the leader at once.
+/// Maximum number of settlement entries in one message to the leader.
 pub const MAX_ENTRIES_PER_MESSAGE: usize = 256;
 
-/// A fill of this broker's own that has started.
+/// One of this broker's own fills, from its start until the log has its settlement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommittedFill {
-    /// The fill, as planned.
+    /// The planned fill.
     pub fill: Fill,
-    /// The fill is done, and the log does not have its settlement yet.
+    /// Whether the fill is done and only waits for its settlement to be in the log.
     pub done: bool,
 }
 
-/// A fill of this broker's own that is done: the same start of a node is not filled again under a later version.
+/// Identifies one of this broker's own fills that is done. It is remembered so that a later version does not fill the node
+/// again for the same start.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FinishedFill {
-    /// Segment that was filled.
+    /// Id of the segment that was filled.
     pub segment: u64,
-    /// Node that was filled.
+    /// Name of the node that was filled.
     pub node: String,
-    /// The start of the node, as the endpoint list has it.
+    /// Incarnation of the node in the endpoint list, which identifies one start of it.
     pub incarnation: u64,
 }
 
-/// Everything committed to. The ledger is stored with it: if either were older than the other after a restart, a share would
-/// look larger than it is.
+/// All commitments of this broker, stored together with the ledger that they are based on: if one were older than the other
+/// after a restart, the remaining share would appear larger than it is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Commitments {
     /// Settlements promised from this broker's own shares.
     pub shares: SharePromises,
-    /// The ledger that the promises rest on.
+    /// The ledger that the promises are checked against.
     pub ledger: SettlementLedger,
-    /// Settlement entries of the log that the ledger has applied.
+    /// Number of settlement entries of the log that the ledger has applied.
     pub applied_entries: u64,
-    /// Fills that have started, by id.
+    /// This broker's own fills that have started, by fill id.
     pub fills: BTreeMap<String, CommittedFill>,
-    /// Own fills that are done, of nodes that may still be in slow start.
+    /// This broker's own fills that are done, for nodes that may still be in slow start.
     pub finished: BTreeSet<FinishedFill>,
 }
 
 impl Commitments {
-    /// No commitments yet, of this broker. Fails for a name that would make settlement ids (`FILL@BROKER`) ambiguous.
+    /// Empty commitments of the broker with this name.
+    ///
+    /// # Errors
+    /// If the name would make settlement ids (`FILL@BROKER`) ambiguous.
     pub fn new(broker: &str) -> Result<Self, SettlementError> {
         Ok(Self {
             shares: SharePromises::new(broker)?,
@@ -59,7 +65,8 @@
         })
     }
 
-    /// Entries to be sent to the leader: settlements of fills that are done, and released shares.
+    /// Entries to be sent to the leader: settlements of fills that are done, and releases of shares. At most
+    /// [`MAX_ENTRIES_PER_MESSAGE`].
     pub fn due_entries(&self) -> Vec<SettlementEntry> {
         let is_due = |entry: &SettlementEntry| match entry {
             SettlementEntry::Settle(settlement) => {
--- a/crates/dunepond-control-plane/src/config.rs
+++ b/crates/dunepond-control-plane/src/config.rs
@@ -14,116 +14,119 @@
 /// Configuration of one broker's control plane.
 #[derive(Clone, Debug)]
 pub struct ControlPlaneConfig {
-    /// Terms of consensus and leases, with the names of this broker and the voters.
-    pub terms: ConsensusConfig,
-    /// Where other brokers reach this one, over UDP and TCP.
+    /// Configuration of consensus and leases, including the names of this broker and of the voters.
+    pub consensus: ConsensusConfig,
+    /// Address at which this broker listens for the other brokers, over UDP and TCP.
     pub listen_address: SocketAddr,
-    /// An existing directory that no other broker uses.
+    /// Existing directory for this broker's state, which no other broker may use.
     pub data_directory: PathBuf,
-    /// Names and addresses of brokers that are known from the start, this one among them or not.
+    /// Names and addresses of brokers that are known at startup. May include this broker.
     pub known_brokers: Vec<(String, SocketAddr)>,
-    /// File with the secret that all brokers share; `None`: brokers are known by their addresses.
+    /// File with the secret that all brokers share. With `None`, brokers are identified by their addresses.
     pub key_file: Option<PathBuf>,
-    /// The operator's document, a version or a list of voters, to propose.
+    /// The operator's file with a configuration version or a list of voters to propose.
     pub version_file: Option<PathBuf>,
-    /// File to which the audit log is appended; `None`: no audit log.
+    /// File to which the audit log is appended. With `None` there is no audit log.
     pub audit_log_file: Option<PathBuf>,
-    /// Partners and their brokers; without any, nothing is counted or settled.
+    /// Partners and their brokers. If empty, traffic between partners is neither counted nor settled.
     pub partners: Vec<Partner>,
-    /// Rates that fills may take between partners.
+    /// Maximum rates of fills between pairs of partners.
     pub link_rates: Vec<LinkRate>,
-    /// How replicas are filled; `None`: not at all.
+    /// Configuration of fills. With `None` no replica is filled.
     pub fills: Option<FillConfig>,
-    /// What fills may send to nodes in slow start; `None`: no limit.
+    /// Limit on the fill traffic to nodes in slow start. With `None` there is no limit.
     pub slow_start: Option<SlowStartPolicy>,
-    /// Quotas that all brokers share; `None`: each broker keeps its own.
+    /// Quotas that all brokers share. With `None` each broker enforces its quotas alone.
     pub quotas: Option<QuotaConfig>,
-    /// Plans of splits, merges and migrations; `None`: none is read here.
+    /// Configuration of rebalancing plans (splits, merges and moves of segments). With `None` this broker reads no plan file.
     pub rebalancing: Option<RebalanceConfig>,
-    /// Number of query classes, and so of entries in a version's lists by query class.
+    /// Number of query classes. Lists by query class in a version must have this many entries.
     pub query_class_count: usize,
-    /// Seed of all random numbers, mixed with the broker's name and incarnation.
+    /// Seed of the random number generator, combined with the broker's name and incarnation.
     pub seed: u64,
 }
 
-/// An owner of nodes and brokers.
+/// An organization that runs nodes and brokers.
 #[derive(Clone, Debug)]
 pub struct Partner {
-    /// Its name.
+    /// Name of the partner.
     pub name: String,
-    /// Its brokers: their counts speak for its side.
+    /// Names of the partner's brokers, whose traffic counts are attributed to it.
     pub brokers: Vec<String>,
-    /// Its brokers also count what its own nodes carry: the lesser of both sides' counts is owed.
+    /// Whether the partner's brokers also count the traffic that its own nodes carry for others. If so, the lower of both
+    /// partners' counts is owed.
     pub metered: bool,
 }
 
-/// What fills may take of the link from one partner to another.
+/// Maximum rate of the fills from one partner to another.
 #[derive(Clone, Debug)]
 pub struct LinkRate {
-    /// Partner that the data come from.
+    /// Name of the partner whose nodes are copied from.
     pub from: String,
-    /// Partner that the data go to.
+    /// Name of the partner whose nodes are filled.
     pub to: String,
-    /// All fills together, in bytes a second.
+    /// Maximum rate of all fills together, in bytes per second.
     pub bytes_per_second: u64,
 }
 
 /// Configuration of the quotas that all brokers share.
 #[derive(Clone, Debug)]
 pub struct QuotaConfig {
-    /// The quotas and the floor of each broker.
+    /// The shared quotas and the units of them that every broker may use without a lease.
     pub shared: SharedQuotas,
-    /// Least time between two changes of the brokers' shares, in seconds.
+    /// Minimum time between two changes of the brokers' shares, in seconds.
     pub plan_interval_seconds: f64,
 }
 
 /// Configuration of rebalancing plans.
 #[derive(Clone, Debug)]
 pub struct RebalanceConfig {
-    /// The operator's plan.
+    /// The operator's plan file.
     pub plan_file: PathBuf,
-    /// Most actions of one step.
+    /// Maximum number of actions in one step of a plan.
     pub max_concurrent_actions: usize,
-    /// Pause between two steps, in seconds.
+    /// Pause between two steps of a plan, in seconds.
     pub settle_seconds: f64,
-    /// Bytes a second that fills may take between two partners that no link rate names.
+    /// Maximum rate of fills between two partners without a [`LinkRate`], in bytes per second. With `None` there is no
+    /// maximum.
     pub default_link_rate: Option<u64>,
 }
 
 /// Configuration of fills.
 #[derive(Clone, Debug)]
 pub struct FillConfig {
-    /// The operator's service that carries fills out.
+    /// Address of the operator's fill service, which copies the segments.
     pub fill_service: SocketAddr,
-    /// Size that each segment is taken to have.
+    /// Assumed size of each segment, in bytes.
     pub segment_bytes: u64,
-    /// Highest rate of one fill.
+    /// Maximum rate of one fill, in bytes per second.
     pub bytes_per_second: u64,
-    /// Most attempts that run at once, for fills of versions and for the broker's own each.
+    /// Maximum number of concurrent fill attempts, separately for the fills of versions and for the broker's own fills.
     pub max_concurrent_fills: usize,
-    /// Each broker also fills nodes in slow start that it is responsible for, and settles these fills from its own share.
+    /// Whether each broker also fills the nodes in slow start that it is responsible for, and settles these fills from its
+    /// own share.
     pub fill_started_nodes: bool,
 }
 
-/// A point at which a crash test may end the control plane.
+/// A point at which a test may simulate a crash of the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// The settlement of a version's fill, if it has one, was entered into the log, and its completion was not.
-    SettlementEntered,
-    /// A fill of the broker's own is done and counted, and the leader was not told.
+    /// The settlement of a version's fill, if there is one, was proposed, but the completion of the fill was not.
+    SettlementProposed,
+    /// One of the broker's own fills is done and counted, but its settlement was not sent to the leader.
     OwnFillDone,
 }
 
-/// Called when a point is reached; true ends the control plane there.
-pub type CrashPoints = Arc<dyn Fn(CrashPoint) -> bool + Send + Sync>;
+/// Called when a crash point is reached. If it returns true, the control plane ends there.
+pub type CrashHook = Arc<dyn Fn(CrashPoint) -> bool + Send + Sync>;
 
-/// Replacements of what is outside the process, for tests.
+/// Replacements of external dependencies in tests.
 #[derive(Default)]
 pub struct TestDoubles {
-    /// In place of the data directory.
+    /// Replaces the files of the data directory.
     pub storage: Option<Arc<dyn FileStore>>,
-    /// In place of the fill service.
+    /// Replaces the client of the fill service.
     pub fill_client: Option<Arc<dyn FillClient>>,
-    /// Ends the control plane at chosen points.
-    pub crashes_at: Option<CrashPoints>,
+    /// Simulates crashes of the control plane.
+    pub crash_hook: Option<CrashHook>,
 }
--- a/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
@@ -19,7 +19,7 @@
     /// Starts the attempts that are due.
     pub(super) fn advance_fills(&mut self, kind: FillKind, now: f64) {
         if kind == FillKind::Version {
-            self.enter_started_fills(now);
+            self.propose_fill_starts(now);
         }
         let mut actions = Vec::new();
         // A paused plan starts no further fill; running attempts continue.
@@ -45,7 +45,7 @@
             actions.extend(next);
         }
         self.execute_fill_actions(kind, actions);
-        self.enter_finished_fills();
+        self.propose_finished_fills();
     }
 
     fn execute_fill_actions(&mut self, kind: FillKind, actions: Vec<FillAction>) {
@@ -114,7 +114,7 @@
                 if !succeeded {
                     self.avoid_source(&fill);
                 }
-                self.enter_finished_fills();
+                self.propose_finished_fills();
             }
             FillKind::Own => self.finish_own_fill_if_done(&id),
         }
--- a/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
@@ -55,7 +55,7 @@
     }
 
     /// Enters a fill into the log before it starts: the next leader has to know of it.
-    pub(super) fn enter_started_fills(&mut self, now: f64) {
+    pub(super) fn propose_fill_starts(&mut self, now: f64) {
         let ledger = self.traffic.balances.ledger();
         let mut due = Vec::new();
         for active in self.version_fills.active.values_mut().filter(|active| active.result.is_none()) {
@@ -71,27 +71,27 @@
         }
         for fill in due {
             let started = StartedFill::new(&fill, unix_seconds() as u64);
-            let _ = self.enter_settlement(SettlementEntry::StartFill(started));
+            let _ = self.propose_settlement(SettlementEntry::StartFill(started));
         }
         self.apply_voter_entries();
     }
 
     /// Enters finished fills until the log has them. The settlement goes first: a crash between both leaves the fill open, and
     /// the fill service answers the next leader at once.
-    pub(super) fn enter_finished_fills(&mut self) {
+    pub(super) fn propose_finished_fills(&mut self) {
         for (fill, result) in self.due_finished_fills() {
             let settled = match self.settlement_of(&fill, &result) {
-                Some(settlement) => self.enter_settlement(SettlementEntry::Settle(settlement)),
+                Some(settlement) => self.propose_settlement(SettlementEntry::Settle(settlement)),
                 None => Ok(()),
             };
-            if self.crash_point(CrashPoint::SettlementEntered) {
+            if self.crash_point(CrashPoint::SettlementProposed) {
                 return;
             }
             let completed = match settled {
-                Ok(()) | Err(Rejection::AlreadySettled(_)) => self.enter_completed_fill(&fill),
+                Ok(()) | Err(Rejection::AlreadySettled(_)) => self.propose_completed_fill(&fill),
                 Err(Rejection::Settlement(why)) => {
                     self.on_settlement_refused(&fill, &why);
-                    self.enter_completed_fill(&fill)
+                    self.propose_completed_fill(&fill)
                 }
                 Err(e) => Err(e),
             };
@@ -118,9 +118,9 @@
         due
     }
 
-    fn enter_completed_fill(&mut self, fill: &Fill) -> Result<(), Rejection> {
+    fn propose_completed_fill(&mut self, fill: &Fill) -> Result<(), Rejection> {
         let (segment, holder) = (fill.segment, fill.node.clone());
-        self.enter(Command::FillCompleted { number: self.version_fills.version, segment, holder })
+        self.propose(Command::FillCompleted { number: self.version_fills.version, segment, holder })
     }
 
     /// The log never takes the settlement, as the share is spent or another has settled the fill: the replica is filled all
--- a/crates/dunepond-control-plane/src/control_loop/leases.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leases.rs
@@ -59,7 +59,7 @@
     /// to a broker that had asked another voter.
     pub(super) fn send_lease_reply(&mut self, broker: String, reply: LeaseReply) {
         if broker == self.name {
-            return self.adopt_reply(&broker, reply);
+            return self.apply_lease_reply(&broker, reply);
         }
         let body = reply.encode();
         if let Some(pending) = self.state.messages.pending.remove(&(broker.clone(), reply.id)) {
@@ -71,7 +71,7 @@
     /// `body` is `None` if the request has failed.
     pub(super) fn on_lease_reply(&mut self, voter: &str, body: Option<Vec<u8>>) {
         match body.and_then(|body| LeaseReply::decode(&body)) {
-            Some(reply) => self.adopt_reply(voter, reply),
+            Some(reply) => self.apply_lease_reply(voter, reply),
             None => self.lease_client.request_failed(monotonic_seconds(), voter),
         }
     }
@@ -83,11 +83,11 @@
             return warn!("fleet: {from} is no voter, and tells what is agreed: not believed");
         }
         if let Some(reply) = LeaseReply::decode(body) {
-            self.adopt_reply(from, reply);
+            self.apply_lease_reply(from, reply);
         }
     }
 
-    fn adopt_reply(&mut self, from: &str, reply: LeaseReply) {
+    fn apply_lease_reply(&mut self, from: &str, reply: LeaseReply) {
         match self.lease_client.handle_reply(monotonic_seconds(), from, reply) {
             Ok(()) => {
                 self.log_leader();
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::audit_log::AuditSender;
 use crate::clock::monotonic_seconds;
-use crate::config::{CrashPoint, CrashPoints};
+use crate::config::{CrashHook, CrashPoint};
 use crate::data_directory::DataDirectory;
 use crate::handle::{ActivityCounters, LoopRequest};
 use crate::slow_start::{SlowStartPolicy, StartedNode};
@@ -86,7 +86,7 @@
     /// Brokers that the operator's file names.
     pub(crate) configured_brokers: Vec<String>,
     /// Ends the control plane at chosen points, in crash tests.
-    pub(crate) crashes_at: Option<CrashPoints>,
+    pub(crate) crash_hook: Option<CrashHook>,
     pub(crate) state: LoopState,
 }
 
@@ -168,7 +168,7 @@
 
     /// Ends the control plane here, if a crash test says so.
     fn crash_point(&mut self, point: CrashPoint) -> bool {
-        self.state.crashed |= self.crashes_at.as_ref().is_some_and(|crashes_at| crashes_at(point));
+        self.state.crashed |= self.crash_hook.as_ref().is_some_and(|crash_hook| crash_hook(point));
         self.state.crashed
     }
 }
--- a/crates/dunepond-control-plane/src/control_loop/proposals.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals.rs
@@ -146,7 +146,7 @@
         }
         let to = self.proposals.leader_search.next_voter(&self.lease_client);
         if to == self.name {
-            let reply = ProposalReply::of(self.enter_on_behalf_of(&to, document.command()));
+            let reply = ProposalReply::of(self.propose_on_behalf_of(&to, document.command()));
             return self.apply_proposal_reply(&to, reply);
         }
         let Ok(body) = postcard::to_stdvec(&document) else { return };
@@ -181,7 +181,7 @@
             Ok(document) => document,
             Err(reason) => return self.peers.respond(responder, Err(reason)),
         };
-        let reply = ProposalReply::of(self.enter_on_behalf_of(from, document.command()));
+        let reply = ProposalReply::of(self.propose_on_behalf_of(from, document.command()));
         info!("fleet: {}, proposed by {from}: {reply:?}", document.name());
         let body = postcard::to_stdvec(&reply).map_err(|_| RefusalReason::Malformed);
         self.peers.respond(responder, body);
--- a/crates/dunepond-control-plane/src/control_loop/quotas.rs
+++ b/crates/dunepond-control-plane/src/control_loop/quotas.rs
@@ -94,7 +94,7 @@
         };
         let QuotaEntry::SetShares { shares } = &entry else {
             info!("fleet: limits: {entry:?}");
-            return self.enter_quota(entry);
+            return self.propose_quota(entry);
         };
         quotas.next_plan_at = now + quotas.plan_interval_seconds;
         for share in shares {
@@ -111,11 +111,11 @@
                 ledger.free_units(&share.quota)
             );
         }
-        self.enter_quota(entry);
+        self.propose_quota(entry);
     }
 
-    fn enter_quota(&mut self, entry: QuotaEntry) {
-        if let Err(why) = self.enter(Command::Quota(entry)) {
+    fn propose_quota(&mut self, entry: QuotaEntry) {
+        if let Err(why) = self.propose(Command::Quota(entry)) {
             debug!("fleet: limits: {why} ({})", why.help());
         }
     }
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
@@ -34,7 +34,7 @@
     leader_search: LeaderSearch,
     current_turn: Option<CurrentTurn>,
     /// When the last entry was entered, while it may still be committed.
-    entered_at: f64,
+    last_proposal_at: f64,
     overload_monitor: OverloadMonitor,
     /// The reason to wait that was last logged.
     reported_wait: Option<PlanWait>,
@@ -61,7 +61,7 @@
             next_offer_at: 0.0,
             leader_search: LeaderSearch::default(),
             current_turn: None,
-            entered_at: f64::NEG_INFINITY,
+            last_proposal_at: f64::NEG_INFINITY,
             overload_monitor: OverloadMonitor::default(),
             reported_wait: None,
         }
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -135,7 +135,7 @@
         let state = voter.state();
         if let Some(status) = state.rebalance().status(&offer.plan.id) {
             return match operator_entry(state.rebalance(), offer) {
-                Some(entry) => self.enter_offered(entry),
+                Some(entry) => self.propose_offered(entry),
                 None => OfferReply::Known(status),
             };
         }
@@ -143,13 +143,13 @@
             return OfferReply::Known("it was never taken, so nothing is to be undone".to_string());
         }
         match ordered_plan(state, offer.plan, offer.max_concurrent_actions) {
-            Ok(entry) => self.enter_offered(entry),
+            Ok(entry) => self.propose_offered(entry),
             Err(why) => OfferReply::of(&why),
         }
     }
 
-    fn enter_offered(&mut self, entry: CommittedEntry) -> OfferReply {
-        match self.enter(Command::Rebalance(entry)) {
+    fn propose_offered(&mut self, entry: CommittedEntry) -> OfferReply {
+        match self.propose(Command::Rebalance(entry)) {
             Ok(()) => OfferReply::Accepted,
             Err(why) => OfferReply::of(&why),
         }
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
@@ -19,23 +19,23 @@
     pub(super) fn advance_plan(&mut self) {
         let now = monotonic_seconds();
         let Some(next) = self.next_step(now) else { return };
-        self.rebalancing.entered_at = now;
+        self.rebalancing.last_proposal_at = now;
         match next {
             LeaderAction::Wait(wait) => {
-                self.rebalancing.entered_at = f64::NEG_INFINITY;
+                self.rebalancing.last_proposal_at = f64::NEG_INFINITY;
                 self.log_wait(wait);
             }
             LeaderAction::Enter(entry) => {
                 self.log_step(&entry);
-                self.enter_step(Command::Rebalance(entry));
+                self.propose_step(Command::Rebalance(entry));
             }
             LeaderAction::Propose { number, transition } => {
                 let Some(version) = self.step_version(number, transition.to().map().clone()) else { return };
-                self.enter_step(Command::Propose(Box::new(version)));
+                self.propose_step(Command::Propose(Box::new(version)));
             }
             LeaderAction::Withdraw { number, reason } => {
                 info!("fleet: version {number} is taken back: {reason}");
-                self.enter_step(Command::Withdraw { number, why: reason });
+                self.propose_step(Command::Withdraw { number, why: reason });
             }
         }
     }
@@ -55,7 +55,7 @@
             return None;
         };
         let since = rebalancing.turn_since(&running.plan.id, running.turn, now);
-        if now < rebalancing.entered_at + RETRY_LEASES * self.lease_seconds {
+        if now < rebalancing.last_proposal_at + RETRY_LEASES * self.lease_seconds {
             return None;
         }
         let overloaded_percent = (100.0 * rebalancing.overload_monitor.overloaded_ratio()).round() as u32;
@@ -145,9 +145,9 @@
 
     /// Enters a step's command. A refusal that will not pass pauses the plan: an operator has to look, as what the voters
     /// reject now they will reject again.
-    fn enter_step(&mut self, command: Command) {
+    fn propose_step(&mut self, command: Command) {
         let is_proposal = matches!(command, Command::Propose(_));
-        let Err(why) = self.enter(command) else { return };
+        let Err(why) = self.propose(command) else { return };
         let passes = match &why {
             Rejection::Rebalance(why) => why.is_transient() || !is_proposal,
             Rejection::NotLeader(_)
@@ -163,7 +163,7 @@
         warn!("fleet: plan {}: {why} ({})", self.plan_id(), why.help());
         let failure = self.voter.as_ref().map(|voter| voter.state().rebalance().pause_after_failure(&why));
         if let Some(LeaderAction::Enter(entry)) = failure {
-            let _ = self.enter(Command::Rebalance(entry));
+            let _ = self.propose(Command::Rebalance(entry));
         }
     }
 }
--- a/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
@@ -94,7 +94,7 @@
         }
         if is_leading {
             for entry in due {
-                let _ = self.enter_settlement(entry);
+                let _ = self.propose_settlement(entry);
             }
             return;
         }
@@ -123,17 +123,17 @@
                 warn!("fleet: {from} brings what is not its own to promise: left out");
                 continue;
             }
-            let _ = self.enter_settlement(entry);
+            let _ = self.propose_settlement(entry);
         }
         self.peers.respond(responder, Ok(Vec::new()));
     }
 
     /// Enters an entry, where this broker leads.
-    pub(in crate::control_loop) fn enter_settlement(
+    pub(in crate::control_loop) fn propose_settlement(
         &mut self,
         entry: SettlementEntry,
     ) -> Result<(), Rejection> {
-        let entered = self.enter(Command::Settlement(entry));
+        let entered = self.propose(Command::Settlement(entry));
         if let Err(why) = &entered
             && !matches!(
                 why,
--- a/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
@@ -38,7 +38,7 @@
                 continue;
             };
             if allotment.parts.iter().map(|share| share.bytes).sum::<u64>() >= self.min_split_bytes() {
-                let _ = self.enter_settlement(SettlementEntry::Allot(allotment));
+                let _ = self.propose_settlement(SettlementEntry::Allot(allotment));
             }
         }
     }
--- a/crates/dunepond-control-plane/src/control_loop/voter.rs
+++ b/crates/dunepond-control-plane/src/control_loop/voter.rs
@@ -116,13 +116,13 @@
     }
 
     /// Enters a command of this broker into the log, where it leads.
-    pub(super) fn enter(&mut self, command: Command) -> Result<(), Rejection> {
+    pub(super) fn propose(&mut self, command: Command) -> Result<(), Rejection> {
         let by = self.name.clone();
-        self.enter_on_behalf_of(&by, command)
+        self.propose_on_behalf_of(&by, command)
     }
 
     /// Enters a command that the broker `by` has sent.
-    pub(super) fn enter_on_behalf_of(&mut self, by: &str, command: Command) -> Result<(), Rejection> {
+    pub(super) fn propose_on_behalf_of(&mut self, by: &str, command: Command) -> Result<(), Rejection> {
         let is_silent = self.is_voter_silent();
         let Some(voter) = self.voter.as_mut().filter(|_| !is_silent) else {
             return Err(Rejection::NotLeader(None));
--- a/crates/dunepond-control-plane/src/data_directory.rs
+++ b/crates/dunepond-control-plane/src/data_directory.rs
@@ -1,7 +1,7 @@
-//! The control plane's data directory: the voter's journal, and snapshots of the agreed configuration, the traffic counts,
-//! the commitments and the number of starts.
+//! The control plane's data directory: the voter's journal, and snapshots of the configuration, the traffic counts, the
+//! commitments and the incarnation.
 //!
-//! All calls block on the disk, so only the control loop's thread makes them.
+//! All calls block on the disk, so only the control loop's thread makes them after startup.
 
 mod origin;
 
@@ -17,46 +17,52 @@
 use crate::commitments::Commitments;
 use crate::error::ControlPlaneError;
 
-/// Format of all files; files of a later format are ignored.
+/// Format version of all files. Files of a later format are ignored.
 const FORMAT_VERSION: u32 = 1;
-/// A journal longer than this is rewritten as one record.
+/// Length above which the journal is rewritten as one record.
 const MAX_JOURNAL_BYTES: u64 = 1 << 20;
 
-// File names, which earlier builds use as well: snapshots end in `-N.snapshot`, the journal in `.journal`.
+// Names of the stored files, which must not change, as earlier builds use them too. Snapshots get the suffix `-N.snapshot`, the
+// journal gets `.journal`.
 const STARTS: &str = "starts";
 const CONFIG: &str = "kept";
 const COUNTS: &str = "counts";
 const COMMITMENTS: &str = "promises";
 const VOTER: &str = "voter";
 
-/// The open directory.
+/// The open data directory.
 pub struct DataDirectory {
-    /// `None` at a broker that is no voter.
+    /// The voter's journal; `None` if this broker is not a voter.
     journal: Option<Journal>,
     config: SnapshotStore,
     counts: SnapshotStore,
     commitments: SnapshotStore,
-    last_config: Vec<u8>,
-    last_counts: Vec<u8>,
+    /// The configuration as last written by this process, encoded. An unchanged configuration is not written again.
+    saved_config: Vec<u8>,
+    /// The traffic counts as last written by this process, encoded. Unchanged counts are not written again.
+    saved_counts: Vec<u8>,
 }
 
-/// Content of the directory when it was opened.
+/// Content of the data directory when it was opened.
 pub struct StoredState {
-    /// Number of this start: greater than that of any earlier one.
+    /// Incarnation of this start, greater than that of any earlier start.
     pub incarnation: u64,
-    /// What the voter's journal held; empty at a broker that is no voter.
+    /// The voter as recorded in its journal; empty if this broker is not a voter.
     pub voter_records: StoredVoter,
-    /// `None` if it was never stored or is damaged, as are the next two.
+    /// The stored configuration; `None` if it was never stored or is damaged.
     pub config: Option<PersistedState>,
+    /// The stored traffic counts; `None` if they were never stored or are damaged.
     pub counts: Option<settlement::LocalCounts>,
+    /// The stored commitments; `None` if they were never stored or are damaged.
     pub commitments: Option<Commitments>,
 }
 
-/// Opens the files of one directory, with its path for errors.
+/// Opens the files of the data directory.
 struct Opener<'a> {
+    /// Path of the directory, for error messages.
     path: &'a Path,
     files: Arc<dyn FileStore>,
-    /// Not a test double: the directory can be checked for being a copy.
+    /// Whether the files are on disk rather than a test double. Only then can the directory be checked for being a copy.
     is_real: bool,
 }
 
@@ -69,31 +75,37 @@
         SnapshotStore::new(self.files.clone(), name, FORMAT_VERSION)
     }
 
-    /// Payload of the newest valid snapshot; files that cannot be used are logged.
+    /// Returns the payload of the newest valid snapshot, and logs files that cannot be used.
     fn load(&self, name: &str) -> Result<Option<Vec<u8>>, ControlPlaneError> {
         let loaded = self.snapshots(name).load().map_err(|e| self.error(e))?;
         for (file, fault) in &loaded.faults {
-            warn!("fleet: {file}: {fault}; it is not believed");
+            warn!("fleet: {file}: {fault}; the file is ignored");
         }
         if loaded.newest.is_none() {
-            info!("fleet: {name}: nothing is kept");
+            info!("fleet: {name}: no snapshot is stored");
         }
         Ok(loaded.newest.map(|snapshot| snapshot.bytes))
     }
 
-    /// The same, decoded; `lost` says what a payload that cannot be decoded means.
-    fn load_as<T: DeserializeOwned>(&self, name: &str, lost: &str) -> Result<Option<T>, ControlPlaneError> {
+    /// Returns the decoded payload of the newest valid snapshot. If it cannot be decoded, logs that together with `consequence`,
+    /// which tells operators what the loss means, and returns `None`.
+    fn load_as<T: DeserializeOwned>(
+        &self,
+        name: &str,
+        consequence: &str,
+    ) -> Result<Option<T>, ControlPlaneError> {
         let Some(bytes) = self.load(name)? else { return Ok(None) };
         match postcard::from_bytes(&bytes) {
             Ok(value) => Ok(Some(value)),
             Err(e) => {
-                warn!("fleet: the {name} are not believed: {e}; {lost}");
+                warn!("fleet: the stored {name} cannot be decoded: {e}; {consequence}");
                 Ok(None)
             }
         }
     }
 
-    /// Stores and returns the number of this start. `now` (Unix milliseconds) takes the place of a count that was lost.
+    /// Stores and returns the incarnation of this start: `now` (Unix milliseconds), or the last incarnation plus one if that is
+    /// greater.
     fn next_incarnation(&self, now: u64) -> Result<u64, ControlPlaneError> {
         let last = self.load(STARTS)?.and_then(|bytes| postcard::from_bytes::<u64>(&bytes).ok());
         let incarnation = last.map_or(now, |last| now.max(last + 1));
@@ -107,14 +119,14 @@
         match PersistedState::decode(&bytes) {
             Ok(config) => Ok(Some(config)),
             Err(e) => {
-                warn!("fleet: what is kept of the versions is not believed: {e} ({})", e.help());
+                warn!("fleet: the stored configuration cannot be decoded: {e} ({})", e.help());
                 Ok(None)
             }
         }
     }
 
-    /// Opens the voter's journal. One that is damaged, or is in a copied directory, is emptied: promises may be missing from
-    /// it, and the other voters allow for an empty voter.
+    /// Opens the voter's journal. A journal that is damaged or in a copied directory is emptied: promises of this voter may be
+    /// missing from it, whereas the other voters can handle a voter with an empty journal.
     fn open_journal(&self) -> Result<(Journal, StoredVoter), ControlPlaneError> {
         let opened = Journal::open(self.files.clone(), VOTER, FORMAT_VERSION);
         let (mut journal, recovered) = opened.map_err(|e| self.error(e))?;
@@ -122,8 +134,8 @@
         let is_copy = self.is_copy(recovered.records.is_empty())?;
         if is_copy {
             error!(
-                "fleet: the folder is a copy, and what was promised since it was made is not in it; \
-                 this voter begins anew, as after the loss of its folder"
+                "fleet: the data directory is a copy and lacks what this voter promised after the copy was made; \
+                 this voter starts with an empty journal, as after the loss of its data directory"
             );
         }
         if let Some(stored) = stored.filter(|_| !is_copy) {
@@ -134,30 +146,33 @@
         Ok((journal, StoredVoter::new()))
     }
 
-    /// `is_new`: the directory is empty, and is marked as the original now.
+    /// Whether the directory is a copy. With `is_new` the directory is empty; it is marked as the original.
     fn is_copy(&self, is_new: bool) -> Result<bool, ControlPlaneError> {
         let checked = if self.is_real { origin::is_copy(self.path, is_new) } else { Ok(false) };
         checked.map_err(|e| self.error(format!("origin: {e}")))
     }
 }
 
-/// The voter of a journal's records; `None` if one of them is damaged, and promises may be missing.
+/// The voter as recorded in a journal; `None` if the journal is damaged, so that promises of the voter may be missing.
 fn stored_voter(recovered: &RecoveredJournal) -> Option<StoredVoter> {
     let (mut stored, mut damaged) = (StoredVoter::new(), false);
     match &recovered.fault {
-        // The process ended while it wrote; nobody was told of the record.
+        // The process ended while it wrote the record, so no message that depends on the record was sent.
         Some(FileFault::Truncated) => {
-            info!("fleet: the journal's last record is torn; it was never promised");
+            info!("fleet: the journal's last record is incomplete and ignored; no message depended on it");
         }
         Some(fault) => {
-            error!("fleet: voter.journal: {fault}; this voter begins anew, as after the loss of its folder");
+            error!(
+                "fleet: voter.journal: {fault}; \
+                 this voter starts with an empty journal, as after the loss of its data directory"
+            );
             damaged = true;
         }
         None => {}
     }
     for record in &recovered.records {
         if let Err(e) = stored.apply_record(&record.bytes) {
-            error!("fleet: voter.journal: {e} ({}); this voter begins anew", e.help());
+            error!("fleet: voter.journal: {e} ({}); this voter starts with an empty journal", e.help());
             damaged = true;
         }
     }
@@ -165,11 +180,11 @@
 }
 
 impl DataDirectory {
-    /// Opens the directory. `files` replaces it in tests; `now`, in Unix milliseconds, is this start's number where none is
-    /// stored.
+    /// Opens the data directory and returns its content. `files` replaces the files on disk in tests. `now`, in Unix
+    /// milliseconds, becomes the incarnation of this start unless a later one is stored.
     ///
     /// # Errors
-    /// If the directory does not exist, is in use or cannot be written. Damaged files are no error: they are ignored.
+    /// If the directory does not exist, is in use or cannot be written. Damaged files are not an error: they are ignored.
     pub fn open(
         path: &Path,
         files: Option<Arc<dyn FileStore>>,
@@ -187,8 +202,9 @@
         let opener = Opener { path, files, is_real };
         let incarnation = opener.next_incarnation(now)?;
         let config = opener.load_config()?;
-        let counts = opener.load_as(COUNTS, "they come back from the others")?;
-        let commitments = opener.load_as(COMMITMENTS, "the log bounds what was promised")?;
+        let counts = opener.load_as(COUNTS, "they are restored from the other brokers")?;
+        let commitments = opener
+            .load_as(COMMITMENTS, "what was promised is bounded by the shares in the replicated log")?;
         let (journal, voter_records) = match is_voter {
             true => opener.open_journal().map(|(journal, stored)| (Some(journal), stored))?,
             false => (None, StoredVoter::new()),
@@ -198,25 +214,25 @@
             config: opener.snapshots(CONFIG),
             counts: opener.snapshots(COUNTS),
             commitments: opener.snapshots(COMMITMENTS),
-            last_config: Vec::new(),
-            last_counts: Vec::new(),
+            saved_config: Vec::new(),
+            saved_counts: Vec::new(),
         };
         Ok((directory, StoredState { incarnation, voter_records, config, counts, commitments }))
     }
 
-    /// Appends a record of the voter and waits until it is durable.
+    /// Appends a record to the voter's journal and waits until it is durable.
     pub fn append_to_journal(&mut self, record: &[u8]) -> std::io::Result<()> {
         let Some(journal) = &mut self.journal else { return Ok(()) };
         journal.append(record)?;
         journal.sync()
     }
 
-    /// Whether the journal should be rewritten as one record.
+    /// Whether the journal has become so long that it should be rewritten as one record.
     pub fn journal_is_long(&self) -> bool {
         self.journal.as_ref().is_some_and(|journal| journal.length() > MAX_JOURNAL_BYTES)
     }
 
-    /// Replaces the journal by one record of the voter's whole state.
+    /// Replaces the content of the journal by one record of the voter's complete state.
     pub fn rewrite_journal(&mut self, record: Vec<u8>) -> std::io::Result<()> {
         match &mut self.journal {
             Some(journal) => journal.rewrite(&[record]),
@@ -224,28 +240,28 @@
         }
     }
 
-    /// Stores the agreed configuration, unless it is stored already.
+    /// Stores the configuration, unless it is unchanged since the last call.
     pub fn save_config(&mut self, config: &PersistedState) -> std::io::Result<()> {
         let bytes = config.encode();
-        if bytes != self.last_config {
+        if bytes != self.saved_config {
             self.config.write(&bytes)?;
-            self.last_config = bytes;
+            self.saved_config = bytes;
         }
         Ok(())
     }
 
-    /// Stores commitments; to be called before anything rests on them.
+    /// Stores the commitments. To be called before any action that depends on them.
     pub fn save_commitments(&mut self, commitments: &Commitments) -> std::io::Result<()> {
         let bytes = postcard::to_stdvec(commitments).map_err(std::io::Error::other)?;
         self.commitments.write(&bytes).map(drop)
     }
 
-    /// Stores traffic counts, unless they are stored already; to be called before they are sent to any peer.
+    /// Stores the traffic counts, unless they are unchanged since the last call. To be called before they are sent to a peer.
     pub fn save_counts(&mut self, counts: &settlement::LocalCounts) -> std::io::Result<()> {
         let bytes = postcard::to_stdvec(counts).map_err(std::io::Error::other)?;
-        if bytes != self.last_counts {
+        if bytes != self.saved_counts {
             self.counts.write(&bytes)?;
-            self.last_counts = bytes;
+            self.saved_counts = bytes;
         }
         Ok(())
     }
--- a/crates/dunepond-control-plane/src/data_directory/origin.rs
+++ b/crates/dunepond-control-plane/src/data_directory/origin.rs
@@ -1,8 +1,8 @@
-//! Tells a copied data directory from the one that was written in its place.
+//! Detects whether the data directory is a copy, such as a restored backup.
 //!
-//! A restored backup lacks what the voter has promised since, and the number of starts does not show it if the backup was made
-//! during the last run. So a file in the directory holds its own inode and creation time, which differ in a copy. An image
-//! of the whole disk is not detected.
+//! A restored backup lacks what the voter promised after the backup was made, and the stored incarnation does not reveal that
+//! if the backup was made during the last run. So a file in the directory holds its own inode and creation time, which differ
+//! in a copy. A restored image of the whole disk is not detected.
 
 use std::fs::File;
 use std::io::{self, ErrorKind, Write};
@@ -10,16 +10,18 @@
 use std::path::Path;
 use std::time::UNIX_EPOCH;
 
+/// Name of the file that holds its own inode and creation time.
 const FILE_NAME: &str = "origin";
 
-/// Inode and creation time in nanoseconds since 1970, 0 where the file system does not record it.
+/// Inode and creation time of a file, separated by a space. The time is in nanoseconds since the Unix epoch, or 0 if the file
+/// system does not record it.
 fn inode_and_creation(path: &Path) -> io::Result<String> {
     let metadata = std::fs::metadata(path)?;
     let created = metadata.created().ok().and_then(|at| at.duration_since(UNIX_EPOCH).ok());
     Ok(format!("{} {}", metadata.ino(), created.map_or(0, |created| created.as_nanos())))
 }
 
-/// Whether the directory is a copy. `is_new`: it is empty, and is marked as the original now.
+/// Whether the directory is a copy. With `is_new` the directory is empty: it is marked as the original, and the result is false.
 pub fn is_copy(directory: &Path, is_new: bool) -> io::Result<bool> {
     let path = directory.join(FILE_NAME);
     if is_new {
@@ -30,7 +32,7 @@
         return Ok(false);
     }
     match std::fs::read_to_string(&path) {
-        Ok(marked) => Ok(marked != inode_and_creation(&path)?),
+        Ok(recorded) => Ok(recorded != inode_and_creation(&path)?),
         Err(e) if e.kind() == ErrorKind::NotFound => Ok(true),
         Err(e) => Err(e),
     }
--- a/crates/dunepond-control-plane/src/data_directory/origin/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/data_directory/origin/tests/mod.rs
@@ -1,9 +1,9 @@
-//! A data directory is itself over restarts and renames; a copy of its files is not.
+//! A data directory remains the original over restarts and renames; a copy of its files is detected.
 
 use super::is_copy;
 
 #[test]
-fn copies_are_detected_and_renames_are_not_copies() {
+fn copy_is_detected_and_rename_is_not() {
     let folder = tempfile::tempdir().unwrap();
     let (own, copy) = (folder.path().join("own"), folder.path().join("copy"));
     std::fs::create_dir(&own).unwrap();
@@ -12,7 +12,7 @@
     assert!(!is_copy(&own, false).unwrap());
     std::fs::copy(own.join("origin"), copy.join("origin")).unwrap();
     assert!(is_copy(&copy, false).unwrap());
-    // A restored file is a copy; the directory under another name is not.
+    // A restored file counts as a copy; a renamed directory does not.
     std::fs::remove_file(own.join("origin")).unwrap();
     std::fs::copy(copy.join("origin"), own.join("origin")).unwrap();
     assert!(is_copy(&own, false).unwrap());
--- a/crates/dunepond-control-plane/src/documents.rs
+++ b/crates/dunepond-control-plane/src/documents.rs
@@ -1,4 +1,4 @@
-//! The operator's document: a version or a list of voters, read and verified here before it is proposed.
+//! The operator's document, a configuration version or a list of voters: reading and verification before it is proposed.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -14,13 +14,13 @@
 
 use crate::error::VersionError;
 
-/// Largest document, in bytes: the replicated state (two versions and all remembered settlements) has to fit one message to
-/// a voter (`MAX_MESSAGE_BYTES` in `link_limits`).
+/// Maximum size of an encoded document. The replicated state, with two versions and all remembered settlements, must fit in
+/// one message to a voter (`MAX_MESSAGE_BYTES` in `link_limits`).
 pub const MAX_DOCUMENT_BYTES: usize = 3 << 20;
-/// Key of the list of keys that have to be known to each broker.
+/// Key of the list in a version that names the keys that every broker must know.
 const REQUIRED_KEYS: &str = "must";
 
-/// A peer's message that carries a document or a plan.
+/// Decodes a message from a peer that carries a document or a plan. Refuses messages above [`MAX_DOCUMENT_BYTES`].
 pub fn decode_message<T: DeserializeOwned>(body: &[u8]) -> Result<T, RefusalReason> {
     if body.len() > MAX_DOCUMENT_BYTES {
         return Err(RefusalReason::TooLarge { max_bytes: MAX_DOCUMENT_BYTES as u64 });
@@ -28,15 +28,17 @@
     postcard::from_bytes(body).map_err(|_| RefusalReason::Malformed)
 }
 
-/// What an operator's file proposes.
+/// The content of an operator's file, to be proposed to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Document {
+    /// A configuration version.
     Version(Box<ConfigVersion>),
+    /// A new list of voters.
     Voters(VoterChange),
 }
 
 impl Document {
-    /// What the document is called in log lines.
+    /// Name of the document in log lines, with its number.
     pub fn name(&self) -> String {
         match self {
             Self::Version(version) => format!("version {}", version.number),
@@ -44,7 +46,7 @@
         }
     }
 
-    /// The command that enters it into the agreed log.
+    /// The command that adds the document to the replicated log.
     pub fn command(&self) -> Command {
         match self.clone() {
             Self::Version(version) => Command::Propose(version),
@@ -53,7 +55,8 @@
     }
 }
 
-/// Reads a list of voters if the document has the key `voters`, else a version; see [`read_version`].
+/// Reads the operator's document: a list of voters if it has the key `voters`, else a version, which is verified as in
+/// [`read_version`].
 pub fn read_document(
     path: &Path,
     query_classes: usize,
@@ -92,8 +95,8 @@
     VersionError::Invalid { path: path.to_path_buf(), line, column, why: e.to_string() }
 }
 
-/// Reads and verifies a version. A map without a digest gets its own. `nodes` are those that discovery lists; without any the
-/// map is not checked against them.
+/// Reads and verifies a version. If the digest of its map is empty, it is computed. `nodes` are the nodes that discovery lists;
+/// if there are none, the map is not checked against them.
 pub fn read_version(
     path: &Path,
     query_classes: usize,
@@ -109,7 +112,11 @@
     }
     let bytes = version.packed().len();
     if bytes > MAX_DOCUMENT_BYTES {
-        return Err(VersionError::TooLarge { path: path.to_path_buf(), bytes, most: MAX_DOCUMENT_BYTES });
+        return Err(VersionError::TooLarge {
+            path: path.to_path_buf(),
+            bytes,
+            max_bytes: MAX_DOCUMENT_BYTES,
+        });
     }
     Ok(version)
 }
@@ -132,8 +139,8 @@
     })
 }
 
-/// Keys that this build does not know. They are kept as extensions, but inside rules, excluded nodes and maps each key has to
-/// be known, and so has each that [`REQUIRED_KEYS`] lists.
+/// Returns the top-level keys that this build does not know, as extensions of the version. An unknown key is an error if it is
+/// inside the rules, the excluded nodes or the map, or if the list [`REQUIRED_KEYS`] names it.
 fn unknown_keys(path: &Path, text: &str, version: &ConfigVersion) -> Result<Vec<Extension>, VersionError> {
     let given: Value = serde_json::from_str(text).map_err(|e| parse_error(path, &e))?;
     let known = serde_json::to_value(version).map_err(|e| parse_error(path, &e))?;
@@ -151,28 +158,29 @@
     Ok(extensions)
 }
 
-/// Collects what `given` has and `known` has not, by its path of keys.
-fn collect_unknown(given: &Value, known: &Value, at: &str, unknown: &mut Vec<(String, Value)>) {
+/// Collects the values that are in `given` but not in `known`, with their dot-separated key paths. `path` is the key path of
+/// `given`.
+fn collect_unknown(given: &Value, known: &Value, path: &str, unknown: &mut Vec<(String, Value)>) {
     match (given, known) {
         (Value::Object(given), Value::Object(known)) => {
             for (key, value) in given {
-                let at = if at.is_empty() { key.clone() } else { format!("{at}.{key}") };
+                let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
                 match known.get(key) {
-                    Some(known) => collect_unknown(value, known, &at, unknown),
-                    None => unknown.push((at, value.clone())),
+                    Some(known) => collect_unknown(value, known, &path, unknown),
+                    None => unknown.push((path, value.clone())),
                 }
             }
         }
         (Value::Array(given), Value::Array(known)) => {
             for (index, (given, known)) in given.iter().zip(known).enumerate() {
-                collect_unknown(given, known, &format!("{at}.{index}"), unknown);
+                collect_unknown(given, known, &format!("{path}.{index}"), unknown);
             }
         }
         _ => {}
     }
 }
 
-/// The nodes that the map is verified against. Where discovery names no partner for a node, the map's applies.
+/// The nodes to verify the map against. Nodes without a partner in discovery get the partner that the map names for them.
 fn nodes_with_partners(nodes: &[Node], map: &ShardMap) -> Vec<Node> {
     let replicas = map.segments.iter().flat_map(|segment| &segment.replicas);
     let partners: HashMap<_, _> =
--- a/crates/dunepond-control-plane/src/documents/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/documents/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's documents: which are read, and which are refused.
+//! Which of the operator's documents are accepted, and which are refused.
 
 use dunepond_consensus::{ConfigVersion, Extension};
 use dunepond_shard_map::{MapConstraints, Node};
@@ -8,7 +8,7 @@
 use super::{Document, read_document, read_version};
 use crate::error::VersionError;
 
-/// The version that the operators' page shows.
+/// The example version in the operators' documentation.
 fn documented() -> Value {
     let page = include_str!("../../../../../docs/operators/fleet.md");
     let section = page.split("## A version").nth(1).unwrap();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn documented_version_gets_a_digest() {
+fn documented_version_is_accepted_and_gets_a_digest() {
     let version = read_as(&documented(), &[]).unwrap();
     assert_eq!((version.number, version.based_on, version.first_stage_ratio), (7, Some(6), None));
     let map = version.map.unwrap();
@@ -34,20 +34,20 @@
 
 #[test]
 fn unknown_keys_are_kept_or_refused() {
-    let mut later = documented();
-    *later.pointer_mut("/why").unwrap() = json!("a later program's");
+    let mut later_version = documented();
+    *later_version.pointer_mut("/why").unwrap() = json!("a later program's");
     let with = |at: &str, key: &str| {
-        let mut version = later.clone();
-        let within = version.pointer_mut(at).unwrap().as_object_mut().unwrap();
-        within.insert(key.to_string(), json!({"a": 1}));
+        let mut version = later_version.clone();
+        let object = version.pointer_mut(at).unwrap().as_object_mut().unwrap();
+        object.insert(key.to_string(), json!({"a": 1}));
         version
     };
-    let kept = read_as(&with("", "omens"), &[]).unwrap().extensions;
+    let extensions = read_as(&with("", "omens"), &[]).unwrap().extensions;
     assert_eq!(
-        kept,
+        extensions,
         [Extension { key: "omens".to_string(), json: "{\"a\":1}".to_string(), required: false }]
     );
-    assert!(read_as(&later, &[]).unwrap().extensions.is_empty());
+    assert!(read_as(&later_version, &[]).unwrap().extensions.is_empty());
     let refused = |version: &Value| match read_as(version, &[]) {
         Err(VersionError::UnknownKey { key, .. }) => key,
         other => panic!("{other:?}"),
@@ -55,9 +55,9 @@
     assert_eq!(refused(&with("/rules", "least_brokers")), "rules.least_brokers");
     assert_eq!(refused(&with("/standings", "slow")), "standings.slow");
     assert_eq!(refused(&with("/map/segments/1/keys", "step")), "map.segments.1.keys.step");
-    let mut must = with("", "omens");
-    must.as_object_mut().unwrap().insert("must".to_string(), json!(["omens"]));
-    assert_eq!(refused(&must), "omens");
+    let mut required = with("", "omens");
+    required.as_object_mut().unwrap().insert("must".to_string(), json!(["omens"]));
+    assert_eq!(refused(&required), "omens");
 }
 
 fn read_document_as(value: &Value) -> Result<Document, VersionError> {
@@ -68,15 +68,17 @@
 }
 
 #[test]
-fn voters_document() {
-    let good = json!({"number": 1, "who": "mara", "why": "n3 is worn out", "at": 0.0,
+fn voters_document_is_read_and_checked() {
+    let valid = json!({"number": 1, "who": "mara", "why": "n3 is worn out", "at": 0.0,
         "voters": [{"name": "n1"}, {"name": "n4", "at": "10.1.0.4:7400"}]});
-    let Ok(Document::Voters(voters)) = read_document_as(&good) else { panic!("voters") };
+    let Ok(Document::Voters(voters)) = read_document_as(&valid) else {
+        panic!("not read as a list of voters")
+    };
     assert_eq!((voters.number, voters.voters[0].address.as_deref()), (1, None));
     assert!(matches!(read_document_as(&documented()), Ok(Document::Version(_))));
-    let (mut nowhere, mut unnumbered) = (good.clone(), good);
-    *nowhere.pointer_mut("/voters/1/at").unwrap() = json!("n4:7400");
-    assert!(matches!(read_document_as(&nowhere), Err(VersionError::VoterAddress { .. })));
+    let (mut bad_address, mut unnumbered) = (valid.clone(), valid);
+    *bad_address.pointer_mut("/voters/1/at").unwrap() = json!("n4:7400");
+    assert!(matches!(read_document_as(&bad_address), Err(VersionError::VoterAddress { .. })));
     unnumbered.as_object_mut().unwrap().remove("number");
     assert!(matches!(read_document_as(&unnumbered), Err(VersionError::Invalid { .. })));
 }
@@ -105,7 +107,7 @@
         partner: partner.to_string(),
         draining: false,
     };
-    // Where discovery names no partner, the map's applies.
+    // For a node without a partner in discovery, the map's partner applies.
     let mut nodes = vec![node("s-1", "north"), node("s-2", ""), node("s-3", "south")];
     assert!(read_as(&documented(), &nodes).is_ok());
     nodes[0].partner = "south".to_string();
--- a/crates/dunepond-control-plane/src/error.rs
+++ b/crates/dunepond-control-plane/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the control plane, each with its place and with what an operator can do about it.
+//! Errors of the control plane. Each names the file, address or value at fault, and has a help text for the operator.
 
 use std::path::PathBuf;
 
@@ -9,14 +9,14 @@
 /// Why the control plane does not start.
 #[derive(Debug, Error)]
 pub enum ControlPlaneError {
-    /// The terms of consensus contradict each other.
+    /// The configuration of consensus is inconsistent.
     #[error("{0}")]
-    Terms(#[from] ConsensusConfigError),
+    ConsensusConfig(#[from] ConsensusConfigError),
     /// The links to other brokers cannot be opened.
-    #[error("links: {0}")]
+    #[error("links to other brokers: {0}")]
     Links(#[from] PeerError),
     /// The data directory is missing, in use or cannot be written.
-    #[error("folder {path}: {why}")]
+    #[error("data directory {path}: {why}")]
     DataDirectory {
         /// The directory.
         path: PathBuf,
@@ -24,7 +24,7 @@
         why: String,
     },
     /// The shared secret cannot be read.
-    #[error("key {path}: {why}")]
+    #[error("key file {path}: {why}")]
     Key {
         /// The key file.
         path: PathBuf,
@@ -32,31 +32,31 @@
         why: String,
     },
     /// The audit log cannot be opened.
-    #[error("record {path}: {why}")]
+    #[error("audit log {path}: {why}")]
     AuditLog {
         /// The audit log's file.
         path: PathBuf,
         /// Reason, for people.
         why: String,
     },
-    /// The operating system refuses a thread.
-    #[error("the thread cannot be started: {why}")]
+    /// The operating system refuses to start a thread.
+    #[error("the control plane's thread cannot be started: {why}")]
     Thread {
         /// Reason, for people.
         why: String,
     },
-    /// An operator's order on a lost majority does not fit.
-    #[error("word on a lost majority {path}: {why}")]
+    /// The operator's recovery order for a lost majority is invalid or does not match this voter's state.
+    #[error("recovery order {path}: {why}")]
     LostMajority {
-        /// The order's file.
+        /// The file with the recovery order.
         path: PathBuf,
         /// Reason, for people.
         why: String,
         /// What an operator can do.
         help: String,
     },
-    /// The voter, the counts or the commitments cannot be opened.
-    #[error("agreement: {why}")]
+    /// The stored voter, traffic counts or commitments cannot be opened.
+    #[error("stored state: {why}")]
     Consensus {
         /// Reason, for people.
         why: String,
@@ -66,141 +66,151 @@
 }
 
 impl ControlPlaneError {
-    /// What an operator can do.
+    /// What an operator can do about the error.
     pub fn help(&self) -> String {
         match self {
-            Self::Terms(error) => error.help().to_string(),
+            Self::ConsensusConfig(error) => error.help().to_string(),
             Self::Links(error) => error.help().to_string(),
             Self::DataDirectory { .. } => {
-                "give 'folder' a directory that this broker alone may write to".to_string()
+                "set 'folder' to an existing directory that only this broker uses and may write to"
+                    .to_string()
             }
             Self::Key { .. } => {
-                "give 'key' a readable file with 16 bytes or more, the same at all brokers".to_string()
+                "set 'key' to a readable file of at least 16 bytes, the same at all brokers".to_string()
             }
-            Self::AuditLog { .. } => "give 'record' a file that this broker may append to".to_string(),
+            Self::AuditLog { .. } => "set 'record' to a file that this broker may append to".to_string(),
             Self::Thread { .. } => {
-                "the machine has no room for a further thread: look at its limits".to_string()
+                "raise the limits of the machine or the service on threads and memory".to_string()
             }
             Self::Consensus { help, .. } | Self::LostMajority { help, .. } => help.clone(),
         }
     }
 }
 
-/// Why a version file is not proposed.
+/// Why the operator's version file is not proposed.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum VersionError {
-    /// There is no such file.
-    #[error("{path}: is not there")]
+    /// The version file does not exist.
+    #[error("{path}: no such file")]
     NotFound {
-        /// The file.
+        /// The version file.
         path: PathBuf,
     },
-    /// The file cannot be read.
-    #[error("{path}: {why}")]
+    /// The version file exists but cannot be read.
+    #[error("{path}: cannot be read: {why}")]
     Unreadable {
-        /// The file.
+        /// The version file.
         path: PathBuf,
         /// Reason, for people.
         why: String,
     },
-    /// The file is no JSON of the documented form.
+    /// The file is not JSON of the documented form.
     #[error("{path}:{line}:{column}: {why}")]
     Invalid {
-        /// The file.
+        /// The version file.
         path: PathBuf,
-        /// Line, from 1.
+        /// Line of the error, counted from 1.
         line: usize,
-        /// Column, from 1.
+        /// Column of the error, counted from 1.
         column: usize,
         /// Reason, for people.
         why: String,
     },
-    /// A list by query class has another length than the deployment's.
-    #[error("{path}: rules: {key} has {found} entries, this deployment has {expected} table types")]
+    /// A list by query class does not have one entry for each query class of the deployment.
+    #[error(
+        "{path}: rules: {key} has {found} entries, but this deployment has {expected} query classes ('table-type')"
+    )]
     QueryClassCount {
-        /// The file.
+        /// The version file.
         path: PathBuf,
-        /// Key of the list.
+        /// Key of the list in the rules.
         key: &'static str,
-        /// Entries of the list.
+        /// Number of entries in the list.
         found: usize,
-        /// Query classes of the deployment.
+        /// Number of query classes in the deployment.
         expected: usize,
     },
     /// A rule's value is out of range.
-    #[error("{path}: rules: {key} is {value}, not {expected}")]
+    #[error("{path}: rules: {key} is {value}, but must be {expected}")]
     Rule {
-        /// The file.
+        /// The version file.
         path: PathBuf,
         /// Key of the rule.
         key: &'static str,
-        /// Its value.
+        /// The value that was given.
         value: f64,
-        /// The range, for people.
+        /// The allowed range, for people.
         expected: &'static str,
     },
     /// The version is too large for a message.
-    #[error("{path}: it comes to {bytes} bytes, more than the {most} that a version may have")]
+    #[error("{path}: the encoded version has {bytes} bytes, more than the maximum of {max_bytes}")]
     TooLarge {
-        /// The file.
+        /// The version file.
         path: PathBuf,
-        /// Size of the version.
+        /// Size of the encoded version, in bytes.
         bytes: usize,
-        /// Largest size, in bytes.
-        most: usize,
+        /// Maximum size of an encoded version, in bytes.
+        max_bytes: usize,
     },
-    /// A voter's address has no IP address and port.
-    #[error("{path}: voter {name}: at is {at:?}, not an address and port")]
+    /// A voter's address is not an IP address with a port.
+    #[error("{path}: voter {name}: `at` is {at:?}, which is not an IP address and port")]
     VoterAddress {
-        /// The file.
+        /// The file with the list of voters.
         path: PathBuf,
         /// Name of the voter.
         name: String,
-        /// The address as given.
+        /// The address in the file.
         at: String,
     },
-    /// A key that has to be known to each broker is not known to this build.
+    /// This build does not know a key that every broker must know.
     #[error(
-        "{path}: `{key}` is not known to this program, and a version's rules, standings and maps must be"
+        "{path}: unknown key `{key}`: every broker must know the keys in a version's rules, standings and map, and \
+         those listed in `must`"
     )]
     UnknownKey {
-        /// The file.
+        /// The version file.
         path: PathBuf,
-        /// Path of the key.
+        /// Dot-separated path of the key in the file.
         key: String,
     },
     /// The shard map is not valid.
-    #[error("{path}: map: {faults} faults; the first: {first} ({help})")]
+    #[error("{path}: the map has {faults} faults, the first: {first} ({help})")]
     Map {
-        /// The file.
+        /// The version file.
         path: PathBuf,
-        /// Number of faults.
+        /// Number of faults in the map.
         faults: usize,
-        /// The first fault.
+        /// Description of the first fault.
         first: String,
-        /// What an operator can do about the first.
+        /// What an operator can do about the first fault.
         help: String,
     },
 }
 
 impl VersionError {
-    /// What an operator can do.
+    /// What an operator can do about the error.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::NotFound { .. } => "nothing to do; to propose a version put it there and send SIGHUP",
+            Self::NotFound { .. } => {
+                "no action needed; to propose a version, write this file and send SIGHUP"
+            }
             Self::Unreadable { .. } => "make the file readable for this broker and send SIGHUP",
             Self::Invalid { .. } => {
-                "write the version as docs/operators/fleet.md shows it, and send SIGHUP; nothing was changed"
+                "write the version as shown in docs/operators/fleet.md and send SIGHUP; nothing was changed"
             }
-            Self::QueryClassCount { .. } => "give each table type an entry, in the order of the settings",
-            Self::Rule { .. } => "put the value right and send SIGHUP; nothing was changed",
+            Self::QueryClassCount { .. } => {
+                "write one entry for each 'table-type', in the order of the settings, and send SIGHUP"
+            }
+            Self::Rule { .. } => "correct the value and send SIGHUP; nothing was changed",
             Self::UnknownKey { .. } => {
-                "mend the key's name; or bring all brokers to the program that knows it, and propose it there"
+                "correct the key; or upgrade all brokers to a build that knows it, and propose the version there"
+            }
+            Self::VoterAddress { .. } => {
+                "write `at` like 10.1.0.4:7400, or omit it if each broker's file has the address"
             }
-            Self::VoterAddress { .. } => "give `at` as 10.1.0.4:7400, or leave it out where each file has it",
-            Self::TooLarge { .. } => "give the map fewer segments: join those that go together",
+            Self::TooLarge { .. } => "merge adjacent segments, so that the map has fewer of them",
             Self::Map { .. } => {
-                "put the map right, or leave its digest empty to have it computed, and send SIGHUP"
+                "correct the map, or leave its digest empty to have it computed, and send SIGHUP"
             }
         }
     }
@@ -209,64 +219,66 @@
 /// Why a rebalancing plan is not offered.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PlanError {
-    /// There is no such file.
-    #[error("{path}: is not there")]
+    /// The plan file does not exist.
+    #[error("{path}: no such file")]
     NotFound {
-        /// The file.
+        /// The plan file.
         path: PathBuf,
     },
-    /// The file cannot be read.
-    #[error("{path}: {why}")]
+    /// The plan file exists but cannot be read.
+    #[error("{path}: cannot be read: {why}")]
     Unreadable {
-        /// The file.
+        /// The plan file.
         path: PathBuf,
         /// Reason, for people.
         why: String,
     },
-    /// The file holds no valid plan.
+    /// The file does not contain a valid plan.
     #[error("{path}: {why}")]
     Invalid {
-        /// The file.
+        /// The plan file.
         path: PathBuf,
-        /// The fault.
+        /// What is wrong with the plan.
         why: Box<dunepond_rebalance::RebalanceError>,
     },
 }
 
 impl PlanError {
-    /// What an operator can do.
+    /// What an operator can do about the error.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::NotFound { .. } => "nothing to do; to move segments put a plan there and send SIGHUP",
+            Self::NotFound { .. } => {
+                "no action needed; to rebalance, write a plan to this file and send SIGHUP"
+            }
             Self::Unreadable { .. } => "make the file readable for this broker and send SIGHUP",
             Self::Invalid { why, .. } => why.help(),
         }
     }
 }
 
-/// Why an attempt to fill a node has failed. The fill is retried until the version's deadline.
+/// Why an attempt to fill a node failed. The fill is retried until the fill deadline.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum FillError {
-    /// No connection, or no answer in time.
-    #[error("the filler at {at} cannot be reached: {why}")]
+    /// The connection failed, or there was no response in time.
+    #[error("the fill service at {at} cannot be reached: {why}")]
     Unreachable {
         /// Address of the fill service.
         at: String,
         /// Reason, for people.
         why: String,
     },
-    /// An answer other than 200.
-    #[error("the filler at {at} answered {status} for {id}")]
+    /// The response had a status other than 200.
+    #[error("the fill service at {at} responded with status {status} to fill {id}")]
     Rejected {
         /// Address of the fill service.
         at: String,
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
         /// Id of the fill.
         id: String,
     },
-    /// A body that is neither empty nor the documented JSON.
-    #[error("the filler at {at} says of {id} what cannot be read: {why}")]
+    /// The body of the response was neither empty nor the documented JSON.
+    #[error("the fill service at {at} sent an invalid response to fill {id}: {why}")]
     InvalidResponse {
         /// Address of the fill service.
         at: String,
@@ -278,15 +290,15 @@
 }
 
 impl FillError {
-    /// What an operator can do.
+    /// What an operator can do about the error.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::Unreachable { .. } => "look whether the filler runs at the address of 'fills at='",
+            Self::Unreachable { .. } => "check that the fill service runs at the address of 'fills at='",
             Self::Rejected { .. } => {
-                "look at the filler's log; the fill is asked for again until the deadline"
+                "check the fill service's log; the fill is requested again until its deadline"
             }
             Self::InvalidResponse { .. } => {
-                "the filler answers with no body, or with JSON of source and bytes"
+                "the fill service must respond with an empty body, or with JSON that has `source` and `bytes`"
             }
         }
     }
--- a/crates/dunepond-control-plane/src/fill_client.rs
+++ b/crates/dunepond-control-plane/src/fill_client.rs
@@ -1,4 +1,4 @@
-//! Clients of the fill service, which copies segments between nodes for the operator.
+//! Client of the operator's fill service, which copies segments between nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,49 +7,50 @@
 
 use crate::error::FillError;
 
-/// A request to fill a node. A retry of the same fill has the same id, whichever broker sends it: the service answers at once
-/// for a fill that is done.
+/// A request to fill a node. Retries of a fill have the same id, whichever broker sends them, so the fill service can respond
+/// at once if the fill is already done.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FillRequest {
     /// Id of the fill.
     pub id: String,
-    /// Segment to copy.
+    /// Id of the segment to copy.
     pub segment: u64,
-    /// Node to fill.
+    /// Name of the node to fill.
     #[serde(rename = "holder")]
     pub node: String,
-    /// Node to copy from.
+    /// Name of the node to copy from.
     pub source: String,
-    /// Size of the segment.
+    /// Size of the segment, in bytes.
     pub bytes: u64,
-    /// Highest rate.
+    /// Maximum rate of the copy, in bytes per second.
     #[serde(rename = "rate")]
     pub bytes_per_second: u64,
 }
 
-/// What was done. The source differs from the request's if an earlier request with the same id named another.
+/// The result of a fill that is done. Its source differs from the request's if an earlier request with the same id named another
+/// source.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FillResult {
-    /// Node that was copied from.
+    /// Name of the node that the segment was copied from.
     pub source: String,
-    /// Bytes that were copied.
+    /// Number of bytes that were copied.
     pub bytes: u64,
 }
 
-/// Access to the fill service; called on threads of its own.
+/// A client of the fill service. Each call is made on its own thread.
 pub trait FillClient: Send + Sync {
-    /// Blocks until the fill is done or has failed, at most for `timeout`.
+    /// Requests the fill and blocks until it is done or has failed, or until `timeout` has passed.
     fn fill(&self, request: &FillRequest, timeout: Duration) -> Result<FillResult, FillError>;
 }
 
-/// The fill service over HTTP: `POST /fill` with the request as JSON, answered with 200 once the fill is done. The body of the
-/// answer is empty, or the result as JSON.
+/// Client of a fill service over HTTP. It sends `POST /fill` with the request as JSON; the service responds with status 200
+/// once the fill is done, and with an empty body or the result as JSON.
 pub struct HttpFillClient {
     at: SocketAddr,
 }
 
 impl HttpFillClient {
-    /// A client of the service at this address.
+    /// A client of the fill service at this address.
     pub fn new(at: SocketAddr) -> Self {
         Self { at }
     }
--- a/crates/dunepond-control-plane/src/handle.rs
+++ b/crates/dunepond-control-plane/src/handle.rs
@@ -1,5 +1,5 @@
-//! The control plane as the broker's event loop sees it. No call blocks: the event loop reads snapshots and increments
-//! atomics, which the control loop's thread reads in turn.
+//! The event loop's interface to the control plane. No call blocks: the event loop reads configurations that the control loop
+//! publishes, updates shared atomics and snapshots that the control loop reads, and queues requests.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -16,26 +16,28 @@
 use crate::clock::monotonic_seconds;
 use crate::slow_start::StartedNode;
 
-/// Bytes that each partner's nodes answered for each other's tenants. The event loop adds, the control loop drains.
+/// Response bytes that each partner's nodes sent for tenants of each other partner. The event loop adds to the counters, and
+/// the control loop drains them.
 pub struct CarriedBytes {
     partner_count: usize,
-    /// One counter for each pair: those of the first carrier first.
+    /// One counter for each pair of partners, at index `carrier * partner_count + owed_by`.
     counters: Vec<AtomicU64>,
 }
 
-/// What the nodes of one partner answered for another's tenants. Partners are indexes into the configured list.
+/// Response bytes that the nodes of one partner sent for another partner's tenants. Both partners are indexes into
+/// [`crate::ControlPlaneConfig::partners`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CarriedAmount {
-    /// Whose nodes answered.
+    /// Index of the partner whose nodes responded.
     pub carrier: usize,
-    /// Whose tenants asked.
+    /// Index of the partner whose tenants sent the queries, and who owes the bytes.
     pub owed_by: usize,
-    /// Bytes of the answers.
+    /// Size of the responses, in bytes.
     pub bytes: u64,
 }
 
 impl CarriedBytes {
-    /// All counters at zero.
+    /// Counters for all pairs of partners, starting at zero.
     pub fn new(partner_count: usize) -> Self {
         Self {
             partner_count,
@@ -51,11 +53,11 @@
         }
     }
 
-    /// What was added since the last call, of the pairs that carried anything.
+    /// Returns the bytes that were added since the last call, for each pair of partners with any, and resets the counters.
     pub fn drain(&self) -> Vec<CarriedAmount> {
         let mut amounts = Vec::new();
         for (index, counter) in self.counters.iter().enumerate() {
-            // Most pairs carry nothing, and a read is cheaper than a swap.
+            // Most counters are zero, and a load is cheaper than a swap.
             if counter.load(Relaxed) > 0 {
                 let (carrier, owed_by) = (index / self.partner_count, index % self.partner_count);
                 amounts.push(CarriedAmount { carrier, owed_by, bytes: counter.swap(0, Relaxed) });
@@ -65,57 +67,58 @@
     }
 }
 
-/// Requests of the event loop to the control loop.
+/// Requests from the event loop to the control loop.
 pub enum LoopRequest {
-    /// Read the version file again, from this path.
+    /// Read the version file again from this path; `None` if there is no version file any more.
     ReloadVersion(Option<PathBuf>),
-    /// Read the plan file again, from this path.
+    /// Read the plan file again from this path; `None` if there is no plan file any more.
     ReloadPlan(Option<PathBuf>),
-    /// Store the traffic counts and end.
+    /// Store the traffic counts and stop the control loop.
     Stop,
 }
 
-/// Counters for operators, raised by both threads; they never decrease.
+/// Counters for operators, incremented by the event loop and the control loop. They never decrease.
 #[derive(Default)]
 pub struct ActivityCounters {
-    /// Queries that were rejected because of the agreed configuration.
+    /// Queries that were rejected because the active configuration forbids them.
     pub rejected: AtomicU64,
-    /// Parts that were withheld just before they would have been sent.
+    /// Parts that were withheld just before sending, because the active configuration forbids them.
     pub withheld: AtomicU64,
-    /// Answers that do not cover all keys under one map.
+    /// Answers that do not cover all keys under a single shard map.
     pub incomplete: AtomicU64,
-    /// Leases that this broker got.
+    /// Leases that were granted to this broker.
     pub leases: AtomicU64,
-    /// Replies that were not adopted, and documents and plans that were refused.
+    /// Lease replies that were rejected, and documents and plans that were refused.
     pub refused: AtomicU64,
-    /// Attempts that filled a node.
+    /// Fill attempts that succeeded.
     pub fills: AtomicU64,
-    /// Attempts that failed.
+    /// Fill attempts that failed.
     pub fills_failed: AtomicU64,
-    /// Settlements that were applied.
+    /// Settlements from the log that were applied.
     pub settled: AtomicU64,
-    /// Writes that waited for the disk.
+    /// Journal writes, each of which waited for the disk.
     pub syncs: AtomicU64,
-    /// Whether the nodes were overloaded when the event loop last looked.
+    /// Whether the nodes were overloaded when the event loop last checked. Not a counter.
     pub overloaded: AtomicBool,
 }
 
-/// Adds one.
+/// Increments a counter by one.
 pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Relaxed);
 }
 
-/// The active configuration, cached for one thread: a look costs one atomic read while nothing has changed.
+/// The active configuration, cached for one thread. While the configuration does not change, reading it costs one atomic
+/// load.
 pub struct ActiveConfigWatch(Cache<Arc<ArcSwap<ActiveConfig>>, Arc<ActiveConfig>>);
 
 impl ActiveConfigWatch {
-    /// The same as [`ControlHandle::active_config`] returns at this moment.
+    /// The current active configuration, as returned by [`ControlHandle::active_config`].
     pub fn current(&mut self) -> &Arc<ActiveConfig> {
         self.0.load()
     }
 }
 
-/// The event loop's access to the control plane; cheap to clone.
+/// The event loop's handle to the control plane. Cheap to clone.
 #[derive(Clone)]
 pub struct ControlHandle {
     pub(crate) active_config: Arc<ArcSwap<ActiveConfig>>,
@@ -125,96 +128,97 @@
     pub(crate) listed_nodes: Arc<ArcSwap<Vec<Node>>>,
     pub(crate) started_nodes: Arc<ArcSwap<Vec<StartedNode>>>,
     pub(crate) counters: Arc<ActivityCounters>,
-    /// Units that this broker would use, by shared quota.
+    /// This broker's demand in units, by shared quota.
     pub(crate) demand: Arc<ArcSwap<BTreeMap<String, u32>>>,
-    /// Counters of the links, about one second old at most.
+    /// Counters of the links to other brokers, updated about once per second.
     pub(crate) link_counters: Arc<ArcSwap<Counters>>,
 }
 
 impl ControlHandle {
-    /// What this broker may act on at this moment.
+    /// The active configuration, which determines what this broker may currently do.
     pub fn active_config(&self) -> Arc<ActiveConfig> {
         self.active_config.load_full()
     }
 
-    /// The same, for a thread that reads it often.
+    /// A cached view of the active configuration, for a thread that reads it often.
     pub fn watch(&self) -> ActiveConfigWatch {
         ActiveConfigWatch(Cache::new(self.active_config.clone()))
     }
 
-    /// Counts bytes of an answer that a node of the partner `carrier` gave for a tenant of the partner `owed_by`. Both are
+    /// Counts response bytes that a node of the partner `carrier` sent for a tenant of the partner `owed_by`. Both are
     /// indexes into [`crate::ControlPlaneConfig::partners`].
     pub fn record_carried(&self, carrier: usize, owed_by: usize, bytes: u64) {
         self.carried_bytes.add(carrier, owed_by, bytes);
     }
 
-    /// Whether there is an audit log.
+    /// Whether an audit log is configured.
     pub fn is_audited(&self) -> bool {
         self.audit_log.is_some()
     }
 
-    /// Records an event; it is built only where there is an audit log.
+    /// Records an event in the audit log. `event` is called only if an audit log is configured.
     pub fn audit(&self, event: impl FnOnce() -> AuditEvent) {
         if let Some(audit_log) = &self.audit_log {
             audit_log.record(event());
         }
     }
 
-    /// The same for an event at `at`, in seconds on the monotonic clock.
+    /// Records in the audit log an event that occurred at `at`, in seconds on the monotonic clock. `event` is called only if
+    /// an audit log is configured.
     pub fn audit_at(&self, at: f64, event: impl FnOnce() -> AuditEvent) {
         if let Some(audit_log) = &self.audit_log {
             audit_log.record_at(at, event());
         }
     }
 
-    /// The nodes as discovery lists them now: a version that is read later is verified against them.
+    /// Sets the nodes that discovery currently lists. Version files that are read later are verified against them.
     pub fn set_listed_nodes(&self, nodes: Vec<Node>) {
         self.listed_nodes.store(Arc::new(nodes));
     }
 
-    /// The nodes that started not long ago, as discovery lists them now.
+    /// Sets the recently started nodes that discovery currently lists.
     pub fn set_started_nodes(&self, nodes: Vec<StartedNode>) {
         self.started_nodes.store(Arc::new(nodes));
     }
 
-    /// What this broker would use of each shared quota, in units ([`dunepond_quota::TOTAL_UNITS`] are the whole). It is
-    /// reported with the next lease request.
+    /// Sets this broker's demand by shared quota, in units ([`dunepond_quota::TOTAL_UNITS`] are the whole quota). The demand
+    /// is reported with lease requests.
     pub fn set_demand(&self, demand_units: BTreeMap<String, u32>) {
         self.demand.store(Arc::new(demand_units));
     }
 
-    /// Has the version file read again, from this path.
+    /// Asks the control loop to read the version file again from this path.
     pub fn reload_version(&self, path: Option<PathBuf>) {
-        // The queue is full only if as many reloads are waiting already.
+        // If the queue is full, other reloads are already waiting in it.
         let _ = self.requests.try_send(LoopRequest::ReloadVersion(path));
     }
 
-    /// Has the plan file read again, from this path.
+    /// Asks the control loop to read the plan file again from this path.
     pub fn reload_plan(&self, path: Option<PathBuf>) {
         let _ = self.requests.try_send(LoopRequest::ReloadPlan(path));
     }
 
-    /// Whether this broker's nodes are overloaded now: a rebalancing plan pauses while many brokers report so.
+    /// Sets whether this broker's nodes are overloaded. A rebalancing plan pauses while many brokers report overload.
     pub fn set_overloaded(&self, overloaded: bool) {
         self.counters.overloaded.store(overloaded, Relaxed);
     }
 
-    /// Counts a query that was rejected because of the agreed configuration.
+    /// Counts a query that was rejected because the active configuration forbids it.
     pub fn count_rejected(&self) {
         increment(&self.counters.rejected);
     }
 
-    /// Counts a part that was withheld just before it would have been sent.
+    /// Counts a part that was withheld just before sending.
     pub fn count_withheld(&self) {
         increment(&self.counters.withheld);
     }
 
-    /// Counts an answer that does not cover all keys under one map.
+    /// Counts an answer that does not cover all keys under a single shard map.
     pub fn count_incomplete(&self) {
         increment(&self.counters.incomplete);
     }
 
-    /// The phase, and all counters in one line for operators.
+    /// The current phase and all counters in one line, for operators.
     pub fn summary(&self) -> String {
         let (phase, versions) = audit_phase(&self.active_config(), monotonic_seconds());
         let counters = &self.counters;
@@ -237,8 +241,8 @@
     }
 }
 
-/// The phase at `now` (seconds on the monotonic clock) as the audit log names it, and the versions that apply in it. With
-/// a lease and no version yet it is `Active` without versions.
+/// The phase of the configuration at `now`, in seconds on the monotonic clock, and the numbers of the versions that apply in
+/// it. With a valid lease but no version yet, this is [`AuditPhase::Active`] without versions.
 pub fn audit_phase(config: &ActiveConfig, now: f64) -> (AuditPhase, Vec<u64>) {
     match config.phase(now) {
         ConfigPhase::Unconfigured if now < config.lease_expires_at() => (AuditPhase::Active, Vec::new()),
--- a/crates/dunepond-control-plane/src/handle/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/handle/tests/mod.rs
@@ -1,4 +1,4 @@
-//! What the event loop reads and counts.
+//! The configuration watch and the counters of carried bytes.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn watch_sees_a_new_config() {
+fn watch_returns_a_newly_stored_config() {
     let active = Arc::new(ArcSwap::from_pointee(ActiveConfig::unleased()));
     let mut watch = ActiveConfigWatch(Cache::new(active.clone()));
     let before = watch.current().clone();
@@ -28,7 +28,7 @@
     carried.add(0, 2, 10);
     carried.add(0, 2, 5);
     carried.add(2, 1, 7);
-    // An index that is out of range changes nothing.
+    // Indexes that are out of range are ignored.
     carried.add(3, 0, 1);
     carried.add(0, 3, 1);
     assert_eq!(carried.drain(), [amount(0, 2, 15), amount(2, 1, 7)]);
--- a/crates/dunepond-control-plane/src/lib.rs
+++ b/crates/dunepond-control-plane/src/lib.rs
@@ -1,10 +1,11 @@
-//! The control plane of a broker: a thread that hosts consensus, leases, membership, quotas, settlement and rebalancing,
-//! between the other brokers, the data directory and the broker's event loop.
+//! The control plane of a broker: a thread that runs consensus, leases, membership, quotas, settlement, rebalancing and
+//! fills. It exchanges messages with the other brokers, stores its state in the data directory, and publishes the active
+//! configuration to the broker's event loop.
 //!
-//! It has a thread of its own because consensus waits for the disk, and the event loop must not. The event loop holds a
-//! [`ControlHandle`], which returns at any moment what the broker may act on; none of its calls blocks.
+//! The control plane has its own thread because consensus waits for the disk, and the event loop must not block. The event
+//! loop holds a [`ControlHandle`], which always returns the configuration that currently applies without blocking.
 //!
-//! Times are seconds on the monotonic clock ([`monotonic_seconds`]) unless stated.
+//! Unless stated otherwise, times are in seconds on the monotonic clock ([`monotonic_seconds`]).
 #![warn(missing_docs)]
 
 mod audit_log;
@@ -28,7 +29,7 @@
 pub use audit_log::{AuditEvent, AuditPhase, AuditRecord};
 pub use clock::monotonic_seconds;
 pub use config::{
-    ControlPlaneConfig, CrashPoint, CrashPoints, FillConfig, LinkRate, Partner, QuotaConfig, RebalanceConfig,
+    ControlPlaneConfig, CrashHook, CrashPoint, FillConfig, LinkRate, Partner, QuotaConfig, RebalanceConfig,
     TestDoubles,
 };
 pub use error::{ControlPlaneError, FillError, PlanError, VersionError};
--- a/crates/dunepond-control-plane/src/link_limits.rs
+++ b/crates/dunepond-control-plane/src/link_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of the links between brokers, by the number of brokers.
+//! Limits of the links between brokers, scaled with the number of brokers.
 
 use std::collections::BTreeSet;
 
@@ -6,21 +6,21 @@
 
 use crate::config::ControlPlaneConfig;
 
-/// Largest message between brokers.
+/// Maximum size of a message between brokers.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
-/// Events that may wait for each connection: a peer's request, and the response to one of this broker's.
+/// Queued events for each connection: a request from the peer, and a response to a request from this broker.
 const EVENTS_PER_CONNECTION: usize = 2;
 
-/// Limits for the brokers that the configuration names. All of them may use all their connections to one leader at the
-/// same moment, so there is room for each; brokers that are not named share the default limits.
+/// Limits for the brokers that are named in the configuration. All of them may use all their connections to one leader at
+/// the same time, so the limits allow for that. Brokers that are not named have no room of their own beyond the defaults.
 pub fn limits_for(config: &ControlPlaneConfig) -> Limits {
     let known = config.known_brokers.iter().map(|known| &known.0);
     let partners = config.partners.iter().flat_map(|partner| &partner.brokers);
-    let brokers: BTreeSet<_> = known.chain(partners).chain(&config.terms.voters).collect();
+    let brokers: BTreeSet<_> = known.chain(partners).chain(&config.consensus.voters).collect();
     limits_for_count(brokers.len())
 }
 
-/// Never less than the default limits.
+/// Limits for this number of brokers, never lower than the default limits.
 fn limits_for_count(brokers: usize) -> Limits {
     let default = Limits::default();
     let connections = brokers.saturating_mul(default.max_connections_per_peer);
--- a/crates/dunepond-control-plane/src/link_limits/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/link_limits/tests/mod.rs
@@ -1,10 +1,10 @@
-//! Limits of the links by the number of brokers: each has room, and none of the defaults is lowered.
+//! The limits of the links grow with the number of brokers and are never below the defaults.
 
 use super::limits_for_count;
 use dunepond_membership::Limits;
 
 #[test]
-fn limits_grow_with_the_brokers() {
+fn limits_grow_with_broker_count() {
     let (default, few, many) = (Limits::default(), limits_for_count(5), limits_for_count(300));
     assert_eq!(
         (few.max_incoming_connections, few.max_pending_requests, few.max_requests),
--- a/crates/dunepond-control-plane/src/slow_start.rs
+++ b/crates/dunepond-control-plane/src/slow_start.rs
@@ -1,38 +1,38 @@
-//! Slow start of nodes: how much fills may send to a node that was started not long ago.
+//! Slow start of nodes: how much fill traffic a recently started node may receive.
 
 use dunepond_settlement::{NodeCapacity, max_units};
 
-/// Unit in which the bytes that a warming node is sent are counted.
+/// Unit in which bytes that are sent to a node in slow start are counted.
 pub const COUNTING_UNIT_BYTES: u64 = 64 * 1024;
 
-/// A node that was started not long ago.
+/// A recently started node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartedNode {
-    /// Its name in the endpoint list.
+    /// Name of the node in the endpoint list.
     pub node: String,
-    /// From the endpoint list, so the same at each broker; another one with each start.
+    /// Incarnation of the node in the endpoint list. It is the same at every broker, and differs after each start of the node.
     pub incarnation: u64,
-    /// When it was started, in seconds on the monotonic clock.
+    /// When the node started, in seconds on the monotonic clock.
     pub started_at: f64,
 }
 
-/// How a deployment limits what is sent to nodes in slow start.
+/// A deployment's limits on traffic to nodes in slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartPolicy {
-    /// Ratio of its capacity that it has at its start.
+    /// Fraction of its capacity that a node has when it starts.
     pub initial_share: f64,
-    /// Seconds after its start when it has all of it.
+    /// Time from its start until a node has its full capacity, in seconds.
     pub warm_up_seconds: f64,
-    /// Multiple of its present capacity that it is sent at most.
+    /// Maximum traffic to a node, as a multiple of its current capacity.
     pub capacity_multiple: f64,
-    /// Window over which that is counted, in seconds.
+    /// Window over which the traffic is counted, in seconds.
     pub window_seconds: f64,
 }
 
 impl SlowStartPolicy {
-    /// What fills may send to a node of this age in seconds: from all brokers together at most `multiple` times its present
-    /// share of `rate` (bytes a second of a warm node). `capacity_ratio` is the part of it that the caller may use. The margin
-    /// for random variation above it is left to queries.
+    /// Capacity that fills may use of a node that started `age` seconds ago. All brokers together may use `multiple` times the
+    /// node's current capacity, which grows up to `rate` (bytes per second of a warm node); `capacity_ratio` is the caller's
+    /// fraction of that. The margin for random variation that the limit allows is left to queries.
     pub fn fill_capacity(&self, age: f64, multiple: f64, rate: f64, capacity_ratio: f64) -> NodeCapacity {
         let warmth = (age / self.warm_up_seconds).clamp(0.0, 1.0);
         let share = self.initial_share + (1.0 - self.initial_share) * warmth;
--- a/crates/dunepond-control-plane/src/slow_start/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/slow_start/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The capacity that fills may use of a node in slow start: its parts add up to no more than the limit.
+//! The fill capacity of a node in slow start: the fractions of several callers add up to no more than the limit.
 
 use dunepond_settlement::SlowStartCapacity;
 
@@ -18,8 +18,11 @@
         SlowStartCapacity { window_seconds: 2.0, unit_bytes: COUNTING_UNIT_BYTES, nodes }.rate_cap("s")
     };
     for (age, share) in [(0.0, 0.25), (5.0, 0.625), (10.0, 1.0), (99.0, 1.0)] {
-        let most = 1.5 * share * rate;
-        assert!(cap(age, 1.0) <= most && cap(age, 1.0) > most - COUNTING_UNIT_BYTES as f64, "at {age}");
-        assert!(0.5 * most >= cap(age, 0.5) && 4.0 * cap(age, 0.125) <= 0.5 * most);
+        let max_rate = 1.5 * share * rate;
+        assert!(
+            cap(age, 1.0) <= max_rate && cap(age, 1.0) > max_rate - COUNTING_UNIT_BYTES as f64,
+            "age {age}"
+        );
+        assert!(0.5 * max_rate >= cap(age, 0.5) && 4.0 * cap(age, 0.125) <= 0.5 * max_rate);
     }
 }
--- a/crates/dunepond-control-plane/src/startup/assembly.rs
+++ b/crates/dunepond-control-plane/src/startup/assembly.rs
@@ -1,4 +1,4 @@
-//! The control loop, put together from parts that are open or running.
+//! Assembly of the control loop from the opened and started components.
 
 use crossbeam_channel::Receiver;
 use dunepond_membership::{Event, Peers};
@@ -8,38 +8,39 @@
 use super::fills::{FillSchedulers, fill_rate, fills_started_nodes};
 use super::settlement::{Accounts, broker_partners};
 use super::stored::OpenedStorage;
-use crate::config::{ControlPlaneConfig, CrashPoints, RebalanceConfig};
+use crate::config::{ControlPlaneConfig, CrashHook, RebalanceConfig};
 use crate::control_loop::{
     ControlLoop, DEFAULT_SETTLE_SECONDS, LoopState, Proposals, QuotaSharing, Rebalancing, Settlements,
     TrafficCounts,
 };
 use crate::handle::{ControlHandle, LoopRequest};
 
-/// The links to other brokers.
+/// The running links to other brokers.
 pub(super) struct Links {
     pub(super) peers: Peers,
-    /// Messages of peers, and changes of the membership.
+    /// Messages from peers, and changes of the membership.
     pub(super) events: Receiver<Event>,
 }
 
-/// What the control loop is made from.
+/// The components of the control loop.
 pub(super) struct LoopParts {
     pub(super) stored: OpenedStorage,
     pub(super) links: Links,
-    /// Requests of the event loop.
+    /// Requests from the event loop.
     pub(super) requests: Receiver<LoopRequest>,
     pub(super) quotas: Option<QuotaSharing>,
     pub(super) accounts: Accounts,
     pub(super) fills: FillSchedulers,
-    /// Wakes the event loop.
+    /// Wakes the event loop after the active configuration has changed.
     pub(super) wake: Box<dyn Fn() + Send>,
-    pub(super) crashes_at: Option<CrashPoints>,
+    /// Simulates crashes in tests.
+    pub(super) crash_hook: Option<CrashHook>,
 }
 
 impl LoopParts {
-    /// The control loop, which publishes to `handle`.
+    /// Creates the control loop, which publishes to `handle`.
     pub(super) fn assemble(self, config: ControlPlaneConfig, handle: &ControlHandle) -> ControlLoop {
-        let Self { mut stored, links, requests, quotas, accounts, fills, wake, crashes_at } = self;
+        let Self { mut stored, links, requests, quotas, accounts, fills, wake, crash_hook } = self;
         let (fill_bytes_per_second, fill_started_nodes) = (fill_rate(&config), fills_started_nodes(&config));
         let traffic_rng = Pcg64Mcg::seed_from_u64(stored.rng.random());
         let traffic = TrafficCounts::new(
@@ -51,7 +52,7 @@
             traffic_rng,
         );
         ControlLoop {
-            lease_seconds: config.terms.lease_seconds,
+            lease_seconds: config.consensus.lease_seconds,
             voter: stored.voter,
             lease_client: stored.lease_client,
             data: stored.data,
@@ -67,7 +68,7 @@
                 config.version_file,
                 config.query_class_count,
                 handle.listed_nodes.clone(),
-                config.terms.map_requirements,
+                config.consensus.map_requirements,
             ),
             rebalancing: new_rebalancing(config.rebalancing),
             traffic,
@@ -80,9 +81,9 @@
             slow_start: config.slow_start,
             started_nodes: handle.started_nodes.clone(),
             configured_brokers: config.known_brokers.into_iter().map(|known| known.0).collect(),
-            crashes_at,
+            crash_hook,
             state: LoopState::default(),
-            name: config.terms.name,
+            name: config.consensus.name,
         }
     }
 }
--- a/crates/dunepond-control-plane/src/startup/fills.rs
+++ b/crates/dunepond-control-plane/src/startup/fills.rs
@@ -1,4 +1,4 @@
-//! The schedulers of fills at the start.
+//! Creation of the fill schedulers at startup.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,25 +16,28 @@
 };
 use crate::fill_client::{FillClient, HttpFillClient};
 
-/// Fill rate that a warm node bears, in bytes a second.
+/// Maximum rate of fills to a warm node, in bytes per second.
 pub(super) fn fill_rate(config: &ControlPlaneConfig) -> f64 {
     config.fills.as_ref().map_or(f64::MAX, |fills| fills.bytes_per_second as f64)
 }
 
-/// Whether each broker has fills of its own.
+/// Whether each broker fills the started nodes that it is responsible for.
 pub(super) fn fills_started_nodes(config: &ControlPlaneConfig) -> bool {
     config.fills.as_ref().is_some_and(|fills| fills.fill_started_nodes)
 }
 
-/// The schedulers of fills, and the ends of their attempts.
+/// The two fill schedulers, and the channel with the results of their attempts.
 pub(super) struct FillSchedulers {
+    /// Scheduler of the fills of versions.
     pub(super) version: FillScheduler,
+    /// Scheduler of this broker's own fills of started nodes.
     pub(super) own: FillScheduler,
     pub(super) attempt_results: Receiver<AttemptResult>,
 }
 
 impl FillSchedulers {
-    /// Resumes the broker's own fills that were committed before the restart. `client` takes the place of the fill service.
+    /// Creates both schedulers, and resumes the broker's own fills that were committed before the restart. `client` replaces the
+    /// client of the fill service in tests.
     pub(super) fn new(
         config: &ControlPlaneConfig,
         client: Option<Arc<dyn FillClient>>,
@@ -44,15 +47,15 @@
         let (result_sender, attempt_results) = unbounded();
         let setup = FillSetup::new(config, client, result_sender);
         let version = setup.scheduler(FillKind::Version, LOG_SHARE_HOLDER, &mut stored.rng);
-        let mut own = setup.scheduler(FillKind::Own, &config.terms.name, &mut stored.rng);
-        // The fill service knows whether they are done.
+        let mut own = setup.scheduler(FillKind::Own, &config.consensus.name, &mut stored.rng);
+        // They may be done already: then the fill service responds at once.
         let unfinished = commitments.fills.values().filter(|fill| !fill.done);
         own.resume(unfinished.map(|committed| committed.fill.clone()), stored.opened_at);
         Self { version, own, attempt_results }
     }
 }
 
-/// What both schedulers of fills are made from.
+/// Settings that both fill schedulers share.
 struct FillSetup {
     service: FillService,
     link_rates: BTreeMap<PartnerPair, f64>,
@@ -63,7 +66,7 @@
 }
 
 impl FillSetup {
-    /// `client` takes the place of the fill service.
+    /// The settings from the configuration. `client` replaces the client of the fill service in tests.
     fn new(
         config: &ControlPlaneConfig,
         client: Option<Arc<dyn FillClient>>,
@@ -76,19 +79,19 @@
         for link in &config.link_rates {
             link_rates.insert(PartnerPair::new(&link.from, &link.to), link.bytes_per_second as f64);
         }
-        let default_rate = config.rebalancing.as_ref().and_then(|it| it.default_link_rate);
+        let default_rate = config.rebalancing.as_ref().and_then(|rebalancing| rebalancing.default_link_rate);
         Self {
             service: FillService { client: client.or(fills.map(http_client)), results },
             link_rates,
             default_link_rate: default_rate.map_or(f64::INFINITY, |rate| rate as f64),
-            deadline_seconds: config.terms.fill_deadline_seconds,
+            deadline_seconds: config.consensus.fill_deadline_seconds,
             segment_bytes: fills.map_or(1, |fills| fills.segment_bytes),
             max_concurrent: fills.map_or(1, |fills| fills.max_concurrent_fills),
         }
     }
 
-    /// `by`: the name in which the fills are settled.
-    fn scheduler(&self, kind: FillKind, by: &str, rng: &mut Pcg64Mcg) -> FillScheduler {
+    /// Creates a scheduler. `share_holder` is the name from whose shares its fills are settled.
+    fn scheduler(&self, kind: FillKind, share_holder: &str, rng: &mut Pcg64Mcg) -> FillScheduler {
         let limits = FillLimits {
             links: LinkCapacities {
                 rate_caps: self.link_rates.clone(),
@@ -100,7 +103,7 @@
         };
         let retry_policy =
             FillRetryPolicy { deadline_seconds: self.deadline_seconds, ..FillRetryPolicy::default() };
-        let planner = FillPlanner::new(by, PlanningRule::MaxMin, rng.random());
+        let planner = FillPlanner::new(share_holder, PlanningRule::MaxMin, rng.random());
         let fill_rng = Pcg64Mcg::seed_from_u64(rng.random());
         FillScheduler::new(kind, self.service.clone(), retry_policy, limits, planner, fill_rng)
     }
--- a/crates/dunepond-control-plane/src/startup/mod.rs
+++ b/crates/dunepond-control-plane/src/startup/mod.rs
@@ -1,5 +1,5 @@
-//! Assembly of the control plane: what is stored is opened, consensus and the links are started, and the control loop gets
-//! its thread.
+//! Startup of the control plane: opens the stored state, starts the links to other brokers, and runs the control loop on its
+//! own thread.
 
 mod assembly;
 mod fills;
@@ -31,9 +31,9 @@
 use settlement::Accounts;
 use stored::OpenedStorage;
 
-/// Longest that a shutdown waits for each thread.
+/// Maximum time that a shutdown waits for each thread.
 pub(crate) const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Requests of the event loop that may wait for the control loop.
+/// Maximum number of queued requests from the event loop.
 const MAX_QUEUED_REQUESTS: usize = 16;
 
 /// A running control plane.
@@ -51,11 +51,11 @@
     }
 }
 
-fn role(terms: &ConsensusConfig) -> &'static str {
-    if terms.voters.contains(&terms.name) { "voter" } else { "no voter" }
+fn role(config: &ConsensusConfig) -> &'static str {
+    if config.voters.contains(&config.name) { "voter" } else { "not a voter" }
 }
 
-/// The handle of the event loop, with nothing published yet.
+/// Creates the event loop's handle with this active configuration and all else empty.
 fn new_handle(
     active_config: ActiveConfig,
     partner_count: usize,
@@ -90,7 +90,7 @@
     key: Option<String>,
     seed: u64,
 ) -> Result<Links, ControlPlaneError> {
-    let (name, known_brokers) = (&config.terms.name, config.known_brokers.clone());
+    let (name, known_brokers) = (&config.consensus.name, config.known_brokers.clone());
     let mut options = MembershipOptions::new(name, incarnation, config.listen_address, known_brokers, seed);
     options.key = key;
     options.limits = link_limits::limits_for(config);
@@ -112,21 +112,21 @@
     thread.map_err(|e| ControlPlaneError::Thread { why: e.to_string() })
 }
 
-/// Starts the control plane. `wake` is called on its thread whenever what the broker may act on has changed; it must not
-/// block.
+/// Starts the control plane. `wake` is called on the control plane's thread whenever the phase or the versions that apply have
+/// changed; it must not block.
 ///
 /// # Errors
-/// If the terms contradict each other, the key or the data directory cannot be read, an operator's order on a lost
-/// majority does not fit, the address cannot be bound, or the audit log or the thread cannot be started.
+/// If the consensus configuration is inconsistent, the key or the data directory cannot be read, the operator's recovery order
+/// for a lost majority does not match, the address cannot be bound, or the audit log or a thread cannot be started.
 pub fn start(
     mut config: ControlPlaneConfig,
     doubles: TestDoubles,
     wake: impl Fn() + Send + 'static,
 ) -> Result<ControlPlane, ControlPlaneError> {
-    config.terms.check()?;
-    let name = config.terms.name.clone();
+    config.consensus.check()?;
+    let name = config.consensus.name.clone();
     let key = config.key_file.take().map(read_key).transpose()?;
-    // All draw from one generator of random numbers, in this order.
+    // The components draw their seeds from `stored.rng`, so their order here must not change.
     let mut stored = OpenedStorage::open(&config, doubles.storage)?;
     let incarnation = stored.incarnation;
     let (audit_sender, audit_log) = start_audit_log(config.audit_log_file.take(), &name, incarnation)?;
@@ -135,28 +135,31 @@
     let (request_sender, requests) = bounded(MAX_QUEUED_REQUESTS);
     let active_config = stored.lease_client.active_config();
     let handle = new_handle(active_config, config.partners.len(), audit_sender, request_sender);
-    let quotas = new_quotas(config.quotas.take(), config.terms.lease_seconds, &handle, stored.opened_at);
+    let quotas = new_quotas(config.quotas.take(), config.consensus.lease_seconds, &handle, stored.opened_at);
     let accounts = Accounts::open(&config, &mut stored)?;
     let fills = FillSchedulers::new(&config, doubles.fill_client, &accounts.commitments, &mut stored);
-    info!("fleet: {name} listening at {listen_address}, start {incarnation}, {}", role(&config.terms));
-    let (wake, crashes_at) = (Box::new(wake), doubles.crashes_at);
-    let parts = LoopParts { stored, links, requests, quotas, accounts, fills, wake, crashes_at };
+    info!(
+        "fleet: {name} listening at {listen_address}, incarnation {incarnation}, {}",
+        role(&config.consensus)
+    );
+    let (wake, crash_hook) = (Box::new(wake), doubles.crash_hook);
+    let parts = LoopParts { stored, links, requests, quotas, accounts, fills, wake, crash_hook };
     let thread = spawn(parts.assemble(config, &handle))?;
     Ok(ControlPlane { handle, listen_address, thread, audit_log })
 }
 
-/// FNV-1a of a name: brokers that share a seed differ by it.
+/// FNV-1a hash of a name. It makes the random numbers of brokers with the same configured seed differ.
 pub(crate) fn name_hash(name: &str) -> u64 {
     name.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Waits for a thread's end, at most [`SHUTDOWN_TIMEOUT`].
+/// Waits until a thread ends, at most for [`SHUTDOWN_TIMEOUT`].
 pub(crate) fn join_with_timeout(thread: JoinHandle<()>) {
-    let until = Instant::now() + SHUTDOWN_TIMEOUT;
+    let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
     while !thread.is_finished() {
-        if Instant::now() > until {
-            return error!("fleet: a thread does not end: look at the disk");
+        if Instant::now() > deadline {
+            return error!("fleet: a thread did not end in time; check the disk");
         }
         std::thread::sleep(Duration::from_millis(1));
     }
@@ -164,17 +167,18 @@
 }
 
 impl ControlPlane {
-    /// The event loop's access; cheap to clone.
+    /// The event loop's handle. Cheap to clone.
     pub fn handle(&self) -> ControlHandle {
         self.handle.clone()
     }
 
-    /// The bound address at which other brokers reach this one.
+    /// The address that this broker is bound to for other brokers.
     pub fn listen_address(&self) -> SocketAddr {
         self.listen_address
     }
 
-    /// Shuts down gracefully: counts are stored and the audit log is flushed. A disk that does not answer is not waited for.
+    /// Shuts down gracefully: the traffic counts are stored and the audit log is flushed. If a thread hangs, for example on a
+    /// disk that does not respond, the shutdown stops waiting for it after a timeout.
     pub fn stop(self) {
         let _ = self.handle.requests.send_timeout(LoopRequest::Stop, SHUTDOWN_TIMEOUT);
         join_with_timeout(self.thread);
--- a/crates/dunepond-control-plane/src/startup/settlement.rs
+++ b/crates/dunepond-control-plane/src/startup/settlement.rs
@@ -1,4 +1,4 @@
-//! Counts, balances and commitments at the start.
+//! Opening of the traffic counts, balances and commitments at startup.
 
 use dunepond_settlement::{Balances, BrokerPartners, LocalCounts, SettlementError, SettlementTerms};
 
@@ -12,7 +12,7 @@
     ControlPlaneError::Consensus { why: e.to_string(), help: e.help().to_string() }
 }
 
-/// What was counted and settled before this start.
+/// Traffic counts, balances and commitments from before this start.
 pub(super) struct Accounts {
     pub(super) commitments: Commitments,
     pub(super) counts: LocalCounts,
@@ -20,12 +20,13 @@
 }
 
 impl Accounts {
-    /// Takes the stored commitments and counts, and tells the lease client which settlements are known.
+    /// Takes the stored commitments and counts out of `stored`, computes the balances, and tells the lease client how many
+    /// settlement entries this broker has already applied.
     pub(super) fn open(
         config: &ControlPlaneConfig,
         stored: &mut OpenedStorage,
     ) -> Result<Self, ControlPlaneError> {
-        let broker = &config.terms.name;
+        let broker = &config.consensus.name;
         let commitments = open_commitments(stored.commitments.take(), broker)?;
         stored.lease_client.set_known_settlements(commitments.applied_entries);
         let counts = open_counts(stored.counts.take(), broker, stored.incarnation)?;
@@ -34,14 +35,14 @@
     }
 }
 
-/// The stored counts, continued by this incarnation.
+/// Opens the stored traffic counts to be continued by this incarnation.
 fn open_counts(
     stored: Option<LocalCounts>,
     broker: &str,
     incarnation: u64,
 ) -> Result<LocalCounts, ControlPlaneError> {
     let opened = match LocalCounts::open(stored.clone(), broker, incarnation) {
-        // The clock was set back, and the number of starts was lost.
+        // The stored incarnation was lost and the clock was set back, so the counts have a later incarnation.
         Err(SettlementError::StaleIncarnation { stored: newest, .. }) => {
             LocalCounts::open(stored, broker, newest + 1)
         }
@@ -50,7 +51,7 @@
     opened.map_err(settlement_error)
 }
 
-/// Which partner each broker belongs to.
+/// Returns which partner each broker belongs to, and which partners are metered.
 pub(super) fn broker_partners(partners: &[Partner]) -> BrokerPartners {
     let mut broker_partners = BrokerPartners::default();
     for partner in partners {
@@ -64,7 +65,7 @@
     broker_partners
 }
 
-/// Balances of the stored ledger; the control loop adds the counts.
+/// Balances from the stored ledger. The control loop adds the traffic counts later.
 fn new_balances(
     config: &ControlPlaneConfig,
     commitments: &Commitments,
@@ -74,7 +75,7 @@
     Balances::new(terms, broker_partners, ledger).map_err(settlement_error)
 }
 
-/// The stored commitments, or none yet.
+/// The stored commitments, or empty ones if none are stored.
 fn open_commitments(stored: Option<Commitments>, broker: &str) -> Result<Commitments, ControlPlaneError> {
     match stored {
         Some(commitments) => Ok(commitments),
--- a/crates/dunepond-control-plane/src/startup/stored.rs
+++ b/crates/dunepond-control-plane/src/startup/stored.rs
@@ -1,4 +1,4 @@
-//! What the data directory holds, opened: the voter and the lease client.
+//! Opening of the data directory, and of the voter and the lease client from its content.
 
 use std::sync::Arc;
 
@@ -16,38 +16,39 @@
 use crate::data_directory::DataDirectory;
 use crate::error::ControlPlaneError;
 
-/// The open data directory and what was read from it.
+/// The open data directory and the state that was read from it.
 pub(super) struct OpenedStorage {
     pub(super) data: DataDirectory,
-    /// Number of this start.
+    /// Incarnation of this start, greater than that of any earlier start.
     pub(super) incarnation: u64,
-    /// When it was opened, on the monotonic clock.
+    /// When the directory was opened, in seconds on the monotonic clock.
     pub(super) opened_at: f64,
-    /// Seeds all parts of the control plane. Differs at each start and at each broker.
+    /// Generator that seeds all parts of the control plane. Its own seed differs at each start and at each broker.
     pub(super) rng: Pcg64Mcg,
-    /// `None` at a broker that is no voter.
+    /// The voter; `None` if this broker is not a voter.
     pub(super) voter: Option<Voter>,
     pub(super) lease_client: LeaseClient,
-    /// As stored, as are the commitments; `None` once [`super::settlement::Accounts::open`] has taken them.
+    /// The stored traffic counts; `None` if there are none, or once [`super::settlement::Accounts::open`] has taken them.
     pub(super) counts: Option<LocalCounts>,
+    /// The stored commitments; `None` if there are none, or once [`super::settlement::Accounts::open`] has taken them.
     pub(super) commitments: Option<Commitments>,
 }
 
 impl OpenedStorage {
-    /// `storage` takes the place of the data directory.
+    /// Opens the data directory. `storage` replaces its files in tests.
     pub(super) fn open(
         config: &ControlPlaneConfig,
         storage: Option<Arc<dyn FileStore>>,
     ) -> Result<Self, ControlPlaneError> {
-        let terms = &config.terms;
-        let is_voter = terms.voters.contains(&terms.name);
+        let consensus = &config.consensus;
+        let is_voter = consensus.voters.contains(&consensus.name);
         let unix_millis = (unix_seconds() * 1000.0) as u64;
         let (mut data, stored) = DataDirectory::open(&config.data_directory, storage, is_voter, unix_millis)?;
         let incarnation = stored.incarnation;
-        let mut rng = Pcg64Mcg::seed_from_u64(config.seed ^ incarnation ^ name_hash(&terms.name));
+        let mut rng = Pcg64Mcg::seed_from_u64(config.seed ^ incarnation ^ name_hash(&consensus.name));
         let opened_at = monotonic_seconds();
         let voter = open_voter(config, &mut data, stored.voter_records, opened_at, &mut rng)?;
-        let lease_client = LeaseClient::new(terms.clone(), stored.config, opened_at, rng.random());
+        let lease_client = LeaseClient::new(consensus.clone(), stored.config, opened_at, rng.random());
         let (counts, commitments) = (stored.counts, stored.commitments);
         Ok(Self { data, incarnation, opened_at, rng, voter, lease_client, counts, commitments })
     }
--- a/crates/dunepond-control-plane/src/startup/voter.rs
+++ b/crates/dunepond-control-plane/src/startup/voter.rs
@@ -1,4 +1,4 @@
-//! The voter at the start.
+//! Opening of the voter at startup.
 
 use dunepond_consensus::{ConsensusError, StoredVoter, Voter};
 use rand::RngExt;
@@ -14,8 +14,8 @@
     ControlPlaneError::Consensus { why: e.to_string(), help: e.help().to_string() }
 }
 
-/// The voter, where this broker is one: by an operator's statement on a lost majority if there is one, else from its
-/// journal.
+/// Opens the voter: by the operator's recovery order for a lost majority if there is one, else from its journal. Returns `None`
+/// if this broker is not a voter.
 pub(super) fn open_voter(
     config: &ControlPlaneConfig,
     data: &mut DataDirectory,
@@ -23,23 +23,24 @@
     now: f64,
     rng: &mut Pcg64Mcg,
 ) -> Result<Option<Voter>, ControlPlaneError> {
-    let terms = &config.terms;
-    if !terms.voters.contains(&terms.name) {
+    let consensus = &config.consensus;
+    if !consensus.voters.contains(&consensus.name) {
         return Ok(None);
     }
-    let recovered = lost_majority::recover(&config.data_directory, data, terms, &stored, now, rng.random())?;
+    let recovered =
+        lost_majority::recover(&config.data_directory, data, consensus, &stored, now, rng.random())?;
     let voter = match recovered {
         Some(voter) => voter,
-        None => match Voter::open(terms.clone(), stored, now, rng.random()) {
-            // The same as a lost data directory, which the other voters allow for.
+        None => match Voter::open(consensus.clone(), stored, now, rng.random()) {
+            // The other voters handle an empty journal as they handle the loss of a data directory.
             Err(e @ (ConsensusError::CorruptRecord(_) | ConsensusError::CorruptLog(_))) => {
-                error!("fleet: {e} ({}); this voter begins anew", e.help());
-                Voter::open(terms.clone(), StoredVoter::new(), now, rng.random())
+                error!("fleet: {e} ({}); this voter starts with an empty journal", e.help());
+                Voter::open(consensus.clone(), StoredVoter::new(), now, rng.random())
             }
             other => other,
         }
         .map_err(consensus_error)?,
     };
-    lost_majority::log_recovery_facts(&voter);
+    lost_majority::log_recovery_position(&voter);
     Ok(Some(voter))
 }
--- a/crates/dunepond-control-plane/tests/control_loop.rs
+++ b/crates/dunepond-control-plane/tests/control_loop.rs
@@ -23,9 +23,8 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn config(version: Option<PathBuf>) -> ControlPlaneConfig {
-    let terms = support::single_voter(false);
     ControlPlaneConfig {
-        terms,
+        consensus: support::single_voter(false),
         listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
         data_directory: PathBuf::from("/nowhere"),
         known_brokers: Vec::new(),
@@ -121,9 +120,9 @@
 #[test]
 fn contradicting_terms_are_refused() {
     let mut config = config(None);
-    config.terms.switch_bound_seconds = 0.2;
+    config.consensus.switch_bound_seconds = 0.2;
     let error = start(config, TestDoubles::default(), || ()).map(drop).unwrap_err();
-    assert!(matches!(error, ControlPlaneError::Terms(_)), "{error}");
+    assert!(matches!(error, ControlPlaneError::ConsensusConfig(_)), "{error}");
     assert!(error.help().contains("bound"));
 }
 
@@ -179,7 +178,8 @@
     let config = ControlPlaneConfig { data_directory: folder.path().to_path_buf(), ..config(None) };
     let error = start(config, doubles(&files), || ()).map(drop).unwrap_err();
     assert!(
-        matches!(error, ControlPlaneError::LostMajority { .. }) && error.to_string().contains("here: folder"),
+        matches!(error, ControlPlaneError::LostMajority { .. })
+            && error.to_string().contains("this voter has folder"),
         "{error}"
     );
     assert!(error.help().contains("lost the least") && path.exists());
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -13,8 +13,8 @@
 
 use dunepond_consensus::ConfigPhase;
 use dunepond_control_plane::{
-    AuditEvent, AuditRecord, ControlPlane, ControlPlaneConfig, CrashPoint, CrashPoints, FillClient,
-    FillConfig, FillError, FillRequest, FillResult, Partner, SlowStartPolicy, StartedNode, TestDoubles,
+    AuditEvent, AuditRecord, ControlPlane, ControlPlaneConfig, CrashHook, CrashPoint, FillClient, FillConfig,
+    FillError, FillRequest, FillResult, Partner, SlowStartPolicy, StartedNode, TestDoubles,
     monotonic_seconds, start,
 };
 use dunepond_settlement::LocalCounts;
@@ -98,10 +98,9 @@
     /// `crash`: the point at which the control plane ends.
     fn start(&mut self, version: Option<PathBuf>, crash: Option<CrashPoint>) -> ControlPlane {
         self.starts += 1;
-        let terms = support::single_voter(true);
         let partner = |name: &str| Partner { name: name.to_string(), brokers: Vec::new(), metered: false };
         let config = ControlPlaneConfig {
-            terms,
+            consensus: support::single_voter(true),
             listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
             data_directory: PathBuf::from("/nowhere"),
             known_brokers: Vec::new(),
@@ -131,7 +130,7 @@
         let doubles = TestDoubles {
             storage: Some(Arc::new(self.files.clone())),
             fill_client: Some(self.fill_service.clone()),
-            crashes_at: crash.map(|point| Arc::new(move |reached| reached == point) as CrashPoints),
+            crash_hook: crash.map(|point| Arc::new(move |reached| reached == point) as CrashHook),
         };
         let control_plane = start(config, doubles, || ()).unwrap();
         let node = |i: usize| Node {
@@ -225,7 +224,7 @@
 #[test]
 fn crash_between_settlement_and_completion() {
     let mut broker = TestBroker::new(false);
-    let control_plane = broker.start(Some(broker.version(1, 1, false)), Some(CrashPoint::SettlementEntered));
+    let control_plane = broker.start(Some(broker.version(1, 1, false)), Some(CrashPoint::SettlementProposed));
     wait_for_version(&control_plane, 1);
     control_plane.handle().reload_version(Some(broker.version(2, 1, true)));
     wait("the fill", || !broker.fill_service.done.lock().unwrap().is_empty());
--- a/crates/dunepond-control-plane/tests/rebalancing.rs
+++ b/crates/dunepond-control-plane/tests/rebalancing.rs
@@ -64,9 +64,8 @@
     }
 
     fn start(&self, version: Option<&Path>, plan: Option<&Path>) -> ControlPlane {
-        let terms = support::single_voter(true);
         let config = ControlPlaneConfig {
-            terms,
+            consensus: support::single_voter(true),
             listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
             data_directory: PathBuf::from("/nowhere"),
             known_brokers: Vec::new(),
