--- a/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of active fills: started within the limits, and what follows from their results.
+//! Starts the attempts of active fills within the limits, and handles their results.
 
 use dunepond_settlement::{Fill, FillAction, FillEvent};
 use tracing::{info, warn};
@@ -10,19 +10,19 @@
 use crate::clock::monotonic_seconds;
 use crate::handle::increment;
 
-// States of a fill in the audit log, which are a stored form.
+// States of a fill in the audit log. They are stored, so they must not change.
 const AUDITED_START: &str = "begun";
 const AUDITED_SUCCESS: &str = "done";
 const AUDITED_FAILURE: &str = "failed";
 
 impl ControlLoop {
-    /// Starts the attempts that are due.
+    /// Starts the attempts that are due, within the limit on concurrent attempts.
     pub(super) fn advance_fills(&mut self, kind: FillKind, now: f64) {
         if kind == FillKind::Version {
             self.propose_fill_starts(now);
         }
         let mut actions = Vec::new();
-        // A paused plan starts no further fill; running attempts continue.
+        // While the plan is paused no further attempt starts, but running attempts continue.
         let paused = kind == FillKind::Version && self.fills_are_paused();
         let ledger = self.traffic.balances.ledger();
         let fills = match kind {
@@ -48,24 +48,28 @@
         self.propose_finished_fills();
     }
 
+    /// Carries out the actions of the fills' state machines.
     fn execute_fill_actions(&mut self, kind: FillKind, actions: Vec<FillAction>) {
         for action in actions {
             match action {
                 FillAction::Start(fill) => {
-                    info!("fleet: fill {}: from {} at {:.0} bytes a second", fill.id, fill.source, fill.rate);
+                    info!(
+                        "fleet: fill {}: attempt from {} at {:.0} bytes per second",
+                        fill.id, fill.source, fill.rate
+                    );
                     self.audit_fill(&fill, AUDITED_START);
                     self.scheduler(kind).start_attempt(&fill);
                 }
-                // The fill service cannot stop a fill: it is asked again with the same id.
-                FillAction::Stop(fill) => info!("fleet: fill {}: no answer in time", fill.id),
-                // The capacity is free once the log has the fill; see `remove_unneeded_fills`.
+                // The fill service cannot stop a fill, so the next attempt requests it again with the same id.
+                FillAction::Stop(fill) => info!("fleet: fill {}: attempt timed out", fill.id),
+                // The capacity is released once the log has the fill as completed; see `remove_unneeded_fills`.
                 FillAction::ReleaseCapacity(_) | FillAction::Propose(_) => {}
             }
         }
         self.remove_failed_fills(kind);
     }
 
-    /// Removes fills whose attempts have all failed: the planner plans them again, perhaps from another source.
+    /// Removes fills whose attempts have all failed. The planner plans them again, possibly from another source.
     fn remove_failed_fills(&mut self, kind: FillKind) {
         let mut failed = Vec::new();
         for (id, active) in &self.scheduler(kind).active {
@@ -82,7 +86,7 @@
         }
     }
 
-    /// Handles the end of an attempt; `None` once all senders are gone.
+    /// Handles the result of an attempt; `None` once all senders of results are dropped.
     pub(in crate::control_loop) fn on_attempt_result(&mut self, result: Option<AttemptResult>) {
         let Some(AttemptResult { kind, id, outcome }) = result else { return };
         let now = monotonic_seconds();
@@ -120,15 +124,15 @@
         }
     }
 
-    /// After a failed attempt the fill is dropped if there is another source, and planned from that at the next review. Else it
-    /// stays, and the same source is tried again after the backoff.
+    /// Handles a failed attempt: if there is another source, removes the fill so that the next review plans it from there.
+    /// Otherwise the fill stays, and its source is tried again after the back-off.
     fn avoid_source(&mut self, fill: &Fill) {
         self.version_fills.avoided_sources.note_failure(&fill.id, &fill.source);
         let Some(demands) = self.version_fill_demands() else { return };
         self.version_fills.avoided_sources.retain(|id| demands.iter().any(|demand| demand.id() == id));
         let Some(demand) = demands.iter().find(|demand| demand.id() == fill.id) else { return };
         if demand.sources.iter().all(|source| source.node != fill.source) {
-            info!("fleet: fill {}: not from {} any more", fill.id, fill.source);
+            info!("fleet: fill {}: trying another source than {}", fill.id, fill.source);
             self.version_fills.planner.fill_ended(&fill.id, false);
             self.version_fills.active.remove(&fill.id);
         }
--- a/crates/dunepond-control-plane/src/control_loop/fills/demands.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/demands.rs
@@ -1,4 +1,4 @@
-//! The fills that the proposed version still requires.
+//! Computes the fills that the proposed version still requires.
 
 use dunepond_consensus::Voter;
 use dunepond_settlement::{FillDemand, FillSource};
@@ -7,8 +7,8 @@
 use super::ControlLoop;
 
 impl ControlLoop {
-    /// What the proposed version's map requires and the log has not as completed; `None` where this broker does not lead, or
-    /// no version with a map is proposed.
+    /// The fills that the proposed version's map requires and that are not completed in the log. `None` if this broker does not
+    /// lead, or if no version with a map is proposed.
     pub(super) fn version_fill_demands(&mut self) -> Option<Vec<FillDemand>> {
         if !self.is_leading() {
             return None;
@@ -21,7 +21,7 @@
             self.version_fills.version = number;
         }
         let listed = self.proposals.listed_nodes.load();
-        let is_draining = |node: &str| listed.iter().any(|listed| listed.name == node && listed.draining);
+        let is_draining = |name: &str| listed.iter().any(|node| node.name == name && node.draining);
         let fills = &self.version_fills;
         let mut demands = Vec::new();
         for required in transition.required_fills() {
@@ -40,12 +40,15 @@
 /// The demand for one required fill, with all possible sources.
 fn fill_demand(transition: &MapTransition, required: &RequiredFill, version: u64, bytes: u64) -> FillDemand {
     let segment = transition.to().segment(required.segment);
-    let replica = segment.and_then(|segment| segment.replicas.iter().find(|it| it.node == required.replica));
+    let replica =
+        segment.and_then(|segment| segment.replicas.iter().find(|replica| replica.node == required.replica));
     let source = |node: &String| {
         let old_segments =
             segment.into_iter().flat_map(|segment| transition.from().overlapping(segment.keys));
         let mut old_replicas = old_segments.flat_map(|old| &old.replicas);
-        let partner = old_replicas.find(|it| it.node == *node).map_or(String::new(), |it| it.partner.clone());
+        let partner = old_replicas
+            .find(|replica| replica.node == *node)
+            .map_or(String::new(), |replica| replica.partner.clone());
         FillSource { node: node.clone(), partner }
     };
     FillDemand {
--- a/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
@@ -1,4 +1,4 @@
-//! Fills of versions in the agreed log: entered before they start, and with their settlement when they are done.
+//! Log entries for the fills of versions: one before a fill starts, and its settlement and completion once it is done.
 
 use dunepond_consensus::{Command, Rejection};
 use dunepond_settlement::{
@@ -12,15 +12,16 @@
 use crate::config::CrashPoint;
 use crate::fill_client::FillResult;
 
-/// Seconds after which an entry that the log does not have is entered again.
+/// Time after which an entry that is not in the log is proposed again.
 const ENTRY_RETRY_SECONDS: f64 = 1.0;
-/// Name in which fills of versions are settled: the same at each leader, or one fill would be settled once under each.
-/// Where debts are split, it has a share of its own that only the log spends.
+/// Name under which fills of versions are settled. It does not depend on the leader: otherwise a fill could be settled once
+/// under the name of each leader. When debts are split in advance, this name gets a share, which only settlements of versions'
+/// fills spend.
 pub const LOG_SHARE_HOLDER: &str = "fleet";
 
 impl ControlLoop {
-    /// Notes when each started fill of the log was first seen here: no sooner than it started. For fills that are in the log
-    /// when this broker starts, the age by the leader's clock counts.
+    /// Records when this broker first saw each started fill in the log, which is never before the fill started. For fills that
+    /// are in the log when this broker starts, the time is computed from the start time by the leader's clock.
     pub(in crate::control_loop) fn note_started_fills(&mut self) {
         let (now, fills) = (monotonic_seconds(), &mut self.version_fills);
         let ledger = self.traffic.balances.ledger();
@@ -32,7 +33,8 @@
         fills.first_seen_at.retain(|fill, _| ledger.has_started(&fill.id, &fill.source_partner));
     }
 
-    /// A new leader resumes the fills that the previous one started, and counts them against the planner's windows.
+    /// When this broker becomes the leader, resumes the fills that the previous leader started, and counts them in the planner's
+    /// windows.
     pub(super) fn resume_started_fills(&mut self, demands: &[FillDemand], now: f64) {
         let fills = &mut self.version_fills;
         if std::mem::replace(&mut fills.is_leading, true) {
@@ -43,18 +45,18 @@
             let started_at = fills.first_seen_at.get(&StartedFillKey::from(started)).copied().unwrap_or(now);
             let fill = started.fill();
             fills.planner.resume(&fill, started_at, false);
-            // One that is not required any more counts in the windows only.
+            // A fill that is no longer required only counts in the planner's windows.
             if demands.iter().any(|demand| demand.id() == started.id) {
                 resumed.push(fill);
             }
         }
         if !resumed.is_empty() {
-            info!("fleet: {} fills of the leader before go on", resumed.len());
+            info!("fleet: resuming {} fills of the previous leader", resumed.len());
         }
         fills.resume(resumed, now);
     }
 
-    /// Enters a fill into the log before it starts: the next leader has to know of it.
+    /// Proposes log entries for the fills that are about to start, so that the next leader knows of them.
     pub(super) fn propose_fill_starts(&mut self, now: f64) {
         let ledger = self.traffic.balances.ledger();
         let mut due = Vec::new();
@@ -62,7 +64,7 @@
             if has_started(ledger, &active.progress.fill) {
                 continue;
             }
-            // The entry may be committed at any moment now: the fill starts in the next pass after that.
+            // The entry may be committed at any time, so the next review is due at once: it starts the fill.
             self.version_fills.next_review_at = now;
             if now >= active.next_start_entry_at {
                 active.next_start_entry_at = now + ENTRY_RETRY_SECONDS;
@@ -76,8 +78,8 @@
         self.apply_voter_entries();
     }
 
-    /// Enters finished fills until the log has them. The settlement goes first: a crash between both leaves the fill open, and
-    /// the fill service answers the next leader at once.
+    /// Proposes the settlement and then the completion of each finished fill, until the log has them. The order matters: after a
+    /// crash in between, the fill is still required, and the fill service responds at once to the next leader's request.
     pub(super) fn propose_finished_fills(&mut self) {
         for (fill, result) in self.due_finished_fills() {
             let settled = match self.settlement_of(&fill, &result) {
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Finished fills whose completion is to be entered now.
+    /// Finished fills whose completion is due to be proposed.
     fn due_finished_fills(&mut self) -> Vec<(Fill, FillResult)> {
         let now = monotonic_seconds();
         let mut due = Vec::new();
@@ -118,22 +120,24 @@
         due
     }
 
+    /// Proposes the log entry that the fill is completed.
     fn propose_completed_fill(&mut self, fill: &Fill) -> Result<(), Rejection> {
         let (segment, holder) = (fill.segment, fill.node.clone());
         self.propose(Command::FillCompleted { number: self.version_fills.version, segment, holder })
     }
 
-    /// The log never takes the settlement, as the share is spent or another has settled the fill: the replica is filled all
-    /// the same.
+    /// Handles a settlement that the log refuses for good, because the share is spent or the fill is already settled. The replica
+    /// is filled nevertheless.
     fn on_settlement_refused(&mut self, fill: &Fill, why: &SettlementError) {
-        info!("fleet: fill {}: not settled: {why} ({})", fill.id, why.help());
+        info!("fleet: fill {}: settlement refused: {why} ({})", fill.id, why.help());
         self.version_fills.planner.settlement_rejected(&fill.id);
         if let Some(active) = self.version_fills.active.get_mut(&fill.id) {
             active.settlement_refused = !self.traffic.balances.ledger().is_settled(&fill.id);
         }
     }
 
-    /// What the fill pays off, by the source that it was really taken from.
+    /// The settlement of the fill by its actual source, which may differ from the planned one. `None` if nothing is owed between
+    /// the two partners.
     fn settlement_of(&self, fill: &Fill, result: &FillResult) -> Option<Settlement> {
         if result.source == fill.source {
             return fill.settles.clone();
@@ -151,7 +155,7 @@
     }
 }
 
-/// Whether the log has the fill as started.
+/// Whether the log has an entry that the fill has started from its source's partner.
 pub(super) fn has_started(ledger: &SettlementLedger, fill: &Fill) -> bool {
     ledger.has_started(&fill.id, &fill.from)
 }
--- a/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
@@ -1,9 +1,10 @@
-//! Replica fills, by two schedulers. The leader plans the fills that the proposed map requires; each broker plans those of
-//! nodes in slow start that it is responsible for ([`own`]). Attempts run on threads of their own ([`scheduler`]).
+//! Fills of replicas, by two schedulers. The leader plans the fills that the map of the proposed version requires. Each broker
+//! plans fills of the nodes in slow start that it is responsible for ([`own`]). Attempts run on their own threads
+//! ([`scheduler`]).
 //!
-//! A fill has the same id whoever plans it and however often, so the fill service answers at once for one that was done
-//! before a crash, and a fill is settled only once. A leader enters a fill into the log before it starts ([`log_entries`]), so
-//! that the next leader continues it and counts it against its limits.
+//! The id of a fill does not depend on who plans it or how often. So the fill service responds at once if a fill was already
+//! done before a crash, and a fill is settled only once. A leader adds a fill to the log before it starts ([`log_entries`]),
+//! so that the next leader continues it and counts it against its limits.
 
 mod attempts;
 mod demands;
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Advances the fills of the proposed version, where this broker leads.
+    /// Plans and advances the fills of the proposed version if this broker leads.
     pub(super) fn plan_version_fills(&mut self) {
         let now = monotonic_seconds();
         if !self.version_fills.start_review(now) {
@@ -46,7 +47,7 @@
         self.advance_fills(FillKind::Version, now);
     }
 
-    /// Advances this broker's own fills of nodes in slow start.
+    /// Plans and advances this broker's own fills of nodes in slow start.
     pub(super) fn plan_own_fills(&mut self) {
         let now = monotonic_seconds();
         if !self.own_fills.start_review(now) {
@@ -60,8 +61,8 @@
         self.advance_fills(FillKind::Own, now);
     }
 
-    /// Removes the fills of the proposed version that are in the log as completed, or not required any more. What a completed
-    /// fill did not settle is counted as carried.
+    /// Removes the fills of the proposed version that are completed in the log or no longer required. The bytes that a completed
+    /// fill did not settle are counted as carried.
     fn remove_unneeded_fills(&mut self, demands: &[FillDemand]) {
         let required: BTreeSet<_> = demands.iter().map(FillDemand::id).collect();
         let fills = &mut self.version_fills;
@@ -70,14 +71,14 @@
             let completed = fills.active.remove(&id).filter(|active| active.result.is_some());
             fills.planner.fill_ended(&id, completed.is_some());
             let Some(active) = completed else { continue };
-            // What the fill settled is paid off; the rest is a new debt of the filled node's partner.
+            // The unsettled bytes are a new debt of the filled node's partner.
             let fill = active.progress.fill;
             let bytes = if active.settlement_refused { fill.bytes } else { fill.unsettled_bytes() };
             self.traffic.counts.record(&fill.from, &fill.to, bytes);
         }
     }
 
-    /// Plans fills for the demands that have none yet.
+    /// Plans fills for the demands that have no active fill.
     fn plan_new_fills(&mut self, kind: FillKind, demands: Vec<FillDemand>, now: f64) {
         let active = &self.scheduler(kind).active;
         let new: Vec<_> = demands.into_iter().filter(|demand| !active.contains_key(&demand.id())).collect();
@@ -95,11 +96,12 @@
         }
     }
 
+    /// Runs the scheduler's planner with this broker's part of all limits.
     fn run_planner(&mut self, kind: FillKind, demands: &[FillDemand], now: f64) -> FillPlan {
         let capacity_ratio = self.capacity_ratio(kind);
         let slow_start = self.slow_start_capacity(now, kind);
         let balances = &self.traffic.balances;
-        // Fills of versions are settled from the log's own share, which the planner takes from the ledger.
+        // Fills of versions are settled from the log's share, which the planner gets from the ledger.
         let shares = (kind == FillKind::Own).then_some(&self.settlement.commitments.shares);
         let fills = match kind {
             FillKind::Version => &mut self.version_fills,
--- a/crates/dunepond-control-plane/src/control_loop/fills/own.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/own.rs
@@ -1,4 +1,4 @@
-//! This broker's own fills, of replicas on nodes in slow start that it is responsible for, and the commitments behind them.
+//! This broker's own fills: fills of replicas on nodes in slow start that it is responsible for, and the commitments to them.
 
 use dunepond_consensus::ActiveConfig;
 use dunepond_settlement::{Fill, FillDemand, FillSource, SlowStartCapacity};
@@ -11,19 +11,19 @@
 use crate::fill_client::FillResult;
 use crate::slow_start::{COUNTING_UNIT_BYTES, StartedNode};
 
-/// Ratio of a node's warm-up time after which its fill passes to the next broker, if the responsible one is not alive.
+/// Fraction of a node's warm-up time after which another broker takes over its fills if the responsible broker is not alive.
 const TAKEOVER_RATIO: f64 = 1.0 / 3.0;
 
 impl ControlLoop {
-    /// Nodes that are in slow start.
+    /// The nodes that are in slow start at `now`.
     fn warming_nodes(&self, now: f64) -> Vec<StartedNode> {
         let Some(policy) = self.slow_start else { return Vec::new() };
         let started = self.started_nodes.load();
         started.iter().filter(|node| now < node.started_at + policy.warm_up_seconds).cloned().collect()
     }
 
-    /// What fills may send to nodes in slow start: the limit holds for all brokers together, by the stricter of the deployment
-    /// and the agreed versions.
+    /// Capacity of the nodes in slow start that fills of this kind may use here. The underlying limit applies to all brokers
+    /// together; it is the lower of the deployment's limit and that of the versions that apply.
     pub(super) fn slow_start_capacity(&self, now: f64, kind: FillKind) -> SlowStartCapacity {
         let rules_multiple = self
             .lease_client
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Ratio of what all brokers may use together that a scheduler here may use: half is the leader's and half the brokers',
-    /// where brokers have fills of their own.
+    /// Fraction of all brokers' total capacity that a scheduler of this broker may use. If brokers have their own fills, half
+    /// is for the leader's fills of versions and the brokers share the other half evenly; otherwise the leader may use it all.
     pub(super) fn capacity_ratio(&self, kind: FillKind) -> f64 {
         match kind {
             FillKind::Version if self.settlement.fill_started_nodes => 0.5,
@@ -55,8 +55,9 @@
         }
     }
 
-    /// Whether this broker is responsible for filling a replica: one broker of the replica's partner is, or one of all brokers
-    /// if the partner has none. Every broker computes the same one.
+    /// Whether this broker is responsible for filling a replica. The responsible broker is one of the replica's partner, or one of
+    /// all brokers if that partner has no brokers. Every broker computes the same one, until a takeover depends on which brokers
+    /// it sees alive.
     fn is_responsible_for(
         &self,
         replica: &Replica,
@@ -71,9 +72,11 @@
             candidates = brokers.iter().collect();
         }
         candidates.sort_by_key(|broker| rendezvous_hash(&replica.node, broker));
-        let takeover =
-            self.slow_start.is_some_and(|it| now >= started.started_at + TAKEOVER_RATIO * it.warm_up_seconds);
-        // If two brokers cannot see each other both may fill it: the fill has the same id and is settled once.
+        let takeover = self
+            .slow_start
+            .is_some_and(|policy| now >= started.started_at + TAKEOVER_RATIO * policy.warm_up_seconds);
+        // Two brokers that cannot see each other may both fill the replica. That is harmless: the fill has the same id at both
+        // and is settled once.
         let responsible = if takeover {
             candidates.iter().find(|broker| self.is_alive(broker))
         } else {
@@ -82,7 +85,8 @@
         responsible.is_some_and(|broker| **broker == self.name)
     }
 
-    /// Replicas of the active map on nodes in slow start that this broker is responsible for, whether it has a lease or not.
+    /// Demands for the filled replicas of the active map on nodes in slow start that this broker is responsible for. They do not
+    /// depend on a valid lease.
     pub(super) fn own_fill_demands(&self, now: f64) -> Vec<FillDemand> {
         let warming = self.warming_nodes(now);
         if !self.settlement.fill_started_nodes || warming.is_empty() {
@@ -94,7 +98,7 @@
         let mut demands = Vec::new();
         for segment in map.segments() {
             for replica in segment.replicas.iter().filter(|replica| map.is_filled(segment, &replica.node)) {
-                let Some(started) = warming.iter().find(|it| it.node == replica.node) else { continue };
+                let Some(started) = warming.iter().find(|node| node.node == replica.node) else { continue };
                 let is_finished = self.is_own_fill_finished(segment.id, started);
                 if is_finished
                     || config.is_excluded(&replica.node)
@@ -116,7 +120,7 @@
         demands
     }
 
-    /// The fill of one start of a node is the same under a later version.
+    /// Whether this broker has filled the segment's replica for this start of the node, under any version.
     fn is_own_fill_finished(&self, segment: u64, started: &StartedNode) -> bool {
         self.settlement.commitments.finished.contains(&FinishedFill {
             segment,
@@ -125,7 +129,8 @@
         })
     }
 
-    /// Stores the commitment to a fill of this broker before it starts. False if it could not be stored.
+    /// Stores the commitment to one of this broker's own fills before it starts. Returns false if the fill must not start, because
+    /// the share does not suffice or the commitment could not be stored.
     pub(super) fn commit_fill(&mut self, fill: &Fill) -> bool {
         let ledger = self.traffic.balances.ledger().clone();
         if let Some(settlement) = &fill.settles
@@ -143,15 +148,16 @@
         true
     }
 
-    /// The fill has failed for good. The change is stored later; until then a restart resumes the fill.
+    /// Drops the commitment to a fill, for example because all its attempts failed. The change is stored later; a restart before
+    /// that resumes the fill.
     pub(super) fn abandon_commitment(&mut self, id: &str) {
         self.settlement.commitments.shares.cancel(id);
         self.settlement.commitments.fills.remove(id);
         self.settlement.unsaved = true;
     }
 
-    /// Ends a fill of this broker's own once it has a result: from now on its settlement is sent to the leader until the log has
-    /// it. Carried bytes are counted after that is stored: a crash in between makes a debt smaller, never greater.
+    /// Ends one of this broker's own fills once it has a result. From then on its settlement is sent to the leader until the log
+    /// has it. Carried bytes are counted after this is stored, so a crash in between can make a debt too small but never too large.
     pub(super) fn finish_own_fill_if_done(&mut self, id: &str) {
         let result = self.own_fills.active.get(id).and_then(|active| active.result.clone());
         let Some(result) = result else { return };
@@ -167,7 +173,7 @@
             }
             (fill.from.clone(), fill.unsettled_bytes())
         } else {
-            // Another broker had this fill done from elsewhere: what was promised was not paid.
+            // Another broker requested this fill earlier from another source, so the promised settlement does not apply.
             self.own_fills.planner.settlement_rejected(id);
             self.abandon_commitment(id);
             (self.source_partner(&fill, &result), result.bytes)
@@ -177,28 +183,29 @@
         self.crash_point(CrashPoint::OwnFillDone);
     }
 
-    /// Partner of the node that a fill was really taken from; the filled node's own if that is not known.
+    /// Partner of the actual source of a fill, or of the filled node if the source is not a replica in the active map.
     fn source_partner(&self, fill: &Fill, result: &FillResult) -> String {
         let config = self.lease_client.active_config();
         let segment = config.map(monotonic_seconds()).and_then(|map| map.segment(fill.segment));
-        let replica = segment.and_then(|segment| segment.replicas.iter().find(|it| it.node == result.source));
+        let replica =
+            segment.and_then(|segment| segment.replicas.iter().find(|replica| replica.node == result.source));
         replica.map_or(fill.to.clone(), |replica| replica.partner.clone())
     }
 
-    /// Remembers that a start's fill is done, for as long as discovery lists that start.
+    /// Remembers that a fill is done for this start of its node, as long as discovery lists the node with this incarnation.
     fn remember_finished_fill(&mut self, fill: &Fill) {
-        let incarnation = fill.id.rsplit_once('+').and_then(|(_, start)| start.parse().ok()).unwrap_or(0);
+        let incarnation = fill.id.rsplit_once('+').and_then(|(_, suffix)| suffix.parse().ok()).unwrap_or(0);
         let started = self.started_nodes.load();
         let finished = &mut self.settlement.commitments.finished;
         let is_listed = |fill: &FinishedFill| {
-            started.iter().any(|it| it.node == fill.node && it.incarnation == fill.incarnation)
+            started.iter().any(|node| node.node == fill.node && node.incarnation == fill.incarnation)
         };
         finished.retain(is_listed);
         finished.insert(FinishedFill { segment: fill.segment, node: fill.node.clone(), incarnation });
     }
 }
 
-/// Filled replicas of a segment that are neither in slow start nor excluded, with their partners.
+/// The sources for a fill of the segment: its filled replicas whose nodes are neither in slow start nor excluded.
 fn warm_sources(
     config: &ActiveConfig,
     map: &VerifiedMap,
@@ -207,7 +214,7 @@
 ) -> Vec<FillSource> {
     let mut sources = Vec::new();
     for replica in &segment.replicas {
-        let is_warming = warming.iter().any(|it| it.node == replica.node);
+        let is_warming = warming.iter().any(|node| node.node == replica.node);
         if map.is_filled(segment, &replica.node) && !is_warming && !config.is_excluded(&replica.node) {
             sources.push(FillSource { node: replica.node.clone(), partner: replica.partner.clone() });
         }
@@ -215,13 +222,14 @@
     sources
 }
 
-/// Hash of both names, evenly distributed.
+/// Evenly distributed hash of a node's and a broker's name, for rendezvous hashing: the broker with the lowest hash is
+/// responsible for the node.
 fn rendezvous_hash(node: &str, broker: &str) -> u64 {
-    let mut sum = crate::startup::name_hash(node) ^ crate::startup::name_hash(broker).rotate_left(31);
+    let mut hash = crate::startup::name_hash(node) ^ crate::startup::name_hash(broker).rotate_left(31);
     for _ in 0..2 {
-        sum = (sum ^ (sum >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
+        hash = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     }
-    sum ^ (sum >> 32)
+    hash ^ (hash >> 32)
 }
 
 #[cfg(test)]
--- a/crates/dunepond-control-plane/src/control_loop/fills/own/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/own/tests/mod.rs
@@ -1,9 +1,9 @@
-//! Which broker is responsible for a replica.
+//! The assignment of nodes to responsible brokers.
 
 use super::rendezvous_hash;
 
 #[test]
-fn replicas_are_distributed_evenly() {
+fn nodes_are_distributed_evenly_over_brokers() {
     let mut counts = [0; 5];
     for node in 0..1000 {
         let hash = |broker: &usize| rendezvous_hash(&format!("s-{node}"), &format!("n{broker}"));
--- a/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
@@ -1,4 +1,4 @@
-//! A scheduler of fills: what is active, and the threads that run attempts.
+//! The fill scheduler: the active fills of one kind, and the threads that run their attempts.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,43 +12,43 @@
 use crate::error::FillError;
 use crate::fill_client::{FillClient, FillRequest, FillResult};
 
-/// Seconds between two reviews of what has to be filled.
+/// Time between two reviews of the required fills.
 const REVIEW_INTERVAL_SECONDS: f64 = 0.1;
-/// Longest that one request to the fill service waits for its answer. A fill service that takes longer is asked again and
-/// continues where it was.
+/// Maximum time that a request to the fill service waits for its response. If a fill takes longer, it is requested again, and
+/// the fill service continues it.
 const MAX_REQUEST_SECONDS: f64 = 600.0;
 
-/// What a scheduler's fills are for.
+/// The kind of fills that a scheduler plans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillKind {
-    /// For the proposed version, where this broker leads.
+    /// Fills that the proposed version requires, planned by the leader.
     Version,
-    /// For replicas on nodes in slow start that this broker is responsible for, with a lease or without.
+    /// Fills of replicas on nodes in slow start that this broker is responsible for, whether it has a lease or not.
     Own,
 }
 
-/// The end of one attempt, from its thread to the control loop.
+/// The result of one attempt, sent by its thread to the control loop.
 pub struct AttemptResult {
     pub(super) kind: FillKind,
     /// Id of the fill.
     pub(super) id: String,
-    /// What the fill service reported.
+    /// The fill service's result, or why the attempt failed.
     pub(super) outcome: Result<FillResult, FillError>,
 }
 
-/// A fill that was planned and is not over.
+/// A planned fill that has not ended yet.
 pub(super) struct ActiveFill {
-    /// State of the attempts and their backoff.
+    /// State of the attempts and their back-off.
     pub(super) progress: FillProgress,
-    /// A thread is waiting for the fill service.
+    /// Whether a thread is waiting for the fill service's response.
     pub(super) attempt_running: bool,
-    /// What the fill service reported, once the fill is done.
+    /// The fill service's result, once the fill is done.
     pub(super) result: Option<FillResult>,
-    /// When its start is entered into the log again, unless the log has it by then.
+    /// When the entry for the fill's start is proposed again, unless the log has it by then.
     pub(super) next_start_entry_at: f64,
-    /// When its completion is entered into the log again, unless the log has it by then.
+    /// When the entry for the fill's completion is proposed again, unless the log has it by then.
     pub(super) next_completion_entry_at: f64,
-    /// The log takes no settlement of it: all of its bytes are a new debt.
+    /// Whether the log has refused the fill's settlement, so that all its bytes are a new debt.
     pub(super) settlement_refused: bool,
 }
 
@@ -65,11 +65,12 @@
     }
 }
 
-/// A fill that a leader has started. The same fill may be started again from another partner.
+/// Identifies a fill that a leader has started. The same fill may be started again from another partner's node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct StartedFillKey {
     /// Id of the fill.
     pub(super) id: String,
+    /// Name of the partner whose node is the source.
     pub(super) source_partner: String,
 }
 
@@ -79,17 +80,17 @@
     }
 }
 
-/// The fill service, and where its results go.
+/// The client of the fill service, and the channel for the results of attempts.
 #[derive(Clone)]
 pub struct FillService {
-    /// `None` where the deployment has no fill service: nothing is planned then.
+    /// Client of the fill service; `None` if the deployment has none, and then no fills are planned.
     pub client: Option<Arc<dyn FillClient>>,
-    /// To the control loop.
+    /// Sends the results of attempts to the control loop.
     pub results: Sender<AttemptResult>,
 }
 
 impl FillService {
-    /// Runs one attempt on a thread of its own; the result comes over the channel.
+    /// Runs one attempt on a new thread, which sends the result over the channel.
     fn start_attempt(&self, kind: FillKind, request: FillRequest, timeout: Duration) {
         let Some(client) = self.client.clone() else { return };
         let (results, id) = (self.results.clone(), request.id.clone());
@@ -98,20 +99,21 @@
             let _ = results.send(AttemptResult { kind, id: request.id, outcome });
         };
         if let Err(e) = std::thread::Builder::new().name("fill".to_string()).spawn(run) {
-            let at = "a thread of ours".to_string();
-            let outcome = Err(FillError::Unreachable { at, why: e.to_string() });
+            let at = "the configured address".to_string();
+            let why = format!("no thread could be started for the attempt: {e}");
+            let outcome = Err(FillError::Unreachable { at, why });
             let _ = self.results.send(AttemptResult { kind, id, outcome });
         }
     }
 }
 
-/// What bounds a scheduler's fills.
+/// Limits of a scheduler's fills.
 pub struct FillLimits {
-    /// Rates between partners.
+    /// Maximum rates of fills between partners.
     pub links: LinkCapacities,
-    /// Size that each segment is taken to have.
+    /// Assumed size of each segment, in bytes.
     pub segment_bytes: u64,
-    /// Attempts that run at once.
+    /// Maximum number of concurrent attempts.
     pub max_concurrent: usize,
 }
 
@@ -125,18 +127,19 @@
     pub(super) rng: Pcg64Mcg,
     /// Number of the version that the active fills are for.
     pub(super) version: u64,
-    /// Fills that are planned and not over, by id.
+    /// Planned fills that have not ended yet, by id.
     pub(super) active: BTreeMap<String, ActiveFill>,
     pub(super) avoided_sources: AvoidedSources,
+    /// When the next review of the required fills is due.
     pub(super) next_review_at: f64,
-    /// Whether the fills that the previous leader started were resumed.
+    /// Whether this broker has led since its last review, and so has resumed the previous leader's fills.
     pub(super) is_leading: bool,
-    /// When this broker first saw that a leader had started a fill.
+    /// When this broker first saw each started fill in the log, in seconds on the monotonic clock.
     pub(super) first_seen_at: BTreeMap<StartedFillKey, f64>,
 }
 
 impl FillScheduler {
-    /// A scheduler without active fills.
+    /// Creates a scheduler without active fills.
     pub fn new(
         kind: FillKind,
         service: FillService,
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Whether a review is due; the next one is due after the interval.
+    /// Whether a review is due. If so, schedules the next one after [`REVIEW_INTERVAL_SECONDS`].
     pub(super) fn start_review(&mut self, now: f64) -> bool {
         if now < self.next_review_at || self.service.client.is_none() {
             return false;
@@ -170,7 +173,7 @@
         true
     }
 
-    /// The version or the leader has changed: the active fills are not this broker's any more.
+    /// Drops all active fills after a change of the version or the leader, as they are no longer this broker's responsibility.
     pub(super) fn abandon_all(&mut self) {
         for (id, _) in std::mem::take(&mut self.active) {
             self.planner.fill_ended(&id, false);
@@ -178,13 +181,13 @@
         self.is_leading = false;
     }
 
-    /// Adds a planned fill.
+    /// Adds a planned fill to the active ones.
     pub(super) fn activate(&mut self, fill: Fill, now: f64) {
         let id = fill.id.clone();
         self.active.insert(id, ActiveFill::new(fill, self.retry_policy.clone(), now));
     }
 
-    /// Resumes fills that may be running since before a restart or under the previous leader, with the same ids.
+    /// Resumes fills that may still be running from before a restart or under the previous leader. They keep their ids.
     pub fn resume(&mut self, fills: impl IntoIterator<Item = Fill>, now: f64) {
         for fill in fills {
             self.planner.resume(&fill, now, true);
@@ -194,14 +197,16 @@
         }
     }
 
-    /// Whether an active fill is to pay off this debt.
+    /// Whether an active fill will settle a part of this debt.
     pub fn settles(&self, debtor: &str, creditor: &str) -> bool {
         let settlements = self.active.values().filter_map(|active| active.progress.fill.settles.as_ref());
-        settlements.into_iter().any(|it| it.debtor == debtor && it.creditor == creditor)
+        settlements
+            .into_iter()
+            .any(|settlement| settlement.debtor == debtor && settlement.creditor == creditor)
     }
 
-    /// Starts an attempt. Its request waits as long as the state machine allows the attempt, but at most
-    /// [`MAX_REQUEST_SECONDS`], as it holds a thread and a connection.
+    /// Starts an attempt of the fill. Its request waits for the attempt's timeout, but at most for [`MAX_REQUEST_SECONDS`], as it
+    /// occupies a thread and a connection.
     pub(super) fn start_attempt(&self, fill: &Fill) {
         let request = FillRequest {
             id: fill.id.clone(),
--- a/crates/dunepond-control-plane/src/control_loop/fills/sources/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/sources/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Which sources may be used.
+//! Which sources of a fill are usable after failures and while nodes drain.
 
 use dunepond_settlement::FillSource;
 use rstest::rstest;
@@ -22,8 +22,8 @@
     failed.iter().for_each(|source| avoided.note_failure("x", source));
     let sources =
         ["a", "b", "c"].map(|node| FillSource { node: node.to_string(), partner: String::new() }).to_vec();
-    let left = avoided.usable("x", sources.clone(), |node| draining.contains(&node));
-    assert_eq!(left.iter().map(|source| &*source.node).collect::<Vec<_>>(), expected);
-    // Failures of one fill do not count for another.
+    let usable = avoided.usable("x", sources.clone(), |node| draining.contains(&node));
+    assert_eq!(usable.iter().map(|source| &*source.node).collect::<Vec<_>>(), expected);
+    // Failures of one fill do not affect other fills.
     assert_eq!(avoided.usable("y", sources.clone(), |_| false), sources);
 }
--- a/crates/dunepond-control-plane/src/control_loop/leader_search.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leader_search.rs
@@ -1,22 +1,23 @@
-//! Which voter is asked next for something that only the leader can do.
+//! Selects the voter to send a request to that only the leader can handle.
 
 use dunepond_consensus::LeaseClient;
 
-/// The search for the leader, by one kind of request.
+/// The state of the search for the leader, for one kind of request.
 #[derive(Default)]
 pub struct LeaderSearch {
-    /// The leader, as the last voter that was asked has named it.
+    /// The leader as named by the voter that was asked last; taken by the next request.
     named_leader: Option<String>,
+    /// Number of requests that were sent to a voter without knowing the leader.
     voters_tried: usize,
 }
 
 impl LeaderSearch {
-    /// A voter has answered that it does not lead, and which one does, if it knows.
+    /// Handles the reply of a voter that does not lead. `leader` is the leader if the voter knows it.
     pub fn on_not_leader(&mut self, leader: Option<String>) {
         self.named_leader = leader;
     }
 
-    /// The leader as the last voter has named it or as the leases have it, else one voter after the other.
+    /// The voter to ask next: the leader as named by the last reply, else as known from leases, else the next voter in turn.
     pub fn next_voter(&mut self, lease_client: &LeaseClient) -> String {
         if let Some(voter) = self.named_leader.take() {
             return voter;
--- a/crates/dunepond-control-plane/src/control_loop/leases.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: requested by this broker, and granted where its voter leads.
+//! Leases: this broker's requests for them, and the requests and replies that its voter handles.
 
 use dunepond_consensus::{LeaseReply, LeaseRequest, Rejection};
 use dunepond_membership::{RefusalReason, RequestKind, Responder};
@@ -10,7 +10,7 @@
 use crate::handle::increment;
 
 impl ControlLoop {
-    /// Requests a lease if one is due.
+    /// Sends a lease request if one is due.
     pub(super) fn request_lease(&mut self) {
         let now = monotonic_seconds();
         let Some((voter, request)) = self.lease_client.tick(now) else { return };
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A lease request for this broker's voter, its own or a peer's.
+    /// Passes a lease request, of this broker or of a peer, to this broker's voter.
     fn pass_to_own_voter(&mut self, request: LeaseRequest) {
         if self.is_voter_silent() {
             return;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A peer's lease request to this voter.
+    /// Handles a peer's lease request to this broker's voter.
     pub(super) fn handle_lease_request(&mut self, from: String, body: &[u8], responder: Responder) {
         let Some(request) = LeaseRequest::decode(body) else {
             return self.peers.respond(responder, Err(RefusalReason::Malformed));
@@ -55,8 +55,8 @@
         self.pass_to_own_voter(request);
     }
 
-    /// Sends a reply of this broker's voter: to this broker itself, as the response to a peer's pending request, or as a push
-    /// to a broker that had asked another voter.
+    /// Delivers a lease reply of this broker's voter: to this broker itself, as the response to a peer's pending request, or as a
+    /// new message to a broker that sent its request to another voter.
     pub(super) fn send_lease_reply(&mut self, broker: String, reply: LeaseReply) {
         if broker == self.name {
             return self.apply_lease_reply(&broker, reply);
@@ -68,7 +68,7 @@
         self.send_request(&broker, RequestKind::State, body, self.lease_seconds, SentRequest::PushedLease);
     }
 
-    /// `body` is `None` if the request has failed.
+    /// Handles the response to a lease request; `body` is `None` if the request failed.
     pub(super) fn on_lease_reply(&mut self, voter: &str, body: Option<Vec<u8>>) {
         match body.and_then(|body| LeaseReply::decode(&body)) {
             Some(reply) => self.apply_lease_reply(voter, reply),
@@ -76,17 +76,18 @@
         }
     }
 
-    /// A reply pushed by the leader, to which another voter had forwarded this broker's request.
+    /// Handles a lease reply that the leader sends as a message, after another voter forwarded this broker's request to it.
     pub(super) fn on_pushed_reply(&mut self, from: &str, body: &[u8]) {
-        // Only voters may send one.
+        // Only voters may send lease replies.
         if !self.lease_client.voters().iter().any(|voter| voter == from) {
-            return warn!("fleet: {from} is no voter, and tells what is agreed: not believed");
+            return warn!("fleet: lease reply from {from} ignored: it is not a voter");
         }
         if let Some(reply) = LeaseReply::decode(body) {
             self.apply_lease_reply(from, reply);
         }
     }
 
+    /// Passes a lease reply to the lease client, and applies what it brought or logs why it was rejected.
     fn apply_lease_reply(&mut self, from: &str, reply: LeaseReply) {
         match self.lease_client.handle_reply(monotonic_seconds(), from, reply) {
             Ok(()) => {
@@ -94,24 +95,26 @@
                 self.on_lease();
                 self.apply_leased_entries();
             }
-            // A second or late reply, or a voter without a leader: nothing to report.
+            // Expected now and then: a duplicate or late reply, or a voter that knows no leader.
             Err(
                 why @ (Rejection::UnexpectedReply(_)
                 | Rejection::NoLeader
                 | Rejection::NotAVoter(_)
                 | Rejection::StaleReply { .. }),
             ) => {
-                debug!("fleet: {from}: {why}");
+                debug!("fleet: lease reply from {from}: {why}");
+            }
+            Err(why @ Rejection::MissingDocument(_)) => {
+                info!("fleet: lease reply from {from}: {why} ({})", why.help())
             }
-            Err(why @ Rejection::MissingDocument(_)) => info!("fleet: {from}: {why} ({})", why.help()),
             Err(why) => {
                 increment(&self.counters.refused);
-                warn!("fleet: {from}: not adopted: {why} ({})", why.help());
+                warn!("fleet: lease reply from {from} rejected: {why} ({})", why.help());
             }
         }
     }
 
-    /// Logs the leader if it has changed.
+    /// Logs the leader known from leases if it has changed.
     fn log_leader(&mut self) {
         let leader = self.lease_client.leader().map(str::to_string);
         if leader != self.state.leader {
--- a/crates/dunepond-control-plane/src/control_loop/messages.rs
+++ b/crates/dunepond-control-plane/src/control_loop/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between brokers: requests of peers to their handlers, and responses to what they answer.
+//! Dispatch of messages between brokers: peers' requests to their handlers, and responses to the handlers of what was requested.
 
 use std::collections::HashMap;
 
@@ -7,36 +7,43 @@
 
 use super::ControlLoop;
 
-/// What a request of this broker was for.
+/// The kind of a request that this broker sent, which determines how its response is handled.
 pub(super) enum SentRequest {
+    /// A message from this broker's voter to another voter.
     Consensus,
+    /// A lease reply to a broker that sent its request to another voter.
     PushedLease,
+    /// A lease request to this voter.
     Lease { voter: String },
+    /// A document proposed to this voter.
     Proposal { voter: String },
+    /// A rebalancing plan offered to this voter.
     Plan { voter: String },
+    /// This broker's traffic counts; the response has the peer's.
     Counts,
+    /// Settlement entries for the leader.
     SettlementEntries,
 }
 
-/// A peer's request that has not been responded to.
+/// A peer's lease request that has no response yet.
 pub(super) struct PendingRequest {
-    /// Takes the response.
+    /// Handle through which the response is sent.
     pub(super) responder: Responder,
-    /// The peer has sent a new request by then.
+    /// When the request is dropped, in seconds on the monotonic clock. The peer has sent a new one by then.
     pub(super) expires_at: f64,
 }
 
-/// Requests in both directions that are waiting.
+/// Requests in both directions that have no response yet.
 #[derive(Default)]
 pub(super) struct MessageState {
-    /// By the id of the request.
+    /// Requests that this broker sent, by the id of the request.
     sent: HashMap<u64, SentRequest>,
-    /// Peers' lease requests, by broker and the id of its request.
+    /// Peers' lease requests, by the broker's name and the id of its request.
     pub(super) pending: HashMap<(String, u64), PendingRequest>,
 }
 
 impl ControlLoop {
-    /// Sends a request. False if it could not be queued.
+    /// Sends a request. Returns false if it could not be queued.
     pub(super) fn send_request(
         &mut self,
         to: &str,
@@ -57,21 +64,21 @@
         }
     }
 
-    /// Drops requests without a response: the peers have sent new ones by now.
+    /// Drops expired lease requests of peers: the peers have sent new ones by now.
     pub(super) fn drop_expired_requests(&mut self, now: f64) {
         self.state.messages.pending.retain(|_, request| now < request.expires_at);
     }
 
-    /// Handles one event of the links.
+    /// Handles one event from the links to other brokers.
     pub(super) fn handle_event(&mut self, event: Event) {
         match event {
             Event::Request { from, kind, body, responder } => {
                 self.handle_request(from, kind, &body, responder);
             }
             Event::Response { id, to, result } => self.handle_response(id, &to, result),
-            Event::PeerUp(peer) => info!("fleet: {} is there, at {}", peer.name, peer.listen_address),
-            Event::PeerSuspected(name) => info!("fleet: {name} gives no sign"),
-            Event::PeerDown(name) => info!("fleet: {name} has gone"),
+            Event::PeerUp(peer) => info!("fleet: {} is up, at {}", peer.name, peer.listen_address),
+            Event::PeerSuspected(name) => info!("fleet: {name} is suspected to be down"),
+            Event::PeerDown(name) => info!("fleet: {name} is down"),
         }
     }
 
@@ -109,7 +116,7 @@
             RequestKind::RebalancePlan => self.handle_offer(&from, body, responder),
             RequestKind::TransferCounts => self.handle_counts(&from, body, responder),
             RequestKind::Fill => self.handle_entries(&from, body, responder),
-            // The links answer these themselves.
+            // The membership crate responds to these itself.
             RequestKind::LivenessCheck => drop(responder),
         }
     }
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -1,6 +1,7 @@
 //! The control loop: the thread that owns the voter, the lease client, the data directory and the links.
 //!
-//! Each pass handles the messages of peers, then runs the periodic duties in a fixed order ([`ControlLoop::tick`]).
+//! Each iteration waits for an event, handles the queued messages from peers, and if a tick is due runs the periodic tasks in a
+//! fixed order ([`ControlLoop::tick`]).
 
 mod fills;
 mod leader_search;
@@ -40,29 +41,34 @@
 pub use traffic_counts::TrafficCounts;
 use voter::VoterState;
 
-/// Ticks per lease: leases and elections are timed by ticks.
+/// Number of ticks per lease. Leases and elections are timed by ticks, so shorter leases need shorter ticks.
 const TICKS_PER_LEASE: f64 = 40.0;
-/// Shortest and longest time between two ticks.
+/// Minimum time between two ticks.
 const MIN_TICK_SECONDS: f64 = 0.005;
+/// Maximum time between two ticks.
 const MAX_TICK_SECONDS: f64 = 0.025;
 
-/// All that the thread owns.
+/// The state of the control plane's thread.
 pub struct ControlLoop {
+    /// Name of this broker.
     pub(crate) name: String,
+    /// Duration of a lease.
     pub(crate) lease_seconds: f64,
-    /// `None` at a broker that is no voter.
+    /// This broker's voter; `None` if the broker is not a voter.
     pub(crate) voter: Option<Voter>,
-    /// Requests this broker's leases, and holds the configuration that came with the last one.
+    /// Requests this broker's leases, and holds the configuration that came with the last lease.
     pub(crate) lease_client: LeaseClient,
     pub(crate) data: DataDirectory,
     pub(crate) peers: Peers,
-    /// Messages of peers, and changes of the membership.
+    /// Messages from peers, and changes of the membership.
     pub(crate) events: Receiver<Event>,
-    /// Requests of the event loop.
+    /// Requests from the event loop.
     pub(crate) requests: Receiver<LoopRequest>,
-    /// Published to the event loop, as are the counters and the link counters.
+    /// The active configuration, published to the event loop.
     pub(crate) active_config: Arc<ArcSwap<ActiveConfig>>,
+    /// Counters of the links to other brokers, published to the event loop.
     pub(crate) link_counters: Arc<ArcSwap<Counters>>,
+    /// Counters for operators, shared with the event loop.
     pub(crate) counters: Arc<ActivityCounters>,
     pub(crate) audit_log: Option<AuditSender>,
     /// Wakes the event loop after the active configuration has changed.
@@ -71,45 +77,46 @@
     pub(crate) rebalancing: Rebalancing,
     pub(crate) traffic: TrafficCounts,
     pub(crate) settlement: Settlements,
-    /// Fills of the proposed version, while this broker leads.
+    /// Schedules the fills that the proposed version requires, while this broker leads.
     pub(crate) version_fills: FillScheduler,
-    /// This broker's own fills of nodes in slow start.
+    /// Schedules this broker's own fills of nodes in slow start.
     pub(crate) own_fills: FillScheduler,
     pub(crate) quotas: Option<QuotaSharing>,
-    /// Ends of fill attempts, from their threads.
+    /// Results of fill attempts, sent by their threads.
     pub(crate) attempt_results: Receiver<AttemptResult>,
-    /// Fill rate that a warm node bears, in bytes a second.
+    /// Maximum rate of fills to a warm node, in bytes per second.
     pub(crate) fill_bytes_per_second: f64,
     pub(crate) slow_start: Option<SlowStartPolicy>,
-    /// Nodes that started not long ago, from the event loop.
+    /// Recently started nodes, set by the event loop.
     pub(crate) started_nodes: Arc<ArcSwap<Vec<StartedNode>>>,
-    /// Brokers that the operator's file names.
+    /// Names of the brokers in the operator's file.
     pub(crate) configured_brokers: Vec<String>,
-    /// Ends the control plane at chosen points, in crash tests.
+    /// Simulates crashes of the control plane in tests.
     pub(crate) crash_hook: Option<CrashHook>,
     pub(crate) state: LoopState,
 }
 
-/// What the loop keeps between two passes.
+/// State that the control loop keeps between two iterations.
 #[derive(Default)]
 pub struct LoopState {
+    /// When the last tick ran.
     last_tick: f64,
     messages: MessageState,
     voter: VoterState,
-    /// The leader that was last logged.
+    /// The leader that was logged last.
     leader: Option<String>,
-    /// The revision of the configuration that is stored.
+    /// Revision of the configuration that was stored last.
     saved_config: Option<dunepond_consensus::PersistedRevision>,
-    /// Number of the last list of voters that was compared with the file's.
+    /// Number of the list of voters that was last compared with the operator's file.
     compared_voters: Option<u64>,
-    /// What was last published to the audit log and the event loop.
+    /// State that was last published to the event loop and the audit log.
     published: Published,
-    /// A crash test has ended the control plane.
+    /// Whether a test has simulated a crash, so that the control plane must end.
     crashed: bool,
 }
 
 impl ControlLoop {
-    /// Runs until a stop is requested, the links have ended or a crash test strikes.
+    /// Runs until a stop is requested, the links to other brokers end, or a test simulates a crash.
     pub fn run(mut self) {
         self.publish(true);
         let tick = (self.lease_seconds / TICKS_PER_LEASE).clamp(MIN_TICK_SECONDS, MAX_TICK_SECONDS);
@@ -118,7 +125,11 @@
             select! {
                 recv(self.events) -> event => match event {
                     Ok(event) => self.handle_event(event),
-                    Err(_) => return error!("fleet: the links have ended; this broker is cut off from now on"),
+                    Err(_) => {
+                        return error!(
+                            "fleet: the links to other brokers have ended; this broker is disconnected from now on"
+                        );
+                    }
                 },
                 recv(self.requests) -> request => match request {
                     Ok(LoopRequest::ReloadVersion(path)) => self.proposals.reload(path),
@@ -128,7 +139,7 @@
                 recv(self.attempt_results) -> result => self.on_attempt_result(result.ok()),
                 recv(after(Duration::from_secs_f64(wait))) -> _ => {}
             }
-            // Waiting messages, until the next tick is due: each of them may wait for the disk.
+            // Handles queued messages only until the next tick is due, as each of them may wait for the disk.
             while monotonic_seconds() < self.state.last_tick + tick
                 && let Ok(event) = self.events.try_recv()
             {
@@ -145,8 +156,8 @@
         self.peers.stop();
     }
 
-    /// The periodic duties. The voter and the lease come first: the others go by whether this broker leads and what it may act
-    /// on.
+    /// Runs the periodic tasks. The voter and the lease come first, as the other tasks depend on whether this broker leads and
+    /// on its active configuration.
     fn tick(&mut self) {
         let now = monotonic_seconds();
         self.state.last_tick = now;
@@ -166,9 +177,9 @@
         self.drop_expired_requests(now);
     }
 
-    /// Ends the control plane here, if a crash test says so.
+    /// Asks the crash hook whether to simulate a crash at this point. Returns true if the control plane must end.
     fn crash_point(&mut self, point: CrashPoint) -> bool {
-        self.state.crashed |= self.crash_hook.as_ref().is_some_and(|crash_hook| crash_hook(point));
+        self.state.crashed |= self.crash_hook.as_ref().is_some_and(|should_crash| should_crash(point));
         self.state.crashed
     }
 }
--- a/crates/dunepond-control-plane/src/control_loop/proposals.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals.rs
@@ -1,4 +1,4 @@
-//! The operator's version file on its way into the log: read, and proposed to the leader until the log has it.
+//! Proposals of the operator's document: it is read from its file and proposed to the leader until the log has it.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -18,49 +18,53 @@
 use crate::error::VersionError;
 use crate::handle::increment;
 
-/// Timeout of a proposal, in leases.
+/// Timeout of a proposal, as a multiple of the lease duration.
 const PROPOSAL_TIMEOUT_LEASES: f64 = 1.0;
-/// Time between two proposals of a document that was not answered, in leases.
+/// Time between two proposals of a document without a reply, as a multiple of the lease duration.
 const PROPOSAL_INTERVAL_LEASES: f64 = 0.25;
-/// Leases after which a version would be known if it were in force or proposed.
+/// Time after which this broker would know a version if it were active or proposed, as a multiple of the lease duration.
 const NUMBER_USED_LEASES: f64 = 2.0;
 
-/// The document that is to be proposed, and how far that has come.
+/// The operator's document that is to be proposed, and the state of its proposal.
 pub struct Proposals {
+    /// Path of the operator's document.
     path: Option<PathBuf>,
     query_class_count: usize,
-    /// The nodes as discovery lists them, from the event loop.
+    /// The nodes that discovery lists, set by the event loop.
     pub(super) listed_nodes: Arc<ArcSwap<Vec<Node>>>,
     constraints: MapConstraints,
-    /// The file is to be read.
+    /// Whether the file must be read before the next proposal.
     must_read: bool,
+    /// The document that the log does not have yet.
     document: Option<Document>,
+    /// When the document is proposed next.
     next_proposal_at: f64,
     leader_search: LeaderSearch,
-    /// Since when voters have reported the number as used. It may be this very document, whose reply was lost: the next leases
-    /// show that.
+    /// When a voter first reported the document's number as used. The number may be used by this same document, if an earlier reply
+    /// was lost; then the next leases show the document as known.
     number_used_since: Option<f64>,
 }
 
 /// A voter's response to a proposal.
 #[derive(Debug, Serialize, Deserialize)]
 enum ProposalReply {
-    /// It is in the leader's log.
+    /// The document was added to the leader's log.
     Accepted,
-    /// The leader, if the voter knows it.
+    /// The voter does not lead. Names the leader if the voter knows it.
     NotLeader(Option<String>),
+    /// The document cannot be accepted now, for this reason, but may be later.
     RetryLater(String),
-    /// The number was proposed before, perhaps by this file: the next leases will tell.
+    /// The number was used by an earlier proposal, possibly of the same document. The next leases show which.
     NumberUsed {
+        /// The next free number.
         expected: u64,
     },
-    Refused {
-        why: String,
-        help: String,
-    },
+    /// The document was refused, and would be refused again.
+    Refused { why: String, help: String },
 }
 
 impl ProposalReply {
+    /// The reply for the outcome of a proposal to this broker's voter.
     fn of(outcome: Result<(), Rejection>) -> Self {
         match outcome {
             Ok(()) => Self::Accepted,
@@ -78,7 +82,8 @@
 }
 
 impl Proposals {
-    /// `path`: the operator's document; it is verified against the other arguments when it is read.
+    /// Creates the state for the operator's document at `path`. When the document is read, it is verified against the other
+    /// arguments.
     pub fn new(
         path: Option<PathBuf>,
         query_class_count: usize,
@@ -98,14 +103,14 @@
         }
     }
 
-    /// Has the file read again, from this path.
+    /// Requests that the document is read again, from this path.
     pub fn reload(&mut self, path: Option<PathBuf>) {
         self.path = path;
         self.must_read = true;
         self.next_proposal_at = 0.0;
     }
 
-    /// Reads the file if that is due; an invalid document is logged and not proposed.
+    /// Reads the document if that was requested. An invalid document is logged and not proposed.
     fn read(&mut self) {
         if !std::mem::take(&mut self.must_read) {
             return;
@@ -116,31 +121,31 @@
         let nodes = self.listed_nodes.load();
         match documents::read_document(path, self.query_class_count, &nodes, &self.constraints) {
             Ok(document) => self.document = Some(document),
-            Err(e @ VersionError::NotFound { .. }) => info!("fleet: version: {e} ({})", e.help()),
-            Err(e) => error!("fleet: version: {e} ({})", e.help()),
+            Err(e @ VersionError::NotFound { .. }) => info!("fleet: version file: {e} ({})", e.help()),
+            Err(e) => error!("fleet: version file: {e} ({})", e.help()),
         }
     }
 }
 
 impl ControlLoop {
-    /// Proposes the file's document to the leader, again until a lease shows that the log has it. A document whose number is
-    /// known already is dropped.
+    /// Proposes the operator's document to the leader, repeatedly until a lease shows that the log has it. A document whose number
+    /// is already known is dropped.
     pub(super) fn propose_document(&mut self) {
         let now = monotonic_seconds();
         let config = self.lease_client.active_config();
-        // Without a lease this broker knows too little, and the leader may not be reachable.
+        // Without a lease this broker's knowledge of versions may be outdated, and the leader may be unreachable.
         if now < self.proposals.next_proposal_at || now >= config.lease_expires_at() {
             return;
         }
         self.proposals.read();
         let Some(document) = self.proposals.document.clone() else { return };
         if self.is_known(&document, &config) {
-            info!("fleet: {} is known", document.name());
+            info!("fleet: {} is already known and not proposed again", document.name());
             self.proposals.document = None;
             return;
         }
         self.proposals.next_proposal_at = now + self.lease_seconds * PROPOSAL_INTERVAL_LEASES;
-        // Another change is open, and this one would be refused.
+        // Another version is proposed, so this one would be refused now.
         if config.proposed_number().is_some() && matches!(document, Document::Version(_)) {
             return;
         }
@@ -156,26 +161,26 @@
         self.send_request(&to, RequestKind::Propose, body, timeout_seconds, sent);
     }
 
-    /// Whether the document's number, or a higher one, is in force or proposed.
+    /// Whether the document's number or a higher one is active or proposed. Logs a warning if another version has the same number.
     fn is_known(&self, document: &Document, config: &ActiveConfig) -> bool {
         let version = match document {
             Document::Version(version) => version,
             Document::Voters(voters) => return voters.number <= self.lease_client.voters_number(),
         };
-        let (in_force, proposed) = config.versions();
-        let known = [in_force, proposed].into_iter().flatten();
+        let (active, proposed) = config.versions();
+        let known = [active, proposed].into_iter().flatten();
         if let Some(same) = known.clone().find(|known| known.number == version.number)
             && same.digest() != version.digest()
         {
             warn!(
-                "fleet: version {}: the file is not what was agreed on under this number; give it the next",
+                "fleet: version {}: the file is not what was agreed on under this number; give it the next number",
                 version.number
             );
         }
         version.number <= known.map(|known| known.number).max().unwrap_or(0)
     }
 
-    /// A peer's proposal to this voter.
+    /// Handles a document that a peer proposes to this broker's voter.
     pub(super) fn handle_proposal(&mut self, from: &str, body: &[u8], responder: Responder) {
         let document: Document = match decode_message(body) {
             Ok(document) => document,
@@ -187,7 +192,7 @@
         self.peers.respond(responder, body);
     }
 
-    /// `body` is `None` if the request has failed: the document is proposed again.
+    /// Handles the response to a proposal. `body` is `None` if the request failed; then the document is proposed again.
     pub(super) fn on_proposal_reply(&mut self, voter: &str, body: Option<Vec<u8>>) {
         if let Some(reply) = body.and_then(|body| postcard::from_bytes(&body).ok()) {
             self.apply_proposal_reply(voter, reply);
@@ -197,20 +202,22 @@
     fn apply_proposal_reply(&mut self, voter: &str, reply: ProposalReply) {
         let now = monotonic_seconds();
         let proposals = &mut self.proposals;
-        let name = proposals.document.as_ref().map_or(String::from("what was proposed"), Document::name);
+        let name = proposals.document.as_ref().map_or(String::from("the proposed document"), Document::name);
         if !matches!(reply, ProposalReply::NotLeader(_)) {
-            // What has become of it comes with the next leases.
+            // The next leases show what became of the proposal.
             proposals.next_proposal_at = now + self.lease_seconds;
         }
         match reply {
-            ProposalReply::Accepted => info!("fleet: {name}: taken by {voter}"),
+            ProposalReply::Accepted => info!("fleet: {name}: accepted by {voter}"),
             ProposalReply::NotLeader(leader) => proposals.leader_search.on_not_leader(leader),
-            ProposalReply::RetryLater(why) => info!("fleet: {name}: {voter}: not now: {why}"),
+            ProposalReply::RetryLater(why) => {
+                info!("fleet: {name}: {voter} cannot accept it now, retrying later: {why}")
+            }
             ProposalReply::NumberUsed { expected } => {
                 let since = *proposals.number_used_since.get_or_insert(now);
                 if now > since + NUMBER_USED_LEASES * self.lease_seconds {
                     increment(&self.counters.refused);
-                    error!("fleet: {name}: this number was used before; give the file {expected}");
+                    error!("fleet: {name}: this number was used before; set the file's number to {expected}");
                     proposals.document = None;
                 }
             }
--- a/crates/dunepond-control-plane/src/control_loop/proposals/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Format of the reply to a proposal, which brokers of other builds read.
+//! The encoding of the reply to a proposal, which brokers with other builds read.
 
 use super::ProposalReply;
 use crate::tests::golden::{assert_same, golden};
@@ -18,9 +18,9 @@
     assert_same("proposal-answers.bin", &bytes);
     let mut rest = &golden("proposal-answers.bin")[..];
     for reply in replies {
-        let (read, behind) = postcard::take_from_bytes::<ProposalReply>(rest).unwrap();
+        let (read, remaining) = postcard::take_from_bytes::<ProposalReply>(rest).unwrap();
         assert_eq!(format!("{read:?}"), format!("{reply:?}"));
-        rest = behind;
+        rest = remaining;
     }
     assert!(rest.is_empty());
 }
--- a/crates/dunepond-control-plane/src/control_loop/publish.rs
+++ b/crates/dunepond-control-plane/src/control_loop/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing: the active configuration into the event loop's handle, the audit log and the data directory.
+//! Publishes the active configuration to the event loop's handle, the audit log and the data directory.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
@@ -11,38 +11,41 @@
 use crate::clock::monotonic_seconds;
 use crate::handle::audit_phase;
 
-/// What was last published.
+/// The state that was last published.
 #[derive(Default)]
 pub(super) struct Published {
+    /// Phase of the configuration; `None` before the first publication.
     phase: Option<AuditPhase>,
     /// Numbers of the versions that applied in the phase.
     versions: Vec<u64>,
-    /// Number of the version in force.
-    in_force: u64,
+    /// Number of the active version; 0 if there is none.
+    active: u64,
+    /// The proposed version, if there is one.
     proposed: Option<ProposedVersion>,
 }
 
+/// Identifies a proposed version.
 struct ProposedVersion {
     number: u64,
     digest: String,
 }
 
 impl Published {
-    /// Events for versions that were proposed, confirmed or withdrawn since the last call.
+    /// Audit events for versions that became active or were proposed or withdrawn since the last call.
     fn version_events(&mut self, config: &ActiveConfig) -> Vec<AuditEvent> {
-        let (in_force, proposed) = config.versions();
+        let (active, proposed) = config.versions();
         let mut events = Vec::new();
-        // The cost of a digest grows with the map, so it is computed only for another version.
-        if self.in_force != config.active_number()
-            && let Some(version) = in_force
+        // The cost of a digest grows with the map, so it is computed only if the version has changed.
+        if self.active != config.active_number()
+            && let Some(version) = active
         {
             events.push(AuditEvent::Confirmed { number: version.number, digest: version.digest() });
         }
-        self.in_force = config.active_number();
+        self.active = config.active_number();
         if self.proposed.as_ref().map(|last| last.number) == config.proposed_number() {
             return events;
         }
-        // Withdrawn, unless this version or a later one is in force now.
+        // A version that is no longer proposed was withdrawn, unless it or a later version is active now.
         if let Some(ProposedVersion { number, digest }) = self.proposed.take()
             && number > config.active_number()
         {
@@ -58,7 +61,8 @@
 }
 
 impl ControlLoop {
-    /// Hands the event loop the active configuration and audits what has changed in it. `leased`: there is a new lease.
+    /// Publishes the active configuration to the event loop and records the changes in the audit log, if the phase or the versions
+    /// have changed or if `leased`, that is, after a new lease.
     pub(super) fn publish(&mut self, leased: bool) {
         let (config, now) = (self.lease_client.active_config(), monotonic_seconds());
         let (phase, versions) = audit_phase(&config, now);
@@ -69,7 +73,7 @@
         }
         let lease_expires_at = config.lease_expires_at().max(0.0);
         if changed {
-            info!("fleet: {phase} {versions:?}, until {lease_expires_at:.3}");
+            info!("fleet: phase {phase} {versions:?}, lease until {lease_expires_at:.3}");
         }
         let mut events = published.version_events(&config);
         events.push(AuditEvent::Phase {
@@ -92,16 +96,19 @@
         }
     }
 
-    /// A lease was granted.
+    /// Handles a newly granted lease: stores the configuration if it has changed, and publishes it.
     pub(super) fn on_lease(&mut self) {
         self.counters.leases.fetch_add(1, Relaxed);
-        // Stored before the event loop acts on it: after a restart the broker must know the strictest version it has heard of.
+        // Stored before the event loop acts on it: after a restart the broker must know the strictest version that it was told of.
         let revision = self.lease_client.persisted_revision();
         if self.state.saved_config != Some(revision) {
             match self.data.save_config(&self.lease_client.persisted_state()) {
                 Ok(()) => self.state.saved_config = Some(revision),
                 Err(e) => {
-                    warn!("fleet: folder: {e}; a restart would not know the versions: look at the disk")
+                    warn!(
+                        "fleet: data directory: {e}; \
+                         the configuration is not stored and would be lost in a restart; check the disk"
+                    )
                 }
             }
         }
@@ -109,7 +116,7 @@
         self.compare_voters();
     }
 
-    /// Logs once for each list of voters that the operator's file names others.
+    /// Logs a warning if the committed voters differ from those in the operator's file, once for each list of voters.
     fn compare_voters(&mut self) {
         let number = self.lease_client.voters_number();
         if self.state.compared_voters.replace(number) == Some(number) {
@@ -124,7 +131,8 @@
             });
         }
         warn!(
-            "fleet: the agreed voters (list {number}) are not those of the file: they go before it; write into it: {}",
+            "fleet: the committed voters (list {number}) differ from those in the operator's file and take precedence; \
+             write into the file: {}",
             lines.join(", ")
         );
     }
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
@@ -1,7 +1,7 @@
-//! Rebalancing plans: the operator's file on its way to the leader ([`offers`]), and the leader carrying out the plan that is
-//! agreed on ([`steps`]).
+//! Rebalancing plans: brokers offer the operator's plan to the leader ([`offers`]), and the leader carries out the accepted plan
+//! ([`steps`]).
 //!
-//! A plan's progress is in the log alone, so the next leader continues exactly where the last one stopped.
+//! The progress of a plan is only in the log, so a new leader continues exactly where the previous one stopped.
 
 mod offers;
 mod steps;
@@ -15,41 +15,49 @@
 use super::leader_search::LeaderSearch;
 use crate::error::PlanError;
 
-/// Seconds between two steps where the operator's file does not say.
+/// Default pause between two steps of a plan, in seconds.
 pub const DEFAULT_SETTLE_SECONDS: f64 = 1.0;
-/// Leases after which an offer that another leader is to get, and an entry that is not committed, are sent again.
+/// Time after which an offer is sent again to another leader, and an entry that is not committed is proposed again, as a multiple
+/// of the lease duration.
 const RETRY_LEASES: f64 = 0.25;
 
-/// The operator's plan file, and what the leader keeps between two steps.
+/// The operator's plan and the state of its offer, and the leader's state between two steps.
 pub struct Rebalancing {
+    /// Path of the operator's plan file.
     path: Option<PathBuf>,
     max_concurrent_actions: usize,
     settle_seconds: f64,
-    /// The file is to be read.
+    /// Whether the plan file must be read before the next offer.
     must_read: bool,
+    /// The plan that is to be offered, until its status is known.
     plan: Option<Plan>,
-    /// The plan was accepted once: the operator's command in it counts once.
+    /// Whether the leader has accepted an offer of this plan. Further offers are repeats, in which the operator's command to run
+    /// the plan has no effect.
     offered: bool,
+    /// When the plan is offered next.
     next_offer_at: f64,
     leader_search: LeaderSearch,
+    /// The turn that the plan is in, if this broker leads.
     current_turn: Option<CurrentTurn>,
-    /// When the last entry was entered, while it may still be committed.
+    /// When the last entry was proposed; negative infinity once the plan's progress shows that none is outstanding.
     last_proposal_at: f64,
     overload_monitor: OverloadMonitor,
-    /// The reason to wait that was last logged.
+    /// The reason to wait that was logged last.
     reported_wait: Option<PlanWait>,
 }
 
-/// The turn that the leader works on.
+/// The turn of the running plan that the leader works on.
 struct CurrentTurn {
+    /// Id of the plan.
     plan: String,
     turn: u64,
-    /// When this broker first saw it.
+    /// When this broker first saw the plan in this turn.
     since: f64,
 }
 
 impl Rebalancing {
-    /// `path`: the operator's plan file; the limits apply to plans that this broker offers.
+    /// Creates the state for the operator's plan file at `path`. `max_concurrent_actions` applies to the plans that this broker
+    /// offers, `settle_seconds` to the plans that it carries out as leader.
     pub fn new(path: Option<PathBuf>, max_concurrent_actions: usize, settle_seconds: f64) -> Self {
         Self {
             must_read: path.is_some(),
@@ -67,14 +75,14 @@
         }
     }
 
-    /// Has the file read again, from this path.
+    /// Requests that the plan file is read again, from this path.
     pub fn reload(&mut self, path: Option<PathBuf>) {
         self.path = path;
         self.must_read = true;
         self.next_offer_at = 0.0;
     }
 
-    /// Reads the file if that is due; an invalid plan is logged and not offered.
+    /// Reads the plan file if that was requested. An invalid plan is logged and not offered.
     fn read(&mut self) {
         if !std::mem::take(&mut self.must_read) {
             return;
@@ -84,12 +92,12 @@
         let Some(path) = &self.path else { return };
         match read_plan(path) {
             Ok(plan) => self.plan = Some(plan),
-            Err(e @ PlanError::NotFound { .. }) => info!("fleet: moves: {e} ({})", e.help()),
-            Err(e) => error!("fleet: moves: {e} ({})", e.help()),
+            Err(e @ PlanError::NotFound { .. }) => info!("fleet: rebalancing plan: {e} ({})", e.help()),
+            Err(e) => error!("fleet: rebalancing plan: {e} ({})", e.help()),
         }
     }
 
-    /// Since when this turn has been the current one.
+    /// When this broker first saw the plan in this turn: `now` if the turn is new.
     fn turn_since(&mut self, plan: &str, turn: u64, now: f64) -> f64 {
         match &self.current_turn {
             Some(current) if current.plan == plan && current.turn == turn => current.since,
@@ -111,14 +119,15 @@
 }
 
 impl ControlLoop {
-    /// Whether the running plan is paused during a step: no further fill of it starts.
+    /// Whether the running plan is paused during a step, so that no further fill of it may start.
     pub(super) fn fills_are_paused(&self) -> bool {
         let state = self.voter.as_ref().map(|voter| voter.state());
         let running = state.and_then(|state| state.rebalance().running.as_ref());
         running.is_some_and(|running| running.pause.is_some() && running.started.is_some())
     }
 
-    /// Offers the file's plan to the leader until it is known, and carries out the agreed plan where this broker leads.
+    /// Offers the operator's plan to the leader until the plan's status is known, and carries out the accepted plan if this broker
+    /// leads.
     pub(super) fn rebalance(&mut self) {
         self.offer_plan();
         if self.is_leading() {
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -1,4 +1,4 @@
-//! Offers: the operator's plan on its way to the leader, and the leader's response.
+//! Offers of the operator's plan to the leader, and the leader's replies.
 
 use dunepond_consensus::{Command, Rejection, ReplicatedState};
 use dunepond_membership::{RefusalReason, RequestKind, Responder};
@@ -16,35 +16,35 @@
 use crate::documents::decode_message;
 use crate::handle::increment;
 
-/// Timeout of an offer, and the time between two offers, in leases.
+/// Timeout of an offer, and the time between two offers, as a multiple of the lease duration.
 const OFFER_TIMEOUT_LEASES: f64 = 1.0;
 
-/// A plan on its way to the leader.
+/// A message that offers a plan to the leader.
 #[derive(Serialize, Deserialize)]
 pub(super) struct PlanOffer {
     pub(super) plan: Plan,
     pub(super) max_concurrent_actions: usize,
-    /// It was accepted before: its `word` (go, pause, withdraw) counts once.
+    /// Whether this offer was accepted before. A repeat must not resume a plan that was paused after the first offer.
     pub(super) is_repeat: bool,
 }
 
 /// A voter's response to an offer.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum OfferReply {
-    /// It is in the leader's log; to be offered again until it is known.
+    /// The plan was added to the leader's log. It is offered again until its status is known.
     Accepted,
-    /// The plan's status, as the log has it.
+    /// The offer changes nothing; this is the plan's status in the log.
     Known(String),
-    /// The leader, if the voter knows it.
+    /// The voter does not lead. Names the leader if the voter knows it.
     NotLeader(Option<String>),
+    /// The plan cannot be accepted now, for this reason, but may be later.
     RetryLater(String),
-    Refused {
-        why: String,
-        help: String,
-    },
+    /// The plan was refused, and would be refused again.
+    Refused { why: String, help: String },
 }
 
 impl OfferReply {
+    /// The reply for an offer that was rejected.
     fn of(why: &Rejection) -> Self {
         match why {
             Rejection::NotLeader(leader) => Self::NotLeader(leader.clone()),
@@ -56,7 +56,7 @@
 }
 
 impl ControlLoop {
-    /// Offers the file's plan, if there is one and it is due.
+    /// Offers the operator's plan to the leader, if there is one and an offer is due.
     pub(super) fn offer_plan(&mut self) {
         let now = monotonic_seconds();
         if now < self.rebalancing.next_offer_at || now >= self.lease_client.active_config().lease_expires_at()
@@ -82,7 +82,7 @@
         self.send_request(&to, RequestKind::RebalancePlan, body, timeout_seconds, sent);
     }
 
-    /// A peer's offer to this voter.
+    /// Handles a plan that a peer offers to this broker's voter.
     pub(in crate::control_loop) fn handle_offer(&mut self, from: &str, body: &[u8], responder: Responder) {
         let offer: PlanOffer = match decode_message(body) {
             Ok(offer) => offer,
@@ -97,7 +97,7 @@
         self.peers.respond(responder, body);
     }
 
-    /// `body` is `None` if the request has failed: the plan is offered again.
+    /// Handles the response to an offer. `body` is `None` if the request failed; then the plan is offered again.
     pub(in crate::control_loop) fn on_offer_reply(&mut self, voter: &str, body: Option<Vec<u8>>) {
         if let Some(reply) = body.and_then(|body| postcard::from_bytes(&body).ok()) {
             self.apply_offer_reply(voter, reply);
@@ -117,7 +117,9 @@
                 rebalancing.leader_search.on_not_leader(leader);
                 rebalancing.next_offer_at = monotonic_seconds() + self.lease_seconds * RETRY_LEASES;
             }
-            OfferReply::RetryLater(why) => info!("fleet: plan {id}: {voter}: not now: {why}"),
+            OfferReply::RetryLater(why) => {
+                info!("fleet: plan {id}: {voter} cannot accept it now, retrying later: {why}")
+            }
             OfferReply::Refused { why, help } => {
                 error!("fleet: plan {id}: refused by {voter}: {why} ({help})");
                 increment(&self.counters.refused);
@@ -126,7 +128,7 @@
         }
     }
 
-    /// At the leader: enters a new plan, or the operator's command for a known one.
+    /// Handles an offer if this broker leads: proposes the log entry for a new plan, or for the operator's command to a known one.
     fn accept_offer(&mut self, offer: PlanOffer) -> OfferReply {
         let Some(voter) = self.voter.as_ref().filter(|voter| voter.is_leader()) else {
             let leader = self.voter.as_ref().and_then(|voter| voter.leader());
@@ -156,7 +158,7 @@
     }
 }
 
-/// The entry that the operator's command asks for, for a plan that the log knows; `None` if it changes nothing.
+/// The log entry that carries out the operator's command for a plan that is in the log; `None` if the command changes nothing.
 fn operator_entry(progress: &PlanProgress, offer: PlanOffer) -> Option<CommittedEntry> {
     let PlanOffer { plan: Plan { id, proposed_by, reason, desired_state, .. }, is_repeat, .. } = offer;
     let running = progress.running.as_ref().filter(|running| running.plan.id == id)?;
@@ -167,7 +169,7 @@
             let reason = PauseReason::Operator { name: proposed_by };
             Some(CommittedEntry::Paused { plan: id, reason })
         }
-        // A repeated offer must not resume a plan that was paused after the first one.
+        // A repeated offer must not resume a plan that was paused after the first offer.
         DesiredState::Run if is_paused && !is_repeat => {
             Some(CommittedEntry::Resumed { plan: id, trigger: ResumeTrigger::Operator(proposed_by) })
         }
@@ -178,7 +180,8 @@
     }
 }
 
-/// The entry of a new plan, with its steps in order. Refused while another plan runs or a version is proposed.
+/// The log entry that accepts a new plan, with its operations ordered into steps. Fails while another plan runs or a version is
+/// proposed.
 fn ordered_plan(
     state: &ReplicatedState,
     plan: Plan,
@@ -195,8 +198,8 @@
         StepLimits { max_actions: max_concurrent_actions, max_changed_ratio: state.config.max_changed_ratio };
     let steps = order_steps(&plan, map, limits, |node| state.is_excluded(node))?;
     info!(
-        "fleet: plan {} by {}: {} operations in {} steps, at most {max_concurrent_actions} at once \
-         and a share of {} of the segments",
+        "fleet: plan {} by {}: {} operations in {} steps, each of at most {max_concurrent_actions} actions \
+         and with at most a ratio of {} of the segments changed",
         plan.id,
         plan.proposed_by,
         plan.operations.len(),
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
@@ -1,4 +1,4 @@
-//! Steps: at the leader, the next entry or version of the agreed plan.
+//! Steps of the accepted plan: the log entries and versions that the leader proposes to carry it out.
 
 use dunepond_consensus::{Command, ConfigVersion, Rejection};
 use dunepond_rebalance::{
@@ -11,11 +11,11 @@
 use crate::clock::{monotonic_seconds, unix_seconds};
 use crate::control_loop::ControlLoop;
 
-/// Leases for which a broker's report that its nodes are overloaded counts.
+/// Time for which a broker's report that its nodes are overloaded is valid, as a multiple of the lease duration.
 const LOAD_REPORT_LEASES: f64 = 2.0;
 
 impl ControlLoop {
-    /// Enters the next entry or version of the running plan, if it is time.
+    /// Proposes the next log entry or version of the running plan, if one is due.
     pub(super) fn advance_plan(&mut self) {
         let now = monotonic_seconds();
         let Some(next) = self.next_step(now) else { return };
@@ -34,14 +34,14 @@
                 self.propose_step(Command::Propose(Box::new(version)));
             }
             LeaderAction::Withdraw { number, reason } => {
-                info!("fleet: version {number} is taken back: {reason}");
+                info!("fleet: withdrawing version {number}: {reason}");
                 self.propose_step(Command::Withdraw { number, why: reason });
             }
         }
     }
 
-    /// What is to be done now: a pause or the end of one by the brokers' load, else what the plan's progress says. `None`
-    /// without a plan, and while the last entry may still be committed.
+    /// The next action for the running plan: to pause or resume it by the brokers' load, else as its progress requires. `None`
+    /// without a running plan, and while the last proposed entry may still be committed.
     fn next_step(&mut self, now: f64) -> Option<LeaderAction> {
         let voter = self.voter.as_ref()?;
         let (state, rebalancing) = (voter.state(), &mut self.rebalancing);
@@ -76,15 +76,18 @@
         })
     }
 
-    /// Logs the reason to wait once.
+    /// Logs the reason to wait, unless it was logged last.
     fn log_wait(&mut self, wait: PlanWait) {
         if self.rebalancing.reported_wait.as_ref() == Some(&wait) {
             return;
         }
         match &wait {
-            PlanWait::Paused(why) => info!("fleet: plan {}: waits: {why}", self.plan_id()),
+            PlanWait::Paused(why) => info!("fleet: plan {}: paused: {why}", self.plan_id()),
             PlanWait::OtherVersion(open) => {
-                info!("fleet: plan {}: waits for version {open}, which is no step", self.plan_id());
+                info!(
+                    "fleet: plan {}: waiting for version {open}, which is not a step of the plan",
+                    self.plan_id()
+                );
             }
             PlanWait::NoPlan | PlanWait::StepInProgress(_) => {}
         }
@@ -95,14 +98,16 @@
         self.voter.as_ref()?.state().rebalance().running.as_ref()
     }
 
+    /// Id of the running plan; empty if no plan runs.
     fn plan_id(&self) -> String {
         self.running_plan().map_or(String::new(), |running| running.plan.id.clone())
     }
 
-    /// One line for each step: on whose authority, within which limits, and what is left.
+    /// Logs an entry for the running plan. For the start of a step, logs who proposed the plan and why, what the step changes, and
+    /// how many operations are left.
     fn log_step(&self, entry: &CommittedEntry) {
         let Some(running) = self.running_plan() else { return };
-        let (id, who, why) = (&running.plan.id, &running.plan.proposed_by, &running.plan.reason);
+        let (id, proposer, reason) = (&running.plan.id, &running.plan.proposed_by, &running.plan.reason);
         let (CommittedEntry::StepStarted { turn, number, .. }, Some(batch)) =
             (entry, running.current_batch())
         else {
@@ -110,11 +115,11 @@
         };
         let map = self.voter.as_ref().and_then(|voter| voter.state().map_proof());
         let changes = batch.changed_segments(map.map_or(0, |map| map.len()));
-        let direction = if running.withdrawal.is_some() { "back" } else { "on" };
+        let direction = if running.withdrawal.is_some() { "back" } else { "forward" };
         let is_move = |operation: &&Operation| matches!(operation, Operation::Move { .. });
         info!(
-            "fleet: plan {id}, turn {turn}, version {number}, {direction}: {batch}; {} at once, {} of {} \
-             segments; {} operations left, {} moves in all; {who}: {why}",
+            "fleet: plan {id}, turn {turn}, version {number}, {direction}: {batch}; {} concurrent actions, \
+             {} of {} segments changed; {} operations left, {} moves in total; proposed by {proposer}: {reason}",
             batch.actions.len(),
             changes.changed,
             changes.of,
@@ -123,32 +128,32 @@
         );
     }
 
-    /// The version that carries out the current step: the map is the step's, all else stays as it is in force.
+    /// The version that carries out the current step: the active version with the step's map.
     fn step_version(&self, number: u64, map: ShardMap) -> Option<ConfigVersion> {
         let state = self.voter.as_ref()?.state();
         let running = state.rebalance().running.as_ref()?;
-        let (in_force, _) = state.active.as_ref()?;
+        let (active, _) = state.active.as_ref()?;
         let plan = &running.plan;
         let batch = running.current_batch().map_or(String::new(), ToString::to_string);
         let direction = if running.withdrawal.is_some() { ", back" } else { "" };
         Some(ConfigVersion {
             number,
-            based_on: Some(in_force.number),
+            based_on: Some(active.number),
             first_stage_ratio: None,
             map: Some(map),
             proposed_by: plan.proposed_by.clone(),
             reason: format!("plan {}, turn {}{direction}: {batch}; {}", plan.id, running.turn, plan.reason),
             proposed_at_unix_seconds: unix_seconds(),
-            ..ConfigVersion::clone(in_force)
+            ..ConfigVersion::clone(active)
         })
     }
 
-    /// Enters a step's command. A refusal that will not pass pauses the plan: an operator has to look, as what the voters
-    /// reject now they will reject again.
+    /// Proposes a command of the running plan. If it is rejected for a reason that will not pass by itself, pauses the plan until
+    /// an operator intervenes, as the voters would reject it again.
     fn propose_step(&mut self, command: Command) {
         let is_proposal = matches!(command, Command::Propose(_));
         let Err(why) = self.propose(command) else { return };
-        let passes = match &why {
+        let is_transient = match &why {
             Rejection::Rebalance(why) => why.is_transient() || !is_proposal,
             Rejection::NotLeader(_)
             | Rejection::Busy
@@ -157,7 +162,7 @@
             | Rejection::RollingBack(_) => true,
             _ => false,
         };
-        if passes {
+        if is_transient {
             return;
         }
         warn!("fleet: plan {}: {why} ({})", self.plan_id(), why.help());
@@ -168,7 +173,7 @@
     }
 }
 
-/// Operations of a plan that no finished step has carried out.
+/// Number of the plan's operations that no finished step has carried out.
 fn remaining_operations(running: &RunningPlan) -> usize {
     let finished = &running.steps[..running.steps_done];
     let actions = finished.iter().flat_map(|step| &step.forward.actions);
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Formats of the operator's plan file, and of the messages about it, which brokers of other builds read.
+//! The format of the operator's plan file, and the encodings of offers and replies, which brokers with other builds read.
 
 use std::collections::BTreeMap;
 
@@ -69,9 +69,9 @@
     assert_same("offer-answers.bin", &bytes);
     let mut rest = &golden("offer-answers.bin")[..];
     for reply in replies {
-        let (read, behind) = postcard::take_from_bytes::<OfferReply>(rest).unwrap();
+        let (read, remaining) = postcard::take_from_bytes::<OfferReply>(rest).unwrap();
         assert_eq!(format!("{read:?}"), format!("{reply:?}"));
-        rest = behind;
+        rest = remaining;
     }
     assert!(rest.is_empty());
 }
--- a/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
@@ -1,4 +1,4 @@
-//! Settlement entries of the agreed log, applied to this broker's balances and commitments.
+//! Applies the settlement entries of the replicated log to this broker's balances and commitments.
 
 use dunepond_consensus::{SettlementUpdate, Voter};
 use dunepond_settlement::{ApplyOutcome, Settlement, SettlementEntry};
@@ -10,10 +10,10 @@
 use crate::handle::increment;
 
 impl ControlLoop {
-    /// A voter applies the entries of its own log.
+    /// Applies new settlement entries from the log of this broker's voter, if it is a voter.
     pub(in crate::control_loop) fn apply_voter_entries(&mut self) {
         while let Some(state) = self.voter.as_ref().map(Voter::state) {
-            // A voter that was just started may have applied less of the log than this broker knew before.
+            // After a restart the voter may have applied fewer entries of the log than this broker had stored.
             if state.settlements.count <= self.settlement.applied_entries {
                 break;
             }
@@ -22,10 +22,10 @@
         }
     }
 
-    /// Other brokers apply the entries that come with their leases.
+    /// Applies the settlement entries that came with the last lease, if this broker is not a voter.
     pub(in crate::control_loop) fn apply_leased_entries(&mut self) {
         for update in self.lease_client.take_settlement_updates() {
-            // A ledger with fewer entries than this broker has applied is of another fleet, and replaces its own.
+            // A ledger with fewer entries than this broker has applied belongs to another fleet and replaces this broker's.
             let is_behind = update.ledger.is_some() && update.count < self.settlement.applied_entries;
             if self.voter.is_none() || is_behind {
                 self.apply_entries(update);
@@ -36,6 +36,7 @@
         }
     }
 
+    /// Applies the entries of an update that follow the entries already applied.
     fn apply_entries(&mut self, update: SettlementUpdate) {
         if let Some(ledger) = update.ledger {
             self.traffic.balances.replace(*ledger);
@@ -51,13 +52,14 @@
             match balances.apply(&logged.entry) {
                 Ok(ApplyOutcome::New) => self.on_applied(logged.entry),
                 Ok(ApplyOutcome::Duplicate) => {}
-                Err(e) => warn!("fleet: an entry about a debt: {e} ({})", e.help()),
+                Err(e) => warn!("fleet: settlement entry not applied: {e} ({})", e.help()),
             }
         }
         self.note_started_fills();
         self.release_logged_commitments();
     }
 
+    /// Logs and counts an entry that was applied for the first time.
     fn on_applied(&mut self, entry: SettlementEntry) {
         match entry {
             SettlementEntry::Settle(settlement) => self.on_settled(settlement),
@@ -67,7 +69,7 @@
                 info!("fleet: {bytes} bytes that {debtor} owes {creditor} are split in advance");
             }
             SettlementEntry::Release(release) => {
-                debug!("fleet: {} gives back {} bytes of its share", release.broker, release.bytes);
+                debug!("fleet: {} releases {} bytes of its share", release.broker, release.bytes);
             }
             SettlementEntry::StartFill(_) => {}
         }
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Drops the commitments that the log has by now.
+    /// Drops the commitments that are in the log by now.
     fn release_logged_commitments(&mut self) {
         let (commitments, ledger) = (&mut self.settlement.commitments, self.traffic.balances.ledger());
         let due_before = commitments.due_entries().len();
--- a/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
@@ -1,5 +1,5 @@
-//! Settlement at this broker: entries as the log has them, shares that are allotted in advance, and commitments that are
-//! sent to the leader until the log has them.
+//! Settlement at this broker: entries of the replicated log, shares of debts that are allotted in advance, and commitments that
+//! are sent to the leader until the log has them.
 
 mod log_entries;
 mod shares;
@@ -14,25 +14,27 @@
 use crate::clock::monotonic_seconds;
 use crate::commitments::{Commitments, MAX_ENTRIES_PER_MESSAGE};
 
-/// Seconds between two reviews: of commitments to be sent to the leader, and of debts to be allotted or released.
+/// Time between two reviews of the commitments to send to the leader, and of the debts to allot or release.
 const REVIEW_INTERVAL_SECONDS: f64 = 0.5;
+/// Timeout of a message with settlement entries to the leader.
 const ENTRIES_TIMEOUT_SECONDS: f64 = 1.0;
 
-/// What this broker has committed to, and how much of the log it has applied.
+/// This broker's commitments, and how many settlement entries of the log it has applied.
 pub struct Settlements {
-    /// Stored before a fill starts and before a part of a share is given back.
+    /// The commitments. They are stored before a fill starts and before a part of a share is released.
     pub commitments: Commitments,
-    /// Each broker fills nodes in slow start, and debts are allotted in advance.
+    /// Whether each broker fills nodes in slow start; if so, debts are allotted in advance.
     pub fill_started_nodes: bool,
-    /// Entries of the log that the ledger has applied.
+    /// Number of settlement entries of the log that the ledger has applied.
     pub applied_entries: u64,
-    /// Commitments have changed since they were last stored.
+    /// Whether the commitments have changed since they were last stored.
     pub unsaved: bool,
+    /// When the next review is due.
     next_review_at: f64,
 }
 
 impl Settlements {
-    /// Continues from the stored commitments.
+    /// Creates the state from the stored commitments.
     pub fn new(commitments: Commitments, fill_started_nodes: bool) -> Self {
         Self {
             applied_entries: commitments.applied_entries,
@@ -44,7 +46,8 @@
     }
 }
 
-/// Whether a broker may propose the entry: only it knows what it promised and what it has left.
+/// Whether a broker other than the leader may propose the entry. Settlements and releases may only come from the broker whose share
+/// they use, as only that broker knows its promises; other entries only from the leader itself.
 fn may_propose(broker: &str, entry: &SettlementEntry) -> bool {
     match entry {
         SettlementEntry::Settle(settlement) => settlement.broker() == broker,
@@ -54,7 +57,8 @@
 }
 
 impl ControlLoop {
-    /// Stores the commitments together with the ledger. False if they could not be stored: what follows from them must wait.
+    /// Stores the commitments together with the ledger. Returns false if they could not be stored; then actions that depend on them
+    /// must wait.
     pub(in crate::control_loop) fn save_commitments(&mut self) -> bool {
         let commitments = &mut self.settlement.commitments;
         commitments.ledger = self.traffic.balances.ledger().clone();
@@ -62,12 +66,12 @@
         let saved = self.data.save_commitments(commitments);
         self.settlement.unsaved = saved.is_err();
         if let Err(e) = &saved {
-            debug!("fleet: folder: promises: {e}");
+            debug!("fleet: data directory: commitments not stored: {e}");
         }
         saved.is_ok()
     }
 
-    /// Sends due entries to the leader, releases surplus shares, and at the leader splits debts.
+    /// If a review is due, releases surplus shares and sends due entries to the leader, and splits debts if this broker leads.
     pub(in crate::control_loop) fn review_settlements(&mut self) {
         let now = monotonic_seconds();
         if now < self.settlement.next_review_at || self.traffic.partners.is_empty() {
@@ -87,6 +91,7 @@
         }
     }
 
+    /// Sends the due settlement entries to the leader, or proposes them if this broker leads.
     fn send_due_entries(&mut self, is_leading: bool) {
         let due = self.settlement.commitments.due_entries();
         if due.is_empty() {
@@ -108,8 +113,8 @@
         }
     }
 
-    /// At the leader: enters what another broker sends. The response says only that it was received; what became of it, the
-    /// log tells.
+    /// Handles settlement entries from another broker: proposes them if this broker leads. The response only confirms that they
+    /// were received; the sender sees in the log what became of them.
     pub(in crate::control_loop) fn handle_entries(&mut self, from: &str, body: &[u8], responder: Responder) {
         if !self.is_leading() {
             let reason = RefusalReason::Declined("another leads".to_string());
@@ -120,7 +125,7 @@
         };
         for entry in entries.into_iter().take(MAX_ENTRIES_PER_MESSAGE) {
             if !may_propose(from, &entry) {
-                warn!("fleet: {from} brings what is not its own to promise: left out");
+                warn!("fleet: settlement entry from {from} ignored: it may not propose this entry");
                 continue;
             }
             let _ = self.propose_settlement(entry);
@@ -128,7 +133,7 @@
         self.peers.respond(responder, Ok(Vec::new()));
     }
 
-    /// Enters an entry, where this broker leads.
+    /// Proposes a settlement entry if this broker leads. Logs rejections that are not routine.
     pub(in crate::control_loop) fn propose_settlement(
         &mut self,
         entry: SettlementEntry,
@@ -143,12 +148,12 @@
                     | Rejection::Busy
             )
         {
-            debug!("fleet: an entry about a debt: {why} ({})", why.help());
+            debug!("fleet: settlement entry rejected: {why} ({})", why.help());
         }
         entered
     }
 
-    /// All known brokers in the order of their names, this one among them, alive or not.
+    /// The names of all known brokers in alphabetical order, including this one and brokers that are not alive.
     pub(in crate::control_loop) fn all_brokers(&self) -> Vec<String> {
         let mut brokers: Vec<String> = self.peers.members().into_iter().map(|peer| peer.name).collect();
         brokers.push(self.name.clone());
@@ -158,7 +163,7 @@
         brokers
     }
 
-    /// Whether the membership has the broker as alive.
+    /// Whether the broker is alive according to the membership. This broker always is.
     pub(in crate::control_loop) fn is_alive(&self, broker: &str) -> bool {
         if broker == self.name {
             return true;
--- a/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
@@ -1,12 +1,12 @@
-//! Shares of debts: split in advance at the leader, and released by brokers that will not spend them.
+//! Shares of debts: the leader allots debts to the brokers in advance, and brokers release what they will not spend.
 
 use dunepond_settlement::{SettlementEntry, allot_evenly};
 use tracing::debug;
 
 use crate::control_loop::{ControlLoop, LOG_SHARE_HOLDER};
 
-/// Smallest amount that is allotted or released at once, as a divisor of a segment's size: an entry for every few bytes
-/// would be costly.
+/// Divisor of the segment size for the minimum amount that is allotted or released at once. It avoids a log entry for every few
+/// bytes.
 const SEGMENT_PARTS: u64 = 8;
 
 /// A part of this broker's share that it will not spend.
@@ -17,19 +17,19 @@
 }
 
 impl ControlLoop {
-    /// Smallest amount that is allotted or released at once.
+    /// Minimum amount that is allotted or released at once, in bytes.
     fn min_split_bytes(&self) -> u64 {
         (self.version_fills.limits.segment_bytes / SEGMENT_PARTS).max(1)
     }
 
-    /// Allots debts that are not allotted yet evenly to all known brokers and to the log itself, from whose share the leader
-    /// settles fills of versions. Any of them may be partitioned later, and settles from its share then.
+    /// Proposes to allot debts that are not allotted yet, evenly to all known brokers and to [`LOG_SHARE_HOLDER`], from whose share
+    /// the leader settles fills of versions. A broker that is partitioned later can then settle from its share.
     pub(super) fn split_debts(&mut self) {
         let mut holders = self.all_brokers();
         holders.push(LOG_SHARE_HOLDER.to_string());
         for debt in self.traffic.balances.net_debts() {
             let (debtor, creditor) = (debt.debtor, debt.creditor);
-            // A fill that was planned before the first allotment has no share to be taken from: it is settled first.
+            // A fill that was planned before the first allotment uses no share, so it must be settled first.
             let is_split = self.traffic.balances.ledger().is_split(&debtor, &creditor);
             if !is_split && self.version_fills.settles(&debtor, &creditor) {
                 continue;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Releases what this broker will not spend, of one pair of partners at a time.
+    /// Releases the part of this broker's share that it will not spend, for one pair of partners at a time.
     pub(super) fn release_surplus(&mut self) {
         if self.settlement.commitments.shares.releasing().is_some() {
             return;
@@ -53,10 +53,11 @@
         if let Err(e) = self.settlement.commitments.shares.release(&ledger, &debtor, &creditor, bytes) {
             debug!("fleet: {e} ({})", e.help());
         }
-        // Stored before it is sent: after a restart this part must not be promised to a fill.
+        // The release is stored before it is sent, so that the released part is not promised to a fill after a restart.
         self.save_commitments();
     }
 
+    /// The surplus of the first pair of partners that has one of at least the minimum amount.
     fn first_surplus(&self) -> Option<Surplus> {
         for (debtor, creditor) in self.traffic.balances.ledger().pairs() {
             let bytes = self.surplus_bytes(debtor, creditor);
@@ -68,8 +69,9 @@
         None
     }
 
-    /// Bytes of this broker's share that it will not spend: all of it if it has no fills of its own, else its part of what is
-    /// allotted beyond the present debt, which shrinks when the other partner carries in turn.
+    /// Bytes of this broker's share that it will not spend. Without own fills, that is the whole remaining share. Otherwise it is
+    /// the broker's part of what is allotted in excess of the current debt, which shrinks when the debtor carries traffic for the
+    /// creditor.
     fn surplus_bytes(&self, debtor: &str, creditor: &str) -> u64 {
         let ledger = self.traffic.balances.ledger();
         let remaining = self.settlement.commitments.shares.remaining(ledger, debtor, creditor);
@@ -78,7 +80,7 @@
         }
         let unspent = ledger.allotted(debtor, creditor) - ledger.settled(debtor, creditor);
         let excess = unspent.saturating_sub(self.traffic.balances.net_debt(debtor, creditor));
-        let part = (excess as f64 * remaining as f64 / unspent.max(1) as f64) as u64;
-        part.min(remaining)
+        let surplus = (excess as f64 * remaining as f64 / unspent.max(1) as f64) as u64;
+        surplus.min(remaining)
     }
 }
--- a/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
@@ -1,4 +1,4 @@
-//! Bytes that partners carried for each other: counted here, and exchanged with one peer about every second.
+//! Counts of the bytes that partners carried for each other. They are exchanged with one random peer about every second.
 
 use std::sync::Arc;
 
@@ -16,21 +16,22 @@
 use crate::clock::{monotonic_seconds, unix_seconds};
 use crate::handle::CarriedBytes;
 
-/// Mean seconds between two exchanges with a peer, varied by a half.
+/// Mean time between two exchanges with a peer. Each interval varies randomly by up to half of it.
 const EXCHANGE_INTERVAL_SECONDS: f64 = 1.0;
+/// Timeout of an exchange with a peer.
 const EXCHANGE_TIMEOUT_SECONDS: f64 = 1.0;
 
 /// This broker's counts, and the balances between partners that follow from all brokers' counts.
 pub struct TrafficCounts {
-    /// Names, in the order of the event loop's indexes.
+    /// Names of the partners, in the order of the event loop's indexes.
     pub partners: Vec<String>,
-    /// Filled by the event loop.
+    /// Counters that the event loop adds to.
     pub carried: Arc<CarriedBytes>,
-    /// What this broker has counted, and its peers' counts.
+    /// This broker's counts and those received from its peers.
     pub counts: LocalCounts,
-    /// Debts that follow from all counts and settlements.
+    /// Debts between partners, computed from all counts and settlements.
     pub balances: Balances,
-    /// Which partner each broker's counts speak for.
+    /// The partner that each broker's counts are attributed to.
     pub broker_partners: BrokerPartners,
     pub rng: Pcg64Mcg,
     replication: CountsReplication,
@@ -38,7 +39,7 @@
 }
 
 impl TrafficCounts {
-    /// `partners` in the order of the event loop's indexes; `counts` and `balances` as stored.
+    /// Creates the state from the stored `counts` and `balances`. `partners` are in the order of the event loop's indexes.
     pub fn new(
         partners: Vec<String>,
         carried: Arc<CarriedBytes>,
@@ -47,17 +48,17 @@
         broker_partners: BrokerPartners,
         mut rng: Pcg64Mcg,
     ) -> Self {
-        // With the time, as a data directory that was put back would give the same seed again.
+        // The time is mixed in because a restored data directory can lead to the same seed again.
         let replication = CountsReplication::new(rng.random::<u64>() ^ unix_seconds().to_bits());
         Self { partners, carried, counts, balances, broker_partners, rng, replication, next_exchange_at: 0.0 }
     }
 
-    /// The counts for a peer; they have to be stored already.
+    /// The encoded message with the counts for a peer. The counts must have been stored before.
     pub fn message_to(&mut self, peer: &str) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_stdvec(&self.replication.message_for(peer, self.counts.counts()))
     }
 
-    /// Adds what the event loop has counted since the last call.
+    /// Adds the bytes that the event loop has counted since the last call.
     fn collect(&mut self) {
         for carried in self.carried.drain() {
             let carrier = self.partners.get(carried.carrier);
@@ -78,13 +79,13 @@
         self.link_counters.store(Arc::new(self.peers.counters()));
         let jitter = 0.5 + self.traffic.rng.random::<f64>();
         self.traffic.next_exchange_at = now + EXCHANGE_INTERVAL_SECONDS * jitter;
-        // Without partners there is nothing to count.
+        // Without partners there are no counts to exchange.
         if self.traffic.partners.is_empty() || !self.save_traffic() {
             return;
         }
         let members = self.peers.members();
         let alive: Vec<_> =
-            members.iter().filter(|p| p.state == PeerState::Alive && p.name != self.name).collect();
+            members.iter().filter(|peer| peer.state == PeerState::Alive && peer.name != self.name).collect();
         let Some(peer) = alive.choose(&mut self.traffic.rng).map(|peer| peer.name.clone()) else { return };
         if let Ok(body) = self.traffic.message_to(&peer) {
             let (kind, timeout) = (RequestKind::TransferCounts, EXCHANGE_TIMEOUT_SECONDS);
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Collects and stores the counts; only stored counts may be sent to others. False if they could not be stored.
+    /// Collects and stores the counts. Returns false if they could not be stored; only stored counts may be sent to peers.
     pub(super) fn save_traffic(&mut self) -> bool {
         let traffic = &mut self.traffic;
         traffic.collect();
@@ -100,7 +101,7 @@
         match self.data.save_counts(&traffic.counts) {
             Ok(()) => true,
             Err(e) => {
-                debug!("fleet: folder: counts: {e}");
+                debug!("fleet: data directory: counts not stored: {e}");
                 false
             }
         }
@@ -109,22 +110,24 @@
     /// Merges a peer's counts into this broker's.
     pub(super) fn merge_counts(&mut self, from: &str, body: &[u8]) {
         let Some(message) = decode_counts(body) else {
-            return debug!("fleet: counts of {from} cannot be read");
+            return debug!("fleet: counts from {from} cannot be decoded");
         };
         let traffic = &mut self.traffic;
         match traffic.counts.merge_from_peer(from, &message.counts, &traffic.broker_partners) {
-            Ok(left_out) => {
-                if left_out > 0 {
-                    debug!("fleet: {left_out} rows that {from} told are not its to tell");
+            Ok(ignored_rows) => {
+                if ignored_rows > 0 {
+                    debug!(
+                        "fleet: {ignored_rows} rows of the counts from {from} ignored: it may not report them"
+                    );
                 }
                 traffic.replication.handle_message(from, &message, traffic.counts.counts());
             }
-            Err(e) => warn!("fleet: counts of {from}: {e} ({})", e.help()),
+            Err(e) => warn!("fleet: counts from {from}: {e} ({})", e.help()),
         }
     }
 }
 
-/// An older build sends the counts without the acknowledgements of [`CountsMessage`].
+/// Decodes a peer's counts. Older builds send them without the acknowledgements of [`CountsMessage`].
 fn decode_counts(body: &[u8]) -> Option<CountsMessage> {
     match postcard::from_bytes::<CountsMessage>(body) {
         Ok(message) => Some(message),
--- a/crates/dunepond-control-plane/src/control_loop/voter.rs
+++ b/crates/dunepond-control-plane/src/control_loop/voter.rs
@@ -1,7 +1,7 @@
-//! This broker's voter: its effects are carried out here, and entries go into the log through it.
+//! Runs this broker's voter: passes ticks, messages and proposed commands to it, and carries out its effects.
 //!
-//! What a voter promises is on the disk before it is sent to anyone. After a failed write the voter is silent until its
-//! journal could be rewritten.
+//! A voter's promises are on disk before any message that depends on them is sent. After a failed write the voter is silent
+//! until its journal has been rewritten.
 
 use dunepond_consensus::{Command, ConsensusError, Effects, EntryOutcome, Rejection, Voter};
 use dunepond_membership::RequestKind;
@@ -13,32 +13,32 @@
 use crate::explain::{Explanation, ProposedEntry};
 use crate::handle::increment;
 
-/// Seconds after which a journal that could not be written is rewritten.
+/// Time after a failed write until the journal is rewritten, and between further tries.
 const STORAGE_RETRY_SECONDS: f64 = 0.5;
-/// Seconds after which a message between voters is of no use any more.
+/// Timeout of a message between voters, which is obsolete by then.
 const CONSENSUS_TIMEOUT_SECONDS: f64 = 1.0;
 
-/// What the loop keeps for its voter.
+/// State that the control loop keeps for its voter.
 #[derive(Default)]
 pub(super) struct VoterState {
-    /// A write has failed: the voter is silent. The journal is rewritten at this time.
+    /// When the journal is rewritten after a failed write. The voter is silent while this is set.
     storage_retry_at: Option<f64>,
-    /// The last refusal that was logged.
+    /// The refusal that was logged last.
     last_refusal: Option<Explanation>,
 }
 
 impl ControlLoop {
-    /// Whether the voter is silent, as it must not rely on what is not on the disk.
+    /// Whether the voter is silent after a failed write, as it must not depend on state that is not on disk.
     pub(super) fn is_voter_silent(&self) -> bool {
         self.state.voter.storage_retry_at.is_some()
     }
 
-    /// Whether this broker's voter leads and may speak.
+    /// Whether this broker's voter leads and is not silent.
     pub(super) fn is_leading(&self) -> bool {
         !self.is_voter_silent() && self.voter.as_ref().is_some_and(Voter::is_leader)
     }
 
-    /// Ticks the voter, after a failed write only once the journal is rewritten.
+    /// Ticks the voter, unless it is silent. After a failed write, first rewrites the journal if that is due.
     pub(super) fn tick_voter(&mut self, now: f64) {
         self.retry_storage(now);
         if self.is_voter_silent() {
@@ -50,28 +50,30 @@
         }
     }
 
-    /// After a failed write the whole journal is rewritten; only then does the voter send messages again.
+    /// Rewrites the journal after a failed write, if that is due. If it succeeds, the voter is no longer silent.
     fn retry_storage(&mut self, now: f64) {
         let is_due = self.state.voter.storage_retry_at.is_some_and(|retry_at| now >= retry_at);
         let Some(voter) = self.voter.as_ref().filter(|_| is_due) else { return };
         match self.data.rewrite_journal(voter.checkpoint().encode()) {
             Ok(()) => {
-                info!("fleet: the folder can be written again");
+                info!("fleet: the data directory can be written again");
                 self.state.voter.storage_retry_at = None;
             }
             Err(e) => {
-                debug!("fleet: folder: {e}");
+                debug!("fleet: data directory: {e}");
                 self.state.voter.storage_retry_at = Some(now + STORAGE_RETRY_SECONDS);
             }
         }
     }
 
-    /// Carries out the voter's effects: writes to the disk first, and only then sends to others.
+    /// Carries out the voter's effects: writes to disk first, and only then sends messages.
     pub(super) fn execute(&mut self, effects: Effects) {
         if !effects.write_batch.is_empty()
             && let Err(e) = self.write_to_journal(&effects.write_batch.encode())
         {
-            error!("fleet: folder: {e}; this voter is silent until it can be written: look at the disk");
+            error!(
+                "fleet: data directory: {e}; this voter is silent until it can be written; check the disk"
+            );
             self.state.voter.storage_retry_at = Some(monotonic_seconds() + STORAGE_RETRY_SECONDS);
             return;
         }
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Appends a record to the journal, and rewrites a journal that has become long.
+    /// Appends a record to the journal, and rewrites the journal if it has become too long.
     fn write_to_journal(&mut self, record: &[u8]) -> std::io::Result<()> {
         increment(&self.counters.syncs);
         self.data.append_to_journal(record)?;
@@ -102,7 +104,7 @@
         }
     }
 
-    /// A message of another voter.
+    /// Handles a message from another voter.
     pub(super) fn handle_consensus_message(&mut self, from: &str, bytes: &[u8]) {
         if self.is_voter_silent() {
             return;
@@ -115,13 +117,14 @@
         }
     }
 
-    /// Enters a command of this broker into the log, where it leads.
+    /// Proposes a command of this broker to the log, if its voter leads.
     pub(super) fn propose(&mut self, command: Command) -> Result<(), Rejection> {
         let by = self.name.clone();
         self.propose_on_behalf_of(&by, command)
     }
 
-    /// Enters a command that the broker `by` has sent.
+    /// Proposes a command that the broker `by` has sent to the log, if this broker's voter leads. `by` is only used to explain a
+    /// refusal.
     pub(super) fn propose_on_behalf_of(&mut self, by: &str, command: Command) -> Result<(), Rejection> {
         let is_silent = self.is_voter_silent();
         let Some(voter) = self.voter.as_mut().filter(|_| !is_silent) else {
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Logs a committed entry and its explanation.
+    /// Logs the outcome of a committed entry and its explanation.
     fn log_outcome(&self, outcome: EntryOutcome) {
         let EntryOutcome { index, result } = outcome;
         if let Some(state) = self.voter.as_ref().map(Voter::state) {
@@ -154,11 +157,11 @@
         }
         match result {
             Ok(change) => debug!("fleet: entry {index}: {change:?}"),
-            Err(why) => info!("fleet: entry {index} is left out: {why} ({})", why.help()),
+            Err(why) => info!("fleet: entry {index} is ignored: {why} ({})", why.help()),
         }
     }
 
-    /// Logs the explanation of a refusal; one that repeats is logged once.
+    /// Logs the explanation of a refusal, unless the refusal is routine or the same as the last one.
     fn explain_refusal(&mut self, entry: &ProposedEntry, why: &Rejection) {
         let is_routine = matches!(
             why,
