--- a/crates/dunepond-control-plane/src/explain/mod.rs
+++ b/crates/dunepond-control-plane/src/explain/mod.rs
@@ -1,5 +1,5 @@
-//! Explanations: one log line for each decision of the control plane, with the authority on which it was taken, the limit
-//! that applied, and the alternatives. Pure: a line is made of the decision alone.
+//! Explanations: one log line for each decision of the control plane, with who decided it and why, the limit that applied, and
+//! the alternatives. A line depends only on the decision and the state that it is built from.
 //!
 //! Names and reasons come from operators' files and other brokers, so each field is truncated: no line is longer than
 //! [`MAX_LINE_BYTES`], and none contains a line break.
@@ -15,29 +15,29 @@
 pub use text::MAX_LINE_BYTES;
 use text::{abbreviated_list, proposer_and_reason, shortened, truncated};
 
-/// What a line is about.
+/// The kind of decision that a line explains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
-    /// A version that is proposed, staged, rolled back, in force or withdrawn.
+    /// A version was proposed, staged, rolled back, activated or withdrawn.
     Version,
-    /// A command that was refused, or is ignored in the log.
+    /// A command was refused, or an entry of the log is ignored.
     Refused,
-    /// A fill that is planned or done.
+    /// A fill was planned or completed.
     Fill,
-    /// A settlement that was applied.
+    /// A settlement was applied.
     Settlement,
-    /// The shares of quotas have changed.
+    /// The brokers' shares of the quotas changed.
     Quota,
-    /// A step of a rebalancing plan.
+    /// A rebalancing plan progressed.
     Rebalance,
-    /// A change of voters.
+    /// A change of the voters started or was completed.
     Voters,
     /// Any other entry of the log.
     Entry,
 }
 
 impl Subject {
-    /// Name in the log's field `about`.
+    /// Name of the subject in the log field `about`.
     pub fn name(self) -> &'static str {
         match self {
             Self::Version => "version",
@@ -52,30 +52,32 @@
     }
 }
 
-/// One decision.
+/// The explanation of one decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// What it is about.
+    /// The kind of decision.
     pub subject: Subject,
     /// The decision and its outcome.
     pub what: String,
-    /// Who decided it or asked for it, and why; `word` in the log.
+    /// Who made or requested the decision, and why. Its log field is `word`.
     pub authority: String,
-    /// Limits that applied.
+    /// The limits that applied.
     pub limit: String,
-    /// Other choices, or the state it was weighed against; `weighed` in the log.
+    /// The alternatives, or the state that the decision was based on. Its log field is `weighed`.
     pub alternatives: String,
 }
 
-/// A proposed command, as far as a line names it.
+/// Description of a proposed command or an entry of the log, for the explanation of a refusal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProposedEntry {
+    /// The command or the entry.
     what: String,
+    /// Who proposed it, and why.
     authority: String,
 }
 
 impl ProposedEntry {
-    /// `by`: the broker that proposes it.
+    /// Describes a command that the broker `by` proposes.
     pub fn of(command: &Command, by: &str) -> Self {
         let what = match command {
             Command::Propose(version) => format!("version {}", version.number),
@@ -94,9 +96,9 @@
         Self { what, authority }
     }
 
-    /// An entry that is in the log.
+    /// Describes an ignored entry that is already in the log, by its index.
     pub fn logged(index: u64) -> Self {
-        Self { what: format!("entry {index} is ignored"), authority: String::from("the agreed log") }
+        Self { what: format!("entry {index} is ignored"), authority: String::from("the replicated log") }
     }
 }
 
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Explains a command that was refused, or an entry of the log that is ignored by all.
+    /// Explains why a command was refused, or why an entry of the log is ignored by all brokers.
     pub fn for_refusal(entry: &ProposedEntry, why: &Rejection, state: &ReplicatedState) -> Self {
         let open = state.open.as_ref().map_or(0, |open| open.version.number);
         let alternatives =
@@ -119,7 +121,7 @@
         Self::new(Subject::Refused, &entry.what, &entry.authority, &why.to_string(), &alternatives)
     }
 
-    /// Explains a planned fill: why this source, among those of its demand.
+    /// Explains a planned fill: its source, and the other sources in its demand.
     pub fn for_fill(fill: &Fill, demand: Option<&FillDemand>, balances: &Balances) -> Self {
         let settles = fill.settles.as_ref().map_or(0, |settlement| settlement.bytes);
         let what =
@@ -127,7 +129,7 @@
         let authority = format!("version {}, planned by the leader", fill.id.split('/').next().unwrap_or(""));
         let terms = balances.terms();
         let limit = format!(
-            "{:.0} bytes a second of {:.0} at most; {settles} of {} bytes paid off, {} a fill at most",
+            "{:.0} bytes per second, at most {:.0}; {settles} of {} bytes paid off, at most {} per fill",
             fill.rate, terms.max_fill_rate, fill.bytes, terms.max_fill_bytes
         );
         let others =
@@ -152,16 +154,16 @@
         let authority = format!("{}, for a fill from {}", shortened(settlement.broker()), shortened(source));
         let gross = balances.gross(creditor, debtor);
         let limit =
-            format!("{gross} bytes were seen, {} of them are settled", balances.settled(debtor, creditor));
+            format!("{gross} bytes were carried, {} of them are settled", balances.settled(debtor, creditor));
         let alternatives = format!(
-            "{} still open, {} the other way",
+            "{} still owed, {} in the other direction",
             balances.net_debt(debtor, creditor),
             balances.net_debt(creditor, debtor)
         );
         Self::new(Subject::Settlement, &what, &authority, &limit, &alternatives)
     }
 
-    /// Writes the line to the program's log.
+    /// Logs the explanation as one line.
     pub fn log(&self) {
         // The names of the fields are documented for operators.
         let Self { subject, what, authority: word, limit, alternatives: weighed } = self;
--- a/crates/dunepond-control-plane/src/explain/text.rs
+++ b/crates/dunepond-control-plane/src/explain/text.rs
@@ -1,17 +1,17 @@
-//! Fields of a line: names and reasons of others, truncated.
+//! Truncation of the fields of an explanation, which contain names and reasons from files and other brokers.
 
 use dunepond_consensus::ConfigVersion;
 
-/// Longest field.
+/// Maximum length of a field.
 const MAX_FIELD_BYTES: usize = 160;
-/// Longest line.
+/// Maximum length of an explanation's line, in bytes.
 pub const MAX_LINE_BYTES: usize = 4 * MAX_FIELD_BYTES + 64;
-/// Longest name or reason inside a field, in characters.
+/// Maximum length of a name or reason inside a field, in characters.
 const MAX_NAME_CHARS: usize = 40;
-/// Most alternatives that a line names.
+/// Maximum number of list items that a field names.
 const MAX_NAMED_COUNT: usize = 3;
 
-/// A field in one line, no longer than [`MAX_FIELD_BYTES`].
+/// The text on one line, truncated to [`MAX_FIELD_BYTES`].
 pub(super) fn truncated(text: &str) -> String {
     let mut short = String::new();
     for c in text.chars().map(|c| if c.is_control() { ' ' } else { c }) {
@@ -24,7 +24,7 @@
     short
 }
 
-/// A name or reason, no longer than [`MAX_NAME_CHARS`].
+/// A name or reason, truncated to [`MAX_NAME_CHARS`] plus an ellipsis.
 pub(super) fn shortened(text: &str) -> String {
     match text.char_indices().nth(MAX_NAME_CHARS) {
         Some((end, _)) => format!("{}...", &text[..end]),
@@ -32,7 +32,7 @@
     }
 }
 
-/// The first [`MAX_NAMED_COUNT`] names, and the number of the rest.
+/// The first [`MAX_NAMED_COUNT`] names, and how many more there are.
 pub(super) fn abbreviated_list(names: impl Iterator<Item = String>) -> String {
     let names: Vec<String> = names.collect();
     let more = names.len().saturating_sub(MAX_NAMED_COUNT);
@@ -40,7 +40,7 @@
     if more > 0 { format!("{named} and {more} more") } else { named }
 }
 
-/// Who proposed a version, and why.
+/// The proposer of a version and the reason for it, both shortened.
 pub(super) fn proposer_and_reason(version: &ConfigVersion) -> String {
     format!("{}: {}", shortened(&version.proposed_by), shortened(&version.reason))
 }
--- a/crates/dunepond-control-plane/src/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/tests/mod.rs
@@ -1,3 +1,3 @@
-//! Tests of what several modules of this crate share.
+//! Tests that concern several modules of this crate.
 
 pub(crate) mod golden;
--- a/crates/dunepond-control-plane/tests/support/mod.rs
+++ b/crates/dunepond-control-plane/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! What the tests of one control plane share.
+//! Support for tests of a single control plane.
 
 use dunepond_consensus::ConsensusConfig;
 use dunepond_shard_map::MapConstraints;
 
-/// The terms of a fleet whose only voter is `n1`, with short leases.
+/// Consensus configuration of a fleet whose only voter is `n1`, with short leases.
 pub fn single_voter(maps_enabled: bool) -> ConsensusConfig {
     ConsensusConfig {
         name: "n1".to_string(),
