--- a/crates/dunepond-control-plane/src/audit_log/event.rs
+++ b/crates/dunepond-control-plane/src/audit_log/event.rs
@@ -25,8 +25,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "lowercase")]
 pub enum AuditEvent {
-    /// The phase of the configuration and the versions that apply from now on. Recorded whenever they change, and with each
-    /// lease.
+    /// The phase of the configuration and the versions that apply from now on. Recorded whenever they change, and with
+    /// each lease.
     Phase {
         /// Phase of the configuration.
         phase: AuditPhase,
@@ -141,9 +141,10 @@
         /// Digest of the withdrawn version.
         digest: String,
     },
-    /// The broker's share of the shared quotas, in units (millionths of a quota). From this record on the broker may use the
-    /// floor and, until the lease expires, the leased units. It may use nothing before `usable_from`, when the use by its
-    /// earlier incarnations has left every window, and nothing if it is not `admitted`. Recorded again with each lease.
+    /// The broker's share of the shared quotas, in units (millionths of a quota). From this record on the broker may
+    /// use the floor and, until the lease expires, the leased units. It may use nothing before `usable_from`, when the
+    /// use by its earlier incarnations has left every window, and nothing if it is not `admitted`. Recorded again with
+    /// each lease.
     #[serde(rename = "share")]
     QuotaShare {
         /// Generation of the allocation in the replicated log; 0 if there is none.
--- a/crates/dunepond-control-plane/src/audit_log/mod.rs
+++ b/crates/dunepond-control-plane/src/audit_log/mod.rs
@@ -1,7 +1,7 @@
 //! The audit log: a file of this broker's actions with one JSON object per line, written by a dedicated thread.
 //!
-//! Callers never wait for the disk. If the queue to the thread is full, records are dropped, and the number of lost records is
-//! recorded later.
+//! Callers never wait for the disk. If the queue to the thread is full, records are dropped, and the number of lost
+//! records is recorded later.
 
 mod event;
 
@@ -34,7 +34,8 @@
 #[derive(Clone)]
 pub struct AuditSender {
     messages: Sender<WriterMessage>,
-    /// Number of events that were lost, because the queue was full or a write failed, since the last `RecordsLost` event.
+    /// Number of events that were lost, because the queue was full or a write failed, since the last `RecordsLost`
+    /// event.
     lost: Arc<AtomicU64>,
 }
 
--- a/crates/dunepond-control-plane/src/commitments.rs
+++ b/crates/dunepond-control-plane/src/commitments.rs
@@ -1,9 +1,9 @@
-//! Commitments of this broker that are not in the replicated log yet: settlements that are promised from its own shares, and
-//! fills in progress.
+//! Commitments of this broker that are not in the replicated log yet: settlements that are promised from its own
+//! shares, and fills in progress.
 //!
-//! A partitioned broker settles from its own shares only, so its commitments must survive a restart. They are stored before
-//! a fill starts and before a part of a share is released. The encoding is postcard, so the order of the fields must not
-//! change.
+//! A partitioned broker settles from its own shares only, so its commitments must survive a restart. They are stored
+//! before a fill starts and before a part of a share is released. The encoding is postcard, so the order of the fields
+//! must not change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,8 +22,8 @@
     pub done: bool,
 }
 
-/// Identifies one of this broker's own fills that is done. It is remembered so that a later version does not fill the node
-/// again for the same start.
+/// Identifies one of this broker's own fills that is done. It is remembered so that a later version does not fill the
+/// node again for the same start.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FinishedFill {
     /// Id of the segment that was filled.
@@ -34,8 +34,8 @@
     pub incarnation: u64,
 }
 
-/// All commitments of this broker, stored together with the ledger that they are based on: if one were older than the other
-/// after a restart, the remaining share would appear larger than it is.
+/// All commitments of this broker, stored together with the ledger that they are based on: if one were older than the
+/// other after a restart, the remaining share would appear larger than it is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Commitments {
     /// Settlements promised from this broker's own shares.
--- a/crates/dunepond-control-plane/src/config.rs
+++ b/crates/dunepond-control-plane/src/config.rs
@@ -38,7 +38,8 @@
     pub slow_start: Option<SlowStartPolicy>,
     /// Quotas that all brokers share. With `None` each broker enforces its quotas alone.
     pub quotas: Option<QuotaConfig>,
-    /// Configuration of rebalancing plans (splits, merges and moves of segments). With `None` this broker reads no plan file.
+    /// Configuration of rebalancing plans (splits, merges and moves of segments). With `None` this broker reads no plan
+    /// file.
     pub rebalancing: Option<RebalanceConfig>,
     /// Number of query classes. Lists by query class in a version must have this many entries.
     pub query_class_count: usize,
@@ -53,8 +54,8 @@
     pub name: String,
     /// Names of the partner's brokers, whose traffic counts are attributed to it.
     pub brokers: Vec<String>,
-    /// Whether the partner's brokers also count the traffic that its own nodes carry for others. If so, the lower of both
-    /// partners' counts is owed.
+    /// Whether the partner's brokers also count the traffic that its own nodes carry for others. If so, the lower of
+    /// both partners' counts is owed.
     pub metered: bool,
 }
 
@@ -103,8 +104,8 @@
     pub bytes_per_second: u64,
     /// Maximum number of concurrent fill attempts, separately for the fills of versions and for the broker's own fills.
     pub max_concurrent_fills: usize,
-    /// Whether each broker also fills the nodes in slow start that it is responsible for, and settles these fills from its
-    /// own share.
+    /// Whether each broker also fills the nodes in slow start that it is responsible for, and settles these fills from
+    /// its own share.
     pub fill_started_nodes: bool,
 }
 
--- a/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
@@ -124,15 +124,15 @@
         }
     }
 
-    /// Handles a failed attempt: if there is another source, removes the fill so that the next review plans it from there.
-    /// Otherwise the fill stays, and its source is tried again after the back-off.
+    /// Handles a failed attempt: if there is another source, removes the fill so that the next review plans it from
+    /// there. Otherwise the fill stays, and its source is tried again after the back-off.
     fn avoid_source(&mut self, fill: &Fill) {
         self.version_fills.avoided_sources.note_failure(&fill.id, &fill.source);
         let Some(demands) = self.version_fill_demands() else { return };
         self.version_fills.avoided_sources.retain(|id| demands.iter().any(|demand| demand.id() == id));
         let Some(demand) = demands.iter().find(|demand| demand.id() == fill.id) else { return };
         if demand.sources.iter().all(|source| source.node != fill.source) {
-            info!("fleet: fill {}: trying another source than {}", fill.id, fill.source);
+            info!("fleet: fill {}: failed from {}, trying another source", fill.id, fill.source);
             self.version_fills.planner.fill_ended(&fill.id, false);
             self.version_fills.active.remove(&fill.id);
         }
--- a/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
@@ -14,14 +14,15 @@
 
 /// Time after which an entry that is not in the log is proposed again.
 const ENTRY_RETRY_SECONDS: f64 = 1.0;
-/// Name under which fills of versions are settled. It does not depend on the leader: otherwise a fill could be settled once
-/// under the name of each leader. When debts are split in advance, this name gets a share, which only settlements of versions'
-/// fills spend.
+/// Name under which fills of versions are settled. It does not depend on the leader: otherwise a fill could be settled
+/// once under the name of each leader. When debts are split in advance, this name gets a share, which only settlements
+/// of versions' fills spend.
 pub const LOG_SHARE_HOLDER: &str = "fleet";
 
 impl ControlLoop {
-    /// Records when this broker first saw each started fill in the log, which is never before the fill started. For fills that
-    /// are in the log when this broker starts, the time is computed from the start time by the leader's clock.
+    /// Records when this broker first saw each started fill in the log, which is never before the fill started. For
+    /// fills that are in the log when this broker starts, the time is computed from the start time by the leader's
+    /// clock.
     pub(in crate::control_loop) fn note_started_fills(&mut self) {
         let (now, fills) = (monotonic_seconds(), &mut self.version_fills);
         let ledger = self.traffic.balances.ledger();
@@ -33,8 +34,8 @@
         fills.first_seen_at.retain(|fill, _| ledger.has_started(&fill.id, &fill.source_partner));
     }
 
-    /// When this broker becomes the leader, resumes the fills that the previous leader started, and counts them in the planner's
-    /// windows.
+    /// When this broker becomes the leader, resumes the fills that the previous leader started, and counts them in the
+    /// planner's windows.
     pub(super) fn resume_started_fills(&mut self, demands: &[FillDemand], now: f64) {
         let fills = &mut self.version_fills;
         if std::mem::replace(&mut fills.is_leading, true) {
@@ -78,8 +79,9 @@
         self.apply_voter_entries();
     }
 
-    /// Proposes the settlement and then the completion of each finished fill, until the log has them. The order matters: after a
-    /// crash in between, the fill is still required, and the fill service responds at once to the next leader's request.
+    /// Proposes the settlement and then the completion of each finished fill, until the log has them. The order
+    /// matters: after a crash in between, the fill is still required, and the fill service responds at once to the next
+    /// leader's request.
     pub(super) fn propose_finished_fills(&mut self) {
         for (fill, result) in self.due_finished_fills() {
             let settled = match self.settlement_of(&fill, &result) {
@@ -126,8 +128,8 @@
         self.propose(Command::FillCompleted { number: self.version_fills.version, segment, holder })
     }
 
-    /// Handles a settlement that the log refuses for good, because the share is spent or the fill is already settled. The replica
-    /// is filled nevertheless.
+    /// Handles a settlement that the log refuses for good, because the share is spent or the fill is already settled.
+    /// The replica is filled nevertheless.
     fn on_settlement_refused(&mut self, fill: &Fill, why: &SettlementError) {
         info!("fleet: fill {}: settlement refused: {why} ({})", fill.id, why.help());
         self.version_fills.planner.settlement_rejected(&fill.id);
@@ -136,8 +138,8 @@
         }
     }
 
-    /// The settlement of the fill by its actual source, which may differ from the planned one. `None` if nothing is owed between
-    /// the two partners.
+    /// The settlement of the fill by its actual source, which may differ from the planned one. `None` if the fill
+    /// settles nothing.
     fn settlement_of(&self, fill: &Fill, result: &FillResult) -> Option<Settlement> {
         if result.source == fill.source {
             return fill.settles.clone();
--- a/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
@@ -1,10 +1,10 @@
-//! Fills of replicas, by two schedulers. The leader plans the fills that the map of the proposed version requires. Each broker
-//! plans fills of the nodes in slow start that it is responsible for ([`own`]). Attempts run on their own threads
-//! ([`scheduler`]).
+//! Fills of replicas, by two schedulers. The leader plans the fills that the map of the proposed version requires. Each
+//! broker plans fills of the nodes in slow start that it is responsible for ([`own`]). Attempts run on their own
+//! threads ([`scheduler`]).
 //!
-//! The id of a fill does not depend on who plans it or how often. So the fill service responds at once if a fill was already
-//! done before a crash, and a fill is settled only once. A leader adds a fill to the log before it starts ([`log_entries`]),
-//! so that the next leader continues it and counts it against its limits.
+//! The id of a fill does not depend on who plans it or how often. So the fill service responds at once if a fill was
+//! already done before a crash, and a fill is settled only once. A leader adds a fill to the log before it starts
+//! ([`log_entries`]), so that the next leader continues it and counts it against its limits.
 
 mod attempts;
 mod demands;
@@ -61,8 +61,8 @@
         self.advance_fills(FillKind::Own, now);
     }
 
-    /// Removes the fills of the proposed version that are completed in the log or no longer required. The bytes that a completed
-    /// fill did not settle are counted as carried.
+    /// Removes the fills of the proposed version that are completed in the log or no longer required. The bytes that a
+    /// completed fill did not settle are counted as carried.
     fn remove_unneeded_fills(&mut self, demands: &[FillDemand]) {
         let required: BTreeSet<_> = demands.iter().map(FillDemand::id).collect();
         let fills = &mut self.version_fills;
--- a/crates/dunepond-control-plane/src/control_loop/fills/own.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/own.rs
@@ -1,4 +1,5 @@
-//! This broker's own fills: fills of replicas on nodes in slow start that it is responsible for, and the commitments to them.
+//! This broker's own fills: fills of replicas on nodes in slow start that it is responsible for, and the commitments to
+//! them.
 
 use dunepond_consensus::ActiveConfig;
 use dunepond_settlement::{Fill, FillDemand, FillSource, SlowStartCapacity};
@@ -11,7 +12,8 @@
 use crate::fill_client::FillResult;
 use crate::slow_start::{COUNTING_UNIT_BYTES, StartedNode};
 
-/// Fraction of a node's warm-up time after which another broker takes over its fills if the responsible broker is not alive.
+/// Fraction of a node's warm-up time after which another broker takes over its fills if the responsible broker is not
+/// alive.
 const TAKEOVER_RATIO: f64 = 1.0 / 3.0;
 
 impl ControlLoop {
@@ -22,8 +24,8 @@
         started.iter().filter(|node| now < node.started_at + policy.warm_up_seconds).cloned().collect()
     }
 
-    /// Capacity of the nodes in slow start that fills of this kind may use here. The underlying limit applies to all brokers
-    /// together; it is the lower of the deployment's limit and that of the versions that apply.
+    /// Capacity of the nodes in slow start that fills of this kind may use here. The underlying limit applies to all
+    /// brokers together; it is the lower of the deployment's limit and that of the versions that apply.
     pub(super) fn slow_start_capacity(&self, now: f64, kind: FillKind) -> SlowStartCapacity {
         let rules_multiple = self
             .lease_client
@@ -45,8 +47,9 @@
         }
     }
 
-    /// Fraction of all brokers' total capacity that a scheduler of this broker may use. If brokers have their own fills, half
-    /// is for the leader's fills of versions and the brokers share the other half evenly; otherwise the leader may use it all.
+    /// Fraction of all brokers' total capacity that a scheduler of this broker may use. If brokers have their own
+    /// fills, half is for the leader's fills of versions and the brokers share the other half evenly; otherwise the
+    /// leader may use it all.
     pub(super) fn capacity_ratio(&self, kind: FillKind) -> f64 {
         match kind {
             FillKind::Version if self.settlement.fill_started_nodes => 0.5,
@@ -55,9 +58,9 @@
         }
     }
 
-    /// Whether this broker is responsible for filling a replica. The responsible broker is one of the replica's partner, or one of
-    /// all brokers if that partner has no brokers. Every broker computes the same one, until a takeover depends on which brokers
-    /// it sees alive.
+    /// Whether this broker is responsible for filling a replica. The responsible broker is one of the replica's
+    /// partner, or one of all brokers if that partner has no brokers. Every broker computes the same one.
+    /// After the takeover time, the result depends on which brokers this one sees alive.
     fn is_responsible_for(
         &self,
         replica: &Replica,
@@ -75,8 +78,8 @@
         let takeover = self
             .slow_start
             .is_some_and(|policy| now >= started.started_at + TAKEOVER_RATIO * policy.warm_up_seconds);
-        // Two brokers that cannot see each other may both fill the replica. That is harmless: the fill has the same id at both
-        // and is settled once.
+        // Two brokers that cannot see each other may both fill the replica. That is harmless: the fill has the same id
+        // at both and is settled once.
         let responsible = if takeover {
             candidates.iter().find(|broker| self.is_alive(broker))
         } else {
@@ -85,8 +88,8 @@
         responsible.is_some_and(|broker| **broker == self.name)
     }
 
-    /// Demands for the filled replicas of the active map on nodes in slow start that this broker is responsible for. They do not
-    /// depend on a valid lease.
+    /// Demands for the filled replicas of the active map on nodes in slow start that this broker is responsible for.
+    /// They do not depend on a valid lease.
     pub(super) fn own_fill_demands(&self, now: f64) -> Vec<FillDemand> {
         let warming = self.warming_nodes(now);
         if !self.settlement.fill_started_nodes || warming.is_empty() {
@@ -129,8 +132,8 @@
         })
     }
 
-    /// Stores the commitment to one of this broker's own fills before it starts. Returns false if the fill must not start, because
-    /// the share does not suffice or the commitment could not be stored.
+    /// Stores the commitment to one of this broker's own fills before it starts. Returns false if the fill must not
+    /// start, because the share does not suffice or the commitment could not be stored.
     pub(super) fn commit_fill(&mut self, fill: &Fill) -> bool {
         let ledger = self.traffic.balances.ledger().clone();
         if let Some(settlement) = &fill.settles
@@ -148,16 +151,17 @@
         true
     }
 
-    /// Drops the commitment to a fill, for example because all its attempts failed. The change is stored later; a restart before
-    /// that resumes the fill.
+    /// Drops the commitment to a fill, for example because all its attempts failed. The change is stored later; a
+    /// restart before that resumes the fill.
     pub(super) fn abandon_commitment(&mut self, id: &str) {
         self.settlement.commitments.shares.cancel(id);
         self.settlement.commitments.fills.remove(id);
         self.settlement.unsaved = true;
     }
 
-    /// Ends one of this broker's own fills once it has a result. From then on its settlement is sent to the leader until the log
-    /// has it. Carried bytes are counted after this is stored, so a crash in between can make a debt too small but never too large.
+    /// Ends one of this broker's own fills once it has a result. From then on its settlement is sent to the leader
+    /// until the log has it. Carried bytes are counted after this is stored, so a crash in between can make a debt too
+    /// small but never too large.
     pub(super) fn finish_own_fill_if_done(&mut self, id: &str) {
         let result = self.own_fills.active.get(id).and_then(|active| active.result.clone());
         let Some(result) = result else { return };
@@ -173,7 +177,8 @@
             }
             (fill.from.clone(), fill.unsettled_bytes())
         } else {
-            // Another broker requested this fill earlier from another source, so the promised settlement does not apply.
+            // Another broker requested this fill earlier from another source, so the promised settlement does not
+            // apply.
             self.own_fills.planner.settlement_rejected(id);
             self.abandon_commitment(id);
             (self.source_partner(&fill, &result), result.bytes)
@@ -192,7 +197,8 @@
         replica.map_or(fill.to.clone(), |replica| replica.partner.clone())
     }
 
-    /// Remembers that a fill is done for this start of its node, as long as discovery lists the node with this incarnation.
+    /// Remembers that a fill is done for this start of its node, as long as discovery lists the node with this
+    /// incarnation.
     fn remember_finished_fill(&mut self, fill: &Fill) {
         let incarnation = fill.id.rsplit_once('+').and_then(|(_, suffix)| suffix.parse().ok()).unwrap_or(0);
         let started = self.started_nodes.load();
--- a/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
@@ -14,8 +14,8 @@
 
 /// Time between two reviews of the required fills.
 const REVIEW_INTERVAL_SECONDS: f64 = 0.1;
-/// Maximum time that a request to the fill service waits for its response. If a fill takes longer, it is requested again, and
-/// the fill service continues it.
+/// Maximum time that a request to the fill service waits for its response. If a fill takes longer, it is requested
+/// again, and the fill service continues it.
 const MAX_REQUEST_SECONDS: f64 = 600.0;
 
 /// The kind of fills that a scheduler plans.
@@ -132,7 +132,7 @@
     pub(super) avoided_sources: AvoidedSources,
     /// When the next review of the required fills is due.
     pub(super) next_review_at: f64,
-    /// Whether this broker has led since its last review, and so has resumed the previous leader's fills.
+    /// Whether this broker led at the last review. If so, the fills of the previous leader are already resumed.
     pub(super) is_leading: bool,
     /// When this broker first saw each started fill in the log, in seconds on the monotonic clock.
     pub(super) first_seen_at: BTreeMap<StartedFillKey, f64>,
@@ -173,7 +173,7 @@
         true
     }
 
-    /// Drops all active fills after a change of the version or the leader, as they are no longer this broker's responsibility.
+    /// Drops all active fills, because the version or the leader has changed and they are no longer this broker's.
     pub(super) fn abandon_all(&mut self) {
         for (id, _) in std::mem::take(&mut self.active) {
             self.planner.fill_ended(&id, false);
@@ -205,8 +205,8 @@
             .any(|settlement| settlement.debtor == debtor && settlement.creditor == creditor)
     }
 
-    /// Starts an attempt of the fill. Its request waits for the attempt's timeout, but at most for [`MAX_REQUEST_SECONDS`], as it
-    /// occupies a thread and a connection.
+    /// Starts an attempt of the fill. Its request waits for the attempt's timeout, but at most for
+    /// [`MAX_REQUEST_SECONDS`], as it occupies a thread and a connection.
     pub(super) fn start_attempt(&self, fill: &Fill) {
         let request = FillRequest {
             id: fill.id.clone(),
--- a/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
@@ -1,5 +1,5 @@
-//! Sources that a fill avoids while it has others: those from which an attempt has failed, and those that discovery lists as
-//! draining. Otherwise a fill could retry a failed source until its version is withdrawn.
+//! Sources that a fill avoids while it has others: those from which an attempt has failed, and those that discovery
+//! lists as draining. Otherwise a fill could retry a failed source until its version is withdrawn.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,8 +20,8 @@
         self.0.retain(|id, _| is_required(id));
     }
 
-    /// The sources that the fill may use. Draining sources are used only if all are draining; of the remaining sources, those
-    /// from which an attempt has failed are used only if attempts have failed from all of them.
+    /// The sources that the fill may use. Draining sources are used only if all are draining; of the remaining sources,
+    /// those from which an attempt has failed are used only if attempts have failed from all of them.
     pub fn usable(
         &self,
         id: &str,
--- a/crates/dunepond-control-plane/src/control_loop/leases.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leases.rs
@@ -55,8 +55,8 @@
         self.pass_to_own_voter(request);
     }
 
-    /// Delivers a lease reply of this broker's voter: to this broker itself, as the response to a peer's pending request, or as a
-    /// new message to a broker that sent its request to another voter.
+    /// Delivers a lease reply of this broker's voter: to this broker itself, as the response to a peer's pending
+    /// request, or as a new message to a broker that sent its request to another voter.
     pub(super) fn send_lease_reply(&mut self, broker: String, reply: LeaseReply) {
         if broker == self.name {
             return self.apply_lease_reply(&broker, reply);
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Handles a lease reply that the leader sends as a message, after another voter forwarded this broker's request to it.
+    /// Handles a lease reply that the leader sends as a message, after another voter forwarded this broker's request to
+    /// it.
     pub(super) fn on_pushed_reply(&mut self, from: &str, body: &[u8]) {
         // Only voters may send lease replies.
         if !self.lease_client.voters().iter().any(|voter| voter == from) {
--- a/crates/dunepond-control-plane/src/control_loop/messages.rs
+++ b/crates/dunepond-control-plane/src/control_loop/messages.rs
@@ -1,4 +1,5 @@
-//! Dispatch of messages between brokers: peers' requests to their handlers, and responses to the handlers of what was requested.
+//! Dispatch of messages between brokers: peers' requests to their handlers, and responses to the handlers of what was
+//! requested.
 
 use std::collections::HashMap;
 
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -1,7 +1,7 @@
 //! The control loop: the thread that owns the voter, the lease client, the data directory and the links.
 //!
-//! Each iteration waits for an event, handles the queued messages from peers, and if a tick is due runs the periodic tasks in a
-//! fixed order ([`ControlLoop::tick`]).
+//! Each iteration waits for an event, handles the queued messages from peers, and if a tick is due runs the periodic
+//! tasks in a fixed order ([`ControlLoop::tick`]).
 
 mod fills;
 mod leader_search;
@@ -156,8 +156,8 @@
         self.peers.stop();
     }
 
-    /// Runs the periodic tasks. The voter and the lease come first, as the other tasks depend on whether this broker leads and
-    /// on its active configuration.
+    /// Runs the periodic tasks. The voter and the lease come first, as the other tasks depend on whether this broker
+    /// leads and on its active configuration.
     fn tick(&mut self) {
         let now = monotonic_seconds();
         self.state.last_tick = now;
--- a/crates/dunepond-control-plane/src/control_loop/proposals.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals.rs
@@ -22,7 +22,8 @@
 const PROPOSAL_TIMEOUT_LEASES: f64 = 1.0;
 /// Time between two proposals of a document without a reply, as a multiple of the lease duration.
 const PROPOSAL_INTERVAL_LEASES: f64 = 0.25;
-/// Time after which this broker would know a version if it were active or proposed, as a multiple of the lease duration.
+/// Time after which this broker would know a version if it were active or proposed, as a multiple of the lease
+/// duration.
 const NUMBER_USED_LEASES: f64 = 2.0;
 
 /// The operator's document that is to be proposed, and the state of its proposal.
@@ -40,8 +41,8 @@
     /// When the document is proposed next.
     next_proposal_at: f64,
     leader_search: LeaderSearch,
-    /// When a voter first reported the document's number as used. The number may be used by this same document, if an earlier reply
-    /// was lost; then the next leases show the document as known.
+    /// When a voter first reported the document's number as used. The number may be used by this same document, if an
+    /// earlier reply was lost; then the next leases show the document as known.
     number_used_since: Option<f64>,
 }
 
@@ -82,8 +83,8 @@
 }
 
 impl Proposals {
-    /// Creates the state for the operator's document at `path`. When the document is read, it is verified against the other
-    /// arguments.
+    /// Creates the state for the operator's document at `path`. When the document is read, it is verified against the
+    /// other arguments.
     pub fn new(
         path: Option<PathBuf>,
         query_class_count: usize,
@@ -128,8 +129,8 @@
 }
 
 impl ControlLoop {
-    /// Proposes the operator's document to the leader, repeatedly until a lease shows that the log has it. A document whose number
-    /// is already known is dropped.
+    /// Proposes the operator's document to the leader, repeatedly until a lease shows that the log has it. A document
+    /// whose number is already known is dropped.
     pub(super) fn propose_document(&mut self) {
         let now = monotonic_seconds();
         let config = self.lease_client.active_config();
@@ -161,7 +162,8 @@
         self.send_request(&to, RequestKind::Propose, body, timeout_seconds, sent);
     }
 
-    /// Whether the document's number or a higher one is active or proposed. Logs a warning if another version has the same number.
+    /// Whether the document's number or a higher one is active or proposed. Logs a warning if another version has the
+    /// same number.
     fn is_known(&self, document: &Document, config: &ActiveConfig) -> bool {
         let version = match document {
             Document::Version(version) => version,
--- a/crates/dunepond-control-plane/src/control_loop/publish.rs
+++ b/crates/dunepond-control-plane/src/control_loop/publish.rs
@@ -61,8 +61,8 @@
 }
 
 impl ControlLoop {
-    /// Publishes the active configuration to the event loop and records the changes in the audit log, if the phase or the versions
-    /// have changed or if `leased`, that is, after a new lease.
+    /// Publishes the active configuration to the event loop and records the changes in the audit log, if the phase or
+    /// the versions have changed or if `leased`, that is, after a new lease.
     pub(super) fn publish(&mut self, leased: bool) {
         let (config, now) = (self.lease_client.active_config(), monotonic_seconds());
         let (phase, versions) = audit_phase(&config, now);
@@ -99,7 +99,8 @@
     /// Handles a newly granted lease: stores the configuration if it has changed, and publishes it.
     pub(super) fn on_lease(&mut self) {
         self.counters.leases.fetch_add(1, Relaxed);
-        // Stored before the event loop acts on it: after a restart the broker must know the strictest version that it was told of.
+        // Stored before the event loop acts on it: after a restart the broker must know the strictest version that it
+        // was told of.
         let revision = self.lease_client.persisted_revision();
         if self.state.saved_config != Some(revision) {
             match self.data.save_config(&self.lease_client.persisted_state()) {
--- a/crates/dunepond-control-plane/src/control_loop/quotas.rs
+++ b/crates/dunepond-control-plane/src/control_loop/quotas.rs
@@ -1,5 +1,5 @@
-//! Quotas that all brokers share: this broker reports its demand with its lease requests, and the leader plans the brokers'
-//! shares.
+//! Quotas that all brokers share: this broker reports its demand with its lease requests, and the leader plans the
+//! brokers' shares.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -107,7 +107,8 @@
             let report = reports.get(&share.broker);
             let demand = report.and_then(|report| report.report.demand_units.get(&share.quota));
             info!(
-                "fleet: quotas: {} of {}: {} units above the floor, previously {previous_units}; demand {}, {} units free",
+                "fleet: quotas: {} of {}: {} units above the floor, previously {previous_units}; \
+                 demand {}, {} units free",
                 share.quota,
                 share.broker,
                 share.units,
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
@@ -1,5 +1,5 @@
-//! Rebalancing plans: brokers offer the operator's plan to the leader ([`offers`]), and the leader carries out the accepted plan
-//! ([`steps`]).
+//! Rebalancing plans: brokers offer the operator's plan to the leader ([`offers`]), and the leader carries out the
+//! accepted plan ([`steps`]).
 //!
 //! The progress of a plan is only in the log, so a new leader continues exactly where the previous one stopped.
 
@@ -17,8 +17,8 @@
 
 /// Default pause between two steps of a plan, in seconds.
 pub const DEFAULT_SETTLE_SECONDS: f64 = 1.0;
-/// Time after which an offer is sent again to another leader, and an entry that is not committed is proposed again, as a multiple
-/// of the lease duration.
+/// Time after which an offer is sent again to another leader, and an entry that is not committed is proposed again, as
+/// a multiple of the lease duration.
 const RETRY_LEASES: f64 = 0.25;
 
 /// The operator's plan and the state of its offer, and the leader's state between two steps.
@@ -31,8 +31,8 @@
     must_read: bool,
     /// The plan that is to be offered, until its status is known.
     plan: Option<Plan>,
-    /// Whether the leader has accepted an offer of this plan. Further offers are repeats, in which the operator's command to run
-    /// the plan has no effect.
+    /// Whether the leader has accepted an offer of this plan. Further offers are repeats, in which the operator's
+    /// command to run the plan has no effect.
     offered: bool,
     /// When the plan is offered next.
     next_offer_at: f64,
@@ -56,8 +56,8 @@
 }
 
 impl Rebalancing {
-    /// Creates the state for the operator's plan file at `path`. `max_concurrent_actions` applies to the plans that this broker
-    /// offers, `settle_seconds` to the plans that it carries out as leader.
+    /// Creates the state for the operator's plan file at `path`. `max_concurrent_actions` applies to the plans that
+    /// this broker offers, `settle_seconds` to the plans that it carries out as leader.
     pub fn new(path: Option<PathBuf>, max_concurrent_actions: usize, settle_seconds: f64) -> Self {
         Self {
             must_read: path.is_some(),
@@ -126,8 +126,8 @@
         running.is_some_and(|running| running.pause.is_some() && running.started.is_some())
     }
 
-    /// Offers the operator's plan to the leader until the plan's status is known, and carries out the accepted plan if this broker
-    /// leads.
+    /// Offers the operator's plan to the leader until the plan's status is known, and carries out the accepted plan if
+    /// this broker leads.
     pub(super) fn rebalance(&mut self) {
         self.offer_plan();
         if self.is_leading() {
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Handles an offer if this broker leads: proposes the log entry for a new plan, or for the operator's command to a known one.
+    /// Handles an offer if this broker leads: proposes the log entry for a new plan, or for the operator's command to a
+    /// known one.
     fn accept_offer(&mut self, offer: PlanOffer) -> OfferReply {
         let Some(voter) = self.voter.as_ref().filter(|voter| voter.is_leader()) else {
             let leader = self.voter.as_ref().and_then(|voter| voter.leader());
@@ -158,7 +159,8 @@
     }
 }
 
-/// The log entry that carries out the operator's command for a plan that is in the log; `None` if the command changes nothing.
+/// The log entry that carries out the operator's command for a plan that is in the log; `None` if the command changes
+/// nothing.
 fn operator_entry(progress: &PlanProgress, offer: PlanOffer) -> Option<CommittedEntry> {
     let PlanOffer { plan: Plan { id, proposed_by, reason, desired_state, .. }, is_repeat, .. } = offer;
     let running = progress.running.as_ref().filter(|running| running.plan.id == id)?;
@@ -180,8 +182,8 @@
     }
 }
 
-/// The log entry that accepts a new plan, with its operations ordered into steps. Fails while another plan runs or a version is
-/// proposed.
+/// The log entry that accepts a new plan, with its operations ordered into steps. Fails while another plan runs or a
+/// version is proposed.
 fn ordered_plan(
     state: &ReplicatedState,
     plan: Plan,
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The next action for the running plan: to pause or resume it by the brokers' load, else as its progress requires. `None`
-    /// without a running plan, and while the last proposed entry may still be committed.
+    /// The next action for the running plan: to pause or resume it by the brokers' load, else as its progress requires.
+    /// `None` without a running plan, and while the last proposed entry may still be committed.
     fn next_step(&mut self, now: f64) -> Option<LeaderAction> {
         let voter = self.voter.as_ref()?;
         let (state, rebalancing) = (voter.state(), &mut self.rebalancing);
@@ -103,8 +103,8 @@
         self.running_plan().map_or(String::new(), |running| running.plan.id.clone())
     }
 
-    /// Logs an entry for the running plan. For the start of a step, logs who proposed the plan and why, what the step changes, and
-    /// how many operations are left.
+    /// Logs an entry for the running plan. For the start of a step, logs who proposed the plan and why, what the step
+    /// changes, and how many operations are left.
     fn log_step(&self, entry: &CommittedEntry) {
         let Some(running) = self.running_plan() else { return };
         let (id, proposer, reason) = (&running.plan.id, &running.plan.proposed_by, &running.plan.reason);
@@ -148,8 +148,8 @@
         })
     }
 
-    /// Proposes a command of the running plan. If it is rejected for a reason that will not pass by itself, pauses the plan until
-    /// an operator intervenes, as the voters would reject it again.
+    /// Proposes a command of the running plan. If it is rejected for a reason that will not pass by itself, pauses the
+    /// plan until an operator intervenes, as the voters would reject it again.
     fn propose_step(&mut self, command: Command) {
         let is_proposal = matches!(command, Command::Propose(_));
         let Err(why) = self.propose(command) else { return };
--- a/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
@@ -22,10 +22,12 @@
         }
     }
 
-    /// Applies the settlement entries that came with the last lease, if this broker is not a voter.
+    /// Applies the settlement entries that came with a lease. A voter gets its entries from its own log, and only applies
+    /// the ledger of another fleet from here.
     pub(in crate::control_loop) fn apply_leased_entries(&mut self) {
         for update in self.lease_client.take_settlement_updates() {
-            // A ledger with fewer entries than this broker has applied belongs to another fleet and replaces this broker's.
+            // A ledger with fewer entries than this broker has applied belongs to another fleet and replaces this
+            // broker's.
             let is_behind = update.ledger.is_some() && update.count < self.settlement.applied_entries;
             if self.voter.is_none() || is_behind {
                 self.apply_entries(update);
--- a/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
@@ -1,5 +1,5 @@
-//! Settlement at this broker: entries of the replicated log, shares of debts that are allotted in advance, and commitments that
-//! are sent to the leader until the log has them.
+//! Settlement at this broker: entries of the replicated log, shares of debts that are allotted in advance, and
+//! commitments that are sent to the leader until the log has them.
 
 mod log_entries;
 mod shares;
@@ -46,8 +46,8 @@
     }
 }
 
-/// Whether a broker other than the leader may propose the entry. Settlements and releases may only come from the broker whose share
-/// they use, as only that broker knows its promises; other entries only from the leader itself.
+/// Whether a broker other than the leader may propose the entry. Settlements and releases may only come from the broker
+/// whose share they use, as only that broker knows its promises; other entries only from the leader itself.
 fn may_propose(broker: &str, entry: &SettlementEntry) -> bool {
     match entry {
         SettlementEntry::Settle(settlement) => settlement.broker() == broker,
@@ -57,8 +57,8 @@
 }
 
 impl ControlLoop {
-    /// Stores the commitments together with the ledger. Returns false if they could not be stored; then actions that depend on them
-    /// must wait.
+    /// Stores the commitments together with the ledger. Returns false if they could not be stored; then actions that
+    /// depend on them must wait.
     pub(in crate::control_loop) fn save_commitments(&mut self) -> bool {
         let commitments = &mut self.settlement.commitments;
         commitments.ledger = self.traffic.balances.ledger().clone();
@@ -71,7 +71,8 @@
         saved.is_ok()
     }
 
-    /// If a review is due, releases surplus shares and sends due entries to the leader, and splits debts if this broker leads.
+    /// If a review is due, releases surplus shares and sends due entries to the leader, and splits debts if this broker
+    /// leads.
     pub(in crate::control_loop) fn review_settlements(&mut self) {
         let now = monotonic_seconds();
         if now < self.settlement.next_review_at || self.traffic.partners.is_empty() {
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Handles settlement entries from another broker: proposes them if this broker leads. The response only confirms that they
-    /// were received; the sender sees in the log what became of them.
+    /// Handles settlement entries from another broker: proposes them if this broker leads. The response only confirms
+    /// that they were received; the sender sees in the log what became of them.
     pub(in crate::control_loop) fn handle_entries(&mut self, from: &str, body: &[u8], responder: Responder) {
         if !self.is_leading() {
             let reason = RefusalReason::Declined("another leads".to_string());
--- a/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
@@ -5,8 +5,8 @@
 
 use crate::control_loop::{ControlLoop, LOG_SHARE_HOLDER};
 
-/// Divisor of the segment size for the minimum amount that is allotted or released at once. It avoids a log entry for every few
-/// bytes.
+/// Divisor of the segment size for the minimum amount that is allotted or released at once. It avoids a log entry for
+/// every few bytes.
 const SEGMENT_PARTS: u64 = 8;
 
 /// A part of this broker's share that it will not spend.
@@ -22,8 +22,9 @@
         (self.version_fills.limits.segment_bytes / SEGMENT_PARTS).max(1)
     }
 
-    /// Proposes to allot debts that are not allotted yet, evenly to all known brokers and to [`LOG_SHARE_HOLDER`], from whose share
-    /// the leader settles fills of versions. A broker that is partitioned later can then settle from its share.
+    /// Proposes to allot debts that are not allotted yet, evenly to all known brokers and to [`LOG_SHARE_HOLDER`], from
+    /// whose share the leader settles fills of versions. A broker that is partitioned later can then settle from its
+    /// share.
     pub(super) fn split_debts(&mut self) {
         let mut holders = self.all_brokers();
         holders.push(LOG_SHARE_HOLDER.to_string());
@@ -69,9 +70,9 @@
         None
     }
 
-    /// Bytes of this broker's share that it will not spend. Without own fills, that is the whole remaining share. Otherwise it is
-    /// the broker's part of what is allotted in excess of the current debt, which shrinks when the debtor carries traffic for the
-    /// creditor.
+    /// Bytes of this broker's share that it will not spend. Without own fills, that is the whole remaining share.
+    /// Otherwise it is the broker's part of what is allotted in excess of the current debt, which shrinks when the
+    /// debtor carries traffic for the creditor.
     fn surplus_bytes(&self, debtor: &str, creditor: &str) -> u64 {
         let ledger = self.traffic.balances.ledger();
         let remaining = self.settlement.commitments.shares.remaining(ledger, debtor, creditor);
--- a/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
@@ -1,4 +1,5 @@
-//! Counts of the bytes that partners carried for each other. They are exchanged with one random peer about every second.
+//! Counts of the bytes that partners carried for each other. They are exchanged with one random peer about every
+//! second.
 
 use std::sync::Arc;
 
@@ -39,7 +40,8 @@
 }
 
 impl TrafficCounts {
-    /// Creates the state from the stored `counts` and `balances`. `partners` are in the order of the event loop's indexes.
+    /// Creates the state from the stored `counts` and `balances`. `partners` are in the order of the event loop's
+    /// indexes.
     pub fn new(
         partners: Vec<String>,
         carried: Arc<CarriedBytes>,
@@ -93,7 +95,8 @@
         }
     }
 
-    /// Collects and stores the counts. Returns false if they could not be stored; only stored counts may be sent to peers.
+    /// Collects and stores the counts. Returns false if they could not be stored; only stored counts may be sent to
+    /// peers.
     pub(super) fn save_traffic(&mut self) -> bool {
         let traffic = &mut self.traffic;
         traffic.collect();
--- a/crates/dunepond-control-plane/src/control_loop/voter.rs
+++ b/crates/dunepond-control-plane/src/control_loop/voter.rs
@@ -1,7 +1,7 @@
 //! Runs this broker's voter: passes ticks, messages and proposed commands to it, and carries out its effects.
 //!
-//! A voter's promises are on disk before any message that depends on them is sent. After a failed write the voter is silent
-//! until its journal has been rewritten.
+//! A voter's promises are on disk before any message that depends on them is sent. After a failed write the voter is
+//! silent until its journal has been rewritten.
 
 use dunepond_consensus::{Command, ConsensusError, Effects, EntryOutcome, Rejection, Voter};
 use dunepond_membership::RequestKind;
@@ -123,8 +123,8 @@
         self.propose_on_behalf_of(&by, command)
     }
 
-    /// Proposes a command that the broker `by` has sent to the log, if this broker's voter leads. `by` is only used to explain a
-    /// refusal.
+    /// Proposes a command that the broker `by` has sent to the log, if this broker's voter leads. `by` is only used to
+    /// explain a refusal.
     pub(super) fn propose_on_behalf_of(&mut self, by: &str, command: Command) -> Result<(), Rejection> {
         let is_silent = self.is_voter_silent();
         let Some(voter) = self.voter.as_mut().filter(|_| !is_silent) else {
--- a/crates/dunepond-control-plane/src/data_directory.rs
+++ b/crates/dunepond-control-plane/src/data_directory.rs
@@ -22,8 +22,8 @@
 /// Length above which the journal is rewritten as one record.
 const MAX_JOURNAL_BYTES: u64 = 1 << 20;
 
-// Names of the stored files, which must not change, as earlier builds use them too. Snapshots get the suffix `-N.snapshot`, the
-// journal gets `.journal`.
+// Names of the stored files, which must not change, as earlier builds use them too. Snapshots get the suffix
+// `-N.snapshot`, the journal gets `.journal`.
 const STARTS: &str = "starts";
 const CONFIG: &str = "kept";
 const COUNTS: &str = "counts";
@@ -62,7 +62,8 @@
     /// Path of the directory, for error messages.
     path: &'a Path,
     files: Arc<dyn FileStore>,
-    /// Whether the files are on disk rather than a test double. Only then can the directory be checked for being a copy.
+    /// Whether the files are on disk rather than a test double. Only then can the directory be checked for being a
+    /// copy.
     is_real: bool,
 }
 
@@ -87,8 +88,8 @@
         Ok(loaded.newest.map(|snapshot| snapshot.bytes))
     }
 
-    /// Returns the decoded payload of the newest valid snapshot. If it cannot be decoded, logs that together with `consequence`,
-    /// which tells operators what the loss means, and returns `None`.
+    /// Returns the decoded payload of the newest valid snapshot. If it cannot be decoded, logs that together with
+    /// `consequence`, which tells operators what the loss means, and returns `None`.
     fn load_as<T: DeserializeOwned>(
         &self,
         name: &str,
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Stores and returns the incarnation of this start: `now` (Unix milliseconds), or the last incarnation plus one if that is
-    /// greater.
+    /// Stores and returns the incarnation of this start: `now` (Unix milliseconds), or the last incarnation plus one if
+    /// that is greater.
     fn next_incarnation(&self, now: u64) -> Result<u64, ControlPlaneError> {
         let last = self.load(STARTS)?.and_then(|bytes| postcard::from_bytes::<u64>(&bytes).ok());
         let incarnation = last.map_or(now, |last| now.max(last + 1));
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Opens the voter's journal. A journal that is damaged or in a copied directory is emptied: promises of this voter may be
-    /// missing from it, whereas the other voters can handle a voter with an empty journal.
+    /// Opens the voter's journal. A journal that is damaged or in a copied directory is emptied: promises of this voter
+    /// may be missing from it, whereas the other voters can handle a voter with an empty journal.
     fn open_journal(&self) -> Result<(Journal, StoredVoter), ControlPlaneError> {
         let opened = Journal::open(self.files.clone(), VOTER, FORMAT_VERSION);
         let (mut journal, recovered) = opened.map_err(|e| self.error(e))?;
@@ -184,7 +185,8 @@
     /// milliseconds, becomes the incarnation of this start unless a later one is stored.
     ///
     /// # Errors
-    /// If the directory does not exist, is in use or cannot be written. Damaged files are not an error: they are ignored.
+    /// If the directory does not exist, is in use or cannot be written. Damaged files are not an error: they are
+    /// ignored.
     pub fn open(
         path: &Path,
         files: Option<Arc<dyn FileStore>>,
@@ -256,7 +258,8 @@
         self.commitments.write(&bytes).map(drop)
     }
 
-    /// Stores the traffic counts, unless they are unchanged since the last call. To be called before they are sent to a peer.
+    /// Stores the traffic counts, unless they are unchanged since the last call. To be called before they are sent to a
+    /// peer.
     pub fn save_counts(&mut self, counts: &settlement::LocalCounts) -> std::io::Result<()> {
         let bytes = postcard::to_stdvec(counts).map_err(std::io::Error::other)?;
         if bytes != self.saved_counts {
--- a/crates/dunepond-control-plane/src/data_directory/origin.rs
+++ b/crates/dunepond-control-plane/src/data_directory/origin.rs
@@ -1,8 +1,8 @@
 //! Detects whether the data directory is a copy, such as a restored backup.
 //!
-//! A restored backup lacks what the voter promised after the backup was made, and the stored incarnation does not reveal that
-//! if the backup was made during the last run. So a file in the directory holds its own inode and creation time, which differ
-//! in a copy. A restored image of the whole disk is not detected.
+//! A restored backup lacks what the voter promised after the backup was made, and the stored incarnation does not
+//! reveal that if the backup was made during the last run. So a file in the directory holds its own inode and creation
+//! time, which differ in a copy. A restored image of the whole disk is not detected.
 
 use std::fs::File;
 use std::io::{self, ErrorKind, Write};
@@ -13,15 +13,16 @@
 /// Name of the file that holds its own inode and creation time.
 const FILE_NAME: &str = "origin";
 
-/// Inode and creation time of a file, separated by a space. The time is in nanoseconds since the Unix epoch, or 0 if the file
-/// system does not record it.
+/// Inode and creation time of a file, separated by a space. The time is in nanoseconds since the Unix epoch, or 0 if
+/// the file system does not record it.
 fn inode_and_creation(path: &Path) -> io::Result<String> {
     let metadata = std::fs::metadata(path)?;
     let created = metadata.created().ok().and_then(|at| at.duration_since(UNIX_EPOCH).ok());
     Ok(format!("{} {}", metadata.ino(), created.map_or(0, |created| created.as_nanos())))
 }
 
-/// Whether the directory is a copy. With `is_new` the directory is empty: it is marked as the original, and the result is false.
+/// Whether the directory is a copy. With `is_new` the directory is empty: it is marked as the original, and the result
+/// is false.
 pub fn is_copy(directory: &Path, is_new: bool) -> io::Result<bool> {
     let path = directory.join(FILE_NAME);
     if is_new {
--- a/crates/dunepond-control-plane/src/documents.rs
+++ b/crates/dunepond-control-plane/src/documents.rs
@@ -1,4 +1,5 @@
-//! The operator's document, a configuration version or a list of voters: reading and verification before it is proposed.
+//! The operator's document, a configuration version or a list of voters: reading and verification before it is
+//! proposed.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -14,8 +15,8 @@
 
 use crate::error::VersionError;
 
-/// Maximum size of an encoded document. The replicated state, with two versions and all remembered settlements, must fit in
-/// one message to a voter (`MAX_MESSAGE_BYTES` in `link_limits`).
+/// Maximum size of an encoded document. The replicated state, with two versions and all remembered settlements, must
+/// fit in one message to a voter (`MAX_MESSAGE_BYTES` in `link_limits`).
 pub const MAX_DOCUMENT_BYTES: usize = 3 << 20;
 /// Key of the list in a version that names the keys that every broker must know.
 const REQUIRED_KEYS: &str = "must";
@@ -95,8 +96,8 @@
     VersionError::Invalid { path: path.to_path_buf(), line, column, why: e.to_string() }
 }
 
-/// Reads and verifies a version. If the digest of its map is empty, it is computed. `nodes` are the nodes that discovery lists;
-/// if there are none, the map is not checked against them.
+/// Reads and verifies a version. If the digest of its map is empty, it is computed. `nodes` are the nodes that
+/// discovery lists; if there are none, the map is not checked against them.
 pub fn read_version(
     path: &Path,
     query_classes: usize,
@@ -139,8 +140,8 @@
     })
 }
 
-/// Returns the top-level keys that this build does not know, as extensions of the version. An unknown key is an error if it is
-/// inside the rules, the excluded nodes or the map, or if the list [`REQUIRED_KEYS`] names it.
+/// Returns the top-level keys that this build does not know, as extensions of the version. An unknown key is an error
+/// if it is inside the rules, the excluded nodes or the map, or if the list [`REQUIRED_KEYS`] names it.
 fn unknown_keys(path: &Path, text: &str, version: &ConfigVersion) -> Result<Vec<Extension>, VersionError> {
     let given: Value = serde_json::from_str(text).map_err(|e| parse_error(path, &e))?;
     let known = serde_json::to_value(version).map_err(|e| parse_error(path, &e))?;
@@ -158,8 +159,8 @@
     Ok(extensions)
 }
 
-/// Collects the values that are in `given` but not in `known`, with their dot-separated key paths. `path` is the key path of
-/// `given`.
+/// Collects the values that are in `given` but not in `known`, with their dot-separated key paths. `path` is the key
+/// path of `given`.
 fn collect_unknown(given: &Value, known: &Value, path: &str, unknown: &mut Vec<(String, Value)>) {
     match (given, known) {
         (Value::Object(given), Value::Object(known)) => {
@@ -180,7 +181,8 @@
     }
 }
 
-/// The nodes to verify the map against. Nodes without a partner in discovery get the partner that the map names for them.
+/// The nodes to verify the map against. Nodes without a partner in discovery get the partner that the map names for
+/// them.
 fn nodes_with_partners(nodes: &[Node], map: &ShardMap) -> Vec<Node> {
     let replicas = map.segments.iter().flat_map(|segment| &segment.replicas);
     let partners: HashMap<_, _> =
--- a/crates/dunepond-control-plane/src/explain/changes.rs
+++ b/crates/dunepond-control-plane/src/explain/changes.rs
@@ -8,8 +8,9 @@
 use super::{Explanation, Subject};
 
 impl Explanation {
-    /// Explains a log entry that made this change; `state` is the state after the entry. `None` for settlements, which each broker
-    /// explains when it applies them ([`Explanation::for_settlement`]), and for changes that are not decisions (`VoterSlot`).
+    /// Explains a log entry that made this change; `state` is the state after the entry. `None` for settlements, which
+    /// each broker explains when it applies them ([`Explanation::for_settlement`]), and for changes that are not
+    /// decisions (`VoterSlot`).
     pub fn for_change(index: u64, change: &StateChange, state: &ReplicatedState) -> Option<Self> {
         match change {
             StateChange::Proposed(number) => Self::for_proposed(index, *number, state),
--- a/crates/dunepond-control-plane/src/explain/mod.rs
+++ b/crates/dunepond-control-plane/src/explain/mod.rs
@@ -1,5 +1,5 @@
-//! Explanations: one log line for each decision of the control plane, with who decided it and why, the limit that applied, and
-//! the alternatives. A line depends only on the decision and the state that it is built from.
+//! Explanations: one log line for each decision of the control plane, with who decided it and why, the limit that
+//! applied, and the alternatives. A line depends only on the decision and the state that it is built from.
 //!
 //! Names and reasons come from operators' files and other brokers, so each field is truncated: no line is longer than
 //! [`MAX_LINE_BYTES`], and none contains a line break.
--- a/crates/dunepond-control-plane/src/fill_client.rs
+++ b/crates/dunepond-control-plane/src/fill_client.rs
@@ -7,8 +7,8 @@
 
 use crate::error::FillError;
 
-/// A request to fill a node. Retries of a fill have the same id, whichever broker sends them, so the fill service can respond
-/// at once if the fill is already done.
+/// A request to fill a node. Retries of a fill have the same id, whichever broker sends them, so the fill service can
+/// respond at once if the fill is already done.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FillRequest {
     /// Id of the fill.
@@ -27,8 +27,8 @@
     pub bytes_per_second: u64,
 }
 
-/// The result of a fill that is done. Its source differs from the request's if an earlier request with the same id named another
-/// source.
+/// The result of a fill that is done. Its source differs from the request's if an earlier request with the same id
+/// named another source.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FillResult {
     /// Name of the node that the segment was copied from.
@@ -43,8 +43,8 @@
     fn fill(&self, request: &FillRequest, timeout: Duration) -> Result<FillResult, FillError>;
 }
 
-/// Client of a fill service over HTTP. It sends `POST /fill` with the request as JSON; the service responds with status 200
-/// once the fill is done, and with an empty body or the result as JSON.
+/// Client of a fill service over HTTP. It sends `POST /fill` with the request as JSON; the service responds with status
+/// 200 once the fill is done, and with an empty body or the result as JSON.
 pub struct HttpFillClient {
     at: SocketAddr,
 }
--- a/crates/dunepond-control-plane/src/handle.rs
+++ b/crates/dunepond-control-plane/src/handle.rs
@@ -1,5 +1,5 @@
-//! The event loop's interface to the control plane. No call blocks: the event loop reads configurations that the control loop
-//! publishes, updates shared atomics and snapshots that the control loop reads, and queues requests.
+//! The event loop's interface to the control plane. No call blocks: the event loop reads configurations that the
+//! control loop publishes, updates shared atomics and snapshots that the control loop reads, and queues requests.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -16,8 +16,8 @@
 use crate::clock::monotonic_seconds;
 use crate::slow_start::StartedNode;
 
-/// Response bytes that each partner's nodes sent for tenants of each other partner. The event loop adds to the counters, and
-/// the control loop drains them.
+/// Response bytes that each partner's nodes sent for tenants of each other partner. The event loop adds to the
+/// counters, and the control loop drains them.
 pub struct CarriedBytes {
     partner_count: usize,
     /// One counter for each pair of partners, at index `carrier * partner_count + owed_by`.
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Returns the bytes that were added since the last call, for each pair of partners with any, and resets the counters.
+    /// Returns the bytes that were added since the last call, for each pair of partners with any, and resets the
+    /// counters.
     pub fn drain(&self) -> Vec<CarriedAmount> {
         let mut amounts = Vec::new();
         for (index, counter) in self.counters.iter().enumerate() {
@@ -107,8 +108,8 @@
     counter.fetch_add(1, Relaxed);
 }
 
-/// The active configuration, cached for one thread. While the configuration does not change, reading it costs one atomic
-/// load.
+/// The active configuration, cached for one thread. While the configuration does not change, reading it costs one
+/// atomic load.
 pub struct ActiveConfigWatch(Cache<Arc<ArcSwap<ActiveConfig>>, Arc<ActiveConfig>>);
 
 impl ActiveConfigWatch {
@@ -163,8 +164,8 @@
         }
     }
 
-    /// Records in the audit log an event that occurred at `at`, in seconds on the monotonic clock. `event` is called only if
-    /// an audit log is configured.
+    /// Records in the audit log an event that occurred at `at`, in seconds on the monotonic clock. `event` is called
+    /// only if an audit log is configured.
     pub fn audit_at(&self, at: f64, event: impl FnOnce() -> AuditEvent) {
         if let Some(audit_log) = &self.audit_log {
             audit_log.record_at(at, event());
@@ -181,8 +182,8 @@
         self.started_nodes.store(Arc::new(nodes));
     }
 
-    /// Sets this broker's demand by shared quota, in units ([`dunepond_quota::TOTAL_UNITS`] are the whole quota). The demand
-    /// is reported with lease requests.
+    /// Sets this broker's demand by shared quota, in units ([`dunepond_quota::TOTAL_UNITS`] are the whole quota). The
+    /// demand is reported with lease requests.
     pub fn set_demand(&self, demand_units: BTreeMap<String, u32>) {
         self.demand.store(Arc::new(demand_units));
     }
@@ -241,8 +242,8 @@
     }
 }
 
-/// The phase of the configuration at `now`, in seconds on the monotonic clock, and the numbers of the versions that apply in
-/// it. With a valid lease but no version yet, this is [`AuditPhase::Active`] without versions.
+/// The phase of the configuration at `now`, in seconds on the monotonic clock, and the numbers of the versions that
+/// apply in it. With a valid lease but no version yet, this is [`AuditPhase::Active`] without versions.
 pub fn audit_phase(config: &ActiveConfig, now: f64) -> (AuditPhase, Vec<u64>) {
     match config.phase(now) {
         ConfigPhase::Unconfigured if now < config.lease_expires_at() => (AuditPhase::Active, Vec::new()),
--- a/crates/dunepond-control-plane/src/lib.rs
+++ b/crates/dunepond-control-plane/src/lib.rs
@@ -1,9 +1,10 @@
 //! The control plane of a broker: a thread that runs consensus, leases, membership, quotas, settlement, rebalancing and
-//! fills. It exchanges messages with the other brokers, stores its state in the data directory, and publishes the active
-//! configuration to the broker's event loop.
+//! fills. It exchanges messages with the other brokers, stores its state in the data directory, and publishes the
+//! active configuration to the broker's event loop.
 //!
-//! The control plane has its own thread because consensus waits for the disk, and the event loop must not block. The event
-//! loop holds a [`ControlHandle`], which always returns the configuration that currently applies without blocking.
+//! The control plane has its own thread because consensus waits for the disk, and the event loop must not block. The
+//! event loop holds a [`ControlHandle`], which always returns the configuration that currently applies without
+//! blocking.
 //!
 //! Unless stated otherwise, times are in seconds on the monotonic clock ([`monotonic_seconds`]).
 #![warn(missing_docs)]
--- a/crates/dunepond-control-plane/src/slow_start.rs
+++ b/crates/dunepond-control-plane/src/slow_start.rs
@@ -10,7 +10,8 @@
 pub struct StartedNode {
     /// Name of the node in the endpoint list.
     pub node: String,
-    /// Incarnation of the node in the endpoint list. It is the same at every broker, and differs after each start of the node.
+    /// Incarnation of the node in the endpoint list. It is the same at every broker, and differs after each start of
+    /// the node.
     pub incarnation: u64,
     /// When the node started, in seconds on the monotonic clock.
     pub started_at: f64,
@@ -30,9 +31,9 @@
 }
 
 impl SlowStartPolicy {
-    /// Capacity that fills may use of a node that started `age` seconds ago. All brokers together may use `multiple` times the
-    /// node's current capacity, which grows up to `rate` (bytes per second of a warm node); `capacity_ratio` is the caller's
-    /// fraction of that. The margin for random variation that the limit allows is left to queries.
+    /// Capacity that fills may use of a node that started `age` seconds ago. All brokers together may use `multiple`
+    /// times the node's current capacity, which grows up to `rate` (bytes per second of a warm node); `capacity_ratio`
+    /// is the caller's fraction of that. The margin for random variation that the limit allows is left to queries.
     pub fn fill_capacity(&self, age: f64, multiple: f64, rate: f64, capacity_ratio: f64) -> NodeCapacity {
         let warmth = (age / self.warm_up_seconds).clamp(0.0, 1.0);
         let share = self.initial_share + (1.0 - self.initial_share) * warmth;
--- a/crates/dunepond-control-plane/src/startup/fills.rs
+++ b/crates/dunepond-control-plane/src/startup/fills.rs
@@ -36,8 +36,8 @@
 }
 
 impl FillSchedulers {
-    /// Creates both schedulers, and resumes the broker's own fills that were committed before the restart. `client` replaces the
-    /// client of the fill service in tests.
+    /// Creates both schedulers, and resumes the broker's own fills that were committed before the restart. `client`
+    /// replaces the client of the fill service in tests.
     pub(super) fn new(
         config: &ControlPlaneConfig,
         client: Option<Arc<dyn FillClient>>,
--- a/crates/dunepond-control-plane/src/startup/mod.rs
+++ b/crates/dunepond-control-plane/src/startup/mod.rs
@@ -1,5 +1,5 @@
-//! Startup of the control plane: opens the stored state, starts the links to other brokers, and runs the control loop on its
-//! own thread.
+//! Startup of the control plane: opens the stored state, starts the links to other brokers, and runs the control loop
+//! on its own thread.
 
 mod assembly;
 mod fills;
@@ -112,12 +112,13 @@
     thread.map_err(|e| ControlPlaneError::Thread { why: e.to_string() })
 }
 
-/// Starts the control plane. `wake` is called on the control plane's thread whenever the phase or the versions that apply have
-/// changed; it must not block.
+/// Starts the control plane. `wake` is called on the control plane's thread whenever the phase or the versions that
+/// apply have changed; it must not block.
 ///
 /// # Errors
-/// If the consensus configuration is inconsistent, the key or the data directory cannot be read, the operator's recovery order
-/// for a lost majority does not match, the address cannot be bound, or the audit log or a thread cannot be started.
+/// If the consensus configuration is inconsistent, the key or the data directory cannot be read, the operator's
+/// recovery order for a lost majority does not match, the address cannot be bound, or the audit log or a thread cannot
+/// be started.
 pub fn start(
     mut config: ControlPlaneConfig,
     doubles: TestDoubles,
@@ -177,8 +178,8 @@
         self.listen_address
     }
 
-    /// Shuts down gracefully: the traffic counts are stored and the audit log is flushed. If a thread hangs, for example on a
-    /// disk that does not respond, the shutdown stops waiting for it after a timeout.
+    /// Shuts down gracefully: the traffic counts are stored and the audit log is flushed. If a thread hangs, for
+    /// example on a disk that does not respond, the shutdown stops waiting for it after a timeout.
     pub fn stop(self) {
         let _ = self.handle.requests.send_timeout(LoopRequest::Stop, SHUTDOWN_TIMEOUT);
         join_with_timeout(self.thread);
--- a/crates/dunepond-control-plane/src/startup/settlement.rs
+++ b/crates/dunepond-control-plane/src/startup/settlement.rs
@@ -20,8 +20,8 @@
 }
 
 impl Accounts {
-    /// Takes the stored commitments and counts out of `stored`, computes the balances, and tells the lease client how many
-    /// settlement entries this broker has already applied.
+    /// Takes the stored commitments and counts out of `stored`, computes the balances, and tells the lease client how
+    /// many settlement entries this broker has already applied.
     pub(super) fn open(
         config: &ControlPlaneConfig,
         stored: &mut OpenedStorage,
--- a/crates/dunepond-control-plane/src/startup/stored.rs
+++ b/crates/dunepond-control-plane/src/startup/stored.rs
@@ -28,7 +28,8 @@
     /// The voter; `None` if this broker is not a voter.
     pub(super) voter: Option<Voter>,
     pub(super) lease_client: LeaseClient,
-    /// The stored traffic counts; `None` if there are none, or once [`super::settlement::Accounts::open`] has taken them.
+    /// The stored traffic counts; `None` if there are none, or once [`super::settlement::Accounts::open`] has taken
+    /// them.
     pub(super) counts: Option<LocalCounts>,
     /// The stored commitments; `None` if there are none, or once [`super::settlement::Accounts::open`] has taken them.
     pub(super) commitments: Option<Commitments>,
--- a/crates/dunepond-control-plane/src/startup/voter.rs
+++ b/crates/dunepond-control-plane/src/startup/voter.rs
@@ -14,8 +14,8 @@
     ControlPlaneError::Consensus { why: e.to_string(), help: e.help().to_string() }
 }
 
-/// Opens the voter: by the operator's recovery order for a lost majority if there is one, else from its journal. Returns `None`
-/// if this broker is not a voter.
+/// Opens the voter: by the operator's recovery order for a lost majority if there is one, else from its journal.
+/// Returns `None` if this broker is not a voter.
 pub(super) fn open_voter(
     config: &ControlPlaneConfig,
     data: &mut DataDirectory,
--- a/crates/dunepond-control-plane/src/tests/golden.rs
+++ b/crates/dunepond-control-plane/src/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Formats of the data directory, of the operator's files, and of the messages that only this crate uses: files of earlier builds
-//! can be read, and equal values are written as the same bytes.
+//! Formats of the data directory, of the operator's files, and of the messages that only this crate uses: files of
+//! earlier builds can be read, and equal values are written as the same bytes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::os::unix::fs::MetadataExt;
@@ -146,8 +146,8 @@
     PersistedState::decode(&newest.bytes).unwrap()
 }
 
-/// A copy of the stored directory. Its files are passed to the data directory like a test double, as it would otherwise be
-/// detected as a copy.
+/// A copy of the stored directory. Its files are passed to the data directory like a test double, as it would otherwise
+/// be detected as a copy.
 fn copy_of_stored_directory() -> (tempfile::TempDir, Arc<DiskStore>) {
     let directory = tempfile::tempdir().unwrap();
     for name in SNAPSHOTS.map(|name| snapshot(name, 1)).iter().map(String::as_str).chain([JOURNAL]) {
--- a/crates/dunepond-control-plane/tests/control_loop.rs
+++ b/crates/dunepond-control-plane/tests/control_loop.rs
@@ -136,8 +136,8 @@
     );
 }
 
-/// Three brokers may exist, so the floors of two stay unused. The only broker is leased the rest, as it has a demand, and again
-/// with the first lease after a restart.
+/// Three brokers may exist, so the floors of two stay unused. The only broker is leased the rest, as it has a demand,
+/// and again with the first lease after a restart.
 #[test]
 fn spare_quota_is_leased_by_demand() {
     let shared = SharedQuotas::new(vec!["cold".to_string()], 3, 0.3, 100).unwrap();
@@ -205,7 +205,8 @@
         let responses = connections.iter_mut().filter_map(|connection| connection.read(&mut [0; 64]).ok());
         responses.filter(|bytes| *bytes > 0).count()
     };
-    // Retried, as a connection without a request is closed after two seconds, which may pass before the request on a busy machine.
+    // Retried, as a connection without a request is closed after two seconds, which may pass before the request on a
+    // busy machine.
     assert!((0..5).any(|_| response_count() == 200));
     control_plane.stop();
 }
--- a/crates/dunepond-control-plane/tests/explain.rs
+++ b/crates/dunepond-control-plane/tests/explain.rs
@@ -1,5 +1,5 @@
-//! Explanations: each kind of decision has a line with who decided it, the limit and the alternatives. Long names and reasons
-//! do not exceed the line's maximum length or add line breaks.
+//! Explanations: each kind of decision has a line with who decided it, the limit and the alternatives. Long names and
+//! reasons do not exceed the line's maximum length or add line breaks.
 
 use dunepond_consensus::{
     Command, ConfigVersion, ConsensusConfig, Effects, Rejection, ReplicatedState, StateChange, StoredVoter,
@@ -63,7 +63,8 @@
     }
 }
 
-/// The command to propose a version. `proposer` is also its reason. If `unfilled`, its map has a replica that must be filled.
+/// The command to propose a version. `proposer` is also its reason. If `unfilled`, its map has a replica that must be
+/// filled.
 fn propose(number: u64, unfilled: bool, proposer: &str) -> Command {
     Command::Propose(Box::new(ConfigVersion {
         proposed_by: proposer.to_string(),
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -1,5 +1,6 @@
-//! Fills of a single broker that is its own leader, with a data directory in memory and a test double of the fill service: crashes
-//! between the steps of a fill, limits for nodes in slow start, failing writes, and fills that the next leader resumes.
+//! Fills of a single broker that is its own leader, with a data directory in memory and a test double of the fill
+//! service: crashes between the steps of a fill, limits for nodes in slow start, failing writes, and fills that the
+//! next leader resumes.
 
 mod support;
 
@@ -163,8 +164,8 @@
         events
     }
 
-    /// Writes a version whose segments have two replicas each, and returns its path. With `third_replica` each segment has another
-    /// replica on a node of south that must be filled.
+    /// Writes a version whose segments have two replicas each, and returns its path. With `third_replica` each segment
+    /// has another replica on a node of south that must be filled.
     fn version(&self, number: u64, segments: u64, third_replica: bool) -> PathBuf {
         let path = self.directory.path().join(format!("version-{number}.json"));
         let width = u64::MAX / segments;
@@ -226,7 +227,8 @@
     }]);
 }
 
-/// Guards against a second settlement of a fill that is requested again, after a crash between its settlement and its completion.
+/// Guards against a second settlement of a fill that is requested again, after a crash between its settlement and its
+/// completion.
 #[test]
 fn fill_is_settled_once_after_a_crash_before_its_completion() {
     let mut broker = TestBroker::new(false);
@@ -279,7 +281,8 @@
     };
     wait("fills", || total_rate() > 0.0);
     thread::sleep(Duration::from_millis(400));
-    // The version's multiple of 1.5 is stricter than the configured 2.0. The margin of 2% allows for the node's warm-up since.
+    // The version's multiple of 1.5 is stricter than the configured 2.0. The margin of 2% allows for the node's warm-up
+    // since.
     assert!(
         total_rate() <= max_rate * 1.02 && total_rate() > 0.8 * max_rate,
         "{} of {max_rate}",
@@ -305,8 +308,8 @@
     assert_eq!(broker.fill_service.requests.lock().unwrap().len(), 1, "filled once");
 }
 
-/// The broker crashes while its own fill is running, or when the fill is done but the leader does not know. Both are settled after
-/// the restart, once.
+/// The broker crashes while its own fill is running, or when the fill is done but the leader does not know. Both are
+/// settled after the restart, once.
 #[rstest]
 #[case::done(true)]
 #[case::running(false)]
@@ -355,8 +358,8 @@
     assert_eq!(broker.settled(), [("1/0/s1+77@n1".to_string(), SEGMENT_BYTES)]);
 }
 
-/// The previous leader started the fill from north, which owed to south. After the restart nothing is owed, so planning anew would
-/// choose south; the fill must be resumed from north instead.
+/// The previous leader started the fill from north, which owed to south. After the restart nothing is owed, so planning
+/// anew would choose south; the fill must be resumed from north instead.
 #[test]
 fn new_leader_resumes_a_started_fill() {
     let mut broker = TestBroker::new(false);
--- a/crates/dunepond-control-plane/tests/golden.rs
+++ b/crates/dunepond-control-plane/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Formats that auditors, the fill service and readers of the log depend on: files of earlier builds can be read, and equal values
-//! are written as the same bytes.
+//! Formats that auditors, the fill service and readers of the log depend on: files of earlier builds can be read, and
+//! equal values are written as the same bytes.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -184,7 +184,8 @@
     assert!(received.contains("\r\ncontent-type: application/json\r\n"), "{received}");
 }
 
-/// Collects a line for each event: its level, target, message, field names in order, and the value of the field `about`.
+/// Collects a line for each event: its level, target, message, field names in order, and the value of the field
+/// `about`.
 #[derive(Clone, Default)]
 struct EventCollector(Arc<Mutex<Vec<String>>>);
 
--- a/crates/dunepond-control-plane/tests/rebalancing.rs
+++ b/crates/dunepond-control-plane/tests/rebalancing.rs
@@ -1,5 +1,5 @@
-//! Rebalancing plans in the control loop of a single broker, with a data directory in memory: a plan is continued after a restart,
-//! withdrawn by the operator, or refused.
+//! Rebalancing plans in the control loop of a single broker, with a data directory in memory: a plan is continued after
+//! a restart, withdrawn by the operator, or refused.
 
 mod support;
 
@@ -116,7 +116,8 @@
             {"id": 1, "keys": {"from": MIDDLE_KEY, "to": null}, "owner": "a", "holders": [replica("a")]}]}})
 }
 
-/// A plan with this command of the operator. It splits segment 0, moves one half to node b and merges the other with segment 1.
+/// A plan with this command of the operator. It splits segment 0, moves one half to node b and merges the other with
+/// segment 1.
 fn plan(command: &str) -> Value {
     json!({"id": "p", "who": "a test", "why": "to see", "word": command, "operations": [
             {"split": {"segment": 0, "at": [99], "into": [10, 11]}},
