--- a/crates/dunepond-broker/src/event_loop/background.rs
+++ b/crates/dunepond-broker/src/event_loop/background.rs
@@ -1,4 +1,4 @@
-//! The event loop's part in background jobs, and the counters in the log.
+//! Runs background jobs from the event loop, and logs the counters.
 
 use std::time::Instant;
 
@@ -9,10 +9,12 @@
 use crate::clock::TimerEvent;
 use crate::prefilter::PrefilterHost;
 
-/// Name of the background job for prefilter audits. One that waited longer is dropped, as the content will have changed.
+/// Name of the background job that runs prefilter audits.
 const AUDIT_JOB: &str = "audit";
+/// An audit that has waited longer than this is dropped, as the content of the segments will have changed.
 const AUDIT_EXPIRY_SECONDS: f64 = 5.0;
 
+/// The background job for a prefilter audit that is scheduled at `now`.
 fn audit_job_spec(now: f64) -> JobSpec {
     JobSpec {
         name: AUDIT_JOB,
@@ -26,6 +28,7 @@
 }
 
 impl EventLoop {
+    /// Records the end of a blocking background job.
     pub(super) fn job_finished(&mut self, finished: FinishedJob) {
         let now = self.refresh_clock_and_config();
         self.background.on_job_finished(now, finished);
@@ -35,7 +38,8 @@
         }
     }
 
-    /// Runs background jobs: blocking ones on the thread pool, steps if the loop has nothing else to do.
+    /// Starts the background jobs that may run now: blocking jobs on the thread pool, step jobs on the event loop itself.
+    /// Step jobs run only if `idle`, which says that the iteration had no events.
     pub(super) fn run_background_jobs(&mut self, idle: bool) {
         let now = self.router_host.now;
         if !self.audit_scheduled && self.prefilter.as_ref().is_some_and(PrefilterHost::has_audits) {
@@ -49,7 +53,7 @@
                 }
                 continue;
             }
-            let began = Instant::now();
+            let started_at = Instant::now();
             let mut outcome = Outcome::Done;
             if let Some(prefilter) = &mut self.prefilter {
                 prefilter.start_audit(&mut self.router, &mut self.router_host);
@@ -59,7 +63,7 @@
             }
             self.audit_scheduled = outcome == Outcome::Yielded;
             self.process_pending();
-            self.background.on_step_done(now, job.id, outcome, began.elapsed().as_secs_f64());
+            self.background.on_step_done(now, job.id, outcome, started_at.elapsed().as_secs_f64());
         }
         for DroppedJob { id, name } in self.background.dropped() {
             debug!("background job {name} dropped");
@@ -71,10 +75,11 @@
         self.background.schedule_timer(now, &mut self.router_host.timers);
     }
 
+    /// Logs the counters and schedules the next report, if the operator's file sets an interval for them.
     pub(super) fn report_counters(&mut self) {
         let now = self.router_host.now;
-        if let Some(every) = self.operator.counters_interval_seconds {
-            self.router_host.timers.schedule(now + every, TimerEvent::Counters);
+        if let Some(interval) = self.operator.counters_interval_seconds {
+            self.router_host.timers.schedule(now + interval, TimerEvent::Counters);
             let copied = self.router_host.upstream.copied_bytes;
             self.router_host.report_body_counters(copied);
             if let Some(prefilter) = &self.prefilter {
@@ -83,9 +88,9 @@
             if let Some(control_plane) = &self.router_host.control_plane {
                 control_plane.report_counters();
             }
-            let work = self.background.report();
-            if !work.is_empty() {
-                info!(work, "background counters");
+            let job_counters = self.background.report();
+            if !job_counters.is_empty() {
+                info!(work = job_counters, "background counters");
             }
         }
     }
--- a/crates/dunepond-broker/src/event_loop/disconnects.rs
+++ b/crates/dunepond-broker/src/event_loop/disconnects.rs
@@ -1,4 +1,4 @@
-//! Disconnected clients, handled before any event that might send something for them.
+//! Ends the queries of disconnected clients, before any event is handled that might send an attempt for them.
 
 use dunepond_routing::QueryId;
 
@@ -6,8 +6,8 @@
 use crate::iteration::{Iteration, LoopEvent};
 
 impl EventLoop {
-    /// Detects disconnects before any other event of the iteration is handled: a node's failure that came earlier would cause
-    /// retries without a client.
+    /// Checks the clients with a readiness event for a disconnect, before any other event of the iteration is handled.
+    /// Otherwise a node's failure that is handled first would cause retries for a client that is gone.
     pub(super) fn detect_disconnects(&mut self, iteration: &Iteration) {
         let now = self.router_host.now;
         for event in &iteration.events {
@@ -18,7 +18,7 @@
         self.end_disconnected_queries();
     }
 
-    /// Ends the queries of clients that were found disconnected.
+    /// Closes the connections of clients that were found disconnected, and ends their queries.
     pub(super) fn end_disconnected_queries(&mut self) {
         while let Some(id) = self.router_host.downstream.next_disconnected(&mut self.router_host.timers) {
             if let Some(id) = id {
@@ -27,6 +27,7 @@
         }
     }
 
+    /// Ends every query of a disconnected client's request `id`.
     pub(super) fn client_disconnected(&mut self, id: QueryId) {
         for query in self.router_host.queries_of(id) {
             self.router_host.conclude_disconnected(query);
--- a/crates/dunepond-broker/src/event_loop/endpoints.rs
+++ b/crates/dunepond-broker/src/event_loop/endpoints.rs
@@ -6,7 +6,7 @@
 use crate::upstream::ChangedNode;
 
 impl EventLoop {
-    /// Brings rules, quotas and drained nodes up to the active configuration of this moment; called before each event is handled.
+    /// Applies the rules, quotas and drained nodes of the active configuration; called before each event is handled.
     pub(super) fn apply_control_plane(&mut self) {
         let Some(control_plane) = &mut self.router_host.control_plane else { return };
         control_plane.record_demand(|seconds| self.router.quota_demand(seconds));
@@ -14,7 +14,7 @@
             self.router.set_quota_shares(shares);
         }
         let Some(changes) = control_plane.poll_changes() else { return };
-        // With each new lease, so that the next lease request carries it.
+        // Each new lease comes as a change: the next lease request then carries the current overload state.
         control_plane.set_overloaded(self.router.is_overloaded());
         if let Some(rules) = changes.rules {
             self.router.set_rules(&rules);
@@ -24,6 +24,7 @@
         }
     }
 
+    /// Handles a readiness event of the connection to discovery, and applies the endpoint lists that it brought.
     pub(super) fn discovery_ready(&mut self, readable: bool) {
         let now = self.refresh_clock_and_config();
         for update in self.discovery.on_ready(now, readable, &mut self.router_host.timers) {
@@ -35,13 +36,15 @@
         self.process_pending();
     }
 
-    /// Repeats a call to discovery that found no file descriptor: without it the list would go stale.
+    /// Repeats a call to discovery that failed for lack of a file descriptor, after freeing one; otherwise the endpoint
+    /// list would go stale.
     pub(super) fn retry_discovery(&mut self) {
         if std::mem::take(&mut self.discovery.out_of_descriptors) && self.router_host.free_descriptor() {
             self.discovery.start_call(self.router_host.now, &mut self.router_host.timers);
         }
     }
 
+    /// Applies an endpoint update, as changed by the control plane if there is one.
     pub(super) fn on_endpoint_update(&mut self, mut update: EndpointUpdate) {
         if let Some(control_plane) = &mut self.router_host.control_plane {
             let zone_name = |zone| self.discovery.zone_name(zone);
@@ -55,20 +58,21 @@
         self.apply_endpoints(update);
     }
 
+    /// Applies an endpoint update to the connections, the prefilter, the router and the restored state.
     fn apply_endpoints(&mut self, update: EndpointUpdate) {
         let now = self.router_host.now;
-        let mut listed = Vec::with_capacity(update.endpoints.len());
+        let mut endpoints = Vec::with_capacity(update.endpoints.len());
         if update.complete {
-            let named = update.endpoints.iter().map(|row| row.endpoint.node).collect();
+            let listed_nodes = update.endpoints.iter().map(|row| row.endpoint.node).collect();
             self.router_host.upstream.remove_unlisted(
                 self.router_host.now,
-                &named,
+                &listed_nodes,
                 &mut self.router_host.timers,
             );
         }
         for EndpointRow { endpoint, info } in update.endpoints {
             self.router_host.upstream.update_endpoint(now, endpoint.node, info, &mut self.router_host.timers);
-            listed.push(endpoint);
+            endpoints.push(endpoint);
         }
         for ChangedNode { node, replaced } in std::mem::take(&mut self.router_host.upstream.changed_nodes) {
             if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
@@ -79,7 +83,7 @@
             }
         }
         self.router_host.downstream.has_endpoints = self.router_host.upstream.any_active();
-        self.router.update_endpoints(&mut self.router_host, update.complete, &listed);
+        self.router.update_endpoints(&mut self.router_host, update.complete, &endpoints);
         if let Some(persistence) = &mut self.persistence {
             persistence.restore(now, &mut self.router, &mut self.router_host);
         }
--- a/crates/dunepond-broker/src/event_loop/iteration_times.rs
+++ b/crates/dunepond-broker/src/event_loop/iteration_times.rs
@@ -1,4 +1,4 @@
-//! When the events of an iteration arrived, at the earliest.
+//! Determines the earliest time at which the events of an iteration can have arrived.
 
 use dunepond_routing::NOTICEABLE_PAUSE_SECONDS;
 
@@ -7,43 +7,50 @@
 
 /// The times of the current iteration and the one before, in seconds of the broker's clock.
 ///
-/// An iteration polls and then reads the clock. Of a process that is stopped in between, the poll has looked before the stop: what arrives
-/// during the stop is found by the next poll only, although that iteration follows at once. So the clock is read before each poll as well.
+/// An iteration polls for events and then reads the clock. If the process is stopped between the two, the poll has
+/// returned before the stop: what arrives during the stop is found only by the next poll, although that iteration
+/// follows at once. So the clock is read before each poll as well.
 pub(super) struct IterationTimes {
+    /// When the latest poll began.
     poll_began_at: f64,
+    /// When the current iteration began, which is right after its poll.
     began_at: f64,
+    /// When the previous iteration began.
     previous_began_at: f64,
-    events_since: f64,
+    /// The earliest time at which an event of the current iteration can have arrived.
+    earliest_arrival: f64,
 }
 
 impl IterationTimes {
-    /// Nothing arrived before `at`.
+    /// The times before the first iteration: no event arrived before `at`.
     pub(super) fn new(at: f64) -> Self {
-        Self { poll_began_at: at, began_at: at, previous_began_at: at, events_since: at }
+        Self { poll_began_at: at, began_at: at, previous_began_at: at, earliest_arrival: at }
     }
 
-    /// The next poll begins.
-    pub(super) fn poll_begins(&mut self, now: f64) {
+    /// Records that the next poll begins at `now`.
+    pub(super) fn record_poll_start(&mut self, now: f64) {
         let stalled_at_poll = self.began_at - self.poll_began_at > NOTICEABLE_PAUSE_SECONDS;
-        self.events_since = if stalled_at_poll { self.poll_began_at } else { self.began_at };
+        self.earliest_arrival = if stalled_at_poll { self.poll_began_at } else { self.began_at };
         self.poll_began_at = now;
     }
 
-    /// The poll has returned, and an iteration begins.
-    pub(super) fn iteration_begins(&mut self, now: f64) {
+    /// Records that the poll has returned, and that an iteration begins at `now`.
+    pub(super) fn record_iteration_start(&mut self, now: f64) {
         self.previous_began_at = std::mem::replace(&mut self.began_at, now);
     }
 
+    /// When the current iteration began.
     pub(super) fn began_at(&self) -> f64 {
         self.began_at
     }
 
+    /// When the previous iteration began.
     pub(super) fn previous_began_at(&self) -> f64 {
         self.previous_began_at
     }
 
-    /// No event of this iteration, a signal included, arrived before this time.
-    pub(super) fn events_since(&self) -> f64 {
-        self.events_since
+    /// The earliest time at which an event of the current iteration, including a signal, can have arrived.
+    pub(super) fn earliest_arrival(&self) -> f64 {
+        self.earliest_arrival
     }
 }
--- a/crates/dunepond-broker/src/event_loop/lifecycle.rs
+++ b/crates/dunepond-broker/src/event_loop/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The course of the event loop: its first timers, its iterations and its end.
+//! Runs the event loop: its startup timers, its iterations and what it does at its end.
 
 use dunepond_routing::SIGNAL_POLL_INTERVAL;
 
@@ -7,11 +7,13 @@
 use crate::discovery::RESPONSE_OVERDUE_SECONDS;
 use crate::iteration::Iteration;
 
-/// How long a new process waits for discovery, one call and a second one beside it, before it uses the configured endpoint list.
+/// How long a new process waits for discovery before it uses the configured endpoint list: until a first call, and a
+/// second one started beside it, are both overdue.
 const FIRST_LIST_TIMEOUT_SECONDS: f64 = 2.0 * RESPONSE_OVERDUE_SECONDS;
 
 impl EventLoop {
-    /// Schedules what is due from the start. Accepting waits for the first endpoint list, `max_accept_delay` seconds at most.
+    /// Schedules the timers of a new process and calls discovery. Accepting connections waits for the first endpoint list,
+    /// but at most `max_accept_delay` seconds.
     pub(super) fn schedule_startup_timers(&mut self, max_accept_delay: f64) {
         let now = self.refresh_clock_and_config();
         self.report_counters();
@@ -19,7 +21,7 @@
             self.router_host.timers.schedule(now + persistence.snapshot_interval(), TimerEvent::Snapshot);
         }
         if self.configured_endpoints.is_some() {
-            // Scheduled first, so that the list is in force before waiting connections are accepted.
+            // Scheduled first, to fire first at the same time: the list must be in force before connections are accepted.
             self.router_host.timers.schedule(now + FIRST_LIST_TIMEOUT_SECONDS, TimerEvent::FirstListTimeout);
             self.router_host.downstream.delay_accepting(
                 now,
@@ -31,18 +33,15 @@
     }
 
     /// Runs iterations until the listeners are closed and no client connection is left.
-    pub(super) fn run(
-        &mut self,
-        sources: &mut calloop::EventLoop<'static, Iteration>,
-    ) -> calloop::Result<()> {
+    pub(super) fn run(&mut self, poller: &mut calloop::EventLoop<'static, Iteration>) -> calloop::Result<()> {
         let mut iteration = Iteration::default();
         while !(self.listeners_closed && self.router_host.downstream.count() == 0) {
             let now = self.clock.now();
             let next = self.router_host.timers.until_next(now);
             let wait = next.map_or(SIGNAL_POLL_INTERVAL, |next| next.min(SIGNAL_POLL_INTERVAL));
-            self.times.poll_begins(now);
-            sources.dispatch(wait, &mut iteration)?;
-            // Only a timer is due: idle work delays no event.
+            self.times.record_poll_start(now);
+            poller.dispatch(wait, &mut iteration)?;
+            // Without events in this iteration, idle work delays none.
             let idle = iteration.events.is_empty();
             self.begin_iteration();
             self.detect_disconnects(&iteration);
@@ -55,7 +54,7 @@
         Ok(())
     }
 
-    /// Writes the state that outlasts the process, and stops the control plane's thread.
+    /// Writes the state that a restarted process reads, and stops the control plane's thread.
     pub(super) fn finish(&mut self) {
         let now = self.refresh_clock_and_config();
         if let (Some(persistence), Some(pool)) = (&mut self.persistence, self.background.pool()) {
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -39,41 +39,42 @@
     background: Background,
     /// `None` if the operator's file names no state folder.
     persistence: Option<Persistence>,
-    /// A background job for a prefilter audit is scheduled.
+    /// Whether a background job for a prefilter audit is scheduled.
     audit_scheduled: bool,
     config_reloader: ConfigReloader,
     operator: OperatorConfig,
-    /// The configured endpoint list, until discovery answers or has been silent for too long.
+    /// The configured endpoint list; `None` once discovery has answered, or has not done so in time and this list is used.
     configured_endpoints: Option<EndpointUpdate>,
     times: IterationTimes,
-    /// The longest query timeout in seconds, or that of a configuration reloaded since, if shorter.
+    /// The longest query timeout in seconds; lowered if the longest one of a reloaded configuration is shorter.
     longest_timeout: f64,
+    /// `None` until a shutdown has been requested.
     shutdown: Option<Shutdown>,
     /// The last stage of the shutdown that was carried out.
     shutdown_stage: ShutdownStage,
-    /// The listeners are closed; the loop ends once no client connection is left.
+    /// Whether the listeners are closed; the loop then ends once no client connection is left.
     listeners_closed: bool,
 }
 
 impl EventLoop {
-    /// Reads the clock, which stands still until the next call, and applies the active configuration.
+    /// Reads the clock, applies the active configuration and returns the time, which stays the same until the next call.
     fn refresh_clock_and_config(&mut self) -> f64 {
         self.router_host.now = self.clock.now();
         let began_at = self.times.began_at();
-        let apart = (began_at - self.times.events_since()).max(self.router_host.now - began_at);
+        let gap = (began_at - self.times.earliest_arrival()).max(self.router_host.now - began_at);
         self.router_host.downstream.received_since =
-            (apart > NOTICEABLE_PAUSE_SECONDS).then_some(self.times.events_since());
+            (gap > NOTICEABLE_PAUSE_SECONDS).then_some(self.times.earliest_arrival());
         self.apply_control_plane();
         self.router_host.now
     }
 
-    /// An iteration begins: an event or a timer has come, or signals are to be checked.
+    /// Begins an iteration: an event has arrived, a timer may be due, or signals are to be checked.
     fn begin_iteration(&mut self) {
-        self.times.iteration_begins(self.clock.now());
+        self.times.record_iteration_start(self.clock.now());
         let now = self.refresh_clock_and_config();
-        let apart = now - self.times.previous_began_at();
-        if apart > NOTICEABLE_PAUSE_SECONDS {
-            warn!("event loop stalled for {apart:.3} s");
+        let gap = now - self.times.previous_began_at();
+        if gap > NOTICEABLE_PAUSE_SECONDS {
+            warn!("event loop stalled for {gap:.3} s");
         }
         self.advance_shutdown();
     }
@@ -98,13 +99,15 @@
         }
     }
 
+    /// Accepts connections at a port.
     fn accept(&mut self, port: Port) {
         let now = self.refresh_clock_and_config();
         self.router_host.downstream.accept(now, port, &mut self.router_host.timers);
         self.process_pending();
     }
 
-    /// Accepts the backlog of the listeners after a pause, all at once, so that it is distinct from later connections.
+    /// Resumes accepting after a pause, and accepts the listeners' backlog at once: only its connections count as having
+    /// waited since the pause began, not those that come later.
     fn accept_backlog(&mut self) {
         self.router_host.downstream.resume_accepting();
         for port in Port::ALL {
@@ -112,6 +115,7 @@
         }
     }
 
+    /// Handles a readiness event of a client connection.
     fn client_ready(&mut self, id: usize, readable: bool) {
         let now = self.refresh_clock_and_config();
         self.router_host.downstream.on_ready(now, id, readable, &mut self.router_host.timers);
@@ -119,6 +123,7 @@
         self.process_pending();
     }
 
+    /// Handles a readiness event of a connection to a node, after checking the clients whose queries wait to be written to it.
     fn upstream_ready(&mut self, id: usize, readable: bool) {
         let now = self.refresh_clock_and_config();
         for query in self.router_host.upstream.queries_awaiting_write(id) {
@@ -129,6 +134,7 @@
         self.process_pending();
     }
 
+    /// Handles a readiness event of a prefilter connection.
     fn prefilter_ready(&mut self, id: usize, readable: bool) {
         let now = self.refresh_clock_and_config();
         if let Some(prefilter_connections) = &mut self.router_host.prefilter_connections {
@@ -137,6 +143,7 @@
         self.process_pending();
     }
 
+    /// Handles a completed operation of the disk spill for bodies.
     fn disk_done(&mut self, done: DiskEvent) {
         let now = self.refresh_clock_and_config();
         if let Some(bodies) = &mut self.router_host.body_store {
@@ -145,7 +152,7 @@
         self.process_pending();
     }
 
-    /// All events and timers of this iteration have been handled.
+    /// Ends an iteration after all its events and timers have been handled; `idle` if it had no events.
     fn end_iteration(&mut self, idle: bool) {
         if let Some(prefilter) = &mut self.prefilter {
             prefilter.end_iteration(&mut self.router, &mut self.router_host);
--- a/crates/dunepond-broker/src/event_loop/pending.rs
+++ b/crates/dunepond-broker/src/event_loop/pending.rs
@@ -1,4 +1,5 @@
-//! Handles what follows from an event: requests that have been read, attempts that have ended, bodies and prefilter responses.
+//! Handles the work that follows from an event: requests that have been read, attempts that have ended, bodies and
+//! prefilter responses.
 
 use dunepond_body_buffer::BodyId;
 use dunepond_routing::{NodeId, Query, QueryId};
@@ -9,8 +10,8 @@
 use crate::upstream::CompletedAttempt;
 
 impl EventLoop {
-    /// Works until nothing is left to do: requests that have been read, orders to be written, and attempts that ended while
-    /// the router was in a call, as its calls never nest.
+    /// Handles pending work until none is left: requests that have been read, frames to be written, and attempts that ended
+    /// during a call to the router, which must not be called from within a call.
     pub(super) fn process_pending(&mut self) {
         loop {
             self.end_disconnected_queries();
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Handles the next thing to do; returns `false` if there is none.
+    /// Handles the next item of pending work; returns `false` if there is none.
     fn process_next(&mut self) -> bool {
         let now = self.router_host.now;
         if let Some((node, attempt)) = self.router_host.upstream.written_bodies.pop_front() {
@@ -35,14 +36,14 @@
             self.router_host.body_store.as_mut().and_then(|bodies| bodies.events.pop_front())
         {
             self.on_body_event(body, event);
-        } else if let Some((request, answers)) = self
+        } else if let Some((request, response)) = self
             .router_host
             .prefilter_connections
             .as_mut()
             .and_then(|connections| connections.responses.pop_front())
         {
             if let Some(prefilter) = &mut self.prefilter {
-                prefilter.on_response(&mut self.router, &mut self.router_host, request, answers);
+                prefilter.on_response(&mut self.router, &mut self.router_host, request, response);
             }
         } else if let Some(finished) = self.router_host.finished_queries.pop() {
             if let Some(prefilter) = &mut self.prefilter {
@@ -56,6 +57,7 @@
         true
     }
 
+    /// Reports the end of an attempt to the prefilter and the router, and releases what its query no longer needs.
     fn on_attempt_completed(&mut self, completed: CompletedAttempt) {
         let query = completed.ended.query;
         if let Some(prefilter) = &mut self.prefilter {
@@ -68,6 +70,7 @@
         }
     }
 
+    /// Reads from a client, and handles the request or disconnect that this brings.
     fn read_client(&mut self, now: f64, client: usize) {
         match self.router_host.downstream.next_event(now, client, &mut self.router_host.timers) {
             ClientEvent::Query(request) => {
@@ -100,6 +103,7 @@
         self.discovery.forget(node, host);
     }
 
+    /// Hands a registered query to the prefilter or the router, unless the active configuration rejects it.
     fn start_query(&mut self, mut query: Query) {
         if !self.router_host.check_active_config(&mut query) {
             return;
@@ -110,20 +114,20 @@
         }
     }
 
-    /// A streamed body has been buffered, is passed through, or was lost.
+    /// Handles a streamed body that has been buffered, is passed through, or was lost.
     fn on_body_event(&mut self, body: BodyId, event: BodyEvent) {
-        let reason = match event {
+        let fallback_reason = match event {
             BodyEvent::Buffered => None,
-            BodyEvent::PassThrough(why) => Some(why),
-            BodyEvent::Lost(why) => {
-                if let Some(query) = self.router_host.on_body_lost(body, why) {
+            BodyEvent::PassThrough(reason) => Some(reason),
+            BodyEvent::Lost(reason) => {
+                if let Some(query) = self.router_host.on_body_lost(body, reason) {
                     self.router.on_body_discarded(&mut self.router_host, query);
                 }
                 let now = self.router_host.now;
                 return self.router_host.upstream.abort_lost_bodies(now, &mut self.router_host.timers);
             }
         };
-        if let Some((query, body)) = self.router_host.start_streamed_query(body, reason) {
+        if let Some((query, body)) = self.router_host.start_streamed_query(body, fallback_reason) {
             let (id, mut query) = (query.id, query);
             if self.router_host.check_active_config(&mut query) {
                 self.router.on_query(&mut self.router_host, query);
@@ -133,7 +137,7 @@
         }
     }
 
-    /// A query's deadline has passed.
+    /// Ends a query whose deadline has passed; a client that has no answer yet gets a 504.
     pub(super) fn expire_query(&mut self, query: QueryId) {
         if self.router_host.expire_attempts(query) {
             self.process_pending();
--- a/crates/dunepond-broker/src/event_loop/reload.rs
+++ b/crates/dunepond-broker/src/event_loop/reload.rs
@@ -1,4 +1,5 @@
-//! Applies a reloaded configuration and operator's file: what may change in a running process does, the rest is named in the log.
+//! Applies a reloaded configuration and operator's file: the settings that can change in a running process take effect,
+//! and the log names the others.
 
 use dunepond_config::ConfigError;
 use dunepond_config::operator::OperatorConfig;
@@ -10,36 +11,39 @@
 use crate::logger;
 
 impl EventLoop {
-    /// Starts a reload of the configuration. Discovery's address and the log level take effect at once; the rest is checked, and
-    /// takes effect after a restart. An invalid configuration changes nothing.
+    /// Starts to read the configuration and the operator's file again, on another thread.
     pub(super) fn start_reload(&mut self) {
         match self.config_reloader.start_read() {
             Ok(true) => {}
-            Ok(false) => warn!("configuration reload still running; it is repeated afterwards"),
-            Err(e) => error!("configuration reload failed, the active one stays: no thread to read it: {e}"),
+            Ok(false) => warn!("configuration reload still running; another one follows it"),
+            Err(e) => error!(
+                "configuration reload failed, keeping the active one: cannot start a thread to read it: {e}"
+            ),
         }
     }
 
-    /// Applies a configuration that has been reloaded.
+    /// Applies a reloaded configuration. Discovery's address and the log level take effect at once; the other settings are
+    /// only checked, and take effect after a restart. An invalid configuration changes nothing.
     pub(super) fn apply_reloaded_config(&mut self, configuration: LoadedConfig) {
         let now = self.refresh_clock_and_config();
         match configuration.startup {
-            Ok(start) => {
+            Ok(startup) => {
                 info!("configuration reloaded");
-                logger::set_level(start.log_level);
-                // Settings take effect after a restart, but the process's supervisor may use these timeouts already.
-                let timeouts = start.deployment.query_classes.iter().map(|class| class.timeout);
+                logger::set_level(startup.log_level);
+                // Timeouts take effect after a restart, but the process's supervisor may already use the new ones to time its
+                // kill.
+                let timeouts = startup.deployment.query_classes.iter().map(|class| class.timeout);
                 self.longest_timeout = self.longest_timeout.min(timeouts.fold(0.0, f64::max));
-                self.discovery.change_agent(now, start.discovery_address, &mut self.router_host.timers);
+                self.discovery.change_agent(now, startup.discovery_address, &mut self.router_host.timers);
                 self.retry_discovery();
             }
-            Err(ConfigError(line)) => error!("configuration reload failed, the active one stays: {line}"),
+            Err(ConfigError(line)) => error!("configuration reload failed, keeping the active one: {line}"),
         }
         match configuration.operator {
             Some(Ok(operator)) => self.apply_operator_file(operator),
             Some(Err(ConfigError(lines))) => {
                 for line in lines.lines() {
-                    error!("operator's file reload failed, the active one stays: {line}");
+                    error!("operator's file reload failed, keeping the active one: {line}");
                 }
             }
             None => {}
@@ -50,7 +54,8 @@
         self.process_pending();
     }
 
-    /// Applies what can change in a running process; the rest is logged and takes effect after a restart.
+    /// Applies the settings of a reloaded operator's file that can change in a running process. For each other changed
+    /// setting, logs that it takes effect after a restart.
     fn apply_operator_file(&mut self, operator: OperatorConfig) {
         let warn_of_restart = |what: &str| warn!("operator's file: {what} takes effect after a restart");
         if operator.log_format != self.operator.log_format {
@@ -76,7 +81,7 @@
             None => operator.fleet.is_some(),
         };
         if needs_restart {
-            warn_of_restart("fleet, but for its version,");
+            warn_of_restart("fleet, except its version,");
         }
         if operator.recovery != self.operator.recovery {
             warn_of_restart("state");
--- a/crates/dunepond-broker/src/event_loop/shutdown.rs
+++ b/crates/dunepond-broker/src/event_loop/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown from SIGTERM to the end of the process, in the stages of `dunepond_routing::Shutdown`.
+//! Graceful shutdown, from SIGTERM to the end of the process, in the stages of `dunepond_routing::Shutdown`.
 
 use dunepond_routing::{Shutdown, ShutdownStage};
 use tracing::info;
@@ -7,15 +7,15 @@
 use crate::clock::TimerEvent;
 
 impl EventLoop {
-    /// Handles SIGTERM or SIGINT. The stages count from the earliest time at which it may have come: after a stall the kill comes sooner
-    /// than the time of finding suggests. A second signal changes nothing.
+    /// Handles SIGTERM or SIGINT. The stages count from the earliest time at which the signal may have come: after a stall,
+    /// SIGKILL comes sooner than the time at which the signal was noticed suggests. A second signal changes nothing.
     pub(super) fn begin_shutdown(&mut self) {
         let now = self.refresh_clock_and_config();
         if self.shutdown.is_none() {
-            let shutdown = Shutdown::new(self.times.events_since(), self.longest_timeout);
+            let shutdown = Shutdown::new(self.times.earliest_arrival(), self.longest_timeout);
             info!(
                 "shutdown requested within the last {:.3} s: {} connections, {} queries in flight; last responses due in {:.3} s",
-                now - self.times.events_since(),
+                now - self.times.earliest_arrival(),
                 self.router_host.downstream.count(),
                 self.router_host.unanswered_queries().len(),
                 shutdown.last_answers_at() - now
@@ -28,15 +28,15 @@
         }
     }
 
-    /// Enters a stage that is due before the events of this iteration, so that its requests are treated by that stage.
+    /// Enters a stage that is due, before the events of this iteration are handled: that stage applies to their requests.
     pub(super) fn advance_shutdown(&mut self) {
         if self.shutdown.is_some_and(|shutdown| shutdown.stage(self.router_host.now) > self.shutdown_stage) {
             self.run_shutdown_stages();
         }
     }
 
-    /// Carries out the stage that the shutdown has reached, with all stages before it, and sets a timer for the next one. After a
-    /// stall several stages may come at once.
+    /// Carries out the stage that the shutdown has reached and all stages before it, and schedules the next one. After a
+    /// stall several stages may be due at once.
     pub(super) fn run_shutdown_stages(&mut self) {
         let Some(shutdown) = self.shutdown else { return };
         let now = self.router_host.now;
@@ -52,8 +52,7 @@
             self.router_host.downstream.close_after_responses();
         }
         if stage >= ShutdownStage::Refusing {
-            // While there is no room to accept all that wait at the listeners, they stay open; see
-            // `retry_closing_listeners`.
+            // The listeners stay open while there is no room to accept their whole backlog; see `retry_closing_listeners`.
             self.listeners_closed = self.listeners_closed
                 || self.router_host.downstream.close_listeners(now, &mut self.router_host.timers);
             self.router_host.downstream.close_idle(now, &mut self.router_host.timers);
@@ -69,8 +68,8 @@
         }
     }
 
-    /// Ends queries that are still unanswered: their timers may be later than the kill, where query timeouts are longer than the
-    /// longest counted one.
+    /// Ends queries that are still unanswered. Their own timers may fire only after SIGKILL, if a query timeout is longer
+    /// than the longest one that counts for the time of SIGKILL.
     fn expire_queries(&mut self) {
         for query in self.router_host.unanswered_queries() {
             self.expire_query(query);
@@ -78,10 +77,10 @@
         }
     }
 
-    /// Tries again to accept all that wait at the listeners, and to close them.
+    /// Tries again to accept the whole backlog of the listeners and to close them, if the shutdown has reached that stage.
     pub(super) fn retry_closing_listeners(&mut self) {
-        let refuses = self.shutdown.is_some_and(|shutdown| shutdown.is_refusing(self.router_host.now));
-        if refuses && !self.listeners_closed {
+        let is_refusing = self.shutdown.is_some_and(|shutdown| shutdown.is_refusing(self.router_host.now));
+        if is_refusing && !self.listeners_closed {
             self.run_shutdown_stages();
         }
     }
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -17,7 +17,9 @@
 
 use super::EventLoop;
 use super::iteration_times::IterationTimes;
-use super::setup::{BodySpool, failed, listen_with_retry, start_body_spool, start_job_pool, watch_signals};
+use super::setup::{
+    BodySpool, listen_with_retry, setup_error, start_body_spool, start_job_pool, watch_signals,
+};
 use crate::background::Background;
 use crate::body_store::BodyStore;
 use crate::buffers::{self, Pool};
@@ -36,37 +38,37 @@
 use crate::signals::{CaughtSignals, catch_signals};
 use crate::upstream::Upstream;
 
-/// Share of the shortest query timeout for which accepting may wait for the first list. Guards against a client that learns of a
-/// rejection too late to ask another broker.
+/// Share of the shortest query timeout for which accepting connections may wait for the first endpoint list. Guards
+/// against a client that learns of a rejection too late to ask another broker.
 const MAX_ACCEPT_DELAY_RATIO: f64 = 0.5;
 
 /// What the caller of [`serve`] may replace or add.
 #[derive(Default)]
 pub struct Hooks {
-    /// The signals, if they have been caught already.
+    /// The caught signals; `None` if [`serve`] is to catch them.
     pub signals: Option<CaughtSignals>,
     /// Path of the operator's file, which SIGHUP reloads.
     pub operator_file: Option<PathBuf>,
-    /// Replaces the folder that the operator's file names for bodies.
+    /// Folder for the disk spill of bodies, instead of the one that the operator's file names.
     pub body_folder: Option<Arc<dyn SpillFolder>>,
-    /// Replaces the folder that the operator's file names for state.
+    /// Store for the state files, instead of the folder that the operator's file names.
     pub state_files: Option<Arc<dyn FileStore>>,
-    /// Replaces the fleet's data directory and fill service.
+    /// Test doubles for the fleet's data directory and fill service.
     pub control_plane: TestDoubles,
 }
 
 /// A broker that is ready to run.
 struct Broker {
     event_loop: EventLoop,
-    /// Where it listens for clients.
+    /// Address of the listener for clients.
     address: SocketAddr,
     /// The folder of the disk spill for bodies, if there is one.
     body_folder: Option<Arc<dyn SpillFolder>>,
-    /// Longest time that accepting may wait for the first endpoint list, in seconds.
+    /// Longest time in seconds for which accepting connections may wait for the first endpoint list.
     max_accept_delay: f64,
 }
 
-/// The router's host with all that is enabled for it.
+/// The router's host, with the parts that the operator's file enables.
 struct Host {
     router_host: RouterHost,
     prefilter: Option<PrefilterHost>,
@@ -74,7 +76,7 @@
     body_folder: Option<Arc<dyn SpillFolder>>,
 }
 
-/// The router's host with its connections.
+/// The router's host, with the prefilter connections and the address of the listener for clients.
 struct Connections {
     router_host: RouterHost,
     prefilter_connections: PrefilterConnections,
@@ -86,15 +88,15 @@
     if startup.operator.body_buffer.is_some() {
         buffers::use_single_malloc_arena();
     }
-    let mut sources = calloop::EventLoop::try_new().map_err(|e| failed("loop", &e))?;
-    let handle = sources.handle();
+    let mut poller = calloop::EventLoop::try_new().map_err(|e| setup_error("loop", &e))?;
+    let handle = poller.handle();
     let CaughtSignals { signals, since } = hooks.signals.take().map_or_else(catch_signals, Ok)?;
     watch_signals(&handle, signals)?;
     let Broker { mut event_loop, address, body_folder, max_accept_delay } =
         build(startup, hooks, since, &handle)?;
     event_loop.schedule_startup_timers(max_accept_delay);
     info!("listening on {address}");
-    event_loop.run(&mut sources).map_err(|e| failed("loop", &e))?;
+    event_loop.run(&mut poller).map_err(|e| setup_error("loop", &e))?;
     event_loop.finish();
     if let Some(folder) = &body_folder {
         folder.close();
@@ -103,7 +105,7 @@
     Ok(())
 }
 
-/// Builds a broker. `signals_since`: when its signals were caught.
+/// Builds a broker. `signals_since` is the time from which on signals are caught: none of them came earlier.
 fn build(
     startup: StartupConfig,
     mut hooks: Hooks,
@@ -112,7 +114,7 @@
 ) -> Result<Broker, ConfigError> {
     let (pool, bounds) = (Pool::default(), Rc::new(startup.bounds.clone()));
     let mut discovery = DiscoveryClient::new(handle.clone(), &pool, startup.discovery_address, &bounds);
-    // An invalid list is ignored: discovery will send another.
+    // An invalid list is ignored, as discovery will send one.
     let configured_endpoints = discovery.parse_configured_list(&startup.configured_endpoints).ok();
     let Host { router_host, prefilter, address, body_folder } =
         open_host(&startup, &mut hooks, &pool, &bounds, handle)?;
@@ -124,12 +126,12 @@
     let (clock, operator) = (Clock::start(), startup.operator);
     let job_pool = start_job_pool(&operator, handle)?;
     let reloaded = event_channel(handle, LoopEvent::ConfigLoaded);
-    let reloaded = reloaded.map_err(|e| failed("configuration", &e))?;
+    let reloaded = reloaded.map_err(|e| setup_error("configuration", &e))?;
     let config_reloader = ConfigReloader::new(reloaded, hooks.operator_file);
     let mut background = Background::new(Scheduler::new(operator.background.clone(), seed), job_pool);
-    let persistence = operator.recovery.clone().map(|state| {
+    let persistence = operator.recovery.clone().map(|config| {
         let query_classes = bounds.query_classes.clone();
-        Persistence::start(clock.now(), state, hooks.state_files, query_classes, &mut background)
+        Persistence::start(clock.now(), config, hooks.state_files, query_classes, &mut background)
     });
     let event_loop = EventLoop {
         clock,
@@ -152,7 +154,7 @@
     Ok(Broker { event_loop, address, body_folder, max_accept_delay })
 }
 
-/// Opens the router's host with all that the operator's file enables for it.
+/// Opens the router's host, with the parts that the operator's file enables.
 fn open_host(
     startup: &StartupConfig,
     hooks: &mut Hooks,
@@ -181,14 +183,14 @@
     Ok(Host { router_host, prefilter, address, body_folder })
 }
 
-/// Listens for clients, and prepares connections to nodes.
+/// Listens for clients, and prepares the connections to nodes.
 fn open_connections(
     startup: &StartupConfig,
     pool: &Pool,
     bounds: &Rc<HostSettings>,
     handle: &EventLoopHandle,
 ) -> Result<Connections, ConfigError> {
-    let failed_to_listen = |e: &dyn std::fmt::Display| failed("GW_LISTEN", e);
+    let failed_to_listen = |e: &dyn std::fmt::Display| setup_error("GW_LISTEN", e);
     let listener =
         listen_with_retry("GW_LISTEN", startup.listen_address).map_err(|e| failed_to_listen(&e))?;
     let address = listener.local_addr().map_err(|e| failed_to_listen(&e))?;
@@ -216,14 +218,14 @@
     Ok(Connections { router_host, prefilter_connections, address })
 }
 
-/// Listens for the search API.
+/// Enables the search API, and listens for its clients.
 fn open_search_api(
     router_host: &mut RouterHost,
     config: &operator::SearchApiConfig,
     bounds: Rc<HostSettings>,
     deployment: &Deployment,
 ) -> Result<(), ConfigError> {
-    let failed_to_listen = |e: &dyn std::fmt::Display| failed("search: listen", e);
+    let failed_to_listen = |e: &dyn std::fmt::Display| setup_error("search: listen", e);
     let listener =
         listen_with_retry("search: listen", config.listen_address).map_err(|e| failed_to_listen(&e))?;
     let address = listener.local_addr().map_err(|e| failed_to_listen(&e))?;
@@ -250,7 +252,7 @@
     Ok(folder)
 }
 
-/// Starts the control plane's thread.
+/// Starts the control plane's thread, and has frames checked against its active configuration before they are sent.
 fn start_control_plane(
     router_host: &mut RouterHost,
     config: &operator::FleetConfig,
--- a/crates/dunepond-broker/src/event_loop/timers.rs
+++ b/crates/dunepond-broker/src/event_loop/timers.rs
@@ -15,6 +15,7 @@
         }
     }
 
+    /// Handles one timer that is due.
     fn on_timer(&mut self, now: f64, event: TimerEvent) {
         match event {
             TimerEvent::RouterWake => self.router.on_wake(&mut self.router_host),
@@ -58,18 +59,19 @@
         }
     }
 
+    /// Handles a time limit of a client connection, after reading what the client has sent by now.
     fn on_client_timeout(&mut self, now: f64, id: usize) {
-        // Its bytes may have arrived in this iteration without having been read.
-        let time = self.router_host.downstream.read_before_timeout(id);
+        // The client's bytes may have arrived in this iteration without having been read.
+        let timer = self.router_host.downstream.read_before_timeout(id);
         self.process_pending();
-        if self.router_host.downstream.is_still_timed_out(id, time)
+        if self.router_host.downstream.is_still_timed_out(id, timer)
             && let Some(query) = self.router_host.downstream.on_timeout(now, id, &mut self.router_host.timers)
         {
             self.client_disconnected(query);
         }
     }
 
-    /// Discovery has not answered in time since the start.
+    /// Uses the configured endpoint list, as discovery has not answered in time since the start.
     fn use_configured_endpoints(&mut self) {
         if let Some(configured) = self.configured_endpoints.take() {
             info!("discovery does not answer; the configured endpoint list is used until it does");
