--- a/crates/dunepond-broker/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -41,8 +41,8 @@
     pub deployment: Deployment,
     /// Key of a setting that is valid but not supported on sockets, and ignored.
     pub unsupported_setting: Option<&'static str>,
-    /// Bounds on requests, and the names of the deployment's parts.
-    pub bounds: HostSettings,
+    /// Bounds on requests, and the names of query classes, tenants and zones.
+    pub host_settings: HostSettings,
     /// The configured endpoint list, in discovery's form; null without one.
     pub configured_endpoints: Value,
     /// What the operator's file enables; the default without a file.
@@ -170,7 +170,7 @@
         max_node_connections: limits.max_node_connections(),
         deployment,
         unsupported_setting,
-        bounds: host_settings(&settings)?,
+        host_settings: host_settings(&settings)?,
         configured_endpoints: config
             .optional("known", "a list of nodes", Some)?
             .cloned()
--- a/crates/dunepond-broker/src/downstream/accept.rs
+++ b/crates/dunepond-broker/src/downstream/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, and evicts a connection that is owed no response where the bound on connections is reached.
+//! Accepts client connections. At the bound on connections, evicts one that is owed no response.
 
 use std::collections::VecDeque;
 use std::io;
@@ -16,15 +16,15 @@
 use crate::connection_end::ConnectionEnd;
 use crate::iteration::{LoopEvent, Port, watch};
 
-/// Connections accepted before other events are handled: keeps an iteration short against the 50 ms by which any time
-/// limit may be exceeded.
+/// Maximum number of connections accepted before other events are handled: keeps an iteration short compared with the
+/// 50 ms by which any time limit may be exceeded.
 const MAX_ACCEPTS_PER_ITERATION: usize = 32;
-/// How soon accepting is tried again after it has failed for lack of resources: a client in the backlog has a request
-/// timeout that is running, which may be exceeded by 50 ms.
+/// Delay before accepting is retried after a failure for lack of resources. The request timeouts of clients in the backlog
+/// are running meanwhile, and may be exceeded by 50 ms.
 const ACCEPT_RETRY_SECONDS: f64 = 0.05;
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// Opens a non-blocking listener. Fails where the address is in use or not one of this host.
+/// Opens a non-blocking listener. Fails if the address is in use or does not belong to this host.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -37,7 +37,7 @@
 impl Downstream {
     /// Accepts connections at one more listener.
     ///
-    /// Fails where the event loop cannot watch the listener.
+    /// Fails if the event loop cannot watch the listener.
     pub fn add_listener(&mut self, listener: TcpListener, port: Port) -> calloop::Result<()> {
         let listener = Rc::new(listener);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
@@ -54,32 +54,32 @@
         Ok(())
     }
 
-    /// Accepts some of the connections in the backlog; true if there may be more.
+    /// Accepts a bounded number of connections from the backlog of a port; returns `true` if there may be more.
     pub fn accept(&mut self, now: f64, port: Port, timers: &mut Timers) -> bool {
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
-            let Some(at) = self.listeners.iter().position(|entry| entry.port == port) else {
+            let Some(index) = self.listeners.iter().position(|entry| entry.port == port) else {
                 return false;
             };
             let full = self.connections.len() >= self.max_connections;
             let candidate = if full { self.eviction_candidate(now) } else { None };
             if full && candidate.is_none() {
                 // A connection that is still to be read may turn out to be owed no response.
-                let soon = !self.pending_clients.is_empty();
-                self.pause_accepting(now, soon.then_some(now), timers);
+                let retry_soon = !self.pending_clients.is_empty();
+                self.pause_accepting(now, retry_soon.then_some(now), timers);
                 return false;
             }
-            match self.listeners[at].listener.accept() {
+            match self.listeners[index].listener.accept() {
                 Ok((stream, peer)) => {
-                    // Not before accept(): the backlog may be empty.
+                    // Evicted only after accept() has succeeded, as the backlog may have been empty.
                     candidate.map(|id| self.close(id, ConnectionEnd::IdleClosed, timers));
-                    let paused_since = self.listeners[at].paused_since;
+                    let paused_since = self.listeners[index].paused_since;
                     match self.register(now, stream, port, paused_since, timers) {
                         Ok(id) => self.pending_clients.push(id),
                         Err(e) => warn!("client {peer}: not accepted: {e}"),
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.listeners[at].paused_since = None;
+                    self.listeners[index].paused_since = None;
                     return false;
                 }
                 Err(e)
@@ -94,13 +94,15 @@
         true
     }
 
-    /// Closes one connection to free a descriptor; false if all connections are owed a response.
+    /// Closes one connection to free a file descriptor; returns `false` if there is none that may be evicted.
     pub fn evict_one(&mut self, now: f64, timers: &mut Timers) -> bool {
         let candidate = self.eviction_candidate(now);
         candidate.map(|id| self.close(id, ConnectionEnd::IdleClosed, timers));
         candidate.is_some()
     }
 
+    /// Registers an accepted connection with the event loop and starts its request timeout; returns its index.
+    /// `paused_since` is when accepting was paused, if the connection may have waited since then.
     fn register(
         &mut self,
         now: f64,
@@ -113,7 +115,7 @@
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
         let received_at = self.received_at(now);
-        let connected = paused_since.map_or(received_at, |since| since.min(received_at));
+        let connected_at = paused_since.map_or(received_at, |since| since.min(received_at));
         let entry = self.connections.vacant_entry();
         let id = entry.key();
         let token = watch(&self.handle, &stream, move |readable| LoopEvent::ClientReady(id, readable));
@@ -128,7 +130,7 @@
             readable: true,
             last_checked_at: f64::MIN,
             disconnected: None,
-            arrivals: ArrivalTimes::new(connected),
+            arrivals: ArrivalTimes::new(connected_at),
             request_started_at: now,
             keep_alive: true,
             responded_in_body: false,
@@ -139,7 +141,7 @@
         Ok(id)
     }
 
-    /// Stops accepting until a connection has gone, or until a time.
+    /// Stops accepting until a connection has closed or become idle, or until the time `until` if it is given.
     fn pause_accepting(&mut self, now: f64, until: Option<f64>, timers: &mut Timers) {
         if !self.accepting_paused {
             self.listeners.iter_mut().for_each(|entry| {
@@ -153,14 +155,14 @@
         }
     }
 
-    /// Accepting may go on; not at once, as this may run in the listener's own callback.
+    /// Has accepting resume after a pause: by a timer rather than at once, as this may run while connections are accepted.
     pub(super) fn schedule_resume_accepting(&self, timers: &mut Timers) {
         if self.accepting_paused {
             timers.schedule(0.0, TimerEvent::ResumeAccept);
         }
     }
 
-    /// Accepts connections again after a pause.
+    /// Watches the listeners again after a pause.
     pub fn resume_accepting(&mut self) {
         if self.accepting_paused {
             self.accepting_paused =
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Accepts no connection before `until` (Unix seconds) or an explicit resume; clients wait in the backlog.
+    /// Accepts no connections until `until` (Unix seconds) or an explicit resume; clients wait in the backlog.
     pub fn delay_accepting(&mut self, now: f64, until: f64, timers: &mut Timers) {
         self.pause_accepting(now, Some(until), timers);
     }
--- a/crates/dunepond-broker/src/downstream/arrivals.rs
+++ b/crates/dunepond-broker/src/downstream/arrivals.rs
@@ -1,28 +1,30 @@
-//! When the bytes of a connection arrived: a request's time budget counts from its first byte, however long that waits to be read or
-//! behind another request.
+//! Records when the bytes of a connection arrived. A request's time budget counts from the arrival of its first byte,
+//! however long that byte waits to be read, or behind another request.
 
 use std::collections::VecDeque;
 
-/// Reads that follow each other this closely are recorded as one, with the time of the first: bounds what is recorded for a
-/// client that sends byte by byte. A tenth of the 50 ms by which a time limit may be exceeded.
+/// Reads within this time of each other are recorded as one, with the time of the first: bounds the memory for a client
+/// that sends byte by byte. A tenth of the 50 ms by which any time limit may be exceeded.
 const COALESCE_SECONDS: f64 = 0.005;
 
-/// The reads of a connection of which some bytes are not parsed yet.
+/// The arrival times of a connection's bytes that are not parsed yet.
 pub struct ArrivalTimes {
-    /// The time of each read, and how many bytes had arrived in total with it.
+    /// For each read, its arrival time and the total number of bytes read up to its end.
     reads: VecDeque<(f64, u64)>,
+    /// How many bytes have been read from the connection.
     total_bytes: u64,
-    /// The bytes of the first read may have arrived at any time since then; `None` once the socket has been read empty.
+    /// Until the socket has been read empty for the first time, its bytes may have arrived at any time since this one;
+    /// `None` afterwards.
     first_read_since: Option<f64>,
 }
 
 impl ArrivalTimes {
-    /// For a connection that may have waited in the backlog since then.
-    pub fn new(connected: f64) -> Self {
-        Self { reads: VecDeque::new(), total_bytes: 0, first_read_since: Some(connected) }
+    /// Creates the record of a connection that may have waited in the backlog since `connected_at`.
+    pub fn new(connected_at: f64) -> Self {
+        Self { reads: VecDeque::new(), total_bytes: 0, first_read_since: Some(connected_at) }
     }
 
-    /// Records a read of `count` bytes that arrived at `received_at` at the earliest.
+    /// Records a read of `count` bytes, which arrived at `received_at` at the earliest.
     pub fn record(&mut self, count: usize, received_at: f64) {
         if count == 0 {
             return;
@@ -35,15 +37,15 @@
         }
     }
 
-    /// The socket has been read empty: later bytes have not waited.
+    /// Records that the socket has been read empty: bytes read later have arrived only since.
     pub fn mark_drained(&mut self) {
         self.first_read_since = None;
     }
 
-    /// When the first of the last `unparsed_bytes` bytes arrived.
+    /// Returns when the first of the last `unparsed_bytes` bytes arrived; `None` if there are none.
     pub fn first_unparsed_at(&mut self, unparsed_bytes: usize) -> Option<f64> {
-        let used = self.total_bytes.saturating_sub(unparsed_bytes as u64);
-        while self.reads.front().is_some_and(|(_, end)| *end <= used) {
+        let parsed = self.total_bytes.saturating_sub(unparsed_bytes as u64);
+        while self.reads.front().is_some_and(|(_, end)| *end <= parsed) {
             self.reads.pop_front();
         }
         self.reads.front().map(|(at, _)| *at)
--- a/crates/dunepond-broker/src/downstream/arrivals/tests/mod.rs
+++ b/crates/dunepond-broker/src/downstream/arrivals/tests/mod.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn request_time_is_that_of_its_first_byte() {
+fn request_arrives_with_its_first_byte() {
     let mut arrivals = ArrivalTimes::new(1.0);
     arrivals.mark_drained();
     arrivals.record(100, 2.0);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn backlog_wait_counts_from_the_connect() {
+fn first_read_counts_from_the_connect() {
     let mut arrivals = ArrivalTimes::new(1.0);
     arrivals.record(100, 2.0);
     assert_eq!(arrivals.first_unparsed_at(100), Some(1.0));
--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -1,9 +1,10 @@
-//! Closes connections that are owed no response: idle, evicted, or in a shutdown.
+//! Closes connections that are owed no response: idle ones, evicted ones, and those open in a shutdown.
 //!
-//! Bytes may arrive between any check and the close that follows it, and closing a socket with unread bytes resets the connection, which
-//! loses the part of the last response that is still in transit. So the socket is read once more right before, and a request found there is
-//! served. Otherwise the write side is shut down and the client's close is awaited (a lingering close): what still arrives is discarded, and
-//! the client, which sees the end of the stream without a response, retries elsewhere.
+//! Bytes may arrive between any check and the close that follows it, and closing a socket with unread bytes resets the
+//! connection, which loses the part of the last response that is still in transit. So the socket is read once more right
+//! before the close, and a request found there is served. Otherwise the write side is shut down and the client's close is
+//! awaited (a lingering close): what still arrives is discarded, and the client, which sees the end of the stream without a
+//! response, retries elsewhere.
 
 use std::io;
 use std::net::{Shutdown, TcpStream};
@@ -15,33 +16,36 @@
 use crate::connection_end::ConnectionEnd;
 use crate::iteration::Port;
 
-/// A connection without a request for so long is evicted before idle ones, which have sent a request before. Some round
-/// trips: guards a new client against eviction before its first request has arrived.
+/// A connection that has not sent a whole request within this time is evicted before idle ones, which have sent a request
+/// before. Several round trips long, so that a new client is not evicted before its first request has arrived.
 const EVICTABLE_AFTER_SECONDS: f64 = 0.25;
-/// How long a client may take to close its side after ours and after the whole of its last response: some round trips.
+/// How long a client may take to close its side after we have shut down ours and it has received the whole of its last
+/// response: several round trips.
 const LINGER_SECONDS: f64 = 1.0;
-/// In a shutdown a lingering connection may stay this long after the last responses are due: the 50 ms by which any time
-/// limit may be exceeded, well before the process is killed.
+/// How long a lingering connection may stay open after the last responses of a shutdown are due: the 50 ms by which any
+/// time limit may be exceeded, well before the process is killed.
 const SHUTDOWN_LINGER_SECONDS: f64 = 0.05;
 
 /// The outcome of the last read before a close.
 pub(super) enum FinalRead {
-    /// Something has arrived; the connection is among those to be read.
+    /// Bytes have arrived; the connection is queued to be read.
     ReceivedData,
-    Quiet,
+    /// Nothing has arrived.
+    NoData,
+    /// The connection had already ended in this way.
     Disconnected(ConnectionEnd),
 }
 
-/// Whether the system still holds bytes that the peer has not acknowledged; `false` where it cannot tell.
+/// Whether the system holds sent bytes that the peer has not acknowledged; `false` if the system cannot tell.
 fn has_unacknowledged(stream: &TcpStream) -> bool {
     let mut count: libc::c_int = 0;
-    // SAFETY: the descriptor is open as long as the stream is borrowed, and the call writes one whole number.
+    // SAFETY: the descriptor is open as long as the stream is borrowed, and the call writes a single integer.
     unsafe { libc::ioctl(stream.as_raw_fd(), libc::TIOCOUTQ, &mut count) == 0 && count > 0 }
 }
 
 impl Downstream {
-    /// Accepts the whole backlog and closes the listeners. False, and nothing is closed, while there is no room for all of
-    /// it: closing a listener resets the connections in its backlog.
+    /// Accepts the whole backlog and closes the listeners. While there is no room for all of the backlog, closes nothing and
+    /// returns `false`: closing a listener resets the connections in its backlog.
     pub fn close_listeners(&mut self, now: f64, timers: &mut Timers) -> bool {
         self.resume_accepting();
         for port in Port::ALL {
@@ -56,48 +60,51 @@
         true
     }
 
-    /// From now on each connection closes after its response.
+    /// Has each connection close after its response from now on.
     pub fn close_after_responses(&mut self) {
         self.closes_after_response = true;
     }
 
-    /// Closes the idle connections, and from now on each one that becomes idle.
+    /// Closes the idle connections, and has each one that becomes idle later close at once.
     pub fn close_idle(&mut self, now: f64, timers: &mut Timers) {
         self.close_when_idle = true;
         for id in self.connections_without_request(true) {
-            self.close_if_quiet(now, id, timers);
+            self.close_if_no_data(now, id, timers);
         }
     }
 
-    /// Closes the connections without a pending request, also those that have not sent any.
+    /// Closes the connections without a pending request, including those that have not sent any request yet.
     pub fn close_without_request(&mut self, now: f64, timers: &mut Timers) {
         for id in self.connections_without_request(false) {
-            self.close_if_quiet(now, id, timers);
+            self.close_if_no_data(now, id, timers);
         }
     }
 
-    /// Reads from clients that are sending a request what has arrived, before `expire_pending_requests`.
+    /// Queues the clients that are sending a request to be read; what they have sent by now counts before
+    /// `expire_pending_requests`.
     pub fn read_pending_requests(&mut self) {
         for id in self.awaiting_request.values().copied().collect::<Vec<_>>() {
             self.read_before_timeout(id);
         }
     }
 
-    /// Times out every request that has not arrived completely.
+    /// Times out every request that has not arrived completely yet.
     pub fn expire_pending_requests(&mut self, now: f64, timers: &mut Timers) {
         for id in self.awaiting_request.values().copied().collect::<Vec<_>>() {
             self.on_timeout(now, id, timers);
         }
     }
 
+    /// Returns the connections without a pending request; only the idle ones if `only_idle`.
     fn connections_without_request(&self, only_idle: bool) -> Vec<usize> {
-        let idle = |c: &ClientConnection| c.timer.is_some_and(|key| self.idle.contains_key(&key));
-        let unasked =
-            self.connections.iter().filter(|(_, c)| c.is_between_requests() && (!only_idle || idle(c)));
-        unasked.map(|(id, _)| id).collect()
+        let is_idle = |c: &ClientConnection| c.timer.is_some_and(|key| self.idle.contains_key(&key));
+        let without_request =
+            self.connections.iter().filter(|(_, c)| c.is_between_requests() && (!only_idle || is_idle(c)));
+        without_request.map(|(id, _)| id).collect()
     }
 
-    /// A client's timer has fired: what it has sent by now is read before the timeout is handled. Returns that timer.
+    /// Queues a client whose timer has fired to be read: what it has sent by now is read before the timeout is handled.
+    /// Returns the timer, for `is_still_timed_out`.
     pub fn read_before_timeout(&mut self, id: usize) -> Option<TimerKey> {
         let client = self.connections.get_mut(id)?;
         client.readable = true;
@@ -105,12 +112,12 @@
         client.timer
     }
 
-    /// Whether the timer that fired is still the client's, after what it had sent was read.
+    /// Whether `timer`, which has fired, is still the client's after what it had sent was read: if so, the timeout stands.
     pub fn is_still_timed_out(&self, id: usize, timer: Option<TimerKey>) -> bool {
         timer.is_some() && self.connections.get(id).is_some_and(|client| client.timer == timer)
     }
 
-    /// Reads once more, whether a readiness event has been reported or not.
+    /// Reads from a connection once more, even without a readiness event, before it is closed.
     pub(super) fn final_read(&mut self, now: f64, id: usize) -> FinalRead {
         let received_at = self.received_at(now);
         let Some(client) = self.connections.get_mut(id) else {
@@ -139,25 +146,25 @@
                 self.pending_clients.push(id);
                 FinalRead::ReceivedData
             }
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => FinalRead::Quiet,
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => FinalRead::NoData,
             Err(e) => FinalRead::Disconnected(ConnectionEnd::from_io_error(&e)),
         }
     }
 
-    /// Closes a connection without a pending request; if something has just arrived, it stays open for that.
-    pub(super) fn close_if_quiet(&mut self, now: f64, id: usize, timers: &mut Timers) {
-        // What was read together with the previous request is a request, too.
+    /// Closes a connection without a pending request, unless bytes of a next request have arrived.
+    pub(super) fn close_if_no_data(&mut self, now: f64, id: usize, timers: &mut Timers) {
+        // Bytes that were read together with the previous request belong to a next one.
         if self.connections.get(id).is_some_and(|c| c.input.is_some() || !c.read_ahead.is_empty()) {
             return self.start_request_timer(now, id, timers);
         }
         match self.final_read(now, id) {
             FinalRead::ReceivedData => self.start_request_timer(now, id, timers),
-            FinalRead::Quiet => self.start_lingering(now, id, timers),
+            FinalRead::NoData => self.start_lingering(now, id, timers),
             FinalRead::Disconnected(ending) => drop(self.close(id, ending, timers)),
         }
     }
 
-    /// Shuts down the write side, and waits for the client to close its side.
+    /// Shuts down the write side of a connection, and waits for the client to close its side.
     pub(super) fn start_lingering(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let Some(client) = self.connections.get_mut(id) else { return };
         let _ = client.stream.shutdown(Shutdown::Write);
@@ -165,48 +172,50 @@
         client.request_started_at = now;
         client.input = None;
         client.read_ahead.clear();
-        // A client that is still sending its body reads the response later; a close before that would reset it.
-        let time = if client.responded_in_body {
+        // A client that is still sending its body reads the response only afterwards; closing before that would reset the
+        // connection.
+        let linger_seconds = if client.responded_in_body {
             self.max_delivery_seconds().max(REQUEST_TIMEOUT_SECONDS)
         } else {
             LINGER_SECONDS
         };
-        self.set_linger_timer(id, now + time, timers);
+        self.set_linger_timer(id, now + linger_seconds, timers);
         self.schedule_resume_accepting(timers);
     }
 
-    /// Awaits the client's close until then, but in a shutdown not beyond the last responses.
+    /// Has a connection linger until `until`, but in a shutdown not much beyond the time of the last responses.
     fn set_linger_timer(&mut self, id: usize, until: f64, timers: &mut Timers) {
         let key = self.set_timer(id, until.min(self.shutdown_deadline + SHUTDOWN_LINGER_SECONDS), timers);
         self.lingering.insert(key, id);
     }
 
-    /// Waits on for a lingering client that has not acknowledged all of its last response: a close now could reset the
-    /// connection and lose it. False if there is nothing more to wait for.
+    /// Waits longer for a lingering client that has not acknowledged all of its last response: closing now could reset the
+    /// connection and lose the response. Returns `false` if there is nothing more to wait for.
     pub(super) fn extend_linger(&mut self, now: f64, id: usize, timers: &mut Timers) -> bool {
         let until = self.shutdown_deadline + SHUTDOWN_LINGER_SECONDS;
         let Some(client) = self.connections.get(id) else { return false };
         let deadline = client.request_started_at + self.max_delivery_seconds();
-        let wait_on = matches!(client.phase, RequestPhase::Lingering)
+        let extend = matches!(client.phase, RequestPhase::Lingering)
             && now < deadline.min(until)
             && has_unacknowledged(&client.stream);
-        if wait_on {
+        if extend {
             self.set_linger_timer(id, deadline.min(now + LINGER_SECONDS), timers);
         }
-        wait_on
+        extend
     }
 
-    /// The connection to evict: never one that is owed a response or has sent something that is not read yet. One that has
-    /// only just connected is spared as long as such connections are not half of all. `None`, too, if all candidates have
-    /// just been found to have sent something.
+    /// Returns the connection to evict: never one that is owed a response or has sent bytes that are not read yet. A
+    /// connection that has only just been accepted comes last, unless connections without a whole request take more than
+    /// half of the bound. Returns `None` if there is no candidate, or if all of them have just been found to have sent
+    /// bytes.
     pub(super) fn eviction_candidate(&mut self, now: f64) -> Option<usize> {
         let evictable_until = now + REQUEST_TIMEOUT_SECONDS - EVICTABLE_AFTER_SECONDS;
         loop {
-            let too_many = 2 * self.awaiting_request.len() > self.max_connections;
-            let is_evictable = |timer: &TimerKey| too_many || timer.is_before(evictable_until);
-            let overdue = self.awaiting_request.iter().filter(|(timer, _)| is_evictable(timer));
-            let in_order = overdue.chain(&self.lingering).chain(&self.idle).chain(&self.awaiting_request);
-            // A connection that is to be read is not evicted before that.
+            let too_many_new = 2 * self.awaiting_request.len() > self.max_connections;
+            let is_evictable = |timer: &TimerKey| too_many_new || timer.is_before(evictable_until);
+            let evictable = self.awaiting_request.iter().filter(|(timer, _)| is_evictable(timer));
+            let in_order = evictable.chain(&self.lingering).chain(&self.idle).chain(&self.awaiting_request);
+            // A connection that is queued to be read is not evicted before that.
             let Some(id) = in_order.map(|(_, id)| *id).find(|id| !self.pending_clients.contains(id)) else {
                 break;
             };
@@ -214,9 +223,9 @@
                 return Some(id);
             }
         }
-        // All candidates are to be read: one that has disconnected need not be.
+        // All candidates are queued to be read; of these, one that has disconnected may be evicted.
         let all = self.awaiting_request.values().chain(self.lingering.values()).chain(self.idle.values());
-        let waiting: Vec<_> = all.copied().collect();
-        waiting.into_iter().find(|id| matches!(self.final_read(now, *id), FinalRead::Disconnected(_)))
+        let candidates: Vec<_> = all.copied().collect();
+        candidates.into_iter().find(|id| matches!(self.final_read(now, *id), FinalRead::Disconnected(_)))
     }
 }
--- a/crates/dunepond-broker/src/downstream/decode.rs
+++ b/crates/dunepond-broker/src/downstream/decode.rs
@@ -1,5 +1,5 @@
-//! Parses requests out of what has been read, in phases: begin, head, body, then validation. Requests that are invalid or need no query
-//! are answered here.
+//! Parses requests from the bytes that have been read, in phases: begin, head, body, then validation. Requests that are
+//! invalid or need no query are answered here.
 
 use tracing::debug;
 
@@ -10,23 +10,23 @@
 use crate::iteration::Port;
 use crate::search_api::{self, SearchApi};
 
-/// The response that lets a client send the body that it holds back.
+/// The interim response after which a client sends the body that it holds back (`Expect: 100-continue`).
 pub(super) const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// What one step of parsing has brought.
+/// The result of one parsing step.
 enum Parsed {
     /// More bytes are needed.
     Incomplete,
-    /// A head has been handled: parsing goes on with what follows it.
+    /// A head has been handled; parsing goes on with the bytes after it.
     HeadDone,
-    /// The head of a valid streamed request.
+    /// The head of a valid streamed request has been parsed.
     Event(ClientEvent),
-    /// A whole request, or why it is malformed.
+    /// A whole request has been parsed, or is malformed for this reason.
     Request(Result<Box<Message>, HttpError>),
 }
 
 impl Downstream {
-    /// Parses one whole request, or the head of a streamed one; `None` once more bytes are needed.
+    /// Parses until there is a whole valid request, or the head of a streamed one; returns `None` if more bytes are needed.
     pub(super) fn decode(&mut self, now: f64, id: usize, timers: &mut Timers) -> Option<ClientEvent> {
         loop {
             if !self.begin_request(now, id, timers) {
@@ -44,15 +44,16 @@
         }
     }
 
-    /// Starts the timer and the time of a request; false if the client must not be parsed now.
+    /// Starts a request's timer if needed, and records when its first byte arrived. Returns `false` if the client's bytes must
+    /// not be parsed now.
     fn begin_request(&mut self, now: f64, id: usize, timers: &mut Timers) -> bool {
         let Some(client) = self.connections.get(id) else { return false };
-        // Idle is only a client that has sent nothing: what was read together with the previous request counts, too.
+        // A client with unparsed bytes is not idle, even if they were read together with its previous request.
         if client.has_unparsed() && client.timer.is_some_and(|key| self.idle.contains_key(&key)) {
             self.start_request_timer(now, id, timers);
         }
         let client = &mut self.connections[id];
-        // A client that keeps sending requests and reads no responses waits until it does.
+        // A client that sends requests without reading the responses has to wait until it has read them.
         if client.output.pending_bytes() > BUFFER_BYTES {
             return false;
         }
@@ -64,7 +65,7 @@
         true
     }
 
-    /// Parses on from the phase that the connection is in.
+    /// Takes one parsing step in the phase that the connection is in.
     fn parse(&mut self, now: f64, id: usize, timers: &mut Timers) -> Parsed {
         let client = &mut self.connections[id];
         if client.input.is_none() {
@@ -83,6 +84,7 @@
         }
     }
 
+    /// Parses the head of a request.
     fn parse_head(&mut self, now: f64, id: usize, timers: &mut Timers) -> Parsed {
         let client = &mut self.connections[id];
         let Some(input) = client.input.as_mut() else { return Parsed::Incomplete };
@@ -109,6 +111,7 @@
         Parsed::HeadDone
     }
 
+    /// Validates the head of a streamed request; answers it if it is invalid.
     fn begin_streamed_request(&mut self, now: f64, id: usize, head: Head, timers: &mut Timers) -> Parsed {
         let client = &mut self.connections[id];
         client.keep_alive = head.keep_alive;
@@ -117,12 +120,13 @@
         match self.validate_streamed(&head, received_at) {
             Ok(request) => Parsed::Event(ClientEvent::StreamedQuery(request, Box::new(head))),
             Err(error) => {
-                self.refuse(now, id, error, 0.0, timers);
+                self.reject_and_close(now, id, error, 0.0, timers);
                 Parsed::HeadDone
             }
         }
     }
 
+    /// Parses the body of a request that is not streamed.
     fn parse_body(&mut self, id: usize, mut message: Box<Message>) -> Parsed {
         let client = &mut self.connections[id];
         let Some(input) = client.input.as_mut() else { return Parsed::Incomplete };
@@ -136,6 +140,7 @@
         }
     }
 
+    /// Passes on what has arrived of a streamed body.
     fn parse_streamed_body(&mut self, id: usize, mut streamed: Box<StreamedRequest>) -> Parsed {
         self.bodies_received.push(streamed.body.id);
         let client = &mut self.connections[id];
@@ -176,6 +181,7 @@
         }
     }
 
+    /// Validates a whole request of the search API; answers it if it is malformed or invalid.
     fn finish_search_request(
         &mut self,
         now: f64,
@@ -185,8 +191,9 @@
         timers: &mut Timers,
     ) -> Option<ClientEvent> {
         let received_at = self.connections[id].request_started_at;
-        let read = outcome.map_err(|reason| search_api::error_response(&reason));
-        match read.and_then(|message| api.parse_request(&message.head, message.body_bytes(), received_at)) {
+        let message = outcome.map_err(|reason| search_api::error_response(&reason));
+        match message.and_then(|message| api.parse_request(&message.head, message.body_bytes(), received_at))
+        {
             Ok(request) => Some(ClientEvent::SearchRequest(Box::new(request))),
             Err(error) => {
                 debug!("client {id}: {error}");
@@ -196,6 +203,7 @@
         }
     }
 
+    /// Validates a whole request on the broker's own port; answers it if it is malformed, invalid or a readiness check.
     fn finish_query_request(
         &mut self,
         now: f64,
--- a/crates/dunepond-broker/src/downstream/disconnect.rs
+++ b/crates/dunepond-broker/src/downstream/disconnect.rs
@@ -1,5 +1,5 @@
-//! Detects disconnected clients, for which no further attempt is sent. The end of the stream may stand behind requests that are not read
-//! yet, and no further readiness event reports it.
+//! Detects disconnected clients, for which no further attempt is sent. The end of a client's stream may come after requests
+//! that are not read yet, and then no further readiness event reports it.
 
 use std::collections::VecDeque;
 use std::io;
@@ -14,13 +14,13 @@
 use crate::clock::Timers;
 use crate::connection_end::ConnectionEnd;
 
-/// How old a check of its client may be when an attempt is sent. An attempt must not begin more than 0.1 s after the client
-/// has disconnected; half of that is left for its frame to be written.
+/// How old the last disconnect check of a client may be when an attempt is sent for it. An attempt must not begin more than
+/// 0.1 s after the client has disconnected; half of that time is left for writing its frame.
 const CHECK_VALID_SECONDS: f64 = 0.05;
 
 impl Downstream {
-    /// Whether a client has disconnected, by a check that is recent and newer than its last readiness event. If so,
-    /// `next_disconnected` returns it.
+    /// Whether a client has disconnected, by a check that is recent and newer than the client's last readiness event. If it
+    /// has, `next_disconnected` closes its connection.
     pub fn check_disconnected(&mut self, now: f64, id: usize) -> bool {
         let Some(client) = self.connections.get_mut(id) else { return false };
         if client.disconnected.is_none()
@@ -34,46 +34,47 @@
         self.connections[id].disconnected.is_some()
     }
 
-    /// A client's socket is readable: if it waits for a response, that may be its disconnect.
-    pub fn check_while_waiting(&mut self, now: f64, id: usize) {
+    /// Checks a client whose socket is readable for a disconnect, if it waits for a response.
+    pub fn check_waiting_client(&mut self, now: f64, id: usize) {
         let Some(client) = self.connections.get_mut(id) else { return };
-        let waits = match &client.phase {
+        let is_waiting = match &client.phase {
             RequestPhase::StreamingBody(streamed) => streamed.query.is_some(),
             phase => matches!(phase, RequestPhase::AwaitingAdmission | RequestPhase::InFlight(_)),
         };
-        if waits {
+        if is_waiting {
             client.readable = true;
             self.check_disconnected(now, id);
         }
     }
 
-    /// Closes one disconnected client; the inner value is its query in flight.
+    /// Closes the connection of one disconnected client and returns its query in flight, if any; `None` if there is no such
+    /// client.
     pub fn next_disconnected(&mut self, timers: &mut Timers) -> Option<Option<QueryId>> {
         let id = self.disconnected_clients.pop()?;
-        // It may be closed already, and its id reused.
+        // The connection may be closed already, and its index reused.
         let ending = self.connections.get(id).and_then(|client| client.disconnected);
         Some(ending.and_then(|ending| self.close(id, ending, timers)))
     }
 
-    /// Whether what a client sends while it waits may be read ahead: its disconnect stands behind all of that, and is seen
-    /// only once the socket's receive buffer has been read. Half of the buffers are kept for new requests.
+    /// Whether there are buffers to read ahead what a client sends while it waits: its disconnect comes after all of that,
+    /// and is seen only once the socket's receive buffer has been read. Half of the buffers are kept for new requests.
     pub(super) fn has_read_ahead_capacity(&self) -> bool {
         2 * self.pool.buffers_in_use() < self.max_buffers
     }
 
-    /// Reads ahead what has arrived, as a disconnect stands behind that. Where this may not be read yet, or there is no
-    /// buffer for it, the socket is polled for the peer's close.
+    /// Reads ahead what has arrived, as a disconnect comes after it. If the client may not be read now, or there is no
+    /// buffer, polls the socket for the peer's close instead.
     fn probe_disconnect(&mut self, now: f64, id: usize) -> Option<ConnectionEnd> {
         let received_at = self.received_at(now);
         let has_buffer = self.pool.buffers_in_use() < self.max_buffers;
         let may_read_ahead = self.has_read_ahead_capacity();
         let client = &mut self.connections[id];
-        let is_paced = client.reading_paused
+        let is_read_blocked = client.reading_paused
             || matches!(&client.phase, RequestPhase::StreamingBody(streamed) if !streamed.body_complete);
-        // An empty body is parsed from a buffer that exists and is empty: such a buffer is kept.
+        // An input buffer that exists is kept even if it is empty: parsing an empty body needs one.
         let had_input = client.input.is_some();
         for _ in 0..MAX_READS_PER_TURN {
-            if is_paced || client.input.is_none() && !has_buffer {
+            if is_read_blocked || client.input.is_none() && !has_buffer {
                 break;
             }
             let buffer =
@@ -100,7 +101,7 @@
     }
 }
 
-/// The buffer for the next read: the input, or one behind it if that is full and reading ahead is allowed.
+/// Returns the buffer for the next read: the input, or, if that is full and reading ahead is allowed, a buffer after it.
 fn buffer_to_fill<'a>(
     input: &'a mut Option<Buffer>,
     read_ahead: &'a mut VecDeque<Buffer>,
@@ -120,11 +121,11 @@
     read_ahead.back_mut()
 }
 
-/// Whether the peer has closed, whatever unread bytes stand before that.
+/// Whether the peer has closed the connection, regardless of unread bytes before the end of the stream.
 fn peer_has_closed(stream: &TcpStream) -> bool {
-    let mut watched = [PollFd::new(stream, PollFlags::RDHUP)];
+    let mut poll_fds = [PollFd::new(stream, PollFlags::RDHUP)];
     let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
-    let polled = poll(&mut watched, Some(&no_wait));
+    let polled = poll(&mut poll_fds, Some(&no_wait));
     polled.is_ok_and(|count| count > 0)
-        && watched[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
+        && poll_fds[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
 }
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! The client side: connections, the requests on them and the responses.
+//! The downstream side: client connections, their requests and the responses.
 //!
 //! Times are Unix seconds of the process's monotonic clock.
 
@@ -35,68 +35,79 @@
 pub use accept::listen;
 use arrivals::ArrivalTimes;
 
-/// What reading from a client's connection has brought.
+/// The result of reading from a client connection.
 pub enum ClientEvent {
-    /// A whole query.
+    /// A whole query has been read.
     Query(QueryRequest),
-    /// The head of a query whose body is streamed.
+    /// The head of a query whose body is streamed has been read.
     StreamedQuery(QueryRequest, Box<Head>),
-    /// The client has disconnected; its query in flight, if any, has no client any more.
+    /// The client has disconnected; the value is its query in flight, if any.
     Disconnected(Option<QueryId>),
-    /// A request of the search API.
+    /// A whole request of the search API has been read.
     SearchRequest(Box<SearchRequest>),
-    /// Nothing for the router.
+    /// There is nothing for the router.
     Nothing,
 }
 
+/// What a client connection is doing with its current request.
 enum RequestPhase {
     /// Between requests, or inside a head.
     ReadingHead,
+    /// Inside the body of a request that is not streamed.
     ReadingBody(Box<Message>),
     /// Inside the body of a streamed request, or waiting for the body to be buffered.
     StreamingBody(Box<StreamedRequest>),
-    /// A whole request has been read, and has no response or query id yet.
+    /// A whole request has been read, but has neither a response nor a query id yet.
     AwaitingAdmission,
+    /// The request is in flight under this id.
     InFlight(QueryId),
-    /// The write side is shut down; what still arrives is discarded until the client closes.
+    /// The write side is shut down; what still arrives is discarded until the client closes its side.
     Lingering,
 }
 
+/// A request whose body is streamed.
 struct StreamedRequest {
+    /// The request as it is parsed.
     message: Message,
+    /// The body that its bytes are received into.
     body: Rc<Body>,
-    /// The request until its query starts; from then on `query`.
+    /// The validated request; `None` once its query has started.
     request: Option<QueryRequest>,
+    /// The id of its query; `None` until the query has started.
     query: Option<QueryId>,
-    /// The whole body has arrived.
+    /// Whether the whole body has arrived.
     body_complete: bool,
 }
 
+/// A connection of a client.
 struct ClientConnection {
     stream: Rc<TcpStream>,
-    /// Where it was accepted.
+    /// The port that it was accepted at.
     port: Port,
     token: RegistrationToken,
+    /// Bytes that are read and not parsed yet.
     input: Option<Buffer>,
-    /// What was read ahead while `input` was full, in order.
+    /// Bytes that were read while `input` was full, in order.
     read_ahead: VecDeque<Buffer>,
     output: WriteQueue,
     phase: RequestPhase,
-    /// There may be something to read: readiness events are edge-triggered.
+    /// Whether there may be bytes to read; kept, as readiness events are edge-triggered.
     readable: bool,
-    /// When it was last found connected.
+    /// When it was last checked for a disconnect, in Unix seconds.
     last_checked_at: f64,
-    /// How it ended, once it was found disconnected.
+    /// How the connection ended; `None` until the client is found disconnected.
     disconnected: Option<ConnectionEnd>,
     arrivals: ArrivalTimes,
-    /// When the first byte of the current request arrived; or when lingering began.
+    /// When the first byte of the current request arrived or, in the lingering phase, when that began.
     request_started_at: f64,
-    /// The connection stays open after the response.
+    /// Whether the connection stays open after the response.
     keep_alive: bool,
-    /// The response was sent before the body of a streamed request was complete.
+    /// Whether the response was sent before the body of a streamed request was complete.
     responded_in_body: bool,
-    /// It sends faster than it may be read; a timer or the progress of its body resumes it.
+    /// Whether reading is paused, as the client sends faster than it may be read. A timer or the progress of its body
+    /// resumes reading.
     reading_paused: bool,
+    /// The timer of the time limit that applies now.
     timer: Option<TimerKey>,
 }
 
@@ -105,7 +116,7 @@
     listener: Rc<TcpListener>,
     token: RegistrationToken,
     port: Port,
-    /// Since when accepting has been paused; `None` once the backlog of that pause has been accepted.
+    /// When accepting was paused; `None` once the backlog of that pause has been accepted.
     paused_since: Option<f64>,
 }
 
@@ -117,44 +128,49 @@
     max_connections: usize,
     max_buffers: usize,
     settings: Rc<HostSettings>,
-    /// For the clients' port and for the search API's port; their connections are bounded together.
+    /// The listeners of the broker's own port and of the search API; their connections are bounded together.
     listeners: Vec<Listener>,
+    /// Whether accepting connections is paused.
     accepting_paused: bool,
-    /// The search API, where it is enabled.
+    /// The search API; `None` if it is not enabled.
     pub search_api: Option<Rc<search_api::SearchApi>>,
-    /// Connections that may be evicted at the bound, ordered by timer, so the longest first: those that have not sent a
-    /// whole request yet, those that are idle, and those that are shut down on our side only.
+    /// Connections that have not sent a whole request yet, by timer, so that the longest waiting one comes first. They may
+    /// be evicted at the bound on connections.
     awaiting_request: BTreeMap<TimerKey, usize>,
+    /// Idle connections, by timer. They may be evicted at the bound on connections.
     idle: BTreeMap<TimerKey, usize>,
+    /// Connections whose write side is shut down, by timer. They may be evicted at the bound on connections.
     lingering: BTreeMap<TimerKey, usize>,
     /// Whether streamed requests are accepted.
     pub accepts_streamed: bool,
-    /// Streamed bodies of which more has arrived.
+    /// Streamed bodies of which more bytes have arrived.
     pub bodies_received: Vec<BodyId>,
-    /// Clients that are read no further until something of their body has been sent on.
+    /// Clients that are not read until their streamed body has room again.
     blocked_on_body: Vec<usize>,
-    /// Connections with something left to read for which no further readiness event comes.
+    /// Connections to be read without a further readiness event.
     pub pending_clients: Vec<usize>,
     /// Clients found disconnected whose connections are still to be closed.
     disconnected_clients: Vec<usize>,
-    /// The endpoint list has an active node.
+    /// Whether the endpoint list has an active node.
     pub has_endpoints: bool,
-    /// Since when the bytes that are read now may have arrived, after a stall of the process; `None` without a stall.
+    /// After a stall of the process, the earliest time at which the bytes that are read now can have arrived; `None` without
+    /// a stall.
     pub received_since: Option<f64>,
-    /// The shutdown has begun: `/ready` answers 503.
+    /// Whether a shutdown has begun: `/ready` then answers 503.
     pub is_draining: bool,
-    /// A later stage of the shutdown: each connection closes after its response.
+    /// Whether the shutdown has reached the stage at which each connection closes after its response.
     pub closes_after_response: bool,
-    /// A still later stage: idle connections close.
+    /// Whether the shutdown has reached the stage at which idle connections close.
     close_when_idle: bool,
-    /// When the last responses of a shutdown are due, however long clients would wait; `f64::MAX` before a shutdown.
+    /// When the last responses of a shutdown are due, whatever the clients' deadlines; `f64::MAX` before a shutdown.
     pub shutdown_deadline: f64,
 }
 
 impl Downstream {
-    /// No connections yet; `max_connections` bounds them, `max_buffers` bounds the read buffers in use.
+    /// Creates the downstream side with one listener for queries and no connections. `max_connections` bounds the
+    /// connections, `max_buffers` the read buffers in use.
     ///
-    /// Fails where the event loop cannot watch the listener.
+    /// Fails if the event loop cannot watch the listener.
     pub fn new(
         handle: EventLoopHandle,
         pool: &Pool,
@@ -192,19 +208,19 @@
         Ok(downstream)
     }
 
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub fn count(&self) -> usize {
         self.connections.len()
     }
 
-    /// When the bytes that are read now arrived, at the earliest.
+    /// Returns the earliest time at which the bytes that are read now can have arrived.
     fn received_at(&self, now: f64) -> f64 {
         self.received_since.map_or(now, |since| since.min(now))
     }
 }
 
 impl ClientConnection {
-    /// It has not sent a whole request yet.
+    /// Whether the client has not sent a whole request yet.
     fn awaiting_request(&self) -> bool {
         match &self.phase {
             RequestPhase::StreamingBody(streamed) => streamed.query.is_none(),
@@ -212,36 +228,38 @@
         }
     }
 
-    /// How many bytes have been read from it and not parsed yet.
+    /// Returns how many bytes have been read from the client and not parsed yet.
     fn unparsed_bytes(&self) -> usize {
         let buffers = self.input.iter().chain(&self.read_ahead);
         buffers.map(|buffer| buffer.filled().len()).sum()
     }
 
+    /// Whether bytes have been read from the client and not parsed yet.
     fn has_unparsed(&self) -> bool {
         self.unparsed_bytes() > 0
     }
 
-    /// Something can be read and there is room for it.
+    /// Whether there may be bytes to read and there is room for them.
     fn may_be_read(&self) -> bool {
         let full = self.input.as_ref().is_some_and(Buffer::is_full);
         !full && !self.reading_paused && (self.readable || !self.read_ahead.is_empty())
     }
 
-    /// Returns the last buffer that was read ahead to its pool if nothing was read into it.
+    /// Returns the last read-ahead buffer to its pool if nothing was read into it.
     fn release_empty_read_ahead(&mut self) {
         if self.read_ahead.back().is_some_and(Buffer::is_empty) {
             self.read_ahead.pop_back();
         }
     }
 
-    /// Returns the read buffer to its pool if nothing is left in it.
+    /// Returns the input buffer to its pool if nothing is left in it.
     fn release_empty_input(&mut self) {
         if self.input.as_ref().is_some_and(Buffer::is_empty) {
             self.input = None;
         }
     }
 
+    /// Whether the client has no pending request: nothing is left to parse or to write.
     fn is_between_requests(&self) -> bool {
         matches!(self.phase, RequestPhase::ReadingHead)
             && self.input.is_none()
@@ -250,7 +268,7 @@
     }
 }
 
-/// The JSON body of an error response.
+/// Returns the JSON body of an error response.
 pub fn error_body(reason: &str) -> String {
     json!({ "error": reason }).to_string()
 }
--- a/crates/dunepond-broker/src/downstream/read.rs
+++ b/crates/dunepond-broker/src/downstream/read.rs
@@ -1,4 +1,4 @@
-//! Reads from client connections, a bounded number of reads per connection and turn.
+//! Reads from client connections, with a bounded number of reads per connection and turn.
 
 use std::collections::VecDeque;
 use std::io;
@@ -9,21 +9,22 @@
 use crate::clock::{TimerEvent, Timers};
 use crate::connection_end::ConnectionEnd;
 
-/// Reads from one client before all others have their turn: short against the 50 ms by which any time limit may be exceeded.
+/// Maximum number of reads from one client before all others have their turn: keeps a turn short compared with the 50 ms by
+/// which any time limit may be exceeded.
 pub(super) const MAX_READS_PER_TURN: usize = 4;
-/// How soon a client that keeps sending is read again.
+/// Delay before a client that keeps sending is read again.
 const RESUME_READING_SECONDS: f64 = 0.001;
 
-/// Appends one read to the input: from what was read ahead, as long as there is some, or else from the socket, whose bytes
-/// arrived at `received_at` at the earliest.
+/// Appends the result of one read to `input` and returns its length. Reads from the read-ahead buffers as long as they hold
+/// bytes, or else from the socket, whose bytes arrived at `received_at` at the earliest.
 fn read(
     input: &mut Buffer,
-    ahead: &mut VecDeque<Buffer>,
+    read_ahead: &mut VecDeque<Buffer>,
     arrivals: &mut ArrivalTimes,
     stream: &TcpStream,
     received_at: f64,
 ) -> io::Result<usize> {
-    let Some(first) = ahead.front_mut() else {
+    let Some(first) = read_ahead.front_mut() else {
         let count = input.read_from(stream)?;
         arrivals.record(count, received_at);
         return Ok(count);
@@ -31,13 +32,13 @@
     let count = input.read_from(first.filled())?;
     first.consume(count);
     if first.is_empty() {
-        ahead.pop_front();
+        read_ahead.pop_front();
     }
     Ok(count)
 }
 
 impl Downstream {
-    /// A readiness event: writes what is queued; reading is left to its turn.
+    /// Handles a readiness event of a client connection: writes what is queued, and notes whether there may be bytes to read.
     pub fn on_ready(&mut self, now: f64, id: usize, readable: bool, timers: &mut Timers) {
         let Some(client) = self.connections.get_mut(id) else { return };
         client.readable |= readable;
@@ -46,7 +47,7 @@
         }
     }
 
-    /// A client that was paused may be read again.
+    /// Lets a client whose reading was paused be read again.
     pub fn resume_reading(&mut self, id: usize) {
         if let Some(client) = self.connections.get_mut(id) {
             client.reading_paused = false;
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Reads until there is a query, or nothing more for now.
+    /// Reads from a client until there is a request for the router, its disconnect, or nothing more to read for now.
     pub fn next_event(&mut self, now: f64, id: usize, timers: &mut Timers) -> ClientEvent {
         let mut reads = 0;
         loop {
@@ -86,9 +87,9 @@
         }
     }
 
-    /// A request has been decoded: hands it on, unless its client has disconnected.
+    /// Returns the event of a decoded request, or `Nothing` if its client has disconnected.
     fn after_decoding(&mut self, now: f64, id: usize, event: ClientEvent) -> ClientEvent {
-        // The client may have closed right after the request, and no further event would report it.
+        // The client may have closed the connection right after the request, and no further event would report that.
         if self.check_disconnected(now, id) {
             return ClientEvent::Nothing;
         }
@@ -98,7 +99,8 @@
         self.cap_streamed_deadline(event)
     }
 
-    /// Pauses a client whose streamed body has no room. Before reading, so that no buffer is held while the body waits.
+    /// Pauses a client whose streamed body has no room. Called before reading, so that no buffer is held while the body
+    /// waits.
     fn pause_for_full_body(&mut self, id: usize) {
         let client = &mut self.connections[id];
         if let RequestPhase::StreamingBody(streamed) = &client.phase
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Reads once; returns how the connection ended, if it did.
+    /// Reads from a client once; returns how the connection ended, if it did.
     fn read_once(&mut self, now: f64, id: usize) -> Option<ConnectionEnd> {
         let received_at = self.received_at(now);
         let client = &mut self.connections[id];
@@ -131,18 +133,19 @@
         None
     }
 
-    /// A waiting client may have sent more than was read ahead, and a disconnect may stand behind that.
+    /// Schedules another read of a client that waits for a response: it may have sent more than was read ahead, and a
+    /// disconnect may come after that.
     fn schedule_resume_reading(&mut self, now: f64, id: usize, timers: &mut Timers) {
-        let room = self.has_read_ahead_capacity();
+        let has_capacity = self.has_read_ahead_capacity();
         let client = &mut self.connections[id];
-        if client.readable && !client.reading_paused && room {
+        if client.readable && !client.reading_paused && has_capacity {
             client.reading_paused = true;
             timers.schedule(now + RESUME_READING_SECONDS, TimerEvent::ClientResume(id));
         }
     }
 
-    /// In a shutdown a streamed body has until the last responses are due. A query without one keeps its deadline: the
-    /// router rejects it if it would outlast the process.
+    /// Limits the deadline of a streamed query in a shutdown to the time at which the last responses are due. A query that is
+    /// not streamed keeps its deadline: the router rejects it if it would outlast the process.
     fn cap_streamed_deadline(&self, mut event: ClientEvent) -> ClientEvent {
         if let ClientEvent::StreamedQuery(request, _) = &mut event {
             request.deadline = request.deadline.min(self.shutdown_deadline);
@@ -150,7 +153,7 @@
         event
     }
 
-    /// Closes the client that has been sending a request the longest and holds a buffer for it.
+    /// Closes the connection other than `except` that holds a buffer and has been sending its request for the longest time.
     fn evict_for_buffer(&mut self, except: usize, timers: &mut Timers) {
         let holds_buffer = |client: &ClientConnection| {
             client.input.is_some() || matches!(client.phase, RequestPhase::ReadingBody(_))
--- a/crates/dunepond-broker/src/downstream/response.rs
+++ b/crates/dunepond-broker/src/downstream/response.rs
@@ -1,4 +1,4 @@
-//! Writes responses, and keeps or closes the connection after them.
+//! Writes responses, and keeps the connection open or closes it after them.
 
 use dunepond_routing::QueryId;
 use tracing::debug;
@@ -8,28 +8,36 @@
 use crate::clock::Timers;
 use crate::http::{self, HttpError};
 
-/// So long past the longest query timeout a client may take to read its response; later, the response counts as lost.
+/// How much longer than the longest query timeout a client may take to read its response, before the response counts as
+/// lost.
 const DELIVERY_GRACE_SECONDS: f64 = 0.5;
 /// How long an idle connection is kept open.
 const IDLE_TIMEOUT_SECONDS: f64 = 4.0;
-/// Idle connections may be all connections divided by this. Guards against clients that send one request and stay: they
-/// would use up the descriptors.
+/// The number of idle connections is at most the bound on connections divided by this. Guards against clients that send one
+/// request and stay connected, which would use up the file descriptors.
 const MAX_IDLE_DIVISOR: usize = 4;
 
 impl Downstream {
-    /// The client's request is in flight under this id until its response.
+    /// Records that the client's request is in flight under the id `query` until its response.
     pub fn assign_query(&mut self, id: usize, query: QueryId) {
         match self.connections.get_mut(id).map(|c| &mut c.phase) {
-            // It is still sending a body that passes through.
+            // The client is still sending a body that is passed through.
             Some(RequestPhase::StreamingBody(streamed)) => streamed.query = Some(query),
             Some(phase) => *phase = RequestPhase::InFlight(query),
             None => {}
         }
     }
 
-    /// Sends an error response to a request that was not read to its end; the connection closes after it. `retry_after` in seconds
-    /// becomes `Retry-After`.
-    pub fn refuse(&mut self, now: f64, id: usize, reason: HttpError, retry_after: f64, timers: &mut Timers) {
+    /// Sends an error response to a request that was not read to its end, and closes the connection after it. `retry_after`
+    /// is the value of `Retry-After` in seconds.
+    pub fn reject_and_close(
+        &mut self,
+        now: f64,
+        id: usize,
+        reason: HttpError,
+        retry_after: f64,
+        timers: &mut Timers,
+    ) {
         if let Some(client) = self.connections.get_mut(id) {
             (client.keep_alive, client.responded_in_body) = (false, true);
         }
@@ -37,7 +45,7 @@
         self.reply(now, id, reason.status, &error_body(&reason.reason), retry_after, timers);
     }
 
-    /// Sends the one final response to a client's request. `retry_after` in seconds becomes `Retry-After`.
+    /// Sends the one final response to a client's request. `retry_after` is the value of `Retry-After` in seconds.
     pub fn reply(
         &mut self,
         now: f64,
@@ -51,7 +59,7 @@
         // The rest of a body would be parsed as the next request.
         client.responded_in_body |= matches!(client.phase, RequestPhase::StreamingBody(_));
         client.keep_alive &= !client.responded_in_body;
-        // In a shutdown the last response closes the connection; it is not the last where another request has arrived.
+        // In a shutdown the connection closes after its last response; it is not the last one if another request has arrived.
         let closes = self.closes_after_response && client.keep_alive && !self.has_next_request(now, id);
         let client = &mut self.connections[id];
         client.keep_alive &= !closes;
@@ -61,39 +69,44 @@
         self.write(now, id, timers);
     }
 
-    /// Longest that a client may take to read a response, once writing has begun.
+    /// Returns how long a client may take to read a response once writing has begun, in seconds.
     pub(super) fn max_delivery_seconds(&self) -> f64 {
         self.settings.longest_query_seconds + DELIVERY_GRACE_SECONDS
     }
 
     /// Whether another request, or a part of one, has arrived.
     fn has_next_request(&mut self, now: f64, id: usize) -> bool {
-        let read = self.connections.get(id).is_some_and(ClientConnection::has_unparsed);
-        read || now < self.shutdown_deadline && matches!(self.final_read(now, id), FinalRead::ReceivedData)
+        let has_unparsed = self.connections.get(id).is_some_and(ClientConnection::has_unparsed);
+        has_unparsed
+            || now < self.shutdown_deadline && matches!(self.final_read(now, id), FinalRead::ReceivedData)
     }
 
+    /// Writes what is queued for a client. Once all is written, sets the timer of what comes next on the connection, or
+    /// closes it.
     pub(super) fn write(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let Some(client) = self.connections.get_mut(id) else { return };
         if let Err(e) = client.output.flush(&*client.stream) {
-            // Its query in flight, if any, is handled when the end of the stream is read.
+            // The client's query in flight, if any, ends when the end of the stream is read.
             debug!("client {id}: {e}");
             client.readable = true;
             return self.pending_clients.push(id);
         }
-        let (taken, keep, timer) = (client.output.is_empty(), client.keep_alive, client.timer);
+        let (all_written, keep_alive, timer) = (client.output.is_empty(), client.keep_alive, client.timer);
         match client.phase {
-            _ if !taken && timer.is_some() => {}
-            _ if !taken => drop(self.set_timer(id, now + self.max_delivery_seconds(), timers)),
-            // All is written: if its timer stayed set, it would close the connection while its next query is in flight.
+            _ if !all_written && timer.is_some() => {}
+            _ if !all_written => drop(self.set_timer(id, now + self.max_delivery_seconds(), timers)),
+            // A timer left set would close the connection while the query is in flight.
             RequestPhase::AwaitingAdmission | RequestPhase::InFlight(_) => self.clear_timer(id, timers),
-            RequestPhase::ReadingHead if keep && self.close_when_idle => self.close_if_quiet(now, id, timers),
-            RequestPhase::ReadingHead if keep => {
+            RequestPhase::ReadingHead if keep_alive && self.close_when_idle => {
+                self.close_if_no_data(now, id, timers)
+            }
+            RequestPhase::ReadingHead if keep_alive => {
                 self.start_idle_timer(id, now + IDLE_TIMEOUT_SECONDS, timers);
                 self.schedule_resume_accepting(timers);
                 if self.idle.len() > self.max_connections / MAX_IDLE_DIVISOR
                     && let Some(longest) = self.idle.first_key_value().map(|(_, id)| *id)
                 {
-                    self.close_if_quiet(now, longest, timers);
+                    self.close_if_no_data(now, longest, timers);
                 }
             }
             RequestPhase::ReadingHead => self.start_lingering(now, id, timers),
--- a/crates/dunepond-broker/src/downstream/streamed_body.rs
+++ b/crates/dunepond-broker/src/downstream/streamed_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of streamed requests as they are received: when they are read, when their query starts, and when they fail.
+//! Receives the bodies of streamed requests: when they are read, when their query starts, and what happens if they fail.
 
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 use crate::query_request::QueryRequest;
 
 impl Downstream {
-    /// Receives the body of a streamed request into `body`.
+    /// Starts to receive the body of a streamed request into `body`.
     pub fn receive_body(
         &mut self,
         now: f64,
@@ -26,7 +26,7 @@
         if head.expects_continue {
             client.output.queue_bytes(CONTINUE_RESPONSE);
         }
-        let until = request.deadline;
+        let deadline = request.deadline;
         let message = Message::streaming_into(head, body);
         let (body, request) = (body.clone(), Some(request));
         client.phase = RequestPhase::StreamingBody(Box::new(StreamedRequest {
@@ -38,13 +38,14 @@
         }));
         self.pending_clients.push(id);
         self.write(now, id, timers);
-        // The body may take as long as the client would wait for the response.
+        // The body may take as long as the client waits for the response.
         if self.connections.contains(id) {
-            self.set_timer(id, until, timers);
+            self.set_timer(id, deadline, timers);
         }
     }
 
-    /// Starts the query of a body that is buffered, or that passes through; `None` if its client is gone.
+    /// Returns the request and the body of a streamed request whose query starts now, as its body is buffered or is passed
+    /// through; `None` if the client is gone.
     pub fn start_query(
         &mut self,
         id: usize,
@@ -64,7 +65,8 @@
         Some((request, body))
     }
 
-    /// Answers a client whose body cannot be received, unless its query has started. `retry_after` in seconds becomes `Retry-After`.
+    /// Sends an error to a client whose body cannot be received, unless its query has started. `retry_after` is the value of
+    /// `Retry-After` in seconds.
     pub fn fail_body(
         &mut self,
         now: f64,
@@ -74,16 +76,16 @@
         retry_after: f64,
         timers: &mut Timers,
     ) {
-        let client = self.connections.get(id).map(|c| &c.phase);
-        if matches!(client, Some(RequestPhase::StreamingBody(streamed)) if streamed.body.id == body && streamed.query.is_none())
+        let phase = self.connections.get(id).map(|c| &c.phase);
+        if matches!(phase, Some(RequestPhase::StreamingBody(streamed)) if streamed.body.id == body && streamed.query.is_none())
         {
             self.clear_timer(id, timers);
-            self.refuse(now, id, reason, retry_after, timers);
+            self.reject_and_close(now, id, reason, retry_after, timers);
         }
     }
 
-    /// Reads on from clients whose body has room again, or that have been answered: what these still send is discarded, and unread it
-    /// would keep them from their response.
+    /// Resumes reading from clients whose body has room again, and from clients that have been answered: these may read the
+    /// response only once all that they send has been read, and discarded.
     pub fn resume_unblocked(&mut self) {
         for id in std::mem::take(&mut self.blocked_on_body) {
             match self.connections.get(id).map(|c| &c.phase) {
--- a/crates/dunepond-broker/src/downstream/timeouts.rs
+++ b/crates/dunepond-broker/src/downstream/timeouts.rs
@@ -10,24 +10,25 @@
 use crate::iteration::Port;
 use crate::search_api;
 
-/// Longest that a client may take to send a request, from its connection on or from the first byte of a later request.
+/// How long a client may take to send a request, counted from its connect or, for a later request, from its first byte.
 /// Guards against hundreds of clients that send nothing, or half a request, and use up all connections.
 pub(super) const REQUEST_TIMEOUT_SECONDS: f64 = 2.0;
 
 impl Downstream {
-    /// Its request timeout counts from now on.
+    /// Starts the request timeout of a client.
     pub(super) fn start_request_timer(&mut self, now: f64, id: usize, timers: &mut Timers) {
-        // In a shutdown there may be less time.
+        // The deadline of a shutdown may come first.
         let key = self.set_timer(id, (now + REQUEST_TIMEOUT_SECONDS).min(self.shutdown_deadline), timers);
         self.awaiting_request.insert(key, id);
     }
 
-    /// It is idle, and stays open until then at most.
+    /// Marks a connection as idle; it stays open until `until` at most.
     pub(super) fn start_idle_timer(&mut self, id: usize, until: f64, timers: &mut Timers) {
         let key = self.set_timer(id, until, timers);
         self.idle.insert(key, id);
     }
 
+    /// Sets a client's timer to fire at `at`, in place of the one that is set.
     pub(super) fn set_timer(&mut self, id: usize, at: f64, timers: &mut Timers) -> TimerKey {
         self.clear_timer(id, timers);
         let key = timers.schedule(at, TimerEvent::ClientTimeout(id));
@@ -35,6 +36,7 @@
         key
     }
 
+    /// Cancels a client's timer, if one is set.
     pub(super) fn clear_timer(&mut self, id: usize, timers: &mut Timers) {
         if let Some(key) = self.connections.get_mut(id).and_then(|c| c.timer.take()) {
             timers.cancel(Some(key));
@@ -44,7 +46,7 @@
         }
     }
 
-    /// A client's timer has fired. Returns its query in flight if the connection was closed.
+    /// Handles a client's timer that has fired. Returns the client's query in flight if the connection was closed.
     pub fn on_timeout(&mut self, now: f64, id: usize, timers: &mut Timers) -> Option<QueryId> {
         self.clear_timer(id, timers);
         if self.extend_linger(now, id, timers) {
@@ -55,7 +57,7 @@
             return self.close(id, ConnectionEnd::IoTimeout, timers);
         }
         if client.is_between_requests() {
-            self.close_if_quiet(now, id, timers);
+            self.close_if_no_data(now, id, timers);
             return None;
         }
         client.keep_alive = false;
@@ -69,7 +71,7 @@
         None
     }
 
-    /// The one place where a connection is closed; returns its query in flight.
+    /// Closes a connection and returns its query in flight, if any. Every close of a connection goes through here.
     pub(super) fn close(&mut self, id: usize, ending: ConnectionEnd, timers: &mut Timers) -> Option<QueryId> {
         self.clear_timer(id, timers);
         let client = self.connections.try_remove(id)?;
--- a/crates/dunepond-broker/src/downstream/validation.rs
+++ b/crates/dunepond-broker/src/downstream/validation.rs
@@ -1,4 +1,4 @@
-//! Validates a request field by field; an error names the field at fault and what is wrong with it.
+//! Validates requests field by field; an error names the invalid field and what is wrong with it.
 
 use std::collections::BTreeSet;
 
@@ -12,11 +12,12 @@
 use crate::query_request::QueryRequest;
 
 const MAX_REQUEST_ID_BYTES: usize = 200;
-/// By how much each weight may be rounded.
-const SHARE_ROUNDING_TOLERANCE: f64 = 0.002;
+/// How far the weight of each part may be off by rounding.
+const WEIGHT_ROUNDING_TOLERANCE: f64 = 0.002;
 
 impl Downstream {
-    /// The query of a request whose first byte arrived at `received_at`; `None` for a readiness check that is answered with 200.
+    /// Returns the query of a request whose first byte arrived at `received_at`; `None` for a readiness check, which is to be
+    /// answered with 200.
     pub(super) fn validate(
         &self,
         message: &Message,
@@ -39,12 +40,12 @@
         let segments = body.get("buckets").and_then(Value::as_array).filter(|b| !b.is_empty());
         let segments = segments.ok_or_else(|| HttpError::new(400, "buckets: not a list of parts"))?;
         let entries = segments.iter().map(PartEntry::from_json);
-        let parts = validate_parts(entries, PartsField::JSON, &self.settings)?;
+        let parts = validate_parts(entries, PartFieldNames::JSON, &self.settings)?;
         query_request(head, query_class, received_at, parts, Payload::Inline(text.into()), &self.settings)
             .map(Some)
     }
 
-    /// The query class in the path, if the method and the class header agree with it.
+    /// Returns the query class in the path; an error if the path, the method or the class header does not fit.
     fn query_class_in_path(&self, head: &Head) -> Result<usize, HttpError> {
         let path = head.path.split('?').next().unwrap_or_default();
         let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
@@ -59,27 +60,31 @@
         Ok(query_class)
     }
 
-    /// A streamed query: its parts in `X-Buckets: 3=0.5,9=0.5`, checked as strictly as those of a JSON body.
+    /// Returns the query of a streamed request. Its parts are in `X-Buckets: 3=0.5,9=0.5`, and are checked as strictly as those
+    /// of a JSON body.
     pub(super) fn validate_streamed(&self, head: &Head, received_at: f64) -> Result<QueryRequest, HttpError> {
         let query_class = self.query_class_in_path(head)?;
         let entries = head.segments.split(',').map(PartEntry::from_header);
-        let parts = validate_parts(entries, PartsField::HEADER, &self.settings)?;
+        let parts = validate_parts(entries, PartFieldNames::HEADER, &self.settings)?;
         query_request(head, query_class, received_at, parts, Payload::Released, &self.settings)
     }
 }
 
-/// Digits and a point: other forms that parse as a number, such as infinity and exponents, are rejected.
+/// Whether `text` has only digits and decimal points: infinity, exponents and other forms of a number are rejected.
 fn is_plain_number(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.')
 }
 
-/// An entry of the list of parts, not validated; `None` for a value that is missing or of the wrong type.
+/// An entry of the list of parts, before validation.
 struct PartEntry {
+    /// `None` if it is missing or of the wrong type.
     segment: Option<u64>,
+    /// `None` if it is missing or of the wrong type.
     weight: Option<f64>,
 }
 
 impl PartEntry {
+    /// Reads an entry of `buckets` in a JSON body.
     fn from_json(entry: &Value) -> Self {
         Self {
             segment: entry.get("bucket").and_then(Value::as_u64),
@@ -87,6 +92,7 @@
         }
     }
 
+    /// Reads an entry of `X-Buckets`.
     fn from_header(entry: &str) -> Self {
         match entry.split_once('=') {
             Some((segment, weight)) if is_plain_number(segment) && is_plain_number(weight) => {
@@ -97,21 +103,21 @@
     }
 }
 
-/// How errors name the field that lists the parts.
-struct PartsField {
+/// The names of a part's fields in error messages.
+struct PartFieldNames {
     segment: &'static str,
     weight: &'static str,
 }
 
-impl PartsField {
+impl PartFieldNames {
     const JSON: Self = Self { segment: "buckets.bucket", weight: "buckets.part" };
     const HEADER: Self = Self { segment: "X-Buckets", weight: "X-Buckets" };
 }
 
-/// The parts of a query, each a segment and its weight in the answer.
+/// Returns the parts of a query, each with a segment and its weight in the answer, if all entries are valid.
 fn validate_parts(
     entries: impl Iterator<Item = PartEntry>,
-    field: PartsField,
+    field: PartFieldNames,
     settings: &HostSettings,
 ) -> Result<Vec<Part>, HttpError> {
     let invalid = |field: &str, reason: &str| HttpError::new(400, format!("{field}: {reason}"));
@@ -126,9 +132,9 @@
         let weight = weight.ok_or_else(|| invalid(field.weight, "not a share"))?;
         parts.push(Part { segment, weight, required_node: None });
     }
-    // Each weight may be rounded. Further off, the configured shares of an answer would lose their meaning.
+    // Each weight may be rounded. With a sum further off, the configured shares of an answer would lose their meaning.
     let sum: f64 = parts.iter().map(|part| part.weight).sum();
-    if (sum - 1.0).abs() > SHARE_ROUNDING_TOLERANCE * parts.len() as f64 {
+    if (sum - 1.0).abs() > WEIGHT_ROUNDING_TOLERANCE * parts.len() as f64 {
         return Err(invalid(field.weight, "the shares do not add up to 1"));
     }
     Ok(parts)
@@ -154,7 +160,7 @@
     if time_budget <= 0.0 {
         return Err(invalid("X-Budget: spent"));
     }
-    // An unlisted tenant has the index behind the listed ones.
+    // All tenants that are not listed share the index after the listed ones.
     let tenant = settings.tenants.iter().position(|c| *c == head.tenant);
     Ok(QueryRequest {
         request_id: id.clone(),
--- a/crates/dunepond-broker/src/event_loop/disconnects.rs
+++ b/crates/dunepond-broker/src/event_loop/disconnects.rs
@@ -12,7 +12,7 @@
         let now = self.router_host.now;
         for event in &iteration.events {
             if let LoopEvent::ClientReady(id, true) = event {
-                self.router_host.downstream.check_while_waiting(now, *id);
+                self.router_host.downstream.check_waiting_client(now, *id);
             }
         }
         self.end_disconnected_queries();
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -112,12 +112,13 @@
     signals_since: Instant,
     handle: &EventLoopHandle,
 ) -> Result<Broker, ConfigError> {
-    let (pool, bounds) = (Pool::default(), Rc::new(startup.bounds.clone()));
-    let mut discovery = DiscoveryClient::new(handle.clone(), &pool, startup.discovery_address, &bounds);
+    let (pool, host_settings) = (Pool::default(), Rc::new(startup.host_settings.clone()));
+    let mut discovery =
+        DiscoveryClient::new(handle.clone(), &pool, startup.discovery_address, &host_settings);
     // An invalid list is ignored, as discovery will send one.
     let configured_endpoints = discovery.parse_configured_list(&startup.configured_endpoints).ok();
     let Host { router_host, prefilter, address, body_folder } =
-        open_host(&startup, &mut hooks, &pool, &bounds, handle)?;
+        open_host(&startup, &mut hooks, &pool, &host_settings, handle)?;
     let timeouts = startup.deployment.query_classes.iter().map(|class| class.timeout);
     let max_accept_delay = MAX_ACCEPT_DELAY_RATIO * timeouts.clone().fold(f64::MAX, f64::min);
     let longest_timeout = timeouts.fold(0.0, f64::max);
@@ -130,7 +131,7 @@
     let config_reloader = ConfigReloader::new(reloaded, hooks.operator_file);
     let mut background = Background::new(Scheduler::new(operator.background.clone(), seed), job_pool);
     let persistence = operator.recovery.clone().map(|config| {
-        let query_classes = bounds.query_classes.clone();
+        let query_classes = host_settings.query_classes.clone();
         Persistence::start(clock.now(), config, hooks.state_files, query_classes, &mut background)
     });
     let event_loop = EventLoop {
@@ -159,18 +160,18 @@
     startup: &StartupConfig,
     hooks: &mut Hooks,
     pool: &Pool,
-    bounds: &Rc<HostSettings>,
+    host_settings: &Rc<HostSettings>,
     handle: &EventLoopHandle,
 ) -> Result<Host, ConfigError> {
     let Connections { mut router_host, prefilter_connections, address } =
-        open_connections(startup, pool, bounds, handle)?;
+        open_connections(startup, pool, host_settings, handle)?;
     if let Some(search) = &startup.operator.search_api {
-        open_search_api(&mut router_host, search, bounds.clone(), &startup.deployment)?;
+        open_search_api(&mut router_host, search, host_settings.clone(), &startup.deployment)?;
     }
     let mut body_folder = None;
     if let Some(bodies) = &startup.operator.body_buffer {
         let replacement = hooks.body_folder.take();
-        body_folder = open_body_store(&mut router_host, bodies, replacement, bounds, handle)?;
+        body_folder = open_body_store(&mut router_host, bodies, replacement, host_settings, handle)?;
     }
     let config = startup.operator.prefilter.clone();
     let prefilter = config.map(|config| PrefilterHost::new(config, &startup.deployment));
@@ -187,7 +188,7 @@
 fn open_connections(
     startup: &StartupConfig,
     pool: &Pool,
-    bounds: &Rc<HostSettings>,
+    host_settings: &Rc<HostSettings>,
     handle: &EventLoopHandle,
 ) -> Result<Connections, ConfigError> {
     let failed_to_listen = |e: &dyn std::fmt::Display| setup_error("GW_LISTEN", e);
@@ -197,7 +198,7 @@
     let downstream = Downstream::new(
         handle.clone(),
         pool,
-        bounds.clone(),
+        host_settings.clone(),
         startup.max_clients,
         startup.max_buffers,
         listener,
@@ -206,15 +207,15 @@
     let max_prefilter =
         if startup.operator.prefilter.is_some() { startup.max_node_connections / 4 } else { 0 };
     let prefilter_connections =
-        PrefilterConnections::new(handle.clone(), pool, bounds.clone(), max_prefilter);
+        PrefilterConnections::new(handle.clone(), pool, host_settings.clone(), max_prefilter);
     let max_upstream = startup.max_node_connections - max_prefilter;
-    let mut upstream = Upstream::new(handle.clone(), pool, bounds.clone(), max_upstream);
+    let mut upstream = Upstream::new(handle.clone(), pool, host_settings.clone(), max_upstream);
     if !startup.operator.search_api_nodes.is_empty() {
         let classes = startup.deployment.query_classes.iter();
         let is_non_idempotent = classes.map(|class| class.idempotency == Idempotency::NonIdempotent);
         upstream.set_search_api_nodes(startup.operator.search_api_nodes.clone(), is_non_idempotent.collect());
     }
-    let router_host = RouterHost::new(&startup.deployment, bounds.clone(), pool, downstream, upstream);
+    let router_host = RouterHost::new(&startup.deployment, host_settings.clone(), pool, downstream, upstream);
     Ok(Connections { router_host, prefilter_connections, address })
 }
 
@@ -222,7 +223,7 @@
 fn open_search_api(
     router_host: &mut RouterHost,
     config: &operator::SearchApiConfig,
-    bounds: Rc<HostSettings>,
+    host_settings: Rc<HostSettings>,
     deployment: &Deployment,
 ) -> Result<(), ConfigError> {
     let failed_to_listen = |e: &dyn std::fmt::Display| setup_error("search: listen", e);
@@ -231,7 +232,7 @@
     let address = listener.local_addr().map_err(|e| failed_to_listen(&e))?;
     router_host.downstream.add_listener(listener, Port::SearchApi).map_err(|e| failed_to_listen(&e))?;
     router_host.downstream.search_api =
-        Some(Rc::new(SearchApi::new(config.limits.clone(), bounds, deployment)));
+        Some(Rc::new(SearchApi::new(config.limits.clone(), host_settings, deployment)));
     info!("the API listening at {address}");
     Ok(())
 }
@@ -241,13 +242,13 @@
     router_host: &mut RouterHost,
     config: &operator::BodyBufferConfig,
     replacement: Option<Arc<dyn SpillFolder>>,
-    bounds: &HostSettings,
+    host_settings: &HostSettings,
     handle: &EventLoopHandle,
 ) -> Result<Option<Arc<dyn SpillFolder>>, ConfigError> {
     router_host.downstream.accepts_streamed = true;
     let spool = start_body_spool(config, replacement, handle)?;
     let (spool, folder) = spool.map(|BodySpool { spool, folder }| (spool, folder)).unzip();
-    let query_classes = bounds.query_classes.clone();
+    let query_classes = host_settings.query_classes.clone();
     router_host.body_store = Some(BodyStore::new(config.limits.clone(), spool, query_classes));
     Ok(folder)
 }
--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -1,4 +1,4 @@
-//! Registers queries in flight: of clients, of search API requests, and audits of the prefilter.
+//! Registers queries: those of clients, those of search API requests, and the prefilter's audits.
 
 use std::rc::Rc;
 
@@ -14,7 +14,8 @@
 use crate::search_api::{ActiveRequest, ActiveSearch, SearchApi, SearchRequest};
 
 impl RouterHost {
-    /// Registers a client's query. If too much is in flight it is rejected (503) without the router.
+    /// Registers a client's query. Returns `None` if it was answered here: with 503 if too much is in flight, with 400 if its
+    /// request id is in use.
     pub fn register_query(&mut self, client: usize, request: QueryRequest) -> Option<Query> {
         if self.is_full() {
             debug!("query {}: rejected, {} queries and parts in flight", request.request_id, self.in_flight);
@@ -31,8 +32,8 @@
         Some(query)
     }
 
-    /// Registers a search API request: a query for each of its searches. A search that is invalid or over the limit gets its
-    /// outcome at once.
+    /// Registers a search API request and returns a query for each of its searches. A search that is invalid, or comes when
+    /// too much is in flight, gets an error as its outcome at once; a request without a search is answered at once.
     pub fn register_search_request(&mut self, client: usize, request: &SearchRequest) -> Vec<Query> {
         let Some(search_api) = self.downstream.search_api.clone() else { return Vec::new() };
         let (now, call) = (self.now, &request.call);
@@ -44,7 +45,8 @@
             }
             ApiRequest::Health => {
                 let (nodes, active) = self.upstream.count();
-                let body = response::health_response(nodes, active, self.bounds.segment_count).to_string();
+                let body =
+                    response::health_response(nodes, active, self.host_settings.segment_count).to_string();
                 self.downstream.reply(now, client, 200, &body, 0.0, &mut self.timers);
                 return Vec::new();
             }
@@ -75,7 +77,7 @@
         queries
     }
 
-    /// Registers one search of a search API request.
+    /// Registers one search of a search API request, the one at `position`, and returns its query.
     fn register_search(
         &mut self,
         client: usize,
@@ -96,11 +98,13 @@
         query
     }
 
+    /// Records an error as the outcome of the search at `position` of the request `id`.
     fn fail_search(&mut self, id: u64, position: usize, error: ApiError) {
         let retry_after = if error.status == 429 { self.max_retry_after } else { 0.0 };
         self.complete_search(id, position, Err(error), retry_after);
     }
 
+    /// Adds a query to those in flight and schedules its deadline; returns what the router needs of it.
     fn insert_query(
         &mut self,
         client: usize,
@@ -114,10 +118,13 @@
         let deadline = request.deadline.min(self.now + self.timeouts[request.query_class]);
         let expires_at = deadline.min(self.downstream.shutdown_deadline);
         let segments: Vec<_> = request.parts.iter().map(|part| part.segment).collect();
-        let count = segments.len();
-        self.in_flight += 1 + count;
+        let part_count = segments.len();
+        self.in_flight += 1 + part_count;
         let expires_in = deadline - self.now;
-        debug!("query {}: admitted as {query}, {count} parts, {expires_in:.3} s left", request.request_id);
+        debug!(
+            "query {}: admitted as {query}, {part_count} parts, {expires_in:.3} s left",
+            request.request_id
+        );
         let body = request.payload.body();
         let body_retained = !body.is_some_and(|body| body.is_pass_through());
         let body = body.map(|body| body.id);
@@ -146,10 +153,10 @@
         }
     }
 
-    /// Registers an audit of the prefilter: a query of one segment without a client. `None` if too much is in flight.
+    /// Registers a prefilter audit: a query of one segment without a client. Returns `None` if too much is in flight.
     pub fn register_audit(&mut self, query_class: usize, segment: usize, text: Rc<str>) -> Option<Query> {
         let request_id = format!("audit-{}", self.last_id + 1);
-        let has_room = self.bounds.max_in_flight.is_none_or(|max| self.in_flight + 2 <= max);
+        let has_room = self.host_settings.max_in_flight.is_none_or(|max| self.in_flight + 2 <= max);
         if !has_room || !self.request_ids.insert(request_id.clone()) {
             return None;
         }
@@ -157,7 +164,7 @@
         self.in_flight += 2;
         let query = self.last_id;
         let expires_at = self.now + self.timeouts[query_class];
-        debug!("scan {request_id}: an audit of {segment}");
+        debug!("query {request_id}: audit of segment {segment}");
         let timer = self.timers.schedule(expires_at, TimerEvent::QueryDeadline(query));
         let active = ActiveQuery {
             expires_at,
@@ -168,8 +175,8 @@
         Some(Query {
             id: query,
             class: query_class,
-            // No tenant's index: it has no quota and counts in no tenant's statistics.
-            tenant: self.bounds.tenants.len() + 1,
+            // Not the index of any tenant: an audit has no quota and counts in no tenant's statistics.
+            tenant: self.host_settings.tenants.len() + 1,
             expires_in: expires_at - self.now,
             is_retry: false,
             body_retained: true,
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -12,7 +12,7 @@
 use crate::upstream::CompletedAttempt;
 
 impl RouterHost {
-    /// Records an attempt that ended; `None` if its query is unknown.
+    /// Records the end of an attempt and returns it for the router; `None` if the query is not in flight.
     pub fn record_attempt_end(&mut self, completed: CompletedAttempt) -> Option<AttemptEnded> {
         let CompletedAttempt { mut ended, mut value, .. } = completed;
         let active = self.queries.get_mut(&ended.query)?;
@@ -68,14 +68,15 @@
         }
     }
 
-    /// Marks a finished query as completely answered; only those count in the prefilter's comparison of query times.
-    pub(super) fn mark_served(&mut self, query: QueryId, complete: bool) {
+    /// Marks a query as completely answered if `complete`, and if it is the one that finished last. Only such queries count
+    /// when the prefilter compares query times.
+    pub(super) fn mark_completely_answered(&mut self, query: QueryId, complete: bool) {
         if complete && let Some(last) = self.finished_queries.last_mut().filter(|last| last.query == query) {
             last.completely_answered = true;
         }
     }
 
-    /// Checks whether the query's client has disconnected; the event loop then ends the query.
+    /// Checks whether the client of a query has disconnected. If so, the event loop ends the query afterwards.
     pub fn check_client(&mut self, query: QueryId) {
         if let Some(active) = self.queries.get(&query)
             && !active.is_finished
@@ -93,11 +94,11 @@
         self.conclude(query);
     }
 
-    /// Ends all attempts of a query whose deadline has passed. Returns whether it is still unanswered.
+    /// Ends all attempts of a query whose deadline has passed. Returns whether the query is still unanswered.
     pub fn expire_attempts(&mut self, query: QueryId) -> bool {
         let Some(active) = self.queries.get_mut(&query) else { return false };
         active.timer = None;
-        let is_owed = !active.is_finished;
+        let is_unanswered = !active.is_finished;
         for SentAttempt { part, index, node } in active.all_attempts() {
             self.upstream.cancel(
                 self.now,
@@ -107,10 +108,10 @@
                 &mut self.timers,
             );
         }
-        is_owed
+        is_unanswered
     }
 
-    /// Queries that clients still wait for, by id.
+    /// Returns the ids of the queries that clients still wait for, in ascending order.
     pub fn unanswered_queries(&self) -> Vec<QueryId> {
         let is_unanswered = |active: &ActiveQuery| !active.is_finished && active.client.is_some();
         let unanswered = self.queries.iter().filter(|(_, active)| is_unanswered(active));
@@ -119,7 +120,7 @@
         ids
     }
 
-    /// Answers 504 if the router has not answered by the deadline.
+    /// Answers a query with 504 if the router has not answered it by its deadline.
     pub fn fail_overdue(&mut self, query: QueryId) {
         if let Some(client) = self.conclude(query) {
             error!("query {query}: deadline passed without an answer");
@@ -133,7 +134,8 @@
         }
     }
 
-    /// Marks a query as finished; returns its client, unless it was finished already.
+    /// Marks a query as finished and withdraws its attempts that are not fully written. Returns its client; `None` if it
+    /// has no client or was finished already.
     pub(super) fn conclude(&mut self, query: QueryId) -> Option<usize> {
         let active = self.queries.get_mut(&query).filter(|active| !active.is_finished)?;
         active.is_finished = true;
@@ -158,7 +160,8 @@
         client
     }
 
-    /// Withdraws attempts that are not fully written; returns whether none was, so that the client may safely send the query again.
+    /// Withdraws a query's attempts that are not fully written. Returns `true` if no attempt can have run, so that the
+    /// client may safely send the query again.
     pub(super) fn try_withdraw_all(&mut self, query: QueryId) -> bool {
         let Some(active) = self.queries.get(&query) else { return false };
         if active.may_run_since.iter().any(|at| *at != f64::MAX) {
@@ -166,16 +169,17 @@
         }
         let mut is_outstanding = false;
         for SentAttempt { part, index, node } in active.all_attempts() {
-            let key = AttemptId { query, part, index };
-            self.upstream.withdraw(self.now, node, key, AttemptOutcome::NotSent, &mut self.timers);
-            is_outstanding |= self.upstream.has_outstanding(node, key);
+            let attempt = AttemptId { query, part, index };
+            self.upstream.withdraw(self.now, node, attempt, AttemptOutcome::NotSent, &mut self.timers);
+            is_outstanding |= self.upstream.has_outstanding(node, attempt);
         }
         let completed = self.upstream.completed.iter().map(|completed| &completed.ended);
-        let may_have_run_since =
+        let any_may_have_run =
             completed.filter(|ended| ended.query == query).any(|ended| may_have_run(ended.outcome));
-        !is_outstanding && !may_have_run_since
+        !is_outstanding && !any_may_have_run
     }
 
+    /// Finishes a query and sends its client the final response, unless the query was finished already.
     pub(super) fn reply(&mut self, query: QueryId, status: u16, body: &str, retry_after: f64) {
         if let Some(client) = self.conclude(query) {
             let active = &self.queries[&query];
@@ -183,15 +187,15 @@
             if status != 200 {
                 self.audit_answer(query, status, false);
             }
-            // If the body was not retained for retries, the error says why.
+            // If the streamed body was not retained for retries, the error response says why.
             let failure = active.body_failure.filter(|_| status != 200);
-            let failure = failure.map(|reason| error_body(&format!("body: not kept for retries: {reason}")));
-            let body = failure.as_deref().unwrap_or(body);
+            let error = failure.map(|reason| error_body(&format!("body: not kept for retries: {reason}")));
+            let body = error.as_deref().unwrap_or(body);
             self.downstream.reply(self.now, client, status, body, retry_after, &mut self.timers);
         }
     }
 
-    /// Records the outcome of a search API query.
+    /// Records the outcome of a query that runs for a search API request.
     pub(super) fn finish_search(
         &mut self,
         query: QueryId,
@@ -203,7 +207,7 @@
         self.complete_search(request, position, outcome, retry_after);
     }
 
-    /// Records the outcome of one search of a request; the last one answers the client.
+    /// Records the outcome of one search of a search API request, and answers the client if it is the last outcome.
     pub(super) fn complete_search(
         &mut self,
         request: u64,
@@ -220,7 +224,8 @@
         }
     }
 
-    /// All queries of the request with this id: a query, or a search API request.
+    /// Returns the queries of the client request `request`: those of a search API request, which is then forgotten, or else
+    /// the one query with this id.
     pub fn queries_of(&mut self, request: QueryId) -> Vec<QueryId> {
         match self.search_requests.remove(&request) {
             Some(active) => active.queries,
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -1,4 +1,5 @@
-//! What the active configuration of a fleet means for a query: rejected at once, attempts not sent, an answer not marked complete.
+//! Applies the active configuration of a fleet to queries: whether a query is rejected at once, an attempt may be sent, and
+//! an answer may be marked complete.
 
 use std::rc::Rc;
 
@@ -10,40 +11,44 @@
 use crate::control_plane::{NoOwner, QueryStart, verify_answer};
 use crate::upstream::AttemptRequest;
 
-/// The active configuration that a query in a fleet is held to.
+/// What the fleet's active configuration requires of one query in flight.
 pub struct Coordination {
+    /// The active configuration at the query's start.
     query_start: Rc<QueryStart>,
-    /// Parts that were sent under another map's keys than the one at the query's start, with that map's epoch.
+    /// Parts that were sent under a later shard map that gives their segment other keys than the map at the query's start,
+    /// each with the later map's epoch.
     moved_parts: Vec<(usize, u64)>,
-    /// By part, for a keyed query only.
+    /// The state of each part of a keyed query; empty for other queries.
     keyed_parts: Vec<KeyedPart>,
 }
 
-/// The attempts of a part of a keyed query.
+/// What the attempts of one part of a keyed query have come to.
 #[derive(Clone, Default)]
 struct KeyedPart {
+    /// Number of attempts that have not ended.
     outstanding: usize,
-    /// An attempt that ended may have run.
+    /// Whether an attempt that has ended may have run.
     may_have_run: bool,
 }
 
 impl Coordination {
-    /// The active configuration at the query's start.
+    /// Returns the active configuration at the query's start.
     pub fn query_start(&self) -> Rc<QueryStart> {
         self.query_start.clone()
     }
 
-    /// An attempt of a part has ended.
-    pub fn on_attempt_ended(&mut self, part: usize, end: AttemptOutcome) {
+    /// Records the end of an attempt of a part.
+    pub fn on_attempt_ended(&mut self, part: usize, outcome: AttemptOutcome) {
         if let Some(part) = self.keyed_parts.get_mut(part) {
             part.outstanding = part.outstanding.saturating_sub(1);
-            part.may_have_run |= may_have_run(end);
+            part.may_have_run |= may_have_run(outcome);
         }
     }
 }
 
 impl RouterHost {
-    /// Checks a query against the active configuration; returns `false` if it was rejected without the router.
+    /// Checks a new query against the active configuration, before the router sees it. Returns `false` if the query was
+    /// rejected.
     pub fn check_active_config(&mut self, query: &mut Query) -> bool {
         let Some(control_plane) = &mut self.control_plane else { return true };
         control_plane.record_arrival(query.tenant);
@@ -67,7 +72,7 @@
         false
     }
 
-    /// Records an attempt for its query; returns whether it may be sent to the node now.
+    /// Records an attempt for its query. Returns whether the active configuration allows sending it to the node now.
     pub(super) fn record_and_check_attempt(&mut self, node: NodeId, attempt: &AttemptRequest) -> bool {
         let Some(control_plane) = &self.control_plane else { return true };
         let (gate, name) = (&control_plane.gate, self.upstream.name(node));
@@ -79,7 +84,7 @@
             if let Some(keyed) = coordination.keyed_parts.get_mut(part) {
                 let is_first = keyed.outstanding == 0 && !keyed.may_have_run;
                 may_send &= is_first || gate.may_retry_keyed(&coordination.query_start);
-                // Its end will be reported whether or not it is sent.
+                // The attempt's end is reported whether or not it is sent.
                 keyed.outstanding += 1;
             }
             if may_send && let Some(epoch) = gate.moved_epoch(&coordination.query_start, segment) {
@@ -93,8 +98,8 @@
         may_send
     }
 
-    /// Audits an answer; returns whether it may be marked complete: only if the answered parts cover the query under one map, if
-    /// there is one. Pruned parts count as answered.
+    /// Writes an answer to the audit log and returns whether it may be marked complete. With a shard map, it may only if the
+    /// answered parts cover the query under one map; pruned parts count as answered.
     pub(super) fn check_and_audit_completeness(&mut self, query: QueryId, complete: bool) -> bool {
         let (Some(control_plane), Some(active)) = (&self.control_plane, self.queries.get(&query)) else {
             return complete;
@@ -125,7 +130,7 @@
         complete
     }
 
-    /// Audits the final answer of a query without values.
+    /// Writes a query's final answer that has no values to the audit log.
     pub(super) fn audit_answer(&self, query: QueryId, status: u16, complete: bool) {
         if let (Some(control_plane), Some(active)) = (&self.control_plane, self.queries.get(&query)) {
             control_plane.gate.control.audit(|| AuditEvent::Answer {
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -1,4 +1,5 @@
-//! Hosts the router: queries in flight, and the connections and timers that its orders use.
+//! The host of the router: the queries in flight, and the connections and timers on which the router's orders are carried
+//! out.
 
 mod admission;
 mod completion;
@@ -26,101 +27,109 @@
 use crate::upstream::Upstream;
 use coordination::Coordination;
 
-/// The tenant of an audit.
+/// Tenant index of an audit, which belongs to no tenant.
 const NO_TENANT: usize = usize::MAX;
 
 /// A query from its request until it is answered and all its attempts have ended.
 struct ActiveQuery {
-    /// The search API's search that it runs for, if any.
+    /// The search of a search API request that the query runs for; `None` for other queries.
     search: Option<Box<ActiveSearch>>,
     /// Index of the client connection; `None` for an audit.
     client: Option<usize>,
     query_class: usize,
     request_id: String,
     payload: Payload,
-    /// Its streamed body, and why that is not available for retries.
+    /// The query's streamed body, if it has one.
     body: Option<BodyId>,
+    /// Why the streamed body is not available for retries.
     body_failure: Option<FallbackReason>,
+    /// The segment of each part.
     segments: Vec<usize>,
+    /// The id of each part in the nodes' frames: request id and segment.
     part_ids: Vec<Rc<str>>,
-    /// The value of each part that has been answered.
+    /// The value of each part; `None` until the part has been answered.
     values: Vec<Option<String>>,
-    /// Segments that the prefilter pruned, and on whose answer.
+    /// Segments that the prefilter pruned, each with the basis of that decision.
     pruned: Vec<PrunedSegment>,
-    /// The nodes of each part's attempts.
+    /// The nodes of each part's attempts, in the order of the attempts.
     attempts: Vec<Vec<NodeId>>,
-    /// When the first attempt of each part that may have run was sent; `f64::MAX` if there is none.
+    /// For each part, when the first of its attempts that may have run was sent; `f64::MAX` if there is none.
     may_run_since: Vec<f64>,
+    /// When the query times out, in Unix seconds.
     expires_at: f64,
     timer: Option<TimerKey>,
     tenant: usize,
+    /// `None` unless the query has been checked against a fleet's active configuration.
     coordination: Option<Coordination>,
+    /// Number of attempts that have not ended.
     outstanding: usize,
-    /// It has its final answer, or its client has disconnected: nothing more is sent for it.
+    /// Whether the query has its final answer or its client has disconnected: nothing more is sent for it.
     is_finished: bool,
 }
 
 /// A query that has its final answer, or whose client has disconnected.
 pub struct FinishedQuery {
-    /// The query.
+    /// Id of the query.
     pub query: QueryId,
-    /// It was answered, and completely.
+    /// Whether the query was answered completely.
     pub completely_answered: bool,
 }
 
 /// An attempt of a query, at its node.
 struct SentAttempt {
     part: usize,
-    /// Which attempt of its part it is, from 0.
+    /// Index of the attempt among those of its part, from 0.
     index: usize,
     node: NodeId,
 }
 
-/// Hosts the router: what it orders is done here, on connections, timers and queries in flight.
+/// The host of the router: carries out the router's orders on connections, timers and queries in flight.
 pub struct RouterHost {
-    /// Unix time in seconds; stands still during a call of the router.
+    /// Unix time in seconds; stays the same during a call to the router.
     pub now: f64,
     pool: Pool,
-    /// Timers of the whole event loop.
+    /// The timers of the whole event loop.
     pub timers: Timers,
     /// Connections of clients.
     pub downstream: Downstream,
     /// Connections to nodes.
     pub upstream: Upstream,
-    /// Bodies of streamed requests, if the operator's file enables them.
+    /// The bodies of streamed requests; `None` if the operator's file does not enable these.
     pub body_store: Option<BodyStore>,
-    /// Prefilter connections to nodes, if the operator's file enables the prefilter.
+    /// Prefilter connections to nodes; `None` if the operator's file does not enable the prefilter.
     pub prefilter_connections: Option<PrefilterConnections>,
-    /// `None` if the operator's file names no fleet.
+    /// The client of the fleet's control plane; `None` if the operator's file names no fleet.
     pub control_plane: Option<ControlPlaneClient>,
-    /// Queries that are finished, for the prefilter.
+    /// Finished queries that the prefilter has not been told of.
     pub finished_queries: Vec<FinishedQuery>,
-    /// Search API requests in flight, by the id that their client connections hold.
+    /// Search API requests in flight, by the id that their client connection has for them.
     search_requests: HashMap<u64, ActiveRequest>,
-    /// Size of the values held for queries in flight.
+    /// Total size in bytes of the values held for queries in flight.
     value_bytes: u64,
-    /// The client that uploads each body.
+    /// The client connection that uploads each streamed body.
     uploads: HashMap<BodyId, usize>,
-    bounds: Rc<HostSettings>,
+    host_settings: Rc<HostSettings>,
     replica_groups: usize,
     replicas: usize,
     max_attempts: usize,
-    /// Longest Retry-After of a rejection, in seconds; 0 if none may be named.
+    /// Longest Retry-After of a rejection in seconds; 0 if a rejection may not have one.
     max_retry_after: f64,
-    /// By query class: its timeout, and for how long after an attempt that may have run a retry may be sent. Both in seconds.
+    /// The timeout of each query class, in seconds.
     timeouts: Vec<f64>,
+    /// For each query class, how long after an attempt that may have run a retry may be sent, in seconds.
     retry_windows: Vec<f64>,
     queries: HashMap<QueryId, ActiveQuery>,
     request_ids: HashSet<String>,
+    /// The id given last to a query or a search API request.
     last_id: QueryId,
-    /// Unfinished queries plus their parts without a value; bounded by `HostSettings::max_in_flight`.
+    /// Number of unfinished queries plus that of their parts without a value; bounded by `HostSettings::max_in_flight`.
     in_flight: usize,
 }
 
 impl ActiveQuery {
-    /// A query without client, tenant, deadline and attempts.
+    /// A query without a client, tenant, deadline or attempts yet.
     fn new(request_id: String, query_class: usize, payload: Payload, segments: Vec<usize>) -> Self {
-        let count = segments.len();
+        let part_count = segments.len();
         Self {
             search: None,
             client: None,
@@ -131,10 +140,10 @@
             body: None,
             body_failure: None,
             segments,
-            values: vec![None; count],
+            values: vec![None; part_count],
             pruned: Vec::new(),
-            attempts: vec![Vec::new(); count],
-            may_run_since: vec![f64::MAX; count],
+            attempts: vec![Vec::new(); part_count],
+            may_run_since: vec![f64::MAX; part_count],
             expires_at: f64::MAX,
             timer: None,
             tenant: NO_TENANT,
@@ -144,11 +153,12 @@
         }
     }
 
+    /// Returns the number of parts without a value.
     fn open_parts(&self) -> usize {
         self.values.iter().filter(|value| value.is_none()).count()
     }
 
-    /// Every attempt so far.
+    /// Returns every attempt so far, ended ones included.
     fn all_attempts(&self) -> Vec<SentAttempt> {
         let mut all = Vec::new();
         for (part, nodes) in self.attempts.iter().enumerate() {
@@ -162,11 +172,13 @@
     }
 }
 
+/// Whether an attempt with this outcome may have run at the node.
 fn may_have_run(outcome: AttemptOutcome) -> bool {
     !matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::ConnectFailed | AttemptOutcome::Rejected)
 }
 
-/// How long after an attempt that may have run a retry may be sent, in seconds.
+/// Returns how long after an attempt that may have run a retry may be sent, in seconds. `margin` shortens a keyed class's
+/// idempotency window.
 fn retry_window(idempotency: Idempotency, margin: f64) -> f64 {
     match idempotency {
         Idempotency::Idempotent => f64::MAX,
@@ -176,10 +188,10 @@
 }
 
 impl RouterHost {
-    /// Hosts the router of this deployment, with nothing in flight.
+    /// Creates the host for the router of a deployment, with nothing in flight.
     pub fn new(
         deployment: &Deployment,
-        bounds: Rc<HostSettings>,
+        host_settings: Rc<HostSettings>,
         pool: &Pool,
         downstream: Downstream,
         upstream: Upstream,
@@ -197,7 +209,7 @@
             finished_queries: Vec::new(),
             value_bytes: 0,
             uploads: HashMap::new(),
-            bounds,
+            host_settings,
             replica_groups: deployment.replica_groups,
             replicas: deployment.replicas,
             max_attempts: deployment.max_attempts,
@@ -215,34 +227,35 @@
         }
     }
 
-    /// The tenants' names, by index.
+    /// Returns the names of the tenants, by index.
     pub fn tenants(&self) -> Vec<String> {
-        self.bounds.tenants.clone()
+        self.host_settings.tenants.clone()
     }
 
-    /// The query classes' names, by index.
+    /// Returns the names of the query classes, by index.
     pub fn query_classes(&self) -> Vec<String> {
-        self.bounds.query_classes.clone()
+        self.host_settings.query_classes.clone()
     }
 
-    /// Writes queued frames to the nodes.
+    /// Writes queued frames to the nodes, freeing file descriptors for new connections where they have run out.
     pub fn flush(&mut self) {
         self.upstream.flush(self.now, &mut self.timers);
         while self.upstream.is_awaiting_descriptor() {
-            let room = self.free_descriptor();
-            self.upstream.retry_awaiting_descriptor(self.now, room, &mut self.timers);
+            let has_descriptor = self.free_descriptor();
+            self.upstream.retry_awaiting_descriptor(self.now, has_descriptor, &mut self.timers);
         }
     }
 
-    /// Frees a file descriptor by closing an idle client connection, or else an idle connection to a node. Guards against clients
-    /// that use up all descriptors and so cut off nodes and discovery.
+    /// Frees a file descriptor by closing an idle client connection, or else an idle connection to a node; returns `false` if
+    /// there is none to close. Guards against clients that use up all descriptors and so cut off nodes and discovery.
     pub fn free_descriptor(&mut self) -> bool {
         let (now, timers) = (self.now, &mut self.timers);
         self.downstream.evict_one(now, timers) || self.upstream.close_longest_idle(now, timers)
     }
 
+    /// Whether as many queries and parts are in flight as the settings allow.
     fn is_full(&self) -> bool {
-        self.bounds.max_in_flight.is_some_and(|max| self.in_flight >= max)
+        self.host_settings.max_in_flight.is_some_and(|max| self.in_flight >= max)
     }
 
     /// Whether the query is in flight and not finished.
@@ -250,7 +263,7 @@
         self.queries.get(&query).is_some_and(|active| !active.is_finished)
     }
 
-    /// The text and segments of a query that can be prefiltered.
+    /// Returns the text and the segments of a query; `None` if the query is not in flight or its body is no inline text.
     pub fn prefilter_input(&self, query: QueryId) -> Option<(Rc<str>, Vec<usize>)> {
         let active = self.queries.get(&query)?;
         match &active.payload {
@@ -259,26 +272,27 @@
         }
     }
 
-    /// Asks a node which segments can match. A node that is draining or removed is not asked.
-    pub fn send_prefilter_request(&mut self, node: NodeId, question: u64, text: &str, segments: &[usize]) {
+    /// Asks a node which segments can match a query's text. A node that is draining or removed is not asked, and the
+    /// prefilter request `request` fails as `NodeGone`.
+    pub fn send_prefilter_request(&mut self, node: NodeId, request: u64, text: &str, segments: &[usize]) {
         let Some(prefilter_connections) = &mut self.prefilter_connections else { return };
-        let frame = frames::encode_prefilter_request(question, text, segments);
+        let frame = frames::encode_prefilter_request(request, text, segments);
         match self.upstream.active_address(node) {
             Some(address) => {
-                prefilter_connections.send(self.now, node, address, question, &frame, &mut self.timers)
+                prefilter_connections.send(self.now, node, address, request, &frame, &mut self.timers)
             }
-            None => prefilter_connections.responses.push_back((question, Err(RequestFailure::NodeGone))),
+            None => prefilter_connections.responses.push_back((request, Err(RequestFailure::NodeGone))),
         }
     }
 
-    /// Records the segments that the prefilter left out of a query.
+    /// Records the segments that the prefilter has pruned from a query.
     pub fn prune(&mut self, query: QueryId, pruned: Vec<PrunedSegment>) {
         if let Some(active) = self.queries.get_mut(&query) {
             active.pruned = pruned;
         }
     }
 
-    /// Segments that the prefilter had left out are searched after all.
+    /// Removes segments from a query's pruned ones, as they are searched after all.
     pub fn restore_pruned(&mut self, query: QueryId, segments: &[usize]) {
         if let Some(active) = self.queries.get_mut(&query) {
             active.pruned.retain(|pruned| !segments.contains(&pruned.segment));
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -1,4 +1,4 @@
-//! Queries with streamed bodies.
+//! Registers queries with streamed bodies, and moves the bodies from the clients to the nodes.
 
 use std::rc::Rc;
 
@@ -12,13 +12,13 @@
 use crate::query_request::QueryRequest;
 
 impl RouterHost {
-    /// Registers a query whose body is streamed, or rejects it at once and names the limit.
+    /// Registers a query whose body is streamed, or rejects it at once with an error that names the limit.
     pub fn register_streamed_query(&mut self, client: usize, request: QueryRequest, head: Head) {
         let Some(bodies) = &mut self.body_store else { return };
         bodies.record_other_memory(self.pool.allocated_bytes(), self.value_bytes);
         let QueryRequest { tenant, query_class, .. } = request;
-        let arrival = IncomingBody { tenant, query_class, stated_length: head.declared_length() };
-        match bodies.accept(self.now, arrival) {
+        let incoming = IncomingBody { tenant, query_class, stated_length: head.declared_length() };
+        match bodies.accept(self.now, incoming) {
             Ok(body) => {
                 if !bodies.check_scheduled {
                     bodies.check_scheduled = true;
@@ -27,20 +27,22 @@
                 }
                 self.uploads.insert(body.id, client);
                 // A client's deadline is capped by the query class's timeout.
-                let longest = self.now + self.timeouts[query_class];
-                let request = QueryRequest { deadline: request.deadline.min(longest), ..request };
+                let latest_deadline = self.now + self.timeouts[query_class];
+                let request = QueryRequest { deadline: request.deadline.min(latest_deadline), ..request };
                 self.downstream.receive_body(self.now, client, request, head, &body, &mut self.timers);
             }
             Err(reason) => self.reject_body(client, reason),
         }
     }
 
+    /// Rejects a request for the reason for which its body cannot be accepted.
     fn reject_body(&mut self, client: usize, reason: FallbackReason) {
         let (error, retry_after) = self.body_error(reason);
-        self.downstream.refuse(self.now, client, error, retry_after, &mut self.timers);
+        self.downstream.reject_and_close(self.now, client, error, retry_after, &mut self.timers);
     }
 
-    /// The response and Retry-After (seconds) for a rejected body. A body that is too long is not retriable.
+    /// Returns the error and the Retry-After (in seconds) for a body that is rejected or lost. A body that is too long, or
+    /// whose length is not known, is not retriable.
     fn body_error(&self, reason: FallbackReason) -> (HttpError, f64) {
         match reason {
             FallbackReason::TooLong | FallbackReason::LengthUnknown => {
@@ -50,7 +52,8 @@
         }
     }
 
-    /// Starts the query of a body that is buffered, or passed through for the reason in `failure`.
+    /// Starts the query of a body that is buffered, or that is passed through for the reason in `failure`. Returns `None` if
+    /// its client is gone or the query was rejected.
     pub fn start_streamed_query(
         &mut self,
         body: BodyId,
@@ -66,7 +69,8 @@
         Some((query, body))
     }
 
-    /// A body was lost. While it is being uploaded its client is refused; afterwards its query is returned.
+    /// Handles the loss of a body. If the body is still being uploaded, its client gets an error; returns the unfinished
+    /// query that uses the body, if there is one.
     pub fn on_body_lost(&mut self, body: BodyId, reason: FallbackReason) -> Option<QueryId> {
         if let Some(client) = self.uploads.remove(&body) {
             let (error, retry_after) = self.body_error(reason);
@@ -88,14 +92,14 @@
         }
     }
 
-    /// Moves bodies on: submits reads of spilled blocks, writes frames, resumes clients.
+    /// Advances streamed bodies: submits reads of spilled blocks, writes frames to nodes, resumes reading from clients.
     pub fn pump_bodies(&mut self) {
         let Some(bodies) = &mut self.body_store else { return };
-        let moved = std::mem::take(&mut self.downstream.bodies_received);
-        if !moved.is_empty() {
+        let received = std::mem::take(&mut self.downstream.bodies_received);
+        if !received.is_empty() {
             bodies.record_other_memory(self.pool.allocated_bytes(), self.value_bytes);
         }
-        for id in moved {
+        for id in received {
             bodies.advance(self.now, id);
             bodies.made_progress = true;
         }
@@ -110,7 +114,7 @@
         self.downstream.resume_unblocked();
     }
 
-    /// Logs the body store's counters. `copied`: bytes copied for connections to nodes.
+    /// Logs the counters of the body store. `copied` is the number of bytes copied into frames for nodes.
     pub fn report_body_counters(&mut self, copied: u64) {
         if let Some(bodies) = &mut self.body_store {
             bodies.record_other_memory(self.pool.allocated_bytes(), self.value_bytes);
@@ -118,7 +122,7 @@
         }
     }
 
-    /// Checks the progress of bodies, and schedules the next check while there are any.
+    /// Fails bodies and closes connections to nodes that make no progress; schedules the next check while there are bodies.
     pub fn check_bodies(&mut self) {
         let Some(bodies) = &mut self.body_store else { return };
         bodies.fail_overdue(self.now);
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -19,15 +19,19 @@
 
     fn send_attempt(&mut self, query: QueryId, part: usize, node: NodeId) {
         let Some(attempt) = self.start_attempt(query, part, node) else { return };
-        let is_late = self.is_too_late(&attempt);
-        if !is_late && !self.record_and_check_attempt(node, &attempt) {
+        let is_obsolete = self.is_obsolete(&attempt);
+        if !is_obsolete && !self.record_and_check_attempt(node, &attempt) {
             return self.complete_unsent(node, attempt);
         }
         let is_replica = self.upstream.is_replica(node, attempt.segment, self.replica_groups, self.replicas);
-        if !is_late && !is_replica {
-            error!("node {}: no replica of segment {}", self.upstream.name(node), attempt.segment);
+        if !is_obsolete && !is_replica {
+            error!(
+                "node {}: not a replica of segment {}; the attempt is not sent",
+                self.upstream.name(node),
+                attempt.segment
+            );
         }
-        if is_late || !is_replica {
+        if is_obsolete || !is_replica {
             return self.complete_unsent(node, attempt);
         }
         debug!("query {}: part {part} sent to {}", self.queries[&query].request_id, self.upstream.name(node));
@@ -47,7 +51,7 @@
         self.upstream.cancel(self.now, node, attempt, AttemptOutcome::Cancelled, &mut self.timers);
     }
 
-    /// Never called: the frames have no probe, and the deployment is read with `may_probe` off.
+    /// Never called: the frame protocol has no probe, and reading the configuration turns `may_probe` off.
     fn probe(&mut self, _: NodeId) {}
 
     fn answer(&mut self, query: QueryId, complete: bool) {
@@ -60,13 +64,13 @@
             let outcome = search.response(self.now, complete, &segments, &pruned);
             if self.conclude(query).is_some() {
                 self.finish_search(query, outcome, 0.0);
-                self.mark_served(query, complete);
+                self.mark_completely_answered(query, complete);
             }
             return;
         }
         let body = answer_body(active, complete, |node| self.upstream.name(node));
         self.reply(query, 200, &body, 0.0);
-        self.mark_served(query, complete);
+        self.mark_completely_answered(query, complete);
     }
 
     fn reject_retriable(&mut self, query: QueryId, retry_after: f64) {
@@ -85,7 +89,8 @@
     }
 
     fn fail_unknown_outcome(&mut self, query: QueryId) {
-        // The router counts every attempt without an outcome as sent; one that still waits in a queue here has not left.
+        // The router counts every attempt without an outcome as sent, but one whose frame still waits to be written here has
+        // not been sent.
         if self.try_withdraw_all(query) {
             return self.reject_retriable(query, 0.0);
         }
@@ -113,7 +118,7 @@
 }
 
 impl RouterHost {
-    /// Records an attempt of a part, and what its frame needs.
+    /// Records a new attempt of a part and returns what its frame needs; `None` if the query is not in flight.
     fn start_attempt(&mut self, query: QueryId, part: usize, node: NodeId) -> Option<AttemptRequest> {
         let active = self.queries.get_mut(&query)?;
         let index = active.attempts[part].len();
@@ -139,8 +144,8 @@
         })
     }
 
-    /// Whether nobody waits for an attempt any more, or it must not be sent any more.
-    fn is_too_late(&mut self, attempt: &AttemptRequest) -> bool {
+    /// Whether the client no longer waits for an attempt, or the attempt must no longer be sent.
+    fn is_obsolete(&mut self, attempt: &AttemptRequest) -> bool {
         let Some(active) = self.queries.get(&attempt.query) else { return true };
         active.is_finished
             || matches!(attempt.payload, Payload::Released)
@@ -149,13 +154,14 @@
             || active.client.is_some_and(|client| self.downstream.check_disconnected(self.now, client))
     }
 
+    /// Ends an attempt that is not sent.
     fn complete_unsent(&mut self, node: NodeId, attempt: AttemptRequest) {
         let completed = attempt.completed_unsent(node, AttemptOutcome::NotSent);
         self.upstream.completed.push_back(completed);
     }
 }
 
-/// The body of an answer on the port for clients.
+/// Returns the JSON body of a query's answer, for the broker's own port. `name` returns the name of a node.
 fn answer_body<'a>(query: &ActiveQuery, complete: bool, name: impl Fn(NodeId) -> &'a str) -> String {
     let mut found = Vec::new();
     for (segment, value) in query.segments.iter().zip(&query.values) {
--- a/crates/dunepond-broker/tests/hangup.rs
+++ b/crates/dunepond-broker/tests/hangup.rs
@@ -86,7 +86,7 @@
 fn readiness_event_forces_a_disconnect_check() {
     let mut harness = Harness::with_query(100.0);
     harness.hang_up();
-    harness.clients.check_while_waiting(100.0, harness.id);
+    harness.clients.check_waiting_client(100.0, harness.id);
     assert_eq!(harness.clients.next_disconnected(&mut harness.timers), Some(Some(7)));
 }
 
