--- a/crates/dunepond-broker/src/buffers.rs
+++ b/crates/dunepond-broker/src/buffers.rs
@@ -8,13 +8,13 @@
 
 pub use write_queue::WriteQueue;
 
-/// The size of a buffer: the longest frame, or body that is not streamed, fits into one.
+/// The size of a buffer. The longest frame, and the longest body that is not streamed, fit into one buffer.
 pub const BUFFER_BYTES: usize = 64 * 1024;
-/// Free buffers that are kept; after a burst the others are freed.
+/// Maximum number of free buffers that a pool keeps; the others are deallocated when they are returned after a burst.
 const MAX_FREE_BUFFERS: usize = 32;
 
-/// Has the allocator use one heap for all threads. Guards the memory bound: with an arena per thread, blocks that the disk
-/// threads allocate and the event loop frees would stay in the arenas of the disk threads.
+/// Has the allocator use one arena for all threads. Guards the bound on memory: with an arena per thread, blocks that the
+/// disk threads allocate and the event loop frees would stay in the arenas of the disk threads.
 pub fn use_single_malloc_arena() {
     #[cfg(all(target_os = "linux", target_env = "gnu"))]
     // SAFETY: mallopt only sets the allocator's own options; it may be called at any time.
@@ -23,7 +23,7 @@
     }
 }
 
-/// Hands out buffers and takes them back; clones share their buffers.
+/// A pool of buffers of one size; clones share their buffers.
 #[derive(Clone, Default)]
 pub struct Pool {
     free: Rc<RefCell<Vec<Box<[u8]>>>>,
@@ -31,7 +31,7 @@
 }
 
 impl Pool {
-    /// An empty buffer; it returns to the pool when it is dropped.
+    /// Returns an empty buffer, which goes back to the pool when it is dropped.
     pub fn acquire(&self) -> Buffer {
         let bytes = self.free.borrow_mut().pop();
         let bytes = bytes.unwrap_or_else(|| vec![0; BUFFER_BYTES].into_boxed_slice());
@@ -39,18 +39,18 @@
         Buffer { bytes, start: 0, end: 0, pool: self.clone() }
     }
 
-    /// How many buffers are in use.
+    /// Returns the number of buffers in use.
     pub fn buffers_in_use(&self) -> usize {
         self.in_use.get()
     }
 
-    /// The memory of all buffers in bytes, the free ones included.
+    /// Returns the memory of all buffers in bytes, including the free ones.
     pub fn allocated_bytes(&self) -> u64 {
         ((self.in_use.get() + self.free.borrow().len()) * BUFFER_BYTES) as u64
     }
 }
 
-/// Bytes that were read or wait to be written; returns to its pool when it is dropped.
+/// A buffer for bytes that were read or wait to be written; goes back to its pool when it is dropped.
 pub struct Buffer {
     bytes: Box<[u8]>,
     start: usize,
@@ -69,17 +69,17 @@
 }
 
 impl Buffer {
-    /// The bytes that are not consumed yet.
+    /// Returns the bytes that are not consumed yet.
     pub fn filled(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Whether no bytes are left.
+    /// Whether the buffer holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.start == self.end
     }
 
-    /// Whether not one more byte fits.
+    /// Whether the buffer has no room for another byte.
     pub fn is_full(&self) -> bool {
         self.end - self.start == BUFFER_BYTES
     }
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Appends as much of `bytes` as there is room for; returns how much.
+    /// Appends as much of `bytes` as fits after the last byte; returns how many bytes.
     pub fn append(&mut self, bytes: &[u8]) -> usize {
         let count = bytes.len().min(BUFFER_BYTES - self.end);
         self.bytes[self.end..self.end + count].copy_from_slice(&bytes[..count]);
@@ -105,7 +105,7 @@
         self.end -= count;
     }
 
-    /// Appends one read; `Ok(0)` is the end of the stream unless the buffer is full.
+    /// Appends the result of one read and returns its length. `Ok(0)` is the end of the stream, unless the buffer is full.
     pub fn read_from(&mut self, mut stream: impl Read) -> io::Result<usize> {
         if self.end == BUFFER_BYTES {
             self.bytes.copy_within(self.start..self.end, 0);
--- a/crates/dunepond-broker/src/buffers/tests/mod.rs
+++ b/crates/dunepond-broker/src/buffers/tests/mod.rs
@@ -3,16 +3,19 @@
 use super::*;
 use crate::body::{Body, BodyReader};
 
-/// Takes a few bytes at a time, and nothing more once it is full.
-struct Narrow(Vec<u8>, usize);
+/// A stream that takes at most 999 bytes at a time, and blocks once it holds `capacity` bytes.
+struct LimitedStream {
+    written: Vec<u8>,
+    capacity: usize,
+}
 
-impl Write for Narrow {
+impl Write for LimitedStream {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let count = bytes.len().min(999).min(self.1 - self.0.len());
+        let count = bytes.len().min(999).min(self.capacity - self.written.len());
         if count == 0 {
             return Err(io::ErrorKind::WouldBlock.into());
         }
-        self.0.extend_from_slice(&bytes[..count]);
+        self.written.extend_from_slice(&bytes[..count]);
         Ok(count)
     }
 
@@ -26,13 +29,13 @@
     let pool = Pool::default();
     let bytes: Vec<u8> = (0..3 * BUFFER_BYTES).map(|i| (i % 251) as u8).collect();
     let mut out = WriteQueue::new(&pool);
-    bytes.chunks(10_000).for_each(|piece| out.queue_bytes(piece));
-    let mut stream = Narrow(Vec::new(), BUFFER_BYTES);
+    bytes.chunks(10_000).for_each(|chunk| out.queue_bytes(chunk));
+    let mut stream = LimitedStream { written: Vec::new(), capacity: BUFFER_BYTES };
     out.flush(&mut stream).unwrap();
     assert_eq!((out.written_offset(), out.pending_bytes()), (BUFFER_BYTES as u64, 2 * BUFFER_BYTES));
-    stream.1 = bytes.len();
+    stream.capacity = bytes.len();
     out.flush(&mut stream).unwrap();
-    assert!(out.is_empty() && stream.0 == bytes);
+    assert!(out.is_empty() && stream.written == bytes);
     assert_eq!(pool.free.borrow().len(), 3);
 }
 
@@ -48,13 +51,13 @@
     out.queue_body(BodyReader::new(&body));
     out.queue_bytes(b">");
     assert_eq!((out.end_offset(), out.take_copied_bytes()), (12, 2));
-    let mut stream = Narrow(Vec::new(), BUFFER_BYTES);
+    let mut stream = LimitedStream { written: Vec::new(), capacity: BUFFER_BYTES };
     out.flush(&mut stream).unwrap();
-    assert!(out.is_awaiting_body() && stream.0 == b"<text");
+    assert!(out.is_awaiting_body() && stream.written == b"<text");
     body.append(b"dies");
     body.finish();
     out.flush(&mut stream).unwrap();
-    assert!(out.is_empty() && !out.is_awaiting_body() && stream.0 == b"<textbodies>");
+    assert!(out.is_empty() && !out.is_awaiting_body() && stream.written == b"<textbodies>");
 }
 
 #[test]
--- a/crates/dunepond-broker/src/buffers/write_queue.rs
+++ b/crates/dunepond-broker/src/buffers/write_queue.rs
@@ -1,4 +1,4 @@
-//! The write queue of a connection: copied bytes, shared texts and streamed bodies in order.
+//! The write queue of a connection, which holds copied bytes, shared texts and streamed bodies in order.
 
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, Write};
@@ -9,28 +9,32 @@
 use super::{Buffer, Pool};
 use crate::body::BodyReader;
 
-/// Chunks of a write queue that are written with one system call.
+/// Maximum number of chunks of a write queue that are written with one system call.
 const MAX_SLICES_PER_WRITE: usize = 16;
 
 /// A chunk of a write queue: bytes of its own, or a position in bytes that other queues share.
 enum Chunk {
+    /// Copied bytes in a pooled buffer.
     Owned(Buffer),
+    /// A shared text, from this position in bytes on.
     SharedText(Rc<str>, usize),
-    /// Too few bytes for a buffer of their own.
+    /// Copied bytes that are too few to use a pooled buffer.
     Small(Bytes),
+    /// What is left of a streamed body.
     Streamed(BodyReader),
 }
 
 impl Chunk {
-    /// The reader of a streamed body.
+    /// Returns the reader of a streamed body; `None` for other chunks.
     fn reader(&self) -> Option<&BodyReader> {
         if let Self::Streamed(reader) = self { Some(reader) } else { None }
     }
 
+    /// Returns the number of bytes left to write.
     fn len(&self) -> u64 {
         match self {
             Self::Owned(buffer) => buffer.filled().len() as u64,
-            Self::SharedText(text, at) => (text.len() - *at) as u64,
+            Self::SharedText(text, position) => (text.len() - *position) as u64,
             Self::Small(bytes) => bytes.len() as u64,
             Self::Streamed(reader) => reader.remaining(),
         }
@@ -40,7 +44,7 @@
         self.len() == 0
     }
 
-    /// Consumes up to `count` bytes; returns how many.
+    /// Discards up to `count` bytes, which have been written; returns how many.
     fn consume(&mut self, count: usize) -> usize {
         match self {
             Self::Owned(buffer) => {
@@ -48,9 +52,9 @@
                 buffer.consume(count);
                 count
             }
-            Self::SharedText(text, at) => {
-                let count = count.min(text.len() - *at);
-                *at += count;
+            Self::SharedText(text, position) => {
+                let count = count.min(text.len() - *position);
+                *position += count;
                 count
             }
             Self::Small(bytes) => {
@@ -67,21 +71,24 @@
     }
 }
 
-/// What waits to be written to one connection. Offsets count bytes since it was opened.
+/// The bytes that wait to be written to one connection. Offsets count bytes from the opening of the connection.
 pub struct WriteQueue {
     chunks: VecDeque<Chunk>,
     pool: Pool,
+    /// The offset after the last queued byte.
     end_offset: u64,
+    /// The offset after the last written byte.
     written_offset: u64,
-    /// How many chunks are streamed bodies: without any, all chunks are available.
+    /// The number of chunks that are streamed bodies; if it is 0, all bytes of the queue are available.
     streamed_chunks: usize,
-    /// The next chunk of a streamed body is not available yet.
+    /// Whether the last flush stopped because the next chunk of a streamed body was not available.
     awaiting_body: bool,
+    /// Number of bytes copied into the queue since the last call of `take_copied_bytes`.
     copied_bytes: u64,
 }
 
 impl WriteQueue {
-    /// An empty queue.
+    /// Creates an empty queue, which takes its buffers from `pool`.
     pub fn new(pool: &Pool) -> Self {
         let (chunks, pool) = (VecDeque::new(), pool.clone());
         Self {
@@ -111,20 +118,20 @@
         }
     }
 
-    /// Queues a few bytes that go before a body: a buffer for them would be in use as long as the body takes.
+    /// Queues a few bytes that precede a body, without a pooled buffer: it would be in use as long as writing the body takes.
     pub fn queue_small(&mut self, bytes: Vec<u8>) {
         self.end_offset += bytes.len() as u64;
         self.copied_bytes += bytes.len() as u64;
         self.chunks.push_back(Chunk::Small(bytes.into()));
     }
 
-    /// Queues a shared text, which is not copied.
+    /// Queues a shared text without copying it.
     pub fn queue_text(&mut self, text: &Rc<str>) {
         self.end_offset += text.len() as u64;
         self.chunks.push_back(Chunk::SharedText(text.clone(), 0));
     }
 
-    /// Queues a body whose length is known; it is written as it becomes available.
+    /// Queues a streamed body whose length is known; its bytes are written as they become available.
     pub fn queue_body(&mut self, reader: BodyReader) {
         if reader.remaining() == 0 {
             return;
@@ -134,22 +141,22 @@
         self.chunks.push_back(Chunk::Streamed(reader));
     }
 
-    /// Removes what was queued from the offset `from` on, as far as it is not written; `from` lies between two frames.
-    /// Returns the body that was in it.
+    /// Removes the bytes queued from the offset `from` on that are not written yet; `from` must be between two frames.
+    /// Returns the streamed body that was among them, if any.
     pub fn withdraw_from(&mut self, from: u64) -> Option<BodyReader> {
         let mut body = None;
         while self.end_offset > from.max(self.written_offset) {
             let Some(last) = self.chunks.back_mut() else { break };
-            let over = self.end_offset - from.max(self.written_offset);
-            let held = last.len();
+            let removable = self.end_offset - from.max(self.written_offset);
+            let chunk_length = last.len();
             if let Chunk::Owned(buffer) = last
-                && held > over
+                && chunk_length > removable
             {
-                buffer.remove_last(over as usize);
-                self.end_offset -= over;
+                buffer.remove_last(removable as usize);
+                self.end_offset -= removable;
                 break;
             }
-            self.end_offset -= held;
+            self.end_offset -= chunk_length;
             if let Some(Chunk::Streamed(reader)) = self.chunks.pop_back() {
                 self.streamed_chunks -= 1;
                 body = Some(reader);
@@ -158,44 +165,44 @@
         body
     }
 
-    /// The offset behind the last queued byte.
+    /// Returns the offset after the last queued byte.
     pub fn end_offset(&self) -> u64 {
         self.end_offset
     }
 
-    /// The offset behind the last written byte.
+    /// Returns the offset after the last written byte.
     pub fn written_offset(&self) -> u64 {
         self.written_offset
     }
 
-    /// Whether all is written.
+    /// Whether all queued bytes are written.
     pub fn is_empty(&self) -> bool {
         self.end_offset == self.written_offset
     }
 
-    /// How many bytes wait to be written.
+    /// Returns the number of bytes that wait to be written.
     pub fn pending_bytes(&self) -> usize {
         (self.end_offset - self.written_offset) as usize
     }
 
-    /// Whether the last flush stopped because the next chunk of a body is not available.
+    /// Whether the last flush stopped because the next chunk of a streamed body was not available.
     pub fn is_awaiting_body(&self) -> bool {
         self.awaiting_body
     }
 
-    /// The first streamed body in the queue.
+    /// Returns the first streamed body in the queue.
     pub fn next_body(&self) -> Option<&BodyReader> {
         self.chunks.iter().find_map(Chunk::reader)
     }
 
-    /// How many bytes were copied into it since the last call.
+    /// Returns the number of bytes copied into the queue since the last call.
     pub fn take_copied_bytes(&mut self) -> u64 {
         std::mem::take(&mut self.copied_bytes)
     }
 
-    /// Writes until all is written, the stream would block, or the next chunk is not available.
+    /// Writes until all bytes are written, the stream would block, or the next chunk of a streamed body is not available.
     ///
-    /// Fails with the stream's error, or with `WriteZero` where it accepts no byte.
+    /// Fails with the stream's error, or with `WriteZero` if the stream accepts no byte.
     pub fn flush(&mut self, mut stream: impl Write) -> io::Result<()> {
         self.awaiting_body = false;
         while !self.chunks.is_empty() {
@@ -214,18 +221,20 @@
         Ok(())
     }
 
-    /// Writes the first chunks with one system call; `None` if the next chunk of a body is not available.
+    /// Writes the first chunks with one system call and returns the number of bytes; `None` if the next chunk of a streamed
+    /// body is not available.
     fn write_once(&self, stream: &mut impl Write) -> io::Result<Option<usize>> {
-        let first = || self.chunks.iter().take(MAX_SLICES_PER_WRITE);
-        // Keeps the blocks of the first body alive that the slices point into.
+        let first_chunks = || self.chunks.iter().take(MAX_SLICES_PER_WRITE);
+        // Keeps alive the blocks of the first streamed body that the slices refer to.
         let mut blocks = Vec::new();
         if self.streamed_chunks > 0
-            && let Some(reader) = first().find_map(Chunk::reader)
+            && let Some(reader) = first_chunks().find_map(Chunk::reader)
         {
             reader.available_chunks(MAX_SLICES_PER_WRITE, &mut blocks);
         }
-        // What stands behind the first body is not written before all of that is.
-        let slices = first().map_while(memory_slice).chain(blocks.iter().map(|block| IoSlice::new(block)));
+        // Chunks after the first streamed body are not written before all of that body is.
+        let slices =
+            first_chunks().map_while(memory_slice).chain(blocks.iter().map(|block| IoSlice::new(block)));
         let slices: Vec<_> = slices.take(2 * MAX_SLICES_PER_WRITE).collect();
         if slices.is_empty() { Ok(None) } else { stream.write_vectored(&slices).map(Some) }
     }
@@ -245,11 +254,11 @@
     }
 }
 
-/// The bytes of a chunk other than a streamed body.
+/// Returns the bytes of a chunk; `None` for a streamed body.
 fn memory_slice(chunk: &Chunk) -> Option<IoSlice<'_>> {
     match chunk {
         Chunk::Owned(buffer) => Some(IoSlice::new(buffer.filled())),
-        Chunk::SharedText(text, at) => Some(IoSlice::new(&text.as_bytes()[*at..])),
+        Chunk::SharedText(text, position) => Some(IoSlice::new(&text.as_bytes()[*position..])),
         Chunk::Small(bytes) => Some(IoSlice::new(bytes)),
         Chunk::Streamed(_) => None,
     }
--- a/crates/dunepond-broker/src/clock.rs
+++ b/crates/dunepond-broker/src/clock.rs
@@ -1,32 +1,32 @@
-//! One monotonic clock on Unix time, as the endpoint list's times are, and the event loop's timers.
+//! A monotonic clock that counts in Unix time, as the endpoint list does, and the event loop's timers.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time, read once at the start and continued by a monotonic clock.
+/// A clock whose Unix time is read from the system once, at the start, and continued by a monotonic clock.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    started: Instant,
+    started_at: Instant,
     unix_at_start: f64,
 }
 
 impl Clock {
-    /// Reads the system's clock, once.
+    /// Creates a clock, which reads the system's Unix time now.
     pub fn start() -> Self {
         let unix_at_start =
             SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
-        Self { started: Instant::now(), unix_at_start }
+        Self { started_at: Instant::now(), unix_at_start }
     }
 
-    /// Unix time in seconds; never goes back.
+    /// Returns the Unix time in seconds; never goes back.
     pub fn now(&self) -> f64 {
         self.at(Instant::now())
     }
 
-    /// The time of a moment, which may lie before the start.
+    /// Returns the Unix time of `moment` in seconds; `moment` may be before the clock's start.
     pub fn at(&self, moment: Instant) -> f64 {
-        let before = self.started.saturating_duration_since(moment);
-        self.unix_at_start + moment.saturating_duration_since(self.started).as_secs_f64()
+        let before = self.started_at.saturating_duration_since(moment);
+        self.unix_at_start + moment.saturating_duration_since(self.started_at).as_secs_f64()
             - before.as_secs_f64()
     }
 }
@@ -34,33 +34,33 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TimerEvent {
-    /// The time that the router asked to be called at.
+    /// The time has come at which the router asked to be called.
     RouterWake,
-    /// A query's deadline, by the query's id.
+    /// The deadline of a query has passed, by the query's id.
     QueryDeadline(u64),
-    /// A connection to a node, by its index.
+    /// A time limit of a connection to a node has passed, by its index.
     UpstreamConnection(usize),
-    /// A prefilter connection to a node, by its index.
+    /// A time limit of a prefilter connection to a node has passed, by its index.
     PrefilterConnection(usize),
-    /// The prefilter's time is up for some query.
+    /// The time for prefilter responses to some query has passed.
     Prefilter,
     /// A snapshot of the learned state is due.
     Snapshot,
     /// A background job may run.
     BackgroundJob,
-    /// A time limit of a client connection, by its index.
+    /// A time limit of a client connection has passed, by its index.
     ClientTimeout(usize),
-    /// A client connection whose reading was paused goes on, by its index.
+    /// Reading from a client connection resumes after a pause, by its index.
     ClientResume(usize),
     /// A discovery response is overdue, or the pause between two requests is over.
     Discovery,
-    /// Accepting connections goes on after a pause.
+    /// Accepting connections resumes after a pause.
     ResumeAccept,
-    /// Discovery has not answered since the start.
+    /// Discovery has not answered in time since the start.
     FirstListTimeout,
     /// The next stage of the shutdown is due.
     ShutdownStage,
-    /// Streamed bodies and their disk spill are checked.
+    /// The progress of streamed bodies and of their disk spill is to be checked.
     BodyCheck,
     /// The counters are to be logged.
     Counters,
@@ -69,8 +69,9 @@
 /// Identifies a scheduled timer; ordered by time, and at the same time in the order of scheduling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerKey {
-    /// Unix time.
+    /// Unix time in microseconds.
     micros: u64,
+    /// Position in the order of scheduling.
     sequence: u64,
 }
 
@@ -81,7 +82,7 @@
     }
 }
 
-/// The event loop's timers in order of time. In calloop's own, cancelling one scans all of them.
+/// The event loop's timers in order of time. Used instead of calloop's timers, in which cancelling one scans all of them.
 #[derive(Default)]
 pub struct Timers {
     pending: BTreeMap<TimerKey, TimerEvent>,
@@ -89,7 +90,7 @@
 }
 
 impl Timers {
-    /// Schedules an event for a Unix time in seconds; events at the same time are due in the order in which they were scheduled.
+    /// Schedules an event for the Unix time `at` in seconds. Events at the same time are due in the order of scheduling.
     pub fn schedule(&mut self, at: f64, event: TimerEvent) -> TimerKey {
         self.last_sequence += 1;
         let key = TimerKey { micros: to_micros(at.max(0.0)), sequence: self.last_sequence };
@@ -97,14 +98,14 @@
         key
     }
 
-    /// Cancels a timer; one that has fired, or none, is ignored.
+    /// Cancels a timer; does nothing if it has fired or is `None`.
     pub fn cancel(&mut self, key: Option<TimerKey>) {
         if let Some(key) = key {
             self.pending.remove(&key);
         }
     }
 
-    /// Time until the earliest timer; `None` if there is none.
+    /// Returns the time until the earliest timer; `None` if there is none.
     pub fn until_next(&self, now: f64) -> Option<Duration> {
         let (first, _) = self.pending.first_key_value()?;
         Some(Duration::from_micros(first.micros.saturating_sub(to_micros(now))))
@@ -117,7 +118,7 @@
     }
 }
 
-/// Whether a timer's time has come.
+/// Whether the time of a timer has come.
 pub fn is_due(key: TimerKey, now: f64) -> bool {
     key.micros <= to_micros(now)
 }
--- a/crates/dunepond-broker/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -1,4 +1,5 @@
-//! The startup configuration: the environment, the file that it names and the settings in it, read, checked and given defaults here only.
+//! Reads the startup configuration: the environment, the file that it names and the settings in that file. Checks and
+//! defaults are here only.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,16 +12,18 @@
 
 use crate::buffers::BUFFER_BYTES;
 
-/// Descriptors for what is neither a client nor a node: eleven for standard streams, loop, signals and listener, twelve for calls
-/// to a silent discovery agent, and one for a client that is accepted before another is closed.
+/// File descriptors reserved for anything but connections of clients and nodes: eleven for the standard streams, the event
+/// loop, signals and the listener, twelve for calls to a discovery agent that does not answer, and one for a client that is
+/// accepted before another one is closed.
 const RESERVED_DESCRIPTORS: u64 = 24;
 const DEFAULT_MEMORY_MIB: f64 = 192.0;
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// With fewer connections or buffers the broker does not start.
+/// The broker does not start if the limits leave fewer connections.
 const MIN_CONNECTIONS: u64 = 16;
+/// The broker does not start if the limits leave fewer buffers.
 const MIN_BUFFERS: usize = 16;
 
-/// All that the broker is started with.
+/// The configuration that a broker is started with.
 #[derive(Debug)]
 pub struct StartupConfig {
     /// The broker's name, in its log lines and in a fleet.
@@ -29,27 +32,27 @@
     pub listen_address: SocketAddr,
     /// Address of the discovery agent.
     pub discovery_address: SocketAddr,
-    /// Least severe level that is logged.
+    /// The least severe level that is logged.
     pub log_level: LevelFilter,
-    /// Client connections that may be open at once.
+    /// Maximum number of open client connections.
     pub max_clients: usize,
-    /// Buffers that may be in use when one more is requested.
+    /// Number of buffers that may be in use when another one is requested.
     pub max_buffers: usize,
-    /// Connections to nodes that may be open at once.
+    /// Maximum number of open connections to nodes.
     pub max_node_connections: usize,
     /// The settings of the deployment.
     pub deployment: Deployment,
-    /// Key of a setting that is valid but not supported on sockets, and ignored.
+    /// Key of a setting that is valid but ignored, as it is not supported on sockets.
     pub unsupported_setting: Option<&'static str>,
     /// Bounds on requests, and the names of query classes, tenants and zones.
     pub host_settings: HostSettings,
-    /// The configured endpoint list, in discovery's form; null without one.
+    /// The configured endpoint list in the format of discovery's responses; null without one.
     pub configured_endpoints: Value,
-    /// What the operator's file enables; the default without a file.
+    /// The content of the operator's file; the default without one.
     pub operator: OperatorConfig,
 }
 
-/// Reads the operator's file. The error has a line for each fault.
+/// Reads and checks an operator's file. The error has a line for each fault.
 pub fn read_operator_file(path: &Path) -> Result<OperatorConfig, ConfigError> {
     let text = std::fs::read_to_string(path).map_err(|e| ConfigError(format!("{}: {e}", path.display())))?;
     dunepond_config::operator::parse(&text).map_err(|faults| {
@@ -58,7 +61,8 @@
     })
 }
 
-/// Reads the configuration at startup: the environment goes before the file that `GW_CONFIG` names.
+/// Reads the configuration at startup. The environment takes precedence over the file that `GW_CONFIG` names. `variable`
+/// returns the value of an environment variable.
 pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, ConfigError> {
     let path = variable("GW_CONFIG").ok_or_else(|| ConfigError("GW_CONFIG: not set".to_string()))?;
     let text = std::fs::read_to_string(&path).map_err(|e| ConfigError(format!("GW_CONFIG: {path}: {e}")))?;
@@ -67,25 +71,25 @@
     parse(&file, variable)
 }
 
-/// Reloads the configuration of a running process. The file goes before the environment, which is that of the start: otherwise
-/// another address of discovery in the file would change nothing.
+/// Reads the configuration of a running process again. Of the environment, which is still that of the start, only
+/// `GW_CONFIG` and `GW_LOG` count: otherwise a new address of discovery in the file could be overridden by the old one.
 pub fn reload(variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, ConfigError> {
     read(|name| Some(name).filter(|name| matches!(*name, "GW_CONFIG" | "GW_LOG")).and_then(&variable))
 }
 
-/// Checks a configuration file as the broker would read it with an empty environment.
+/// Checks the content of a configuration file as the broker would read it with an empty environment.
 pub fn check(file: &Value) -> Result<(), ConfigError> {
     parse(file, |_| None).map(drop)
 }
 
-/// Where a value comes from: at the start the environment goes before the file.
+/// The sources of a value: the environment, which takes precedence, and the file.
 struct Source<'a, V> {
     config: Fields<'a>,
     variable: V,
 }
 
 impl<V: Fn(&str) -> Option<String>> Source<'_, V> {
-    /// The value of a variable, or else of a key of the file.
+    /// Returns the value of an environment variable, or else that of a key of the file.
     fn text(&self, variable: &str, key: &str) -> Result<String, ConfigError> {
         match (self.variable)(variable) {
             Some(value) => Ok(value),
@@ -93,6 +97,7 @@
         }
     }
 
+    /// Returns the address in an environment variable, or else in a key of the file.
     fn address(&self, variable: &str, key: &str) -> Result<SocketAddr, ConfigError> {
         let value = self.text(variable, key)?;
         let is_set = (self.variable)(variable).is_some();
@@ -101,9 +106,14 @@
         value.parse().map_err(invalid)
     }
 
+    /// Returns the level in `GW_LOG`, or else in the file's key `log`; info without either.
     fn log_level(&self) -> Result<LevelFilter, ConfigError> {
         if let Some(value) = (self.variable)("GW_LOG") {
-            return value.parse().map_err(|_| ConfigError(format!("GW_LOG: '{value}' is no level")));
+            return value.parse().map_err(|_| {
+                ConfigError(format!(
+                    "GW_LOG: '{value}' is not a level: use error, warn, info, debug, trace or off"
+                ))
+            });
         }
         match self.config.optional_text("log")? {
             Some(value) => value.parse().map_err(|_| self.config.error("log", "not a level")),
@@ -112,32 +122,37 @@
     }
 }
 
-/// What the limits on descriptors and memory leave for connections.
+/// The limits on connections and their buffers that follow from the limits on file descriptors and memory.
 struct ConnectionLimits {
     max_connections: u64,
     max_buffers: usize,
 }
 
 impl ConnectionLimits {
-    fn of(config: &Fields) -> Result<Self, ConfigError> {
+    /// Derives the limits from the `limits` of the configuration file.
+    fn from_config(config: &Fields) -> Result<Self, ConfigError> {
         let descriptors = config.count_or("limits.sockets", DEFAULT_DESCRIPTORS)?;
         let memory_mib = config.number_or("limits.memory_mb", DEFAULT_MEMORY_MIB)?;
-        // A quarter of the memory is for connections' buffers; the rest is for queries in flight, queued frames and the program.
+        // A quarter of the memory is for the buffers of connections; the rest is for queries in flight, queued frames and the
+        // program itself.
         Ok(Self {
             max_connections: descriptors.saturating_sub(RESERVED_DESCRIPTORS),
             max_buffers: (memory_mib * 1024.0 * 1024.0 / 4.0 / BUFFER_BYTES as f64) as usize,
         })
     }
 
+    /// Whether the broker cannot run with these limits.
     fn is_too_low(&self) -> bool {
         self.max_connections < MIN_CONNECTIONS || self.max_buffers < MIN_BUFFERS
     }
 
-    /// Connections to nodes, which many clients share: a quarter of all. Idle ones are closed for new ones.
+    /// Returns the limit on connections to nodes. A quarter of all connections is enough, as many clients share them and idle
+    /// ones are closed to make room for new ones.
     fn max_node_connections(&self) -> usize {
         (self.max_connections / 4) as usize
     }
 
+    /// Returns the limit on client connections.
     fn max_clients(&self) -> usize {
         self.max_connections as usize - self.max_node_connections()
     }
@@ -147,18 +162,22 @@
     let config = Fields::new("config", file)?;
     let source = Source { config, variable };
     let seed = u64::from_str_radix(config.text("seed")?, 16)
-        .map_err(|_| config.error("seed", "not a hexadecimal number of 64 bits"))?;
+        .map_err(|_| config.error("seed", "not a hexadecimal number of at most 64 bits"))?;
     let settings = Fields::new("settings", config.value("settings")?)?;
     let mut deployment = deployment(seed, &settings)?;
     if deployment.query_classes.iter().any(|class| class.second_step) {
-        return Err(settings.error("familyInfo.secondStep", "second steps are not served on sockets"));
+        return Err(settings
+            .error("familyInfo.secondStep", "second steps are not supported on sockets; remove the key"));
     }
-    // The frames have no probe.
+    // The frame protocol has no probe.
     let unsupported_setting = std::mem::take(&mut deployment.may_probe).then_some("ceilings.mayProbe");
-    let limits = ConnectionLimits::of(&config)?;
+    let limits = ConnectionLimits::from_config(&config)?;
     let log_level = source.log_level()?;
     if limits.is_too_low() {
-        return Err(config.error("limits", "too little memory or sockets for any connections"));
+        return Err(config.error(
+            "limits",
+            "too little memory or too few sockets for connections; raise 'memory_mb' or 'sockets'",
+        ));
     }
     Ok(StartupConfig {
         name: source.text("GW_NAME", "name")?,
--- a/crates/dunepond-broker/src/config_reload.rs
+++ b/crates/dunepond-broker/src/config_reload.rs
@@ -1,4 +1,4 @@
-//! Reloads the configuration on a thread of its own, so that a disk that does not answer cannot block the event loop.
+//! Reads the configuration again on a separate thread, so that a disk that does not answer cannot block the event loop.
 
 use std::path::PathBuf;
 use std::{io, thread};
@@ -9,11 +9,11 @@
 
 use crate::config::{self, StartupConfig};
 
-/// A reloaded configuration, or why it is invalid.
+/// The outcome of reading the configuration files again.
 pub struct LoadedConfig {
-    /// The configuration.
+    /// The configuration, or why it is invalid.
     pub startup: Result<StartupConfig, ConfigError>,
-    /// The operator's file, where there is one.
+    /// The content of the operator's file, or why it is invalid; `None` without such a file.
     pub operator: Option<Result<OperatorConfig, ConfigError>>,
 }
 
@@ -21,38 +21,41 @@
 pub struct ConfigReloader {
     sender: Sender<Box<LoadedConfig>>,
     operator_file: Option<PathBuf>,
-    is_reading: bool,
-    /// Another reload was requested while one ran, which may have read the old files.
-    read_again: bool,
+    /// Whether a reload is running.
+    is_running: bool,
+    /// Whether a reload was requested while one was running, which may have read the old files.
+    reload_again: bool,
 }
 
 impl ConfigReloader {
-    /// `operator`: path of the operator's file, if there is one. What was read goes to `sender`.
+    /// Creates a reloader that sends its results to `sender`. `operator_file` is the path of the operator's file, if there is
+    /// one.
     pub fn new(sender: Sender<Box<LoadedConfig>>, operator_file: Option<PathBuf>) -> Self {
-        Self { sender, operator_file, is_reading: false, read_again: false }
+        Self { sender, operator_file, is_running: false, reload_again: false }
     }
 
-    /// Starts a reload and returns `true`; if one is running, another follows it and this returns `false`.
-    pub fn start_read(&mut self) -> io::Result<bool> {
-        if self.is_reading {
-            self.read_again = true;
+    /// Starts a reload and returns `true`. If one is running, has another one follow it and returns `false`. Fails if no
+    /// thread can be started.
+    pub fn start_reload(&mut self) -> io::Result<bool> {
+        if self.is_running {
+            self.reload_again = true;
             return Ok(false);
         }
-        let (sender, operator) = (self.sender.clone(), self.operator_file.clone());
+        let (sender, operator_file) = (self.sender.clone(), self.operator_file.clone());
         let read = move || {
-            let start = config::reload(|name| std::env::var(name).ok());
-            let operator = operator.as_deref().map(config::read_operator_file);
-            // The send fails only if the broker has ended.
-            let _ = sender.send(Box::new(LoadedConfig { startup: start, operator }));
+            let startup = config::reload(|name| std::env::var(name).ok());
+            let operator = operator_file.as_deref().map(config::read_operator_file);
+            // The send fails only if the event loop has ended.
+            let _ = sender.send(Box::new(LoadedConfig { startup, operator }));
         };
         thread::Builder::new().name("reread".to_string()).spawn(read)?;
-        self.is_reading = true;
+        self.is_running = true;
         Ok(true)
     }
 
-    /// A reload has ended; returns whether another one is to be started.
-    pub fn take_read_again(&mut self) -> bool {
-        self.is_reading = false;
-        std::mem::take(&mut self.read_again)
+    /// Records that a reload has ended; returns whether another one is to be started.
+    pub fn on_reload_ended(&mut self) -> bool {
+        self.is_running = false;
+        std::mem::take(&mut self.reload_again)
     }
 }
--- a/crates/dunepond-broker/src/connection_end.rs
+++ b/crates/dunepond-broker/src/connection_end.rs
@@ -1,4 +1,4 @@
-//! How a connection can end, and the outcome of the attempts that were on it.
+//! The ways in which a connection can end, and the outcome of the attempts on it.
 
 use std::fmt;
 use std::io;
@@ -9,38 +9,38 @@
 /// Why a connection ended, or could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionEnd {
-    /// The node has no address, or this process has no room for another connection.
+    /// The node has no address, or this process may not open another connection.
     LocalResources,
-    /// The process has no descriptor left for it.
+    /// This process has no file descriptor left for the connection.
     DescriptorsExhausted,
-    /// The peer refused it.
+    /// The peer refused the connection.
     Refused,
-    /// It was not established within the connect timeout.
+    /// The connection was not established within the connect timeout.
     ConnectTimeout,
-    /// The peer reset it, or the network failed.
+    /// The peer reset the connection, or the network failed.
     Reset,
-    /// The peer closed it.
+    /// The peer closed the connection.
     Closed,
     /// The peer sent a malformed message.
     ProtocolError,
-    /// The node could not use a frame of ours.
+    /// The node could not use a frame of the broker.
     RejectedByPeer,
     /// A partly written frame had to be withdrawn.
     FrameAborted,
-    /// The process behind it is known to have been replaced.
+    /// The node's process is known to have been replaced by a new one.
     Replaced,
-    /// We closed it while it carried nothing.
+    /// The broker closed the connection while it was idle.
     IdleClosed,
-    /// The peer did not send or read the rest in time.
+    /// The peer did not send or read the rest of a message in time.
     IoTimeout,
-    /// It read too little of a pass-through body while the other readers waited.
+    /// The node read too little of a body that is passed through, while the other readers of the body waited.
     SlowConsumer,
     /// The body of a partly written frame was lost.
     BodyLost,
 }
 
 impl ConnectionEnd {
-    /// How an error of the system ends a connection.
+    /// Returns how the connection on which this system error occurred has ended.
     pub fn from_io_error(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::ConnectionRefused => Self::Refused,
@@ -51,19 +51,19 @@
         }
     }
 
-    /// The outcome of an attempt on this connection. Whether it may have run depends only on whether the last byte of its
-    /// frame had been written: the system reports the same errors for a broken connection as for one that was never
-    /// established.
+    /// Returns the outcome of an attempt on a connection that has ended. Whether the attempt may have run depends only on
+    /// `written`, whether the last byte of its frame had been written: the system reports the same errors for a broken
+    /// connection as for one that was never established.
     pub fn attempt_outcome(self, written: bool) -> AttemptOutcome {
         match (self, written) {
-            // A local shortage must not count against the node.
+            // A shortage of this process must not count against the node.
             (Self::LocalResources | Self::DescriptorsExhausted, _) => AttemptOutcome::NotSent,
             (_, false) => AttemptOutcome::ConnectFailed,
             (_, true) => AttemptOutcome::ConnectionLost,
         }
     }
 
-    /// Why a prefilter request on this connection has no answer.
+    /// Returns why a prefilter request on a connection that has ended has no response.
     pub fn request_failure(self) -> RequestFailure {
         match self {
             Self::RejectedByPeer | Self::Closed => RequestFailure::Unsupported,
@@ -78,18 +78,18 @@
 impl fmt::Display for ConnectionEnd {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Self::LocalResources => "could not be opened",
+            Self::LocalResources => "could not be opened: no address, or too many connections",
             Self::DescriptorsExhausted => "could not be opened: no file descriptor left",
             Self::Refused => "refused",
             Self::ConnectTimeout => "timed out while connecting",
             Self::Reset => "was reset",
             Self::Closed => "closed by the peer",
-            Self::ProtocolError => "sent an unreadable message",
+            Self::ProtocolError => "closed: the peer sent a malformed message",
             Self::RejectedByPeer => "closed: the peer rejected a frame",
-            Self::FrameAborted => "closed with a partly written frame",
-            Self::Replaced => "belonged to a process that was replaced",
+            Self::FrameAborted => "closed to withdraw a partly written frame",
+            Self::Replaced => "closed: the node's process was replaced",
             Self::IdleClosed => "closed while idle",
-            Self::IoTimeout => "stalled",
+            Self::IoTimeout => "timed out while reading or writing",
             Self::SlowConsumer => "read a streamed body too slowly",
             Self::BodyLost => "closed: the body of a partly written frame was lost",
         })
--- a/crates/dunepond-broker/src/connection_end/tests/mod.rs
+++ b/crates/dunepond-broker/src/connection_end/tests/mod.rs
@@ -19,10 +19,13 @@
 #[case(ConnectionEnd::BodyLost, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
 fn attempt_outcome_depends_on_the_last_byte(
     #[case] ending: ConnectionEnd,
-    #[case] unwritten_bytes: AttemptOutcome,
-    #[case] written: AttemptOutcome,
+    #[case] if_partly_written: AttemptOutcome,
+    #[case] if_written: AttemptOutcome,
 ) {
-    assert_eq!((ending.attempt_outcome(false), ending.attempt_outcome(true)), (unwritten_bytes, written));
+    assert_eq!(
+        (ending.attempt_outcome(false), ending.attempt_outcome(true)),
+        (if_partly_written, if_written)
+    );
 }
 
 #[rstest]
--- a/crates/dunepond-broker/src/event_loop/reload.rs
+++ b/crates/dunepond-broker/src/event_loop/reload.rs
@@ -13,7 +13,7 @@
 impl EventLoop {
     /// Starts to read the configuration and the operator's file again, on another thread.
     pub(super) fn start_reload(&mut self) {
-        match self.config_reloader.start_read() {
+        match self.config_reloader.start_reload() {
             Ok(true) => {}
             Ok(false) => warn!("configuration reload still running; another one follows it"),
             Err(e) => error!(
@@ -48,7 +48,7 @@
             }
             None => {}
         }
-        if self.config_reloader.take_read_again() {
+        if self.config_reloader.on_reload_ended() {
             self.start_reload();
         }
         self.process_pending();
--- a/crates/dunepond-broker/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -1,4 +1,5 @@
-//! The codec of the nodes' frame protocol: four bytes of length, one letter, the rest. The order of its fields appears only here.
+//! The codec of the frame protocol between broker and nodes. A frame has four bytes of length, one letter for its type, and
+//! a content; the order of the fields in the content is defined only here.
 
 use std::fmt::{self, Write};
 
@@ -9,48 +10,48 @@
 /// A frame from a node.
 #[derive(Debug, PartialEq)]
 pub enum NodeFrame<'a> {
-    /// An attempt has ended (`E`).
+    /// Frame `E`: an attempt has ended.
     AttemptEnded {
-        /// The attempt's id, as it was sent.
+        /// Id of the attempt, as the broker sent it.
         id: &'a str,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: ReplicaOutcome,
-        /// What it found.
+        /// What the attempt found.
         value: &'a str,
-        /// The node's report on it; see [`parse_search_report`].
+        /// The node's report on the search; see [`parse_search_report`].
         report: &'a str,
     },
-    /// The answer to a prefilter request (`Q`).
+    /// Frame `Q`: the response to a prefilter request.
     PrefilterAnswers {
-        /// The number of the request.
+        /// Number of the prefilter request.
         request: u64,
-        /// Whether each segment can match, and the version that says so.
+        /// For each segment, whether it can match, and the version of the segment that the answer is about.
         answers: Vec<SegmentAnswer>,
     },
-    /// The node could not use a frame of ours (`F`), and why.
+    /// Frame `F`: the node could not use a frame of the broker, for this reason.
     Rejected(&'a str),
 }
 
-/// How a node says that an attempt ended.
+/// The outcome of an attempt, as a node states it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReplicaOutcome {
-    /// Searched, with a value.
+    /// The segment was searched, and there is a value.
     Served,
-    /// Failed while it ran.
+    /// The attempt failed while it ran.
     Failed,
-    /// Rejected before it ran.
+    /// The node rejected the attempt before it ran.
     Overloaded,
 }
 
-/// The line before one attempt's payload.
+/// The line before an attempt's payload in a frame of attempts.
 pub struct AttemptLine<'a> {
-    /// The attempt's id.
+    /// Id of the attempt.
     pub id: &'a str,
-    /// The segment to be searched.
+    /// Index of the segment to be searched.
     pub segment: usize,
-    /// The time that is left for it.
+    /// The time that is left for the attempt, in milliseconds.
     pub time_limit_ms: u64,
-    /// The length of its payload in bytes.
+    /// The length of the attempt's payload in bytes.
     pub length: u64,
 }
 
@@ -60,46 +61,47 @@
     }
 }
 
-/// One frame of attempts: for each a line and its payload.
+/// Encodes a frame of attempts (`A`): for each attempt a line and its payload.
 pub fn encode_attempts<'a>(attempts: impl Iterator<Item = (AttemptLine<'a>, &'a str)>) -> Vec<u8> {
-    let mut rest = String::new();
+    let mut content = String::new();
     for (line, payload) in attempts {
-        let _ = write!(rest, "{line}");
-        rest.push_str(payload);
+        let _ = write!(content, "{line}");
+        content.push_str(payload);
     }
-    encode_frame(b'A', rest.as_bytes())
+    encode_frame(b'A', content.as_bytes())
 }
 
-/// The start of a frame of attempts whose lines and payloads, `length` bytes, are queued one by one.
+/// Returns the length and the type of a frame of attempts; its lines and payloads, `length` bytes in all, are to be queued
+/// after it one by one.
 pub fn attempts_head(length: u64) -> [u8; 5] {
     let [a, b, c, d] = (length as u32 + 1).to_be_bytes();
     [a, b, c, d, b'A']
 }
 
-/// A prefilter request: which of these segments can match a query.
+/// Encodes a prefilter request (`P`): which of these segments can match a query.
 pub fn encode_prefilter_request(id: u64, text: &str, segments: &[SegmentIndex]) -> Vec<u8> {
     let segments: Vec<_> = segments.iter().map(SegmentIndex::to_string).collect();
     encode_frame(b'P', format!("{id} {} {}\n{text}", text.len(), segments.join(",")).as_bytes())
 }
 
-/// What a node reports of a search.
+/// A node's report on a search.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SearchReport {
-    /// The version that was searched.
+    /// The version of the segment that was searched.
     pub version: Version,
-    /// Whether anything was found.
+    /// Whether the search found anything.
     pub found: bool,
 }
 
-/// The report of an attempt, if it has both the version and the number of hits.
+/// Parses the report on a search; `None` if it lacks the version or the number of hits.
 pub fn parse_search_report(report: &str) -> Option<SearchReport> {
     let value = |key: &str| report.split(',').find_map(|entry| entry.strip_prefix(key)?.parse::<u64>().ok());
     Some(SearchReport { version: value("v=")?, found: value("n=")? > 0 })
 }
 
-/// The lines of a prefilter answer, `SEGMENT WORD VERSION` each.
+/// Parses the lines of a prefilter response, each of the form `SEGMENT WORD VERSION`; `None` if one is malformed.
 fn parse_prefilter_answers(lines: &str) -> Option<Vec<SegmentAnswer>> {
-    let line = |line: &str| {
+    let parse_line = |line: &str| {
         let mut fields = line.splitn(3, ' ');
         let segment = fields.next()?.parse().ok()?;
         let answer = match fields.next()? {
@@ -111,62 +113,62 @@
         let version = fields.next()?.parse().ok()?;
         Some(SegmentAnswer { segment, answer, version })
     };
-    lines.lines().map(line).collect()
+    lines.lines().map(parse_line).collect()
 }
 
-/// Cancels an attempt.
+/// Encodes the cancellation of an attempt (`B`).
 pub fn encode_cancel(id: &str) -> Vec<u8> {
     encode_frame(b'B', id.as_bytes())
 }
 
-/// A frame of any type.
-pub fn encode_frame(letter: u8, rest: &[u8]) -> Vec<u8> {
-    let mut frame = Vec::with_capacity(5 + rest.len());
-    frame.extend_from_slice(&(rest.len() as u32 + 1).to_be_bytes());
+/// Encodes a frame of the type `letter`.
+pub fn encode_frame(letter: u8, content: &[u8]) -> Vec<u8> {
+    let mut frame = Vec::with_capacity(5 + content.len());
+    frame.extend_from_slice(&(content.len() as u32 + 1).to_be_bytes());
     frame.push(letter);
-    frame.extend_from_slice(rest);
+    frame.extend_from_slice(content);
     frame
 }
 
-/// Why a frame of a node is malformed. The connection must be closed: where the next frame begins is unknown.
+/// Why a frame from a node is malformed. The connection must be closed, as it is unknown where the next frame begins.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum FrameError {
-    /// It is empty, or longer than a buffer.
-    #[error("a length out of bounds")]
+    /// The frame is empty, or longer than a buffer.
+    #[error("frame length is 0 or longer than a buffer")]
     Length,
-    /// Its content is not text.
-    #[error("not UTF-8")]
+    /// The frame's content is not text.
+    #[error("frame is not UTF-8")]
     NotUtf8,
-    /// Its letter is unknown.
-    #[error("an unknown frame type")]
+    /// The frame's letter is unknown.
+    #[error("unknown frame type")]
     UnknownType,
     /// An `E` frame without a line break.
-    #[error("an E frame without a head line")]
+    #[error("E frame without a first line")]
     EndWithoutLine,
     /// An `E` frame with an empty id.
-    #[error("an E frame without an id")]
+    #[error("E frame without an attempt id")]
     EndWithoutId,
     /// An `E` frame with an unknown word for the outcome.
-    #[error("an E frame with an unknown outcome")]
+    #[error("E frame with an unknown outcome")]
     UnknownOutcome,
-    /// An `E` frame whose score is missing or no number.
-    #[error("an E frame without a score")]
+    /// An `E` frame whose score is missing or not a number.
+    #[error("E frame without a score")]
     EndWithoutScore,
-    /// An `E` frame that lacks the report.
-    #[error("an E frame without a report")]
+    /// An `E` frame without a report.
+    #[error("E frame without a report")]
     EndWithoutReport,
     /// A `Q` frame without a line break.
-    #[error("a Q frame without a head line")]
+    #[error("Q frame without a first line")]
     AnswerWithoutLine,
-    /// A `Q` frame whose request number is missing or no number.
-    #[error("a Q frame without a number")]
+    /// A `Q` frame whose request number is missing or not a number.
+    #[error("Q frame without a request number")]
     AnswerWithoutNumber,
-    /// A `Q` frame with a malformed line.
-    #[error("a Q frame with an unreadable line")]
+    /// A `Q` frame in which the line of a segment is malformed.
+    #[error("Q frame with a malformed line")]
     MalformedAnswer,
 }
 
-/// The first frame in `bytes` and its length; `None` until all of it has arrived.
+/// Decodes the first frame in `bytes` and returns it with its length; `None` if the frame has not arrived completely.
 pub fn decode_frame(bytes: &[u8]) -> Result<Option<(NodeFrame<'_>, usize)>, FrameError> {
     let Some((head, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
@@ -184,6 +186,7 @@
     Ok(Some((decoded, 4 + length)))
 }
 
+/// Decodes the content of an `E` frame.
 fn decode_attempt_ended(text: &str) -> Result<NodeFrame<'_>, FrameError> {
     let (line, value) = text.split_once('\n').ok_or(FrameError::EndWithoutLine)?;
     let mut fields = line.splitn(4, ' ');
@@ -196,11 +199,12 @@
     };
     let score = fields.next().and_then(|score| score.parse::<f64>().ok());
     score.ok_or(FrameError::EndWithoutScore)?;
-    // The report may say anything, but must be present.
+    // The report may have any content, but must be present.
     let report = fields.next().ok_or(FrameError::EndWithoutReport)?;
     Ok(NodeFrame::AttemptEnded { id, outcome, value, report })
 }
 
+/// Decodes the content of a `Q` frame.
 fn decode_prefilter_answers(text: &str) -> Result<NodeFrame<'_>, FrameError> {
     let (id, lines) = text.split_once('\n').ok_or(FrameError::AnswerWithoutLine)?;
     let request = id.parse().map_err(|_| FrameError::AnswerWithoutNumber)?;
--- a/crates/dunepond-broker/src/iteration.rs
+++ b/crates/dunepond-broker/src/iteration.rs
@@ -1,5 +1,5 @@
-//! What one iteration of the event loop has to handle. Socket callbacks only queue an event here, so that no connection's module needs to
-//! know what the broker does with it.
+//! The events that one iteration of the event loop has to handle. Socket callbacks only queue an event here, so that no
+//! module for connections needs to know how the broker handles it.
 
 use std::collections::VecDeque;
 use std::net::TcpStream;
@@ -16,29 +16,29 @@
 /// A port that clients connect to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Port {
-    /// For queries in the broker's own form.
+    /// The port for queries in the broker's own form.
     Queries,
-    /// For the search API.
+    /// The port of the search API.
     SearchApi,
 }
 
 impl Port {
-    /// Both ports.
+    /// All ports.
     pub const ALL: [Self; 2] = [Self::Queries, Self::SearchApi];
 }
 
-/// An event of the loop. The flag of a ready connection tells whether it can be read. An index may have been reused within the
-/// iteration; the other connection then reads once in vain.
+/// An event of the event loop. The flag of a readiness event says whether the connection can be read. The index of a
+/// connection may have been reused within the iteration; the new connection is then read once without need.
 pub enum LoopEvent {
-    /// Connections wait to be accepted at this port.
+    /// Connections wait in the backlog of this port.
     Accept(Port),
-    /// A client connection, by its index.
+    /// A client connection is ready, by its index.
     ClientReady(usize, bool),
-    /// A connection to a node, by its index.
+    /// A connection to a node is ready, by its index.
     UpstreamReady(usize, bool),
-    /// A prefilter connection to a node, by its index.
+    /// A prefilter connection to a node is ready, by its index.
     PrefilterReady(usize, bool),
-    /// A connection to discovery.
+    /// A connection to discovery is ready.
     DiscoveryReady(bool),
     /// The disk spill for bodies has completed an operation.
     DiskDone(DiskEvent),
@@ -46,25 +46,25 @@
     JobFinished(FinishedJob),
     /// The active configuration or a quota has changed.
     ControlPlaneChanged,
-    /// SIGHUP.
+    /// SIGHUP has been received.
     ReloadRequested,
-    /// The configuration has been reloaded.
+    /// The configuration has been read again.
     ConfigLoaded(Box<LoadedConfig>),
-    /// SIGTERM or SIGINT.
+    /// SIGTERM or SIGINT has been received.
     ShutdownRequested,
 }
 
-/// What the event loop's callbacks collect in one iteration.
+/// The events that the event loop's callbacks collect in one iteration.
 #[derive(Default)]
 pub struct Iteration {
     /// Events to be handled, oldest first.
     pub events: VecDeque<LoopEvent>,
 }
 
-/// Registers sources with the event loop.
+/// Handle by which event sources are registered with the event loop.
 pub type EventLoopHandle = LoopHandle<'static, Iteration>;
 
-/// A channel from other threads; each message becomes an event of the loop.
+/// Opens a channel for other threads; `to_event` turns each message into an event of the event loop.
 pub fn event_channel<T: 'static>(
     handle: &EventLoopHandle,
     to_event: impl Fn(T) -> LoopEvent + 'static,
@@ -79,7 +79,7 @@
     Ok(sender)
 }
 
-/// Registers a stream, edge-triggered; `to_event` makes the event from whether it can be read.
+/// Registers a stream with the event loop, edge-triggered; `to_event` makes its event from whether the stream can be read.
 pub fn watch(
     handle: &EventLoopHandle,
     stream: &Rc<TcpStream>,
--- a/crates/dunepond-broker/src/lib.rs
+++ b/crates/dunepond-broker/src/lib.rs
@@ -1,4 +1,5 @@
-//! The broker process as a library: for the program `dunepond-broker`, and for the testkit, which runs it with test doubles.
+//! The broker process as a library: used by the program `dunepond-broker`, and by the testkit, which runs it with test
+//! doubles.
 
 #![warn(missing_docs)]
 
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -16,7 +16,7 @@
 use dunepond_config::operator::OperatorConfig;
 use tracing::{error, warn};
 
-/// A query router (broker) before a sharded, replicated store. Without a command it runs.
+/// A query router (broker) in front of a sharded, replicated store. Without a command, runs the broker.
 #[derive(Parser)]
 #[command(version, after_help = ENVIRONMENT)]
 struct CommandLine {
@@ -26,73 +26,73 @@
 
 const ENVIRONMENT: &str = "Environment:
   GW_CONFIG     path of the deployment's configuration, as JSON (needed to run)
-  GW_NAME       the broker's name, before the same key of the file
-  GW_LISTEN     address:port for clients, before the same key of the file
-  GW_DISCOVERY  address:port of discovery, before the same key of the file
-  GW_LOG        error, warn, info, debug, trace or off, before the key 'log'
+  GW_NAME       the broker's name; overrides the file's key 'name'
+  GW_LISTEN     address:port for clients; overrides the file's key 'listen'
+  GW_DISCOVERY  address:port of discovery; overrides the file's key 'discovery'
+  GW_LOG        error, warn, info, debug, trace or off; overrides the file's key 'log'
 
-Signals: SIGHUP has the files read again, SIGTERM ends it once what it took is answered.";
+Signals: SIGHUP reloads the files; SIGTERM and SIGINT shut down once accepted requests are answered.";
 
 #[derive(Subcommand)]
 enum Command {
     /// Run the broker
     Run {
-        /// What the operator turns on, as KDL (deploy/dunepond.kdl documents every key)
+        /// Operator's file, which enables optional features, as KDL (deploy/dunepond.kdl documents every key)
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
     },
-    /// Check an operator's file: prints every fault with its line and column
+    /// Check an operator's file and print every fault with its line and column
     Check {
         #[arg(value_name = "FILE")]
         file: PathBuf,
     },
-    /// Write the counterpart of a configuration of the old shape (rings, told returns) for the new (sets)
+    /// Convert a configuration of the old shape (rings, told returns) to the new one (sets)
     Migrate {
         #[arg(value_name = "OLD")]
         old: PathBuf,
-        /// Where the new file goes
+        /// Path of the new file
         #[arg(long, value_name = "FILE", required_unless_present = "dry_run")]
         out: Option<PathBuf>,
-        /// How many sets the nodes form, where the old cells do not tell
+        /// Number of sets that the nodes form, if the old cells do not say
         #[arg(long, value_name = "COUNT")]
         sets: Option<usize>,
-        /// The new deployment allows no second copies
+        /// Disable hedged attempts (second copies) in the new configuration
         #[arg(long)]
         one_at_a_time: bool,
-        /// Replace a file that is there
+        /// Replace an existing file
         #[arg(long)]
         overwrite: bool,
-        /// Print the new file and write nothing
+        /// Print the new configuration without writing a file
         #[arg(long)]
         dry_run: bool,
     },
-    /// Look at a folder that a broker keeps its state in; needs no running broker
+    /// Inspect the folder that a broker keeps its state in; needs no running broker
     State {
         #[command(subcommand)]
         command: StateCommand,
     },
-    /// Ask a broker and print the answer
+    /// Send a query to a broker and print the answer
     Query {
         /// The broker's address: its search API's port, or with --shards its port for clients
         #[arg(long, value_name = "ADDRESS:PORT")]
         at: SocketAddr,
         /// The index, which is a query class
         index: String,
-        /// The query in the API's simple form, or with --shards the text; everything without one
+        /// The query in the API's simple form, or with --shards the query's text; without it, everything matches
         text: Option<String>,
-        /// Hits at most
+        /// Maximum number of hits
         #[arg(long, default_value_t = 10)]
         size: u64,
         /// Query these shards at the port for clients
         #[arg(long, value_delimiter = ',', value_name = "SHARDS")]
         shards: Vec<u64>,
-        /// Seconds to wait, with --shards
+        /// Time budget in seconds, with --shards
         #[arg(long, default_value_t = 2.0)]
         seconds: f64,
-        /// Send a file of searches (a head and a search, a line each) in place of one
+        /// Send a file of searches (for each a line with its head and a line with its body) instead of one query
         #[arg(long, value_name = "FILE", conflicts_with_all = ["text", "shards"])]
         msearch: Option<PathBuf>,
-        /// Print JSON in place of a table
+        /// Print JSON instead of a table
         #[arg(long)]
         json: bool,
     },
@@ -102,18 +102,19 @@
 
 #[derive(Subcommand)]
 enum StateCommand {
-    /// Print what a folder holds and what of it would be trusted now
+    /// Print the contents of a folder and which of them a broker would trust now
     Show {
         #[arg(value_name = "DIR")]
         folder: PathBuf,
     },
-    /// Verify every file of a folder; names each that would not be used
+    /// Verify every file of a folder and name each one that a broker would not use
     Check {
         #[arg(value_name = "DIR")]
         folder: PathBuf,
     },
 }
 
+/// Runs a subcommand of `state`.
 fn run_state_command(command: StateCommand) -> Result<(), ConfigError> {
     match command {
         StateCommand::Show { folder } => {
@@ -133,64 +134,68 @@
     }
 }
 
+/// Converts the configuration in `old`; writes the result to `out`, or prints it without one.
 fn migrate_config(
     old: &Path,
     out: Option<&Path>,
-    target: &MigrationOptions,
+    options: &MigrationOptions,
     overwrite: bool,
 ) -> Result<(), ConfigError> {
-    let new = migrate::read(old, target)?;
-    if new.unchanged {
-        eprintln!("dunepond: {}: of the new shape already; it stands as it was", old.display());
+    let migrated = migrate::read(old, options)?;
+    if migrated.unchanged {
+        eprintln!("dunepond: {}: of the new shape already; left unchanged", old.display());
     }
-    new.changes.iter().for_each(|line| eprintln!("dunepond: {line}"));
+    migrated.changes.iter().for_each(|line| eprintln!("dunepond: {line}"));
     match out {
-        Some(out) => migrate::write(out, &new.text, overwrite),
+        Some(out) => migrate::write(out, &migrated.text, overwrite),
         None => {
-            print!("{}", new.text);
+            print!("{}", migrated.text);
             Ok(())
         }
     }
 }
 
+/// Runs a broker until it has shut down. `path` is that of the operator's file.
 fn run(
     path: Option<PathBuf>,
     signals: Option<Result<CaughtSignals, ConfigError>>,
 ) -> Result<(), ConfigError> {
     let signals = signals.transpose()?;
     let operator = path.as_deref().map_or(Ok(OperatorConfig::default()), config::read_operator_file)?;
-    let mut start = config::read(|name| std::env::var(name).ok())?;
-    start.operator = operator;
-    let form = start.operator.log_format.as_deref().and_then(|form| form.parse().ok()).unwrap_or_default();
-    logger::start(&start.name, start.log_level, form);
-    if let Some(key) = start.unsupported_setting {
-        warn!("settings: {key}: allowed, but not supported on sockets");
+    let mut startup = config::read(|name| std::env::var(name).ok())?;
+    startup.operator = operator;
+    let format =
+        startup.operator.log_format.as_deref().and_then(|format| format.parse().ok()).unwrap_or_default();
+    logger::start(&startup.name, startup.log_level, format);
+    if let Some(key) = startup.unsupported_setting {
+        warn!("settings: {key}: allowed, but not supported on sockets; it is ignored");
     }
-    // From here on errors go to the log; the empty one returned keeps `main` from printing them twice.
-    serve(start, Hooks { operator_file: path, signals, ..Hooks::default() }).map_err(|ConfigError(line)| {
+    // From here on errors go to the log; an empty error is returned, so that `main` does not print them again.
+    serve(startup, Hooks { operator_file: path, signals, ..Hooks::default() }).map_err(|ConfigError(line)| {
         error!("{line}");
         ConfigError(String::new())
     })
 }
 
-/// Checks the operator's file; where `GW_CONFIG` names a deployment as well, also whether its fleet section fits that.
+/// Checks an operator's file. If `GW_CONFIG` names a deployment's configuration, also checks that the file's fleet section
+/// fits it.
 fn check(file: &Path) -> Result<(), ConfigError> {
     let variable = |name: &str| std::env::var(name).ok();
     match config::read_operator_file(file)?.fleet {
         Some(fleet) if variable("GW_CONFIG").is_some() => {
-            let start = config::read(variable)?;
-            check_fleet(&fleet, &start.name, &start.deployment)
-                .map_err(|ConfigError(why)| ConfigError(format!("{}: {why}", file.display())))
+            let startup = config::read(variable)?;
+            check_fleet(&fleet, &startup.name, &startup.deployment)
+                .map_err(|ConfigError(reason)| ConfigError(format!("{}: {reason}", file.display())))
         }
         _ => Ok(()),
     }
 }
 
 fn main() -> ExitCode {
-    // Before all else: SIGHUP kills a process that does not handle it yet.
+    // Before anything else, as SIGHUP kills a process that does not catch it yet.
     let signals = catch_signals();
     let command = CommandLine::parse().command;
-    // Only a running broker handles them; the other commands keep the default handling.
+    // Only a running broker handles the signals; dropping them restores the default handling for the other commands.
     let signals = matches!(command, None | Some(Command::Run { .. })).then_some(signals);
     let outcome = match command {
         None => run(None, signals),
--- a/crates/dunepond-broker/src/signals.rs
+++ b/crates/dunepond-broker/src/signals.rs
@@ -1,18 +1,21 @@
-//! The signals that control a broker, caught before anything else runs.
+//! Catches the signals that control a broker, before anything else runs.
 
 use std::time::Instant;
 
 use calloop::signals::{Signal, Signals};
 use dunepond_config::ConfigError;
 
-/// Signals that are blocked until the broker serves, and since when: none of them came earlier.
+/// The caught signals: they are blocked, and kept until the broker runs.
 pub struct CaughtSignals {
+    /// Event source of the signals.
     pub(crate) signals: Signals,
+    /// When the signals were blocked, at the latest: none of them came earlier.
     pub(crate) since: Instant,
 }
 
-/// Blocks the signals and keeps them until the broker serves; one that came earlier would kill the process. Call it before
-/// anything else, and before any thread is started. Dropping the result restores the default handling.
+/// Blocks the signals and keeps them until the broker runs; a signal that came before this call would kill the process.
+/// Must be called before anything else, in particular before a thread is started. Dropping the result restores the default
+/// handling.
 pub fn catch_signals() -> Result<CaughtSignals, ConfigError> {
     let since = Instant::now();
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]);
