--- a/crates/dunepond-broker/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -158,6 +158,7 @@
     }
 }
 
+/// Parses and checks the content of a configuration file; `variable` returns the value of an environment variable.
 fn parse(file: &Value, variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, ConfigError> {
     let config = Fields::new("config", file)?;
     let source = Source { config, variable };
--- a/crates/dunepond-broker/src/connection_end.rs
+++ b/crates/dunepond-broker/src/connection_end.rs
@@ -9,7 +9,7 @@
 /// Why a connection ended, or could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionEnd {
-    /// The node has no address, or this process may not open another connection.
+    /// The peer has no address, the limit on connections is reached, or a local error kept the connection from opening.
     LocalResources,
     /// This process has no file descriptor left for the connection.
     DescriptorsExhausted,
@@ -25,7 +25,7 @@
     ProtocolError,
     /// The node could not use a frame of the broker.
     RejectedByPeer,
-    /// A partly written frame had to be withdrawn.
+    /// The broker closed the connection to withdraw a partly written frame.
     FrameAborted,
     /// The node's process is known to have been replaced by a new one.
     Replaced,
@@ -35,7 +35,7 @@
     IoTimeout,
     /// The node read too little of a body that is passed through, while the other readers of the body waited.
     SlowConsumer,
-    /// The body of a partly written frame was lost.
+    /// The broker closed the connection, as the body of a partly written frame was lost.
     BodyLost,
 }
 
@@ -78,7 +78,7 @@
 impl fmt::Display for ConnectionEnd {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Self::LocalResources => "could not be opened: no address, or too many connections",
+            Self::LocalResources => "could not be opened",
             Self::DescriptorsExhausted => "could not be opened: no file descriptor left",
             Self::Refused => "refused",
             Self::ConnectTimeout => "timed out while connecting",
--- a/crates/dunepond-broker/src/connection_end/tests/mod.rs
+++ b/crates/dunepond-broker/src/connection_end/tests/mod.rs
@@ -19,12 +19,12 @@
 #[case(ConnectionEnd::BodyLost, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
 fn attempt_outcome_depends_on_the_last_byte(
     #[case] ending: ConnectionEnd,
-    #[case] if_partly_written: AttemptOutcome,
-    #[case] if_written: AttemptOutcome,
+    #[case] if_not_fully_written: AttemptOutcome,
+    #[case] if_fully_written: AttemptOutcome,
 ) {
     assert_eq!(
         (ending.attempt_outcome(false), ending.attempt_outcome(true)),
-        (if_partly_written, if_written)
+        (if_not_fully_written, if_fully_written)
     );
 }
 
--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -112,7 +112,8 @@
         client.timer
     }
 
-    /// Whether `timer`, which has fired, is still the client's after what it had sent was read: if so, the timeout stands.
+    /// Whether `timer`, which has fired, is still the client's after what the client had sent was read. If so, the client has
+    /// timed out.
     pub fn is_still_timed_out(&self, id: usize, timer: Option<TimerKey>) -> bool {
         timer.is_some() && self.connections.get(id).is_some_and(|client| client.timer == timer)
     }
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -67,7 +67,7 @@
 
 /// A request whose body is streamed.
 struct StreamedRequest {
-    /// The request as it is parsed.
+    /// The state of parsing the request.
     message: Message,
     /// The body that its bytes are received into.
     body: Rc<Body>,
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -79,7 +79,7 @@
         self.advance_shutdown();
     }
 
-    /// Handles one event.
+    /// Handles one event of the iteration.
     fn handle_event(&mut self, event: LoopEvent) {
         match event {
             LoopEvent::Accept(port) => self.accept(port),
--- a/crates/dunepond-broker/src/frames/tests/mod.rs
+++ b/crates/dunepond-broker/src/frames/tests/mod.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn prefilter_frames_and_search_reports_have_their_form() {
+fn prefilter_frames_and_search_reports_are_coded() {
     assert_eq!(encode_prefilter_request(7, "q 1", &[3, 9])[4..], *b"P7 3 3,9\nq 1");
     let bytes = encode_frame(b'Q', b"7\n3 no 12\n9 may 4\n1 unknown 0");
     let answers = vec![
