--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -17,7 +17,9 @@
 
 use super::EventLoop;
 use super::iteration_times::IterationTimes;
-use super::setup::{BodySpool, failed, listen_with_retry, start_body_spool, start_job_pool, watch_signals};
+use super::setup::{
+    BodySpool, listen_with_retry, setup_error, start_body_spool, start_job_pool, watch_signals,
+};
 use crate::background::Background;
 use crate::body_store::BodyStore;
 use crate::buffers::{self, Pool};
@@ -36,37 +38,37 @@
 use crate::signals::{CaughtSignals, catch_signals};
 use crate::upstream::Upstream;
 
-/// Share of the shortest query timeout for which accepting may wait for the first list. Guards against a client that learns of a
-/// rejection too late to ask another broker.
+/// Share of the shortest query timeout for which accepting connections may wait for the first endpoint list. Guards
+/// against a client that learns of a rejection too late to ask another broker.
 const MAX_ACCEPT_DELAY_RATIO: f64 = 0.5;
 
 /// What the caller of [`serve`] may replace or add.
 #[derive(Default)]
 pub struct Hooks {
-    /// The signals, if they have been caught already.
+    /// The caught signals; `None` if [`serve`] is to catch them.
     pub signals: Option<CaughtSignals>,
     /// Path of the operator's file, which SIGHUP reloads.
     pub operator_file: Option<PathBuf>,
-    /// Replaces the folder that the operator's file names for bodies.
+    /// Folder for the disk spill of bodies, instead of the one that the operator's file names.
     pub body_folder: Option<Arc<dyn SpillFolder>>,
-    /// Replaces the folder that the operator's file names for state.
+    /// Store for the state files, instead of the folder that the operator's file names.
     pub state_files: Option<Arc<dyn FileStore>>,
-    /// Replaces the fleet's data directory and fill service.
+    /// Test doubles for the fleet's data directory and fill service.
     pub control_plane: TestDoubles,
 }
 
 /// A broker that is ready to run.
 struct Broker {
     event_loop: EventLoop,
-    /// Where it listens for clients.
+    /// Address of the listener for clients.
     address: SocketAddr,
     /// The folder of the disk spill for bodies, if there is one.
     body_folder: Option<Arc<dyn SpillFolder>>,
-    /// Longest time that accepting may wait for the first endpoint list, in seconds.
+    /// Longest time in seconds for which accepting connections may wait for the first endpoint list.
     max_accept_delay: f64,
 }
 
-/// The router's host with all that is enabled for it.
+/// The router's host, with the parts that the operator's file enables.
 struct Host {
     router_host: RouterHost,
     prefilter: Option<PrefilterHost>,
@@ -74,7 +76,7 @@
     body_folder: Option<Arc<dyn SpillFolder>>,
 }
 
-/// The router's host with its connections.
+/// The router's host, with the prefilter connections and the address of the listener for clients.
 struct Connections {
     router_host: RouterHost,
     prefilter_connections: PrefilterConnections,
@@ -86,15 +88,15 @@
     if startup.operator.body_buffer.is_some() {
         buffers::use_single_malloc_arena();
     }
-    let mut sources = calloop::EventLoop::try_new().map_err(|e| failed("loop", &e))?;
-    let handle = sources.handle();
+    let mut poller = calloop::EventLoop::try_new().map_err(|e| setup_error("loop", &e))?;
+    let handle = poller.handle();
     let CaughtSignals { signals, since } = hooks.signals.take().map_or_else(catch_signals, Ok)?;
     watch_signals(&handle, signals)?;
     let Broker { mut event_loop, address, body_folder, max_accept_delay } =
         build(startup, hooks, since, &handle)?;
     event_loop.schedule_startup_timers(max_accept_delay);
     info!("listening on {address}");
-    event_loop.run(&mut sources).map_err(|e| failed("loop", &e))?;
+    event_loop.run(&mut poller).map_err(|e| setup_error("loop", &e))?;
     event_loop.finish();
     if let Some(folder) = &body_folder {
         folder.close();
@@ -103,19 +105,20 @@
     Ok(())
 }
 
-/// Builds a broker. `signals_since`: when its signals were caught.
+/// Builds a broker. `signals_since` is the time from which on signals are caught: none of them came earlier.
 fn build(
     startup: StartupConfig,
     mut hooks: Hooks,
     signals_since: Instant,
     handle: &EventLoopHandle,
 ) -> Result<Broker, ConfigError> {
-    let (pool, bounds) = (Pool::default(), Rc::new(startup.bounds.clone()));
-    let mut discovery = DiscoveryClient::new(handle.clone(), &pool, startup.discovery_address, &bounds);
-    // An invalid list is ignored: discovery will send another.
+    let (pool, host_settings) = (Pool::default(), Rc::new(startup.host_settings.clone()));
+    let mut discovery =
+        DiscoveryClient::new(handle.clone(), &pool, startup.discovery_address, &host_settings);
+    // An invalid list is ignored, as discovery will send one.
     let configured_endpoints = discovery.parse_configured_list(&startup.configured_endpoints).ok();
     let Host { router_host, prefilter, address, body_folder } =
-        open_host(&startup, &mut hooks, &pool, &bounds, handle)?;
+        open_host(&startup, &mut hooks, &pool, &host_settings, handle)?;
     let timeouts = startup.deployment.query_classes.iter().map(|class| class.timeout);
     let max_accept_delay = MAX_ACCEPT_DELAY_RATIO * timeouts.clone().fold(f64::MAX, f64::min);
     let longest_timeout = timeouts.fold(0.0, f64::max);
@@ -124,12 +127,12 @@
     let (clock, operator) = (Clock::start(), startup.operator);
     let job_pool = start_job_pool(&operator, handle)?;
     let reloaded = event_channel(handle, LoopEvent::ConfigLoaded);
-    let reloaded = reloaded.map_err(|e| failed("configuration", &e))?;
+    let reloaded = reloaded.map_err(|e| setup_error("configuration", &e))?;
     let config_reloader = ConfigReloader::new(reloaded, hooks.operator_file);
     let mut background = Background::new(Scheduler::new(operator.background.clone(), seed), job_pool);
-    let persistence = operator.recovery.clone().map(|state| {
-        let query_classes = bounds.query_classes.clone();
-        Persistence::start(clock.now(), state, hooks.state_files, query_classes, &mut background)
+    let persistence = operator.recovery.clone().map(|config| {
+        let query_classes = host_settings.query_classes.clone();
+        Persistence::start(clock.now(), config, hooks.state_files, query_classes, &mut background)
     });
     let event_loop = EventLoop {
         clock,
@@ -152,23 +155,23 @@
     Ok(Broker { event_loop, address, body_folder, max_accept_delay })
 }
 
-/// Opens the router's host with all that the operator's file enables for it.
+/// Opens the router's host, with the parts that the operator's file enables.
 fn open_host(
     startup: &StartupConfig,
     hooks: &mut Hooks,
     pool: &Pool,
-    bounds: &Rc<HostSettings>,
+    host_settings: &Rc<HostSettings>,
     handle: &EventLoopHandle,
 ) -> Result<Host, ConfigError> {
     let Connections { mut router_host, prefilter_connections, address } =
-        open_connections(startup, pool, bounds, handle)?;
+        open_connections(startup, pool, host_settings, handle)?;
     if let Some(search) = &startup.operator.search_api {
-        open_search_api(&mut router_host, search, bounds.clone(), &startup.deployment)?;
+        open_search_api(&mut router_host, search, host_settings.clone(), &startup.deployment)?;
     }
     let mut body_folder = None;
     if let Some(bodies) = &startup.operator.body_buffer {
         let replacement = hooks.body_folder.take();
-        body_folder = open_body_store(&mut router_host, bodies, replacement, bounds, handle)?;
+        body_folder = open_body_store(&mut router_host, bodies, replacement, host_settings, handle)?;
     }
     let config = startup.operator.prefilter.clone();
     let prefilter = config.map(|config| PrefilterHost::new(config, &startup.deployment));
@@ -181,21 +184,21 @@
     Ok(Host { router_host, prefilter, address, body_folder })
 }
 
-/// Listens for clients, and prepares connections to nodes.
+/// Listens for clients, and prepares the connections to nodes.
 fn open_connections(
     startup: &StartupConfig,
     pool: &Pool,
-    bounds: &Rc<HostSettings>,
+    host_settings: &Rc<HostSettings>,
     handle: &EventLoopHandle,
 ) -> Result<Connections, ConfigError> {
-    let failed_to_listen = |e: &dyn std::fmt::Display| failed("GW_LISTEN", e);
+    let failed_to_listen = |e: &dyn std::fmt::Display| setup_error("GW_LISTEN", e);
     let listener =
         listen_with_retry("GW_LISTEN", startup.listen_address).map_err(|e| failed_to_listen(&e))?;
     let address = listener.local_addr().map_err(|e| failed_to_listen(&e))?;
     let downstream = Downstream::new(
         handle.clone(),
         pool,
-        bounds.clone(),
+        host_settings.clone(),
         startup.max_clients,
         startup.max_buffers,
         listener,
@@ -204,32 +207,32 @@
     let max_prefilter =
         if startup.operator.prefilter.is_some() { startup.max_node_connections / 4 } else { 0 };
     let prefilter_connections =
-        PrefilterConnections::new(handle.clone(), pool, bounds.clone(), max_prefilter);
+        PrefilterConnections::new(handle.clone(), pool, host_settings.clone(), max_prefilter);
     let max_upstream = startup.max_node_connections - max_prefilter;
-    let mut upstream = Upstream::new(handle.clone(), pool, bounds.clone(), max_upstream);
+    let mut upstream = Upstream::new(handle.clone(), pool, host_settings.clone(), max_upstream);
     if !startup.operator.search_api_nodes.is_empty() {
         let classes = startup.deployment.query_classes.iter();
         let is_non_idempotent = classes.map(|class| class.idempotency == Idempotency::NonIdempotent);
         upstream.set_search_api_nodes(startup.operator.search_api_nodes.clone(), is_non_idempotent.collect());
     }
-    let router_host = RouterHost::new(&startup.deployment, bounds.clone(), pool, downstream, upstream);
+    let router_host = RouterHost::new(&startup.deployment, host_settings.clone(), pool, downstream, upstream);
     Ok(Connections { router_host, prefilter_connections, address })
 }
 
-/// Listens for the search API.
+/// Enables the search API, and listens for its clients.
 fn open_search_api(
     router_host: &mut RouterHost,
     config: &operator::SearchApiConfig,
-    bounds: Rc<HostSettings>,
+    host_settings: Rc<HostSettings>,
     deployment: &Deployment,
 ) -> Result<(), ConfigError> {
-    let failed_to_listen = |e: &dyn std::fmt::Display| failed("search: listen", e);
+    let failed_to_listen = |e: &dyn std::fmt::Display| setup_error("search: listen", e);
     let listener =
         listen_with_retry("search: listen", config.listen_address).map_err(|e| failed_to_listen(&e))?;
     let address = listener.local_addr().map_err(|e| failed_to_listen(&e))?;
     router_host.downstream.add_listener(listener, Port::SearchApi).map_err(|e| failed_to_listen(&e))?;
     router_host.downstream.search_api =
-        Some(Rc::new(SearchApi::new(config.limits.clone(), bounds, deployment)));
+        Some(Rc::new(SearchApi::new(config.limits.clone(), host_settings, deployment)));
     info!("the API listening at {address}");
     Ok(())
 }
@@ -239,18 +242,18 @@
     router_host: &mut RouterHost,
     config: &operator::BodyBufferConfig,
     replacement: Option<Arc<dyn SpillFolder>>,
-    bounds: &HostSettings,
+    host_settings: &HostSettings,
     handle: &EventLoopHandle,
 ) -> Result<Option<Arc<dyn SpillFolder>>, ConfigError> {
     router_host.downstream.accepts_streamed = true;
     let spool = start_body_spool(config, replacement, handle)?;
     let (spool, folder) = spool.map(|BodySpool { spool, folder }| (spool, folder)).unzip();
-    let query_classes = bounds.query_classes.clone();
+    let query_classes = host_settings.query_classes.clone();
     router_host.body_store = Some(BodyStore::new(config.limits.clone(), spool, query_classes));
     Ok(folder)
 }
 
-/// Starts the control plane's thread.
+/// Starts the control plane's thread, and has frames checked against its active configuration before they are sent.
 fn start_control_plane(
     router_host: &mut RouterHost,
     config: &operator::FleetConfig,
