--- a/crates/dunepond-routing/src/deployment.rs
+++ b/crates/dunepond-routing/src/deployment.rs
@@ -6,7 +6,8 @@
 pub enum Idempotency {
     /// The part is safe to run any number of times.
     Idempotent,
-    /// The part is idempotent by key: a repeat within the idempotency window is dropped.
+    /// The part carries a key by which repeats are recognised: a repeat within the idempotency window is
+    /// dropped, a later one would run again.
     Keyed {
         /// Length of the idempotency window in seconds, counted from the first attempt that may have run.
         window_seconds: f64,
@@ -28,34 +29,38 @@
     pub late_value_ratio: f64,
     /// Whether the query's parts may run more than once.
     pub idempotency: Idempotency,
-    /// Share of the first step's weight that makes an answer complete.
+    /// Share of the first step's weight that the served parts must reach for a complete answer.
     pub complete_at: f64,
-    /// Smallest share of the weight for which a partial answer may be given.
+    /// Share of the weight that the served parts must reach for a partial answer. Partial answers are given
+    /// only if it is less than `complete_at`.
     pub minimum_share: f64,
-    /// Whether the first step's answer contains the parts of a second step, all of which are needed.
+    /// Whether queries of this class have a second step: the answer to the first step contains the parts of the
+    /// second one, and all of those must be served.
     pub second_step: bool,
 }
 
 /// Limit on the retries and hedged requests in any window: a fixed number, plus a ratio of the queries and
-/// parts that arrived, whether they were admitted or not.
+/// parts that arrived in the window, whether they were admitted or not.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Length of the window, in seconds.
     pub window: f64,
     /// Number of retries and hedged requests that are allowed in each window regardless of the load.
     pub min_retries: f64,
-    /// Number of retries and hedged requests that each query and each part arriving in the window adds.
+    /// Number of retries and hedged requests that are allowed in a window in addition to `min_retries`, for
+    /// each query and each part that arrives in the window.
     pub ratio: f64,
 }
 
 /// Limits on what a node that has just started may be sent.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
-    /// Capacity that a node has at least when it starts, as a ratio of its full capacity.
+    /// Lowest capacity of a node that has just started, as a ratio of its full capacity.
     pub initial_capacity_ratio: f64,
     /// Longest warm-up time in seconds; a node that has run for longer is warm.
     pub duration: f64,
-    /// Rate at which a node may be sent parts, as a multiple of its present capacity.
+    /// Rate at which all brokers together may send parts to a node in slow start, as a multiple of the node's
+    /// present capacity.
     pub rate_multiple: f64,
     /// Length in seconds of the window over which the parts sent to a node are counted.
     pub window: f64,
@@ -82,7 +87,7 @@
     pub replicas: usize,
     /// Cost of sending all parts to other zones, as a ratio of the value of all answers; `None` if not stated.
     pub cross_zone_cost: Option<f64>,
-    /// Largest number of attempts of a part.
+    /// Largest number of attempts of each part, including the first one.
     pub max_attempts: usize,
     /// Whether hedged requests are allowed.
     pub hedging_enabled: bool,
@@ -96,8 +101,9 @@
     pub retry_budget: Option<RetryBudget>,
     /// Limits on what nodes that have just started may be sent.
     pub slow_start: SlowStart,
-    /// Time in seconds within which a broker must poll an endpoint list that is only sent on request: after
-    /// it, the broker is assumed to know a change even if it has not polled. `None` if the list is pushed.
+    /// Longest interval in seconds between two polls of an endpoint list that is only sent on request: this
+    /// long after a change, the broker is assumed to know it even if it has not polled. `None` if the list is
+    /// pushed.
     pub list_poll_deadline: Option<f64>,
     /// The clock's unit: the shortest interval between two calls of the router, in seconds.
     pub tick: f64,
@@ -139,27 +145,29 @@
     }
 }
 
-/// This broker's shares of the quotas that all brokers hold together, used instead of even shares;
-/// [`Router::set_quota_shares`](crate::Router::set_quota_shares) applies them. `None` means that the value
-/// that follows from the deployment applies.
+/// This broker's shares of the quotas that all brokers hold together;
+/// [`Router::set_quota_shares`](crate::Router::set_quota_shares) applies them. `None` means that the router
+/// determines the value from the deployment and its own measurements.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuotaShares {
-    /// Parts per second that a warm node completes for this broker; limits the parts that a node in slow
-    /// start is sent.
+    /// Parts per second that a warm node completes for this broker; limits the parts that this broker sends to
+    /// a node in slow start.
     pub slow_start: Option<f64>,
-    /// This broker's share of the sum of [`RetryBudget::min_retries`] over all brokers.
+    /// This broker's fraction of the sum of [`RetryBudget::min_retries`] over all brokers.
     pub retries: Option<f64>,
-    /// This broker's share of each tenant's quota, by tenant.
+    /// This broker's fraction of each tenant's quota, by tenant.
     pub quotas: Vec<Option<f64>>,
 }
 
-/// How much of the shared quotas a broker would use.
+/// How much of the quotas that all brokers share this broker uses or was denied; returned by
+/// [`Router::quota_demand`](crate::Router::quota_demand).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaDemand {
     /// Parts that a warm node completes for this broker per second.
     pub slow_start: f64,
-    /// Number of retries and hedged requests sent in the period that was asked for.
+    /// Number of retries and hedged requests sent in the period for which the demand was requested.
     pub retries: f64,
-    /// Number of attempts that the retry budget has denied since the last report.
+    /// Number of attempts that the retry budget has denied since the previous call of
+    /// [`Router::quota_demand`](crate::Router::quota_demand).
     pub retries_denied: f64,
 }
--- a/crates/dunepond-routing/src/learned.rs
+++ b/crates/dunepond-routing/src/learned.rs
@@ -11,7 +11,7 @@
 pub struct LearnedState {
     /// The statistics of each node.
     pub nodes: Vec<LearnedNode>,
-    /// The last completions at warm nodes, oldest first.
+    /// The last attempts that warm nodes served, oldest first.
     pub latency_samples: Vec<LatencyRecord>,
     /// Outcomes of attempts on connections that had been idle.
     pub idle_resets: Vec<IdleResetRecord>,
@@ -47,14 +47,15 @@
     pub fault: bool,
 }
 
-/// A completion at a warm node.
+/// An attempt that a warm node served.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LatencyRecord {
     /// Latency of the attempt, in seconds.
     pub latency: f64,
     /// Seconds since the attempt ended.
     pub ago: f64,
-    /// One node's share of the completion: 1 divided by the number of warm nodes at that time.
+    /// Contribution of the attempt to the mean number of served attempts per warm node: 1 divided by the number
+    /// of warm nodes at that time.
     pub node_share: f64,
 }
 
--- a/crates/dunepond-routing/src/lib.rs
+++ b/crates/dunepond-routing/src/lib.rs
@@ -5,13 +5,13 @@
 //! A host creates one [`Router`] for each broker and calls its methods as events occur; within each call the
 //! router gives its orders through [`Transport`]. The host first calls [`Router::update_endpoints`] with the
 //! endpoint list, then [`Router::on_query`] for each query with its parts, [`Router::on_second_step`] for the
-//! parts of a second step, [`Router::on_attempt_ended`] once for each attempt, [`Router::on_probe_result`] for
-//! each probe, [`Router::on_wake`] when requested, and [`Router::on_client_disconnect`] when a client
-//! disconnects.
+//! parts of a query's second step, [`Router::on_attempt_ended`] once for each attempt,
+//! [`Router::on_probe_result`] for each probe, [`Router::on_wake`] at each instant requested by
+//! [`Transport::schedule_wake`], and [`Router::on_client_disconnect`] when a client disconnects.
 //!
 //! Instants are seconds on the host's own clock, durations are seconds; node ids are small indices that the
-//! host assigns. All decisions are in `policy`, one file for each rule; `state` holds the data that they
-//! depend on. A router is deterministic: the same calls lead to the same orders.
+//! host assigns. All decisions are in `policy`, one file for each kind of decision; `state` holds the data that
+//! they depend on. A router is deterministic: the same calls lead to the same orders.
 
 #![warn(missing_docs)]
 
--- a/crates/dunepond-routing/src/policy/admission.rs
+++ b/crates/dunepond-routing/src/policy/admission.rs
@@ -3,8 +3,8 @@
 //! Inputs: the expected wait of a query's parts (seconds), its latency objective and deadline, its value per
 //! unit of work, its tenant's quota, and the share of recent queries that missed their objective. Under
 //! overload a late answer has little value and delays all others, while a rejection on arrival costs nothing.
-//! Load is shed in this order: first traffic beyond a tenant's quota, audits, and queries that would be late,
-//! then the queries with the lowest value per unit of work.
+//! Load is shed in this order: first traffic beyond a tenant's quota, audits (for which no client waits), and
+//! queries that would be late, then the queries with the lowest value per unit of work.
 
 use rand::RngExt;
 
@@ -14,9 +14,9 @@
 use crate::state::{InFlightQuery, Node, ObjectiveResult, PartState, Router, keep_last};
 use crate::{Query, QueryClass, Transport};
 
-/// Ratio of expected wait to useful time left at which load shedding starts.
+/// Ratio of expected wait to useful time (see [`Router::useful_seconds`]) at which load shedding starts.
 pub(super) const SHED_START_RATIO: f64 = 0.25;
-/// Ratio of expected wait to useful time left at which every query is shed.
+/// Ratio of expected wait to useful time (see [`Router::useful_seconds`]) at which every query is shed.
 const SHED_ALL_RATIO: f64 = 0.65;
 /// Weight of the share of missed objectives in the overload level.
 const MISSED_WEIGHT: f64 = 0.5;
@@ -51,8 +51,8 @@
         let served_at = self.expected_served_at(wait);
         let is_late = served_at > query.objective_at;
         let has_no_value = is_late && class.late_value_ratio <= 0.0;
-        // Serving the query would only take capacity from other queries, and again for each retry of a client
-        // with a short timeout.
+        // The answer would come too late or have no value. Serving the query would only take capacity from
+        // other queries, and would do so again for each retry by a client with a short timeout.
         if served_at > query.deadline_at || has_no_value {
             return self.end_unserved(transport, query);
         }
@@ -73,7 +73,7 @@
 
     /// Returns the instant up to which an answer has its full value. A retry by the client has already used
     /// part of the latency objective. This is assumed only if the retry has less time left than the tenant's
-    /// first try, because some clients state short timeouts from the start.
+    /// last query of this class that was not a retry, because some clients state short timeouts from the start.
     pub(super) fn objective_at(&mut self, query: &Query) -> f64 {
         let class = &self.deployment.query_classes[query.class];
         let index = query.class + query.tenant * self.deployment.query_classes.len();
@@ -87,7 +87,9 @@
         self.now + (class.latency_objective - spent).max(0.0)
     }
 
-    /// Returns the seconds within which an answer keeps the value that the query can still have.
+    /// Returns a query's useful time in seconds, during which an answer keeps its value: the time left until
+    /// the latency objective or, if the query will be late anyway, the length of the objective. It ends at the
+    /// deadline at the latest.
     fn useful_seconds(&self, query: &InFlightQuery, class: &QueryClass, is_late: bool) -> f64 {
         let useful = if is_late { class.latency_objective } else { query.objective_at - self.now };
         useful.min(query.deadline_at - self.now)
@@ -130,9 +132,9 @@
         0.0
     }
 
-    /// Returns the expected wait (seconds) at a part's best replica; `f64::MAX` if no replica is in service or
-    /// due a probation attempt, because the query's other parts would then only waste capacity. This does not
-    /// count as overload: queries of other segments are not affected.
+    /// Returns the shortest expected wait (seconds) at a part's replicas; `f64::MAX` if each of them is full or
+    /// may not be sent an attempt. A query that needs such a part is rejected, because its other parts would
+    /// only waste capacity. This does not count as overload, so queries of other segments are not affected.
     pub(super) fn part_wait(&self, part: &PartState) -> f64 {
         let replicas = self.replicas(part.segment, part.required_node);
         replicas.map(|(_, node)| self.node_wait(node)).min_by(f64::total_cmp).unwrap_or(f64::MAX)
@@ -144,7 +146,8 @@
             return f64::MAX;
         }
         let Some(ejection) = &node.ejection else { return self.queue_wait(node, self.recent_excess(node)) };
-        // The node may only have paused for a moment: the query can wait for the first probation attempt.
+        // The last response is so recent that the node may only have paused for a moment: the query can wait
+        // for the first probation attempt.
         let pause = (2.0 * SILENCE_P95_RATIO + EJECTION_P95_RATIO) * self.latency.p95;
         if self.now - node.last_response_at < pause {
             (ejection.probation_at - self.now).max(0.0)
@@ -167,8 +170,8 @@
         if let Some(oldest) = node.outstanding.first() {
             return excess.max(self.now - oldest.sent_at);
         }
-        // If the zone's last sample is older than the wait itself, the wait may be over, and only a new attempt
-        // can show that.
+        // If the last sample of the node's zone is older than the wait itself, the wait may be over, and only a
+        // new attempt can show that.
         let last_sample_at = self.latency.zones[node.zone].back().map_or(0.0, |sample| sample.at);
         let is_outdated = self.now - last_sample_at > excess;
         if is_outdated { 0.0 } else { excess }
@@ -192,8 +195,8 @@
             || self.expected_served_at(self.expected_wait(query)) <= query.deadline_at
     }
 
-    /// Returns whether the oldest outstanding attempt is late at most of the nodes in service. Optional work
-    /// must not be sent then.
+    /// Returns whether, at more than half of the nodes in service, the oldest outstanding attempt has waited
+    /// for longer than the time at which load shedding starts. Optional work must not be sent then.
     pub fn is_overloaded(&self) -> bool {
         let limit = SHED_START_RATIO * self.latency.shortest_objective;
         let (mut late, mut in_service) = (0, 0);
@@ -225,8 +228,8 @@
         keep_last(&mut self.admission.missed_objectives, result, MISSED_SAMPLE_COUNT);
     }
 
-    /// Returns whether this broker's share of a tenant's quota, counted over the longest latency objective,
-    /// allows another query.
+    /// Returns whether this broker's share of a tenant's quota allows another query. The tenant's admitted
+    /// queries are counted over a window as long as the longest latency objective of all query classes.
     fn is_within_quota(&mut self, tenant: usize) -> bool {
         let Some(quota) = self.deployment.quotas.get(tenant) else { return true };
         let Some(times) = self.admission.within_quota.get_mut(tenant) else { return true };
--- a/crates/dunepond-routing/src/policy/clock.rs
+++ b/crates/dunepond-routing/src/policy/clock.rs
@@ -8,14 +8,15 @@
 use crate::state::Router;
 
 /// Longest expected stall between reading the clock and writing to a connection, in seconds. An attempt that
-/// must not run after an instant is not sent within this time before it. Client deadlines have no such margin,
-/// because many queries arrive with less time left and are served in time.
+/// must not run after some instant, such as the end of an idempotency window, is not sent within this time
+/// before it. Client deadlines have no such margin, because many queries arrive with less time left and are
+/// served in time.
 pub const MAX_STALL_SECONDS: f64 = 0.15;
-/// A wake that is late by more than this indicates a stall of the process.
+/// A requested call of [`Router::on_wake`] that is late by more than this indicates a stall of the process.
 const STALL_TICKS: f64 = 10.0;
-/// Interval between wakes while queries are in flight.
+/// Interval between calls of [`Router::on_wake`] while queries are in flight.
 const WAKE_INTERVAL_TICKS: f64 = 5.0;
-/// Tolerance for a wake that comes early because instants are rounded.
+/// Tolerance for a call of [`Router::on_wake`] that comes early because instants are rounded.
 const EARLY_WAKE_TICKS: f64 = 0.5;
 
 impl Router {
@@ -41,8 +42,9 @@
         self.now - objectives * self.latency.longest_objective
     }
 
-    /// Clears the requested wake once it is due. A wake that has been replaced by an earlier one still occurs;
-    /// if the endpoint list is polled, such a wake clears nothing.
+    /// Clears the request for a call of [`Router::on_wake`] once the call is due. The host still makes a call
+    /// whose request has been replaced by an earlier one; if the endpoint list is polled, such a call clears
+    /// nothing.
     pub(super) fn clear_due_wake(&mut self) {
         let is_polling = self.endpoint_poll.next_at < f64::MAX;
         if !is_polling || self.now > self.wake_due_at - EARLY_WAKE_TICKS * self.deployment.tick {
@@ -50,7 +52,8 @@
         }
     }
 
-    /// Polls the endpoint list if due, and requests the next wake unless an earlier one is pending.
+    /// Polls the endpoint list if due, and requests the next call of [`Router::on_wake`] unless an earlier one
+    /// is pending.
     pub(super) fn schedule_wake(&mut self, transport: &mut dyn Transport) {
         self.poll_endpoints(transport);
         let next = if self.queries.is_empty() {
--- a/crates/dunepond-routing/src/policy/completion.rs
+++ b/crates/dunepond-routing/src/policy/completion.rs
@@ -49,18 +49,19 @@
         part.is_done() || part.has_outstanding() || self.may_send(query, part)
     }
 
-    /// Returns the weight that makes the present step complete.
+    /// Returns the weight of the served parts with which the present step is complete.
     pub(super) fn complete_weight(&self, query: &InFlightQuery) -> f64 {
         let share = if query.is_second_step { 1.0 } else { self.complete_share(query) };
         share - WEIGHT_ROUNDING
     }
 
-    /// Returns the weight below which no answer can be given, not even a partial one.
+    /// Returns the weight of the served parts below which no answer can be given, not even a partial one.
     pub(super) fn minimum_weight(&self, query: &InFlightQuery) -> f64 {
         self.complete_weight(query).min(self.minimum_share(query) - WEIGHT_ROUNDING)
     }
 
-    /// Returns whether the rules of the query's class allow another attempt of a part.
+    /// Returns whether another attempt of a part may be sent: the part is not done, its body is available, its
+    /// attempt cap is not reached, its required node is active, and another attempt is safe.
     pub(super) fn may_send(&self, query: &InFlightQuery, part: &PartState) -> bool {
         !part.is_done()
             && !query.body_consumed
@@ -75,6 +76,7 @@
     }
 
     /// Returns whether another attempt is safe: either no attempt can have run yet, or the part may run twice.
+    /// A keyed part ([`Idempotency::Keyed`]) may run twice within its idempotency window only.
     fn may_run_again(&self, query: &InFlightQuery, part: &PartState) -> bool {
         let first_possible_run = part.attempts.iter().find(|attempt| !attempt.never_ran());
         match self.class(query).idempotency {
@@ -114,7 +116,8 @@
 
     /// Ends a query that will not be served. This happens at once, because waiting would only cost the client
     /// time. The query is rejected as retriable if its class is idempotent or no attempt can have run;
-    /// otherwise, also for keyed classes, it fails with an unknown outcome.
+    /// otherwise it fails with an unknown outcome. A keyed class ([`Idempotency::Keyed`]) counts as
+    /// non-idempotent here, because a repeat is safe only within its idempotency window.
     pub(super) fn end_unserved(
         &mut self,
         transport: &mut dyn Transport,
--- a/crates/dunepond-routing/src/policy/deadline.rs
+++ b/crates/dunepond-routing/src/policy/deadline.rs
@@ -8,12 +8,13 @@
 use crate::Transport;
 use crate::state::{InFlightQuery, Router};
 
-/// Time before the deadline at which the decision is made; a later wake might not come in time.
+/// Time before the client's deadline, or before the latency objective if late answers have no value, at which
+/// an unanswered query ends; the next wake might come too late.
 const DECISION_MARGIN_TICKS: f64 = 7.0;
 
 impl Router {
-    /// Returns the latest instant to decide on a query: shortly before the client's deadline, or before the
-    /// latency objective if late answers have no value.
+    /// Returns the decision deadline of a query, at which it is answered or ended at the latest: shortly before
+    /// the client's deadline, or before the latency objective if late answers have no value.
     pub(super) fn decision_deadline(&self, query: &InFlightQuery) -> f64 {
         let has_no_late_value = self.class(query).late_value_ratio <= 0.0;
         let end =
@@ -21,7 +22,8 @@
         end - DECISION_MARGIN_TICKS * self.deployment.tick
     }
 
-    /// Ends a query that has reached its decision deadline, with a partial answer if possible.
+    /// Ends a query that has reached its decision deadline, which is shortly before the client's deadline (see
+    /// [`Router::decision_deadline`]), with a partial answer if possible.
     pub(super) fn enforce_deadline(
         &mut self,
         transport: &mut dyn Transport,
--- a/crates/dunepond-routing/src/policy/dispatch.rs
+++ b/crates/dunepond-routing/src/policy/dispatch.rs
@@ -10,8 +10,8 @@
 use crate::{AttemptId, NodeId, Transport};
 
 impl Router {
-    /// Sends the parts that have no attempt yet. A part without an eligible replica stays unsent until the
-    /// query's stages run again.
+    /// Sends the parts of the present step that have no attempt yet. A part without an eligible replica stays
+    /// unsent until the query's request stages run again.
     pub(super) fn dispatch_unsent(
         &mut self,
         transport: &mut dyn Transport,
--- a/crates/dunepond-routing/src/policy/endpoint_list.rs
+++ b/crates/dunepond-routing/src/policy/endpoint_list.rs
@@ -12,14 +12,16 @@
 use crate::state::{Node, Router, TokenBucket};
 use crate::{Endpoint, EndpointState, NodeId, Transport};
 
-/// Interval between polls, as a ratio of the time within which the list must be polled. The list is polled
-/// even if it is watched, because a watch may have failed without notice.
+/// Interval between polls of the endpoint list, as a ratio of
+/// [`Deployment::list_poll_deadline`](crate::Deployment::list_poll_deadline). The list is polled even if it is
+/// watched, because a watch may have failed without notice.
 const POLL_INTERVAL_RATIO: f64 = 0.9;
-/// First back-off after a failed poll, as a ratio of the time within which the list must be polled. Each further
-/// failure doubles it, up to the poll interval.
+/// First back-off after a failed poll of the endpoint list, as a ratio of
+/// [`Deployment::list_poll_deadline`](crate::Deployment::list_poll_deadline). Each further failure doubles it,
+/// up to the poll interval.
 const FIRST_BACKOFF_RATIO: f64 = 0.03;
-/// Jitter factor of the back-off: many brokers that start at the same time would otherwise fill the queue of the
-/// list's server.
+/// Jitter factor of the back-off after a failed poll: many brokers that start at the same time would otherwise
+/// fill the queue of the server of the endpoint list.
 const BACKOFF_SPREAD: Range<f64> = 0.5..1.0;
 
 impl Router {
@@ -45,7 +47,8 @@
         self.schedule_wake(transport);
     }
 
-    /// Schedules the next poll after the list has been received, unless it has never been polled.
+    /// Schedules the next poll of the endpoint list, which has just been received. Does nothing if the list has
+    /// never been polled.
     fn schedule_next_poll(&mut self) {
         let was_polled = self.endpoint_poll.next_at > f64::MIN;
         if let Some(poll_deadline) = self.deployment.list_poll_deadline
@@ -72,8 +75,8 @@
         }
     }
 
-    /// Records that a poll of the list has failed or that a watch was interrupted; the list is polled again
-    /// after a back-off.
+    /// Records that a poll of the endpoint list has failed or that a watch of it was interrupted; the list is
+    /// polled again after a back-off.
     pub fn on_list_poll_failed(&mut self, transport: &mut dyn Transport) {
         self.sync_clock(transport);
         if let Some(poll_deadline) = self.deployment.list_poll_deadline {
@@ -85,7 +88,7 @@
         self.schedule_wake(transport);
     }
 
-    /// Polls a list that is only sent on request, at the start and whenever a poll is due.
+    /// Polls an endpoint list that is only sent on request, at the start and whenever a poll is due.
     pub(super) fn poll_endpoints(&mut self, transport: &mut dyn Transport) {
         let Some(poll_deadline) = self.deployment.list_poll_deadline else { return };
         if self.now >= self.endpoint_poll.next_at {
--- a/crates/dunepond-routing/src/policy/hedging.rs
+++ b/crates/dunepond-routing/src/policy/hedging.rs
@@ -2,14 +2,15 @@
 //!
 //! Inputs: median and 95th percentile latency (seconds), the latency objective of the class, and whether the
 //! rules allow hedged requests. A hedge only has to be answered within the latency objective; sending it sooner
-//! wastes work. If all attempts are slow, hedges would add to the load that makes them slow.
+//! than that requires wastes work. If all attempts are slow, hedges would add to the load that makes them slow.
 
 use crate::Idempotency;
 use crate::state::{Attempt, InFlightQuery, PartState, Router};
 
-/// An attempt is overdue after this multiple of the 95th percentile.
+/// An attempt is overdue after this multiple of the 95th percentile latency.
 const OVERDUE_P95_RATIO: f64 = 1.25;
-/// Cap on the 95th percentile in this rule, as a multiple of the median: overloaded replicas would inflate it.
+/// Cap on the 95th percentile latency from which the overdue time is computed, as a multiple of the median:
+/// overloaded replicas would inflate the percentile.
 const MAX_P95_MEDIAN_RATIO: f64 = 3.0;
 /// An attempt is not overdue before this ratio of the latency objective.
 const MIN_OVERDUE_OBJECTIVE_RATIO: f64 = 0.4;
@@ -53,8 +54,8 @@
         (OVERDUE_P95_RATIO * p95).max(MIN_OVERDUE_OBJECTIVE_RATIO * objective)
     }
 
-    /// Returns the instant at which an attempt is overdue. At an ejected node that is only after the 95th
-    /// percentile, because most nodes that seem silent have a long queue.
+    /// Returns the instant at which an attempt is overdue. An attempt at an ejected node is overdue after the
+    /// 95th percentile latency and not at once, because most nodes that seem silent only have a long queue.
     pub(super) fn overdue_at(&self, attempt: &Attempt, conditions: &HedgeConditions) -> f64 {
         let after = if self.is_ejected(attempt.node) { self.latency.p95 } else { conditions.overdue_after };
         attempt.sent_at + after
--- a/crates/dunepond-routing/src/policy/idle_reset.rs
+++ b/crates/dunepond-routing/src/policy/idle_reset.rs
@@ -9,19 +9,21 @@
 
 /// Number of samples of attempts after long idle times that are kept.
 const RESET_SAMPLE_COUNT: usize = 8;
-/// Number of resets among the samples from which idle connections are avoided: a single connection may break for
-/// another reason.
+/// Smallest number of resets among the samples for which idle connections are avoided: a single connection may
+/// break for another reason.
 const MIN_RESET_COUNT: usize = 2;
-/// Resets count for this many longest latency objectives.
+/// Age, in multiples of the longest latency objective, up to which resets count.
 const RESET_FRESH_OBJECTIVES: f64 = 2.0 * FRESH_OBJECTIVES;
-/// An idle time is comparable to that of a sample if it exceeds this ratio of it.
+/// An idle time is comparable to that of a sample if it exceeds the sample's idle time multiplied by this
+/// ratio.
 const COMPARABLE_IDLE_RATIO: f64 = 0.5;
-/// An attempt on which the node does no work ends within this time.
+/// A connection that breaks within this time after an attempt was sent has broken at once: the node did no work
+/// on the attempt.
 const PROMPT_TICKS: f64 = 4.0;
 
 impl Router {
-    /// Returns whether an attempt that ends now broke at once on a connection that had been idle. A crash of the
-    /// node, in contrast, breaks attempts of any age.
+    /// Returns whether an attempt that ends now broke at once (see [`PROMPT_TICKS`]) on a connection that had
+    /// been idle. A crash of the node, in contrast, breaks attempts of any age.
     pub(super) fn is_idle_reset(&self, attempt: &OutstandingAttempt) -> bool {
         let broke_after = self.now - attempt.sent_at;
         attempt.idle_seconds > self.latency.median && broke_after < PROMPT_TICKS * self.deployment.tick
@@ -32,7 +34,8 @@
         self.record_idle_use(attempt, true);
     }
 
-    /// Records that an attempt was served, if its idle time is comparable to that of a recorded attempt.
+    /// Records that an attempt was served, if the idle time of its connection is comparable to that of a
+    /// recorded attempt.
     pub(super) fn record_idle_success(&mut self, attempt: &OutstandingAttempt) {
         if self.idle_resets.iter().any(|reset| is_comparable(attempt.idle_seconds, reset)) {
             self.record_idle_use(attempt, false);
--- a/crates/dunepond-routing/src/policy/latency.rs
+++ b/crates/dunepond-routing/src/policy/latency.rs
@@ -8,19 +8,21 @@
 
 use crate::state::{CompletionSample, Router, ZoneSample, keep_last};
 
-/// Number of completions kept for the whole fleet.
+/// Number of samples of served attempts that are kept for the whole fleet.
 const FLEET_SAMPLE_COUNT: usize = 64;
-/// Number of recent completions that are needed to compute a quantile.
+/// Number of recent served attempts that are needed to compute a quantile.
 const MIN_QUANTILE_SAMPLE_COUNT: usize = 8;
-/// Number of recent completions that are needed to update the baseline.
+/// Number of recent served attempts that are needed to update the baseline.
 const MIN_BASELINE_SAMPLE_COUNT: usize = 16;
 /// Number of attempts kept for each zone.
 const ZONE_SAMPLE_COUNT: usize = 16;
 /// Number of fresh attempts that are needed to compute the median of a zone.
 const MIN_ZONE_SAMPLE_COUNT: usize = 4;
-/// Age in longest latency objectives up to which samples are recent, that is, describe the present load.
+/// Age, in multiples of the longest latency objective, up to which samples are recent, that is, describe the
+/// present load.
 pub(super) const RECENT_OBJECTIVES: f64 = 2.0;
-/// Age in longest latency objectives up to which samples are fresh; older ones no longer describe a node or zone.
+/// Age, in multiples of the longest latency objective, up to which samples are fresh; older ones no longer
+/// describe a node or zone.
 pub(super) const FRESH_OBJECTIVES: f64 = 8.0;
 /// A latency above this multiple of the median is slow.
 pub(super) const SLOW_RATIO: f64 = 2.5;
@@ -65,7 +67,7 @@
         if zone_median > SLOW_RATIO * self.latency.median { zone_median } else { self.latency.median }
     }
 
-    /// Adds a completion at a warm node with its latency in seconds.
+    /// Records that a warm node served an attempt with this latency (seconds).
     pub(super) fn record_completion(&mut self, latency: f64) {
         let node_share = 1.0 / self.latency.warm_nodes as f64;
         let sample = CompletionSample { latency, at: self.now, node_share };
@@ -73,7 +75,7 @@
         self.latency.completed_per_node += node_share;
     }
 
-    /// Adds the latency (seconds) of an attempt in a zone.
+    /// Records the latency (seconds) of an attempt at a node of a zone.
     pub(super) fn record_zone_latency(&mut self, zone: usize, latency: f64) {
         let sample = ZoneSample { latency, at: self.now };
         keep_last(&mut self.latency.zones[zone], sample, ZONE_SAMPLE_COUNT);
--- a/crates/dunepond-routing/src/policy/mod.rs
+++ b/crates/dunepond-routing/src/policy/mod.rs
@@ -1,9 +1,10 @@
-//! The routing decisions: one file for each rule, with the constants of that rule.
+//! The routing decisions: one file for each kind of decision, with its constants.
 //!
-//! A query passes through [`REQUEST_STAGES`] when it arrives, whenever one of its attempts ends, and when it is
-//! due: admission, deadline, completion, dispatch, retry and hedging. The end of an attempt passes through
-//! [`RESPONSE_STAGES`]: first the health of its node is updated, then the query. The entry points are in
-//! `router`. The mechanism, and each departure from the plain (n, k) fork-join, are described in docs/design.md.
+//! A query passes through [`REQUEST_STAGES`] when it arrives, whenever one of its attempts ends, and when its
+//! due instant has come: admission, deadline, completion, dispatch, retry and hedging. The end of an attempt
+//! passes through [`RESPONSE_STAGES`]: first the health of its node is updated, then the query. The entry
+//! points are in `router`. The mechanism, and each departure from the plain (n, k) fork-join, are described in
+//! docs/design.md.
 //!
 //! Instants are in seconds on the transport's clock. Durations are in seconds, unless the name has ticks
 //! (the clock's unit, the shortest time between two calls) or objectives (multiples of the longest latency
--- a/crates/dunepond-routing/src/policy/outlier_detection.rs
+++ b/crates/dunepond-routing/src/policy/outlier_detection.rs
@@ -11,13 +11,15 @@
 
 /// Number of samples that are kept for each node.
 const NODE_SAMPLE_COUNT: usize = 8;
-/// Time without a due response after which a node counts as silent, as a multiple of the 95th percentile.
+/// Time without a due response after which a node counts as silent, as a multiple of the 95th percentile
+/// latency.
 pub(super) const SILENCE_P95_RATIO: f64 = 2.0;
 /// Number of faults among a node's samples that eject it; a single error does not.
 const MIN_FAULT_COUNT: usize = 2;
-/// Number of later attempts that ended first, from which a cancelled attempt counts as overtaken.
+/// A cancelled or timed out attempt counts as overtaken if at least this many attempts that were sent after it
+/// have ended before it.
 const MIN_OVERTAKEN_COUNT: usize = 2;
-/// Ejection time before the first probation attempt, as a multiple of the 95th percentile.
+/// Ejection time before the first probation attempt, as a multiple of the 95th percentile latency.
 pub(super) const EJECTION_P95_RATIO: f64 = 3.0;
 /// A node returns to service once it may have more than this number of outstanding probation attempts.
 const MAX_PROBATION_ATTEMPTS: usize = 8;
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Returns the number of attempts that were sent after this one and have ended before it.
+    /// Returns the number of attempts at this node that were sent after the given one and have ended before it.
     fn overtaken_count(&self, attempt: &OutstandingAttempt) -> usize {
         self.samples.iter().filter(|sample| sample.sent_at > attempt.sent_at).count()
     }
@@ -95,7 +97,7 @@
 
     /// Records an attempt that was cancelled or timed out. An attempt that was overtaken by later ones and
     /// unanswered for long counts as a fault: a node that answers some attempts and drops others is never
-    /// silent for long.
+    /// silent for long, so it would not be ejected otherwise.
     fn on_unanswered(&mut self, transport: &mut dyn Transport, id: NodeId, attempt: &OutstandingAttempt) {
         // Before the frame has been sent completely, the node cannot have answered.
         if !attempt.frame_sent {
@@ -128,9 +130,10 @@
         }
     }
 
-    /// Records a rejection as full. A node that rejects attempts answers fast and has none outstanding, so it
-    /// would be chosen for every attempt. The rejection is also kept as a slow sample, for brokers that send to
-    /// the node so rarely that the time for which it counts as full has passed.
+    /// Records a rejection as full, after which the node counts as full for a median latency (see
+    /// [`Router::is_full`]). Such a node answers fast and has no outstanding attempts, so a choice by load
+    /// alone would send it every attempt. The rejection is also kept as a slow sample, for brokers that send to
+    /// the node less often than once per median latency.
     fn on_rejected_as_full(&mut self, id: NodeId, attempt: &OutstandingAttempt) {
         let (now, latency) = (self.now, self.latency.p95);
         let Some(node) = self.node_mut(id) else { return };
@@ -194,8 +197,8 @@
         self.detect_outlier(transport, id);
     }
 
-    /// Adds a sample to the node, to its zone and, if a warm node served the attempt, to the fleet. Returns the
-    /// latency (seconds) scaled to that of a warm node; `None` if the node is not known.
+    /// Adds a sample of an attempt to those of the node, of its zone and, if a warm node served the attempt, of
+    /// the fleet. Returns the latency (seconds) scaled to that of a warm node; `None` if the node is not known.
     fn record_sample(
         &mut self,
         id: NodeId,
--- a/crates/dunepond-routing/src/policy/placement.rs
+++ b/crates/dunepond-routing/src/policy/placement.rs
@@ -56,8 +56,8 @@
         })
     }
 
-    /// Chooses the replica for a part among those that have answered a probe since the given instant;
-    /// `f64::MIN` admits all replicas.
+    /// Chooses the replica for a part among those that have answered a probe since the given instant
+    /// (`f64::MIN` admits all replicas); `None` if no replica may be sent the part now.
     pub(super) fn choose_replica(
         &mut self,
         query: &InFlightQuery,
@@ -79,7 +79,8 @@
         self.less_loaded_of_two(&choices, query.class, candidates.replica_count)
     }
 
-    /// Groups the replicas of a part that have answered a probe since the given instant by eligibility.
+    /// Groups the replicas of a part by eligibility, as far as they have answered a probe since the given
+    /// instant.
     fn candidates(&self, query: &InFlightQuery, part: &PartState, answered_since: f64) -> Candidates {
         let mut candidates = Candidates::default();
         for (id, node) in self.replicas(part.segment, part.required_node) {
@@ -97,9 +98,10 @@
         candidates
     }
 
-    /// Returns whether a replica may be sent a part.
+    /// Returns how eligible a replica is to be sent a part.
     fn eligibility(&self, query: &InFlightQuery, part: &PartState, id: NodeId, node: &Node) -> Eligibility {
-        // Keyed parts are treated like non-idempotent ones.
+        // Parts that are idempotent by key are treated like non-idempotent ones, because a repeat is safe only
+        // within its idempotency window.
         let is_idempotent = self.class(query).idempotency == Idempotency::Idempotent;
         let fails = node.fails_class(query.class, self.objectives_ago(FRESH_OBJECTIVES));
         let has_capacity = self.has_slow_start_budget(node, query) && !self.is_full(node);
@@ -138,9 +140,10 @@
         Some(if second_load < first_load { second } else { first })
     }
 
-    /// Returns the load of a node: this broker's attempts in progress there, weighted by the ratio of the node's
-    /// recent latency to the fleet's median. The slow start weight applies to attempts in progress only; the
-    /// next attempt is already limited by tokens, and with both limits some tokens would stay unused.
+    /// Returns the load of a node: this broker's attempts in progress there, weighted by the ratio of the
+    /// node's recent latency to the fleet's median. At a node in slow start, each attempt in progress counts
+    /// for more, but the next attempt does not: tokens already limit it, and with both limits some tokens would
+    /// stay unused.
     fn load(&self, id: NodeId, class: usize, replica_count: usize) -> f64 {
         let Some(node) = &self.nodes[id] else { return 0.0 };
         let fault_latency = |sample: &NodeSample| {
@@ -168,7 +171,7 @@
 
     /// Returns the expected latency (seconds) of an attempt at a node: the mean of the node's samples of the
     /// last `objectives` longest latency objectives and of one more sample at the zone's median, as a prior.
-    /// Faults often return fast, so they count with at least `fault_latency`.
+    /// Faults often return fast, so each counts with at least the latency that `fault_latency` returns for it.
     pub(super) fn expected_latency(
         &self,
         node: &Node,
--- a/crates/dunepond-routing/src/policy/probing.rs
+++ b/crates/dunepond-routing/src/policy/probing.rs
@@ -11,11 +11,12 @@
 use crate::state::{InFlightQuery, ProbeResult, Probing, Router, keep_last};
 use crate::{NodeId, Transport};
 
-/// Replicas are unequally loaded if the 95th percentile exceeds this multiple of the baseline latency.
+/// Replicas are unequally loaded if the 95th percentile latency exceeds this multiple of the baseline latency.
 const UNEQUAL_BASELINE_RATIO: f64 = 2.5;
 /// Longest wait for the answers to probes, as a multiple of the baseline latency.
 const WAIT_BASELINE_RATIO: f64 = 6.0;
-/// Replicas for this ratio of the weight that makes a step complete must answer their probes in time.
+/// A query is rejected unless its parts with a replica that answered its probe in time have at least this ratio
+/// of the weight that makes a step complete.
 const MIN_ANSWERED_RATIO: f64 = 0.75;
 /// With this many queries in flight no probes are sent, because they would multiply the load of a burst.
 const MAX_QUERIES_IN_FLIGHT: usize = 64;
@@ -82,7 +83,7 @@
         !query.is_second_step && sent < MIN_ANSWERED_RATIO * self.complete_weight(query)
     }
 
-    /// Records a probe that was answered after this many seconds; `None` if it failed.
+    /// Records the result of a probe: the seconds after which it was answered, or `None` if it failed.
     pub(super) fn record_probe(&mut self, answered_after: Option<f64>) {
         let round_trip = PROMPT_TICKS * self.deployment.tick;
         let is_informative = answered_after.is_none_or(|seconds| seconds > round_trip);
--- a/crates/dunepond-routing/src/policy/retry.rs
+++ b/crates/dunepond-routing/src/policy/retry.rs
@@ -10,10 +10,10 @@
 use crate::Transport;
 use crate::state::{InFlightQuery, PartState, Router};
 
-/// Shortest interval after which a part that cannot be sent is checked again.
+/// Shortest interval in ticks after which a part that cannot be sent is checked again.
 const RECHECK_TICKS: f64 = 5.0;
-/// A part that cannot be sent is checked again after its query's age divided by this, if that is longer than the
-/// shortest interval.
+/// A part that cannot be sent is checked again after its query's age divided by this, but after
+/// [`RECHECK_TICKS`] at the earliest.
 const RECHECK_AGE_DIVISOR: f64 = 32.0;
 /// Largest number of outstanding attempts of one part.
 const MAX_OUTSTANDING_ATTEMPTS: usize = 2;
--- a/crates/dunepond-routing/src/policy/retry_budget.rs
+++ b/crates/dunepond-routing/src/policy/retry_budget.rs
@@ -2,7 +2,7 @@
 //!
 //! Inputs: the window (seconds), the number of retries that are always allowed, the ratio of retries to arrived
 //! queries and parts, and the instants at which each was sent or arrived. The window is one tick longer for
-//! retries and one tick shorter for arrivals, so that the budget is not exceeded by another clock's measure.
+//! retries and one tick shorter for arrivals, so that the budget also holds when measured by another clock.
 
 use std::sync::Arc;
 
@@ -10,8 +10,8 @@
 use crate::{QuotaDemand, RetryBudget, Rules};
 
 impl Router {
-    /// Counts queries and parts on their arrival, and drops records that are older than the window of any
-    /// budget. Called before `admit`, so a query that is rejected on arrival counts as well.
+    /// Counts queries and parts on their arrival, and drops records that are older than the window of any retry
+    /// budget. Called before [`Router::admit`], so a query that is rejected on arrival counts as well.
     pub(super) fn record_arrival(&mut self, queries_and_parts: f64) {
         let since = self.now - self.retries.window_seconds - self.deployment.tick;
         let sent = &mut self.retries.retries_sent;
@@ -21,7 +21,8 @@
         arrived.drain(..arrived.partition_point(|work| work.at < since));
     }
 
-    /// Returns whether both the budget at the query's arrival and the one in force permit another attempt.
+    /// Returns whether another attempt is permitted both by the retry budget that was in force at the query's
+    /// arrival and by the one in force now.
     pub(super) fn is_within_budget(&self, query: &InFlightQuery) -> bool {
         let is_same = Arc::ptr_eq(&query.rules, &self.rules);
         self.permits(&self.rules) && (is_same || self.permits(&query.rules))
@@ -37,7 +38,7 @@
         self.retries.assumed_spent_until < long_window_start && sent_count as f64 + 1.0 <= allowed
     }
 
-    /// Returns the number of retries that this broker is always allowed in a window.
+    /// Returns the number of retries that this broker is allowed in a window regardless of the load.
     fn min_retries(&self, budget: &RetryBudget) -> f64 {
         match self.quota_shares.retries {
             Some(share) => share * budget.min_retries * self.deployment.broker_count,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Returns the number of queries and parts that arrived within a budget's window.
+    /// Returns the number of queries and parts that arrived within a retry budget's window.
     fn arrived_count(&self, budget: &RetryBudget) -> f64 {
         let short_window_start = self.now - budget.window + self.deployment.tick;
         let arrived = &self.retries.arrived;
@@ -56,15 +57,15 @@
         }
     }
 
-    /// Counts a denial if the attempt is not permitted, and returns `is_permitted`.
+    /// Counts a denial by the retry budget if the attempt is not permitted, and returns `is_permitted`.
     pub(super) fn record_denial(&self, is_permitted: bool) -> bool {
         let denials = &self.retries.denials;
         denials.set(denials.get() + f64::from(!is_permitted));
         is_permitted
     }
 
-    /// Returns how much of the shared quotas this broker would use: the retries sent in the last `seconds`, the
-    /// rate of completions, and the retries that were denied since the last call.
+    /// Returns how much of the shared quotas this broker uses: the retries sent in the last `seconds`, the rate
+    /// of completions, and the retries that the retry budget has denied since the last call.
     pub fn quota_demand(&self, seconds: f64) -> QuotaDemand {
         let since = self.now - seconds;
         let sent = self.retries.retries_sent.iter().filter(|at| **at > since).count();
--- a/crates/dunepond-routing/src/policy/router.rs
+++ b/crates/dunepond-routing/src/policy/router.rs
@@ -1,5 +1,5 @@
-//! The entry points of [`Router`]. Each of them reads the clock, records its event, and runs the stages of the
-//! queries that the event concerns.
+//! The entry points of [`Router`]. Each of them reads the clock, records its event, and runs the request stages
+//! of the queries that the event concerns.
 
 use crate::state::{InFlightQuery, PartStatus, Probing, Router};
 use crate::{AttemptEnded, AttemptId, Deployment, NodeId, Part, Query, QueryId, Transport};
@@ -28,7 +28,7 @@
         self.schedule_wake(transport);
     }
 
-    /// Handles the parts of a second step, which the first step's answer contained.
+    /// Handles the parts of a query's second step, which the answer to its first step contained.
     pub fn on_second_step(&mut self, transport: &mut dyn Transport, id: QueryId, parts: Vec<Part>) {
         self.sync_clock(transport);
         self.record_arrival(parts.len() as f64);
@@ -45,7 +45,7 @@
         self.run_response_stages(transport, &ended);
     }
 
-    /// Handles the end of a probe that was answered after this many seconds; `None` if it failed.
+    /// Handles the result of a probe: the seconds after which it was answered, or `None` if it failed.
     pub fn on_probe_result(
         &mut self,
         transport: &mut dyn Transport,
@@ -90,7 +90,7 @@
     }
 
     /// Handles the result of the prefilter: the given parts are pruned, because the host has shown that their
-    /// result is empty. The other parts are sent, unless too little time is left.
+    /// result is empty. The other parts are sent; if too little time is left for that, the query ends unserved.
     pub fn on_prefilter_result(&mut self, transport: &mut dyn Transport, id: QueryId, pruned: &[usize]) {
         self.sync_clock(transport);
         let Some(query) = self.queries.get_mut(&id) else { return };
@@ -138,8 +138,8 @@
         self.nodes[node].as_ref().map_or(0, |node| node.outstanding.len())
     }
 
-    /// Runs the work that is due. The host calls this at the instant requested by
-    /// [`Transport::schedule_wake`].
+    /// Detects outliers among the nodes and runs the request stages of the queries that are due. The host calls
+    /// this at the instant requested by [`Transport::schedule_wake`].
     pub fn on_wake(&mut self, transport: &mut dyn Transport) {
         self.sync_clock(transport);
         self.clear_due_wake();
--- a/crates/dunepond-routing/src/policy/rules.rs
+++ b/crates/dunepond-routing/src/policy/rules.rs
@@ -11,7 +11,8 @@
 
 impl Router {
     /// Replaces the rules in force. If the window of the new retry budget is longer than any earlier one, the
-    /// records do not reach back far enough, and the budgets count as fully spent until now.
+    /// records of sent retries do not reach back far enough, and the retry and slow start budgets count as
+    /// fully spent until now.
     pub fn set_rules(&mut self, rules: &Rules) {
         self.rules = Arc::new(rules.clone());
         let window = rules.retry_budget.as_ref().map_or(0.0, |budget| budget.window);
@@ -26,19 +27,21 @@
         self.quota_shares = quota_shares;
     }
 
-    /// Returns the share of a step's weight that makes an answer to this query complete.
+    /// Returns the share of the first step's weight that the served parts must reach for a complete answer to
+    /// this query.
     pub(super) fn complete_share(&self, query: &InFlightQuery) -> f64 {
         let share = |rules: &Rules| share_of(&rules.complete_at, query.class);
         share(&query.rules).max(share(&self.rules))
     }
 
-    /// Returns the smallest share of the weight for which this query may be answered partially.
+    /// Returns the share of the weight that the served parts must reach for a partial answer to this query.
     pub(super) fn minimum_share(&self, query: &InFlightQuery) -> f64 {
         let share = |rules: &Rules| share_of(&rules.minimum_share, query.class);
         share(&query.rules).max(share(&self.rules))
     }
 
-    /// Returns the largest number of attempts of each part of this query, which is 1 for an audit.
+    /// Returns the largest number of attempts of each part of this query. It is 1 for an audit
+    /// ([`Query::audit`](crate::Query::audit)), because no client waits for it.
     pub(super) fn attempt_cap(&self, query: &InFlightQuery) -> usize {
         if query.audit {
             return 1;
@@ -51,7 +54,8 @@
         query.rules.max_retry_after.min(self.rules.max_retry_after)
     }
 
-    /// Returns the rate at which this query may use a node in slow start, as a multiple of the node's capacity.
+    /// Returns the rate at which parts of this query may be sent to a node in slow start, as a multiple of the
+    /// node's present capacity.
     pub(super) fn slow_start_multiple(&self, query: &InFlightQuery) -> f64 {
         query.rules.slow_start_multiple.min(self.rules.slow_start_multiple)
     }
--- a/crates/dunepond-routing/src/policy/shutdown.rs
+++ b/crates/dunepond-routing/src/policy/shutdown.rs
@@ -1,9 +1,9 @@
 //! Shutdown: which requests are still served between SIGTERM and SIGKILL, which are rejected, and when the last
 //! answers are due.
 //!
-//! Inputs: the earliest instant at which the signal may have arrived, and the longest query timeout (seconds).
-//! All stages count from that instant rather than from the one at which the signal was noticed: after a
-//! stall, SIGKILL would otherwise come sooner than expected.
+//! Inputs: the earliest instant at which SIGTERM may have arrived, and the longest query timeout (seconds). All
+//! stages count from that instant rather than from the one at which the signal was noticed: after a stall,
+//! SIGKILL would otherwise come sooner than expected.
 
 use std::time::Duration;
 
@@ -14,10 +14,11 @@
 const NEW_CONNECTIONS_SECONDS: f64 = 0.4;
 /// Tolerance of each time limit of a shutdown.
 const SLACK_SECONDS: f64 = 0.05;
-/// SIGKILL comes no sooner after SIGTERM than the longest query timeout plus this time. A request that arrives
-/// more than this time after SIGTERM and is unanswered at SIGKILL is lost.
+/// The platform that runs the brokers sends SIGKILL no sooner after SIGTERM than the longest query timeout plus
+/// this time. A request that arrives more than this time after SIGTERM and is unanswered at SIGKILL is lost.
 const KILL_AFTER_DEADLINE_SECONDS: f64 = 0.7;
-/// Longest query timeout that counts for the time of SIGKILL; longer timeouts do not delay it further.
+/// Longest query timeout that the platform counts for the time of SIGKILL; longer timeouts do not delay it
+/// further.
 const LONGEST_COUNTED_DEADLINE_SECONDS: f64 = 3.0;
 /// Time between the last answers and SIGKILL: a margin for a stall, for an iteration of the event loop, and for
 /// the transfer of an answer to the client.
@@ -91,15 +92,16 @@
 
     /// Returns whether to reject a request that arrives now and whose client waits until the given instant: if
     /// forwarded, it could be outstanding when the process is killed, while its client has time to retry at
-    /// another broker. A client that waits only a little (the slack) longer than the last answers is served.
+    /// another broker. A client that waits until at most [`SLACK_SECONDS`] after the last answers is served.
     pub fn refuses(&self, now: f64, client_waits_until: f64) -> bool {
         self.is_refusing(now) && client_waits_until > self.last_answers_at() + SLACK_SECONDS
     }
 }
 
 impl Router {
-    /// Begins a shutdown. Queries in flight end by the last answers, however long their clients wait. From
-    /// [`ShutdownStage::Refusing`] on, new queries whose clients wait longer are rejected.
+    /// Begins a shutdown. Queries in flight end by the instant of the last answers
+    /// ([`Shutdown::last_answers_at`]), however long their clients wait. From [`ShutdownStage::Refusing`] on,
+    /// new queries whose clients wait beyond that instant are rejected.
     pub fn begin_shutdown(&mut self, shutdown: Shutdown) {
         self.shutdown = Some(shutdown);
         let mut queries = std::mem::take(&mut self.queries);
@@ -110,8 +112,9 @@
         self.queries = queries;
     }
 
-    /// Limits the deadline of a query that arrives during a shutdown to the last answers, and marks a query that
-    /// has to be rejected because its client waits longer.
+    /// Limits the deadline of a query that arrives during a shutdown to the instant of the last answers
+    /// ([`Shutdown::last_answers_at`]), and marks a query that has to be rejected because its client waits
+    /// longer.
     pub(super) fn limit_to_shutdown(&self, query: &mut InFlightQuery) {
         let Some(shutdown) = self.shutdown else { return };
         query.exceeds_shutdown = shutdown.refuses(self.now, query.deadline_at);
--- a/crates/dunepond-routing/src/policy/warm_restart.rs
+++ b/crates/dunepond-routing/src/policy/warm_restart.rs
@@ -45,8 +45,8 @@
         self.measure_latency();
     }
 
-    /// Returns the retries and slow start parts that count against the budgets, and the arrivals from which the
-    /// retry budget follows.
+    /// Returns the retries and the parts sent to nodes in slow start, which count against the budgets, and the
+    /// arrivals from which the retry budget follows.
     pub fn spent_budgets(&mut self, transport: &dyn Transport) -> SpentBudgets {
         self.sync_clock(transport);
         let now = self.now;
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Counts the budgets that an earlier process spent as spent. `None` means that they are not known: all
-    /// budgets then count as fully spent until now.
+    /// Counts what an earlier process spent against the budgets of this router. `None` means that it is not
+    /// known: all budgets then count as fully spent until now.
     pub fn restore_spent(&mut self, transport: &mut dyn Transport, spent: Option<&SpentBudgets>) {
         self.sync_clock(transport);
         let now = self.now;
--- a/crates/dunepond-routing/src/query.rs
+++ b/crates/dunepond-routing/src/query.rs
@@ -5,13 +5,14 @@
 /// Number of a query; the host never uses a number twice for the same router.
 pub type QueryId = u64;
 
-/// A part of a query, which is sent to one replica.
+/// A part of a query: its work on one segment, which one replica of the segment serves.
 #[derive(Clone, Debug, Default)]
 pub struct Part {
-    /// The segment that the part reads or writes. The segment's replicas are in the replica group of this
-    /// number and the following ones.
+    /// The segment that the part reads or writes. The segment's replicas are the nodes of the replica group
+    /// with this number and of the groups that follow it, [`Deployment::replicas`](crate::Deployment::replicas)
+    /// groups in all.
     pub segment: usize,
-    /// Weight of the part in the result of its step.
+    /// Weight of the part relative to the other parts of its step (the first or second step of its query).
     pub weight: f64,
     /// The only node that the part may be sent to; `None` if any replica of the segment may serve it. Set for
     /// a non-idempotent part of a segment with an agreed owner.
@@ -34,14 +35,15 @@
     pub is_retry: bool,
     /// Whether the query's body is kept for retries; otherwise its parts are sent on arrival or never.
     pub body_retained: bool,
-    /// Whether the query's frames may take long to send;
-    /// [`Router::on_frame_written`](crate::Router::on_frame_written) reports the end of each.
+    /// Whether sending the query's frames may take long;
+    /// [`Router::on_frame_written`](crate::Router::on_frame_written) then reports when each frame has been sent
+    /// completely.
     pub streamed: bool,
     /// Whether no part is sent before [`Router::on_prefilter_result`](crate::Router::on_prefilter_result) has
     /// reported which parts are pruned.
     pub awaits_prefilter: bool,
-    /// Whether the query is an audit, for which no client waits: it is sent once, only without overload, and
-    /// adds nothing to the retry budget.
+    /// Whether the query is an audit, for which no client waits: each part has at most one attempt, the query
+    /// is rejected at any overload, and it adds nothing to the retry budget.
     pub audit: bool,
     /// The parts of the query's first step.
     pub parts: Vec<Part>,
@@ -52,7 +54,7 @@
 pub struct AttemptId {
     /// The query.
     pub query: QueryId,
-    /// The part, by its position among the query's parts.
+    /// The part, by its position among the parts of all steps of the query.
     pub part: usize,
     /// The attempt, counted from 0 for each part.
     pub index: usize,
@@ -69,7 +71,7 @@
     Rejected,
     /// No answer arrived before the client's deadline.
     TimedOut,
-    /// No connection could be opened.
+    /// No connection to the node could be opened.
     ConnectFailed,
     /// The connection broke while the attempt was outstanding.
     ConnectionLost,
@@ -84,7 +86,7 @@
 pub struct AttemptEnded {
     /// The query.
     pub query: QueryId,
-    /// The part, by its position among the query's parts.
+    /// The part, by its position among the parts of all steps of the query.
     pub part: usize,
     /// The attempt, counted from 0 for each part.
     pub attempt: usize,
--- a/crates/dunepond-routing/src/state/latency.rs
+++ b/crates/dunepond-routing/src/state/latency.rs
@@ -7,14 +7,13 @@
 
 /// Latency samples of the fleet and of each zone, with the statistics computed from them.
 pub struct LatencyStats {
-    /// The last completions at warm nodes, oldest first.
+    /// The last attempts that warm nodes served, oldest first.
     pub completions: VecDeque<CompletionSample>,
     /// Samples of the last attempts in each zone, by zone.
     pub zones: Vec<VecDeque<ZoneSample>>,
     /// Median latency of each zone in seconds, by zone.
     pub zone_median: Vec<f64>,
-    /// Median latency of the fleet in seconds; recomputed only when the samples change, because a burst of
-    /// queries reads it often.
+    /// Median latency of the fleet in seconds; stored because a burst of queries reads it often.
     pub median: f64,
     /// 95th percentile of the fleet's latency, in seconds.
     pub p95: f64,
@@ -22,9 +21,11 @@
     pub baseline: f64,
     /// Number of nodes that are listed as active and past slow start; at least 1.
     pub warm_nodes: usize,
-    /// Parts completed for this broker by each warm node since the start, on average.
+    /// Number of parts that each warm node has completed for this broker since the router was created, on
+    /// average.
     pub completed_per_node: f64,
-    /// Parts per second that a warm node completed for this broker, as of the last wake.
+    /// Parts per second that a warm node completed for this broker, as of the last call of
+    /// [`Router::on_wake`](super::Router::on_wake).
     pub completion_rate_at_wake: f64,
     /// Longest latency objective of all query classes in seconds.
     pub longest_objective: f64,
@@ -32,15 +33,16 @@
     pub shortest_objective: f64,
 }
 
-/// A completion at a warm node.
+/// An attempt that a warm node served.
 #[derive(Clone, Copy)]
 pub struct CompletionSample {
     /// Latency of the attempt, in seconds.
     pub latency: f64,
     /// When the attempt ended.
     pub at: f64,
-    /// One node's share of the completion: 1 divided by the number of warm nodes at that time. Kept with the
-    /// sample because after many nodes crash, their completions must not be attributed to the remaining few.
+    /// Contribution of the attempt to the mean number of served attempts per warm node: 1 divided by the number
+    /// of warm nodes at that time. Kept with the sample because after many nodes crash, their completions must
+    /// not be attributed to the remaining few.
     pub node_share: f64,
 }
 
--- a/crates/dunepond-routing/src/state/mod.rs
+++ b/crates/dunepond-routing/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! State of a router: queries in flight, nodes, latencies, admission records, and spent budgets. No decision
-//! is made here: every rule that reads or changes this state is in `policy`.
+//! State of a router: queries in flight, nodes, latencies, admission records, and spent budgets. No decision is
+//! made here: the code that decides on the basis of this state is in `policy`.
 
 mod admission;
 mod endpoint_poll;
@@ -47,7 +47,7 @@
     pub(crate) retries: RetryHistory,
     pub(crate) probes: VecDeque<ProbeResult>,
     pub(crate) idle_resets: VecDeque<IdleReset>,
-    /// Instant of the requested wake; `f64::MAX` if none is requested.
+    /// Instant of the requested call of [`Router::on_wake`]; `f64::MAX` if none is requested.
     pub(crate) wake_due_at: f64,
     pub(crate) endpoint_poll: EndpointPoll,
     /// The shutdown in progress; `None` while the process has not been signalled to end.
--- a/crates/dunepond-routing/src/state/node.rs
+++ b/crates/dunepond-routing/src/state/node.rs
@@ -81,10 +81,10 @@
     pub probation_limit: usize,
 }
 
-/// The slow start budget of a node at an instant.
+/// The slow start budget of this broker for a node, as of an instant.
 #[derive(Clone, Copy)]
 pub struct TokenBucket {
-    /// Number of parts that the node may be sent.
+    /// Number of parts that this broker may send to the node.
     pub tokens: f64,
     /// The value of [`LatencyStats::completed_per_node`](super::LatencyStats::completed_per_node) at `at`.
     pub completed_per_node: f64,
--- a/crates/dunepond-routing/src/state/query.rs
+++ b/crates/dunepond-routing/src/state/query.rs
@@ -11,14 +11,15 @@
     pub tenant: usize,
     /// Whether admission has already decided on this query; it decides only once.
     pub admission_checked: bool,
-    /// Whether the query arrived during a shutdown and its client would wait beyond the last answers.
+    /// Whether the query arrived during a shutdown and its client would wait until after the last answers.
     pub exceeds_shutdown: bool,
     /// Instant up to which an answer has its full value.
     pub objective_at: f64,
     /// Instant at which the client stops waiting, or the last answers of a shutdown if those are earlier.
     pub deadline_at: f64,
     pub arrived_at: f64,
-    /// When the request stages must run even if no event occurs; a wake only runs queries that are due.
+    /// Instant at which the request stages must run even if no event occurs;
+    /// [`Router::on_wake`](super::Router::on_wake) runs them for queries whose instant has come.
     pub due_at: f64,
     /// The parts of all steps so far.
     pub parts: Vec<PartState>,
@@ -30,11 +31,11 @@
     pub single_shot: bool,
     /// Whether the body is no longer available, so that no more attempts can be sent.
     pub body_consumed: bool,
-    /// Whether the frames may take long to send, and the end of each is reported.
+    /// Whether sending the frames may take long, so that the host reports when each has been sent completely.
     pub streamed: bool,
     /// Whether no part is sent before the prefilter has reported which parts are pruned.
     pub awaits_prefilter: bool,
-    /// Whether the query is an audit, for which no client waits.
+    /// Whether the query is an audit ([`Query::audit`]), for which no client waits.
     pub audit: bool,
     /// The rules that were in force on arrival.
     pub rules: Arc<Rules>,
@@ -57,7 +58,7 @@
 /// A part of a query in flight, with its attempts.
 pub struct PartState {
     pub segment: usize,
-    /// Share of the total weight of the part's step.
+    /// Weight of the part, as a share of the total weight of its step's parts.
     pub weight: f64,
     /// The only node that the part may be sent to; `None` if any replica may serve it.
     pub required_node: Option<NodeId>,
--- a/crates/dunepond-routing/src/state/retry_budget.rs
+++ b/crates/dunepond-routing/src/state/retry_budget.rs
@@ -17,7 +17,8 @@
     /// Instant up to which all budgets count as fully spent, because the real use is not known; `f64::MIN` if
     /// it is known.
     pub assumed_spent_until: f64,
-    /// Number of attempts that the budget has denied since the last report.
+    /// Number of attempts that the retry budget has denied since the last call of
+    /// [`Router::quota_demand`](super::Router::quota_demand).
     pub denials: Cell<f64>,
 }
 
--- a/crates/dunepond-routing/src/state/shutdown.rs
+++ b/crates/dunepond-routing/src/state/shutdown.rs
@@ -1,6 +1,7 @@
 //! The instants of a shutdown in progress.
 
-/// A shutdown in progress: when the signal may have arrived, and when the last answers are due.
+/// A shutdown in progress: the earliest instant at which SIGTERM may have arrived, and the time until the last
+/// answers are due. The exact instant of the signal is not known, because signals are checked for at intervals.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
     /// Earliest instant at which the signal may have arrived, in seconds on the transport's clock.
--- a/crates/dunepond-routing/src/transport.rs
+++ b/crates/dunepond-routing/src/transport.rs
@@ -18,8 +18,8 @@
     /// Probes a node for liveness and free capacity;
     /// [`Router::on_probe_result`](crate::Router::on_probe_result) receives the result.
     fn probe(&mut self, node: NodeId);
-    /// Answers a query with the parts received. If the query has a second step, the first call requests the
-    /// parts of that step.
+    /// Answers a query with the parts received. For a query with two steps, the first call ends the first step,
+    /// and [`Router::on_second_step`](crate::Router::on_second_step) then receives the parts of the second one.
     fn answer(&mut self, query: QueryId, is_complete: bool);
     /// Rejects a query that the client may safely retry, after `retry_after` seconds if that is greater than 0.
     fn reject_retriable(&mut self, query: QueryId, retry_after: f64);
@@ -32,8 +32,8 @@
     /// Polls the endpoint list for changes, including those missed earlier; the answer is reported by
     /// [`Router::update_endpoints`](crate::Router::update_endpoints) or
     /// [`Router::on_list_poll_failed`](crate::Router::on_list_poll_failed). Called only if
-    /// [`Deployment::list_poll_deadline`](crate::Deployment::list_poll_deadline) is set; a host that watches
-    /// its list by itself does nothing.
+    /// [`Deployment::list_poll_deadline`](crate::Deployment::list_poll_deadline) is set. The default does
+    /// nothing, for a host that watches its endpoint list by itself.
     fn poll_endpoint_list(&mut self) {}
     /// Writes a line to the log.
     fn log(&mut self, line: &str);
--- a/crates/dunepond-sim-adapter/src/session.rs
+++ b/crates/dunepond-sim-adapter/src/session.rs
@@ -81,7 +81,8 @@
         Ok(())
     }
 
-    /// Passes the query that is being received to the router, once no more of its rows can follow.
+    /// Passes the query that is being received, or the parts of its second step, to the router, once no more of its rows can
+    /// follow.
     pub fn flush_incoming(&mut self) -> Result<(), ConfigError> {
         let Some(incoming) = self.incoming.take() else { return Ok(()) };
         let Some(announced) = incoming.query else {
--- a/crates/dunepond-sim-adapter/src/transport.rs
+++ b/crates/dunepond-sim-adapter/src/transport.rs
@@ -29,7 +29,7 @@
 /// dropped.
 #[derive(Default)]
 pub struct WireTransport {
-    /// The time of the present batch, in seconds.
+    /// The instant of the batch of events that is being handled, in seconds on the simulator's clock.
     pub now: f64,
     orders: Vec<Value>,
     node_names: Vec<String>,
