--- a/crates/dunepond-routing/src/deployment.rs
+++ b/crates/dunepond-routing/src/deployment.rs
@@ -43,7 +43,7 @@
 /// parts that arrived in the window, whether they were admitted or not.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Length of the window, in seconds.
+    /// Length in seconds of the window over which retries and arrivals are counted.
     pub window: f64,
     /// Number of retries and hedged requests that are allowed in each window regardless of the load.
     pub min_retries: f64,
@@ -62,7 +62,7 @@
     /// Rate at which all brokers together may send parts to a node in slow start, as a multiple of the node's
     /// present capacity.
     pub rate_multiple: f64,
-    /// Length in seconds of the window over which the parts sent to a node are counted.
+    /// Length in seconds of the window over which the parts sent to a node in slow start are counted.
     pub window: f64,
 }
 
--- a/crates/dunepond-routing/src/policy/clock.rs
+++ b/crates/dunepond-routing/src/policy/clock.rs
@@ -1,8 +1,8 @@
 //! Clock: when the router is woken next, and how a stall of the process itself is compensated.
 //!
-//! Inputs: the transport's clock (seconds), the tick (seconds), the instant of the requested wake. A wake
-//! that comes far too late means that the process read nothing in the meantime. If this counted as silence of
-//! the nodes, the whole fleet would be ejected.
+//! Inputs: the transport's clock (seconds), the tick (seconds), the instant of the requested wake (a call of
+//! [`Router::on_wake`]). A wake that comes far too late means that the process read nothing in the meantime. If
+//! this counted as silence of the nodes, the whole fleet would be ejected.
 
 use crate::Transport;
 use crate::state::Router;
--- a/crates/dunepond-routing/src/policy/completion.rs
+++ b/crates/dunepond-routing/src/policy/completion.rs
@@ -49,13 +49,13 @@
         part.is_done() || part.has_outstanding() || self.may_send(query, part)
     }
 
-    /// Returns the weight of the served parts with which the present step is complete.
+    /// Returns the weight of the done parts with which the present step is complete.
     pub(super) fn complete_weight(&self, query: &InFlightQuery) -> f64 {
         let share = if query.is_second_step { 1.0 } else { self.complete_share(query) };
         share - WEIGHT_ROUNDING
     }
 
-    /// Returns the weight of the served parts below which no answer can be given, not even a partial one.
+    /// Returns the weight of the done parts below which no answer can be given, not even a partial one.
     pub(super) fn minimum_weight(&self, query: &InFlightQuery) -> f64 {
         self.complete_weight(query).min(self.minimum_share(query) - WEIGHT_ROUNDING)
     }
--- a/crates/dunepond-routing/src/policy/deadline.rs
+++ b/crates/dunepond-routing/src/policy/deadline.rs
@@ -9,7 +9,7 @@
 use crate::state::{InFlightQuery, Router};
 
 /// Time before the client's deadline, or before the latency objective if late answers have no value, at which
-/// an unanswered query ends; the next wake might come too late.
+/// an unanswered query ends; the next call of [`Router::on_wake`] might come too late.
 const DECISION_MARGIN_TICKS: f64 = 7.0;
 
 impl Router {
--- a/crates/dunepond-routing/src/policy/endpoint_list.rs
+++ b/crates/dunepond-routing/src/policy/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! Endpoint list: how its rows update the known nodes, and when the list is polled.
 //!
-//! Inputs: the rows with each node's start (an instant) and, if the list is only sent on request, the time
-//! (seconds) within which it must be polled. A node listed as draining or removed gets no new work; a node
+//! Inputs: the rows with each node's start (an instant) and, if the endpoint list is only sent on request, the
+//! time (seconds) within which it must be polled. A node listed as draining or removed gets no new work; a node
 //! listed as active is still subject to outlier detection.
 
 use std::collections::VecDeque;
--- a/crates/dunepond-routing/src/policy/probing.rs
+++ b/crates/dunepond-routing/src/policy/probing.rs
@@ -24,8 +24,8 @@
 const PROBE_SAMPLE_COUNT: usize = 64;
 /// Number of recent probes that are needed to decide whether probes are informative.
 const MIN_PROBE_SAMPLE_COUNT: usize = 8;
-/// Probing is useless if there are at least this many recent probes for each informative one: nodes answer at once
-/// and the answers do not show queues.
+/// Probing is useless if there are at least this many recent probes for each informative one: nodes answer at
+/// once and the answers do not show queues.
 const MAX_PROBES_PER_INFORMATIVE: usize = 8;
 /// A probe that is answered within this time took no more than a network round trip.
 const PROMPT_TICKS: f64 = 4.0;
@@ -50,7 +50,8 @@
             && self.probes_are_informative()
     }
 
-    /// Returns whether enough of the recent probes showed queues at the nodes, or there are too few probes to tell.
+    /// Returns whether enough of the recent probes showed queues at the nodes, or there are too few probes to
+    /// tell.
     fn probes_are_informative(&self) -> bool {
         let since = self.objectives_ago(FRESH_OBJECTIVES);
         let recent = || self.probes.iter().filter(|probe| probe.at > since);
--- a/crates/dunepond-routing/src/policy/retry_budget.rs
+++ b/crates/dunepond-routing/src/policy/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retry budget: how many retries and hedged requests may be sent in any window.
+//! Retry budget: how many retries and hedged requests may be sent in any window of time.
 //!
 //! Inputs: the window (seconds), the number of retries that are always allowed, the ratio of retries to arrived
 //! queries and parts, and the instants at which each was sent or arrived. The window is one tick longer for
--- a/crates/dunepond-routing/src/policy/slow_start.rs
+++ b/crates/dunepond-routing/src/policy/slow_start.rs
@@ -38,7 +38,7 @@
     }
 
     /// Counts the warm nodes. Called with each update of the endpoint list, not only by [`Router::on_wake`],
-    /// because completions before the first wake would otherwise be attributed to a single node.
+    /// because completions before the first call of the latter would otherwise be attributed to a single node.
     pub(super) fn count_warm_nodes(&mut self) {
         let active = self.nodes.iter().flatten().filter(|node| node.state == EndpointState::Active);
         self.latency.warm_nodes = active.filter(|node| self.is_warm(node)).count().max(1);
--- a/crates/dunepond-routing/src/query.rs
+++ b/crates/dunepond-routing/src/query.rs
@@ -26,8 +26,8 @@
     pub id: QueryId,
     /// Query class, an index into [`Deployment::query_classes`](crate::Deployment::query_classes).
     pub class: usize,
-    /// Tenant, an index into [`Deployment::quotas`](crate::Deployment::quotas); a tenant beyond that list has no
-    /// quota.
+    /// Tenant, an index into [`Deployment::quotas`](crate::Deployment::quotas); a tenant that is not in that
+    /// list has no quota.
     pub tenant: usize,
     /// Seconds until the client stops waiting.
     pub expires_in: f64,
--- a/crates/dunepond-routing/src/state/endpoint_poll.rs
+++ b/crates/dunepond-routing/src/state/endpoint_poll.rs
@@ -4,10 +4,10 @@
 
 /// When the endpoint list is polled next, and how often polling has failed.
 pub struct EndpointPoll {
-    /// Instant of the next poll; `f64::MIN` before the first one, `f64::MAX` if the list is pushed and never
-    /// polled.
+    /// Instant of the next poll of the endpoint list; `f64::MIN` before the first one, `f64::MAX` if the list
+    /// is pushed and never polled.
     pub next_at: f64,
-    /// Number of consecutive polls that failed.
+    /// Number of consecutive polls of the endpoint list that failed.
     pub refusals: i32,
 }
 
--- a/crates/dunepond-routing/tests/bodies.rs
+++ b/crates/dunepond-routing/tests/bodies.rs
@@ -17,7 +17,7 @@
     assert!(matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }]));
 }
 
-/// Neither silence nor an overdue part causes a hedge, because there is no body to send.
+/// Neither a silent node nor an overdue part causes a hedge, because there is no body to send.
 #[test]
 fn single_shot_query_is_not_hedged() {
     let mut cluster = Cluster::new(deployment());
@@ -40,7 +40,8 @@
     assert_eq!(cluster.answers(query), [COMPLETE]);
 }
 
-/// Guards against waiting for a replica while the client sends a body that can no longer be forwarded.
+/// The only node is draining, and the body of the query is available on arrival only: a part that is not sent then never can
+/// be. Guards against waiting for a replica while the client sends that body.
 #[test]
 fn single_shot_query_without_replica_is_rejected() {
     let mut cluster = Cluster::new(deployment());
@@ -69,7 +70,7 @@
     assert_eq!(cluster.sent(query).len(), 1);
 }
 
-/// All replicas are full, so the query waits. Once its body is discarded, no further attempt is possible.
+/// All replicas are full, so the query waits. Once its body is discarded, no further attempt is possible, and the query ends.
 #[test]
 fn waiting_query_ends_with_its_body() {
     let mut cluster = Cluster::new(deployment());
--- a/crates/dunepond-routing/tests/endpoint_list.rs
+++ b/crates/dunepond-routing/tests/endpoint_list.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use support::*;
 
-/// How discovery treats polls, and how often it sends something by itself.
+/// How discovery treats polls, and how often it notifies the broker without a poll.
 #[derive(Clone, Copy, Default)]
 struct Discovery {
     /// Only one in this many consecutive polls is answered, and the others are refused; 0 if all are answered.
@@ -20,7 +20,7 @@
     changes: Option<f64>,
 }
 
-/// Time in seconds within which the list must be polled.
+/// Longest interval in seconds between two polls of the endpoint list.
 const POLL_DEADLINE: f64 = 10.0;
 
 /// Returns a cluster whose endpoint list is only sent on request.
@@ -28,7 +28,7 @@
     Cluster::new(Deployment { list_poll_deadline: Some(POLL_DEADLINE), ..deployment() })
 }
 
-/// Simulates discovery for some seconds and returns the instants at which the list was polled.
+/// Simulates discovery for some seconds and returns the instants at which the endpoint list was polled.
 fn simulate(cluster: &mut Cluster, list: Discovery, seconds: f64) -> Vec<f64> {
     let start = cluster.transport.now;
     let (mut answered, mut last_interrupt, mut last_change) = (0, start, start);
@@ -63,8 +63,8 @@
     assert!(cluster.transport.polled.is_empty());
 }
 
-/// Whether polls are answered, refused or lost, the list is polled before the deadline, also by a broker without queries. The
-/// number of polls is bounded, because each is work for the agent that serves the list.
+/// Whether polls are answered, refused or lost, the endpoint list is polled before the deadline, even by a broker without
+/// queries. The number of polls is bounded, because each is work for the agent that serves the list.
 #[rstest]
 #[case::quiet(Discovery::default(), 8)]
 #[case::one_poll_in_three_is_answered(Discovery { refuses: 3, ..Discovery::default() }, 24)]
@@ -83,7 +83,8 @@
     }
 }
 
-/// Guards against a broker that never polls and keeps sending to a draining node, because the list is only sent on request.
+/// Guards against a broker that never polls and keeps sending to a draining node, because the endpoint list is only sent on
+/// request.
 #[test]
 fn draining_node_gets_nothing_after_the_poll_deadline() {
     let mut cluster = polled_cluster();
@@ -99,8 +100,8 @@
     assert_eq!(cluster.sent_count(0, 105.2), 0);
 }
 
-/// The first retry follows soon after a refused poll, at a random time. Guards against many brokers that start at the same time
-/// and fill the queue of the list's server with their polls.
+/// The first poll after a refused one follows soon, at a random time. Guards against many brokers that start at the same time
+/// and fill the queue of the server of the endpoint list with their polls.
 #[test]
 fn failed_polls_are_spread_out() {
     let first = |seed| {
@@ -114,7 +115,7 @@
     assert!(times[39] - times[0] > 0.1, "{times:?}");
 }
 
-/// Guards against wakes for polling and wakes for queries that each request another wake.
+/// Guards against calls of `on_wake` for polling and for queries that each request another call.
 #[test]
 fn polling_adds_few_wakes() {
     let wakes = |mut cluster: Cluster| {
--- a/crates/dunepond-routing/tests/fleet/harness.rs
+++ b/crates/dunepond-routing/tests/fleet/harness.rs
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Advances the clock under a load in queries per second. Each query is sent to a random broker and has one part for each of
-    /// `parts` adjacent segments.
+    /// Advances the clock under a load in queries per second. Each query is sent to a random broker and has one part for each
+    /// of `parts` segments with successive numbers.
     pub fn run(&mut self, seconds: f64, queries_per_second: f64, parts: usize) {
         let end = self.now + seconds;
         while self.now < end {
@@ -136,7 +136,7 @@
         counts
     }
 
-    /// Delivers the ends of attempts and the wakes that are due at a broker.
+    /// Delivers the ends of attempts that are due at a broker, and calls its `on_wake` if that is due.
     fn advance_broker(&mut self, id: usize) {
         let (router, transport) = &mut self.brokers[id];
         transport.now = self.now;
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Sends a query of `parts` adjacent segments to a broker.
+    /// Sends a query with one part for each of `parts` segments with successive numbers to a broker.
     fn send_query(&mut self, broker: usize, parts: usize) {
         self.query_counts[broker] += 1;
         let segments = self.nodes.borrow().count();
--- a/crates/dunepond-routing/tests/fleet/nodes.rs
+++ b/crates/dunepond-routing/tests/fleet/nodes.rs
@@ -114,20 +114,21 @@
 }
 
 impl SecondOfLoad {
-    /// Returns whether the node is overloaded and more than two thirds of the work come from brokers that knew of its start.
+    /// Returns whether the node is overloaded and more than two thirds of its work come from brokers that knew of its start.
     pub fn is_overloaded_by_informed(&self) -> bool {
         self.received > overload_limit(self.allowed) && self.informed * 3.0 > self.received * 2.0
     }
 
-    /// Returns the work relative to the overload limit. Work from uninformed brokers that is more than a third of all is not
-    /// counted, because it violates no rule.
+    /// Returns the work relative to the overload limit. Work from brokers that do not know of the node's start does not
+    /// violate the slow start limit: it counts only up to half of the work from the other brokers, which is a third of the
+    /// sum.
     fn overload_ratio(&self) -> f64 {
         self.received.min(1.5 * self.informed) / overload_limit(self.allowed)
     }
 }
 
-/// Returns the work from all brokers in one second beyond which a node in slow start is overloaded; `allowed` is the work that
-/// the settings allow.
+/// Returns the work from all brokers in one second above which a node in slow start is overloaded; `allowed` is the work that
+/// the slow start settings allow.
 pub fn overload_limit(allowed: f64) -> f64 {
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
--- a/crates/dunepond-routing/tests/fleet/slow_start.rs
+++ b/crates/dunepond-routing/tests/fleet/slow_start.rs
@@ -5,8 +5,8 @@
 use crate::harness::Fleet;
 use crate::nodes::{SecondOfLoad, Sent, overload_limit};
 
-/// Adjacent nodes start, so that some segments have only cold replicas. The brokers have known their nodes for six seconds, or so
-/// briefly that each has had less than one query.
+/// Nodes with successive ids start, so that some segments have only cold replicas. The brokers have known their nodes for six
+/// seconds or, if they are new, for 0.8 s, in which each has had less than one query on average.
 #[rstest]
 #[case::few_brokers_at_60_percent_load(6, 90.0, 6.0)]
 #[case::many_brokers_at_40_percent_load(150, 60.0, 6.0)]
@@ -29,8 +29,8 @@
             received > 0.0 && received <= overload_limit(allowed),
             "node {node} is overloaded: {received}, {allowed} allowed"
         );
-        // New brokers may use all of the tolerance above the allowed work; brokers that have known their nodes for a while may
-        // use less than half of it.
+        // New brokers may use all of the tolerance above the allowed work (see [`overload_limit`]); brokers that have known
+        // their nodes for a while may use less than half of it.
         assert!(
             known_seconds < 1.0 || received <= allowed + allowed.sqrt(),
             "node {node}: {received}, {allowed} allowed"
@@ -40,8 +40,9 @@
     fleet.assert_each_query_answered_once();
 }
 
-/// Fourteen of 24 nodes start, not adjacent ones, so that most segments have warm and cold replicas and only the slow start tokens
-/// limit the cold ones. Guards against overloaded warm nodes while tokens of cold nodes are unspent.
+/// Fourteen of 24 nodes start, spread evenly over the ids. The replicas of a segment are three nodes with successive ids, so
+/// each segment has warm and cold ones, and only the slow start tokens limit the cold ones. Guards against overloaded warm
+/// nodes while tokens of cold nodes are unspent.
 #[rstest]
 #[case::many_brokers_above_capacity(150, 180.0, 1.12)]
 #[case::very_many_brokers(300, 120.0, 0.84)]
--- a/crates/dunepond-routing/tests/fleet/slow_start_events.rs
+++ b/crates/dunepond-routing/tests/fleet/slow_start_events.rs
@@ -28,7 +28,7 @@
     BrokersRestart,
     /// Seven in ten brokers restart one second after the nodes.
     BrokersRestartLater,
-    /// The brokers are informed of the start within two seconds, a tenth of them at a time.
+    /// The brokers are informed of the start of the nodes within two seconds, a tenth of the brokers at a time.
     InformedLate,
     /// The nodes restart with the same ids eight seconds after the first start.
     SameIds,
--- a/crates/dunepond-routing/tests/fleet/transport.rs
+++ b/crates/dunepond-routing/tests/fleet/transport.rs
@@ -59,7 +59,7 @@
         Some(self.due.swap_remove(index).1)
     }
 
-    /// Removes the wakes that are due and returns whether there were any.
+    /// Removes the requests for a call of `on_wake` that are due, and returns whether there were any.
     pub fn take_wakes(&mut self) -> bool {
         let before = self.wakes.len();
         self.wakes.retain(|at| *at > self.now);
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -75,7 +75,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Mode {
     Healthy,
-    /// The node takes eight times as long.
+    /// The node takes eight times as long for a part as a healthy one.
     Slow,
     /// The node never answers.
     Silent,
@@ -362,7 +362,7 @@
     max_parts: usize,
     /// Whether bodies may be streamed, available only once, or discarded.
     bodies: bool,
-    /// Whether queries may wait for the prefilter or be audits.
+    /// Whether some queries wait for the prefilter, and some are audits ([`Query::audit`]).
     prefilter: bool,
     /// Whether non-idempotent parts have a required node.
     required_nodes: bool,
@@ -458,7 +458,8 @@
     }
 }
 
-/// No hedges, no cancellations and no cross-zone cost; a small retry budget, small quotas, and far more work than the nodes can do.
+/// No hedges, no cancellations and no cross-zone cost; a small retry budget, small quotas, and far more work than the nodes
+/// can do.
 fn overloaded() -> Scenario {
     let budget = Some(RetryBudget { window: 10.0, min_retries: 3.0, ratio: 0.05 });
     let tight = Deployment {
@@ -490,8 +491,8 @@
     }
 }
 
-/// Queries of many parts, each with two replicas that fail often: most queries are sent after probes, and some are rejected because
-/// too few replicas answer their probes.
+/// Queries of many parts. Each part has two replicas that fail often: most queries are sent after probes, and some are
+/// rejected because too few replicas answer their probes.
 fn rejecting_after_probes() -> Scenario {
     let probes = Deployment { may_probe: true, replica_groups: 60, replicas: 2, ..deployment(9) };
     Scenario {
@@ -505,7 +506,7 @@
     }
 }
 
-/// An endpoint list that is polled and sometimes refuses; nodes drain, are removed and forgotten, and start cold.
+/// The endpoint list is polled, and some polls are refused; nodes drain, are removed and forgotten, and start cold.
 fn churning() -> Scenario {
     let polled = Deployment { list_poll_deadline: Some(2.0), ..deployment(4) };
     Scenario { deployment: polled, churn_every: 0.5, stalls_every: 7.0, ..ordinary(4) }
@@ -530,7 +531,7 @@
     }
 }
 
-/// The broker restarts, with or without the learned statistics and the spent budgets.
+/// The broker restarts; its learned statistics and its spent budgets may be kept or lost.
 fn restarting() -> Scenario {
     let budget = Some(RetryBudget { window: 6.0, min_retries: 6.0, ratio: 0.1 });
     let stated = Deployment { retry_budget: budget, ..deployment(7) };
@@ -798,7 +799,8 @@
         ];
         let id = self.rng.random_range(0..self.scenario.nodes);
         let faulty = self.transport.nodes.iter().filter(|n| n.mode != Mode::Healthy).count();
-        // At most a third of the nodes is faulty at a time: beyond that, a fault ends before another begins.
+        // If the chosen node is faulty or more than a third of all nodes are, no fault begins: the chosen node recovers, or
+        // the first faulty one if the chosen node is healthy.
         if self.transport.nodes[id].mode != Mode::Healthy || 3 * faulty > self.scenario.nodes {
             let first = self.transport.nodes.iter().position(|n| n.mode != Mode::Healthy).unwrap_or(id);
             let recovered = if self.transport.nodes[id].mode == Mode::Healthy { first } else { id };
@@ -893,8 +895,8 @@
         self.schedule_again(self.scenario.quota_shares_every, Event::ChangeQuotaShares);
     }
 
-    /// Restarts the broker, with or without the learned statistics, after an orderly stop with the spent budgets or after a crash
-    /// without them.
+    /// Restarts the broker. Its learned statistics may be lost; its spent budgets are kept by an orderly stop and lost in a
+    /// crash.
     fn restart(&mut self) {
         let learned = self.router.learned_state(&self.transport);
         let spent = self.router.spent_budgets(&self.transport);
--- a/crates/dunepond-routing/tests/placement.rs
+++ b/crates/dunepond-routing/tests/placement.rs
@@ -63,8 +63,9 @@
     assert!(expected.contains(&near), "{near}");
 }
 
-/// A broker that sends to a node only once a second does so after the time for which a rejection as full counts. The node
-/// answered at once and has no outstanding attempts, so without a sample of the rejection it would seem the least loaded.
+/// A rejection as full counts for a median latency; a broker that sends to a node only once a second does so after that time.
+/// The node answered at once and has no outstanding attempts, so without a sample of the rejection it would seem the least
+/// loaded.
 #[test]
 fn full_node_is_avoided_by_infrequent_brokers() {
     let mut cluster = Cluster::new(deployment());
--- a/crates/dunepond-routing/tests/prefilter.rs
+++ b/crates/dunepond-routing/tests/prefilter.rs
@@ -1,4 +1,4 @@
-//! The prefilter: queries that wait for it, pruned parts, and audits.
+//! The prefilter: queries that wait for it, pruned parts, and audits ([`Query::audit`]), for which no client waits.
 
 mod support;
 
@@ -26,7 +26,7 @@
     assert_eq!((cluster.sent(query).len(), cluster.answers(query)), (0, vec![COMPLETE]));
 }
 
-/// The pruning of a part is revoked while the other part is outstanding.
+/// The pruning of one part is revoked while the other part of the query is outstanding.
 #[test]
 fn part_with_stale_pruning_is_sent() {
     let mut cluster = Cluster::new(deployment());
--- a/crates/dunepond-routing/tests/quota_shares.rs
+++ b/crates/dunepond-routing/tests/quota_shares.rs
@@ -12,7 +12,8 @@
     times.iter().map(|t| times.iter().filter(|u| **u >= *t && **u < t + window).count()).max().unwrap_or(0)
 }
 
-/// A warm node completes ten parts a second. A node that started three seconds ago may be sent 2.5 times 0.36 to 0.43 of that.
+/// A warm node completes ten parts a second. A node that started three seconds ago may be sent 2.5 times its capacity, which
+/// is 0.36 to 0.43 of that of a warm node.
 #[rstest]
 #[case::all(10.0, 10)]
 #[case::half(5.0, 5)]
@@ -50,7 +51,7 @@
     assert!(demand.retries_denied > 0.0 && cluster.router.quota_demand(60.0).retries_denied == 0.0);
 }
 
-/// Retries that were sent under a larger share count against a smaller share in the same window.
+/// Retries that were sent under a larger share count against a smaller share in the same window of the retry budget.
 #[test]
 fn smaller_share_counts_earlier_spending() {
     let budget = Some(RetryBudget { window: 60.0, min_retries: 4.0, ratio: 0.0 });
@@ -69,7 +70,8 @@
     assert_eq!(retries(&cluster, &after), 0);
 }
 
-/// Under overload, traffic beyond the tenant's share is shed first: with all of the quota at this broker, more is served.
+/// Under overload, traffic beyond the tenant's quota share is shed first: if this broker has all of the quota, more is
+/// served.
 #[test]
 fn tenant_quota_respects_the_share() {
     let served = |share: Option<f64>| {
--- a/crates/dunepond-routing/tests/retry.rs
+++ b/crates/dunepond-routing/tests/retry.rs
@@ -129,7 +129,8 @@
     assert_eq!(cluster.sent(query).len(), sent);
 }
 
-/// A node with a long queue may seem silent, so the hedge is sent only after the 95th percentile, but then at once.
+/// A node with a long queue may seem silent, so the hedge of a part there is sent only after the 95th percentile latency, but
+/// then at once.
 #[rstest]
 fn part_at_ejected_node_is_hedged_after_p95(#[values(1, 2, 3)] seed: u64) {
     let mut cluster = Cluster::new(Deployment { seed, ..deployment() });
@@ -169,7 +170,8 @@
     assert_ne!(nodes[0], nodes[1]);
 }
 
-/// Each replica is tried again after the time for which it counts as full. At the attempt cap the query ends at once.
+/// Each replica is tried again after a median latency, for which it counts as full. At the attempt cap the query ends at
+/// once.
 #[test]
 fn part_rejected_by_all_replicas_ends_its_query() {
     let mut cluster = Cluster::new(Deployment { replicas: 2, ..deployment() });
--- a/crates/dunepond-routing/tests/rules.rs
+++ b/crates/dunepond-routing/tests/rules.rs
@@ -58,7 +58,8 @@
     assert!(cluster.sent(query).is_empty());
 }
 
-/// The part waits for the slow-start budget of a node that is then removed, and whose id may be given to another node.
+/// The part waits for the slow start budget of its required node. That node is then removed, and its id may be given to
+/// another node.
 #[rstest]
 #[case::removed(false)]
 #[case::id_is_given_to_another_node(true)]
@@ -81,8 +82,8 @@
 
 // ---- Rules that change while queries are in flight
 
-/// Returns a cluster with the old rules in force, and the new rules. One of the two are the rules that the deployment states, and
-/// `change` makes the other ones stricter: the new rules if `stricter_now` is set, otherwise the old rules.
+/// Returns a cluster with the old rules in force, and the new rules. The laxer ones are those that the deployment states;
+/// `change` makes the others stricter: the new rules if `stricter_now` is set, otherwise the old rules.
 fn cluster_and_new_rules(
     deployment: Deployment,
     change: impl Fn(&mut Rules),
@@ -97,7 +98,8 @@
     (cluster, new)
 }
 
-/// Two of four parts have been served at the deadline; one rule needs half of them, the other one all.
+/// Two of four parts have been served at the deadline; a partial answer needs half of them under one set of rules, and all
+/// under the other.
 #[rstest]
 fn partial_answer_needs_the_greater_share(#[values(true, false)] stricter_now: bool) {
     let (mut cluster, new_rules) =
@@ -111,7 +113,7 @@
     assert_eq!(cluster.answers(later) == [PARTIAL_ANSWER], !stricter_now);
 }
 
-/// Three of five parts have been served; one rule needs 0.6 of them, the other one all.
+/// Three of five parts have been served; a complete answer needs 0.6 of them under one set of rules, and all under the other.
 #[rstest]
 fn complete_answer_needs_the_greater_share(#[values(true, false)] stricter_now: bool) {
     let (mut cluster, new_rules) =
@@ -150,7 +152,7 @@
     assert_eq!(cluster.sent(earlier).len(), 1);
 }
 
-/// All attempts fail. Retries must be allowed both by the budget at the query's arrival and by the one in force.
+/// All attempts fail. Retries must be allowed both by the retry budget at the query's arrival and by the one in force.
 #[rstest]
 #[case::stricter_now(true, Some(RetryBudget { window: 2.0, min_retries: 1.0, ratio: 0.0 }))]
 #[case::stricter_on_arrival(false, Some(RetryBudget { window: 2.0, min_retries: 1.0, ratio: 0.0 }))]
@@ -166,7 +168,8 @@
     assert_eq!(cluster.transport.sent.len() - queries.len(), 1);
 }
 
-/// Before the change there was no budget or a shorter window, so the retries sent in the longer window are not known.
+/// Before the change there was no retry budget, or one with a shorter window, so the retries sent in the longer window are
+/// not known.
 #[rstest]
 #[case::none(None)]
 #[case::shorter(Some(RetryBudget { window: 0.5, min_retries: 50.0, ratio: 0.0 }))]
@@ -184,7 +187,8 @@
     assert_eq!(cluster.sent(query).len(), 2);
 }
 
-/// The slow-start budget of a node allows five parts a second under one of the rules, and none for a long time under the other.
+/// The slow start budget of a node allows five parts a second under one set of rules, and none for a long time under the
+/// other.
 #[rstest]
 fn smaller_slow_start_multiple_applies(#[values(true, false)] stricter_now: bool) {
     let (mut cluster, new_rules) =
--- a/crates/dunepond-routing/tests/shutdown.rs
+++ b/crates/dunepond-routing/tests/shutdown.rs
@@ -22,7 +22,8 @@
     assert!(next_at.zip(next).is_none_or(|(at, expected)| (at - expected).abs() < 1e-6), "{next_at:?}");
 }
 
-/// A broker may stall for 0.15 s between reading the clock and the last answers. At most 3 s of a timeout count.
+/// A broker may stall for 0.15 s between reading the clock and the last answers. At most 3 s of the longest query timeout
+/// count for the time of SIGKILL.
 #[rstest]
 fn last_answers_precede_the_kill(#[values(0.05, 0.3, 2.0, 3.0, 60.0)] timeout: f64) {
     let left = timeout.min(3.0) + 0.7 - (Shutdown::new(100.0, timeout).last_answers_at() - 100.0);
@@ -30,7 +31,8 @@
     assert!(Shutdown::new(100.0, timeout).next_stage_at(100.0).is_some());
 }
 
-/// The longest timeout is 6 s, but only 3 s of it count, so SIGKILL may come 3.7 s after the signal.
+/// The longest query timeout is 6 s. If all of it counted, SIGKILL would come 6.7 s after the signal; as at most 3 s count,
+/// it may come after 3.7 s.
 #[rstest]
 #[case::ends_before_the_last_answers(2.0, None)]
 #[case::outlasts_the_process(5.0, Some(FinalAnswer::Rejected { retry_after: 0.0 }))]
@@ -44,8 +46,8 @@
     assert_eq!(cluster.sent(query).is_empty(), answer.is_some());
 }
 
-/// The deadline of a query whose body was being received at the signal is the last answers. Guards against a rejection caused by
-/// rounding, because the time left is computed from that instant and then added to the clock again.
+/// The deadline of a query whose body was being received at the signal is the instant of the last answers. Guards against a
+/// rejection caused by rounding, because the time left is computed from that instant and then added to the clock again.
 #[test]
 fn query_up_to_the_last_answers_is_served() {
     for step in 0..200 {
--- a/crates/dunepond-routing/tests/slow_start.rs
+++ b/crates/dunepond-routing/tests/slow_start.rs
@@ -42,8 +42,8 @@
     assert!((1..=12).contains(&max_sent.unwrap_or(0)), "{max_sent:?}");
 }
 
-/// A warm node completes some sixteen parts a second for this broker, one of six, which may send eight parts to a cold node in
-/// that time. Guards against a cap on unspent tokens that is too small for several parts at once.
+/// This broker is one of six, and a warm node completes some sixteen parts a second for it, so it may send eight parts a
+/// second to a cold node. Guards against a cap on unspent tokens that is too small for several parts at once.
 #[test]
 fn simultaneous_parts_use_unspent_tokens() {
     let mut cluster = Cluster::new(Deployment { broker_count: 6.0, ..deployment() });
@@ -62,8 +62,8 @@
     assert!((4..=8).contains(&sent), "{sent}");
 }
 
-/// Six parts are answered before the broker's first wake, and no wake follows for a while. Guards against attributing them all to
-/// one node, as a rate of hundreds of parts a second.
+/// Six parts are answered before the first call of `on_wake`, and no such call follows for a while. Guards against
+/// attributing them all to one node, as a rate of hundreds of parts a second.
 #[test]
 fn first_completions_do_not_raise_the_budget() {
     let mut cluster = Cluster::new(Deployment { broker_count: 40.0, replicas: 1, ..deployment() });
--- a/crates/dunepond-routing/tests/stalls.rs
+++ b/crates/dunepond-routing/tests/stalls.rs
@@ -1,6 +1,6 @@
-//! Margins against stalls of the broker: 0.15 s may pass between a decision and the last byte of its frame, so a keyed part is
-//! not retried within that time before the end of its idempotency window. For the client's deadline there is only the usual
-//! margin of seven ticks.
+//! Margins against stalls of the broker: 0.15 s may pass between a decision and the last byte of its frame, so a part that is
+//! idempotent by key is not retried within that time before the end of its idempotency window. For the client's deadline
+//! there is only the usual margin of seven ticks.
 
 mod support;
 
@@ -8,7 +8,8 @@
 use rstest::rstest;
 use support::*;
 
-/// Repeats are dropped for one second after the first attempt. Guards against a retry that reaches the node after that.
+/// Repeats are dropped within the idempotency window, which ends one second after the first attempt. Guards against a retry
+/// that reaches the node after that.
 #[rstest]
 #[case::in_time(0.8, 2)]
 #[case::too_late_in_the_window(0.9, 1)]
--- a/crates/dunepond-routing/tests/support/cluster.rs
+++ b/crates/dunepond-routing/tests/support/cluster.rs
@@ -37,7 +37,8 @@
         self.query_with(query_class, segments, 0, 3.9, false)
     }
 
-    /// Sends a query of a tenant whose client waits for `expires_in` seconds and may mark it as a retry.
+    /// Sends a query of a tenant. Its client waits for `expires_in` seconds; `is_retry` states whether the client marked it
+    /// as a retry.
     pub fn query_with(
         &mut self,
         query_class: usize,
@@ -56,7 +57,7 @@
         self.submit(Query { parts, ..self.default_query(query_class, &[]) })
     }
 
-    /// Sends a query of one part that only one node may serve.
+    /// Sends a query of one part that may only be sent to the given node.
     pub fn query_with_required_node(&mut self, query_class: usize, segment: usize, node: NodeId) -> QueryId {
         self.query_with_required_nodes(query_class, &[(segment, node)])
     }
@@ -90,7 +91,7 @@
         self.submit(Query { awaits_prefilter: true, ..self.default_query(query_class, segments) })
     }
 
-    /// Sends an audit of one part.
+    /// Sends an audit ([`Query::audit`]) of one part.
     pub fn audit_query(&mut self, query_class: usize, segment: usize) -> QueryId {
         self.submit(Query { audit: true, ..self.default_query(query_class, &[segment]) })
     }
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Advances the clock and delivers the wakes and the ends of attempts that are due.
+    /// Advances the clock, calls `on_wake` when requested, and delivers the ends of attempts when they are due.
     pub fn run(&mut self, seconds: f64) {
         let end = self.transport.now + seconds;
         loop {
@@ -204,7 +205,7 @@
     cluster
 }
 
-/// Responses of sixty nodes of which every third answers after `delay` seconds and the others after 0.2 s.
+/// Returns the responses of sixty nodes of which every third answers after `delay` seconds and the others after 0.2 s.
 pub fn every_third_slow(delay: f64) -> Vec<Option<(AttemptOutcome, f64)>> {
     (0..60).map(|n| Some((AttemptOutcome::Served, if n % 3 == 0 { delay } else { 0.2 }))).collect()
 }
--- a/crates/dunepond-routing/tests/support/deployment.rs
+++ b/crates/dunepond-routing/tests/support/deployment.rs
@@ -2,22 +2,22 @@
 
 use dunepond_routing::*;
 
-/// Index of the class whose answers are complete with 60 % of the weight and have no value when late.
+/// Index of the class whose answers are complete with 60 % of the weight and have no value after the latency objective.
 pub const QUICK: usize = 0;
-/// Index of the class that needs all parts.
+/// Index of the class whose answers need all parts.
 pub const FULL: usize = 1;
 /// Index of the class whose parts must not run twice.
 pub const NON_IDEMPOTENT: usize = 2;
-/// Index of the class whose parts are idempotent by key within one second.
+/// Index of the class whose parts are idempotent by key: a repeat is safe within an idempotency window of one second.
 pub const KEYED: usize = 3;
-/// Index of the class with a second step.
+/// Index of the class whose queries have a second step: the answer to the first step contains its parts.
 pub const TWO_STEP: usize = 4;
-/// Index of the class that accepts partial answers with half of the weight.
+/// Index of the class for which parts with half of the weight are enough for a partial answer.
 pub const PARTIAL: usize = 5;
 /// Index of the class with a latency objective of 20 s.
 pub const PATIENT: usize = 6;
 
-/// Six nodes; the replicas of each segment are the node of its number and the next two, modulo six.
+/// Returns a deployment of six nodes; the replicas of each segment are the node of its number and the next two, modulo six.
 pub fn deployment() -> Deployment {
     let full = QueryClass {
         latency_objective: 2.0,
--- a/crates/dunepond-routing/tests/support/transport.rs
+++ b/crates/dunepond-routing/tests/support/transport.rs
@@ -45,11 +45,11 @@
     pub log: Vec<String>,
     /// Instants at which the endpoint list was polled.
     pub polled: Vec<f64>,
-    /// Number of wakes that were delivered.
+    /// Number of calls of `on_wake`.
     pub wake_count: usize,
-    /// Outcome of the attempts at each node and the seconds after which they end; a node with `None` is silent.
+    /// Outcome of the attempts at each node, and the seconds after which they end; `None` for a node that never answers.
     pub nodes: Vec<Option<(AttemptOutcome, f64)>>,
-    /// Instants of the requested wakes that have not been delivered.
+    /// Instants of the requested calls of `on_wake` that have not been made.
     pub wakes: Vec<f64>,
     /// Ends of attempts that have not been delivered, with their instants.
     pub due: Vec<(f64, AttemptEnded)>,
--- a/crates/dunepond-routing/tests/warm_restart.rs
+++ b/crates/dunepond-routing/tests/warm_restart.rs
@@ -41,7 +41,7 @@
     assert!(!second.router.learned_state(&second.transport).nodes[0].ejected);
 }
 
-/// After a crash it is not known what the earlier process spent, so the budgets count as spent for the length of a window.
+/// After a crash it is not known what the earlier process spent, so each budget counts as spent for the length of its window.
 #[test]
 fn crash_exhausts_retry_and_slow_start_budgets() {
     let budget = Some(RetryBudget { window: 2.0, min_retries: 9.0, ratio: 0.1 });
