--- a/crates/dunepond-routing/src/learned.rs
+++ b/crates/dunepond-routing/src/learned.rs
@@ -75,9 +75,9 @@
 pub struct SpentBudgets {
     /// Ages of the retries and hedged requests that were sent, in seconds.
     pub retries: Vec<f64>,
-    /// The queries and parts that arrived, against which the retry budget is measured.
+    /// The queries and parts that arrived, from which the retry budget follows.
     pub admissions: Vec<AdmissionRecord>,
-    /// The parts sent to each node during its slow start.
+    /// The parts that were sent to each node during its slow start.
     pub slow_start_sends: Vec<SlowStartRecord>,
 }
 
--- a/crates/dunepond-routing/src/policy/shutdown.rs
+++ b/crates/dunepond-routing/src/policy/shutdown.rs
@@ -92,7 +92,7 @@
 
     /// Returns whether to reject a request that arrives now and whose client waits until the given instant: if
     /// forwarded, it could be outstanding when the process is killed, while its client has time to retry at
-    /// another broker. A client that waits until at most [`SLACK_SECONDS`] after the last answers is served.
+    /// another broker. A client that waits for up to `SLACK_SECONDS` longer than the last answers is served.
     pub fn refuses(&self, now: f64, client_waits_until: f64) -> bool {
         self.is_refusing(now) && client_waits_until > self.last_answers_at() + SLACK_SECONDS
     }
