--- a/crates/dunepond-consensus/src/active_config.rs
+++ b/crates/dunepond-consensus/src/active_config.rs
@@ -1,4 +1,4 @@
-//! What a broker may act on; the broker asks before each action.
+//! The versions, rules and segment owners that a broker may act on; the broker checks them before each action.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,37 +12,38 @@
 /// Retry-After, in seconds, of a broker that has never had a lease.
 const UNLEASED_RETRY_AFTER_SECONDS: f64 = 1.0;
 
-/// Which versions a broker acts on.
+/// The versions that a broker acts on at one moment, by number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ConfigPhase {
     /// No version is known.
     Unconfigured,
-    /// The broker acts on this version alone.
+    /// The broker acts on the version of this number alone.
     Active(u64),
-    /// The broker acts on the stricter of the active and the proposed version, field by field.
+    /// The broker acts on the stricter values of the active and the proposed version, field by field. The first number
+    /// is that of the active version, the second that of the proposed one.
     Joint(u64, u64),
-    /// The broker has no lease: it acts on the strictest of the versions that it knows, and rejects non-idempotent
-    /// parts.
+    /// The broker has no valid lease: it acts on the strictest of the versions that it knows, and rejects non-idempotent
+    /// parts. The value is the number of the last known active version, or 0 if none is known.
     LeaseExpired(u64),
 }
 
 /// Which node may be sent the non-idempotent parts of a segment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SegmentOwner<'a> {
-    /// There is no map, so any replica may be sent them.
+    /// There is no shard map, so every replica may be sent non-idempotent parts.
     AnyReplica,
-    /// Only the node of this name may be sent them.
+    /// Only the node of this name may be sent the segment's non-idempotent parts.
     Node(&'a str),
-    /// No node may be sent them for now; the value is the Retry-After in seconds.
+    /// No node may be sent the segment's non-idempotent parts at present; the value is the Retry-After in seconds.
     Unavailable(f64),
 }
 
-/// What is known of this broker's shares of fleet-wide quotas at one moment.
+/// This broker's shares of fleet-wide quotas, as known at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaView<'a> {
-    /// The allocation that the last grant of this run carried.
+    /// The allocation in the last lease grant since the process started; `None` before the first grant.
     pub allocation: Option<&'a Allocation>,
-    /// Whether a lease covers the moment; without a lease only the floor of each quota is left.
+    /// Whether a lease is valid at that moment; without a lease only the floor of each quota may be used.
     pub lease_valid: bool,
 }
 
@@ -54,16 +55,17 @@
     Proposed,
 }
 
-/// What a broker may act on. It is cheap to clone; a new one is made at each change and for each lease. Every answer is
-/// for the moment that the caller passes in, so that a process that was suspended does not act on an expired lease.
+/// The versions, rules and segment owners that a broker may act on. It is cheap to clone; the lease client makes a new
+/// one at each change and for each lease. Every method takes the present clock reading, so that a process that was
+/// suspended does not act on an expired lease.
 #[derive(Clone, Debug)]
 pub struct ActiveConfig {
     snapshot: Arc<ConfigSnapshot>,
-    /// Clock reading when this was taken from the lease client; an earlier reading means that the clock went back.
+    /// Clock reading when the lease client returned this value. An earlier reading means that the clock went back.
     taken_at: f64,
 }
 
-/// The state of a lease client from which [`ActiveConfig`]s are made.
+/// The part of a lease client's state that an [`ActiveConfig`] contains.
 #[derive(Clone, Debug)]
 pub(crate) struct ConfigSnapshot {
     pub active: Option<Arc<ConfigVersion>>,
@@ -72,13 +74,13 @@
     pub proposed_proof: Option<VerifiedMap>,
     pub transition: Option<MapTransition>,
     pub side: RolloutSide,
-    /// The lease covers times on the broker's own clock from `lease_from`, when its request was sent, until just before
-    /// `lease_until`.
+    /// Start of the lease on the broker's own clock, when its request was sent.
     pub lease_from: f64,
+    /// End of the lease on the broker's own clock, exclusive.
     pub lease_until: f64,
     /// Whether versions may have a map.
     pub maps_enabled: bool,
-    /// Whether a lease was granted in this run.
+    /// Whether a lease was granted since the process started.
     pub had_lease: bool,
     pub allocation: Option<Allocation>,
     pub retry_after_seconds: f64,
@@ -142,14 +144,13 @@
         Self { snapshot: self.snapshot.clone(), taken_at }
     }
 
-    /// Whether a lease covers `now`. All other answers are the same at any two moments for which this answer is the
-    /// same.
-    // A reading before `taken_at` means that the clock went back, so it does not show whether the lease has ended. This
-    // also protects the first action after a suspension, before the lease client has read the clock.
+    /// Whether the lease is valid at `now`. The results of the other methods depend on `now` only through this one.
+    // A reading before `taken_at` means that the clock went back, so it cannot show whether the lease has ended. This
+    // also covers the first action after a suspension, before the lease client has read the clock.
     pub fn lease_valid(&self, now: f64) -> bool {
         let snapshot = &self.snapshot;
-        let covers_now = snapshot.lease_from <= now && now < snapshot.lease_until;
-        snapshot.had_lease && covers_now && self.taken_at <= now
+        let is_within_lease = snapshot.lease_from <= now && now < snapshot.lease_until;
+        snapshot.had_lease && is_within_lease && self.taken_at <= now
     }
 
     /// When the request for the lease was sent, in seconds on the broker's own clock.
@@ -157,7 +158,7 @@
         self.snapshot.lease_from
     }
 
-    /// When the lease ends, in seconds on the broker's own clock; a time in the past if there was no lease.
+    /// When the lease ends, in seconds on the broker's own clock; negative infinity if there was no lease.
     pub fn lease_expires_at(&self) -> f64 {
         self.snapshot.lease_until
     }
@@ -191,13 +192,13 @@
         QuotaView { allocation: self.snapshot.allocation.as_ref(), lease_valid: self.lease_valid(now) }
     }
 
-    /// Which node may be sent the non-idempotent parts of `segment` at `now`.
+    /// The node to which the non-idempotent parts of `segment` may be sent at `now`.
     pub fn owner(&self, segment: u64, now: f64) -> SegmentOwner<'_> {
         let snapshot = &self.snapshot;
         let unavailable = SegmentOwner::Unavailable(snapshot.retry_after_seconds);
         let (active, proposed) = (snapshot.active_proof.as_ref(), snapshot.proposed_proof.as_ref());
         if !self.lease_valid(now) {
-            // Another node may have become the owner, or the first map active, without this broker's knowledge.
+            // Without a lease this broker may have missed a change of the owner, or the first map.
             let maps_impossible = snapshot.had_lease && !snapshot.maps_enabled;
             let has_no_map = active.is_none() && proposed.is_none();
             return if maps_impossible && has_no_map { SegmentOwner::AnyReplica } else { unavailable };
@@ -206,12 +207,12 @@
             (RolloutSide::Active, None, _) | (_, None, None) => return SegmentOwner::AnyReplica,
             (RolloutSide::Active, Some(active), _) => owner_of(active, segment),
             (RolloutSide::Proposed, _, Some(proposed)) => owner_of(proposed, segment),
-            // Where only one version has a map, its owner is allowed under both.
+            // A version without a map allows any owner, so the owner of the other version's map satisfies both.
             (RolloutSide::Joint, None, Some(map)) => owner_of(map, segment),
             (RolloutSide::Joint | RolloutSide::Proposed, Some(map), None) => owner_of(map, segment),
             (RolloutSide::Joint, Some(active), Some(proposed)) => match &snapshot.transition {
                 Some(transition) => transition.owner_of_segment(segment, TransitionPhase::Joint),
-                // Both versions have the same map.
+                // Without a transition both versions have the same map.
                 None => {
                     let owner = owner_of(active, segment);
                     owner.filter(|owner| owner_of(proposed, segment) == Some(*owner))
@@ -221,13 +222,13 @@
         owner.map_or(unavailable, SegmentOwner::Node)
     }
 
-    /// Whether any known version excludes the node, so that no new attempt may go there.
+    /// Whether the active or the proposed version excludes the node, so that no new attempt may be sent to it.
     pub fn is_excluded(&self, node: &str) -> bool {
         self.snapshot.excluded_nodes.contains(node)
     }
 
-    /// The map under which the parts of a query have to cover its keys. This is the active version's map until the
-    /// broker acts on the proposed version alone; `None` if there is no map.
+    /// The shard map that a query's parts have to cover at `now`: the active version's map until the broker acts on the
+    /// proposed version alone. `None` if no known version has a map.
     pub fn map(&self, now: f64) -> Option<&VerifiedMap> {
         let snapshot = &self.snapshot;
         if snapshot.side == RolloutSide::Proposed && self.lease_valid(now) {
@@ -246,12 +247,12 @@
         self.snapshot.proposed.as_ref().map(|version| version.number)
     }
 
-    /// The active and the proposed version, each if there is one.
+    /// The active and the proposed version, as far as they exist.
     pub fn versions(&self) -> (Option<&ConfigVersion>, Option<&ConfigVersion>) {
         (self.snapshot.active.as_deref(), self.snapshot.proposed.as_deref())
     }
 
-    /// The transition from the active map to the proposed one: what has to be filled first, and from which nodes.
+    /// The transition from the active map to the proposed one, with the fills that it requires and their source nodes.
     pub fn map_transition(&self) -> Option<&MapTransition> {
         self.snapshot.transition.as_ref()
     }
--- a/crates/dunepond-consensus/src/codec.rs
+++ b/crates/dunepond-consensus/src/codec.rs
@@ -1,36 +1,36 @@
-//! Encoding of documents that outlive one build: log entries, snapshots, persisted state, messages between brokers. Each
-//! is a mark followed by a CBOR map of named parts, so that a later build can add parts.
+//! Encoding of documents that other builds may read: log entries, snapshots, persisted state, messages between brokers.
+//! Each is the self-described CBOR tag followed by a CBOR map with named fields, so that a later build can add fields.
 
 use std::fmt;
 
 use serde::de::{DeserializeOwned, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The tag "this is CBOR"; no document of format 1 begins with it.
-const MARK: [u8; 3] = [0xd9, 0xd9, 0xf7];
+/// The self-described CBOR tag (55799). No document of format 1 begins with these bytes.
+const CBOR_TAG: [u8; 3] = [0xd9, 0xd9, 0xf7];
 
 pub(crate) fn encode<T: Serialize>(document: &T) -> Vec<u8> {
-    let mut bytes = MARK.to_vec();
-    ciborium::into_writer(document, &mut bytes).expect("plain data");
+    let mut bytes = CBOR_TAG.to_vec();
+    ciborium::into_writer(document, &mut bytes).expect("writing to memory does not fail");
     bytes
 }
 
-/// `None`: the document is of another format or malformed.
+/// Decodes a document; `None` if it has another format or is malformed.
 pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    ciborium::from_reader(bytes.strip_prefix(&MARK)?).ok()
+    ciborium::from_reader(bytes.strip_prefix(&CBOR_TAG)?).ok()
 }
 
-/// As [`decode`], and the document has no part that this build does not know. Without this check an entry would be applied
-/// with some of its parts dropped.
+/// Decodes a document like [`decode`]; also returns `None` if it has a field that this build does not know. Without this
+/// check an entry would be applied without that field.
 pub(crate) fn decode_fully_known<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     decode(bytes).filter(|document| encode(document) == bytes)
 }
 
 pub(crate) fn is_format1(bytes: &[u8]) -> bool {
-    !bytes.starts_with(&MARK)
+    !bytes.starts_with(&CBOR_TAG)
 }
 
-/// A CBOR byte string; `Vec<u8>` would become a list of numbers.
+/// A CBOR byte string. Serde would encode a plain `Vec<u8>` as an array of numbers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Blob(pub Vec<u8>);
 
--- a/crates/dunepond-consensus/src/command.rs
+++ b/crates/dunepond-consensus/src/command.rs
@@ -1,24 +1,25 @@
-//! Commands that hosts propose to the log. The serialised names are those of the log's format.
+//! Commands that hosts propose to the log. The serialized names are part of the log's format.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{ConfigVersion, VoterChange};
 
 /// A command to the replicated state machine.
-// Only one is in memory at a time, and the log holds it encoded, so the size of the largest variant does not matter.
+// Only one command is in memory at a time, and the log stores it encoded, so the size of the largest variant does not
+// matter.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Opens the joint step from the active version to this one.
+    /// Proposes a version. Once it is committed, brokers act on the joint configuration of the active version and it.
     Propose(Box<ConfigVersion>),
-    /// Reports that a replica that the proposed map requires has been filled.
+    /// Reports that a fill that the proposed map requires is complete.
     #[serde(rename = "Filled")]
     FillCompleted {
         /// Number of the proposed version.
         number: u64,
-        /// Id of the segment.
+        /// Id of the segment that was filled.
         segment: u64,
-        /// Name of the node.
+        /// Name of the node that holds the filled replica.
         holder: String,
     },
     /// Makes the proposed version the only active one.
@@ -31,19 +32,19 @@
     Withdraw {
         /// Number of the proposed version.
         number: u64,
-        /// The reason, shown to people.
+        /// Reason for the withdrawal; only shown to people.
         why: String,
     },
-    /// Changes the accounts between partners: allotments, settlements, and fills that start.
+    /// Changes the transfer accounts between partners: an allotment, a settlement, or the start of a fill.
     #[serde(rename = "Debt")]
     Settlement(dunepond_settlement::SettlementEntry),
     /// Changes shares of fleet-wide quotas.
     #[serde(rename = "Limit")]
     Quota(dunepond_quota::QuotaEntry),
-    /// Changes a rebalancing plan, whose steps are versions.
+    /// Changes a rebalancing plan, whose steps are carried out as versions.
     #[serde(rename = "Move")]
     Rebalance(dunepond_rebalance::CommittedEntry),
-    /// Replaces the list of voters.
+    /// Proposes a new list of voters.
     #[serde(rename = "Vote")]
     ChangeVoters(Box<VoterChange>),
 }
--- a/crates/dunepond-consensus/src/config_version.rs
+++ b/crates/dunepond-consensus/src/config_version.rs
@@ -1,5 +1,5 @@
-//! A version of the fleet's configuration and its two encodings: JSON with field names for people, and a packed form
-//! for programs.
+//! A version of the fleet's configuration and its two encodings: JSON with field names for people, and a packed binary
+//! form for replication and storage.
 
 use dunepond_shard_map::ShardMap;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -7,14 +7,14 @@
 use crate::codec::Blob;
 use crate::{Rejection, RoutingRules};
 
-/// Keys of [`Extension`]s that this build implements; there are none so far.
+/// Keys of [`Extension`]s that this build implements; none exist yet.
 const KNOWN_KEYS: &[&str] = &[];
 
 pub(crate) fn known_keys() -> Vec<String> {
     KNOWN_KEYS.iter().map(ToString::to_string).collect()
 }
 
-/// Nodes that every broker has to exclude, whatever the broker's own endpoint list says.
+/// Nodes to which no broker may send new attempts, regardless of its own endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ExcludedNodes {
     /// Names of nodes that are draining.
@@ -31,11 +31,11 @@
     }
 }
 
-/// One key of a version beyond the fields of format 1, as JSON text. Fields are only ever added this way, so that a
-/// version's bytes and digest are the same in every build.
+/// A key of a version that format 1 does not have, with its value as JSON text. New keys are only added as extensions, so
+/// that a version's bytes and digest are the same in every build.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Extension {
-    /// Path of the key, with the keys above it, such as `rules.least_brokers`.
+    /// Path of the key, including its parent keys, such as `rules.least_brokers`.
     pub key: String,
     /// The value as JSON text.
     pub json: String,
@@ -43,26 +43,25 @@
     pub required: bool,
 }
 
-/// The whole configuration on which brokers agree. Fields of later builds are added as `extensions`, never beside the
-/// other fields.
+/// A complete version of the configuration on which brokers agree. Later builds add keys as `extensions`, never as
+/// further fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(remote = "Self")]
 pub struct ConfigVersion {
     /// Number of the version: one more than the highest number ever proposed, including withdrawn versions.
     pub number: u64,
-    /// Number of the active version that this one was made from, 0 if there was none; `None` accepts whichever version
-    /// is active.
+    /// Number of the active version on which this one is based, 0 if there was none; `None` accepts any active version.
     #[serde(default)]
     #[serde(rename = "follows")]
     pub based_on: Option<u64>,
-    /// Ratio of the brokers that act on the version first, while the others stay joint until it is activated or
-    /// withdrawn.
+    /// Ratio of the brokers that act on the version alone in a first stage, while the others act on the joint
+    /// configuration until the version is activated or withdrawn; `None` if there is no first stage.
     #[serde(default)]
     #[serde(rename = "stage")]
     pub first_stage_ratio: Option<f64>,
     /// Rules by which queries are routed.
     pub rules: RoutingRules,
-    /// Nodes that no broker may use.
+    /// Nodes to which no broker may send new attempts.
     #[serde(rename = "standings")]
     pub excluded_nodes: ExcludedNodes,
     /// Owners and replicas of segments; `None` if the version has no shard map.
@@ -76,12 +75,12 @@
     /// When the version was proposed, in Unix seconds; only shown to people.
     #[serde(rename = "at")]
     pub proposed_at_unix_seconds: f64,
-    /// Keys that format 1 does not have.
+    /// Keys that format 1 does not have. Only the packed encoding contains them.
     #[serde(skip)]
     pub extensions: Vec<Extension>,
 }
 
-/// The fields of format 1, in its order.
+/// Serializes the fields of format 1, in the order of that format.
 struct Format1Fields<'a>(&'a ConfigVersion);
 
 impl Serialize for Format1Fields<'_> {
@@ -90,6 +89,7 @@
     }
 }
 
+/// Deserializes what [`Format1Fields`] serializes.
 struct OwnedFormat1Fields(ConfigVersion);
 
 impl<'de> Deserialize<'de> for OwnedFormat1Fields {
@@ -99,16 +99,16 @@
 }
 
 impl ConfigVersion {
-    /// The encoding that is replicated; its bytes are the same in every build.
+    /// Encodes the version for replication; the bytes are the same in every build.
     pub fn packed(&self) -> Vec<u8> {
-        let fields = postcard::to_stdvec(&Format1Fields(self)).expect("a version is plain data");
+        let fields = postcard::to_stdvec(&Format1Fields(self)).expect("a version can always be serialized");
         if self.extensions.is_empty() {
             return fields;
         }
-        postcard::to_extend(&self.extensions, fields).expect("a version is plain data")
+        postcard::to_extend(&self.extensions, fields).expect("a version can always be serialized")
     }
 
-    /// Reverses [`ConfigVersion::packed`]; `None` if the bytes are malformed.
+    /// Decodes the bytes of [`ConfigVersion::packed`]; `None` if they are malformed.
     pub fn unpacked(bytes: &[u8]) -> Option<Self> {
         let (OwnedFormat1Fields(mut version), rest) = postcard::take_from_bytes(bytes).ok()?;
         if !rest.is_empty() {
@@ -117,7 +117,7 @@
         Some(version)
     }
 
-    /// Hash of the packed version, in hexadecimal.
+    /// BLAKE3 hash of the packed version, truncated to 32 hexadecimal digits.
     pub fn digest(&self) -> String {
         blake3::hash(&self.packed()).to_hex()[..32].to_string()
     }
@@ -156,6 +156,7 @@
             return ConfigVersion::deserialize(deserializer);
         }
         let Blob(bytes) = Blob::deserialize(deserializer)?;
-        ConfigVersion::unpacked(&bytes).ok_or_else(|| serde::de::Error::custom("a malformed version"))
+        ConfigVersion::unpacked(&bytes)
+            .ok_or_else(|| serde::de::Error::custom("malformed packed configuration version"))
     }
 }
--- a/crates/dunepond-consensus/src/consensus_config.rs
+++ b/crates/dunepond-consensus/src/consensus_config.rs
@@ -3,15 +3,15 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Longest time in seconds from the check of an action to the action itself: what one iteration of the event loop may
-/// take from reading the clock to writing the frame. It is part of the quiescence period.
+/// Longest time in seconds from the check of an action to the action itself: one iteration of the event loop, from
+/// reading the clock to writing the frame. It is part of the quiescence period.
 pub const MAX_ACTION_DELAY_SECONDS: f64 = 0.1;
 
 const MIN_LEASE_SECONDS: f64 = 0.2;
 const MAX_LEASE_SECONDS: f64 = 60.0;
 const MAX_DRIFT_RATIO: f64 = 0.2;
 
-/// Parameters on which all voters have to agree.
+/// Parameters of the consensus. All voters have to agree on them, except for the broker's own name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConsensusConfig {
     /// This broker's name.
@@ -21,20 +21,20 @@
     /// Duration of a lease in seconds, counted from when the request was sent.
     #[serde(rename = "lease")]
     pub lease_seconds: f64,
-    /// Largest relative drift of any broker's monotonic clock; 0.01 is 1%.
+    /// Largest relative drift of any broker's monotonic clock, as a ratio; 0.01 is 1%.
     #[serde(rename = "drift")]
     pub drift_ratio: f64,
-    /// The switch bound T in seconds: from then on after a change was committed no broker acts on the previous version
-    /// alone.
+    /// The switch bound T, in seconds: once this time has passed since a change was committed, no broker acts on the
+    /// previous version alone.
     #[serde(rename = "bound")]
     pub switch_bound_seconds: f64,
     /// Longest timeout of a query, in seconds.
     #[serde(rename = "longest_timeout")]
     pub longest_query_seconds: f64,
-    /// Seconds after which a change is withdrawn if its fills are not complete.
+    /// Time in seconds after which a proposed version is withdrawn if its required fills are not complete.
     #[serde(rename = "fills_deadline")]
     pub fill_deadline_seconds: f64,
-    /// Largest ratio of the segments that one change may touch.
+    /// Largest share of the segments that one version may change, as a ratio.
     #[serde(rename = "most_changed")]
     pub max_changed_ratio: f64,
     /// Whether versions may have a shard map. If so, non-idempotent parts are rejected without a lease even if no map
@@ -53,66 +53,72 @@
     #[error("the broker has no name")]
     NoName,
     /// The list of voters is empty.
-    #[error("no voter is named")]
+    #[error("the list of voters is empty")]
     NoVoters,
     /// A voter is listed twice.
-    #[error("voter `{0}` is named twice")]
+    #[error("voter `{0}` is listed twice")]
     DuplicateVoter(String),
     /// The lease is out of range.
-    #[error("lease {lease} s is not between {least} and {most}")]
+    #[error("`lease` is {lease} s, expected {min} to {max} s")]
     Lease {
         /// The configured lease, in seconds.
         lease: f64,
-        /// Lower limit, in seconds.
-        least: f64,
-        /// Upper limit, in seconds.
-        most: f64,
+        /// Shortest valid lease, in seconds.
+        min: f64,
+        /// Longest valid lease, in seconds.
+        max: f64,
     },
     /// The drift is out of range.
-    #[error("drift {drift} is not between 0 and {most}")]
+    #[error("`drift` is {drift}, expected a ratio from 0 to {max}")]
     Drift {
         /// The configured drift, as a ratio.
         drift: f64,
-        /// Upper limit, as a ratio.
-        most: f64,
+        /// Largest valid drift, as a ratio.
+        max: f64,
     },
     /// The longest query timeout is not positive and finite.
-    #[error("longest query timeout {0} s is not above 0 and finite")]
+    #[error("the longest query timeout is {0} s, expected a finite number above 0")]
     LongestTimeout(f64),
     /// The fill deadline is not positive and finite.
-    #[error("fills deadline {0} s is not above 0 and finite")]
+    #[error("`fills deadline` is {0} s, expected a finite number above 0")]
     FillsDeadline(f64),
-    /// The ratio of changed segments is out of range.
-    #[error("ratio of segments that may change at once is {0}, not above 0 and up to 1")]
+    /// The largest ratio of segments that one version may change is out of range.
+    #[error("`map most-changed` is {0}, expected a ratio above 0 and at most 1")]
     MostChanged(f64),
     /// The switch bound is shorter than the quiescence period.
     #[error(
-        "bound {bound} s is under the {wait:.3} s that lease, drift and longest query timeout require: \
-         raise bound to {wait:.3} at least, or lower lease to {lease:.3}"
+        "`bound` is {bound} s, but lease, drift and longest query timeout require at least {wait:.3} s: \
+         raise bound to {wait:.3} s, or lower lease to {lease:.3} s"
     )]
     Bound {
         /// The configured switch bound, in seconds.
         bound: f64,
-        /// The quiescence period, in seconds.
+        /// The quiescence period, which is the shortest valid bound, in seconds.
         wait: f64,
-        /// The longest lease that the bound allows, in seconds.
+        /// The longest lease that the configured bound allows, in seconds.
         lease: f64,
     },
 }
 
 impl ConsensusConfigError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::NoName => "give the broker a name of its own in GW_NAME",
-            Self::NoVoters => "name three or five brokers as `voter` in `fleet`, the same in each file",
-            Self::DuplicateVoter(_) => "name each voter once",
-            Self::Lease { .. } => "set `lease` to some seconds: several round trips between voters, at least",
+            Self::NoName => "set GW_NAME to a name that no other broker has",
+            Self::NoVoters => {
+                "list three or five brokers as `voter` in `fleet`, the same ones in each broker's file"
+            }
+            Self::DuplicateVoter(_) => "list each voter once",
+            Self::Lease { .. } => {
+                "set `lease` to a few seconds, and at least to several round trips between voters"
+            }
             Self::Drift { .. } => {
-                "set `drift` to what the machines' clocks keep; 0.01 is ample where they are disciplined"
+                "set `drift` to the largest drift of the machines' clocks; 0.01 is enough for synchronized clocks"
+            }
+            Self::LongestTimeout(_) => "set the query timeout in the settings to a few seconds",
+            Self::FillsDeadline(_) => {
+                "set `fills deadline` to the time in seconds that the largest fill may take"
             }
-            Self::LongestTimeout(_) => "set the settings' query timeout to some seconds",
-            Self::FillsDeadline(_) => "set `fills deadline` to the seconds that the largest fill may take",
             Self::MostChanged(_) => "set `map most-changed` to a ratio such as 0.2",
             Self::Bound { .. } => "raise `bound`, or lower `lease` or the longest query timeout",
         }
@@ -126,7 +132,8 @@
         self.quiescence_seconds_for(self.lease_seconds)
     }
 
-    /// The quiescence period for another lease duration.
+    /// The quiescence period for a lease of `lease_seconds`, in seconds on the leader's own clock; see
+    /// [`Self::quiescence_seconds`].
     pub fn quiescence_seconds_for(&self, lease_seconds: f64) -> f64 {
         self.with_drift(lease_seconds + self.longest_query_seconds + MAX_ACTION_DELAY_SECONDS)
     }
@@ -136,6 +143,8 @@
         seconds * (1.0 + self.drift_ratio) / (1.0 - self.drift_ratio)
     }
 
+    /// Checks that all parameters are valid.
+    ///
     /// # Errors
     /// The first parameter that is invalid.
     pub fn check(&self) -> Result<(), ConsensusConfigError> {
@@ -152,12 +161,12 @@
         if !(MIN_LEASE_SECONDS..=MAX_LEASE_SECONDS).contains(&self.lease_seconds) {
             return Err(ConsensusConfigError::Lease {
                 lease: self.lease_seconds,
-                least: MIN_LEASE_SECONDS,
-                most: MAX_LEASE_SECONDS,
+                min: MIN_LEASE_SECONDS,
+                max: MAX_LEASE_SECONDS,
             });
         }
         if !(0.0..=MAX_DRIFT_RATIO).contains(&self.drift_ratio) {
-            return Err(ConsensusConfigError::Drift { drift: self.drift_ratio, most: MAX_DRIFT_RATIO });
+            return Err(ConsensusConfigError::Drift { drift: self.drift_ratio, max: MAX_DRIFT_RATIO });
         }
         if !is_positive(self.longest_query_seconds) {
             return Err(ConsensusConfigError::LongestTimeout(self.longest_query_seconds));
--- a/crates/dunepond-consensus/src/decode.rs
+++ b/crates/dunepond-consensus/src/decode.rs
@@ -1,9 +1,9 @@
-//! Decoding of the document formats that a folder or a message may hold: the present format and format 1.
+//! Decoding of documents from folders and messages, in the present format or in format 1.
 
 use crate::log_entry::LogEntry;
 use crate::{Command, ConsensusError, PersistedState, Rejection, ReplicatedState, codec, format1};
 
-/// Decodes an entry of the log. An entry with anything that this build does not know is rejected.
+/// Decodes an entry of the log. An entry with a variant, field or required key that this build does not know is rejected.
 pub(crate) fn log_entry(bytes: &[u8], known_keys: &[String]) -> Result<LogEntry, Rejection> {
     let entry =
         if codec::is_format1(bytes) { format1::log_entry(bytes) } else { codec::decode_fully_known(bytes) };
@@ -14,7 +14,8 @@
     Ok(entry)
 }
 
-/// Decodes the state of a snapshot and derives its map proofs again; `None` if the proof fails.
+/// Decodes the state of a snapshot and verifies its maps again; `None` if the bytes are malformed, the state has a
+/// required part that this build does not know, or a map is invalid.
 pub(crate) fn replicated_state(bytes: &[u8]) -> Option<ReplicatedState> {
     let state =
         if codec::is_format1(bytes) { format1::replicated_state(bytes) } else { codec::decode(bytes) };
@@ -22,7 +23,7 @@
 }
 
 impl PersistedState {
-    /// Reverses [`PersistedState::encode`], and also reads format 1.
+    /// Decodes the bytes of [`PersistedState::encode`], or a document of format 1.
     ///
     /// # Errors
     /// The document is malformed.
--- a/crates/dunepond-consensus/src/error.rs
+++ b/crates/dunepond-consensus/src/error.rs
@@ -1,29 +1,29 @@
-//! Errors that stop a voter, and reasons for which it does not accept a message.
+//! Errors that keep a voter from starting, and reasons for which it rejects a message.
 
 use crate::{ConsensusConfigError, RecoveryError};
 
-/// A folder that a voter cannot start from, or a message that it does not accept.
+/// Why a voter cannot start from its folder and configuration, or rejects a message.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ConsensusError {
-    /// The operator's file is invalid.
-    #[error("configuration: {0}")]
+    /// The consensus configuration is invalid.
+    #[error("invalid configuration: {0}")]
     Config(#[from] ConsensusConfigError),
     /// The broker, or the sender of a message, is not a voter.
-    #[error("`{0}` is none of the voters of the file")]
+    #[error("`{0}` is not a voter")]
     NotAVoter(String),
     /// The folder belongs to another broker.
-    #[error("the folder is of broker `{owner}`, this is `{name}`")]
+    #[error("the folder belongs to broker `{owner}`, and this broker is `{name}`")]
     ForeignFolder {
         /// Name of the broker that owns the folder.
         owner: String,
         /// Name of this broker.
         name: String,
     },
-    /// The operator's order does not fit the folder.
-    #[error("the operator's order on a lost majority: {0}")]
+    /// The operator's order to recover from a lost majority is invalid, or not valid for the folder.
+    #[error("the recovery order is rejected: {0}")]
     Recovery(#[from] RecoveryError),
-    /// A message from before the fleet was recovered.
-    #[error("a message of `{from}` is of epoch {stated} of the fleet, this is {known}")]
+    /// A message has an epoch from before the fleet was recovered.
+    #[error("the message from `{from}` has epoch {stated}, and the fleet is in epoch {known}")]
     StaleEpoch {
         /// Name of the sender.
         from: String,
@@ -32,24 +32,26 @@
         /// Epoch that this voter knows.
         known: u64,
     },
-    /// A message is from a fleet that was founded separately.
-    #[error("a message of `{from}` is of another fleet")]
+    /// A message is from a voter of a fleet that was founded separately.
+    #[error("the message from `{from}` belongs to another fleet")]
     OtherFleet {
         /// Name of the sender.
         from: String,
     },
     /// A stored record is malformed.
-    #[error("a record of the folder cannot be decoded: {0}")]
+    #[error("cannot decode {0} in the folder")]
     CorruptRecord(&'static str),
-    /// The stored log is not usable.
-    #[error("the folder's log has {0}")]
+    /// The stored log lacks entries.
+    #[error("the log in the folder has {0}")]
     CorruptLog(&'static str),
     /// A message is malformed.
-    #[error("a message of `{0}` cannot be decoded")]
+    #[error("cannot decode the message from `{0}`")]
     MalformedMessage(String),
     /// A message has a protocol version that this build does not implement.
-    #[error("a message of `{from}` has protocol version {version}, this broker speaks {supported}")]
-    NewerProtocol {
+    #[error(
+        "the message from `{from}` has protocol version {version}, and this broker supports version {supported}"
+    )]
+    UnsupportedProtocol {
         /// Name of the sender.
         from: String,
         /// Protocol version of the message.
@@ -57,36 +59,41 @@
         /// Protocol version of this build.
         supported: u8,
     },
-    /// A message names a sender that is not the peer at the other end of its link.
-    #[error("a message that came from `{from}` says that it is from `{stated}`")]
+    /// A message states a sender that is not the peer at the other end of its connection.
+    #[error("the message that arrived from `{from}` states `{stated}` as its sender")]
     SenderMismatch {
-        /// Name of the peer by the link.
+        /// Name of the peer at the other end of the connection.
         from: String,
-        /// Name of the sender by the message.
+        /// Name of the sender that the message states.
         stated: String,
     },
 }
 
 impl ConsensusError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn help(&self) -> &'static str {
         match self {
             Self::Config(error) => error.help(),
-            Self::NotAVoter(_) => "name it as `voter` in the file, or fix its name",
-            Self::ForeignFolder { .. } => "give each broker a folder of its own",
+            Self::NotAVoter(_) => "list it as `voter` in the configuration file, or correct its name",
+            Self::ForeignFolder { .. } => "give each broker its own folder",
             Self::Recovery(error) => error.help(),
             Self::StaleEpoch { .. } => {
-                "nothing to do: the fleet was recovered without it, and it is notified; do not make it a voter again unasked"
+                "nothing to do: the fleet was recovered without the sender, and the sender is notified; do not make it a \
+                 voter again unless you decide to"
             }
             Self::OtherFleet { .. } => {
-                "two fleets were founded that know each other: stop the brokers of one, and empty their folders"
+                "two fleets were founded whose brokers reach each other: stop the brokers of one fleet and empty their folders"
             }
             Self::CorruptRecord(_) | Self::CorruptLog(_) => {
-                "move the folder away and restart: the voter starts empty and is brought up by the others"
+                "move the folder away and restart: the voter starts with an empty folder and copies the state from the others"
+            }
+            Self::MalformedMessage(_) => {
+                "check the network between the brokers, and that all of them run the same build"
+            }
+            Self::UnsupportedProtocol { .. } => "upgrade the broker that runs the older build",
+            Self::SenderMismatch { .. } => {
+                "give each broker a unique name, and check the network between the brokers"
             }
-            Self::MalformedMessage(_) => "see what is between the brokers, and that they are of one build",
-            Self::NewerProtocol { .. } => "upgrade this broker to the newer build",
-            Self::SenderMismatch { .. } => "give each broker a name of its own; see what is between them",
         }
     }
 }
--- a/crates/dunepond-consensus/src/format1.rs
+++ b/crates/dunepond-consensus/src/format1.rs
@@ -1,4 +1,4 @@
-//! Documents of format 1, which folders of the first fleets hold. They are read and never written. The format is
+//! Documents of format 1, which folders of the first fleets contain. They are read but never written. The format is
 //! postcard, in which the order of fields and variants is significant.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -14,7 +14,7 @@
     RolloutStep, VoterSlot,
 };
 
-/// A version with its fields in place, where later formats hold it packed.
+/// A version whose fields are encoded inline; later formats embed the packed version as a byte string.
 struct Version1(ConfigVersion);
 
 impl<'de> Deserialize<'de> for Version1 {
@@ -85,7 +85,7 @@
     completed_fills: Vec<(u64, String)>,
 }
 
-/// Decodes a document; `None` if it is malformed or does not end with the last byte.
+/// Decodes a document; `None` if it is malformed or followed by further bytes.
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     let (document, rest) = postcard::take_from_bytes(bytes).ok()?;
     rest.is_empty().then_some(document)
@@ -118,8 +118,8 @@
     }
 }
 
-/// Decodes the state of a snapshot. The voters are those of its configuration, since format 1 had no other list. A
-/// settlement whose id does not name its fill cannot be counted again and is left out.
+/// Decodes the state of a snapshot. The voters are taken from its configuration, since format 1 had no other list. A
+/// settlement that the ledger does not accept, because its id does not identify its fill, is left out.
 pub(crate) fn replicated_state(bytes: &[u8]) -> Option<ReplicatedState> {
     let old: ReplicatedState1 = decode(bytes)?;
     let mut state = ReplicatedState::new(old.config, old.voter_slots);
--- a/crates/dunepond-consensus/src/lease_client/clock_guard.rs
+++ b/crates/dunepond-consensus/src/lease_client/clock_guard.rs
@@ -1,11 +1,12 @@
-//! Detects clocks that break the configured drift. Leases are only safe while every clock keeps to it.
+//! Detects clocks that exceed the configured drift. Leases are only safe while no clock does.
 
 use crate::{ConsensusConfig, LeaseGrant, Rejection};
 
-/// Number of leases between the two grants of one leader by which clocks are compared.
-const SAMPLE_LEASES: f64 = 3.0;
+/// Age of the reference sample, in leases, from which a newer sample replaces it.
+const MAX_REFERENCE_AGE_LEASES: f64 = 3.0;
 
-/// When a grant's request was sent by this broker's clock, and received by the leader's clock.
+/// The times at which this broker sent the request for a grant, by its own clock, and the leader received it, by the
+/// leader's clock.
 #[derive(Clone)]
 pub(super) struct ClockSample {
     leader: String,
@@ -24,29 +25,33 @@
         }
     }
 
-    /// Whether both samples are from the same start of the same leader, so that one clock measured both.
+    /// Whether both samples are from the same run of the same leader, whose clock measured both.
     fn same_clock(&self, other: &Self) -> bool {
         self.leader == other.leader && self.leader_run == other.leader_run
     }
 }
 
+/// A leader's run whose leases are not accepted because of its clock.
 struct LeaderDistrust {
     sample: ClockSample,
     reason: Rejection,
 }
 
+/// Checks this broker's clock for readings that go back, and for drift against the leader's clock.
 pub(super) struct ClockGuard {
+    /// The latest reading of this broker's clock.
     last: f64,
-    earlier: Option<ClockSample>,
-    /// Why no lease of any leader is accepted in this run.
+    /// An earlier grant, against which the next ones are compared.
+    reference: Option<ClockSample>,
+    /// Why no lease of any leader is accepted until the process is restarted.
     own_distrust: Option<Rejection>,
-    /// Why leases of one leader's run are not accepted.
+    /// The leader's run whose leases are not accepted, and why.
     leader_distrust: Option<LeaderDistrust>,
 }
 
 impl ClockGuard {
     pub fn new(now: f64) -> Self {
-        Self { last: now, earlier: None, own_distrust: None, leader_distrust: None }
+        Self { last: now, reference: None, own_distrust: None, leader_distrust: None }
     }
 
     /// The latest clock reading.
@@ -54,8 +59,8 @@
         self.last
     }
 
-    /// Records a reading, and returns whether the clock went back for the first time. That ends all trust in it for
-    /// this run.
+    /// Records a clock reading. Returns `true` when the clock has gone back for the first time; from then on no lease is
+    /// accepted until the process is restarted.
     pub fn observe(&mut self, now: f64) -> bool {
         let went_back = now < self.last && self.own_distrust.is_none();
         if went_back {
@@ -65,22 +70,25 @@
         went_back
     }
 
+    /// Why leases are not accepted: those of all leaders, or those of one leader's run.
     pub fn distrust_reason(&self) -> Option<&Rejection> {
         self.own_distrust.as_ref().or(self.leader_distrust.as_ref().map(|distrust| &distrust.reason))
     }
 
+    /// Returns an error if this broker's own clock has gone back.
     pub fn check_trusted(&self) -> Result<(), Rejection> {
         self.own_distrust.clone().map_or(Ok(()), Err)
     }
 
+    /// Whether leases of the leader's run that granted this sample are accepted.
     pub fn trusts(&self, sample: &ClockSample) -> bool {
         !self.leader_distrust.as_ref().is_some_and(|distrust| distrust.sample.same_clock(sample))
     }
 
-    /// Compares the clocks by two grants of one leader, which bound how far they are apart. Only the dangerous
-    /// direction is rejected: this clock is slow (leases last too long) or the leader's is fast (its wait is too
-    /// short). It is not possible to tell here which of the two is wrong, so another leader is trusted until it
-    /// differs, too.
+    /// Compares the rates of this broker's clock and the leader's by two grants of the same run of a leader. Only the
+    /// unsafe direction is rejected: this clock is slow, so that leases last too long, or the leader's is fast, so that
+    /// its waits are too short. The comparison cannot tell which of the two clocks is wrong, so another leader is trusted
+    /// until its clock differs, too.
     pub fn compare(
         &mut self,
         now: f64,
@@ -91,21 +99,22 @@
             Some(distrust) if distrust.sample.same_clock(&sample) => return Err(distrust.reason.clone()),
             _ => self.leader_distrust = None,
         }
-        let Some(earlier) = self.earlier.as_ref().filter(|earlier| earlier.same_clock(&sample)) else {
-            self.earlier = Some(sample);
+        let Some(reference) = self.reference.as_ref().filter(|reference| reference.same_clock(&sample))
+        else {
+            self.reference = Some(sample);
             return Ok(());
         };
-        // Measured from before the first request until after the last reply, so it covers more than the leader
-        // measured.
-        let here = now - earlier.sent_at;
-        let there = sample.received_at - earlier.received_at;
-        if config.with_drift(here) < there {
-            let reason = Rejection::ClockDrift { here, there };
+        // Measured from before the first request until after the last reply, so it includes the whole interval that the
+        // leader measured.
+        let local = now - reference.sent_at;
+        let leader = sample.received_at - reference.received_at;
+        if config.with_drift(local) < leader {
+            let reason = Rejection::ClockDrift { local, leader };
             self.leader_distrust = Some(LeaderDistrust { sample, reason: reason.clone() });
             return Err(reason);
         }
-        if here > SAMPLE_LEASES * config.lease_seconds {
-            self.earlier = Some(sample);
+        if local > MAX_REFERENCE_AGE_LEASES * config.lease_seconds {
+            self.reference = Some(sample);
         }
         Ok(())
     }
--- a/crates/dunepond-consensus/src/lease_messages.rs
+++ b/crates/dunepond-consensus/src/lease_messages.rs
@@ -1,4 +1,4 @@
-//! Requests and replies for leases. The serialised names are those of the protocol between brokers.
+//! Lease requests and their replies. The serialized names are part of the protocol between brokers.
 
 use std::sync::Arc;
 
@@ -10,32 +10,33 @@
 /// A broker's request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Number of the request within the broker's run.
+    /// Sequence number of the request since the broker's process started.
     pub id: u64,
     /// Name of the broker.
     pub broker: String,
-    /// When the request was sent, in seconds on the broker's clock. The reply echoes it, and the broker does not trust
-    /// the echo.
+    /// When the request was sent, in seconds on the broker's clock. The reply repeats it, but the broker relies on its
+    /// own record instead.
     #[serde(rename = "sent")]
     pub sent_at: f64,
-    /// Number and digest of each version whose document the broker has.
+    /// Number and digest of each version that the broker has, so that the reply can omit its document.
     #[serde(rename = "knows")]
     pub known_versions: Vec<(u64, String)>,
-    /// Number of the version towards which the broker acts on the joint step.
+    /// Number of the proposed version, if the broker has adopted it and therefore no longer acts on the active version
+    /// alone.
     #[serde(rename = "joint")]
     pub joint_version: Option<u64>,
     /// Random number drawn at each start of the process.
     pub incarnation: u64,
-    /// Number of settlement entries that the broker has.
+    /// Number of settlement entries that the broker already has.
     #[serde(rename = "debts")]
     pub known_settlements: u64,
-    /// The broker's demand for fleet-wide quotas; `None` if its file shares no quota.
+    /// The broker's demand for fleet-wide quotas; `None` if its configuration file shares no quota.
     #[serde(rename = "limits")]
     pub demand: Option<DemandReport>,
     /// Whether a follower has already forwarded the request to the leader; a request is forwarded only once.
     #[serde(rename = "passed")]
     pub forwarded: bool,
-    /// Whether the broker's nodes are overloaded; rebalancing pauses if many brokers report it.
+    /// Whether the broker's nodes are overloaded; rebalancing pauses if many brokers report an overload.
     #[serde(rename = "pressed")]
     pub overloaded: bool,
 }
@@ -45,7 +46,7 @@
 pub struct LeaseReply {
     /// Id of the request.
     pub id: u64,
-    /// Incarnation in the request.
+    /// The `incarnation` of the request.
     pub incarnation: u64,
     /// The `sent_at` of the request.
     #[serde(rename = "sent")]
@@ -57,12 +58,12 @@
 /// The outcome of a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LeaseAnswer {
-    /// A lease on the state that was committed when the request arrived.
+    /// A lease is granted, on a state that contains everything committed when the request arrived.
     Granted(Box<LeaseGrant>),
-    /// The receiver is no longer a voter; the list names the voters to ask instead, as far as it knows them.
+    /// The receiver is no longer a voter; the list contains the voters to ask instead, as far as the receiver knows.
     #[serde(rename = "NoVoter")]
     NotAVoter(Vec<VoterInfo>),
-    /// The receiver knows no leader, or stopped leading while the request was pending.
+    /// The receiver knows no leader, stopped leading while the request was pending, or cannot grant leases at present.
     NoLeader,
 }
 
@@ -72,7 +73,7 @@
     /// Duration of the lease in seconds, counted on the broker's clock from when the request was sent.
     #[serde(rename = "lease")]
     pub lease_seconds: f64,
-    /// Parts of this reply that format 1 does not have and without which a broker must not act on it.
+    /// Names of parts of this reply, beyond format 1, that a broker has to understand before it may act on the reply.
     #[serde(default)]
     #[serde(rename = "must")]
     pub required_parts: Vec<String>,
@@ -80,7 +81,8 @@
     #[serde(default)]
     #[serde(rename = "fleet")]
     pub fleet_id: u64,
-    /// Number of times that the fleet was recovered without a majority.
+    /// Epoch of the fleet: 1 at its founding, increased by each recovery without a majority; 0 if it was founded by a
+    /// build without epochs.
     #[serde(default)]
     pub epoch: u64,
     /// Index in the log up to which the state is applied.
@@ -102,20 +104,20 @@
     /// Number of the list of voters in force.
     #[serde(rename = "voting")]
     pub voters_number: u64,
-    /// Documents of versions that the request does not list.
+    /// Documents of the active and the proposed version, except those that the request lists as known.
     pub documents: Vec<Arc<ConfigVersion>>,
-    /// Completed fills that count for the active map, as segment and node.
+    /// Completed fills that apply to the active map, as segment id and node name.
     #[serde(rename = "done")]
     pub completed_fills: Vec<(u64, String)>,
-    /// Settlement entries that the broker lacks; a limited number in each reply.
+    /// Settlement entries that the broker lacks. Each reply contains a limited number of them.
     #[serde(rename = "debts")]
     pub settlements: SettlementUpdate,
     /// The broker's shares of fleet-wide quotas, if it has any.
     #[serde(rename = "limits")]
     pub quota: Option<Allocation>,
-    /// Name of the leader.
+    /// Name of the leader that granted the lease.
     pub leader: String,
-    /// Random number drawn at each start of the leader.
+    /// Random number that the leader drew at its last start.
     #[serde(rename = "run")]
     pub leader_run: u64,
     /// When the request arrived, in seconds on the leader's clock.
@@ -123,19 +125,19 @@
     pub received_at: f64,
 }
 
-/// The proposed version, as a grant names it.
+/// The proposed version, as a lease grant describes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProposedVersion {
     /// Number of the version.
     pub number: u64,
     /// Digest of the version.
     pub digest: String,
-    /// Progress of its rollout.
+    /// Progress of the version's rollout.
     pub step: RolloutStep,
 }
 
 impl LeaseRequest {
-    /// Encodes the request for another broker.
+    /// Encodes the request for the transport to another broker.
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
@@ -155,7 +157,7 @@
         Self { id: request.id, incarnation: request.incarnation, sent_at: request.sent_at, answer }
     }
 
-    /// Encodes the reply for another broker.
+    /// Encodes the reply for the transport to another broker.
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
@@ -166,7 +168,7 @@
     }
 }
 
-/// The voter that grants a lease, and when the request arrived there.
+/// The leader that grants a lease, and when it received the request, in seconds on its clock.
 pub(crate) struct Grantor {
     pub leader: String,
     pub leader_run: u64,
--- a/crates/dunepond-consensus/src/lib.rs
+++ b/crates/dunepond-consensus/src/lib.rs
@@ -1,10 +1,10 @@
 //! Consensus on the versioned configuration of a fleet: which versions there are, and which broker may act on which
 //! version until when. The crate is pure: it uses no socket, file or clock.
 //!
-//! A [`Voter`] replicates log entries with the other voters through the `raft` library and grants leases. A
-//! [`LeaseClient`], one in every broker, requests leases and turns the replies into an [`ActiveConfig`], which is asked
-//! before each action what is allowed. Without leases two brokers could act on different versions at the same time, and a
-//! non-idempotent request could run at two segment owners.
+//! A [`Voter`] replicates log entries with the other voters through the `raft` library and grants leases. Every broker
+//! runs a [`LeaseClient`], which requests leases and turns the replies into an [`ActiveConfig`]. The broker consults the
+//! [`ActiveConfig`] before each action. Without leases two brokers could act on different versions at the same time, and
+//! a non-idempotent request could run at two segment owners.
 //!
 //! Times are seconds on each broker's own monotonic clock, which counts suspended time, unless stated otherwise. The
 //! guarantees and their proofs are in `docs/notes/consensus.md`.
--- a/crates/dunepond-consensus/src/log_entry.rs
+++ b/crates/dunepond-consensus/src/log_entry.rs
@@ -1,15 +1,17 @@
-//! Entries of the log: commands, and what voters record among themselves. The serialised names are those of the log's
-//! format.
+//! Entries of the log: commands, and entries that the leader writes by itself. The serialized names are part of the
+//! log's format.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Command, ConsensusConfig, VoterSlot};
 
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum LogEntry {
+    /// A command that a host proposed.
     #[serde(rename = "Entry")]
     Command(Command),
-    /// The configuration in the new leader's file differs from the one in force and replaces it.
+    /// The consensus configuration in the leader's file, which differs from the one in force, replaces it.
     #[serde(rename = "Terms")]
     Config(ConsensusConfig),
     /// The first stage of the proposed version begins.
@@ -18,7 +20,7 @@
     /// The rollback of a staged version is complete.
     #[serde(rename = "Returned")]
     RollbackCompleted { number: u64 },
-    /// Records the identity of a voter's folder as it was last seen.
+    /// Records the identity of a voter's folder and of its last start.
     #[serde(rename = "Seat")]
     VoterSlot {
         voter: String,
@@ -28,19 +30,21 @@
     /// The pending list of voters takes effect.
     #[serde(rename = "Voted")]
     VotersReplaced(VoterReplacement),
-    /// Every lease from before this epoch has expired.
+    /// Leases are granted again after a recovery, since every lease from before this epoch has expired.
     #[serde(rename = "Calm")]
     ResumeLeases { epoch: u64 },
 }
 
-/// The change by which the pending list of voters takes effect. It is committed together with the raft library's own
+/// The change by which the pending list of voters takes effect. It is committed in the same entry as the raft library's
 /// membership change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct VoterReplacement {
+    /// Number of the pending list.
     pub number: u64,
+    /// Name of the joining voter and the identity of its folder, if one joins.
     #[serde(rename = "joins")]
     pub joining: Option<(String, VoterSlot)>,
-    /// Name of the leaving voter and the id of its folder, if it has one.
+    /// Name of the leaving voter, if one leaves, and the id of its folder, if one is recorded.
     #[serde(rename = "leaves")]
     pub leaving: Option<(String, Option<u64>)>,
 }
--- a/crates/dunepond-consensus/src/log_storage.rs
+++ b/crates/dunepond-consensus/src/log_storage.rs
@@ -1,4 +1,4 @@
-//! The log as the raft library reads it. It is held in memory, and each change is also collected for the folder.
+//! The raft library's storage of the log. It is held in memory, and each change is also collected for the folder.
 
 use protobuf::Message;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
@@ -7,9 +7,9 @@
 use crate::persistence::StoredEntry;
 use crate::{ConsensusError, StoredVoter, WriteBatch};
 
-/// Applied entries that stay in memory behind a snapshot, for followers that lag a little.
+/// Number of applied entries before a snapshot that stay in memory, for followers that lag a little.
 const RETAINED_ENTRY_COUNT: u64 = 64;
-/// Entries after which a snapshot is taken.
+/// Number of applied entries after the last snapshot at which the next one is taken.
 const SNAPSHOT_ENTRY_COUNT: u64 = 512;
 
 #[derive(Clone, Copy, Default)]
@@ -22,32 +22,34 @@
 pub(crate) struct LogStorage {
     hard_state: HardState,
     conf_state: ConfState,
-    /// The last snapshot; it is empty at index 0.
+    /// The last snapshot; if there is none, an empty one with index 0.
     snapshot: Snapshot,
-    /// Entries without a gap; the first one directly follows `compacted`.
+    /// Consecutive entries; the first one directly follows `compacted`.
     entries: Vec<Entry>,
-    /// Position before the first entry, which is at the snapshot or earlier.
+    /// Position directly before the first entry; it is that of the snapshot or an earlier one.
     compacted: LogPosition,
     /// Changes since the last [`LogStorage::take_batch`].
     batch: WriteBatch,
 }
 
-/// Whether a snapshot is taken regardless of the length of the log.
+/// When [`LogStorage::compact`] takes a snapshot.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum SnapshotPolicy {
+    /// Only if at least [`SNAPSHOT_ENTRY_COUNT`] entries were applied since the last snapshot.
     WhenLong,
+    /// Regardless of the length of the log.
     Now,
 }
 
 fn encode(message: &impl Message) -> Vec<u8> {
-    message.write_to_bytes().expect("all fields are set")
+    message.write_to_bytes().expect("all required fields are set")
 }
 
 fn decode<M: Message>(bytes: &[u8], what: &'static str) -> Result<M, ConsensusError> {
     M::parse_from_bytes(bytes).map_err(|_| ConsensusError::CorruptRecord(what))
 }
 
-fn stored(entry: &Entry) -> StoredEntry {
+fn to_stored(entry: &Entry) -> StoredEntry {
     StoredEntry { index: entry.index, term: entry.term, bytes: encode(entry) }
 }
 
@@ -65,16 +67,16 @@
         }
         for (index, (_, bytes)) in stored.entries.range(log.compacted.index + 1..) {
             let entry: Entry = decode(bytes, "an entry")?;
-            if entry.index != *index || *index != log.end() + 1 {
+            if entry.index != *index || *index != log.end_index() + 1 {
                 return Err(ConsensusError::CorruptLog("a gap"));
             }
             log.entries.push(entry);
         }
-        // Entries that this voter has acknowledged are missing: it must not vote as if it had never seen them.
-        if log.hard_state.commit > log.end() {
+        // Entries that this voter has acknowledged are missing. If it voted without them, committed entries could be lost.
+        if log.hard_state.commit > log.end_index() {
             return Err(ConsensusError::CorruptLog("lost entries that were committed"));
         }
-        // The hard state may be older than a snapshot that came from the leader.
+        // The hard state may be older than a snapshot from the leader.
         log.hard_state.commit = log.hard_state.commit.max(log.compacted.index);
         log.hard_state.term = log.hard_state.term.max(log.compacted.term);
         Ok(log)
@@ -84,7 +86,7 @@
         self.entries.iter().filter(move |entry| entry.index > index)
     }
 
-    fn end(&self) -> u64 {
+    fn end_index(&self) -> u64 {
         self.entries.last().map_or(self.compacted.index, |entry| entry.index)
     }
 
@@ -107,21 +109,21 @@
         self.conf_state = conf_state;
     }
 
-    /// Replaces the log from the index of the first of `entries` on.
+    /// Appends `entries`, and first drops all entries from the index of the first one on.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         self.entries.truncate(self.offset(first.index));
         self.entries.extend_from_slice(entries);
         let kept = self.batch.entries.partition_point(|entry| entry.index < first.index);
         self.batch.entries.truncate(kept);
-        self.batch.entries.extend(entries.iter().map(stored));
+        self.batch.entries.extend(entries.iter().map(to_stored));
     }
 
     fn offset(&self, index: u64) -> usize {
         (index - self.compacted.index - 1) as usize
     }
 
-    /// Replaces everything by a snapshot from the leader.
+    /// Replaces the whole log with `snapshot`.
     pub fn restore(&mut self, snapshot: Snapshot) {
         let meta = snapshot.get_metadata();
         self.compacted = LogPosition { index: meta.index, term: meta.term };
@@ -136,30 +138,30 @@
         self.snapshot = snapshot;
     }
 
-    /// Takes a snapshot of the applied state if the log is long, or in any case with `Now`. `Now` is for a change of
-    /// voters: a new voter accepts no snapshot in which it is not listed.
+    /// Takes a snapshot of the applied state according to `policy`, and drops old entries. After a change of voters a
+    /// snapshot is taken at once, since a new voter accepts no snapshot in which it is not listed.
     pub fn compact(&mut self, applied: u64, policy: SnapshotPolicy, state: impl FnOnce() -> Vec<u8>) {
         let is_long = applied >= self.snapshot.get_metadata().index + SNAPSHOT_ENTRY_COUNT;
         if policy == SnapshotPolicy::WhenLong && !is_long {
             return;
         }
-        let term = self.term(applied).expect("what is applied is in the log");
+        let term = self.term(applied).expect("applied entries are in the log or at its start");
         self.snapshot = snapshot(applied, term, self.conf_state.clone(), state());
         let index = applied.saturating_sub(RETAINED_ENTRY_COUNT).max(self.compacted.index);
-        let term = self.term(index).expect("within the log");
+        let term = self.term(index).expect("the index is within the log");
         self.entries.drain(..(index - self.compacted.index) as usize);
         self.compacted = LogPosition { index, term };
         self.batch.snapshot = Some(encode(&self.snapshot));
         self.batch.hard_state = Some(encode(&self.hard_state));
     }
 
-    /// The whole content, for a journal that is rewritten.
+    /// The whole content as one batch, with which the host may rewrite the journal.
     pub fn checkpoint(&self) -> WriteBatch {
         let after = self.snapshot.get_metadata().index;
         WriteBatch {
             folder: None,
             hard_state: Some(encode(&self.hard_state)),
-            entries: self.entries_after(after).map(stored).collect(),
+            entries: self.entries_after(after).map(to_stored).collect(),
             snapshot: (after > 0).then(|| encode(&self.snapshot)),
             replaces_entries: true,
         }
@@ -215,7 +217,7 @@
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.end())
+        Ok(self.end_index())
     }
 
     fn snapshot(&self, request_index: u64, _: u64) -> raft::Result<Snapshot> {
--- a/crates/dunepond-consensus/src/persistence.rs
+++ b/crates/dunepond-consensus/src/persistence.rs
@@ -11,13 +11,15 @@
 // The encoding is postcard, so the order of fields must not change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WriteBatch {
+    /// The folder's identity, if the voter was started or has begun a new folder.
     pub(crate) folder: Option<FolderIdentity>,
     /// The raft library's hard state, if it changed.
     pub(crate) hard_state: Option<Vec<u8>>,
-    /// Entries to store; each replaces everything that was stored from its index on.
+    /// Consecutive entries to store. They replace all stored entries from the first one's index on.
     pub(crate) entries: Vec<StoredEntry>,
+    /// The encoded snapshot, if a new one was taken or received.
     pub(crate) snapshot: Option<Vec<u8>>,
-    /// Whether the snapshot came from the leader and replaces all entries so far.
+    /// Whether all entries stored so far are dropped, because a snapshot from the leader or a checkpoint replaces them.
     pub(crate) replaces_entries: bool,
 }
 
@@ -29,15 +31,15 @@
     pub bytes: Vec<u8>,
 }
 
-/// The folder that a voter runs on.
+/// Identity of the folder that a voter runs on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FolderIdentity {
     /// Name of the broker.
     pub name: String,
     /// Random id drawn when the folder was empty. It is the voter's id in the raft library, so that a voter with
-    /// another folder is another voter, which has promised nothing.
+    /// another folder is another voter, which has not voted or acknowledged anything yet.
     pub id: u64,
-    /// Number of starts on this folder, including the present one.
+    /// Number of times that the voter was started on this folder, including the present start.
     pub start_count: u64,
     /// Random number drawn at this start.
     pub run_id: u64,
@@ -53,15 +55,15 @@
     pub(crate) snapshot: Option<Vec<u8>>,
 }
 
-/// The state that every broker persists, so that it can apply the strictest known rules after a restart without a
-/// reachable voter.
+/// The state that every broker persists, so that after a restart it can apply the strictest known rules even while it
+/// reaches no voter.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PersistedState {
-    /// The active and the proposed version, as far as known.
+    /// The active and the proposed version, as far as the broker knows them.
     pub(crate) versions: Vec<Arc<ConfigVersion>>,
     #[serde(rename = "in_force")]
     pub(crate) active_number: u64,
-    /// Completed fills, as segment and node.
+    /// Completed fills, as segment id and node name.
     #[serde(rename = "done")]
     pub(crate) completed_fills: Vec<(u64, String)>,
     pub(crate) voters: Vec<VoterInfo>,
@@ -82,11 +84,11 @@
 
     /// Encodes the batch as a journal record.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("plain data")
+        postcard::to_stdvec(self).expect("a write batch can always be serialized")
     }
 
-    /// Whether the batch holds a whole snapshot, so that the journal may be rewritten with [`crate::Voter::checkpoint`]
-    /// as its only record.
+    /// Whether the batch contains a snapshot, so that the host may rewrite the journal with
+    /// [`crate::Voter::checkpoint`] as its only record.
     pub fn is_checkpoint(&self) -> bool {
         self.snapshot.is_some()
     }
@@ -111,7 +113,7 @@
 
     fn apply(&mut self, batch: WriteBatch) {
         if let Some(folder) = batch.folder {
-            // A folder with another id is another voter, so nothing of the previous one counts.
+            // A folder with another id belongs to another voter, so the previous voter's records no longer apply.
             if self.folder.as_ref().is_some_and(|previous| previous.id != folder.id) {
                 *self = Self::default();
             }
--- a/crates/dunepond-consensus/src/recovery_order.rs
+++ b/crates/dunepond-consensus/src/recovery_order.rs
@@ -1,12 +1,14 @@
-//! An operator's order to continue without a majority that is lost for good, and the reasons for which it is rejected.
+//! An operator's order to recover a fleet whose majority of voters is permanently lost, and the reasons for which the
+//! order is rejected.
 
 use serde::{Deserialize, Serialize};
 
-/// The sentence that an operator has to write word for word.
+/// The sentence that an operator has to repeat word for word in a [`RecoveryOrder`].
 pub const RECOVERY_CONFIRMATION: &str =
     "what the lost voters alone agreed on is gone, and they must never come back with their folders";
 
-/// The operator's order. It is valid for one folder at one position of its log and for no other.
+/// An operator's order to recover the fleet from one voter's folder. It is only valid for that folder, and only while the
+/// log in it ends at the stated index.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecoveryOrder {
@@ -16,10 +18,10 @@
     /// Last index of the folder's log, as the voter logs it at its start.
     #[serde(rename = "last")]
     pub last_index: u64,
-    /// Names of the voters that are given up.
+    /// Names of the voters that are permanently lost.
     #[serde(rename = "lost")]
     pub lost_voters: Vec<String>,
-    /// The highest version number that any broker's log names.
+    /// The highest version number in any broker's log output.
     #[serde(rename = "highest")]
     pub highest_number: u64,
     /// Confirmation by the operator; it has to equal [`RECOVERY_CONFIRMATION`].
@@ -27,52 +29,52 @@
     pub confirmation: String,
 }
 
-/// Why a folder is not recovered by an operator's order.
+/// Why an operator's recovery order is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RecoveryError {
-    /// The folder holds no state from which a fleet could continue.
-    #[error("the folder holds no state of a fleet")]
+    /// The folder contains no state from which a fleet could continue.
+    #[error("the folder contains no state of a fleet")]
     NoState,
-    /// The order names another folder.
-    #[error("the order is for folder {stated}, this is {actual}")]
+    /// The order states the id of another folder.
+    #[error("the order is for folder {stated}, and this folder is {actual}")]
     WrongFolder {
-        /// Id in the order.
+        /// Folder id in the order.
         stated: u64,
         /// Id of the folder.
         actual: u64,
     },
-    /// The order names another last index.
-    #[error("the order is for a log up to {stated}, the folder's goes up to {actual}")]
+    /// The order states another last index than that of the folder's log.
+    #[error("the order is for a log up to index {stated}, and the folder's log ends at index {actual}")]
     WrongPosition {
-        /// Index in the order.
+        /// Last index in the order.
         stated: u64,
-        /// Index in the folder.
+        /// Last index of the folder's log.
         actual: u64,
     },
-    /// A voter that the order gives up is not a voter.
-    #[error("`{0}` is no voter by the folder")]
+    /// The order lists a broker as a lost voter that is not a voter.
+    #[error("`{0}` is not a voter according to the folder")]
     NotAVoter(String),
-    /// The order gives up the voter that would have to continue.
-    #[error("the order gives up this voter itself")]
+    /// The order lists the voter that would have to continue as lost.
+    #[error("the order lists this voter itself as lost")]
     OwnVoter,
-    /// The remaining voters are a majority, which needs no order.
-    #[error("the order gives up {lost} of {of} voters, and the others are a majority")]
+    /// The remaining voters are a majority, which can continue without an order.
+    #[error("the order lists {lost} of {total} voters as lost, and the others are a majority")]
     MajorityRemains {
-        /// Number of voters that the order gives up.
+        /// Number of voters that the order lists as lost.
         lost: usize,
         /// Number of all voters.
-        of: usize,
+        total: usize,
     },
-    /// The folder has seen a higher version.
-    #[error("the highest version is {stated}, the folder has {actual}")]
+    /// The order states a highest version number that is lower than the one in the folder.
+    #[error("the order states {stated} as the highest version number, and the folder contains {actual}")]
     VersionTooLow {
-        /// Number in the order.
+        /// Version number in the order.
         stated: u64,
-        /// Number in the folder.
+        /// Highest version number in the folder.
         actual: u64,
     },
     /// The confirmation is not the required sentence.
-    #[error("the word is not \"{RECOVERY_CONFIRMATION}\"")]
+    #[error("`word` is not \"{RECOVERY_CONFIRMATION}\"")]
     WrongConfirmation,
     /// The log has an entry that this build does not know.
     #[error("the folder's log has an entry that this build does not know: {0}")]
@@ -80,29 +82,27 @@
 }
 
 impl RecoveryError {
-    /// What an operator can do, and which risk it carries.
+    /// Returns what an operator can do about the error, and the risk of doing so.
     pub fn help(&self) -> &'static str {
         match self {
             Self::NoState => {
-                "take the folder of a voter that was in the fleet; an empty one has nothing to continue from"
+                "use the folder of a voter that belonged to the fleet; the fleet cannot continue from an empty folder"
             }
             Self::WrongFolder { .. } | Self::WrongPosition { .. } => {
-                "write the folder and the last position that this start names, after comparing all that are left: the one \
-                 with the greatest last position has lost the least"
+                "compare the folders of all remaining voters and use the one with the highest last index, which has lost the \
+                 least; write the folder id and the last index that the voter logs at its start"
             }
-            Self::NotAVoter(_) => "name voters of the list that this start names",
-            Self::OwnVoter => "write it into the folder of a voter that stays",
+            Self::NotAVoter(_) => "only list voters that the voter logs at its start",
+            Self::OwnVoter => "put the order into the folder of a voter that is not lost",
             Self::MajorityRemains { .. } => {
-                "start the others: a majority needs no such order, and risks nothing"
-            }
-            Self::VersionTooLow { .. } => {
-                "look through the brokers' logs for the highest number of a version"
+                "start the other voters: a majority continues without an order, and without its risk"
             }
+            Self::VersionTooLow { .. } => "search the logs of all brokers for the highest version number",
             Self::WrongConfirmation => {
-                "write the sentence as it stands once you have made sure that the lost voters are down for good: one \
-                 that still runs, cut off, would continue as a fleet of its own, and parts could run at two owners"
+                "repeat the sentence exactly, after making sure that the lost voters are permanently down: voters that still \
+                 run behind a partition could continue as a second fleet, and parts could run at two owners"
             }
-            Self::UnknownEntry(_) => "start it with the build that wrote the folder",
+            Self::UnknownEntry(_) => "start the voter with the build that wrote the folder",
         }
     }
 }
--- a/crates/dunepond-consensus/src/rejection.rs
+++ b/crates/dunepond-consensus/src/rejection.rs
@@ -5,23 +5,23 @@
 use dunepond_settlement::SettlementError;
 use dunepond_shard_map::MapFault;
 
-/// Number of faults of a map that an error message lists.
-const SHOWN_FAULT_COUNT: usize = 3;
+/// Largest number of map faults that an error message lists.
+const MAX_LISTED_FAULTS: usize = 3;
 
-/// Why something was not accepted; nothing changed because of it.
+/// Why a command, a version or a lease reply was rejected. A rejected input changes nothing.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Rejection {
-    /// The command was proposed at a follower.
-    #[error("this broker is not the leader; leader: {0:?}")]
+    /// The command was proposed at a follower. The value is the name of the leader, if it is known.
+    #[error("this broker is not the leader; known leader: {0:?}")]
     NotLeader(Option<String>),
-    /// Another change is open; only one is allowed at a time.
-    #[error("version {open} is proposed and not yet active or withdrawn")]
+    /// Another version is proposed; only one proposed version is allowed at a time.
+    #[error("version {open} is already proposed, and neither active nor withdrawn yet")]
     ChangeOpen {
         /// Number of the proposed version.
         open: u64,
     },
     /// The version's number is not the next one; numbers are consecutive and never reused.
-    #[error("version {given} was proposed, the next number is {expected}")]
+    #[error("the proposed version has number {given}, expected {expected}")]
     WrongNumber {
         /// Number of the proposed version.
         given: u64,
@@ -29,17 +29,17 @@
         expected: u64,
     },
     /// The version is based on another version than the active one.
-    #[error("the version is based on {given}, and {in_force} is active")]
+    #[error("the version is based on version {given}, but version {in_force} is active")]
     WrongBase {
-        /// Number on which the proposed version is based.
+        /// Number of the version on which the proposed one is based.
         given: u64,
         /// Number of the active version.
         in_force: u64,
     },
-    /// A rule is out of range.
+    /// A routing rule is out of range.
     #[error("rules: `{key}` is {value}, expected {expected}")]
     InvalidRule {
-        /// Key in the operator's file.
+        /// Key of the rule in the operator's file.
         key: &'static str,
         /// Value that was proposed.
         value: f64,
@@ -47,69 +47,71 @@
         expected: &'static str,
     },
     /// The ratio of the first stage is out of range.
-    #[error("stage is {0}, expected a ratio above 0 and below 1")]
+    #[error("`stage` is {0}, expected a ratio above 0 and below 1")]
     InvalidStage(f64),
     /// The shard map is invalid, or there is no safe transition to it.
     #[error("the map is invalid: {}", list(.0))]
     InvalidMap(Vec<MapFault>),
-    /// The version has a map, and the fleet runs without maps.
-    #[error("the version has a map, and the fleet's configuration has none")]
+    /// The version has a shard map, and the consensus configuration does not allow maps.
+    #[error("the version has a shard map, and the fleet's configuration does not allow one")]
     MapsDisabled,
-    /// The version has no map, and the active one has; a map cannot be taken away.
-    #[error("version {0} has no map, the active one has")]
+    /// The version has no shard map, but the active version has one; a map cannot be removed.
+    #[error("version {0} has no shard map, but the active version has one")]
     MapDropped(u64),
-    /// The same version excludes the owner of a segment.
-    #[error("segment {segment}: owner `{owner}` is draining or removed by the same version")]
+    /// The version's map names a segment owner that the same version excludes.
+    #[error("segment {segment}: its owner `{owner}` is draining or removed in the same version")]
     OwnerExcluded {
         /// Id of the segment.
         segment: u64,
-        /// Name of the node.
+        /// Name of the owner node.
         owner: String,
     },
-    /// The change touches too many segments.
-    #[error("{changed} of {of} segments change, at most a ratio of {most} may at once")]
+    /// The version changes too many segments.
+    #[error("the version changes {changed} of {total} segments; the largest allowed ratio is {max_ratio}")]
     TooManySegments {
-        /// Number of segments that the change touches.
+        /// Number of segments that the version changes.
         changed: usize,
         /// Number of all segments.
-        of: usize,
-        /// Largest ratio of segments that one change may touch.
-        most: f64,
+        total: usize,
+        /// Largest ratio of segments that one version may change.
+        max_ratio: f64,
     },
     /// The command refers to a version that is not the proposed one.
-    #[error("version {0} is not the proposed one")]
+    #[error("version {0} is not the proposed version")]
     NotProposed(u64),
-    /// Only the leader's clock decides when a version is activated.
+    /// The command activates a version before its first stage; only the leader may do so, by its clock.
     #[error("only the leader may activate version {0}")]
     LeaderOnly(u64),
-    /// Required fills are missing.
-    #[error("{missing} fills of version {number} are missing")]
+    /// Fills that the proposed version requires are not complete.
+    #[error("{missing} fills that version {number} requires are not complete")]
     FillsMissing {
         /// Number of the proposed version.
         number: u64,
-        /// Number of missing fills.
+        /// Number of fills that are not complete.
         missing: usize,
     },
-    /// The fill is not required, or was already completed.
-    #[error("version {number} requires no fill of segment {segment} at `{holder}`")]
+    /// The fill is not required, or was already reported as complete.
+    #[error(
+        "version {number} requires no fill of segment {segment} at node `{holder}`, or it is already complete"
+    )]
     FillNotNeeded {
         /// Number of the proposed version.
         number: u64,
         /// Id of the segment.
         segment: u64,
-        /// Name of the node.
+        /// Name of the node that holds the filled replica.
         holder: String,
     },
-    /// The version is being rolled back.
+    /// The version is being rolled back from its first stage, so it can neither be activated nor withdrawn again.
     #[error("version {0} is being rolled back")]
     RollingBack(u64),
-    /// The settlement was already applied.
-    #[error("settlement `{0}` is applied already")]
+    /// The settlement of this id was already applied.
+    #[error("settlement `{0}` was already applied")]
     AlreadySettled(String),
     /// The entry was already applied.
-    #[error("the entry is applied already")]
+    #[error("the entry was already applied")]
     AlreadyApplied,
-    /// The ledger of accounts between partners rejected the entry.
+    /// The ledger of transfer accounts between partners rejected the entry.
     #[error("{0}")]
     Settlement(SettlementError),
     /// The ledger of quotas rejected the entry.
@@ -118,11 +120,11 @@
     /// The rebalancing plan rejected the entry.
     #[error("{0}")]
     Rebalance(Box<RebalanceError>),
-    /// Too many entries are proposed and not yet committed.
-    #[error("too many entries are proposed and not yet committed")]
+    /// The raft library did not accept the entry, because too many proposed entries are not yet committed.
+    #[error("too many proposed entries are not yet committed")]
     Busy,
-    /// The configuration of the consensus cannot change while a version is proposed.
-    #[error("another configuration of the consensus while version {0} is proposed")]
+    /// The consensus configuration cannot change while a version is proposed.
+    #[error("the consensus configuration cannot change while version {0} is proposed")]
     ConfigWhileOpen(u64),
     /// The list of voters is empty.
     #[error("the list of voters is empty")]
@@ -130,7 +132,7 @@
     /// A voter is listed twice.
     #[error("voter `{0}` is listed twice")]
     DuplicateVoter(String),
-    /// The number of the list is not the next one; numbers of lists are consecutive.
+    /// The number of the list of voters is not the next one; numbers of lists are consecutive.
     #[error("the list of voters has number {given}, expected {expected}")]
     WrongVotersNumber {
         /// Number of the proposed list.
@@ -138,42 +140,42 @@
         /// The next number.
         expected: u64,
     },
-    /// The list is the same as the one in force.
-    #[error("the list of voters is the active one")]
+    /// The proposed list of voters is the same as the one in force.
+    #[error("the proposed list of voters is already in force")]
     VotersUnchanged,
     /// Another list of voters is pending; only one change of voters is allowed at a time.
-    #[error("list {number} of voters is pending until its new voter is ready")]
+    #[error("voter list {number} is pending until its new voter is ready")]
     VotersPending {
         /// Number of the pending list.
         number: u64,
     },
     /// More than one voter would join, or more than one would leave.
-    #[error("voters join ({}) and leave ({}); one may join, one may leave, at once", joins.join(", "), leaves.join(", "))]
+    #[error("voters join ({}) and leave ({}); at most one may join and one may leave at a time", joins.join(", "), leaves.join(", "))]
     TooManyVoterChanges {
         /// Names of the joining voters.
         joins: Vec<String>,
         /// Names of the leaving voters.
         leaves: Vec<String>,
     },
-    /// The list is no longer the pending one.
-    #[error("list {number} of voters is not the pending one")]
+    /// The list of voters is not the pending one any more, or its voters' folders have changed.
+    #[error("voter list {number} is not the pending one, or a voter's folder has changed")]
     VotersSuperseded {
         /// Number of the list.
         number: u64,
     },
-    /// The broker is not a voter.
-    #[error("`{0}` is no voter by the committed list")]
+    /// The broker of this name is not a voter.
+    #[error("`{0}` is not a voter in the committed list")]
     NotAVoter(String),
-    /// This build does not know a required key.
-    #[error("version {number}: `{key}` is not known to this build, and is required")]
+    /// The version has a required key that this build does not know.
+    #[error("version {number} requires key `{key}`, which this build does not know")]
     UnknownKey {
         /// Number of the version.
         number: u64,
         /// Path of the key.
         key: String,
     },
-    /// Another voter's build does not know a required key.
-    #[error("version {number}: `{key}` is not known to the build of voter `{voter}`, and is required")]
+    /// The version has a required key that another voter's build does not know.
+    #[error("version {number} requires key `{key}`, which the build of voter `{voter}` does not know")]
     UnknownKeyAtVoter {
         /// Number of the version.
         number: u64,
@@ -183,51 +185,53 @@
         voter: String,
     },
     /// A log entry was written by another build, or is malformed.
-    #[error("an entry is of a later build, or malformed")]
+    #[error("the log entry was written by another build, or is malformed")]
     UnknownEntry,
-    /// This build does not know a required part of a reply.
-    #[error("the reply has `{0}`, which is not known to this build, and is required")]
+    /// A lease reply has a required part that this build does not know.
+    #[error("the reply requires part `{0}`, which this build does not know")]
     UnknownPart(String),
-    /// A document differs from the one that was committed.
-    #[error("version {number} has the digest {actual}, {stated} was committed")]
+    /// A version's document in a lease reply differs from the one that was committed.
+    #[error("version {number} has digest {actual}, but the committed digest is {stated}")]
     DigestMismatch {
         /// Number of the version.
         number: u64,
         /// Digest that was committed.
         stated: String,
-        /// Digest of the document.
+        /// Digest of the document in the reply.
         actual: String,
     },
-    /// The reply refers to a version whose document it does not contain.
-    #[error("version {0} was committed, and its document did not come with the reply")]
+    /// A lease reply refers to a version whose document it does not contain and this broker does not have.
+    #[error("the reply refers to version {0} and does not contain its document")]
     MissingDocument(u64),
-    /// The reply is older than one that was already accepted.
-    #[error("the reply is about the log up to {stated}, this broker knows it up to {known}")]
+    /// A lease reply reflects an earlier state than one that was already adopted.
+    #[error(
+        "the reply reflects the log up to index {stated}, and this broker knows the log up to index {known}"
+    )]
     StaleReply {
-        /// Index of the reply.
+        /// Log index of the reply.
         stated: u64,
-        /// Index that this broker knows.
+        /// Log index that this broker knows.
         known: u64,
     },
-    /// The reply is from before the fleet was recovered.
-    #[error("the reply is of epoch {stated} of the fleet, this broker has heard of {known}")]
+    /// A lease reply has an epoch from before the fleet was recovered.
+    #[error("the reply has epoch {stated}, and this broker knows that the fleet is in epoch {known}")]
     StaleEpoch {
         /// Epoch of the reply.
         stated: u64,
         /// Epoch that this broker knows.
         known: u64,
     },
-    /// The reply is from a fleet that was founded separately.
-    #[error("the reply is of another fleet")]
+    /// A lease reply is from a fleet that was founded separately.
+    #[error("the reply is from another fleet")]
     OtherFleet,
-    /// Leases from before a recovery may still run.
-    #[error("the fleet was recovered by an operator's order, and earlier leases may still run")]
+    /// The fleet was recovered, and leases from before the recovery may still be valid.
+    #[error("the fleet was recovered by an operator's order, and earlier leases may still be valid")]
     LeasesSuspended,
-    /// The reply belongs to no pending request.
-    #[error("the reply is to request {0}, which is not pending")]
+    /// A lease reply belongs to no pending request of this run.
+    #[error("the reply belongs to request {0}, which is not pending")]
     UnexpectedReply(u64),
-    /// No voter that replied knows a leader.
-    #[error("no voter that replied knows a leader")]
+    /// The voter that replied to a lease request knows no leader.
+    #[error("the voter that replied knows no leader")]
     NoLeader,
     /// The monotonic clock of this broker went back.
     #[error("the monotonic clock went from {from} back to {to}")]
@@ -237,15 +241,16 @@
         /// The later reading, in seconds.
         to: f64,
     },
-    /// The clocks of leader and broker differ by more than the configured drift.
+    /// The clock of this broker is too slow relative to the leader's by more than the configured drift allows.
     #[error(
-        "this clock runs too slow by the leader's, or the leader's too fast: {here:.3} s here at most, {there:.3} s there"
+        "this broker's clock is too slow or the leader's is too fast: while {leader:.3} s passed on the leader's clock, \
+         at most {local:.3} s passed on this broker's"
     )]
     ClockDrift {
         /// Longest time that may have passed on this broker's clock, in seconds.
-        here: f64,
+        local: f64,
         /// Time that passed on the leader's clock, in seconds.
-        there: f64,
+        leader: f64,
     },
 }
 
@@ -256,47 +261,61 @@
 }
 
 fn list(faults: &[MapFault]) -> String {
-    let shown: Vec<String> = faults.iter().take(SHOWN_FAULT_COUNT).map(ToString::to_string).collect();
-    let more = faults.len().saturating_sub(SHOWN_FAULT_COUNT);
-    if more > 0 { format!("{}; and {more} more", shown.join("; ")) } else { shown.join("; ") }
+    let listed: Vec<String> = faults.iter().take(MAX_LISTED_FAULTS).map(ToString::to_string).collect();
+    let more = faults.len().saturating_sub(MAX_LISTED_FAULTS);
+    if more > 0 { format!("{}; and {more} more", listed.join("; ")) } else { listed.join("; ") }
 }
 
 impl Rejection {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the rejection.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::NotLeader(_) => "propose at the leader; the broker does so by itself once it knows one",
-            Self::ChangeOpen { .. } => "wait until the change is active or withdrawn, or withdraw it",
+            Self::NotLeader(_) => {
+                "propose it at the leader; the broker does so by itself once it knows the leader"
+            }
+            Self::ChangeOpen { .. } => {
+                "wait until the proposed version is active or withdrawn, or withdraw it"
+            }
             Self::WrongNumber { .. } => {
-                "number the version as expected: numbers are never reused, not even of withdrawn versions"
+                "give the version the expected number; numbers are never reused, not even those of withdrawn versions"
             }
             Self::WrongBase { .. } => {
-                "merge what the active version has, then base the new one on it with `follows`"
+                "merge the changes of the active version, then set `follows` to its number"
             }
-            Self::InvalidRule { .. } => "set the named key to a value as expected",
+            Self::InvalidRule { .. } => "set the key to a value in the expected range",
             Self::InvalidStage(_) => {
-                "set `stage` to the ratio of brokers that act on it first, or leave it out"
+                "set `stage` to the ratio of brokers that act on the version first, or omit it"
             }
-            Self::InvalidMap(_) => "correct each fault named; a map is only accepted as a whole",
+            Self::InvalidMap(_) => "correct each listed fault; a map is only accepted if it has none",
             Self::MapsDisabled => {
-                "give `fleet` a `map` line in each broker's file and restart them first, then propose"
+                "add a `map` line to `fleet` in each broker's file, restart the brokers, then propose the version"
+            }
+            Self::MapDropped(_) => "add the active version's map to the new version",
+            Self::OwnerExcluded { .. } => "choose an owner that is neither draining nor removed",
+            Self::TooManySegments { .. } => {
+                "split the change into several versions, or raise `map most-changed` in the voters' files"
+            }
+            Self::NotProposed(_) => {
+                "check which version is proposed now; this one is active or withdrawn, or was never proposed"
+            }
+            Self::LeaderOnly(_) => {
+                "nothing to do: the leader activates it once all brokers act on the joint configuration"
             }
-            Self::MapDropped(_) => "add the active map to the version",
-            Self::OwnerExcluded { .. } => "give the segment an owner that stays",
-            Self::TooManySegments { .. } => "split the change, or raise `map most-changed` at the voters",
-            Self::NotProposed(_) => "look at which version is proposed now; this one has ended",
-            Self::LeaderOnly(_) => "nothing to do: the leader does so once all brokers are joint",
             Self::FillsMissing { .. } => {
-                "wait for the fills, or see why the fill service does not carry them out"
+                "wait for the fills, or find out why the fill service does not complete them"
+            }
+            Self::FillNotNeeded { .. } => {
+                "nothing to do: a fill of an earlier version completed late, or was reported twice"
             }
-            Self::FillNotNeeded { .. } => "nothing to do: a fill of an earlier change completed late",
-            Self::RollingBack(_) => "wait until it is withdrawn, then propose again",
-            Self::AlreadySettled(_) | Self::AlreadyApplied => "nothing to do: it counts once",
+            Self::RollingBack(_) => "wait until the version is withdrawn, then propose a new one",
+            Self::AlreadySettled(_) | Self::AlreadyApplied => "nothing to do: the entry is only counted once",
             Self::Settlement(error) => error.help(),
             Self::Quota(error) => error.help(),
             Self::Rebalance(error) => error.help(),
-            Self::Busy => "wait; if it persists, see that a majority of the voters is up and connected",
-            Self::ConfigWhileOpen(_) => "nothing to do: the leader proposes it after the change",
+            Self::Busy => "wait; if it persists, check that a majority of the voters is up and connected",
+            Self::ConfigWhileOpen(_) => {
+                "nothing to do: the leader proposes it again once the version is active or withdrawn"
+            }
             Self::NoVoters
             | Self::DuplicateVoter(_)
             | Self::WrongVotersNumber { .. }
@@ -305,9 +324,11 @@
             | Self::TooManyVoterChanges { .. }
             | Self::VotersSuperseded { .. }
             | Self::NotAVoter(_) => self.voters_help(),
-            Self::UnknownKey { .. } => "upgrade this broker to the build of the one that proposed it",
+            Self::UnknownKey { .. } => {
+                "upgrade this broker to the build of the broker that proposed the version"
+            }
             Self::UnknownKeyAtVoter { .. } => {
-                "upgrade all voters, and then all brokers, to the build that knows the key; then propose it"
+                "upgrade all voters, and then all brokers, to a build that knows the key; then propose the version"
             }
             Self::UnknownEntry => "upgrade this voter to the leader's build",
             Self::UnknownPart(_)
@@ -326,22 +347,24 @@
 
     fn voters_help(&self) -> &'static str {
         match self {
-            Self::NoVoters => "name three or five voters; the last one cannot be removed",
-            Self::DuplicateVoter(_) => "name each voter once",
+            Self::NoVoters => "list three or five voters; the last voter cannot be removed",
+            Self::DuplicateVoter(_) => "list each voter once",
             Self::WrongVotersNumber { .. } => {
-                "number the list as expected: one above the last that was committed, withdrawn or not"
+                "give the list the expected number: one above that of the last committed list, even if it was withdrawn"
             }
-            Self::VotersUnchanged => "nothing to do: these voters are active",
+            Self::VotersUnchanged => "nothing to do: these voters are already in force",
             Self::VotersPending { .. } => {
-                "start the new voter with an empty folder; or withdraw it: propose the active list, one number on"
+                "start the new voter with an empty folder; or withdraw the change: propose the list in force under the next number"
             }
             Self::TooManyVoterChanges { .. } => {
-                "go step by step: propose the active list with one voter added, removed or replaced, wait until \
-                 the log says that it is active, then the next, one number on"
+                "change one voter at a time: propose the list in force with one voter added, removed or replaced, wait \
+                 until the log reports that it is in force, then propose the next change under the next number"
+            }
+            Self::VotersSuperseded { .. } => {
+                "nothing to do: the leader writes the change again if it is still pending"
             }
-            Self::VotersSuperseded { .. } => "nothing to do: another change of voters came first",
             _ => {
-                "ask a voter of the committed list, which the log names; put that list into this broker's file"
+                "ask a voter of the committed list, which the log contains; put that list into this broker's file"
             }
         }
     }
@@ -350,27 +373,27 @@
         match self {
             Self::UnknownPart(_) => "upgrade this broker to the voters' build",
             Self::DigestMismatch { .. } => {
-                "a voter sent another document than was committed: look at that voter's folder and build"
+                "a voter sent a document that differs from the committed one: check that voter's folder and build"
             }
-            Self::MissingDocument(_) => "nothing to do: the next request asks for it",
-            Self::StaleReply { .. } => "nothing to do: a reply was overtaken by a later one",
+            Self::MissingDocument(_) => "nothing to do: the reply to the next request contains it",
+            Self::StaleReply { .. } => "nothing to do: a later reply arrived first",
             Self::StaleEpoch { .. } => {
-                "stop the voter that sent it: the fleet was recovered without it, and it acts on a lost state"
+                "stop the voter that sent it: the fleet was recovered without that voter, and its state is obsolete"
             }
             Self::OtherFleet => {
-                "if the fleet was founded anew, empty this broker's folder; else find out whose voters these are"
+                "if the fleet was founded again, empty this broker's folder; otherwise find out to which fleet the voter belongs"
             }
-            Self::LeasesSuspended => "wait about as long as `bound`, then propose again",
+            Self::LeasesSuspended => "wait for about the time of `bound`, then propose it again",
             Self::UnexpectedReply(_) => {
-                "nothing to do once; if often, something duplicates replies or delays them for long"
+                "nothing to do if it is rare; if it is frequent, find out what duplicates or delays replies"
             }
             Self::ClockWentBack { .. } => {
-                "the machine's monotonic clock is faulty: take the broker out until it is repaired"
+                "the machine's monotonic clock is faulty: take the broker out of service until it is repaired"
             }
             Self::ClockDrift { .. } => {
-                "one of the two clocks exceeds the `drift` of the file: repair it, or raise `drift` and `bound`"
+                "one of the two clocks exceeds the configured `drift`: repair it, or raise `drift` and `bound`"
             }
-            _ => "see that a majority of the voters is up and connected",
+            _ => "check that a majority of the voters is up and connected",
         }
     }
 }
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -111,9 +111,9 @@
         return Ok(ValidatedProposal { proof: Some(to), transition: None });
     };
     let transition = maps::verify_transition(from, &to).map_err(Rejection::InvalidMap)?;
-    let (changed, of) = (transition.changed_segments(), from.len().max(to.len()));
-    if changed as f64 > config.max_changed_ratio * of as f64 {
-        return Err(Rejection::TooManySegments { changed, of, most: config.max_changed_ratio });
+    let (changed, total) = (transition.changed_segments(), from.len().max(to.len()));
+    if changed as f64 > config.max_changed_ratio * total as f64 {
+        return Err(Rejection::TooManySegments { changed, total, max_ratio: config.max_changed_ratio });
     }
     Ok(ValidatedProposal { proof: Some(transition.to().clone()), transition: Some(transition) })
 }
--- a/crates/dunepond-consensus/src/routing_rules.rs
+++ b/crates/dunepond-consensus/src/routing_rules.rs
@@ -1,73 +1,74 @@
-//! The routing rules of a version: their valid values, and the strictest combination of two sets.
+//! The routing rules of a version: their valid ranges, and the strictest combination of two sets of rules.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Rejection;
 
-/// Settings and operator limits that decide how queries are routed. Lists have one value for each query class.
+/// Settings and operator limits that decide how queries are routed. A list has one value per query class. For each rule
+/// its comment states which of two values is the stricter one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoutingRules {
-    /// Smallest ratio of a query's value that has to be served, by class; the greater value is the stricter one.
+    /// Minimum share of a query's value that has to be served, as a ratio, by query class; the greater one is stricter.
     #[serde(rename = "least")]
     pub minimum_shares: Vec<f64>,
-    /// Ratio from which an answer counts as complete, by class; the greater value is the stricter one.
+    /// Ratio of the value from which an answer counts as complete, by query class; the greater one is stricter.
     #[serde(rename = "whole_at")]
     pub complete_at: Vec<f64>,
-    /// Retries and hedged requests per admitted request; the smaller value is the stricter one.
+    /// Number of retries and hedged attempts per admitted request; the smaller one is stricter.
     #[serde(rename = "budget_share")]
     pub retry_budget_ratio: f64,
-    /// Retries and hedged requests that are free in each window; the smaller value is the stricter one.
+    /// Number of retries and hedged attempts in each window that do not need the ratio; the smaller one is stricter.
     #[serde(rename = "budget_free")]
     pub retry_budget_min: f64,
-    /// Seconds after which no new attempt may go to a draining or removed node; the smaller value is the stricter one.
+    /// Time in seconds after which no new attempt may go to a draining or removed node; the smaller one is stricter.
     #[serde(rename = "drain_grace")]
     pub drain_grace_seconds: f64,
-    /// Multiple of its completions that a node in slow start may be sent; the smaller value is the stricter one.
+    /// Number of attempts that a node in slow start may be sent, as a multiple of those it completed; the smaller one is
+    /// stricter.
     #[serde(rename = "cold_multiple")]
     pub slow_start_multiple: f64,
-    /// Largest number of attempts of one part; the smaller value is the stricter one.
+    /// Largest number of attempts of one part; the smaller one is stricter.
     #[serde(rename = "dispatch_cap")]
     pub max_attempts: usize,
-    /// Whether hedged requests are allowed; a combination allows them only if both sets do.
+    /// Whether hedged attempts are allowed; a combination allows them only if both sets do.
     #[serde(rename = "second_copies")]
     pub hedging_enabled: bool,
-    /// Whether parts with an idempotency key may be retried inside their window; a combination allows it only if both
-    /// sets do.
+    /// Whether keyed parts may be retried within their idempotency window; a combination allows it only if both sets do.
     #[serde(rename = "repeats")]
     pub keyed_retries_enabled: bool,
-    /// Largest Retry-After of a rejection, in seconds; the smaller value is the stricter one.
+    /// Largest Retry-After of a rejection, in seconds; the smaller one is stricter.
     #[serde(rename = "longest_wait")]
     pub max_retry_after_seconds: f64,
 }
 
-const RATIO: &str = "a share from 0 to 1";
-const SECONDS: &str = "seconds from 0, finite";
-const COUNT: &str = "a number from 0, finite";
-const MULTIPLE: &str = "a multiple from 1, finite";
-const ATTEMPTS: &str = "1 to 64";
+const EXPECTED_RATIO: &str = "a ratio from 0 to 1";
+const EXPECTED_SECONDS: &str = "a finite number of seconds, at least 0";
+const EXPECTED_COUNT: &str = "a finite number, at least 0";
+const EXPECTED_MULTIPLE: &str = "a finite multiple, at least 1";
+const EXPECTED_ATTEMPTS: &str = "1 to 64";
 const MAX_ATTEMPTS: usize = 64;
 
 impl RoutingRules {
-    /// Checks that all values are in range. The keys that an error names are those of the operator's file.
+    /// Checks that all values are in range. An error names the key in the operator's file.
     pub(crate) fn check(&self) -> Result<(), Rejection> {
         for &value in &self.minimum_shares {
-            check(is_ratio(value), "least", value, RATIO)?;
+            check(is_ratio(value), "least", value, EXPECTED_RATIO)?;
         }
         for &value in &self.complete_at {
-            check(is_ratio(value), "whole_at", value, RATIO)?;
+            check(is_ratio(value), "whole_at", value, EXPECTED_RATIO)?;
         }
         let value = self.retry_budget_ratio;
-        check(is_ratio(value), "budget_share", value, RATIO)?;
+        check(is_ratio(value), "budget_share", value, EXPECTED_RATIO)?;
         let value = self.retry_budget_min;
-        check(is_finite_from(0.0, value), "budget_free", value, COUNT)?;
+        check(is_finite_from(0.0, value), "budget_free", value, EXPECTED_COUNT)?;
         let value = self.drain_grace_seconds;
-        check(is_finite_from(0.0, value), "drain_grace", value, SECONDS)?;
+        check(is_finite_from(0.0, value), "drain_grace", value, EXPECTED_SECONDS)?;
         let value = self.slow_start_multiple;
-        check(is_finite_from(1.0, value), "cold_multiple", value, MULTIPLE)?;
+        check(is_finite_from(1.0, value), "cold_multiple", value, EXPECTED_MULTIPLE)?;
         let attempts = self.max_attempts;
-        check((1..=MAX_ATTEMPTS).contains(&attempts), "dispatch_cap", attempts as f64, ATTEMPTS)?;
+        check((1..=MAX_ATTEMPTS).contains(&attempts), "dispatch_cap", attempts as f64, EXPECTED_ATTEMPTS)?;
         let value = self.max_retry_after_seconds;
-        check(is_finite_from(0.0, value), "longest_wait", value, SECONDS)?;
+        check(is_finite_from(0.0, value), "longest_wait", value, EXPECTED_SECONDS)?;
         Ok(())
     }
 }
@@ -76,19 +77,19 @@
     (0.0..=1.0).contains(&value)
 }
 
-fn is_finite_from(least: f64, value: f64) -> bool {
-    value >= least && value.is_finite()
+fn is_finite_from(min: f64, value: f64) -> bool {
+    value >= min && value.is_finite()
 }
 
 fn check(valid: bool, key: &'static str, value: f64, expected: &'static str) -> Result<(), Rejection> {
     if valid { Ok(()) } else { Err(Rejection::InvalidRule { key, value, expected }) }
 }
 
-/// The strictest combination of two sets, field by field: both sets allow whatever it allows. The operation is
-/// symmetric and idempotent. Of two lists of unequal length the tail of the longer one stays, since the other one does
-/// not limit those classes.
+/// Combines two sets of rules into the strictest one, field by field, so that both sets allow everything that the result
+/// allows. The operation is commutative and idempotent. If two lists differ in length, the tail of the longer one is
+/// retained, since the shorter one does not limit those query classes.
 pub fn strictest_rules(a: &RoutingRules, b: &RoutingRules) -> RoutingRules {
-    // Destructured without `..`, so that a new field cannot be forgotten here.
+    // Destructured without `..`, so that a new field does not compile until it is handled here.
     let RoutingRules {
         minimum_shares,
         complete_at,
@@ -128,7 +129,7 @@
                 b
             }
         }
-        (a, b) => *a.or(b).expect("one of them is as long"),
+        (a, b) => *a.or(b).expect("the index is within the longer list"),
     };
     (0..a.len().max(b.len())).map(at).collect()
 }
--- a/crates/dunepond-consensus/src/voter/envelope.rs
+++ b/crates/dunepond-consensus/src/voter/envelope.rs
@@ -80,7 +80,7 @@
         let (&version, rest) = bytes.split_first().ok_or_else(malformed)?;
         if version != PROTOCOL_VERSION {
             let (from, supported) = (from.to_string(), PROTOCOL_VERSION);
-            return Err(ConsensusError::NewerProtocol { from, version, supported });
+            return Err(ConsensusError::UnsupportedProtocol { from, version, supported });
         }
         let envelope: Self = codec::decode(rest).ok_or_else(malformed)?;
         if envelope.from != from {
--- a/crates/dunepond-consensus/src/voter/recovery.rs
+++ b/crates/dunepond-consensus/src/voter/recovery.rs
@@ -77,9 +77,9 @@
         if order.lost_voters.contains(&self.config.name) {
             return Err(RecoveryError::OwnVoter);
         }
-        let (lost, of) = (order.lost_voters.len(), state.voters.voters.len());
-        if lost * 2 < of {
-            return Err(RecoveryError::MajorityRemains { lost, of });
+        let (lost, total) = (order.lost_voters.len(), state.voters.voters.len());
+        if lost * 2 < total {
+            return Err(RecoveryError::MajorityRemains { lost, total });
         }
         if order.highest_number < state.highest_number {
             let (stated, actual) = (order.highest_number, state.highest_number);
--- a/crates/dunepond-consensus/src/voter_change.rs
+++ b/crates/dunepond-consensus/src/voter_change.rs
@@ -1,4 +1,4 @@
-//! Voters as documents name them: by name and address, and by the identity of their folder.
+//! Descriptions of voters in documents: their names, addresses and folder identities.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,13 +7,14 @@
 pub struct VoterInfo {
     /// Name of the broker.
     pub name: String,
-    /// Address at which the others reach it; `None` means the address in their files.
+    /// Address at which other brokers reach the voter; `None` means the address in each broker's file.
     #[serde(default)]
     #[serde(rename = "at")]
     pub address: Option<String>,
 }
 
-/// An operator's document with the whole list of voters, which differs from the list in force by at most one voter.
+/// An operator's document with the complete new list of voters. Compared with the list in force, at most one voter may
+/// join and at most one may leave.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VoterChange {
     /// Number of the list: one more than that of the list in force, or of the pending one.
@@ -31,13 +32,13 @@
     pub proposed_at_unix_seconds: f64,
 }
 
-/// Identity of a voter's folder, as its peers last saw it.
+/// Identity of a voter's folder and of its last start, as far as the holder of this value knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterSlot {
     /// Random id drawn when the folder was empty.
     #[serde(rename = "folder")]
     pub folder_id: u64,
-    /// Number of starts on the folder.
+    /// Number of times that the voter was started on the folder.
     #[serde(rename = "starts")]
     pub start_count: u64,
     /// Random number drawn at each start.
--- a/crates/dunepond-consensus/tests/errors.rs
+++ b/crates/dunepond-consensus/tests/errors.rs
@@ -18,13 +18,13 @@
         ChangeOpen { open: 1 },
         WrongNumber { given: 1, expected: 2 },
         WrongBase { given: 1, in_force: 2 },
-        InvalidRule { key: "least", value: 2.0, expected: "a share" },
+        InvalidRule { key: "least", value: 2.0, expected: "a ratio" },
         InvalidStage(2.0),
         InvalidMap(vec![fault; 5]),
         MapsDisabled,
         MapDropped(1),
         OwnerExcluded { segment: 1, owner: text() },
-        TooManySegments { changed: 2, of: 4, most: 0.2 },
+        TooManySegments { changed: 2, total: 4, max_ratio: 0.2 },
         NotProposed(1),
         LeaderOnly(1),
         FillsMissing { number: 1, missing: 2 },
@@ -58,7 +58,7 @@
         UnexpectedReply(1),
         NoLeader,
         ClockWentBack { from: 2.0, to: 1.0 },
-        ClockDrift { here: 1.0, there: 2.0 },
+        ClockDrift { local: 1.0, leader: 2.0 },
     ];
     // A new variant does not compile until it is counted here, and then has to be in the list.
     let count = |rejection: &Rejection| match rejection {
@@ -115,7 +115,7 @@
         ConsensusError::CorruptRecord("a write batch"),
         ConsensusError::CorruptLog("a gap"),
         ConsensusError::MalformedMessage(text()),
-        ConsensusError::NewerProtocol { from: text(), version: 2, supported: 1 },
+        ConsensusError::UnsupportedProtocol { from: text(), version: 2, supported: 1 },
         ConsensusError::SenderMismatch { from: text(), stated: text() },
     ];
     let messages = rejections.iter().map(|r| (r.to_string(), r.help()));
@@ -130,7 +130,7 @@
 
 #[rstest]
 #[case::empty(&[], |e: &ConsensusError| matches!(e, ConsensusError::MalformedMessage(_)))]
-#[case::newer_protocol(&[3, 1], |e: &ConsensusError| matches!(e, ConsensusError::NewerProtocol { version: 3, supported: 2, .. }))]
+#[case::newer_protocol(&[3, 1], |e: &ConsensusError| matches!(e, ConsensusError::UnsupportedProtocol { version: 3, supported: 2, .. }))]
 #[case::malformed(&[2, 255, 255, 255], |e: &ConsensusError| matches!(e, ConsensusError::MalformedMessage(_)))]
 fn rejects_malformed_message(#[case] bytes: &[u8], #[case] is_expected: fn(&ConsensusError) -> bool) {
     let mut voter = Voter::open(consensus_config("n1", 3), StoredVoter::new(), 0.0, 1).unwrap();
--- a/crates/dunepond-consensus/tests/recovery.rs
+++ b/crates/dunepond-consensus/tests/recovery.rs
@@ -63,7 +63,7 @@
 #[case::other_position(|w: &mut RecoveryOrder| w.last_index += 1, |e: &RecoveryError| matches!(e, RecoveryError::WrongPosition { .. }))]
 #[case::not_a_voter(|w: &mut RecoveryOrder| w.lost_voters.push(String::from("n4")), |e: &RecoveryError| *e == RecoveryError::NotAVoter(String::from("n4")))]
 #[case::own_voter(|w: &mut RecoveryOrder| w.lost_voters.push(String::from("n3")), |e: &RecoveryError| *e == RecoveryError::OwnVoter)]
-#[case::remaining_majority(|w: &mut RecoveryOrder| drop(w.lost_voters.pop()), |e: &RecoveryError| matches!(e, RecoveryError::MajorityRemains { lost: 1, of: 3 }))]
+#[case::remaining_majority(|w: &mut RecoveryOrder| drop(w.lost_voters.pop()), |e: &RecoveryError| matches!(e, RecoveryError::MajorityRemains { lost: 1, total: 3 }))]
 #[case::earlier_version_number(|w: &mut RecoveryOrder| w.highest_number = 0, |e: &RecoveryError| matches!(e, RecoveryError::VersionTooLow { stated: 0, actual: 1 }))]
 #[case::wrong_confirmation(|w: &mut RecoveryOrder| w.confirmation = String::from("yes"), |e: &RecoveryError| *e == RecoveryError::WrongConfirmation)]
 fn rejects_order_that_does_not_fit(
