--- a/crates/dunepond-consensus/src/lease_client/adoption.rs
+++ b/crates/dunepond-consensus/src/lease_client/adoption.rs
@@ -1,4 +1,4 @@
-//! Adoption of grants. The versions are validated and proved here again, regardless of the sender.
+//! Adoption of lease grants. The client validates the versions and verifies their maps itself, whoever sent them.
 
 use std::collections::BTreeSet;
 
@@ -9,16 +9,19 @@
 use crate::{ConsensusConfig, RolloutStep, SettlementUpdate};
 
 impl LeaseClient {
+    /// Adopts the state in a grant, or returns why the grant is invalid.
     pub(super) fn adopt(&mut self, grant: &LeaseGrant) -> Result<(), Rejection> {
         if let Some(part) = grant.required_parts.first() {
             return Err(Rejection::UnknownPart(part.clone()));
         }
-        // Whether maps are possible is recorded even if the rest of the grant is not adopted.
+        // That maps are enabled is recorded even if the rest of the grant is not adopted: a map may become active.
         self.snapshot.maps_enabled |= grant.maps_enabled;
-        let active = grant.active.as_ref().map(|(number, digest)| self.document(grant, *number, digest));
+        let active = grant.active.as_ref().map(|(number, digest)| self.find_version(grant, *number, digest));
         let active = active.transpose()?;
-        let proposed =
-            grant.proposed.as_ref().map(|proposed| self.document(grant, proposed.number, &proposed.digest));
+        let proposed = grant
+            .proposed
+            .as_ref()
+            .map(|proposed| self.find_version(grant, proposed.number, &proposed.digest));
         let proposed = proposed.transpose()?;
         for known in active.iter().chain(&proposed) {
             known.version.check_known_keys(&self.known_keys)?;
@@ -34,27 +37,33 @@
         self.index = grant.index;
         (self.fleet_id, self.epoch) = (grant.fleet_id, grant.epoch);
         self.snapshot.allocation = grant.quota.clone();
-        self.voters.set_agreed(grant.voters.clone(), grant.voters_number);
+        self.voters.set_committed(grant.voters.clone(), grant.voters_number);
         self.snapshot.side = self.side(grant);
         self.adopt_settlements(&grant.settlements);
         Ok(())
     }
 
-    /// Finds a version that is already known, or that is part of the grant.
-    fn document(&self, grant: &LeaseGrant, number: u64, agreed: &str) -> Result<KnownVersion, Rejection> {
+    /// Finds the version with this number and the committed digest, among the known versions or in the grant.
+    fn find_version(
+        &self,
+        grant: &LeaseGrant,
+        number: u64,
+        committed: &str,
+    ) -> Result<KnownVersion, Rejection> {
         let mut known = self.active.iter().chain(&self.proposed);
-        if let Some(known) = known.find(|known| known.version.number == number && known.digest == agreed) {
+        if let Some(known) = known.find(|known| known.version.number == number && known.digest == committed) {
             return Ok(known.clone());
         }
         let received = grant.documents.iter().find(|version| version.number == number);
         let received = KnownVersion::new(received.ok_or(Rejection::MissingDocument(number))?);
-        if received.digest != agreed {
-            let (stated, actual) = (agreed.to_string(), received.digest);
+        if received.digest != committed {
+            let (stated, actual) = (committed.to_string(), received.digest);
             return Err(Rejection::DigestMismatch { number, stated, actual });
         }
         Ok(received)
     }
 
+    /// Verifies the maps of both versions, and adopts the proofs and the transition between them.
     fn adopt_proofs(
         &mut self,
         active: Option<&KnownVersion>,
@@ -74,8 +83,8 @@
         Ok(())
     }
 
-    /// Validates a version by this broker's own configuration, except for the ratio of segments that may change, which
-    /// the voters limit.
+    /// Validates a proposed version under this broker's own configuration, except for the ratio of segments that may
+    /// change, which only the voters limit.
     pub(super) fn validate(
         &self,
         active: Option<&KnownVersion>,
@@ -87,6 +96,7 @@
         validate_proposal(active.map(|known| &*known.version), proof, proposed, &config)
     }
 
+    /// Verifies the map of the active version, and marks completed fills in the proof; `None` if there is no map.
     pub(super) fn prove(
         &self,
         active: Option<&KnownVersion>,
@@ -103,6 +113,7 @@
         Ok(Some(with_completed_fills(&proof, completed_fills)))
     }
 
+    /// The versions on which this broker acts while it holds a lease by this grant.
     fn side(&self, grant: &LeaseGrant) -> RolloutSide {
         let Some(proposed) = &grant.proposed else { return RolloutSide::Active };
         match proposed.step {
@@ -113,8 +124,8 @@
         }
     }
 
-    /// Adopts settlement entries. A reply to a request from before the last adopted one contains nothing new, or the
-    /// whole ledger.
+    /// Adopts settlement entries. An update that does not begin with the next unknown entry answers an older request; it
+    /// is skipped unless it contains the whole ledger.
     fn adopt_settlements(&mut self, update: &SettlementUpdate) {
         let is_whole = update.ledger.is_some();
         if update.from != self.known_settlements && !is_whole {
@@ -131,7 +142,8 @@
     a.as_ref().map(|known| &known.digest) == b.as_ref().map(|known| &known.digest)
 }
 
-/// Whether the broker belongs to the ratio that acts on `number` first; the selection differs from version to version.
+/// Whether the broker belongs to the ratio of brokers in the first stage of version `number`. The selection differs from
+/// version to version.
 fn is_in_first_stage(broker: &str, number: u64, ratio: f64) -> bool {
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(broker.as_bytes(), number);
     (hash as f64) < ratio * u64::MAX as f64
--- a/crates/dunepond-consensus/src/lease_client/mod.rs
+++ b/crates/dunepond-consensus/src/lease_client/mod.rs
@@ -1,4 +1,4 @@
-//! Requests leases from voters and turns the grants into an [`ActiveConfig`].
+//! The client that requests leases from voters and turns the grants into an [`ActiveConfig`].
 
 mod adoption;
 mod clock_guard;
@@ -21,14 +21,15 @@
 use clock_guard::{ClockGuard, ClockSample};
 use voter_selection::VoterSelection;
 
-/// Part of a lease after which it is renewed.
+/// Fraction of a lease, counted from its request, after which it is renewed.
 const RENEWAL_LEASE_RATIO: f64 = 1.0 / 3.0;
-/// Part of a lease after which another voter is asked if there was no answer; the delay is up to twice as long.
+/// Shortest delay, as a fraction of a lease, before another voter is asked after a request failed or was not granted. A
+/// random factor up to 2 lengthens it. An unanswered request is given twice the resulting time.
 const RETRY_LEASE_RATIO: f64 = 1.0 / 12.0;
-/// Number of requests whose replies are accepted at the same time.
+/// Largest number of pending requests; if there are more, the reply to the oldest one is no longer accepted.
 const MAX_PENDING_COUNT: usize = 8;
 
-/// A revision that changes whenever [`LeaseClient::persisted_state`] does.
+/// A revision that changes whenever the versions, voters or epoch in [`LeaseClient::persisted_state`] change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PersistedRevision {
     active: u64,
@@ -37,9 +38,12 @@
     epoch: u64,
 }
 
+/// A request that was sent and is not answered yet.
 struct PendingRequest {
     id: u64,
+    /// When the request was sent, in seconds on this broker's clock.
     sent_at: f64,
+    /// Name of the voter to which it was sent.
     voter: String,
 }
 
@@ -56,13 +60,13 @@
     }
 }
 
-/// A broker's client for leases.
+/// A broker's client for leases: it requests them, validates the grants and keeps the resulting [`ActiveConfig`].
 pub struct LeaseClient {
     config: ConsensusConfig,
     incarnation: u64,
     rng: Pcg64Mcg,
     next_id: u64,
-    /// Pending requests in the order in which they were sent.
+    /// Pending requests, the oldest one first.
     pending: Vec<PendingRequest>,
     next_request_at: f64,
     voters: VoterSelection,
@@ -70,7 +74,7 @@
     epoch: u64,
     /// Keys of version extensions that this build implements.
     known_keys: Vec<String>,
-    /// Index of the last grant that was adopted.
+    /// Log index of the last adopted grant.
     index: u64,
     active: Option<KnownVersion>,
     proposed: Option<KnownVersion>,
@@ -85,7 +89,9 @@
 }
 
 impl LeaseClient {
-    /// Creates a client. `now` is the broker's own monotonic clock; `seed` has to differ at each start of the process.
+    /// Creates a client from the configuration and the state that [`Self::persisted_state`] returned before the restart,
+    /// if any. `now` is the present reading of the broker's monotonic clock; `seed` has to differ at each start of the
+    /// process.
     pub fn new(config: ConsensusConfig, persisted: Option<PersistedState>, now: f64, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let incarnation = rng.random();
@@ -118,9 +124,10 @@
         client
     }
 
-    /// Adopts what was known before the restart, without a lease. Versions that no longer validate are left out.
+    /// Adopts the persisted state, without a lease. Versions that are not valid under the present configuration are left
+    /// out.
     fn restore(&mut self, persisted: PersistedState) {
-        self.voters.set_agreed(persisted.voters, persisted.voters_number);
+        self.voters.set_committed(persisted.voters, persisted.voters_number);
         (self.fleet_id, self.epoch) = (persisted.fleet_id, persisted.epoch);
         let (active, proposed): (Vec<_>, Vec<_>) =
             persisted.versions.iter().partition(|version| version.number == persisted.active_number);
@@ -154,15 +161,15 @@
         self.demand = demand;
     }
 
-    /// Returns the voter to ask and the request when one is due. The caller has to call this at least ten times a
-    /// lease.
+    /// Returns the next request and the voter to send it to, if one is due. The caller has to call this at least ten
+    /// times per lease duration.
     pub fn tick(&mut self, now: f64) -> Option<(String, LeaseRequest)> {
         self.observe_clock(now);
         if now < self.next_request_at || self.config.voters.is_empty() {
             return None;
         }
         if let Some(last) = self.pending.last() {
-            // The voter has not replied in time; the next voter forwards the request if it does not lead.
+            // The voter has not replied in time. The next one forwards the request to the leader if it does not lead.
             self.voters.mark_unresponsive(now, &last.voter);
         }
         let retry = RETRY_LEASE_RATIO * (1.0 + self.rng.random::<f64>());
@@ -188,23 +195,25 @@
             joint_version: self.joint_version(),
             incarnation: self.incarnation,
             known_settlements: self.known_settlements,
-            demand: self.demand.clone().map(|report| self.acknowledging(report)),
+            demand: self.demand.clone().map(|report| self.with_acknowledged_shrink(report)),
             forwarded: false,
             overloaded: self.overloaded,
         }
     }
 
-    fn acknowledging(&self, report: DemandReport) -> DemandReport {
+    /// Adds to a demand report the generation of the last shrink of this broker's shares that it has adopted.
+    fn with_acknowledged_shrink(&self, report: DemandReport) -> DemandReport {
         let allocation = self.snapshot.allocation.as_ref();
         let shrunk_generation = allocation.map_or(0, |allocation| allocation.shrunk_generation);
         DemandReport { shrunk_generation, ..report }
     }
 
+    /// Number of the proposed version that this broker has adopted, if any.
     fn joint_version(&self) -> Option<u64> {
         self.proposed.as_ref().map(|known| known.version.number)
     }
 
-    /// Records that the request to `voter` could not be sent, or failed.
+    /// Records that the request to `voter` could not be sent or failed, so that another voter is asked soon.
     pub fn request_failed(&mut self, now: f64, voter: &str) {
         self.observe_clock(now);
         self.voters.mark_unresponsive(now, voter);
@@ -229,15 +238,16 @@
         self.refresh();
     }
 
-    /// Why no lease is accepted any more, if that is so. It has to be shown, and resolved by a person.
+    /// Why leases are not accepted because of a faulty clock, if so: those of every leader, or those of one leader's run.
+    /// The host has to report the reason to an operator.
     pub fn distrust_reason(&self) -> Option<&Rejection> {
         self.clock.distrust_reason()
     }
 
-    /// Handles a reply. Nothing of it is adopted if any part of it is invalid.
+    /// Handles a reply at the time `now`. If a part of it is invalid, no lease is granted and no version of it is adopted.
     ///
     /// # Errors
-    /// The reason for which the reply is not adopted.
+    /// Why the reply was not adopted.
     pub fn handle_reply(&mut self, now: f64, _from: &str, reply: LeaseReply) -> Result<(), Rejection> {
         self.observe_clock(now);
         let is_for_us = reply.incarnation == self.incarnation;
@@ -246,16 +256,16 @@
         let grant = match reply.answer {
             LeaseAnswer::Granted(grant) => grant,
             LeaseAnswer::NoLeader => {
-                self.drop_refused(now, position);
+                self.drop_rejected(now, position);
                 return Err(Rejection::NoLeader);
             }
             LeaseAnswer::NotAVoter(others) => {
-                let voter = self.drop_refused(now, position);
+                let voter = self.drop_rejected(now, position);
                 self.voters.set_hints(others);
                 return Err(Rejection::NotAVoter(voter));
             }
         };
-        // This reply supersedes earlier requests.
+        // Earlier requests are dropped, too: their replies would not be newer.
         let Some(request) = self.pending.drain(..=position).next_back() else {
             return Err(Rejection::UnexpectedReply(reply.id));
         };
@@ -268,7 +278,7 @@
         self.voters.granted(now, &grant.leader, request.voter);
         let became_joint = self.joint_version().is_some() && self.joint_version() != joint_before;
         self.next_request_at = if became_joint {
-            // The leader waits for the report that this broker is joint.
+            // Requested at once, since the leader waits for the report that this broker acts on the joint configuration.
             now
         } else {
             request.sent_at + self.config.lease_seconds * RENEWAL_LEASE_RATIO
@@ -277,8 +287,8 @@
         Ok(())
     }
 
-    /// Drops a request that was not granted, and returns its voter.
-    fn drop_refused(&mut self, now: f64, position: usize) -> String {
+    /// Drops a request that was not granted, and returns the name of its voter.
+    fn drop_rejected(&mut self, now: f64, position: usize) -> String {
         let voter = self.pending.remove(position).voter;
         self.voters.forget_leader();
         self.voters.mark_unresponsive(now, &voter);
@@ -286,6 +296,7 @@
         voter
     }
 
+    /// Checks that a grant is from this fleet, not stale, and consistent with the clocks.
     fn check_grant(&mut self, now: f64, sent_at: f64, grant: &LeaseGrant) -> Result<(), Rejection> {
         self.clock.check_trusted()?;
         if self.fleet_id != 0 && grant.fleet_id != 0 && grant.fleet_id != self.fleet_id {
@@ -306,8 +317,8 @@
         checked
     }
 
-    /// Extends the lease. It counts from when its request was sent: only then is it certain to end before the leader's
-    /// wait does.
+    /// Extends the lease. Its duration counts from when the request was sent, so that it certainly ends before the
+    /// leader's wait does.
     fn extend_lease(&mut self, sent_at: f64, lease_seconds: f64) {
         let until = sent_at + lease_seconds.min(self.config.lease_seconds);
         if until > self.snapshot.lease_until {
@@ -317,32 +328,34 @@
         self.refresh();
     }
 
+    /// Computes the active configuration again after a change.
     fn refresh(&mut self) {
         self.snapshot.active = self.active.as_ref().map(|known| known.version.clone());
         self.snapshot.proposed = self.proposed.as_ref().map(|known| known.version.clone());
         self.active_config = self.snapshot.clone().into_active_config();
     }
 
-    /// What this broker may act on; it has to be called again after each [`Self::handle_reply`] and [`Self::tick`].
+    /// The configuration that this broker may act on. The caller has to get it again after each call to
+    /// [`Self::handle_reply`] or [`Self::tick`].
     pub fn active_config(&self) -> ActiveConfig {
         self.active_config.taken_at(self.clock.last())
     }
 
-    /// The state to be stored in the folder.
+    /// The state that the host has to store in the folder, so that [`Self::new`] can restore it after a restart.
     pub fn persisted_state(&self) -> PersistedState {
         let known = self.active.iter().chain(&self.proposed);
         PersistedState {
             versions: known.map(|known| known.version.clone()).collect(),
             active_number: self.active.as_ref().map_or(0, |known| known.version.number),
             completed_fills: self.completed_fills.iter().cloned().collect(),
-            voters: self.voters.agreed().to_vec(),
+            voters: self.voters.committed().to_vec(),
             voters_number: self.voters.number(),
             fleet_id: self.fleet_id,
             epoch: self.epoch,
         }
     }
 
-    /// The revision of [`Self::persisted_state`], which changes whenever that does.
+    /// The revision of [`Self::persisted_state`]; the host stores the state again when the revision changes.
     pub fn persisted_revision(&self) -> PersistedRevision {
         PersistedRevision {
             active: self.active_config.active_number(),
@@ -352,12 +365,12 @@
         }
     }
 
-    /// Takes the committed settlement entries that have not been taken yet, in their order.
+    /// Returns the committed settlement entries since the last call, in log order.
     pub fn take_settlement_updates(&mut self) -> Vec<SettlementUpdate> {
         std::mem::take(&mut self.settlement_updates)
     }
 
-    /// Sets the number of settlement entries that are known from before, or from another source.
+    /// Sets how many settlement entries this broker already has, from before the restart or from another source.
     pub fn set_known_settlements(&mut self, count: u64) {
         self.known_settlements = count;
     }
@@ -367,27 +380,28 @@
         self.voters.names()
     }
 
-    /// Number of the committed list of voters.
+    /// Number of the committed list of voters that [`Self::voters`] returns; 0 while no later list than the founding one
+    /// is known.
     pub fn voters_number(&self) -> u64 {
         self.voters.number()
     }
 
-    /// The committed voters, if this broker's file names others.
-    pub fn voters_unlike_file(&self) -> Option<&[VoterInfo]> {
-        self.voters.unlike_file()
+    /// The committed voters, if they differ from those in this broker's file; otherwise `None`.
+    pub fn voters_differing_from_file(&self) -> Option<&[VoterInfo]> {
+        self.voters.differing_from_file()
     }
 
-    /// Name of the leader as of the last reply.
+    /// Name of the leader according to the last reply, if it was a grant.
     pub fn leader(&self) -> Option<&str> {
         self.voters.leader()
     }
 
-    /// Random number drawn at the start of the process.
+    /// Random number that identifies this run of the broker's process.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Turns this into a later build for tests, which also implements these keys.
+    /// Lets this client act like a later build that also implements `keys`; for tests.
     #[doc(hidden)]
     pub fn add_known_keys(&mut self, keys: &[&str]) {
         self.known_keys.extend(keys.iter().map(ToString::to_string));
--- a/crates/dunepond-consensus/src/lease_client/voter_selection.rs
+++ b/crates/dunepond-consensus/src/lease_client/voter_selection.rs
@@ -1,27 +1,29 @@
-//! Selection of the voter that is asked next.
+//! Selection of the voter to which the next lease request is sent.
 
 use std::collections::BTreeMap;
 
 use crate::{ConsensusConfig, VoterInfo};
 
-/// Number of leases for which a voter that did not reply is asked only if no other is left.
+/// Number of leases for which a voter that did not reply is only asked if no other voter is left.
 const AVOIDANCE_LEASES: f64 = 10.0;
-/// Largest number of voters that are remembered from the reply of a former voter.
+/// Largest number of voters that are taken from the reply of a former voter.
 const MAX_HINT_COUNT: usize = 16;
 
+/// The known voters, and which of them is asked next.
 pub(super) struct VoterSelection {
-    /// Voters in the operator's file.
+    /// Names of the voters in the operator's file.
     configured: Vec<String>,
     /// Voters of the committed list; empty while none is known.
-    agreed: Vec<VoterInfo>,
+    committed: Vec<VoterInfo>,
     /// Number of the committed list.
     number: u64,
-    /// Voters that a former voter named.
+    /// Names of the voters in the reply of a former voter.
     hints: Vec<String>,
-    /// The leader, or a voter that forwards to it.
+    /// The voter through which the last lease was granted, or its leader if that is reachable.
     preferred: Option<String>,
+    /// Name of the leader that granted the last lease.
     leader: Option<String>,
-    /// Voters that did not reply, with the time of the request that failed.
+    /// Voters that did not grant a request, with the time when that was noticed.
     unresponsive: BTreeMap<String, f64>,
     /// Counter that rotates through the voters while none is preferred.
     rotation: usize,
@@ -32,7 +34,7 @@
     pub fn new(config: &ConsensusConfig, rotation: usize) -> Self {
         Self {
             configured: config.voters.clone(),
-            agreed: Vec::new(),
+            committed: Vec::new(),
             number: 0,
             hints: Vec::new(),
             preferred: None,
@@ -43,30 +45,32 @@
         }
     }
 
-    pub fn set_agreed(&mut self, agreed: Vec<VoterInfo>, number: u64) {
-        (self.agreed, self.number) = (agreed, number);
+    pub fn set_committed(&mut self, committed: Vec<VoterInfo>, number: u64) {
+        (self.committed, self.number) = (committed, number);
     }
 
-    /// Sets voters to ask. A hint only says where to ask: a grant from there has to be valid by itself.
+    /// Sets further voters to ask, from the reply of a former voter. A hint is not trusted beyond that: a grant from such
+    /// a voter is checked like any other.
     pub fn set_hints(&mut self, voters: Vec<VoterInfo>) {
         self.hints = voters.into_iter().map(|voter| voter.name).take(MAX_HINT_COUNT).collect();
     }
 
+    /// Returns the name of the voter to ask next.
     pub fn select(&self, now: f64) -> String {
         if let Some(voter) = &self.preferred {
             return voter.clone();
         }
-        // Voters of the file are asked only if no committed voter replies: the voters may have changed while this
-        // broker was cut off.
-        let agreed: Vec<&String> = self.agreed.iter().map(|voter| &voter.name).collect();
+        // Voters of the file and hints are only asked if no committed voter replies. They are needed because the voters
+        // may have changed while this broker was partitioned.
+        let committed: Vec<&String> = self.committed.iter().map(|voter| &voter.name).collect();
         let others = self.configured.iter().chain(&self.hints);
-        let others: Vec<&String> = others.filter(|name| !agreed.contains(name)).collect();
+        let others: Vec<&String> = others.filter(|name| !committed.contains(name)).collect();
         let responsive = |voters: &[&String]| {
-            let mut in_turn = (0..voters.len()).map(|n| voters[(self.rotation + n) % voters.len()]);
-            in_turn.find(|voter| !self.is_unresponsive(now, voter)).cloned()
+            let mut rotated = (0..voters.len()).map(|n| voters[(self.rotation + n) % voters.len()]);
+            rotated.find(|voter| !self.is_unresponsive(now, voter)).cloned()
         };
-        responsive(&agreed).or_else(|| responsive(&others)).unwrap_or_else(|| {
-            let all: Vec<&String> = agreed.iter().chain(&others).copied().collect();
+        responsive(&committed).or_else(|| responsive(&others)).unwrap_or_else(|| {
+            let all: Vec<&String> = committed.iter().chain(&others).copied().collect();
             all[self.rotation % all.len()].clone()
         })
     }
@@ -75,6 +79,7 @@
         self.unresponsive.get(voter).is_some_and(|at| now - at < self.avoidance_seconds)
     }
 
+    /// Records that `voter` did not grant a request, so that another one is asked next.
     pub fn mark_unresponsive(&mut self, now: f64, voter: &str) {
         self.unresponsive.insert(voter.to_string(), now);
         if self.preferred.as_deref() == Some(voter) {
@@ -83,13 +88,13 @@
         self.rotation += 1;
     }
 
-    /// Records that a lease of `leader` was granted through the voter `via`.
+    /// Records that `leader` granted a lease through the voter `via`.
     pub fn granted(&mut self, now: f64, leader: &str, via: String) {
         self.unresponsive.remove(&via);
         self.leader = Some(leader.to_string());
         let is_voter = self.names().iter().any(|name| name == leader);
-        let direct = is_voter && !self.is_unresponsive(now, leader);
-        self.preferred = Some(if direct { leader.to_string() } else { via });
+        let is_reachable = is_voter && !self.is_unresponsive(now, leader);
+        self.preferred = Some(if is_reachable { leader.to_string() } else { via });
     }
 
     pub fn forget_leader(&mut self) {
@@ -100,8 +105,8 @@
         self.leader.as_deref()
     }
 
-    pub fn agreed(&self) -> &[VoterInfo] {
-        &self.agreed
+    pub fn committed(&self) -> &[VoterInfo] {
+        &self.committed
     }
 
     pub fn number(&self) -> u64 {
@@ -110,16 +115,16 @@
 
     /// Names of the committed voters, or those of the file while no committed list is known.
     pub fn names(&self) -> Vec<String> {
-        if self.agreed.is_empty() {
+        if self.committed.is_empty() {
             return self.configured.clone();
         }
-        self.agreed.iter().map(|voter| voter.name.clone()).collect()
+        self.committed.iter().map(|voter| voter.name.clone()).collect()
     }
 
-    /// The committed voters, if the file names others.
-    pub fn unlike_file(&self) -> Option<&[VoterInfo]> {
-        let same = self.agreed.len() == self.configured.len()
-            && self.agreed.iter().all(|voter| self.configured.contains(&voter.name));
-        (!self.agreed.is_empty() && !same).then_some(&self.agreed)
+    /// The committed voters, if they differ from those in the file.
+    pub fn differing_from_file(&self) -> Option<&[VoterInfo]> {
+        let same = self.committed.len() == self.configured.len()
+            && self.committed.iter().all(|voter| self.configured.contains(&voter.name));
+        (!self.committed.is_empty() && !same).then_some(&self.committed)
     }
 }
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -1,6 +1,6 @@
-//! The state machine of the log. Each voter applies the same entries in the same order and checks each by itself, so
-//! that all voters ignore an entry that should not have been proposed. No clock is read here: waiting is the task of
-//! the leader. The serialised names are those of the snapshot format.
+//! The replicated state machine. Each voter applies the same entries in the same order and checks each entry itself, so
+//! that all voters ignore an invalid one. No clock is read here; the leader enforces waits before it writes an entry. The
+//! serialized names are part of the snapshot format.
 
 mod quota;
 mod rebalance;
@@ -34,25 +34,26 @@
     #[serde(default)]
     #[serde(rename = "fleet")]
     pub fleet_id: u64,
-    /// Number of times that the fleet was recovered without a majority.
+    /// Epoch of the fleet: 1 at its founding, increased by each recovery without a majority; 0 if it was founded by a
+    /// build without epochs.
     #[serde(default)]
     pub epoch: u64,
-    /// Whether leases are suspended, because leases from before a recovery may still run.
+    /// Whether no leases are granted, because leases from before a recovery may still be valid.
     #[serde(default)]
     #[serde(rename = "quiet")]
     pub leases_suspended: bool,
     /// Index in the log up to which all entries are applied.
     pub index: u64,
-    /// The configuration by which all voters check entries, whatever their files state.
+    /// The consensus configuration in force, by which all voters check entries regardless of their own files.
     #[serde(rename = "terms")]
     pub config: ConsensusConfig,
-    /// Longest lease that was ever allowed, in seconds; the quiescence period is computed from it.
+    /// Longest lease that any configuration in force has ever allowed, in seconds. The quiescence period covers it.
     #[serde(rename = "longest_lease")]
     pub longest_lease_seconds: f64,
     /// The active version and its digest, if there is one.
     #[serde(rename = "in_force")]
     pub active: Option<(Arc<ConfigVersion>, String)>,
-    /// Completed fills that count for the active map, as segment and node.
+    /// Completed fills that apply to the active map, as segment id and node name.
     #[serde(rename = "done")]
     pub completed_fills: BTreeSet<(u64, String)>,
     /// The proposed version and its progress, if there is one.
@@ -60,12 +61,12 @@
     /// Highest version number ever proposed.
     #[serde(rename = "highest")]
     pub highest_number: u64,
-    /// The most recent changes that ended.
+    /// The most recent versions that were activated or withdrawn, the oldest one first.
     pub history: VecDeque<PastChange>,
-    /// The log of accounts between partners.
+    /// The ledger of transfer accounts between partners, and its most recent entries.
     #[serde(rename = "debts")]
     pub settlements: SettlementLog,
-    /// The list of voters.
+    /// The list of voters in force, and the pending list.
     pub voters: VoterList,
     /// Identity of each voter's folder, by the voter's name.
     #[serde(rename = "seats")]
@@ -73,18 +74,19 @@
     /// Each broker's shares of fleet-wide quotas.
     #[serde(rename = "limits")]
     pub quota: QuotaLedger,
+    /// Progress of rebalancing plans.
     #[serde(rename = "moves")]
     rebalance: PlanProgress,
-    /// Parts that a voter must know to take part; there are none so far.
+    /// Names of parts that a voter must know before it may act on the state; none exist yet.
     #[serde(rename = "must")]
     required_parts: BTreeSet<String>,
-    /// Parts of a later build that a voter need not know; they stay in each snapshot.
+    /// Parts that a later build added and that a voter need not know; they are preserved in each snapshot.
     #[serde(flatten)]
     unknown_parts: BTreeMap<String, ciborium::Value>,
-    /// Proof of the active map; derived from it.
+    /// Proof of the active map. It is derived from the map, and not stored.
     #[serde(skip)]
     proof: Option<VerifiedMap>,
-    /// Proof of the proposed version's maps; derived from them.
+    /// Proof of the proposed version's map and of the transition to it. It is derived, and not stored.
     #[serde(skip)]
     proposal: Option<ValidatedProposal>,
 }
@@ -120,8 +122,8 @@
         codec::encode(self)
     }
 
-    /// Derives the proofs again. `None` if this build does not know a required part, or a proof fails: such a state
-    /// must not be acted on.
+    /// Derives the proofs of a decoded state. Returns `None` if this build does not know a required part, a digest
+    /// differs or a map is invalid; the voter must not act on such a state.
     pub(crate) fn with_proofs(mut self) -> Option<Self> {
         if !self.required_parts.is_empty() {
             return None;
@@ -141,14 +143,15 @@
         Some(self)
     }
 
-    /// The quiescence period, in seconds on the leader's clock from when it saw a change committed; see
-    /// [`ConsensusConfig::quiescence_seconds`]. `own` is the configuration in the leader's file.
+    /// The quiescence period in seconds on the leader's clock, counted from when it saw a change committed. It covers both
+    /// the configuration in force and `own`, the one in the leader's file; see
+    /// [`ConsensusConfig::quiescence_seconds`].
     pub fn quiescence_seconds(&self, own: &ConsensusConfig) -> f64 {
         let lease = self.longest_lease_seconds.max(own.lease_seconds);
         self.config.quiescence_seconds_for(lease).max(own.quiescence_seconds_for(lease))
     }
 
-    /// Checks whether the entry would change anything in the present state.
+    /// Checks whether the entry is valid in the present state, or returns why it would be ignored.
     pub(crate) fn check(&self, entry: &LogEntry) -> Result<(), Rejection> {
         match entry {
             LogEntry::Command(command) => self.check_command(command),
@@ -213,7 +216,7 @@
     /// Applies a command that [`Self::check`] has accepted.
     fn apply_command(&mut self, command: Command) -> Result<StateChange, Rejection> {
         match command {
-            Command::Propose(_) => unreachable!("applied by its caller"),
+            Command::Propose(_) => unreachable!("`apply` handles proposals"),
             Command::FillCompleted { number, segment, holder } => {
                 Ok(self.complete_fill(number, segment, holder))
             }
--- a/crates/dunepond-consensus/src/replicated_state/quota.rs
+++ b/crates/dunepond-consensus/src/replicated_state/quota.rs
@@ -1,4 +1,4 @@
-//! Shares of fleet-wide quotas, which their ledger checks and applies.
+//! Entries that change shares of fleet-wide quotas; the quota ledger checks and applies them.
 
 use dunepond_quota::QuotaEntry;
 
--- a/crates/dunepond-consensus/src/replicated_state/rebalance.rs
+++ b/crates/dunepond-consensus/src/replicated_state/rebalance.rs
@@ -1,4 +1,4 @@
-//! Rebalancing plans, and the versions that carry out their steps.
+//! Entries of rebalancing plans, and the check that versions do not interfere with a running plan.
 
 use dunepond_rebalance::{CommittedEntry, PlanProgress, RebalanceContext};
 
@@ -6,12 +6,12 @@
 use crate::{ConfigVersion, Rejection};
 
 impl ReplicatedState {
-    /// Progress of the running plan, and the plans that have ended.
+    /// Progress of the running rebalancing plan, and the plans that have ended.
     pub fn rebalance(&self) -> &PlanProgress {
         &self.rebalance
     }
 
-    /// The context in which an entry of a plan is checked.
+    /// The part of the state against which entries of rebalancing plans are checked.
     pub fn rebalance_context(&self) -> RebalanceContext<'_> {
         RebalanceContext {
             open_version: self.open.as_ref().map(|open| open.version.number),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Whether the active version excludes the node.
+    /// Whether the node is draining or removed in the active version.
     pub fn is_excluded(&self, node: &str) -> bool {
         self.active.as_ref().is_some_and(|(version, _)| version.excluded_nodes.contains(node))
     }
@@ -40,11 +40,11 @@
         Ok(StateChange::Rebalance { plan, status })
     }
 
-    /// Checks that no other version changes the map while a plan runs.
-    pub(super) fn check_beside_plan(&self, version: &ConfigVersion) -> Result<(), Rejection> {
+    /// Checks that the version does not change the map while a plan runs, unless it is the plan's own step.
+    pub(super) fn check_against_running_plan(&self, version: &ConfigVersion) -> Result<(), Rejection> {
         let digest = version.map.as_ref().map(|map| map.digest.as_str());
         let active = self.proof.as_ref().map(|proof| proof.digest());
-        let other_map = digest.filter(|digest| active != Some(*digest));
-        Ok(self.rebalance.check_version(version.number, other_map)?)
+        let changed_map = digest.filter(|digest| active != Some(*digest));
+        Ok(self.rebalance.check_version(version.number, changed_map)?)
     }
 }
--- a/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
@@ -1,4 +1,5 @@
-//! The ledger of accounts between partners, and its most recent entries for brokers that lack only those.
+//! The ledger of transfer accounts between partners, and its most recent entries. A broker that lacks only some of these
+//! receives them instead of the whole ledger.
 
 #[cfg(test)]
 mod tests;
@@ -10,45 +11,46 @@
 
 use crate::Rejection;
 
-/// Entries that are retained for brokers that lag a little; a broker that lags more gets the whole ledger.
+/// Number of recent entries that are retained; a broker that lacks earlier ones receives the whole ledger.
 const RETAINED_ENTRY_COUNT: usize = 4096;
 /// Largest number of entries in one [`SettlementUpdate`].
 const UPDATE_ENTRY_COUNT: usize = 256;
-/// Number of versions before the active one whose settlements are still accepted. A broker that was cut off for longer
-/// cannot settle what it started before, and that debt stays open.
+/// Number of versions before the active one whose settlements are still accepted. A broker that was partitioned for
+/// longer cannot settle the fills that it started before, and their debts stay open.
 const OPEN_VERSION_COUNT: u64 = 8;
 
-/// An entry as it was applied, with the ledger's floor at that time. Everyone who applies it after its floor gets the
-/// same ledger.
+/// An applied entry with the ledger's floor at that time. A broker that first closes the versions below the floor and then
+/// applies the entry gets the same ledger.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SettlementRecord {
-    /// The ledger's floor: versions below it are closed.
+    /// Lowest version number that was open when the entry was applied; settlements of earlier versions are rejected.
     pub floor: u64,
     /// The applied entry.
     pub entry: SettlementEntry,
 }
 
-/// An excerpt of the [`SettlementLog`] for a broker that has the rest: first the ledger, if it is included, then the
-/// entries.
+/// The part of the [`SettlementLog`] that a broker lacks. The broker first replaces its ledger, if one is included, then
+/// applies the entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SettlementUpdate {
-    /// Number of entries that were applied before the first one of `entries`.
+    /// Number of entries of the log before the first one of `entries`.
     pub from: u64,
-    /// Number of entries that have been applied so far.
+    /// Number of all entries of the log so far.
     pub count: u64,
-    /// The ledger with everything before `from`, if the broker lacks older entries.
+    /// The ledger with the first `from` entries applied, if the broker lacks entries that are no longer retained.
     pub ledger: Option<Box<SettlementLedger>>,
-    /// Entries in the order in which they were applied.
+    /// The entries from `from` on, in log order; a limited number of them.
     pub entries: Vec<SettlementRecord>,
 }
 
-/// The ledger, and its most recent entries.
+/// The ledger of transfer accounts between partners, and its most recent entries.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SettlementLog {
     /// The ledger with all entries so far.
     pub ledger: SettlementLedger,
-    /// Number of entries that were ever applied.
+    /// Number of entries that were applied since the fleet was founded.
     pub count: u64,
+    /// The most recent entries, the oldest one first.
     last: VecDeque<SettlementRecord>,
 }
 
@@ -75,21 +77,22 @@
         }
     }
 
-    /// Closes versions that are too old, after another version became active.
+    /// Closes old versions, whose settlements are no longer accepted, after version `active_number` became active.
     pub(crate) fn close_old_versions(&mut self, active_number: u64) {
         self.ledger.close(active_number.saturating_sub(OPEN_VERSION_COUNT));
     }
 
-    /// The update for a broker that has the first `known` entries; a limited number of entries at a time.
+    /// Returns the update for a broker that already has the first `known` entries. It contains a limited number of
+    /// entries, so the broker may need several updates.
     pub fn updates_after(&self, known: u64) -> SettlementUpdate {
         let first_retained = self.count - self.last.len() as u64;
-        // A broker that has more entries than exist had them from another fleet.
+        // A broker that has more entries than exist received them from another fleet.
         if known < first_retained || known > self.count {
             let ledger = Some(Box::new(self.ledger.clone()));
             return SettlementUpdate { from: self.count, count: self.count, ledger, entries: Vec::new() };
         }
-        let unknown = self.last.iter().skip((known - first_retained) as usize);
-        let entries = unknown.take(UPDATE_ENTRY_COUNT).cloned().collect();
+        let missing = self.last.iter().skip((known - first_retained) as usize);
+        let entries = missing.take(UPDATE_ENTRY_COUNT).cloned().collect();
         SettlementUpdate { from: known, count: self.count, ledger: None, entries }
     }
 }
--- a/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
@@ -27,7 +27,7 @@
     SettlementEntry::Allot(Allotment { number: 0, debtor, creditor, debt: 15_000, parts })
 }
 
-/// Five thousand settlements over fifty versions, the debt split in advance.
+/// A log of 5000 settlements over 50 versions, of a debt that was allotted before.
 fn long_log() -> SettlementLog {
     let mut log = SettlementLog::default();
     log.check(&allot()).unwrap();
@@ -43,18 +43,19 @@
     log
 }
 
-/// The ledger of a broker that has heard of the first `count` entries.
+/// The ledger of a broker that has the first `count` entries: `count` of 4900 is within the retained entries, any other
+/// one is not, and the broker receives the whole ledger.
 fn ledger_at(log: &SettlementLog, count: u64) -> SettlementLedger {
     if count != 4_900 {
         return SettlementLedger::default();
     }
-    // The whole ledger up to the first retained entry, then entry by entry.
-    let first = log.count - log.last.len() as u64;
-    let mut before = SettlementLog::default();
-    before.apply(allot());
-    (0..first - 1).for_each(|fill| before.apply(settle(1 + fill / FILLS_PER_VERSION, fill)));
-    let mut ledger = before.ledger;
-    for record in log.last.iter().take((count - first) as usize) {
+    // The ledger before the first retained entry, then one retained entry after the other.
+    let first_retained = log.count - log.last.len() as u64;
+    let mut earlier = SettlementLog::default();
+    earlier.apply(allot());
+    (0..first_retained - 1).for_each(|fill| earlier.apply(settle(1 + fill / FILLS_PER_VERSION, fill)));
+    let mut ledger = earlier.ledger;
+    for record in log.last.iter().take((count - first_retained) as usize) {
         ledger.close(record.floor);
         ledger.apply(&record.entry).unwrap();
     }
@@ -62,14 +63,14 @@
 }
 
 #[test]
-fn updates_from_any_position_lead_to_the_same_ledger() {
+fn updates_from_any_position_yield_same_ledger() {
     let log = long_log();
     for from in [0, 4_900, 9_999] {
-        let (mut known, mut ledger, mut times) = (from, ledger_at(&log, from), 0);
+        let (mut known, mut ledger, mut update_count) = (from, ledger_at(&log, from), 0);
         while known != log.count {
             let update = log.updates_after(known);
-            if let Some(whole) = update.ledger {
-                ledger = *whole;
+            if let Some(whole_ledger) = update.ledger {
+                ledger = *whole_ledger;
                 known = update.from;
             }
             for record in update.entries {
@@ -77,10 +78,10 @@
                 assert_eq!(ledger.apply(&record.entry), Ok(ApplyOutcome::New));
                 known += 1;
             }
-            times += 1;
-            assert!(times < 100, "no end of it from {from}");
+            update_count += 1;
+            assert!(update_count < 100, "the updates from entry {from} do not end");
         }
-        assert_eq!(ledger, log.ledger, "from {from}");
+        assert_eq!(ledger, log.ledger, "updates from entry {from}");
     }
 }
 
@@ -89,13 +90,13 @@
     let log = long_log();
     assert!(log.last.len() <= RETAINED_ENTRY_COUNT);
     assert_eq!(log.check(&settle(50, 4999)), Err(Rejection::AlreadySettled("50/4999/h@fleet".to_string())));
-    let late = log.check(&settle(41, 1));
+    let closed = log.check(&settle(41, 1));
     assert!(
-        matches!(late, Err(Rejection::Settlement(SettlementError::VersionClosed { floor: 42, .. }))),
-        "{late:?}"
+        matches!(closed, Err(Rejection::Settlement(SettlementError::VersionClosed { floor: 42, .. }))),
+        "{closed:?}"
     );
-    let past = log.check(&settle(50, 5000));
-    assert!(matches!(past, Err(Rejection::Settlement(SettlementError::ExceedsShare { .. }))), "{past:?}");
+    let excess = log.check(&settle(50, 5000));
+    assert!(matches!(excess, Err(Rejection::Settlement(SettlementError::ExceedsShare { .. }))), "{excess:?}");
     let size = postcard::to_stdvec(&log.ledger).unwrap().len();
-    assert!(size < 900 * 64, "{size} bytes for nine versions of a hundred fills");
+    assert!(size < 900 * 64, "the ledger takes {size} bytes for 9 open versions of 100 fills");
 }
--- a/crates/dunepond-consensus/src/replicated_state/state_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/state_change.rs
@@ -1,49 +1,49 @@
-//! The changes that applied entries make.
+//! Changes of the replicated state that applied entries make.
 
 use dunepond_settlement::SettlementEntry;
 
-/// The change that an applied entry made.
+/// The change of the replicated state that an applied entry made.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateChange {
-    /// The version of this number is proposed.
+    /// The version of this number was proposed.
     Proposed(u64),
-    /// A required fill is complete.
+    /// A fill that the proposed version requires is complete.
     FillCompleted {
         /// Number of the proposed version.
         number: u64,
         /// Id of the segment.
         segment: u64,
-        /// Name of the node.
+        /// Name of the node that holds the filled replica.
         holder: String,
     },
-    /// The first stage of the version began.
+    /// The first stage of the version of this number began.
     Staged(u64),
-    /// The version is the only active one.
+    /// The version of this number became the only active one.
     Activated(u64),
-    /// The version is being rolled back from its first stage.
+    /// The rollback of the version of this number from its first stage began.
     RollingBack(u64),
-    /// The version is withdrawn.
+    /// The version of this number was withdrawn.
     Withdrawn(u64),
-    /// Accounts between partners changed by this entry.
+    /// The transfer accounts between partners changed by this entry.
     Settlement(SettlementEntry),
-    /// Shares of quotas changed; the value is the ledger's new generation.
+    /// Shares of fleet-wide quotas changed; the value is the quota ledger's new generation.
     Quota(u64),
-    /// A rebalancing plan changed.
+    /// A rebalancing plan made progress, was paused, resumed or ended.
     Rebalance {
         /// Id of the plan.
         plan: String,
-        /// Progress of the plan, shown to people.
+        /// Progress of the plan as text; only shown to people.
         status: String,
     },
-    /// Another configuration of the consensus is in force.
+    /// Another consensus configuration came into force.
     Config,
-    /// A voter's folder or start was recorded.
+    /// The folder or the last start of the voter of this name was recorded.
     VoterSlot(String),
-    /// The list of this number is pending.
+    /// The list of voters of this number is pending until its new voter is ready.
     VotersPending(u64),
-    /// The list of this number is in force.
+    /// The list of voters of this number came into force.
     VotersChanged(u64),
-    /// Leases are granted again, from this epoch on.
+    /// Leases are granted again after the recovery that began this epoch.
     LeasesResumed(u64),
 }
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -1,4 +1,4 @@
-//! The life of a version: it is validated, proposed, rolled out, and activated or withdrawn.
+//! Lifecycle of a version: it is validated, proposed, rolled out, and activated or withdrawn.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,17 +10,18 @@
 use super::{ReplicatedState, StateChange};
 use crate::{ConfigVersion, ConsensusConfig, Rejection};
 
-/// Largest length of [`ReplicatedState::history`].
+/// Largest number of changes in [`ReplicatedState::history`].
 const HISTORY_COUNT: usize = 64;
 
 /// Progress of the rollout of a proposed version.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RolloutStep {
-    /// All brokers act on the stricter of both versions.
+    /// Brokers act on the joint configuration: the stricter values of the active and the proposed version.
     Joint,
-    /// This ratio of the brokers acts on the new version alone, and the others are joint.
+    /// This ratio of the brokers acts on the proposed version alone; the others act on the joint configuration.
     Staged(f64),
-    /// All brokers become joint again, until no broker acts on the new version alone.
+    /// The version is withdrawn from its first stage: all brokers return to the joint configuration, until none acts on
+    /// the proposed version alone any more.
     #[serde(rename = "Returning")]
     RollingBack,
 }
@@ -30,22 +31,22 @@
 pub struct OpenChange {
     /// The proposed version.
     pub version: Arc<ConfigVersion>,
-    /// Digest of the version.
+    /// Digest of the proposed version.
     pub digest: String,
-    /// Progress of its rollout.
+    /// Progress of the version's rollout.
     pub step: RolloutStep,
-    /// Fills without which the version cannot be activated, as segment and node.
+    /// Fills that have to be complete before the version can be activated, as segment id and node name.
     #[serde(rename = "needs")]
     pub required_fills: BTreeSet<(u64, String)>,
-    /// Required fills that are complete.
+    /// Required fills that are complete, as segment id and node name.
     #[serde(rename = "filled")]
     pub completed_fills: BTreeSet<(u64, String)>,
-    /// Why the version is being rolled back, if it is.
+    /// Why the version is being rolled back; `None` if it is not.
     #[serde(rename = "why")]
     pub withdraw_reason: Option<String>,
 }
 
-/// How a change ended.
+/// How the change to a proposed version ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ChangeEnd {
     /// The version became the only active one.
@@ -55,7 +56,7 @@
     Withdrawn(String),
 }
 
-/// A change that ended.
+/// A proposed version that was activated or withdrawn.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PastChange {
     /// Number of the version.
@@ -74,14 +75,16 @@
     pub end: ChangeEnd,
 }
 
-/// Proofs that are derived from the maps of a valid proposal.
+/// Proofs derived from the map of a valid proposed version.
 #[derive(Clone, Debug)]
 pub(crate) struct ValidatedProposal {
+    /// Proof of the proposed version's map, if it has one.
     pub proof: Option<VerifiedMap>,
+    /// Transition from the active map to the proposed one, if they differ and both exist.
     pub transition: Option<MapTransition>,
 }
 
-/// Validates `version` against the active one. Proposers, voters and lease clients all use this function.
+/// Validates a proposed version against the active one. Voters and lease clients both use this function.
 pub(crate) fn validate_proposal(
     active: Option<&ConfigVersion>,
     active_proof: Option<&VerifiedMap>,
@@ -118,7 +121,7 @@
     Ok(ValidatedProposal { proof: Some(transition.to().clone()), transition: Some(transition) })
 }
 
-/// Marks replicas of the map as filled.
+/// Returns the proof with the replicas of completed fills marked as filled.
 pub(crate) fn with_completed_fills(proof: &VerifiedMap, fills: &BTreeSet<(u64, String)>) -> VerifiedMap {
     proof.with_filled(fills.iter().map(|(segment, node)| (*segment, node.as_str())))
 }
@@ -134,29 +137,32 @@
         self.proof.as_ref()
     }
 
-    /// The transition from the active map to the proposed one: what has to be filled, and from which nodes.
+    /// The transition from the active map to the proposed one, with the fills that it requires and their source nodes;
+    /// `None` if no version with another map is proposed.
     pub fn map_transition(&self) -> Option<&MapTransition> {
         self.proposal.as_ref()?.transition.as_ref()
     }
 
-    /// Number of fills that the proposed version still requires.
+    /// Number of fills that the proposed version requires and that are not complete; 0 if no version is proposed.
     pub fn missing_fills(&self) -> usize {
         self.open.as_ref().map_or(0, |open| open.required_fills.difference(&open.completed_fills).count())
     }
 
-    fn open_at(&self, number: u64) -> Result<&OpenChange, Rejection> {
+    /// The open change, if its version has this number.
+    fn open_with_number(&self, number: u64) -> Result<&OpenChange, Rejection> {
         self.open.as_ref().filter(|open| open.version.number == number).ok_or(Rejection::NotProposed(number))
     }
 
-    fn checked_open(&mut self) -> &mut OpenChange {
-        self.open.as_mut().expect("checked")
+    /// The open change; the caller has checked that there is one.
+    fn open_mut(&mut self) -> &mut OpenChange {
+        self.open.as_mut().expect("the caller has checked that a change is open")
     }
 
     pub(super) fn check_proposal(&self, version: &ConfigVersion) -> Result<ValidatedProposal, Rejection> {
         if let Some(open) = &self.open {
             return Err(Rejection::ChangeOpen { open: open.version.number });
         }
-        self.check_beside_plan(version)?;
+        self.check_against_running_plan(version)?;
         let expected = self.highest_number + 1;
         if version.number != expected {
             return Err(Rejection::WrongNumber { given: version.number, expected });
@@ -175,7 +181,7 @@
     }
 
     pub(super) fn check_fill(&self, number: u64, segment: u64, holder: &str) -> Result<(), Rejection> {
-        let open = self.open_at(number)?;
+        let open = self.open_with_number(number)?;
         let fill = (segment, holder.to_string());
         if open.required_fills.contains(&fill) && !open.completed_fills.contains(&fill) {
             return Ok(());
@@ -183,9 +189,9 @@
         Err(Rejection::FillNotNeeded { number, segment, holder: fill.1 })
     }
 
-    /// Checks whether a stage or the activation of the version may begin.
+    /// Checks whether the version may enter its first stage or be activated.
     pub(super) fn check_rollout(&self, number: u64) -> Result<(), Rejection> {
-        if self.open_at(number)?.step == RolloutStep::RollingBack {
+        if self.open_with_number(number)?.step == RolloutStep::RollingBack {
             return Err(Rejection::RollingBack(number));
         }
         match self.missing_fills() {
@@ -195,14 +201,14 @@
     }
 
     pub(super) fn check_withdraw(&self, number: u64) -> Result<(), Rejection> {
-        match self.open_at(number)?.step {
+        match self.open_with_number(number)?.step {
             RolloutStep::RollingBack => Err(Rejection::RollingBack(number)),
             RolloutStep::Joint | RolloutStep::Staged(_) => Ok(()),
         }
     }
 
     pub(super) fn check_rollback_completed(&self, number: u64) -> Result<(), Rejection> {
-        match self.open_at(number)?.step {
+        match self.open_with_number(number)?.step {
             RolloutStep::RollingBack => Ok(()),
             RolloutStep::Joint | RolloutStep::Staged(_) => Err(Rejection::NotProposed(number)),
         }
@@ -215,12 +221,12 @@
     ) -> StateChange {
         let number = version.number;
         self.highest_number = number;
-        let needs = proposal.transition.iter().flat_map(MapTransition::required_fills);
+        let required_fills = proposal.transition.iter().flat_map(MapTransition::required_fills);
         self.open = Some(OpenChange {
             digest: version.digest(),
             version,
             step: RolloutStep::Joint,
-            required_fills: needs.map(|need| (need.segment, need.replica.clone())).collect(),
+            required_fills: required_fills.map(|fill| (fill.segment, fill.replica.clone())).collect(),
             completed_fills: BTreeSet::new(),
             withdraw_reason: None,
         });
@@ -229,26 +235,26 @@
     }
 
     pub(super) fn complete_fill(&mut self, number: u64, segment: u64, holder: String) -> StateChange {
-        self.checked_open().completed_fills.insert((segment, holder.clone()));
+        self.open_mut().completed_fills.insert((segment, holder.clone()));
         StateChange::FillCompleted { number, segment, holder }
     }
 
     pub(super) fn start_stage(&mut self, number: u64) -> StateChange {
-        let open = self.checked_open();
+        let open = self.open_mut();
         open.step = RolloutStep::Staged(open.version.first_stage_ratio.unwrap_or(1.0));
         StateChange::Staged(number)
     }
 
     pub(super) fn activate(&mut self, number: u64) -> StateChange {
-        let open = self.open.take().expect("checked");
+        let open = self.open.take().expect("the caller has checked that a change is open");
         self.record_end(&open.version, ChangeEnd::Activated);
-        let proposal = self.proposal.take().expect("with what is open");
+        let proposal = self.proposal.take().expect("an open change has a validated proposal");
         self.proof = proposal.proof.map(|proof| with_completed_fills(&proof, &open.completed_fills));
         let fills = std::mem::take(&mut self.completed_fills).into_iter().chain(open.completed_fills);
         if let Some(proof) = &self.proof {
-            let counts =
+            let is_in_map =
                 |id: u64, node: &str| proof.segment(id).is_some_and(|segment| proof.is_filled(segment, node));
-            self.completed_fills = fills.filter(|(id, node)| counts(*id, node)).collect();
+            self.completed_fills = fills.filter(|(id, node)| is_in_map(*id, node)).collect();
         }
         self.active = Some((open.version, open.digest));
         self.settlements.close_old_versions(number);
@@ -256,9 +262,9 @@
         StateChange::Activated(number)
     }
 
-    /// Withdraws the version. If some brokers already act on it alone, it has to be rolled back first.
+    /// Withdraws the version, or begins its rollback if some brokers may already act on it alone.
     pub(super) fn withdraw_or_roll_back(&mut self, number: u64, why: String) -> StateChange {
-        let open = self.checked_open();
+        let open = self.open_mut();
         if matches!(open.step, RolloutStep::Staged(_)) {
             open.step = RolloutStep::RollingBack;
             open.withdraw_reason = Some(why);
@@ -268,12 +274,12 @@
     }
 
     pub(super) fn complete_rollback(&mut self, number: u64) -> StateChange {
-        let why = self.checked_open().withdraw_reason.take().unwrap_or_default();
+        let why = self.open_mut().withdraw_reason.take().unwrap_or_default();
         self.withdraw(number, why)
     }
 
     fn withdraw(&mut self, number: u64, why: String) -> StateChange {
-        let open = self.open.take().expect("checked");
+        let open = self.open.take().expect("the caller has checked that a change is open");
         self.proposal = None;
         self.rebalance.on_version_ended(number, VersionEnd::Withdrawn(&why));
         self.record_end(&open.version, ChangeEnd::Withdrawn(why));
--- a/crates/dunepond-consensus/src/replicated_state/voter_list.rs
+++ b/crates/dunepond-consensus/src/replicated_state/voter_list.rs
@@ -1,5 +1,5 @@
-//! The list of voters. The list in the operator's file founds the fleet; from then on an operator's document changes
-//! it, one voter at a time.
+//! The list of voters. The fleet is founded with the list in the operator's file; after that the list is only changed by
+//! operators' documents, one voter at a time.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,24 +7,24 @@
 use crate::log_entry::VoterReplacement;
 use crate::{Rejection, VoterChange, VoterInfo};
 
-/// The voters in force, and the change that is pending until its new voter is ready.
+/// The list of voters in force, and the pending list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct VoterList {
-    /// Number of the list that was committed last; 0 for the founding list.
+    /// Number of the list in force; 0 for the founding list.
     pub number: u64,
-    /// The voters in force.
+    /// The voters of the list in force.
     #[serde(rename = "list")]
     pub voters: Vec<VoterInfo>,
     /// The list that is pending until its new voter is ready.
     #[serde(rename = "next")]
     pub pending: Option<VoterChange>,
-    /// Name and folder id of the voter that left last: the raft library may need it until the membership change is
-    /// complete.
+    /// Name and folder id of the voter that was removed last. Messages to it may still be needed until the raft library's
+    /// membership change is complete.
     #[serde(rename = "left")]
     pub(crate) last_removed: Option<(String, u64)>,
 }
 
-/// The difference between the list in force and the pending one.
+/// The names of the voters that join and leave by the pending list.
 #[derive(Debug, Default)]
 pub(crate) struct PendingReplacement {
     pub joining: Option<String>,
@@ -43,28 +43,30 @@
 }
 
 impl VoterList {
+    /// The list with which the fleet is founded.
     pub(crate) fn founding(names: &[String]) -> Self {
         let voters = names.iter().map(|name| VoterInfo { name: name.clone(), address: None }).collect();
         Self { number: 0, voters, pending: None, last_removed: None }
     }
 
-    /// Whether the broker is a voter.
+    /// Whether the broker of this name is a voter in force.
     pub fn contains(&self, name: &str) -> bool {
         self.voters.iter().any(|voter| voter.name == name)
     }
 
-    /// Whether the broker is a voter, or becomes one by the pending list.
+    /// Whether the broker of this name is a voter in force, or joins by the pending list.
     pub fn contains_or_joining(&self, name: &str) -> bool {
         let mut pending = self.pending.iter().flat_map(|pending| &pending.voters);
         self.contains(name) || pending.any(|voter| voter.name == name)
     }
 
-    /// Names of all voters, including the one that joins by the pending list.
+    /// Names of the voters in force, and of the one that joins by the pending list.
     pub fn names_with_joining(&self) -> Vec<String> {
         let joining = self.pending.iter().flat_map(|pending| added(&self.voters, &pending.voters));
         self.voters.iter().map(|voter| voter.name.clone()).chain(joining).collect()
     }
 
+    /// The voters that join and leave by the pending list; `None` if no list is pending.
     pub(crate) fn pending_replacement(&self) -> Option<PendingReplacement> {
         let pending = self.pending.as_ref()?;
         Some(PendingReplacement {
@@ -87,14 +89,14 @@
         let (joins, leaves) = (added(&self.voters, &change.voters), added(&change.voters, &self.voters));
         let same_names = joins.is_empty() && leaves.is_empty();
         match &self.pending {
-            // Only the list in force is accepted, which withdraws the pending one.
+            // While a list is pending, only the list in force is accepted. It withdraws the pending one.
             Some(pending) if !same_names => {
                 return Err(Rejection::VotersPending { number: pending.number });
             }
             None if same_names && change.voters == self.voters => return Err(Rejection::VotersUnchanged),
             _ => {}
         }
-        // Two consecutive lists have to share a majority.
+        // Any majorities of two consecutive lists have to share a voter.
         if joins.len() > 1 || leaves.len() > 1 {
             return Err(Rejection::TooManyVoterChanges { joins, leaves });
         }
@@ -107,8 +109,8 @@
         self.voters.check(change)
     }
 
-    /// Applies a change. It is pending until the new voter is ready if a voter joins or leaves; otherwise it takes
-    /// effect at once.
+    /// Applies a change of voters. If a voter joins or leaves, the new list is pending until the leader replaces the
+    /// voters; otherwise it takes effect at once.
     pub(super) fn change_voters(&mut self, change: VoterChange) -> StateChange {
         let number = change.number;
         let same_names = added(&self.voters.voters, &change.voters).is_empty()
@@ -122,7 +124,7 @@
         StateChange::VotersChanged(number)
     }
 
-    /// Checks that the replacement is that of the pending list, with the folders that are recorded now.
+    /// Checks that the replacement matches the pending list and the folder that is recorded for the leaving voter.
     pub(super) fn check_replacement(&self, replacement: &VoterReplacement) -> Result<(), Rejection> {
         let is_pending =
             self.voters.pending.as_ref().is_some_and(|pending| pending.number == replacement.number);
@@ -138,13 +140,14 @@
         Err(Rejection::VotersSuperseded { number: replacement.number })
     }
 
+    /// Brings the pending list of voters into force.
     pub(super) fn replace_voters(&mut self, replacement: VoterReplacement) -> StateChange {
         let last_removed = replacement.leaving.and_then(|(name, folder)| Some((name, folder?)));
         if let Some((name, _)) = &last_removed {
             self.voter_slots.remove(name);
         }
         self.voter_slots.extend(replacement.joining);
-        let pending = self.voters.pending.take().expect("checked");
+        let pending = self.voters.pending.take().expect("the caller has checked that a list is pending");
         self.voters =
             VoterList { number: pending.number, voters: pending.voters, pending: None, last_removed };
         StateChange::VotersChanged(replacement.number)
--- a/crates/dunepond-consensus/src/voter/envelope.rs
+++ b/crates/dunepond-consensus/src/voter/envelope.rs
@@ -1,4 +1,4 @@
-//! Messages between voters. The serialised names are those of the protocol.
+//! Messages between voters. The serialized names are part of the protocol.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,61 +8,76 @@
 /// First byte of each message: the version of the protocol.
 const PROTOCOL_VERSION: u8 = 2;
 
+/// A message between voters, with the identity of its sender.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Envelope {
+    /// Name of the sender.
     pub from: String,
-    /// Identity of the sender's folder.
+    /// Identity of the sender's folder and start.
     #[serde(rename = "seat")]
     pub slot: VoterSlot,
-    /// Id of the fleet whose state the sender holds, if it holds one.
+    /// Id of the fleet whose state the sender has; not meaningful unless `has_state`.
     #[serde(rename = "fleet")]
     pub fleet_id: u64,
+    /// Epoch of the fleet in the sender's state.
     pub epoch: u64,
+    /// Whether the sender has a state of the fleet.
     #[serde(rename = "seated")]
     pub has_state: bool,
-    /// Id of the addressee's folder; 0 if it is not known yet.
+    /// Id of the receiver's folder; 0 if the sender does not know it or does not require a certain one.
     #[serde(rename = "to")]
     pub to_folder: u64,
     pub body: Body,
 }
 
+/// The content of a message between voters.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Body {
+    /// Introduces the sender, and asks the receiver what it knows about the sender's folder.
     Hello {
+        /// Whether the sender's folder holds no state of the fleet.
         #[serde(rename = "blank")]
         folder_empty: bool,
         /// Keys of version extensions that the sender's build implements.
         #[serde(rename = "knows")]
         known_keys: Vec<String>,
     },
+    /// Replies to a hello, or to a message from an obsolete folder.
     #[serde(rename = "Heard")]
     HelloReply(HelloReply),
+    /// A message of the raft library.
     Raft(Blob),
+    /// A broker's lease request that a follower forwards to the leader.
     #[serde(rename = "Ask")]
     LeaseRequest(LeaseRequest),
+    /// The leader's reply to a forwarded lease request.
     #[serde(rename = "Told")]
     LeaseReply {
+        /// Name of the broker that sent the request.
         broker: String,
         #[serde(rename = "told")]
         reply: LeaseReply,
     },
 }
 
-/// What the sender knows about a voter that says hello, and about the list of voters.
+/// What the sender knows about the receiver's folder and the list of voters.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct HelloReply {
+    /// Whether the sender's folder holds no state of the fleet.
     #[serde(rename = "blank")]
     pub folder_empty: bool,
-    /// The later start of the addressee's folder, if the sender knows of one after that of the hello.
+    /// A later start of the receiver's folder than the one that sent the hello, if the sender knows of one.
     #[serde(rename = "seen")]
     pub seen_slot: Option<VoterSlot>,
-    /// The identity of the addressee's folder as committed at `index`.
+    /// The identity of the receiver's folder that is committed at `index`, if one is.
     #[serde(rename = "agreed")]
     pub agreed_slot: Option<VoterSlot>,
-    /// Whether the addressee votes, or will by the pending list.
+    /// Whether the receiver is a voter in force or joins by the pending list, according to the sender's state.
     #[serde(rename = "wanted")]
     pub is_wanted: bool,
+    /// The voters in force, according to the sender's state.
     pub voters: Vec<VoterInfo>,
+    /// Log index up to which the sender has applied the log.
     pub index: u64,
     /// Keys of version extensions that the sender's build implements.
     #[serde(rename = "knows")]
@@ -74,7 +89,7 @@
         [&[PROTOCOL_VERSION], &codec::encode(self)[..]].concat()
     }
 
-    /// Decodes a message. `from` is the peer at the other end of the link.
+    /// Decodes a message. `from` is the name of the peer at the other end of the connection.
     pub fn decode(from: &str, bytes: &[u8]) -> Result<Self, ConsensusError> {
         let malformed = || ConsensusError::MalformedMessage(from.to_string());
         let (&version, rest) = bytes.split_first().ok_or_else(malformed)?;
--- a/crates/dunepond-consensus/src/voter/handshake.rs
+++ b/crates/dunepond-consensus/src/voter/handshake.rs
@@ -1,9 +1,9 @@
-//! Greetings between voters, which determine whose folder is the latest one and who is a voter.
+//! Hellos between voters, by which each learns whether its folder is the latest one and whether it is still a voter.
 //!
-//! To the raft library each folder is a voter of its own. A voter that returns with an empty folder is a new one, whose
-//! votes do not count until the others have replaced the old one by a committed change. A folder that was restored from
-//! a copy has made promises that it does not know of: peers remember its starts, and the voter starts over with an
-//! empty folder.
+//! The raft library treats each folder as a separate voter. A voter that returns with an empty folder is a new one, whose
+//! votes do not count until the others have committed a change that replaces the old folder. A folder that was restored
+//! from a copy may have voted and acknowledged entries without a record of it. Peers remember its starts, and tell the
+//! voter to start over with an empty folder.
 
 use std::collections::BTreeMap;
 
@@ -16,65 +16,71 @@
 use crate::log_storage::{LogStorage, snapshot};
 use crate::{ConsensusError, ReplicatedState, VoterInfo, VoterSlot};
 
-/// Number of folders of one voter whose starts are remembered.
+/// Largest number of folders of one voter whose starts are remembered.
 const MAX_FOLDER_COUNT: usize = 16;
-/// Number of election timeouts between greetings once a majority has confirmed the folder, and before that.
-const SETTLED_GREETING_ELECTIONS: f64 = 8.0;
-const GREETING_ELECTIONS: f64 = 0.5;
-/// Range from which a founder draws its first term.
+/// Number of election timeouts between hellos once a majority has confirmed the folder.
+const VERIFIED_HELLO_ELECTIONS: f64 = 8.0;
+/// Number of election timeouts between hellos before a majority has confirmed the folder, or without a state.
+const UNVERIFIED_HELLO_ELECTIONS: f64 = 0.5;
+/// Range from which the founding voter draws the first term.
 const FOUNDING_TERMS: std::ops::Range<u64> = 1..1 << 20;
 
-/// The folder of another voter, as it last reported.
+/// The folder of another voter, according to its last accepted message.
 #[derive(Clone, Copy)]
 pub(super) struct PeerFolder {
+    /// Identity of the folder.
     pub slot: VoterSlot,
+    /// Whether the folder holds no state of the fleet.
     pub empty: bool,
 }
 
 /// What is known of another voter.
 #[derive(Default)]
 pub(super) struct PeerVoter {
+    /// The folder that the voter last reported.
     pub folder: Option<PeerFolder>,
-    /// Whether it has reported to this very folder that its own is empty.
+    /// Whether it has reported in a reply to this voter's present folder that its own folder is empty.
     reported_empty: bool,
-    /// Keys of version extensions that its build implements.
+    /// Keys of version extensions that the voter's build implements.
     pub known_keys: Vec<String>,
     /// The latest start of each of its folders, by the folder's id.
     latest_starts: BTreeMap<u64, VoterSlot>,
 }
 
 impl Voter {
-    /// Name of the voter with this folder.
+    /// Name of the voter whose folder has this id, if it is known.
     pub(super) fn name_of(&self, folder_id: u64) -> Option<String> {
-        let is_it = |slot: &VoterSlot| slot.folder_id == folder_id;
-        let met = self.peers.iter().find(|(_, peer)| peer.folder.is_some_and(|folder| is_it(&folder.slot)));
-        let agreed = || self.state.voter_slots.iter().find(|(_, slot)| is_it(slot)).map(|(name, _)| name);
+        let has_id = |slot: &VoterSlot| slot.folder_id == folder_id;
+        let peer = self.peers.iter().find(|(_, peer)| peer.folder.is_some_and(|folder| has_id(&folder.slot)));
+        let committed = || self.state.voter_slots.iter().find(|(_, slot)| has_id(slot)).map(|(name, _)| name);
         let removed = || {
             let last_removed = self.state.voters.last_removed.as_ref();
             last_removed.filter(|(_, folder)| *folder == folder_id).map(|(name, _)| name)
         };
-        met.map(|(name, _)| name).or_else(agreed).or_else(removed).cloned()
+        peer.map(|(name, _)| name).or_else(committed).or_else(removed).cloned()
     }
 
-    /// Sends greetings until a majority has replied, and less often after that, since others may have restarted.
-    pub(super) fn greet(&mut self, now: f64) {
-        if now < self.next_greeting_at {
+    /// Sends hellos to the other voters when they are due: often until a majority has confirmed this voter's folder, and
+    /// less often after that, since other voters may have restarted.
+    pub(super) fn send_hellos(&mut self, now: f64) {
+        if now < self.next_hello_at {
             return;
         }
-        let settled = self.is_active() && self.has_state;
-        let elections = if settled { SETTLED_GREETING_ELECTIONS } else { GREETING_ELECTIONS };
-        self.next_greeting_at = now + elections_seconds(1.0, self.config.lease_seconds) * elections;
+        let is_verified = self.is_active() && self.has_state;
+        let elections = if is_verified { VERIFIED_HELLO_ELECTIONS } else { UNVERIFIED_HELLO_ELECTIONS };
+        self.next_hello_at = now + elections_seconds(1.0, self.config.lease_seconds) * elections;
         let folder_empty = !self.has_state;
-        let greeted_voters = self.greeted_voters();
-        self.strangers.clear();
-        for name in greeted_voters {
+        let recipients = self.hello_recipients();
+        self.unknown_senders.clear();
+        for name in recipients {
             self.send(&name, 0, Body::Hello { folder_empty, known_keys: self.known_keys.clone() });
         }
         self.found_fleet(now);
     }
 
-    /// Voters to greet: those of the committed list if there is one, otherwise those of the file.
-    fn greeted_voters(&self) -> Vec<String> {
+    /// Names of the voters to which hellos are sent: those of the committed list if there is one, otherwise those of the
+    /// file.
+    fn hello_recipients(&self) -> Vec<String> {
         let mut names = match self.has_state {
             true => self.state.voters.names_with_joining(),
             false => self.config.voters.clone(),
@@ -82,27 +88,27 @@
         if let Some((name, folder)) = &self.state.voters.last_removed
             && self.is_member(*folder)
         {
-            // The raft library still counts this voter as a member.
+            // The raft library's membership change is not complete, so it still counts the removed voter as a member.
             names.push(name.clone());
         }
-        names.extend(self.strangers.iter().cloned());
+        names.extend(self.unknown_senders.iter().cloned());
         names.sort();
         names.dedup();
         names.retain(|name| *name != self.config.name);
         names
     }
 
-    /// Whether the folder is a member of the raft group.
+    /// Whether the folder of this id is a member of the raft group.
     pub(super) fn is_member(&self, folder_id: u64) -> bool {
         self.node.raft.prs().get(folder_id).is_some()
     }
 
-    /// Whether messages of the sender are accepted.
+    /// Whether a message is accepted from its sender, as far as voters and folders are concerned.
     pub(super) fn accepts_sender(&self, envelope: &Envelope) -> bool {
         let from = &envelope.from;
         let to_this_folder = envelope.to_folder == self.folder.id;
         let accepted = match &envelope.body {
-            // A peer that knows this very folder may report what it knows.
+            // A reply to a hello of this folder is accepted from any peer.
             Body::HelloReply(_) if to_this_folder => true,
             _ if self.has_state => {
                 self.state.voters.contains_or_joining(from) || self.is_member(envelope.slot.folder_id)
@@ -113,8 +119,8 @@
         accepted && *from != self.config.name
     }
 
-    /// Checks the fleet and the epoch. A recovered fleet is the same fleet in a later epoch, which overrides earlier
-    /// ones.
+    /// Checks that a message is from the same fleet and the present epoch. A recovered fleet continues in a later epoch;
+    /// a voter that receives a message of a later epoch discards its folder.
     pub(super) fn check_fleet(&mut self, envelope: &Envelope) -> Result<(), ConsensusError> {
         let from = envelope.from.clone();
         let both_have_state = self.has_state && envelope.has_state;
@@ -125,7 +131,7 @@
             return Err(ConsensusError::OtherFleet { from });
         }
         if envelope.epoch > self.state.epoch {
-            self.discard_folder("the fleet was recovered without it, by an operator's order");
+            self.discard_folder("the fleet was recovered without this voter by an operator's order");
         } else if envelope.epoch < self.state.epoch {
             if matches!(envelope.body, Body::Hello { .. }) {
                 self.send_hello_reply(&envelope.from, envelope.slot, None);
@@ -136,12 +142,13 @@
         Ok(())
     }
 
-    /// Whether this voter's folder is no longer a voter, by what is committed or what others reported.
+    /// Whether this voter was removed, according to its own committed state or to other voters' reports.
     pub(super) fn is_removed(&self) -> bool {
-        self.dismissed || (self.has_state && !self.is_member(self.folder.id))
+        self.reported_removed || (self.has_state && !self.is_member(self.folder.id))
     }
 
-    /// Replies to a hello. `seen` is a later start of the addressee's folder than that of its message.
+    /// Replies to the sender of a message. `seen` is a later start of the sender's folder than the one in its message, if
+    /// this voter knows of one.
     pub(super) fn send_hello_reply(&mut self, to: &str, slot: VoterSlot, seen: Option<VoterSlot>) {
         let reply = HelloReply {
             folder_empty: !self.has_state,
@@ -155,17 +162,17 @@
         self.send(to, slot.folder_id, Body::HelloReply(reply));
     }
 
-    /// Records what a message reports about its sender. Returns `false` if the message is for another folder or from an
-    /// old start.
+    /// Records the folder that a message reports about its sender. Returns `false` if the message is addressed to another
+    /// folder of this voter or was sent from an earlier start of the sender's folder; it is dropped then.
     pub(super) fn register_sender(&mut self, envelope: &Envelope) -> bool {
         if envelope.to_folder != 0 && envelope.to_folder != self.folder.id {
             return false;
         }
         let slot = envelope.slot;
-        let agreed = self.state.voter_slots.get(&envelope.from).copied();
-        let agreed = agreed.filter(|agreed| agreed.folder_id == slot.folder_id);
+        let committed = self.state.voter_slots.get(&envelope.from).copied();
+        let committed = committed.filter(|committed| committed.folder_id == slot.folder_id);
         let peer = self.peers.entry(envelope.from.clone()).or_default();
-        let seen = later_start(peer.latest_starts.get(&slot.folder_id).copied(), agreed);
+        let seen = later_start(peer.latest_starts.get(&slot.folder_id).copied(), committed);
         if seen.is_some_and(|seen| is_earlier_start(slot, seen)) {
             self.send_hello_reply(&envelope.from, slot, seen);
             return false;
@@ -177,7 +184,7 @@
         let empty = match &envelope.body {
             Body::Hello { folder_empty, .. } => *folder_empty,
             Body::HelloReply(reply) => reply.folder_empty,
-            _ => peer.folder.is_some_and(|it| it.empty && it.slot.folder_id == slot.folder_id),
+            _ => peer.folder.is_some_and(|known| known.empty && known.slot.folder_id == slot.folder_id),
         };
         peer.folder = Some(PeerFolder { slot, empty });
         true
@@ -192,23 +199,23 @@
 
     pub(super) fn handle_hello_reply(&mut self, now: f64, from: String, reply: HelloReply) {
         let own = self.slot();
-        let is_copy = |seen: VoterSlot| seen.folder_id == own.folder_id && is_earlier_start(own, seen);
-        if reply.seen_slot.is_some_and(is_copy) {
-            self.discard_folder("another voter saw a later start of it");
+        let is_later_start = |seen: VoterSlot| seen.folder_id == own.folder_id && is_earlier_start(own, seen);
+        if reply.seen_slot.is_some_and(is_later_start) {
+            self.discard_folder("another voter has seen a later start of this folder");
             return;
         }
-        let is_news = self.has_state && reply.index > self.state.index;
+        let is_newer = self.has_state && reply.index > self.state.index;
         let is_replaced = reply.agreed_slot.is_some_and(|agreed| agreed.folder_id != own.folder_id);
-        if is_news && is_replaced {
-            self.discard_folder("another folder has taken its place");
+        if is_newer && is_replaced {
+            self.discard_folder("another folder of this broker has replaced it");
             return;
         }
-        if is_news && reply.agreed_slot.is_none() {
-            // The folder stays while no list includes this voter again: a membership change in progress may need its
-            // vote.
+        if is_newer && reply.agreed_slot.is_none() {
+            // The folder is retained until a list includes this voter again, since a membership change in progress may
+            // still need its vote.
             match reply.is_wanted {
-                true => self.discard_folder("it was removed as a voter, and is to be one again"),
-                false => self.dismiss(reply.voters),
+                true => self.discard_folder("this broker was removed as a voter and is joining again"),
+                false => self.stop_as_removed(reply.voters),
             }
             return;
         }
@@ -220,8 +227,8 @@
         self.found_fleet(now);
     }
 
-    /// Records that another voter knows of no later start of this folder. A majority, including this voter, has to
-    /// confirm it.
+    /// Records that the voter `by` knows of no later start of this folder. The voter becomes active once a majority,
+    /// including itself, has confirmed that.
     fn confirm_folder(&mut self, by: String) {
         if !self.confirmed_by.contains(&by) {
             self.confirmed_by.push(by);
@@ -231,16 +238,16 @@
             false => self.config.voters.len(),
         };
         let is_majority = self.confirmed_by.len() >= voter_count / 2;
-        if self.participation == Participation::Unverified && !self.dismissed && is_majority {
+        if self.participation == Participation::Unverified && !self.reported_removed && is_majority {
             self.participation = Participation::Active;
-            self.untimed_seconds = 0.0;
+            self.unticked_seconds = 0.0;
         }
     }
 
-    /// Founds the fleet, which the first voter of the file does once every other voter has reported that its folder is
-    /// empty, too. Then none can have committed anything, and only one fleet is founded.
+    /// Founds the fleet if this is the first voter of the file and every other voter has reported that its folder is
+    /// empty, too. Then no voter can have committed anything, and only one fleet is founded.
     fn found_fleet(&mut self, now: f64) {
-        if self.has_state || self.is_muted() || self.config.voters[0] != self.config.name {
+        if self.has_state || self.has_stopped() || self.config.voters[0] != self.config.name {
             return;
         }
         let Some(slots) = self.empty_slots() else { return };
@@ -249,17 +256,17 @@
         state.index = 1;
         state.fleet_id = self.rng.random::<u64>().max(1);
         state.epoch = 1;
-        // The term is random so that the logs differ if a fleet is founded twice before it has committed anything.
+        // The term is random, so that the logs differ if a fleet is founded twice before it has committed anything.
         let term = self.rng.random_range(FOUNDING_TERMS);
         let mut log = LogStorage::default();
         log.restore(snapshot(1, term, ConfState::from((folder_ids, Vec::new())), state.encode()));
         self.node = raft_node(self.folder.id, 1, log);
         (self.state, self.has_state, self.participation) = (state, true, Participation::Active);
         self.log(String::from("founded the fleet: every voter's folder was empty"));
-        self.watch.restart(now, &self.state);
+        self.observations.restart(now, &self.state);
     }
 
-    /// Identity of every voter's folder, if all folders are empty.
+    /// Identities of the folders of all voters in the file; `None` unless all have reported an empty folder.
     fn empty_slots(&self) -> Option<BTreeMap<String, VoterSlot>> {
         let mut slots = BTreeMap::from([(self.config.name.clone(), self.slot())]);
         for name in self.config.voters.iter().filter(|name| **name != self.config.name) {
@@ -270,52 +277,54 @@
         Some(slots)
     }
 
-    /// Discards a folder that must not be relied on. The voter starts over as another voter, by which the others
-    /// replace this one.
+    /// Discards this voter's folder because its content is obsolete. This broker continues as a new voter with an empty
+    /// folder, with which the other voters replace the old one.
     pub(super) fn discard_folder(&mut self, reason: &str) {
-        if self.is_muted() {
+        if self.has_stopped() {
             return;
         }
         self.log(format!(
-            "the folder is discarded: {reason}; starts over as a new voter and is brought up by the others"
+            "discarded the folder: {reason}; continuing as a new voter, to which the other voters send the state"
         ));
         self.begin_new_folder();
         self.node = raft_node(self.folder.id, 0, LogStorage::default());
         self.state = ReplicatedState::new(self.config.clone(), BTreeMap::new());
-        (self.has_state, self.participation, self.dismissed) = (false, Participation::Active, false);
+        (self.has_state, self.participation, self.reported_removed) = (false, Participation::Active, false);
         self.confirmed_by.clear();
         self.snapshots_sent.clear();
-        self.lease_requests.drop_all(&mut self.effects);
+        self.lease_requests.reject_all(&mut self.effects);
         self.peers.values_mut().for_each(|peer| peer.reported_empty = false);
-        self.next_greeting_at = self.last_now;
-        // Messages that the old folder would have sent are no longer valid.
+        self.next_hello_at = self.last_now;
+        // Queued messages of the old folder are no longer valid.
         self.effects.messages.clear();
         self.effects.state_changed = true;
     }
 
-    /// Stops voting because others have committed a list without this voter. Nothing that it sends counts any more.
-    fn dismiss(&mut self, voters: Vec<VoterInfo>) {
-        self.successors = voters;
-        if self.dismissed {
+    /// Stops voting because the other voters have committed a list without this one. `voters` is that list.
+    fn stop_as_removed(&mut self, voters: Vec<VoterInfo>) {
+        self.reported_voters = voters;
+        if self.reported_removed {
             return;
         }
-        self.dismissed = true;
+        self.reported_removed = true;
         if self.is_active() {
             self.participation = Participation::Unverified;
         }
         self.log(String::from(
-            "removed as a voter: the others have committed a list without it; remove it from the files",
+            "removed as a voter: the committed list does not contain this broker; remove it from the configuration files",
         ));
-        self.lease_requests.drop_all(&mut self.effects);
+        self.lease_requests.reject_all(&mut self.effects);
     }
 }
 
-/// Whether `slot` is an earlier start of its folder than `seen`, or a copy that started beside it.
+/// Whether `slot` is an earlier start of its folder than `seen`, or has the same start count and was therefore started on
+/// a copy of the folder.
 fn is_earlier_start(slot: VoterSlot, seen: VoterSlot) -> bool {
     slot.start_count < seen.start_count
         || (slot.start_count == seen.start_count && slot.run_id != seen.run_id)
 }
 
+/// The later one of two starts of the same folder.
 fn later_start(a: Option<VoterSlot>, b: Option<VoterSlot>) -> Option<VoterSlot> {
     match (a, b) {
         (Some(a), Some(b)) => Some(if a.start_count >= b.start_count { a } else { b }),
--- a/crates/dunepond-consensus/src/voter/housekeeping.rs
+++ b/crates/dunepond-consensus/src/voter/housekeeping.rs
@@ -1,15 +1,16 @@
-//! Entries that the leader writes by its own clock: the end of a rollout step after its wait, overdue fills, a changed
-//! configuration, and changed folders.
+//! Entries that the leader writes by itself: the end of a rollout step after its wait, the withdrawal of a version whose
+//! fills are overdue, a changed consensus configuration, changed voters and folders, and the release of quota shares.
 
 use super::Voter;
 use super::raft_node::elections_seconds;
 use crate::log_entry::LogEntry;
 use crate::{Command, ConsensusConfig, OpenChange, Rejection, RolloutStep};
 
-/// Number of election timeouts after which an entry that was not committed is written again.
+/// Number of election timeouts after which an entry that was not applied is written again.
 const RETRY_ELECTIONS: f64 = 1.0;
 
 impl Voter {
+    /// Writes the next entry that the leader has to write by itself, if one is due.
     pub(super) fn run_housekeeping(&mut self, now: f64) {
         if !self.is_leader() {
             self.suspended_since = None;
@@ -20,27 +21,28 @@
         }
         self.forget_old_leases(now);
         let is_in_progress = self.node.raft.raft_log.last_index() > self.state.index;
-        let patience = elections_seconds(RETRY_ELECTIONS, self.config.lease_seconds);
-        if is_in_progress && now - self.watch.last_attempt_at < patience {
+        let retry_seconds = elections_seconds(RETRY_ELECTIONS, self.config.lease_seconds);
+        if is_in_progress && now - self.observations.last_attempt_at < retry_seconds {
             return;
         }
         let Some(entry) = self.next_housekeeping_entry(now) else { return };
-        self.watch.last_attempt_at = now;
+        self.observations.last_attempt_at = now;
         match entry {
             LogEntry::VoterSlot { voter, slot } => self.write_slot(voter, slot),
             LogEntry::VotersReplaced(replacement) => self.write_replacement(replacement),
-            // If the log is full the leader tries again later.
+            // If the log accepts no further entry now, the leader tries again later.
             entry => drop(self.append(&entry)),
         }
     }
 
-    /// Forgets leases that ended long ago. Actions under an expired lease may be in flight for a while, and count in
-    /// the windows of shared quotas after that.
+    /// Forgets leases that ended long ago. An expired lease is still needed while actions under it may be in flight, and
+    /// while these count in the windows of shared quotas.
     fn forget_old_leases(&mut self, now: f64) {
         let (actions, window) = (self.action_seconds(), self.quota_window_seconds());
         self.lease_requests.granted.retain(|_, lease| lease.over_at + actions + window > now);
     }
 
+    /// The next entry that the leader has to write by itself, if one is due.
     fn next_housekeeping_entry(&self, now: f64) -> Option<LogEntry> {
         if let Some(entry) = self.next_membership_entry() {
             return Some(entry);
@@ -58,27 +60,32 @@
         }
     }
 
-    /// This leader's configuration, if it differs from the one in force. The list of voters is replicated separately.
+    /// The consensus configuration in this leader's file, if it differs from the one in force. Name and voters are not
+    /// compared, since the list of voters is replicated separately.
     fn changed_config(&self) -> Option<ConsensusConfig> {
-        let agreed = &self.state.config;
-        let (name, voters) = (agreed.name.clone(), agreed.voters.clone());
+        let in_force = &self.state.config;
+        let (name, voters) = (in_force.name.clone(), in_force.voters.clone());
         let own = ConsensusConfig { name, voters, ..self.config.clone() };
-        (own != *agreed).then_some(own)
+        (own != *in_force).then_some(own)
     }
 
+    /// The next entry about the proposed version, if one is due.
     fn next_rollout_entry(&self, now: f64, open: &OpenChange) -> Option<LogEntry> {
         let number = open.version.number;
-        let seen_at = self.watch.open_seen_at(number)?;
+        let seen_at = self.observations.open_seen_at(number)?;
         match open.step {
             RolloutStep::Staged(_) => None,
             RolloutStep::RollingBack => {
-                let over_at = self.watch.rollback_seen_at()? + self.state.quiescence_seconds(&self.config);
+                let over_at =
+                    self.observations.rollback_seen_at()? + self.state.quiescence_seconds(&self.config);
                 (now >= over_at).then_some(LogEntry::RollbackCompleted { number })
             }
             RolloutStep::Joint => self.next_joint_entry(now, open, seen_at),
         }
     }
 
+    /// The entry that ends the joint step, if it is due: the first stage, the activation, or the withdrawal because fills
+    /// are overdue.
     fn next_joint_entry(&self, now: f64, open: &OpenChange, seen_at: f64) -> Option<LogEntry> {
         let number = open.version.number;
         let activate = LogEntry::Command(Command::Activate { number });
@@ -97,15 +104,15 @@
         }
     }
 
-    /// When, by this clock, no broker acts on the old version alone any more and no action of one that did is in
-    /// flight. The proposal was seen committed at `seen_at`.
+    /// The time on this clock from which no broker acts on the active version alone any more, and no action of a broker
+    /// that did is in flight. The proposal was seen committed at `seen_at`.
     fn all_joint_from(&self, seen_at: f64, number: u64) -> f64 {
         let latest = seen_at + self.state.quiescence_seconds(&self.config);
-        // The wait is shorter if every lease that may run is this leader's own and each broker has reported that it is
-        // joint.
+        // The wait may be shorter if this leader granted all leases that may be valid: then it knows which brokers have
+        // reported that they act on the joint configuration, and when the leases of the others end.
         let lease = self.state.longest_lease_seconds.max(self.config.lease_seconds);
         let longest_lease = self.config.with_drift(lease).max(self.state.config.with_drift(lease));
-        if self.watch.leading_since().is_none_or(|since| seen_at - since < longest_lease) {
+        if self.observations.leading_since().is_none_or(|since| seen_at - since < longest_lease) {
             return latest;
         }
         let joint_or_over = self.lease_requests.granted.values().map(|lease| match lease.joint {
--- a/crates/dunepond-consensus/src/voter/lease_requests.rs
+++ b/crates/dunepond-consensus/src/voter/lease_requests.rs
@@ -1,6 +1,6 @@
-//! Handling of lease requests. No lease is granted before a quorum has confirmed, after the request arrived, that this
-//! voter leads: the grant is then at least as new as what was committed when the request was sent. Requests that arrive
-//! while one confirmation is in progress share the next one.
+//! Handling of lease requests. A lease is only granted after a quorum has confirmed, since the request arrived, that this
+//! voter leads. The grant then contains everything that was committed when the request was sent. Requests that arrive
+//! while a confirmation is in progress share the next one.
 
 use std::collections::BTreeMap;
 
@@ -12,59 +12,66 @@
 use crate::lease_messages::Grantor;
 use crate::{Effects, LeaseAnswer, LeaseGrant, LeaseReply, LeaseRequest};
 
-/// Largest number of requests that wait at the same time; further requests are answered that there is no leader.
+/// Largest number of waiting requests; further ones are answered with [`LeaseAnswer::NoLeader`].
 const MAX_WAITING_COUNT: usize = 4096;
 
+/// The pending lease requests, and the leases that this leader has granted.
 #[derive(Default)]
 pub(super) struct LeaseRequests {
-    /// Requests for the next confirmation.
+    /// Requests that wait for the next confirmation.
     waiting: Vec<PendingRequest>,
-    /// Requests for the confirmation in progress.
+    /// Requests that wait for the confirmation in progress.
     confirming: Vec<PendingRequest>,
-    /// Identifier of the confirmation in progress.
+    /// Identifier of the last confirmation that was started.
     read_id: u64,
-    /// Log index that the quorum confirmed, if it has.
+    /// Log index up to which the state has to be applied before leases are granted, once the quorum has confirmed it.
     confirmed_index: Option<u64>,
+    /// When the confirmation in progress was started, on this voter's clock.
     confirming_since: f64,
-    /// The last lease of each run, by broker and incarnation.
+    /// The last lease of each run of a broker, by the broker's name and incarnation.
     pub granted: BTreeMap<(String, u64), GrantedLease>,
-    /// The last demand report of each broker.
+    /// The last demand report of each broker, by its name.
     pub reports: BTreeMap<String, TimedReport>,
 }
 
+/// A lease request that is not answered yet.
 struct PendingRequest {
     request: LeaseRequest,
     /// Name of the voter that forwarded the request, if one did.
     via: Option<String>,
+    /// When the request arrived, on this voter's clock.
     received_at: f64,
 }
 
+/// A demand report, and when it was received on this voter's clock.
 pub(super) struct TimedReport {
     pub report: DemandReport,
     pub received_at: f64,
 }
 
-/// The number that a broker acknowledged, and when this voter first received it.
+/// A number that a broker reported to act on, and when this voter first received the report, on its own clock.
 #[derive(Clone, Copy)]
 pub(super) struct Acknowledged {
     pub number: u64,
     pub at: f64,
 }
 
-/// The last lease of a broker's run, by this voter's clock.
+/// The last lease of a run of a broker. Times are on this voter's clock.
 pub(super) struct GrantedLease {
-    /// When the lease is over for certain, whatever the broker's clock does within the drift.
+    /// When the lease has certainly ended, for any clock of the broker within the configured drift.
     pub over_at: f64,
-    /// The version towards which the broker acts on the joint step, if it does.
+    /// The proposed version that the broker reported to have adopted, if any. It no longer acts on the active version
+    /// alone.
     pub joint: Option<Acknowledged>,
-    /// Generation of the last shrink of the broker's shares on which it acts.
+    /// Generation of the last shrink of its quota shares that the broker reported to have adopted.
     pub shrink: Acknowledged,
+    /// Whether the broker reported that its nodes are overloaded.
     overloaded: bool,
 }
 
 impl LeaseRequests {
-    /// Replies to all requests that there is no leader, and forgets all leases.
-    pub fn drop_all(&mut self, effects: &mut Effects) {
+    /// Replies to all requests that arrived directly that there is no leader, and forgets all requests and leases.
+    pub fn reject_all(&mut self, effects: &mut Effects) {
         for pending in self.take_all().into_iter().filter(|pending| pending.via.is_none()) {
             let reply = LeaseReply::to(&pending.request, LeaseAnswer::NoLeader);
             effects.replies.push((pending.request.broker, reply));
@@ -78,11 +85,13 @@
         self.waiting.drain(..).chain(self.confirming.drain(..)).collect()
     }
 
+    /// Brokers with a recent lease, and whether each reported that its nodes are overloaded.
     pub fn overloads(&self) -> impl Iterator<Item = (&str, bool)> {
         self.granted.iter().map(|((broker, _), lease)| (broker.as_str(), lease.overloaded))
     }
 
-    /// Records the lease that is granted now until `over_at`. `open` is the number of the proposed version.
+    /// Records a lease that is granted at `now` and has certainly ended at `over_at`. `open` is the number of the proposed
+    /// version, if there is one.
     fn record_lease(&mut self, now: f64, request: &LeaseRequest, over_at: f64, open: Option<u64>) {
         let first = GrantedLease {
             over_at,
@@ -108,12 +117,13 @@
 }
 
 impl Voter {
-    /// Accepts a lease request. `via` is the voter that forwarded it.
+    /// Queues a lease request for the next confirmation, forwards it to the leader or rejects it. `via` is the name of the
+    /// voter that forwarded it to this one, if one did.
     pub(super) fn accept_lease_request(&mut self, now: f64, mut request: LeaseRequest, via: Option<String>) {
         if self.is_removed() {
-            let others = match self.successors.is_empty() {
+            let others = match self.reported_voters.is_empty() {
                 true => self.state.voters.voters.clone(),
-                false => self.successors.clone(),
+                false => self.reported_voters.clone(),
             };
             return self.reply(via, &request, LeaseAnswer::NotAVoter(others));
         }
@@ -138,6 +148,7 @@
         }
     }
 
+    /// Replies to a request, through the voter `via` if it forwarded the request.
     fn reply(&mut self, via: Option<String>, request: &LeaseRequest, answer: LeaseAnswer) {
         let (broker, reply) = (request.broker.clone(), LeaseReply::to(request, answer));
         match via {
@@ -146,7 +157,8 @@
         }
     }
 
-    /// Replies to the requests that are confirmed, and asks the other voters to confirm those that wait.
+    /// Grants leases to the requests that the quorum has confirmed, and starts the confirmation of those that wait.
+    /// `reads` are the confirmations that the raft library reported.
     pub(super) fn reply_to_lease_requests(&mut self, now: f64, reads: Vec<ReadState>) {
         if self.node.raft.state != StateRole::Leader || self.is_removed() {
             let all = self.lease_requests.take_all();
@@ -173,7 +185,7 @@
         }
     }
 
-    /// Drops a confirmation that took longer than a lease: the lease would already be over.
+    /// Gives up a confirmation that took longer than a lease, since the leases would already have ended.
     fn expire_confirmation(&mut self, now: f64) {
         let requests = &mut self.lease_requests;
         if requests.confirming.is_empty() || now - requests.confirming_since <= self.config.lease_seconds {
@@ -184,6 +196,7 @@
         self.reply_no_leader(expired);
     }
 
+    /// Starts a confirmation for the waiting requests, if none is in progress.
     fn start_confirmation(&mut self, now: f64) {
         let has_work = self.lease_requests.confirming.is_empty() && !self.lease_requests.waiting.is_empty();
         if !has_work || !self.is_leader() {
@@ -198,6 +211,7 @@
         self.process_ready(now);
     }
 
+    /// Grants and records a lease.
     fn grant_lease(&mut self, now: f64, pending: PendingRequest) {
         let PendingRequest { request, via, received_at } = pending;
         let leader = self.config.name.clone();
--- a/crates/dunepond-consensus/src/voter/membership.rs
+++ b/crates/dunepond-consensus/src/voter/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of voters and of their folders, which the leader writes together with the raft library's membership change.
+//! Changes of voters and of their folders. The leader writes each together with the raft library's membership change.
 
 use raft::StateRole;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
@@ -8,14 +8,14 @@
 use crate::{VoterSlot, codec};
 
 impl Voter {
-    /// The next entry about the voters that the leader has to write; one at a time.
+    /// The next entry about voters or their folders that the leader has to write, if there is one.
     pub(super) fn next_membership_entry(&self) -> Option<LogEntry> {
         let changed = self.changed_slot();
         let entry = changed.map(|(voter, slot)| LogEntry::VoterSlot { voter, slot });
         entry.or_else(|| self.ready_replacement().map(LogEntry::VotersReplaced))
     }
 
-    /// A voter that has started again, or runs on another folder.
+    /// A voter that has started again or runs on a new folder, and the identity of that folder, if there is one.
     fn changed_slot(&self) -> Option<(String, VoterSlot)> {
         let own = (&self.config.name, self.slot(), false);
         let others = self.peers.iter().filter_map(|(name, peer)| {
@@ -24,14 +24,17 @@
         });
         let mut all = std::iter::once(own).chain(others);
         let changed = all.find(|(name, slot, empty)| match self.state.voter_slots.get(*name) {
-            Some(agreed) if agreed.folder_id == slot.folder_id => slot.start_count > agreed.start_count,
-            // A voter with an unknown folder that is not empty learns by its greetings that the folder does not count.
+            Some(committed) if committed.folder_id == slot.folder_id => {
+                slot.start_count > committed.start_count
+            }
+            // A new folder only counts if it is empty. A voter with another folder that is not empty learns by its hellos
+            // that the folder is obsolete.
             _ => *empty,
         });
         changed.map(|(name, slot, _)| (name.clone(), slot))
     }
 
-    /// The replacement by the pending list of voters, once the joining voter has reported an empty folder.
+    /// The replacement of voters by the pending list; `None` until the joining voter has reported an empty folder.
     fn ready_replacement(&self) -> Option<VoterReplacement> {
         let pending = self.state.voters.pending_replacement()?;
         let joining = match pending.joining {
@@ -49,19 +52,20 @@
         Some(VoterReplacement { number, joining, leaving })
     }
 
-    /// Transfers the leadership before this leader leaves, so that nobody has to wait for an election. Returns whether
-    /// the leader has to wait for the transfer.
-    fn hands_over_leadership(&mut self) -> bool {
+    /// Transfers the leadership to another voter before this leader is removed, so that the fleet does not have to wait
+    /// for an election. Returns whether the removal has to wait for the transfer.
+    fn transfer_leadership(&mut self) -> bool {
         let own = self.folder.id;
-        let is_fit = |id: u64| {
+        let is_candidate = |id: u64| {
             let progress = self.node.raft.prs().get(id);
             id != own && progress.is_some_and(|progress| progress.recent_active)
         };
         let mut folders = self.state.voter_slots.values().map(|slot| slot.folder_id);
-        if let Some(successor) = folders.find(|id| is_fit(*id)) {
+        if let Some(successor) = folders.find(|id| is_candidate(*id)) {
             self.node.transfer_leader(successor);
         }
-        // Without the others nothing is committed anyway; only the last voter does not wait.
+        // A leader with other voters waits even if none is a candidate, since it cannot commit without them. Only a single
+        // voter does not wait.
         self.node.raft.prs().iter().any(|(id, _)| *id != own)
     }
 
@@ -70,8 +74,8 @@
         if self.node.raft.state != StateRole::Leader {
             return;
         }
-        let leaves_itself = replacement.leaving.as_ref().is_some_and(|(name, _)| *name == self.config.name);
-        if leaves_itself && self.hands_over_leadership() {
+        let removes_itself = replacement.leaving.as_ref().is_some_and(|(name, _)| *name == self.config.name);
+        if removes_itself && self.transfer_leadership() {
             return;
         }
         let joining = replacement.joining.as_ref().map(|(_, slot)| slot.folder_id);
@@ -79,20 +83,22 @@
         self.write_membership(joining, leaving, &LogEntry::VotersReplaced(replacement));
     }
 
-    /// Writes a new start as an entry, and another folder as a membership change that replaces the old one.
+    /// Writes the folder identity of a voter: a new start as a normal entry, and a new folder as a membership change that
+    /// replaces the old folder.
     pub(super) fn write_slot(&mut self, voter: String, slot: VoterSlot) {
         let old = self.state.voter_slots.get(&voter).map(|slot| slot.folder_id);
         let entry = LogEntry::VoterSlot { voter, slot };
         if old == Some(slot.folder_id) {
-            // If the log is full the leader tries again.
+            // If the log accepts no further entry now, the leader tries again later.
             let _ = self.append(&entry);
         } else if self.node.raft.state == StateRole::Leader {
             self.write_membership(Some(slot.folder_id), old, &entry);
         }
     }
 
+    /// Writes a log entry together with the raft library's membership change.
     fn write_membership(&mut self, joining: Option<u64>, leaving: Option<u64>, entry: &LogEntry) {
-        // The raft library accepts one change at a time, and would write an empty entry in place of a second one.
+        // The raft library accepts one membership change at a time, and would write an empty entry in place of a second.
         let conf_state = self.node.raft.prs().conf().to_conf_state();
         if self.node.raft.has_pending_conf() || !conf_state.voters_outgoing.is_empty() {
             return;
--- a/crates/dunepond-consensus/src/voter/mod.rs
+++ b/crates/dunepond-consensus/src/voter/mod.rs
@@ -1,17 +1,21 @@
-//! A broker that votes. It replicates entries with the other voters, applies them and grants leases.
+//! A voter: it replicates log entries with the other voters, applies them and grants leases.
 //!
-//! The raft library orders the entries. This module decides which messages are accepted and what becomes of committed
-//! entries, and it ensures that nothing is sent before what it relies on is stored. The submodules handle received
-//! messages (`receive`), what the library has ready (`ready`), the other voters (`handshake`, `membership`), leases
-//! (`lease_requests`), what the leader does by its own clock (`leader_watch`, `housekeeping`, `quota_release`), and the
-//! recovery of a lost majority (`recovery`).
+//! The raft library orders the entries. This module decides which messages are accepted, applies committed entries, and
+//! returns messages together with the changes that the host has to store before it sends them. Submodules:
+//!
+//! - `receive` accepts or rejects messages from other voters, and `envelope` encodes them.
+//! - `ready` processes the output of the raft library, which `raft_node` configures.
+//! - `handshake` verifies folders and founds the fleet; `membership` writes changes of voters and of their folders.
+//! - `lease_requests` grants leases.
+//! - `observations`, `housekeeping` and `quota_release` write entries that depend on the leader's clock.
+//! - `recovery` continues a fleet whose majority is lost.
 
 mod envelope;
 mod handshake;
 mod housekeeping;
-mod leader_watch;
 mod lease_requests;
 mod membership;
+mod observations;
 mod quota_release;
 mod raft_node;
 mod ready;
@@ -35,62 +39,66 @@
     ReplicatedState, RolloutStep, StoredVoter, VoterInfo, VoterSlot, WriteBatch, codec, decode,
 };
 use handshake::PeerVoter;
-use leader_watch::LeaderWatch;
 use lease_requests::LeaseRequests;
+use observations::Observations;
 use raft_node::{MAX_CATCH_UP_TICKS, TICKS_PER_LEASE, elections_seconds, raft_node};
 
-/// Whether the voter takes part in votes.
+/// Whether the voter takes part in elections and acknowledges entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Participation {
     /// No majority has confirmed yet that the voter's folder is the latest one.
     Unverified,
+    /// The voter takes part.
     Active,
-    /// Another build wrote something that this one does not understand, see [`Voter::mute`].
-    Muted,
+    /// The voter has stopped, because this build cannot decode an entry or snapshot; see [`Voter::stop_voting`].
+    Stopped,
 }
 
-/// A voter of the fleet.
+/// A voter of the fleet. It replicates log entries, applies them and grants leases. Its host carries out the [`Effects`]
+/// that its methods return.
 pub struct Voter {
     config: ConsensusConfig,
     folder: FolderIdentity,
     rng: Pcg64Mcg,
     node: RawNode<LogStorage>,
     state: ReplicatedState,
-    /// Whether this voter founded the fleet or received a snapshot.
+    /// Whether `state` is a state of the fleet, because this voter founded the fleet or received a snapshot.
     has_state: bool,
     participation: Participation,
-    /// Names of the voters that confirmed that the folder is the latest one.
+    /// Names of the other voters that know of no later start of this voter's folder.
     confirmed_by: Vec<String>,
-    /// Whether others reported that this voter does not vote any more, see [`Voter::is_removed`].
-    dismissed: bool,
-    /// The voters in force instead, as others reported.
-    successors: Vec<VoterInfo>,
-    /// Since when this voter leads a recovered fleet whose leases are suspended.
+    /// Whether another voter reported that the committed list no longer contains this voter; see [`Voter::is_removed`].
+    reported_removed: bool,
+    /// The voters in force, as reported to this voter after its removal.
+    reported_voters: Vec<VoterInfo>,
+    /// When this voter became leader of a recovered fleet whose leases are suspended, on its own clock.
     suspended_since: Option<f64>,
-    /// Index before the entries for which it last withheld its vote.
+    /// Index before the entries whose acknowledgement this voter last withheld.
     withheld_index: Option<u64>,
-    /// Senders that are not voters as far as this voter knows; they are greeted next.
-    strangers: BTreeSet<String>,
+    /// Senders that are not voters as far as this voter knows. They are included in the next hellos.
+    unknown_senders: BTreeSet<String>,
+    /// The other voters from which a message was accepted, by name.
     peers: BTreeMap<String, PeerVoter>,
     /// Keys of version extensions that this build implements.
     known_keys: Vec<String>,
     lease_requests: LeaseRequests,
-    watch: LeaderWatch,
+    observations: Observations,
+    /// The latest reading of this voter's clock.
     last_now: f64,
-    /// Time in seconds for which the library has not been ticked yet.
-    untimed_seconds: f64,
-    next_greeting_at: f64,
-    /// Snapshots in flight: the time of sending, by the id of the receiving folder.
+    /// Time in seconds for which the raft library has not been ticked yet.
+    unticked_seconds: f64,
+    next_hello_at: f64,
+    /// When a snapshot was sent that is not acknowledged yet, by the id of the receiving folder.
     snapshots_sent: BTreeMap<u64, f64>,
     effects: Effects,
 }
 
 impl Voter {
-    /// Opens a voter with the content of its folder, which may be empty. `now` is the broker's own monotonic clock;
-    /// `seed` has to differ at each start and broker.
+    /// Opens a voter with the content of its folder, which may be empty. `now` is the present reading of the broker's
+    /// monotonic clock; `seed` has to differ at each start and for each broker.
     ///
     /// # Errors
-    /// The configuration is invalid, or this broker is not one of its voters, or the folder is not usable.
+    /// The configuration is invalid, this broker is not one of its voters, or the folder is corrupt or another broker's.
     pub fn open(
         config: ConsensusConfig,
         stored: StoredVoter,
@@ -116,7 +124,7 @@
         } else {
             ReplicatedState::new(config.clone(), BTreeMap::new())
         };
-        // A voter with an empty folder has promised nothing, and a lone voter has promised nothing to others.
+        // A voter with an empty folder has not voted or acknowledged anything. No other voter relies on a single voter.
         let verified = !has_state || config.voters.len() == 1;
         let mut voter = Self {
             participation: if verified { Participation::Active } else { Participation::Unverified },
@@ -125,33 +133,33 @@
             state,
             has_state,
             confirmed_by: Vec::new(),
-            dismissed: false,
-            successors: Vec::new(),
+            reported_removed: false,
+            reported_voters: Vec::new(),
             suspended_since: None,
             withheld_index: None,
-            strangers: BTreeSet::new(),
+            unknown_senders: BTreeSet::new(),
             peers: BTreeMap::new(),
             known_keys: known_keys(),
             lease_requests: LeaseRequests::default(),
-            watch: LeaderWatch::new(now),
+            observations: Observations::new(now),
             last_now: now,
-            untimed_seconds: 0.0,
-            next_greeting_at: now,
+            unticked_seconds: 0.0,
+            next_hello_at: now,
             snapshots_sent: BTreeMap::new(),
             effects: Effects::default(),
             rng,
             config,
         };
         voter.effects.write_batch.folder = Some(voter.folder.clone());
-        voter.watch.restart(now, &voter.state);
+        voter.observations.restart(now, &voter.state);
         Ok(voter)
     }
 
-    /// Advances the voter's clock. The host has to call this about forty times per lease. The first effects record the
-    /// start in the folder.
+    /// Advances the voter's clock to `now` and does what is due. The host has to call this about forty times per lease
+    /// duration. The effects of the first call record the start in the folder.
     pub fn tick(&mut self, now: f64) -> Effects {
         self.advance_clock(now);
-        self.greet(now);
+        self.send_hellos(now);
         if self.is_active() {
             self.tick_node();
             self.resend_snapshots(now);
@@ -164,8 +172,8 @@
 
     fn tick_node(&mut self) {
         let tick_seconds = self.config.lease_seconds / TICKS_PER_LEASE;
-        let ticks = (self.untimed_seconds / tick_seconds).floor();
-        self.untimed_seconds -= ticks * tick_seconds;
+        let ticks = (self.unticked_seconds / tick_seconds).floor();
+        self.unticked_seconds -= ticks * tick_seconds;
         for _ in 0..(ticks as usize).min(MAX_CATCH_UP_TICKS) {
             self.node.tick();
             self.pin_election_timeout();
@@ -175,26 +183,29 @@
     fn advance_clock(&mut self, now: f64) {
         if now < self.last_now {
             self.log(format!("the monotonic clock went back from {} to {now}", self.last_now));
-            self.watch.restart(now, &self.state);
-            self.lease_requests.drop_all(&mut self.effects);
+            self.observations.restart(now, &self.state);
+            self.lease_requests.reject_all(&mut self.effects);
         }
-        // A clock that jumped ahead looks like a stall: in both cases it is not known whether the other brokers had
-        // that time, too.
+        // A forward jump of the clock cannot be told from a stall of this process. In either case that time may not have
+        // passed for the other brokers.
         let gap = now - self.last_now;
         let is_long = gap > elections_seconds(1.0, self.config.lease_seconds);
         if is_long && self.node.raft.state == StateRole::Leader {
-            self.log(format!("no tick for {gap:.2} s, by a stall or a clock that jumped: waits restart"));
-            self.watch.restart(now, &self.state);
+            self.log(format!(
+                "no tick for {gap:.2} s (a stall, or the clock jumped forward): restarting waits"
+            ));
+            self.observations.restart(now, &self.state);
             self.suspended_since = None;
         }
-        self.untimed_seconds += gap.max(0.0);
+        self.unticked_seconds += gap.max(0.0);
         self.last_now = now;
     }
 
-    /// Proposes a command. `Ok` means that it is in the leader's log; [`Effects::outcomes`] reports the outcome later.
+    /// Proposes a command. `Ok` means that it is in this leader's log. Once it is committed, [`Effects::outcomes`] of this
+    /// or a later call contains its outcome.
     ///
     /// # Errors
-    /// This voter does not lead, or the command would be ignored.
+    /// This voter does not lead, the command is invalid in the present state, or it cannot be written at present.
     pub fn propose(&mut self, now: f64, command: Command) -> Result<Effects, Rejection> {
         self.advance_clock(now);
         if !self.is_leader() {
@@ -209,7 +220,7 @@
             _ => None,
         };
         if proposed.is_some()
-            && let Some(open) = self.watch.uncommitted_proposal(self.state.index)
+            && let Some(open) = self.observations.uncommitted_proposal(self.state.index)
         {
             return Err(Rejection::ChangeOpen { open });
         }
@@ -220,18 +231,18 @@
         self.state.check(&entry)?;
         self.append(&entry)?;
         if let Some(number) = proposed {
-            self.watch.proposed(self.node.raft.raft_log.last_index(), number);
+            self.observations.record_proposal(self.node.raft.raft_log.last_index(), number);
         }
         self.process_ready(now);
         Ok(self.take_effects())
     }
 
-    /// Rejects commands that only the leader may write, by its own clock.
+    /// Rejects commands that only the leader itself may write, when its clock allows it.
     fn check_leader_only(&self, command: &Command) -> Result<(), Rejection> {
         match command {
             Command::Activate { number } => {
-                // An operator may end a stage. Before a stage nobody but the leader can know that all brokers are
-                // joint.
+                // An operator may end the first stage. Without a stage only the leader knows when all brokers act on the
+                // joint configuration.
                 let open = self.state.open.as_ref();
                 let staged = open.is_some_and(|open| matches!(open.step, RolloutStep::Staged(_)));
                 if staged { Ok(()) } else { Err(Rejection::LeaderOnly(*number)) }
@@ -243,8 +254,8 @@
         }
     }
 
-    /// Checks that all voters implement the version's required keys: otherwise it would be committed without some of
-    /// them.
+    /// Checks that all voters' builds know the version's required keys. Otherwise it could be committed without the
+    /// voters that do not, which would then stop voting.
     fn check_keys_known_by_all(&self, version: &ConfigVersion) -> Result<(), Rejection> {
         version.check_known_keys(&self.known_keys)?;
         let others = self.state.voters.voters.iter().filter(|voter| voter.name != self.config.name);
@@ -257,7 +268,7 @@
         Ok(())
     }
 
-    /// Proposes a command like [`Self::propose`], without any check: a faulty proposer, for tests.
+    /// Proposes a command like [`Self::propose`], but without any check; for tests that simulate a faulty leader.
     ///
     /// # Errors
     /// This voter does not lead.
@@ -276,11 +287,11 @@
         self.node.propose(Vec::new(), codec::encode(entry)).map_err(|_| Rejection::Busy)
     }
 
-    /// Handles a broker's request. The reply is in the effects of this call or of a later one, or another voter sends
-    /// it through this one.
+    /// Handles a lease request that arrived from the broker `from`. The reply is in the effects of this call or a later
+    /// one; a follower forwards the request to the leader, and the leader's reply back to the broker.
     pub fn handle_lease_request(&mut self, now: f64, from: &str, request: LeaseRequest) -> Effects {
         self.advance_clock(now);
-        // A reply only goes to the sender of the request.
+        // A request in the name of another broker is ignored, so that a reply only goes to the sender.
         if request.broker == from && !request.forwarded {
             self.accept_lease_request(now, request, None);
         }
@@ -288,12 +299,12 @@
         self.take_effects()
     }
 
-    /// The committed state, as far as this voter has received it.
+    /// The replicated state, as far as this voter has applied the log.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// Brokers that were granted a lease by this voter, and whether they reported that their nodes are overloaded.
+    /// Names of the brokers to which this voter recently granted a lease, and whether each reported overloaded nodes.
     pub fn broker_overloads(&self) -> impl Iterator<Item = (&str, bool)> {
         self.lease_requests.overloads()
     }
@@ -306,24 +317,24 @@
             && self.node.raft.commit_to_current_term()
     }
 
-    /// Name of the leader, as far as it is known.
+    /// Name of the leader, if this voter knows it.
     pub fn leader(&self) -> Option<String> {
         let id = self.node.raft.leader_id;
         if id == self.folder.id { Some(self.config.name.clone()) } else { self.name_of(id) }
     }
 
-    /// Whether the folder holds a state, because the voter founded the fleet or received a snapshot.
+    /// Whether this voter has a state of the fleet, because it founded the fleet or received a snapshot.
     pub fn has_state(&self) -> bool {
         self.has_state
     }
 
-    /// The whole content of the folder as one record, for a journal that is rewritten; see
+    /// The whole content of the folder as one record, with which the host may rewrite the journal; see
     /// [`WriteBatch::is_checkpoint`].
     pub fn checkpoint(&self) -> WriteBatch {
         WriteBatch { folder: Some(self.folder.clone()), ..self.node.store().checkpoint() }
     }
 
-    /// Turns this into a later build for tests, which also implements these keys.
+    /// Lets this voter act like a later build that also implements `keys`; for tests.
     #[doc(hidden)]
     pub fn add_known_keys(&mut self, keys: &[&str]) {
         self.known_keys.extend(keys.iter().map(ToString::to_string));
@@ -333,10 +344,11 @@
         self.participation == Participation::Active
     }
 
-    fn is_muted(&self) -> bool {
-        self.participation == Participation::Muted
+    fn has_stopped(&self) -> bool {
+        self.participation == Participation::Stopped
     }
 
+    /// The identity of this voter's folder and start.
     fn slot(&self) -> VoterSlot {
         VoterSlot {
             folder_id: self.folder.id,
@@ -345,7 +357,7 @@
         }
     }
 
-    /// Continues as another voter, with a new folder.
+    /// Draws a new folder identity, with which this broker continues as another voter.
     fn begin_new_folder(&mut self) {
         self.folder = new_folder(&self.config.name, &mut self.rng);
         self.folder.start_count = 1;
@@ -358,7 +370,7 @@
     }
 }
 
-/// Creates the identity of an empty folder.
+/// Draws the identity of an empty folder.
 fn new_folder(name: &str, rng: &mut Pcg64Mcg) -> FolderIdentity {
     let id = xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), rng.random());
     // The raft library does not accept the id 0.
--- a/crates/dunepond-consensus/src/voter/leader_watch.rs
+++ b/crates/dunepond-consensus/src/voter/observations.rs
@@ -1,5 +1,5 @@
-//! What a voter has observed, by its own clock, in this run. Nothing of it outlasts a restart or a clock that goes
-//! back: then the waits that rely on it start again.
+//! Times at which a voter observed changes, by its own clock. They are not stored. After a restart, or when the clock
+//! goes back, the waits that rely on them start again.
 
 use std::collections::BTreeMap;
 
@@ -7,62 +7,68 @@
 
 use crate::{ReplicatedState, RolloutStep, StateChange};
 
-/// A time that is long enough ago for everything to be tried at once.
-const LONG_AGO_SECONDS: f64 = 1e9;
+/// Initial age in seconds of the last attempt, long enough that the first entry is written without delay.
+const INITIAL_ATTEMPT_AGE_SECONDS: f64 = 1e9;
 
+/// A proposed version, and when it was first seen committed.
 #[derive(Clone, Copy)]
 pub(super) struct SeenChange {
     number: u64,
     seen_at: f64,
 }
 
+/// A term in which this voter leads, and since when it has led without interruption.
 #[derive(Clone, Copy)]
 struct Leadership {
     term: u64,
     since: f64,
 }
 
+/// A version that this leader has written to the log at an index.
 #[derive(Clone, Copy)]
 struct UncommittedProposal {
     index: u64,
     number: u64,
 }
 
-/// A shrink of a quota share that was seen committed.
+/// The generation of a shrink of a broker's quota shares, and when it was first seen committed.
 #[derive(Clone, Copy)]
 pub(super) struct SeenShrink {
     pub generation: u64,
     pub seen_at: f64,
 }
 
-pub(super) struct LeaderWatch {
+/// Times at which a voter observed changes, by its own clock.
+pub(super) struct Observations {
     /// The proposed version, and when it was first seen committed.
     open: Option<SeenChange>,
+    /// When the rollback of the proposed version was first seen committed, if there is one.
     rollback_seen_at: Option<f64>,
-    /// The term in which this voter leads without interruption, if it leads.
+    /// The present leadership of this voter, if it leads.
     leadership: Option<Leadership>,
+    /// The last version that this leader wrote to the log in its present term.
     proposal: Option<UncommittedProposal>,
-    /// When this leader last wrote an entry of its own.
+    /// When this leader last wrote an entry by itself.
     pub last_attempt_at: f64,
-    /// Shrinks that await their release, by broker.
+    /// Shrinks of quota shares that are not released yet, by the name of the broker.
     pub quota_shrinks: BTreeMap<String, SeenShrink>,
 }
 
-impl LeaderWatch {
+impl Observations {
     pub fn new(now: f64) -> Self {
         Self {
             open: None,
             rollback_seen_at: None,
             leadership: None,
             proposal: None,
-            last_attempt_at: now - LONG_AGO_SECONDS,
+            last_attempt_at: now - INITIAL_ATTEMPT_AGE_SECONDS,
             quota_shrinks: BTreeMap::new(),
         }
     }
 
-    /// Forgets all earlier observations; a version that is proposed counts as seen now.
+    /// Forgets all earlier times. A proposed version, a rollback and shrinks of quota shares count as first seen now.
     pub fn restart(&mut self, now: f64, state: &ReplicatedState) {
-        let leadership = self.leadership.map(|it| Leadership { since: now, ..it });
+        let leadership = self.leadership.map(|leadership| Leadership { since: now, ..leadership });
         *self = Self { leadership, proposal: self.proposal, ..Self::new(now) };
         if let Some(open) = &state.open {
             self.open = Some(SeenChange { number: open.version.number, seen_at: now });
@@ -71,6 +77,7 @@
         self.observe_quota(now, &state.quota);
     }
 
+    /// Records an applied change.
     pub fn observe(&mut self, now: f64, change: &StateChange) {
         match change {
             StateChange::Proposed(number) => {
@@ -85,27 +92,28 @@
         }
     }
 
-    /// When the proposed version was first seen committed.
+    /// When the proposed version of this number was first seen committed; `None` if it is not proposed.
     pub fn open_seen_at(&self, number: u64) -> Option<f64> {
         self.open.filter(|open| open.number == number).map(|open| open.seen_at)
     }
 
+    /// When the rollback of the proposed version was first seen committed; `None` if there is none.
     pub fn rollback_seen_at(&self) -> Option<f64> {
         self.rollback_seen_at
     }
 
-    /// Records shrinks of shares that await their release, each from when it was first seen.
+    /// Records the shrinks of quota shares that are not released yet, each with the time when it was first seen.
     pub fn observe_quota(&mut self, now: f64, ledger: &QuotaLedger) {
         let awaiting = ledger.brokers.iter().filter(|(_, shares)| shares.awaits_release());
         let seen = awaiting.map(|(broker, shares)| {
             let generation = shares.shrunk_generation;
-            let before = self.quota_shrinks.get(broker).filter(|seen| seen.generation == generation);
-            (broker.clone(), before.copied().unwrap_or(SeenShrink { generation, seen_at: now }))
+            let earlier = self.quota_shrinks.get(broker).filter(|seen| seen.generation == generation);
+            (broker.clone(), earlier.copied().unwrap_or(SeenShrink { generation, seen_at: now }))
         });
         self.quota_shrinks = seen.collect();
     }
 
-    /// Records whether the voter leads: `term` is the term in which it leads, `None` if it does not.
+    /// Records whether this voter leads. `term` is the term in which it leads; `None` if it does not.
     pub fn set_leading(&mut self, now: f64, term: Option<u64>) {
         if self.leadership.map(|leadership| leadership.term) != term {
             self.leadership = term.map(|term| Leadership { term, since: now });
@@ -113,17 +121,17 @@
         }
     }
 
-    /// Since when the voter has led without interruption.
+    /// Since when this voter has led without interruption; `None` if it does not lead.
     pub fn leading_since(&self) -> Option<f64> {
         self.leadership.map(|leadership| leadership.since)
     }
 
-    /// Records that a version was written to the log at `index`.
-    pub fn proposed(&mut self, index: u64, number: u64) {
+    /// Records that this leader wrote the version `number` to the log at `index`.
+    pub fn record_proposal(&mut self, index: u64, number: u64) {
         self.proposal = Some(UncommittedProposal { index, number });
     }
 
-    /// Number of a version that is in the log and not applied yet.
+    /// Number of the last version that this leader wrote to the log, unless the log is already applied up to it.
     pub fn uncommitted_proposal(&self, applied: u64) -> Option<u64> {
         self.proposal.filter(|proposal| proposal.index > applied).map(|proposal| proposal.number)
     }
--- a/crates/dunepond-consensus/src/voter/raft_node.rs
+++ b/crates/dunepond-consensus/src/voter/raft_node.rs
@@ -1,27 +1,32 @@
-//! The raft library's node, with its timing and its size limits.
+//! Timing and size limits of the raft library, and the creation of its node.
 
 use raft::{RawNode, ReadOnlyOption};
 
 use crate::log_storage::LogStorage;
 
-/// Number of the library's ticks in a lease. A round trip between voters has to be well under an election timeout.
+/// Number of the raft library's ticks per lease duration. A round trip between voters has to be well below an election
+/// timeout, which is at least [`ELECTION_TICKS`].
 pub(super) const TICKS_PER_LEASE: f64 = 40.0;
+/// Shortest election timeout, in ticks.
 pub(super) const ELECTION_TICKS: usize = 10;
+/// Interval of the leader's heartbeats, in ticks.
 const HEARTBEAT_TICKS: usize = 2;
-/// Largest number of ticks that are made up for after a stall: enough for a leader to notice that it received no
-/// message.
+/// Largest number of ticks in one call after a stall. They suffice for a leader to notice that it has received no message
+/// from a quorum.
 pub(super) const MAX_CATCH_UP_TICKS: usize = 2 * ELECTION_TICKS;
-/// Largest size of the entries in one message.
+/// Largest total size of the entries in one message.
 const MAX_MESSAGE_BYTES: u64 = 1 << 20;
-/// Largest size of proposed entries that are not committed yet.
+/// Largest total size of proposed entries that are not committed yet.
 const MAX_UNCOMMITTED_BYTES: u64 = 64 << 20;
+/// Largest number of append messages to one follower that are not acknowledged yet.
 const MAX_INFLIGHT_MESSAGE_COUNT: usize = 64;
 
-/// Duration of `count` election timeouts, in seconds.
+/// Duration of `count` of the shortest election timeouts, in seconds.
 pub(super) fn elections_seconds(count: f64, lease_seconds: f64) -> f64 {
     count * ELECTION_TICKS as f64 * lease_seconds / TICKS_PER_LEASE
 }
 
+/// Creates a node of the raft library for the folder `id`, whose log is applied up to the index `applied`.
 pub(super) fn raft_node(id: u64, applied: u64, log: LogStorage) -> RawNode<LogStorage> {
     let config = raft::Config {
         id,
@@ -37,5 +42,5 @@
         ..raft::Config::default()
     };
     let logger = slog::Logger::root(slog::Discard, slog::o!());
-    RawNode::new(&config, log, &logger).expect("the constants above are valid together")
+    RawNode::new(&config, log, &logger).expect("the configuration above is valid")
 }
--- a/crates/dunepond-consensus/src/voter/ready.rs
+++ b/crates/dunepond-consensus/src/voter/ready.rs
@@ -1,5 +1,4 @@
-//! Processes what the raft library has ready: it sends messages, and stores entries and applies them once they are
-//! committed.
+//! Processes the output of the raft library: queues its messages, stores entries, and applies committed entries.
 
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChangeV2, Entry, EntryType, Message, MessageType};
@@ -15,12 +14,14 @@
 /// Number of election timeouts after which a snapshot that was not acknowledged is sent again.
 const SNAPSHOT_RETRY_ELECTIONS: f64 = 4.0;
 
-/// The parts of a raft entry that matter to the voter.
+/// A committed entry of the raft library, with its log entry and membership change taken apart.
 struct CommittedEntry {
     index: u64,
     /// The encoded [`crate::log_entry::LogEntry`], if there is one.
     bytes: Option<Vec<u8>>,
+    /// The raft library's membership change, if the entry contains a valid one.
     membership_change: Option<ConfChangeV2>,
+    /// Whether the raft library treats the entry as a membership change.
     is_membership_entry: bool,
 }
 
@@ -32,7 +33,7 @@
                 let bytes = Some(entry.data.to_vec()).filter(|data| !data.is_empty());
                 Self { index, bytes, membership_change: None, is_membership_entry: false }
             }
-            // This crate never writes the old form of a membership change.
+            // This crate never writes the library's old form of a membership change.
             EntryType::EntryConfChange => {
                 Self { index, bytes: None, membership_change: None, is_membership_entry: true }
             }
@@ -47,17 +48,17 @@
 }
 
 impl Voter {
-    /// Processes everything that the library has ready.
+    /// Processes everything that the raft library has ready, then replies to lease requests.
     pub(super) fn process_ready(&mut self, now: f64) {
         let mut reads = Vec::new();
-        while !self.is_muted() && self.node.has_ready() {
+        while !self.has_stopped() && self.node.has_ready() {
             let mut ready = self.node.ready();
             self.send_raft_messages(now, ready.take_messages());
             if !ready.snapshot().is_empty() {
                 self.node.mut_store().restore(ready.snapshot().clone());
                 self.adopt_snapshot(now);
             }
-            if !self.commit_all(now, ready.take_committed_entries()) {
+            if !self.apply_all(now, ready.take_committed_entries()) {
                 return;
             }
             self.node.mut_store().append(ready.entries());
@@ -71,22 +72,22 @@
                 self.node.mut_store().set_commit(commit);
             }
             self.send_raft_messages(now, light.take_messages());
-            if !self.commit_all(now, light.take_committed_entries()) {
+            if !self.apply_all(now, light.take_committed_entries()) {
                 return;
             }
             self.node.advance_apply();
             self.pin_election_timeout();
         }
-        if self.has_state && !self.is_muted() {
+        if self.has_state && !self.has_stopped() {
             self.compact(self.state.index, SnapshotPolicy::WhenLong);
         }
         let leading_term = self.is_leader().then_some(self.node.raft.term);
-        self.watch.set_leading(now, leading_term);
+        self.observations.set_leading(now, leading_term);
         self.reply_to_lease_requests(now, reads);
     }
 
-    /// Sets the election timeout. The library draws it at random; here it is a function of folder and term, so that a
-    /// run can be replayed. It differs between voters, and from term to term.
+    /// Replaces the election timeout that the raft library draws at random by a hash of folder and term, so that runs can
+    /// be replayed. The timeout still differs between voters, and from term to term.
     pub(super) fn pin_election_timeout(&mut self) {
         let term = self.node.raft.term.to_be_bytes();
         let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&term, self.folder.id);
@@ -98,21 +99,24 @@
         self.node.mut_store().compact(index, policy, || state.encode());
     }
 
-    /// Mutes the voter, because another build wrote something that this one does not understand. It sends nothing any
-    /// more, so that no state continues without what the others have; the folder stays as it is, for a build that
-    /// understands it.
-    pub(super) fn mute(&mut self, reason: &str) {
-        self.participation = Participation::Muted;
-        self.log(format!("stopped voting: {reason}; start it with the build that the other voters run"));
-        self.lease_requests.drop_all(&mut self.effects);
+    /// Stops the voter, because this build cannot decode an entry or snapshot. It processes the raft library's output no
+    /// more, so that its state does not diverge from that of the others. The folder is retained for a build that can
+    /// decode it.
+    pub(super) fn stop_voting(&mut self, reason: &str) {
+        self.participation = Participation::Stopped;
+        self.log(format!(
+            "stopped voting: {reason}; restart this broker with the build that the other voters run"
+        ));
+        self.lease_requests.reject_all(&mut self.effects);
     }
 
-    /// Applies committed entries. Returns `false` if one of them muted the voter.
-    fn commit_all(&mut self, now: f64, entries: Vec<Entry>) -> bool {
-        entries.into_iter().all(|entry| self.commit(now, CommittedEntry::new(entry)))
+    /// Applies committed entries in order. Returns `false` if one of them stopped the voter.
+    fn apply_all(&mut self, now: f64, entries: Vec<Entry>) -> bool {
+        entries.into_iter().all(|entry| self.apply_committed(now, CommittedEntry::new(entry)))
     }
 
-    fn commit(&mut self, now: f64, entry: CommittedEntry) -> bool {
+    /// Applies one committed entry. Returns `false` if it stopped the voter.
+    fn apply_committed(&mut self, now: f64, entry: CommittedEntry) -> bool {
         let mut applied = true;
         if let Some(bytes) = &entry.bytes {
             match decode::log_entry(bytes, &self.known_keys) {
@@ -122,12 +126,12 @@
                     self.record_outcome(now, EntryOutcome { index: entry.index, result });
                 }
                 Err(reason) => {
-                    self.mute(&format!("a committed entry: {reason}"));
+                    self.stop_voting(&format!("a committed entry cannot be decoded: {reason}"));
                     return false;
                 }
             }
         }
-        // An ignored entry does not change the membership, either: all voters ignore it alike.
+        // If the log entry is ignored, so is its membership change. All voters decide this alike.
         if let Some(change) = entry.membership_change.filter(|_| applied) {
             self.apply_membership_change(&change);
         }
@@ -138,24 +142,25 @@
         true
     }
 
+    /// Records, logs and queues the outcome of an entry.
     fn record_outcome(&mut self, now: f64, outcome: EntryOutcome) {
         let index = outcome.index;
         match &outcome.result {
             Ok(change) => {
                 self.effects.state_changed = true;
-                self.watch.observe(now, change);
+                self.observations.observe(now, change);
                 if matches!(change, StateChange::Quota(_)) {
-                    self.watch.observe_quota(now, &self.state.quota);
+                    self.observations.observe_quota(now, &self.state.quota);
                 }
                 let is_frequent = matches!(
                     change,
                     StateChange::Settlement(_) | StateChange::VoterSlot(_) | StateChange::Quota(_)
                 );
                 if !is_frequent {
-                    self.log(format!("committed at {index}: {change:?}"));
+                    self.log(format!("committed at index {index}: {change:?}"));
                 }
             }
-            Err(reason) => self.log(format!("ignored at {index}: {reason}; {}", reason.help())),
+            Err(reason) => self.log(format!("ignored at index {index}: {reason}; {}", reason.help())),
         }
         self.effects.outcomes.push(outcome);
     }
@@ -163,25 +168,26 @@
     fn apply_membership_change(&mut self, change: &ConfChangeV2) {
         let Ok(conf_state) = self.node.apply_conf_change(change) else { return };
         self.node.mut_store().set_conf_state(conf_state);
-        // The change removed this leader: the library would keep it as leader, although it could not commit anything.
+        // If the change removed this leader, the library would keep it as leader although it cannot commit anything.
         if self.is_removed() && self.node.raft.state == StateRole::Leader {
             let term = self.node.raft.term;
             self.node.raft.become_follower(term, 0);
-            self.log(String::from("stepped down as leader: it is removed as a voter"));
+            self.log(String::from("stepped down as leader: this broker was removed as a voter"));
         }
     }
 
-    /// Adopts a snapshot from the leader, which replaced the log.
+    /// Adopts the state in a snapshot from the leader, which has replaced the log.
     fn adopt_snapshot(&mut self, now: f64) {
         let (index, data) = self.node.store().last_snapshot();
-        self.state = decode::replicated_state(data).expect("judged before it was taken");
+        self.state = decode::replicated_state(data).expect("the snapshot was checked when it was received");
         self.state.index = index;
         self.has_state = true;
         self.effects.state_changed = true;
-        self.log(format!("caught up to {index} by a snapshot"));
-        self.watch.restart(now, &self.state);
+        self.log(format!("restored the state up to index {index} from a snapshot"));
+        self.observations.restart(now, &self.state);
     }
 
+    /// Queues messages of the raft library.
     fn send_raft_messages(&mut self, now: f64, messages: Vec<Message>) {
         for message in messages {
             let Some(name) = self.name_of(message.to) else { continue };
@@ -193,10 +199,11 @@
         }
     }
 
-    /// Sends late snapshots again. The library would wait forever for the acknowledgement of a lost one.
+    /// Reports snapshots that were not acknowledged in time as failed, so that the raft library sends them again. It would
+    /// wait forever for the acknowledgement of a lost snapshot.
     pub(super) fn resend_snapshots(&mut self, now: f64) {
-        let patience = elections_seconds(SNAPSHOT_RETRY_ELECTIONS, self.config.lease_seconds);
-        let late = self.snapshots_sent.iter().filter(|(_, sent_at)| now - **sent_at > patience);
+        let timeout_seconds = elections_seconds(SNAPSHOT_RETRY_ELECTIONS, self.config.lease_seconds);
+        let late = self.snapshots_sent.iter().filter(|(_, sent_at)| now - **sent_at > timeout_seconds);
         for id in late.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.snapshots_sent.remove(&id);
             let progress = self.node.raft.prs().get(id);
@@ -206,7 +213,7 @@
         }
     }
 
-    /// Queues a message. `to_folder` is 0 if the addressee's folder is not known.
+    /// Queues a message to the voter `name`. `to_folder` is the id of its folder, or 0 for any folder.
     pub(super) fn send(&mut self, name: &str, to_folder: u64, body: Body) {
         let envelope = Envelope {
             from: self.config.name.clone(),
@@ -220,6 +227,7 @@
         self.effects.messages.push((name.to_string(), envelope.encode()));
     }
 
+    /// Returns the effects since the last call.
     pub(super) fn take_effects(&mut self) -> Effects {
         let batch = self.node.mut_store().take_batch();
         let mut effects = std::mem::take(&mut self.effects);
--- a/crates/dunepond-consensus/src/voter/receive.rs
+++ b/crates/dunepond-consensus/src/voter/receive.rs
@@ -1,4 +1,4 @@
-//! Accepts or rejects messages from other voters.
+//! Checks messages from other voters, and handles those that are accepted.
 
 use protobuf::Message as _;
 use raft::eraftpb::{EntryType, Message, MessageType};
@@ -8,21 +8,21 @@
 use crate::codec::Blob;
 use crate::{ConsensusError, Effects, Rejection, VoterSlot, decode};
 
-/// Largest number of former or future voters that are remembered until the next greeting.
-const MAX_STRANGER_COUNT: usize = 16;
+/// Largest number of unknown senders that are remembered until the next hellos.
+const MAX_UNKNOWN_SENDER_COUNT: usize = 16;
 
 impl Voter {
-    /// Handles a message that another voter's [`Effects::messages`] contained for this one. `from` is the peer at the
-    /// other end of the link.
+    /// Handles a message from the [`Effects::messages`] of another voter. `from` is the name of the peer at the other end
+    /// of the connection.
     ///
     /// # Errors
-    /// The message is malformed, or it is not accepted.
+    /// The message is malformed, or not accepted from this sender.
     pub fn receive(&mut self, now: f64, from: &str, bytes: &[u8]) -> Result<Effects, ConsensusError> {
         self.advance_clock(now);
         let envelope = Envelope::decode(from, bytes)?;
         self.check_fleet(&envelope)?;
         if !self.accepts_sender(&envelope) {
-            self.note_stranger(&envelope);
+            self.handle_unknown_sender(&envelope);
             return Err(ConsensusError::NotAVoter(from.to_string()));
         }
         if self.register_sender(&envelope) {
@@ -48,16 +48,16 @@
         Ok(())
     }
 
-    /// Handles a sender that is not a voter as far as this voter knows. It may have started from an old folder, or this
-    /// voter may be the one that was removed: greetings tell both of them.
-    fn note_stranger(&mut self, envelope: &Envelope) {
+    /// Handles a message from a sender that is not a voter as far as this voter knows. Either the sender or this voter may
+    /// have been removed and not know it yet, which they find out by exchanging hellos.
+    fn handle_unknown_sender(&mut self, envelope: &Envelope) {
         let is_hello = matches!(envelope.body, Body::Hello { .. });
         if !self.has_state || envelope.from == self.config.name || !is_hello {
             return;
         }
         self.send_hello_reply(&envelope.from, envelope.slot, None);
-        if self.strangers.len() < MAX_STRANGER_COUNT {
-            self.strangers.insert(envelope.from.clone());
+        if self.unknown_senders.len() < MAX_UNKNOWN_SENDER_COUNT {
+            self.unknown_senders.insert(envelope.from.clone());
         }
     }
 
@@ -67,36 +67,42 @@
             return;
         }
         let kind = message.get_msg_type();
-        // The leader counts on entries that this folder does not have: it is an old copy, whatever others confirmed.
+        // The leader relies on this voter for entries that the folder does not have, so the folder is an old copy even if
+        // other voters have confirmed it.
         let last_index = self.node.raft.raft_log.last_index();
         if kind == MessageType::MsgHeartbeat && message.commit > last_index {
-            self.discard_folder("the leader counts on more than the folder holds");
+            self.discard_folder("the leader's commit index is beyond the end of the folder's log");
             return;
         }
-        // Checked before it replaces the content of the folder.
+        // Checked before the snapshot replaces the content of the folder.
         let is_snapshot = kind == MessageType::MsgSnapshot;
         if is_snapshot && decode::replicated_state(message.get_snapshot().get_data()).is_none() {
-            self.mute("the leader's snapshot is invalid for this build");
+            self.stop_voting("this build cannot use the leader's snapshot");
             return;
         }
-        // Acknowledging an entry that this build cannot read would help to commit it.
+        // If this voter acknowledged an entry that its build cannot decode, it would help to commit the entry.
         if kind == MessageType::MsgAppend
             && let Some(reason) = self.unreadable_entry(&message)
         {
             if self.withheld_index != Some(message.index) {
                 self.withheld_index = Some(message.index);
-                self.log(format!("withholds its vote: {reason} ({})", reason.help()));
+                self.log(format!(
+                    "withholds acknowledgement of the entries after index {}: {reason} ({})",
+                    message.index,
+                    reason.help()
+                ));
             }
             return;
         }
-        // An acknowledgement of entries that this voter never had cannot be meant for it.
+        // An acknowledgement of entries that this voter does not have is not meant for it.
         if kind == MessageType::MsgAppendResponse && !message.reject && message.index > last_index {
             return;
         }
-        // The library rejects messages of an earlier term or of a former voter; there is nothing to do about them.
+        // The library returns an error for messages of an earlier term or from a former voter; they are dropped.
         let _ = self.node.step(message);
     }
 
+    /// Why this build cannot decode an entry of the message, if there is such an entry.
     fn unreadable_entry(&self, message: &Message) -> Option<Rejection> {
         message.get_entries().iter().find_map(|entry| {
             let bytes: &[u8] = if entry.context.is_empty() { &entry.data } else { &entry.context };
--- a/crates/dunepond-consensus/src/voter/recovery.rs
+++ b/crates/dunepond-consensus/src/voter/recovery.rs
@@ -1,7 +1,7 @@
-//! Recovery of a fleet whose majority is lost for good, by an operator's order, from one voter's folder. Entries that
-//! only the lost voters had committed are lost. The consequences are fenced: the fleet's epoch is increased, brokers
-//! that know of it accept nothing from before, and no lease is granted until everything that the lost voters allowed
-//! has ended.
+//! Recovery of a fleet whose majority of voters is permanently lost, from one voter's folder, by an operator's order.
+//! Entries that only the lost voters had committed are lost. To contain the consequences, the fleet's epoch is increased,
+//! brokers that know the new epoch accept nothing from an earlier one, and no lease is granted until everything that the
+//! lost voters allowed has ended.
 
 use raft::eraftpb::{ConfState, EntryType};
 
@@ -10,15 +10,15 @@
 use crate::{ConsensusConfig, ConsensusError, RECOVERY_CONFIRMATION, RecoveryError, RecoveryOrder};
 use crate::{ReplicatedState, StoredVoter, decode};
 
-/// Increment of index and term, so that no position of the log has two meanings.
+/// Increment of index and term in a recovery, so that no position of the log is used for two different entries.
 const POSITION_GAP: u64 = 1 << 20;
 
 impl Voter {
-    /// Opens a voter like [`Voter::open`], and lets it continue alone by an operator's order: it votes on a new folder,
-    /// alone until the remaining voters have started over.
+    /// Opens a voter like [`Voter::open`], and lets it continue without the lost voters. It continues with a new folder
+    /// identity as the only member of the raft group, until the remaining voters have joined with empty folders.
     ///
     /// # Errors
-    /// The errors of [`Voter::open`], or the order does not fit the folder.
+    /// An error of [`Voter::open`], or the order is invalid or not for this folder and log position.
     pub fn recover(
         config: ConsensusConfig,
         stored: StoredVoter,
@@ -34,7 +34,7 @@
         Ok(voter)
     }
 
-    /// Id of the folder and last index of its log, for a [`RecoveryOrder`].
+    /// Id of the folder and last index of its log, which a [`RecoveryOrder`] has to state.
     pub fn recovery_position(&self) -> (u64, u64) {
         (self.folder.id, self.node.raft.raft_log.last_index())
     }
@@ -53,8 +53,8 @@
         Ok(())
     }
 
-    /// The state with all entries of the log, including those not known to be committed: the lost voters may have
-    /// committed them.
+    /// The state with all entries of the log applied, including those that this voter does not know to be committed, since
+    /// the lost voters may have committed them.
     fn state_with_all_entries(&self) -> Result<ReplicatedState, RecoveryError> {
         let mut state = self.state.clone();
         for entry in self.node.store().entries_after(state.index) {
@@ -63,7 +63,7 @@
             if !bytes.is_empty() {
                 let log_entry = decode::log_entry(bytes, &self.known_keys)
                     .map_err(|reason| RecoveryError::UnknownEntry(reason.to_string()))?;
-                // An entry that is ignored here is ignored by every voter.
+                // An entry that is ignored here was ignored by every voter.
                 let _ = state.apply(entry.index, log_entry);
             }
         }
@@ -91,6 +91,7 @@
         Ok(())
     }
 
+    /// Turns this voter into the only member of the raft group, with `state` in the next epoch.
     fn continue_alone(&mut self, now: f64, order: &RecoveryOrder, mut state: ReplicatedState) {
         let (_, last_index) = self.recovery_position();
         self.begin_new_folder();
@@ -108,12 +109,12 @@
         log.restore(snapshot(state.index, term, conf_state, state.encode()));
         self.node = raft_node(self.folder.id, state.index, log);
         self.log(format!(
-            "continues alone by an operator's order, epoch {}, without {}: nobody has a lease for {:.1} s",
+            "recovered by an operator's order: epoch {}, lost voters {}; no lease is granted for {:.1} s",
             state.epoch,
             order.lost_voters.join(", "),
             state.quiescence_seconds(&self.config)
         ));
         (self.state, self.participation) = (state, Participation::Active);
-        self.watch.restart(now, &self.state);
+        self.observations.restart(now, &self.state);
     }
 }
--- a/crates/dunepond-consensus/src/voter/tests/mod.rs
+++ b/crates/dunepond-consensus/src/voter/tests/mod.rs
@@ -2,7 +2,7 @@
 use crate::{ConsensusConfig, StoredVoter};
 
 #[test]
-fn unreadable_entry_mutes_voter() {
+fn unreadable_entry_stops_voter() {
     let config = ConsensusConfig {
         name: String::from("n1"),
         voters: vec![String::from("n1")],
@@ -17,18 +17,18 @@
     };
     let mut voter = Voter::open(config.clone(), StoredVoter::new(), 0.0, 1).unwrap();
     let mut stored = StoredVoter::new();
-    let mut turn = |voter: &mut Voter, at: f64| {
-        let record = voter.tick(at).write_batch.encode();
+    let mut tick_and_store = |voter: &mut Voter, now: f64| {
+        let record = voter.tick(now).write_batch.encode();
         stored.apply_record(&record).unwrap();
     };
-    (1..100).for_each(|n| turn(&mut voter, 0.02 * f64::from(n)));
+    (1..100).for_each(|n| tick_and_store(&mut voter, 0.02 * f64::from(n)));
     assert!(voter.is_leader());
     voter.node.propose(Vec::new(), vec![255; 3]).unwrap();
-    let before = voter.state().index;
-    turn(&mut voter, 2.0);
-    assert!(!voter.is_leader() && voter.state().index == before, "the voter does not continue");
-    // The same applies after a restart with the same build; the folder stays complete.
-    let mut again = Voter::open(config, stored, 0.0, 2).unwrap();
-    assert!(again.tick(0.1).log_lines.iter().any(|line| line.starts_with("stopped voting")));
-    assert!(!again.is_leader() && again.has_state());
+    let index = voter.state().index;
+    tick_and_store(&mut voter, 2.0);
+    assert!(!voter.is_leader() && voter.state().index == index, "the voter stops at the entry");
+    // After a restart with the same build it stops again, and its folder still has the state.
+    let mut restarted = Voter::open(config, stored, 0.0, 2).unwrap();
+    assert!(restarted.tick(0.1).log_lines.iter().any(|line| line.starts_with("stopped voting")));
+    assert!(!restarted.is_leader() && restarted.has_state());
 }
--- a/crates/dunepond-consensus/tests/long.rs
+++ b/crates/dunepond-consensus/tests/long.rs
@@ -113,7 +113,7 @@
     // The clock jumps by 10 s: almost no time has passed for the others, whose leases still run.
     let wait = consensus_config("n1", 1).quiescence_seconds();
     let log = ticks(&mut voter, 13.0, 0.5);
-    assert!(log.iter().any(|line| line.contains("waits restart")) && voter.state().active_number() == 0);
+    assert!(log.iter().any(|line| line.contains("restarting waits")) && voter.state().active_number() == 0);
     ticks(&mut voter, 13.5, wait);
     assert_eq!(voter.state().active_number(), 1);
 }
--- a/crates/dunepond-consensus/tests/recovery.rs
+++ b/crates/dunepond-consensus/tests/recovery.rs
@@ -47,7 +47,7 @@
                 && !fleet.brokers[1].voter.as_ref().unwrap().is_leader()
         );
     }
-    assert!(fleet.brokers[0].log.iter().any(|line| line.contains("recovered without it")));
+    assert!(fleet.brokers[0].log.iter().any(|line| line.contains("recovered without this voter")));
     assert!(
         fleet.all_in_phase(&ConfigPhase::Active(3))
             && fleet.all_have_leases()
--- a/crates/dunepond-consensus/tests/scenarios/folders.rs
+++ b/crates/dunepond-consensus/tests/scenarios/folders.rs
@@ -129,7 +129,7 @@
     assert!(max_records < 2200, "{max_records} records in a folder");
     fleet.start(lagging);
     assert!(fleet.run_until(5.0, |fleet| fleet.state(lagging).settlements.count == 3000));
-    assert!(fleet.brokers[lagging].log.iter().any(|line| line.contains("by a snapshot")));
+    assert!(fleet.brokers[lagging].log.iter().any(|line| line.contains("from a snapshot")));
     assert_eq!(
         fleet.propose(settlements::settle_command(settlement("7"))),
         Err(Rejection::AlreadySettled(settlement("7").id))
--- a/crates/dunepond-consensus/tests/upgrades.rs
+++ b/crates/dunepond-consensus/tests/upgrades.rs
@@ -102,7 +102,10 @@
     fleet.run_for(3.0);
     assert!((0..3).all(|n| fleet.state(n).highest_number == 1), "not committed");
     let logs_withheld_vote = |n: usize| {
-        fleet.brokers[n].log.iter().any(|line| line.contains("withholds its vote") && line.contains(KEY))
+        fleet.brokers[n]
+            .log
+            .iter()
+            .any(|line| line.contains("withholds acknowledgement") && line.contains(KEY))
     };
     assert!((0..3).filter(|n| *n != leader).all(logs_withheld_vote));
     assert!(
--- a/crates/dunepond-consensus/tests/voters.rs
+++ b/crates/dunepond-consensus/tests/voters.rs
@@ -78,7 +78,7 @@
     assert!(fleet.run_until(3.0, |fleet| fleet.has_lease(6)));
     let client = fleet.brokers[6].lease_client.as_ref().unwrap();
     let committed: Vec<String> =
-        client.voters_unlike_file().unwrap().iter().map(|voter| voter.name.clone()).collect();
+        client.voters_differing_from_file().unwrap().iter().map(|voter| voter.name.clone()).collect();
     assert_eq!(committed, names(&list));
 }
 
--- a/crates/dunepond-control-plane/src/control_loop/publish.rs
+++ b/crates/dunepond-control-plane/src/control_loop/publish.rs
@@ -115,7 +115,7 @@
         if self.state.compared_voters.replace(number) == Some(number) {
             return;
         }
-        let Some(voters) = self.lease_client.voters_unlike_file() else { return };
+        let Some(voters) = self.lease_client.voters_differing_from_file() else { return };
         let mut lines = Vec::new();
         for voter in voters {
             lines.push(match &voter.address {
