--- a/crates/dunepond-consensus/tests/consensus_config.rs
+++ b/crates/dunepond-consensus/tests/consensus_config.rs
@@ -29,18 +29,18 @@
     let mut config = consensus_config("n1", 3);
     config.switch_bound_seconds = 1.5;
     let Err(ConsensusConfigError::Bound { bound, wait, lease }) = config.check() else {
-        panic!("the quiescence period with drift is longer than the bound")
+        panic!("the bound has to be rejected, since the quiescence period is longer")
     };
     assert_eq!((bound, wait), (1.5, config.quiescence_seconds()));
     assert!(ConsensusConfigError::Bound { bound, wait, lease }.to_string().contains("raise bound to 1.632"));
     assert_eq!(
         ConsensusConfig { switch_bound_seconds: wait, ..config.clone() }.check(),
         Ok(()),
-        "with the bound that the error names"
+        "the bound that the error names is valid"
     );
     assert_eq!(
         ConsensusConfig { lease_seconds: lease - 1e-9, ..config }.check(),
         Ok(()),
-        "with a lease under the one that the error names"
+        "a lease just below the one that the error names is valid"
     );
 }
--- a/crates/dunepond-consensus/tests/errors.rs
+++ b/crates/dunepond-consensus/tests/errors.rs
@@ -1,4 +1,4 @@
-//! Error messages and their help, and the errors by which a voter rejects messages and folders.
+//! Error messages and their help texts, and the errors with which a voter rejects messages and folders.
 
 use std::collections::BTreeSet;
 use std::mem::discriminant;
@@ -60,7 +60,7 @@
         ClockWentBack { from: 2.0, to: 1.0 },
         ClockDrift { local: 1.0, leader: 2.0 },
     ];
-    // A new variant does not compile until it is counted here, and then has to be in the list.
+    // A new variant does not compile until it is added to this match, whose largest number is the length of the list.
     let count = |rejection: &Rejection| match rejection {
         NotLeader(_)
         | ChangeOpen { .. }
@@ -118,8 +118,9 @@
         ConsensusError::UnsupportedProtocol { from: text(), version: 2, supported: 1 },
         ConsensusError::SenderMismatch { from: text(), stated: text() },
     ];
-    let messages = rejections.iter().map(|r| (r.to_string(), r.help()));
-    let messages: Vec<_> = messages.chain(errors.iter().map(|e| (e.to_string(), e.help()))).collect();
+    let messages = rejections.iter().map(|rejection| (rejection.to_string(), rejection.help()));
+    let messages: Vec<_> =
+        messages.chain(errors.iter().map(|error| (error.to_string(), error.help()))).collect();
     assert!(messages.iter().all(|(message, help)| message.len() > 8 && help.len() > 15));
     assert_eq!(
         rejections.iter().map(discriminant).collect::<std::collections::HashSet<_>>().len(),
@@ -129,9 +130,9 @@
 }
 
 #[rstest]
-#[case::empty(&[], |e: &ConsensusError| matches!(e, ConsensusError::MalformedMessage(_)))]
-#[case::newer_protocol(&[3, 1], |e: &ConsensusError| matches!(e, ConsensusError::UnsupportedProtocol { version: 3, supported: 2, .. }))]
-#[case::malformed(&[2, 255, 255, 255], |e: &ConsensusError| matches!(e, ConsensusError::MalformedMessage(_)))]
+#[case::empty(&[], |error: &ConsensusError| matches!(error, ConsensusError::MalformedMessage(_)))]
+#[case::newer_protocol(&[3, 1], |error: &ConsensusError| matches!(error, ConsensusError::UnsupportedProtocol { version: 3, supported: 2, .. }))]
+#[case::malformed(&[2, 255, 255, 255], |error: &ConsensusError| matches!(error, ConsensusError::MalformedMessage(_)))]
 fn rejects_malformed_message(#[case] bytes: &[u8], #[case] is_expected: fn(&ConsensusError) -> bool) {
     let mut voter = Voter::open(consensus_config("n1", 3), StoredVoter::new(), 0.0, 1).unwrap();
     assert!(is_expected(&voter.receive(0.0, "n2", bytes).unwrap_err()));
@@ -152,7 +153,7 @@
         single_voter.receive(0.1, "n2", &hello).unwrap_err(),
         ConsensusError::NotAVoter(String::from("n2"))
     );
-    // A request in the name of another broker is not answered.
+    // A request in the name of another broker gets no reply.
     let request = LeaseRequest {
         id: 1,
         broker: String::from("n9"),
--- a/crates/dunepond-consensus/tests/golden/documents.rs
+++ b/crates/dunepond-consensus/tests/golden/documents.rs
@@ -1,27 +1,27 @@
-//! Documents that stand for themselves: versions, requests and replies for leases, what a broker keeps.
+//! Golden tests of single documents: versions, operators' documents, lease requests and replies, persisted state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use dunepond_consensus::*;
-use dunepond_quota::{Allocation as Parts, DemandReport, SharedQuotas};
+use dunepond_quota::{Allocation, DemandReport, SharedQuotas};
 use dunepond_settlement::{Allotment, Settlement, SettlementEntry, SettlementLedger};
 use dunepond_simulation::fixtures::{config_version, consensus_config, settlement, shard_map};
 
-use super::{again_json, golden};
+use super::{golden, reencode_json};
 
 pub fn text(text: &str) -> String {
     String::from(text)
 }
 
-pub fn named(name: &str, at: Option<&str>) -> VoterInfo {
-    VoterInfo { name: text(name), address: at.map(text) }
+pub fn voter_info(name: &str, address: Option<&str>) -> VoterInfo {
+    VoterInfo { name: text(name), address: address.map(text) }
 }
 
-/// With all that a version may have: a map, leaving nodes, a first stage, what it follows, keys of a later program.
+/// A version with every optional part: a map, excluded nodes, a first stage, a base version, keys of a later build.
 pub fn full_version(number: u64) -> ConfigVersion {
-    let more =
-        |key: &str, must| Extension { key: text(key), json: text("{\"a\": [1, 2.50]}"), required: must };
+    let extension =
+        |key: &str, required| Extension { key: text(key), json: text("{\"a\": [1, 2.50]}"), required };
     ConfigVersion {
         based_on: Some(number - 1),
         first_stage_ratio: Some(0.25),
@@ -30,21 +30,21 @@
             removed: vec![text("s9a"), text("s9b")],
         },
         proposed_at_unix_seconds: 1_700_000_000.25,
-        extensions: vec![more("omens", false), more("rules.least_brokers", true)],
+        extensions: vec![extension("omens", false), extension("rules.least_brokers", true)],
         ..config_version(number, Some(shard_map(number, true)))
     }
 }
 
-pub fn bounds() -> SharedQuotas {
+pub fn shared_quotas() -> SharedQuotas {
     SharedQuotas::new(vec![text("cold"), text("customer anna")], 7, 0.35, 500).unwrap()
 }
 
-fn report() -> DemandReport {
-    let needs = BTreeMap::from([(text("cold"), 120_000), (text("customer anna"), 7)]);
-    DemandReport { shrunk_generation: 3, shared: bounds(), demand_units: needs }
+fn demand_report() -> DemandReport {
+    let demand_units = BTreeMap::from([(text("cold"), 120_000), (text("customer anna"), 7)]);
+    DemandReport { shrunk_generation: 3, shared: shared_quotas(), demand_units }
 }
 
-fn bare_request() -> LeaseRequest {
+fn minimal_request() -> LeaseRequest {
     LeaseRequest {
         id: 1,
         broker: text("b1"),
@@ -67,14 +67,14 @@
         joint_version: Some(2),
         incarnation: 1 << 60,
         known_settlements: 70_000,
-        demand: Some(report()),
+        demand: Some(demand_report()),
         forwarded: true,
         overloaded: true,
-        ..bare_request()
+        ..minimal_request()
     }
 }
 
-pub fn allot() -> SettlementEntry {
+pub fn allotment_entry() -> SettlementEntry {
     let parts = vec![(text("fleet"), 900).into(), (text("b1"), 100).into()];
     SettlementEntry::Allot(Allotment {
         number: 0,
@@ -85,17 +85,20 @@
     })
 }
 
-fn some_debts(ledger: bool) -> SettlementUpdate {
-    let settle = SettlementEntry::Settle(Settlement { bytes: 11, ..settlement("7") });
-    let mut applied = SettlementLedger::default();
-    applied.apply(&allot()).unwrap();
-    applied.apply(&SettlementEntry::Settle(settlement("6"))).unwrap();
-    let entries =
-        vec![SettlementRecord { floor: 0, entry: allot() }, SettlementRecord { floor: 4, entry: settle }];
-    SettlementUpdate { from: 4, count: 6, ledger: ledger.then(|| Box::new(applied)), entries }
+/// An update with two entries, and with the ledger if `with_ledger` is set.
+fn settlement_update(with_ledger: bool) -> SettlementUpdate {
+    let settlement_entry = SettlementEntry::Settle(Settlement { bytes: 11, ..settlement("7") });
+    let mut applied_ledger = SettlementLedger::default();
+    applied_ledger.apply(&allotment_entry()).unwrap();
+    applied_ledger.apply(&SettlementEntry::Settle(settlement("6"))).unwrap();
+    let entries = vec![
+        SettlementRecord { floor: 0, entry: allotment_entry() },
+        SettlementRecord { floor: 4, entry: settlement_entry },
+    ];
+    SettlementUpdate { from: 4, count: 6, ledger: with_ledger.then(|| Box::new(applied_ledger)), entries }
 }
 
-fn first_grant() -> LeaseGrant {
+fn minimal_grant() -> LeaseGrant {
     LeaseGrant {
         lease_seconds: 1.0,
         required_parts: Vec::new(),
@@ -119,30 +122,30 @@
 }
 
 fn full_grant(step: RolloutStep) -> LeaseGrant {
-    let (one, two) = (config_version(1, Some(shard_map(1, false))), full_version(2));
-    let parts = BTreeMap::from([(text("cold"), 50_000)]);
+    let (first, second) = (config_version(1, Some(shard_map(1, false))), full_version(2));
+    let leased_units = BTreeMap::from([(text("cold"), 50_000)]);
     LeaseGrant {
         required_parts: vec![text("omens")],
         fleet_id: 77,
         epoch: 3,
         index: 40_000,
-        active: Some((1, one.digest())),
-        proposed: Some(ProposedVersion { number: 2, digest: two.digest(), step }),
+        active: Some((1, first.digest())),
+        proposed: Some(ProposedVersion { number: 2, digest: second.digest(), step }),
         highest_number: 2,
         maps_enabled: true,
-        voters: vec![named("n1", None), named("n2", Some("10.0.0.2:7000"))],
+        voters: vec![voter_info("n1", None), voter_info("n2", Some("10.0.0.2:7000"))],
         voters_number: 5,
-        documents: vec![Arc::new(one), Arc::new(two)],
+        documents: vec![Arc::new(first), Arc::new(second)],
         completed_fills: vec![(0, text("cold1")), (3, text("s3b"))],
-        settlements: some_debts(step == RolloutStep::Joint),
-        quota: Some(Parts {
+        settlements: settlement_update(step == RolloutStep::Joint),
+        quota: Some(Allocation {
             generation: 8,
             floor_units: 50_000,
             admitted: true,
             shrunk_generation: 6,
-            leased_units: parts,
+            leased_units,
         }),
-        ..first_grant()
+        ..minimal_grant()
     }
 }
 
@@ -151,10 +154,11 @@
 }
 
 #[test]
-fn versions() {
-    let draft = ConfigVersion { based_on: None, first_stage_ratio: None, ..config_version(1, None) };
+fn versions_match_golden_files() {
+    let version_without_options =
+        ConfigVersion { based_on: None, first_stage_ratio: None, ..config_version(1, None) };
     for (name, version) in [
-        ("version-bare", draft),
+        ("version-bare", version_without_options),
         ("version-map", config_version(3, Some(shard_map(3, false)))),
         ("version-full", full_version(2)),
     ] {
@@ -163,38 +167,38 @@
         assert_eq!(read, version, "{name}");
         assert_eq!(read.packed(), stored, "{name}");
         golden(&format!("{name}.digest"), version.digest().as_bytes());
-        // The operator's file has the parts by name.
+        // The JSON form of operators' documents, with field names.
         let name = format!("{name}.json");
         let stored = golden(&name, &serde_json::to_vec_pretty(&version).unwrap());
-        assert_eq!(again_json::<ConfigVersion>(&stored), stored, "{name}");
+        assert_eq!(reencode_json::<ConfigVersion>(&stored), stored, "{name}");
     }
 }
 
 #[test]
-fn operators_documents() {
-    let voting = VoterChange {
+fn operators_documents_match_golden_files() {
+    let voter_change = VoterChange {
         number: 4,
-        voters: vec![named("n1", None), named("n2", Some("10.0.0.2:7000"))],
+        voters: vec![voter_info("n1", None), voter_info("n2", Some("10.0.0.2:7000"))],
         proposed_by: text("ann"),
         reason: text("a test"),
         proposed_at_unix_seconds: 1_700_000_000.0,
     };
-    let stored = golden("voting.json", &serde_json::to_vec_pretty(&voting).unwrap());
-    assert_eq!(again_json::<VoterChange>(&stored), stored);
-    let word = RecoveryOrder {
+    let stored = golden("voting.json", &serde_json::to_vec_pretty(&voter_change).unwrap());
+    assert_eq!(reencode_json::<VoterChange>(&stored), stored);
+    let recovery_order = RecoveryOrder {
         folder_id: 5,
         last_index: 60,
         lost_voters: vec![text("n2")],
         highest_number: 3,
         confirmation: text(RECOVERY_CONFIRMATION),
     };
-    let stored = golden("recovery.json", &serde_json::to_vec_pretty(&word).unwrap());
-    assert_eq!(again_json::<RecoveryOrder>(&stored), stored);
+    let stored = golden("recovery.json", &serde_json::to_vec_pretty(&recovery_order).unwrap());
+    assert_eq!(reencode_json::<RecoveryOrder>(&stored), stored);
 }
 
 #[test]
-fn lease_requests() {
-    for (name, request) in [("request-bare", bare_request()), ("request-full", full_request())] {
+fn lease_requests_match_golden_files() {
+    for (name, request) in [("request-bare", minimal_request()), ("request-full", full_request())] {
         let stored = golden(name, &request.encode());
         let read = LeaseRequest::decode(&stored).unwrap();
         assert_eq!(read, request, "{name}");
@@ -203,48 +207,48 @@
 }
 
 #[test]
-fn lease_replies() {
-    let others = vec![named("n2", None), named("n3", Some("10.0.0.3:7000"))];
+fn lease_replies_match_golden_files() {
+    let voters = vec![voter_info("n2", None), voter_info("n3", Some("10.0.0.3:7000"))];
     for (name, answer) in [
         ("reply-no-leader", LeaseAnswer::NoLeader),
-        ("reply-no-voter", LeaseAnswer::NotAVoter(others)),
-        ("reply-granted-first", LeaseAnswer::Granted(Box::new(first_grant()))),
+        ("reply-no-voter", LeaseAnswer::NotAVoter(voters)),
+        ("reply-granted-first", LeaseAnswer::Granted(Box::new(minimal_grant()))),
         ("reply-granted-joint", LeaseAnswer::Granted(Box::new(full_grant(RolloutStep::Joint)))),
         ("reply-granted-staged", LeaseAnswer::Granted(Box::new(full_grant(RolloutStep::Staged(0.25))))),
         ("reply-granted-returning", LeaseAnswer::Granted(Box::new(full_grant(RolloutStep::RollingBack)))),
     ] {
-        let told = reply(answer);
-        let stored = golden(name, &told.encode());
+        let reply = reply(answer);
+        let stored = golden(name, &reply.encode());
         let read = LeaseReply::decode(&stored).unwrap();
-        assert_eq!(read, told, "{name}");
+        assert_eq!(read, reply, "{name}");
         assert_eq!(read.encode(), stored, "{name}");
     }
 }
 
 #[test]
-fn what_a_broker_keeps() {
-    let mut member = LeaseClient::new(consensus_config("b1", 3), None, 0.0, 5);
-    let empty = golden("kept-empty", &member.persisted_state().encode());
+fn persisted_state_matches_golden_files() {
+    let mut client = LeaseClient::new(consensus_config("b1", 3), None, 0.0, 5);
+    let empty = golden("kept-empty", &client.persisted_state().encode());
     assert_eq!(PersistedState::decode(&empty).unwrap().encode(), empty);
-    let (_, ask) = member.tick(0.0).unwrap();
-    let two = ConfigVersion { extensions: vec![full_version(2).extensions[0].clone()], ..full_version(2) };
+    let (_, request) = client.tick(0.0).unwrap();
+    let second = ConfigVersion { extensions: vec![full_version(2).extensions[0].clone()], ..full_version(2) };
     let grant = LeaseGrant {
         required_parts: Vec::new(),
-        proposed: Some(ProposedVersion { number: 2, digest: two.digest(), step: RolloutStep::Joint }),
-        documents: vec![Arc::new(config_version(1, Some(shard_map(1, false)))), Arc::new(two)],
+        proposed: Some(ProposedVersion { number: 2, digest: second.digest(), step: RolloutStep::Joint }),
+        documents: vec![Arc::new(config_version(1, Some(shard_map(1, false)))), Arc::new(second)],
         completed_fills: vec![(0, text("s0b"))],
         ..full_grant(RolloutStep::Joint)
     };
     let answer = LeaseAnswer::Granted(Box::new(grant));
-    member
+    client
         .handle_reply(
             0.1,
             "n1",
-            LeaseReply { id: ask.id, incarnation: ask.incarnation, sent_at: ask.sent_at, answer },
+            LeaseReply { id: request.id, incarnation: request.incarnation, sent_at: request.sent_at, answer },
         )
         .unwrap();
-    let stored = golden("kept-full", &member.persisted_state().encode());
+    let stored = golden("kept-full", &client.persisted_state().encode());
     let read = PersistedState::decode(&stored).unwrap();
-    assert_eq!(read, member.persisted_state());
+    assert_eq!(read, client.persisted_state());
     assert_eq!(read.encode(), stored);
 }
--- a/crates/dunepond-consensus/tests/golden/runs.rs
+++ b/crates/dunepond-consensus/tests/golden/runs.rs
@@ -1,28 +1,28 @@
-//! What voters write and send: one alone that enters each kind of entry, and a few that come, go and are brought back.
-//! The same seeds give the same bytes, so whole runs are compared.
+//! Golden tests of whole runs: a single voter that commits every kind of entry, and a small fleet whose voters restart, are
+//! replaced and are recovered. The same seeds give the same bytes, so all that they write and send is compared.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use dunepond_consensus::*;
-use dunepond_quota::{QuotaEntry as Limit, QuotaShare};
+use dunepond_quota::{QuotaEntry, QuotaShare};
 use dunepond_rebalance::{
-    Action, ActionBatch, CommittedEntry as Move, Operation, PauseReason, Plan, ResumeTrigger,
-    Step as PlanStep, StepKind, StepLimits, order_steps,
+    Action, ActionBatch, CommittedEntry, Operation, PauseReason, Plan, ResumeTrigger, Step, StepKind,
+    StepLimits, order_steps,
 };
-use dunepond_settlement::{SettlementEntry as Debt, ShareRelease, StartedFill};
+use dunepond_settlement::{SettlementEntry, ShareRelease, StartedFill};
 use dunepond_simulation::fixtures::{config_version, consensus_config, settlement, shard_map};
 use protobuf::Message as _;
-use raft::eraftpb::{Entry as LogEntry, Message, Snapshot};
+use raft::eraftpb::{Entry as RaftEntry, Message, Snapshot};
 use serde::{Deserialize, Serialize};
 
-use super::documents::{allot, bounds, full_version, named, text};
-use super::{MARK, again, document, framed, golden, unframed};
+use super::documents::{allotment_entry, full_version, shared_quotas, text, voter_info};
+use super::{CBOR_TAG, encode_document, golden, join_records, reencode, split_records};
 
-const TURN: f64 = 0.025;
+const TICK_SECONDS: f64 = 0.025;
 
-/// What stands in an entry of the log.
+/// An entry of the log, with the names of the stored format.
 #[derive(Serialize, Deserialize)]
-enum Item {
+enum StoredLogEntry {
     Entry(Command),
     Terms(ConsensusConfig),
     Stage { number: u64 },
@@ -32,6 +32,7 @@
     Calm { epoch: u64 },
 }
 
+/// A replacement of voters, with the names of the stored format.
 #[derive(Serialize, Deserialize)]
 struct Voted {
     number: u64,
@@ -39,50 +40,59 @@
     leaves: Option<(String, Option<u64>)>,
 }
 
-/// A record of the journal: the order of the parts is its form.
+/// A record of the journal. The format has no names, so only the order of the fields matters.
 #[derive(Serialize, Deserialize)]
 struct Record {
     folder: Option<(String, u64, u64, u64)>,
-    hard: Option<Vec<u8>>,
+    hard_state: Option<Vec<u8>>,
     entries: Vec<(u64, u64, Vec<u8>)>,
     snapshot: Option<Vec<u8>>,
-    replaces: bool,
+    replaces_entries: bool,
 }
 
-/// Reads each record and all documents in it, writes them again, and says which kinds of items there were.
+/// Asserts that each record and all documents in it are the same after decoding and encoding. Returns the number of log
+/// entries of each kind.
 fn check_records(name: &str, stored: &[u8]) -> BTreeMap<String, usize> {
-    let (records, mut kinds) = (unframed(stored), BTreeMap::new());
+    let (records, mut kinds) = (split_records(stored), BTreeMap::new());
     for bytes in &records {
-        let save: WriteBatch = postcard::from_bytes(bytes).unwrap();
-        assert!(save.encode() == *bytes, "{name}: a record");
+        let batch: WriteBatch = postcard::from_bytes(bytes).unwrap();
+        assert!(batch.encode() == *bytes, "{name}: a record differs after re-encoding");
         let record: Record = postcard::from_bytes(bytes).unwrap();
-        assert!(postcard::to_stdvec(&record).unwrap() == *bytes, "{name}: a record's parts");
+        assert!(
+            postcard::to_stdvec(&record).unwrap() == *bytes,
+            "{name}: a record's fields differ after re-encoding"
+        );
         for (_, _, entry) in &record.entries {
-            let entry = LogEntry::parse_from_bytes(entry).unwrap();
-            for item in [&entry.data, &entry.context].into_iter().filter(|item| item.starts_with(&MARK)) {
-                assert!(again::<Item>(item) == item[..], "{name}: an item");
-                *kinds.entry(kind(item)).or_default() += 1;
+            let entry = RaftEntry::parse_from_bytes(entry).unwrap();
+            for log_entry in
+                [&entry.data, &entry.context].into_iter().filter(|bytes| bytes.starts_with(&CBOR_TAG))
+            {
+                assert!(
+                    reencode::<StoredLogEntry>(log_entry) == log_entry[..],
+                    "{name}: a log entry differs after re-encoding"
+                );
+                *kinds.entry(entry_kind(log_entry)).or_default() += 1;
             }
         }
         if let Some(snapshot) = &record.snapshot {
             let snapshot = Snapshot::parse_from_bytes(snapshot).unwrap();
             assert!(
-                again::<ReplicatedState>(snapshot.get_data()) == snapshot.get_data(),
-                "{name}: a snapshot"
+                reencode::<ReplicatedState>(snapshot.get_data()) == snapshot.get_data(),
+                "{name}: a snapshot differs after re-encoding"
             );
         }
     }
-    let mut saved = StoredVoter::new();
-    records.iter().for_each(|record| saved.apply_record(record).unwrap());
+    let mut stored_voter = StoredVoter::new();
+    records.iter().for_each(|record| stored_voter.apply_record(record).unwrap());
     kinds
 }
 
-/// The names of an item's variants, outermost first.
-fn kind(item: &[u8]) -> String {
-    let value: ciborium::Value = ciborium::from_reader(&item[MARK.len()..]).unwrap();
+/// The kind of a log entry: the names of its nested enum variants, outermost first.
+fn entry_kind(log_entry: &[u8]) -> String {
+    let value: ciborium::Value = ciborium::from_reader(&log_entry[CBOR_TAG.len()..]).unwrap();
     let (mut names, mut value) = (Vec::new(), &value);
-    while let ciborium::Value::Map(parts) = value
-        && let [(ciborium::Value::Text(name), inner)] = &parts[..]
+    while let ciborium::Value::Map(fields) = value
+        && let [(ciborium::Value::Text(name), inner)] = &fields[..]
         && name.starts_with(char::is_uppercase)
     {
         names.push(name.clone());
@@ -91,78 +101,84 @@
     names.join(" ")
 }
 
-struct Alone {
+/// A fleet of one voter, with the journal records that it has written and the outcomes of its entries.
+struct SingleVoter {
     voter: Voter,
     now: f64,
     records: Vec<Vec<u8>>,
     outcomes: Vec<String>,
 }
 
-impl Alone {
-    fn take(&mut self, orders: Effects) {
-        if !orders.write_batch.is_empty() {
-            self.records.push(orders.write_batch.encode());
+impl SingleVoter {
+    fn record_effects(&mut self, effects: Effects) {
+        if !effects.write_batch.is_empty() {
+            self.records.push(effects.write_batch.encode());
         }
-        self.outcomes.extend(orders.outcomes.iter().map(|outcome| match &outcome.result {
+        self.outcomes.extend(effects.outcomes.iter().map(|outcome| match &outcome.result {
             Ok(_) => text("applied"),
-            Err(why) => format!("{}: {why}", outcome.index),
+            Err(reason) => format!("{}: {reason}", outcome.index),
         }));
     }
 
     fn run(&mut self, seconds: f64) {
-        for _ in 0..(seconds / TURN) as usize {
-            self.now += TURN;
-            let orders = self.voter.tick(self.now);
-            self.take(orders);
+        for _ in 0..(seconds / TICK_SECONDS) as usize {
+            self.now += TICK_SECONDS;
+            let effects = self.voter.tick(self.now);
+            self.record_effects(effects);
         }
     }
 
-    /// Enters it; it has to apply.
-    fn enter(&mut self, entry: Command) {
-        let shown = format!("{entry:?}");
-        let orders = self.voter.propose(self.now, entry).unwrap_or_else(|why| panic!("{shown}: {why}"));
-        self.take(orders);
+    /// Commits a command, which has to be accepted.
+    fn commit(&mut self, command: Command) {
+        let description = format!("{command:?}");
+        let effects =
+            self.voter.propose(self.now, command).unwrap_or_else(|reason| panic!("{description}: {reason}"));
+        self.record_effects(effects);
         self.run(0.2);
     }
 
+    /// Proposes a version, and runs for `seconds` after that.
     fn propose(&mut self, version: ConfigVersion, seconds: f64) {
-        self.enter(Command::Propose(Box::new(version)));
+        self.commit(Command::Propose(Box::new(version)));
         self.run(seconds);
     }
 }
 
-fn states(alone: &Alone, name: &str) {
-    let stored = golden(name, &document(alone.voter.state()));
-    assert!(again::<ReplicatedState>(&stored) == stored, "{name}");
+/// Asserts that the voter's state equals a golden file.
+fn check_state(single: &SingleVoter, name: &str) {
+    let stored = golden(name, &encode_document(single.voter.state()));
+    assert!(reencode::<ReplicatedState>(&stored) == stored, "{name}");
 }
 
-fn enter_versions(alone: &mut Alone) {
-    alone.propose(config_version(1, Some(shard_map(1, false))), 3.0);
-    let two = ConfigVersion { first_stage_ratio: Some(0.5), ..config_version(2, Some(shard_map(2, true))) };
-    alone.propose(two, 0.0);
-    states(alone, "state-open");
-    let fill = |number| Command::FillCompleted { number, segment: 0, holder: format!("cold{number}") };
-    alone.enter(fill(2));
-    alone.run(3.0);
-    states(alone, "state-staged");
-    alone.enter(Command::Activate { number: 2 });
-    let more = vec![full_version(3).extensions[0].clone()];
-    alone.propose(
+fn commit_versions(single: &mut SingleVoter) {
+    single.propose(config_version(1, Some(shard_map(1, false))), 3.0);
+    let second =
+        ConfigVersion { first_stage_ratio: Some(0.5), ..config_version(2, Some(shard_map(2, true))) };
+    single.propose(second, 0.0);
+    check_state(single, "state-open");
+    let fill_completed =
+        |number| Command::FillCompleted { number, segment: 0, holder: format!("cold{number}") };
+    single.commit(fill_completed(2));
+    single.run(3.0);
+    check_state(single, "state-staged");
+    single.commit(Command::Activate { number: 2 });
+    let extensions = vec![full_version(3).extensions[0].clone()];
+    single.propose(
         ConfigVersion {
             first_stage_ratio: Some(0.5),
-            extensions: more,
+            extensions,
             ..config_version(3, Some(shard_map(3, false)))
         },
         3.0,
     );
-    alone.enter(Command::Withdraw { number: 3, why: text("a test") });
-    states(alone, "state-returning");
-    alone.run(3.0);
-    alone.propose(config_version(4, Some(shard_map(4, true))), 0.0);
-    alone.enter(Command::Withdraw { number: 4, why: text("a test") });
+    single.commit(Command::Withdraw { number: 3, why: text("a test") });
+    check_state(single, "state-returning");
+    single.run(3.0);
+    single.propose(config_version(4, Some(shard_map(4, true))), 0.0);
+    single.commit(Command::Withdraw { number: 4, why: text("a test") });
 }
 
-fn enter_debts(alone: &mut Alone) {
+fn commit_settlements(single: &mut SingleVoter) {
     let (debtor, creditor) = (text("north"), text("south"));
     let release = ShareRelease { number: 1, debtor, creditor, broker: text("b1"), bytes: 40 };
     let started = StartedFill {
@@ -177,27 +193,32 @@
         settles: Some(settlement("5")),
         at: 1_700_000_000,
     };
-    for entry in [allot(), Debt::Release(release), Debt::Settle(settlement("6")), Debt::StartFill(started)] {
-        alone.enter(Command::Settlement(entry));
+    for entry in [
+        allotment_entry(),
+        SettlementEntry::Release(release),
+        SettlementEntry::Settle(settlement("6")),
+        SettlementEntry::StartFill(started),
+    ] {
+        single.commit(Command::Settlement(entry));
     }
 }
 
-fn enter_limits(alone: &mut Alone) {
-    let part = |units| QuotaShare { broker: text("b1"), quota: text("cold"), units };
+fn commit_quotas(single: &mut SingleVoter) {
+    let share = |units| QuotaShare { broker: text("b1"), quota: text("cold"), units };
     for entry in [
-        Limit::Configure(bounds()),
-        Limit::AddBroker { broker: text("b1") },
-        Limit::AddBroker { broker: text("b2") },
-        Limit::SetShares { shares: vec![part(9000), QuotaShare { broker: text("b2"), ..part(70) }] },
-        Limit::SetShares { shares: vec![part(100)] },
+        QuotaEntry::Configure(shared_quotas()),
+        QuotaEntry::AddBroker { broker: text("b1") },
+        QuotaEntry::AddBroker { broker: text("b2") },
+        QuotaEntry::SetShares { shares: vec![share(9000), QuotaShare { broker: text("b2"), ..share(70) }] },
+        QuotaEntry::SetShares { shares: vec![share(100)] },
     ] {
-        alone.enter(Command::Quota(entry));
+        single.commit(Command::Quota(entry));
     }
-    states(alone, "state-limits");
-    // The leader says that the larger part is over, and may be the only one to say so.
-    alone.run(4.0);
-    alone.enter(Command::Quota(Limit::AddBroker { broker: text("b3") }));
-    alone.enter(Command::Quota(Limit::RemoveBroker { broker: text("b3") }));
+    check_state(single, "state-limits");
+    // The leader itself releases the old part of the shrunk share; no other proposer may do so.
+    single.run(4.0);
+    single.commit(Command::Quota(QuotaEntry::AddBroker { broker: text("b3") }));
+    single.commit(Command::Quota(QuotaEntry::RemoveBroker { broker: text("b3") }));
 }
 
 fn plan(id: &str) -> Plan {
@@ -219,94 +240,106 @@
     }
 }
 
-/// Makes the plan's owners those of the map in force.
-fn fitting(alone: &Alone, id: &str) -> (Plan, Vec<PlanStep>) {
-    let proof = alone.voter.state().map_proof().unwrap().clone();
+/// A plan whose operations are valid for the active map, and its steps.
+fn plan_for_active_map(single: &SingleVoter, id: &str) -> (Plan, Vec<Step>) {
+    let proof = single.voter.state().map_proof().unwrap().clone();
     let mut plan = plan(id);
     let owner = |segment: u64| proof.segment(segment).unwrap().owner.clone();
-    let other = if owner(3) == "s3a" { "s3b" } else { "s3a" };
+    let new_owner = if owner(3) == "s3a" { "s3b" } else { "s3a" };
     plan.operations[1] = Operation::Move { segment: 1, from: owner(1), to: text("s2a") };
-    plan.operations[2] = Operation::ChangeOwner { segment: 3, to: text(other) };
+    plan.operations[2] = Operation::ChangeOwner { segment: 3, to: text(new_owner) };
     let steps =
         order_steps(&plan, &proof, StepLimits { max_actions: 2, max_changed_ratio: 1.0 }, |_| false).unwrap();
     (plan, steps)
 }
 
-fn enter_moves(alone: &mut Alone) {
-    let (taken, steps) = fitting(alone, "p1");
+fn commit_rebalancing(single: &mut SingleVoter) {
+    let (accepted, steps) = plan_for_active_map(single, "p1");
     let plan = || text("p1");
     let batches: Vec<&ActionBatch> =
         steps.iter().flat_map(|step| step.rollback.iter().chain([&step.forward])).collect();
     assert!(batches.iter().any(|batch| batch.kind == StepKind::Fence));
     let mut actions = batches.iter().flat_map(|batch| &batch.actions);
     assert!(actions.any(|planned| matches!(planned.action, Action::Switch { .. })));
-    alone.enter(Command::Rebalance(Move::Accepted { plan: Box::new(taken), steps, max_actions: 2 }));
+    single.commit(Command::Rebalance(CommittedEntry::Accepted {
+        plan: Box::new(accepted),
+        steps,
+        max_actions: 2,
+    }));
     for reason in
         [PauseReason::Overload { overloaded_percent: 40 }, PauseReason::Operator { name: text("ann") }]
     {
-        alone.enter(Command::Rebalance(Move::Paused { plan: plan(), reason }));
+        single.commit(Command::Rebalance(CommittedEntry::Paused { plan: plan(), reason }));
     }
-    alone.enter(Command::Rebalance(Move::Resumed {
+    single.commit(Command::Rebalance(CommittedEntry::Resumed {
         plan: plan(),
         trigger: ResumeTrigger::Operator(text("ann")),
     }));
     let overload = PauseReason::Overload { overloaded_percent: 40 };
-    alone.enter(Command::Rebalance(Move::Paused { plan: plan(), reason: overload }));
-    alone.enter(Command::Rebalance(Move::Resumed { plan: plan(), trigger: ResumeTrigger::LoadNormal(5) }));
+    single.commit(Command::Rebalance(CommittedEntry::Paused { plan: plan(), reason: overload }));
+    single.commit(Command::Rebalance(CommittedEntry::Resumed {
+        plan: plan(),
+        trigger: ResumeTrigger::LoadNormal(5),
+    }));
     let failed = PauseReason::StepFailed { reason: text("a test") };
-    alone.enter(Command::Rebalance(Move::Paused { plan: plan(), reason: failed }));
-    alone.enter(Command::Rebalance(Move::Resumed {
+    single.commit(Command::Rebalance(CommittedEntry::Paused { plan: plan(), reason: failed }));
+    single.commit(Command::Rebalance(CommittedEntry::Resumed {
         plan: plan(),
         trigger: ResumeTrigger::Operator(text("ann")),
     }));
-    let state = alone.voter.state();
+    let state = single.voter.state();
     let running = state.rebalance().running.as_ref().unwrap();
     let batch = running.current_batch().unwrap();
     let transition = batch.transition(state.map_proof().unwrap(), running.steps_done).unwrap();
     let (number, digest) = (state.highest_number + 1, text(transition.to().digest()));
-    alone.enter(Command::Rebalance(Move::StepStarted { plan: plan(), turn: 0, number, digest }));
-    states(alone, "state-plan");
+    single.commit(Command::Rebalance(CommittedEntry::StepStarted { plan: plan(), turn: 0, number, digest }));
+    check_state(single, "state-plan");
     let (withdrawn_by, reason) = (text("ann"), text("a test"));
-    alone.enter(Command::Rebalance(Move::Withdrawn { plan: plan(), withdrawn_by, reason }));
+    single.commit(Command::Rebalance(CommittedEntry::Withdrawn { plan: plan(), withdrawn_by, reason }));
 }
 
-fn enter_votes(alone: &mut Alone) {
-    let vote = |number, voters| {
-        let (who, why) = (text("ann"), text("a test"));
+fn commit_voter_changes(single: &mut SingleVoter) {
+    let voter_change = |number, voters| {
+        let (proposed_by, reason) = (text("ann"), text("a test"));
         Command::ChangeVoters(Box::new(VoterChange {
             number,
             voters,
-            proposed_by: who,
-            reason: why,
+            proposed_by,
+            reason,
             proposed_at_unix_seconds: 1_700_000_000.0,
         }))
     };
-    alone.enter(vote(1, vec![named("n1", None), named("n2", Some("10.0.0.2:7000"))]));
-    states(alone, "state-voting");
-    alone.enter(vote(2, vec![named("n1", Some("10.0.0.1:7000"))]));
+    single.commit(voter_change(1, vec![voter_info("n1", None), voter_info("n2", Some("10.0.0.2:7000"))]));
+    check_state(single, "state-voting");
+    single.commit(voter_change(2, vec![voter_info("n1", Some("10.0.0.1:7000"))]));
 }
 
 #[test]
-fn a_voter_alone_writes_each_kind_of_entry() {
-    let open =
-        |terms: ConsensusConfig, saved: StoredVoter, now, seed| Voter::open(terms, saved, now, seed).unwrap();
+fn single_voter_journal_matches_golden_files() {
+    let open = |config: ConsensusConfig, stored: StoredVoter, now, seed| {
+        Voter::open(config, stored, now, seed).unwrap()
+    };
     let voter = open(consensus_config("n1", 1), StoredVoter::new(), 0.0, 31);
-    let mut alone = Alone { voter, now: 0.0, records: Vec::new(), outcomes: Vec::new() };
-    alone.run(3.0);
-    enter_versions(&mut alone);
-    enter_debts(&mut alone);
-    enter_limits(&mut alone);
-    enter_votes(&mut alone);
-    enter_moves(&mut alone);
-    // Another start, with other terms.
-    let mut saved = StoredVoter::new();
-    alone.records.iter().for_each(|record| saved.apply_record(record).unwrap());
-    alone.voter =
-        open(ConsensusConfig { lease_seconds: 0.8, ..consensus_config("n1", 1) }, saved, alone.now, 32);
-    alone.run(3.0);
-    states(&alone, "state-after");
-    let stored = golden("alone.journal", &framed(&alone.records));
-    assert_eq!(alone.outcomes.iter().filter(|outcome| *outcome != "applied").collect::<Vec<_>>(), [""; 0]);
+    let mut single = SingleVoter { voter, now: 0.0, records: Vec::new(), outcomes: Vec::new() };
+    single.run(3.0);
+    commit_versions(&mut single);
+    commit_settlements(&mut single);
+    commit_quotas(&mut single);
+    commit_voter_changes(&mut single);
+    commit_rebalancing(&mut single);
+    // Restart with another configuration.
+    let mut stored_voter = StoredVoter::new();
+    single.records.iter().for_each(|record| stored_voter.apply_record(record).unwrap());
+    single.voter = open(
+        ConsensusConfig { lease_seconds: 0.8, ..consensus_config("n1", 1) },
+        stored_voter,
+        single.now,
+        32,
+    );
+    single.run(3.0);
+    check_state(&single, "state-after");
+    let stored = golden("alone.journal", &join_records(&single.records));
+    assert_eq!(single.outcomes.iter().filter(|outcome| *outcome != "applied").collect::<Vec<_>>(), [""; 0]);
     let kinds = check_records("alone.journal", &stored);
     for kind in [
         "Entry Propose",
@@ -333,34 +366,35 @@
         "Terms",
         "Seat",
     ] {
-        assert!(kinds.contains_key(kind), "no {kind} in {kinds:?}");
+        assert!(kinds.contains_key(kind), "no entry of kind {kind}: {kinds:?}");
     }
-    let whole = alone.voter.checkpoint().encode();
-    check_records("whole", &framed(&[golden("alone.whole", &whole)]));
-    // A later start of this program goes on from the file.
-    let mut saved = StoredVoter::new();
-    unframed(&stored).iter().for_each(|record| saved.apply_record(record).unwrap());
-    let voter = open(consensus_config("n1", 1), saved, 0.0, 33);
+    let checkpoint = single.voter.checkpoint().encode();
+    check_records("checkpoint", &join_records(&[golden("alone.whole", &checkpoint)]));
+    // A voter starts from the journal in the golden file.
+    let mut stored_voter = StoredVoter::new();
+    split_records(&stored).iter().for_each(|record| stored_voter.apply_record(record).unwrap());
+    let voter = open(consensus_config("n1", 1), stored_voter, 0.0, 33);
     assert!(voter.has_state());
 }
 
-/// Voters on a network that loses nothing; each message comes a turn later.
-struct Few {
+/// A few voters on a network without loss, in which each message arrives one tick later.
+struct SmallFleet {
     voters: BTreeMap<String, Voter>,
     records: BTreeMap<String, Vec<Vec<u8>>>,
     now: f64,
-    flying: VecDeque<(String, String, Vec<u8>)>,
-    /// All messages in their order, and two of each kind.
-    all: blake3::Hasher,
-    kinds: BTreeMap<String, Vec<Vec<u8>>>,
-    told: Vec<LeaseReply>,
+    in_flight: VecDeque<(String, String, Vec<u8>)>,
+    /// Hash of all messages in the order in which they were sent.
+    message_hash: blake3::Hasher,
+    /// The first two messages of each kind.
+    messages_by_kind: BTreeMap<String, Vec<Vec<u8>>>,
+    lease_replies: Vec<LeaseReply>,
 }
 
-/// What a message between voters is: the variant, and the library's own kind.
+/// The kind of a message between voters: the variant of its body, and the raft library's type of the message in it.
 fn message_kind(bytes: &[u8]) -> String {
-    let value: ciborium::Value = ciborium::from_reader(&bytes[1 + MARK.len()..]).unwrap();
-    let parts = value.into_map().unwrap();
-    let body = parts.into_iter().find(|(key, _)| key.as_text() == Some("body")).unwrap().1;
+    let value: ciborium::Value = ciborium::from_reader(&bytes[1 + CBOR_TAG.len()..]).unwrap();
+    let fields = value.into_map().unwrap();
+    let body = fields.into_iter().find(|(key, _)| key.as_text() == Some("body")).unwrap().1;
     let (name, inner) = body.into_map().unwrap().remove(0);
     let name = name.into_text().unwrap();
     match inner.as_bytes() {
@@ -372,44 +406,44 @@
     }
 }
 
-impl Few {
-    fn start(&mut self, terms: ConsensusConfig, seed: u64) {
-        let mut saved = StoredVoter::new();
-        let records = self.records.entry(terms.name.clone()).or_default();
-        records.iter().for_each(|record| saved.apply_record(record).unwrap());
-        let voter = Voter::open(terms.clone(), saved, self.now, seed).unwrap();
-        self.voters.insert(terms.name, voter);
+impl SmallFleet {
+    fn start(&mut self, config: ConsensusConfig, seed: u64) {
+        let mut stored_voter = StoredVoter::new();
+        let records = self.records.entry(config.name.clone()).or_default();
+        records.iter().for_each(|record| stored_voter.apply_record(record).unwrap());
+        let voter = Voter::open(config.clone(), stored_voter, self.now, seed).unwrap();
+        self.voters.insert(config.name, voter);
     }
 
-    fn take(&mut self, name: &str, orders: Effects) {
-        if !orders.write_batch.is_empty() {
-            self.records.entry(text(name)).or_default().push(orders.write_batch.encode());
+    fn record_effects(&mut self, name: &str, effects: Effects) {
+        if !effects.write_batch.is_empty() {
+            self.records.entry(text(name)).or_default().push(effects.write_batch.encode());
         }
-        self.told.extend(orders.replies.into_iter().map(|(_, told)| told));
-        for (to, bytes) in orders.messages {
-            self.all.update(&bytes);
-            let kind = self.kinds.entry(message_kind(&bytes)).or_default();
-            if kind.len() < 2 {
-                kind.push(bytes.clone());
+        self.lease_replies.extend(effects.replies.into_iter().map(|(_, reply)| reply));
+        for (to, bytes) in effects.messages {
+            self.message_hash.update(&bytes);
+            let samples = self.messages_by_kind.entry(message_kind(&bytes)).or_default();
+            if samples.len() < 2 {
+                samples.push(bytes.clone());
             }
-            self.flying.push_back((text(name), to, bytes));
+            self.in_flight.push_back((text(name), to, bytes));
         }
     }
 
     fn run(&mut self, seconds: f64) {
-        for _ in 0..(seconds / TURN) as usize {
-            self.now += TURN;
+        for _ in 0..(seconds / TICK_SECONDS) as usize {
+            self.now += TICK_SECONDS;
             let now = self.now;
-            for (from, to, bytes) in std::mem::take(&mut self.flying) {
+            for (from, to, bytes) in std::mem::take(&mut self.in_flight) {
                 let Some(voter) = self.voters.get_mut(&to) else { continue };
-                // What a voter does not believe changes nothing here.
-                if let Ok(orders) = voter.receive(now, &from, &bytes) {
-                    self.take(&to, orders);
+                // A message that the voter rejects has no effect here.
+                if let Ok(effects) = voter.receive(now, &from, &bytes) {
+                    self.record_effects(&to, effects);
                 }
             }
             for name in self.voters.keys().cloned().collect::<Vec<_>>() {
-                let orders = self.voters.get_mut(&name).unwrap().tick(now);
-                self.take(&name, orders);
+                let effects = self.voters.get_mut(&name).unwrap().tick(now);
+                self.record_effects(&name, effects);
             }
         }
     }
@@ -419,114 +453,122 @@
             .iter()
             .find(|(_, voter)| voter.is_leader())
             .map(|(name, _)| name.clone())
-            .expect("one leads")
+            .expect("a voter leads")
     }
 
-    fn propose(&mut self, entry: Command) {
+    fn propose(&mut self, command: Command) {
         let (leader, now) = (self.leader(), self.now);
-        let orders = self.voters.get_mut(&leader).unwrap().propose(now, entry).unwrap();
-        self.take(&leader, orders);
+        let effects = self.voters.get_mut(&leader).unwrap().propose(now, command).unwrap();
+        self.record_effects(&leader, effects);
     }
 
-    /// A broker asks each voter for a lease.
-    fn ask(&mut self) {
-        let mut member = LeaseClient::new(consensus_config("b1", 3), None, self.now, 9);
-        let (_, ask) = member.tick(self.now).unwrap();
+    /// Sends the lease request of a broker to each voter.
+    fn request_leases(&mut self) {
+        let mut client = LeaseClient::new(consensus_config("b1", 3), None, self.now, 9);
+        let (_, request) = client.tick(self.now).unwrap();
         for name in self.voters.keys().cloned().collect::<Vec<_>>() {
-            let orders =
-                self.voters.get_mut(&name).unwrap().handle_lease_request(self.now, "b1", ask.clone());
-            self.take(&name, orders);
+            let effects =
+                self.voters.get_mut(&name).unwrap().handle_lease_request(self.now, "b1", request.clone());
+            self.record_effects(&name, effects);
         }
         self.run(0.5);
     }
 }
 
 #[test]
-fn a_few_voters_send_and_write_what_they_always_did() {
-    let mut few = Few {
+fn small_fleet_messages_and_journals_match_golden_files() {
+    let mut fleet = SmallFleet {
         voters: BTreeMap::new(),
         records: BTreeMap::new(),
         now: 0.0,
-        flying: VecDeque::new(),
-        all: blake3::Hasher::new(),
-        kinds: BTreeMap::new(),
-        told: Vec::new(),
+        in_flight: VecDeque::new(),
+        message_hash: blake3::Hasher::new(),
+        messages_by_kind: BTreeMap::new(),
+        lease_replies: Vec::new(),
     };
-    (1..=3).for_each(|n| few.start(consensus_config(&format!("n{n}"), 3), n));
-    few.run(3.0);
-    few.propose(Command::Propose(Box::new(config_version(1, Some(shard_map(1, false))))));
-    few.run(3.0);
-    few.ask();
-    // One starts again, one comes back with an empty folder, one takes the place of another.
-    let other = |few: &Few| few.voters.keys().find(|name| **name != few.leader()).cloned().unwrap();
-    let again = other(&few);
-    few.voters.remove(&again);
-    few.run(1.0);
-    few.start(consensus_config(&again, 3), 11);
-    few.run(3.0);
-    let lost = other(&few);
-    few.voters.remove(&lost);
-    few.records.remove(&lost);
-    few.run(1.0);
-    few.start(consensus_config(&lost, 3), 12);
-    few.run(3.0);
-    few.start(
+    (1..=3).for_each(|n| fleet.start(consensus_config(&format!("n{n}"), 3), n));
+    fleet.run(3.0);
+    fleet.propose(Command::Propose(Box::new(config_version(1, Some(shard_map(1, false))))));
+    fleet.run(3.0);
+    fleet.request_leases();
+    // One voter restarts, one returns with an empty folder, and one is replaced by another.
+    let any_follower =
+        |fleet: &SmallFleet| fleet.voters.keys().find(|name| **name != fleet.leader()).cloned().unwrap();
+    let restarted = any_follower(&fleet);
+    fleet.voters.remove(&restarted);
+    fleet.run(1.0);
+    fleet.start(consensus_config(&restarted, 3), 11);
+    fleet.run(3.0);
+    let emptied = any_follower(&fleet);
+    fleet.voters.remove(&emptied);
+    fleet.records.remove(&emptied);
+    fleet.run(1.0);
+    fleet.start(consensus_config(&emptied, 3), 12);
+    fleet.run(3.0);
+    fleet.start(
         ConsensusConfig { voters: ["n1", "n2", "n3", "n4"].map(text).into(), ..consensus_config("n4", 3) },
         13,
     );
-    let goes = other(&few);
-    let stays = |n: &String| *n != goes;
-    let voters = ["n1", "n2", "n3", "n4"].map(text).into_iter().filter(stays);
-    let voters: Vec<VoterInfo> = voters.map(|name| named(&name, None)).collect();
-    let (who, why) = (text("ann"), text("a test"));
-    few.propose(Command::ChangeVoters(Box::new(VoterChange {
+    let leaving = any_follower(&fleet);
+    let remains = |name: &String| *name != leaving;
+    let voters = ["n1", "n2", "n3", "n4"].map(text).into_iter().filter(remains);
+    let voters: Vec<VoterInfo> = voters.map(|name| voter_info(&name, None)).collect();
+    let (proposed_by, reason) = (text("ann"), text("a test"));
+    fleet.propose(Command::ChangeVoters(Box::new(VoterChange {
         number: 1,
         voters,
-        proposed_by: who,
-        reason: why,
+        proposed_by,
+        reason,
         proposed_at_unix_seconds: 0.0,
     })));
-    few.run(4.0);
-    few.ask();
-    // All but one are lost for good, and the fleet is brought back from that one's folder.
-    let stays = few.leader();
-    let state = few.voters[&stays].state();
+    fleet.run(4.0);
+    fleet.request_leases();
+    // All voters but one are permanently lost, and the fleet is recovered from the folder of the remaining one.
+    let survivor = fleet.leader();
+    let state = fleet.voters[&survivor].state();
     let names = state.voters.voters.iter().map(|voter| voter.name.clone());
-    let lost: Vec<String> = names.filter(|name| *name != stays).collect();
-    let highest = state.highest_number;
-    few.voters.clear();
-    few.flying.clear();
-    let mut saved = StoredVoter::new();
-    few.records[&stays].iter().for_each(|record| saved.apply_record(record).unwrap());
-    let own =
-        ConsensusConfig { voters: ["n1", "n2", "n3", "n4"].map(text).into(), ..consensus_config(&stays, 3) };
-    let (folder, last) = Voter::open(own.clone(), saved.clone(), few.now, 21).unwrap().recovery_position();
-    let word = RecoveryOrder {
-        folder_id: folder,
-        last_index: last,
-        lost_voters: lost,
-        highest_number: highest,
+    let lost_voters: Vec<String> = names.filter(|name| *name != survivor).collect();
+    let highest_number = state.highest_number;
+    fleet.voters.clear();
+    fleet.in_flight.clear();
+    let mut stored_voter = StoredVoter::new();
+    fleet.records[&survivor].iter().for_each(|record| stored_voter.apply_record(record).unwrap());
+    let config = ConsensusConfig {
+        voters: ["n1", "n2", "n3", "n4"].map(text).into(),
+        ..consensus_config(&survivor, 3)
+    };
+    let (folder_id, last_index) =
+        Voter::open(config.clone(), stored_voter.clone(), fleet.now, 21).unwrap().recovery_position();
+    let order = RecoveryOrder {
+        folder_id,
+        last_index,
+        lost_voters,
+        highest_number,
         confirmation: text(RECOVERY_CONFIRMATION),
     };
-    let voter = Voter::recover(own, saved, &word, few.now, 22).unwrap();
-    few.records.get_mut(&stays).unwrap().push(voter.checkpoint().encode());
-    few.voters.insert(stays.clone(), voter);
-    few.run(6.0);
-    assert_eq!((few.voters[&stays].state().epoch, few.voters[&stays].state().leases_suspended), (2, false));
-
-    golden("few.all", few.all.finalize().to_hex().as_bytes());
-    let mut seen = Vec::new();
-    for (kind, messages) in &few.kinds {
-        golden(&format!("message-{}", kind.replace(' ', "-")), &framed(messages));
-        seen.push(kind.as_str());
+    let voter = Voter::recover(config, stored_voter, &order, fleet.now, 22).unwrap();
+    fleet.records.get_mut(&survivor).unwrap().push(voter.checkpoint().encode());
+    fleet.voters.insert(survivor.clone(), voter);
+    fleet.run(6.0);
+    assert_eq!(
+        (fleet.voters[&survivor].state().epoch, fleet.voters[&survivor].state().leases_suspended),
+        (2, false)
+    );
+
+    golden("few.all", fleet.message_hash.finalize().to_hex().as_bytes());
+    let mut seen_kinds = Vec::new();
+    for (kind, messages) in &fleet.messages_by_kind {
+        golden(&format!("message-{}", kind.replace(' ', "-")), &join_records(messages));
+        seen_kinds.push(kind.as_str());
     }
-    let wanted = ["Ask", "Heard", "Hello", "Raft MsgAppend", "Raft MsgHeartbeat", "Raft MsgSnapshot", "Told"];
-    assert!(wanted.iter().all(|kind| seen.contains(kind)), "{seen:?}");
-    assert!(few.told.iter().any(|told| matches!(told.answer, LeaseAnswer::Granted(_))));
+    let expected_kinds =
+        ["Ask", "Heard", "Hello", "Raft MsgAppend", "Raft MsgHeartbeat", "Raft MsgSnapshot", "Told"];
+    assert!(expected_kinds.iter().all(|kind| seen_kinds.contains(kind)), "{seen_kinds:?}");
+    assert!(fleet.lease_replies.iter().any(|reply| matches!(reply.answer, LeaseAnswer::Granted(_))));
     let mut kinds = BTreeMap::new();
-    for (name, records) in &few.records {
+    for (name, records) in &fleet.records {
         let name = format!("few-{name}.journal");
-        kinds.extend(check_records(&name, &golden(&name, &framed(records))));
+        kinds.extend(check_records(&name, &golden(&name, &join_records(records))));
     }
     assert!(["Seat", "Voted", "Calm"].iter().all(|kind| kinds.contains_key(*kind)), "{kinds:?}");
 }
--- a/crates/dunepond-consensus/tests/lease_client.rs
+++ b/crates/dunepond-consensus/tests/lease_client.rs
@@ -1,11 +1,11 @@
-//! The lease client by itself: which replies it adopts, and what the broker may act on at a moment.
+//! The lease client without a fleet: which replies it adopts, and what the broker may act on at which time.
 
 use std::sync::Arc;
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::{config_version, consensus_config, routing_rules, shard_map};
 
-/// A grant of the state at `index` with these versions and all their documents.
+/// A grant with these versions and their documents, at the log index `index`.
 fn grant(
     index: u64,
     active: Option<&ConfigVersion>,
@@ -76,14 +76,18 @@
     assert_eq!(
         active_config.phase(101.0),
         ConfigPhase::LeaseExpired(1),
-        "although the reply arrived a tenth of a second ago"
+        "the lease counts from the request, not from the reply a tenth of a second ago"
+    );
+    assert_eq!(
+        active_config.owner(0, 106.0),
+        SegmentOwner::Unavailable(1.0),
+        "the lease has expired during a suspension"
     );
-    assert_eq!(active_config.owner(0, 106.0), SegmentOwner::Unavailable(1.0), "after a suspension");
     assert_eq!(active_config.rules(106.0), Some(&first_version.rules));
     assert_eq!(
         active_config.phase(99.0),
         ConfigPhase::LeaseExpired(1),
-        "an earlier reading does not extend the lease"
+        "a clock that went back does not extend the lease"
     );
 }
 
@@ -109,7 +113,7 @@
         deliver_grant(&mut client, 100.7, &first, grant(7, Some(&second_version), None)),
         Err(Rejection::UnexpectedReply(first.id))
     );
-    // Another run of the same broker sent a request with the same id.
+    // A reply to another run of the same broker, which sent a request with the same id.
     let third = LeaseRequest { incarnation: 1, ..next_request(&mut client, 100.6) };
     assert_eq!(
         deliver_grant(&mut client, 100.7, &third, grant(7, Some(&second_version), None)),
@@ -123,19 +127,19 @@
     let mut client = lease_client();
     let request = next_request(&mut client, 100.0);
     deliver_grant(&mut client, 100.1, &request, grant(5, Some(&first_version), None)).unwrap();
-    // Other rules under the committed digest; a map with a gap; no document at all.
-    let (mut other, mut gap) =
+    // Three invalid grants: a document that differs from the committed digest, a map with a gap, and no document.
+    let (mut altered_version, mut gap_version) =
         (config_version(2, Some(shard_map(2, false))), config_version(2, Some(shard_map(2, false))));
-    gap.map.as_mut().unwrap().segments.remove(1);
-    gap.map = gap.map.map(dunepond_shard_map::ShardMap::with_digest);
-    let mut stale = grant(6, Some(&first_version), Some((&other, RolloutStep::Joint)));
-    other.rules = routing_rules(8);
-    stale.documents = vec![Arc::new(other)];
-    let mut none = grant(6, Some(&first_version), Some((&gap, RolloutStep::Joint)));
-    none.documents.clear();
+    gap_version.map.as_mut().unwrap().segments.remove(1);
+    gap_version.map = gap_version.map.map(dunepond_shard_map::ShardMap::with_digest);
+    let mut altered_grant = grant(6, Some(&first_version), Some((&altered_version, RolloutStep::Joint)));
+    altered_version.rules = routing_rules(8);
+    altered_grant.documents = vec![Arc::new(altered_version)];
+    let mut grant_without_document = grant(6, Some(&first_version), Some((&gap_version, RolloutStep::Joint)));
+    grant_without_document.documents.clear();
     let request = next_request(&mut client, 100.4);
     assert!(matches!(
-        deliver_grant(&mut client, 100.5, &request, stale),
+        deliver_grant(&mut client, 100.5, &request, altered_grant),
         Err(Rejection::DigestMismatch { number: 2, .. })
     ));
     let request = next_request(&mut client, 100.8);
@@ -144,13 +148,16 @@
             &mut client,
             100.9,
             &request,
-            grant(6, Some(&first_version), Some((&gap, RolloutStep::Joint)))
+            grant(6, Some(&first_version), Some((&gap_version, RolloutStep::Joint)))
         ),
         Err(Rejection::InvalidMap(_))
     ));
     assert_eq!(client.active_config().phase(100.95), ConfigPhase::Active(1));
     let request = next_request(&mut client, 101.3);
-    assert_eq!(deliver_grant(&mut client, 101.4, &request, none), Err(Rejection::MissingDocument(2)));
+    assert_eq!(
+        deliver_grant(&mut client, 101.4, &request, grant_without_document),
+        Err(Rejection::MissingDocument(2))
+    );
     assert_eq!(
         client.active_config().phase(101.4),
         ConfigPhase::LeaseExpired(1),
@@ -159,70 +166,76 @@
 }
 
 #[test]
-fn backward_clock_and_drift_end_trust() {
+fn backward_clock_and_excessive_drift_end_lease() {
     let first_version = config_version(1, Some(shard_map(1, false)));
-    let mut back = lease_client();
-    let request = next_request(&mut back, 100.0);
-    deliver_grant(&mut back, 100.1, &request, grant(5, Some(&first_version), None)).unwrap();
-    back.tick(99.9);
-    assert_eq!(back.active_config().phase(100.2), ConfigPhase::LeaseExpired(1));
-    assert!(matches!(back.distrust_reason(), Some(Rejection::ClockWentBack { .. })));
-    // The client counts 10 s while the leader counts 11 s, which exceeds a drift of 1% each.
-    let mut slow = lease_client();
+    let mut backward_client = lease_client();
+    let request = next_request(&mut backward_client, 100.0);
+    deliver_grant(&mut backward_client, 100.1, &request, grant(5, Some(&first_version), None)).unwrap();
+    backward_client.tick(99.9);
+    assert_eq!(backward_client.active_config().phase(100.2), ConfigPhase::LeaseExpired(1));
+    assert!(matches!(backward_client.distrust_reason(), Some(Rejection::ClockWentBack { .. })));
+    // The client's clock advances by 10 s and the leader's by 11 s, which exceeds a drift of 1% of each clock.
+    let mut slow_client = lease_client();
     for n in 0..20 {
         let at = 100.0 + 0.5 * f64::from(n);
-        let request = next_request(&mut slow, at);
+        let request = next_request(&mut slow_client, at);
         let grant_of_leader =
             LeaseGrant { received_at: 500.0 + 0.55 * f64::from(n), ..grant(5, Some(&first_version), None) };
-        let _ = deliver_grant(&mut slow, at + 0.01, &request, grant_of_leader);
+        let _ = deliver_grant(&mut slow_client, at + 0.01, &request, grant_of_leader);
     }
     assert!(
-        matches!(slow.distrust_reason(), Some(Rejection::ClockDrift { .. })),
+        matches!(slow_client.distrust_reason(), Some(Rejection::ClockDrift { .. })),
         "{:?}",
-        slow.distrust_reason()
+        slow_client.distrust_reason()
     );
-    assert_eq!(slow.active_config().phase(109.6), ConfigPhase::LeaseExpired(1));
-    // Another leader that counts the same is trusted: the clock of the first one may have been wrong.
-    let request = next_request(&mut slow, 110.0);
+    assert_eq!(slow_client.active_config().phase(109.6), ConfigPhase::LeaseExpired(1));
+    // Another leader is trusted, since the clock of the first one may have been wrong.
+    let request = next_request(&mut slow_client, 110.0);
     deliver_grant(
-        &mut slow,
+        &mut slow_client,
         110.01,
         &request,
         LeaseGrant { leader: String::from("n3"), ..grant(5, Some(&first_version), None) },
     )
     .unwrap();
-    assert_eq!((slow.active_config().phase(110.1), slow.distrust_reason()), (ConfigPhase::Active(1), None));
-    let mut fine = lease_client();
+    assert_eq!(
+        (slow_client.active_config().phase(110.1), slow_client.distrust_reason()),
+        (ConfigPhase::Active(1), None)
+    );
+    let mut accurate_client = lease_client();
     for n in 0..40 {
         let at = 100.0 + 0.5 * f64::from(n);
-        let request = next_request(&mut fine, at);
+        let request = next_request(&mut accurate_client, at);
         let grant_of_leader =
             LeaseGrant { received_at: 500.0 + 0.509 * f64::from(n), ..grant(5, Some(&first_version), None) };
-        deliver_grant(&mut fine, at + 0.01, &request, grant_of_leader).unwrap();
+        deliver_grant(&mut accurate_client, at + 0.01, &request, grant_of_leader).unwrap();
     }
 }
 
 #[test]
 fn rejects_earlier_epoch_and_other_fleet() {
     let first_version = config_version(1, Some(shard_map(1, false)));
-    let of = |fleet, epoch, index| LeaseGrant {
-        fleet_id: fleet,
-        epoch,
-        ..grant(index, Some(&first_version), None)
-    };
+    let grant_of =
+        |fleet_id, epoch, index| LeaseGrant { fleet_id, epoch, ..grant(index, Some(&first_version), None) };
     let mut client = lease_client();
     let request = next_request(&mut client, 100.0);
-    deliver_grant(&mut client, 100.1, &request, of(5, 2, 100)).unwrap();
-    let later = [(5, 1, Rejection::StaleEpoch { stated: 1, known: 2 }), (6, 9, Rejection::OtherFleet)];
+    deliver_grant(&mut client, 100.1, &request, grant_of(5, 2, 100)).unwrap();
+    let rejected = [(5, 1, Rejection::StaleEpoch { stated: 1, known: 2 }), (6, 9, Rejection::OtherFleet)];
     // The same applies after a restart, from the persisted state.
     let persisted = PersistedState::decode(&client.persisted_state().encode()).unwrap();
     let mut restarted = LeaseClient::new(consensus_config("n1", 3), Some(persisted), 100.2, 2);
-    for (n, (fleet, epoch, why)) in later.into_iter().enumerate() {
+    for (n, (fleet_id, epoch, rejection)) in rejected.into_iter().enumerate() {
         let at = 100.4 + 0.4 * n as f64;
         let request = next_request(&mut client, at);
-        assert_eq!(deliver_grant(&mut client, at, &request, of(fleet, epoch, 200)), Err(why.clone()));
+        assert_eq!(
+            deliver_grant(&mut client, at, &request, grant_of(fleet_id, epoch, 200)),
+            Err(rejection.clone())
+        );
         let request = next_request(&mut restarted, at);
-        assert_eq!(deliver_grant(&mut restarted, at, &request, of(fleet, epoch, 200)), Err(why));
+        assert_eq!(
+            deliver_grant(&mut restarted, at, &request, grant_of(fleet_id, epoch, 200)),
+            Err(rejection)
+        );
     }
     assert_eq!(
         (client.active_config().phase(101.0), restarted.active_config().phase(101.0)),
@@ -261,7 +274,7 @@
     assert_eq!(
         client.active_config().owner(0, 100.0),
         SegmentOwner::Unavailable(1.0),
-        "it may have been down for long"
+        "before the first lease a map may have become active"
     );
     let request = next_request(&mut client, 100.0);
     let first_version = config_version(1, None);
@@ -276,7 +289,7 @@
         (client.active_config().phase(102.0), client.active_config().owner(0, 102.0)),
         (ConfigPhase::LeaseExpired(1), SegmentOwner::AnyReplica)
     );
-    // Another voter's file allows maps, so a map may become active from now on.
+    // Another voter's file enables maps, so a map may become active from now on.
     let request = next_request(&mut client, 102.0);
     deliver_grant(&mut client, 102.1, &request, grant(6, Some(&first_version), None)).unwrap();
     assert_eq!(client.active_config().owner(0, 104.0), SegmentOwner::Unavailable(1.0));
--- a/crates/dunepond-consensus/tests/model.rs
+++ b/crates/dunepond-consensus/tests/model.rs
@@ -1,36 +1,40 @@
-//! A model of all interleavings of leases and the joint step, over a log that is taken for granted (an entry is committed at
-//! once). Clocks count in units: at each step of true time each clock advances by one or by two, so that the fastest may run
-//! at twice the rate of the slowest. Requests and replies are lost, duplicated or late; brokers crash, and pause for any
-//! time, since no action is forced; leaders change. The properties are checked in every state.
+//! A model that covers all interleavings of leases and the joint step. The log is not part of the model: an entry is
+//! committed at once. Clocks count in units. When time passes, each clock advances by one or two units, so that the fastest
+//! may run at twice the rate of the slowest. Requests and replies are lost, duplicated or late, brokers crash, leaders
+//! change, and brokers pause for any time, since no action is forced. The properties are checked in every state.
 
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-/// Duration of a lease and of a query, in units of the broker's own clock.
+/// Duration of a lease, in units of the broker's own clock.
 const LEASE: u8 = 2;
+/// Duration of a query, in units of the broker's own clock.
 const QUERY: u8 = 2;
 /// Ratio of the fastest clock's rate to that of the slowest.
 const DRIFT: u8 = 2;
 
-/// Which rules are weakened, to check that the model finds it, and the bounds of the search.
+/// The rules of the protocol, some of which may be weakened to check that the model finds the violation, and the bounds of
+/// the search.
 #[derive(Clone, Copy, Debug)]
 struct Rule {
-    /// A lease counts from the arrival of the reply.
+    /// Weakened: a lease counts from the arrival of the reply instead of the request.
     from_receipt: bool,
-    /// A leader replies without confirmation by a majority, so that a former leader may reply, too.
+    /// Weakened: a leader replies without confirmation by a quorum, so that a former leader may reply, too.
     without_quorum: bool,
-    /// Units by which the wait is shortened.
+    /// Weakened: number of units by which the leader's wait is shortened.
     wait_reduction: u8,
-    /// Early activation relies on a leader's list of leases however short it has led.
+    /// Weakened: early activation relies on a leader's list of leases even if it has led for less than a lease.
     always_ends_early: bool,
-    /// A rollback of a stage ends at once.
+    /// Weakened: a rollback from the first stage ends without a wait.
     immediate_rollback: bool,
-    /// Number of versions that may be proposed, and whether they have a first stage.
+    /// Number of versions that may be proposed.
     versions: u8,
+    /// Whether versions have a first stage.
     stage: bool,
-    /// Which clocks may advance by two, as bits for the leader and the brokers; empty: only the leader's, the worst case.
+    /// Sets of clocks that may advance by two units at a time, as bits: bit 0 for the leader, bits 1 and 2 for the brokers. If
+    /// empty, only the leader's clock does so, which is the worst case.
     clocks: &'static [u8],
-    /// Requests are duplicated.
+    /// Whether requests are duplicated.
     duplicated: bool,
 }
 
@@ -53,75 +57,86 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Broker {
-    /// Whether it belongs to the first stage.
-    first: bool,
-    /// The last state that it received, and the remaining units of its lease.
+    /// Whether the broker belongs to the first stage.
+    in_first_stage: bool,
+    /// The last state that the broker adopted.
     known: Committed,
+    /// Remaining units of the broker's lease.
     lease_left: u8,
-    /// The request in flight: units since it was sent, and whether it reports that the broker is joint.
+    /// The request in flight: units since it was sent, and whether it reports the joint configuration.
     request: Option<(u8, bool)>,
-    /// The reply in flight: units since the request, and the state in the reply.
+    /// The reply in flight: units since its request was sent, and the state in the reply.
     reply: Option<(u8, Committed)>,
-    /// A non-idempotent part in flight to the owner of this version, and its remaining units.
+    /// A non-idempotent part in flight: the version by whose map its owner was chosen, and the remaining units.
     in_flight: Option<(u8, u8)>,
-    /// At the leader: units until the broker and its queries have certainly finished with the old version.
+    /// Units on the leader's clock until the broker has certainly stopped acting on the active version alone and its queries
+    /// have ended.
     done_after: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct FleetState {
     committed: Committed,
-    highest: u8,
-    /// Brokers in sorted order, since they are interchangeable.
+    /// Highest number of a version that was proposed.
+    highest_number: u8,
+    /// The brokers in sorted order, since their order does not matter.
     brokers: [Broker; 2],
-    /// Remaining units of the wait since the leader saw the last step; units that it has led, up to a lease; whether it had
-    /// led for a lease when it saw the proposal.
+    /// Remaining units of the leader's wait after it saw the last step committed.
     wait: u8,
+    /// Units for which the leader has led, up to the duration of a lease.
     led_units: u8,
+    /// Whether the leader had led for a lease when it saw the proposal, so that it knows all leases.
     may_end_early: bool,
-    /// The state that a former leader still considers committed.
-    former: Option<Committed>,
+    /// The state that a former leader still considers committed, if there is one.
+    former_state: Option<Committed>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Action {
-    /// Time passes; the bits name the clocks that advance by two.
+    /// Time passes. The bits are the clocks that advance by two units; the others advance by one.
     Time(u8),
-    /// An earlier request that is still in flight is lost; the same holds for replies.
+    /// A broker sends a lease request. An earlier one that is still in flight is lost.
     Request(usize),
-    /// The request may stay in flight as well.
+    /// The leader replies to a broker. An earlier reply that is still in flight is lost. If `duplicated`, the request stays
+    /// in flight.
     Reply {
         broker: usize,
         duplicated: bool,
     },
+    /// A former leader replies to a broker.
     ReplyOfFormerLeader(usize),
+    /// A broker receives a reply. If `duplicated`, the reply stays in flight.
     Receive {
         broker: usize,
         duplicated: bool,
     },
+    /// A broker sends a non-idempotent part.
     Send(usize),
+    /// A broker crashes and restarts.
     Crash(usize),
+    /// Another voter becomes the leader.
     Elect,
     Propose,
     Activate,
     Stage,
     Withdraw,
-    RolledBack,
+    /// The rollback from the first stage is complete.
+    RollbackCompleted,
 }
 
 impl Broker {
-    /// The version on which it acts alone, if it may act and is not joint.
+    /// The version on which the broker acts alone; `None` if it has no lease or acts on the joint configuration.
     fn sole_version(&self) -> Option<u8> {
         match (self.lease_left, self.known.proposed, self.known.step) {
             (0, ..) => None,
             (_, None, _) => Some(self.known.active),
-            (_, Some(proposed), Step::Staged) if self.first => Some(proposed),
+            (_, Some(proposed), Step::Staged) if self.in_first_stage => Some(proposed),
             _ => None,
         }
     }
 
-    /// All versions to whose rules it keeps.
-    fn kept_versions(&self) -> Vec<u8> {
+    /// All versions whose rules the broker follows; empty without a lease.
+    fn followed_versions(&self) -> Vec<u8> {
         match (self.lease_left, self.sole_version(), self.known.proposed) {
             (0, ..) => Vec::new(),
             (_, Some(sole_version), _) => vec![sole_version],
@@ -130,12 +145,14 @@
     }
 }
 
-const QUERIES: u8 = QUERY * DRIFT;
-const LEASES: u8 = LEASE * DRIFT;
+/// Longest duration of a query, in units of the fastest clock.
+const QUERY_AT_LEADER: u8 = QUERY * DRIFT;
+/// Longest duration of a lease, in units of the fastest clock.
+const LEASE_AT_LEADER: u8 = LEASE * DRIFT;
 
 impl FleetState {
     fn restart_wait(&mut self, rule: &Rule) {
-        self.wait = LEASES + QUERIES - rule.wait_reduction;
+        self.wait = LEASE_AT_LEADER + QUERY_AT_LEADER - rule.wait_reduction;
     }
 
     fn may_activate(&self) -> bool {
@@ -151,15 +168,15 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<FleetState> {
-        let first = Broker { first: self.stage, ..Broker::default() };
+        let in_first_stage = Broker { in_first_stage: self.stage, ..Broker::default() };
         vec![FleetState {
             committed: Committed::default(),
-            highest: 0,
-            brokers: [Broker::default(), first],
+            highest_number: 0,
+            brokers: [Broker::default(), in_first_stage],
             wait: 0,
             led_units: 0,
             may_end_early: false,
-            former: None,
+            former_state: None,
         }]
     }
 
@@ -173,7 +190,7 @@
                 if self.duplicated {
                     actions.push(Action::Reply { broker: n, duplicated: true });
                 }
-                if self.without_quorum && state.former.is_some() {
+                if self.without_quorum && state.former_state.is_some() {
                     actions.push(Action::ReplyOfFormerLeader(n));
                 }
             }
@@ -185,7 +202,7 @@
             }
             if *broker
                 != (Broker {
-                    first: broker.first,
+                    in_first_stage: broker.in_first_stage,
                     done_after: broker.done_after,
                     in_flight: broker.in_flight,
                     ..Broker::default()
@@ -196,10 +213,10 @@
         }
         actions.push(Action::Elect);
         match (state.committed.proposed, state.committed.step) {
-            (None, _) if state.highest < self.versions => actions.push(Action::Propose),
+            (None, _) if state.highest_number < self.versions => actions.push(Action::Propose),
             (None, _) => {}
             (Some(_), Step::RollingBack) if state.wait == 0 || self.immediate_rollback => {
-                actions.push(Action::RolledBack)
+                actions.push(Action::RollbackCompleted)
             }
             (Some(_), Step::RollingBack) => {}
             (Some(_), Step::Staged) => actions.extend([Action::Activate, Action::Withdraw]),
@@ -218,21 +235,25 @@
             Action::Time(fast_clocks) => {
                 let leader = 1 + (fast_clocks & 1);
                 state.wait = state.wait.saturating_sub(leader);
-                state.led_units = (state.led_units + leader).min(LEASES);
+                state.led_units = (state.led_units + leader).min(LEASE_AT_LEADER);
                 for (n, broker) in state.brokers.iter_mut().enumerate() {
                     broker.done_after = broker.done_after.saturating_sub(leader);
                     let own = 1 + (fast_clocks >> (n + 1) & 1);
                     broker.lease_left = broker.lease_left.saturating_sub(own);
-                    // A request older than a lease has no effect, unless the weakened rule ignores its age.
-                    let age = |age: u8| {
-                        if self.from_receipt { Some(LEASE) } else { Some(age + own).filter(|a| *a < LEASE) }
+                    // A request that is older than a lease has no effect, unless the weakened rule ignores its age.
+                    let next_age = |age: u8| {
+                        if self.from_receipt {
+                            Some(LEASE)
+                        } else {
+                            Some(age + own).filter(|age| *age < LEASE)
+                        }
                     };
-                    broker.request = broker.request.and_then(|(since, joint)| Some((age(since)?, joint)));
-                    broker.reply = broker.reply.and_then(|(since, reply)| Some((age(since)?, reply)));
+                    broker.request = broker.request.and_then(|(age, joint)| Some((next_age(age)?, joint)));
+                    broker.reply = broker.reply.and_then(|(age, reply)| Some((next_age(age)?, reply)));
                     broker.in_flight = broker
                         .in_flight
-                        .map(|(v, lease_left)| (v, lease_left.saturating_sub(own)))
-                        .filter(|(_, lease_left)| *lease_left > 0);
+                        .map(|(version, units_left)| (version, units_left.saturating_sub(own)))
+                        .filter(|(_, units_left)| *units_left > 0);
                 }
             }
             Action::Request(n) => {
@@ -243,16 +264,16 @@
                 let (committed, broker) = (state.committed, &mut state.brokers[n]);
                 let (age, joint) = broker.request?;
                 broker.reply = Some((age, committed));
-                // The leader does not know the age, and counts from the arrival of the request.
+                // The leader does not know the request's age, so it counts from the arrival of the request.
                 broker.done_after = match joint && committed.proposed.is_some() {
-                    true => broker.done_after.min(QUERIES),
-                    false => LEASES + QUERIES,
+                    true => broker.done_after.min(QUERY_AT_LEADER),
+                    false => LEASE_AT_LEADER + QUERY_AT_LEADER,
                 };
                 broker.request = broker.request.filter(|_| duplicated);
             }
             Action::ReplyOfFormerLeader(n) => {
                 let (age, _) = state.brokers[n].request.take()?;
-                state.brokers[n].reply = Some((age, state.former?));
+                state.brokers[n].reply = Some((age, state.former_state?));
             }
             Action::Receive { broker: n, duplicated } => {
                 let broker = &mut state.brokers[n];
@@ -271,13 +292,13 @@
                 broker.in_flight = Some((broker.sole_version()?, QUERY));
             }
             Action::Crash(n) => {
-                // Its parts in flight continue; after the restart it sends new requests, and accepts no earlier reply.
-                let Broker { first, in_flight, done_after, .. } = state.brokers[n];
-                state.brokers[n] = Broker { first, in_flight, done_after, ..Broker::default() };
+                // Parts in flight continue. After the restart the broker accepts no reply to an earlier request.
+                let Broker { in_first_stage, in_flight, done_after, .. } = state.brokers[n];
+                state.brokers[n] = Broker { in_first_stage, in_flight, done_after, ..Broker::default() };
             }
             Action::Elect => {
-                state.former = self.without_quorum.then_some(state.committed);
-                // The new leader knows no leases, and restarts the wait.
+                state.former_state = self.without_quorum.then_some(state.committed);
+                // The new leader does not know which leases were granted, so it restarts the wait.
                 state.led_units = 0;
                 state.may_end_early = self.always_ends_early;
                 state.brokers.iter_mut().for_each(|broker| broker.done_after = 0);
@@ -286,16 +307,16 @@
                 }
             }
             Action::Propose => {
-                state.highest += 1;
+                state.highest_number += 1;
                 state.committed.index += 1;
-                (state.committed.proposed, state.committed.step) = (Some(state.highest), Step::Joint);
-                state.may_end_early = state.led_units == LEASES || self.always_ends_early;
+                (state.committed.proposed, state.committed.step) = (Some(state.highest_number), Step::Joint);
+                state.may_end_early = state.led_units == LEASE_AT_LEADER || self.always_ends_early;
                 state.restart_wait(self);
-                // Early activation also waits for the queries of brokers whose leases ended long ago.
+                // Early activation also waits for queries of brokers whose leases have already ended.
                 state
                     .brokers
                     .iter_mut()
-                    .for_each(|broker| broker.done_after = broker.done_after.max(QUERIES));
+                    .for_each(|broker| broker.done_after = broker.done_after.max(QUERY_AT_LEADER));
             }
             Action::Stage => {
                 state.committed.index += 1;
@@ -310,7 +331,7 @@
                 state.committed.step = Step::RollingBack;
                 state.restart_wait(self);
             }
-            Action::Withdraw | Action::RolledBack => {
+            Action::Withdraw | Action::RollbackCompleted => {
                 let Committed { index, active, .. } = state.committed;
                 state.committed = Committed { index: index + 1, active, ..Committed::default() };
             }
@@ -325,14 +346,14 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no contradiction", |_, state: &FleetState| {
-                let [a, b] = state.brokers.map(|broker| broker.kept_versions());
+                let [a, b] = state.brokers.map(|broker| broker.followed_versions());
                 a.is_empty() || b.is_empty() || a.iter().any(|version| b.contains(version))
             }),
             Property::always("one owner", |_, state: &FleetState| {
                 let [a, b] = &state.brokers;
-                let sends =
+                let versions_sent =
                     |broker: &Broker| [broker.in_flight.map(|(version, _)| version), broker.sole_version()];
-                let all: Vec<u8> = sends(a).into_iter().chain(sends(b)).flatten().collect();
+                let all: Vec<u8> = versions_sent(a).into_iter().chain(versions_sent(b)).flatten().collect();
                 all.iter().all(|version| *version == all[0])
             }),
             Property::sometimes("the last version is active", |rule: &Self, state: &FleetState| {
@@ -342,8 +363,9 @@
     }
 }
 
-/// Visits all states up to `depth` actions. Returns the number of states, the depth reached, and the properties that fail.
-fn visit(rule: Rule, depth: usize) -> (usize, usize, Vec<String>) {
+/// Explores all states up to `depth` actions. Returns the number of states, the depth reached, and the properties that do
+/// not hold, with the actions that lead to a violation.
+fn explore(rule: Rule, depth: usize) -> (usize, usize, Vec<String>) {
     let threads = 2;
     let checker = rule
         .checker()
@@ -352,50 +374,55 @@
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
-    let failures = ["no contradiction", "one owner"].into_iter().filter_map(|name| {
+    let violations = ["no contradiction", "one owner"].into_iter().filter_map(|name| {
         let path = checker.discovery(name)?;
         Some(format!(
             "{name}: {}",
             path.into_actions().iter().map(|action| format!("{action:?}")).collect::<Vec<_>>().join(" ")
         ))
     });
-    let mut failures: Vec<String> = failures.collect();
+    let mut failures: Vec<String> = violations.collect();
     if checker.discovery("the last version is active").is_none() {
-        failures.push(String::from("never active"));
+        failures.push(String::from("the last version never becomes active"));
     }
     (checker.unique_state_count(), checker.max_depth(), failures)
 }
 
 #[test]
-fn one_change_in_every_order() {
-    let (states, depth, failures) = visit(Rule { clocks: &[1, 6], ..TRUE_RULE }, 11);
+fn one_change_holds_in_every_interleaving() {
+    let (states, depth, failures) = explore(Rule { clocks: &[1, 6], ..CORRECT_RULE }, 11);
     println!("{states} states, depth {depth}");
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
 #[test]
-#[ignore = "minutes"]
-fn two_changes_and_stages_in_every_order() {
+#[ignore = "takes minutes"]
+fn two_changes_and_stages_hold_in_every_interleaving() {
     let all_clocks = &[0, 1, 2, 3, 4, 5, 6, 7];
     for (rule, depth) in [
-        (TRUE_RULE, 40),
-        (Rule { clocks: all_clocks, duplicated: true, ..TRUE_RULE }, 16),
-        (Rule { versions: 2, ..TRUE_RULE }, 18),
-        (Rule { stage: true, ..TRUE_RULE }, 18),
+        (CORRECT_RULE, 40),
+        (Rule { clocks: all_clocks, duplicated: true, ..CORRECT_RULE }, 16),
+        (Rule { versions: 2, ..CORRECT_RULE }, 18),
+        (Rule { stage: true, ..CORRECT_RULE }, 18),
     ] {
-        let (states, depth, failures) = visit(rule, depth);
+        let (states, depth, failures) = explore(rule, depth);
         println!("{rule:?}: {states} states, depth {depth}");
         assert!(failures.is_empty(), "{failures:#?}");
     }
 }
 
-fn assert_found(rule: Rule) {
-    let (states, depth, failures) = visit(rule, 17);
+/// Asserts that the model finds a violation under a weakened rule.
+fn assert_violation_found(rule: Rule) {
+    let (states, depth, failures) = explore(rule, 17);
     println!("{rule:?}: {states} states, depth {depth}: {failures:?}");
-    assert!(failures.iter().any(|failure| failure.contains(':')), "the weakened rule is not found: {rule:?}");
+    assert!(
+        failures.iter().any(|failure| failure.contains(':')),
+        "no violation was found under the weakened rule: {rule:?}"
+    );
 }
 
-const TRUE_RULE: Rule = Rule {
+/// The protocol without a weakened rule.
+const CORRECT_RULE: Rule = Rule {
     from_receipt: false,
     without_quorum: false,
     wait_reduction: 0,
@@ -408,17 +435,17 @@
 };
 
 #[rstest]
-#[case::wait_without_queries(Rule { wait_reduction: QUERIES, ..TRUE_RULE })]
-#[case::early_activation_by_new_leader(Rule { always_ends_early: true, ..TRUE_RULE })]
-fn weakened_rule_is_found(#[case] rule: Rule) {
-    assert_found(rule);
+#[case::wait_without_queries(Rule { wait_reduction: QUERY_AT_LEADER, ..CORRECT_RULE })]
+#[case::early_activation_by_new_leader(Rule { always_ends_early: true, ..CORRECT_RULE })]
+fn weakened_rule_violates_property(#[case] rule: Rule) {
+    assert_violation_found(rule);
 }
 
 #[rstest]
-#[case::lease_from_receipt(Rule { from_receipt: true, ..TRUE_RULE })]
-#[case::unconfirmed_replies(Rule { without_quorum: true, ..TRUE_RULE })]
-#[case::immediate_rollback(Rule { stage: true, immediate_rollback: true, ..TRUE_RULE })]
-#[ignore = "a minute"]
-fn deeper_weakened_rule_is_found(#[case] rule: Rule) {
-    assert_found(rule);
+#[case::lease_from_receipt(Rule { from_receipt: true, ..CORRECT_RULE })]
+#[case::unconfirmed_replies(Rule { without_quorum: true, ..CORRECT_RULE })]
+#[case::immediate_rollback(Rule { stage: true, immediate_rollback: true, ..CORRECT_RULE })]
+#[ignore = "takes a minute"]
+fn weakened_rule_violates_property_in_longer_run(#[case] rule: Rule) {
+    assert_violation_found(rule);
 }
--- a/crates/dunepond-consensus/tests/limits.rs
+++ b/crates/dunepond-consensus/tests/quotas.rs
@@ -1,4 +1,5 @@
-//! Shares of fleet-wide quotas in a fleet: when a share that shrank is released, and what is left without a lease.
+//! Shares of fleet-wide quotas in a simulated fleet: when a shrunk share is released, and what a broker may use without a
+//! lease.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +17,7 @@
     Command::Quota(QuotaEntry::SetShares { shares: vec![share] })
 }
 
-/// Five voters and two other brokers; all spare units are leased to n7.
+/// A fleet of five voters and two other brokers, in which all units above the floors are leased to n7.
 fn fleet_with_leases(seed: u64) -> Fleet {
     let mut fleet = Fleet::with_map(5, 2, seed);
     let report = DemandReport { shared: shared_quotas(), ..DemandReport::default() };
@@ -32,11 +33,12 @@
     }
     fleet.propose(set_shares("n7", 650_000)).unwrap();
     fleet.run_for(1.0);
-    assert_eq!(share(&fleet, 6), 700_000);
+    assert_eq!(available_units(&fleet, 6), 700_000);
     fleet
 }
 
-fn share(fleet: &Fleet, n: usize) -> u32 {
+/// The units of the quota that broker `n` may use now.
+fn available_units(fleet: &Fleet, n: usize) -> u32 {
     let now = fleet.clock(n);
     let active_config = fleet.brokers[n].lease_client.as_ref().unwrap().active_config();
     let quota_view = active_config.quota(now);
@@ -52,42 +54,45 @@
     fleet.state(fleet.leader().unwrap()).quota.reserved_units("cold")
 }
 
-/// Shrinks the share of n7, and returns the seconds until it is released.
+/// Shrinks the share of n7, and returns the time in seconds until it is released.
 fn release_seconds(fleet: &mut Fleet) -> f64 {
     fleet.propose(set_shares("n7", 0)).unwrap();
-    let from = fleet.now;
+    let shrunk_at = fleet.now;
     assert!(matches!(
         fleet.propose(set_shares("n6", 10)),
         Err(Rejection::Quota(QuotaError::ExceedsTotal { .. }))
     ));
     assert!(fleet.run_until(9.0, |fleet| fleet.leader().is_some() && reserved_units(fleet) == 0));
-    fleet.now - from
+    fleet.now - shrunk_at
 }
 
-/// Lease 1 s, query timeout 0.5 s, window 0.5 s: the release waits for actions and window at least, and before them for the
-/// lease of a broker that is partitioned.
+/// The lease lasts 1 s; query timeout and quota window are 0.5 s each. The release waits until actions in flight and the
+/// window have ended. For a partitioned broker these begin at the end of its lease.
 #[rstest]
 #[case::acknowledged(false, 1.0, 2.0)]
 #[case::partitioned(true, 1.2, 3.2)]
 fn shrunk_share_is_released_after_its_last_use(
     #[case] partitioned: bool,
-    #[case] least: f64,
-    #[case] most: f64,
+    #[case] min_seconds: f64,
+    #[case] max_seconds: f64,
     #[values(1, 2)] seed: u64,
 ) {
     let mut fleet = fleet_with_leases(seed);
     if partitioned {
         fleet.partition(&[&[0, 1, 2, 3, 4, 5]]);
     }
-    let took = release_seconds(&mut fleet);
-    assert!((least..most).contains(&took), "{took:.2} s");
+    let seconds = release_seconds(&mut fleet);
+    assert!((min_seconds..max_seconds).contains(&seconds), "released after {seconds:.2} s");
     if partitioned {
-        assert_eq!(share(&fleet, 6), 50_000, "its floor");
-        let over = fleet.brokers[6].lease_client.as_ref().unwrap().active_config().lease_expires_at();
-        assert!(fleet.clock(6) > over + 1.05, "actions in flight and a window after its lease expired");
+        assert_eq!(available_units(&fleet, 6), 50_000, "without a lease the broker has its floor");
+        let expires_at = fleet.brokers[6].lease_client.as_ref().unwrap().active_config().lease_expires_at();
+        assert!(
+            fleet.clock(6) > expires_at + 1.05,
+            "the release waits for actions in flight and a window after the lease"
+        );
     }
     fleet.propose(set_shares("n6", 650_000)).unwrap();
-    assert!(fleet.run_until(3.0, |fleet| share(fleet, 5) == 700_000));
+    assert!(fleet.run_until(3.0, |fleet| available_units(fleet, 5) == 700_000));
 }
 
 #[test]
@@ -101,16 +106,16 @@
 }
 
 #[test]
-fn new_leader_waits_for_whole_period() {
+fn new_leader_restarts_wait_for_release() {
     let mut fleet = fleet_with_leases(4);
     fleet.propose(set_shares("n7", 0)).unwrap();
     fleet.run_for(0.1);
-    let (from, leader) = (fleet.now, fleet.leader().unwrap());
+    let (shrunk_at, leader) = (fleet.now, fleet.leader().unwrap());
     fleet.kill(leader);
     assert!(fleet.run_until(9.0, |fleet| {
         fleet.leader().is_some_and(|n| fleet.state(n).quota.reserved_units("cold") == 0)
     }));
-    assert!(fleet.now - from > 1.9, "{:.2} s", fleet.now - from);
+    assert!(fleet.now - shrunk_at > 1.9, "released after {:.2} s", fleet.now - shrunk_at);
     let no_shares: BTreeMap<String, u32> = BTreeMap::new();
     let allocation = fleet.state(fleet.leader().unwrap()).quota.allocation_for("n7").unwrap();
     assert_eq!(allocation.leased_units, no_shares);
--- a/crates/dunepond-consensus/tests/routing_rules.rs
+++ b/crates/dunepond-consensus/tests/routing_rules.rs
@@ -1,4 +1,4 @@
-//! The strictest combination of two sets of routing rules.
+//! Properties of the strictest combination of two sets of routing rules.
 
 use dunepond_consensus::*;
 use proptest::prelude::*;
@@ -43,11 +43,12 @@
         )
 }
 
-/// Whether `b` allows whatever `a` allows.
+/// Whether `b` allows everything that `a` allows.
 fn is_within(a: &RoutingRules, b: &RoutingRules) -> bool {
-    let at_least = |a: &[f64], b: &[f64]| b.iter().enumerate().all(|(i, b)| a.get(i).is_some_and(|a| a >= b));
-    at_least(&a.minimum_shares, &b.minimum_shares)
-        && at_least(&a.complete_at, &b.complete_at)
+    let all_at_least =
+        |a: &[f64], b: &[f64]| b.iter().enumerate().all(|(i, b)| a.get(i).is_some_and(|a| a >= b));
+    all_at_least(&a.minimum_shares, &b.minimum_shares)
+        && all_at_least(&a.complete_at, &b.complete_at)
         && a.retry_budget_ratio <= b.retry_budget_ratio
         && a.retry_budget_min <= b.retry_budget_min
         && a.drain_grace_seconds <= b.drain_grace_seconds
--- a/crates/dunepond-consensus/tests/scenarios/folders.rs
+++ b/crates/dunepond-consensus/tests/scenarios/folders.rs
@@ -1,4 +1,4 @@
-//! Folders that are lost, restored from a copy, torn or compacted.
+//! Voters whose folder is lost, restored from a copy, has a torn record, or is compacted.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::settlement;
@@ -10,26 +10,26 @@
 #[test]
 fn lost_folder_does_not_count_in_quorum() {
     let mut fleet = Fleet::with_map(3, 1, 18);
-    // Committed by 0 and 1 alone.
+    // Only voters 0 and 1 have the committed entry.
     fleet.partition(&[&[0, 1, 3]]);
     assert!(fleet.run_until(5.0, |fleet| fleet.leader().is_some()));
     fleet.propose(settlements::settle_command(settlement("paid"))).unwrap();
     assert!(fleet.run_until(2.0, |fleet| fleet.state(0).settlements.count == 1
         && fleet.state(1).settlements.count == 1));
-    // 0 loses its folder and 1 is paused: 0 and 2 are a majority by count, and do not have the entry.
+    // Voter 0 loses its folder and voter 1 is paused. Voters 0 and 2 would be a majority, but do not have the entry.
     fleet.kill(0);
     fleet.wipe_folder(0);
     fleet.start(0);
     fleet.pause(1, 6.0);
     fleet.heal();
     fleet.run_for(5.5);
-    assert_eq!(fleet.leader(), None, "an empty folder counts for nothing");
+    assert_eq!(fleet.leader(), None, "a voter with an empty folder does not count in a quorum");
     assert!(
         fleet.run_until(8.0, |fleet| (0..3).all(|n| fleet.state(n).settlements.count == 1)),
-        "known to all"
+        "not all voters have the committed entry"
     );
     assert!(fleet.brokers[0].voter.as_ref().unwrap().has_state());
-    // It counts again: without 1 the two others continue.
+    // Voter 0 counts again: without voter 1 the two others continue.
     fleet.run_for(1.0);
     fleet.kill(1);
     assert!(fleet.run_until(5.0, |fleet| fleet.leader().is_some()));
@@ -65,12 +65,12 @@
     assert_eq!(fleet.leader(), None);
     assert!(
         fleet.run_until(8.0, |fleet| (0..3).all(|n| fleet.state(n).settlements.count == 1)),
-        "known to all"
+        "not all voters have the committed entry"
     );
 }
 
-/// At whatever time it starts beside a candidate that lacks a committed entry: it does not vote until a peer has reported
-/// its later start.
+/// Guards against a restored folder that votes for a candidate without a committed entry. The voter must not vote until a
+/// peer has confirmed its folder, at whatever time it starts.
 #[test]
 fn restored_folder_does_not_vote_before_verification() {
     for offset in 0..24 {
@@ -91,10 +91,10 @@
         fleet.run_for(0.1 + 0.013 * offset as f64);
         fleet.start(0);
         fleet.run_for(3.5);
-        assert_ne!(fleet.leader(), Some(2), "offset {offset}: the leader lacks the committed entry");
+        assert_ne!(fleet.leader(), Some(2), "offset {offset}: the leader does not have the committed entry");
         assert!(
             fleet.run_until(8.0, |fleet| (0..3).all(|n| fleet.state(n).settlements.count == 1)),
-            "offset {offset}"
+            "offset {offset}: not all voters have the committed entry"
         );
     }
 }
@@ -105,7 +105,10 @@
     for n in [0, 1, 2, 0, 1, 2] {
         fleet.brokers[n].tears_next_record = true;
         let _ = fleet.propose(settlements::settle_command(settlement(&format!("at-{}", fleet.now))));
-        assert!(fleet.run_until(10.0, |fleet| !fleet.is_running(n)), "it was killed while it wrote");
+        assert!(
+            fleet.run_until(10.0, |fleet| !fleet.is_running(n)),
+            "the broker was not killed during the write"
+        );
         fleet.start(n);
         assert!(fleet.run_until(5.0, |fleet| fleet.leader().is_some() && fleet.all_have_leases()));
     }
--- a/crates/dunepond-consensus/tests/scenarios/partitions.rs
+++ b/crates/dunepond-consensus/tests/scenarios/partitions.rs
@@ -1,4 +1,4 @@
-//! Changes while links are cut, lossy or slow.
+//! Changes to another version while links are blocked, lossy or slow.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fleet::{Fleet, LinkConditions};
@@ -10,7 +10,7 @@
 #[case::two_against_three(vec![&[0, 1, 5][..], &[2, 3, 4, 6]], Some(2))]
 #[case::one_one_three(vec![&[0, 5][..], &[1], &[2, 3, 4, 6]], Some(2))]
 #[case::no_majority(vec![&[0, 1, 5][..], &[2, 3], &[4, 6]], None)]
-fn partition_in_joint_step(
+fn only_side_with_majority_completes_change(
     #[case] groups: Vec<&[usize]>,
     #[case] activated: Option<u64>,
     #[values(8, 9)] seed: u64,
@@ -21,7 +21,7 @@
     fleet.partition(&groups);
     fleet.run_for(8.0);
     match activated {
-        // The side with a majority continues; the other is cut off and acts on the strictest rules that it knows.
+        // The side with a majority continues. The other side acts on the strictest rules that it knows.
         Some(number) => groups
             .last()
             .unwrap()
@@ -34,14 +34,14 @@
     assert_eq!(fleet.phase(0), ConfigPhase::LeaseExpired(1));
     let config = fleet.brokers[0].lease_client.as_ref().unwrap().active_config();
     let now = fleet.clock(0);
-    assert!(config.rules(now).is_some(), "idempotent requests continue by the known rules");
+    assert!(config.rules(now).is_some(), "idempotent parts are still sent, under the known rules");
     assert!(matches!(config.owner(0, now), SegmentOwner::Unavailable(_)));
     fleet.heal();
     assert_active_everywhere(&mut fleet);
 }
 
 #[test]
-fn total_partition() {
+fn total_partition_expires_leases_and_heals() {
     let mut fleet = Fleet::with_map(5, 2, 10);
     fleet.partition(&[]);
     fleet.run_for(5.0);
@@ -55,7 +55,7 @@
 }
 
 #[rstest]
-fn one_way_partition_of_leader(#[values(true, false)] receives: bool, #[values(11, 12, 13)] seed: u64) {
+fn one_way_partition_replaces_leader(#[values(true, false)] receives: bool, #[values(11, 12, 13)] seed: u64) {
     let mut fleet = Fleet::with_map(5, 2, seed);
     let leader = fleet.leader().unwrap();
     for n in (0..7).filter(|n| *n != leader) {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn lease_through_follower_when_leader_unreachable() {
+fn follower_forwards_lease_requests_if_leader_is_unreachable() {
     let mut fleet = Fleet::with_map(5, 2, 14);
     let leader = fleet.leader().unwrap();
     fleet.blocked_links.extend([(6, leader), (leader, 6)]);
@@ -97,7 +97,7 @@
 }
 
 #[rstest]
-fn slow_voter_delays_nobody(#[values(0, 1, 2, 3, 4)] slow: usize) {
+fn slow_voter_does_not_delay_others(#[values(0, 1, 2, 3, 4)] slow: usize) {
     let mut fleet = Fleet::with_map(5, 2, 30);
     fleet.slow_broker = Some(slow);
     assert!(fleet.run_until(5.0, |fleet| fleet.leader().is_some_and(|n| n != slow)));
@@ -105,11 +105,11 @@
     let others =
         |fleet: &Fleet| (0..7).filter(|n| *n != slow).all(|n| fleet.phase(n) == ConfigPhase::Active(2));
     assert!(fleet.run_until(5.0, others));
-    // Replies reach it after the lease that they grant is over, so it rejects requests.
+    // Replies reach the slow voter after the lease that they grant has ended, so it rejects requests.
     assert!(!matches!(fleet.phase(slow), ConfigPhase::Active(_)));
     assert!(
         fleet.run_until(10.0, |fleet| fleet.state(slow).active_number() == 2),
-        "its log follows nevertheless"
+        "the slow voter still receives the log"
     );
     fleet.slow_broker = None;
     assert_active_everywhere(&mut fleet);
--- a/crates/dunepond-consensus/tests/scenarios/restarts.rs
+++ b/crates/dunepond-consensus/tests/scenarios/restarts.rs
@@ -1,4 +1,4 @@
-//! Changes while brokers are killed and restarted with their folders.
+//! Changes to another version while brokers are killed and restarted with their folders.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fleet::Fleet;
@@ -9,23 +9,23 @@
 };
 
 #[rstest]
-#[case::before_it_is_agreed(0.0)]
-#[case::as_it_is_agreed(0.02)]
-#[case::early_in_the_joint_step(0.1)]
-#[case::late_in_the_joint_step(0.9)]
-#[case::as_it_comes_into_force(1.0)]
-#[case::after(1.3)]
-fn leader_killed_during_change(#[case] after: f64, #[values(3, 4, 5)] seed: u64) {
+#[case::before_commit(0.0)]
+#[case::at_commit(0.02)]
+#[case::early_in_joint_step(0.1)]
+#[case::late_in_joint_step(0.9)]
+#[case::at_activation(1.0)]
+#[case::after_activation(1.3)]
+fn change_survives_kill_of_leader(#[case] after: f64, #[values(3, 4, 5)] seed: u64) {
     let mut fleet = Fleet::with_map(5, 2, seed);
     fleet.propose(propose(2)).unwrap();
     fleet.run_for(after);
     let leader = fleet.leader().unwrap();
     fleet.kill(leader);
     assert!(fleet.run_until(5.0, |fleet| fleet.leader().is_some()));
-    let other = fleet.leader().unwrap();
-    // If it was killed before the version was committed, the version is lost unless another voter had received it.
-    let number = fleet.state(other).highest_number;
-    assert!(number == 2 || after < 0.05, "a committed version is not lost");
+    let new_leader = fleet.leader().unwrap();
+    // If the leader was killed before the version was committed, it is lost unless another voter had received it.
+    let number = fleet.state(new_leader).highest_number;
+    assert!(number == 2 || after < 0.05, "a committed version is lost");
     if number == 2 {
         assert_activated_within(&mut fleet, 8.0);
     }
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn leader_killed_before_fill_completes() {
+fn change_waits_for_fill_after_kill_of_leader() {
     let mut fleet = Fleet::with_map(5, 1, 6);
     fleet.propose(propose_with_fill(2)).unwrap();
     fleet.run_until(5.0, is_joint);
     let leader = fleet.leader().unwrap();
     fleet.kill(leader);
     fleet.run_for(2.5);
-    assert!(is_joint(&fleet), "no version is activated without its fill");
+    assert!(is_joint(&fleet), "a version is activated without its required fill");
     assert_eq!(fleet.propose(fill_completed(2)), Ok(()));
     assert_activated_within(&mut fleet, 8.0);
     assert_eq!(fleet.propose(fill_completed(2)).unwrap_err(), Rejection::NotProposed(2));
@@ -62,17 +62,17 @@
     let config = fleet.brokers[6].lease_client.as_ref().unwrap().active_config();
     assert!(
         matches!(config.owner(1, fleet.clock(6)), SegmentOwner::Unavailable(_)),
-        "segment 1 moves from version 1 to 2"
+        "the owner of segment 1 differs between versions 1 and 2"
     );
     assert_eq!(config.owner(0, fleet.clock(6)), SegmentOwner::Node("s0b"));
 }
 
 #[test]
-fn proposal_in_snapshots_ends_after_full_restart() {
+fn proposal_in_snapshot_is_withdrawn_after_full_restart() {
     let mut fleet = Fleet::with_map(3, 0, 31);
     fleet.propose(propose_with_fill(2)).unwrap();
     fleet.run_until(5.0, is_joint);
-    // The replacement of a folder causes a snapshot.
+    // The replacement of a folder causes a snapshot, which contains the proposal.
     fleet.kill(0);
     fleet.wipe_folder(0);
     fleet.start(0);
@@ -83,16 +83,20 @@
     (0..3).for_each(|n| fleet.start(n));
     assert!(
         fleet.run_until(12.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(1))),
-        "withdrawn, since its fill was never completed"
+        "version 2 is not withdrawn, although its fill was never completed"
     );
 }
 
 #[test]
-fn one_voter_founds_once_all_are_up() {
+fn first_voter_founds_fleet_once_all_are_up() {
     let mut fleet = Fleet::new(3, 0, 27);
     fleet.kill(2);
     fleet.run_for(5.0);
-    assert_eq!(fleet.leader(), None, "the missing voter may know committed entries");
+    assert_eq!(
+        fleet.leader(),
+        None,
+        "the fleet is founded although the missing voter may know committed entries"
+    );
     fleet.start(2);
     assert!(fleet.run_until(5.0, |fleet| fleet.all_have_leases()));
     let founded = |n: usize| fleet.brokers[n].log.iter().any(|line| line.contains("founded"));
@@ -100,7 +104,7 @@
 }
 
 #[test]
-fn rolling_restart_during_change() {
+fn change_completes_during_rolling_restart() {
     let mut fleet = Fleet::with_map(5, 2, 28);
     fleet.propose(propose(2)).unwrap();
     for n in 0..7 {
--- a/crates/dunepond-consensus/tests/scenarios/rollout.rs
+++ b/crates/dunepond-consensus/tests/scenarios/rollout.rs
@@ -1,4 +1,4 @@
-//! Proposals and their rollout without failures of brokers: activation, withdrawal, stages, rejected entries.
+//! Proposals and their rollout while all brokers work: activation, withdrawal, stages, rejected entries.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::{config_version, consensus_config, settlement, shard_map};
@@ -14,33 +14,40 @@
     fleet.run_for(3.0);
     fleet.propose(propose(2)).unwrap();
     assert_activated_within(&mut fleet, 5.0);
-    let took = fleet.invariants.activated_at[&2] - fleet.invariants.proposed_at[&2];
-    assert!(took < 1.3, "{took:.2} s, and the wait is {:.2}", consensus_config("n1", 5).quiescence_seconds());
+    let seconds = fleet.invariants.activated_at[&2] - fleet.invariants.proposed_at[&2];
+    assert!(
+        seconds < 1.3,
+        "activated after {seconds:.2} s; the quiescence period is {:.2} s",
+        consensus_config("n1", 5).quiescence_seconds()
+    );
 }
 
 #[test]
 fn activation_waits_for_lease_of_unreachable_broker() {
     let mut fleet = Fleet::with_map(5, 2, 2);
     fleet.run_for(3.0);
-    // Its lease lasts for up to a second after it is cut off, and it may send until the lease ends.
+    // The lease of the partitioned broker lasts for up to a second, and the broker may send parts until it ends.
     fleet.partition(&[&[0, 1, 2, 3, 4, 5]]);
     fleet.propose(propose(2)).unwrap();
     fleet.run_until(5.0, |fleet| fleet.invariants.activated_at.contains_key(&2));
-    let took = fleet.invariants.activated_at[&2] - fleet.invariants.proposed_at[&2];
-    assert!((1.0..1.8).contains(&took), "{took:.2} s");
+    let seconds = fleet.invariants.activated_at[&2] - fleet.invariants.proposed_at[&2];
+    assert!((1.0..1.8).contains(&seconds), "activated after {seconds:.2} s");
     assert_eq!(fleet.phase(6), ConfigPhase::LeaseExpired(1));
     fleet.heal();
     assert_activated_within(&mut fleet, 5.0);
 }
 
 #[test]
-fn overdue_fill_withdraws_version_and_retires_its_number() {
+fn overdue_fill_withdraws_version_and_its_number_is_not_reused() {
     let mut fleet = Fleet::with_map(5, 1, 7);
     fleet.propose(propose_with_fill(2)).unwrap();
-    let wrong = Command::FillCompleted { number: 2, segment: 1, holder: String::from("s1a") };
+    let unneeded_fill = Command::FillCompleted { number: 2, segment: 1, holder: String::from("s1a") };
     fleet.run_until(2.0, is_joint);
-    assert!(matches!(fleet.propose(wrong), Err(Rejection::FillNotNeeded { .. })));
-    assert!(fleet.run_until(9.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(1))), "withdrawn");
+    assert!(matches!(fleet.propose(unneeded_fill), Err(Rejection::FillNotNeeded { .. })));
+    assert!(
+        fleet.run_until(9.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(1))),
+        "version 2 is not withdrawn"
+    );
     assert!(matches!(fleet.propose(propose(2)), Err(Rejection::WrongNumber { given: 2, expected: 3 })));
     let leader = fleet.leader().unwrap();
     assert!(
@@ -58,14 +65,14 @@
     assert_eq!(fleet.propose(propose(2)), Err(Rejection::ChangeOpen { open: 2 }));
     fleet.run_for(0.2);
     assert_eq!(fleet.propose(propose(3)), Err(Rejection::ChangeOpen { open: 2 }));
-    // From a proposer that skips the check it is ignored by all.
+    // If the proposer skips the check, all voters ignore the entry.
     let leader = fleet.leader().unwrap();
     fleet.propose_unchecked_at(leader, propose(3)).unwrap();
     assert_activated_within(&mut fleet, 5.0);
     assert_eq!(fleet.state(leader).highest_number, 2);
 }
 
-/// A version with a fault that the proposer's check would reject.
+/// A version with the named fault, which the leader's check rejects.
 fn invalid_version(fault: &str) -> ConfigVersion {
     let mut version = config_version(2, Some(shard_map(2, false)));
     let map = version.map.as_mut().unwrap();
@@ -80,8 +87,8 @@
         "number" => version.number = 9,
         _ => unreachable!(),
     }
-    let sealed = !["stale digest", "epoch", "no map"].contains(&fault);
-    version.map = version.map.map(|map| if sealed { map.with_digest() } else { map });
+    let updates_digest = !["stale digest", "epoch", "no map"].contains(&fault);
+    version.map = version.map.map(|map| if updates_digest { map.with_digest() } else { map });
     version
 }
 
@@ -104,7 +111,10 @@
     fleet.run_for(4.0);
     assert!(fleet.all_in_phase(&ConfigPhase::Active(1)) && fleet.all_have_leases());
     for n in 0..5 {
-        assert!(fleet.brokers[n].log.iter().any(|line| line.starts_with("ignored")), "each voter checks it");
+        assert!(
+            fleet.brokers[n].log.iter().any(|line| line.starts_with("ignored")),
+            "voter {n} does not ignore the entry"
+        );
     }
 }
 
@@ -115,9 +125,13 @@
         |fleet: &Fleet, number| (0..10).filter(|n| fleet.phase(*n) == ConfigPhase::Active(number)).count();
     fleet.propose(propose_staged(2)).unwrap();
     fleet.run_for(5.0);
-    assert!((1..10).contains(&active_count(&fleet, 2)), "{} of 10 act on it first", active_count(&fleet, 2));
-    assert_eq!(active_count(&fleet, 1), 0, "the others are joint");
-    // Rollback: no broker may act on version 1 alone while another still acts on version 2.
+    assert!(
+        (1..10).contains(&active_count(&fleet, 2)),
+        "{} of 10 brokers are in the first stage",
+        active_count(&fleet, 2)
+    );
+    assert_eq!(active_count(&fleet, 1), 0, "a broker outside the first stage acts on version 1 alone");
+    // During the rollback no broker may act on version 1 alone while another one still acts on version 2 alone.
     fleet.propose(Command::Withdraw { number: 2, why: String::from("worse") }).unwrap();
     assert!(fleet.run_until(8.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(1))));
     fleet.propose(propose_staged(3)).unwrap();
@@ -160,7 +174,7 @@
 }
 
 #[test]
-fn new_config_waits_for_open_change_and_longest_lease() {
+fn new_config_waits_for_open_change_and_earlier_leases() {
     let mut fleet = Fleet::with_map(3, 1, 32);
     fleet.propose(propose_with_fill(2)).unwrap();
     fleet.run_until(5.0, is_joint);
@@ -171,7 +185,7 @@
         fleet.run_for(1.0);
     }
     let leases = |fleet: &Fleet| (0..3).map(|n| fleet.state(n).config.lease_seconds).collect::<Vec<_>>();
-    assert_eq!(leases(&fleet), [1.0; 3], "the configuration does not change while a version is proposed");
+    assert_eq!(leases(&fleet), [1.0; 3], "the configuration changes while a version is proposed");
     assert!(
         fleet.run_until(12.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(1))
             && leases(fleet) == [0.5; 3])
@@ -180,7 +194,7 @@
     assert_eq!(
         fleet.state(0).quiescence_seconds(&own),
         consensus_config("n1", 3).quiescence_seconds(),
-        "a lease of one second may still run"
+        "the quiescence period has to cover the earlier leases of one second"
     );
     fleet.propose(propose(3)).unwrap();
     assert!(fleet.run_until(5.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(3))));
--- a/crates/dunepond-consensus/tests/seeds.rs
+++ b/crates/dunepond-consensus/tests/seeds.rs
@@ -1,5 +1,5 @@
-//! Half a minute of random faults by seed, several at a time, after which all faults are healed: the fleet continues where
-//! it was, and the next version is activated. A seed that fails becomes a scenario.
+//! Simulated fleets under 30 seconds of random faults that depend on a seed. After all faults are healed the fleet has to
+//! continue from its state and activate another version. A seed that fails is turned into a scenario.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::{config_version, settlement, shard_map};
@@ -7,12 +7,13 @@
 use dunepond_simulation::settlements::settle_command;
 use rand::RngExt;
 
-const VOTERS: usize = 5;
-const OTHERS: usize = 2;
-const ALL: usize = VOTERS + OTHERS;
+const VOTER_COUNT: usize = 5;
+const OTHER_BROKER_COUNT: usize = 2;
+const BROKER_COUNT: usize = VOTER_COUNT + OTHER_BROKER_COUNT;
 
+/// Injects a random fault, heals faults, or proposes a random command.
 fn inject_fault(fleet: &mut Fleet) {
-    let n = fleet.rng.random_range(0..ALL);
+    let n = fleet.rng.random_range(0..BROKER_COUNT);
     let voters_have_state = |fleet: &Fleet, n: usize| {
         fleet.leader().is_some_and(|leader| fleet.state(leader).voters.pending.is_none())
             && fleet.voter_indices().contains(&n)
@@ -23,14 +24,14 @@
     };
     match fleet.rng.random_range(0..18) {
         0 => {
-            let cut = fleet.rng.random_range(1..ALL);
-            let mut order: Vec<usize> = (0..ALL).collect();
+            let split_index = fleet.rng.random_range(1..BROKER_COUNT);
+            let mut order: Vec<usize> = (0..BROKER_COUNT).collect();
             order.sort_by_key(|_| fleet.rng.random::<u32>());
-            let (a, b) = order.split_at(cut);
+            let (a, b) = order.split_at(split_index);
             fleet.partition(&[a, b]);
         }
         1 => {
-            let to = fleet.rng.random_range(0..ALL);
+            let to = fleet.rng.random_range(0..BROKER_COUNT);
             if n != to {
                 fleet.blocked_links.insert((n, to));
             }
@@ -39,11 +40,11 @@
         4 => fleet.kill(n),
         5 => fleet.brokers[n].tears_next_record = fleet.is_running(n),
         6 if !fleet.is_running(n) && voters_have_state(fleet, n) && fleet.blocked_links.is_empty() => {
-            // One folder at a time, and not before the last one is back in its place.
+            // Only one folder is lost at a time: all voters have a state again before the next one.
             fleet.wipe_folder(n);
             fleet.start(n);
         }
-        6..=8 => (0..ALL)
+        6..=8 => (0..BROKER_COUNT)
             .filter(|n| !fleet.is_running(*n))
             .collect::<Vec<_>>()
             .into_iter()
@@ -55,31 +56,31 @@
         10..=12 => {
             let Some(leader) = fleet.leader() else { return };
             let next = fleet.state(leader).highest_number + 1;
-            let cold = fleet.rng.random::<f64>() < 0.3;
-            let mut version = config_version(next, Some(shard_map(next, cold)));
+            let requires_fill = fleet.rng.random::<f64>() < 0.3;
+            let mut version = config_version(next, Some(shard_map(next, requires_fill)));
             version.first_stage_ratio = (fleet.rng.random::<f64>() < 0.3).then_some(0.5);
             let _ = fleet.propose(Command::Propose(Box::new(version)));
         }
         13 => {
             let Some(leader) = fleet.leader() else { return };
             let number = fleet.state(leader).highest_number;
-            let back = fleet.rng.random::<bool>();
-            let end = match back {
+            let withdraws = fleet.rng.random::<bool>();
+            let command = match withdraws {
                 true => Command::Withdraw { number, why: String::from("by hand") },
                 false => Command::Activate { number },
             };
-            let _ = fleet.propose(end);
+            let _ = fleet.propose(command);
         }
         14 => {
             let Some(leader) = fleet.leader() else { return };
-            let needs: Vec<_> =
+            let required_fills: Vec<_> =
                 fleet.state(leader).map_transition().map(|m| m.required_fills().to_vec()).unwrap_or_default();
             let number = fleet.state(leader).highest_number;
-            for need in needs {
+            for fill in required_fills {
                 let _ = fleet.propose(Command::FillCompleted {
                     number,
-                    segment: need.segment,
-                    holder: need.replica,
+                    segment: fill.segment,
+                    holder: fill.replica,
                 });
             }
         }
@@ -91,7 +92,7 @@
     }
 }
 
-/// A voter joins, leaves or replaces another; or the pending change is carried out, or withdrawn.
+/// Proposes that broker `n` joins, leaves or replaces a voter. If a change is pending, completes or withdraws it instead.
 fn change_voters(fleet: &mut Fleet, n: usize) {
     let Some(leader) = fleet.leader() else { return };
     let mut list = fleet.voter_indices();
@@ -101,34 +102,34 @@
             false => start_joining_voter(fleet),
         };
     }
-    let at = fleet.rng.random_range(0..list.len());
+    let replaced_index = fleet.rng.random_range(0..list.len());
     match (list.contains(&n), list.len()) {
         (true, 4..) => list.retain(|other| *other != n),
         (true, _) => return,
         (false, ..5) if fleet.rng.random::<bool>() => list.push(n),
-        (false, _) => list[at] = n,
+        (false, _) => list[replaced_index] = n,
     }
-    fleet.change_voters(&list).expect("one at a time");
+    fleet.change_voters(&list).expect("the list differs by one voter and no change is pending");
     if fleet.rng.random::<bool>() {
         fleet.run_for(0.1);
         start_joining_voter(fleet);
     }
 }
 
-/// Starts the joining voter with an empty folder, as the operators' page requires; one that has a folder starts over by
-/// itself.
+/// Starts the joining voter with an empty folder, as an operator has to do. A joining broker that still runs a voter with a
+/// folder starts over by itself.
 fn start_joining_voter(fleet: &mut Fleet) {
     let Some(leader) = fleet.leader() else { return };
     let list = fleet.voter_indices();
     let voters = fleet.state(leader).voters.names_with_joining();
-    let joins = (0..ALL).find(|n| voters.contains(&fleet.brokers[*n].name) && !list.contains(n));
+    let joins = (0..BROKER_COUNT).find(|n| voters.contains(&fleet.brokers[*n].name) && !list.contains(n));
     if let Some(n) = joins.filter(|n| fleet.brokers[*n].voter.is_none()) {
         fleet.start_as_voter(n, &voters);
     }
 }
 
 fn run_seed(seed: u64) {
-    let mut fleet = Fleet::with_map(VOTERS, OTHERS, seed);
+    let mut fleet = Fleet::with_map(VOTER_COUNT, OTHER_BROKER_COUNT, seed);
     fleet.links.loss_ratio = [0.0, 0.05, 0.2][seed as usize % 3];
     fleet.links.duplicate_ratio = [0.0, 0.1][seed as usize % 2];
     fleet.links.max_delay_seconds = [0.02, 0.1][seed as usize / 3 % 2];
@@ -139,7 +140,7 @@
     }
     fleet.heal();
     fleet.links = LinkConditions::default();
-    for n in 0..ALL {
+    for n in 0..BROKER_COUNT {
         fleet.brokers[n].tears_next_record = false;
         if !fleet.is_running(n) {
             fleet.start(n);
@@ -147,31 +148,34 @@
     }
     assert!(
         fleet.run_until(20.0, |fleet| fleet.leader().is_some() && fleet.all_have_leases()),
-        "all brokers have leases again"
+        "not all brokers have leases again"
     );
     start_joining_voter(&mut fleet);
-    // A proposed version ends by itself, unless it waits for an operator's command.
+    // A proposed version is activated or withdrawn by the leader, unless it waits in its first stage for an operator.
     fleet.run_for(10.0);
     let leader = fleet.leader().expect("a fleet without faults keeps its leader");
     let number = fleet.state(leader).highest_number;
     if fleet.state(leader).open.is_some() {
         fleet.propose(Command::Withdraw { number, why: String::from("by hand") }).unwrap();
-        assert!(fleet.run_until(10.0, |fleet| fleet.state(leader).open.is_none()), "withdrawn");
+        assert!(
+            fleet.run_until(10.0, |fleet| fleet.state(leader).open.is_none()),
+            "the proposed version is not withdrawn"
+        );
     }
     fleet
         .propose(Command::Propose(Box::new(config_version(number + 1, Some(shard_map(number + 1, false))))))
         .unwrap();
     assert!(
         fleet.run_until(10.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(number + 1))),
-        "version {} everywhere",
+        "version {} is not active everywhere",
         number + 1
     );
     let ready = fleet.run_until(10.0, Fleet::are_voters_ready);
     let leader = fleet.leader().expect("a fleet without faults keeps its leader");
-    assert!(ready, "all voters are ready: {:?}", fleet.state(leader).voters);
+    assert!(ready, "not all voters are ready: {:?}", fleet.state(leader).voters);
 }
 
-/// Runs the seeds on four threads.
+/// Runs the seeds on four threads, and asserts that none fails.
 fn run_seeds(seeds: std::ops::Range<u64>) {
     let mut failed = Vec::new();
     std::thread::scope(|scope| {
@@ -198,11 +202,12 @@
 }
 
 #[test]
-#[ignore = "minutes"]
+#[ignore = "takes minutes"]
 fn two_thousand_seeds() {
     run_seeds(1000..3000);
 }
 
+/// Runs the seed in the environment variable `SEED`.
 #[test]
 #[ignore]
 fn one() {
@@ -210,24 +215,27 @@
 }
 
 #[test]
-#[ignore = "figures for the note"]
+#[ignore = "prints activation times and message rates"]
 fn figures() {
     let mut durations: Vec<f64> = Vec::new();
     for seed in 0..100 {
-        let mut fleet = Fleet::with_map(VOTERS, OTHERS, seed);
+        let mut fleet = Fleet::with_map(VOTER_COUNT, OTHER_BROKER_COUNT, seed);
         fleet.run_for(3.0);
         fleet.propose(Command::Propose(Box::new(config_version(2, Some(shard_map(2, false)))))).unwrap();
         assert!(fleet.run_until(10.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(2))));
         durations.push(fleet.now - fleet.invariants.proposed_at[&2]);
     }
     durations.sort_by(f64::total_cmp);
-    println!("active everywhere after: p50 {:.2}, p99 {:.2} s", durations[50], durations[99]);
-    for others in [0, 2, 10, 25] {
-        let mut fleet = Fleet::with_map(VOTERS, others, 1);
+    println!(
+        "seconds until a version is active everywhere: p50 {:.2}, p99 {:.2}",
+        durations[50], durations[99]
+    );
+    for other_count in [0, 2, 10, 25] {
+        let mut fleet = Fleet::with_map(VOTER_COUNT, other_count, 1);
         fleet.run_for(5.0);
-        let sent = fleet.messages_sent;
+        let sent_before = fleet.messages_sent;
         fleet.run_for(10.0);
-        let each = (fleet.messages_sent - sent) as f64 / 10.0 / (VOTERS + others) as f64;
-        println!("{} brokers: {each:.1} messages a broker and second", VOTERS + others);
+        let rate = (fleet.messages_sent - sent_before) as f64 / 10.0 / (VOTER_COUNT + other_count) as f64;
+        println!("{} brokers: {rate:.1} messages per broker and second", VOTER_COUNT + other_count);
     }
 }
--- a/crates/dunepond-consensus/tests/long.rs
+++ b/crates/dunepond-consensus/tests/storage_and_clock.rs
@@ -1,17 +1,22 @@
-//! Long runs, full disks and clock jumps: stored state stays bounded, and no promise is lost.
+//! The size of the stored state over a long run, a leader with a full disk, and a clock that jumps forward.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::{config_version, consensus_config, shard_map};
 use dunepond_simulation::fleet::Fleet;
 
-/// Writes the batch to a journal as the host does.
-fn write_batch_to_journal(voter: &Voter, effects: &Effects, journal: &mut Vec<Vec<u8>>, longest: &mut usize) {
+/// Writes the batch to a journal as a host does, and updates the largest size of the journal in bytes.
+fn write_batch_to_journal(
+    voter: &Voter,
+    effects: &Effects,
+    journal: &mut Vec<Vec<u8>>,
+    max_journal_bytes: &mut usize,
+) {
     if !effects.write_batch.is_empty() {
         match effects.write_batch.is_checkpoint() {
             true => *journal = vec![voter.checkpoint().encode()],
             false => journal.push(effects.write_batch.encode()),
         }
-        *longest = (*longest).max(journal.iter().map(Vec::len).sum());
+        *max_journal_bytes = (*max_journal_bytes).max(journal.iter().map(Vec::len).sum());
     }
 }
 
@@ -24,23 +29,23 @@
         1,
     )
     .unwrap();
-    let (mut journal, mut longest, mut now, mut sizes) = (Vec::new(), 0, 0.0, Vec::new());
+    let (mut journal, mut max_journal_bytes, mut now, mut sizes) = (Vec::new(), 0, 0.0, Vec::new());
     let mut client_count = 0_u64;
     while sizes.len() < 2 {
         now += 0.24;
         let effects = voter.tick(now);
-        write_batch_to_journal(&voter, &effects, &mut journal, &mut longest);
+        write_batch_to_journal(&voter, &effects, &mut journal, &mut max_journal_bytes);
         let number = voter.state().active_number();
         if voter.is_leader() && voter.state().open.is_none() {
             if [1_000, 10_000].contains(&number) {
-                sizes.push((voter.checkpoint().encode().len(), std::mem::take(&mut longest)));
+                sizes.push((voter.checkpoint().encode().len(), std::mem::take(&mut max_journal_bytes)));
             }
             let effects =
                 voter.propose(now, Command::Propose(Box::new(config_version(number + 1, None)))).unwrap();
-            write_batch_to_journal(&voter, &effects, &mut journal, &mut longest);
+            write_batch_to_journal(&voter, &effects, &mut journal, &mut max_journal_bytes);
             client_count += 1;
         }
-        // Each client sends one request.
+        // Each request is from another run of one of a thousand brokers.
         let request = LeaseRequest {
             id: 1,
             broker: format!("b{}", client_count % 1_000),
@@ -55,13 +60,17 @@
         };
         let name = request.broker.clone();
         let effects = voter.handle_lease_request(now, &name, request);
-        write_batch_to_journal(&voter, &effects, &mut journal, &mut longest);
+        write_batch_to_journal(&voter, &effects, &mut journal, &mut max_journal_bytes);
     }
-    println!("bytes of the whole stored state, and of the longest journal: {sizes:?}");
-    let [(first_size, journal), (later_size, longer)] = sizes[..] else { panic!("{sizes:?}") };
-    // 513 entries and their marks; the numbers of digits make the difference.
+    println!("bytes of the checkpoint and of the largest journal, after 1000 and 10000 versions: {sizes:?}");
+    let [(first_checkpoint, first_journal), (later_checkpoint, later_journal)] = sizes[..] else {
+        panic!("two sizes are expected: {sizes:?}")
+    };
+    // Both journals hold up to 513 entries. They differ in size because later indices and numbers have more digits.
     assert!(
-        later_size < 2 * first_size.max(1 << 16) && longer < journal + journal / 4 && longer < 1 << 20,
+        later_checkpoint < 2 * first_checkpoint.max(1 << 16)
+            && later_journal < first_journal + first_journal / 4
+            && later_journal < 1 << 20,
         "{sizes:?}"
     );
 }
@@ -70,7 +79,7 @@
 fn leader_with_full_disk_is_replaced() {
     let mut fleet = Fleet::with_map(3, 2, 90);
     let leader = fleet.leader().unwrap();
-    // As with its host: no record is written, so it sends and receives nothing until it can write again.
+    // The host writes no record, so the voter sends and receives nothing until the host can write again.
     let voter = fleet.brokers[leader].voter.take();
     assert!(
         fleet.run_until(5.0, |fleet| fleet.leader().is_some() && fleet.all_have_leases()),
@@ -82,13 +91,13 @@
     assert_eq!(
         (voter.is_leader(), voter.state().active_number()),
         (true, 1),
-        "it does not know of version 2 yet"
+        "the former leader does not know of version 2 yet"
     );
     fleet.brokers[leader].disk = vec![voter.checkpoint().encode()];
     fleet.brokers[leader].voter = Some(voter);
     for _ in 0..300 {
         fleet.step();
-        assert!(fleet.all_in_phase(&ConfigPhase::Active(2)), "its messages have no effect");
+        assert!(fleet.all_in_phase(&ConfigPhase::Active(2)), "messages of the former leader have no effect");
     }
     assert!(
         fleet.run_until(3.0, |fleet| fleet.state(leader).active_number() == 2 && fleet.all_have_leases())
@@ -104,16 +113,16 @@
         1,
     )
     .unwrap();
-    let ticks = |voter: &mut Voter, from: f64, seconds: f64| -> Vec<String> {
+    let run = |voter: &mut Voter, from: f64, seconds: f64| -> Vec<String> {
         let count = (seconds / 0.02) as u32;
         (0..count).flat_map(|n| voter.tick(from + 0.02 * f64::from(n)).log_lines).collect()
     };
-    ticks(&mut voter, 0.0, 3.0);
+    run(&mut voter, 0.0, 3.0);
     voter.propose(3.0, Command::Propose(Box::new(config_version(1, None)))).unwrap();
-    // The clock jumps by 10 s: almost no time has passed for the others, whose leases still run.
+    // The clock jumps by 10 s. For other brokers almost no time has passed, so their leases may still be valid.
     let wait = consensus_config("n1", 1).quiescence_seconds();
-    let log = ticks(&mut voter, 13.0, 0.5);
+    let log = run(&mut voter, 13.0, 0.5);
     assert!(log.iter().any(|line| line.contains("restarting waits")) && voter.state().active_number() == 0);
-    ticks(&mut voter, 13.5, wait);
+    run(&mut voter, 13.5, wait);
     assert_eq!(voter.state().active_number(), 1);
 }
--- a/crates/dunepond-consensus/tests/upgrades.rs
+++ b/crates/dunepond-consensus/tests/upgrades.rs
@@ -1,16 +1,19 @@
-//! Earlier and later builds: documents of format 1, and keys that a later build may add.
+//! Compatibility with earlier and later builds: documents of format 1, and keys that a later build adds.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::{config_version, consensus_config, shard_map};
 use dunepond_simulation::fleet::Fleet;
 
-/// Written by the build of commit 63ed26b: one voter's journal (520 settlements, version 1 active, 2 proposed), the
-/// version below with its digest, and the persisted state of a broker.
+/// Journal of a single voter, written by the build of commit 63ed26b: 520 settlements, version 1 active, 2 proposed.
 const JOURNAL: &[u8] = include_bytes!("data/format-1/journal");
+/// The version that the test below constructs, packed by that build.
 const VERSION: &[u8] = include_bytes!("data/format-1/version");
+/// Digest of [`VERSION`], computed by that build.
 const DIGEST: &str = include_str!("data/format-1/digest");
+/// Persisted state of a broker, written by that build.
 const PERSISTED: &[u8] = include_bytes!("data/format-1/kept");
 
+/// A key that only a later build knows.
 const KEY: &str = "rules.least_brokers";
 
 fn extension(key: &str, required: bool) -> Extension {
@@ -26,7 +29,7 @@
 }
 
 #[test]
-fn format_1_documents_are_read_and_continued() {
+fn format_1_documents_are_read_and_voter_continues() {
     let first_version =
         ConfigVersion { first_stage_ratio: Some(0.5), ..config_version(1, Some(shard_map(1, false))) };
     let read = ConfigVersion::unpacked(VERSION).unwrap();
@@ -41,7 +44,7 @@
     (1..400).for_each(|n| drop(voter.tick(0.02 * f64::from(n))));
     let state = voter.state();
     assert!(voter.is_leader() && voter.has_state());
-    // Its fill was never completed, so the version was withdrawn at the deadline.
+    // Version 2 was withdrawn at the deadline, since its fill was never completed.
     assert_eq!((state.active_number(), state.highest_number, state.open.is_none()), (1, 2, true));
     assert_eq!(state.voters.voters.iter().map(|voter| voter.name.as_str()).collect::<Vec<_>>(), ["n1"]);
     voter.propose(8.0, propose(&config_version(3, Some(shard_map(3, false))))).unwrap();
@@ -55,12 +58,12 @@
 }
 
 #[test]
-fn unknown_key_is_preserved() {
+fn unknown_optional_key_is_preserved() {
     let mut fleet = Fleet::with_map(3, 1, 70);
     let second_version = version_with(2, extension("omens", false));
     fleet.propose(propose(&second_version)).unwrap();
     assert!(fleet.run_until(5.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(2))));
-    // The key passes through the log, snapshots, a restart and a new folder, and reaches each broker.
+    // The key is preserved in the log, in snapshots, after a restart and in a new folder, and reaches each broker.
     fleet.kill(0);
     fleet.wipe_folder(0);
     fleet.start(0);
@@ -97,22 +100,22 @@
     fleet.run_for(3.0);
     let rejection = fleet.propose(propose(&second_version)).unwrap_err();
     assert!(matches!(rejection, Rejection::UnknownKeyAtVoter { number: 2, .. }), "{rejection}");
-    // From a leader that skips the check: the two older voters do not vote for it, and log the reason.
+    // The leader skips the check: the two older voters do not acknowledge the entry, and log the reason.
     fleet.propose_unchecked_at(leader, propose(&second_version)).unwrap();
     fleet.run_for(3.0);
-    assert!((0..3).all(|n| fleet.state(n).highest_number == 1), "not committed");
-    let logs_withheld_vote = |n: usize| {
+    assert!((0..3).all(|n| fleet.state(n).highest_number == 1), "the entry is not committed");
+    let logs_withheld_acknowledgement = |n: usize| {
         fleet.brokers[n]
             .log
             .iter()
             .any(|line| line.contains("withholds acknowledgement") && line.contains(KEY))
     };
-    assert!((0..3).filter(|n| *n != leader).all(logs_withheld_vote));
+    assert!((0..3).filter(|n| *n != leader).all(logs_withheld_acknowledgement));
     assert!(
         fleet.all_have_leases() && fleet.all_in_phase(&ConfigPhase::Active(1)),
-        "all brokers continue unchanged"
+        "all brokers continue with version 1"
     );
-    // The two older voters continue without the entry once its leader is down.
+    // Once that leader is down, the two older voters continue without the entry.
     fleet.kill(leader);
     assert!(fleet.run_until(5.0, |fleet| fleet.leader().is_some()));
     fleet.propose(propose(&config_version(2, Some(shard_map(2, false))))).unwrap();
@@ -123,7 +126,7 @@
 }
 
 #[test]
-fn older_broker_adopts_no_unknown_required_key() {
+fn older_broker_rejects_version_with_unknown_required_key() {
     let mut fleet = Fleet::with_map(3, 2, 72);
     (0..4).for_each(|n| add_known_key(&mut fleet, n));
     fleet.run_for(3.0);
--- a/crates/dunepond-consensus/tests/voters.rs
+++ b/crates/dunepond-consensus/tests/voters.rs
@@ -1,5 +1,5 @@
-//! Changes of voters, one at a time: an operator's document, its outcome under failures, and what removed voters can
-//! still do.
+//! Changes of voters, one at a time, by an operator's document: their outcome under failures, and the effects that removed
+//! voters still have.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::{config_version, settlement, shard_map};
@@ -14,8 +14,8 @@
     indices.iter().map(|n| format!("n{}", n + 1)).collect()
 }
 
-/// Carries out a change as the operator does: the document, then the start of the new voter; waits until it is in force.
-fn change(fleet: &mut Fleet, to: &[usize]) {
+/// Changes the voters as an operator does: proposes the list, starts the new voter, and waits until the list is in force.
+fn complete_change(fleet: &mut Fleet, to: &[usize]) {
     let before = fleet.voter_indices();
     fleet.change_voters(to).expect("one voter at a time");
     assert!(fleet.run_until(2.0, |fleet| fleet.leader().is_some()));
@@ -25,21 +25,21 @@
     }
     let is_complete =
         |fleet: &Fleet| fleet.leader().is_some() && fleet.voter_indices() == to && fleet.are_voters_ready();
-    assert!(fleet.run_until(5.0, is_complete), "{before:?} to {to:?}");
+    assert!(fleet.run_until(5.0, is_complete), "the change from {before:?} to {to:?} does not complete");
 }
 
-fn logs(fleet: &Fleet, n: usize, what: &str) -> bool {
-    fleet.brokers[n].log.iter().any(|line| line.contains(what))
+fn has_logged(fleet: &Fleet, n: usize, text: &str) -> bool {
+    fleet.brokers[n].log.iter().any(|line| line.contains(text))
 }
 
 #[rstest]
 #[case::one_joins(&[0, 1, 2, 3])]
 #[case::one_leaves(&[0, 1])]
 #[case::one_replaces_another(&[0, 1, 3])]
-fn changed_voters_continue(#[case] to: &[usize]) {
+fn fleet_continues_after_change_of_voters(#[case] to: &[usize]) {
     let mut fleet = Fleet::with_map(3, 2, 40);
-    change(&mut fleet, to);
-    // As many voters fail as may; a removed voter still runs, but does not count.
+    complete_change(&mut fleet, to);
+    // As many voters fail as the list tolerates. A removed voter still runs, but does not count.
     fleet.run_for(1.0);
     if to.len() > 2 {
         fleet.kill(to[0]);
@@ -61,18 +61,18 @@
         let removed = if list.contains(&leader) && leader < 3 { leader } else { list[0] };
         let at = list.iter().position(|n| *n == removed).unwrap();
         list[at] = new;
-        change(&mut fleet, &list);
+        complete_change(&mut fleet, &list);
         fleet.kill(removed);
         assert!(
             fleet.run_until(8.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(number))
                 && fleet.all_have_leases()),
-            "{number}"
+            "version {number} is not active everywhere"
         );
     }
     assert!(list.iter().all(|n| *n > 2));
     fleet.propose(propose(5)).unwrap();
     assert!(fleet.run_until(5.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(5))));
-    // A broker whose file still names the first voters has a lease, also after a restart, and reports the difference.
+    // A broker whose file still lists the first voters gets a lease, also after a restart, and reports the difference.
     fleet.kill(6);
     fleet.start(6);
     assert!(fleet.run_until(3.0, |fleet| fleet.has_lease(6)));
@@ -101,8 +101,8 @@
 #[test]
 fn only_voter_is_replaced() {
     let mut fleet = Fleet::with_map(1, 2, 51);
-    change(&mut fleet, &[1]);
-    assert!(fleet.run_until(3.0, |fleet| logs(fleet, 0, "stepped down") && fleet.leader() == Some(1)));
+    complete_change(&mut fleet, &[1]);
+    assert!(fleet.run_until(3.0, |fleet| has_logged(fleet, 0, "stepped down") && fleet.leader() == Some(1)));
     fleet.propose(propose(2)).unwrap();
     assert!(
         fleet.run_until(5.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(2)) && fleet.all_have_leases()),
@@ -114,18 +114,18 @@
 #[test]
 fn removed_voter_does_not_count_and_redirects_clients() {
     let mut fleet = Fleet::with_map(3, 3, 52);
-    // It is down while it is removed.
+    // The voter n1 is down while it is removed.
     fleet.kill(0);
     assert!(fleet.run_until(5.0, |fleet| fleet.leader().is_some()));
-    change(&mut fleet, &[3, 1, 2]);
+    complete_change(&mut fleet, &[3, 1, 2]);
     fleet
         .propose(Command::Settlement(dunepond_settlement::SettlementEntry::Settle(settlement("paid"))))
         .unwrap();
     fleet.run_for(0.5);
     fleet.start(0);
-    assert!(fleet.run_until(3.0, |fleet| logs(fleet, 0, "removed as a voter")));
+    assert!(fleet.run_until(3.0, |fleet| has_logged(fleet, 0, "removed as a voter")));
     assert!(!fleet.brokers[0].voter.as_ref().unwrap().is_leader());
-    // Two of the three voters are down: the removed one does not make a majority.
+    // Two of the three voters are down, and the removed voter does not replace one of them in the majority.
     fleet.kill(1);
     fleet.kill(2);
     for _ in 0..500 {
@@ -147,14 +147,14 @@
     let clock = fleet.clock(0);
     let replies = fleet.brokers[0].voter.as_mut().unwrap().handle_lease_request(clock, "n6", request).replies;
     assert!(matches!(&replies[0].1.answer, LeaseAnswer::NotAVoter(others) if others.len() == 3));
-    // A broker that only knows the first voters sends it a request, is rejected by type, and finds the others.
+    // A broker that only knows the first voters asks the removed one, which names the voters in force.
     fleet.start(1);
     fleet.start(2);
     fleet.kill(5);
     fleet.wipe_folder(5);
     fleet.blocked_links.extend([(5, 2), (5, 3), (5, 4)]);
     fleet.start(5);
-    assert!(fleet.run_until(5.0, |fleet| fleet.has_lease(5)), "through n2: {}", fleet.summary());
+    assert!(fleet.run_until(5.0, |fleet| fleet.has_lease(5)), "no lease through n2: {}", fleet.summary());
     assert!(fleet.brokers[5].rejections.contains(&Rejection::NotAVoter(String::from("n1"))));
 }
 
@@ -164,17 +164,21 @@
     for (at, n) in [(0, 3), (1, 4), (2, 5)] {
         let mut list = fleet.voter_indices();
         list[at] = n;
-        change(&mut fleet, &list);
+        complete_change(&mut fleet, &list);
     }
     fleet.propose(propose(2)).unwrap();
     assert!(fleet.run_until(5.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(2))), "{}", fleet.summary());
-    // They restart with their own folders, partitioned from all present voters.
+    // The removed voters restart with their folders, partitioned from all voters in force.
     (0..3).for_each(|n| fleet.kill(n));
     fleet.partition(&[&[0, 1, 2, 6][..], &[3, 4, 5]]);
     (0..3).for_each(|n| fleet.start(n));
     for _ in 0..1000 {
         fleet.step();
-        assert!((0..3).all(|n| !fleet.brokers[n].voter.as_ref().unwrap().is_leader()), "{:.2}", fleet.now);
+        assert!(
+            (0..3).all(|n| !fleet.brokers[n].voter.as_ref().unwrap().is_leader()),
+            "a removed voter leads at {:.2} s",
+            fleet.now
+        );
     }
     assert_eq!(fleet.phase(6), ConfigPhase::LeaseExpired(2));
     fleet.heal();
@@ -186,12 +190,12 @@
 #[test]
 fn removed_voter_rejoins_with_its_folder() {
     let mut fleet = Fleet::with_map(3, 1, 54);
-    change(&mut fleet, &[0, 1]);
+    complete_change(&mut fleet, &[0, 1]);
     fleet.run_for(1.0);
     fleet.change_voters(&[0, 1, 2]).unwrap();
     assert!(fleet.run_until(5.0, |fleet| fleet.voter_indices() == [0, 1, 2] && fleet.are_voters_ready()));
     fleet.kill(0);
-    assert!(fleet.run_until(5.0, |fleet| fleet.leader().is_some()), "it votes again");
+    assert!(fleet.run_until(5.0, |fleet| fleet.leader().is_some()), "the voter that rejoined votes again");
 }
 
 #[test]
@@ -205,7 +209,7 @@
     fleet.run_for(0.5);
     let state = fleet.state(fleet.leader().unwrap());
     assert_eq!((state.voters.number, &state.voters.pending), (2, &None));
-    // The voter that started too late does not become a voter.
+    // A broker that starts as a voter after the change was withdrawn does not become a voter.
     fleet.start_as_voter(3, &names(&[0, 1, 2, 3]));
     fleet.run_for(3.0);
     assert!(!fleet.brokers[3].voter.as_ref().unwrap().has_state() && fleet.voter_indices() == [0, 1, 2]);
@@ -241,15 +245,15 @@
 }
 
 #[rstest]
-fn leader_killed_during_change_of_voters(
+fn change_of_voters_completes_after_leader_is_killed(
     #[values(0.0, 0.02, 0.04, 0.06, 0.08, 0.1, 0.15, 0.3)] after: f64,
     #[values(57, 58)] seed: u64,
 ) {
     let mut fleet = Fleet::with_map(3, 2, seed);
     let leader = fleet.leader().unwrap();
-    let other = (leader + 1) % 3;
+    let replaced = (leader + 1) % 3;
     let mut list = vec![0, 1, 2];
-    list[other] = 3;
+    list[replaced] = 3;
     fleet.change_voters(&list).unwrap();
     fleet.run_for(0.1);
     fleet.start_as_voter(3, &names(&list));
