--- a/crates/dunepond-consensus/src/active_config.rs
+++ b/crates/dunepond-consensus/src/active_config.rs
@@ -47,11 +47,14 @@
     pub lease_valid: bool,
 }
 
-/// Which of the two versions of a change a broker acts on while it holds a lease.
+/// The version or versions that a broker acts on while it holds a lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RolloutSide {
+    /// The active version alone.
     Active,
+    /// The joint configuration of the active and the proposed version.
     Joint,
+    /// The proposed version alone.
     Proposed,
 }
 
@@ -70,9 +73,13 @@
 pub(crate) struct ConfigSnapshot {
     pub active: Option<Arc<ConfigVersion>>,
     pub proposed: Option<Arc<ConfigVersion>>,
+    /// Proof of the active version's map, if it has one.
     pub active_proof: Option<VerifiedMap>,
+    /// Proof of the proposed version's map, if it has one.
     pub proposed_proof: Option<VerifiedMap>,
+    /// The transition between the two maps, if both exist and differ.
     pub transition: Option<MapTransition>,
+    /// The version or versions that the broker acts on while it holds a lease.
     pub side: RolloutSide,
     /// Start of the lease on the broker's own clock, when its request was sent.
     pub lease_from: f64,
@@ -83,9 +90,13 @@
     /// Whether a lease was granted since the process started.
     pub had_lease: bool,
     pub allocation: Option<Allocation>,
+    /// Retry-After of non-idempotent parts that no node may be sent.
     pub retry_after_seconds: f64,
+    /// The rules that apply while the lease is valid.
     leased_rules: Option<RoutingRules>,
+    /// The rules that apply without a lease.
     strictest_rules: Option<RoutingRules>,
+    /// Names of the nodes that the active or the proposed version excludes.
     excluded_nodes: BTreeSet<String>,
 }
 
@@ -112,7 +123,8 @@
 
     /// Computes the rules and the excluded nodes from the versions.
     pub fn into_active_config(mut self) -> ActiveConfig {
-        let rules = |version: &Option<Arc<ConfigVersion>>| version.as_ref().map(|it| it.rules.clone());
+        let rules =
+            |version: &Option<Arc<ConfigVersion>>| version.as_ref().map(|version| version.rules.clone());
         let (active, proposed) = (rules(&self.active), rules(&self.proposed));
         self.strictest_rules = match (&active, &proposed) {
             (Some(active), Some(proposed)) => Some(strictest_rules(active, proposed)),
--- a/crates/dunepond-consensus/src/command.rs
+++ b/crates/dunepond-consensus/src/command.rs
@@ -10,7 +10,8 @@
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Proposes a version. Once it is committed, brokers act on the joint configuration of the active version and it.
+    /// Proposes a version. Once this is committed, brokers act on the joint configuration of the active and the proposed
+    /// version.
     Propose(Box<ConfigVersion>),
     /// Reports that a fill that the proposed map requires is complete.
     #[serde(rename = "Filled")]
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -263,26 +263,26 @@
     }
 
     /// Withdraws the version, or begins its rollback if some brokers may already act on it alone.
-    pub(super) fn withdraw_or_roll_back(&mut self, number: u64, why: String) -> StateChange {
+    pub(super) fn withdraw_or_roll_back(&mut self, number: u64, reason: String) -> StateChange {
         let open = self.open_mut();
         if matches!(open.step, RolloutStep::Staged(_)) {
             open.step = RolloutStep::RollingBack;
-            open.withdraw_reason = Some(why);
+            open.withdraw_reason = Some(reason);
             return StateChange::RollingBack(number);
         }
-        self.withdraw(number, why)
+        self.withdraw(number, reason)
     }
 
     pub(super) fn complete_rollback(&mut self, number: u64) -> StateChange {
-        let why = self.open_mut().withdraw_reason.take().unwrap_or_default();
-        self.withdraw(number, why)
+        let reason = self.open_mut().withdraw_reason.take().unwrap_or_default();
+        self.withdraw(number, reason)
     }
 
-    fn withdraw(&mut self, number: u64, why: String) -> StateChange {
+    fn withdraw(&mut self, number: u64, reason: String) -> StateChange {
         let open = self.open.take().expect("the caller has checked that a change is open");
         self.proposal = None;
-        self.rebalance.on_version_ended(number, VersionEnd::Withdrawn(&why));
-        self.record_end(&open.version, ChangeEnd::Withdrawn(why));
+        self.rebalance.on_version_ended(number, VersionEnd::Withdrawn(&reason));
+        self.record_end(&open.version, ChangeEnd::Withdrawn(reason));
         StateChange::Withdrawn(number)
     }
 
--- a/crates/dunepond-consensus/src/routing_rules.rs
+++ b/crates/dunepond-consensus/src/routing_rules.rs
@@ -4,8 +4,8 @@
 
 use crate::Rejection;
 
-/// Settings and operator limits that decide how queries are routed. A list has one value per query class. For each rule
-/// its comment states which of two values is the stricter one.
+/// Settings and operator limits that decide how queries are routed. A list has one value per query class. The comment of
+/// each rule states which of two values is the stricter one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoutingRules {
     /// Minimum share of a query's value that has to be served, as a ratio, by query class; the greater one is stricter.
@@ -17,7 +17,8 @@
     /// Number of retries and hedged attempts per admitted request; the smaller one is stricter.
     #[serde(rename = "budget_share")]
     pub retry_budget_ratio: f64,
-    /// Number of retries and hedged attempts in each window that do not need the ratio; the smaller one is stricter.
+    /// Number of retries and hedged attempts that are allowed in each window regardless of the ratio; the smaller one is
+    /// stricter.
     #[serde(rename = "budget_free")]
     pub retry_budget_min: f64,
     /// Time in seconds after which no new attempt may go to a draining or removed node; the smaller one is stricter.
@@ -41,11 +42,13 @@
     pub max_retry_after_seconds: f64,
 }
 
+// Descriptions of the valid values in error messages.
 const EXPECTED_RATIO: &str = "a ratio from 0 to 1";
 const EXPECTED_SECONDS: &str = "a finite number of seconds, at least 0";
 const EXPECTED_COUNT: &str = "a finite number, at least 0";
 const EXPECTED_MULTIPLE: &str = "a finite multiple, at least 1";
 const EXPECTED_ATTEMPTS: &str = "1 to 64";
+/// Largest valid `max_attempts`.
 const MAX_ATTEMPTS: usize = 64;
 
 impl RoutingRules {
