--- a/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
@@ -77,7 +77,7 @@
 
     /// Closes versions that are too old, after another version became active.
     pub(crate) fn close_old_versions(&mut self, active_number: u64) {
-        self.ledger.close(active_number.saturating_sub(OPEN_VERSION_COUNT));
+        self.ledger.close_versions(active_number.saturating_sub(OPEN_VERSION_COUNT));
     }
 
     /// The update for a broker that has the first `known` entries; a limited number of entries at a time.
--- a/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
@@ -55,7 +55,7 @@
     (0..first - 1).for_each(|fill| before.apply(settle(1 + fill / FILLS_PER_VERSION, fill)));
     let mut ledger = before.ledger;
     for record in log.last.iter().take((count - first) as usize) {
-        ledger.close(record.floor);
+        ledger.close_versions(record.floor);
         ledger.apply(&record.entry).unwrap();
     }
     ledger
@@ -73,7 +73,7 @@
                 known = update.from;
             }
             for record in update.entries {
-                ledger.close(record.floor);
+                ledger.close_versions(record.floor);
                 assert_eq!(ledger.apply(&record.entry), Ok(ApplyOutcome::New));
                 known += 1;
             }
--- a/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
@@ -107,7 +107,8 @@
         };
         let links = &fills.limits.links;
         if capacity_ratio < 1.0 {
-            let (balances, links) = (balances.fraction(capacity_ratio), links.fraction(capacity_ratio));
+            let (balances, links) =
+                (balances.with_limits_scaled(capacity_ratio), links.scaled(capacity_ratio));
             return fills.planner.plan(&balances, demands, &links, &slow_start, shares, now);
         }
         fills.planner.plan(balances, demands, links, &slow_start, shares, now)
--- a/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
@@ -38,7 +38,7 @@
 
     fn apply_entries(&mut self, update: SettlementUpdate) {
         if let Some(ledger) = update.ledger {
-            self.traffic.balances.replace(*ledger);
+            self.traffic.balances.replace_ledger(*ledger);
             self.settlement.applied_entries = update.from;
         }
         if update.from != self.settlement.applied_entries {
@@ -47,7 +47,7 @@
         for logged in update.entries {
             self.settlement.applied_entries += 1;
             let balances = &mut self.traffic.balances;
-            balances.close(logged.floor);
+            balances.close_versions(logged.floor);
             match balances.apply(&logged.entry) {
                 Ok(ApplyOutcome::New) => self.on_applied(logged.entry),
                 Ok(ApplyOutcome::Duplicate) => {}
--- a/crates/dunepond-control-plane/src/slow_start.rs
+++ b/crates/dunepond-control-plane/src/slow_start.rs
@@ -1,6 +1,6 @@
 //! Slow start of nodes: how much fills may send to a node that was started not long ago.
 
-use dunepond_settlement::{NodeCapacity, max_units};
+use dunepond_settlement::{NodeCapacity, max_slow_start_units};
 
 /// Unit in which the bytes that a warming node is sent are counted.
 pub const COUNTING_UNIT_BYTES: u64 = 64 * 1024;
@@ -38,7 +38,7 @@
         let share = self.initial_share + (1.0 - self.initial_share) * warmth;
         let expected_units =
             multiple * share * rate * self.window_seconds / COUNTING_UNIT_BYTES as f64 * capacity_ratio;
-        NodeCapacity { expected_units, used_units: max_units(expected_units) - expected_units }
+        NodeCapacity { expected_units, used_units: max_slow_start_units(expected_units) - expected_units }
     }
 }
 
--- a/crates/dunepond-settlement/src/balances.rs
+++ b/crates/dunepond-settlement/src/balances.rs
@@ -1,4 +1,4 @@
-//! What partners owe each other: counts as far as both sides confirm them, less what is settled, cycles cancelled.
+//! Net debts between partners: confirmed counts minus settlements, with cycles of debts cancelled.
 
 use std::collections::BTreeMap;
 
@@ -9,40 +9,40 @@
     ApplyOutcome, BrokerPartners, CarriedCounts, SettlementEntry, SettlementError, SettlementLedger,
 };
 
-/// Weight of an old byte in the order of service, relative to a new one, at least.
+/// Minimum weight of an old byte in the service order, relative to a new byte.
 const MIN_WEIGHT_RATIO: f64 = 0.1;
 
-/// Limits on which partners have agreed.
+/// Limits on debts and fills that the partners have agreed on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SettlementTerms {
-    /// Ratio of the lesser count by which carrier and debtor may differ without a discrepancy.
+    /// Tolerated difference between the carrier's count and the debtor's, as a ratio of the count that is used.
     #[serde(rename = "tolerance")]
     pub tolerance_ratio: f64,
-    /// Bytes by which they may differ on top of that.
+    /// Bytes by which the two counts may differ in addition to `tolerance_ratio`.
     #[serde(rename = "slack")]
     pub slack_bytes: u64,
-    /// Seconds after which a byte weighs half as much in the order of service. The debt itself does not age.
+    /// Seconds after which a byte has half its weight in the service order. The amount of the debt does not decay.
     #[serde(rename = "half_life")]
     pub half_life_seconds: f64,
-    /// Bytes by which one fill may change what two partners owe each other.
+    /// Maximum bytes of one fill between two partners.
     #[serde(rename = "most_move")]
     pub max_fill_bytes: u64,
-    /// Bytes a second by which it may change over a window.
+    /// Maximum change of the debt between two partners, in bytes per second averaged over a window.
     #[serde(rename = "most_speed")]
     pub max_debt_speed: f64,
-    /// No fill is taken from a partner that would be owed more than this by it.
+    /// Maximum debt in bytes. A partner is not used as a source if the fill would leave it owed more than this.
     #[serde(rename = "most_debt")]
     pub max_debt_bytes: u64,
-    /// Seconds; a limit per window holds over each stretch of this length.
+    /// Length of a window in seconds. Limits per window apply to every period of this length.
     #[serde(rename = "window")]
     pub window_seconds: f64,
-    /// Bytes that one partner carries in fills for others per window.
+    /// Maximum bytes that one partner carries in fills for other partners per window.
     #[serde(rename = "carry")]
     pub max_carried_bytes: u64,
-    /// Bytes a second below which a fill is not started.
+    /// Minimum rate of a fill in bytes per second. A fill that would be slower is not started.
     #[serde(rename = "least_rate")]
     pub min_fill_rate: f64,
-    /// Bytes a second of a fill, at most.
+    /// Maximum rate of a fill in bytes per second.
     #[serde(rename = "most_rate")]
     pub max_fill_rate: f64,
 }
@@ -68,27 +68,27 @@
     /// Checks that all terms are in range.
     ///
     /// # Errors
-    /// The first term that is out of range.
+    /// Returns [`SettlementError::InvalidTerm`] for the first term that is out of range.
     pub fn check(&self) -> Result<(), SettlementError> {
-        let fault = |key, value, expected| Err(SettlementError::InvalidTerm { key, value, expected });
-        let above = |value: f64| value.is_finite() && value > 0.0;
+        let out_of_range = |key, value, expected| Err(SettlementError::InvalidTerm { key, value, expected });
+        let is_positive = |value: f64| value.is_finite() && value > 0.0;
         if !(0.0..=1.0).contains(&self.tolerance_ratio) {
-            return fault("tolerance", self.tolerance_ratio, "0 to 1");
+            return out_of_range("tolerance", self.tolerance_ratio, "0 to 1");
         }
         let seconds = [("half-life", self.half_life_seconds), ("window", self.window_seconds)];
-        if let Some((key, value)) = seconds.into_iter().find(|(_, value)| !above(*value)) {
-            return fault(key, value, "seconds above 0");
+        if let Some((key, value)) = seconds.into_iter().find(|(_, value)| !is_positive(*value)) {
+            return out_of_range(key, value, "seconds above 0");
         }
         let speeds = [
             ("most-speed", self.max_debt_speed),
             ("least-rate", self.min_fill_rate),
             ("most-rate", self.max_fill_rate),
         ];
-        if let Some((key, value)) = speeds.into_iter().find(|(_, value)| !above(*value)) {
-            return fault(key, value, "bytes a second above 0");
+        if let Some((key, value)) = speeds.into_iter().find(|(_, value)| !is_positive(*value)) {
+            return out_of_range(key, value, "bytes a second above 0");
         }
         if self.max_fill_rate < self.min_fill_rate {
-            return fault("most-rate", self.max_fill_rate, "no less than least-rate");
+            return out_of_range("most-rate", self.max_fill_rate, "no less than least-rate");
         }
         let bytes = [
             ("most-move", self.max_fill_bytes),
@@ -96,47 +96,48 @@
             ("carry", self.max_carried_bytes),
         ];
         if let Some((key, value)) = bytes.into_iter().find(|(_, value)| *value == 0) {
-            return fault(key, value as f64, "bytes above 0");
+            return out_of_range(key, value as f64, "bytes above 0");
         }
         Ok(())
     }
 }
 
-/// A net debt between two partners.
+/// A debt between two partners that remains after settlements and cancelled cycles.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NetDebt {
-    /// Partner that owes.
+    /// Partner that owes the debt.
     pub debtor: String,
-    /// Partner that is owed.
+    /// Partner to which the debt is owed.
     pub creditor: String,
     /// Bytes of the debt.
     pub bytes: u64,
 }
 
-/// The two sides of a pair differ by more than the terms allow; the lesser count is used.
+/// A difference between the counts of carrier and debtor that exceeds what the terms tolerate. If the carrier is
+/// metered, the smaller count is used, otherwise the debtor's.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Discrepancy {
-    /// Partner that carried.
+    /// Partner that carried the bytes.
     pub carrier: String,
-    /// Partner that owes it.
+    /// Partner that owes the bytes to the carrier.
     #[serde(rename = "owed_by")]
     pub debtor: String,
-    /// Bytes that the carrier's brokers count.
+    /// Bytes that the carrier's brokers counted.
     #[serde(rename = "said")]
     pub carrier_bytes: u64,
-    /// Bytes that the debtor's brokers count.
+    /// Bytes that the debtor's brokers counted.
     #[serde(rename = "seen")]
     pub debtor_bytes: u64,
 }
 
 impl Discrepancy {
-    /// Bytes that do not count.
+    /// Difference between the two counts, in bytes.
     pub fn uncounted_bytes(&self) -> u64 {
         self.carrier_bytes.abs_diff(self.debtor_bytes)
     }
 }
 
-/// A direction in which bytes are carried.
+/// A carrier and the partner that owes it the carried bytes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CarriedPair {
     carrier: String,
@@ -149,15 +150,18 @@
     }
 }
 
-/// Bytes of one pair, weighted by age.
+/// Bytes of one pair, with a weight that decays exponentially with their age.
 #[derive(Clone, Copy, Debug)]
-struct AgedBytes {
+struct DecayingBytes {
+    /// Time of the last update, in seconds.
     updated_at: f64,
+    /// Decayed sum of the bytes at `updated_at`.
     weight: f64,
+    /// Sum of the bytes without decay.
     known_bytes: u64,
 }
 
-impl AgedBytes {
+impl DecayingBytes {
     fn new(now: f64) -> Self {
         Self { updated_at: now, weight: 0.0, known_bytes: 0 }
     }
@@ -174,50 +178,52 @@
     }
 }
 
-/// Counts and ledger together, as one broker sees them. Counts may lag behind those of others, but never lead.
+/// Net debts as one broker computes them from counts and ledger. The broker may not know all counts of the other brokers
+/// yet.
 #[derive(Clone, Debug)]
 pub struct Balances {
     terms: SettlementTerms,
     partners: BrokerPartners,
     ledger: SettlementLedger,
-    /// Bytes that count, settled or not.
+    /// Bytes owed for each pair before any settlement is subtracted.
     gross: BTreeMap<CarriedPair, u64>,
-    aged: BTreeMap<CarriedPair, AgedBytes>,
+    decaying: BTreeMap<CarriedPair, DecayingBytes>,
     discrepancies: Vec<Discrepancy>,
 }
 
 impl Balances {
-    /// Balances without counts, which come with [`Balances::update_counts`].
+    /// Creates balances without counts. [`Balances::update_counts`] adds them.
     ///
     /// # Errors
-    /// A term is out of range.
+    /// Returns [`SettlementError::InvalidTerm`] if a term is out of range.
     pub fn new(
         terms: SettlementTerms,
         partners: BrokerPartners,
         ledger: SettlementLedger,
     ) -> Result<Balances, SettlementError> {
         terms.check()?;
-        let (gross, aged) = (BTreeMap::new(), BTreeMap::new());
-        Ok(Balances { terms, partners, ledger, gross, aged, discrepancies: Vec::new() })
+        let (gross, decaying) = (BTreeMap::new(), BTreeMap::new());
+        Ok(Balances { terms, partners, ledger, gross, decaying, discrepancies: Vec::new() })
     }
 
-    /// The terms that partners have agreed on.
+    /// Returns the terms that the partners have agreed on.
     pub fn terms(&self) -> &SettlementTerms {
         &self.terms
     }
 
-    /// The ledger, as far as the log was applied.
+    /// Returns the ledger with the log entries applied so far.
     pub fn ledger(&self) -> &SettlementLedger {
         &self.ledger
     }
 
-    /// Replaces everything that was applied by the ledger of a broker that is further in the log.
-    pub fn replace(&mut self, ledger: SettlementLedger) {
+    /// Replaces the ledger with that of a broker that has applied more of the log.
+    pub fn replace_ledger(&mut self, ledger: SettlementLedger) {
         self.ledger = ledger;
     }
 
-    /// With this fraction of what partners may carry and of how fast debts may change, for one of several planners.
-    pub fn fraction(&self, fraction: f64) -> Balances {
+    /// Returns a copy for one of several planners, with this fraction of the limits on carried bytes and on the change of
+    /// debts.
+    pub fn with_limits_scaled(&self, fraction: f64) -> Balances {
         let mut balances = self.clone();
         let max_carried_bytes = balances.terms.max_carried_bytes as f64;
         balances.terms.max_carried_bytes = (max_carried_bytes * fraction) as u64;
@@ -225,31 +231,32 @@
         balances
     }
 
-    /// Applies an entry of the consensus log, in its order.
+    /// Applies an entry to the ledger. Entries must be applied in the order of the consensus log.
     ///
     /// # Errors
-    /// As [`SettlementLedger::apply`].
+    /// Returns the same errors as [`SettlementLedger::apply`].
     pub fn apply(&mut self, entry: &SettlementEntry) -> Result<ApplyOutcome, SettlementError> {
         self.ledger.apply(entry)
     }
 
-    /// See [`SettlementLedger::close`].
-    pub fn close(&mut self, before: u64) {
-        self.ledger.close(before);
+    /// Rejects settlements for versions before this one from now on; see [`SettlementLedger::close_versions`].
+    pub fn close_versions(&mut self, before: u64) {
+        self.ledger.close_versions(before);
     }
 
-    /// Takes the counts as they are now.
+    /// Recomputes the gross debts and the discrepancies from `counts`.
     ///
-    /// What the debtor's brokers saw counts, as it is against their interest. Where the carrier counts, too, only the lesser
-    /// of both does: a partner that claims ten times what it carried gets what the other side saw. Brokers of neither side
-    /// count in full: each query passes one broker. All of these only grow, so the result only grows.
+    /// The count of the debtor's brokers is used, because it is against the debtor's interest. If the carrier is metered, the
+    /// smaller of both counts is used, so a carrier cannot claim more than the debtor's brokers saw. Counts of brokers that
+    /// belong to neither partner are added in full, because each query passes through only one broker. All counts only grow,
+    /// so the gross debts only grow.
     pub fn update_counts(&mut self, now: f64, counts: &CarriedCounts) {
         self.discrepancies.clear();
         for (carrier, debtor) in counts.pairs() {
-            let by_partner = |partner: &str| {
+            let total_seen_by = |partner: &str| {
                 counts.total_of(&carrier, &debtor, |broker| self.partners.partner(broker) == Some(partner))
             };
-            let (carrier_bytes, debtor_bytes) = (by_partner(&carrier), by_partner(&debtor));
+            let (carrier_bytes, debtor_bytes) = (total_seen_by(&carrier), total_seen_by(&debtor));
             let is_witness = |broker: &str| {
                 self.partners.partner(broker).is_none_or(|partner| partner != carrier && partner != debtor)
             };
@@ -267,45 +274,48 @@
         }
     }
 
+    /// Raises the gross debt of a pair to `bytes` if it is lower, and updates the decaying weight.
     fn raise_gross(&mut self, now: f64, pair: CarriedPair, bytes: u64) {
         let gross = self.gross.entry(pair.clone()).or_default();
         *gross = bytes.max(*gross);
-        let aged = self.aged.entry(pair).or_insert(AgedBytes::new(now));
-        aged.update(now, *gross, self.terms.half_life_seconds);
+        let decaying = self.decaying.entry(pair).or_insert(DecayingBytes::new(now));
+        decaying.update(now, *gross, self.terms.half_life_seconds);
     }
 
-    /// Pairs whose sides disagreed in the last counts.
+    /// Returns the discrepancies found by the last [`Balances::update_counts`].
     pub fn discrepancies(&self) -> &[Discrepancy] {
         &self.discrepancies
     }
 
-    /// All that `debtor` ever owed `carrier`, settled or not.
+    /// Returns the bytes that `debtor` has ever owed `carrier`, settled or not.
     pub fn gross(&self, carrier: &str, debtor: &str) -> u64 {
         self.gross.get(&CarriedPair::new(carrier, debtor)).copied().unwrap_or(0)
     }
 
-    /// Bytes settled, up to the debt; a settlement whose debt is not known yet counts once it is.
+    /// Returns the settled bytes of what `debtor` owes `creditor`, capped at the known gross debt. The rest of the settlements
+    /// counts once the counts of its debt have arrived.
     pub fn settled(&self, debtor: &str, creditor: &str) -> u64 {
         self.ledger.settled(debtor, creditor).min(self.gross(creditor, debtor))
     }
 
-    /// Bytes settled beyond what was seen: counts are still in flight, or the debt was never split.
+    /// Returns the bytes settled beyond the known gross debt. Counts of the debt have not arrived yet, or the debt was never
+    /// split, in which case the ledger limits nothing.
     pub fn settled_beyond_debt(&self, debtor: &str, creditor: &str) -> u64 {
         self.ledger.settled(debtor, creditor) - self.settled(debtor, creditor)
     }
 
-    /// What `debtor` owes `creditor` between the two of them; negative if it is owed. A settlement counts as a byte carried
-    /// the other way.
+    /// Returns what `debtor` owes `creditor` after offsetting the debts between the two, in bytes; negative if `creditor`
+    /// owes `debtor`. A settled byte counts like a byte carried in the other direction.
     pub fn balance(&self, debtor: &str, creditor: &str) -> i128 {
         self.unsettled(debtor, creditor) - self.unsettled(creditor, debtor)
     }
 
-    /// What was carried for `debtor` and is not settled, whatever was carried the other way.
+    /// Returns the unsettled bytes that `creditor` carried for `debtor`, regardless of what `debtor` carried for `creditor`.
     fn unsettled(&self, debtor: &str, creditor: &str) -> i128 {
         i128::from(self.gross(creditor, debtor)) - i128::from(self.settled(debtor, creditor))
     }
 
-    /// Open debts with cycles cancelled, by debtor and creditor.
+    /// Returns the open debts with cycles cancelled, sorted by debtor and creditor.
     pub fn net_debts(&self) -> Vec<NetDebt> {
         let mut open = OpenDebts::default();
         for pair in self.gross.keys() {
@@ -327,7 +337,7 @@
         .collect()
     }
 
-    /// One of the net debts.
+    /// Returns the net debt of `debtor` to `creditor` in bytes; 0 if there is none.
     pub fn net_debt(&self, debtor: &str, creditor: &str) -> u64 {
         let net = self.net_debts();
         net.iter()
@@ -335,11 +345,11 @@
             .map_or(0, |debt| debt.bytes)
     }
 
-    /// Weight of a debt in the order of service: its recent bytes count fully, the others by age.
+    /// Returns the weight of a debt in the service order: its bytes, scaled down by their age.
     pub fn service_weight(&self, debt: &NetDebt, now: f64) -> f64 {
         let key = CarriedPair::new(&debt.creditor, &debt.debtor);
-        let recent_ratio = self.aged.get(&key).map_or(1.0, |aged| {
-            aged.decayed_weight(now, self.terms.half_life_seconds) / aged.known_bytes.max(1) as f64
+        let recent_ratio = self.decaying.get(&key).map_or(1.0, |decaying| {
+            decaying.decayed_weight(now, self.terms.half_life_seconds) / decaying.known_bytes.max(1) as f64
         });
         debt.bytes as f64 * recent_ratio.clamp(MIN_WEIGHT_RATIO, 1.0)
     }
--- a/crates/dunepond-settlement/src/counts.rs
+++ b/crates/dunepond-settlement/src/counts.rs
@@ -1,4 +1,4 @@
-//! What brokers saw of the traffic between partners: a state-based CRDT that only grows.
+//! Traffic between partners as counted by brokers, in a grow-only state-based CRDT.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,22 +7,23 @@
 
 use crate::SettlementError;
 
-/// Incarnations of one broker that are retained unfolded; more only come from starts without a folder.
-const MAX_UNFOLDED_COUNT: usize = 16;
-/// Cells (broker, incarnation, pair) in one message from a peer.
-const MAX_CELL_COUNT: usize = 100_000;
+/// Maximum number of incarnations of one broker that are kept without folding. Only starts without the stored counts lead to
+/// more.
+const MAX_UNFOLDED_INCARNATIONS: usize = 16;
+/// Maximum number of cells in one message from a peer; a cell is the count of one broker, incarnation, carrier and debtor.
+const MAX_CELLS_PER_MESSAGE: usize = 100_000;
 
-/// Bytes by carrier and debtor. The library merges counters by their greater value.
-type Carried = BTreeMap<String, VClock<String>>;
+/// Bytes by carrier, then by debtor. `VClock` keeps the greater of two counters when it merges them.
+type CarriedBytes = BTreeMap<String, VClock<String>>;
 
-fn merge_carried(into: &mut Carried, other: &Carried) {
+fn merge_carried(into: &mut CarriedBytes, other: &CarriedBytes) {
     for (carrier, bytes_by_debtor) in other {
         into.entry(carrier.clone()).or_default().merge(bytes_by_debtor.clone());
     }
 }
 
-/// Adds cell by cell; only for different incarnations, which count nothing twice.
-fn add_carried(into: &mut Carried, other: &Carried) {
+/// Adds the counts of `other` cell by cell. Only valid for different incarnations, which never count the same bytes.
+fn add_carried(into: &mut CarriedBytes, other: &CarriedBytes) {
     for (carrier, bytes_by_debtor) in other {
         let into = into.entry(carrier.clone()).or_default();
         for cell in bytes_by_debtor.iter() {
@@ -36,115 +37,125 @@
     bytes_by_debtor.apply(crdts::Dot::new(debtor.to_string(), sum));
 }
 
-fn has_higher_cell(carried: &Carried, than: &Carried) -> bool {
+/// Whether a cell of `carried` is greater than the same cell of `than`.
+fn has_higher_cell(carried: &CarriedBytes, than: &CarriedBytes) -> bool {
     carried.iter().any(|(carrier, bytes_by_debtor)| {
         let known = |debtor: &String| than.get(carrier).map_or(0, |clock| clock.get(debtor));
         bytes_by_debtor.iter().any(|cell| cell.counter > known(cell.actor))
     })
 }
 
-/// One broker's counts: incarnations before `through` folded into one sum, the others each by itself.
+/// One broker's counts. Incarnations before `first_unfolded` are folded into one sum, later ones are kept separately.
 ///
-/// A join of rows is lexicographic: the greater `through` replaces the sum, and drops the incarnations below it. A chain of
-/// semilattices is a semilattice, so late and duplicated rows change nothing. That the sum loses nothing is ensured by the
-/// only writer that folds; see [`LocalCounts::open`].
+/// Merging is lexicographic: the row with the greater `first_unfolded` replaces the sum and drops the incarnations below it.
+/// This order is a semilattice, so late and duplicated rows change nothing. Only the broker itself folds its row, which
+/// ensures that the sum is complete; see [`LocalCounts::open`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Row {
-    /// The first incarnation that is not folded.
-    through: u64,
-    folded: Carried,
-    /// Later counts, by the broker's incarnation.
+    /// First incarnation that is not part of `folded`.
+    #[serde(rename = "through")]
+    first_unfolded: u64,
+    /// Sum of all incarnations before `first_unfolded`.
+    folded: CarriedBytes,
+    /// Counts of the other incarnations of the broker, by incarnation.
     #[serde(rename = "live")]
-    unfolded: BTreeMap<u64, Carried>,
+    unfolded: BTreeMap<u64, CarriedBytes>,
 }
 
 impl Row {
     fn merge(&mut self, other: &Row) {
-        if other.through > self.through {
-            (self.through, self.folded) = (other.through, other.folded.clone());
-        } else if other.through == self.through {
+        if other.first_unfolded > self.first_unfolded {
+            (self.first_unfolded, self.folded) = (other.first_unfolded, other.folded.clone());
+        } else if other.first_unfolded == self.first_unfolded {
             merge_carried(&mut self.folded, &other.folded);
         }
         for (incarnation, carried) in &other.unfolded {
             merge_carried(self.unfolded.entry(*incarnation).or_default(), carried);
         }
-        self.unfolded = self.unfolded.split_off(&self.through);
+        self.unfolded = self.unfolded.split_off(&self.first_unfolded);
     }
 
-    fn fold(&mut self, through: u64) {
-        let unfolded = self.unfolded.split_off(&through);
+    /// Adds all incarnations before `first_unfolded` to the folded sum.
+    fn fold(&mut self, first_unfolded: u64) {
+        let unfolded = self.unfolded.split_off(&first_unfolded);
         for carried in std::mem::replace(&mut self.unfolded, unfolded).values() {
             add_carried(&mut self.folded, carried);
         }
-        self.through = self.through.max(through);
+        self.first_unfolded = self.first_unfolded.max(first_unfolded);
     }
 
-    fn parts(&self) -> impl Iterator<Item = &Carried> {
+    /// The folded sum, then the counts of each unfolded incarnation.
+    fn parts(&self) -> impl Iterator<Item = &CarriedBytes> {
         std::iter::once(&self.folded).chain(self.unfolded.values())
     }
 
-    fn height(&self) -> Height {
+    fn progress(&self) -> RowProgress {
         let clocks = self.parts().flat_map(|carried| carried.values());
         let cells = clocks.flat_map(|clock| clock.dots.values());
-        Height {
-            through: self.through,
+        RowProgress {
+            first_unfolded: self.first_unfolded,
             unfolded_count: self.unfolded.len(),
             total_bytes: cells.map(|bytes| u128::from(*bytes)).sum(),
         }
     }
 
+    /// The newest incarnation that the row contains; `None` if it contains none.
     fn newest_incarnation(&self) -> Option<u64> {
-        self.unfolded.keys().next_back().copied().max(self.through.checked_sub(1))
+        self.unfolded.keys().next_back().copied().max(self.first_unfolded.checked_sub(1))
     }
 }
 
-/// Measure of how much a row knows. A merge can only raise it, and raises it whenever the row changes, so comparing heights
+/// Measure of a row's content. A merge that changes the row raises it and no merge lowers it, so comparing two values
 /// detects a change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Height {
-    through: u64,
+pub(crate) struct RowProgress {
+    first_unfolded: u64,
     unfolded_count: usize,
     total_bytes: u128,
 }
 
-/// Bytes that each partner carried for each other, as each broker saw it. Merging is commutative, associative and
-/// idempotent, so rows may come in any order, doubled and late.
+/// Bytes that partners carried for each other, as counted by each broker. There is one row per broker. Merging is
+/// commutative, associative and idempotent, so rows may arrive out of order, more than once and late.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CarriedCounts {
     rows: BTreeMap<String, Row>,
 }
 
 impl CarriedCounts {
-    /// Counts without any traffic.
+    /// Creates counts without any traffic.
     pub fn new() -> CarriedCounts {
         CarriedCounts::default()
     }
 
-    /// Counts `bytes` that `carrier` carried for a tenant of `debtor`, as `broker` saw in this incarnation of its own.
+    /// Adds `bytes` that `carrier` carried for a tenant of `debtor`, as seen by `broker` in this incarnation of the broker.
+    ///
+    /// Has no effect if `carrier` is `debtor`, `bytes` is 0 or the incarnation is already folded.
     pub fn record(&mut self, broker: &str, incarnation: u64, carrier: &str, debtor: &str, bytes: u64) {
         if carrier == debtor || bytes == 0 {
             return;
         }
         let row = self.rows.entry(broker.to_string()).or_default();
-        if incarnation < row.through {
+        if incarnation < row.first_unfolded {
             return;
         }
         let carried = row.unfolded.entry(incarnation).or_default();
         add_bytes(carried.entry(carrier.to_string()).or_default(), debtor, bytes);
     }
 
-    /// Merges counts of any origin.
+    /// Merges other counts without checking who sent them.
     pub fn merge(&mut self, other: &CarriedCounts) {
         for (broker, row) in &other.rows {
             self.rows.entry(broker.clone()).or_default().merge(row);
         }
     }
 
-    /// Merges what a peer sent. A row of one partner's broker is accepted from that partner, or from brokers of no partner,
-    /// and never from another one: a creditor cannot write what its debtor saw. Returns how many rows were rejected.
+    /// Merges the counts that the peer `from` sent, and returns the number of rejected rows.
+    ///
+    /// A row of a partner's broker is accepted only from brokers of the same partner or of no partner, so a creditor cannot
+    /// forge the counts of its debtor.
     ///
     /// # Errors
-    /// The message has too many cells; nothing was merged.
+    /// Returns [`SettlementError::TooManyCells`] if the message has too many cells. Nothing is merged in that case.
     pub fn merge_from(
         &mut self,
         from: &str,
@@ -152,9 +163,9 @@
         partners: &BrokerPartners,
     ) -> Result<usize, SettlementError> {
         let cells = other.cell_count();
-        if cells > MAX_CELL_COUNT {
+        if cells > MAX_CELLS_PER_MESSAGE {
             let (from, brokers) = (from.to_string(), other.rows.len());
-            return Err(SettlementError::TooManyCells { from, brokers, cells, max: MAX_CELL_COUNT });
+            return Err(SettlementError::TooManyCells { from, brokers, cells, max: MAX_CELLS_PER_MESSAGE });
         }
         let mut rejected_count = 0;
         for (broker, row) in &other.rows {
@@ -167,25 +178,28 @@
         Ok(rejected_count)
     }
 
-    pub(crate) fn heights(&self) -> impl Iterator<Item = (&str, Height)> {
-        self.rows.iter().map(|(broker, row)| (broker.as_str(), row.height()))
+    /// Each broker in the counts, with the progress of its row.
+    pub(crate) fn row_progress_by_broker(&self) -> impl Iterator<Item = (&str, RowProgress)> {
+        self.rows.iter().map(|(broker, row)| (broker.as_str(), row.progress()))
     }
 
+    /// A copy with only the rows of the brokers for which `is_included` is true.
     pub(crate) fn rows_where(&self, is_included: impl Fn(&str) -> bool) -> CarriedCounts {
         let rows = self.rows.iter().filter(|(broker, _)| is_included(broker));
         CarriedCounts { rows: rows.map(|(broker, row)| (broker.clone(), row.clone())).collect() }
     }
 
-    pub(crate) fn height(&self, broker: &str) -> Option<Height> {
-        self.rows.get(broker).map(Row::height)
+    /// Progress of a broker's row; `None` if the counts have no row of this broker.
+    pub(crate) fn row_progress(&self, broker: &str) -> Option<RowProgress> {
+        self.rows.get(broker).map(Row::progress)
     }
 
-    /// Bytes that all brokers saw.
+    /// Returns the bytes that `carrier` carried for `debtor`, summed over all brokers.
     pub fn total(&self, carrier: &str, debtor: &str) -> u64 {
         self.total_of(carrier, debtor, |_| true)
     }
 
-    /// Bytes that the selected brokers saw.
+    /// Returns the bytes that `carrier` carried for `debtor`, summed over the brokers for which `is_selected` is true.
     pub fn total_of(&self, carrier: &str, debtor: &str, is_selected: impl Fn(&str) -> bool) -> u64 {
         let rows = self.rows.iter().filter(|(broker, _)| is_selected(broker));
         let clocks = rows.flat_map(|(_, row)| row.parts()).filter_map(|carried| carried.get(carrier));
@@ -193,7 +207,7 @@
         bytes.fold(0, u64::saturating_add)
     }
 
-    /// Each ordered pair (carrier, debtor) with a count.
+    /// Returns all pairs (carrier, debtor) for which a broker has counted bytes, sorted.
     pub fn pairs(&self) -> Vec<(String, String)> {
         let mut pairs = BTreeSet::new();
         for (carrier, bytes_by_debtor) in self.rows.values().flat_map(Row::parts).flatten() {
@@ -202,30 +216,31 @@
         pairs.into_iter().collect()
     }
 
-    /// Cells of broker, incarnation and pair: the size in memory.
+    /// Returns the number of cells, one for each broker, incarnation, carrier and debtor. It determines the size in memory.
     pub fn cell_count(&self) -> usize {
         let carried = self.rows.values().flat_map(Row::parts).flatten();
         carried.map(|(_, bytes_by_debtor)| bytes_by_debtor.dots.len()).sum()
     }
 }
 
-/// Which partner a broker belongs to. A broker of no partner serves tenants of all, and is a witness for both sides.
+/// Assignment of brokers to partners. A broker without a partner serves tenants of all partners, and its counts are trusted
+/// by both sides of a debt.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BrokerPartners {
-    /// Name of the partner, by name of the broker.
+    /// Names of partners, by name of their broker.
     pub partner_of: BTreeMap<String, String>,
-    /// Partners whose brokers also count what their own nodes carry. Configured, and not derived from the counts so far: a
-    /// debt would shrink when a first count came late.
+    /// Partners whose brokers also count what the partner's own nodes carry. This is configured and not derived from the
+    /// counts, because a debt would shrink when the first such count arrived late.
     pub metered: BTreeSet<String>,
 }
 
 impl BrokerPartners {
-    /// Partner of the broker.
+    /// Returns the partner to which the broker belongs; `None` if it belongs to no partner.
     pub fn partner(&self, broker: &str) -> Option<&str> {
         self.partner_of.get(broker).map(String::as_str)
     }
 
-    /// Whether `from` may send what `broker` saw.
+    /// Whether the counts of `broker` are accepted from the peer `from`.
     fn may_send(&self, from: &str, broker: &str) -> bool {
         match (self.partner(broker), self.partner(from)) {
             (Some(partner), Some(sender)) => partner == sender,
@@ -234,28 +249,31 @@
     }
 }
 
-/// One broker's own counts, as its folder holds them.
+/// Counts as one broker stores them in its folder: its own row and the rows received from peers.
 ///
-/// Invariant of the host: *they are stored before they are sent to a peer*. Then no peer ever knows more of a finished
-/// incarnation than the folder does, and the fold at the next start loses nothing.
+/// The caller must store the counts before it sends them to a peer. Then no peer knows more about a finished incarnation than
+/// the stored counts do, and folding at the next start loses nothing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LocalCounts {
     broker: String,
     incarnation: u64,
-    /// Since this incarnation the folder has had no gap.
+    /// First incarnation from which the stored counts are complete.
     #[serde(rename = "first")]
     first_complete: u64,
     counts: CarriedCounts,
 }
 
 impl LocalCounts {
-    /// At a start, with what the folder had. Finished incarnations are folded into one sum: only by the broker itself, once,
-    /// and only those that its own folder saw from beginning to end. Incarnations that it knows from peers alone (its folder
-    /// was lost) may be incomplete: they stay unfolded, and with them the later ones, up to a limit. Beyond that
-    /// they are folded as known; what was still in flight is lost, never counted twice.
+    /// Opens the counts at the start of a broker. `saved` holds the stored counts; `None` starts with empty counts.
+    ///
+    /// Finished incarnations are folded into one sum, which only the broker itself does. If the broker lost its folder, it
+    /// knows earlier incarnations only from peers, and those counts may be incomplete. Such incarnations and all later ones
+    /// stay unfolded until there are more than 16 of them. They are then folded as known: counts that have
+    /// not arrived by then are lost, but none is counted twice.
     ///
     /// # Errors
-    /// The folder is another broker's, or newer than this start.
+    /// Returns [`SettlementError::OtherBroker`] if the stored counts belong to another broker, and
+    /// [`SettlementError::StaleIncarnation`] if they are from this incarnation or a later one.
     pub fn open(
         saved: Option<LocalCounts>,
         broker: &str,
@@ -276,23 +294,26 @@
         if let Some(row) = local.counts.rows.get_mut(broker) {
             let oldest = row.unfolded.keys().next();
             let is_complete = oldest.is_none_or(|oldest| *oldest >= local.first_complete);
-            if is_complete || row.unfolded.len() > MAX_UNFOLDED_COUNT {
+            if is_complete || row.unfolded.len() > MAX_UNFOLDED_INCARNATIONS {
                 row.fold(incarnation);
             }
         }
         Ok(local)
     }
 
-    /// Counts traffic in this incarnation.
+    /// Adds `bytes` that `carrier` carried for `debtor` to this broker's counts in its present incarnation.
     pub fn record(&mut self, carrier: &str, debtor: &str, bytes: u64) {
         self.counts.record(&self.broker, self.incarnation, carrier, debtor, bytes);
     }
 
-    /// Merges what a peer sent; see [`CarriedCounts::merge_from`]. Where peers know more of this very incarnation, the folder
-    /// was an old copy: a new incarnation begins, so that no count hides below another.
+    /// Merges the counts that the peer `from` sent, as [`CarriedCounts::merge_from`] does, and returns the number of rejected
+    /// rows.
+    ///
+    /// If the peer knows more about this broker's present incarnation, the folder was an old copy. The broker then continues
+    /// under a new incarnation, because a merge keeps only the greater count of a cell and would lose the new bytes.
     ///
     /// # Errors
-    /// As there.
+    /// Returns the same errors as [`CarriedCounts::merge_from`].
     pub fn merge_from_peer(
         &mut self,
         from: &str,
@@ -309,22 +330,22 @@
         Ok(rejected_count)
     }
 
-    /// The newest incarnation of a peer's row of this broker, if the peer knows more than this broker.
+    /// The newest incarnation in a peer's copy of this broker's row, if that copy has counts that this broker lacks.
     fn newer_incarnation(&self, row: &Row) -> Option<u64> {
         let newest = row.newest_incarnation()?;
-        let nothing = Carried::new();
+        let no_bytes = CarriedBytes::new();
         let known = self.counts.rows.get(&self.broker).and_then(|row| row.unfolded.get(&self.incarnation));
         let received = row.unfolded.get(&self.incarnation);
-        let has_more = received.is_some_and(|received| has_higher_cell(received, known.unwrap_or(&nothing)));
+        let has_more = received.is_some_and(|received| has_higher_cell(received, known.unwrap_or(&no_bytes)));
         (has_more || newest > self.incarnation).then_some(newest)
     }
 
-    /// Of all brokers, as far as known.
+    /// Returns the counts of all brokers, as far as this broker knows them.
     pub fn counts(&self) -> &CarriedCounts {
         &self.counts
     }
 
-    /// The present incarnation.
+    /// Returns this broker's present incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
--- a/crates/dunepond-settlement/src/demand.rs
+++ b/crates/dunepond-settlement/src/demand.rs
@@ -1,4 +1,4 @@
-//! Inputs and result of the planner.
+//! Inputs and results of the fill planner.
 
 use std::collections::BTreeMap;
 
@@ -6,38 +6,39 @@
 
 use crate::Fill;
 
-/// Margin above the expected units of a window.
-const MARGIN_STANDARD_DEVIATION_COUNT: f64 = 3.0;
-const MARGIN_UNIT_COUNT: f64 = 3.0;
+/// Margin above the expected units of a window, in standard deviations of a Poisson count.
+const MARGIN_STANDARD_DEVIATIONS: f64 = 3.0;
+/// Margin above the expected units of a window, in units, in addition to [`MARGIN_STANDARD_DEVIATIONS`].
+const MARGIN_UNITS: f64 = 3.0;
 
 /// A replica that has to be filled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FillDemand {
-    /// Number of the version whose map requires it.
+    /// Number of the configuration version whose shard map requires the replica.
     pub version: u64,
-    /// Id of the segment.
+    /// Id of the segment to copy.
     pub segment: u64,
-    /// Node to fill.
+    /// Name of the node to fill.
     #[serde(rename = "holder")]
     pub node: String,
-    /// Its partner.
+    /// Partner to which the filled node belongs.
     #[serde(rename = "holder_partner")]
     pub partner: String,
-    /// Filled replicas.
+    /// Filled replicas of the segment, from which it can be copied.
     pub sources: Vec<FillSource>,
-    /// Size of the segment.
+    /// Size of the segment in bytes.
     pub bytes: u64,
-    /// The start of the node that emptied it; 0 for a replica that the version adds.
+    /// Number of the node's start after which the replica was empty; 0 for a replica that the version adds.
     pub start: u64,
 }
 
-/// A filled replica. Serialised as a pair.
+/// A filled replica of a segment, from which the segment can be copied. Serialized as a pair of node and partner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, String)", into = "(String, String)")]
 pub struct FillSource {
-    /// Name of the node.
+    /// Name of the node that has the replica.
     pub node: String,
-    /// Its partner.
+    /// Partner to which the node belongs.
     pub partner: String,
 }
 
@@ -54,43 +55,44 @@
 }
 
 impl FillDemand {
-    /// `VERSION/SEGMENT/NODE`, with `+START` where a start of the node emptied it.
+    /// Returns the id of the demand and of its fill: `VERSION/SEGMENT/NODE`, followed by `+START` if a start of the node
+    /// emptied the replica.
     pub fn id(&self) -> String {
         let id = Fill::id_of(self.version, self.segment, &self.node);
         if self.start == 0 { id } else { format!("{id}+{}", self.start) }
     }
 }
 
-/// A direction between two partners, by name.
+/// An ordered pair of partners.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PartnerPair {
-    /// Partner that bytes come from, or that owes them.
+    /// Name of the partner that sends bytes or owes them.
     pub from: String,
-    /// Partner that they go to, or that is owed.
+    /// Name of the partner that receives bytes or is owed them.
     pub to: String,
 }
 
 impl PartnerPair {
-    /// The direction from one partner to another.
+    /// Creates the pair of two partners, given by name.
     pub fn new(from: &str, to: &str) -> Self {
         Self { from: from.to_string(), to: to.to_string() }
     }
 }
 
-/// Bytes a second that fills may use from one partner to another, over all brokers together.
+/// Rates in bytes per second that fills may use between partners and inside a partner, summed over all brokers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkCapacities {
-    /// Highest rate by the source's partner and the filled node's.
+    /// Maximum total rate of fills from the source's partner to the filled node's partner, in bytes per second.
     pub rate_caps: BTreeMap<PartnerPair, f64>,
-    /// Highest rate for a pair that is not listed.
+    /// Maximum rate in bytes per second for a pair of different partners that is not in `rate_caps`.
     pub default_rate_cap: f64,
-    /// For fills between nodes of one partner.
+    /// Maximum rate in bytes per second of fills inside one partner that is not in `rate_caps`.
     pub internal_rate_cap: f64,
 }
 
 impl LinkCapacities {
-    /// This fraction of every rate, for a planner that is one of several.
-    pub fn fraction(&self, fraction: f64) -> LinkCapacities {
+    /// Returns the capacities multiplied by `fraction`, for one of several planners.
+    pub fn scaled(&self, fraction: f64) -> LinkCapacities {
         LinkCapacities {
             rate_caps: self.rate_caps.iter().map(|(pair, cap)| (pair.clone(), cap * fraction)).collect(),
             default_rate_cap: self.default_rate_cap * fraction,
@@ -98,97 +100,103 @@
         }
     }
 
-    /// Highest rate from one partner to another, or inside one.
+    /// Returns the maximum rate in bytes per second from one partner to another, or inside a partner if both are the same.
     pub fn rate_cap(&self, from: &str, to: &str) -> f64 {
-        let otherwise = if from == to { self.internal_rate_cap } else { self.default_rate_cap };
-        self.rate_caps.get(&PartnerPair::new(from, to)).copied().unwrap_or(otherwise)
+        let default_cap = if from == to { self.internal_rate_cap } else { self.default_rate_cap };
+        self.rate_caps.get(&PartnerPair::new(from, to)).copied().unwrap_or(default_cap)
     }
 }
 
-/// What a node in slow start may be sent in each window, by all brokers together.
+/// Work that nodes in slow start may receive in each window, summed over all brokers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStartCapacity {
-    /// Length of a window.
+    /// Length of a window in seconds.
     pub window_seconds: f64,
-    /// Size of one unit.
+    /// Size of one unit in bytes.
     pub unit_bytes: u64,
-    /// By name; a node that is not listed has no limit.
+    /// Capacities by name of the node. A node that is not listed has no limit.
     pub nodes: BTreeMap<String, NodeCapacity>,
 }
 
-/// Units of one node in a window.
+/// Capacity of a node in slow start, in units per window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeCapacity {
-    /// Units that it is expected to get.
+    /// Units that the node is expected to receive in a window.
     pub expected_units: f64,
-    /// Units that queries use already.
+    /// Units of a window that queries already use.
     pub used_units: f64,
 }
 
-/// The most that a node in slow start may get where `expected_units` are intended: a margin of three standard deviations
-/// of a Poisson count, and three units.
-pub fn max_units(expected_units: f64) -> f64 {
-    expected_units + MARGIN_STANDARD_DEVIATION_COUNT * expected_units.sqrt() + MARGIN_UNIT_COUNT
+/// Returns the maximum units that a node in slow start may receive in a window in which `expected_units` are expected. The
+/// margin is three standard deviations of a Poisson count plus three units.
+pub fn max_slow_start_units(expected_units: f64) -> f64 {
+    expected_units + MARGIN_STANDARD_DEVIATIONS * expected_units.sqrt() + MARGIN_UNITS
 }
 
 impl SlowStartCapacity {
-    /// Bytes a second that fills may send to the node. A unit is counted when it starts, so a steady flow may put one more
-    /// into a window than its rate says: that one stays free.
+    /// Returns the rate in bytes per second that fills may send to the node; infinite if the node has no limit.
+    ///
+    /// A unit is counted when it starts, so a steady flow can put one more unit into a window than its rate implies. One unit
+    /// is kept free for this.
     pub fn rate_cap(&self, node: &str) -> f64 {
         let Some(capacity) = self.nodes.get(node) else { return f64::INFINITY };
-        let free_units = max_units(capacity.expected_units) - capacity.used_units - 1.0;
+        let free_units = max_slow_start_units(capacity.expected_units) - capacity.used_units - 1.0;
         free_units.max(0.0) * self.unit_bytes as f64 / self.window_seconds
     }
 }
 
-/// How the order of service and the sources are chosen.
+/// Rule by which the planner chooses the next demand and its source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlanningRule {
-    /// The partner that is owed most is served first, from the partner that owes it most.
+    /// Serves the partner that is owed most first, and fills it from the partner that owes it most.
     MaxMin,
-    /// Partners in turn, each with a quantum that grows with what it is owed; sources as in `MaxMin`.
+    /// Serves the partners in turn, each with a quantum that grows with what it is owed. Sources are chosen as with
+    /// [`PlanningRule::MaxMin`].
     DeficitRoundRobin,
-    /// Demands in their order, each from the source with the fastest free link: the baseline.
+    /// Serves the demands in the given order, each from the source whose link has the highest free rate. Serves as the
+    /// baseline for comparisons.
     Cheapest,
 }
 
-/// Why a demand has no fill now.
+/// Reason why the planner has not started a fill for a demand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum WaitReason {
-    /// Its fill is running.
+    /// The demand's fill is already running.
     Running,
-    /// No other node is filled.
+    /// No other node has a filled replica of the segment.
     NoSource,
-    /// No link from a source has the minimum rate free.
+    /// No link from a source has the minimum fill rate free.
     Link,
-    /// The node is in slow start and has no capacity.
+    /// The node is in slow start, and its free rate is below the minimum fill rate.
     #[serde(rename = "Cold")]
     SlowStart,
-    /// It would change a debt too much.
+    /// The fill is too large for the limits per fill or per window, or would raise a debt above its limit.
     #[serde(rename = "Far")]
     DebtSize,
-    /// It would change a debt too fast.
+    /// The fills between the two partners in this window would exceed the limit on the change of a debt, or the pair is
+    /// reserved for a partner that has waited too long.
     #[serde(rename = "Fast")]
     DebtSpeed,
-    /// The sources' partners have carried their limit in this window.
+    /// The source's partner would carry more in this window than its limit, or its capacity is reserved for a partner that
+    /// has waited too long.
     #[serde(rename = "Carry")]
     CarryLimit,
 }
 
-/// Result of one call of the planner.
+/// Result of one call of [`crate::FillPlanner::plan`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FillPlan {
-    /// Fills to be started now.
+    /// Fills to start now.
     pub fills: Vec<Fill>,
-    /// Demands that have to wait.
+    /// Demands for which no fill starts now.
     pub waiting: Vec<WaitingDemand>,
 }
 
-/// A demand that has no fill now.
+/// A demand for which no fill starts now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaitingDemand {
-    /// Id of the demand, as [`FillDemand::id`].
+    /// Id of the demand, as returned by [`FillDemand::id`].
     pub id: String,
-    /// Why it waits.
+    /// Why no fill starts now.
     pub reason: WaitReason,
 }
--- a/crates/dunepond-settlement/src/error.rs
+++ b/crates/dunepond-settlement/src/error.rs
@@ -1,195 +1,207 @@
-//! Why an entry, a message or a setting is rejected, and what an operator can do about it.
+//! Errors for rejected entries, messages and settings, with advice for the operator.
 
 use thiserror::Error;
 
-/// Something was rejected; nothing changed by it.
+/// Reason why an entry, a message, a setting or stored data was rejected. The rejected input has changed no state.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettlementError {
-    /// A name is not usable in ids.
-    #[error("the name {name:?} is empty or holds '@'")]
+    /// A broker's name cannot be used in settlement ids.
+    #[error("the broker name {name:?} is empty or contains '@'")]
     InvalidName {
-        /// The name that was given.
+        /// The rejected name.
         name: String,
     },
-    /// The folder belongs to another broker.
-    #[error("the folder holds the counts of broker {stored}, this is {broker}")]
+    /// The stored counts belong to another broker.
+    #[error("the folder holds the counts of broker {stored}, but this is broker {broker}")]
     OtherBroker {
-        /// What the folder holds.
+        /// Name of the broker whose counts are in the folder.
         stored: String,
-        /// This broker.
+        /// Name of this broker.
         broker: String,
     },
-    /// The folder is newer than this start.
-    #[error("broker {broker} starts as incarnation {incarnation}, its folder already holds {stored}")]
+    /// The stored counts are from this incarnation of the broker or a later one.
+    #[error(
+        "broker {broker} starts as incarnation {incarnation}, but its folder already holds counts of incarnation {stored}"
+    )]
     StaleIncarnation {
-        /// This broker.
+        /// Name of this broker.
         broker: String,
-        /// Incarnation of this start.
+        /// Incarnation with which the broker starts.
         incarnation: u64,
-        /// What the folder holds.
+        /// Incarnation of the stored counts.
         stored: u64,
     },
-    /// A message has more cells than are accepted.
-    #[error("counts of {brokers} brokers and {cells} pairs came from {from}, at most {max} are taken")]
+    /// A peer's counts have more cells than are accepted in one message.
+    #[error(
+        "the counts from {from} have {cells} cells for {brokers} brokers; at most {max} cells are accepted"
+    )]
     TooManyCells {
-        /// Sender.
+        /// Name of the peer that sent the message.
         from: String,
-        /// Brokers in the message.
+        /// Number of brokers whose counts are in the message.
         brokers: usize,
-        /// Cells in the message.
+        /// Number of cells in the message, one for each broker, incarnation, carrier and debtor.
         cells: usize,
-        /// Most cells of a message.
+        /// Maximum number of cells in a message.
         max: usize,
     },
-    /// A term is out of range. Of the terms the operator's file sets one: `most-rate`, by `fills rate=`, whose own range lies
-    /// within that of the term.
-    #[error("terms of debts: {key} is {value}, wanted is {expected}")]
+    /// A settlement term is out of range. The operator's file sets only one of the terms: `most-rate`, by `fills rate=`, and
+    /// every value that the file accepts for it is in range.
+    #[error("settlement terms: {key} is {value}, expected {expected}")]
     InvalidTerm {
         /// Name of the term.
         key: &'static str,
-        /// Value of the term.
+        /// Value of the term that was rejected.
         value: f64,
-        /// What was expected.
+        /// Description of the accepted values.
         expected: &'static str,
     },
-    /// The fill has settled otherwise.
-    #[error("settlement {id}: fill {fill} has settled already, as {before}")]
+    /// The fill was already settled under another settlement id.
+    #[error("settlement {id}: fill {fill} is already settled by settlement {before}")]
     AlreadySettledOtherwise {
-        /// Id of the settlement.
+        /// Id of the rejected settlement.
         id: String,
-        /// Id of the fill.
+        /// Id of the fill that both settlements name.
         fill: String,
-        /// The settlement that counts.
+        /// Id of the settlement that was applied.
         before: String,
     },
-    /// The version is closed.
-    #[error("settlement {id} belongs to version {version:?}, versions before {floor} are closed")]
+    /// The settlement belongs to a configuration version for which settlements are no longer accepted.
+    #[error("settlement {id} belongs to version {version:?}, but versions before {floor} are closed")]
     VersionClosed {
-        /// Id of the settlement.
+        /// Id of the rejected settlement.
         id: String,
-        /// Number of the settlement's version; none if its id has none.
+        /// Number of the settlement's configuration version; `None` if its id contains no number.
         version: Option<u64>,
-        /// The first open version.
+        /// Number of the first version for which settlements are accepted.
         floor: u64,
     },
-    /// The settlement exceeds its broker's share.
+    /// The settlement is larger than what remains of its broker's share of the debt.
     #[error(
-        "settlement {id} takes {bytes} off what {debtor} owes {creditor}; the share of {broker} has {remaining} left"
+        "settlement {id} takes {bytes} bytes off what {debtor} owes {creditor}, but the share of {broker} has {remaining} bytes left"
     )]
     ExceedsShare {
-        /// Id of the settlement.
+        /// Id of the rejected settlement.
         id: String,
-        /// Name of the broker.
+        /// Broker whose share is too small.
         broker: String,
-        /// Partner that owes.
+        /// Partner that owes the debt.
         debtor: String,
-        /// Partner that is owed.
+        /// Partner to which the debt is owed.
         creditor: String,
-        /// Bytes that the entry moves.
+        /// Bytes of the settlement.
         bytes: u64,
-        /// Amount that is left.
+        /// Bytes left in the broker's share.
         remaining: u64,
     },
-    /// Shares would exceed the debt.
-    #[error("shares of {allotted} in what {debtor} owes {creditor}, a debt of {debt}")]
+    /// An allotment would make the shares of a debt exceed the debt.
+    #[error(
+        "the shares of what {debtor} owes {creditor} would add up to {allotted} bytes, but the debt is {debt} bytes"
+    )]
     ExceedsDebt {
-        /// Partner that owes.
+        /// Partner that owes the debt.
         debtor: String,
-        /// Partner that is owed.
+        /// Partner to which the debt is owed.
         creditor: String,
-        /// Bytes of all shares together.
+        /// Bytes of all shares together, the rejected ones included.
         allotted: u64,
-        /// Amount that is owed.
+        /// Bytes of the debt.
         debt: u64,
     },
-    /// More would be returned than is left.
-    #[error("{broker} gives back {bytes} of its share in what {debtor} owes {creditor}, and has {remaining}")]
+    /// A broker would return more of its share than it has left.
+    #[error(
+        "{broker} returns {bytes} bytes of its share of what {debtor} owes {creditor}, but has {remaining} left"
+    )]
     ExceedsRemaining {
-        /// Name of the broker.
+        /// Broker that returns a part of its share.
         broker: String,
-        /// Partner that owes.
+        /// Partner that owes the debt.
         debtor: String,
-        /// Partner that is owed.
+        /// Partner to which the debt is owed.
         creditor: String,
-        /// Bytes that the entry moves.
+        /// Bytes to return.
         bytes: u64,
-        /// Amount that is left.
+        /// Bytes left in the broker's share.
         remaining: u64,
     },
-    /// The proposer has skipped an entry.
-    #[error("an entry about {debtor} and {creditor} with the number {number}, {expected} is next")]
+    /// The entry's number is above the next number of its pair of partners.
+    #[error(
+        "an entry for debtor {debtor} and creditor {creditor} has number {number}, but {expected} is next"
+    )]
     SkippedNumber {
-        /// Partner that owes.
+        /// Partner that owes the debt.
         debtor: String,
-        /// Partner that is owed.
+        /// Partner to which the debt is owed.
         creditor: String,
-        /// Number of the entry.
+        /// Number of the rejected entry.
         number: u64,
-        /// What was expected.
+        /// Next number of the pair.
         expected: u64,
     },
-    /// The entry moves nothing.
-    #[error("an entry of {bytes} bytes between {debtor} and {creditor} moves nothing")]
+    /// The entry has no bytes, or its debtor is its creditor.
+    #[error(
+        "an entry of {bytes} bytes for debtor {debtor} and creditor {creditor} has no effect: it needs bytes and two different partners"
+    )]
     EmptyEntry {
-        /// Partner that owes.
+        /// Partner that the entry names as the debtor.
         debtor: String,
-        /// Partner that is owed.
+        /// Partner that the entry names as the creditor.
         creditor: String,
-        /// Bytes that the entry moves.
+        /// Bytes of the entry.
         bytes: u64,
     },
-    /// The event is impossible in this state.
-    #[error("fill {fill} is {state}, which cannot be followed by {event}")]
+    /// The event is impossible in the fill's present state.
+    #[error("fill {fill} is {state} and cannot take the event `{event}`")]
     InvalidEvent {
         /// Id of the fill.
         fill: String,
-        /// State of the fill.
+        /// Name of the fill's present state.
         state: &'static str,
-        /// Event that came.
+        /// Name of the rejected event.
         event: &'static str,
     },
 }
 
 impl SettlementError {
-    /// What an operator can do.
+    /// Advice for the operator: the likely cause, or what to do about the error.
     pub fn help(&self) -> &'static str {
         match self {
             SettlementError::InvalidName { .. } => {
-                "name every broker in `fleet` by letters, digits and dashes"
+                "use only letters, digits and dashes in the broker names of `fleet`"
             }
-            SettlementError::OtherBroker { .. } => "give each broker a folder of its own, or clear this one",
+            SettlementError::OtherBroker { .. } => "give each broker its own folder, or clear this one",
             SettlementError::StaleIncarnation { .. } => {
-                "the folder is newer than the start counter: do not put back one without the other"
+                "the folder is newer than the start counter: always restore both from the same backup"
             }
             SettlementError::TooManyCells { .. } => {
-                "look at the peer named: a broker sends rows for brokers that exist"
+                "check the peer that is named: a broker sends counts only for brokers that exist"
             }
             SettlementError::InvalidTerm { .. } => {
-                "of these terms the operator's file sets only `most-rate`, as `rate` of its `fills` node; the others are built in: report it"
+                "the operator's file sets only `most-rate`, as `rate` of its `fills` node; the other terms are built in: report this as a bug"
             }
             SettlementError::AlreadySettledOtherwise { .. } => {
-                "nothing is lost, the first settlement stands; a fill was carried out twice, look for a filler that is slow to answer"
+                "no data is lost and the first settlement stays valid; the fill ran twice: check for a fill service that answers slowly"
             }
             SettlementError::VersionClosed { .. } => {
-                "the broker was away for whole versions; its debt stays open and is paid by a later fill"
+                "the broker was cut off for several versions; the debt stays open and a later fill pays it"
             }
             SettlementError::ExceedsShare { .. } => {
-                "split more of the debt (an `Allot` entry) before the next fill"
+                "allot more of the debt to the broker (an `Allot` entry) before its next fill"
             }
             SettlementError::ExceedsDebt { .. } => {
-                "let the counts merge first; who proposes sees a smaller debt than it splits"
+                "wait until the counts are merged: the proposer knows of a smaller debt than it splits"
             }
             SettlementError::ExceedsRemaining { .. } => {
-                "only the broker itself may give back, and only what it has not spent"
+                "a broker may return only its own share, and only what it has not spent"
             }
             SettlementError::SkippedNumber { .. } => {
-                "the proposer has not applied the log; it has to catch up and propose again"
+                "the proposer has not applied the whole log; it must catch up and propose again"
             }
             SettlementError::EmptyEntry { .. } => {
-                "a fault of the proposer: it names one partner twice, or no bytes"
+                "a bug in the proposer: the entry names one partner twice or has no bytes"
             }
             SettlementError::InvalidEvent { .. } => {
-                "a fault of the host, or a filler that answers twice: nothing was changed"
+                "a bug in the caller, or a fill service that answers twice; the state of the fill is unchanged"
             }
         }
     }
--- a/crates/dunepond-settlement/src/fill.rs
+++ b/crates/dunepond-settlement/src/fill.rs
@@ -1,73 +1,75 @@
-//! One fill, from its plan to its end: a state machine that takes events and returns actions.
+//! Progress of one fill from plan to end, as a state machine that takes events and returns actions.
 
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
 
 use crate::{Settlement, SettlementError};
 
-/// Limits the exponent of the backoff, which is capped long before.
+/// Maximum number of doublings of the backoff. It keeps the computation in range; the maximum backoff is reached earlier.
 const MAX_DOUBLINGS: u32 = 30;
 
-/// Fills a node from one source.
+/// A planned copy of a segment from a source node to the node that is filled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fill {
-    /// `VERSION/SEGMENT/NODE`: the same demand has the same id, whoever plans it and however often.
+    /// Id of the demand, as [`crate::FillDemand::id`]. It is the same whichever broker plans the fill and however often.
     pub id: String,
-    /// Id of the segment.
+    /// Id of the segment to copy.
     pub segment: u64,
-    /// Node to fill.
+    /// Name of the node to fill.
     #[serde(rename = "holder")]
     pub node: String,
-    /// Node to fill it from.
+    /// Name of the node to copy from.
     pub source: String,
-    /// Partner of the source.
+    /// Partner to which the source belongs.
     pub from: String,
-    /// Partner of the filled node.
+    /// Partner to which the filled node belongs.
     pub to: String,
-    /// Size of the segment.
+    /// Size of the segment in bytes.
     pub bytes: u64,
-    /// Highest rate, in bytes a second.
+    /// Maximum rate of the copy in bytes per second.
     pub rate: f64,
-    /// What it pays off, to be proposed when it is complete. Only the rest of `bytes` counts as carried.
+    /// Settlement to propose once the fill is complete, if the fill pays off a debt. Only the other bytes of the fill count
+    /// as carried.
     pub settles: Option<Settlement>,
 }
 
 impl Fill {
-    /// Id of the fill of a demand.
+    /// Returns the id `VERSION/SEGMENT/NODE` of the fill of a replica that a configuration version adds.
     pub fn id_of(version: u64, segment: u64, node: &str) -> String {
         format!("{version}/{segment}/{node}")
     }
 
-    /// Bytes that are a new debt of `to` towards `from`, for [`crate::LocalCounts::record`] when the fill is complete.
+    /// Returns the bytes that pay off no debt. They are a new debt of `to` to `from`, to be passed to
+    /// [`crate::LocalCounts::record`] once the fill is complete.
     pub fn unsettled_bytes(&self) -> u64 {
         self.bytes - self.settles.as_ref().map_or(0, |settlement| settlement.bytes.min(self.bytes))
     }
 
-    /// Seconds that it takes at its rate.
+    /// Returns the duration of the fill at its maximum rate, in seconds.
     pub fn duration_seconds(&self) -> f64 {
         self.bytes as f64 / self.rate
     }
 }
 
-/// How often a fill is attempted, and how long it may take.
+/// Limits on the attempts at a fill: timeouts, backoffs, number of attempts and deadline.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FillRetryPolicy {
-    /// Seconds from its plan after which the fill is withdrawn.
+    /// Seconds after planning at which an unfinished fill is withdrawn.
     #[serde(rename = "deadline")]
     pub deadline_seconds: f64,
-    /// Timeout of an attempt, as a multiple of its duration at the planned rate.
+    /// Timeout of an attempt, as a multiple of the fill's duration at its maximum rate.
     #[serde(rename = "factor")]
     pub timeout_factor: f64,
     /// Minimum timeout of an attempt, in seconds.
     #[serde(rename = "least")]
     pub min_timeout_seconds: f64,
-    /// Backoff before the second attempt, in seconds; doubled with each further one, half of it random.
+    /// Backoff before the second attempt, in seconds. It doubles with each further attempt, and half of it is random.
     #[serde(rename = "pause")]
     pub initial_backoff_seconds: f64,
-    /// Maximum backoff, in seconds.
+    /// Maximum backoff between two attempts, in seconds.
     #[serde(rename = "longest")]
     pub max_backoff_seconds: f64,
-    /// Maximum number of attempts.
+    /// Maximum number of attempts at a fill.
     #[serde(rename = "tries")]
     pub max_attempts: u32,
 }
@@ -86,7 +88,7 @@
 }
 
 impl FillRetryPolicy {
-    /// Timeout of one attempt at this fill, in seconds.
+    /// Returns the timeout of one attempt at `fill`, in seconds.
     pub fn attempt_timeout_seconds(&self, fill: &Fill) -> f64 {
         (fill.duration_seconds() * self.timeout_factor).max(self.min_timeout_seconds)
     }
@@ -95,35 +97,35 @@
 /// State of a fill.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FillState {
-    /// Waits for its next attempt.
+    /// The fill waits for its next attempt.
     Planned {
-        /// The attempt does not start before.
+        /// Earliest start of the next attempt, in seconds on the monotonic clock.
         not_before: f64,
     },
     /// An attempt is running.
     #[serde(rename = "UnderWay")]
     Running {
-        /// The attempt times out then.
+        /// Time at which the attempt times out, in seconds on the monotonic clock.
         until: f64,
     },
-    /// The node is filled.
+    /// The fill is complete.
     Done,
-    /// All attempts failed; another source may be planned.
+    /// All attempts failed. The demand may be planned again with another source.
     Failed {
         /// Why the last attempt failed.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The fill is not required any more.
+    /// The fill was stopped before it was complete: it is no longer required, or its deadline has passed.
     Withdrawn {
-        /// Reason, for people.
+        /// Why the fill was withdrawn, as text for the operator.
         #[serde(rename = "why")]
         reason: String,
     },
 }
 
 impl FillState {
-    /// Name of the state, for messages.
+    /// Returns the name of the state for messages.
     pub fn name(&self) -> &'static str {
         match self {
             FillState::Planned { .. } => "planned",
@@ -134,26 +136,26 @@
         }
     }
 
-    /// No event changes it any more.
+    /// Returns whether the state is final, so that no event changes it.
     pub fn is_final(&self) -> bool {
         !matches!(self, FillState::Planned { .. } | FillState::Running { .. })
     }
 }
 
-/// What the fill service reported, or the consensus log.
+/// Something that happened to a fill, as reported by the fill service or the consensus log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FillEvent {
-    /// The node is filled.
+    /// The fill service has filled the node.
     Done,
-    /// The attempt failed.
+    /// An attempt at the fill has failed.
     Failed {
-        /// What the fill service reported.
+        /// Reason that the fill service reported.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The version that requires it is withdrawn, or the fill planned again.
+    /// The configuration version that requires the fill was withdrawn, or the fill was planned again.
     Withdrawn {
-        /// Reason, for people.
+        /// Why the fill is withdrawn, as text for the operator.
         #[serde(rename = "why")]
         reason: String,
     },
@@ -169,34 +171,35 @@
     }
 }
 
-/// What the host has to do now.
+/// Something that the caller must do for a fill now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FillAction {
-    /// Start an attempt.
+    /// Start an attempt at the fill.
     Start(Fill),
-    /// Stop the attempt, if the fill service can.
+    /// Stop the running attempt, if the fill service supports it.
     Stop(Fill),
-    /// Propose that the node is filled, and the settlement if there is one; again until the log has both.
+    /// Propose that the node is filled, and the fill's settlement if it has one. Repeat until the log has both.
     Propose(Fill),
-    /// Release its capacity at link and node ([`crate::FillPlanner::fill_ended`]).
+    /// Release the fill's capacity on its link and node by [`crate::FillPlanner::fill_ended`].
     ReleaseCapacity(Fill),
 }
 
-/// A fill and its progress. Stored as it is; after a crash [`FillProgress::resume`] continues from there.
+/// A fill and its progress. The caller stores it, and after a crash continues from the stored form by
+/// [`FillProgress::resume`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FillProgress {
-    /// The fill, as planned.
+    /// The fill as it was planned.
     pub fill: Fill,
     retry_policy: FillRetryPolicy,
     state: FillState,
-    /// Attempts that were started.
+    /// Number of attempts that were started.
     attempts: u32,
-    /// When the fill is withdrawn, on the monotonic clock.
+    /// Time at which the fill is withdrawn, in seconds on the monotonic clock.
     deadline: f64,
 }
 
 impl FillProgress {
-    /// A fill that was planned at `now` and has had no attempt.
+    /// Creates the progress of a fill that is planned at `now` and has had no attempt.
     pub fn new(fill: Fill, retry_policy: FillRetryPolicy, now: f64) -> FillProgress {
         let deadline = now + retry_policy.deadline_seconds;
         FillProgress {
@@ -208,18 +211,21 @@
         }
     }
 
-    /// The state of the fill.
+    /// Returns the present state of the fill.
     pub fn state(&self) -> &FillState {
         &self.state
     }
 
-    /// Attempts that were started.
+    /// Returns the number of attempts that were started.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// After a crash. A running attempt may be complete or not: it is started again under the same id, which a fill service
-    /// answers at once if the node is filled. A complete fill is proposed again; the ledger recognises its id.
+    /// Continues after a crash, and returns the actions to take.
+    ///
+    /// It is unknown whether a running attempt has completed, so it is started again under the same id; the fill service
+    /// answers at once if the node is already filled. A complete fill is proposed again, and the ledger ignores the duplicate
+    /// because of its id.
     pub fn resume(&mut self, now: f64) -> Vec<FillAction> {
         match self.state {
             FillState::Running { .. } => {
@@ -232,7 +238,7 @@
         }
     }
 
-    /// When [`FillProgress::tick`] has something to do; `None` once it is final.
+    /// Returns the next time at which [`FillProgress::tick`] has something to do; `None` if the state is final.
     pub fn next_tick_at(&self) -> Option<f64> {
         match self.state {
             FillState::Planned { not_before } => Some(not_before.min(self.deadline)),
@@ -241,7 +247,8 @@
         }
     }
 
-    /// Starts an attempt, or times it out.
+    /// Starts an attempt that is due, times out a running one, or withdraws the fill if its deadline has passed. Returns the
+    /// actions to take.
     pub fn tick(&mut self, now: f64, rng: &mut impl Rng) -> Vec<FillAction> {
         if !self.state.is_final() && now >= self.deadline {
             return self.withdraw("its deadline has passed".to_string());
@@ -262,10 +269,13 @@
         }
     }
 
-    /// Takes an event. `Done` counts at any time before the end, also of an attempt that timed out: the node is filled.
+    /// Updates the state after an event, and returns the actions to take.
+    ///
+    /// Once an attempt was started, [`FillEvent::Done`] is accepted in every state that is not final, also from an attempt
+    /// that has timed out, because the node is filled.
     ///
     /// # Errors
-    /// The event is impossible in this state.
+    /// Returns [`SettlementError::InvalidEvent`] if the event is impossible in the present state.
     pub fn handle_event(
         &mut self,
         now: f64,
@@ -286,7 +296,7 @@
             (FillState::Planned { .. } | FillState::Running { .. }, FillEvent::Withdrawn { reason }) => {
                 Ok(self.withdraw(reason))
             }
-            // Duplicates.
+            // Duplicate events have no effect.
             (FillState::Done, FillEvent::Done) => Ok(Vec::new()),
             (FillState::Withdrawn { .. }, FillEvent::Withdrawn { .. }) => Ok(Vec::new()),
             (state, event) => {
@@ -309,9 +319,9 @@
             return vec![FillAction::ReleaseCapacity(self.fill.clone())];
         }
         let doublings = self.attempts.saturating_sub(1).min(MAX_DOUBLINGS) as i32;
-        let doubled = self.retry_policy.initial_backoff_seconds * 2f64.powi(doublings);
+        let uncapped_seconds = self.retry_policy.initial_backoff_seconds * 2f64.powi(doublings);
         let jitter_ratio = 0.5 + 0.5 * rng.random::<f64>();
-        let backoff_seconds = doubled.min(self.retry_policy.max_backoff_seconds) * jitter_ratio;
+        let backoff_seconds = uncapped_seconds.min(self.retry_policy.max_backoff_seconds) * jitter_ratio;
         self.state = FillState::Planned { not_before: now + backoff_seconds };
         Vec::new()
     }
--- a/crates/dunepond-settlement/src/ledger.rs
+++ b/crates/dunepond-settlement/src/ledger.rs
@@ -1,4 +1,5 @@
-//! The committed part: shares in debts and settlements, applied in the order of the consensus log, the same at every broker.
+//! Ledger of shares of debts and of settlements. Every broker applies the same entries in the order of the consensus log, so
+//! all brokers have the same ledger.
 
 use std::collections::BTreeMap;
 
@@ -7,42 +8,44 @@
 use crate::started_fills::StartedFills;
 use crate::{Settlement, SettlementError, StartedFill};
 
-/// What the consensus log records about debts.
+/// Entry of the consensus log that changes the settlement ledger.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SettlementEntry {
-    /// Splits a debt over brokers.
+    /// Allots shares of a debt to brokers.
     Allot(Allotment),
-    /// A broker returns a part of its share.
+    /// Returns a part of a broker's share.
     Release(ShareRelease),
-    /// A fill paid off a part of a debt.
+    /// Settles the part of a debt that a fill has paid off.
     Settle(Settlement),
-    /// A fill that a leader starts, so that the next one knows of it.
+    /// Records a fill that a leader starts, so that the next leader knows of it.
     #[serde(rename = "Begin")]
     StartFill(StartedFill),
 }
 
-/// Splits a debt, or more of it, over brokers in advance.
+/// Allots shares of a debt to brokers in advance, in addition to the shares that they already have.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Allotment {
-    /// The pair's next number ([`SettlementLedger::next_number`]): an entry that is duplicated or overtaken does nothing.
+    /// Next number of the pair, from [`SettlementLedger::next_number`]. An entry whose number was already used has no effect,
+    /// so duplicates are harmless.
     pub number: u64,
-    /// Partner that owes.
+    /// Partner that owes the debt.
     pub debtor: String,
-    /// Partner that is owed.
+    /// Partner to which the debt is owed.
     pub creditor: String,
-    /// All that was ever owed, settled or not, as the proposer saw it; shares stay within the largest debt so stated.
+    /// Bytes that were ever owed, settled or not, as known to the proposer. All shares together stay within the largest debt
+    /// that an allotment of the pair has stated.
     pub debt: u64,
-    /// What each broker gets.
+    /// Shares to add, by broker.
     pub parts: Vec<AllottedShare>,
 }
 
-/// What a broker gets. Stored as a pair.
+/// Bytes that an allotment adds to a broker's share. Serialized as a pair of broker and bytes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(String, u64)", into = "(String, u64)")]
 pub struct AllottedShare {
     /// Name of the broker.
     pub broker: String,
-    /// Bytes that it gets on top of what it has.
+    /// Bytes to add to the broker's share.
     pub bytes: u64,
 }
 
@@ -58,61 +61,63 @@
     }
 }
 
-/// A broker returns what it has not spent, so that it can be split again. Only the broker itself may propose it:
-/// nobody else knows what it has promised while it was partitioned.
+/// Returns an unspent part of a broker's share, so that it can be allotted again. Only the broker itself may propose this,
+/// because no other broker knows what it promised while it was partitioned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShareRelease {
-    /// The pair's next number, as in [`Allotment::number`].
+    /// Next number of the pair, as in [`Allotment::number`].
     pub number: u64,
-    /// Partner that owes.
+    /// Partner that owes the debt.
     pub debtor: String,
-    /// Partner that is owed.
+    /// Partner to which the debt is owed.
     pub creditor: String,
-    /// Broker that returns it.
+    /// Broker that returns a part of its share.
     #[serde(rename = "by")]
     pub broker: String,
-    /// Bytes that are returned.
+    /// Bytes that the broker returns.
     pub bytes: u64,
 }
 
-/// Whether an entry changed anything.
+/// Whether an accepted entry changed the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// The entry was applied.
+    /// The entry was applied for the first time.
     New,
-    /// It was applied before: duplicated, or proposed again after a crash.
+    /// The entry changed nothing: it was applied before, or the pair's number that it has was already used.
     Duplicate,
 }
 
-/// A broker's share of a debt.
+/// A broker's share of a debt between two partners.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DebtShare {
-    /// Bytes that the broker may settle.
+    /// Bytes that the broker may settle in total.
     pub allotted: u64,
-    /// Bytes that it has settled.
+    /// Bytes that the broker has settled.
     pub spent: u64,
 }
 
 impl DebtShare {
-    /// Bytes that it may still settle.
+    /// Returns the bytes that the broker may still settle.
     pub fn remaining(&self) -> u64 {
         self.allotted - self.spent
     }
 }
 
-/// What one partner owes another, in bytes.
+/// Shares and settlements of what one partner owes another, in bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct PairAccount {
+    /// Number that the next [`Allotment`] or [`ShareRelease`] must have.
     #[serde(rename = "number")]
     next_number: u64,
-    /// The largest that an [`Allotment`] has stated.
+    /// Largest debt that an [`Allotment`] has stated.
     debt: u64,
+    /// Bytes that were settled, whether before or after the debt was split.
     settled: u64,
-    /// Shares by name of the broker.
+    /// Shares of the debt, by name of the broker.
     shares: BTreeMap<String, DebtShare>,
 }
 
-/// The settlement of a fill. Stored as a pair.
+/// The settlement that was applied for a fill. Serialized as a pair of settlement id and bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(String, u64)", into = "(String, u64)")]
 struct SettledFill {
@@ -133,7 +138,7 @@
 }
 
 impl PairAccount {
-    /// Shares, and what was settled before there were any. Once split, it stays within `debt`.
+    /// All shares, plus the bytes settled before the debt was split. Once the debt is split, the sum stays within `debt`.
     fn allotted(&self) -> u64 {
         let spent: u64 = self.shares.values().map(|share| share.spent).sum();
         let allotted: u64 = self.shares.values().map(|share| share.allotted).sum();
@@ -141,14 +146,15 @@
     }
 }
 
-/// The same entries in the same order give the same ledger. Part of each snapshot.
+/// Shares of debts, settlements and recently started fills, as recorded in the consensus log. The same entries in the same
+/// order give the same ledger. It is part of each snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SettlementLedger {
-    /// Settlements for versions before this one are neither retained nor accepted.
+    /// Settlements for configuration versions before this one are neither kept nor accepted.
     floor: u64,
-    /// Settled fills by id.
+    /// Settlements by id of the fill.
     settled: BTreeMap<String, SettledFill>,
-    /// Accounts by debtor, then by creditor.
+    /// Accounts of pairs of partners, by debtor, then by creditor.
     pairs: BTreeMap<String, BTreeMap<String, PairAccount>>,
     /// Fills that leaders started recently.
     #[serde(rename = "begun")]
@@ -156,10 +162,10 @@
 }
 
 impl SettlementLedger {
-    /// Applies an entry of the log.
+    /// Applies an entry of the consensus log.
     ///
     /// # Errors
-    /// The entry is rejected; nothing changed.
+    /// Returns the reason if the entry is rejected. The ledger is unchanged in that case.
     pub fn apply(&mut self, entry: &SettlementEntry) -> Result<ApplyOutcome, SettlementError> {
         if self.check(entry)? == ApplyOutcome::Duplicate {
             return Ok(ApplyOutcome::Duplicate);
@@ -200,10 +206,10 @@
         self.settled.insert(settlement.fill().to_string(), settled);
     }
 
-    /// What [`SettlementLedger::apply`] would return; changes nothing.
+    /// Returns what [`SettlementLedger::apply`] would return, without applying the entry.
     ///
     /// # Errors
-    /// As there.
+    /// Returns the same errors as [`SettlementLedger::apply`].
     pub fn check(&self, entry: &SettlementEntry) -> Result<ApplyOutcome, SettlementError> {
         match entry {
             SettlementEntry::Allot(allot) => self.check_allotment(allot),
@@ -221,11 +227,12 @@
         self.pairs.entry(debtor.to_string()).or_default().entry(creditor.to_string()).or_default()
     }
 
-    /// The number that the next [`Allotment`] or [`ShareRelease`] of the pair has to have.
+    /// Returns the number that the next [`Allotment`] or [`ShareRelease`] of the pair must have.
     pub fn next_number(&self, debtor: &str, creditor: &str) -> u64 {
         self.pair(debtor, creditor).map_or(0, |pair| pair.next_number)
     }
 
+    /// Whether `number` is the next number of the pair; false if it was already used, an error if it skips a number.
     fn is_next(&self, debtor: &str, creditor: &str, number: u64) -> Result<bool, SettlementError> {
         let expected = self.next_number(debtor, creditor);
         if number > expected {
@@ -240,15 +247,15 @@
         if !self.is_next(&debtor, &creditor, allot.number)? {
             return Ok(ApplyOutcome::Duplicate);
         }
-        let more = allot.parts.iter().try_fold(0u64, |sum, share| sum.checked_add(share.bytes));
-        let more = more.unwrap_or(u64::MAX);
-        if debtor == creditor || more == 0 {
-            return Err(SettlementError::EmptyEntry { debtor, creditor, bytes: more });
+        let new_bytes = allot.parts.iter().try_fold(0u64, |sum, share| sum.checked_add(share.bytes));
+        let new_bytes = new_bytes.unwrap_or(u64::MAX);
+        if debtor == creditor || new_bytes == 0 {
+            return Err(SettlementError::EmptyEntry { debtor, creditor, bytes: new_bytes });
         }
-        // What was settled before the first split has used its part of the debt.
+        // This includes the bytes settled before the first split, which no longer can be allotted.
         let allotted = self.allotted(&debtor, &creditor);
         let debt = self.pair(&debtor, &creditor).map_or(0, |pair| pair.debt).max(allot.debt);
-        let allotted = allotted.saturating_add(more);
+        let allotted = allotted.saturating_add(new_bytes);
         if allotted > debt {
             return Err(SettlementError::ExceedsDebt { debtor, creditor, allotted, debt });
         }
@@ -268,7 +275,8 @@
         Ok(ApplyOutcome::New)
     }
 
-    /// The first settlement of a fill counts; a duplicate does nothing, another one for the same fill is rejected.
+    /// Accepts only the first settlement of a fill. A duplicate has no effect; a settlement of the same fill under another id
+    /// is rejected.
     fn check_settlement(&self, settlement: &Settlement) -> Result<ApplyOutcome, SettlementError> {
         let Settlement { id, debtor, creditor, bytes, .. } = settlement.clone();
         let (fill, broker) = (settlement.fill().to_string(), settlement.broker().to_string());
@@ -298,60 +306,68 @@
             let (debtor, creditor) = (fill.from.clone(), fill.to.clone());
             return Err(SettlementError::EmptyEntry { debtor, creditor, bytes: 0 });
         }
-        Ok(if self.started.has(&fill.id, &fill.from) { ApplyOutcome::Duplicate } else { ApplyOutcome::New })
+        Ok(if self.started.contains(&fill.id, &fill.from) {
+            ApplyOutcome::Duplicate
+        } else {
+            ApplyOutcome::New
+        })
     }
 
-    /// Fills that leaders started recently, from any partner.
+    /// Returns the fills that leaders started recently. The same fill may appear with sources of several partners.
     pub fn started_fills(&self) -> impl Iterator<Item = &StartedFill> {
         self.started.iter()
     }
 
-    /// Whether the fill was started from a source of the partner `from`.
+    /// Returns whether a leader recently started the fill from a source of the partner `from`.
     pub fn has_started(&self, fill: &str, from: &str) -> bool {
-        self.started.has(fill, from)
+        self.started.contains(fill, from)
     }
 
-    /// Settlements for versions before this one are rejected.
+    /// Returns the first configuration version for which settlements are accepted.
     pub fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// Closes versions before this one: their settlements are dropped, and late ones rejected. To be called in the order
-    /// of the log, a few versions behind the active one.
-    pub fn close(&mut self, before: u64) {
+    /// Closes the configuration versions before `before`: drops the records of their settlements and rejects later ones.
+    ///
+    /// Every broker must call this at the same place in the order of the log, with a version slightly older than the active
+    /// one.
+    pub fn close_versions(&mut self, before: u64) {
         self.floor = self.floor.max(before);
         let floor = self.floor;
         let version = |fill: &str| fill.split_once('/').and_then(|(version, _)| version.parse::<u64>().ok());
         self.settled.retain(|fill, _| version(fill).is_some_and(|version| version >= floor));
     }
 
-    /// Whether the debt was split over brokers. A debt that never was has no limit here: [`crate::Balances`] counts its
-    /// settlements up to the debt. Once split, a settlement beyond its broker's share is rejected for good.
+    /// Returns whether the debt was split into shares of brokers.
+    ///
+    /// The ledger does not limit settlements of a debt that was never split; [`crate::Balances`] counts them up to the debt.
+    /// Once a debt is split, a settlement that exceeds its broker's share is rejected permanently.
     pub fn is_split(&self, debtor: &str, creditor: &str) -> bool {
         self.pair(debtor, creditor).is_some_and(|pair| !pair.shares.is_empty())
     }
 
-    /// Whether the fill has settled.
+    /// Returns whether a settlement was applied for the fill.
     pub fn is_settled(&self, fill: &str) -> bool {
         self.settled.contains_key(fill)
     }
 
-    /// Bytes that were settled.
+    /// Returns the settled bytes of what `debtor` owes `creditor`.
     pub fn settled(&self, debtor: &str, creditor: &str) -> u64 {
         self.pair(debtor, creditor).map_or(0, |pair| pair.settled)
     }
 
-    /// Bytes that were split over brokers so far, spent or not.
+    /// Returns the bytes of all shares of what `debtor` owes `creditor`, plus the bytes settled before the debt was split.
     pub fn allotted(&self, debtor: &str, creditor: &str) -> u64 {
         self.pair(debtor, creditor).map_or(0, PairAccount::allotted)
     }
 
-    /// Share of a broker.
+    /// Returns a broker's share of what `debtor` owes `creditor`; an empty share if it has none.
     pub fn share(&self, broker: &str, debtor: &str, creditor: &str) -> DebtShare {
         self.pair(debtor, creditor).and_then(|pair| pair.shares.get(broker)).copied().unwrap_or_default()
     }
 
-    /// Every pair (debtor, creditor) with an entry.
+    /// Returns each pair (debtor, creditor) for which an entry was applied.
     pub fn pairs(&self) -> impl Iterator<Item = (&str, &str)> {
         self.pairs
             .iter()
--- a/crates/dunepond-settlement/src/lib.rs
+++ b/crates/dunepond-settlement/src/lib.rs
@@ -1,11 +1,17 @@
-//! Transfer accounting between partners, and the replica fills that settle it. Pure: no socket, file, clock or thread. `now`
-//! is in seconds on a monotonic clock and handed in, amounts are bytes, rates bytes a second, randomness comes from a seed.
+//! Transfer accounting between partners, and the replica fills that settle debts.
 //!
-//! Partners carry traffic for each other. A debt is paid off by taking a fill from the debtor's nodes. [`CarriedCounts`] are
-//! what brokers saw, merged in any order; [`LocalCounts`] are one broker's own part over restarts, [`CountsReplication`]
-//! sends them to peers. [`SettlementLedger`] is the committed part: shares and settlements, in the order of the consensus
-//! log. [`Balances`] makes net debts of both. [`FillPlanner`] chooses the source of each fill, [`FillProgress`] follows one
-//! fill, [`SharePromises`] are what this broker may promise without reaching the log.
+//! The crate does no I/O, starts no threads and reads no clock. The caller passes `now` in seconds on a monotonic clock.
+//! Amounts are in bytes and rates in bytes per second. Random choices come from a seeded generator.
+//!
+//! Partners carry traffic for each other. The carried bytes are a debt, which is paid off by filling a replica of the
+//! creditor from a node of the debtor.
+//!
+//! - [`CarriedCounts`]: the carried bytes that brokers have counted. They can be merged in any order.
+//! - [`LocalCounts`]: the counts that one broker stores across restarts. [`CountsReplication`] sends them to peers.
+//! - [`SettlementLedger`]: shares of debts and settlements, applied in the order of the consensus log.
+//! - [`Balances`]: net debts, computed from the counts and the ledger.
+//! - [`FillPlanner`]: chooses the source of each fill. [`FillProgress`] tracks one fill.
+//! - [`SharePromises`]: settlements that this broker has promised from its shares while it cannot reach the log.
 #![warn(missing_docs)]
 
 mod balances;
@@ -27,7 +33,7 @@
 pub use counts::{BrokerPartners, CarriedCounts, LocalCounts};
 pub use demand::{
     FillDemand, FillPlan, FillSource, LinkCapacities, NodeCapacity, PartnerPair, PlanningRule,
-    SlowStartCapacity, WaitReason, WaitingDemand, max_units,
+    SlowStartCapacity, WaitReason, WaitingDemand, max_slow_start_units,
 };
 pub use error::SettlementError;
 pub use fairness::{jain_index, max_min, max_min_rates};
@@ -40,31 +46,33 @@
 pub use replication::{CountsMessage, CountsReplication};
 pub use started_fills::StartedFill;
 
-/// What one fill pays off: a committed entry, applied exactly once.
+/// The payment of a part of a debt by one fill. The ledger applies each settlement at most once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Settlement {
-    /// `FILL@BROKER`: the fill's id, and the broker from whose share it is taken; see [`Settlement::new`].
+    /// `FILL@BROKER`: the fill's id, and the broker whose share of the debt is spent; see [`Settlement::new`].
     pub id: String,
-    /// Partner whose debt shrinks.
+    /// Partner whose debt is reduced.
     pub debtor: String,
-    /// Partner to whom it owes less.
+    /// Partner to which the debt is owed.
     pub creditor: String,
-    /// Bytes that are paid off.
+    /// Bytes of the debt that the fill pays off.
     pub bytes: u64,
     /// Id of the segment that was filled.
     pub segment: u64,
-    /// Node that was filled. The name shows in log lines.
+    /// Node that was filled. The field keeps this name because it appears in log lines.
     pub holder: String,
-    /// Node that it was filled from.
+    /// Node that the segment was copied from.
     pub source: String,
 }
 
 impl Settlement {
-    /// For a fill that `broker` carried out, and that pays off `bytes`. The same fill has the same id at every broker and
-    /// after every crash, so that it cannot settle twice.
+    /// Creates the settlement of `fill`, which was carried out by `broker` and pays off `bytes`.
+    ///
+    /// A fill has the same id at every broker and after every crash, so it cannot be settled twice.
     ///
     /// # Errors
-    /// The name of the broker would make the id ambiguous.
+    /// Returns [`SettlementError::InvalidName`] if the broker's name is empty or contains `@`, which would make the id
+    /// ambiguous.
     pub fn new(
         fill: &Fill,
         broker: &str,
@@ -86,17 +94,17 @@
         })
     }
 
-    /// Id of the fill that paid.
+    /// Id of the fill that pays off the debt.
     pub fn fill(&self) -> &str {
         self.id.rsplit_once('@').map_or(&self.id, |(fill, _)| fill)
     }
 
-    /// Broker from whose share it is taken; empty where the id names none.
+    /// Broker whose share of the debt is spent; empty if the settlement's id names no broker.
     pub fn broker(&self) -> &str {
         self.id.rsplit_once('@').map_or("", |(_, broker)| broker)
     }
 
-    /// Number of the version for whose map the fill was done.
+    /// Number of the configuration version whose shard map required the fill; `None` if the id contains no number.
     pub fn version(&self) -> Option<u64> {
         self.id.split_once('/')?.0.parse().ok()
     }
--- a/crates/dunepond-settlement/src/netting.rs
+++ b/crates/dunepond-settlement/src/netting.rs
@@ -1,4 +1,4 @@
-//! Cancels cycles of debts: what goes round needs no settlement.
+//! Cancels cycles of debts. Debts along a cycle cancel out, so they need no settlement.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,11 +9,11 @@
     pub creditor: &'a str,
 }
 
-/// Open debts in bytes.
+/// Open debts in bytes, by debtor and creditor.
 #[derive(Default)]
 pub(crate) struct OpenDebts<'a>(BTreeMap<DebtEdge<'a>, u64>);
 
-/// A partner on the path of the search, and its debts that are still to be followed.
+/// A partner on the current search path, and its debts that the search has not followed yet.
 struct PathNode<'a> {
     partner: &'a str,
     unvisited: Vec<DebtEdge<'a>>,
@@ -24,7 +24,8 @@
         self.0.insert(edge, bytes);
     }
 
-    /// Without cycles; no partner's total position changes. The same for the same debts.
+    /// Cancels all cycles and returns the remaining debts. What each partner owes or is owed in total stays the same. The
+    /// result is deterministic.
     pub fn without_cycles(mut self) -> impl Iterator<Item = (DebtEdge<'a>, u64)> {
         while let Some(cycle) = self.find_cycle() {
             self.cancel(&cycle);
@@ -32,7 +33,7 @@
         self.0.into_iter()
     }
 
-    /// Takes the smallest debt of the cycle off each of its debts.
+    /// Subtracts the smallest debt of the cycle from each of its debts.
     fn cancel(&mut self, cycle: &[DebtEdge<'a>]) {
         let smallest = cycle.iter().map(|edge| self.0[edge]).min().unwrap_or(0);
         for edge in cycle {
@@ -50,22 +51,22 @@
         self.0.range(first..).map(|(edge, _)| *edge).take_while(|edge| edge.debtor == debtor).collect()
     }
 
-    /// The first cycle that a depth-first search meets.
+    /// Returns the first cycle that a depth-first search finds.
     fn find_cycle(&self) -> Option<Vec<DebtEdge<'a>>> {
-        let mut without_cycle: BTreeSet<&str> = BTreeSet::new();
+        let mut cycle_free: BTreeSet<&str> = BTreeSet::new();
         let debtors: BTreeSet<&str> = self.0.keys().map(|edge| edge.debtor).collect();
         for debtor in debtors {
             let mut path = vec![PathNode { partner: debtor, unvisited: self.debts_of(debtor) }];
             while let Some(node) = path.last_mut() {
                 let Some(edge) = node.unvisited.pop() else {
-                    without_cycle.insert(node.partner);
+                    cycle_free.insert(node.partner);
                     path.pop();
                     continue;
                 };
                 if let Some(start) = path.iter().position(|node| node.partner == edge.creditor) {
                     return Some(cycle_of(&path[start..]));
                 }
-                if !without_cycle.contains(edge.creditor) {
+                if !cycle_free.contains(edge.creditor) {
                     let unvisited = self.debts_of(edge.creditor);
                     path.push(PathNode { partner: edge.creditor, unvisited });
                 }
@@ -75,7 +76,7 @@
     }
 }
 
-/// The debts along the path, and the one back to its start.
+/// Returns the debts along the path, and the debt from its last partner back to its first.
 fn cycle_of<'a>(path: &[PathNode<'a>]) -> Vec<DebtEdge<'a>> {
     let creditors = path[1..].iter().chain(&path[..1]);
     let edges = path.iter().zip(creditors);
--- a/crates/dunepond-settlement/src/planner/mod.rs
+++ b/crates/dunepond-settlement/src/planner/mod.rs
@@ -1,4 +1,4 @@
-//! Which node is filled next, and from which source.
+//! Planner that chooses which node is filled next, and from which source.
 
 mod rates;
 mod round;
@@ -16,29 +16,32 @@
 };
 use round::{DemandQueues, RecentFill, Round};
 
-/// Plans fills, and remembers the running ones and those of a window. One broker plans at a time: the leader. A new leader
-/// hands over what is running by [`FillPlanner::resume`].
+/// Plans fills, and tracks the running fills and those planned in the current window.
+///
+/// Only the leader plans. A new leader passes the fills of earlier leaders to its planner by [`FillPlanner::resume`].
 #[derive(Clone, Debug)]
 pub struct FillPlanner {
     broker: String,
     rule: PlanningRule,
     rng: Pcg64Mcg,
+    /// Fills that were planned and have not ended, by id.
     running: BTreeMap<String, Fill>,
-    /// Settlements of complete fills, until the log has them: their debts look open until then, and must not be paid twice.
+    /// Settlements of complete fills that are not yet in the log, by id of the fill. Their debts still look open and must not
+    /// be paid twice.
     unsettled: BTreeMap<String, Settlement>,
-    /// Fills that were planned in the current window, also those that have ended or failed since: the limits of a window hold
-    /// for what was planned in it.
+    /// Fills planned in the current window, including those that have ended or failed since. The limits per window apply to
+    /// planned fills.
     recent: Vec<RecentFill>,
-    /// Since when a partner waits for a fill.
+    /// Time since which each partner with open demands has waited for a fill, in seconds.
     waiting_since: BTreeMap<String, f64>,
-    /// For the round robin: bytes that each partner may still get.
+    /// Deficit counters of the round robin: bytes that each partner may still receive.
     deficits: BTreeMap<String, f64>,
-    /// For the round robin: whose turn it is.
+    /// Position of the round robin: its next turn goes to the first partner whose name is not below this one.
     next_partner: String,
 }
 
 impl FillPlanner {
-    /// A planner without fills. `broker`: in whose name its fills are settled.
+    /// Creates a planner without fills. `broker` is the broker from whose shares the fills are settled.
     pub fn new(broker: &str, rule: PlanningRule, seed: u64) -> FillPlanner {
         FillPlanner {
             broker: broker.to_string(),
@@ -53,7 +56,8 @@
         }
     }
 
-    /// A fill that another leader planned at `planned_at`, and whether it is still running. A known one counts once.
+    /// Adds a fill that an earlier leader planned at `planned_at`. It counts in the window once, however often it is added. If
+    /// `is_running`, it also counts as running.
     pub fn resume(&mut self, fill: &Fill, planned_at: f64, is_running: bool) {
         if !self.recent.iter().any(|recent| recent.id == fill.id && recent.from == fill.from) {
             self.recent.push(RecentFill::new(fill, planned_at));
@@ -63,11 +67,11 @@
         }
     }
 
-    /// A fill has ended, complete or not. What a complete one settles is remembered until the ledger has it, or it is
-    /// reported by [`FillPlanner::settlement_rejected`].
+    /// Removes a fill that has ended from the running fills. The settlement of a complete fill is remembered until the ledger
+    /// has it or [`FillPlanner::settlement_rejected`] is called.
     ///
-    /// A fill that failed still counts in its window, and counts again when it is planned anew: a fill counts when it is
-    /// planned, whatever comes of it.
+    /// The fill still counts in its window even if it failed, and counts again if it is planned again, because fills count
+    /// when they are planned.
     pub fn fill_ended(&mut self, id: &str, is_complete: bool) {
         let settles = self.running.remove(id).and_then(|fill| fill.settles);
         if let Some(settlement) = settles.filter(|_| is_complete) {
@@ -75,17 +79,17 @@
         }
     }
 
-    /// The log has rejected the settlement of this fill for good.
+    /// Forgets the settlement of a fill after the ledger has rejected it permanently.
     pub fn settlement_rejected(&mut self, id: &str) {
         self.unsettled.remove(id);
     }
 
-    /// Fills that were planned and have not ended.
+    /// Returns the fills that were planned and have not ended.
     pub fn running(&self) -> impl Iterator<Item = &Fill> {
         self.running.values()
     }
 
-    /// Bytes that `partner` carried for others in the window that ends now, planned ones included.
+    /// Returns the bytes of fills from `partner` to other partners that were planned in the window that ends at `now`.
     pub fn carried_bytes(&self, partner: &str, window_seconds: f64, now: f64) -> u64 {
         let is_carried = |fill: &&RecentFill| {
             fill.planned_at > now - window_seconds && fill.from == partner && fill.from != fill.to
@@ -93,7 +97,10 @@
         self.recent.iter().filter(is_carried).map(|fill| fill.bytes).sum()
     }
 
-    /// Fills to start now. The same for the same calls and seed.
+    /// Returns the fills to start now, and the demands that must wait. The result is deterministic for the same seed and calls.
+    ///
+    /// `shares` are this broker's promises, if it stores any; without them the ledger's shares are used, less what running and
+    /// unsettled fills pay.
     pub fn plan(
         &mut self,
         balances: &Balances,
@@ -107,11 +114,11 @@
         self.recent.retain(|fill| fill.planned_at > now - window_seconds);
         self.unsettled.retain(|fill, _| !balances.ledger().is_settled(fill));
         let mut round = Round::new(balances, links, slow_start, shares, now);
-        self.pay_running(&mut round);
+        self.pay_pending(&mut round);
         let mut plan = FillPlan::default();
-        let (mut queues, mut in_order) = self.queue(demands, &mut plan);
+        let (mut queues, mut partner_order) = self.queue_demands(demands, &mut plan);
         self.track_waiting(&queues, now);
-        while let Some(partner) = in_order.pop_front().or_else(|| self.next_to_serve(&queues, &round)) {
+        while let Some(partner) = partner_order.pop_front().or_else(|| self.next_to_serve(&queues, &round)) {
             let Some(demand) = queues.pop(partner) else { continue };
             match self.choose_source(demand, &round) {
                 Ok(fill) => self.add_fill(fill, &mut round),
@@ -127,8 +134,8 @@
         plan
     }
 
-    /// Running and unsettled fills count as if they had paid.
-    fn pay_running(&self, round: &mut Round) {
+    /// Subtracts the settlements of running and unsettled fills from the open debts.
+    fn pay_pending(&self, round: &mut Round) {
         let running = self.running.values().filter_map(|fill| fill.settles.as_ref());
         for settlement in running.chain(self.unsettled.values()) {
             if !round.balances.ledger().is_settled(settlement.fill()) {
@@ -137,13 +144,15 @@
         }
     }
 
-    /// Demands by partner, each once, and for the baseline the partners in the order of the demands.
-    fn queue<'a>(
+    /// Returns the demands by partner without duplicates. For [`PlanningRule::Cheapest`] also returns their partners in the
+    /// order of the demands; for the other rules this list is empty. Demands whose fill is running are added to `plan` as
+    /// waiting.
+    fn queue_demands<'a>(
         &self,
         demands: &'a [FillDemand],
         plan: &mut FillPlan,
     ) -> (DemandQueues<'a>, VecDeque<&'a str>) {
-        let (mut queues, mut in_order) = (DemandQueues::default(), VecDeque::new());
+        let (mut queues, mut partner_order) = (DemandQueues::default(), VecDeque::new());
         let mut seen = BTreeSet::new();
         for demand in demands.iter().filter(|demand| seen.insert(demand.id())) {
             if self.running.contains_key(&demand.id()) {
@@ -152,12 +161,13 @@
             }
             queues.by_partner.entry(&demand.partner).or_default().push_back(demand);
             if self.rule == PlanningRule::Cheapest {
-                in_order.push_back(demand.partner.as_str());
+                partner_order.push_back(demand.partner.as_str());
             }
         }
-        (queues, in_order)
+        (queues, partner_order)
     }
 
+    /// Adds a chosen fill to the round, and counts it in the window and in the service order.
     fn add_fill(&mut self, fill: Fill, round: &mut Round) {
         if let Some(settlement) = &fill.settles {
             round.pay(&settlement.debtor, &settlement.creditor, settlement.bytes);
@@ -171,7 +181,7 @@
     }
 }
 
-/// One plan by max-min, for a caller that plans once.
+/// Returns the fills to start now by [`PlanningRule::MaxMin`], from a new planner that is used only once.
 pub fn plan(
     balances: &Balances,
     demands: &[FillDemand],
--- a/crates/dunepond-settlement/src/planner/rates.rs
+++ b/crates/dunepond-settlement/src/planner/rates.rs
@@ -1,4 +1,4 @@
-//! Rates of the chosen fills.
+//! Computes the rates of the chosen fills.
 
 use std::collections::BTreeMap;
 
@@ -6,27 +6,29 @@
 use super::round::Round;
 use crate::{Fill, max_min_rates};
 
-/// A capacity that several fills share.
+/// A link or a node whose capacity several fills share.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Resource<'a> {
     Link { from: &'a str, to: &'a str },
     Node(&'a str),
 }
 
-/// Capacities in bytes a second, each resource once.
+/// Capacities of resources in bytes per second.
 #[derive(Default)]
 struct Resources<'a> {
+    /// Indexes of shared resources in `rate_caps`.
     index_of: BTreeMap<Resource<'a>, usize>,
     rate_caps: Vec<f64>,
 }
 
 impl<'a> Resources<'a> {
-    /// Adds a resource that one fill alone uses.
+    /// Adds a resource and returns its index.
     fn add(&mut self, rate_cap: f64) -> usize {
         self.rate_caps.push(rate_cap);
         self.rate_caps.len() - 1
     }
 
+    /// Returns the index of a resource, and adds the resource first if it is new.
     fn index(&mut self, resource: Resource<'a>, rate_cap: impl FnOnce() -> f64) -> usize {
         if let Some(index) = self.index_of.get(&resource) {
             return *index;
@@ -38,17 +40,17 @@
 }
 
 impl FillPlanner {
-    /// Max-min over links and nodes, as far as running fills leave them.
+    /// Sets the rates of the chosen fills to the max-min fair split of what running fills leave free on links and nodes.
     pub(super) fn set_rates(&self, round: &mut Round) {
         let mut resources = Resources::default();
         let mut flows = Vec::new();
         for fill in &round.chosen {
-            let own = resources.add(round.balances.terms().max_fill_rate);
+            let own_cap = resources.add(round.balances.terms().max_fill_rate);
             let link = resources.index(Resource::Link { from: &fill.from, to: &fill.to }, || {
-                self.link_rate_left(fill, round)
+                self.free_link_capacity(fill, round)
             });
-            let node = resources.index(Resource::Node(&fill.node), || self.node_rate_left(fill, round));
-            flows.push(vec![own, link, node]);
+            let node = resources.index(Resource::Node(&fill.node), || self.free_node_capacity(fill, round));
+            flows.push(vec![own_cap, link, node]);
         }
         let rates = max_min_rates(&flows, &resources.rate_caps);
         for (fill, rate) in round.chosen.iter_mut().zip(rates) {
@@ -56,12 +58,12 @@
         }
     }
 
-    fn link_rate_left(&self, fill: &Fill, round: &Round) -> f64 {
+    fn free_link_capacity(&self, fill: &Fill, round: &Round) -> f64 {
         let running = self.running_rate(|other| other.from == fill.from && other.to == fill.to);
         round.links.rate_cap(&fill.from, &fill.to) - running
     }
 
-    fn node_rate_left(&self, fill: &Fill, round: &Round) -> f64 {
+    fn free_node_capacity(&self, fill: &Fill, round: &Round) -> f64 {
         round.slow_start.rate_cap(&fill.node) - self.running_rate(|other| other.node == fill.node)
     }
 }
--- a/crates/dunepond-settlement/src/planner/round.rs
+++ b/crates/dunepond-settlement/src/planner/round.rs
@@ -1,10 +1,10 @@
-//! Inputs of one call of the planner, and the fills that it has chosen so far.
+//! State of one planning round: the inputs, the open debts and the fills chosen so far.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::{Balances, Fill, FillDemand, LinkCapacities, PartnerPair, SharePromises, SlowStartCapacity};
 
-/// A fill that counts in the windows of its partners.
+/// A fill planned in the current window, which counts towards the limits per window.
 #[derive(Clone, Debug)]
 pub struct RecentFill {
     pub id: String,
@@ -20,42 +20,44 @@
         Self { id: fill.id.clone(), planned_at, from, to, bytes: fill.bytes }
     }
 
-    /// Whether it goes from one of the partners to the other.
+    /// Whether the fill goes from one of the two partners to the other, in either direction.
     pub fn is_between(&self, one: &str, other: &str) -> bool {
         (self.from == one && self.to == other) || (self.from == other && self.to == one)
     }
 }
 
-/// What is still owed of a net debt, less what running and chosen fills pay.
+/// The part of a net debt that no running, unsettled or chosen fill pays off.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OpenDebt {
     pub bytes: u64,
-    /// Weight by which the creditor is served.
+    /// Weight of the debt in the service order of the creditor.
     pub weight: f64,
 }
 
-/// One call of the planner.
+/// State of one call of [`super::FillPlanner::plan`].
 pub struct Round<'a> {
     pub balances: &'a Balances,
     pub links: &'a LinkCapacities,
     pub slow_start: &'a SlowStartCapacity,
     pub shares: Option<&'a SharePromises>,
     pub now: f64,
-    /// By debtor (`from`) and creditor (`to`).
-    open: BTreeMap<PartnerPair, OpenDebt>,
+    /// Open debts by debtor (`from`) and creditor (`to`).
+    open_debts: BTreeMap<PartnerPair, OpenDebt>,
+    /// Fills chosen in this round.
     pub chosen: Vec<Fill>,
-    /// Source and filled partner, reserved for one that has waited too long. Without it a large fill would wait forever
-    /// behind small ones.
+    /// Pairs of source partner and filled partner whose capacity is reserved for a filled partner that has waited too long.
+    /// Without the reservation a large fill would wait forever behind small ones.
     pub reserved: BTreeSet<PartnerPair>,
 }
 
-/// Demands by partner, each in its order; no queue is empty.
+/// Demands by partner in their given order. No queue is empty.
 #[derive(Default)]
 pub struct DemandQueues<'a> {
     pub by_partner: BTreeMap<&'a str, VecDeque<&'a FillDemand>>,
 }
 
 impl<'a> DemandQueues<'a> {
+    /// Removes and returns the first demand of a partner; `None` if it has no demands.
     pub fn pop(&mut self, partner: &str) -> Option<&'a FillDemand> {
         let queue = self.by_partner.get_mut(partner)?;
         let demand = queue.pop_front();
@@ -75,33 +77,43 @@
         now: f64,
     ) -> Self {
         let (chosen, reserved) = (Vec::new(), BTreeSet::new());
-        Self { balances, links, slow_start, shares, now, open: open_debts(balances, now), chosen, reserved }
+        Self {
+            balances,
+            links,
+            slow_start,
+            shares,
+            now,
+            open_debts: open_debts(balances, now),
+            chosen,
+            reserved,
+        }
     }
 
+    /// The open debt of `debtor` to `creditor`; empty if there is none.
     pub fn open_debt(&self, debtor: &str, creditor: &str) -> OpenDebt {
-        self.open.get(&PartnerPair::new(debtor, creditor)).copied().unwrap_or_default()
+        self.open_debts.get(&PartnerPair::new(debtor, creditor)).copied().unwrap_or_default()
     }
 
-    /// Sum of the weights of what is still owed to a partner.
+    /// Sum of the weights of the open debts to `creditor`.
     pub fn owed_weight(&self, creditor: &str) -> f64 {
-        self.open.iter().filter(|(pair, _)| pair.to == creditor).map(|(_, debt)| debt.weight).sum()
+        self.open_debts.iter().filter(|(pair, _)| pair.to == creditor).map(|(_, debt)| debt.weight).sum()
     }
 
-    /// A fill pays off a part of a debt.
+    /// Subtracts `bytes` that a fill pays off from an open debt, and reduces its weight in proportion.
     pub fn pay(&mut self, debtor: &str, creditor: &str, bytes: u64) {
-        if let Some(debt) = self.open.get_mut(&PartnerPair::new(debtor, creditor)) {
+        if let Some(debt) = self.open_debts.get_mut(&PartnerPair::new(debtor, creditor)) {
             let left = debt.bytes.saturating_sub(bytes);
             debt.weight *= if debt.bytes == 0 { 0.0 } else { left as f64 / debt.bytes as f64 };
             debt.bytes = left;
         }
     }
 
-    /// Whether the sources of this partner are reserved for a partner that has waited too long.
+    /// Whether the source partner `from` is reserved for a partner that has waited too long.
     pub fn is_source_reserved(&self, from: &str) -> bool {
         self.reserved.iter().any(|pair| pair.from == from)
     }
 
-    /// Whether fills between the two, in either direction, are reserved for a partner that has waited too long.
+    /// Whether fills between the two partners, in either direction, are reserved for a partner that has waited too long.
     pub fn is_pair_reserved(&self, from: &str, to: &str) -> bool {
         let is_pair =
             |pair: &PartnerPair| (pair.from == from && pair.to == to) || (pair.from == to && pair.to == from);
@@ -109,7 +121,7 @@
     }
 }
 
-/// Net debts with their weights.
+/// Returns the net debts with their weights, by debtor and creditor.
 fn open_debts(balances: &Balances, now: f64) -> BTreeMap<PartnerPair, OpenDebt> {
     let mut open = BTreeMap::new();
     for debt in balances.net_debts() {
--- a/crates/dunepond-settlement/src/planner/service_order.rs
+++ b/crates/dunepond-settlement/src/planner/service_order.rs
@@ -1,13 +1,14 @@
-//! Whose demand is served next.
+//! Service order: chooses the partner whose demand is served next.
 
 use super::FillPlanner;
 use super::round::{DemandQueues, Round};
 use crate::{FillDemand, PartnerPair, PlanningRule, WaitReason};
 
-/// A partner that has waited for this part of a window is served before all others.
+/// Ratio of a window after which a waiting partner is served before all others.
 const MAX_WAIT_WINDOW_RATIO: f64 = 0.5;
 
 impl FillPlanner {
+    /// Starts to track the waiting time of partners that have demands, and drops the state of those that have none.
     pub(super) fn track_waiting(&mut self, queues: &DemandQueues, now: f64) {
         self.waiting_since.retain(|partner, _| queues.by_partner.contains_key(partner.as_str()));
         self.deficits.retain(|partner, _| queues.by_partner.contains_key(partner.as_str()));
@@ -16,7 +17,8 @@
         }
     }
 
-    /// The partner that has waited too long, else the one by the rule.
+    /// The partner to serve next: the one that has waited longest if any has waited too long, otherwise the one chosen by the
+    /// planning rule. `None` if there are no demands.
     pub(super) fn next_to_serve<'a>(&mut self, queues: &DemandQueues<'a>, round: &Round) -> Option<&'a str> {
         let partners = || queues.by_partner.keys().copied();
         let starved = partners().filter(|partner| self.is_starved(partner, round));
@@ -34,11 +36,12 @@
         })
     }
 
-    /// Bytes that the partner was filled with in the window.
+    /// Bytes of the fills to the partner that were planned in the current window.
     fn received_bytes(&self, partner: &str) -> u64 {
         self.recent.iter().filter(|fill| fill.to == partner).map(|fill| fill.bytes).sum()
     }
 
+    /// Whether the partner has waited too long. Never true for the baseline rule.
     fn is_starved(&self, partner: &str, round: &Round) -> bool {
         let max_wait_seconds = MAX_WAIT_WINDOW_RATIO * round.balances.terms().window_seconds;
         let starved_since = round.now - max_wait_seconds;
@@ -46,7 +49,8 @@
             && self.waiting_since.get(partner).is_some_and(|since| *since <= starved_since)
     }
 
-    /// Deficit round robin: each turn adds a quantum, a demand is served once its bytes are covered.
+    /// The next partner by deficit round robin: each turn adds a quantum to the partner's deficit counter, and a demand is
+    /// served once the counter covers its bytes.
     fn next_by_deficit<'a>(&mut self, queues: &DemandQueues<'a>, round: &Round) -> Option<&'a str> {
         let demands = queues.by_partner.values().flatten();
         let largest_bytes = demands.map(|demand| demand.bytes).max()? as f64;
@@ -63,12 +67,12 @@
             }
             let ratio = if total_weight > 0.0 { round.owed_weight(partner) / total_weight } else { 0.0 };
             *deficit += largest_bytes.max(1.0) * (1.0 + ratio * queues.by_partner.len() as f64);
-            // Right after this name.
+            // The least string that is greater than this name, so that the next turn goes to the next partner.
             self.next_partner = format!("{partner}\0");
         }
     }
 
-    /// Keeps the capacity of all sources for a partner that has waited too long.
+    /// Reserves all sources of a demand if its partner has waited too long and other fills could delay it forever.
     pub(super) fn reserve(&self, demand: &FillDemand, reason: WaitReason, round: &mut Round) {
         let may_wait_forever = matches!(reason, WaitReason::CarryLimit | WaitReason::DebtSpeed);
         if may_wait_forever && self.is_starved(&demand.partner, round) {
--- a/crates/dunepond-settlement/src/planner/source.rs
+++ b/crates/dunepond-settlement/src/planner/source.rs
@@ -1,4 +1,4 @@
-//! The source of a fill, and the limits that it has to keep.
+//! Chooses the source of a fill, and checks the limits that apply to it.
 
 use rand::RngExt;
 
@@ -6,7 +6,7 @@
 use super::round::Round;
 use crate::{Fill, FillDemand, FillSource, PlanningRule, Settlement, WaitReason};
 
-/// The better source compares greater, field by field.
+/// Rank of a source. A better source compares greater; fields are compared in their order.
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
     owed_weight: f64,
@@ -16,12 +16,14 @@
     tie_breaker: u64,
 }
 
+/// A source that meets all limits, with its rank.
 struct Candidate<'a> {
     rank: Rank,
     source: &'a FillSource,
 }
 
 impl FillPlanner {
+    /// Returns the fill of a demand from the best source, or the reason why it must wait.
     pub(super) fn choose_source(&mut self, demand: &FillDemand, round: &Round) -> Result<Fill, WaitReason> {
         let node_rate =
             self.free_rate(round.slow_start.rate_cap(&demand.node), round, |fill| fill.node == demand.node);
@@ -42,9 +44,10 @@
             }
         }
         let best = best.ok_or(reason)?;
-        Ok(self.fill(demand, best.source, round))
+        Ok(self.build_fill(demand, best.source, round))
     }
 
+    /// Ranks a source partner for fills to `to`. Draws one random number to break ties.
     fn rank(&mut self, from: &str, to: &str, link_rate: f64, round: &Round) -> Rank {
         let tie_breaker = self.rng.random();
         if self.rule == PlanningRule::Cheapest {
@@ -66,7 +69,8 @@
         }
     }
 
-    fn fill(&self, demand: &FillDemand, source: &FillSource, round: &Round) -> Fill {
+    /// Builds the fill of a demand from a source, with the part of a debt that it settles.
+    fn build_fill(&self, demand: &FillDemand, source: &FillSource, round: &Round) -> Fill {
         let (from, to) = (&source.partner, &demand.partner);
         let mut fill = Fill {
             id: demand.id(),
@@ -87,25 +91,25 @@
         fill
     }
 
-    /// What may still be promised of a split debt.
+    /// Bytes of a debt that this broker may still settle; unlimited if the debt is not split.
     fn available_share(&self, debtor: &str, creditor: &str, round: &Round) -> u64 {
         let ledger = round.balances.ledger();
         if !ledger.is_split(debtor, creditor) {
             return u64::MAX;
         }
-        let is_ours = |settlement: &&Settlement| {
+        let is_open_payment = |settlement: &&Settlement| {
             settlement.debtor == debtor
                 && settlement.creditor == creditor
                 && !ledger.is_settled(settlement.fill())
         };
         let chosen = round.chosen.iter().filter_map(|fill| fill.settles.as_ref());
-        let chosen_bytes: u64 = chosen.filter(is_ours).map(|settlement| settlement.bytes).sum();
+        let chosen_bytes: u64 = chosen.filter(is_open_payment).map(|settlement| settlement.bytes).sum();
         match round.shares {
-            // Running and unsettled fills are promised.
+            // The promises already include running and unsettled fills.
             Some(shares) => shares.remaining(ledger, debtor, creditor).saturating_sub(chosen_bytes),
             None => {
                 let running = self.running.values().filter_map(|fill| fill.settles.as_ref());
-                let unconfirmed = running.chain(self.unsettled.values()).filter(is_ours);
+                let unconfirmed = running.chain(self.unsettled.values()).filter(is_open_payment);
                 let unconfirmed_bytes: u64 = unconfirmed.map(|settlement| settlement.bytes).sum();
                 let remaining = ledger.share(&self.broker, debtor, creditor).remaining();
                 remaining.saturating_sub(chosen_bytes + unconfirmed_bytes)
@@ -113,7 +117,8 @@
         }
     }
 
-    /// The limits on carrying, and on how far and how fast a debt may change. None of them applies inside a partner.
+    /// Checks the limits on the link, on carried bytes, and on the size and the change of debts. Only the limit on the link
+    /// applies inside a partner.
     fn check_limits(
         &self,
         demand: &FillDemand,
@@ -153,31 +158,33 @@
         Ok(())
     }
 
-    /// What the filled partner would owe the source's if this, running and chosen fills were complete.
+    /// The debt of the filled partner to the source partner, in bytes, once this fill and all running and chosen fills are
+    /// complete.
     fn debt_after(&self, demand: &FillDemand, from: &str, round: &Round) -> i128 {
         let to = demand.partner.as_str();
-        let bytes_on_way = |from: &str, to: &str| -> i128 {
+        let pending_bytes = |from: &str, to: &str| -> i128 {
             let fills = self.running.values().chain(&round.chosen);
-            let on_way = fills.filter(|fill| fill.from == from && fill.to == to);
-            on_way.map(|fill| i128::from(fill.bytes)).sum()
+            let pending = fills.filter(|fill| fill.from == from && fill.to == to);
+            pending.map(|fill| i128::from(fill.bytes)).sum()
         };
         let balance = round.balances.balance(to, from);
-        balance + bytes_on_way(from, to) - bytes_on_way(to, from) + i128::from(demand.bytes)
+        balance + pending_bytes(from, to) - pending_bytes(to, from) + i128::from(demand.bytes)
     }
 
-    /// Bytes a second that are free on the link if each chosen fill takes its minimum.
+    /// Free rate of a link in bytes per second, if each chosen fill uses the minimum rate.
     fn free_link_rate(&self, from: &str, to: &str, round: &Round) -> f64 {
         let rate_cap = round.links.rate_cap(from, to);
         self.free_rate(rate_cap, round, |fill| fill.from == from && fill.to == to)
     }
 
-    /// Bytes a second that are free of a resource that the given fills use.
+    /// Free rate in bytes per second of a resource with the capacity `rate_cap`, if each chosen fill uses the minimum rate.
+    /// `uses` selects the fills that use the resource.
     fn free_rate(&self, rate_cap: f64, round: &Round, uses: impl Fn(&Fill) -> bool) -> f64 {
         let chosen = round.chosen.iter().filter(|fill| uses(fill)).count();
         rate_cap - self.running_rate(uses) - chosen as f64 * round.balances.terms().min_fill_rate
     }
 
-    /// Sum over the running fills that use a resource.
+    /// Sum of the rates of the running fills that `uses` selects, in bytes per second.
     pub(super) fn running_rate(&self, uses: impl Fn(&Fill) -> bool) -> f64 {
         self.running.values().filter(|fill| uses(fill)).map(|fill| fill.rate).sum()
     }
--- a/crates/dunepond-settlement/src/promises.rs
+++ b/crates/dunepond-settlement/src/promises.rs
@@ -1,4 +1,4 @@
-//! What this broker has promised from its shares and the log does not show yet.
+//! Settlements that this broker has promised from its shares and that are not yet in the log.
 
 use std::collections::BTreeMap;
 
@@ -9,22 +9,26 @@
     ShareRelease, max_min,
 };
 
-/// Promises of one broker, to be stored before a promise is acted on. While partitioned a broker settles from this, and
-/// proposes its promises when it reaches the log again. Whatever is lost here, the ledger accepts nothing beyond a share.
+/// Settlements that one broker has promised from its shares. They must be stored before a promise is acted on.
+///
+/// A partitioned broker makes promises within its shares and proposes them once it reaches the log again. Even if stored
+/// promises are lost, the ledger accepts no settlement beyond a share.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SharePromises {
     #[serde(rename = "by")]
     broker: String,
-    /// Settlements by fill, until the log has them.
+    /// Promised settlements that are not yet in the log, by id of the fill.
     promised: BTreeMap<String, Settlement>,
+    /// Part of a share that the broker is returning, until the log has the entry.
     releasing: Option<ShareRelease>,
 }
 
 impl SharePromises {
-    /// No promises yet, of this broker.
+    /// Creates an empty set of promises for the broker with this name.
     ///
     /// # Errors
-    /// The name would make ids ambiguous.
+    /// Returns [`SettlementError::InvalidName`] if the name is empty or contains `@`, which would make settlement ids
+    /// ambiguous.
     pub fn new(broker: &str) -> Result<SharePromises, SettlementError> {
         if broker.is_empty() || broker.contains('@') {
             return Err(SettlementError::InvalidName { name: broker.to_string() });
@@ -32,20 +36,28 @@
         Ok(SharePromises { broker: broker.to_string(), promised: BTreeMap::new(), releasing: None })
     }
 
-    /// Bytes that may still be promised: the share, less what is promised and what is being returned.
+    /// Returns the bytes of what `debtor` owes `creditor` that the broker may still promise: its unspent share minus its
+    /// pending promises and the bytes that it is returning.
     pub fn remaining(&self, ledger: &SettlementLedger, debtor: &str, creditor: &str) -> u64 {
-        let ours = |d: &str, c: &str| d == debtor && c == creditor;
-        let open =
-            self.promised.values().filter(|s| ours(&s.debtor, &s.creditor) && !ledger.is_settled(s.fill()));
-        let promised: u64 = open.map(|settlement| settlement.bytes).sum();
-        let back = self.releasing.as_ref().filter(|r| ours(&r.debtor, &r.creditor)).map_or(0, |r| r.bytes);
-        ledger.share(&self.broker, debtor, creditor).remaining().saturating_sub(promised + back)
+        let is_pair = |d: &str, c: &str| d == debtor && c == creditor;
+        let pending = self
+            .promised
+            .values()
+            .filter(|s| is_pair(&s.debtor, &s.creditor) && !ledger.is_settled(s.fill()));
+        let promised_bytes: u64 = pending.map(|settlement| settlement.bytes).sum();
+        let release = self.releasing.as_ref().filter(|r| is_pair(&r.debtor, &r.creditor));
+        let releasing_bytes = release.map_or(0, |r| r.bytes);
+        ledger
+            .share(&self.broker, debtor, creditor)
+            .remaining()
+            .saturating_sub(promised_bytes + releasing_bytes)
     }
 
-    /// Promises a settlement; the same fill again changes nothing.
+    /// Promises a settlement. Has no effect if the fill is already promised or settled.
     ///
     /// # Errors
-    /// It exceeds what remains.
+    /// Returns [`SettlementError::ExceedsShare`] if the settlement is larger than what the broker may still promise, or names
+    /// another broker.
     pub fn promise(
         &mut self,
         ledger: &SettlementLedger,
@@ -65,22 +77,22 @@
         Ok(())
     }
 
-    /// Name of the broker.
+    /// Returns the name of the broker whose promises these are.
     pub fn broker(&self) -> &str {
         &self.broker
     }
 
-    /// What was promised for this fill, until the log shows it.
+    /// Returns the promised settlement of a fill; `None` if there is none or the log already has it.
     pub fn promised(&self, fill: &str) -> Option<&Settlement> {
         self.promised.get(fill)
     }
 
-    /// What is being returned.
+    /// Returns the part of a share that the broker is returning, if any.
     pub fn releasing(&self) -> Option<&ShareRelease> {
         self.releasing.as_ref()
     }
 
-    /// What has to be proposed, again and again until the log shows it.
+    /// Returns the entries that the broker must propose, repeatedly until they are in the log.
     pub fn pending_entries(&self) -> impl Iterator<Item = SettlementEntry> {
         let settle = self.promised.values().cloned().map(SettlementEntry::Settle);
         settle.chain(self.releasing.clone().map(SettlementEntry::Release))
@@ -91,10 +103,11 @@
         self.promised.remove(fill);
     }
 
-    /// Starts to return what is not spent, one return at a time. It cannot be promised from now on.
+    /// Starts to return an unspent part of the broker's share, and returns the entry to propose. These bytes can no longer be
+    /// promised. Only one return can be pending: if there is one, its entry is returned.
     ///
     /// # Errors
-    /// It exceeds what remains.
+    /// Returns [`SettlementError::ExceedsRemaining`] if `bytes` is 0 or larger than what the broker may still promise.
     pub fn release(
         &mut self,
         ledger: &SettlementLedger,
@@ -116,22 +129,25 @@
         Ok(SettlementEntry::Release(release))
     }
 
-    /// After new entries: drops what the log shows, and what it will never accept (`refused` by
-    /// [`SettlementLedger::apply`]).
-    pub fn reconcile(&mut self, ledger: &SettlementLedger, refused: &[Settlement]) {
-        // A closed version accepts none any more.
-        let open = |promise: &Settlement| promise.version().is_some_and(|version| version >= ledger.floor());
-        self.promised
-            .retain(|fill, promise| !ledger.is_settled(fill) && !refused.contains(promise) && open(promise));
-        // Applied, or overtaken by another entry of the pair; in that case the share is unchanged and can be returned
-        // again.
+    /// Drops the promises that the log has, and those that it will never accept. To be called after new entries were applied,
+    /// with the settlements that [`SettlementLedger::apply`] has rejected.
+    pub fn reconcile(&mut self, ledger: &SettlementLedger, rejected: &[Settlement]) {
+        // The ledger accepts no settlements of closed versions.
+        let is_open =
+            |promise: &Settlement| promise.version().is_some_and(|version| version >= ledger.floor());
+        self.promised.retain(|fill, promise| {
+            !ledger.is_settled(fill) && !rejected.contains(promise) && is_open(promise)
+        });
+        // The entry was applied, or another entry of the pair has used its number. In the second case the share is unchanged
+        // and can be returned again.
         self.releasing
             .take_if(|release| ledger.next_number(&release.debtor, &release.creditor) > release.number);
     }
 }
 
-/// The entry that splits what is owed and not split yet, if there is anything. Evenly, as it is unknown which broker will
-/// be partitioned.
+/// Returns the entry that allots the part of a debt that is not split yet; `None` if there is nothing to allot.
+///
+/// It makes the remaining shares as even as possible, because it is unknown which broker will be partitioned.
 pub fn allot_evenly(
     balances: &Balances,
     debtor: &str,
@@ -146,7 +162,7 @@
     let new_bytes = wanted.saturating_sub(excess);
     let remaining: Vec<u64> =
         brokers.iter().map(|broker| ledger.share(broker, debtor, creditor).remaining()).collect();
-    // Who has the least remaining gets the most.
+    // Brokers with the least remaining share get the most.
     let unbounded = vec![u64::MAX / 2; brokers.len()];
     let targets = max_min(&unbounded, unspent.saturating_add(new_bytes));
     let demands: Vec<u64> =
--- a/crates/dunepond-settlement/src/replication.rs
+++ b/crates/dunepond-settlement/src/replication.rs
@@ -1,84 +1,96 @@
-//! Which counts a peer is sent: rows that changed since the last ones that it acknowledged, and now and then all of them.
+//! Selects the counts to send to a peer: the rows that changed since the last ones it acknowledged, and periodically all rows.
 //!
-//! A row is sent whole or not at all, and rows join, so that any of them may be lost, duplicated or late. The only mistake
-//! would be to leave out a row that the peer lacks. So the peer acknowledges in each message how far it has received ours,
-//! and each process starts with nothing received: after a restart, a lost message or an old folder more is sent, never
-//! less.
+//! Rows are sent only as a whole and merge idempotently, so a message may be lost, duplicated or late. The one thing to avoid
+//! is to omit a row that the peer lacks. Each message therefore acknowledges how far its sender has received the receiver's
+//! rows, and each process starts with nothing acknowledged. After a restart, a lost message or a restored old folder, more
+//! rows are sent than needed, never fewer.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::counts::{CarriedCounts, Height};
+use crate::counts::{CarriedCounts, RowProgress};
 
-/// Messages between two that have all rows, whatever the peer acknowledged: a fault in the bookkeeping heals by itself.
+/// Number of messages after which one contains all rows, whatever the peer has acknowledged. This repairs any error in the
+/// positions.
 const MESSAGES_PER_FULL_SYNC: u64 = 600;
-/// Peers whose position is remembered; beyond, all are forgotten and get everything again.
-const MAX_PEER_COUNT: usize = 10_000;
+/// Maximum number of peers whose positions are remembered. If it is exceeded, all positions are dropped, and all rows are sent
+/// again.
+const MAX_PEERS: usize = 10_000;
 
-/// Position: a revision of one process. Each process has an id of its own.
+/// A revision of the rows of one process. Each process has its own id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Position {
     process: u64,
     revision: u64,
 }
 
-/// A message with counts. The counts come first: a build that knows only counts reads them and stops there.
+/// Message that sends counts to a peer. The counts are encoded first, because older builds decode only these and ignore the
+/// rest.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CountsMessage {
-    /// The rows that changed.
+    /// Rows that changed since the last acknowledged revision, or all rows.
     pub counts: CarriedCounts,
-    /// A receiver that had the sender's rows up to `since_revision` has them up to here.
+    /// Position up to which a receiver has the sender's rows after this message, if it had them up to `since_revision`.
     #[serde(rename = "upto")]
     up_to: Position,
+    /// Sender's revision after which the rows in this message changed; 0 if the message contains all rows.
     #[serde(rename = "since")]
     since_revision: u64,
-    /// How far the sender has received the receiver's rows.
+    /// Position up to which the sender has received the receiver's rows.
     #[serde(rename = "heard")]
     received: Position,
-    /// Rows that came from this process are left out, so that the position counts only for it; 0: for all.
+    /// Process whose own rows are omitted from the message, so that `up_to` is valid only for it; 0 if no row is omitted.
     #[serde(rename = "only")]
     only_for_process: u64,
 }
 
 impl CountsMessage {
-    /// Of a build that knows only counts: it acknowledges nothing.
+    /// Creates a message from the counts of a build that sends only counts. It acknowledges nothing.
     pub fn counts_only(counts: CarriedCounts) -> CountsMessage {
         CountsMessage { counts, ..CountsMessage::default() }
     }
 }
 
+/// How far a peer and this process have received each other's rows.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
-    /// Process that sent its last message.
+    /// Id of the process that sent the peer's last message.
     process: u64,
-    /// This process's revision that it has acknowledged.
+    /// Revision of this process that the peer has acknowledged.
     acknowledged_revision: u64,
-    /// How far its rows were received.
+    /// Position up to which the peer's rows were received.
     received: Position,
 }
 
+/// Last change of a broker's row.
 #[derive(Clone, Copy, Debug)]
-struct Row {
-    height: Height,
-    /// This process's, at its last change.
+struct RowChange {
+    /// Progress of the row after the change.
+    progress: RowProgress,
+    /// Revision of this process at the change.
     revision: u64,
-    /// The process that sent it in just this state; 0: none.
+    /// Process that sent the row in exactly this state; 0 if none did.
     origin: u64,
 }
 
-/// How far each peer is. Nothing of it survives the process.
+/// Positions of all peers, and the last change of each row. Kept only in memory.
 #[derive(Clone, Debug)]
 pub struct CountsReplication {
+    /// Id of this process.
     process: u64,
+    /// Number of changes of rows in this process.
     revision: u64,
-    rows: BTreeMap<String, Row>,
+    /// Last changes of rows, by broker.
+    rows: BTreeMap<String, RowChange>,
+    /// Peers by name.
     peers: BTreeMap<String, Peer>,
     message_count: u64,
 }
 
 impl CountsReplication {
-    /// `process`: another number at each start, drawn at random and not from the folder, which may be an old copy.
+    /// Creates the state for a process that has exchanged no messages. `process` must differ at each start; it is drawn at
+    /// random and not stored, because the folder may be an old copy.
     pub fn new(process: u64) -> CountsReplication {
         let process = process.max(1);
         CountsReplication {
@@ -90,43 +102,45 @@
         }
     }
 
-    /// Notes which rows changed; `merged`: the message that was merged just before.
-    fn note_changes(&mut self, counts: &CarriedCounts, merged: Option<&CountsMessage>) {
-        for (broker, height) in counts.heights() {
-            if self.rows.get(broker).is_some_and(|row| row.height == height) {
+    /// Records which rows changed. `merged` is the message that was merged just before, if any.
+    fn record_changes(&mut self, counts: &CarriedCounts, merged: Option<&CountsMessage>) {
+        for (broker, progress) in counts.row_progress_by_broker() {
+            if self.rows.get(broker).is_some_and(|row| row.progress == progress) {
                 continue;
             }
             self.revision += 1;
-            let source = merged.filter(|message| message.counts.height(broker) == Some(height));
+            let source = merged.filter(|message| message.counts.row_progress(broker) == Some(progress));
             let origin = source.map_or(0, |message| message.up_to.process);
-            self.rows.insert(broker.to_string(), Row { height, revision: self.revision, origin });
+            self.rows.insert(broker.to_string(), RowChange { progress, revision: self.revision, origin });
         }
     }
 
-    /// The message to `to`, of counts that are stored.
+    /// Returns the message to the peer `to`. `counts` must already be stored.
     pub fn message_for(&mut self, to: &str, counts: &CarriedCounts) -> CountsMessage {
-        self.note_changes(counts, None);
+        self.record_changes(counts, None);
         self.message_count += 1;
         let peer = self.peers.get(to).copied().unwrap_or_default();
         let is_full_sync = self.message_count.is_multiple_of(MESSAGES_PER_FULL_SYNC);
         let since_revision = if is_full_sync { 0 } else { peer.acknowledged_revision };
         let changed = |broker: &str| self.rows.get(broker).filter(|row| row.revision > since_revision);
-        // Otherwise each row would be sent back to where it came from.
-        let is_from_peer = |row: &Row| row.origin != 0 && row.origin == peer.process;
-        let leaves_out_rows = counts.heights().filter_map(|(broker, _)| changed(broker)).any(is_from_peer);
+        // Without this each row would be sent back to the peer that sent it.
+        let is_from_peer = |row: &RowChange| row.origin != 0 && row.origin == peer.process;
+        let omits_rows =
+            counts.row_progress_by_broker().filter_map(|(broker, _)| changed(broker)).any(is_from_peer);
         CountsMessage {
             counts: counts.rows_where(|broker| changed(broker).is_some_and(|row| !is_from_peer(row))),
             up_to: Position { process: self.process, revision: self.revision },
             since_revision,
             received: peer.received,
-            only_for_process: if leaves_out_rows { peer.process } else { 0 },
+            only_for_process: if omits_rows { peer.process } else { 0 },
         }
     }
 
-    /// Notes how far the peer is, after its message was merged into `counts`; not if that was rejected.
+    /// Updates the positions of the peer `from` after its message was merged into `counts`. Must not be called if the message
+    /// was rejected.
     pub fn handle_message(&mut self, from: &str, message: &CountsMessage, counts: &CarriedCounts) {
-        self.note_changes(counts, Some(message));
-        if self.peers.len() >= MAX_PEER_COUNT && !self.peers.contains_key(from) {
+        self.record_changes(counts, Some(message));
+        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(from) {
             self.peers.clear();
         }
         let peer = self.peers.entry(from.to_string()).or_default();
--- a/crates/dunepond-settlement/src/started_fills.rs
+++ b/crates/dunepond-settlement/src/started_fills.rs
@@ -1,4 +1,4 @@
-//! Fills that a leader started: what the next leader has to know, so that limits over a window hold across both.
+//! Fills that leaders started recently. The next leader needs them so that the limits per window hold across leader changes.
 
 use std::collections::BTreeMap;
 
@@ -6,46 +6,47 @@
 
 use crate::{Fill, Settlement};
 
-/// How long a fill is retained, by the leaders' clocks: twice the default window, as two leaders' clocks may differ.
+/// Seconds for which a fill is kept, by the leaders' clocks: twice the default window, because the clocks may differ.
 const RETENTION_SECONDS: u64 = 7200;
-/// How often old fills are dropped within one retention.
+/// Number of times that old fills are dropped per retention period.
 const SWEEPS_PER_RETENTION: u64 = 16;
-/// Upper limit of retained fills; the oldest are dropped first.
+/// Maximum number of fills that are kept. The oldest are dropped first.
 const MAX_FILL_COUNT: usize = 16_384;
 
-/// A [`Fill`] in the form that the log has it in. It is entered before the fill starts.
+/// A [`Fill`] as recorded in the consensus log. It is recorded before the fill starts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StartedFill {
-    /// Id of the fill.
+    /// Id of the fill, as [`Fill::id`].
     pub id: String,
-    /// Id of the segment.
+    /// Id of the segment that is copied.
     pub segment: u64,
-    /// Node that is filled. The name shows in log lines.
+    /// Name of the node that is filled. The field keeps this name because it appears in log lines.
     pub holder: String,
-    /// Node that it is filled from.
+    /// Name of the node that the segment is copied from.
     pub source: String,
-    /// Partner of the source.
+    /// Partner to which the source belongs.
     pub from: String,
-    /// Partner of the filled node.
+    /// Partner to which the filled node belongs.
     pub to: String,
-    /// Size of the fill.
+    /// Size of the segment in bytes.
     pub bytes: u64,
-    /// Rate in bytes a second.
+    /// Rate of the copy in bytes per second.
     pub rate: u64,
-    /// Debt that the fill pays off, if any.
+    /// Settlement of the debt that the fill pays off, if any.
     pub settles: Option<Settlement>,
-    /// Unix seconds by the leader's clock; only the age of the entry is judged by it.
+    /// Start of the fill in Unix seconds by the leader's clock. It is used only to compute the age of the entry.
     pub at: u64,
 }
 
 impl StartedFill {
-    /// The log's form of a fill that starts at `at`, in Unix seconds.
+    /// Creates the log entry of a fill that starts at `at`, in Unix seconds. The rate is rounded down to whole bytes per
+    /// second.
     pub fn new(fill: &Fill, at: u64) -> StartedFill {
         let Fill { id, segment, node, source, from, to, bytes, rate, settles } = fill.clone();
         StartedFill { id, segment, holder: node, source, from, to, bytes, rate: rate as u64, settles, at }
     }
 
-    /// The fill.
+    /// Converts the log entry back to the fill.
     pub fn fill(&self) -> Fill {
         let StartedFill { id, segment, holder: node, source, from, to, bytes, rate, settles, .. } =
             self.clone();
@@ -53,18 +54,22 @@
     }
 }
 
-/// By fill and partner of the source: the same fill from another partner is carried by that one, too.
+/// Recently started fills by id and by partner of the source. A fill that was started from sources of two partners counts for
+/// both.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StartedFills {
     fills: BTreeMap<String, BTreeMap<String, StartedFill>>,
+    /// Latest start of any fill, in Unix seconds.
     newest: u64,
-    /// When old fills were dropped last, by `newest`.
+    /// Value of `newest` when old fills were last dropped.
     swept: u64,
+    /// Number of fills.
     count: usize,
 }
 
 impl StartedFills {
-    pub fn has(&self, id: &str, from: &str) -> bool {
+    /// Whether the fill was started from a source of the partner `from`.
+    pub fn contains(&self, id: &str, from: &str) -> bool {
         self.fills.get(id).is_some_and(|by_partner| by_partner.contains_key(from))
     }
 
@@ -72,7 +77,7 @@
         self.fills.values().flat_map(BTreeMap::values)
     }
 
-    /// Adds one, and drops what is old or too many; not each time, as that costs a scan of all.
+    /// Adds a fill. Drops old and excess fills from time to time, not on each call, because that scans all fills.
     pub fn add(&mut self, fill: StartedFill) {
         self.newest = self.newest.max(fill.at);
         self.fills.entry(fill.id.clone()).or_default().insert(fill.from.clone(), fill);
@@ -83,44 +88,47 @@
         }
     }
 
+    /// Drops old and excess fills.
     fn sweep(&mut self) {
-        let mut excess = self.excess();
+        let mut to_drop = self.fills_to_drop();
         self.fills.retain(|_, by_partner| {
-            by_partner.retain(|_, fill| !excess.takes(fill));
+            by_partner.retain(|_, fill| !to_drop.drops(fill));
             !by_partner.is_empty()
         });
         self.count = self.fills.values().map(BTreeMap::len).sum();
         self.swept = self.newest;
     }
 
-    /// Fills past the retention; and the older half, if there are too many.
-    fn excess(&self) -> Excess {
+    /// Selects the fills past the retention period, or the older half of all fills if there are too many.
+    fn fills_to_drop(&self) -> FillsToDrop {
         let oldest_retained = self.newest.saturating_sub(RETENTION_SECONDS);
         if self.count <= MAX_FILL_COUNT {
-            return Excess { before: oldest_retained, count_at: 0 };
+            return FillsToDrop { before: oldest_retained, count_at: 0 };
         }
         let mut starts: Vec<u64> = self.iter().map(|fill| fill.at).collect();
         starts.sort_unstable();
         let half = starts.len() / 2;
         let median = starts[half];
         if median < oldest_retained {
-            return Excess { before: oldest_retained, count_at: 0 };
+            return FillsToDrop { before: oldest_retained, count_at: 0 };
         }
-        // Many fills may have started in the median second: of these only enough are dropped to leave half of all.
-        Excess { before: median, count_at: half - starts.partition_point(|at| *at < median) }
+        // Many fills may have started in the median second. Only as many of them are dropped as are needed to keep half of
+        // all fills.
+        FillsToDrop { before: median, count_at: half - starts.partition_point(|at| *at < median) }
     }
 }
 
-/// Fills to drop.
-struct Excess {
-    /// All fills that started before this, in Unix seconds.
+/// Selection of the fills to drop.
+struct FillsToDrop {
+    /// Start in Unix seconds before which all fills are dropped.
     before: u64,
-    /// How many of the fills that started in just that second.
+    /// Number of fills still to be dropped that started in the second `before`.
     count_at: usize,
 }
 
-impl Excess {
-    fn takes(&mut self, fill: &StartedFill) -> bool {
+impl FillsToDrop {
+    /// Whether to drop this fill. Counts the dropped fills of the second `before`.
+    fn drops(&mut self, fill: &StartedFill) -> bool {
         if fill.at == self.before && self.count_at > 0 {
             self.count_at -= 1;
             return true;
--- a/crates/dunepond-settlement/tests/balances.rs
+++ b/crates/dunepond-settlement/tests/balances.rs
@@ -104,7 +104,7 @@
         Err(SettlementError::AlreadySettledOtherwise { .. })
     ));
     assert_eq!(balances.net_debt("a", "b"), 60);
-    balances.close(2);
+    balances.close_versions(2);
     assert!(matches!(
         settle(&mut balances, "1/7/h", "x", 40),
         Err(SettlementError::VersionClosed { floor: 2, .. })
--- a/crates/dunepond-settlement/tests/plan.rs
+++ b/crates/dunepond-settlement/tests/plan.rs
@@ -414,7 +414,7 @@
             }
             for (_, fill) in &under_way {
                 let rate: f64 = under_way.iter().filter(|(_, it)| it.node == fill.node).map(|(_, it)| it.rate).sum();
-                prop_assert!(rate + 2.0 * 20.0 <= max_units(4.0) * 20.0 + 1e-6);
+                prop_assert!(rate + 2.0 * 20.0 <= max_slow_start_units(4.0) * 20.0 + 1e-6);
             }
         }
     }
--- a/crates/dunepond-settlement/tests/week.rs
+++ b/crates/dunepond-settlement/tests/week.rs
@@ -53,7 +53,7 @@
     let mut applied = [0usize; BROKERS];
     for at in (0..7 * DAY_SECONDS).step_by(STEP_SECONDS as usize) {
         let version = 1 + at * VERSIONS_PER_DAY / DAY_SECONDS;
-        committed.close(version.saturating_sub(8));
+        committed.close_versions(version.saturating_sub(8));
         for i in 0..BROKERS {
             let broker = &mut brokers[i];
             if rng.random_bool(0.01) {
@@ -72,7 +72,7 @@
             if !broker.is_partitioned {
                 while applied[i] < log.len() {
                     let (floor, entry) = &log[applied[i]];
-                    broker.balances.close(*floor);
+                    broker.balances.close_versions(*floor);
                     broker.balances.apply(entry).unwrap();
                     applied[i] += 1;
                 }
--- a/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
@@ -446,7 +446,8 @@
         for replica in self.delivered.values() {
             let units =
                 replica.front().copied().unwrap_or(0.0) / UNIT_BYTES as f64 + COLD_CAPACITY.used_units;
-            self.result.cold = self.result.cold.max(units / max_units(COLD_CAPACITY.expected_units));
+            self.result.cold =
+                self.result.cold.max(units / max_slow_start_units(COLD_CAPACITY.expected_units));
         }
     }
 
