--- a/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
@@ -79,7 +79,7 @@
 
     /// Closes old versions, whose settlements are no longer accepted, after version `active_number` became active.
     pub(crate) fn close_old_versions(&mut self, active_number: u64) {
-        self.ledger.close(active_number.saturating_sub(OPEN_VERSION_COUNT));
+        self.ledger.close_versions(active_number.saturating_sub(OPEN_VERSION_COUNT));
     }
 
     /// Returns the update for a broker that already has the first `known` entries. It contains a limited number of
