--- a/crates/dunepond-consensus/src/rejection.rs
+++ b/crates/dunepond-consensus/src/rejection.rs
@@ -21,7 +21,7 @@
         open: u64,
     },
     /// The version's number is not the next one; numbers are consecutive and never reused.
-    #[error("the proposed version has number {given}, expected {expected}")]
+    #[error("the proposed version has number {given}, but the next number is {expected}")]
     WrongNumber {
         /// Number of the proposed version.
         given: u64,
