--- a/crates/dunepond-control-plane/src/audit_log/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/audit_log/tests/mod.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn records_are_appended_to_an_existing_file_in_order() {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("acts.jsonl");
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("acts.jsonl");
     std::fs::write(&path, "{\"old\":1}\n").unwrap();
     let (sender, audit_log) = AuditLog::start(&path, "n1", 3).unwrap();
     sender.record_at(
--- a/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
@@ -88,7 +88,7 @@
                 Some(settlement) => self.propose_settlement(SettlementEntry::Settle(settlement)),
                 None => Ok(()),
             };
-            if self.crash_point(CrashPoint::SettlementProposed) {
+            if self.reach_crash_point(CrashPoint::SettlementProposed) {
                 return;
             }
             let completed = match settled {
--- a/crates/dunepond-control-plane/src/control_loop/fills/own.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/own.rs
@@ -185,7 +185,7 @@
         };
         self.save_commitments();
         self.traffic.counts.record(&from, &fill.to, bytes);
-        self.crash_point(CrashPoint::OwnFillDone);
+        self.reach_crash_point(CrashPoint::OwnFillDone);
     }
 
     /// Partner of the actual source of a fill, or of the filled node if the source is not a replica in the active map.
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -178,7 +178,7 @@
     }
 
     /// Asks the crash hook whether to simulate a crash at this point. Returns true if the control plane must end.
-    fn crash_point(&mut self, point: CrashPoint) -> bool {
+    fn reach_crash_point(&mut self, point: CrashPoint) -> bool {
         self.state.crashed |= self.crash_hook.as_ref().is_some_and(|should_crash| should_crash(point));
         self.state.crashed
     }
--- a/crates/dunepond-control-plane/src/data_directory/origin/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/data_directory/origin/tests/mod.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn copy_is_detected_and_rename_is_not() {
-    let folder = tempfile::tempdir().unwrap();
-    let (own, copy) = (folder.path().join("own"), folder.path().join("copy"));
+    let directory = tempfile::tempdir().unwrap();
+    let (own, copy) = (directory.path().join("own"), directory.path().join("copy"));
     std::fs::create_dir(&own).unwrap();
     std::fs::create_dir(&copy).unwrap();
     assert!(!is_copy(&own, true).unwrap());
@@ -17,6 +17,6 @@
     std::fs::copy(copy.join("origin"), own.join("origin")).unwrap();
     assert!(is_copy(&own, false).unwrap());
     assert!(!is_copy(&copy, true).unwrap());
-    std::fs::rename(&copy, folder.path().join("moved")).unwrap();
-    assert!(!is_copy(&folder.path().join("moved"), false).unwrap());
+    std::fs::rename(&copy, directory.path().join("moved")).unwrap();
+    assert!(!is_copy(&directory.path().join("moved"), false).unwrap());
 }
--- a/crates/dunepond-control-plane/src/documents/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/documents/tests/mod.rs
@@ -18,8 +18,8 @@
 }
 
 fn read_as(value: &Value, nodes: &[Node]) -> Result<ConfigVersion, VersionError> {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("version.json");
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("version.json");
     std::fs::write(&path, value.to_string()).unwrap();
     read_version(&path, 2, nodes, &MapConstraints { min_replicas: 2, min_zones: 1 })
 }
@@ -61,8 +61,8 @@
 }
 
 fn read_document_as(value: &Value) -> Result<Document, VersionError> {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("version.json");
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("version.json");
     std::fs::write(&path, value.to_string()).unwrap();
     read_document(&path, 2, &[], &MapConstraints { min_replicas: 2, min_zones: 1 })
 }
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -398,7 +398,7 @@
     set_started(&control_plane, "s1", 0.0);
     wait("a settlement", || broker.settled().len() == 1);
     thread::sleep(Duration::from_millis(300));
-    assert!(broker.files.calls() > call, "no disk operation failed, as there were too few");
+    assert!(broker.files.calls() > call, "the failing call was never reached");
     control_plane.stop();
     assert_eq!(broker.settled(), [("1/0/s1+77@n1".to_string(), SEGMENT_BYTES)]);
     assert_eq!(broker.fill_service.done.lock().unwrap().len(), 1);
