--- a/crates/dunepond-settlement/src/ledger.rs
+++ b/crates/dunepond-settlement/src/ledger.rs
@@ -252,7 +252,7 @@
         if debtor == creditor || new_bytes == 0 {
             return Err(SettlementError::EmptyEntry { debtor, creditor, bytes: new_bytes });
         }
-        // This includes the bytes settled before the first split, which no longer can be allotted.
+        // This includes the bytes settled before the first split, which can no longer be allotted.
         let allotted = self.allotted(&debtor, &creditor);
         let debt = self.pair(&debtor, &creditor).map_or(0, |pair| pair.debt).max(allot.debt);
         let allotted = allotted.saturating_add(new_bytes);
--- a/crates/dunepond-settlement/src/lib.rs
+++ b/crates/dunepond-settlement/src/lib.rs
@@ -11,7 +11,7 @@
 //! - [`SettlementLedger`]: shares of debts and settlements, applied in the order of the consensus log.
 //! - [`Balances`]: net debts, computed from the counts and the ledger.
 //! - [`FillPlanner`]: chooses the source of each fill. [`FillProgress`] tracks one fill.
-//! - [`SharePromises`]: settlements that this broker has promised from its shares while it cannot reach the log.
+//! - [`SharePromises`]: settlements that this broker has promised from its shares, also while it cannot reach the log.
 #![warn(missing_docs)]
 
 mod balances;
--- a/crates/dunepond-settlement/src/planner/source.rs
+++ b/crates/dunepond-settlement/src/planner/source.rs
@@ -9,6 +9,7 @@
 /// Rank of a source. A better source compares greater; fields are compared in their order.
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
+    /// Weight of what the source's partner owes the filled partner.
     owed_weight: f64,
     is_same_partner: bool,
     negative_carried_bytes: f64,
--- a/crates/dunepond-settlement/src/replication.rs
+++ b/crates/dunepond-settlement/src/replication.rs
@@ -34,13 +34,14 @@
     /// Position up to which a receiver has the sender's rows after this message, if it had them up to `since_revision`.
     #[serde(rename = "upto")]
     up_to: Position,
-    /// Sender's revision after which the rows in this message changed; 0 if the message contains all rows.
+    /// Sender's revision after which the rows in this message changed; 0 if the message is not limited to changed rows.
     #[serde(rename = "since")]
     since_revision: u64,
     /// Position up to which the sender has received the receiver's rows.
     #[serde(rename = "heard")]
     received: Position,
-    /// Process whose own rows are omitted from the message, so that `up_to` is valid only for it; 0 if no row is omitted.
+    /// Receiving process that sent the rows omitted from this message, so that `up_to` is valid only for it; 0 if no row is
+    /// omitted.
     #[serde(rename = "only")]
     only_for_process: u64,
 }
--- a/crates/dunepond-settlement/tests/plan.rs
+++ b/crates/dunepond-settlement/tests/plan.rs
@@ -376,7 +376,7 @@
         let slow_start = SlowStartCapacity { window_seconds: 1.0, unit_bytes: 20, nodes };
         let mut queues: Vec<VecDeque<FillDemand>> = vec![VecDeque::new(); 4];
         let mut running: Vec<(f64, Fill)> = Vec::new();
-        let (mut log, mut waits, mut segment) = (Vec::new(), [0.0f64; 4], 0);
+        let (mut planned, mut waited_seconds, mut segment) = (Vec::new(), [0.0f64; 4], 0);
         for step in 0..180 {
             let now = step as f64;
             let (ended, still_running): (Vec<_>, Vec<_>) = running.into_iter().partition(|(end, _)| *end <= now);
@@ -400,17 +400,17 @@
             for (p, queue) in queues.iter_mut().enumerate() {
                 let before = queue.len();
                 queue.retain(|demand| plan.fills.iter().all(|fill| fill.id != demand.id()));
-                waits[p] = if queue.len() < before { 0.0 } else { waits[p] + 1.0 };
-                let longest = sizes[p] as f64 / terms.min_fill_rate.max(20.0);
-                prop_assert!(waits[p] <= 1.5 * terms.window_seconds + longest.min(100.0) + 1.0, "{} has waited for {} s", PARTNERS[p], waits[p]);
+                waited_seconds[p] = if queue.len() < before { 0.0 } else { waited_seconds[p] + 1.0 };
+                let longest_fill_seconds = sizes[p] as f64 / terms.min_fill_rate.max(20.0);
+                prop_assert!(waited_seconds[p] <= 1.5 * terms.window_seconds + longest_fill_seconds.min(100.0) + 1.0, "{} has waited for {} s", PARTNERS[p], waited_seconds[p]);
             }
             for fill in plan.fills {
                 prop_assert!(fill.rate >= terms.min_fill_rate * (1.0 - 1e-9) && fill.rate <= terms.max_fill_rate);
-                log.push((now, fill.from.clone(), fill.to.clone(), fill.bytes));
+                planned.push((now, fill.from.clone(), fill.to.clone(), fill.bytes));
                 running.push((now + fill.duration_seconds(), fill));
             }
             for from in PARTNERS {
-                let recent = || log.iter().filter(|(at, ..)| *at > now - terms.window_seconds);
+                let recent = || planned.iter().filter(|(at, ..)| *at > now - terms.window_seconds);
                 let carried: u64 = recent().filter(|(_, f, ..)| f == from).map(|(.., bytes)| bytes).sum();
                 prop_assert!(carried <= terms.max_carried_bytes);
                 for to in PARTNERS {
