--- a/crates/dunepond-consensus/src/active_config.rs
+++ b/crates/dunepond-consensus/src/active_config.rs
@@ -1,4 +1,5 @@
-//! The versions, rules and segment owners that a broker may act on; the broker checks them before each action.
+//! The configuration versions, rules and segment owners that a broker may act on; the broker checks them before each
+//! action.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,29 +13,32 @@
 /// Retry-After, in seconds, of a broker that has never had a lease.
 const UNLEASED_RETRY_AFTER_SECONDS: f64 = 1.0;
 
-/// The versions that a broker acts on at one moment, by number.
+/// The configuration versions that a broker acts on at one moment, by number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ConfigPhase {
-    /// No version is known.
+    /// The broker knows no configuration version.
     Unconfigured,
     /// The broker acts on the version of this number alone.
     Active(u64),
     /// The broker acts on the stricter values of the active and the proposed version, field by field. The first number
     /// is that of the active version, the second that of the proposed one.
     Joint(u64, u64),
-    /// The broker has no valid lease: it acts on the strictest of the versions that it knows, and rejects non-idempotent
-    /// parts. The value is the number of the last known active version, or 0 if none is known.
+    /// The broker has no valid lease: it acts on the strictest rules of the versions that it knows, and rejects
+    /// non-idempotent parts of queries. The value is the number of the last known active version, or 0 if none is
+    /// known.
     LeaseExpired(u64),
 }
 
-/// Which node may be sent the non-idempotent parts of a segment.
+/// Which node may be sent non-idempotent parts of queries for a segment. A shard map restricts these parts to the
+/// segment's owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SegmentOwner<'a> {
-    /// There is no shard map, so every replica may be sent non-idempotent parts.
+    /// No shard map names an owner of the segment, so any of its replicas may be sent non-idempotent parts of queries.
     AnyReplica,
-    /// Only the node of this name may be sent the segment's non-idempotent parts.
+    /// Only the node of this name, the segment's owner, may be sent non-idempotent parts of queries for the segment.
     Node(&'a str),
-    /// No node may be sent the segment's non-idempotent parts at present; the value is the Retry-After in seconds.
+    /// No node may be sent non-idempotent parts of queries for the segment at present; the value is the Retry-After in
+    /// seconds.
     Unavailable(f64),
 }
 
@@ -43,7 +47,8 @@
 pub struct QuotaView<'a> {
     /// The allocation in the last lease grant since the process started; `None` before the first grant.
     pub allocation: Option<&'a Allocation>,
-    /// Whether a lease is valid at that moment; without a lease only the floor of each quota may be used.
+    /// Whether the broker had a valid lease when this view was taken; without a lease only the floor of each quota may
+    /// be used.
     pub lease_valid: bool,
 }
 
@@ -73,24 +78,24 @@
 pub(crate) struct ConfigSnapshot {
     pub active: Option<Arc<ConfigVersion>>,
     pub proposed: Option<Arc<ConfigVersion>>,
-    /// Proof of the active version's map, if it has one.
+    /// The verified shard map of the active version, if it has one.
     pub active_proof: Option<VerifiedMap>,
-    /// Proof of the proposed version's map, if it has one.
+    /// The verified shard map of the proposed version, if it has one.
     pub proposed_proof: Option<VerifiedMap>,
-    /// The transition between the two maps, if both exist and differ.
+    /// The transition from the active version's shard map to the proposed version's, if both have one and they differ.
     pub transition: Option<MapTransition>,
     /// The version or versions that the broker acts on while it holds a lease.
     pub side: RolloutSide,
-    /// Start of the lease on the broker's own clock, when its request was sent.
+    /// Start of the lease in seconds on the broker's own clock: the time at which its request was sent.
     pub lease_from: f64,
-    /// End of the lease on the broker's own clock, exclusive.
+    /// End of the lease in seconds on the broker's own clock, exclusive.
     pub lease_until: f64,
-    /// Whether versions may have a map.
+    /// Whether configuration versions may have a shard map.
     pub maps_enabled: bool,
     /// Whether a lease was granted since the process started.
     pub had_lease: bool,
     pub allocation: Option<Allocation>,
-    /// Retry-After of non-idempotent parts that no node may be sent.
+    /// Retry-After, in seconds, with which non-idempotent parts are rejected while no node may be sent them.
     pub retry_after_seconds: f64,
     /// The rules that apply while the lease is valid.
     leased_rules: Option<RoutingRules>,
@@ -204,7 +209,7 @@
         QuotaView { allocation: self.snapshot.allocation.as_ref(), lease_valid: self.lease_valid(now) }
     }
 
-    /// The node to which the non-idempotent parts of `segment` may be sent at `now`.
+    /// The node to which non-idempotent parts of queries for `segment` may be sent at `now`.
     pub fn owner(&self, segment: u64, now: f64) -> SegmentOwner<'_> {
         let snapshot = &self.snapshot;
         let unavailable = SegmentOwner::Unavailable(snapshot.retry_after_seconds);
@@ -224,7 +229,7 @@
             (RolloutSide::Joint | RolloutSide::Proposed, Some(map), None) => owner_of(map, segment),
             (RolloutSide::Joint, Some(active), Some(proposed)) => match &snapshot.transition {
                 Some(transition) => transition.owner_of_segment(segment, TransitionPhase::Joint),
-                // Without a transition both versions have the same map.
+                // If there is no shard map transition, both versions have the same map.
                 None => {
                     let owner = owner_of(active, segment);
                     owner.filter(|owner| owner_of(proposed, segment) == Some(*owner))
--- a/crates/dunepond-consensus/src/command.rs
+++ b/crates/dunepond-consensus/src/command.rs
@@ -10,10 +10,10 @@
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Proposes a version. Once this is committed, brokers act on the joint configuration of the active and the proposed
-    /// version.
+    /// Proposes a configuration version. Once this is committed, brokers act on the joint configuration of the active
+    /// and the proposed version.
     Propose(Box<ConfigVersion>),
-    /// Reports that a fill that the proposed map requires is complete.
+    /// Reports that a fill is complete: a node now holds a replica that the proposed shard map requires.
     #[serde(rename = "Filled")]
     FillCompleted {
         /// Number of the proposed version.
@@ -36,13 +36,14 @@
         /// Reason for the withdrawal; only shown to people.
         why: String,
     },
-    /// Changes the transfer accounts between partners: an allotment, a settlement, or the start of a fill.
+    /// Changes the ledger of transfer debts between partners: allots or releases a share of a debt, settles the part of
+    /// a debt that a fill has paid off, or records the start of a fill.
     #[serde(rename = "Debt")]
     Settlement(dunepond_settlement::SettlementEntry),
-    /// Changes shares of fleet-wide quotas.
+    /// Changes brokers' shares of fleet-wide quotas.
     #[serde(rename = "Limit")]
     Quota(dunepond_quota::QuotaEntry),
-    /// Changes a rebalancing plan, whose steps are carried out as versions.
+    /// Changes a rebalancing plan, whose steps are carried out as configuration versions.
     #[serde(rename = "Move")]
     Rebalance(dunepond_rebalance::CommittedEntry),
     /// Proposes a new list of voters.
--- a/crates/dunepond-consensus/src/config_version.rs
+++ b/crates/dunepond-consensus/src/config_version.rs
@@ -31,8 +31,9 @@
     }
 }
 
-/// A key of a version that format 1 does not have, with its value as JSON text. New keys are only added as extensions, so
-/// that a version's bytes and digest are the same in every build.
+/// A key of a configuration version that is not among the fields of format 1, the first stored format, with its value
+/// as JSON text. Later builds add keys only as extensions, so that a version's packed bytes and digest are the same in
+/// every build.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Extension {
     /// Path of the key, including its parent keys, such as `rules.least_brokers`.
@@ -75,12 +76,12 @@
     /// When the version was proposed, in Unix seconds; only shown to people.
     #[serde(rename = "at")]
     pub proposed_at_unix_seconds: f64,
-    /// Keys that format 1 does not have. Only the packed encoding contains them.
+    /// Keys that are not among the fields of format 1; see [`Extension`]. Only the packed encoding contains them.
     #[serde(skip)]
     pub extensions: Vec<Extension>,
 }
 
-/// Serializes the fields of format 1, in the order of that format.
+/// Serializes a configuration version without its extensions: the fields of format 1, in the order of that format.
 struct Format1Fields<'a>(&'a ConfigVersion);
 
 impl Serialize for Format1Fields<'_> {
--- a/crates/dunepond-consensus/src/consensus_config.rs
+++ b/crates/dunepond-consensus/src/consensus_config.rs
@@ -41,7 +41,7 @@
     /// is known, since the first map may have become active.
     #[serde(rename = "maps")]
     pub maps_enabled: bool,
-    /// Constraints that each map has to satisfy.
+    /// Constraints that each shard map has to satisfy.
     #[serde(rename = "map")]
     pub map_requirements: dunepond_shard_map::MapConstraints,
 }
--- a/crates/dunepond-consensus/src/decode.rs
+++ b/crates/dunepond-consensus/src/decode.rs
@@ -14,8 +14,8 @@
     Ok(entry)
 }
 
-/// Decodes the state of a snapshot and verifies its maps again; `None` if the bytes are malformed, the state has a
-/// required part that this build does not know, or a map is invalid.
+/// Decodes the state of a snapshot and verifies its shard maps again; `None` if the bytes are malformed, the state has
+/// a required part that this build does not know, or a map is invalid.
 pub(crate) fn replicated_state(bytes: &[u8]) -> Option<ReplicatedState> {
     let state =
         if codec::is_format1(bytes) { format1::replicated_state(bytes) } else { codec::decode(bytes) };
--- a/crates/dunepond-consensus/src/error.rs
+++ b/crates/dunepond-consensus/src/error.rs
@@ -2,7 +2,7 @@
 
 use crate::{ConsensusConfigError, RecoveryError};
 
-/// Why a voter cannot start from its folder and configuration, or rejects a message.
+/// Why a voter cannot start with its data folder and configuration, or rejects a message.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ConsensusError {
     /// The consensus configuration is invalid.
@@ -11,7 +11,7 @@
     /// The broker, or the sender of a message, is not a voter.
     #[error("`{0}` is not a voter")]
     NotAVoter(String),
-    /// The folder belongs to another broker.
+    /// The data folder belongs to another broker.
     #[error("the folder belongs to broker `{owner}`, and this broker is `{name}`")]
     ForeignFolder {
         /// Name of the broker that owns the folder.
@@ -29,7 +29,7 @@
         from: String,
         /// Epoch of the message.
         stated: u64,
-        /// Epoch that this voter knows.
+        /// Epoch of the fleet that this voter knows.
         known: u64,
     },
     /// A message is from a voter of a fleet that was founded separately.
--- a/crates/dunepond-consensus/src/format1.rs
+++ b/crates/dunepond-consensus/src/format1.rs
@@ -14,7 +14,8 @@
     RolloutStep, VoterSlot,
 };
 
-/// A version whose fields are encoded inline; later formats embed the packed version as a byte string.
+/// A configuration version whose fields are encoded inline; later formats embed the packed configuration version as a
+/// byte string.
 struct Version1(ConfigVersion);
 
 impl<'de> Deserialize<'de> for Version1 {
@@ -119,7 +120,8 @@
 }
 
 /// Decodes the state of a snapshot. The voters are taken from its configuration, since format 1 had no other list. A
-/// settlement that the ledger does not accept, because its id does not identify its fill, is left out.
+/// settlement is left out if the ledger does not accept it because its id does not identify the fill that paid off the
+/// debt.
 pub(crate) fn replicated_state(bytes: &[u8]) -> Option<ReplicatedState> {
     let old: ReplicatedState1 = decode(bytes)?;
     let mut state = ReplicatedState::new(old.config, old.voter_slots);
--- a/crates/dunepond-consensus/src/lease_client/adoption.rs
+++ b/crates/dunepond-consensus/src/lease_client/adoption.rs
@@ -14,7 +14,8 @@
         if let Some(part) = grant.required_parts.first() {
             return Err(Rejection::UnknownPart(part.clone()));
         }
-        // That maps are enabled is recorded even if the rest of the grant is not adopted: a map may become active.
+        // `maps_enabled` is recorded even if the grant is rejected below, since a version with a shard map may become
+        // active.
         self.snapshot.maps_enabled |= grant.maps_enabled;
         let active = grant.active.as_ref().map(|(number, digest)| self.find_version(grant, *number, digest));
         let active = active.transpose()?;
@@ -63,7 +64,7 @@
         Ok(received)
     }
 
-    /// Verifies the maps of both versions, and adopts the proofs and the transition between them.
+    /// Verifies the shard maps of both versions, and adopts the verified maps and the transition between them.
     fn adopt_proofs(
         &mut self,
         active: Option<&KnownVersion>,
@@ -96,7 +97,8 @@
         validate_proposal(active.map(|known| &*known.version), proof, proposed, &config)
     }
 
-    /// Verifies the map of the active version, and marks completed fills in the proof; `None` if there is no map.
+    /// Verifies the shard map of the active version, and marks the replicas whose fills are complete; `None` if there
+    /// is no map.
     pub(super) fn prove(
         &self,
         active: Option<&KnownVersion>,
@@ -113,7 +115,7 @@
         Ok(Some(with_completed_fills(&proof, completed_fills)))
     }
 
-    /// The versions on which this broker acts while it holds a lease by this grant.
+    /// The version or versions on which this broker acts while the lease from this grant is valid.
     fn side(&self, grant: &LeaseGrant) -> RolloutSide {
         let Some(proposed) = &grant.proposed else { return RolloutSide::Active };
         match proposed.step {
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Adopts settlement entries. An update that does not begin with the next unknown entry answers an older request; it
-    /// is skipped unless it contains the whole ledger.
+    /// Adopts entries of the settlement log. An update that does not begin with the first entry that this broker lacks
+    /// answers an older request; it is skipped unless it contains the whole ledger.
     fn adopt_settlements(&mut self, update: &SettlementUpdate) {
         let is_whole = update.ledger.is_some();
         if update.from != self.known_settlements && !is_whole {
@@ -142,8 +144,8 @@
     a.as_ref().map(|known| &known.digest) == b.as_ref().map(|known| &known.digest)
 }
 
-/// Whether the broker belongs to the ratio of brokers in the first stage of version `number`. The selection differs from
-/// version to version.
+/// Whether the broker acts on configuration version `number` alone in its first stage. A hash of the broker's name
+/// selects the given ratio of the brokers, and the selection differs from version to version.
 fn is_in_first_stage(broker: &str, number: u64, ratio: f64) -> bool {
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(broker.as_bytes(), number);
     (hash as f64) < ratio * u64::MAX as f64
--- a/crates/dunepond-consensus/src/lease_client/clock_guard.rs
+++ b/crates/dunepond-consensus/src/lease_client/clock_guard.rs
@@ -2,7 +2,7 @@
 
 use crate::{ConsensusConfig, LeaseGrant, Rejection};
 
-/// Age of the reference sample, in leases, from which a newer sample replaces it.
+/// Age of the reference sample, in lease durations, from which a newer sample replaces it.
 const MAX_REFERENCE_AGE_LEASES: f64 = 3.0;
 
 /// The times at which this broker sent the request for a grant, by its own clock, and the leader received it, by the
@@ -25,13 +25,13 @@
         }
     }
 
-    /// Whether both samples are from the same run of the same leader, whose clock measured both.
+    /// Whether both samples are from the same run of the same leader's process, so that one clock measured both.
     fn same_clock(&self, other: &Self) -> bool {
         self.leader == other.leader && self.leader_run == other.leader_run
     }
 }
 
-/// A leader's run whose leases are not accepted because of its clock.
+/// A run of a leader's process whose leases are not accepted because its clock and this broker's differ too much.
 struct LeaderDistrust {
     sample: ClockSample,
     reason: Rejection,
@@ -45,7 +45,7 @@
     reference: Option<ClockSample>,
     /// Why no lease of any leader is accepted until the process is restarted.
     own_distrust: Option<Rejection>,
-    /// The leader's run whose leases are not accepted, and why.
+    /// The run of a leader's process whose leases are not accepted, and why.
     leader_distrust: Option<LeaderDistrust>,
 }
 
@@ -70,7 +70,8 @@
         went_back
     }
 
-    /// Why leases are not accepted: those of all leaders, or those of one leader's run.
+    /// Why leases are not accepted, either those of all leaders or those of one run of a leader's process; `None` if
+    /// all are accepted.
     pub fn distrust_reason(&self) -> Option<&Rejection> {
         self.own_distrust.as_ref().or(self.leader_distrust.as_ref().map(|distrust| &distrust.reason))
     }
--- a/crates/dunepond-consensus/src/lease_client/mod.rs
+++ b/crates/dunepond-consensus/src/lease_client/mod.rs
@@ -47,7 +47,7 @@
     voter: String,
 }
 
-/// A version with its digest.
+/// A configuration version with its digest.
 #[derive(Clone)]
 struct KnownVersion {
     version: Arc<ConfigVersion>,
@@ -89,9 +89,9 @@
 }
 
 impl LeaseClient {
-    /// Creates a client from the configuration and the state that [`Self::persisted_state`] returned before the restart,
-    /// if any. `now` is the present reading of the broker's monotonic clock; `seed` has to differ at each start of the
-    /// process.
+    /// Creates a client from the configuration and the state that [`Self::persisted_state`] returned before the
+    /// restart, if any. `now` is the present reading of the broker's monotonic clock; `seed` has to differ at each
+    /// process start.
     pub fn new(config: ConsensusConfig, persisted: Option<PersistedState>, now: f64, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let incarnation = rng.random();
@@ -156,7 +156,8 @@
         self.overloaded = overloaded;
     }
 
-    /// Sets the demand for fleet-wide quotas, which each request reports; `None` if the file shares no quota.
+    /// Sets the demand for fleet-wide quotas, which each request reports; `None` if the configuration file declares no
+    /// shared quota.
     pub fn set_demand_report(&mut self, demand: Option<DemandReport>) {
         self.demand = demand;
     }
@@ -201,7 +202,8 @@
         }
     }
 
-    /// Adds to a demand report the generation of the last shrink of this broker's shares that it has adopted.
+    /// Adds to a demand report the generation of the last shrink of this broker's quota shares that the broker has
+    /// adopted.
     fn with_acknowledged_shrink(&self, report: DemandReport) -> DemandReport {
         let allocation = self.snapshot.allocation.as_ref();
         let shrunk_generation = allocation.map_or(0, |allocation| allocation.shrunk_generation);
@@ -317,8 +319,8 @@
         checked
     }
 
-    /// Extends the lease. Its duration counts from when the request was sent, so that it certainly ends before the
-    /// leader's wait does.
+    /// Extends the lease. Its duration counts from when the request was sent. The leader counts from when the request
+    /// arrived and adds the drift, so the lease ends before the leader considers it ended.
     fn extend_lease(&mut self, sent_at: f64, lease_seconds: f64) {
         let until = sent_at + lease_seconds.min(self.config.lease_seconds);
         if until > self.snapshot.lease_until {
@@ -365,12 +367,13 @@
         }
     }
 
-    /// Returns the committed settlement entries since the last call, in log order.
+    /// Returns the updates of the settlement log that were adopted since the last call, in log order.
     pub fn take_settlement_updates(&mut self) -> Vec<SettlementUpdate> {
         std::mem::take(&mut self.settlement_updates)
     }
 
-    /// Sets how many settlement entries this broker already has, from before the restart or from another source.
+    /// Sets how many entries of the settlement log this broker already has, from before a restart or from another
+    /// source.
     pub fn set_known_settlements(&mut self, count: u64) {
         self.known_settlements = count;
     }
--- a/crates/dunepond-consensus/src/lease_client/voter_selection.rs
+++ b/crates/dunepond-consensus/src/lease_client/voter_selection.rs
@@ -4,7 +4,7 @@
 
 use crate::{ConsensusConfig, VoterInfo};
 
-/// Number of leases for which a voter that did not reply is only asked if no other voter is left.
+/// Number of lease durations for which a voter that did not reply is only asked if no other voter is left.
 const AVOIDANCE_LEASES: f64 = 10.0;
 /// Largest number of voters that are taken from the reply of a former voter.
 const MAX_HINT_COUNT: usize = 16;
--- a/crates/dunepond-consensus/src/lease_messages.rs
+++ b/crates/dunepond-consensus/src/lease_messages.rs
@@ -18,19 +18,19 @@
     /// own record instead.
     #[serde(rename = "sent")]
     pub sent_at: f64,
-    /// Number and digest of each version that the broker has, so that the reply can omit its document.
+    /// Number and digest of each configuration version that the broker has, so that the reply can omit its document.
     #[serde(rename = "knows")]
     pub known_versions: Vec<(u64, String)>,
     /// Number of the proposed version, if the broker has adopted it and therefore no longer acts on the active version
     /// alone.
     #[serde(rename = "joint")]
     pub joint_version: Option<u64>,
-    /// Random number drawn at each start of the process.
+    /// Random number that the broker drew when its process started.
     pub incarnation: u64,
-    /// Number of settlement entries that the broker already has.
+    /// Number of entries of the [`crate::SettlementLog`] that the broker already has.
     #[serde(rename = "debts")]
     pub known_settlements: u64,
-    /// The broker's demand for fleet-wide quotas; `None` if its configuration file shares no quota.
+    /// The broker's demand for fleet-wide quotas; `None` if its configuration file declares no shared quota.
     #[serde(rename = "limits")]
     pub demand: Option<DemandReport>,
     /// Whether a follower has already forwarded the request to the leader; a request is forwarded only once.
@@ -67,13 +67,15 @@
     NoLeader,
 }
 
-/// The replicated state as a quorum confirmed it after the request arrived.
+/// A granted lease, with the replicated state of a leader whose leadership a quorum confirmed after the request
+/// arrived.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
     /// Duration of the lease in seconds, counted on the broker's clock from when the request was sent.
     #[serde(rename = "lease")]
     pub lease_seconds: f64,
-    /// Names of parts of this reply, beyond format 1, that a broker has to understand before it may act on the reply.
+    /// Names of parts of this reply that format 1 did not have and that a broker has to know before it may act on the
+    /// reply; none exist yet.
     #[serde(default)]
     #[serde(rename = "must")]
     pub required_parts: Vec<String>,
@@ -93,10 +95,10 @@
     /// The proposed version, if there is one.
     #[serde(rename = "open")]
     pub proposed: Option<ProposedVersion>,
-    /// Highest version number ever proposed.
+    /// Highest configuration version number ever proposed.
     #[serde(rename = "highest")]
     pub highest_number: u64,
-    /// Whether versions may have a map.
+    /// Whether configuration versions may have a shard map.
     #[serde(rename = "maps")]
     pub maps_enabled: bool,
     /// The voters of the list in force.
@@ -106,10 +108,10 @@
     pub voters_number: u64,
     /// Documents of the active and the proposed version, except those that the request lists as known.
     pub documents: Vec<Arc<ConfigVersion>>,
-    /// Completed fills that apply to the active map, as segment id and node name.
+    /// Replicas of the active shard map whose fills are complete, as segment id and node name.
     #[serde(rename = "done")]
     pub completed_fills: Vec<(u64, String)>,
-    /// Settlement entries that the broker lacks. Each reply contains a limited number of them.
+    /// Entries of the [`crate::SettlementLog`] that the broker lacks. Each reply contains a limited number of them.
     #[serde(rename = "debts")]
     pub settlements: SettlementUpdate,
     /// The broker's shares of fleet-wide quotas, if it has any.
@@ -117,7 +119,7 @@
     pub quota: Option<Allocation>,
     /// Name of the leader that granted the lease.
     pub leader: String,
-    /// Random number that the leader drew at its last start.
+    /// Random number that the leader drew when its process started.
     #[serde(rename = "run")]
     pub leader_run: u64,
     /// When the request arrived, in seconds on the leader's clock.
--- a/crates/dunepond-consensus/src/log_entry.rs
+++ b/crates/dunepond-consensus/src/log_entry.rs
@@ -17,10 +17,10 @@
     /// The first stage of the proposed version begins.
     #[serde(rename = "Stage")]
     StartStage { number: u64 },
-    /// The rollback of a staged version is complete.
+    /// The rollback of the proposed version from its first stage is complete.
     #[serde(rename = "Returned")]
     RollbackCompleted { number: u64 },
-    /// Records the identity of a voter's folder and of its last start.
+    /// Records a voter's folder and the latest process start on it.
     #[serde(rename = "Seat")]
     VoterSlot {
         voter: String,
@@ -30,7 +30,7 @@
     /// The pending list of voters takes effect.
     #[serde(rename = "Voted")]
     VotersReplaced(VoterReplacement),
-    /// Leases are granted again after a recovery, since every lease from before this epoch has expired.
+    /// Leases are granted again after the recovery that began this epoch, since every earlier lease has expired.
     #[serde(rename = "Calm")]
     ResumeLeases { epoch: u64 },
 }
--- a/crates/dunepond-consensus/src/log_storage.rs
+++ b/crates/dunepond-consensus/src/log_storage.rs
@@ -1,4 +1,5 @@
-//! The raft library's storage of the log. It is held in memory, and each change is also collected for the folder.
+//! The raft library's storage of the log. It is held in memory, and each change is also collected in a batch that the
+//! host stores in the folder.
 
 use protobuf::Message;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
@@ -138,8 +139,9 @@
         self.snapshot = snapshot;
     }
 
-    /// Takes a snapshot of the applied state according to `policy`, and drops old entries. After a change of voters a
-    /// snapshot is taken at once, since a new voter accepts no snapshot in which it is not listed.
+    /// Takes a snapshot of the applied state according to `policy`, and drops the entries before it except for the last
+    /// [`RETAINED_ENTRY_COUNT`]. After a change of voters a snapshot is taken at once, since a new voter accepts no
+    /// snapshot in which it is not listed.
     pub fn compact(&mut self, applied: u64, policy: SnapshotPolicy, state: impl FnOnce() -> Vec<u8>) {
         let is_long = applied >= self.snapshot.get_metadata().index + SNAPSHOT_ENTRY_COUNT;
         if policy == SnapshotPolicy::WhenLong && !is_long {
@@ -155,7 +157,7 @@
         self.batch.hard_state = Some(encode(&self.hard_state));
     }
 
-    /// The whole content as one batch, with which the host may rewrite the journal.
+    /// The whole content of the storage as one batch, with which the host may rewrite the journal.
     pub fn checkpoint(&self) -> WriteBatch {
         let after = self.snapshot.get_metadata().index;
         WriteBatch {
--- a/crates/dunepond-consensus/src/persistence.rs
+++ b/crates/dunepond-consensus/src/persistence.rs
@@ -11,7 +11,7 @@
 // The encoding is postcard, so the order of fields must not change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WriteBatch {
-    /// The folder's identity, if the voter was started or has begun a new folder.
+    /// The identity of the voter's folder, if the process has just started or the voter continues with a new folder.
     pub(crate) folder: Option<FolderIdentity>,
     /// The raft library's hard state, if it changed.
     pub(crate) hard_state: Option<Vec<u8>>,
@@ -31,7 +31,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// Identity of the folder that a voter runs on.
+/// Identity of the data folder that a voter runs on, and the present process start on it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FolderIdentity {
     /// Name of the broker.
@@ -39,9 +39,9 @@
     /// Random id drawn when the folder was empty. It is the voter's id in the raft library, so that a voter with
     /// another folder is another voter, which has not voted or acknowledged anything yet.
     pub id: u64,
-    /// Number of times that the voter was started on this folder, including the present start.
+    /// Number of process starts on this folder, including the present one.
     pub start_count: u64,
-    /// Random number drawn at this start.
+    /// Random number drawn at the present process start.
     pub run_id: u64,
 }
 
@@ -63,7 +63,7 @@
     pub(crate) versions: Vec<Arc<ConfigVersion>>,
     #[serde(rename = "in_force")]
     pub(crate) active_number: u64,
-    /// Completed fills, as segment id and node name.
+    /// Replicas whose fills are complete, as segment id and node name.
     #[serde(rename = "done")]
     pub(crate) completed_fills: Vec<(u64, String)>,
     pub(crate) voters: Vec<VoterInfo>,
--- a/crates/dunepond-consensus/src/recovery_order.rs
+++ b/crates/dunepond-consensus/src/recovery_order.rs
@@ -12,16 +12,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecoveryOrder {
-    /// Id of the folder, as the voter logs it at its start.
+    /// Id of the voter's data folder, as the voter logs it when its process starts.
     #[serde(rename = "folder")]
     pub folder_id: u64,
-    /// Last index of the folder's log, as the voter logs it at its start.
+    /// Last index of the log in the folder, as the voter logs it when its process starts.
     #[serde(rename = "last")]
     pub last_index: u64,
     /// Names of the voters that are permanently lost.
     #[serde(rename = "lost")]
     pub lost_voters: Vec<String>,
-    /// The highest version number in any broker's log output.
+    /// The highest configuration version number in any broker's log output.
     #[serde(rename = "highest")]
     pub highest_number: u64,
     /// Confirmation by the operator; it has to equal [`RECOVERY_CONFIRMATION`].
@@ -65,12 +65,12 @@
         /// Number of all voters.
         total: usize,
     },
-    /// The order states a highest version number that is lower than the one in the folder.
+    /// The order states a highest configuration version number that is lower than the one in the folder.
     #[error("the order states {stated} as the highest version number, and the folder contains {actual}")]
     VersionTooLow {
-        /// Version number in the order.
+        /// Configuration version number in the order.
         stated: u64,
-        /// Highest version number in the folder.
+        /// Highest configuration version number in the folder.
         actual: u64,
     },
     /// The confirmation is not the required sentence.
--- a/crates/dunepond-consensus/src/rejection.rs
+++ b/crates/dunepond-consensus/src/rejection.rs
@@ -1,4 +1,4 @@
-//! Reasons for which a command, a version or a lease reply is not accepted.
+//! Reasons for which a command, a configuration version or a lease reply is not accepted.
 
 use dunepond_quota::QuotaError;
 use dunepond_rebalance::RebalanceError;
@@ -8,7 +8,7 @@
 /// Largest number of map faults that an error message lists.
 const MAX_LISTED_FAULTS: usize = 3;
 
-/// Why a command, a version or a lease reply was rejected. A rejected input changes nothing.
+/// Why a command, a configuration version or a lease reply was rejected. A rejected input changes nothing.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Rejection {
     /// The command was proposed at a follower. The value is the name of the leader, if it is known.
@@ -46,7 +46,7 @@
         /// Description of the valid values.
         expected: &'static str,
     },
-    /// The ratio of the first stage is out of range.
+    /// The ratio of brokers that act on the version in its first stage is out of range.
     #[error("`stage` is {0}, expected a ratio above 0 and below 1")]
     InvalidStage(f64),
     /// The shard map is invalid, or there is no safe transition to it.
@@ -79,7 +79,8 @@
     /// The command refers to a version that is not the proposed one.
     #[error("version {0} is not the proposed version")]
     NotProposed(u64),
-    /// The command activates a version before its first stage; only the leader may do so, by its clock.
+    /// The command activates a version that is not in its first stage. Only the leader may do so, once it knows by its
+    /// clock that all brokers act on the joint configuration.
     #[error("only the leader may activate version {0}")]
     LeaderOnly(u64),
     /// Fills that the proposed version requires are not complete.
@@ -105,16 +106,16 @@
     /// The version is being rolled back from its first stage, so it can neither be activated nor withdrawn again.
     #[error("version {0} is being rolled back")]
     RollingBack(u64),
-    /// The settlement of this id was already applied.
+    /// The settlement of this id, which records that a fill paid off a transfer debt, was already applied.
     #[error("settlement `{0}` was already applied")]
     AlreadySettled(String),
-    /// The entry was already applied.
+    /// The log entry was already applied.
     #[error("the entry was already applied")]
     AlreadyApplied,
-    /// The ledger of transfer accounts between partners rejected the entry.
+    /// The ledger of transfer debts between partners rejected the entry.
     #[error("{0}")]
     Settlement(SettlementError),
-    /// The ledger of quotas rejected the entry.
+    /// The ledger of brokers' quota shares rejected the entry.
     #[error("{0}")]
     Quota(QuotaError),
     /// The rebalancing plan rejected the entry.
@@ -227,7 +228,7 @@
     /// The fleet was recovered, and leases from before the recovery may still be valid.
     #[error("the fleet was recovered by an operator's order, and earlier leases may still be valid")]
     LeasesSuspended,
-    /// A lease reply belongs to no pending request of this run.
+    /// A lease reply belongs to no pending request of this run of the process.
     #[error("the reply belongs to request {0}, which is not pending")]
     UnexpectedReply(u64),
     /// The voter that replied to a lease request knows no leader.
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -53,22 +53,22 @@
     /// The active version and its digest, if there is one.
     #[serde(rename = "in_force")]
     pub active: Option<(Arc<ConfigVersion>, String)>,
-    /// Completed fills that apply to the active map, as segment id and node name.
+    /// Replicas of the active shard map whose fills are complete, as segment id and node name.
     #[serde(rename = "done")]
     pub completed_fills: BTreeSet<(u64, String)>,
     /// The proposed version and its progress, if there is one.
     pub open: Option<OpenChange>,
-    /// Highest version number ever proposed.
+    /// Highest configuration version number ever proposed.
     #[serde(rename = "highest")]
     pub highest_number: u64,
-    /// The most recent versions that were activated or withdrawn, the oldest one first.
+    /// The configuration versions that were activated or withdrawn most recently, the oldest one first.
     pub history: VecDeque<PastChange>,
-    /// The ledger of transfer accounts between partners, and its most recent entries.
+    /// The ledger of transfer debts between partners and of the fills that paid them off, and its most recent entries.
     #[serde(rename = "debts")]
     pub settlements: SettlementLog,
     /// The list of voters in force, and the pending list.
     pub voters: VoterList,
-    /// Identity of each voter's folder, by the voter's name.
+    /// Each voter's data folder and the latest committed process start on it, by the voter's name.
     #[serde(rename = "seats")]
     pub voter_slots: BTreeMap<String, VoterSlot>,
     /// Each broker's shares of fleet-wide quotas.
@@ -77,16 +77,17 @@
     /// Progress of rebalancing plans.
     #[serde(rename = "moves")]
     rebalance: PlanProgress,
-    /// Names of parts that a voter must know before it may act on the state; none exist yet.
+    /// Names of the parts of the state that a voter must know before it may act on the state; none exist yet.
     #[serde(rename = "must")]
     required_parts: BTreeSet<String>,
-    /// Parts that a later build added and that a voter need not know; they are preserved in each snapshot.
+    /// Parts of the state that a later build added and that a voter need not know; they are preserved in each snapshot.
     #[serde(flatten)]
     unknown_parts: BTreeMap<String, ciborium::Value>,
-    /// Proof of the active map. It is derived from the map, and not stored.
+    /// The active shard map, as verified by this voter. It is derived from the active version, and not stored.
     #[serde(skip)]
     proof: Option<VerifiedMap>,
-    /// Proof of the proposed version's map and of the transition to it. It is derived, and not stored.
+    /// The proposed version's verified shard map and the transition to it. They are derived from the versions, and not
+    /// stored.
     #[serde(skip)]
     proposal: Option<ValidatedProposal>,
 }
@@ -122,8 +123,9 @@
         codec::encode(self)
     }
 
-    /// Derives the proofs of a decoded state. Returns `None` if this build does not know a required part, a digest
-    /// differs or a map is invalid; the voter must not act on such a state.
+    /// Verifies the shard maps of a decoded state again, since verified maps are not stored. Returns `None` if this
+    /// build does not know a required part of the state, a version's digest differs or a map is invalid; the voter must
+    /// not act on such a state.
     pub(crate) fn with_proofs(mut self) -> Option<Self> {
         if !self.required_parts.is_empty() {
             return None;
--- a/crates/dunepond-consensus/src/replicated_state/rebalance.rs
+++ b/crates/dunepond-consensus/src/replicated_state/rebalance.rs
@@ -1,4 +1,4 @@
-//! Entries of rebalancing plans, and the check that versions do not interfere with a running plan.
+//! Entries of rebalancing plans, and the check that configuration versions do not interfere with a running plan.
 
 use dunepond_rebalance::{CommittedEntry, PlanProgress, RebalanceContext};
 
@@ -40,7 +40,8 @@
         Ok(StateChange::Rebalance { plan, status })
     }
 
-    /// Checks that the version does not change the map while a plan runs, unless it is the plan's own step.
+    /// Checks that a configuration version does not change the shard map while a rebalancing plan runs, unless it is a
+    /// step of that plan.
     pub(super) fn check_against_running_plan(&self, version: &ConfigVersion) -> Result<(), Rejection> {
         let digest = version.map.as_ref().map(|map| map.digest.as_str());
         let active = self.proof.as_ref().map(|proof| proof.digest());
--- a/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
@@ -1,5 +1,7 @@
-//! The ledger of transfer accounts between partners, and its most recent entries. A broker that lacks only some of these
-//! receives them instead of the whole ledger.
+//! The ledger of transfer debts between partners, and its most recent entries. Partners carry traffic for each other,
+//! and the carried bytes are a debt. A fill copies a segment to a replica; if the copy is sent by a node of the debtor,
+//! it pays off a part of the debt, and a settlement records that. A broker that lacks only some of the most recent
+//! entries receives these instead of the whole ledger.
 
 #[cfg(test)]
 mod tests;
@@ -11,21 +13,23 @@
 
 use crate::Rejection;
 
-/// Number of recent entries that are retained; a broker that lacks earlier ones receives the whole ledger.
+/// Number of recent entries of the log that are retained; a broker that lacks earlier ones receives the whole ledger.
 const RETAINED_ENTRY_COUNT: usize = 4096;
 /// Largest number of entries in one [`SettlementUpdate`].
 const UPDATE_ENTRY_COUNT: usize = 256;
-/// Number of versions before the active one whose settlements are still accepted. A broker that was partitioned for
-/// longer cannot settle the fills that it started before, and their debts stay open.
+/// Number of configuration versions before the active one whose fills can still be settled, that is, recorded as paying
+/// off a transfer debt. If more versions become active while a broker is partitioned, the fills that it started before
+/// can no longer be settled, and the debts that they would pay off stay open.
 const OPEN_VERSION_COUNT: u64 = 8;
 
-/// An applied entry with the ledger's floor at that time. A broker that first closes the versions below the floor and then
-/// applies the entry gets the same ledger.
+/// An applied entry of the settlement log, and the oldest configuration version whose fills could be settled at that
+/// time. A broker that first closes the versions before that one and then applies the entry gets the same ledger.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SettlementRecord {
-    /// Lowest version number that was open when the entry was applied; settlements of earlier versions are rejected.
+    /// Number of the oldest configuration version whose fills could be settled when the entry was applied; settlements
+    /// of fills of earlier versions are rejected.
     pub floor: u64,
-    /// The applied entry.
+    /// The applied change of the settlement ledger.
     pub entry: SettlementEntry,
 }
 
@@ -35,7 +39,7 @@
 pub struct SettlementUpdate {
     /// Number of entries of the log before the first one of `entries`.
     pub from: u64,
-    /// Number of all entries of the log so far.
+    /// Number of all entries of the log when the update was made.
     pub count: u64,
     /// The ledger with the first `from` entries applied, if the broker lacks entries that are no longer retained.
     pub ledger: Option<Box<SettlementLedger>>,
@@ -43,10 +47,10 @@
     pub entries: Vec<SettlementRecord>,
 }
 
-/// The ledger of transfer accounts between partners, and its most recent entries.
+/// The ledger of transfer debts between partners and of the fills that paid them off, and its most recent entries.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SettlementLog {
-    /// The ledger with all entries so far.
+    /// The ledger with all committed entries applied.
     pub ledger: SettlementLedger,
     /// Number of entries that were applied since the fleet was founded.
     pub count: u64,
@@ -77,7 +81,8 @@
         }
     }
 
-    /// Closes old versions, whose settlements are no longer accepted, after version `active_number` became active.
+    /// Closes old configuration versions after version `active_number` became active: fills of closed versions can no
+    /// longer be settled.
     pub(crate) fn close_old_versions(&mut self, active_number: u64) {
         self.ledger.close_versions(active_number.saturating_sub(OPEN_VERSION_COUNT));
     }
--- a/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
@@ -27,7 +27,7 @@
     SettlementEntry::Allot(Allotment { number: 0, debtor, creditor, debt: 15_000, parts })
 }
 
-/// A log of 5000 settlements over 50 versions, of a debt that was allotted before.
+/// A log of 5000 settlements, by fills of 50 configuration versions, of a debt whose shares were allotted before.
 fn long_log() -> SettlementLog {
     let mut log = SettlementLog::default();
     log.check(&allot()).unwrap();
@@ -43,8 +43,8 @@
     log
 }
 
-/// The ledger of a broker that has the first `count` entries: `count` of 4900 is within the retained entries, any other
-/// one is not, and the broker receives the whole ledger.
+/// The ledger of a broker that has the first `count` entries. Only 4900 is within the retained entries; with another
+/// `count` the broker receives the whole ledger, so it begins with an empty one.
 fn ledger_at(log: &SettlementLog, count: u64) -> SettlementLedger {
     if count != 4_900 {
         return SettlementLedger::default();
--- a/crates/dunepond-consensus/src/replicated_state/state_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/state_change.rs
@@ -6,7 +6,7 @@
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateChange {
-    /// The version of this number was proposed.
+    /// The configuration version of this number was proposed.
     Proposed(u64),
     /// A fill that the proposed version requires is complete.
     FillCompleted {
@@ -25,7 +25,7 @@
     RollingBack(u64),
     /// The version of this number was withdrawn.
     Withdrawn(u64),
-    /// The transfer accounts between partners changed by this entry.
+    /// This entry changed the ledger of transfer debts between partners.
     Settlement(SettlementEntry),
     /// Shares of fleet-wide quotas changed; the value is the quota ledger's new generation.
     Quota(u64),
@@ -38,7 +38,7 @@
     },
     /// Another consensus configuration came into force.
     Config,
-    /// The folder or the last start of the voter of this name was recorded.
+    /// The data folder of the voter of this name, or a new process start on it, was recorded.
     VoterSlot(String),
     /// The list of voters of this number is pending until its new voter is ready.
     VotersPending(u64),
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -1,4 +1,4 @@
-//! Lifecycle of a version: it is validated, proposed, rolled out, and activated or withdrawn.
+//! Lifecycle of a configuration version: it is validated, proposed, rolled out, and activated or withdrawn.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 /// Largest number of changes in [`ReplicatedState::history`].
 const HISTORY_COUNT: usize = 64;
 
-/// Progress of the rollout of a proposed version.
+/// Progress of the rollout of a proposed configuration version.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RolloutStep {
     /// Brokers act on the joint configuration: the stricter values of the active and the proposed version.
@@ -75,12 +75,12 @@
     pub end: ChangeEnd,
 }
 
-/// Proofs derived from the map of a valid proposed version.
+/// The verified shard map of a valid proposed version, and the transition to it from the active map.
 #[derive(Clone, Debug)]
 pub(crate) struct ValidatedProposal {
-    /// Proof of the proposed version's map, if it has one.
+    /// The verified shard map of the proposed version, if it has one.
     pub proof: Option<VerifiedMap>,
-    /// Transition from the active map to the proposed one, if they differ and both exist.
+    /// Transition from the active shard map to the proposed one, if both exist and they differ.
     pub transition: Option<MapTransition>,
 }
 
@@ -121,7 +121,7 @@
     Ok(ValidatedProposal { proof: Some(transition.to().clone()), transition: Some(transition) })
 }
 
-/// Returns the proof with the replicas of completed fills marked as filled.
+/// Returns the verified shard map with the replicas whose fills are complete marked as filled.
 pub(crate) fn with_completed_fills(proof: &VerifiedMap, fills: &BTreeSet<(u64, String)>) -> VerifiedMap {
     proof.with_filled(fills.iter().map(|(segment, node)| (*segment, node.as_str())))
 }
@@ -132,13 +132,13 @@
         self.active.as_ref().map_or(0, |(version, _)| version.number)
     }
 
-    /// Proof of the active map, if there is one.
+    /// The verified shard map of the active version, if it has one.
     pub fn map_proof(&self) -> Option<&VerifiedMap> {
         self.proof.as_ref()
     }
 
-    /// The transition from the active map to the proposed one, with the fills that it requires and their source nodes;
-    /// `None` if no version with another map is proposed.
+    /// The transition from the active shard map to the proposed one, with the fills that it requires and their source
+    /// nodes; `None` if no version with another map is proposed.
     pub fn map_transition(&self) -> Option<&MapTransition> {
         self.proposal.as_ref()?.transition.as_ref()
     }
--- a/crates/dunepond-consensus/src/replicated_state/voter_list.rs
+++ b/crates/dunepond-consensus/src/replicated_state/voter_list.rs
@@ -49,18 +49,18 @@
         Self { number: 0, voters, pending: None, last_removed: None }
     }
 
-    /// Whether the broker of this name is a voter in force.
+    /// Whether the broker of this name is in the list of voters in force.
     pub fn contains(&self, name: &str) -> bool {
         self.voters.iter().any(|voter| voter.name == name)
     }
 
-    /// Whether the broker of this name is a voter in force, or joins by the pending list.
+    /// Whether the broker of this name is in the list of voters in force, or joins by the pending list.
     pub fn contains_or_joining(&self, name: &str) -> bool {
         let mut pending = self.pending.iter().flat_map(|pending| &pending.voters);
         self.contains(name) || pending.any(|voter| voter.name == name)
     }
 
-    /// Names of the voters in force, and of the one that joins by the pending list.
+    /// Names of the voters of the list in force, and of the one that joins by the pending list.
     pub fn names_with_joining(&self) -> Vec<String> {
         let joining = self.pending.iter().flat_map(|pending| added(&self.voters, &pending.voters));
         self.voters.iter().map(|voter| voter.name.clone()).chain(joining).collect()
--- a/crates/dunepond-consensus/src/routing_rules.rs
+++ b/crates/dunepond-consensus/src/routing_rules.rs
@@ -17,8 +17,8 @@
     /// Number of retries and hedged attempts per admitted request; the smaller one is stricter.
     #[serde(rename = "budget_share")]
     pub retry_budget_ratio: f64,
-    /// Number of retries and hedged attempts that are allowed in each window regardless of the ratio; the smaller one is
-    /// stricter.
+    /// Number of retries and hedged attempts that are allowed in each window of the retry budget regardless of the
+    /// ratio; the smaller one is stricter.
     #[serde(rename = "budget_free")]
     pub retry_budget_min: f64,
     /// Time in seconds after which no new attempt may go to a draining or removed node; the smaller one is stricter.
--- a/crates/dunepond-consensus/src/voter/envelope.rs
+++ b/crates/dunepond-consensus/src/voter/envelope.rs
@@ -13,7 +13,7 @@
 pub(super) struct Envelope {
     /// Name of the sender.
     pub from: String,
-    /// Identity of the sender's folder and start.
+    /// The sender's data folder, and the process start on it that sent the message.
     #[serde(rename = "seat")]
     pub slot: VoterSlot,
     /// Id of the fleet whose state the sender has; not meaningful unless `has_state`.
@@ -24,7 +24,7 @@
     /// Whether the sender has a state of the fleet.
     #[serde(rename = "seated")]
     pub has_state: bool,
-    /// Id of the receiver's folder; 0 if the sender does not know it or does not require a certain one.
+    /// Id of the receiver's data folder, or 0 to allow any. A receiver that runs on another folder drops the message.
     #[serde(rename = "to")]
     pub to_folder: u64,
     pub body: Body,
@@ -42,7 +42,7 @@
         #[serde(rename = "knows")]
         known_keys: Vec<String>,
     },
-    /// Replies to a hello, or to a message from an obsolete folder.
+    /// Replies to a hello, or to a message that was sent from an obsolete folder.
     #[serde(rename = "Heard")]
     HelloReply(HelloReply),
     /// A message of the raft library.
@@ -66,16 +66,18 @@
     /// Whether the sender's folder holds no state of the fleet.
     #[serde(rename = "blank")]
     pub folder_empty: bool,
-    /// A later start of the receiver's folder than the one that sent the hello, if the sender knows of one.
+    /// A later process start on the receiver's folder than the one that sent the hello, if the sender of this reply
+    /// knows of one. The receiver then knows that its folder was restored from a copy.
     #[serde(rename = "seen")]
     pub seen_slot: Option<VoterSlot>,
-    /// The identity of the receiver's folder that is committed at `index`, if one is.
+    /// The receiver's folder and process start that are committed at `index`, if any are.
     #[serde(rename = "agreed")]
     pub agreed_slot: Option<VoterSlot>,
-    /// Whether the receiver is a voter in force or joins by the pending list, according to the sender's state.
+    /// Whether the receiver is in the list of voters in force or joins by the pending list, according to the sender's
+    /// state.
     #[serde(rename = "wanted")]
     pub is_wanted: bool,
-    /// The voters in force, according to the sender's state.
+    /// The voters of the list in force, according to the sender's state.
     pub voters: Vec<VoterInfo>,
     /// Log index up to which the sender has applied the log.
     pub index: u64,
--- a/crates/dunepond-consensus/src/voter/handshake.rs
+++ b/crates/dunepond-consensus/src/voter/handshake.rs
@@ -1,9 +1,11 @@
-//! Hellos between voters, by which each learns whether its folder is the latest one and whether it is still a voter.
+//! Hellos between voters. From the replies a voter learns whether its data folder is the latest one, and whether it is
+//! still a voter.
 //!
-//! The raft library treats each folder as a separate voter. A voter that returns with an empty folder is a new one, whose
-//! votes do not count until the others have committed a change that replaces the old folder. A folder that was restored
-//! from a copy may have voted and acknowledged entries without a record of it. Peers remember its starts, and tell the
-//! voter to start over with an empty folder.
+//! The raft library treats each folder as a separate voter. A voter that restarts with an empty folder is a new one,
+//! whose votes do not count until the others have committed a change that replaces the old folder. A folder that was
+//! restored from a copy does not record what the voter voted for and acknowledged after the copy was made. Therefore
+//! each folder counts the process starts on it, and peers remember the latest one. If a voter reports an earlier one,
+//! they reply with the later one, and the voter continues with an empty folder.
 
 use std::collections::BTreeMap;
 
@@ -16,19 +18,20 @@
 use crate::log_storage::{LogStorage, snapshot};
 use crate::{ConsensusError, ReplicatedState, VoterInfo, VoterSlot};
 
-/// Largest number of folders of one voter whose starts are remembered.
+/// Largest number of folders of one voter for which the latest process start is remembered.
 const MAX_FOLDER_COUNT: usize = 16;
-/// Number of election timeouts between hellos once a majority has confirmed the folder.
+/// Number of election timeouts between hellos once a majority has confirmed that this voter's folder is the latest one.
 const VERIFIED_HELLO_ELECTIONS: f64 = 8.0;
-/// Number of election timeouts between hellos before a majority has confirmed the folder, or without a state.
+/// Number of election timeouts between hellos before a majority has confirmed that this voter's folder is the latest
+/// one, or while this voter has no state of the fleet.
 const UNVERIFIED_HELLO_ELECTIONS: f64 = 0.5;
 /// Range from which the founding voter draws the first term.
 const FOUNDING_TERMS: std::ops::Range<u64> = 1..1 << 20;
 
-/// The folder of another voter, according to its last accepted message.
+/// The data folder of another voter, according to its last accepted message.
 #[derive(Clone, Copy)]
 pub(super) struct PeerFolder {
-    /// Identity of the folder.
+    /// Id of the folder, and the process start on it that sent the message.
     pub slot: VoterSlot,
     /// Whether the folder holds no state of the fleet.
     pub empty: bool,
@@ -39,11 +42,12 @@
 pub(super) struct PeerVoter {
     /// The folder that the voter last reported.
     pub folder: Option<PeerFolder>,
-    /// Whether it has reported in a reply to this voter's present folder that its own folder is empty.
+    /// Whether the voter has reported that its own folder is empty, in a reply to a hello from this voter's present
+    /// folder.
     reported_empty: bool,
     /// Keys of version extensions that the voter's build implements.
     pub known_keys: Vec<String>,
-    /// The latest start of each of its folders, by the folder's id.
+    /// The latest known process start on each of the voter's folders, by the folder's id.
     latest_starts: BTreeMap<u64, VoterSlot>,
 }
 
@@ -60,8 +64,8 @@
         peer.map(|(name, _)| name).or_else(committed).or_else(removed).cloned()
     }
 
-    /// Sends hellos to the other voters when they are due: often until a majority has confirmed this voter's folder, and
-    /// less often after that, since other voters may have restarted.
+    /// Sends hellos to the other voters when they are due: often until a majority has confirmed that this voter's
+    /// folder is the latest one, and less often after that, since other voters may have restarted.
     pub(super) fn send_hellos(&mut self, now: f64) {
         if now < self.next_hello_at {
             return;
@@ -147,8 +151,9 @@
         self.reported_removed || (self.has_state && !self.is_member(self.folder.id))
     }
 
-    /// Replies to the sender of a message. `seen` is a later start of the sender's folder than the one in its message, if
-    /// this voter knows of one.
+    /// Sends a hello reply to the voter `to`, whose message was sent from the folder and process start in `slot`.
+    /// `seen` is a later process start on that folder, if this voter knows of one; it shows the sender that its folder
+    /// was restored from a copy.
     pub(super) fn send_hello_reply(&mut self, to: &str, slot: VoterSlot, seen: Option<VoterSlot>) {
         let reply = HelloReply {
             folder_empty: !self.has_state,
@@ -162,8 +167,9 @@
         self.send(to, slot.folder_id, Body::HelloReply(reply));
     }
 
-    /// Records the folder that a message reports about its sender. Returns `false` if the message is addressed to another
-    /// folder of this voter or was sent from an earlier start of the sender's folder; it is dropped then.
+    /// Records the folder and process start from which a message was sent. Returns `false`, so that the message is
+    /// dropped, if it is addressed to another folder of this voter, or if a later process start on the sender's folder
+    /// is known.
     pub(super) fn register_sender(&mut self, envelope: &Envelope) -> bool {
         if envelope.to_folder != 0 && envelope.to_folder != self.folder.id {
             return false;
@@ -227,8 +233,8 @@
         self.found_fleet(now);
     }
 
-    /// Records that the voter `by` knows of no later start of this folder. The voter becomes active once a majority,
-    /// including itself, has confirmed that.
+    /// Records that the voter `by` has confirmed that this voter's folder is the latest one. This voter becomes active
+    /// once a majority, including itself, has confirmed that.
     fn confirm_folder(&mut self, by: String) {
         if !self.confirmed_by.contains(&by) {
             self.confirmed_by.push(by);
@@ -266,7 +272,8 @@
         self.observations.restart(now, &self.state);
     }
 
-    /// Identities of the folders of all voters in the file; `None` unless all have reported an empty folder.
+    /// The folders and process starts of all voters in the configuration file, by the voter's name; `None` unless all
+    /// have reported an empty folder.
     fn empty_slots(&self) -> Option<BTreeMap<String, VoterSlot>> {
         let mut slots = BTreeMap::from([(self.config.name.clone(), self.slot())]);
         for name in self.config.voters.iter().filter(|name| **name != self.config.name) {
@@ -317,14 +324,14 @@
     }
 }
 
-/// Whether `slot` is an earlier start of its folder than `seen`, or has the same start count and was therefore started on
-/// a copy of the folder.
+/// Whether `slot` is an earlier process start on its folder than `seen`, or has the same start count but another run
+/// id, so that one of the two was made on a copy of the folder.
 fn is_earlier_start(slot: VoterSlot, seen: VoterSlot) -> bool {
     slot.start_count < seen.start_count
         || (slot.start_count == seen.start_count && slot.run_id != seen.run_id)
 }
 
-/// The later one of two starts of the same folder.
+/// The later one of two process starts on the same folder.
 fn later_start(a: Option<VoterSlot>, b: Option<VoterSlot>) -> Option<VoterSlot> {
     match (a, b) {
         (Some(a), Some(b)) => Some(if a.start_count >= b.start_count { a } else { b }),
--- a/crates/dunepond-consensus/src/voter/housekeeping.rs
+++ b/crates/dunepond-consensus/src/voter/housekeeping.rs
@@ -1,5 +1,6 @@
-//! Entries that the leader writes by itself: the end of a rollout step after its wait, the withdrawal of a version whose
-//! fills are overdue, a changed consensus configuration, changed voters and folders, and the release of quota shares.
+//! Entries that the leader writes by itself: the end of a rollout step after its wait, the withdrawal of a
+//! configuration version whose fills are overdue, a changed consensus configuration, changed voters and folders, and
+//! the release of units that were taken from a broker's quota share.
 
 use super::Voter;
 use super::raft_node::elections_seconds;
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Forgets leases that ended long ago. An expired lease is still needed while actions under it may be in flight, and
-    /// while these count in the windows of shared quotas.
+    /// Forgets leases that ended long ago. An expired lease is still needed while queries that were sent under it may
+    /// be in flight, and while these count in the windows of shared quotas.
     fn forget_old_leases(&mut self, now: f64) {
         let (actions, window) = (self.action_seconds(), self.quota_window_seconds());
         self.lease_requests.granted.retain(|_, lease| lease.over_at + actions + window > now);
--- a/crates/dunepond-consensus/src/voter/lease_requests.rs
+++ b/crates/dunepond-consensus/src/voter/lease_requests.rs
@@ -1,6 +1,6 @@
-//! Handling of lease requests. A lease is only granted after a quorum has confirmed, since the request arrived, that this
-//! voter leads. The grant then contains everything that was committed when the request was sent. Requests that arrive
-//! while a confirmation is in progress share the next one.
+//! Handling of lease requests. A lease is only granted after a quorum has confirmed, since the request arrived, that
+//! this voter leads. The grant then contains everything that was committed when the request was sent. Requests that
+//! arrive while such a confirmation is in progress share the next one.
 
 use std::collections::BTreeMap;
 
@@ -18,17 +18,18 @@
 /// The pending lease requests, and the leases that this leader has granted.
 #[derive(Default)]
 pub(super) struct LeaseRequests {
-    /// Requests that wait for the next confirmation.
+    /// Requests that wait for the next confirmation of this voter's leadership by a quorum.
     waiting: Vec<PendingRequest>,
-    /// Requests that wait for the confirmation in progress.
+    /// Requests that wait for the confirmation of this voter's leadership that is in progress.
     confirming: Vec<PendingRequest>,
-    /// Identifier of the last confirmation that was started.
+    /// Identifier of the last confirmation of leadership that was started.
     read_id: u64,
-    /// Log index up to which the state has to be applied before leases are granted, once the quorum has confirmed it.
+    /// Log index up to which the log has to be applied before the requests in `confirming` are granted; `None` until
+    /// the quorum has confirmed this voter's leadership.
     confirmed_index: Option<u64>,
-    /// When the confirmation in progress was started, on this voter's clock.
+    /// When the confirmation of leadership in progress was started, on this voter's clock.
     confirming_since: f64,
-    /// The last lease of each run of a broker, by the broker's name and incarnation.
+    /// The last lease of each run of a broker's process, by the broker's name and incarnation.
     pub granted: BTreeMap<(String, u64), GrantedLease>,
     /// The last demand report of each broker, by its name.
     pub reports: BTreeMap<String, TimedReport>,
@@ -49,21 +50,22 @@
     pub received_at: f64,
 }
 
-/// A number that a broker reported to act on, and when this voter first received the report, on its own clock.
+/// A number that a broker reported to have adopted, and when this voter first received the report, on its own clock. It
+/// is that of a proposed version, or the generation of a shrink of the broker's quota shares.
 #[derive(Clone, Copy)]
 pub(super) struct Acknowledged {
     pub number: u64,
     pub at: f64,
 }
 
-/// The last lease of a run of a broker. Times are on this voter's clock.
+/// The last lease of a run of a broker's process. Times are on this voter's clock.
 pub(super) struct GrantedLease {
-    /// When the lease has certainly ended, for any clock of the broker within the configured drift.
+    /// Latest time at which the lease ends, if the broker's clock is as slow as the configured drift allows.
     pub over_at: f64,
-    /// The proposed version that the broker reported to have adopted, if any. It no longer acts on the active version
-    /// alone.
+    /// The proposed version that the broker reported to have adopted, if any. The broker then no longer acts on the
+    /// active version alone.
     pub joint: Option<Acknowledged>,
-    /// Generation of the last shrink of its quota shares that the broker reported to have adopted.
+    /// Generation of the last shrink of the broker's quota shares that it reported to have adopted.
     pub shrink: Acknowledged,
     /// Whether the broker reported that its nodes are overloaded.
     overloaded: bool,
@@ -90,8 +92,8 @@
         self.granted.iter().map(|((broker, _), lease)| (broker.as_str(), lease.overloaded))
     }
 
-    /// Records a lease that is granted at `now` and has certainly ended at `over_at`. `open` is the number of the proposed
-    /// version, if there is one.
+    /// Records a lease that is granted at `now` and ends at `over_at` at the latest. `open` is the number of the
+    /// proposed version, if there is one.
     fn record_lease(&mut self, now: f64, request: &LeaseRequest, over_at: f64, open: Option<u64>) {
         let first = GrantedLease {
             over_at,
@@ -117,8 +119,8 @@
 }
 
 impl Voter {
-    /// Queues a lease request for the next confirmation, forwards it to the leader or rejects it. `via` is the name of the
-    /// voter that forwarded it to this one, if one did.
+    /// Queues a lease request until a quorum has confirmed this voter's leadership, forwards it to the leader or
+    /// rejects it. `via` is the name of the voter that forwarded it to this one, if one did.
     pub(super) fn accept_lease_request(&mut self, now: f64, mut request: LeaseRequest, via: Option<String>) {
         if self.is_removed() {
             let others = match self.reported_voters.is_empty() {
@@ -157,8 +159,8 @@
         }
     }
 
-    /// Grants leases to the requests that the quorum has confirmed, and starts the confirmation of those that wait.
-    /// `reads` are the confirmations that the raft library reported.
+    /// Grants leases to the requests for which a quorum has confirmed this voter's leadership, and starts a
+    /// confirmation for those that wait. `reads` are the confirmations that the raft library reported.
     pub(super) fn reply_to_lease_requests(&mut self, now: f64, reads: Vec<ReadState>) {
         if self.node.raft.state != StateRole::Leader || self.is_removed() {
             let all = self.lease_requests.take_all();
@@ -185,7 +187,8 @@
         }
     }
 
-    /// Gives up a confirmation that took longer than a lease, since the leases would already have ended.
+    /// Gives up a confirmation of leadership that took longer than a lease, since the granted leases would already have
+    /// ended.
     fn expire_confirmation(&mut self, now: f64) {
         let requests = &mut self.lease_requests;
         if requests.confirming.is_empty() || now - requests.confirming_since <= self.config.lease_seconds {
@@ -196,7 +199,7 @@
         self.reply_no_leader(expired);
     }
 
-    /// Starts a confirmation for the waiting requests, if none is in progress.
+    /// Starts a confirmation of this voter's leadership for the waiting requests, if none is in progress.
     fn start_confirmation(&mut self, now: f64) {
         let has_work = self.lease_requests.confirming.is_empty() && !self.lease_requests.waiting.is_empty();
         if !has_work || !self.is_leader() {
--- a/crates/dunepond-consensus/src/voter/membership.rs
+++ b/crates/dunepond-consensus/src/voter/membership.rs
@@ -15,7 +15,8 @@
         entry.or_else(|| self.ready_replacement().map(LogEntry::VotersReplaced))
     }
 
-    /// A voter that has started again or runs on a new folder, and the identity of that folder, if there is one.
+    /// The name of a voter that runs on a new data folder or whose process was started again, with its present folder
+    /// and process start; `None` if there is no such voter.
     fn changed_slot(&self) -> Option<(String, VoterSlot)> {
         let own = (&self.config.name, self.slot(), false);
         let others = self.peers.iter().filter_map(|(name, peer)| {
@@ -27,8 +28,8 @@
             Some(committed) if committed.folder_id == slot.folder_id => {
                 slot.start_count > committed.start_count
             }
-            // A new folder only counts if it is empty. A voter with another folder that is not empty learns by its hellos
-            // that the folder is obsolete.
+            // A folder other than the committed one is only recorded if it is empty. If it is not, the voter learns
+            // from the replies to its hellos that the folder is obsolete.
             _ => *empty,
         });
         changed.map(|(name, slot, _)| (name.clone(), slot))
@@ -83,8 +84,8 @@
         self.write_membership(joining, leaving, &LogEntry::VotersReplaced(replacement));
     }
 
-    /// Writes the folder identity of a voter: a new start as a normal entry, and a new folder as a membership change that
-    /// replaces the old folder.
+    /// Writes an entry with a voter's folder and process start. A new process start on the committed folder is a normal
+    /// entry; a new folder is a membership change that replaces the old folder.
     pub(super) fn write_slot(&mut self, voter: String, slot: VoterSlot) {
         let old = self.state.voter_slots.get(&voter).map(|slot| slot.folder_id);
         let entry = LogEntry::VoterSlot { voter, slot };
--- a/crates/dunepond-consensus/src/voter/mod.rs
+++ b/crates/dunepond-consensus/src/voter/mod.rs
@@ -46,7 +46,7 @@
 /// Whether the voter takes part in elections and acknowledges entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Participation {
-    /// No majority has confirmed yet that the voter's folder is the latest one.
+    /// The voter does not take part, because no majority has confirmed yet that its data folder is the latest one.
     Unverified,
     /// The voter takes part.
     Active,
@@ -65,17 +65,19 @@
     /// Whether `state` is a state of the fleet, because this voter founded the fleet or received a snapshot.
     has_state: bool,
     participation: Participation,
-    /// Names of the other voters that know of no later start of this voter's folder.
+    /// Names of the other voters that have confirmed that this voter's folder is the latest one. Until a majority has
+    /// done so, a folder that holds a state may have been restored from a copy, so this voter does not take part.
     confirmed_by: Vec<String>,
     /// Whether another voter reported that the committed list no longer contains this voter; see [`Voter::is_removed`].
     reported_removed: bool,
-    /// The voters in force, as reported to this voter after its removal.
+    /// The voters of the list in force, as reported to this voter after its removal.
     reported_voters: Vec<VoterInfo>,
     /// When this voter became leader of a recovered fleet whose leases are suspended, on its own clock.
     suspended_since: Option<f64>,
-    /// Index before the entries whose acknowledgement this voter last withheld.
+    /// Log index directly before the entries that this voter last did not acknowledge, because its build cannot decode
+    /// one of them.
     withheld_index: Option<u64>,
-    /// Senders that are not voters as far as this voter knows. They are included in the next hellos.
+    /// Names of senders that are not voters as far as this voter knows. The next hellos are also sent to them.
     unknown_senders: BTreeSet<String>,
     /// The other voters from which a message was accepted, by name.
     peers: BTreeMap<String, PeerVoter>,
@@ -95,7 +97,7 @@
 
 impl Voter {
     /// Opens a voter with the content of its folder, which may be empty. `now` is the present reading of the broker's
-    /// monotonic clock; `seed` has to differ at each start and for each broker.
+    /// monotonic clock; `seed` has to differ at each process start and for each broker.
     ///
     /// # Errors
     /// The configuration is invalid, this broker is not one of its voters, or the folder is corrupt or another broker's.
@@ -156,7 +158,7 @@
     }
 
     /// Advances the voter's clock to `now` and does what is due. The host has to call this about forty times per lease
-    /// duration. The effects of the first call record the start in the folder.
+    /// duration. The effects of the first call record the process start in the folder.
     pub fn tick(&mut self, now: f64) -> Effects {
         self.advance_clock(now);
         self.send_hellos(now);
@@ -241,8 +243,8 @@
     fn check_leader_only(&self, command: &Command) -> Result<(), Rejection> {
         match command {
             Command::Activate { number } => {
-                // An operator may end the first stage. Without a stage only the leader knows when all brokers act on the
-                // joint configuration.
+                // An operator may end the first stage. If the version is not in that stage, only the leader knows when
+                // all brokers act on the joint configuration.
                 let open = self.state.open.as_ref();
                 let staged = open.is_some_and(|open| matches!(open.step, RolloutStep::Staged(_)));
                 if staged { Ok(()) } else { Err(Rejection::LeaderOnly(*number)) }
@@ -348,7 +350,7 @@
         self.participation == Participation::Stopped
     }
 
-    /// The identity of this voter's folder and start.
+    /// This voter's data folder and the present process start on it.
     fn slot(&self) -> VoterSlot {
         VoterSlot {
             folder_id: self.folder.id,
--- a/crates/dunepond-consensus/src/voter/observations.rs
+++ b/crates/dunepond-consensus/src/voter/observations.rs
@@ -1,5 +1,5 @@
-//! Times at which a voter observed changes, by its own clock. They are not stored. After a restart, or when the clock
-//! goes back, the waits that rely on them start again.
+//! Times at which a voter observed changes of the replicated state, by its own clock. They are not stored. After a
+//! restart, or when the clock goes back, the waits that are measured from them start again.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,11 @@
 
 use crate::{ReplicatedState, RolloutStep, StateChange};
 
-/// Initial age in seconds of the last attempt, long enough that the first entry is written without delay.
+/// Initial age of [`Observations::last_attempt_at`] in seconds. It exceeds any retry delay, so that the first entry is
+/// written without one.
 const INITIAL_ATTEMPT_AGE_SECONDS: f64 = 1e9;
 
-/// A proposed version, and when it was first seen committed.
+/// A proposed configuration version, and when this voter first saw it committed, on its own clock.
 #[derive(Clone, Copy)]
 pub(super) struct SeenChange {
     number: u64,
@@ -24,23 +25,24 @@
     since: f64,
 }
 
-/// A version that this leader has written to the log at an index.
+/// A configuration version that this leader has written to the log at an index.
 #[derive(Clone, Copy)]
 struct UncommittedProposal {
     index: u64,
     number: u64,
 }
 
-/// The generation of a shrink of a broker's quota shares, and when it was first seen committed.
+/// A committed entry that shrank a broker's quota shares: its generation, and when this voter first saw it, on its own
+/// clock.
 #[derive(Clone, Copy)]
 pub(super) struct SeenShrink {
     pub generation: u64,
     pub seen_at: f64,
 }
 
-/// Times at which a voter observed changes, by its own clock.
+/// Times at which a voter observed changes of the replicated state, by its own clock.
 pub(super) struct Observations {
-    /// The proposed version, and when it was first seen committed.
+    /// The proposed configuration version, if there is one, and when it was first seen committed.
     open: Option<SeenChange>,
     /// When the rollback of the proposed version was first seen committed, if there is one.
     rollback_seen_at: Option<f64>,
@@ -50,7 +52,8 @@
     proposal: Option<UncommittedProposal>,
     /// When this leader last wrote an entry by itself.
     pub last_attempt_at: f64,
-    /// Shrinks of quota shares that are not released yet, by the name of the broker.
+    /// The last shrink of each broker's quota shares, while the units taken from them are not released yet, by the
+    /// broker's name.
     pub quota_shrinks: BTreeMap<String, SeenShrink>,
 }
 
@@ -102,7 +105,8 @@
         self.rollback_seen_at
     }
 
-    /// Records the shrinks of quota shares that are not released yet, each with the time when it was first seen.
+    /// Records the brokers whose quota shares shrank and whose units taken from them are not released yet, each with
+    /// the time when the shrink was first seen.
     pub fn observe_quota(&mut self, now: f64, ledger: &QuotaLedger) {
         let awaiting = ledger.brokers.iter().filter(|(_, shares)| shares.awaits_release());
         let seen = awaiting.map(|(broker, shares)| {
--- a/crates/dunepond-consensus/src/voter/quota_release.rs
+++ b/crates/dunepond-consensus/src/voter/quota_release.rs
@@ -1,5 +1,7 @@
-//! Release of quota shares: the leader decides by its clock when a broker certainly uses a shrunk share only at its new
-//! size, so that the rest can be granted to other brokers.
+//! Release of units that were taken from a broker's quota share. After a share shrinks, the broker may still use its
+//! old size until it adopts the new one or its lease ends, its queries may be in flight after that, and what it used
+//! still counts in the quota's window. The leader decides by its clock when all this has ended, and then releases the
+//! units so that they can be granted to other brokers.
 
 use std::collections::BTreeMap;
 
@@ -10,8 +12,8 @@
 use crate::Command;
 
 impl Voter {
-    /// Adds the drift of the configuration in force and of this broker's own to a duration in seconds, and returns the
-    /// larger result, so that no wait is too short.
+    /// Lengthens a duration in seconds by the clock drift in the configuration in force, and by that in this broker's
+    /// own file, and returns the larger result, so that no wait is too short.
     fn with_drift(&self, seconds: f64) -> f64 {
         self.config.with_drift(seconds).max(self.state.config.with_drift(seconds))
     }
@@ -22,12 +24,14 @@
         self.with_drift(millis as f64 / 1e3)
     }
 
-    /// Longest time for which an action may be in flight, in seconds on this clock.
+    /// Longest time from a broker's check whether it may send a part until the query has ended, in seconds on this
+    /// clock.
     pub(super) fn action_seconds(&self) -> f64 {
         self.state.config.quiescence_seconds_for(0.0).max(self.config.quiescence_seconds_for(0.0))
     }
 
-    /// The command that releases the old part of a shrunk share, if there is one that its broker has stopped using.
+    /// The command that releases the units taken from a broker's shrunk quota share, once the broker's use of them has
+    /// ended and no longer counts in the quota's window; `None` if there are no such units.
     pub(super) fn next_quota_release(&self, now: f64) -> Option<Command> {
         let lease = self.state.longest_lease_seconds.max(self.config.lease_seconds);
         let delays = ReuseDelays {
@@ -43,7 +47,8 @@
         Some(Command::Quota(QuotaEntry::Release { broker, generation }))
     }
 
-    /// The time on this clock from which the units of a shrunk share can be granted again.
+    /// The time on this clock from which the units taken from a broker's shrunk quota share can be granted to other
+    /// brokers.
     fn reusable_from(&self, broker: &str, shrink: SeenShrink, delays: ReuseDelays) -> f64 {
         let leases = self.lease_requests.granted.iter().filter(|((name, _), _)| name == broker);
         let runs = leases.map(|(_, lease)| BrokerRun {
--- a/crates/dunepond-consensus/src/voter/raft_node.rs
+++ b/crates/dunepond-consensus/src/voter/raft_node.rs
@@ -26,7 +26,8 @@
     count * ELECTION_TICKS as f64 * lease_seconds / TICKS_PER_LEASE
 }
 
-/// Creates a node of the raft library for the folder `id`, whose log is applied up to the index `applied`.
+/// Creates a node of the raft library whose log is applied up to the index `applied`. `id` is the id of the voter's
+/// data folder, which serves as the node's id.
 pub(super) fn raft_node(id: u64, applied: u64, log: LogStorage) -> RawNode<LogStorage> {
     let config = raft::Config {
         id,
--- a/crates/dunepond-consensus/src/voter/ready.rs
+++ b/crates/dunepond-consensus/src/voter/ready.rs
@@ -14,7 +14,7 @@
 /// Number of election timeouts after which a snapshot that was not acknowledged is sent again.
 const SNAPSHOT_RETRY_ELECTIONS: f64 = 4.0;
 
-/// A committed entry of the raft library, with its log entry and membership change taken apart.
+/// A committed entry of the raft library, split into its log entry and its membership change.
 struct CommittedEntry {
     index: u64,
     /// The encoded [`crate::log_entry::LogEntry`], if there is one.
@@ -86,8 +86,8 @@
         self.reply_to_lease_requests(now, reads);
     }
 
-    /// Replaces the election timeout that the raft library draws at random by a hash of folder and term, so that runs can
-    /// be replayed. The timeout still differs between voters, and from term to term.
+    /// Replaces the election timeout that the raft library draws at random by a hash of the folder's id and the term,
+    /// so that runs can be replayed. The timeout still differs between voters, and from term to term.
     pub(super) fn pin_election_timeout(&mut self) {
         let term = self.node.raft.term.to_be_bytes();
         let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&term, self.folder.id);
@@ -99,9 +99,9 @@
         self.node.mut_store().compact(index, policy, || state.encode());
     }
 
-    /// Stops the voter, because this build cannot decode an entry or snapshot. It processes the raft library's output no
-    /// more, so that its state does not diverge from that of the others. The folder is retained for a build that can
-    /// decode it.
+    /// Stops the voter, because this build cannot decode an entry or snapshot. It no longer processes the raft
+    /// library's output, so that its state does not diverge from that of the other voters. The folder is retained for a
+    /// build that can decode it.
     pub(super) fn stop_voting(&mut self, reason: &str) {
         self.participation = Participation::Stopped;
         self.log(format!(
@@ -213,7 +213,8 @@
         }
     }
 
-    /// Queues a message to the voter `name`. `to_folder` is the id of its folder, or 0 for any folder.
+    /// Queues a message to the voter `name`. If `to_folder` is not 0, the receiver drops the message unless it runs on
+    /// the data folder with this id.
     pub(super) fn send(&mut self, name: &str, to_folder: u64, body: Body) {
         let envelope = Envelope {
             from: self.config.name.clone(),
--- a/crates/dunepond-consensus/src/voter/recovery.rs
+++ b/crates/dunepond-consensus/src/voter/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery of a fleet whose majority of voters is permanently lost, from one voter's folder, by an operator's order.
-//! Entries that only the lost voters had committed are lost. To contain the consequences, the fleet's epoch is increased,
-//! brokers that know the new epoch accept nothing from an earlier one, and no lease is granted until everything that the
-//! lost voters allowed has ended.
+//! Entries that only the lost voters had committed are lost. To contain the consequences, the fleet's epoch is
+//! increased, brokers that know the new epoch accept nothing from an earlier one, and no lease is granted until all
+//! leases that the lost voters granted, and all queries sent under them, have ended.
 
 use raft::eraftpb::{ConfState, EntryType};
 
--- a/crates/dunepond-consensus/src/voter_change.rs
+++ b/crates/dunepond-consensus/src/voter_change.rs
@@ -1,4 +1,4 @@
-//! Descriptions of voters in documents: their names, addresses and folder identities.
+//! Descriptions of voters in documents: their names, addresses and data folders.
 
 use serde::{Deserialize, Serialize};
 
@@ -32,16 +32,17 @@
     pub proposed_at_unix_seconds: f64,
 }
 
-/// Identity of a voter's folder and of its last start, as far as the holder of this value knows.
+/// A voter's data folder, and the latest process start on it that the holder of this value knows of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterSlot {
-    /// Random id drawn when the folder was empty.
+    /// Id of the folder, drawn at random when the folder was empty.
     #[serde(rename = "folder")]
     pub folder_id: u64,
-    /// Number of times that the voter was started on the folder.
+    /// Number of times that the voter's process was started on the folder.
     #[serde(rename = "starts")]
     pub start_count: u64,
-    /// Random number drawn at each start.
+    /// Random number drawn at each process start. If two process starts have the same count but different numbers, one
+    /// of them was made on a copy of the folder.
     #[serde(rename = "run")]
     pub run_id: u64,
 }
