--- a/crates/dunepond-consensus/tests/golden/runs.rs
+++ b/crates/dunepond-consensus/tests/golden/runs.rs
@@ -215,7 +215,7 @@
         single.commit(Command::Quota(entry));
     }
     check_state(single, "state-limits");
-    // The leader itself releases the old part of the shrunk share; no other proposer may do so.
+    // The leader itself releases the units taken from the shrunk share; no other proposer may do so.
     single.run(4.0);
     single.commit(Command::Quota(QuotaEntry::AddBroker { broker: text("b3") }));
     single.commit(Command::Quota(QuotaEntry::RemoveBroker { broker: text("b3") }));
--- a/crates/dunepond-consensus/tests/model.rs
+++ b/crates/dunepond-consensus/tests/model.rs
@@ -1,7 +1,8 @@
-//! A model that covers all interleavings of leases and the joint step. The log is not part of the model: an entry is
-//! committed at once. Clocks count in units. When time passes, each clock advances by one or two units, so that the fastest
-//! may run at twice the rate of the slowest. Requests and replies are lost, duplicated or late, brokers crash, leaders
-//! change, and brokers pause for any time, since no action is forced. The properties are checked in every state.
+//! A model that covers all interleavings of leases and the rollout of a configuration version through the joint
+//! configuration. The log is not part of the model: an entry is committed at once. Clocks count in units of time. When
+//! time passes, each clock advances by one or two units, so that the fastest may run at twice the rate of the slowest.
+//! Requests and replies are lost, duplicated or late, brokers crash, leaders change, and brokers pause for any time,
+//! since no action is forced. The properties are checked in every state.
 
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -21,13 +22,13 @@
     from_receipt: bool,
     /// Weakened: a leader replies without confirmation by a quorum, so that a former leader may reply, too.
     without_quorum: bool,
-    /// Weakened: number of units by which the leader's wait is shortened.
+    /// Weakened: time by which the leader's wait is shortened, in units of the leader's clock.
     wait_reduction: u8,
     /// Weakened: early activation relies on a leader's list of leases even if it has led for less than a lease.
     always_ends_early: bool,
     /// Weakened: a rollback from the first stage ends without a wait.
     immediate_rollback: bool,
-    /// Number of versions that may be proposed.
+    /// Number of configuration versions that may be proposed.
     versions: u8,
     /// Whether versions have a first stage.
     stage: bool,
@@ -61,16 +62,17 @@
     in_first_stage: bool,
     /// The last state that the broker adopted.
     known: Committed,
-    /// Remaining units of the broker's lease.
+    /// Remaining time of the broker's lease, in units of the broker's clock.
     lease_left: u8,
-    /// The request in flight: units since it was sent, and whether it reports the joint configuration.
+    /// The request in flight: its age in units of the broker's clock, and whether it reports the joint configuration.
     request: Option<(u8, bool)>,
-    /// The reply in flight: units since its request was sent, and the state in the reply.
+    /// The reply in flight: the age of its request in units of the broker's clock, and the state in the reply.
     reply: Option<(u8, Committed)>,
-    /// A non-idempotent part in flight: the version by whose map its owner was chosen, and the remaining units.
+    /// A non-idempotent part in flight: the version by whose shard map its owner was chosen, and the remaining time of
+    /// its query in units of the broker's clock.
     in_flight: Option<(u8, u8)>,
-    /// Units on the leader's clock until the broker has certainly stopped acting on the active version alone and its queries
-    /// have ended.
+    /// Remaining time, in units of the leader's clock, until the leader may rely on it that the broker no longer acts
+    /// on the active version alone, and that the queries which it sent while it did have ended.
     done_after: u8,
 }
 
@@ -81,11 +83,13 @@
     highest_number: u8,
     /// The brokers in sorted order, since their order does not matter.
     brokers: [Broker; 2],
-    /// Remaining units of the leader's wait after it saw the last step committed.
+    /// Remaining time of the leader's wait since it saw the last rollout step committed, in units of the leader's
+    /// clock.
     wait: u8,
-    /// Units for which the leader has led, up to the duration of a lease.
+    /// Time for which the leader has led, in units of its clock, counted up to the longest duration of a lease.
     led_units: u8,
-    /// Whether the leader had led for a lease when it saw the proposal, so that it knows all leases.
+    /// Whether the leader had led for the longest duration of a lease when it saw the proposal, so that it knows all
+    /// leases that may be valid.
     may_end_early: bool,
     /// The state that a former leader still considers committed, if there is one.
     former_state: Option<Committed>,
@@ -93,7 +97,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Action {
-    /// Time passes. The bits are the clocks that advance by two units; the others advance by one.
+    /// Time passes. The bits are the clocks that advance by two units, as in [`Rule::clocks`]; the others advance by
+    /// one.
     Time(u8),
     /// A broker sends a lease request. An earlier one that is still in flight is lost.
     Request(usize),
--- a/crates/dunepond-consensus/tests/quotas.rs
+++ b/crates/dunepond-consensus/tests/quotas.rs
@@ -1,5 +1,5 @@
-//! Shares of fleet-wide quotas in a simulated fleet: when a shrunk share is released, and what a broker may use without a
-//! lease.
+//! Shares of fleet-wide quotas in a simulated fleet: when the units taken from a shrunk share are released, and what a
+//! broker may use without a lease.
 
 use std::collections::BTreeMap;
 
@@ -37,7 +37,7 @@
     fleet
 }
 
-/// The units of the quota that broker `n` may use now.
+/// The number of units of the quota `cold` that broker `n` may use now.
 fn available_units(fleet: &Fleet, n: usize) -> u32 {
     let now = fleet.clock(n);
     let active_config = fleet.brokers[n].lease_client.as_ref().unwrap().active_config();
@@ -54,7 +54,7 @@
     fleet.state(fleet.leader().unwrap()).quota.reserved_units("cold")
 }
 
-/// Shrinks the share of n7, and returns the time in seconds until it is released.
+/// Shrinks the quota share of n7, and returns the time in seconds until the units taken from it are released.
 fn release_seconds(fleet: &mut Fleet) -> f64 {
     fleet.propose(set_shares("n7", 0)).unwrap();
     let shrunk_at = fleet.now;
@@ -66,8 +66,8 @@
     fleet.now - shrunk_at
 }
 
-/// The lease lasts 1 s; query timeout and quota window are 0.5 s each. The release waits until actions in flight and the
-/// window have ended. For a partitioned broker these begin at the end of its lease.
+/// The lease lasts 1 s; query timeout and quota window are 0.5 s each. The release waits until queries in flight and
+/// then the quota window have ended. For a partitioned broker both count from the end of its lease.
 #[rstest]
 #[case::acknowledged(false, 1.0, 2.0)]
 #[case::partitioned(true, 1.2, 3.2)]
--- a/crates/dunepond-consensus/tests/scenarios/main.rs
+++ b/crates/dunepond-consensus/tests/scenarios/main.rs
@@ -1,5 +1,5 @@
-//! Scenarios of a simulated fleet in which faults disturb the change to another version. The simulation checks the fleet's
-//! invariants at each step; the scenarios check the outcome.
+//! Scenarios of a simulated fleet in which faults disturb the change to another configuration version. The simulation
+//! checks the fleet's invariants at each step; the scenarios check the outcome.
 
 mod folders;
 mod partitions;
--- a/crates/dunepond-consensus/tests/scenarios/partitions.rs
+++ b/crates/dunepond-consensus/tests/scenarios/partitions.rs
@@ -1,4 +1,4 @@
-//! Changes to another version while links are blocked, lossy or slow.
+//! Changes to another configuration version while links are blocked, lossy or slow.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fleet::{Fleet, LinkConditions};
--- a/crates/dunepond-consensus/tests/scenarios/restarts.rs
+++ b/crates/dunepond-consensus/tests/scenarios/restarts.rs
@@ -1,4 +1,4 @@
-//! Changes to another version while brokers are killed and restarted with their folders.
+//! Changes to another configuration version while brokers are killed and restarted with their folders.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fleet::Fleet;
--- a/crates/dunepond-consensus/tests/upgrades.rs
+++ b/crates/dunepond-consensus/tests/upgrades.rs
@@ -4,16 +4,18 @@
 use dunepond_simulation::fixtures::{config_version, consensus_config, shard_map};
 use dunepond_simulation::fleet::Fleet;
 
-/// Journal of a single voter, written by the build of commit 63ed26b: 520 settlements, version 1 active, 2 proposed.
+/// Journal of a single voter, written by the build of commit 63ed26b. It holds 520 settlements, the active
+/// configuration version 1 and the proposed version 2.
 const JOURNAL: &[u8] = include_bytes!("data/format-1/journal");
-/// The version that the test below constructs, packed by that build.
+/// The configuration version that `format_1_documents_are_read_and_voter_continues` constructs, packed by the build
+/// that wrote [`JOURNAL`].
 const VERSION: &[u8] = include_bytes!("data/format-1/version");
-/// Digest of [`VERSION`], computed by that build.
+/// Digest of [`VERSION`], computed by the build that wrote [`JOURNAL`].
 const DIGEST: &str = include_str!("data/format-1/digest");
-/// Persisted state of a broker, written by that build.
+/// Persisted state of a broker, written by the build that wrote [`JOURNAL`].
 const PERSISTED: &[u8] = include_bytes!("data/format-1/kept");
 
-/// A key that only a later build knows.
+/// A key of a configuration version that only a later build knows.
 const KEY: &str = "rules.least_brokers";
 
 fn extension(key: &str, required: bool) -> Extension {
