--- a/crates/dunepond-control-plane/src/audit_log/event.rs
+++ b/crates/dunepond-control-plane/src/audit_log/event.rs
@@ -25,28 +25,28 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "lowercase")]
 pub enum AuditEvent {
-    /// The phase of the configuration and the versions that apply from now on. Recorded whenever they change, and with
-    /// each lease.
+    /// The phase of the configuration and the configuration versions that apply from now on. Recorded whenever they
+    /// change, and with each lease.
     Phase {
         /// Phase of the configuration.
         phase: AuditPhase,
-        /// Lowest number of the versions that apply; 0 if none applies.
+        /// Lowest number of the configuration versions that apply; 0 if none applies.
         #[serde(rename = "from")]
         first_version: u64,
-        /// Highest number of the versions that apply; 0 if none applies.
+        /// Highest number of the configuration versions that apply; 0 if none applies.
         #[serde(rename = "to")]
         last_version: u64,
         /// When the broker's lease expires, in seconds on the monotonic clock.
         #[serde(rename = "until")]
         lease_expires_at: f64,
     },
-    /// An attempt was sent: the frame of a part was passed to the connection to a node.
+    /// An attempt for a part of a query was sent: its frame was passed to the connection to a node.
     #[serde(rename = "dispatch")]
     AttemptSent {
         /// Id of the query.
         #[serde(rename = "call")]
         request_id: String,
-        /// Id of the part's segment.
+        /// Id of the segment that the part of the query is for.
         #[serde(rename = "seg")]
         segment_id: u64,
         /// Name of the node that the attempt was sent to.
@@ -57,9 +57,9 @@
         /// Whether the part is non-idempotent, so that it must not run twice.
         #[serde(rename = "once")]
         non_idempotent: bool,
-        /// Phase of the configuration that allowed the attempt.
+        /// Phase of the configuration by which the attempt was allowed.
         phase: AuditPhase,
-        /// Numbers of the versions that applied.
+        /// Numbers of the configuration versions by which the attempt was allowed.
         #[serde(rename = "numbers")]
         versions: Vec<u64>,
     },
@@ -80,7 +80,7 @@
         #[serde(rename = "epoch")]
         map_epoch: Option<u64>,
     },
-    /// A query was rejected, or a part withheld, because the active configuration forbids it.
+    /// A query was rejected, or a part of a query was withheld, because the active configuration forbids it.
     #[serde(rename = "refused")]
     Rejected {
         /// Id of the query.
@@ -100,7 +100,7 @@
         creditor: String,
         /// Number of bytes by which the debt was reduced.
         bytes: u64,
-        /// Number of the version that the fill belongs to; 0 if the id names none.
+        /// Number of the configuration version that the settled fill belongs to; 0 if the id names none.
         number: u64,
     },
     /// The state of a fill changed.
@@ -120,36 +120,36 @@
         /// State of the current attempt: `begun`, `done` or `failed`.
         state: String,
     },
-    /// A version was proposed.
+    /// A configuration version was proposed.
     Proposed {
-        /// Number of the proposed version.
+        /// Number of the proposed configuration version.
         number: u64,
-        /// Digest of the proposed version.
+        /// Digest of the proposed configuration version.
         digest: String,
     },
-    /// A version became active.
+    /// A configuration version became active.
     Confirmed {
-        /// Number of the active version.
+        /// Number of the active configuration version.
         number: u64,
-        /// Digest of the active version.
+        /// Digest of the active configuration version.
         digest: String,
     },
-    /// A proposed version was withdrawn.
+    /// A proposed configuration version was withdrawn.
     Withdrawn {
-        /// Number of the withdrawn version.
+        /// Number of the withdrawn configuration version.
         number: u64,
-        /// Digest of the withdrawn version.
+        /// Digest of the withdrawn configuration version.
         digest: String,
     },
     /// The broker's share of the shared quotas, in units (millionths of a quota). From this record on the broker may
-    /// use the floor and, until the lease expires, the leased units. It may use nothing before `usable_from`, when the
-    /// use by its earlier incarnations has left every window, and nothing if it is not `admitted`. Recorded again with
-    /// each lease.
+    /// use the floor and, until the lease expires, the leased units. It may use nothing before `usable_from`, as until
+    /// then a window may still include units that its earlier incarnations used, and nothing if it is not `admitted`.
+    /// Recorded again with each lease.
     #[serde(rename = "share")]
     QuotaShare {
-        /// Generation of the allocation in the replicated log; 0 if there is none.
+        /// Generation of the quota allocation in the replicated log; 0 if there is none.
         generation: u64,
-        /// Whether the allocation includes this broker.
+        /// Whether the quota allocation includes this broker.
         #[serde(rename = "counted")]
         admitted: bool,
         /// Units of each quota that the broker may use without a lease.
@@ -179,21 +179,22 @@
 /// The phase of a broker's configuration, as recorded in the audit log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum AuditPhase {
-    /// The broker has no valid lease and knows no version.
+    /// The broker has no valid lease and knows no configuration version.
     #[serde(rename = "none")]
     Unconfigured,
-    /// The lease is valid, and one version applies, or none if there is no version yet.
+    /// The lease is valid, and one configuration version applies, or none if there is none yet.
     #[serde(rename = "alone")]
     Active,
-    /// The lease is valid, and a version is being replaced by a new one: the stricter rules of both apply.
+    /// The lease is valid, and a configuration version is being replaced by a new one: the stricter rules of both
+    /// apply.
     #[serde(rename = "joint")]
     Joint,
-    /// The lease has expired: the strictest rules of all known versions apply.
+    /// The lease has expired: the strictest rules of all known configuration versions apply.
     #[serde(rename = "cut")]
     LeaseExpired,
 }
 
-/// Writes the name of the phase for the program's log and counters, which operators and tests search for.
+/// Writes the phase's name in log lines and counters. Operators and tests search for these names.
 impl fmt::Display for AuditPhase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
--- a/crates/dunepond-control-plane/src/commitments.rs
+++ b/crates/dunepond-control-plane/src/commitments.rs
@@ -1,9 +1,9 @@
-//! Commitments of this broker that are not in the replicated log yet: settlements that are promised from its own
-//! shares, and fills in progress.
+//! Commitments of this broker that are not in the replicated log yet: settlements that it has promised from its own
+//! shares of debts between partners, and its own fills in progress.
 //!
 //! A partitioned broker settles from its own shares only, so its commitments must survive a restart. They are stored
-//! before a fill starts and before a part of a share is released. The encoding is postcard, so the order of the fields
-//! must not change.
+//! before this broker starts a fill and before it releases a part of a share. The encoding is postcard, so the order of
+//! the fields must not change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 /// Maximum number of settlement entries in one message to the leader.
 pub const MAX_ENTRIES_PER_MESSAGE: usize = 256;
 
-/// One of this broker's own fills, from its start until the log has its settlement.
+/// A fill of a node in slow start that this broker planned itself, from its start until the log has its settlement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommittedFill {
     /// The planned fill.
@@ -22,8 +22,8 @@
     pub done: bool,
 }
 
-/// Identifies one of this broker's own fills that is done. It is remembered so that a later version does not fill the
-/// node again for the same start.
+/// Identifies one of this broker's own fills that is done. It is remembered so that the node is not filled again for
+/// the same start under a later configuration version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FinishedFill {
     /// Id of the segment that was filled.
@@ -38,7 +38,7 @@
 /// other after a restart, the remaining share would appear larger than it is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Commitments {
-    /// Settlements promised from this broker's own shares.
+    /// Settlements promised from this broker's own shares of debts.
     pub shares: SharePromises,
     /// The ledger that the promises are checked against.
     pub ledger: SettlementLedger,
@@ -65,8 +65,8 @@
         })
     }
 
-    /// Entries to be sent to the leader: settlements of fills that are done, and releases of shares. At most
-    /// [`MAX_ENTRIES_PER_MESSAGE`].
+    /// Entries to be sent to the leader: settlements of fills that are done, and releases of parts of this broker's
+    /// shares. At most [`MAX_ENTRIES_PER_MESSAGE`].
     pub fn due_entries(&self) -> Vec<SettlementEntry> {
         let is_due = |entry: &SettlementEntry| match entry {
             SettlementEntry::Settle(settlement) => {
--- a/crates/dunepond-control-plane/src/config.rs
+++ b/crates/dunepond-control-plane/src/config.rs
@@ -41,7 +41,7 @@
     /// Configuration of rebalancing plans (splits, merges and moves of segments). With `None` this broker reads no plan
     /// file.
     pub rebalancing: Option<RebalanceConfig>,
-    /// Number of query classes. Lists by query class in a version must have this many entries.
+    /// Number of query classes. Lists by query class in a configuration version must have this many entries.
     pub query_class_count: usize,
     /// Seed of the random number generator, combined with the broker's name and incarnation.
     pub seed: u64,
@@ -102,7 +102,8 @@
     pub segment_bytes: u64,
     /// Maximum rate of one fill, in bytes per second.
     pub bytes_per_second: u64,
-    /// Maximum number of concurrent fill attempts, separately for the fills of versions and for the broker's own fills.
+    /// Maximum number of concurrent fill attempts. It applies separately to the fills that a proposed configuration
+    /// version requires and to the broker's own fills of nodes in slow start.
     pub max_concurrent_fills: usize,
     /// Whether each broker also fills the nodes in slow start that it is responsible for, and settles these fills from
     /// its own share.
@@ -112,9 +113,11 @@
 /// A point at which a test may simulate a crash of the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// The settlement of a version's fill, if there is one, was proposed, but the completion of the fill was not.
+    /// The leader proposed the settlement of a fill that the proposed configuration version requires, but not the
+    /// fill's completion. Also reached if the fill has no settlement.
     SettlementProposed,
-    /// One of the broker's own fills is done and counted, but its settlement was not sent to the leader.
+    /// One of the broker's own fills of nodes in slow start is done and its unsettled bytes are counted, but its
+    /// settlement was not sent to the leader.
     OwnFillDone,
 }
 
--- a/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
@@ -22,7 +22,7 @@
             self.propose_fill_starts(now);
         }
         let mut actions = Vec::new();
-        // While the plan is paused no further attempt starts, but running attempts continue.
+        // While the rebalancing plan is paused no further attempt starts, but running attempts continue.
         let paused = kind == FillKind::Version && self.fills_are_paused();
         let ledger = self.traffic.balances.ledger();
         let fills = match kind {
--- a/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
@@ -1,4 +1,5 @@
-//! Log entries for the fills of versions: one before a fill starts, and its settlement and completion once it is done.
+//! Log entries for the fills that the proposed configuration version requires: one before a fill starts, and its
+//! settlement and completion once it is done.
 
 use dunepond_consensus::{Command, Rejection};
 use dunepond_settlement::{
@@ -14,15 +15,16 @@
 
 /// Time after which an entry that is not in the log is proposed again.
 const ENTRY_RETRY_SECONDS: f64 = 1.0;
-/// Name under which fills of versions are settled. It does not depend on the leader: otherwise a fill could be settled
-/// once under the name of each leader. When debts are split in advance, this name gets a share, which only settlements
-/// of versions' fills spend.
+/// Name under which fills that a configuration version requires are settled. It does not depend on the leader:
+/// otherwise a fill could be settled once under the name of each leader. When debts are split in advance, this name
+/// gets a share, which only settlements of these fills spend.
 pub const LOG_SHARE_HOLDER: &str = "fleet";
 
 impl ControlLoop {
-    /// Records when this broker first saw each started fill in the log, which is never before the fill started. For
-    /// fills that are in the log when this broker starts, the time is computed from the start time by the leader's
-    /// clock.
+    /// Records when this broker first saw each started fill in the log. That is never earlier than the leader planned
+    /// the fill. If this broker knew of no started fill before, as after a restart, the time is computed from the
+    /// fill's start time in the log, which is by the leader's clock: the fill may have started long ago, and must not
+    /// count as just started in the planner's windows.
     pub(in crate::control_loop) fn note_started_fills(&mut self) {
         let (now, fills) = (monotonic_seconds(), &mut self.version_fills);
         let ledger = self.traffic.balances.ledger();
@@ -128,8 +130,8 @@
         self.propose(Command::FillCompleted { number: self.version_fills.version, segment, holder })
     }
 
-    /// Handles a settlement that the log refuses for good, because the share is spent or the fill is already settled.
-    /// The replica is filled nevertheless.
+    /// Handles a settlement that is refused for good, because the share is spent or the fill is already settled. The
+    /// replica is filled nevertheless.
     fn on_settlement_refused(&mut self, fill: &Fill, why: &SettlementError) {
         info!("fleet: fill {}: settlement refused: {why} ({})", fill.id, why.help());
         self.version_fills.planner.settlement_rejected(&fill.id);
@@ -138,8 +140,8 @@
         }
     }
 
-    /// The settlement of the fill by its actual source, which may differ from the planned one. `None` if the fill
-    /// settles nothing.
+    /// The settlement of a finished fill, recomputed if the segment was copied from another source than planned. `None`
+    /// if the fill settles nothing.
     fn settlement_of(&self, fill: &Fill, result: &FillResult) -> Option<Settlement> {
         if result.source == fill.source {
             return fill.settles.clone();
--- a/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
@@ -1,6 +1,6 @@
-//! Fills of replicas, by two schedulers. The leader plans the fills that the map of the proposed version requires. Each
-//! broker plans fills of the nodes in slow start that it is responsible for ([`own`]). Attempts run on their own
-//! threads ([`scheduler`]).
+//! Fills of replicas, by two schedulers. The leader plans the fills that the map of the proposed configuration version
+//! requires. Each broker plans fills of the nodes in slow start that it is responsible for ([`own`]). Attempts run on
+//! their own threads ([`scheduler`]).
 //!
 //! The id of a fill does not depend on who plans it or how often. So the fill service responds at once if a fill was
 //! already done before a crash, and a fill is settled only once. A leader adds a fill to the log before it starts
@@ -101,7 +101,7 @@
         let capacity_ratio = self.capacity_ratio(kind);
         let slow_start = self.slow_start_capacity(now, kind);
         let balances = &self.traffic.balances;
-        // Fills of versions are settled from the log's share, which the planner gets from the ledger.
+        // Fills of the proposed version are settled from the share of [`LOG_SHARE_HOLDER`], which is in the ledger.
         let shares = (kind == FillKind::Own).then_some(&self.settlement.commitments.shares);
         let fills = match kind {
             FillKind::Version => &mut self.version_fills,
--- a/crates/dunepond-control-plane/src/control_loop/fills/own.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/own.rs
@@ -24,8 +24,9 @@
         started.iter().filter(|node| now < node.started_at + policy.warm_up_seconds).cloned().collect()
     }
 
-    /// Capacity of the nodes in slow start that fills of this kind may use here. The underlying limit applies to all
-    /// brokers together; it is the lower of the deployment's limit and that of the versions that apply.
+    /// For each node in slow start, the capacity that this broker's fills of this kind may use. The underlying limit
+    /// applies to all brokers together; it is the lower of the deployment's limit and that of the configuration
+    /// versions that apply.
     pub(super) fn slow_start_capacity(&self, now: f64, kind: FillKind) -> SlowStartCapacity {
         let rules_multiple = self
             .lease_client
@@ -47,9 +48,9 @@
         }
     }
 
-    /// Fraction of all brokers' total capacity that a scheduler of this broker may use. If brokers have their own
-    /// fills, half is for the leader's fills of versions and the brokers share the other half evenly; otherwise the
-    /// leader may use it all.
+    /// Fraction that a scheduler of this broker may use of the limits that apply to all brokers together. If brokers
+    /// have their own fills, half is for the fills that the leader plans for the proposed configuration version, and
+    /// the brokers share the other half evenly; otherwise the leader may use it all.
     pub(super) fn capacity_ratio(&self, kind: FillKind) -> f64 {
         match kind {
             FillKind::Version if self.settlement.fill_started_nodes => 0.5,
@@ -88,8 +89,8 @@
         responsible.is_some_and(|broker| **broker == self.name)
     }
 
-    /// Demands for the filled replicas of the active map on nodes in slow start that this broker is responsible for.
-    /// They do not depend on a valid lease.
+    /// Fill demands for nodes in slow start: one for each replica there that the active map marks as filled and that
+    /// this broker is responsible for. They do not depend on a valid lease.
     pub(super) fn own_fill_demands(&self, now: f64) -> Vec<FillDemand> {
         let warming = self.warming_nodes(now);
         if !self.settlement.fill_started_nodes || warming.is_empty() {
@@ -123,7 +124,8 @@
         demands
     }
 
-    /// Whether this broker has filled the segment's replica for this start of the node, under any version.
+    /// Whether this broker has filled the segment's replica for this start of the node, under any configuration
+    /// version.
     fn is_own_fill_finished(&self, segment: u64, started: &StartedNode) -> bool {
         self.settlement.commitments.finished.contains(&FinishedFill {
             segment,
@@ -160,8 +162,8 @@
     }
 
     /// Ends one of this broker's own fills once it has a result. From then on its settlement is sent to the leader
-    /// until the log has it. Carried bytes are counted after this is stored, so a crash in between can make a debt too
-    /// small but never too large.
+    /// until the log has it. The fill's unsettled bytes are counted as carried after the commitments are stored, so a
+    /// crash in between can make a debt too small but never too large.
     pub(super) fn finish_own_fill_if_done(&mut self, id: &str) {
         let result = self.own_fills.active.get(id).and_then(|active| active.result.clone());
         let Some(result) = result else { return };
--- a/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
@@ -21,9 +21,9 @@
 /// The kind of fills that a scheduler plans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillKind {
-    /// Fills that the proposed version requires, planned by the leader.
+    /// Fills that the proposed configuration version requires, planned by the leader.
     Version,
-    /// Fills of replicas on nodes in slow start that this broker is responsible for, whether it has a lease or not.
+    /// Fills of replicas that this broker is responsible for, on nodes in slow start. Planned with or without a lease.
     Own,
 }
 
@@ -48,7 +48,7 @@
     pub(super) next_start_entry_at: f64,
     /// When the entry for the fill's completion is proposed again, unless the log has it by then.
     pub(super) next_completion_entry_at: f64,
-    /// Whether the log has refused the fill's settlement, so that all its bytes are a new debt.
+    /// Whether the fill's settlement was refused for good, so that all its bytes are a new debt.
     pub(super) settlement_refused: bool,
 }
 
@@ -125,7 +125,7 @@
     pub limits: FillLimits,
     pub(super) planner: FillPlanner,
     pub(super) rng: Pcg64Mcg,
-    /// Number of the version that the active fills are for.
+    /// Number of the configuration version that requires the active fills.
     pub(super) version: u64,
     /// Planned fills that have not ended yet, by id.
     pub(super) active: BTreeMap<String, ActiveFill>,
@@ -173,7 +173,8 @@
         true
     }
 
-    /// Drops all active fills, because the version or the leader has changed and they are no longer this broker's.
+    /// Drops all active fills, because the proposed version or the leader has changed and this broker no longer runs
+    /// them.
     pub(super) fn abandon_all(&mut self) {
         for (id, _) in std::mem::take(&mut self.active) {
             self.planner.fill_ended(&id, false);
@@ -205,8 +206,8 @@
             .any(|settlement| settlement.debtor == debtor && settlement.creditor == creditor)
     }
 
-    /// Starts an attempt of the fill. Its request waits for the attempt's timeout, but at most for
-    /// [`MAX_REQUEST_SECONDS`], as it occupies a thread and a connection.
+    /// Starts an attempt of the fill. The request to the fill service times out together with the attempt, but at the
+    /// latest after [`MAX_REQUEST_SECONDS`], as it occupies a thread and a connection.
     pub(super) fn start_attempt(&self, fill: &Fill) {
         let request = FillRequest {
             id: fill.id.clone(),
--- a/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
@@ -1,5 +1,6 @@
 //! Sources that a fill avoids while it has others: those from which an attempt has failed, and those that discovery
-//! lists as draining. Otherwise a fill could retry a failed source until its version is withdrawn.
+//! lists as draining. Otherwise a fill could retry a failed source until the configuration version that requires it is
+//! withdrawn.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/dunepond-control-plane/src/control_loop/leader_search.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leader_search.rs
@@ -5,9 +5,9 @@
 /// The state of the search for the leader, for one kind of request.
 #[derive(Default)]
 pub struct LeaderSearch {
-    /// The leader as named by the voter that was asked last; taken by the next request.
+    /// The leader that the last reply named; used once, by the next request.
     named_leader: Option<String>,
-    /// Number of requests that were sent to a voter without knowing the leader.
+    /// Number of requests for which no leader was known, so that the voters were tried in turn.
     voters_tried: usize,
 }
 
--- a/crates/dunepond-control-plane/src/control_loop/leases.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: this broker's requests for them, and the requests and replies that its voter handles.
+//! Leases: this broker's lease requests and their replies, and the lease requests that its voter handles.
 
 use dunepond_consensus::{LeaseReply, LeaseRequest, Rejection};
 use dunepond_membership::{RefusalReason, RequestKind, Responder};
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Passes a lease reply to the lease client, and applies what it brought or logs why it was rejected.
+    /// Passes a lease reply to the lease client, and then applies the new lease or logs why the reply was rejected.
     fn apply_lease_reply(&mut self, from: &str, reply: LeaseReply) {
         match self.lease_client.handle_reply(monotonic_seconds(), from, reply) {
             Ok(()) => {
--- a/crates/dunepond-control-plane/src/control_loop/messages.rs
+++ b/crates/dunepond-control-plane/src/control_loop/messages.rs
@@ -12,7 +12,7 @@
 pub(super) enum SentRequest {
     /// A message from this broker's voter to another voter.
     Consensus,
-    /// A lease reply to a broker that sent its request to another voter.
+    /// A lease reply, sent as a request to a broker that sent its lease request to another voter.
     PushedLease,
     /// A lease request to this voter.
     Lease { voter: String },
@@ -117,7 +117,7 @@
             RequestKind::RebalancePlan => self.handle_offer(&from, body, responder),
             RequestKind::TransferCounts => self.handle_counts(&from, body, responder),
             RequestKind::Fill => self.handle_entries(&from, body, responder),
-            // The membership crate responds to these itself.
+            // Never passed here: the membership crate responds to liveness checks itself.
             RequestKind::LivenessCheck => drop(responder),
         }
     }
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -77,14 +77,14 @@
     pub(crate) rebalancing: Rebalancing,
     pub(crate) traffic: TrafficCounts,
     pub(crate) settlement: Settlements,
-    /// Schedules the fills that the proposed version requires, while this broker leads.
+    /// Schedules the fills that the proposed configuration version requires, while this broker leads.
     pub(crate) version_fills: FillScheduler,
     /// Schedules this broker's own fills of nodes in slow start.
     pub(crate) own_fills: FillScheduler,
     pub(crate) quotas: Option<QuotaSharing>,
     /// Results of fill attempts, sent by their threads.
     pub(crate) attempt_results: Receiver<AttemptResult>,
-    /// Maximum rate of fills to a warm node, in bytes per second.
+    /// Maximum rate of one fill of a warm node, in bytes per second.
     pub(crate) fill_bytes_per_second: f64,
     pub(crate) slow_start: Option<SlowStartPolicy>,
     /// Recently started nodes, set by the event loop.
--- a/crates/dunepond-control-plane/src/control_loop/proposals.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals.rs
@@ -22,7 +22,7 @@
 const PROPOSAL_TIMEOUT_LEASES: f64 = 1.0;
 /// Time between two proposals of a document without a reply, as a multiple of the lease duration.
 const PROPOSAL_INTERVAL_LEASES: f64 = 0.25;
-/// Time after which this broker would know a version if it were active or proposed, as a multiple of the lease
+/// Time after which this broker's leases would show its document as known if the log had it, as a multiple of the lease
 /// duration.
 const NUMBER_USED_LEASES: f64 = 2.0;
 
@@ -55,12 +55,13 @@
     NotLeader(Option<String>),
     /// The document cannot be accepted now, for this reason, but may be later.
     RetryLater(String),
-    /// The number was used by an earlier proposal, possibly of the same document. The next leases show which.
+    /// The document's number was used by an earlier proposal, possibly of the same document. The next leases show
+    /// which.
     NumberUsed {
         /// The next free number.
         expected: u64,
     },
-    /// The document was refused, and would be refused again.
+    /// The voter refused the document, and would refuse it again.
     Refused { why: String, help: String },
 }
 
@@ -134,7 +135,8 @@
     pub(super) fn propose_document(&mut self) {
         let now = monotonic_seconds();
         let config = self.lease_client.active_config();
-        // Without a lease this broker's knowledge of versions may be outdated, and the leader may be unreachable.
+        // Without a lease this broker's knowledge of the configuration versions may be outdated, and the leader may be
+        // unreachable.
         if now < self.proposals.next_proposal_at || now >= config.lease_expires_at() {
             return;
         }
--- a/crates/dunepond-control-plane/src/control_loop/publish.rs
+++ b/crates/dunepond-control-plane/src/control_loop/publish.rs
@@ -16,22 +16,22 @@
 pub(super) struct Published {
     /// Phase of the configuration; `None` before the first publication.
     phase: Option<AuditPhase>,
-    /// Numbers of the versions that applied in the phase.
+    /// Numbers of the configuration versions that applied in the phase.
     versions: Vec<u64>,
-    /// Number of the active version; 0 if there is none.
+    /// Number of the active configuration version; 0 if there is none.
     active: u64,
-    /// The proposed version, if there is one.
+    /// The proposed configuration version, if there is one.
     proposed: Option<ProposedVersion>,
 }
 
-/// Identifies a proposed version.
+/// Identifies a proposed configuration version.
 struct ProposedVersion {
     number: u64,
     digest: String,
 }
 
 impl Published {
-    /// Audit events for versions that became active or were proposed or withdrawn since the last call.
+    /// Audit events for configuration versions that became active or were proposed or withdrawn since the last call.
     fn version_events(&mut self, config: &ActiveConfig) -> Vec<AuditEvent> {
         let (active, proposed) = config.versions();
         let mut events = Vec::new();
@@ -45,7 +45,7 @@
         if self.proposed.as_ref().map(|last| last.number) == config.proposed_number() {
             return events;
         }
-        // A version that is no longer proposed was withdrawn, unless it or a later version is active now.
+        // A configuration version that is no longer proposed was withdrawn, unless it or a later one is active now.
         if let Some(ProposedVersion { number, digest }) = self.proposed.take()
             && number > config.active_number()
         {
@@ -61,8 +61,8 @@
 }
 
 impl ControlLoop {
-    /// Publishes the active configuration to the event loop and records the changes in the audit log, if the phase or
-    /// the versions have changed or if `leased`, that is, after a new lease.
+    /// Publishes the active configuration to the event loop and records it in the audit log, if the phase or the
+    /// configuration versions that apply have changed, or if `leased` is set, which means that there is a new lease.
     pub(super) fn publish(&mut self, leased: bool) {
         let (config, now) = (self.lease_client.active_config(), monotonic_seconds());
         let (phase, versions) = audit_phase(&config, now);
@@ -99,8 +99,8 @@
     /// Handles a newly granted lease: stores the configuration if it has changed, and publishes it.
     pub(super) fn on_lease(&mut self) {
         self.counters.leases.fetch_add(1, Relaxed);
-        // Stored before the event loop acts on it: after a restart the broker must know the strictest version that it
-        // was told of.
+        // The configuration is stored before the event loop acts on it: after a restart this broker must know the
+        // strictest configuration version that its leases have named.
         let revision = self.lease_client.persisted_revision();
         if self.state.saved_config != Some(revision) {
             match self.data.save_config(&self.lease_client.persisted_state()) {
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
@@ -29,11 +29,11 @@
     settle_seconds: f64,
     /// Whether the plan file must be read before the next offer.
     must_read: bool,
-    /// The plan that is to be offered, until its status is known.
+    /// The plan that is to be offered, until a voter reports its status in the log or refuses it.
     plan: Option<Plan>,
-    /// Whether the leader has accepted an offer of this plan. Further offers are repeats, in which the operator's
-    /// command to run the plan has no effect.
-    offered: bool,
+    /// Whether the leader has accepted an offer of this plan. Later offers are marked as repeats: they must not resume
+    /// the plan if it was paused in the meantime.
+    offer_accepted: bool,
     /// When the plan is offered next.
     next_offer_at: f64,
     leader_search: LeaderSearch,
@@ -65,7 +65,7 @@
             max_concurrent_actions,
             settle_seconds,
             plan: None,
-            offered: false,
+            offer_accepted: false,
             next_offer_at: 0.0,
             leader_search: LeaderSearch::default(),
             current_turn: None,
@@ -88,7 +88,7 @@
             return;
         }
         self.plan = None;
-        self.offered = false;
+        self.offer_accepted = false;
         let Some(path) = &self.path else { return };
         match read_plan(path) {
             Ok(plan) => self.plan = Some(plan),
@@ -126,8 +126,8 @@
         running.is_some_and(|running| running.pause.is_some() && running.started.is_some())
     }
 
-    /// Offers the operator's plan to the leader until the plan's status is known, and carries out the accepted plan if
-    /// this broker leads.
+    /// Offers the operator's plan to the leader until a voter reports the plan's status in the log or refuses the plan.
+    /// If this broker leads, also carries out the accepted plan.
     pub(super) fn rebalance(&mut self) {
         self.offer_plan();
         if self.is_leading() {
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -31,7 +31,8 @@
 /// A voter's response to an offer.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum OfferReply {
-    /// The plan was added to the leader's log. It is offered again until its status is known.
+    /// The leader added an entry for the offer to its log. The plan is offered again until a voter reports its status
+    /// in the log.
     Accepted,
     /// The offer changes nothing; this is the plan's status in the log.
     Known(String),
@@ -39,7 +40,7 @@
     NotLeader(Option<String>),
     /// The plan cannot be accepted now, for this reason, but may be later.
     RetryLater(String),
-    /// The plan was refused, and would be refused again.
+    /// The voter refused the plan, and would refuse it again.
     Refused { why: String, help: String },
 }
 
@@ -71,7 +72,7 @@
         let offer = PlanOffer {
             plan,
             max_concurrent_actions: self.rebalancing.max_concurrent_actions,
-            is_repeat: self.rebalancing.offered,
+            is_repeat: self.rebalancing.offer_accepted,
         };
         if to == self.name {
             let reply = self.accept_offer(offer);
@@ -108,7 +109,7 @@
         let rebalancing = &mut self.rebalancing;
         let id = rebalancing.plan.as_ref().map_or(String::new(), |plan| plan.id.clone());
         match reply {
-            OfferReply::Accepted => rebalancing.offered = true,
+            OfferReply::Accepted => rebalancing.offer_accepted = true,
             OfferReply::Known(status) => {
                 info!("fleet: plan {id}: {status}");
                 rebalancing.plan = None;
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Handles an offer if this broker leads: proposes the log entry for a new plan, or for the operator's command to a
-    /// known one.
+    /// Handles an offer if this broker leads: proposes the log entry that accepts a new plan, or that carries out the
+    /// operator's command for a known one.
     fn accept_offer(&mut self, offer: PlanOffer) -> OfferReply {
         let Some(voter) = self.voter.as_ref().filter(|voter| voter.is_leader()) else {
             let leader = self.voter.as_ref().and_then(|voter| voter.leader());
@@ -182,8 +183,8 @@
     }
 }
 
-/// The log entry that accepts a new plan, with its operations ordered into steps. Fails while another plan runs or a
-/// version is proposed.
+/// The log entry that accepts a new plan, with its operations ordered into steps. Returns an error if there is no
+/// active map, if another plan runs, or if a configuration version is proposed that is neither active nor withdrawn.
 fn ordered_plan(
     state: &ReplicatedState,
     plan: Plan,
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
@@ -1,4 +1,4 @@
-//! Steps of the accepted plan: the log entries and versions that the leader proposes to carry it out.
+//! Steps of the accepted plan: the log entries and configuration versions that the leader proposes to carry it out.
 
 use dunepond_consensus::{Command, ConfigVersion, Rejection};
 use dunepond_rebalance::{
@@ -15,7 +15,7 @@
 const LOAD_REPORT_LEASES: f64 = 2.0;
 
 impl ControlLoop {
-    /// Proposes the next log entry or version of the running plan, if one is due.
+    /// Proposes the next log entry or configuration version of the running plan, if one is due.
     pub(super) fn advance_plan(&mut self) {
         let now = monotonic_seconds();
         let Some(next) = self.next_step(now) else { return };
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The next action for the running plan: to pause or resume it by the brokers' load, else as its progress requires.
-    /// `None` without a running plan, and while the last proposed entry may still be committed.
+    /// The next action for the running plan: to pause or resume it because of the brokers' load, else as its progress
+    /// requires. `None` without a running plan, and while the last proposed entry may still be committed.
     fn next_step(&mut self, now: f64) -> Option<LeaderAction> {
         let voter = self.voter.as_ref()?;
         let (state, rebalancing) = (voter.state(), &mut self.rebalancing);
@@ -128,7 +128,7 @@
         );
     }
 
-    /// The version that carries out the current step: the active version with the step's map.
+    /// The configuration version that carries out the current step: the active version with the step's map.
     fn step_version(&self, number: u64, map: ShardMap) -> Option<ConfigVersion> {
         let state = self.voter.as_ref()?.state();
         let running = state.rebalance().running.as_ref()?;
--- a/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Applies the settlement entries that came with a lease. A voter gets its entries from its own log, and only applies
-    /// the ledger of another fleet from here.
+    /// Applies the settlement entries that came with a lease. If this broker is a voter, it applies the entries of its
+    /// own log instead, and from a lease only the ledger of another fleet.
     pub(in crate::control_loop) fn apply_leased_entries(&mut self) {
         for update in self.lease_client.take_settlement_updates() {
             // A ledger with fewer entries than this broker has applied belongs to another fleet and replaces this
-            // broker's.
+            // broker's ledger.
             let is_behind = update.ledger.is_some() && update.count < self.settlement.applied_entries;
             if self.voter.is_none() || is_behind {
                 self.apply_entries(update);
--- a/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
@@ -14,14 +14,14 @@
 use crate::clock::monotonic_seconds;
 use crate::commitments::{Commitments, MAX_ENTRIES_PER_MESSAGE};
 
-/// Time between two reviews of the commitments to send to the leader, and of the debts to allot or release.
+/// Time between two reviews of the commitments to send to the leader, the debts to allot and the shares to release.
 const REVIEW_INTERVAL_SECONDS: f64 = 0.5;
 /// Timeout of a message with settlement entries to the leader.
 const ENTRIES_TIMEOUT_SECONDS: f64 = 1.0;
 
 /// This broker's commitments, and how many settlement entries of the log it has applied.
 pub struct Settlements {
-    /// The commitments. They are stored before a fill starts and before a part of a share is released.
+    /// The commitments. They are stored before this broker starts a fill and before it releases a part of a share.
     pub commitments: Commitments,
     /// Whether each broker fills nodes in slow start; if so, debts are allotted in advance.
     pub fill_started_nodes: bool,
@@ -46,8 +46,8 @@
     }
 }
 
-/// Whether a broker other than the leader may propose the entry. Settlements and releases may only come from the broker
-/// whose share they use, as only that broker knows its promises; other entries only from the leader itself.
+/// Whether a broker other than the leader may propose the entry. Settlements and releases of shares may only come from
+/// the broker whose share they use, as only that broker knows its promises; other entries only from the leader itself.
 fn may_propose(broker: &str, entry: &SettlementEntry) -> bool {
     match entry {
         SettlementEntry::Settle(settlement) => settlement.broker() == broker,
--- a/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
@@ -1,15 +1,16 @@
-//! Shares of debts: the leader allots debts to the brokers in advance, and brokers release what they will not spend.
+//! Shares of debts: the leader allots debts to the brokers in advance, and each broker releases the part of its share
+//! that it will not spend.
 
 use dunepond_settlement::{SettlementEntry, allot_evenly};
 use tracing::debug;
 
 use crate::control_loop::{ControlLoop, LOG_SHARE_HOLDER};
 
-/// Divisor of the segment size for the minimum amount that is allotted or released at once. It avoids a log entry for
-/// every few bytes.
+/// The segment size divided by this is the minimum amount of a debt that is allotted or released at once. The minimum
+/// avoids a log entry for every few bytes.
 const SEGMENT_PARTS: u64 = 8;
 
-/// A part of this broker's share that it will not spend.
+/// A part of this broker's share of a debt that it will not spend.
 struct Surplus {
     debtor: String,
     creditor: String,
@@ -17,14 +18,14 @@
 }
 
 impl ControlLoop {
-    /// Minimum amount that is allotted or released at once, in bytes.
+    /// Minimum amount of a debt that is allotted or released at once, in bytes.
     fn min_split_bytes(&self) -> u64 {
         (self.version_fills.limits.segment_bytes / SEGMENT_PARTS).max(1)
     }
 
     /// Proposes to allot debts that are not allotted yet, evenly to all known brokers and to [`LOG_SHARE_HOLDER`], from
-    /// whose share the leader settles fills of versions. A broker that is partitioned later can then settle from its
-    /// share.
+    /// whose share the leader settles the fills that a configuration version requires. A broker that is partitioned
+    /// later can then settle from its share.
     pub(super) fn split_debts(&mut self) {
         let mut holders = self.all_brokers();
         holders.push(LOG_SHARE_HOLDER.to_string());
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Releases the part of this broker's share that it will not spend, for one pair of partners at a time.
+    /// Releases the part of this broker's share of a debt that it will not spend, for one pair of partners at a time.
     pub(super) fn release_surplus(&mut self) {
         if self.settlement.commitments.shares.releasing().is_some() {
             return;
@@ -54,11 +55,12 @@
         if let Err(e) = self.settlement.commitments.shares.release(&ledger, &debtor, &creditor, bytes) {
             debug!("fleet: {e} ({})", e.help());
         }
-        // The release is stored before it is sent, so that the released part is not promised to a fill after a restart.
+        // The release of the share is stored before it is sent to the leader: otherwise this broker could promise the
+        // released bytes to a fill after a restart.
         self.save_commitments();
     }
 
-    /// The surplus of the first pair of partners that has one of at least the minimum amount.
+    /// The surplus of the first pair of partners whose surplus reaches the minimum amount.
     fn first_surplus(&self) -> Option<Surplus> {
         for (debtor, creditor) in self.traffic.balances.ledger().pairs() {
             let bytes = self.surplus_bytes(debtor, creditor);
@@ -70,9 +72,9 @@
         None
     }
 
-    /// Bytes of this broker's share that it will not spend. Without own fills, that is the whole remaining share.
-    /// Otherwise it is the broker's part of what is allotted in excess of the current debt, which shrinks when the
-    /// debtor carries traffic for the creditor.
+    /// Bytes of this broker's share of a debt that it will not spend. If brokers have no own fills, that is the whole
+    /// remaining share. Otherwise it is this broker's part of the unspent allotments in excess of the current debt. The
+    /// debt shrinks, and can leave an excess, when the debtor carries traffic for the creditor.
     fn surplus_bytes(&self, debtor: &str, creditor: &str) -> u64 {
         let ledger = self.traffic.balances.ledger();
         let remaining = self.settlement.commitments.shares.remaining(ledger, debtor, creditor);
--- a/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
@@ -60,7 +60,7 @@
         postcard::to_stdvec(&self.replication.message_for(peer, self.counts.counts()))
     }
 
-    /// Adds the bytes that the event loop has counted since the last call.
+    /// Adds to this broker's counts the bytes that the event loop has counted since the last call.
     fn collect(&mut self) {
         for carried in self.carried.drain() {
             let carrier = self.partners.get(carried.carrier);
--- a/crates/dunepond-control-plane/src/control_loop/voter.rs
+++ b/crates/dunepond-control-plane/src/control_loop/voter.rs
@@ -1,7 +1,7 @@
 //! Runs this broker's voter: passes ticks, messages and proposed commands to it, and carries out its effects.
 //!
-//! A voter's promises are on disk before any message that depends on them is sent. After a failed write the voter is
-//! silent until its journal has been rewritten.
+//! A voter's promises to other voters are on disk before any message that depends on them is sent. After a failed write
+//! the voter is silent: it neither handles nor sends messages until its journal has been rewritten.
 
 use dunepond_consensus::{Command, ConsensusError, Effects, EntryOutcome, Rejection, Voter};
 use dunepond_membership::RequestKind;
@@ -23,7 +23,7 @@
 pub(super) struct VoterState {
     /// When the journal is rewritten after a failed write. The voter is silent while this is set.
     storage_retry_at: Option<f64>,
-    /// The refusal that was logged last.
+    /// The explanation of a refused command that was logged last.
     last_refusal: Option<Explanation>,
 }
 
@@ -117,14 +117,14 @@
         }
     }
 
-    /// Proposes a command of this broker to the log, if its voter leads.
+    /// Proposes a command to the log on behalf of this broker, if its voter leads.
     pub(super) fn propose(&mut self, command: Command) -> Result<(), Rejection> {
         let by = self.name.clone();
         self.propose_on_behalf_of(&by, command)
     }
 
-    /// Proposes a command that the broker `by` has sent to the log, if this broker's voter leads. `by` is only used to
-    /// explain a refusal.
+    /// Proposes a command to the log on behalf of the broker `by`, if this broker's voter leads. `by` is only used to
+    /// explain why the command was refused.
     pub(super) fn propose_on_behalf_of(&mut self, by: &str, command: Command) -> Result<(), Rejection> {
         let is_silent = self.is_voter_silent();
         let Some(voter) = self.voter.as_mut().filter(|_| !is_silent) else {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Logs the explanation of a refusal, unless the refusal is routine or the same as the last one.
+    /// Logs why a command was refused, unless the refusal is routine or its explanation is the same as the last one.
     fn explain_refusal(&mut self, entry: &ProposedEntry, why: &Rejection) {
         let is_routine = matches!(
             why,
--- a/crates/dunepond-control-plane/src/data_directory.rs
+++ b/crates/dunepond-control-plane/src/data_directory.rs
@@ -126,8 +126,9 @@
         }
     }
 
-    /// Opens the voter's journal. A journal that is damaged or in a copied directory is emptied: promises of this voter
-    /// may be missing from it, whereas the other voters can handle a voter with an empty journal.
+    /// Opens the voter's journal. A journal that is damaged or in a copied directory is emptied: promises that this
+    /// voter made to the other voters may be missing from it, whereas the other voters can handle a voter with an empty
+    /// journal.
     fn open_journal(&self) -> Result<(Journal, StoredVoter), ControlPlaneError> {
         let opened = Journal::open(self.files.clone(), VOTER, FORMAT_VERSION);
         let (mut journal, recovered) = opened.map_err(|e| self.error(e))?;
@@ -147,7 +148,8 @@
         Ok((journal, StoredVoter::new()))
     }
 
-    /// Whether the directory is a copy. With `is_new` the directory is empty; it is marked as the original.
+    /// Whether the directory is a copy. `is_new` is set if the journal is empty: then the directory is marked as the
+    /// original, and the result is false.
     fn is_copy(&self, is_new: bool) -> Result<bool, ControlPlaneError> {
         let checked = if self.is_real { origin::is_copy(self.path, is_new) } else { Ok(false) };
         checked.map_err(|e| self.error(format!("origin: {e}")))
@@ -181,8 +183,8 @@
 }
 
 impl DataDirectory {
-    /// Opens the data directory and returns its content. `files` replaces the files on disk in tests. `now`, in Unix
-    /// milliseconds, becomes the incarnation of this start unless a later one is stored.
+    /// Opens the data directory and returns its content. `files` replaces the files on disk in tests. The incarnation
+    /// of this start is `now`, in Unix milliseconds, or the stored incarnation plus one if that is greater.
     ///
     /// # Errors
     /// If the directory does not exist, is in use or cannot be written. Damaged files are not an error: they are
--- a/crates/dunepond-control-plane/src/documents.rs
+++ b/crates/dunepond-control-plane/src/documents.rs
@@ -15,10 +15,11 @@
 
 use crate::error::VersionError;
 
-/// Maximum size of an encoded document. The replicated state, with two versions and all remembered settlements, must
-/// fit in one message to a voter (`MAX_MESSAGE_BYTES` in `link_limits`).
+/// Maximum size of an encoded document. The replicated state, with two configuration versions and all remembered
+/// settlements, must fit in one message to a voter (`MAX_MESSAGE_BYTES` in `link_limits`).
 pub const MAX_DOCUMENT_BYTES: usize = 3 << 20;
-/// Key of the list in a version that names the keys that every broker must know.
+/// Key of a list in the operator's configuration version. The list names the top-level keys that every broker must
+/// know.
 const REQUIRED_KEYS: &str = "must";
 
 /// Decodes a message from a peer that carries a document or a plan. Refuses messages above [`MAX_DOCUMENT_BYTES`].
@@ -56,8 +57,8 @@
     }
 }
 
-/// Reads the operator's document: a list of voters if it has the key `voters`, else a version, which is verified as in
-/// [`read_version`].
+/// Reads the operator's document: a list of voters if it has the key `voters`, else a configuration version, which is
+/// verified as in [`read_version`].
 pub fn read_document(
     path: &Path,
     query_classes: usize,
@@ -96,8 +97,8 @@
     VersionError::Invalid { path: path.to_path_buf(), line, column, why: e.to_string() }
 }
 
-/// Reads and verifies a version. If the digest of its map is empty, it is computed. `nodes` are the nodes that
-/// discovery lists; if there are none, the map is not checked against them.
+/// Reads and verifies a configuration version. If the digest of its map is empty, it is computed. `nodes` are the nodes
+/// that discovery lists; if there are none, the map is not checked against them.
 pub fn read_version(
     path: &Path,
     query_classes: usize,
@@ -140,8 +141,9 @@
     })
 }
 
-/// Returns the top-level keys that this build does not know, as extensions of the version. An unknown key is an error
-/// if it is inside the rules, the excluded nodes or the map, or if the list [`REQUIRED_KEYS`] names it.
+/// Returns the top-level keys of the configuration version that this build does not know, as extensions of it. Returns
+/// an error for an unknown key below the top level (in the rules, the excluded nodes or the map), and for an unknown
+/// key that the document lists under [`REQUIRED_KEYS`].
 fn unknown_keys(path: &Path, text: &str, version: &ConfigVersion) -> Result<Vec<Extension>, VersionError> {
     let given: Value = serde_json::from_str(text).map_err(|e| parse_error(path, &e))?;
     let known = serde_json::to_value(version).map_err(|e| parse_error(path, &e))?;
--- a/crates/dunepond-control-plane/src/documents/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/documents/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Which of the operator's documents are accepted, and which are refused.
+//! Which of the operator's documents (configuration versions and lists of voters) are accepted, and which are refused.
 
 use dunepond_consensus::{ConfigVersion, Extension};
 use dunepond_shard_map::{MapConstraints, Node};
@@ -8,7 +8,7 @@
 use super::{Document, read_document, read_version};
 use crate::error::VersionError;
 
-/// The example version in the operators' documentation.
+/// The example of a configuration version in the operators' documentation.
 fn documented() -> Value {
     let page = include_str!("../../../../../docs/operators/fleet.md");
     let section = page.split("## A version").nth(1).unwrap();
--- a/crates/dunepond-control-plane/src/error.rs
+++ b/crates/dunepond-control-plane/src/error.rs
@@ -45,7 +45,7 @@
         /// Reason, for people.
         why: String,
     },
-    /// The operator's recovery order for a lost majority is invalid or does not match this voter's state.
+    /// The operator's recovery order for a lost majority of voters is invalid or does not match this voter's state.
     #[error("recovery order {path}: {why}")]
     LostMajority {
         /// The file with the recovery order.
@@ -87,7 +87,7 @@
     }
 }
 
-/// Why the operator's version file is not proposed.
+/// Why the operator's version file, with a configuration version or a list of voters, is not proposed.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum VersionError {
     /// The version file does not exist.
@@ -130,7 +130,7 @@
         /// Number of query classes in the deployment.
         expected: usize,
     },
-    /// A rule's value is out of range.
+    /// The value of a routing rule is out of range.
     #[error("{path}: rules: {key} is {value}, but must be {expected}")]
     Rule {
         /// The version file.
@@ -142,7 +142,7 @@
         /// The allowed range, for people.
         expected: &'static str,
     },
-    /// The version is too large for a message.
+    /// The configuration version is too large for a message between brokers.
     #[error("{path}: the encoded version has {bytes} bytes, more than the maximum of {max_bytes}")]
     TooLarge {
         /// The version file.
--- a/crates/dunepond-control-plane/src/explain/mod.rs
+++ b/crates/dunepond-control-plane/src/explain/mod.rs
@@ -18,9 +18,9 @@
 /// The kind of decision that a line explains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
-    /// A version was proposed, staged, rolled back, activated or withdrawn.
+    /// A configuration version was proposed, staged, rolled back, activated or withdrawn.
     Version,
-    /// A command was refused, or an entry of the log is ignored.
+    /// The leader refused a proposed command, or all brokers ignore an entry of the replicated log.
     Refused,
     /// A fill was planned or completed.
     Fill,
@@ -67,12 +67,12 @@
     pub alternatives: String,
 }
 
-/// Description of a proposed command or an entry of the log, for the explanation of a refusal.
+/// Description of a proposed command or of a log entry, for the explanation of why it is refused or ignored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProposedEntry {
-    /// The command or the entry.
+    /// Name of the command and what it applies to, such as `version 7`; or the index of the ignored log entry.
     what: String,
-    /// Who proposed it, and why.
+    /// Who proposed the command, and why if known; `the replicated log` for a log entry.
     authority: String,
 }
 
--- a/crates/dunepond-control-plane/src/explain/text.rs
+++ b/crates/dunepond-control-plane/src/explain/text.rs
@@ -40,7 +40,7 @@
     if more > 0 { format!("{named} and {more} more") } else { named }
 }
 
-/// The proposer of a version and the reason for it, both shortened.
+/// The proposer of a configuration version and the reason for it, both shortened.
 pub(super) fn proposer_and_reason(version: &ConfigVersion) -> String {
     format!("{}: {}", shortened(&version.proposed_by), shortened(&version.reason))
 }
--- a/crates/dunepond-control-plane/src/handle.rs
+++ b/crates/dunepond-control-plane/src/handle.rs
@@ -83,13 +83,14 @@
 pub struct ActivityCounters {
     /// Queries that were rejected because the active configuration forbids them.
     pub rejected: AtomicU64,
-    /// Parts that were withheld just before sending, because the active configuration forbids them.
+    /// Parts of queries that were withheld just before sending, because the active configuration forbids them.
     pub withheld: AtomicU64,
     /// Answers that do not cover all keys under a single shard map.
     pub incomplete: AtomicU64,
     /// Leases that were granted to this broker.
     pub leases: AtomicU64,
-    /// Lease replies that were rejected, and documents and plans that were refused.
+    /// Total of the lease replies that this broker's lease client rejected, and of the documents and plans from this
+    /// broker's files that a voter refused.
     pub refused: AtomicU64,
     /// Fill attempts that succeeded.
     pub fills: AtomicU64,
@@ -209,7 +210,7 @@
         increment(&self.counters.rejected);
     }
 
-    /// Counts a part that was withheld just before sending.
+    /// Counts a part of a query that was withheld just before sending.
     pub fn count_withheld(&self) {
         increment(&self.counters.withheld);
     }
@@ -242,8 +243,8 @@
     }
 }
 
-/// The phase of the configuration at `now`, in seconds on the monotonic clock, and the numbers of the versions that
-/// apply in it. With a valid lease but no version yet, this is [`AuditPhase::Active`] without versions.
+/// The phase of the configuration at `now`, in seconds on the monotonic clock, and the numbers of the configuration
+/// versions that apply in it. With a valid lease but no version yet, this is [`AuditPhase::Active`] without versions.
 pub fn audit_phase(config: &ActiveConfig, now: f64) -> (AuditPhase, Vec<u64>) {
     match config.phase(now) {
         ConfigPhase::Unconfigured if now < config.lease_expires_at() => (AuditPhase::Active, Vec::new()),
--- a/crates/dunepond-control-plane/src/startup/fills.rs
+++ b/crates/dunepond-control-plane/src/startup/fills.rs
@@ -16,7 +16,7 @@
 };
 use crate::fill_client::{FillClient, HttpFillClient};
 
-/// Maximum rate of fills to a warm node, in bytes per second.
+/// Maximum rate of one fill of a warm node, in bytes per second. Unlimited if no fills are configured.
 pub(super) fn fill_rate(config: &ControlPlaneConfig) -> f64 {
     config.fills.as_ref().map_or(f64::MAX, |fills| fills.bytes_per_second as f64)
 }
@@ -28,7 +28,7 @@
 
 /// The two fill schedulers, and the channel with the results of their attempts.
 pub(super) struct FillSchedulers {
-    /// Scheduler of the fills of versions.
+    /// Scheduler of the fills that the proposed configuration version requires.
     pub(super) version: FillScheduler,
     /// Scheduler of this broker's own fills of started nodes.
     pub(super) own: FillScheduler,
@@ -48,7 +48,7 @@
         let setup = FillSetup::new(config, client, result_sender);
         let version = setup.scheduler(FillKind::Version, LOG_SHARE_HOLDER, &mut stored.rng);
         let mut own = setup.scheduler(FillKind::Own, &config.consensus.name, &mut stored.rng);
-        // They may be done already: then the fill service responds at once.
+        // These fills may be done already: then the fill service responds at once.
         let unfinished = commitments.fills.values().filter(|fill| !fill.done);
         own.resume(unfinished.map(|committed| committed.fill.clone()), stored.opened_at);
         Self { version, own, attempt_results }
--- a/crates/dunepond-control-plane/src/startup/mod.rs
+++ b/crates/dunepond-control-plane/src/startup/mod.rs
@@ -112,8 +112,8 @@
     thread.map_err(|e| ControlPlaneError::Thread { why: e.to_string() })
 }
 
-/// Starts the control plane. `wake` is called on the control plane's thread whenever the phase or the versions that
-/// apply have changed; it must not block.
+/// Starts the control plane. `wake` is called on the control plane's thread whenever the phase of the configuration or
+/// the configuration versions that apply have changed; it must not block.
 ///
 /// # Errors
 /// If the consensus configuration is inconsistent, the key or the data directory cannot be read, the operator's
--- a/crates/dunepond-control-plane/src/tests/golden.rs
+++ b/crates/dunepond-control-plane/src/tests/golden.rs
@@ -131,7 +131,7 @@
     Commitments { shares, ledger, applied_entries: 3, fills, finished }
 }
 
-/// Journal records of one of three voters, with version 1 active.
+/// Journal records of one of three voters, with configuration version 1 active.
 fn journal_records() -> Vec<Vec<u8>> {
     let files = DiskStore::open_read_only(&golden_path("folder")).unwrap();
     let recovered = Journal::read(&files, "voter", 1);
@@ -269,7 +269,7 @@
     Replica { node: text(node), partner: text(partner), filled, share }
 }
 
-/// The version in `version.json`.
+/// The configuration version in `version.json`.
 fn version_7() -> ConfigVersion {
     let middle_key = 1 << 63;
     let segments = vec![
--- a/crates/dunepond-control-plane/tests/control_loop.rs
+++ b/crates/dunepond-control-plane/tests/control_loop.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// Writes a version without a map to a file and returns its path.
+/// Writes a configuration version without a map to a file and returns its path.
 fn version(directory: &tempfile::TempDir, number: u64) -> PathBuf {
     let path = directory.path().join("version.json");
     let text = serde_json::json!({"number": number, "who": "a test", "why": "", "at": 0.0,
@@ -84,7 +84,7 @@
     wait(&control_plane, "a lease", |_, leased| leased);
     let directory = tempfile::tempdir().unwrap();
     files.set_plan(FaultPlan::Full);
-    // A version that is proposed now cannot be committed.
+    // The voter cannot write to its journal, so it cannot commit this version.
     control_plane.handle().reload_version(Some(version(&directory, 1)));
     wait(&control_plane, "no lease", |phase, leased| !leased && phase == ConfigPhase::Unconfigured);
     files.set_plan(FaultPlan::Serve);
@@ -136,8 +136,8 @@
     );
 }
 
-/// Three brokers may exist, so the floors of two stay unused. The only broker is leased the rest, as it has a demand,
-/// and again with the first lease after a restart.
+/// Three brokers may exist, so the floors of two stay unused. The only running broker has a demand, so it is leased all
+/// units above the floors, and again with the first lease after a restart.
 #[test]
 fn spare_quota_is_leased_by_demand() {
     let shared = SharedQuotas::new(vec!["cold".to_string()], 3, 0.3, 100).unwrap();
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -164,8 +164,8 @@
         events
     }
 
-    /// Writes a version whose segments have two replicas each, and returns its path. With `third_replica` each segment
-    /// has another replica on a node of south that must be filled.
+    /// Writes a configuration version whose segments have two replicas each, and returns its path. With `third_replica`
+    /// each segment has another replica, which must be filled, on a node of south.
     fn version(&self, number: u64, segments: u64, third_replica: bool) -> PathBuf {
         let path = self.directory.path().join(format!("version-{number}.json"));
         let width = u64::MAX / segments;
@@ -308,8 +308,8 @@
     assert_eq!(broker.fill_service.requests.lock().unwrap().len(), 1, "filled once");
 }
 
-/// The broker crashes while its own fill is running, or when the fill is done but the leader does not know. Both are
-/// settled after the restart, once.
+/// The broker ends while its own fill is running, or crashes when the fill is done but the leader does not know. In
+/// both cases the fill is settled once after the restart.
 #[rstest]
 #[case::done(true)]
 #[case::running(false)]
@@ -337,7 +337,8 @@
     assert_eq!(broker.fill_service.done.lock().unwrap().len(), 1);
 }
 
-/// Otherwise a crash could lose the commitment, and the share would be promised twice.
+/// If a fill started before its commitment is stored, a crash could lose the commitment, and the share would be
+/// promised twice.
 #[test]
 fn fill_starts_only_after_its_commitment_is_stored() {
     let mut broker = TestBroker::new(true);
--- a/crates/dunepond-control-plane/tests/rebalancing.rs
+++ b/crates/dunepond-control-plane/tests/rebalancing.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// Version 1, with two segments that are both at node a.
+/// Configuration version 1, with two segments that are both at node a.
 fn version() -> Value {
     let replica = |node: &str| json!({"node": node, "partner": "north", "filled": true, "share": 1.0});
     json!({"number": 1, "who": "a test", "why": "", "at": 0.0,
@@ -222,7 +222,7 @@
         control_plane.handle().summary().contains("refused 1")
     });
     assert_eq!(active_owners(&control_plane), owners(&[(0, "a"), (1, "a")]));
-    // A refused plan is not recorded, so the corrected plan may have the same id.
+    // A refused plan is not in the log, so the corrected plan may have the same id.
     control_plane.handle().reload_plan(Some(broker.write("plan", &plan("go"))));
     wait(&control_plane, "the plan", |control_plane| {
         active_owners(control_plane) == owners(&[(10, "b"), (12, "a")])
