--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
@@ -25,7 +25,7 @@
                 self.rebalancing.last_proposal_at = f64::NEG_INFINITY;
                 self.log_wait(wait);
             }
-            LeaderAction::Enter(entry) => {
+            LeaderAction::Append(entry) => {
                 self.log_step(&entry);
                 self.propose_step(Command::Rebalance(entry));
             }
@@ -63,9 +63,9 @@
         Some(match (&running.pause, is_overloaded) {
             (None, true) => {
                 let reason = PauseReason::Overload { overloaded_percent };
-                LeaderAction::Enter(CommittedEntry::Paused { plan, reason })
+                LeaderAction::Append(CommittedEntry::Paused { plan, reason })
             }
-            (Some(PauseReason::Overload { .. }), false) => LeaderAction::Enter(CommittedEntry::Resumed {
+            (Some(PauseReason::Overload { .. }), false) => LeaderAction::Append(CommittedEntry::Resumed {
                 plan,
                 trigger: ResumeTrigger::LoadNormal(overloaded_percent),
             }),
@@ -89,7 +89,7 @@
                     self.plan_id()
                 );
             }
-            PlanWait::NoPlan | PlanWait::StepInProgress(_) => {}
+            PlanWait::NoStepDue | PlanWait::StepInProgress(_) => {}
         }
         self.rebalancing.reported_wait = Some(wait);
     }
@@ -122,7 +122,7 @@
              {} of {} segments changed; {} operations left, {} moves in total; proposed by {proposer}: {reason}",
             batch.actions.len(),
             changes.changed,
-            changes.of,
+            changes.total,
             remaining_operations(running),
             running.plan.operations.iter().filter(is_move).count(),
         );
@@ -167,7 +167,7 @@
         }
         warn!("fleet: plan {}: {why} ({})", self.plan_id(), why.help());
         let failure = self.voter.as_ref().map(|voter| voter.state().rebalance().pause_after_failure(&why));
-        if let Some(LeaderAction::Enter(entry)) = failure {
+        if let Some(LeaderAction::Append(entry)) = failure {
             let _ = self.propose(Command::Rebalance(entry));
         }
     }
--- a/crates/dunepond-rebalance/src/action.rs
+++ b/crates/dunepond-rebalance/src/action.rs
@@ -1,5 +1,5 @@
-//! Actions, the smallest changes of a map, and the batches of them that make a step. All of this is stored in the consensus
-//! log, so that the serialised names stay.
+//! Actions, which are the smallest changes of a shard map, and the batches of actions that form a step. These types are
+//! stored in the consensus log, so their serialized names must not change.
 
 use std::fmt;
 
@@ -7,138 +7,138 @@
 
 use crate::Operation;
 
-/// The smallest change that one version can make.
+/// The smallest change of a shard map that one version can make.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Splits a segment.
+    /// Replaces a segment by several segments that cover its keys.
     Split {
-        /// Id of the segment that ends.
+        /// Id of the segment that is replaced.
         segment: u64,
-        /// First keys of all parts but the first, rising.
+        /// First key of each new segment except the first, in ascending order.
         #[serde(rename = "at")]
         split_keys: Vec<u64>,
-        /// Ids of the parts.
+        /// Ids of the new segments, in the order of their keys.
         into: Vec<u64>,
     },
-    /// Merges neighbours.
+    /// Replaces adjacent segments by one segment.
     Merge {
-        /// Ids of the segments that end, in the order of their keys.
+        /// Ids of the segments that are replaced, in the order of their keys.
         segments: Vec<u64>,
         /// Id of the new segment.
         into: u64,
     },
-    /// Adds a replica, which is to be filled; nobody reads from it yet.
+    /// Adds a replica and fills it; it gets no reads yet.
     Fill {
         /// Id of the segment.
         segment: u64,
-        /// Name of the node.
+        /// Name of the node that gets the replica.
         to: String,
-        /// Partner whose node it is.
+        /// Name of the partner that runs the node.
         partner: String,
     },
-    /// The filled replica replaces another one: it takes over its reads, and the segment if the other owns it.
+    /// Replaces a replica by a filled one, which takes over its reads, and its ownership if it is the owner.
     Switch {
         /// Id of the segment.
         segment: u64,
-        /// Name of the node that is replaced.
+        /// Name of the node whose replica is removed.
         from: String,
-        /// Name of the node that was filled.
+        /// Name of the node whose replica was filled.
         to: String,
     },
-    /// Another replica becomes the owner.
+    /// Makes another replica the owner of the segment.
     #[serde(rename = "Own")]
     ChangeOwner {
         /// Id of the segment.
         segment: u64,
-        /// Name of the new owner.
+        /// Name of the node that becomes the owner.
         to: String,
     },
-    /// Removes the replica that was filled.
+    /// Removes a replica that a fill has added and that no switch has put into use.
     #[serde(rename = "Drop")]
     RemoveReplica {
         /// Id of the segment.
         segment: u64,
-        /// Name of the node.
+        /// Name of the node that loses the replica.
         to: String,
     },
 }
 
-/// What a step does to requests.
+/// How a step affects requests while its version is in the joint phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum StepKind {
-    /// Replicas are filled; no owner changes, so that the joint phase may last.
+    /// Replicas are filled. No owner changes, so a long joint phase is harmless.
     Fill,
-    /// No owner of any key changes, nothing is filled.
+    /// No owner of any key changes and no replica is filled.
     #[serde(rename = "Quiet")]
     MetadataOnly,
-    /// Owners change: during the joint phase non-idempotent parts of these segments are rejected. Nothing is filled in such a
-    /// step: the phase would last as long as the fills.
+    /// Owners change. During the joint phase, non-idempotent parts for the affected segments are rejected. Such a step
+    /// fills nothing, because the joint phase would last as long as the fills.
     Fence,
 }
 
-/// An action, and the operation that it belongs to. Stored as a pair.
+/// An action and the operation that it belongs to. Serialized as a pair.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(usize, Action)", into = "(usize, Action)")]
 pub struct PlannedAction {
-    /// Place of the operation in the plan, from 0.
+    /// Index of the operation in the plan, from 0.
     pub operation: usize,
-    /// What is done.
+    /// Action that is carried out.
     pub action: Action,
 }
 
-/// Actions of one version.
+/// Actions that one version carries out together.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ActionBatch {
-    /// Kind of all actions here.
+    /// Kind of all actions in the batch.
     pub kind: StepKind,
-    /// Each of a different segment.
+    /// Actions in the order in which they are applied; no two of them change the same segment.
     #[serde(rename = "acts")]
     pub actions: Vec<PlannedAction>,
 }
 
-/// A step of the plan, and what undoes it.
+/// A step of a plan, and the batches that undo it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// What the step does, by one version.
+    /// Actions of the step, carried out by one version.
     #[serde(rename = "wave")]
     pub forward: ActionBatch,
-    /// Versions that undo it, in their order.
+    /// Batches that undo the step, in order, each carried out by its own version.
     #[serde(rename = "back")]
     pub rollback: Vec<ActionBatch>,
 }
 
-/// How many segments a version changes.
+/// How many segments of the shard map a version changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChangedSegments {
-    /// Segments that end or begin, whichever are more.
+    /// Number of removed or of added segments, whichever is larger. A changed segment counts as removed and added.
     pub changed: usize,
-    /// Segments before or after, whichever are more.
-    pub of: usize,
+    /// Number of segments in the map before or after the change, whichever is larger.
+    pub total: usize,
 }
 
 impl ChangedSegments {
-    /// Whether more than this ratio of the segments changes.
+    /// Whether the changed share of all segments is above `max_ratio`.
     pub(crate) fn exceeds(self, max_ratio: f64) -> bool {
-        self.changed as f64 > max_ratio * self.of as f64
+        self.changed as f64 > max_ratio * self.total as f64
     }
 }
 
-/// Numbers of segments that end and begin.
+/// Numbers of segments that a change removes from and adds to the map. A changed segment counts as both.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Turnover {
-    pub ended: usize,
-    pub begun: usize,
+pub(crate) struct SegmentDelta {
+    pub removed: usize,
+    pub added: usize,
 }
 
-impl Turnover {
+impl SegmentDelta {
     pub fn plus(self, other: Self) -> Self {
-        Self { ended: self.ended + other.ended, begun: self.begun + other.begun }
+        Self { removed: self.removed + other.removed, added: self.added + other.added }
     }
 
-    /// How many segments change, in a map of `segment_count`.
-    pub fn changed_of(self, segment_count: usize) -> ChangedSegments {
-        let after = (segment_count + self.begun).saturating_sub(self.ended);
-        ChangedSegments { changed: self.ended.max(self.begun), of: segment_count.max(after) }
+    /// How many segments of a map with `segment_count` segments the change affects.
+    pub fn changed_segments(self, segment_count: usize) -> ChangedSegments {
+        let after = (segment_count + self.added).saturating_sub(self.removed);
+        ChangedSegments { changed: self.removed.max(self.added), total: segment_count.max(after) }
     }
 }
 
@@ -168,7 +168,7 @@
 }
 
 impl fmt::Display for StepKind {
-    /// As it stands in the reasons of stored versions.
+    /// Writes the serialized name, which is also part of the `reason` of stored versions.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Fill => "Fill",
@@ -181,8 +181,8 @@
 impl fmt::Display for ActionBatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: ", self.kind)?;
-        for (place, planned) in self.actions.iter().enumerate() {
-            let separator = if place > 0 { ", " } else { "" };
+        for (position, planned) in self.actions.iter().enumerate() {
+            let separator = if position > 0 { ", " } else { "" };
             write!(f, "{separator}{}", planned.action)?;
         }
         Ok(())
@@ -190,7 +190,7 @@
 }
 
 impl Action {
-    /// Ids of the segments that have to exist.
+    /// Ids of the segments that the action replaces or changes, which have to exist.
     pub fn segments(&self) -> &[u64] {
         match self {
             Self::Merge { segments, .. } => segments,
@@ -202,17 +202,18 @@
         }
     }
 
-    pub(crate) fn turnover(&self) -> Turnover {
+    /// Numbers of segments that the action removes and adds.
+    pub(crate) fn segment_delta(&self) -> SegmentDelta {
         match self {
-            Self::Split { into, .. } => Turnover { ended: 1, begun: into.len() },
-            Self::Merge { segments, .. } => Turnover { ended: segments.len(), begun: 1 },
-            _ => Turnover { ended: 1, begun: 1 },
+            Self::Split { into, .. } => SegmentDelta { removed: 1, added: into.len() },
+            Self::Merge { segments, .. } => SegmentDelta { removed: segments.len(), added: 1 },
+            _ => SegmentDelta { removed: 1, added: 1 },
         }
     }
 }
 
 impl Operation {
-    /// Ids of the segments that have to exist.
+    /// Ids of the segments that the operation replaces or changes, which have to exist.
     pub fn segments(&self) -> &[u64] {
         match self {
             Self::Merge { segments, .. } => segments,
@@ -224,14 +225,14 @@
 }
 
 impl ActionBatch {
-    /// Ids of the segments that the actions take, in the actions' order.
+    /// Ids of the segments that the actions replace or change, in the order of the actions.
     pub(crate) fn segments(&self) -> impl Iterator<Item = u64> {
         self.actions.iter().flat_map(|planned| planned.action.segments().iter().copied())
     }
 
-    /// How many segments change, in a map of `segment_count`.
+    /// How many segments of a map with `segment_count` segments the batch changes.
     pub fn changed_segments(&self, segment_count: usize) -> ChangedSegments {
-        let turnovers = self.actions.iter().map(|planned| planned.action.turnover());
-        turnovers.fold(Turnover::default(), Turnover::plus).changed_of(segment_count)
+        let deltas = self.actions.iter().map(|planned| planned.action.segment_delta());
+        deltas.fold(SegmentDelta::default(), SegmentDelta::plus).changed_segments(segment_count)
     }
 }
--- a/crates/dunepond-rebalance/src/capacity.rs
+++ b/crates/dunepond-rebalance/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Whose capacity counts, and how much of it is missing.
+//! Capacities of nodes, replica groups and partners, and shortages of them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,14 +7,14 @@
 
 use crate::{Capacity, Plan};
 
-/// Whose capacity it is.
+/// What a capacity applies to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CapacityScope {
-    /// A node, by name.
+    /// The node with this name.
     Node(String),
-    /// A replica group, by name: all its nodes together.
+    /// All nodes of the replica group with this name together.
     ReplicaGroup(String),
-    /// A partner, by name: all its nodes together.
+    /// All nodes of the partner with this name together.
     Partner(String),
 }
 
@@ -22,13 +22,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Node(name) => write!(f, "node `{name}`"),
-            Self::ReplicaGroup(name) => write!(f, "cell `{name}`"),
+            Self::ReplicaGroup(name) => write!(f, "replica group `{name}`"),
             Self::Partner(name) => write!(f, "partner `{name}`"),
         }
     }
 }
 
-/// What a capacity is counted in.
+/// Unit in which a capacity is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacityUnit {
     /// Bytes of data.
@@ -46,25 +46,26 @@
     }
 }
 
-/// Whose capacity would be exceeded, and by how much.
+/// A capacity that a step would exceed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CapacityShortage {
-    /// Whose capacity.
+    /// What the capacity applies to.
     pub scope: CapacityScope,
-    /// Unit of all amounts here.
+    /// Unit of `capacity`, `used` and `added`.
     pub unit: CapacityUnit,
-    /// Most that the plan allows.
+    /// Maximum amount that the plan allows.
     pub capacity: u64,
-    /// Amount in use now.
+    /// Amount in use before the step.
     pub used: u64,
     /// Amount that the step would add.
     pub added: u64,
-    /// Operations of the plan (from 0) that would free some of it and are not possible before.
+    /// Indexes (from 0) of operations of the plan that would free some of this capacity, but cannot run before the
+    /// step.
     pub freed_by: Vec<usize>,
 }
 
 impl CapacityShortage {
-    /// How much is missing.
+    /// Amount by which the capacity would be exceeded, in `unit`.
     pub fn missing(&self) -> u64 {
         (self.used + self.added).saturating_sub(self.capacity)
     }
@@ -76,24 +77,25 @@
         let missing = self.missing();
         write!(
             f,
-            "{scope} has room for {capacity} {unit}, holds {used} and would get {added}: {missing} short"
+            "{scope} has a capacity of {capacity} {unit}, holds {used} and would get {added}: {missing} short"
         )?;
         if freed_by.is_empty() {
-            write!(f, "; nothing in the plan frees any there")
+            write!(f, "; no operation of the plan frees capacity there")
         } else {
-            write!(f, "; operations {freed_by:?} would free some, and wait themselves")
+            write!(f, "; operations {freed_by:?} would free some, but cannot run before")
         }
     }
 }
 
-/// Replica group and partner of each node, and the plan's capacities.
+/// Looks up the replica group and partner of a node, and the capacities that the plan sets.
 pub(crate) struct CapacityLimits<'a> {
     plan: &'a Plan,
     partner_by_node: BTreeMap<String, String>,
 }
 
 impl<'a> CapacityLimits<'a> {
-    /// A node's partner is the one that the map names; the plan's is used only for nodes that the map does not have.
+    /// Takes a node's partner from the map. The partner that the plan names is used only for nodes without a replica in
+    /// the map.
     pub fn new(plan: &'a Plan, map: &VerifiedMap) -> Self {
         let mut partner_by_node = BTreeMap::new();
         for replica in map.segments().flat_map(|segment| &segment.replicas) {
@@ -109,11 +111,12 @@
         Self { plan, partner_by_node }
     }
 
+    /// Partner of the node, if the map or the plan names one.
     pub fn partner(&self, node: &str) -> Option<&String> {
         self.partner_by_node.get(node)
     }
 
-    /// All that a replica at the node counts for.
+    /// Scopes whose capacities a replica on the node uses: the node, its replica group and its partner.
     pub fn scopes(&self, node: &str) -> impl Iterator<Item = CapacityScope> {
         let group = self.plan.nodes.get(node).and_then(|node| node.replica_group.clone());
         let scopes = [
@@ -124,11 +127,12 @@
         scopes.into_iter().flatten()
     }
 
-    /// Whether the node counts for the scope.
+    /// Whether replicas on the node use the scope's capacity.
     pub fn is_in(&self, node: &str, scope: &CapacityScope) -> bool {
         self.scopes(node).any(|other| other == *scope)
     }
 
+    /// Capacity of the scope; unbounded if the plan sets none.
     pub fn capacity(&self, scope: &CapacityScope) -> Capacity {
         let capacity = match scope {
             CapacityScope::Node(name) => self.plan.nodes.get(name).map(|node| node.capacity),
--- a/crates/dunepond-rebalance/src/error.rs
+++ b/crates/dunepond-rebalance/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a plan is not accepted, or does not continue, where it fails, and what would help.
+//! Errors of plans and of log entries about them, with the place of the fault and help for the operator.
 
 mod help;
 
@@ -7,60 +7,61 @@
 
 use crate::CapacityShortage;
 
-/// Why a plan or an entry is rejected. Operations are counted from 0, as they stand in the file, steps from 0 in their
-/// order; segments are named by id, nodes by name.
+/// Why a plan or a log entry about a plan is rejected. Operations are numbered from 0 in the order of the plan file,
+/// steps from 0 in the order in which they run; segments are given by id, nodes by name.
 #[derive(Clone, Debug, PartialEq, thiserror::Error, EnumCount)]
 pub enum RebalanceError {
-    // Of the document.
-    /// The file is not valid JSON, or has another form.
+    // Faults of the plan document.
+    /// The plan is not valid JSON or does not have the expected fields.
     #[error("{line}:{column}: {reason}")]
     InvalidJson {
-        /// Line, from 1.
+        /// Line of the fault, from 1.
         line: usize,
-        /// Column, from 1.
+        /// Column of the fault, from 1.
         column: usize,
-        /// Reason, for people.
+        /// Message of the JSON parser.
         reason: String,
     },
-    /// The id is empty.
+    /// The plan's id is empty.
     #[error("the plan has no id")]
     MissingId,
-    /// No operations, or too many.
+    /// The plan has no operations or too many.
     #[error("the plan has {count} operations, expected 1 to {max}")]
     OperationCount {
-        /// Operations of the plan.
+        /// Number of operations in the plan.
         count: usize,
-        /// Most operations of one plan.
+        /// Maximum number of operations in a plan.
         max: usize,
     },
-    /// Keys of a split are not in order, or the number of ids does not fit.
+    /// A split has no keys, its keys are not in ascending order, or the number of new ids is not one more than that of
+    /// keys.
     #[error(
-        "operation {operation}: split of segment {segment}: expected rising keys and one id more than keys"
+        "operation {operation}: split of segment {segment}: expected one or more ascending keys, and one more new id than keys"
     )]
     InvalidSplit {
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
         /// Id of the segment.
         segment: u64,
     },
-    /// A merge of less than two segments.
-    #[error("operation {operation}: a merge takes two segments or more")]
+    /// A merge names fewer than two segments.
+    #[error("operation {operation}: a merge needs at least two segments")]
     MergeTooSmall {
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
     },
-    /// The segment is there already.
-    #[error("operation {operation}: segment {segment} would move from `{node}` to itself")]
+    /// A move has the same source and destination, or the new owner already owns the segment.
+    #[error("operation {operation}: segment {segment} would move from node `{node}` to the same node")]
     SameNode {
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
         /// Id of the segment.
         segment: u64,
         /// Name of the node.
         node: String,
     },
-    /// A node's replica group has no entry.
-    #[error("node `{node}` is in cell `{group}`, which the plan does not name")]
+    /// A node's replica group is not listed in the plan.
+    #[error("node `{node}` is in replica group `{group}`, which the plan does not list")]
     UnknownReplicaGroup {
         /// Name of the node.
         node: String,
@@ -68,52 +69,52 @@
         group: String,
     },
 
-    // Against the active map.
-    /// The fleet has no map yet.
-    #[error("no map is in force that could be changed")]
+    // Conflicts with the active map.
+    /// The active configuration version has no shard map.
+    #[error("there is no active shard map to change")]
     NoMap,
-    /// Ids of new segments are never reused.
-    #[error("operation {operation}: id {id} is some segment's already, or comes twice")]
+    /// The id of a new segment is in use, or the plan gives it to two new segments.
+    #[error("operation {operation}: segment id {id} is already in use, or the plan gives it twice")]
     DuplicateSegmentId {
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
-        /// Id of the segment.
+        /// Id of the new segment.
         id: u64,
     },
-    /// The segment does not exist.
+    /// The segment does not exist when the operation is due.
     #[error(
-        "operation {operation}: there is no segment {segment}, and no operation that could come before makes it"
+        "operation {operation}: segment {segment} does not exist, and no operation that can run earlier creates it"
     )]
     UnknownSegment {
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
         /// Id of the segment.
         segment: u64,
     },
-    /// The key of a split is outside of the segment, or its first one.
-    #[error("operation {operation}: key {key} is not inside segment {segment}, after its first key")]
+    /// A split key is outside of the segment, or is the segment's first key.
+    #[error("operation {operation}: split key {key} is not inside segment {segment}, or is its first key")]
     SplitKeyOutside {
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
         /// Id of the segment.
         segment: u64,
-        /// Key of the split, as the plan has it.
+        /// The invalid split key.
         key: u64,
     },
-    /// A merge of segments that are no neighbours.
-    #[error("operation {operation}: segments {first} and {second} are no neighbours in that order")]
+    /// A merge names segments that are not adjacent, or not in the order of their keys.
+    #[error("operation {operation}: segments {first} and {second} are not adjacent in this order")]
     NotAdjacent {
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
         /// Id of the first segment.
         first: u64,
         /// Id of the second segment.
         second: u64,
     },
-    /// A merge of segments with different replicas or owners.
-    #[error("operation {operation}: segments {first} and {second} have not the same owner and holders")]
+    /// A merge names segments whose owners or replicas differ.
+    #[error("operation {operation}: segments {first} and {second} do not have the same owner and replicas")]
     DifferentReplicas {
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
         /// Id of the first segment.
         first: u64,
@@ -121,29 +122,29 @@
         second: u64,
     },
     /// The node has no replica of the segment.
-    #[error("operation {operation}: `{node}` is no holder of segment {segment}")]
+    #[error("operation {operation}: node `{node}` has no replica of segment {segment}")]
     NotAReplica {
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
         /// Id of the segment.
         segment: u64,
         /// Name of the node.
         node: String,
     },
-    /// The node that is to be filled has a replica.
-    #[error("operation {operation}: `{node}` holds segment {segment} already")]
+    /// The node that would get a new replica already has one of this segment.
+    #[error("operation {operation}: node `{node}` already has a replica of segment {segment}")]
     AlreadyReplica {
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
         /// Id of the segment.
         segment: u64,
         /// Name of the node.
         node: String,
     },
-    /// The replica has not been filled yet.
-    #[error("operation {operation}: holder `{node}` of segment {segment} is not filled")]
+    /// The operation needs filled replicas, and one of the segment's replicas is not filled yet.
+    #[error("operation {operation}: the replica of segment {segment} on node `{node}` is not filled")]
     ReplicaNotFilled {
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
         /// Id of the segment.
         segment: u64,
@@ -151,175 +152,177 @@
         node: String,
     },
     /// Neither the map nor the plan names the node's partner.
-    #[error("operation {operation}: nobody says whose node `{node}` is")]
+    #[error("operation {operation}: neither the map nor the plan names the partner of node `{node}`")]
     UnknownPartner {
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
         /// Name of the node.
         node: String,
     },
-    /// The active version excludes the node.
-    #[error("operation {operation}: `{node}` is draining or gone by the version in force")]
+    /// The destination is draining or removed in the active version.
+    #[error("operation {operation}: node `{node}` is draining or removed in the active version")]
     NodeLeaving {
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
         /// Name of the node.
         node: String,
     },
-    /// One version would change too many segments.
+    /// One version would change a larger share of the segments than allowed.
     #[error(
-        "step {step}, operation {operation}: {changed} of {of} segments would change, at most a share of {max_ratio} may"
+        "step {step}, operation {operation}: {changed} of {total} segments would change, the maximum ratio is {max_ratio}"
     )]
     TooManyChanges {
-        /// Place of the step, from 0.
+        /// Index of the step, from 0.
         step: usize,
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
-        /// Segments that end or begin.
+        /// Number of segments that would change.
         changed: usize,
-        /// Segments of the map.
-        of: usize,
-        /// Ratio that is allowed.
+        /// Number of segments in the map.
+        total: usize,
+        /// Maximum ratio of changed segments to all segments.
         max_ratio: f64,
     },
-    /// A capacity would be exceeded, in whatever order.
+    /// A capacity would be exceeded in every possible order.
     #[error("step {step}, operation {operation}: {shortage}")]
     CapacityExceeded {
-        /// Place of the step, from 0.
+        /// Index of the step, from 0.
         step: usize,
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
-        /// Whose capacity is short, and by how much.
+        /// The capacity that would be exceeded, and by how much.
         shortage: Box<CapacityShortage>,
     },
-    /// The search ended before it found an order; there may be one.
+    /// The search for an order visited the maximum number of layouts without finding one; a valid order may exist.
     #[error(
-        "no order was found in {visited} looks; the furthest broke at step {step}, operation {operation}: {shortage}"
+        "no order found after {visited} layouts; the attempt that got furthest failed at step {step}, operation {operation}: {shortage}"
     )]
     SearchExhausted {
-        /// Layouts that the search visited.
+        /// Number of layouts that the search visited.
         visited: usize,
-        /// Place of the step, from 0.
+        /// Index of the step, from 0.
         step: usize,
-        /// Place in the plan, from 0.
+        /// Index of the operation in the plan, from 0.
         operation: usize,
-        /// Whose capacity is short, and by how much.
+        /// The capacity that would be exceeded, and by how much.
         shortage: Box<CapacityShortage>,
     },
-    /// The map of a step is invalid, or there is no safe transition to it.
-    #[error("step {step}: the map does not prove: {}", first(.faults))]
+    /// The map of a step is invalid, or there is no safe transition from the active map to it.
+    #[error("step {step}: the map is invalid: {}", first_fault(.faults))]
     InvalidMap {
-        /// Place of the step, from 0.
+        /// Index of the step, from 0.
         step: usize,
         /// Faults of the map, at least one.
         faults: Vec<MapFault>,
     },
 
-    // Of steps that another broker ordered.
-    /// A step is not what this broker makes of the plan.
+    // Faults of steps that another broker ordered.
+    /// A step is not valid for the plan, or differs from what this broker computes.
     #[error("step {step}: {reason}")]
     InvalidStep {
-        /// Place of the step, from 0.
+        /// Index of the step, from 0.
         step: usize,
-        /// Reason, for people.
+        /// What is wrong with the step.
         reason: String,
     },
 
-    // Of the plan's progress.
-    /// One plan at a time.
-    #[error("plan `{running}` is under way")]
+    // Entries and versions that do not fit the plan's progress.
+    /// Another plan is running; only one plan runs at a time.
+    #[error("plan `{running}` is still running")]
     OtherPlanRunning {
-        /// Id of the plan.
+        /// Id of the running plan.
         running: String,
     },
-    /// Ids of plans are never reused.
-    #[error("plan `{id}` was there before, and ended: {outcome}")]
+    /// A plan with this id has already ended; ids of plans are never reused.
+    #[error("plan `{id}` has already ended: {outcome}")]
     PlanEnded {
         /// Id of the plan.
         id: String,
-        /// As [`PlanOutcome`](crate::PlanOutcome) shows it.
+        /// Outcome of the plan, formatted by [`PlanOutcome`](crate::PlanOutcome).
         outcome: String,
     },
-    /// The entry is about a plan that does not run.
-    #[error("no plan `{id}` is under way")]
+    /// The entry names a plan that is not running.
+    #[error("plan `{id}` is not running")]
     NotRunning {
         /// Id of the plan.
         id: String,
     },
-    /// Some version is proposed now.
-    #[error("version {open} is proposed and not yet in force or withdrawn")]
+    /// A configuration version is proposed and neither active nor withdrawn yet.
+    #[error("version {open} is proposed and neither active nor withdrawn yet")]
     VersionOpen {
-        /// Number of the version.
+        /// Number of the proposed version.
         open: u64,
     },
-    /// A late or repeated entry.
-    #[error("plan `{id}` is at turn {current}, not at {given}")]
+    /// The entry that starts a step is late or repeated: it is for another turn, or the turn's step has started.
+    #[error("the entry is late or repeated: it is for turn {given}, plan `{id}` is at turn {current}")]
     StaleTurn {
         /// Id of the plan.
         id: String,
-        /// What was proposed.
+        /// Turn that the entry names.
         given: u64,
-        /// The current one.
+        /// Current turn of the plan.
         current: u64,
     },
-    /// No step starts during a pause.
+    /// The plan is paused: no step can start, and a further pause that changes nothing is refused.
     #[error("plan `{id}` is paused: {reason}")]
     Paused {
         /// Id of the plan.
         id: String,
-        /// Reason, for people.
+        /// Reason of the pause, formatted by [`PauseReason`](crate::PauseReason).
         reason: String,
     },
-    /// The plan is not paused, or for another reason.
-    #[error("plan `{id}` is not paused by that")]
+    /// The plan is not paused, or is paused for a reason that this entry cannot end.
+    #[error("plan `{id}` is not paused, or not for a reason that this entry can end")]
     NotPaused {
         /// Id of the plan.
         id: String,
     },
-    /// The plan was withdrawn before.
-    #[error("plan `{id}` is being undone already")]
+    /// The plan is already withdrawn.
+    #[error("plan `{id}` is already being undone")]
     AlreadyWithdrawn {
         /// Id of the plan.
         id: String,
     },
-    /// Numbers of versions are consecutive.
-    #[error("the step was to be version {given}, the next number is {expected}")]
+    /// The version number of a step is not the next one; version numbers are consecutive.
+    #[error("the step's version has number {given}, expected {expected}")]
     WrongNumber {
-        /// What was proposed.
+        /// Version number that the entry names.
         given: u64,
-        /// The next number.
+        /// Next version number.
         expected: u64,
     },
-    /// The version of a started step comes before any other.
-    #[error("plan `{id}`, turn {turn} is version {number}: this one is not it, and waits")]
+    /// A started step's version has to be proposed before any other version.
+    #[error(
+        "turn {turn} of plan `{id}` has started as version {number}, which must be proposed before any other version"
+    )]
     StepPending {
         /// Id of the plan.
         id: String,
         /// Current turn of the plan.
         turn: u64,
-        /// Number of the version.
+        /// Number of the started step's version.
         number: u64,
     },
-    /// While a plan runs only its steps change the map.
-    #[error("plan `{id}` is under way: a version that changes the map waits until it has ended")]
+    /// The version changes the map, which only the running plan's steps may do.
+    #[error("plan `{id}` is running: other versions must not change the map until it has ended")]
     MapLocked {
-        /// Id of the plan.
+        /// Id of the running plan.
         id: String,
     },
-    /// The version of a step that was abandoned.
-    #[error("version {number} was a step that was given up before it was proposed")]
+    /// The version belongs to a step that was abandoned before the version was proposed.
+    #[error("version {number} belongs to a step that was abandoned before the version was proposed")]
     VersionAbandoned {
         /// Number of the version.
         number: u64,
     },
 }
 
-fn first(faults: &[MapFault]) -> String {
+fn first_fault(faults: &[MapFault]) -> String {
     faults.first().map_or(String::new(), |fault| format!("{fault} ({})", fault.help()))
 }
 
 impl RebalanceError {
-    /// Whether it passes with time alone.
+    /// Whether the same request may succeed later without an operator's help.
     pub fn is_transient(&self) -> bool {
         matches!(
             self,
--- a/crates/dunepond-rebalance/src/layout/changes.rs
+++ b/crates/dunepond-rebalance/src/layout/changes.rs
@@ -1,4 +1,4 @@
-//! What each action makes of the segments that it takes, or why it is not possible.
+//! Computes the segments that each action produces, and checks that the action is possible.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,13 +9,15 @@
 use crate::{Action, RebalanceError};
 
 impl Layout {
-    pub(super) fn change(
+    /// Segments that the action produces, or why it is not possible in this layout. `is_taken`: whether a segment
+    /// outside this layout has the id.
+    pub(super) fn compute_change(
         &self,
         operation: usize,
         action: &Action,
         is_taken: impl Fn(u64) -> bool,
     ) -> Result<Change, RebalanceError> {
-        let check_free = |id: u64| {
+        let check_id_unused = |id: u64| {
             let exists = self.segments.contains_key(&id) || is_taken(id);
             if exists && !action.segments().contains(&id) {
                 return Err(RebalanceError::DuplicateSegmentId { operation, id });
@@ -25,24 +27,24 @@
         Ok(match action {
             Action::Split { segment, split_keys, into } => {
                 self.segment(operation, *segment)?;
-                into.iter().try_for_each(|id| check_free(*id))?;
+                into.iter().try_for_each(|id| check_id_unused(*id))?;
                 Change::new(self.split(operation, *segment, split_keys, into)?)
             }
             Action::Merge { segments, into } => {
-                check_free(*into)?;
+                check_id_unused(*into)?;
                 Change::new(vec![self.merge(operation, segments, *into)?])
             }
             Action::Fill { segment, to, partner } => {
-                Change::of_replica(self.fill(operation, *segment, to, partner)?, true)
+                Change::with_pending(self.fill(operation, *segment, to, partner)?, true)
             }
             Action::Switch { segment, from, to } => {
-                Change::of_replica(self.switch(operation, *segment, from, to)?, false)
+                Change::with_pending(self.switch(operation, *segment, from, to)?, false)
             }
             Action::ChangeOwner { segment, to } => {
                 Change::new(vec![self.change_owner(operation, *segment, to)?])
             }
             Action::RemoveReplica { segment, to } => {
-                Change::of_replica(self.remove_replica(operation, *segment, to)?, false)
+                Change::with_pending(self.remove_replica(operation, *segment, to)?, false)
             }
         })
     }
@@ -55,8 +57,8 @@
         into: &[u64],
     ) -> Result<Vec<Segment>, RebalanceError> {
         let old = self.segment(operation, segment)?;
-        let is_inside = |key: u64| old.keys.contains(key) && key != old.keys.from;
-        if let Some(key) = split_keys.iter().find(|key| !is_inside(**key)) {
+        let is_valid_key = |key: u64| old.keys.contains(key) && key != old.keys.from;
+        if let Some(key) = split_keys.iter().find(|key| !is_valid_key(**key)) {
             return Err(RebalanceError::SplitKeyOutside { operation, segment, key: *key });
         }
         check_filled(operation, old)?;
@@ -80,7 +82,7 @@
         let mut merged = Segment::clone(&old[0]);
         merged.id = into;
         merged.keys.to = old[old.len() - 1].keys.to;
-        // The replica's share of the reads is the mean of its shares so far.
+        // A replica's share of the reads is the mean of its shares in the merged segments.
         for replica in &mut merged.replicas {
             let shares = old.iter().map(|segment| read_share(segment, &replica.node));
             replica.share = shares.sum::<f64>() / old.len() as f64;
@@ -116,12 +118,13 @@
             return Err(RebalanceError::SameNode { operation, segment, node: to.to_string() });
         }
         let mut new = Segment::clone(self.segment(operation, segment)?);
-        let (to_place, from_place) = (position(operation, &new, to)?, position(operation, &new, from)?);
-        let mut replica = new.replicas.remove(to_place);
-        let from_place = from_place - usize::from(to_place < from_place);
+        let (to_position, from_position) = (position(operation, &new, to)?, position(operation, &new, from)?);
+        let mut replica = new.replicas.remove(to_position);
+        // Removing the new replica moves the replicas after it forward by one.
+        let from_position = from_position - usize::from(to_position < from_position);
         replica.filled = true;
-        replica.share += new.replicas[from_place].share;
-        new.replicas[from_place] = replica;
+        replica.share += new.replicas[from_position].share;
+        new.replicas[from_position] = replica;
         if new.owner == from {
             new.owner = to.to_string();
         }
@@ -141,29 +144,29 @@
 
     fn remove_replica(&self, operation: usize, segment: u64, to: &str) -> Result<Segment, RebalanceError> {
         let mut new = Segment::clone(self.segment(operation, segment)?);
-        let place = position(operation, &new, to)?;
-        new.replicas.remove(place);
+        let position = position(operation, &new, to)?;
+        new.replicas.remove(position);
         Ok(new)
     }
 }
 
-/// Share of the segment's reads that the node's replica gets.
+/// Share of the segment's reads that the node's replica gets, from 0 to 1; 0 if the node has no replica.
 fn read_share(segment: &Segment, node: &str) -> f64 {
     let replica = segment.replicas.iter().find(|replica| replica.node == node);
     replica.map_or(0.0, |replica| replica.share)
 }
 
-/// Place of the node among the segment's replicas.
+/// Index of the node's replica among the segment's replicas.
 fn position(operation: usize, segment: &Segment, node: &str) -> Result<usize, RebalanceError> {
-    let place = segment.replicas.iter().position(|replica| replica.node == node);
-    place.ok_or_else(|| RebalanceError::NotAReplica {
+    let position = segment.replicas.iter().position(|replica| replica.node == node);
+    position.ok_or_else(|| RebalanceError::NotAReplica {
         operation,
         segment: segment.id,
         node: node.to_string(),
     })
 }
 
-/// Neighbours with the same owner and replicas can be merged.
+/// Checks that the segments are adjacent and have the same owner and replicas.
 fn check_mergeable(operation: usize, first: &Segment, second: &Segment) -> Result<(), RebalanceError> {
     if first.keys.to != Some(second.keys.from) {
         return Err(RebalanceError::NotAdjacent { operation, first: first.id, second: second.id });
@@ -174,10 +177,12 @@
     Ok(())
 }
 
+/// Names of the nodes that have a replica of the segment.
 fn replica_nodes(segment: &Segment) -> BTreeSet<&str> {
     segment.replicas.iter().map(|replica| replica.node.as_str()).collect()
 }
 
+/// Checks that all replicas of the segment are filled.
 fn check_filled(operation: usize, segment: &Segment) -> Result<(), RebalanceError> {
     match segment.replicas.iter().find(|replica| !replica.filled) {
         Some(replica) => {
--- a/crates/dunepond-rebalance/src/layout/mod.rs
+++ b/crates/dunepond-rebalance/src/layout/mod.rs
@@ -1,4 +1,4 @@
-//! The touched segments as they stand after some actions.
+//! Layout: the segments that a plan changes, with their owners and replicas after some of its actions.
 
 mod changes;
 
@@ -9,34 +9,40 @@
 
 use crate::{Action, RebalanceError, StepKind};
 
-/// What an action changed, for [`Layout::revert`].
+/// Record of an applied action, with which [`Layout::revert`] undoes it.
 pub(crate) struct AppliedChange {
     removed: Vec<Arc<Segment>>,
+    /// Ids of the segments that the action added.
     added: Vec<u64>,
-    pending: Option<PendingMark>,
+    /// Pending flag of the segment before the action, if the action set it.
+    previous_pending: Option<PendingFlag>,
 }
 
 impl AppliedChange {
+    /// Segments that the action removed, as they were before it.
     pub fn removed(&self) -> &[Arc<Segment>] {
         &self.removed
     }
 
+    /// Ids of the segments that the action added.
     pub fn added(&self) -> &[u64] {
         &self.added
     }
 }
 
-/// Whether a segment waits for the switch to a filled replica.
+/// Whether a segment has a replica that was filled and still waits for its switch.
 #[derive(Clone, Copy)]
-struct PendingMark {
+struct PendingFlag {
     segment: u64,
     is_pending: bool,
 }
 
-/// What an action puts in the place of the segments that it takes.
+/// Result of an action before it is applied.
 struct Change {
+    /// Segments that replace those that the action names.
     added: Vec<Segment>,
-    pending: Option<PendingMark>,
+    /// New pending flag, if the action sets one.
+    pending: Option<PendingFlag>,
 }
 
 impl Change {
@@ -44,24 +50,25 @@
         Self { added, pending: None }
     }
 
-    /// Of one segment whose fill starts or is over.
-    fn of_replica(segment: Segment, is_pending: bool) -> Self {
-        let pending = Some(PendingMark { segment: segment.id, is_pending });
+    /// A change of one segment that starts a fill (`is_pending`), or ends the wait for the filled replica's switch.
+    fn with_pending(segment: Segment, is_pending: bool) -> Self {
+        let pending = Some(PendingFlag { segment: segment.id, is_pending });
         Self { added: vec![segment], pending }
     }
 }
 
-/// Segments that a plan touches.
+/// Segments that a plan changes, by id.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Layout {
     segments: BTreeMap<u64, Arc<Segment>>,
-    /// Those with a replica that the plan had filled and that has not taken over yet.
+    /// Ids of segments with a replica that the plan has filled and that has not been switched to yet.
     pending: BTreeSet<u64>,
 }
 
 impl Layout {
-    /// Segments of a map; replicas that were filled since it was made are filled.
-    pub fn of(map: &VerifiedMap, ids: impl Iterator<Item = u64>) -> Self {
+    /// The segments of the map with these ids; ids that the map does not have are ignored. A replica counts as filled
+    /// if its fill has completed, even if the map document does not list it as filled.
+    pub fn from_map(map: &VerifiedMap, ids: impl Iterator<Item = u64>) -> Self {
         let mut segments = BTreeMap::new();
         for id in ids {
             let Some(segment) = map.segment(id) else { continue };
@@ -74,15 +81,17 @@
         Self { segments, pending: BTreeSet::new() }
     }
 
+    /// The segment with this id, if the layout has it.
     pub fn get(&self, id: u64) -> Option<&Arc<Segment>> {
         self.segments.get(&id)
     }
 
+    /// All segments, by ascending id.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Segment>> {
         self.segments.values()
     }
 
-    /// What the action does to requests, as things stand.
+    /// Kind of step that carries out the action in this layout.
     pub fn kind(&self, action: &Action) -> StepKind {
         match action {
             Action::Fill { .. } => StepKind::Fill,
@@ -96,7 +105,8 @@
         self.get(segment).is_some_and(|segment| segment.owner == node)
     }
 
-    /// What undoes the action, before it is applied; the fill before a switch back is not among these.
+    /// The action that undoes `action`, computed before it is applied. A switch back also needs a fill first, which is
+    /// not included. `None` for [`Action::RemoveReplica`], or if a segment that the inverse needs is missing.
     pub fn inverse(&self, action: &Action) -> Option<Action> {
         Some(match action {
             Action::Split { segment, into, .. } => Action::Merge { segments: into.clone(), into: *segment },
@@ -115,13 +125,14 @@
         })
     }
 
-    /// Partner of a segment's replica.
+    /// Partner of the segment's replica on the node, if there is one.
     pub fn partner(&self, segment: u64, node: &str) -> Option<String> {
         let replicas = &self.get(segment)?.replicas;
         replicas.iter().find(|replica| replica.node == node).map(|replica| replica.partner.clone())
     }
 
-    /// Applies the action, or says why it is not possible as things stand. `is_taken`: ids of segments outside this layout.
+    /// Applies the action, or returns why it is not possible in this layout. `is_taken`: whether a segment outside this
+    /// layout has the id.
     pub fn apply(
         &mut self,
         operation: usize,
@@ -129,11 +140,12 @@
         is_taken: impl Fn(u64) -> bool,
     ) -> Result<AppliedChange, RebalanceError> {
         self.check_not_pending(operation, action)?;
-        let change = self.change(operation, action, is_taken)?;
+        let change = self.compute_change(operation, action, is_taken)?;
         Ok(self.replace(action, change))
     }
 
-    /// A segment that is being filled waits for its own switch.
+    /// Checks that no segment of the action waits for the switch to a filled replica; until then only that switch and
+    /// the replica's removal are possible.
     fn check_not_pending(&self, operation: usize, action: &Action) -> Result<(), RebalanceError> {
         if matches!(action, Action::Switch { .. } | Action::RemoveReplica { .. }) {
             return Ok(());
@@ -146,36 +158,38 @@
         Err(RebalanceError::ReplicaNotFilled { operation, segment: *segment, node })
     }
 
+    /// The segment with this id, or an error if the layout does not have it.
     fn segment(&self, operation: usize, segment: u64) -> Result<&Arc<Segment>, RebalanceError> {
         self.get(segment).ok_or(RebalanceError::UnknownSegment { operation, segment })
     }
 
-    /// Puts new segments in the place of those that the action takes.
+    /// Replaces the segments that the action names by those of the change.
     fn replace(&mut self, action: &Action, change: Change) -> AppliedChange {
         let removed = action.segments().iter().filter_map(|id| self.segments.remove(id)).collect();
-        let pending = change.pending.map(|mark| self.set_pending(mark));
+        let previous_pending = change.pending.map(|flag| self.set_pending(flag));
         let added = change.added.iter().map(|segment| segment.id).collect();
         self.segments.extend(change.added.into_iter().map(|segment| (segment.id, Arc::new(segment))));
-        AppliedChange { removed, added, pending }
+        AppliedChange { removed, added, previous_pending }
     }
 
-    /// Returns the mark as it was before.
-    fn set_pending(&mut self, mark: PendingMark) -> PendingMark {
-        let was_pending = if mark.is_pending {
-            !self.pending.insert(mark.segment)
+    /// Sets the segment's pending flag and returns its previous value.
+    fn set_pending(&mut self, flag: PendingFlag) -> PendingFlag {
+        let was_pending = if flag.is_pending {
+            !self.pending.insert(flag.segment)
         } else {
-            self.pending.remove(&mark.segment)
+            self.pending.remove(&flag.segment)
         };
-        PendingMark { is_pending: was_pending, ..mark }
+        PendingFlag { is_pending: was_pending, ..flag }
     }
 
+    /// Undoes the action that was applied last.
     pub fn revert(&mut self, applied: AppliedChange) {
         for id in &applied.added {
             self.segments.remove(id);
         }
         self.segments.extend(applied.removed.into_iter().map(|segment| (segment.id, segment)));
-        if let Some(mark) = applied.pending {
-            self.set_pending(mark);
+        if let Some(flag) = applied.previous_pending {
+            self.set_pending(flag);
         }
     }
 }
--- a/crates/dunepond-rebalance/src/lib.rs
+++ b/crates/dunepond-rebalance/src/lib.rs
@@ -1,11 +1,11 @@
-//! Rebalancing plans: many splits, merges and migrations of segments, ordered into steps in which no node, replica group or
-//! partner exceeds its capacity, and carried out step by step, each as a version's map. Pure: no clock, no randomness, no
-//! input.
+//! Rebalancing plans: splits, merges and migrations of many segments, ordered into steps so that no node, replica group
+//! or partner exceeds its capacity. Each step is carried out by one configuration version with a new shard map. The
+//! crate is deterministic: it uses no clock, no randomness and no I/O.
 //!
-//! [`order_steps`] makes steps of a [`Plan`], or says at which step it fails and which capacity is short. [`verify_steps`]
-//! is how each voter checks steps that another broker ordered. [`PlanProgress`] is the replicated state of the plan: it
-//! takes [`CommittedEntry`]s and the ends of versions, and says what the leader does next. [`OverloadMonitor`] decides
-//! when plans pause because brokers report overload.
+//! [`order_steps`] computes the steps of a [`Plan`], or returns the step that fails and the capacity that is short.
+//! [`verify_steps`] lets each voter check steps that another broker ordered. [`PlanProgress`] is the replicated state
+//! of the plan: it applies [`CommittedEntry`]s and the outcomes of versions, and returns the leader's next action.
+//! [`OverloadMonitor`] decides when plans pause because brokers report overload.
 #![warn(missing_docs)]
 
 mod action;
@@ -30,11 +30,13 @@
     RebalanceContext, ResumeTrigger, RunningPlan, StartedStep, VersionEnd, Withdrawal,
 };
 
-/// Operations of one plan, at most; the operator splits larger ones.
+/// Maximum number of operations in one plan; the operator has to split a larger plan.
 pub const MAX_OPERATION_COUNT: usize = 256;
-/// Layouts that the search for an order visits, at most. With ample capacity a plan needs about one for each action.
+/// Maximum number of layouts that one search for an order visits. With ample capacity a plan needs about one layout for
+/// each action.
 pub const MAX_SEARCH_LAYOUTS: usize = 20_000;
-/// Withdrawals of a step's version after which the plan pauses and waits for an operator.
+/// Number of successive withdrawn versions of one step after which the plan pauses and waits for an operator.
 pub const MAX_STEP_ATTEMPTS: u32 = 3;
-/// Ended plans that are remembered by id.
+/// Number of ended plans that the replicated state keeps; the oldest is dropped first. The id of a kept plan is
+/// refused.
 pub const MAX_ENDED_PLANS: usize = 64;
--- a/crates/dunepond-rebalance/src/load.rs
+++ b/crates/dunepond-rebalance/src/load.rs
@@ -1,5 +1,5 @@
-//! How much each node holds. Bytes are counted by key ranges that no operation cuts, so that they add up whatever is split
-//! and merged.
+//! Bytes and segments that each node holds. Bytes are counted by key ranges that no operation of the plan splits, so
+//! that the sums are the same whichever segments are split and merged.
 
 use std::collections::BTreeMap;
 
@@ -8,33 +8,36 @@
 use crate::capacity::CapacityLimits;
 use crate::{Capacity, CapacityScope, CapacityShortage, CapacityUnit, Operation, Plan};
 
-/// Bytes of the uncut key ranges of the touched segments, by first key.
+/// Bytes of key ranges that no operation of the plan splits, by the range's first key. Together the ranges cover the
+/// segments that the plan changes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RangeBytes(BTreeMap<u64, u64>);
 
 impl RangeBytes {
-    pub fn new<'a>(plan: &Plan, touched: impl Iterator<Item = &'a Segment>) -> Self {
+    /// Ranges of the segments that the plan changes. The bytes of a segment are divided by the width of the ranges.
+    pub fn new<'a>(plan: &Plan, changed: impl Iterator<Item = &'a Segment>) -> Self {
         let split_keys = all_split_keys(plan);
         let mut bytes = BTreeMap::new();
-        for segment in touched {
+        for segment in changed {
             let keys = segment.keys;
             let (total, width) = (segment_bytes(plan, segment.id), keys.end() - u128::from(keys.from));
-            // By what lies before each edge, so that the parts add up to the whole.
-            let before = |edge: u128| scaled(total, edge - u128::from(keys.from), width);
+            // Differences of the bytes before each edge, so that rounding does not change the sum.
+            let bytes_before = |edge: u128| scaled(total, edge - u128::from(keys.from), width);
             for range in range_edges(keys, &split_keys).windows(2) {
-                bytes.insert(range[0] as u64, before(range[1]) - before(range[0]));
+                bytes.insert(range[0] as u64, bytes_before(range[1]) - bytes_before(range[0]));
             }
         }
         Self(bytes)
     }
 
-    pub fn of(&self, keys: KeyRange) -> u64 {
+    /// Bytes of all ranges that start inside `keys`.
+    pub fn bytes_in(&self, keys: KeyRange) -> u64 {
         let inside = self.0.range(keys.from..).take_while(|(from, _)| keys.contains(**from));
         inside.map(|(_, bytes)| *bytes).sum()
     }
 }
 
-/// Keys at which any operation splits, rising, each once.
+/// Distinct keys at which any operation of the plan splits, in ascending order.
 fn all_split_keys(plan: &Plan) -> Vec<u64> {
     let mut keys = Vec::new();
     for operation in &plan.operations {
@@ -47,7 +50,7 @@
     keys
 }
 
-/// First key, the split keys inside, and the end.
+/// First key of the range, the split keys inside it, and its end (exclusive).
 fn range_edges(keys: KeyRange, split_keys: &[u64]) -> Vec<u128> {
     let first = split_keys.partition_point(|key| *key <= keys.from);
     let mut edges = vec![u128::from(keys.from)];
@@ -58,28 +61,30 @@
     edges
 }
 
-/// `total * part / whole`; the key space is 2^64 wide, so that the product needs 128 bits.
+/// `total * part / whole`. The key space is 2^64 wide, so the product needs 128 bits.
 fn scaled(total: u64, part: u128, whole: u128) -> u64 {
     if part == whole {
         return total;
     }
-    // part < whole <= 2^64 and total < 2^64: it fits.
+    // No overflow: part < whole <= 2^64 and total < 2^64.
     (u128::from(total) * part / whole) as u64
 }
 
+/// Bytes of a segment of the active map, as the plan states them.
 fn segment_bytes(plan: &Plan, segment: u64) -> u64 {
     plan.sizes.segment_bytes.get(&segment).copied().unwrap_or(plan.sizes.default_bytes)
 }
 
-/// What a node holds.
+/// Data that a node, replica group or partner holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Load {
     pub bytes: u64,
+    /// Number of replicas of segments.
     pub segments: u64,
 }
 
 impl Load {
-    fn of(&self, unit: CapacityUnit) -> u64 {
+    fn amount(&self, unit: CapacityUnit) -> u64 {
         match unit {
             CapacityUnit::Bytes => self.bytes,
             CapacityUnit::Segments => self.segments,
@@ -93,7 +98,8 @@
 }
 
 impl Capacity {
-    fn of(&self, unit: CapacityUnit) -> Option<u64> {
+    /// Maximum amount in this unit, if it is bounded.
+    fn limit(&self, unit: CapacityUnit) -> Option<u64> {
         match unit {
             CapacityUnit::Bytes => self.bytes,
             CapacityUnit::Segments => self.segments,
@@ -101,7 +107,7 @@
     }
 }
 
-/// What one node holds of the segments that an action changes.
+/// Load of one node from the segments that an action changes, before and after the action.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadChange {
     pub node: String,
@@ -110,11 +116,12 @@
 }
 
 impl LoadChange {
+    /// The change that undoes this one.
     pub fn inverse(&self) -> Self {
         Self { node: self.node.clone(), before: self.after, after: self.before }
     }
 
-    /// What the node holds more; nothing if it holds less.
+    /// Load that the action adds to the node, for each unit; 0 where it adds nothing or frees some.
     pub fn increase(&self) -> Load {
         Load {
             bytes: self.after.bytes.saturating_sub(self.before.bytes),
@@ -123,52 +130,55 @@
     }
 }
 
-/// What each node holds, by name.
+/// Load of each node, by the node's name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeLoads(BTreeMap<String, Load>);
 
 impl NodeLoads {
-    /// Of the segments that no operation touches.
-    pub fn untouched(plan: &Plan, map: &VerifiedMap, is_touched: impl Fn(u64) -> bool) -> Self {
+    /// Loads from the segments that no operation changes.
+    pub fn of_unchanged(plan: &Plan, map: &VerifiedMap, is_changed: impl Fn(u64) -> bool) -> Self {
         let mut loads = Self::default();
-        for segment in map.segments().filter(|segment| !is_touched(segment.id)) {
+        for segment in map.segments().filter(|segment| !is_changed(segment.id)) {
             loads.add_segment(segment, segment_bytes(plan, segment.id));
         }
         loads
     }
 
-    /// Counts a segment for each of its replicas.
+    /// Adds a segment with this many bytes to the load of each node that has a replica.
     pub fn add_segment(&mut self, segment: &Segment, bytes: u64) {
         for replica in &segment.replicas {
             self.add(&replica.node, Load { bytes, segments: 1 });
         }
     }
 
+    /// Adds to the load of a node.
     pub fn add(&mut self, node: &str, load: Load) {
         self.0.entry(node.to_string()).or_default().add(load);
     }
 
+    /// Replaces the load before the change by the load after it.
     pub fn apply(&mut self, change: &LoadChange) {
         let load = self.0.entry(change.node.clone()).or_default();
         load.bytes = load.bytes.saturating_sub(change.before.bytes).saturating_add(change.after.bytes);
         load.segments = (load.segments + change.after.segments).saturating_sub(change.before.segments);
     }
 
-    pub fn with(mut self, other: &Self) -> Self {
+    /// Sum of both, node by node.
+    pub fn plus(mut self, other: &Self) -> Self {
         for (node, load) in &other.0 {
             self.add(node, *load);
         }
         self
     }
 
-    /// Whether no capacity bounds any node here.
+    /// Whether none of these nodes, their replica groups and their partners has a capacity.
     pub fn is_unbounded(&self, limits: &CapacityLimits) -> bool {
         let mut scopes = self.0.keys().flat_map(|node| limits.scopes(node));
         scopes.all(|scope| limits.capacity(&scope) == Capacity::default())
     }
 
-    /// The first capacity that `added` would exceed: by name, nodes before replica groups before partners. Operations that
-    /// free some of it are left to the caller.
+    /// The first capacity that these loads together with `added` exceed. Nodes are checked before replica groups, and
+    /// these before partners, each by name. `freed_by` is empty; the caller sets it.
     pub fn shortage(&self, added: &Self, limits: &CapacityLimits) -> Option<CapacityShortage> {
         let mut scopes: Vec<CapacityScope> = added.0.keys().flat_map(|node| limits.scopes(node)).collect();
         scopes.sort_unstable();
@@ -176,6 +186,7 @@
         scopes.into_iter().find_map(|scope| self.shortage_of(scope, added, limits))
     }
 
+    /// Shortage of the capacity of one scope. Only a unit in which `added` is not 0 can be short.
     fn shortage_of(
         &self,
         scope: CapacityScope,
@@ -188,8 +199,8 @@
         }
         let (used, added) = (self.total(&scope, limits), added.total(&scope, limits));
         for unit in [CapacityUnit::Bytes, CapacityUnit::Segments] {
-            let Some(capacity) = capacity.of(unit) else { continue };
-            let (used, added) = (used.of(unit), added.of(unit));
+            let Some(capacity) = capacity.limit(unit) else { continue };
+            let (used, added) = (used.amount(unit), added.amount(unit));
             if added > 0 && used.saturating_add(added) > capacity {
                 return Some(CapacityShortage { scope, unit, capacity, used, added, freed_by: Vec::new() });
             }
@@ -197,6 +208,7 @@
         None
     }
 
+    /// Sum of the loads of all nodes in the scope.
     fn total(&self, scope: &CapacityScope, limits: &CapacityLimits) -> Load {
         let mut total = Load::default();
         for (node, load) in &self.0 {
--- a/crates/dunepond-rebalance/src/ordering/mod.rs
+++ b/crates/dunepond-rebalance/src/ordering/mod.rs
@@ -1,5 +1,5 @@
-//! The order of a plan's actions: a search for one in which no capacity is exceeded, then actions that go together are put
-//! into one step.
+//! Orders the actions of a plan: a search finds an order in which no capacity is exceeded, and actions that can run
+//! together are combined into one step.
 
 mod batching;
 mod search;
@@ -11,22 +11,22 @@
 use crate::{Plan, RebalanceError, Step};
 use simulation::PlanSimulation;
 
-/// How much may be under way at once.
+/// Limits on what one step may do.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepLimits {
-    /// Most actions of one step, and so the most replicas that a step fills at once.
+    /// Maximum number of actions in one step, and so of replicas that a step fills at once; 0 counts as 1.
     #[serde(rename = "at_once")]
     pub max_actions: usize,
-    /// Ratio of the segments that one version may change.
+    /// Maximum ratio of changed segments to all segments in one version, from 0 to 1.
     #[serde(rename = "most_changed")]
     pub max_changed_ratio: f64,
 }
 
-/// Orders a plan against the active map. `is_excluded`: whether a node is draining or removed. The same plan, map and limits
-/// give the same steps.
+/// Orders the plan's actions into steps that start from the active map. `is_excluded`: whether a node is draining or
+/// removed. The same arguments always give the same steps.
 ///
 /// # Errors
-/// Why no order was found: the error of the attempt that got furthest, with its step and operation.
+/// No order was found. The error is that of the attempt that got furthest, with its step and operation.
 pub fn order_steps(
     plan: &Plan,
     map: &VerifiedMap,
@@ -34,24 +34,25 @@
     is_excluded: impl Fn(&str) -> bool,
 ) -> Result<Vec<Step>, RebalanceError> {
     let mut simulation = PlanSimulation::new(plan, map, limits, &is_excluded)?;
-    // First without capacities: an operation that is not possible at all is named as such.
+    // The first search ignores capacities, so that an operation that is impossible in any case is reported as such.
     simulation.ignore_capacities = true;
     simulation.find_order(0)?;
     simulation.ignore_capacities = false;
-    simulation.forget_dead_ends();
+    simulation.clear_dead_ends();
     let mut steps = Vec::new();
     while !simulation.is_done() {
         let order = simulation.find_order(steps.len())?;
         let batch = simulation.choose_batch(order[0], steps.len());
-        steps.push(simulation.carry_out(batch, steps.len())?);
+        steps.push(simulation.execute(batch, steps.len())?);
     }
     Ok(steps)
 }
 
-/// Checks that `steps` carry out the plan, each within capacities and limits: what a voter does, without a search.
+/// Checks that `steps` carry out the whole plan, and that each step keeps the capacities and limits. Voters call this
+/// for steps that another broker ordered; it needs no search.
 ///
 /// # Errors
-/// The first step that does not.
+/// The first step that is not valid.
 pub fn verify_steps(
     plan: &Plan,
     steps: &[Step],
@@ -60,15 +61,15 @@
     is_excluded: impl Fn(&str) -> bool,
 ) -> Result<(), RebalanceError> {
     let mut simulation = PlanSimulation::new(plan, map, limits, &is_excluded)?;
-    for (number, step) in steps.iter().enumerate() {
-        let invalid = |reason: &str| RebalanceError::InvalidStep { step: number, reason: reason.to_string() };
+    for (index, step) in steps.iter().enumerate() {
+        let invalid = |reason: &str| RebalanceError::InvalidStep { step: index, reason: reason.to_string() };
         simulation.check_batch(&step.forward).map_err(invalid)?;
-        if simulation.carry_out(step.forward.clone(), number)? != *step {
-            return Err(invalid("what undoes it is something else"));
+        if simulation.execute(step.forward.clone(), index)? != *step {
+            return Err(invalid("its rollback differs from the one that this broker computes"));
         }
     }
     if !simulation.is_done() {
-        let reason = "the plan goes on after the last step".to_string();
+        let reason = "the steps end before all operations of the plan are done".to_string();
         return Err(RebalanceError::InvalidStep { step: steps.len(), reason });
     }
     Ok(())
--- a/crates/dunepond-rebalance/src/ordering/search.rs
+++ b/crates/dunepond-rebalance/src/ordering/search.rs
@@ -1,4 +1,5 @@
-//! Depth-first search for an order of the actions that are left, with a memory of dead ends.
+//! Depth-first search for an order of the remaining actions. Layouts from which no order was found (dead ends) are
+//! remembered and not searched again.
 
 use std::collections::HashSet;
 
@@ -6,52 +7,55 @@
 use crate::load::NodeLoads;
 use crate::{Action, MAX_SEARCH_LAYOUTS, RebalanceError};
 
-/// Identifies a layout in the memory of dead ends.
+/// Identifies a layout among the dead ends.
 type LayoutKey = Vec<u8>;
 
+/// State of the search for an order.
 #[derive(Default)]
 pub(super) struct SearchState {
-    /// Layouts from which no order was found. They stay from one search to the next.
+    /// Layouts from which no order was found. They are kept from one search to the next.
     dead_ends: HashSet<LayoutKey>,
-    /// Layouts that this search visited.
+    /// Number of layouts that the current search visited.
     visited: usize,
-    furthest: Option<Obstacle>,
+    /// The attempt of the current search that got furthest.
+    furthest: Option<FailedAttempt>,
 }
 
 impl SearchState {
+    /// Whether the current search visited more layouts than allowed.
     fn is_exhausted(&self) -> bool {
         self.visited > MAX_SEARCH_LAYOUTS
     }
 }
 
-/// The error that ended an attempt.
-struct Obstacle {
-    progress: ObstacleProgress,
+/// An attempt at an order that ended with an error.
+struct FailedAttempt {
+    progress: AttemptProgress,
     error: RebalanceError,
 }
 
-/// How far the search came; the greater is the better explanation.
+/// How far an attempt got. The error of the greatest one is reported, as it explains best why no order was found.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
-struct ObstacleProgress {
+struct AttemptProgress {
     done_actions: usize,
-    /// Anything but a capacity mostly waits for another operation.
+    /// Whether a capacity was short. Other errors mostly mean that an action has to wait for another operation.
     is_capacity: bool,
 }
 
 impl PlanSimulation<'_> {
-    /// Operations in an order that carries out all actions that are left; else the error of the attempt that got furthest. Each
-    /// action counts as one step here.
+    /// Finds an order for all remaining actions: an operation's index for each action. Otherwise returns the error of
+    /// the attempt that got furthest. Each action counts as one step here, the first as `step`.
     pub fn find_order(&mut self, step: usize) -> Result<Vec<usize>, RebalanceError> {
         self.search.furthest = None;
         let mut order = Vec::new();
-        if self.search_anew(step, &mut order) {
+        if self.start_search(step, &mut order) {
             return Ok(order);
         }
-        let Some(obstacle) = self.search.furthest.take() else {
-            let reason = "nothing is left to do".to_string();
+        let Some(attempt) = self.search.furthest.take() else {
+            let reason = "no actions remain".to_string();
             return Err(RebalanceError::InvalidStep { step, reason });
         };
-        Err(match obstacle.error {
+        Err(match attempt.error {
             RebalanceError::CapacityExceeded { step, operation, shortage } if self.search.is_exhausted() => {
                 let visited = self.search.visited;
                 RebalanceError::SearchExhausted { visited, step, operation, shortage }
@@ -60,17 +64,19 @@
         })
     }
 
-    pub fn forget_dead_ends(&mut self) {
+    /// Discards the dead ends, so that the next search visits these layouts again.
+    pub fn clear_dead_ends(&mut self) {
         self.search.dead_ends.clear();
     }
 
-    /// Starts a search of its own, with a new count of visited layouts: whether all that is left can be carried out. `order` gets
-    /// the operations in their order.
-    pub fn search_anew(&mut self, step: usize, order: &mut Vec<usize>) -> bool {
+    /// Starts a search with a new count of visited layouts, and returns whether all remaining actions can be carried
+    /// out. The operations are appended to `order`.
+    pub fn start_search(&mut self, step: usize, order: &mut Vec<usize>) -> bool {
         self.search.visited = 0;
         self.search_from(step, order)
     }
 
+    /// Searches from the current layout, and leaves it as it was.
     fn search_from(&mut self, step: usize, order: &mut Vec<usize>) -> bool {
         if self.is_done() {
             return true;
@@ -86,18 +92,18 @@
                     self.commit_loads(&applied);
                     order.push(operation);
                     let is_found = self.search_from(step + 1, order);
-                    let is_harmless = self.is_harmless(&applied);
+                    let is_independent = self.is_independent(&applied);
                     self.revert(applied);
                     if is_found {
                         return true;
                     }
                     order.pop();
-                    // It took nothing that another order would need, so an order without it fails as well.
-                    if is_harmless {
+                    // The action blocks no other action, so orders that start with another action fail as well.
+                    if is_independent {
                         break;
                     }
                 }
-                Err(error) => self.record_obstacle(error),
+                Err(error) => self.record_failure(error),
             }
         }
         if !self.search.is_exhausted() {
@@ -106,7 +112,8 @@
         false
     }
 
-    /// What may free capacity goes first: switches to filled replicas; fills last.
+    /// Operations that can be tried next. Switches come first, as they may free capacity, and fills last, as they use
+    /// it.
     fn candidates(&self) -> Vec<usize> {
         let mut candidates = self.startable();
         candidates.sort_by_key(|operation| match self.next_action(*operation) {
@@ -117,19 +124,20 @@
         candidates
     }
 
-    /// Whether an action that was just applied cannot be in the way of another: it takes no capacity, and no other operation
-    /// names its segments.
-    fn is_harmless(&self, applied: &AppliedAction) -> bool {
+    /// Whether the action that was just applied cannot block another action: it is a switch, for which other actions on
+    /// the segment have to wait anyway, or it uses no bounded capacity and no other operation names its segments.
+    fn is_independent(&self, applied: &AppliedAction) -> bool {
         let operation = applied.operation;
         let is_switch = self.actions[operation].len() == 2 && self.done[operation] == 2;
-        is_switch || (!self.is_contested(operation) && self.takes_no_capacity(&applied.added))
+        is_switch || (!self.is_contested(operation) && self.uses_no_bounded_capacity(&applied.added))
     }
 
-    fn takes_no_capacity(&self, added: &NodeLoads) -> bool {
+    fn uses_no_bounded_capacity(&self, added: &NodeLoads) -> bool {
         self.ignore_capacities || added.is_unbounded(&self.capacities)
     }
 
-    /// How far each operation is, and the owners and replicas of contested segments.
+    /// Key of the current layout: the number of done actions of each operation, and the owners and replicas of
+    /// contested segments.
     fn layout_key(&self) -> LayoutKey {
         let mut key = self.done.clone();
         for segment in self.contested_segments.iter().filter_map(|id| self.layout.get(*id)) {
@@ -143,30 +151,31 @@
         key
     }
 
-    /// Remembers the error of the attempt that got furthest: a missing capacity rather than anything else, and the smallest
-    /// shortage of those.
-    fn record_obstacle(&mut self, error: RebalanceError) {
-        let progress = ObstacleProgress {
+    /// Keeps the error if its attempt got further than the one recorded so far. Among attempts that got equally far, a
+    /// short capacity is preferred to other errors, and a smaller shortage to a larger one.
+    fn record_failure(&mut self, error: RebalanceError) {
+        let progress = AttemptProgress {
             done_actions: self.done.iter().map(|done| usize::from(*done)).sum(),
             is_capacity: matches!(error, RebalanceError::CapacityExceeded { .. }),
         };
         let is_better = match &self.search.furthest {
             None => true,
-            Some(known) if known.progress == progress => is_less_short(&error, &known.error),
-            Some(known) => progress > known.progress,
+            Some(best) if best.progress == progress => has_smaller_shortage(&error, &best.error),
+            Some(best) => progress > best.progress,
         };
         if is_better {
-            self.search.furthest = Some(Obstacle { progress, error });
+            self.search.furthest = Some(FailedAttempt { progress, error });
         }
     }
 }
 
-fn is_less_short(error: &RebalanceError, known: &RebalanceError) -> bool {
-    match (error, known) {
+/// Whether both errors are short capacities and the shortage of the first is smaller. Units are not compared.
+fn has_smaller_shortage(error: &RebalanceError, other: &RebalanceError) -> bool {
+    match (error, other) {
         (
             RebalanceError::CapacityExceeded { shortage, .. },
-            RebalanceError::CapacityExceeded { shortage: known, .. },
-        ) => shortage.missing() < known.missing(),
+            RebalanceError::CapacityExceeded { shortage: other, .. },
+        ) => shortage.missing() < other.missing(),
         _ => false,
     }
 }
--- a/crates/dunepond-rebalance/src/ordering/simulation.rs
+++ b/crates/dunepond-rebalance/src/ordering/simulation.rs
@@ -1,4 +1,4 @@
-//! The plan and its segments after some of its actions.
+//! Simulates the plan: its segments and the loads of nodes after some of its actions.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,36 +11,41 @@
 use crate::load::{Load, LoadChange, NodeLoads, RangeBytes};
 use crate::{Action, CapacityShortage, CapacityUnit, Operation, Plan, RebalanceError};
 
+/// State of the plan after some of its actions.
 pub(super) struct PlanSimulation<'a> {
     pub plan: &'a Plan,
     map: &'a VerifiedMap,
     pub limits: StepLimits,
-    /// Actions of each operation, in their order.
+    /// Actions of each operation, in the order in which they are done.
     pub actions: Vec<Vec<Action>>,
-    /// How many actions of each operation are done.
+    /// Number of actions of each operation that are done.
     pub done: Vec<u8>,
     pub layout: Layout,
     loads: NodeLoads,
     pub capacities: CapacityLimits<'a>,
     range_bytes: RangeBytes,
+    /// Number of segments in the whole map.
     pub segment_count: usize,
-    /// Segments that several operations name: the order of these matters.
+    /// Segments that several operations name, so that the order of these operations matters.
     pub contested_segments: BTreeSet<u64>,
+    /// Whether actions may exceed capacities.
     pub ignore_capacities: bool,
     pub search: SearchState,
 }
 
-/// An action that was applied, for [`PlanSimulation::revert`].
+/// Record of an applied action, with which [`PlanSimulation::revert`] undoes it.
 pub(super) struct AppliedAction {
     pub change: AppliedChange,
     pub operation: usize,
+    /// Changes of the nodes' loads, one for each node.
     loads: Vec<LoadChange>,
     previous_segment_count: usize,
-    /// What nodes hold more by it.
+    /// Load that the action adds to nodes.
     pub added: NodeLoads,
 }
 
 impl<'a> PlanSimulation<'a> {
+    /// Validates the plan and starts the simulation from the map, with no action done.
     pub fn new(
         plan: &'a Plan,
         map: &'a VerifiedMap,
@@ -49,12 +54,12 @@
     ) -> Result<Self, RebalanceError> {
         plan.validate()?;
         let named: BTreeSet<u64> = plan.operations.iter().flat_map(Operation::segments).copied().collect();
-        let layout = Layout::of(map, named.iter().copied());
+        let layout = Layout::from_map(map, named.iter().copied());
         let capacities = CapacityLimits::new(plan, map);
         let range_bytes = RangeBytes::new(plan, layout.iter().map(|segment| &**segment));
-        let mut loads = NodeLoads::untouched(plan, map, |id| named.contains(&id));
+        let mut loads = NodeLoads::of_unchanged(plan, map, |id| named.contains(&id));
         for segment in layout.iter() {
-            loads.add_segment(segment, range_bytes.of(segment.keys));
+            loads.add_segment(segment, range_bytes.bytes_in(segment.keys));
         }
         let actions = actions_of(plan, &capacities, is_excluded)?;
         Ok(Self {
@@ -74,76 +79,81 @@
         })
     }
 
+    /// Whether all actions of the plan are done.
     pub fn is_done(&self) -> bool {
         self.done.iter().zip(&self.actions).all(|(done, actions)| usize::from(*done) == actions.len())
     }
 
+    /// Next action of the operation, or `None` if all its actions are done.
     pub fn next_action(&self, operation: usize) -> Option<Action> {
         self.actions[operation].get(usize::from(self.done[operation])).cloned()
     }
 
-    /// Whether all operations before it are done.
+    /// Whether all operations before this one are done.
     pub fn is_first_unfinished(&self, operation: usize) -> bool {
         (0..operation).all(|before| self.next_action(before).is_none())
     }
 
+    /// Operations with actions that are not done, by index.
     fn unfinished(&self) -> impl Iterator<Item = usize> {
         (0..self.actions.len()).filter(|operation| self.next_action(*operation).is_some())
     }
 
-    /// Unfinished operations that the plan's order lets continue.
+    /// Unfinished operations that may run next: the first one if the plan is ordered, otherwise all.
     pub fn startable(&self) -> Vec<usize> {
         let max_count = if self.plan.ordered { 1 } else { usize::MAX };
         self.unfinished().take(max_count).collect()
     }
 
-    /// Whether other operations name segments of this one.
+    /// Whether another operation names a segment of this one.
     pub fn is_contested(&self, operation: usize) -> bool {
         let segments = self.plan.operations[operation].segments();
         segments.iter().any(|id| self.contested_segments.contains(id))
     }
 
-    /// Applies the next action of an operation, or says why it is not possible. `beside`: what earlier actions of the same
-    /// step add; it has to fit beside them, as nothing is freed before the step is over. Loads do not change until
-    /// [`PlanSimulation::commit_loads`].
+    /// Applies the next action of an operation, or returns why it is not possible. `added_in_step`: load that earlier
+    /// actions of the same step add. It counts together with the action's own load, as a step frees nothing before it
+    /// ends. Loads do not change until [`PlanSimulation::commit_loads`].
     pub fn apply(
         &mut self,
         operation: usize,
         step: usize,
-        beside: &NodeLoads,
+        added_in_step: &NodeLoads,
     ) -> Result<AppliedAction, RebalanceError> {
         let action = self.next_action(operation).expect("only unfinished operations are tried");
-        let turnover = action.turnover();
-        let changed = turnover.changed_of(self.segment_count);
+        let segment_delta = action.segment_delta();
+        let changed = segment_delta.changed_segments(self.segment_count);
         let max_ratio = self.limits.max_changed_ratio;
         if changed.exceeds(max_ratio) {
-            let (changed, of) = (changed.changed, changed.of);
-            return Err(RebalanceError::TooManyChanges { step, operation, changed, of, max_ratio });
+            let (changed, total) = (changed.changed, changed.total);
+            return Err(RebalanceError::TooManyChanges { step, operation, changed, total, max_ratio });
         }
         let map = self.map;
-        // An id of the active map that was touched and is gone may only come again by a rollback.
+        // Ids of the active map stay in use even after their segments were replaced; only a rollback brings them back.
         let change = self.layout.apply(operation, &action, |id| map.contains_segment(id))?;
         let loads = self.load_changes(&change);
         let added = increases(&loads);
-        if let Some(shortage) = self.shortage(&added, beside) {
+        if let Some(shortage) = self.shortage(&added, added_in_step) {
             self.layout.revert(change);
-            let shortage = Box::new(CapacityShortage { freed_by: self.freeing(&shortage), ..shortage });
+            let shortage =
+                Box::new(CapacityShortage { freed_by: self.operations_freeing(&shortage), ..shortage });
             return Err(RebalanceError::CapacityExceeded { step, operation, shortage });
         }
         let previous_segment_count = self.segment_count;
-        self.segment_count = previous_segment_count + turnover.begun - turnover.ended;
+        self.segment_count = previous_segment_count + segment_delta.added - segment_delta.removed;
         self.done[operation] += 1;
         Ok(AppliedAction { change, operation, loads, previous_segment_count, added })
     }
 
-    fn shortage(&self, added: &NodeLoads, beside: &NodeLoads) -> Option<CapacityShortage> {
+    /// The first capacity that `added` exceeds together with the load that the same step adds otherwise.
+    fn shortage(&self, added: &NodeLoads, added_in_step: &NodeLoads) -> Option<CapacityShortage> {
         if self.ignore_capacities {
             return None;
         }
-        self.loads.shortage(&beside.clone().with(added), &self.capacities)
+        self.loads.shortage(&added_in_step.clone().plus(added), &self.capacities)
     }
 
-    /// Before and after the change, of the segments that it removes and adds.
+    /// Loads of nodes from the segments that the change removes (before) and adds (after).
     fn load_changes(&self, change: &AppliedChange) -> Vec<LoadChange> {
         let mut changes = Vec::new();
         for segment in change.removed() {
@@ -155,29 +165,30 @@
         changes
     }
 
+    /// Adds the segment to one side, before or after, of the changes of all nodes that have a replica.
     fn add_loads(
         &self,
         changes: &mut Vec<LoadChange>,
         segment: &Segment,
         side: fn(&mut LoadChange) -> &mut Load,
     ) {
-        let bytes = self.range_bytes.of(segment.keys);
+        let bytes = self.range_bytes.bytes_in(segment.keys);
         for replica in &segment.replicas {
-            let place = changes.iter().position(|change| change.node == replica.node).unwrap_or_else(|| {
+            let index = changes.iter().position(|change| change.node == replica.node).unwrap_or_else(|| {
                 let node = replica.node.clone();
                 changes.push(LoadChange { node, before: Load::default(), after: Load::default() });
                 changes.len() - 1
             });
-            side(&mut changes[place]).add(Load { bytes, segments: 1 });
+            side(&mut changes[index]).add(Load { bytes, segments: 1 });
         }
     }
 
-    /// Counts an action's loads once it is certain.
+    /// Applies the load changes of an applied action.
     pub fn commit_loads(&mut self, applied: &AppliedAction) {
         applied.loads.iter().for_each(|change| self.loads.apply(change));
     }
 
-    /// Takes back an action whose loads are committed.
+    /// Undoes the action that was applied last; its loads must be committed.
     pub fn revert(&mut self, applied: AppliedAction) {
         applied.loads.iter().for_each(|change| self.loads.apply(&change.inverse()));
         self.layout.revert(applied.change);
@@ -185,24 +196,26 @@
         self.done[applied.operation] -= 1;
     }
 
-    /// Unfinished operations that would free some of what is short.
-    fn freeing(&self, shortage: &CapacityShortage) -> Vec<usize> {
-        self.unfinished().filter(|operation| self.frees(*operation, shortage)).collect()
+    /// Unfinished operations that would free some of the short capacity.
+    fn operations_freeing(&self, shortage: &CapacityShortage) -> Vec<usize> {
+        self.unfinished().filter(|operation| self.would_free(*operation, shortage)).collect()
     }
 
-    fn frees(&self, operation: usize, shortage: &CapacityShortage) -> bool {
-        let counts = |node: &str| self.capacities.is_in(node, &shortage.scope);
+    /// Whether the operation would free some of the short capacity.
+    fn would_free(&self, operation: usize, shortage: &CapacityShortage) -> bool {
+        let is_in_scope = |node: &str| self.capacities.is_in(node, &shortage.scope);
         match &self.plan.operations[operation] {
-            Operation::Move { from, to, .. } => counts(from) && !counts(to),
+            Operation::Move { from, to, .. } => is_in_scope(from) && !is_in_scope(to),
             Operation::Merge { segments, .. } if shortage.unit == CapacityUnit::Segments => {
-                let replicas = segments.iter().filter_map(|id| self.layout.get(*id));
-                replicas.flat_map(|segment| &segment.replicas).any(|replica| counts(&replica.node))
+                let merged = segments.iter().filter_map(|id| self.layout.get(*id));
+                merged.flat_map(|segment| &segment.replicas).any(|replica| is_in_scope(&replica.node))
             }
             _ => false,
         }
     }
 }
 
+/// Load that the changes add, by node.
 fn increases(changes: &[LoadChange]) -> NodeLoads {
     let mut added = NodeLoads::default();
     for change in changes {
@@ -214,6 +227,7 @@
     added
 }
 
+/// Segments that several operations of the plan name.
 fn contested_segments(plan: &Plan) -> BTreeSet<u64> {
     let mut uses: HashMap<u64, usize> = HashMap::new();
     for id in plan.operations.iter().flat_map(Operation::segments) {
@@ -222,19 +236,20 @@
     uses.into_iter().filter(|(_, count)| *count > 1).map(|(id, _)| id).collect()
 }
 
+/// Actions of each operation. Fails if a destination is excluded or the partner of a move's destination is unknown.
 fn actions_of(
     plan: &Plan,
     capacities: &CapacityLimits,
     is_excluded: &impl Fn(&str) -> bool,
 ) -> Result<Vec<Vec<Action>>, RebalanceError> {
     let mut actions = Vec::new();
-    for (operation, kind) in plan.operations.iter().enumerate() {
-        if let Operation::ChangeOwner { to, .. } | Operation::Move { to, .. } = kind
+    for (operation, spec) in plan.operations.iter().enumerate() {
+        if let Operation::ChangeOwner { to, .. } | Operation::Move { to, .. } = spec
             && is_excluded(to)
         {
             return Err(RebalanceError::NodeLeaving { operation, node: to.clone() });
         }
-        actions.push(match kind.clone() {
+        actions.push(match spec.clone() {
             Operation::Split { segment, split_keys, into } => {
                 vec![Action::Split { segment, split_keys, into }]
             }
--- a/crates/dunepond-rebalance/src/overload.rs
+++ b/crates/dunepond-rebalance/src/overload.rs
@@ -1,24 +1,29 @@
-//! Whether the fleet is overloaded, by its brokers' reports, with hysteresis: a plan must not pause and resume every second.
+//! Decides from the brokers' reports whether the fleet is overloaded, with hysteresis, so that a plan does not pause
+//! and resume every second.
 
 #[cfg(test)]
 mod tests;
 
 use std::collections::BTreeMap;
 
-/// Plans pause once this ratio of the brokers has been overloaded for this long.
+/// Minimum ratio of overloaded brokers, from 0 to 1, at which plans pause.
 const PAUSE_RATIO: f64 = 0.3;
+/// Time in seconds for which the ratio has to be at least [`PAUSE_RATIO`] before plans pause.
 const PAUSE_SECONDS: f64 = 1.0;
-/// They resume once no more than this ratio has been overloaded for this long.
+/// Maximum ratio of overloaded brokers, from 0 to 1, at which plans resume.
 const RESUME_RATIO: f64 = 0.1;
+/// Time in seconds for which the ratio has to be at most [`RESUME_RATIO`] before plans resume.
 const RESUME_SECONDS: f64 = 5.0;
 
-/// The brokers' last reports, and whether plans have to pause for them. Times are seconds of the leader's monotonic clock.
+/// Latest overload report of each broker, and whether plans have to pause because of them. Times are in seconds of the
+/// leader's monotonic clock.
 #[derive(Clone, Debug, Default)]
 pub struct OverloadMonitor {
+    /// Latest report of each broker, by the broker's name.
     reports: BTreeMap<String, OverloadReport>,
     is_overloaded: bool,
-    /// Since when the ratio is beyond the threshold of a change.
-    beyond_since: Option<f64>,
+    /// Time since which the ratio has met the threshold for leaving the current state.
+    threshold_met_since: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -28,12 +33,12 @@
 }
 
 impl OverloadMonitor {
-    /// Takes a broker's report.
+    /// Records a broker's report, which replaces its previous one.
     pub fn record_report(&mut self, now: f64, broker: &str, overloaded: bool) {
         self.reports.insert(broker.to_string(), OverloadReport { received_at: now, overloaded });
     }
 
-    /// Ratio of the brokers that report overload, of those with a recent report.
+    /// Ratio of overloaded brokers to all brokers with a recent report, from 0 to 1; 0 without reports.
     pub fn overloaded_ratio(&self) -> f64 {
         if self.reports.is_empty() {
             return 0.0;
@@ -42,23 +47,24 @@
         overloaded as f64 / self.reports.len() as f64
     }
 
-    /// Whether plans have to pause; to be called each turn. Reports older than `max_age` seconds are dropped.
+    /// Drops reports older than `max_age` seconds, and returns whether plans have to pause. Has to be called regularly,
+    /// as a change of state is only noticed here.
     pub fn update(&mut self, now: f64, max_age: f64) -> bool {
         self.reports.retain(|_, report| now - report.received_at <= max_age);
         let ratio = self.overloaded_ratio();
-        let (is_beyond, min_seconds) = if self.is_overloaded {
+        let (is_threshold_met, min_seconds) = if self.is_overloaded {
             (ratio <= RESUME_RATIO, RESUME_SECONDS)
         } else {
             (ratio >= PAUSE_RATIO, PAUSE_SECONDS)
         };
-        if !is_beyond {
-            self.beyond_since = None;
+        if !is_threshold_met {
+            self.threshold_met_since = None;
             return self.is_overloaded;
         }
-        let since = *self.beyond_since.get_or_insert(now);
+        let since = *self.threshold_met_since.get_or_insert(now);
         if now - since >= min_seconds {
             self.is_overloaded = !self.is_overloaded;
-            self.beyond_since = None;
+            self.threshold_met_since = None;
         }
         self.is_overloaded
     }
--- a/crates/dunepond-rebalance/src/plan.rs
+++ b/crates/dunepond-rebalance/src/plan.rs
@@ -1,5 +1,5 @@
-//! The operator's document: what is to be split, merged and moved, by whom, why, and what capacity there is. Its JSON keeps
-//! the operators' words.
+//! The operator's plan document: operations, author, reason and capacities. The names in its JSON are part of the
+//! operators' interface and must not change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,98 +7,99 @@
 
 use crate::{MAX_OPERATION_COUNT, RebalanceError};
 
-/// Size of a segment where the plan names none; the same as for fills in the operator's file.
+/// Bytes of a segment if the plan gives no size; the same default as for fills in the operator's file.
 const DEFAULT_SEGMENT_BYTES: u64 = 64 << 20;
 
-/// One operation. Ids of new segments must never have been used before.
+/// A change that the operator asks for. Ids of new segments must never have been used before.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Operation {
-    /// Splits a segment.
+    /// Replaces a segment by several segments that cover its keys.
     Split {
-        /// Id of the segment that ends.
+        /// Id of the segment that is replaced.
         segment: u64,
-        /// First keys of all parts but the first, rising.
+        /// First key of each new segment except the first, in ascending order.
         #[serde(rename = "at")]
         split_keys: Vec<u64>,
-        /// Ids of the parts.
+        /// Ids of the new segments, in the order of their keys.
         into: Vec<u64>,
     },
-    /// Merges neighbours with the same owner and replicas.
+    /// Replaces adjacent segments with the same owner and replicas by one segment.
     Merge {
-        /// Ids of the segments that end, in the order of their keys.
+        /// Ids of the segments that are replaced, in the order of their keys.
         segments: Vec<u64>,
         /// Id of the new segment.
         into: u64,
     },
-    /// Moves a replica, and the ownership if it has it, to another node.
+    /// Moves a replica to another node, and with it the ownership if the replica is the owner.
     Move {
         /// Id of the segment.
         segment: u64,
-        /// Name of the node that has the replica.
+        /// Name of the node that loses the replica.
         from: String,
-        /// Name of the node that gets it.
+        /// Name of the node that gets the replica.
         to: String,
     },
-    /// Another replica becomes the owner.
+    /// Makes another replica the owner of the segment.
     #[serde(rename = "own")]
     ChangeOwner {
         /// Id of the segment.
         segment: u64,
-        /// Name of the new owner.
+        /// Name of the node that becomes the owner.
         to: String,
     },
 }
 
-/// What the operator wants of the plan: read with the file, so that SIGHUP brings a changed one.
+/// State that the operator wants the plan to be in. It is read again with the plan file on SIGHUP.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DesiredState {
-    /// It runs.
+    /// The plan runs.
     #[default]
     #[serde(rename = "go")]
     Run,
     /// No further step starts.
     Pause,
-    /// What is done is undone, in reverse order.
+    /// The steps that are done are undone, in reverse order.
     Withdraw,
 }
 
-/// How much a node, replica group or partner may hold at most; what is left out is not bounded.
+/// Maximum amount of data that a node, replica group or partner may hold. An amount that is not given is not bounded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Capacity {
-    /// Bytes of data.
+    /// Maximum number of bytes.
     #[serde(default)]
     pub bytes: Option<u64>,
-    /// Replicas of segments.
+    /// Maximum number of replicas of segments.
     #[serde(default)]
     pub segments: Option<u64>,
 }
 
-/// What the plan says of a node.
+/// Partner, replica group and capacity of a node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSpec {
-    /// Required for a node that has no replica by the active map.
+    /// Name of the partner that runs the node. Required for a node without a replica in the active map.
     #[serde(default)]
     pub partner: Option<String>,
-    /// Name of its replica group, if that has a capacity.
+    /// Name of the node's replica group, which the plan then has to list; needed if the group has a capacity.
     #[serde(default, rename = "cell")]
     pub replica_group: Option<String>,
-    /// Capacity of this node, beside its replica group's and its partner's.
+    /// Capacity of the node alone; those of its replica group and its partner apply as well.
     #[serde(default, rename = "room")]
     pub capacity: Capacity,
 }
 
-/// Sizes of segments. A split divides them by the width of the keys: hashed keys are spread evenly.
+/// Sizes of segments. A split divides the size in proportion to the widths of the key ranges, as hashed keys are spread
+/// evenly.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SegmentSizes {
-    /// Bytes of a segment that is not named.
+    /// Bytes of a segment that `segment_bytes` does not list.
     #[serde(default = "default_segment_bytes", rename = "unless")]
     pub default_bytes: u64,
-    /// Bytes, by id of the segment.
+    /// Bytes of individual segments, by the segment's id.
     #[serde(default, rename = "segments")]
     pub segment_bytes: BTreeMap<u64, u64>,
 }
@@ -113,33 +114,34 @@
     }
 }
 
-/// The operator's plan.
+/// A rebalancing plan as the operator writes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Never used again, whatever became of the plan.
+    /// Id of the plan; never used again, however the plan ends.
     pub id: String,
-    /// Name of the operator.
+    /// Name of the operator who proposes the plan.
     #[serde(rename = "who")]
     pub proposed_by: String,
-    /// Reason, for people.
+    /// Why the operator proposes the plan, as free text.
     #[serde(rename = "why")]
     pub reason: String,
-    /// What the operator wants of it now.
+    /// State that the operator wants the plan to be in.
     #[serde(default, rename = "word")]
     pub desired_state: DesiredState,
-    /// Whether operations are carried out in the order of the file; otherwise in any order that keeps the capacities.
+    /// Whether operations are carried out in the order of the file. If not, any order that keeps the capacities may be
+    /// used.
     #[serde(default)]
     pub ordered: bool,
-    /// What is to be done; at least one operation.
+    /// Operations to carry out, from 1 to [`MAX_OPERATION_COUNT`].
     pub operations: Vec<Operation>,
-    /// Partner, replica group and capacity of nodes, by name of the node.
+    /// Partners, replica groups and capacities of nodes, by the node's name.
     #[serde(default)]
     pub nodes: BTreeMap<String, NodeSpec>,
-    /// Capacities by name of the replica group.
+    /// Capacities of replica groups, by the group's name.
     #[serde(default, rename = "cells")]
     pub replica_groups: BTreeMap<String, Capacity>,
-    /// Capacities by name of the partner.
+    /// Capacities of partners, by the partner's name.
     #[serde(default)]
     pub partners: BTreeMap<String, Capacity>,
     /// Sizes of the segments.
@@ -148,10 +150,10 @@
 }
 
 impl Plan {
-    /// Reads the operator's JSON.
+    /// Parses and validates the operator's JSON.
     ///
     /// # Errors
-    /// [`RebalanceError::InvalidJson`] with the place in the text, or what [`Plan::validate`] says.
+    /// [`RebalanceError::InvalidJson`] with line and column, or an error of [`Plan::validate`].
     pub fn parse(text: &str) -> Result<Self, RebalanceError> {
         let plan: Self = serde_json::from_str(text).map_err(|e| RebalanceError::InvalidJson {
             line: e.line(),
@@ -162,10 +164,10 @@
         Ok(plan)
     }
 
-    /// Checks what can be checked without a map.
+    /// Checks everything that does not depend on a map.
     ///
     /// # Errors
-    /// The first fault of the document.
+    /// The first fault found in the document.
     pub fn validate(&self) -> Result<(), RebalanceError> {
         if self.id.is_empty() {
             return Err(RebalanceError::MissingId);
@@ -175,15 +177,16 @@
             return Err(RebalanceError::OperationCount { count, max: MAX_OPERATION_COUNT });
         }
         let mut new_ids = BTreeSet::new();
-        for (place, operation) in self.operations.iter().enumerate() {
-            operation.validate(place)?;
+        for (index, operation) in self.operations.iter().enumerate() {
+            operation.validate(index)?;
             if let Some(id) = operation.new_segments().iter().find(|id| !new_ids.insert(**id)) {
-                return Err(RebalanceError::DuplicateSegmentId { operation: place, id: *id });
+                return Err(RebalanceError::DuplicateSegmentId { operation: index, id: *id });
             }
         }
         self.validate_replica_groups()
     }
 
+    /// Checks that the plan lists the replica group of each node.
     fn validate_replica_groups(&self) -> Result<(), RebalanceError> {
         for (name, node) in &self.nodes {
             let Some(group) = &node.replica_group else { continue };
@@ -196,27 +199,29 @@
 }
 
 impl Operation {
-    /// `place`: of the operation in the plan, from 0.
-    fn validate(&self, place: usize) -> Result<(), RebalanceError> {
+    /// Checks the operation without regard to other operations. `index`: of the operation in the plan, from 0; used in
+    /// errors.
+    fn validate(&self, index: usize) -> Result<(), RebalanceError> {
         match self {
             Self::Split { segment, split_keys, into } => {
-                let are_rising = split_keys.windows(2).all(|pair| pair[0] < pair[1]);
-                if split_keys.is_empty() || !are_rising || into.len() != split_keys.len() + 1 {
-                    return Err(RebalanceError::InvalidSplit { operation: place, segment: *segment });
+                let are_ascending = split_keys.windows(2).all(|pair| pair[0] < pair[1]);
+                if split_keys.is_empty() || !are_ascending || into.len() != split_keys.len() + 1 {
+                    return Err(RebalanceError::InvalidSplit { operation: index, segment: *segment });
                 }
             }
             Self::Merge { segments, .. } if segments.len() < 2 => {
-                return Err(RebalanceError::MergeTooSmall { operation: place });
+                return Err(RebalanceError::MergeTooSmall { operation: index });
             }
             Self::Move { segment, from, to } if from == to => {
                 let (segment, node) = (*segment, to.clone());
-                return Err(RebalanceError::SameNode { operation: place, segment, node });
+                return Err(RebalanceError::SameNode { operation: index, segment, node });
             }
             Self::Merge { .. } | Self::Move { .. } | Self::ChangeOwner { .. } => {}
         }
         Ok(())
     }
 
+    /// Ids of the segments that the operation creates.
     fn new_segments(&self) -> &[u64] {
         match self {
             Self::Split { into, .. } => into,
--- a/crates/dunepond-rebalance/src/progress/apply.rs
+++ b/crates/dunepond-rebalance/src/progress/apply.rs
@@ -1,4 +1,4 @@
-//! What entries and ends of versions change.
+//! Applies committed entries and outcomes of versions to the progress.
 
 use super::{
     CommittedEntry, EndedPlan, PauseReason, PlanOutcome, PlanProgress, RebalanceContext, RunningPlan,
@@ -7,10 +7,10 @@
 use crate::{MAX_ENDED_PLANS, MAX_STEP_ATTEMPTS, RebalanceError};
 
 impl PlanProgress {
-    /// Applies an entry of the log; the same at each voter.
+    /// Applies a committed entry. All voters reach the same result.
     ///
     /// # Errors
-    /// Why it is ignored, as of [`PlanProgress::check`].
+    /// The entry is ignored, for the reason that [`PlanProgress::check`] returns.
     pub fn apply(
         &mut self,
         entry: CommittedEntry,
@@ -22,12 +22,12 @@
             self.running = Some(RunningPlan::new(*plan, steps));
             return Ok(());
         }
-        let running = self.running.as_mut().expect("checked above");
+        let running = self.running.as_mut().expect("`check` accepts other entries only for a running plan");
         match entry {
             CommittedEntry::Accepted { .. } => unreachable!("handled above"),
             CommittedEntry::StepStarted { number, digest, .. } => {
                 let step = StartedStep { number, digest };
-                // The late version of an abandoned step is now this very one.
+                // The same step may have been abandoned before; its version is valid again.
                 self.abandoned.retain(|abandoned| *abandoned != step);
                 running.started = Some(step);
             }
@@ -43,15 +43,16 @@
         Ok(())
     }
 
+    /// Starts to undo the running plan.
     fn withdraw(&mut self, withdrawal: Withdrawal, context: &RebalanceContext<'_>) {
         let Some(running) = &mut self.running else { return };
-        // The operator's order ends any pause but that of an overload, which goes on.
+        // A withdrawal ends every pause except one for overload, which lasts as long as the overload.
         if !matches!(running.pause, Some(PauseReason::Overload { .. })) {
             running.pause = None;
         }
         running.withdrawal = Some(withdrawal);
         running.failed_attempts = 0;
-        // Not proposed: its number is free again, and the version, should it come, is refused.
+        // A step that is not proposed releases its version number; if the version is proposed later, it is refused.
         let is_unproposed = |step: &mut StartedStep| context.open_version != Some(step.number);
         if let Some(step) = running.started.take_if(is_unproposed) {
             self.abandoned.push(step);
@@ -63,7 +64,8 @@
         self.end_if_over();
     }
 
-    /// Takes the end of a version. If that was a step's, the same entry of the log ends the step.
+    /// Records that a version was activated or withdrawn. If the version belongs to the started step, this ends the
+    /// step's turn.
     pub fn on_version_ended(&mut self, number: u64, end: VersionEnd<'_>) {
         self.abandoned.retain(|step| step.number > number);
         let Some(running) = &mut self.running else { return };
@@ -81,6 +83,7 @@
         self.end_if_over();
     }
 
+    /// Moves the running plan to the ended plans if nothing is left to do.
     fn end_if_over(&mut self) {
         let Some(running) = self.running.take_if(|running| running.is_over()) else { return };
         if self.ended.len() == MAX_ENDED_PLANS {
@@ -96,6 +99,7 @@
 }
 
 impl RunningPlan {
+    /// Counts the current step or rollback batch as done.
     fn on_step_activated(&mut self) {
         self.failed_attempts = 0;
         match &mut self.rollback {
@@ -104,10 +108,12 @@
         }
     }
 
+    /// Counts a failed attempt, and pauses the plan after [`MAX_STEP_ATTEMPTS`].
     fn on_step_withdrawn(&mut self, reason: &str) {
-        // Nothing failed where the pause held fills back, or the plan's withdrawal took the step back.
-        let by_plan = self.withdrawal.is_some() && self.rollback.is_none();
-        if self.pause.is_some() || by_plan {
+        // Not a failure of the step if fills were held back by a pause, or if the plan's withdrawal withdrew the
+        // version.
+        let is_withdrawn_with_plan = self.withdrawal.is_some() && self.rollback.is_none();
+        if self.pause.is_some() || is_withdrawn_with_plan {
             return;
         }
         self.failed_attempts += 1;
--- a/crates/dunepond-rebalance/src/progress/check.rs
+++ b/crates/dunepond-rebalance/src/progress/check.rs
@@ -1,13 +1,13 @@
-//! Whether an entry applies.
+//! Checks entries against the current progress.
 
 use super::{CommittedEntry, PauseReason, PlanProgress, RebalanceContext, ResumeTrigger};
 use crate::{Plan, RebalanceError, Step, StepLimits, verify_steps};
 
 impl PlanProgress {
-    /// Whether the entry would change anything, as things stand; the same at each voter.
+    /// Checks whether the entry can be applied in the current state. All voters reach the same result.
     ///
     /// # Errors
-    /// Why it would be ignored.
+    /// The reason for which [`PlanProgress::apply`] would ignore the entry.
     pub fn check(
         &self,
         entry: &CommittedEntry,
@@ -48,7 +48,7 @@
         }
         let limits = StepLimits { max_actions, max_changed_ratio: context.max_changed_ratio };
         let map = context.active_map.ok_or(RebalanceError::NoMap)?;
-        // The proposer checks for excluded nodes; a switch to one makes no valid version.
+        // The proposer has checked for excluded nodes. A switch to one would not give a valid version.
         verify_steps(plan, steps, map, limits, |_| false)
     }
 
@@ -75,19 +75,20 @@
         if number != expected {
             return Err(RebalanceError::WrongNumber { given: number, expected });
         }
-        // Each voter makes the step's map for itself.
+        // Each voter computes the step's map itself and compares the digest.
         let batch = running.current_batch().ok_or(RebalanceError::NotRunning { id })?;
         let map = context.active_map.ok_or(RebalanceError::NoMap)?;
         let transition = batch.transition(map, running.steps_done)?;
         let actual = transition.to().digest();
         if actual != digest {
-            let reason = format!("its map has digest {actual}, {digest} was said");
+            let reason = format!("its map has digest {actual}, but the entry names {digest}");
             return Err(RebalanceError::InvalidStep { step: running.steps_done, reason });
         }
         Ok(())
     }
 
-    /// An operator's pause outlasts an overload.
+    /// Only an operator's pause can replace another pause, and only one for overload, so that it lasts beyond the
+    /// overload.
     fn check_paused(&self, plan: &str, reason: &PauseReason) -> Result<(), RebalanceError> {
         match (&self.running(plan)?.pause, reason) {
             (None, _) | (Some(PauseReason::Overload { .. }), PauseReason::Operator { .. }) => Ok(()),
@@ -97,7 +98,7 @@
         }
     }
 
-    /// The end of an overload ends no other pause.
+    /// An operator can end every pause, the end of an overload only a pause for overload.
     fn check_resumed(&self, plan: &str, trigger: &ResumeTrigger) -> Result<(), RebalanceError> {
         match (&self.running(plan)?.pause, trigger) {
             (Some(PauseReason::Overload { .. }), _) | (Some(_), ResumeTrigger::Operator(_)) => Ok(()),
--- a/crates/dunepond-rebalance/src/progress/entry.rs
+++ b/crates/dunepond-rebalance/src/progress/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the consensus log about plans. Serialised names must not change.
+//! Entries of the consensus log about plans. The serialized names must not change.
 
 use std::fmt;
 
@@ -6,12 +6,12 @@
 
 use crate::{Plan, Step};
 
-/// What ends a pause.
+/// What ends a pause of a plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResumeTrigger {
-    /// An operator, by name.
+    /// The operator with this name resumes the plan.
     Operator(String),
-    /// The fleet is not overloaded any more; percentage of its brokers that still report overload.
+    /// The fleet is no longer overloaded. The value is the percentage of brokers that still report overload.
     #[serde(rename = "Pressure")]
     LoadNormal(u32),
 }
@@ -22,76 +22,78 @@
     /// Too many brokers report overload.
     #[serde(rename = "Pressed")]
     Overload {
-        /// Percentage of the fleet's brokers.
+        /// Percentage of the brokers that report overload.
         #[serde(rename = "hundredths")]
         overloaded_percent: u32,
     },
-    /// An operator asked for it.
+    /// An operator asked for the pause.
     #[serde(rename = "Word")]
     Operator {
-        /// Name of the operator.
+        /// Name of the operator who paused the plan.
         #[serde(rename = "who")]
         name: String,
     },
-    /// A step's version was withdrawn too often, or its map is invalid.
+    /// A step's version was withdrawn [`MAX_STEP_ATTEMPTS`](crate::MAX_STEP_ATTEMPTS) times, or could not be made or
+    /// was rejected.
     #[serde(rename = "Failed")]
     StepFailed {
-        /// The last error, for people.
+        /// The last error, as text.
         #[serde(rename = "why")]
         reason: String,
     },
 }
 
-/// An entry of the log about a plan.
+/// An entry of the consensus log about a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CommittedEntry {
-    /// A plan is accepted, as its proposer ordered it.
+    /// A plan is accepted, with the steps that its proposer computed.
     #[serde(rename = "Taken")]
     Accepted {
         /// The plan as the operator wrote it.
         plan: Box<Plan>,
-        /// Steps in their order.
+        /// Steps of the plan, in the order in which they run.
         steps: Vec<Step>,
-        /// The limit that the steps keep.
+        /// Maximum number of actions in one step, which the steps keep.
         #[serde(rename = "at_once")]
         max_actions: usize,
     },
-    /// This turn's step is to be this version, with a map of this digest; no other may come before it.
+    /// The plan's current step is assigned this version number and map digest. No other version may be proposed before
+    /// it.
     #[serde(rename = "Begun")]
     StepStarted {
         /// Id of the plan.
         plan: String,
-        /// The plan's turn at that time; a late entry has an earlier one.
+        /// Turn of the plan when the entry was proposed; a late entry has an earlier turn than the plan.
         turn: u64,
         /// Number of the version.
         number: u64,
         /// Digest of the version's map.
         digest: String,
     },
-    /// No further step starts.
+    /// The plan is paused: no further step starts.
     Paused {
         /// Id of the plan.
         plan: String,
-        /// For the log and the operator.
+        /// Why the plan is paused.
         #[serde(rename = "why")]
         reason: PauseReason,
     },
-    /// The plan continues.
+    /// A paused plan continues.
     Resumed {
         /// Id of the plan.
         plan: String,
-        /// An operator, or the end of an overload.
+        /// What ends the pause.
         #[serde(rename = "by")]
         trigger: ResumeTrigger,
     },
-    /// All that is done is to be undone.
+    /// The plan is withdrawn: the steps that are done are undone.
     Withdrawn {
         /// Id of the plan.
         plan: String,
-        /// Name of the operator.
+        /// Name of the operator who withdraws the plan.
         #[serde(rename = "who")]
         withdrawn_by: String,
-        /// Reason, for people.
+        /// Why the operator withdraws the plan, as free text.
         #[serde(rename = "why")]
         reason: String,
     },
@@ -101,16 +103,16 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Overload { overloaded_percent } => {
-                write!(f, "{overloaded_percent}% of the brokers are pressed")
+                write!(f, "{overloaded_percent}% of the brokers report overload")
             }
-            Self::Operator { name } => write!(f, "on the word of {name}"),
-            Self::StepFailed { reason } => write!(f, "a step came to nothing: {reason}"),
+            Self::Operator { name } => write!(f, "requested by operator {name}"),
+            Self::StepFailed { reason } => write!(f, "a step failed: {reason}"),
         }
     }
 }
 
 impl CommittedEntry {
-    /// Id of the plan.
+    /// Id of the plan that the entry is about.
     pub fn plan_id(&self) -> &str {
         match self {
             Self::Accepted { plan, .. } => &plan.id,
--- a/crates/dunepond-rebalance/src/progress/mod.rs
+++ b/crates/dunepond-rebalance/src/progress/mod.rs
@@ -1,11 +1,13 @@
-//! How far a plan has come, the same at all voters: committed entries and the ends of versions in, what the leader does next
-//! out.
+//! Progress of a plan, which is the same at all voters. It is updated by committed entries and by outcomes of versions,
+//! and yields the leader's next action.
 //!
-//! A step is *started* when its version's number and its map's digest stand in the log; then the version is proposed (its
-//! replicas are filled during the joint phase; where owners change this is the fence), and with its activation the step is
-//! *done*, by the same entry. A withdrawn plan is undone: a started step that is not proposed by releasing its number, a
-//! proposed one by withdrawing the version, active ones by versions that lead back. There is one version for one turn, and
-//! a turn counts once, whoever leads.
+//! A step is *started* when an entry with the number of its version and the digest of its map is committed. The version
+//! is then proposed. During its joint phase replicas are filled, or, where owners change, non-idempotent parts are
+//! rejected. The entry that activates the version also marks the step as *done*.
+//!
+//! A withdrawn plan is undone. If the current step is started but not proposed, its number is released; if its version
+//! is proposed, the version is withdrawn; steps that are done are undone by further versions. Each turn has one
+//! version, and the turn number increases once for each version, whoever leads.
 
 mod apply;
 mod check;
@@ -24,54 +26,58 @@
 pub use next_action::{LeaderAction, PlanWait};
 pub use running::{EndedPlan, PlanOutcome, RunningPlan, StartedStep, Withdrawal};
 
-/// Progress of the running plan, and the plans that ended. Part of the replicated state and its snapshots.
+/// Progress of the running plan, and the plans that have ended. Part of the replicated state and its snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlanProgress {
-    /// The plan that is under way; there is one at a time.
+    /// The running plan, if any; only one plan runs at a time.
     pub running: Option<RunningPlan>,
-    /// Plans that ended, the oldest first.
+    /// Plans that have ended, oldest first; at most [`MAX_ENDED_PLANS`](crate::MAX_ENDED_PLANS).
     pub ended: VecDeque<EndedPlan>,
-    /// Steps that were started and abandoned before they were proposed: their versions may still be on the way.
+    /// Steps that were abandoned after they were started and before their versions were proposed. A proposal of such a
+    /// version may still arrive and is refused.
     #[serde(rename = "given_up")]
     abandoned: Vec<StartedStep>,
 }
 
-/// The replicated state beside the plan, as an entry finds it.
+/// The part of the replicated state outside the plan against which entries are checked and applied.
 pub struct RebalanceContext<'a> {
-    /// Number of the version that is proposed and neither active nor withdrawn.
+    /// Number of the version that is proposed and neither active nor withdrawn, if there is one.
     pub open_version: Option<u64>,
-    /// The highest number that any version had.
+    /// Highest version number used so far.
     pub highest_version: u64,
-    /// None before the first version with a map.
+    /// The active map; `None` before the first version with a map.
     pub active_map: Option<&'a VerifiedMap>,
-    /// Ratio of the segments that one version may change.
+    /// Maximum ratio of changed segments to all segments in one version, from 0 to 1.
     pub max_changed_ratio: f64,
 }
 
 /// How a version ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionEnd<'a> {
-    /// It is active.
+    /// The version became active.
     Activated,
-    /// It was withdrawn, for this reason.
+    /// The version was withdrawn, for this reason.
     Withdrawn(&'a str),
 }
 
 impl PlanProgress {
+    /// The running plan, if it has this id.
     fn running(&self, id: &str) -> Result<&RunningPlan, RebalanceError> {
         let running = self.running.as_ref().filter(|running| running.plan.id == id);
         running.ok_or(RebalanceError::NotRunning { id: id.to_string() })
     }
 
+    /// The running plan's started step, if there is one.
     fn started(&self) -> Option<&StartedStep> {
         self.running.as_ref()?.started.as_ref()
     }
 
-    /// Whether a version may be proposed beside the plan. `new_map`: the digest of its map, if that differs from the active
-    /// one.
+    /// Checks whether a version may be proposed while the plan runs. `new_map`: digest of the version's map, if the map
+    /// differs from the active one.
     ///
     /// # Errors
-    /// A step comes first, or the map is the plan's to change.
+    /// A started step has to be proposed first, the version belongs to an abandoned step, or the version changes the
+    /// map, which only the running plan may do.
     pub fn check_version(&self, number: u64, new_map: Option<&str>) -> Result<(), RebalanceError> {
         let is_version_of = |step: &StartedStep| step.number == number && Some(&step.digest[..]) == new_map;
         if self.started().is_some_and(is_version_of) {
@@ -91,7 +97,8 @@
         }
     }
 
-    /// State of a plan in words, for a line of the log.
+    /// State of the running plan or of an ended plan as text, for log lines and replies between brokers; `None` for
+    /// other ids.
     pub fn status(&self, id: &str) -> Option<String> {
         if let Some(running) = self.running.as_ref().filter(|running| running.plan.id == id) {
             return Some(running.status());
--- a/crates/dunepond-rebalance/src/progress/next_action.rs
+++ b/crates/dunepond-rebalance/src/progress/next_action.rs
@@ -1,4 +1,4 @@
-//! What the leader does next for the running plan.
+//! The leader's next action for the running plan.
 
 use std::fmt::Display;
 
@@ -7,66 +7,68 @@
 use super::{CommittedEntry, PauseReason, PlanProgress, RebalanceContext, RunningPlan, StartedStep};
 use crate::RebalanceError;
 
-/// Why nothing is to be done now.
+/// Why the leader has nothing to do for a plan now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanWait {
-    /// No plan runs, or the time between two steps has not passed.
-    NoPlan,
-    /// Until an operator resumes it, or the overload ends.
+    /// No plan is running, the wait between two steps has not passed, or the plan has no step left to start.
+    NoStepDue,
+    /// The plan is paused until an operator resumes it or the overload ends.
     Paused(PauseReason),
-    /// The step's version of this number is proposed.
+    /// The started step's version, with this number, is proposed and neither active nor withdrawn yet.
     StepInProgress(u64),
-    /// Another version of this number is proposed.
+    /// A version that is not a step of the plan, with this number, is proposed and neither active nor withdrawn yet.
     OtherVersion(u64),
 }
 
-/// What the leader does next.
+/// What the leader has to do next for a plan.
 #[derive(Debug)]
 pub enum LeaderAction {
-    /// Nothing.
+    /// Nothing, for this reason.
     Wait(PlanWait),
-    /// Enters this into the log.
-    Enter(CommittedEntry),
-    /// Proposes the version of a step.
+    /// Proposes this entry for the consensus log.
+    Append(CommittedEntry),
+    /// Proposes the version of the started step.
     Propose {
         /// Number of the version.
         number: u64,
-        /// Transition from the active map to the version's.
+        /// Transition from the active map to the version's map.
         transition: Box<MapTransition>,
     },
-    /// Withdraws the version of a step.
+    /// Withdraws the version of the started step.
     Withdraw {
         /// Number of the version.
         number: u64,
-        /// Reason, for people.
+        /// Why the version is withdrawn, as text.
         reason: String,
     },
 }
 
 impl PlanProgress {
-    /// What the leader does next. `is_settled`: the time between two steps has passed.
+    /// The leader's next action. `is_settled`: whether the wait between two steps has passed.
     pub fn next_action(&self, context: &RebalanceContext<'_>, is_settled: bool) -> LeaderAction {
-        let Some(running) = &self.running else { return LeaderAction::Wait(PlanWait::NoPlan) };
+        let Some(running) = &self.running else { return LeaderAction::Wait(PlanWait::NoStepDue) };
         match &running.started {
             Some(step) => running.continue_step(step, context),
             None => running.start_step(context, is_settled),
         }
     }
 
-    /// Pauses the plan until an operator has looked: its step cannot be made of the active map, or is rejected.
+    /// The action that pauses the plan until an operator resumes it, because its step is not possible on the active map
+    /// or its version was rejected. No action if the plan is already paused.
     pub fn pause_after_failure(&self, error: &dyn Display) -> LeaderAction {
         match &self.running {
             Some(running) => running.pause_after_failure(error),
-            None => LeaderAction::Wait(PlanWait::NoPlan),
+            None => LeaderAction::Wait(PlanWait::NoStepDue),
         }
     }
 }
 
 impl RunningPlan {
+    /// Next action while a step is started.
     fn continue_step(&self, step: &StartedStep, context: &RebalanceContext<'_>) -> LeaderAction {
         let number = step.number;
         if context.open_version != Some(number) {
-            // Started by an earlier leader, and not proposed as far as the log says.
+            // The step is started, possibly by an earlier leader, but the log has no proposal of its version yet.
             return self.propose_step(number, context);
         }
         match &self.withdrawal {
@@ -86,6 +88,7 @@
         }
     }
 
+    /// Next action while no step is started.
     fn start_step(&self, context: &RebalanceContext<'_>, is_settled: bool) -> LeaderAction {
         if let Some(reason) = &self.pause {
             return LeaderAction::Wait(PlanWait::Paused(reason.clone()));
@@ -94,10 +97,10 @@
             return LeaderAction::Wait(PlanWait::OtherVersion(open));
         }
         if !is_settled || self.current_batch().is_none() {
-            return LeaderAction::Wait(PlanWait::NoPlan);
+            return LeaderAction::Wait(PlanWait::NoStepDue);
         }
         match self.current_transition(context) {
-            Ok(transition) => LeaderAction::Enter(CommittedEntry::StepStarted {
+            Ok(transition) => LeaderAction::Append(CommittedEntry::StepStarted {
                 plan: self.plan.id.clone(),
                 turn: self.turn,
                 number: context.highest_version + 1,
@@ -107,6 +110,7 @@
         }
     }
 
+    /// Map transition of the current batch.
     fn current_transition(&self, context: &RebalanceContext<'_>) -> Result<MapTransition, RebalanceError> {
         match (self.current_batch(), context.active_map) {
             (Some(batch), Some(map)) => batch.transition(map, self.steps_done),
@@ -117,7 +121,7 @@
     fn pause_after_failure(&self, error: &dyn Display) -> LeaderAction {
         match &self.pause {
             Some(reason) => LeaderAction::Wait(PlanWait::Paused(reason.clone())),
-            None => LeaderAction::Enter(CommittedEntry::Paused {
+            None => LeaderAction::Append(CommittedEntry::Paused {
                 plan: self.plan.id.clone(),
                 reason: PauseReason::StepFailed { reason: error.to_string() },
             }),
--- a/crates/dunepond-rebalance/src/progress/running.rs
+++ b/crates/dunepond-rebalance/src/progress/running.rs
@@ -1,4 +1,4 @@
-//! The running plan, and how plans ended. Serialised names must not change.
+//! The running plan, and records of plans that have ended. The serialized names must not change.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt;
@@ -8,7 +8,7 @@
 use super::PauseReason;
 use crate::{Action, ActionBatch, Plan, PlannedAction, Step};
 
-/// A step whose version has its number.
+/// A step that was assigned the number and the map of its version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StartedStep {
     /// Number of the version.
@@ -17,13 +17,13 @@
     pub digest: String,
 }
 
-/// An operator's order to undo a plan. Stored as a pair.
+/// An operator's request to undo a plan. Serialized as a pair.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, String)", into = "(String, String)")]
 pub struct Withdrawal {
-    /// Name of the operator.
+    /// Name of the operator who withdrew the plan.
     pub withdrawn_by: String,
-    /// Reason, for people.
+    /// Why the operator withdrew the plan, as free text.
     pub reason: String,
 }
 
@@ -39,53 +39,54 @@
     }
 }
 
-/// The plan that is under way.
+/// State of the running plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunningPlan {
     /// The plan as the operator wrote it.
     pub plan: Plan,
-    /// Steps in their order.
+    /// Steps of the plan, in the order in which they run.
     pub steps: Vec<Step>,
-    /// How many of `steps` are done.
+    /// Number of steps that are done.
     #[serde(rename = "done")]
     pub steps_done: usize,
-    /// Set once the plan is to be undone.
+    /// Set once the plan is withdrawn and has to be undone.
     #[serde(rename = "undoing")]
     pub withdrawal: Option<Withdrawal>,
-    /// What is left to be undone; set once the plan is to be undone and no version of it is under way.
+    /// Batches that are still needed to undo the plan. Set once the plan is withdrawn and no step is started.
     #[serde(rename = "back")]
     pub rollback: Option<VecDeque<ActionBatch>>,
-    /// The step whose version has its number.
+    /// The started step, whose version is neither active nor withdrawn yet.
     #[serde(rename = "begun")]
     pub started: Option<StartedStep>,
-    /// Counts every version that a step of this plan was given, so that nothing late is taken for something new.
+    /// Number of versions of this plan that were activated, withdrawn or abandoned. Entries name the turn, so that a
+    /// late entry is not applied to a later step.
     pub turn: u64,
-    /// Versions of the current step that were withdrawn.
+    /// Number of failed versions of the current step since the last resume.
     #[serde(rename = "tries")]
     pub failed_attempts: u32,
-    /// While no step may start.
+    /// Why the plan is paused, if it is; no step starts during a pause.
     #[serde(rename = "paused")]
     pub pause: Option<PauseReason>,
 }
 
-/// How a plan ended. One that was refused never ran.
+/// How a plan ended. A plan that was refused never ran and has no outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlanOutcome {
-    /// All steps are done.
+    /// All steps were carried out.
     Done,
-    /// All that was done is undone.
+    /// The plan was withdrawn, and the steps that were done have been undone.
     Undone {
-        /// Name of the operator.
+        /// Name of the operator who withdrew the plan.
         #[serde(rename = "who")]
         withdrawn_by: String,
-        /// Reason, for people.
+        /// Why the operator withdrew the plan, as free text.
         #[serde(rename = "why")]
         reason: String,
     },
 }
 
 impl fmt::Display for PlanOutcome {
-    /// As it stands in log lines and in replies between brokers.
+    /// Writes the form that log lines and replies between brokers use; it must not change.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Done => f.write_str("Done"),
@@ -96,22 +97,23 @@
     }
 }
 
-/// A plan that ended.
+/// Record of a plan that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedPlan {
     /// Id of the plan, never used again.
     pub id: String,
-    /// Name of the operator.
+    /// Name of the operator who proposed the plan.
     #[serde(rename = "who")]
     pub proposed_by: String,
-    /// Done or undone.
+    /// How the plan ended.
     #[serde(rename = "how")]
     pub outcome: PlanOutcome,
-    /// Versions that it took.
+    /// Number of versions of this plan that were activated, withdrawn or abandoned.
     pub turns: u64,
 }
 
 impl RunningPlan {
+    /// A plan that was just accepted: no step is done or started.
     pub(super) fn new(plan: Plan, steps: Vec<Step>) -> Self {
         Self {
             plan,
@@ -126,7 +128,7 @@
         }
     }
 
-    /// The batch that is next or under way.
+    /// The batch of the started step or, if no step is started, of the next one. `None` if nothing is left to do.
     pub fn current_batch(&self) -> Option<&ActionBatch> {
         match &self.rollback {
             Some(rollback) => rollback.front(),
@@ -134,10 +136,12 @@
         }
     }
 
+    /// Whether no step is started and nothing is left to do.
     pub(super) fn is_over(&self) -> bool {
         self.started.is_none() && self.current_batch().is_none()
     }
 
+    /// Progress as text, for log lines and replies between brokers.
     pub(super) fn status(&self) -> String {
         if let Some(rollback) = &self.rollback {
             return format!("being undone, {} versions left", rollback.len());
@@ -149,13 +153,13 @@
         }
     }
 
-    /// Undoes the steps that are done, last first.
+    /// Computes the batches that undo the steps that are done, the last step first.
     pub(super) fn start_rollback(&mut self) {
         let done = &self.steps[..self.steps_done];
         let switched = switched_operations(done);
         let mut rollback = VecDeque::new();
         for batch in done.iter().rev().flat_map(|step| &step.rollback) {
-            // A replica that took over is removed by the switch back.
+            // If the operation's switch is done, the switch back already removes the replica that was filled.
             let is_needed = |planned: &&PlannedAction| {
                 !(matches!(planned.action, Action::RemoveReplica { .. })
                     && switched.contains(&planned.operation))
@@ -169,6 +173,7 @@
     }
 }
 
+/// Operations whose switch is among the steps.
 fn switched_operations(steps: &[Step]) -> BTreeSet<usize> {
     let actions = steps.iter().flat_map(|step| &step.forward.actions);
     let switches = actions.filter(|planned| matches!(planned.action, Action::Switch { .. }));
--- a/crates/dunepond-rebalance/src/transition.rs
+++ b/crates/dunepond-rebalance/src/transition.rs
@@ -1,4 +1,4 @@
-//! The map transition of a batch of actions.
+//! Computes the map transition that carries out a batch of actions.
 
 use dunepond_shard_map::{MapDelta, MapTransition, Segment, VerifiedMap, verify_delta};
 
@@ -6,13 +6,14 @@
 use crate::{ActionBatch, RebalanceError};
 
 impl ActionBatch {
-    /// The verified transition from the active map to the one of this batch. `step` is for the error alone.
+    /// The verified transition from the active map to the map after this batch. `step` is used only in errors.
     ///
     /// # Errors
-    /// An action is not possible on this map, or [`RebalanceError::InvalidMap`].
+    /// An action is not possible on this map, or the map after the batch or the transition to it is invalid
+    /// ([`RebalanceError::InvalidMap`]).
     pub fn transition(&self, map: &VerifiedMap, step: usize) -> Result<MapTransition, RebalanceError> {
-        let mut layout = Layout::of(map, self.segments());
-        // Replicas that the plan itself had filled are taken as such by the documents.
+        let mut layout = Layout::from_map(map, self.segments());
+        // A replica that was filled by an earlier step of the plan is written as filled into the new map.
         for planned in &self.actions {
             layout.apply(planned.operation, &planned.action, |id| map.contains_segment(id))?;
         }
--- a/crates/dunepond-rebalance/tests/model.rs
+++ b/crates/dunepond-rebalance/tests/model.rs
@@ -1,6 +1,6 @@
-//! Model check of a plan's progress over an abstract log: what leaders, operators and clocks propose is in flight for any
-//! time, and is lost, committed, or committed twice, in any order. This covers a leader that crashed, one that was delayed,
-//! and both sides of a partition. The invariants are checked in every state.
+//! Model check of a plan's progress over an abstract log: what leaders, operators and clocks propose is in flight for
+//! any time, and is lost, committed, or committed twice, in any order. This covers a leader that crashed, one that was
+//! delayed, and both sides of a partition. The invariants are checked in every state.
 
 mod common;
 
@@ -301,7 +301,7 @@
             Act::Lead => {
                 let item = match world.progress.next_action(&world.context(), true) {
                     LeaderAction::Wait(_) => return None,
-                    LeaderAction::Enter(entry) => Item::Plan(entry),
+                    LeaderAction::Append(entry) => Item::Plan(entry),
                     LeaderAction::Propose { number, transition } => {
                         Item::Propose(number, transition.into(), true)
                     }
--- a/crates/dunepond-rebalance/tests/properties.rs
+++ b/crates/dunepond-rebalance/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Random maps and plans: ordered steps are valid one by one and keep the capacities, their rollback restores the map, and
-//! where the search finds no order, trying every order by the plainest means finds none either.
+//! Random maps and plans: ordered steps are valid one by one and keep the capacities, their rollback restores the map,
+//! and where the search finds no order, trying every order by the plainest means finds none either.
 
 mod common;
 
@@ -253,7 +253,7 @@
                 enter(&mut progress, withdrawn(), highest, &map);
             }
             match progress.next_action(&context(highest, &map), true) {
-                LeaderAction::Enter(entry) => enter(&mut progress, entry, highest, &map),
+                LeaderAction::Append(entry) => enter(&mut progress, entry, highest, &map),
                 LeaderAction::Propose { number, .. } => {
                     let batch = progress.running.as_ref().and_then(|r| r.current_batch()).unwrap().clone();
                     let next = applied(&map, &batch).unwrap();
--- a/crates/dunepond-rebalance/tests/stories.rs
+++ b/crates/dunepond-rebalance/tests/stories.rs
@@ -11,7 +11,8 @@
 use rstest::rstest;
 use strum::EnumCount;
 
-/// Carries out the steps on maps, each by the transition that a version is checked with. Counts fills and changed segments.
+/// Carries out the steps on maps, each by the transition that a version is checked with. Counts fills and changed
+/// segments.
 fn carried_out<'a>(
     from: &VerifiedMap,
     batches: impl Iterator<Item = &'a dunepond_rebalance::ActionBatch>,
@@ -207,7 +208,7 @@
         RebalanceError::ReplicaNotFilled { operation, segment, node: node.clone() },
         RebalanceError::UnknownPartner { operation, node: node.clone() },
         RebalanceError::NodeLeaving { operation, node },
-        RebalanceError::TooManyChanges { step, operation, changed: 1, of: 2, max_ratio: 0.2 },
+        RebalanceError::TooManyChanges { step, operation, changed: 1, total: 2, max_ratio: 0.2 },
         RebalanceError::CapacityExceeded { step, operation, shortage: shortage.clone().into() },
         RebalanceError::SearchExhausted { visited: 1, step, operation, shortage: shortage.into() },
         RebalanceError::InvalidMap { step, faults: vec![dunepond_shard_map::MapFault::NoSegments] },
