--- a/crates/dunepond-quota/src/demand.rs
+++ b/crates/dunepond-quota/src/demand.rs
@@ -1,4 +1,5 @@
-//! Demand for a quota at one broker, estimated from what it used and what was rejected.
+//! Estimates a broker's demand for a quota from its use and its rejections, and the report that sends the estimate to
+//! the leader.
 
 use std::collections::BTreeMap;
 
@@ -6,21 +7,23 @@
 
 use crate::{SharedQuotas, TOTAL_UNITS};
 
-/// Weight of the newest sample in the moving average.
+/// Weight of the newest sample in the exponential moving average of the demand.
 const NEWEST_SAMPLE_RATIO: f64 = 0.25;
-/// Rejected demand counts up to this multiple of the use, since the same few requests are retried again and again.
+/// Rejected demand counts up to this multiple of the use or of the available share, whichever is larger: a few requests
+/// that are retried again and again are rejected many times.
 const MAX_REJECTED_RATIO: f64 = 1.0;
 
-/// Smoothed demand for one quota at one broker.
+/// One broker's smoothed demand for one quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Demand as a ratio of the total; `None` before the first sample.
+    /// Demand as a ratio of the quota's total; `None` before the first sample.
     smoothed_ratio: Option<f64>,
 }
 
 impl Demand {
-    /// Adds what was used and what was rejected beyond it since the last sample, as ratios of the total. `available` is
-    /// the ratio that this broker holds: with almost no share it cannot use more, whatever its demand.
+    /// Adds a sample. `used` is the use since the last sample, `rejected` the demand that was rejected beyond it, and
+    /// `available` the share that this broker holds, all as ratios of the quota's total. `available` limits what the broker
+    /// can use, whatever its demand.
     pub fn record_sample(&mut self, used: f64, rejected: f64, available: f64) {
         let (used, available) = (non_negative(used), non_negative(available));
         let sample = used + non_negative(rejected).min(MAX_REJECTED_RATIO * used.max(available));
@@ -28,7 +31,7 @@
         self.smoothed_ratio = Some(before + NEWEST_SAMPLE_RATIO * (sample - before));
     }
 
-    /// The demand in units of the quota, at most the total.
+    /// Returns the smoothed demand in units of the quota, at most [`TOTAL_UNITS`].
     pub fn units(&self) -> u32 {
         let total = f64::from(TOTAL_UNITS);
         (self.smoothed_ratio.unwrap_or(0.0) * total).clamp(0.0, total) as u32
@@ -42,13 +45,14 @@
 /// The report that a broker sends with each lease request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DemandReport {
-    /// Acknowledges [`crate::Allocation::shrunk_generation`] of the allocation in use; 0 if none came in this run.
+    /// [`crate::Allocation::shrunk_generation`] of the allocation that the broker acts on, which acknowledges the shrink; 0
+    /// if the broker has received no allocation since it started.
     #[serde(rename = "shrunk")]
     pub shrunk_generation: u64,
-    /// The quotas that the broker's own file shares.
+    /// The shared quotas according to the broker's own configuration file.
     #[serde(rename = "bounds")]
     pub shared: SharedQuotas,
-    /// Demand for each quota in units, floor included.
+    /// Demand in units by quota name, including what the floor covers.
     #[serde(rename = "needs")]
     pub demand_units: BTreeMap<String, u32>,
 }
--- a/crates/dunepond-quota/src/entry.rs
+++ b/crates/dunepond-quota/src/entry.rs
@@ -1,40 +1,41 @@
-//! Entries of the consensus log about quotas. The serialised names are those of the log's format.
+//! Consensus log entries that change the quota ledger. The serialized names are part of the log's format.
 
 use serde::{Deserialize, Serialize};
 
 use crate::SharedQuotas;
 
-/// A change of the [`crate::QuotaLedger`].
+/// A log entry that changes the [`crate::QuotaLedger`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum QuotaEntry {
-    /// Replaces the shared quotas. This is valid only while no unit is leased or reserved.
+    /// Replaces the shared quotas and removes all brokers. Valid only while no unit is reserved.
     #[serde(rename = "Bounds")]
     Configure(SharedQuotas),
-    /// Allows the broker to hold shares from now on.
+    /// Adds a broker, which may hold shares from then on.
     #[serde(rename = "Seat")]
     AddBroker {
-        /// Name of the broker.
+        /// Name of the broker to add.
         broker: String,
     },
-    /// Ends the broker's right to hold shares. This is valid only while it holds none.
+    /// Removes a broker, which may no longer hold shares. Valid only while no unit is reserved for it.
     #[serde(rename = "Free")]
     RemoveBroker {
-        /// Name of the broker.
+        /// Name of the broker to remove.
         broker: String,
     },
-    /// Sets units beyond the floor; shares that are not listed stay as they are.
+    /// Sets the sizes of shares; shares that are not listed stay as they are.
     #[serde(rename = "Parts")]
     SetShares {
-        /// New sizes, at most one for each broker and quota.
+        /// New sizes of shares, at most one for each broker and quota.
         #[serde(rename = "parts")]
         shares: Vec<QuotaShare>,
     },
-    /// Releases reserved units: by the leader's clock the broker has stopped using what it held before this generation.
+    /// Releases the units that are reserved for a broker beyond its granted units. The leader proposes this once, by its
+    /// clock, the broker has certainly stopped using the size that its share had before the shrink.
     #[serde(rename = "Settled")]
     Release {
-        /// Name of the broker.
+        /// Name of the broker whose share shrank.
         broker: String,
-        /// Generation of the shrink whose release is awaited.
+        /// Ledger generation of the broker's last shrink.
         generation: u64,
     },
 }
@@ -42,11 +43,11 @@
 /// The size of one broker's share of one quota.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaShare {
-    /// Name of the broker.
+    /// Name of the broker that holds the share.
     pub broker: String,
     /// Name of the quota.
     #[serde(rename = "bound")]
     pub quota: String,
-    /// Units beyond the floor.
+    /// Granted units beyond the floor.
     pub units: u32,
 }
--- a/crates/dunepond-quota/src/error.rs
+++ b/crates/dunepond-quota/src/error.rs
@@ -1,78 +1,84 @@
-//! Why quotas are not shared as asked, and what an operator can do about it.
+//! Errors of quota entries and quota configurations, each with advice for the operator.
 
 use thiserror::Error;
 
-/// Why an entry or a configuration is rejected; nothing changes because of it.
+/// Why a quota entry or a quota configuration is rejected. A rejected entry changes nothing.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum QuotaError {
-    /// The ratio of floors is out of range.
-    #[error("limits: the share of floors is {0}, expected above 0 and up to 1")]
+    /// The configured ratio of each quota that is split into floors is out of range.
+    #[error("limits: `floor` is {0}, expected a ratio above 0 and at most 1")]
     FloorRatio(f64),
-    /// The number of brokers is out of range.
-    #[error("limits: {given} brokers, expected 1 to {max}")]
+    /// The configured number of brokers is out of range.
+    #[error("limits: {given} brokers are configured, expected 1 to {max}")]
     BrokerCount {
         /// Configured number of brokers.
         given: u32,
-        /// Upper limit.
+        /// Largest allowed number of brokers.
         max: u32,
     },
-    /// The number of quotas is out of range.
-    #[error("limits: {given} quotas, expected 1 to {max}")]
+    /// The configured number of quotas is out of range.
+    #[error("limits: {given} quotas are configured, expected 1 to {max}")]
     QuotaCount {
         /// Configured number of quotas.
         given: usize,
-        /// Upper limit.
+        /// Largest allowed number of quotas.
         max: usize,
     },
-    /// A quota is named twice.
+    /// The configuration names a quota twice.
     #[error("limits: the quota `{0}` is named twice")]
     DuplicateQuota(String),
     /// The floors of all brokers add up to more than the total.
-    #[error("limits: floors of {floor_units} units for {brokers} brokers exceed the total")]
+    #[error("limits: the floors of {brokers} brokers, each of {floor_units} units, exceed the total")]
     FloorsExceedTotal {
         /// Floor of each broker, in units.
         floor_units: u32,
-        /// Number of brokers that may exist.
+        /// Configured number of brokers that may exist at the same time.
         brokers: u32,
     },
-    /// The window is out of range.
-    #[error("limits: a window of {given} ms, expected 1 to {max}")]
+    /// The configured window over which quotas are counted is out of range.
+    #[error("limits: a window of {given} ms is configured, expected 1 to {max} ms")]
     Window {
         /// Configured window, in milliseconds.
         given: u64,
-        /// Upper limit, in milliseconds.
+        /// Longest allowed window, in milliseconds.
         max: u64,
     },
-    /// No quota is configured.
-    #[error("limits: no quota is shared yet")]
+    /// The entry needs configured quotas, and none have been configured yet.
+    #[error("limits: no quotas are configured yet")]
     NotConfigured,
-    /// Quotas cannot be reconfigured while units are leased.
-    #[error("limits: other quotas are proposed while {units} units of `{quota}` are reserved")]
+    /// Quotas cannot be reconfigured while units are reserved for a broker.
+    #[error(
+        "limits: the quotas cannot be changed while {units} units of `{quota}` are reserved for a broker"
+    )]
     StillLeased {
         /// Name of a quota with reserved units.
         quota: String,
-        /// Number of reserved units.
+        /// Number of units that are reserved for one broker.
         units: u32,
     },
-    /// The configuration is the one in force.
-    #[error("limits: these quotas are in force already")]
+    /// The proposed quotas are already in force.
+    #[error("limits: the proposed quotas are already in force")]
     AlreadyConfigured,
-    /// A broker joins, and no further broker may be added.
-    #[error("limits: `{broker}` joins, and all {brokers} brokers that may exist are present")]
+    /// A broker cannot be added because the largest number of brokers is already present.
+    #[error(
+        "limits: broker `{broker}` cannot be added, as the configured maximum of {brokers} brokers is reached"
+    )]
     TooManyBrokers {
-        /// Name of the broker that would join.
+        /// Name of the broker that would be added.
         broker: String,
-        /// Number of brokers that may exist.
+        /// Configured number of brokers that may exist at the same time.
         brokers: u32,
     },
     /// The broker was already added.
-    #[error("limits: `{0}` shares already")]
+    #[error("limits: broker `{0}` was already added")]
     BrokerExists(String),
-    /// The broker was never added.
-    #[error("limits: `{0}` is none of the brokers that share")]
+    /// The broker has not been added, or was removed.
+    #[error("limits: broker `{0}` has not been added")]
     UnknownBroker(String),
     /// A broker with reserved units cannot be removed.
-    #[error("limits: `{broker}` leaves while {units} units of `{quota}` are reserved for it")]
+    #[error(
+        "limits: broker `{broker}` cannot be removed while {units} units of `{quota}` are reserved for it"
+    )]
     BrokerHoldsUnits {
         /// Name of the broker that would be removed.
         broker: String,
@@ -82,68 +88,74 @@
         units: u32,
     },
     /// The quota is not configured.
-    #[error("limits: no quota `{0}` is shared")]
+    #[error("limits: quota `{0}` is not configured")]
     UnknownQuota(String),
     /// More units would be reserved than are spare.
     #[error(
-        "limits: shares of `{quota}` would come to {units} units beyond the floors, and {spare} are spare"
+        "limits: {units} units of `{quota}` would be reserved beyond the floors, but only {spare} are spare"
     )]
     ExceedsTotal {
         /// Name of the quota whose shares would be too large.
         quota: String,
-        /// Number of units that would be reserved in total.
+        /// Number of units that would be reserved for all brokers beyond the floors.
         units: u64,
         /// Number of units that belong to no floor.
         spare: u32,
     },
-    /// The entry repeats the state in force.
-    #[error("limits: nothing would change")]
+    /// The entry sets shares to the sizes that they already have.
+    #[error("limits: the entry would change nothing")]
     NoChange,
-    /// The shrink was already released, or another one followed it.
-    #[error("limits: `{broker}` is not waited for at generation {generation}")]
+    /// The entry releases a shrink that was already released, or that a later shrink replaced.
+    #[error("limits: no release of units of broker `{broker}` is awaited at generation {generation}")]
     NotAwaited {
         /// Name of the broker.
         broker: String,
-        /// Generation of the shrink.
+        /// Ledger generation of the shrink that the entry names.
         generation: u64,
     },
-    /// A release was proposed by another broker than the leader.
-    #[error("limits: only the leader's clock may release the units of `{0}`")]
+    /// A broker other than the leader proposed a release.
+    #[error("limits: only the leader may release units of broker `{0}`")]
     LeaderOnly(String),
 }
 
 impl QuotaError {
-    /// What an operator can do about it.
+    /// Returns advice for the operator on how to resolve the error.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::FloorRatio(_) => "set `limits floor` to a share such as 0.25",
-            Self::BrokerCount { .. } => "set the settings' number of brokers to how many may exist at once",
+            Self::FloorRatio(_) => "set `limits floor` to a ratio such as 0.25",
+            Self::BrokerCount { .. } => {
+                "set the number of brokers in the settings to how many may exist at once"
+            }
             Self::QuotaCount { .. } => "name cold, further or customers in `limits`, or leave `limits` out",
             Self::DuplicateQuota(_) => "name each customer once",
             Self::FloorsExceedTotal { .. } => {
-                "lower `limits floor`, or see that all files state the same number of brokers"
+                "lower `limits floor`, or make sure that all files state the same number of brokers"
             }
-            Self::Window { .. } => "set the settings' windows of budgets to some seconds",
-            Self::NotConfigured => "nothing to do: the leader enters the quotas of its file first",
+            Self::Window { .. } => "set the budget windows in the settings to a few seconds",
+            Self::NotConfigured => "nothing to do: the leader first proposes the quotas of its own file",
             Self::StillLeased { .. } => {
-                "nothing to do: the leader takes all shares back first; it takes some leases"
+                "nothing to do: the leader first reclaims all shares, which takes a few lease durations"
             }
-            Self::AlreadyConfigured => "nothing to do: a leader entered them before",
+            Self::AlreadyConfigured => "nothing to do: a leader configured them earlier",
             Self::TooManyBrokers { .. } => {
-                "raise the number of brokers in all settings and restart those that run, then start one more"
+                "raise the number of brokers in all settings and restart the running brokers before starting another one"
+            }
+            Self::BrokerExists(_) => "nothing to do: the entry was proposed twice",
+            Self::UnknownBroker(_) => {
+                "nothing to do: the plan was out of date; the next plan uses the brokers that are present"
+            }
+            Self::BrokerHoldsUnits { .. } => {
+                "nothing to do: the broker is removed once its last lease has expired"
             }
-            Self::BrokerExists(_) => "nothing to do: it was entered twice",
-            Self::UnknownBroker(_) => "nothing to do: a plan is out of date; the next names who is present",
-            Self::BrokerHoldsUnits { .. } => "nothing to do: it is removed once its last lease has expired",
-            Self::UnknownQuota(_) => "see that all files state the same `limits`",
+            Self::UnknownQuota(_) => "make sure that all files state the same `limits`",
             Self::ExceedsTotal { .. } => {
-                "a plan is out of date, the next fits; if it stays, look at the leader's build"
+                "nothing to do if it occurs once: the plan was out of date; if it recurs, check the build of the leader"
             }
-            Self::NoChange => "nothing to do: a plan came twice",
+            Self::NoChange => "nothing to do: the plan was proposed twice",
             Self::NotAwaited { .. } => {
-                "nothing to do: it was released before, or its share shrank again since"
+                "nothing to do: the units were already released, or the share has shrunk again since"
             }
-            Self::LeaderOnly(_) => "nothing to do: the leader says so by itself",
+            Self::LeaderOnly(_) => "nothing to do: the leader proposes the release itself",
         }
     }
 }
--- a/crates/dunepond-quota/src/ledger.rs
+++ b/crates/dunepond-quota/src/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger of spare units in the consensus log, which records how many units each broker holds. Each voter applies
-//! the same entries and checks each by itself; no clock is read here, so that all voters get the same result.
+//! The replicated ledger of spare units, which records how many units each broker holds. Each voter checks and applies
+//! the same entries of the consensus log by itself. The ledger reads no clock, so all voters get the same result.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 
 use crate::{Allocation, QuotaEntry, QuotaError, QuotaShare, SharedQuotas};
 
-/// A broker's units of one quota, beyond its floor.
+/// One broker's units of one quota, beyond its floor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct UnitGrant {
-    /// Units that the broker is granted.
+    /// Units that the ledger currently grants the broker.
     #[serde(rename = "now")]
     pub granted: u32,
     /// Units that the broker may still be using; at least `granted`.
@@ -18,69 +18,69 @@
     pub reserved: u32,
 }
 
-/// The shares of a broker that may hold shares.
+/// One added broker's shares of all quotas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BrokerShares {
-    /// Units beyond the floor, by quota.
+    /// Units beyond the floor, by quota name.
     #[serde(rename = "held")]
     pub grants: BTreeMap<String, UnitGrant>,
-    /// Generation of the last entry that shrank one of its shares.
+    /// Ledger generation of the last entry that shrank one of the broker's shares; 0 if none did.
     #[serde(rename = "shrunk")]
     pub shrunk_generation: u64,
 }
 
 impl BrokerShares {
-    /// Whether a share shrank and its old size is still reserved.
+    /// Whether one of the broker's shares shrank and its old size is still reserved.
     pub fn awaits_release(&self) -> bool {
         self.grants.values().any(|grant| grant.reserved > grant.granted)
     }
 
-    /// Units of the quota that the broker is granted.
+    /// Returns the units of `quota` that the broker is granted beyond its floor.
     pub fn granted_units(&self, quota: &str) -> u32 {
         self.grants.get(quota).map_or(0, |grant| grant.granted)
     }
 
-    /// Units of the quota that the broker may still be using.
+    /// Returns the units of `quota` that the broker may still be using beyond its floor.
     pub fn reserved_units(&self, quota: &str) -> u32 {
         self.grants.get(quota).map_or(0, |grant| grant.reserved)
     }
 
-    /// The quota with the most reserved units and their number, if any units are reserved.
+    /// Returns the quota with the most reserved units and their number, if any units are reserved.
     fn largest_reservation(&self) -> Option<(&String, u32)> {
         let reserved = self.grants.iter().map(|(quota, grant)| (quota, grant.reserved));
         reserved.max_by_key(|(_, units)| *units).filter(|(_, units)| *units > 0)
     }
 }
 
-/// The replicated state of all quotas.
+/// The replicated state of all quotas: which are shared, and which units each broker holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaLedger {
     /// The shared quotas; `None` before the first configuration.
     #[serde(rename = "bounds")]
     pub shared: Option<SharedQuotas>,
-    /// Number of entries that changed something.
+    /// Number of entries that have been applied; increases with each change.
     pub generation: u64,
-    /// Brokers that may hold shares, by name.
+    /// Brokers that may hold shares, with their shares, by broker name.
     #[serde(rename = "seats")]
     pub brokers: BTreeMap<String, BrokerShares>,
 }
 
 impl QuotaLedger {
-    /// Units of a quota that are reserved beyond the floors.
+    /// Returns the units of `quota` that are reserved for all brokers beyond the floors.
     pub fn reserved_units(&self, quota: &str) -> u64 {
         self.brokers.values().map(|shares| u64::from(shares.reserved_units(quota))).sum()
     }
 
-    /// Units of a quota that may be granted now.
+    /// Returns the units of `quota` that may be granted now.
     pub fn free_units(&self, quota: &str) -> u32 {
         let spare = self.shared.as_ref().map_or(0, SharedQuotas::spare_units);
         u64::from(spare).saturating_sub(self.reserved_units(quota)) as u32
     }
 
-    /// Checks that the entry may be applied and would change something.
+    /// Checks whether `entry` may be applied, without applying it.
     ///
     /// # Errors
-    /// The reason for which the entry would be rejected.
+    /// Why [`QuotaLedger::apply`] would reject the entry.
     pub fn check(&self, entry: &QuotaEntry) -> Result<(), QuotaError> {
         match entry {
             QuotaEntry::Configure(shared) => self.check_configure(shared),
@@ -134,8 +134,8 @@
         self.brokers.get(broker).ok_or_else(|| QuotaError::UnknownBroker(broker.to_string()))
     }
 
-    /// Checks that all shares fit. Each counts at the largest size that its broker may be using, old or new: a share
-    /// cannot grow before another one's shrink is released, regardless of who planned the entry.
+    /// Checks that all shares together stay within the spare units. Each share counts at the larger of its reserved and its
+    /// new size, so no share can grow into units of another share's shrink before that shrink is released.
     fn check_shares(&self, shares: &[QuotaShare]) -> Result<(), QuotaError> {
         let shared = self.shared.as_ref().ok_or(QuotaError::NotConfigured)?;
         let mut changes = false;
@@ -166,17 +166,17 @@
         Ok(())
     }
 
-    /// Applies an entry of the log.
+    /// Checks and applies an entry of the consensus log.
     ///
     /// # Errors
-    /// The errors of [`QuotaLedger::check`]; nothing has changed then.
+    /// Those of [`QuotaLedger::check`]; the ledger is then unchanged.
     pub fn apply(&mut self, entry: &QuotaEntry) -> Result<(), QuotaError> {
         self.check(entry)?;
         self.generation += 1;
         match entry {
             QuotaEntry::Configure(shared) => {
                 self.shared = Some(shared.clone());
-                // The brokers have to be added again, because fewer may be allowed now.
+                // Brokers have to be added again, because the new configuration may allow fewer of them.
                 self.brokers.clear();
             }
             QuotaEntry::AddBroker { broker } => {
@@ -206,7 +206,7 @@
         grants.for_each(|grant| grant.reserved = grant.granted);
     }
 
-    /// The allocation that a broker receives with its lease; `None` while no quota is shared.
+    /// Returns the allocation that `broker` receives with its lease; `None` while no quotas are configured.
     pub fn allocation_for(&self, broker: &str) -> Option<Allocation> {
         let shared = self.shared.as_ref()?;
         let shares = self.brokers.get(broker);
--- a/crates/dunepond-quota/src/local_quota.rs
+++ b/crates/dunepond-quota/src/local_quota.rs
@@ -1,4 +1,4 @@
-//! The units that a broker may use; the broker asks before each use.
+//! The local limit on the units that a broker may use, which the broker checks before each use.
 
 use std::collections::BTreeMap;
 
@@ -6,47 +6,47 @@
 
 use crate::SharedQuotas;
 
-/// The allocation that a broker receives with its lease.
+/// The units that a broker is allocated, as sent to it with its lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Allocation {
-    /// Generation of the ledger, which only grows.
+    /// Ledger generation of this allocation; of two allocations, the one with the higher generation is newer.
     pub generation: u64,
-    /// Floor by the replicated configuration, in units.
+    /// Units of each quota that every broker owns without a lease, according to the replicated configuration.
     #[serde(rename = "floor")]
     pub floor_units: u32,
-    /// Whether the broker may hold shares, or one more broker is still allowed. If not, it may use nothing, not even
-    /// its floor.
+    /// Whether the broker has been added, or another broker may still be added. If false, the broker may use nothing, not
+    /// even its floor.
     #[serde(rename = "counted")]
     pub admitted: bool,
-    /// Generation of the last entry that shrank one of the broker's shares.
+    /// Ledger generation of the last entry that shrank one of the broker's shares; 0 if none did.
     #[serde(rename = "shrunk")]
     pub shrunk_generation: u64,
-    /// Units beyond the floor, by quota.
+    /// Leased units beyond the floor, by quota name.
     #[serde(rename = "parts")]
     pub leased_units: BTreeMap<String, u32>,
 }
 
-/// What a broker's own file and start time allow. Times are in seconds on its monotonic clock.
+/// A broker's limits that follow from its own configuration file and start time, without the ledger.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LocalQuota {
-    /// Units that the broker owns without a lease.
+    /// Units of each quota that the broker owns without a lease, according to its own configuration file.
     pub floor_units: u32,
-    /// When this run started.
+    /// Time at which this run of the broker started, in seconds on its monotonic clock.
     pub started_at: f64,
-    /// How long after the start nothing may be used: the use by the previous run is unknown and still counts in a
-    /// window.
+    /// Time in seconds after the start during which nothing may be used: the use by the previous run is unknown and still
+    /// counts in the window of a quota.
     pub window_seconds: f64,
 }
 
 impl LocalQuota {
-    /// The local limits of a run that starts at `started_at`.
+    /// Returns the local limits of a run that starts at `started_at`, in seconds on the broker's monotonic clock.
     pub fn new(shared: &SharedQuotas, started_at: f64) -> Self {
         let window_seconds = shared.window_millis as f64 / 1e3;
         Self { floor_units: shared.floor_units, started_at, window_seconds }
     }
 
-    /// Units of `quota` that may be used at `now`. `allocation` is the last one received in this run; `lease_valid` is
-    /// whether its lease covers `now`.
+    /// Returns the units of `quota` that the broker may use at `now`, in seconds on its monotonic clock. `allocation` is the
+    /// last one received in this run; `lease_valid` states whether its lease covers `now`.
     pub fn available_units(
         &self,
         allocation: Option<&Allocation>,
--- a/crates/dunepond-quota/src/planner.rs
+++ b/crates/dunepond-quota/src/planner.rs
@@ -1,18 +1,18 @@
-//! The planner by which the leader splits spare units between brokers, from their reports.
+//! The planner with which the leader splits spare units between brokers according to their demand reports.
 
 use std::collections::BTreeMap;
 
 use crate::{BrokerShares, DemandReport, QuotaEntry, QuotaLedger, QuotaShare, SharedQuotas};
 
-/// How spare units are split; the choice is explained in `docs/notes/quota.md`.
+/// How spare units are split between brokers; `docs/notes/quota.md` compares the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SplitRule {
     /// Each broker gets the same number of units.
     Even,
     /// Each broker gets units in proportion to its demand.
     Proportional,
-    /// Max-min fairness: small demands are met, the others split the rest evenly, and what nobody demands is split
-    /// evenly in addition.
+    /// Max-min fairness: small demands are met in full, larger ones split the rest evenly, and units that nobody demands
+    /// are split evenly between all brokers.
     MaxMin,
 }
 
@@ -21,19 +21,19 @@
 pub struct PlannerConfig {
     /// The rule by which spare units are split.
     pub rule: SplitRule,
-    /// Multiple of the demand that is planned for, since demand may grow until the next plan.
+    /// Multiple of the reported demand that the planner plans for, since demand may grow until the next plan.
     pub headroom_ratio: f64,
-    /// Ratio of an even share below which shortages and surpluses are ignored.
+    /// Smallest shortage or surplus that the planner acts on, as a ratio of an even share of the spare units.
     pub min_step_ratio: f64,
-    /// Time in seconds without a report after which a broker counts as having no demand. A leader that has led for less
-    /// does not know yet which brokers exist, and plans nothing.
+    /// Time in seconds without a report after which a broker counts as having no demand. A leader that has led for less than
+    /// this time does not yet know which brokers exist, and plans nothing.
     pub silent_after_seconds: f64,
     /// Time in seconds without a report after which a broker is removed.
     pub removed_after_seconds: f64,
 }
 
 impl PlannerConfig {
-    /// The parameters for leases of this length in seconds.
+    /// Returns the parameters for leases that last `lease_seconds`.
     pub fn for_lease(lease_seconds: f64) -> Self {
         Self {
             rule: SplitRule::MaxMin,
@@ -50,11 +50,12 @@
 pub struct ReceivedReport {
     /// The report as the broker sent it.
     pub report: DemandReport,
-    /// Seconds since the leader received it.
+    /// Seconds since the leader received the report.
     pub age_seconds: f64,
 }
 
-/// Splits `spare` units by demand, in the order of `demands`. The demands include the floor, and the result does not.
+/// Splits `spare` units between brokers by `rule`. `demands` lists each broker's demand in units, including what `floor`
+/// covers. Returns each broker's units beyond the floor, in the same order.
 pub fn target_units(rule: SplitRule, spare: u32, floor: u32, demands: &[u32]) -> Vec<u32> {
     let count = demands.len() as u32;
     if count == 0 {
@@ -88,8 +89,8 @@
     targets
 }
 
-/// The entry that the leader should propose next, if there is one. `own` is what its own file shares; `leading_seconds`
-/// is how long it has led and received reports.
+/// Returns the entry that the leader should propose next, if any. `own` are the shared quotas according to the leader's own
+/// configuration file; `leading_seconds` is how long it has led and received reports.
 pub fn next_entry(
     ledger: &QuotaLedger,
     own: &SharedQuotas,
@@ -102,7 +103,7 @@
     }
     let Some(shared) = &ledger.shared else { return Some(QuotaEntry::Configure(own.clone())) };
     let planner = Planner { ledger, shared, own, reports, leading_seconds, config };
-    // While files differ only the floors apply: no unit may be leased that one of the files does not reserve.
+    // While configuration files differ, only the floors apply: no unit may be leased that one of the files does not reserve.
     if planner.files_differ() {
         return planner.reclaim_all().or_else(|| planner.reconfigure());
     }
@@ -118,11 +119,13 @@
     config: &'a PlannerConfig,
 }
 
-/// A broker with a current report, in the plan for one quota.
+/// A broker with a current report, as considered in the plan for one quota.
 struct Candidate<'a> {
     broker: &'a String,
     shares: &'a BrokerShares,
+    /// Reported demand in units, including what the floor covers.
     demand: u32,
+    /// Planned units beyond the floor.
     target: u32,
 }
 
@@ -159,14 +162,14 @@
         (self.shared != self.own && self.ledger.check(&entry).is_ok()).then_some(entry)
     }
 
-    /// Removes a broker that has been silent for too long, unless units are still reserved for it.
+    /// Returns the entry that removes a broker without a recent report, unless units are still reserved for it.
     fn remove_broker(&self) -> Option<QuotaEntry> {
         let age = |broker: &String| {
             self.reports.get(broker).map_or(self.leading_seconds, |received| received.age_seconds)
         };
-        let gone =
+        let silent =
             self.ledger.brokers.keys().find(|broker| age(broker) >= self.config.removed_after_seconds)?;
-        self.if_applicable(QuotaEntry::RemoveBroker { broker: gone.clone() })
+        self.if_applicable(QuotaEntry::RemoveBroker { broker: silent.clone() })
     }
 
     fn add_broker(&self) -> Option<QuotaEntry> {
@@ -190,13 +193,13 @@
         (received.age_seconds < self.config.silent_after_seconds).then_some(&received.report)
     }
 
-    /// Plans the changes of one quota: shares shrink at once, and grow only by what is free now.
+    /// Plans the changes to shares of one quota. Shares shrink at once, but grow only by units that are free now.
     fn plan_quota(&self, quota: &str) -> Vec<QuotaShare> {
         let share =
             |broker: &String, units| QuotaShare { broker: broker.clone(), quota: quota.to_string(), units };
         let (present, silent): (Vec<_>, Vec<_>) =
             self.ledger.brokers.iter().partition(|(broker, _)| self.current_report(broker).is_some());
-        // A silent broker may be unable to act at all, and then loses nothing by losing its share.
+        // A broker without a current report may be unable to act at all; losing its share then costs it nothing.
         let silent_holders = silent.iter().filter(|(_, shares)| shares.granted_units(quota) > 0);
         let mut changes: Vec<QuotaShare> = silent_holders.map(|(broker, _)| share(broker, 0)).collect();
         let candidates = self.candidates(quota, &present);
@@ -205,7 +208,7 @@
             return changes;
         }
         for Candidate { broker, shares, target, .. } in &candidates {
-            // While an earlier shrink awaits its release, another one would only restart the wait.
+            // Another shrink while an earlier one awaits its release would restart the wait.
             if shares.granted_units(quota) > target + min_step && !shares.awaits_release() {
                 changes.push(share(broker, *target));
             }
@@ -231,13 +234,14 @@
             .collect()
     }
 
-    /// Number of units below which a difference is ignored.
+    /// Returns the number of units below which a shortage or surplus is ignored.
     fn min_step(&self) -> u32 {
         let even = self.shared.spare_units() / self.shared.max_brokers;
         (f64::from(even) * self.config.min_step_ratio) as u32
     }
 
-    /// Whether the broker needs more than it holds and may hold more. Missing headroom is not a shortage.
+    /// Whether the broker's reported demand exceeds what it holds and its target allows more. Lack of headroom alone is no
+    /// shortage.
     fn is_short(&self, candidate: &Candidate, quota: &str, min_step: u32) -> bool {
         let granted = candidate.shares.granted_units(quota);
         candidate.demand > self.shared.floor_units + granted && candidate.target > granted + min_step
@@ -259,8 +263,8 @@
             (free, wanted) = (free - from_free, wanted - growth);
             let added = reserved + from_free;
             let units = granted + added as u32;
-            let completes = units == candidate.target && added > 0;
-            if added >= u64::from(min_step) || completes {
+            let reaches_target = units == candidate.target && added > 0;
+            if added >= u64::from(min_step) || reaches_target {
                 changes.push(QuotaShare {
                     broker: candidate.broker.clone(),
                     quota: quota.to_string(),
--- a/crates/dunepond-quota/src/reuse.rs
+++ b/crates/dunepond-quota/src/reuse.rs
@@ -1,39 +1,43 @@
-//! The time from which units that a broker gave up may be leased to another one, by the leader's clock.
+//! Computes when units of a share that shrank may be leased to another broker, by the leader's clock.
 
-/// Longest delays, in seconds on the leader's clock, including drift.
+/// Upper bounds on how long a broker may go on using a share that shrank, in seconds on the leader's clock, including
+/// clock drift.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReuseDelays {
     /// Longest duration of a lease.
     pub lease_seconds: f64,
-    /// Longest time that an action may be in flight after it was permitted.
+    /// Longest time for which an action may be in flight after the broker permitted it.
     pub action_seconds: f64,
-    /// Longest window over which a quota is counted: recent use still counts in it.
+    /// Longest window over which a quota is counted; earlier use still counts until it has left the window.
     pub window_seconds: f64,
 }
 
-/// A run of the broker to which this leader granted a lease. Times are in seconds on the leader's clock.
+/// One run of a broker, between two of its restarts, to which this leader granted a lease. Times are in seconds on the
+/// leader's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BrokerRun {
-    /// When its last lease is over for certain.
+    /// Time at which the run's last lease has certainly expired.
     pub lease_over_at: f64,
-    /// When it first reported that it acts on the smaller share; `None` if it has not yet.
+    /// Time at which the run first reported that it acts on the smaller share; `None` if it has not done so.
     pub acknowledged_at: Option<f64>,
 }
 
-/// The time from which a share, whose shrink this leader saw committed at `seen`, is only used at its new size.
-/// `leading_since` is when the leader's term began, `None` if it does not know.
+/// Returns the time from which a share that shrank is certainly used at its new size only. `shrink_seen_at` is when this
+/// leader saw the shrink committed; `leading_since` is when the leader's term began, `None` if it is not known. Times are in
+/// seconds on the leader's clock.
 pub fn reusable_from(
-    seen: f64,
+    shrink_seen_at: f64,
     leading_since: Option<f64>,
     runs: impl Iterator<Item = BrokerRun>,
     delays: ReuseDelays,
 ) -> f64 {
     let ReuseDelays { lease_seconds, action_seconds, window_seconds } = delays;
-    let latest = seen + lease_seconds + action_seconds + window_seconds;
-    // A lease of an earlier leader, which this one does not know, may still run.
-    if leading_since.is_none_or(|since| seen - since < lease_seconds) {
+    let latest = shrink_seen_at + lease_seconds + action_seconds + window_seconds;
+    // A lease that an earlier leader granted, which this leader does not know of, may still be valid.
+    if leading_since.is_none_or(|since| shrink_seen_at - since < lease_seconds) {
         return latest;
     }
-    let last_use = runs.map(|run| run.acknowledged_at.unwrap_or(run.lease_over_at)).fold(seen, f64::max);
+    let last_use =
+        runs.map(|run| run.acknowledged_at.unwrap_or(run.lease_over_at)).fold(shrink_seen_at, f64::max);
     latest.min(last_use + action_seconds + window_seconds)
 }
--- a/crates/dunepond-quota/src/shared_quotas.rs
+++ b/crates/dunepond-quota/src/shared_quotas.rs
@@ -1,22 +1,22 @@
-//! The quotas that the fleet shares, and the number of brokers that share them.
+//! The configuration of shared quotas: their names, the number of brokers, the floor and the window.
 
 use serde::{Deserialize, Serialize};
 
 use crate::QuotaError;
 
-/// Units of each quota. They are whole numbers, so that sums are exact.
+/// Total units of each quota. Shares are whole numbers of units, so that their sums are exact.
 pub const TOTAL_UNITS: u32 = 1_000_000;
-/// Upper limit of [`SharedQuotas::names`].
+/// Largest number of quotas in [`SharedQuotas::names`].
 pub const MAX_QUOTA_COUNT: usize = 256;
-/// Upper limit of [`SharedQuotas::max_brokers`].
+/// Largest allowed value of [`SharedQuotas::max_brokers`].
 pub const MAX_BROKER_COUNT: u32 = 10_000;
-/// Upper limit of [`SharedQuotas::window_millis`].
+/// Largest allowed value of [`SharedQuotas::window_millis`], in milliseconds.
 pub const MAX_WINDOW_MILLIS: u64 = 3_600_000;
 
-/// The quotas that a fleet shares. Every broker's file has to state the same ones.
+/// The quotas that a fleet shares. The configuration files of all brokers must state the same ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SharedQuotas {
-    /// Names of the quotas, each of them once.
+    /// Names of the quotas, without duplicates.
     pub names: Vec<String>,
     /// Number of brokers that may exist at the same time.
     #[serde(rename = "brokers")]
@@ -24,13 +24,13 @@
     /// Units of each quota that every broker owns without a lease.
     #[serde(rename = "floor")]
     pub floor_units: u32,
-    /// Longest window, in milliseconds, over which one of the quotas is counted.
+    /// Longest window over which one of the quotas is counted, in milliseconds.
     #[serde(rename = "window")]
     pub window_millis: u64,
 }
 
 impl SharedQuotas {
-    /// Splits `floor_ratio` of each quota evenly into floors.
+    /// Creates the configuration; `floor_ratio` of each quota is split evenly into the floors of `max_brokers` brokers.
     ///
     /// # Errors
     /// The ratio is not in (0, 1], or [`SharedQuotas::check`] fails.
@@ -49,10 +49,10 @@
         Ok(shared)
     }
 
-    /// Checks that all values are in range.
+    /// Checks that all values are in range and no quota is named twice.
     ///
     /// # Errors
-    /// The first limit that is not met.
+    /// The first value that is invalid.
     pub fn check(&self) -> Result<(), QuotaError> {
         if !(1..=MAX_BROKER_COUNT).contains(&self.max_brokers) {
             return Err(QuotaError::BrokerCount { given: self.max_brokers, max: MAX_BROKER_COUNT });
@@ -81,7 +81,7 @@
         duplicates.map(|(_, name)| name).next()
     }
 
-    /// Units of a quota that belong to no floor.
+    /// Returns the units of each quota that belong to no floor and can be leased.
     pub fn spare_units(&self) -> u32 {
         TOTAL_UNITS - self.floor_units * self.max_brokers
     }
--- a/crates/dunepond-quota/tests/ledger.rs
+++ b/crates/dunepond-quota/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger against a reference that remembers every size, and the entries that it rejects.
+//! Tests of the quota ledger: entries that it rejects, and a property test against a reference ledger.
 
 use std::collections::BTreeMap;
 
@@ -125,7 +125,7 @@
         QuotaError::LeaderOnly(broker),
     ];
     for error in all {
-        // A new variant does not compile until it is listed here, and then has to be added above.
+        // The match does not compile while a variant is missing; a variant that is added here belongs into the list above too.
         match &error {
             QuotaError::FloorRatio(_)
             | QuotaError::BrokerCount { .. }
@@ -150,7 +150,7 @@
     }
 }
 
-/// Remembers every size that each broker may still act on; a release drops all but the last one.
+/// Reference model that lists every size that each broker may still use; a release drops all but the last one.
 #[derive(Default)]
 struct ReferenceLedger(BTreeMap<(usize, &'static str), Vec<u32>>);
 
@@ -163,8 +163,9 @@
 
 #[derive(Clone, Debug)]
 enum Step {
+    /// Sets a broker's share of `cold` (true) or of `further` (false) to a number of units.
     SetShare(usize, bool, u32),
-    /// Releases the last shrink, or one before it.
+    /// Releases the generation that is this many before the broker's last shrink; only 0 may be accepted.
     Release(usize, u64),
 }
 
@@ -184,8 +185,8 @@
         let mut shrinks: BTreeMap<usize, u64> = BTreeMap::new();
         for step in steps {
             match step {
-                Step::SetShare(broker, cold, units) => {
-                    let quota = if cold { "cold" } else { "further" };
+                Step::SetShare(broker, is_cold, units) => {
+                    let quota = if is_cold { "cold" } else { "further" };
                     let sizes = reference.0.entry((broker, quota)).or_insert(vec![0]);
                     let before = *sizes.last().unwrap();
                     sizes.push(units);
@@ -199,12 +200,12 @@
                         shrinks.insert(broker, ledger.generation);
                     }
                 }
-                Step::Release(broker, back) => {
-                    let generation = shrinks.get(&broker).copied().unwrap_or(1) - back;
+                Step::Release(broker, generations_back) => {
+                    let generation = shrinks.get(&broker).copied().unwrap_or(1) - generations_back;
                     let accepted = ledger.apply(&QuotaEntry::Release { broker: name(broker), generation }).is_ok();
                     if accepted {
-                        prop_assert_eq!(back, 0);
-                        let sizes = reference.0.iter_mut().filter(|((of, _), _)| *of == broker);
+                        prop_assert_eq!(generations_back, 0);
+                        let sizes = reference.0.iter_mut().filter(|((holder, _), _)| *holder == broker);
                         sizes.for_each(|(_, sizes)| drop(sizes.drain(..sizes.len() - 1)));
                     }
                 }
--- a/crates/dunepond-quota/tests/model.rs
+++ b/crates/dunepond-quota/tests/model.rs
@@ -1,8 +1,8 @@
-//! A model of all interleavings of leases, shares that shrink and grow, and the waits between, over a log that is taken for
-//! granted. The ledger, the units that a broker may use at an action, and the end of each wait are the crate's own code. Time
-//! is discrete: brokers' clocks show it, and the leader's clock runs twice as fast, which is the worst case. Requests and
-//! replies are late, duplicated or lost; brokers pause for any time, since no action is forced; they crash; leaders change.
-//! What was really used over the last window is counted in every state.
+//! Model checking of all interleavings of leases, shrinking and growing shares and their release, over a consensus log that
+//! is assumed to be correct. The ledger, the units that a broker may use and the release time are computed by the crate. Time
+//! is discrete: brokers' clocks show it, and the leader's clock runs twice as fast, the worst case. Requests and replies are
+//! delayed, duplicated or lost; brokers crash, and pause for any time, since no step is forced; leaders change. Each state
+//! records what was really used over the last window.
 
 use std::collections::BTreeMap;
 
@@ -12,85 +12,95 @@
 
 /// Duration of a lease on a broker's clock.
 const LEASE: u8 = 2;
+/// Window over which use is counted, on a broker's clock.
 const WINDOW: u8 = 2;
 const BROKERS: usize = 2;
 /// The floor of each broker, in tenths of the total.
 const FLOOR: u8 = 1;
+/// Units beyond the floors, in tenths of the total.
 const SPARE: u8 = 8;
+/// Units in a tenth of the total.
 const TENTH: u32 = TOTAL_UNITS / 10;
 
-/// Which rules are weakened, to check that the model finds it, and the bounds of the search.
+/// The rules that are weakened, each of which the checker must detect, and the bounds of the search.
 #[derive(Clone, Copy, Debug)]
 struct Rules {
-    /// A share that shrank counts at its new size at once.
+    /// The old size of a share that shrank is released at once.
     grow_before_release: bool,
-    /// A lease counts from the arrival of the reply.
-    from_receipt: bool,
-    /// A new run uses its share at once.
-    no_hold: bool,
-    /// A broker acts on the lease that it checked before a pause.
+    /// A lease starts when the reply arrives, instead of when the request was sent.
+    lease_from_receipt: bool,
+    /// A run uses its share right after its start, while the previous run's use still counts in the window.
+    no_wait_after_start: bool,
+    /// A broker acts on a lease that it checked before a pause, without checking the clock again.
     no_clock_check: bool,
-    /// A new leader assumes at once that it knows all leases.
+    /// A new leader assumes at once that it knows of all leases.
     early_release: bool,
-    /// What was used just before a share shrank does not count.
+    /// The release does not wait until use from before the shrink has left the window.
     no_window: bool,
-    /// The drift of the leader's clock is ignored.
+    /// The leader ignores that its clock runs faster.
     no_drift: bool,
-    /// A broker without a lease continues with the share that it had, which is not reserved.
+    /// A broker without a valid lease goes on using its last share, which may no longer be reserved.
     keeps_share: bool,
-    /// True time up to which states are visited.
-    until: u8,
-    /// Largest number of shrinks, crashes and changes of leader.
-    moves: u8,
-    crashes: u8,
-    elections: u8,
+    /// Time on the brokers' clocks up to which states are visited.
+    max_time: u8,
+    max_shrinks: u8,
+    max_crashes: u8,
+    max_elections: u8,
 }
 
 const TRUE_RULES: Rules = Rules {
     grow_before_release: false,
-    from_receipt: false,
-    no_hold: false,
+    lease_from_receipt: false,
+    no_wait_after_start: false,
     no_clock_check: false,
     early_release: false,
     no_window: false,
     no_drift: false,
     keeps_share: false,
-    until: 7,
-    moves: 1,
-    crashes: 1,
-    elections: 1,
+    max_time: 7,
+    max_shrinks: 1,
+    max_crashes: 1,
+    max_elections: 1,
 };
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Broker {
+    /// Number of this run; 0 before the first crash.
     run: u8,
-    started: u8,
-    /// End of its lease, and the last allocation that it received.
-    until: u8,
+    started_at: u8,
+    /// End of its last lease; 0 without a lease in this run.
+    lease_until: u8,
+    /// The last allocation received in this run.
     allocation: Option<AllocationReply>,
-    /// Units used at each moment of the last window, oldest first: by this run, and by all runs.
+    /// Tenths used by this run at each moment of the last window, oldest first.
     used: [u8; WINDOW as usize],
+    /// Tenths used by all runs at each moment of the last window, oldest first.
     used_by_all: [u8; WINDOW as usize],
-    /// Messages in flight, of which a later one replaces an earlier one: the run, the time of the request, and the
-    /// acknowledged generation or the allocation.
+    /// The lease request in flight, which a later one replaces: the run, the time when it was sent, and the acknowledged
+    /// shrink generation.
     request: Option<(u8, u8, u8)>,
+    /// The reply in flight, which a later one replaces: the run, the time of the request, and the allocation.
     reply: Option<(u8, u8, AllocationReply)>,
-    /// In the ledger: the granted and the reserved size, and the generation of the last shrink.
-    now: u8,
+    /// Tenths that the ledger grants the broker beyond its floor.
+    granted: u8,
+    /// Tenths that the ledger reserves for the broker beyond its floor.
     reserved: u8,
-    shrunk: u8,
-    /// At the leader, on its own clock: when it saw the shrink; by run, the end of the last lease, the acknowledged
-    /// generation, and the time of the acknowledgement.
-    seen: u8,
-    granted: [Option<(u8, u8, u8)>; 2],
+    /// Generation of the broker's last shrink in the ledger.
+    shrunk_generation: u8,
+    /// When the leader saw the last shrink, on its clock.
+    shrink_seen_at: u8,
+    /// The leader's record of each run, on its clock: the end of the last lease, the acknowledged shrink generation, and
+    /// when it was first acknowledged.
+    leases: [Option<(u8, u8, u8)>; 2],
 }
 
-/// The allocation that a reply carries for the one quota.
+/// The allocation that a reply carries; the model has one quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct AllocationReply {
     generation: u8,
-    shrunk: u8,
-    units: u8,
+    shrunk_generation: u8,
+    /// Tenths beyond the floor.
+    tenths: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -98,27 +108,34 @@
     now: u8,
     generation: u8,
     brokers: [Broker; BROKERS],
-    /// When the leader's term began, on its own clock.
+    /// When the leader's term began, on its clock; `None` for the first leader.
     term_began: Option<u8>,
     crashes: u8,
     elections: u8,
-    moves: u8,
+    shrinks: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
+    /// Time advances by one on the brokers' clocks.
     Time,
+    /// A broker sends a lease request.
     Request(usize),
-    /// The request stays in flight, so that it may be answered again.
+    /// The leader answers a broker's request, which stays in flight and may be answered again.
     Reply(usize),
+    /// A broker receives the reply.
     Receive(usize),
+    /// A broker uses all units that it may use.
     Use(usize),
+    /// A broker crashes and starts again.
     Crash(usize),
+    /// Another leader is elected.
     Elect,
     /// A broker's whole share is reclaimed.
     Shrink(usize),
     /// All free units are granted to one broker.
     Grow(usize),
+    /// The leader releases the units reserved for a broker's last shrink.
     Release(usize),
 }
 
@@ -136,8 +153,9 @@
     }
 }
 
-fn entry(broker: usize, units: u8) -> QuotaEntry {
-    let units = u32::from(units) * TENTH;
+/// The entry that sets a broker's share.
+fn entry(broker: usize, tenths: u8) -> QuotaEntry {
+    let units = u32::from(tenths) * TENTH;
     QuotaEntry::SetShares {
         shares: vec![QuotaShare { broker: name(broker), quota: String::from("cold"), units }],
     }
@@ -145,15 +163,15 @@
 
 impl Broker {
     fn awaits_release(&self) -> bool {
-        self.reserved > self.now
+        self.reserved > self.granted
     }
 
     fn shares(&self) -> BrokerShares {
         let units = |tenths: u8| u32::from(tenths) * TENTH;
-        let grant = UnitGrant { granted: units(self.now), reserved: units(self.reserved) };
+        let grant = UnitGrant { granted: units(self.granted), reserved: units(self.reserved) };
         BrokerShares {
             grants: BTreeMap::from([(String::from("cold"), grant)]),
-            shrunk_generation: u64::from(self.shrunk),
+            shrunk_generation: u64::from(self.shrunk_generation),
         }
     }
 }
@@ -175,55 +193,59 @@
         self.generation = ledger.generation as u8;
         for (n, broker) in self.brokers.iter_mut().enumerate() {
             let (shares, tenths) = (&ledger.brokers[&name(n)], |units: u32| (units / TENTH) as u8);
-            (broker.now, broker.reserved) =
+            (broker.granted, broker.reserved) =
                 (tenths(shares.granted_units("cold")), tenths(shares.reserved_units("cold")));
-            broker.shrunk = shares.shrunk_generation as u8;
+            broker.shrunk_generation = shares.shrunk_generation as u8;
         }
         Some(())
     }
 
+    /// Tenths that may be granted now.
     fn free(&self) -> u8 {
         SPARE.saturating_sub(self.brokers.iter().map(|broker| broker.reserved).sum())
     }
 
-    /// Units that a broker may use now, by the crate's own rule.
+    /// Tenths that a broker may use now, as computed by the crate.
     fn available(&self, rules: &Rules, broker: usize) -> u8 {
         let b = &self.brokers[broker];
-        let mut own = LocalQuota::new(&shared_quotas(), f64::from(b.started));
-        if rules.no_hold || b.run == 0 {
-            // No run precedes the first one.
+        let mut own = LocalQuota::new(&shared_quotas(), f64::from(b.started_at));
+        if rules.no_wait_after_start || b.run == 0 {
+            // The first run need not wait, since no run precedes it.
             own.window_seconds = 0.0;
         }
-        let lease_valid = self.now < b.until || (rules.no_clock_check || rules.keeps_share) && b.until > 0;
-        let allocation = b.allocation.map(|reply_allocation| Allocation {
-            generation: u64::from(reply_allocation.generation),
+        let lease_valid =
+            self.now < b.lease_until || (rules.no_clock_check || rules.keeps_share) && b.lease_until > 0;
+        let allocation = b.allocation.map(|reply| Allocation {
+            generation: u64::from(reply.generation),
             floor_units: u32::from(FLOOR) * TENTH,
             admitted: true,
-            shrunk_generation: u64::from(reply_allocation.shrunk),
-            leased_units: BTreeMap::from([(String::from("cold"), u32::from(reply_allocation.units) * TENTH)]),
+            shrunk_generation: u64::from(reply.shrunk_generation),
+            leased_units: BTreeMap::from([(String::from("cold"), u32::from(reply.tenths) * TENTH)]),
         });
         (own.available_units(allocation.as_ref(), lease_valid, "cold", f64::from(self.now)) / TENTH) as u8
     }
 
     fn delays(rules: &Rules) -> ReuseDelays {
-        let by = |time: u8| f64::from(time) * if rules.no_drift { 1.0 } else { 2.0 };
+        let leader_time = |time: u8| f64::from(time) * if rules.no_drift { 1.0 } else { 2.0 };
         ReuseDelays {
-            lease_seconds: by(LEASE),
+            lease_seconds: leader_time(LEASE),
             action_seconds: 0.0,
-            window_seconds: if rules.no_window { 0.0 } else { by(WINDOW) },
+            window_seconds: if rules.no_window { 0.0 } else { leader_time(WINDOW) },
         }
     }
 
-    fn reusable_from_now(&self, rules: &Rules, broker: usize) -> f64 {
+    /// The time on the leader's clock from which the units reserved for a broker's last shrink may be released.
+    fn release_time(&self, rules: &Rules, broker: usize) -> f64 {
         let b = &self.brokers[broker];
-        let runs = b.granted.iter().flatten().map(|(over, shrunk, at)| BrokerRun {
+        let runs = b.leases.iter().flatten().map(|(over, acknowledged, at)| BrokerRun {
             lease_over_at: f64::from(*over),
-            acknowledged_at: (*shrunk >= b.shrunk).then_some(f64::from(*at)),
+            acknowledged_at: (*acknowledged >= b.shrunk_generation).then_some(f64::from(*at)),
         });
         let term_began = if rules.early_release { Some(-99.0) } else { self.term_began.map(f64::from) };
-        reusable_from(f64::from(b.seen), term_began, runs, Self::delays(rules))
+        reusable_from(f64::from(b.shrink_seen_at), term_began, runs, Self::delays(rules))
     }
 
+    /// Tenths used by all runs of all brokers over the last window.
     fn used(&self) -> u8 {
         self.brokers.iter().flat_map(|broker| broker.used_by_all).sum()
     }
@@ -241,14 +263,14 @@
             term_began: None,
             crashes: 0,
             elections: 0,
-            moves: 0,
+            shrinks: 0,
         };
         state.apply(&entry(0, SPARE)).unwrap();
         vec![state]
     }
 
     fn actions(&self, state: &FleetState, steps: &mut Vec<Step>) {
-        if state.now < self.until {
+        if state.now < self.max_time {
             steps.push(Step::Time);
         }
         for broker in 0..BROKERS {
@@ -265,21 +287,20 @@
             if b.used.iter().sum::<u8>() < state.available(self, broker) {
                 steps.push(Step::Use(broker));
             }
-            if state.crashes < self.crashes {
+            if state.crashes < self.max_crashes {
                 steps.push(Step::Crash(broker));
             }
-            if b.now > 0 && !b.awaits_release() && state.moves < self.moves {
+            if b.granted > 0 && !b.awaits_release() && state.shrinks < self.max_shrinks {
                 steps.push(Step::Shrink(broker));
             }
-            if state.free() > 0 && b.now == 0 {
+            if state.free() > 0 && b.granted == 0 {
                 steps.push(Step::Grow(broker));
             }
-            if b.awaits_release() && state.reusable_from_now(self, broker) <= f64::from(state.leader_clock())
-            {
+            if b.awaits_release() && state.release_time(self, broker) <= f64::from(state.leader_clock()) {
                 steps.push(Step::Release(broker));
             }
         }
-        if state.elections < self.elections {
+        if state.elections < self.max_elections {
             steps.push(Step::Elect);
         }
     }
@@ -295,8 +316,8 @@
                         used[WINDOW as usize - 1] = 0;
                     }
                 }
-                // A message as old as a lease has no effect, so it is dropped.
-                let (now, keep_old) = (state.now, self.from_receipt);
+                // A message that is as old as a lease has no effect, so it is dropped to keep the state space small.
+                let (now, keep_old) = (state.now, self.lease_from_receipt);
                 for broker in &mut state.brokers {
                     broker.request = broker.request.filter(|(_, sent, _)| keep_old || now < sent + LEASE);
                     broker.reply = broker.reply.filter(|(_, sent, _)| keep_old || now < sent + LEASE);
@@ -304,27 +325,32 @@
             }
             Step::Request(broker) => {
                 let b = &mut state.brokers[broker];
-                b.request = Some((b.run, state.now, b.allocation.map_or(0, |allocation| allocation.shrunk)));
+                b.request = Some((
+                    b.run,
+                    state.now,
+                    b.allocation.map_or(0, |allocation| allocation.shrunk_generation),
+                ));
             }
             Step::Reply(broker) => {
                 let (now, generation) = (state.leader_clock(), state.generation);
                 let b = &mut state.brokers[broker];
-                let (run, sent, shrunk) = b.request?;
-                b.reply = Some((run, sent, AllocationReply { generation, shrunk: b.shrunk, units: b.now }));
+                let (run, sent, reported) = b.request?;
+                let (shrunk_generation, tenths) = (b.shrunk_generation, b.granted);
+                b.reply = Some((run, sent, AllocationReply { generation, shrunk_generation, tenths }));
                 let lease = if self.no_drift { LEASE } else { 2 * LEASE };
-                let (over, acknowledged, at) = b.granted[run as usize].unwrap_or((0, shrunk, now));
-                let first = if shrunk > acknowledged { now } else { at };
-                b.granted[run as usize] = Some((over.max(now + lease), acknowledged.max(shrunk), first));
+                let (over, acknowledged, at) = b.leases[run as usize].unwrap_or((0, reported, now));
+                let first = if reported > acknowledged { now } else { at };
+                b.leases[run as usize] = Some((over.max(now + lease), acknowledged.max(reported), first));
             }
             Step::Receive(broker) => {
                 let now = state.now;
                 let b = &mut state.brokers[broker];
-                let (_, sent, reply_allocation) = b.reply.take()?;
-                if b.allocation.is_some_and(|known| reply_allocation.generation < known.generation) {
+                let (_, sent, received) = b.reply.take()?;
+                if b.allocation.is_some_and(|known| received.generation < known.generation) {
                     return None;
                 }
-                b.allocation = Some(reply_allocation);
-                b.until = b.until.max(LEASE + if self.from_receipt { now } else { sent });
+                b.allocation = Some(received);
+                b.lease_until = b.lease_until.max(LEASE + if self.lease_from_receipt { now } else { sent });
             }
             Step::Use(broker) => {
                 let available = state.available(self, broker);
@@ -338,8 +364,8 @@
                 let b = &mut state.brokers[broker];
                 *b = Broker {
                     run: b.run + 1,
-                    started: state.now,
-                    until: 0,
+                    started_at: state.now,
+                    lease_until: 0,
                     allocation: None,
                     used: [0; 2],
                     ..*b
@@ -347,14 +373,15 @@
             }
             Step::Elect => {
                 state.elections += 1;
-                // The new leader has seen all committed entries, not earlier than the previous leader did.
+                // The new leader has seen all committed entries, none of them earlier than the previous leader did, so the
+                // times of shrinks stay; it knows of no leases.
                 state.term_began = Some(state.leader_clock());
-                state.brokers.iter_mut().for_each(|broker| broker.granted = [None; 2]);
+                state.brokers.iter_mut().for_each(|broker| broker.leases = [None; 2]);
             }
             Step::Shrink(broker) => {
                 state.apply(&entry(broker, 0))?;
-                state.moves += 1;
-                state.brokers[broker].seen = state.leader_clock();
+                state.shrinks += 1;
+                state.brokers[broker].shrink_seen_at = state.leader_clock();
                 if self.grow_before_release {
                     let generation = u64::from(state.generation);
                     state.apply(&QuotaEntry::Release { broker: name(broker), generation })?;
@@ -365,7 +392,7 @@
                 state.apply(&entry(broker, units))?;
             }
             Step::Release(broker) => {
-                let generation = u64::from(state.brokers[broker].shrunk);
+                let generation = u64::from(state.brokers[broker].shrunk_generation);
                 state.apply(&QuotaEntry::Release { broker: name(broker), generation })?;
             }
         }
@@ -376,7 +403,7 @@
         vec![
             Property::always("within the total", |_, state: &FleetState| state.used() <= 10),
             Property::always("floor without a lease", |rules: &Self, state: &FleetState| {
-                let without_lease = |b: &Broker| state.now >= b.until;
+                let without_lease = |b: &Broker| state.now >= b.lease_until;
                 let brokers = (0..BROKERS).filter(|b| without_lease(&state.brokers[*b]));
                 brokers.into_iter().all(|b| state.available(rules, b) <= FLOOR)
             }),
@@ -387,7 +414,8 @@
     }
 }
 
-/// Visits states to a depth. Returns the number of states, the depth reached, and the properties that fail.
+/// Visits all states up to `depth` steps. Returns the number of states, the depth reached, and the properties that fail,
+/// each with the steps that lead to the failure.
 fn visit(rules: Rules, depth: usize) -> (usize, usize, Vec<String>) {
     let checker = rules
         .checker()
@@ -410,43 +438,45 @@
 
 #[test]
 fn sum_stays_within_total_in_every_order() {
-    let rules = Rules { crashes: 0, elections: 0, until: 6, ..TRUE_RULES };
+    let rules = Rules { max_crashes: 0, max_elections: 0, max_time: 6, ..TRUE_RULES };
     let (states, depth, failures) = visit(rules, 9);
     println!("{states} states, depth {depth}");
     assert!(failures.iter().all(|failure| failure == "shares never moved"), "{failures:#?}");
 }
 
 #[test]
-#[ignore = "minutes"]
+#[ignore = "takes minutes"]
 fn sum_stays_within_total_with_crashes_and_elections() {
-    for (rules, depth) in [(NO_FAILURES, 13), (Rules { elections: 1, ..NO_FAILURES }, 11), (TRUE_RULES, 10)] {
+    for (rules, depth) in
+        [(NO_FAILURES, 13), (Rules { max_elections: 1, ..NO_FAILURES }, 11), (TRUE_RULES, 10)]
+    {
         let (states, depth, failures) = visit(rules, depth);
         println!("{rules:?}: {states} states, depth {depth}: {failures:?}");
         assert!(failures.iter().all(|failure| failure == "shares never moved"), "{failures:#?}");
     }
 }
 
-fn assert_found(rules: Rules, depth: usize) {
+fn assert_detected(rules: Rules, depth: usize) {
     let (states, depth, failures) = visit(rules, depth);
     println!("{rules:?}: {states} states, depth {depth}: {failures:?}");
     assert!(
         failures.iter().any(|failure| failure.contains(':')),
-        "the weakened rule is not found: {rules:?}"
+        "the checker does not detect the weakened rule: {rules:?}"
     );
 }
 
-const NO_FAILURES: Rules = Rules { crashes: 0, elections: 0, ..TRUE_RULES };
+const NO_FAILURES: Rules = Rules { max_crashes: 0, max_elections: 0, ..TRUE_RULES };
 
 #[rstest]
-#[case::no_hold_after_restart(Rules { no_hold: true, crashes: 1, ..NO_FAILURES })]
+#[case::no_wait_after_restart(Rules { no_wait_after_start: true, max_crashes: 1, ..NO_FAILURES })]
 #[case::clock_not_checked(Rules { no_clock_check: true, ..NO_FAILURES })]
 #[case::keeps_share_when_partitioned(Rules { keeps_share: true, ..NO_FAILURES })]
-fn search_finds_weakened_rule(#[case] rules: Rules) {
-    assert_found(rules, 16);
+fn search_detects_weakened_rule(#[case] rules: Rules) {
+    assert_detected(rules, 16);
 }
 
-/// For failures deeper than a search in CI may go: the steps by which a weakened rule lets the sum exceed the total. By the
-/// true rules one of the steps is not possible.
+/// Covers failures that lie deeper than a search in CI can go. Each case lists steps after which the weakened rule lets the
+/// sum exceed the total; with the true rules, one of these steps is impossible.
 #[rstest]
 #[case::grows_before_release(
     Rules { grow_before_release: true, ..NO_FAILURES },
@@ -454,7 +484,7 @@
     Grow(1)
 )]
 #[case::lease_from_receipt(
-    Rules { from_receipt: true, ..NO_FAILURES },
+    Rules { lease_from_receipt: true, ..NO_FAILURES },
     &[Request(0), Reply(0), Shrink(0), Time, Time, Time, Time, Release(0), Grow(1), Request(1), Reply(1), Receive(1), Use(1), Receive(0),
       Use(0)],
     Receive(0)
@@ -462,12 +492,16 @@
 #[case::window_ignored(Rules { no_window: true, ..NO_FAILURES }, &LATE_USE, Release(0))]
 #[case::drift_ignored(Rules { no_drift: true, ..NO_FAILURES }, &LATE_USE, Release(0))]
 #[case::early_release_by_new_leader(
-    Rules { early_release: true, elections: 1, ..NO_FAILURES },
+    Rules { early_release: true, max_elections: 1, ..NO_FAILURES },
     &[Request(0), Reply(0), Receive(0), Elect, Shrink(0), Time, Use(0), Time, Release(0), Grow(1), Request(1), Reply(1), Receive(1),
       Use(1)],
     Release(0)
 )]
-fn walk_finds_weakened_rule(#[case] weakened: Rules, #[case] path: &[Step], #[case] impossible: Step) {
+fn given_path_detects_weakened_rule(
+    #[case] weakened: Rules,
+    #[case] path: &[Step],
+    #[case] impossible: Step,
+) {
     let run_path = |rules: &Rules| {
         let mut state = rules.init_states().remove(0);
         for step in path {
@@ -481,10 +515,10 @@
         Ok(state.used())
     };
     assert!(run_path(&weakened).is_ok_and(|used| used > 10), "{:?}", run_path(&weakened));
-    assert_eq!(run_path(&Rules { elections: 1, ..NO_FAILURES }), Err(impossible));
+    assert_eq!(run_path(&Rules { max_elections: 1, ..NO_FAILURES }), Err(impossible));
 }
 
-/// A lease is used to its end after the share shrank.
+/// Steps in which a broker uses its lease after its share shrank, until the lease ends.
 const LATE_USE: [Step; 13] = [
     Request(0),
     Reply(0),
--- a/crates/dunepond-quota/tests/plan.rs
+++ b/crates/dunepond-quota/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The planner: how shares follow demand, plan after plan.
+//! Tests of the planner and the demand estimate: how shares follow demand over successive plans.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +30,8 @@
         .collect()
 }
 
-/// Plans until there is no further entry, and releases each shrink at once. Returns the number of entries that set shares.
+/// Applies planned entries until the planner proposes none, releasing each shrink at once. Returns the number of entries
+/// that set shares.
 fn plan_until_stable(
     ledger: &mut QuotaLedger,
     received: &BTreeMap<String, ReceivedReport>,
@@ -44,16 +45,17 @@
         };
         set_count += usize::from(matches!(entry, QuotaEntry::SetShares { .. }));
         ledger.apply(&entry).unwrap();
-        let waiting = ledger.brokers.iter().filter(|(_, shares)| shares.awaits_release());
-        let waiting: Vec<_> =
-            waiting.map(|(broker, shares)| (broker.clone(), shares.shrunk_generation)).collect();
-        for (broker, generation) in waiting {
+        let shrunk = ledger.brokers.iter().filter(|(_, shares)| shares.awaits_release());
+        let shrunk: Vec<_> =
+            shrunk.map(|(broker, shares)| (broker.clone(), shares.shrunk_generation)).collect();
+        for (broker, generation) in shrunk {
             ledger.apply(&QuotaEntry::Release { broker, generation }).unwrap();
         }
     }
-    panic!("the plans do not become stable: {ledger:?}");
+    panic!("the planner still proposes entries after 200 plans: {ledger:?}");
 }
 
+/// Units of `cold` that a broker of four may use: its floor and its granted units.
 fn held_units(ledger: &QuotaLedger, broker: usize) -> u32 {
     62_500 + ledger.brokers[&format!("n{broker}")].granted_units("cold")
 }
@@ -65,8 +67,8 @@
 fn rules_split_spare_units(#[case] rule: SplitRule, #[case] expected: [u32; 4]) {
     let demands = [900_000, 50_000, 50_000, 0];
     let split = target_units(rule, 750_000, 62_500, &demands);
-    let near = split.iter().zip(&expected).all(|(a, b)| a.abs_diff(*b) <= 12_500);
-    assert!(near && split.iter().sum::<u32>() <= 750_000, "{split:?}");
+    let is_near_expected = split.iter().zip(&expected).all(|(a, b)| a.abs_diff(*b) <= 12_500);
+    assert!(is_near_expected && split.iter().sum::<u32>() <= 750_000, "{split:?}");
 }
 
 #[test]
@@ -86,7 +88,7 @@
     let mut ledger = QuotaLedger::default();
     plan_until_stable(&mut ledger, &reports(&[900_000, 0, 0, 0]), 4, &CONFIG);
     plan_until_stable(&mut ledger, &reports(&[1_000_000; 4]), 4, &CONFIG);
-    // Differences below a fifth of an even share are ignored.
+    // The planner ignores differences below a fifth of an even share.
     assert!((0..4).all(|broker| held_units(&ledger, broker).abs_diff(250_000) <= 40_000), "{ledger:?}");
 }
 
@@ -141,7 +143,7 @@
     demand.record_sample(0.1, 0.0, 0.25);
     demand.record_sample(0.9, 0.0, 0.25);
     assert!((0.3..0.5).contains(&(f64::from(demand.units()) / 1e6)));
-    // Rejections count up to what is held, since the same requests are retried.
+    // Rejected demand counts only up to the available share, since rejected requests are retried and rejected again.
     let mut overloaded = Demand::default();
     overloaded.record_sample(0.25, 40.0, 0.25);
     assert_eq!(overloaded.units(), 500_000);
@@ -150,7 +152,7 @@
 }
 
 proptest! {
-    /// Plans become stable within the total whatever brokers report, and small changes after that move almost nothing.
+    /// Plans become stable within the total for any reports, and small changes of demand afterwards change few shares.
     #[test]
     fn plans_become_stable_and_ignore_noise(
         rounds in prop::collection::vec(prop::collection::vec(0..1_200_000u32, 6), 1..5),
@@ -158,13 +160,13 @@
     ) {
         let mut ledger = QuotaLedger::default();
         for demands in &rounds {
-            let moves = plan_until_stable(&mut ledger, &reports(demands), 6, &CONFIG);
-            prop_assert!(moves <= 8, "{} moves", moves);
+            let set_count = plan_until_stable(&mut ledger, &reports(demands), 6, &CONFIG);
+            prop_assert!(set_count <= 8, "{} entries set shares", set_count);
             prop_assert!(ledger.reserved_units("cold") <= u64::from(shared_quotas(6).spare_units()));
         }
         let last = rounds.last().unwrap();
-        let noisy: Vec<u32> = last.iter().zip(&noise).map(|(demand, by)| (f64::from(*demand) * by) as u32).collect();
-        let moves = plan_until_stable(&mut ledger, &reports(&noisy), 6, &CONFIG);
-        prop_assert!(moves <= 2, "{} moves after noise", moves);
+        let noisy: Vec<u32> = last.iter().zip(&noise).map(|(demand, factor)| (f64::from(*demand) * factor) as u32).collect();
+        let set_count = plan_until_stable(&mut ledger, &reports(&noisy), 6, &CONFIG);
+        prop_assert!(set_count <= 2, "{} entries set shares after noise", set_count);
     }
 }
--- a/crates/dunepond-quota/tests/service.rs
+++ b/crates/dunepond-quota/tests/service.rs
@@ -1,5 +1,6 @@
-//! Shares that follow demand compared with even shares, in simulated time: traffic that is mostly at one broker and moves to
-//! another, and the time that a node in slow start takes. The ledger, plans, demand estimates and waits are the crate's own.
+//! Simulations that compare leased shares, which follow demand, with fixed even shares: how much traffic is served when most
+//! of it arrives at one broker, and how long a node's slow start takes. The ledger, planner, demand estimate and release
+//! times are those of the crate.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,39 +15,50 @@
 const PLAN_INTERVAL_SECONDS: f64 = 1.0;
 /// Time from a lease request to its reply.
 const ROUND_TRIP_SECONDS: f64 = 0.02;
+/// Factor by which durations on the leader's clock are extended to allow for clock drift.
 const DRIFT_FACTOR: f64 = 1.02;
+/// Longest time for which an action is in flight.
 const ACTION_SECONDS: f64 = 0.6;
 const QUOTA: &str = "cold";
 const FLOOR_RATIO: f64 = 0.25;
 
+/// A simulated broker. Amounts of work are in totals of the quota, times in simulated seconds.
 #[derive(Clone, Default)]
 struct Broker {
     allocation: Option<Allocation>,
     lease_until: f64,
     next_request_at: f64,
     demand: Demand,
+    /// Time and amount of each use within the window.
     used: VecDeque<(f64, f64)>,
-    wanted: f64,
+    offered: f64,
+    /// Work rejected since the last demand sample.
     rejected: f64,
+    /// Work served since the last demand sample.
     served: f64,
     sampled_at: f64,
 }
 
+/// Simulated brokers and their leader, which share one clock. Amounts of work are in totals of the quota.
 struct SimulatedFleet {
     now: f64,
-    /// `None` keeps even shares.
+    /// Configuration of the planner; `None` for fixed even shares.
     planner: Option<PlannerConfig>,
     shared: SharedQuotas,
     ledger: QuotaLedger,
     brokers: Vec<Broker>,
     reports: BTreeMap<String, ReceivedReport>,
     reported_at: BTreeMap<String, f64>,
+    /// By broker: the end of its last lease, the shrink generation that it acknowledged, and when it did.
     runs: BTreeMap<String, (f64, u64, f64)>,
+    /// By broker: the generation of its last shrink, and when the leader saw it.
     shrink_seen: BTreeMap<String, (u64, f64)>,
     next_plan_at: f64,
-    moves: usize,
+    /// Number of entries that set shares.
+    set_count: usize,
     offered: f64,
     served: f64,
+    /// Largest use by all brokers over one window, as a ratio of the quota.
     max_used: f64,
     rng: Pcg64Mcg,
 }
@@ -64,19 +76,19 @@
             (WINDOW_SECONDS * 1e3) as u64,
         )
         .unwrap();
-        let fresh = |n| Broker { next_request_at: 0.1 * n as f64, ..Broker::default() };
+        let new_broker = |n| Broker { next_request_at: 0.1 * n as f64, ..Broker::default() };
         Self {
             now: 0.0,
             planner: rule.map(|rule| PlannerConfig { rule, ..PlannerConfig::for_lease(LEASE_SECONDS) }),
             shared,
             ledger: QuotaLedger::default(),
-            brokers: (0..brokers).map(fresh).collect(),
+            brokers: (0..brokers).map(new_broker).collect(),
             reports: BTreeMap::new(),
             reported_at: BTreeMap::new(),
             runs: BTreeMap::new(),
             shrink_seen: BTreeMap::new(),
             next_plan_at: 0.0,
-            moves: 0,
+            set_count: 0,
             offered: 0.0,
             served: 0.0,
             max_used: 0.0,
@@ -84,6 +96,7 @@
         }
     }
 
+    /// The ratio of the quota that a broker may use now.
     fn share(&self, broker: usize) -> f64 {
         if self.planner.is_none() {
             return 1.0 / self.brokers.len() as f64;
@@ -93,22 +106,22 @@
         f64::from(units) / f64::from(TOTAL_UNITS)
     }
 
-    /// Advances by one step, in which each broker demands `wants` totals of the quota per second.
-    fn step(&mut self, wants: &[f64]) {
+    /// Advances by one step. `rates` lists the work offered to each broker, in totals of the quota per second.
+    fn step(&mut self, rates: &[f64]) {
         self.now += STEP_SECONDS;
         let now = self.now;
-        for (n, wanted) in wants.iter().enumerate() {
-            // Demand varies from step to step.
-            let wanted = wanted * STEP_SECONDS * self.rng.random_range(0.5..1.5);
+        for (n, rate) in rates.iter().enumerate() {
+            // The offered work varies at random from step to step.
+            let offered = rate * STEP_SECONDS * self.rng.random_range(0.5..1.5);
             let share = self.share(n);
             let b = &mut self.brokers[n];
             b.used.retain(|(at, _)| *at > now - WINDOW_SECONDS);
             let free = share * WINDOW_SECONDS - b.used.iter().map(|used| used.1).sum::<f64>();
-            let served = wanted.min(free.max(0.0));
+            let served = offered.min(free.max(0.0));
             b.used.push_back((now, served));
-            (b.wanted, b.served, b.rejected) =
-                (b.wanted + wanted, b.served + served, b.rejected + wanted - served);
-            (self.offered, self.served) = (self.offered + wanted, self.served + served);
+            (b.offered, b.served, b.rejected) =
+                (b.offered + offered, b.served + served, b.rejected + offered - served);
+            (self.offered, self.served) = (self.offered + offered, self.served + served);
             if now - b.sampled_at >= 0.25 {
                 let seconds = now - b.sampled_at;
                 b.demand.record_sample(b.served / seconds, b.rejected / seconds, share);
@@ -153,16 +166,16 @@
             action_seconds: ACTION_SECONDS,
             window_seconds: WINDOW_SECONDS * DRIFT_FACTOR,
         };
-        let waiting = self.ledger.brokers.iter().filter(|(_, shares)| shares.awaits_release());
-        let waiting: Vec<_> =
-            waiting.map(|(broker, shares)| (broker.clone(), shares.shrunk_generation)).collect();
-        for (broker, generation) in waiting {
+        let shrunk = self.ledger.brokers.iter().filter(|(_, shares)| shares.awaits_release());
+        let shrunk: Vec<_> =
+            shrunk.map(|(broker, shares)| (broker.clone(), shares.shrunk_generation)).collect();
+        for (broker, generation) in shrunk {
             let shrink_seen =
                 self.shrink_seen.get(&broker).filter(|seen| seen.0 == generation).map(|seen| seen.1);
             let shrink_seen = shrink_seen.unwrap_or(self.now);
             self.shrink_seen.insert(broker.clone(), (generation, shrink_seen));
-            let run = self.runs.get(&broker).map(|(over, acknowledged, at)| BrokerRun {
-                lease_over_at: *over,
+            let run = self.runs.get(&broker).map(|(lease_over_at, acknowledged, at)| BrokerRun {
+                lease_over_at: *lease_over_at,
                 acknowledged_at: (*acknowledged >= generation).then_some(*at),
             });
             if self.now >= reusable_from(shrink_seen, Some(-99.0), run.into_iter(), delays) {
@@ -182,19 +195,19 @@
         self.next_plan_at = self.now
             + if matches!(entry, Some(QuotaEntry::SetShares { .. })) { PLAN_INTERVAL_SECONDS } else { 0.2 };
         if let Some(entry) = entry {
-            self.moves += usize::from(matches!(entry, QuotaEntry::SetShares { .. }));
+            self.set_count += usize::from(matches!(entry, QuotaEntry::SetShares { .. }));
             self.ledger.apply(&entry).unwrap();
         }
     }
 }
 
-/// Four brokers that demand 0.9 of the total, most of it at one broker, and later at another.
+/// Offers four brokers 0.9 of the total, of which `hot` goes to one broker, and after each `seconds` to another one.
 fn run_skewed(rule: Option<SplitRule>, hot: f64, seconds: f64) -> SimulatedFleet {
     let mut fleet = SimulatedFleet::new(4, rule);
-    for place in [0, 2, 1] {
+    for hot_broker in [0, 2, 1] {
         let rest = (0.9 - hot) / 3.0;
-        let wants: Vec<f64> = (0..4).map(|n| if n == place { hot } else { rest }).collect();
-        (0..(seconds / STEP_SECONDS) as usize).for_each(|_| fleet.step(&wants));
+        let rates: Vec<f64> = (0..4).map(|n| if n == hot_broker { hot } else { rest }).collect();
+        (0..(seconds / STEP_SECONDS) as usize).for_each(|_| fleet.step(&rates));
     }
     fleet
 }
@@ -202,46 +215,51 @@
 #[rstest]
 #[case::mostly_at_one(0.75, 0.2)]
 #[case::half_at_one(0.5, 0.1)]
-fn leased_shares_serve_more_skewed_traffic_within_total(#[case] hot: f64, #[case] more: f64) {
+fn leased_shares_serve_more_skewed_traffic_within_total(#[case] hot: f64, #[case] min_gain: f64) {
     let (even, leased) = (run_skewed(None, hot, 30.0), run_skewed(Some(SplitRule::MaxMin), hot, 30.0));
-    let share = |fleet: &SimulatedFleet| fleet.served / fleet.offered;
-    assert!(share(&leased) > share(&even) + more, "{:.3} against {:.3}", share(&leased), share(&even));
+    let served = |fleet: &SimulatedFleet| fleet.served / fleet.offered;
+    assert!(
+        served(&leased) > served(&even) + min_gain,
+        "served {:.3} with leased and {:.3} with even shares",
+        served(&leased),
+        served(&even)
+    );
     assert!(leased.max_used <= 1.0 + 1e-9, "{}", leased.max_used);
 }
 
 #[test]
 fn steady_traffic_keeps_shares() {
     let mut fleet = SimulatedFleet::new(4, Some(SplitRule::MaxMin));
-    let wants = [0.4, 0.2, 0.2, 0.1];
-    (0..800).for_each(|_| fleet.step(&wants));
-    let moves = fleet.moves;
-    (0..4000).for_each(|_| fleet.step(&wants));
-    assert!(fleet.moves <= moves + 2, "{} more in 200 s", fleet.moves - moves);
+    let rates = [0.4, 0.2, 0.2, 0.1];
+    (0..800).for_each(|_| fleet.step(&rates));
+    let before = fleet.set_count;
+    (0..4000).for_each(|_| fleet.step(&rates));
+    assert!(fleet.set_count <= before + 2, "{} more entries set shares in 200 s", fleet.set_count - before);
 }
 
-/// Seconds until a node in slow start has completed enough work, as fast as the brokers' shares of its capacity
-/// allow. The brokers demand the whole capacity, most of it at one broker.
+/// Returns the seconds until a node in slow start has completed enough work to leave it, if the brokers send as much as
+/// their shares of its capacity allow. The brokers are offered its whole capacity, of which `hot` goes to one broker.
 fn slow_start_seconds(rule: Option<SplitRule>, hot: f64) -> f64 {
     let mut fleet = SimulatedFleet::new(4, rule);
     let rest = (1.0 - hot) / 3.0;
-    // Shares follow the traffic that exists before the node starts.
+    // The shares have adapted to the traffic before the node starts.
     (0..400).for_each(|_| fleet.step(&[hot, rest, rest, rest]));
-    let (mut done, begun) = (0.0, fleet.now);
-    while done < 10.0 && fleet.now < begun + 300.0 {
+    let (mut completed, started_at) = (0.0, fleet.now);
+    while completed < 10.0 && fleet.now < started_at + 300.0 {
         let before = fleet.served;
         fleet.step(&[hot, rest, rest, rest]);
-        done += fleet.served - before;
+        completed += fleet.served - before;
     }
-    fleet.now - begun
+    fleet.now - started_at
 }
 
 #[test]
 fn leased_shares_shorten_slow_start() {
     let (even, leased) = (slow_start_seconds(None, 0.85), slow_start_seconds(Some(SplitRule::MaxMin), 0.85));
-    assert!(leased < 0.75 * even, "{leased:.1} s against {even:.1} s");
+    assert!(leased < 0.75 * even, "{leased:.1} s with leased and {even:.1} s with even shares");
 }
 
-/// Prints the figures of docs/notes/quota.md.
+/// Prints the figures that docs/notes/quota.md compares; asserts nothing.
 #[test]
 #[ignore = "figures"]
 fn figures() {
@@ -252,12 +270,12 @@
             println!(
                 "{rule:?} hot {hot}: served {:.3}, moves {}, most {:.3}, slow start {:.1} s",
                 fleet.served / fleet.offered,
-                fleet.moves,
+                fleet.set_count,
                 fleet.max_used,
                 slow_start_seconds(rule, hot)
             );
         }
-        // All brokers are overloaded, and one of them demands ten times as much.
+        // All brokers are overloaded, and one of them is offered ten times as much as the others.
         let mut fleet = SimulatedFleet::new(4, rule);
         (0..1200).for_each(|_| fleet.step(&[3.0, 0.3, 0.3, 0.3]));
         let shares: Vec<String> = (0..4).map(|n| format!("{:.3}", fleet.share(n))).collect();
