--- a/crates/dunepond-recovery/src/learned_state.rs
+++ b/crates/dunepond-recovery/src/learned_state.rs
@@ -1,43 +1,46 @@
-//! What was learned of nodes, keyed by their names, and how much of it holds after a restart.
+//! The stored form of what a broker learned about nodes, and how much of it is restored after a restart. Nodes and query
+//! classes are stored by name, since their indices may differ between two processes.
 
 use dunepond_routing::{IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, NodeId};
 use serde::{Deserialize, Serialize};
 
 use crate::{DecodeError, Timestamp, decode, encode, is_duration};
 
-/// Time in which a snapshot loses half of its weight: nodes recover, and fail, within minutes.
+/// Time in which a snapshot loses half of its weight: nodes fail and recover within minutes.
 const HALF_LIFE_SECONDS: f64 = 30.0;
-/// Below this weight a snapshot is not used at all.
+/// A snapshot whose weight is below this is not used at all.
 const MIN_WEIGHT_RATIO: f64 = 1.0 / 8.0;
 
-/// A node as the endpoint list names it.
+/// A node as the endpoint list describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeIdentity {
-    /// Its id in the routing crate, which may differ after a restart.
+    /// The node's id in the routing crate, which may differ after a restart of the broker.
     pub node: NodeId,
-    /// Its name in the list.
+    /// The node's name in the endpoint list.
     pub name: String,
-    /// Address and port.
+    /// The node's address and port.
     pub address: String,
-    /// Unix seconds at which its process started; 0 if unknown or long ago.
+    /// Time at which the node's process started, in Unix seconds; 0 if unknown or long ago.
     pub started_at: f64,
 }
 
+/// What was learned about one node, as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct StoredNode {
     name: String,
     address: String,
     started_at: f64,
     ejected: bool,
-    /// The oldest first.
+    /// The node's samples, oldest first. Their class is an index into [`LearnedSnapshot::query_classes`].
     samples: Vec<LearnedSample>,
 }
 
-/// Everything that was learned, as it is stored.
+/// Everything that a broker learned about nodes, as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedSnapshot {
+    /// When the snapshot was captured; all ages in it are relative to this time.
     at: Timestamp,
-    /// Names of the query classes, as their order may change between two starts.
+    /// Names of the query classes, since their order may change between two starts.
     query_classes: Vec<String>,
     nodes: Vec<StoredNode>,
     latency_samples: Vec<LatencyRecord>,
@@ -45,56 +48,56 @@
     baseline_latency: Option<f64>,
 }
 
-/// How far a snapshot is trusted.
+/// How far a snapshot is trusted at a given time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Confidence {
-    /// Seconds since it was written; `None` if neither clock can tell.
+    /// Seconds since the snapshot was captured; `None` if they cannot be told from the clocks.
     pub elapsed_seconds: Option<f64>,
-    /// Share of its nodes that the list has with the same process and address.
+    /// Ratio of the snapshot's nodes that the endpoint list names with the same process and address.
     pub unchanged_ratio: f64,
-    /// The share of its samples that is used, from 0 to 1.
+    /// Ratio of the snapshot's samples that is used, from 0 to 1.
     pub weight: f64,
 }
 
-/// Whether the stored entry of a node is used, and if not, why.
+/// Whether what was stored about a node is restored, and if not, why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrustDecision {
-    /// It is used.
+    /// The node's samples and ejection are restored.
     Trusted {
-        /// Number of its samples that are restored.
+        /// Number of the node's samples that are restored.
         sample_count: usize,
-        /// Whether it starts out ejected, due its probation attempt at once.
+        /// Whether the node starts out ejected, with its probation attempt due at once.
         ejected: bool,
     },
     /// The weight of the snapshot is 0: it is too old or of unknown age, or too many of its nodes have changed.
     Expired,
-    /// The node's process was restarted since.
+    /// The node's process was restarted after the snapshot was captured.
     Restarted,
-    /// The list names another address.
+    /// The endpoint list names the node with another address.
     AddressChanged,
-    /// The list does not name the node.
+    /// The endpoint list does not name the node.
     Unlisted,
 }
 
-/// What is restored to the router, and how that was decided.
+/// What is restored to the router from a snapshot, and the decisions behind it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrustedState {
     /// How far the snapshot as a whole is trusted.
     pub confidence: Confidence,
-    /// The statistics for the router, with all ages as of now.
+    /// The statistics for the router, with ages relative to the time of the restore.
     pub learned: LearnedState,
-    /// Decision for each stored node, by name.
+    /// Name of each stored node and the decision about it.
     pub nodes: Vec<(String, TrustDecision)>,
 }
 
-/// The newest samples of `all`, the share of them that `weight` gives, rounded up.
+/// Returns the newest elements of `all`, which is ordered oldest first: the ratio `weight` of them, rounded up.
 fn newest<T>(all: &[T], weight: f64) -> &[T] {
     let count = (weight * all.len() as f64).ceil() as usize;
     &all[all.len() - count.min(all.len())..]
 }
 
 impl LearnedSnapshot {
-    /// Captures what was learned. Nodes that are not in `listed` are left out.
+    /// Captures what was learned, as of `at`. Nodes that are not in `listed` are left out.
     pub fn capture(
         at: Timestamp,
         query_classes: &[String],
@@ -121,18 +124,22 @@
         }
     }
 
-    /// Encodes the payload of a snapshot file.
+    /// Encodes the snapshot as the payload of a snapshot file.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Decodes a payload. Times that are negative or not finite, and unknown query classes, are refused.
+    /// Decodes the payload of a snapshot file. Rejects times that are negative or not finite, and samples of query classes
+    /// that the snapshot does not name.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let snapshot: Self = decode(bytes)?;
         if snapshot.is_valid() {
             Ok(snapshot)
         } else {
-            Err(DecodeError("a time or a table type out of bounds".to_string()))
+            Err(DecodeError(
+                "a time or ratio is negative or not finite, or a sample has an unknown query class"
+                    .to_string(),
+            ))
         }
     }
 
@@ -152,17 +159,17 @@
             && self.baseline_latency.is_none_or(is_duration)
     }
 
-    /// When it was captured.
+    /// Returns when the snapshot was captured.
     pub fn at(&self) -> &Timestamp {
         &self.at
     }
 
-    /// Names of the query classes, in the order of its samples' indices.
+    /// Returns the names of the query classes; a sample's class is an index into them.
     pub fn query_classes(&self) -> &[String] {
         &self.query_classes
     }
 
-    /// Its nodes as an endpoint list would have named them.
+    /// Returns the snapshot's nodes as an endpoint list would describe them, with consecutive ids.
     pub fn identities(&self) -> Vec<NodeIdentity> {
         let identity = |(node, stored): (NodeId, &StoredNode)| NodeIdentity {
             node,
@@ -173,12 +180,13 @@
         self.nodes.iter().enumerate().map(identity).collect()
     }
 
-    /// Number of its nodes.
+    /// Returns the number of nodes in the snapshot.
     pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// The node's present number, if the list still names the same process at the same address.
+    /// Returns the node's present id if the endpoint list still names the same process at the same address, otherwise the
+    /// decision not to restore the node.
     fn find_unchanged(stored: &StoredNode, listed: &[NodeIdentity]) -> Result<NodeId, TrustDecision> {
         let Some(identity) = listed.iter().find(|identity| identity.name == stored.name) else {
             return Err(TrustDecision::Unlisted);
@@ -192,7 +200,7 @@
         }
     }
 
-    /// How far the snapshot is trusted now, given the endpoint list.
+    /// Returns how far the snapshot is trusted at `now`, given the endpoint list `listed`.
     pub fn confidence(&self, now: &Timestamp, listed: &[NodeIdentity]) -> Confidence {
         let elapsed_seconds = now.seconds_since(&self.at);
         let unchanged =
@@ -204,7 +212,7 @@
         Confidence { elapsed_seconds, unchanged_ratio, weight }
     }
 
-    /// What is restored of it now, given the endpoint list.
+    /// Returns what is restored from the snapshot at `now`, given the present query classes and the endpoint list `listed`.
     pub fn restore(
         &self,
         now: &Timestamp,
@@ -240,7 +248,8 @@
         TrustedState { confidence, learned, nodes }
     }
 
-    /// The share of the node's newest samples that `weight` gives, without those of query classes that no longer exist.
+    /// Returns the newest samples of the node, the ratio `weight` of them, with ages increased by `elapsed` seconds. Samples
+    /// of query classes that no longer exist are left out.
     fn aged_samples(
         &self,
         stored: &StoredNode,
--- a/crates/dunepond-recovery/src/lib.rs
+++ b/crates/dunepond-recovery/src/lib.rs
@@ -1,12 +1,12 @@
-//! What a broker stores for its successor after a restart, and how much of it is trusted then.
+//! What a broker stores before a restart, and how much of it is trusted afterwards.
 //!
-//! A broker that starts in the middle of an outage would learn anew which nodes fail, and would spend its retry budget a
-//! second time. What was learned ([`learned_state`]) is of use as long as it is true, so it loses weight with time and
-//! with changes of the endpoint list. What was spent ([`spent_budgets`]) does not: it is charged until it has left every
-//! window.
+//! Without stored state, a broker that restarts during an outage would have to learn again which nodes fail, and would
+//! spend its retry budget a second time. Learned state ([`learned_state`]) may be outdated, so it loses weight with time
+//! and with changes of the endpoint list. Spent budgets ([`spent_budgets`]) lose no weight: they are charged in full until
+//! they have left every budget window.
 //!
-//! Pure: bytes and times come in, plain types of the routing crate go out. The encoding is postcard, which carries the
-//! order of fields and variants: neither is ever changed without a new [`FORMAT_VERSION`].
+//! The crate does no input or output: it takes bytes and times, and returns types of the routing crate. The encoding is
+//! postcard, which depends on the order of fields and variants: neither may change without a new [`FORMAT_VERSION`].
 #![warn(missing_docs)]
 
 pub mod learned_state;
@@ -15,22 +15,24 @@
 pub use learned_state::{Confidence, LearnedSnapshot, NodeIdentity, TrustDecision, TrustedState};
 pub use spent_budgets::{BudgetRecord, OutstandingCharges};
 
-/// Format version of snapshots and journal records alike.
+/// Format version of the snapshots and journal records of this crate.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// How far Unix time may have been set back between two timestamps; further back, their difference is not used.
+/// Largest step back of Unix time between two timestamps that counts as no time passed; after a larger one, the time
+/// between them is unknown.
 const MAX_UNIX_SETBACK_SECONDS: f64 = 1.0;
-/// The same for the uptime clock, which is never set back, only rounded.
+/// Largest step back of the uptime clock between two timestamps that counts as no time passed. The clock is never set
+/// back, only rounded.
 const MAX_UPTIME_SETBACK_SECONDS: f64 = 0.1;
 
-/// An instant as both Unix time and uptime tell it: Unix time may be set, and uptime restarts with each boot.
+/// A point in time by two clocks: Unix time, which may be set, and uptime, which restarts with each boot.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Timestamp {
-    /// Unix seconds; may be set at any moment.
+    /// Unix time in seconds.
     pub unix: f64,
-    /// Identifies this boot of the machine; empty where unknown.
+    /// Identifier of the machine's current boot; empty if unknown.
     pub boot: String,
-    /// Seconds since that boot.
+    /// Seconds since the machine booted.
     pub uptime: f64,
 }
 
@@ -39,8 +41,8 @@
         is_duration(self.unix) && is_duration(self.uptime)
     }
 
-    /// Seconds since an earlier timestamp; `None` if the clock that decides was set back too far. Within one boot the uptime clock decides, whatever
-    /// Unix time was set to.
+    /// Returns the seconds since an earlier timestamp; `None` if the clock used was set back too far. Within one boot the
+    /// uptime clock is used, so changes of Unix time have no effect; otherwise Unix time is used.
     pub fn seconds_since(&self, earlier: &Timestamp) -> Option<f64> {
         let same_boot = !self.boot.is_empty() && self.boot == earlier.boot;
         let (elapsed, max_setback) = if same_boot {
@@ -52,9 +54,9 @@
     }
 }
 
-/// Why the payload of a valid file cannot be used.
+/// The payload of an undamaged file cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("does not read as what it should be: {0}")]
+#[error("cannot be decoded: {0}")]
 pub struct DecodeError(String);
 
 fn is_duration(seconds: f64) -> bool {
@@ -64,12 +66,12 @@
 fn decode<'a, T: serde::Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, DecodeError> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Ok(value),
-        Ok((_, rest)) => Err(DecodeError(format!("{} bytes too many", rest.len()))),
+        Ok((_, rest)) => Err(DecodeError(format!("{} unexpected bytes after the value", rest.len()))),
         Err(e) => Err(DecodeError(e.to_string())),
     }
 }
 
 fn encode(value: &impl serde::Serialize) -> Vec<u8> {
-    // Numbers, strings and lists of them always encode.
+    // Encoding cannot fail: the values consist only of numbers, strings and lists.
     postcard::to_stdvec(value).unwrap_or_default()
 }
--- a/crates/dunepond-recovery/src/spent_budgets.rs
+++ b/crates/dunepond-recovery/src/spent_budgets.rs
@@ -1,8 +1,9 @@
-//! What was spent of the retry budget and of slow-start capacity before a restart.
+//! What a broker spent of its retry budget and of slow-start capacity before a restart.
 //!
-//! The journal gets a record when a broker starts, and one with everything spent at its graceful shutdown. After a crash
-//! the second is missing, and a record written some moments before would not tell of the last ones. So everything that
-//! could have been spent counts as spent, until it has left every window.
+//! A broker appends one record to the budget journal when it starts, and one with everything spent when it shuts down
+//! gracefully. After a crash the second record is missing; one written periodically would lack the spending just before
+//! the crash. The next broker therefore counts everything that could have been spent as spent, until it has left every
+//! budget window.
 
 use dunepond_routing::{AdmissionRecord, NodeId, SlowStartRecord, SpentBudgets};
 use serde::{Deserialize, Serialize};
@@ -10,38 +11,38 @@
 use crate::learned_state::NodeIdentity;
 use crate::{DecodeError, Timestamp, decode, encode, is_duration};
 
-/// A record of the budget journal. Ages are seconds before `at`.
+/// A record of the budget journal. All ages are in seconds before the record's `at`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum BudgetRecord {
-    /// A broker has started.
+    /// Written when a broker starts.
     BrokerStarted {
-        /// When.
+        /// When the broker started.
         at: Timestamp,
     },
-    /// It has shut down gracefully.
+    /// Written when a broker has shut down gracefully.
     BrokerStopped {
-        /// When.
+        /// When the broker shut down.
         at: Timestamp,
-        /// Ages of retries and hedged requests.
+        /// Ages of the retries and hedged requests that were charged to the retry budget.
         retries: Vec<f64>,
-        /// Age of each batch of admitted requests, and their number.
+        /// Age and size of each batch of admitted requests.
         admissions: Vec<AdmissionRecord>,
-        /// Node's name, its start in Unix seconds, and the ages of what it was sent while warming up.
+        /// For each node in slow start: its name, its start in Unix seconds, and the ages of the requests sent to it.
         slow_start_sends: Vec<(String, f64, Vec<f64>)>,
     },
 }
 
-/// What a starting broker is charged with.
+/// What a starting broker counts as already spent by its predecessor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OutstandingCharges {
-    /// Not known: everything that could be spent counts as spent just now.
+    /// The spending is not known: everything that could have been spent counts as spent just now.
     Unknown,
-    /// Exactly this; nothing where no broker was here before.
+    /// The spending is known exactly; it is empty if no broker has used the directory before.
     Known(SpentBudgets),
 }
 
 impl BudgetRecord {
-    /// The record of a graceful shutdown. Nodes that are not in `listed` are left out.
+    /// Creates the record of a graceful shutdown. Nodes that are not in `listed` are left out.
     pub fn stopped(at: Timestamp, listed: &[NodeIdentity], spent: &SpentBudgets) -> Self {
         let identity_of = |node: NodeId| listed.iter().find(|identity| identity.node == node);
         let slow_start_sends = spent.slow_start_sends.iter().filter_map(|record| {
@@ -56,15 +57,19 @@
         }
     }
 
-    /// Encodes a journal record.
+    /// Encodes the record as the payload of a journal record.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Decodes a journal record. Ages that are negative or not finite are refused.
+    /// Decodes the payload of a journal record. Rejects times and counts that are negative or not finite.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let record: Self = decode(bytes)?;
-        if record.is_valid() { Ok(record) } else { Err(DecodeError("a time out of bounds".to_string())) }
+        if record.is_valid() {
+            Ok(record)
+        } else {
+            Err(DecodeError("a time or count is negative or not finite".to_string()))
+        }
     }
 
     fn is_valid(&self) -> bool {
@@ -83,8 +88,8 @@
     }
 }
 
-/// What a starting broker is charged with, by the records of its predecessors. `complete`: whether every record could be
-/// read; if not, the last one may be missing.
+/// Returns what a starting broker counts as already spent, according to the `records` of its predecessors. `complete` is
+/// whether every record could be read; if not, the last one may be missing, and the spending is unknown.
 pub fn outstanding_charges(
     records: &[BudgetRecord],
     complete: bool,
@@ -95,7 +100,8 @@
         return OutstandingCharges::Unknown;
     }
     let (at, retries, admissions, slow_start_sends) = match records.last() {
-        // No broker has used this directory before; one that ran without a directory kept no budget across restarts.
+        // No broker has used this directory before. One that ran without a directory did not keep its budget across
+        // restarts either.
         None => return OutstandingCharges::Known(SpentBudgets::default()),
         Some(BudgetRecord::BrokerStarted { .. }) => return OutstandingCharges::Unknown,
         Some(BudgetRecord::BrokerStopped { at, retries, admissions, slow_start_sends }) => {
@@ -105,7 +111,7 @@
     let Some(elapsed) = now.seconds_since(at) else { return OutstandingCharges::Unknown };
     let aged = |ages: &[f64]| ages.iter().map(|age| age + elapsed).collect::<Vec<_>>();
     let slow_start_sends = slow_start_sends.iter().filter_map(|(name, started_at, ages)| {
-        // A node that was restarted since is another process, with its whole capacity.
+        // A node that was restarted since then is another process, whose slow-start capacity is unspent.
         let is_same_process =
             |identity: &&NodeIdentity| identity.name == *name && identity.started_at <= *started_at;
         let node = listed.iter().find(is_same_process)?.node;
--- a/crates/dunepond-recovery/tests/golden.rs
+++ b/crates/dunepond-recovery/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Stored forms: what earlier builds wrote is read as it was meant, and the same values give the same bytes.
+//! Golden files of the stored formats: files of earlier builds decode to the same values, and these encode to the same bytes.
 
 use std::path::Path;
 
@@ -13,29 +13,29 @@
     std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-fn stamp() -> Timestamp {
+fn timestamp() -> Timestamp {
     Timestamp { unix: 1_790_000_000.25, boot: "6f1c2a".to_string(), uptime: 86_400.5 }
 }
 
 fn identities() -> Vec<NodeIdentity> {
-    let identity = |node, name: &str, dial: &str, started| NodeIdentity {
+    let identity = |node, name: &str, address: &str, started_at| NodeIdentity {
         node,
         name: name.to_string(),
-        address: dial.to_string(),
-        started_at: started,
+        address: address.to_string(),
+        started_at,
     };
     vec![identity(0, "s-1", "10.1.0.1:9000", 0.0), identity(3, "s-2", "10.1.0.2:9000", 1_789_999_000.0)]
 }
 
-fn sample(table_type: usize, ago: f64, served: bool, fault: bool) -> LearnedSample {
-    LearnedSample { class: table_type, sent_ago: ago + 0.25, latency: 0.25, ended_ago: ago, served, fault }
+fn sample(class: usize, ago: f64, served: bool, fault: bool) -> LearnedSample {
+    LearnedSample { class, sent_ago: ago + 0.25, latency: 0.25, ended_ago: ago, served, fault }
 }
 
 fn query_classes() -> Vec<String> {
     vec!["find".to_string(), "fix".to_string()]
 }
 
-fn saved_beliefs() -> LearnedSnapshot {
+fn learned_snapshot() -> LearnedSnapshot {
     let nodes = vec![
         LearnedNode {
             node: 0,
@@ -43,10 +43,10 @@
             samples: vec![sample(0, 3.0, true, false), sample(1, 2.0, false, true)],
         },
         LearnedNode { node: 3, ejected: false, samples: vec![sample(1, 1.0, false, false)] },
-        // The list does not name it: it is not kept.
+        // The endpoint list does not name this node, so it is not stored.
         LearnedNode { node: 9, ejected: false, samples: vec![sample(0, 1.0, true, false)] },
     ];
-    let beliefs = LearnedState {
+    let learned = LearnedState {
         nodes,
         latency_samples: vec![
             LatencyRecord { latency: 0.25, ago: 1.5, node_share: 0.125 },
@@ -58,47 +58,47 @@
         ],
         baseline_latency: Some(0.0625),
     };
-    LearnedSnapshot::capture(stamp(), &query_classes(), &identities(), &beliefs)
+    LearnedSnapshot::capture(timestamp(), &query_classes(), &identities(), &learned)
 }
 
 #[test]
-fn learned_values_match_golden_bytes() {
+fn learned_snapshot_matches_golden_bytes() {
     assert_eq!(FORMAT_VERSION, 1);
-    let saved = saved_beliefs();
-    assert_eq!(saved.encode(), golden("beliefs.bin"));
+    let snapshot = learned_snapshot();
+    assert_eq!(snapshot.encode(), golden("beliefs.bin"));
     let read = LearnedSnapshot::decode(&golden("beliefs.bin")).unwrap();
-    assert_eq!(read, saved);
+    assert_eq!(read, snapshot);
     assert_eq!(read.encode(), golden("beliefs.bin"));
-    assert_eq!((read.at(), read.query_classes(), read.node_count()), (&stamp(), &query_classes()[..], 2));
+    assert_eq!((read.at(), read.query_classes(), read.node_count()), (&timestamp(), &query_classes()[..], 2));
 }
 
 #[test]
-fn learned_values_without_baseline_match_golden_bytes() {
-    let saved = LearnedSnapshot::capture(Timestamp::default(), &[], &[], &LearnedState::default());
-    assert_eq!(saved.encode(), golden("beliefs-none.bin"));
-    assert_eq!(LearnedSnapshot::decode(&golden("beliefs-none.bin")).unwrap(), saved);
+fn empty_learned_snapshot_matches_golden_bytes() {
+    let snapshot = LearnedSnapshot::capture(Timestamp::default(), &[], &[], &LearnedState::default());
+    assert_eq!(snapshot.encode(), golden("beliefs-none.bin"));
+    assert_eq!(LearnedSnapshot::decode(&golden("beliefs-none.bin")).unwrap(), snapshot);
 }
 
 #[test]
-fn spent_budgets_match_golden_bytes() {
-    let ledger = SpentBudgets {
+fn budget_records_match_golden_bytes() {
+    let spent = SpentBudgets {
         retries: vec![0.5, 2.25],
         admissions: vec![AdmissionRecord { ago: 0.5, count: 1.0 }, AdmissionRecord { ago: 1.5, count: 40.0 }],
-        // The last is not on the list: it is not kept.
+        // The endpoint list does not name node 9, so it is not stored.
         slow_start_sends: vec![
             SlowStartRecord { node: 3, sent_ago: vec![0.25, 0.75] },
             SlowStartRecord { node: 9, sent_ago: vec![1.0] },
         ],
     };
-    let entries = [
-        ("begun.bin", BudgetRecord::BrokerStarted { at: stamp() }),
-        ("ended.bin", BudgetRecord::stopped(stamp(), &identities(), &ledger)),
+    let records = [
+        ("begun.bin", BudgetRecord::BrokerStarted { at: timestamp() }),
+        ("ended.bin", BudgetRecord::stopped(timestamp(), &identities(), &spent)),
         ("ended-none.bin", BudgetRecord::stopped(Timestamp::default(), &[], &SpentBudgets::default())),
     ];
-    for (name, entry) in entries {
-        assert_eq!(entry.encode(), golden(name), "{name}");
+    for (name, record) in records {
+        assert_eq!(record.encode(), golden(name), "{name}");
         let read = BudgetRecord::decode(&golden(name)).unwrap();
-        assert_eq!(read, entry, "{name}");
+        assert_eq!(read, record, "{name}");
         assert_eq!(read.encode(), golden(name), "{name}");
     }
 }
--- a/crates/dunepond-recovery/tests/restart.rs
+++ b/crates/dunepond-recovery/tests/restart.rs
@@ -1,4 +1,4 @@
-//! Restart: which learned values are restored, with what confidence, and which budget charges are outstanding.
+//! Tests of a restart: which learned state is restored, with what confidence, and which spending is still charged.
 
 use dunepond_recovery::spent_budgets::outstanding_charges;
 use dunepond_recovery::*;
@@ -9,8 +9,10 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
+/// Unix time in seconds at which the broker stopped.
 const STOPPED_AT: f64 = 1_000_000.0;
 
+/// A timestamp without a known boot, so that only Unix time counts.
 fn at(unix: f64) -> Timestamp {
     Timestamp { unix, ..Timestamp::default() }
 }
@@ -47,7 +49,8 @@
     }
 }
 
-fn saved() -> LearnedSnapshot {
+/// A snapshot of eight nodes, captured at [`STOPPED_AT`], encoded and decoded again.
+fn snapshot() -> LearnedSnapshot {
     LearnedSnapshot::decode(
         &LearnedSnapshot::capture(at(STOPPED_AT), &query_classes(), &list(8), &learned(8)).encode(),
     )
@@ -58,63 +61,63 @@
 #[case::at_once(0.0, 8)]
 #[case::half_a_minute(30.0, 4)]
 #[case::a_minute(60.0, 2)]
-#[case::long_ago(100.0, 0)]
+#[case::over_three_half_lives(100.0, 0)]
 #[case::hours(7200.0, 0)]
-#[case::a_clock_set_a_little(-0.5, 8)]
-#[case::a_clock_set_back(-3600.0, 0)]
-fn trust_decreases_with_age_and_expires(#[case] elapsed: f64, #[case] samples: usize) {
-    let restored = saved().restore(&at(STOPPED_AT + elapsed), &query_classes(), &list(8));
-    let (_, verdict) = &restored.nodes[0];
-    if samples == 0 {
-        assert_eq!((verdict, &restored.learned), (&TrustDecision::Expired, &LearnedState::default()));
+#[case::clock_set_back_half_a_second(-0.5, 8)]
+#[case::clock_set_back_an_hour(-3600.0, 0)]
+fn trust_decreases_with_age_and_expires(#[case] elapsed: f64, #[case] sample_count: usize) {
+    let restored = snapshot().restore(&at(STOPPED_AT + elapsed), &query_classes(), &list(8));
+    let (_, decision) = &restored.nodes[0];
+    if sample_count == 0 {
+        assert_eq!((decision, &restored.learned), (&TrustDecision::Expired, &LearnedState::default()));
     } else {
-        assert_eq!(*verdict, TrustDecision::Trusted { sample_count: samples, ejected: true });
-        // The newest are kept, older by the time that has passed.
+        assert_eq!(*decision, TrustDecision::Trusted { sample_count, ejected: true });
+        // The newest samples are restored, with their ages increased by the time since the stop.
         let first = &restored.learned.nodes[0].samples[0];
-        assert!((first.ended_ago - (samples as f64 + elapsed.max(0.0))).abs() < 1e-9, "{first:?}");
+        assert!((first.ended_ago - (sample_count as f64 + elapsed.max(0.0))).abs() < 1e-9, "{first:?}");
     }
 }
 
-/// Guards against an ejection that is hours old: the node has recovered since.
+/// Guards against restoring an ejection from hours ago, from which the node may long have recovered.
 #[test]
 fn old_ejection_is_not_restored() {
-    let restored = saved().restore(&at(STOPPED_AT + 3.0 * 3600.0), &query_classes(), &list(8));
+    let restored = snapshot().restore(&at(STOPPED_AT + 3.0 * 3600.0), &query_classes(), &list(8));
     assert!(restored.learned.nodes.iter().all(|node| !node.ejected));
 }
 
 #[rstest]
-#[case::started(NodeIdentity { started_at: 600.0, ..node(0) }, TrustDecision::Restarted)]
-#[case::moved(NodeIdentity { address: "127.0.0.1:1".to_string(), ..node(0) }, TrustDecision::AddressChanged)]
+#[case::restarted(NodeIdentity { started_at: 600.0, ..node(0) }, TrustDecision::Restarted)]
+#[case::address_changed(NodeIdentity { address: "127.0.0.1:1".to_string(), ..node(0) }, TrustDecision::AddressChanged)]
 #[case::renamed(NodeIdentity { name: "other".to_string(), ..node(0) }, TrustDecision::Unlisted)]
-fn changed_node_is_not_restored(#[case] changed: NodeIdentity, #[case] verdict: TrustDecision) {
-    let mut present = list(8);
-    present[0] = changed;
-    let restored = saved().restore(&at(STOPPED_AT), &query_classes(), &present);
-    assert_eq!(restored.nodes[0], ("s-0".to_string(), verdict));
+fn changed_node_is_not_restored(#[case] changed: NodeIdentity, #[case] decision: TrustDecision) {
+    let mut listed = list(8);
+    listed[0] = changed;
+    let restored = snapshot().restore(&at(STOPPED_AT), &query_classes(), &listed);
+    assert_eq!(restored.nodes[0], ("s-0".to_string(), decision));
     assert!(!restored.learned.nodes.iter().any(|learned| learned.node == 0));
-    // The others are trusted a little less, as the list has changed.
+    // The other nodes are trusted less, since part of the list has changed.
     assert_eq!(restored.confidence.unchanged_ratio, 7.0 / 8.0);
     assert_eq!(restored.nodes[1].1, TrustDecision::Trusted { sample_count: 7, ejected: false });
 }
 
 #[test]
 fn list_without_known_nodes_restores_nothing() {
-    let present: Vec<_> = (0..8).map(|i| NodeIdentity { name: format!("new-{i}"), ..node(i) }).collect();
-    let restored = saved().restore(&at(STOPPED_AT), &query_classes(), &present);
+    let listed: Vec<_> = (0..8).map(|i| NodeIdentity { name: format!("new-{i}"), ..node(i) }).collect();
+    let restored = snapshot().restore(&at(STOPPED_AT), &query_classes(), &listed);
     assert_eq!(restored.learned, LearnedState::default());
-    assert!(restored.nodes.iter().all(|(_, verdict)| *verdict == TrustDecision::Unlisted));
+    assert!(restored.nodes.iter().all(|(_, decision)| *decision == TrustDecision::Unlisted));
 }
 
-/// Indices of nodes and query classes differ between processes.
+/// Guards against matching by index: indices of nodes and query classes may differ between two processes.
 #[test]
 fn nodes_and_query_classes_match_by_name() {
-    let mut present = list(8);
-    present.iter_mut().for_each(|identity| identity.node = 7 - identity.node);
+    let mut listed = list(8);
+    listed.iter_mut().for_each(|identity| identity.node = 7 - identity.node);
     let query_classes = vec!["fix".to_string(), "find".to_string()];
-    let restored = saved().restore(&at(STOPPED_AT), &query_classes, &present);
+    let restored = snapshot().restore(&at(STOPPED_AT), &query_classes, &listed);
     let first = &restored.learned.nodes[0];
     assert_eq!((first.node, first.ejected, first.samples[0].class), (7, true, 1));
-    let without = saved().restore(&at(STOPPED_AT), &query_classes[..1], &present);
+    let without = snapshot().restore(&at(STOPPED_AT), &query_classes[..1], &listed);
     assert!(without.learned.nodes.iter().all(|node| node.samples.is_empty()));
 }
 
@@ -127,10 +130,10 @@
 }
 
 #[test]
-fn orderly_stop_charges_exactly_what_was_spent() {
-    let ended =
+fn graceful_stop_charges_exactly_what_was_spent() {
+    let stopped =
         BudgetRecord::decode(&BudgetRecord::stopped(at(STOPPED_AT), &list(8), &spent()).encode()).unwrap();
-    let records = [BudgetRecord::BrokerStarted { at: at(STOPPED_AT - 9.0) }, ended];
+    let records = [BudgetRecord::BrokerStarted { at: at(STOPPED_AT - 9.0) }, stopped];
     let expected = SpentBudgets {
         retries: vec![1.5, 1.1],
         admissions: vec![AdmissionRecord { ago: 1.4, count: 3.0 }],
@@ -140,52 +143,53 @@
         outstanding_charges(&records, true, &at(STOPPED_AT + 1.0), &list(8)),
         OutstandingCharges::Known(expected)
     );
-    // A node that has started since has its slow-start budget again.
-    let mut present = list(8);
-    present[2].started_at = 700.0;
-    let OutstandingCharges::Known(ledger) =
-        outstanding_charges(&records, true, &at(STOPPED_AT + 1.0), &present)
+    // A node that was restarted since then has its full slow-start capacity again.
+    let mut listed = list(8);
+    listed[2].started_at = 700.0;
+    let OutstandingCharges::Known(charges) =
+        outstanding_charges(&records, true, &at(STOPPED_AT + 1.0), &listed)
     else {
         panic!()
     };
-    assert_eq!(ledger.slow_start_sends, []);
+    assert_eq!(charges.slow_start_sends, []);
 }
 
 #[rstest]
 #[case::crashed(vec![BudgetRecord::BrokerStarted { at: at(STOPPED_AT) }], true)]
-#[case::crashed_after_an_orderly_end(vec![BudgetRecord::stopped(at(STOPPED_AT), &[], &SpentBudgets::default()), BudgetRecord::BrokerStarted { at: at(STOPPED_AT) }], true)]
-#[case::the_last_may_be_missing(vec![BudgetRecord::stopped(at(STOPPED_AT), &[], &SpentBudgets::default())], false)]
-#[case::nothing_can_be_read(vec![], false)]
-#[case::a_clock_set_back(vec![BudgetRecord::stopped(at(STOPPED_AT + 60.0), &[], &SpentBudgets::default())], true)]
-fn unknown_spending_is_charged_in_full(#[case] records: Vec<BudgetRecord>, #[case] whole: bool) {
+#[case::crashed_after_earlier_graceful_stop(vec![BudgetRecord::stopped(at(STOPPED_AT), &[], &SpentBudgets::default()), BudgetRecord::BrokerStarted { at: at(STOPPED_AT) }], true)]
+#[case::last_record_may_be_missing(vec![BudgetRecord::stopped(at(STOPPED_AT), &[], &SpentBudgets::default())], false)]
+#[case::no_record_readable(vec![], false)]
+#[case::clock_set_back(vec![BudgetRecord::stopped(at(STOPPED_AT + 60.0), &[], &SpentBudgets::default())], true)]
+fn unknown_spending_is_charged_in_full(#[case] records: Vec<BudgetRecord>, #[case] complete: bool) {
     assert_eq!(
-        outstanding_charges(&records, whole, &at(STOPPED_AT + 1.0), &list(8)),
+        outstanding_charges(&records, complete, &at(STOPPED_AT + 1.0), &list(8)),
         OutstandingCharges::Unknown
     );
 }
 
-/// The clock is set hours ahead, or back, between stop and start: the machine's uptime shows that a second passed.
+/// The clock is set hours ahead or back between stop and start, while uptime shows that one second has passed.
 #[rstest]
 #[case::ahead(7200.0)]
 #[case::back(-7200.0)]
 fn clock_change_within_one_boot_is_ignored(#[case] clock_step: f64) {
-    let boot = |unix: f64, uptime: f64| Timestamp { unix, boot: "b".to_string(), uptime };
-    let records = [BudgetRecord::stopped(boot(STOPPED_AT, 100.0), &list(8), &spent())];
-    let OutstandingCharges::Known(ledger) =
-        outstanding_charges(&records, true, &boot(STOPPED_AT + clock_step, 101.0), &list(8))
+    let same_boot = |unix: f64, uptime: f64| Timestamp { unix, boot: "b".to_string(), uptime };
+    let records = [BudgetRecord::stopped(same_boot(STOPPED_AT, 100.0), &list(8), &spent())];
+    let OutstandingCharges::Known(charges) =
+        outstanding_charges(&records, true, &same_boot(STOPPED_AT + clock_step, 101.0), &list(8))
     else {
         panic!()
     };
-    assert_eq!(ledger.retries, [1.5, 1.1]);
-    let saved = LearnedSnapshot::capture(boot(STOPPED_AT, 100.0), &query_classes(), &list(8), &learned(8));
-    assert_eq!(saved.confidence(&boot(STOPPED_AT + clock_step, 100.0), &list(8)).weight, 1.0);
-    // After a reboot there is only the clock.
-    let after = Timestamp { boot: "c".to_string(), ..boot(STOPPED_AT + clock_step, 1.0) };
-    assert_eq!(saved.confidence(&after, &list(8)).weight, 0.0);
+    assert_eq!(charges.retries, [1.5, 1.1]);
+    let snapshot =
+        LearnedSnapshot::capture(same_boot(STOPPED_AT, 100.0), &query_classes(), &list(8), &learned(8));
+    assert_eq!(snapshot.confidence(&same_boot(STOPPED_AT + clock_step, 100.0), &list(8)).weight, 1.0);
+    // After a reboot, only Unix time can be used.
+    let after = Timestamp { boot: "c".to_string(), ..same_boot(STOPPED_AT + clock_step, 1.0) };
+    assert_eq!(snapshot.confidence(&after, &list(8)).weight, 0.0);
 }
 
 #[test]
-fn new_folder_has_no_charges() {
+fn new_directory_has_no_charges() {
     assert_eq!(
         outstanding_charges(&[], true, &at(STOPPED_AT), &list(8)),
         OutstandingCharges::Known(SpentBudgets::default())
@@ -198,15 +202,15 @@
         ..ProptestConfig::default()
     })]
 
-    /// Bytes with a valid checksum may still be anything: no panic, and no time that is not finite.
+    /// Guards against payloads that have a valid checksum and invalid content: they cause no panic and no invalid time.
     #[test]
-    fn arbitrary_bytes_are_rejected_or_read(bytes in prop::collection::vec(any::<u8>(), 0..200), position in 0..100usize, bits: u8) {
-        let mut mangled = saved().encode();
-        let place = position * mangled.len() / 100;
-        mangled[place] ^= bits;
-        for bytes in [&bytes, &mangled] {
-            if let Ok(saved) = LearnedSnapshot::decode(bytes) {
-                let restored = saved.restore(&at(STOPPED_AT + 1.0), &query_classes(), &list(8));
+    fn arbitrary_bytes_are_rejected_or_decoded(bytes in prop::collection::vec(any::<u8>(), 0..200), position in 0..100usize, bits: u8) {
+        let mut corrupted = snapshot().encode();
+        let offset = position * corrupted.len() / 100;
+        corrupted[offset] ^= bits;
+        for bytes in [&bytes, &corrupted] {
+            if let Ok(snapshot) = LearnedSnapshot::decode(bytes) {
+                let restored = snapshot.restore(&at(STOPPED_AT + 1.0), &query_classes(), &list(8));
                 let samples = restored.learned.nodes.iter().flat_map(|node| &node.samples);
                 prop_assert!(samples.into_iter().all(|s| s.ended_ago.is_finite() && s.ended_ago >= 0.0));
             }
@@ -217,9 +221,9 @@
     /// Confidence never rises with age or with the number of changed nodes.
     #[test]
     fn confidence_only_decreases(elapsed in 0.0..300.0f64, further in 0.0..60.0f64, removed in 0..8usize) {
-        let present = list(8 - removed);
-        let (then, later) = (saved().confidence(&at(STOPPED_AT + elapsed), &present), saved().confidence(&at(STOPPED_AT + elapsed + further), &present));
+        let listed = list(8 - removed);
+        let (then, later) = (snapshot().confidence(&at(STOPPED_AT + elapsed), &listed), snapshot().confidence(&at(STOPPED_AT + elapsed + further), &listed));
         prop_assert!(later.weight <= then.weight && then.weight <= 1.0);
-        prop_assert!(saved().confidence(&at(STOPPED_AT + elapsed), &list(8)).weight >= then.weight);
+        prop_assert!(snapshot().confidence(&at(STOPPED_AT + elapsed), &list(8)).weight >= then.weight);
     }
 }
