--- a/crates/dunepond-storage/src/files.rs
+++ b/crates/dunepond-storage/src/files.rs
@@ -1,30 +1,30 @@
-//! The file operations that snapshots and journals need, and their implementation on a real directory.
+//! The file operations that snapshots and journals need, and their implementation on a directory of the file system.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// File that the process using the directory holds locked.
+/// Name of the file that a process locks while it uses the directory.
 const LOCK_FILE: &str = "dunepond.lock";
-/// Only the owner may read and write what is stored.
+/// Mode of created files: only the owner may read and write them.
 const FILE_MODE: u32 = 0o600;
 
-/// A flat directory of files, addressed by name. A change may be lost in a crash until it is synced.
+/// A flat directory of files that are addressed by name. A crash of the machine may lose changes that are not synced yet.
 pub trait FileStore: Send + Sync {
     /// Creates a file, or empties an existing one.
     fn create(&self, name: &str) -> io::Result<Box<dyn WritableFile>>;
-    /// Opens an existing file to write behind its last byte.
+    /// Opens an existing file for writing at its end.
     fn open_append(&self, name: &str) -> io::Result<Box<dyn WritableFile>>;
-    /// Reads a whole file; an error where it is longer than `max_bytes`.
+    /// Reads a whole file; fails if it is longer than `max_bytes`.
     fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>>;
     /// Renames a file atomically, replacing an existing one.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Makes created, renamed and removed names durable.
+    /// Makes all creations, renames and removals of files durable.
     fn sync_names(&self) -> io::Result<()>;
-    /// Lists all names.
+    /// Lists the names of all files.
     fn list(&self) -> io::Result<Vec<String>>;
 }
 
@@ -34,19 +34,19 @@
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()>;
     /// Truncates the file to `length` bytes; the next write goes there.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
-    /// Makes what was written durable.
+    /// Makes everything written to the file durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A real directory.
+/// A [`FileStore`] on a directory of the file system.
 pub struct DiskStore {
     path: PathBuf,
-    /// Held for as long as the process lives; the kernel releases it however the process ends.
+    /// The locked file, `None` if opened read-only. The kernel releases the lock however the process ends.
     _lock: Option<File>,
 }
 
 impl DiskStore {
-    /// Opens a directory for exclusive use. Fails with `WouldBlock` where another process holds its lock.
+    /// Opens a directory for exclusive use. Fails with `WouldBlock` if another process holds the directory's lock.
     pub fn open(path: &Path) -> io::Result<Self> {
         let lock = OpenOptions::new()
             .write(true)
@@ -61,7 +61,7 @@
         Ok(Self { path: path.to_path_buf(), _lock: Some(lock) })
     }
 
-    /// Opens a directory without its lock, to read beside a running broker.
+    /// Opens a directory without locking it, to read it while a broker may be using it.
     pub fn open_read_only(path: &Path) -> io::Result<Self> {
         std::fs::read_dir(path)?;
         Ok(Self { path: path.to_path_buf(), _lock: None })
@@ -76,17 +76,20 @@
     }
 
     fn open_append(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
-        // Append mode, so that after a truncation the next write goes to the new end.
+        // In append mode, the next write after a truncation goes to the new end of the file.
         Ok(Box::new(OpenOptions::new().append(true).open(self.path.join(name))?))
     }
 
     fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
         let file = File::open(self.path.join(name))?;
         let mut bytes = Vec::new();
-        // One byte more than allowed is read, so that a file that is too long is not taken for a whole one.
+        // Reads one byte more than allowed, to detect a file that is too long.
         file.take(max_bytes + 1).read_to_end(&mut bytes)?;
         if bytes.len() as u64 > max_bytes {
-            return Err(io::Error::new(io::ErrorKind::FileTooLarge, "longer than any of ours"));
+            return Err(io::Error::new(
+                io::ErrorKind::FileTooLarge,
+                format!("longer than {max_bytes} bytes"),
+            ));
         }
         Ok(bytes)
     }
--- a/crates/dunepond-storage/src/format.rs
+++ b/crates/dunepond-storage/src/format.rs
@@ -1,41 +1,41 @@
-//! The byte format of stored files: a header with magic, kind, version, number and length, then the payload, each with
-//! its CRC-32. Integers are little-endian.
+//! The byte format of stored files: a header with magic, kind, version, number and length, followed by the payload. Header
+//! and payload each have a CRC-32 checksum. Integers are little-endian.
 
 use std::io;
 
-/// Longest file that is written or read, bytes.
+/// Length of the longest file that is read, in bytes.
 pub const MAX_FILE_BYTES: u64 = 64 * 1024 * 1024;
 
 const MAGIC: [u8; 8] = *b"dunepond";
 
-// Offsets in the header; the checksum covers everything before it.
+// Offsets of the header's fields in bytes. The checksum covers all bytes before it.
 const KIND_AT: usize = 8;
 const VERSION_AT: usize = 12;
 const NUMBER_AT: usize = 16;
 const LENGTH_AT: usize = 24;
 const CHECKSUM_AT: usize = 32;
-/// Length of the header.
+/// Length of the header in bytes.
 pub const HEADER_BYTES: usize = 36;
 
-/// Distinguishes snapshots from journals.
+/// Four bytes in the header that tell snapshots from journals.
 pub type FileKind = [u8; 4];
 
-/// Why a file, or the rest of one, is not used.
+/// Why a file, or everything after a position in it, cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FileFault {
-    /// Magic or kind is another one: not written by this program.
-    #[error("not a file of ours")]
+    /// The magic or the kind in the header is not the expected one.
+    #[error("not a dunepond file of the expected kind")]
     UnknownFormat,
-    /// Written by a newer build, in this format version.
-    #[error("of version {0}, which is later than ours")]
+    /// The file has this format version, which is newer than the one that this build reads.
+    #[error("format version {0} is newer than this build can read")]
     NewerVersion(u32),
-    /// Ends too early, as a crash during a write leaves it.
-    #[error("cut off")]
+    /// The file ends too early, for example because of a crash during a write.
+    #[error("truncated")]
     Truncated,
-    /// A checksum or a number does not match.
+    /// A checksum or a record number does not match.
     #[error("damaged")]
     Corrupted,
-    /// The read itself failed.
+    /// Reading the file failed.
     #[error("cannot be read: {0}")]
     Unreadable(io::ErrorKind),
 }
@@ -43,11 +43,11 @@
 /// The variable fields of a file's header.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Header {
-    /// Format version of the writer.
+    /// Format version in which the file was written.
     pub version: u32,
-    /// A snapshot's own number; of a journal, its first record's.
+    /// Number of the snapshot, or of the first record of a journal.
     pub number: u64,
-    /// Payload length of a snapshot, bytes; 0 in a journal.
+    /// Payload length of a snapshot in bytes; 0 in a journal.
     pub length: u64,
 }
 
@@ -64,15 +64,15 @@
     bytes
 }
 
-/// The `N` bytes at an offset, if they are there.
+/// Returns the `N` bytes at an offset; `None` if `bytes` ends before them.
 pub fn bytes_at<const N: usize>(bytes: &[u8], offset: usize) -> Option<[u8; N]> {
     bytes.get(offset..offset.checked_add(N)?)?.try_into().ok()
 }
 
-/// Decodes the header of a file of this kind, written in `max_version` or an earlier one.
+/// Decodes the header of a file of the given kind, whose format version must not be above `max_version`.
 pub fn decode_header(kind: FileKind, max_version: u32, bytes: &[u8]) -> Result<Header, FileFault> {
     if bytes.len() < VERSION_AT {
-        // A crash right after the creation leaves a prefix of our header, or nothing.
+        // A crash right after the file's creation leaves a prefix of the header, or an empty file.
         let is_prefix = MAGIC.iter().chain(&kind).zip(bytes).all(|(a, b)| a == b);
         return Err(if is_prefix { FileFault::Truncated } else { FileFault::UnknownFormat });
     }
--- a/crates/dunepond-storage/src/journal.rs
+++ b/crates/dunepond-storage/src/journal.rs
@@ -1,5 +1,5 @@
-//! The journal: records appended to one file, each with length, number and checksum. The next open truncates what a crash
-//! left unfinished behind the last valid record.
+//! The journal: records appended to one file, each with length, number and checksum. Opening a journal removes what a crash
+//! left after the last valid record.
 
 use std::io;
 use std::sync::Arc;
@@ -9,29 +9,29 @@
 
 const KIND: FileKind = *b"JRNL";
 const SUFFIX: &str = ".journal";
-/// Suffix of a journal that is being rewritten, until it takes the old one's name.
+/// Suffix of the file to which a journal is rewritten, before it replaces the old file.
 const UNFINISHED_SUFFIX: &str = ".journal-aside";
 
-// A record's header: length of the payload (u32), number (u64), checksum (u32).
+// A record's header: length of the payload (u32) at offset 0, number (u64), checksum (u32). Offsets and length in bytes.
 const NUMBER_AT: usize = 4;
 const CHECKSUM_AT: usize = 12;
 const RECORD_HEADER_BYTES: usize = 16;
 
-/// One valid record.
+/// One valid record of a journal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JournalRecord {
-    /// One more than that of the record before, over the journal's whole life.
+    /// Number of the record, one more than that of the previous record. Rewrites of the journal continue the numbering.
     pub number: u64,
-    /// Payload.
+    /// Payload of the record.
     pub bytes: Vec<u8>,
 }
 
 /// What a journal held when it was opened.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveredJournal {
-    /// All valid records from the beginning.
+    /// All records before the first invalid one.
     pub records: Vec<JournalRecord>,
-    /// Why the bytes after them are not used; `None` if there are none.
+    /// Why the file, or everything after the valid records, cannot be used; `None` if there is no fault.
     pub fault: Option<FileFault>,
 }
 
@@ -40,17 +40,18 @@
     files: Arc<dyn FileStore>,
     name: String,
     version: u32,
-    /// `None` after a failed call, until the journal has been rewritten: what the file ends with is unknown.
+    /// `None` after a failed write or sync, until the journal is rewritten, since the end of the file is then unknown.
     file: Option<Box<dyn WritableFile>>,
     next_number: u64,
     length_bytes: u64,
 }
 
-/// A file's content as far as it is valid.
+/// The valid content at the beginning of a journal file.
 struct Scan {
     recovered: RecoveredJournal,
-    /// Length of the valid part.
+    /// Length of the valid content in bytes, including the header.
     valid_bytes: usize,
+    /// `None` if the file does not exist or its header is invalid.
     header: Option<Header>,
 }
 
@@ -69,7 +70,7 @@
     out
 }
 
-/// Covers length and number too, so that a run of zero bytes is no valid record.
+/// Computes a record's checksum. It covers length and number too, so that a run of zero bytes is not a valid record.
 fn checksum(number: u64, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&(payload.len() as u32).to_le_bytes());
@@ -78,7 +79,7 @@
     hasher.finalize()
 }
 
-/// Number, checksum and payload of the record at an offset; `None` where the bytes end before it does.
+/// Returns number, checksum and payload of the record at an offset; `None` if `bytes` ends within the record.
 fn record_at(bytes: &[u8], offset: usize) -> Option<(u64, u32, &[u8])> {
     let length = u32::from_le_bytes(format::bytes_at(bytes, offset)?) as usize;
     let number = u64::from_le_bytes(format::bytes_at(bytes, offset + NUMBER_AT)?);
@@ -88,7 +89,7 @@
     Some((number, checksum, payload))
 }
 
-/// The valid records at the beginning of `bytes`, their length in bytes, and what is wrong behind them.
+/// Returns the valid records at the beginning of `bytes`, their length in bytes, and the fault that follows them, if any.
 fn decode_records(bytes: &[u8], first_number: u64) -> (Vec<JournalRecord>, usize, Option<FileFault>) {
     let (mut records, mut offset, mut expected) = (Vec::new(), 0, first_number);
     while offset < bytes.len() {
@@ -109,6 +110,7 @@
     format!("{name}{SUFFIX}")
 }
 
+/// Reads the valid content of the journal `name`.
 fn scan(files: &dyn FileStore, name: &str, version: u32) -> Scan {
     let bytes = match files.read(&file_name(name), MAX_FILE_BYTES) {
         Ok(bytes) => bytes,
@@ -126,17 +128,17 @@
 }
 
 fn earlier_call_failed() -> io::Error {
-    io::Error::other("an earlier record failed")
+    io::Error::other("an earlier write or sync failed; the journal must be rewritten first")
 }
 
 impl Journal {
-    /// Reads a journal without opening it for writing.
+    /// Reads a journal without changing it or opening it for writing.
     pub fn read(files: &dyn FileStore, name: &str, version: u32) -> RecoveredJournal {
         scan(files, name, version).recovered
     }
 
-    /// Opens a journal, or creates one, in this format version. Fails where the file is of a newer version, not ours or
-    /// unreadable: it is left alone then.
+    /// Opens a journal in the given format version, or creates it, and returns it with what it held. Fails if the file has a
+    /// newer format version, is no journal or cannot be read; the file is then left unchanged.
     pub fn open(files: Arc<dyn FileStore>, name: &str, version: u32) -> io::Result<(Self, RecoveredJournal)> {
         let Scan { recovered, valid_bytes, header } = scan(&*files, name, version);
         if let Some(
@@ -158,20 +160,20 @@
             }
             journal.file = Some(file);
         } else {
-            // No file, one without a valid header, or one of an earlier version, whose records are kept.
+            // The file does not exist, has no valid header, or has an earlier format version, whose records are kept.
             let payloads: Vec<_> = recovered.records.iter().map(|record| record.bytes.clone()).collect();
             journal.rewrite(&payloads)?;
         }
         Ok((journal, recovered))
     }
 
-    /// Length of the file, bytes.
+    /// Returns the length of the file in bytes.
     pub fn length(&self) -> u64 {
         self.length_bytes
     }
 
-    /// Appends a record and returns its number. It survives the process from then on, and a power loss once synced.
-    /// After an error all further records are refused until [`Journal::rewrite`].
+    /// Appends a record and returns its number. The record survives a crash of the process from then on, and a power loss
+    /// once it is synced. After an error, all further calls fail until [`Journal::rewrite`] succeeds.
     pub fn append(&mut self, bytes: &[u8]) -> io::Result<u64> {
         let mut file = self.file.take().ok_or_else(earlier_call_failed)?;
         let record = encode_record(self.next_number, bytes);
@@ -182,16 +184,17 @@
         Ok(self.next_number - 1)
     }
 
-    /// Makes all appended records durable.
+    /// Makes all appended records durable. After an error, all further calls fail until [`Journal::rewrite`] succeeds.
     pub fn sync(&mut self) -> io::Result<()> {
-        // Taken out: a file whose sync failed must not be written on, as the kernel may have dropped its pages.
+        // The file is put back only after success: after a failed sync, the kernel may have dropped written pages.
         let mut file = self.file.take().ok_or_else(earlier_call_failed)?;
         file.sync()?;
         self.file = Some(file);
         Ok(())
     }
 
-    /// Replaces the journal atomically by one of these records alone; numbers go on.
+    /// Atomically replaces all records of the journal by records with the given payloads. Numbers continue after the last
+    /// appended record. After success, the journal can be appended to again even if an earlier call failed.
     pub fn rewrite(&mut self, payloads: &[Vec<u8>]) -> io::Result<()> {
         let unfinished = format!("{}{UNFINISHED_SUFFIX}", self.name);
         let mut file = self.files.create(&unfinished)?;
--- a/crates/dunepond-storage/src/lib.rs
+++ b/crates/dunepond-storage/src/lib.rs
@@ -1,11 +1,12 @@
-//! Durable files: snapshots, of which the newest valid one is read, and an append-only journal that recovers up to its
+//! Durable files: snapshots, of which the newest valid one is read, and an append-only journal that is recovered up to its
 //! last valid record.
 //!
-//! The layer exists so that a crash at any point leaves old data, new data or none, and never a mixture. Files carry a
-//! format version and checksums; a file that is truncated, corrupted, unknown or written by a newer build is reported and
-//! left alone. Both kinds stand on the trait [`FileStore`], so that tests can fail any call and drop what was not synced.
+//! A crash at any point leaves the old data, the new data or none, but never a mixture. Files carry a format version and
+//! checksums; a file that is truncated, corrupted, of unknown format or written by a newer build is reported as a
+//! [`FileFault`] and not used. Files of unknown or newer format are left unchanged. Snapshots and journals use the trait
+//! [`FileStore`], so that tests can make any call fail and drop what was not synced.
 //!
-//! Every call blocks on the disk; callers that must not wait run them on a thread of their own.
+//! Calls block on disk input and output; callers that must not block run them on a separate thread.
 #![warn(missing_docs)]
 
 mod files;
--- a/crates/dunepond-storage/src/snapshots.rs
+++ b/crates/dunepond-storage/src/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots: each is written under a temporary name, synced and renamed; the last two stay.
+//! Snapshots: each is written under a temporary name, synced and renamed. The last two valid snapshots are kept.
 
 use std::io;
 use std::sync::Arc;
@@ -8,47 +8,47 @@
 
 const KIND: FileKind = *b"SNAP";
 const SUFFIX: &str = ".snapshot";
-/// Suffix of a snapshot that is being written.
+/// Suffix of the temporary file to which a snapshot is written.
 const UNFINISHED_SUFFIX: &str = ".aside";
-/// Number of snapshots that are kept: the one before the last is used if the last turns out to be corrupted.
+/// Number of valid snapshots that are kept: the second to last is used if the last one is corrupted.
 const RETAINED_COUNT: usize = 2;
 
 /// A valid snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
-    /// Rises with each snapshot of a name.
+    /// Number of the snapshot, which increases with each snapshot of the same name.
     pub number: u64,
-    /// Format version of its writer.
+    /// Format version in which the snapshot was written.
     pub format_version: u32,
-    /// Payload.
+    /// Payload of the snapshot.
     pub bytes: Vec<u8>,
 }
 
-/// What a directory holds under one name.
+/// The snapshots that a directory holds under one name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadedSnapshots {
-    /// The newest valid one.
+    /// The newest valid snapshot; `None` if there is none.
     pub newest: Option<Snapshot>,
-    /// Files that are not used, with the reason, the newest first.
+    /// Names of snapshot files that cannot be used, with the reason, newest first.
     pub faults: Vec<(String, FileFault)>,
 }
 
-/// The snapshots of one name in a directory.
+/// Reads and writes the snapshots of one name in a directory.
 pub struct SnapshotStore {
     files: Arc<dyn FileStore>,
     name: String,
     version: u32,
-    /// Above every number in the directory; known after the first write.
+    /// Number of the next snapshot, above all numbers in the directory; `None` before the first write.
     next_number: Option<u64>,
 }
 
 impl SnapshotStore {
-    /// Snapshots of this name, written in this format version.
+    /// Creates a store for snapshots of this name, which are written in this format version.
     pub fn new(files: Arc<dyn FileStore>, name: &str, version: u32) -> Self {
         Self { files, name: name.to_string(), version, next_number: None }
     }
 
-    /// Numbers and names of all snapshots, the newest first.
+    /// Lists numbers and file names of all snapshots, newest first.
     fn list(&self) -> io::Result<Vec<(u64, String)>> {
         let number = |file: &str| {
             let digits = file.strip_prefix(&self.name)?.strip_prefix('-')?.strip_suffix(SUFFIX)?;
@@ -74,7 +74,8 @@
         Ok(Snapshot { number: header.number, format_version: header.version, bytes: payload.to_vec() })
     }
 
-    /// Loads the newest valid snapshot. Fails only where the directory cannot be listed; an unreadable file is a fault.
+    /// Loads the newest valid snapshot. Fails only if the directory cannot be listed; an unreadable file is reported in
+    /// [`LoadedSnapshots::faults`].
     pub fn load(&self) -> io::Result<LoadedSnapshots> {
         let mut loaded = LoadedSnapshots::default();
         for (_, name) in self.list()? {
@@ -87,7 +88,7 @@
         Ok(loaded)
     }
 
-    /// Writes the next snapshot durably and returns its number. After an error the earlier ones are unchanged.
+    /// Writes the next snapshot durably and returns its number. After an error, earlier snapshots are unchanged.
     pub fn write(&mut self, bytes: &[u8]) -> io::Result<u64> {
         let number = match self.next_number {
             Some(next) => next,
@@ -101,15 +102,15 @@
         file.sync()?;
         drop(file);
         self.files.rename(&unfinished, &format!("{}-{number:020}{SUFFIX}", self.name))?;
-        // The number may be in use from here on, even where the sync fails.
+        // From here on, the number may be in use even if the sync fails.
         self.next_number = Some(number.saturating_add(1));
         self.files.sync_names()?;
         self.prune();
         Ok(number)
     }
 
-    /// Removes valid snapshots before the last two, and broken ones older than those. What cannot be removed stays, and so
-    /// does what this build cannot judge: files of a newer version, unknown or unreadable ones.
+    /// Removes all valid snapshots except the last two, and truncated or corrupted ones that are older than those two. Files
+    /// of a newer version, of unknown format or unreadable ones stay, and so does what cannot be removed.
     fn prune(&self) {
         let Ok(found) = self.list() else { return };
         let mut valid_count = 0;
--- a/crates/dunepond-storage/tests/damage.rs
+++ b/crates/dunepond-storage/tests/damage.rs
@@ -1,4 +1,5 @@
-//! Damaged files, files of other versions and foreign files: they are ignored, reported as faults or read correctly.
+//! Tests of damaged files, files of other format versions and files of other programs: they are ignored, reported as faults
+//! or read correctly.
 
 mod support;
 
@@ -26,8 +27,8 @@
                 bytes
             })
         });
-        let cut = (0..intact.len()).map(|length| intact[..length].to_vec());
-        for bytes in flipped.chain(cut) {
+        let truncated = (0..intact.len()).map(|length| intact[..length].to_vec());
+        for bytes in flipped.chain(truncated) {
             store.overwrite(&name, bytes);
             let found = newest_snapshot(&store);
             assert!(found.is_none() || [payload(1), payload(2)].contains(found.as_ref().unwrap()), "{name}");
@@ -38,44 +39,44 @@
     }
 }
 
-/// Guards against allocating what a damaged header states as the length.
+/// Guards against allocating as much memory as a damaged header states for the payload.
 #[test]
-fn length_beyond_the_file_is_a_fault() {
+fn length_beyond_end_of_file_is_a_fault() {
     let store = MemoryStore::default();
     let mut bytes = b"dunepondSNAP".to_vec();
     bytes.extend_from_slice(&VERSION.to_le_bytes());
     bytes.extend_from_slice(&7u64.to_le_bytes());
     bytes.extend_from_slice(&u64::MAX.to_le_bytes());
-    let sum = crc32(&bytes);
-    bytes.extend_from_slice(&sum.to_le_bytes());
+    let checksum = crc32(&bytes);
+    bytes.extend_from_slice(&checksum.to_le_bytes());
     store.overwrite("beliefs-7.snapshot", bytes);
     let found = snapshots(&store).load().unwrap();
     assert_eq!((found.newest, found.faults[0].1.clone()), (None, FileFault::Truncated));
 }
 
-/// The checksum of the format, computed independently.
+/// The CRC-32 of the file format, computed independently of the crate.
 fn crc32(bytes: &[u8]) -> u32 {
     let step = |crc: u32| if crc & 1 == 1 { (crc >> 1) ^ 0xedb8_8320 } else { crc >> 1 };
     !bytes.iter().fold(!0u32, |crc, byte| (0..8).fold(crc ^ u32::from(*byte), |crc, _| step(crc)))
 }
 
 #[test]
-fn later_version_files_are_kept() {
+fn newer_version_files_are_kept() {
     let store = MemoryStore::default();
     let files = Arc::new(store.clone());
     SnapshotStore::new(files.clone(), "beliefs", VERSION + 1).write(&payload(9)).unwrap();
     Journal::open(files.clone(), "ledger", VERSION + 1).unwrap().0.append(&payload(9)).unwrap();
     let before: Vec<_> = store.names().into_iter().map(|name| (store.contents(&name), name)).collect();
     assert!(Journal::open(files.clone(), "ledger", VERSION).is_err());
-    let mut own = snapshots(&store);
+    let mut snapshots = snapshots(&store);
     for n in 1..6 {
-        own.write(&payload(n)).unwrap();
+        snapshots.write(&payload(n)).unwrap();
     }
-    let found = own.load().unwrap();
+    let found = snapshots.load().unwrap();
     assert_eq!(found.newest.unwrap().bytes, payload(5));
     assert!(found.faults.iter().any(|(_, fault)| *fault == FileFault::NewerVersion(VERSION + 1)));
     assert!(before.iter().all(|(bytes, name)| store.contents(name) == *bytes));
-    // Of our own only the last two are left.
+    // The newer version's snapshot and the last two of this version are left.
     assert_eq!(store.names().iter().filter(|name| name.ends_with(".snapshot")).count(), 3);
 }
 
@@ -93,10 +94,10 @@
 
 #[rstest]
 #[case::empty(b"".to_vec(), FileFault::Truncated)]
-#[case::half_a_name(b"dunep".to_vec(), FileFault::Truncated)]
-#[case::anothers(b"#!/bin/sh\necho hello\n".to_vec(), FileFault::UnknownFormat)]
-#[case::another_kind(b"dunepondJRNL000000000000000000000000".to_vec(), FileFault::UnknownFormat)]
-fn foreign_files_are_faults(#[case] bytes: Vec<u8>, #[case] fault: FileFault) {
+#[case::part_of_magic(b"dunep".to_vec(), FileFault::Truncated)]
+#[case::shell_script(b"#!/bin/sh\necho hello\n".to_vec(), FileFault::UnknownFormat)]
+#[case::journal(b"dunepondJRNL000000000000000000000000".to_vec(), FileFault::UnknownFormat)]
+fn unknown_files_are_faults(#[case] bytes: Vec<u8>, #[case] fault: FileFault) {
     let store = MemoryStore::default();
     store.overwrite("beliefs-1.snapshot", bytes);
     assert_eq!(snapshots(&store).load().unwrap().faults, [("beliefs-1.snapshot".to_string(), fault)]);
@@ -108,9 +109,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever bytes are in a file: no panic, no more memory than the file has, and no invented records.
+    /// Guards against invalid content of a file causing a panic, an allocation beyond the file's length or false records.
     #[test]
-    fn arbitrary_bytes_are_a_fault_or_a_file(bytes in prop::collection::vec(any::<u8>(), 0..400), keep in 0..60usize) {
+    fn arbitrary_bytes_are_a_fault_or_read_correctly(bytes in prop::collection::vec(any::<u8>(), 0..400), keep in 0..60usize) {
         let store = MemoryStore::default();
         snapshots(&store).write(&payload(1)).unwrap();
         Journal::open(Arc::new(store.clone()), "ledger", VERSION).unwrap().0.append(&payload(1)).unwrap();
--- a/crates/dunepond-storage/tests/golden.rs
+++ b/crates/dunepond-storage/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Stored forms: files that earlier builds wrote are read as they were meant, and the same values give the same bytes.
+//! Golden files of the stored formats: files of earlier builds are read correctly, and the same values give the same bytes.
 
 use std::io;
 use std::os::unix::fs::PermissionsExt;
@@ -25,10 +25,10 @@
     std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// The bytes of `name` in `files` are those of the golden file `stored`.
-fn assert_same(files: &MemoryStore, name: &str, stored: &str) {
+/// Asserts that the bytes of `name` in `files` are those of the golden file `golden_name`.
+fn assert_matches_golden(files: &MemoryStore, name: &str, golden_name: &str) {
     let written = files.contents(name).unwrap_or_else(|| panic!("{name} is missing: {:?}", files.names()));
-    assert_eq!(written, golden(stored), "{name}");
+    assert_eq!(written, golden(golden_name), "{name}");
 }
 
 fn record(number: u64, bytes: &[u8]) -> JournalRecord {
@@ -43,7 +43,7 @@
     assert_eq!(snapshots.write(SECOND).unwrap(), 2);
     assert_eq!(files.names(), SNAPSHOTS);
     for name in SNAPSHOTS {
-        assert_same(&files, name, name);
+        assert_matches_golden(&files, name, name);
     }
 }
 
@@ -55,7 +55,7 @@
     let newest = Snapshot { number: 2, format_version: FORMAT, bytes: SECOND.to_vec() };
     assert_eq!(snapshots.load().unwrap(), LoadedSnapshots { newest: Some(newest), faults: Vec::new() });
 
-    // The first stays of use when the second is damaged.
+    // The first snapshot is loaded if the second is damaged.
     let mut damaged = golden(SNAPSHOTS[1]);
     *damaged.last_mut().unwrap() ^= 1;
     files.overwrite(SNAPSHOTS[1], damaged);
@@ -63,7 +63,7 @@
     let faults = vec![(SNAPSHOTS[1].to_string(), FileFault::Corrupted)];
     assert_eq!(snapshots.load().unwrap(), LoadedSnapshots { newest: Some(first), faults });
 
-    // An earlier build leaves a later one's files alone.
+    // A build with an earlier format version reports the files as faults.
     let earlier = SnapshotStore::new(Arc::new(files), "beliefs", FORMAT - 1).load().unwrap();
     assert_eq!(earlier.newest, None);
     assert_eq!(earlier.faults[1], (SNAPSHOTS[0].to_string(), FileFault::NewerVersion(FORMAT)));
@@ -78,12 +78,12 @@
     assert_eq!(journal.append(SECOND).unwrap(), 2);
     journal.sync().unwrap();
     assert_eq!(files.names(), [JOURNAL]);
-    assert_same(&files, JOURNAL, JOURNAL);
+    assert_matches_golden(&files, JOURNAL, JOURNAL);
 
     journal.rewrite(&[SECOND.to_vec()]).unwrap();
     assert_eq!(journal.append(FIRST).unwrap(), 4);
     assert_eq!(files.names(), [JOURNAL]);
-    assert_same(&files, JOURNAL, JOURNAL_REWRITTEN);
+    assert_matches_golden(&files, JOURNAL, JOURNAL_REWRITTEN);
 }
 
 #[test]
@@ -99,23 +99,23 @@
     assert_eq!(recovered, RecoveredJournal { records, fault: None });
     journal.rewrite(&[SECOND.to_vec()]).unwrap();
     journal.append(FIRST).unwrap();
-    assert_same(&files, JOURNAL, JOURNAL_REWRITTEN);
+    assert_matches_golden(&files, JOURNAL, JOURNAL_REWRITTEN);
 
     let records = vec![record(3, SECOND), record(4, FIRST)];
     assert_eq!(Journal::read(&files, "voter", FORMAT), RecoveredJournal { records, fault: None });
     assert_eq!(Journal::read(&files, "voter", FORMAT - 1).fault, Some(FileFault::NewerVersion(FORMAT)));
 }
 
-/// A folder in memory that notes the names under which files are begun.
+/// A store in memory that records the names under which files are created.
 #[derive(Default)]
-struct Begun {
+struct CreationRecorder {
     files: MemoryStore,
-    names: Mutex<Vec<String>>,
+    created_names: Mutex<Vec<String>>,
 }
 
-impl FileStore for Begun {
+impl FileStore for CreationRecorder {
     fn create(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
-        self.names.lock().unwrap().push(name.to_string());
+        self.created_names.lock().unwrap().push(name.to_string());
         self.files.create(name)
     }
 
@@ -123,8 +123,8 @@
         self.files.open_append(name)
     }
 
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
-        self.files.read(name, most)
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
+        self.files.read(name, max_bytes)
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
@@ -144,16 +144,16 @@
     }
 }
 
-/// What a crash leaves under such a name is written over by the next build.
+/// Guards against a new temporary name, since only a file of the same name overwrites what an earlier build left in a crash.
 #[test]
-fn unfinished_files_keep_their_names() {
-    let files = Arc::new(Begun::default());
+fn temporary_files_keep_their_names() {
+    let files = Arc::new(CreationRecorder::default());
     SnapshotStore::new(files.clone(), "beliefs", FORMAT).write(FIRST).unwrap();
     Journal::open(files.clone(), "voter", FORMAT).unwrap();
-    assert_eq!(*files.names.lock().unwrap(), ["beliefs.aside", "voter.journal-aside"]);
+    assert_eq!(*files.created_names.lock().unwrap(), ["beliefs.aside", "voter.journal-aside"]);
 }
 
-fn fresh_folder(name: &str) -> PathBuf {
+fn new_directory(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
@@ -161,19 +161,19 @@
 }
 
 #[test]
-fn folder_has_the_same_lock_file_and_bytes() {
-    let path = fresh_folder("golden-folder");
-    let folder = Arc::new(DiskStore::open(&path).unwrap());
+fn disk_store_has_same_lock_file_and_bytes() {
+    let path = new_directory("golden-folder");
+    let store = Arc::new(DiskStore::open(&path).unwrap());
     let lock = std::fs::metadata(path.join("dunepond.lock")).unwrap();
     assert_eq!((lock.len(), lock.permissions().mode() & 0o777), (0, 0o600));
-    let another = DiskStore::open(&path).map(drop).unwrap_err();
-    assert_eq!(another.kind(), io::ErrorKind::WouldBlock);
+    let second = DiskStore::open(&path).map(drop).unwrap_err();
+    assert_eq!(second.kind(), io::ErrorKind::WouldBlock);
 
-    SnapshotStore::new(folder.clone(), "beliefs", FORMAT).write(FIRST).unwrap();
+    SnapshotStore::new(store.clone(), "beliefs", FORMAT).write(FIRST).unwrap();
     let snapshot = path.join(SNAPSHOTS[0]);
     assert_eq!(std::fs::read(&snapshot).unwrap(), golden(SNAPSHOTS[0]));
     assert_eq!(std::fs::metadata(&snapshot).unwrap().permissions().mode() & 0o777, 0o600);
-    let (mut journal, _) = Journal::open(folder, "voter", FORMAT).unwrap();
+    let (mut journal, _) = Journal::open(store, "voter", FORMAT).unwrap();
     journal.append(FIRST).unwrap();
     journal.append(SECOND).unwrap();
     journal.sync().unwrap();
--- a/crates/dunepond-storage/tests/lock.rs
+++ b/crates/dunepond-storage/tests/lock.rs
@@ -1,4 +1,4 @@
-//! The lock of a folder on disk.
+//! Tests of the lock of a directory on disk.
 
 mod support;
 
@@ -8,17 +8,17 @@
 use support::*;
 
 #[test]
-fn folder_lock_admits_one_writer_and_readers() {
+fn directory_lock_admits_one_writer_and_readers() {
     let path = std::env::temp_dir().join(format!("dunepond-store-{}", std::process::id()));
     std::fs::create_dir(&path).unwrap();
-    let folder = DiskStore::open(&path).unwrap();
+    let store = DiskStore::open(&path).unwrap();
     let second = DiskStore::open(&path).map(drop).unwrap_err();
     assert_eq!(second.kind(), std::io::ErrorKind::WouldBlock);
-    let mut own = SnapshotStore::new(Arc::new(folder), "beliefs", VERSION);
-    own.write(&payload(4)).unwrap();
+    let mut writer = SnapshotStore::new(Arc::new(store), "beliefs", VERSION);
+    writer.write(&payload(4)).unwrap();
     let reader = SnapshotStore::new(Arc::new(DiskStore::open_read_only(&path).unwrap()), "beliefs", VERSION);
     assert_eq!(reader.load().unwrap().newest.unwrap().bytes, payload(4));
-    drop((own, reader));
+    drop((writer, reader));
     assert!(DiskStore::open(&path).is_ok());
     std::fs::remove_dir_all(&path).unwrap();
 }
--- a/crates/dunepond-storage/tests/support/mod.rs
+++ b/crates/dunepond-storage/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Snapshots and a journal in a store in memory, whose calls fail or stop as planned.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Helpers for tests of snapshots and journals in a [`MemoryStore`], whose calls can be made to fail.
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use std::sync::Arc;
 
@@ -20,7 +20,8 @@
     (0..100).map(|i| i ^ n).collect()
 }
 
-/// Appends records, syncs some and rewrites the journal in between; returns what was appended and how much of it was synced.
+/// Opens a journal, appends eight records, syncs after each second one and rewrites the journal once, until a call fails.
+/// Returns the payloads that were appended, and how many of them were synced.
 pub fn write_journal(store: &MemoryStore) -> (Vec<Vec<u8>>, usize) {
     let (mut appended, mut synced) = (Vec::new(), 0);
     let mut run = || -> std::io::Result<()> {
