--- a/crates/dunepond-shard-map/src/coverage.rs
+++ b/crates/dunepond-shard-map/src/coverage.rs
@@ -1,18 +1,18 @@
-//! Whether the answered parts of a query have its keys exactly once under one map; only then is the answer complete.
+//! Checks that the answered parts of a query cover its keys exactly once under one map; only then is the answer complete.
 
 use serde::{Deserialize, Serialize};
 
 use crate::fault::{MapFault, SegmentRef};
 use crate::{KEY_SPACE_END, KeyRange, VerifiedMap};
 
-/// What one part of a query states that it has answered.
+/// The keys that one part of a query states to have answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AnsweredPart {
-    /// The segment's id.
+    /// Id of the segment that the part belongs to.
     pub segment: u64,
-    /// Keys of the segment, or of a part of it.
+    /// Answered keys: those of the segment, or some of them.
     pub keys: KeyRange,
-    /// Of the map that the node used.
+    /// Epoch of the map that the node used.
     pub epoch: u64,
 }
 
@@ -22,9 +22,9 @@
     }
 }
 
-/// Verifies that `parts` have the keys of `queried`, each exactly once and no others, all under the epoch of `map`. Queried ranges may touch
-/// or overlap: they are one set of keys. The fault returned is of a single part first, in the order of the parts, then the first one in the
-/// order of the keys.
+/// Verifies that `parts` cover the keys of `queried` exactly once and no others, all under the epoch of `map`. Queried ranges
+/// may touch or overlap; they count as one set of keys. Returns the first fault found: of the queried ranges, then of single parts in the
+/// order of `parts`, then keys that two parts cover, then missing or excess keys, each in the order of the keys.
 pub fn verify_coverage(
     map: &VerifiedMap,
     queried: &[KeyRange],
@@ -44,7 +44,7 @@
     check_cover(&union(queried), parts)
 }
 
-/// One walk along two ordered lists, each without overlaps.
+/// Checks that `parts` cover `queried` exactly, in one pass along both lists, which are ordered and without overlaps.
 fn check_cover(queried: &[KeyRange], parts: Vec<SegmentRef>) -> Result<(), MapFault> {
     let mut remaining = parts.into_iter().peekable();
     let mut before = None;
@@ -77,7 +77,7 @@
     }
 }
 
-/// A part by itself: of this map, and of keys that its segment has.
+/// Checks a single part: it must have the map's epoch, and keys that its segment has.
 fn check_part(map: &VerifiedMap, answered: &AnsweredPart) -> Result<(), MapFault> {
     let part = SegmentRef::from(answered);
     if answered.epoch != map.epoch() {
@@ -93,7 +93,7 @@
     Ok(())
 }
 
-/// The ranges as a set of keys: ordered and disjoint, without common ends.
+/// Returns the union of the ranges as ordered ranges that neither overlap nor touch.
 fn union(ranges: &[KeyRange]) -> Vec<KeyRange> {
     let mut sorted = ranges.to_vec();
     sorted.sort_by_key(|range| range.from);
--- a/crates/dunepond-shard-map/src/delta.rs
+++ b/crates/dunepond-shard-map/src/delta.rs
@@ -1,4 +1,4 @@
-//! A change of few segments, verified against the verified rest: O(k log n) for k segments of n.
+//! Deltas: a change of k out of n segments is verified in O(k log n), since all other segments are verified already.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -12,46 +12,48 @@
 use crate::verify::verify_by;
 use crate::{KeyRange, MapTransition, Segment, ShardMap, VerifiedMap, verify_transition};
 
-/// How a new map differs from the one it follows. Names in the stored form are those of the first release.
+/// The difference between a new map and the map that it replaces. The serialized names are those of the first release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MapDelta {
-    /// Of the new map.
+    /// Epoch of the new map.
     pub epoch: u64,
     /// Digest of the map that the delta is relative to.
     #[serde(rename = "follows")]
     pub base_digest: String,
-    /// Ids that the new map does not have.
+    /// Ids of segments that the new map no longer has.
     #[serde(rename = "gone")]
     pub removed: Vec<u64>,
-    /// Segments that are new, or that replace the one with their id.
+    /// Segments that are new, or that replace the segment with the same id.
     #[serde(rename = "put")]
     pub upserted: Vec<Segment>,
     /// Digest of the new map.
     pub digest: String,
 }
 
-/// The new map where a delta has no fault by itself.
+/// The new map made by a delta in which no fault was found, and how it differs from the old one.
 struct AppliedDelta {
     map: VerifiedMap,
     diff: SegmentDiff,
 }
 
-/// A union of touching ranges: its first key, and one past its last.
+/// A range made by merging ranges that touch.
 #[derive(PartialEq)]
 struct Run {
+    /// The first key.
     from: u64,
+    /// One past the last key.
     end: u128,
 }
 
 impl MapDelta {
-    /// What leads from a verified map to `to`, which need not be sound: its faults show when the delta is verified. Reads both maps in whole,
-    /// which a delta made by hand need not.
+    /// Computes the delta from a verified map to `to`, whose faults, if any, are found when the delta is verified. Reads all
+    /// segments of both maps, which is not needed for a delta that is built from known changes.
     pub fn between(from: &VerifiedMap, to: &ShardMap) -> Self {
         let mut count_by_id = HashMap::with_capacity(to.segments.len());
         to.segments.iter().for_each(|segment| *count_by_id.entry(segment.id).or_insert(0) += 1);
         let old_ids = from.segments().map(|segment| segment.id);
         let removed = old_ids.filter(|id| !count_by_id.contains_key(id)).collect();
-        // A duplicate id is upserted twice, so that it is found.
+        // All segments with a duplicate id are upserted, so that the verification finds the fault.
         let differs =
             |segment: &&Segment| count_by_id[&segment.id] > 1 || from.segment(segment.id) != Some(segment);
         let upserted = to.segments.iter().filter(differs).cloned().collect();
@@ -59,7 +61,7 @@
         Self { epoch: to.epoch, base_digest, removed, upserted, digest: to.digest.clone() }
     }
 
-    /// The delta with both digests set, for its author. Ids that `from` does not have are ignored.
+    /// Returns the delta with both digests set, relative to `from`. Removed ids that `from` does not have are ignored.
     pub fn with_digests(mut self, from: &VerifiedMap) -> Self {
         let (mut sum, mut buffer, mut count) = (from.sum, Vec::new(), from.len());
         for old in self.replaced(from) {
@@ -75,12 +77,12 @@
         self
     }
 
-    /// Ids of segments that are removed or replaced.
+    /// Returns the ids of all segments that are removed or upserted.
     fn touched_ids(&self) -> impl Iterator<Item = u64> {
         self.removed.iter().copied().chain(self.upserted.iter().map(|segment| segment.id))
     }
 
-    /// Segments of `from` that are removed or replaced, by key, each once.
+    /// Returns the segments of `from` that are removed or replaced, ordered by key and without duplicates.
     fn replaced<'a>(&self, from: &'a VerifiedMap) -> Vec<&'a Segment> {
         let mut old: Vec<_> = self.touched_ids().filter_map(|id| from.segment(id)).collect();
         old.sort_by_key(|segment| segment.keys.from);
@@ -89,9 +91,10 @@
     }
 }
 
-/// Verifies the map that `delta` makes of `from`, and the transition to it: the same verdict as [`crate::verify`] and [`verify_transition`]
-/// on the whole, against the nodes and constraints of `from`. Only a sound delta is cheap: where a fault is found, the whole map is made and
-/// verified, so that each fault is named with its true neighbours.
+/// Verifies the map that results from applying `delta` to `from`, and the transition to it. The result is the same as that of
+/// [`crate::verify`] and [`verify_transition`] on the full maps, with the nodes and constraints of `from`. Verification is
+/// cheap only if there is no fault: otherwise the full map is built and verified, so that each fault is reported with the
+/// neighbours that the segment has in the full map.
 pub fn verify_delta(from: &VerifiedMap, delta: &MapDelta) -> Result<MapTransition, Vec<MapFault>> {
     let unknown = delta.removed.iter().filter(|id| from.segment(**id).is_none());
     let mut faults: Vec<_> = unknown.map(|id| MapFault::UnknownSegment { id: *id }).collect();
@@ -113,12 +116,12 @@
     verify_transition(from, &verify_by(map, from.rules.clone())?)
 }
 
-/// The new map; None where anything is at fault.
+/// Applies the delta to `from`; `None` if the resulting map has a fault.
 fn apply(from: &VerifiedMap, delta: &MapDelta) -> Option<AppliedDelta> {
     let old = delta.replaced(from);
     let mut upserted: Vec<_> = delta.upserted.iter().collect();
     upserted.sort_by_key(|segment| segment.keys.from);
-    if !has_sound_keys_and_ids(&old, &upserted) || !has_sound_replicas(from, &upserted) {
+    if !has_valid_keys_and_ids(&old, &upserted) || !has_valid_replicas(from, &upserted) {
         return None;
     }
     let (mut to, mut buffer) = (from.with_epoch(delta.epoch), Vec::new());
@@ -147,9 +150,9 @@
     (to.digest == delta.digest).then_some(AppliedDelta { map: to, diff })
 }
 
-/// Whether the new segments have exactly the keys of the old ones, each once, and ids of their own. The rest is a partition already, and
-/// stays one.
-fn has_sound_keys_and_ids(old: &[&Segment], upserted: &[&Segment]) -> bool {
+/// Whether the upserted segments cover exactly the keys of the old ones without overlaps, and have distinct ids. Since the old
+/// map covers every key exactly once, the new map then does so too.
+fn has_valid_keys_and_ids(old: &[&Segment], upserted: &[&Segment]) -> bool {
     let old_runs = runs(old.iter().map(|segment| segment.keys));
     if old_runs.is_none() || old_runs != runs(upserted.iter().map(|segment| segment.keys)) {
         return false;
@@ -159,10 +162,11 @@
     ids.windows(2).all(|pair| pair[0] != pair[1])
 }
 
-fn has_sound_replicas(from: &VerifiedMap, upserted: &[&Segment]) -> bool {
+/// Whether the upserted segments satisfy the constraints of `from`.
+fn has_valid_replicas(from: &VerifiedMap, upserted: &[&Segment]) -> bool {
     let mut faults = Vec::new();
     for segment in upserted {
-        // Without neighbours: faults are reported by the verification of the whole map.
+        // Neighbours are not needed here, since faults are reported by the verification of the full map.
         let alone =
             || Box::new(SegmentContext { segment: SegmentRef::from(*segment), before: None, after: None });
         from.rules.check(segment, alone, &mut faults);
@@ -170,7 +174,7 @@
     faults.is_empty()
 }
 
-/// Earlier fills count only where nothing changed.
+/// Drops recorded fills of segments that changed or were removed; they count only for unchanged segments.
 fn drop_outdated_fills(to: &mut VerifiedMap, old: &[&Segment]) {
     if to.filled_since.is_empty() {
         return;
@@ -184,7 +188,7 @@
     }
 }
 
-/// Ranges in the order of their first keys, merged where they touch; None where one is empty or two overlap.
+/// Merges ranges that touch. The ranges must be ordered by their first keys. Returns `None` if a range is empty or two overlap.
 fn runs(ranges: impl Iterator<Item = KeyRange>) -> Option<Vec<Run>> {
     let mut runs: Vec<Run> = Vec::new();
     for range in ranges {
--- a/crates/dunepond-shard-map/src/digest.rs
+++ b/crates/dunepond-shard-map/src/digest.rs
@@ -1,20 +1,23 @@
-//! The canonical form of a segment, and the digest of a map as a sum over its segments.
+//! The canonical form of a segment, and the digest of a map as the sum of its segments' hashes.
 //!
-//! Each segment is hashed by itself (BLAKE3, 256 bits) and the hashes are added modulo 2^256, so that a change of k segments costs k hashes
-//! out and k in, whatever the order of the segments. Against accidents this is sound: two different maps have the same digest only if two
-//! sums of independent, uniform 256-bit numbers collide, and no segment can cancel another, since ids differ and so do the hashed forms. It
-//! is not collision-resistant against somebody who constructs two maps with one digest: sums give way to a birthday search over many
-//! segments. Nothing is gained by that here, as every broker verifies a map for itself.
+//! Each segment is hashed by itself (BLAKE3, 256 bits) and the hashes are added modulo 2^256. The sum does not depend on the
+//! order of the segments, and a change of k segments costs k subtractions and k additions of hashes.
+//!
+//! The digest detects accidental differences: two different maps have the same digest only if two sums of independent,
+//! uniform 256-bit numbers collide, and no two segments of a map can cancel out, since their ids and so their hashed forms
+//! differ. It is not collision-resistant against an attacker who constructs two maps with the same digest, since sums are
+//! open to a generalized birthday attack with many segments. An attacker would gain nothing, because every broker verifies
+//! a map for itself.
 
 use crate::{Segment, ShardMap};
 
-/// The hash of keys into the space; the only one so far.
+/// Name of the hash function that maps keys to the key space; the only one supported.
 pub const KEY_HASH: &str = "xxh3-64";
 
-/// The domain of the hashed forms, so that no other form can be taken for this one. Part of the stored form.
+/// Prefix of all hashed forms, for domain separation from other hashed data. Changing it changes every stored digest.
 const DIGEST_DOMAIN: &[u8] = b"dunepond-map 1";
 
-/// Where a key lies in the hashed key space.
+/// Returns the position of a key in the hashed key space.
 pub fn key_position(key: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64(key)
 }
@@ -24,7 +27,7 @@
 pub(crate) struct DigestSum([u64; 4]);
 
 impl DigestSum {
-    /// Adds a segment. `buffer` is reused between calls.
+    /// Adds the hash of a segment. `buffer` is scratch space that is reused between calls.
     pub fn add(&mut self, segment: &Segment, buffer: &mut Vec<u8>) {
         let mut carry = false;
         for (word, more) in self.0.iter_mut().zip(segment_hash(segment, buffer)) {
@@ -34,7 +37,7 @@
         }
     }
 
-    /// Subtracts a segment that was added.
+    /// Subtracts the hash of a segment that was added before. `buffer` is scratch space that is reused between calls.
     pub fn subtract(&mut self, segment: &Segment, buffer: &mut Vec<u8>) {
         let mut borrow = false;
         for (word, less) in self.0.iter_mut().zip(segment_hash(segment, buffer)) {
@@ -44,18 +47,19 @@
         }
     }
 
+    /// Returns the sum of the hashes of all `segments`.
     pub fn of<'a>(segments: impl IntoIterator<Item = &'a Segment>) -> Self {
         let (mut sum, mut buffer) = (Self::default(), Vec::new());
         segments.into_iter().for_each(|segment| sum.add(segment, &mut buffer));
         sum
     }
 
-    /// The digest of a map with these segments.
-    pub fn digest(&self, epoch: u64, hash: &str, segments: usize) -> String {
+    /// Returns the digest of a map with this sum over its segments, in hexadecimal.
+    pub fn digest(&self, epoch: u64, hash: &str, segment_count: usize) -> String {
         let mut form = Vec::from(DIGEST_DOMAIN);
         form.extend(epoch.to_le_bytes());
         push_text(&mut form, hash);
-        form.extend((segments as u64).to_le_bytes());
+        form.extend((segment_count as u64).to_le_bytes());
         self.0.iter().for_each(|word| form.extend(word.to_le_bytes()));
         blake3::hash(&form).to_hex().to_string()
     }
@@ -66,12 +70,13 @@
     buffer.extend(text.as_bytes());
 }
 
-/// The bits of a share. A map that is digested may not be verified yet and have any share; a negative zero counts as zero.
+/// Returns the bits of a share, with negative zero as zero. The map may not be verified yet, so any share can occur.
 fn share_bits(share: f64) -> u64 {
     if share == 0.0 { 0 } else { share.to_bits() }
 }
 
-/// Hashes every field, lengths before what varies, replicas by name: the order of replicas does not matter.
+/// Hashes all fields of a segment. Data of variable length is preceded by its length, and replicas are sorted by node, so that
+/// their order does not matter. `buffer` is scratch space.
 fn segment_hash(segment: &Segment, buffer: &mut Vec<u8>) -> [u64; 4] {
     buffer.clear();
     buffer.extend(DIGEST_DOMAIN);
@@ -99,12 +104,12 @@
 }
 
 impl ShardMap {
-    /// What `digest` must be, in whatever order the segments are and whatever it is now.
+    /// Computes the digest of the map's content. It does not depend on the order of segments or on the field `digest`.
     pub fn compute_digest(&self) -> String {
         DigestSum::of(&self.segments).digest(self.epoch, &self.hash, self.segments.len())
     }
 
-    /// The map with its digest set.
+    /// Returns the map with its digest set to that of its content.
     pub fn with_digest(mut self) -> Self {
         self.digest = self.compute_digest();
         self
--- a/crates/dunepond-shard-map/src/fault.rs
+++ b/crates/dunepond-shard-map/src/fault.rs
@@ -1,5 +1,5 @@
-//! What can be wrong with a map, a transition between two, or the answered parts of a query. Names in the stored form are those of the first
-//! release, hence the `rename`s.
+//! Faults of a map, of a transition between two maps, and of the answered parts of a query. The serialized names are those of
+//! the first release, hence the `rename` attributes.
 
 use std::fmt;
 
@@ -9,12 +9,12 @@
 
 use crate::{KeyRange, Segment};
 
-/// A segment, as far as a fault names it.
+/// Id and keys of a segment, or of a part of one, as named in a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SegmentRef {
-    /// Its id.
+    /// Id of the segment.
     pub id: u64,
-    /// Its keys.
+    /// Keys of the segment, or of a part of it.
     pub keys: KeyRange,
 }
 
@@ -30,15 +30,15 @@
     }
 }
 
-/// A segment with its neighbours in the order of the keys; None at an end of the space.
+/// A segment with its neighbours in the order of the keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SegmentContext {
-    /// The segment.
+    /// The segment that has the fault.
     #[serde(rename = "at")]
     pub segment: SegmentRef,
-    /// The one before it.
+    /// The segment before it; `None` at the start of the key space.
     pub before: Option<SegmentRef>,
-    /// The one after it.
+    /// The segment after it; `None` at the end of the key space.
     pub after: Option<SegmentRef>,
 }
 
@@ -47,32 +47,33 @@
         write!(f, "{}, between ", self.segment)?;
         match &self.before {
             Some(before) => write!(f, "{before}")?,
-            None => write!(f, "the start of the space")?,
+            None => write!(f, "the start of the key space")?,
         }
         match &self.after {
             Some(after) => write!(f, " and {after}"),
-            None => write!(f, " and the end of the space"),
+            None => write!(f, " and the end of the key space"),
         }
     }
 }
 
+/// Displays the value, or `absent` if there is none.
 fn display_or(value: &Option<impl fmt::Display>, absent: &str) -> String {
     value.as_ref().map_or(absent.to_string(), |value| value.to_string())
 }
 
-/// A fault. The order of variants and fields is the stored form.
+/// A fault of a map, a transition or a query's coverage. The order of variants and fields is part of the stored form.
 #[derive(Clone, Debug, PartialEq, Error, EnumCount, Serialize, Deserialize)]
 #[allow(missing_docs, reason = "the message of each variant says what its fields are")]
 pub enum MapFault {
-    // Of the whole map.
+    // Faults of the map as a whole.
     /// The map has no segment with keys.
-    #[error("no segment has any keys: the whole space, from key 0 to the end, is left to nobody")]
+    #[error("no segment has any keys: the whole key space, from key 0 to the end, is not covered")]
     NoSegments,
-    /// Keys are hashed in an unknown way.
-    #[error("keys are hashed by `{hash}`, which is unknown; expected `{expected}`")]
+    /// The map names an unknown hash function.
+    #[error("the map's hash function `{hash}` is unknown; expected `{expected}`")]
     UnknownHash { hash: String, expected: String },
-    /// The digest is not that of the content.
-    #[error("the map states digest `{stated}`, its content has `{actual}`")]
+    /// The digest that the map states is not that of its content.
+    #[error("the map states the digest `{stated}`, but the digest of its content is `{actual}`")]
     #[serde(rename = "Digest")]
     DigestMismatch {
         #[serde(rename = "said")]
@@ -80,43 +81,43 @@
         #[serde(rename = "is")]
         actual: String,
     },
-    /// The list of nodes names one twice.
+    /// The list of nodes that the map is verified against names a node twice.
     #[error("node `{node}` is listed twice among the nodes that the map is verified against")]
     #[serde(rename = "DoubledNode")]
     DuplicateNode { node: String },
 
-    // Of the cover of the key space.
-    /// Keys between two segments are in none.
+    // Faults of the coverage of the key space.
+    /// Keys between two segments are in no segment.
     #[error("no segment has the keys {keys}, between {before} and {after}")]
     Gap { keys: KeyRange, before: SegmentRef, after: SegmentRef },
-    /// The first keys are in no segment.
+    /// The first keys of the key space are in no segment.
     #[error("no segment has the first keys {keys}, before {after}")]
     GapAtStart { keys: KeyRange, after: SegmentRef },
-    /// The last keys are in no segment.
+    /// The last keys of the key space are in no segment.
     #[error("no segment has the last keys {keys}, after {before}")]
     GapAtEnd { keys: KeyRange, before: SegmentRef },
-    /// Keys are in two segments.
+    /// Two segments have keys in common.
     #[error("the keys {keys} are in both {first} and {second}")]
     Overlap { keys: KeyRange, first: SegmentRef, second: SegmentRef },
     /// A segment has no keys.
-    #[error("no keys: {context}")]
+    #[error("the segment has no keys: {context}")]
     EmptyRange {
         #[serde(rename = "spot")]
         context: Box<SegmentContext>,
     },
     /// A segment's range ends before it begins.
-    #[error("its keys end before they begin: {context}")]
+    #[error("the segment's keys end before they begin: {context}")]
     InvertedRange {
         #[serde(rename = "spot")]
         context: Box<SegmentContext>,
     },
-    /// Two segments have one id.
-    #[error("two segments have one id: {first}; and {second}")]
+    /// Two segments have the same id.
+    #[error("two segments have the same id: {first} and {second}")]
     #[serde(rename = "DoubledId")]
     DuplicateId { first: SegmentRef, second: SegmentRef },
 
-    // Of one segment.
-    /// A replica's node is not among the nodes.
+    // Faults of one segment.
+    /// A replica's node is not in the list of nodes.
     #[error("replica `{node}` is not in the list of nodes: {context}")]
     #[serde(rename = "UnknownHolder")]
     UnknownReplica {
@@ -140,8 +141,8 @@
         #[serde(rename = "spot")]
         context: Box<SegmentContext>,
     },
-    /// A replica states another partner than its node has.
-    #[error("replica `{node}` is stated to be of partner `{stated}`, and is of `{actual}`: {context}")]
+    /// A replica states a partner other than that of its node.
+    #[error("replica `{node}` states partner `{stated}`, but its node has partner `{actual}`: {context}")]
     WrongPartner {
         node: String,
         #[serde(rename = "said")]
@@ -152,7 +153,7 @@
         context: Box<SegmentContext>,
     },
     /// A segment has too few filled replicas.
-    #[error("{filled} filled replicas, at least {min} are needed: {context}")]
+    #[error("the segment has {filled} filled replicas, but needs at least {min}: {context}")]
     #[serde(rename = "TooFewHolders")]
     TooFewReplicas {
         filled: usize,
@@ -162,7 +163,7 @@
         context: Box<SegmentContext>,
     },
     /// A segment's filled replicas are in too few zones.
-    #[error("filled replicas in {zones} zones, at least {min} are needed: {context}")]
+    #[error("the segment has filled replicas in {zones} zones, but needs them in at least {min}: {context}")]
     TooFewZones {
         zones: usize,
         #[serde(rename = "least")]
@@ -170,22 +171,22 @@
         #[serde(rename = "spot")]
         context: Box<SegmentContext>,
     },
-    /// The owner has no replica.
-    #[error("owner `{owner}` is none of the replicas: {context}")]
+    /// A segment's owner has no replica of it.
+    #[error("owner `{owner}` is not one of the segment's replicas: {context}")]
     #[serde(rename = "OwnerNoHolder")]
     OwnerNotReplica {
         owner: String,
         #[serde(rename = "spot")]
         context: Box<SegmentContext>,
     },
-    /// The owner's replica is not filled.
-    #[error("owner `{owner}` is not filled: {context}")]
+    /// The replica of a segment's owner is not filled.
+    #[error("the replica of owner `{owner}` is not filled: {context}")]
     OwnerNotFilled {
         owner: String,
         #[serde(rename = "spot")]
         context: Box<SegmentContext>,
     },
-    /// A share of reads is not between 0 and 1.
+    /// A replica's share of reads is not between 0 and 1.
     #[error("replica `{node}` has the share {share}, which is not between 0 and 1: {context}")]
     ShareOutOfRange {
         node: String,
@@ -193,8 +194,8 @@
         #[serde(rename = "spot")]
         context: Box<SegmentContext>,
     },
-    /// The shares of a segment do not add up to 1.
-    #[error("the shares of the replicas add up to {sum}, not to 1: {context}")]
+    /// The shares of a segment's replicas do not add up to 1.
+    #[error("the shares of the segment's replicas add up to {sum} instead of 1: {context}")]
     #[serde(rename = "SharesDoNotAddUp")]
     ShareSumNotOne {
         sum: f64,
@@ -202,16 +203,18 @@
         context: Box<SegmentContext>,
     },
 
-    // Of a transition.
-    /// The new map's epoch is not above the old one's.
-    #[error("the map's epoch is {to}, and {from} is in force: a new map's epoch is above")]
+    // Faults of a transition or a delta.
+    /// The new map's epoch is not above that of the map in force.
+    #[error("the new map's epoch {to} is not above the epoch {from} of the map in force")]
     EpochNotAbove { from: u64, to: u64 },
-    /// The delta removes a segment that the map does not have.
-    #[error("the delta removes segment {id}, and the map in force has none with that id")]
+    /// The delta removes a segment that the map in force does not have.
+    #[error("the delta removes segment {id}, but the map in force has no segment with that id")]
     #[serde(rename = "NotThere")]
     UnknownSegment { id: u64 },
-    /// The delta is relative to another map.
-    #[error("the delta is relative to the map with digest `{base}`, and `{in_force}` is in force")]
+    /// The delta is relative to a map that is not in force.
+    #[error(
+        "the delta is relative to the map with digest `{base}`, but the map in force has digest `{in_force}`"
+    )]
     #[serde(rename = "FollowsOther")]
     WrongBase {
         #[serde(rename = "follows")]
@@ -219,15 +222,15 @@
         #[serde(rename = "from")]
         in_force: String,
     },
-    /// No node that has the keys now has them afterwards.
+    /// No node that has data for the keys under the map in force is a filled replica under the new map.
     #[error(
-        "the keys {keys} lose their last filled replica: none that is filled in {old} is a filled one in {new}"
+        "the keys {keys} lose their last filled replica: no filled replica of the old {old} is a filled replica of the new {new}"
     )]
     #[serde(rename = "LastHolderLost")]
     LastReplicaLost { keys: KeyRange, old: SegmentRef, new: SegmentRef },
-    /// No node could be the source of a fill.
+    /// No single node has all keys that a replica of the new map needs, so it cannot be filled.
     #[error(
-        "no single filled replica of the map in force has all keys that `{replica}` needs in {new}, from {first} to {last}"
+        "no single filled replica of the map in force has all keys that `{replica}` needs for {new}, from {first} to {last}"
     )]
     NoSource {
         #[serde(rename = "holder")]
@@ -237,17 +240,17 @@
         last: SegmentRef,
     },
 
-    // Of the answered parts of a query.
-    /// A part was answered under another map.
-    #[error("the part of {part} was answered under epoch {epoch}, the query is under {expected}")]
+    // Faults of the answered parts of a query.
+    /// A part was answered under a map other than the query's.
+    #[error("the part of {part} was answered under epoch {epoch}, but the query uses epoch {expected}")]
     OtherEpoch {
         #[serde(rename = "at")]
         part: SegmentRef,
         epoch: u64,
         expected: u64,
     },
-    /// A part states keys that its segment does not have.
-    #[error("the part states {part}, and the map's segment has {}", display_or(keys, "no such id"))]
+    /// A part states a segment that the map does not have, or keys that the segment does not have.
+    #[error("the part states {part}, but the map has {} for this id", display_or(keys, "no segment"))]
     PartOutside {
         #[serde(rename = "at")]
         part: SegmentRef,
@@ -259,8 +262,8 @@
         #[serde(rename = "at")]
         part: SegmentRef,
     },
-    /// A queried range has no keys.
-    #[error("the queried keys {keys} are none, or end before they begin")]
+    /// A queried range is empty or ends before it begins.
+    #[error("the queried range {keys} is empty or ends before it begins")]
     #[serde(rename = "WantedEmpty")]
     QueryEmpty { keys: KeyRange },
     /// Queried keys are in no part.
@@ -270,7 +273,7 @@
         display_or(after, "no part")
     )]
     NotCovered { keys: KeyRange, before: Option<SegmentRef>, after: Option<SegmentRef> },
-    /// Keys are in two parts.
+    /// Two parts have keys in common.
     #[error("the keys {keys} are in two parts: {first} and {second}")]
     CoveredTwice { keys: KeyRange, first: SegmentRef, second: SegmentRef },
     /// A part has keys that were not queried.
@@ -284,57 +287,65 @@
 }
 
 impl MapFault {
-    /// What an operator can do.
+    /// Returns advice for the operator on how to resolve the fault.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::NoSegments => "write at least one segment, from key 0 to the end",
-            Self::UnknownHash { .. } => "write the expected hash; brokers and nodes must hash keys alike",
+            Self::NoSegments => "add segments that cover all keys, from key 0 to the end",
+            Self::UnknownHash { .. } => {
+                "set the expected hash function; brokers and nodes must hash keys in the same way"
+            }
             Self::DigestMismatch { .. } => {
-                "the map was altered after its digest was set, or cut short on its way: take it from its author again"
+                "the map was changed after its digest was set, or truncated in transfer: get it again from where it was made"
             }
-            Self::DuplicateNode { .. } => "give each node of discovery's list a name of its own",
+            Self::DuplicateNode { .. } => "give each node in discovery's endpoint list a unique name",
             Self::Gap { .. } => {
-                "let one of the two neighbours have these keys, or add a segment between them"
+                "extend one of the two neighbours to these keys, or add a segment between them"
             }
-            Self::GapAtStart { .. } => "let the first segment begin at key 0",
-            Self::GapAtEnd { .. } => "let the last segment have no `to`: it goes to the end of the space",
-            Self::Overlap { .. } => "let one of the two end where the other begins",
-            Self::EmptyRange { .. } => "remove the segment, or give it keys of a neighbour",
-            Self::InvertedRange { .. } => "exchange `from` and `to`, if both are meant",
-            Self::DuplicateId { .. } => "give one of the two an id that no segment has had before",
-            Self::UnknownReplica { .. } => "correct the name, or wait until the node is in discovery's list",
-            Self::DuplicateReplica { .. } => "remove one of the two and give its share to the other",
-            Self::DrainingReplica { .. } => "name a node that stays, or end the drain first",
-            Self::WrongPartner { .. } => "write the partner that the operator's file has for the node's zone",
+            Self::GapAtStart { .. } => "start the first segment at key 0",
+            Self::GapAtEnd { .. } => {
+                "omit `to` in the last segment, so that it extends to the end of the key space"
+            }
+            Self::Overlap { .. } => "end one of the two segments where the other begins",
+            Self::EmptyRange { .. } => "remove the segment, or move keys of a neighbour to it",
+            Self::InvertedRange { .. } => "swap `from` and `to`, or correct them",
+            Self::DuplicateId { .. } => "give one of the two segments an id that no segment has had before",
+            Self::UnknownReplica { .. } => {
+                "correct the name, or wait until the node is in discovery's endpoint list"
+            }
+            Self::DuplicateReplica { .. } => "remove one of the two replicas and add its share to the other",
+            Self::DrainingReplica { .. } => "use a node that is not draining, or end the drain first",
+            Self::WrongPartner { .. } => "set the partner that the operator's file has for the node's zone",
             Self::TooFewReplicas { .. } => "add filled replicas, or wait until more of them are filled",
-            Self::TooFewZones { .. } => "put a filled replica into one more zone",
-            Self::OwnerNotReplica { .. } => "name a filled replica as owner",
-            Self::OwnerNotFilled { .. } => "name a filled replica as owner, and this one once it is filled",
-            Self::ShareOutOfRange { .. } => "write a share between 0 and 1",
-            Self::ShareSumNotOne { .. } => "let the shares of the segment's replicas add up to 1",
-            Self::EpochNotAbove { .. } => {
-                "make the map again from the one in force, and give it the next epoch"
+            Self::TooFewZones { .. } => "add a filled replica in another zone",
+            Self::OwnerNotReplica { .. } => "make a filled replica the owner",
+            Self::OwnerNotFilled { .. } => {
+                "make a filled replica the owner; this one can become the owner once it is filled"
             }
+            Self::ShareOutOfRange { .. } => "set a share between 0 and 1",
+            Self::ShareSumNotOne { .. } => "set shares of the segment's replicas that add up to 1",
+            Self::EpochNotAbove { .. } => "make the map again from the map in force, with the next epoch",
             Self::WrongBase { .. } | Self::UnknownSegment { .. } => {
                 "make the delta again from the map in force"
             }
             Self::LastReplicaLost { .. } => {
-                "keep one of the old filled replicas in this map, and remove it with the next one"
+                "keep one of the old filled replicas in this map, and remove it in the next map"
             }
             Self::NoSource { .. } => {
-                "migrate in two steps: first let one node have all these keys, then merge them for this replica"
+                "migrate in two steps: first fill all these keys on one node, then merge them for this replica"
             }
             Self::OtherEpoch { .. } => {
-                "query this part again under the query's map; the answer is incomplete"
+                "query this part again under the query's map; until then the answer is incomplete"
+            }
+            Self::PartOutside { .. } => "the node and the broker use different maps: compare their epochs",
+            Self::PartEmpty { .. } => {
+                "omit parts without keys; check the node or the planner that sent this part"
             }
-            Self::PartOutside { .. } => "the node has another map than the broker: compare their epochs",
-            Self::PartEmpty { .. } => "omit parts without keys; the node or the planner is at fault",
-            Self::QueryEmpty { .. } => "correct the query's range; an empty one has no complete answer",
-            Self::NotCovered { .. } => "query the missing keys, or give the answer as partial",
+            Self::QueryEmpty { .. } => "correct the query's range; an empty range has no complete answer",
+            Self::NotCovered { .. } => "query the missing keys, or return the answer as partial",
             Self::CoveredTwice { .. } => {
-                "count these keys once: leave one of the two parts out of the answer"
+                "leave one of the two parts out of the answer, so that these keys count once"
             }
-            Self::NotQueried { .. } => "leave the part out, or narrow it to the queried keys",
+            Self::NotQueried { .. } => "leave the part out of the answer, or restrict it to the queried keys",
         }
     }
 }
--- a/crates/dunepond-shard-map/src/key_range.rs
+++ b/crates/dunepond-shard-map/src/key_range.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One past the last key of the space.
+/// One past the last key of the key space.
 pub const KEY_SPACE_END: u128 = 1 << 64;
 
 /// A half-open range of the hashed key space (64 bits).
@@ -12,20 +12,20 @@
 pub struct KeyRange {
     /// The first key.
     pub from: u64,
-    /// One past the last key; None at the end of the space.
+    /// One past the last key; `None` if the range extends to the end of the key space.
     pub to: Option<u64>,
 }
 
 impl KeyRange {
-    /// The whole space.
+    /// The whole key space.
     pub const ALL: Self = Self { from: 0, to: None };
 
-    /// The range from `from`, below [`KEY_SPACE_END`], up to `to`, at most that.
+    /// Returns the range of keys from `from` to just before `to`. `from` must be below [`KEY_SPACE_END`], `to` at most equal to it.
     pub fn between(from: u128, to: u128) -> Self {
         Self { from: from as u64, to: (to < KEY_SPACE_END).then_some(to as u64) }
     }
 
-    /// One past the last key; wider than a key, as the end of the space is no key.
+    /// Returns one past the last key, as a `u128` since the end of the key space does not fit into a `u64`.
     pub fn end(&self) -> u128 {
         self.to.map_or(KEY_SPACE_END, u128::from)
     }
@@ -35,12 +35,12 @@
         self.end() <= u128::from(self.from)
     }
 
-    /// Whether `key` is in the range.
+    /// Whether the range contains `key`.
     pub fn contains(&self, key: u64) -> bool {
         self.from <= key && u128::from(key) < self.end()
     }
 
-    /// The keys in both ranges; None if there are none.
+    /// Returns the keys that are in both ranges; `None` if there are none.
     pub fn intersection(&self, other: &Self) -> Option<Self> {
         let common = Self::between(self.from.max(other.from).into(), self.end().min(other.end()));
         (!common.is_empty()).then_some(common)
--- a/crates/dunepond-shard-map/src/lib.rs
+++ b/crates/dunepond-shard-map/src/lib.rs
@@ -1,12 +1,13 @@
-//! The shard map, and the proofs about it: a map covers every key exactly once, a transition between two maps leaves one owner at each
-//! moment, and the answered parts of a query cover its keys exactly once under one map. Without input and output.
+//! The shard map and its verification: a map covers every key exactly once, during a transition between two maps every key
+//! has at most one owner at any time, and the answered parts of a query cover its keys exactly once under one map. The crate
+//! does no input or output.
 //!
-//! Brokers act on a map only once each of them has verified it for itself: a gap, an overlap or two owners of a key would lose or repeat
-//! work, and no later layer could tell.
+//! Each broker verifies a map itself before acting on it: a gap, an overlap or two owners of a key would lose or repeat work,
+//! and no later layer could detect that.
 //!
-//! [`verify`] turns a [`ShardMap`] into a [`VerifiedMap`] or names every fault; [`verify_transition`] turns two verified maps into a
-//! [`MapTransition`]; [`verify_delta`] does both for a few changed segments of many; [`verify_coverage`] checks the answered parts of one
-//! query.
+//! [`verify`] turns a [`ShardMap`] into a [`VerifiedMap`] or returns all faults; [`verify_transition`] turns two verified maps
+//! into a [`MapTransition`]; [`verify_delta`] does both for a change of few segments; [`verify_coverage`] checks the answered
+//! parts of one query.
 #![warn(missing_docs)]
 
 mod coverage;
--- a/crates/dunepond-shard-map/src/model.rs
+++ b/crates/dunepond-shard-map/src/model.rs
@@ -1,19 +1,20 @@
-//! The shard map as it is stored and exchanged. Names in the stored form are those of its first release, hence the `rename`s.
+//! The shard map as it is stored and exchanged. The serialized names are those of the first release, hence the `rename`
+//! attributes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::KeyRange;
 
-/// A node that stores a segment, or is to store it.
+/// A replica of a segment on a node, which stores the segment or is to be filled with it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Replica {
-    /// The node's name on discovery's endpoint list.
+    /// Name of the replica's node in discovery's endpoint list.
     pub node: String,
-    /// The partner that runs the node.
+    /// Name of the partner that runs the replica's node.
     pub partner: String,
-    /// Its data is complete; false for a replica that is to be filled first.
+    /// Whether the replica's data is complete; false if it has to be filled first.
     pub filled: bool,
-    /// Its part of the segment's reads; the shares of a segment's replicas add up to 1.
+    /// Ratio of the segment's reads that the replica serves; the shares of a segment's replicas add up to 1.
     pub share: f64,
 }
 
@@ -22,60 +23,60 @@
 pub struct Segment {
     /// The shard's number in queries (`bucket` on the platform's doors).
     pub id: u64,
-    /// Its keys.
+    /// Keys of the segment.
     pub keys: KeyRange,
-    /// The only node that may be sent non-idempotent work; one of the filled replicas.
+    /// Name of the only node that may be sent non-idempotent work for the segment; one of its filled replicas.
     pub owner: String,
-    /// The nodes that store it.
+    /// Replicas of the segment.
     #[serde(rename = "holders")]
     pub replicas: Vec<Replica>,
 }
 
-/// A shard map as it is stored and exchanged, not verified.
+/// An unverified shard map, as it is stored and exchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardMap {
-    /// Grows with each map.
+    /// Epoch of the map, which increases with each map.
     pub epoch: u64,
-    /// How keys are hashed into the space; only [`KEY_HASH`](crate::KEY_HASH) is known.
+    /// Name of the hash function that maps keys to the key space; only [`KEY_HASH`](crate::KEY_HASH) is supported.
     pub hash: String,
-    /// In any order.
+    /// Segments of the map, in any order.
     pub segments: Vec<Segment>,
-    /// Of all other fields, see [`ShardMap::compute_digest`]. Hexadecimal.
+    /// Digest of all other fields in hexadecimal, see [`ShardMap::compute_digest`].
     pub digest: String,
 }
 
-/// A node, as far as a map is verified against it.
+/// What a map is verified against for one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Node {
-    /// Its name on discovery's endpoint list.
+    /// Name of the node in discovery's endpoint list.
     pub name: String,
-    /// Its failure domain.
+    /// Zone of the node, which is its failure domain.
     pub zone: String,
-    /// The partner that runs it.
+    /// Name of the partner that runs the node.
     pub partner: String,
-    /// It is shutting down and takes no new replicas.
+    /// Whether the node is shutting down and may hold no replicas in a new map.
     pub draining: bool,
 }
 
-/// What every segment of a map must satisfy besides covering the keys.
+/// Constraints on the replicas of every segment of a map.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MapConstraints {
-    /// Filled replicas of a segment, at least.
+    /// Smallest number of filled replicas of a segment.
     #[serde(rename = "least_holders")]
     pub min_replicas: usize,
-    /// Zones with a filled replica, at least.
+    /// Smallest number of zones in which a segment has filled replicas.
     #[serde(rename = "least_zones")]
     pub min_zones: usize,
 }
 
-/// A replica that must be filled before a map may be in force alone.
+/// A replica that must be filled before the transition to a new map may end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequiredFill {
-    /// The segment's id in the new map.
+    /// Id of the replica's segment in the new map.
     pub segment: u64,
-    /// The node to fill.
+    /// Name of the node to fill.
     #[serde(rename = "holder")]
     pub replica: String,
-    /// Nodes that are filled with all keys concerned under the old map; any of them may be the source.
+    /// Names of the nodes that have complete data for all missing keys under the old map; any of them may be the source.
     pub sources: Vec<String>,
 }
--- a/crates/dunepond-shard-map/src/segment_rules.rs
+++ b/crates/dunepond-shard-map/src/segment_rules.rs
@@ -1,4 +1,4 @@
-//! What one segment must satisfy: its replicas, owner and read shares.
+//! Checks of a single segment: its replicas, its owner and its shares of reads.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,30 +6,34 @@
 use crate::fault::{MapFault, SegmentContext, SegmentRef};
 use crate::{MapConstraints, Node, Replica, Segment};
 
-/// How far the shares of a segment may be from 1 in total: thirds written with seven digits pass.
+/// Largest accepted difference between 1 and the sum of a segment's shares. It admits thirds written with seven digits.
 const SHARE_SUM_TOLERANCE: f64 = 1e-6;
 
 /// The nodes and constraints that segments are checked against.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SegmentRules {
-    /// By name; empty where no list was given.
+    /// Nodes by name; empty if no list was given, which disables the checks against nodes.
     nodes: HashMap<String, Node>,
     min_replicas: usize,
     min_zones: usize,
+    /// Names that the list of nodes contains more than once.
     duplicate_nodes: Vec<String>,
 }
 
-/// What the replicas of one segment are, in total.
+/// Totals over the replicas of one segment.
 #[derive(Default)]
 struct ReplicaSummary<'a> {
+    /// Nodes of all replicas.
     names: Vec<&'a str>,
+    /// Nodes of the filled replicas.
     filled: Vec<&'a str>,
+    /// Zones of the filled replicas.
     zones: Vec<&'a str>,
     share_sum: f64,
     has_invalid_share: bool,
 }
 
-/// A segment with its neighbours.
+/// Returns a segment and its neighbours, for a fault. `segments` must be ordered by key.
 pub(crate) fn context(segments: &[Arc<Segment>], index: usize) -> Box<SegmentContext> {
     let reference = |index: usize| segments.get(index).map(|segment| SegmentRef::from(&**segment));
     let before = index.checked_sub(1).and_then(reference);
@@ -62,7 +66,7 @@
         faults
     }
 
-    /// Checks one segment; `context` places it in the reports.
+    /// Checks one segment. `context` returns the segment and its neighbours, for the faults.
     pub fn check(
         &self,
         segment: &Segment,
@@ -77,7 +81,7 @@
         for pair in summary.names.windows(2).filter(|pair| pair[0] == pair[1]) {
             faults.push(MapFault::DuplicateReplica { node: pair[0].to_string(), context: context() });
         }
-        // A replica that stands twice is one replica.
+        // A replica that is listed twice counts once.
         sort_unique(&mut summary.filled);
         let filled = summary.filled.len();
         if filled < self.min_replicas {
@@ -98,6 +102,7 @@
         }
     }
 
+    /// Checks each replica of a segment by itself, and returns the totals over all of them.
     fn check_each_replica<'a>(
         &'a self,
         segment: &'a Segment,
@@ -115,7 +120,7 @@
             {
                 summary.zones.push(&node.zone);
             }
-            // Not a number is in no range.
+            // NaN is not contained in the range either.
             if (0.0..=1.0).contains(&replica.share) {
                 summary.share_sum += replica.share;
             } else {
@@ -127,7 +132,7 @@
         summary
     }
 
-    /// Checks a replica against the list of nodes, and returns its node.
+    /// Checks a replica against the list of nodes, and returns its node if it is in the list.
     fn check_node(
         &self,
         replica: &Replica,
--- a/crates/dunepond-shard-map/src/transition.rs
+++ b/crates/dunepond-shard-map/src/transition.rs
@@ -1,4 +1,5 @@
-//! The transition from the map in force to the next one: who owns what in each phase, and what has to be filled before.
+//! The transition from the map in force to the next one: the owner of each key in each phase, and the replicas that have to be
+//! filled before the next map alone is in force.
 
 use std::collections::BTreeMap;
 
@@ -7,18 +8,19 @@
 use crate::fault::{MapFault, SegmentRef};
 use crate::{KeyRange, RequiredFill, Segment, VerifiedMap};
 
-/// Which map's rules a broker acts on between two maps.
+/// Which of two maps a broker acts on during a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TransitionPhase {
-    /// The old map's.
+    /// The broker acts on the old map.
     Old,
-    /// Only what both maps allow.
+    /// The broker does only what both maps allow.
     Joint,
-    /// The new map's.
+    /// The broker acts on the new map.
     New,
 }
 
-/// A transition in which [`verify_transition`] or [`crate::verify_delta`] found no fault. Cheap to clone.
+/// A transition between two verified maps in which [`verify_transition`] or [`crate::verify_delta`] found no fault. Cheap to
+/// clone.
 #[derive(Clone, Debug)]
 pub struct MapTransition {
     from: VerifiedMap,
@@ -27,18 +29,18 @@
     changed_segments: usize,
 }
 
-/// How the segments of a new map compare with the old one.
+/// How the segments of a new map differ from those of the old one.
 pub(crate) struct SegmentDiff {
-    /// First keys of the new map's segments that the old one does not have as they are.
+    /// First keys of the new map's segments that are not identical in the old map.
     pub differing: Vec<u64>,
-    /// How many others the new map has.
+    /// Number of the new map's segments that are identical in the old map.
     pub unchanged: usize,
 }
 
-/// Verifies the transition between two maps, or names everything that is wrong with it. Keys are compared: an id with other keys than before
-/// means keys that were migrated.
+/// Verifies the transition between two maps, or returns all its faults. Segments are compared by their keys, not by their ids:
+/// if an id has other keys than before, these keys were migrated.
 pub fn verify_transition(from: &VerifiedMap, to: &VerifiedMap) -> Result<MapTransition, Vec<MapFault>> {
-    // One walk along both lists; what both have is the same segment.
+    // One pass along both maps, which are ordered by first key; identical segments have the same first key.
     let mut old_segments = from.by_key.values().peekable();
     let mut diff = SegmentDiff { differing: Vec::new(), unchanged: 0 };
     for (key, segment) in &to.by_key {
@@ -50,13 +52,14 @@
             _ => diff.differing.push(*key),
         }
     }
-    // Earlier fills still count where nothing changed.
+    // Recorded fills of a segment still count if the segment did not change.
     let filled = from.filled_since.iter().map(|(id, node)| (*id, node.as_str()));
     let still_filled = filled.filter(|(id, _)| from.segment(*id) == to.segment(*id));
     let to = to.with_filled(still_filled);
     verify_diff(from, to, &diff)
 }
 
+/// Verifies the transition between two maps that differ by `diff`, or returns all its faults.
 pub(crate) fn verify_diff(
     from: &VerifiedMap,
     to: VerifiedMap,
@@ -66,7 +69,7 @@
     if to.epoch <= from.epoch {
         faults.push(MapFault::EpochNotAbove { from: from.epoch, to: to.epoch });
     }
-    // Unchanged segments matter only where they have unfilled replicas.
+    // Unchanged segments need a check only if they have unfilled replicas.
     let mut unchanged_by_key: BTreeMap<u64, bool> = to.unfilled.iter().map(|key| (*key, true)).collect();
     unchanged_by_key.extend(diff.differing.iter().map(|key| (*key, false)));
     let mut required_fills = Vec::new();
@@ -87,7 +90,8 @@
     }
 }
 
-/// Each old segment must have a filled replica that stays filled: else its keys would have no data.
+/// Checks that each old segment has a filled replica that is also a filled replica of `new`: otherwise no node would have the
+/// data for its keys after the transition.
 fn check_replicas_kept(
     from: &VerifiedMap,
     old_segments: &[&Segment],
@@ -102,6 +106,8 @@
     }
 }
 
+/// Collects the replicas of `new` that have to be filled, in the order of their nodes' names. A replica that no single node can
+/// fill is a fault.
 fn collect_required_fills(
     from: &VerifiedMap,
     old_segments: &[&Segment],
@@ -113,7 +119,7 @@
     let mut replicas: Vec<_> = new.replicas.iter().collect();
     replicas.sort_by_key(|replica| &replica.node);
     for replica in replicas {
-        // A replica that a changed segment states as unfilled is filled again, whatever it had.
+        // A replica that a changed segment states as unfilled is filled again, even if its node has some of the data.
         let refill = !replica.filled && !unchanged;
         let is_missing = |old: &&Segment| refill || !from.is_filled(old, &replica.node);
         let missing: Vec<&Segment> = old_segments.iter().copied().filter(is_missing).collect();
@@ -129,7 +135,8 @@
     }
 }
 
-/// Nodes other than `replica` that are filled in each of the segments, by name: a fill has one source for all its keys.
+/// Returns the nodes other than `replica` that have complete data for each of the segments, sorted by name. A fill copies all
+/// keys from one source.
 fn fill_sources(from: &VerifiedMap, segments: &[&Segment], replica: &str) -> Vec<String> {
     let Some((first, rest)) = segments.split_first() else { return Vec::new() };
     let has_all =
@@ -141,27 +148,30 @@
 }
 
 impl MapTransition {
-    /// The old map.
+    /// Returns the old map.
     pub fn from(&self) -> &VerifiedMap {
         &self.from
     }
 
-    /// The new map; earlier fills still count in it where nothing changed.
+    /// Returns the new map, in which recorded fills of unchanged segments still count.
     pub fn to(&self) -> &VerifiedMap {
         &self.to
     }
 
-    /// What has to be filled before the new map may be in force alone; by key, then by replica.
+    /// Returns the replicas that have to be filled before the new map alone may be in force, ordered by the segment's keys, then
+    /// by the replica's node.
     pub fn required_fills(&self) -> &[RequiredFill] {
         &self.required_fills
     }
 
-    /// Segments that are removed or added, whichever are more; an unchanged one is neither.
+    /// Returns the number of changed segments: the larger of the numbers of old segments that are removed or replaced and of new
+    /// segments that are added or replaced.
     pub fn changed_segments(&self) -> usize {
         self.changed_segments
     }
 
-    /// The only node that may be sent non-idempotent work for `key`; in the joint phase None unless both maps name it.
+    /// Returns the only node that may be sent non-idempotent work for `key`; `None` in the joint phase if the maps name different
+    /// owners.
     pub fn owner_of_key(&self, key: u64, phase: TransitionPhase) -> Option<&str> {
         let old = &self.from.segment_for_key(key).owner;
         let new = &self.to.segment_for_key(key).owner;
@@ -172,8 +182,9 @@
         }
     }
 
-    /// The only node that may be sent non-idempotent work for a segment. In the joint phase an id may have other keys in each map: then a
-    /// node only if both maps name it for all keys of either.
+    /// Returns the only node that may be sent non-idempotent work for a segment; `None` if there is none. In the joint phase an id
+    /// may have different keys in the two maps; a node is then returned only if both maps name it as the owner of all keys that
+    /// the id has in either map.
     pub fn owner_of_segment(&self, segment: u64, phase: TransitionPhase) -> Option<&str> {
         let (old, new) = (self.from.segment(segment), self.to.segment(segment));
         match phase {
@@ -192,7 +203,7 @@
         }
     }
 
-    /// Whether both maps name `owner` for all of `keys`.
+    /// Whether both maps name `owner` as the owner of all `keys`.
     pub fn same_owner(&self, keys: KeyRange, owner: &str) -> bool {
         self.from.overlapping(keys).chain(self.to.overlapping(keys)).all(|segment| segment.owner == owner)
     }
--- a/crates/dunepond-shard-map/src/verified.rs
+++ b/crates/dunepond-shard-map/src/verified.rs
@@ -1,4 +1,4 @@
-//! A verified map, in persistent trees so that a changed one shares all that did not change.
+//! A verified map, stored in persistent trees, so that a map made by a delta shares all unchanged segments.
 
 use std::fmt;
 use std::sync::{Arc, OnceLock};
@@ -9,27 +9,28 @@
 use crate::segment_rules::SegmentRules;
 use crate::{KEY_SPACE_END, KeyRange, MapConstraints, MapFault, Node, Segment, ShardMap};
 
-/// A map in which [`crate::verify`] found no fault; there is no other way to one. Cheap to clone.
+/// A map in which no fault was found by [`crate::verify`] or, as the result of a delta, by [`crate::verify_delta`]. It cannot be
+/// made in any other way. Cheap to clone.
 #[derive(Clone)]
 pub struct VerifiedMap {
     pub(crate) epoch: u64,
     pub(crate) digest: String,
     pub(crate) sum: DigestSum,
-    /// By the first key of each.
+    /// Segments by their first key.
     pub(crate) by_key: OrdMap<u64, Arc<Segment>>,
-    /// First key by id.
+    /// First keys of segments by segment id.
     pub(crate) by_id: OrdMap<u64, u64>,
     /// First keys of segments with a replica that the map states as unfilled.
     pub(crate) unfilled: OrdSet<u64>,
-    /// Replicas (segment, node) that the map states as unfilled, and that have been filled since.
+    /// Replicas (segment id, node) that the map states as unfilled, and that have been filled since.
     pub(crate) filled_since: OrdSet<(u64, String)>,
     pub(crate) rules: Arc<SegmentRules>,
-    /// Made when first asked for.
+    /// The map in its exchanged form, built by the first call of [`VerifiedMap::map`].
     whole: Arc<OnceLock<ShardMap>>,
 }
 
 impl VerifiedMap {
-    /// Of segments in the order of their keys, without a fault.
+    /// Creates a verified map from segments without faults, which must be ordered by key.
     pub(crate) fn new(
         epoch: u64,
         digest: String,
@@ -45,12 +46,12 @@
         Self { epoch, digest, sum, by_key, by_id, unfilled, filled_since, rules, whole }
     }
 
-    /// The start of a changed map: all of this one under another epoch.
+    /// Returns a copy of this map under another epoch, to be changed by a delta. Its digest is still that of this map.
     pub(crate) fn with_epoch(&self, epoch: u64) -> Self {
         Self { epoch, whole: Arc::default(), ..self.clone() }
     }
 
-    /// The map as a whole, segments in the order of their keys; made when first asked for.
+    /// Returns the map in its exchanged form, with segments ordered by key. It is built by the first call.
     pub fn map(&self) -> &ShardMap {
         self.whole.get_or_init(|| ShardMap {
             epoch: self.epoch,
@@ -60,27 +61,27 @@
         })
     }
 
-    /// The map's epoch.
+    /// Returns the map's epoch.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The map's digest.
+    /// Returns the map's digest, in hexadecimal.
     pub fn digest(&self) -> &str {
         &self.digest
     }
 
-    /// The number of segments.
+    /// Returns the number of segments.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Always false: a map without segments is not verified.
+    /// Whether the map has no segments; always false, since the verification rejects such a map.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
-    /// The segment with this id.
+    /// Returns the segment with this id, if there is one.
     pub fn segment(&self, id: u64) -> Option<&Segment> {
         self.by_id.get(&id).and_then(|from| self.by_key.get(from)).map(|segment| &**segment)
     }
@@ -90,20 +91,20 @@
         self.by_id.contains_key(&id)
     }
 
-    /// The one segment that has `key`.
+    /// Returns the only segment that contains `key`.
     pub fn segment_for_key(&self, key: u64) -> &Segment {
         self.by_key.get_prev(&key).map(|(_, segment)| &**segment).expect("a verified map has every key")
     }
 
-    /// All segments in the order of their keys.
+    /// Returns all segments, ordered by key.
     pub fn segments(&self) -> impl Iterator<Item = &Segment> {
         self.by_key.values().map(|segment| &**segment)
     }
 
-    /// The segments that have any of `keys`, in the order of their keys.
+    /// Returns the segments that contain any of `keys`, ordered by key.
     pub fn overlapping(&self, keys: KeyRange) -> impl Iterator<Item = &Segment> {
         let first = (!keys.is_empty()).then(|| self.segment_for_key(keys.from));
-        // Those that begin inside the range, after the one that has its first key.
+        // The segments that begin inside the range, after the one that contains its first key.
         let last = if keys.end() < KEY_SPACE_END { keys.end() as u64 } else { u64::MAX };
         let inside = self.by_key.range(keys.from..=last.max(keys.from));
         let inside = inside.map(|(_, segment)| &**segment);
@@ -112,15 +113,17 @@
         first.into_iter().chain(inside.filter(begins_inside))
     }
 
-    /// Whether a node's data of `segment`, one of this map, is complete: as the map states, or filled since.
+    /// Whether a node has complete data for `segment`, which must be a segment of this map: because the map states the replica as
+    /// filled, or because it has been filled since.
     pub fn is_filled(&self, segment: &Segment, node: &str) -> bool {
         let stated = segment.replicas.iter().any(|replica| replica.filled && replica.node == node);
         stated
             || (!self.filled_since.is_empty() && self.filled_since.contains(&(segment.id, node.to_string())))
     }
 
-    /// The map with replicas (segment, node) that have been filled since it was made: the next transition counts them as filled. Map and
-    /// digest stay as they are. Pairs that are no unfilled replicas are ignored.
+    /// Returns the map with a record of replicas (segment id, node) that have been filled since the map was made. The next
+    /// transition counts them as filled; the map's content and digest do not change. Pairs that are not unfilled replicas of the
+    /// map are ignored.
     pub fn with_filled<'a>(&self, filled: impl IntoIterator<Item = (u64, &'a str)>) -> Self {
         let mut map = self.clone();
         for (id, node) in filled {
@@ -132,7 +135,7 @@
         map
     }
 
-    /// The same map verified against other nodes or constraints; nothing is sorted or hashed again.
+    /// Verifies the same map against other nodes or constraints, without sorting or hashing its segments again.
     pub fn reverified(&self, nodes: &[Node], constraints: &MapConstraints) -> Result<Self, Vec<MapFault>> {
         let rules = SegmentRules::new(nodes, constraints);
         let faults = rules.check_all(&self.by_key.values().cloned().collect::<Vec<_>>());
@@ -140,7 +143,7 @@
     }
 }
 
-/// Names the map, without its segments.
+/// Writes the map's epoch, digest and number of segments, but not the segments.
 impl fmt::Debug for VerifiedMap {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { epoch, digest, .. } = self;
--- a/crates/dunepond-shard-map/src/verify.rs
+++ b/crates/dunepond-shard-map/src/verify.rs
@@ -1,4 +1,5 @@
-//! A map by itself: every key in exactly one segment, every segment replicated as the constraints require. Linear after sorting.
+//! Verification of a single map: every key is in exactly one segment, and every segment satisfies the constraints. Takes linear
+//! time after sorting.
 
 use std::sync::Arc;
 
@@ -7,8 +8,8 @@
 use crate::segment_rules::{SegmentRules, context};
 use crate::{KEY_SPACE_END, KeyRange, MapConstraints, Node, Segment, ShardMap, VerifiedMap};
 
-/// Verifies `map`, or names everything that is wrong with it. With an empty list of `nodes`, names, zones, partners and drains are not
-/// checked.
+/// Verifies `map`, or returns all its faults. With an empty list of `nodes`, the replicas' names, zones, partners and drains are
+/// not checked.
 pub fn verify(
     map: &ShardMap,
     nodes: &[Node],
@@ -17,7 +18,7 @@
     verify_owned(map.clone(), nodes, constraints)
 }
 
-/// As [`verify`], without a copy of the map.
+/// Verifies `map` like [`verify`], but takes ownership of it instead of copying it.
 pub fn verify_owned(
     map: ShardMap,
     nodes: &[Node],
@@ -26,6 +27,7 @@
     verify_by(map, SegmentRules::new(nodes, constraints).into())
 }
 
+/// Verifies `map` against `rules`, or returns all its faults.
 pub(crate) fn verify_by(map: ShardMap, rules: Arc<SegmentRules>) -> Result<VerifiedMap, Vec<MapFault>> {
     let mut faults = Vec::new();
     if map.hash != KEY_HASH {
@@ -37,7 +39,7 @@
         faults.push(MapFault::DigestMismatch { stated: map.digest, actual: digest.clone() });
     }
     let mut segments = map.segments;
-    // Cached sort keys: the lookups in segments scattered over memory would cost more than the sort.
+    // The sort keys are cached: reading them from segments scattered over memory would cost more than the sort itself.
     segments.sort_by_cached_key(|segment| (segment.keys.from, segment.keys.end(), segment.id));
     let segments: Vec<_> = segments.into_iter().map(Arc::new).collect();
     check_cover(&segments, &mut faults);
@@ -50,10 +52,11 @@
     }
 }
 
-/// One walk in the order of the keys. An overlap is reported between a segment and the earlier one that reaches furthest: so each key
-/// covered more than once is in a reported overlap, each overlapping segment is named, and there are never more reports than segments.
+/// Checks in one pass that the segments, which are ordered by key, cover each key exactly once. An overlap is reported between a
+/// segment and the earlier segment that extends furthest. This way each key that is covered more than once is in a reported
+/// overlap, each overlapping segment is named, and there are never more overlaps reported than segments.
 fn check_cover(segments: &[Arc<Segment>], faults: &mut Vec<MapFault>) {
-    // The segment that covers furthest so far.
+    // The segment so far whose keys extend furthest.
     let mut furthest: Option<SegmentRef> = None;
     for (index, segment) in segments.iter().enumerate() {
         let here = SegmentRef::from(&**segment);
@@ -86,7 +89,7 @@
         }
     }
     match furthest {
-        // Only empty and inverted ranges, if any.
+        // All segments, if any, have empty or inverted ranges.
         None => faults.push(MapFault::NoSegments),
         Some(before) if before.keys.end() < KEY_SPACE_END => {
             let keys = KeyRange::between(before.keys.end(), KEY_SPACE_END);
@@ -96,9 +99,10 @@
     }
 }
 
+/// Checks that no two segments have the same id.
 fn check_ids(segments: &[Arc<Segment>], faults: &mut Vec<MapFault>) {
     let mut refs: Vec<_> = segments.iter().map(|segment| SegmentRef::from(&**segment)).collect();
-    // Stable, so that segments with one id stay in the order of their keys.
+    // The sort is stable, so that segments with the same id stay in the order of their keys.
     refs.sort_by_key(|segment| segment.id);
     for pair in refs.windows(2).filter(|pair| pair[0].id == pair[1].id) {
         faults.push(MapFault::DuplicateId { first: pair[0], second: pair[1] });
--- a/crates/dunepond-shard-map/tests/faults.rs
+++ b/crates/dunepond-shard-map/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The text of every fault: its place and what can be done.
+//! Tests of the message and the help text of every fault.
 
 mod common;
 
@@ -9,16 +9,16 @@
 use dunepond_shard_map::*;
 use strum::EnumCount;
 
-/// One of each variant, which the count below checks.
+/// One fault of each variant; the test below checks that none is missing.
 fn one_of_each() -> Vec<MapFault> {
-    let (keys, text) = (keys(1, 2), || "x7".to_string());
+    let (keys, name) = (keys(1, 2), || "x7".to_string());
     let (one, two) = (SegmentRef { id: 41, keys }, SegmentRef { id: 42, keys });
     let context = || Box::new(SegmentContext { segment: one, before: Some(two), after: None });
     vec![
         MapFault::NoSegments,
-        MapFault::UnknownHash { hash: text(), expected: text() },
-        MapFault::DigestMismatch { stated: text(), actual: text() },
-        MapFault::DuplicateNode { node: text() },
+        MapFault::UnknownHash { hash: name(), expected: name() },
+        MapFault::DigestMismatch { stated: name(), actual: name() },
+        MapFault::DuplicateNode { node: name() },
         MapFault::Gap { keys, before: one, after: two },
         MapFault::GapAtStart { keys, after: one },
         MapFault::GapAtEnd { keys, before: one },
@@ -26,21 +26,21 @@
         MapFault::EmptyRange { context: context() },
         MapFault::InvertedRange { context: context() },
         MapFault::DuplicateId { first: one, second: two },
-        MapFault::UnknownReplica { node: text(), context: context() },
-        MapFault::DuplicateReplica { node: text(), context: context() },
-        MapFault::DrainingReplica { node: text(), context: context() },
-        MapFault::WrongPartner { node: text(), stated: text(), actual: text(), context: context() },
+        MapFault::UnknownReplica { node: name(), context: context() },
+        MapFault::DuplicateReplica { node: name(), context: context() },
+        MapFault::DrainingReplica { node: name(), context: context() },
+        MapFault::WrongPartner { node: name(), stated: name(), actual: name(), context: context() },
         MapFault::TooFewReplicas { filled: 1, min: 2, context: context() },
         MapFault::TooFewZones { zones: 1, min: 2, context: context() },
-        MapFault::OwnerNotReplica { owner: text(), context: context() },
-        MapFault::OwnerNotFilled { owner: text(), context: context() },
-        MapFault::ShareOutOfRange { node: text(), share: 2.0, context: context() },
+        MapFault::OwnerNotReplica { owner: name(), context: context() },
+        MapFault::OwnerNotFilled { owner: name(), context: context() },
+        MapFault::ShareOutOfRange { node: name(), share: 2.0, context: context() },
         MapFault::ShareSumNotOne { sum: 2.0, context: context() },
         MapFault::EpochNotAbove { from: 41, to: 41 },
         MapFault::UnknownSegment { id: 41 },
-        MapFault::WrongBase { base: text(), in_force: text() },
+        MapFault::WrongBase { base: name(), in_force: name() },
         MapFault::LastReplicaLost { keys, old: one, new: two },
-        MapFault::NoSource { replica: text(), new: one, first: one, last: two },
+        MapFault::NoSource { replica: name(), new: one, first: one, last: two },
         MapFault::OtherEpoch { part: one, epoch: 1, expected: 2 },
         MapFault::PartOutside { part: one, keys: None },
         MapFault::PartEmpty { part: one },
@@ -52,16 +52,16 @@
 }
 
 #[test]
-fn all_variants_name_their_place_and_have_help() {
+fn every_fault_names_its_location_and_has_help() {
     let faults = one_of_each();
-    let kinds: HashSet<_> = faults.iter().map(discriminant).collect();
-    assert_eq!(kinds.len(), MapFault::COUNT);
+    let variants: HashSet<_> = faults.iter().map(discriminant).collect();
+    assert_eq!(variants.len(), MapFault::COUNT);
     let texts: HashSet<_> = faults.iter().map(MapFault::to_string).collect();
     assert_eq!(texts.len(), MapFault::COUNT);
     for fault in &faults {
         let text = fault.to_string();
-        let named = ["41", "x7", "0x0800000000000000"].iter().any(|name| text.contains(name));
-        assert!(named || *fault == MapFault::NoSegments, "{text}");
+        let names_location = ["41", "x7", "0x0800000000000000"].iter().any(|name| text.contains(name));
+        assert!(names_location || *fault == MapFault::NoSegments, "{text}");
         assert!(fault.help().len() > 20, "{text}");
     }
 }
--- a/crates/dunepond-shard-map/tests/golden.rs
+++ b/crates/dunepond-shard-map/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Stored and exchanged forms, byte by byte. The files under `data/golden` are what released brokers store: documents in JSON, entries in
-//! `postcard`, and digests.
+//! Golden files of the stored and exchanged formats, compared byte by byte. The files under `data/golden` are what released
+//! brokers store: JSON documents, `postcard` entries and digests.
 
 mod common;
 
@@ -12,44 +12,46 @@
 use serde::{Serialize, de::DeserializeOwned};
 use strum::EnumCount;
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn from_hex(text: &str) -> Vec<u8> {
     (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
 }
 
-fn lines(file: &str) -> Vec<String> {
+fn golden_lines(file: &str) -> Vec<String> {
     let path = format!("{}/tests/data/golden/{file}", env!("CARGO_MANIFEST_DIR"));
-    let text = std::fs::read_to_string(&path).unwrap_or_else(|fault| panic!("{path}: {fault}"));
+    let text = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"));
     text.lines().map(String::from).collect()
 }
 
-/// Compares with the file, line by line, so that the first difference is named.
-fn same(file: &str, now: &[String]) {
-    let golden = lines(file);
-    for (golden, now) in golden.iter().zip(now) {
-        assert_eq!(golden, now, "{file}");
+/// Asserts that the lines of the golden file are `actual`. Compares line by line, so that the first difference is shown.
+fn assert_lines(file: &str, actual: &[String]) {
+    let golden = golden_lines(file);
+    for (golden, actual) in golden.iter().zip(actual) {
+        assert_eq!(golden, actual, "{file}");
     }
-    assert_eq!(golden.len(), now.len(), "{file}");
+    assert_eq!(golden.len(), actual.len(), "{file}");
 }
 
-/// `NAME.json` and `NAME.postcard`, a value a line: written as in the files, and read from them.
-fn forms<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, values: &[T]) {
+/// Asserts that the values encode to the lines of the golden files `NAME.json` and `NAME.postcard`, and that these lines decode
+/// to the values. Each line holds one value.
+fn assert_encodings<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, values: &[T]) {
     let (json, postcard) = (format!("{name}.json"), format!("{name}.postcard"));
     let texts: Vec<String> = values.iter().map(|value| serde_json::to_string(value).unwrap()).collect();
-    same(&json, &texts);
-    let bytes: Vec<String> = values.iter().map(|value| hex(&postcard::to_stdvec(value).unwrap())).collect();
-    same(&postcard, &bytes);
-    for ((json, postcard), value) in lines(&json).iter().zip(lines(&postcard)).zip(values) {
+    assert_lines(&json, &texts);
+    let bytes: Vec<String> =
+        values.iter().map(|value| to_hex(&postcard::to_stdvec(value).unwrap())).collect();
+    assert_lines(&postcard, &bytes);
+    for ((json, postcard), value) in golden_lines(&json).iter().zip(golden_lines(&postcard)).zip(values) {
         assert_eq!(&serde_json::from_str::<T>(json).unwrap(), value);
-        assert_eq!(&postcard::from_bytes::<T>(&unhex(&postcard)).unwrap(), value);
+        assert_eq!(&postcard::from_bytes::<T>(&from_hex(&postcard)).unwrap(), value);
     }
 }
 
-/// Unfilled replicas, uneven shares, segments out of order, ids and epochs that fill their width.
-fn mixed() -> ShardMap {
+/// A map with unfilled replicas, uneven shares, unordered segments, a name that is not ASCII, and the largest id and epoch.
+fn mixed_map() -> ShardMap {
     let mut segments =
         vec![segment(u64::MAX, 16, 32, &[3, 4]), segment(7, 0, 8, &[0, 1, 2]), segment(300, 8, 16, &[2])];
     segments[0].replicas[1].filled = false;
@@ -61,17 +63,17 @@
 }
 
 fn maps() -> Vec<ShardMap> {
-    let unknown = ShardMap { hash: "other".into(), digest: "said".into(), ..four_segments() };
-    vec![four_segments(), mixed(), map(0, vec![]), unknown]
+    let unknown_hash = ShardMap { hash: "other".into(), digest: "said".into(), ..four_segments() };
+    vec![four_segments(), mixed_map(), map(0, vec![]), unknown_hash]
 }
 
 #[test]
 fn maps_keep_their_encoding_and_digest() {
-    forms("maps", &maps());
+    assert_encodings("maps", &maps());
     let digests: Vec<String> = maps().iter().map(ShardMap::compute_digest).collect();
-    same("digests.txt", &digests);
-    // What is read has the same digest, in any order of segments and replicas.
-    for (text, digest) in lines("maps.json").iter().zip(digests) {
+    assert_lines("digests.txt", &digests);
+    // A decoded map has the same digest, whatever the order of its segments and replicas.
+    for (text, digest) in golden_lines("maps.json").iter().zip(digests) {
         let mut map: ShardMap = serde_json::from_str(text).unwrap();
         map.segments.reverse();
         map.segments.iter_mut().for_each(|segment| segment.replicas.reverse());
@@ -80,14 +82,14 @@
 }
 
 #[test]
-fn positions_of_keys_are_kept() {
+fn keys_keep_their_positions() {
     assert_eq!(KEY_HASH, "xxh3-64");
     let keys: [&[u8]; 4] = [b"", b"a", b"customer/17", &[0, 255, 128]];
-    same("places.txt", &keys.map(|key| format!("{} {:016x}", hex(key), key_position(key))));
+    assert_lines("places.txt", &keys.map(|key| format!("{} {:016x}", to_hex(key), key_position(key))));
 }
 
 #[test]
-fn deltas_keep_their_encoding_and_lead_to_the_same_map() {
+fn deltas_keep_their_encoding_and_resulting_map() {
     let from = verified(&four_segments());
     let mut to = four_segments();
     to.epoch = 2;
@@ -96,24 +98,24 @@
     to.segments.remove(1);
     to.segments.push(segment(9, 8, 16, &[1, 2]));
     let between = MapDelta::between(&from, &to.clone().with_digest());
-    let unsealed = MapDelta { digest: String::new(), base_digest: String::new(), ..between.clone() };
-    assert_eq!(unsealed.clone().with_digests(&from), between);
-    forms("changes", &[between.clone(), unsealed]);
-    let moved = verify_delta(&from, &between).unwrap();
-    forms("moved", std::slice::from_ref(moved.to().map()));
-    forms("needs", moved.required_fills());
+    let without_digests = MapDelta { digest: String::new(), base_digest: String::new(), ..between.clone() };
+    assert_eq!(without_digests.clone().with_digests(&from), between);
+    assert_encodings("changes", &[between.clone(), without_digests]);
+    let transition = verify_delta(&from, &between).unwrap();
+    assert_encodings("moved", std::slice::from_ref(transition.to().map()));
+    assert_encodings("needs", transition.required_fills());
 }
 
 #[test]
 fn small_types_keep_their_encoding() {
-    forms("ranges", &[KeyRange::ALL, keys(1, 2), KeyRange { from: u64::MAX, to: None }]);
-    forms("nodes", &[nodes(), vec![Node { draining: true, ..nodes()[1].clone() }], vec![]]);
-    forms("terms", &[CONSTRAINTS, MapConstraints { min_replicas: 0, min_zones: 300 }]);
-    forms("steps", &[TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New]);
-    forms("pieces", &[AnsweredPart { segment: 300, keys: keys(3, 32), epoch: 9 }]);
+    assert_encodings("ranges", &[KeyRange::ALL, keys(1, 2), KeyRange { from: u64::MAX, to: None }]);
+    assert_encodings("nodes", &[nodes(), vec![Node { draining: true, ..nodes()[1].clone() }], vec![]]);
+    assert_encodings("terms", &[CONSTRAINTS, MapConstraints { min_replicas: 0, min_zones: 300 }]);
+    assert_encodings("steps", &[TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New]);
+    assert_encodings("pieces", &[AnsweredPart { segment: 300, keys: keys(3, 32), epoch: 9 }]);
 }
 
-/// One of each.
+/// One fault of each variant; the test below checks that none is missing.
 fn faults() -> Vec<MapFault> {
     let (keys, text) = (keys(1, 2), |text: &str| text.to_string());
     let (one, two) = (SegmentRef { id: 41, keys }, SegmentRef { id: 300, keys: KeyRange::ALL });
@@ -157,7 +159,7 @@
 
 #[test]
 fn faults_keep_their_encoding() {
-    let kinds: HashSet<_> = faults().iter().map(discriminant).collect();
-    assert_eq!(kinds.len(), MapFault::COUNT);
-    forms("faults", &faults());
+    let variants: HashSet<_> = faults().iter().map(discriminant).collect();
+    assert_eq!(variants.len(), MapFault::COUNT);
+    assert_encodings("faults", &faults());
 }
--- a/crates/dunepond-shard-map/tests/transitions.rs
+++ b/crates/dunepond-shard-map/tests/transitions.rs
@@ -1,4 +1,4 @@
-//! Transitions and deltas between two maps: owners in each phase, required fills, and faults.
+//! Tests of transitions and deltas between two maps: owners in each phase, required fills, and faults.
 
 mod common;
 
@@ -14,15 +14,14 @@
     }
 }
 
+/// Verifies the transition from the four segments to the mutated ones, and that a delta has the same result.
 fn transition(mutate: fn(&mut Segments)) -> Result<MapTransition, Vec<MapFault>> {
     let mut to = four_segments();
     to.epoch = 2;
     mutate(&mut to.segments);
     let (from, to) = (verified(&four_segments()), verified(&to.with_digest()));
     let full = verify_transition(&from, &to);
-    // A delta must have the same verdict.
-    let change = MapDelta::between(&from, to.map());
-    let delta = verify_delta(&from, &change);
+    let delta = verify_delta(&from, &MapDelta::between(&from, to.map()));
     match (&full, &delta) {
         (Ok(full), Ok(delta)) => {
             assert_eq!(full.required_fills(), delta.required_fills());
@@ -37,21 +36,21 @@
 }
 
 #[rstest]
-#[case::nothing(|_: &mut Segments| {}, 0, vec![], vec![])]
+#[case::no_change(|_: &mut Segments| {}, 0, vec![], vec![])]
 #[case::replica_added(|s: &mut Segments| s[0] = segment(0, 0, 8, &[0, 1, 2]), 1, vec![required_fill(0, 2, &[0, 1])], vec![])]
 #[case::unfilled_replica(|s: &mut Segments| { s[0] = segment(0, 0, 8, &[0, 1, 2]); s[0].replicas[2].filled = false }, 1,
     vec![required_fill(0, 2, &[0, 1])], vec![])]
-#[case::refilled(|s: &mut Segments| { s[0] = segment(0, 0, 8, &[0, 1, 2]); s[0].replicas[1].filled = false }, 1,
+#[case::replica_to_refill(|s: &mut Segments| { s[0] = segment(0, 0, 8, &[0, 1, 2]); s[0].replicas[1].filled = false }, 1,
     vec![required_fill(0, 1, &[0]), required_fill(0, 2, &[0, 1])], vec![])]
-#[case::the_owner_changes(|s: &mut Segments| s[0].owner = "n1".into(), 1, vec![], vec![(0, 8)])]
-#[case::owner_and_replica(|s: &mut Segments| s[0] = segment(0, 0, 8, &[2, 1]), 1, vec![required_fill(0, 2, &[0, 1])], vec![(0, 8)])]
+#[case::owner_changed(|s: &mut Segments| s[0].owner = "n1".into(), 1, vec![], vec![(0, 8)])]
+#[case::owner_and_replica_changed(|s: &mut Segments| s[0] = segment(0, 0, 8, &[2, 1]), 1, vec![required_fill(0, 2, &[0, 1])], vec![(0, 8)])]
 #[case::split(|s: &mut Segments| { s[0].keys = keys(0, 4); s.push(segment(9, 4, 8, &[0, 1])) }, 2, vec![], vec![])]
-#[case::split_to_another(|s: &mut Segments| { s[0].keys = keys(0, 4); s.push(segment(9, 4, 8, &[1, 2])) }, 2,
+#[case::split_to_another_owner(|s: &mut Segments| { s[0].keys = keys(0, 4); s.push(segment(9, 4, 8, &[1, 2])) }, 2,
     vec![required_fill(9, 2, &[0, 1])], vec![(4, 8)])]
 #[case::merged(|s: &mut Segments| { s[1] = segment(1, 0, 16, &[1, 2]); s.remove(0); }, 2, vec![required_fill(1, 2, &[0, 1])], vec![(0, 8)])]
-#[case::boundary(|s: &mut Segments| { s[0].keys = keys(0, 9); s[1].keys = keys(9, 16) }, 2, vec![required_fill(0, 0, &[1, 2])], vec![(8, 9)])]
-#[case::ids_exchanged(|s: &mut Segments| { s[0].id = 1; s[1].id = 0 }, 2, vec![], vec![])]
-fn transition_has_fills_and_no_owner_where_maps_differ(
+#[case::boundary_moved(|s: &mut Segments| { s[0].keys = keys(0, 9); s[1].keys = keys(9, 16) }, 2, vec![required_fill(0, 0, &[1, 2])], vec![(8, 9)])]
+#[case::ids_swapped(|s: &mut Segments| { s[0].id = 1; s[1].id = 0 }, 2, vec![], vec![])]
+fn transition_has_required_fills_and_no_owner_where_owners_differ(
     #[case] mutate: fn(&mut Segments),
     #[case] changed: usize,
     #[case] fills: Vec<RequiredFill>,
@@ -69,7 +68,7 @@
 }
 
 #[test]
-fn joint_owner_of_an_id_needs_all_its_keys() {
+fn joint_owner_of_segment_must_own_all_its_keys() {
     let split = transition(|s| {
         s[0].keys = keys(0, 4);
         s.push(segment(9, 4, 8, &[1, 2]));
@@ -77,31 +76,31 @@
     let split = split.unwrap();
     assert_eq!(split.owner_of_segment(0, TransitionPhase::Old), Some("n0"));
     assert_eq!(split.owner_of_segment(0, TransitionPhase::New), Some("n0"));
-    // Some of its old keys go to another owner.
+    // Some of the old keys of segment 0 get another owner.
     assert_eq!(split.owner_of_segment(0, TransitionPhase::Joint), None);
     assert_eq!(split.owner_of_segment(9, TransitionPhase::Joint), None);
     assert_eq!(split.owner_of_segment(9, TransitionPhase::Old), None);
     assert_eq!(split.owner_of_segment(1, TransitionPhase::Joint), Some("n1"));
     assert_eq!(split.owner_of_segment(77, TransitionPhase::Joint), None);
-    let alike = transition(|s| {
+    let same_owner = transition(|s| {
         s[0].keys = keys(0, 4);
         s.push(segment(9, 4, 8, &[0, 1]));
     });
-    let alike = alike.unwrap();
+    let same_owner = same_owner.unwrap();
     assert_eq!(
         (
-            alike.owner_of_segment(0, TransitionPhase::Joint),
-            alike.owner_of_segment(9, TransitionPhase::Joint)
+            same_owner.owner_of_segment(0, TransitionPhase::Joint),
+            same_owner.owner_of_segment(9, TransitionPhase::Joint)
         ),
         (Some("n0"), Some("n0"))
     );
-    // The keys keep their owners, the ids do not.
-    let exchanged = transition(|s| (s[0].id, s[1].id) = (1, 0)).unwrap();
-    assert_eq!(exchanged.owner_of_key(0, TransitionPhase::Joint), Some("n0"));
+    // The keys keep their owners, but the ids do not.
+    let swapped = transition(|s| (s[0].id, s[1].id) = (1, 0)).unwrap();
+    assert_eq!(swapped.owner_of_key(0, TransitionPhase::Joint), Some("n0"));
     assert_eq!(
         (
-            exchanged.owner_of_segment(0, TransitionPhase::Joint),
-            exchanged.owner_of_segment(1, TransitionPhase::Joint)
+            swapped.owner_of_segment(0, TransitionPhase::Joint),
+            swapped.owner_of_segment(1, TransitionPhase::Joint)
         ),
         (None, None)
     );
@@ -110,9 +109,10 @@
 #[test]
 fn keys_keep_a_filled_replica() {
     let at = |id, from, to| SegmentRef { id, keys: keys(from, to) };
-    // All of one, and of a merge only the keys of the other.
+    // All keys of a segment are lost.
     let faults = transition(|s| s[0] = segment(0, 0, 8, &[4, 5])).unwrap_err();
     assert_eq!(faults, [MapFault::LastReplicaLost { keys: keys(0, 8), old: at(0, 0, 8), new: at(0, 0, 8) }]);
+    // Other segments change without a loss; only the segment that loses its replicas is reported.
     let faults = transition(|s| {
         s[0].keys = keys(0, 4);
         s[0].id = 9;
@@ -125,7 +125,7 @@
         faults.unwrap_err(),
         [MapFault::LastReplicaLost { keys: keys(16, 24), old: at(2, 16, 24), new: at(2, 16, 24) }]
     );
-    // A replica that stays and is to be filled again has no data.
+    // A replica that is to be filled again counts as having no data.
     let faults = transition(|s| {
         s[0] = segment(0, 0, 8, &[4, 5, 0, 1]);
         s[0].replicas[2].filled = false;
@@ -138,8 +138,8 @@
 }
 
 #[test]
-fn replica_needs_one_source_for_all_its_keys() {
-    // n5 gets keys of n0, n1 and of n2, n3.
+fn replica_needs_one_source_for_all_missing_keys() {
+    // n5 needs keys that n0 and n1 have, and keys that n2 and n3 have.
     let mut from = four_segments();
     from.segments[1] = segment(1, 8, 16, &[2, 3]);
     let mut to = from.clone();
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn delta_is_relative_to_the_map_in_force() {
+fn delta_must_be_relative_to_map_in_force() {
     let from = verified(&four_segments());
     let change = MapDelta {
         epoch: 2,
@@ -197,18 +197,18 @@
     assert!(matches!(&verify_delta(&from, &altered).unwrap_err()[..], [MapFault::DigestMismatch { .. }]));
 }
 
-/// Each would pass if only the ends of the old and new ranges were compared.
+/// Guards against comparing only the outer ends of the old and new ranges, which would accept each of these deltas.
 #[rstest]
-#[case::empty(vec![segment(9, 8, 8, &[0, 1])], |faults: &[MapFault]| matches!(faults, [MapFault::EmptyRange { .. }]))]
-#[case::empty_beside(vec![segment(0, 0, 8, &[1, 0]), segment(9, 8, 8, &[0, 1])],
+#[case::empty_range(vec![segment(9, 8, 8, &[0, 1])], |faults: &[MapFault]| matches!(faults, [MapFault::EmptyRange { .. }]))]
+#[case::empty_range_beside_another(vec![segment(0, 0, 8, &[1, 0]), segment(9, 8, 8, &[0, 1])],
     |faults: &[MapFault]| matches!(faults, [MapFault::EmptyRange { .. }]))]
-#[case::inverted(vec![segment(0, 0, 8, &[1, 0]), segment(9, 8, 4, &[0, 1])],
+#[case::inverted_range(vec![segment(0, 0, 8, &[1, 0]), segment(9, 8, 4, &[0, 1])],
     |faults: &[MapFault]| matches!(faults, [MapFault::InvertedRange { .. }]))]
 #[case::overlap(vec![segment(0, 0, 8, &[1, 0]), segment(9, 4, 8, &[0, 1])],
     |faults: &[MapFault]| matches!(faults, [MapFault::Overlap { .. }]))]
-#[case::one_id_twice(vec![segment(0, 0, 4, &[1, 0]), segment(0, 4, 8, &[0, 1])],
+#[case::duplicate_id(vec![segment(0, 0, 4, &[1, 0]), segment(0, 4, 8, &[0, 1])],
     |faults: &[MapFault]| matches!(faults, [MapFault::DuplicateId { .. }]))]
-fn delta_must_upsert_removed_keys_once(
+fn delta_must_cover_replaced_keys_once(
     #[case] upserted: Vec<Segment>,
     #[case] is_expected: fn(&[MapFault]) -> bool,
 ) {
@@ -220,12 +220,12 @@
 }
 
 #[test]
-fn transition_is_shared_between_threads() {
-    fn shared<T: Send + Sync + Clone>(_: &T) {}
+fn map_and_transition_can_be_shared_between_threads() {
+    fn assert_shareable<T: Send + Sync + Clone>(_: &T) {}
     let verified_map = verified(&four_segments());
-    shared(&verified_map);
+    assert_shareable(&verified_map);
     let later = verified(&ShardMap { epoch: 2, ..four_segments() }.with_digest());
-    shared(&verify_transition(&verified_map, &later).unwrap());
+    assert_shareable(&verify_transition(&verified_map, &later).unwrap());
     assert_eq!(
         format!("{verified_map:?}"),
         format!("VerifiedMap {{ epoch: 1, digest: {}, segments: 4 }}", four_segments().digest)
@@ -233,12 +233,12 @@
 }
 
 #[test]
-fn fills_since_count_in_the_next_transition() {
+fn recorded_fills_count_in_next_transitions() {
     let mut one = four_segments();
     one.segments[0] = segment(0, 0, 8, &[0, 1, 2]);
     one.segments[0].replicas[2].filled = false;
     let verified_map = verified(&one.clone().with_digest());
-    // Nothing changes but the epoch: the replica still has to be filled.
+    // Only the epoch changes, so the replica still has to be filled.
     let mut two = one.clone();
     two.epoch = 2;
     let two = verified(&two.with_digest());
@@ -249,7 +249,7 @@
     let filled = verified_map.with_filled([(0, "n2"), (0, "n4"), (77, "n2")]);
     let next = verify_transition(&filled, &two).unwrap();
     assert_eq!(next.required_fills(), []);
-    // Over a further transition too, and for a map that now states so.
+    // The fill still counts in a further transition, to a map that states the replica as filled.
     let mut three = one.clone();
     three.epoch = 3;
     three.segments[0].replicas[2].filled = true;
