--- a/crates/dunepond-quota/src/entry.rs
+++ b/crates/dunepond-quota/src/entry.rs
@@ -29,8 +29,8 @@
         #[serde(rename = "parts")]
         shares: Vec<QuotaShare>,
     },
-    /// Releases the units that are reserved for a broker beyond its granted units. The leader proposes this once, by its
-    /// clock, the broker has certainly stopped using the size that its share had before the shrink.
+    /// Releases the units that are reserved for a broker beyond its granted units. The leader proposes this when, by its
+    /// clock, the broker has certainly stopped using what it held before the shrink.
     #[serde(rename = "Settled")]
     Release {
         /// Name of the broker whose share shrank.
--- a/crates/dunepond-quota/src/error.rs
+++ b/crates/dunepond-quota/src/error.rs
@@ -30,7 +30,7 @@
     /// The floors of all brokers add up to more than the total.
     #[error("limits: the floors of {brokers} brokers, each of {floor_units} units, exceed the total")]
     FloorsExceedTotal {
-        /// Floor of each broker, in units.
+        /// Units of each quota that every broker would own without a lease.
         floor_units: u32,
         /// Configured number of brokers that may exist at the same time.
         brokers: u32,
@@ -46,12 +46,12 @@
     /// The entry needs configured quotas, and none have been configured yet.
     #[error("limits: no quotas are configured yet")]
     NotConfigured,
-    /// Quotas cannot be reconfigured while units are reserved for a broker.
+    /// The entry replaces the shared quotas while units are reserved for a broker.
     #[error(
         "limits: the quotas cannot be changed while {units} units of `{quota}` are reserved for a broker"
     )]
     StillLeased {
-        /// Name of a quota with reserved units.
+        /// Name of a quota of which units are reserved.
         quota: String,
         /// Number of units that are reserved for one broker.
         units: u32,
@@ -69,28 +69,28 @@
         /// Configured number of brokers that may exist at the same time.
         brokers: u32,
     },
-    /// The broker was already added.
+    /// The entry adds a broker that was already added.
     #[error("limits: broker `{0}` was already added")]
     BrokerExists(String),
-    /// The broker has not been added, or was removed.
+    /// The entry names a broker that has not been added, or that was removed.
     #[error("limits: broker `{0}` has not been added")]
     UnknownBroker(String),
-    /// A broker with reserved units cannot be removed.
+    /// The entry removes a broker for which units are reserved.
     #[error(
         "limits: broker `{broker}` cannot be removed while {units} units of `{quota}` are reserved for it"
     )]
     BrokerHoldsUnits {
         /// Name of the broker that would be removed.
         broker: String,
-        /// Name of a quota with reserved units.
+        /// Name of a quota of which units are reserved.
         quota: String,
-        /// Number of reserved units.
+        /// Number of units of the quota that are reserved for the broker.
         units: u32,
     },
-    /// The quota is not configured.
+    /// The entry names a quota that is not configured.
     #[error("limits: quota `{0}` is not configured")]
     UnknownQuota(String),
-    /// More units would be reserved than are spare.
+    /// The entry would reserve more units than are spare.
     #[error(
         "limits: {units} units of `{quota}` would be reserved beyond the floors, but only {spare} are spare"
     )]
@@ -108,7 +108,7 @@
     /// The entry releases a shrink that was already released, or that a later shrink replaced.
     #[error("limits: no release of units of broker `{broker}` is awaited at generation {generation}")]
     NotAwaited {
-        /// Name of the broker.
+        /// Name of the broker whose units would be released.
         broker: String,
         /// Ledger generation of the shrink that the entry names.
         generation: u64,
--- a/crates/dunepond-quota/src/planner.rs
+++ b/crates/dunepond-quota/src/planner.rs
@@ -89,7 +89,7 @@
     targets
 }
 
-/// Returns the entry that the leader should propose next, if any. `own` are the shared quotas according to the leader's own
+/// Returns the entry that the leader should propose next, if any. `own` holds the shared quotas according to the leader's own
 /// configuration file; `leading_seconds` is how long it has led and received reports.
 pub fn next_entry(
     ledger: &QuotaLedger,
--- a/crates/dunepond-quota/tests/ledger.rs
+++ b/crates/dunepond-quota/tests/ledger.rs
@@ -125,7 +125,7 @@
         QuotaError::LeaderOnly(broker),
     ];
     for error in all {
-        // The match does not compile while a variant is missing; a variant that is added here belongs into the list above too.
+        // The match does not compile while a variant is missing. A variant added here must be added to the list above too.
         match &error {
             QuotaError::FloorRatio(_)
             | QuotaError::BrokerCount { .. }
--- a/crates/dunepond-recovery/tests/restart.rs
+++ b/crates/dunepond-recovery/tests/restart.rs
@@ -12,7 +12,7 @@
 /// Unix time in seconds at which the broker stopped.
 const STOPPED_AT: f64 = 1_000_000.0;
 
-/// A timestamp without a known boot, so that only Unix time counts.
+/// A timestamp of an unknown boot, for which only Unix time is used.
 fn at(unix: f64) -> Timestamp {
     Timestamp { unix, ..Timestamp::default() }
 }
@@ -78,7 +78,7 @@
     }
 }
 
-/// Guards against restoring an ejection from hours ago, from which the node may long have recovered.
+/// Guards against restoring an ejection from hours ago, since the node may have recovered in the meantime.
 #[test]
 fn old_ejection_is_not_restored() {
     let restored = snapshot().restore(&at(STOPPED_AT + 3.0 * 3600.0), &query_classes(), &list(8));
@@ -149,7 +149,7 @@
     let OutstandingCharges::Known(charges) =
         outstanding_charges(&records, true, &at(STOPPED_AT + 1.0), &listed)
     else {
-        panic!()
+        panic!("the spending is unknown")
     };
     assert_eq!(charges.slow_start_sends, []);
 }
@@ -177,7 +177,7 @@
     let OutstandingCharges::Known(charges) =
         outstanding_charges(&records, true, &same_boot(STOPPED_AT + clock_step, 101.0), &list(8))
     else {
-        panic!()
+        panic!("the spending is unknown")
     };
     assert_eq!(charges.retries, [1.5, 1.1]);
     let snapshot =
--- a/crates/dunepond-shard-map/src/coverage.rs
+++ b/crates/dunepond-shard-map/src/coverage.rs
@@ -23,8 +23,9 @@
 }
 
 /// Verifies that `parts` cover the keys of `queried` exactly once and no others, all under the epoch of `map`. Queried ranges
-/// may touch or overlap; they count as one set of keys. Returns the first fault found: of the queried ranges, then of single parts in the
-/// order of `parts`, then keys that two parts cover, then missing or excess keys, each in the order of the keys.
+/// may touch or overlap; they count as one set of keys. Returns the first fault found: an empty queried range, then a fault of
+/// a single part in the order of `parts`, then keys that two parts cover, then missing or excess keys, each in the order of the
+/// keys.
 pub fn verify_coverage(
     map: &VerifiedMap,
     queried: &[KeyRange],
--- a/crates/dunepond-shard-map/src/model.rs
+++ b/crates/dunepond-shard-map/src/model.rs
@@ -21,7 +21,7 @@
 /// A shard: a range of keys with its replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
-    /// The shard's number in queries (`bucket` on the platform's doors).
+    /// The shard's number in queries; client interfaces call it `bucket`.
     pub id: u64,
     /// Keys of the segment.
     pub keys: KeyRange,
