--- a/crates/dunepond-search-api/src/error.rs
+++ b/crates/dunepond-search-api/src/error.rs
@@ -1,17 +1,17 @@
-//! Errors in the API's own form.
+//! Errors in the format that the search API defines.
 
 use std::fmt;
 
 use serde_json::{Value, json};
 
-/// Why a request is refused, or a search has no response.
+/// An error response: why a request is rejected, or why a search returns no result.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ApiError {
-    /// HTTP status.
+    /// HTTP status code of the response.
     pub status: u16,
-    /// The API's name for this kind of error.
+    /// The API's error type, such as `parsing_exception`.
     pub kind: &'static str,
-    /// What is wrong, with its place in the document.
+    /// What is wrong and, for an error in a document, the path of the offending key.
     pub reason: String,
 }
 
@@ -20,27 +20,27 @@
         Self { status, kind, reason: reason.into() }
     }
 
-    /// The document is malformed, or has an unknown key.
+    /// 400: the document is malformed or contains an unknown key.
     pub fn parsing(reason: impl Into<String>) -> Self {
         Self::new(400, "parsing_exception", reason)
     }
 
-    /// The request asks for something that is not allowed or not supported.
+    /// 400: the request contains a value or an option that is not allowed or not supported.
     pub fn argument(reason: impl Into<String>) -> Self {
         Self::new(400, "illegal_argument_exception", reason)
     }
 
-    /// The request is longer than allowed.
+    /// 413: the request is longer than allowed.
     pub fn too_large(reason: impl Into<String>) -> Self {
         Self::new(413, "content_too_long_exception", reason)
     }
 
-    /// The index is not served.
+    /// 404: no index with this name is served.
     pub fn no_index(name: &str) -> Self {
         Self::new(404, "index_not_found_exception", format!("no such index [{name}]"))
     }
 
-    /// The API has no such path.
+    /// 400: the API has no such path.
     pub fn no_handler(method: &str, path: &str) -> Self {
         Self::new(
             400,
@@ -49,24 +49,24 @@
         )
     }
 
-    /// The path has other methods; `allowed` lists them.
+    /// 405: the path doesn't support this method; `allowed` lists the methods that it supports.
     pub fn method(method: &str, path: &str, allowed: &str) -> Self {
         let reason =
             format!("Incorrect HTTP method for uri [{path}] and method [{method}], allowed: [{allowed}]");
         Self::new(405, "method_not_allowed_exception", reason)
     }
 
-    /// Rejected before it ran: it may be retried.
+    /// 429: the request was rejected before any part of it ran, so it is safe to retry.
     pub fn rejected(reason: impl Into<String>) -> Self {
         Self::new(429, "rejected_execution_exception", reason)
     }
 
-    /// Too few parts have a result; the search may be retried.
+    /// 503: too few parts returned a result; the search may be retried.
     pub fn shards_failed(reason: impl Into<String>) -> Self {
         Self::new(503, "search_phase_execution_exception", reason)
     }
 
-    /// Non-idempotent parts may have run, and a retry may run them twice.
+    /// 502: non-idempotent parts may have run, so a retry may run them twice.
     pub fn unknown_outcome() -> Self {
         Self::new(
             502,
@@ -75,7 +75,7 @@
         )
     }
 
-    /// Puts the place in the document before the reason.
+    /// Prefixes the reason with `place`, the path of a key in the document or the name of a parameter.
     pub fn at(mut self, place: &str) -> Self {
         if !place.is_empty() {
             self.reason = format!("[{place}] {}", self.reason);
@@ -83,7 +83,7 @@
         self
     }
 
-    /// The JSON that the client is sent.
+    /// The JSON body of the error response.
     pub fn body(&self) -> Value {
         let cause = json!({"type": self.kind, "reason": self.reason});
         json!({
--- a/crates/dunepond-search-api/src/hits/merger.rs
+++ b/crates/dunepond-search-api/src/hits/merger.rs
@@ -1,4 +1,4 @@
-//! Merges what parts found.
+//! Merges the results of all parts of a search.
 
 use std::cmp::Ordering;
 
@@ -7,23 +7,23 @@
 use super::{Hit, HitDocument, PartResult};
 use crate::request::SortKey;
 
-/// The first hits over all parts. It never holds more hits than the response may have.
+/// Merges part results into the first hits of the whole search. Holds at most as many hits as the response may need.
 pub struct HitMerger {
     sort: Vec<SortKey>,
     max_hits: usize,
     first_hits: Vec<MergedHit>,
-    /// Documents that match in all parts together.
+    /// Number of matching documents, summed over all parts.
     pub total: u64,
-    /// The total is not just a lower bound.
+    /// Whether `total` is exact; otherwise it is a lower bound.
     pub total_is_exact: bool,
-    /// The highest score, where scores count.
+    /// The highest score of any hit; `None` if no part returned a score.
     pub max_score: Option<f64>,
-    /// Some part stopped early, as the client allowed.
+    /// Whether some part stopped early because of `terminate_after`.
     pub terminated_early: bool,
 }
 
-/// A hit and its origin. Among equals the lower segment is first, and within a segment the earlier hit, so that
-/// the order in which parts arrive doesn't matter.
+/// A hit with its segment and its position in that segment's result. Both break ties in the sort order, so that the
+/// merged order doesn't depend on the order in which parts arrive.
 #[derive(Clone, Debug)]
 struct MergedHit {
     hit: Hit,
@@ -32,7 +32,7 @@
 }
 
 impl HitMerger {
-    /// A merger without hits. Hits are sorted by these keys, or by score where there are none.
+    /// Creates an empty merger that keeps `max_hits` hits, sorted by the keys in `sort`, or by score if there are none.
     pub fn new(sort: &[SortKey], max_hits: usize) -> Self {
         Self {
             sort: sort.to_vec(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Adds what the part of a segment found.
+    /// Adds the result of one segment's part.
     pub fn add(&mut self, segment: usize, result: PartResult) {
         self.total = self.total.saturating_add(result.total);
         self.total_is_exact &= result.total_is_exact;
@@ -58,7 +58,7 @@
     }
 
     fn add_hits(&mut self, segment: usize, hits: Vec<Hit>) {
-        // Nodes return hits in order, but this does not depend on it: each is compared with the last one held.
+        // Nodes return sorted hits, but this code doesn't rely on it: every hit is compared with the last one held.
         let is_full = self.first_hits.len() == self.max_hits;
         let last = if is_full { self.first_hits.last().cloned() } else { None };
         for (position, hit) in hits.into_iter().enumerate() {
@@ -74,12 +74,12 @@
         self.first_hits.truncate(self.max_hits);
     }
 
-    /// How many hits are held.
+    /// Number of hits that the merger holds.
     pub fn hit_count(&self) -> usize {
         self.first_hits.len()
     }
 
-    /// The first hits from a position on, in order.
+    /// Returns the merged hits in sort order as documents of `index`, without the first `from` hits.
     pub fn into_hits(mut self, index: &str, from: usize) -> Vec<HitDocument<'_>> {
         let sort = &self.sort;
         self.first_hits.sort_unstable_by(|a, b| compare_hits(sort, a, b));
@@ -88,13 +88,14 @@
     }
 }
 
+/// Orders hits by sort keys or score, then by segment, then by position in the segment's result.
 fn compare_hits(sort: &[SortKey], a: &MergedHit, b: &MergedHit) -> Ordering {
     let order =
         if sort.is_empty() { compare_scores(&a.hit, &b.hit) } else { compare_keys(sort, &a.hit, &b.hit) };
     order.then(a.segment.cmp(&b.segment)).then(a.position.cmp(&b.position))
 }
 
-/// The higher score is first; a hit without one is last.
+/// Orders hits by descending score; a hit without a score comes last.
 fn compare_scores(a: &Hit, b: &Hit) -> Ordering {
     let score = |hit: &Hit| hit.score.unwrap_or(f64::NEG_INFINITY);
     score(b).total_cmp(&score(a))
@@ -120,7 +121,7 @@
     }
 }
 
-/// Numbers, then texts, then booleans.
+/// Orders sort values: numbers before strings before booleans, and values of one type by their natural order.
 fn compare_values(a: &Value, b: &Value) -> Ordering {
     match (a, b) {
         (Value::Number(a), Value::Number(b)) => match (a.as_i64(), b.as_i64()) {
--- a/crates/dunepond-search-api/src/hits/mod.rs
+++ b/crates/dunepond-search-api/src/hits/mod.rs
@@ -1,4 +1,4 @@
-//! What parts found, and the first hits over all parts.
+//! Results of single parts, and their merging into the first hits of a search.
 
 mod merger;
 mod part_result;
@@ -11,20 +11,20 @@
 pub use merger::HitMerger;
 pub use part_result::{ExpectedResult, PartResult};
 
-/// One hit, as a node returned it.
+/// One hit of a part, as the node returned it.
 #[derive(Clone, Debug)]
 pub struct Hit {
     /// Id of the document.
     pub id: String,
-    /// How well it matches, where that counts.
+    /// Relevance score; `None` if the node returned none.
     pub score: Option<f64>,
-    /// Its values of the sort keys.
+    /// The hit's values for the sort keys, in their order.
     pub sort: Vec<Value>,
-    /// The document, which is passed on without being parsed.
+    /// The document's JSON, which is passed on unparsed; `None` if the source was filtered out.
     pub source: Option<Box<RawValue>>,
 }
 
-/// A hit as it stands in a response.
+/// A hit in the format in which the client receives it.
 #[derive(Debug, Serialize)]
 pub struct HitDocument<'a> {
     /// Name of the index.
@@ -33,13 +33,13 @@
     /// Id of the document.
     #[serde(rename = "_id")]
     pub id: String,
-    /// How well it matches, where that counts.
+    /// Relevance score; `null` in the response if there is none.
     #[serde(rename = "_score")]
     pub score: Option<f64>,
-    /// The document.
+    /// The document's JSON; left out of the response if it was filtered out.
     #[serde(rename = "_source", skip_serializing_if = "Option::is_none")]
     pub source: Option<Box<RawValue>>,
-    /// Its values of the sort keys.
+    /// The hit's values for the sort keys; left out of the response if there are none.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub sort: Vec<Value>,
 }
--- a/crates/dunepond-search-api/src/hits/part_result.rs
+++ b/crates/dunepond-search-api/src/hits/part_result.rs
@@ -1,46 +1,46 @@
-//! What one part found. A node's response is checked as a whole before anything of it counts: one that is invalid is a part
-//! that failed, not one that found less.
+//! The result of one part. A node's response is validated as a whole before it is used: an invalid response means that the
+//! part failed, not that it found fewer hits.
 
 use super::Hit;
 use super::raw::{OneHit, RawHits, RawResponse, Total};
 
-/// What one part found.
+/// The result of one part of a search.
 #[derive(Clone, Debug)]
 pub struct PartResult {
-    /// How many documents match.
+    /// Number of documents that match.
     pub total: u64,
-    /// The total is not just a lower bound.
+    /// Whether `total` is exact; otherwise it is a lower bound.
     pub total_is_exact: bool,
-    /// The highest score, where scores count.
+    /// The highest score of any matching document; `None` if the node returned none.
     pub max_score: Option<f64>,
-    /// The first hits.
+    /// The first hits in sort order, as the node returned them.
     pub hits: Vec<Hit>,
-    /// It stopped early, as the client allowed.
+    /// Whether the node stopped early because of `terminate_after`.
     pub terminated_early: bool,
 }
 
-/// What a node was asked for, which its response must fit.
+/// What the response of a node must match for the request that it was sent.
 #[derive(Clone, Copy, Debug)]
 pub struct ExpectedResult<'a> {
-    /// Name of the index.
+    /// Name of the index that was searched.
     pub index: &'a str,
-    /// Most hits that it may have.
+    /// Maximum number of hits in the response.
     pub max_hits: usize,
-    /// How many sort keys each hit has, where that is known.
+    /// Number of sort values that each hit must have; `None` skips this check.
     pub sort_keys: Option<usize>,
-    /// The response may come without a total.
+    /// Whether the response may lack a total because the client doesn't track it.
     pub total_untracked: bool,
 }
 
 impl PartResult {
-    /// Parses a node's response.
+    /// Parses and validates a node's response.
     ///
     /// # Errors
-    /// The first reason for which it cannot be used.
+    /// The first reason why the response can't be used.
     pub fn parse(bytes: &[u8], expected: &ExpectedResult) -> Result<Self, String> {
         let response = RawResponse::parse(bytes, expected.max_hits).map_err(|error| error.to_string())?;
         if response.timed_out == Some(true) {
-            // What was found by then is not all that the part has.
+            // The hits found before the timeout are incomplete.
             return Err("timed_out".to_string());
         }
         if let Some(shards) = response.shards.filter(|shards| shards.failed > 0) {
@@ -49,7 +49,7 @@
         let RawHits { total, max_score, hits } = response.hits.ok_or("hits: missing")?;
         let (total, total_is_exact) = read_total(total, expected)?;
         if total_is_exact && total < hits.len() as u64 {
-            return Err("hits.total.value: less than there are hits".to_string());
+            return Err(format!("hits.total.value: {total} is less than there are hits ({})", hits.len()));
         }
         let hits = hits.into_iter().map(|hit| check_hit(hit, expected)).collect::<Result<_, String>>()?;
         let terminated_early = response.terminated_early == Some(true);
@@ -57,7 +57,7 @@
     }
 }
 
-/// The total, and whether it is exact.
+/// Returns the total and whether it is exact; 0 as a lower bound if the total is missing and allowed to be.
 fn read_total(total: Option<Total>, expected: &ExpectedResult) -> Result<(u64, bool), String> {
     let Some(total) = total else {
         return if expected.total_untracked {
@@ -69,20 +69,21 @@
     match total.relation.as_deref() {
         None | Some("eq") => Ok((total.value, true)),
         Some("gte") => Ok((total.value, false)),
-        Some(_) => Err("hits.total.relation: neither eq nor gte".to_string()),
+        Some(_) => Err("hits.total.relation: expected eq or gte".to_string()),
     }
 }
 
+/// Validates a hit's index and its sort values.
 fn check_hit(hit: OneHit, expected: &ExpectedResult) -> Result<Hit, String> {
     let OneHit { index, id, score, sort, source } = hit;
     if index.is_some_and(|index| index != expected.index) {
-        return Err("hits.hits._index: of another index".to_string());
+        return Err(format!("hits.hits._index: of another index, expected {}", expected.index));
     }
     if let Some(keys) = expected.sort_keys.filter(|keys| *keys != sort.len()) {
-        return Err(format!("hits.hits.sort: {} keys where {keys} were asked for", sort.len()));
+        return Err(format!("hits.hits.sort: {} keys where {keys} were expected", sort.len()));
     }
     if sort.iter().any(|key| key.is_array() || key.is_object()) {
-        return Err("hits.hits.sort: a key that has no order".to_string());
+        return Err("hits.hits.sort: a sort value is a list or an object, which can't be ordered".to_string());
     }
     Ok(Hit { id, score, sort, source })
 }
--- a/crates/dunepond-search-api/src/hits/raw.rs
+++ b/crates/dunepond-search-api/src/hits/raw.rs
@@ -1,5 +1,5 @@
-//! A node's response to a search, deserialized as far as it is used. A duplicate field is an error, and so is a hit more
-//! than was asked for, before it takes memory.
+//! Deserializes the fields of a node's search response that the broker uses. Duplicate fields and more hits than requested
+//! are errors; surplus hits are detected before they are stored, so that they can't exhaust memory.
 
 use std::fmt;
 
@@ -8,6 +8,7 @@
 use serde_json::Value;
 use serde_json::value::RawValue;
 
+/// A node's search response; fields are `None` where the response lacks them.
 #[derive(Default)]
 pub(super) struct RawResponse {
     pub(super) timed_out: Option<bool>,
@@ -16,25 +17,29 @@
     pub(super) terminated_early: Option<bool>,
 }
 
-/// Errors of the deserializer, which stand in the log, have the names of this type and of the two below.
+/// The `_shards` object. Deserialization errors, which are logged, contain the names of the types `Shards`, `Total` and
+/// `OneHit`, so these names must not change.
 #[derive(Deserialize)]
 pub(super) struct Shards {
     #[serde(default)]
     pub(super) failed: u64,
 }
 
+/// The `hits` object of a response.
 pub(super) struct RawHits {
     pub(super) total: Option<Total>,
     pub(super) max_score: Option<f64>,
     pub(super) hits: Vec<OneHit>,
 }
 
+/// The `hits.total` object of a response.
 #[derive(Deserialize)]
 pub(super) struct Total {
     pub(super) value: u64,
     pub(super) relation: Option<String>,
 }
 
+/// One entry of `hits.hits` in a response.
 #[derive(Deserialize)]
 pub(super) struct OneHit {
     #[serde(rename = "_index")]
@@ -50,7 +55,7 @@
 }
 
 impl RawResponse {
-    /// Deserializes a whole response with at most so many hits.
+    /// Deserializes a whole response and fails if it has more than `max_hits` hits.
     pub(super) fn parse(bytes: &[u8], max_hits: usize) -> Result<Self, serde_json::Error> {
         let mut deserializer = serde_json::Deserializer::from_slice(bytes);
         let response = deserializer.deserialize_map(ResponseVisitor { max_hits })?;
@@ -59,11 +64,12 @@
     }
 }
 
-/// Sets a field that may be there once.
+/// Sets a field, and fails if it was set before.
 fn set_once<T, E: Error>(field: &mut Option<T>, name: &'static str, value: T) -> Result<(), E> {
     if field.replace(value).is_some() { Err(E::duplicate_field(name)) } else { Ok(()) }
 }
 
+/// Deserializes a whole search response.
 struct ResponseVisitor {
     max_hits: usize,
 }
@@ -95,7 +101,7 @@
     }
 }
 
-/// The `hits` of a response.
+/// Deserializes the `hits` object of a response.
 struct HitsVisitor {
     max_hits: usize,
 }
@@ -133,7 +139,7 @@
     }
 }
 
-/// The `hits.hits` of a response.
+/// Deserializes the list `hits.hits` of a response.
 struct HitListVisitor {
     max_hits: usize,
 }
--- a/crates/dunepond-search-api/src/json.rs
+++ b/crates/dunepond-search-api/src/json.rs
@@ -1,5 +1,5 @@
-//! A strict JSON parser: no duplicate keys, a limit of depth and of values, and nothing behind the document. Limits are
-//! checked before anything is allocated.
+//! A strict JSON parser that rejects duplicate keys, trailing data, and documents with too many values or levels of
+//! nesting. It checks these limits before it allocates a value.
 
 use std::cell::Cell;
 use std::fmt;
@@ -9,16 +9,16 @@
 
 use crate::error::ApiError;
 
-/// How large a document may be.
+/// Limits on the size of a JSON document.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JsonLimits {
-    /// Objects and lists within each other.
+    /// Maximum nesting depth of objects and lists.
     pub max_depth: usize,
-    /// Values in all; keys don't count.
+    /// Maximum number of values in the document, including objects and lists; keys don't count.
     pub max_values: usize,
 }
 
-/// Reads one value at some depth.
+/// Deserializes one value at a given nesting depth.
 #[derive(Clone, Copy)]
 struct StrictValue<'a> {
     limits: JsonLimits,
@@ -27,7 +27,7 @@
 }
 
 impl StrictValue<'_> {
-    /// Reads the values in a list or an object.
+    /// Returns the deserializer for values one level deeper, or an error at the maximum depth.
     fn nested<E: Error>(&self) -> Result<Self, E> {
         let max_depth = self.limits.max_depth;
         if self.depth >= max_depth {
@@ -36,6 +36,7 @@
         Ok(Self { depth: self.depth + 1, ..*self })
     }
 
+    /// Counts one more value and fails beyond the maximum.
     fn count_value<E: Error>(&self) -> Result<(), E> {
         let max_values = self.limits.max_values;
         let remaining = self.remaining_values.get().checked_sub(1);
@@ -108,10 +109,10 @@
     }
 }
 
-/// Parses a whole document.
+/// Parses a whole document within `limits`.
 ///
 /// # Errors
-/// The first fault, with its line and column.
+/// The first error in the document, with its line and column.
 pub fn parse(bytes: &[u8], limits: JsonLimits) -> Result<Value, ApiError> {
     let remaining_values = Cell::new(limits.max_values);
     let mut deserializer = serde_json::Deserializer::from_slice(bytes);
--- a/crates/dunepond-search-api/src/lib.rs
+++ b/crates/dunepond-search-api/src/lib.rs
@@ -1,8 +1,8 @@
-//! The OpenSearch-style query API, built from its public description, without input or output.
+//! The OpenSearch-style search API, implemented from its public description. This crate does no I/O.
 //!
-//! [`request`] parses a request and names the place of each fault; [`routing`] selects the segments of a search;
-//! [`node`] is what a node that speaks the API is sent, and what its responses mean; [`hits`] merges what nodes found;
-//! [`response`] is what the client is sent, with partial results in the API's terms.
+//! [`request`] parses requests and reports where an error is; [`routing`] selects the segments of a search; [`node`]
+//! encodes the requests to nodes that speak the API and interprets their responses; [`hits`] merges the results of parts;
+//! [`response`] builds the responses to clients and marks partial results as the API does.
 
 #![warn(missing_docs)]
 
@@ -20,5 +20,5 @@
 pub use hits::{HitMerger, PartResult};
 pub use request::{ApiRequest, RequestLimits, Search, SortKey};
 
-/// What could be parsed, or the error that the client is sent.
+/// A parsed value, or the error that is returned to the client.
 type Parsed<T> = Result<T, ApiError>;
--- a/crates/dunepond-search-api/src/node.rs
+++ b/crates/dunepond-search-api/src/node.rs
@@ -1,50 +1,50 @@
-//! What a node that speaks the API is sent for one part, and what its response means for that part.
+//! Encodes the request for one part to a node that speaks the API, and interprets the node's response.
 
 use serde_json::Value;
 
 use crate::hits::{ExpectedResult, PartResult};
 use crate::json::{self, JsonLimits};
 
-/// How much of a node's response is logged.
+/// Maximum length of the excerpt of an unexpected response that is logged, in bytes.
 const MAX_LOGGED_BYTES: usize = 120;
 const MAX_RESPONSE_DEPTH: usize = 16;
 const MAX_ERROR_VALUES: usize = 1000;
 const MAX_UPDATE_VALUES: usize = 10_000;
 
-/// What a response means. It alone decides whether a part may have run.
+/// The outcome of a part, derived from the node's response. Whether the part may have run depends on this value only.
 #[derive(Clone, Debug)]
 pub enum NodeOutcome {
-    /// What a search found.
+    /// A search succeeded and returned this result.
     Found(Box<PartResult>),
-    /// How many documents an update has changed.
+    /// An update is complete and changed this many documents.
     Updated(u64),
-    /// Rejected before it ran.
+    /// The node rejected the part before running it.
     Rejected,
-    /// It failed, for this reason, and may have run.
+    /// The part failed for this reason and may have run.
     Failed(String),
 }
 
-/// The request for one part, as far as it stands before the body.
+/// Request line and headers of the request for one part.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestHead<'a> {
-    /// The node, as the `Host` header names it.
+    /// Value of the `Host` header, which names the node.
     pub host: &'a str,
-    /// Name of the index.
+    /// Name of the index that the node searches or updates.
     pub index: &'a str,
-    /// `_search` or `_update_by_query`.
+    /// Last element of the path: `_search` or `_update_by_query`.
     pub operation: &'a str,
     /// Index of the segment.
     pub segment: usize,
-    /// The request's id, for the node's log.
+    /// Id of the request, sent as `X-Opaque-Id` so that it appears in the node's log.
     pub id: &'a str,
-    /// How long the node may take.
+    /// Time that the node may take, in milliseconds.
     pub timeout_ms: u64,
-    /// Length of the body.
+    /// Length of the body, in bytes.
     pub body_bytes: u64,
 }
 
 impl RequestHead<'_> {
-    /// The bytes that are sent. Names are plain text.
+    /// Returns the request line and headers as they are sent. Names are not percent-encoded.
     pub fn encode(&self) -> Vec<u8> {
         let Self { host, index, operation, segment, id, timeout_ms, body_bytes } = self;
         format!(
@@ -56,7 +56,7 @@
     }
 }
 
-/// What a response with this status and body means. `expected` is what a search was asked for; absent for an update.
+/// Interprets a response by its status and body. `expected` describes a valid search result; it is `None` for an update.
 pub fn read_response(status: u16, body: &[u8], expected: Option<&ExpectedResult>) -> NodeOutcome {
     match (status, expected) {
         (200, Some(expected)) => match PartResult::parse(body, expected) {
@@ -67,25 +67,26 @@
             Ok(count) => NodeOutcome::Updated(count),
             Err(why) => NodeOutcome::Failed(why),
         },
-        // Only where the node says that it did not run: any other refusal may come from behind it.
+        // Only this error type proves that the part did not run; any other rejection may come from a different server.
         (429 | 503, _) if is_rejected_execution(body) => NodeOutcome::Rejected,
         _ => NodeOutcome::Failed(format!("{status}: {}", excerpt(body))),
     }
 }
 
-/// The start of a response, for a log.
+/// Returns the escaped start of a response body for a log line.
 fn excerpt(body: &[u8]) -> String {
     let start = &body[..body.len().min(MAX_LOGGED_BYTES)];
     String::from_utf8_lossy(start).escape_debug().to_string()
 }
 
+/// Whether an error response says that the node rejected the part before running it.
 fn is_rejected_execution(body: &[u8]) -> bool {
     let limits = JsonLimits { max_depth: MAX_RESPONSE_DEPTH, max_values: MAX_ERROR_VALUES };
     let Ok(document) = json::parse(body, limits) else { return false };
     document.pointer("/error/type").and_then(Value::as_str) == Some("rejected_execution_exception")
 }
 
-/// How many documents a complete update has changed.
+/// Returns the number of documents that an update changed; fails if the update is incomplete.
 fn updated_documents(body: &[u8]) -> Result<u64, String> {
     let limits = JsonLimits { max_depth: MAX_RESPONSE_DEPTH, max_values: MAX_UPDATE_VALUES };
     let document = json::parse(body, limits).map_err(|error| error.reason)?;
--- a/crates/dunepond-search-api/src/query/fields.rs
+++ b/crates/dunepond-search-api/src/query/fields.rs
@@ -1,4 +1,4 @@
-//! Values in a query, each checked at its place.
+//! Readers of the values in a query. Each takes the path of the value in the document (`place`), which errors begin with.
 
 use serde_json::{Map, Value};
 
@@ -12,7 +12,7 @@
     ApiError::parsing(format!("unknown key [{key}], expected one of [{}]", known.join(", "))).at(place)
 }
 
-/// Refuses keys that are not known: they would be ignored otherwise.
+/// Fails on a key that is not in `known`, because ignoring it would change the meaning of the query.
 pub(super) fn reject_unknown(place: &str, map: &Map<String, Value>, known: &[&str]) -> Parsed<()> {
     match map.keys().find(|key| !known.contains(&key.as_str())) {
         Some(key) => Err(unknown_key(place, key, known)),
@@ -24,7 +24,7 @@
     value.as_object().ok_or_else(|| ApiError::parsing("expected an object").at(place))
 }
 
-/// An object's one entry, as queries and fields are written.
+/// The only entry of an object such as `{FIELD: OPTIONS}`; fails if the object has more or fewer entries.
 pub(super) fn single_entry<'v>(place: &str, value: &'v Value) -> Parsed<(&'v String, &'v Value)> {
     let map = object(place, value)?;
     match (map.len(), map.iter().next()) {
@@ -33,24 +33,24 @@
     }
 }
 
-/// A key that must be there.
+/// The value of a mandatory key.
 pub(super) fn required<'v>(place: &str, map: &'v Map<String, Value>, key: &str) -> Parsed<&'v Value> {
     map.get(key).ok_or_else(|| ApiError::parsing(format!("[{key}] is missing")).at(place))
 }
 
 pub(super) fn text(place: &str, value: &Value) -> Parsed<String> {
-    value.as_str().map(str::to_string).ok_or_else(|| ApiError::parsing("expected text").at(place))
+    value.as_str().map(str::to_string).ok_or_else(|| ApiError::parsing("expected a string").at(place))
 }
 
-/// A single value, as terms and bounds are.
+/// A value that is neither null, a list nor an object, as terms and range bounds must be.
 pub(super) fn scalar(place: &str, value: &Value) -> Parsed<Value> {
     match value {
         Value::String(_) | Value::Number(_) | Value::Bool(_) => Ok(value.clone()),
-        _ => Err(ApiError::parsing("expected a text, a number, true or false").at(place)),
+        _ => Err(ApiError::parsing("expected a string, a number, true or false").at(place)),
     }
 }
 
-/// A single value as a text; numbers and booleans as they are written.
+/// A scalar as a string; numbers and booleans are converted to their JSON text.
 pub(super) fn scalar_text(place: &str, value: &Value) -> Parsed<String> {
     match scalar(place, value)? {
         Value::String(text) => Ok(text),
@@ -59,7 +59,7 @@
 }
 
 pub(super) fn whole_number(place: &str, value: &Value) -> Parsed<u64> {
-    value.as_u64().ok_or_else(|| ApiError::parsing("expected a whole number").at(place))
+    value.as_u64().ok_or_else(|| ApiError::parsing("expected a whole number, 0 or more").at(place))
 }
 
 pub(super) fn operator(place: &str, value: &Value) -> Parsed<Operator> {
@@ -70,7 +70,7 @@
     }
 }
 
-/// A field's name, without what nodes would read as a pattern.
+/// A field's name; fails if it has characters that nodes would interpret as a pattern.
 pub(super) fn field_name(place: &str, name: &str) -> Parsed<String> {
     let is_plain = |c: char| c.is_alphanumeric() || matches!(c, '_' | '.' | '-' | '@');
     if name.is_empty() || name.len() > MAX_FIELD_NAME_BYTES || !name.chars().all(is_plain) {
--- a/crates/dunepond-search-api/src/query/mod.rs
+++ b/crates/dunepond-search-api/src/query/mod.rs
@@ -1,4 +1,4 @@
-//! The query of a search: parsed strictly, and put into the one form that nodes are sent.
+//! The query of a search: parsed strictly, and normalized to the form in which it is sent to nodes.
 
 mod fields;
 mod parser;
@@ -8,30 +8,30 @@
 
 pub use parser::QueryParser;
 
-/// What a query may cost to parse, and to run on nodes.
+/// Limits on the cost of parsing a query and of running it on nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueryLimits {
-    /// Leaves of the tree; each term of a `terms` counts.
+    /// Maximum number of leaf clauses in the query; each term of a `terms` query counts as one.
     pub max_clauses: usize,
-    /// `bool` within `bool`.
+    /// Maximum nesting depth of `bool` queries.
     pub max_bool_depth: usize,
-    /// Characters of a regular expression.
+    /// Maximum length of a regular expression, in characters.
     pub max_regexp_chars: usize,
-    /// Characters of a text to be matched.
+    /// Maximum length of the text of a query, in characters.
     pub max_text_chars: usize,
 }
 
-/// How the terms of a text are combined.
+/// How the terms of a query's text are combined.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Operator {
-    /// Any of them matches.
+    /// A document matches if it has any of the terms.
     #[default]
     Or,
-    /// All of them match.
+    /// A document matches if it has all of the terms.
     And,
 }
 
-/// A valid query. Variants and fields have the API's names, unless a comment says otherwise.
+/// A valid query. Variants and fields have the API's names unless a comment gives the API's name.
 #[allow(missing_docs, reason = "the API's documentation describes the fields")]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Query {
@@ -84,24 +84,25 @@
 /// One bound of a range.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RangeBound {
-    /// `gt`, `gte`, `lt` or `lte`.
+    /// The comparison: `gt`, `gte`, `lt` or `lte`.
     pub key: &'static str,
-    /// What values are compared with.
+    /// The bound that a document's values are compared with.
     pub value: Value,
 }
 
-/// A combination of queries.
+/// A `bool` query, which combines other queries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BoolQuery {
-    /// All of these match, and count for the score.
+    /// Queries that must all match and that contribute to the score.
     pub must: Vec<Query>,
-    /// All of these match.
+    /// Queries that must all match and that don't contribute to the score.
     pub filter: Vec<Query>,
-    /// Some of these match.
+    /// Queries of which at least `minimum_should_match` must match.
     pub should: Vec<Query>,
-    /// None of these matches.
+    /// Queries of which none may match.
     pub must_not: Vec<Query>,
-    /// How many of `should` match at least. Where the client does not say: 1 if nothing else must match, or 0.
+    /// Number of `should` queries that must match. If the client gives none, it is 1 for a query that has `should` but
+    /// neither `must` nor `filter`, and 0 otherwise.
     pub minimum_should_match: u64,
 }
 
@@ -115,7 +116,7 @@
 }
 
 impl Query {
-    /// The JSON that nodes are sent. It leaves nothing to defaults, so that equal queries are equal texts.
+    /// The query's JSON as sent to nodes. It states every default explicitly, so that equal queries have equal JSON.
     pub fn normalized(&self) -> Value {
         match self {
             Self::MatchAll => json!({"match_all": {}}),
@@ -148,7 +149,7 @@
     }
 }
 
-/// An object with one key.
+/// Creates an object with one key.
 fn object(key: &str, value: Value) -> Value {
     Value::Object(Map::from_iter([(key.to_string(), value)]))
 }
--- a/crates/dunepond-search-api/src/query/parser.rs
+++ b/crates/dunepond-search-api/src/query/parser.rs
@@ -1,4 +1,4 @@
-//! The parser of queries. It counts what a query costs while it reads it.
+//! The query parser. It enforces the limits on clauses, nesting and text length while it parses.
 
 use serde_json::{Map, Value};
 
@@ -14,13 +14,13 @@
 const BOOL_KEYS: [&str; 5] = ["must", "filter", "should", "must_not", "minimum_should_match"];
 const QUERY_STRING_KEYS: [&str; 3] = ["query", "default_field", "default_operator"];
 
-/// Parses the queries of one search.
+/// Parses the query of one search. The limit on clauses applies to all queries that one parser parses.
 pub struct QueryParser {
     pub(super) limits: QueryLimits,
     clauses: usize,
 }
 
-/// `{FIELD: TEXT}`, or `{FIELD: {KEY: TEXT, ...}}` with options.
+/// A field and the text to match, parsed from `{FIELD: TEXT}` or, with options, from `{FIELD: {KEY: TEXT, ...}}`.
 struct FieldText<'v> {
     field: String,
     text: String,
@@ -34,15 +34,15 @@
 }
 
 impl QueryParser {
-    /// A parser that has counted nothing yet.
+    /// Creates a parser whose count of clauses is 0.
     pub fn new(limits: QueryLimits) -> Self {
         Self { limits, clauses: 0 }
     }
 
-    /// Parses a query that stands at `place` of the document.
+    /// Parses the query at the path `place` of the document.
     ///
     /// # Errors
-    /// The first fault, and its place.
+    /// The first error in the query, with its path in the document.
     pub fn parse(&mut self, place: &str, value: &Value) -> Result<Query, ApiError> {
         self.parse_nested(place, value, 0)
     }
@@ -95,23 +95,24 @@
     }
 
     fn parse_match(&self, place: &str, inner: &Value) -> Parsed<Query> {
-        let found = self.field_text(place, inner, "query", &["query", "operator"])?;
-        let operator = match found.option("operator") {
-            Some(value) => operator(&format!("{place}.{}.operator", found.field), value)?,
+        let parsed = self.field_text(place, inner, "query", &["query", "operator"])?;
+        let operator = match parsed.option("operator") {
+            Some(value) => operator(&format!("{place}.{}.operator", parsed.field), value)?,
             None => Operator::default(),
         };
-        Ok(Query::Match { field: found.field, text: found.text, operator })
+        Ok(Query::Match { field: parsed.field, text: parsed.text, operator })
     }
 
     fn parse_phrase(&self, place: &str, inner: &Value) -> Parsed<Query> {
-        let found = self.field_text(place, inner, "query", &["query", "slop"])?;
-        let slop = match found.option("slop") {
-            Some(value) => whole_number(&format!("{place}.{}.slop", found.field), value)?,
+        let parsed = self.field_text(place, inner, "query", &["query", "slop"])?;
+        let slop = match parsed.option("slop") {
+            Some(value) => whole_number(&format!("{place}.{}.slop", parsed.field), value)?,
             None => 0,
         };
-        Ok(Query::Phrase { field: found.field, text: found.text, slop })
+        Ok(Query::Phrase { field: parsed.field, text: parsed.text, slop })
     }
 
+    /// Parses a field with its text, which is the value of `key` if options from `known` are given.
     fn field_text<'v>(
         &self,
         place: &str,
@@ -190,18 +191,19 @@
             };
             self.parse_list(place, value, depth + 1, list)?;
         }
-        let nothing_else_must = query.must.is_empty() && query.filter.is_empty();
-        let default_minimum = u64::from(nothing_else_must && !query.should.is_empty());
+        let only_should = query.must.is_empty() && query.filter.is_empty();
+        let default_minimum = u64::from(only_should && !query.should.is_empty());
         query.minimum_should_match = minimum.unwrap_or(default_minimum);
         if query.minimum_should_match > query.should.len() as u64 {
-            let (asked, count) = (query.minimum_should_match, query.should.len());
-            let reason = format!("asks for {asked} of {count} in [should]");
+            let (requested, count) = (query.minimum_should_match, query.should.len());
+            let reason =
+                format!("must be at most {count}, the number of queries in [should], but is {requested}");
             return Err(ApiError::argument(reason).at(&format!("{place}.minimum_should_match")));
         }
         Ok(Query::Bool(Box::new(query)))
     }
 
-    /// Parses the queries of a list; one query stands for a list of one.
+    /// Parses a list of queries; a single query is accepted in place of a list with one entry.
     fn parse_list(&mut self, place: &str, value: &Value, depth: usize, list: &mut Vec<Query>) -> Parsed<()> {
         let Some(values) = value.as_array() else {
             list.push(self.parse_nested(place, value, depth)?);
@@ -251,7 +253,7 @@
     }
     let has = |key: &str| bounds.iter().any(|bound| bound.key == key);
     if bounds.is_empty() || (has("gt") && has("gte")) || (has("lt") && has("lte")) {
-        return Err(ApiError::parsing("expected one lower bound, one upper, or both").at(place));
+        return Err(ApiError::parsing("expected one lower bound, one upper bound, or both").at(place));
     }
     bounds.sort_by_key(|bound| bound.key);
     Ok(Query::Range { field: field_name(place, field)?, bounds })
--- a/crates/dunepond-search-api/src/query/query_string.rs
+++ b/crates/dunepond-search-api/src/query/query_string.rs
@@ -1,11 +1,11 @@
-//! Query strings in their simple form: terms, phrases, AND, OR, NOT, a field and a colon. What would be a pattern, a fuzzy
-//! term or a boost is refused.
+//! Validates query strings in a reduced syntax: terms, phrases, AND, OR, NOT, parentheses and `FIELD:TERM`. Patterns, fuzzy
+//! terms, ranges and boosts are rejected.
 
 use super::QueryParser;
 use crate::Parsed;
 use crate::error::ApiError;
 
-/// What a query string has opened and not yet closed.
+/// Delimiters of a query string that are open at the current character.
 #[derive(Default)]
 struct OpenDelimiters {
     quote: bool,
@@ -14,7 +14,7 @@
 }
 
 impl OpenDelimiters {
-    /// Takes the next character.
+    /// Updates the state with the next character; fails if the character is not supported.
     fn advance(&mut self, place: &str, c: char) -> Parsed<()> {
         if std::mem::take(&mut self.escape) {
             return Ok(());
@@ -25,18 +25,20 @@
             _ if self.quote => {}
             '(' => self.parentheses += 1,
             ')' if self.parentheses == 0 => {
-                return Err(ApiError::parsing("a [)] that closes nothing").at(place));
+                return Err(ApiError::parsing("a [)] without a matching [(]").at(place));
             }
             ')' => self.parentheses -= 1,
             '*' | '?' | '~' | '^' | '/' | '[' | ']' | '{' | '}' | '<' | '>' => {
-                return Err(ApiError::argument(format!("[{c}] is not supported here")).at(place));
+                return Err(
+                    ApiError::argument(format!("[{c}] is not supported here; escape it with [\\]")).at(place)
+                );
             }
             _ => {}
         }
         Ok(())
     }
 
-    /// Fails where something is open at the end.
+    /// Fails if a delimiter is still open at the end of the query string.
     fn check_closed(&self, place: &str) -> Parsed<()> {
         let open = if self.quote {
             "a [\"]"
@@ -47,15 +49,16 @@
         } else {
             return Ok(());
         };
-        Err(ApiError::parsing(format!("{open} is left open")).at(place))
+        Err(ApiError::parsing(format!("{open} is not closed")).at(place))
     }
 }
 
 impl QueryParser {
-    /// Checks a query string that stands at `place`, and returns it with single spaces between its words.
+    /// Validates the query string at the path `place`, and returns it with single spaces between its words. Each space counts
+    /// as one more clause.
     ///
     /// # Errors
-    /// The first fault, and its place.
+    /// The first error in the query string, prefixed with `place`.
     pub fn parse_query_string(&mut self, place: &str, text: &str) -> Result<String, ApiError> {
         self.check_length(place, text, "max_text_length", self.limits.max_text_chars)?;
         let mut open = OpenDelimiters::default();
@@ -73,7 +76,7 @@
         open.check_closed(place)?;
         normalized.truncate(normalized.trim_end().len());
         if normalized.is_empty() {
-            return Err(ApiError::parsing("is empty").at(place));
+            return Err(ApiError::parsing("the query string is empty").at(place));
         }
         self.count_clauses(place, spaces)?;
         Ok(normalized)
--- a/crates/dunepond-search-api/src/request/body.rs
+++ b/crates/dunepond-search-api/src/request/body.rs
@@ -1,4 +1,4 @@
-//! The body of a search.
+//! Parses the JSON body of a search.
 
 use serde_json::{Map, Value};
 
@@ -11,7 +11,7 @@
     ["query", "from", "size", "sort", "_source", "timeout", "track_total_hits", "terminate_after"];
 
 impl RequestParser<'_> {
-    /// Applies what a body says; gives its keys.
+    /// Applies the keys of a request body to `search`, and returns these keys.
     pub(super) fn apply_body(&self, search: &mut Search, document: &Value) -> Parsed<Vec<String>> {
         let Some(map) = document.as_object() else { return Err(ApiError::parsing("expected an object")) };
         for (key, value) in map {
@@ -39,7 +39,7 @@
 }
 
 pub(super) fn text<'v>(key: &str, value: &'v Value) -> Parsed<&'v str> {
-    value.as_str().ok_or_else(|| ApiError::parsing("expected text").at(key))
+    value.as_str().ok_or_else(|| ApiError::parsing("expected a string").at(key))
 }
 
 fn track_total_hits(key: &str, value: &Value) -> Parsed<TrackTotalHits> {
@@ -50,7 +50,7 @@
     }
 }
 
-/// One value stands for a list of one.
+/// The entries of a list; any other value is treated as a list with one entry.
 fn as_list(value: &Value) -> &[Value] {
     value.as_array().map_or(std::slice::from_ref(value), Vec::as_slice)
 }
@@ -63,7 +63,7 @@
     Ok(keys)
 }
 
-/// `FIELD`, `{FIELD: ORDER}`, or `{FIELD: {"order": ORDER, "missing": PLACE}}`.
+/// Parses `FIELD`, `{FIELD: ORDER}` or `{FIELD: {"order": ORDER, "missing": POSITION}}`.
 fn sort_entry(place: &str, value: &Value) -> Parsed<SortKey> {
     if let Some(field) = value.as_str() {
         return sort_key(place, field, None);
@@ -78,7 +78,9 @@
     }
     let options = options.as_object().ok_or_else(|| ApiError::parsing("expected an order").at(&place))?;
     if let Some(key) = options.keys().find(|key| !["order", "missing"].contains(&key.as_str())) {
-        return Err(ApiError::parsing(format!("unknown key [{key}]")).at(&place));
+        return Err(
+            ApiError::parsing(format!("unknown key [{key}], expected one of [order, missing]")).at(&place)
+        );
     }
     let order = options.get("order").map(|order| order.as_str().unwrap_or_default());
     let mut key = sort_key(&place, field, order)?;
@@ -95,7 +97,7 @@
     match missing.as_str() {
         Some("_last") => Ok(false),
         Some("_first") => Ok(true),
-        _ => Err(ApiError::argument("[missing] is [_first] or [_last]").at(place)),
+        _ => Err(ApiError::argument("[missing] must be [_first] or [_last]").at(place)),
     }
 }
 
@@ -124,6 +126,7 @@
 
 fn source_fields(place: &str, value: &Value) -> Parsed<Vec<String>> {
     let names: Option<Vec<&str>> = as_list(value).iter().map(Value::as_str).collect();
-    let names = names.ok_or_else(|| ApiError::parsing("expected names of fields").at(place))?;
+    let names = names
+        .ok_or_else(|| ApiError::parsing("expected the name of a field, or a list of names").at(place))?;
     field_names(place, names.into_iter())
 }
--- a/crates/dunepond-search-api/src/request/limits.rs
+++ b/crates/dunepond-search-api/src/request/limits.rs
@@ -1,30 +1,30 @@
-//! Limits of requests.
+//! Limits on requests to the search API.
 
 use crate::json::JsonLimits;
 use crate::query::QueryLimits;
 
-/// What one request may be. Refusals name the limit.
+/// Limits on one request to the search API. The error of a request that exceeds a limit names the limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestLimits {
-    /// Bytes of one JSON document.
+    /// Maximum length of one JSON document, in bytes.
     pub max_document_bytes: usize,
-    /// Objects and lists within each other.
+    /// Maximum nesting depth of objects and lists.
     pub max_depth: usize,
-    /// Values of one document.
+    /// Maximum number of values in one JSON document.
     pub max_values: usize,
-    /// Leaves of a query; each term of a `terms` counts.
+    /// Maximum number of leaf clauses in a query; each term of a `terms` query counts as one.
     pub max_clauses: usize,
-    /// `bool` within `bool`.
+    /// Maximum nesting depth of `bool` queries.
     pub max_bool_depth: usize,
-    /// Characters of a regular expression.
+    /// Maximum length of a regular expression, in characters.
     pub max_regexp_chars: usize,
-    /// Characters of a text to be matched.
+    /// Maximum length of the text of a query, in characters.
     pub max_text_chars: usize,
-    /// Searches in one `_msearch`.
+    /// Maximum number of searches in one `_msearch`.
     pub max_searches: usize,
-    /// `from` and `size` together.
+    /// Maximum sum of `from` and `size`.
     pub max_result_window: u64,
-    /// Values of `routing`.
+    /// Maximum number of `routing` values.
     pub max_routing_values: usize,
 }
 
--- a/crates/dunepond-search-api/src/request/mod.rs
+++ b/crates/dunepond-search-api/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Requests: everything that a client says is either honoured or refused.
+//! Parses requests. A key or parameter that is not supported is an error; none is silently ignored.
 
 mod body;
 mod limits;
@@ -18,27 +18,28 @@
 pub use limits::RequestLimits;
 pub use search::{Search, SortKey, SourceFilter, TrackTotalHits};
 
-/// What a client asks for.
+/// A parsed request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApiRequest {
-    /// Name and version of the service.
+    /// Request for the name and version of the service.
     Info,
-    /// State of the nodes.
+    /// Request for the state of the nodes.
     Health,
-    /// The first hits of a search.
+    /// A search that returns its first hits.
     Search(Box<Search>),
-    /// How many hits a search has.
+    /// A search that returns only the number of its hits.
     Count(Box<Search>),
-    /// Several searches, answered in this order; an invalid one has its own error.
+    /// Several searches, answered in this order; an invalid search gets an error in place of its response.
     Multi(Vec<Result<Search, ApiError>>),
-    /// An update of all documents that a search matches.
+    /// An update of all documents that match the query of a search.
     Update(Box<Search>),
 }
 
-/// Parses a request. `indices` are the names that are served, in the order of their positions.
+/// Parses a request. `indices` are the names of the served indices; a parsed search refers to an index by its position in
+/// this list.
 ///
 /// # Errors
-/// What the client is sent: the first fault, and its place.
+/// The error response for the client, with the first error in the request and its place.
 pub fn parse(
     method: &str,
     target: &str,
@@ -80,7 +81,7 @@
     }
 }
 
-/// What all parts of a request are parsed with.
+/// Served indices and limits that all parts of a request are parsed with.
 struct RequestParser<'a> {
     indices: &'a [String],
     limits: &'a RequestLimits,
@@ -99,7 +100,7 @@
         if !body.iter().all(u8::is_ascii_whitespace) {
             body_keys = self.apply_body(&mut search, &self.document(body)?)?;
         }
-        // What is given in two places would have to be ignored in one.
+        // A value given both in the body and as a parameter would have to be ignored in one of them.
         for (key, _) in &target.params {
             let body_name = if key == "q" { "query" } else { key.as_str() };
             if body_keys.iter().any(|body_key| body_key == key || body_key == body_name) {
@@ -111,11 +112,11 @@
         Ok(search)
     }
 
-    /// The position of an index.
+    /// The position of the index with this name among the served indices.
     fn index(&self, name: &str) -> Parsed<usize> {
         if name.contains(['*', ',']) || name == "_all" {
             return Err(ApiError::argument(format!(
-                "[{name}]: one index at a time; patterns are not supported"
+                "[{name}]: expected one index at a time; patterns are not supported"
             )));
         }
         self.indices.iter().position(|index| index == name).ok_or_else(|| ApiError::no_index(name))
@@ -133,6 +134,7 @@
         QueryParser::new(self.limits.query())
     }
 
+    /// Fails if `from` and `size` together exceed the result window.
     fn check_window(&self, search: &Search) -> Parsed<()> {
         let max = self.limits.max_result_window;
         if search.from.checked_add(search.size).is_none_or(|window| window > max) {
@@ -142,6 +144,7 @@
         Ok(())
     }
 
+    /// Parses routing values that are separated by commas.
     fn routing(&self, value: &str) -> Parsed<Vec<String>> {
         let values: Vec<_> = value.split(',').map(str::to_string).collect();
         let max = self.limits.max_routing_values;
--- a/crates/dunepond-search-api/src/request/multi.rs
+++ b/crates/dunepond-search-api/src/request/multi.rs
@@ -1,4 +1,4 @@
-//! `_msearch`: several searches in one request.
+//! Parses `_msearch` requests, which contain several searches.
 
 use serde_json::{Map, Value};
 
@@ -8,26 +8,30 @@
 use crate::error::ApiError;
 
 const KNOWN_HEADER_KEYS: [&str; 4] = ["index", "routing", "allow_partial_search_results", "preference"];
-/// The whole body may be as long as this many of the longest documents, even where more searches are allowed.
+/// Maximum length of the whole body, in documents of the maximum length, even if more searches are allowed.
 const MAX_BODY_DOCUMENTS: usize = 16;
 
 impl RequestParser<'_> {
-    /// Parses pairs of lines: a header that names the index, then a search.
+    /// Parses pairs of lines, each a header that may name the index, followed by a search. A search without an index in its
+    /// header uses `default_index`.
     pub(super) fn multi_search(
         &self,
         body: &[u8],
         default_index: Option<usize>,
     ) -> Parsed<Vec<Parsed<Search>>> {
         let max_searches = self.limits.max_searches;
-        if body.len() > self.limits.max_document_bytes * max_searches.min(MAX_BODY_DOCUMENTS) {
-            return Err(ApiError::too_large("longer than all of its searches may be"));
+        let max_bytes = self.limits.max_document_bytes * max_searches.min(MAX_BODY_DOCUMENTS);
+        if body.len() > max_bytes {
+            return Err(ApiError::too_large(format!(
+                "longer than the [{max_bytes}] bytes that an msearch may have"
+            )));
         }
         let Some(lines) = body.strip_suffix(b"\n") else {
             return Err(ApiError::argument("The msearch request must be terminated by a newline [\\n]"));
         };
         let lines: Vec<&[u8]> = lines.split(|byte| *byte == b'\n').collect();
         if lines.len() % 2 == 1 {
-            return Err(ApiError::argument("a head without its search at the end"));
+            return Err(ApiError::argument("the last header line is not followed by its search"));
         }
         if lines.len() / 2 > max_searches {
             return Err(ApiError::argument(format!("more than max_searches [{max_searches}]")));
@@ -41,7 +45,7 @@
             Some(name) => Some(self.index(name)?),
             None => default_index,
         };
-        let index = index.ok_or_else(|| ApiError::argument("no [index] in the head or the path"))?;
+        let index = index.ok_or_else(|| ApiError::argument("no [index] in the header line or the path"))?;
         let mut search = Search::match_all(index);
         self.apply_body(&mut search, &self.document(body)?)?;
         if let Some(routing) = optional_text(&header, "routing")? {
@@ -56,7 +60,7 @@
         Ok(search)
     }
 
-    /// The header's keys; a blank line stands for an empty header.
+    /// Parses a header line; a blank line is an empty header.
     fn header(&self, line: &[u8]) -> Parsed<Map<String, Value>> {
         let is_blank = line.iter().all(u8::is_ascii_whitespace);
         let header = if is_blank { Value::Object(Map::new()) } else { self.document(line)? };
--- a/crates/dunepond-search-api/src/request/params.rs
+++ b/crates/dunepond-search-api/src/request/params.rs
@@ -1,4 +1,4 @@
-//! The parameters of a search.
+//! Parses the URL parameters of a search.
 
 use super::values::{boolean, field_names, seconds, sort_key, unless_zero, whole_number};
 use super::{RequestParser, Search, SortKey, SourceFilter, TrackTotalHits};
@@ -38,7 +38,7 @@
         match key {
             "q" => search.query = self.query_param(target, value)?,
             "df" | "default_operator" if target.param("q").is_none() => {
-                return Err(ApiError::argument("means nothing without [q]").at(key));
+                return Err(ApiError::argument("has no effect without [q]").at(key));
             }
             "from" => search.from = whole_number(key, value)?,
             "size" => search.size = whole_number(key, value)?,
@@ -68,7 +68,7 @@
         Ok(())
     }
 
-    /// The query of `q`, with what `df` and `default_operator` say of it.
+    /// The query of parameter `q`, with its default field (`df`) and its default operator (`default_operator`).
     fn query_param(&self, target: &RequestTarget, value: &str) -> Parsed<Query> {
         let field = target.param("df").map(str::to_string);
         let operator = match target.param("default_operator").map(str::to_ascii_lowercase).as_deref() {
@@ -81,7 +81,7 @@
     }
 }
 
-/// The fields of a filter: included and excluded ones.
+/// The included and the excluded fields of a source filter.
 fn source_fields(source: &SourceFilter) -> (Vec<String>, Vec<String>) {
     match source {
         SourceFilter::Fields { includes, excludes } => (includes.clone(), excludes.clone()),
@@ -100,7 +100,7 @@
     }
 }
 
-/// `FIELD` or `FIELD:ORDER`, with commas between them.
+/// Parses sort keys separated by commas, each `FIELD` or `FIELD:ORDER`.
 fn sort_param(value: &str) -> Parsed<Vec<SortKey>> {
     let mut keys = Vec::new();
     for key in value.split(',') {
--- a/crates/dunepond-search-api/src/request/search.rs
+++ b/crates/dunepond-search-api/src/request/search.rs
@@ -1,4 +1,4 @@
-//! A search, and the one form in which nodes are sent it.
+//! A parsed search, and the request body in which it is sent to nodes.
 
 use serde_json::{Map, Value, json};
 
@@ -10,37 +10,37 @@
 /// One key of a sort order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SortKey {
-    /// A field, `_score` or `_doc`.
+    /// Name of a field, or `_score` or `_doc`.
     pub field: String,
-    /// The largest value comes first.
+    /// Whether the largest value comes first.
     pub descending: bool,
-    /// Hits without a value come first.
+    /// Whether hits without a value come first.
     pub missing_first: bool,
 }
 
-/// How far totals are counted.
+/// How far the total number of hits is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrackTotalHits {
-    /// Not at all.
+    /// The total is not counted.
     No,
-    /// However many there are.
+    /// The exact total is counted.
     Exactly,
-    /// A larger total is given as this lower bound.
+    /// The total is counted up to this number; a larger total is returned as this number with the relation `gte`.
     UpTo(u64),
 }
 
 /// Which part of each hit's document is returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceFilter {
-    /// All of it.
+    /// The whole document is returned.
     All,
-    /// Nothing.
+    /// Nothing of the document is returned.
     None,
-    /// Some fields.
+    /// Some fields of the document are returned.
     Fields {
-        /// Names of the fields that are returned; all where there are none.
+        /// Names of the fields that are returned; an empty list means all fields.
         includes: Vec<String>,
-        /// Names of the fields that are not.
+        /// Names of the fields that are left out.
         excludes: Vec<String>,
     },
 }
@@ -48,32 +48,32 @@
 /// A search, a count or an update of one index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Search {
-    /// Position of the index among those that are served.
+    /// Position of the index in the list of served indices.
     pub index: usize,
-    /// What hits match.
+    /// The query that hits must match.
     pub query: Query,
-    /// How many of the first hits are left out.
+    /// Number of hits to skip, counted from the first.
     pub from: u64,
-    /// How many hits are returned.
+    /// Maximum number of hits to return.
     pub size: u64,
-    /// The order of hits; by score where there are no keys.
+    /// Keys by which hits are sorted; an empty list sorts them by score.
     pub sort: Vec<SortKey>,
     /// Which part of each document is returned.
     pub source: SourceFilter,
-    /// How long the client says that it will wait.
+    /// Time that the client is willing to wait, in seconds; `None` if the client gives none.
     pub timeout_seconds: Option<f64>,
-    /// How far totals are counted.
+    /// How far the total number of hits is counted.
     pub track_total_hits: TrackTotalHits,
-    /// Hits of one part after which it may stop.
+    /// Number of hits after which each part may stop; `None` for no limit.
     pub terminate_after: Option<u64>,
-    /// The client accepts a response from some of the parts.
+    /// Whether the client accepts a response that lacks the results of some parts.
     pub allow_partial_results: bool,
-    /// Values that select segments; all segments are searched where there are none.
+    /// Routing values, which select segments; an empty list selects all segments.
     pub routing: Vec<String>,
 }
 
 impl Search {
-    /// A search of an index that says nothing more.
+    /// Creates a search for all documents of an index, with the API's defaults.
     pub(super) fn match_all(index: usize) -> Self {
         Self {
             index,
@@ -90,12 +90,12 @@
         }
     }
 
-    /// How many hits each part has to return: any of them may be among the first of all.
+    /// Number of hits that each part must return, `from + size`, because each of them may be among the first hits overall.
     pub fn result_window(&self) -> usize {
         (self.from + self.size) as usize
     }
 
-    /// The JSON that nodes are sent: equal searches are equal texts, however the client has written them.
+    /// The JSON body of the request to a node. Equal searches have equal bodies, however the client wrote them.
     pub fn node_request_body(&self) -> String {
         let mut body = json!({"query": self.query.normalized(), "from": 0, "size": self.result_window()});
         if !self.sort.is_empty() {
--- a/crates/dunepond-search-api/src/request/values.rs
+++ b/crates/dunepond-search-api/src/request/values.rs
@@ -1,26 +1,27 @@
-//! Values that parameters and bodies have in common.
+//! Parsers of values in URL parameters and request bodies. Each takes the name of the parameter or the path in the body
+//! (`place`), which errors begin with.
 
 use crate::Parsed;
 use crate::error::ApiError;
 use crate::request::SortKey;
 
-/// A whole number, as a parameter.
+/// Parses the value of a parameter as a whole number.
 pub(super) fn whole_number(place: &str, text: &str) -> Parsed<u64> {
     let is_plain = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     let number = if is_plain { text.parse().ok() } else { None };
-    number.ok_or_else(|| ApiError::argument("not a whole number").at(place))
+    number.ok_or_else(|| ApiError::argument("expected a whole number, 0 or more").at(place))
 }
 
-/// A boolean, as a parameter; a parameter without a value is true.
+/// Parses the value of a parameter as a boolean; a parameter without a value is true.
 pub(super) fn boolean(place: &str, text: &str) -> Parsed<bool> {
     match text {
         "true" | "" => Ok(true),
         "false" => Ok(false),
-        _ => Err(ApiError::argument("neither [true] nor [false]").at(place)),
+        _ => Err(ApiError::argument("expected [true] or [false]").at(place)),
     }
 }
 
-/// A duration with its unit, in seconds.
+/// Parses a duration such as `500ms`, and returns it in seconds.
 pub(super) fn seconds(place: &str, text: &str) -> Parsed<f64> {
     let digits = text.len() - text.trim_start_matches(|c: char| c.is_ascii_digit()).len();
     let (number, unit) = text.split_at(digits);
@@ -36,12 +37,12 @@
     }
 }
 
-/// 0 stands for no limit.
+/// Returns `None`, meaning no limit, for 0.
 pub(super) fn unless_zero(number: u64) -> Option<u64> {
     if number > 0 { Some(number) } else { None }
 }
 
-/// Names of fields, without what nodes would read as a pattern.
+/// Copies names of fields; fails if one has characters that nodes would interpret as a pattern.
 pub(super) fn field_names<'t>(place: &str, names: impl Iterator<Item = &'t str>) -> Parsed<Vec<String>> {
     names.map(|name| field_name(place, name)).collect()
 }
@@ -55,7 +56,7 @@
     }
 }
 
-/// A key of a sort order; `order` is absent where the client gives none.
+/// Creates a sort key. Without an `order`, `_score` is descending and any other field is ascending.
 pub(super) fn sort_key(place: &str, field: &str, order: Option<&str>) -> Parsed<SortKey> {
     let field = field_name(place, field)?;
     let descending = match order {
--- a/crates/dunepond-search-api/src/response.rs
+++ b/crates/dunepond-search-api/src/response.rs
@@ -1,4 +1,4 @@
-//! What clients are sent. A partial response never looks like a complete one.
+//! Builds responses to clients. A partial response is always marked as partial.
 
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -7,27 +7,27 @@
 use crate::hits::{HitDocument, HitMerger};
 use crate::request::{Search, TrackTotalHits};
 
-/// The body of a response, one JSON object. Documents stand in it as nodes returned them.
+/// The body of a response: a JSON object. It contains documents unchanged, as nodes returned them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResponseBody(String);
 
 impl ResponseBody {
     fn serialize(value: &impl Serialize) -> Self {
-        // Plain types, and texts that were read as JSON, can always be written.
+        // Can't fail: the values are plain types and JSON text that was parsed before.
         Self(serde_json::to_string(value).unwrap_or_default())
     }
 
-    /// The JSON text.
+    /// Borrows the JSON text of the body.
     pub fn text(&self) -> &str {
         &self.0
     }
 
-    /// The JSON text.
+    /// Returns the JSON text of the body.
     pub fn into_text(self) -> String {
         self.0
     }
 
-    /// With its status, as it stands in the response to an `_msearch`.
+    /// The JSON text with the HTTP status added as a field, as an `_msearch` response contains it.
     fn with_status(&self, status: u16) -> String {
         let open = self.0.strip_suffix('}').unwrap_or(&self.0);
         format!("{open},\"status\":{status}}}")
@@ -52,31 +52,32 @@
     hits: Vec<HitDocument<'a>>,
 }
 
-/// What became of a search's parts.
+/// Outcomes of the parts of a search.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PartOutcomes {
-    /// How many there are.
+    /// Number of parts.
     pub total: usize,
-    /// Parts with a result.
+    /// Number of parts that returned a result.
     pub successful: usize,
-    /// Parts left out by the prefilter.
+    /// Number of parts that the prefilter skipped.
     pub skipped: usize,
-    /// All other parts.
+    /// Parts that are neither successful nor skipped.
     pub missing: Vec<MissingPart>,
-    /// The response does not wait for all parts, as the query class allows.
+    /// Whether the response was sent before all parts had finished, as the query class allows.
     pub timed_out: bool,
 }
 
-/// A part without a result.
+/// A part that returned no result.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MissingPart {
-    /// Its segment.
+    /// The segment that the part searches.
     pub segment: usize,
-    /// Why it has none.
+    /// Why the part has no result.
     pub reason: String,
 }
 
 impl PartOutcomes {
+    /// The `_shards` object of a response.
     fn shards(&self, index: &str) -> Value {
         let failures = self.missing.iter().map(|part| {
             let reason = json!({"type": "unavailable_shards_exception", "reason": part.reason});
@@ -84,7 +85,7 @@
         });
         let mut shards = json!({
             "total": self.total,
-            // In the API a skipped part counts as successful too.
+            // The API counts skipped parts as successful too.
             "successful": self.successful + self.skipped,
             "skipped": self.skipped,
             "failed": self.missing.len(),
@@ -100,22 +101,22 @@
     }
 }
 
-/// Fails where some part has no result.
+/// Fails if a part that was not skipped has no result.
 fn require_complete(parts: &PartOutcomes) -> Result<(), ApiError> {
     if parts.is_complete() {
         return Ok(());
     }
     let missing = parts.total - parts.successful - parts.skipped;
     Err(ApiError::shards_failed(format!(
-        "{missing} of {} shards are not in, and [allow_partial_search_results] is false",
+        "{missing} of {} shards have no result, and [allow_partial_search_results] is false",
         parts.total
     )))
 }
 
-/// The response to a search.
+/// Builds the response to a search.
 ///
 /// # Errors
-/// Some part has no result, and the client does not accept a partial response.
+/// Fails if a part has no result and the client does not accept partial results.
 pub fn search_response(
     took_ms: u64,
     index: &str,
@@ -139,9 +140,9 @@
     }))
 }
 
-/// The total, as far as the client asked for it.
+/// The `hits.total` object, counted as far as the client requested; `None` if the client doesn't track it.
 fn total_hits(search: &Search, parts: &PartOutcomes, merger: &HitMerger) -> Option<Value> {
-    // A part without a result may have more: the total is a lower bound then, whatever the others said of theirs.
+    // A part without a result may have more hits, which makes the total a lower bound even if all other totals are exact.
     let is_exact = merger.total_is_exact && parts.is_complete() && !merger.terminated_early;
     match search.track_total_hits {
         TrackTotalHits::No => None,
@@ -150,10 +151,10 @@
     }
 }
 
-/// The response to a count.
+/// Builds the response to a count.
 ///
 /// # Errors
-/// Some part has no result, or none that is exact: a lower number would look like the right one.
+/// Fails if a part has no result or no exact total, because the client could not tell a lower bound from an exact count.
 pub fn count_response(
     index: &str,
     parts: &PartOutcomes,
@@ -161,12 +162,12 @@
 ) -> Result<ResponseBody, ApiError> {
     require_complete(parts)?;
     if !merger.total_is_exact {
-        return Err(ApiError::shards_failed("a node gave a bound in place of a count"));
+        return Err(ApiError::shards_failed("a node returned a lower bound instead of an exact count"));
     }
     Ok(ResponseBody::serialize(&json!({"count": merger.total, "_shards": parts.shards(index)})))
 }
 
-/// The response to an update whose parts have all run once.
+/// Builds the response to an update of which every part has run exactly once.
 pub fn update_response(took_ms: u64, total: u64) -> ResponseBody {
     ResponseBody::serialize(&json!({
         "took": took_ms,
@@ -178,16 +179,16 @@
     }))
 }
 
-/// The response to an `_msearch`: one for each of its searches in their order, each with its own status.
+/// Builds the response to an `_msearch`: the responses to its searches in their order, each with its own status.
 pub fn multi_search_response(took_ms: u64, outcomes: &[Result<ResponseBody, ApiError>]) -> String {
-    let each = outcomes.iter().map(|outcome| match outcome {
+    let responses = outcomes.iter().map(|outcome| match outcome {
         Ok(body) => body.with_status(200),
         Err(error) => error.body().to_string(),
     });
-    format!("{{\"took\":{took_ms},\"responses\":[{}]}}", each.collect::<Vec<_>>().join(","))
+    format!("{{\"took\":{took_ms},\"responses\":[{}]}}", responses.collect::<Vec<_>>().join(","))
 }
 
-/// Name and version, as far as tools need them to connect.
+/// Builds the response with name and version; it has the fields that client tools need to connect.
 pub fn info_response(name: &str, version: &str) -> Value {
     json!({
         "name": name,
@@ -198,7 +199,7 @@
     })
 }
 
-/// The state of the nodes: green with all in service, yellow with some, red with none.
+/// Builds the response with the state of the nodes: green if all are in service, yellow if some are, red if none is.
 pub fn health_response(nodes: usize, in_service: usize, segments: usize) -> Value {
     let status = match in_service {
         0 => "red",
--- a/crates/dunepond-search-api/src/routing.rs
+++ b/crates/dunepond-search-api/src/routing.rs
@@ -1,6 +1,6 @@
-//! Selects the segments of a search: all of them, or those that its routing values hash to, as the API documents it.
+//! Selects the segments of a search: all of them, or those that its routing values hash to by the API's documented hash.
 
-/// MurmurHash3 of 32 bits with seed 0.
+/// The 32-bit variant of MurmurHash3 with seed 0.
 fn murmur3(bytes: &[u8]) -> u32 {
     const C1: u32 = 0xcc9e_2d51;
     const C2: u32 = 0x1b87_3593;
@@ -21,18 +21,19 @@
     hash ^ hash >> 16
 }
 
-/// The hash of a routing value: over its UTF-16 units in little-endian order.
+/// Hashes a routing value, encoded as UTF-16 in little-endian order.
 pub fn routing_hash(routing: &str) -> i32 {
     let bytes: Vec<u8> = routing.encode_utf16().flat_map(u16::to_le_bytes).collect();
     murmur3(&bytes) as i32
 }
 
-/// The segment that a routing value selects.
+/// Returns the index of the segment that a routing value selects.
 pub fn segment_of(routing: &str, segment_count: usize) -> usize {
     i64::from(routing_hash(routing)).rem_euclid(segment_count.max(1) as i64) as usize
 }
 
-/// The segments of a search in ascending order: those that routing values select, or all where there are none.
+/// Returns the indices of the segments of a search in ascending order: those that its routing values select, or all
+/// segments if there are no routing values.
 pub fn segments_of(routing: &[String], segment_count: usize) -> Vec<usize> {
     if routing.is_empty() {
         return (0..segment_count).collect();
--- a/crates/dunepond-search-api/src/routing/tests/mod.rs
+++ b/crates/dunepond-search-api/src/routing/tests/mod.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Values that the API's public tests give for its hash.
+/// The expected values come from the API's public tests.
 #[rstest]
 #[case("hell", 0x5a0c_b7c3)]
 #[case("hello", 0xd7c3_1989)]
@@ -11,12 +11,12 @@
 #[case("hello wor", 0xe774_4d61)]
 #[case("The quick brown fox jumps over the lazy dog", 0xe07d_b09c)]
 #[case("The quick brown fox jumps over the lazy cog", 0x4e63_d2ad)]
-fn hash_matches_api(#[case] routing: &str, #[case] expected: u32) {
+fn routing_hash_matches_api(#[case] routing: &str, #[case] expected: u32) {
     assert_eq!(routing_hash(routing) as u32, expected);
 }
 
 #[test]
-fn segments_of_any_hash() {
+fn routing_values_select_segments_in_range() {
     assert!(routing_hash("hello") < 0);
     assert!((0..1000).all(|i| segment_of(&format!("r{i}"), 7) < 7));
     assert_eq!(segments_of(&[], 3), [0, 1, 2]);
--- a/crates/dunepond-search-api/src/target.rs
+++ b/crates/dunepond-search-api/src/target.rs
@@ -1,27 +1,29 @@
-//! The path and parameters of a request, strictly percent-decoded.
+//! Parses the path and the parameters of a request, with strict percent-decoding.
 
 use crate::error::ApiError;
 
-/// The target of a request line.
+/// The parsed target of a request line.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestTarget {
-    /// The segments of the path, decoded.
+    /// The decoded elements of the path; empty elements are dropped.
     pub path: Vec<String>,
-    /// Names and values, decoded; no name is there twice.
+    /// Decoded names and values of the parameters, in their order; names are unique.
     pub params: Vec<(String, String)>,
 }
 
-/// How spaces may be written.
+/// How spaces may be encoded in a target.
 #[derive(Clone, Copy, PartialEq)]
 enum Spaces {
-    /// As `%20` only.
+    /// A space is encoded as `%20` only.
     Encoded,
-    /// As `+` too.
+    /// A space is encoded as `%20` or `+`.
     Plus,
 }
 
+/// Percent-decodes text; fails if the result is not UTF-8 or has control characters.
 fn decode(text: &str, spaces: Spaces) -> Result<String, ApiError> {
-    let invalid = || ApiError::argument("the target is not percent-encoded text");
+    let invalid =
+        || ApiError::argument("the target is not percent-encoded text, or contains a control character");
     let mut bytes = text.bytes();
     let mut decoded = Vec::with_capacity(text.len());
     while let Some(byte) = bytes.next() {
@@ -36,7 +38,7 @@
         }
     }
     let text = String::from_utf8(decoded).map_err(|_| invalid())?;
-    // A control character would reach a line of the log or a frame.
+    // A control character could otherwise corrupt a log line or a frame.
     if text.chars().any(char::is_control) { Err(invalid()) } else { Ok(text) }
 }
 
@@ -46,10 +48,10 @@
 }
 
 impl RequestTarget {
-    /// Parses a target.
+    /// Parses the target of a request line.
     ///
     /// # Errors
-    /// Text that is not percent-encoded, control characters, and parameters that are given twice.
+    /// Fails on invalid percent-encoding, control characters, and duplicate parameters.
     pub fn parse(target: &str) -> Result<Self, ApiError> {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let names = path.split('/').filter(|name| !name.is_empty());
@@ -66,15 +68,15 @@
         Ok(Self { path, params })
     }
 
-    /// The value of a parameter.
+    /// The value of the parameter with this name; `None` if it is absent.
     pub fn param(&self, key: &str) -> Option<&str> {
         self.params.iter().find(|(name, _)| name == key).map(|(_, value)| value.as_str())
     }
 
-    /// Refuses parameters that are not known: they would be ignored otherwise.
+    /// Rejects parameters that are not in `known` instead of ignoring them.
     ///
     /// # Errors
-    /// The first unknown parameter.
+    /// Names the first unknown parameter.
     pub fn reject_unknown(&self, known: &[&str]) -> Result<(), ApiError> {
         match self.params.iter().find(|(key, _)| !known.contains(&key.as_str())) {
             Some((key, _)) => {
