--- a/crates/dunepond-config/src/deployment.rs
+++ b/crates/dunepond-config/src/deployment.rs
@@ -1,15 +1,16 @@
-//! What the settings state for the router.
+//! Reads the router's deployment from the settings.
 
 use dunepond_routing::{Deployment, Idempotency, QueryClass, RetryBudget, SlowStart};
 use serde_json::Value;
 
 use crate::{ConfigError, Fields};
 
-/// The poll deadline of an endpoint list that is polled, where the settings state none.
+/// Default poll deadline of a polled endpoint list, in milliseconds.
 const DEFAULT_LIST_POLL_DEADLINE_MS: f64 = 10_000.0;
+/// Lower bound of the poll deadline, in milliseconds; a smaller value in the settings is raised to it.
 const MIN_LIST_POLL_DEADLINE_MS: f64 = 100.0;
 
-/// Reads the router's part of the settings.
+/// Reads the deployment that the router works with. `seed` is the seed of its random numbers.
 ///
 /// # Errors
 /// The first field that is missing, of the wrong type or out of range.
@@ -45,7 +46,7 @@
     })
 }
 
-/// Lists of the settings that have one entry for each query class.
+/// Settings that are lists with one entry for each query class.
 struct ClassLists {
     complete_at: Vec<f64>,
     minimum_share: Vec<f64>,
@@ -74,7 +75,9 @@
     index: usize,
 ) -> Result<QueryClass, ConfigError> {
     let entry = |list: &[f64], path: &str| {
-        list.get(index).copied().ok_or_else(|| settings.error(path, "shorter than services"))
+        list.get(index)
+            .copied()
+            .ok_or_else(|| settings.error(path, "has fewer entries than services; add one for each service"))
     };
     Ok(QueryClass {
         latency_objective: service.seconds("aimMs")?,
@@ -93,11 +96,11 @@
         "pure" => Ok(Idempotency::Idempotent),
         "token" => Ok(Idempotency::Keyed { window_seconds: service.seconds("repeatWindowMs")? }),
         "side_effect" => Ok(Idempotency::NonIdempotent),
-        _ => Err(service.error("semantics", "unknown word")),
+        _ => Err(service.error("semantics", "expected pure, token or side_effect")),
     }
 }
 
-/// Queries a second, by tenant.
+/// Reads each tenant's quota, in queries per second.
 fn quotas(settings: &Fields) -> Result<Vec<f64>, ConfigError> {
     let name = format!("{}.projects", settings.name());
     let mut quotas = Vec::new();
@@ -107,7 +110,7 @@
     Ok(quotas)
 }
 
-/// Retries are not budgeted where no ratio is stated.
+/// Reads the retry budget; `None`, meaning no limit on retries, if the settings give no ratio.
 fn retry_budget(settings: &Fields) -> Result<Option<RetryBudget>, ConfigError> {
     let Some(ratio) = settings.optional("rules.repeatRatio", "a number", Value::as_f64)? else {
         return Ok(None);
@@ -119,7 +122,7 @@
     }))
 }
 
-/// 0 where clients are not told when to retry.
+/// Reads the longest Retry-After that clients are told, in seconds; 0 if they are told none.
 fn max_retry_after_seconds(settings: &Fields) -> Result<f64, ConfigError> {
     if settings.flag("ceilings.retryAfter")? {
         Ok(settings.number_or("ceilings.maxRetryAfterMs", 0.0)? / 1000.0)
@@ -134,12 +137,12 @@
     })
 }
 
-/// Set only where the endpoint list is polled.
+/// Reads the poll deadline of the endpoint list, in seconds; `None` if the list is not polled.
 fn list_poll_deadline_seconds(settings: &Fields) -> Result<Option<f64>, ConfigError> {
     match settings.optional_text("discovery")? {
         Some("on_request") => {
-            let stated = settings.number_or("rules.mustAskInMs", DEFAULT_LIST_POLL_DEADLINE_MS)?;
-            Ok(Some(stated.max(MIN_LIST_POLL_DEADLINE_MS) / 1e3))
+            let milliseconds = settings.number_or("rules.mustAskInMs", DEFAULT_LIST_POLL_DEADLINE_MS)?;
+            Ok(Some(milliseconds.max(MIN_LIST_POLL_DEADLINE_MS) / 1e3))
         }
         _ => Ok(None),
     }
--- a/crates/dunepond-config/src/error.rs
+++ b/crates/dunepond-config/src/error.rs
@@ -1,8 +1,9 @@
-//! The error of everything that is read at startup.
+//! The error type for everything that is read at startup.
 
 use std::fmt;
 
-/// Why a configuration, or something it names, cannot be used: one line that begins with the key or the source.
+/// Why a configuration, or a file or address that it names, can't be used. The text is one line that begins with the key
+/// or with the source.
 #[derive(Debug, PartialEq)]
 pub struct ConfigError(pub String);
 
--- a/crates/dunepond-config/src/host_settings.rs
+++ b/crates/dunepond-config/src/host_settings.rs
@@ -1,35 +1,35 @@
-//! What the settings state for a host on sockets, beside what the router uses.
+//! Reads the settings that the host of the router needs: names and limits of connections.
 
 use serde_json::Value;
 
 use crate::{ConfigError, Fields};
 
-/// Names by the index that the router uses, and limits of connections.
+/// Names of query classes, tenants and zones by the router's index, and limits on queries and connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostSettings {
-    /// Names of the query classes.
+    /// Names of the query classes, in the order of the router's indices.
     pub query_classes: Vec<String>,
-    /// Names of the tenants.
+    /// Names of the tenants, in the order of the router's indices.
     pub tenants: Vec<String>,
-    /// Names of the zones.
+    /// Names of the zones, in the order of the router's indices.
     pub zones: Vec<String>,
-    /// How many segments the data have.
+    /// Number of segments that the data are divided into.
     pub segment_count: usize,
-    /// Queries and parts in flight, together; absent where there is no limit.
+    /// Maximum number of queries and parts in flight, counted together; `None` for no limit.
     pub max_in_flight: Option<usize>,
-    /// Parts that one call to a node may carry.
+    /// Maximum number of parts in one call to a node.
     pub max_parts_per_call: usize,
-    /// Parts that may be in flight on one connection to a node.
+    /// Maximum number of parts in flight on one connection to a node.
     pub max_parts_per_connection: usize,
-    /// Seconds after which a peer closes an idle connection.
+    /// Time after which a peer closes an idle connection, in seconds.
     pub idle_timeout_seconds: f64,
-    /// Seconds that a connection attempt to a node may take.
+    /// Maximum duration of a connection attempt to a node, in seconds.
     pub connect_timeout_seconds: f64,
-    /// Seconds: the longest timeout of any query class.
+    /// Longest timeout of any query class, in seconds.
     pub longest_query_seconds: f64,
 }
 
-/// Reads the host's part of the settings.
+/// Reads the names and limits that the host of the router needs from the settings.
 ///
 /// # Errors
 /// The first field that is missing, of the wrong type or out of range.
@@ -39,7 +39,7 @@
     Ok(HostSettings {
         query_classes: names(settings, "services")?,
         tenants: names(settings, "projects")?,
-        zones: texts(zones).ok_or_else(|| settings.error("zones", "not a list of texts"))?,
+        zones: texts(zones).ok_or_else(|| settings.error("zones", "not a list of strings"))?,
         segment_count: settings.positive_count("familyInfo.slabs")?,
         max_in_flight: max_in_flight(settings)?,
         max_parts_per_call: settings.count_or("familyInfo.partsACall", 1)?.max(1) as usize,
@@ -50,7 +50,7 @@
     })
 }
 
-/// The `name` of each object of a list.
+/// Reads the `name` of each object in a list.
 fn names(settings: &Fields, path: &str) -> Result<Vec<String>, ConfigError> {
     let list_name = format!("{}.{path}", settings.name());
     let mut names = Vec::new();
@@ -60,16 +60,18 @@
     Ok(names)
 }
 
+/// Returns the strings of a list; `None` if an entry is not a string.
 fn texts(list: &[Value]) -> Option<Vec<String>> {
     list.iter().map(|entry| entry.as_str().map(str::to_string)).collect()
 }
 
-/// 0 stands for no limit.
+/// Reads the limit on queries and parts in flight; 0 means no limit.
 fn max_in_flight(settings: &Fields) -> Result<Option<usize>, ConfigError> {
-    let stated = settings.optional("ceilings.mostHeld", "a whole number", Value::as_u64)?;
-    Ok(stated.filter(|max| *max > 0).map(|max| max as usize))
+    let max_in_flight = settings.optional("ceilings.mostHeld", "a whole number", Value::as_u64)?;
+    Ok(max_in_flight.filter(|max| *max > 0).map(|max| max as usize))
 }
 
+/// Returns the longest timeout of any query class, in seconds.
 fn longest_query_seconds(settings: &Fields, services: &[Value]) -> Result<f64, ConfigError> {
     let list_name = format!("{}.services", settings.name());
     let mut longest: f64 = 0.0;
--- a/crates/dunepond-config/src/lib.rs
+++ b/crates/dunepond-config/src/lib.rs
@@ -1,8 +1,8 @@
 //! Reads and checks the configuration that the programs start with.
 //!
 //! [`deployment`] and [`host_settings`] read the deployment's settings (JSON, see [`Fields`]), [`operator`] reads the
-//! operator's file (KDL), and [`migrate`] rewrites settings of an earlier shape. Keys keep their names in the files; they
-//! are mapped here, and only here, to the terms of the code. Every error names the key, or the place, at fault.
+//! operator's file (KDL), and [`migrate`] converts a configuration of the earlier format. Keys in the files keep their names
+//! for compatibility; only this crate maps them to the terms of the code. Every error names the offending key or its place.
 //!
 //! Durations are seconds and sizes are bytes, unless a name says otherwise.
 
--- a/crates/dunepond-config/src/migrate/known_keys.rs
+++ b/crates/dunepond-config/src/migrate/known_keys.rs
@@ -1,8 +1,8 @@
-//! Keys of the configuration file that the broker or the platform's pages know.
+//! Keys of the configuration file that a migration keeps: those that the broker reads or the platform documents.
 
 use serde_json::{Map, Value};
 
-/// Known keys by the path of the object that has them; objects that are not listed are not looked into.
+/// Known keys by the path of the object that contains them. Objects whose path is not listed are kept whole.
 const KNOWN_KEYS: [(&str, &str); 12] = [
     ("", "name listen discovery seed log limits known settings"),
     ("limits", "cores memory_mb sockets"),
@@ -39,14 +39,14 @@
     ("settings.blend", "whole worstClass worstTenant worstWindow"),
 ];
 
-/// Removes the unknown keys of an object and of the objects in it, with a line in `changes` for each.
+/// Removes unknown keys from the object at `path` and from the objects in it, and adds a line to `changes` for each.
 pub(super) fn remove_unknown(path: &str, object: &mut Map<String, Value>, changes: &mut Vec<String>) {
     let Some((_, known)) = KNOWN_KEYS.iter().find(|(known_path, _)| *known_path == path) else { return };
     object.retain(|key, value| {
         let is_known = known.split_whitespace().any(|name| name == key);
         if !is_known {
             let path = child_path(path, key);
-            changes.push(format!("{path}: not known, not carried over (it was {value})"));
+            changes.push(format!("{path}: not known, so it was removed (its value was {value})"));
         }
         is_known
     });
@@ -62,7 +62,7 @@
     if path.is_empty() { key.to_string() } else { format!("{path}.{key}") }
 }
 
-/// The value itself, or the entries of a list, as far as they are objects.
+/// Returns the value itself, or the entries of a list, leaving out everything that is not an object.
 fn objects_in(value: &mut Value) -> Vec<&mut Map<String, Value>> {
     let values = match value {
         Value::Array(list) => list.iter_mut().collect(),
--- a/crates/dunepond-config/src/migrate/mod.rs
+++ b/crates/dunepond-config/src/migrate/mod.rs
@@ -1,6 +1,5 @@
-//! Migrates a configuration file of the earlier shape, in which replicas of a segment span neighbouring replica groups
-//! and clients may be told when to retry, to the present one. Whatever cannot be carried over is listed by its key:
-//! nothing is dropped silently.
+//! Converts a configuration file of the earlier format, in which the replicas of a segment span neighbouring replica groups
+//! and clients may be told when to retry, to the current one. Each changed or removed key is reported.
 
 mod known_keys;
 
@@ -8,30 +7,32 @@
 
 use crate::{ConfigError, Fields, parse_json};
 
-/// What the old file does not say of the new deployment.
+/// Choices about the new deployment that the old file doesn't contain.
 #[derive(Debug, Default)]
 pub struct MigrationOptions {
-    /// How many replica groups the new deployment has; absent, the old groups are joined by as many as held a segment.
+    /// Number of replica groups of the new deployment. If `None`, as many old groups are joined into one as held the same
+    /// segment.
     pub replica_groups: Option<usize>,
-    /// No part may have two attempts at the same time.
+    /// Whether to disable hedging, so that a part never has two attempts at the same time.
     pub disable_hedging: bool,
 }
 
 /// The outcome of a migration.
 #[derive(Debug)]
 pub struct MigratedConfig {
-    /// The new file's text.
+    /// Text of the new file.
     pub text: String,
-    /// What is different or was not carried over, a line each, which begins with the key.
+    /// One line for each changed or removed key, beginning with the key.
     pub changes: Vec<String>,
-    /// The old file has the new shape already; `text` is its own.
+    /// Whether the old file has the new format already; `text` is then the unchanged text of the old file.
     pub unchanged: bool,
 }
 
-/// Migrates the text of a configuration file. `check` is the broker's own check, which both files must pass.
+/// Migrates the text of a configuration file. `check` is the check that the broker runs at startup; the old and the new
+/// configuration must pass it.
 ///
 /// # Errors
-/// Text that is not JSON, a file that `check` refuses, or replica groups that cannot be joined evenly.
+/// Fails if the text is not JSON, if `check` fails, or if the replica groups can't be joined evenly.
 pub fn migrate(
     text: &str,
     options: &MigrationOptions,
@@ -59,24 +60,28 @@
         migration.disable_hedging()?;
     }
     migration.note_absent_limits()?;
-    // A file that the broker would not start with is no result.
-    check(&migration.new).map_err(|ConfigError(line)| ConfigError(format!("the counterpart: {line}")))?;
+    // The broker must be able to start with the new file.
+    check(&migration.new)
+        .map_err(|ConfigError(line)| ConfigError(format!("the migrated configuration: {line}")))?;
     let text = serde_json::to_string_pretty(&migration.new).map_err(|e| ConfigError(e.to_string()))? + "\n";
     Ok(MigratedConfig { text, changes: migration.changes, unchanged: false })
 }
 
-/// How the old file lays segments out.
+/// How segments are assigned to replica groups in the old file.
 struct OldLayout {
+    /// Number of replica groups.
     groups: usize,
-    /// Neighbouring groups that hold the same segment.
+    /// Number of neighbouring replica groups that hold the same segment.
     span: usize,
 }
 
-/// A migration under way.
+/// A migration in progress.
 struct Migration<'a> {
     /// Settings of the old file.
     settings: Fields<'a>,
+    /// The new configuration, which starts as a copy of the old one.
     new: Value,
+    /// One line for each changed or removed key, beginning with the key.
     changes: Vec<String>,
 }
 
@@ -91,7 +96,7 @@
         let count = old["known"]["hosts"].as_array().map_or(0, Vec::len);
         if count > 0 {
             self.changes.push(format!(
-                "known.hosts: {count} nodes of the old deployment; discovery names the new ones"
+                "known.hosts: {count} nodes of the old deployment were removed; discovery names the new nodes"
             ));
             self.new["known"] = json!({"seq": 0, "whole": true, "hosts": []});
         }
@@ -104,19 +109,20 @@
     ) -> Result<(), ConfigError> {
         let OldLayout { groups, span } = *old;
         let new_groups = match options.replica_groups {
-            Some(0) => return Err(ConfigError("--sets: must be above 0".to_string())),
+            Some(0) => return Err(ConfigError("--sets: 0 is not allowed; it must be above 0".to_string())),
             Some(count) => count,
             None if groups % span == 0 => groups / span,
             None => {
-                let why =
-                    format!("{groups} cells do not part into sets of {span}; say how many sets with --sets");
+                let why = format!(
+                    "{groups} cells do not part into sets of {span}; give the number of sets with --sets"
+                );
                 return Err(self.settings.error("familyInfo.cells", &why));
             }
         };
         if (new_groups, 1) != (groups, span) {
             self.changes.push(format!(
-                "settings.familyInfo.cells, span: {groups} cells and {span} in a row become {new_groups} sets; \
-                 segment s is now held by all nodes of set s modulo {new_groups}, and the data must lie so"
+                "settings.familyInfo.cells, span: {groups} cells and {span} neighbours that hold a segment become \
+                 {new_groups} sets; all nodes of set (s modulo {new_groups}) must now hold segment s"
             ));
             let family = &mut self.new["settings"]["familyInfo"];
             family["cells"] = json!(new_groups);
@@ -127,14 +133,17 @@
 
     fn disable_retry_after(&mut self) {
         let key = "settings.ceilings.retryAfter: true becomes false";
-        self.changes.push(format!("{key}; clients are not told when to come back, and many come at once"));
+        self.changes
+            .push(format!("{key}; clients are not told when to retry, so many may retry at the same time"));
         self.new["settings"]["ceilings"]["retryAfter"] = json!(false);
     }
 
     fn disable_hedging(&mut self) -> Result<(), ConfigError> {
         if self.settings.flag("ceilings.secondCopies")? {
             let key = "settings.ceilings.secondCopies: true becomes false";
-            self.changes.push(format!("{key}; a part at a slow node waits for it, as none is copied"));
+            self.changes.push(format!(
+                "{key}; a part on a slow node waits for that node, as there is no hedged attempt"
+            ));
             self.new["settings"]["ceilings"]["secondCopies"] = json!(false);
         }
         Ok(())
@@ -142,11 +151,13 @@
 
     fn note_absent_limits(&mut self) -> Result<(), ConfigError> {
         if self.settings.optional("rules.repeatRatio", "a number", Value::as_f64)?.is_none() {
-            let line = "settings.rules.repeatRatio: absent; further dispatches keep to no budget";
+            let line =
+                "settings.rules.repeatRatio: absent; retries and hedged attempts are not limited by a budget";
             self.changes.push(line.to_string());
         }
         if self.settings.optional("penalties.crossZone", "a number", Value::as_f64)?.is_none() {
-            let line = "settings.penalties.crossZone: absent; a crossing weighs as it did before";
+            let line =
+                "settings.penalties.crossZone: absent; attempts in other zones keep their default cost";
             self.changes.push(line.to_string());
         }
         Ok(())
--- a/crates/dunepond-config/src/operator/body_buffer.rs
+++ b/crates/dunepond-config/src/operator/body_buffer.rs
@@ -1,4 +1,4 @@
-//! Buffering of request bodies for retries (`bodies`).
+//! Reads the limits on buffering request bodies for retries (`bodies`).
 
 use std::path::PathBuf;
 
@@ -25,28 +25,29 @@
 /// How request bodies are buffered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BodyBufferConfig {
-    /// How much, and for how long.
+    /// Limits on the size of buffers and on the time of reads and writes.
     pub limits: BufferLimits,
-    /// Where bodies are spilled to; absent, they are held in memory only.
+    /// Where bodies are spilled to; `None` if they are held in memory only.
     pub spill: Option<SpillConfig>,
 }
 
-/// The folder that bodies are spilled to, and the threads that write there.
+/// The folder to which bodies are spilled, and the threads that read and write there.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpillConfig {
-    /// An existing folder.
+    /// Folder for the spilled bodies; it must exist.
     pub folder: PathBuf,
-    /// How many threads read and write.
+    /// Number of threads that read and write spilled bodies.
     pub threads: usize,
-    /// Jobs that may wait for the threads.
+    /// Maximum number of reads and writes that wait for a thread.
     pub max_queued_jobs: usize,
 }
 
 impl Reader<'_> {
+    /// Reads the `bodies` node.
     pub(super) fn body_buffer(&mut self, node: &KdlNode) -> BodyBufferConfig {
         let at = node.name().span().offset();
         if !node.entries().is_empty() {
-            self.fault(at, "bodies: takes no values of its own; its keys stand between braces");
+            self.report(at, "bodies: expected no values here; its keys belong in braces after it");
         }
         let mut limits = DEFAULT_LIMITS;
         let mut spill = None;
@@ -80,6 +81,7 @@
         BodyBufferConfig { limits, spill }
     }
 
+    /// Reads the `memory` node: the limits on bodies in memory.
     fn body_memory(&mut self, node: &KdlNode, limits: &mut BufferLimits) {
         let [one, all] = self.properties(node, ["one", "all"]);
         let one = one.and_then(|entry| self.size(entry, 0));
@@ -88,45 +90,56 @@
         limits.max_memory_bytes = all.unwrap_or(limits.max_memory_bytes);
     }
 
+    /// Reads the `files` node: the limits on spilled bodies, and where they are stored.
     fn body_files(&mut self, node: &KdlNode, limits: &mut BufferLimits) -> Option<SpillConfig> {
         let known = ["folder", "one", "all", "threads", "waiting", "rest", "longest-rest"];
         let [folder, one, all, threads, waiting, rest, longest_rest] = self.properties(node, known);
         let folder = self.absolute_folder(node, folder);
         let one = one.and_then(|entry| self.size(entry, 0)).unwrap_or(64 * MIB);
         let all = all.and_then(|entry| self.size(entry, MIB)).unwrap_or(1024 * MIB);
-        let first = self.number_or(rest, 0.05..=600.0, 0.5);
-        let longest = self.number_or(longest_rest, first..=3600.0, 30.0_f64.max(first));
+        let initial_backoff = self.number_or(rest, 0.05..=600.0, 0.5);
+        let max_backoff =
+            self.number_or(longest_rest, initial_backoff..=3600.0, 30.0_f64.max(initial_backoff));
         limits.spill = Some(SpillLimits {
             max_body_bytes: one,
             max_total_bytes: all,
-            initial_backoff_seconds: first,
-            max_backoff_seconds: longest,
+            initial_backoff_seconds: initial_backoff,
+            max_backoff_seconds: max_backoff,
         });
         let threads = self.count_or(threads, 1.0..=16.0, 2);
         let max_queued_jobs = self.count_or(waiting, 4.0..=4096.0, 128);
         Some(SpillConfig { folder: folder?, threads, max_queued_jobs })
     }
 
-    /// A body as long as the limits allow must fit what one tenant, and one query class, may take.
+    /// Checks that the longest allowed body fits into the share of one tenant and into that of one query class.
     fn check_body_limits(&mut self, at: usize, limits: &BufferLimits) {
         let ratio = limits.tenant_ratio.min(limits.query_class_ratio);
         let max_buffered = (MAX_BUFFERED_RATIO * ratio * limits.max_memory_bytes as f64) as u64;
         if limits.max_body_in_memory_bytes > max_buffered {
-            self.fault(
+            self.report(
                 at,
-                format!("bodies: memory one= is over the {max_buffered} bytes that a share of all= allows"),
+                format!(
+                    "bodies: memory one= is over the {max_buffered} bytes that one share of all= allows; \
+                     lower it or raise all="
+                ),
             );
         }
         if limits.window_bytes as f64 > ratio * limits.max_memory_bytes as f64 {
-            self.fault(at, "bodies: window is over what a share of memory all= allows");
+            self.report(
+                at,
+                "bodies: window is over what one share of memory all= allows; lower it or raise all=",
+            );
         }
         if let Some(files) = &limits.spill
             && files.max_body_bytes as f64 > ratio * files.max_total_bytes as f64
         {
             let max_spilled = (ratio * files.max_total_bytes as f64) as u64;
-            self.fault(
+            self.report(
                 at,
-                format!("bodies: files one= is over the {max_spilled} bytes that a share of all= allows"),
+                format!(
+                    "bodies: files one= is over the {max_spilled} bytes that one share of all= allows; \
+                     lower it or raise all="
+                ),
             );
         }
     }
--- a/crates/dunepond-config/src/operator/fleet/mod.rs
+++ b/crates/dunepond-config/src/operator/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Consensus and membership among brokers (`fleet`).
+//! Configuration of consensus and membership among brokers (`fleet`).
 
 mod parse;
 
@@ -13,125 +13,127 @@
 const DEFAULT_MAP: MapConfig = MapConfig { min_replicas: 1, min_zones: 1, max_changed_ratio: 0.2 };
 const DEFAULT_FILL_DEADLINE_SECONDS: f64 = 60.0;
 
-/// What a broker needs to take part in a fleet.
+/// Configuration of a broker that is a member of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
-    /// Where the others reach this broker: UDP and TCP at the same port.
+    /// Address at which other brokers reach this one, over UDP and TCP on the same port.
     pub listen_address: SocketAddr,
-    /// Where configurations, votes and promises are stored; a voter that has lost them does not vote after a start.
+    /// Folder for configurations, votes and promises. A voter whose folder was lost does not vote after a restart.
     pub folder: PathBuf,
-    /// How long a lease is valid.
+    /// Validity of a lease, in seconds.
     pub lease_seconds: f64,
-    /// How far the rates of two clocks may differ.
+    /// Maximum difference between the rates of two brokers' clocks, as a ratio.
     pub clock_drift_ratio: f64,
-    /// Seconds after which no two brokers act on rules that contradict each other.
+    /// Time, in seconds, after which no two brokers act on contradicting rules any more.
     pub switch_bound_seconds: f64,
-    /// The longest timeout of a query at any broker; the deployment's settings count where theirs is longer.
+    /// Longest timeout of a query at any broker, in seconds; the longest timeout in the deployment's settings is used if it
+    /// is longer.
     pub longest_query_seconds: Option<f64>,
-    /// Members of the quorum.
+    /// Brokers that vote.
     pub voters: Vec<BrokerAddress>,
-    /// Other brokers that are known from the start.
+    /// Addresses of brokers that are not voters but known at startup.
     pub peers: Vec<BrokerAddress>,
-    /// A file with the secret that all brokers share; needed where relays stand between them.
+    /// File with the secret that all brokers share; needed if there are relays between brokers.
     pub key_file: Option<PathBuf>,
-    /// The version file: a configuration to propose, read at the start and at SIGHUP.
+    /// The version file, which contains a configuration to propose. It is read at startup and on SIGHUP.
     pub version_file: Option<PathBuf>,
-    /// Where decisions of this broker are logged, a line each.
+    /// The audit log: a file to which this broker's decisions are written, one per line.
     pub audit_log_file: Option<PathBuf>,
-    /// Owners of zones, with their nodes, tenants and brokers.
+    /// Partners, which own zones, tenants and brokers.
     pub partners: Vec<PartnerConfig>,
-    /// What fills may take between partners.
+    /// Limits on the bandwidth of fills between partners.
     pub links: Vec<LinkConfig>,
-    /// The service that fills replicas.
+    /// The service that fills replicas; `None` if there is none.
     pub fills: Option<FillConfig>,
-    /// Plans of splits, merges and migrations.
+    /// How splits, merges and migrations of segments are carried out; `None` if they are disabled.
     pub rebalancing: Option<RebalanceConfig>,
-    /// What a new shard map must keep; absent, configurations bring no maps.
+    /// Constraints on new shard maps; `None` if configurations contain no shard maps.
     pub map: Option<MapConfig>,
-    /// Quotas that all brokers share; absent, each has an even share.
+    /// Quotas that all brokers share by demand; `None` if each broker has an even share.
     pub quotas: Option<QuotaConfig>,
 }
 
-/// A broker's name and address.
+/// Name and address of a broker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BrokerAddress {
-    /// Unique in the fleet.
+    /// Name of the broker, unique in the fleet.
     pub name: String,
-    /// Address at which it is reached, over UDP and TCP.
+    /// Address at which the broker is reached, over UDP and TCP.
     pub address: SocketAddr,
 }
 
-/// An owner of zones. What its nodes carry for tenants of others is counted.
+/// A partner: an owner of zones. The work of its nodes for the tenants of other partners is counted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartnerConfig {
-    /// Unique in the fleet.
+    /// Name of the partner, unique in the fleet.
     pub name: String,
-    /// Zones in which its nodes are.
+    /// Names of the zones in which the partner's nodes are.
     pub zones: Vec<String>,
-    /// Names of its tenants.
+    /// Names of the partner's tenants.
     pub tenants: Vec<String>,
-    /// Brokers whose counts speak for its side. A broker of no partner is a witness for both sides.
+    /// Names of the brokers whose counts represent this partner. The counts of a broker without a partner are used for both
+    /// sides.
     pub brokers: Vec<String>,
-    /// Its brokers also count what its own nodes carry: the lesser of both sides' counts is what it is owed.
+    /// Whether the partner's brokers also count the work of its own nodes; it is then owed the lower of both sides' counts.
     pub metered: bool,
 }
 
-/// What fills may take from one partner to another.
+/// Limit on the bandwidth of fills from one partner to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkConfig {
-    /// A partner's name.
+    /// Name of the partner that sends.
     pub from: String,
-    /// A partner's name.
+    /// Name of the partner that receives.
     pub to: String,
-    /// Highest rate of all fills together.
+    /// Maximum rate of all fills from `from` to `to` together, in bytes per second.
     pub bytes_per_second: u64,
 }
 
-/// The operator's service that fills replicas, and how it is used.
+/// The operator's service that fills replicas, with limits on its use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FillConfig {
-    /// Address of the service, over TCP.
+    /// TCP address of the service.
     pub address: SocketAddr,
-    /// A configuration whose fills take longer is withdrawn.
+    /// Deadline for the fills of a configuration, in seconds; if they take longer, the configuration is withdrawn.
     pub deadline_seconds: f64,
-    /// The size of one segment's data.
+    /// Size of one segment's data, in bytes.
     pub segment_bytes: u64,
-    /// Highest rate of one fill.
+    /// Maximum rate of one fill, in bytes per second.
     pub bytes_per_second: u64,
-    /// Fills under way at once, at most.
+    /// Maximum number of fills that run at the same time.
     pub max_concurrent_fills: usize,
-    /// Replicas on nodes in slow start are filled too, each by the broker that is responsible for it, partitioned or not. For
-    /// this debts are split among all brokers in advance.
+    /// Whether replicas on nodes in slow start are filled too. The broker responsible for such a fill runs it even if it is
+    /// partitioned from the others, for which debts are split among all brokers in advance.
     pub fill_started_nodes: bool,
 }
 
-/// How plans of splits, merges and migrations are carried out.
+/// How plans of splits, merges and migrations of segments are carried out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RebalanceConfig {
-    /// The plan, read at the start and at SIGHUP.
+    /// File with the plan, read at startup and on SIGHUP.
     pub plan_file: PathBuf,
-    /// Changes of one step, at most.
+    /// Maximum number of actions in one step.
     pub max_concurrent_actions: usize,
-    /// Pause between two steps.
+    /// Pause between two steps, in seconds.
     pub settle_seconds: f64,
-    /// What fills may take between two partners that no `link` names.
+    /// Maximum rate of fills between two partners without a `link`, in bytes per second.
     pub default_link_bytes_per_second: Option<u64>,
 }
 
-/// What a new shard map must keep.
+/// Constraints on new shard maps.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MapConfig {
-    /// Least number of replicas of each segment.
+    /// Minimum number of replicas of each segment.
     pub min_replicas: usize,
-    /// Zones in which each segment has a replica.
+    /// Minimum number of zones in which each segment has a replica.
     pub min_zones: usize,
-    /// Share of the segments that one configuration may change.
+    /// Maximum ratio of segments that one configuration may change, from 0 to 1.
     pub max_changed_ratio: f64,
 }
 
 impl FleetConfig {
-    /// The terms of the consensus for the broker of this name. `longest_query_seconds` is what the deployment's settings
-    /// state.
+    /// Returns the consensus configuration of the broker with this name. `longest_query_seconds` is the longest query timeout
+    /// in the deployment's settings; a longer one in this configuration takes precedence.
     pub fn consensus_config(&self, name: &str, longest_query_seconds: f64) -> ConsensusConfig {
         let map = self.map.clone().unwrap_or(DEFAULT_MAP);
         let fill_deadline = self.fills.as_ref().map(|fills| fills.deadline_seconds);
@@ -143,7 +145,7 @@
             switch_bound_seconds: self.switch_bound_seconds,
             longest_query_seconds: self
                 .longest_query_seconds
-                .map_or(longest_query_seconds, |stated| stated.max(longest_query_seconds)),
+                .map_or(longest_query_seconds, |longest| longest.max(longest_query_seconds)),
             fill_deadline_seconds: fill_deadline.unwrap_or(DEFAULT_FILL_DEADLINE_SECONDS),
             max_changed_ratio: map.max_changed_ratio,
             maps_enabled: self.map.is_some(),
--- a/crates/dunepond-config/src/operator/fleet/parse.rs
+++ b/crates/dunepond-config/src/operator/fleet/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the `fleet` node and checks what is given across its children.
+//! Reads the `fleet` node, and checks its keys and children against each other.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,15 +14,15 @@
 use crate::operator::MIB;
 use crate::operator::reader::Reader;
 
-/// Stands for query timeouts, which this file need not state.
+/// Placeholder for the longest query timeout in the settings, which is not known when the operator's file is checked.
 const MIN_QUERY_SECONDS: f64 = 1e-6;
 const KEYS: [&str; 6] = ["listen", "folder", "lease", "drift", "bound", "longest-timeout"];
 const NODES: [&str; 11] =
     ["voter", "peer", "key", "version", "record", "partner", "link", "fills", "moves", "map", "limits"];
 const REPEATABLE_NODES: [&str; 4] = ["voter", "peer", "partner", "link"];
 
-/// Where the fleet's terms stand, for faults that only show when all are known.
-struct TermEntries<'n> {
+/// Entries of the consensus parameters: the places of errors that involve several parameters.
+struct ConsensusEntries<'n> {
     lease: Option<&'n KdlEntry>,
     drift: Option<&'n KdlEntry>,
     bound: Option<&'n KdlEntry>,
@@ -30,6 +30,7 @@
 }
 
 impl Reader<'_> {
+    /// Reads the `fleet` node; `None` if its address or folder is missing or invalid.
     pub(in crate::operator) fn fleet(&mut self, node: &KdlNode) -> Option<FleetConfig> {
         let at = node.name().span().offset();
         let [listen, folder, lease, drift, bound, longest_timeout] =
@@ -57,10 +58,11 @@
         };
         self.fleet_children(node, &mut fleet);
         self.check_unique(node, &fleet);
-        self.check_terms(at, &fleet, &TermEntries { lease, drift, bound, longest_timeout });
+        self.check_consensus(at, &fleet, &ConsensusEntries { lease, drift, bound, longest_timeout });
         (listen_address.is_some() && folder.is_some()).then_some(fleet)
     }
 
+    /// Reads the children of the `fleet` node into `fleet`.
     fn fleet_children(&mut self, node: &KdlNode, fleet: &mut FleetConfig) {
         let mut links = Vec::new();
         let children = node.children().map_or(&[][..], KdlDocument::nodes);
@@ -79,31 +81,33 @@
                 _ => fleet.map = Some(self.map_constraints(child)),
             }
         }
-        // A link may stand before the partners that it names.
+        // Links are checked last, because a link may precede the partners that it names.
         for (child, link) in links {
             self.check_link(child, &link, fleet);
             fleet.links.push(link);
         }
     }
 
+    /// Checks that both ends of a link are partners, and that there is no other link between them.
     fn check_link(&mut self, node: &KdlNode, link: &LinkConfig, fleet: &FleetConfig) {
         let at = node.name().span().offset();
         for end in [&link.from, &link.to] {
             if !fleet.partners.iter().any(|partner| partner.name == *end) {
-                self.fault(at, format!("link: '{end}' is no partner; name it by a node 'partner'"));
+                self.report(at, format!("link: '{end}' is no partner; add a node 'partner' with this name"));
             }
         }
         if fleet.links.iter().any(|other| other.from == link.from && other.to == link.to) {
-            self.fault(at, format!("link: from '{}' to '{}' is given twice", link.from, link.to));
+            self.report(at, format!("link: from '{}' to '{}' is given twice", link.from, link.to));
         }
     }
 
-    fn check_terms(&mut self, at: usize, fleet: &FleetConfig, entries: &TermEntries) {
+    /// Checks the voters and the consensus parameters. Errors are reported at the offending entry if there is one.
+    fn check_consensus(&mut self, at: usize, fleet: &FleetConfig, entries: &ConsensusEntries) {
         let Some(voter) = fleet.voters.first() else {
-            let message = "fleet: no voter; name each by a node 'voter \"NAME\" at=\"ADDRESS:PORT\"'";
-            return self.fault(at, message);
+            let message = "fleet: no voter; add each as a node 'voter \"NAME\" at=\"ADDRESS:PORT\"'";
+            return self.report(at, message);
         };
-        // The broker's name and the longest query timeout are not in this file; they are checked at the start.
+        // This file contains neither the broker's name nor the settings' longest query timeout; startup checks these.
         if let Err(error) = fleet.consensus_config(&voter.name, MIN_QUERY_SECONDS).check() {
             let entry = match error {
                 ConsensusConfigError::Lease { .. } => entries.lease,
@@ -113,11 +117,11 @@
                 _ => None,
             };
             let at = entry.map_or(at, |entry| entry.span().offset());
-            self.fault(at, format!("fleet: {error}: {}", error.help()));
+            self.report(at, format!("fleet: {error}: {}", error.help()));
         }
     }
 
-    /// Names, addresses, zones and tenants are given once each.
+    /// Checks that names, addresses, zones and tenants are unique.
     fn check_unique(&mut self, node: &KdlNode, fleet: &FleetConfig) {
         let brokers: Vec<_> = fleet.voters.iter().chain(&fleet.peers).collect();
         let partners = &fleet.partners;
@@ -140,11 +144,12 @@
         for value in values {
             if !seen.insert(value.clone()) {
                 let at = node.name().span().offset();
-                self.fault(at, format!("fleet: the {what} '{value}' is given twice"));
+                self.report(at, format!("fleet: the {what} '{value}' is given twice"));
             }
         }
     }
 
+    /// Reads a `voter` or `peer` node.
     fn broker_address(&mut self, node: &KdlNode) -> Option<BrokerAddress> {
         let (name, [at]) = self.name_and_properties(node, ["at"]);
         let what = format!("{}: at", node.name().value());
@@ -152,6 +157,7 @@
         Some(BrokerAddress { name: name?, address: address? })
     }
 
+    /// Reads a `partner` node.
     fn partner(&mut self, node: &KdlNode) -> Option<PartnerConfig> {
         let known = ["zones", "customers", "brokers", "metered"];
         let (name, [zones, customers, brokers, metered]) = self.name_and_properties(node, known);
@@ -162,18 +168,19 @@
         Some(PartnerConfig { name: name?, zones, tenants, brokers, metered })
     }
 
-    /// Names with commas between them; none where there is no entry.
+    /// Reads names separated by commas; returns an empty list if there is no entry.
     fn names(&mut self, entry: Option<&KdlEntry>) -> Vec<String> {
-        let text = entry.and_then(|entry| self.text(entry, "names with commas between them"));
+        let text = entry.and_then(|entry| self.text(entry, "names separated by commas"));
         let text = text.unwrap_or_default();
         text.split(',').map(str::trim).filter(|name| !name.is_empty()).map(str::to_string).collect()
     }
 
+    /// Reads a `link` node.
     fn link(&mut self, node: &KdlNode) -> Option<LinkConfig> {
         let [from, to, bytes] = self.properties(node, ["from", "to", "bytes"]);
         if from.is_none() || to.is_none() || bytes.is_none() {
             let at = node.name().span().offset();
-            self.fault(at, "link: expected from=, to= and bytes= (a second)");
+            self.report(at, "link: expected from=, to= and bytes= (per second)");
         }
         let from = from.and_then(|entry| self.text(entry, "a partner's name"));
         let to = to.and_then(|entry| self.text(entry, "a partner's name"));
@@ -181,13 +188,14 @@
         Some(LinkConfig { from: from?, to: to?, bytes_per_second: bytes_per_second? })
     }
 
+    /// Reads the `moves` node.
     fn rebalancing(&mut self, node: &KdlNode) -> Option<RebalanceConfig> {
         let (plan, [at_once, settle, link_bytes]) =
             self.name_and_properties(node, ["at-once", "settle", "link-bytes"]);
         let plan_file = plan.map(PathBuf::from);
         if plan_file.as_ref().is_some_and(|plan| !plan.has_root()) {
             let entry = node.entries().first().map_or(node.name().span(), |entry| entry.span());
-            self.fault(entry.offset(), "moves: expected the path of a file, from the root");
+            self.report(entry.offset(), "moves: expected the absolute path of a file");
         }
         let max_concurrent_actions = self.count_or(at_once, 1.0..=64.0, 4);
         let settle_seconds = self.number_or(settle, 0.0..=3600.0, 1.0);
@@ -200,6 +208,7 @@
         })
     }
 
+    /// Reads the `fills` node.
     fn fills(&mut self, node: &KdlNode) -> Option<FillConfig> {
         let known = ["at", "deadline", "segment", "rate", "at-once", "warm"];
         let [at, deadline, segment, rate, at_once, warm] = self.properties(node, known);
@@ -219,6 +228,7 @@
         })
     }
 
+    /// Reads the `map` node.
     fn map_constraints(&mut self, node: &KdlNode) -> MapConfig {
         let known = ["least-holders", "least-zones", "most-changed"];
         let [holders, zones, changed] = self.properties(node, known);
--- a/crates/dunepond-config/src/operator/mod.rs
+++ b/crates/dunepond-config/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's file: a KDL document that turns features on. A feature that it does not name is off.
+//! Parses the operator's file: a KDL document that enables features. A feature that the file doesn't name is disabled.
 
 mod body_buffer;
 mod fleet;
@@ -27,14 +27,14 @@
 
 const MIB: u64 = 1024 * 1024;
 
-/// One fault of the file, and where it stands.
+/// One error in the operator's file, with its place.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Diagnostic {
-    /// Line, from 1.
+    /// Line of the error, counted from 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column of the error in characters, counted from 1.
     pub column: usize,
-    /// What is wrong, and what was expected.
+    /// What is wrong and what was expected.
     pub message: String,
 }
 
@@ -44,26 +44,26 @@
     }
 }
 
-/// All that the operator's file says.
+/// The contents of the operator's file. The fields' docs name the KDL nodes that set them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorConfig {
     /// Buffering of request bodies (`bodies`).
     pub body_buffer: Option<BodyBufferConfig>,
-    /// The can-match phase before a query (`phases`).
+    /// The prefilter, which runs before a query (`phases`).
     pub prefilter: Option<PrefilterConfig>,
-    /// What outlasts the process (`state`).
+    /// Storage of state that outlives the process (`state`).
     pub recovery: Option<RecoveryConfig>,
     /// The listener of the search API (`search`).
     pub search_api: Option<SearchApiConfig>,
-    /// Networks of the nodes that speak the search API; all other nodes speak frames.
+    /// Networks of the nodes that speak the search API; all other nodes speak the frame protocol (`search-nodes`).
     pub search_api_nodes: Vec<IpNet>,
-    /// Consensus and membership among brokers.
+    /// Consensus and membership among brokers (`fleet`).
     pub fleet: Option<FleetConfig>,
-    /// What background jobs may take, all together.
+    /// Limits on all background jobs together (`background`).
     pub background: Budget,
-    /// `text` or `json`.
+    /// Format of the log, `text` or `json`; `None` if the file gives none (`log`).
     pub log_format: Option<String>,
-    /// Seconds between two lines of counters in the log; there are none where it is absent.
+    /// Interval between two log lines with counters, in seconds; `None` if counters are not logged (`counters`).
     pub counters_interval_seconds: Option<f64>,
 }
 
@@ -86,17 +86,17 @@
 const FEATURES: [&str; 9] =
     ["bodies", "phases", "state", "search", "search-nodes", "fleet", "background", "log", "counters"];
 
-/// Parses a whole file.
+/// Parses the text of the operator's file.
 ///
 /// # Errors
-/// All faults of the file, in their order.
+/// All errors in the file, in the order in which they were found.
 pub fn parse(text: &str) -> Result<OperatorConfig, Vec<Diagnostic>> {
     let mut reader = Reader::new(text);
     let document = match KdlDocument::parse_v2(text) {
         Ok(document) => document,
         Err(error) => {
             reader.report_syntax(&error);
-            return Err(reader.faults);
+            return Err(reader.errors);
         }
     };
     let mut config = OperatorConfig::default();
@@ -111,7 +111,7 @@
             "background" => reader.background(node, &mut config.background),
             "log" => {
                 let [form] = reader.properties(node, ["form"]);
-                config.log_format = form.and_then(|form| reader.word(form, &["text", "json"]));
+                config.log_format = form.and_then(|form| reader.one_of(form, &["text", "json"]));
             }
             _ => {
                 let [every] = reader.properties(node, ["every"]);
@@ -120,19 +120,21 @@
             }
         }
     }
-    if reader.faults.is_empty() { Ok(config) } else { Err(reader.faults) }
+    if reader.errors.is_empty() { Ok(config) } else { Err(reader.errors) }
 }
 
 impl Reader<'_> {
+    /// Reports the syntax errors that the KDL parser found.
     fn report_syntax(&mut self, error: &KdlError) {
         for diagnostic in &error.diagnostics {
             let message = diagnostic.message.clone().or(diagnostic.label.clone());
-            let message = message.unwrap_or_else(|| "cannot be read".to_string());
+            let message = message.unwrap_or_else(|| "syntax error".to_string());
             let help = diagnostic.help.as_ref().map_or(String::new(), |help| format!(" ({help})"));
-            self.fault(diagnostic.span.offset(), format!("not KDL: {message}{help}"));
+            self.report(diagnostic.span.offset(), format!("not KDL: {message}{help}"));
         }
     }
 
+    /// Reads the `background` node into `budget`.
     fn background(&mut self, node: &KdlNode, budget: &mut Budget) {
         let [time, bytes, at_once] = self.properties(node, ["time", "bytes", "at-once"]);
         budget.time_ratio = self.number_or(time, 0.001..=0.5, budget.time_ratio);
--- a/crates/dunepond-config/src/operator/prefilter.rs
+++ b/crates/dunepond-config/src/operator/prefilter.rs
@@ -1,4 +1,4 @@
-//! The can-match phase before a query (`phases`).
+//! Reads the configuration of the prefilter, which runs before a query (`phases`).
 
 use dunepond_prefilter::PrefilterConfig;
 use kdl::KdlNode;
@@ -6,6 +6,7 @@
 use super::reader::Reader;
 
 impl Reader<'_> {
+    /// Reads the `phases` node.
     pub(super) fn prefilter(&mut self, node: &KdlNode) -> PrefilterConfig {
         let known = ["least-segments", "share", "fresh", "known", "audits"];
         let [least_segments, share, fresh, known, audits] = self.properties(node, known);
--- a/crates/dunepond-config/src/operator/quotas.rs
+++ b/crates/dunepond-config/src/operator/quotas.rs
@@ -1,25 +1,27 @@
-//! Quotas that all brokers of a fleet share (`limits`).
+//! Reads which quotas all brokers of a fleet share (`limits`).
 
 use kdl::{KdlDocument, KdlNode};
 
 use super::reader::Reader;
 
-/// Which quotas are shared. Each one that the file does not name is not.
+/// Which quotas the brokers of a fleet share; a quota that the file doesn't name is not shared.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaConfig {
-    /// Share of each quota that is split evenly among the brokers without a lease; the rest is allocated by demand.
+    /// Ratio of each quota that brokers may use without a lease, split evenly among them; the rest is allocated by demand.
     pub reserved_ratio: f64,
-    /// Seconds between two allocations.
+    /// Interval between two allocations, in seconds.
     pub interval_seconds: f64,
-    /// Parts a second that one warm node takes from all brokers together; absent, slow start is not shared.
+    /// Rate of parts that one warm node accepts from all brokers together, in parts per second; `None` if the limits of slow
+    /// start are not shared.
     pub slow_start_parts_per_second: Option<f64>,
-    /// The minimum of retries is shared.
+    /// Whether the retry budget's minimum number of retries is shared.
     pub share_retries: bool,
-    /// Names of the tenants whose quotas are shared, as the settings have them.
+    /// Names of the tenants whose quotas are shared, as in the settings.
     pub tenants: Vec<String>,
 }
 
 impl Reader<'_> {
+    /// Reads the `limits` node.
     pub(super) fn quotas(&mut self, node: &KdlNode) -> Option<QuotaConfig> {
         let [floor, every] = self.properties_beside_children(node, ["floor", "every"]);
         let mut quotas = QuotaConfig {
@@ -44,25 +46,27 @@
         }
         if children.is_empty() {
             let at = node.name().span().offset();
-            self.fault(at, "limits: shares nothing; name cold, further or customers in it");
+            self.report(at, "limits: shares nothing; add cold, further or customer nodes to it");
         }
         Some(quotas)
     }
 
+    /// Reads the `cold` node: the rate of parts that one warm node accepts.
     fn slow_start_rate(&mut self, node: &KdlNode) -> Option<f64> {
         let [rate] = self.properties(node, ["rate"]);
         if rate.is_none() {
             let at = node.name().span().offset();
-            self.fault(at, "cold: expected rate=, parts a second that one warm node takes");
+            self.report(at, "cold: expected rate=, the parts per second that one warm node accepts");
         }
         rate.and_then(|entry| self.number(entry, 0.01, 1e6))
     }
 
+    /// Reads a `customer` node and adds its tenant to `tenants`.
     fn quota_tenant(&mut self, node: &KdlNode, tenants: &mut Vec<String>) {
         let (name, []) = self.name_and_properties(node, []);
         if let Some(name) = name.as_ref().filter(|name| tenants.contains(name)) {
             let message = format!("limits: the customer '{name}' is given twice");
-            self.fault(node.name().span().offset(), message);
+            self.report(node.name().span().offset(), message);
         }
         tenants.extend(name);
     }
--- a/crates/dunepond-config/src/operator/reader.rs
+++ b/crates/dunepond-config/src/operator/reader.rs
@@ -1,4 +1,5 @@
-//! Readers of nodes, keys and values that all features use. Each notes faults and continues.
+//! Readers of KDL nodes, keys and values that all features use. They report errors and continue, so that all errors in the
+//! file are reported at once.
 
 use std::net::{IpAddr, SocketAddr};
 use std::ops::RangeInclusive;
@@ -9,29 +10,29 @@
 
 use super::{Diagnostic, MIB};
 
-/// Reads one file, and collects its faults.
+/// Reads one file and collects the errors in it.
 pub(super) struct Reader<'a> {
     text: &'a str,
-    pub(super) faults: Vec<Diagnostic>,
+    pub(super) errors: Vec<Diagnostic>,
 }
 
 impl<'a> Reader<'a> {
     pub(super) fn new(text: &'a str) -> Self {
-        Self { text, faults: Vec::new() }
+        Self { text, errors: Vec::new() }
     }
 }
 
 impl Reader<'_> {
-    /// Notes a fault at this offset into the text, in bytes.
-    pub(super) fn fault(&mut self, offset: usize, message: impl Into<String>) {
+    /// Reports an error at an offset in the text, in bytes.
+    pub(super) fn report(&mut self, offset: usize, message: impl Into<String>) {
         let before = &self.text.as_bytes()[..offset.min(self.text.len())];
         let line = 1 + before.iter().filter(|byte| **byte == b'\n').count();
         let start = before.iter().rposition(|byte| *byte == b'\n').map_or(0, |at| at + 1);
         let column = 1 + String::from_utf8_lossy(&before[start..]).chars().count();
-        self.faults.push(Diagnostic { line, column, message: message.into() });
+        self.errors.push(Diagnostic { line, column, message: message.into() });
     }
 
-    /// The nodes with a known name, each of which may stand there once.
+    /// Returns the nodes with a known name. Unknown and repeated names are errors, reported as errors in `within`.
     pub(super) fn children<'n>(
         &mut self,
         within: &str,
@@ -41,7 +42,8 @@
         self.children_with_repeats(within, nodes, known, &[])
     }
 
-    /// The nodes with a known name, each of which may stand there once unless its name is one of `repeatable`.
+    /// Returns the nodes with a known name. Unknown names are errors, and so are repeated names that are not in `repeatable`;
+    /// they are reported as errors in `within`.
     pub(super) fn children_with_repeats<'n>(
         &mut self,
         within: &str,
@@ -53,14 +55,14 @@
         for node in nodes {
             let (name, at) = (node.name().value(), node.name().span().offset());
             if !known.contains(&name) {
-                self.fault(
+                self.report(
                     at,
                     format!("{within}: '{name}' is not known; expected one of {}", known.join(", ")),
                 );
             } else if !repeatable.contains(&name)
                 && accepted.iter().any(|before| before.name().value() == name)
             {
-                self.fault(at, format!("{within}: '{name}' is given twice"));
+                self.report(at, format!("{within}: '{name}' is given twice"));
             } else {
                 accepted.push(node);
             }
@@ -68,7 +70,7 @@
         accepted
     }
 
-    /// A node's properties in the order of `known`; it may have no others, no arguments and no children.
+    /// Returns a node's properties in the order of `known`. Other properties, arguments and children are errors.
     pub(super) fn properties<'n, const N: usize>(
         &mut self,
         node: &'n KdlNode,
@@ -76,13 +78,14 @@
     ) -> [Option<&'n KdlEntry>; N] {
         let found = self.properties_beside_children(node, known);
         if let Some(children) = node.children() {
-            let message = format!("{}: has no children", node.name().value());
-            self.fault(children.span().offset(), message);
+            let message = format!("{}: expected no children", node.name().value());
+            self.report(children.span().offset(), message);
         }
         found
     }
 
-    /// A node's properties in the order of `known`; it may have no others and no arguments, but children.
+    /// Returns the properties, in the order of `known`, of a node that may have children. Other properties and arguments are
+    /// errors.
     pub(super) fn properties_beside_children<'n, const N: usize>(
         &mut self,
         node: &'n KdlNode,
@@ -91,7 +94,8 @@
         self.known_properties(node, node.entries(), known)
     }
 
-    /// A node's name, which is its one argument, and its properties in the order of `known`; it may have no children.
+    /// Returns a node's only argument, which is a name, and the node's properties in the order of `known`. Other properties,
+    /// further arguments and children are errors.
     pub(super) fn name_and_properties<'n, const N: usize>(
         &mut self,
         node: &'n KdlNode,
@@ -101,18 +105,18 @@
         let name = entries.first().filter(|entry| entry.name().is_none());
         let name = name.and_then(|entry| entry.value().as_string()).filter(|name| !name.is_empty());
         if name.is_none() {
-            let message = format!("{}: expected a name behind it", node.name().value());
-            self.fault(node.name().span().offset(), message);
+            let message = format!("{}: expected a name after it", node.name().value());
+            self.report(node.name().span().offset(), message);
         }
         let found = self.known_properties(node, &entries[usize::from(name.is_some())..], known);
         if let Some(children) = node.children() {
-            let message = format!("{}: has no children", node.name().value());
-            self.fault(children.span().offset(), message);
+            let message = format!("{}: expected no children", node.name().value());
+            self.report(children.span().offset(), message);
         }
         (name.map(str::to_string), found)
     }
 
-    /// The entries that are properties with a known key, in the order of `known`.
+    /// Returns the entries that are properties with a known key, in the order of `known`. Other entries are errors.
     fn known_properties<'n, const N: usize>(
         &mut self,
         node: &KdlNode,
@@ -124,19 +128,19 @@
         for entry in entries {
             let at = entry.span().offset();
             let Some(key) = entry.name().map(|key| key.value()) else {
-                self.fault(
+                self.report(
                     at,
-                    format!("{name}: a value without a key; expected {}", known.join("=, ") + "="),
+                    format!("{name}: a value without a key; expected one of {}", known.join("=, ") + "="),
                 );
                 continue;
             };
             match known.iter().position(|k| *k == key) {
                 None => {
                     let known = known.join(", ");
-                    self.fault(at, format!("{name}: '{key}' is not known; expected one of {known}"));
+                    self.report(at, format!("{name}: '{key}' is not known; expected one of {known}"));
                 }
                 Some(index) if found[index].is_some() => {
-                    self.fault(at, format!("{name}: '{key}' is given twice"));
+                    self.report(at, format!("{name}: '{key}' is given twice"));
                 }
                 Some(index) => found[index] = Some(entry),
             }
@@ -144,76 +148,76 @@
         found
     }
 
-    /// A node's one argument.
+    /// Returns the only entry of a node that has one argument and neither properties nor children.
     pub(super) fn argument<'n>(&mut self, node: &'n KdlNode) -> Option<&'n KdlEntry> {
         let (name, at) = (node.name().value(), node.name().span().offset());
         match node.entries() {
             [entry] if entry.name().is_none() && node.children().is_none() => Some(entry),
             _ => {
-                self.fault(at, format!("{name}: expected one value behind it"));
+                self.report(at, format!("{name}: expected one value after it"));
                 None
             }
         }
     }
 
-    /// What a message about a value begins with: its key, where it has one.
+    /// Returns the prefix of messages about a value: its key, or nothing if the value has no key.
     fn key_prefix(entry: &KdlEntry) -> String {
         entry.name().map_or(String::new(), |key| format!("{}: ", key.value()))
     }
 
-    /// Text that is not empty.
+    /// Reads a string that is not empty; `expected` describes it in the error message.
     pub(super) fn text(&mut self, entry: &KdlEntry, expected: &str) -> Option<String> {
         let text = entry.value().as_string().filter(|text| !text.is_empty());
         if text.is_none() {
-            self.fault(entry.span().offset(), format!("{}expected {expected}", Self::key_prefix(entry)));
+            self.report(entry.span().offset(), format!("{}expected {expected}", Self::key_prefix(entry)));
         }
         text.map(str::to_string)
     }
 
-    /// An address and port; `at` is the offset of the fault where there is no entry.
+    /// Reads an address with a port. Without an entry, the error is reported at the offset `at`.
     pub(super) fn address(&mut self, what: &str, entry: Option<&KdlEntry>, at: usize) -> Option<SocketAddr> {
         let address = entry.and_then(|entry| entry.value().as_string()).and_then(|text| text.parse().ok());
         if address.is_none() {
             let at = entry.map_or(at, |entry| entry.span().offset());
-            self.fault(at, format!("{what}: expected an address:port"));
+            self.report(at, format!("{what}: expected an address:port"));
         }
         address
     }
 
-    /// An absolute path, as a node's one argument.
+    /// Reads the absolute path of a file, which is a node's only argument.
     pub(super) fn absolute_path(&mut self, node: &KdlNode) -> Option<PathBuf> {
         let entry = self.argument(node)?;
         let path = entry.value().as_string().filter(|path| path.starts_with('/'));
         if path.is_none() {
-            let message = format!("{}: expected the path of a file, from the root", node.name().value());
-            self.fault(entry.span().offset(), message);
+            let message = format!("{}: expected the absolute path of a file", node.name().value());
+            self.report(entry.span().offset(), message);
         }
         path.map(PathBuf::from)
     }
 
-    /// One of the known words.
-    pub(super) fn word(&mut self, entry: &KdlEntry, known: &[&str]) -> Option<String> {
-        let word = entry.value().as_string().filter(|word| known.contains(word));
-        if word.is_none() {
+    /// Reads a string that must be one of `known`.
+    pub(super) fn one_of(&mut self, entry: &KdlEntry, known: &[&str]) -> Option<String> {
+        let value = entry.value().as_string().filter(|value| known.contains(value));
+        if value.is_none() {
             let message = format!("{}expected one of \"{}\"", Self::key_prefix(entry), known.join("\", \""));
-            self.fault(entry.span().offset(), message);
+            self.report(entry.span().offset(), message);
         }
-        word.map(str::to_string)
+        value.map(str::to_string)
     }
 
-    /// A number from `min` to `max`.
+    /// Reads a number from `min` to `max`.
     pub(super) fn number(&mut self, entry: &KdlEntry, min: f64, max: f64) -> Option<f64> {
         let value = entry.value();
         let number = value.as_float().or(value.as_integer().map(|whole| whole as f64));
         let number = number.filter(|number| (min..=max).contains(number));
         if number.is_none() {
             let message = format!("{}expected a number from {min} to {max}", Self::key_prefix(entry));
-            self.fault(entry.span().offset(), message);
+            self.report(entry.span().offset(), message);
         }
         number
     }
 
-    /// A number within `range`, or `default` where there is none.
+    /// Reads a number within `range`; returns `default` if it is absent or invalid.
     pub(super) fn number_or(
         &mut self,
         entry: Option<&KdlEntry>,
@@ -223,7 +227,7 @@
         entry.and_then(|entry| self.number(entry, *range.start(), *range.end())).unwrap_or(default)
     }
 
-    /// A number within `range` without its fraction, or `default` where there is none.
+    /// Reads a number within `range` and drops its fraction; returns `default` if it is absent or invalid.
     pub(super) fn count_or(
         &mut self,
         entry: Option<&KdlEntry>,
@@ -234,12 +238,12 @@
         number.map_or(default, |number| number as usize)
     }
 
-    /// Whether the value is `on`; off where there is none.
+    /// Reads `on` or `off`; returns whether it is `on`, and false if it is absent or invalid.
     pub(super) fn is_on(&mut self, entry: Option<&KdlEntry>) -> bool {
-        entry.and_then(|entry| self.word(entry, &["on", "off"])).is_some_and(|word| word == "on")
+        entry.and_then(|entry| self.one_of(entry, &["on", "off"])).is_some_and(|value| value == "on")
     }
 
-    /// A size in bytes, `min` or more: a whole number, or text such as "64MiB".
+    /// Reads a size in bytes, `min` or more, which is a whole number or a string such as "64MiB".
     pub(super) fn size(&mut self, entry: &KdlEntry, min: u64) -> Option<u64> {
         let value = entry.value();
         let size = match value.as_string() {
@@ -252,12 +256,12 @@
                 "{}expected a size of {min} bytes or more, such as \"64MiB\"",
                 Self::key_prefix(entry)
             );
-            self.fault(entry.span().offset(), message);
+            self.report(entry.span().offset(), message);
         }
         size
     }
 
-    /// Networks or single addresses, as a node's arguments.
+    /// Reads the networks or single addresses that are a node's arguments.
     pub(super) fn networks(&mut self, node: &KdlNode) -> Vec<IpNet> {
         let mut found = Vec::new();
         for entry in node.entries() {
@@ -268,30 +272,30 @@
                 None => {
                     let message =
                         format!("{}: expected a network such as \"10.1.0.0/16\"", node.name().value());
-                    self.fault(entry.span().offset(), message);
+                    self.report(entry.span().offset(), message);
                 }
             }
         }
         if node.entries().is_empty() || node.children().is_some() {
-            let message = format!("{}: expected networks behind it", node.name().value());
-            self.fault(node.name().span().offset(), message);
+            let message = format!("{}: expected networks after it", node.name().value());
+            self.report(node.name().span().offset(), message);
         }
         found
     }
 
-    /// An absolute path of a folder; it must be given.
+    /// Reads the absolute path of a folder; an absent path is an error at the node's name.
     pub(super) fn absolute_folder(&mut self, node: &KdlNode, folder: Option<&KdlEntry>) -> Option<PathBuf> {
         let path = folder.and_then(|entry| entry.value().as_string()).filter(|path| path.starts_with('/'));
         if path.is_none() {
             let at = folder.map_or(node.name().span().offset(), |entry| entry.span().offset());
             let name = node.name().value();
-            self.fault(at, format!("{name}: folder: expected the path of a folder, from the root"));
+            self.report(at, format!("{name}: folder: expected the absolute path of a folder"));
         }
         path.map(PathBuf::from)
     }
 }
 
-/// The bytes of a whole number with a unit.
+/// Parses a whole number with a unit, and returns it in bytes; `None` if it is invalid or too large.
 fn parse_size(text: &str) -> Option<u64> {
     let digits = text.len() - text.trim_start_matches(|c: char| c.is_ascii_digit()).len();
     let factor = match text[digits..].trim() {
--- a/crates/dunepond-config/src/operator/recovery.rs
+++ b/crates/dunepond-config/src/operator/recovery.rs
@@ -1,4 +1,4 @@
-//! What outlasts the process (`state`).
+//! Reads where state that outlives the process is stored (`state`).
 
 use std::path::PathBuf;
 
@@ -6,16 +6,17 @@
 
 use super::reader::Reader;
 
-/// Where learned state and spent budgets are stored.
+/// Where learned state and spent budgets are stored, and how often.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoveryConfig {
-    /// An existing folder.
+    /// Folder for the snapshots; it must exist.
     pub folder: PathBuf,
-    /// Seconds between two snapshots.
+    /// Interval between two snapshots, in seconds.
     pub snapshot_interval_seconds: f64,
 }
 
 impl Reader<'_> {
+    /// Reads the `state` node; `None` if its folder is missing or invalid.
     pub(super) fn recovery(&mut self, node: &KdlNode) -> Option<RecoveryConfig> {
         let [folder, every] = self.properties(node, ["folder", "every"]);
         let folder = self.absolute_folder(node, folder);
--- a/crates/dunepond-config/src/operator/search_api.rs
+++ b/crates/dunepond-config/src/operator/search_api.rs
@@ -1,4 +1,4 @@
-//! The search API's listener, and what its requests may be (`search`).
+//! Reads the address of the search API and the limits on its requests (`search`).
 
 use std::net::SocketAddr;
 
@@ -7,16 +7,17 @@
 
 use super::reader::Reader;
 
-/// Where the search API listens, and the limits of its requests.
+/// The address at which the search API listens, and the limits on its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SearchApiConfig {
-    /// Address to listen at, over TCP.
+    /// TCP address at which the search API listens.
     pub listen_address: SocketAddr,
-    /// Limits of one request.
+    /// Limits on one request.
     pub limits: RequestLimits,
 }
 
 impl Reader<'_> {
+    /// Reads the `search` node; `None` if its address is missing or invalid.
     pub(super) fn search_api(&mut self, node: &KdlNode) -> Option<SearchApiConfig> {
         let known = ["listen", "clauses", "depth", "regexp", "text", "searches", "window", "routings"];
         let [listen, clauses, depth, regexp, text, searches, window, routings] = self.properties(node, known);
--- a/crates/dunepond-config/src/strict_json.rs
+++ b/crates/dunepond-config/src/strict_json.rs
@@ -1,5 +1,5 @@
-//! A JSON parser that rejects duplicate keys. A proxy that reads the first of two where this program reads the last
-//! would let another document through than it has checked.
+//! A JSON parser that rejects duplicate keys. Otherwise a proxy that reads the first of two values, where this program reads
+//! the last, would check a different document from the one that is used.
 
 use std::fmt;
 
@@ -9,12 +9,12 @@
 /// Parses a whole document.
 ///
 /// # Errors
-/// Text with the line and column of the fault, and the key where it is one that is given twice.
+/// Returns a message with the line and column of the first error. For a duplicate key, the message contains the key.
 pub fn parse_json(bytes: &[u8]) -> Result<Value, String> {
     serde_json::from_slice::<StrictValue>(bytes).map(|strict| strict.0).map_err(|e| e.to_string())
 }
 
-/// A value that was read without duplicate keys.
+/// A JSON value without duplicate keys.
 struct StrictValue(Value);
 
 impl<'de> Deserialize<'de> for StrictValue {
