--- a/crates/dunepond-config/src/migrate/mod.rs
+++ b/crates/dunepond-config/src/migrate/mod.rs
@@ -109,7 +109,7 @@
     ) -> Result<(), ConfigError> {
         let OldLayout { groups, span } = *old;
         let new_groups = match options.replica_groups {
-            Some(0) => return Err(ConfigError("--sets: 0 is not allowed; it must be above 0".to_string())),
+            Some(0) => return Err(ConfigError("--sets: must be above 0".to_string())),
             Some(count) => count,
             None if groups % span == 0 => groups / span,
             None => {
--- a/crates/dunepond-config/src/operator/fleet/mod.rs
+++ b/crates/dunepond-config/src/operator/fleet/mod.rs
@@ -103,7 +103,7 @@
     /// Maximum number of fills that run at the same time.
     pub max_concurrent_fills: usize,
     /// Whether replicas on nodes in slow start are filled too. The broker responsible for such a fill runs it even if it is
-    /// partitioned from the others, for which debts are split among all brokers in advance.
+    /// partitioned from the others; to allow this, debts are split among all brokers in advance.
     pub fill_started_nodes: bool,
 }
 
--- a/crates/dunepond-search-api/src/hits/part_result.rs
+++ b/crates/dunepond-search-api/src/hits/part_result.rs
@@ -19,7 +19,7 @@
     pub terminated_early: bool,
 }
 
-/// What the response of a node must match for the request that it was sent.
+/// Properties that a node's search response must have, according to the request.
 #[derive(Clone, Copy, Debug)]
 pub struct ExpectedResult<'a> {
     /// Name of the index that was searched.
--- a/crates/dunepond-search-api/src/node.rs
+++ b/crates/dunepond-search-api/src/node.rs
@@ -44,7 +44,7 @@
 }
 
 impl RequestHead<'_> {
-    /// Returns the request line and headers as they are sent. Names are not percent-encoded.
+    /// Returns the request line and headers as they are sent. Names are plain text and are not percent-encoded.
     pub fn encode(&self) -> Vec<u8> {
         let Self { host, index, operation, segment, id, timeout_ms, body_bytes } = self;
         format!(
