--- a/crates/dunepond-body-buffer/src/folder.rs
+++ b/crates/dunepond-body-buffer/src/folder.rs
@@ -1,4 +1,5 @@
-//! The folder that bodies are spilled to: one file for each body, gone with the process however it ends.
+//! The folder that bodies are spilled to. Each body has a file of its own, which is unlinked as soon as it is open, so
+//! that no file outlives the process, even after a crash.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -6,47 +7,52 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Makes files. A test double can fail any call.
+/// Creates spill files. Tests substitute implementations that fail.
 pub trait SpillFolder: Send + Sync + 'static {
-    /// Makes a file for one body.
+    /// Creates an empty file for one body.
     fn create(&self) -> io::Result<Box<dyn SpillFile>>;
 
-    /// The folder is used no more, though a thread may still be in a call to it.
+    /// Releases the folder at shutdown. A thread may still be inside a call to [`Self::create`] at that time.
     fn close(&self) {}
 }
 
-/// One file; removed when dropped.
+/// An open spill file of one body; dropping it removes the file.
 pub trait SpillFile: Send {
-    /// Writes some of the bytes at an offset; how many.
+    /// Writes at least some of `bytes` at byte `offset` and returns how many were written.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<usize>;
-    /// Reads some bytes from an offset; how many, 0 at the end.
+    /// Reads into `bytes` from byte `offset` and returns how many were read; 0 at the end of the file.
     fn read_at(&mut self, offset: u64, bytes: &mut [u8]) -> io::Result<usize>;
 }
 
-/// File names are the prefix, the owner's mark, a body's number, and one of these suffixes.
+/// First part of all file names. A body's file is named `dunepond-MARK-NUMBER.body`, the lock file of the process that
+/// owns it `dunepond-MARK.owner`.
 const FILE_PREFIX: &str = "dunepond-";
+/// Suffix of the lock file that a process holds while it is alive.
 const OWNER_SUFFIX: &str = ".owner";
+/// Suffix of a spill file.
 const BODY_SUFFIX: &str = ".body";
-/// Only the broker's user may read bodies.
+/// Permissions of all files: only the broker's user may read bodies.
 const FILE_MODE: u32 = 0o600;
 
-/// A real folder. Each process holds a lock on a file with its mark, which tells others that it is alive: brokers may
-/// share a folder, and none removes the files of another.
+/// A spill folder on a file system. Several brokers may share it: each process holds a lock on its `.owner` file while
+/// it is alive, so that no process removes the files of another one that still runs.
 pub struct DiskFolder {
     folder: PathBuf,
+    /// Unique name of this process within the folder; part of its file names.
     mark: String,
+    /// Number in the name of the next spill file.
     next_number: AtomicU64,
-    /// Locked until the process has ended, however it ends.
+    /// Lock file of this process. The operating system releases the lock when the process ends, even after a crash.
     _owner: File,
     owner_path: PathBuf,
 }
 
 impl DiskFolder {
-    /// Opens an existing folder, and removes files of processes that have ended. `mark` is plain text, new with each
-    /// start of a process.
+    /// Opens an existing folder, and removes files of processes that have ended. `mark` names this process in its file
+    /// names and must differ at each start.
     ///
     /// # Errors
-    /// The folder cannot be read or written, or the mark is in use.
+    /// The folder cannot be read or written, or another process uses the same `mark`.
     pub fn open(folder: &Path, mark: &str) -> io::Result<Self> {
         let owner_path = folder.join(format!("{FILE_PREFIX}{mark}{OWNER_SUFFIX}"));
         let owner = OpenOptions::new().write(true).create_new(true).mode(FILE_MODE).open(&owner_path)?;
@@ -62,7 +68,8 @@
         Ok(disk)
     }
 
-    /// Removes files of processes whose lock nobody holds any more; never one with a name of another form.
+    /// Removes the files of each process that no longer holds its lock. Files whose names have another form are left
+    /// alone.
     fn remove_abandoned(&self) -> io::Result<()> {
         for entry in std::fs::read_dir(&self.folder)? {
             let path = entry?.path();
@@ -79,6 +86,7 @@
         Ok(())
     }
 
+    /// Removes the spill files of the process named `mark`.
     fn remove_bodies_of(&self, mark: &str) -> io::Result<()> {
         for entry in std::fs::read_dir(&self.folder)?.flatten() {
             let path = entry.path();
@@ -92,7 +100,7 @@
     }
 }
 
-/// What stands between the prefix and a suffix of a file's name.
+/// The part of a file's name between [`FILE_PREFIX`] and `suffix`; `None` where the name has another form.
 fn name_between<'a>(path: &'a Path, suffix: &str) -> Option<&'a str> {
     path.file_name()?.to_str()?.strip_prefix(FILE_PREFIX)?.strip_suffix(suffix)
 }
@@ -109,7 +117,8 @@
         let path = self.folder.join(format!("{FILE_PREFIX}{}-{number}{BODY_SUFFIX}", self.mark));
         let mut options = OpenOptions::new();
         let file = options.read(true).write(true).create_new(true).mode(FILE_MODE).open(&path)?;
-        // Where an open file cannot be unlinked, it is removed when dropped, or by the next process.
+        // If the file system cannot unlink an open file, it is removed on drop, or by the next process that opens the
+        // folder.
         let linked_path = std::fs::remove_file(&path).is_err().then_some(path);
         Ok(Box::new(UnlinkedFile { file, linked_path }))
     }
@@ -119,10 +128,10 @@
     }
 }
 
-/// An open file without a name.
+/// An open spill file that normally has no name in the folder any more.
 struct UnlinkedFile {
     file: File,
-    /// Its name, where it could not be unlinked.
+    /// Path of the file if it could not be unlinked while open; removed on drop.
     linked_path: Option<PathBuf>,
 }
 
--- a/crates/dunepond-body-buffer/src/lib.rs
+++ b/crates/dunepond-body-buffer/src/lib.rs
@@ -1,8 +1,8 @@
-//! Buffers the bodies of requests for the attempts that may still need them.
+//! Buffers request bodies so that retries and hedged attempts can send them again.
 //!
-//! [`BufferManager`] decides, without input or output, whether a body is buffered in memory, spilled to a file or passed
-//! through. [`Spool`] is the disk: a fixed number of threads that read and write files in a [`SpillFolder`]. The host
-//! owns the bytes, asks the manager and carries out what it says.
+//! [`BufferManager`] performs no I/O: it decides whether a body is buffered in memory, spilled to a file or passed
+//! through. [`Spool`] performs the disk I/O on a fixed number of threads that read and write files in a
+//! [`SpillFolder`]. The host owns the bytes, asks the manager and carries out its decisions.
 //!
 //! Times are seconds on the host's clock; sizes are bytes.
 
--- a/crates/dunepond-body-buffer/src/limits.rs
+++ b/crates/dunepond-body-buffer/src/limits.rs
@@ -1,39 +1,40 @@
-//! What the operator allows.
+//! The operator's limits on buffering and spilling.
 
-/// What buffered bodies may take of the memory, and of each share of it. The rest is for windows, so that bodies that are
-/// not buffered can still pass.
+/// Share of the memory limit that buffered bodies may use. The rest is reserved for windows, so that bodies that are
+/// not buffered can still be streamed. Each tenant's and query class's share of the memory is reduced in the same way.
 pub const MAX_BUFFERED_RATIO: f64 = 0.75;
 
-/// Limits of the files that bodies are spilled to.
+/// Limits on spilling bodies to files.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpillLimits {
-    /// Longest body.
+    /// Longest body that may be spilled, in bytes.
     pub max_body_bytes: u64,
-    /// Most bytes of all bodies together.
+    /// Maximum total size of all spilled bodies, in bytes.
     pub max_total_bytes: u64,
-    /// Seconds without spilling after a first failure; doubled with each further one in a row.
+    /// Seconds for which nothing is spilled after a first disk failure; doubled with each consecutive failure.
     pub initial_backoff_seconds: f64,
-    /// Seconds without spilling, at most.
+    /// Upper limit of the back-off after disk failures, in seconds.
     pub max_backoff_seconds: f64,
 }
 
 /// Limits of the body buffer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BufferLimits {
-    /// The longest body that is accepted at all.
+    /// Longest body that is accepted at all, in bytes.
     pub max_body_bytes: u64,
-    /// The longest body that is buffered in memory.
+    /// Longest body that is buffered in memory, in bytes.
     pub max_body_in_memory_bytes: u64,
-    /// All that requests take in memory: bodies, what is queued of them, and values of nodes.
+    /// Maximum memory of all requests in bytes: bodies, read buffers, queued disk writes and values that nodes
+    /// returned.
     pub max_memory_bytes: u64,
-    /// Absent, nothing is spilled.
+    /// Limits on spilling; `None` disables it.
     pub spill: Option<SpillLimits>,
-    /// Share of each tier that one tenant may take.
+    /// Share of each tier (0 to 1) that one tenant may use.
     pub tenant_ratio: f64,
-    /// Share of each tier that one query class may take.
+    /// Share of each tier (0 to 1) that one query class may use.
     pub query_class_ratio: f64,
-    /// What a body that is not in memory as a whole may take there.
+    /// Memory in bytes for the window of a body that is in a file or passed through.
     pub window_bytes: u64,
-    /// Seconds after which a node that takes nothing, or a disk that does nothing, has failed.
+    /// Seconds without progress after which a node that reads nothing, or a disk job, is treated as failed.
     pub io_timeout_seconds: f64,
 }
--- a/crates/dunepond-body-buffer/src/manager/admission.rs
+++ b/crates/dunepond-body-buffer/src/manager/admission.rs
@@ -1,22 +1,23 @@
-//! A body's way from its first byte to its release.
+//! Admission, growth, completion and release of bodies.
 
 use super::{Body, BufferManager};
 use crate::limits::MAX_BUFFERED_RATIO;
 use crate::placement::{BodyId, FallbackReason, IncomingBody, Owner, Placement, Tier};
 
-/// What a new body is given of each tier.
+/// The tier chosen for a new body, and the bytes to reserve for it.
 struct Reservation {
     tier: Tier,
+    /// Why no better tier was chosen.
     fallback_reason: Option<FallbackReason>,
     memory_bytes: u64,
     file_bytes: u64,
 }
 
 impl BufferManager {
-    /// Admits a body, and reserves its place for the length that it states.
+    /// Admits a body, chooses its tier and reserves space for its stated length.
     ///
     /// # Errors
-    /// Why it is not accepted.
+    /// The reason why the body is not accepted. It is counted under [`Tier::PassThrough`].
     pub fn admit(&mut self, now: f64, incoming: IncomingBody) -> Result<Placement, FallbackReason> {
         let IncomingBody { tenant, query_class, stated_length } = incoming;
         let owner = Owner { tenant, query_class };
@@ -49,7 +50,10 @@
         Ok(Placement { id, tier, fallback_reason })
     }
 
-    /// The first tier that has room for a new body.
+    /// Chooses the first tier, best one first, that has room for a new body, and counts the tiers that were full.
+    ///
+    /// # Errors
+    /// No tier can hold the body: its length is unknown and neither memory nor files have room.
     fn choose_tier(
         &mut self,
         now: f64,
@@ -59,7 +63,8 @@
     ) -> Result<Reservation, FallbackReason> {
         let known_length = stated_length.unwrap_or(0);
         let window = self.limits.window_bytes.min(stated_length.unwrap_or(u64::MAX));
-        // A body of unknown length begins with a window: reserving its maximum would hold memory that few need.
+        // A body of unknown length starts with one window: few bodies need the memory that reserving the maximum would
+        // take.
         let initial = stated_length.unwrap_or(window);
         let Err(memory_reason) = self.check_buffered(owner, known_length, initial) else {
             return Ok(Reservation {
@@ -90,11 +95,11 @@
         })
     }
 
-    /// More of a body of unknown length has arrived, `received_bytes` in all. Returns the tier that it is in now: a body that the
-    /// memory has no more room for moves to a file.
+    /// Records that `received_bytes` in total have arrived of a body of unknown length, and reserves space for them.
+    /// Returns the body's tier from now on: a body that no longer fits in memory moves to a file.
     ///
     /// # Errors
-    /// Why it can be held no more.
+    /// The reason why the body can no longer be buffered; the host should release it.
     pub fn grow(&mut self, now: f64, id: BodyId, received_bytes: u64) -> Result<Tier, FallbackReason> {
         let Some(body) = self.bodies.get_mut(&id) else { return Err(FallbackReason::LengthUnknown) };
         let owner = body.owner;
@@ -111,10 +116,11 @@
         self.grow_in_file(now, id, received_bytes)
     }
 
+    /// Reserves memory for `received_bytes` of a body that is buffered in memory.
     fn grow_in_memory(&mut self, id: BodyId, received_bytes: u64) -> Result<(), FallbackReason> {
         let Some(body) = self.bodies.get(&id) else { return Ok(()) };
         let (owner, memory_bytes, file_bytes) = (body.owner, body.memory_bytes, body.file_bytes);
-        // A window ahead where there is room: more arrives before this is asked again.
+        // If there is room, reserve one window more than has arrived: more may arrive before the next call of `grow`.
         let ahead = (received_bytes + self.limits.window_bytes).max(memory_bytes);
         let new_memory_bytes = match self.check_memory(MAX_BUFFERED_RATIO, owner, ahead - memory_bytes) {
             Ok(()) => ahead,
@@ -125,6 +131,7 @@
         Ok(())
     }
 
+    /// Reserves file space for `received_bytes` of a body and moves the body to [`Tier::File`].
     fn grow_in_file(&mut self, now: f64, id: BodyId, received_bytes: u64) -> Result<Tier, FallbackReason> {
         let Some(body) = self.bodies.get(&id) else { return Err(FallbackReason::LengthUnknown) };
         let (owner, memory_bytes, file_bytes) = (body.owner, body.memory_bytes, body.file_bytes);
@@ -144,7 +151,8 @@
         Ok(Tier::File)
     }
 
-    /// All of a body has arrived and, where it is in a file, been written. Gives back what was reserved beyond its length.
+    /// Records that a body has arrived completely and, if it is in a file, has been written. Releases what was reserved
+    /// beyond its length.
     pub fn complete(&mut self, now: f64, id: BodyId) {
         let Some(body) = self.bodies.get_mut(&id) else { return };
         body.complete = true;
@@ -154,20 +162,20 @@
             self.reserve(id, received_bytes, file_bytes);
         }
         if tier == Tier::File {
-            // An attempt that reads it back needs its window still.
+            // An attempt that reads the body back still needs a window.
             self.reserve(id, self.limits.window_bytes.min(file_bytes), file_bytes);
             self.spill_state.on_written(id);
         }
     }
 
-    /// An attempt has read a body.
+    /// Records that an attempt has read a body, which makes it the most recently used one.
     pub fn touch(&mut self, now: f64, id: BodyId) {
         if let Some(body) = self.bodies.get_mut(&id) {
             body.last_used_at = now;
         }
     }
 
-    /// Releases a body that no attempt needs again, and of which no frame is half written.
+    /// Releases a body. No attempt may need it again, and none of its frames may be partly written.
     pub fn release(&mut self, id: BodyId) {
         self.reserve(id, 0, 0);
         self.bodies.remove(&id);
--- a/crates/dunepond-body-buffer/src/manager/mod.rs
+++ b/crates/dunepond-body-buffer/src/manager/mod.rs
@@ -1,4 +1,4 @@
-//! Decides where each body is held, within limits for one body, each tenant, each query class and all together.
+//! Decides which tier holds each body, within limits for a single body, each tenant, each query class and all bodies.
 
 mod admission;
 mod spilling;
@@ -10,13 +10,14 @@
 use crate::spill_state::SpillState;
 use crate::usage::{BufferUsage, OtherUsage, TierUsage};
 
-/// What a connection may take in memory to read a body with until all of it has arrived. It counts from the arrival on:
-/// of hundreds that arrive in the same instant, none has read anything yet.
+/// Memory in bytes counted for the read buffer of each incomplete body. It counts from admission on: hundreds of bodies
+/// may be admitted before any of their connections has filled its buffer.
 const READ_BUFFER_BYTES: u64 = 64 * 1024;
 
-/// The body buffer's bookkeeping; see the crate's documentation.
+/// Tracks the memory and file space of all buffered bodies, and decides which tier holds each body. Performs no I/O.
 pub struct BufferManager {
     limits: BufferLimits,
+    /// Bodies that are not released yet.
     bodies: BTreeMap<BodyId, Body>,
     last_id: BodyId,
     memory: TierUsage,
@@ -27,21 +28,27 @@
     fallback_counts: BTreeMap<FallbackKey, u64>,
 }
 
+/// A body that was admitted and not released yet.
 struct Body {
     owner: Owner,
+    /// Length in bytes, if the client stated it.
     stated_length: Option<u64>,
-    /// All of it has arrived.
+    /// Whether the whole body has arrived and, in [`Tier::File`], been written.
     complete: bool,
     tier: Tier,
-    /// Being written to a file while it counts as held in memory.
+    /// Whether the body is being written to a file while it still counts as held in memory.
     spilling: bool,
+    /// When the body was admitted, completed or last read.
     last_used_at: f64,
+    /// Reserved memory.
     memory_bytes: u64,
+    /// Reserved file space.
     file_bytes: u64,
-    /// What has arrived, as far as reported.
+    /// Bytes that have arrived, as last reported to [`BufferManager::grow`].
     received_bytes: u64,
 }
 
+/// Key of a fallback counter.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct FallbackKey {
     tier: Tier,
@@ -49,15 +56,16 @@
     query_class: usize,
 }
 
-/// What is checked before a tier takes more.
+/// Usage and limits of one tier, checked before more is reserved in it.
 struct TierLoad<'a> {
     usage: &'a TierUsage,
+    /// Bytes in use that count against `max_bytes`; for memory this includes other usage than bodies.
     used_bytes: u64,
     max_bytes: u64,
     reasons: &'a FullReasons,
 }
 
-/// What a refusal says, by the limit that is reached.
+/// The fallback reasons to report for a full tier, by the limit that was reached.
 struct FullReasons {
     tier: FallbackReason,
     tenant: FallbackReason,
@@ -77,7 +85,7 @@
 };
 
 impl BufferManager {
-    /// An empty buffer.
+    /// Creates an empty buffer.
     pub fn new(limits: BufferLimits) -> Self {
         Self {
             limits,
@@ -92,28 +100,28 @@
         }
     }
 
-    /// The present limits.
+    /// The current limits.
     pub fn limits(&self) -> &BufferLimits {
         &self.limits
     }
 
-    /// Changes the limits for new bodies. Those that are held stay, however much they take.
+    /// Changes the limits. Bodies that are already buffered stay, even if they exceed the new limits.
     pub fn set_limits(&mut self, limits: BufferLimits) {
         self.limits = limits;
     }
 
-    /// What is reserved of the memory for a body.
+    /// Memory in bytes reserved for a body; 0 if the body is unknown.
     pub fn reserved_memory(&self, id: BodyId) -> u64 {
         self.bodies.get(&id).map_or(0, |body| body.memory_bytes)
     }
 
-    /// States how much memory requests take beside bodies at this moment.
+    /// Sets how much memory requests currently use for purposes other than buffered bodies.
     pub fn set_other_usage(&mut self, kind: OtherUsage, bytes: u64) {
         self.other_usage.insert(kind, bytes);
         self.update_peak();
     }
 
-    /// What is in use at this moment.
+    /// Current and peak usage.
     pub fn usage(&self) -> BufferUsage {
         BufferUsage {
             bodies: self.bodies.len(),
@@ -124,7 +132,8 @@
         }
     }
 
-    /// How often a body was not held in a tier, or not accepted (`PassThrough`).
+    /// How often bodies were not held in a tier, by tier, reason and query class. [`Tier::PassThrough`] counts bodies
+    /// that were not accepted.
     pub fn fallback_counts(&self) -> impl Iterator<Item = FallbackCount> {
         self.fallback_counts.iter().map(|(key, count)| FallbackCount {
             tier: key.tier,
@@ -138,12 +147,13 @@
         *self.fallback_counts.entry(FallbackKey { tier, reason, query_class }).or_default() += 1;
     }
 
-    /// Counts a body that is not accepted, and gives the reason back.
+    /// Counts a body that is not accepted, and returns `reason`.
     fn refuse(&mut self, reason: FallbackReason, query_class: usize) -> FallbackReason {
         self.count_fallback(Tier::PassThrough, reason, query_class);
         reason
     }
 
+    /// Memory in use: bodies, read buffers, node values and pending writes.
     fn used_memory(&self) -> u64 {
         let incoming = self.bodies.values().filter(|body| !body.complete).count() as u64;
         let other = |kind| self.other_usage.get(&kind).copied().unwrap_or(0);
@@ -155,7 +165,7 @@
         self.peak_memory_bytes = self.peak_memory_bytes.max(self.used_memory());
     }
 
-    /// Sets what a body takes of each tier.
+    /// Sets the bytes reserved for a body in memory and in files, and updates all totals.
     fn reserve(&mut self, id: BodyId, memory_bytes: u64, file_bytes: u64) {
         let Some(body) = self.bodies.get_mut(&id) else { return };
         self.memory.subtract(body.owner, body.memory_bytes);
@@ -167,7 +177,8 @@
         self.update_peak();
     }
 
-    /// Whether a body of this length may be buffered in memory, which takes `additional_bytes` beside what it has already.
+    /// Checks whether a body of this length may be buffered in memory if that takes `additional_bytes` more than the
+    /// body has reserved.
     fn check_buffered(&self, owner: Owner, length: u64, additional_bytes: u64) -> Result<(), FallbackReason> {
         if length > self.limits.max_body_in_memory_bytes {
             return Err(FallbackReason::TooLongForMemory);
@@ -175,12 +186,13 @@
         self.check_memory(MAX_BUFFERED_RATIO, owner, additional_bytes)
     }
 
-    /// Whether there is room for a window. Windows may take all of the memory, so that bodies can pass when it is full of
-    /// buffered ones.
+    /// Checks whether memory has room for a window. Windows may use the whole memory limit, so that bodies can still be
+    /// streamed when buffered bodies have used up their part of it.
     fn check_window(&self, owner: Owner, additional_bytes: u64) -> Result<(), FallbackReason> {
         self.check_memory(1.0, owner, additional_bytes)
     }
 
+    /// Checks whether `additional_bytes` fit into `ratio` of the memory limit, and of the shares of the owner.
     fn check_memory(&self, ratio: f64, owner: Owner, additional_bytes: u64) -> Result<(), FallbackReason> {
         let load = TierLoad {
             usage: &self.memory,
@@ -191,7 +203,8 @@
         self.check_load(&load, owner, additional_bytes)
     }
 
-    /// Whether a body of this length may be in a file now, which takes `additional_bytes` beside what it has already.
+    /// Checks whether a body of this length may be written to a file now if that takes `additional_bytes` more than the
+    /// body has reserved.
     fn check_spill(
         &self,
         now: f64,
@@ -216,6 +229,7 @@
         self.check_load(&load, owner, additional_bytes)
     }
 
+    /// Checks `additional_bytes` against the limits of a tier: in all, for the tenant and for the query class.
     fn check_load(&self, load: &TierLoad, owner: Owner, additional_bytes: u64) -> Result<(), FallbackReason> {
         let share = |ratio: f64| (ratio * load.max_bytes as f64) as u64;
         let exceeds = |used: u64, max: u64| used.saturating_add(additional_bytes) > max;
--- a/crates/dunepond-body-buffer/src/manager/spilling.rs
+++ b/crates/dunepond-body-buffer/src/manager/spilling.rs
@@ -1,4 +1,4 @@
-//! Moves bodies from memory to files, and handles failures of the disk.
+//! Moves bodies from memory to files, and handles disk failures.
 
 use std::cmp::Ordering;
 
@@ -6,13 +6,13 @@
 use crate::DiskFault;
 use crate::placement::{BodyId, FallbackReason, Owner, Tier};
 
-/// Memory in use, as a share of its maximum, from which bodies are spilled, the least recently used first. Below the
-/// maximum, so that an arrival need not wait for a disk.
+/// Share of the memory limit in use at which spilling starts, least recently used body first. It is below 1 so that a
+/// new body need not wait for the disk.
 const SPILL_START_RATIO: f64 = 0.6;
-/// Memory in use down to which bodies are spilled.
+/// Share of the memory limit in use at which spilling stops.
 const SPILL_STOP_RATIO: f64 = 0.4;
 
-/// A body that may be spilled.
+/// A body that may be moved from memory to a file.
 struct SpillCandidate {
     id: BodyId,
     owner: Owner,
@@ -21,7 +21,8 @@
 }
 
 impl BufferManager {
-    /// Bodies that the host must write to files now. The memory of each is free once [`Self::finish_spill`] is called.
+    /// Starts spilling if too much memory is in use. Returns the bodies that the host must write to files now; the
+    /// memory of each is freed when the host calls [`Self::finish_spill`].
     pub fn start_spills(&mut self, now: f64) -> Vec<BodyId> {
         let max_memory = self.limits.max_memory_bytes as f64;
         let mut started = Vec::new();
@@ -48,13 +49,14 @@
         started
     }
 
-    /// Memory that spills under way will free.
+    /// Memory in bytes that the spills in progress will free.
     fn spilling_bytes(&self) -> u64 {
         let spilling = self.bodies.values().filter(|body| body.spilling);
         spilling.map(|body| body.memory_bytes.saturating_sub(self.limits.window_bytes)).sum()
     }
 
-    /// Bodies that may be spilled, the least recently used first.
+    /// Bodies that may be spilled, least recently used first. Incomplete bodies and those within one window are
+    /// excluded.
     fn spill_candidates(&self) -> Vec<SpillCandidate> {
         let may_spill = |body: &Body| {
             body.tier == Tier::Memory
@@ -77,7 +79,8 @@
         candidates
     }
 
-    /// A body that was being spilled is in its file as a whole.
+    /// Records that a body that was being spilled has been written to its file completely, and frees its memory except
+    /// for a window.
     pub fn finish_spill(&mut self, id: BodyId) {
         let Some(body) = self.bodies.get_mut(&id).filter(|body| body.spilling) else { return };
         body.spilling = false;
@@ -87,11 +90,12 @@
         self.spill_state.on_written(id);
     }
 
-    /// The disk has failed a body. One that was being spilled stays in memory; one that was arriving continues in the tier
-    /// returned. What is in the file already stays readable, and counted.
+    /// Handles a failed disk job of a body, and returns the tier in which the body continues. A body that was being
+    /// spilled stays in memory; one that was still arriving is passed through. Bytes that are already in its file stay
+    /// readable, and stay counted.
     ///
     /// # Errors
-    /// The body can be held no more.
+    /// The body cannot be buffered or passed through any more.
     pub fn on_disk_fault(&mut self, now: f64, id: BodyId, fault: DiskFault) -> Result<Tier, FallbackReason> {
         if let Some(limits) = &self.limits.spill {
             self.spill_state.on_failed(now, id, limits);
@@ -112,6 +116,7 @@
     }
 }
 
+/// Orders candidates by last use, then by id.
 fn compare_last_used(a: &SpillCandidate, b: &SpillCandidate) -> Ordering {
     a.last_used_at.total_cmp(&b.last_used_at).then(a.id.cmp(&b.id))
 }
--- a/crates/dunepond-body-buffer/src/placement.rs
+++ b/crates/dunepond-body-buffer/src/placement.rs
@@ -1,86 +1,86 @@
-//! Where a body is held, and why it is not held in a better place.
+//! Tiers that can hold a body, and the reasons why a body is not held in a better one.
 
 use std::fmt;
 
 use crate::DiskFault;
 
-/// A body's number; none is used twice.
+/// Number of a body, unique within a [`crate::BufferManager`].
 pub type BodyId = u64;
 
-/// A body whose first bytes have arrived.
+/// A body to be admitted, when its first bytes have arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct IncomingBody {
-    /// Index of the tenant.
+    /// Index of the tenant that sent the body.
     pub tenant: usize,
-    /// Index of the query class.
+    /// Index of the body's query class.
     pub query_class: usize,
-    /// Bytes, where the client states them ahead.
+    /// Length in bytes, if the client stated it in advance.
     pub stated_length: Option<u64>,
 }
 
-/// Whose limits a body counts against.
+/// The tenant and the query class whose limits a body counts against.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Owner {
     pub(crate) tenant: usize,
     pub(crate) query_class: usize,
 }
 
-/// Where a body is held, the best place first.
+/// Where a body is held; the best tier comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
-    /// In memory as a whole.
+    /// The whole body is in memory.
     Memory,
-    /// In a file, with a window of it in memory.
+    /// The body is in a file, with one window of it in memory.
     File,
-    /// Nowhere: it is passed on once as it arrives, with a window of it in memory.
+    /// The body is not stored: it is forwarded once as it arrives, with one window of it in memory.
     PassThrough,
 }
 
-/// The place of a body that was admitted.
+/// The tier assigned to a body at admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Placement {
-    /// The body's number.
+    /// Number of the body.
     pub id: BodyId,
-    /// Where it is held.
+    /// Tier that holds the body.
     pub tier: Tier,
-    /// Why it is not held in the better tier before this one; `None` in memory.
+    /// Why the body is not held in the next better tier; `None` for [`Tier::Memory`].
     pub fallback_reason: Option<FallbackReason>,
 }
 
 /// Why a body is not held in a tier, or not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FallbackReason {
-    /// Longer than any body may be.
+    /// The body is longer than any body may be.
     TooLong,
-    /// Longer than a body in memory may be.
+    /// The body is longer than a body in memory may be.
     TooLongForMemory,
-    /// The memory is full.
+    /// The memory for buffered bodies is used up.
     MemoryFull,
-    /// The tenant's share of the memory is full.
+    /// The tenant's share of the memory is used up.
     TenantMemoryFull,
-    /// The query class's share of the memory is full.
+    /// The query class's share of the memory is used up.
     QueryClassMemoryFull,
-    /// The operator's file names no spill folder.
+    /// Spilling is disabled: the operator's file names no spill folder.
     SpillDisabled,
-    /// The disk failed, and the backoff is not over.
+    /// The disk failed, and the back-off has not ended.
     SpillBackingOff,
-    /// Longer than a body in a file may be.
+    /// The body is longer than a body in a file may be.
     TooLongForSpill,
-    /// The files are full.
+    /// The file space for spilled bodies is used up.
     SpillFull,
-    /// The tenant's share of the files is full.
+    /// The tenant's share of the file space is used up.
     TenantSpillFull,
-    /// The query class's share of the files is full.
+    /// The query class's share of the file space is used up.
     QueryClassSpillFull,
-    /// Its length was not stated, so it cannot be passed through, and there is no other room for it.
+    /// The body's length was not stated, so it cannot be passed through, and neither memory nor files have room for it.
     LengthUnknown,
-    /// The memory has no room for a window.
+    /// The memory has no room for the window of a body that is in a file or passed through.
     NoWindow,
-    /// The disk failed.
+    /// A disk job of the body failed.
     Disk(DiskFault),
 }
 
-/// Each text is unique: it stands in counters, in the log and in the answer to the client.
+/// Each text is unique, as it labels counters and appears in the log and in responses to clients.
 impl fmt::Display for FallbackReason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -104,15 +104,16 @@
     }
 }
 
-/// How often bodies of a query class were not held in a tier, or not accepted (`PassThrough`), for one reason.
+/// How often bodies of one query class were not held in a tier for one reason. [`Tier::PassThrough`] counts bodies that
+/// were not accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FallbackCount {
-    /// Where they were not held.
+    /// Tier that did not hold the bodies.
     pub tier: Tier,
-    /// Why they were not held there.
+    /// Why the tier did not hold the bodies.
     pub reason: FallbackReason,
-    /// Index of the query class.
+    /// Index of the query class of the bodies.
     pub query_class: usize,
-    /// How often, since the start.
+    /// Number of such bodies since the process started.
     pub count: u64,
 }
--- a/crates/dunepond-body-buffer/src/spill_state.rs
+++ b/crates/dunepond-body-buffer/src/spill_state.rs
@@ -1,27 +1,24 @@
-//! Whether bodies may be spilled, as failures of the disk have left it.
+//! Back-off after disk failures: whether bodies may be spilled now.
 
 use crate::limits::SpillLimits;
 use crate::placement::BodyId;
 
-/// How much longer each failure in a row makes the backoff.
+/// Factor by which each consecutive failure lengthens the back-off.
 const BACKOFF_FACTOR: f64 = 2.0;
 
+/// State of spilling after successes and failures of the disk.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum SpillState {
+    /// Any body may be spilled.
     Available,
-    BackingOff {
-        until: f64,
-        backoff_seconds: f64,
-    },
-    /// One body shows whether the disk works again.
-    Probing {
-        body: BodyId,
-        backoff_seconds: f64,
-    },
+    /// No body may be spilled before `until`, after the disk failed.
+    BackingOff { until: f64, backoff_seconds: f64 },
+    /// One body, the probe, is being written to find out whether the disk works again; no other may be spilled.
+    Probing { body: BodyId, backoff_seconds: f64 },
 }
 
 impl SpillState {
-    /// Whether this body may be written now.
+    /// Whether this body may be written to the disk now.
     pub(crate) fn permits(&self, now: f64, body: BodyId) -> bool {
         match *self {
             Self::Available => true,
@@ -30,21 +27,21 @@
         }
     }
 
-    /// A body that was permitted is written: after a failure it is the probe.
+    /// Records that a permitted body is being written. The first one after a back-off becomes the probe.
     pub(crate) fn on_started(&mut self, body: BodyId) {
         if let Self::BackingOff { backoff_seconds, .. } = *self {
             *self = Self::Probing { body, backoff_seconds };
         }
     }
 
-    /// A body is in its file as a whole.
+    /// Records that a body was written completely. If it was the probe, spilling is available again.
     pub(crate) fn on_written(&mut self, body: BodyId) {
         if self.is_probe(body) {
             *self = Self::Available;
         }
     }
 
-    /// The disk has failed a body. Bodies that were under way together fail together, which counts as one failure.
+    /// Records a disk failure for a body. Failures of bodies that were written at the same time count as one.
     pub(crate) fn on_failed(&mut self, now: f64, body: BodyId, limits: &SpillLimits) {
         let backoff_seconds = match *self {
             Self::Available => limits.initial_backoff_seconds,
@@ -56,7 +53,8 @@
         *self = Self::BackingOff { until: now + backoff_seconds, backoff_seconds };
     }
 
-    /// A body is released. Where it was a probe without a result, the next body is one at once.
+    /// Records that a body was released. If it was the probe and its result is not known, the next body becomes the
+    /// probe.
     pub(crate) fn on_released(&mut self, body: BodyId) {
         if let Self::Probing { body: probe, backoff_seconds } = *self
             && probe == body
--- a/crates/dunepond-body-buffer/src/spool.rs
+++ b/crates/dunepond-body-buffer/src/spool.rs
@@ -1,4 +1,4 @@
-//! The disk: a few threads that write and read files, so that the caller never waits for it.
+//! Disk I/O on a few threads, so that the caller never blocks on the disk.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -12,33 +12,33 @@
 
 use crate::{SpillFile, SpillFolder};
 
-/// A file's number, which the caller gives; none is used twice.
+/// Number of a file, chosen by the caller; each number is used for one file only.
 pub type FileId = u64;
 
-/// What the disk is asked to do with a file. Offsets and lengths are bytes.
+/// A disk job for one file. Offsets and lengths are in bytes.
 #[derive(Debug)]
 pub enum DiskJob {
-    /// Writes bytes at an offset; the first write makes the file.
+    /// Writes bytes at an offset; the first write creates the file.
     Write {
-        /// Which file.
+        /// Number of the file.
         file: FileId,
-        /// Where in the file.
+        /// Offset in the file.
         offset: u64,
-        /// What is written.
+        /// Bytes to write.
         bytes: Bytes,
     },
-    /// Reads bytes that have been written.
+    /// Reads bytes that were written before.
     Read {
-        /// Which file.
+        /// Number of the file.
         file: FileId,
-        /// Where in the file.
+        /// Offset in the file.
         offset: u64,
-        /// How many bytes.
+        /// Number of bytes to read.
         length: usize,
     },
-    /// Removes the file; nothing is reported.
+    /// Removes the file; no event is reported.
     Close {
-        /// Which file.
+        /// Number of the file.
         file: FileId,
     },
 }
@@ -51,75 +51,75 @@
     }
 }
 
-/// The end of a write or a read.
+/// Result of a write or a read.
 #[derive(Debug)]
 pub enum DiskEvent {
-    /// All bytes were written.
+    /// All bytes of a write were written.
     Written {
-        /// Which file.
+        /// Number of the file.
         file: FileId,
-        /// Where in the file.
+        /// Offset in the file.
         offset: u64,
-        /// How many bytes.
+        /// Number of bytes written.
         length: usize,
     },
-    /// All bytes were read.
+    /// All bytes of a read were read.
     Read {
-        /// Which file.
+        /// Number of the file.
         file: FileId,
-        /// Where in the file.
+        /// Offset in the file.
         offset: u64,
-        /// What was read.
+        /// Bytes that were read.
         bytes: Bytes,
     },
-    /// The job failed; some of it may have been done.
+    /// A write or a read failed; a part of a write may have been done.
     Failed {
-        /// Which file.
+        /// Number of the file.
         file: FileId,
-        /// Where in the file.
+        /// Offset in the file.
         offset: u64,
-        /// Why it failed.
+        /// Why the job failed.
         fault: DiskFault,
     },
 }
 
-/// Every way in which the disk can fail a body.
+/// Why a disk job failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DiskFault {
-    /// No space is left.
+    /// No space is left on the device, or the file would become too long for the file system.
     #[error("the disk is full")]
     Full,
-    /// The user's quota is reached.
+    /// The user's disk quota is used up.
     #[error("the quota on the disk is used up")]
     Quota,
-    /// The folder or its file system may not be written.
+    /// The folder or its file system is not writable for the process.
     #[error("the folder cannot be written")]
     ReadOnly,
-    /// The device reports an error.
+    /// The device reported an I/O error.
     #[error("the disk fails in input or output")]
     InputOutput,
     /// A write ended without an error before all bytes were written.
     #[error("the disk takes only a part")]
     Short,
-    /// The folder was removed.
+    /// The folder does not exist any more.
     #[error("the folder has gone")]
     Gone,
-    /// A job took longer than the timeout.
+    /// The job took longer than the timeout; reported by the host.
     #[error("the disk is too slow")]
     Slow,
-    /// The queue of jobs is full.
+    /// The queue of jobs is full; reported by the host.
     #[error("too much waits for the disk")]
     Busy,
-    /// What was written could not be read.
+    /// Bytes that were written could not be read back.
     #[error("the file cannot be read back")]
     Unreadable,
-    /// Any other error.
+    /// Any other I/O error.
     #[error("the disk fails")]
     Other,
 }
 
 impl DiskFault {
-    /// The fault that an error of a write stands for.
+    /// Classifies an I/O error of a write.
     pub fn from_io(error: &io::Error) -> Self {
         match error.raw_os_error() {
             Some(libc::ENOSPC | libc::EFBIG) => Self::Full,
@@ -134,23 +134,26 @@
     }
 }
 
-/// A fixed number of threads, each with a queue of jobs. Each file belongs to one thread, which keeps its jobs in order.
+/// A fixed number of disk threads, each with a queue of jobs. All jobs of a file go to the same thread, which keeps
+/// them in order.
 pub struct Spool {
     queues: Vec<Sender<DiskJob>>,
     load: Arc<SpoolLoad>,
+    /// Maximum number of jobs that are queued or running, over all threads.
     max_queued_jobs: usize,
 }
 
-/// What is queued or under way, over all threads.
+/// Jobs that are queued or running, over all threads.
 #[derive(Default)]
 struct SpoolLoad {
     jobs: AtomicUsize,
-    /// Bytes of queued writes: releasing a body does not free them.
+    /// Bytes of queued writes. They stay in memory until they are written, even if their body is released.
     write_bytes: AtomicU64,
 }
 
 impl Spool {
-    /// Starts the threads. They call `report` with the end of each write and read, in the order of each file's jobs.
+    /// Starts the threads. They call `report` with the result of each write and read, in the order of the jobs of each
+    /// file.
     ///
     /// # Errors
     /// A thread cannot be started.
@@ -177,17 +180,20 @@
         Ok(Self { queues, load, max_queued_jobs })
     }
 
-    /// Whether one more job may wait.
+    /// Whether one more job may be queued.
     pub fn has_room(&self) -> bool {
         self.load.jobs.load(Ordering::Relaxed) < self.max_queued_jobs
     }
 
-    /// Bytes that wait to be written.
+    /// Bytes of the writes that are queued or running.
     pub fn pending_write_bytes(&self) -> u64 {
         self.load.write_bytes.load(Ordering::Relaxed)
     }
 
-    /// Hands a job over, or gives it back where too many wait.
+    /// Queues a job.
+    ///
+    /// # Errors
+    /// Returns the job if the queue is full.
     pub fn submit(&self, job: DiskJob) -> Result<(), DiskJob> {
         if !self.has_room() {
             return Err(job);
@@ -196,19 +202,19 @@
         Ok(())
     }
 
-    /// Hands a job over, however many wait: a file can always be closed, and a few reads that belong together are handed
-    /// over together.
+    /// Queues a job even if the queue is full. Used to close files, which must always be possible, and to queue a few
+    /// related reads together.
     pub fn submit_unbounded(&self, job: DiskJob) {
         self.load.jobs.fetch_add(1, Ordering::Relaxed);
         if let DiskJob::Write { bytes, .. } = &job {
             self.load.write_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         }
-        // The threads live as long as the queues do.
+        // Sending cannot fail: the threads live as long as the queues.
         let _ = self.queues[job.file() as usize % self.queues.len()].send(job);
     }
 }
 
-/// What one thread owns.
+/// State of one disk thread.
 struct Worker<R> {
     folder: Arc<dyn SpillFolder>,
     files: HashMap<FileId, Box<dyn SpillFile>>,
@@ -231,7 +237,7 @@
     fn write(&mut self, file: FileId, offset: u64, bytes: Bytes) {
         let length = bytes.len();
         let outcome = self.open(file).and_then(|open| write_all(open, offset, &bytes));
-        // Freed before the event, so that the load never counts what is known to be written.
+        // Subtracted before the event, so that the load never counts bytes whose write was already reported.
         drop(bytes);
         self.load.write_bytes.fetch_sub(length as u64, Ordering::Relaxed);
         (self.report)(match outcome {
@@ -251,7 +257,7 @@
         });
     }
 
-    /// The file, which is made where there is none.
+    /// Returns the open file, and creates it if there is none.
     fn open(&mut self, file: FileId) -> io::Result<&mut dyn SpillFile> {
         let open = match self.files.entry(file) {
             Entry::Occupied(known) => known.into_mut(),
--- a/crates/dunepond-body-buffer/src/usage.rs
+++ b/crates/dunepond-body-buffer/src/usage.rs
@@ -1,36 +1,36 @@
-//! What is in use of each tier.
+//! Memory and file space in use.
 
 use std::collections::BTreeMap;
 
 use crate::placement::Owner;
 
-/// Memory that requests take beside the bodies in the buffer.
+/// Purposes other than buffered bodies for which requests use memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OtherUsage {
-    /// Read and not yet part of a body, or framed and not shared with one.
+    /// Bytes that were read but are not part of a body yet, and bytes framed for sending that no body shares.
     Buffers,
-    /// Values that nodes returned.
+    /// Values that nodes returned in their responses.
     NodeValues,
-    /// Bytes that wait for the disk, of bodies that were released or moved to another tier meanwhile.
+    /// Bytes of queued disk writes whose bodies were meanwhile released or moved to another tier.
     PendingWrites,
 }
 
-/// What is in use, for counters and audits.
+/// Memory and file space in use, for counters and for checks of the limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BufferUsage {
-    /// How many bodies there are.
+    /// Number of bodies that are not released yet.
     pub bodies: usize,
-    /// Memory of bodies.
+    /// Memory reserved for bodies, in bytes.
     pub body_memory_bytes: u64,
-    /// Memory of bodies and everything else that counts.
+    /// Memory of bodies plus all other usage that counts against the limit, in bytes.
     pub memory_bytes: u64,
-    /// Bytes in files.
+    /// File space reserved for bodies, in bytes.
     pub spill_bytes: u64,
-    /// The most that `memory_bytes` has been.
+    /// Highest value of `memory_bytes` since the start.
     pub peak_memory_bytes: u64,
 }
 
-/// Bytes in use of one tier, in all and by owner.
+/// Bytes reserved in one tier: in total, by tenant and by query class.
 #[derive(Default)]
 pub(crate) struct TierUsage {
     total: u64,
@@ -64,7 +64,8 @@
     }
 }
 
-/// Removes an entry that reaches 0: clients choose their names, and the entries of new ones would add up.
+/// Subtracts `bytes` from an entry and removes the entry when it reaches 0. Clients choose their own names, so entries
+/// of idle ones would accumulate.
 fn subtract_entry(usage: &mut BTreeMap<usize, u64>, key: usize, bytes: u64) {
     let remaining = usage.get(&key).map_or(0, |used| used - bytes);
     if remaining == 0 {
--- a/crates/dunepond-body-buffer/tests/manager.rs
+++ b/crates/dunepond-body-buffer/tests/manager.rs
@@ -1,4 +1,4 @@
-//! The buffer manager by cases, and by properties over random arrivals, failures and changes of its limits.
+//! Tests of the buffer manager: single cases, and properties over random arrivals, failures and releases.
 
 use dunepond_body_buffer::*;
 use proptest::prelude::*;
@@ -57,14 +57,15 @@
 #[test]
 fn tenant_share_is_reserved() {
     let mut manager = BufferManager::new(limits());
-    let flood: Vec<_> = (0..10).map(|_| manager.admit(0.0, body(1, 2 * MIB)).unwrap()).collect();
-    // Three quarters of the tenant's half: the rest is for windows.
-    assert_eq!(flood.iter().filter(|placement| placement.tier == Tier::Memory).count(), 3);
-    assert_eq!(flood[3].fallback_reason, Some(FallbackReason::TenantMemoryFull));
+    let admitted: Vec<_> = (0..10).map(|_| manager.admit(0.0, body(1, 2 * MIB)).unwrap()).collect();
+    // Bodies may use three quarters of the tenant's half of the memory; the rest is reserved for windows.
+    assert_eq!(admitted.iter().filter(|placement| placement.tier == Tier::Memory).count(), 3);
+    assert_eq!(admitted[3].fallback_reason, Some(FallbackReason::TenantMemoryFull));
     assert_eq!(manager.admit(0.0, body(2, 2 * MIB)).unwrap().tier, Tier::Memory);
 }
 
-/// A body of stated length could pass through in the end; this one cannot.
+/// A body of unknown length moves from memory to a file, and is refused once the file is full: it cannot be passed
+/// through.
 #[test]
 fn growing_body_changes_tier() {
     let mut manager = BufferManager::new(limits());
@@ -120,7 +121,7 @@
     assert_eq!(manager.admit(1.1, body(0, 4 * MIB)).unwrap().tier, Tier::File);
 }
 
-/// Each body counts as in memory until it is known to be in its file.
+/// A body that is being spilled still counts as in memory until its write is finished.
 #[test]
 fn spills_least_recently_used() {
     let mut manager = BufferManager::new(BufferLimits { tenant_ratio: 1.0, ..limits() });
@@ -132,12 +133,12 @@
         })
         .collect();
     manager.touch(9.0, ids[0]);
-    let moves: Vec<_> = manager.start_spills(10.0);
-    assert_eq!(moves, [ids[1], ids[2], ids[3]]);
+    let spilled: Vec<_> = manager.start_spills(10.0);
+    assert_eq!(spilled, [ids[1], ids[2], ids[3]]);
     assert_eq!(manager.start_spills(10.0), []);
     let before = manager.usage();
     assert_eq!((before.memory_bytes, before.spill_bytes), (10 * MIB, 6 * MIB));
-    moves.iter().for_each(|id| manager.finish_spill(*id));
+    spilled.iter().for_each(|id| manager.finish_spill(*id));
     assert_eq!(manager.usage().memory_bytes, 4 * MIB + 3 * MIB / 4);
 }
 
@@ -148,8 +149,8 @@
         let id = manager.admit(i as f64, body(0, 2 * MIB)).unwrap().id;
         manager.complete(i as f64, id);
     }
-    let moves = manager.start_spills(10.0);
-    assert_eq!(manager.on_disk_fault(10.0, moves[0], DiskFault::InputOutput), Ok(Tier::Memory));
+    let spilled = manager.start_spills(10.0);
+    assert_eq!(manager.on_disk_fault(10.0, spilled[0], DiskFault::InputOutput), Ok(Tier::Memory));
     assert_eq!(manager.usage().memory_bytes, 10 * MIB);
 }
 
@@ -171,14 +172,14 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { tenant: usize, query_class: usize, length: Option<u64> },
+    Admit { tenant: usize, query_class: usize, length: Option<u64> },
     Grow(usize, u64),
-    Whole(usize),
-    Pressed,
-    Spilled(usize),
-    Failed(usize),
-    LetGo(usize),
-    Beside(u64),
+    Complete(usize),
+    StartSpills,
+    FinishSpill(usize),
+    DiskFault(usize),
+    Release(usize),
+    SetOtherUsage(u64),
     Wait(f64),
 }
 
@@ -186,36 +187,36 @@
     let length = prop_oneof![0..4 * MIB, 0..70 * MIB];
     prop_oneof![
         4 => (0..3usize, 0..2usize, prop::option::weighted(0.8, length))
-            .prop_map(|(tenant, query_class, length)| Step::Arrive { tenant, query_class, length }),
+            .prop_map(|(tenant, query_class, length)| Step::Admit { tenant, query_class, length }),
         2 => (0..40usize, 0..MIB).prop_map(|(at, more)| Step::Grow(at, more)),
-        2 => (0..40usize).prop_map(Step::Whole),
-        1 => Just(Step::Pressed),
-        1 => (0..40usize).prop_map(Step::Spilled),
-        1 => (0..40usize).prop_map(Step::Failed),
-        3 => (0..40usize).prop_map(Step::LetGo),
-        1 => (0..MIB).prop_map(Step::Beside),
+        2 => (0..40usize).prop_map(Step::Complete),
+        1 => Just(Step::StartSpills),
+        1 => (0..40usize).prop_map(Step::FinishSpill),
+        1 => (0..40usize).prop_map(Step::DiskFault),
+        3 => (0..40usize).prop_map(Step::Release),
+        1 => (0..MIB).prop_map(Step::SetOtherUsage),
         1 => (0.0..3.0f64).prop_map(Step::Wait),
     ]
 }
 
 proptest! {
-    // The same cases each time: CI must not depend on chance.
+    // A fixed seed gives the same cases in each run, so that CI is deterministic.
     #![proptest_config(ProptestConfig {
         rng_seed: proptest::test_runner::RngSeed::Fixed(17),
         ..ProptestConfig::default()
     })]
 
-    /// In any order of steps the limits hold for all, each tenant and each query class, and released bodies take nothing.
+    /// In any order of steps, usage stays within the memory and file limits, and is 0 once all bodies are released.
     #[test]
     fn limits_hold_for_any_steps(steps in prop::collection::vec(step(), 1..200)) {
         let limits = BufferLimits { query_class_ratio: 0.75, ..limits() };
         let mut manager = BufferManager::new(limits.clone());
-        // Number, tenant, how much has arrived, and whether more may.
+        // Of each body: its number, its tenant, the bytes that have arrived, and whether it may still grow.
         let mut live: Vec<(BodyId, usize, u64, bool)> = Vec::new();
         let mut now = 0.0;
         for step in steps {
             match step {
-                Step::Arrive { tenant, query_class, length } => {
+                Step::Admit { tenant, query_class, length } => {
                     let before = manager.usage();
                     match manager.admit(now, IncomingBody { tenant, query_class, stated_length: length }) {
                         Ok(placement) => live.push((placement.id, tenant, 0, length.is_none())),
@@ -231,38 +232,37 @@
                         }
                     }
                 }
-                Step::Whole(at) if !live.is_empty() => {
+                Step::Complete(at) if !live.is_empty() => {
                     let at = at % live.len();
                     manager.complete(now, live[at].0);
                     live[at].3 = false;
                 }
-                Step::Pressed => drop(manager.start_spills(now)),
-                Step::Spilled(at) if !live.is_empty() => manager.finish_spill(live[at % live.len()].0),
-                Step::Failed(at) if !live.is_empty() => {
+                Step::StartSpills => drop(manager.start_spills(now)),
+                Step::FinishSpill(at) if !live.is_empty() => manager.finish_spill(live[at % live.len()].0),
+                Step::DiskFault(at) if !live.is_empty() => {
                     let at = at % live.len();
                     let _ = manager.on_disk_fault(now, live[at].0, DiskFault::Full);
                 }
-                Step::LetGo(at) if !live.is_empty() => {
+                Step::Release(at) if !live.is_empty() => {
                     let at = at % live.len();
                     manager.release(live.swap_remove(at).0);
                 }
-                Step::Beside(bytes) => manager.set_other_usage(OtherUsage::Buffers, bytes),
+                Step::SetOtherUsage(bytes) => manager.set_other_usage(OtherUsage::Buffers, bytes),
                 Step::Wait(seconds) => now += seconds,
                 _ => {}
             }
-            let holding = manager.usage();
-            prop_assert_eq!(holding.bodies, live.len());
-            // Other usage is reported, not requested: only bodies are limited.
-            prop_assert!(holding.body_memory_bytes <= limits.max_memory_bytes);
-            prop_assert!(holding.spill_bytes <= limits.spill.as_ref().unwrap().max_total_bytes);
+            let usage = manager.usage();
+            prop_assert_eq!(usage.bodies, live.len());
+            // Other usage is only reported to the manager, so just the bodies' part is limited.
+            prop_assert!(usage.body_memory_bytes <= limits.max_memory_bytes);
+            prop_assert!(usage.spill_bytes <= limits.spill.as_ref().unwrap().max_total_bytes);
         }
         live.into_iter().for_each(|body| manager.release(body.0));
-        let holding = manager.usage();
-        prop_assert_eq!((holding.bodies, holding.body_memory_bytes, holding.spill_bytes), (0, 0, 0));
+        let usage = manager.usage();
+        prop_assert_eq!((usage.bodies, usage.body_memory_bytes, usage.spill_bytes), (0, 0, 0));
     }
 
-    /// With nothing buffered and a disk that works, a body that fits the memory does not go to a file, and one that fits a
-    /// file does not pass through.
+    /// With an empty buffer and a working disk, each body gets the best tier that its length permits.
     #[test]
     fn empty_buffer_uses_best_tier(length in 0..70 * MIB) {
         let placement = BufferManager::new(BufferLimits { tenant_ratio: 1.0, ..limits() }).admit(0.0, body(0, length));
--- a/crates/dunepond-body-buffer/tests/spool.rs
+++ b/crates/dunepond-body-buffer/tests/spool.rs
@@ -1,4 +1,4 @@
-//! The spool on a real folder, and on one that fails.
+//! Tests of the spool on a real folder and on folders that fail.
 
 use std::io;
 use std::path::PathBuf;
@@ -11,6 +11,7 @@
 use dunepond_body_buffer::*;
 use rstest::rstest;
 
+/// Creates an empty folder for one test.
 fn folder() -> PathBuf {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let name = format!("dunepond-spool-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
@@ -19,29 +20,30 @@
     path
 }
 
-fn spool(folder: Arc<dyn SpillFolder>, most: usize) -> (Spool, Receiver<DiskEvent>) {
-    let (tell, told) = channel();
-    (Spool::start(folder, 2, most, move |done| drop(tell.send(done))).unwrap(), told)
+/// Starts a spool of two threads and returns it with the receiver of its events.
+fn spool(folder: Arc<dyn SpillFolder>, max_queued_jobs: usize) -> (Spool, Receiver<DiskEvent>) {
+    let (sender, events) = channel();
+    (Spool::start(folder, 2, max_queued_jobs, move |event| drop(sender.send(event))).unwrap(), events)
 }
 
-fn next(told: &Receiver<DiskEvent>) -> DiskEvent {
-    told.recv_timeout(Duration::from_secs(10)).unwrap()
+fn next(events: &Receiver<DiskEvent>) -> DiskEvent {
+    events.recv_timeout(Duration::from_secs(10)).unwrap()
 }
 
-fn write(file: FileId, at: u64, bytes: &'static [u8]) -> DiskJob {
-    DiskJob::Write { file, offset: at, bytes: Bytes::from_static(bytes) }
+fn write(file: FileId, offset: u64, bytes: &'static [u8]) -> DiskJob {
+    DiskJob::Write { file, offset, bytes: Bytes::from_static(bytes) }
 }
 
 #[test]
 fn reads_back_from_unlinked_files() {
     let path = folder();
-    let (spool, told) = spool(Arc::new(DiskFolder::open(&path, "one").unwrap()), 8);
+    let (spool, events) = spool(Arc::new(DiskFolder::open(&path, "one").unwrap()), 8);
     spool.submit(write(7, 0, b"hello ")).unwrap();
     spool.submit(write(7, 6, b"world")).unwrap();
     spool.submit(DiskJob::Read { file: 7, offset: 3, length: 5 }).unwrap();
-    assert!(matches!(next(&told), DiskEvent::Written { file: 7, offset: 0, length: 6 }));
-    assert!(matches!(next(&told), DiskEvent::Written { file: 7, offset: 6, length: 5 }));
-    assert!(matches!(next(&told), DiskEvent::Read { bytes, .. } if &bytes[..] == b"lo wo"));
+    assert!(matches!(next(&events), DiskEvent::Written { file: 7, offset: 0, length: 6 }));
+    assert!(matches!(next(&events), DiskEvent::Written { file: 7, offset: 6, length: 5 }));
+    assert!(matches!(next(&events), DiskEvent::Read { bytes, .. } if &bytes[..] == b"lo wo"));
     let names: Vec<_> = std::fs::read_dir(&path).unwrap().flatten().map(|e| e.file_name()).collect();
     assert_eq!(names, ["dunepond-one.owner"]);
     std::fs::remove_dir_all(path).unwrap();
@@ -52,14 +54,14 @@
 #[case::closed(DiskJob::Read { file: 8, offset: 0, length: 1 })]
 fn missing_bytes_are_unreadable(#[case] job: DiskJob) {
     let path = folder();
-    let (spool, told) = spool(Arc::new(DiskFolder::open(&path, "one").unwrap()), 8);
+    let (spool, events) = spool(Arc::new(DiskFolder::open(&path, "one").unwrap()), 8);
     spool.submit(write(7, 0, b"hello ")).unwrap();
     spool.submit(write(8, 0, b"gone")).unwrap();
     spool.submit_unbounded(DiskJob::Close { file: 8 });
-    next(&told);
-    next(&told);
+    next(&events);
+    next(&events);
     spool.submit(job).unwrap();
-    assert!(matches!(next(&told), DiskEvent::Failed { fault: DiskFault::Unreadable, .. }));
+    assert!(matches!(next(&events), DiskEvent::Failed { fault: DiskFault::Unreadable, .. }));
     std::fs::remove_dir_all(path).unwrap();
 }
 
@@ -68,9 +70,9 @@
     let path = folder();
     let disk = DiskFolder::open(&path, "one").unwrap();
     std::fs::remove_dir_all(&path).unwrap();
-    let (spool, told) = spool(Arc::new(disk), 8);
+    let (spool, events) = spool(Arc::new(disk), 8);
     spool.submit(write(7, 0, b"x")).unwrap();
-    assert!(matches!(next(&told), DiskEvent::Failed { fault: DiskFault::Gone, .. }));
+    assert!(matches!(next(&events), DiskEvent::Failed { fault: DiskFault::Gone, .. }));
 }
 
 #[rstest]
@@ -85,43 +87,43 @@
     assert_eq!(DiskFault::from_io(&io::Error::from_raw_os_error(code)), fault);
 }
 
-/// Makes no file until the test says so, and then fails.
+/// Blocks each creation of a file until the flag is set, then fails with a full disk.
 struct Stalled(Arc<(Mutex<bool>, Condvar)>);
 
 impl SpillFolder for Stalled {
     fn create(&self) -> io::Result<Box<dyn SpillFile>> {
-        let (open, changed) = &*self.0;
-        drop(changed.wait_while(open.lock().unwrap(), |open| !*open).unwrap());
+        let (released, changed) = &*self.0;
+        drop(changed.wait_while(released.lock().unwrap(), |released| !*released).unwrap());
         Err(io::Error::from_raw_os_error(libc::ENOSPC))
     }
 }
 
-/// A full queue refuses at once, and a file can be closed all the same.
+/// A full queue refuses jobs without blocking the caller; closing a file is still possible.
 #[test]
 fn stalled_disk_does_not_block() {
-    let door = Arc::new((Mutex::new(false), Condvar::new()));
-    let (spool, told) = spool(Arc::new(Stalled(door.clone())), 3);
+    let release = Arc::new((Mutex::new(false), Condvar::new()));
+    let (spool, events) = spool(Arc::new(Stalled(release.clone())), 3);
     (0..3).for_each(|file| spool.submit(write(file, 0, b"x")).unwrap());
     assert!(!spool.has_room() && spool.submit(write(3, 0, b"x")).is_err());
     spool.submit_unbounded(DiskJob::Close { file: 0 });
-    *door.0.lock().unwrap() = true;
-    door.1.notify_all();
-    (0..3).for_each(|_| assert!(matches!(next(&told), DiskEvent::Failed { fault: DiskFault::Full, .. })));
+    *release.0.lock().unwrap() = true;
+    release.1.notify_all();
+    (0..3).for_each(|_| assert!(matches!(next(&events), DiskEvent::Failed { fault: DiskFault::Full, .. })));
 }
 
-/// Two processes in one folder: each removes files that nobody owns any more, and none of the other.
+/// Opening a shared folder removes the files of ended processes, but not those of a process that still runs.
 #[test]
 fn removes_files_of_ended_processes() {
     let path = folder();
-    let living = DiskFolder::open(&path, "living").unwrap();
+    let live = DiskFolder::open(&path, "living").unwrap();
     for name in ["dunepond-living-0.body", "dunepond-dead-0.body", "dunepond-dead.owner", "mine.body"] {
         std::fs::write(path.join(name), "x").unwrap();
     }
     let second = DiskFolder::open(&path, "second").unwrap();
-    let there = |name: &str| path.join(name).exists();
-    assert!(there("dunepond-living-0.body") && there("mine.body") && there("dunepond-living.owner"));
-    assert!(!there("dunepond-dead-0.body") && !there("dunepond-dead.owner"));
-    drop((living, second));
-    assert!(!there("dunepond-living.owner") && !there("dunepond-second.owner"));
+    let exists = |name: &str| path.join(name).exists();
+    assert!(exists("dunepond-living-0.body") && exists("mine.body") && exists("dunepond-living.owner"));
+    assert!(!exists("dunepond-dead-0.body") && !exists("dunepond-dead.owner"));
+    drop((live, second));
+    assert!(!exists("dunepond-living.owner") && !exists("dunepond-second.owner"));
     std::fs::remove_dir_all(path).unwrap();
 }
