--- a/crates/dunepond-background/src/job.rs
+++ b/crates/dunepond-background/src/job.rs
@@ -1,75 +1,76 @@
-//! Jobs: what is known of one before, while and after it runs.
+//! Types that describe a job before, during and after its runs.
 
-/// A job's number; none is used twice.
+/// Number of a job, unique within a [`crate::Scheduler`].
 pub type JobId = u64;
 
-/// Of two jobs that may run, the one of higher priority runs first, unless the other has waited much longer.
+/// Priority of a job. Of two jobs that may run, the one of higher priority runs first, unless the other has waited much
+/// longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Whenever there is time.
+    /// For jobs that may run at any time.
     Idle,
-    /// Worth something soon.
+    /// For jobs that should run soon.
     Normal,
-    /// A guarantee depends on it.
+    /// For jobs on which a guarantee depends.
     Urgent,
 }
 
-/// Where a job runs.
+/// Whether a job runs on the caller's thread or on the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobKind {
-    /// A short, bounded step on the caller's own thread, while nothing else waits there.
+    /// The job runs as short, bounded steps on the caller's thread while nothing else waits there.
     Step,
-    /// May wait for a disk: on the pool.
+    /// The job may block on the disk, so it runs on the [`crate::Pool`].
     Blocking,
 }
 
-/// How a failed job is retried. The backoff doubles with each failure up to its maximum.
+/// How a failed job is retried. The back-off doubles with each failure up to its maximum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryPolicy {
-    /// Backoff after the first failure.
+    /// Back-off after the first failure.
     pub initial_backoff_seconds: f64,
-    /// Longest backoff.
+    /// Upper limit of the back-off.
     pub max_backoff_seconds: f64,
-    /// Most attempts in all; absent, as many as it takes.
+    /// Maximum number of runs, the first one included; `None` for no limit.
     pub max_attempts: Option<u32>,
 }
 
-/// What a run is expected to take; what it did take is reported with its end.
+/// Estimated cost of one run. The actual cost is reported as [`ResourceUse`] when the run ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct JobCost {
-    /// Bytes written to the disk.
+    /// Bytes that the run is expected to write to the disk.
     pub bytes: u64,
 }
 
-/// A job as it is added.
+/// Specification of a job to be added to the scheduler.
 #[derive(Clone, Debug)]
 pub struct JobSpec {
-    /// Name that its counters are kept under.
+    /// Name under which the job is counted; several jobs may share it.
     pub name: &'static str,
-    /// Which of several runs first.
+    /// Priority among the jobs that may run.
     pub priority: Priority,
-    /// Where it runs.
+    /// Whether the job runs on the caller's thread or on the pool.
     pub kind: JobKind,
-    /// What a run is expected to take.
+    /// Estimated cost of one run.
     pub cost: JobCost,
-    /// It does not start before this time.
+    /// Earliest time at which the job may start.
     pub not_before: f64,
-    /// It does not start at this time or later: it is worth nothing by then.
+    /// Time from which the job is useless: it is dropped instead of being started. `None` for no deadline.
     pub deadline: Option<f64>,
-    /// Absent, a failure is final.
+    /// How failures are retried; `None` if the first failure is final.
     pub retry: Option<RetryPolicy>,
 }
 
-/// A job that is to run now. Its end must be reported by [`crate::Scheduler::finish`].
+/// A job that the caller must run now. The caller must report the end of the run with [`crate::Scheduler::finish`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartedJob {
-    /// The job's number.
+    /// Number of the job.
     pub id: JobId,
-    /// The name it was added under.
+    /// Name of the job, as in its [`JobSpec`].
     pub name: &'static str,
-    /// Where it is to run.
+    /// Whether to run the job on the caller's thread or on the pool.
     pub kind: JobKind,
-    /// Runs that have failed before.
+    /// Number of earlier runs of the job that failed.
     pub failed_attempts: u32,
 }
 
@@ -78,45 +79,45 @@
 pub enum Outcome {
     /// The job is complete.
     Done,
-    /// A step of it is; there are more.
+    /// One step of the job is complete, and more steps remain.
     Yielded,
-    /// It may be retried.
+    /// The run failed; the job is retried as its [`RetryPolicy`] permits.
     Failed,
 }
 
-/// What a run has taken.
+/// Resources that a run has used.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceUse {
-    /// Time of the caller's thread that was used; a blocking job takes none.
+    /// Seconds of the caller's thread time; 0 for a blocking job.
     pub seconds: f64,
     /// Bytes written to the disk.
     pub bytes: u64,
 }
 
-/// A job that will not be done: it has expired or failed for good.
+/// A job that was dropped because its deadline passed or its last permitted run failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DroppedJob {
-    /// The job's number.
+    /// Number of the job.
     pub id: JobId,
-    /// The name it was added under.
+    /// Name of the job, as in its [`JobSpec`].
     pub name: &'static str,
 }
 
-/// Counters of all jobs of one name.
+/// Counters of all jobs with one name.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct JobCounters {
     /// Jobs that completed.
     pub done: u64,
     /// Runs that failed.
     pub failed: u64,
-    /// Jobs that did not start before their deadline.
+    /// Jobs that were dropped because their deadline passed.
     pub expired: u64,
-    /// Jobs that failed and were not retried.
+    /// Jobs that were dropped after their last permitted run failed.
     pub abandoned: u64,
-    /// Time of the caller's thread that was used.
+    /// Seconds of the caller's thread time that the jobs used.
     pub seconds: f64,
     /// Bytes written to the disk.
     pub bytes: u64,
-    /// The longest that a job has waited, due, for its first run.
+    /// Longest time that a job waited for its first run after it became due.
     pub longest_wait_seconds: f64,
 }
--- a/crates/dunepond-background/src/lib.rs
+++ b/crates/dunepond-background/src/lib.rs
@@ -1,7 +1,7 @@
-//! Background jobs that never delay queries.
+//! Background jobs that run within a budget, so that they do not delay queries.
 //!
-//! [`Scheduler`] decides which job runs next; it has no threads and no clock. [`Pool`] is a few threads for jobs that may
-//! block. Times are seconds on the caller's clock; sizes are bytes.
+//! [`Scheduler`] decides which job runs next; it has no threads and reads no clock. [`Pool`] runs jobs that may block
+//! on a few threads. Times are in seconds on the caller's clock; sizes are in bytes.
 
 #![warn(missing_docs)]
 
--- a/crates/dunepond-background/src/pool.rs
+++ b/crates/dunepond-background/src/pool.rs
@@ -1,4 +1,4 @@
-//! A fixed number of threads for jobs that may wait for a disk.
+//! A fixed number of threads for jobs that may block on the disk.
 
 use std::io;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -8,17 +8,18 @@
 
 use crate::job::{JobId, Outcome, ResourceUse};
 
-/// The end of a job on the pool.
+/// Result of a job that ran on the pool.
 #[derive(Clone, Copy, Debug)]
 pub struct FinishedJob {
-    /// The job's number.
+    /// Number of the job.
     pub id: JobId,
-    /// How it ended.
+    /// How the run ended.
     pub outcome: Outcome,
-    /// What it has taken.
+    /// Resources that the run used.
     pub used: ResourceUse,
 }
 
+/// The work of a job; returns its outcome and the bytes written.
 type Work = Box<dyn FnOnce() -> (Outcome, u64) + Send>;
 
 struct QueuedJob {
@@ -28,19 +29,19 @@
 
 impl QueuedJob {
     fn run(self) -> FinishedJob {
-        // A job that panics has failed, and must not end its thread.
+        // A panic counts as a failure of the job; it must not end the thread.
         let (outcome, bytes) = catch_unwind(AssertUnwindSafe(self.work)).unwrap_or((Outcome::Failed, 0));
         FinishedJob { id: self.id, outcome, used: ResourceUse { seconds: 0.0, bytes } }
     }
 }
 
-/// The threads' queue; they end when it is dropped.
+/// A pool of threads that run queued jobs. The threads end when the pool is dropped and the queue is empty.
 pub struct Pool {
     queue: Sender<QueuedJob>,
 }
 
 impl Pool {
-    /// Starts the threads. They call `report` with the end of each job.
+    /// Starts the threads, at least one, named `name` with a number. They call `report` with the result of each job.
     ///
     /// # Errors
     /// A thread cannot be started.
@@ -62,9 +63,10 @@
         Ok(Self { queue })
     }
 
-    /// Runs work that gives its outcome and the bytes it wrote. The scheduler limits how much is queued.
+    /// Queues the work of a job, which returns its outcome and the bytes written. The queue has no limit of its own:
+    /// the scheduler limits the number of blocking jobs.
     pub fn run(&self, id: JobId, work: impl FnOnce() -> (Outcome, u64) + Send + 'static) {
-        // The threads live as long as the queue does.
+        // Sending cannot fail: the threads live as long as the queue.
         let _ = self.queue.send(QueuedJob { id, work: Box::new(work) });
     }
 }
--- a/crates/dunepond-background/src/scheduler.rs
+++ b/crates/dunepond-background/src/scheduler.rs
@@ -1,5 +1,5 @@
-//! Which job runs next, and whether any may: by priority and age, within budgets, before its deadline, and after a failure
-//! not before its backoff is over.
+//! Decides which job runs next. Jobs run by priority and age, within the budget, before their deadline, and after a
+//! failure not before their back-off ends.
 
 use std::collections::BTreeMap;
 
@@ -11,39 +11,47 @@
     DroppedJob, JobCounters, JobId, JobKind, JobSpec, Outcome, ResourceUse, RetryPolicy, StartedJob,
 };
 
-/// Time of waiting that counts as much as one level of priority, so that the lowest priority is not starved.
+/// Waiting time that outweighs one level of priority, so that jobs of the lowest priority are not starved.
 const SECONDS_PER_PRIORITY: f64 = 2.0;
-/// Share of a backoff by which a retry may come sooner: jobs that failed together must not be retried together.
+/// Largest share of a back-off by which a retry is randomly brought forward, so that jobs that failed together are not
+/// all retried at the same time.
 const BACKOFF_JITTER_RATIO: f64 = 0.5;
-/// Keeps the doubling of backoffs finite.
+/// Limit on the number of doublings of a back-off, which keeps the computed value finite.
 const MAX_BACKOFF_DOUBLINGS: u32 = 62;
 
+/// A job that is waiting or running.
 struct Job {
     spec: JobSpec,
-    /// Since when it could run.
+    /// Time from which the job may run; its age counts from then.
     due_at: f64,
     failed_attempts: u32,
     running: bool,
+    /// Whether the job has run at least once.
     started: bool,
+    /// Whether the job was cancelled while running; it is dropped when the run ends.
     cancelled: bool,
 }
 
-/// Decides which job runs next.
+/// Keeps the background jobs and decides which one runs next. Has no threads and reads no clock: the caller passes the
+/// time, runs the jobs and reports how they ended.
 pub struct Scheduler {
     budget: Budget,
     rng: Pcg64Mcg,
     jobs: BTreeMap<JobId, Job>,
     last_id: JobId,
+    /// Seconds of the caller's thread time.
     time: TokenBucket,
+    /// Bytes written to the disk.
     bytes: TokenBucket,
+    /// Number of blocking jobs that are running.
     blocking_jobs: usize,
     counters: BTreeMap<&'static str, JobCounters>,
-    /// Dropped jobs that are not reported yet.
+    /// Dropped jobs that [`Scheduler::drain_dropped`] has not returned yet.
     dropped: Vec<DroppedJob>,
 }
 
 impl Scheduler {
-    /// A scheduler without jobs. The seed is for the jitter of backoffs.
+    /// Creates a scheduler without jobs. `seed` seeds the jitter of back-offs.
     pub fn new(budget: Budget, seed: u64) -> Self {
         Self {
             time: TokenBucket::new(budget.time_ratio),
@@ -58,7 +66,7 @@
         }
     }
 
-    /// Adds a job.
+    /// Adds a job and returns its number.
     pub fn add(&mut self, now: f64, spec: JobSpec) -> JobId {
         self.last_id += 1;
         let due_at = spec.not_before.max(now);
@@ -67,7 +75,7 @@
         self.last_id
     }
 
-    /// Cancels a job. One that is running ends as it ends, and is not retried.
+    /// Cancels a job. A running job is not interrupted, but it is neither continued nor retried.
     pub fn cancel(&mut self, id: JobId) {
         match self.jobs.get_mut(&id) {
             Some(job) if job.running => job.cancelled = true,
@@ -75,8 +83,8 @@
         }
     }
 
-    /// Starts the next job, if any may run. `caller_idle` says that nothing else waits on the caller's thread: no step
-    /// starts otherwise.
+    /// Starts the next job, if any may run, and returns it. `caller_idle` states that nothing else waits on the
+    /// caller's thread; otherwise no [`JobKind::Step`] job is started.
     pub fn next(&mut self, now: f64, caller_idle: bool) -> Option<StartedJob> {
         self.expire(now);
         self.time.refill(now);
@@ -92,7 +100,8 @@
         if job.spec.kind == JobKind::Blocking {
             self.blocking_jobs += 1;
         }
-        // Taken ahead, and corrected at the end: several jobs must not start on the same budget.
+        // The estimated bytes are taken now and corrected when the run ends, so that several jobs cannot start on the
+        // same budget.
         self.bytes.take(job.spec.cost.bytes as f64);
         Some(StartedJob {
             id,
@@ -102,7 +111,7 @@
         })
     }
 
-    /// Of the jobs that may run, the one with the highest priority and age; of equals the one added first.
+    /// Of the jobs that may run, the one with the highest rank of priority and age; among equals the one added first.
     fn best_runnable(&self, now: f64, caller_idle: bool) -> Option<JobId> {
         let rank = |job: &Job| job.spec.priority as u8 as f64 + (now - job.due_at) / SECONDS_PER_PRIORITY;
         let mut best: Option<(f64, JobId)> = None;
@@ -116,6 +125,7 @@
         best.map(|(_, id)| id)
     }
 
+    /// Whether a job is due, not running, and within the budget.
     fn may_run(&self, job: &Job, now: f64, caller_idle: bool) -> bool {
         if job.running || job.due_at > now {
             return false;
@@ -127,7 +137,8 @@
         has_room && (job.spec.cost.bytes == 0 || self.bytes.is_open())
     }
 
-    /// Reports the end of a run.
+    /// Records the end of a run. A completed job is removed, a yielded one becomes due again, and a failed one is
+    /// retried or dropped.
     pub fn finish(&mut self, now: f64, id: JobId, outcome: Outcome, used: ResourceUse) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.running) else { return };
         job.running = false;
@@ -144,13 +155,14 @@
                 counters.done += 1;
                 self.jobs.remove(&id);
             }
-            // Its age restarts with each step: an endless job must not rise above all others.
+            // Its age restarts with each step; otherwise a job of many steps would come to outrank all others.
             Outcome::Yielded if !job.cancelled => job.due_at = now,
             Outcome::Yielded => drop(self.jobs.remove(&id)),
             Outcome::Failed => self.retry_or_drop(now, id),
         }
     }
 
+    /// Schedules a retry of a failed job after its back-off, or drops the job if it may not be retried.
     fn retry_or_drop(&mut self, now: f64, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let name = job.spec.name;
@@ -170,7 +182,7 @@
         self.jobs.remove(&id);
     }
 
-    /// Drops jobs whose deadline is over, unless they are running.
+    /// Drops the jobs whose deadline has passed, except running ones.
     fn expire(&mut self, now: f64) {
         let mut expired = Vec::new();
         for (id, job) in &self.jobs {
@@ -187,17 +199,19 @@
         }
     }
 
-    /// Jobs dropped since the last call: expired, or failed for good.
+    /// Returns the jobs that were dropped since the last call because they expired or failed for the last time.
     pub fn drain_dropped(&mut self) -> Vec<DroppedJob> {
         std::mem::take(&mut self.dropped)
     }
 
-    /// When a job may run that may not now; none where only the end of a running one can change that.
+    /// Earliest time at which a waiting job may run, at or after `now`. `None` if there is no waiting job, or if all of
+    /// them wait for a running one to end.
     pub fn next_wakeup(&self, now: f64) -> Option<f64> {
         let waiting = self.jobs.values().filter(|job| !job.running);
         waiting.filter_map(|job| self.may_run_at(job, now)).min_by(f64::total_cmp)
     }
 
+    /// Earliest time at which a waiting job may run; `None` if a running blocking job has to end first.
     fn may_run_at(&self, job: &Job, now: f64) -> Option<f64> {
         let room_at = match job.spec.kind {
             JobKind::Step => self.time.opens_at(now),
@@ -208,18 +222,19 @@
         Some(job.due_at.max(room_at).max(bytes_at))
     }
 
-    /// How many jobs there are, running or not.
+    /// Number of jobs, waiting or running.
     pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Counters by name.
+    /// Counters of all jobs, by job name.
     pub fn counters(&self) -> impl Iterator<Item = (&'static str, JobCounters)> {
         self.counters.iter().map(|(name, counters)| (*name, *counters))
     }
 }
 
 impl Job {
+    /// Whether the job may run again after its failed attempts so far.
     fn may_retry(&self, policy: &RetryPolicy) -> bool {
         !self.cancelled && policy.max_attempts.is_none_or(|max| self.failed_attempts < max)
     }
--- a/crates/dunepond-background/tests/scheduler.rs
+++ b/crates/dunepond-background/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler and the pool by cases, each of a failure that they prevent, and by properties.
+//! Tests of the scheduler and the pool: single cases, and properties over random steps.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,15 +24,16 @@
     ResourceUse { seconds, bytes }
 }
 
-/// Runs steps of 5 ms one after the other; how many of each name ran.
-fn run(scheduler: &mut Scheduler, from: f64, to: f64, more: bool) -> BTreeMap<&'static str, usize> {
+/// Runs steps of 5 ms one after the other, and returns how many ran of each name. `is_endless`: each step yields
+/// instead of completing its job.
+fn run(scheduler: &mut Scheduler, from: f64, to: f64, is_endless: bool) -> BTreeMap<&'static str, usize> {
     let (mut now, mut ran) = (from, BTreeMap::new());
     while now < to {
         match scheduler.next(now, true) {
             Some(started) => {
                 *ran.entry(started.name).or_default() += 1;
                 now += 0.005;
-                let outcome = if more { Outcome::Yielded } else { Outcome::Done };
+                let outcome = if is_endless { Outcome::Yielded } else { Outcome::Done };
                 scheduler.finish(now, started.id, outcome, used(0.005, 0));
             }
             None => now += 0.001,
@@ -68,7 +69,7 @@
     assert_eq!(scheduler.next(0.0, true).map(|started| started.name), Some("step"));
 }
 
-/// Endless jobs of the highest priority and no others get their share of the time and no more.
+/// Jobs that never end, all of the highest priority, use exactly the budgeted share of the time.
 #[test]
 fn steps_stay_within_time_ratio() {
     let mut scheduler = Scheduler::new(budget(), 1);
@@ -114,18 +115,22 @@
         let mut scheduler = Scheduler::new(budget(), seed);
         scheduler.add(0.0, JobSpec { retry, ..spec("disk", Priority::Normal, JobKind::Blocking) });
         let mut now = 0.0;
-        for longest in [1.0, 2.0, 4.0, 4.0, 4.0] {
+        for max_backoff in [1.0, 2.0, 4.0, 4.0, 4.0] {
             let started = scheduler.next(now, true).unwrap();
             scheduler.finish(now, started.id, Outcome::Failed, used(0.0, 0));
             let due = scheduler.next_wakeup(now).unwrap();
-            assert!((0.5 * longest..=longest).contains(&(due - now)), "{} of {longest}", due - now);
+            assert!(
+                (0.5 * max_backoff..=max_backoff).contains(&(due - now)),
+                "{} of {max_backoff}",
+                due - now
+            );
             assert_eq!(scheduler.next(due - 0.01, true), None);
             now = due;
         }
         waits.push((now * 1e6) as u64);
     }
     waits.dedup();
-    assert!(waits.len() > 15, "all retries come together");
+    assert!(waits.len() > 15, "retry times of different seeds coincide: {waits:?}");
 }
 
 #[test]
@@ -161,7 +166,7 @@
 #[test]
 fn writes_stay_within_budget() {
     let mut scheduler = Scheduler::new(budget(), 1);
-    let mut wrote = 0;
+    let mut written_bytes = 0;
     for tick in 0..2000 {
         let now = tick as f64 * 0.01;
         let cost = JobCost { bytes: 400 };
@@ -169,14 +174,14 @@
             now,
             JobSpec { cost, deadline: Some(now + 0.005), ..spec("disk", Priority::Idle, JobKind::Blocking) },
         );
-        // Two never start on the budget of one.
+        // Two jobs must not start on the budget for one.
         let started = [scheduler.next(now, true), scheduler.next(now, true)];
         for started in started.into_iter().flatten() {
-            wrote += 400;
+            written_bytes += 400;
             scheduler.finish(now, started.id, Outcome::Done, used(0.0, 400));
         }
     }
-    assert!((18_000..=22_000).contains(&wrote), "{wrote}");
+    assert!((18_000..=22_000).contains(&written_bytes), "{written_bytes}");
 }
 
 #[test]
@@ -198,22 +203,29 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Add { priority: u8, blocking: bool, bytes: u64, wait: f64, life: Option<f64>, tries: Option<u32> },
+    Add {
+        priority: u8,
+        blocking: bool,
+        bytes: u64,
+        wait: f64,
+        lifetime: Option<f64>,
+        max_attempts: Option<u32>,
+    },
     Next(bool),
-    End(usize, u8, f64),
+    Finish(usize, u8, f64),
     Cancel(usize),
     Wait(f64),
 }
 
 fn steps() -> impl Strategy<Value = Step> {
-    let life = prop::option::of(0.01..5.0f64);
-    let add = (0..3u8, any::<bool>(), 0..500u64, 0.0..1.0f64, life, prop::option::of(1..4u32));
+    let lifetime = prop::option::of(0.01..5.0f64);
+    let add = (0..3u8, any::<bool>(), 0..500u64, 0.0..1.0f64, lifetime, prop::option::of(1..4u32));
     prop_oneof![
-        3 => add.prop_map(|(priority, blocking, bytes, wait, life, tries)| {
-            Step::Add { priority, blocking, bytes, wait, life, tries }
+        3 => add.prop_map(|(priority, blocking, bytes, wait, lifetime, max_attempts)| {
+            Step::Add { priority, blocking, bytes, wait, lifetime, max_attempts }
         }),
         5 => any::<bool>().prop_map(Step::Next),
-        4 => (0..9usize, 0..3u8, 0.0..0.02f64).prop_map(|(at, how, took)| Step::End(at, how, took)),
+        4 => (0..9usize, 0..3u8, 0.0..0.02f64).prop_map(|(at, outcome_index, seconds_used)| Step::Finish(at, outcome_index, seconds_used)),
         1 => (0..9usize).prop_map(Step::Cancel),
         3 => (0.0..0.5f64).prop_map(Step::Wait),
     ]
@@ -225,66 +237,67 @@
         ..ProptestConfig::default()
     })]
 
-    /// In any order of steps: no more at once than allowed, no start before its time or after its deadline, no step while
-    /// the caller is busy, time and bytes within their budgets, each job ended once, and wakeups for all that is due.
+    /// In any order of steps: no more blocking jobs at once than allowed, no start too early or after the deadline, no
+    /// step job while the caller is busy, time and bytes within their budgets, no start of a job that has ended, and no
+    /// wakeup in the past while no job runs.
     #[test]
     fn limits_hold_for_any_steps(all in prop::collection::vec(steps(), 1..300)) {
         let mut scheduler = Scheduler::new(budget(), 3);
         let (mut now, mut seconds, mut bytes) = (0.0, 0.0, 0.0);
         let mut specs: BTreeMap<JobId, JobSpec> = BTreeMap::new();
         let mut running: Vec<StartedJob> = Vec::new();
-        let mut over: Vec<JobId> = Vec::new();
+        let mut ended: Vec<JobId> = Vec::new();
         for step in all {
             match step {
-                Step::Add { priority, blocking, bytes, wait, life, tries } => {
+                Step::Add { priority, blocking, bytes, wait, lifetime, max_attempts } => {
                     let priority = [Priority::Idle, Priority::Normal, Priority::Urgent][priority as usize];
                     let kind = if blocking { JobKind::Blocking } else { JobKind::Step };
-                    let retry = tries.map(|tries| RetryPolicy { initial_backoff_seconds: 0.1, max_backoff_seconds: 1.0, max_attempts: Some(tries) });
+                    let retry = max_attempts.map(|max| RetryPolicy { initial_backoff_seconds: 0.1, max_backoff_seconds: 1.0, max_attempts: Some(max) });
                     let spec = JobSpec {
                         name: "job",
                         priority,
                         kind,
                         cost: JobCost { bytes },
                         not_before: now + wait,
-                        deadline: life.map(|life| now + wait + life),
+                        deadline: lifetime.map(|lifetime| now + wait + lifetime),
                         retry,
                     };
                     specs.insert(scheduler.add(now, spec.clone()), spec);
                 }
-                Step::Next(calm) => {
-                    if let Some(started) = scheduler.next(now, calm) {
+                Step::Next(caller_idle) => {
+                    if let Some(started) = scheduler.next(now, caller_idle) {
                         let spec = &specs[&started.id];
                         prop_assert!(now >= spec.not_before && spec.deadline.is_none_or(|d| now < d));
-                        prop_assert!(calm || started.kind == JobKind::Blocking);
-                        prop_assert!(!running.iter().any(|r| r.id == started.id) && !over.contains(&started.id));
+                        prop_assert!(caller_idle || started.kind == JobKind::Blocking);
+                        prop_assert!(!running.iter().any(|r| r.id == started.id) && !ended.contains(&started.id));
                         running.push(started);
-                    } else if calm && running.is_empty() {
-                        prop_assert!(scheduler.next_wakeup(now).is_none_or(|due| due > now), "something is due");
+                    } else if caller_idle && running.is_empty() {
+                        prop_assert!(scheduler.next_wakeup(now).is_none_or(|due| due > now), "a job is due but was not started");
                     }
                     prop_assert!(running.iter().filter(|r| r.kind == JobKind::Blocking).count() <= 2);
                 }
-                Step::End(at, how, took) if !running.is_empty() => {
+                Step::Finish(at, outcome_index, seconds_used) if !running.is_empty() => {
                     let started = running.remove(at % running.len());
-                    let outcome = [Outcome::Done, Outcome::Yielded, Outcome::Failed][how as usize];
-                    let took = if started.kind == JobKind::Step { took } else { 0.0 };
-                    let wrote = specs[&started.id].cost.bytes;
-                    (seconds, bytes) = (seconds + took, bytes + wrote as f64);
-                    scheduler.finish(now, started.id, outcome, used(took, wrote));
+                    let outcome = [Outcome::Done, Outcome::Yielded, Outcome::Failed][outcome_index as usize];
+                    let seconds_used = if started.kind == JobKind::Step { seconds_used } else { 0.0 };
+                    let bytes_written = specs[&started.id].cost.bytes;
+                    (seconds, bytes) = (seconds + seconds_used, bytes + bytes_written as f64);
+                    scheduler.finish(now, started.id, outcome, used(seconds_used, bytes_written));
                     if outcome == Outcome::Done {
-                        over.push(started.id);
+                        ended.push(started.id);
                     }
                 }
                 Step::Cancel(at) => {
                     let id = at as JobId + 1;
                     scheduler.cancel(id);
-                    over.extend(specs.contains_key(&id).then_some(id));
+                    ended.extend(specs.contains_key(&id).then_some(id));
                     running.retain(|r| r.id != id || { scheduler.finish(now, id, Outcome::Done, used(0.0, 0)); false });
                 }
                 Step::Wait(wait) => now += wait,
                 _ => {}
             }
-            over.extend(scheduler.drain_dropped().into_iter().map(|job| job.id));
-            // One step more than the budget may be under way when it runs out.
+            ended.extend(scheduler.drain_dropped().into_iter().map(|job| job.id));
+            // Runs that started within the budget may end after it is used up.
             prop_assert!(seconds <= 0.1 * (now + 0.5) + 0.02 * 9.0 + 1e-9);
             prop_assert!(bytes <= 1000.0 * (now + 0.5) + 500.0 * 9.0);
         }
